--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -56,6 +56,7 @@
     front: Front,
     names: Names,
     needs_dedup_key: Vec<bool>,         // by workload
+    dedup_windows: Vec<Option<Micros>>, // likewise, where engines drop repeats
     locations: Vec<Option<Vec<usize>>>, // that workloads are bound to
     turn_gap: Micros,
     warm_within: Micros,
@@ -87,6 +88,9 @@
             needs_dedup_key: (contract.agreement.workloads.iter())
                 .map(|w| w.effect == Effect::Deduplicated)
                 .collect(),
+            dedup_windows: (contract.agreement.workloads.iter())
+                .map(|w| (w.effect == Effect::Deduplicated).then_some(w.dedup_window))
+                .collect(),
             locations: contract.agreement.workloads.iter().map(|w| w.locations.clone()).collect(),
             turn_gap: contract.agreement.turn_gap,
             warm_within: contract.agreement.warm_within,
--- a/crates/dispatcher/src/out.rs
+++ b/crates/dispatcher/src/out.rs
@@ -10,6 +10,8 @@
 pub struct Terms {
     /// When its client's time is up.
     pub ends: Micros,
+    /// It may not leave for its engine later: engines drop its repeats for a while only.
+    pub leave_by: Micros,
     /// 0 leaves it to the engine.
     pub grant_mb: f64,
     pub priority: u8,
@@ -108,7 +110,9 @@
             }
             Action::Execute { statement: ticket, engine: place } => {
                 let Some(s) = self.statements.get_mut(&ticket) else { return };
-                let (execution, terms) = (s.executions.len(), s.terms);
+                let window = self.dedup_windows[s.workload];
+                let terms = Terms { leave_by: s.repeats_until(window), ..s.terms };
+                let execution = s.executions.len();
                 s.executions.push(Execution { place, sent: now, out: true, held: false, ending: None });
                 let engine = &mut self.engines[place];
                 if engine.out == 0 {
--- a/crates/dispatcher/src/taken.rs
+++ b/crates/dispatcher/src/taken.rs
@@ -72,6 +72,14 @@
 }
 
 impl Statement {
+    /// Until when a further execution may leave, where engines drop repeats within a window: counted from the first
+    /// execution that may have run. The decision is made within it, but a connection may come up late.
+    pub fn repeats_until(&self, window: Option<Micros>) -> Micros {
+        let may_have_run = |x: &&Execution| x.ending.is_none_or(Ending::may_have_run);
+        let first = self.executions.iter().filter(may_have_run).map(|x| x.sent).min();
+        first.zip(window).map_or(Micros::MAX, |(sent, window)| sent + window)
+    }
+
     /// The numbers of its executions that are out.
     pub fn out(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.executions.len()).filter(|n| self.executions[*n].out)
@@ -122,7 +130,7 @@
         let ends = now + ask.time_left;
         self.ends.insert((ends, ticket));
         let key = ask.key.map(str::to_string);
-        let terms = Terms { ends, grant_mb: 0.0, priority: 1 };
+        let terms = Terms { ends, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 };
         let executions = Vec::new();
         self.offered[workload].asks(now);
         self.customers.get_mut(customer).into_iter().for_each(|(_, asked)| asked.asks(now));
--- a/crates/fleet/src/gate/tests.rs
+++ b/crates/fleet/src/gate/tests.rs
@@ -43,7 +43,7 @@
 }
 
 fn ordered(ticket: Ticket, execution: usize, now: Micros, location: usize) -> Ordered {
-    let terms = Terms { ends: now + 4_000 * MS, grant_mb: 0.0, priority: 1 };
+    let terms = Terms { ends: now + 4_000 * MS, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 };
     Ordered { ticket, execution, place: location, terms, site: Site { location, cell: 0 } }
 }
 
--- a/crates/front/src/engines/heard.rs
+++ b/crates/front/src/engines/heard.rs
@@ -124,8 +124,9 @@
         if ending == Ending::PageLost {
             engine::write(link.link.output(), &Command::NoMorePages(line.id));
         }
-        if ending != Ending::Answered && self.allowed.cancel {
-            link.given_up.insert(line.id.to_string());
+        if ending != Ending::Answered {
+            let over = if self.allowed.cancel { &mut link.given_up } else { &mut link.ended };
+            over.insert(line.id.to_string());
         }
         if ending == Ending::Answered {
             self.reuse.answered();
--- a/crates/front/src/engines/left.rs
+++ b/crates/front/src/engines/left.rs
@@ -42,6 +42,8 @@
         let ids: Vec<LinkId> = self.links.keys().copied().collect();
         for id in ids {
             if self.pump(now, id).is_err() {
+                // What its engine had answered before the connection broke still counts.
+                self.read(now, id);
                 self.end(now, id, Ending::Reset);
             }
         }
@@ -63,6 +65,12 @@
             }
             let Some(sent) = link.queue.pop_front() else { return Ok(()) };
             let Some(x) = self.executions.get_mut(&sent) else { continue };
+            let engine = self.engines.get(&link.place);
+            if let Some(why) = stays(now, engine, &x.terms) {
+                log::debug!("statement {}: its execution stays here: {why}", x.call.id);
+                self.withdraw(id, sent);
+                return self.pump(now, id);
+            }
             let want = Want {
                 id: &x.call.id,
                 workload: &x.call.workload,
@@ -83,3 +91,17 @@
         }
     }
 }
+
+/// Why an execution that has waited for its connection may not leave any more, if so.
+fn stays(now: Micros, engine: Option<&Engine>, terms: &Terms) -> Option<&'static str> {
+    let Some(_) = engine.filter(|engine| engine.listed) else {
+        // It is withdrawn as soon as that is told; if it is found here, a drain would not have been kept.
+        log::error!("engine {}: an execution was still queued for it", engine.map_or("?", |e| &e.id));
+        return Some("its engine drains or is gone");
+    };
+    if now >= terms.ends {
+        return Some("its client's time is up");
+    }
+    // Guards against a repeat that comes after its engines have forgotten the first one.
+    (now >= terms.leave_by).then_some("engines may not know it for a repeat any more")
+}
--- a/crates/front/src/engines/mod.rs
+++ b/crates/front/src/engines/mod.rs
@@ -24,6 +24,7 @@
 
 const MOST_PAGES: usize = 64; // of a result; those agreed have eight
 const LONGEST_RESULT: usize = 48_000; // bytes, as the protocol has it
+const HALF_WRITTEN: Micros = 100_000; // microseconds for a statement that has begun to leave: its deadline goes with it
 const STUCK: Micros = 500_000; // microseconds for a line that has begun, or a page asked for; both take a few ms
 const SILENT: Micros = 1_500_000; // microseconds without a word on an execution given up: longer than notes take
 const TOGETHER: usize = 4; // executions on a connection before another is dialled: what a spoilt answer costs
@@ -102,8 +103,12 @@
     /// The one being written, and where in the output it ends; commands may follow it.
     leaving: Option<(Sent, usize)>,
     open: HashMap<String, Sent>,
-    /// Ids that are over here; what is still said of them means nothing.
+    /// Ids that are over here; what is still said of them means nothing. Where cancelling is not allowed, these may
+    /// run on.
     given_up: HashSet<String>,
+    /// Ids that their engine has ended, where it can't be told to give up the others: an engine that says so twice
+    /// must not end a further execution of the statement, so none of it comes over this connection.
+    ended: HashSet<String>,
     probes: HashMap<String, Micros>,
 }
 
@@ -113,7 +118,7 @@
     report: Vec<String>,
     engines: BTreeMap<Place, Engine>,
     links: BTreeMap<LinkId, EngineLink>,
-    executions: HashMap<Sent, Execution>,
+    executions: BTreeMap<Sent, Execution>,
     next: u64,
     most_links: usize,
     /// When connections may be made; any time where nothing else is set.
@@ -133,7 +138,7 @@
             report: names.report.clone(),
             engines: BTreeMap::new(),
             links: BTreeMap::new(),
-            executions: HashMap::new(),
+            executions: BTreeMap::new(),
             next: 0,
             most_links: 0,
             dials: Pacer::new(Dials::new(false, 0, 0).into()),
@@ -203,6 +208,19 @@
         self.ended(sent, Ending::Withdrawn);
     }
 
+    /// Nobody waits for a statement any more: what has not left for an engine never will.
+    pub fn leave(&mut self, ticket: Ticket) {
+        let of_ticket = self.executions.range((ticket, 0)..=(ticket, usize::MAX));
+        let queued = of_ticket.filter(|(_, x)| x.stage == Stage::Queued);
+        let queued: Vec<(Sent, LinkId)> = queued.map(|(sent, x)| (*sent, x.link)).collect();
+        for (sent, id) in queued {
+            if let Some(link) = self.links.get_mut(&id) {
+                link.queue.retain(|other| *other != sent);
+            }
+            self.withdraw(id, sent);
+        }
+    }
+
     fn name(&self, link: LinkId) -> &str {
         let engine = self.links.get(&link).and_then(|l| self.engines.get(&l.place));
         engine.map_or("?", |e| &e.id)
@@ -222,7 +240,13 @@
         let mut engines = Engines::new(events.handle(), allowed, &Names::default());
         engines.list(0, "a", listener.local_addr().unwrap(), 0.0, true);
         let call = Rc::new(Call { id: "1".into(), workload: "lookup".into(), ..Call::default() });
-        engines.send(0, (1, 0), 0, call, Terms { ends: 1_000_000, grant_mb: 0.0, priority: 1 });
+        engines.send(
+            0,
+            (1, 0),
+            0,
+            call,
+            Terms { ends: 1_000_000, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 },
+        );
         let mut peer = BufReader::new(listener.accept().unwrap().0);
         while engines.executions[&(1, 0)].stage != Stage::Out {
             engines.read(0, 1);
@@ -237,7 +261,13 @@
         assert!(engines.told.is_empty() && engines.due() == LAG);
         // A time that is up is: its client is owed the answer now.
         let call = Rc::new(Call { id: "2".into(), workload: "lookup".into(), ..Call::default() });
-        engines.send(0, (2, 0), 0, call, Terms { ends: 1_000_000, grant_mb: 0.0, priority: 1 });
+        engines.send(
+            0,
+            (2, 0),
+            0,
+            call,
+            Terms { ends: 1_000_000, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 },
+        );
         engines.flush(0);
         engines.stop(0, (2, 0), Ending::TimeUp);
         let ended = |told: &Told| matches!(told, Told::Ended { sent: (2, 0), ending: Ending::TimeUp, .. });
@@ -256,7 +286,13 @@
         let mut engines = Engines::new(events.handle(), allowed, &Names::default());
         engines.list(0, "a", listener.local_addr().unwrap(), 0.0, true);
         let call = Rc::new(Call { id: "1".into(), workload: "lookup".into(), ..Call::default() });
-        engines.send(0, (1, 0), 0, call, Terms { ends: 5_000_000, grant_mb: 0.0, priority: 1 });
+        engines.send(
+            0,
+            (1, 0),
+            0,
+            call,
+            Terms { ends: 5_000_000, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 },
+        );
         let mut peer = BufReader::new(listener.accept().unwrap().0);
         // It was not looked at for a second: what has come up is not told as never up.
         engines.expire(1_000_000);
--- a/crates/front/src/engines/room.rs
+++ b/crates/front/src/engines/room.rs
@@ -8,7 +8,7 @@
         let Some(engine) = self.engines.get(&place).filter(|e| e.listed) else { return 0 };
         let each = self.allowed.executions_per_connection;
         let links = engine.links.iter().filter_map(|id| self.links.get(id));
-        let takes = links.filter(|l| !l.old && l.given_up.len() < MOST_GIVEN_UP).map(|l| {
+        let takes = links.filter(|l| l.takes_more()).map(|l| {
             let runs_on = if self.allowed.cancel { 0 } else { l.given_up.len() };
             each.saturating_sub(l.open.len() + l.probes.len() + runs_on)
         });
@@ -43,7 +43,13 @@
         engines.list(0, "a", listener.local_addr().unwrap(), 0.0, true);
         let send = |engines: &mut Engines, now: Micros, ticket: Ticket| {
             let call = Rc::new(Call { id: ticket.to_string(), workload: "lookup".into(), ..Call::default() });
-            engines.send(now, (ticket, 0), 0, call, Terms { ends: 1 << 40, grant_mb: 0.0, priority: 1 });
+            engines.send(
+                now,
+                (ticket, 0),
+                0,
+                call,
+                Terms { ends: 1 << 40, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 },
+            );
         };
         // The first turn is a second after the start.
         assert_eq!(engines.room(SECOND - 1, 0), 0);
--- a/crates/front/src/engines/sent.rs
+++ b/crates/front/src/engines/sent.rs
@@ -2,6 +2,13 @@
 
 use super::*;
 
+impl EngineLink {
+    /// Whether it is of use for more executions.
+    pub(super) fn takes_more(&self) -> bool {
+        !self.old && self.given_up.len() + self.ended.len() < MOST_GIVEN_UP
+    }
+}
+
 impl Engines {
     /// Sends an execution over a connection that has room for it, a new one if need be.
     pub fn send(&mut self, now: Micros, sent: Sent, place: Place, call: Rc<Call>, terms: Terms) {
@@ -22,11 +29,11 @@
         let engine = self.engines.get(&place).ok_or(Ending::Withdrawn)?;
         let fits = |link: &&LinkId| {
             self.links.get(link).is_some_and(|l| {
-                let known = l.open.contains_key(id) || l.given_up.contains(id);
+                let known = l.open.contains_key(id) || l.given_up.contains(id) || l.ended.contains(id);
                 // Where cancelling is not allowed, what was given up runs on there.
                 let runs_on = if self.allowed.cancel { 0 } else { l.given_up.len() };
                 let room = l.open.len() + l.probes.len() + runs_on < most;
-                !l.old && !known && room && l.given_up.len() < MOST_GIVEN_UP
+                l.takes_more() && !known && room
             })
         };
         // Guards against losing many executions with one connection: few share one as far as descriptors go,
@@ -79,6 +86,7 @@
             leaving: None,
             open: HashMap::new(),
             given_up: HashSet::new(),
+            ended: HashSet::new(),
             probes: HashMap::new(),
         };
         self.links.insert(id, link);
--- a/crates/front/src/engines/waited.rs
+++ b/crates/front/src/engines/waited.rs
@@ -9,7 +9,8 @@
             let dial = if link.up { Micros::MAX } else { link.dial_by };
             let probe = link.probes.values().copied().min().unwrap_or(Micros::MAX);
             let half = link.half_since.map_or(Micros::MAX, |since| since + STUCK);
-            dial.min(probe).min(half).min(self.idle_until(link).unwrap_or(Micros::MAX))
+            let leaving = self.leaving_since(link).map_or(Micros::MAX, |since| since + HALF_WRITTEN);
+            dial.min(probe).min(half).min(leaving).min(self.idle_until(link).unwrap_or(Micros::MAX))
         };
         let lag = self.lagging.front().map_or(Micros::MAX, |(due, ..)| *due);
         self.links.values().map(due).min().unwrap_or(Micros::MAX).min(lag)
@@ -42,18 +43,27 @@
                 }
                 continue;
             }
-            // Guards against an answer that stops short: nothing comes over such a connection any more.
-            let page = |sent: &Sent| {
-                let pages = self.executions.get(sent).and_then(|x| x.pages.as_ref());
-                pages.is_some_and(|pages| pages.heard + STUCK <= now)
-            };
-            let half = link.half_since.is_some_and(|since| since + STUCK <= now);
-            if half || link.open.values().any(page) {
-                let what = if half { "a line" } else { "a page" };
+            // Guards against a deadline that its engine would read late: what has begun to leave can't be worded
+            // anew, and what has not left whole has not run.
+            let _ = link.link.flush();
+            let link = &self.links[&id];
+            if self.leaving_since(link).is_some_and(|since| since + HALF_WRITTEN <= now) {
+                log::warn!(
+                    "engine {}: takes no more of a statement; its connection is closed",
+                    self.name(id)
+                );
+                self.read(now, id);
+                self.end(now, id, Ending::ClosedHere);
+                continue;
+            }
+            // Guards against an answer that stops short: nothing comes over such a connection any more. What has
+            // come by now is read first.
+            let more = self.stuck(now, id).is_some() && self.read(now, id);
+            if let Some(what) = self.stuck(now, id).or(more.then_some("an end")) {
                 log::warn!("engine {}: {what} that never came; its connection is closed", self.name(id));
                 self.end(now, id, Ending::Unreadable);
-                continue;
             }
+            let Some(link) = self.links.get_mut(&id) else { continue };
             let place = link.place;
             let before = link.probes.len();
             link.probes.retain(|_, due| *due > now);
@@ -66,4 +76,23 @@
             }
         }
     }
+
+    /// Since when a statement has begun to leave over a connection and has not left whole.
+    fn leaving_since(&self, link: &EngineLink) -> Option<Micros> {
+        let (sent, _) = link.leaving.as_ref().filter(|(_, end)| !link.link.has_left(*end))?;
+        self.executions.get(sent).map(|x| x.sent)
+    }
+
+    /// What has begun to come over a connection and takes too long.
+    fn stuck(&self, now: Micros, id: LinkId) -> Option<&'static str> {
+        let link = self.links.get(&id)?;
+        let page = |sent: &Sent| {
+            let pages = self.executions.get(sent).and_then(|x| x.pages.as_ref());
+            pages.is_some_and(|pages| pages.heard + STUCK <= now)
+        };
+        if link.half_since.is_some_and(|since| since + STUCK <= now) {
+            return Some("a line");
+        }
+        link.open.values().any(page).then_some("a page")
+    }
 }
