--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -8,6 +8,7 @@
 use crate::drill::Drill;
 
 const STILL: Micros = 250_000; // microseconds late that are worth a line in the log
+const FRESH: Micros = 20_000; // microseconds that a look at the connections stays good; a fifth of what is allowed
 const PROMPT: Micros = 50_000; // microseconds late that are no standing still; less than an answer's slack
 
 #[derive(Default)]
@@ -51,6 +52,9 @@
 
     /// Nothing is due until then: how long the front may sleep.
     pub fn sleep(&mut self, until: Micros) -> Duration {
+        if self.since.is_some() && self.now - self.woke > STILL {
+            log::warn!("a turn took {} ms", (self.now - self.woke) / 1000);
+        }
         // After a late turn it looks again at once: what it finds then had waited as well.
         let until = if self.late { self.now } else { until.max(self.now) };
         (self.sleeps, self.until, self.since) = (self.now, until, None);
@@ -83,6 +87,11 @@
         }
     }
 
+    /// Whether this turn's look at the connections is too old to send anything by.
+    pub fn is_stale(&self) -> bool {
+        self.late || self.now - self.woke > FRESH
+    }
+
     /// How long what is found now may have waited.
     pub fn waited(&self) -> Micros {
         self.since.map_or(0, |since| self.now - since)
--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -22,11 +22,22 @@
     due: Micros, // until when an answer is awaited, or when to try again
     pub follow: u64,
     failing: bool,
+    answered: Micros, // when it last did
 }
 
 impl Coordinator {
     pub fn new(handle: LoopHandle<'static, Changes>, at: Option<SocketAddr>, follow: u64) -> Self {
-        Coordinator { handle, at, link: None, number: 0, asked: None, due: 0, follow, failing: false }
+        Coordinator {
+            handle,
+            at,
+            link: None,
+            number: 0,
+            asked: None,
+            due: 0,
+            follow,
+            failing: false,
+            answered: 0,
+        }
     }
 
     /// Another address is to be asked from now on, from the last number; the old connection goes.
@@ -120,8 +131,11 @@
                 None
             }
             Ok(stream) => {
+                let before = std::mem::replace(&mut self.answered, now);
                 if std::mem::replace(&mut self.failing, false) {
-                    log::info!("coordinator: answers again");
+                    // What it told meanwhile counts as told some seconds after, whether it came here or not.
+                    let silent = if before > 0 { (now - before) / 1000 } else { 0 };
+                    log::info!("coordinator: answers again, {silent} ms after its last answer");
                 }
                 self.follow = self.follow.max(stream.index);
                 // Guards against one that answers at once with nothing: it is not asked without end.
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use calloop::LoopHandle;
-use hallmux_agreement::{Limits, Station};
+use hallmux_agreement::{Contract, Limits, Station};
 use hallmux_codec::coordinator::Stream;
 use hallmux_dispatcher::{Dispatcher, Micros, Rooms};
 
@@ -62,6 +62,13 @@
     clock: Clock,
     /// Connections with more to read than one turn takes.
     unfinished: Vec<Party>,
+    /// What was decided has not left for engines yet: the connections are looked at first.
+    stale: bool,
+}
+
+/// No client waits longer than that for an answer.
+fn longest_timeout(contract: &Contract) -> Micros {
+    contract.agreement.workloads.iter().map(|workload| workload.statement_timeout).max().unwrap_or(0)
 }
 
 impl Front {
@@ -97,7 +104,7 @@
             most_bytes: 0,
             most_clients: 0,
             full: false,
-            clients: Clients::new(contract.agreement.longest_retry_after),
+            clients: Clients::new(contract.agreement.longest_retry_after, longest_timeout(contract)),
             engines: Engines::new(handle.clone(), contract.allowance.clone(), &contract.names),
             coordinator: Coordinator::new(handle.clone(), station.coordinator, known.index),
             portal,
@@ -109,6 +116,7 @@
             shutdown: Shutdown::default(),
             clock,
             unfinished: Vec::new(),
+            stale: false,
             handle,
         };
         front.engines.dials = rooms::pacer(station, front.clock.now);
@@ -128,7 +136,7 @@
     pub fn idle(&mut self) -> Duration {
         self.clock.look();
         let due = [
-            if self.unfinished.is_empty() { Micros::MAX } else { 0 },
+            if self.unfinished.is_empty() && !self.stale { Micros::MAX } else { 0 },
             self.dispatcher.wake(),
             self.engines.due(),
             self.coordinator.due(),
@@ -197,14 +205,13 @@
         if let Some(peers) = &mut self.peers {
             peers.tick(self.clock.now, &mut self.dispatcher);
         }
-        let mut told = Vec::new();
-        self.tick_scatters(&mut told);
-        self.take(told);
+        self.tick_scatters();
         self.engines.expire(self.clock.now);
         self.coordinator.expire(self.clock.now);
         self.clock.look();
         self.clock.decides();
         self.rule();
+        self.flush_after_look();
         for _ in 0..ROUNDS {
             self.heard();
             self.guarded();
@@ -219,11 +226,9 @@
             }
             self.rule();
             // Stops go out before what they make room for.
-            self.engines.flush(self.clock.now);
-            self.portal.iter_mut().for_each(|portal| portal.flush_servers(self.clock.now));
+            self.flush_engines();
         }
-        self.engines.flush(self.clock.now);
-        self.portal.iter_mut().for_each(|portal| portal.flush_servers(self.clock.now));
+        self.flush_engines();
         self.heard();
         let room = self.room();
         if let Some(portal) = &mut self.portal {
@@ -231,8 +236,8 @@
         }
         self.coordinator.flush(self.clock.now);
         let mut told = Vec::new();
-        self.answer_scatters(&mut told);
-        self.clients.flush(&mut told);
+        self.answer_scatters();
+        self.clients.flush(self.clock.now, &mut told);
         if let (untaken, Some(client)) = self.clients.untaken() {
             if untaken > self.most_bytes {
                 log::warn!(
@@ -242,21 +247,47 @@
             }
         }
         self.take(told);
-        for client in self.clients.caught_up() {
-            self.unfinished.push(Door::Client.party(client));
-        }
         let peers = self.peers.as_ref().filter(|_| self.shutdown.asked());
         let keeps = peers.map_or(Keeps::Nothing, |peers| peers.keeps(self.clock.now));
         if self.shutdown.closes(self.clock.now, keeps) {
+            // Whoever has connected by now is heard: closing the listener resets what waits there.
+            self.accept();
             if self.entrance.close() {
                 log::info!("no more connections are taken; {} clients are connected", self.clients.len());
             }
-            self.clients.close_idle();
+            self.clients.close_idle(self.clock.now);
             let room = self.room();
             if let Some(portal) = &mut self.portal {
                 portal.close(self.clock.now, room, &mut self.dispatcher);
             }
         }
+        for client in self.clients.ready_again() {
+            self.unfinished.push(Door::Client.party(client));
+        }
+    }
+
+    /// Sends to engines what was decided. Guards against a front that stood still or worked for long since it last
+    /// looked at its connections: a client may have left meanwhile, or a drain been told. Then it looks first, and
+    /// sends in the next turn.
+    fn flush_engines(&mut self) {
+        self.clock.look();
+        self.stale = self.clock.is_stale();
+        if !self.stale {
+            self.send_out();
+        }
+    }
+
+    /// The connections were looked at just now: what was kept for that leaves.
+    fn flush_after_look(&mut self) {
+        if std::mem::take(&mut self.stale) {
+            self.clock.look();
+            self.send_out();
+        }
+    }
+
+    fn send_out(&mut self) {
+        self.engines.flush(self.clock.now);
+        self.portal.iter_mut().for_each(|portal| portal.flush_servers(self.clock.now));
     }
 
     /// The end was asked for.
@@ -285,6 +316,7 @@
                 {
                     scatter.reload(settings, self.clock.now);
                 }
+                self.follow_known(&station.known);
                 self.coordinator.turn_to(self.clock.now, station.coordinator);
                 let at = station.coordinator.map_or("none".to_string(), |at| at.to_string());
                 log::info!("the configuration was read again; coordinator: {at}");
--- a/crates/front/src/front/asked.rs
+++ b/crates/front/src/front/asked.rs
@@ -19,9 +19,9 @@
     pub(super) fn take(&mut self, told: Vec<clients::Told>) {
         for told in told {
             match told {
-                clients::Told::Asked { client, number, call } => {
+                clients::Told::Asked { client, number, call, waited } => {
                     let mut ended = Vec::new();
-                    self.asked(client, number, *call, &mut ended);
+                    self.asked(client, number, *call, waited, &mut ended);
                     self.take(ended);
                 }
                 clients::Told::Forgets { client, number } => {
@@ -35,6 +35,8 @@
 
     /// Nobody waits for a statement any more.
     pub(super) fn left(&mut self, ticket: Ticket) {
+        // What waits for a connection is not sent any more, also where engines can't be told to give it up.
+        self.engines.leave(ticket);
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
         match self.scatter.as_mut().is_some_and(|scatter| scatter.left(now, ticket, dispatcher)) {
             true => self.rules.iter().for_each(|rules| rules.borrow_mut().gone(ticket)),
@@ -47,13 +49,17 @@
         client: ClientId,
         number: i32,
         call: Call,
+        waited: Micros,
         ended: &mut Vec<clients::Told>,
     ) {
         if !self.clients.has_room(client, number, &call, ended) {
             return;
         }
         if let Some(field) = call.unfit {
-            return self.clients.unfit(client, number, field, ended);
+            return self.clients.unfit(client, number, field);
+        }
+        if self.shutdown.rejects() {
+            return self.clients.refuse(client, number);
         }
         if self.scatter.as_ref().is_some_and(|scatter| scatter.passes_for_numbered(&call)) {
             let why = "its text begins as fronts number loads: leave that comment out";
@@ -73,7 +79,8 @@
         // Guards against a final answer that is held up on its way: it has the slack twice, before the
         // client's time is up and after. A result that comes in that last moment is lost to the client.
         let time_left = (call.time_left_ms * 1000.0) as Micros - self.answer_slack;
-        let time_left = time_left - self.clock.waited();
+        // Guards against a deadline beyond the client's: its time has run on while the statement lay unread.
+        let time_left = time_left - self.clock.waited().max(waited);
         let judged = self.rules.as_ref().map(|rules| {
             rules.borrow_mut().judge(self.clock.now, &call.customer, &call.workload, &call.statement)
         });
@@ -115,9 +122,9 @@
             Err(Unfit::Barred) => {
                 self.clients.say(client, number, &Reply::Rejected { retry_after_ms: None });
             }
-            Err(Unfit::Workload) => self.clients.unfit(client, number, statement::WORKLOAD, ended),
-            Err(Unfit::DedupKey) => self.clients.unfit(client, number, statement::DEDUP_KEY, ended),
-            Err(Unfit::Customer) => self.clients.unfit(client, number, statement::CUSTOMER, ended),
+            Err(Unfit::Workload) => self.clients.unfit(client, number, statement::WORKLOAD),
+            Err(Unfit::DedupKey) => self.clients.unfit(client, number, statement::DEDUP_KEY),
+            Err(Unfit::Customer) => self.clients.unfit(client, number, statement::CUSTOMER),
         }
     }
 }
--- a/crates/front/src/front/scattered.rs
+++ b/crates/front/src/front/scattered.rs
@@ -10,7 +10,7 @@
 use hallmux_scatter::whole::{Answer, Failed};
 
 use super::Front;
-use crate::clients::{self, ClientId};
+use crate::clients::ClientId;
 use crate::fleet::rules::Ordered;
 use crate::scatter::{Leaves, Said, Scatters, Word, NUMBERS};
 
@@ -66,7 +66,7 @@
     }
 
     /// Does what is due of scatters: letters, marks, and the answers there are.
-    pub(super) fn tick_scatters(&mut self, told: &mut Vec<clients::Told>) {
+    pub(super) fn tick_scatters(&mut self) {
         let now = self.clock.now;
         let Some(scatter) = &mut self.scatter else { return };
         scatter.summaries.choose(now);
@@ -82,7 +82,7 @@
             loads.note(now, &mut self.dispatcher);
         }
         self.marked();
-        self.answer_scatters(told);
+        self.answer_scatters();
     }
 
     /// Asks the ledger for marks and takes its answers: loads leave, scatters begin.
@@ -129,7 +129,7 @@
         }
     }
 
-    pub(super) fn answer_scatters(&mut self, told: &mut Vec<clients::Told>) {
+    pub(super) fn answer_scatters(&mut self) {
         for (ticket, said) in self.scatter.as_mut().map(Scatters::said).unwrap_or_default() {
             self.rules.iter().for_each(|rules| rules.borrow_mut().gone(ticket));
             match said {
@@ -140,7 +140,7 @@
                         Unfit::DedupKey => statement::DEDUP_KEY,
                         Unfit::Workload | Unfit::Barred => statement::WORKLOAD,
                     };
-                    self.clients.answer_unfit(ticket, field, told);
+                    self.clients.answer_unfit(ticket, field);
                 }
             }
         }
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -2,7 +2,7 @@
 
 use std::cell::RefCell;
 use std::io::{ErrorKind, Read, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::rc::Rc;
 
 use calloop::generic::Generic;
@@ -148,6 +148,11 @@
         Ok(())
     }
 
+    /// Ends what is sent: the other side reads all that has left, then the end.
+    pub fn shut_writes(&self) -> std::io::Result<()> {
+        self.stream.shutdown(Shutdown::Write)
+    }
+
     /// Lets go of the first bytes of the input.
     pub fn taken(&mut self, len: usize) {
         self.input.drain(..len);
--- a/crates/front/src/shutdown.rs
+++ b/crates/front/src/shutdown.rs
@@ -2,9 +2,10 @@
 
 use hallmux_dispatcher::Micros;
 
-/// Microseconds after SIGTERM until no more connections are taken. Clients open new ones for 0.4 s and
-/// write on open ones for 0.2 s more; what they write later than 0.7 s is no longer this front's to answer.
-const DOOR: Micros = 800_000;
+/// Microseconds after SIGTERM until no more connections are taken and statements that still come are rejected.
+/// Clients open new connections for 0.4 s and write on open ones for 0.2 s more; what comes later than 0.7 s has to
+/// be answered before the process may be killed, some seconds on, however long its client would wait.
+const DOOR: Micros = 650_000;
 /// The same while promises are handed over: a member that is to own them may be slow or itself about to end.
 const HANDED_OVER: Micros = 3_000_000;
 /// The same while a shard would have no majority without this front: its other members may be about to come back.
@@ -37,6 +38,7 @@
     since: Option<Micros>,
     /// Turns that began after its door was to be closed.
     late: u8,
+    closed: bool,
 }
 
 impl Shutdown {
@@ -63,7 +65,13 @@
         }
         // A front that stood still has yet to take who came meanwhile, and to read what they wrote.
         self.late = self.late.saturating_add(1);
-        self.late > LATE
+        self.closed = self.late > LATE;
+        self.closed
+    }
+
+    /// Whether statements that come by now are rejected at once.
+    pub fn rejects(&self) -> bool {
+        self.closed
     }
 
     pub fn due(&self, now: Micros) -> Micros {
--- a/crates/front/tests/play/line.rs
+++ b/crates/front/tests/play/line.rs
@@ -98,7 +98,7 @@
             ["goes", "on"] => self.signal("-CONT"),
             ["passes", ms] => self.clock.as_mut().unwrap().passes(ms.parse().unwrap()),
             ["jumps", ms] => self.clock.as_mut().unwrap().jumps(ms.parse().unwrap()),
-            ["ends"] => assert!(self.front.take().unwrap().wait().unwrap().success()),
+            ["ends"] => self.ends(),
             ["many", count, client, engine] => self.many(count.parse().unwrap(), client, engine),
             [client, "connects"] => {
                 let stream = TcpStream::connect(&self.listens).unwrap();
--- a/crates/front/tests/play/process.rs
+++ b/crates/front/tests/play/process.rs
@@ -6,12 +6,16 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::Ordering;
 use std::sync::mpsc::channel;
+use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
 
 use crate::clock::Clock;
 use crate::{Play, FILES, PATIENCE};
 
+const LINGERS_MS: i64 = 10; // milliseconds of the front's time between looks at whether it has ended
+const LOOK: Duration = Duration::from_millis(2);
+
 impl Play {
     pub fn server(&self, name: &str, state: &str, at: SocketAddr, started: bool) -> Value {
         let started_ms = if started { 1_700_000_000_000u64 } else { 0 };
@@ -70,6 +74,22 @@
         assert!(Command::new("kill").args([which, &pid]).status().unwrap().success());
     }
 
+    /// Waits until the front has ended well. Time passes meanwhile, as connections that it has closed are kept for
+    /// clients that have yet to close theirs.
+    pub fn ends(&mut self) {
+        let mut front = self.front.take().unwrap();
+        let begun = Instant::now();
+        let status = loop {
+            if let Some(status) = front.try_wait().unwrap() {
+                break status;
+            }
+            assert!(begun.elapsed() < PATIENCE, "a front that ends");
+            self.clock.as_mut().unwrap().jumps(LINGERS_MS);
+            std::thread::sleep(LOOK);
+        };
+        assert!(status.success());
+    }
+
     pub fn memory_kb(&self) -> usize {
         let pid = self.front.as_ref().unwrap().id();
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
