--- a/crates/front/tests/play/main.rs
+++ b/crates/front/tests/play/main.rs
@@ -43,6 +43,7 @@
 //!     coordinator goes         its connections end and new ones are refused
 //!     CLIENT connects narrowly | connects N times   little that it leaves unread fits; CLIENT1 to CLIENTn
 //!     CLIENT begins N STATEMENT | finishes    writes half a statement, the rest: a byte at a time, each one read
+//!     CLIENT finishes at once  the same in one write
 //!     CLIENT floods N and leaves          writes so many statements, or as many as fit in its socket, and closes
 //!     CLIENT is closed well    its connection ends in order, and is not reset
 //!     CLIENT is served N by ENGINE [or ends]   N has one final answer, completed by ENGINE if that hears it; or the
@@ -55,6 +56,8 @@
 //!     ENGINE is being dialled | is dialled no more    waits until such a dial is there; until none is
 //!     ENGINE stops listening | resets     reads no more till it `listens`; resets its latest connection
 //!     ENGINE is reached as before         its latest command came by the same connection
+//!     halts at work [by LINE]  lets a halted front find what LINE and much else bring, and halts it before it decides
+//!     gets busy                connects those that bring it, where none can connect later
 //!     settles                  waits until the front has done all it can at this time
 //!     passes MS in at most N turns        lets time pass, in which the front has that little to do
 //!     kills | starts anew      ends the front by SIGKILL; starts it again, where it was
@@ -62,6 +65,7 @@
 //! Of the WORDS that an engine hears `wait<N` is a figure below N, `in-time` a deadline that is no later than the
 //! client's. `engine NAME [deaf] narrow`: little that it leaves unread fits.
 
+mod busy;
 mod client;
 mod clock;
 mod coordinator;
--- a/crates/front/tests/play/moments.rs
+++ b/crates/front/tests/play/moments.rs
@@ -23,6 +23,9 @@
                 assert!(turns <= most.parse().unwrap(), "{turns} turns");
             }
             ["settles"] => self.settles(),
+            ["gets", "busy"] => self.gets_busy(),
+            ["halts", "at", "work"] => self.halts_at_work(""),
+            ["halts", "at", "work", "by", ..] => self.halts_at_work(&rest(4)),
             ["kills"] => {
                 let mut front = self.front.take().unwrap();
                 front.kill().unwrap();
@@ -47,6 +50,10 @@
                 let bytes = self.unsent.remove(client).unwrap();
                 self.trickles(client, &bytes);
             }
+            [client, "finishes", "at", "once"] => {
+                let bytes = self.unsent.remove(client).unwrap();
+                self.clients.get_mut(client).unwrap().write_all(&bytes).unwrap();
+            }
             [client, "floods", count, "and", "leaves"] => {
                 self.floods_and_leaves(client, count.parse().unwrap())
             }
