--- a/crates/front/src/engines/left.rs
+++ b/crates/front/src/engines/left.rs
@@ -30,7 +30,7 @@
                 Some(_) => ending,
                 None => continue,
             };
-            self.ends(now, sent, ending);
+            self.ends(sent, ending);
         }
         for _ in link.probes {
             self.told.push(Told::Probed { place: link.place, alive: false, report: None });
@@ -47,6 +47,9 @@
                 self.end(now, id, Ending::Reset);
             }
         }
+        // Counted from when the word has left, not from when it was decided: a front may stand still in between.
+        let untold = self.lagging.iter_mut().filter(|(due, ..)| due.is_none());
+        untold.for_each(|(due, ..)| *due = Some(now + LAG));
     }
 
     pub(super) fn pump(&mut self, now: Micros, id: LinkId) -> Result<(), Broken> {
--- a/crates/front/src/engines/mod.rs
+++ b/crates/front/src/engines/mod.rs
@@ -124,8 +124,8 @@
     /// When connections may be made; any time where nothing else is set.
     pub dials: Pacer,
     reuse: Reuse,
-    /// Given up, but engines may not know yet; in the order in which they were.
-    lagging: VecDeque<(Micros, Sent, Ending)>,
+    /// Given up, but engines may not know yet; in the order in which they were. Until when, once the word has left.
+    lagging: VecDeque<(Option<Micros>, Sent, Ending)>,
     pub told: Vec<Told>,
 }
 
@@ -155,10 +155,10 @@
     /// It ends; what was ended from here, not before its engine has read of it. Guards against two executions
     /// of a statement, or of an order key, at once: one connection may bring the next sooner than another the
     /// word of the first. Where the time is up the client is answered at once.
-    fn ends(&mut self, now: Micros, sent: Sent, ending: Ending) {
+    fn ends(&mut self, sent: Sent, ending: Ending) {
         if matches!(ending, Ending::GivenUp | Ending::Unreadable | Ending::ClosedHere) {
             self.executions.remove(&sent);
-            self.lagging.push_back((now + LAG, sent, ending));
+            self.lagging.push_back((None, sent, ending));
         } else {
             self.ended(sent, ending);
         }
@@ -253,6 +253,9 @@
             engines.flush(0);
         }
         engines.stop(0, (1, 0), Ending::GivenUp);
+        // It was decided long before the word leaves: the front stood still.
+        engines.expire(5 * LAG);
+        assert!(engines.told.is_empty());
         engines.flush(0);
         let mut heard = String::new();
         (0..3).for_each(|_| _ = peer.read_line(&mut heard).unwrap());
--- a/crates/front/src/engines/sent.rs
+++ b/crates/front/src/engines/sent.rs
@@ -130,7 +130,7 @@
                 link.idle_since = now;
                 link.open.remove(&name);
                 link.given_up.insert(name);
-                self.ends(now, sent, ending);
+                self.ends(sent, ending);
             }
         }
     }
--- a/crates/front/src/engines/waited.rs
+++ b/crates/front/src/engines/waited.rs
@@ -12,7 +12,7 @@
             let leaving = self.leaving_since(link).map_or(Micros::MAX, |since| since + HALF_WRITTEN);
             dial.min(probe).min(half).min(leaving).min(self.idle_until(link).unwrap_or(Micros::MAX))
         };
-        let lag = self.lagging.front().map_or(Micros::MAX, |(due, ..)| *due);
+        let lag = self.lagging.front().and_then(|(due, ..)| *due).unwrap_or(Micros::MAX);
         self.links.values().map(due).min().unwrap_or(Micros::MAX).min(lag)
     }
 
@@ -29,7 +29,9 @@
 
     /// Ends what has waited too long: connections not up, probes not answered, idle connections.
     pub fn expire(&mut self, now: Micros) {
-        while let Some((_, sent, ending)) = self.lagging.pop_front_if(|(due, ..)| *due <= now) {
+        while let Some((_, sent, ending)) =
+            self.lagging.pop_front_if(|(due, ..)| due.is_some_and(|due| due <= now))
+        {
             self.ended(sent, ending);
         }
         let ids: Vec<LinkId> = self.links.keys().copied().collect();
