--- a/src/decide.rs
+++ b/src/decide.rs
@@ -41,6 +41,7 @@
 const BAD_PLAN: f64 = 6.0; // times the expected run time that an execution must head for to be given up
 const LATE_WORTH: f64 = 0.25; // late share under which a statement that must be late is given up at once
 const COLD_MARGIN: f64 = 0.4; // share of the overload factor sent to a cold engine: estimates may be half off
+const COLD_SPARE: f64 = 2.0; // statements beyond any budget that the rule lets a cold engine have, for chance
 const SWEEP: Micros = 25_000; // microseconds between looks at what is due; finer than any slack agreed
 const LAST_CALL: Micros = 40_000; // microseconds before the client's time is up when a held statement ends
 const SWEEPS_PER_LOOK: u32 = 4; // sweeps between looks at silent engines, which walk all executions out
@@ -89,7 +90,6 @@
     taken: Times,
     further: Times,
     many: bool,         // so many fronts that a share of one engine's bound holds no statement
-    asked_work: Mean,   // work of a statement taken, in microseconds on one thread
     ran: Load,          // what a statement usually holds while it runs
     may_probe: f64,     // probes that statements have paid for
     asks_next: usize,   // engine whose turn it is to be probed
@@ -101,6 +101,7 @@
     part: f64,        // what this front is asked, against the mean; 0 where it hears of no others
     probes: Bucket,   // of the fleet's budget
     paced: Option<f64>, // new connections a second to each engine, as it was told last
+    turn: f64,        // share of a turn at cold engines that passes before this front's first
     first_look: f64,  // where in the list of engines the next choice looks first
 }
 
@@ -116,6 +117,7 @@
         let smallest = agreed.cores.iter().copied().fold(f64::INFINITY, f64::min);
         Front {
             first_look,
+            turn: first_look,
             probes: Bucket { left: first_look, at: 0 }, // fronts that start at once do not probe at once
             asks_next: (chance.next() * 256.0) as usize,
             many: THREADS_PER_CORE * smallest / agreed.fronts < narrowest,
@@ -238,7 +240,6 @@
         let let_in = self.lets_in(&a, over);
         self.taken.0.extend(self.agreed.further.filter(|_| let_in).map(|_| self.now));
         let s = Statement::new(a, class, self.now - spent, ends, load);
-        self.asked_work.take(LEARNING, either(self.expected_work(&s), SECOND as f64));
         self.statements.insert(id, s);
         self.hold(id);
         if !let_in {
--- a/src/decide/learn.rs
+++ b/src/decide/learn.rs
@@ -111,8 +111,8 @@
         self.turns.keeps(key, x.holds && x.settled && !was_over);
         // One connection late to come up tells little of its engine; two in a row tell that it is gone.
         let (before, unreached) = self.engines.tried(e, x.outcome, now + LOST_REST);
-        if unreached == 0 && before > 1 {
-            // Back after it could not be reached: it may have restarted before the list says so.
+        if unreached.max(before) > 1 {
+            // It could not be reached: once it is back it may have restarted before the list says so.
             self.found_cold(e, now + self.agreed.warm_within);
         }
         x.report.iter().for_each(|report| self.reported(e, report));
--- a/src/decide/penalty.rs
+++ b/src/decide/penalty.rs
@@ -66,9 +66,8 @@
         let (now, priority) = (self.now, self.priority(id));
         let s = &self.statements[&id];
         let (class, load, latest) = (s.class, s.load, self.latest_start(s));
-        if now < self.engines.cold_until[e] {
-            let work = either(self.learned[s.asked.workload].work.value, SECOND as f64);
-            self.engines.pushed[e] = (self.pushed(e).0 + work, now);
+        if let Some(pushed) = self.pushed_with(e, s).filter(|_| now < self.engines.cold_until[e]) {
+            self.engines.pushed[e] = (pushed, now);
         }
         let most = self.engines.size[e].memory * self.agreed.largest_grant;
         let grants = self.agreed.grants && s.asked.memory_mb > 0.0;
--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -10,9 +10,7 @@
         let Some(entry) = self.engines.entry(e) else { return false };
         let open = !s.over && !s.is_out() && s.allows(workload, entry) && entry.speaks & s.asked.speech != 0;
         let open = open && s.asked.pinned.is_none_or(|pinned| pinned == e);
-        let (pushed, most) = self.pushed(e);
-        let work = either(self.learned[s.asked.workload].work.value, SECOND as f64);
-        let bears = self.now >= self.engines.cold_until[e] || pushed <= 0.0 || pushed + work <= most;
+        let bears = self.now >= self.engines.cold_until[e] || self.pushed_with(e, s).is_some();
         let open = open && self.now < s.ends && self.has_turn(id, s);
         open && bears && (s.executions.is_empty() || self.harmless(s, entry) && self.tries_left(s))
     }
@@ -118,18 +116,22 @@
         drawn_by((self.first_look * count as f64).fract(), &drawn).or(best)
     }
 
-    /// What an earlier life of this front has sent is not known and counts as all it might. Where a share
-    /// holds no statement, each front waits for a turn drawn by chance: they send what the shares add up to.
+    /// What an earlier life of this front may just have sent is not known and counts as all it might.
     pub(super) fn found_cold(&mut self, e: EngineId, until: Micros) {
         self.engines.cold_until[e] = until;
-        let pushed = match () {
-            _ if self.many || self.pushed(e).1 < self.asked_work.value => {
-                self.chance.next() * either(self.asked_work.value, SECOND as f64)
-            }
-            _ if self.started == Some(self.now) => self.pushed(e).1,
-            _ => self.engines.pushed[e].0,
-        };
-        self.engines.pushed[e] = (pushed, self.now);
+        let fresh = self.started == Some(self.now);
+        self.engines.pushed[e] = (if fresh { self.pushed(e).1 } else { self.engines.pushed[e].0 }, self.now);
+    }
+
+    /// What is counted at a cold engine once this is sent there now; None: not now. One longer than this
+    /// front's share of the burst goes in turns that begin by chance: idle or fresh fronts rush no engine.
+    pub(super) fn pushed_with(&self, e: EngineId, s: &Statement) -> Option<f64> {
+        let (workload, (pushed, most)) = (self.workload(s), self.pushed(e));
+        let work = self.learned[s.asked.workload].usual_work(workload.threads, workload.slo_time);
+        let turns = self.engines.could_do(e, work * self.known, self.now, &self.agreed) - self.turn;
+        let past = if self.known > COLD_SPARE { turns.rem_euclid(1.0) * work } else { 0.0 };
+        let after = if work > most { work - past } else { pushed + work };
+        Some(after).filter(|after| if work > most { pushed <= 0.0 && past <= most } else { *after <= most })
     }
 
     /// Work pushed at a cold engine and not yet worked off, and how much of it there may be. It drains at
@@ -137,7 +139,6 @@
     pub(super) fn pushed(&self, e: EngineId) -> (f64, f64) {
         let rate = self.engines.warmth(e, self.now, &self.agreed) * self.engines.size[e].threads / self.known;
         let burst = (self.agreed.overload_factor * COLD_MARGIN - 0.5).max(0.1) * rate;
-        let most = if self.many { 0.0 } else { burst * self.agreed.fall_window as f64 };
-        (self.engines.left_of_pushed(e, rate, self.now), most)
+        (self.engines.left_of_pushed(e, rate, self.now), burst * self.agreed.fall_window as f64)
     }
 }
--- a/src/learned.rs
+++ b/src/learned.rs
@@ -45,6 +45,12 @@
 }
 
 impl Learned {
+    /// Work of a usual statement: as estimates tell, else as its runs do, which are no shorter; before any
+    /// has run, as long as one may run to be in time.
+    pub fn usual_work(&self, threads: f64, in_time: Micros) -> f64 {
+        either(self.work.value, either(self.run.value, in_time as f64) * threads)
+    }
+
     /// An execution was answered after so long, against the estimate's time; `had_enough` moves the need of memory.
     pub fn took(&mut self, least: f64, (took, estimate): (f64, f64), had_enough: f64) {
         self.run.take(least, took);
--- a/src/state.rs
+++ b/src/state.rs
@@ -204,6 +204,12 @@
         1.0 - (1.0 - agreed.cold_from) * left.clamp(0.0, 1.0)
     }
 
+    /// How often an engine could have done so much since its start, which warms it up evenly.
+    pub fn could_do(&self, e: EngineId, work: f64, now: Micros, agreed: &Agreement) -> f64 {
+        let since = (now - (self.cold_until[e] - agreed.warm_within)).max(0) as f64;
+        self.size[e].threads * since * (agreed.cold_from + self.warmth(e, now, agreed)) / 2.0 / work
+    }
+
     /// Whether the fleet has left the zone of this engine.
     pub fn is_left(&self, e: EngineId) -> bool {
         !self.left.is_empty() && self.near(e).iter().any(|o| self.left.contains_key(o))
