--- a/crates/dispatcher/tests/slow_start/main.rs
+++ b/crates/dispatcher/tests/slow_start/main.rs
@@ -12,6 +12,7 @@
 
 const FLEETS: [usize; 6] = [1, 2, 3, 5, 12, 30];
 const SEEDS: u64 = 3; // of each three one with short statements
+const MANY: u64 = 12; // for what breaks seldom
 
 /// The window fullest against its bound: its share of the bound, the calls in it, and those allowed.
 fn fullest(shape: &Shape, pushes: &[Push]) -> (f64, f64, f64) {
@@ -30,11 +31,11 @@
 }
 
 /// Plays each fleet with each seed; prints the worst of each and how much of what is allowed was used.
-fn holds(name: &str, change: impl Fn(&mut Shape, &mut Chance)) {
+fn holds(name: &str, seeds: u64, change: impl Fn(&mut Shape, &mut Chance)) {
     let mut broken = Vec::new();
     for processes in FLEETS {
         let (mut worst, mut used, mut answered) = ((0.0, 0.0, 0.0), 0.0, 0);
-        for seed in 0..SEEDS {
+        for seed in 0..seeds {
             let named = name.bytes().fold(0, |all: u64, byte| all.wrapping_mul(31) + u64::from(byte));
             let mut chance = Chance::new((named % 1_000_000 + seed) * 100 + processes as u64);
             let mut shape = Shape::draw(&mut chance, processes, seed % 3 > 0);
@@ -55,7 +56,7 @@
             }
         }
         let (share, calls, allowed) = worst;
-        let used = used / SEEDS as f64;
+        let used = used / seeds as f64;
         println!(
             "{name}, {processes} processes: worst {share:.2} ({calls:.1} calls, N {allowed:.1}), used {used:.2}"
         );
@@ -85,34 +86,34 @@
 
 #[test]
 fn a_new_engine_that_all_learn_of_at_once() {
-    holds("new", |_, _| {});
+    holds("new", SEEDS, |_, _| {});
 }
 
 #[test]
 fn a_new_engine_that_each_learns_of_at_a_time_of_its_own() {
-    holds("told apart", |shape, chance| told_within(shape, chance, 7));
+    holds("told apart", SEEDS, |shape, chance| told_within(shape, chance, 7));
 }
 
 #[test]
 fn a_burst_that_begins_with_the_start() {
-    holds("burst", |shape, chance| shape.demand = Demand::Burst(chance.one_of(&[0, 100_000, SECOND])));
+    holds("burst", SEEDS, |shape, chance| shape.demand = Demand::Burst(chance.one_of(&[0, 100_000, SECOND])));
 }
 
 #[test]
 fn a_burst_upon_an_idle_fleet_while_an_engine_warms_up() {
-    holds("late burst", |shape, chance| {
+    holds("late burst", SEEDS, |shape, chance| {
         shape.demand = Demand::Burst(2 * SECOND + chance.within(shape.warm / 2));
     });
 }
 
 #[test]
 fn all_processes_restart_at_once() {
-    holds("restart at once", |shape, chance| restarts(shape, chance, true));
+    holds("restart at once", SEEDS, |shape, chance| restarts(shape, chance, true));
 }
 
 #[test]
 fn processes_restart_with_an_old_list() {
-    holds("restart, old list", |shape, chance| {
+    holds("restart, old list", SEEDS, |shape, chance| {
         told_within(shape, chance, 7);
         shape.old_list = true;
         restarts(shape, chance, true);
@@ -121,27 +122,27 @@
 
 #[test]
 fn processes_restart_one_after_another() {
-    holds("restart apart", |shape, chance| restarts(shape, chance, false));
+    holds("restart apart", SEEDS, |shape, chance| restarts(shape, chance, false));
 }
 
 #[test]
 fn an_engine_that_turns_all_away() {
-    holds("turns away", |shape, _| shape.deed = Deed::TurnsAway);
+    holds("turns away", SEEDS, |shape, _| shape.deed = Deed::TurnsAway);
 }
 
 #[test]
 fn an_engine_that_answers_nothing_for_seconds() {
-    holds("silent", |shape, _| shape.deed = Deed::Silent);
+    holds("silent", SEEDS, |shape, _| shape.deed = Deed::Silent);
 }
 
 #[test]
 fn an_engine_that_refuses_connections_for_seconds() {
-    holds("refuses", |shape, _| shape.deed = Deed::Refuses);
+    holds("refuses", SEEDS, |shape, _| shape.deed = Deed::Refuses);
 }
 
 #[test]
 fn an_engine_that_comes_back_under_its_id() {
-    holds("comes back", |shape, chance| {
+    holds("comes back", SEEDS, |shape, chance| {
         shape.arrives = Arrives::Again;
         told_within(shape, chance, 7);
     });
@@ -149,7 +150,7 @@
 
 #[test]
 fn several_engines_that_start_together() {
-    holds("several", |shape, chance| {
+    holds("several", SEEDS, |shape, chance| {
         shape.colds = 3;
         shape.deed = chance.one_of(&[Deed::Answers, Deed::TurnsAway]);
         told_within(shape, chance, 2);
@@ -158,7 +159,7 @@
 
 #[test]
 fn long_statements_among_short_ones() {
-    holds("long and short", |shape, chance| {
+    holds("long and short", MANY, |shape, chance| {
         shape.long = 0.15;
         shape.demand = chance.one_of(&[Demand::Steady, Demand::Burst(0), Demand::Burst(3 * SECOND)]);
     });
@@ -166,7 +167,7 @@
 
 #[test]
 fn statements_without_an_estimate_of_their_work() {
-    holds("untold work", |shape, chance| {
+    holds("untold work", SEEDS, |shape, chance| {
         shape.told_work = false;
         if chance.share() < 0.5 {
             restarts(shape, chance, true);
@@ -176,7 +177,7 @@
 
 #[test]
 fn a_burst_of_statements_without_an_estimate() {
-    holds("untold burst", |shape, chance| {
+    holds("untold burst", SEEDS, |shape, chance| {
         shape.told_work = false;
         shape.demand = Demand::Burst(chance.one_of(&[0, SECOND, 3 * SECOND]));
     });
@@ -184,7 +185,7 @@
 
 #[test]
 fn everything_together() {
-    holds("all together", |shape, chance| {
+    holds("all together", SEEDS, |shape, chance| {
         shape.told_work = chance.share() < 0.7;
         shape.arrives = chance.one_of(&[Arrives::New, Arrives::Again]);
         shape.deed = chance.one_of(&[Deed::Answers, Deed::TurnsAway, Deed::Silent, Deed::Refuses]);
@@ -198,7 +199,7 @@
 
 #[test]
 fn an_engine_that_falls_and_comes_back_unannounced() {
-    holds("unannounced", |shape, chance| {
+    holds("unannounced", SEEDS, |shape, chance| {
         shape.arrives = Arrives::Unannounced;
         told_within(shape, chance, 7);
     });
--- a/crates/dispatcher/tests/slow_start/shape.rs
+++ b/crates/dispatcher/tests/slow_start/shape.rs
@@ -201,6 +201,7 @@
 }
 
 /// The most that a cold engine may get in a window in which the settings allow so many calls.
+/// Under 30 calls the term adds 3 x root of N + 3 to N; read without N it would be under N itself from 17 calls on.
 pub fn bound(calls: f64) -> f64 {
     if calls < 30.0 {
         calls + 3.0 * calls.sqrt() + 3.0
