--- a/crates/lab/src/engine/lines.rs
+++ b/crates/lab/src/engine/lines.rs
@@ -197,6 +197,7 @@
             if let (Some(front), Ok(mut sent_by)) = (front, self.records.sent_by.lock()) {
                 sent_by.insert((self.number, link), front);
             }
+            self.records.runs(self.number, link, (peer, &id));
             self.note(link, Kind::Began { id: own.clone(), key });
             if let Some(front) = front.filter(|_| keyed) {
                 self.records.reached(Step::Began, front);
--- a/crates/lab/src/engine/mod.rs
+++ b/crates/lab/src/engine/mod.rs
@@ -5,6 +5,10 @@
 mod portal;
 mod record;
 mod task;
+mod words;
+#[cfg(test)]
+mod words_tests;
 
 pub use portal::Engine;
 pub use record::{Armed, Deed, Kind, Records};
+pub use words::{Lines, Said, Word};
--- a/crates/lab/src/engine/record.rs
+++ b/crates/lab/src/engine/record.rs
@@ -8,6 +8,7 @@
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 
+use super::words::Word;
 use crate::rig::scenario::Step;
 
 /// What an engine did; times are microseconds since the rig began.
@@ -42,6 +43,10 @@
     peers: Mutex<HashMap<(SocketAddr, SocketAddr), usize>>,
     /// The front that sent what an engine wrote down under this link.
     pub sent_by: Mutex<HashMap<(usize, u32), usize>>,
+    /// What an engine wrote down under this link came over the connection from this port of the relay's, as this id.
+    pub came: Mutex<HashMap<(usize, u32), (u16, String)>>,
+    /// What was said over the connections between fronts and engines.
+    pub words: Mutex<Vec<Word>>,
     /// Statements that were sent to any engine, by their front and the client's name for them.
     firsts: Mutex<HashSet<(usize, Vec<u8>)>>,
     armed: Mutex<Option<Armed>>,
@@ -67,6 +72,8 @@
             deeds: Mutex::default(),
             peers: Mutex::default(),
             sent_by: Mutex::default(),
+            came: Mutex::default(),
+            words: Mutex::default(),
             firsts: Mutex::default(),
             armed: Mutex::default(),
             steps: Mutex::default(),
@@ -94,6 +101,20 @@
         self.since.elapsed().as_micros() as i64
     }
 
+    /// A relay has read this.
+    pub fn hears(&self, word: Word) {
+        if let Ok(mut words) = self.words.lock() {
+            words.push(word);
+        }
+    }
+
+    /// An engine runs under this link what came over this connection.
+    pub fn runs(&self, engine: usize, link: u32, (at, id): (SocketAddr, &str)) {
+        if let Ok(mut came) = self.came.lock() {
+            came.insert((engine, link), (at.port(), id.to_string()));
+        }
+    }
+
     /// A front's relay has opened this connection to an engine.
     pub fn opened(&self, at: SocketAddr, engine: SocketAddr, front: usize) {
         if let Ok(mut peers) = self.peers.lock() {
--- a/crates/lab/src/record/account.rs
+++ b/crates/lab/src/record/account.rs
@@ -6,10 +6,10 @@
 #[cfg(test)]
 pub use super::offered::offered;
 pub use super::offered::Offered;
-use super::{herd, promises};
+use super::{attempts, herd, promises};
 use crate::check::{self, Agreed, Asked, Outcome};
 use crate::engine::lines::Warmth;
-use crate::engine::Deed;
+use crate::engine::{Deed, Word};
 use crate::rig::member::End;
 use crate::rig::post::Posted;
 use crate::rig::relay::Relayed;
@@ -27,6 +27,11 @@
     pub deeds: Vec<Deed>,
     /// The front that sent what an engine wrote down under a link.
     pub sent_by: HashMap<(usize, u32), usize>,
+    /// The relay's port and the id that the same came over and under; what was said over all connections.
+    pub came: HashMap<(usize, u32), (u16, String)>,
+    pub words: Vec<Word>,
+    /// Warnings of fronts, with when they were read.
+    pub warned: Vec<(usize, i64, String)>,
     pub relayed: Vec<Relayed>,
     pub posted: Vec<Posted>,
     /// Faults as played: what, from, to.
@@ -104,6 +109,7 @@
     for (rule, found) in check::check(&statements, &[], &deeds, &agreed) {
         violations.entry(rule).or_default().extend(found);
     }
+    attempts::name(&mut violations, account);
     let count = |f: &dyn Fn(&Outcome) -> bool| statements.iter().filter(|a| f(&a.outcome)).count() as i64;
     tallies.insert("statements", statements.len() as i64);
     tallies.insert("completed", count(&|o| matches!(o, Outcome::Completed { .. })));
--- /dev/null
+++ b/crates/lab/src/record/attempts.rs
@@ -0,0 +1,92 @@
+//! The story of a statement that broke a rule of repeats: its client, each of its executions, what was said of them over
+//! which connection, and what its front warned of, in the order of time.
+
+use std::collections::{BTreeSet, HashSet};
+
+use super::account::Account;
+use crate::check::Violations;
+use crate::engine::{Kind, Said, Word};
+
+/// Rules whose statements are named with all that the rig saw of them.
+const RULES: [&str; 3] = ["repeats", "second_run", "promise_lost"];
+const MOST: usize = 5; // statements of a rule; more are not printed either
+const AROUND: i64 = 1_000_000; // microseconds before and after it in which a front's warnings count
+const MOST_WARNINGS: usize = 12;
+
+/// Adds to what was found against these rules the story of the statement.
+pub fn name(wrong: &mut Violations, account: &Account) {
+    for rule in RULES {
+        for found in wrong.get_mut(rule).into_iter().flatten().take(MOST) {
+            let id = found.split([' ', ':']).next().unwrap_or_default();
+            let story = story(account, id);
+            found.push_str(&format!(" [{story}]"));
+        }
+    }
+}
+
+/// All that the rig saw of a statement, by its client's name for it.
+fn story(account: &Account, id: &str) -> String {
+    let mut seen: Vec<(i64, String)> = Vec::new();
+    let mut fronts = BTreeSet::new();
+    for offered in account.asked.iter().filter(|o| o.asked.id == id) {
+        let (a, front) = (&offered.asked, offered.front);
+        fronts.insert(front);
+        seen.push((a.sent, format!("asked of front {front}, {:?}, {} ms", a.repeat, a.timeout / 1000)));
+        seen.push((a.answered, format!("front {front} answered {:?}", a.outcome)));
+    }
+    // The connections that it came over, and the ids that it had there.
+    let (mut ports, mut ids) = (HashSet::new(), HashSet::new());
+    for deed in &account.deeds {
+        let (what, own) = match &deed.kind {
+            Kind::Began { id, .. } => ("began", id),
+            Kind::Ended { id } => ("ended", id),
+            Kind::Kept { id } => ("lasting", id),
+            _ => continue,
+        };
+        if own != id {
+            continue;
+        }
+        let came = account.came.get(&(deed.engine, deed.link));
+        if let Some((port, id)) = came {
+            ports.insert((deed.engine, *port));
+            ids.insert(id.as_str());
+        }
+        let over = came.map_or(String::new(), |(port, _)| format!(" over {port}"));
+        seen.push((deed.at, format!("engine {} run {}{over}: {what}", deed.engine, deed.link)));
+    }
+    let mut said = Vec::new();
+    for word in &account.words {
+        if let Said::Line { word: what, id, passed } = &word.said {
+            if ids.contains(id.as_str()) {
+                ports.insert((word.engine, word.port));
+                said.push((word, if *passed { what.clone() } else { format!("{what}, lost on the way") }));
+            }
+        }
+    }
+    let (first, last) = (seen.iter().map(|s| s.0).min(), seen.iter().map(|s| s.0).max());
+    let (first, last) = (first.unwrap_or(0), last.unwrap_or(0));
+    let around = |at: i64| at >= first - AROUND && at <= last + AROUND;
+    let own = |w: &&Word| ports.contains(&(w.engine, w.port)) && around(w.at);
+    for word in account.words.iter().filter(own) {
+        match word.said {
+            Said::Line { .. } => {}
+            Said::FrontClosed => said.push((word, "closed by the front".to_string())),
+            Said::EngineClosed => said.push((word, "closed by the engine".to_string())),
+        }
+    }
+    seen.extend(said.into_iter().map(|(w, what)| {
+        let Word { at, front, engine, port, .. } = w;
+        (*at, format!("relay {port} between front {front} and engine {engine}: {what}"))
+    }));
+    let warned = account.warned.iter().filter(|(front, at, _)| fronts.contains(front) && around(*at));
+    seen.extend(
+        warned.take(MOST_WARNINGS).map(|(front, at, line)| (*at, format!("front {front} says: {line}"))),
+    );
+    seen.sort_by_key(|(at, _)| *at);
+    let first = seen.first().map_or(0, |(at, _)| *at);
+    let told = |(at, what): &(i64, String)| {
+        let since = at - first;
+        format!("{}.{:03} ms {what}", since / 1000, since % 1000)
+    };
+    seen.iter().map(told).collect::<Vec<_>>().join("; ")
+}
--- /dev/null
+++ b/crates/lab/src/record/attempts_tests.rs
@@ -0,0 +1,94 @@
+//! A statement that broke a rule is named with all that the rig saw of it.
+
+use std::collections::HashMap;
+
+use super::account::{judge, offered, Account};
+use crate::engine::{Deed, Kind, Said, Word};
+use crate::rig::scenario::Scenario;
+
+const TEXT: &str = "seconds = 1\n[fleet]\nfronts = 4\nzones = 1\nengines_per_zone = 3\n\
+    [load]\nper_second = 1\nwork_ms = 100\ntimeout_ms = 1000\n\
+    [engine]\nslots = 8\ncold_slots = 8\n";
+
+fn line(at: i64, (engine, port): (usize, u16), (word, id): (&str, &str)) -> Word {
+    let said = Said::Line { word: word.into(), id: id.into(), passed: true };
+    Word { at, front: 3, engine, port, said }
+}
+
+/// Sent to engine 1, given up by closing its connection, and sent to engine 2 before engine 1 has read so.
+fn account() -> Account {
+    let deed = |at, engine, link, kind| Deed { at, engine, link, kind };
+    let (began, ended, kept) = (
+        || Kind::Began { id: "s7".into(), key: String::new() },
+        || Kind::Ended { id: "s7".into() },
+        || Kind::Kept { id: "s7".into() },
+    );
+    let mut own = offered("s7", 3, 1_000);
+    own.asked.answered = 160_000;
+    let closed = Word { at: 41_000, front: 3, engine: 1, port: 501, said: Said::FrontClosed };
+    Account {
+        asked: vec![own],
+        deeds: vec![
+            deed(3_000, 1, 10, began()),
+            deed(40_000, 2, 11, began()),
+            deed(45_000, 1, 10, ended()),
+            deed(140_000, 2, 11, ended()),
+            deed(140_000, 2, 11, kept()),
+        ],
+        sent_by: HashMap::from([((1, 10), 3), ((2, 11), 3)]),
+        came: HashMap::from([((1, 10), (501, "0007".into())), ((2, 11), (502, "0007".into()))]),
+        words: vec![
+            line(2_000, (1, 501), ("want", "0007")),
+            line(2_500, (1, 501), ("want", "0008")),
+            line(39_000, (2, 502), ("want", "0007")),
+            closed,
+            line(150_000, (2, 502), ("ACK", "0007")),
+            // Another connection's end, and the same one's long after.
+            Word { at: 60_000, front: 3, engine: 1, port: 509, said: Said::FrontClosed },
+            Word { at: 9_000_000, front: 3, engine: 2, port: 502, said: Said::FrontClosed },
+        ],
+        warned: vec![
+            (3, 27_000, "f3 warn: engine e1: a line of 5 words".into()),
+            (2, 27_000, "f2 warn: of another front".into()),
+            (3, 8_000_000, "f3 warn: long after".into()),
+        ],
+        slack: 400_000,
+        ..Account::default()
+    }
+}
+
+#[test]
+fn a_statement_that_ran_twice_at_once_is_named_with_each_attempt_in_the_order_of_time() {
+    let scenario = Scenario::parse(TEXT, false, None).unwrap();
+    let run = judge(&scenario, &account(), Vec::new());
+    let rules: Vec<_> = run.violations.iter().map(|(rule, found)| (*rule, found.len())).collect();
+    assert_eq!(rules, [("repeats", 1)], "the story adds no finding and takes none away");
+    let expected = "s7 at front 3: ran twice at once [\
+        0.000 ms asked of front 3, Idempotent, 1000 ms; \
+        1.000 ms relay 501 between front 3 and engine 1: want; \
+        2.000 ms engine 1 run 10 over 501: began; \
+        26.000 ms front 3 says: f3 warn: engine e1: a line of 5 words; \
+        38.000 ms relay 502 between front 3 and engine 2: want; \
+        39.000 ms engine 2 run 11 over 502: began; \
+        40.000 ms relay 501 between front 3 and engine 1: closed by the front; \
+        44.000 ms engine 1 run 10 over 501: ended; \
+        139.000 ms engine 2 run 11 over 502: ended; \
+        139.000 ms engine 2 run 11 over 502: lasting; \
+        149.000 ms relay 502 between front 3 and engine 2: ACK; \
+        159.000 ms front 3 answered Completed { rows: 1 }]";
+    assert_eq!(run.violations["repeats"], [expected]);
+}
+
+#[test]
+fn what_was_lost_on_the_way_is_told_as_lost() {
+    let mut account = account();
+    let Said::Line { passed, .. } = &mut account.words[0].said else { panic!() };
+    *passed = false;
+    let scenario = Scenario::parse(TEXT, false, None).unwrap();
+    let run = judge(&scenario, &account, Vec::new());
+    assert!(
+        run.violations["repeats"][0].contains("engine 1: want, lost on the way; "),
+        "{:?}",
+        run.violations
+    );
+}
--- a/crates/lab/src/record/mod.rs
+++ b/crates/lab/src/record/mod.rs
@@ -1,6 +1,9 @@
 //! The record of a run, the checks of it, each with a file of its own, and what the run came to.
 
 pub mod account;
+mod attempts;
+#[cfg(test)]
+mod attempts_tests;
 pub mod barred;
 pub mod cuts;
 pub mod executions;
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -4,7 +4,7 @@
 
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -132,13 +132,16 @@
 
     /// Ends all fronts, and gives what was seen of them.
     fn account(&self, began: i64, played: Vec<(Fault, i64, i64)>, starved: Starved) -> Account {
-        let mut read_again = 0;
+        let (mut read_again, mut warned) = (0, Vec::new());
         let mut asked = self.record.asked.lock().map(|a| a.clone()).unwrap_or_default();
         for offered in &mut asked {
             let troubled = self.members[offered.front].troubled.lock().map(|t| t.clone());
             offered.excuse(&troubled.unwrap_or_default(), &starved);
         }
         for member in &self.members {
+            let when = |at: Instant| at.saturating_duration_since(self.records.since).as_micros() as i64;
+            let said = member.said(" warn: ").into_iter();
+            warned.extend(said.map(|(at, line)| (member.number, when(at), line)));
             if let Ok(mut front) = member.front.lock() {
                 read_again += front.iter().filter(|f| f.logged("was read again").is_some()).count() as i64;
                 front.take(); // ends the process and waits for it
@@ -148,6 +151,9 @@
             began,
             asked,
             sent_by: self.records.sent_by.lock().map(|s| s.clone()).unwrap_or_default(),
+            came: self.records.came.lock().map(|c| c.clone()).unwrap_or_default(),
+            words: self.records.words.lock().map(|w| w.clone()).unwrap_or_default(),
+            warned,
             steps: self.records.steps.lock().map(|s| s.clone()).unwrap_or_default(),
             deeds: self.records.deeds.lock().map(|d| d.clone()).unwrap_or_default(),
             relayed: self.relayed.lock().map(|r| r.clone()).unwrap_or_default(),
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab/src/rig/relay.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use crate::engine::Records;
+use crate::engine::{Lines, Records, Said, Word};
 
 const STOPS: Duration = Duration::from_millis(30); // for engines to stop what runs for a connection that ended
 const CHUNK: usize = 16 << 10; // bytes read and passed on at once
@@ -70,6 +70,7 @@
                     continue;
                 };
                 let _ = (near.set_nodelay(true), far.set_nodelay(true));
+                let port = far.local_addr().map_or(0, |own| own.port());
                 if let Ok(own) = far.local_addr() {
                     takes.records.opened(own, to, takes.front);
                 }
@@ -82,8 +83,8 @@
                     (Ok(n), Ok(f)) => (n, f),
                     _ => continue,
                 };
-                std::thread::spawn(move || out.pass(near_r, far, true));
-                std::thread::spawn(move || back.pass(far_r, near, false));
+                std::thread::spawn(move || out.pass(near_r, far, (true, port)));
+                std::thread::spawn(move || back.pass(far_r, near, (false, port)));
             }
         });
         Ok(link)
@@ -117,8 +118,14 @@
         }
     }
 
-    fn pass(&self, mut from: TcpStream, mut to: TcpStream, out: bool) {
+    fn hears(&self, port: u16, said: Said) {
+        let Link { front, engine, .. } = *self;
+        self.records.hears(Word { at: self.records.now(), front, engine, port, said });
+    }
+
+    fn pass(&self, mut from: TcpStream, mut to: TcpStream, (out, port): (bool, u16)) {
         let mut chunk = vec![0; CHUNK];
+        let mut lines = Lines::default();
         loop {
             let read = match from.read(&mut chunk) {
                 Ok(0) | Err(_) => break,
@@ -131,6 +138,9 @@
                 self.notes((count(b"want "), count(b"busy "), 0), !lost);
                 self.records.sends(self.front, &chunk[..read]);
             }
+            for (word, id) in lines.take(&chunk[..read]) {
+                self.hears(port, Said::Line { word, id, passed: !lost });
+            }
             if lost {
                 continue;
             }
@@ -141,6 +151,7 @@
                 break;
             }
         }
+        self.hears(port, if out { Said::FrontClosed } else { Said::EngineClosed });
         if !out {
             // The engine is given the time to stop what runs for the connection, so that what the front sends again
             // elsewhere does not run beside it on the record.
