--- a/crates/lab/src/record/account.rs
+++ b/crates/lab/src/record/account.rs
@@ -6,7 +6,7 @@
 #[cfg(test)]
 pub use super::offered::offered;
 pub use super::offered::Offered;
-use super::{attempts, herd, promises};
+use super::{attempts, given_up, herd, promises};
 use crate::check::{self, Agreed, Asked, Outcome};
 use crate::engine::lines::Warmth;
 use crate::engine::{Deed, Word};
@@ -105,7 +105,8 @@
     // What was asked again is another statement to the front that it came to. Order keys are the fleet's here, and have
     // a check of their own.
     let statements: Vec<Asked> = asked.iter().map(promises::at_its_front).collect();
-    let deeds: Vec<Deed> = account.deeds.iter().map(|deed| promises::by_its_front(deed, account)).collect();
+    let deeds = given_up::ended(scenario, account);
+    let deeds: Vec<Deed> = deeds.iter().map(|deed| promises::by_its_front(deed, account)).collect();
     for (rule, found) in check::check(&statements, &[], &deeds, &agreed) {
         violations.entry(rule).or_default().extend(found);
     }
--- /dev/null
+++ b/crates/lab/src/record/given_up.rs
@@ -0,0 +1,69 @@
+//! Attempts that their front gave up are out no more from then on, as the protocol has it, though a stand-in engine that
+//! had no CPU wrote their end down later.
+
+use std::collections::HashMap;
+
+use super::account::Account;
+use crate::check::Repeat;
+use crate::engine::{Deed, Kind, Said, Word};
+use crate::rig::scenario::Scenario;
+
+/// Microseconds between the word of one attempt's end and the next attempt, by the relays: half of what fronts wait.
+const APART: i64 = 5_000;
+/// Microseconds before and after in which a rig without a CPU read its connections late, and in another order.
+const AROUND: i64 = 1_000_000;
+
+/// The record's deeds, with the end of each attempt that was given up before the next one of its statement was sent, and
+/// without the start of those that were given up before it.
+pub fn ended(scenario: &Scenario, account: &Account) -> Vec<Deed> {
+    let mut deeds = account.deeds.clone();
+    let repeated = |o: &&super::account::Offered| {
+        o.asked.repeat == Repeat::Idempotent && !scenario.classes.get(o.class).is_some_and(|c| c.goes_on)
+    };
+    let mut runs: HashMap<&str, Vec<&Deed>> =
+        account.asked.iter().filter(repeated).map(|o| (o.asked.id.as_str(), Vec::new())).collect();
+    for deed in &account.deeds {
+        if let Kind::Began { id, .. } = &deed.kind {
+            runs.entry(id).and_modify(|runs| runs.push(deed));
+        }
+    }
+    for (own, runs) in runs.into_iter().filter(|(_, runs)| runs.len() > 1) {
+        for run in runs {
+            match given_up(account, run) {
+                Some(at) if at < run.at => deeds.retain(|deed| deed != run),
+                at => {
+                    let ended = |at| Deed { at, kind: Kind::Ended { id: own.to_string() }, ..run.clone() };
+                    deeds.extend(at.map(ended));
+                }
+            }
+        }
+    }
+    deeds.sort_by_key(|deed| deed.at);
+    deeds
+}
+
+/// When the relay had read that a run was given up, where the next attempt was read surely after that; or, where the
+/// rig was late, before the run began: then it was never out.
+fn given_up(account: &Account, run: &Deed) -> Option<i64> {
+    let (port, id) = account.came.get(&(run.engine, run.link))?;
+    let is_want =
+        |w: &&Word| matches!(&w.said, Said::Line { word, id: other, .. } if word == "want" && other == id);
+    let is_here = |w: &&Word| (w.engine, w.port) == (run.engine, *port);
+    let since = account.words.iter().filter(is_here).find(is_want)?.at;
+    let here = || account.words.iter().filter(is_here).filter(|w| w.at >= since);
+    // A relay closes both sides: the front's is its own doing only where the engine's was open.
+    let lost = here().find(|w| w.said == Said::EngineClosed).map_or(i64::MAX, |w| w.at);
+    let ends = |w: &&Word| match &w.said {
+        Said::Line { word, id: other, passed } => *passed && word == "never_mind" && other == id,
+        Said::FrontClosed => w.at < lost,
+        Said::EngineClosed => false,
+    };
+    let at = here().filter(ends).map(|w| w.at).min()?;
+    let late = |until: i64| account.starved.rig((at - AROUND, until + AROUND)) > 0;
+    if at < run.at {
+        return late(run.at).then_some(at);
+    }
+    let elsewhere = |w: &&Word| w.at > run.at && !is_here(w);
+    let next = account.words.iter().filter(is_want).filter(elsewhere).map(|w| w.at).min()?;
+    (next >= at + APART || next >= at && late(next)).then_some(at)
+}
--- a/crates/lab/src/record/mod.rs
+++ b/crates/lab/src/record/mod.rs
@@ -7,6 +7,9 @@
 pub mod barred;
 pub mod cuts;
 pub mod executions;
+mod given_up;
+#[cfg(test)]
+mod given_up_tests;
 pub mod herd;
 pub mod hits;
 pub mod offered;
--- a/crates/lab/src/rig/starved.rs
+++ b/crates/lab/src/rig/starved.rs
@@ -24,6 +24,11 @@
         Starved(vec![(Some(front), span, waited)])
     }
 
+    #[cfg(test)]
+    pub fn of_rig(span: (i64, i64), waited: i64) -> Starved {
+        Starved(vec![(None, span, waited)])
+    }
+
     fn waited(&self, who: Option<usize>, (from, to): (i64, i64)) -> i64 {
         let own = self.0.iter().filter(|(own, (f, t), _)| *own == who && *f < to && from < *t);
         own.map(|(.., waited)| waited).sum()
