--- a/crates/lab/src/record/mod.rs
+++ b/crates/lab/src/record/mod.rs
@@ -1,9 +1,15 @@
 //! The record of a run, the checks of it, each with a file of its own, and what the run came to.
 
 pub mod account;
+mod attempts;
+#[cfg(test)]
+mod attempts_tests;
 pub mod barred;
 pub mod cuts;
 pub mod executions;
+mod given_up;
+#[cfg(test)]
+mod given_up_tests;
 pub mod herd;
 pub mod hits;
 pub mod offered;
