--- a/crates/access/src/record.rs
+++ b/crates/access/src/record.rs
@@ -138,28 +138,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::{Known, Set};
-
-    #[test]
-    fn a_record_is_bounded_and_what_is_too_old_is_forgotten() {
-        let asked = |n: usize| Asked { customer: n.to_string(), workload: "w".to_string(), groups: None };
-        let mut record = Record::new(24_000_000);
-        let index = Index::new(Set::empty());
-        let counts = |record: &mut Record, now: Micros| {
-            let at = Moment { steady: now, wall_ms: 0 };
-            let found = record.play(at, "eu", &index, &index, &Known::default());
-            (found.statements, found.unknown, found.back)
-        };
-        (0..MOST_KINDS + 10).for_each(|n| record.add(500_000, &asked(n)));
-        record.add(20_000_000, &asked(0));
-        assert_eq!(counts(&mut record, 20_000_000), (MOST_KINDS as u64 + 1, 10, 19_500_000));
-        assert_eq!(counts(&mut record, 24_100_000), (1, 0, 23_600_000));
-        assert_eq!(record.kinds.len(), 1);
-        assert_eq!(counts(&mut record, 90_000_000), (0, 0, 24_000_000));
-        let mut off = Record::new(0);
-        off.add(1, &asked(0));
-        assert_eq!(counts(&mut off, 5), (0, 0, 0));
-    }
-}
+#[path = "record_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/codec/src/engine_tests.rs
@@ -0,0 +1,98 @@
+//! Unit tests of the `engine` module.
+
+use super::*;
+
+fn names() -> Vec<String> {
+    ["active", "x0"].map(str::to_string).to_vec()
+}
+
+#[test]
+fn lines_are_read_once_they_are_whole() {
+    let text = b"9b1f ACK batches=2,stats=inflight:7;x0:0.5 5\r\na\r\nbc\r\n9b1f BLOCK batch=1 0\r\n\r\n";
+    let first = 53;
+    for len in 0..first {
+        assert_eq!(read(&text[..len], &names()), Ok(None), "{len}");
+    }
+    let (len, line) = read(text, &names()).unwrap().unwrap();
+    assert_eq!((len, line.bytes, line.report), (first, &b"a\r\nbc"[..], Some(vec![7.0, 0.5])));
+    assert_eq!((line.id, line.said), ("9b1f", Said::First { pages: 2 }));
+    let (_, line) = read(&text[first..], &names()).unwrap().unwrap();
+    assert_eq!(line.said, Said::Page { number: 1 });
+}
+
+#[test]
+fn what_engines_say_is_known_by_its_words() {
+    for (text, said) in [
+        ("i AGAIN - 0\r\n\r\n", Said::TurnedAway),
+        ("i EIO -\r\n", Said::Failed),
+        ("i STALE 0\r\n\r\n", Said::Stale),
+        ("i EVENT how=so_far,num=0.25 0\r\n\r\n", Said::ShareDone(0.25)),
+        ("i EVENT how=lacking,num=64 0\r\n\r\n", Said::SpillsMb(64.0)),
+        ("i EVENT how=waiting,num=1 0\r\n\r\n", Said::WaitsForMemory),
+        ("i EVENT how=waiting,num=2 0\r\n\r\n", Said::WaitsForData),
+        ("i EVENT - 0\r\n\r\n", Said::Nothing),
+        ("i READY\r\n", Said::Probed { alive: true }),
+        ("i AILING stats=inflight:1 0\r\n\r\n", Said::Probed { alive: false }),
+    ] {
+        let (len, line) = read(text.as_bytes(), &names()).unwrap().unwrap();
+        assert_eq!((len, line.said, line.report), (text.len(), said, None), "{text}");
+    }
+}
+
+#[test]
+fn broken_lines_are_errors() {
+    let long = [b'x'; LONGEST_LINE + 2];
+    for text in [
+        &b"\r\n"[..],
+        b"i\r\n",
+        b"i ACK - 1 2 3\r\n",
+        b"i HELLO - 0\r\n\r\n",
+        b"i ACK batches=many 0\r\n\r\n",
+        b"i BLOCK - 0\r\n\r\n",
+        b"i ACK - 99999999999\r\n",
+        b"i ACK - -1\r\n",
+        b"i ACK - 1\r\nabc",
+        b"\xff ACK - 0\r\n\r\n",
+        &long,
+    ] {
+        assert!(read(text, &names()).is_err(), "{}", String::from_utf8_lossy(text));
+    }
+}
+
+#[test]
+fn rows_are_three_columns_of_text_each() {
+    for (bytes, whole) in [
+        (&b"a\tb\tc\n"[..], true),
+        (b"\t\t\nd\xc3\xa9\te\tf\n", true),
+        (b"", true),
+        (b"a\tb\tc", false),
+        (b"a\tb\n", false),
+        (b"a\tb\tc\td\n", false),
+        (b"a\tb\tc\n\n", false),
+        (b"a\tb\t\xff\n", false),
+        (b"a\tb\t\x07\n", false),
+    ] {
+        assert_eq!(are_rows(bytes), whole, "{}", String::from_utf8_lossy(bytes));
+    }
+}
+
+#[test]
+fn a_want_names_only_what_is_set() {
+    let mut out = Vec::new();
+    let mut want = Want {
+        id: "i",
+        workload: "load",
+        dedup_key: None,
+        wait_ms: 1500,
+        grant_mb: 0.0,
+        priority: 1,
+        statement: b"select 1",
+    };
+    write(&mut out, &Command::Want(Want { ..want }));
+    want.dedup_key = Some("k");
+    want.grant_mb = 96.4;
+    write(&mut out, &Command::Want(want));
+    let text = "want i class=load,wait=1500,nice=1 8\r\nselect 1\r\n\
+                want i class=load,wait=1500,once=k,mb=96,nice=1 8\r\nselect 1\r\n";
+    assert_eq!(String::from_utf8(out).unwrap(), text);
+}
--- /dev/null
+++ b/crates/codec/src/statement_tests.rs
@@ -0,0 +1,84 @@
+//! Unit tests of the `statement` module.
+
+use super::*;
+
+/// A `serve` frame with the fields given.
+fn frame(fields: &[(&str, &str)], statement: &[u8]) -> Vec<u8> {
+    let mut frame = vec![0; PREFIX];
+    let mut out = TBinaryOutputProtocol::new(&mut frame, true);
+    out.write_message_begin(&TMessageIdentifier::new("serve", TMessageType::Call, 7)).unwrap();
+    write_fields(&mut out, 1, fields).unwrap();
+    out.write_field_begin(&TFieldIdentifier::new("body", TType::String, 2)).unwrap();
+    out.write_bytes(statement).unwrap();
+    out.write_field_stop().unwrap();
+    let len = (frame.len() - PREFIX) as u32;
+    frame[..PREFIX].copy_from_slice(&len.to_be_bytes());
+    frame
+}
+
+const FIELDS: [(&str, &str); 4] =
+    [("txn", "9b1f03aa5c7e2d41"), ("verb", "report"), ("limit", "1500"), ("team", "acme")];
+
+#[test]
+fn a_frame_is_read_once_it_is_whole_and_keeps_its_bytes() {
+    let frame = frame(&FIELDS, b"select '\xff'");
+    for len in 0..frame.len() {
+        assert_eq!(read(&frame[..len]), Ok(None));
+    }
+    let Ok(Some((len, 7, Asked::Serve(call)))) = read(&frame) else { panic!() };
+    assert_eq!((len, call.unfit, call.time_left_ms), (frame.len(), None, 1500.0));
+    assert_eq!(call.statement, b"select '\xff'");
+}
+
+#[test]
+fn broken_frames_are_errors_and_no_panics() {
+    let whole = frame(&FIELDS, b"select 1");
+    for at in PREFIX..whole.len() {
+        for byte in [0x00, 0x7f, 0x80, 0xff] {
+            let mut broken = whole.clone();
+            broken[at] = byte;
+            let _ = read(&broken);
+        }
+        // The length says that it is whole, but it is not.
+        let mut cut = whole[..at].to_vec();
+        cut[..PREFIX].copy_from_slice(&((at - PREFIX) as u32).to_be_bytes());
+        assert!(read(&cut).is_err());
+    }
+    let mut longer = [&whole[..], b"x"].concat();
+    longer[..PREFIX].copy_from_slice(&((whole.len() + 1 - PREFIX) as u32).to_be_bytes());
+    assert!(read(&longer).is_err());
+    let mut nested = frame(&FIELDS, b"");
+    nested.pop();
+    nested.extend([12, 0, 9].repeat(1000));
+    let len = (nested.len() - PREFIX) as u32;
+    nested[..PREFIX].copy_from_slice(&len.to_be_bytes());
+    assert!(read(&nested).is_err());
+    for prefix in [&[0xff, 0xff, 0xff, 0xff], &[0x7f, 0xff, 0xff, 0xff], &[0, 2, 0, 1]] {
+        assert!(read(prefix).is_err());
+    }
+}
+
+#[test]
+fn the_first_unfit_field_is_named() {
+    for (name, value) in [
+        ("txn", "short"),
+        ("txn", "9b1f03aa5c7e2d4,"),
+        ("verb", "a b"),
+        ("limit", "-1"),
+        ("limit", "nan"),
+        ("limit", "4e9"),
+        ("second", "2"),
+        ("unique", "a\r\nb"),
+        ("unique", &"u".repeat(LONGEST_WORD + 1)),
+        ("item", "a b"),
+        ("cpu", "x"),
+        ("cpu", "1e300"),
+        ("heap_mb", "inf"),
+        ("heap_mb", "1e9"),
+    ] {
+        let mut fields: Vec<_> = FIELDS.iter().copied().filter(|(known, _)| *known != name).collect();
+        fields.push((name, value));
+        let Ok(Some((_, _, Asked::Serve(call)))) = read(&frame(&fields, b"")) else { panic!() };
+        assert_eq!(call.unfit, Some(name), "{value}");
+    }
+}
--- a/crates/codec/src/tables.rs
+++ b/crates/codec/src/tables.rs
@@ -95,36 +95,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::{group, groups};
-
-    #[test]
-    fn the_schema_outside_of_strings_and_comments_counts() {
-        for (statement, found) in [
-            ("select * from sales_17.orders", Some(17)),
-            ("select 'it''s a_1.b' from s_2.t", Some(2)),
-            ("-- a_1.b\nselect 1 from x_3.y", Some(3)),
-            ("/* a_1.b /* c_2.d */ e_5.f */ select 1 from x_4.y", Some(4)),
-            ("insert into staging.t select * from staging_9.u join us_er_6.v", Some(6)),
-            ("select x from \"s_8\".\"t\"", Some(8)),
-            ("select a_1, 7.5 from t", None),
-            ("select 'a_1.b", None),
-            ("/* a_1.b", None),
-            ("select * from s_99999999999.t", None),
-            ("", None),
-        ] {
-            assert_eq!(group(statement.as_bytes()), found, "{statement}");
-        }
-        let all = groups(b"insert into b_9.t select 'c_3.d' from a_1.u join b_9.v, \"e_4\".w -- f_5.x", 16);
-        assert_eq!(all, [9, 1, 4]);
-    }
-
-    #[test]
-    fn every_group_is_found_once() {
-        let joined =
-            b"select * from s_2.t join \"s_8\".u using (k) where s_2.t.x = 's_9.y' union select 1 from s_5.t";
-        assert_eq!(groups(joined, 16), [2, 8, 5]);
-        assert_eq!(groups(joined, 1), [2, 8]);
-        assert_eq!(groups(b"select 1", 16), [] as [u32; 0]);
-    }
-}
+#[path = "tables_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/dispatcher/src/ended_tests.rs
@@ -0,0 +1,101 @@
+//! Unit tests of the `ended` module.
+
+use crate::played::*;
+use crate::*;
+
+#[test]
+fn only_endings_that_prove_it_let_a_non_idempotent_statement_go_again() {
+    for (ending, again) in [
+        (Ending::TurnedAway, true),
+        (Ending::Stale, true),
+        (Ending::Refused, true),
+        (Ending::NeverUp, true),
+        (Ending::NoMeans, true),
+        (Ending::Withdrawn, true),
+        (Ending::HalfWritten, true),
+        (Ending::BrokenNew, true),
+        (Ending::EngineFailed, false),
+        (Ending::PageLost, false),
+        (Ending::Reset, false),
+        (Ending::Closed, false),
+        (Ending::Unreadable, false),
+        (Ending::GivenUp, false),
+    ] {
+        let mut d = dispatcher();
+        d.list(true, &[listing("a", Mode::Ready, None), listing("b", Mode::Ready, None)]);
+        let ticket = d.pick(1_000_000, &ask("pay", None)).unwrap();
+        assert_eq!(sent(&d.tick(1_000_000)), [(ticket, 0)]);
+        assert!(!d.report(1_010_000, ticket, 0, ending, None, None));
+        let mut next = d.tick(1_010_000);
+        // An engine that could not be reached rests for a while.
+        next.extend(d.tick(2_200_000));
+        assert_eq!(sent(&next) == [(ticket, 1)], again, "{ending:?}: {next:?}");
+        assert_eq!(next.contains(&Order::Abort { ticket }), !again, "{ending:?}: {next:?}");
+    }
+}
+
+#[test]
+fn what_ends_for_want_of_descriptors_or_by_a_new_connection_is_not_held_against_the_engine() {
+    for (ending, goes_on) in [(Ending::NoMeans, true), (Ending::BrokenNew, true), (Ending::Refused, false)] {
+        let mut d = dispatcher();
+        d.list(true, &[listing("a", Mode::Ready, None)]);
+        let ticket = d.pick(0, &ask("lookup", None)).unwrap();
+        d.tick(0);
+        assert!(!d.report(1_000, ticket, 0, ending, None, None));
+        assert_eq!(sent(&d.tick(1_000)), if goes_on { vec![(ticket, 1)] } else { vec![] }, "{ending:?}");
+    }
+}
+
+#[test]
+fn the_first_answer_counts_and_nothing_follows_it() {
+    let mut d = dispatcher();
+    d.list(true, &[listing("a", Mode::Ready, None)]);
+    let ticket = d.pick(0, &ask("lookup", None)).unwrap();
+    d.tick(0);
+    assert!(d.report(5_000, ticket, 0, Ending::Answered, None, None));
+    assert!(!d.report(5_000, ticket, 0, Ending::Answered, None, None));
+    assert_eq!((d.tick(5_000), d.held()), (vec![], 0));
+    let other = d.pick(6_000, &ask("lookup", None)).unwrap();
+    d.tick(6_000);
+    d.left(7_000, other);
+    let stop = Order::Stop { ticket: other, execution: 0, ending: Ending::GivenUp };
+    assert_eq!(d.tick(7_000), [stop]);
+    assert!(!d.report(7_000, other, 0, Ending::Answered, None, None));
+    assert_eq!((d.tick(7_000), d.held()), (vec![], 0));
+}
+
+#[test]
+fn nothing_is_kept_of_statements_keys_and_engines_that_are_over() {
+    let mut d = dispatcher();
+    let mut now = 0;
+    for i in 0..3_000 {
+        now += 100_000;
+        let (id, key) = (format!("e{i}"), format!("k{i}"));
+        d.list(false, &[listing(&id, Mode::Ready, Some(now - 60_000_000))]);
+        let ticket = d.pick(now, &ask("load", Some(&key))).unwrap();
+        assert_eq!(sent(&d.tick(now)), [(ticket, 0)]);
+        d.report(now + 10_000, ticket, 0, Ending::Answered, None, None);
+        d.list(false, &[listing(&id, Mode::Gone, Some(now - 60_000_000))]);
+        d.tick(now + 10_000);
+    }
+    let kept = (d.held(), d.ends.len(), d.keys.len(), d.free_keys.len(), d.resting.len(), d.engines.len());
+    assert!(kept.0 == 0 && kept.1 == 0 && kept.2 <= 2 && kept.3 <= 2 && kept.4 <= 2, "{kept:?}");
+    assert_eq!(kept.5, 1);
+}
+
+#[test]
+fn a_key_keeps_its_rest_when_its_statements_are_over() {
+    let mut d = dispatcher();
+    d.list(true, &[listing("a", Mode::Ready, None)]);
+    let first = d.pick(0, &ask("load", Some("k"))).unwrap();
+    d.tick(0);
+    d.left(1_000, first);
+    d.tick(1_000);
+    d.report(1_000, first, 0, Ending::GivenUp, None, None);
+    d.tick(1_000);
+    let second = d.pick(2_000, &ask("load", Some("k"))).unwrap();
+    assert_eq!(sent(&d.tick(2_000)), []);
+    assert_eq!(sent(&d.tick(50_000)), []);
+    let at = d.wake();
+    assert_eq!(sent(&d.tick(at)), [(second, 0)]);
+}
--- /dev/null
+++ b/crates/dispatcher/src/promised_tests.rs
@@ -0,0 +1,73 @@
+//! Unit tests of the `promised` module.
+
+use super::*;
+use crate::played::*;
+use crate::{Mode, Order};
+
+#[test]
+fn what_is_held_here_says_nothing_of_its_engine_and_is_no_silence() {
+    let mut d = dispatcher();
+    d.list(true, &[listing("a", Mode::Ready, None)]);
+    let ticket = d.pick(0, &ask("load", Some("k"))).unwrap();
+    assert_eq!(sent(&d.tick(0)), [(ticket, 0)]);
+    let mut now = 0;
+    while now < 3_000_000 {
+        d.waits(now, ticket, 0);
+        now += 100_000;
+        assert_eq!((d.tick(now), d.sighted(now).len()), (vec![], 0), "{now}");
+    }
+    d.leaves(now, ticket, 0);
+    d.tick(now);
+    assert!(d.sighted(now + 900_000).is_empty());
+    let silent: Vec<_> = d.sighted(now + 999_000 + 1_000).iter().map(|s| s.silent).collect();
+    assert_eq!(silent, [1_000_000]);
+    assert!(d.report(now + 1_000_000, ticket, 0, Ending::Answered, None, None));
+    assert_eq!(d.engines[0].held, 0);
+}
+
+#[test]
+fn what_is_turned_away_ends_at_once_and_comes_back_spread() {
+    let mut d = dispatcher();
+    d.list(true, &[listing("a", Mode::Ready, None)]);
+    d.watch();
+    let mut came_back = Vec::new();
+    for n in 0..4 {
+        let ticket = d.pick(n, &ask("load", None)).unwrap();
+        assert!(matches!(&d.words()[..], [Word::Taken(t)] if t.ticket == ticket && t.key.is_none()));
+        assert_eq!(sent(&d.tick(n)), [(ticket, 0)]);
+        d.waits(n, ticket, 0);
+        came_back.extend(d.turn_away(n, ticket));
+        assert_eq!(d.turn_away(n, ticket), None);
+        assert_eq!(d.words(), [Word::Gone(Gone { ticket, ran: false, rests: false })]);
+        assert_eq!((d.tick(n), d.held(), d.engines[0].held), (vec![], 0, 0));
+    }
+    came_back.sort();
+    came_back.dedup();
+    assert!(
+        came_back.len() == 4 && came_back.iter().all(|t| (500_000..1_000_000).contains(t)),
+        "{came_back:?}"
+    );
+}
+
+#[test]
+fn gone_tells_what_may_have_run_and_what_may_be_running_on() {
+    for (ending, ran, rests) in [
+        (Ending::Answered, true, false),
+        (Ending::Withdrawn, false, false),
+        (Ending::EngineFailed, true, false),
+        (Ending::GivenUp, true, true),
+    ] {
+        let mut d = dispatcher();
+        d.list(true, &[listing("a", Mode::Ready, None)]);
+        d.watch();
+        let ticket = d.pick(0, &ask("load", Some("k"))).unwrap();
+        d.pick(0, &ask("lookup", Some("k"))).unwrap();
+        assert_eq!(d.words().len(), 1);
+        d.tick(0);
+        d.left(1, ticket);
+        let stop = Order::Stop { ticket, execution: 0, ending: Ending::GivenUp };
+        assert_eq!((d.words(), d.tick(1)), (vec![], vec![stop]));
+        d.report(2, ticket, 0, ending, None, None);
+        assert_eq!(d.words(), [Word::Gone(Gone { ticket, ran, rests })], "{ending:?}");
+    }
+}
--- /dev/null
+++ b/crates/drill/src/main_tests.rs
@@ -0,0 +1,74 @@
+//! Unit tests of the `main` module.
+
+use super::*;
+
+const START: &str = r#"ATTACH who=3 randomSeed=7 options={"instances": 1, "rules": {}, "kinds": ["a"],
+ "requestClasses": [{"aimMs": 1000, "deadlineMs": 5000, "repeat": "repeatable", "worth": 1}],
+ "extra": {"sizeCores": [8], "memoryByKindMb": [16384]}}"#;
+
+fn play(lines: &[&str]) -> (Vec<String>, String) {
+    let mut drill = Drill::default();
+    let start = START.replace('\n', "");
+    let mut all = vec!["BEGIN_BATCH clockMs=5.25", &start];
+    all.extend(lines);
+    let errors = all.iter().filter_map(|line| drill.take(line).err()).collect();
+    (errors, drill.reply)
+}
+
+const FLEET: [&str; 3] = [
+    "LEDGER ref=0 entries=1",
+    "ENTRY engine=e1 campus=0 classOfHost=0 group=0 mode=Ready weight=1",
+    "FLEET who=3 form=cached version=1 ref=0",
+];
+
+#[test]
+fn a_statement_is_sent_under_its_own_id() {
+    let mut lines = FLEET.to_vec();
+    lines.extend(["JOB_IN who=3 req=1564119492 cls=0 expiresInMs=240.0 later=1", "EOF_BATCH"]);
+    let (errors, reply) = play(&lines);
+    assert!(errors.is_empty(), "{errors:?}");
+    assert!(reply.contains("CALL_OUT who=3 req=1564119492 engine=e1"), "{reply}");
+    assert!(reply.ends_with("FINISHED\n"));
+}
+
+#[test]
+fn unknown_and_ended_ids_are_passed_over() {
+    let gone =
+        ["GONE who=3 req=9", "RETURNED who=3 req=9 seqNo=0 engine=e1 status=pass delaySeenMs=1 settled=1"];
+    let (errors, reply) = play(&[&FLEET[..], &gone, &["RING who=3 ref=old", "EOF_BATCH"]].concat());
+    assert!(errors.is_empty(), "{errors:?}");
+    assert!(!reply.contains("req=9"), "{reply}");
+}
+
+#[test]
+fn bad_lines_are_named_and_end_nothing() {
+    for (line, said) in [
+        ("HELLO who=3", "unknown message 'HELLO'"),
+        ("RING who=4 ref=x", "the instance was not started"),
+        ("JOB_IN who=3 req=1 cls=0", "field 'expiresInMs' is missing"),
+        ("JOB_IN who=3 req=1 cls=7 expiresInMs=5", "no workload 7"),
+        ("JOB_IN who=3 req=x cls=0 expiresInMs=5", "field 'req' cannot be read: 'x'"),
+        ("JOB_IN who=3 req=1 cls=0 expiresInMs=nan", "field 'expiresInMs' is no number"),
+        ("FLEET who=3 form=odd version=1 ref=0", "form: unknown word 'odd'"),
+        ("FLEET who=3 form=full version=1 ref=9", "list 9 was never sent"),
+        ("ATTACH who=5 randomSeed=1 options={", "options: "),
+    ] {
+        let (errors, reply) = play(&[line, "EOF_BATCH"]);
+        assert_eq!(errors.len(), 1, "{line}");
+        assert!(errors[0].contains(said), "{line}: {errors:?}");
+        assert!(reply.ends_with("FINISHED\n"));
+    }
+}
+
+#[test]
+fn a_list_number_used_again_means_its_latest_list() {
+    let again = [
+        "LEDGER ref=0 entries=1",
+        "ENTRY engine=e2 campus=0 classOfHost=0 group=0 mode=Ready weight=1",
+        "FLEET who=3 form=full version=2 ref=0",
+        "JOB_IN who=3 req=5 cls=0 expiresInMs=4000",
+        "EOF_BATCH",
+    ];
+    let (_, reply) = play(&[&FLEET[..], &again].concat());
+    assert!(reply.contains("CALL_OUT who=3 req=5 engine=e2"), "{reply}");
+}
--- /dev/null
+++ b/crates/fleet/src/lib_tests.rs
@@ -0,0 +1,7 @@
+//! Unit tests of the `lib` module.
+
+#[test]
+fn an_engines_name_is_the_same_in_every_build() {
+    assert_eq!(super::named("e0"), 0x088e_7a07_b539_b6d0);
+    assert_eq!(super::named(""), 0xcbf2_9ce4_8422_2325);
+}
--- /dev/null
+++ b/crates/front/src/engines/room_tests.rs
@@ -0,0 +1,45 @@
+//! Unit tests of the `room` module.
+
+use super::*;
+use hallmux_dispatcher::Dials;
+
+const SECOND: Micros = 1_000_000;
+
+#[test]
+fn connections_are_made_at_their_pace_and_those_that_are_there_are_used_at_any_time() {
+    let events: calloop::EventLoop<'static, Changes> = calloop::EventLoop::try_new().unwrap();
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let allowed = Allowance { cancel: true, executions_per_connection: 2, ..Allowance::default() };
+    let mut engines = Engines::new(events.handle(), allowed, &Names::default());
+    engines.limit(256);
+    let mut dials = Dials::new(true, 0, 0);
+    dials.pace(0, 1.0);
+    engines.dials.replace(dials);
+    engines.list(0, "a", listener.local_addr().unwrap(), 0.0, true);
+    let send = |engines: &mut Engines, now: Micros, ticket: Ticket| {
+        let call = Rc::new(Call { id: ticket.to_string(), workload: "lookup".into(), ..Call::default() });
+        engines.send(
+            now,
+            (ticket, 0),
+            0,
+            call,
+            Terms { ends: 1 << 40, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 },
+        );
+    };
+    // The first turn is a second after the start.
+    assert_eq!(engines.room(SECOND - 1, 0), 0);
+    send(&mut engines, SECOND - 1, 1);
+    let withdrawn = |told: Option<Told>| matches!(told, Some(Told::Ended { ending: Ending::Withdrawn, .. }));
+    assert!(withdrawn(engines.told.pop()) && engines.links.is_empty());
+    assert_eq!(engines.room(SECOND, 0), 2);
+    send(&mut engines, SECOND, 2);
+    assert_eq!((engines.room(SECOND, 0), engines.links.len()), (1, 1));
+    // The connection takes another at once; a probe waits for no turn, and is not sent without.
+    send(&mut engines, SECOND + 1, 3);
+    assert_eq!((engines.room(SECOND + 1, 0), engines.links.len()), (0, 1));
+    engines.probe(SECOND + 1, 0);
+    assert!(engines.told.is_empty() && engines.links.len() == 1);
+    send(&mut engines, 2 * SECOND, 4);
+    assert_eq!((engines.room(2 * SECOND, 0), engines.links.len()), (1, 2));
+    assert_eq!(engines.executions.len(), 3);
+}
--- a/crates/front/src/start.rs
+++ b/crates/front/src/start.rs
@@ -40,32 +40,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn every_fault_says_where_what_and_what_to_do() {
-        let at = SocketAddr::from(([127, 0, 0, 1], 9090));
-        let other = |text: &str| std::io::Error::other(text.to_string());
-        let missing = hallmux_agreement::Error::Unset { variable: "NODE_CONFIG", meant: "a path" };
-        for (fault, place) in [
-            (Fault::from(missing), "NODE_CONFIG: "),
-            (Fault::Known("invalid type".into()), "NODE_CONFIG: known: "),
-            (Fault::Listen { at, why: other("in use") }, "listen: 127.0.0.1:9090: "),
-            (Fault::part(&other("gossip: secret_file: s: gone")), "gossip: secret_file: s: "),
-            (Fault::part(&other("rules.file: r: gone; name another")), "rules.file: r: "),
-            (Fault::system("signals")(other("too many")), "signals: "),
-        ] {
-            match &fault {
-                Fault::Configuration(_) | Fault::Known(_) | Fault::Listen { .. } => {}
-                // Each has a test of its own.
-                Fault::Peers(_) | Fault::Rules(_) => {}
-                Fault::Part(_) | Fault::Said(_) | Fault::System { .. } => {}
-            }
-            let text = fault.to_string();
-            let (wrong, remedy) = text.rsplit_once("; ").unwrap();
-            assert!(wrong.starts_with(place) && wrong.len() > place.len() && remedy.len() > 8, "{text}");
-            assert!(text.matches("; ").count() == 1 && !text.contains('\n'), "{text}");
-        }
-    }
-}
+#[path = "start_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/gossip/src/evidence_tests.rs
@@ -0,0 +1,92 @@
+//! Unit tests of the `evidence` module.
+
+use super::*;
+
+fn report(maker: PeerId, life: u64, version: u32, failed: u8) -> Report {
+    let sightings = vec![Sighting { engine: 1, failed, ..Sighting::default() }];
+    Report { maker, life, version, made_ms: 0, sightings, work: Work::default() }
+}
+
+fn signed() -> Signed {
+    Signed { report: vec![0; 40], signature: vec![0; 64] }
+}
+
+/// What is known after reports came in this order.
+fn known(order: &[Report]) -> Vec<(PeerId, u8)> {
+    let mut evidence = Evidence::default();
+    order.iter().for_each(|r| _ = evidence.merge(0, r.clone(), signed(), 0));
+    evidence.news(1, 99).into_iter().map(|n| (n.maker, n.sighting.failed)).collect()
+}
+
+#[test]
+fn any_order_repeats_and_losses_before_the_latest_come_to_the_same() {
+    let all = [report(1, 5, 1, 1), report(1, 5, 2, 2), report(1, 6, 1, 3), report(2, 1, 9, 4)];
+    let expected = [(1, 3), (2, 4)];
+    // Every order of the four, with each of them repeated at the end.
+    let mut orders = vec![vec![]];
+    for _ in 0..4 {
+        orders = orders
+            .into_iter()
+            .flat_map(|order: Vec<usize>| {
+                (0..4)
+                    .filter(|n| !order.contains(n))
+                    .map(|n| [order.clone(), vec![n]].concat())
+                    .collect::<Vec<_>>()
+            })
+            .collect();
+    }
+    assert_eq!(orders.len(), 24);
+    for order in orders {
+        let mut reports: Vec<Report> = order.iter().map(|n| all[*n].clone()).collect();
+        assert_eq!(known(&reports), expected);
+        reports.extend(reports.clone());
+        assert_eq!(known(&reports), expected);
+        // Without what was made before the latest of each.
+        let latest: Vec<Report> = reports.into_iter().filter(|r| r.life > 5 || r.maker == 2).collect();
+        assert_eq!(known(&latest), expected);
+    }
+}
+
+#[test]
+fn what_is_not_renewed_fades_and_does_not_come_back() {
+    let mut evidence = Evidence::default();
+    assert!(evidence.merge(0, report(1, 1, 2, 1), signed(), 3_000_000));
+    assert_eq!(evidence.news(FADES - 3_000_001, 9).len(), 1);
+    assert_eq!(evidence.news(FADES - 3_000_000, 9).len(), 0);
+    assert!(!evidence.merge(FADES, report(1, 1, 1, 1), signed(), 0), "an earlier version");
+    assert!(!evidence.merge(FADES, report(2, 1, 1, 1), signed(), FADES), "older than it lasts");
+    evidence.fade(3 * FADES);
+    assert!(evidence.is_empty());
+}
+
+#[test]
+fn one_voice_on_an_engine_is_passed_on_before_the_many_on_another() {
+    let mut evidence = Evidence::default();
+    let signed = |maker: u64| Signed { report: vec![maker as u8; 40], signature: vec![0; 64] };
+    for maker in 0..100 {
+        evidence.merge(maker as Micros, report(maker, 1, 1, 1), signed(maker), 0);
+    }
+    let mut other = report(200, 1, 1, 1);
+    other.sightings[0].engine = 2;
+    // The earliest and the last in number: by age and place it would come after all others.
+    evidence.merge(0, other, signed(200), 0);
+    let mut firsts = Vec::new();
+    for _ in 0..3 {
+        firsts.extend(evidence.pass_on(1_000, 9, 216).iter().map(|s| s.report[0]));
+    }
+    assert!(firsts[..2].contains(&200), "{firsts:?}");
+    assert!(firsts.iter().filter(|maker| **maker == 200).count() >= 2, "{firsts:?}");
+}
+
+#[test]
+fn makers_and_bytes_are_bounded() {
+    let mut evidence = Evidence::default();
+    for maker in 0..10_000 {
+        evidence.merge(maker as Micros, report(maker, 1, 1, 1), signed(), 0);
+    }
+    assert_eq!(evidence.len(), MOST_MAKERS);
+    assert_eq!(evidence.pass_on(10_000, 4, 400).len(), 3);
+    let mut long = report(1, 1, 1, 1);
+    long.sightings = vec![Sighting::default(); MOST_SIGHTINGS + 1];
+    assert!(!Evidence::default().merge(0, long, signed(), 0));
+}
--- /dev/null
+++ b/crates/gossip/src/message_tests.rs
@@ -0,0 +1,31 @@
+//! Unit tests of the `message` module.
+
+use super::*;
+
+#[test]
+fn any_bytes_are_read_or_refused() {
+    let rumour =
+        Rumour { member: 7, at: ([127, 0, 0, 1], 9).into(), incarnation: 3, health: Health::Suspect };
+    let signed = Signed { report: vec![1, 2], signature: vec![3; 64] };
+    let message = Message {
+        probe: Probe::PingFor { number: 1, member: 2, at: rumour.at },
+        rumours: vec![rumour],
+        reports: vec![signed],
+        letter: vec![5; 3],
+    };
+    let whole = bytes(&message);
+    assert_eq!(read::<Message>(&whole), Some(message));
+    for cut in 0..whole.len() {
+        assert_eq!(read::<Message>(&whole[..cut]), None);
+    }
+    assert_eq!(read::<Message>(&[whole.clone(), vec![0]].concat()), None);
+    for at in 0..whole.len() {
+        for flip in [1, 0x80, 0xff] {
+            let mut spoilt = whole.clone();
+            spoilt[at] ^= flip;
+            let _ = read::<Message>(&spoilt);
+        }
+    }
+    // A count of rumours that the bytes do not bear out.
+    assert_eq!(read::<Message>(&[0, 0xff, 0xff, 0xff, 0xff, 0x0f]), None);
+}
--- a/crates/lab/src/engine/lines.rs
+++ b/crates/lab/src/engine/lines.rs
@@ -332,31 +332,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_cold_engine_turns_away_what_it_does_not_bear_yet() {
-        let warmth = Warmth { cold: 1, warm: 8, warm_us: 600_000_000, memory: usize::MAX };
-        let engine = Engine::start(0, Records::new(), warmth).unwrap();
-        assert_eq!(engine.bears(), 8);
-        engine.restart();
-        assert_eq!(engine.bears(), 1);
-        // Memory runs out before its slots do.
-        assert_eq!((Warmth { memory: 5, ..warmth }).bears(600_000_000), 5);
-        let mut s = TcpStream::connect(engine.at).unwrap();
-        s.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
-        s.write_all(b"want 1 - 15\r\nid=a,key=,ms=300\r\nwant 2 - 15\r\nid=b,key=,ms=300\r\n").unwrap();
-        let mut reader = BufReader::new(s);
-        let mut line = String::new();
-        reader.read_line(&mut line).unwrap();
-        assert_eq!(line, "2 AGAIN stats=inflight:1 0\r\n");
-        assert_eq!((engine.turned_away.load(SeqCst), engine.peak()), (1, 2.0));
-        line.clear();
-        reader.read_line(&mut line).unwrap();
-        assert_eq!(line, "\r\n"); // the end of no bytes
-        line.clear();
-        reader.read_line(&mut line).unwrap();
-        assert!(line.starts_with("1 ACK"), "{line}");
-    }
-}
+#[path = "lines_tests.rs"]
+mod tests;
--- a/crates/lab/src/measure/spread.rs
+++ b/crates/lab/src/measure/spread.rs
@@ -21,12 +21,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_middle_of_the_rounds_counts() {
-        assert_eq!(spread(&mut [3.0, 1.0, 9.0]).to_string(), "3 (1 to 9)");
-        assert!(spread(&mut []).median.is_nan());
-    }
-}
+#[path = "spread_tests.rs"]
+mod tests;
--- a/crates/lab/src/prove.rs
+++ b/crates/lab/src/prove.rs
@@ -295,14 +295,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn sessions_keep_the_rules_among_faults() {
-        for seed in [1, 2] {
-            let (passed, tallies) = postgres(Size { seed, units: 3_000, rounds: 1 }).unwrap();
-            assert!(passed, "seed {seed}: {tallies}");
-        }
-    }
-}
+#[path = "prove_tests.rs"]
+mod tests;
--- a/crates/lab/src/prove/rules.rs
+++ b/crates/lab/src/prove/rules.rs
@@ -341,25 +341,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn every_change_bars_what_was_allowed_and_all_fits_in_time() {
-        for seed in 0..200 {
-            let plan = draw(seed, false);
-            assert_eq!((plan.changes.len(), plan.scenario.faults.len()), (4, 3));
-            let last = plan.scenario.seconds * 1000;
-            assert!(plan.scenario.faults.iter().all(|f| f.at_ms + f.for_ms < last));
-            let mut before = plan.first.clone();
-            for change in &plan.changes {
-                for (_, set) in &change.files {
-                    assert!(set.version == before.version + 1 && set.barred.len() < 3);
-                    assert!(!set.barred.is_subset(&before.barred), "{seed}");
-                }
-                before = change.files[0].1.clone();
-            }
-            assert!(draw(seed, true).changes.iter().any(|change| change.kind == "cut"));
-        }
-    }
-}
+#[path = "rules_tests.rs"]
+mod tests;
--- a/crates/lab/src/record/account.rs
+++ b/crates/lab/src/record/account.rs
@@ -337,43 +337,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const TEXT: &str = "seconds = 10\n[fleet]\nfronts = 2\nzones = 2\nengines_per_zone = 2\n\
-        [load]\nper_second = 20\nwork_ms = 100\ntimeout_ms = 2000\n\
-        [engine]\nslots = 8\ncold_slots = 2\nwarm_ms = 2000\n\
-        [[fault]]\nwhat = 'zone_lost'\nat_ms = 1000\nfor_ms = 1000\nzone = 1\n";
-
-    #[test]
-    fn the_order_that_fronts_shed_in_is_held_against_the_fleets() {
-        assert_eq!(ranks(&[0.5, 0.1, 0.5, 0.9]), [1.5, 0.0, 1.5, 3.0]);
-        let (one, same, turned) = (ranks(&[0.1, 0.2, 0.3]), ranks(&[1.0, 5.0, 9.0]), ranks(&[3.0, 2.0, 1.0]));
-        assert!((correlation(&one, &same) - 1.0).abs() < 1e-9);
-        assert!((correlation(&one, &turned) + 1.0).abs() < 1e-9);
-    }
-
-    fn sent(at: i64, statements: usize, passed: bool) -> Relayed {
-        Relayed { at, front: 0, engine: 2, zone: 1, statements, probes: 0, dials: 0, passed }
-    }
-
-    #[test]
-    fn the_load_into_a_returning_zone_is_held_against_what_it_bore_in_that_second() {
-        let scenario = Scenario::parse(TEXT, false, None).unwrap();
-        // Two engines grow from 2 to 8 slots in 2 s, whole slots: 2, 3 and 4 in the first second, ten times a second each.
-        let first = borne(&scenario, 0, SECOND);
-        assert!((59.0..61.0).contains(&first), "{first}");
-        let fault = scenario.faults[0].clone();
-        let mut account = Account { played: vec![(fault, SECOND, 2 * SECOND)], ..Account::default() };
-        account.relayed = vec![
-            sent(SECOND + 700_000, 1, false),
-            sent(2 * SECOND + 1, 30, true),
-            sent(3 * SECOND - 1, 60, true),
-        ];
-        let run = judge(&scenario, &account, Vec::new());
-        assert_eq!(run.tallies["zone_lost_last_sent_ms"], 700);
-        assert_eq!(run.tallies["returned_sent"], 90);
-        assert_eq!(run.tallies["return_load_over_bound_pct"], (9000.0 / first).round() as i64);
-        assert!(run.tallies["return_load_over_bound_pct"] > 100);
-    }
-}
+#[path = "account_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/lab/src/record/refused_tests.rs
@@ -0,0 +1,39 @@
+//! Unit tests of the `refused` module.
+
+use super::*;
+use crate::record::account::offered;
+use crate::record::cuts::Cut;
+
+#[test]
+fn a_refusal_without_an_excuse_is_found() {
+    let cut = Cut { from: 5_000_000, to: 9_000_000, groups: vec![1, 0, 0] };
+    let ways = Ways { fronts: 3, cuts: vec![cut], ..Ways::default() };
+    let terms = Terms { majority: 2, settles: 3_000_000, spare: 0 };
+    let found = |key: &str, front: usize, sent: i64| {
+        let mut own = offered("a", front, sent);
+        (own.asked.key, own.asked.outcome) = (key.into(), Outcome::Error("53000".into()));
+        let mut wrong = Violations::new();
+        check(&mut wrong, &[own], (&ways, terms));
+        !wrong.is_empty()
+    };
+    // What needs no promise is refused at a front that was stopped, and without an excuse elsewhere.
+    let stopped = Ways { fronts: 3, away: vec![(0, 5_000_000, 6_000_000)], ..Ways::default() };
+    for (front, sent, groundless) in [(0, 5_500_000, false), (1, 5_500_000, true), (0, 8_000_000, true)] {
+        let mut own = offered("a", front, sent);
+        own.asked.outcome = Outcome::Error("53000".into());
+        let mut wrong = Violations::new();
+        check(&mut wrong, &[own], (&stopped, terms));
+        assert_eq!(!wrong.is_empty(), groundless, "{front} {sent}");
+    }
+    // Two of one key at once: either may have had to wait for the other.
+    let both: Vec<Offered> = ["a", "b"].map(|id| offered(id, 1, 6_000_000)).into_iter().collect();
+    let both = both.into_iter().map(|mut own| {
+        (own.asked.key, own.asked.outcome) = ("k".into(), Outcome::Error("53000".into()));
+        own
+    });
+    let mut wrong = Violations::new();
+    check(&mut wrong, &both.collect::<Vec<_>>(), (&ways, terms));
+    assert!(wrong.is_empty());
+    assert!(found("k", 1, 6_000_000) && found("", 0, 6_000_000) && found("k", 0, 1_000_000));
+    assert!(!found("k", 0, 6_000_000) && !found("k", 0, 11_000_000) && found("k", 0, 13_000_000));
+}
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -124,9 +124,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    #[test]
-    fn a_fingerprint_is_the_same_in_every_build() {
-        assert_eq!(super::fingerprint("lab", &[3, 1, 2]), 0x6814_55d0_a5bb_cadc);
-    }
-}
+#[path = "lib_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/postgres/src/answer_tests.rs
@@ -0,0 +1,36 @@
+//! Unit tests of the `answer` module.
+
+use super::*;
+use crate::wire::{field, message};
+
+#[test]
+fn a_rejection_tells_its_wait_where_a_driver_reads_it() {
+    let mut out = Vec::new();
+    Final::Rejected { retry_after_ms: Some(250) }.write(&mut out, false);
+    let (tag, body, len) = message(&out, 1000).unwrap().unwrap();
+    assert_eq!((tag, len), (b'E', out.len()));
+    assert_eq!(field(body, b'C'), Some(&b"53000"[..]));
+    assert_eq!(field(body, b'D'), Some(&b"retry-after-ms=250"[..]));
+    out.clear();
+    Final::Rejected { retry_after_ms: None }.write(&mut out, true);
+    let (_, body, _) = message(&out, 1000).unwrap().unwrap();
+    assert_eq!((field(body, b'D'), field(body, b'S')), (None, Some(&b"FATAL"[..])));
+}
+
+#[test]
+fn only_errors_that_speak_of_the_engine_are_its_fault() {
+    for (code, fault) in [
+        ("53200", true),
+        ("57P01", true),
+        ("57P03", true),
+        ("58030", true),
+        ("XX000", true),
+        ("57014", false),
+        ("42P01", false),
+        ("23505", false),
+        ("40001", false),
+        ("", false),
+    ] {
+        assert_eq!(is_engine_fault(code.as_bytes()), fault, "{code}");
+    }
+}
--- /dev/null
+++ b/crates/postgres/src/entry_tests.rs
@@ -0,0 +1,89 @@
+//! Unit tests of the `entry` module.
+
+use super::*;
+use postgres_protocol::authentication::sasl::{ChannelBinding, ScramSha256};
+
+fn start_up(minor: u16, parameters: &[(&str, &str)]) -> Vec<u8> {
+    let mut out = Vec::new();
+    wire::write_start_up(&mut out, parameters);
+    out[6..8].copy_from_slice(&minor.to_be_bytes());
+    out
+}
+
+fn nobody(_: &str) -> Option<Access> {
+    None
+}
+
+fn trusted(_: &str) -> Option<Access> {
+    Some(Access::Trusted)
+}
+
+#[test]
+fn encryption_is_declined_and_a_start_up_in_any_pieces_comes_through() {
+    let mut input = b"\0\0\0\x08\x04\xd2\x16\x2f\0\0\0\x08\x04\xd2\x16\x30".to_vec();
+    let options = "-c statement_timeout=5s --search-path=a\\ b";
+    input.extend(start_up(2, &[("user", "u"), ("options", options), ("Application_Name", "x")]));
+    for cut in 0..input.len() {
+        let (mut entry, mut out) = (Entry::default(), Vec::new());
+        let (used, step) = entry.read(&input[..cut], trusted, b"", "n", &mut out).unwrap();
+        assert!(matches!(step, Step::More));
+        let (_, step) = entry.read(&input[used..], trusted, b"", "n", &mut out).unwrap();
+        let Step::Welcome(welcome) = step else { panic!("no welcome") };
+        assert_eq!((&*welcome.user, &*welcome.database), ("u", "u"));
+        assert_eq!(welcome.parameters["statement_timeout"], "5s");
+        assert_eq!(welcome.parameters["search_path"], "a b");
+        assert_eq!(welcome.parameters["application_name"], "x");
+        assert_eq!(&out[..3], b"NNv");
+    }
+}
+
+#[test]
+fn a_password_opens_the_door_and_nothing_else_does() {
+    let verifier = postgres_protocol::password::scram_sha_256(b"secret");
+    let verifier = Verifier::read(&verifier).unwrap();
+    let known = |user: &str| (user == "u").then(|| Access::Verifier(verifier.clone()));
+    for (user, password, opens) in [("u", "secret", true), ("u", "x", false), ("v", "secret", false)] {
+        let mut client = ScramSha256::new(password.as_bytes(), ChannelBinding::unsupported());
+        let (mut entry, mut out) = (Entry::default(), Vec::new());
+        entry.read(&start_up(0, &[("user", user)]), known, b"s", "n", &mut out).unwrap();
+        let mut message = Vec::new();
+        wire::write(&mut message, b'p', |out| {
+            wire::write_string(out, MECHANISM.as_bytes());
+            out.extend_from_slice(&(client.message().len() as u32).to_be_bytes());
+            out.extend_from_slice(client.message());
+        });
+        out.clear();
+        entry.read(&message, known, b"s", "n", &mut out).unwrap();
+        client.update(&out[9..]).unwrap();
+        message.clear();
+        wire::write(&mut message, b'p', |out| out.extend_from_slice(client.message()));
+        out.clear();
+        let (_, step) = entry.read(&message, known, b"s", "n", &mut out).unwrap();
+        assert_eq!(matches!(step, Step::Welcome(_)), opens, "{user} {password}");
+        assert_eq!(out[0], if opens { b'R' } else { b'E' });
+    }
+}
+
+#[test]
+fn what_can_not_come_in_is_told_why_or_is_cut_off() {
+    let mut out = Vec::new();
+    let mut refused = |input: &[u8]| {
+        out.clear();
+        Entry::default().read(input, nobody, b"", "n", &mut out).map(|(_, step)| {
+            assert!(matches!(step, Step::Refused));
+            let body = &out[out.iter().position(|c| *c == b'E').unwrap() + 5..];
+            String::from_utf8_lossy(wire::field(body, b'C').unwrap()).to_string()
+        })
+    };
+    assert_eq!(refused(&start_up(0, &[])).unwrap(), "08P01");
+    assert_eq!(refused(&start_up(0, &[("user", "u"), ("replication", "database")])).unwrap(), "0A000");
+    assert_eq!(refused(b"\0\0\0\x08\0\x02\0\0").unwrap(), "0A000");
+    let questions = b"\0\0\0\x08\x04\xd2\x16\x2f".repeat(3);
+    assert!(refused(&questions).is_err());
+    let mut early = start_up(0, &[("user", "u")]);
+    early.extend_from_slice(b"Q\0\0\0\x05\0");
+    assert!(refused(&early).is_err());
+    early.truncate(early.len() - 6);
+    early.extend_from_slice(b"p\x7f\xff\xff\xff");
+    assert!(refused(&early).is_err());
+}
--- a/crates/postgres/src/prepared.rs
+++ b/crates/postgres/src/prepared.rs
@@ -105,30 +105,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_same_text_is_kept_once_and_goes_with_the_last_that_holds_it() {
-        let mut catalogue = Catalogue::default();
-        let first = catalogue.prepare(b"select 1\0\0\0");
-        assert!(Rc::ptr_eq(&first, &catalogue.prepare(b"select 1\0\0\0")));
-        assert_ne!(first.number, catalogue.prepare(b"select 1\0\0\x01\0\0\0\x17").number);
-        assert_eq!(first.text(), b"select 1");
-        for i in 0..10 * SWEEP_FROM {
-            catalogue.prepare(format!("select {i}\0\0\0").as_bytes());
-        }
-        assert!(catalogue.prepared.len() <= 2 * SWEEP_FROM);
-        assert!(Rc::ptr_eq(&first, &catalogue.prepare(b"select 1\0\0\0")));
-    }
-
-    #[test]
-    fn settings_follow_their_changes_and_can_be_set_again() {
-        let mut settings = Settings::default();
-        let scan = sql::scan(b"SET a = 1; SET b = 2; SET a = 3; RESET b; SET c TO 'x'");
-        scan.changes.iter().for_each(|change| settings.change(change));
-        assert_eq!(settings.again(), "RESET ALL; SET a = 3; SET c TO 'x'");
-        settings.change(&Change::ResetAll);
-        assert_eq!(settings.again(), "RESET ALL");
-    }
-}
+#[path = "prepared_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/postgres/src/sql_tests.rs
@@ -0,0 +1,118 @@
+//! Unit tests of the `sql` module.
+
+use super::*;
+
+fn set(name: &str, again: &str) -> Change {
+    Change::Set { name: name.into(), again: again.into() }
+}
+
+#[test]
+fn what_changes_a_session_is_found_and_can_be_said_again() {
+    for (text, changes) in [
+        ("SET search_path = a, b", vec![set("search_path", "SET search_path = a, b")]),
+        ("set session Work_Mem to '4MB';", vec![set("work_mem", "SET Work_Mem to '4MB'")]),
+        ("SET TIME ZONE 'UTC'", vec![set("timezone", "SET TIME ZONE 'UTC'")]),
+        ("SET NAMES 'UTF8'", vec![set("client_encoding", "SET NAMES 'UTF8'")]),
+        ("SET my.app = 'x;y'", vec![set("my.app", "SET my.app = 'x;y'")]),
+        ("SET LOCAL work_mem = 1", vec![]),
+        ("SET TRANSACTION READ ONLY", vec![]),
+        ("RESET work_mem; RESET ALL", vec![Change::Reset("work_mem".into()), Change::ResetAll]),
+        ("SET work_mem TO DEFAULT", vec![Change::Reset("work_mem".into())]),
+        ("select 'SET a = 1'; -- set b = 2\n/* set c = 3; */", vec![]),
+    ] {
+        assert_eq!(scan(text.as_bytes()).changes, changes, "{text}");
+    }
+}
+
+#[test]
+fn what_shared_connections_can_not_carry_is_found_and_its_like_is_not() {
+    for (text, not_here) in [
+        ("COPY t FROM STDIN", true),
+        ("copy t (a) from  stdin with csv", true),
+        ("COPY t TO STDOUT", false),
+        ("CREATE TEMP TABLE t (a int)", true),
+        ("create local temporary table t as select 1", true),
+        ("select 1 into temp t", true),
+        ("create table temp (temp int)", false),
+        ("declare c cursor with hold for select 1", true),
+        ("declare c cursor for select 1", false),
+        ("select pg_advisory_lock(1)", true),
+        ("select PG_TRY_ADVISORY_LOCK_SHARED(1)", true),
+        ("select pg_advisory_xact_lock(1)", false),
+        ("select 'pg_advisory_lock(1)'", false),
+        ("select $$ pg_advisory_lock(1) $$, $a$;listen x;$a$", false),
+        ("select set_config('a', 'b', false)", true),
+        ("select set_config('a', 'b', true)", false),
+        ("LISTEN x", true),
+        ("NOTIFY x", false),
+        ("PREPARE a AS select 1", true),
+        ("execute a", true),
+        ("DEALLOCATE a", true),
+        ("DEALLOCATE ALL", false),
+        ("DISCARD ALL", false),
+        ("DISCARD TEMP", true),
+        ("select 1; DISCARD ALL", true),
+        ("DISCARD ALL; select 1", true),
+        ("SET ROLE x", true),
+        ("SET SESSION AUTHORIZATION x", true),
+        ("SET standard_conforming_strings = off", true),
+        ("SET standard_conforming_strings = on", false),
+        ("PREPARE TRANSACTION 'x'", true),
+        ("select $1, $2", false),
+        ("select e'it\\'s; listen x'", false),
+    ] {
+        assert_eq!(scan(text.as_bytes()).not_here.is_some(), not_here, "{text}");
+    }
+}
+
+#[test]
+fn transactions_are_seen_by_their_first_words() {
+    let seen = |text: &str| {
+        let scan = scan(text.as_bytes());
+        (scan.statements, scan.begins, scan.commits, scan.rolls_back)
+    };
+    assert_eq!(seen("BEGIN"), (1, true, false, false));
+    assert_eq!(seen("start transaction; select 1; end;"), (3, true, true, false));
+    assert_eq!(seen("ROLLBACK TO SAVEPOINT a"), (1, false, false, false));
+    assert_eq!(seen("/* c */ rollback;;"), (1, false, false, true));
+    assert_eq!(seen("select case when true then 1 end"), (1, false, false, false));
+    assert_eq!(seen(""), (0, false, false, false));
+}
+
+#[test]
+fn labels_come_from_statements_and_leading_comments() {
+    let own = |text: &str| scan(text.as_bytes()).own;
+    assert_eq!(own("SET hallmux.workload = 'report'"), Some(Own::Label("workload".into(), "report".into())));
+    assert_eq!(own("set \"hallmux\".key to 'it''s'"), Some(Own::Label("key".into(), "it's".into())));
+    assert_eq!(own("RESET hallmux.key"), Some(Own::Label("key".into(), String::new())));
+    assert_eq!(own("SET hallmux.key = 'a'; select 1"), None);
+    let label = scan(b"/*a='b'*/ /*hallmux.workload='re%20port',hallmux.key='k'*/ select 1").label;
+    assert_eq!((label.workload.as_deref(), label.key.as_deref()), (Some("re port"), Some("k")));
+    assert_eq!(scan(b"select 1 /*hallmux.workload='x'*/").label, Label::default());
+    assert_eq!(scan(b"/*hallmux.workload='x'").label, Label::default());
+}
+
+#[test]
+fn any_bytes_are_read_to_their_end() {
+    for text in
+        ["'", "\"", "$", "$$", "$a$", "e'\\", "/*", "--", "set", "set session", "reset", "set a", "\u{e9}$"]
+    {
+        scan(text.as_bytes());
+        scan(format!("set hallmux.{text}").as_bytes());
+        scan(format!("select set_config{text}").as_bytes());
+    }
+    scan(&(0..=255).collect::<Vec<u8>>());
+}
+
+#[test]
+fn times_are_read_with_their_units() {
+    for (text, micros) in [
+        ("250", Some(250_000)),
+        ("'5s'", Some(5_000_000)),
+        ("1 min", Some(60_000_000)),
+        ("x", None),
+        ("1y", None),
+    ] {
+        assert_eq!(time(text), micros, "{text}");
+    }
+}
--- /dev/null
+++ b/crates/postgres/src/wire_tests.rs
@@ -0,0 +1,71 @@
+//! Unit tests of the `wire` module.
+
+use super::*;
+
+fn start_up(parameters: &[(&str, &str)]) -> Vec<u8> {
+    let mut out = Vec::new();
+    write_start_up(&mut out, parameters);
+    out
+}
+
+#[test]
+fn an_opening_is_read_once_it_is_whole_and_not_before() {
+    let packet = start_up(&[("user", "a"), ("database", "b")]);
+    for cut in 0..packet.len() {
+        assert_eq!(opening(&packet[..cut]), Ok(None));
+    }
+    let parameters = vec![("user", "a"), ("database", "b")];
+    assert_eq!(opening(&packet), Ok(Some((packet.len(), Opening::StartUp { minor: 0, parameters }))));
+    let mut cancel = Vec::new();
+    write_cancel(&mut cancel, 7, 9);
+    assert_eq!(opening(&cancel), Ok(Some((16, Opening::Cancel { process: 7, secret: 9 }))));
+    assert_eq!(opening(b"\0\0\0\x08\x04\xd2\x16\x2f"), Ok(Some((8, Opening::Encrypt))));
+}
+
+#[test]
+fn openings_that_can_not_be_are_told_at_once() {
+    assert!(opening(b"\xff\xff\xff\xff").is_err());
+    assert!(opening(b"\0\0\0\x04").is_err());
+    assert!(opening(b"GET / HTTP/1.1\r\n").is_err());
+    assert!(opening(b"\0\0\0\x09\0\x03\0\0x").is_err());
+}
+
+#[test]
+fn every_kind_of_message_is_read_whole_and_refused_when_it_is_cut_or_long() {
+    for (tag, body) in [
+        (b'Q', &b"select 1\0"[..]),
+        (b'P', b"s\0select $1\0\0\x01\0\0\0\x17"),
+        (b'B', b"p\0s\0\0\0\0\0\0\0"),
+        (b'D', b"Ss\0"),
+        (b'E', b"p\0\0\0\0\0"),
+        (b'C', b"Pp\0"),
+        (b'S', b""),
+        (b'H', b""),
+        (b'X', b""),
+    ] {
+        assert!(said(tag, body).is_ok(), "{}", tag as char);
+        let mut whole = Vec::new();
+        write(&mut whole, tag, |out| out.extend_from_slice(body));
+        for cut in 0..whole.len() {
+            assert_eq!(message(&whole[..cut], 100), Ok(None));
+        }
+        assert_eq!(message(&whole, 100), Ok(Some((tag, body, whole.len()))));
+        assert!(message(&whole, whole.len() - 1).is_err());
+        if tag != b'B' {
+            let longer = [body, b"x"].concat();
+            assert!(said(tag, &longer).is_err(), "{}", tag as char);
+        }
+        if !body.is_empty() && tag != b'B' {
+            assert!(said(tag, &body[..body.len() - 1]).is_err(), "{}", tag as char);
+        }
+    }
+    assert!(said(b'p', b"secret\0").is_err());
+    assert!(head(b"Q\0\0\0\x03").is_err() && head(b"Q\xff\xff\xff\xff").is_err());
+}
+
+#[test]
+fn the_fields_of_an_error_are_found() {
+    assert_eq!(field(b"SERROR\0C42P01\0Mno such\0\0", b'C'), Some(&b"42P01"[..]));
+    assert_eq!(field(b"SERROR\0\0C1\0", b'C'), None);
+    assert_eq!(field(b"SERR", b'S'), None);
+}
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -230,52 +230,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use omnipaxos::storage::NoSnapshot;
-
-    #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-    struct Number(u64);
-
-    impl Entry for Number {
-        type Snapshot = NoSnapshot;
-    }
-
-    fn store() -> Store<Number> {
-        Store::new(Held::default())
-    }
-
-    fn numbers(of: std::ops::Range<u64>) -> Vec<Number> {
-        of.map(Number).collect()
-    }
-
-    #[test]
-    fn trimmed_entries_keep_their_places() {
-        let mut store = store();
-        store.append_entries(numbers(0..10)).unwrap();
-        store.trim(4).unwrap();
-        store.set_compacted_idx(4).unwrap();
-        store.set_decided_idx(8).unwrap();
-        assert_eq!(store.get_entries(5, 7).unwrap(), numbers(5..7));
-        assert_eq!(store.get_suffix(9).unwrap(), numbers(9..10));
-        assert!(store.get_entries(3, 5).unwrap().is_empty() && store.get_entries(9, 11).unwrap().is_empty());
-        // Up to what is decided, not what was accepted, and not nothing.
-        assert_eq!(store.get_entries(6, 12).unwrap(), numbers(6..8));
-        store.append_on_prefix(6, numbers(99..100)).unwrap();
-        assert_eq!(store.get_suffix(4).unwrap(), [Number(4), Number(5), Number(99)]);
-    }
-
-    #[test]
-    fn changes_are_told_once_from_the_first_entry_on() {
-        let mut store = store();
-        assert_eq!(store.changes(), None);
-        store.set_decided_idx(0).unwrap();
-        assert_eq!(store.changes(), Some(Changes::default()));
-        store.append_entries(numbers(0..4)).unwrap();
-        assert_eq!(store.changes().unwrap().log_from, Some(0));
-        store.append_on_prefix(2, numbers(7..8)).unwrap();
-        store.append_entry(Number(9)).unwrap();
-        assert_eq!(store.changes(), Some(Changes { must: true, log_from: Some(2), snapshot: false }));
-        assert_eq!((store.changes(), store.look(Held::end)), (None, 4));
-    }
-}
+#[path = "lib_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/replica/src/order_tests.rs
@@ -0,0 +1,21 @@
+//! Unit tests of the `order` module.
+
+use super::*;
+
+#[test]
+fn what_was_overtaken_or_comes_twice_is_not_taken() {
+    let mut order = Order::default();
+    for (from, life, number, taken) in [
+        (1, 1, 1, true),
+        (1, 1, 3, true),
+        (1, 1, 2, false),
+        (1, 1, 3, false),
+        (2, 1, 1, true), // each sender counts for itself
+        (1, 1, 0, true), // that need not come in order
+        (1, 2, 1, true),
+        (1, 1, 9, false), // of an earlier life
+        (1, 2, 2, true),
+    ] {
+        assert_eq!(order.takes(from, life, number), taken, "{from} {life} {number}");
+    }
+}
