--- a/crates/lab/src/engine/lines.rs
+++ b/crates/lab/src/engine/lines.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicI64, AtomicU32, AtomicUsize, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -138,9 +138,11 @@
         }
     }
 
-    /// Serves a connection; what still runs when it ends is stopped, as engines do that can't answer any more.
+    /// Serves a connection; what still runs when it ends is stopped, as engines do that can't answer any more. The
+    /// connection is closed after that is on the record, so that nobody can know of the close before.
     fn serve(self: &Arc<Self>, stream: TcpStream) -> std::io::Result<()> {
         let runs: Runs = Arc::default();
+        let own_side = stream.try_clone()?;
         let served = self.converse(stream, &runs);
         if let Ok(mut runs) = runs.lock() {
             for (_, (own, link)) in runs.drain() {
@@ -148,6 +150,7 @@
                 self.note(link, Kind::Ended { id: own });
             }
         }
+        let _ = own_side.shutdown(Shutdown::Both);
         served
     }
 
@@ -207,10 +210,13 @@
             }
             std::thread::spawn(move || {
                 std::thread::sleep(Duration::from_millis(ms));
-                if !goes_on && runs.lock().is_ok_and(|mut runs| runs.remove(&id).is_none()) {
-                    return; // stopped with its connection
+                // Noted under the lock: once `serve` has it, every end that its close could tell of is on the record.
+                if let Ok(mut runs) = runs.lock() {
+                    if runs.remove(&id).is_none() && !goes_on {
+                        return; // stopped with its connection
+                    }
+                    engine.note(link, Kind::Ended { id: own.clone() });
                 }
-                engine.note(link, Kind::Ended { id: own.clone() });
                 engine.note(link, Kind::Kept { id: own.clone() });
                 if let Some(front) = front.filter(|_| keyed) {
                     engine.records.reached(Step::Kept, front);
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab/src/rig/relay.rs
@@ -4,12 +4,12 @@
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
 use crate::engine::{Lines, Records, Said, Word};
 
-const STOPS: Duration = Duration::from_millis(30); // for engines to stop what runs for a connection that ended
 const CHUNK: usize = 16 << 10; // bytes read and passed on at once
 
 /// What a link does now.
@@ -37,6 +37,21 @@
     pub passed: bool,
 }
 
+/// One connection through the relay: the engine's side of it, and whether the link has been reset under it.
+struct Connection {
+    engine_side: TcpStream,
+    is_reset: Arc<AtomicBool>,
+}
+
+/// Which way bytes pass in one of a connection's two threads, and what both know of the connection.
+struct Way {
+    /// From the front towards the engine.
+    out: bool,
+    /// The relay's port at the engine.
+    port: u16,
+    is_reset: Arc<AtomicBool>,
+}
+
 /// One front's way to one engine.
 pub struct Link {
     pub front: usize,
@@ -44,8 +59,7 @@
     pub zone: usize,
     pub at: SocketAddr,
     state: Mutex<State>,
-    /// The engine's side of each connection.
-    open: Mutex<Vec<TcpStream>>,
+    open: Mutex<Vec<Connection>>,
     records: Arc<Records>,
     relayed: Arc<Mutex<Vec<Relayed>>>,
 }
@@ -74,17 +88,20 @@
                 if let Ok(own) = far.local_addr() {
                     takes.records.opened(own, to, takes.front);
                 }
-                if let (Ok(far2), Ok(mut open)) = (far.try_clone(), takes.open.lock()) {
-                    open.retain(|far| far.peer_addr().is_ok());
-                    open.push(far2);
+                let is_reset = Arc::new(AtomicBool::new(false));
+                if let (Ok(engine_side), Ok(mut open)) = (far.try_clone(), takes.open.lock()) {
+                    open.retain(|connection| connection.engine_side.peer_addr().is_ok());
+                    open.push(Connection { engine_side, is_reset: is_reset.clone() });
                 }
                 let (out, back) = (takes.clone(), takes.clone());
                 let (near_r, far_r) = match (near.try_clone(), far.try_clone()) {
                     (Ok(n), Ok(f)) => (n, f),
                     _ => continue,
                 };
-                std::thread::spawn(move || out.pass(near_r, far, (true, port)));
-                std::thread::spawn(move || back.pass(far_r, near, (false, port)));
+                let ways = [true, false].map(|out| Way { out, port, is_reset: is_reset.clone() });
+                let [way_out, way_back] = ways;
+                std::thread::spawn(move || out.pass(near_r, far, &way_out));
+                std::thread::spawn(move || back.pass(far_r, near, &way_back));
             }
         });
         Ok(link)
@@ -100,11 +117,15 @@
         self.state.lock().map(|s| *s).unwrap_or_default()
     }
 
-    /// Resets every connection through it, as a network that drops them does: first the engine's side.
+    /// Resets every connection through it, as a network that drops them does, the engine's side first: an engine
+    /// stops what runs for a connection that ended and closes its own side, and only that close reaches the front.
+    /// An engine without a CPU may take long for that; were the front told after a fixed time, what it sends again
+    /// would run beside what the engine has not stopped yet, and the record would blame the front for it.
     pub fn reset(&self) {
         if let Ok(mut open) = self.open.lock() {
-            for far in open.drain(..) {
-                let _ = far.shutdown(Shutdown::Both);
+            for connection in open.drain(..) {
+                connection.is_reset.store(true, SeqCst);
+                let _ = connection.engine_side.shutdown(Shutdown::Write);
             }
         }
     }
@@ -123,7 +144,7 @@
         self.records.hears(Word { at: self.records.now(), front, engine, port, said });
     }
 
-    fn pass(&self, mut from: TcpStream, mut to: TcpStream, (out, port): (bool, u16)) {
+    fn pass(&self, mut from: TcpStream, mut to: TcpStream, way: &Way) {
         let mut chunk = vec![0; CHUNK];
         let mut lines = Lines::default();
         loop {
@@ -132,14 +153,15 @@
                 Ok(read) => read,
             };
             let state = self.state();
-            let lost = if out { state.out_lost } else { state.back_lost };
-            if out {
+            let cut = if way.out { state.out_lost } else { state.back_lost };
+            let lost = cut || way.is_reset.load(SeqCst);
+            if way.out {
                 let count = |word: &[u8]| chunk[..read].windows(5).filter(|w| *w == word).count();
                 self.notes((count(b"want "), count(b"busy "), 0), !lost);
                 self.records.sends(self.front, &chunk[..read]);
             }
             for (word, id) in lines.take(&chunk[..read]) {
-                self.hears(port, Said::Line { word, id, passed: !lost });
+                self.hears(way.port, Said::Line { word, id, passed: !lost });
             }
             if lost {
                 continue;
@@ -147,16 +169,12 @@
             if state.delay_ms > 0 {
                 std::thread::sleep(Duration::from_millis(state.delay_ms));
             }
-            if to.write_all(&chunk[..read]).is_err() {
+            // A write that a reset overtakes fails; the front hears of the reset by the engine's close alone.
+            if to.write_all(&chunk[..read]).is_err() && !way.is_reset.load(SeqCst) {
                 break;
             }
         }
-        self.hears(port, if out { Said::FrontClosed } else { Said::EngineClosed });
-        if !out {
-            // The engine is given the time to stop what runs for the connection, so that what the front sends again
-            // elsewhere does not run beside it on the record.
-            std::thread::sleep(STOPS);
-        }
+        self.hears(way.port, if way.out { Said::FrontClosed } else { Said::EngineClosed });
         let _ = (from.shutdown(Shutdown::Both), to.shutdown(Shutdown::Both));
     }
 }
--- a/crates/lab/src/rig/relay_tests.rs
+++ b/crates/lab/src/rig/relay_tests.rs
@@ -1,6 +1,7 @@
 //! Unit tests of the `relay` module.
 
 use super::*;
+use std::io::ErrorKind;
 
 fn echo() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -38,3 +39,33 @@
     link.reset();
     assert!(matches!(s.read(&mut b), Ok(0) | Err(_)));
 }
+
+#[test]
+fn the_front_hears_of_a_reset_only_after_the_engine_has_closed_its_side() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let at = listener.local_addr().unwrap();
+    let stopped = Arc::new(AtomicBool::new(false));
+    let engine_stopped = stopped.clone();
+    std::thread::spawn(move || {
+        let (mut connection, _) = listener.accept().unwrap();
+        let mut bytes = [0; 64];
+        while let Ok(1..) = connection.read(&mut bytes) {}
+        // An engine that had no CPU for a while: it says what the front must not get, and stops late.
+        let _ = connection.write_all(b"late");
+        std::thread::sleep(Duration::from_millis(300));
+        engine_stopped.store(true, SeqCst);
+    });
+    let link = Link::start((0, 0, 0), at, Records::new(), Arc::default()).unwrap();
+    let mut front = TcpStream::connect(link.at).unwrap();
+    front.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+    front.write_all(b"want a\r\n").unwrap();
+    while link.open.lock().unwrap().is_empty() {
+        std::thread::yield_now();
+    }
+    link.reset();
+    // Bytes that cross the reset end nothing.
+    front.write_all(b"want b\r\n").unwrap();
+    let heard = front.read(&mut [0; 16]).map_err(|e| e.kind());
+    assert!(matches!(heard, Ok(0) | Err(ErrorKind::ConnectionReset)), "{heard:?}");
+    assert!(stopped.load(SeqCst), "the front was told while the engine still ran");
+}
