--- a/crates/lab/src/engine/record.rs
+++ b/crates/lab/src/engine/record.rs
@@ -9,6 +9,7 @@
 use nix::unistd::Pid;
 
 use super::words::Word;
+use crate::rig::death::DeathStep;
 use crate::rig::scenario::Step;
 
 /// What an engine did; times are microseconds since the rig began.
@@ -56,13 +57,8 @@
 
 /// A front that is to die at a step of a promise.
 pub struct Armed {
-    pub step: Step,
-    pub front: usize,
+    pub death: DeathStep,
     pub pid: u32,
-    /// So many more may pass before it does.
-    pub wait: u32,
-    /// A statement that needs a promise has come to it since.
-    pub asked: bool,
 }
 
 impl Records {
@@ -141,13 +137,8 @@
     /// A step of a promise is reached at a front: true if it has just died of that.
     pub fn reached(&self, step: Step, front: usize) -> bool {
         let Ok(mut now) = self.armed.lock() else { return false };
-        let Some(armed) = now.as_mut().filter(|armed| armed.front == front) else { return false };
-        armed.asked |= step == Step::Taken;
-        if armed.step != step || !armed.asked {
-            return false;
-        }
-        if let Some(wait) = armed.wait.checked_sub(1) {
-            armed.wait = wait;
+        let Some(armed) = now.as_mut() else { return false };
+        if !armed.death.is_reached(step, front) {
             return false;
         }
         // Before it dies: what its clients lose by that is lost after this.
--- a/crates/lab/src/engine/record_tests.rs
+++ b/crates/lab/src/engine/record_tests.rs
@@ -15,7 +15,7 @@
 fn a_front_dies_at_its_own_step_of_a_statement_that_came_since() {
     let records = Records::new();
     let mut child = std::process::Command::new("sleep").arg("60").spawn().unwrap();
-    let armed = |wait| Armed { step: Step::Copying, front: 1, pid: child.id(), wait, asked: false };
+    let armed = |draw| Armed { death: DeathStep::new(Step::Copying, 1, draw), pid: child.id() };
     records.arm(Some(armed(1)));
     assert!(!records.reached(Step::Copying, 1), "nothing was asked yet");
     assert!(!records.reached(Step::Taken, 0) && !records.reached(Step::Taken, 1));
--- a/crates/lab/src/prove/disks.rs
+++ b/crates/lab/src/prove/disks.rs
@@ -14,7 +14,7 @@
 use crate::record::account::{judge, Run};
 use crate::rig::fleet::{play, Fleet, Plays};
 use crate::rig::member::Beside;
-use crate::rig::scenario::{Class, Effect, Fault, Load, Scenario, Shape, Step, What};
+use crate::rig::scenario::{Class, Fault, Load, Scenario, Shape, Step, What};
 
 const FIRST_MS: u64 = 2_500; // milliseconds of load before the first loss
 const SLOT_MS: u64 = 7_000; // milliseconds from one loss to the next: the repair lies between
@@ -81,24 +81,9 @@
     let full = fault(What::DiskFull, at + SLOT_MS, 2_500);
     let owners = vec![slow, full];
     let end_ms = at + 2 * SLOT_MS + AFTER_MS;
-    let keyed = Class {
-        share: 2.0,
-        importance: 8.0,
-        effect: Effect::Deduplicated,
-        keys: chance.random_range(20..30),
-        work_ms: Some(chance.random_range(60..140)),
-        goes_on: true,
-        asks_again: 2,
-        ..Class::plain("log-load", 2_000)
-    };
-    let once = Class {
-        importance: 8.0,
-        effect: Effect::NonIdempotent,
-        work_ms: Some(chance.random_range(30..90)),
-        goes_on: true,
-        asks_again: 2,
-        ..Class::plain("pay", 2_000)
-    };
+    let (keys, work_ms) = (chance.random_range(20..30), chance.random_range(60..140));
+    let keyed = Class { share: 2.0, asks_again: 2, ..shape::keyed(keys, work_ms) };
+    let once = Class { asks_again: 2, ..shape::once(chance.random_range(30..90)) };
     let scenario = Scenario {
         seed: Some(seed),
         seconds: end_ms.div_ceil(1_000),
--- a/crates/lab/src/prove/promises.rs
+++ b/crates/lab/src/prove/promises.rs
@@ -10,7 +10,7 @@
 
 use super::shape;
 use crate::rig;
-use crate::rig::scenario::{Class, Effect, Fault, Load, Scenario, Shape, Step, What};
+use crate::rig::scenario::{Class, Fault, Load, Scenario, Shape, Step, What};
 use crate::simulated::{self, Spoil};
 
 const SLOT_MS: u64 = 5_000; // milliseconds from one fault to the next: its own time, and the repair after it
@@ -102,24 +102,9 @@
             }
         }
     }
-    let keyed = Class {
-        share: 2.0,
-        importance: 8.0,
-        effect: Effect::Deduplicated,
-        keys: chance.random_range(12..20),
-        work_ms: Some(chance.random_range(60..160)),
-        goes_on: true,
-        asks_again: 2,
-        ..Class::plain("log-load", 2_000)
-    };
-    let once = Class {
-        importance: 8.0,
-        effect: Effect::NonIdempotent,
-        work_ms: Some(chance.random_range(30..90)),
-        goes_on: true,
-        asks_again: 2,
-        ..Class::plain("pay", 2_000)
-    };
+    let (keys, work_ms) = (chance.random_range(12..20), chance.random_range(60..160));
+    let keyed = Class { share: 2.0, asks_again: 2, ..shape::keyed(keys, work_ms) };
+    let once = Class { asks_again: 2, ..shape::once(chance.random_range(30..90)) };
     Scenario {
         seed: Some(seed),
         seconds: (FIRST_MS + kinds.len() as u64 * SLOT_MS + AFTER_MS) / 1000,
--- /dev/null
+++ b/crates/lab/src/rig/death.rs
@@ -0,0 +1,38 @@
+//! The step of a promise at which a front is to die, for fronts that are processes and for simulated ones.
+
+use super::scenario::Step;
+
+/// Every so many messages one is where a front dies that is to die while it sends copies.
+const COPIES_APART: u64 = 4;
+
+/// A front that is to die at a step of a promise.
+pub struct DeathStep {
+    pub step: Step,
+    pub front: usize,
+    /// How often the step may still be passed before the front dies of it.
+    passes_left: u64,
+    /// A statement that needs a promise has come to the front since.
+    asked: bool,
+}
+
+impl DeathStep {
+    /// Among several copies on their way `draw` chooses the one, so that each loss is between others.
+    pub fn new(step: Step, front: usize, draw: u64) -> DeathStep {
+        let passes_left = if step == Step::Copying { draw % COPIES_APART } else { 0 };
+        DeathStep { step, front, passes_left, asked: false }
+    }
+
+    /// Takes note of a step that a front has come to; true if this front dies of it now.
+    pub fn is_reached(&mut self, step: Step, front: usize) -> bool {
+        if self.front != front {
+            return false;
+        }
+        self.asked |= step == Step::Taken;
+        if self.step != step || !self.asked {
+            return false;
+        }
+        let dies = self.passes_left == 0;
+        self.passes_left = self.passes_left.saturating_sub(1);
+        dies
+    }
+}
--- a/crates/lab/src/rig/mod.rs
+++ b/crates/lab/src/rig/mod.rs
@@ -3,6 +3,7 @@
 pub mod agreed;
 mod class;
 mod coordinator;
+pub mod death;
 mod fault;
 pub mod fleet;
 mod front;
--- a/crates/lab/src/rig/stage.rs
+++ b/crates/lab/src/rig/stage.rs
@@ -6,9 +6,10 @@
 use nix::sys::signal::Signal;
 
 use super::agreed::zone_name;
+use super::death::DeathStep;
 use super::member::{Ground, Member, SOCKETS};
 use super::relay::Link;
-use super::scenario::{Fault, Step, What};
+use super::scenario::{Fault, What};
 use crate::engine::lines::Engine;
 use crate::engine::{Armed, Records};
 
@@ -45,9 +46,7 @@
         let pid = member.front.lock().ok().and_then(|front| front.as_ref().map(|f| f.pid()));
         let (step, pid) = fault.step.zip(pid)?;
         let since = self.records.now();
-        // Of some words on their way, in turn: each loss is between others.
-        let wait = if step == Step::Copying { (fault.at_ms % 4) as u32 } else { 0 };
-        self.records.arm(Some(Armed { step, front: fault.front, pid, wait, asked: false }));
+        self.records.arm(Some(Armed { death: DeathStep::new(step, fault.front, fault.at_ms), pid }));
         let until = std::time::Instant::now() + STEP_WITHIN;
         while self.records.is_armed() && std::time::Instant::now() < until {
             std::thread::sleep(std::time::Duration::from_millis(1));
--- a/crates/lab/src/simulated/clients.rs
+++ b/crates/lab/src/simulated/clients.rs
@@ -48,7 +48,7 @@
         };
         let here: Vec<usize> = (0..self.members.len()).filter(here).collect();
         // A front that is to die at a step of a promise is given one: among hundreds it would wait for long.
-        let armed = self.armed.as_ref().map(|armed| armed.front);
+        let armed = self.armed.as_ref().map(|armed| armed.death.front);
         let armed = armed.filter(|front| class.needs_promise() && here.contains(front));
         let drawn = here.get(self.chance.random_range(0..here.len().max(1))).copied();
         let Some(front) = armed.or(drawn) else { return };
--- a/crates/lab/src/simulated/steps.rs
+++ b/crates/lab/src/simulated/steps.rs
@@ -4,6 +4,7 @@
 
 use super::play::{Event, Play};
 use crate::check::Outcome;
+use crate::rig::death::DeathStep;
 use crate::rig::scenario::{Fault, Step, What};
 
 const WITHIN: i64 = 1_500_000; // microseconds for a front to come to a step
@@ -11,30 +12,23 @@
 
 /// A front that is to die at a step of a promise.
 pub(super) struct Armed {
-    step: Step,
-    pub(super) front: usize,
-    /// So many more may pass before it does.
-    wait: u64,
-    /// A statement that needs a promise has come to it since.
-    asked: bool,
+    pub(super) death: DeathStep,
     /// The fault's place in the scenario.
     fault: usize,
 }
 
 impl Play<'_> {
     /// The front of a fault is to die: at once, or at its step.
-    pub(super) fn dooms(&mut self, place: usize, front: usize, step: Option<Step>, wait: u64) {
+    pub(super) fn dooms(&mut self, place: usize, front: usize, step: Option<Step>, draw: u64) {
         let Some(step) = step else { return self.dies(front) };
-        // Of some words on their way, in turn: each loss is between others.
-        let wait = if step == Step::Copying { wait % 4 } else { 0 };
-        self.armed = Some(Armed { step, front, wait, asked: false, fault: place });
+        self.armed = Some(Armed { death: DeathStep::new(step, front, draw), fault: place });
         self.at(self.now + WITHIN, Event::Unarmed(place));
     }
 
     /// The front came to no such step in time: it dies all the same, and the run has to say so.
     pub(super) fn unarmed(&mut self, fault: usize) {
         if let Some(armed) = self.armed.take_if(|armed| armed.fault == fault) {
-            self.dies(armed.front);
+            self.dies(armed.death.front);
         }
     }
 
@@ -45,13 +39,7 @@
 
     /// A step of a promise is reached at a front: true if it has just died of that.
     pub(super) fn reached(&mut self, step: Step, front: usize) -> bool {
-        let Some(armed) = self.armed.as_mut().filter(|armed| armed.front == front) else { return false };
-        armed.asked |= step == Step::Taken;
-        if armed.step != step || !armed.asked {
-            return false;
-        }
-        if let Some(wait) = armed.wait.checked_sub(1) {
-            armed.wait = wait;
+        if !self.armed.as_mut().is_some_and(|armed| armed.death.is_reached(step, front)) {
             return false;
         }
         self.armed = None;
