--- a/crates/agreement/src/contract.rs
+++ b/crates/agreement/src/contract.rs
@@ -88,7 +88,9 @@
 #[serde(rename_all = "camelCase", default)]
 struct Extra {
     class_waits: Vec<bool>,
-    cost_in_answers: bool,
+    /// Its type is checked; nothing uses it.
+    #[serde(rename = "costInAnswers")]
+    _cost_in_answers: bool,
     writes_tables: Vec<bool>,
     parallelism: Vec<f64>,
     grants_count: bool,
@@ -156,7 +158,6 @@
     pub keepalive: Micros,
     pub executions_per_connection: usize,
     pub most_held: usize,
-    pub cost_in_answers: bool,
     /// How long after the client's time is up a final answer still counts.
     pub answer_slack: Micros,
     /// Engines may be told to give an execution up.
@@ -197,7 +198,6 @@
         keepalive: micros(read.bounds.keepalive_ms.unwrap_or(KEEPALIVE_MS)),
         executions_per_connection: read.bounds.streams_per_conn.unwrap_or(1).max(1),
         most_held: read.bounds.most_held.unwrap_or(MOST_HELD),
-        cost_in_answers: read.extra.cost_in_answers,
         answer_slack: micros(read.rules.answer_slack_ms),
         cancel: read.bounds.cancelling,
     };
--- a/crates/codec/src/engine.rs
+++ b/crates/codec/src/engine.rs
@@ -7,7 +7,7 @@
 const LONGEST_LINE: usize = 4096; // bytes; the longest hold a load report and some fields
 const LONGEST_PAGE: usize = 6_000; // bytes, as the protocol has it
 const COLUMNS: usize = 3; // of a result
-const MOST_FIGURE: f64 = 1e9; // of a load report, cost or note; in any unit more than engines have
+const MOST_FIGURE: f64 = 1e9; // of a load report or note; in any unit more than engines have
 
 /// An execution as it goes to an engine; the words are the client's own.
 pub struct Want<'a> {
@@ -86,8 +86,6 @@
     pub said: Said,
     /// The load report's figures, in the order of the names asked for.
     pub report: Option<Vec<f64>>,
-    /// Milliseconds of work and MB of memory that it took.
-    pub cost: Option<(f64, f64)>,
     pub bytes: &'a [u8],
 }
 
@@ -163,8 +161,7 @@
         other => return Err(Unreadable::new(format!("an unknown word '{other}'"))),
     };
     let report = field("stats").and_then(|text| report(text, names));
-    let cost = number("cpu").zip(number("used"));
-    Ok(Some((whole, Line { id, said, report, cost, bytes })))
+    Ok(Some((whole, Line { id, said, report, bytes })))
 }
 
 /// A report counts only if it holds each figure agreed.
--- a/crates/dispatcher/src/ended.rs
+++ b/crates/dispatcher/src/ended.rs
@@ -1,6 +1,6 @@
 //! Executions and statements end; what nobody needs any more is let go.
 
-use hallmux::interface::{Cost, Ended, Event, Micros, Note, Report};
+use hallmux::interface::{Ended, Event, Micros, Note, Report};
 
 use crate::promised::{Gone, Word};
 use crate::seen::SILENT;
@@ -15,7 +15,6 @@
         execution: usize,
         ending: Ending,
         report: Option<Report>,
-        cost: Option<Cost>,
     ) -> bool {
         let Some(s) = self.statements.get_mut(&ticket) else { return false };
         let Some(x) = s.executions.get_mut(execution).filter(|x| x.out) else { return false };
@@ -55,7 +54,6 @@
             took,
             settled: s.over,
             holds,
-            cost,
             report,
         }));
         if answers {
--- a/crates/dispatcher/src/ended_tests.rs
+++ b/crates/dispatcher/src/ended_tests.rs
@@ -25,7 +25,7 @@
         d.list(true, &[listing("a", Mode::Ready, None), listing("b", Mode::Ready, None)]);
         let ticket = d.pick(1_000_000, &ask("pay", None)).unwrap();
         assert_eq!(sent(&d.tick(1_000_000)), [(ticket, 0)]);
-        assert!(!d.report(1_010_000, ticket, 0, ending, None, None));
+        assert!(!d.report(1_010_000, ticket, 0, ending, None));
         let mut next = d.tick(1_010_000);
         // An engine that could not be reached rests for a while.
         next.extend(d.tick(2_200_000));
@@ -41,7 +41,7 @@
         d.list(true, &[listing("a", Mode::Ready, None)]);
         let ticket = d.pick(0, &ask("lookup", None)).unwrap();
         d.tick(0);
-        assert!(!d.report(1_000, ticket, 0, ending, None, None));
+        assert!(!d.report(1_000, ticket, 0, ending, None));
         assert_eq!(sent(&d.tick(1_000)), if goes_on { vec![(ticket, 1)] } else { vec![] }, "{ending:?}");
     }
 }
@@ -52,15 +52,15 @@
     d.list(true, &[listing("a", Mode::Ready, None)]);
     let ticket = d.pick(0, &ask("lookup", None)).unwrap();
     d.tick(0);
-    assert!(d.report(5_000, ticket, 0, Ending::Answered, None, None));
-    assert!(!d.report(5_000, ticket, 0, Ending::Answered, None, None));
+    assert!(d.report(5_000, ticket, 0, Ending::Answered, None));
+    assert!(!d.report(5_000, ticket, 0, Ending::Answered, None));
     assert_eq!((d.tick(5_000), d.held()), (vec![], 0));
     let other = d.pick(6_000, &ask("lookup", None)).unwrap();
     d.tick(6_000);
     d.left(7_000, other);
     let stop = Order::Stop { ticket: other, execution: 0, ending: Ending::GivenUp };
     assert_eq!(d.tick(7_000), [stop]);
-    assert!(!d.report(7_000, other, 0, Ending::Answered, None, None));
+    assert!(!d.report(7_000, other, 0, Ending::Answered, None));
     assert_eq!((d.tick(7_000), d.held()), (vec![], 0));
 }
 
@@ -74,7 +74,7 @@
         d.list(false, &[listing(&id, Mode::Ready, Some(now - 60_000_000))]);
         let ticket = d.pick(now, &ask("load", Some(&key))).unwrap();
         assert_eq!(sent(&d.tick(now)), [(ticket, 0)]);
-        d.report(now + 10_000, ticket, 0, Ending::Answered, None, None);
+        d.report(now + 10_000, ticket, 0, Ending::Answered, None);
         d.list(false, &[listing(&id, Mode::Gone, Some(now - 60_000_000))]);
         d.tick(now + 10_000);
     }
@@ -91,7 +91,7 @@
     d.tick(0);
     d.left(1_000, first);
     d.tick(1_000);
-    d.report(1_000, first, 0, Ending::GivenUp, None, None);
+    d.report(1_000, first, 0, Ending::GivenUp, None);
     d.tick(1_000);
     let second = d.pick(2_000, &ask("load", Some("k"))).unwrap();
     assert_eq!(sent(&d.tick(2_000)), []);
--- a/crates/dispatcher/src/offered_tests.rs
+++ b/crates/dispatcher/src/offered_tests.rs
@@ -15,8 +15,8 @@
     d.list(true, &[listing("a", Mode::Ready, None)]);
     let (first, late) = (d.pick(0, &ask("lookup", None)).unwrap(), d.pick(0, &ask("pay", None)).unwrap());
     d.tick(0);
-    d.report(100_000, first, 0, Ending::Answered, None, None);
-    d.report(1_100_000, late, 0, Ending::Answered, None, None);
+    d.report(100_000, first, 0, Ending::Answered, None);
+    d.report(1_100_000, late, 0, Ending::Answered, None);
     let told: Vec<_> = d.offered(1_100_000).map(|(name, o)| (name.to_string(), o.work)).collect();
     assert_eq!(told[0], ("lookup".to_string(), 100_000.0));
     // Its SLO time is a second.
--- a/crates/dispatcher/src/out_tests.rs
+++ b/crates/dispatcher/src/out_tests.rs
@@ -12,7 +12,7 @@
     d.tick(0);
     let stop = Order::Stop { ticket, execution: 0, ending: Ending::TimeUp };
     assert!(d.tick(4_000_000).contains(&stop));
-    d.report(4_000_000, ticket, 0, Ending::TimeUp, None, None);
+    d.report(4_000_000, ticket, 0, Ending::TimeUp, None);
     assert_eq!(d.tick(4_000_000), [Order::Abort { ticket }]);
     assert_eq!(d.held(), 0);
 }
--- a/crates/dispatcher/src/promised.rs
+++ b/crates/dispatcher/src/promised.rs
@@ -141,7 +141,7 @@
             self.forget(now, ticket);
         }
         for execution in out {
-            self.report(now, ticket, execution, Ending::Withdrawn, None, None);
+            self.report(now, ticket, execution, Ending::Withdrawn, None);
         }
         // The golden ratio's multiples lie evenly whatever the tickets are.
         let spread = (f64::from(ticket) * 0.618_033_988_749_895).fract();
--- a/crates/dispatcher/src/promised_tests.rs
+++ b/crates/dispatcher/src/promised_tests.rs
@@ -21,7 +21,7 @@
     assert!(d.sighted(now + 900_000).is_empty());
     let silent: Vec<_> = d.sighted(now + 999_000 + 1_000).iter().map(|s| s.silent).collect();
     assert_eq!(silent, [1_000_000]);
-    assert!(d.report(now + 1_000_000, ticket, 0, Ending::Answered, None, None));
+    assert!(d.report(now + 1_000_000, ticket, 0, Ending::Answered, None));
     assert_eq!(d.engines[0].held, 0);
 }
 
@@ -67,7 +67,7 @@
         d.left(1, ticket);
         let stop = Order::Stop { ticket, execution: 0, ending: Ending::GivenUp };
         assert_eq!((d.words(), d.tick(1)), (vec![], vec![stop]));
-        d.report(2, ticket, 0, ending, None, None);
+        d.report(2, ticket, 0, ending, None);
         assert_eq!(d.words(), [Word::Gone(Gone { ticket, ran, rests })], "{ending:?}");
     }
 }
--- a/crates/dispatcher/src/seen_tests.rs
+++ b/crates/dispatcher/src/seen_tests.rs
@@ -11,7 +11,7 @@
     let ticket = d.pick(0, &ask("lookup", None)).unwrap();
     d.tick(0);
     assert!(d.sighted(900_000).is_empty());
-    d.report(1_400_000, ticket, 0, Ending::GivenUp, None, None);
+    d.report(1_400_000, ticket, 0, Ending::GivenUp, None);
     let told: Vec<_> = d.sighted(1_500_000).iter().map(|s| (s.id.to_string(), s.silent)).collect();
     assert_eq!(told, [("a".to_string(), 1_400_000)]);
     assert!(d.sighted(1_400_000 + HUSHED_FOR).is_empty());
@@ -28,6 +28,6 @@
     d.list(true, &[listing("a", Mode::Ready, None)]);
     let ticket = d.pick(0, &ask("lookup", None)).unwrap();
     d.tick(0);
-    d.report(SILENT - 1, ticket, 0, Ending::GivenUp, None, None);
+    d.report(SILENT - 1, ticket, 0, Ending::GivenUp, None);
     assert!(d.sighted(SILENT + 500_000).is_empty());
 }
--- a/crates/dispatcher/tests/slow_start/fleet.rs
+++ b/crates/dispatcher/tests/slow_start/fleet.rs
@@ -245,7 +245,7 @@
                     Order::Send { ticket, execution, place, .. } => self.sends(p, ticket, execution, place),
                     Order::Stop { ticket, execution, ending } => {
                         let Some(dispatcher) = &mut self.processes[p].dispatcher else { return };
-                        dispatcher.report(self.now, ticket, execution, ending, None, None);
+                        dispatcher.report(self.now, ticket, execution, ending, None);
                     }
                     Order::Reject { ticket, .. } | Order::Abort { ticket } => {
                         self.processes[p].works.remove(&ticket);
@@ -302,7 +302,7 @@
         let tells = self.shape.reports && matches!(how, How::Answered | How::TurnedAway);
         let report = tells.then(|| vec![self.engines[e].running as f64]);
         let Some(dispatcher) = &mut self.processes[p].dispatcher else { return };
-        self.answered += usize::from(dispatcher.report(self.now, ticket, execution, ending, report, None));
+        self.answered += usize::from(dispatcher.report(self.now, ticket, execution, ending, report));
         self.settles(p);
     }
 }
--- a/crates/drill/src/instance.rs
+++ b/crates/drill/src/instance.rs
@@ -2,9 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use hallmux::interface::{
-    Action, Agreement, Arrival, Cost, Ended, Event, Listed, Micros, Mode, Note, Outcome,
-};
+use hallmux::interface::{Action, Agreement, Arrival, Ended, Event, Listed, Micros, Mode, Note, Outcome};
 use hallmux::Front;
 
 use crate::wire::{self, Line};
@@ -152,8 +150,7 @@
             "stale_send" => Outcome::NotSent,
             other => return Err(format!("status: unknown word '{other}'")),
         };
-        // The note packs milliseconds of work above twelve bits of memory in units of 4 MB.
-        let note: u64 = line.optional("note")?.unwrap_or(0);
+        line.optional::<u64>("note")?; // work and memory that the answer tells of, which nothing here uses
         Ok(Some(Event::Ended(Ended {
             statement,
             execution: line.field("seqNo")?,
@@ -162,10 +159,6 @@
             took: line.time("delaySeenMs")?,
             settled: line.flag("settled")?,
             holds: false,
-            cost: (note > 0).then_some(Cost {
-                work: (note >> 12) as f64 * 1000.0,
-                memory_mb: (note & 4095) as f64 * 4.0,
-            }),
             report: line.report()?,
         })))
     }
--- a/crates/front/src/engines/heard.rs
+++ b/crates/front/src/engines/heard.rs
@@ -85,12 +85,10 @@
         };
         let Some(x) = self.executions.get_mut(&sent).filter(|x| x.stage == Stage::Out) else { return };
         x.heard = now;
-        let cost = line.cost.filter(|_| self.allowed.cost_in_answers);
-        let cost = cost.map(|(ms, memory_mb)| Cost { work: ms * 1000.0, memory_mb });
         let ending = match line.said {
             Said::First { pages } if x.pages.is_none() && pages <= MOST_PAGES => {
                 let report = line.report.clone();
-                let mut first = Pages { missing: pages, report, cost, heard: now, ..Pages::default() };
+                let mut first = Pages { missing: pages, report, heard: now, ..Pages::default() };
                 first.bytes.resize(pages, None);
                 x.pages = Some(first);
                 for page in 1..pages {
@@ -131,12 +129,12 @@
         if ending == Ending::Answered {
             self.reuse.answered();
         }
-        let (report, cost) = (line.report.or(pages.report), cost.or(pages.cost));
+        let report = line.report.or(pages.report);
         let result = match ending {
             Ending::Answered => pages.bytes.into_iter().flatten().flatten().collect(),
             _ => Vec::new(),
         };
-        self.told.push(Told::Ended { sent, ending, report, cost, result });
+        self.told.push(Told::Ended { sent, ending, report, result });
     }
 
     pub(super) fn note(&mut self, sent: Sent, note: Note) {
--- a/crates/front/src/engines/mod.rs
+++ b/crates/front/src/engines/mod.rs
@@ -15,7 +15,7 @@
 use hallmux_agreement::{Allowance, Names};
 use hallmux_codec::engine::{self, Command, Line, Said, Want};
 use hallmux_codec::statement::Call;
-use hallmux_dispatcher::{Cost, Dials, Ending, Micros, Note, Place, Terms, Ticket};
+use hallmux_dispatcher::{Dials, Ending, Micros, Note, Place, Terms, Ticket};
 
 use crate::doors::{Changes, Door};
 use crate::front::Pacer;
@@ -40,7 +40,7 @@
 
 /// What engines have said, and how executions have ended.
 pub enum Told {
-    Ended { sent: Sent, ending: Ending, report: Option<Vec<f64>>, cost: Option<Cost>, result: Vec<u8> },
+    Ended { sent: Sent, ending: Ending, report: Option<Vec<f64>>, result: Vec<u8> },
     Noted { sent: Sent, note: Note },
     Probed { place: Place, alive: bool, report: Option<Vec<f64>> },
 }
@@ -63,7 +63,6 @@
     held: usize,
     heard: Micros,
     report: Option<Vec<f64>>,
-    cost: Option<Cost>,
 }
 
 #[derive(PartialEq)]
@@ -166,7 +165,7 @@
 
     fn ended(&mut self, sent: Sent, ending: Ending) {
         self.executions.remove(&sent);
-        self.told.push(Told::Ended { sent, ending, report: None, cost: None, result: Vec::new() });
+        self.told.push(Told::Ended { sent, ending, report: None, result: Vec::new() });
     }
 
     /// An engine of the list: where it is, and whether anything may still be sent to it.
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -240,7 +240,7 @@
                 _ => "by the version that holds",
             }
         );
-        dispatcher.report(now, ordered.ticket, ordered.execution, Ending::Withdrawn, None, None);
+        dispatcher.report(now, ordered.ticket, ordered.execution, Ending::Withdrawn, None);
         self.rulings.push(Ruling::End { ticket: s.ticket, ran: s.ran, again: closed || limited });
         false
     }
--- a/crates/front/src/front/orders.rs
+++ b/crates/front/src/front/orders.rs
@@ -19,10 +19,10 @@
     pub(super) fn heard(&mut self) {
         for told in std::mem::take(&mut self.engines.told) {
             match told {
-                engines::Told::Ended { sent: (ticket, execution), ending, report, cost, result } => {
+                engines::Told::Ended { sent: (ticket, execution), ending, report, result } => {
                     let of = self.judged_as(ticket);
                     self.rules.iter().for_each(|rules| rules.borrow_mut().ended(of, (ticket, execution)));
-                    if self.dispatcher.report(self.clock.now, ticket, execution, ending, report, cost)
+                    if self.dispatcher.report(self.clock.now, ticket, execution, ending, report)
                         && !self.part_ended(ticket, Ok(&result))
                     {
                         self.clients.answer(self.clock.now, ticket, &Reply::Completed(&result));
@@ -174,7 +174,7 @@
         }
         match self.call(ticket) {
             Some(call) => self.engines.send(now, sent, place, call, terms),
-            None => _ = self.dispatcher.report(now, ticket, execution, Ending::Withdrawn, None, None),
+            None => _ = self.dispatcher.report(now, ticket, execution, Ending::Withdrawn, None),
         }
     }
 
@@ -209,7 +209,7 @@
             Order::Stop { ticket, execution, ending } if self.is_held(now, ticket, execution) => {
                 // Its session is to know why, though nothing of it has left.
                 self.portal.iter_mut().for_each(|portal| portal.stop(now, (ticket, execution), ending));
-                self.dispatcher.report(now, ticket, execution, Ending::Withdrawn, None, None);
+                self.dispatcher.report(now, ticket, execution, Ending::Withdrawn, None);
             }
             Order::Stop { ticket, execution, ending }
                 if self
@@ -219,7 +219,7 @@
                     .is_some_and(|loads| loads.stops((ticket, execution))) =>
             {
                 self.portal.iter_mut().for_each(|portal| portal.stop(now, (ticket, execution), ending));
-                self.dispatcher.report(now, ticket, execution, Ending::Withdrawn, None, None);
+                self.dispatcher.report(now, ticket, execution, Ending::Withdrawn, None);
             }
             Order::Stop { ticket, execution, ending } if self.is_out((ticket, execution)) => {
                 self.portal.iter_mut().for_each(|portal| portal.stop(now, (ticket, execution), ending));
--- a/crates/front/src/postgres/portal.rs
+++ b/crates/front/src/postgres/portal.rs
@@ -279,7 +279,7 @@
                 let open = done.status != b'I';
                 let keeps = open && dispatcher.keeps(ticket);
                 let ending = Ending::Answered;
-                if !dispatcher.report(now, ticket, execution, ending, None, None) {
+                if !dispatcher.report(now, ticket, execution, ending, None) {
                     // It had its answer before; a transaction that it opened is nobody's.
                     return held.into_iter().for_each(|link| self.servers.release(now, link));
                 }
@@ -293,7 +293,7 @@
             }
             servers::Told::Refused { sent: (ticket, execution), error } => {
                 dispatcher.begun(ticket);
-                if dispatcher.report(now, ticket, execution, Ending::Stale, None, None) {
+                if dispatcher.report(now, ticket, execution, Ending::Stale, None) {
                     self.sessions.fail(now, ticket, &Final::Broken, Some(&error));
                 }
             }
@@ -306,7 +306,7 @@
                         cancelled = running.cancelled;
                     }
                 }
-                let over = dispatcher.report(now, ticket, execution, ending, None, None);
+                let over = dispatcher.report(now, ticket, execution, ending, None);
                 if over || cancelled {
                     // One whose client has asked for its end is not tried again.
                     self.refuse(now, ticket, false, None);
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -144,7 +144,7 @@
                 let held = life.guard.as_mut().is_some_and(|guard| guard.stops(own, (ticket, execution)));
                 let ending = if held { Ending::Withdrawn } else { ending };
                 life.connections.ended((ticket, execution), ending);
-                life.dispatcher.report(own, ticket, execution, ending, None, None);
+                life.dispatcher.report(own, ticket, execution, ending, None);
             }
             Order::Pace { connections } => {
                 let own = self.own(n);
@@ -162,7 +162,7 @@
         if !self.reaches(n, place, Some(sent)) {
             let own = self.own(n);
             let Some(life) = &mut self.members[n].life else { return };
-            life.dispatcher.report(own, sent.0, sent.1, Ending::Withdrawn, None, None);
+            life.dispatcher.report(own, sent.0, sent.1, Ending::Withdrawn, None);
             return;
         }
         let dialled = self.account.relayed.len() > dials;
@@ -184,7 +184,7 @@
             life.connections.ended((ticket, execution), ending);
             let inline = !self.scenario.engine.load_on_probe;
             let report = active.filter(|_| inline).map(|active| vec![active as f64]);
-            if life.dispatcher.report(now, ticket, execution, ending, report, None) {
+            if life.dispatcher.report(now, ticket, execution, ending, report) {
                 self.answer(n, ticket, Outcome::Completed { rows: 1 });
             }
         } else if let Event::ProbeAnswers(_, _, place, probe, active) = event {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -199,13 +199,6 @@
     Held,
 }
 
-/// What an answer tells of the statement's true cost.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cost {
-    pub work: f64,
-    pub memory_mb: f64,
-}
-
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub statement: StatementId,
@@ -236,7 +229,6 @@
     pub settled: bool,
     /// Its transaction goes on and keeps the turn of its order key until `Event::Freed`.
     pub holds: bool,
-    pub cost: Option<Cost>,
     pub report: Option<Report>,
 }
 
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -236,7 +236,6 @@
                 took: micros(said.get("took").copied().unwrap_or("100")),
                 settled: words[3] == "completed" || said.contains_key("settled"),
                 holds: said.contains_key("holds"),
-                cost: said.get("cost").map(|c| Cost { work: number(c) * MS as f64, memory_mb: value("mb") }),
                 report: said.get("active").or(said.get("busy")).map(|a| vec![number(a)]),
             }),
             "note" => Event::Noted {
