--- a/crates/codec/src/coordinator.rs
+++ b/crates/codec/src/coordinator.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 
-use crate::Unreadable;
+use crate::ParseError;
 
 const LONGEST_HEAD: usize = 16 << 10; // bytes; HTTP servers send some hundred
 const MOST_HEADERS: usize = 64;
@@ -22,13 +22,13 @@
 }
 
 /// Takes one answer from the start of `input`; `ended` says that nothing more will come.
-pub fn read(input: &[u8], ended: bool) -> Result<Option<Answer>, Unreadable> {
+pub fn read(input: &[u8], ended: bool) -> Result<Option<Answer>, ParseError> {
     let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
-    let start = match head.parse(input).map_err(Unreadable::new)? {
+    let start = match head.parse(input).map_err(ParseError::new)? {
         httparse::Status::Complete(start) => start,
         httparse::Status::Partial if input.len() > LONGEST_HEAD => {
-            return Err(Unreadable::new("a head longer than agreed"));
+            return Err(ParseError::new("a head longer than agreed"));
         }
         httparse::Status::Partial => return Ok(None),
     };
@@ -47,13 +47,13 @@
         }
     } else if let Some(len) = header("content-length") {
         let len = len.parse().ok().filter(|len| *len <= LONGEST_BODY);
-        let len: usize = len.ok_or_else(|| Unreadable::new("a length that can't be"))?;
+        let len: usize = len.ok_or_else(|| ParseError::new("a length that can't be"))?;
         let Some(body) = rest.get(..len) else { return Ok(None) };
         (body.to_vec(), len)
     } else if matches!(status, 100..=199 | 204 | 304) {
         (Vec::new(), 0)
     } else if rest.len() > LONGEST_BODY {
-        return Err(Unreadable::new("a body longer than agreed"));
+        return Err(ParseError::new("a body longer than agreed"));
     } else if ended {
         stays = false;
         (rest.to_vec(), rest.len())
@@ -63,11 +63,11 @@
     Ok(Some(Answer { len: start + used, stays, status, body }))
 }
 
-fn chunks(input: &[u8]) -> Result<Option<(Vec<u8>, usize)>, Unreadable> {
+fn chunks(input: &[u8]) -> Result<Option<(Vec<u8>, usize)>, ParseError> {
     let (mut body, mut at) = (Vec::new(), 0);
     loop {
         let size = httparse::parse_chunk_size(&input[at..]);
-        let (head, len) = match size.map_err(|_| Unreadable::new("a chunk without its size"))? {
+        let (head, len) = match size.map_err(|_| ParseError::new("a chunk without its size"))? {
             httparse::Status::Complete(found) => found,
             httparse::Status::Partial => return Ok(None),
         };
@@ -83,7 +83,7 @@
             }
         }
         if body.len() as u64 + len > LONGEST_BODY as u64 {
-            return Err(Unreadable::new("a body longer than agreed"));
+            return Err(ParseError::new("a body longer than agreed"));
         }
         let Some(chunk) = input.get(at..at + len as usize + 2) else { return Ok(None) };
         body.extend_from_slice(&chunk[..len as usize]);
@@ -138,8 +138,8 @@
     Removed,
 }
 
-pub fn stream(body: &[u8]) -> Result<Stream, Unreadable> {
-    serde_json::from_slice(body).map_err(Unreadable::new)
+pub fn stream(body: &[u8]) -> Result<Stream, ParseError> {
+    serde_json::from_slice(body).map_err(ParseError::new)
 }
 
 #[cfg(test)]
--- a/crates/codec/src/engine.rs
+++ b/crates/codec/src/engine.rs
@@ -2,7 +2,7 @@
 
 use std::io::Write;
 
-use crate::Unreadable;
+use crate::ParseError;
 
 const LONGEST_LINE: usize = 4096; // bytes; the longest hold a load report and some fields
 const LONGEST_PAGE: usize = 6_000; // bytes, as the protocol has it
@@ -112,26 +112,26 @@
 ];
 
 /// Takes the next whole line, with its bytes, from the start of `input`: its length and content.
-pub fn read<'a>(input: &'a [u8], names: &[String]) -> Result<Option<(usize, Line<'a>)>, Unreadable> {
+pub fn read<'a>(input: &'a [u8], names: &[String]) -> Result<Option<(usize, Line<'a>)>, ParseError> {
     let Some(end) = input.windows(2).take(LONGEST_LINE).position(|w| w == b"\r\n") else {
         let long = input.len() > LONGEST_LINE;
-        return if long { Err(Unreadable::new("a line longer than agreed")) } else { Ok(None) };
+        return if long { Err(ParseError::new("a line longer than agreed")) } else { Ok(None) };
     };
-    let text = std::str::from_utf8(&input[..end]).map_err(|_| Unreadable::new("a line that is no text"))?;
+    let text = std::str::from_utf8(&input[..end]).map_err(|_| ParseError::new("a line that is no text"))?;
     let words: Vec<&str> = text.split(' ').collect();
     let (id, word, fields, len) = match words[..] {
         [id, word] => (id, word, "-", None),
         [id, word, last] if last.bytes().all(|c| c.is_ascii_digit()) => (id, word, "-", Some(last)),
         [id, word, fields] => (id, word, fields, None),
         [id, word, fields, len] => (id, word, fields, Some(len)),
-        _ => return Err(Unreadable::new(format!("a line of {} words", words.len()))),
+        _ => return Err(ParseError::new(format!("a line of {} words", words.len()))),
     };
     let (mut bytes, mut whole): (&[u8], usize) = (&[], end + 2);
     if let Some(len) = len {
         let len = len.parse().ok().filter(|len| *len <= LONGEST_PAGE);
-        let len: usize = len.ok_or_else(|| Unreadable::new("a length that can't be"))?;
+        let len: usize = len.ok_or_else(|| ParseError::new("a length that can't be"))?;
         let Some(behind) = input.get(whole..whole + len + 2) else { return Ok(None) };
-        bytes = behind.strip_suffix(b"\r\n").ok_or_else(|| Unreadable::new("bytes without their end"))?;
+        bytes = behind.strip_suffix(b"\r\n").ok_or_else(|| ParseError::new("bytes without their end"))?;
         whole += len + 2;
     }
     let field = |name: &str| fields.split(',').find_map(|f| f.strip_prefix(name)?.strip_prefix('='));
@@ -140,11 +140,11 @@
     let said = match word {
         "ACK" => match count("batches").unwrap_or(Ok(1)) {
             Ok(pages) => Said::First { pages: pages.max(1) },
-            Err(_) => return Err(Unreadable::new("a count of pages that is none")),
+            Err(_) => return Err(ParseError::new("a count of pages that is none")),
         },
         "BLOCK" => match count("batch") {
             Some(Ok(number)) => Said::Page { number },
-            _ => return Err(Unreadable::new("a page without its number")),
+            _ => return Err(ParseError::new("a page without its number")),
         },
         "AGAIN" => Said::TurnedAway,
         "EIO" | "NOMOD" | "NOENT" => Said::Failed,
@@ -158,7 +158,7 @@
         },
         "READY" => Said::Probed { alive: true },
         "AILING" => Said::Probed { alive: false },
-        other => return Err(Unreadable::new(format!("an unknown word '{other}'"))),
+        other => return Err(ParseError::new(format!("an unknown word '{other}'"))),
     };
     let report = field("stats").and_then(|text| report(text, names));
     Ok(Some((whole, Line { id, said, report, bytes })))
--- a/crates/codec/src/lib.rs
+++ b/crates/codec/src/lib.rs
@@ -5,18 +5,14 @@
 pub mod statement;
 pub mod tables;
 
-/// Bytes that no message can begin with, or a message beyond what is agreed: its connection has to end.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unreadable(pub String);
+/// Bytes that are no message of their protocol, or a message over a limit: its connection has to end. The text
+/// says what is wrong with them; whoever logs it names the connection.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct ParseError(String);
 
-impl std::fmt::Display for Unreadable {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        f.write_str(&self.0)
-    }
-}
-
-impl Unreadable {
+impl ParseError {
     fn new(what: impl std::fmt::Display) -> Self {
-        Unreadable(what.to_string())
+        ParseError(what.to_string())
     }
 }
--- a/crates/codec/src/statement.rs
+++ b/crates/codec/src/statement.rs
@@ -9,7 +9,7 @@
 };
 use thrift::{ApplicationError, ApplicationErrorKind, TConfiguration};
 
-use crate::Unreadable;
+use crate::ParseError;
 
 const LONGEST_FRAME: usize = 128 << 10; // bytes; statements take some hundred, the longest some ten thousand
 const MOST_FIELDS: usize = 64; // of a statement; a dozen are known
@@ -53,13 +53,13 @@
 }
 
 /// Takes the next whole message from the start of `input`: its length in bytes, sequence number and content.
-pub fn read(input: &[u8]) -> Result<Option<(usize, i32, Asked)>, Unreadable> {
+pub fn read(input: &[u8]) -> Result<Option<(usize, i32, Asked)>, ParseError> {
     let Some(prefix) = input.first_chunk::<PREFIX>() else { return Ok(None) };
     let len = i32::from_be_bytes(*prefix);
     let len = usize::try_from(len).ok().filter(|len| *len <= LONGEST_FRAME);
-    let len = len.ok_or_else(|| Unreadable::new("a frame longer than agreed, or negative"))?;
+    let len = len.ok_or_else(|| ParseError::new("a frame longer than agreed, or negative"))?;
     let Some(frame) = input[PREFIX..].get(..len) else { return Ok(None) };
-    let (seqid, asked) = message(frame).map_err(Unreadable::new)?;
+    let (seqid, asked) = message(frame).map_err(ParseError::new)?;
     Ok(Some((PREFIX + len, seqid, asked)))
 }
 
--- a/crates/postgres/src/answer.rs
+++ b/crates/postgres/src/answer.rs
@@ -1,7 +1,7 @@
 //! Final answers that the front gives of itself, as errors that drivers understand: one table.
 
 use crate::wire::{write, write_string};
-use crate::Unreadable;
+use crate::ProtocolError;
 
 /// Why a unit ends without an engine's answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -42,7 +42,7 @@
     DuplicateStatement { name: String },
     /// Against the protocol.
     #[error("against the protocol: {why}")]
-    Protocol { why: Unreadable },
+    Protocol { why: ProtocolError },
     #[error("password authentication failed for user \"{user}\"")]
     WrongPassword { user: String },
     #[error("protocol {major} is not spoken here, 3.0 is")]
--- a/crates/postgres/src/engine/hearing.rs
+++ b/crates/postgres/src/engine/hearing.rs
@@ -6,7 +6,7 @@
 use super::{Done, Engine, Expect, Heard, Stage};
 use crate::answer::is_engine_fault;
 use crate::wire;
-use crate::Unreadable;
+use crate::ProtocolError;
 
 const LONGEST_WHOLE: usize = 64 << 10; // bytes of a message that is read as one; errors take some hundred
 const MOST_PARAMETERS: usize = 64; // of an engine that it tells of itself; servers have some fifteen
@@ -20,7 +20,7 @@
         out: &mut Vec<u8>,
         back: &mut Vec<u8>,
         room: usize,
-    ) -> Result<(usize, Option<Heard>), Unreadable> {
+    ) -> Result<(usize, Option<Heard>), ProtocolError> {
         let mut at = 0;
         while back.len() <= room {
             let rest = &input[at..];
@@ -46,7 +46,7 @@
                 continue;
             }
             if len > LONGEST_WHOLE && rest.len() < len {
-                return Err(Unreadable::EngineTooLong { tag, bytes: len, most: LONGEST_WHOLE });
+                return Err(ProtocolError::EngineTooLong { tag, bytes: len, most: LONGEST_WHOLE });
             }
             let Some(message) = rest.get(..len) else { break };
             at += len;
@@ -68,7 +68,7 @@
         body: &[u8],
         message: &[u8],
         out: &mut Vec<u8>,
-    ) -> Result<Option<Heard>, Unreadable> {
+    ) -> Result<Option<Heard>, ProtocolError> {
         let word = |at: usize| body.get(at..at + 4).map(|n| u32::from_be_bytes([n[0], n[1], n[2], n[3]]));
         let password = self.account.password.clone().unwrap_or_default();
         match tag {
@@ -77,7 +77,7 @@
                 Some(3) => wire::write(out, b'p', |out| wire::write_string(out, password.as_bytes())),
                 Some(5) => {
                     let salt = body.get(4..8).and_then(|s| s.try_into().ok());
-                    let salt = salt.ok_or(Unreadable::Malformed("an MD5 login without its salt"))?;
+                    let salt = salt.ok_or(ProtocolError::Malformed("an MD5 login without its salt"))?;
                     let hash = md5_hash(self.account.user.as_bytes(), password.as_bytes(), salt);
                     wire::write(out, b'p', |out| wire::write_string(out, hash.as_bytes()));
                 }
@@ -94,19 +94,19 @@
                     let exchange = self
                         .exchange
                         .as_mut()
-                        .ok_or(Unreadable::NotDue { tag, when: "before SCRAM has begun" })?;
+                        .ok_or(ProtocolError::NotDue { tag, when: "before SCRAM has begun" })?;
                     let proof = match step {
                         11 => exchange.update(&body[4..]),
                         _ => exchange.finish(&body[4..]),
                     };
-                    proof.map_err(|e| Unreadable::Proof(e.to_string()))?;
+                    proof.map_err(|e| ProtocolError::Proof(e.to_string()))?;
                     if step == 11 {
                         let message = exchange.message();
                         wire::write(out, b'p', |out| out.extend_from_slice(message));
                     }
                 }
-                Some(other) => return Err(Unreadable::Login(other)),
-                None => return Err(Unreadable::Malformed("a login of no kind")),
+                Some(other) => return Err(ProtocolError::Login(other)),
+                None => return Err(ProtocolError::Malformed("a login of no kind")),
             },
             b'S' => self.parameter(body),
             b'K' => self.key = word(0).zip(word(4)),
@@ -119,7 +119,7 @@
                 return Ok(Some(Heard::Up));
             }
             b'N' | b'v' => {}
-            other => return Err(Unreadable::NotDue { tag: other, when: "during login" }),
+            other => return Err(ProtocolError::NotDue { tag: other, when: "during login" }),
         }
         Ok(None)
     }
@@ -158,7 +158,7 @@
     }
 
     /// A message that goes on in pieces begins: it must be one that is due.
-    fn begin(&mut self, tag: u8) -> Result<(), Unreadable> {
+    fn begin(&mut self, tag: u8) -> Result<(), ProtocolError> {
         let described = matches!(self.expects.front(), Some(Expect::Described));
         let running = matches!(self.expects.front(), Some(Expect::Executed | Expect::Query));
         match tag {
@@ -166,12 +166,12 @@
             b'T' if described => _ = self.expects.pop_front(),
             b't' if described => {}
             b'T' | b'D' | b'd' if running => {}
-            other => return Err(Unreadable::NotDue { tag: other, when: "in answer to what was asked" }),
+            other => return Err(ProtocolError::NotDue { tag: other, when: "in answer to what was asked" }),
         }
         Ok(())
     }
 
-    fn said(&mut self, tag: u8, message: &[u8], back: &mut Vec<u8>) -> Result<Option<Heard>, Unreadable> {
+    fn said(&mut self, tag: u8, message: &[u8], back: &mut Vec<u8>) -> Result<Option<Heard>, ProtocolError> {
         let mut passes = true;
         match (tag, self.expects.front()) {
             (b'N', _) => passes = !self.expects.is_empty(),
@@ -216,12 +216,12 @@
                 let done = std::mem::take(&mut self.done);
                 let status = message.get(5).copied().unwrap_or(b'I');
                 if status != b'I' && status != b'T' && status != b'E' {
-                    return Err(Unreadable::Malformed("a transaction in no known state"));
+                    return Err(ProtocolError::Malformed("a transaction in no known state"));
                 }
                 return Ok(Some(Heard::Done(Done { status, ..done })));
             }
             (other, _) => {
-                return Err(Unreadable::NotDue { tag: other, when: "in answer to what was asked" });
+                return Err(ProtocolError::NotDue { tag: other, when: "in answer to what was asked" });
             }
         }
         if passes {
@@ -231,13 +231,13 @@
         Ok(None)
     }
 
-    fn error(&mut self, message: &[u8], back: &mut Vec<u8>) -> Result<Option<Heard>, Unreadable> {
+    fn error(&mut self, message: &[u8], back: &mut Vec<u8>) -> Result<Option<Heard>, ProtocolError> {
         let code = wire::field(&message[5..], b'C').unwrap_or(b"XX000");
         let fatal = wire::field(&message[5..], b'S') == Some(b"FATAL")
             || wire::field(&message[5..], b'V') == Some(b"FATAL");
         if fatal || self.expects.is_empty() {
             // It is the connection's end, not a statement's answer, and nothing for a client of the front.
-            return Err(Unreadable::Gone(String::from_utf8_lossy(code).into()));
+            return Err(ProtocolError::Gone(String::from_utf8_lossy(code).into()));
         }
         match self.expects.front() {
             Some(Expect::Fail(why)) => {
--- a/crates/postgres/src/entry.rs
+++ b/crates/postgres/src/entry.rs
@@ -5,7 +5,7 @@
 use crate::answer::Final;
 use crate::scram::{Exchange, Verifier, MECHANISM};
 use crate::wire::{self, Opening};
-use crate::Unreadable;
+use crate::ProtocolError;
 
 const LONGEST_PROOF: usize = 4096; // bytes; those of the library's take some hundred
 const MOST_QUESTIONS: usize = 2; // for encryption: there are two kinds
@@ -62,7 +62,7 @@
         secret: &[u8],
         nonce: &str,
         out: &mut Vec<u8>,
-    ) -> Result<(usize, Step), Unreadable> {
+    ) -> Result<(usize, Step), ProtocolError> {
         let mut used = 0;
         loop {
             let rest = &input[used..];
@@ -74,7 +74,7 @@
                         Opening::Encrypt => {
                             self.questions += 1;
                             if self.questions > MOST_QUESTIONS {
-                                return Err(Unreadable::Encryption { times: self.questions });
+                                return Err(ProtocolError::Encryption { times: self.questions });
                             }
                             out.push(b'N');
                         }
@@ -148,12 +148,12 @@
     }
 }
 
-fn proof(input: &[u8]) -> Result<Option<(&[u8], usize)>, Unreadable> {
+fn proof(input: &[u8]) -> Result<Option<(&[u8], usize)>, ProtocolError> {
     match wire::message(input, LONGEST_PROOF)? {
         Some((b'p', body, len)) => Ok(Some((body, len))),
-        Some((tag, ..)) => Err(Unreadable::NoProof(tag)),
+        Some((tag, ..)) => Err(ProtocolError::NoProof(tag)),
         None => match input.first() {
-            Some(tag) if *tag != b'p' => Err(Unreadable::NoProof(*tag)),
+            Some(tag) if *tag != b'p' => Err(ProtocolError::NoProof(*tag)),
             _ => Ok(None),
         },
     }
@@ -188,7 +188,7 @@
         }
     }
     if welcome.user.is_empty() {
-        return Err(Final::Protocol { why: Unreadable::NoUser });
+        return Err(Final::Protocol { why: ProtocolError::NoUser });
     }
     if welcome.database.is_empty() {
         welcome.database = welcome.user.clone();
--- a/crates/postgres/src/lib.rs
+++ b/crates/postgres/src/lib.rs
@@ -7,10 +7,10 @@
 pub mod entry;
 pub mod pool;
 pub mod prepared;
+mod protocol_error;
 pub mod scram;
 pub mod session;
 pub mod sql;
-mod unreadable;
 pub mod wire;
 
-pub use unreadable::Unreadable;
+pub use protocol_error::ProtocolError;
--- a/crates/postgres/src/unreadable.rs
+++ b/crates/postgres/src/protocol_error.rs
@@ -1,9 +1,10 @@
-//! What a peer can say that no session or engine connection goes on after.
+//! Violations of the protocol by a peer, after which its connection has to end.
 
-/// Bytes that no message can begin with, one that is not due, or one beyond what is allowed: its connection has to end.
-/// Which connection it was, whoever logs it says in front.
+/// Bytes that are no message of the protocol, a message out of order, or one over a limit: its connection has
+/// to end. The text says what is wrong and, after a semicolon, what an operator can do; whoever logs it names the
+/// connection.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unreadable {
+pub enum ProtocolError {
     #[error("a start-up of {bytes} bytes, not 8 to {most}; see that what connects here speaks PostgreSQL's protocol 3")]
     StartUp { bytes: usize, most: usize },
     #[error("no user in the start-up; name one in the connection string")]
@@ -42,5 +43,5 @@
 }
 
 #[cfg(test)]
-#[path = "unreadable_tests.rs"]
+#[path = "protocol_error_tests.rs"]
 mod tests;
--- a/crates/postgres/src/unreadable_tests.rs
+++ b/crates/postgres/src/protocol_error_tests.rs
@@ -1,10 +1,10 @@
-//! Unit tests of the `unreadable` module.
+//! Unit tests of the `protocol_error` module.
 
 use super::*;
 
 #[test]
 fn each_says_what_is_wrong_and_what_can_be_done() {
-    use Unreadable::*;
+    use ProtocolError::*;
     let all = [
         StartUp { bytes: 4, most: 9 },
         NoUser,
--- a/crates/postgres/src/session/reading.rs
+++ b/crates/postgres/src/session/reading.rs
@@ -8,7 +8,7 @@
 use crate::prepared::{Catalogue, Prepared};
 use crate::sql::{self, Own, Scan};
 use crate::wire::{self, Said};
-use crate::Unreadable;
+use crate::ProtocolError;
 
 impl Session {
     /// Takes the next unit, or part of one, from the start of `input`; says how much of it is used up. An
@@ -19,7 +19,7 @@
         catalogue: &mut Catalogue,
         bounds: &Bounds,
     ) -> Result<(usize, Read), Final> {
-        let against = |why: Unreadable| Final::Protocol { why };
+        let against = |why: ProtocolError| Final::Protocol { why };
         let mut at = std::mem::take(&mut self.looked);
         let end = loop {
             match wire::head(&input[at..]).map_err(against)? {
@@ -56,7 +56,7 @@
                 Said::Terminate => return Ok((end, Read::Goes)),
                 Said::Query(_) | Said::FunctionCall if self.within || at > 0 => {
                     // What an engine would do with it depends on whether the unit has failed by then.
-                    return Err(Final::Protocol { why: Unreadable::Mixed });
+                    return Err(Final::Protocol { why: ProtocolError::Mixed });
                 }
                 Said::FunctionCall => {
                     part.ops.push(Op::Fail(Final::NotHere { why: "a function call" }));
--- a/crates/postgres/src/wire.rs
+++ b/crates/postgres/src/wire.rs
@@ -1,6 +1,6 @@
 //! Messages of both directions: where one ends, what it holds, and how one is written.
 
-use crate::Unreadable;
+use crate::ProtocolError;
 
 const LONGEST_START_UP: usize = 10_000; // bytes; the servers' own limit
 const CANCEL: u32 = 80_877_102;
@@ -32,11 +32,11 @@
 }
 
 /// Takes the opening from the start of `input`, with its length.
-pub fn opening(input: &[u8]) -> Result<Option<(usize, Opening<'_>)>, Unreadable> {
+pub fn opening(input: &[u8]) -> Result<Option<(usize, Opening<'_>)>, ProtocolError> {
     let Some(len) = number(input) else { return Ok(None) };
     let len = len as usize;
     if !(8..=LONGEST_START_UP).contains(&len) {
-        return Err(Unreadable::StartUp { bytes: len, most: LONGEST_START_UP });
+        return Err(ProtocolError::StartUp { bytes: len, most: LONGEST_START_UP });
     }
     let Some(packet) = input.get(..len) else { return Ok(None) };
     let code = number(&packet[4..]).unwrap_or(0);
@@ -44,7 +44,7 @@
         SSL | GSS if len == 8 => Opening::Encrypt,
         CANCEL => match (number(&packet[8..]), packet.get(12..).and_then(number)) {
             (Some(process), Some(secret)) if len == 16 => Opening::Cancel { process, secret },
-            _ => return Err(Unreadable::Malformed("a request to cancel that is none")),
+            _ => return Err(ProtocolError::Malformed("a request to cancel that is none")),
         },
         code if code >> 16 == VERSION >> 16 => {
             let mut rest = &packet[8..];
@@ -57,7 +57,7 @@
                 parameters.push((name, text(&mut rest)?));
             }
             if !rest.is_empty() {
-                return Err(Unreadable::Malformed("a start-up with bytes behind its end"));
+                return Err(ProtocolError::Malformed("a start-up with bytes behind its end"));
             }
             Opening::StartUp { minor: code as u16, parameters }
         }
@@ -67,22 +67,22 @@
 }
 
 /// A string that ends in a zero byte.
-pub fn string<'a>(rest: &mut &'a [u8]) -> Result<&'a [u8], Unreadable> {
-    let end = memchr::memchr(0, rest).ok_or(Unreadable::Malformed("a string without an end"))?;
+pub fn string<'a>(rest: &mut &'a [u8]) -> Result<&'a [u8], ProtocolError> {
+    let end = memchr::memchr(0, rest).ok_or(ProtocolError::Malformed("a string without an end"))?;
     let string = &rest[..end];
     *rest = &rest[end + 1..];
     Ok(string)
 }
 
-fn text<'a>(rest: &mut &'a [u8]) -> Result<&'a str, Unreadable> {
-    std::str::from_utf8(string(rest)?).map_err(|_| Unreadable::Malformed("a parameter that is no UTF-8"))
+fn text<'a>(rest: &mut &'a [u8]) -> Result<&'a str, ProtocolError> {
+    std::str::from_utf8(string(rest)?).map_err(|_| ProtocolError::Malformed("a parameter that is no UTF-8"))
 }
 
 /// The kind of the message that `input` begins with, and its whole length; nothing is allocated for it.
-pub fn head(input: &[u8]) -> Result<Option<(u8, usize)>, Unreadable> {
+pub fn head(input: &[u8]) -> Result<Option<(u8, usize)>, ProtocolError> {
     let (Some(tag), Some(len)) = (input.first(), input.get(1..).and_then(number)) else { return Ok(None) };
     if len < 4 || len > i32::MAX as u32 {
-        return Err(Unreadable::Malformed("a message whose length can't be"));
+        return Err(ProtocolError::Malformed("a message whose length can't be"));
     }
     Ok(Some((*tag, len as usize + 1)))
 }
@@ -91,9 +91,9 @@
 pub type Whole<'a> = (u8, &'a [u8], usize);
 
 /// The first message, once it is whole.
-pub fn message(input: &[u8], longest: usize) -> Result<Option<Whole<'_>>, Unreadable> {
+pub fn message(input: &[u8], longest: usize) -> Result<Option<Whole<'_>>, ProtocolError> {
     match head(input)? {
-        Some((_, len)) if len > longest => Err(Unreadable::TooLong { bytes: len, most: longest }),
+        Some((_, len)) if len > longest => Err(ProtocolError::TooLong { bytes: len, most: longest }),
         Some((tag, len)) => Ok(input.get(5..len).map(|body| (tag, body, len))),
         None => Ok(None),
     }
@@ -137,7 +137,7 @@
 }
 
 /// Reads a client's message.
-pub fn said(tag: u8, body: &[u8]) -> Result<Said<'_>, Unreadable> {
+pub fn said(tag: u8, body: &[u8]) -> Result<Said<'_>, ProtocolError> {
     let mut rest = body;
     let kind = |rest: &mut &[u8]| match rest.split_first() {
         Some((b'S', after)) => {
@@ -148,7 +148,7 @@
             *rest = after;
             Ok(false)
         }
-        _ => Err(Unreadable::Malformed("neither a statement nor a portal")),
+        _ => Err(ProtocolError::Malformed("neither a statement nor a portal")),
     };
     let said = match tag {
         b'Q' => Said::Query(string(&mut rest)?),
@@ -158,7 +158,7 @@
             let text = string(&mut rest)?;
             let count = rest.get(..2).map(|n| u16::from_be_bytes([n[0], n[1]]) as usize);
             if count.map(|count| 2 + 4 * count) != Some(rest.len()) {
-                return Err(Unreadable::Malformed("types that do not fill their message"));
+                return Err(ProtocolError::Malformed("types that do not fill their message"));
             }
             return Ok(Said::Parse { name, text, body });
         }
@@ -170,7 +170,7 @@
         b'C' => Said::Close { statement: kind(&mut rest)?, name: string(&mut rest)? },
         b'E' => {
             let portal = string(&mut rest)?;
-            let rows = number(rest).ok_or(Unreadable::Malformed("an Execute without a count of rows"))?;
+            let rows = number(rest).ok_or(ProtocolError::Malformed("an Execute without a count of rows"))?;
             rest = &rest[4..];
             Said::Execute { portal, rows }
         }
@@ -179,11 +179,11 @@
         b'X' => Said::Terminate,
         b'F' => return Ok(Said::FunctionCall),
         b'd' | b'c' | b'f' => return Ok(Said::Copy),
-        other => return Err(Unreadable::Unknown(other)),
+        other => return Err(ProtocolError::Unknown(other)),
     };
     match rest.is_empty() {
         true => Ok(said),
-        false => Err(Unreadable::Malformed("bytes behind the end of a message")),
+        false => Err(ProtocolError::Malformed("bytes behind the end of a message")),
     }
 }
 
