--- a/crates/codec/src/engine_tests.rs
+++ b/crates/codec/src/engine_tests.rs
@@ -7,40 +7,40 @@
 }
 
 #[test]
-fn lines_are_read_once_they_are_whole() {
+fn replies_are_read_once_they_are_whole() {
     let text = b"9b1f ACK batches=2,stats=inflight:7;x0:0.5 5\r\na\r\nbc\r\n9b1f BLOCK batch=1 0\r\n\r\n";
     let first = 53;
     for len in 0..first {
         assert_eq!(read(&text[..len], &names()), Ok(None), "{len}");
     }
-    let (len, line) = read(text, &names()).unwrap().unwrap();
-    assert_eq!((len, line.bytes, line.report), (first, &b"a\r\nbc"[..], Some(vec![7.0, 0.5])));
-    assert_eq!((line.id, line.said), ("9b1f", Said::First { pages: 2 }));
-    let (_, line) = read(&text[first..], &names()).unwrap().unwrap();
-    assert_eq!(line.said, Said::Page { number: 1 });
+    let Decoded { len, message } = read(text, &names()).unwrap().unwrap();
+    assert_eq!((len, message.bytes, message.report), (first, &b"a\r\nbc"[..], Some(vec![7.0, 0.5])));
+    assert_eq!((message.id, message.kind), ("9b1f", ReplyKind::FirstPage { pages: 2 }));
+    let Decoded { message, .. } = read(&text[first..], &names()).unwrap().unwrap();
+    assert_eq!(message.kind, ReplyKind::Page { number: 1 });
 }
 
 #[test]
-fn what_engines_say_is_known_by_its_words() {
-    for (text, said) in [
-        ("i AGAIN - 0\r\n\r\n", Said::TurnedAway),
-        ("i EIO -\r\n", Said::Failed),
-        ("i STALE 0\r\n\r\n", Said::Stale),
-        ("i EVENT how=so_far,num=0.25 0\r\n\r\n", Said::ShareDone(0.25)),
-        ("i EVENT how=lacking,num=64 0\r\n\r\n", Said::SpillsMb(64.0)),
-        ("i EVENT how=waiting,num=1 0\r\n\r\n", Said::WaitsForMemory),
-        ("i EVENT how=waiting,num=2 0\r\n\r\n", Said::WaitsForData),
-        ("i EVENT - 0\r\n\r\n", Said::Nothing),
-        ("i READY\r\n", Said::Probed { alive: true }),
-        ("i AILING stats=inflight:1 0\r\n\r\n", Said::Probed { alive: false }),
+fn each_word_of_engines_has_its_kind() {
+    for (text, kind) in [
+        ("i AGAIN - 0\r\n\r\n", ReplyKind::Rejected),
+        ("i EIO -\r\n", ReplyKind::Failed),
+        ("i STALE 0\r\n\r\n", ReplyKind::Stale),
+        ("i EVENT how=so_far,num=0.25 0\r\n\r\n", ReplyKind::ShareDone(0.25)),
+        ("i EVENT how=lacking,num=64 0\r\n\r\n", ReplyKind::SpillsMb(64.0)),
+        ("i EVENT how=waiting,num=1 0\r\n\r\n", ReplyKind::WaitsForMemory),
+        ("i EVENT how=waiting,num=2 0\r\n\r\n", ReplyKind::WaitsForData),
+        ("i EVENT - 0\r\n\r\n", ReplyKind::OtherNote),
+        ("i READY\r\n", ReplyKind::ProbeAnswer { healthy: true }),
+        ("i AILING stats=inflight:1 0\r\n\r\n", ReplyKind::ProbeAnswer { healthy: false }),
     ] {
-        let (len, line) = read(text.as_bytes(), &names()).unwrap().unwrap();
-        assert_eq!((len, line.said, line.report), (text.len(), said, None), "{text}");
+        let Decoded { len, message } = read(text.as_bytes(), &names()).unwrap().unwrap();
+        assert_eq!((len, message.kind, message.report), (text.len(), kind, None), "{text}");
     }
 }
 
 #[test]
-fn broken_lines_are_errors() {
+fn broken_replies_are_errors() {
     let long = [b'x'; LONGEST_LINE + 2];
     for text in [
         &b"\r\n"[..],
@@ -77,9 +77,9 @@
 }
 
 #[test]
-fn a_want_names_only_what_is_set() {
+fn a_request_names_only_what_is_set() {
     let mut out = Vec::new();
-    let mut want = Want {
+    let mut request = ExecutionRequest {
         id: "i",
         workload: "load",
         dedup_key: None,
@@ -88,10 +88,10 @@
         priority: 1,
         statement: b"select 1",
     };
-    write(&mut out, &Command::Want(Want { ..want }));
-    want.dedup_key = Some("k");
-    want.grant_mb = 96.4;
-    write(&mut out, &Command::Want(want));
+    write(&mut out, &Command::Execute(ExecutionRequest { ..request }));
+    request.dedup_key = Some("k");
+    request.grant_mb = 96.4;
+    write(&mut out, &Command::Execute(request));
     let text = "want i class=load,wait=1500,nice=1 8\r\nselect 1\r\n\
                 want i class=load,wait=1500,once=k,mb=96,nice=1 8\r\nselect 1\r\n";
     assert_eq!(String::from_utf8(out).unwrap(), text);
--- a/crates/codec/src/lib.rs
+++ b/crates/codec/src/lib.rs
@@ -5,6 +5,15 @@
 pub mod statement;
 pub mod tables;
 
+/// A message that was read from the start of a buffer.
+#[derive(Debug, PartialEq)]
+pub struct Decoded<T> {
+    /// Bytes of the buffer that it took: the next message begins behind them.
+    pub len: usize,
+    /// The message.
+    pub message: T,
+}
+
 /// Bytes that are no message of their protocol, or a message over a limit: its connection has to end. The text
 /// says what is wrong with them; whoever logs it names the connection.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/front/src/engines/heard.rs
+++ b/crates/front/src/engines/heard.rs
@@ -1,5 +1,7 @@
 //! What engines say: results put together from their pages, notes, probes.
 
+use hallmux_codec::Decoded;
+
 use super::*;
 
 impl Engines {
@@ -16,7 +18,7 @@
                         log::info!("engine {}: reached again", engine.id);
                     }
                     for tag in link.probes.keys() {
-                        engine::write(link.link.output(), &Command::Probe(tag));
+                        engine::write(link.link.output(), &Command::Probe { tag });
                     }
                 }
                 Err(e) => {
@@ -38,9 +40,9 @@
             match engine::read(&input[at..], &self.report) {
                 Ok(None) => break None,
                 Err(what) => break Some(what),
-                Ok(Some((len, line))) => {
+                Ok(Some(Decoded { len, message })) => {
                     at += len;
-                    self.said(now, id, line);
+                    self.said(now, id, message);
                     if !self.links.contains_key(&id) {
                         return false;
                     }
@@ -64,52 +66,54 @@
         more
     }
 
-    pub(super) fn said(&mut self, now: Micros, id: LinkId, line: Line) {
+    pub(super) fn said(&mut self, now: Micros, id: LinkId, line: Reply) {
         let Some(link) = self.links.get_mut(&id) else { return };
         link.heard = now;
-        if let Said::Probed { alive } = line.said {
+        if let ReplyKind::ProbeAnswer { healthy } = line.kind {
             if link.probes.remove(line.id).is_some() {
-                self.told.push(Told::Probed { place: link.place, alive, report: line.report });
+                self.told.push(Told::Probed { place: link.place, alive: healthy, report: line.report });
             }
             return;
         }
         // What is said of an execution that was given up or is unknown means nothing any more.
         let Some(&sent) = link.open.get(line.id) else {
-            let over =
-                matches!(line.said, Said::First { .. } | Said::TurnedAway | Said::Failed | Said::Stale);
+            let over = matches!(
+                line.kind,
+                ReplyKind::FirstPage { .. } | ReplyKind::Rejected | ReplyKind::Failed | ReplyKind::Stale
+            );
             if over && !self.allowed.cancel && link.given_up.remove(line.id) {
                 link.idle_since = now;
-                engine::write(link.link.output(), &Command::NoMorePages(line.id));
+                engine::write(link.link.output(), &Command::ReleaseResult { id: line.id });
             }
             return;
         };
         let Some(x) = self.executions.get_mut(&sent).filter(|x| x.stage == Stage::Out) else { return };
         x.heard = now;
-        let ending = match line.said {
-            Said::First { pages } if x.pages.is_none() && pages <= MOST_PAGES => {
+        let ending = match line.kind {
+            ReplyKind::FirstPage { pages } if x.pages.is_none() && pages <= MOST_PAGES => {
                 let report = line.report.clone();
                 let mut first = Pages { missing: pages, report, heard: now, ..Pages::default() };
                 first.bytes.resize(pages, None);
                 x.pages = Some(first);
                 for page in 1..pages {
-                    engine::write(link.link.output(), &Command::Page(line.id, page));
+                    engine::write(link.link.output(), &Command::FetchPage { id: line.id, page });
                 }
                 x.page(now, 0, line.bytes)
             }
-            Said::First { pages } if x.pages.as_ref().is_some_and(|p| p.bytes.len() == pages) => {
+            ReplyKind::FirstPage { pages } if x.pages.as_ref().is_some_and(|p| p.bytes.len() == pages) => {
                 x.page(now, 0, line.bytes)
             }
-            Said::First { .. } => Some(Ending::Unreadable),
-            Said::Page { number } => x.page(now, number, line.bytes),
-            Said::TurnedAway if x.pages.is_none() => Some(Ending::TurnedAway),
-            Said::Stale if x.pages.is_none() => Some(Ending::Stale),
-            Said::Failed if x.pages.is_none() => Some(Ending::EngineFailed),
-            Said::TurnedAway | Said::Stale | Said::Failed => Some(Ending::PageLost),
-            Said::ShareDone(share) => return self.note(sent, Note::ShareDone(share)),
-            Said::SpillsMb(mb) => return self.note(sent, Note::SpillsMb(mb)),
-            Said::WaitsForMemory => return self.note(sent, Note::WaitsForMemory),
-            Said::WaitsForData => return self.note(sent, Note::WaitsForData),
-            Said::Nothing | Said::Probed { .. } => None,
+            ReplyKind::FirstPage { .. } => Some(Ending::Unreadable),
+            ReplyKind::Page { number } => x.page(now, number, line.bytes),
+            ReplyKind::Rejected if x.pages.is_none() => Some(Ending::TurnedAway),
+            ReplyKind::Stale if x.pages.is_none() => Some(Ending::Stale),
+            ReplyKind::Failed if x.pages.is_none() => Some(Ending::EngineFailed),
+            ReplyKind::Rejected | ReplyKind::Stale | ReplyKind::Failed => Some(Ending::PageLost),
+            ReplyKind::ShareDone(share) => return self.note(sent, Note::ShareDone(share)),
+            ReplyKind::SpillsMb(mb) => return self.note(sent, Note::SpillsMb(mb)),
+            ReplyKind::WaitsForMemory => return self.note(sent, Note::WaitsForMemory),
+            ReplyKind::WaitsForData => return self.note(sent, Note::WaitsForData),
+            ReplyKind::OtherNote | ReplyKind::ProbeAnswer { .. } => None,
         };
         let Some(ending) = ending else { return };
         if ending == Ending::Unreadable {
@@ -120,7 +124,7 @@
         link.idle_since = now;
         let pages = self.executions.remove(&sent).and_then(|x| x.pages).unwrap_or_default();
         if ending == Ending::PageLost {
-            engine::write(link.link.output(), &Command::NoMorePages(line.id));
+            engine::write(link.link.output(), &Command::ReleaseResult { id: line.id });
         }
         if ending != Ending::Answered {
             let over = if self.allowed.cancel { &mut link.given_up } else { &mut link.ended };
--- a/crates/front/src/engines/left.rs
+++ b/crates/front/src/engines/left.rs
@@ -74,7 +74,7 @@
                 self.withdraw(id, sent);
                 return self.pump(now, id);
             }
-            let want = Want {
+            let request = ExecutionRequest {
                 id: &x.call.id,
                 workload: &x.call.workload,
                 dedup_key: x.call.dedup_key.as_deref(),
@@ -88,7 +88,7 @@
                 let rested = if link.idle_since > dialled { now - link.idle_since } else { 0 };
                 (link.rested, link.taken_up) = (rested, now);
             }
-            engine::write(link.link.output(), &Command::Want(want));
+            engine::write(link.link.output(), &Command::Execute(request));
             (x.stage, x.sent) = (Stage::Leaving, now);
             link.leaving = Some((sent, link.link.output().len()));
         }
--- a/crates/front/src/engines/mod.rs
+++ b/crates/front/src/engines/mod.rs
@@ -13,7 +13,7 @@
 
 use calloop::LoopHandle;
 use hallmux_agreement::{Allowance, Names};
-use hallmux_codec::engine::{self, Command, Line, Said, Want};
+use hallmux_codec::engine::{self, Command, ExecutionRequest, Reply, ReplyKind};
 use hallmux_codec::statement::Call;
 use hallmux_dispatcher::{Dials, Ending, Micros, Note, Place, Terms, Ticket};
 
--- a/crates/front/src/engines/sent.rs
+++ b/crates/front/src/engines/sent.rs
@@ -98,7 +98,7 @@
         x.terms.priority = priority;
         if x.stage != Stage::Queued && x.pages.is_none() {
             if let Some(link) = self.links.get_mut(&x.link) {
-                engine::write(link.link.output(), &Command::Hurry(&x.call.id, priority));
+                engine::write(link.link.output(), &Command::SetPriority { id: &x.call.id, priority });
             }
         }
     }
@@ -121,9 +121,9 @@
             Stage::Leaving => self.end(now, id, Ending::ClosedHere),
             Stage::Out => {
                 match x.pages {
-                    Some(_) => engine::write(link.link.output(), &Command::NoMorePages(&name)),
+                    Some(_) => engine::write(link.link.output(), &Command::ReleaseResult { id: &name }),
                     None if self.allowed.cancel => {
-                        engine::write(link.link.output(), &Command::NeverMind(&name))
+                        engine::write(link.link.output(), &Command::Cancel { id: &name })
                     }
                     None => {}
                 }
@@ -146,7 +146,7 @@
             return self.told.push(Told::Probed { place, alive: false, report: None });
         };
         if link.up {
-            engine::write(link.link.output(), &Command::Probe(&tag));
+            engine::write(link.link.output(), &Command::Probe { tag: &tag });
         }
         link.probes.insert(tag, now + self.allowed.dial_timeout);
     }
