--- a/crates/codec/src/statement.rs
+++ b/crates/codec/src/statement.rs
@@ -1,5 +1,5 @@
-//! What clients say and hear: Thrift in frames, strict binary. The `thrift` crate reads within the limits
-//! given here; the frame is taken apart before, so that it reads from whole messages only.
+//! The protocol between clients and a front: Thrift in frames, strict binary. The `thrift` crate reads within the
+//! limits given here; the frame is taken apart before, so that it reads from whole messages only.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 };
 use thrift::{ApplicationError, ApplicationErrorKind, TConfiguration};
 
-use crate::ParseError;
+use crate::{Decoded, ParseError};
 
 const LONGEST_FRAME: usize = 128 << 10; // bytes; statements take some hundred, the longest some ten thousand
 const MOST_FIELDS: usize = 64; // of a statement; a dozen are known
@@ -20,50 +20,76 @@
 const MOST_MEMORY_MB: f64 = 1e7; // MB: ten terabytes, more than engines have
 const PREFIX: usize = 4; // bytes of a frame's length
 
-/// What names the statement on its connection and everywhere, its repeats, the workload and the customer.
+/// The name by which a client gets to read that a call's sequence number is in use on its connection.
 pub const NUMBER: &str = "sequence number";
+/// The field that identifies a statement, on all connections.
 pub const ID: &str = "txn";
+/// The field whose value repeats of a statement share.
 pub const DEDUP_KEY: &str = "unique";
+/// The field that names the workload.
 pub const WORKLOAD: &str = "verb";
+/// The field that names the customer.
 pub const CUSTOMER: &str = "team";
 
+/// A message of a client.
+#[derive(Debug, PartialEq)]
+pub struct Message {
+    /// Identifies the request on its connection; the reply carries it.
+    pub sequence_number: i32,
+    /// What the client asks.
+    pub request: Request,
+}
+
 /// What a client asks.
 #[derive(Debug, PartialEq)]
-pub enum Asked {
-    Serve(Call),
-    Forget(i32),
-    IsWell,
-    Unknown(String),
+pub enum Request {
+    /// Execute a statement.
+    Execute(Call),
+    /// Cancel the statement that came under this sequence number; there is no reply.
+    Cancel(i32),
+    /// Tell whether the front takes statements.
+    HealthCheck,
+    /// A method by this name, which there is not.
+    UnknownMethod(String),
 }
 
 /// A statement and its fields, as they came.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Call {
+    /// Identifies the statement, on all connections.
     pub id: String,
+    /// The workload's name, as the settings have it.
     pub workload: String,
+    /// The customer's name, as the settings have it.
     pub customer: String,
+    /// Milliseconds that the client still waits.
     pub time_left_ms: f64,
+    /// Statements with equal keys take effect once.
     pub dedup_key: Option<String>,
+    /// Statements with equal keys run one after the other.
     pub order_key: Option<String>,
+    /// The client's estimate of the work, in milliseconds on one core; 0 where it gives none.
     pub work_ms: f64,
+    /// The client's estimate of the memory, in MB; 0 where it gives none.
     pub memory_mb: f64,
+    /// The statement's text.
     pub statement: Vec<u8>,
     /// The first field that is missing or can't be used.
-    pub unfit: Option<&'static str>,
+    pub invalid_field: Option<&'static str>,
 }
 
-/// Takes the next whole message from the start of `input`: its length in bytes, sequence number and content.
-pub fn read(input: &[u8]) -> Result<Option<(usize, i32, Asked)>, ParseError> {
+/// Takes the next whole message from the start of `input`; None until all of it has come.
+pub fn read(input: &[u8]) -> Result<Option<Decoded<Message>>, ParseError> {
     let Some(prefix) = input.first_chunk::<PREFIX>() else { return Ok(None) };
     let len = i32::from_be_bytes(*prefix);
     let len = usize::try_from(len).ok().filter(|len| *len <= LONGEST_FRAME);
     let len = len.ok_or_else(|| ParseError::new("a frame longer than agreed, or negative"))?;
     let Some(frame) = input[PREFIX..].get(..len) else { return Ok(None) };
-    let (seqid, asked) = message(frame).map_err(ParseError::new)?;
-    Ok(Some((PREFIX + len, seqid, asked)))
+    let message = message(frame).map_err(ParseError::new)?;
+    Ok(Some(Decoded { len: PREFIX + len, message }))
 }
 
-fn message(frame: &[u8]) -> thrift::Result<(i32, Asked)> {
+fn message(frame: &[u8]) -> thrift::Result<Message> {
     let limits = TConfiguration::builder()
         .max_message_size(Some(LONGEST_FRAME))
         .max_frame_size(Some(LONGEST_FRAME))
@@ -90,14 +116,14 @@
     if !input.transport.is_empty() {
         return Err("a frame longer than its message".into());
     }
-    let asked = match (head.name.as_str(), head.message_type) {
-        ("serve", TMessageType::Call) => Asked::Serve(Call::new(&fields, statement)),
-        ("forget", TMessageType::OneWay | TMessageType::Call) => Asked::Forget(number.unwrap_or(0)),
-        ("isWell", TMessageType::Call) => Asked::IsWell,
-        (_, TMessageType::Call | TMessageType::OneWay) => Asked::Unknown(head.name),
+    let request = match (head.name.as_str(), head.message_type) {
+        ("serve", TMessageType::Call) => Request::Execute(Call::new(&fields, statement)),
+        ("forget", TMessageType::OneWay | TMessageType::Call) => Request::Cancel(number.unwrap_or(0)),
+        ("isWell", TMessageType::Call) => Request::HealthCheck,
+        (_, TMessageType::Call | TMessageType::OneWay) => Request::UnknownMethod(head.name),
         _ => return Err("a client that answers".into()),
     };
-    Ok((head.sequence_number, asked))
+    Ok(Message { sequence_number: head.sequence_number, request })
 }
 
 fn read_fields(input: &mut TBinaryInputProtocol<&[u8]>) -> thrift::Result<BTreeMap<String, String>> {
@@ -124,8 +150,8 @@
     }
 
     fn new(fields: &BTreeMap<String, String>, statement: Option<Vec<u8>>) -> Call {
-        let mut unfit = None;
-        let mut note = |name: &'static str, bad: bool| unfit = unfit.or(bad.then_some(name));
+        let mut invalid_field = None;
+        let mut note = |name: &'static str, bad: bool| invalid_field = invalid_field.or(bad.then_some(name));
         let text = |name: &str| fields.get(name).cloned();
         let number = |name: &str| fields.get(name).map(|v| v.parse::<f64>().unwrap_or(f64::NAN));
         let bad = |n: f64, most: f64| !(0.0..=most).contains(&n);
@@ -140,7 +166,7 @@
             work_ms: number("cpu").unwrap_or(0.0),
             memory_mb: number("heap_mb").unwrap_or(0.0),
             statement: statement.unwrap_or_default(),
-            unfit: None,
+            invalid_field: None,
         };
         note(ID, call.id.len() != 16 || !call.id.bytes().all(|c| c.is_ascii_hexdigit()));
         note(WORKLOAD, bad_word(&call.workload));
@@ -151,48 +177,56 @@
         note("cpu", bad(call.work_ms, MOST_WORK_MS));
         note("heap_mb", bad(call.memory_mb, MOST_MEMORY_MB));
         note("body", call.statement.is_empty());
-        Call { unfit, ..call }
+        Call { invalid_field, ..call }
     }
 }
 
-/// What a client hears.
+/// The reply to a request.
 pub enum Reply<'a> {
+    /// The statement's whole result.
     Completed(&'a [u8]),
     /// A result that says what is missing in it.
-    Partly {
+    Partial {
+        /// The rows that are there.
         body: &'a [u8],
+        /// Names and values that say what is missing.
         fields: &'a [(&'a str, &'a str)],
     },
-    /// Rejected for a reason that holds at any try.
+    /// The statement was rejected for a reason that holds at any try; names and values say which.
     Refused(&'a [(&'a str, &'a str)]),
+    /// The statement was rejected and has had no effect; trying again may help.
     Rejected {
+        /// Milliseconds to wait before that; None leaves it to the client.
         retry_after_ms: Option<i64>,
     },
+    /// The statement may or may not have had an effect.
     Aborted,
     /// Whether this front takes statements.
-    Well(bool),
+    Health(bool),
+    /// There is no method by this name.
     UnknownMethod(&'a str),
-    Unfit(&'a str),
+    /// The field of this name is missing or can't be used.
+    InvalidField(&'a str),
 }
 
-/// Writes a reply as one frame.
-pub fn write(output: &mut Vec<u8>, seqid: i32, reply: &Reply) {
+/// Appends a reply to `output`, as one frame.
+pub fn write(output: &mut Vec<u8>, sequence_number: i32, reply: &Reply) {
     let start = output.len();
     output.extend([0; PREFIX]);
-    let written = write_message(&mut TBinaryOutputProtocol::new(&mut *output, true), seqid, reply);
+    let written = write_message(&mut TBinaryOutputProtocol::new(&mut *output, true), sequence_number, reply);
     debug_assert!(written.is_ok(), "writing to memory cannot fail");
     let len = (output.len() - start - PREFIX) as u32;
     output[start..start + PREFIX].copy_from_slice(&len.to_be_bytes());
 }
 
-fn write_message(out: &mut impl TOutputProtocol, seqid: i32, reply: &Reply) -> thrift::Result<()> {
-    let name = if matches!(reply, Reply::Well(_)) { "isWell" } else { "serve" };
+fn write_message(out: &mut impl TOutputProtocol, sequence_number: i32, reply: &Reply) -> thrift::Result<()> {
+    let name = if matches!(reply, Reply::Health(_)) { "isWell" } else { "serve" };
     let failed = |kind, message: String| Some(ApplicationError { kind, message });
     let exception = match reply {
         Reply::UnknownMethod(name) => {
             failed(ApplicationErrorKind::UnknownMethod, format!("unknown method '{name}'"))
         }
-        Reply::Unfit(field) => failed(
+        Reply::InvalidField(field) => failed(
             ApplicationErrorKind::ProtocolError,
             format!("field '{field}' is missing or can't be used"),
         ),
@@ -200,17 +234,17 @@
     };
     if let Some(exception) = exception {
         let name = if let Reply::UnknownMethod(name) = reply { name } else { name };
-        out.write_message_begin(&TMessageIdentifier::new(name, TMessageType::Exception, seqid))?;
+        out.write_message_begin(&TMessageIdentifier::new(name, TMessageType::Exception, sequence_number))?;
         thrift::Error::write_application_error_to_out_protocol(&exception, out)?;
         return out.write_message_end();
     }
-    out.write_message_begin(&TMessageIdentifier::new(name, TMessageType::Reply, seqid))?;
+    out.write_message_begin(&TMessageIdentifier::new(name, TMessageType::Reply, sequence_number))?;
     out.write_struct_begin(&TStructIdentifier::new("result"))?;
     match reply {
         Reply::Completed(body) => write_answer(out, body, &[], true)?,
-        Reply::Partly { body, fields } => write_answer(out, body, fields, true)?,
+        Reply::Partial { body, fields } => write_answer(out, body, fields, true)?,
         Reply::Refused(fields) => write_exception(out, 1, fields)?,
-        Reply::Well(good) => write_answer(out, b"", &[], *good)?,
+        Reply::Health(good) => write_answer(out, b"", &[], *good)?,
         Reply::Rejected { retry_after_ms } => {
             let later = retry_after_ms.map(|ms| ms.to_string());
             write_exception(out, 1, later.as_deref().map(|ms| ("later", ms)).as_slice())?;
--- a/crates/codec/src/statement_tests.rs
+++ b/crates/codec/src/statement_tests.rs
@@ -25,8 +25,9 @@
     for len in 0..frame.len() {
         assert_eq!(read(&frame[..len]), Ok(None));
     }
-    let Ok(Some((len, 7, Asked::Serve(call)))) = read(&frame) else { panic!() };
-    assert_eq!((len, call.unfit, call.time_left_ms), (frame.len(), None, 1500.0));
+    let Ok(Some(Decoded { len, message })) = read(&frame) else { panic!() };
+    let Message { sequence_number: 7, request: Request::Execute(call) } = message else { panic!() };
+    assert_eq!((len, call.invalid_field, call.time_left_ms), (frame.len(), None, 1500.0));
     assert_eq!(call.statement, b"select '\xff'");
 }
 
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn the_first_unfit_field_is_named() {
+fn the_first_invalid_field_is_named() {
     for (name, value) in [
         ("txn", "short"),
         ("txn", "9b1f03aa5c7e2d4,"),
@@ -78,7 +79,8 @@
     ] {
         let mut fields: Vec<_> = FIELDS.iter().copied().filter(|(known, _)| *known != name).collect();
         fields.push((name, value));
-        let Ok(Some((_, _, Asked::Serve(call)))) = read(&frame(&fields, b"")) else { panic!() };
-        assert_eq!(call.unfit, Some(name), "{value}");
+        let Ok(Some(Decoded { message, .. })) = read(&frame(&fields, b"")) else { panic!() };
+        let Request::Execute(call) = message.request else { panic!() };
+        assert_eq!(call.invalid_field, Some(name), "{value}");
     }
 }
--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -6,7 +6,8 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
 
-use hallmux_codec::statement::{self, Asked, Call, Reply};
+use hallmux_codec::statement::{self, Call, Message, Reply, Request};
+use hallmux_codec::Decoded;
 use hallmux_dispatcher::{Micros, Ticket};
 
 use crate::link::Link;
@@ -153,17 +154,18 @@
             match statement::read(&client.link.input[at..]) {
                 Ok(None) => break None,
                 Err(what) => break Some(what),
-                Ok(Some((len, number, asked))) => {
+                Ok(Some(Decoded { len, message })) => {
+                    let Message { sequence_number: number, request } = message;
                     at += len;
                     let mut answer = |reply: Reply| statement::write(client.link.output(), number, &reply);
-                    match asked {
-                        Asked::IsWell => answer(Reply::Well(well)),
-                        Asked::Unknown(name) => {
+                    match request {
+                        Request::HealthCheck => answer(Reply::Health(well)),
+                        Request::UnknownMethod(name) => {
                             answer(Reply::UnknownMethod(&name));
                             client.faults += 1;
                         }
-                        Asked::Forget(number) => told.push(Told::Forgets { client: id, number }),
-                        Asked::Serve(call) => {
+                        Request::Cancel(number) => told.push(Told::Forgets { client: id, number }),
+                        Request::Execute(call) => {
                             told.push(Told::Asked { client: id, number, call: Box::new(call), waited });
                         }
                     }
@@ -198,7 +200,7 @@
 
     /// Says that a statement can't be used.
     pub fn unfit(&mut self, id: ClientId, number: i32, field: &str) {
-        self.say(id, number, &Reply::Unfit(field));
+        self.say(id, number, &Reply::InvalidField(field));
         if let Some(client) = self.clients.get_mut(&id) {
             client.faults += 1;
         }
--- a/crates/front/src/front/asked.rs
+++ b/crates/front/src/front/asked.rs
@@ -55,7 +55,7 @@
         if !self.clients.has_room(client, number, &call, ended) {
             return;
         }
-        if let Some(field) = call.unfit {
+        if let Some(field) = call.invalid_field {
             return self.clients.unfit(client, number, field);
         }
         if self.shutdown.rejects() {
--- a/crates/front/src/front/scattered.rs
+++ b/crates/front/src/front/scattered.rs
@@ -156,7 +156,7 @@
                 let (missing, barred) = (missing.join(","), barred.join(","));
                 let fields = [("missing", missing.as_str()), ("barred", barred.as_str())];
                 let fields: Vec<_> = fields.into_iter().filter(|(_, sites)| !sites.is_empty()).collect();
-                self.clients.answer(now, ticket, &Reply::Partly { body: bytes, fields: &fields });
+                self.clients.answer(now, ticket, &Reply::Partial { body: bytes, fields: &fields });
             }
             Answer::Rejected { retry_after, site } => {
                 log::debug!("a statement of several sites is rejected for its part at {site}");
@@ -173,7 +173,7 @@
             Answer::About { distinct, error } => {
                 // Engines' rows have three columns.
                 let (row, error) = (format!("{distinct}\t\t\n"), format!("{error:.4}"));
-                let reply = Reply::Partly { body: row.as_bytes(), fields: &[("error", &error)] };
+                let reply = Reply::Partial { body: row.as_bytes(), fields: &[("error", &error)] };
                 self.clients.answer(now, ticket, &reply);
             }
             Answer::Untold => {
