--- a/crates/codec/src/coordinator.rs
+++ b/crates/codec/src/coordinator.rs
@@ -1,28 +1,34 @@
-//! What a front asks the coordinator over HTTP, and the changes that it tells.
+//! The protocol between a front and the coordinator: a long poll over HTTP for changes of the engine list.
 
 use serde::Deserialize;
 
-use crate::ParseError;
+use crate::{Decoded, ParseError};
 
 const LONGEST_HEAD: usize = 16 << 10; // bytes; HTTP servers send some hundred
 const MOST_HEADERS: usize = 64;
-pub const LONGEST_BODY: usize = 8 << 20; // bytes; a list of some thousand engines takes one million
+/// Bytes of a response's body at the most; a list of some thousand engines takes one million.
+pub const LONGEST_BODY: usize = 8 << 20;
 
-pub fn question(host: &str, follow: u64, wait_ms: i64) -> String {
+/// The request for the events after `follow`; the coordinator holds it open for `wait_ms` milliseconds, or
+/// until there are any.
+pub fn poll_request(host: &str, follow: u64, wait_ms: i64) -> String {
     let target = format!("/v2/stream?follow={follow}&wait_ms={wait_ms}");
     format!("GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n")
 }
 
-/// A whole answer: how many bytes it took, whether the connection stays, its status and its body.
-pub struct Answer {
-    pub len: usize,
-    pub stays: bool,
+/// An HTTP response.
+pub struct Response {
+    /// Whether the connection takes another request.
+    pub keep_alive: bool,
+    /// The status code.
     pub status: u16,
+    /// The body, out of its chunks.
     pub body: Vec<u8>,
 }
 
-/// Takes one answer from the start of `input`; `ended` says that nothing more will come.
-pub fn read(input: &[u8], ended: bool) -> Result<Option<Answer>, ParseError> {
+/// Takes one response from the start of `input`; None until all of it has come. `ended` says that nothing
+/// more will come.
+pub fn read(input: &[u8], ended: bool) -> Result<Option<Decoded<Response>>, ParseError> {
     let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let start = match head.parse(input).map_err(ParseError::new)? {
@@ -36,11 +42,12 @@
         let found = head.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
         found.and_then(|h| std::str::from_utf8(h.value).ok()).map(str::trim)
     };
-    let says = |name: &str, word: &str| header(name).is_some_and(|v| v.to_ascii_lowercase().contains(word));
+    let contains =
+        |name: &str, word: &str| header(name).is_some_and(|v| v.to_ascii_lowercase().contains(word));
     let status = head.code.unwrap_or(0);
-    let mut stays = head.version == Some(1) && !says("connection", "close");
+    let mut keep_alive = head.version == Some(1) && !contains("connection", "close");
     let rest = &input[start..];
-    let (body, used) = if says("transfer-encoding", "chunked") {
+    let (body, used) = if contains("transfer-encoding", "chunked") {
         match chunks(rest)? {
             Some(found) => found,
             None => return Ok(None),
@@ -55,14 +62,15 @@
     } else if rest.len() > LONGEST_BODY {
         return Err(ParseError::new("a body longer than agreed"));
     } else if ended {
-        stays = false;
+        keep_alive = false;
         (rest.to_vec(), rest.len())
     } else {
         return Ok(None);
     };
-    Ok(Some(Answer { len: start + used, stays, status, body }))
+    Ok(Some(Decoded { len: start + used, message: Response { keep_alive, status, body } }))
 }
 
+/// The body out of its chunks, and the bytes that they took.
 fn chunks(input: &[u8]) -> Result<Option<(Vec<u8>, usize)>, ParseError> {
     let (mut body, mut at) = (Vec::new(), 0);
     loop {
@@ -91,54 +99,74 @@
     }
 }
 
-/// The events of the coordinator up to a number.
+/// The coordinator's events up to a number.
 #[derive(Debug, Default, Deserialize)]
-pub struct Stream {
+pub struct Events {
+    /// The number of the last one: the next poll follows it.
     pub index: u64,
+    /// The events, in order.
     pub updates: Vec<Update>,
 }
 
+/// One event.
 #[derive(Debug, Deserialize)]
 pub struct Update {
+    /// The event's number.
     pub index: u64,
+    /// Engines that are listed or change with it; None where it is of another kind.
     #[serde(rename = "endpoints")]
     pub list: Option<EngineList>,
 }
 
+/// Entries of the engine list.
 #[derive(Debug, Deserialize)]
 pub struct EngineList {
+    /// Whether these are all engines that there are, or only those that change.
     #[serde(rename = "full", default)]
-    pub whole: bool,
+    pub is_full: bool,
+    /// The entries.
     #[serde(rename = "servers")]
     pub engines: Vec<Engine>,
 }
 
+/// An engine as the coordinator lists it.
 #[derive(Debug, Deserialize)]
 pub struct Engine {
+    /// Identifies the engine.
     pub id: String,
+    /// Where it listens: an IP address and a port.
     #[serde(rename = "addr", default)]
     pub address: String,
+    /// The location's name, as the settings have it.
     #[serde(rename = "zone", default)]
     pub location: String,
+    /// The kind's name, as the settings have it.
     #[serde(default)]
     pub kind: String,
+    /// The cell that it belongs to, by number.
     #[serde(default)]
     pub cell: usize,
-    pub state: State,
-    /// Its Unix millisecond, where the start is late enough to be told; else 0.
+    /// Whether it takes statements.
+    pub state: EngineState,
+    /// When it started, in milliseconds of Unix time, where that is recent enough to be sent; else 0.
     #[serde(default)]
     pub started_ms: f64,
 }
 
+/// Whether an engine takes statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum EngineState {
+    /// It does.
     Up,
+    /// It finishes what it has, and takes nothing new.
     Draining,
+    /// It is gone.
     Removed,
 }
 
-pub fn stream(body: &[u8]) -> Result<Stream, ParseError> {
+/// Reads events from the body of a response.
+pub fn events(body: &[u8]) -> Result<Events, ParseError> {
     serde_json::from_slice(body).map_err(ParseError::new)
 }
 
--- a/crates/codec/src/coordinator_tests.rs
+++ b/crates/codec/src/coordinator_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn answers_are_read_once_they_are_whole() {
+fn responses_are_read_once_they_are_whole() {
     for text in [
         "HTTP/1.1 200 OK\r\nContent-Length: 25\r\n\r\n{\"index\":41,\"updates\":[]}",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n\
@@ -12,17 +12,19 @@
         for len in 0..text.len() {
             assert!(read(&text.as_bytes()[..len], false).is_ok_and(|found| found.is_none()), "{len}");
         }
-        let answer = read(text.as_bytes(), false).unwrap().unwrap();
-        assert_eq!((answer.len, answer.stays, answer.status), (text.len(), true, 200));
-        assert_eq!(stream(&answer.body).unwrap().index, 41);
+        let Decoded { len, message } = read(text.as_bytes(), false).unwrap().unwrap();
+        assert_eq!((len, message.keep_alive, message.status), (text.len(), true, 200));
+        assert_eq!(events(&message.body).unwrap().index, 41);
     }
     let till_end = b"HTTP/1.0 200 OK\r\n\r\n{}";
     assert!(read(till_end, false).is_ok_and(|found| found.is_none()));
-    assert!(read(till_end, true).is_ok_and(|found| found.is_some_and(|a| !a.stays && a.body == b"{}")));
+    assert!(read(till_end, true).is_ok_and(
+        |found| found.is_some_and(|found| { !found.message.keep_alive && found.message.body == b"{}" })
+    ));
 }
 
 #[test]
-fn broken_answers_are_errors() {
+fn broken_responses_are_errors() {
     for text in [
         "nonsense\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
@@ -33,6 +35,6 @@
         assert!(read(text.as_bytes(), false).is_err(), "{text}");
     }
     for body in ["", "[]", "{}", "{\"updates\":[{}]}", "{\"updates\":[{\"index\":1,\"endpoints\":{}}]}"] {
-        assert!(stream(body.as_bytes()).is_err(), "{body}");
+        assert!(events(body.as_bytes()).is_err(), "{body}");
     }
 }
--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -3,7 +3,8 @@
 use std::net::SocketAddr;
 
 use calloop::LoopHandle;
-use hallmux_codec::coordinator::{self as codec, Stream};
+use hallmux_codec::coordinator::{self as codec, Events};
+use hallmux_codec::Decoded;
 use hallmux_dispatcher::Micros;
 
 use crate::doors::{Changes, Door};
@@ -82,14 +83,14 @@
 
     fn ask(&mut self, now: Micros) {
         if let (Some(link), Some(at)) = (&mut self.link, self.at) {
-            let question = codec::question(&at.to_string(), self.follow, WAIT_MS);
+            let question = codec::poll_request(&at.to_string(), self.follow, WAIT_MS);
             link.output().extend_from_slice(question.as_bytes());
             (self.asked, self.due) = (Some(now), now + WAIT_MS * 1000 + SILENCE);
         }
     }
 
     /// The connection has changed; what it brought, if anything.
-    pub fn read(&mut self, now: Micros, number: u64) -> Option<Stream> {
+    pub fn read(&mut self, now: Micros, number: u64) -> Option<Events> {
         let link = self.link.as_mut().filter(|_| number == self.number)?;
         if self.asked.is_none() {
             match link.is_up() {
@@ -108,7 +109,7 @@
                 break broken;
             }
         };
-        let answer = match codec::read(&link.input, broken.is_some()) {
+        let Decoded { len, message: answer } = match codec::read(&link.input, broken.is_some()) {
             Ok(Some(answer)) => answer,
             Ok(None) if broken.is_some() => {
                 self.failed(now, "connection over");
@@ -120,9 +121,9 @@
                 return None;
             }
         };
-        link.taken(answer.len);
+        link.taken(len);
         let read = match answer.status {
-            200 => codec::stream(&answer.body).map_err(|what| what.to_string()),
+            200 => codec::events(&answer.body).map_err(|what| what.to_string()),
             status => Err(format!("status {status}")),
         };
         match read {
@@ -142,7 +143,7 @@
                 let idle = stream.updates.is_empty() && self.asked.is_some_and(|at| now < at + AGAIN);
                 if idle {
                     (self.link, self.due) = (None, now + AGAIN);
-                } else if answer.stays && broken.is_none() {
+                } else if answer.keep_alive && broken.is_none() {
                     self.ask(now);
                 } else {
                     (self.link, self.due) = (None, now);
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -11,7 +11,7 @@
 
 use calloop::LoopHandle;
 use hallmux_agreement::{Contract, Limits, Station};
-use hallmux_codec::coordinator::Stream;
+use hallmux_codec::coordinator::Events;
 use hallmux_dispatcher::{Dispatcher, Micros, Rooms};
 
 use crate::clients::Clients;
@@ -74,7 +74,7 @@
 impl Front {
     pub fn new(
         station: &Station,
-        known: &Stream,
+        known: &Events,
         listener: TcpListener,
         handle: LoopHandle<'static, Changes>,
     ) -> Result<Front, Fault> {
--- a/crates/front/src/front/listed.rs
+++ b/crates/front/src/front/listed.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use hallmux_codec::coordinator::{Engine, State, Stream};
+use hallmux_codec::coordinator::{Engine, EngineState, Events};
 use hallmux_dispatcher::{Listing, Micros, Mode as EngineMode, Speech};
 
 use super::Front;
@@ -11,7 +11,7 @@
     /// Takes in what a new configuration knows of the coordinator's events: a drain that it tells counts as told,
     /// whether the coordinator that it names answers or not.
     pub(super) fn follow_known(&mut self, known: &str) {
-        match hallmux_codec::coordinator::stream(known.as_bytes()) {
+        match hallmux_codec::coordinator::events(known.as_bytes()) {
             Ok(known) => {
                 let before = self.coordinator.follow;
                 self.coordinator.follow = before.max(known.index);
@@ -22,14 +22,14 @@
     }
 
     /// Takes in the coordinator's events that come after the one given.
-    pub(super) fn follow(&mut self, stream: &Stream, after: u64) {
+    pub(super) fn follow(&mut self, stream: &Events, after: u64) {
         for update in stream.updates.iter().filter(|u| u.index > after) {
             let Some(list) = &update.list else { continue };
             let portal = self.portal.as_ref();
             let speaks = |e: &Engine| portal.and_then(|portal| portal.port(&e.kind));
             let listings: Vec<Listing> = list.engines.iter().map(|e| listing(e, speaks(e))).collect();
-            let places = self.dispatcher.list(list.whole, &listings);
-            if list.whole {
+            let places = self.dispatcher.list(list.is_full, &listings);
+            if list.is_full {
                 self.engines.retire_but(&places);
                 self.portal.iter_mut().for_each(|portal| portal.servers().retire_but(&places));
             }
@@ -37,7 +37,7 @@
                 let Engine { id, address, kind, state, .. } = engine;
                 log::info!("engine {id}: {state:?} at {address} ({kind})");
                 let sessions = self.portal.as_ref().and_then(|portal| portal.port(kind));
-                let up = *state == State::Up;
+                let up = *state == EngineState::Up;
                 if let Some((portal, port)) = self.portal.as_mut().zip(sessions) {
                     match address.parse::<SocketAddr>() {
                         Ok(mut at) => {
@@ -51,8 +51,8 @@
                     continue;
                 }
                 match address.parse() {
-                    Ok(at) => self.engines.list(place, id, at, engine.started_ms, *state == State::Up),
-                    Err(_) if *state != State::Up => self.engines.retire(place),
+                    Ok(at) => self.engines.list(place, id, at, engine.started_ms, *state == EngineState::Up),
+                    Err(_) if *state != EngineState::Up => self.engines.retire(place),
                     Err(e) => log::error!("engine {id}: address '{address}': {e}"),
                 }
             }
@@ -68,9 +68,9 @@
         kind: &engine.kind,
         cell: engine.cell,
         mode: match engine.state {
-            State::Up => EngineMode::Ready,
-            State::Draining => EngineMode::Draining,
-            State::Removed => EngineMode::Gone,
+            EngineState::Up => EngineMode::Ready,
+            EngineState::Draining => EngineMode::Draining,
+            EngineState::Removed => EngineMode::Gone,
         },
         started: (engine.started_ms > 0.0).then_some((engine.started_ms * 1000.0) as Micros),
         speaks: match sessions {
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -45,7 +45,7 @@
     if let Some(path) = &station.drill_clock {
         log::warn!("HALLMUX_CLOCK: the time is a drill's, from {}", path.display());
     }
-    let known = hallmux_codec::coordinator::stream(station.known.as_bytes());
+    let known = hallmux_codec::coordinator::events(station.known.as_bytes());
     let known = known.map_err(|what| Fault::Known(what.to_string()))?;
     let polls = Fault::system("polling");
     let mut event_loop: EventLoop<'static, Changes> = EventLoop::try_new().map_err(|e| polls(e.into()))?;
