--- a/crates/codec/src/engine.rs
+++ b/crates/codec/src/engine.rs
@@ -159,8 +159,8 @@
     ("err_rps", "eps"),
 ];
 
-/// Takes the next whole reply, with its page, from the start of `input`; None until all of it has come. `names`
-/// are the figures of a load report, as the settings name them.
+/// Takes the next whole reply, with its page, from the start of `input`; None until all of it has come.
+/// `names` are the figures of a load report, as the settings name them.
 pub fn read<'a>(input: &'a [u8], names: &[String]) -> Result<Option<Decoded<Reply<'a>>>, ParseError> {
     let Some(end) = input.windows(2).take(LONGEST_LINE).position(|w| w == b"\r\n") else {
         let long = input.len() > LONGEST_LINE;
--- a/crates/codec/src/lib.rs
+++ b/crates/codec/src/lib.rs
@@ -1,4 +1,10 @@
-//! Bytes to messages and back, without sockets: what clients, query engines and the coordinator say.
+//! The wire formats that a front speaks with clients, query engines and the coordinator: bytes to messages
+//! and back, without input and output of its own. Each format's own words stay in its module.
+//!
+//! Readers take a buffer that begins with a message. They give a [`Decoded`] message with its length, None
+//! while some of it has yet to come, and a [`ParseError`] for what can't be one.
+
+#![warn(missing_docs)]
 
 pub mod coordinator;
 pub mod engine;
@@ -14,8 +20,8 @@
     pub message: T,
 }
 
-/// Bytes that are no message of their protocol, or a message over a limit: its connection has to end. The text
-/// says what is wrong with them; whoever logs it names the connection.
+/// Bytes that are no message of their protocol, or a message over a limit: its connection has to end. The
+/// text says what is wrong with them; whoever logs it names the connection.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct ParseError(String);
--- a/crates/codec/src/statement.rs
+++ b/crates/codec/src/statement.rs
@@ -1,5 +1,5 @@
-//! The protocol between clients and a front: Thrift in frames, strict binary. The `thrift` crate reads within the
-//! limits given here; the frame is taken apart before, so that it reads from whole messages only.
+//! The protocol between clients and a front: Thrift in frames, strict binary. The `thrift` crate reads within
+//! the limits given here; the frame is taken apart before, so that it reads from whole messages only.
 
 use std::collections::BTreeMap;
 
--- a/crates/codec/src/tables.rs
+++ b/crates/codec/src/tables.rs
@@ -1,13 +1,15 @@
-//! The group of tables that a statement reads or writes, from the name of its schema.
+//! The table groups that a statement reads or writes, from the names of its schemas: group 17 of
+//! `sales_17.orders`. Strings and comments are passed over.
 
-const SCRATCH: &[u8] = b"staging"; // the schema that does not count
+const SCRATCH: &[u8] = b"staging"; // the schema whose tables belong to no group
 
-/// The number behind the underscore in the first schema that has one: 17 in `sales_17.orders`.
+/// The first table group that a statement names, if it names any.
 pub fn group(statement: &[u8]) -> Option<u32> {
     next(statement).map(|(number, _)| number)
 }
 
-/// All of them, each once, in the order in which they come; up to `most` and one more.
+/// All table groups that a statement names, each once, in the order in which they come. The search ends at
+/// `most + 1` of them, so that a caller can tell that there are more.
 pub fn groups(statement: &[u8], most: usize) -> Vec<u32> {
     let (mut groups, mut rest) = (Vec::new(), statement);
     while let Some((number, behind)) = next(rest).filter(|_| groups.len() <= most) {
@@ -19,7 +21,7 @@
     groups
 }
 
-/// The first group, and what stands behind its schema.
+/// The first table group, and the text behind its schema.
 fn next(statement: &[u8]) -> Option<(u32, &[u8])> {
     let mut rest = statement;
     while let Some(&first) = rest.first() {
@@ -48,11 +50,12 @@
     None
 }
 
+/// Whether a byte may stand in a name without quotes.
 fn in_name(c: u8) -> bool {
     c.is_ascii_alphanumeric() || c == b'_' || c == b'$' || c >= 0x80
 }
 
-/// The number of the name, if what follows makes it a schema's.
+/// The number behind the last underscore of a name, if what follows makes the name a schema's.
 fn schema(name: &[u8], behind: &[u8]) -> Option<u32> {
     let dot = behind.trim_ascii_start().strip_prefix(b".")?;
     let qualifies = dot.trim_ascii_start().first().is_some_and(|c| in_name(*c) || matches!(c, b'"' | b'`'));
@@ -62,6 +65,7 @@
     (qualifies && plain && !name[..at].eq_ignore_ascii_case(SCRATCH)).then(|| digits.parse().ok())?
 }
 
+/// The text behind the first `end` from a place on; empty where there is none.
 fn after<'a>(text: &'a [u8], end: &[u8], from: usize) -> &'a [u8] {
     let found = text[from..].windows(end.len()).position(|w| w == end);
     found.map_or(&[], |at| &text[from + at + end.len()..])
