--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -1,16 +1,16 @@
 //! The one place where configuration is read, checked and given defaults: the settings object, for the
 //! simulator's adapter and the front alike, and what a front finds in its variables and `NODE_CONFIG`.
 
-mod contract;
 mod error;
 mod operator;
+mod settings;
 mod station;
 mod text;
 
-pub use contract::{agreement, contract, micros, Allowance, Contract, Names};
 pub use error::{Error, Place, What};
 pub use operator::{
     hexadecimal, line_of, Audits, Gossip, Keep, Ledger, LedgerMember, LoadSignal, OnDiskFailure, Operator,
     Overload, Ownership, Postgres, Rules, Scatter, SessionLimits, SpeakingEngines, User,
 };
+pub use settings::{micros, Names, NetworkSettings, Settings};
 pub use station::{Limits, Station};
--- a/crates/agreement/src/operator/gossip.rs
+++ b/crates/agreement/src/operator/gossip.rs
@@ -30,7 +30,7 @@
 }
 
 fn zone_quorum() -> usize {
-    crate::contract::ZONE_QUORUM
+    crate::settings::ZONE_QUORUM
 }
 
 /// Words with other fronts: where they come in, whose count, whom to ask first.
--- a/crates/agreement/src/operator/ownership.rs
+++ b/crates/agreement/src/operator/ownership.rs
@@ -6,7 +6,7 @@
 use hallmux::interface::Micros;
 use serde::Deserialize;
 
-use crate::contract::micros;
+use crate::settings::micros;
 
 use super::places::fault;
 use crate::error::{Error, What};
--- a/crates/agreement/src/operator/postgres.rs
+++ b/crates/agreement/src/operator/postgres.rs
@@ -6,7 +6,7 @@
 use hallmux::interface::Micros;
 use serde::Deserialize;
 
-use crate::contract::{micros, Contract};
+use crate::settings::{micros, Settings};
 
 use super::places::fault;
 use crate::error::{Error, What};
@@ -137,8 +137,8 @@
     pub connection_age: Micros,
 }
 
-pub fn postgres(text: &str, file: PostgresFile, contract: &Contract) -> Result<Postgres, Error> {
-    let names = &contract.names;
+pub fn postgres(text: &str, file: PostgresFile, settings: &Settings) -> Result<Postgres, Error> {
+    let names = &settings.names;
     let known =
         |path: String, whose: &'static str, list: &[String], name: &str| match list.iter().any(|n| n == name)
         {
--- a/crates/agreement/src/operator/rules.rs
+++ b/crates/agreement/src/operator/rules.rs
@@ -5,7 +5,7 @@
 use hallmux::interface::Micros;
 use serde::Deserialize;
 
-use crate::contract::{micros, Contract};
+use crate::settings::{micros, Settings};
 
 use super::places::fault;
 use crate::error::{Error, What};
@@ -69,9 +69,9 @@
     pub remembers: Micros,
 }
 
-pub fn rules(text: &str, file: RulesFile, contract: &Contract) -> Result<Rules, Error> {
+pub fn rules(text: &str, file: RulesFile, settings: &Settings) -> Result<Rules, Error> {
     let refuse = |key: &str, what: What| Err(fault(text, &format!("rules.{key}"), what));
-    let names = &contract.names;
+    let names = &settings.names;
     if file.file.is_empty() {
         return refuse("file", "names none; give the path of the file of rules".into());
     }
--- a/crates/agreement/src/operator/scatter.rs
+++ b/crates/agreement/src/operator/scatter.rs
@@ -5,7 +5,7 @@
 use hallmux::interface::Effect;
 use serde::Deserialize;
 
-use crate::contract::Contract;
+use crate::settings::Settings;
 
 use super::gossip::hexadecimal;
 use super::places::fault;
@@ -139,15 +139,15 @@
     pub file: Option<String>,
 }
 
-pub fn scatter(text: &str, file: ScatterFile, contract: &Contract) -> Result<Scatter, Error> {
+pub fn scatter(text: &str, file: ScatterFile, settings: &Settings) -> Result<Scatter, Error> {
     let refuse = |key: &str, what: What| Err(fault(text, &format!("scatter.{key}"), what));
-    let names = &contract.names;
+    let names = &settings.names;
     for (n, name) in file.workloads.iter().enumerate() {
         let path = format!("workloads[{n}]");
         let Some(at) = names.workloads.iter().position(|known| known == name) else {
             return refuse(&path, What::stranger(name, "the settings' workloads", &names.workloads));
         };
-        let effect = contract.agreement.workloads.get(at).map(|w| w.effect);
+        let effect = settings.agreement.workloads.get(at).map(|w| w.effect);
         if effect != Some(Effect::Idempotent) {
             return refuse(
                 &path,
@@ -247,7 +247,7 @@
     });
     let audits = file.audits.map(|AuditsFile { one_in, a_minute }| Audits { one_in, a_minute });
     let ScatterFile { workloads, directory, whole_site, partial, writes, together, .. } = file;
-    let effects = names.workloads.iter().zip(&contract.agreement.workloads);
+    let effects = names.workloads.iter().zip(&settings.agreement.workloads);
     let may_write = effects.filter(|(name, w)| w.effect != Effect::Idempotent || writes.contains(name));
     let writes = may_write.map(|(name, _)| name.clone()).collect();
     let (oldest_ms, ahead_ms) = (file.oldest_ms, file.ahead_ms);
--- a/crates/agreement/src/contract.rs
+++ b/crates/agreement/src/settings.rs
@@ -1,4 +1,4 @@
-//! Decodes the settings object into the agreement that the module reads and what the network code needs.
+//! The settings object: what the decision module reads of it, and what the network code needs.
 
 mod check;
 
@@ -149,9 +149,9 @@
     pub report: Vec<String>,
 }
 
-/// What the settings allow the network code; nothing here is weighed, only kept.
+/// What the settings say for the network code alone; the decision module does not read it.
 #[derive(Clone, Debug, Default)]
-pub struct Allowance {
+pub struct NetworkSettings {
     /// A connection that is not up by then never will be.
     pub dial_timeout: Micros,
     /// Engines close connections that have been idle for so long.
@@ -164,26 +164,24 @@
     pub cancel: bool,
 }
 
-/// All that the settings object tells.
+/// All that the settings object says.
 #[derive(Clone, Debug)]
-pub struct Contract {
+pub struct Settings {
+    /// For the decision module.
     pub agreement: Agreement,
     pub names: Names,
-    pub allowance: Allowance,
+    pub network: NetworkSettings,
 }
 
-/// Reads the settings' JSON text for the module alone.
-pub fn agreement(text: &str) -> Result<Agreement, Error> {
-    Ok(contract(text)?.agreement)
-}
-
-/// Reads the settings' JSON text.
-pub fn contract(text: &str) -> Result<Contract, Error> {
-    contract_of(&Part { name: "options", text, lines: 0 })
+impl Settings {
+    /// Reads the settings' JSON text.
+    pub fn parse(text: &str) -> Result<Settings, Error> {
+        settings_of(&Part { name: "options", text, lines: 0 })
+    }
 }
 
 /// Reads the settings as a part of a larger text.
-pub(crate) fn contract_of(part: &Part) -> Result<Contract, Error> {
+pub(crate) fn settings_of(part: &Part) -> Result<Settings, Error> {
     let read: Options = part.read()?;
     check(part, &read)?;
     let names = Names {
@@ -193,7 +191,7 @@
         kinds: read.kinds.clone(),
         report: read.report.names.clone(),
     };
-    let allowance = Allowance {
+    let network = NetworkSettings {
         dial_timeout: micros(read.bounds.dial_timeout_ms.unwrap_or(DIAL_TIMEOUT_MS)),
         keepalive: micros(read.bounds.keepalive_ms.unwrap_or(KEEPALIVE_MS)),
         executions_per_connection: read.bounds.streams_per_conn.unwrap_or(1).max(1),
@@ -270,5 +268,5 @@
             window: micros(span),
         }),
     };
-    Ok(Contract { agreement, names, allowance })
+    Ok(Settings { agreement, names, network })
 }
--- a/crates/agreement/src/station.rs
+++ b/crates/agreement/src/station.rs
@@ -8,9 +8,9 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-use crate::contract::{contract_of, Contract};
 use crate::error::{Error, Place, What};
 use crate::operator::Operator;
+use crate::settings::{settings_of, Settings};
 use crate::text::{self, Part};
 
 const MEMORY_MB: u64 = 192; // MB, where the file is silent; the least that the operators grant
@@ -62,7 +62,7 @@
     pub coordinator: Option<SocketAddr>,
     /// The coordinator's events so far, as it words them.
     pub known: String,
-    pub contract: Contract,
+    pub settings: Settings,
     /// What the operator's own file switches on; without one, nothing.
     pub operator: Operator,
     pub log_level: log::LevelFilter,
@@ -102,18 +102,18 @@
         };
         let raw = file.settings.ok_or_else(|| missing("settings"))?;
         let (name, lines) = part("settings", raw);
-        let mut contract = contract_of(&Part { name, text: raw.get(), lines })?;
+        let mut settings = settings_of(&Part { name, text: raw.get(), lines })?;
         let operator = match variables.get("HALLMUX_OPERATOR") {
             Some(path) => {
                 let text = text::file("HALLMUX_OPERATOR", path)?;
-                Operator::parse(&text, &contract).map_err(|e| e.in_file("HALLMUX_OPERATOR", path))?
+                Operator::parse(&text, &settings).map_err(|e| e.in_file("HALLMUX_OPERATOR", path))?
             }
             None => Operator::default(),
         };
-        operator.apply(&mut contract.agreement.report);
+        operator.apply(&mut settings.agreement.report);
         if let Some(gossip) = &operator.gossip {
-            contract.agreement.zone_quorum = gossip.zone_quorum;
-            gossip.overload.iter().for_each(|o| o.apply(&mut contract.agreement));
+            settings.agreement.zone_quorum = gossip.zone_quorum;
+            gossip.overload.iter().for_each(|o| o.apply(&mut settings.agreement));
         }
         let address = |variable: &'static str, key: &str, kept: Option<String>| {
             let value = said(variable, key, kept)?;
@@ -135,7 +135,7 @@
                 .map(|at| from_key(&whole, "coordinator", &at, at.parse(), ADDRESS))
                 .transpose()?,
             known: file.known.map_or_else(|| NOTHING_KNOWN.to_string(), |raw| raw.get().to_string()),
-            contract,
+            settings,
             operator,
             log_level: from_variable(
                 "HALLMUX_LOG",
--- a/crates/agreement/tests/drawn/operators.rs
+++ b/crates/agreement/tests/drawn/operators.rs
@@ -1,6 +1,6 @@
 //! The operator's own file: every key of the example, written as JSON, which is JSON5.
 
-use hallmux_agreement::{contract, Contract, Operator};
+use hallmux_agreement::{Operator, Settings};
 use proptest::prelude::*;
 use serde_json::Value;
 
@@ -15,15 +15,15 @@
 /// Objects whose keys are names that the operator gives.
 const NAMING: [&str; 7] = ["peers", "voters", "members", "users", "regions", "sites", "schemas"];
 
-fn agreed() -> Contract {
-    contract(SETTINGS).unwrap()
+fn agreed() -> Settings {
+    Settings::parse(SETTINGS).unwrap()
 }
 
 fn example() -> Value {
     json5::from_str(EXAMPLE).unwrap()
 }
 
-fn read(text: &str, agreed: &Contract) -> Result<(), String> {
+fn read(text: &str, agreed: &Settings) -> Result<(), String> {
     Operator::parse(text, agreed).map(|_| ()).map_err(|e| e.to_string())
 }
 
--- a/crates/agreement/tests/drawn/settings.rs
+++ b/crates/agreement/tests/drawn/settings.rs
@@ -120,8 +120,8 @@
 
 /// What was read is then used: a statement of each class is taken and decided on.
 fn used(station: &Station) {
-    let mut dispatcher = Dispatcher::new(&station.contract, station.seed);
-    let names = &station.contract.names;
+    let mut dispatcher = Dispatcher::new(&station.settings, station.seed);
+    let names = &station.settings.names;
     for (n, location) in names.locations.iter().enumerate() {
         let kind = names.kinds.first().map_or("", String::as_str);
         let id = format!("e{n}");
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -19,7 +19,7 @@
 
 use hallmux::interface::{Event, KeyId, StatementId};
 use hallmux::Front;
-use hallmux_agreement::{Contract, Names};
+use hallmux_agreement::{Names, Settings};
 
 use engines::Engine;
 use offered::Offered;
@@ -81,7 +81,7 @@
 }
 
 impl Dispatcher {
-    pub fn new(contract: &Contract, seed: u64) -> Self {
+    pub fn new(contract: &Settings, seed: u64) -> Self {
         Dispatcher {
             front: Front::new(contract.agreement.clone(), seed),
             names: contract.names.clone(),
--- a/crates/dispatcher/tests/slow_start/fleet.rs
+++ b/crates/dispatcher/tests/slow_start/fleet.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use hallmux_agreement::Contract;
+use hallmux_agreement::Settings;
 use hallmux_dispatcher::{Ask, Dispatcher, Ending, Listing, Micros, Mode, Order, Speech, Ticket};
 
 use crate::shape::{Arrives, Chance, Deed, Demand, Shape, SECOND, START};
@@ -59,7 +59,7 @@
 
 pub struct Fleet<'a> {
     shape: &'a Shape,
-    contract: Contract,
+    contract: Settings,
     chance: Chance,
     now: Micros,
     serial: u64,
@@ -73,7 +73,7 @@
 impl<'a> Fleet<'a> {
     pub fn new(shape: &'a Shape, seed: u64) -> Self {
         let count = WARM + shape.colds;
-        let contract = hallmux_agreement::contract(&shape.settings()).unwrap();
+        let contract = Settings::parse(&shape.settings()).unwrap();
         let mut fleet = Fleet {
             shape,
             contract,
--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use hallmux_agreement::Contract;
+use hallmux_agreement::Settings;
 use hallmux_dispatcher::{Gone, Micros, Place, Site, Taken, Terms, Ticket, Word};
 use hallmux_ledger::{self as ledger, Done, Key, Kind};
 
@@ -71,7 +71,7 @@
 
 impl Gate {
     /// `life` is the name of this life of the front: as for the ledger, Unix milliseconds when it began.
-    pub fn new(contract: &Contract, life: u64, shards: u16) -> Gate {
+    pub fn new(contract: &Settings, life: u64, shards: u16) -> Gate {
         Gate {
             life,
             spoke: vec![false; usize::from(shards)],
--- a/crates/fleet/src/gate/guard.rs
+++ b/crates/fleet/src/gate/guard.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_agreement::Contract;
+use hallmux_agreement::Settings;
 use hallmux_dispatcher::{Dispatcher, Micros, Place, Terms, Ticket};
 use hallmux_ledger::{Ask, Done};
 
@@ -25,7 +25,7 @@
 
 impl Guard {
     /// Where there is a ledger; `now` is the Unix clock: this life's name.
-    pub fn new(contract: &Contract, now: Micros, shards: u16, dispatcher: &mut Dispatcher) -> Guard {
+    pub fn new(contract: &Settings, now: Micros, shards: u16, dispatcher: &mut Dispatcher) -> Guard {
         dispatcher.watch();
         Guard { gate: Gate::new(contract, (now / 1000) as u64, shards), noted: 0 }
     }
--- a/crates/fleet/src/gate/needs.rs
+++ b/crates/fleet/src/gate/needs.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use hallmux_agreement::Contract;
+use hallmux_agreement::Settings;
 use hallmux_dispatcher::{Micros, Site, Taken};
 use hallmux_ledger::{Key, Kind};
 use serde::{Deserialize, Serialize};
@@ -75,7 +75,7 @@
 }
 
 impl Needs {
-    pub fn new(contract: &Contract) -> Needs {
+    pub fn new(contract: &Settings) -> Needs {
         use hallmux_dispatcher::{DedupGroup, Effect};
         let agreed = contract.names.workloads.iter().zip(&contract.agreement.workloads);
         let workloads = agreed.map(|(name, w)| {
--- a/crates/front/src/engines/engines_tests.rs
+++ b/crates/front/src/engines/engines_tests.rs
@@ -7,7 +7,8 @@
 fn what_is_given_up_ends_once_its_engine_has_read_so() {
     let events: calloop::EventLoop<'static, Changes> = calloop::EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let allowed = Allowance { cancel: true, executions_per_connection: 32, ..Allowance::default() };
+    let allowed =
+        NetworkSettings { cancel: true, executions_per_connection: 32, ..NetworkSettings::default() };
     let mut engines = Engines::new(events.handle(), allowed, &Names::default());
     engines.list(0, "a", listener.local_addr().unwrap(), 0.0, true);
     let call = Rc::new(Call { id: "1".into(), workload: "lookup".into(), ..Call::default() });
@@ -55,7 +56,11 @@
 fn a_connection_that_came_up_while_the_front_stood_still_is_not_given_up() {
     let events: calloop::EventLoop<'static, Changes> = calloop::EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let allowed = Allowance { dial_timeout: 250_000, executions_per_connection: 32, ..Allowance::default() };
+    let allowed = NetworkSettings {
+        dial_timeout: 250_000,
+        executions_per_connection: 32,
+        ..NetworkSettings::default()
+    };
     let mut engines = Engines::new(events.handle(), allowed, &Names::default());
     engines.list(0, "a", listener.local_addr().unwrap(), 0.0, true);
     let call = Rc::new(Call { id: "1".into(), workload: "lookup".into(), ..Call::default() });
--- a/crates/front/src/engines/mod.rs
+++ b/crates/front/src/engines/mod.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 use calloop::LoopHandle;
-use hallmux_agreement::{Allowance, Names};
+use hallmux_agreement::{Names, NetworkSettings};
 use hallmux_codec::engine::{self, Command, ExecutionRequest, Reply, ReplyKind};
 use hallmux_codec::statement::Call;
 use hallmux_dispatcher::{Dials, Ending, Micros, Note, Place, Terms, Ticket};
@@ -113,7 +113,7 @@
 
 pub struct Engines {
     handle: LoopHandle<'static, Changes>,
-    allowed: Allowance,
+    allowed: NetworkSettings,
     report: Vec<String>,
     engines: BTreeMap<Place, Engine>,
     links: BTreeMap<LinkId, EngineLink>,
@@ -129,7 +129,7 @@
 }
 
 impl Engines {
-    pub fn new(handle: LoopHandle<'static, Changes>, allowed: Allowance, names: &Names) -> Self {
+    pub fn new(handle: LoopHandle<'static, Changes>, allowed: NetworkSettings, names: &Names) -> Self {
         Engines {
             handle,
             reuse: Reuse::new((allowed.keepalive - IDLE_MARGIN).max(IDLE_MARGIN)),
--- a/crates/front/src/fleet/gate.rs
+++ b/crates/front/src/fleet/gate.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_agreement::Contract;
+use hallmux_agreement::Settings;
 use hallmux_dispatcher::{Dispatcher, Micros, Terms, Ticket};
 use hallmux_fleet::gate::{self, Asks, Ruling};
 use hallmux_ledger::{Ask, Done};
@@ -31,7 +31,7 @@
 
 impl Guard {
     /// Where there is a ledger; `now` is the Unix clock: this life's name.
-    pub fn new(contract: &Contract, now: Micros, shards: u16, dispatcher: &mut Dispatcher) -> Guard {
+    pub fn new(contract: &Settings, now: Micros, shards: u16, dispatcher: &mut Dispatcher) -> Guard {
         let guard = gate::Guard::new(contract, now, shards, dispatcher);
         Guard { guard, said: 0, refused: BTreeMap::new() }
     }
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -12,7 +12,7 @@
 use std::time::Instant;
 
 use hallmux_access::{self as access, Access, Asked, Fleet, Judged, Owner, Setup, Wish};
-use hallmux_agreement::Contract;
+use hallmux_agreement::Settings;
 use hallmux_codec::tables;
 use hallmux_dispatcher::{Dispatcher, Ending, Micros, Place, Terms, Ticket};
 use hallmux_ledger::{self as ledger, Ledger, Member, Moment};
@@ -78,7 +78,7 @@
     /// `own` and `fronts` are by the keys of gossip. Without other fronts this one is the fleet.
     pub fn new(
         rules: &hallmux_agreement::Rules,
-        contract: &Contract,
+        contract: &Settings,
         own: Owner,
         fronts: Vec<u64>,
         alone: bool,
--- a/crates/front/src/fleet/rules/file.rs
+++ b/crates/front/src/fleet/rules/file.rs
@@ -4,12 +4,12 @@
 use std::rc::Rc;
 
 use hallmux_access::{self as access, Known, Owner, Wish};
-use hallmux_agreement::{line_of, Contract, Station};
+use hallmux_agreement::{line_of, Settings, Station};
 use hallmux_dispatcher::Micros;
 
 use super::{Peers, Rules, RulesFault, Shared};
 
-pub(super) fn known(rules: &hallmux_agreement::Rules, contract: &Contract) -> Known {
+pub(super) fn known(rules: &hallmux_agreement::Rules, contract: &Settings) -> Known {
     let names = &contract.names;
     let workloads = names.workloads.iter().zip(&contract.agreement.workloads).map(|(name, w)| {
         let named =
@@ -43,6 +43,6 @@
         Some(None) => return Err(RulesFault::NoLedger),
     };
     let own = Owner { front, incarnation };
-    let rules = Rules::new(rules, &station.contract, own, fronts, peers.is_none())?;
+    let rules = Rules::new(rules, &station.settings, own, fronts, peers.is_none())?;
     Ok(Some(Rc::new(RefCell::new(rules))))
 }
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use calloop::LoopHandle;
-use hallmux_agreement::{Contract, Limits, Station};
+use hallmux_agreement::{Limits, Settings, Station};
 use hallmux_codec::coordinator::Events;
 use hallmux_dispatcher::{Dispatcher, Micros, Rooms};
 
@@ -67,7 +67,7 @@
 }
 
 /// No client waits longer than that for an answer.
-fn longest_timeout(contract: &Contract) -> Micros {
+fn longest_timeout(contract: &Settings) -> Micros {
     contract.agreement.workloads.iter().map(|workload| workload.statement_timeout).max().unwrap_or(0)
 }
 
@@ -78,7 +78,7 @@
         listener: TcpListener,
         handle: LoopHandle<'static, Changes>,
     ) -> Result<Front, Fault> {
-        let contract = &station.contract;
+        let contract = &station.settings;
         let portal = station.operator.postgres.as_ref();
         let part = |why: std::io::Error| Fault::part(&why);
         let clock = Clock::new(station.operator.clock_ahead, station.drill_clock.as_deref());
@@ -99,13 +99,13 @@
         let mut front = Front {
             entrance: Entrance::new(listener, &handle, Door::Listener.party(0)).map_err(part)?,
             dispatcher: Dispatcher::new(contract, station.seed),
-            answer_slack: contract.allowance.answer_slack,
-            most_held: contract.allowance.most_held,
+            answer_slack: contract.network.answer_slack,
+            most_held: contract.network.most_held,
             most_bytes: 0,
             most_clients: 0,
             full: false,
             clients: Clients::new(contract.agreement.longest_retry_after, longest_timeout(contract)),
-            engines: Engines::new(handle.clone(), contract.allowance.clone(), &contract.names),
+            engines: Engines::new(handle.clone(), contract.network.clone(), &contract.names),
             coordinator: Coordinator::new(handle.clone(), station.coordinator, known.index),
             portal,
             peers,
--- a/crates/front/src/front/rooms.rs
+++ b/crates/front/src/front/rooms.rs
@@ -12,7 +12,7 @@
 pub type Pacer = Rc<RefCell<Dials>>;
 
 pub fn pacer(station: &Station, now: Micros) -> Pacer {
-    let paced = station.contract.agreement.budgets.is_some();
+    let paced = station.settings.agreement.budgets.is_some();
     Rc::new(RefCell::new(Dials::new(paced, now, station.seed)))
 }
 
--- a/crates/front/src/postgres/portal.rs
+++ b/crates/front/src/postgres/portal.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 use calloop::LoopHandle;
-use hallmux_agreement::{Contract, Postgres};
+use hallmux_agreement::{Postgres, Settings};
 use hallmux_dispatcher::{Dispatcher, Ending, Micros, Note, Place, Ticket};
 use hallmux_postgres::answer::Final;
 use hallmux_postgres::session::Transaction;
@@ -53,7 +53,7 @@
 impl Portal {
     pub fn new(
         postgres: &Postgres,
-        contract: &Contract,
+        contract: &Settings,
         handle: LoopHandle<'static, Changes>,
         rules: Option<Shared>,
     ) -> std::io::Result<Portal> {
@@ -64,10 +64,10 @@
         let portal = Portal {
             entrance: Entrance::new(listener, &handle, Door::SessionListener.party(0))?,
             sessions: Sessions::new(&postgres.limits),
-            servers: Servers::new(handle.clone(), contract.allowance.clone(), postgres.limits.clone()),
+            servers: Servers::new(handle.clone(), contract.network.clone(), postgres.limits.clone()),
             users: Users::new(&postgres.users),
             allowed: postgres.clone(),
-            answer_slack: contract.allowance.answer_slack,
+            answer_slack: contract.network.answer_slack,
             timeouts: workloads.map(|(name, w)| (name.clone(), w.statement_timeout)).collect(),
             come_back_ms: contract.agreement.longest_retry_after.map(|time| time / 1000),
             shut: None,
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 use calloop::LoopHandle;
-use hallmux_agreement::{Allowance, SessionLimits};
+use hallmux_agreement::{NetworkSettings, SessionLimits};
 use hallmux_dispatcher::{Dials, Ending, Micros, Place, Ticket};
 use hallmux_postgres::engine::{Account, Done, Engine};
 use hallmux_postgres::pool::{self, Pools};
@@ -136,7 +136,7 @@
 
 pub struct Servers {
     handle: LoopHandle<'static, Changes>,
-    allowed: Allowance,
+    allowed: NetworkSettings,
     limits: SessionLimits,
     engines: BTreeMap<Place, Listed>,
     accounts: Vec<Account>,
@@ -157,7 +157,11 @@
 }
 
 impl Servers {
-    pub fn new(handle: LoopHandle<'static, Changes>, allowed: Allowance, limits: SessionLimits) -> Self {
+    pub fn new(
+        handle: LoopHandle<'static, Changes>,
+        allowed: NetworkSettings,
+        limits: SessionLimits,
+    ) -> Self {
         let bounds = pool::Bounds {
             each_engine: limits.engine_connections,
             idle: limits.connection_idle,
--- a/crates/front/src/scatter/wholes.rs
+++ b/crates/front/src/scatter/wholes.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
-use hallmux_agreement::{Contract, Scatter};
+use hallmux_agreement::{Scatter, Settings};
 use hallmux_codec::statement::Call;
 use hallmux_dispatcher::{Ask, Dispatcher, Micros, Speech, Ticket, Unfit};
 use hallmux_gossip::PeerId;
@@ -71,7 +71,7 @@
         settings: &Scatter,
         now: Micros,
         turn: usize,
-        contract: &Contract,
+        contract: &Settings,
     ) -> std::io::Result<Scatters> {
         let locations = contract.names.locations.clone();
         let loads = settings.marked.then(|| Loads::new(settings.writes.clone(), locations));
--- a/crates/lab/src/simulated/play.rs
+++ b/crates/lab/src/simulated/play.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::net::SocketAddr;
 
-use hallmux_agreement::Contract;
+use hallmux_agreement::Settings;
 use hallmux_dispatcher::{Dispatcher, Ending, Place, Ticket};
 use hallmux_fleet::gate::Guard;
 use hallmux_fleet::{Exchange, Moment};
@@ -135,7 +135,7 @@
 
 pub(super) struct Play<'a> {
     pub(super) scenario: &'a Scenario,
-    pub(super) contract: Contract,
+    pub(super) contract: Settings,
     pub(super) warmth: Warmth,
     pub(super) now: i64,
     pub(super) began: i64,
@@ -192,7 +192,7 @@
 
 /// The same, with a rule taken out.
 pub fn run_with(scenario: &Scenario, seed: u64, spoil: Spoil) -> Result<Run, String> {
-    let mut contract = hallmux_agreement::contract(&settings(scenario).to_string())?;
+    let mut contract = Settings::parse(&settings(scenario).to_string())?;
     if let Some(quorum) = scenario.fleet.zone_quorum {
         contract.agreement.zone_quorum = quorum;
     }
