--- a/crates/agreement/src/station.rs
+++ b/crates/agreement/src/node.rs
@@ -1,4 +1,4 @@
-//! What a front is told about itself: its variables and the file that `NODE_CONFIG` names.
+//! The configuration of one front: its environment variables and the file that `NODE_CONFIG` names.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -45,41 +45,41 @@
     }
 }
 
-/// What this front's machine grants.
+/// What the machine grants this front.
 #[derive(Clone, Debug)]
-pub struct Limits {
+pub struct NodeLimits {
     pub memory_bytes: u64,
     pub sockets: usize,
 }
 
-/// One front's place among the others, and all that was agreed.
+/// The configuration of one front.
 #[derive(Clone, Debug)]
-pub struct Station {
+pub struct NodeConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub seed: u64,
-    pub limits: Limits,
+    pub limits: NodeLimits,
     pub coordinator: Option<SocketAddr>,
-    /// The coordinator's events so far, as it words them.
-    pub known: String,
+    /// The coordinator's events so far, as the body of one of its responses.
+    pub known_events: String,
     pub settings: Settings,
     /// What the operator's own file switches on; without one, nothing.
     pub operator: Operator,
     pub log_level: log::LevelFilter,
-    /// For drills: a file that holds the time in place of the machine's clock.
-    pub drill_clock: Option<PathBuf>,
+    /// For fault injection: a file that holds the time in place of the machine's clock.
+    pub clock_file: Option<PathBuf>,
 }
 
-impl Station {
+impl NodeConfig {
     /// Reads the variables given and the files that they name.
-    pub fn read(variables: &HashMap<String, String>) -> Result<Station, Error> {
+    pub fn read(variables: &HashMap<String, String>) -> Result<NodeConfig, Error> {
         let unset = Error::Unset { variable: "NODE_CONFIG", meant: "the path of this front's JSON file" };
         let path = variables.get("NODE_CONFIG").ok_or(unset)?;
         let text = text::file("NODE_CONFIG", path)?;
-        Station::parse(variables, &text).map_err(|e| e.in_file("NODE_CONFIG", path))
+        NodeConfig::parse(variables, &text).map_err(|e| e.in_file("NODE_CONFIG", path))
     }
 
-    pub fn parse(variables: &HashMap<String, String>, text: &str) -> Result<Station, Error> {
+    pub fn parse(variables: &HashMap<String, String>, text: &str) -> Result<NodeConfig, Error> {
         let whole = Part { name: "", text, lines: 0 };
         let file: File = whole.read()?;
         // The variables go before the file: they are what the one who started the program sees.
@@ -123,18 +123,18 @@
             }
         };
         let level = variables.get("HALLMUX_LOG").map_or(LEVEL, String::as_str);
-        Ok(Station {
+        Ok(NodeConfig {
             name: said("NODE_NAME", "name", file.name)?,
             listen: address("NODE_LISTEN", "listen", file.listen)?,
             seed: from_key(&whole, "seed", &seed, u64::from_str_radix(&seed, 16), SEED)?,
-            limits: Limits {
+            limits: NodeLimits {
                 memory_bytes: limits.memory_mb.saturating_mul(1 << 20),
                 sockets: limits.sockets,
             },
             coordinator: (file.coordinator)
                 .map(|at| from_key(&whole, "coordinator", &at, at.parse(), ADDRESS))
                 .transpose()?,
-            known: file.known.map_or_else(|| NOTHING_KNOWN.to_string(), |raw| raw.get().to_string()),
+            known_events: file.known.map_or_else(|| NOTHING_KNOWN.to_string(), |raw| raw.get().to_string()),
             settings,
             operator,
             log_level: from_variable(
@@ -142,7 +142,7 @@
                 level,
                 "give one of off, error, warn, info, debug, trace",
             )?,
-            drill_clock: variables.get("HALLMUX_CLOCK").map(PathBuf::from),
+            clock_file: variables.get("HALLMUX_CLOCK").map(PathBuf::from),
         })
     }
 }
--- a/crates/agreement/tests/drawn/main.rs
+++ b/crates/agreement/tests/drawn/main.rs
@@ -7,7 +7,7 @@
 
 use std::collections::HashMap;
 
-use hallmux_agreement::Station;
+use hallmux_agreement::NodeConfig;
 use proptest::prelude::*;
 
 /// Texts that are values of some type, within and beyond bounds.
@@ -30,9 +30,9 @@
     "{\"a\": {\"b\": 1}}",
 ];
 
-pub fn read(text: &str) -> Result<Station, String> {
+pub fn read(text: &str) -> Result<NodeConfig, String> {
     let variables = HashMap::from([("NODE_LISTEN".to_string(), "127.0.0.1:0".to_string())]);
-    Station::parse(&variables, text).map_err(|e| e.to_string())
+    NodeConfig::parse(&variables, text).map_err(|e| e.to_string())
 }
 
 /// One line that says what is wrong and what to do; the line it names, where it names one.
--- a/crates/agreement/tests/drawn/settings.rs
+++ b/crates/agreement/tests/drawn/settings.rs
@@ -1,6 +1,6 @@
 //! The settings object, in the configuration of a front.
 
-use hallmux_agreement::Station;
+use hallmux_agreement::NodeConfig;
 use hallmux_dispatcher::{Ask, Dispatcher, Listing, Mode, Speech};
 use proptest::prelude::*;
 use serde_json::{json, Value};
@@ -119,7 +119,7 @@
 }
 
 /// What was read is then used: a statement of each class is taken and decided on.
-fn used(station: &Station) {
+fn used(station: &NodeConfig) {
     let mut dispatcher = Dispatcher::new(&station.settings, station.seed);
     let names = &station.settings.names;
     for (n, location) in names.locations.iter().enumerate() {
--- a/crates/front/src/fleet/rules/file.rs
+++ b/crates/front/src/fleet/rules/file.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use hallmux_access::{self as access, Known, Owner, Wish};
-use hallmux_agreement::{line_of, Settings, Station};
+use hallmux_agreement::{line_of, NodeConfig, Settings};
 use hallmux_dispatcher::Micros;
 
 use super::{Peers, Rules, RulesFault, Shared};
@@ -34,7 +34,7 @@
 }
 
 /// Switched on by the operator's file.
-pub fn start(station: &Station, now: Micros, peers: Option<&Peers>) -> Result<Option<Shared>, RulesFault> {
+pub fn start(station: &NodeConfig, now: Micros, peers: Option<&Peers>) -> Result<Option<Shared>, RulesFault> {
     let Some(rules) = &station.operator.rules else { return Ok(None) };
     let incarnation = (now / 1000) as u64;
     let (front, fronts) = match peers.map(Peers::fleet) {
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use calloop::LoopHandle;
-use hallmux_agreement::{Limits, Settings, Station};
+use hallmux_agreement::{NodeConfig, NodeLimits, Settings};
 use hallmux_codec::coordinator::Events;
 use hallmux_dispatcher::{Dispatcher, Micros, Rooms};
 
@@ -73,7 +73,7 @@
 
 impl Front {
     pub fn new(
-        station: &Station,
+        station: &NodeConfig,
         known: &Events,
         listener: TcpListener,
         handle: LoopHandle<'static, Changes>,
@@ -81,7 +81,7 @@
         let contract = &station.settings;
         let portal = station.operator.postgres.as_ref();
         let part = |why: std::io::Error| Fault::part(&why);
-        let clock = Clock::new(station.operator.clock_ahead, station.drill_clock.as_deref());
+        let clock = Clock::new(station.operator.clock_ahead, station.clock_file.as_deref());
         let mut clock = clock.map_err(part)?;
         clock.look();
         let gossip = station.operator.gossip.as_ref();
@@ -300,7 +300,7 @@
 
     /// The configuration was read again: what may change while a front runs holds from now on. One that
     /// can't be used changes nothing.
-    pub fn reload(&mut self, read: Result<Station, hallmux_agreement::Error>) {
+    pub fn reload(&mut self, read: Result<NodeConfig, hallmux_agreement::Error>) {
         self.clock.look();
         match read {
             Ok(station) => {
@@ -316,7 +316,7 @@
                 {
                     scatter.reload(settings, self.clock.now);
                 }
-                self.follow_known(&station.known);
+                self.follow_known(&station.known_events);
                 self.coordinator.turn_to(self.clock.now, station.coordinator);
                 let at = station.coordinator.map_or("none".to_string(), |at| at.to_string());
                 log::info!("the configuration was read again; coordinator: {at}");
@@ -325,7 +325,7 @@
         }
     }
 
-    fn limit(&mut self, limits: &Limits) {
+    fn limit(&mut self, limits: &NodeLimits) {
         self.most_bytes = (limits.memory_bytes / MEMORY_PART) as usize;
         self.most_clients = limits.sockets / CLIENTS_PART;
         let engines = limits.sockets - self.most_clients;
--- a/crates/front/src/front/rooms.rs
+++ b/crates/front/src/front/rooms.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use hallmux_agreement::Station;
+use hallmux_agreement::NodeConfig;
 use hallmux_dispatcher::{Dials, Micros};
 
 use super::Front;
@@ -11,7 +11,7 @@
 /// When this front may dial which engine, for both protocols.
 pub type Pacer = Rc<RefCell<Dials>>;
 
-pub fn pacer(station: &Station, now: Micros) -> Pacer {
+pub fn pacer(station: &NodeConfig, now: Micros) -> Pacer {
     let paced = station.settings.agreement.budgets.is_some();
     Rc::new(RefCell::new(Dials::new(paced, now, station.seed)))
 }
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -22,7 +22,7 @@
 
 use calloop::signals::{Event, Signal, Signals};
 use calloop::EventLoop;
-use hallmux_agreement::Station;
+use hallmux_agreement::NodeConfig;
 
 use doors::Changes;
 use front::Front;
@@ -40,12 +40,12 @@
 
 fn run() -> Result<(), Fault> {
     let variables = std::env::vars().collect();
-    let station = Station::read(&variables)?;
+    let station = NodeConfig::read(&variables)?;
     logger::start(&station.name, station.log_level);
-    if let Some(path) = &station.drill_clock {
+    if let Some(path) = &station.clock_file {
         log::warn!("HALLMUX_CLOCK: the time is a drill's, from {}", path.display());
     }
-    let known = hallmux_codec::coordinator::events(station.known.as_bytes());
+    let known = hallmux_codec::coordinator::events(station.known_events.as_bytes());
     let known = known.map_err(|what| Fault::Known(what.to_string()))?;
     let polls = Fault::system("polling");
     let mut event_loop: EventLoop<'static, Changes> = EventLoop::try_new().map_err(|e| polls(e.into()))?;
@@ -63,7 +63,7 @@
         event_loop.dispatch(idle, &mut changes).map_err(|e| polls(e.into()))?;
         for signal in changes.signals.drain(..) {
             match signal {
-                Signal::SIGHUP => front.reload(Station::read(&variables)),
+                Signal::SIGHUP => front.reload(NodeConfig::read(&variables)),
                 _ => front.end(),
             }
         }
