--- a/crates/agreement/src/error.rs
+++ b/crates/agreement/src/error.rs
@@ -1,18 +1,19 @@
-//! What is wrong with a configuration, where it stands, and what an operator can do about it. Every text reads
-//! "where: what is wrong; what to do", in one line.
+//! Errors of a configuration. Every text reads "where: what is wrong; what an operator can do", in one line.
 
 use std::fmt;
 
-/// Where in a text: line and column, counted from 1, as far as they are known, and the key's path.
+/// Where in a text an error is.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct Position {
+    /// Counted from 1; None where it is not known.
     pub line: Option<usize>,
+    /// Characters, counted from 1; None where it is not known.
     pub column: Option<usize>,
-    /// Like `requestClasses[1].aimMs`; empty for the text itself.
+    /// The path of the key, like `requestClasses[1].aimMs`; empty for the text itself.
     pub path: String,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Position {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut between = "";
         if let Some(line) = self.line {
@@ -32,20 +33,27 @@
 /// Why a configuration can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    #[error("{variable}: not set; set it to {meant}")]
-    Unset { variable: &'static str, meant: &'static str },
-    #[error("{variable}: '{value}': {said}; {remedy}")]
-    Variable { variable: &'static str, value: String, said: String, remedy: &'static str },
-    #[error("{variable}: {path}: can't be read: {said}; name a file that the front's user may read")]
-    Unreadable { variable: &'static str, path: String, said: String },
-    #[error("{place}: not UTF-8; write the file as UTF-8")]
-    NotText { place: Place },
-    #[error("{place}: {said}; mend the text from there on")]
-    Malformed { place: Place, said: String },
-    #[error("{place}: brackets stand open {most} deep; no key is meant so deep, close some")]
-    Deep { place: Place, most: usize },
-    #[error("{place}: {what}")]
-    Key { place: Place, what: Box<What> },
+    /// An environment variable is missing.
+    #[error("{variable}: not set; set it to {expected}")]
+    Unset { variable: &'static str, expected: &'static str },
+    /// An environment variable has a value that can't be used.
+    #[error("{variable}: '{value}': {reason}; {remedy}")]
+    Variable { variable: &'static str, value: String, reason: String, remedy: &'static str },
+    /// The file that a variable names can't be read.
+    #[error("{variable}: {path}: can't be read: {reason}; name a file that the front's user may read")]
+    UnreadableFile { variable: &'static str, path: String, reason: String },
+    /// A text is not UTF-8 from a position on.
+    #[error("{position}: not UTF-8; write the file as UTF-8")]
+    NotUtf8 { position: Position },
+    /// A text is no JSON, or no JSON5, from a position on.
+    #[error("{position}: {reason}; mend the text from there on")]
+    Malformed { position: Position, reason: String },
+    /// Brackets are nested deeper than any key.
+    #[error("{position}: brackets stand open {most} deep; no key is meant so deep, close some")]
+    TooDeep { position: Position, most: usize },
+    /// A key is missing, unknown, or has a value that can't be used.
+    #[error("{position}: {problem}")]
+    Key { position: Position, problem: Box<KeyProblem> },
     /// An error of a file, by the variable that names the file.
     #[error("{variable}: {path}: {error}")]
     InFile { variable: &'static str, path: String, error: Box<Error> },
@@ -53,79 +61,89 @@
 
 /// What is wrong with a key that is in its place, or should be.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum What {
+pub enum KeyProblem {
+    /// A key that there has to be is not there.
     #[error("missing in NODE_CONFIG; add it as the README shows")]
     Missing,
+    /// Neither the key nor the variable that stands for it is there.
     #[error("missing in NODE_CONFIG, and {variable} is not set; add the key or set the variable")]
-    Unsaid { variable: &'static str },
-    /// As the library says it: a wrong type, a key that is missing, unknown or there twice, a number too large.
-    #[error("{said}; {shown}")]
-    Form { said: String, shown: &'static str },
-    #[error("'{value}': {said}; {remedy}")]
-    Value { value: String, said: String, remedy: &'static str },
+    MissingWithVariable { variable: &'static str },
+    /// In the words of the library: a wrong type, a key that is missing, unknown or there twice, a number too
+    /// large.
+    #[error("{reason}; {hint}")]
+    Rejected { reason: String, hint: &'static str },
+    /// A text from which no value can be read.
+    #[error("'{value}': {reason}; {remedy}")]
+    InvalidValue { value: String, reason: String, remedy: &'static str },
+    /// A text that is none of a fixed set.
     #[error("unknown word '{word}'; give one of {}", .known.join(", "))]
-    Word { word: String, known: Vec<&'static str> },
+    UnknownWord { word: String, known: Vec<&'static str> },
+    /// A name that is not among those of another part of the configuration.
     #[error("'{name}' is not among {whose}: {}; name one of them", listed(.known))]
-    Stranger { name: String, whose: &'static str, known: Vec<String> },
+    UnknownName { name: String, whose: &'static str, known: Vec<String> },
+    /// A number that is out of its range.
     #[error("is not from {least} to {most}; give a value within")]
-    Range { least: String, most: String },
+    OutOfRange { least: String, most: String },
+    /// A number under its lower bound.
     #[error("is under {least}; give no less")]
-    Under { least: String },
+    BelowMinimum { least: String },
+    /// A number over its upper bound.
     #[error("is over {most}; give no more")]
-    Over { most: String },
+    AboveMaximum { most: String },
+    /// A text that is no public key.
     #[error("is no key: 64 hexadecimal digits; give a public key, as a front's log tells its own at start")]
-    NoKey,
-    /// What is wrong at one place alone.
-    #[error("{what}; {remedy}")]
-    Unfit { what: String, remedy: String },
+    InvalidPublicKey,
+    /// A problem of one key alone.
+    #[error("{problem}; {remedy}")]
+    Other { problem: String, remedy: String },
 }
 
-const MOST_LISTED: usize = 16; // names in a line; of more only so many are told
+const MOST_LISTED: usize = 16; // names in a text, which stays one line; of more only the number is given
 
 fn listed(names: &[String]) -> String {
-    let told: Vec<&str> = names.iter().take(MOST_LISTED).map(String::as_str).collect();
-    let more = names.len().saturating_sub(told.len());
-    match (told.is_empty(), more) {
+    let shown: Vec<&str> = names.iter().take(MOST_LISTED).map(String::as_str).collect();
+    let more = names.len().saturating_sub(shown.len());
+    match (shown.is_empty(), more) {
         (true, _) => "none".to_string(),
-        (_, 0) => told.join(", "),
-        _ => format!("{} and {more} more", told.join(", ")),
+        (_, 0) => shown.join(", "),
+        _ => format!("{} and {more} more", shown.join(", ")),
     }
 }
 
-impl What {
-    pub fn range(least: impl fmt::Display, most: impl fmt::Display) -> What {
-        What::Range { least: least.to_string(), most: most.to_string() }
+impl KeyProblem {
+    pub fn out_of_range(least: impl fmt::Display, most: impl fmt::Display) -> KeyProblem {
+        KeyProblem::OutOfRange { least: least.to_string(), most: most.to_string() }
     }
 
-    pub fn under(least: impl fmt::Display) -> What {
-        What::Under { least: least.to_string() }
+    pub fn below_minimum(least: impl fmt::Display) -> KeyProblem {
+        KeyProblem::BelowMinimum { least: least.to_string() }
     }
 
-    pub fn over(most: impl fmt::Display) -> What {
-        What::Over { most: most.to_string() }
+    pub fn above_maximum(most: impl fmt::Display) -> KeyProblem {
+        KeyProblem::AboveMaximum { most: most.to_string() }
     }
 
-    pub fn stranger(name: &str, whose: &'static str, known: &[String]) -> What {
-        What::Stranger { name: name.to_string(), whose, known: known.to_vec() }
+    pub fn unknown_name(name: &str, whose: &'static str, known: &[String]) -> KeyProblem {
+        KeyProblem::UnknownName { name: name.to_string(), whose, known: known.to_vec() }
     }
 }
 
-/// "What is wrong; what to do", as it is written where it stands once.
-impl From<&str> for What {
-    fn from(text: &str) -> What {
-        let (what, remedy) =
+/// From "what is wrong; what to do".
+impl From<&str> for KeyProblem {
+    fn from(text: &str) -> KeyProblem {
+        let (problem, remedy) =
             text.split_once("; ").unwrap_or((text, "deploy/operator.example.json5 shows it"));
-        What::Unfit { what: what.to_string(), remedy: remedy.to_string() }
+        KeyProblem::Other { problem: problem.to_string(), remedy: remedy.to_string() }
     }
 }
 
-impl From<String> for What {
-    fn from(text: String) -> What {
-        What::from(text.as_str())
+impl From<String> for KeyProblem {
+    fn from(text: String) -> KeyProblem {
+        KeyProblem::from(text.as_str())
     }
 }
 
-/// For callers whose errors are words for a person.
+/// For callers whose errors are texts.
 impl From<Error> for String {
     fn from(error: Error) -> String {
         error.to_string()
@@ -133,10 +151,10 @@
 }
 
 impl Error {
-    /// As the error of the file that a variable names, where it is one of a text.
+    /// The same as an error of the file that a variable names, where it is one of a text.
     pub(crate) fn in_file(self, variable: &'static str, path: &str) -> Error {
         match self {
-            Error::NotText { .. } | Error::Malformed { .. } | Error::Deep { .. } | Error::Key { .. } => {
+            Error::NotUtf8 { .. } | Error::Malformed { .. } | Error::TooDeep { .. } | Error::Key { .. } => {
                 Error::InFile { variable, path: path.to_string(), error: Box::new(self) }
             }
             other => other,
--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -7,7 +7,7 @@
 mod settings;
 mod text;
 
-pub use error::{Error, Place, What};
+pub use error::{Error, KeyProblem, Position};
 pub use node::{NodeConfig, NodeLimits};
 pub use operator::{
     hexadecimal, line_of, Audits, Gossip, Keep, Ledger, LedgerMember, LoadSignal, OnDiskFailure, Operator,
--- a/crates/agreement/src/node.rs
+++ b/crates/agreement/src/node.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-use crate::error::{Error, Place, What};
+use crate::error::{Error, KeyProblem, Position};
 use crate::operator::Operator;
 use crate::settings::{settings_of, Settings};
 use crate::text::{self, Part};
@@ -73,23 +73,23 @@
 impl NodeConfig {
     /// Reads the variables given and the files that they name.
     pub fn read(variables: &HashMap<String, String>) -> Result<NodeConfig, Error> {
-        let unset = Error::Unset { variable: "NODE_CONFIG", meant: "the path of this front's JSON file" };
+        let unset = Error::Unset { variable: "NODE_CONFIG", expected: "the path of this front's JSON file" };
         let path = variables.get("NODE_CONFIG").ok_or(unset)?;
         let text = text::file("NODE_CONFIG", path)?;
         NodeConfig::parse(variables, &text).map_err(|e| e.in_file("NODE_CONFIG", path))
     }
 
     pub fn parse(variables: &HashMap<String, String>, text: &str) -> Result<NodeConfig, Error> {
-        let whole = Part { name: "", text, lines: 0 };
-        let file: File = whole.read()?;
+        let file_part = Part { name: "", text, lines: 0 };
+        let file: File = file_part.read()?;
         // The variables go before the file: they are what the one who started the program sees.
-        let said = |variable: &'static str, key: &str, kept: Option<String>| {
-            let value = variables.get(variable).cloned().or(kept);
-            value.ok_or_else(|| whole.fault(key, What::Unsaid { variable }))
+        let variable_or_key = |variable: &'static str, key: &str, in_file: Option<String>| {
+            let value = variables.get(variable).cloned().or(in_file);
+            value.ok_or_else(|| file_part.error(key, KeyProblem::MissingWithVariable { variable }))
         };
         let missing = |key: &str| Error::Key {
-            place: Place { path: key.to_string(), ..Place::default() },
-            what: Box::new(What::Missing),
+            position: Position { path: key.to_string(), ..Position::default() },
+            problem: Box::new(KeyProblem::Missing),
         };
         let part = |name: &'static str, raw: &'_ RawValue| (name, text::lines_before(text, raw.get()));
         let seed = file.seed.ok_or_else(|| missing("seed"))?;
@@ -115,24 +115,24 @@
             settings.agreement.zone_quorum = gossip.zone_quorum;
             gossip.overload.iter().for_each(|o| o.apply(&mut settings.agreement));
         }
-        let address = |variable: &'static str, key: &str, kept: Option<String>| {
-            let value = said(variable, key, kept)?;
+        let address = |variable: &'static str, key: &str, in_file: Option<String>| {
+            let value = variable_or_key(variable, key, in_file)?;
             match variables.contains_key(variable) {
                 true => from_variable(variable, &value, ADDRESS),
-                false => from_key(&whole, key, &value, value.parse(), ADDRESS),
+                false => from_key(&file_part, key, &value, value.parse(), ADDRESS),
             }
         };
         let level = variables.get("HALLMUX_LOG").map_or(LEVEL, String::as_str);
         Ok(NodeConfig {
-            name: said("NODE_NAME", "name", file.name)?,
+            name: variable_or_key("NODE_NAME", "name", file.name)?,
             listen: address("NODE_LISTEN", "listen", file.listen)?,
-            seed: from_key(&whole, "seed", &seed, u64::from_str_radix(&seed, 16), SEED)?,
+            seed: from_key(&file_part, "seed", &seed, u64::from_str_radix(&seed, 16), SEED)?,
             limits: NodeLimits {
                 memory_bytes: limits.memory_mb.saturating_mul(1 << 20),
                 sockets: limits.sockets,
             },
             coordinator: (file.coordinator)
-                .map(|at| from_key(&whole, "coordinator", &at, at.parse(), ADDRESS))
+                .map(|at| from_key(&file_part, "coordinator", &at, at.parse(), ADDRESS))
                 .transpose()?,
             known_events: file.known.map_or_else(|| NOTHING_KNOWN.to_string(), |raw| raw.get().to_string()),
             settings,
@@ -154,16 +154,19 @@
 where
     T: FromStr<Err: std::fmt::Display>,
 {
-    let refused = |e: T::Err| Error::Variable { variable, value: value.into(), said: e.to_string(), remedy };
-    value.parse().map_err(refused)
+    let invalid =
+        |e: T::Err| Error::Variable { variable, value: value.into(), reason: e.to_string(), remedy };
+    value.parse().map_err(invalid)
 }
 
 fn from_key<T, E: std::fmt::Display>(
-    whole: &Part,
+    part: &Part,
     key: &str,
     value: &str,
     read: Result<T, E>,
     remedy: &'static str,
 ) -> Result<T, Error> {
-    read.map_err(|e| whole.fault(key, What::Value { value: value.into(), said: e.to_string(), remedy }))
+    read.map_err(|e| {
+        part.error(key, KeyProblem::InvalidValue { value: value.into(), reason: e.to_string(), remedy })
+    })
 }
--- a/crates/agreement/src/operator/gossip.rs
+++ b/crates/agreement/src/operator/gossip.rs
@@ -8,8 +8,8 @@
 use super::ledger::{ledger, Ledger, LedgerFile};
 use super::overload::{overload, Overload, OverloadFile};
 use super::ownership::{owned, Ownership, OwnershipFile};
-use super::places::fault;
-use crate::error::{Error, What};
+use super::position::key_error;
+use crate::error::{Error, KeyProblem};
 
 const MOST_QUORUM: usize = 64; // vantages; more fronts than that never agree in time
 
@@ -61,12 +61,12 @@
             Some(key) => peers.push((name, key)),
             None => {
                 let path = format!("gossip.peers.{name}");
-                return Err(fault(text, &path, What::NoKey));
+                return Err(key_error(text, &path, KeyProblem::InvalidPublicKey));
             }
         }
     }
     if file.zone_quorum > MOST_QUORUM {
-        return Err(fault(text, "gossip.zone_quorum", What::over(MOST_QUORUM)));
+        return Err(key_error(text, "gossip.zone_quorum", KeyProblem::above_maximum(MOST_QUORUM)));
     }
     let shed = file.overload.take();
     let GossipFile { listen, advertise, secret_file, seeds, zone_quorum, ownership, ledger: kept, .. } = file;
--- a/crates/agreement/src/operator/ledger.rs
+++ b/crates/agreement/src/operator/ledger.rs
@@ -8,8 +8,8 @@
 
 use crate::settings::micros;
 
-use super::places::fault;
-use crate::error::{Error, What};
+use super::position::key_error;
+use crate::error::{Error, KeyProblem};
 
 const COPIES: usize = 3; // one may be lost, with its disk, and a majority still knows
 const MOST_COPIES: usize = 9; // each round waits for a majority of them
@@ -149,7 +149,8 @@
 const UNKNOWN: &str = "is not among gossip.peers; add its public key there, or name another";
 
 pub fn ledger(text: &str, file: LedgerFile, peers: &[(String, [u8; 32])]) -> Result<Ledger, Error> {
-    let refuse = |key: &str, what: What| Err(fault(text, &format!("gossip.ledger.{key}"), what));
+    let refuse =
+        |key: &str, problem: KeyProblem| Err(key_error(text, &format!("gossip.ledger.{key}"), problem));
     if file.fleet.is_empty() {
         return refuse(
             "fleet",
@@ -172,19 +173,19 @@
         );
     }
     if file.shards == 0 || file.shards > MOST_SHARDS {
-        return refuse("shards", What::range(1, MOST_SHARDS));
+        return refuse("shards", KeyProblem::out_of_range(1, MOST_SHARDS));
     }
     if file.most_entries == 0 || file.most_entries > MOST_ENTRIES {
-        return refuse("most_entries", What::range(1, MOST_ENTRIES));
+        return refuse("most_entries", KeyProblem::out_of_range(1, MOST_ENTRIES));
     }
     if !(4_096..=MOST_BYTES).contains(&file.most_bytes) {
-        return refuse("most_bytes", What::range(4_096, MOST_BYTES));
+        return refuse("most_bytes", KeyProblem::out_of_range(4_096, MOST_BYTES));
     }
     if !(50.0..=10_000.0).contains(&file.patience_ms) {
-        return refuse("patience_ms", What::range(50, 10_000));
+        return refuse("patience_ms", KeyProblem::out_of_range(50, 10_000));
     }
     if !(1_000.0..=86_400_000.0).contains(&file.repair_after_ms) {
-        return refuse("repair_after_ms", What::range(1_000, 86_400_000));
+        return refuse("repair_after_ms", KeyProblem::out_of_range(1_000, 86_400_000));
     }
     if file.repair_bytes < 1_024 {
         return refuse(
@@ -193,10 +194,10 @@
         );
     }
     if file.moves_percent > 100 {
-        return refuse("moves_percent", What::range(0, 100));
+        return refuse("moves_percent", KeyProblem::out_of_range(0, 100));
     }
     if !(file.repair_after_ms..=86_400_000.0).contains(&file.zone_after_ms) {
-        return refuse("zone_after_ms", What::range(file.repair_after_ms, 86_400_000));
+        return refuse("zone_after_ms", KeyProblem::out_of_range(file.repair_after_ms, 86_400_000));
     }
     if file.clocks_apart_ms > 60_000 {
         return refuse("clocks_apart_ms", "is over 60000; set the clocks instead".into());
--- a/crates/agreement/src/operator/mod.rs
+++ b/crates/agreement/src/operator/mod.rs
@@ -1,12 +1,12 @@
 //! The operator's own file: JSON5, named by the variable `HALLMUX_OPERATOR`. It switches on what the platform's
 //! configuration knows nothing of; without it everything here is off, and unknown keys end the start. Each part of
-//! the file has a file here that reads and checks it: `whole` joins them, `places` finds the line of a fault.
+//! the file has a file here that reads and checks it: `whole` joins them, `position` finds the line of an error.
 
 mod gossip;
 mod ledger;
 mod overload;
 mod ownership;
-mod places;
+mod position;
 mod postgres;
 mod rules;
 mod scatter;
@@ -16,7 +16,7 @@
 pub use ledger::{Ledger, LedgerMember, OnDiskFailure};
 pub use overload::Overload;
 pub use ownership::Ownership;
-pub use places::line_of;
+pub use position::line_of;
 pub use postgres::{Postgres, SessionLimits, SpeakingEngines, User};
 pub use rules::Rules;
 pub use scatter::{Audits, Keep, Scatter};
--- a/crates/agreement/src/operator/overload.rs
+++ b/crates/agreement/src/operator/overload.rs
@@ -3,8 +3,8 @@
 use hallmux::interface::{Agreement, EngineBudgets, FurtherBudget, Micros};
 use serde::Deserialize;
 
-use super::places::fault;
-use crate::error::{Error, What};
+use super::position::key_error;
+use crate::error::{Error, KeyProblem};
 
 const FURTHER_PERCENT: u32 = 8; // further executions to first ones; of those let in, which count, a fifth never leaves
 const CONNECTIONS_PER_SECOND: u32 = 200; // into one engine: at some 5 ms for a start and a login, one core
@@ -56,14 +56,18 @@
 
 pub fn overload(text: &str, file: OverloadFile) -> Result<Overload, Error> {
     if file.further_percent > 100 {
-        return Err(fault(text, "gossip.overload.further_percent", What::over(100)));
+        return Err(key_error(text, "gossip.overload.further_percent", KeyProblem::above_maximum(100)));
     }
     let OverloadFile { further_percent, connections_per_second, probes_per_second } = file;
     for (key, value) in
         [("connections_per_second", connections_per_second), ("probes_per_second", probes_per_second)]
     {
         if value > MOST_PER_SECOND {
-            return Err(fault(text, &format!("gossip.overload.{key}"), What::over(MOST_PER_SECOND)));
+            return Err(key_error(
+                text,
+                &format!("gossip.overload.{key}"),
+                KeyProblem::above_maximum(MOST_PER_SECOND),
+            ));
         }
     }
     Ok(Overload { further_percent, connections_per_second, probes_per_second })
--- a/crates/agreement/src/operator/ownership.rs
+++ b/crates/agreement/src/operator/ownership.rs
@@ -8,8 +8,8 @@
 
 use crate::settings::micros;
 
-use super::places::fault;
-use crate::error::{Error, What};
+use super::position::key_error;
+use crate::error::{Error, KeyProblem};
 
 const LEASE_MS: f64 = 3_000.0; // milliseconds: some elections of a third of a second, and no zone is lost for less
 const DRIFT_PPM: u32 = 10_000; // millionths: a hundred times what quartz does, for machines that are throttled
@@ -50,20 +50,21 @@
 }
 
 pub fn owned(text: &str, file: OwnershipFile, peers: &[(String, [u8; 32])]) -> Result<Ownership, Error> {
-    let refuse = |key: &str, what: What| Err(fault(text, &format!("gossip.ownership.{key}"), what));
+    let refuse =
+        |key: &str, problem: KeyProblem| Err(key_error(text, &format!("gossip.ownership.{key}"), problem));
     if !matches!(file.voters.len(), 3 | 5) {
         return refuse("voters", "names neither 3 nor 5 fronts; name as many of gossip.peers".into());
     }
     if !(500.0..=60_000.0).contains(&file.lease_ms) {
-        return refuse("lease_ms", What::range(500, 60_000));
+        return refuse("lease_ms", KeyProblem::out_of_range(500, 60_000));
     }
     if file.drift_ppm > MOST_DRIFT_PPM {
-        return refuse("drift_ppm", What::over(MOST_DRIFT_PPM));
+        return refuse("drift_ppm", KeyProblem::above_maximum(MOST_DRIFT_PPM));
     }
     if file.directory.is_empty() {
-        let what =
+        let problem =
             "names none; name one on a lasting disk, as a voter that forgets its votes must not vote again";
-        return refuse("directory", what.into());
+        return refuse("directory", problem.into());
     }
     let mut voters = Vec::new();
     for (name, at) in file.voters {
--- a/crates/agreement/src/operator/places.rs
+++ b/crates/agreement/src/operator/position.rs
@@ -1,29 +1,30 @@
-//! Where in the operator's file a fault is: the line of a key or element by its path.
+//! Where in the operator's file an error is: the line of a key or element by its path.
 
-use crate::error::{Error, Place, What};
+use crate::error::{Error, KeyProblem, Position};
 
 const DEEPEST: usize = 32; // steps of a path; a text of brackets alone would have marks without number
 
-pub fn fault(text: &str, path: &str, what: impl Into<What>) -> Error {
-    let place = Place { line: line_of(text, path), column: None, path: path.to_string() };
-    Error::Key { place, what: Box::new(what.into()) }
+/// The error of the key at a path like `a.b[2].c`.
+pub fn key_error(text: &str, path: &str, problem: impl Into<KeyProblem>) -> Error {
+    let position = Position { line: line_of(text, path), column: None, path: path.to_string() };
+    Error::Key { position, problem: Box::new(problem.into()) }
 }
 
-/// What the library says of a text that is no JSON5.
+/// The error of a text that is no JSON5.
 pub fn malformed(error: &json5::Error) -> Error {
     let at = error.position();
     let (line, column) = (at.map(|at| at.line + 1), at.map(|at| at.column + 1));
-    Error::Malformed { place: Place { line, column, path: String::new() }, said: said(error) }
+    Error::Malformed { position: Position { line, column, path: String::new() }, reason: reason(error) }
 }
 
-/// What the library says of a key's value, in a text that is JSON5.
-pub fn refused(text: &str, path: &str, error: &json5::Error) -> Error {
-    let shown = "deploy/operator.example.json5 shows each key";
-    fault(text, path, What::Form { said: said(error), shown })
+/// The error of a key that the library rejects, in a text that is JSON5.
+pub fn rejected(text: &str, path: &str, error: &json5::Error) -> Error {
+    let hint = "deploy/operator.example.json5 shows each key";
+    key_error(text, path, KeyProblem::Rejected { reason: reason(error), hint })
 }
 
-/// The library says where as well, but of the value's end.
-fn said(error: &json5::Error) -> String {
+/// The library's text without the position, which is that of the value's end.
+fn reason(error: &json5::Error) -> String {
     error.to_string().split(" at line ").next().unwrap_or_default().to_string()
 }
 
--- a/crates/agreement/src/operator/postgres.rs
+++ b/crates/agreement/src/operator/postgres.rs
@@ -8,8 +8,8 @@
 
 use crate::settings::{micros, Settings};
 
-use super::places::fault;
-use crate::error::{Error, What};
+use super::position::key_error;
+use crate::error::{Error, KeyProblem};
 
 const MOST_SESSIONS: usize = 5_000; // sessions, where the file is silent; descriptors bound them before that
 const START_UP_MS: f64 = 5_000.0; // milliseconds for start-up and authentication; drivers take some ten
@@ -143,10 +143,10 @@
         |path: String, whose: &'static str, list: &[String], name: &str| match list.iter().any(|n| n == name)
         {
             true => Ok(()),
-            false => Err(fault(text, &path, What::stranger(name, whose, list))),
+            false => Err(key_error(text, &path, KeyProblem::unknown_name(name, whose, list))),
         };
     if file.engines.is_empty() {
-        return Err(fault(
+        return Err(key_error(
             text,
             "postgres.engines",
             "names no engines; name kinds that speak PostgreSQL, or leave 'postgres' out",
@@ -162,14 +162,14 @@
         let path = format!("postgres.users.{name}");
         match (&user.verifier, user.trust) {
             (None, false) => {
-                return Err(fault(text, &path, "needs 'verifier', or 'trust: true'; give one of them"))
+                return Err(key_error(text, &path, "needs 'verifier', or 'trust: true'; give one of them"))
             }
             (Some(_), true) => {
-                return Err(fault(text, &path, "has both 'verifier' and 'trust'; leave one out"))
+                return Err(key_error(text, &path, "has both 'verifier' and 'trust'; leave one out"))
             }
             (Some(verifier), false) if !is_verifier(verifier) => {
                 let form = "SCRAM-SHA-256$ITERATIONS:SALT$STORED_KEY:SERVER_KEY";
-                return Err(fault(
+                return Err(key_error(
                     text,
                     &format!("{path}.verifier"),
                     format!("is not of the form {form}; copy it from pg_authid"),
@@ -194,12 +194,12 @@
     }
     let l = file.limits;
     let at_least = |key: &str, value: f64, least: f64| {
-        let what = match value {
+        let problem = match value {
             value if (least..=MOST).contains(&value) => return Ok(()),
-            value if value > MOST => What::over(MOST),
-            _ => What::under(least),
+            value if value > MOST => KeyProblem::above_maximum(MOST),
+            _ => KeyProblem::below_minimum(least),
         };
-        Err(fault(text, &format!("postgres.limits.{key}"), what))
+        Err(key_error(text, &format!("postgres.limits.{key}"), problem))
     };
     for (key, value, least) in [
         ("sessions", l.sessions as f64, 1.0),
--- a/crates/agreement/src/operator/rules.rs
+++ b/crates/agreement/src/operator/rules.rs
@@ -7,8 +7,8 @@
 
 use crate::settings::{micros, Settings};
 
-use super::places::fault;
-use crate::error::{Error, What};
+use super::position::key_error;
+use crate::error::{Error, KeyProblem};
 
 const LEASE_MS: f64 = 3_000.0; // milliseconds: what tightens waits as long; some elections of the ledger's owners
 const DRIFT_PPM: u32 = 10_000; // millionths: a hundred times what quartz does, for machines that are throttled
@@ -70,7 +70,7 @@
 }
 
 pub fn rules(text: &str, file: RulesFile, settings: &Settings) -> Result<Rules, Error> {
-    let refuse = |key: &str, what: What| Err(fault(text, &format!("rules.{key}"), what));
+    let refuse = |key: &str, problem: KeyProblem| Err(key_error(text, &format!("rules.{key}"), problem));
     let names = &settings.names;
     if file.file.is_empty() {
         return refuse("file", "names none; give the path of the file of rules".into());
@@ -78,8 +78,8 @@
     for (region, locations) in &file.regions {
         let unknown = locations.iter().enumerate().find(|(_, l)| !names.locations.contains(l));
         if let Some((at, location)) = unknown {
-            let what = What::stranger(location, "the settings' locations", &names.locations);
-            return refuse(&format!("regions.{region}[{at}]"), what);
+            let problem = KeyProblem::unknown_name(location, "the settings' locations", &names.locations);
+            return refuse(&format!("regions.{region}[{at}]"), problem);
         }
         if locations.is_empty() {
             return refuse(&format!("regions.{region}"), "holds no location; name one".into());
@@ -88,25 +88,25 @@
     let known: Vec<&String> = file.regions.keys().chain(&names.locations).collect();
     if !known.contains(&&file.region) {
         let known: Vec<String> = known.into_iter().cloned().collect();
-        return refuse("region", What::stranger(&file.region, "the regions", &known));
+        return refuse("region", KeyProblem::unknown_name(&file.region, "the regions", &known));
     }
     for (at, customer) in file.customers.iter().flatten().enumerate() {
         if !names.customers.is_empty() && !names.customers.contains(customer) {
-            let what = What::stranger(customer, "the settings' customers", &names.customers);
-            return refuse(&format!("customers[{at}]"), what);
+            let problem = KeyProblem::unknown_name(customer, "the settings' customers", &names.customers);
+            return refuse(&format!("customers[{at}]"), problem);
         }
     }
     if !(500.0..=60_000.0).contains(&file.lease_ms) {
-        return refuse("lease_ms", What::range(500, 60_000));
+        return refuse("lease_ms", KeyProblem::out_of_range(500, 60_000));
     }
     if file.drift_ppm > MOST_DRIFT_PPM {
-        return refuse("drift_ppm", What::over(MOST_DRIFT_PPM));
+        return refuse("drift_ppm", KeyProblem::above_maximum(MOST_DRIFT_PPM));
     }
     if !(1_000.0..=86_400_000.0).contains(&file.tell_every_ms) {
-        return refuse("tell_every_ms", What::range(1_000, 86_400_000));
+        return refuse("tell_every_ms", KeyProblem::out_of_range(1_000, 86_400_000));
     }
     if !(0.0..=MOST_WHAT_IF_HOURS).contains(&file.what_if_hours) {
-        return refuse("what_if_hours", What::range(0, 168));
+        return refuse("what_if_hours", KeyProblem::out_of_range(0, 168));
     }
     let RulesFile {
         file: path,
--- a/crates/agreement/src/operator/scatter.rs
+++ b/crates/agreement/src/operator/scatter.rs
@@ -8,8 +8,8 @@
 use crate::settings::Settings;
 
 use super::gossip::hexadecimal;
-use super::places::fault;
-use crate::error::{Error, What};
+use super::position::key_error;
+use crate::error::{Error, KeyProblem};
 
 const OLDEST_MS: u64 = 600_000; // milliseconds: a site that has written nothing for so long may have lost its way
 const MOST_OLDEST_MS: u64 = 604_800_000; // milliseconds: a week
@@ -140,12 +140,15 @@
 }
 
 pub fn scatter(text: &str, file: ScatterFile, settings: &Settings) -> Result<Scatter, Error> {
-    let refuse = |key: &str, what: What| Err(fault(text, &format!("scatter.{key}"), what));
+    let refuse = |key: &str, problem: KeyProblem| Err(key_error(text, &format!("scatter.{key}"), problem));
     let names = &settings.names;
     for (n, name) in file.workloads.iter().enumerate() {
         let path = format!("workloads[{n}]");
         let Some(at) = names.workloads.iter().position(|known| known == name) else {
-            return refuse(&path, What::stranger(name, "the settings' workloads", &names.workloads));
+            return refuse(
+                &path,
+                KeyProblem::unknown_name(name, "the settings' workloads", &names.workloads),
+            );
         };
         let effect = settings.agreement.workloads.get(at).map(|w| w.effect);
         if effect != Some(Effect::Idempotent) {
@@ -158,12 +161,12 @@
     let mut sites = BTreeMap::new();
     for (name, key) in &file.sites {
         if !names.locations.contains(name) {
-            let what = What::stranger(name, "the settings' areas", &names.locations);
-            return refuse(&format!("sites.{name}"), what);
+            let problem = KeyProblem::unknown_name(name, "the settings' areas", &names.locations);
+            return refuse(&format!("sites.{name}"), problem);
         }
         match hexadecimal(key) {
             Some(key) => _ = sites.insert(name.clone(), key),
-            None => return refuse(&format!("sites.{name}"), What::NoKey),
+            None => return refuse(&format!("sites.{name}"), KeyProblem::InvalidPublicKey),
         }
     }
     if file.workloads.is_empty() || sites.is_empty() {
@@ -181,19 +184,19 @@
     if let Some(site) = file.whole_site.as_ref().filter(|site| !sites.contains_key(*site)) {
         return refuse(
             "whole_site",
-            What::stranger(site, "scatter.sites", &sites.keys().cloned().collect::<Vec<_>>()),
+            KeyProblem::unknown_name(site, "scatter.sites", &sites.keys().cloned().collect::<Vec<_>>()),
         );
     }
     for (n, name) in file.partial.iter().enumerate() {
         if !names.customers.contains(name) {
-            let what = What::stranger(name, "the settings' customers", &names.customers);
-            return refuse(&format!("partial[{n}]"), what);
+            let problem = KeyProblem::unknown_name(name, "the settings' customers", &names.customers);
+            return refuse(&format!("partial[{n}]"), problem);
         }
     }
     for (name, error) in &file.distinct_error {
         let key = format!("distinct_error.{name}");
         if !names.customers.contains(name) {
-            return refuse(&key, What::stranger(name, "the settings' customers", &names.customers));
+            return refuse(&key, KeyProblem::unknown_name(name, "the settings' customers", &names.customers));
         }
         if !(0.0..=MOST_ERROR).contains(error) {
             return refuse(&key, format!("is not from 0 to {MOST_ERROR}, a part of the number").into());
@@ -201,8 +204,8 @@
     }
     for (n, name) in file.writes.iter().enumerate() {
         if !names.workloads.contains(name) {
-            let what = What::stranger(name, "the settings' workloads", &names.workloads);
-            return refuse(&format!("writes[{n}]"), what);
+            let problem = KeyProblem::unknown_name(name, "the settings' workloads", &names.workloads);
+            return refuse(&format!("writes[{n}]"), problem);
         }
     }
     let marked = match file.loads.as_deref() {
@@ -223,12 +226,12 @@
         ("answer_bytes", file.answer_bytes as u64, 1_000, 1 << 26),
     ] {
         if !(least..=most).contains(&value) {
-            return refuse(key, What::range(least, most));
+            return refuse(key, KeyProblem::out_of_range(least, most));
         }
     }
     let range = |key: &str, value: u64, least: u64, most: u64| match (least..=most).contains(&value) {
         true => Ok(()),
-        false => refuse(key, What::range(least, most)).map(|_: Scatter| ()),
+        false => refuse(key, KeyProblem::out_of_range(least, most)).map(|_: Scatter| ()),
     };
     if let Some(keep) = &file.keep {
         range("keep.memory_kb", keep.memory_kb, 16, 1 << 24)?;
--- a/crates/agreement/src/operator/whole.rs
+++ b/crates/agreement/src/operator/whole.rs
@@ -6,11 +6,11 @@
 use crate::settings::{micros, Settings};
 
 use super::gossip::{gossip, Gossip, GossipFile};
-use super::places::{fault, malformed, refused};
+use super::position::{key_error, malformed, rejected};
 use super::postgres::{postgres, Postgres, PostgresFile};
 use super::rules::{rules, Rules, RulesFile};
 use super::scatter::{scatter, Scatter, ScatterFile};
-use crate::error::{Error, What};
+use crate::error::{Error, KeyProblem};
 use crate::text::shallow;
 
 const MOST_AHEAD_MS: f64 = 600_000.0; // milliseconds either way; clocks further apart are not drilled
@@ -69,20 +69,24 @@
         json5::from_str::<serde::de::IgnoredAny>(text).map_err(|e| malformed(&e))?;
         let mut reader = json5::Deserializer::from_str(text);
         let file: File = serde_path_to_error::deserialize(&mut reader)
-            .map_err(|e| refused(text, &e.path().to_string(), e.inner()))?;
+            .map_err(|e| rejected(text, &e.path().to_string(), e.inner()))?;
         let postgres = file.postgres.map(|p| postgres(text, p, settings)).transpose()?;
         let gossip = file.gossip.map(|g| gossip(text, g)).transpose()?;
         let rules = file.rules.map(|r| rules(text, r, settings)).transpose()?;
         let scatter = file.scatter.map(|s| scatter(text, s, settings)).transpose()?;
         let marked = scatter.as_ref().is_some_and(|scatter| scatter.marked);
         if marked && gossip.as_ref().is_none_or(|gossip| gossip.ledger.is_none()) {
-            let what = "'marked' needs gossip.ledger, where marks stand; add it, or say 'none' where no load goes through fronts";
-            return Err(fault(text, "scatter.loads", what));
+            let problem = "'marked' needs gossip.ledger, where marks stand; add it, or say 'none' where no load goes through fronts";
+            return Err(key_error(text, "scatter.loads", problem));
         }
         let load_signal = file.load_signal.map(|l| load_signal(text, &l, settings)).transpose()?;
         let ahead = file.clock_ahead_ms;
         if !ahead.is_finite() || ahead.abs() > MOST_AHEAD_MS {
-            return Err(fault(text, "clock_ahead_ms", What::range(-MOST_AHEAD_MS, MOST_AHEAD_MS)));
+            return Err(key_error(
+                text,
+                "clock_ahead_ms",
+                KeyProblem::out_of_range(-MOST_AHEAD_MS, MOST_AHEAD_MS),
+            ));
         }
         Ok(Operator { postgres, gossip, rules, scatter, load_signal, clock_ahead: micros(ahead) })
     }
@@ -94,7 +98,7 @@
         "in_flight" => (LoadSignal::InFlight, "active"),
         "utilization" => (LoadSignal::Utilization, "cpu"),
         _ => {
-            return Err(fault(
+            return Err(key_error(
                 text,
                 "load_signal",
                 format!(
@@ -107,11 +111,11 @@
         return Ok(signal);
     }
     let named = settings.names.report.join(", ");
-    let what = format!(
+    let problem = format!(
         "'{word}' needs '{figure}' among the settings' report.names, which are [{named}]; \
          give the other, or leave the key out"
     );
-    Err(fault(text, "load_signal", what))
+    Err(key_error(text, "load_signal", problem))
 }
 
 #[cfg(test)]
--- a/crates/agreement/src/settings/check.rs
+++ b/crates/agreement/src/settings/check.rs
@@ -2,7 +2,7 @@
 
 use hallmux::interface::{DedupGroup, Effect};
 
-use crate::error::{Error, What};
+use crate::error::{Error, KeyProblem};
 use crate::text::Part;
 
 use super::Options;
@@ -18,7 +18,7 @@
     let found = known.iter().find(|(name, _)| *name == value).map(|(_, meaning)| *meaning);
     let unknown = || {
         let known = known.iter().map(|(name, _)| *name).collect();
-        part.fault(path, What::Word { word: value.to_string(), known })
+        part.error(path, KeyProblem::UnknownWord { word: value.to_string(), known })
     };
     found.ok_or_else(unknown)
 }
@@ -27,7 +27,7 @@
 pub fn check(part: &Part, read: &Options) -> Result<(), Error> {
     let figure = |path: &str, value: f64| match (0.0..=MOST).contains(&value) {
         true => Ok(()),
-        false => Err(part.fault(path, What::range(0, MOST))),
+        false => Err(part.error(path, KeyProblem::out_of_range(0, MOST))),
     };
     let perhaps = |path: &str, value: Option<f64>| value.map_or(Ok(()), |value| figure(path, value));
     let each = |path: &str, values: &[f64]| {
--- a/crates/agreement/src/text.rs
+++ b/crates/agreement/src/text.rs
@@ -1,8 +1,8 @@
-//! Texts of configuration: files read whole, and where in them a fault is.
+//! Texts of configuration: files read whole, and where in them an error is.
 
 use serde::Deserialize;
 
-use crate::error::{Error, Place, What};
+use crate::error::{Error, KeyProblem, Position};
 use crate::operator::line_of;
 
 const MOST_DEEP: usize = 64; // brackets; no key is meant deeper than ten, and the readers take a stack frame for each
@@ -10,7 +10,7 @@
 /// Reads the file that a variable names.
 pub fn file(variable: &'static str, path: &str) -> Result<String, Error> {
     let unreadable =
-        |e: std::io::Error| Error::Unreadable { variable, path: path.to_string(), said: e.to_string() };
+        |e: std::io::Error| Error::UnreadableFile { variable, path: path.to_string(), reason: e.to_string() };
     text(std::fs::read(path).map_err(unreadable)?).map_err(|e| e.in_file(variable, path))
 }
 
@@ -18,7 +18,7 @@
     String::from_utf8(bytes).map_err(|e| {
         let good = &e.as_bytes()[..e.utf8_error().valid_up_to()];
         let (line, column) = position(&String::from_utf8_lossy(good));
-        Error::NotText { place: Place { line: Some(line), column: Some(column), path: String::new() } }
+        Error::NotUtf8 { position: Position { line: Some(line), column: Some(column), path: String::new() } }
     })
 }
 
@@ -56,8 +56,8 @@
             '{' | '[' => {
                 open += 1;
                 if open > MOST_DEEP {
-                    let place = Place { line: Some(line), ..Place::default() };
-                    return Err(Error::Deep { place, most: MOST_DEEP });
+                    let position = Position { line: Some(line), ..Position::default() };
+                    return Err(Error::TooDeep { position, most: MOST_DEEP });
                 }
             }
             '}' | ']' => open = open.saturating_sub(1),
@@ -77,41 +77,43 @@
 
 impl<'a> Part<'a> {
     /// Where a key of it is; the path is of this part alone.
-    pub fn place(&self, path: &str) -> Place {
+    pub fn position(&self, path: &str) -> Position {
         let line = Some(line_of(self.text, path).unwrap_or(1) + self.lines);
-        Place { line, column: None, path: joined(self.name, path) }
+        Position { line, column: None, path: joined(self.name, path) }
     }
 
-    pub fn fault(&self, path: &str, what: impl Into<What>) -> Error {
-        Error::Key { place: self.place(path), what: Box::new(what.into()) }
+    /// The error of a key of it.
+    pub fn error(&self, path: &str, problem: impl Into<KeyProblem>) -> Error {
+        Error::Key { position: self.position(path), problem: Box::new(problem.into()) }
     }
 
     /// Reads it as JSON, passing over keys that are not known.
     pub fn read<T: Deserialize<'a>>(&self) -> Result<T, Error> {
         let mut reader = serde_json::Deserializer::from_str(self.text);
         let read = serde_path_to_error::deserialize(&mut reader);
-        let read = read.map_err(|e| self.refused(&e.path().to_string(), e.inner()))?;
-        reader.end().map_err(|e| self.refused("", &e))?;
+        let read = read.map_err(|e| self.rejected(&e.path().to_string(), e.inner()))?;
+        reader.end().map_err(|e| self.rejected("", &e))?;
         Ok(read)
     }
 
-    fn refused(&self, path: &str, error: &serde_json::Error) -> Error {
-        let said = error.to_string();
-        let said = said.rsplit_once(" at line ").map_or(said.as_str(), |(said, _)| said).to_string();
-        let there = Place {
+    fn rejected(&self, path: &str, error: &serde_json::Error) -> Error {
+        let text = error.to_string();
+        let reason = text.rsplit_once(" at line ").map_or(text.as_str(), |(reason, _)| reason).to_string();
+        let there = Position {
             line: Some(error.line() + self.lines),
             // A column of the first line counts from where this part begins.
             column: (self.lines == 0 || error.line() > 1).then_some(error.column()),
             path: joined(self.name, path),
         };
         if !error.is_data() {
-            return Error::Malformed { place: there, said };
+            return Error::Malformed { position: there, reason };
         }
-        let mut place = self.place(path);
-        if place.line == there.line {
-            place.column = there.column;
+        let mut position = self.position(path);
+        if position.line == there.line {
+            position.column = there.column;
         }
-        Error::Key { place, what: Box::new(What::Form { said, shown: "the README says what is meant" }) }
+        let problem = KeyProblem::Rejected { reason, hint: "the README says what is meant" };
+        Error::Key { position, problem: Box::new(problem) }
     }
 }
 
--- a/crates/front/src/start_tests.rs
+++ b/crates/front/src/start_tests.rs
@@ -6,7 +6,7 @@
 fn every_fault_says_where_what_and_what_to_do() {
     let at = SocketAddr::from(([127, 0, 0, 1], 9090));
     let other = |text: &str| std::io::Error::other(text.to_string());
-    let missing = hallmux_agreement::Error::Unset { variable: "NODE_CONFIG", meant: "a path" };
+    let missing = hallmux_agreement::Error::Unset { variable: "NODE_CONFIG", expected: "a path" };
     for (fault, place) in [
         (Fault::from(missing), "NODE_CONFIG: "),
         (Fault::Known("invalid type".into()), "NODE_CONFIG: known: "),
