--- a/crates/agreement/src/node.rs
+++ b/crates/agreement/src/node.rs
@@ -11,7 +11,7 @@
 use crate::error::{Error, KeyProblem, Position};
 use crate::operator::Operator;
 use crate::settings::{settings_of, Settings};
-use crate::text::{self, Part};
+use crate::text::{self, Section};
 
 const MEMORY_MB: u64 = 192; // MB, where the file is silent; the least that the operators grant
 const SOCKETS: usize = 1024; // descriptors, where the file is silent; the least that the operators grant
@@ -80,29 +80,29 @@
     }
 
     pub fn parse(variables: &HashMap<String, String>, text: &str) -> Result<NodeConfig, Error> {
-        let file_part = Part { name: "", text, lines: 0 };
-        let file: File = file_part.read()?;
+        let whole_file = Section { name: "", text, lines: 0 };
+        let file: File = whole_file.read()?;
         // The variables go before the file: they are what the one who started the program sees.
         let variable_or_key = |variable: &'static str, key: &str, in_file: Option<String>| {
             let value = variables.get(variable).cloned().or(in_file);
-            value.ok_or_else(|| file_part.error(key, KeyProblem::MissingWithVariable { variable }))
+            value.ok_or_else(|| whole_file.error(key, KeyProblem::MissingWithVariable { variable }))
         };
         let missing = |key: &str| Error::Key {
             position: Position { path: key.to_string(), ..Position::default() },
             problem: Box::new(KeyProblem::Missing),
         };
-        let part = |name: &'static str, raw: &'_ RawValue| (name, text::lines_before(text, raw.get()));
+        let section = |name: &'static str, raw: &'_ RawValue| (name, text::lines_before(text, raw.get()));
         let seed = file.seed.ok_or_else(|| missing("seed"))?;
         let limits: FileLimits = match file.limits {
             Some(raw) => {
-                let (name, lines) = part("limits", raw);
-                Part { name, text: raw.get(), lines }.read()?
+                let (name, lines) = section("limits", raw);
+                Section { name, text: raw.get(), lines }.read()?
             }
             None => FileLimits::default(),
         };
         let raw = file.settings.ok_or_else(|| missing("settings"))?;
-        let (name, lines) = part("settings", raw);
-        let mut settings = settings_of(&Part { name, text: raw.get(), lines })?;
+        let (name, lines) = section("settings", raw);
+        let mut settings = settings_of(&Section { name, text: raw.get(), lines })?;
         let operator = match variables.get("HALLMUX_OPERATOR") {
             Some(path) => {
                 let text = text::file("HALLMUX_OPERATOR", path)?;
@@ -119,20 +119,20 @@
             let value = variable_or_key(variable, key, in_file)?;
             match variables.contains_key(variable) {
                 true => from_variable(variable, &value, ADDRESS),
-                false => from_key(&file_part, key, &value, value.parse(), ADDRESS),
+                false => from_key(&whole_file, key, &value, value.parse(), ADDRESS),
             }
         };
         let level = variables.get("HALLMUX_LOG").map_or(LEVEL, String::as_str);
         Ok(NodeConfig {
             name: variable_or_key("NODE_NAME", "name", file.name)?,
             listen: address("NODE_LISTEN", "listen", file.listen)?,
-            seed: from_key(&file_part, "seed", &seed, u64::from_str_radix(&seed, 16), SEED)?,
+            seed: from_key(&whole_file, "seed", &seed, u64::from_str_radix(&seed, 16), SEED)?,
             limits: NodeLimits {
                 memory_bytes: limits.memory_mb.saturating_mul(1 << 20),
                 sockets: limits.sockets,
             },
             coordinator: (file.coordinator)
-                .map(|at| from_key(&file_part, "coordinator", &at, at.parse(), ADDRESS))
+                .map(|at| from_key(&whole_file, "coordinator", &at, at.parse(), ADDRESS))
                 .transpose()?,
             known_events: file.known.map_or_else(|| NOTHING_KNOWN.to_string(), |raw| raw.get().to_string()),
             settings,
@@ -160,13 +160,13 @@
 }
 
 fn from_key<T, E: std::fmt::Display>(
-    part: &Part,
+    section: &Section,
     key: &str,
     value: &str,
     read: Result<T, E>,
     remedy: &'static str,
 ) -> Result<T, Error> {
     read.map_err(|e| {
-        part.error(key, KeyProblem::InvalidValue { value: value.into(), reason: e.to_string(), remedy })
+        section.error(key, KeyProblem::InvalidValue { value: value.into(), reason: e.to_string(), remedy })
     })
 }
--- a/crates/agreement/src/operator/whole.rs
+++ b/crates/agreement/src/operator/file.rs
@@ -1,4 +1,4 @@
-//! The whole file: its parts, and what belongs to none of them.
+//! The whole file: its sections, and the keys that belong to none of them.
 
 use hallmux::interface::{Micros, ReportPlaces};
 use serde::Deserialize;
@@ -11,7 +11,7 @@
 use super::rules::{rules, Rules, RulesFile};
 use super::scatter::{scatter, Scatter, ScatterFile};
 use crate::error::{Error, KeyProblem};
-use crate::text::shallow;
+use crate::text::check_depth;
 
 const MOST_AHEAD_MS: f64 = 600_000.0; // milliseconds either way; clocks further apart are not drilled
 
@@ -65,7 +65,7 @@
     /// Reads the file's text and checks it against what was agreed. An error names path and line.
     pub fn parse(text: &str, settings: &Settings) -> Result<Operator, Error> {
         // Once for the form alone, as only that pass sees what follows the end.
-        shallow(text)?;
+        check_depth(text)?;
         json5::from_str::<serde::de::IgnoredAny>(text).map_err(|e| malformed(&e))?;
         let mut reader = json5::Deserializer::from_str(text);
         let file: File = serde_path_to_error::deserialize(&mut reader)
@@ -119,58 +119,5 @@
 }
 
 #[cfg(test)]
-pub mod tests {
-    use super::*;
-
-    const SETTINGS: &str = r#"{"instances": 1, "areas": ["here"], "kinds": ["std", "pg"], "rules": {},
-        "customers": [{"name": "acme"}],
-        "requestClasses": [{"name": "lookup", "aimMs": 1000, "deadlineMs": 5000, "repeat": "repeatable"}]}"#;
-
-    /// Reads a text against settings that name one workload, customer, location and two kinds.
-    pub fn read(text: &str) -> Result<Operator, String> {
-        Ok(Operator::parse(text, &crate::Settings::parse(SETTINGS).unwrap())?)
-    }
-
-    #[test]
-    fn the_example_is_read_with_every_part() {
-        let text = include_str!("../../../../deploy/operator.example.json5");
-        let more = SETTINGS.replace(r#"["here"]"#, r#"["here", "std-eu", "std-us", "std-ap"]"#);
-        let settings = crate::Settings::parse(&more).unwrap();
-        // These settings have no reports.
-        let example = Operator::parse(&text.replace("load_signal: 'in_flight',", ""), &settings).unwrap();
-        assert!(example.postgres.is_some() && example.gossip.is_some() && example.scatter.is_some());
-        assert!(example.rules.is_some());
-    }
-
-    const REPORTING: &str = r#"{"instances": 120, "areas": ["here"], "kinds": ["std"], "rules": {},
-        "report": {"names": ["cpu", "waiting"], "source": "on_probe"},
-        "requestClasses": [{"name": "lookup", "aimMs": 1000, "deadlineMs": 5000, "repeat": "repeatable"}]}"#;
-
-    #[test]
-    fn the_load_signal_follows_the_reports_unless_chosen_and_a_mix_is_refused() {
-        let settings = crate::Settings::parse(REPORTING).unwrap();
-        let places = &settings.agreement.report;
-        assert_eq!((places.active, places.busy, places.waiting), (None, Some(0), Some(1)));
-        // Where the file is silent, nothing changes: the settings alone choose the shape.
-        let silent = Operator::parse("{}", &settings).unwrap();
-        assert_eq!(silent.load_signal, None);
-        let chosen = Operator::parse("{ load_signal: 'utilization' }", &settings).unwrap();
-        assert_eq!(chosen.load_signal, Some(LoadSignal::Utilization));
-        // The earlier shape with reports of the later one: refused, with the key and its line.
-        let mixed = Operator::parse("{\n  load_signal: 'in_flight',\n}", &settings).unwrap_err().to_string();
-        assert!(mixed.starts_with("line 2: load_signal: 'in_flight' needs 'active'"), "{mixed}");
-        let unknown = Operator::parse("{ load_signal: 'rough' }", &settings).unwrap_err().to_string();
-        assert!(unknown.starts_with("line 1: load_signal: 'rough' is neither"), "{unknown}");
-    }
-
-    #[test]
-    fn a_chosen_load_signal_leaves_the_other_figure_unread() {
-        let both = REPORTING.replace(r#"["cpu", "waiting"]"#, r#"["active", "cpu"]"#);
-        let settings = crate::Settings::parse(&both).unwrap();
-        let (mut earlier, mut later) = (settings.agreement.report.clone(), settings.agreement.report.clone());
-        Operator::parse("{ load_signal: 'in_flight' }", &settings).unwrap().apply(&mut earlier);
-        Operator::parse("{ load_signal: 'utilization' }", &settings).unwrap().apply(&mut later);
-        assert_eq!((earlier.active, earlier.busy), (Some(0), None));
-        assert_eq!((later.active, later.busy), (None, Some(1)));
-    }
-}
+#[path = "file_tests.rs"]
+pub mod tests;
--- /dev/null
+++ b/crates/agreement/src/operator/file_tests.rs
@@ -0,0 +1,55 @@
+//! Unit tests of the `file` module, and the reader that the tests of its sections use.
+
+use super::*;
+
+const SETTINGS: &str = r#"{"instances": 1, "areas": ["here"], "kinds": ["std", "pg"], "rules": {},
+    "customers": [{"name": "acme"}],
+    "requestClasses": [{"name": "lookup", "aimMs": 1000, "deadlineMs": 5000, "repeat": "repeatable"}]}"#;
+
+/// Reads a text against settings that name one workload, customer, location and two kinds.
+pub fn read(text: &str) -> Result<Operator, String> {
+    Ok(Operator::parse(text, &crate::Settings::parse(SETTINGS).unwrap())?)
+}
+
+#[test]
+fn the_example_is_read_with_every_part() {
+    let text = include_str!("../../../../deploy/operator.example.json5");
+    let more = SETTINGS.replace(r#"["here"]"#, r#"["here", "std-eu", "std-us", "std-ap"]"#);
+    let settings = crate::Settings::parse(&more).unwrap();
+    // These settings have no reports.
+    let example = Operator::parse(&text.replace("load_signal: 'in_flight',", ""), &settings).unwrap();
+    assert!(example.postgres.is_some() && example.gossip.is_some() && example.scatter.is_some());
+    assert!(example.rules.is_some());
+}
+
+const REPORTING: &str = r#"{"instances": 120, "areas": ["here"], "kinds": ["std"], "rules": {},
+    "report": {"names": ["cpu", "waiting"], "source": "on_probe"},
+    "requestClasses": [{"name": "lookup", "aimMs": 1000, "deadlineMs": 5000, "repeat": "repeatable"}]}"#;
+
+#[test]
+fn the_load_signal_follows_the_reports_unless_chosen_and_a_mix_is_refused() {
+    let settings = crate::Settings::parse(REPORTING).unwrap();
+    let places = &settings.agreement.report;
+    assert_eq!((places.active, places.busy, places.waiting), (None, Some(0), Some(1)));
+    // Where the file is silent, nothing changes: the settings alone choose the shape.
+    let silent = Operator::parse("{}", &settings).unwrap();
+    assert_eq!(silent.load_signal, None);
+    let chosen = Operator::parse("{ load_signal: 'utilization' }", &settings).unwrap();
+    assert_eq!(chosen.load_signal, Some(LoadSignal::Utilization));
+    // The earlier shape with reports of the later one: refused, with the key and its line.
+    let mixed = Operator::parse("{\n  load_signal: 'in_flight',\n}", &settings).unwrap_err().to_string();
+    assert!(mixed.starts_with("line 2: load_signal: 'in_flight' needs 'active'"), "{mixed}");
+    let unknown = Operator::parse("{ load_signal: 'rough' }", &settings).unwrap_err().to_string();
+    assert!(unknown.starts_with("line 1: load_signal: 'rough' is neither"), "{unknown}");
+}
+
+#[test]
+fn a_chosen_load_signal_leaves_the_other_figure_unread() {
+    let both = REPORTING.replace(r#"["cpu", "waiting"]"#, r#"["active", "cpu"]"#);
+    let settings = crate::Settings::parse(&both).unwrap();
+    let (mut earlier, mut later) = (settings.agreement.report.clone(), settings.agreement.report.clone());
+    Operator::parse("{ load_signal: 'in_flight' }", &settings).unwrap().apply(&mut earlier);
+    Operator::parse("{ load_signal: 'utilization' }", &settings).unwrap().apply(&mut later);
+    assert_eq!((earlier.active, earlier.busy), (Some(0), None));
+    assert_eq!((later.active, later.busy), (None, Some(1)));
+}
--- a/crates/agreement/src/operator/ledger_tests.rs
+++ b/crates/agreement/src/operator/ledger_tests.rs
@@ -1,6 +1,6 @@
 //! Unit tests of the `ledger` module.
 
-use super::super::whole::tests::read;
+use super::super::file::tests::read;
 use super::*;
 
 #[test]
--- a/crates/agreement/src/operator/mod.rs
+++ b/crates/agreement/src/operator/mod.rs
@@ -1,7 +1,9 @@
-//! The operator's own file: JSON5, named by the variable `HALLMUX_OPERATOR`. It switches on what the platform's
-//! configuration knows nothing of; without it everything here is off, and unknown keys end the start. Each part of
-//! the file has a file here that reads and checks it: `whole` joins them, `position` finds the line of an error.
+//! The operator's own file: JSON5, named by the variable `HALLMUX_OPERATOR`. It switches on what the
+//! platform's configuration knows nothing of; without it everything here is off, and unknown keys end the
+//! start. Each section of the file has a module here that reads and checks it: `file` joins them, `position`
+//! finds the line of an error.
 
+mod file;
 mod gossip;
 mod ledger;
 mod overload;
@@ -10,8 +12,8 @@
 mod postgres;
 mod rules;
 mod scatter;
-mod whole;
 
+pub use file::{LoadSignal, Operator};
 pub use gossip::{hexadecimal, Gossip};
 pub use ledger::{Ledger, LedgerMember, OnDiskFailure};
 pub use overload::Overload;
@@ -20,4 +22,3 @@
 pub use postgres::{Postgres, SessionLimits, SpeakingEngines, User};
 pub use rules::Rules;
 pub use scatter::{Audits, Keep, Scatter};
-pub use whole::{LoadSignal, Operator};
--- a/crates/agreement/src/settings.rs
+++ b/crates/agreement/src/settings.rs
@@ -7,7 +7,7 @@
 
 use self::check::{check, word, EFFECTS, GROUPS};
 use crate::error::Error;
-use crate::text::Part;
+use crate::text::Section;
 
 /// Vantages whose word of a zone leads the fleet out, where the operator's file says nothing: one front may be cut off alone.
 pub const ZONE_QUORUM: usize = 2;
@@ -176,14 +176,14 @@
 impl Settings {
     /// Reads the settings' JSON text.
     pub fn parse(text: &str) -> Result<Settings, Error> {
-        settings_of(&Part { name: "options", text, lines: 0 })
+        settings_of(&Section { name: "options", text, lines: 0 })
     }
 }
 
-/// Reads the settings as a part of a larger text.
-pub(crate) fn settings_of(part: &Part) -> Result<Settings, Error> {
-    let read: Options = part.read()?;
-    check(part, &read)?;
+/// Reads the settings as a section of a larger text.
+pub(crate) fn settings_of(section: &Section) -> Result<Settings, Error> {
+    let read: Options = section.read()?;
+    check(section, &read)?;
     let names = Names {
         workloads: read.request_classes.iter().map(|c| c.name.clone()).collect(),
         customers: read.customers.iter().map(|c| c.name.clone()).collect(),
@@ -208,9 +208,9 @@
             slo_time: micros(class.aim_ms),
             slo_stretch: class.aim_stretch,
             statement_timeout: micros(class.deadline_ms),
-            effect: word(part, &format!("requestClasses[{i}].repeat"), &class.repeat, &EFFECTS)?,
+            effect: word(section, &format!("requestClasses[{i}].repeat"), &class.repeat, &EFFECTS)?,
             dedup_group: word(
-                part,
+                section,
                 &format!("requestClasses[{i}].group"),
                 class.group.as_deref().unwrap_or("cell"),
                 &GROUPS,
--- a/crates/agreement/src/settings/check.rs
+++ b/crates/agreement/src/settings/check.rs
@@ -3,7 +3,7 @@
 use hallmux::interface::{DedupGroup, Effect};
 
 use crate::error::{Error, KeyProblem};
-use crate::text::Part;
+use crate::text::Section;
 
 use super::Options;
 
@@ -14,20 +14,25 @@
 pub const GROUPS: [(&str, DedupGroup); 3] =
     [("all", DedupGroup::All), ("zone", DedupGroup::Location), ("cell", DedupGroup::Cell)];
 
-pub fn word<T: Copy>(part: &Part, path: &str, value: &str, known: &[(&'static str, T)]) -> Result<T, Error> {
+pub fn word<T: Copy>(
+    section: &Section,
+    path: &str,
+    value: &str,
+    known: &[(&'static str, T)],
+) -> Result<T, Error> {
     let found = known.iter().find(|(name, _)| *name == value).map(|(_, meaning)| *meaning);
     let unknown = || {
         let known = known.iter().map(|(name, _)| *name).collect();
-        part.error(path, KeyProblem::UnknownWord { word: value.to_string(), known })
+        section.error(path, KeyProblem::UnknownWord { word: value.to_string(), known })
     };
     found.ok_or_else(unknown)
 }
 
 /// Refuses what is negative, and what is so large that no sum of it would be right.
-pub fn check(part: &Part, read: &Options) -> Result<(), Error> {
+pub fn check(section: &Section, read: &Options) -> Result<(), Error> {
     let figure = |path: &str, value: f64| match (0.0..=MOST).contains(&value) {
         true => Ok(()),
-        false => Err(part.error(path, KeyProblem::out_of_range(0, MOST))),
+        false => Err(section.error(path, KeyProblem::out_of_range(0, MOST))),
     };
     let perhaps = |path: &str, value: Option<f64>| value.map_or(Ok(()), |value| figure(path, value));
     let each = |path: &str, values: &[f64]| {
--- a/crates/agreement/src/text.rs
+++ b/crates/agreement/src/text.rs
@@ -29,7 +29,7 @@
 }
 
 /// Refuses brackets that stand open deeper than any key is meant, before a reader that calls itself for each.
-pub fn shallow(text: &str) -> Result<(), Error> {
+pub fn check_depth(text: &str) -> Result<(), Error> {
     let (mut open, mut line) = (0usize, 1);
     let mut rest = text.chars().peekable();
     while let Some(c) = rest.next() {
@@ -68,15 +68,15 @@
 }
 
 /// A JSON text within a larger one: what its key is called there, and on which line it begins.
-pub struct Part<'a> {
+pub struct Section<'a> {
     pub name: &'a str,
     pub text: &'a str,
     /// Lines of the larger text before it.
     pub lines: usize,
 }
 
-impl<'a> Part<'a> {
-    /// Where a key of it is; the path is of this part alone.
+impl<'a> Section<'a> {
+    /// Where a key of it is; the path is of this section alone.
     pub fn position(&self, path: &str) -> Position {
         let line = Some(line_of(self.text, path).unwrap_or(1) + self.lines);
         Position { line, column: None, path: joined(self.name, path) }
@@ -101,7 +101,7 @@
         let reason = text.rsplit_once(" at line ").map_or(text.as_str(), |(reason, _)| reason).to_string();
         let there = Position {
             line: Some(error.line() + self.lines),
-            // A column of the first line counts from where this part begins.
+            // A column of the first line counts from where this section begins.
             column: (self.lines == 0 || error.line() > 1).then_some(error.column()),
             path: joined(self.name, path),
         };
@@ -127,9 +127,9 @@
     }
 }
 
-/// Lines of a text before a part of it, which is borrowed from it.
-pub fn lines_before(text: &str, part: &str) -> usize {
-    let offset = (part.as_ptr() as usize).checked_sub(text.as_ptr() as usize);
+/// Lines of a text before a section of it, which is borrowed from it.
+pub fn lines_before(text: &str, section: &str) -> usize {
+    let offset = (section.as_ptr() as usize).checked_sub(text.as_ptr() as usize);
     let before = offset.and_then(|offset| text.get(..offset));
     before.map_or(0, |before| before.matches('\n').count())
 }
