--- a/crates/agreement/tests/drawn/laid_out.rs
+++ b/crates/agreement/tests/random_faults/layout.rs
@@ -4,20 +4,20 @@
 
 use serde_json::Value;
 
-/// What becomes of the value at a path.
+/// A change of the value at a path.
 #[derive(Clone, Debug)]
 pub enum Change {
-    Nothing,
-    /// Another text stands in its place.
-    Becomes(String),
-    Goes,
-    /// It stands there twice.
-    Doubles,
-    /// The object there has a key more.
-    Gains(String, String),
+    None,
+    /// By another text.
+    Replace(String),
+    Remove,
+    /// So that it is there twice.
+    Duplicate,
+    /// One more key, and its value, into the object there.
+    Insert(String, String),
 }
 
-pub struct LaidOut {
+pub struct Layout {
     pub text: String,
     /// The line of each path.
     pub lines: BTreeMap<String, usize>,
@@ -25,17 +25,17 @@
 
 /// Paths of all values, as errors word them.
 pub fn paths(value: &Value) -> Vec<String> {
-    laid_out(value, "", &Change::Nothing).lines.into_keys().filter(|path| !path.is_empty()).collect()
+    layout(value, "", &Change::None).lines.into_keys().filter(|path| !path.is_empty()).collect()
 }
 
-pub fn laid_out(value: &Value, at: &str, change: &Change) -> LaidOut {
-    let mut out = LaidOut { text: String::new(), lines: BTreeMap::from([(String::new(), 1)]) };
+pub fn layout(value: &Value, at: &str, change: &Change) -> Layout {
+    let mut out = Layout { text: String::new(), lines: BTreeMap::from([(String::new(), 1)]) };
     out.write(value, "", at, change);
     out.text.push('\n');
     out
 }
 
-impl LaidOut {
+impl Layout {
     fn write(&mut self, value: &Value, path: &str, at: &str, change: &Change) {
         let entries: Vec<(String, String, &Value)> = match value {
             Value::Object(map) => {
@@ -52,13 +52,13 @@
         };
         self.text.push(if value.is_object() { '{' } else { '[' });
         let mut first = true;
-        let next = |out: &mut LaidOut, first: &mut bool| {
+        let next = |out: &mut Layout, first: &mut bool| {
             out.text.push_str(if std::mem::take(first) { "\n" } else { ",\n" });
         };
         for (below, key, value) in entries {
             let times = match change {
-                Change::Goes if below == at => 0,
-                Change::Doubles if below == at => 2,
+                Change::Remove if below == at => 0,
+                Change::Duplicate if below == at => 2,
                 _ => 1,
             };
             for _ in 0..times {
@@ -67,12 +67,12 @@
                 self.lines.entry(below.clone()).or_insert(line);
                 self.text.push_str(&key);
                 match change {
-                    Change::Becomes(text) if below == at => self.text.push_str(text),
+                    Change::Replace(text) if below == at => self.text.push_str(text),
                     _ => self.write(value, &below, at, change),
                 }
             }
         }
-        if let (Change::Gains(key, text), true) = (change, path == at && value.is_object()) {
+        if let (Change::Insert(key, text), true) = (change, path == at && value.is_object()) {
             next(self, &mut first);
             let line = 1 + self.text.matches('\n').count();
             self.lines.insert(if path.is_empty() { key.clone() } else { format!("{path}.{key}") }, line);
--- a/crates/agreement/tests/drawn/main.rs
+++ b/crates/agreement/tests/random_faults/main.rs
@@ -1,7 +1,7 @@
-//! Drawn faults in a configuration: one thing in a full one is changed, as a person or a spoilt disk may change it.
-//! It is refused with the line and the key, or taken as the pages say, and nothing panics on the way.
+//! Random faults in a configuration: one thing in a full one is changed, as a person or a corrupted disk may change
+//! it. It is refused with the line and the key, or accepted as the documents say, and nothing panics on the way.
 
-mod laid_out;
+mod layout;
 mod operators;
 mod settings;
 
@@ -35,19 +35,22 @@
     NodeConfig::parse(&variables, text).map_err(|e| e.to_string())
 }
 
-/// One line that says what is wrong and what to do; the line it names, where it names one.
-pub fn shaped(said: &str) -> Option<usize> {
+/// Asserts that an error is one line that says what is wrong and what to do. Returns the line it names, if any.
+pub fn assert_shape(said: &str) -> Option<usize> {
     assert!(!said.contains('\n') && said.contains(": ") && said.contains("; "), "{said}");
     let rest = &said[said.find("line ")? + 5..];
     rest[..rest.find(|c: char| !c.is_ascii_digit())?].parse().ok()
 }
 
-/// Spoils a text as a disk or an editor may: cut short, bytes gone, bytes changed.
-pub fn spoilt() -> impl Strategy<Value = (prop::sample::Index, prop::sample::Index, u8, u8)> {
+/// A corruption such as a disk or an editor may cause: cut short, bytes gone, bytes changed.
+pub fn corruption() -> impl Strategy<Value = (prop::sample::Index, prop::sample::Index, u8, u8)> {
     (any::<prop::sample::Index>(), any::<prop::sample::Index>(), 0..4u8, any::<u8>())
 }
 
-pub fn spoil(text: &str, (at, len, how, with): (prop::sample::Index, prop::sample::Index, u8, u8)) -> String {
+pub fn corrupt(
+    text: &str,
+    (at, len, how, with): (prop::sample::Index, prop::sample::Index, u8, u8),
+) -> String {
     let mut bytes = text.as_bytes().to_vec();
     let at = at.index(bytes.len());
     match how {
@@ -62,7 +65,7 @@
 #[test]
 fn brackets_without_end_are_refused() {
     for text in ["[".repeat(200_000), "{\"a\":".repeat(100_000), String::new(), "\u{0}".repeat(9)] {
-        shaped(&read(&text).unwrap_err());
+        assert_shape(&read(&text).unwrap_err());
     }
     // Under a key that is not known they are passed over, as any value is.
     let deep = format!("{{\"seed\": \"1\", \"more\": {}{}}}", "[".repeat(100_000), "]".repeat(100_000));
--- a/crates/agreement/tests/drawn/operators.rs
+++ b/crates/agreement/tests/random_faults/operators.rs
@@ -4,8 +4,8 @@
 use proptest::prelude::*;
 use serde_json::Value;
 
-use crate::laid_out::{laid_out, paths, Change};
-use crate::{shaped, spoil, spoilt, VALUES};
+use crate::layout::{layout, paths, Change};
+use crate::{assert_shape, corrupt, corruption, VALUES};
 
 const SETTINGS: &str = r#"{"instances": 1, "areas": ["here", "std-eu", "std-us", "std-ap"], "kinds": ["std", "pg"],
     "rules": {}, "customers": [{"name": "acme"}], "report": {"names": ["active"]},
@@ -51,8 +51,8 @@
         let paths = paths(&example);
         let path = at.get(&paths);
         let was = example.pointer(&format!("/{}", path.replace('[', "/").replace(']', "").replace('.', "/")));
-        let laid = laid_out(&example, path, &Change::Becomes(value.to_string()));
-        match (read(&laid.text, &agreed()), serde_json::from_str::<Value>(value)) {
+        let written = layout(&example, path, &Change::Replace(value.to_string()));
+        match (read(&written.text, &agreed()), serde_json::from_str::<Value>(value)) {
             (Ok(()), Ok(new)) => {
                 let same = was.is_some_and(|was| form(was) == form(&new));
                 // An object may be read from a list of what it holds, and null stands for a key that is not there.
@@ -61,10 +61,10 @@
             }
             (Ok(()), Err(_)) => prop_assert!(false, "{} becomes {}", path, value),
             (Err(said), _) => {
-                let line = shaped(&said);
-                let named = laid.lines.get(path).copied();
+                let line = assert_shape(&said);
+                let named = written.lines.get(path).copied();
                 // What no longer goes with it may be told where that stands.
-                prop_assert!(line.is_some_and(|line| line <= laid.text.matches('\n').count()), "{}", said);
+                prop_assert!(line.is_some_and(|line| line <= written.text.matches('\n').count()), "{}", said);
                 let elsewhere = ["is not among", "needs", "names none", "copies: ", "scatter.loads"];
                 prop_assert!(line == named || elsewhere.iter().any(|e| said.contains(e)), "{}: {}", path, said);
             }
@@ -72,7 +72,7 @@
     }
 
     #[test]
-    fn a_key_that_is_not_known_is_refused_with_its_line(at in any::<prop::sample::Index>(), key in "[a-z_]{1,9}") {
+    fn an_unknown_key_is_refused_with_its_line(at in any::<prop::sample::Index>(), key in "[a-z_]{1,9}") {
         let example = example();
         let mut objects: Vec<String> = paths(&example);
         objects.push(String::new());
@@ -84,18 +84,18 @@
         objects.retain(holder);
         let path = at.get(&objects);
         let key = format!("zz{key}");
-        let laid = laid_out(&example, path, &Change::Gains(key.clone(), "1".into()));
+        let written = layout(&example, path, &Change::Insert(key.clone(), "1".into()));
         let whole = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
-        let said = read(&laid.text, &agreed()).unwrap_err();
+        let said = read(&written.text, &agreed()).unwrap_err();
         prop_assert!(said.contains(&format!("{whole}: unknown field `{key}`")), "{}", said);
-        prop_assert_eq!(shaped(&said), laid.lines.get(&whole).copied(), "{}", said);
+        prop_assert_eq!(assert_shape(&said), written.lines.get(&whole).copied(), "{}", said);
     }
 
     #[test]
-    fn a_spoilt_file_is_taken_or_refused_in_one_line(how in spoilt()) {
-        let text = spoil(EXAMPLE, how);
+    fn a_corrupted_file_is_accepted_or_refused_in_one_line(how in corruption()) {
+        let text = corrupt(EXAMPLE, how);
         if let Err(said) = read(&text, &agreed()) {
-            let line = shaped(&said);
+            let line = assert_shape(&said);
             // The library counts other ends of lines than `\n` as well.
             prop_assert!(line.is_none_or(|line| line <= text.matches(['\n', '\r', '\u{2028}']).count() + 1), "{}", said);
         }
@@ -103,6 +103,6 @@
 }
 
 #[test]
-fn the_example_is_taken_as_it_is_laid_out() {
-    read(&laid_out(&example(), "", &Change::Nothing).text, &agreed()).unwrap();
+fn the_example_is_accepted_as_json() {
+    read(&layout(&example(), "", &Change::None).text, &agreed()).unwrap();
 }
--- a/crates/agreement/tests/drawn/settings.rs
+++ b/crates/agreement/tests/random_faults/settings.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
-use crate::laid_out::{laid_out, paths, Change};
-use crate::{read, shaped, spoil, spoilt, VALUES};
+use crate::layout::{layout, paths, Change};
+use crate::{assert_shape, corrupt, corruption, read, VALUES};
 
 /// Several classes of every effect and group, tenants, and names that no program would think of.
 fn station() -> Value {
@@ -119,7 +119,7 @@
 }
 
 /// What was read is then used: a statement of each class is taken and decided on.
-fn used(station: &NodeConfig) {
+fn use_config(station: &NodeConfig) {
     let mut dispatcher = Dispatcher::new(&station.settings, station.seed);
     let names = &station.settings.names;
     for (n, location) in names.locations.iter().enumerate() {
@@ -148,20 +148,20 @@
     }
 }
 
-fn read_and_used(text: &str) -> Result<(), String> {
-    read(text).map(|station| used(&station))
+fn read_and_use(text: &str) -> Result<(), String> {
+    read(text).map(|station| use_config(&station))
 }
 
 #[test]
-fn the_whole_is_taken() {
-    read_and_used(&laid_out(&station(), "", &Change::Nothing).text).unwrap();
+fn a_full_configuration_is_accepted() {
+    read_and_use(&layout(&station(), "", &Change::None).text).unwrap();
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn another_value_is_taken_or_refused_with_its_line_and_key(
+    fn another_value_is_accepted_or_refused_with_its_line_and_key(
         at in any::<prop::sample::Index>(),
         value in prop::sample::select(&VALUES[..]),
     ) {
@@ -169,13 +169,13 @@
         let paths: Vec<String> = paths(&station).into_iter().filter(|p| p.starts_with("settings.")).collect();
         let path = at.get(&paths);
         let was = station.pointer(&format!("/{}", path.replace('[', "/").replace(']', "").replace('.', "/")));
-        let laid = laid_out(&station, path, &Change::Becomes(value.to_string()));
-        let read = read_and_used(&laid.text);
+        let written = layout(&station, path, &Change::Replace(value.to_string()));
+        let read = read_and_use(&written.text);
         if let Some(fits) = fits(kind(path, was), value) {
             prop_assert_eq!(read.is_ok(), fits, "{} becomes {}: {:?}", path, value, read);
         }
         if let Err(said) = read {
-            prop_assert_eq!(shaped(&said), laid.lines.get(path).copied(), "{}", &said);
+            prop_assert_eq!(assert_shape(&said), written.lines.get(path).copied(), "{}", &said);
             prop_assert!(said.contains(path.as_str()), "{}: {}", path, said);
         }
     }
@@ -188,27 +188,27 @@
         let station = station();
         let paths = paths(&station);
         let path = at.get(&paths);
-        let change = if twice { Change::Doubles } else { Change::Goes };
-        let laid = laid_out(&station, path, &change);
+        let change = if twice { Change::Duplicate } else { Change::Remove };
+        let written = layout(&station, path, &change);
         let (parent, key) = path.rsplit_once('.').unwrap_or(("", path));
         let needed = ["seed", "name", "settings", "settings.instances", "settings.requestClasses", "settings.rules"];
         let needs = needed.contains(&path.as_str())
             || path.starts_with("settings.requestClasses[") && ["aimMs", "deadlineMs", "repeat"].contains(&key);
-        match read_and_used(&laid.text) {
+        match read_and_use(&written.text) {
             Ok(()) => prop_assert!(twice || !needs, "{} may not be gone", path),
             Err(said) => {
                 prop_assert!(twice || needs, "{}: {}", path, said);
                 prop_assert!(said.contains(key), "{}: {}", path, said);
                 // A key twice may be told at the second, or at what holds both.
-                if let (Some(line), false) = (shaped(&said), twice) {
-                    prop_assert_eq!(Some(&line), laid.lines.get(parent), "{}", said);
+                if let (Some(line), false) = (assert_shape(&said), twice) {
+                    prop_assert_eq!(Some(&line), written.lines.get(parent), "{}", said);
                 }
             }
         }
     }
 
     #[test]
-    fn keys_that_are_not_known_are_passed_over(
+    fn unknown_keys_are_ignored(
         at in any::<prop::sample::Index>(),
         value in prop::sample::select(&VALUES[..]),
         key in "[a-z.\\[\\]\"\\\\ \u{e4}]{1,12}",
@@ -217,17 +217,17 @@
         let mut objects = paths(&station);
         objects.push(String::new());
         let path = at.get(&objects);
-        let laid = laid_out(&station, path, &Change::Gains(format!("zz{key}"), value.to_string()));
-        let read = read_and_used(&laid.text);
+        let written = layout(&station, path, &Change::Insert(format!("zz{key}"), value.to_string()));
+        let read = read_and_use(&written.text);
         prop_assert!(read.is_ok(), "{:?}", read);
     }
 
     #[test]
-    fn a_spoilt_text_is_taken_or_refused_in_one_line(how in spoilt()) {
-        let laid = laid_out(&station(), "", &Change::Nothing);
-        let text = spoil(&laid.text, how);
-        if let Err(said) = read_and_used(&text) {
-            let line = shaped(&said);
+    fn a_corrupted_text_is_accepted_or_refused_in_one_line(how in corruption()) {
+        let written = layout(&station(), "", &Change::None);
+        let text = corrupt(&written.text, how);
+        if let Err(said) = read_and_use(&text) {
+            let line = assert_shape(&said);
             prop_assert!(line.is_none_or(|line| line <= text.matches('\n').count() + 1), "{}", said);
         }
     }
