--- a/crates/agreement/src/error.rs
+++ b/crates/agreement/src/error.rs
@@ -35,28 +35,74 @@
 pub enum Error {
     /// An environment variable is missing.
     #[error("{variable}: not set; set it to {expected}")]
-    Unset { variable: &'static str, expected: &'static str },
+    Unset {
+        /// The variable.
+        variable: &'static str,
+        /// What its value has to be.
+        expected: &'static str,
+    },
     /// An environment variable has a value that can't be used.
     #[error("{variable}: '{value}': {reason}; {remedy}")]
-    Variable { variable: &'static str, value: String, reason: String, remedy: &'static str },
+    Variable {
+        /// The variable.
+        variable: &'static str,
+        /// The value.
+        value: String,
+        /// What is wrong with it.
+        reason: String,
+        /// What an operator can do.
+        remedy: &'static str,
+    },
     /// The file that a variable names can't be read.
     #[error("{variable}: {path}: can't be read: {reason}; name a file that the front's user may read")]
-    UnreadableFile { variable: &'static str, path: String, reason: String },
+    UnreadableFile {
+        /// The variable that names the file.
+        variable: &'static str,
+        /// The file's path.
+        path: String,
+        /// The system's error.
+        reason: String,
+    },
     /// A text is not UTF-8 from a position on.
     #[error("{position}: not UTF-8; write the file as UTF-8")]
-    NotUtf8 { position: Position },
+    NotUtf8 {
+        /// From where on.
+        position: Position,
+    },
     /// A text is no JSON, or no JSON5, from a position on.
     #[error("{position}: {reason}; mend the text from there on")]
-    Malformed { position: Position, reason: String },
+    Malformed {
+        /// From where on.
+        position: Position,
+        /// What is wrong with it.
+        reason: String,
+    },
     /// Brackets are nested deeper than any key.
     #[error("{position}: brackets stand open {most} deep; no key is meant so deep, close some")]
-    TooDeep { position: Position, most: usize },
+    TooDeep {
+        /// The first bracket beyond that.
+        position: Position,
+        /// The deepest that is allowed.
+        most: usize,
+    },
     /// A key is missing, unknown, or has a value that can't be used.
     #[error("{position}: {problem}")]
-    Key { position: Position, problem: Box<KeyProblem> },
+    Key {
+        /// Where it is.
+        position: Position,
+        /// What is wrong.
+        problem: Box<KeyProblem>,
+    },
     /// An error of a file, by the variable that names the file.
     #[error("{variable}: {path}: {error}")]
-    InFile { variable: &'static str, path: String, error: Box<Error> },
+    InFile {
+        /// The variable that names the file.
+        variable: &'static str,
+        /// The file's path.
+        path: String,
+        /// The error.
+        error: Box<Error>,
+    },
 }
 
 /// What is wrong with a key that is in its place, or should be.
@@ -67,35 +113,78 @@
     Missing,
     /// Neither the key nor the variable that stands for it is there.
     #[error("missing in NODE_CONFIG, and {variable} is not set; add the key or set the variable")]
-    MissingWithVariable { variable: &'static str },
+    MissingWithVariable {
+        /// The variable that can stand for the key.
+        variable: &'static str,
+    },
     /// In the words of the library: a wrong type, a key that is missing, unknown or there twice, a number too
     /// large.
     #[error("{reason}; {hint}")]
-    Rejected { reason: String, hint: &'static str },
+    Rejected {
+        /// What is wrong with it.
+        reason: String,
+        /// Where the right form is shown.
+        hint: &'static str,
+    },
     /// A text from which no value can be read.
     #[error("'{value}': {reason}; {remedy}")]
-    InvalidValue { value: String, reason: String, remedy: &'static str },
+    InvalidValue {
+        /// The value.
+        value: String,
+        /// What is wrong with it.
+        reason: String,
+        /// What an operator can do.
+        remedy: &'static str,
+    },
     /// A text that is none of a fixed set.
     #[error("unknown word '{word}'; give one of {}", .known.join(", "))]
-    UnknownWord { word: String, known: Vec<&'static str> },
+    UnknownWord {
+        /// The text.
+        word: String,
+        /// What it may be.
+        known: Vec<&'static str>,
+    },
     /// A name that is not among those of another part of the configuration.
     #[error("'{name}' is not among {whose}: {}; name one of them", listed(.known))]
-    UnknownName { name: String, whose: &'static str, known: Vec<String> },
+    UnknownName {
+        /// The name.
+        name: String,
+        /// What it should be among.
+        whose: &'static str,
+        /// The names there.
+        known: Vec<String>,
+    },
     /// A number that is out of its range.
     #[error("is not from {least} to {most}; give a value within")]
-    OutOfRange { least: String, most: String },
+    OutOfRange {
+        /// The lower bound.
+        least: String,
+        /// The upper bound.
+        most: String,
+    },
     /// A number under its lower bound.
     #[error("is under {least}; give no less")]
-    BelowMinimum { least: String },
+    BelowMinimum {
+        /// The lower bound.
+        least: String,
+    },
     /// A number over its upper bound.
     #[error("is over {most}; give no more")]
-    AboveMaximum { most: String },
+    AboveMaximum {
+        /// The upper bound.
+        most: String,
+    },
     /// A text that is no public key.
     #[error("is no key: 64 hexadecimal digits; give a public key, as a front's log tells its own at start")]
     InvalidPublicKey,
     /// A problem of one key alone.
     #[error("{problem}; {remedy}")]
-    Other { problem: String, remedy: String },
+    Other {
+        /// What is wrong.
+        problem: String,
+        /// What an operator can do.
+        remedy: String,
+    },
 }
 
 const MOST_LISTED: usize = 16; // names in a text, which stays one line; of more only the number is given
@@ -111,18 +200,22 @@
 }
 
 impl KeyProblem {
+    /// A number that is not from `least` to `most`.
     pub fn out_of_range(least: impl fmt::Display, most: impl fmt::Display) -> KeyProblem {
         KeyProblem::OutOfRange { least: least.to_string(), most: most.to_string() }
     }
 
+    /// A number under `least`.
     pub fn below_minimum(least: impl fmt::Display) -> KeyProblem {
         KeyProblem::BelowMinimum { least: least.to_string() }
     }
 
+    /// A number over `most`.
     pub fn above_maximum(most: impl fmt::Display) -> KeyProblem {
         KeyProblem::AboveMaximum { most: most.to_string() }
     }
 
+    /// A name that is not among those of `whose`, which are `known`.
     pub fn unknown_name(name: &str, whose: &'static str, known: &[String]) -> KeyProblem {
         KeyProblem::UnknownName { name: name.to_string(), whose, known: known.to_vec() }
     }
--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -1,5 +1,12 @@
-//! The one place where configuration is read, checked and given defaults: the settings object, for the
-//! simulator's adapter and the front alike, and what a front finds in its variables and `NODE_CONFIG`.
+//! Reads, checks and defaults all configuration of hallmux: the settings object, for the simulator's adapter
+//! and the front alike; a front's environment variables and the file that `NODE_CONFIG` names; and the
+//! operator's own file.
+//!
+//! Times are microseconds ([`hallmux::interface::Micros`]) unless a name ends in another unit; keys of files
+//! are in the unit that their name ends in. Every [`Error`] says in one line where it is, what is wrong and
+//! what an operator can do.
+
+#![warn(missing_docs)]
 
 mod error;
 mod node;
--- a/crates/agreement/src/node.rs
+++ b/crates/agreement/src/node.rs
@@ -48,30 +48,40 @@
 /// What the machine grants this front.
 #[derive(Clone, Debug)]
 pub struct NodeLimits {
+    /// Bytes of memory.
     pub memory_bytes: u64,
+    /// File descriptors.
     pub sockets: usize,
 }
 
 /// The configuration of one front.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
+    /// Its name, as the log gives it.
     pub name: String,
+    /// Where it listens for clients.
     pub listen: SocketAddr,
+    /// Of its random choices.
     pub seed: u64,
+    /// Of its memory and descriptors.
     pub limits: NodeLimits,
+    /// The coordinator to poll for the engine list; without one, the list stays as `known_events` has it.
     pub coordinator: Option<SocketAddr>,
     /// The coordinator's events so far, as the body of one of its responses.
     pub known_events: String,
+    /// The settings object, with what the operator's file changes in it.
     pub settings: Settings,
     /// What the operator's own file switches on; without one, nothing.
     pub operator: Operator,
+    /// Lines below this level are left out of the log.
     pub log_level: log::LevelFilter,
     /// For fault injection: a file that holds the time in place of the machine's clock.
     pub clock_file: Option<PathBuf>,
 }
 
 impl NodeConfig {
-    /// Reads the variables given and the files that they name.
+    /// Reads the environment variables given and the files that they name: `NODE_CONFIG`, which has to be
+    /// there, and `HALLMUX_OPERATOR`.
     pub fn read(variables: &HashMap<String, String>) -> Result<NodeConfig, Error> {
         let unset = Error::Unset { variable: "NODE_CONFIG", expected: "the path of this front's JSON file" };
         let path = variables.get("NODE_CONFIG").ok_or(unset)?;
@@ -79,6 +89,7 @@
         NodeConfig::parse(variables, &text).map_err(|e| e.in_file("NODE_CONFIG", path))
     }
 
+    /// Reads the text of the file that `NODE_CONFIG` names. Variables go before its keys.
     pub fn parse(variables: &HashMap<String, String>, text: &str) -> Result<NodeConfig, Error> {
         let whole_file = Section { name: "", text, lines: 0 };
         let file: File = whole_file.read()?;
--- a/crates/agreement/src/operator/file.rs
+++ b/crates/agreement/src/operator/file.rs
@@ -30,28 +30,34 @@
 /// All that the operator has switched on.
 #[derive(Clone, Debug, Default)]
 pub struct Operator {
+    /// PostgreSQL sessions.
     pub postgres: Option<Postgres>,
+    /// Messages between fronts, and what rests on them.
     pub gossip: Option<Gossip>,
     /// Regional access rules of customers.
     pub rules: Option<Rules>,
     /// Statements that are asked of several sites.
     pub scatter: Option<Scatter>,
-    /// Which figure of the engines' load reports tells what they hold; where silent, as the settings name them.
+    /// Which figure of the engines' load reports tells what they hold; where silent, as the settings name
+    /// them.
     pub load_signal: Option<LoadSignal>,
-    /// For drills: this front's clock reads so much more than the machine's.
+    /// For fault injection: this front's clock reads so much more than the machine's; negative: less.
     pub clock_ahead: Micros,
 }
 
 /// The shape of deployment as the engines' reports show it: they tell the statements in flight (the earlier
-/// shape), or only their utilization, the share of cores busy, with statements waiting for memory (the later).
+/// shape), or only their utilization, the share of cores busy, with statements waiting for memory (the
+/// later).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadSignal {
+    /// Reports tell the statements in flight.
     InFlight,
+    /// Reports tell the share of cores busy.
     Utilization,
 }
 
 impl Operator {
-    /// Makes the module read the figure chosen and leave the other.
+    /// Makes the decision module read the figure chosen and leave the other.
     pub fn apply(&self, report: &mut ReportPlaces) {
         match self.load_signal {
             Some(LoadSignal::InFlight) => report.busy = None,
@@ -62,7 +68,7 @@
 }
 
 impl Operator {
-    /// Reads the file's text and checks it against what was agreed. An error names path and line.
+    /// Reads the file's text and checks it against the settings. An error names line and key.
     pub fn parse(text: &str, settings: &Settings) -> Result<Operator, Error> {
         // Once for the form alone, as only that pass sees what follows the end.
         check_depth(text)?;
--- a/crates/agreement/src/operator/gossip.rs
+++ b/crates/agreement/src/operator/gossip.rs
@@ -1,4 +1,4 @@
-//! Words with other fronts: where they come in, whose count.
+//! The section `gossip`: messages between fronts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -33,9 +33,10 @@
     crate::settings::ZONE_QUORUM
 }
 
-/// Words with other fronts: where they come in, whose count, whom to ask first.
+/// Messages between fronts: where they come in, whose count, whom to ask first.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Gossip {
+    /// Where datagrams of other fronts come in.
     pub listen: SocketAddr,
     /// The address that other fronts are told, where it is not the one it listens on.
     pub advertise: Option<SocketAddr>,
@@ -43,8 +44,10 @@
     pub secret_file: String,
     /// Public keys, by the names that the log gives them.
     pub peers: Vec<(String, [u8; 32])>,
+    /// Fronts to ask first, and now and then.
     pub seeds: Vec<SocketAddr>,
-    /// Believed fronts of as many vantages whose word of most of a zone leads the fleet out of it; 0: never.
+    /// Trusted fronts of as many vantages have to report most of a zone as failed before the fleet leaves it;
+    /// 0: it never does.
     pub zone_quorum: usize,
     /// One owner at a time for work on behalf of the fleet, where voters are named.
     pub ownership: Option<Ownership>,
@@ -54,6 +57,7 @@
     pub overload: Option<Overload>,
 }
 
+/// Checks the section.
 pub fn gossip(text: &str, mut file: GossipFile) -> Result<Gossip, Error> {
     let mut peers = Vec::new();
     for (name, key) in std::mem::take(&mut file.peers) {
@@ -76,7 +80,7 @@
     Ok(Gossip { listen, advertise, secret_file, peers, seeds, zone_quorum, ownership, ledger, overload })
 }
 
-/// Thirty-two bytes, as 64 hexadecimal digits.
+/// Thirty-two bytes of a key, from 64 hexadecimal digits with white space around; None for any other text.
 pub fn hexadecimal(text: &str) -> Option<[u8; 32]> {
     let digits = text.trim().as_bytes();
     let mut bytes = [0; 32];
--- a/crates/agreement/src/operator/ledger.rs
+++ b/crates/agreement/src/operator/ledger.rs
@@ -1,4 +1,5 @@
-//! The ledger of promises: which fronts keep copies, how many, where, and within what bounds.
+//! The section `gossip.ledger`: which fronts keep copies of promises, how many, where, and within what
+//! bounds.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -18,10 +19,10 @@
 const ENTRIES: usize = 4_096; // of a shard: 65,536 in all
 const MOST_ENTRIES: usize = 1 << 20;
 const BYTES: usize = 512 * 1_024; // of a shard: some seconds to copy by the budget below
-const MOST_BYTES: usize = 2 << 20; // a copy has to fit the pieces of one word
+const MOST_BYTES: usize = 2 << 20; // a copy has to fit the pieces of one message
 const PATIENCE_MS: f64 = 500.0; // milliseconds: an election and some round trips
 const REPAIR_AFTER_MS: f64 = 30_000.0; // milliseconds: a restart is no loss
-const REPAIR_BYTES: u32 = 65_536; // a second: a tenth of what the ledger's letters may take
+const REPAIR_BYTES: u32 = 65_536; // a second: a tenth of what the ledger's messages may take
 const MOVES_PERCENT: u8 = 25; // hundredths of the shards: most answer without so much as an election
 const ZONE_AFTER_MS: f64 = 600_000.0; // milliseconds: a zone's power or uplink comes back within minutes
 const APART_MS: u64 = 500; // milliseconds: what a machine without care for its clock is off
@@ -105,11 +106,14 @@
     APART_MS
 }
 
-/// A front that keeps copies.
+/// A front that keeps copies of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LedgerMember {
+    /// Its public key.
     pub key: [u8; 32],
+    /// Where it listens for other fronts.
     pub at: SocketAddr,
+    /// Its location; copies of a shard are spread over locations.
     pub zone: String,
 }
 
@@ -122,32 +126,44 @@
     Memory,
 }
 
-/// The ledger of promises.
+/// The ledger of promises: what fronts have promised, in copies that outlive a machine with its disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ledger {
+    /// The fleet's name; messages and records of another are refused.
     pub fleet: String,
+    /// The fronts that keep copies.
     pub members: Vec<LedgerMember>,
     /// Where this front's copies are kept; without one they are in memory alone.
     pub directory: Option<String>,
-    /// For drills: a file that says what befalls the disk that `directory` lies on.
+    /// For fault injection: a file that says what befalls the disk that `directory` lies on.
     pub drill: Option<String>,
+    /// What this front does when its disk fails.
     pub on_disk_failure: OnDiskFailure,
+    /// Copies of each shard.
     pub copies: usize,
+    /// Shards; the same for the life of the ledger.
     pub shards: u16,
+    /// Entries of a shard; a full one refuses new promises.
     pub most_entries: usize,
+    /// Bytes of a shard; a full one refuses new promises.
     pub most_bytes: usize,
+    /// After that a promise that has no majority is refused.
     pub patience: Micros,
+    /// A front that has been silent for so long has its copies made again elsewhere.
     pub repair_after: Micros,
-    /// A second.
+    /// Bytes a second, at each owner of a shard, for making copies again.
     pub repair_bytes: u32,
     /// Hundredths of the shards that may move at once; 0: none does.
     pub moves_percent: u8,
+    /// The same as `repair_after`, for a zone that is away as a whole.
     pub zone_after: Micros,
+    /// Milliseconds that the fronts' clocks may differ by.
     pub clocks_apart_ms: u64,
 }
 
 const UNKNOWN: &str = "is not among gossip.peers; add its public key there, or name another";
 
+/// Checks the section; `peers` are the fronts known by name.
 pub fn ledger(text: &str, file: LedgerFile, peers: &[(String, [u8; 32])]) -> Result<Ledger, Error> {
     let refuse =
         |key: &str, problem: KeyProblem| Err(key_error(text, &format!("gossip.ledger.{key}"), problem));
--- a/crates/agreement/src/operator/overload.rs
+++ b/crates/agreement/src/operator/overload.rs
@@ -1,4 +1,4 @@
-//! Overload shed by the fleet as one: what all fronts together may spend on further executions, and put on an engine.
+//! The section `gossip.overload`: load shed by the fleet as one.
 
 use hallmux::interface::{Agreement, EngineBudgets, FurtherBudget, Micros};
 use serde::Deserialize;
@@ -35,12 +35,15 @@
     FURTHER_PERCENT
 }
 
-/// The fleet sheds as one, and keeps further executions to a share of first ones over all fronts, and new connections
-/// and probes into each engine to so many a second; 0: no bound.
+/// The fleet sheds as one, and keeps further executions to a share of first ones over all fronts, and new
+/// connections and probes into each engine to so many a second; 0: no bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Overload {
+    /// Further executions for each hundred first ones, over all fronts.
     pub further_percent: u32,
+    /// New connections into one engine, over all fronts.
     pub connections_per_second: u32,
+    /// Probes into one engine, over all fronts.
     pub probes_per_second: u32,
 }
 
@@ -54,6 +57,7 @@
     }
 }
 
+/// Checks the section.
 pub fn overload(text: &str, file: OverloadFile) -> Result<Overload, Error> {
     if file.further_percent > 100 {
         return Err(key_error(text, "gossip.overload.further_percent", KeyProblem::above_maximum(100)));
@@ -74,8 +78,8 @@
 }
 
 impl Overload {
-    /// Each front's part of the fleet's budget: its own first executions count, and what the settings leave to spare
-    /// is divided by the fronts, so that one that has just started has little.
+    /// Each front's part of the fleet's budget: its own first executions count, and what the settings leave
+    /// to spare is divided by the fronts, so that one that has just started has little.
     pub fn apply(&self, agreement: &mut Agreement) {
         let agreed =
             agreement.further.unwrap_or(FurtherBudget { spare: 0.0, ratio: f64::INFINITY, window: WINDOW });
--- a/crates/agreement/src/operator/ownership.rs
+++ b/crates/agreement/src/operator/ownership.rs
@@ -1,4 +1,4 @@
-//! One owner at a time for work on behalf of the fleet: who grants the leases.
+//! The section `gossip.ownership`: one owner at a time for work on behalf of the fleet, by leases.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -40,15 +40,19 @@
 /// Who grants the leases of work on behalf of the fleet, and for how long.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ownership {
+    /// The fleet's name; votes of another are refused.
     pub fleet: String,
-    /// Public keys of the voters, and where each is heard.
+    /// Public keys of the voters, and where each listens for other fronts.
     pub voters: Vec<([u8; 32], SocketAddr)>,
     /// Where a voter keeps what it must not forget.
     pub directory: String,
+    /// How long a lease holds.
     pub lease: Micros,
+    /// Millionths that a clock may gain or lose.
     pub drift_ppm: u32,
 }
 
+/// Checks the section; `peers` are the fronts known by name.
 pub fn owned(text: &str, file: OwnershipFile, peers: &[(String, [u8; 32])]) -> Result<Ownership, Error> {
     let refuse =
         |key: &str, problem: KeyProblem| Err(key_error(text, &format!("gossip.ownership.{key}"), problem));
--- a/crates/agreement/src/operator/postgres.rs
+++ b/crates/agreement/src/operator/postgres.rs
@@ -1,4 +1,4 @@
-//! PostgreSQL sessions: where they come in, which engines they go to, who may open them.
+//! The section `postgres`: sessions by PostgreSQL's protocol.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -94,17 +94,23 @@
 /// PostgreSQL sessions: where they come in, which engines they go to, who may open them.
 #[derive(Clone, Debug)]
 pub struct Postgres {
+    /// Where clients connect.
     pub listen: SocketAddr,
+    /// The engines that take sessions.
     pub engines: Vec<SpeakingEngines>,
+    /// Who may open sessions, by name.
     pub users: BTreeMap<String, User>,
+    /// Bounds on sessions.
     pub limits: SessionLimits,
 }
 
 /// Engines of the list that speak PostgreSQL.
 #[derive(Clone, Debug)]
 pub struct SpeakingEngines {
+    /// Their kinds, by name.
     pub kinds: Vec<String>,
-    /// Beside lines, at this port of the listed address; without it at the listed address itself, and no lines.
+    /// Beside lines, at this port of the listed address; without it at the listed address itself, and no
+    /// lines.
     pub port: Option<u16>,
 }
 
@@ -113,30 +119,46 @@
 pub struct User {
     /// The SCRAM-SHA-256 verifier in the form of `pg_authid`; without one the user is trusted.
     pub verifier: Option<String>,
+    /// The customer that its statements belong to by default, by name.
     pub member: Option<String>,
+    /// The workload of its statements by default, by name.
     pub workload: Option<String>,
-    /// The name at the engines.
+    /// The user's name at the engines.
     pub engine_user: String,
+    /// Its password at the engines.
     pub engine_password: Option<String>,
 }
 
-/// Bounds on sessions; bytes, counts and microseconds.
+/// Bounds on sessions.
 #[derive(Clone, Debug)]
 pub struct SessionLimits {
+    /// Sessions at once.
     pub sessions: usize,
+    /// The time for start-up and authentication.
     pub start_up: Micros,
+    /// Prepared statements of a session.
     pub statements: usize,
+    /// Portals open at once in a session's transaction.
     pub portals: usize,
+    /// Settings that a session carries.
     pub settings: usize,
+    /// Bytes of a client's message or unit.
     pub message_bytes: usize,
+    /// Bytes of a result that are held before they go on to the client.
     pub buffer_bytes: usize,
+    /// Connections to an engine.
     pub engine_connections: usize,
+    /// Prepared statements on a connection to an engine.
     pub prepared: usize,
+    /// How long an open transaction may stand idle.
     pub transaction_idle: Micros,
+    /// An engine connection that has been idle for so long is closed.
     pub connection_idle: Micros,
+    /// An engine connection of that age is not reused.
     pub connection_age: Micros,
 }
 
+/// Checks the section against the settings.
 pub fn postgres(text: &str, file: PostgresFile, settings: &Settings) -> Result<Postgres, Error> {
     let names = &settings.names;
     let known =
--- a/crates/agreement/src/operator/rules.rs
+++ b/crates/agreement/src/operator/rules.rs
@@ -1,4 +1,4 @@
-//! Regional access rules of customers: the file that holds them, and what it may speak of.
+//! The section `rules`: regional access rules of customers.
 
 use std::collections::BTreeMap;
 
@@ -51,7 +51,7 @@
     TELL_EVERY_MS
 }
 
-/// Where the rules are, and all that they may speak of.
+/// Where the rules are, and all that they may be about.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rules {
     /// The file of rules; SIGHUP reads it again.
@@ -62,13 +62,17 @@
     pub regions: BTreeMap<String, Vec<String>>,
     /// The customers that rules may be about; None: all.
     pub customers: Option<Vec<String>>,
+    /// How long a front may go on by the rules it has without hearing from their owner.
     pub lease: Micros,
+    /// Millionths that a clock may gain or lose.
     pub drift_ppm: u32,
+    /// Between lines of the log with the fleet's counts.
     pub tell_every: Micros,
-    /// How long what was asked is remembered, by kind, to tell what other rules would change; 0: not at all.
+    /// How long requests are remembered, by kind, to tell what other rules would change; 0: not at all.
     pub remembers: Micros,
 }
 
+/// Checks the section against the settings.
 pub fn rules(text: &str, file: RulesFile, settings: &Settings) -> Result<Rules, Error> {
     let refuse = |key: &str, problem: KeyProblem| Err(key_error(text, &format!("rules.{key}"), problem));
     let names = &settings.names;
--- a/crates/agreement/src/operator/scatter.rs
+++ b/crates/agreement/src/operator/scatter.rs
@@ -1,4 +1,4 @@
-//! Statements over data at several sites: which workloads, which sites with which keys, and bounds.
+//! The section `scatter`: statements over data at several sites.
 
 use std::collections::BTreeMap;
 
@@ -90,6 +90,7 @@
 /// Which statements are asked of several sites, and what holds for them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scatter {
+    /// Workloads whose statements are, by name.
     pub workloads: Vec<String>,
     /// Locations whose engines hold a part of the data, and the keys that sign their summaries.
     pub sites: BTreeMap<String, [u8; 32]>,
@@ -110,10 +111,15 @@
     pub distinct_error: BTreeMap<String, u32>,
     /// Groups whose rows with equal keys lie at one site, so that they may be joined there.
     pub together: Vec<Vec<u32>>,
+    /// Milliseconds after which a summary is too old.
     pub oldest_ms: u64,
+    /// Milliseconds that a summary may come from the future, as clocks differ.
     pub ahead_ms: u64,
+    /// Summaries that are held.
     pub most: usize,
+    /// Parts of a statement with LIMIT that are out at once.
     pub at_once: usize,
+    /// Bytes of an answer at the most.
     pub answer_bytes: usize,
     /// Summaries are held as far as they earn their bytes; None: all that come.
     pub keep: Option<Keep>,
@@ -121,24 +127,27 @@
     pub audits: Option<Audits>,
 }
 
-/// How often.
+/// How often sites that their summaries rule out are asked all the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Audits {
-    /// One scatter of so many.
+    /// One statement of so many.
     pub one_in: u64,
-    /// By the whole fleet.
+    /// At the most in a minute, by the whole fleet.
     pub a_minute: u64,
 }
 
-/// Under which budget summaries are held.
+/// The budget under which summaries are held.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Keep {
+    /// Bytes of memory.
     pub memory_bytes: u64,
+    /// Bytes a second for exchanging them with other fronts.
     pub bytes_a_second: u64,
     /// Where what was learned outlives the front.
     pub file: Option<String>,
 }
 
+/// Checks the section against the settings.
 pub fn scatter(text: &str, file: ScatterFile, settings: &Settings) -> Result<Scatter, Error> {
     let refuse = |key: &str, problem: KeyProblem| Err(key_error(text, &format!("scatter.{key}"), problem));
     let names = &settings.names;
--- a/crates/agreement/src/settings.rs
+++ b/crates/agreement/src/settings.rs
@@ -9,7 +9,8 @@
 use crate::error::Error;
 use crate::text::Section;
 
-/// Vantages whose word of a zone leads the fleet out, where the operator's file says nothing: one front may be cut off alone.
+/// Fronts of as many vantages have to report a zone as failed before the fleet leaves it, where the
+/// operator's file says nothing: one front may be cut off alone.
 pub const ZONE_QUORUM: usize = 2;
 const DIAL_TIMEOUT_MS: f64 = 250.0; // milliseconds, where the settings are silent; a few round trips and more
 const KEEPALIVE_MS: f64 = 15_000.0; // milliseconds, where the settings are silent; what most servers use
@@ -135,17 +136,23 @@
     1.0
 }
 
+/// Microseconds of a time in milliseconds.
 pub fn micros(ms: f64) -> Micros {
     (ms * 1000.0).round() as Micros
 }
 
-/// The names that the settings give to what the module knows by its place.
+/// The names that the settings give to what the decision module knows by its index.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
+    /// Of the workloads.
     pub workloads: Vec<String>,
+    /// Of the customers.
     pub customers: Vec<String>,
+    /// Of the engines' locations.
     pub locations: Vec<String>,
+    /// Of the kinds of engines.
     pub kinds: Vec<String>,
+    /// Of the figures of a load report.
     pub report: Vec<String>,
 }
 
@@ -156,7 +163,9 @@
     pub dial_timeout: Micros,
     /// Engines close connections that have been idle for so long.
     pub keepalive: Micros,
+    /// Executions that may be open at once on a connection to an engine; 1 at least.
     pub executions_per_connection: usize,
+    /// Statements that a front may hold at once; those beyond are rejected.
     pub most_held: usize,
     /// How long after the client's time is up a final answer still counts.
     pub answer_slack: Micros,
@@ -169,12 +178,14 @@
 pub struct Settings {
     /// For the decision module.
     pub agreement: Agreement,
+    /// Names by index, for the log and for what comes over the network.
     pub names: Names,
+    /// For the network code.
     pub network: NetworkSettings,
 }
 
 impl Settings {
-    /// Reads the settings' JSON text.
+    /// Reads the settings' JSON text. Keys that are not known are ignored.
     pub fn parse(text: &str) -> Result<Settings, Error> {
         settings_of(&Section { name: "options", text, lines: 0 })
     }
