--- a/crates/agreement/src/operator/postgres.rs
+++ b/crates/agreement/src/operator/postgres.rs
@@ -1,4 +1,4 @@
-//! PostgreSQL sessions: where they come in, which engines they go to, who may open them.
+//! The section `postgres`: sessions by PostgreSQL's protocol.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,10 +6,10 @@
 use hallmux::interface::Micros;
 use serde::Deserialize;
 
-use crate::contract::{micros, Contract};
+use crate::settings::{micros, Settings};
 
-use super::places::fault;
-use crate::error::{Error, What};
+use super::position::key_error;
+use crate::error::{Error, KeyProblem};
 
 const MOST_SESSIONS: usize = 5_000; // sessions, where the file is silent; descriptors bound them before that
 const START_UP_MS: f64 = 5_000.0; // milliseconds for start-up and authentication; drivers take some ten
@@ -94,17 +94,23 @@
 /// PostgreSQL sessions: where they come in, which engines they go to, who may open them.
 #[derive(Clone, Debug)]
 pub struct Postgres {
+    /// Where clients connect.
     pub listen: SocketAddr,
+    /// The engines that take sessions.
     pub engines: Vec<SpeakingEngines>,
+    /// Who may open sessions, by name.
     pub users: BTreeMap<String, User>,
+    /// Bounds on sessions.
     pub limits: SessionLimits,
 }
 
 /// Engines of the list that speak PostgreSQL.
 #[derive(Clone, Debug)]
 pub struct SpeakingEngines {
+    /// Their kinds, by name.
     pub kinds: Vec<String>,
-    /// Beside lines, at this port of the listed address; without it at the listed address itself, and no lines.
+    /// Beside lines, at this port of the listed address; without it at the listed address itself, and no
+    /// lines.
     pub port: Option<u16>,
 }
 
@@ -113,40 +119,56 @@
 pub struct User {
     /// The SCRAM-SHA-256 verifier in the form of `pg_authid`; without one the user is trusted.
     pub verifier: Option<String>,
+    /// The customer that its statements belong to by default, by name.
     pub member: Option<String>,
+    /// The workload of its statements by default, by name.
     pub workload: Option<String>,
-    /// The name at the engines.
+    /// The user's name at the engines.
     pub engine_user: String,
+    /// Its password at the engines.
     pub engine_password: Option<String>,
 }
 
-/// Bounds on sessions; bytes, counts and microseconds.
+/// Bounds on sessions.
 #[derive(Clone, Debug)]
 pub struct SessionLimits {
+    /// Sessions at once.
     pub sessions: usize,
+    /// The time for start-up and authentication.
     pub start_up: Micros,
+    /// Prepared statements of a session.
     pub statements: usize,
+    /// Portals open at once in a session's transaction.
     pub portals: usize,
+    /// Settings that a session carries.
     pub settings: usize,
+    /// Bytes of a client's message or unit.
     pub message_bytes: usize,
+    /// Bytes of a result that are held before they go on to the client.
     pub buffer_bytes: usize,
+    /// Connections to an engine.
     pub engine_connections: usize,
+    /// Prepared statements on a connection to an engine.
     pub prepared: usize,
+    /// How long an open transaction may stand idle.
     pub transaction_idle: Micros,
+    /// An engine connection that has been idle for so long is closed.
     pub connection_idle: Micros,
+    /// An engine connection of that age is not reused.
     pub connection_age: Micros,
 }
 
-pub fn postgres(text: &str, file: PostgresFile, contract: &Contract) -> Result<Postgres, Error> {
-    let names = &contract.names;
+/// Checks the section against the settings.
+pub fn postgres(text: &str, file: PostgresFile, settings: &Settings) -> Result<Postgres, Error> {
+    let names = &settings.names;
     let known =
         |path: String, whose: &'static str, list: &[String], name: &str| match list.iter().any(|n| n == name)
         {
             true => Ok(()),
-            false => Err(fault(text, &path, What::stranger(name, whose, list))),
+            false => Err(key_error(text, &path, KeyProblem::unknown_name(name, whose, list))),
         };
     if file.engines.is_empty() {
-        return Err(fault(
+        return Err(key_error(
             text,
             "postgres.engines",
             "names no engines; name kinds that speak PostgreSQL, or leave 'postgres' out",
@@ -162,14 +184,14 @@
         let path = format!("postgres.users.{name}");
         match (&user.verifier, user.trust) {
             (None, false) => {
-                return Err(fault(text, &path, "needs 'verifier', or 'trust: true'; give one of them"))
+                return Err(key_error(text, &path, "needs 'verifier', or 'trust: true'; give one of them"))
             }
             (Some(_), true) => {
-                return Err(fault(text, &path, "has both 'verifier' and 'trust'; leave one out"))
+                return Err(key_error(text, &path, "has both 'verifier' and 'trust'; leave one out"))
             }
             (Some(verifier), false) if !is_verifier(verifier) => {
                 let form = "SCRAM-SHA-256$ITERATIONS:SALT$STORED_KEY:SERVER_KEY";
-                return Err(fault(
+                return Err(key_error(
                     text,
                     &format!("{path}.verifier"),
                     format!("is not of the form {form}; copy it from pg_authid"),
@@ -194,12 +216,12 @@
     }
     let l = file.limits;
     let at_least = |key: &str, value: f64, least: f64| {
-        let what = match value {
+        let problem = match value {
             value if (least..=MOST).contains(&value) => return Ok(()),
-            value if value > MOST => What::over(MOST),
-            _ => What::under(least),
+            value if value > MOST => KeyProblem::above_maximum(MOST),
+            _ => KeyProblem::below_minimum(least),
         };
-        Err(fault(text, &format!("postgres.limits.{key}"), what))
+        Err(key_error(text, &format!("postgres.limits.{key}"), problem))
     };
     for (key, value, least) in [
         ("sessions", l.sessions as f64, 1.0),
--- a/crates/agreement/src/operator/scatter.rs
+++ b/crates/agreement/src/operator/scatter.rs
@@ -1,15 +1,15 @@
-//! Statements over data at several sites: which workloads, which sites with which keys, and bounds.
+//! The section `scatter`: statements over data at several sites.
 
 use std::collections::BTreeMap;
 
 use hallmux::interface::Effect;
 use serde::Deserialize;
 
-use crate::contract::Contract;
+use crate::settings::Settings;
 
 use super::gossip::hexadecimal;
-use super::places::fault;
-use crate::error::{Error, What};
+use super::position::key_error;
+use crate::error::{Error, KeyProblem};
 
 const OLDEST_MS: u64 = 600_000; // milliseconds: a site that has written nothing for so long may have lost its way
 const MOST_OLDEST_MS: u64 = 604_800_000; // milliseconds: a week
@@ -90,6 +90,7 @@
 /// Which statements are asked of several sites, and what holds for them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scatter {
+    /// Workloads whose statements are, by name.
     pub workloads: Vec<String>,
     /// Locations whose engines hold a part of the data, and the keys that sign their summaries.
     pub sites: BTreeMap<String, [u8; 32]>,
@@ -110,10 +111,15 @@
     pub distinct_error: BTreeMap<String, u32>,
     /// Groups whose rows with equal keys lie at one site, so that they may be joined there.
     pub together: Vec<Vec<u32>>,
+    /// Milliseconds after which a summary is too old.
     pub oldest_ms: u64,
+    /// Milliseconds that a summary may come from the future, as clocks differ.
     pub ahead_ms: u64,
+    /// Summaries that are held.
     pub most: usize,
+    /// Parts of a statement with LIMIT that are out at once.
     pub at_once: usize,
+    /// Bytes of an answer at the most.
     pub answer_bytes: usize,
     /// Summaries are held as far as they earn their bytes; None: all that come.
     pub keep: Option<Keep>,
@@ -121,33 +127,39 @@
     pub audits: Option<Audits>,
 }
 
-/// How often.
+/// How often sites that their summaries rule out are asked all the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Audits {
-    /// One scatter of so many.
+    /// One statement of so many.
     pub one_in: u64,
-    /// By the whole fleet.
+    /// At the most in a minute, by the whole fleet.
     pub a_minute: u64,
 }
 
-/// Under which budget summaries are held.
+/// The budget under which summaries are held.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Keep {
+    /// Bytes of memory.
     pub memory_bytes: u64,
+    /// Bytes a second for exchanging them with other fronts.
     pub bytes_a_second: u64,
     /// Where what was learned outlives the front.
     pub file: Option<String>,
 }
 
-pub fn scatter(text: &str, file: ScatterFile, contract: &Contract) -> Result<Scatter, Error> {
-    let refuse = |key: &str, what: What| Err(fault(text, &format!("scatter.{key}"), what));
-    let names = &contract.names;
+/// Checks the section against the settings.
+pub fn scatter(text: &str, file: ScatterFile, settings: &Settings) -> Result<Scatter, Error> {
+    let refuse = |key: &str, problem: KeyProblem| Err(key_error(text, &format!("scatter.{key}"), problem));
+    let names = &settings.names;
     for (n, name) in file.workloads.iter().enumerate() {
         let path = format!("workloads[{n}]");
         let Some(at) = names.workloads.iter().position(|known| known == name) else {
-            return refuse(&path, What::stranger(name, "the settings' workloads", &names.workloads));
+            return refuse(
+                &path,
+                KeyProblem::unknown_name(name, "the settings' workloads", &names.workloads),
+            );
         };
-        let effect = contract.agreement.workloads.get(at).map(|w| w.effect);
+        let effect = settings.agreement.workloads.get(at).map(|w| w.effect);
         if effect != Some(Effect::Idempotent) {
             return refuse(
                 &path,
@@ -158,12 +170,12 @@
     let mut sites = BTreeMap::new();
     for (name, key) in &file.sites {
         if !names.locations.contains(name) {
-            let what = What::stranger(name, "the settings' areas", &names.locations);
-            return refuse(&format!("sites.{name}"), what);
+            let problem = KeyProblem::unknown_name(name, "the settings' areas", &names.locations);
+            return refuse(&format!("sites.{name}"), problem);
         }
         match hexadecimal(key) {
             Some(key) => _ = sites.insert(name.clone(), key),
-            None => return refuse(&format!("sites.{name}"), What::NoKey),
+            None => return refuse(&format!("sites.{name}"), KeyProblem::InvalidPublicKey),
         }
     }
     if file.workloads.is_empty() || sites.is_empty() {
@@ -181,19 +193,19 @@
     if let Some(site) = file.whole_site.as_ref().filter(|site| !sites.contains_key(*site)) {
         return refuse(
             "whole_site",
-            What::stranger(site, "scatter.sites", &sites.keys().cloned().collect::<Vec<_>>()),
+            KeyProblem::unknown_name(site, "scatter.sites", &sites.keys().cloned().collect::<Vec<_>>()),
         );
     }
     for (n, name) in file.partial.iter().enumerate() {
         if !names.customers.contains(name) {
-            let what = What::stranger(name, "the settings' customers", &names.customers);
-            return refuse(&format!("partial[{n}]"), what);
+            let problem = KeyProblem::unknown_name(name, "the settings' customers", &names.customers);
+            return refuse(&format!("partial[{n}]"), problem);
         }
     }
     for (name, error) in &file.distinct_error {
         let key = format!("distinct_error.{name}");
         if !names.customers.contains(name) {
-            return refuse(&key, What::stranger(name, "the settings' customers", &names.customers));
+            return refuse(&key, KeyProblem::unknown_name(name, "the settings' customers", &names.customers));
         }
         if !(0.0..=MOST_ERROR).contains(error) {
             return refuse(&key, format!("is not from 0 to {MOST_ERROR}, a part of the number").into());
@@ -201,8 +213,8 @@
     }
     for (n, name) in file.writes.iter().enumerate() {
         if !names.workloads.contains(name) {
-            let what = What::stranger(name, "the settings' workloads", &names.workloads);
-            return refuse(&format!("writes[{n}]"), what);
+            let problem = KeyProblem::unknown_name(name, "the settings' workloads", &names.workloads);
+            return refuse(&format!("writes[{n}]"), problem);
         }
     }
     let marked = match file.loads.as_deref() {
@@ -223,12 +235,12 @@
         ("answer_bytes", file.answer_bytes as u64, 1_000, 1 << 26),
     ] {
         if !(least..=most).contains(&value) {
-            return refuse(key, What::range(least, most));
+            return refuse(key, KeyProblem::out_of_range(least, most));
         }
     }
     let range = |key: &str, value: u64, least: u64, most: u64| match (least..=most).contains(&value) {
         true => Ok(()),
-        false => refuse(key, What::range(least, most)).map(|_: Scatter| ()),
+        false => refuse(key, KeyProblem::out_of_range(least, most)).map(|_: Scatter| ()),
     };
     if let Some(keep) = &file.keep {
         range("keep.memory_kb", keep.memory_kb, 16, 1 << 24)?;
@@ -247,7 +259,7 @@
     });
     let audits = file.audits.map(|AuditsFile { one_in, a_minute }| Audits { one_in, a_minute });
     let ScatterFile { workloads, directory, whole_site, partial, writes, together, .. } = file;
-    let effects = names.workloads.iter().zip(&contract.agreement.workloads);
+    let effects = names.workloads.iter().zip(&settings.agreement.workloads);
     let may_write = effects.filter(|(name, w)| w.effect != Effect::Idempotent || writes.contains(name));
     let writes = may_write.map(|(name, _)| name.clone()).collect();
     let (oldest_ms, ahead_ms) = (file.oldest_ms, file.ahead_ms);
--- a/crates/front/src/engines/mod.rs
+++ b/crates/front/src/engines/mod.rs
@@ -12,10 +12,10 @@
 use std::rc::Rc;
 
 use calloop::LoopHandle;
-use hallmux_agreement::{Allowance, Names};
-use hallmux_codec::engine::{self, Command, Line, Said, Want};
+use hallmux_agreement::{Names, NetworkSettings};
+use hallmux_codec::engine::{self, Command, ExecutionRequest, Reply, ReplyKind};
 use hallmux_codec::statement::Call;
-use hallmux_dispatcher::{Cost, Dials, Ending, Micros, Note, Place, Terms, Ticket};
+use hallmux_dispatcher::{Dials, Ending, Micros, Note, Place, Terms, Ticket};
 
 use crate::doors::{Changes, Door};
 use crate::front::Pacer;
@@ -40,7 +40,7 @@
 
 /// What engines have said, and how executions have ended.
 pub enum Told {
-    Ended { sent: Sent, ending: Ending, report: Option<Vec<f64>>, cost: Option<Cost>, result: Vec<u8> },
+    Ended { sent: Sent, ending: Ending, report: Option<Vec<f64>>, result: Vec<u8> },
     Noted { sent: Sent, note: Note },
     Probed { place: Place, alive: bool, report: Option<Vec<f64>> },
 }
@@ -63,7 +63,6 @@
     held: usize,
     heard: Micros,
     report: Option<Vec<f64>>,
-    cost: Option<Cost>,
 }
 
 #[derive(PartialEq)]
@@ -114,7 +113,7 @@
 
 pub struct Engines {
     handle: LoopHandle<'static, Changes>,
-    allowed: Allowance,
+    allowed: NetworkSettings,
     report: Vec<String>,
     engines: BTreeMap<Place, Engine>,
     links: BTreeMap<LinkId, EngineLink>,
@@ -130,7 +129,7 @@
 }
 
 impl Engines {
-    pub fn new(handle: LoopHandle<'static, Changes>, allowed: Allowance, names: &Names) -> Self {
+    pub fn new(handle: LoopHandle<'static, Changes>, allowed: NetworkSettings, names: &Names) -> Self {
         Engines {
             handle,
             reuse: Reuse::new((allowed.keepalive - IDLE_MARGIN).max(IDLE_MARGIN)),
@@ -166,7 +165,7 @@
 
     fn ended(&mut self, sent: Sent, ending: Ending) {
         self.executions.remove(&sent);
-        self.told.push(Told::Ended { sent, ending, report: None, cost: None, result: Vec::new() });
+        self.told.push(Told::Ended { sent, ending, report: None, result: Vec::new() });
     }
 
     /// An engine of the list: where it is, and whether anything may still be sent to it.
--- a/crates/front/src/postgres/portal.rs
+++ b/crates/front/src/postgres/portal.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 use calloop::LoopHandle;
-use hallmux_agreement::{Contract, Postgres};
+use hallmux_agreement::{Postgres, Settings};
 use hallmux_dispatcher::{Dispatcher, Ending, Micros, Note, Place, Ticket};
 use hallmux_postgres::answer::Final;
 use hallmux_postgres::session::Transaction;
@@ -53,7 +53,7 @@
 impl Portal {
     pub fn new(
         postgres: &Postgres,
-        contract: &Contract,
+        contract: &Settings,
         handle: LoopHandle<'static, Changes>,
         rules: Option<Shared>,
     ) -> std::io::Result<Portal> {
@@ -64,10 +64,10 @@
         let portal = Portal {
             entrance: Entrance::new(listener, &handle, Door::SessionListener.party(0))?,
             sessions: Sessions::new(&postgres.limits),
-            servers: Servers::new(handle.clone(), contract.allowance.clone(), postgres.limits.clone()),
+            servers: Servers::new(handle.clone(), contract.network.clone(), postgres.limits.clone()),
             users: Users::new(&postgres.users),
             allowed: postgres.clone(),
-            answer_slack: contract.allowance.answer_slack,
+            answer_slack: contract.network.answer_slack,
             timeouts: workloads.map(|(name, w)| (name.clone(), w.statement_timeout)).collect(),
             come_back_ms: contract.agreement.longest_retry_after.map(|time| time / 1000),
             shut: None,
@@ -279,7 +279,7 @@
                 let open = done.status != b'I';
                 let keeps = open && dispatcher.keeps(ticket);
                 let ending = Ending::Answered;
-                if !dispatcher.report(now, ticket, execution, ending, None, None) {
+                if !dispatcher.report(now, ticket, execution, ending, None) {
                     // It had its answer before; a transaction that it opened is nobody's.
                     return held.into_iter().for_each(|link| self.servers.release(now, link));
                 }
@@ -293,7 +293,7 @@
             }
             servers::Told::Refused { sent: (ticket, execution), error } => {
                 dispatcher.begun(ticket);
-                if dispatcher.report(now, ticket, execution, Ending::Stale, None, None) {
+                if dispatcher.report(now, ticket, execution, Ending::Stale, None) {
                     self.sessions.fail(now, ticket, &Final::Broken, Some(&error));
                 }
             }
@@ -306,7 +306,7 @@
                         cancelled = running.cancelled;
                     }
                 }
-                let over = dispatcher.report(now, ticket, execution, ending, None, None);
+                let over = dispatcher.report(now, ticket, execution, ending, None);
                 if over || cancelled {
                     // One whose client has asked for its end is not tried again.
                     self.refuse(now, ticket, false, None);
