--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -6,7 +6,7 @@
 use hallmux_codec::coordinator::{self as codec, Stream};
 use hallmux_dispatcher::Micros;
 
-use crate::doors::{Changes, Door};
+use crate::events::{Events, SocketKind};
 use crate::link::Link;
 
 const WAIT_MS: i64 = 1000; // milliseconds a question is left open; silence shows soon after
@@ -14,7 +14,7 @@
 const AGAIN: Micros = 200_000; // microseconds until the next try after one that failed
 
 pub struct Coordinator {
-    handle: LoopHandle<'static, Changes>,
+    handle: LoopHandle<'static, Events>,
     at: Option<SocketAddr>,
     link: Option<Link>,
     number: u64, // of the connection
@@ -26,7 +26,7 @@
 }
 
 impl Coordinator {
-    pub fn new(handle: LoopHandle<'static, Changes>, at: Option<SocketAddr>, follow: u64) -> Self {
+    pub fn new(handle: LoopHandle<'static, Events>, at: Option<SocketAddr>, follow: u64) -> Self {
         Coordinator {
             handle,
             at,
@@ -62,7 +62,7 @@
             return self.failed(now, "silent");
         }
         self.number += 1;
-        match Link::dial(at, &self.handle, Door::Coordinator.party(self.number)) {
+        match Link::dial(at, &self.handle, SocketKind::Coordinator.id(self.number)) {
             Ok(link) => {
                 (self.link, self.asked) = (Some(link), None);
                 self.due = now + SILENCE;
--- a/crates/front/src/coordinator_tests.rs
+++ b/crates/front/src/coordinator_tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn one_that_fails_is_asked_again_at_once_and_then_every_now_and_then() {
-    let events: calloop::EventLoop<'static, Changes> = calloop::EventLoop::try_new().unwrap();
+    let events: calloop::EventLoop<'static, Events> = calloop::EventLoop::try_new().unwrap();
     let mut coordinator = Coordinator::new(events.handle(), Some(([127, 0, 0, 1], 9).into()), 7);
     let mut due_after = |now| {
         coordinator.failed(now, "connection over");
--- a/crates/front/src/engines/engines_tests.rs
+++ b/crates/front/src/engines/engines_tests.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn what_is_given_up_ends_once_its_engine_has_read_so() {
-    let events: calloop::EventLoop<'static, Changes> = calloop::EventLoop::try_new().unwrap();
+    let events: calloop::EventLoop<'static, Events> = calloop::EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let allowed = Allowance { cancel: true, executions_per_connection: 32, ..Allowance::default() };
     let mut engines = Engines::new(events.handle(), allowed, &Names::default());
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_connection_that_came_up_while_the_front_stood_still_is_not_given_up() {
-    let events: calloop::EventLoop<'static, Changes> = calloop::EventLoop::try_new().unwrap();
+    let events: calloop::EventLoop<'static, Events> = calloop::EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let allowed = Allowance { dial_timeout: 250_000, executions_per_connection: 32, ..Allowance::default() };
     let mut engines = Engines::new(events.handle(), allowed, &Names::default());
--- a/crates/front/src/engines/mod.rs
+++ b/crates/front/src/engines/mod.rs
@@ -17,7 +17,7 @@
 use hallmux_codec::statement::Call;
 use hallmux_dispatcher::{Cost, Dials, Ending, Micros, Note, Place, Terms, Ticket};
 
-use crate::doors::{Changes, Door};
+use crate::events::{Events, SocketKind};
 use crate::front::Pacer;
 use crate::link::{Broken, Link};
 use crate::reuse::Reuse;
@@ -113,7 +113,7 @@
 }
 
 pub struct Engines {
-    handle: LoopHandle<'static, Changes>,
+    handle: LoopHandle<'static, Events>,
     allowed: Allowance,
     report: Vec<String>,
     engines: BTreeMap<Place, Engine>,
@@ -130,7 +130,7 @@
 }
 
 impl Engines {
-    pub fn new(handle: LoopHandle<'static, Changes>, allowed: Allowance, names: &Names) -> Self {
+    pub fn new(handle: LoopHandle<'static, Events>, allowed: Allowance, names: &Names) -> Self {
         Engines {
             handle,
             reuse: Reuse::new((allowed.keepalive - IDLE_MARGIN).max(IDLE_MARGIN)),
--- a/crates/front/src/engines/room_tests.rs
+++ b/crates/front/src/engines/room_tests.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn connections_are_made_at_their_pace_and_those_that_are_there_are_used_at_any_time() {
-    let events: calloop::EventLoop<'static, Changes> = calloop::EventLoop::try_new().unwrap();
+    let events: calloop::EventLoop<'static, Events> = calloop::EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let allowed = Allowance { cancel: true, executions_per_connection: 2, ..Allowance::default() };
     let mut engines = Engines::new(events.handle(), allowed, &Names::default());
--- a/crates/front/src/engines/sent.rs
+++ b/crates/front/src/engines/sent.rs
@@ -59,7 +59,7 @@
         let engine = self.engines.get_mut(&place).ok_or(Ending::Withdrawn)?;
         self.next += 1;
         let id = self.next;
-        let link = match Link::dial(engine.at, &self.handle, Door::Engine.party(id)) {
+        let link = match Link::dial(engine.at, &self.handle, SocketKind::Engine.id(id)) {
             Ok(link) => link,
             Err(e) => {
                 log::warn!("engine {}: no connection can be made: {e}", engine.id);
--- a/crates/front/src/entrance.rs
+++ b/crates/front/src/entrance.rs
@@ -8,12 +8,12 @@
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
 use hallmux_dispatcher::Micros;
 
-use crate::doors::{Changes, Party};
+use crate::events::{Events, SocketId};
 
 const ACCEPT_AGAIN: Micros = 50_000; // microseconds until the next try after one without descriptors
 
 pub struct Entrance {
-    handle: LoopHandle<'static, Changes>,
+    handle: LoopHandle<'static, Events>,
     listener: Option<(Rc<TcpListener>, RegistrationToken)>,
     accept_at: Option<Micros>,
     /// The first of those that wait at the door.
@@ -25,14 +25,14 @@
 impl Entrance {
     pub fn new(
         listener: TcpListener,
-        handle: &LoopHandle<'static, Changes>,
-        party: Party,
+        handle: &LoopHandle<'static, Events>,
+        id: SocketId,
     ) -> std::io::Result<Entrance> {
         listener.set_nonblocking(true)?;
         let listener = Rc::new(listener);
         let source = Generic::new(listener.clone(), Interest::READ, Mode::Edge);
-        let accept = handle.insert_source(source, move |_, _, changes: &mut Changes| {
-            changes.parties.push(party);
+        let accept = handle.insert_source(source, move |_, _, events: &mut Events| {
+            events.ready.push(id);
             Ok(PostAction::Continue)
         });
         let token = accept.map_err(|e| std::io::Error::other(e.error.to_string()))?;
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -26,7 +26,7 @@
 use super::fault::PeersFault;
 use super::members::{members, setup};
 use super::votes::Votes;
-use crate::doors::{Changes, Door};
+use crate::events::{Events, SocketKind};
 use crate::shutdown::Keeps;
 
 const ONE_TURN: usize = 64; // datagrams taken before others have their turn
@@ -72,7 +72,7 @@
     pub fn new(
         gossip: &Gossip,
         now: Micros,
-        handle: &LoopHandle<'static, Changes>,
+        handle: &LoopHandle<'static, Events>,
     ) -> Result<Peers, PeersFault> {
         let file = || gossip.secret_file.clone();
         let secret = std::fs::read_to_string(&gossip.secret_file);
@@ -84,8 +84,8 @@
         let socket = Rc::new(socket);
         let at = socket.local_addr().map_err(unheard)?;
         let source = Generic::new(socket.clone(), Interest::READ, Mode::Edge);
-        let told = handle.insert_source(source, |_, _, changes: &mut Changes| {
-            changes.parties.push(Door::Peers.party(0));
+        let told = handle.insert_source(source, |_, _, events: &mut Events| {
+            events.ready.push(SocketKind::Peers.id(0));
             Ok(PostAction::Continue)
         });
         told.map_err(|e| PeersFault::system(e.error))?;
@@ -381,10 +381,10 @@
 }
 
 /// What wakes the loop from the thread that writes copies.
-fn wakes(handle: &LoopHandle<'static, Changes>) -> std::io::Result<impl Fn() + Send + 'static> {
+fn wakes(handle: &LoopHandle<'static, Events>) -> std::io::Result<impl Fn() + Send + 'static> {
     let (ping, source) = calloop::ping::make_ping()?;
-    let told = handle.insert_source(source, |(), _, changes: &mut Changes| {
-        changes.parties.push(Door::Peers.party(0));
+    let told = handle.insert_source(source, |(), _, events: &mut Events| {
+        events.ready.push(SocketKind::Peers.id(0));
     });
     told.map_err(|e| std::io::Error::other(e.error.to_string()))?;
     Ok(move || ping.ping())
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -17,9 +17,9 @@
 use crate::clients::Clients;
 use crate::clock::Clock;
 use crate::coordinator::Coordinator;
-use crate::doors::{Changes, Door, Party};
 use crate::engines::Engines;
 use crate::entrance::Entrance;
+use crate::events::{Events, SocketId, SocketKind};
 use crate::fleet::rules::{self, Shared};
 use crate::fleet::{Guard, Peers};
 use crate::link::Link;
@@ -35,7 +35,7 @@
 const CLIENTS_PART: usize = 2; // of the descriptors; clients hold a third, the rest is for engines
 
 pub struct Front {
-    handle: LoopHandle<'static, Changes>,
+    handle: LoopHandle<'static, Events>,
     entrance: Entrance,
     dispatcher: Dispatcher,
     answer_slack: Micros,
@@ -61,7 +61,7 @@
     shutdown: Shutdown,
     clock: Clock,
     /// Connections with more to read than one turn takes.
-    unfinished: Vec<Party>,
+    unfinished: Vec<SocketId>,
     /// What was decided has not left for engines yet: the connections are looked at first.
     stale: bool,
 }
@@ -76,7 +76,7 @@
         station: &Station,
         known: &Stream,
         listener: TcpListener,
-        handle: LoopHandle<'static, Changes>,
+        handle: LoopHandle<'static, Events>,
     ) -> Result<Front, Fault> {
         let contract = &station.contract;
         let portal = station.operator.postgres.as_ref();
@@ -97,7 +97,7 @@
         let scatter = scatter.map(|scatter| Scatters::new(scatter, clock.now, turn, contract));
         let scatter = scatter.transpose().map_err(part)?;
         let mut front = Front {
-            entrance: Entrance::new(listener, &handle, Door::Listener.party(0)).map_err(part)?,
+            entrance: Entrance::new(listener, &handle, SocketKind::Listener.id(0)).map_err(part)?,
             dispatcher: Dispatcher::new(contract, station.seed),
             answer_slack: contract.allowance.answer_slack,
             most_held: contract.allowance.most_held,
@@ -152,35 +152,35 @@
     }
 
     /// A connection has changed: takes what is there.
-    pub fn ready(&mut self, party: Party) {
+    pub fn ready(&mut self, socket: SocketId) {
         self.clock.look();
         self.clock.woke();
-        let number = party.number;
-        let more = match party.door {
+        let number = socket.number;
+        let more = match socket.kind {
             // Statements of one order key run in the order in which they were taken: each is taken as it is found.
-            Door::Listener => {
+            SocketKind::Listener => {
                 self.entrance.knocked();
                 self.accept();
                 false
             }
-            Door::Client => self.read_client(number),
-            Door::Engine => self.engines.read(self.clock.now, number),
-            Door::Coordinator => {
+            SocketKind::Client => self.read_client(number),
+            SocketKind::Engine => self.engines.read(self.clock.now, number),
+            SocketKind::Coordinator => {
                 let before = self.coordinator.follow;
                 if let Some(stream) = self.coordinator.read(self.clock.now, number) {
                     self.follow(&stream, before);
                 }
                 false
             }
-            Door::Peers => self.peers.as_mut().is_some_and(|peers| peers.read(self.clock.now)),
-            Door::SessionListener | Door::Session | Door::Server | Door::Cancel => {
+            SocketKind::Peers => self.peers.as_mut().is_some_and(|peers| peers.read(self.clock.now)),
+            SocketKind::SessionListener | SocketKind::Session | SocketKind::Server | SocketKind::Cancel => {
                 let (now, room) = (self.clock.now, self.room());
                 let portal = self.portal.as_mut();
-                portal.is_some_and(|portal| portal.found(now, party, room, &mut self.dispatcher))
+                portal.is_some_and(|portal| portal.found(now, socket, room, &mut self.dispatcher))
             }
         };
         if more {
-            self.unfinished.push(party);
+            self.unfinished.push(socket);
         }
     }
 
@@ -188,8 +188,8 @@
     pub fn turn(&mut self) {
         self.clock.look();
         self.clock.woke();
-        for party in std::mem::take(&mut self.unfinished) {
-            self.ready(party);
+        for socket in std::mem::take(&mut self.unfinished) {
+            self.ready(socket);
         }
         self.accept();
         let room = self.room();
@@ -262,7 +262,7 @@
             }
         }
         for client in self.clients.ready_again() {
-            self.unfinished.push(Door::Client.party(client));
+            self.unfinished.push(SocketKind::Client.id(client));
         }
     }
 
@@ -361,10 +361,10 @@
             };
             let Some(stream) = self.entrance.next(now, room) else { return };
             let id = self.clients.next_id();
-            match Link::new(stream, &self.handle, Door::Client.party(id)) {
+            match Link::new(stream, &self.handle, SocketKind::Client.id(id)) {
                 Ok(link) => {
                     self.clients.accept(now, id, link);
-                    self.ready(Door::Client.party(id));
+                    self.ready(SocketKind::Client.id(id));
                 }
                 Err(e) => log::warn!("a client's connection can't be served: {e}"),
             }
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -9,7 +9,7 @@
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
 use socket2::{Domain, Protocol, Socket, Type};
 
-use crate::doors::{Changes, Party};
+use crate::events::{Events, SocketId};
 
 const CHUNK: usize = 64 << 10; // bytes taken at once
 const AHEAD: usize = 64 << 10; // bytes on their way that can't be taken back: some hundred statements
@@ -30,27 +30,27 @@
 pub struct Link {
     stream: Rc<TcpStream>,
     token: RegistrationToken,
-    handle: LoopHandle<'static, Changes>,
+    handle: LoopHandle<'static, Events>,
     pub input: Vec<u8>,
     output: Vec<u8>,
     left: usize, // bytes of output that have left
 }
 
 impl Link {
-    /// Serves a connection that is up or coming up; the loop tells of it under the name given.
+    /// Serves a connection that is up or coming up; the event loop reports it under the id given.
     pub fn new(
         stream: TcpStream,
-        handle: &LoopHandle<'static, Changes>,
-        party: Party,
+        handle: &LoopHandle<'static, Events>,
+        id: SocketId,
     ) -> std::io::Result<Link> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
-        // Told once for each change, so that a connection which is not read for now costs nothing.
+        // Reported once for each change (edge-triggered), so that a connection that is not read for now costs nothing.
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
         let token = handle
-            .insert_source(source, move |_, _, changes| {
-                changes.parties.push(party);
+            .insert_source(source, move |_, _, events| {
+                events.ready.push(id);
                 Ok(PostAction::Continue)
             })
             .map_err(|e| std::io::Error::other(e.error.to_string()))?;
@@ -59,17 +59,13 @@
     }
 
     /// Begins a connection.
-    pub fn dial(
-        to: SocketAddr,
-        handle: &LoopHandle<'static, Changes>,
-        party: Party,
-    ) -> std::io::Result<Link> {
+    pub fn dial(to: SocketAddr, handle: &LoopHandle<'static, Events>, id: SocketId) -> std::io::Result<Link> {
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_send_buffer_size(AHEAD)?;
         match socket.connect(&to.into()) {
             Err(e) if e.raw_os_error() != Some(IN_PROGRESS) && e.kind() != ErrorKind::WouldBlock => Err(e),
-            _ => Link::new(socket.into(), handle, party),
+            _ => Link::new(socket.into(), handle, id),
         }
     }
 
--- a/crates/front/src/link_tests.rs
+++ b/crates/front/src/link_tests.rs
@@ -5,11 +5,11 @@
 
 #[test]
 fn what_has_left_is_known_also_when_the_rest_never_will() {
-    let events: calloop::EventLoop<'static, Changes> = calloop::EventLoop::try_new().unwrap();
+    let events: calloop::EventLoop<'static, Events> = calloop::EventLoop::try_new().unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let peer = listener.accept().unwrap().0;
-    let mut link = Link::new(stream, &events.handle(), crate::doors::Door::Engine.party(1)).unwrap();
+    let mut link = Link::new(stream, &events.handle(), crate::events::SocketKind::Engine.id(1)).unwrap();
     const MORE: usize = 64 << 20; // more than the network takes from one who is not read
     link.output().resize(MORE, b'x');
     assert_eq!(link.flush(), Ok(()));
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -3,10 +3,10 @@
 mod clients;
 mod clock;
 mod coordinator;
-mod doors;
 mod drill;
 mod engines;
 mod entrance;
+mod events;
 mod fleet;
 mod front;
 mod link;
@@ -24,7 +24,7 @@
 use calloop::EventLoop;
 use hallmux_agreement::Station;
 
-use doors::Changes;
+use events::Events;
 use front::Front;
 use start::Fault;
 
@@ -48,26 +48,26 @@
     let known = hallmux_codec::coordinator::stream(station.known.as_bytes());
     let known = known.map_err(|what| Fault::Known(what.to_string()))?;
     let polls = Fault::system("polling");
-    let mut event_loop: EventLoop<'static, Changes> = EventLoop::try_new().map_err(|e| polls(e.into()))?;
+    let mut event_loop: EventLoop<'static, Events> = EventLoop::try_new().map_err(|e| polls(e.into()))?;
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGHUP]).map_err(|e| polls(e.into()))?;
-    let asked = |event: Event, _: &mut (), changes: &mut Changes| changes.signals.push(event.signal());
-    event_loop.handle().insert_source(signals, asked).map_err(|e| polls(e.error.into()))?;
+    let queue = |event: Event, _: &mut (), events: &mut Events| events.signals.push(event.signal());
+    event_loop.handle().insert_source(signals, queue).map_err(|e| polls(e.error.into()))?;
     let unfit = |why| Fault::Listen { at: station.listen, why };
     let listener = TcpListener::bind(station.listen).map_err(unfit)?;
     let address = listener.local_addr().map_err(unfit)?;
     let mut front = Front::new(&station, &known, listener, event_loop.handle())?;
     log::info!("takes statements at {address}");
-    let mut changes = Changes::default();
+    let mut events = Events::default();
     while !front.is_done() {
         let idle = front.idle();
-        event_loop.dispatch(idle, &mut changes).map_err(|e| polls(e.into()))?;
-        for signal in changes.signals.drain(..) {
+        event_loop.dispatch(idle, &mut events).map_err(|e| polls(e.into()))?;
+        for signal in events.signals.drain(..) {
             match signal {
                 Signal::SIGHUP => front.reload(Station::read(&variables)),
                 _ => front.end(),
             }
         }
-        changes.parties.drain(..).for_each(|party| front.ready(party));
+        events.ready.drain(..).for_each(|socket| front.ready(socket));
         front.turn();
     }
     log::info!("all is answered");
--- a/crates/front/src/postgres/portal.rs
+++ b/crates/front/src/postgres/portal.rs
@@ -17,8 +17,8 @@
 use super::fault::Fault;
 use super::servers::{self, Sent, Servers, Unit};
 use super::sessions::{self, Sessions, Users};
-use crate::doors::{Changes, Door, Party};
 use crate::entrance::Entrance;
+use crate::events::{Events, SocketId, SocketKind};
 use crate::fleet::rules::Shared;
 use crate::link::Link;
 
@@ -32,7 +32,7 @@
 }
 
 pub struct Portal {
-    handle: LoopHandle<'static, Changes>,
+    handle: LoopHandle<'static, Events>,
     entrance: Entrance,
     sessions: Sessions,
     servers: Servers,
@@ -47,14 +47,14 @@
     pub writes: Vec<String>,
     shut: Option<Micros>,
     /// Connections with more to read than one turn takes, that the loop does not tell of again.
-    unfinished: Vec<Party>,
+    unfinished: Vec<SocketId>,
 }
 
 impl Portal {
     pub fn new(
         postgres: &Postgres,
         contract: &Contract,
-        handle: LoopHandle<'static, Changes>,
+        handle: LoopHandle<'static, Events>,
         rules: Option<Shared>,
     ) -> std::io::Result<Portal> {
         let listener =
@@ -62,7 +62,7 @@
         let address = listener.local_addr()?;
         let workloads = contract.names.workloads.iter().zip(&contract.agreement.workloads);
         let portal = Portal {
-            entrance: Entrance::new(listener, &handle, Door::SessionListener.party(0))?,
+            entrance: Entrance::new(listener, &handle, SocketKind::SessionListener.id(0))?,
             sessions: Sessions::new(&postgres.limits),
             servers: Servers::new(handle.clone(), contract.allowance.clone(), postgres.limits.clone()),
             users: Users::new(&postgres.users),
@@ -122,21 +122,25 @@
     }
 
     /// A connection has changed: takes what is there. True if there is more for another turn.
-    pub fn found(&mut self, now: Micros, party: Party, room: Room, dispatcher: &mut Dispatcher) -> bool {
-        let more = self.ready(now, party);
-        if party.door == Door::Session {
+    pub fn found(&mut self, now: Micros, socket: SocketId, room: Room, dispatcher: &mut Dispatcher) -> bool {
+        let more = self.ready(now, socket);
+        if socket.kind == SocketKind::Session {
             self.take_units(now, room, dispatcher);
         }
         more
     }
 
-    fn ready(&mut self, now: Micros, party: Party) -> bool {
-        match party.door {
-            Door::SessionListener => self.entrance.knocked(),
-            Door::Session => return self.sessions.read(now, party.number),
-            Door::Server => return self.servers.read(now, party.number),
-            Door::Cancel => self.servers.read_cancel(party.number),
-            Door::Listener | Door::Client | Door::Engine | Door::Coordinator | Door::Peers => {}
+    fn ready(&mut self, now: Micros, socket: SocketId) -> bool {
+        match socket.kind {
+            SocketKind::SessionListener => self.entrance.knocked(),
+            SocketKind::Session => return self.sessions.read(now, socket.number),
+            SocketKind::Server => return self.servers.read(now, socket.number),
+            SocketKind::Cancel => self.servers.read_cancel(socket.number),
+            SocketKind::Listener
+            | SocketKind::Client
+            | SocketKind::Engine
+            | SocketKind::Coordinator
+            | SocketKind::Peers => {}
         }
         false
     }
@@ -157,10 +161,10 @@
             let Some(stream) = self.entrance.next(now, takes) else { return };
             let id = self.sessions.next_id();
             room = room.saturating_sub(1);
-            match Link::new(stream, &self.handle, Door::Session.party(id)) {
+            match Link::new(stream, &self.handle, SocketKind::Session.id(id)) {
                 Ok(link) => {
                     self.sessions.accept(now, id, link);
-                    self.read_on(now, Door::Session.party(id));
+                    self.read_on(now, SocketKind::Session.id(id));
                 }
                 Err(e) => log::warn!("a session's connection can't be served: {e}"),
             }
@@ -168,16 +172,16 @@
     }
 
     /// Reads a connection that the loop has not told of; what one turn leaves is read in the next.
-    fn read_on(&mut self, now: Micros, party: Party) {
-        if self.ready(now, party) {
-            self.unfinished.push(party);
+    fn read_on(&mut self, now: Micros, socket: SocketId) {
+        if self.ready(now, socket) {
+            self.unfinished.push(socket);
         }
     }
 
     /// Reads on where a turn has left more, and takes the units that have come.
     pub fn take(&mut self, now: Micros, room: Room, dispatcher: &mut Dispatcher) {
-        for party in std::mem::take(&mut self.unfinished) {
-            self.read_on(now, party);
+        for socket in std::mem::take(&mut self.unfinished) {
+            self.read_on(now, socket);
         }
         self.take_units(now, room, dispatcher);
     }
@@ -327,7 +331,7 @@
     pub fn flush(&mut self, now: Micros, room: Room, most: usize, dispatcher: &mut Dispatcher) {
         for sent in self.sessions.flush() {
             if let Some(link) = self.servers.pause(sent, false) {
-                self.read_on(now, Door::Server.party(link));
+                self.read_on(now, SocketKind::Server.id(link));
             }
         }
         if let (untaken, Some(id)) = self.sessions.untaken() {
@@ -337,7 +341,7 @@
             }
         }
         for id in self.sessions.unstalled() {
-            self.read_on(now, Door::Session.party(id));
+            self.read_on(now, SocketKind::Session.id(id));
         }
         self.hear(now, room, dispatcher);
     }
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -16,7 +16,7 @@
 use hallmux_postgres::prepared::Settings;
 use hallmux_postgres::session::Part;
 
-use crate::doors::Changes;
+use crate::events::Events;
 use crate::front::Pacer;
 use crate::link::Link;
 
@@ -135,7 +135,7 @@
 }
 
 pub struct Servers {
-    handle: LoopHandle<'static, Changes>,
+    handle: LoopHandle<'static, Events>,
     allowed: Allowance,
     limits: SessionLimits,
     engines: BTreeMap<Place, Listed>,
@@ -157,7 +157,7 @@
 }
 
 impl Servers {
-    pub fn new(handle: LoopHandle<'static, Changes>, allowed: Allowance, limits: SessionLimits) -> Self {
+    pub fn new(handle: LoopHandle<'static, Events>, allowed: Allowance, limits: SessionLimits) -> Self {
         let bounds = pool::Bounds {
             each_engine: limits.engine_connections,
             idle: limits.connection_idle,
--- a/crates/front/src/postgres/servers/ending.rs
+++ b/crates/front/src/postgres/servers/ending.rs
@@ -5,7 +5,7 @@
 use hallmux_postgres::wire;
 
 use super::{Cancel, Sent, ServerId, Servers, Stage, Told};
-use crate::doors::Door;
+use crate::events::SocketKind;
 use crate::link::Link;
 
 impl Servers {
@@ -57,7 +57,7 @@
             return false;
         };
         let number = self.next + 1;
-        let Ok(mut link) = Link::dial(engine.at, &self.handle, Door::Cancel.party(number)) else {
+        let Ok(mut link) = Link::dial(engine.at, &self.handle, SocketKind::Cancel.id(number)) else {
             return false;
         };
         self.next = number;
--- a/crates/front/src/postgres/servers/leaving.rs
+++ b/crates/front/src/postgres/servers/leaving.rs
@@ -9,7 +9,7 @@
 use hallmux_postgres::session::Part;
 
 use super::{Execution, Sent, Server, ServerId, Servers, Stage, Told, Unit};
-use crate::doors::Door;
+use crate::events::SocketKind;
 use crate::link::Link;
 
 const MOST_UNSENT: usize = 4 << 20; // bytes that an engine may leave untaken: some units of the largest size
@@ -96,7 +96,7 @@
         let who = self.accounts.get(account).cloned().ok_or(Ending::Withdrawn)?;
         self.next += 1;
         let id = self.next;
-        let mut link = match Link::dial(engine.at, &self.handle, Door::Server.party(id)) {
+        let mut link = match Link::dial(engine.at, &self.handle, SocketKind::Server.id(id)) {
             Ok(link) => link,
             Err(e) => {
                 log::warn!("engine {}: no connection can be made: {e}", engine.id);
