--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -18,11 +18,11 @@
 use crate::clock::Clock;
 use crate::coordinator::Coordinator;
 use crate::engines::Engines;
-use crate::entrance::Entrance;
 use crate::events::{Events, SocketId, SocketKind};
 use crate::fleet::rules::{self, Shared};
 use crate::fleet::{Guard, Peers};
 use crate::link::Link;
+use crate::listener::Listener;
 use crate::postgres::portal::Portal;
 use crate::scatter::Scatters;
 use crate::shutdown::{Keeps, Shutdown};
@@ -36,7 +36,7 @@
 
 pub struct Front {
     handle: LoopHandle<'static, Events>,
-    entrance: Entrance,
+    listener: Listener,
     dispatcher: Dispatcher,
     answer_slack: Micros,
     most_held: usize,
@@ -97,7 +97,7 @@
         let scatter = scatter.map(|scatter| Scatters::new(scatter, clock.now, turn, contract));
         let scatter = scatter.transpose().map_err(part)?;
         let mut front = Front {
-            entrance: Entrance::new(listener, &handle, SocketKind::Listener.id(0)).map_err(part)?,
+            listener: Listener::new(listener, &handle, SocketKind::Listener.id(0)).map_err(part)?,
             dispatcher: Dispatcher::new(contract, station.seed),
             answer_slack: contract.allowance.answer_slack,
             most_held: contract.allowance.most_held,
@@ -140,7 +140,7 @@
             self.dispatcher.wake(),
             self.engines.due(),
             self.coordinator.due(),
-            self.entrance.due(),
+            self.listener.due(),
             self.shutdown.due(self.clock.now),
             self.portal.as_ref().map_or(Micros::MAX, Portal::due),
             self.peers.as_ref().map_or(Micros::MAX, |peers| peers.due(self.clock.now)),
@@ -159,7 +159,7 @@
         let more = match socket.kind {
             // Statements of one order key run in the order in which they were taken: each is taken as it is found.
             SocketKind::Listener => {
-                self.entrance.knocked();
+                self.listener.readable();
                 self.accept();
                 false
             }
@@ -252,7 +252,7 @@
         if self.shutdown.closes(self.clock.now, keeps) {
             // Whoever has connected by now is heard: closing the listener resets what waits there.
             self.accept();
-            if self.entrance.close() {
+            if self.listener.close() {
                 log::info!("no more connections are taken; {} clients are connected", self.clients.len());
             }
             self.clients.close_idle(self.clock.now);
@@ -340,7 +340,7 @@
 
     /// Whether all is answered after the end was asked for.
     pub fn is_done(&self) -> bool {
-        !self.entrance.is_open()
+        !self.listener.is_open()
             && self.clients.len() == 0
             && self.portal.as_ref().is_none_or(|portal| portal.len() == 0)
             // What it holds for others is freed first.
@@ -351,15 +351,15 @@
         let now = self.clock.now;
         loop {
             let (clients, portal, most) = (&mut self.clients, &mut self.portal, self.most_clients);
-            let room = || {
+            let reserve = || {
                 let sessions = portal.as_ref().map_or(0, Portal::len);
-                let room = clients.len() + sessions < most
+                let free = clients.len() + sessions < most
                     || clients.make_room()
                     || portal.as_mut().is_some_and(|portal| portal.make_room(now));
-                room.then_some(())
+                free.then_some(())
                     .ok_or_else(|| format!("{} clients are connected", clients.len() + sessions))
             };
-            let Some(stream) = self.entrance.next(now, room) else { return };
+            let Some(stream) = self.listener.accept(now, reserve) else { return };
             let id = self.clients.next_id();
             match Link::new(stream, &self.handle, SocketKind::Client.id(id)) {
                 Ok(link) => {
--- /dev/null
+++ b/crates/front/src/listener.rs
@@ -0,0 +1,116 @@
+//! A listening socket: accepts connections while there is capacity, and leaves them in the kernel's queue otherwise.
+
+use std::io::ErrorKind;
+use std::net::{TcpListener, TcpStream};
+use std::rc::Rc;
+
+use calloop::generic::Generic;
+use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
+use hallmux_dispatcher::Micros;
+
+use crate::events::{Events, SocketId};
+
+const ACCEPT_BACKOFF: Micros = 50_000; // microseconds until the next try after one without capacity or descriptors
+
+pub struct Listener {
+    handle: LoopHandle<'static, Events>,
+    /// None once it is closed.
+    socket: Option<(Rc<TcpListener>, RegistrationToken)>,
+    /// When to try `accept` next; none while the kernel's queue is known to be empty.
+    accept_at: Option<Micros>,
+    /// The one connection that was accepted and has not been served yet, for want of capacity.
+    accepted: Option<TcpStream>,
+    /// The last try found no capacity; that has been logged.
+    at_capacity: bool,
+}
+
+impl Listener {
+    /// Registers a bound socket with the event loop, which reports it under the id given.
+    pub fn new(
+        listener: TcpListener,
+        handle: &LoopHandle<'static, Events>,
+        id: SocketId,
+    ) -> std::io::Result<Listener> {
+        listener.set_nonblocking(true)?;
+        let listener = Rc::new(listener);
+        let source = Generic::new(listener.clone(), Interest::READ, Mode::Edge);
+        let accept = handle.insert_source(source, move |_, _, events: &mut Events| {
+            events.ready.push(id);
+            Ok(PostAction::Continue)
+        });
+        let token = accept.map_err(|e| std::io::Error::other(e.error.to_string()))?;
+        let socket = Some((listener, token));
+        Ok(Listener {
+            handle: handle.clone(),
+            socket,
+            accept_at: Some(0),
+            accepted: None,
+            at_capacity: false,
+        })
+    }
+
+    /// The event loop reports that connections wait to be accepted.
+    pub fn readable(&mut self) {
+        self.accept_at = Some(0);
+    }
+
+    /// When `accept` is next due.
+    pub fn due(&self) -> Micros {
+        self.accept_at.unwrap_or(Micros::MAX)
+    }
+
+    pub fn is_open(&self) -> bool {
+        self.socket.is_some()
+    }
+
+    /// Stops listening. True if it was open till now.
+    pub fn close(&mut self) -> bool {
+        self.accept_at = None;
+        let socket = self.socket.take();
+        if let Some((_, token)) = &socket {
+            self.handle.remove(*token);
+        }
+        socket.is_some()
+    }
+
+    /// The next connection. `reserve` frees capacity for it, or says why there is none; then the connection waits.
+    pub fn accept(
+        &mut self,
+        now: Micros,
+        mut reserve: impl FnMut() -> Result<(), String>,
+    ) -> Option<TcpStream> {
+        if self.accept_at.is_none_or(|at| at > now) {
+            return None;
+        }
+        let listener = self.socket.as_ref()?.0.clone();
+        loop {
+            match self.accepted.take().map_or_else(|| listener.accept().map(|(stream, _)| stream), Ok) {
+                Ok(stream) => match reserve() {
+                    Ok(()) => return Some(stream),
+                    Err(why) => {
+                        self.accepted = Some(stream);
+                        self.back_off(now, &why);
+                        return None;
+                    }
+                },
+                Err(e) if e.kind() == ErrorKind::WouldBlock => {
+                    (self.accept_at, self.at_capacity) = (None, false);
+                    return None;
+                }
+                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+                Err(e) => {
+                    self.back_off(now, &e.to_string());
+                    return None;
+                }
+            }
+        }
+    }
+
+    /// Leaves connections in the queue, rather than taking what can't be served.
+    fn back_off(&mut self, now: Micros, why: &str) {
+        if !std::mem::replace(&mut self.at_capacity, true) {
+            log::warn!("no connection can be taken for now: {why}");
+        }
+        self.accept_at = Some(now + ACCEPT_BACKOFF);
+    }
+}
--- a/crates/front/src/postgres/portal.rs
+++ b/crates/front/src/postgres/portal.rs
@@ -17,10 +17,10 @@
 use super::fault::Fault;
 use super::servers::{self, Sent, Servers, Unit};
 use super::sessions::{self, Sessions, Users};
-use crate::entrance::Entrance;
 use crate::events::{Events, SocketId, SocketKind};
 use crate::fleet::rules::Shared;
 use crate::link::Link;
+use crate::listener::Listener;
 
 /// What the front as a whole allows just now.
 #[derive(Clone, Copy)]
@@ -33,7 +33,7 @@
 
 pub struct Portal {
     handle: LoopHandle<'static, Events>,
-    entrance: Entrance,
+    listener: Listener,
     sessions: Sessions,
     servers: Servers,
     users: Users,
@@ -62,7 +62,7 @@
         let address = listener.local_addr()?;
         let workloads = contract.names.workloads.iter().zip(&contract.agreement.workloads);
         let portal = Portal {
-            entrance: Entrance::new(listener, &handle, SocketKind::SessionListener.id(0))?,
+            listener: Listener::new(listener, &handle, SocketKind::SessionListener.id(0))?,
             sessions: Sessions::new(&postgres.limits),
             servers: Servers::new(handle.clone(), contract.allowance.clone(), postgres.limits.clone()),
             users: Users::new(&postgres.users),
@@ -118,7 +118,7 @@
         let more = !self.servers.told.is_empty() || !self.sessions.ready.is_empty();
         let more = more || !self.unfinished.is_empty();
         let ready = if more { 0 } else { Micros::MAX };
-        self.entrance.due().min(self.servers.due()).min(ready)
+        self.listener.due().min(self.servers.due()).min(ready)
     }
 
     /// A connection has changed: takes what is there. True if there is more for another turn.
@@ -132,7 +132,7 @@
 
     fn ready(&mut self, now: Micros, socket: SocketId) -> bool {
         match socket.kind {
-            SocketKind::SessionListener => self.entrance.knocked(),
+            SocketKind::SessionListener => self.listener.readable(),
             SocketKind::Session => return self.sessions.read(now, socket.number),
             SocketKind::Server => return self.servers.read(now, socket.number),
             SocketKind::Cancel => self.servers.read_cancel(socket.number),
@@ -145,20 +145,20 @@
         false
     }
 
-    /// Makes room for another connection, of whatever door. False if none can go.
+    /// Closes a session for another connection, of whatever kind. False if none can go.
     pub fn make_room(&mut self, now: Micros) -> bool {
         self.sessions.make_room(now)
     }
 
-    /// Takes those at the door; `room` is how many more may be connected.
+    /// Accepts connections; `room` is how many more may be connected.
     pub fn accept(&mut self, now: Micros, mut room: usize) {
         loop {
             let (sessions, most) = (&mut self.sessions, self.allowed.limits.sessions);
-            let takes = || {
-                let fits = room > 0 && sessions.len() < most || sessions.make_room(now);
-                fits.then_some(()).ok_or_else(|| format!("{} sessions are connected", sessions.len()))
+            let reserve = || {
+                let free = room > 0 && sessions.len() < most || sessions.make_room(now);
+                free.then_some(()).ok_or_else(|| format!("{} sessions are connected", sessions.len()))
             };
-            let Some(stream) = self.entrance.next(now, takes) else { return };
+            let Some(stream) = self.listener.accept(now, reserve) else { return };
             let id = self.sessions.next_id();
             room = room.saturating_sub(1);
             match Link::new(stream, &self.handle, SocketKind::Session.id(id)) {
@@ -355,7 +355,7 @@
     /// The front ends: no more sessions are taken, and those that rest are closed.
     pub fn close(&mut self, now: Micros, room: Room, dispatcher: &mut Dispatcher) {
         self.shut.get_or_insert(now);
-        self.entrance.close();
+        self.listener.close();
         self.sessions.close_idle();
         self.hear(now, room, dispatcher);
     }
