--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -27,7 +27,7 @@
 use super::members::{members, setup};
 use super::votes::Votes;
 use crate::events::{Events, SocketKind};
-use crate::shutdown::Keeps;
+use crate::shutdown::LedgerDuty;
 
 const ONE_TURN: usize = 64; // datagrams taken before others have their turn
 const PART: u32 = 56; // bits of a number that a part of the front counts in
@@ -365,9 +365,9 @@
         }
     }
 
-    /// What of promises stands or falls with this front.
-    pub fn keeps(&self, now: Micros) -> Keeps {
-        Keeps::of(self.exchange.is_needed(self.moment(now)), self.exchange.hands_over())
+    /// What of the ledger depends on this front.
+    pub fn ledger_duty(&self, now: Micros) -> LedgerDuty {
+        LedgerDuty::of(self.exchange.is_needed(self.moment(now)), self.exchange.hands_over())
     }
 
     /// This front ends: what it owns of promises is handed over, and some peers hear so, and tell the others.
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -25,7 +25,7 @@
 use crate::listener::Listener;
 use crate::postgres::portal::Portal;
 use crate::scatter::Scatters;
-use crate::shutdown::{Keeps, Shutdown};
+use crate::shutdown::{LedgerDuty, Shutdown};
 use crate::start::Fault;
 
 pub use rooms::Pacer;
@@ -247,9 +247,9 @@
             }
         }
         self.take(told);
-        let peers = self.peers.as_ref().filter(|_| self.shutdown.asked());
-        let keeps = peers.map_or(Keeps::Nothing, |peers| peers.keeps(self.clock.now));
-        if self.shutdown.closes(self.clock.now, keeps) {
+        let peers = self.peers.as_ref().filter(|_| self.shutdown.is_requested());
+        let duty = peers.map_or(LedgerDuty::None, |peers| peers.ledger_duty(self.clock.now));
+        if self.shutdown.closes(self.clock.now, duty) {
             // Whoever has connected by now is heard: closing the listener resets what waits there.
             self.accept();
             if self.listener.close() {
@@ -293,7 +293,7 @@
     /// The end was asked for.
     pub fn end(&mut self) {
         self.clock.look();
-        self.shutdown.ask(self.clock.now);
+        self.shutdown.request(self.clock.now);
         self.peers.iter_mut().for_each(|peers| peers.leave(self.clock.now));
         self.scatter.iter().for_each(|scatter| scatter.summaries.save());
     }
--- a/crates/front/src/front/asked.rs
+++ b/crates/front/src/front/asked.rs
@@ -11,7 +11,7 @@
 impl Front {
     pub(super) fn read_client(&mut self, id: ClientId) -> bool {
         let mut told = Vec::new();
-        let more = self.clients.read(self.clock.now, id, !self.shutdown.asked(), &mut told);
+        let more = self.clients.read(self.clock.now, id, !self.shutdown.is_requested(), &mut told);
         self.take(told);
         more
     }
--- a/crates/front/src/shutdown.rs
+++ b/crates/front/src/shutdown.rs
@@ -1,71 +1,76 @@
-//! The planned end: after SIGTERM a front goes on taking and answering, then closes its door.
+//! The planned end: after SIGTERM a front goes on accepting and answering for a while, then closes its listener.
 
 use hallmux_dispatcher::Micros;
 
-/// Microseconds after SIGTERM until no more connections are taken and statements that still come are rejected.
+/// Microseconds after SIGTERM until no more connections are accepted and statements that still come are rejected.
 /// Clients open new connections for 0.4 s and write on open ones for 0.2 s more; what comes later than 0.7 s has to
 /// be answered before the process may be killed, some seconds on, however long its client would wait.
-const DOOR: Micros = 650_000;
-/// The same while promises are handed over: a member that is to own them may be slow or itself about to end.
-const HANDED_OVER: Micros = 3_000_000;
-/// The same while a shard would have no majority without this front: its other members may be about to come back.
-const NEEDED: Micros = 10_000_000;
-const LATE: u8 = 3; // turns: to hear of a client, to take it, to read from it
-const LOOK: Micros = 10_000; // microseconds between looks at whether all is answered
+const CLOSE_AFTER: Micros = 650_000;
+/// The same while ownership of ledger shards is handed over: the next owner may be slow or itself about to end.
+const CLOSE_AFTER_HAND_OVER: Micros = 3_000_000;
+/// The same while a ledger shard would have no majority without this front: other replicas may be about to come back.
+const CLOSE_AFTER_QUORUM: Micros = 10_000_000;
+/// Iterations of the event loop that begin after that time before the listener is closed: one to be told of a
+/// client, one to accept it, one to read from it.
+const FINAL_ITERATIONS: u8 = 3;
+const CHECK_INTERVAL: Micros = 10_000; // microseconds between checks whether all is answered
 
-/// What of the ledger of promises stands or falls with this front.
+/// What of the ledger depends on this front, and so delays its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Keeps {
-    Nothing,
+pub enum LedgerDuty {
+    None,
     /// It owns shards that others could own.
-    Shards,
-    /// Others are away, and without it a shard has no majority.
-    Majority,
+    OwnsShards,
+    /// Other replicas are away, and without it a shard has no majority.
+    NeededForQuorum,
 }
 
-impl Keeps {
-    pub fn of(needed: bool, hands_over: bool) -> Keeps {
+impl LedgerDuty {
+    /// `needed`: a shard has no majority without this front. `hands_over`: it owns shards.
+    pub fn of(needed: bool, hands_over: bool) -> LedgerDuty {
         match (needed, hands_over) {
-            (true, _) => Keeps::Majority,
-            (false, true) => Keeps::Shards,
-            (false, false) => Keeps::Nothing,
+            (true, _) => LedgerDuty::NeededForQuorum,
+            (false, true) => LedgerDuty::OwnsShards,
+            (false, false) => LedgerDuty::None,
         }
     }
 }
 
 #[derive(Default)]
 pub struct Shutdown {
+    /// When SIGTERM came.
     since: Option<Micros>,
-    /// Turns that began after its door was to be closed.
-    late: u8,
+    /// Iterations that began after the listener was to be closed.
+    late_iterations: u8,
     closed: bool,
 }
 
 impl Shutdown {
-    pub fn ask(&mut self, now: Micros) {
+    /// SIGTERM has come; a second one changes nothing.
+    pub fn request(&mut self, now: Micros) {
         if self.since.is_none() {
             log::info!("the end was asked for; what comes in for now is still taken");
             self.since = Some(now);
         }
     }
 
-    pub fn asked(&self) -> bool {
+    pub fn is_requested(&self) -> bool {
         self.since.is_some()
     }
 
-    /// Whether the door is to be closed by now.
-    pub fn closes(&mut self, now: Micros, keeps: Keeps) -> bool {
-        let door = match keeps {
-            Keeps::Nothing => DOOR,
-            Keeps::Shards => HANDED_OVER,
-            Keeps::Majority => NEEDED,
+    /// Whether the listener is to be closed by now. To be called once in each iteration.
+    pub fn closes(&mut self, now: Micros, duty: LedgerDuty) -> bool {
+        let close_after = match duty {
+            LedgerDuty::None => CLOSE_AFTER,
+            LedgerDuty::OwnsShards => CLOSE_AFTER_HAND_OVER,
+            LedgerDuty::NeededForQuorum => CLOSE_AFTER_QUORUM,
         };
-        if self.since.is_none_or(|since| now < since + door) {
+        if self.since.is_none_or(|since| now < since + close_after) {
             return false;
         }
-        // A front that stood still has yet to take who came meanwhile, and to read what they wrote.
-        self.late = self.late.saturating_add(1);
-        self.closed = self.late > LATE;
+        // A front that stood still has yet to accept who came meanwhile, and to read what they wrote.
+        self.late_iterations = self.late_iterations.saturating_add(1);
+        self.closed = self.late_iterations > FINAL_ITERATIONS;
         self.closed
     }
 
@@ -74,8 +79,9 @@
         self.closed
     }
 
+    /// When the next check whether all is answered is due.
     pub fn due(&self, now: Micros) -> Micros {
-        self.since.map_or(Micros::MAX, |since| (since + DOOR).max(now + LOOK))
+        self.since.map_or(Micros::MAX, |since| (since + CLOSE_AFTER).max(now + CHECK_INTERVAL))
     }
 }
 
--- a/crates/front/src/shutdown_tests.rs
+++ b/crates/front/src/shutdown_tests.rs
@@ -3,13 +3,19 @@
 use super::*;
 
 #[test]
-fn the_door_waits_for_promises_to_be_handed_over_but_not_for_ever() {
-    let mut end = Shutdown::default();
-    end.ask(0);
-    for (keeps, door) in [(Keeps::Nothing, DOOR), (Keeps::Shards, HANDED_OVER), (Keeps::Majority, NEEDED)] {
-        assert!(!end.closes(door - 1, keeps));
-        let mut late = (0..=LATE).map(|_| end.closes(door, keeps));
-        assert!(late.by_ref().take(LATE.into()).all(|closes| !closes) && late.next() == Some(true));
-        end.late = 0;
+fn the_listener_stays_open_while_shards_are_handed_over_but_not_for_ever() {
+    let mut shutdown = Shutdown::default();
+    shutdown.request(0);
+    for (duty, close_after) in [
+        (LedgerDuty::None, CLOSE_AFTER),
+        (LedgerDuty::OwnsShards, CLOSE_AFTER_HAND_OVER),
+        (LedgerDuty::NeededForQuorum, CLOSE_AFTER_QUORUM),
+    ] {
+        assert!(!shutdown.closes(close_after - 1, duty));
+        let mut late = (0..=FINAL_ITERATIONS).map(|_| shutdown.closes(close_after, duty));
+        assert!(
+            late.by_ref().take(FINAL_ITERATIONS.into()).all(|closes| !closes) && late.next() == Some(true)
+        );
+        shutdown.late_iterations = 0;
     }
 }
