--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -1,100 +1,102 @@
-//! The time, and how long what is found now may have waited for a front that had no CPU or stood still.
+//! The time, and how long what is found now may have waited for a front that had no CPU or was stopped.
 
 use std::path::Path;
 use std::time::{Duration, SystemTime};
 
 use hallmux_dispatcher::Micros;
 
-use crate::drill::Drill;
+use crate::test_clock::TestClock;
 
-const STILL: Micros = 250_000; // microseconds late that are worth a line in the log
-const FRESH: Micros = 20_000; // microseconds that a look at the connections stays good; a fifth of what is allowed
-const PROMPT: Micros = 50_000; // microseconds late that are no standing still; less than an answer's slack
+const LOGGED_DELAY: Micros = 250_000; // microseconds late that are worth a line in the log
+const FRESH_FOR: Micros = 20_000; // microseconds that a read of the sockets stays good; a fifth of what is allowed
+const ON_TIME: Micros = 50_000; // microseconds late that count as on time; less than an answer's slack
 
 #[derive(Default)]
 pub struct Clock {
-    /// For drills: how much more it reads than the machine's, or where else the time comes from.
-    ahead: Micros,
-    drill: Option<Drill>,
-    /// The system's Unix clock at the last look, but never back.
+    /// How much more it reads than its source: for tests of clocks that are apart.
+    offset: Micros,
+    /// Where the time comes from in place of the machine's clock, in tests.
+    test_clock: Option<TestClock>,
+    /// The Unix clock at the last `refresh`, but never back.
     pub now: Micros,
     /// All that had come by then has been decided on.
     decided: Option<Micros>,
     /// When this front went to sleep, and until when it meant to.
-    sleeps: Micros,
-    until: Micros,
-    /// Since when what is found in this turn may have waited, once it is known.
-    since: Option<Micros>,
-    /// When this turn began, and whether that was late.
-    woke: Micros,
+    slept_at: Micros,
+    sleep_until: Micros,
+    /// Since when what is found in this iteration may have waited, once it is known.
+    waiting_since: Option<Micros>,
+    /// When this iteration began, and whether that was late.
+    woke_at: Micros,
     late: bool,
 }
 
 impl Clock {
-    /// `drill` names the file of a drill's clock, in place of the machine's.
-    pub fn new(ahead: Micros, drill: Option<&Path>) -> std::io::Result<Clock> {
-        let drill = drill.map(Drill::open).transpose()?;
-        Ok(Clock { ahead, drill, ..Clock::default() })
+    /// `test_clock` names the file of a test's clock, in place of the machine's.
+    pub fn new(offset: Micros, test_clock: Option<&Path>) -> std::io::Result<Clock> {
+        let test_clock = test_clock.map(TestClock::open).transpose()?;
+        Ok(Clock { offset, test_clock, ..Clock::default() })
     }
 
-    pub fn look(&mut self) {
-        if let Some(drill) = &mut self.drill {
-            let time = drill.now();
-            return self.set(time.saturating_add(self.ahead));
+    /// Reads the time.
+    pub fn refresh(&mut self) {
+        if let Some(test_clock) = &mut self.test_clock {
+            let time = test_clock.now();
+            return self.set(time.saturating_add(self.offset));
         }
         let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        self.set(since.as_micros() as Micros + self.ahead);
+        self.set(since.as_micros() as Micros + self.offset);
     }
 
     fn set(&mut self, time: Micros) {
         self.now = self.now.max(time);
     }
 
-    /// Nothing is due until then: how long the front may sleep.
+    /// An iteration is over and nothing is due until the time given: how long the front may sleep.
     pub fn sleep(&mut self, until: Micros) -> Duration {
-        if self.since.is_some() && self.now - self.woke > STILL {
-            log::warn!("a turn took {} ms", (self.now - self.woke) / 1000);
+        if self.waiting_since.is_some() && self.now - self.woke_at > LOGGED_DELAY {
+            log::warn!("a turn took {} ms", (self.now - self.woke_at) / 1000);
         }
-        // After a late turn it looks again at once: what it finds then had waited as well.
+        // After a late iteration it reads its sockets again at once: what it finds then had waited as well.
         let until = if self.late { self.now } else { until.max(self.now) };
-        (self.sleeps, self.until, self.since) = (self.now, until, None);
-        match &mut self.drill {
-            Some(drill) => drill.sleeps(until.saturating_sub(self.ahead)),
+        (self.slept_at, self.sleep_until, self.waiting_since) = (self.now, until, None);
+        match &mut self.test_clock {
+            Some(test_clock) => test_clock.sleep(until.saturating_sub(self.offset)),
             None => Duration::from_micros((until - self.now) as u64),
         }
     }
 
-    /// All that was found in this turn is decided on. Guards against a front that is stopped at work: what
-    /// came after it had looked at its connections is not found yet, and had come by no later time than that.
-    pub fn decides(&mut self) {
-        self.decided = Some(if self.late { self.sleeps } else { self.woke });
+    /// All that was found in this iteration is decided on. Guards against a front that is stopped at work: what
+    /// came after it had read its sockets is not found yet, and had come by no later time than that.
+    pub fn decide(&mut self) {
+        self.decided = Some(if self.late { self.slept_at } else { self.woke_at });
     }
 
-    /// Tells when a turn began; the first call of a turn counts.
-    pub fn woke(&mut self) {
-        if self.since.is_some() {
+    /// An iteration begins; the first call in it counts.
+    pub fn wake(&mut self) {
+        if self.waiting_since.is_some() {
             return;
         }
         let decided = self.decided.unwrap_or(self.now);
         // Guards against answers too late for their client: a front that was stopped, in its sleep or at
         // work, cannot know when the statements came that it finds. Those that came last seem older than
-        // they are, and may be given up though they could have been in time.
-        self.late = self.sleeps - decided > PROMPT || self.now - self.until > PROMPT;
-        self.woke = self.now;
-        self.since = Some(if self.late { decided } else { self.now });
-        if self.waited() > STILL {
+        // they are, and may be shed though they could have been in time.
+        self.late = self.slept_at - decided > ON_TIME || self.now - self.sleep_until > ON_TIME;
+        self.woke_at = self.now;
+        self.waiting_since = Some(if self.late { decided } else { self.now });
+        if self.waited() > LOGGED_DELAY {
             log::warn!("stood still for {} ms", self.waited() / 1000);
         }
     }
 
-    /// Whether this turn's look at the connections is too old to send anything by.
+    /// Whether this iteration's read of the sockets is too old to send anything by.
     pub fn is_stale(&self) -> bool {
-        self.late || self.now - self.woke > FRESH
+        self.late || self.now - self.woke_at > FRESH_FOR
     }
 
-    /// How long what is found now may have waited.
+    /// Microseconds that what is found now may have waited unread.
     pub fn waited(&self) -> Micros {
-        self.since.map_or(0, |since| self.now - since)
+        self.waiting_since.map_or(0, |since| self.now - since)
     }
 }
 
--- a/crates/front/src/clock_tests.rs
+++ b/crates/front/src/clock_tests.rs
@@ -7,12 +7,12 @@
     let mut clock = Clock::default();
     clock.set(decided);
     clock.sleep(decided);
-    clock.woke();
-    clock.decides();
+    clock.wake();
+    clock.decide();
     clock.set(sleeps);
     clock.sleep(until);
     clock.set(wakes);
-    clock.woke();
+    clock.wake();
     clock.waited()
 }
 
@@ -29,42 +29,42 @@
 }
 
 #[test]
-fn what_a_late_turn_has_not_seen_is_as_old_and_found_at_once() {
+fn what_a_late_iteration_has_not_seen_is_as_old_and_found_at_once() {
     let mut clock = Clock::default();
     clock.set(1_000_000);
     clock.sleep(1_000_000);
-    clock.woke();
-    clock.decides();
+    clock.wake();
+    clock.decide();
     clock.sleep(1_025_000);
     // Stopped between its look at the connections and its work: the next look finds what came meanwhile.
     clock.set(2_600_000);
-    clock.woke();
+    clock.wake();
     assert_eq!(clock.waited(), 1_600_000);
-    clock.decides();
+    clock.decide();
     assert_eq!(clock.sleep(2_625_000), Duration::ZERO);
     clock.set(2_600_200);
-    clock.woke();
+    clock.wake();
     assert_eq!(clock.waited(), 1_600_200);
-    clock.decides();
+    clock.decide();
     clock.sleep(2_625_000);
     clock.set(2_600_400);
-    clock.woke();
+    clock.wake();
     assert_eq!(clock.waited(), 0);
-    clock.decides();
+    clock.decide();
     assert_eq!(clock.sleep(2_625_400), Duration::from_millis(25));
 }
 
 #[test]
-fn what_came_while_a_turn_was_at_work_is_as_old_as_the_turn() {
+fn what_came_while_an_iteration_was_at_work_is_as_old_as_the_iteration() {
     let mut clock = Clock::default();
     clock.set(1_000_000);
     clock.sleep(1_025_000);
     clock.set(1_010_000);
-    clock.woke();
+    clock.wake();
     clock.set(2_600_000); // stopped at work
-    clock.decides();
+    clock.decide();
     clock.sleep(2_625_000);
     clock.set(2_600_200);
-    clock.woke();
+    clock.wake();
     assert_eq!(clock.waited(), 1_590_200);
 }
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -83,7 +83,7 @@
         let part = |why: std::io::Error| Fault::part(&why);
         let clock = Clock::new(station.operator.clock_ahead, station.drill_clock.as_deref());
         let mut clock = clock.map_err(part)?;
-        clock.look();
+        clock.refresh();
         let gossip = station.operator.gossip.as_ref();
         let peers = gossip.map(|gossip| Peers::new(gossip, clock.now, &handle)).transpose()?;
         let rules = rules::start(station, clock.now, peers.as_ref())?;
@@ -134,7 +134,7 @@
 
     /// How long nothing is due.
     pub fn idle(&mut self) -> Duration {
-        self.clock.look();
+        self.clock.refresh();
         let due = [
             if self.unfinished.is_empty() && !self.stale { Micros::MAX } else { 0 },
             self.dispatcher.wake(),
@@ -153,8 +153,8 @@
 
     /// A connection has changed: takes what is there.
     pub fn ready(&mut self, socket: SocketId) {
-        self.clock.look();
-        self.clock.woke();
+        self.clock.refresh();
+        self.clock.wake();
         let number = socket.number;
         let more = match socket.kind {
             // Statements of one order key run in the order in which they were taken: each is taken as it is found.
@@ -186,8 +186,8 @@
 
     /// Decides on all that was taken in, and sends what follows.
     pub fn turn(&mut self) {
-        self.clock.look();
-        self.clock.woke();
+        self.clock.refresh();
+        self.clock.wake();
         for socket in std::mem::take(&mut self.unfinished) {
             self.ready(socket);
         }
@@ -208,8 +208,8 @@
         self.tick_scatters();
         self.engines.expire(self.clock.now);
         self.coordinator.expire(self.clock.now);
-        self.clock.look();
-        self.clock.decides();
+        self.clock.refresh();
+        self.clock.decide();
         self.rule();
         self.flush_after_look();
         for _ in 0..ROUNDS {
@@ -270,7 +270,7 @@
     /// looked at its connections: a client may have left meanwhile, or a drain been told. Then it looks first, and
     /// sends in the next turn.
     fn flush_engines(&mut self) {
-        self.clock.look();
+        self.clock.refresh();
         self.stale = self.clock.is_stale();
         if !self.stale {
             self.send_out();
@@ -280,7 +280,7 @@
     /// The connections were looked at just now: what was kept for that leaves.
     fn flush_after_look(&mut self) {
         if std::mem::take(&mut self.stale) {
-            self.clock.look();
+            self.clock.refresh();
             self.send_out();
         }
     }
@@ -292,7 +292,7 @@
 
     /// The end was asked for.
     pub fn end(&mut self) {
-        self.clock.look();
+        self.clock.refresh();
         self.shutdown.request(self.clock.now);
         self.peers.iter_mut().for_each(|peers| peers.leave(self.clock.now));
         self.scatter.iter().for_each(|scatter| scatter.summaries.save());
@@ -301,7 +301,7 @@
     /// The configuration was read again: what may change while a front runs holds from now on. One that
     /// can't be used changes nothing.
     pub fn reload(&mut self, read: Result<Station, hallmux_agreement::Error>) {
-        self.clock.look();
+        self.clock.refresh();
         match read {
             Ok(station) => {
                 self.limit(&station.limits);
--- a/crates/front/src/front/orders.rs
+++ b/crates/front/src/front/orders.rs
@@ -90,7 +90,7 @@
         let Some((guard, peers)) = self.guard.as_mut().zip(self.peers.as_mut()) else { return };
         let clients = &self.clients;
         let id = |ticket| clients.call(ticket).map(|call| call.id.clone());
-        self.clock.look();
+        self.clock.refresh();
         let now = self.clock.now;
         for ruling in guard.turn(now, &mut self.dispatcher, peers, id) {
             match ruling {
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -3,7 +3,6 @@
 mod clients;
 mod clock;
 mod coordinator;
-mod drill;
 mod engines;
 mod events;
 mod fleet;
@@ -16,6 +15,7 @@
 mod scatter;
 mod shutdown;
 mod start;
+mod test_clock;
 
 use std::net::TcpListener;
 use std::process::ExitCode;
--- a/crates/front/src/start.rs
+++ b/crates/front/src/start.rs
@@ -14,7 +14,7 @@
     Peers(#[from] crate::fleet::PeersFault),
     #[error(transparent)]
     Rules(#[from] crate::fleet::RulesFault),
-    /// What else the operator's file switches on, or a drill's clock: the text names the key.
+    /// What else the operator's file switches on, or the clock of a test: the text names the key.
     #[error("{0}; mend that key or file, or leave it out")]
     Part(String),
     /// The same, where the part itself says what can be done.
--- /dev/null
+++ b/crates/front/src/test_clock.rs
@@ -0,0 +1,63 @@
+//! Fault injection for time: a clock that is read from a file, which a test harness moves. A test's verdict then
+//! does not depend on the machine's load: however slow the front's peers are, no time passes meanwhile.
+//!
+//! The file is four numbers of 8 bytes, little-endian: the harness's time (Unix microseconds) and how often it has
+//! asked whether the front is idle, the front's next due time, and the last of these questions that it answers.
+
+use std::fs::{File, OpenOptions};
+use std::os::unix::fs::FileExt;
+use std::path::Path;
+use std::time::Duration;
+
+use hallmux_dispatcher::Micros;
+
+const POLL_INTERVAL: Duration = Duration::from_micros(500); // between reads of the file, in the machine's time
+const NUMBER_SIZE: u64 = 8; // bytes of a number
+                            // Offsets in bytes.
+const TIME: u64 = 0;
+const QUESTION: u64 = NUMBER_SIZE;
+const DUE: u64 = 2 * NUMBER_SIZE;
+const ANSWERED: u64 = 3 * NUMBER_SIZE;
+
+pub struct TestClock {
+    file: File,
+    time: Micros,
+    /// The question that was there before the front looked at its connections.
+    question: i64,
+}
+
+impl TestClock {
+    /// Opens the file that `HALLMUX_CLOCK` names; an error names the variable.
+    pub fn open(path: &Path) -> std::io::Result<TestClock> {
+        let why = |e: std::io::Error| std::io::Error::new(e.kind(), format!("HALLMUX_CLOCK: {e}"));
+        let file = OpenOptions::new().read(true).write(true).open(path).map_err(why)?;
+        let mut clock = TestClock { file, time: 0, question: 0 };
+        clock.time = clock.number(TIME).map_err(why)?;
+        Ok(clock)
+    }
+
+    fn number(&self, at: u64) -> std::io::Result<i64> {
+        let mut bytes = [0; NUMBER_SIZE as usize];
+        self.file.read_exact_at(&mut bytes, at)?;
+        Ok(i64::from_le_bytes(bytes))
+    }
+
+    /// The harness's time, Unix microseconds; where the file can't be read, the last one.
+    pub fn now(&mut self) -> Micros {
+        self.time = self.number(TIME).unwrap_or(self.time);
+        self.time
+    }
+
+    /// The front goes to sleep until `due`, having done all that it could read since it last did: answers the
+    /// question that was asked before. Returns how long to sleep in the machine's time.
+    pub fn sleep(&mut self, due: Micros) -> Duration {
+        // The time first: whoever sees the answer to a question sees what it was.
+        let written = self.file.write_all_at(&due.to_le_bytes(), DUE);
+        let written = written.and_then(|()| self.file.write_all_at(&self.question.to_le_bytes(), ANSWERED));
+        match written.and_then(|()| self.number(QUESTION)) {
+            Ok(question) => self.question = question,
+            Err(e) => log::error!("the drill's clock: {e}"),
+        }
+        POLL_INTERVAL
+    }
+}
--- a/crates/front/tests/play/clock.rs
+++ b/crates/front/tests/play/clock.rs
@@ -1,4 +1,4 @@
-//! The time, as the scenarios let it pass: the front takes it from a file (`crates/front/src/drill.rs`).
+//! The time, as the scenarios let it pass: the front takes it from a file (`crates/front/src/test_clock.rs`).
 
 use std::fs::{File, OpenOptions};
 use std::os::unix::fs::FileExt;
