--- a/crates/front/src/fleet/copies.rs
+++ b/crates/front/src/fleet/copies.rs
@@ -64,10 +64,10 @@
 
 impl Copies {
     /// Opens the directory: its identity, drawn if it is new, and what was kept there. `wake` is called once something
-    /// is lasting or has failed. `drill` names the file of a drill on the disk.
+    /// is lasting or has failed. `fault_file` holds the faults to inject on the disk.
     pub fn open(
         directory: &str,
-        drill: Option<&str>,
+        fault_file: Option<&str>,
         socket: UdpSocket,
         wake: impl Fn() + Send + 'static,
     ) -> Result<(Copies, Found), Unfit> {
@@ -84,8 +84,8 @@
         let found = opened(directory, || {
             let mut builder = Database::builder();
             builder.set_cache_size(CACHE);
-            match drill {
-                Some(drill) => builder.create_with_backend(super::disk::open(&file, drill)?),
+            match fault_file {
+                Some(fault_file) => builder.create_with_backend(super::faulty_disk::open(&file, fault_file)?),
                 None => builder.create(&file),
             }
         })?;
--- a/crates/front/src/fleet/mod.rs
+++ b/crates/front/src/fleet/mod.rs
@@ -3,8 +3,8 @@
 //! not there. What the words mean is decided in `crates/fleet` and the minds behind it.
 
 mod copies;
-mod disk;
 mod fault;
+mod faulty_disk;
 mod gate;
 mod members;
 mod peers;
