--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -13,7 +13,7 @@
 use lingering::Lingering;
 
 const MOST_OPEN: usize = 32; // statements open on a connection, as the protocol has it
-const ONE_READ: usize = 16 << 10; // bytes taken from a client in a turn, and one chunk: all that it may have open
+const ONE_READ: usize = 16 << 10; // bytes taken from a client in an iteration, and one chunk: all that it may have open
 const MOST_FAULTS: usize = 8; // statements that can't be used, until their connection is closed
 const MOST_UNSENT: usize = 64 << 10; // bytes that a client may leave untaken before it is no longer read
 
@@ -126,7 +126,7 @@
     }
 
     /// A connection has changed: takes what the client has said, and sends on where it takes more again.
-    /// True if there is more for another turn.
+    /// True if there is more for another iteration.
     pub fn read(&mut self, now: Micros, id: ClientId, well: bool, told: &mut Vec<Told>) -> bool {
         if self.lingering.read(id) {
             return false;
--- a/crates/front/src/clients/lingering.rs
+++ b/crates/front/src/clients/lingering.rs
@@ -39,7 +39,7 @@
         let Some(closing) = self.connections.get_mut(&id) else { return false };
         let (more, broken) = closing.link.read();
         closing.link.input.clear();
-        // One that sends more than a turn takes has not stopped: it is not listened to any longer.
+        // One that sends more than an iteration takes has not stopped: it is not listened to any longer.
         if more || broken.is_some() {
             self.connections.remove(&id);
         }
--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -41,7 +41,7 @@
     }
 
     /// Another address is to be asked from now on, from the last number; the old connection goes.
-    pub fn turn_to(&mut self, now: Micros, at: Option<SocketAddr>) {
+    pub fn set_address(&mut self, now: Micros, at: Option<SocketAddr>) {
         if self.at != at {
             (self.at, self.link, self.failing, self.due) = (at, None, false, now);
         }
--- a/crates/front/src/engines/heard.rs
+++ b/crates/front/src/engines/heard.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Engines {
-    /// A connection has changed; true if there is more for another turn.
+    /// A connection has changed; true if there is more for another iteration.
     pub fn read(&mut self, now: Micros, id: LinkId) -> bool {
         let Some(link) = self.links.get_mut(&id) else { return false };
         if !link.up {
--- a/crates/front/src/engines/room_tests.rs
+++ b/crates/front/src/engines/room_tests.rs
@@ -26,7 +26,7 @@
             Terms { ends: 1 << 40, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 },
         );
     };
-    // The first turn is a second after the start.
+    // The first connection may be made a second after the start.
     assert_eq!(engines.room(SECOND - 1, 0), 0);
     send(&mut engines, SECOND - 1, 1);
     let withdrawn = |told: Option<Told>| matches!(told, Some(Told::Ended { ending: Ending::Withdrawn, .. }));
@@ -34,7 +34,7 @@
     assert_eq!(engines.room(SECOND, 0), 2);
     send(&mut engines, SECOND, 2);
     assert_eq!((engines.room(SECOND, 0), engines.links.len()), (1, 1));
-    // The connection takes another at once; a probe waits for no turn, and is not sent without.
+    // The connection takes another at once; a probe does not wait until a connection may be made: it is not sent then.
     send(&mut engines, SECOND + 1, 3);
     assert_eq!((engines.room(SECOND + 1, 0), engines.links.len()), (0, 1));
     engines.probe(SECOND + 1, 0);
--- a/crates/front/src/engines/sent.rs
+++ b/crates/front/src/engines/sent.rs
@@ -49,7 +49,7 @@
         let least = engine.links.iter().filter(fits).min_by_key(|link| rank(link).1).copied();
         match least {
             Some(link) if !self.may_have_more(engine) => Ok(link),
-            // Not its turn: what is there is used, else it stays here.
+            // No new connection may be made now: what is there is used, else it stays here.
             _ if !self.dials.borrow_mut().take(now, place) => least.ok_or(Ending::Withdrawn),
             _ => self.dial(now, place).or_else(|ending| least.ok_or(ending)),
         }
@@ -139,7 +139,7 @@
         self.next += 1;
         let tag = format!("p{}", self.next);
         let link = match self.link_for(now, place, &tag) {
-            Err(Ending::Withdrawn) => return, // for want of a turn to dial: that says nothing of the engine
+            Err(Ending::Withdrawn) => return, // no new connection may be made now: that says nothing of the engine
             other => other.ok().and_then(|id| self.links.get_mut(&id)),
         };
         let Some(link) = link else {
--- a/crates/front/src/engines/waited.rs
+++ b/crates/front/src/engines/waited.rs
@@ -39,7 +39,7 @@
             let Some(link) = self.links.get_mut(&id) else { continue };
             if !link.up && link.dial_by <= now {
                 // Guards against a front that stood still between its look at the connections and this one: one that
-                // has come up meanwhile is found as up in the next turn.
+                // has come up meanwhile is found as up in the next iteration.
                 if !link.link.is_up().is_ok_and(|up| up) {
                     self.end(now, id, Ending::NeverUp);
                 }
--- a/crates/front/src/fleet/gate.rs
+++ b/crates/front/src/fleet/gate.rs
@@ -62,7 +62,7 @@
 
     /// Passes on what statements have come to and what the ledger says; what becomes of what was held. `id` names a
     /// statement wherever it is tried.
-    pub fn turn(
+    pub fn tick(
         &mut self,
         now: Micros,
         dispatcher: &mut Dispatcher,
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -29,7 +29,7 @@
 use crate::events::{Events, SocketKind};
 use crate::shutdown::LedgerDuty;
 
-const ONE_TURN: usize = 64; // datagrams taken before others have their turn
+const DATAGRAMS_PER_ITERATION: usize = 64; // datagrams taken before others are served
 const PART: u32 = 56; // bits of a number that a part of the front counts in
 const SAID: Micros = 10_000_000; // microseconds between lines of the log on what was refused
 
@@ -194,11 +194,11 @@
         self.exchange.due(self.moment(now))
     }
 
-    /// Datagrams have come; true if there are more for another turn.
+    /// Datagrams have come; true if there are more for another iteration.
     pub fn read(&mut self, now: Micros) -> bool {
         self.lasting(now);
         let mut bytes = [0; LONGEST + 1];
-        for _ in 0..ONE_TURN {
+        for _ in 0..DATAGRAMS_PER_ITERATION {
             match self.socket.recv_from(&mut bytes) {
                 Ok((len, from)) => {
                     let out = self.exchange.heard(self.moment(now), from, &bytes[..len]);
@@ -221,7 +221,7 @@
     pub fn letters(&mut self, channel: Channel) -> Vec<(PeerId, Vec<u8>)> {
         for letter in self.exchange.letters() {
             let kept = self.letters.entry(letter.channel).or_default();
-            if kept.len() < ONE_TURN {
+            if kept.len() < DATAGRAMS_PER_ITERATION {
                 kept.push((letter.from, letter.bytes));
             }
         }
@@ -241,8 +241,8 @@
         self.names.keys().copied().filter(|peer| *peer != own).collect()
     }
 
-    /// A number of this front's own, for turns that fronts should not all begin alike.
-    pub fn turn(&self) -> usize {
+    /// A number of this front's own, so that not all fronts begin with the same peer in what they send by turns.
+    pub fn spread_offset(&self) -> usize {
         id(&self.exchange.public()) as usize
     }
 
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -273,7 +273,7 @@
     }
 
     /// Does what is due: what becomes of statements.
-    pub fn turn(
+    pub fn tick(
         &mut self,
         now: Micros,
         dispatcher: &mut Dispatcher,
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -1,4 +1,4 @@
-//! What one front does in a turn: it takes in all that is there, decides once, and sends what follows.
+//! What one front does in an iteration: it takes in all that is there, decides once, and sends what follows.
 
 mod asked;
 mod listed;
@@ -30,7 +30,7 @@
 
 pub use rooms::Pacer;
 
-const ROUNDS: usize = 8; // decisions in a turn: what the first one stops is told to the next at once
+const MOST_DECISIONS: usize = 8; // decisions in an iteration: an execution that the first one stops is known to the next at once
 const MEMORY_PART: u64 = 4; // statements held may take one part of so many, untaken answers another
 const CLIENTS_PART: usize = 2; // of the descriptors; clients hold a third, the rest is for engines
 
@@ -60,7 +60,7 @@
     rooms: Rooms,
     shutdown: Shutdown,
     clock: Clock,
-    /// Connections with more to read than one turn takes.
+    /// Connections with more to read than one iteration takes.
     unfinished: Vec<SocketId>,
     /// What was decided has not left for engines yet: the connections are looked at first.
     stale: bool,
@@ -89,12 +89,12 @@
         let rules = rules::start(station, clock.now, peers.as_ref())?;
         let open = |postgres| Portal::new(postgres, contract, handle.clone(), rules.clone());
         let mut portal = portal.map(open).transpose().map_err(part)?;
-        let turn = peers.as_ref().map_or(0, Peers::turn);
+        let spread_offset = peers.as_ref().map_or(0, Peers::spread_offset);
         let scatter = station.operator.scatter.as_ref();
         if let Some((portal, scatter)) = portal.as_mut().zip(scatter.filter(|scatter| scatter.marked)) {
             portal.writes = scatter.writes.clone();
         }
-        let scatter = scatter.map(|scatter| Scatters::new(scatter, clock.now, turn, contract));
+        let scatter = scatter.map(|scatter| Scatters::new(scatter, clock.now, spread_offset, contract));
         let scatter = scatter.transpose().map_err(part)?;
         let mut front = Front {
             listener: Listener::new(listener, &handle, SocketKind::Listener.id(0)).map_err(part)?,
@@ -185,7 +185,7 @@
     }
 
     /// Decides on all that was taken in, and sends what follows.
-    pub fn turn(&mut self) {
+    pub fn iterate(&mut self) {
         self.clock.refresh();
         self.clock.wake();
         for socket in std::mem::take(&mut self.unfinished) {
@@ -212,7 +212,7 @@
         self.clock.decide();
         self.rule();
         self.flush_after_look();
-        for _ in 0..ROUNDS {
+        for _ in 0..MOST_DECISIONS {
             self.heard();
             self.guarded();
             self.marked();
@@ -268,7 +268,7 @@
 
     /// Sends to engines what was decided. Guards against a front that stood still or worked for long since it last
     /// looked at its connections: a client may have left meanwhile, or a drain been told. Then it looks first, and
-    /// sends in the next turn.
+    /// sends in the next iteration.
     fn flush_engines(&mut self) {
         self.clock.refresh();
         self.stale = self.clock.is_stale();
@@ -317,7 +317,7 @@
                     scatter.reload(settings, self.clock.now);
                 }
                 self.follow_known(&station.known);
-                self.coordinator.turn_to(self.clock.now, station.coordinator);
+                self.coordinator.set_address(self.clock.now, station.coordinator);
                 let at = station.coordinator.map_or("none".to_string(), |at| at.to_string());
                 log::info!("the configuration was read again; coordinator: {at}");
             }
--- a/crates/front/src/front/orders.rs
+++ b/crates/front/src/front/orders.rs
@@ -64,7 +64,7 @@
         let Some(rules) = self.rules.clone() else { return };
         let now = self.clock.now;
         self.dispatcher.followed().iter().for_each(|ticket| rules.borrow_mut().gone(*ticket));
-        let rulings = rules.borrow_mut().turn(now, &mut self.dispatcher, self.peers.as_mut());
+        let rulings = rules.borrow_mut().tick(now, &mut self.dispatcher, self.peers.as_mut());
         for ruling in rulings {
             match ruling {
                 Ruling::Go(ordered) => self.pass(ordered),
@@ -92,7 +92,7 @@
         let id = |ticket| clients.call(ticket).map(|call| call.id.clone());
         self.clock.refresh();
         let now = self.clock.now;
-        for ruling in guard.turn(now, &mut self.dispatcher, peers, id) {
+        for ruling in guard.tick(now, &mut self.dispatcher, peers, id) {
             match ruling {
                 gate::Ruling::Go(gate::Ordered { ticket, execution, place, terms, .. }) => {
                     self.dispatcher.leaves(now, ticket, execution);
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -11,13 +11,13 @@
 
 use crate::events::{Events, SocketId};
 
-const CHUNK: usize = 64 << 10; // bytes taken at once
-const AHEAD: usize = 64 << 10; // bytes on their way that can't be taken back: some hundred statements
-const ONE_TURN: usize = 256 << 10; // bytes taken before other connections have their turn
+const READ_CHUNK: usize = 64 << 10; // bytes taken at once
+const SEND_BUFFER: usize = 64 << 10; // bytes on their way that can't be taken back: some hundred statements
+const BYTES_PER_ITERATION: usize = 256 << 10; // bytes taken from a connection before others are served
 
 thread_local! {
     /// What is read goes through here, so that a connection holds no more than it needs.
-    static TAKEN: RefCell<Vec<u8>> = RefCell::new(vec![0; CHUNK]);
+    static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_CHUNK]);
 }
 
 /// How a connection ended from the other side.
@@ -62,7 +62,7 @@
     pub fn dial(to: SocketAddr, handle: &LoopHandle<'static, Events>, id: SocketId) -> std::io::Result<Link> {
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
-        socket.set_send_buffer_size(AHEAD)?;
+        socket.set_send_buffer_size(SEND_BUFFER)?;
         match socket.connect(&to.into()) {
             Err(e) if e.raw_os_error() != Some(IN_PROGRESS) && e.kind() != ErrorKind::WouldBlock => Err(e),
             _ => Link::new(socket.into(), handle, id),
@@ -81,14 +81,14 @@
         }
     }
 
-    /// Takes what is readable; true if there is more for another turn.
+    /// Takes what is readable; true if there is more for another iteration.
     pub fn read(&mut self) -> (bool, Option<Broken>) {
-        self.read_some(ONE_TURN)
+        self.read_some(BYTES_PER_ITERATION)
     }
 
     /// The same up to so many bytes and one chunk.
     pub fn read_some(&mut self, most: usize) -> (bool, Option<Broken>) {
-        TAKEN.with_borrow_mut(|chunk| {
+        READ_BUFFER.with_borrow_mut(|chunk| {
             let mut taken = 0;
             while taken < most {
                 match (&*self.stream).read(chunk) {
@@ -139,7 +139,7 @@
             }
         }
         self.output.clear();
-        self.output.shrink_to(CHUNK);
+        self.output.shrink_to(READ_CHUNK);
         self.left = 0;
         Ok(())
     }
@@ -152,8 +152,8 @@
     /// Lets go of the first bytes of the input.
     pub fn taken(&mut self, len: usize) {
         self.input.drain(..len);
-        if self.input.capacity() > self.input.len() + 2 * CHUNK {
-            self.input.shrink_to(self.input.len() + CHUNK);
+        if self.input.capacity() > self.input.len() + 2 * READ_CHUNK {
+            self.input.shrink_to(self.input.len() + READ_CHUNK);
         }
     }
 }
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -68,7 +68,7 @@
             }
         }
         events.ready.drain(..).for_each(|socket| front.ready(socket));
-        front.turn();
+        front.iterate();
     }
     log::info!("all is answered");
     Ok(())
--- a/crates/front/src/postgres/portal.rs
+++ b/crates/front/src/postgres/portal.rs
@@ -46,7 +46,7 @@
     /// Workloads whose units may write, where loads are marked.
     pub writes: Vec<String>,
     shut: Option<Micros>,
-    /// Connections with more to read than one turn takes, that the loop does not tell of again.
+    /// Connections with more to read than one iteration takes, that the loop does not tell of again.
     unfinished: Vec<SocketId>,
 }
 
@@ -121,7 +121,7 @@
         self.listener.due().min(self.servers.due()).min(ready)
     }
 
-    /// A connection has changed: takes what is there. True if there is more for another turn.
+    /// A connection has changed: takes what is there. True if there is more for another iteration.
     pub fn found(&mut self, now: Micros, socket: SocketId, room: Room, dispatcher: &mut Dispatcher) -> bool {
         let more = self.ready(now, socket);
         if socket.kind == SocketKind::Session {
@@ -171,14 +171,14 @@
         }
     }
 
-    /// Reads a connection that the loop has not told of; what one turn leaves is read in the next.
+    /// Reads a connection that the loop has not told of; what one iteration leaves is read in the next.
     fn read_on(&mut self, now: Micros, socket: SocketId) {
         if self.ready(now, socket) {
             self.unfinished.push(socket);
         }
     }
 
-    /// Reads on where a turn has left more, and takes the units that have come.
+    /// Reads on where an iteration has left more, and takes the units that have come.
     pub fn take(&mut self, now: Micros, room: Room, dispatcher: &mut Dispatcher) {
         for socket in std::mem::take(&mut self.unfinished) {
             self.read_on(now, socket);
--- a/crates/front/src/postgres/servers/coming.rs
+++ b/crates/front/src/postgres/servers/coming.rs
@@ -38,7 +38,7 @@
         x.link.filter(|_| resumes)
     }
 
-    /// A connection has changed; true if there is more for another turn.
+    /// A connection has changed; true if there is more for another iteration.
     pub fn read(&mut self, now: Micros, id: ServerId) -> bool {
         let Some(server) = self.links.get_mut(&id) else { return false };
         if !server.up {
--- a/crates/front/src/postgres/servers/leaving.rs
+++ b/crates/front/src/postgres/servers/leaving.rs
@@ -56,7 +56,7 @@
         while let Some(next) = step.take() {
             match next {
                 Step::Use { unit, link } => self.start(unit, link),
-                // What waits is served as connections come free, or at the next look when it is its turn.
+                // What waits is served as connections come free, or at the next look when a connection may be made.
                 Step::Dial { .. } if !self.dials.borrow_mut().take(now, place) => return,
                 Step::Dial { account, instead_of } => {
                     instead_of.into_iter().for_each(|id| self.close(id));
--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -208,7 +208,7 @@
         (self.behind.iter().map(unsent).sum(), self.behind.iter().copied().max_by_key(unsent))
     }
 
-    /// A connection has changed: takes what is there. True if there is more for another turn.
+    /// A connection has changed: takes what is there. True if there is more for another iteration.
     pub fn read(&mut self, now: Micros, id: SessionId) -> bool {
         let most = self.bounds.bytes;
         let Some(peer) = self.peers.get_mut(&id) else { return false };
--- a/crates/front/src/postgres/sessions/taking.rs
+++ b/crates/front/src/postgres/sessions/taking.rs
@@ -14,12 +14,12 @@
 use super::{Inside, Sessions, Stage, Told, Users};
 use crate::postgres::servers::{Servers, SessionId};
 
-const ONE_TURN: usize = 64; // units answered here for one session before others have their turn
+const UNITS_PER_ITERATION: usize = 64; // units answered here for one session before others are served
 
 impl Sessions {
     /// Takes the units that have come, as far as they can be taken now.
     pub fn advance(&mut self, now: Micros, id: SessionId, users: &Users, servers: &mut Servers) {
-        for _ in 0..ONE_TURN {
+        for _ in 0..UNITS_PER_ITERATION {
             let enters = matches!(self.peers.get(&id), Some(p) if matches!(p.stage, Stage::Entering(_)));
             let mut nonce = String::new();
             let mut hidden = [0; 8];
@@ -162,7 +162,7 @@
                 return;
             }
         }
-        // There may be more, after others have had their turn.
+        // There may be more, after others have been served.
         self.ready.push(id);
     }
 
--- a/crates/front/src/scatter/doubts.rs
+++ b/crates/front/src/scatter/doubts.rs
@@ -46,7 +46,7 @@
         Doubts { audits: Audits::new(terms(settings)), checks, chance, found: Vec::new(), fronts: 1 }
     }
 
-    pub fn turn_to(&mut self, settings: hallmux_agreement::Audits) {
+    pub fn set_terms(&mut self, settings: hallmux_agreement::Audits) {
         self.audits.turn_to(terms(settings));
     }
 
--- a/crates/front/src/scatter/summaries.rs
+++ b/crates/front/src/scatter/summaries.rs
@@ -52,11 +52,11 @@
 }
 
 impl Summaries {
-    /// `turn` is where among the others this front begins to tell of what it holds.
-    pub fn new(settings: &Scatter, now: Micros, turn: usize) -> std::io::Result<Summaries> {
+    /// `spread_offset`: with which of its peers this front begins to spread what it holds.
+    pub fn new(settings: &Scatter, now: Micros, spread_offset: usize) -> std::io::Result<Summaries> {
         let mut summaries = Summaries {
             book: Book::new(terms(settings)?),
-            spread: Spread::new(turn),
+            spread: Spread::new(spread_offset),
             found: Vec::new(),
             said: 0,
             home: BTreeMap::new(),
--- a/crates/front/src/scatter/wholes.rs
+++ b/crates/front/src/scatter/wholes.rs
@@ -70,7 +70,7 @@
     pub fn new(
         settings: &Scatter,
         now: Micros,
-        turn: usize,
+        spread_offset: usize,
         contract: &Contract,
     ) -> std::io::Result<Scatters> {
         let locations = contract.names.locations.clone();
@@ -78,7 +78,7 @@
         log::info!("statements of {:?} are asked of sites {:?}", settings.workloads, settings.sites.keys());
         Ok(Scatters {
             sites: settings.sites.keys().cloned().collect(),
-            summaries: Summaries::new(settings, now, turn)?,
+            summaries: Summaries::new(settings, now, spread_offset)?,
             loads,
             settings: settings.clone(),
             doubts: settings.audits.map(Doubts::new),
@@ -100,7 +100,7 @@
                 self.sites = settings.sites.keys().cloned().collect();
                 self.settings = settings.clone();
                 match (settings.audits, &mut self.doubts) {
-                    (Some(audits), Some(doubts)) => doubts.turn_to(audits),
+                    (Some(audits), Some(doubts)) => doubts.set_terms(audits),
                     (audits, doubts) => *doubts = audits.map(Doubts::new),
                 }
             }
