--- a/crates/front/src/engines/room_tests.rs
+++ b/crates/front/src/engines/capacity_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the `room` module.
+//! Unit tests of the `capacity` module.
 
 use super::*;
 use hallmux_dispatcher::Dials;
@@ -7,10 +7,10 @@
 
 #[test]
 fn connections_are_made_at_their_pace_and_those_that_are_there_are_used_at_any_time() {
-    let events: calloop::EventLoop<'static, Events> = calloop::EventLoop::try_new().unwrap();
+    let event_loop: calloop::EventLoop<'static, Events> = calloop::EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let allowed = Allowance { cancel: true, executions_per_connection: 2, ..Allowance::default() };
-    let mut engines = Engines::new(events.handle(), allowed, &Names::default());
+    let allowance = Allowance { cancel: true, executions_per_connection: 2, ..Allowance::default() };
+    let mut engines = Engines::new(event_loop.handle(), allowance, &Names::default());
     engines.limit(256);
     let mut dials = Dials::new(true, 0, 0);
     dials.pace(0, 1.0);
@@ -27,19 +27,20 @@
         );
     };
     // The first connection may be made a second after the start.
-    assert_eq!(engines.room(SECOND - 1, 0), 0);
+    assert_eq!(engines.capacity(SECOND - 1, 0), 0);
     send(&mut engines, SECOND - 1, 1);
-    let withdrawn = |told: Option<Told>| matches!(told, Some(Told::Ended { ending: Ending::Withdrawn, .. }));
-    assert!(withdrawn(engines.told.pop()) && engines.links.is_empty());
-    assert_eq!(engines.room(SECOND, 0), 2);
+    let withdrawn =
+        |event: Option<Event>| matches!(event, Some(Event::Ended { ending: Ending::Withdrawn, .. }));
+    assert!(withdrawn(engines.events.pop()) && engines.links.is_empty());
+    assert_eq!(engines.capacity(SECOND, 0), 2);
     send(&mut engines, SECOND, 2);
-    assert_eq!((engines.room(SECOND, 0), engines.links.len()), (1, 1));
+    assert_eq!((engines.capacity(SECOND, 0), engines.links.len()), (1, 1));
     // The connection takes another at once; a probe does not wait until a connection may be made: it is not sent then.
     send(&mut engines, SECOND + 1, 3);
-    assert_eq!((engines.room(SECOND + 1, 0), engines.links.len()), (0, 1));
+    assert_eq!((engines.capacity(SECOND + 1, 0), engines.links.len()), (0, 1));
     engines.probe(SECOND + 1, 0);
-    assert!(engines.told.is_empty() && engines.links.len() == 1);
+    assert!(engines.events.is_empty() && engines.links.len() == 1);
     send(&mut engines, 2 * SECOND, 4);
-    assert_eq!((engines.room(2 * SECOND, 0), engines.links.len()), (1, 2));
+    assert_eq!((engines.capacity(2 * SECOND, 0), engines.links.len()), (1, 2));
     assert_eq!(engines.executions.len(), 3);
 }
--- a/crates/front/src/engines/mod.rs
+++ b/crates/front/src/engines/mod.rs
@@ -1,10 +1,10 @@
 //! Connections to query engines: executions out, answers put together from their pages.
 
-mod heard;
-mod left;
-mod room;
-mod sent;
-mod waited;
+mod capacity;
+mod replies;
+mod send;
+mod timeouts;
+mod writes;
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::io::ErrorKind;
@@ -24,22 +24,22 @@
 
 const MOST_PAGES: usize = 64; // of a result; those agreed have eight
 const LONGEST_RESULT: usize = 48_000; // bytes, as the protocol has it
-const HALF_WRITTEN: Micros = 100_000; // microseconds for a statement that has begun to leave: its deadline goes with it
-const STUCK: Micros = 500_000; // microseconds for a line that has begun, or a page asked for; both take a few ms
-const SILENT: Micros = 1_500_000; // microseconds without a word on an execution given up: longer than notes take
-const TOGETHER: usize = 4; // executions on a connection before another is dialled: what a spoilt answer costs
-const LAG: Micros = 10_000; // microseconds until an engine has surely read what it was told: some round trips
-const OTHERS: usize = 32; // descriptors that are neither clients' nor engines'; the rest is for engines
+const WRITE_TIMEOUT: Micros = 100_000; // microseconds for a statement that has begun to leave: its deadline goes with it
+const READ_TIMEOUT: Micros = 500_000; // microseconds for a line that has begun, or a page asked for; both take a few ms
+const SILENCE_TIMEOUT: Micros = 1_500_000; // microseconds without a reply on an execution that is cancelled: longer than notes take
+const MOST_SHARED: usize = 4; // executions on a connection before another is dialled: what a spoilt answer costs
+const CANCEL_LAG: Micros = 10_000; // microseconds until an engine has surely read a command: some round trips
+const OTHER_DESCRIPTORS: usize = 32; // descriptors that are neither clients' nor engines'; the rest is for engines
 const MOST_UNSENT: usize = 1 << 20; // bytes that an engine may leave untaken: a thousand small statements
 const IDLE_MARGIN: Micros = 1_000_000; // microseconds by which a connection is closed before its engine would
-const MOST_GIVEN_UP: usize = 128; // ids that a connection remembers; then it takes no more executions
+const MOST_FORMER_IDS: usize = 128; // ids that a connection remembers; then it takes no more executions
 
 type LinkId = u64;
 /// An execution: its statement and its number.
 pub type Sent = (Ticket, usize);
 
-/// What engines have said, and how executions have ended.
-pub enum Told {
+/// What engines have answered, and how executions have ended.
+pub enum Event {
     Ended { sent: Sent, ending: Ending, report: Option<Vec<f64>>, cost: Option<Cost>, result: Vec<u8> },
     Noted { sent: Sent, note: Note },
     Probed { place: Place, alive: bool, report: Option<Vec<f64>> },
@@ -50,7 +50,7 @@
     at: SocketAddr,
     started: f64,
     /// Executions may go there.
-    listed: bool,
+    available: bool,
     links: Vec<LinkId>,
     /// Its last connection did not come up.
     failing: bool,
@@ -61,7 +61,7 @@
     bytes: Vec<Option<Vec<u8>>>,
     missing: usize,
     held: usize,
-    heard: Micros,
+    last_page: Micros,
     report: Option<Vec<f64>>,
     cost: Option<Cost>,
 }
@@ -71,7 +71,7 @@
     /// Not a byte of it has left.
     Queued,
     /// It is the one being written.
-    Leaving,
+    Writing,
     Out,
 }
 
@@ -81,7 +81,7 @@
     terms: Terms,
     stage: Stage,
     sent: Micros,
-    heard: Micros,
+    last_reply: Micros,
     pages: Option<Pages>,
 }
 
@@ -90,83 +90,84 @@
     place: Place,
     up: bool,
     /// It takes no more executions: its engine is another by now, or it was silent too long.
-    old: bool,
+    retired: bool,
     dial_by: Micros,
-    heard: Micros,
+    last_reply: Micros,
     /// Since when the rest of a line is awaited.
-    half_since: Option<Micros>,
+    partial_line_since: Option<Micros>,
     idle_since: Micros,
     /// How long it had rested when it was last taken up, and when that was.
-    rested: Micros,
-    taken_up: Micros,
+    idle_before: Micros,
+    resumed_at: Micros,
     queue: VecDeque<Sent>,
     /// The one being written, and where in the output it ends; commands may follow it.
-    leaving: Option<(Sent, usize)>,
+    writing: Option<(Sent, usize)>,
     open: HashMap<String, Sent>,
     /// Ids that are over here; what is still said of them means nothing. Where cancelling is not allowed, these may
     /// run on.
-    given_up: HashSet<String>,
-    /// Ids that their engine has ended, where it can't be told to give up the others: an engine that says so twice
+    cancelled: HashSet<String>,
+    /// Ids that their engine has ended, where cancelling is not allowed: an engine that answers twice
     /// must not end a further execution of the statement, so none of it comes over this connection.
-    ended: HashSet<String>,
+    finished: HashSet<String>,
     probes: HashMap<String, Micros>,
 }
 
 pub struct Engines {
     handle: LoopHandle<'static, Events>,
-    allowed: Allowance,
-    report: Vec<String>,
+    allowance: Allowance,
+    report_names: Vec<String>,
     engines: BTreeMap<Place, Engine>,
     links: BTreeMap<LinkId, EngineLink>,
     executions: BTreeMap<Sent, Execution>,
     next: u64,
-    most_links: usize,
+    max_links: usize,
     /// When connections may be made; any time where nothing else is set.
     pub dials: Pacer,
     reuse: Reuse,
-    /// Given up, but engines may not know yet; in the order in which they were. Until when, once the word has left.
-    lagging: VecDeque<(Option<Micros>, Sent, Ending)>,
-    pub told: Vec<Told>,
+    /// Cancelled, but their engines may not have read so yet, in the order in which they were. Each ends at the time
+    /// given, which is set once the command has left.
+    awaiting_cancel: VecDeque<(Option<Micros>, Sent, Ending)>,
+    pub events: Vec<Event>,
 }
 
 impl Engines {
-    pub fn new(handle: LoopHandle<'static, Events>, allowed: Allowance, names: &Names) -> Self {
+    pub fn new(handle: LoopHandle<'static, Events>, allowance: Allowance, names: &Names) -> Self {
         Engines {
             handle,
-            reuse: Reuse::new((allowed.keepalive - IDLE_MARGIN).max(IDLE_MARGIN)),
-            allowed,
-            report: names.report.clone(),
+            reuse: Reuse::new((allowance.keepalive - IDLE_MARGIN).max(IDLE_MARGIN)),
+            allowance,
+            report_names: names.report.clone(),
             engines: BTreeMap::new(),
             links: BTreeMap::new(),
             executions: BTreeMap::new(),
             next: 0,
-            most_links: 0,
+            max_links: 0,
             dials: Pacer::new(Dials::new(false, 0, 0).into()),
-            lagging: VecDeque::new(),
-            told: Vec::new(),
+            awaiting_cancel: VecDeque::new(),
+            events: Vec::new(),
         }
     }
 
     /// Descriptors that clients leave to the rest of the front.
     pub fn limit(&mut self, sockets: usize) {
-        self.most_links = sockets.saturating_sub(OTHERS).max(1);
+        self.max_links = sockets.saturating_sub(OTHER_DESCRIPTORS).max(1);
     }
 
     /// It ends; what was ended from here, not before its engine has read of it. Guards against two executions
     /// of a statement, or of an order key, at once: one connection may bring the next sooner than another the
-    /// word of the first. Where the time is up the client is answered at once.
-    fn ends(&mut self, sent: Sent, ending: Ending) {
+    /// cancel of the first. Where the time is up the client is answered at once.
+    fn end_execution(&mut self, sent: Sent, ending: Ending) {
         if matches!(ending, Ending::GivenUp | Ending::Unreadable | Ending::ClosedHere) {
             self.executions.remove(&sent);
-            self.lagging.push_back((None, sent, ending));
+            self.awaiting_cancel.push_back((None, sent, ending));
         } else {
-            self.ended(sent, ending);
+            self.report_end(sent, ending);
         }
     }
 
-    fn ended(&mut self, sent: Sent, ending: Ending) {
+    fn report_end(&mut self, sent: Sent, ending: Ending) {
         self.executions.remove(&sent);
-        self.told.push(Told::Ended { sent, ending, report: None, cost: None, result: Vec::new() });
+        self.events.push(Event::Ended { sent, ending, report: None, cost: None, result: Vec::new() });
     }
 
     /// An engine of the list: where it is, and whether anything may still be sent to it.
@@ -179,11 +180,11 @@
         }
         let links = self.engines.remove(&place).map(|e| e.links).unwrap_or_default();
         let id = id.to_string();
-        self.engines.insert(place, Engine { id, at, started, listed: up, links, failing });
+        self.engines.insert(place, Engine { id, at, started, available: up, links, failing });
     }
 
     /// A whole list has come: engines that it does not name are gone.
-    pub fn retire_but(&mut self, listed: &[Place]) {
+    pub fn retire_others(&mut self, listed: &[Place]) {
         let places: Vec<Place> = self.engines.keys().copied().filter(|p| !listed.contains(p)).collect();
         places.into_iter().for_each(|place| self.retire(place));
     }
@@ -191,10 +192,10 @@
     /// What has not left for an engine stays here; what is out may still be answered.
     pub fn retire(&mut self, place: Place) {
         let Some(engine) = self.engines.get_mut(&place) else { return };
-        engine.listed = false;
+        engine.available = false;
         for id in engine.links.clone() {
             let Some(link) = self.links.get_mut(&id) else { continue };
-            link.old = true;
+            link.retired = true;
             for sent in std::mem::take(&mut link.queue) {
                 self.withdraw(id, sent);
             }
@@ -205,11 +206,11 @@
         if let (Some(link), Some(x)) = (self.links.get_mut(&link), self.executions.get(&sent)) {
             link.open.remove(&x.call.id);
         }
-        self.ended(sent, Ending::Withdrawn);
+        self.report_end(sent, Ending::Withdrawn);
     }
 
     /// Nobody waits for a statement any more: what has not left for an engine never will.
-    pub fn leave(&mut self, ticket: Ticket) {
+    pub fn abandon(&mut self, ticket: Ticket) {
         let of_ticket = self.executions.range((ticket, 0)..=(ticket, usize::MAX));
         let queued = of_ticket.filter(|(_, x)| x.stage == Stage::Queued);
         let queued: Vec<(Sent, LinkId)> = queued.map(|(sent, x)| (*sent, x.link)).collect();
@@ -221,7 +222,7 @@
         }
     }
 
-    fn name(&self, link: LinkId) -> &str {
+    fn engine_name(&self, link: LinkId) -> &str {
         let engine = self.links.get(&link).and_then(|l| self.engines.get(&l.place));
         engine.map_or("?", |e| &e.id)
     }
--- a/crates/front/src/engines/heard.rs
+++ b/crates/front/src/engines/replies.rs
@@ -1,4 +1,4 @@
-//! What engines say: results put together from their pages, notes, probes.
+//! Replies of engines: results put together from their pages, progress notes, probes.
 
 use super::*;
 
@@ -26,7 +26,7 @@
                         ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => Ending::BrokenNew,
                         _ => Ending::NeverUp,
                     };
-                    self.end(now, id, ending);
+                    self.close(now, id, ending);
                     return false;
                 }
             }
@@ -35,12 +35,12 @@
         let input = std::mem::take(&mut link.link.input);
         let mut at = 0;
         let unreadable = loop {
-            match engine::read(&input[at..], &self.report) {
+            match engine::read(&input[at..], &self.report_names) {
                 Ok(None) => break None,
                 Err(what) => break Some(what),
                 Ok(Some((len, line))) => {
                     at += len;
-                    self.said(now, id, line);
+                    self.take_line(now, id, line);
                     if !self.links.contains_key(&id) {
                         return false;
                     }
@@ -48,28 +48,29 @@
             }
         };
         if let Some(what) = unreadable {
-            log::warn!("engine {}: {what}; its connection is closed", self.name(id));
-            self.end(now, id, Ending::Unreadable);
+            log::warn!("engine {}: {what}; its connection is closed", self.engine_name(id));
+            self.close(now, id, Ending::Unreadable);
         } else if let Some(link) = self.links.get_mut(&id) {
             link.link.input = input;
             link.link.taken(at);
-            let half = !link.link.input.is_empty();
-            link.half_since = half.then(|| link.half_since.filter(|_| at == 0).unwrap_or(now));
+            let partial = !link.link.input.is_empty();
+            link.partial_line_since =
+                partial.then(|| link.partial_line_since.filter(|_| at == 0).unwrap_or(now));
         }
         match broken {
-            Some(Broken::Closed) => self.end(now, id, Ending::Closed),
-            Some(Broken::Reset) => self.end(now, id, Ending::Reset),
+            Some(Broken::Closed) => self.close(now, id, Ending::Closed),
+            Some(Broken::Reset) => self.close(now, id, Ending::Reset),
             None => {}
         }
         more
     }
 
-    pub(super) fn said(&mut self, now: Micros, id: LinkId, line: Line) {
+    pub(super) fn take_line(&mut self, now: Micros, id: LinkId, line: Line) {
         let Some(link) = self.links.get_mut(&id) else { return };
-        link.heard = now;
+        link.last_reply = now;
         if let Said::Probed { alive } = line.said {
             if link.probes.remove(line.id).is_some() {
-                self.told.push(Told::Probed { place: link.place, alive, report: line.report });
+                self.events.push(Event::Probed { place: link.place, alive, report: line.report });
             }
             return;
         }
@@ -77,32 +78,32 @@
         let Some(&sent) = link.open.get(line.id) else {
             let over =
                 matches!(line.said, Said::First { .. } | Said::TurnedAway | Said::Failed | Said::Stale);
-            if over && !self.allowed.cancel && link.given_up.remove(line.id) {
+            if over && !self.allowance.cancel && link.cancelled.remove(line.id) {
                 link.idle_since = now;
                 engine::write(link.link.output(), &Command::NoMorePages(line.id));
             }
             return;
         };
         let Some(x) = self.executions.get_mut(&sent).filter(|x| x.stage == Stage::Out) else { return };
-        x.heard = now;
-        let cost = line.cost.filter(|_| self.allowed.cost_in_answers);
+        x.last_reply = now;
+        let cost = line.cost.filter(|_| self.allowance.cost_in_answers);
         let cost = cost.map(|(ms, memory_mb)| Cost { work: ms * 1000.0, memory_mb });
         let ending = match line.said {
             Said::First { pages } if x.pages.is_none() && pages <= MOST_PAGES => {
                 let report = line.report.clone();
-                let mut first = Pages { missing: pages, report, cost, heard: now, ..Pages::default() };
+                let mut first = Pages { missing: pages, report, cost, last_page: now, ..Pages::default() };
                 first.bytes.resize(pages, None);
                 x.pages = Some(first);
                 for page in 1..pages {
                     engine::write(link.link.output(), &Command::Page(line.id, page));
                 }
-                x.page(now, 0, line.bytes)
+                x.take_page(now, 0, line.bytes)
             }
             Said::First { pages } if x.pages.as_ref().is_some_and(|p| p.bytes.len() == pages) => {
-                x.page(now, 0, line.bytes)
+                x.take_page(now, 0, line.bytes)
             }
             Said::First { .. } => Some(Ending::Unreadable),
-            Said::Page { number } => x.page(now, number, line.bytes),
+            Said::Page { number } => x.take_page(now, number, line.bytes),
             Said::TurnedAway if x.pages.is_none() => Some(Ending::TurnedAway),
             Said::Stale if x.pages.is_none() => Some(Ending::Stale),
             Said::Failed if x.pages.is_none() => Some(Ending::EngineFailed),
@@ -115,8 +116,8 @@
         };
         let Some(ending) = ending else { return };
         if ending == Ending::Unreadable {
-            log::warn!("engine {}: a spoilt result; its connection is closed", self.name(id));
-            return self.end(now, id, ending);
+            log::warn!("engine {}: a spoilt result; its connection is closed", self.engine_name(id));
+            return self.close(now, id, ending);
         }
         link.open.remove(line.id);
         link.idle_since = now;
@@ -125,7 +126,7 @@
             engine::write(link.link.output(), &Command::NoMorePages(line.id));
         }
         if ending != Ending::Answered {
-            let over = if self.allowed.cancel { &mut link.given_up } else { &mut link.ended };
+            let over = if self.allowance.cancel { &mut link.cancelled } else { &mut link.finished };
             over.insert(line.id.to_string());
         }
         if ending == Ending::Answered {
@@ -136,18 +137,18 @@
             Ending::Answered => pages.bytes.into_iter().flatten().flatten().collect(),
             _ => Vec::new(),
         };
-        self.told.push(Told::Ended { sent, ending, report, cost, result });
+        self.events.push(Event::Ended { sent, ending, report, cost, result });
     }
 
     pub(super) fn note(&mut self, sent: Sent, note: Note) {
-        self.told.push(Told::Noted { sent, note });
+        self.events.push(Event::Noted { sent, note });
     }
 }
 
 impl Execution {
     /// Takes a page; the last one missing answers the execution. A second copy is passed over. What is not
     /// agreed, or other than the first copy, spoils the whole: never a part or a wrong one for the whole.
-    fn page(&mut self, now: Micros, number: usize, bytes: &[u8]) -> Option<Ending> {
+    fn take_page(&mut self, now: Micros, number: usize, bytes: &[u8]) -> Option<Ending> {
         let pages = self.pages.as_mut()?; // else nobody asked for it
         match pages.bytes.get_mut(number) {
             Some(Some(known)) if known == bytes => return None,
@@ -157,7 +158,7 @@
             _ => return Some(Ending::Unreadable),
         }
         pages.held += bytes.len();
-        pages.heard = now;
+        pages.last_page = now;
         pages.missing -= 1;
         (pages.missing == 0).then_some(Ending::Answered)
     }
--- a/crates/front/src/engines/sent.rs
+++ b/crates/front/src/engines/send.rs
@@ -1,39 +1,39 @@
-//! Executions on their way out: over which connection, and given up again.
+//! Executions on their way out: the choice of a connection, dials, cancels, probes.
 
 use super::*;
 
 impl EngineLink {
     /// Whether it is of use for more executions.
-    pub(super) fn takes_more(&self) -> bool {
-        !self.old && self.given_up.len() + self.ended.len() < MOST_GIVEN_UP
+    pub(super) fn takes_executions(&self) -> bool {
+        !self.retired && self.cancelled.len() + self.finished.len() < MOST_FORMER_IDS
     }
 }
 
 impl Engines {
     /// Sends an execution over a connection that has room for it, a new one if need be.
     pub fn send(&mut self, now: Micros, sent: Sent, place: Place, call: Rc<Call>, terms: Terms) {
-        let id = match self.link_for(now, place, &call.id) {
+        let id = match self.choose_link(now, place, &call.id) {
             Ok(id) => id,
-            Err(ending) => return self.ended(sent, ending),
+            Err(ending) => return self.report_end(sent, ending),
         };
         let Some(link) = self.links.get_mut(&id) else { return };
         link.open.insert(call.id.clone(), sent);
         link.queue.push_back(sent);
         let stage = Stage::Queued;
-        let x = Execution { link: id, call, terms, stage, sent: now, heard: now, pages: None };
+        let x = Execution { link: id, call, terms, stage, sent: now, last_reply: now, pages: None };
         self.executions.insert(sent, x);
     }
 
-    pub(super) fn link_for(&mut self, now: Micros, place: Place, id: &str) -> Result<LinkId, Ending> {
-        let most = self.allowed.executions_per_connection;
+    pub(super) fn choose_link(&mut self, now: Micros, place: Place, id: &str) -> Result<LinkId, Ending> {
+        let most = self.allowance.executions_per_connection;
         let engine = self.engines.get(&place).ok_or(Ending::Withdrawn)?;
         let fits = |link: &&LinkId| {
             self.links.get(link).is_some_and(|l| {
-                let known = l.open.contains_key(id) || l.given_up.contains(id) || l.ended.contains(id);
+                let known = l.open.contains_key(id) || l.cancelled.contains(id) || l.finished.contains(id);
                 // Where cancelling is not allowed, what was given up runs on there.
-                let runs_on = if self.allowed.cancel { 0 } else { l.given_up.len() };
+                let runs_on = if self.allowance.cancel { 0 } else { l.cancelled.len() };
                 let room = l.open.len() + l.probes.len() + runs_on < most;
-                l.takes_more() && !known && room
+                l.takes_executions() && !known && room
             })
         };
         // Guards against losing many executions with one connection: few share one as far as descriptors go,
@@ -42,13 +42,13 @@
             let l = &self.links[link];
             (l.up && l.link.unsent() == 0, l.open.len() + l.probes.len(), l.idle_since)
         };
-        let few = |link: &&LinkId| rank(link).1 < TOGETHER;
+        let few = |link: &&LinkId| rank(link).1 < MOST_SHARED;
         if let Some(link) = engine.links.iter().filter(fits).filter(few).max_by_key(rank) {
             return Ok(*link);
         }
         let least = engine.links.iter().filter(fits).min_by_key(|link| rank(link).1).copied();
         match least {
-            Some(link) if !self.may_have_more(engine) => Ok(link),
+            Some(link) if !self.may_dial(engine) => Ok(link),
             // No new connection may be made now: what is there is used, else it stays here.
             _ if !self.dials.borrow_mut().take(now, place) => least.ok_or(Ending::Withdrawn),
             _ => self.dial(now, place).or_else(|ending| least.ok_or(ending)),
@@ -75,25 +75,25 @@
             link,
             place,
             up: false,
-            old: false,
-            dial_by: now + self.allowed.dial_timeout,
-            heard: now,
-            half_since: None,
+            retired: false,
+            dial_by: now + self.allowance.dial_timeout,
+            last_reply: now,
+            partial_line_since: None,
             idle_since: now,
-            rested: 0,
-            taken_up: now,
+            idle_before: 0,
+            resumed_at: now,
             queue: VecDeque::new(),
-            leaving: None,
+            writing: None,
             open: HashMap::new(),
-            given_up: HashSet::new(),
-            ended: HashSet::new(),
+            cancelled: HashSet::new(),
+            finished: HashSet::new(),
             probes: HashMap::new(),
         };
         self.links.insert(id, link);
         Ok(id)
     }
 
-    pub fn hurry(&mut self, sent: Sent, priority: u8) {
+    pub fn set_priority(&mut self, sent: Sent, priority: u8) {
         let Some(x) = self.executions.get_mut(&sent) else { return };
         x.terms.priority = priority;
         if x.stage != Stage::Queued && x.pages.is_none() {
@@ -103,34 +103,34 @@
         }
     }
 
-    /// Gives an execution up. It ends as told, or as withdrawn where nothing of it has left.
-    pub fn stop(&mut self, now: Micros, sent: Sent, ending: Ending) {
+    /// Cancels an execution. It ends with the ending given, or as withdrawn where nothing of it has left.
+    pub fn cancel(&mut self, now: Micros, sent: Sent, ending: Ending) {
         let Some(x) = self.executions.get(&sent) else { return };
         let (id, name) = (x.link, x.call.id.clone());
         let Some(link) = self.links.get_mut(&id) else { return };
         // A connection silent since then, longer than one takes to come up, may be to a machine that is gone.
-        link.old |= link.up && link.heard < x.sent && now - x.sent > self.allowed.dial_timeout;
+        link.retired |= link.up && link.last_reply < x.sent && now - x.sent > self.allowance.dial_timeout;
         // Nor is one of use on which the answer never came.
-        link.old |= x.stage == Stage::Out && now - x.heard > SILENT;
+        link.retired |= x.stage == Stage::Out && now - x.last_reply > SILENCE_TIMEOUT;
         match x.stage {
             Stage::Queued => {
                 link.queue.retain(|other| *other != sent);
                 self.withdraw(id, sent);
             }
             // It would reach its engine whole after its end: rather the connection goes.
-            Stage::Leaving => self.end(now, id, Ending::ClosedHere),
+            Stage::Writing => self.close(now, id, Ending::ClosedHere),
             Stage::Out => {
                 match x.pages {
                     Some(_) => engine::write(link.link.output(), &Command::NoMorePages(&name)),
-                    None if self.allowed.cancel => {
+                    None if self.allowance.cancel => {
                         engine::write(link.link.output(), &Command::NeverMind(&name))
                     }
                     None => {}
                 }
                 link.idle_since = now;
                 link.open.remove(&name);
-                link.given_up.insert(name);
-                self.ends(sent, ending);
+                link.cancelled.insert(name);
+                self.end_execution(sent, ending);
             }
         }
     }
@@ -138,16 +138,16 @@
     pub fn probe(&mut self, now: Micros, place: Place) {
         self.next += 1;
         let tag = format!("p{}", self.next);
-        let link = match self.link_for(now, place, &tag) {
+        let link = match self.choose_link(now, place, &tag) {
             Err(Ending::Withdrawn) => return, // no new connection may be made now: that says nothing of the engine
             other => other.ok().and_then(|id| self.links.get_mut(&id)),
         };
         let Some(link) = link else {
-            return self.told.push(Told::Probed { place, alive: false, report: None });
+            return self.events.push(Event::Probed { place, alive: false, report: None });
         };
         if link.up {
             engine::write(link.link.output(), &Command::Probe(&tag));
         }
-        link.probes.insert(tag, now + self.allowed.dial_timeout);
+        link.probes.insert(tag, now + self.allowance.dial_timeout);
     }
 }
--- a/crates/front/src/engines/waited.rs
+++ b/crates/front/src/engines/timeouts.rs
@@ -1,4 +1,4 @@
-//! What has waited too long.
+//! Timeouts: dials, probes, half-written statements, half-read answers, idle connections.
 
 use super::*;
 
@@ -8,21 +8,21 @@
         let due = |link: &EngineLink| {
             let dial = if link.up { Micros::MAX } else { link.dial_by };
             let probe = link.probes.values().copied().min().unwrap_or(Micros::MAX);
-            let half = link.half_since.map_or(Micros::MAX, |since| since + STUCK);
-            let leaving = self.leaving_since(link).map_or(Micros::MAX, |since| since + HALF_WRITTEN);
-            dial.min(probe).min(half).min(leaving).min(self.idle_until(link).unwrap_or(Micros::MAX))
+            let partial = link.partial_line_since.map_or(Micros::MAX, |since| since + READ_TIMEOUT);
+            let leaving = self.writing_since(link).map_or(Micros::MAX, |since| since + WRITE_TIMEOUT);
+            dial.min(probe).min(partial).min(leaving).min(self.idle_until(link).unwrap_or(Micros::MAX))
         };
-        let lag = self.lagging.front().and_then(|(due, ..)| *due).unwrap_or(Micros::MAX);
+        let lag = self.awaiting_cancel.front().and_then(|(due, ..)| *due).unwrap_or(Micros::MAX);
         self.links.values().map(due).min().unwrap_or(Micros::MAX).min(lag)
     }
 
     pub(super) fn idle_until(&self, link: &EngineLink) -> Option<Micros> {
         let (rests, unsent) = (link.open.is_empty() && link.probes.is_empty(), link.link.unsent() > 0);
         // Closing it would give up what runs on there.
-        let runs_on = !self.allowed.cancel && !link.given_up.is_empty();
-        if link.old && rests && !runs_on {
+        let runs_on = !self.allowance.cancel && !link.cancelled.is_empty();
+        if link.retired && rests && !runs_on {
             // What is still to leave has as long as a connection has to come up.
-            return Some(link.idle_since + if unsent { self.allowed.dial_timeout } else { 0 });
+            return Some(link.idle_since + if unsent { self.allowance.dial_timeout } else { 0 });
         }
         (link.up && rests && !unsent).then_some(link.idle_since + self.reuse.most())
     }
@@ -30,9 +30,9 @@
     /// Ends what has waited too long: connections not up, probes not answered, idle connections.
     pub fn expire(&mut self, now: Micros) {
         while let Some((_, sent, ending)) =
-            self.lagging.pop_front_if(|(due, ..)| due.is_some_and(|due| due <= now))
+            self.awaiting_cancel.pop_front_if(|(due, ..)| due.is_some_and(|due| due <= now))
         {
-            self.ended(sent, ending);
+            self.report_end(sent, ending);
         }
         let ids: Vec<LinkId> = self.links.keys().copied().collect();
         for id in ids {
@@ -41,58 +41,61 @@
                 // Guards against a front that stood still between its look at the connections and this one: one that
                 // has come up meanwhile is found as up in the next iteration.
                 if !link.link.is_up().is_ok_and(|up| up) {
-                    self.end(now, id, Ending::NeverUp);
+                    self.close(now, id, Ending::NeverUp);
                 }
                 continue;
             }
-            // Guards against a deadline that its engine would read late: what has begun to leave can't be worded
-            // anew, and what has not left whole has not run.
+            // Guards against a deadline that its engine would read late: what has begun to leave can't be
+            // written anew, and what has not left whole has not run.
             let _ = link.link.flush();
             let link = &self.links[&id];
-            if self.leaving_since(link).is_some_and(|since| since + HALF_WRITTEN <= now) {
+            if self.writing_since(link).is_some_and(|since| since + WRITE_TIMEOUT <= now) {
                 log::warn!(
                     "engine {}: takes no more of a statement; its connection is closed",
-                    self.name(id)
+                    self.engine_name(id)
                 );
                 self.read(now, id);
-                self.end(now, id, Ending::ClosedHere);
+                self.close(now, id, Ending::ClosedHere);
                 continue;
             }
             // Guards against an answer that stops short: nothing comes over such a connection any more. What has
             // come by now is read first.
-            let more = self.stuck(now, id).is_some() && self.read(now, id);
-            if let Some(what) = self.stuck(now, id).or(more.then_some("an end")) {
-                log::warn!("engine {}: {what} that never came; its connection is closed", self.name(id));
-                self.end(now, id, Ending::Unreadable);
+            let more = self.overdue(now, id).is_some() && self.read(now, id);
+            if let Some(what) = self.overdue(now, id).or(more.then_some("an end")) {
+                log::warn!(
+                    "engine {}: {what} that never came; its connection is closed",
+                    self.engine_name(id)
+                );
+                self.close(now, id, Ending::Unreadable);
             }
             let Some(link) = self.links.get_mut(&id) else { continue };
             let place = link.place;
             let before = link.probes.len();
             link.probes.retain(|_, due| *due > now);
-            link.old |= link.probes.len() < before && link.heard < now - self.allowed.dial_timeout;
+            link.retired |= link.probes.len() < before && link.last_reply < now - self.allowance.dial_timeout;
             for _ in link.probes.len()..before {
-                self.told.push(Told::Probed { place, alive: false, report: None });
+                self.events.push(Event::Probed { place, alive: false, report: None });
             }
             if self.idle_until(&self.links[&id]).is_some_and(|until| until <= now) {
-                self.end(now, id, Ending::Withdrawn);
+                self.close(now, id, Ending::Withdrawn);
             }
         }
     }
 
     /// Since when a statement has begun to leave over a connection and has not left whole.
-    fn leaving_since(&self, link: &EngineLink) -> Option<Micros> {
-        let (sent, _) = link.leaving.as_ref().filter(|(_, end)| !link.link.has_left(*end))?;
+    fn writing_since(&self, link: &EngineLink) -> Option<Micros> {
+        let (sent, _) = link.writing.as_ref().filter(|(_, end)| !link.link.has_left(*end))?;
         self.executions.get(sent).map(|x| x.sent)
     }
 
     /// What has begun to come over a connection and takes too long.
-    fn stuck(&self, now: Micros, id: LinkId) -> Option<&'static str> {
+    fn overdue(&self, now: Micros, id: LinkId) -> Option<&'static str> {
         let link = self.links.get(&id)?;
         let page = |sent: &Sent| {
             let pages = self.executions.get(sent).and_then(|x| x.pages.as_ref());
-            pages.is_some_and(|pages| pages.heard + STUCK <= now)
+            pages.is_some_and(|pages| pages.last_page + READ_TIMEOUT <= now)
         };
-        if link.half_since.is_some_and(|since| since + STUCK <= now) {
+        if link.partial_line_since.is_some_and(|since| since + READ_TIMEOUT <= now) {
             return Some("a line");
         }
         link.open.values().any(page).then_some("a page")
--- a/crates/front/src/engines/left.rs
+++ b/crates/front/src/engines/writes.rs
@@ -1,18 +1,18 @@
-//! What leaves for engines, and how a connection ends.
+//! Writes to engines, and the end of a connection.
 
 use super::*;
 
 impl Engines {
     /// A connection is over: each execution on it ends by how much of it has left.
-    pub(super) fn end(&mut self, now: Micros, id: LinkId, ending: Ending) {
+    pub(super) fn close(&mut self, now: Micros, id: LinkId, ending: Ending) {
         let Some(link) = self.links.remove(&id) else { return };
         let lost = matches!(ending, Ending::Reset | Ending::Closed) && link.up && !link.open.is_empty();
-        if lost && link.heard < link.taken_up {
-            self.reuse.lost(link.rested, now - link.taken_up);
+        if lost && link.last_reply < link.resumed_at {
+            self.reuse.lost(link.idle_before, now - link.resumed_at);
         }
         if let Some(engine) = self.engines.get_mut(&link.place) {
             engine.links.retain(|other| *other != id);
-            if !link.up && (link.old || ending == Ending::BrokenNew) {
+            if !link.up && (link.retired || ending == Ending::BrokenNew) {
                 log::debug!("engine {}: connection lost while it came up", engine.id);
             } else if !link.up && !std::mem::replace(&mut engine.failing, true) {
                 log::warn!("engine {}: can't be reached: {ending:?}", engine.id);
@@ -26,14 +26,14 @@
         for sent in open {
             let ending = match self.executions.get(&sent).map(|x| &x.stage) {
                 Some(Stage::Queued) if link.up => Ending::Withdrawn,
-                Some(Stage::Leaving) => Ending::HalfWritten,
+                Some(Stage::Writing) => Ending::HalfWritten,
                 Some(_) => ending,
                 None => continue,
             };
-            self.ends(sent, ending);
+            self.end_execution(sent, ending);
         }
         for _ in link.probes {
-            self.told.push(Told::Probed { place: link.place, alive: false, report: None });
+            self.events.push(Event::Probed { place: link.place, alive: false, report: None });
         }
     }
 
@@ -41,23 +41,23 @@
     pub fn flush(&mut self, now: Micros) {
         let ids: Vec<LinkId> = self.links.keys().copied().collect();
         for id in ids {
-            if self.pump(now, id).is_err() {
+            if self.write_queue(now, id).is_err() {
                 // What its engine had answered before the connection broke still counts.
                 self.read(now, id);
-                self.end(now, id, Ending::Reset);
+                self.close(now, id, Ending::Reset);
             }
         }
-        // Counted from when the word has left, not from when it was decided: a front may stand still in between.
-        let untold = self.lagging.iter_mut().filter(|(due, ..)| due.is_none());
-        untold.for_each(|(due, ..)| *due = Some(now + LAG));
+        // Counted from when the command has left, not from when it was decided: a front may stand still in between.
+        let unsent = self.awaiting_cancel.iter_mut().filter(|(due, ..)| due.is_none());
+        unsent.for_each(|(due, ..)| *due = Some(now + CANCEL_LAG));
     }
 
-    pub(super) fn pump(&mut self, now: Micros, id: LinkId) -> Result<(), Broken> {
+    pub(super) fn write_queue(&mut self, now: Micros, id: LinkId) -> Result<(), Broken> {
         let Some(link) = self.links.get_mut(&id).filter(|l| l.up) else { return Ok(()) };
         loop {
             let flushed = link.link.flush();
             // It may have run once its last byte has left, whatever becomes of the commands behind it.
-            if let Some((sent, _)) = link.leaving.take_if(|(_, end)| link.link.has_left(*end)) {
+            if let Some((sent, _)) = link.writing.take_if(|(_, end)| link.link.has_left(*end)) {
                 self.executions.entry(sent).and_modify(|x| x.stage = Stage::Out);
             }
             flushed?;
@@ -69,10 +69,10 @@
             let Some(sent) = link.queue.pop_front() else { return Ok(()) };
             let Some(x) = self.executions.get_mut(&sent) else { continue };
             let engine = self.engines.get(&link.place);
-            if let Some(why) = stays(now, engine, &x.terms) {
+            if let Some(why) = withheld_because(now, engine, &x.terms) {
                 log::debug!("statement {}: its execution stays here: {why}", x.call.id);
                 self.withdraw(id, sent);
-                return self.pump(now, id);
+                return self.write_queue(now, id);
             }
             let want = Want {
                 id: &x.call.id,
@@ -84,21 +84,21 @@
                 statement: &x.call.statement,
             };
             if link.open.len() == 1 {
-                let dialled = link.dial_by - self.allowed.dial_timeout;
-                let rested = if link.idle_since > dialled { now - link.idle_since } else { 0 };
-                (link.rested, link.taken_up) = (rested, now);
+                let dialled = link.dial_by - self.allowance.dial_timeout;
+                let idle_before = if link.idle_since > dialled { now - link.idle_since } else { 0 };
+                (link.idle_before, link.resumed_at) = (idle_before, now);
             }
             engine::write(link.link.output(), &Command::Want(want));
-            (x.stage, x.sent) = (Stage::Leaving, now);
-            link.leaving = Some((sent, link.link.output().len()));
+            (x.stage, x.sent) = (Stage::Writing, now);
+            link.writing = Some((sent, link.link.output().len()));
         }
     }
 }
 
 /// Why an execution that has waited for its connection may not leave any more, if so.
-fn stays(now: Micros, engine: Option<&Engine>, terms: &Terms) -> Option<&'static str> {
-    let Some(_) = engine.filter(|engine| engine.listed) else {
-        // It is withdrawn as soon as that is told; if it is found here, a drain would not have been kept.
+fn withheld_because(now: Micros, engine: Option<&Engine>, terms: &Terms) -> Option<&'static str> {
+    let Some(_) = engine.filter(|engine| engine.available) else {
+        // It is withdrawn as soon as the list says so; if it is found here, a drain would not have been kept.
         log::error!("engine {}: an execution was still queued for it", engine.map_or("?", |e| &e.id));
         return Some("its engine drains or is gone");
     };
--- a/crates/front/src/front/asked.rs
+++ b/crates/front/src/front/asked.rs
@@ -36,7 +36,7 @@
     /// Nobody waits for a statement any more.
     pub(super) fn left(&mut self, ticket: Ticket) {
         // What waits for a connection is not sent any more, also where engines can't be told to give it up.
-        self.engines.leave(ticket);
+        self.engines.abandon(ticket);
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
         match self.scatter.as_mut().is_some_and(|scatter| scatter.left(now, ticket, dispatcher)) {
             true => self.rules.iter().for_each(|rules| rules.borrow_mut().gone(ticket)),
--- a/crates/front/src/front/listed.rs
+++ b/crates/front/src/front/listed.rs
@@ -30,7 +30,7 @@
             let listings: Vec<Listing> = list.engines.iter().map(|e| listing(e, speaks(e))).collect();
             let places = self.dispatcher.list(list.whole, &listings);
             if list.whole {
-                self.engines.retire_but(&places);
+                self.engines.retire_others(&places);
                 self.portal.iter_mut().for_each(|portal| portal.servers().retire_but(&places));
             }
             for (engine, place) in list.engines.iter().zip(places) {
--- a/crates/front/src/front/orders.rs
+++ b/crates/front/src/front/orders.rs
@@ -17,9 +17,9 @@
 impl Front {
     /// Passes on what engines have said.
     pub(super) fn heard(&mut self) {
-        for told in std::mem::take(&mut self.engines.told) {
-            match told {
-                engines::Told::Ended { sent: (ticket, execution), ending, report, cost, result } => {
+        for event in std::mem::take(&mut self.engines.events) {
+            match event {
+                engines::Event::Ended { sent: (ticket, execution), ending, report, cost, result } => {
                     let of = self.judged_as(ticket);
                     self.rules.iter().for_each(|rules| rules.borrow_mut().ended(of, (ticket, execution)));
                     if self.dispatcher.report(self.clock.now, ticket, execution, ending, report, cost)
@@ -28,10 +28,10 @@
                         self.clients.answer(self.clock.now, ticket, &Reply::Completed(&result));
                     }
                 }
-                engines::Told::Noted { sent: (ticket, execution), note } => {
+                engines::Event::Noted { sent: (ticket, execution), note } => {
                     self.dispatcher.note(ticket, execution, note);
                 }
-                engines::Told::Probed { place, alive, report } => {
+                engines::Event::Probed { place, alive, report } => {
                     self.dispatcher.probed(self.clock.now, place, alive, report);
                 }
             }
@@ -226,10 +226,10 @@
             }
             Order::Hurry { ticket, execution, priority } => {
                 self.guard.iter_mut().for_each(|guard| guard.hurry(ticket, priority));
-                self.engines.hurry((ticket, execution), priority);
+                self.engines.set_priority((ticket, execution), priority);
             }
             Order::Stop { ticket, execution, ending } => {
-                self.engines.stop(self.clock.now, (ticket, execution), ending)
+                self.engines.cancel(self.clock.now, (ticket, execution), ending)
             }
             Order::Reject { ticket, retry_after }
                 if self.part_ended(ticket, Err(Failed::Rejected { retry_after })) => {}
--- a/crates/front/src/front/rooms.rs
+++ b/crates/front/src/front/rooms.rs
@@ -25,7 +25,7 @@
         let (now, engines, portal) = (self.clock.now, &self.engines, &mut self.portal);
         self.rooms.tell(now, &mut self.dispatcher, |place| {
             let sessions = portal.as_mut().map_or(0, |portal| portal.servers().room(now, place));
-            engines.room(now, place) + sessions
+            engines.capacity(now, place) + sessions
         });
     }
 }
