--- a/crates/front/src/clients/lingering.rs
+++ b/crates/front/src/clients/lingering.rs
@@ -12,7 +12,7 @@
 use super::ClientId;
 use crate::link::Link;
 
-const LONGEST: Micros = 1_000_000; // microseconds; some round trips of a slow network
+const LINGER_TIMEOUT: Micros = 1_000_000; // microseconds; some round trips of a slow network
 
 struct Closing {
     link: Link,
@@ -29,7 +29,7 @@
     /// Shuts the write side of a connection that has sent all it owes.
     pub fn close(&mut self, now: Micros, id: ClientId, link: Link) {
         if link.shut_writes().is_ok() {
-            self.connections.insert(id, Closing { link, until: now + LONGEST });
+            self.connections.insert(id, Closing { link, until: now + LINGER_TIMEOUT });
             self.read(id);
         }
     }
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -238,12 +238,12 @@
         let mut told = Vec::new();
         self.answer_scatters();
         self.clients.flush(self.clock.now, &mut told);
-        if let (untaken, Some(client)) = self.clients.untaken() {
+        if let (untaken, Some(client)) = self.clients.unsent() {
             if untaken > self.most_bytes {
                 log::warn!(
                     "client {client}: takes no answers, {untaken} bytes wait; its connection is closed"
                 );
-                self.clients.end(client, &mut told);
+                self.clients.disconnect(client, &mut told);
             }
         }
         self.take(told);
@@ -261,7 +261,7 @@
                 portal.close(self.clock.now, room, &mut self.dispatcher);
             }
         }
-        for client in self.clients.ready_again() {
+        for client in self.clients.readable_again() {
             self.unfinished.push(SocketKind::Client.id(client));
         }
     }
@@ -354,7 +354,7 @@
             let reserve = || {
                 let sessions = portal.as_ref().map_or(0, Portal::len);
                 let free = clients.len() + sessions < most
-                    || clients.make_room()
+                    || clients.evict_idle()
                     || portal.as_mut().is_some_and(|portal| portal.make_room(now));
                 free.then_some(())
                     .ok_or_else(|| format!("{} clients are connected", clients.len() + sessions))
--- a/crates/front/src/front/asked.rs
+++ b/crates/front/src/front/asked.rs
@@ -16,19 +16,19 @@
         more
     }
 
-    pub(super) fn take(&mut self, told: Vec<clients::Told>) {
+    pub(super) fn take(&mut self, told: Vec<clients::Event>) {
         for told in told {
             match told {
-                clients::Told::Asked { client, number, call, waited } => {
+                clients::Event::Statement { client, number, call, unread_for } => {
                     let mut ended = Vec::new();
-                    self.asked(client, number, *call, waited, &mut ended);
+                    self.asked(client, number, *call, unread_for, &mut ended);
                     self.take(ended);
                 }
-                clients::Told::Forgets { client, number } => {
-                    let ticket = self.clients.forget(client, number);
+                clients::Event::Cancelled { client, number } => {
+                    let ticket = self.clients.cancel(client, number);
                     ticket.into_iter().for_each(|ticket| self.left(ticket));
                 }
-                clients::Told::Left(ticket) => self.left(ticket),
+                clients::Event::Abandoned(ticket) => self.left(ticket),
             }
         }
     }
@@ -49,44 +49,44 @@
         client: ClientId,
         number: i32,
         call: Call,
-        waited: Micros,
-        ended: &mut Vec<clients::Told>,
+        unread_for: Micros,
+        ended: &mut Vec<clients::Event>,
     ) {
-        if !self.clients.has_room(client, number, &call, ended) {
+        if !self.clients.admits(client, number, &call, ended) {
             return;
         }
         if let Some(field) = call.unfit {
-            return self.clients.unfit(client, number, field);
+            return self.clients.answer_unusable(client, number, field);
         }
         if self.shutdown.rejects() {
-            return self.clients.refuse(client, number);
+            return self.clients.reject(client, number);
         }
         if self.scatter.as_ref().is_some_and(|scatter| scatter.passes_for_numbered(&call)) {
             let why = "its text begins as fronts number loads: leave that comment out";
-            return self.clients.say(client, number, &Reply::Refused(&[("reason", why)]));
+            return self.clients.reply(client, number, &Reply::Refused(&[("reason", why)]));
         }
-        let full = self.clients.held() > self.most_bytes;
+        let full = self.clients.held_bytes() > self.most_bytes;
         if full != std::mem::replace(&mut self.full, full) {
             log::warn!(
                 "statements held take {} bytes; {}",
-                self.clients.held(),
+                self.clients.held_bytes(),
                 if full { "more are rejected" } else { "taken again" }
             );
         }
         if full || self.dispatcher.held() >= self.most_held {
-            return self.clients.refuse(client, number);
+            return self.clients.reject(client, number);
         }
         // Guards against a final answer that is held up on its way: it has the slack twice, before the
         // client's time is up and after. A result that comes in that last moment is lost to the client.
         let time_left = (call.time_left_ms * 1000.0) as Micros - self.answer_slack;
         // Guards against a deadline beyond the client's: its time has run on while the statement lay unread.
-        let time_left = time_left - self.clock.waited().max(waited);
+        let time_left = time_left - self.clock.waited().max(unread_for);
         let judged = self.rules.as_ref().map(|rules| {
             rules.borrow_mut().judge(self.clock.now, &call.customer, &call.workload, &call.statement)
         });
         let judged = judged.unwrap_or(Judged::Free);
         if judged == Judged::Closed {
-            return self.clients.refuse(client, number);
+            return self.clients.reject(client, number);
         }
         let allowed = self.rules.as_ref().and_then(|rules| rules.borrow().allowed(&judged));
         // What is denied is never asked of anybody.
@@ -118,13 +118,13 @@
             rules.borrow_mut().picked(&mut self.dispatcher, &judged, picked.ok());
         }
         match picked {
-            Ok(ticket) => self.clients.opened(client, number, ticket, call),
+            Ok(ticket) => self.clients.open(client, number, ticket, call),
             Err(Unfit::Barred) => {
-                self.clients.say(client, number, &Reply::Rejected { retry_after_ms: None });
+                self.clients.reply(client, number, &Reply::Rejected { retry_after_ms: None });
             }
-            Err(Unfit::Workload) => self.clients.unfit(client, number, statement::WORKLOAD),
-            Err(Unfit::DedupKey) => self.clients.unfit(client, number, statement::DEDUP_KEY),
-            Err(Unfit::Customer) => self.clients.unfit(client, number, statement::CUSTOMER),
+            Err(Unfit::Workload) => self.clients.answer_unusable(client, number, statement::WORKLOAD),
+            Err(Unfit::DedupKey) => self.clients.answer_unusable(client, number, statement::DEDUP_KEY),
+            Err(Unfit::Customer) => self.clients.answer_unusable(client, number, statement::CUSTOMER),
         }
     }
 }
--- a/crates/front/src/front/orders.rs
+++ b/crates/front/src/front/orders.rs
@@ -44,7 +44,7 @@
 
     /// What sessions may count on just now.
     pub(super) fn room(&self) -> Room {
-        let held = self.clients.held() + self.portal.as_ref().map_or(0, Portal::held);
+        let held = self.clients.held_bytes() + self.portal.as_ref().map_or(0, Portal::held);
         let full = held > self.most_bytes || self.dispatcher.held() >= self.most_held;
         Room { waited: self.clock.waited(), full }
     }
--- a/crates/front/src/front/scattered.rs
+++ b/crates/front/src/front/scattered.rs
@@ -33,7 +33,7 @@
             Ok(Some(query)) => {
                 let ticket = self.dispatcher.number();
                 let ends = self.clock.now + time_left;
-                self.clients.opened(client, number, ticket, call);
+                self.clients.open(client, number, ticket, call);
                 let call: Rc<Call> = self.clients.call(ticket)?;
                 let whole = (call, query, ends);
                 if let Some(rules) = &self.rules {
@@ -48,7 +48,7 @@
             }
             Err(why) => {
                 log::debug!("client {client}: statement {} of several sites: {why}", call.id);
-                self.clients.say(client, number, &Reply::Refused(&[("reason", &why)]));
+                self.clients.reply(client, number, &Reply::Refused(&[("reason", &why)]));
                 if let Some(rules) = &self.rules {
                     rules.borrow_mut().picked(&mut self.dispatcher, judged, None);
                 }
@@ -140,7 +140,7 @@
                         Unfit::DedupKey => statement::DEDUP_KEY,
                         Unfit::Workload | Unfit::Barred => statement::WORKLOAD,
                     };
-                    self.clients.answer_unfit(ticket, field);
+                    self.clients.answer_taken_unusable(ticket, field);
                 }
             }
         }
