--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -1,10 +1,10 @@
 //! What one front does in an iteration: it takes in all that is there, decides once, and sends what follows.
 
-mod asked;
-mod listed;
-mod orders;
-mod rooms;
-mod scattered;
+mod admission;
+mod dial_capacity;
+mod dispatch;
+mod engine_list;
+mod scatter;
 
 use std::net::TcpListener;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 use crate::shutdown::{LedgerDuty, Shutdown};
 use crate::start::Fault;
 
-pub use rooms::Pacer;
+pub use dial_capacity::Pacer;
 
 const MOST_DECISIONS: usize = 8; // decisions in an iteration: an execution that the first one stops is known to the next at once
 const MEMORY_PART: u64 = 4; // statements held may take one part of so many, untaken answers another
@@ -39,30 +39,30 @@
     listener: Listener,
     dispatcher: Dispatcher,
     answer_slack: Micros,
-    most_held: usize,
-    most_bytes: usize,
-    most_clients: usize,
-    full: bool,
+    max_statements: usize,
+    max_bytes: usize,
+    max_clients: usize,
+    memory_full: bool,
     clients: Clients,
     engines: Engines,
     coordinator: Coordinator,
     /// PostgreSQL sessions, where the operator's file switches them on.
     portal: Option<Portal>,
-    /// Words with other fronts, likewise.
+    /// Messages with other fronts, likewise.
     peers: Option<Peers>,
     /// Regional access rules of customers, likewise.
     rules: Option<Shared>,
-    /// Where fronts keep promises: what waits for them.
+    /// Executions that wait for the ledger, where fronts keep one.
     guard: Option<Guard>,
     /// Statements that are asked of several sites, likewise.
     scatter: Option<Scatters>,
-    /// What the module knows of connections that are there.
+    /// What was reported to the dispatcher of how many executions can leave for each engine.
     rooms: Rooms,
     shutdown: Shutdown,
     clock: Clock,
     /// Connections with more to read than one iteration takes.
     unfinished: Vec<SocketId>,
-    /// What was decided has not left for engines yet: the connections are looked at first.
+    /// What was decided has not left for engines yet: the connections are read first.
     stale: bool,
 }
 
@@ -100,10 +100,10 @@
             listener: Listener::new(listener, &handle, SocketKind::Listener.id(0)).map_err(part)?,
             dispatcher: Dispatcher::new(contract, station.seed),
             answer_slack: contract.allowance.answer_slack,
-            most_held: contract.allowance.most_held,
-            most_bytes: 0,
-            most_clients: 0,
-            full: false,
+            max_statements: contract.allowance.most_held,
+            max_bytes: 0,
+            max_clients: 0,
+            memory_full: false,
             clients: Clients::new(contract.agreement.longest_retry_after, longest_timeout(contract)),
             engines: Engines::new(handle.clone(), contract.allowance.clone(), &contract.names),
             coordinator: Coordinator::new(handle.clone(), station.coordinator, known.index),
@@ -119,7 +119,7 @@
             stale: false,
             handle,
         };
-        front.engines.dials = rooms::pacer(station, front.clock.now);
+        front.engines.dials = dial_capacity::pacer(station, front.clock.now);
         if let Some(portal) = &mut front.portal {
             portal.servers().dials = front.engines.dials.clone();
         }
@@ -128,7 +128,7 @@
             front.guard = Some(Guard::new(contract, now, ledger.shards, &mut front.dispatcher));
         }
         front.limit(&station.limits);
-        front.follow(known, 0);
+        front.apply_list(known, 0);
         Ok(front)
     }
 
@@ -168,7 +168,7 @@
             SocketKind::Coordinator => {
                 let before = self.coordinator.follow;
                 if let Some(stream) = self.coordinator.read(self.clock.now, number) {
-                    self.follow(&stream, before);
+                    self.apply_list(&stream, before);
                 }
                 false
             }
@@ -194,63 +194,63 @@
         self.accept();
         let room = self.room();
         if let Some(portal) = &mut self.portal {
-            let room_left = self.most_clients.saturating_sub(self.clients.len() + portal.len());
+            let room_left = self.max_clients.saturating_sub(self.clients.len() + portal.len());
             portal.accept(self.clock.now, room_left);
             portal.take(self.clock.now, room, &mut self.dispatcher);
             portal.expire(self.clock.now, room, &mut self.dispatcher);
         }
-        let mut told = Vec::new();
-        self.clients.expire(self.clock.now, &mut told);
-        self.take(told);
+        let mut events = Vec::new();
+        self.clients.expire(self.clock.now, &mut events);
+        self.handle_client_events(events);
         if let Some(peers) = &mut self.peers {
             peers.tick(self.clock.now, &mut self.dispatcher);
         }
-        self.tick_scatters();
+        self.tick_scatter();
         self.engines.expire(self.clock.now);
         self.coordinator.expire(self.clock.now);
         self.clock.refresh();
         self.clock.decide();
-        self.rule();
-        self.flush_after_look();
+        self.apply_rulings();
+        self.flush_after_read();
         for _ in 0..MOST_DECISIONS {
-            self.heard();
-            self.guarded();
-            self.marked();
-            self.tell_rooms();
+            self.handle_engine_events();
+            self.apply_promises();
+            self.apply_marks();
+            self.report_dial_capacity();
             let orders = self.dispatcher.tick(self.clock.now);
             if orders.is_empty() {
                 break;
             }
             for order in orders {
-                self.obey(order);
+                self.carry_out(order);
             }
-            self.rule();
+            self.apply_rulings();
             // Stops go out before what they make room for.
             self.flush_engines();
         }
         self.flush_engines();
-        self.heard();
+        self.handle_engine_events();
         let room = self.room();
         if let Some(portal) = &mut self.portal {
-            portal.flush(self.clock.now, room, self.most_bytes, &mut self.dispatcher);
+            portal.flush(self.clock.now, room, self.max_bytes, &mut self.dispatcher);
         }
         self.coordinator.flush(self.clock.now);
-        let mut told = Vec::new();
-        self.answer_scatters();
-        self.clients.flush(self.clock.now, &mut told);
+        let mut events = Vec::new();
+        self.answer_scattered();
+        self.clients.flush(self.clock.now, &mut events);
         if let (untaken, Some(client)) = self.clients.unsent() {
-            if untaken > self.most_bytes {
+            if untaken > self.max_bytes {
                 log::warn!(
                     "client {client}: takes no answers, {untaken} bytes wait; its connection is closed"
                 );
-                self.clients.disconnect(client, &mut told);
+                self.clients.disconnect(client, &mut events);
             }
         }
-        self.take(told);
+        self.handle_client_events(events);
         let peers = self.peers.as_ref().filter(|_| self.shutdown.is_requested());
         let duty = peers.map_or(LedgerDuty::None, |peers| peers.ledger_duty(self.clock.now));
         if self.shutdown.closes(self.clock.now, duty) {
-            // Whoever has connected by now is heard: closing the listener resets what waits there.
+            // Whoever has connected by now is served: closing the listener resets what waits there.
             self.accept();
             if self.listener.close() {
                 log::info!("no more connections are taken; {} clients are connected", self.clients.len());
@@ -267,7 +267,7 @@
     }
 
     /// Sends to engines what was decided. Guards against a front that stood still or worked for long since it last
-    /// looked at its connections: a client may have left meanwhile, or a drain been told. Then it looks first, and
+    /// read its connections: a client may have left meanwhile, or a drain been listed. Then it reads first, and
     /// sends in the next iteration.
     fn flush_engines(&mut self) {
         self.clock.refresh();
@@ -277,8 +277,8 @@
         }
     }
 
-    /// The connections were looked at just now: what was kept for that leaves.
-    fn flush_after_look(&mut self) {
+    /// The connections were read just now: what was held back for that leaves.
+    fn flush_after_read(&mut self) {
         if std::mem::take(&mut self.stale) {
             self.clock.refresh();
             self.send_out();
@@ -291,7 +291,7 @@
     }
 
     /// The end was asked for.
-    pub fn end(&mut self) {
+    pub fn shut_down(&mut self) {
         self.clock.refresh();
         self.shutdown.request(self.clock.now);
         self.peers.iter_mut().for_each(|peers| peers.leave(self.clock.now));
@@ -316,7 +316,7 @@
                 {
                     scatter.reload(settings, self.clock.now);
                 }
-                self.follow_known(&station.known);
+                self.apply_known_list(&station.known);
                 self.coordinator.set_address(self.clock.now, station.coordinator);
                 let at = station.coordinator.map_or("none".to_string(), |at| at.to_string());
                 log::info!("the configuration was read again; coordinator: {at}");
@@ -326,9 +326,9 @@
     }
 
     fn limit(&mut self, limits: &Limits) {
-        self.most_bytes = (limits.memory_bytes / MEMORY_PART) as usize;
-        self.most_clients = limits.sockets / CLIENTS_PART;
-        let engines = limits.sockets - self.most_clients;
+        self.max_bytes = (limits.memory_bytes / MEMORY_PART) as usize;
+        self.max_clients = limits.sockets / CLIENTS_PART;
+        let engines = limits.sockets - self.max_clients;
         match &mut self.portal {
             Some(portal) => {
                 portal.limit(engines / 2);
@@ -343,14 +343,14 @@
         !self.listener.is_open()
             && self.clients.len() == 0
             && self.portal.as_ref().is_none_or(|portal| portal.len() == 0)
-            // What it holds for others is freed first.
+            // What it holds of the ledger is freed first.
             && self.guard.as_ref().is_none_or(Guard::is_idle)
     }
 
     fn accept(&mut self) {
         let now = self.clock.now;
         loop {
-            let (clients, portal, most) = (&mut self.clients, &mut self.portal, self.most_clients);
+            let (clients, portal, most) = (&mut self.clients, &mut self.portal, self.max_clients);
             let reserve = || {
                 let sessions = portal.as_ref().map_or(0, Portal::len);
                 let free = clients.len() + sessions < most
--- a/crates/front/src/front/asked.rs
+++ b/crates/front/src/front/admission.rs
@@ -1,4 +1,4 @@
-//! What clients ask for is taken to the dispatcher.
+//! Admission: statements of clients are checked and handed to the dispatcher, and clients that leave are reported to it.
 
 use hallmux_access::Judged;
 use hallmux_codec::statement::{self, Call, Reply};
@@ -10,32 +10,32 @@
 
 impl Front {
     pub(super) fn read_client(&mut self, id: ClientId) -> bool {
-        let mut told = Vec::new();
-        let more = self.clients.read(self.clock.now, id, !self.shutdown.is_requested(), &mut told);
-        self.take(told);
+        let mut events = Vec::new();
+        let more = self.clients.read(self.clock.now, id, !self.shutdown.is_requested(), &mut events);
+        self.handle_client_events(events);
         more
     }
 
-    pub(super) fn take(&mut self, told: Vec<clients::Event>) {
-        for told in told {
-            match told {
+    pub(super) fn handle_client_events(&mut self, events: Vec<clients::Event>) {
+        for event in events {
+            match event {
                 clients::Event::Statement { client, number, call, unread_for } => {
                     let mut ended = Vec::new();
-                    self.asked(client, number, *call, unread_for, &mut ended);
-                    self.take(ended);
+                    self.admit(client, number, *call, unread_for, &mut ended);
+                    self.handle_client_events(ended);
                 }
                 clients::Event::Cancelled { client, number } => {
                     let ticket = self.clients.cancel(client, number);
-                    ticket.into_iter().for_each(|ticket| self.left(ticket));
+                    ticket.into_iter().for_each(|ticket| self.abandon(ticket));
                 }
-                clients::Event::Abandoned(ticket) => self.left(ticket),
+                clients::Event::Abandoned(ticket) => self.abandon(ticket),
             }
         }
     }
 
-    /// Nobody waits for a statement any more.
-    pub(super) fn left(&mut self, ticket: Ticket) {
-        // What waits for a connection is not sent any more, also where engines can't be told to give it up.
+    /// Nobody waits for a statement any more: its executions are cancelled.
+    pub(super) fn abandon(&mut self, ticket: Ticket) {
+        // What waits for a connection is not sent any more, also where cancelling is not allowed.
         self.engines.abandon(ticket);
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
         match self.scatter.as_mut().is_some_and(|scatter| scatter.left(now, ticket, dispatcher)) {
@@ -44,7 +44,7 @@
         }
     }
 
-    pub(super) fn asked(
+    pub(super) fn admit(
         &mut self,
         client: ClientId,
         number: i32,
@@ -65,15 +65,15 @@
             let why = "its text begins as fronts number loads: leave that comment out";
             return self.clients.reply(client, number, &Reply::Refused(&[("reason", why)]));
         }
-        let full = self.clients.held_bytes() > self.most_bytes;
-        if full != std::mem::replace(&mut self.full, full) {
+        let full = self.clients.held_bytes() > self.max_bytes;
+        if full != std::mem::replace(&mut self.memory_full, full) {
             log::warn!(
                 "statements held take {} bytes; {}",
                 self.clients.held_bytes(),
                 if full { "more are rejected" } else { "taken again" }
             );
         }
-        if full || self.dispatcher.held() >= self.most_held {
+        if full || self.dispatcher.held() >= self.max_statements {
             return self.clients.reject(client, number);
         }
         // Guards against a final answer that is held up on its way: it has the slack twice, before the
@@ -92,7 +92,7 @@
         // What is denied is never asked of anybody.
         let scattered = match judged.is_denied() {
             true => Some((call, None)),
-            false => self.scatters(client, number, call, time_left, allowed.clone(), &judged),
+            false => self.scatter(client, number, call, time_left, allowed.clone(), &judged),
         };
         let Some((call, whole_site)) = scattered else { return };
         let within = |site: &String| allowed.as_ref().is_none_or(|allowed| allowed.contains(site));
--- a/crates/front/src/front/rooms.rs
+++ b/crates/front/src/front/dial_capacity.rs
@@ -17,8 +17,8 @@
 }
 
 impl Front {
-    /// Tells the module how many executions can leave for each engine.
-    pub(super) fn tell_rooms(&mut self) {
+    /// Reports to the dispatcher how many executions can leave for each engine.
+    pub(super) fn report_dial_capacity(&mut self) {
         if !self.engines.dials.borrow().is_paced() {
             return;
         }
--- a/crates/front/src/front/orders.rs
+++ b/crates/front/src/front/dispatch.rs
@@ -1,4 +1,5 @@
-//! Orders of the dispatcher go to clients, engines and sessions; what those say goes back to it.
+//! Dispatch: the dispatcher's orders are carried out by clients, engines and sessions; what becomes of them is reported
+//! back to it.
 
 use std::rc::Rc;
 
@@ -15,15 +16,15 @@
 use crate::scatter::Load;
 
 impl Front {
-    /// Passes on what engines have said.
-    pub(super) fn heard(&mut self) {
+    /// Reports replies of engines, and how executions have ended, to the dispatcher; answers go on to clients.
+    pub(super) fn handle_engine_events(&mut self) {
         for event in std::mem::take(&mut self.engines.events) {
             match event {
                 engines::Event::Ended { sent: (ticket, execution), ending, report, cost, result } => {
-                    let of = self.judged_as(ticket);
+                    let of = self.statement_for_rules(ticket);
                     self.rules.iter().for_each(|rules| rules.borrow_mut().ended(of, (ticket, execution)));
                     if self.dispatcher.report(self.clock.now, ticket, execution, ending, report, cost)
-                        && !self.part_ended(ticket, Ok(&result))
+                        && !self.end_part(ticket, Ok(&result))
                     {
                         self.clients.answer(self.clock.now, ticket, &Reply::Completed(&result));
                     }
@@ -42,51 +43,51 @@
         }
     }
 
-    /// What sessions may count on just now.
+    /// What the admission of units of sessions depends on just now.
     pub(super) fn room(&self) -> Room {
         let held = self.clients.held_bytes() + self.portal.as_ref().map_or(0, Portal::held);
-        let full = held > self.most_bytes || self.dispatcher.held() >= self.most_held;
+        let full = held > self.max_bytes || self.dispatcher.held() >= self.max_statements;
         Room { waited: self.clock.waited(), full }
     }
 
     /// A statement is a session's.
-    pub(super) fn owns(&self, ticket: Ticket) -> bool {
+    pub(super) fn is_of_session(&self, ticket: Ticket) -> bool {
         self.portal.as_ref().is_some_and(|portal| portal.owns(ticket))
     }
 
     /// An execution is one of a session's.
-    pub(super) fn is_out(&self, sent: engines::Sent) -> bool {
+    pub(super) fn is_execution_of_session(&self, sent: engines::Sent) -> bool {
         self.portal.as_ref().is_some_and(|portal| portal.has(sent))
     }
 
-    /// What rules come to: what was held goes on, or statements end.
-    pub(super) fn rule(&mut self) {
+    /// Carries out rulings of the access rules: executions that were held go on, or statements end.
+    pub(super) fn apply_rulings(&mut self) {
         let Some(rules) = self.rules.clone() else { return };
         let now = self.clock.now;
         self.dispatcher.followed().iter().for_each(|ticket| rules.borrow_mut().gone(*ticket));
         let rulings = rules.borrow_mut().tick(now, &mut self.dispatcher, self.peers.as_mut());
         for ruling in rulings {
             match ruling {
-                Ruling::Go(ordered) => self.pass(ordered),
+                Ruling::Go(ordered) => self.await_promises(ordered),
                 Ruling::Deny(ticket) => {
-                    self.refuse(ticket, true, None);
+                    self.answer_without_result(ticket, true, None);
                     self.dispatcher.turn_away(now, ticket);
                 }
                 Ruling::End { ticket, ran: true, .. } => {
-                    self.refuse(ticket, false, None);
-                    self.left(ticket);
+                    self.answer_without_result(ticket, false, None);
+                    self.abandon(ticket);
                 }
                 Ruling::End { ticket, ran: false, again } => {
                     let retry_after = self.dispatcher.turn_away(now, ticket).filter(|_| again);
-                    self.refuse(ticket, true, retry_after);
-                    self.left(ticket);
+                    self.answer_without_result(ticket, true, retry_after);
+                    self.abandon(ticket);
                 }
             }
         }
     }
 
-    /// What promises let go of, or can't be had for.
-    pub(super) fn guarded(&mut self) {
+    /// Carries out rulings of the ledger: executions that were held for promises go on, or statements end.
+    pub(super) fn apply_promises(&mut self) {
         let Some((guard, peers)) = self.guard.as_mut().zip(self.peers.as_mut()) else { return };
         let clients = &self.clients;
         let id = |ticket| clients.call(ticket).map(|call| call.id.clone());
@@ -96,24 +97,30 @@
             match ruling {
                 gate::Ruling::Go(gate::Ordered { ticket, execution, place, terms, .. }) => {
                     self.dispatcher.leaves(now, ticket, execution);
-                    self.mark(Ordered { of: self.judged_as(ticket), ticket, execution, place, terms });
+                    self.await_mark(Ordered {
+                        of: self.statement_for_rules(ticket),
+                        ticket,
+                        execution,
+                        place,
+                        terms,
+                    });
                 }
                 gate::Ruling::TurnAway(ticket) => {
                     let retry_after = self.dispatcher.turn_away(now, ticket);
-                    self.obey(Order::Reject { ticket, retry_after });
+                    self.carry_out(Order::Reject { ticket, retry_after });
                 }
                 gate::Ruling::Abort(ticket) => {
                     self.dispatcher.turn_away(now, ticket);
-                    self.obey(Order::Abort { ticket });
+                    self.carry_out(Order::Abort { ticket });
                 }
             }
         }
     }
 
     /// A statement's final answer without a result.
-    fn refuse(&mut self, ticket: Ticket, rejects: bool, retry_after: Option<Micros>) {
+    fn answer_without_result(&mut self, ticket: Ticket, rejects: bool, retry_after: Option<Micros>) {
         let now = self.clock.now;
-        if self.owns(ticket) {
+        if self.is_of_session(ticket) {
             self.portal.iter_mut().for_each(|portal| portal.refuse(now, ticket, rejects, retry_after));
         } else if rejects {
             let retry_after_ms = retry_after.map(|time| time / 1000);
@@ -124,17 +131,17 @@
     }
 
     /// An execution that rules have let go on waits for its promises, or leaves.
-    fn pass(&mut self, ordered: Ordered) {
+    fn await_promises(&mut self, ordered: Ordered) {
         let Ordered { ticket, execution, place, terms, .. } = ordered;
         let (now, sent) = (self.clock.now, (ticket, execution));
         let guard = self.guard.as_mut();
         if !guard.is_some_and(|guard| guard.holds(now, &mut self.dispatcher, (sent, place, terms))) {
-            self.mark(ordered);
+            self.await_mark(ordered);
         }
     }
 
     /// An execution that has its promises waits for the mark on its load, or leaves.
-    fn mark(&mut self, ordered: Ordered) {
+    fn await_mark(&mut self, ordered: Ordered) {
         let Ordered { ticket, execution, place, terms, .. } = ordered;
         let now = self.clock.now;
         let load = self.load(ticket);
@@ -148,7 +155,7 @@
     /// What a statement may write, where loads are marked.
     fn load(&mut self, ticket: Ticket) -> Option<Load> {
         self.scatter.as_ref()?.loads.as_ref()?;
-        if self.owns(ticket) {
+        if self.is_of_session(ticket) {
             return self.portal.as_mut()?.load(ticket);
         }
         self.call(ticket).map(Load::Call)
@@ -169,7 +176,7 @@
         let Ordered { ticket, execution, place, terms, .. } = ordered;
         let (now, sent) = (self.clock.now, (ticket, execution));
         self.rooms.took(place);
-        if self.owns(ticket) {
+        if self.is_of_session(ticket) {
             return self.portal.iter_mut().for_each(|portal| portal.send(now, sent, place, None));
         }
         match self.call(ticket) {
@@ -179,14 +186,14 @@
     }
 
     /// An execution that is to be given up waits here: nothing of it has left.
-    fn is_held(&mut self, now: Micros, ticket: Ticket, execution: usize) -> bool {
-        let (of, sent) = (self.judged_as(ticket), (ticket, execution));
+    fn is_waiting_here(&mut self, now: Micros, ticket: Ticket, execution: usize) -> bool {
+        let (of, sent) = (self.statement_for_rules(ticket), (ticket, execution));
         self.rules.as_ref().is_some_and(|rules| rules.borrow_mut().stop(of, sent))
             || self.guard.as_mut().is_some_and(|guard| guard.stops(now, sent))
     }
 
     /// The statement that rules know: of a part the whole.
-    pub(super) fn judged_as(&self, ticket: Ticket) -> Ticket {
+    pub(super) fn statement_for_rules(&self, ticket: Ticket) -> Ticket {
         self.scatter.as_ref().and_then(|scatter| scatter.whole_of(ticket)).unwrap_or(ticket)
     }
 
@@ -195,18 +202,19 @@
         self.clients.call(ticket).or_else(part)
     }
 
-    pub(super) fn obey(&mut self, order: Order) {
+    pub(super) fn carry_out(&mut self, order: Order) {
         let now = self.clock.now;
         match order {
             Order::Send { ticket, execution, place, terms } => {
-                let ordered = Ordered { of: self.judged_as(ticket), ticket, execution, place, terms };
+                let ordered =
+                    Ordered { of: self.statement_for_rules(ticket), ticket, execution, place, terms };
                 let dispatcher = &mut self.dispatcher;
                 let goes = |rules: &Shared| rules.borrow_mut().order(now, dispatcher, ordered);
                 if self.rules.as_ref().is_none_or(goes) {
-                    self.pass(ordered);
+                    self.await_promises(ordered);
                 }
             }
-            Order::Stop { ticket, execution, ending } if self.is_held(now, ticket, execution) => {
+            Order::Stop { ticket, execution, ending } if self.is_waiting_here(now, ticket, execution) => {
                 // Its session is to know why, though nothing of it has left.
                 self.portal.iter_mut().for_each(|portal| portal.stop(now, (ticket, execution), ending));
                 self.dispatcher.report(now, ticket, execution, Ending::Withdrawn, None, None);
@@ -221,7 +229,9 @@
                 self.portal.iter_mut().for_each(|portal| portal.stop(now, (ticket, execution), ending));
                 self.dispatcher.report(now, ticket, execution, Ending::Withdrawn, None, None);
             }
-            Order::Stop { ticket, execution, ending } if self.is_out((ticket, execution)) => {
+            Order::Stop { ticket, execution, ending }
+                if self.is_execution_of_session((ticket, execution)) =>
+            {
                 self.portal.iter_mut().for_each(|portal| portal.stop(now, (ticket, execution), ending));
             }
             Order::Hurry { ticket, execution, priority } => {
@@ -232,10 +242,10 @@
                 self.engines.cancel(self.clock.now, (ticket, execution), ending)
             }
             Order::Reject { ticket, retry_after }
-                if self.part_ended(ticket, Err(Failed::Rejected { retry_after })) => {}
-            Order::Abort { ticket } if self.part_ended(ticket, Err(Failed::Aborted)) => {}
-            Order::Reject { ticket, retry_after } => self.refuse(ticket, true, retry_after),
-            Order::Abort { ticket } => self.refuse(ticket, false, None),
+                if self.end_part(ticket, Err(Failed::Rejected { retry_after })) => {}
+            Order::Abort { ticket } if self.end_part(ticket, Err(Failed::Aborted)) => {}
+            Order::Reject { ticket, retry_after } => self.answer_without_result(ticket, true, retry_after),
+            Order::Abort { ticket } => self.answer_without_result(ticket, false, None),
             // Between the decision and now the work may have become another's: then the probe stays here.
             Order::Probe { for_fleet: true, .. } if !self.peers.as_ref().is_none_or(Peers::may_probe) => {}
             Order::Pace { connections } => self.engines.dials.borrow_mut().pace(now, connections),
--- a/crates/front/src/front/listed.rs
+++ b/crates/front/src/front/engine_list.rs
@@ -1,4 +1,4 @@
-//! The engine list as the coordinator tells it.
+//! The engine list: updates of the coordinator go to the dispatcher and to the connections.
 
 use std::net::SocketAddr;
 
@@ -8,21 +8,21 @@
 use super::Front;
 
 impl Front {
-    /// Takes in what a new configuration knows of the coordinator's events: a drain that it tells counts as told,
-    /// whether the coordinator that it names answers or not.
-    pub(super) fn follow_known(&mut self, known: &str) {
+    /// Takes in what a new configuration knows of the coordinator's events: a drain among them counts,
+    /// whether the coordinator that the configuration names answers or not.
+    pub(super) fn apply_known_list(&mut self, known: &str) {
         match hallmux_codec::coordinator::stream(known.as_bytes()) {
             Ok(known) => {
                 let before = self.coordinator.follow;
                 self.coordinator.follow = before.max(known.index);
-                self.follow(&known, before);
+                self.apply_list(&known, before);
             }
             Err(what) => log::error!("NODE_CONFIG: known: {what}; the engine list is left as it was"),
         }
     }
 
     /// Takes in the coordinator's events that come after the one given.
-    pub(super) fn follow(&mut self, stream: &Stream, after: u64) {
+    pub(super) fn apply_list(&mut self, stream: &Stream, after: u64) {
         for update in stream.updates.iter().filter(|u| u.index > after) {
             let Some(list) = &update.list else { continue };
             let portal = self.portal.as_ref();
--- a/crates/front/src/front/scattered.rs
+++ b/crates/front/src/front/scatter.rs
@@ -1,4 +1,4 @@
-//! Statements that are asked of several sites: taken, their parts passed on, their one answer given.
+//! Statements over several sites (scatter and gather): admitted, their parts dispatched, their one answer given.
 
 use std::rc::Rc;
 
@@ -17,7 +17,7 @@
 impl Front {
     /// Takes a statement of a workload that is scattered, where parts can make up its answer. Gives it back with the one
     /// location it may be sent to where they can't.
-    pub(super) fn scatters(
+    pub(super) fn scatter(
         &mut self,
         client: ClientId,
         number: i32,
@@ -58,15 +58,15 @@
     }
 
     /// A part is answered; false if the statement is none.
-    pub(super) fn part_ended(&mut self, part: Ticket, ended: Result<&[u8], Failed>) -> bool {
+    pub(super) fn end_part(&mut self, part: Ticket, ended: Result<&[u8], Failed>) -> bool {
         let now = self.clock.now;
         let Some(scatter) = self.scatter.as_mut().filter(|scatter| scatter.owns(part)) else { return false };
         scatter.ended(now, part, ended.map(<[u8]>::to_vec), &mut self.dispatcher);
         true
     }
 
-    /// Does what is due of scatters: letters, marks, and the answers there are.
-    pub(super) fn tick_scatters(&mut self) {
+    /// Does what is due of scatters: messages to other fronts, marks on loads, and the answers there are.
+    pub(super) fn tick_scatter(&mut self) {
         let now = self.clock.now;
         let Some(scatter) = &mut self.scatter else { return };
         scatter.summaries.choose(now);
@@ -81,12 +81,12 @@
         if let Some(loads) = &mut scatter.loads {
             loads.note(now, &mut self.dispatcher);
         }
-        self.marked();
-        self.answer_scatters();
+        self.apply_marks();
+        self.answer_scattered();
     }
 
     /// Asks the ledger for marks and takes its answers: loads leave, scatters begin.
-    pub(super) fn marked(&mut self) {
+    pub(super) fn apply_marks(&mut self) {
         loop {
             let now = self.clock.now;
             let Some((scatter, peers)) = self.scatter.as_mut().zip(self.peers.as_mut()) else { return };
@@ -103,7 +103,7 @@
                 match word {
                     Word::Send { sent: (ticket, execution), place, terms, leaves } => {
                         self.dispatcher.leaves(now, ticket, execution);
-                        let of = self.judged_as(ticket);
+                        let of = self.statement_for_rules(ticket);
                         if self.may_leave(Ordered { of, ticket, execution, place, terms }) {
                             let sent = (ticket, execution);
                             match (leaves, &mut self.portal) {
@@ -115,7 +115,7 @@
                     }
                     Word::TurnAway((ticket, _)) => {
                         let retry_after = self.dispatcher.turn_away(now, ticket);
-                        self.obey(Order::Reject { ticket, retry_after });
+                        self.carry_out(Order::Reject { ticket, retry_after });
                     }
                     Word::Other(Follows::Marks { group, scatters, marks }) => {
                         let waiting: Vec<Ticket> = scatters.iter().map(|ticket| *ticket as Ticket).collect();
@@ -129,11 +129,11 @@
         }
     }
 
-    pub(super) fn answer_scatters(&mut self) {
+    pub(super) fn answer_scattered(&mut self) {
         for (ticket, said) in self.scatter.as_mut().map(Scatters::said).unwrap_or_default() {
             self.rules.iter().for_each(|rules| rules.borrow_mut().gone(ticket));
             match said {
-                Said::Answer(answer) => self.answer_whole(ticket, &answer),
+                Said::Answer(answer) => self.answer_scattered_statement(ticket, &answer),
                 Said::Unfit(unfit) => {
                     let field = match unfit {
                         Unfit::Customer => statement::CUSTOMER,
@@ -146,7 +146,7 @@
         }
     }
 
-    fn answer_whole(&mut self, ticket: Ticket, answer: &Answer) {
+    fn answer_scattered_statement(&mut self, ticket: Ticket, answer: &Answer) {
         let now = self.clock.now;
         match answer {
             Answer::Rows { bytes, missing, barred } if missing.is_empty() && barred.is_empty() => {
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -64,7 +64,7 @@
         for signal in events.signals.drain(..) {
             match signal {
                 Signal::SIGHUP => front.reload(Station::read(&variables)),
-                _ => front.end(),
+                _ => front.shut_down(),
             }
         }
         events.ready.drain(..).for_each(|socket| front.ready(socket));
