--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -23,7 +23,7 @@
 use crate::fleet::{Guard, Peers};
 use crate::link::Link;
 use crate::listener::Listener;
-use crate::postgres::portal::Portal;
+use crate::postgres::gateway::Gateway;
 use crate::scatter::Scatters;
 use crate::shutdown::{LedgerDuty, Shutdown};
 use crate::start::Fault;
@@ -47,7 +47,7 @@
     engines: Engines,
     coordinator: Coordinator,
     /// PostgreSQL sessions, where the operator's file switches them on.
-    portal: Option<Portal>,
+    gateway: Option<Gateway>,
     /// Messages with other fronts, likewise.
     peers: Option<Peers>,
     /// Regional access rules of customers, likewise.
@@ -79,7 +79,7 @@
         handle: LoopHandle<'static, Events>,
     ) -> Result<Front, Fault> {
         let contract = &station.contract;
-        let portal = station.operator.postgres.as_ref();
+        let gateway = station.operator.postgres.as_ref();
         let part = |why: std::io::Error| Fault::part(&why);
         let clock = Clock::new(station.operator.clock_ahead, station.drill_clock.as_deref());
         let mut clock = clock.map_err(part)?;
@@ -87,12 +87,12 @@
         let gossip = station.operator.gossip.as_ref();
         let peers = gossip.map(|gossip| Peers::new(gossip, clock.now, &handle)).transpose()?;
         let rules = rules::start(station, clock.now, peers.as_ref())?;
-        let open = |postgres| Portal::new(postgres, contract, handle.clone(), rules.clone());
-        let mut portal = portal.map(open).transpose().map_err(part)?;
+        let open = |postgres| Gateway::new(postgres, contract, handle.clone(), rules.clone());
+        let mut gateway = gateway.map(open).transpose().map_err(part)?;
         let spread_offset = peers.as_ref().map_or(0, Peers::spread_offset);
         let scatter = station.operator.scatter.as_ref();
-        if let Some((portal, scatter)) = portal.as_mut().zip(scatter.filter(|scatter| scatter.marked)) {
-            portal.writes = scatter.writes.clone();
+        if let Some((gateway, scatter)) = gateway.as_mut().zip(scatter.filter(|scatter| scatter.marked)) {
+            gateway.writes = scatter.writes.clone();
         }
         let scatter = scatter.map(|scatter| Scatters::new(scatter, clock.now, spread_offset, contract));
         let scatter = scatter.transpose().map_err(part)?;
@@ -107,7 +107,7 @@
             clients: Clients::new(contract.agreement.longest_retry_after, longest_timeout(contract)),
             engines: Engines::new(handle.clone(), contract.allowance.clone(), &contract.names),
             coordinator: Coordinator::new(handle.clone(), station.coordinator, known.index),
-            portal,
+            gateway,
             peers,
             rules,
             guard: None,
@@ -120,8 +120,8 @@
             handle,
         };
         front.engines.dials = dial_capacity::pacer(station, front.clock.now);
-        if let Some(portal) = &mut front.portal {
-            portal.servers().dials = front.engines.dials.clone();
+        if let Some(gateway) = &mut front.gateway {
+            gateway.servers().dials = front.engines.dials.clone();
         }
         if let Some(ledger) = station.operator.gossip.as_ref().and_then(|gossip| gossip.ledger.as_ref()) {
             let now = front.clock.now;
@@ -142,7 +142,7 @@
             self.coordinator.due(),
             self.listener.due(),
             self.shutdown.due(self.clock.now),
-            self.portal.as_ref().map_or(Micros::MAX, Portal::due),
+            self.gateway.as_ref().map_or(Micros::MAX, Gateway::due),
             self.peers.as_ref().map_or(Micros::MAX, |peers| peers.due(self.clock.now)),
             self.guard.as_ref().map_or(Micros::MAX, Guard::due),
             self.rules.as_ref().map_or(Micros::MAX, |rules| rules.borrow().due(self.clock.now)),
@@ -175,8 +175,8 @@
             SocketKind::Peers => self.peers.as_mut().is_some_and(|peers| peers.read(self.clock.now)),
             SocketKind::SessionListener | SocketKind::Session | SocketKind::Server | SocketKind::Cancel => {
                 let (now, room) = (self.clock.now, self.room());
-                let portal = self.portal.as_mut();
-                portal.is_some_and(|portal| portal.found(now, socket, room, &mut self.dispatcher))
+                let gateway = self.gateway.as_mut();
+                gateway.is_some_and(|gateway| gateway.socket_ready(now, socket, room, &mut self.dispatcher))
             }
         };
         if more {
@@ -193,11 +193,11 @@
         }
         self.accept();
         let room = self.room();
-        if let Some(portal) = &mut self.portal {
-            let room_left = self.max_clients.saturating_sub(self.clients.len() + portal.len());
-            portal.accept(self.clock.now, room_left);
-            portal.take(self.clock.now, room, &mut self.dispatcher);
-            portal.expire(self.clock.now, room, &mut self.dispatcher);
+        if let Some(gateway) = &mut self.gateway {
+            let room_left = self.max_clients.saturating_sub(self.clients.len() + gateway.len());
+            gateway.accept(self.clock.now, room_left);
+            gateway.take(self.clock.now, room, &mut self.dispatcher);
+            gateway.expire(self.clock.now, room, &mut self.dispatcher);
         }
         let mut events = Vec::new();
         self.clients.expire(self.clock.now, &mut events);
@@ -231,8 +231,8 @@
         self.flush_engines();
         self.handle_engine_events();
         let room = self.room();
-        if let Some(portal) = &mut self.portal {
-            portal.flush(self.clock.now, room, self.max_bytes, &mut self.dispatcher);
+        if let Some(gateway) = &mut self.gateway {
+            gateway.flush(self.clock.now, room, self.max_bytes, &mut self.dispatcher);
         }
         self.coordinator.flush(self.clock.now);
         let mut events = Vec::new();
@@ -257,8 +257,8 @@
             }
             self.clients.close_idle(self.clock.now);
             let room = self.room();
-            if let Some(portal) = &mut self.portal {
-                portal.close(self.clock.now, room, &mut self.dispatcher);
+            if let Some(gateway) = &mut self.gateway {
+                gateway.close(self.clock.now, room, &mut self.dispatcher);
             }
         }
         for client in self.clients.readable_again() {
@@ -287,7 +287,7 @@
 
     fn send_out(&mut self) {
         self.engines.flush(self.clock.now);
-        self.portal.iter_mut().for_each(|portal| portal.flush_servers(self.clock.now));
+        self.gateway.iter_mut().for_each(|gateway| gateway.flush_servers(self.clock.now));
     }
 
     /// The end was asked for.
@@ -329,9 +329,9 @@
         self.max_bytes = (limits.memory_bytes / MEMORY_PART) as usize;
         self.max_clients = limits.sockets / CLIENTS_PART;
         let engines = limits.sockets - self.max_clients;
-        match &mut self.portal {
-            Some(portal) => {
-                portal.limit(engines / 2);
+        match &mut self.gateway {
+            Some(gateway) => {
+                gateway.limit(engines / 2);
                 self.engines.limit(engines - engines / 2);
             }
             None => self.engines.limit(engines),
@@ -342,7 +342,7 @@
     pub fn is_done(&self) -> bool {
         !self.listener.is_open()
             && self.clients.len() == 0
-            && self.portal.as_ref().is_none_or(|portal| portal.len() == 0)
+            && self.gateway.as_ref().is_none_or(|gateway| gateway.len() == 0)
             // What it holds of the ledger is freed first.
             && self.guard.as_ref().is_none_or(Guard::is_idle)
     }
@@ -350,12 +350,12 @@
     fn accept(&mut self) {
         let now = self.clock.now;
         loop {
-            let (clients, portal, most) = (&mut self.clients, &mut self.portal, self.max_clients);
+            let (clients, gateway, most) = (&mut self.clients, &mut self.gateway, self.max_clients);
             let reserve = || {
-                let sessions = portal.as_ref().map_or(0, Portal::len);
+                let sessions = gateway.as_ref().map_or(0, Gateway::len);
                 let free = clients.len() + sessions < most
                     || clients.evict_idle()
-                    || portal.as_mut().is_some_and(|portal| portal.make_room(now));
+                    || gateway.as_mut().is_some_and(|gateway| gateway.evict_idle(now));
                 free.then_some(())
                     .ok_or_else(|| format!("{} clients are connected", clients.len() + sessions))
             };
--- a/crates/front/src/front/dial_capacity.rs
+++ b/crates/front/src/front/dial_capacity.rs
@@ -22,9 +22,9 @@
         if !self.engines.dials.borrow().is_paced() {
             return;
         }
-        let (now, engines, portal) = (self.clock.now, &self.engines, &mut self.portal);
+        let (now, engines, gateway) = (self.clock.now, &self.engines, &mut self.gateway);
         self.rooms.tell(now, &mut self.dispatcher, |place| {
-            let sessions = portal.as_mut().map_or(0, |portal| portal.servers().room(now, place));
+            let sessions = gateway.as_mut().map_or(0, |gateway| gateway.servers().capacity(now, place));
             engines.capacity(now, place) + sessions
         });
     }
--- a/crates/front/src/front/dispatch.rs
+++ b/crates/front/src/front/dispatch.rs
@@ -12,7 +12,7 @@
 use crate::engines;
 use crate::fleet::rules::{Ordered, Ruling, Shared};
 use crate::fleet::Peers;
-use crate::postgres::portal::{Portal, Room};
+use crate::postgres::gateway::{AdmissionState, Gateway};
 use crate::scatter::Load;
 
 impl Front {
@@ -38,26 +38,26 @@
             }
         }
         let room = self.room();
-        if let Some(portal) = &mut self.portal {
-            portal.heard(self.clock.now, room, &mut self.dispatcher);
+        if let Some(gateway) = &mut self.gateway {
+            gateway.handle_server_events(self.clock.now, room, &mut self.dispatcher);
         }
     }
 
     /// What the admission of units of sessions depends on just now.
-    pub(super) fn room(&self) -> Room {
-        let held = self.clients.held_bytes() + self.portal.as_ref().map_or(0, Portal::held);
+    pub(super) fn room(&self) -> AdmissionState {
+        let held = self.clients.held_bytes() + self.gateway.as_ref().map_or(0, Gateway::held_bytes);
         let full = held > self.max_bytes || self.dispatcher.held() >= self.max_statements;
-        Room { waited: self.clock.waited(), full }
+        AdmissionState { waited: self.clock.waited(), full }
     }
 
     /// A statement is a session's.
     pub(super) fn is_of_session(&self, ticket: Ticket) -> bool {
-        self.portal.as_ref().is_some_and(|portal| portal.owns(ticket))
+        self.gateway.as_ref().is_some_and(|gateway| gateway.owns(ticket))
     }
 
     /// An execution is one of a session's.
     pub(super) fn is_execution_of_session(&self, sent: engines::Sent) -> bool {
-        self.portal.as_ref().is_some_and(|portal| portal.has(sent))
+        self.gateway.as_ref().is_some_and(|gateway| gateway.has(sent))
     }
 
     /// Carries out rulings of the access rules: executions that were held go on, or statements end.
@@ -121,7 +121,7 @@
     fn answer_without_result(&mut self, ticket: Ticket, rejects: bool, retry_after: Option<Micros>) {
         let now = self.clock.now;
         if self.is_of_session(ticket) {
-            self.portal.iter_mut().for_each(|portal| portal.refuse(now, ticket, rejects, retry_after));
+            self.gateway.iter_mut().for_each(|gateway| gateway.refuse(now, ticket, rejects, retry_after));
         } else if rejects {
             let retry_after_ms = retry_after.map(|time| time / 1000);
             self.clients.answer(now, ticket, &Reply::Rejected { retry_after_ms });
@@ -156,7 +156,7 @@
     fn load(&mut self, ticket: Ticket) -> Option<Load> {
         self.scatter.as_ref()?.loads.as_ref()?;
         if self.is_of_session(ticket) {
-            return self.portal.as_mut()?.load(ticket);
+            return self.gateway.as_mut()?.load(ticket);
         }
         self.call(ticket).map(Load::Call)
     }
@@ -177,7 +177,7 @@
         let (now, sent) = (self.clock.now, (ticket, execution));
         self.rooms.took(place);
         if self.is_of_session(ticket) {
-            return self.portal.iter_mut().for_each(|portal| portal.send(now, sent, place, None));
+            return self.gateway.iter_mut().for_each(|gateway| gateway.send(now, sent, place, None));
         }
         match self.call(ticket) {
             Some(call) => self.engines.send(now, sent, place, call, terms),
@@ -216,7 +216,7 @@
             }
             Order::Stop { ticket, execution, ending } if self.is_waiting_here(now, ticket, execution) => {
                 // Its session is to know why, though nothing of it has left.
-                self.portal.iter_mut().for_each(|portal| portal.stop(now, (ticket, execution), ending));
+                self.gateway.iter_mut().for_each(|gateway| gateway.stop(now, (ticket, execution), ending));
                 self.dispatcher.report(now, ticket, execution, Ending::Withdrawn, None, None);
             }
             Order::Stop { ticket, execution, ending }
@@ -226,13 +226,13 @@
                     .and_then(|scatter| scatter.loads.as_mut())
                     .is_some_and(|loads| loads.stops((ticket, execution))) =>
             {
-                self.portal.iter_mut().for_each(|portal| portal.stop(now, (ticket, execution), ending));
+                self.gateway.iter_mut().for_each(|gateway| gateway.stop(now, (ticket, execution), ending));
                 self.dispatcher.report(now, ticket, execution, Ending::Withdrawn, None, None);
             }
             Order::Stop { ticket, execution, ending }
                 if self.is_execution_of_session((ticket, execution)) =>
             {
-                self.portal.iter_mut().for_each(|portal| portal.stop(now, (ticket, execution), ending));
+                self.gateway.iter_mut().for_each(|gateway| gateway.stop(now, (ticket, execution), ending));
             }
             Order::Hurry { ticket, execution, priority } => {
                 self.guard.iter_mut().for_each(|guard| guard.hurry(ticket, priority));
--- a/crates/front/src/front/engine_list.rs
+++ b/crates/front/src/front/engine_list.rs
@@ -25,26 +25,26 @@
     pub(super) fn apply_list(&mut self, stream: &Stream, after: u64) {
         for update in stream.updates.iter().filter(|u| u.index > after) {
             let Some(list) = &update.list else { continue };
-            let portal = self.portal.as_ref();
-            let speaks = |e: &Engine| portal.and_then(|portal| portal.port(&e.kind));
+            let gateway = self.gateway.as_ref();
+            let speaks = |e: &Engine| gateway.and_then(|gateway| gateway.port(&e.kind));
             let listings: Vec<Listing> = list.engines.iter().map(|e| listing(e, speaks(e))).collect();
             let places = self.dispatcher.list(list.whole, &listings);
             if list.whole {
                 self.engines.retire_others(&places);
-                self.portal.iter_mut().for_each(|portal| portal.servers().retire_but(&places));
+                self.gateway.iter_mut().for_each(|gateway| gateway.servers().retire_others(&places));
             }
             for (engine, place) in list.engines.iter().zip(places) {
                 let Engine { id, address, kind, state, .. } = engine;
                 log::info!("engine {id}: {state:?} at {address} ({kind})");
-                let sessions = self.portal.as_ref().and_then(|portal| portal.port(kind));
+                let sessions = self.gateway.as_ref().and_then(|gateway| gateway.port(kind));
                 let up = *state == State::Up;
-                if let Some((portal, port)) = self.portal.as_mut().zip(sessions) {
+                if let Some((gateway, port)) = self.gateway.as_mut().zip(sessions) {
                     match address.parse::<SocketAddr>() {
                         Ok(mut at) => {
                             at.set_port(port.unwrap_or(at.port()));
-                            portal.servers().list(place, id, at, engine.started_ms, up);
+                            gateway.servers().list(place, id, at, engine.started_ms, up);
                         }
-                        Err(_) => portal.servers().retire(place),
+                        Err(_) => gateway.servers().retire(place),
                     }
                 }
                 if sessions == Some(None) {
--- a/crates/front/src/front/scatter.rs
+++ b/crates/front/src/front/scatter.rs
@@ -106,9 +106,9 @@
                         let of = self.statement_for_rules(ticket);
                         if self.may_leave(Ordered { of, ticket, execution, place, terms }) {
                             let sent = (ticket, execution);
-                            match (leaves, &mut self.portal) {
+                            match (leaves, &mut self.gateway) {
                                 (Leaves::Call(call), _) => self.engines.send(now, sent, place, call, terms),
-                                (Leaves::Unit(text), Some(portal)) => portal.send(now, sent, place, text),
+                                (Leaves::Unit(text), Some(gateway)) => gateway.send(now, sent, place, text),
                                 (Leaves::Unit(_), None) => {}
                             }
                         }
--- a/crates/front/src/postgres/portal.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -1,7 +1,7 @@
-//! PostgreSQL sessions among the rest of the front: what their units ask of the dispatcher, what its orders
-//! and the engines' answers mean to them. Switched on by the operator's file; off, it is not there.
+//! The gateway for PostgreSQL sessions: it hands their units to the dispatcher, carries out its orders over
+//! connections to engines, and hands the answers back. Switched on by the operator's file; off, it is not there.
 
-mod asked;
+mod admission;
 mod loads;
 
 use std::net::TcpListener;
@@ -13,7 +13,7 @@
 use hallmux_postgres::answer::Final;
 use hallmux_postgres::session::Transaction;
 
-use self::asked::verdict;
+use self::admission::final_answer;
 use super::fault::Fault;
 use super::servers::{self, Sent, Servers, Unit};
 use super::sessions::{self, Sessions, Users};
@@ -22,16 +22,16 @@
 use crate::link::Link;
 use crate::listener::Listener;
 
-/// What the front as a whole allows just now.
+/// What admission of a unit depends on beyond its session.
 #[derive(Clone, Copy)]
-pub struct Room {
+pub struct AdmissionState {
     /// How long what is found now may have waited.
     pub waited: Micros,
     /// No more statements can be taken.
     pub full: bool,
 }
 
-pub struct Portal {
+pub struct Gateway {
     handle: LoopHandle<'static, Events>,
     listener: Listener,
     sessions: Sessions,
@@ -40,28 +40,28 @@
     allowed: Postgres,
     answer_slack: Micros,
     timeouts: Vec<(String, Micros)>,
-    come_back_ms: Option<i64>,
+    retry_after_ms: Option<i64>,
     /// Regional access rules, where they are switched on.
     rules: Option<Shared>,
     /// Workloads whose units may write, where loads are marked.
     pub writes: Vec<String>,
     shut: Option<Micros>,
-    /// Connections with more to read than one iteration takes, that the loop does not tell of again.
+    /// Connections with more to read than one iteration takes, that the event loop does not report again.
     unfinished: Vec<SocketId>,
 }
 
-impl Portal {
+impl Gateway {
     pub fn new(
         postgres: &Postgres,
         contract: &Contract,
         handle: LoopHandle<'static, Events>,
         rules: Option<Shared>,
-    ) -> std::io::Result<Portal> {
+    ) -> std::io::Result<Gateway> {
         let listener =
             TcpListener::bind(postgres.listen).map_err(|why| Fault::Listen { at: postgres.listen, why })?;
         let address = listener.local_addr()?;
         let workloads = contract.names.workloads.iter().zip(&contract.agreement.workloads);
-        let portal = Portal {
+        let gateway = Gateway {
             listener: Listener::new(listener, &handle, SocketKind::SessionListener.id(0))?,
             sessions: Sessions::new(&postgres.limits),
             servers: Servers::new(handle.clone(), contract.allowance.clone(), postgres.limits.clone()),
@@ -69,7 +69,7 @@
             allowed: postgres.clone(),
             answer_slack: contract.allowance.answer_slack,
             timeouts: workloads.map(|(name, w)| (name.clone(), w.statement_timeout)).collect(),
-            come_back_ms: contract.agreement.longest_retry_after.map(|time| time / 1000),
+            retry_after_ms: contract.agreement.longest_retry_after.map(|time| time / 1000),
             shut: None,
             rules,
             writes: Vec::new(),
@@ -77,7 +77,7 @@
             handle,
         };
         log::info!("takes PostgreSQL sessions at {address}");
-        Ok(portal)
+        Ok(gateway)
     }
 
     /// Descriptors that its engine connections may use.
@@ -90,9 +90,9 @@
         self.sessions.len()
     }
 
-    /// Bytes held of what clients have said.
-    pub fn held(&self) -> usize {
-        self.sessions.held()
+    /// Bytes held of what clients have sent.
+    pub fn held_bytes(&self) -> usize {
+        self.sessions.held_bytes()
     }
 
     pub fn owns(&self, ticket: Ticket) -> bool {
@@ -115,14 +115,20 @@
     }
 
     pub fn due(&self) -> Micros {
-        let more = !self.servers.told.is_empty() || !self.sessions.ready.is_empty();
+        let more = !self.servers.events.is_empty() || !self.sessions.ready.is_empty();
         let more = more || !self.unfinished.is_empty();
         let ready = if more { 0 } else { Micros::MAX };
         self.listener.due().min(self.servers.due()).min(ready)
     }
 
     /// A connection has changed: takes what is there. True if there is more for another iteration.
-    pub fn found(&mut self, now: Micros, socket: SocketId, room: Room, dispatcher: &mut Dispatcher) -> bool {
+    pub fn socket_ready(
+        &mut self,
+        now: Micros,
+        socket: SocketId,
+        room: AdmissionState,
+        dispatcher: &mut Dispatcher,
+    ) -> bool {
         let more = self.ready(now, socket);
         if socket.kind == SocketKind::Session {
             self.take_units(now, room, dispatcher);
@@ -146,8 +152,8 @@
     }
 
     /// Closes a session for another connection, of whatever kind. False if none can go.
-    pub fn make_room(&mut self, now: Micros) -> bool {
-        self.sessions.make_room(now)
+    pub fn evict_idle(&mut self, now: Micros) -> bool {
+        self.sessions.evict_idle(now)
     }
 
     /// Accepts connections; `room` is how many more may be connected.
@@ -155,7 +161,7 @@
         loop {
             let (sessions, most) = (&mut self.sessions, self.allowed.limits.sessions);
             let reserve = || {
-                let free = room > 0 && sessions.len() < most || sessions.make_room(now);
+                let free = room > 0 && sessions.len() < most || sessions.evict_idle(now);
                 free.then_some(()).ok_or_else(|| format!("{} sessions are connected", sessions.len()))
             };
             let Some(stream) = self.listener.accept(now, reserve) else { return };
@@ -171,7 +177,7 @@
         }
     }
 
-    /// Reads a connection that the loop has not told of; what one iteration leaves is read in the next.
+    /// Reads a connection that the event loop has not reported; what one iteration leaves is read in the next.
     fn read_on(&mut self, now: Micros, socket: SocketId) {
         if self.ready(now, socket) {
             self.unfinished.push(socket);
@@ -179,43 +185,45 @@
     }
 
     /// Reads on where an iteration has left more, and takes the units that have come.
-    pub fn take(&mut self, now: Micros, room: Room, dispatcher: &mut Dispatcher) {
+    pub fn take(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
         for socket in std::mem::take(&mut self.unfinished) {
             self.read_on(now, socket);
         }
         self.take_units(now, room, dispatcher);
     }
 
-    fn take_units(&mut self, now: Micros, room: Room, dispatcher: &mut Dispatcher) {
+    fn take_units(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
         for id in std::mem::take(&mut self.sessions.ready) {
             self.sessions.advance(now, id, &self.users, &mut self.servers);
-            self.hear(now, room, dispatcher);
+            self.handle_session_events(now, room, dispatcher);
         }
     }
 
     /// Carries out what sessions have come to.
-    fn hear(&mut self, now: Micros, room: Room, dispatcher: &mut Dispatcher) {
-        while !self.sessions.told.is_empty() {
-            for told in std::mem::take(&mut self.sessions.told) {
-                match told {
-                    sessions::Told::Asked { session, part, since } => {
-                        self.asked(now, room, dispatcher, session, part, since);
+    fn handle_session_events(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
+        while !self.sessions.events.is_empty() {
+            for event in std::mem::take(&mut self.sessions.events) {
+                match event {
+                    sessions::Event::Unit { session, part, since } => {
+                        self.admit(now, room, dispatcher, session, part, since);
                     }
-                    sessions::Told::More { ticket, part } if self.strays(ticket, &part) => {
-                        self.sessions.fail(now, ticket, &loads::STRAYS, None);
+                    sessions::Event::UnitPart { ticket, part }
+                        if self.names_unmarked_groups(ticket, &part) =>
+                    {
+                        self.sessions.fail(now, ticket, &loads::UNMARKED_GROUPS, None);
                         dispatcher.left(now, ticket);
                     }
-                    sessions::Told::More { ticket, part } => {
+                    sessions::Event::UnitPart { ticket, part } => {
                         let sent = self.sessions.by_ticket(ticket);
                         let sent = sent.and_then(|(_, i)| i.running.as_ref()?.sent);
                         sent.into_iter().for_each(|sent| self.servers.more(sent, part.clone()));
                     }
-                    sessions::Told::Left(ticket) => dispatcher.left(now, ticket),
-                    sessions::Told::Freed { pin, keys, rests } => {
+                    sessions::Event::Abandoned(ticket) => dispatcher.left(now, ticket),
+                    sessions::Event::TransactionOver { pin, keys, may_go_on } => {
                         pin.into_iter().for_each(|pin| self.servers.release(now, pin));
-                        keys.iter().for_each(|key| dispatcher.freed(now, key, rests));
+                        keys.iter().for_each(|key| dispatcher.freed(now, key, may_go_on));
                     }
-                    sessions::Told::Cancel(session) => self.cancel(now, dispatcher, session),
+                    sessions::Event::Cancel(session) => self.cancel(now, dispatcher, session),
                 }
             }
         }
@@ -223,13 +231,13 @@
 
     /// An execution leaves; with other text where it is a simple query that is to have it.
     pub fn send(&mut self, now: Micros, sent: Sent, place: Place, text: Option<Vec<u8>>) {
-        let Some((session, inside)) = self.sessions.by_ticket(sent.0) else {
-            return self.servers.told.push(servers::Told::Ended { sent, ending: Ending::Withdrawn });
+        let Some((session, open_session)) = self.sessions.by_ticket(sent.0) else {
+            return self.servers.events.push(servers::Event::Ended { sent, ending: Ending::Withdrawn });
         };
-        let (settings, account) = (inside.session.settings.clone(), inside.account);
-        let pin = inside.pin.map(|(_, link)| link);
-        let lost = inside.session.transaction == Transaction::Lost;
-        let Some(running) = &mut inside.running else { return };
+        let (settings, account) = (open_session.session.settings.clone(), open_session.account);
+        let pin = open_session.pin.map(|(_, link)| link);
+        let lost = open_session.session.transaction == Transaction::Lost;
+        let Some(running) = &mut open_session.running else { return };
         running.sent = Some(sent);
         let (mut parts, once) = (running.parts.clone(), running.commits);
         if let (Some(text), [part]) = (text, &mut parts[..]) {
@@ -237,49 +245,50 @@
         }
         if lost {
             // Its transaction went while it waited.
-            return self.servers.told.push(servers::Told::Ended { sent, ending: Ending::Withdrawn });
+            return self.servers.events.push(servers::Event::Ended { sent, ending: Ending::Withdrawn });
         }
         self.servers.send(now, sent, place, Unit { session, parts, settings, account, pin, once });
     }
 
     pub fn stop(&mut self, now: Micros, sent: Sent, ending: Ending) {
-        let running = self.sessions.by_ticket(sent.0).and_then(|(_, inside)| inside.running.as_mut());
+        let running =
+            self.sessions.by_ticket(sent.0).and_then(|(_, open_session)| open_session.running.as_mut());
         running.into_iter().for_each(|r| r.time_up |= ending == Ending::TimeUp);
-        self.servers.stop(now, sent, ending);
+        self.servers.cancel_execution(now, sent, ending);
     }
 
     /// The module turns a statement away, or ends it.
     pub fn refuse(&mut self, now: Micros, ticket: Ticket, rejects: bool, retry_after: Option<Micros>) {
-        let Some((_, inside)) = self.sessions.by_ticket(ticket) else { return };
-        let why = verdict(inside, rejects, retry_after);
+        let Some((_, open_session)) = self.sessions.by_ticket(ticket) else { return };
+        let why = final_answer(open_session, rejects, retry_after);
         self.sessions.fail(now, ticket, &why, None);
     }
 
-    /// Passes on what engines have said.
-    pub fn heard(&mut self, now: Micros, room: Room, dispatcher: &mut Dispatcher) {
+    /// Reports replies of engines, and how executions have ended, to sessions and to the dispatcher.
+    pub fn handle_server_events(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
         loop {
-            let told = std::mem::take(&mut self.servers.told);
-            if told.is_empty() {
+            let events = std::mem::take(&mut self.servers.events);
+            if events.is_empty() {
                 break;
             }
-            for told in told {
-                self.said(now, dispatcher, told);
+            for event in events {
+                self.handle_server_event(now, dispatcher, event);
             }
-            self.hear(now, room, dispatcher);
+            self.handle_session_events(now, room, dispatcher);
         }
         self.take(now, room, dispatcher);
     }
 
-    fn said(&mut self, now: Micros, dispatcher: &mut Dispatcher, told: servers::Told) {
-        match told {
-            servers::Told::Irrevocable((ticket, _)) => dispatcher.begun(ticket),
-            servers::Told::Part { sent: (ticket, execution), bytes, whole } => {
+    fn handle_server_event(&mut self, now: Micros, dispatcher: &mut Dispatcher, event: servers::Event) {
+        match event {
+            servers::Event::Irrevocable((ticket, _)) => dispatcher.begun(ticket),
+            servers::Event::PartialAnswer { sent: (ticket, execution), bytes, whole } => {
                 dispatcher.begun(ticket);
                 if self.sessions.pass(ticket, &bytes, whole) {
                     self.servers.pause((ticket, execution), true);
                 }
             }
-            servers::Told::Answered { sent: (ticket, execution), bytes, done, held } => {
+            servers::Event::Answered { sent: (ticket, execution), bytes, done, held } => {
                 let open = done.status != b'I';
                 let keeps = open && dispatcher.keeps(ticket);
                 let ending = Ending::Answered;
@@ -287,24 +296,25 @@
                     // It had its answer before; a transaction that it opened is nobody's.
                     return held.into_iter().for_each(|link| self.servers.release(now, link));
                 }
-                let Some((_, inside)) = self.sessions.by_ticket(ticket) else { return };
-                if let Some(key) = inside.running.as_mut().and_then(|r| r.key.take()).filter(|_| keeps) {
-                    inside.holds.push(key);
+                let Some((_, open_session)) = self.sessions.by_ticket(ticket) else { return };
+                if let Some(key) = open_session.running.as_mut().and_then(|r| r.key.take()).filter(|_| keeps)
+                {
+                    open_session.held_keys.push(key);
                 }
                 let place = held.and_then(|link| self.servers.place(link));
                 let pin = place.zip(held);
                 self.sessions.answer(now, ticket, &bytes, &done, pin);
             }
-            servers::Told::Refused { sent: (ticket, execution), error } => {
+            servers::Event::Refused { sent: (ticket, execution), error } => {
                 dispatcher.begun(ticket);
                 if dispatcher.report(now, ticket, execution, Ending::Stale, None, None) {
                     self.sessions.fail(now, ticket, &Final::Broken, Some(&error));
                 }
             }
-            servers::Told::Ended { sent: (ticket, execution), ending } => {
+            servers::Event::Ended { sent: (ticket, execution), ending } => {
                 let mut cancelled = false;
-                if let Some((_, inside)) = self.sessions.by_ticket(ticket) {
-                    if let Some(running) = &mut inside.running {
+                if let Some((_, open_session)) = self.sessions.by_ticket(ticket) {
+                    if let Some(running) = &mut open_session.running {
                         running.ran |= ending.may_have_run();
                         running.sent = None;
                         cancelled = running.cancelled;
@@ -317,8 +327,8 @@
                     dispatcher.left(now, ticket);
                 }
             }
-            servers::Told::Alive((ticket, execution)) => dispatcher.note(ticket, execution, Note::Alive),
-            servers::Told::Lost { session } => self.sessions.transaction_lost(session),
+            servers::Event::Alive((ticket, execution)) => dispatcher.note(ticket, execution, Note::Alive),
+            servers::Event::TransactionLost { session } => self.sessions.transaction_lost(session),
         }
     }
 
@@ -328,35 +338,35 @@
     }
 
     /// Sends what is to leave to clients; ends the one that takes least where all leave too much.
-    pub fn flush(&mut self, now: Micros, room: Room, most: usize, dispatcher: &mut Dispatcher) {
+    pub fn flush(&mut self, now: Micros, room: AdmissionState, most: usize, dispatcher: &mut Dispatcher) {
         for sent in self.sessions.flush() {
             if let Some(link) = self.servers.pause(sent, false) {
                 self.read_on(now, SocketKind::Server.id(link));
             }
         }
-        if let (untaken, Some(id)) = self.sessions.untaken() {
+        if let (untaken, Some(id)) = self.sessions.unsent() {
             if untaken > most {
                 log::warn!("session {id}: takes no answers, {untaken} bytes wait; its connection is closed");
-                self.sessions.end(id);
+                self.sessions.disconnect(id);
             }
         }
         for id in self.sessions.unstalled() {
             self.read_on(now, SocketKind::Session.id(id));
         }
-        self.hear(now, room, dispatcher);
+        self.handle_session_events(now, room, dispatcher);
     }
 
-    pub fn expire(&mut self, now: Micros, room: Room, dispatcher: &mut Dispatcher) {
+    pub fn expire(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
         self.sessions.expire(now, self.shut);
         self.servers.expire(now);
-        self.hear(now, room, dispatcher);
+        self.handle_session_events(now, room, dispatcher);
     }
 
     /// The front ends: no more sessions are taken, and those that rest are closed.
-    pub fn close(&mut self, now: Micros, room: Room, dispatcher: &mut Dispatcher) {
+    pub fn close(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
         self.shut.get_or_insert(now);
         self.listener.close();
         self.sessions.close_idle();
-        self.hear(now, room, dispatcher);
+        self.handle_session_events(now, room, dispatcher);
     }
 }
--- a/crates/front/src/postgres/portal/asked.rs
+++ b/crates/front/src/postgres/gateway/admission.rs
@@ -10,43 +10,43 @@
 use hallmux_postgres::session::{Part, Transaction};
 use hallmux_postgres::sql::Label;
 
-use super::{loads, Portal, Room};
+use super::{loads, AdmissionState, Gateway};
 use crate::postgres::servers::SessionId;
 use crate::postgres::sessions;
 
 const MOST_FIGURE: f64 = 1e12; // of an estimate, in any unit; beyond all that engines could do
 
-impl Portal {
+impl Gateway {
     /// Asks for an engine for a unit.
-    pub(super) fn asked(
+    pub(super) fn admit(
         &mut self,
         now: Micros,
-        room: Room,
+        room: AdmissionState,
         dispatcher: &mut Dispatcher,
         id: SessionId,
         part: Rc<Part>,
         since: Micros,
     ) {
-        let Some(inside) = self.sessions.inside(id) else { return };
-        let label = inside.session.label(&part);
-        let why = match terms(&label, &inside.user, &self.timeouts) {
+        let Some(open_session) = self.sessions.open_session(id) else { return };
+        let label = open_session.session.label(&part);
+        let why = match terms(&label, &open_session.user, &self.timeouts) {
             Err(why) => why,
             Ok(_) if loads::passes_for_numbered(&self.writes, &part) => loads::NUMBERED,
-            Ok(_) if room.full => Final::Rejected { retry_after_ms: self.come_back_ms },
+            Ok(_) if room.full => Final::Rejected { retry_after_ms: self.retry_after_ms },
             Ok(terms) => {
-                let own = inside.session.statement_timeout(&label).unwrap_or(Micros::MAX);
+                let own = open_session.session.statement_timeout(&label).unwrap_or(Micros::MAX);
                 let waited = (now - since).max(room.waited);
                 let time_left = terms.timeout.min(own) - self.answer_slack - waited;
                 let key = label.key.as_deref();
-                let kept = key.is_some_and(|key| inside.holds.iter().any(|k| k == key));
+                let kept = key.is_some_and(|key| open_session.held_keys.iter().any(|k| k == key));
                 let judged = self
                     .rules
                     .as_ref()
                     .map(|rules| rules.borrow_mut().judge(now, terms.member, terms.workload, part.text()));
                 let judged = judged.unwrap_or(Judged::Free);
                 if judged == Judged::Closed {
-                    let why = Final::Rejected { retry_after_ms: self.come_back_ms };
-                    return self.sessions.unfit(id, part, &why);
+                    let why = Final::Rejected { retry_after_ms: self.retry_after_ms };
+                    return self.sessions.answer_unusable(id, part, &why);
                 }
                 let allowed = self.rules.as_ref().and_then(|rules| rules.borrow().allowed(&judged));
                 let allowed: Option<Vec<&str>> =
@@ -61,7 +61,7 @@
                     memory_mb: terms.memory_mb,
                     data_set: tables::group(part.text()),
                     speech: Speech::Postgres,
-                    pinned: inside.pin.map(|(place, _)| place),
+                    pinned: open_session.pin.map(|(place, _)| place),
                     allowed: allowed.as_deref(),
                 };
                 let picked = dispatcher.pick(now, &ask);
@@ -71,7 +71,7 @@
                 }
                 match picked {
                     Ok(ticket) => {
-                        return self.sessions.opened(id, ticket, part, key);
+                        return self.sessions.open_unit(id, ticket, part, key);
                     }
                     Err(Unfit::Barred) => Final::Rejected { retry_after_ms: None },
                     Err(Unfit::Workload) => unfit("hallmux.workload", "no such workload was agreed"),
@@ -80,12 +80,12 @@
                 }
             }
         };
-        self.sessions.unfit(id, part, &why);
+        self.sessions.answer_unusable(id, part, &why);
     }
 
     /// A client asks for the end of what its session has out.
     pub(super) fn cancel(&mut self, now: Micros, dispatcher: &mut Dispatcher, id: SessionId) {
-        let Some(running) = self.sessions.inside(id).and_then(|i| i.running.as_mut()) else { return };
+        let Some(running) = self.sessions.open_session(id).and_then(|i| i.running.as_mut()) else { return };
         if std::mem::replace(&mut running.cancelled, true) {
             return;
         }
@@ -145,9 +145,13 @@
 }
 
 /// The answer to a unit that the module has given up on, or that ended once its answer had begun.
-pub(super) fn verdict(inside: &sessions::Inside, rejects: bool, retry_after: Option<Micros>) -> Final {
-    let Some(running) = &inside.running else { return Final::Broken };
-    let held = inside.session.transaction != Transaction::None;
+pub(super) fn final_answer(
+    open_session: &sessions::OpenSession,
+    rejects: bool,
+    retry_after: Option<Micros>,
+) -> Final {
+    let Some(running) = &open_session.running else { return Final::Broken };
+    let held = open_session.session.transaction != Transaction::None;
     if running.commits && running.ran {
         return Final::Unresolved;
     }
@@ -158,7 +162,9 @@
         return Final::TimeUp;
     }
     match (held, rejects) {
-        (true, true) if inside.pin.is_some() => Final::RolledBack { why: "its statement was turned away" },
+        (true, true) if open_session.pin.is_some() => {
+            Final::RolledBack { why: "its statement was turned away" }
+        }
         (true, _) => Final::RolledBack { why: "its engine drains or was lost" },
         (false, true) => Final::Rejected { retry_after_ms: retry_after.map(|time| time / 1000) },
         (false, false) if running.begun => Final::Broken,
--- a/crates/front/src/postgres/portal/loads.rs
+++ b/crates/front/src/postgres/gateway/loads.rs
@@ -7,14 +7,14 @@
 use hallmux_postgres::session::{Part, Transaction};
 use hallmux_scatter::marks::numbers;
 
-use super::Portal;
-use crate::postgres::sessions::Inside;
+use super::Gateway;
+use crate::postgres::sessions::OpenSession;
 use crate::scatter::Load;
 
 const MOST_GROUPS: usize = 1_024; // groups of a text that are looked for; more than that can't be marked
 
 /// The answer to a unit that goes on, after a Flush, with tables that are not marked.
-pub const STRAYS: Final = Final::Unfit {
+pub const UNMARKED_GROUPS: Final = Final::Unfit {
     field: "hallmux.workload",
     why: "writes, and names a group of tables after a Flush that it has not named before",
 };
@@ -25,41 +25,41 @@
     why: "writes, and its text begins as fronts number loads: leave that comment out",
 };
 
-impl Portal {
+impl Gateway {
     /// What an execution of a unit may write. None: nothing that needs a mark.
     pub fn load(&mut self, ticket: Ticket) -> Option<Load> {
-        let (_, inside) = self.sessions.by_ticket(ticket)?;
-        let held = inside.session.transaction != Transaction::None;
+        let (_, open_session) = self.sessions.by_ticket(ticket)?;
+        let held = open_session.session.transaction != Transaction::None;
         if !held {
-            inside.touched.clear();
+            open_session.touched.clear();
         }
-        let parts = inside.running.as_ref()?.parts.clone();
-        if parts.first().is_some_and(|part| writes(&self.writes, inside, part)) {
+        let parts = open_session.running.as_ref()?.parts.clone();
+        if parts.first().is_some_and(|part| writes(&self.writes, open_session, part)) {
             let named = parts.iter().flat_map(|part| part.texts()).flat_map(groups);
-            inside.touched.extend(named);
+            open_session.touched.extend(named);
         }
         let [part, ..] = &parts[..] else { return None };
         let alone = !held && !part.begins && parts.len() == 1;
         let simple = part.simple().filter(|_| alone).map(<[u8]>::to_vec);
-        let groups: Vec<u32> = inside.touched.iter().copied().collect();
+        let groups: Vec<u32> = open_session.touched.iter().copied().collect();
         (!groups.is_empty()).then_some(Load::Unit { groups, simple })
     }
 
     /// Whether more of a unit that is out names groups that nothing of it has named before.
-    pub(super) fn strays(&mut self, ticket: Ticket, part: &Part) -> bool {
+    pub(super) fn names_unmarked_groups(&mut self, ticket: Ticket, part: &Part) -> bool {
         if self.writes.is_empty() {
             return false;
         }
-        let Some((_, inside)) = self.sessions.by_ticket(ticket) else { return false };
-        let Some(running) = &inside.running else { return false };
+        let Some((_, open_session)) = self.sessions.by_ticket(ticket) else { return false };
+        let Some(running) = &open_session.running else { return false };
         let Some(first) = running.parts.first() else { return false };
-        if !writes(&self.writes, inside, first) && !writes(&self.writes, inside, part) {
+        if !writes(&self.writes, open_session, first) && !writes(&self.writes, open_session, part) {
             return false;
         }
         // The last part is this one.
         let before = running.parts.split_last().map_or(&[][..], |(_, before)| before);
         let named: Vec<u32> = before.iter().flat_map(|part| part.texts()).flat_map(groups).collect();
-        let known = |group: &u32| named.contains(group) || inside.touched.contains(group);
+        let known = |group: &u32| named.contains(group) || open_session.touched.contains(group);
         part.texts().flat_map(groups).any(|group| !known(&group))
     }
 }
@@ -69,9 +69,9 @@
     !writes.is_empty() && part.texts().any(|text| !numbers(text).is_empty())
 }
 
-fn writes(workloads: &[String], inside: &Inside, part: &Part) -> bool {
-    let label = inside.session.label(part);
-    let workload = label.workload.as_ref().or(inside.user.workload.as_ref());
+fn writes(workloads: &[String], open_session: &OpenSession, part: &Part) -> bool {
+    let label = open_session.session.label(part);
+    let workload = label.workload.as_ref().or(open_session.user.workload.as_ref());
     workload.is_some_and(|workload| workloads.contains(workload))
 }
 
--- a/crates/front/src/postgres/mod.rs
+++ b/crates/front/src/postgres/mod.rs
@@ -2,6 +2,6 @@
 //! the portal between them and the dispatcher. Switched on by the operator's file; off, none of it is there.
 
 mod fault;
-pub mod portal;
+pub mod gateway;
 mod servers;
 mod sessions;
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -1,8 +1,8 @@
 //! Connections to engines that speak PostgreSQL: units out, answers back to whoever has asked, pools of them.
 
-mod coming;
-mod ending;
-mod leaving;
+mod close;
+mod replies;
+mod send;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 use crate::front::Pacer;
 use crate::link::Link;
 
-const LOOK: Micros = 100_000; // microseconds between looks at connections that have rested for long
+const CHECK_INTERVAL: Micros = 100_000; // microseconds between looks at connections that have rested for long
 const MOST_ACCOUNTS: usize = 1_000; // accounts at the engines, by user and database; beyond them none come in
 
 /// An execution: its statement and its number.
@@ -28,12 +28,12 @@
 pub type ServerId = u64;
 pub type SessionId = u64;
 
-/// What engines have said, and how executions have ended.
-pub enum Told {
+/// Replies of engines, and how executions have ended.
+pub enum Event {
     /// It may have taken effect from now on, whatever becomes of its connection: it is not repeated.
     Irrevocable(Sent),
     /// Part of its answer; `whole` if that ends with a message.
-    Part {
+    PartialAnswer {
         sent: Sent,
         bytes: Vec<u8>,
         whole: bool,
@@ -45,7 +45,7 @@
         done: Done,
         held: Option<ServerId>,
     },
-    /// Not executed, with what the engine says to that.
+    /// Not executed, with the error that the engine gives.
     Refused {
         sent: Sent,
         error: Vec<u8>,
@@ -54,10 +54,10 @@
         sent: Sent,
         ending: Ending,
     },
-    /// The engine that this is out on has said something, if not to it.
+    /// The engine that this is out on has replied to something, if not to it.
     Alive(Sent),
     /// The open transaction of a session is gone with its connection.
-    Lost {
+    TransactionLost {
         session: SessionId,
     },
 }
@@ -78,8 +78,8 @@
 #[derive(PartialEq, Clone, Copy)]
 enum Stage {
     /// It waits for a connection, or for a cancel on its own to be over.
-    Waits,
-    Leaving,
+    Waiting,
+    Writing,
     Out,
 }
 
@@ -89,7 +89,7 @@
     link: Option<ServerId>,
     stage: Stage,
     /// What has come of its answer and not gone on.
-    back: Vec<u8>,
+    unsent_answer: Vec<u8>,
     /// Some of its answer has gone on.
     begun: bool,
     /// Its client does not take more for now.
@@ -105,11 +105,11 @@
     /// The session whose transaction is open here.
     holds: Option<SessionId>,
     /// Up to where in the output the unit goes that leaves.
-    leaving: usize,
+    write_end: usize,
     /// Requests to cancel that are on their way to it.
     cancels: usize,
     /// It ends with its unit: a request to cancel could still reach the next.
-    last: bool,
+    closes_after_unit: bool,
     /// What comes belongs to a unit that was given up.
     discards: bool,
 }
@@ -123,41 +123,41 @@
     ends: Option<(Sent, Ending)>,
 }
 
-struct Listed {
+struct EngineEntry {
     id: String,
     at: SocketAddr,
     started: f64,
     up: bool,
     failing: bool,
-    /// When it last said anything, and was last asked to.
-    heard: Micros,
-    asked: Micros,
+    /// When it last replied to anything, and when it was last pinged.
+    last_reply: Micros,
+    last_ping: Micros,
 }
 
 pub struct Servers {
     handle: LoopHandle<'static, Events>,
-    allowed: Allowance,
+    allowance: Allowance,
     limits: SessionLimits,
-    engines: BTreeMap<Place, Listed>,
+    engines: BTreeMap<Place, EngineEntry>,
     accounts: Vec<Account>,
     links: BTreeMap<ServerId, Server>,
     cancels: BTreeMap<u64, Cancel>,
-    coming: BTreeMap<ServerId, Micros>,
+    connecting: BTreeMap<ServerId, Micros>,
     executions: HashMap<Sent, Execution>,
     pools: Pools<Sent>,
-    dirty: BTreeSet<ServerId>,
+    changed: BTreeSet<ServerId>,
     next: u64,
-    most_links: usize,
+    max_links: usize,
     /// When connections may be made; any time where nothing else is set.
     pub dials: Pacer,
-    look: Micros,
+    next_check: Micros,
     /// What engines tell of themselves, for the welcome of clients.
     pub parameters: Vec<(String, String)>,
-    pub told: Vec<Told>,
+    pub events: Vec<Event>,
 }
 
 impl Servers {
-    pub fn new(handle: LoopHandle<'static, Events>, allowed: Allowance, limits: SessionLimits) -> Self {
+    pub fn new(handle: LoopHandle<'static, Events>, allowance: Allowance, limits: SessionLimits) -> Self {
         let bounds = pool::Bounds {
             each_engine: limits.engine_connections,
             idle: limits.connection_idle,
@@ -165,32 +165,32 @@
         };
         Servers {
             handle,
-            allowed,
+            allowance,
             limits,
             engines: BTreeMap::new(),
             accounts: Vec::new(),
             links: BTreeMap::new(),
             cancels: BTreeMap::new(),
-            coming: BTreeMap::new(),
+            connecting: BTreeMap::new(),
             executions: HashMap::new(),
             pools: Pools::new(bounds),
-            dirty: BTreeSet::new(),
+            changed: BTreeSet::new(),
             next: 0,
-            most_links: usize::MAX,
+            max_links: usize::MAX,
             dials: Pacer::new(Dials::new(false, 0, 0).into()),
-            look: 0,
+            next_check: 0,
             parameters: Vec::new(),
-            told: Vec::new(),
+            events: Vec::new(),
         }
     }
 
     /// Descriptors that it may use.
     pub fn limit(&mut self, descriptors: usize) {
-        self.most_links = descriptors.max(1);
+        self.max_links = descriptors.max(1);
     }
 
     /// Units that can leave for an engine over connections at rest or on their way, or one that may be made now.
-    pub fn room(&self, now: Micros, place: Place) -> usize {
+    pub fn capacity(&self, now: Micros, place: Place) -> usize {
         let dials = self.pools.takes_more(place) && self.dials.borrow().next(now, place) <= now;
         self.pools.free(place) + usize::from(dials && self.engines.get(&place).is_some_and(|e| e.up))
     }
@@ -221,16 +221,16 @@
         let known = self.engines.get(&place);
         let same = known.is_some_and(|e| e.id == id && e.at == at && e.started == started);
         let failing = same && known.is_some_and(|e| e.failing);
-        let (heard, asked) = known.filter(|_| same).map_or((0, 0), |e| (e.heard, e.asked));
+        let (last_reply, last_ping) = known.filter(|_| same).map_or((0, 0), |e| (e.last_reply, e.last_ping));
         if known.is_some() && (!same || !up) {
             self.retire(place);
         }
         let id = id.to_string();
-        self.engines.insert(place, Listed { id, at, started, up, failing, heard, asked });
+        self.engines.insert(place, EngineEntry { id, at, started, up, failing, last_reply, last_ping });
     }
 
     /// A whole list has come: engines that it does not name are gone.
-    pub fn retire_but(&mut self, listed: &[Place]) {
+    pub fn retire_others(&mut self, listed: &[Place]) {
         let places: Vec<Place> = self.engines.keys().copied().filter(|p| !listed.contains(p)).collect();
         places.into_iter().for_each(|place| self.retire(place));
     }
@@ -242,11 +242,11 @@
             engine.up = false;
         }
         let (waited, resting) = self.pools.retire(place);
-        waited.into_iter().for_each(|sent| self.ended(sent, Ending::Withdrawn));
+        waited.into_iter().for_each(|sent| self.report_end(sent, Ending::Withdrawn));
         resting.into_iter().for_each(|id| self.close(id));
         let held = |(id, l): (&ServerId, &Server)| {
             let idle = match l.serves.and_then(|sent| self.executions.get(&sent)) {
-                Some(x) => x.stage == Stage::Waits,
+                Some(x) => x.stage == Stage::Waiting,
                 None => true,
             };
             (l.place == place && l.holds.is_some() && idle).then_some(*id)
@@ -256,39 +256,39 @@
             let link = self.links.get(&id);
             let (session, waits) = link.map_or((None, None), |l| (l.holds, l.serves));
             self.close(id);
-            waits.into_iter().for_each(|sent| self.ended(sent, Ending::Withdrawn));
-            self.told.extend(session.map(|session| Told::Lost { session }));
+            waits.into_iter().for_each(|sent| self.report_end(sent, Ending::Withdrawn));
+            self.events.extend(session.map(|session| Event::TransactionLost { session }));
         }
     }
 
-    fn ended(&mut self, sent: Sent, ending: Ending) {
+    fn report_end(&mut self, sent: Sent, ending: Ending) {
         self.executions.remove(&sent);
-        self.told.push(Told::Ended { sent, ending });
+        self.events.push(Event::Ended { sent, ending });
     }
 
-    fn name(&self, id: ServerId) -> &str {
+    fn engine_name(&self, id: ServerId) -> &str {
         let place = self.links.get(&id).map(|l| l.place);
         place.and_then(|place| self.engines.get(&place)).map_or("?", |e| &e.id)
     }
 
     /// When `expire` is next due.
     pub fn due(&self) -> Micros {
-        let coming = self.coming.values().copied().min().unwrap_or(Micros::MAX);
+        let connecting = self.connecting.values().copied().min().unwrap_or(Micros::MAX);
         let cancels = self.cancels.values().map(|c| c.by).min().unwrap_or(Micros::MAX);
-        let look = if self.pools.is_empty() { Micros::MAX } else { self.look };
-        coming.min(cancels).min(look)
+        let next_check = if self.pools.is_empty() { Micros::MAX } else { self.next_check };
+        connecting.min(cancels).min(next_check)
     }
 
     /// Ends what has waited too long: connections not up, logins, cancels, idle connections.
     pub fn expire(&mut self, now: Micros) {
         let late: Vec<ServerId> =
-            self.coming.iter().filter(|(_, by)| **by <= now).map(|(id, _)| *id).collect();
-        late.into_iter().for_each(|id| self.end(now, id, Ending::NeverUp));
+            self.connecting.iter().filter(|(_, by)| **by <= now).map(|(id, _)| *id).collect();
+        late.into_iter().for_each(|id| self.connection_lost(now, id, Ending::NeverUp));
         let late: Vec<u64> = self.cancels.iter().filter(|(_, c)| c.by <= now).map(|(n, _)| *n).collect();
         late.into_iter().for_each(|number| self.cancelled(number));
-        if self.look <= now {
-            self.look = now + LOOK;
-            self.ask(now);
+        if self.next_check <= now {
+            self.next_check = now + CHECK_INTERVAL;
+            self.ping_silent(now);
             for id in self.pools.idle(now) {
                 self.close(id);
             }
--- a/crates/front/src/postgres/servers/ending.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -4,20 +4,20 @@
 use hallmux_postgres::pool::Freed;
 use hallmux_postgres::wire;
 
-use super::{Cancel, Sent, ServerId, Servers, Stage, Told};
+use super::{Cancel, Event, Sent, ServerId, Servers, Stage};
 use crate::events::SocketKind;
 use crate::link::Link;
 
 impl Servers {
-    /// Gives an execution up. It ends as told, or as withdrawn where nothing of it has left.
-    pub fn stop(&mut self, now: Micros, sent: Sent, ending: Ending) {
+    /// Cancels an execution. It ends with the ending given, or as withdrawn where nothing of it has left.
+    pub fn cancel_execution(&mut self, now: Micros, sent: Sent, ending: Ending) {
         let Some(x) = self.executions.get(&sent) else { return };
         let (place, link) = (x.place, x.link);
         let Some(id) = link else {
             self.pools.withdraw(place, sent);
             // One that waits for a cancel to be over lets its transaction go, which it could not end.
             let pinned = x.unit.pin;
-            self.ended(sent, if ending == Ending::TimeUp { ending } else { Ending::Withdrawn });
+            self.report_end(sent, if ending == Ending::TimeUp { ending } else { Ending::Withdrawn });
             pinned.into_iter().for_each(|id| self.close(id));
             return;
         };
@@ -25,27 +25,27 @@
         let ending = if ending == Ending::TimeUp && x.paused { Ending::GivenUp } else { ending };
         self.executions.remove(&sent);
         let held = self.links.get(&id).is_some_and(|l| l.holds.is_some());
-        if self.allowed.cancel || held {
-            let asked = self.allowed.cancel && self.ask_to_cancel(now, id, Some((sent, ending)));
+        if self.allowance.cancel || held {
+            let asked = self.allowance.cancel && self.ask_to_cancel(now, id, Some((sent, ending)));
             self.close(id);
             // At once where a client is owed its answer; else when the engine has taken the request.
             if ending == Ending::TimeUp || !asked {
-                self.told.push(Told::Ended { sent, ending });
+                self.events.push(Event::Ended { sent, ending });
             }
         } else {
             if let Some(link) = self.links.get_mut(&id) {
                 (link.serves, link.discards) = (None, true);
             }
-            self.told.push(Told::Ended { sent, ending });
+            self.events.push(Event::Ended { sent, ending });
         }
     }
 
     /// A client asks for the end of what is out. False if nothing can be done about it.
     pub fn cancel(&mut self, now: Micros, sent: Sent) -> bool {
-        let Some(x) = self.executions.get(&sent).filter(|x| x.stage != Stage::Waits) else { return false };
-        let Some(id) = x.link.filter(|_| self.allowed.cancel) else { return false };
+        let Some(x) = self.executions.get(&sent).filter(|x| x.stage != Stage::Waiting) else { return false };
+        let Some(id) = x.link.filter(|_| self.allowance.cancel) else { return false };
         if let Some(link) = self.links.get_mut(&id) {
-            link.last = true;
+            link.closes_after_unit = true;
         }
         self.ask_to_cancel(now, id, None)
     }
@@ -63,7 +63,7 @@
         self.next = number;
         wire::write_cancel(link.output(), process, secret);
         server.cancels += 1;
-        let by = now + 2 * self.allowed.dial_timeout;
+        let by = now + 2 * self.allowance.dial_timeout;
         self.cancels.insert(number, Cancel { link, server: id, by, ends });
         true
     }
@@ -87,11 +87,11 @@
     pub(super) fn cancelled(&mut self, number: u64) {
         let Some(cancel) = self.cancels.remove(&number) else { return };
         if let Some((sent, ending)) = cancel.ends.filter(|(_, ending)| *ending != Ending::TimeUp) {
-            self.told.push(Told::Ended { sent, ending });
+            self.events.push(Event::Ended { sent, ending });
         }
         if let Some(link) = self.links.get_mut(&cancel.server) {
             link.cancels -= 1;
-            let waits = |sent: &Sent| self.executions.get(sent).is_some_and(|x| x.stage == Stage::Waits);
+            let waits = |sent: &Sent| self.executions.get(sent).is_some_and(|x| x.stage == Stage::Waiting);
             if let Some(sent) = link.serves.filter(waits).filter(|_| link.cancels == 0) {
                 self.start(sent, cancel.server);
             }
@@ -101,7 +101,7 @@
     /// A session lets go of the connection that holds its transaction: the engine rolls it back.
     pub fn release(&mut self, now: Micros, id: ServerId) {
         if let Some(place) = self.place(id) {
-            self.gone(now, id, place);
+            self.close_and_refill(now, id, place);
         }
     }
 
@@ -110,7 +110,7 @@
         if let Some(mut server) = self.links.remove(&id) {
             if server.up && server.link.unsent() == 0 && server.serves.is_none() {
                 server.link.output().extend_from_slice(wire::TERMINATE);
-                // It ends whether the word of it gets through or not.
+                // It ends whether that message gets through or not.
                 let _ = server.link.flush();
             }
             self.forget(id);
@@ -118,33 +118,33 @@
     }
 
     pub(super) fn forget(&mut self, id: ServerId) -> Vec<Sent> {
-        self.coming.remove(&id);
-        self.dirty.remove(&id);
+        self.connecting.remove(&id);
+        self.changed.remove(&id);
         self.pools.gone(id)
     }
 
-    pub(super) fn gone(&mut self, now: Micros, id: ServerId, place: Place) {
+    pub(super) fn close_and_refill(&mut self, now: Micros, id: ServerId, place: Place) {
         self.close(id);
         let step = self.pools.next(place);
         self.step(now, place, step);
     }
 
     /// A connection is free: for the next unit, or to be closed.
-    pub(super) fn rests(&mut self, now: Micros, id: ServerId) {
+    pub(super) fn release_idle(&mut self, now: Micros, id: ServerId) {
         let Some(server) = self.links.get_mut(&id) else { return };
         let place = server.place;
-        if server.last || server.cancels > 0 {
-            return self.gone(now, id, place);
+        if server.closes_after_unit || server.cancels > 0 {
+            return self.close_and_refill(now, id, place);
         }
         match self.pools.rests(now, id) {
             Freed::Rests => {}
             Freed::Step(step) => self.step(now, place, Some(step)),
-            Freed::Close => self.gone(now, id, place),
+            Freed::Close => self.close_and_refill(now, id, place),
         }
     }
 
     /// A connection is over: its execution ends by how much of it has left.
-    pub(super) fn end(&mut self, now: Micros, id: ServerId, ending: Ending) {
+    pub(super) fn connection_lost(&mut self, now: Micros, id: ServerId, ending: Ending) {
         let Some(server) = self.links.remove(&id) else { return };
         let waited = self.forget(id);
         let place = server.place;
@@ -158,23 +158,23 @@
             }
         }
         for sent in waited {
-            self.ended(
+            self.report_end(
                 sent,
                 if server.up && ending == Ending::Unreadable { Ending::Refused } else { ending },
             );
         }
         if let Some(sent) = server.serves {
             let x = self.executions.get(&sent);
-            let whole = server.link.has_left(server.leaving);
+            let whole = server.link.has_left(server.write_end);
             let ending = match x.map(|x| x.stage) {
-                Some(Stage::Waits) => Ending::Withdrawn,
+                Some(Stage::Waiting) => Ending::Withdrawn,
                 // Without its Sync nothing that it does is kept, but for a commit of its own.
-                Some(Stage::Leaving) if !whole && !x.is_some_and(|x| x.unit.once) => Ending::HalfWritten,
+                Some(Stage::Writing) if !whole && !x.is_some_and(|x| x.unit.once) => Ending::HalfWritten,
                 _ => ending,
             };
-            self.ended(sent, ending);
+            self.report_end(sent, ending);
         }
-        self.told.extend(server.holds.map(|session| Told::Lost { session }));
+        self.events.extend(server.holds.map(|session| Event::TransactionLost { session }));
         let step = self.pools.next(place);
         self.step(now, place, step);
     }
--- a/crates/front/src/postgres/servers/coming.rs
+++ b/crates/front/src/postgres/servers/replies.rs
@@ -1,4 +1,4 @@
-//! What comes from engines: logins, parts of answers, whole ones, words that they are there.
+//! What comes from engines: logins, parts of answers, whole ones, signs of life.
 
 use std::collections::BTreeMap;
 
@@ -7,26 +7,26 @@
 use hallmux_postgres::engine::{Done, Heard};
 use hallmux_postgres::pool;
 
-use super::leaving::dialled;
-use super::{Execution, Sent, ServerId, Servers, Stage, Told};
+use super::send::dial_ending;
+use super::{Event, Execution, Sent, ServerId, Servers, Stage};
 use crate::link::Broken;
 
-const LOGIN: Micros = 2_000_000; // microseconds for a login once the connection is up; it takes a few ms
-const QUIET: Micros = 300_000; // microseconds that an engine with units out may say nothing before it is asked
-const ONE_READ: usize = 64 << 10; // bytes taken from an engine at once, and so how far a client may be behind
+const LOGIN_TIMEOUT: Micros = 2_000_000; // microseconds for a login once the connection is up; it takes a few ms
+const PING_AFTER: Micros = 300_000; // microseconds that an engine with units out may be silent before it is pinged
+const READ_SIZE: usize = 64 << 10; // bytes taken from an engine at once, and so how far a client may be behind
 
 impl Servers {
     /// Hands on what has come of an answer, if it is due: too much to hold, or a client that waits for it.
     pub(super) fn pass(&mut self, sent: Sent, caught: bool) {
         let Some(x) = self.executions.get_mut(&sent) else { return };
         let flushed = x.unit.parts.last().is_some_and(|part| !part.ends);
-        let due = x.begun || flushed || x.back.len() > self.limits.buffer_bytes || caught;
-        if due && !x.back.is_empty() {
+        let due = x.begun || flushed || x.unsent_answer.len() > self.limits.buffer_bytes || caught;
+        if due && !x.unsent_answer.is_empty() {
             x.begun = true;
-            let bytes = std::mem::take(&mut x.back);
+            let bytes = std::mem::take(&mut x.unsent_answer);
             let link = x.link.and_then(|id| self.links.get(&id));
             let whole = link.is_some_and(|l| l.engine.is_between_messages());
-            self.told.push(Told::Part { sent, bytes, whole });
+            self.events.push(Event::PartialAnswer { sent, bytes, whole });
         }
     }
 
@@ -46,27 +46,27 @@
                 Ok(false) => return false,
                 Ok(true) => {
                     server.up = true;
-                    self.coming.insert(id, now + LOGIN);
+                    self.connecting.insert(id, now + LOGIN_TIMEOUT);
                     if let Some(engine) = self.engines.get_mut(&server.place).filter(|e| e.failing) {
                         engine.failing = false;
                         log::info!("engine {}: reached again", engine.id);
                     }
                 }
                 Err(e) => {
-                    self.end(now, id, dialled(&e));
+                    self.connection_lost(now, id, dial_ending(&e));
                     return false;
                 }
             }
         }
-        self.dirty.insert(id);
+        self.changed.insert(id);
         if let Some(engine) = self.engines.get_mut(&server.place) {
-            engine.heard = now;
+            engine.last_reply = now;
         }
         let execution = server.serves.and_then(|sent| self.executions.get_mut(&sent));
         if execution.as_ref().is_some_and(|x| x.paused) {
             return false;
         }
-        let (more, broken) = server.link.read_some(ONE_READ);
+        let (more, broken) = server.link.read_some(READ_SIZE);
         let mut input = std::mem::take(&mut server.link.input);
         let mut at = 0;
         let ended = loop {
@@ -74,19 +74,19 @@
             let sent = server.serves;
             let execution = sent.and_then(|sent| self.executions.get_mut(&sent));
             let mut dropped = Vec::new();
-            let back = execution.map_or(&mut dropped, |x| &mut x.back);
+            let unsent_answer = execution.map_or(&mut dropped, |x| &mut x.unsent_answer);
             let room = self.limits.buffer_bytes;
-            let read = server.engine.read(&input[at..], server.link.output(), back, room);
+            let read = server.engine.read(&input[at..], server.link.output(), unsent_answer, room);
             match read {
                 Err(what) => break Some(what),
-                Ok((used, heard)) => {
+                Ok((used, reply)) => {
                     at += used;
-                    let over = heard.is_none() && used == 0;
+                    let over = reply.is_none() && used == 0;
                     if let Some(sent) = sent {
                         self.pass(sent, false);
                     }
-                    if let Some(heard) = heard {
-                        self.heard(now, id, heard);
+                    if let Some(reply) = reply {
+                        self.handle_reply(now, id, reply);
                     }
                     if over || at == input.len() {
                         break None;
@@ -96,9 +96,9 @@
         };
         if let Some(what) = ended {
             if broken.is_none() {
-                log::info!("engine {}: {what}; its connection is closed", self.name(id));
+                log::info!("engine {}: {what}; its connection is closed", self.engine_name(id));
             }
-            self.end(now, id, if broken.is_some() { Ending::Closed } else { Ending::Unreadable });
+            self.connection_lost(now, id, if broken.is_some() { Ending::Closed } else { Ending::Unreadable });
             return false;
         }
         if let Some(server) = self.links.get_mut(&id) {
@@ -106,34 +106,34 @@
             server.link.input = input;
         }
         match broken {
-            Some(Broken::Closed) => self.end(now, id, Ending::Closed),
-            Some(Broken::Reset) => self.end(now, id, Ending::Reset),
+            Some(Broken::Closed) => self.connection_lost(now, id, Ending::Closed),
+            Some(Broken::Reset) => self.connection_lost(now, id, Ending::Reset),
             None => return more,
         }
         false
     }
 
-    fn heard(&mut self, now: Micros, id: ServerId, heard: Heard) {
+    fn handle_reply(&mut self, now: Micros, id: ServerId, reply: Heard) {
         let Some(server) = self.links.get_mut(&id) else { return };
         let place = server.place;
-        match heard {
-            Heard::Alive => self.alive(place),
+        match reply {
+            Heard::Alive => self.report_alive(place),
             Heard::Up => {
-                self.coming.remove(&id);
+                self.connecting.remove(&id);
                 if !server.engine.parameters.is_empty() {
                     self.parameters = std::mem::take(&mut server.engine.parameters);
                 }
-                self.alive(place);
-                self.rests(now, id);
+                self.report_alive(place);
+                self.release_idle(now, id);
             }
             Heard::Refused { code, error } => {
-                log::warn!("engine {}: no login: {code}", self.name(id));
+                log::warn!("engine {}: no login: {code}", self.engine_name(id));
                 let lost = self.forget(id);
                 self.links.remove(&id);
                 for sent in lost {
                     match code.as_str() {
-                        "53300" => self.ended(sent, Ending::TurnedAway),
-                        code if is_engine_fault(code.as_bytes()) => self.ended(sent, Ending::Refused),
+                        "53300" => self.report_end(sent, Ending::TurnedAway),
+                        code if is_engine_fault(code.as_bytes()) => self.report_end(sent, Ending::Refused),
                         _ => self.refused(sent, error.clone()),
                     }
                 }
@@ -147,36 +147,36 @@
                 let step = self.pools.next(place);
                 self.step(now, place, step);
             }
-            Heard::Done(done) => self.done(now, id, done),
+            Heard::Done(done) => self.unit_done(now, id, done),
         }
     }
 
     /// An engine has answered: what is out there is not held up by its silence.
-    fn alive(&mut self, place: Place) {
-        let out = |x: &Execution| x.place == place && x.stage != Stage::Waits;
+    fn report_alive(&mut self, place: Place) {
+        let out = |x: &Execution| x.place == place && x.stage != Stage::Waiting;
         let one = self.executions.iter().filter(|(_, x)| out(x)).map(|(sent, _)| *sent).min();
-        self.told.extend(one.map(Told::Alive));
+        self.events.extend(one.map(Event::Alive));
     }
 
-    /// Asks engines that have units out and say nothing whether they are there. They send no notes of progress,
+    /// Pings engines that have units out and are silent. They send no notes of progress,
     /// and a long statement on an engine that does little else is not to be taken for a hung one.
-    pub(super) fn ask(&mut self, now: Micros) {
+    pub(super) fn ping_silent(&mut self, now: Micros) {
         let mut quiet: BTreeMap<Place, pool::Account> = BTreeMap::new();
         for x in self.executions.values().filter(|x| x.stage == Stage::Out) {
             let engine = self.engines.get(&x.place);
-            if engine.is_some_and(|e| e.up && now - e.heard.max(e.asked) >= QUIET) {
+            if engine.is_some_and(|e| e.up && now - e.last_reply.max(e.last_ping) >= PING_AFTER) {
                 quiet.entry(x.place).or_insert(x.unit.account);
             }
         }
         for (place, account) in quiet {
             if let Some(engine) = self.engines.get_mut(&place) {
-                engine.asked = now;
+                engine.last_ping = now;
             }
             match self.pools.resting(place) {
                 Some(id) => {
                     if let Some(server) = self.links.get_mut(&id) {
                         server.engine.ping(server.link.output());
-                        self.dirty.insert(id);
+                        self.changed.insert(id);
                     }
                 }
                 // A login is an answer as well.
@@ -190,10 +190,10 @@
 
     fn refused(&mut self, sent: Sent, error: Vec<u8>) {
         self.executions.remove(&sent);
-        self.told.push(Told::Refused { sent, error });
+        self.events.push(Event::Refused { sent, error });
     }
 
-    fn done(&mut self, now: Micros, id: ServerId, done: Done) {
+    fn unit_done(&mut self, now: Micros, id: ServerId, done: Done) {
         let Some(server) = self.links.get_mut(&id) else { return };
         let (place, sent, session) = (server.place, server.serves.take(), server.holds.take());
         server.discards = false;
@@ -202,25 +202,25 @@
         let x = sent.and_then(|sent| self.executions.remove(&sent));
         let Some((sent, x)) = sent.zip(x) else {
             // Of one that was given up, or of none: a transaction that it left open is nobody's.
-            return if open { self.gone(now, id, place) } else { self.rests(now, id) };
+            return if open { self.close_and_refill(now, id, place) } else { self.release_idle(now, id) };
         };
         if done.fault && !x.begun && x.unit.pin.is_none() {
-            self.told.push(Told::Ended { sent, ending: Ending::EngineFailed });
-            return if open { self.gone(now, id, place) } else { self.rests(now, id) };
+            self.events.push(Event::Ended { sent, ending: Ending::EngineFailed });
+            return if open { self.close_and_refill(now, id, place) } else { self.release_idle(now, id) };
         }
         let (holder, keeps) = (x.unit.session, open && listed);
         let held = keeps.then_some(id);
-        self.told.push(Told::Answered { sent, bytes: x.back, done, held });
+        self.events.push(Event::Answered { sent, bytes: x.unsent_answer, done, held });
         if keeps {
             if let Some(server) = self.links.get_mut(&id) {
                 server.holds = session.or(Some(holder));
             }
         } else if open {
             // Its engine drains: the transaction has no further statement there.
-            self.told.push(Told::Lost { session: holder });
-            self.gone(now, id, place);
+            self.events.push(Event::TransactionLost { session: holder });
+            self.close_and_refill(now, id, place);
         } else {
-            self.rests(now, id);
+            self.release_idle(now, id);
         }
     }
 }
--- a/crates/front/src/postgres/servers/leaving.rs
+++ b/crates/front/src/postgres/servers/send.rs
@@ -8,7 +8,7 @@
 use hallmux_postgres::pool::{self, Step};
 use hallmux_postgres::session::Part;
 
-use super::{Execution, Sent, Server, ServerId, Servers, Stage, Told, Unit};
+use super::{Event, Execution, Sent, Server, ServerId, Servers, Stage, Unit};
 use crate::events::SocketKind;
 use crate::link::Link;
 
@@ -18,15 +18,15 @@
     /// Sends a unit over the connection that holds its transaction, else over one that its pool gives.
     pub fn send(&mut self, now: Micros, sent: Sent, place: Place, unit: Unit) {
         if !self.engines.get(&place).is_some_and(|e| e.up) {
-            return self.told.push(Told::Ended { sent, ending: Ending::Withdrawn });
+            return self.events.push(Event::Ended { sent, ending: Ending::Withdrawn });
         }
         let (pin, account, settings) = (unit.pin, unit.account, unit.settings.clone());
         let x = Execution {
             unit,
             place,
             link: None,
-            stage: Stage::Waits,
-            back: Vec::new(),
+            stage: Stage::Waiting,
+            unsent_answer: Vec::new(),
             begun: false,
             paused: false,
         };
@@ -39,7 +39,7 @@
                         self.start(sent, id);
                     }
                 }
-                None => self.told.push(Told::Ended { sent, ending: Ending::Withdrawn }),
+                None => self.events.push(Event::Ended { sent, ending: Ending::Withdrawn }),
             },
             None => {
                 self.executions.insert(sent, x);
@@ -60,7 +60,7 @@
                 Step::Dial { .. } if !self.dials.borrow_mut().take(now, place) => return,
                 Step::Dial { account, instead_of } => {
                     instead_of.into_iter().for_each(|id| self.close(id));
-                    if self.links.len() + self.cancels.len() >= self.most_links {
+                    if self.links.len() + self.cancels.len() >= self.max_links {
                         match self.pools.spare() {
                             Some(id) => self.close(id),
                             // What waits is served as connections come free; with none at all it ends.
@@ -72,7 +72,7 @@
                         let waited: Vec<Sent> = self.waiting(place, account);
                         for sent in waited {
                             self.pools.withdraw(place, sent);
-                            self.ended(sent, ending);
+                            self.report_end(sent, ending);
                         }
                         return;
                     }
@@ -100,13 +100,13 @@
             Ok(link) => link,
             Err(e) => {
                 log::warn!("engine {}: no connection can be made: {e}", engine.id);
-                return Err(dialled(&e));
+                return Err(dial_ending(&e));
             }
         };
         let engine = Engine::new(who, self.limits.prepared, link.output());
-        let dial_by = now + self.allowed.dial_timeout;
+        let dial_by = now + self.allowance.dial_timeout;
         self.pools.dialled(now, place, account, id);
-        self.coming.insert(id, dial_by);
+        self.connecting.insert(id, dial_by);
         let server = Server {
             link,
             engine,
@@ -114,9 +114,9 @@
             up: false,
             serves: None,
             holds: None,
-            leaving: 0,
+            write_end: 0,
             cancels: 0,
-            last: false,
+            closes_after_unit: false,
             discards: false,
         };
         self.links.insert(id, server);
@@ -127,13 +127,13 @@
     pub(super) fn start(&mut self, sent: Sent, id: ServerId) {
         let (Some(x), Some(link)) = (self.executions.get_mut(&sent), self.links.get_mut(&id)) else { return };
         link.serves = Some(sent);
-        (x.link, x.stage) = (Some(id), Stage::Leaving);
+        (x.link, x.stage) = (Some(id), Stage::Writing);
         let own = x.unit.pin.is_some();
         for (n, part) in x.unit.parts.iter().enumerate() {
-            link.engine.send(part, &x.unit.settings, own || n > 0, link.link.output(), &mut x.back);
+            link.engine.send(part, &x.unit.settings, own || n > 0, link.link.output(), &mut x.unsent_answer);
         }
-        link.leaving = link.link.output().len();
-        self.dirty.insert(id);
+        link.write_end = link.link.output().len();
+        self.changed.insert(id);
     }
 
     /// More of a unit that is out has come.
@@ -142,38 +142,38 @@
         x.unit.parts.push(part.clone());
         let Some(id) = x.link else { return };
         let Some(link) = self.links.get_mut(&id) else { return };
-        link.engine.send(&part, &x.unit.settings, true, link.link.output(), &mut x.back);
-        link.leaving = link.link.output().len();
-        x.stage = Stage::Leaving;
-        self.dirty.insert(id);
+        link.engine.send(&part, &x.unit.settings, true, link.link.output(), &mut x.unsent_answer);
+        link.write_end = link.link.output().len();
+        x.stage = Stage::Writing;
+        self.changed.insert(id);
         self.pass(sent, false);
     }
 
     /// Sends what is to leave.
     pub fn flush(&mut self, now: Micros) {
-        for id in std::mem::take(&mut self.dirty) {
+        for id in std::mem::take(&mut self.changed) {
             let Some(server) = self.links.get_mut(&id).filter(|l| l.up) else { continue };
             let flushed = server.link.flush();
-            let left = server.link.has_left(server.leaving);
+            let left = server.link.has_left(server.write_end);
             let sent = server.serves;
             let unsent = server.link.unsent();
             if let Some(x) = sent.and_then(|sent| self.executions.get_mut(&sent)) {
-                if left && x.stage == Stage::Leaving {
+                if left && x.stage == Stage::Writing {
                     x.stage = Stage::Out;
                     let once = x.unit.once || x.unit.pin.is_some();
-                    self.told.extend(sent.filter(|_| once).map(Told::Irrevocable));
+                    self.events.extend(sent.filter(|_| once).map(Event::Irrevocable));
                 }
             }
             if flushed.is_err() {
-                self.end(now, id, Ending::Reset);
+                self.connection_lost(now, id, Ending::Reset);
             } else if unsent > MOST_UNSENT {
-                self.end(now, id, Ending::Unreadable);
+                self.connection_lost(now, id, Ending::Unreadable);
             }
         }
     }
 }
 
-pub(super) fn dialled(e: &std::io::Error) -> Ending {
+pub(super) fn dial_ending(e: &std::io::Error) -> Ending {
     match e.kind() {
         ErrorKind::ConnectionRefused => Ending::Refused,
         // Whoever resets a connection is there.
--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -1,8 +1,8 @@
 //! Connections of PostgreSQL clients: units in, one final answer out for each.
 
-mod answering;
-mod ending;
-mod taking;
+mod answers;
+mod close;
+mod input;
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
@@ -17,18 +17,18 @@
 use super::servers::{Sent, ServerId, SessionId};
 use crate::link::Link;
 
-const MOST_MARKS: usize = 32; // times kept of when input came; beyond them the earlier one holds
+const MOST_ARRIVALS: usize = 32; // times kept of when input came; beyond them the earlier one holds
 
-/// What happens at the door and needs the dispatcher or an engine.
-pub enum Told {
+/// What sessions have come to that needs the dispatcher or an engine.
+pub enum Event {
     /// A unit is to be taken; its last byte came at the time given.
-    Asked { session: SessionId, part: Rc<Part>, since: Micros },
+    Unit { session: SessionId, part: Rc<Part>, since: Micros },
     /// More of the unit that is out.
-    More { ticket: Ticket, part: Rc<Part> },
+    UnitPart { ticket: Ticket, part: Rc<Part> },
     /// The client no longer waits.
-    Left(Ticket),
+    Abandoned(Ticket),
     /// A transaction is over: a connection that goes, the order keys that it kept.
-    Freed { pin: Option<ServerId>, keys: Vec<String>, rests: bool },
+    TransactionOver { pin: Option<ServerId>, keys: Vec<String>, may_go_on: bool },
     /// A client asks for the end of what this session has out.
     Cancel(SessionId),
 }
@@ -50,7 +50,7 @@
 }
 
 /// What a session is by its user.
-pub struct Inside {
+pub struct OpenSession {
     pub session: Session,
     pub user: Rc<User>,
     pub account: Account,
@@ -58,7 +58,7 @@
     /// The connection that holds its transaction, and the engine.
     pub pin: Option<(usize, ServerId)>,
     /// Order keys whose turn its transaction keeps.
-    pub holds: Vec<String>,
+    pub held_keys: Vec<String>,
     /// Groups of tables that its transaction may have written to, where loads are marked.
     pub touched: BTreeSet<u32>,
     /// The open unit has its answer; all up to its Sync is passed over.
@@ -66,43 +66,43 @@
 }
 
 enum Stage {
-    Entering(Box<Entry>),
-    In(Box<Inside>),
+    LoggingIn(Box<Entry>),
+    Open(Box<OpenSession>),
 }
 
-struct Peer {
+struct Connection {
     link: Link,
     stage: Stage,
     /// What a request to cancel has to know.
     secret: u32,
     /// When it was last of use.
-    heard: Micros,
+    last_active: Micros,
     /// How many bytes of the input came until when.
-    marks: VecDeque<(usize, Micros)>,
+    arrivals: VecDeque<(usize, Micros)>,
     /// It ends once all has left.
-    ends: bool,
+    closing: bool,
 }
 
 pub struct Sessions {
-    peers: HashMap<SessionId, Peer>,
+    connections: HashMap<SessionId, Connection>,
     tickets: HashMap<Ticket, SessionId>,
     pub catalogue: Catalogue,
     bounds: Bounds,
-    start_up: Micros,
+    login_timeout: Micros,
     transaction_idle: Micros,
     buffer: usize,
-    held: usize,
+    held_bytes: usize,
     next: SessionId,
     chance: std::hash::RandomState,
-    look: Micros,
-    dirty: BTreeSet<SessionId>,
+    next_check: Micros,
+    changed: BTreeSet<SessionId>,
     /// They have not taken all that is to leave.
-    behind: BTreeSet<SessionId>,
+    with_unsent: BTreeSet<SessionId>,
     /// Their engines are not read for now, as they do not take their answers.
     halted: BTreeSet<SessionId>,
     /// Not read for now: their input waits for units that are out.
     stalled: BTreeSet<SessionId>,
-    pub told: Vec<Told>,
+    pub events: Vec<Event>,
     /// Sessions with input that may make a unit.
     pub ready: Vec<SessionId>,
 }
@@ -132,28 +132,28 @@
             bytes: limits.message_bytes,
         };
         Sessions {
-            peers: HashMap::new(),
+            connections: HashMap::new(),
             tickets: HashMap::new(),
             catalogue: Catalogue::default(),
             bounds,
-            start_up: limits.start_up,
+            login_timeout: limits.start_up,
             transaction_idle: limits.transaction_idle,
             buffer: limits.buffer_bytes,
-            held: 0,
+            held_bytes: 0,
             next: 0,
             chance: std::hash::RandomState::new(),
-            look: 0,
-            dirty: BTreeSet::new(),
-            behind: BTreeSet::new(),
+            next_check: 0,
+            changed: BTreeSet::new(),
+            with_unsent: BTreeSet::new(),
             halted: BTreeSet::new(),
             stalled: BTreeSet::new(),
-            told: Vec::new(),
+            events: Vec::new(),
             ready: Vec::new(),
         }
     }
 
     pub fn len(&self) -> usize {
-        self.peers.len()
+        self.connections.len()
     }
 
     pub fn next_id(&mut self) -> SessionId {
@@ -165,73 +165,73 @@
     /// A number that nobody can foretell.
     fn secret(&self, of: &str, id: SessionId) -> u64 {
         use std::hash::BuildHasher;
-        self.chance.hash_one((of, id, self.peers.len()))
+        self.chance.hash_one((of, id, self.connections.len()))
     }
 
     pub fn accept(&mut self, now: Micros, id: SessionId, link: Link) {
         let secret = self.secret("cancel", id) as u32;
-        let peer = Peer {
+        let connection = Connection {
             link,
-            stage: Stage::Entering(Box::default()),
+            stage: Stage::LoggingIn(Box::default()),
             secret,
-            heard: now,
-            marks: VecDeque::new(),
-            ends: false,
+            last_active: now,
+            arrivals: VecDeque::new(),
+            closing: false,
         };
-        self.peers.insert(id, peer);
+        self.connections.insert(id, connection);
     }
 
     pub fn owns(&self, ticket: Ticket) -> bool {
         self.tickets.contains_key(&ticket)
     }
 
-    pub fn inside(&mut self, id: SessionId) -> Option<&mut Inside> {
-        match &mut self.peers.get_mut(&id)?.stage {
-            Stage::In(inside) => Some(inside),
-            Stage::Entering(_) => None,
+    pub fn open_session(&mut self, id: SessionId) -> Option<&mut OpenSession> {
+        match &mut self.connections.get_mut(&id)?.stage {
+            Stage::Open(open_session) => Some(open_session),
+            Stage::LoggingIn(_) => None,
         }
     }
 
-    pub fn by_ticket(&mut self, ticket: Ticket) -> Option<(SessionId, &mut Inside)> {
+    pub fn by_ticket(&mut self, ticket: Ticket) -> Option<(SessionId, &mut OpenSession)> {
         let id = *self.tickets.get(&ticket)?;
-        Some((id, self.inside(id)?))
+        Some((id, self.open_session(id)?))
     }
 
-    /// Bytes of the units that clients wait for, and of what they have said beyond.
-    pub fn held(&self) -> usize {
-        self.held
+    /// Bytes of the units that clients wait for, and of what they have sent beyond.
+    pub fn held_bytes(&self) -> usize {
+        self.held_bytes
     }
 
     /// Bytes of the answers that clients have not taken yet, and the session that has left most.
-    pub fn untaken(&self) -> (usize, Option<SessionId>) {
-        let unsent = |id: &SessionId| self.peers.get(id).map_or(0, |p| p.link.unsent());
-        (self.behind.iter().map(unsent).sum(), self.behind.iter().copied().max_by_key(unsent))
+    pub fn unsent(&self) -> (usize, Option<SessionId>) {
+        let unsent = |id: &SessionId| self.connections.get(id).map_or(0, |p| p.link.unsent());
+        (self.with_unsent.iter().map(unsent).sum(), self.with_unsent.iter().copied().max_by_key(unsent))
     }
 
     /// A connection has changed: takes what is there. True if there is more for another iteration.
     pub fn read(&mut self, now: Micros, id: SessionId) -> bool {
         let most = self.bounds.bytes;
-        let Some(peer) = self.peers.get_mut(&id) else { return false };
-        self.dirty.insert(id);
+        let Some(connection) = self.connections.get_mut(&id) else { return false };
+        self.changed.insert(id);
         // Guards against input without end while a unit is out: the rest waits with the network.
-        if peer.link.input.len() > most || peer.ends {
+        if connection.link.input.len() > most || connection.closing {
             self.stalled.insert(id);
             return false;
         }
-        let before = peer.link.input.len();
-        let (more, broken) = peer.link.read();
-        let came = peer.link.input.len() - before;
+        let before = connection.link.input.len();
+        let (more, broken) = connection.link.read();
+        let came = connection.link.input.len() - before;
         if came > 0 {
-            self.held += came;
-            let many = peer.marks.len() >= MOST_MARKS;
-            match peer.marks.back_mut().filter(|_| many) {
+            self.held_bytes += came;
+            let many = connection.arrivals.len() >= MOST_ARRIVALS;
+            match connection.arrivals.back_mut().filter(|_| many) {
                 Some((bytes, _)) => *bytes += came,
-                None => peer.marks.push_back((came, now)),
+                None => connection.arrivals.push_back((came, now)),
             }
             self.ready.push(id);
         }
         if broken.is_some() {
-            self.end(id);
+            self.disconnect(id);
             return false;
         }
         more
@@ -240,23 +240,23 @@
     /// Sends what is to leave; says which executions' clients have caught up.
     pub fn flush(&mut self) -> Vec<Sent> {
         let mut caught_up = Vec::new();
-        for id in std::mem::take(&mut self.dirty) {
-            let Some(peer) = self.peers.get_mut(&id) else { continue };
-            let flushed = peer.link.flush();
-            let unsent = peer.link.unsent();
-            if flushed.is_err() || peer.ends && unsent == 0 {
-                self.end(id);
+        for id in std::mem::take(&mut self.changed) {
+            let Some(connection) = self.connections.get_mut(&id) else { continue };
+            let flushed = connection.link.flush();
+            let unsent = connection.link.unsent();
+            if flushed.is_err() || connection.closing && unsent == 0 {
+                self.disconnect(id);
                 continue;
             }
             if unsent <= self.buffer / 2 && self.halted.remove(&id) {
-                if let Stage::In(inside) = &peer.stage {
-                    caught_up.extend(inside.running.as_ref().and_then(|r| r.sent));
+                if let Stage::Open(open_session) = &connection.stage {
+                    caught_up.extend(open_session.running.as_ref().and_then(|r| r.sent));
                 }
             }
             if unsent > 0 {
-                self.behind.insert(id);
+                self.with_unsent.insert(id);
             } else {
-                self.behind.remove(&id);
+                self.with_unsent.remove(&id);
             }
         }
         caught_up
@@ -265,7 +265,7 @@
     /// Sessions whose input waits with the network, and may be read again.
     pub fn unstalled(&mut self) -> Vec<SessionId> {
         let full =
-            |id: &SessionId| self.peers.get(id).is_some_and(|p| p.link.input.len() > self.bounds.bytes);
+            |id: &SessionId| self.connections.get(id).is_some_and(|p| p.link.input.len() > self.bounds.bytes);
         let (full, ready): (BTreeSet<_>, BTreeSet<_>) =
             std::mem::take(&mut self.stalled).into_iter().partition(full);
         self.stalled = full;
--- /dev/null
+++ b/crates/front/src/postgres/sessions/close.rs
@@ -0,0 +1,124 @@
+//! How sessions end: by themselves, for having stood still, to make room, with the front.
+
+use hallmux_dispatcher::Micros;
+use hallmux_postgres::answer::Final;
+use hallmux_postgres::session::Transaction;
+
+use super::{Connection, Event, Sessions, Stage};
+use crate::postgres::servers::SessionId;
+
+const IDLE_AFTER: Micros = 1_000_000; // microseconds after which a resting session lets go of its buffers
+const GRACE: Micros = 2_000_000; // microseconds that an idle transaction has left once the front ends
+const CHECK_INTERVAL: Micros = 200_000; // microseconds between looks at sessions that stand still
+
+impl Sessions {
+    /// A session has no more to ask: what it holds is let go; its connection ends once all has left.
+    pub(super) fn abandon(&mut self, id: SessionId) {
+        let Some(open_session) = self.open_session(id) else { return };
+        let ticket = open_session.running.as_ref().map(|r| r.ticket);
+        let ran = open_session.running.as_ref().is_some_and(|r| r.ran);
+        if let Some(ticket) = ticket {
+            self.remove_running(ticket);
+            self.events.push(Event::Abandoned(ticket));
+        }
+        self.release_transaction(id, ran);
+    }
+
+    /// A connection is over.
+    pub fn disconnect(&mut self, id: SessionId) {
+        self.abandon(id);
+        if let Some(connection) = self.connections.remove(&id) {
+            self.held_bytes -= connection.link.input.len();
+        }
+        self.changed.remove(&id);
+        self.with_unsent.remove(&id);
+        self.stalled.remove(&id);
+        self.halted.remove(&id);
+    }
+
+    /// Ends a session with a last message.
+    fn dismiss(&mut self, id: SessionId, why: &Final) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            why.write(connection.link.output(), true);
+            connection.closing = true;
+            self.changed.insert(id);
+            self.abandon(id);
+        }
+    }
+
+    /// Ends what has stood still too long. `shut` is since when the front ends.
+    pub fn expire(&mut self, now: Micros, shut: Option<Micros>) {
+        if now < self.next_check {
+            return;
+        }
+        self.next_check = now + CHECK_INTERVAL;
+        let mut over: Vec<(SessionId, Option<Final>)> = Vec::new();
+        for (id, connection) in &mut self.connections {
+            match &connection.stage {
+                Stage::LoggingIn(_) if connection.last_active + self.login_timeout <= now => {
+                    over.push((*id, None))
+                }
+                Stage::LoggingIn(_) => {}
+                Stage::Open(open_session) => {
+                    let idle = open_session.running.is_none() && !connection.closing;
+                    let open = open_session.session.transaction.is_held();
+                    let stands = now - connection.last_active;
+                    if idle && open && stands >= self.transaction_idle {
+                        over.push((*id, Some(Final::IdleTransaction)));
+                    } else if idle && open && shut.is_some_and(|since| since + GRACE <= now) {
+                        over.push((*id, Some(Final::ShutDown)));
+                    } else if connection.closing && stands >= self.login_timeout {
+                        over.push((*id, None));
+                    } else if idle && stands >= IDLE_AFTER {
+                        connection.link.shrink();
+                        connection.arrivals.shrink_to_fit();
+                    }
+                }
+            }
+        }
+        for (id, why) in over {
+            match why {
+                Some(why) => self.dismiss(id, &why),
+                None => self.disconnect(id),
+            }
+        }
+    }
+
+    /// Makes room for a newcomer: of those that never came in the one that has waited longest, else of those
+    /// that rest outside a transaction.
+    pub fn evict_idle(&mut self, now: Micros) -> bool {
+        let rank = |(id, p): (&SessionId, &Connection)| match &p.stage {
+            Stage::LoggingIn(_) => Some((false, p.last_active, *id)),
+            Stage::Open(open_session) => {
+                let may_go_on = open_session.running.is_none()
+                    && open_session.session.transaction == Transaction::None
+                    && p.link.input.is_empty()
+                    && p.last_active + IDLE_AFTER <= now;
+                may_go_on.then_some((true, p.last_active, *id))
+            }
+        };
+        let Some((_, _, id)) = self.connections.iter().filter_map(rank).min() else { return false };
+        self.dismiss(id, &Final::ShutDown);
+        if let Some(connection) = self.connections.get_mut(&id) {
+            // Its last message goes as far as the network takes it at once.
+            let _ = connection.link.flush();
+        }
+        self.disconnect(id);
+        true
+    }
+
+    /// Closes the sessions that have nothing out and no transaction open.
+    pub fn close_idle(&mut self) {
+        let idle = |(id, p): (&SessionId, &Connection)| match &p.stage {
+            Stage::LoggingIn(_) => Some(*id),
+            Stage::Open(open_session) => {
+                let may_go_on = open_session.running.is_none()
+                    && !open_session.session.transaction.is_held()
+                    && !p.closing;
+                (may_go_on && !open_session.session.is_within() && p.link.input.is_empty()).then_some(*id)
+            }
+        };
+        let idle: Vec<SessionId> = self.connections.iter().filter_map(idle).collect();
+        idle.into_iter().for_each(|id| self.dismiss(id, &Final::ShutDown));
+    }
+}
--- a/crates/front/src/postgres/sessions/taking.rs
+++ b/crates/front/src/postgres/sessions/input.rs
@@ -1,4 +1,4 @@
-//! What clients say becomes units, one after the other; and how they come in.
+//! Input of clients: the login, then units, one after the other.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -11,7 +11,7 @@
 use hallmux_postgres::session::{Read, Session, Transaction};
 use hallmux_postgres::wire;
 
-use super::{Inside, Sessions, Stage, Told, Users};
+use super::{Event, OpenSession, Sessions, Stage, Users};
 use crate::postgres::servers::{Servers, SessionId};
 
 const UNITS_PER_ITERATION: usize = 64; // units answered here for one session before others are served
@@ -20,40 +20,41 @@
     /// Takes the units that have come, as far as they can be taken now.
     pub fn advance(&mut self, now: Micros, id: SessionId, users: &Users, servers: &mut Servers) {
         for _ in 0..UNITS_PER_ITERATION {
-            let enters = matches!(self.peers.get(&id), Some(p) if matches!(p.stage, Stage::Entering(_)));
+            let logging_in =
+                matches!(self.connections.get(&id), Some(p) if matches!(p.stage, Stage::LoggingIn(_)));
             let mut nonce = String::new();
             let mut hidden = [0; 8];
-            if enters {
+            if logging_in {
                 let (first, second) = (self.secret("nonce", id), self.secret("the rest of it", id));
                 nonce = format!("{first:016x}{second:016x}");
                 hidden = self.chance_bytes();
             }
-            let Some(peer) = self.peers.get_mut(&id) else { return };
-            if peer.ends {
+            let Some(connection) = self.connections.get_mut(&id) else { return };
+            if connection.closing {
                 return;
             }
-            let input = std::mem::take(&mut peer.link.input);
-            let (used, goes_on) = match &mut peer.stage {
-                Stage::Entering(_) if input.is_empty() => (0, false),
-                Stage::Entering(entry) => {
+            let input = std::mem::take(&mut connection.link.input);
+            let (used, goes_on) = match &mut connection.stage {
+                Stage::LoggingIn(_) if input.is_empty() => (0, false),
+                Stage::LoggingIn(entry) => {
                     let access = |user: &str| users.0.get(user).map(|(_, access)| access.clone());
-                    let out = peer.link.output();
+                    let out = connection.link.output();
                     match entry.read(&input, access, &hidden, &nonce, out) {
                         Err(what) => {
                             log::info!("session {id}: {what}; its connection is closed");
-                            peer.ends = true;
+                            connection.closing = true;
                             (0, false)
                         }
                         Ok((used, Step::More)) => (used, false),
                         Ok((used, Step::Refused)) => {
-                            peer.ends = true;
+                            connection.closing = true;
                             (used, false)
                         }
                         Ok((used, Step::Cancel { process, secret })) => {
-                            peer.ends = true;
+                            connection.closing = true;
                             let meant = SessionId::from(process);
-                            if self.peers.get(&meant).is_some_and(|p| p.secret == secret) {
-                                self.told.push(Told::Cancel(meant));
+                            if self.connections.get(&meant).is_some_and(|p| p.secret == secret) {
+                                self.events.push(Event::Cancel(meant));
                             }
                             (used, false)
                         }
@@ -63,99 +64,106 @@
                             match user.zip(account) {
                                 Some((user, account)) => {
                                     let session = Session::new(&welcome, &mut self.catalogue);
-                                    let process = (id as u32, peer.secret);
-                                    greet(peer.link.output(), &welcome, &servers.parameters, process);
-                                    peer.heard = now;
-                                    peer.stage = Stage::In(Box::new(Inside {
+                                    let process = (id as u32, connection.secret);
+                                    greet(connection.link.output(), &welcome, &servers.parameters, process);
+                                    connection.last_active = now;
+                                    connection.stage = Stage::Open(Box::new(OpenSession {
                                         session,
                                         user,
                                         account,
                                         running: None,
                                         pin: None,
-                                        holds: Vec::new(),
+                                        held_keys: Vec::new(),
                                         touched: BTreeSet::new(),
                                         skipping: false,
                                     }));
                                     (used, true)
                                 }
                                 None => {
-                                    Final::Full.write(peer.link.output(), true);
-                                    peer.ends = true;
+                                    Final::Full.write(connection.link.output(), true);
+                                    connection.closing = true;
                                     (used, false)
                                 }
                             }
                         }
                     }
                 }
-                Stage::In(inside) if inside.skipping => match inside.session.skip(&input) {
+                Stage::Open(open_session) if open_session.skipping => match open_session.session.skip(&input)
+                {
                     Err(why) => {
-                        why.write(peer.link.output(), true);
-                        peer.ends = true;
+                        why.write(connection.link.output(), true);
+                        connection.closing = true;
                         (0, false)
                     }
                     Ok((used, over)) => {
-                        inside.skipping = !over;
+                        open_session.skipping = !over;
                         if over {
-                            inside.session.ready(peer.link.output());
+                            open_session.session.ready(connection.link.output());
                         }
                         (used, over)
                     }
                 },
                 // One unit after the other: each may hang on how the last one ended.
-                Stage::In(inside) if inside.running.is_some() && !inside.session.is_within() => (0, false),
-                Stage::In(inside) => match inside.session.read(&input, &mut self.catalogue, &self.bounds) {
-                    Err(why) => {
-                        log::info!("session {id}: {}; its connection is closed", why.code());
-                        why.write(peer.link.output(), true);
-                        peer.ends = true;
-                        (0, false)
-                    }
-                    Ok((used, Read::More)) => (used, false),
-                    Ok((used, Read::Goes)) => {
-                        peer.ends = true;
-                        (used, false)
-                    }
-                    Ok((used, Read::Part(part))) => {
-                        let since = came(&peer.marks, used).unwrap_or(now);
-                        match &mut inside.running {
-                            Some(running) => {
-                                running.parts.push(part.clone());
-                                running.commits |= part.commits;
-                                self.told.push(Told::More { ticket: running.ticket, part });
-                                (used, true)
-                            }
-                            None => {
-                                let out = peer.link.output();
-                                let was = inside.session.transaction;
-                                if inside.session.answers(&part, &mut self.catalogue, out) {
-                                    (used, true)
-                                } else if was == Transaction::Lost {
-                                    Final::InFailedTransaction.write(out, false);
-                                    inside.skipping = true;
+                Stage::Open(open_session)
+                    if open_session.running.is_some() && !open_session.session.is_within() =>
+                {
+                    (0, false)
+                }
+                Stage::Open(open_session) => {
+                    match open_session.session.read(&input, &mut self.catalogue, &self.bounds) {
+                        Err(why) => {
+                            log::info!("session {id}: {}; its connection is closed", why.code());
+                            why.write(connection.link.output(), true);
+                            connection.closing = true;
+                            (0, false)
+                        }
+                        Ok((used, Read::More)) => (used, false),
+                        Ok((used, Read::Goes)) => {
+                            connection.closing = true;
+                            (used, false)
+                        }
+                        Ok((used, Read::Part(part))) => {
+                            let since = came(&connection.arrivals, used).unwrap_or(now);
+                            match &mut open_session.running {
+                                Some(running) => {
+                                    running.parts.push(part.clone());
+                                    running.commits |= part.commits;
+                                    self.events.push(Event::UnitPart { ticket: running.ticket, part });
                                     (used, true)
-                                } else {
-                                    self.told.push(Told::Asked { session: id, part, since });
-                                    (used, false)
+                                }
+                                None => {
+                                    let out = connection.link.output();
+                                    let was = open_session.session.transaction;
+                                    if open_session.session.answers(&part, &mut self.catalogue, out) {
+                                        (used, true)
+                                    } else if was == Transaction::Lost {
+                                        Final::InFailedTransaction.write(out, false);
+                                        open_session.skipping = true;
+                                        (used, true)
+                                    } else {
+                                        self.events.push(Event::Unit { session: id, part, since });
+                                        (used, false)
+                                    }
                                 }
                             }
                         }
                     }
-                },
+                }
             };
-            self.dirty.insert(id);
-            let Some(peer) = self.peers.get_mut(&id) else { return };
-            peer.link.input = input;
-            peer.link.taken(used);
-            self.held -= used;
-            taken(&mut peer.marks, used);
+            self.changed.insert(id);
+            let Some(connection) = self.connections.get_mut(&id) else { return };
+            connection.link.input = input;
+            connection.link.taken(used);
+            self.held_bytes -= used;
+            taken(&mut connection.arrivals, used);
             if used > 0 {
-                peer.heard = now;
+                connection.last_active = now;
             }
-            if peer.ends {
-                let left = peer.link.input.len();
-                self.held -= left;
-                peer.link.input = Vec::new();
-                self.leave(id);
+            if connection.closing {
+                let left = connection.link.input.len();
+                self.held_bytes -= left;
+                connection.link.input = Vec::new();
+                self.abandon(id);
                 return;
             }
             if !goes_on {
@@ -183,24 +191,24 @@
 }
 
 /// When the byte that ends so many bytes of the input came.
-fn came(marks: &VecDeque<(usize, Micros)>, used: usize) -> Option<Micros> {
+fn came(arrivals: &VecDeque<(usize, Micros)>, used: usize) -> Option<Micros> {
     let mut sum = 0;
-    marks.iter().find_map(|(bytes, at)| {
+    arrivals.iter().find_map(|(bytes, at)| {
         sum += bytes;
         (sum >= used).then_some(*at)
     })
 }
 
-fn taken(marks: &mut VecDeque<(usize, Micros)>, used: usize) {
+fn taken(arrivals: &mut VecDeque<(usize, Micros)>, used: usize) {
     let mut left = used;
-    while let Some((bytes, _)) = marks.front_mut() {
+    while let Some((bytes, _)) = arrivals.front_mut() {
         let len = left.min(*bytes);
         *bytes -= len;
         left -= len;
         if *bytes > 0 {
             break;
         }
-        marks.pop_front();
+        arrivals.pop_front();
     }
 }
 
@@ -218,9 +226,9 @@
         ("standard_conforming_strings", "on"),
     ];
     let known = |name: &str| parameters.iter().any(|(n, _)| n == name);
-    let told = usual.iter().filter(|(name, _)| !known(name)).copied();
-    let told = told.chain(parameters.iter().map(|(n, v)| (n.as_str(), v.as_str())));
-    for (name, value) in told {
+    let events = usual.iter().filter(|(name, _)| !known(name)).copied();
+    let events = events.chain(parameters.iter().map(|(n, v)| (n.as_str(), v.as_str())));
+    for (name, value) in events {
         let own = welcome.parameters.get(&name.to_ascii_lowercase());
         let value = match name {
             "session_authorization" => &welcome.user,
