--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -52,7 +52,7 @@
     refused_acts: BTreeMap<&'static str, u64>,
     /// Copies of promises that differed, and that were mended here.
     differed: (u64, u64),
-    letters: BTreeMap<Channel, Vec<(PeerId, Vec<u8>)>>,
+    messages: BTreeMap<Channel, Vec<(PeerId, Vec<u8>)>>,
     /// Answers of the ledger that their part of this front has not taken yet.
     done: Vec<Done>,
     /// A ledger is kept.
@@ -173,7 +173,7 @@
             differed: (0, 0),
             done: Vec::new(),
             keeps: gossip.ledger.is_some(),
-            letters: BTreeMap::new(),
+            messages: BTreeMap::new(),
         })
     }
 
@@ -217,19 +217,19 @@
         Moment { now, steady, wall_ms: (now / 1000) as u64 }
     }
 
-    /// Letters that have come for a part beside gossip; of parts that take none, the latest are kept.
-    pub fn letters(&mut self, channel: Channel) -> Vec<(PeerId, Vec<u8>)> {
-        for letter in self.exchange.letters() {
-            let kept = self.letters.entry(letter.channel).or_default();
+    /// Messages that have come on a channel beside gossip; of a channel that nobody reads so many are kept.
+    pub fn take_messages(&mut self, channel: Channel) -> Vec<(PeerId, Vec<u8>)> {
+        for message in self.exchange.letters() {
+            let kept = self.messages.entry(message.channel).or_default();
             if kept.len() < DATAGRAMS_PER_ITERATION {
-                kept.push((letter.from, letter.bytes));
+                kept.push((message.from, message.bytes));
             }
         }
-        self.letters.remove(&channel).unwrap_or_default()
+        self.messages.remove(&channel).unwrap_or_default()
     }
 
-    /// Sends such a letter; what does not go out is as if it were lost on the way.
-    pub fn post(&mut self, now: Micros, to: PeerId, channel: Channel, bytes: &[u8]) {
+    /// Sends such a message; what does not go out is as if it were lost on the way.
+    pub fn send_message(&mut self, now: Micros, to: PeerId, channel: Channel, bytes: &[u8]) {
         let at = self.moment(now);
         let datagrams = self.exchange.post(at, to, channel, bytes).into_iter().collect();
         self.send(now, Out { datagrams, ..Out::default() });
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -24,7 +24,7 @@
 use crate::link::Link;
 use crate::listener::Listener;
 use crate::postgres::gateway::Gateway;
-use crate::scatter::Scatters;
+use crate::scatter::ScatteredStatements;
 use crate::shutdown::{LedgerDuty, Shutdown};
 use crate::start::Fault;
 
@@ -55,7 +55,7 @@
     /// Executions that wait for the ledger, where fronts keep one.
     guard: Option<Guard>,
     /// Statements that are asked of several sites, likewise.
-    scatter: Option<Scatters>,
+    scatter: Option<ScatteredStatements>,
     /// What was reported to the dispatcher of how many executions can leave for each engine.
     rooms: Rooms,
     shutdown: Shutdown,
@@ -94,7 +94,8 @@
         if let Some((gateway, scatter)) = gateway.as_mut().zip(scatter.filter(|scatter| scatter.marked)) {
             gateway.writes = scatter.writes.clone();
         }
-        let scatter = scatter.map(|scatter| Scatters::new(scatter, clock.now, spread_offset, contract));
+        let scatter =
+            scatter.map(|scatter| ScatteredStatements::new(scatter, clock.now, spread_offset, contract));
         let scatter = scatter.transpose().map_err(part)?;
         let mut front = Front {
             listener: Listener::new(listener, &handle, SocketKind::Listener.id(0)).map_err(part)?,
--- a/crates/front/src/front/admission.rs
+++ b/crates/front/src/front/admission.rs
@@ -38,7 +38,7 @@
         // What waits for a connection is not sent any more, also where cancelling is not allowed.
         self.engines.abandon(ticket);
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
-        match self.scatter.as_mut().is_some_and(|scatter| scatter.left(now, ticket, dispatcher)) {
+        match self.scatter.as_mut().is_some_and(|scatter| scatter.abandon(now, ticket, dispatcher)) {
             true => self.rules.iter().for_each(|rules| rules.borrow_mut().gone(ticket)),
             false => self.dispatcher.left(now, ticket),
         }
--- a/crates/front/src/front/dispatch.rs
+++ b/crates/front/src/front/dispatch.rs
@@ -147,7 +147,7 @@
         let load = self.load(ticket);
         let loads = self.scatter.as_mut().and_then(|scatter| scatter.loads.as_mut());
         let (dispatcher, held) = (&mut self.dispatcher, ((ticket, execution), place, terms));
-        if !loads.zip(load).is_some_and(|(loads, load)| loads.holds(now, dispatcher, held, load)) {
+        if !loads.zip(load).is_some_and(|(loads, load)| loads.hold(now, dispatcher, held, load)) {
             self.send(ordered);
         }
     }
@@ -224,7 +224,7 @@
                     .scatter
                     .as_mut()
                     .and_then(|scatter| scatter.loads.as_mut())
-                    .is_some_and(|loads| loads.stops((ticket, execution))) =>
+                    .is_some_and(|loads| loads.cancel((ticket, execution))) =>
             {
                 self.gateway.iter_mut().for_each(|gateway| gateway.stop(now, (ticket, execution), ending));
                 self.dispatcher.report(now, ticket, execution, Ending::Withdrawn, None, None);
--- a/crates/front/src/front/scatter.rs
+++ b/crates/front/src/front/scatter.rs
@@ -12,7 +12,7 @@
 use super::Front;
 use crate::clients::ClientId;
 use crate::fleet::rules::Ordered;
-use crate::scatter::{Leaves, Said, Scatters, Word, NUMBERS};
+use crate::scatter::{FinalReply, LoadOutcome, Outgoing, ScatteredStatements, ASK_NUMBERS};
 
 impl Front {
     /// Takes a statement of a workload that is scattered, where parts can make up its answer. Gives it back with the one
@@ -26,7 +26,8 @@
         allowed: Option<Vec<String>>,
         judged: &Judged,
     ) -> Option<(Call, Option<String>)> {
-        let Some(scatter) = self.scatter.as_mut().filter(|scatter| scatter.takes(&call.workload)) else {
+        let Some(scatter) = self.scatter.as_mut().filter(|scatter| scatter.is_scattered(&call.workload))
+        else {
             return Some((call, None));
         };
         match scatter.read(&call) {
@@ -70,16 +71,16 @@
         let now = self.clock.now;
         let Some(scatter) = &mut self.scatter else { return };
         scatter.summaries.choose(now);
-        scatter.hurry(now, &mut self.dispatcher);
+        scatter.finish_audits(now, &mut self.dispatcher);
         if let Some(peers) = &mut self.peers {
-            let mut letters = scatter.tick(now, &peers.others());
-            for (from, bytes) in peers.letters(Channel::Summaries) {
-                letters.extend(scatter.summaries.heard(now, from, &bytes));
+            let mut messages = scatter.tick(now, &peers.others());
+            for (from, bytes) in peers.take_messages(Channel::Summaries) {
+                messages.extend(scatter.summaries.receive(now, from, &bytes));
             }
-            letters.iter().for_each(|(to, bytes)| peers.post(now, *to, Channel::Summaries, bytes));
+            messages.iter().for_each(|(to, bytes)| peers.send_message(now, *to, Channel::Summaries, bytes));
         }
         if let Some(loads) = &mut scatter.loads {
-            loads.note(now, &mut self.dispatcher);
+            loads.report_held(now, &mut self.dispatcher);
         }
         self.apply_marks();
         self.answer_scattered();
@@ -91,50 +92,52 @@
             let now = self.clock.now;
             let Some((scatter, peers)) = self.scatter.as_mut().zip(self.peers.as_mut()) else { return };
             let Some(loads) = &mut scatter.loads else { return };
-            let mut words: Vec<Word> =
-                peers.promised(NUMBERS).into_iter().flat_map(|done| loads.done(done)).collect();
+            let mut outcomes: Vec<LoadOutcome> =
+                peers.promised(ASK_NUMBERS).into_iter().flat_map(|done| loads.done(done)).collect();
             let (asks, more) = loads.asks(now, &scatter.summaries.book);
-            words.extend(more);
-            if words.is_empty() && asks.is_empty() {
+            outcomes.extend(more);
+            if outcomes.is_empty() && asks.is_empty() {
                 return;
             }
             asks.into_iter().for_each(|ask| peers.ask(now, ask));
-            for word in words {
-                match word {
-                    Word::Send { sent: (ticket, execution), place, terms, leaves } => {
+            for outcome in outcomes {
+                match outcome {
+                    LoadOutcome::Send { sent: (ticket, execution), place, terms, outgoing } => {
                         self.dispatcher.leaves(now, ticket, execution);
                         let of = self.statement_for_rules(ticket);
                         if self.may_leave(Ordered { of, ticket, execution, place, terms }) {
                             let sent = (ticket, execution);
-                            match (leaves, &mut self.gateway) {
-                                (Leaves::Call(call), _) => self.engines.send(now, sent, place, call, terms),
-                                (Leaves::Unit(text), Some(gateway)) => gateway.send(now, sent, place, text),
-                                (Leaves::Unit(_), None) => {}
+                            match (outgoing, &mut self.gateway) {
+                                (Outgoing::Call(call), _) => self.engines.send(now, sent, place, call, terms),
+                                (Outgoing::Unit(text), Some(gateway)) => gateway.send(now, sent, place, text),
+                                (Outgoing::Unit(_), None) => {}
                             }
                         }
                     }
-                    Word::TurnAway((ticket, _)) => {
+                    LoadOutcome::TurnAway((ticket, _)) => {
                         let retry_after = self.dispatcher.turn_away(now, ticket);
                         self.carry_out(Order::Reject { ticket, retry_after });
                     }
-                    Word::Other(Follows::Marks { group, scatters, marks }) => {
+                    LoadOutcome::Other(Follows::Marks { group, scatters, marks }) => {
                         let waiting: Vec<Ticket> = scatters.iter().map(|ticket| *ticket as Ticket).collect();
                         if let Some(scatter) = &mut self.scatter {
                             scatter.marks(now, (group, &waiting), marks.as_ref(), &mut self.dispatcher);
                         }
                     }
-                    Word::Other(_) => {}
+                    LoadOutcome::Other(_) => {}
                 }
             }
         }
     }
 
     pub(super) fn answer_scattered(&mut self) {
-        for (ticket, said) in self.scatter.as_mut().map(Scatters::said).unwrap_or_default() {
+        for (ticket, reply) in
+            self.scatter.as_mut().map(ScatteredStatements::take_replies).unwrap_or_default()
+        {
             self.rules.iter().for_each(|rules| rules.borrow_mut().gone(ticket));
-            match said {
-                Said::Answer(answer) => self.answer_scattered_statement(ticket, &answer),
-                Said::Unfit(unfit) => {
+            match reply {
+                FinalReply::Answer(answer) => self.answer_scattered_statement(ticket, &answer),
+                FinalReply::Unfit(unfit) => {
                     let field = match unfit {
                         Unfit::Customer => statement::CUSTOMER,
                         Unfit::DedupKey => statement::DEDUP_KEY,
--- a/crates/front/src/scatter/doubts.rs
+++ b/crates/front/src/scatter/audits.rs
@@ -1,5 +1,5 @@
-//! Audits of sites' own words: which are asked all the same, and what their answers show. An answer with rows is held against
-//! the ledger's word on loads, asked for anew: what a load may have brought is no site's false word.
+//! Audits of sites' summaries: which sites are asked although their summaries rule them out, and what their answers show. An
+//! answer with rows is checked against the marks on loads, read anew: rows that a load may have brought prove no summary false.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
@@ -19,18 +19,18 @@
     pub version: u64,
 }
 
-/// An answer with rows of such a site, until the word on loads is there.
-struct Check {
+/// An answer with rows of such a site, until the marks on loads are there.
+struct PendingCheck {
     of: RuledOut,
     query: Query,
     rows: u64,
 }
 
-pub struct Doubts {
+pub struct SiteAudits {
     audits: Audits,
-    checks: HashMap<Ticket, Check>,
-    chance: RandomState,
-    /// False words found here, which other fronts are to hear of.
+    checks: HashMap<Ticket, PendingCheck>,
+    random: RandomState,
+    /// False summaries found here, which are to be reported to other fronts.
     pub found: Vec<FalseWord>,
     /// Fronts that share the budget.
     pub fronts: usize,
@@ -40,18 +40,18 @@
     Terms { one_in: settings.one_in, a_second: settings.a_minute as f64 / 60.0 }
 }
 
-impl Doubts {
-    pub fn new(settings: hallmux_agreement::Audits) -> Doubts {
-        let (checks, chance) = (HashMap::new(), RandomState::new());
-        Doubts { audits: Audits::new(terms(settings)), checks, chance, found: Vec::new(), fronts: 1 }
+impl SiteAudits {
+    pub fn new(settings: hallmux_agreement::Audits) -> SiteAudits {
+        let (checks, random) = (HashMap::new(), RandomState::new());
+        SiteAudits { audits: Audits::new(terms(settings)), checks, random, found: Vec::new(), fronts: 1 }
     }
 
     pub fn set_terms(&mut self, settings: hallmux_agreement::Audits) {
         self.audits.turn_to(terms(settings));
     }
 
-    /// Another front has found a false word.
-    pub fn told(&mut self, word: &FalseWord) {
+    /// Another front reports a false summary.
+    pub fn receive_report(&mut self, word: &FalseWord) {
         let FalseWord { site, group, version } = word;
         log::warn!(
             "site '{site}': another front has found its summary of group {group}, version {version}, false; \
@@ -60,7 +60,7 @@
         self.audits.told(site);
     }
 
-    pub fn doubts(&self, site: &str) -> bool {
+    pub fn is_suspect(&self, site: &str) -> bool {
         self.audits.doubts(site)
     }
 
@@ -73,25 +73,25 @@
         sites: &[String],
         allowed: Option<&[&str]>,
     ) {
-        let drawn = self.chance.hash_one(ticket);
+        let drawn = self.random.hash_one(ticket);
         if let Some(at) = self.audits.pick(now, drawn, self.fronts as f64, &plan.left_out) {
             plan.audit(at, sites, allowed);
         }
     }
 
-    /// A site that its summary rules out has answered. True: `check` is to have the word on loads before anything is concluded.
+    /// A site that its summary rules out has answered. True: `check` needs the marks on loads before anything is concluded.
     pub fn answered(&mut self, check: Ticket, of: RuledOut, query: &Query, rows: u64) -> bool {
         if rows == 0 {
             self.conclude(&of, 0, true);
             return false;
         }
-        self.checks.insert(check, Check { of, query: query.clone(), rows });
+        self.checks.insert(check, PendingCheck { of, query: query.clone(), rows });
         true
     }
 
-    /// The word on loads for an answer. False: it is none of these.
-    pub fn word(&mut self, wall_ms: u64, check: Ticket, word: &Word, book: &Book) -> bool {
-        let Some(Check { of, query, rows }) = self.checks.remove(&check) else { return false };
+    /// The marks on loads for an answer. False: it is none of these.
+    pub fn apply_marks(&mut self, wall_ms: u64, check: Ticket, word: &Word, book: &Book) -> bool {
+        let Some(PendingCheck { of, query, rows }) = self.checks.remove(&check) else { return false };
         let summary = book.look(wall_ms, &of.site, query.group).filter(|s| s.version == of.version);
         let table = summary.and_then(|summary| Some((summary, summary.table(&query.table)?)));
         let sure = table.is_some_and(|(summary, table)| match word {
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -1,4 +1,4 @@
-//! Loads wait here until they are marked, and scatters for the ledger's word on loads.
+//! Loads wait here until they are marked in the ledger, and scattered statements for the marks.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -15,10 +15,10 @@
 use crate::engines::Sent;
 
 /// The highest byte of the numbers of this part's asks: others of one front have others.
-pub const NUMBERS: u64 = 3 << 56;
-const RUNS_ON: Micros = 60_000_000; // microseconds beyond a statement's end for which an execution of it may run on
+pub const ASK_NUMBERS: u64 = 3 << 56;
+const RUN_ON: Micros = 60_000_000; // microseconds beyond a statement's end for which an execution of it may run on
 const MOST_GROUPS: usize = 1_024; // groups of tables that a load is marked for; statements are shorter than that
-const NOTED: Micros = 100_000; // microseconds between words to the dispatcher that an execution is still held
+const REPORT_INTERVAL: Micros = 100_000; // microseconds between reports to the dispatcher that an execution is still held
 
 /// What an execution may write, as the protocol that it came in tells it.
 pub enum Load {
@@ -59,26 +59,26 @@
     /// Workloads whose statements may write.
     writes: Vec<String>,
     locations: Vec<String>,
-    noted: Micros,
+    last_report: Micros,
     /// Those that can't be marked, to be turned away.
     unmarked: Vec<Sent>,
 }
 
-/// As what a load leaves.
-pub enum Leaves {
+/// The form in which a load is sent.
+pub enum Outgoing {
     Call(Rc<Call>),
     /// A session's unit, with this text where it is to have another.
     Unit(Option<Vec<u8>>),
 }
 
 /// What becomes of what waited.
-pub enum Word {
+pub enum LoadOutcome {
     /// It leaves, as it is to be sent.
     Send {
         sent: Sent,
         place: usize,
         terms: Terms,
-        leaves: Leaves,
+        outgoing: Outgoing,
     },
     TurnAway(Sent),
     Other(Follows),
@@ -87,17 +87,17 @@
 impl Loads {
     pub fn new(writes: Vec<String>, locations: Vec<String>) -> Loads {
         Loads {
-            marker: Marker::new(NUMBERS),
+            marker: Marker::new(ASK_NUMBERS),
             held: HashMap::new(),
             writes,
             locations,
-            noted: 0,
+            last_report: 0,
             unmarked: Vec::new(),
         }
     }
 
     /// Holds an execution of what may write to groups of tables until it is marked. False: it needs no mark.
-    pub fn holds(
+    pub fn hold(
         &mut self,
         now: Micros,
         dispatcher: &mut Dispatcher,
@@ -126,7 +126,7 @@
             touched.retain(|_, touched| only(touched));
         }
         let Some(site) = self.locations.get(dispatcher.site(place).location) else { return false };
-        let ends_ms = ((terms.ends + RUNS_ON).max(0) / 1000) as u64;
+        let ends_ms = ((terms.ends + RUN_ON).max(0) / 1000) as u64;
         self.marker.load((u64::from(sent.0), sent.1), site, ends_ms, touched);
         self.held.insert(sent, Held { place, terms, load });
         dispatcher.waits(now, sent.0, sent.1);
@@ -134,14 +134,14 @@
     }
 
     /// An execution is given up. True if it was held.
-    pub fn stops(&mut self, sent: Sent) -> bool {
+    pub fn cancel(&mut self, sent: Sent) -> bool {
         self.marker.stop((u64::from(sent.0), sent.1));
         let before = self.unmarked.len();
         self.unmarked.retain(|unmarked| *unmarked != sent);
         self.held.remove(&sent).is_some() || self.unmarked.len() < before
     }
 
-    /// A scatter waits for the word on its group.
+    /// A scattered statement waits for the marks of its group.
     pub fn scatter(&mut self, ticket: hallmux_dispatcher::Ticket, group: u32) {
         self.marker.scatter(u64::from(ticket), group);
     }
@@ -150,59 +150,59 @@
         if self.held.is_empty() {
             Micros::MAX
         } else {
-            self.noted + NOTED
+            self.last_report + REPORT_INTERVAL
         }
     }
 
-    /// The dispatcher is told that what is held still is.
-    pub fn note(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
-        if self.noted + NOTED <= now {
-            self.noted = now;
+    /// Reports to the dispatcher, now and then, that what is held still is.
+    pub fn report_held(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
+        if self.last_report + REPORT_INTERVAL <= now {
+            self.last_report = now;
             self.held.keys().for_each(|sent| dispatcher.waits(now, sent.0, sent.1));
         }
     }
 
     /// What is to be asked of the ledger now.
-    pub fn asks(&mut self, now: Micros, book: &Book) -> (Vec<Ask>, Vec<Word>) {
+    pub fn asks(&mut self, now: Micros, book: &Book) -> (Vec<Ask>, Vec<LoadOutcome>) {
         let wall_ms = (now / 1000) as u64;
         let (asks, follows) = self.marker.asks(wall_ms, |site, group| book.spoken(wall_ms, site, group));
-        let mut words: Vec<Word> = follows.into_iter().map(|f| self.word(f)).collect();
-        words.extend(self.unmarked.drain(..).map(Word::TurnAway));
-        (asks.into_iter().map(ask).collect(), words)
+        let mut outcomes: Vec<LoadOutcome> = follows.into_iter().map(|f| self.outcome(f)).collect();
+        outcomes.extend(self.unmarked.drain(..).map(LoadOutcome::TurnAway));
+        (asks.into_iter().map(ask).collect(), outcomes)
     }
 
     /// What follows from an answer of the ledger.
-    pub fn done(&mut self, done: Done) -> Vec<Word> {
+    pub fn done(&mut self, done: Done) -> Vec<LoadOutcome> {
         let said = match done.outcome {
             Outcome::Stands(entry) => Said::Stands { version: entry.version, value: entry.value },
             Outcome::Held(entry) => Said::Held { version: entry.version, value: entry.value },
             Outcome::Absent => Said::Absent,
             Outcome::Unreachable | Outcome::Full => Said::Unreachable,
         };
-        self.marker.said(done.number, said).into_iter().map(|f| self.word(f)).collect()
+        self.marker.said(done.number, said).into_iter().map(|f| self.outcome(f)).collect()
     }
 
-    fn word(&mut self, follows: Follows) -> Word {
+    fn outcome(&mut self, follows: Follows) -> LoadOutcome {
         let sent = |(ticket, execution): marker::Waiter| (ticket as u32, execution);
         match follows {
             Follows::Go { load, numbers } => match self.held.remove(&sent(load)) {
                 Some(Held { place, terms, load: held }) => {
                     let text = held.text().map(|text| numbered(&numbers, text));
-                    let leaves = match (held, text) {
+                    let outgoing = match (held, text) {
                         (Load::Call(call), Some(statement)) => {
-                            Leaves::Call(Rc::new(Call { statement, ..Call::clone(&call) }))
+                            Outgoing::Call(Rc::new(Call { statement, ..Call::clone(&call) }))
                         }
-                        (_, text) => Leaves::Unit(text),
+                        (_, text) => Outgoing::Unit(text),
                     };
-                    Word::Send { sent: sent(load), place, terms, leaves }
+                    LoadOutcome::Send { sent: sent(load), place, terms, outgoing }
                 }
-                None => Word::TurnAway(sent(load)),
+                None => LoadOutcome::TurnAway(sent(load)),
             },
             Follows::TurnAway { load } => {
                 self.held.remove(&sent(load));
-                Word::TurnAway(sent(load))
+                LoadOutcome::TurnAway(sent(load))
             }
-            other => Word::Other(other),
+            other => LoadOutcome::Other(other),
         }
     }
 }
--- a/crates/front/src/scatter/mod.rs
+++ b/crates/front/src/scatter/mod.rs
@@ -2,10 +2,10 @@
 //! summaries that say where rows could lie, from files and from other fronts. Switched on by the operator's file; off, it is
 //! not there. What is proved and how parts are joined is decided in `crates/scatter`.
 
-mod doubts;
+mod audits;
 mod loads;
+mod statements;
 mod summaries;
-mod wholes;
 
-pub use loads::{Leaves, Load, Word, NUMBERS};
-pub use wholes::{Said, Scatters};
+pub use loads::{Load, LoadOutcome, Outgoing, ASK_NUMBERS};
+pub use statements::{FinalReply, ScatteredStatements};
--- a/crates/front/src/scatter/wholes/told.rs
+++ b/crates/front/src/scatter/statements/sketches.rs
@@ -1,5 +1,4 @@
-//! What is told without asking a site: numbers of distinct values by sketches; and what the log says of sites
-//! asked.
+//! Answers without asking a site: numbers of distinct values by sketches; and the log lines on sites asked.
 
 use hallmux_codec::statement::Call;
 use hallmux_dispatcher::{Dispatcher, Micros, Ticket};
@@ -10,9 +9,9 @@
 use hallmux_scatter::sql::{self, Query};
 use hallmux_scatter::whole::Answer;
 
-use super::{One, Scatters};
+use super::{ScatteredStatements, Statement};
 
-impl Scatters {
+impl ScatteredStatements {
     /// Reads a statement. None: it goes to the site that has all rows. An error says why it can't be
     /// answered.
     pub fn read(&self, call: &Call) -> Result<Option<Query>, String> {
@@ -42,7 +41,7 @@
         }
     }
 
-    /// The word on one group of a join: its sites are asked once both are there.
+    /// The marks of one group of a join: its sites are asked once both are there.
     pub(super) fn marks_of_join(
         &mut self,
         now: Micros,
@@ -50,39 +49,43 @@
         (group, marks): (u32, Option<&Marks>),
         dispatcher: &mut Dispatcher,
     ) {
-        let Some(one) = self.open.get_mut(&ticket) else { return };
-        one.words.insert(group, marks.cloned());
-        let second = one.query.join.as_ref().map_or(one.query.group, |join| join.group);
-        let (Some(a), Some(b)) = (one.words.get(&one.query.group), one.words.get(&second)) else { return };
+        let Some(statement) = self.open.get_mut(&ticket) else { return };
+        statement.group_marks.insert(group, marks.cloned());
+        let second = statement.query.join.as_ref().map_or(statement.query.group, |join| join.group);
+        let (Some(a), Some(b)) =
+            (statement.group_marks.get(&statement.query.group), statement.group_marks.get(&second))
+        else {
+            return;
+        };
         let both = a.clone().zip(b.clone());
         let word = both.as_ref().map_or(Word::Nothing, |(a, b)| Word::Both(a, b));
-        self.go(now, ticket, &word, dispatcher);
+        self.ask_sites(now, ticket, &word, dispatcher);
     }
 
     /// The answer to a statement for distinct values, where sketches tell it as well as its customer wants
     /// it, or where there is no other way to one. None: the site that has all rows is asked.
-    pub(super) fn by_sketch(&self, now: Micros, one: &One, word: &Word) -> Option<Answer> {
-        let accepted = self.settings.distinct_error.get(&one.call.customer).copied().unwrap_or(0);
+    pub(super) fn by_sketch(&self, now: Micros, statement: &Statement, word: &Word) -> Option<Answer> {
+        let accepted = self.settings.distinct_error.get(&statement.call.customer).copied().unwrap_or(0);
         let allowed: Option<Vec<&str>> =
-            one.allowed.as_ref().map(|names| names.iter().map(String::as_str).collect());
-        let doubted = |site: &str| self.doubts.as_ref().is_some_and(|doubts| doubts.doubts(site));
+            statement.allowed.as_ref().map(|names| names.iter().map(String::as_str).collect());
+        let is_suspect = |site: &str| self.audits.as_ref().is_some_and(|audits| audits.is_suspect(site));
         let (book, wall_ms) = (&self.summaries.book, (now / 1000) as u64);
         let (sites, allowed) = (&self.sites, allowed.as_deref());
-        let told = sketch::distinct(&one.query, sites, allowed, book, wall_ms, word, &doubted);
-        match told.filter(|told| told.error * 1e6 <= f64::from(accepted)) {
-            Some(told) => Some(Answer::About { distinct: told.distinct, error: told.error }),
+        let estimate = sketch::distinct(&statement.query, sites, allowed, book, wall_ms, word, &is_suspect);
+        match estimate.filter(|estimate| estimate.error * 1e6 <= f64::from(accepted)) {
+            Some(estimate) => Some(Answer::About { distinct: estimate.distinct, error: estimate.error }),
             None => self.settings.whole_site.is_none().then_some(Answer::Untold),
         }
     }
 
     /// Says what was asked and what for.
-    pub(super) fn tell(&self) {
+    pub(super) fn log_counts(&self) {
         let (asked, left_out) = self.counts;
         let of = |(why, count): (&Why, &u64)| format!(", {}: {count}", why.name());
-        let needless: String = self.needless.iter().map(of).collect();
+        let asked_without_rows: String = self.asked_without_rows.iter().map(of).collect();
         log::info!(
             "sites asked so far {asked}, left out by their summaries {left_out}; asked and without rows{}",
-            if needless.is_empty() { ", none" } else { &needless }
+            if asked_without_rows.is_empty() { ", none" } else { &asked_without_rows }
         );
     }
 }
--- a/crates/front/src/scatter/summaries.rs
+++ b/crates/front/src/scatter/summaries.rs
@@ -15,19 +15,19 @@
 use hallmux_scatter::spread::{FalseWord, Out, Spread};
 use hallmux_scatter::summary::{Refused, MOST_BYTES};
 
-const SAID: Micros = 60_000_000; // microseconds between lines of the log on what other fronts sent that was refused
+const LOG_INTERVAL: Micros = 60_000_000; // microseconds between lines of the log on what other fronts sent that was refused
 
-const CHOSEN: Micros = 10_000_000; // microseconds between choices of what is held
-const SAVED: Micros = 60_000_000; // microseconds between saves of what was learned
+const CHOOSE_INTERVAL: Micros = 10_000_000; // microseconds between choices of what is held
+const SAVE_INTERVAL: Micros = 60_000_000; // microseconds between saves of what was learned
 
 pub struct Summaries {
     pub book: Book,
     spread: Spread,
-    /// False words of sites that other fronts have told of.
+    /// False summaries of sites that other fronts have reported.
     pub found: Vec<FalseWord>,
-    said: Micros,
+    last_log: Micros,
     /// Files of this front's directory, by the names of what they hold; where that may be held in part.
-    home: BTreeMap<u64, PathBuf>,
+    local_files: BTreeMap<u64, PathBuf>,
     file: Option<PathBuf>,
     chosen: Micros,
     saved: Micros,
@@ -58,8 +58,8 @@
             book: Book::new(terms(settings)?),
             spread: Spread::new(spread_offset),
             found: Vec::new(),
-            said: 0,
-            home: BTreeMap::new(),
+            last_log: 0,
+            local_files: BTreeMap::new(),
             file: None,
             chosen: 0,
             saved: now,
@@ -125,7 +125,7 @@
             }
         };
         let mut new = 0;
-        self.home.clear();
+        self.local_files.clear();
         self.spread.home.clear();
         for path in files.flatten().map(|file| file.path()).filter(|path| path.is_file()) {
             // One byte more than counts: what is longer is refused for its length.
@@ -143,7 +143,7 @@
                             self.spread.news(name);
                         }
                         if self.book.keep.is_some() {
-                            self.home.insert(name, path);
+                            self.local_files.insert(name, path);
                             self.spread.home.insert(name, version);
                         }
                     }
@@ -158,48 +158,48 @@
         self.spread.due()
     }
 
-    /// Letters to other fronts, where it is time.
+    /// Messages to other fronts, where it is time.
     pub fn tick(&mut self, now: Micros, others: &[PeerId]) -> Vec<(PeerId, Vec<u8>)> {
         let out = self.spread.tick(now, others, &self.book);
         self.take(now, out)
     }
 
-    /// A letter of another front; what is to go back.
-    pub fn heard(&mut self, now: Micros, from: PeerId, bytes: &[u8]) -> Vec<(PeerId, Vec<u8>)> {
+    /// A message of another front; returns what is to be sent back.
+    pub fn receive(&mut self, now: Micros, from: PeerId, bytes: &[u8]) -> Vec<(PeerId, Vec<u8>)> {
         let out = self.spread.heard(now, (now / 1000) as u64, from, bytes, &mut self.book);
         self.take(now, out)
     }
 
     /// When `choose` is next due.
-    pub fn choice(&self) -> Micros {
-        self.book.keep.as_ref().map_or(Micros::MAX, |_| self.chosen + CHOSEN)
+    pub fn choose_due(&self) -> Micros {
+        self.book.keep.as_ref().map_or(Micros::MAX, |_| self.chosen + CHOOSE_INTERVAL)
     }
 
     /// Chooses anew what is held, where it is time, and saves what was learned.
     pub fn choose(&mut self, now: Micros) {
-        if self.book.keep.is_none() || now < self.chosen + CHOSEN {
+        if self.book.keep.is_none() || now < self.chosen + CHOOSE_INTERVAL {
             return;
         }
         self.chosen = now;
         self.book.choose((now / 1000) as u64);
         let held: BTreeMap<u64, Fineness> = self.book.versions().map(|(n, _, fine)| (n, fine)).collect();
-        for (name, path) in &self.home {
-            // What lies at home need not come from others.
+        for (name, path) in &self.local_files {
+            // A summary that is in a local file need not come from others.
             if held.get(name).copied() < self.book.wants(*name) {
                 let read = std::fs::read(path).ok().filter(|bytes| bytes.len() <= MOST_BYTES);
                 read.into_iter().for_each(|bytes| _ = self.book.take((now / 1000) as u64, &bytes));
             }
         }
-        if now >= self.saved + SAVED {
+        if now >= self.saved + SAVE_INTERVAL {
             self.saved = now;
             self.save();
         }
     }
 
-    /// What others want of files at home that are not held whole.
+    /// What others want of local files that are not held whole.
     fn lend(&mut self, now: Micros, out: &mut Out) {
         for loan in std::mem::take(&mut out.loans) {
-            let bytes = self.home.get(&loan.name).and_then(|path| std::fs::read(path).ok());
+            let bytes = self.local_files.get(&loan.name).and_then(|path| std::fs::read(path).ok());
             let of = |bytes: &Vec<u8>| self.book.named(bytes) == Some((loan.name, loan.version));
             if let Some(bytes) = bytes.filter(of) {
                 self.spread.lend(now, loan, &bytes, out);
@@ -207,8 +207,8 @@
         }
     }
 
-    /// A false word was found here: others are told.
-    pub fn finds(&mut self, now: Micros, word: &FalseWord) {
+    /// A false summary was found here: it is reported to others.
+    pub fn report_false_word(&mut self, now: Micros, word: &FalseWord) {
         self.spread.finds(now, word);
     }
 
@@ -216,8 +216,8 @@
         self.found.append(&mut out.found);
         self.lend(now, &mut out);
         let refused: Vec<Refused> = out.taken.into_iter().filter_map(Result::err).collect();
-        if let Some(why) = refused.first().filter(|_| self.said + SAID <= now) {
-            self.said = now;
+        if let Some(why) = refused.first().filter(|_| self.last_log + LOG_INTERVAL <= now) {
+            self.last_log = now;
             log::warn!("from another front: {why}; refused so far: {:?}", self.book.refused);
         }
         out.letters
