--- a/crates/front/src/fleet/copies.rs
+++ b/crates/front/src/fleet/copies.rs
@@ -1,6 +1,6 @@
-//! This front's copies of promises on its disk: written by a thread that makes all that waits lasting together and
-//! then sends what waited for it, so that neither a slow disk holds up decisions nor a letter leaves before what it
-//! promises is lasting.
+//! This front's copies of ledger entries on its disk: a thread makes all writes that wait durable in one commit and then
+//! sends the messages that waited for them, so that neither a slow disk holds up decisions nor a message leaves before
+//! what it promises is durable.
 
 use std::fs::File;
 use std::hash::{BuildHasher, RandomState};
@@ -17,14 +17,14 @@
 /// Under one key, the identity of the disk: with the records, so that it is lost only with them.
 const IDENTITY: TableDefinition<u8, u64> = TableDefinition::new("identity");
 const FILE: &str = "promises.redb";
-const CACHE: usize = 4 * 1_024 * 1_024; // bytes: the mind holds all of it itself
-const WAITING: usize = 4_096; // saves that wait for the disk: some seconds' worth
-const TOGETHER: usize = 256; // saves that are made lasting at once at most
-const SLOW: Duration = Duration::from_secs(1); // a commit that takes longer is told in the log, once
+const CACHE: usize = 4 * 1_024 * 1_024; // bytes: the ledger holds all of it in memory itself
+const QUEUE_LENGTH: usize = 4_096; // saves that wait for the disk: some seconds' worth
+const MOST_PER_COMMIT: usize = 256; // writes in one commit at most
+const SLOW_COMMIT: Duration = Duration::from_secs(1); // a commit that takes longer is logged, once
 
 /// Why copies can't be kept in a directory.
 #[derive(Debug, thiserror::Error)]
-pub enum Unfit {
+pub enum CopiesError {
     #[error("ledger.directory {directory}: {what}: {error}; give the front a directory that it may write, with room")]
     Disk { directory: String, what: &'static str, error: String },
     #[error("ledger.directory {0}: another front has it; give each front one of its own")]
@@ -35,7 +35,7 @@
     Damaged { directory: String, error: String },
 }
 
-/// Records to be made lasting, and the datagrams that wait for them.
+/// Records to be made durable, and the datagrams that wait for them.
 pub struct Write {
     pub number: u64,
     pub records: Vec<Record>,
@@ -50,36 +50,36 @@
 
 pub struct Copies {
     writes: SyncSender<Write>,
-    /// Which saves are lasting, or have failed.
-    lasting: Receiver<(u64, bool)>,
-    told: Sender<(u64, bool)>,
+    /// Numbers of the writes that are durable, or have failed.
+    durable: Receiver<(u64, bool)>,
+    results: Sender<(u64, bool)>,
     /// Held while this front runs: two on one directory would vote twice.
     _lock: Option<File>,
 }
 
 /// An identity that no disk has had before.
-pub fn drawn() -> DiskId {
+pub fn random_disk_id() -> DiskId {
     RandomState::new().hash_one(std::process::id()) | 1
 }
 
 impl Copies {
     /// Opens the directory: its identity, drawn if it is new, and what was kept there. `wake` is called once something
-    /// is lasting or has failed. `fault_file` holds the faults to inject on the disk.
+    /// is durable or has failed. `fault_file` holds the faults to inject on the disk.
     pub fn open(
         directory: &str,
         fault_file: Option<&str>,
         socket: UdpSocket,
         wake: impl Fn() + Send + 'static,
-    ) -> Result<(Copies, Found), Unfit> {
+    ) -> Result<(Copies, Found), CopiesError> {
         let path = Path::new(directory);
-        let unfit = |what, e: std::io::Error| Unfit::Disk {
+        let unfit = |what, e: std::io::Error| CopiesError::Disk {
             directory: directory.to_string(),
             what,
             error: e.to_string(),
         };
         std::fs::create_dir_all(path).map_err(|e| unfit("can't be made", e))?;
         let lock = File::create(path.join("lock")).map_err(|e| unfit("can't be written", e))?;
-        lock.try_lock().map_err(|_| Unfit::Taken(directory.to_string()))?;
+        lock.try_lock().map_err(|_| CopiesError::Taken(directory.to_string()))?;
         let file = path.join(FILE);
         let found = opened(directory, || {
             let mut builder = Database::builder();
@@ -99,33 +99,33 @@
         (database, found): (Database, Found),
         socket: UdpSocket,
         wake: impl Fn() + Send + 'static,
-    ) -> Result<(Copies, Found), Unfit> {
-        let (writes, to_write) = sync_channel(WAITING);
-        let (told, lasting) = channel();
-        let unfit = |e: std::io::Error| Unfit::Disk {
+    ) -> Result<(Copies, Found), CopiesError> {
+        let (writes, to_write) = sync_channel(QUEUE_LENGTH);
+        let (results, durable) = channel();
+        let unfit = |e: std::io::Error| CopiesError::Disk {
             directory: directory.to_string(),
             what: "its thread can't be had",
             error: e.to_string(),
         };
-        let (name, tells) = (directory.to_string(), told.clone());
+        let (name, sender) = (directory.to_string(), results.clone());
         let thread = std::thread::Builder::new().name("copies".to_string());
-        let run = move || write_all(&name, &database, &to_write, &socket, &tells, wake);
+        let run = move || write_all(&name, &database, &to_write, &socket, &sender, wake);
         thread.spawn(run).map_err(unfit)?;
-        Ok((Copies { writes, lasting, told, _lock: None }, found))
+        Ok((Copies { writes, durable, results, _lock: None }, found))
     }
 
-    /// Has it made lasting, and sent what waits for it.
+    /// Queues a write; its datagrams are sent once it is durable.
     pub fn save(&mut self, write: Write) {
         let number = write.number;
         if self.writes.try_send(write).is_err() {
             // The thread has said so, or the disk is seconds behind: nothing is promised on it any more.
-            let _ = self.told.send((number, false));
+            let _ = self.results.send((number, false));
         }
     }
 
-    /// Saves that are lasting, or have failed, since it was last asked.
-    pub fn lasting(&self) -> Vec<(u64, bool)> {
-        self.lasting.try_iter().collect()
+    /// Writes that are durable, or have failed, since the last call.
+    pub fn durable(&self) -> Vec<(u64, bool)> {
+        self.durable.try_iter().collect()
     }
 }
 
@@ -138,11 +138,11 @@
 fn opened(
     directory: &str,
     open: impl FnOnce() -> Result<Database, redb::DatabaseError>,
-) -> Result<(Database, Found), Unfit> {
-    let damaged = |error: String| Unfit::Damaged { directory: directory.to_string(), error };
-    let all = std::panic::AssertUnwindSafe(|| -> Result<(Database, Found), Unfit> {
+) -> Result<(Database, Found), CopiesError> {
+    let damaged = |error: String| CopiesError::Damaged { directory: directory.to_string(), error };
+    let all = std::panic::AssertUnwindSafe(|| -> Result<(Database, Found), CopiesError> {
         let mut database = open().map_err(|e| match e {
-            redb::DatabaseError::DatabaseAlreadyOpen => Unfit::Taken(directory.to_string()),
+            redb::DatabaseError::DatabaseAlreadyOpen => CopiesError::Taken(directory.to_string()),
             e => damaged(e.to_string()),
         })?;
         if !database.check_integrity().map_err(|e| damaged(e.to_string()))? {
@@ -154,7 +154,7 @@
     std::panic::catch_unwind(all).unwrap_or_else(|_| Err(damaged("its file was altered".to_string())))
 }
 
-/// The identity and the records; where there is none, one is drawn and made lasting.
+/// The identity and the records; where there is none, one is drawn and made durable.
 fn read(database: &Database) -> Result<Found, Box<redb::Error>> {
     let boxed = |e: redb::Error| Box::new(e);
     let transaction = database.begin_write().map_err(|e| boxed(e.into()))?;
@@ -162,7 +162,7 @@
     let (disk, new) = {
         let mut identity = transaction.open_table(IDENTITY).map_err(|e| boxed(e.into()))?;
         let known = identity.get(0).map_err(|e| boxed(e.into()))?.map(|disk| disk.value());
-        let disk = known.unwrap_or_else(drawn);
+        let disk = known.unwrap_or_else(random_disk_id);
         identity.insert(0, disk).map_err(|e| boxed(e.into()))?;
         let table = transaction.open_table(RECORDS).map_err(|e| boxed(e.into()))?;
         for record in table.iter().map_err(|e| boxed(e.into()))? {
@@ -181,37 +181,37 @@
     database: &Database,
     to_write: &Receiver<Write>,
     socket: &UdpSocket,
-    told: &Sender<(u64, bool)>,
+    results: &Sender<(u64, bool)>,
     wake: impl Fn(),
 ) {
     let mut slow = false;
     while let Ok(first) = to_write.recv() {
         let mut writes = vec![first];
-        writes.extend(to_write.try_iter().take(TOGETHER - 1));
+        writes.extend(to_write.try_iter().take(MOST_PER_COMMIT - 1));
         let last = writes.last().map_or(0, |write| write.number);
         let began = Instant::now();
         if let Err(e) = commit(database, &writes) {
             log::error!(
                 "ledger.directory {directory}: {e}; this front keeps no copies there any more in this life"
             );
-            let _ = told.send((last, false));
+            let _ = results.send((last, false));
             wake();
-            to_write.iter().for_each(|write| _ = told.send((write.number, false)));
+            to_write.iter().for_each(|write| _ = results.send((write.number, false)));
             return;
         }
-        if began.elapsed() >= SLOW && !std::mem::replace(&mut slow, true) {
+        if began.elapsed() >= SLOW_COMMIT && !std::mem::replace(&mut slow, true) {
             let ms = began.elapsed().as_millis();
             log::warn!(
                 "ledger.directory {directory}: a commit took {ms} ms; promises of this front wait for it"
             );
         }
         writes.iter().for_each(|write| send(socket, &write.datagrams));
-        let _ = told.send((last, true));
+        let _ = results.send((last, true));
         wake();
     }
 }
 
-/// Makes all of them lasting together; saves without records wait for nothing.
+/// Makes all of them durable together; writes without records wait for nothing.
 fn commit(database: &Database, writes: &[Write]) -> Result<(), Box<redb::Error>> {
     if writes.iter().all(|write| write.records.is_empty()) {
         return Ok(());
--- a/crates/front/src/fleet/copies_tests.rs
+++ b/crates/front/src/fleet/copies_tests.rs
@@ -37,13 +37,13 @@
     Write { number, records, datagrams }
 }
 
-fn open(folder: &Folder) -> Result<(Copies, Found), Unfit> {
+fn open(folder: &Folder) -> Result<(Copies, Found), CopiesError> {
     Copies::open(&folder.name(), None, socket(), || {})
 }
 
 /// The next word on a save.
 fn said(copies: &Copies) -> (u64, bool) {
-    copies.lasting.recv_timeout(Duration::from_secs(10)).unwrap()
+    copies.durable.recv_timeout(Duration::from_secs(10)).unwrap()
 }
 
 #[test]
@@ -51,7 +51,7 @@
     let (folder, hears, mut byte) = (Folder::new("kept"), socket(), [0; 8]);
     let (mut copies, found) = open(&folder).unwrap();
     assert!(found.saved.is_none() && found.disk != 0);
-    assert!(matches!(open(&folder), Err(Unfit::Taken(_))));
+    assert!(matches!(open(&folder), Err(CopiesError::Taken(_))));
     copies.save(write(1, "a", Some(b"one"), &hears));
     copies.save(write(2, "b", Some(b"two"), &hears));
     copies.save(write(3, "a", None, &hears));
@@ -64,7 +64,7 @@
         // The thread lets go of the file once it has seen that nobody writes any more.
         match open(&folder) {
             Ok((_, found)) => break found,
-            Err(Unfit::Taken(_)) => std::thread::yield_now(),
+            Err(CopiesError::Taken(_)) => std::thread::yield_now(),
             Err(e) => panic!("{e}"),
         }
     };
@@ -80,7 +80,7 @@
     for bytes in [vec![7; 5_000], vec![0xff; 40]] {
         std::fs::write(folder.0.join(FILE), bytes).unwrap();
         let why = open(&folder).err().unwrap();
-        assert!(matches!(why, Unfit::Damaged { .. }), "{why}");
+        assert!(matches!(why, CopiesError::Damaged { .. }), "{why}");
         assert!(
             why.to_string().contains(&folder.name()) && why.to_string().contains("move it away"),
             "{why}"
@@ -146,9 +146,12 @@
 fn what_is_unfit_says_where_and_what_to_do() {
     let directory = || "/data".to_string();
     for (unfit, advice) in [
-        (Unfit::Disk { directory: directory(), what: "can't be made", error: "full".into() }, "with room"),
-        (Unfit::Taken(directory()), "give each front one of its own"),
-        (Unfit::Damaged { directory: directory(), error: "cut".into() }, "move it away"),
+        (
+            CopiesError::Disk { directory: directory(), what: "can't be made", error: "full".into() },
+            "with room",
+        ),
+        (CopiesError::Taken(directory()), "give each front one of its own"),
+        (CopiesError::Damaged { directory: directory(), error: "cut".into() }, "move it away"),
     ] {
         let text = unfit.to_string();
         assert!(text.starts_with("ledger.directory /data: ") && text.contains(advice), "{text}");
--- a/crates/front/src/fleet/fault.rs
+++ b/crates/front/src/fleet/errors.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
-/// Why words with other fronts can't begin.
+/// Why gossip with other fronts can't begin.
 #[derive(Debug, thiserror::Error)]
-pub enum PeersFault {
+pub enum PeersError {
     #[error("gossip: secret_file: {file}: {why}; name a file that this front may read")]
     SecretFile { file: String, why: std::io::Error },
     #[error("gossip: secret_file: {0}: holds no 64 hexadecimal digits; write this front's secret there")]
@@ -14,24 +14,24 @@
     #[error("gossip: {0}; see whether this user may open more files (ulimit -n)")]
     System(String),
     #[error("gossip: ownership.{0}")]
-    Votes(#[from] VotesFault),
+    Votes(#[from] VotesError),
     #[error("gossip: ownership.directory: {0}")]
     Voted(#[from] hallmux_lease::disk::Spoilt),
     #[error("gossip: {0}")]
-    Copies(#[from] super::copies::Unfit),
+    Copies(#[from] super::copies::CopiesError),
     #[error("gossip: {0}")]
     Ledger(#[from] hallmux_ledger::Error),
 }
 
-impl PeersFault {
-    pub fn system(why: impl std::fmt::Display) -> PeersFault {
-        PeersFault::System(why.to_string())
+impl PeersError {
+    pub fn system(why: impl std::fmt::Display) -> PeersError {
+        PeersError::System(why.to_string())
     }
 }
 
-/// Why a voter can't keep what it must not forget.
+/// Why a voter's state can't be made durable.
 #[derive(Debug, thiserror::Error)]
-pub enum VotesFault {
+pub enum VotesError {
     #[error(
         "directory: {directory}: {what}: {why}; give the front a directory that it may write, with room"
     )]
@@ -46,9 +46,9 @@
     Thread(std::io::Error),
 }
 
-/// Why rules of customers can't hold.
+/// Why access rules can't be used.
 #[derive(Debug, thiserror::Error)]
-pub enum RulesFault {
+pub enum RulesError {
     #[error("rules.file: {file}: {why}; name a file that can be read")]
     File { file: String, why: std::io::Error },
     #[error(transparent)]
@@ -62,5 +62,5 @@
 }
 
 #[cfg(test)]
-#[path = "fault_tests.rs"]
+#[path = "errors_tests.rs"]
 mod tests;
--- a/crates/front/src/fleet/gate.rs
+++ b/crates/front/src/fleet/gate.rs
@@ -1,5 +1,5 @@
-//! Executions that depend on promises wait in `hallmux_fleet`'s gate until the ledger's word lets them go; the log
-//! says what was turned away.
+//! Executions that depend on ledger entries wait in `hallmux_fleet`'s gate until the ledger has answered; the log says
+//! what was turned away.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use super::Peers;
 use crate::engines::Sent;
 
-const SAID: Micros = 10_000_000; // microseconds between lines of the log on what was turned away
+const LOG_INTERVAL: Micros = 10_000_000; // microseconds between lines of the log on what was turned away
 
 impl Asks for Peers {
     fn ask(&mut self, now: Micros, ask: Ask) {
@@ -25,7 +25,7 @@
 
 pub struct Guard {
     guard: gate::Guard,
-    said: Micros,
+    last_log: Micros,
     refused: BTreeMap<&'static str, u64>,
 }
 
@@ -33,7 +33,7 @@
     /// Where there is a ledger; `now` is the Unix clock: this life's name.
     pub fn new(contract: &Contract, now: Micros, shards: u16, dispatcher: &mut Dispatcher) -> Guard {
         let guard = gate::Guard::new(contract, now, shards, dispatcher);
-        Guard { guard, said: 0, refused: BTreeMap::new() }
+        Guard { guard, last_log: 0, refused: BTreeMap::new() }
     }
 
     /// When something is due though nothing happens.
@@ -47,16 +47,16 @@
     }
 
     /// An execution is ordered. True if it is held for now.
-    pub fn holds(&mut self, now: Micros, dispatcher: &mut Dispatcher, ordered: (Sent, usize, Terms)) -> bool {
+    pub fn hold(&mut self, now: Micros, dispatcher: &mut Dispatcher, ordered: (Sent, usize, Terms)) -> bool {
         self.guard.holds(now, dispatcher, ordered)
     }
 
-    pub fn hurry(&mut self, ticket: Ticket, priority: u8) {
+    pub fn set_priority(&mut self, ticket: Ticket, priority: u8) {
         self.guard.hurry(ticket, priority);
     }
 
     /// Gives an execution up. True if it was held.
-    pub fn stops(&mut self, now: Micros, sent: Sent) -> bool {
+    pub fn cancel(&mut self, now: Micros, sent: Sent) -> bool {
         self.guard.stops(now, sent)
     }
 
@@ -70,8 +70,8 @@
         id: impl Fn(Ticket) -> Option<String>,
     ) -> Vec<Ruling> {
         let rulings = self.guard.turn(now, dispatcher, peers, id);
-        if self.guard.refused() != &self.refused && self.said + SAID <= now {
-            (self.said, self.refused) = (now, self.guard.refused().clone());
+        if self.guard.refused() != &self.refused && self.last_log + LOG_INTERVAL <= now {
+            (self.last_log, self.refused) = (now, self.guard.refused().clone());
             log::warn!("statements ended for want of a promise so far: {:?}", self.refused);
         }
         rulings
--- a/crates/front/src/fleet/members.rs
+++ b/crates/front/src/fleet/members.rs
@@ -1,4 +1,4 @@
-//! What the operator's file says of the ledger of promises and of its members, as the mind takes it.
+//! The operator's settings of the ledger and of its members, as `hallmux_ledger` takes them.
 
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
@@ -9,14 +9,14 @@
 use hallmux_gossip::PeerId;
 use hallmux_ledger::{Member, Setup};
 
-/// Who keeps copies, and where they are heard.
+/// The members that keep copies, and their addresses.
 pub fn members(ledger: &Ledger) -> (Vec<Member>, BTreeMap<PeerId, SocketAddr>) {
     let member = |m: &hallmux_agreement::LedgerMember| Member { front: id(&m.key), zone: m.zone.clone() };
     let addresses = ledger.members.iter().map(|m| (id(&m.key), m.at)).collect();
     (ledger.members.iter().map(member).collect(), addresses)
 }
 
-/// What the operator says of the ledger, as its mind has it, and where its members are heard.
+/// The ledger's settings, and the addresses of its members.
 pub fn setup(ledger: &Ledger, own: PeerId, life: u64) -> (Setup, BTreeMap<PeerId, SocketAddr>) {
     let (members, addresses) = members(ledger);
     // In memory each life is a disk of its own.
--- a/crates/front/src/fleet/mod.rs
+++ b/crates/front/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! What this front and the other fronts tell each other, and what it holds for them: words on engines over
-//! datagrams, the file of a voter, copies of promises, rules. Each is switched on by the operator's file; off, it is
-//! not there. What the words mean is decided in `crates/fleet` and the minds behind it.
+//! The front as a member of a fleet: gossip on engines over datagrams, the votes of lease elections on disk, copies of
+//! ledger entries on disk, access rules. Each is switched on by the operator's file; off, it is not there. Messages are
+//! interpreted in `crates/fleet` and the crates behind it; this module holds the sockets, files and clocks.
 
 mod copies;
-mod fault;
+mod errors;
 mod faulty_disk;
 mod gate;
 mod members;
@@ -11,6 +11,6 @@
 pub mod rules;
 mod votes;
 
-pub use fault::{PeersFault, RulesFault};
+pub use errors::{PeersError, RulesError};
 pub use gate::Guard;
 pub use peers::Peers;
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -1,4 +1,4 @@
-//! Words with other fronts over datagrams: what this front has seen of engines goes out, what others have seen
+//! Gossip with other fronts over datagrams: what this front has seen of engines goes out, what others have seen
 //! comes in. Switched on by the operator's file; off, it is not there.
 
 use std::collections::BTreeMap;
@@ -22,33 +22,33 @@
 use hallmux_lease::Terms;
 use hallmux_ledger::{Ask, Done};
 
-use super::copies::{drawn, Copies, Found, Unfit, Write};
-use super::fault::PeersFault;
+use super::copies::{random_disk_id, Copies, CopiesError, Found, Write};
+use super::errors::PeersError;
 use super::members::{members, setup};
 use super::votes::Votes;
 use crate::events::{Events, SocketKind};
 use crate::shutdown::LedgerDuty;
 
 const DATAGRAMS_PER_ITERATION: usize = 64; // datagrams taken before others are served
-const PART: u32 = 56; // bits of a number that a part of the front counts in
-const SAID: Micros = 10_000_000; // microseconds between lines of the log on what was refused
+const PART_SHIFT: u32 = 56; // bits of a number that a part of the front counts in
+const LOG_INTERVAL: Micros = 10_000_000; // microseconds between lines of the log on what was refused
 
 pub struct Peers {
     socket: Rc<UdpSocket>,
     exchange: Exchange,
     names: BTreeMap<PeerId, String>,
-    chance: RandomState,
-    drawn: u64,
-    said: Micros,
+    random: RandomState,
+    draws_made: u64,
+    last_log: Micros,
     refused: BTreeMap<Refused, u64>,
     /// The clock that leases go by: it runs evenly on, whatever becomes of the wall clock.
-    steady: Instant,
+    started: Instant,
     votes: Option<Votes>,
     /// Where copies of promises are kept; none: in memory alone.
     copies: Option<Copies>,
     /// A disk that fails leaves them in memory.
-    spares_disk: bool,
-    owns: Option<Owns>,
+    memory_on_disk_failure: bool,
+    ownership: Option<Owns>,
     refused_acts: BTreeMap<&'static str, u64>,
     /// Copies of promises that differed, and that were mended here.
     differed: (u64, u64),
@@ -56,7 +56,7 @@
     /// Answers of the ledger that their part of this front has not taken yet.
     done: Vec<Done>,
     /// A ledger is kept.
-    keeps: bool,
+    has_ledger: bool,
 }
 
 fn keys(gossip: &Gossip) -> Rc<Keys> {
@@ -68,17 +68,17 @@
 }
 
 impl Peers {
-    /// `now` is the Unix clock: this life's name.
+    /// `now` is the Unix clock: it names this incarnation of the front.
     pub fn new(
         gossip: &Gossip,
         now: Micros,
         handle: &LoopHandle<'static, Events>,
-    ) -> Result<Peers, PeersFault> {
+    ) -> Result<Peers, PeersError> {
         let file = || gossip.secret_file.clone();
         let secret = std::fs::read_to_string(&gossip.secret_file);
-        let secret = secret.map_err(|why| PeersFault::SecretFile { file: file(), why })?;
-        let secret = hexadecimal(&secret).ok_or_else(|| PeersFault::Secret(file()))?;
-        let unheard = |why| PeersFault::Listen { at: gossip.listen, why };
+        let secret = secret.map_err(|why| PeersError::SecretFile { file: file(), why })?;
+        let secret = hexadecimal(&secret).ok_or_else(|| PeersError::Secret(file()))?;
+        let unheard = |why| PeersError::Listen { at: gossip.listen, why };
         let socket = UdpSocket::bind(gossip.listen).map_err(unheard)?;
         socket.set_nonblocking(true).map_err(unheard)?;
         let socket = Rc::new(socket);
@@ -88,7 +88,7 @@
             events.ready.push(SocketKind::Peers.id(0));
             Ok(PostAction::Continue)
         });
-        told.map_err(|e| PeersFault::system(e.error))?;
+        told.map_err(|e| PeersError::system(e.error))?;
         let told = gossip.advertise.unwrap_or(at);
         let start = Start { secret, keys: keys(gossip), at: told, seeds: gossip.seeds.clone() };
         let mut exchange = Exchange::new(start, (now / 1000) as u64);
@@ -96,14 +96,14 @@
             exchange.tells_load();
             log::info!("sheds overload as one with the fleet");
         }
-        let steady = Instant::now();
+        let started = Instant::now();
         let mut votes = None;
         if let Some(ownership) = &gossip.ownership {
             let voters: Vec<_> = ownership.voters.iter().map(|(key, at)| (id(key), *at)).collect();
             let own = id(&exchange.public());
             let mut saved = None;
             if voters.iter().any(|(voter, _)| *voter == own) {
-                let socket = socket.try_clone().map_err(PeersFault::system)?;
+                let socket = socket.try_clone().map_err(PeersError::system)?;
                 let (opened, kept) = Votes::open(&ownership.directory, socket)?;
                 (votes, saved) = (Some(opened), kept);
             }
@@ -116,23 +116,23 @@
                 if votes.is_some() { ", and votes" } else { "" }
             );
         }
-        let (mut copies, mut spares_disk) = (None, false);
+        let (mut copies, mut memory_on_disk_failure) = (None, false);
         if let Some(ledger) = &gossip.ledger {
             let own = id(&exchange.public());
             let moment = Moment { now, steady: 0, wall_ms: (now / 1000) as u64 };
             let (mut setup, members) = setup(ledger, own, (now / 1000) as u64);
             let keeps = ledger.members.iter().any(|member| id(&member.key) == own);
-            spares_disk = ledger.on_disk_failure == OnDiskFailure::Memory;
+            memory_on_disk_failure = ledger.on_disk_failure == OnDiskFailure::Memory;
             let mut saved = None;
             if let Some(directory) = ledger.directory.as_ref().filter(|_| keeps) {
                 let drill = ledger.drill.as_deref();
-                let socket = socket.try_clone().map_err(PeersFault::system)?;
-                let wakes = wakes(handle).map_err(PeersFault::system)?;
-                match Copies::open(directory, drill, socket, wakes) {
+                let socket = socket.try_clone().map_err(PeersError::system)?;
+                let loop_waker = loop_waker(handle).map_err(PeersError::system)?;
+                match Copies::open(directory, drill, socket, loop_waker) {
                     Ok((opened, Found { disk, saved: found })) => {
                         (copies, setup.disk, saved) = (Some(opened), disk, found);
                     }
-                    Err(e @ Unfit::Disk { .. }) if spares_disk => {
+                    Err(e @ CopiesError::Disk { .. }) if memory_on_disk_failure => {
                         log::error!("{e}; copies are in memory alone")
                     }
                     Err(e) => return Err(e.into()),
@@ -160,19 +160,19 @@
             socket,
             exchange,
             names: names(gossip),
-            chance: RandomState::new(),
-            drawn: 0,
-            said: 0,
+            random: RandomState::new(),
+            draws_made: 0,
+            last_log: 0,
             refused: BTreeMap::new(),
-            steady,
+            started,
             votes,
             copies,
-            spares_disk,
-            owns: None,
+            memory_on_disk_failure,
+            ownership: None,
             refused_acts: BTreeMap::new(),
             differed: (0, 0),
             done: Vec::new(),
-            keeps: gossip.ledger.is_some(),
+            has_ledger: gossip.ledger.is_some(),
             messages: BTreeMap::new(),
         })
     }
@@ -181,7 +181,7 @@
     pub fn reload(&mut self, now: Micros, gossip: &Gossip) {
         self.names = names(gossip);
         self.exchange.keys(keys(gossip));
-        if let Some(ledger) = gossip.ledger.as_ref().filter(|_| self.keeps) {
+        if let Some(ledger) = gossip.ledger.as_ref().filter(|_| self.has_ledger) {
             let (members, addresses) = members(ledger);
             if let Err(e) = self.exchange.members(self.moment(now), members, addresses) {
                 log::error!("gossip.ledger.members is left as it was: {e}");
@@ -196,7 +196,7 @@
 
     /// Datagrams have come; true if there are more for another iteration.
     pub fn read(&mut self, now: Micros) -> bool {
-        self.lasting(now);
+        self.apply_durable(now);
         let mut bytes = [0; LONGEST + 1];
         for _ in 0..DATAGRAMS_PER_ITERATION {
             match self.socket.recv_from(&mut bytes) {
@@ -213,7 +213,7 @@
     }
 
     fn moment(&self, now: Micros) -> Moment {
-        let steady = self.steady.elapsed().as_micros() as Micros;
+        let steady = self.started.elapsed().as_micros() as Micros;
         Moment { now, steady, wall_ms: (now / 1000) as u64 }
     }
 
@@ -235,7 +235,7 @@
         self.send(now, Out { datagrams, ..Out::default() });
     }
 
-    /// The other fronts whose word counts.
+    /// The other fronts whose messages count.
     pub fn others(&self) -> Vec<PeerId> {
         let own = id(&self.exchange.public());
         self.names.keys().copied().filter(|peer| *peer != own).collect()
@@ -248,7 +248,7 @@
 
     /// Whether a probe on behalf of the fleet may leave now.
     pub fn may_probe(&self) -> bool {
-        self.exchange.may_probe(self.steady.elapsed().as_micros() as Micros)
+        self.exchange.may_probe(self.started.elapsed().as_micros() as Micros)
     }
 
     /// What does not go out is as if it were lost on the way.
@@ -273,18 +273,18 @@
         }
     }
 
-    /// Takes in what has become lasting, or has failed.
-    fn lasting(&mut self, now: Micros) {
-        let lasting = self.copies.as_ref().map(Copies::lasting).unwrap_or_default();
-        for (number, ok) in lasting {
+    /// Applies writes of copies that have become durable, or have failed.
+    fn apply_durable(&mut self, now: Micros) {
+        let durable = self.copies.as_ref().map(Copies::durable).unwrap_or_default();
+        for (number, ok) in durable {
             let at = self.moment(now);
             let out = self.exchange.saved(at, number, ok);
             self.send(now, out);
-            if !ok && self.spares_disk && self.copies.take().is_some() {
+            if !ok && self.memory_on_disk_failure && self.copies.take().is_some() {
                 log::error!(
                     "copies of promises are in memory alone from now on, as a front's that remembers nothing"
                 );
-                let out = self.exchange.start_over(at, drawn());
+                let out = self.exchange.start_over(at, random_disk_id());
                 self.send(now, out);
             }
         }
@@ -299,8 +299,9 @@
     /// What the ledger has answered to the part of this front whose asks have that highest byte.
     pub fn promised(&mut self, part: u64) -> Vec<Done> {
         self.done.extend(self.exchange.promised());
-        let (told, others) =
-            std::mem::take(&mut self.done).into_iter().partition(|done| done.number >> PART == part >> PART);
+        let (told, others) = std::mem::take(&mut self.done)
+            .into_iter()
+            .partition(|done| done.number >> PART_SHIFT == part >> PART_SHIFT);
         self.done = others;
         told
     }
@@ -308,15 +309,16 @@
     /// Where a ledger is kept, this front by its key, and all fronts whose keys count.
     pub fn fleet(&self) -> Option<(PeerId, Vec<PeerId>)> {
         let own = id(&self.exchange.public());
-        self.keeps.then(|| (own, self.names.keys().copied().collect()))
+        self.has_ledger.then(|| (own, self.names.keys().copied().collect()))
     }
 
     /// Does what is due; the log says what is new, and what was refused.
     pub fn tick(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
-        self.lasting(now);
+        self.apply_durable(now);
         let before = self.exchange.fleet();
         let at = self.moment(now);
-        let (out, news) = self.exchange.tick(at, dispatcher, &mut draws(&self.chance, &mut self.drawn));
+        let (out, news) =
+            self.exchange.tick(at, dispatcher, &mut random_numbers(&self.random, &mut self.draws_made));
         self.send(now, out);
         let (known, up) = self.exchange.fleet();
         if (known, up) != before {
@@ -335,15 +337,15 @@
             );
         }
         let owns = self.exchange.owns(at.steady);
-        match (self.owns, owns) {
+        match (self.ownership, owns) {
             (before, Some(Owns { token })) if before != owns => {
                 log::info!("owns the fleet's work under token {token}")
             }
             (Some(Owns { token }), None) => log::info!("owns the fleet's work under token {token} no longer"),
             _ => {}
         }
-        self.owns = owns;
-        if self.exchange.refused_acts() != self.refused_acts && self.said + SAID <= now {
+        self.ownership = owns;
+        if self.exchange.refused_acts() != self.refused_acts && self.last_log + LOG_INTERVAL <= now {
             self.refused_acts = self.exchange.refused_acts();
             log::warn!("words on the fleet's work that count for nothing so far: {:?}", self.refused_acts);
         }
@@ -355,8 +357,8 @@
                 "ledger: {others} copies differed from the majority so far, {here} mended here; look at the disks"
             );
         }
-        if self.exchange.refused() != &self.refused && self.said + SAID <= now {
-            self.said = now;
+        if self.exchange.refused() != &self.refused && self.last_log + LOG_INTERVAL <= now {
+            self.last_log = now;
             self.refused = self.exchange.refused().clone();
             log::warn!(
                 "datagrams and reports of other fronts that count for nothing so far: {:?}",
@@ -370,18 +372,19 @@
         LedgerDuty::of(self.exchange.is_needed(self.moment(now)), self.exchange.hands_over())
     }
 
-    /// This front ends: what it owns of promises is handed over, and some peers hear so, and tell the others.
+    /// This front ends: what it owns of the ledger is handed over, and some peers are notified, which notify the others.
     pub fn leave(&mut self, now: Micros) {
         let out = self.exchange.hand_over(self.moment(now));
         self.send(now, out);
         let wall = (now / 1000) as u64;
-        let datagrams = self.exchange.leave(now, wall, &mut draws(&self.chance, &mut self.drawn));
+        let datagrams =
+            self.exchange.leave(now, wall, &mut random_numbers(&self.random, &mut self.draws_made));
         self.send(now, Out { datagrams, ..Out::default() });
     }
 }
 
 /// What wakes the loop from the thread that writes copies.
-fn wakes(handle: &LoopHandle<'static, Events>) -> std::io::Result<impl Fn() + Send + 'static> {
+fn loop_waker(handle: &LoopHandle<'static, Events>) -> std::io::Result<impl Fn() + Send + 'static> {
     let (ping, source) = calloop::ping::make_ping()?;
     let told = handle.insert_source(source, |(), _, events: &mut Events| {
         events.ready.push(SocketKind::Peers.id(0));
@@ -390,10 +393,10 @@
     Ok(move || ping.ping())
 }
 
-/// Numbers that nobody can foretell.
-fn draws<'a>(chance: &'a RandomState, drawn: &'a mut u64) -> impl FnMut() -> u64 + 'a {
+/// Numbers that nobody can predict.
+fn random_numbers<'a>(random: &'a RandomState, draws_made: &'a mut u64) -> impl FnMut() -> u64 + 'a {
     move || {
-        *drawn += 1;
-        chance.hash_one(*drawn)
+        *draws_made += 1;
+        random.hash_one(*draws_made)
     }
 }
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -1,10 +1,10 @@
 //! Regional access rules among the rest of the front: statements are judged as they are taken, wait until their hits
-//! stand, and are looked at again just before they leave. The mind is `crates/access`; this holds the file, the clock
-//! and the ledger that it asks. Switched on by the operator's file; off, it is not there.
+//! stand, and are looked at again just before they leave. What they decide is in `crates/access`; this holds the file, the clock
+//! and the ledger that it reads. Switched on by the operator's file; off, it is not there.
 
 mod file;
-mod reads;
-mod said;
+mod log_lines;
+mod session_control;
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -17,14 +17,14 @@
 use hallmux_dispatcher::{Dispatcher, Ending, Micros, Place, Terms, Ticket};
 use hallmux_ledger::{self as ledger, Ledger, Member, Moment};
 
-use super::{Peers, RulesFault};
+use super::{Peers, RulesError};
 use file::{known, read};
 
 pub use file::start;
 
-const NUMBERS: u64 = 2 << 56; // the highest byte of the numbers of its asks: others of one front have others
+const ASK_NUMBERS: u64 = 2 << 56; // the highest byte of the numbers of its asks: others of one front have others
 const MOST_GROUPS: usize = 16; // groups of tables that a statement is judged by; more cannot be told
-const LOOK: Micros = 100_000; // microseconds between words to the dispatcher on what is held here
+const REPORT_INTERVAL: Micros = 100_000; // microseconds between reports to the dispatcher on what is held here
 
 /// The front and its sessions judge by the same.
 pub type Shared = Rc<RefCell<Rules>>;
@@ -66,12 +66,12 @@
     statements: BTreeMap<u64, Statement>,
     tickets: HashMap<Ticket, u64>,
     rulings: Vec<Ruling>,
-    look: Micros,
-    tell: Micros,
-    tell_every: Micros,
+    next_report: Micros,
+    next_log: Micros,
+    log_every: Micros,
     ended: u64,
-    told: Option<Fleet>,
-    told_limits: BTreeMap<String, u64>,
+    logged_hits: Option<Fleet>,
+    logged_limits: BTreeMap<String, u64>,
 }
 
 impl Rules {
@@ -82,11 +82,11 @@
         own: Owner,
         fronts: Vec<u64>,
         alone: bool,
-    ) -> Result<Rules, RulesFault> {
+    ) -> Result<Rules, RulesError> {
         let known = known(rules, contract);
         let (text, wish) = read(&rules.file, &known)?;
         if matches!(wish, Wish::WhatIf(_)) {
-            return Err(RulesFault::Question(rules.file.clone()));
+            return Err(RulesError::Question(rules.file.clone()));
         }
         let setup = Setup {
             own,
@@ -95,7 +95,7 @@
             known,
             terms: access::Terms { length: rules.lease, drift_ppm: rules.drift_ppm },
             remembers: rules.remembers,
-            first_number: NUMBERS,
+            first_number: ASK_NUMBERS,
         };
         let member = Member { front: own.front, zone: String::new() };
         let setup_alone = ledger::Setup {
@@ -115,12 +115,12 @@
             statements: BTreeMap::new(),
             tickets: HashMap::new(),
             rulings: Vec::new(),
-            look: 0,
-            tell: rules.tell_every,
-            tell_every: rules.tell_every,
+            next_report: 0,
+            next_log: rules.tell_every,
+            log_every: rules.tell_every,
             ended: 0,
-            told: None,
-            told_limits: BTreeMap::new(),
+            logged_hits: None,
+            logged_limits: BTreeMap::new(),
         })
     }
 
@@ -129,12 +129,12 @@
         match read(&rules.file, self.access.known()) {
             Ok((_, Wish::WhatIf(set))) => {
                 let found = self.access.what_if(self.moment(now), set);
-                said::what_if(&found);
+                log_lines::what_if(&found);
             }
             Ok((text, wish)) => self.access.offer(&rules.file, &text, wish),
             Err(why) => log::error!("the rules are left as they were: {why}"),
         }
-        self.told = None;
+        self.logged_hits = None;
         self.access.sweep(self.moment(now));
     }
 
@@ -145,7 +145,7 @@
     /// Judges a statement, once for all its tries.
     pub fn judge(&mut self, now: Micros, customer: &str, workload: &str, text: &[u8]) -> Judged {
         let groups = Some(tables::groups(text, MOST_GROUPS)).filter(|all| !all.is_empty());
-        let groups = groups.or_else(|| reads::none(text).then(Vec::new));
+        let groups = groups.or_else(|| session_control::reads_no_table(text).then(Vec::new));
         let asked = Asked { customer: customer.to_string(), workload: workload.to_string(), groups };
         let judged = self.access.judge(self.moment(now), asked);
         if let Judged::Taken { verdict, .. } = &judged {
@@ -169,7 +169,7 @@
     }
 
     /// A statement that was judged is taken under a ticket, and its end is told by `gone`; or it was not taken.
-    pub fn picked(&mut self, dispatcher: &mut Dispatcher, judged: &Judged, ticket: Option<Ticket>) {
+    pub fn statement_picked(&mut self, dispatcher: &mut Dispatcher, judged: &Judged, ticket: Option<Ticket>) {
         match ticket {
             Some(ticket) => self.opened(dispatcher, ticket, judged),
             None => self.dropped(judged),
@@ -198,7 +198,7 @@
     }
 
     /// A statement is over with nothing out for it.
-    pub fn gone(&mut self, ticket: Ticket) {
+    pub fn statement_over(&mut self, ticket: Ticket) {
         if let Some(statement) = self.tickets.remove(&ticket) {
             self.statements.remove(&statement);
             self.access.over(statement);
@@ -206,7 +206,7 @@
     }
 
     /// An execution is ordered. False if it waits here; then a ruling follows.
-    pub fn order(&mut self, now: Micros, dispatcher: &mut Dispatcher, ordered: Ordered) -> bool {
+    pub fn hold_or_pass(&mut self, now: Micros, dispatcher: &mut Dispatcher, ordered: Ordered) -> bool {
         let Some(number) = self.tickets.get(&ordered.of).copied() else { return true };
         let Some(s) = self.statements.get_mut(&number) else { return true };
         if s.waits || s.denied {
@@ -218,7 +218,7 @@
     }
 
     /// The last look before its first byte leaves. False if it may not: then its statement ends by a ruling.
-    pub fn leaves(&mut self, now: Micros, dispatcher: &mut Dispatcher, ordered: Ordered) -> bool {
+    pub fn check_leaving(&mut self, now: Micros, dispatcher: &mut Dispatcher, ordered: Ordered) -> bool {
         let Some(number) = self.tickets.get(&ordered.of).copied() else { return true };
         let at = self.moment(now);
         let location = dispatcher.site(ordered.place).location;
@@ -246,7 +246,7 @@
     }
 
     /// Gives an execution up. True if it was held here: nothing of it has left.
-    pub fn stop(&mut self, of: Ticket, sent: (Ticket, usize)) -> bool {
+    pub fn cancel(&mut self, of: Ticket, sent: (Ticket, usize)) -> bool {
         let number = self.tickets.get(&of);
         let Some(s) = number.and_then(|number| self.statements.get_mut(number)) else { return false };
         let before = s.held.len();
@@ -255,7 +255,7 @@
     }
 
     /// An execution has ended.
-    pub fn ended(&mut self, of: Ticket, sent: (Ticket, usize)) {
+    pub fn execution_ended(&mut self, of: Ticket, sent: (Ticket, usize)) {
         if let Some(number) = self.tickets.get(&of) {
             self.access.execution_ended(*number, place_of(sent));
         }
@@ -265,9 +265,9 @@
     pub fn due(&self, now: Micros) -> Micros {
         let steady = self.steady.elapsed().as_micros() as Micros;
         let ledger = self.alone.as_ref().map_or(Micros::MAX, Ledger::due);
-        let next = self.access.due(steady).min(ledger).min(self.tell).max(steady);
+        let next = self.access.due(steady).min(ledger).min(self.next_log).max(steady);
         let holds = self.statements.values().any(|s| !s.held.is_empty());
-        let holds = if holds { self.look } else { Micros::MAX };
+        let holds = if holds { self.next_report } else { Micros::MAX };
         let rulings = if self.rulings.is_empty() { Micros::MAX } else { now };
         now.saturating_add(next.saturating_sub(steady)).min(holds).min(rulings)
     }
@@ -280,10 +280,10 @@
         mut peers: Option<&mut Peers>,
     ) -> Vec<Ruling> {
         let at = self.moment(now);
-        if at.steady >= self.tell {
-            self.tell = at.steady + self.tell_every;
+        if at.steady >= self.next_log {
+            self.next_log = at.steady + self.log_every;
             self.access.sweep(at);
-            self.tell_limits();
+            self.log_limits();
         }
         self.access.tick(at);
         loop {
@@ -303,7 +303,7 @@
                 None => {
                     let Some(peers) = &mut peers else { break };
                     out.asks.into_iter().for_each(|ask| peers.ask(now, ask));
-                    done.extend(peers.promised(NUMBERS));
+                    done.extend(peers.promised(ASK_NUMBERS));
                 }
             }
             if done.is_empty() {
@@ -311,8 +311,8 @@
             }
             done.into_iter().for_each(|done| _ = self.done(now, done));
         }
-        if self.look <= now {
-            self.look = now + LOOK;
+        if self.next_report <= now {
+            self.next_report = now + REPORT_INTERVAL;
             for held in self.statements.values().flat_map(|s| &s.held) {
                 dispatcher.waits(now, held.ticket, held.execution);
             }
@@ -331,7 +331,7 @@
     }
 
     fn take(&mut self, at: Moment, out: &access::Out) {
-        out.said.iter().for_each(said::say);
+        out.said.iter().for_each(log_lines::log_event);
         for number in &out.counted {
             let Some(s) = self.statements.get_mut(number) else { continue };
             s.waits = false;
@@ -357,7 +357,7 @@
             self.ended = self.access.ended;
         }
         if let Some(fleet) = &out.fleet {
-            self.tell_hits(at, fleet);
+            self.log_hits(at, fleet);
         }
     }
 }
--- a/crates/front/src/fleet/rules/file.rs
+++ b/crates/front/src/fleet/rules/file.rs
@@ -7,7 +7,7 @@
 use hallmux_agreement::{line_of, Contract, Station};
 use hallmux_dispatcher::Micros;
 
-use super::{Peers, Rules, RulesFault, Shared};
+use super::{Peers, Rules, RulesError, Shared};
 
 pub(super) fn known(rules: &hallmux_agreement::Rules, contract: &Contract) -> Known {
     let names = &contract.names;
@@ -26,21 +26,21 @@
 }
 
 /// Reads the file of rules; all its faults at once.
-pub(super) fn read(file: &str, known: &Known) -> Result<(String, Wish), RulesFault> {
+pub(super) fn read(file: &str, known: &Known) -> Result<(String, Wish), RulesError> {
     let text = std::fs::read_to_string(file);
-    let text = text.map_err(|why| RulesFault::File { file: file.to_string(), why })?;
+    let text = text.map_err(|why| RulesError::File { file: file.to_string(), why })?;
     let wish = access::read(file, &text, known, &|path| line_of(&text, path))?;
     Ok((text, wish))
 }
 
 /// Switched on by the operator's file.
-pub fn start(station: &Station, now: Micros, peers: Option<&Peers>) -> Result<Option<Shared>, RulesFault> {
+pub fn start(station: &Station, now: Micros, peers: Option<&Peers>) -> Result<Option<Shared>, RulesError> {
     let Some(rules) = &station.operator.rules else { return Ok(None) };
     let incarnation = (now / 1000) as u64;
     let (front, fronts) = match peers.map(Peers::fleet) {
         None => (1, vec![1]),
         Some(Some(fleet)) => fleet,
-        Some(None) => return Err(RulesFault::NoLedger),
+        Some(None) => return Err(RulesError::NoLedger),
     };
     let own = Owner { front, incarnation };
     let rules = Rules::new(rules, &station.contract, own, fronts, peers.is_none())?;
--- a/crates/front/src/fleet/rules/said.rs
+++ b/crates/front/src/fleet/rules/log_lines.rs
@@ -1,4 +1,4 @@
-//! What the log says of rules, and what an operator can do.
+//! Lines of the log on rules, with what an operator can do.
 
 use hallmux_access::{Decided, Fleet, Said, WhatIf};
 use hallmux_ledger::Moment;
@@ -7,8 +7,9 @@
 
 impl Rules {
     /// A line for each row of the fleet's count, where it has changed.
-    pub(super) fn tell_hits(&mut self, at: Moment, fleet: &Fleet) {
-        let same = self.told.as_ref().is_some_and(|t| t.counts == fleet.counts && t.missing == fleet.missing);
+    pub(super) fn log_hits(&mut self, at: Moment, fleet: &Fleet) {
+        let same =
+            self.logged_hits.as_ref().is_some_and(|t| t.counts == fleet.counts && t.missing == fleet.missing);
         if same || fleet.counts.is_empty() && fleet.missing.is_empty() {
             return;
         }
@@ -19,18 +20,18 @@
         for (hit, count) in &fleet.counts {
             log::info!("hits of rule {} by customer {} in {}: {count}", hit.rule, hit.customer, hit.region);
         }
-        self.told = Some(fleet.clone());
+        self.logged_hits = Some(fleet.clone());
     }
 
     /// What limits have turned away here, where that has changed.
-    pub(super) fn tell_limits(&mut self) {
+    pub(super) fn log_limits(&mut self) {
         let limited = self.access.limited().clone();
         for (rule, count) in &limited {
-            if self.told_limits.get(rule) != Some(count) {
+            if self.logged_limits.get(rule) != Some(count) {
                 log::info!("statements beyond the limit of rule {rule} at this front so far: {count}");
             }
         }
-        self.told_limits = limited;
+        self.logged_limits = limited;
     }
 }
 
@@ -69,7 +70,7 @@
     format!("let through {at}{}", limits.iter().map(limit).collect::<String>())
 }
 
-pub fn say(said: &Said) {
+pub fn log_event(said: &Said) {
     match said {
         Said::Adopted { version, rules, in_force } => {
             let yet = if *in_force { "" } else { ", not yet in force" };
--- a/crates/front/src/fleet/rules/reads.rs
+++ b/crates/front/src/fleet/rules/session_control.rs
@@ -1,6 +1,6 @@
 //! What a statement surely reads nothing of.
 
-const STEERS: [&str; 12] = [
+const KEYWORDS: [&str; 12] = [
     "begin",
     "start",
     "commit",
@@ -16,10 +16,10 @@
 ];
 
 /// A single statement that steers a session and reads no table.
-pub fn none(text: &[u8]) -> bool {
+pub fn reads_no_table(text: &[u8]) -> bool {
     let text = text.trim_ascii();
     let text = text.strip_suffix(b";").unwrap_or(text);
     let len = text.iter().position(|c| !c.is_ascii_alphabetic()).unwrap_or(text.len());
-    let steers = |word: &&str| text[..len].eq_ignore_ascii_case(word.as_bytes());
-    !text.contains(&b';') && STEERS.iter().any(steers)
+    let is_keyword = |word: &&str| text[..len].eq_ignore_ascii_case(word.as_bytes());
+    !text.contains(&b';') && KEYWORDS.iter().any(is_keyword)
 }
--- a/crates/front/src/fleet/votes.rs
+++ b/crates/front/src/fleet/votes.rs
@@ -1,5 +1,5 @@
-//! What a voter must not forget, in a file of its own: written by a thread that then sends what waited for it, so
-//! that neither a slow disk holds up decisions nor a letter leaves before what it promises is lasting.
+//! The durable state of a voter in lease elections, in a file of its own: a thread writes it and then sends the messages
+//! that waited for it, so that neither a slow disk holds up decisions nor a message leaves before its vote is durable.
 
 use std::fs::{File, TryLockError};
 use std::io::{ErrorKind, Write};
@@ -9,14 +9,14 @@
 
 use hallmux_fleet::Saved;
 
-use super::fault::VotesFault;
+use super::errors::VotesError;
 
-const WAITING: usize = 1_024; // writes that wait for the disk: some ten seconds' worth
+const QUEUE_LENGTH: usize = 1_024; // writes that wait for the disk: some ten seconds' worth
 const FILE: &str = "votes";
 
 pub struct Votes {
     writes: SyncSender<Saved>,
-    /// A write was lost: nothing that a voter says may leave any more in this life.
+    /// A write was lost: no message of the voter may leave any more until the front restarts.
     silent: bool,
     /// Held while this front runs: two on one directory would vote twice.
     _lock: File,
@@ -24,25 +24,25 @@
 
 impl Votes {
     /// Opens the directory: what was saved there, if anything.
-    pub fn open(directory: &str, socket: UdpSocket) -> Result<(Votes, Option<Vec<u8>>), VotesFault> {
+    pub fn open(directory: &str, socket: UdpSocket) -> Result<(Votes, Option<Vec<u8>>), VotesError> {
         let name = directory.to_string();
         let directory = PathBuf::from(directory);
-        let unfit = |what| {
+        let disk_error = |what| {
             let directory = name.clone();
-            move |why| VotesFault::Disk { directory, what, why }
+            move |why| VotesError::Disk { directory, what, why }
         };
-        std::fs::create_dir_all(&directory).map_err(unfit("can't be made"))?;
-        let lock = File::create(directory.join("lock")).map_err(unfit("can't be written"))?;
+        std::fs::create_dir_all(&directory).map_err(disk_error("can't be made"))?;
+        let lock = File::create(directory.join("lock")).map_err(disk_error("can't be written"))?;
         lock.try_lock().map_err(|why| match why {
-            TryLockError::WouldBlock => VotesFault::Taken(name.clone()),
-            TryLockError::Error(why) => VotesFault::Unlocked { directory: name.clone(), why },
+            TryLockError::WouldBlock => VotesError::Taken(name.clone()),
+            TryLockError::Error(why) => VotesError::Unlocked { directory: name.clone(), why },
         })?;
         let saved = match std::fs::read(directory.join(FILE)) {
             Ok(saved) => Some(saved),
             Err(e) if e.kind() == ErrorKind::NotFound => None,
-            Err(e) => return Err(unfit("can't be read")(e)),
+            Err(e) => return Err(disk_error("can't be read")(e)),
         };
-        let (writes, to_write) = sync_channel::<Saved>(WAITING);
+        let (writes, to_write) = sync_channel::<Saved>(QUEUE_LENGTH);
         std::thread::Builder::new()
             .name("votes".to_string())
             .spawn(move || {
@@ -55,11 +55,11 @@
                     datagrams.iter().for_each(|d| _ = socket.send_to(&d.bytes, d.to));
                 }
             })
-            .map_err(VotesFault::Thread)?;
+            .map_err(VotesError::Thread)?;
         Ok((Votes { writes, silent: false, _lock: lock }, saved))
     }
 
-    /// Has it written, and sent what waits for it.
+    /// Queues a write; its datagrams are sent once it is durable.
     pub fn save(&mut self, saved: Saved) {
         if self.silent {
             return;
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -26,7 +26,7 @@
 use crate::postgres::gateway::Gateway;
 use crate::scatter::ScatteredStatements;
 use crate::shutdown::{LedgerDuty, Shutdown};
-use crate::start::Fault;
+use crate::start_error::StartError;
 
 pub use dial_capacity::Pacer;
 
@@ -77,10 +77,10 @@
         known: &Stream,
         listener: TcpListener,
         handle: LoopHandle<'static, Events>,
-    ) -> Result<Front, Fault> {
+    ) -> Result<Front, StartError> {
         let contract = &station.contract;
         let gateway = station.operator.postgres.as_ref();
-        let part = |why: std::io::Error| Fault::part(&why);
+        let part = |why: std::io::Error| StartError::part(&why);
         let clock = Clock::new(station.operator.clock_ahead, station.drill_clock.as_deref());
         let mut clock = clock.map_err(part)?;
         clock.refresh();
--- a/crates/front/src/front/admission.rs
+++ b/crates/front/src/front/admission.rs
@@ -39,7 +39,7 @@
         self.engines.abandon(ticket);
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
         match self.scatter.as_mut().is_some_and(|scatter| scatter.abandon(now, ticket, dispatcher)) {
-            true => self.rules.iter().for_each(|rules| rules.borrow_mut().gone(ticket)),
+            true => self.rules.iter().for_each(|rules| rules.borrow_mut().statement_over(ticket)),
             false => self.dispatcher.left(now, ticket),
         }
     }
@@ -115,7 +115,7 @@
         };
         let picked = self.dispatcher.pick(self.clock.now, &ask);
         if let Some(rules) = &self.rules {
-            rules.borrow_mut().picked(&mut self.dispatcher, &judged, picked.ok());
+            rules.borrow_mut().statement_picked(&mut self.dispatcher, &judged, picked.ok());
         }
         match picked {
             Ok(ticket) => self.clients.open(client, number, ticket, call),
--- a/crates/front/src/front/dispatch.rs
+++ b/crates/front/src/front/dispatch.rs
@@ -22,7 +22,9 @@
             match event {
                 engines::Event::Ended { sent: (ticket, execution), ending, report, cost, result } => {
                     let of = self.statement_for_rules(ticket);
-                    self.rules.iter().for_each(|rules| rules.borrow_mut().ended(of, (ticket, execution)));
+                    self.rules
+                        .iter()
+                        .for_each(|rules| rules.borrow_mut().execution_ended(of, (ticket, execution)));
                     if self.dispatcher.report(self.clock.now, ticket, execution, ending, report, cost)
                         && !self.end_part(ticket, Ok(&result))
                     {
@@ -64,7 +66,7 @@
     pub(super) fn apply_rulings(&mut self) {
         let Some(rules) = self.rules.clone() else { return };
         let now = self.clock.now;
-        self.dispatcher.followed().iter().for_each(|ticket| rules.borrow_mut().gone(*ticket));
+        self.dispatcher.followed().iter().for_each(|ticket| rules.borrow_mut().statement_over(*ticket));
         let rulings = rules.borrow_mut().tick(now, &mut self.dispatcher, self.peers.as_mut());
         for ruling in rulings {
             match ruling {
@@ -135,7 +137,7 @@
         let Ordered { ticket, execution, place, terms, .. } = ordered;
         let (now, sent) = (self.clock.now, (ticket, execution));
         let guard = self.guard.as_mut();
-        if !guard.is_some_and(|guard| guard.holds(now, &mut self.dispatcher, (sent, place, terms))) {
+        if !guard.is_some_and(|guard| guard.hold(now, &mut self.dispatcher, (sent, place, terms))) {
             self.await_mark(ordered);
         }
     }
@@ -164,7 +166,7 @@
     /// Whether rules still let it leave: nothing may come between this look and its way.
     pub(super) fn may_leave(&mut self, ordered: Ordered) -> bool {
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
-        let may = |rules: &Shared| rules.borrow_mut().leaves(now, dispatcher, ordered);
+        let may = |rules: &Shared| rules.borrow_mut().check_leaving(now, dispatcher, ordered);
         self.rules.as_ref().is_none_or(may)
     }
 
@@ -188,8 +190,8 @@
     /// An execution that is to be given up waits here: nothing of it has left.
     fn is_waiting_here(&mut self, now: Micros, ticket: Ticket, execution: usize) -> bool {
         let (of, sent) = (self.statement_for_rules(ticket), (ticket, execution));
-        self.rules.as_ref().is_some_and(|rules| rules.borrow_mut().stop(of, sent))
-            || self.guard.as_mut().is_some_and(|guard| guard.stops(now, sent))
+        self.rules.as_ref().is_some_and(|rules| rules.borrow_mut().cancel(of, sent))
+            || self.guard.as_mut().is_some_and(|guard| guard.cancel(now, sent))
     }
 
     /// The statement that rules know: of a part the whole.
@@ -209,7 +211,7 @@
                 let ordered =
                     Ordered { of: self.statement_for_rules(ticket), ticket, execution, place, terms };
                 let dispatcher = &mut self.dispatcher;
-                let goes = |rules: &Shared| rules.borrow_mut().order(now, dispatcher, ordered);
+                let goes = |rules: &Shared| rules.borrow_mut().hold_or_pass(now, dispatcher, ordered);
                 if self.rules.as_ref().is_none_or(goes) {
                     self.await_promises(ordered);
                 }
@@ -235,7 +237,7 @@
                 self.gateway.iter_mut().for_each(|gateway| gateway.stop(now, (ticket, execution), ending));
             }
             Order::Hurry { ticket, execution, priority } => {
-                self.guard.iter_mut().for_each(|guard| guard.hurry(ticket, priority));
+                self.guard.iter_mut().for_each(|guard| guard.set_priority(ticket, priority));
                 self.engines.set_priority((ticket, execution), priority);
             }
             Order::Stop { ticket, execution, ending } => {
--- a/crates/front/src/front/scatter.rs
+++ b/crates/front/src/front/scatter.rs
@@ -38,7 +38,7 @@
                 let call: Rc<Call> = self.clients.call(ticket)?;
                 let whole = (call, query, ends);
                 if let Some(rules) = &self.rules {
-                    rules.borrow_mut().picked(&mut self.dispatcher, judged, Some(ticket));
+                    rules.borrow_mut().statement_picked(&mut self.dispatcher, judged, Some(ticket));
                 }
                 scatter.begin(self.clock.now, ticket, whole, allowed, &mut self.dispatcher);
                 None
@@ -51,7 +51,7 @@
                 log::debug!("client {client}: statement {} of several sites: {why}", call.id);
                 self.clients.reply(client, number, &Reply::Refused(&[("reason", &why)]));
                 if let Some(rules) = &self.rules {
-                    rules.borrow_mut().picked(&mut self.dispatcher, judged, None);
+                    rules.borrow_mut().statement_picked(&mut self.dispatcher, judged, None);
                 }
                 None
             }
@@ -134,7 +134,7 @@
         for (ticket, reply) in
             self.scatter.as_mut().map(ScatteredStatements::take_replies).unwrap_or_default()
         {
-            self.rules.iter().for_each(|rules| rules.borrow_mut().gone(ticket));
+            self.rules.iter().for_each(|rules| rules.borrow_mut().statement_over(ticket));
             match reply {
                 FinalReply::Answer(answer) => self.answer_scattered_statement(ticket, &answer),
                 FinalReply::Unfit(unfit) => {
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -14,7 +14,7 @@
 mod reuse;
 mod scatter;
 mod shutdown;
-mod start;
+mod start_error;
 mod test_clock;
 
 use std::net::TcpListener;
@@ -26,7 +26,7 @@
 
 use events::Events;
 use front::Front;
-use start::Fault;
+use start_error::StartError;
 
 fn main() -> ExitCode {
     match run() {
@@ -38,7 +38,7 @@
     }
 }
 
-fn run() -> Result<(), Fault> {
+fn run() -> Result<(), StartError> {
     let variables = std::env::vars().collect();
     let station = Station::read(&variables)?;
     logger::start(&station.name, station.log_level);
@@ -46,13 +46,13 @@
         log::warn!("HALLMUX_CLOCK: the time is a drill's, from {}", path.display());
     }
     let known = hallmux_codec::coordinator::stream(station.known.as_bytes());
-    let known = known.map_err(|what| Fault::Known(what.to_string()))?;
-    let polls = Fault::system("polling");
+    let known = known.map_err(|what| StartError::Known(what.to_string()))?;
+    let polls = StartError::system("polling");
     let mut event_loop: EventLoop<'static, Events> = EventLoop::try_new().map_err(|e| polls(e.into()))?;
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGHUP]).map_err(|e| polls(e.into()))?;
     let queue = |event: Event, _: &mut (), events: &mut Events| events.signals.push(event.signal());
     event_loop.handle().insert_source(signals, queue).map_err(|e| polls(e.error.into()))?;
-    let unfit = |why| Fault::Listen { at: station.listen, why };
+    let unfit = |why| StartError::Listen { at: station.listen, why };
     let listener = TcpListener::bind(station.listen).map_err(unfit)?;
     let address = listener.local_addr().map_err(unfit)?;
     let mut front = Front::new(&station, &known, listener, event_loop.handle())?;
--- a/crates/front/src/postgres/fault.rs
+++ b/crates/front/src/postgres/error.rs
@@ -3,18 +3,18 @@
 use std::net::SocketAddr;
 
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum ListenError {
     #[error("postgres.listen: {at}: {why}; give the address of a free port of this machine")]
     Listen { at: SocketAddr, why: std::io::Error },
 }
 
-impl From<Fault> for std::io::Error {
-    fn from(fault: Fault) -> std::io::Error {
-        let Fault::Listen { why, .. } = &fault;
+impl From<ListenError> for std::io::Error {
+    fn from(fault: ListenError) -> std::io::Error {
+        let ListenError::Listen { why, .. } = &fault;
         std::io::Error::new(why.kind(), fault)
     }
 }
 
 #[cfg(test)]
-#[path = "fault_tests.rs"]
+#[path = "error_tests.rs"]
 mod tests;
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -14,7 +14,7 @@
 use hallmux_postgres::session::Transaction;
 
 use self::admission::final_answer;
-use super::fault::Fault;
+use super::error::ListenError;
 use super::servers::{self, Sent, Servers, Unit};
 use super::sessions::{self, Sessions, Users};
 use crate::events::{Events, SocketId, SocketKind};
@@ -57,8 +57,8 @@
         handle: LoopHandle<'static, Events>,
         rules: Option<Shared>,
     ) -> std::io::Result<Gateway> {
-        let listener =
-            TcpListener::bind(postgres.listen).map_err(|why| Fault::Listen { at: postgres.listen, why })?;
+        let listener = TcpListener::bind(postgres.listen)
+            .map_err(|why| ListenError::Listen { at: postgres.listen, why })?;
         let address = listener.local_addr()?;
         let workloads = contract.names.workloads.iter().zip(&contract.agreement.workloads);
         let gateway = Gateway {
--- a/crates/front/src/postgres/gateway/admission.rs
+++ b/crates/front/src/postgres/gateway/admission.rs
@@ -67,7 +67,7 @@
                 let picked = dispatcher.pick(now, &ask);
                 let key = ask.key.map(str::to_string);
                 if let Some(rules) = &self.rules {
-                    rules.borrow_mut().picked(dispatcher, &judged, picked.ok());
+                    rules.borrow_mut().statement_picked(dispatcher, &judged, picked.ok());
                 }
                 match picked {
                     Ok(ticket) => {
--- /dev/null
+++ b/crates/front/src/start_error_tests.rs
@@ -0,0 +1,29 @@
+//! Unit tests of the `start_error` module.
+
+use super::*;
+
+#[test]
+fn every_fault_says_where_what_and_what_to_do() {
+    let at = SocketAddr::from(([127, 0, 0, 1], 9090));
+    let other = |text: &str| std::io::Error::other(text.to_string());
+    let missing = hallmux_agreement::Error::Unset { variable: "NODE_CONFIG", meant: "a path" };
+    for (fault, place) in [
+        (StartError::from(missing), "NODE_CONFIG: "),
+        (StartError::Known("invalid type".into()), "NODE_CONFIG: known: "),
+        (StartError::Listen { at, why: other("in use") }, "listen: 127.0.0.1:9090: "),
+        (StartError::part(&other("gossip: secret_file: s: gone")), "gossip: secret_file: s: "),
+        (StartError::part(&other("rules.file: r: gone; name another")), "rules.file: r: "),
+        (StartError::system("signals")(other("too many")), "signals: "),
+    ] {
+        match &fault {
+            StartError::Configuration(_) | StartError::Known(_) | StartError::Listen { .. } => {}
+            // Each has a test of its own.
+            StartError::Peers(_) | StartError::Rules(_) => {}
+            StartError::Part(_) | StartError::PartWithRemedy(_) | StartError::System { .. } => {}
+        }
+        let text = fault.to_string();
+        let (wrong, remedy) = text.rsplit_once("; ").unwrap();
+        assert!(wrong.starts_with(place) && wrong.len() > place.len() && remedy.len() > 8, "{text}");
+        assert!(text.matches("; ").count() == 1 && !text.contains('\n'), "{text}");
+    }
+}
