--- /dev/null
+++ b/crates/front/src/fleet/join.rs
@@ -0,0 +1,97 @@
+//! How a front joins the fleet at its start: the elections for ownership of the fleet's work, and the ledger.
+
+use std::net::UdpSocket;
+
+use calloop::LoopHandle;
+use hallmux_agreement::{self as agreement, OnDiskFailure};
+use hallmux_dispatcher::Micros;
+use hallmux_fleet::{Exchange, Moment, Ownership};
+use hallmux_gossip::seal::id;
+use hallmux_lease::Terms;
+
+use super::copies::{Copies, CopiesError, Found};
+use super::errors::PeersError;
+use super::members::setup;
+use super::votes::Votes;
+use crate::events::{Events, SocketKind};
+
+/// Joins the elections for ownership of the fleet's work. Returns the durable votes, where this front is a voter.
+pub(super) fn join_ownership(
+    exchange: &mut Exchange,
+    ownership: &agreement::Ownership,
+    now: Micros,
+    socket: &UdpSocket,
+) -> Result<Option<Votes>, PeersError> {
+    let mut votes = None;
+    let voters: Vec<_> = ownership.voters.iter().map(|(key, at)| (id(key), *at)).collect();
+    let own = id(&exchange.public());
+    let mut saved = None;
+    if voters.iter().any(|(voter, _)| *voter == own) {
+        let socket = socket.try_clone().map_err(PeersError::system)?;
+        let (opened, kept) = Votes::open(&ownership.directory, socket)?;
+        (votes, saved) = (Some(opened), kept);
+    }
+    let terms = Terms { length: ownership.lease, drift_ppm: ownership.drift_ppm };
+    let ownership = Ownership { fleet: ownership.fleet.clone(), voters, terms, saved };
+    let moment = Moment { now, steady: 0, wall_ms: (now / 1000) as u64 };
+    exchange.own(moment, ownership)?;
+    log::info!(
+        "takes part in ownership of the fleet's work{}",
+        if votes.is_some() { ", and votes" } else { "" }
+    );
+    Ok(votes)
+}
+
+/// Joins the ledger. Returns the durable copies, where this front keeps some on disk.
+pub(super) fn join_ledger(
+    exchange: &mut Exchange,
+    ledger: &agreement::Ledger,
+    now: Micros,
+    socket: &UdpSocket,
+    handle: &LoopHandle<'static, Events>,
+) -> Result<Option<Copies>, PeersError> {
+    let memory_on_disk_failure = ledger.on_disk_failure == OnDiskFailure::Memory;
+    let mut copies = None;
+    let own = id(&exchange.public());
+    let moment = Moment { now, steady: 0, wall_ms: (now / 1000) as u64 };
+    let (mut setup, members) = setup(ledger, own, (now / 1000) as u64);
+    let keeps = ledger.members.iter().any(|member| id(&member.key) == own);
+    let mut saved = None;
+    if let Some(directory) = ledger.directory.as_ref().filter(|_| keeps) {
+        let drill = ledger.drill.as_deref();
+        let socket = socket.try_clone().map_err(PeersError::system)?;
+        let loop_waker = loop_waker(handle).map_err(PeersError::system)?;
+        match Copies::open(directory, drill, socket, loop_waker) {
+            Ok((opened, Found { disk, saved: found })) => {
+                (copies, setup.disk, saved) = (Some(opened), disk, found);
+            }
+            Err(e @ CopiesError::Disk { .. }) if memory_on_disk_failure => {
+                log::error!("{e}; copies are in memory alone")
+            }
+            Err(e) => return Err(e.into()),
+        }
+    }
+    let (on_disk, remembers) = (copies.is_some(), saved.is_some());
+    exchange.promise(moment, setup, members, saved)?;
+    log::info!(
+        "asks {} fronts for promises{}",
+        ledger.members.len(),
+        match (keeps, on_disk, remembers) {
+            (false, ..) => "",
+            (_, false, _) => ", and keeps copies in memory alone",
+            (_, _, false) => ", and keeps copies on a disk that is new",
+            _ => ", and keeps copies on the disk that it had",
+        }
+    );
+    Ok(copies)
+}
+
+/// What wakes the loop from the thread that writes copies.
+fn loop_waker(handle: &LoopHandle<'static, Events>) -> std::io::Result<impl Fn() + Send + 'static> {
+    let (ping, source) = calloop::ping::make_ping()?;
+    let told = handle.insert_source(source, |(), _, events: &mut Events| {
+        events.ready.push(SocketKind::Peers.id(0));
+    });
+    told.map_err(|e| std::io::Error::other(e.error.to_string()))?;
+    Ok(move || ping.ping())
+}
--- a/crates/front/src/fleet/mod.rs
+++ b/crates/front/src/fleet/mod.rs
@@ -6,6 +6,7 @@
 mod errors;
 mod faulty_disk;
 mod gate;
+mod join;
 mod members;
 mod peers;
 pub mod rules;
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -12,19 +12,19 @@
 use calloop::{Interest, LoopHandle, Mode, PostAction};
 use hallmux_agreement::{hexadecimal, Gossip, OnDiskFailure};
 use hallmux_dispatcher::{Dispatcher, Micros};
-use hallmux_fleet::{Exchange, Kept, Moment, Out, Ownership, Owns};
+use hallmux_fleet::{Exchange, Kept, Moment, Out, Owns};
 use hallmux_gossip::evidence::News;
 use hallmux_gossip::message::LONGEST;
 use hallmux_gossip::node::{Datagram, Start};
 use hallmux_gossip::post::Channel;
 use hallmux_gossip::seal::{id, Keys, Refused};
 use hallmux_gossip::PeerId;
-use hallmux_lease::Terms;
 use hallmux_ledger::{Ask, Done};
 
-use super::copies::{random_disk_id, Copies, CopiesError, Found, Write};
+use super::copies::{random_disk_id, Copies, Write};
 use super::errors::PeersError;
-use super::members::{members, setup};
+use super::join::{join_ledger, join_ownership};
+use super::members::members;
 use super::votes::Votes;
 use crate::events::{Events, SocketKind};
 use crate::shutdown::LedgerDuty;
@@ -97,60 +97,16 @@
             log::info!("sheds overload as one with the fleet");
         }
         let started = Instant::now();
-        let mut votes = None;
-        if let Some(ownership) = &gossip.ownership {
-            let voters: Vec<_> = ownership.voters.iter().map(|(key, at)| (id(key), *at)).collect();
-            let own = id(&exchange.public());
-            let mut saved = None;
-            if voters.iter().any(|(voter, _)| *voter == own) {
-                let socket = socket.try_clone().map_err(PeersError::system)?;
-                let (opened, kept) = Votes::open(&ownership.directory, socket)?;
-                (votes, saved) = (Some(opened), kept);
-            }
-            let terms = Terms { length: ownership.lease, drift_ppm: ownership.drift_ppm };
-            let ownership = Ownership { fleet: ownership.fleet.clone(), voters, terms, saved };
-            let moment = Moment { now, steady: 0, wall_ms: (now / 1000) as u64 };
-            exchange.own(moment, ownership)?;
-            log::info!(
-                "takes part in ownership of the fleet's work{}",
-                if votes.is_some() { ", and votes" } else { "" }
-            );
-        }
-        let (mut copies, mut memory_on_disk_failure) = (None, false);
-        if let Some(ledger) = &gossip.ledger {
-            let own = id(&exchange.public());
-            let moment = Moment { now, steady: 0, wall_ms: (now / 1000) as u64 };
-            let (mut setup, members) = setup(ledger, own, (now / 1000) as u64);
-            let keeps = ledger.members.iter().any(|member| id(&member.key) == own);
-            memory_on_disk_failure = ledger.on_disk_failure == OnDiskFailure::Memory;
-            let mut saved = None;
-            if let Some(directory) = ledger.directory.as_ref().filter(|_| keeps) {
-                let drill = ledger.drill.as_deref();
-                let socket = socket.try_clone().map_err(PeersError::system)?;
-                let loop_waker = loop_waker(handle).map_err(PeersError::system)?;
-                match Copies::open(directory, drill, socket, loop_waker) {
-                    Ok((opened, Found { disk, saved: found })) => {
-                        (copies, setup.disk, saved) = (Some(opened), disk, found);
-                    }
-                    Err(e @ CopiesError::Disk { .. }) if memory_on_disk_failure => {
-                        log::error!("{e}; copies are in memory alone")
-                    }
-                    Err(e) => return Err(e.into()),
-                }
-            }
-            let (on_disk, remembers) = (copies.is_some(), saved.is_some());
-            exchange.promise(moment, setup, members, saved)?;
-            log::info!(
-                "asks {} fronts for promises{}",
-                ledger.members.len(),
-                match (keeps, on_disk, remembers) {
-                    (false, ..) => "",
-                    (_, false, _) => ", and keeps copies in memory alone",
-                    (_, _, false) => ", and keeps copies on a disk that is new",
-                    _ => ", and keeps copies on the disk that it had",
-                }
-            );
-        }
+        let votes = match &gossip.ownership {
+            Some(ownership) => join_ownership(&mut exchange, ownership, now, &socket)?,
+            None => None,
+        };
+        let copies = match &gossip.ledger {
+            Some(ledger) => join_ledger(&mut exchange, ledger, now, &socket, handle)?,
+            None => None,
+        };
+        let memory_on_disk_failure =
+            gossip.ledger.as_ref().is_some_and(|l| l.on_disk_failure == OnDiskFailure::Memory);
         let public: String = exchange.public().iter().map(|byte| format!("{byte:02x}")).collect();
         log::info!(
             "talks with other fronts, {} keys count; its own is {public}, its address {at}",
@@ -383,16 +339,6 @@
     }
 }
 
-/// What wakes the loop from the thread that writes copies.
-fn loop_waker(handle: &LoopHandle<'static, Events>) -> std::io::Result<impl Fn() + Send + 'static> {
-    let (ping, source) = calloop::ping::make_ping()?;
-    let told = handle.insert_source(source, |(), _, events: &mut Events| {
-        events.ready.push(SocketKind::Peers.id(0));
-    });
-    told.map_err(|e| std::io::Error::other(e.error.to_string()))?;
-    Ok(move || ping.ping())
-}
-
 /// Numbers that nobody can predict.
 fn random_numbers<'a>(random: &'a RandomState, draws_made: &'a mut u64) -> impl FnMut() -> u64 + 'a {
     move || {
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -185,8 +185,20 @@
         }
     }
 
-    /// Decides on all that was taken in, and sends what follows.
+    /// One iteration of the event loop, after `ready` was called for each socket that it reported: reads what is left,
+    /// decides on all that was read, and sends what follows.
     pub fn iterate(&mut self) {
+        self.read_rest();
+        self.decide();
+        self.answer_clients();
+        self.close_if_due();
+        for client in self.clients.readable_again() {
+            self.unfinished.push(SocketKind::Client.id(client));
+        }
+    }
+
+    /// Accepts and reads what the last iteration left, and does what is due without the dispatcher's decisions.
+    fn read_rest(&mut self) {
         self.clock.refresh();
         self.clock.wake();
         for socket in std::mem::take(&mut self.unfinished) {
@@ -209,6 +221,10 @@
         self.tick_scatter();
         self.engines.expire(self.clock.now);
         self.coordinator.expire(self.clock.now);
+    }
+
+    /// Lets the dispatcher decide on all that was read, and carries its orders out until none is left.
+    fn decide(&mut self) {
         self.clock.refresh();
         self.clock.decide();
         self.apply_rulings();
@@ -231,6 +247,10 @@
         }
         self.flush_engines();
         self.handle_engine_events();
+    }
+
+    /// Sends answers to clients, and questions to the coordinator.
+    fn answer_clients(&mut self) {
         let room = self.room();
         if let Some(gateway) = &mut self.gateway {
             gateway.flush(self.clock.now, room, self.max_bytes, &mut self.dispatcher);
@@ -248,6 +268,10 @@
             }
         }
         self.handle_client_events(events);
+    }
+
+    /// Closes the listeners and what is idle, once the planned end has come so far.
+    fn close_if_due(&mut self) {
         let peers = self.peers.as_ref().filter(|_| self.shutdown.is_requested());
         let duty = peers.map_or(LedgerDuty::None, |peers| peers.ledger_duty(self.clock.now));
         if self.shutdown.closes(self.clock.now, duty) {
@@ -262,9 +286,6 @@
                 gateway.close(self.clock.now, room, &mut self.dispatcher);
             }
         }
-        for client in self.clients.readable_again() {
-            self.unfinished.push(SocketKind::Client.id(client));
-        }
     }
 
     /// Sends to engines what was decided. Guards against a front that stood still or worked for long since it last
--- a/crates/front/src/front/admission.rs
+++ b/crates/front/src/front/admission.rs
@@ -44,6 +44,8 @@
         }
     }
 
+    /// Takes a statement that a client has sent, or answers why it is not taken. `unread_for`: how long it may have
+    /// lain unread, as its client took no answers. `ended`: statements that end as their connection is closed.
     pub(super) fn admit(
         &mut self,
         client: ClientId,
@@ -65,15 +67,7 @@
             let why = "its text begins as fronts number loads: leave that comment out";
             return self.clients.reply(client, number, &Reply::Refused(&[("reason", why)]));
         }
-        let full = self.clients.held_bytes() > self.max_bytes;
-        if full != std::mem::replace(&mut self.memory_full, full) {
-            log::warn!(
-                "statements held take {} bytes; {}",
-                self.clients.held_bytes(),
-                if full { "more are rejected" } else { "taken again" }
-            );
-        }
-        if full || self.dispatcher.held() >= self.max_statements {
+        if self.is_full() {
             return self.clients.reject(client, number);
         }
         // Guards against a final answer that is held up on its way: it has the slack twice, before the
@@ -96,10 +90,38 @@
         };
         let Some((call, whole_site)) = scattered else { return };
         let within = |site: &String| allowed.as_ref().is_none_or(|allowed| allowed.contains(site));
-        let allowed = match &whole_site {
-            Some(site) => Some(if within(site) { vec![site.as_str()] } else { Vec::new() }),
-            None => allowed.as_ref().map(|names| names.iter().map(String::as_str).collect()),
+        let allowed = match whole_site {
+            Some(site) => Some(if within(&site) { vec![site] } else { Vec::new() }),
+            None => allowed,
         };
+        self.pick(client, number, call, time_left, allowed, &judged);
+    }
+
+    /// Whether no more statements can be taken: too many are held, or they take too much memory.
+    fn is_full(&mut self) -> bool {
+        let full = self.clients.held_bytes() > self.max_bytes;
+        if full != std::mem::replace(&mut self.memory_full, full) {
+            log::warn!(
+                "statements held take {} bytes; {}",
+                self.clients.held_bytes(),
+                if full { "more are rejected" } else { "taken again" }
+            );
+        }
+        full || self.dispatcher.held() >= self.max_statements
+    }
+
+    /// Hands a statement to the dispatcher, to be sent to engines at the locations allowed (none given: all).
+    fn pick(
+        &mut self,
+        client: ClientId,
+        number: i32,
+        call: Call,
+        time_left: Micros,
+        allowed: Option<Vec<String>>,
+        judged: &Judged,
+    ) {
+        let allowed: Option<Vec<&str>> =
+            allowed.as_ref().map(|names| names.iter().map(String::as_str).collect());
         let ask = Ask {
             workload: &call.workload,
             customer: &call.customer,
@@ -115,7 +137,7 @@
         };
         let picked = self.dispatcher.pick(self.clock.now, &ask);
         if let Some(rules) = &self.rules {
-            rules.borrow_mut().statement_picked(&mut self.dispatcher, &judged, picked.ok());
+            rules.borrow_mut().statement_picked(&mut self.dispatcher, judged, picked.ok());
         }
         match picked {
             Ok(ticket) => self.clients.open(client, number, ticket, call),
