--- a/crates/front/src/engines/engines_tests.rs
+++ b/crates/front/src/engines/engines_tests.rs
@@ -13,17 +13,17 @@
     let call = Rc::new(Call { id: "1".into(), workload: "lookup".into(), ..Call::default() });
     engines.send(
         0,
-        (1, 0),
+        ExecutionId::new(1, 0),
         0,
         call,
         Terms { ends: 1_000_000, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 },
     );
     let mut peer = BufReader::new(listener.accept().unwrap().0);
-    while engines.executions[&(1, 0)].stage != Stage::Out {
+    while engines.executions[&ExecutionId::new(1, 0)].stage != Stage::Out {
         engines.read(0, 1);
         engines.flush(0);
     }
-    engines.cancel(0, (1, 0), Ending::GivenUp);
+    engines.cancel(0, ExecutionId::new(1, 0), Ending::GivenUp);
     // It was decided long before the command leaves: the front stood still.
     engines.expire(5 * CANCEL_LAG);
     assert!(engines.events.is_empty());
@@ -37,17 +37,27 @@
     let call = Rc::new(Call { id: "2".into(), workload: "lookup".into(), ..Call::default() });
     engines.send(
         0,
-        (2, 0),
+        ExecutionId::new(2, 0),
         0,
         call,
         Terms { ends: 1_000_000, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 },
     );
     engines.flush(0);
-    engines.cancel(0, (2, 0), Ending::TimeUp);
-    let ended = |event: &Event| matches!(event, Event::Ended { sent: (2, 0), ending: Ending::TimeUp, .. });
+    engines.cancel(0, ExecutionId::new(2, 0), Ending::TimeUp);
+    let ended = |event: &Event| {
+        matches!(
+            event,
+            Event::Ended { sent: ExecutionId { ticket: 2, number: 0 }, ending: Ending::TimeUp, .. }
+        )
+    };
     assert!(engines.events.pop().is_some_and(|event| ended(&event)));
     engines.expire(CANCEL_LAG);
-    let over = |event: &Event| matches!(event, Event::Ended { sent: (1, 0), ending: Ending::GivenUp, .. });
+    let over = |event: &Event| {
+        matches!(
+            event,
+            Event::Ended { sent: ExecutionId { ticket: 1, number: 0 }, ending: Ending::GivenUp, .. }
+        )
+    };
     assert!(engines.events.len() == 1 && over(&engines.events[0]));
 }
 
@@ -62,7 +72,7 @@
     let call = Rc::new(Call { id: "1".into(), workload: "lookup".into(), ..Call::default() });
     engines.send(
         0,
-        (1, 0),
+        ExecutionId::new(1, 0),
         0,
         call,
         Terms { ends: 5_000_000, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 },
--- a/crates/front/src/engines/mod.rs
+++ b/crates/front/src/engines/mod.rs
@@ -18,6 +18,7 @@
 use hallmux_dispatcher::{Cost, Dials, Ending, Micros, Note, Place, Terms, Ticket};
 
 use crate::events::{Events, SocketKind};
+use crate::execution::ExecutionId;
 use crate::front::Pacer;
 use crate::link::{Broken, Link};
 use crate::reuse::Reuse;
@@ -35,13 +36,11 @@
 const MOST_FORMER_IDS: usize = 128; // ids that a connection remembers; then it takes no more executions
 
 type LinkId = u64;
-/// An execution: its statement and its number.
-pub type Sent = (Ticket, usize);
 
 /// What engines have answered, and how executions have ended.
 pub enum Event {
-    Ended { sent: Sent, ending: Ending, report: Option<Vec<f64>>, cost: Option<Cost>, result: Vec<u8> },
-    Noted { sent: Sent, note: Note },
+    Ended { sent: ExecutionId, ending: Ending, report: Option<Vec<f64>>, cost: Option<Cost>, result: Vec<u8> },
+    Noted { sent: ExecutionId, note: Note },
     Probed { place: Place, alive: bool, report: Option<Vec<f64>> },
 }
 
@@ -99,10 +98,10 @@
     /// How long it had rested when it was last taken up, and when that was.
     idle_before: Micros,
     resumed_at: Micros,
-    queue: VecDeque<Sent>,
+    queue: VecDeque<ExecutionId>,
     /// The one being written, and where in the output it ends; commands may follow it.
-    writing: Option<(Sent, usize)>,
-    open: HashMap<String, Sent>,
+    writing: Option<(ExecutionId, usize)>,
+    open: HashMap<String, ExecutionId>,
     /// Ids that are over here; what is still said of them means nothing. Where cancelling is not allowed, these may
     /// run on.
     cancelled: HashSet<String>,
@@ -118,7 +117,7 @@
     report_names: Vec<String>,
     engines: BTreeMap<Place, Engine>,
     links: BTreeMap<LinkId, EngineLink>,
-    executions: BTreeMap<Sent, Execution>,
+    executions: BTreeMap<ExecutionId, Execution>,
     next: u64,
     max_links: usize,
     /// When connections may be made; any time where nothing else is set.
@@ -126,7 +125,7 @@
     reuse: Reuse,
     /// Cancelled, but their engines may not have read so yet, in the order in which they were. Each ends at the time
     /// given, which is set once the command has left.
-    awaiting_cancel: VecDeque<(Option<Micros>, Sent, Ending)>,
+    awaiting_cancel: VecDeque<(Option<Micros>, ExecutionId, Ending)>,
     pub events: Vec<Event>,
 }
 
@@ -156,7 +155,7 @@
     /// It ends; what was ended from here, not before its engine has read of it. Guards against two executions
     /// of a statement, or of an order key, at once: one connection may bring the next sooner than another the
     /// cancel of the first. Where the time is up the client is answered at once.
-    fn end_execution(&mut self, sent: Sent, ending: Ending) {
+    fn end_execution(&mut self, sent: ExecutionId, ending: Ending) {
         if matches!(ending, Ending::GivenUp | Ending::Unreadable | Ending::ClosedHere) {
             self.executions.remove(&sent);
             self.awaiting_cancel.push_back((None, sent, ending));
@@ -165,7 +164,7 @@
         }
     }
 
-    fn report_end(&mut self, sent: Sent, ending: Ending) {
+    fn report_end(&mut self, sent: ExecutionId, ending: Ending) {
         self.executions.remove(&sent);
         self.events.push(Event::Ended { sent, ending, report: None, cost: None, result: Vec::new() });
     }
@@ -202,7 +201,7 @@
         }
     }
 
-    fn withdraw(&mut self, link: LinkId, sent: Sent) {
+    fn withdraw(&mut self, link: LinkId, sent: ExecutionId) {
         if let (Some(link), Some(x)) = (self.links.get_mut(&link), self.executions.get(&sent)) {
             link.open.remove(&x.call.id);
         }
@@ -211,9 +210,10 @@
 
     /// Nobody waits for a statement any more: what has not left for an engine never will.
     pub fn abandon(&mut self, ticket: Ticket) {
-        let of_ticket = self.executions.range((ticket, 0)..=(ticket, usize::MAX));
+        let of_ticket =
+            self.executions.range(ExecutionId::new(ticket, 0)..=ExecutionId::new(ticket, usize::MAX));
         let queued = of_ticket.filter(|(_, x)| x.stage == Stage::Queued);
-        let queued: Vec<(Sent, LinkId)> = queued.map(|(sent, x)| (*sent, x.link)).collect();
+        let queued: Vec<(ExecutionId, LinkId)> = queued.map(|(sent, x)| (*sent, x.link)).collect();
         for (sent, id) in queued {
             if let Some(link) = self.links.get_mut(&id) {
                 link.queue.retain(|other| *other != sent);
--- a/crates/front/src/engines/replies.rs
+++ b/crates/front/src/engines/replies.rs
@@ -140,7 +140,7 @@
         self.events.push(Event::Ended { sent, ending, report, cost, result });
     }
 
-    pub(super) fn note(&mut self, sent: Sent, note: Note) {
+    pub(super) fn note(&mut self, sent: ExecutionId, note: Note) {
         self.events.push(Event::Noted { sent, note });
     }
 }
--- a/crates/front/src/engines/send.rs
+++ b/crates/front/src/engines/send.rs
@@ -11,7 +11,7 @@
 
 impl Engines {
     /// Sends an execution over a connection that has room for it, a new one if need be.
-    pub fn send(&mut self, now: Micros, sent: Sent, place: Place, call: Rc<Call>, terms: Terms) {
+    pub fn send(&mut self, now: Micros, sent: ExecutionId, place: Place, call: Rc<Call>, terms: Terms) {
         let id = match self.choose_link(now, place, &call.id) {
             Ok(id) => id,
             Err(ending) => return self.report_end(sent, ending),
@@ -93,7 +93,7 @@
         Ok(id)
     }
 
-    pub fn set_priority(&mut self, sent: Sent, priority: u8) {
+    pub fn set_priority(&mut self, sent: ExecutionId, priority: u8) {
         let Some(x) = self.executions.get_mut(&sent) else { return };
         x.terms.priority = priority;
         if x.stage != Stage::Queued && x.pages.is_none() {
@@ -104,7 +104,7 @@
     }
 
     /// Cancels an execution. It ends with the ending given, or as withdrawn where nothing of it has left.
-    pub fn cancel(&mut self, now: Micros, sent: Sent, ending: Ending) {
+    pub fn cancel(&mut self, now: Micros, sent: ExecutionId, ending: Ending) {
         let Some(x) = self.executions.get(&sent) else { return };
         let (id, name) = (x.link, x.call.id.clone());
         let Some(link) = self.links.get_mut(&id) else { return };
--- a/crates/front/src/engines/timeouts.rs
+++ b/crates/front/src/engines/timeouts.rs
@@ -91,7 +91,7 @@
     /// What has begun to come over a connection and takes too long.
     fn overdue(&self, now: Micros, id: LinkId) -> Option<&'static str> {
         let link = self.links.get(&id)?;
-        let page = |sent: &Sent| {
+        let page = |sent: &ExecutionId| {
             let pages = self.executions.get(sent).and_then(|x| x.pages.as_ref());
             pages.is_some_and(|pages| pages.last_page + READ_TIMEOUT <= now)
         };
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -21,7 +21,7 @@
                 log::warn!("engine {}: connection lost with {count} executions: {ending:?}", engine.id);
             }
         }
-        let mut open: Vec<Sent> = link.open.into_values().collect();
+        let mut open: Vec<ExecutionId> = link.open.into_values().collect();
         open.sort_unstable();
         for sent in open {
             let ending = match self.executions.get(&sent).map(|x| &x.stage) {
--- /dev/null
+++ b/crates/front/src/execution.rs
@@ -0,0 +1,16 @@
+//! The identity of an execution: one sending of a statement to an engine.
+
+use hallmux_dispatcher::Ticket;
+
+/// An execution, by its statement's ticket and its number among that statement's executions. Ordered by ticket first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct ExecutionId {
+    pub ticket: Ticket,
+    pub number: usize,
+}
+
+impl ExecutionId {
+    pub fn new(ticket: Ticket, number: usize) -> ExecutionId {
+        ExecutionId { ticket, number }
+    }
+}
--- a/crates/front/src/fleet/gate.rs
+++ b/crates/front/src/fleet/gate.rs
@@ -4,12 +4,13 @@
 use std::collections::BTreeMap;
 
 use hallmux_agreement::Contract;
-use hallmux_dispatcher::{Dispatcher, Micros, Terms, Ticket};
+use hallmux_dispatcher::{Dispatcher, Micros, Ticket};
 use hallmux_fleet::gate::{self, Asks, Ruling};
 use hallmux_ledger::{Ask, Done};
 
+use super::rules::Ordered;
 use super::Peers;
-use crate::engines::Sent;
+use crate::execution::ExecutionId;
 
 const LOG_INTERVAL: Micros = 10_000_000; // microseconds between lines of the log on what was turned away
 
@@ -47,8 +48,9 @@
     }
 
     /// An execution is ordered. True if it is held for now.
-    pub fn hold(&mut self, now: Micros, dispatcher: &mut Dispatcher, ordered: (Sent, usize, Terms)) -> bool {
-        self.guard.holds(now, dispatcher, ordered)
+    pub fn hold(&mut self, now: Micros, dispatcher: &mut Dispatcher, ordered: &Ordered) -> bool {
+        let Ordered { ticket, execution, place, terms, .. } = *ordered;
+        self.guard.holds(now, dispatcher, ((ticket, execution), place, terms))
     }
 
     pub fn set_priority(&mut self, ticket: Ticket, priority: u8) {
@@ -56,8 +58,8 @@
     }
 
     /// Gives an execution up. True if it was held.
-    pub fn cancel(&mut self, now: Micros, sent: Sent) -> bool {
-        self.guard.stops(now, sent)
+    pub fn cancel(&mut self, now: Micros, sent: ExecutionId) -> bool {
+        self.guard.stops(now, (sent.ticket, sent.number))
     }
 
     /// Passes on what statements have come to and what the ledger says; what becomes of what was held. `id` names a
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -18,6 +18,7 @@
 use hallmux_ledger::{self as ledger, Ledger, Member, Moment};
 
 use super::{Peers, RulesError};
+use crate::execution::ExecutionId;
 use file::{known, read};
 
 pub use file::start;
@@ -40,6 +41,12 @@
     pub terms: Terms,
 }
 
+impl Ordered {
+    pub fn id(&self) -> ExecutionId {
+        ExecutionId::new(self.ticket, self.execution)
+    }
+}
+
 /// What becomes of a statement.
 pub enum Ruling {
     /// Its hit stands: the execution held leaves.
@@ -223,7 +230,7 @@
         let at = self.moment(now);
         let location = dispatcher.site(ordered.place).location;
         let location = self.access.known().locations.get(location).cloned().unwrap_or_default();
-        let may = self.access.may_send(at, number, place_of((ordered.ticket, ordered.execution)), &location);
+        let may = self.access.may_send(at, number, place_of(ordered.id()), &location);
         let closed = !self.access.version(at.steady).1;
         let limited = self.access.is_limited(number);
         let Some(s) = self.statements.get_mut(&number) else { return true };
@@ -246,16 +253,16 @@
     }
 
     /// Gives an execution up. True if it was held here: nothing of it has left.
-    pub fn cancel(&mut self, of: Ticket, sent: (Ticket, usize)) -> bool {
+    pub fn cancel(&mut self, of: Ticket, sent: ExecutionId) -> bool {
         let number = self.tickets.get(&of);
         let Some(s) = number.and_then(|number| self.statements.get_mut(number)) else { return false };
         let before = s.held.len();
-        s.held.retain(|held| (held.ticket, held.execution) != sent);
+        s.held.retain(|held| held.id() != sent);
         s.held.len() < before
     }
 
     /// An execution has ended.
-    pub fn execution_ended(&mut self, of: Ticket, sent: (Ticket, usize)) {
+    pub fn execution_ended(&mut self, of: Ticket, sent: ExecutionId) {
         if let Some(number) = self.tickets.get(&of) {
             self.access.execution_ended(*number, place_of(sent));
         }
@@ -363,6 +370,6 @@
 }
 
 /// An execution's number for the mind: those of a statement's parts are told apart.
-fn place_of((ticket, execution): (Ticket, usize)) -> u64 {
-    u64::from(ticket) << 16 | execution as u64 & 0xffff
+fn place_of(sent: ExecutionId) -> u64 {
+    u64::from(sent.ticket) << 16 | sent.number as u64 & 0xffff
 }
--- a/crates/front/src/front/dispatch.rs
+++ b/crates/front/src/front/dispatch.rs
@@ -10,6 +10,7 @@
 
 use super::Front;
 use crate::engines;
+use crate::execution::ExecutionId;
 use crate::fleet::rules::{Ordered, Ruling, Shared};
 use crate::fleet::Peers;
 use crate::postgres::gateway::{AdmissionState, Gateway};
@@ -20,18 +21,24 @@
     pub(super) fn handle_engine_events(&mut self) {
         for event in std::mem::take(&mut self.engines.events) {
             match event {
-                engines::Event::Ended { sent: (ticket, execution), ending, report, cost, result } => {
+                engines::Event::Ended {
+                    sent: ExecutionId { ticket, number: execution },
+                    ending,
+                    report,
+                    cost,
+                    result,
+                } => {
                     let of = self.statement_for_rules(ticket);
-                    self.rules
-                        .iter()
-                        .for_each(|rules| rules.borrow_mut().execution_ended(of, (ticket, execution)));
+                    self.rules.iter().for_each(|rules| {
+                        rules.borrow_mut().execution_ended(of, ExecutionId::new(ticket, execution))
+                    });
                     if self.dispatcher.report(self.clock.now, ticket, execution, ending, report, cost)
                         && !self.end_part(ticket, Ok(&result))
                     {
                         self.clients.answer(self.clock.now, ticket, &Reply::Completed(&result));
                     }
                 }
-                engines::Event::Noted { sent: (ticket, execution), note } => {
+                engines::Event::Noted { sent: ExecutionId { ticket, number: execution }, note } => {
                     self.dispatcher.note(ticket, execution, note);
                 }
                 engines::Event::Probed { place, alive, report } => {
@@ -58,7 +65,7 @@
     }
 
     /// An execution is one of a session's.
-    pub(super) fn is_execution_of_session(&self, sent: engines::Sent) -> bool {
+    pub(super) fn is_execution_of_session(&self, sent: ExecutionId) -> bool {
         self.gateway.as_ref().is_some_and(|gateway| gateway.has(sent))
     }
 
@@ -134,22 +141,19 @@
 
     /// An execution that rules have let go on waits for its promises, or leaves.
     fn await_promises(&mut self, ordered: Ordered) {
-        let Ordered { ticket, execution, place, terms, .. } = ordered;
-        let (now, sent) = (self.clock.now, (ticket, execution));
-        let guard = self.guard.as_mut();
-        if !guard.is_some_and(|guard| guard.hold(now, &mut self.dispatcher, (sent, place, terms))) {
+        let (now, guard) = (self.clock.now, self.guard.as_mut());
+        if !guard.is_some_and(|guard| guard.hold(now, &mut self.dispatcher, &ordered)) {
             self.await_mark(ordered);
         }
     }
 
     /// An execution that has its promises waits for the mark on its load, or leaves.
     fn await_mark(&mut self, ordered: Ordered) {
-        let Ordered { ticket, execution, place, terms, .. } = ordered;
         let now = self.clock.now;
-        let load = self.load(ticket);
+        let load = self.load(ordered.ticket);
         let loads = self.scatter.as_mut().and_then(|scatter| scatter.loads.as_mut());
-        let (dispatcher, held) = (&mut self.dispatcher, ((ticket, execution), place, terms));
-        if !loads.zip(load).is_some_and(|(loads, load)| loads.hold(now, dispatcher, held, load)) {
+        let dispatcher = &mut self.dispatcher;
+        if !loads.zip(load).is_some_and(|(loads, load)| loads.hold(now, dispatcher, &ordered, load)) {
             self.send(ordered);
         }
     }
@@ -176,7 +180,7 @@
             return;
         }
         let Ordered { ticket, execution, place, terms, .. } = ordered;
-        let (now, sent) = (self.clock.now, (ticket, execution));
+        let (now, sent) = (self.clock.now, ExecutionId::new(ticket, execution));
         self.rooms.took(place);
         if self.is_of_session(ticket) {
             return self.gateway.iter_mut().for_each(|gateway| gateway.send(now, sent, place, None));
@@ -189,7 +193,7 @@
 
     /// An execution that is to be given up waits here: nothing of it has left.
     fn is_waiting_here(&mut self, now: Micros, ticket: Ticket, execution: usize) -> bool {
-        let (of, sent) = (self.statement_for_rules(ticket), (ticket, execution));
+        let (of, sent) = (self.statement_for_rules(ticket), ExecutionId::new(ticket, execution));
         self.rules.as_ref().is_some_and(|rules| rules.borrow_mut().cancel(of, sent))
             || self.guard.as_mut().is_some_and(|guard| guard.cancel(now, sent))
     }
@@ -218,7 +222,9 @@
             }
             Order::Stop { ticket, execution, ending } if self.is_waiting_here(now, ticket, execution) => {
                 // Its session is to know why, though nothing of it has left.
-                self.gateway.iter_mut().for_each(|gateway| gateway.stop(now, (ticket, execution), ending));
+                self.gateway
+                    .iter_mut()
+                    .for_each(|gateway| gateway.stop(now, ExecutionId::new(ticket, execution), ending));
                 self.dispatcher.report(now, ticket, execution, Ending::Withdrawn, None, None);
             }
             Order::Stop { ticket, execution, ending }
@@ -226,22 +232,26 @@
                     .scatter
                     .as_mut()
                     .and_then(|scatter| scatter.loads.as_mut())
-                    .is_some_and(|loads| loads.cancel((ticket, execution))) =>
+                    .is_some_and(|loads| loads.cancel(ExecutionId::new(ticket, execution))) =>
             {
-                self.gateway.iter_mut().for_each(|gateway| gateway.stop(now, (ticket, execution), ending));
+                self.gateway
+                    .iter_mut()
+                    .for_each(|gateway| gateway.stop(now, ExecutionId::new(ticket, execution), ending));
                 self.dispatcher.report(now, ticket, execution, Ending::Withdrawn, None, None);
             }
             Order::Stop { ticket, execution, ending }
-                if self.is_execution_of_session((ticket, execution)) =>
+                if self.is_execution_of_session(ExecutionId::new(ticket, execution)) =>
             {
-                self.gateway.iter_mut().for_each(|gateway| gateway.stop(now, (ticket, execution), ending));
+                self.gateway
+                    .iter_mut()
+                    .for_each(|gateway| gateway.stop(now, ExecutionId::new(ticket, execution), ending));
             }
             Order::Hurry { ticket, execution, priority } => {
                 self.guard.iter_mut().for_each(|guard| guard.set_priority(ticket, priority));
-                self.engines.set_priority((ticket, execution), priority);
+                self.engines.set_priority(ExecutionId::new(ticket, execution), priority);
             }
             Order::Stop { ticket, execution, ending } => {
-                self.engines.cancel(self.clock.now, (ticket, execution), ending)
+                self.engines.cancel(self.clock.now, ExecutionId::new(ticket, execution), ending)
             }
             Order::Reject { ticket, retry_after }
                 if self.end_part(ticket, Err(Failed::Rejected { retry_after })) => {}
--- a/crates/front/src/front/scatter.rs
+++ b/crates/front/src/front/scatter.rs
@@ -11,6 +11,7 @@
 
 use super::Front;
 use crate::clients::ClientId;
+use crate::execution::ExecutionId;
 use crate::fleet::rules::Ordered;
 use crate::scatter::{FinalReply, LoadOutcome, Outgoing, ScatteredStatements, ASK_NUMBERS};
 
@@ -102,11 +103,16 @@
             asks.into_iter().for_each(|ask| peers.ask(now, ask));
             for outcome in outcomes {
                 match outcome {
-                    LoadOutcome::Send { sent: (ticket, execution), place, terms, outgoing } => {
+                    LoadOutcome::Send {
+                        sent: ExecutionId { ticket, number: execution },
+                        place,
+                        terms,
+                        outgoing,
+                    } => {
                         self.dispatcher.leaves(now, ticket, execution);
                         let of = self.statement_for_rules(ticket);
                         if self.may_leave(Ordered { of, ticket, execution, place, terms }) {
-                            let sent = (ticket, execution);
+                            let sent = ExecutionId::new(ticket, execution);
                             match (outgoing, &mut self.gateway) {
                                 (Outgoing::Call(call), _) => self.engines.send(now, sent, place, call, terms),
                                 (Outgoing::Unit(text), Some(gateway)) => gateway.send(now, sent, place, text),
@@ -114,7 +120,7 @@
                             }
                         }
                     }
-                    LoadOutcome::TurnAway((ticket, _)) => {
+                    LoadOutcome::TurnAway(ExecutionId { ticket, .. }) => {
                         let retry_after = self.dispatcher.turn_away(now, ticket);
                         self.carry_out(Order::Reject { ticket, retry_after });
                     }
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -5,6 +5,7 @@
 mod coordinator;
 mod engines;
 mod events;
+mod execution;
 mod fleet;
 mod front;
 mod link;
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -15,9 +15,10 @@
 
 use self::admission::final_answer;
 use super::error::ListenError;
-use super::servers::{self, Sent, Servers, Unit};
+use super::servers::{self, Servers, Unit};
 use super::sessions::{self, Sessions, Users};
 use crate::events::{Events, SocketId, SocketKind};
+use crate::execution::ExecutionId;
 use crate::fleet::rules::Shared;
 use crate::link::Link;
 use crate::listener::Listener;
@@ -100,7 +101,7 @@
     }
 
     /// Whether an execution is out for a session, or was when it left.
-    pub fn has(&self, sent: Sent) -> bool {
+    pub fn has(&self, sent: ExecutionId) -> bool {
         self.servers.has(sent)
     }
 
@@ -230,8 +231,8 @@
     }
 
     /// An execution leaves; with other text where it is a simple query that is to have it.
-    pub fn send(&mut self, now: Micros, sent: Sent, place: Place, text: Option<Vec<u8>>) {
-        let Some((session, open_session)) = self.sessions.by_ticket(sent.0) else {
+    pub fn send(&mut self, now: Micros, sent: ExecutionId, place: Place, text: Option<Vec<u8>>) {
+        let Some((session, open_session)) = self.sessions.by_ticket(sent.ticket) else {
             return self.servers.events.push(servers::Event::Ended { sent, ending: Ending::Withdrawn });
         };
         let (settings, account) = (open_session.session.settings.clone(), open_session.account);
@@ -250,9 +251,9 @@
         self.servers.send(now, sent, place, Unit { session, parts, settings, account, pin, once });
     }
 
-    pub fn stop(&mut self, now: Micros, sent: Sent, ending: Ending) {
+    pub fn stop(&mut self, now: Micros, sent: ExecutionId, ending: Ending) {
         let running =
-            self.sessions.by_ticket(sent.0).and_then(|(_, open_session)| open_session.running.as_mut());
+            self.sessions.by_ticket(sent.ticket).and_then(|(_, open_session)| open_session.running.as_mut());
         running.into_iter().for_each(|r| r.time_up |= ending == Ending::TimeUp);
         self.servers.cancel_execution(now, sent, ending);
     }
@@ -281,14 +282,23 @@
 
     fn handle_server_event(&mut self, now: Micros, dispatcher: &mut Dispatcher, event: servers::Event) {
         match event {
-            servers::Event::Irrevocable((ticket, _)) => dispatcher.begun(ticket),
-            servers::Event::PartialAnswer { sent: (ticket, execution), bytes, whole } => {
+            servers::Event::Irrevocable(ExecutionId { ticket, .. }) => dispatcher.begun(ticket),
+            servers::Event::PartialAnswer {
+                sent: ExecutionId { ticket, number: execution },
+                bytes,
+                whole,
+            } => {
                 dispatcher.begun(ticket);
                 if self.sessions.pass(ticket, &bytes, whole) {
-                    self.servers.pause((ticket, execution), true);
+                    self.servers.pause(ExecutionId::new(ticket, execution), true);
                 }
             }
-            servers::Event::Answered { sent: (ticket, execution), bytes, done, held } => {
+            servers::Event::Answered {
+                sent: ExecutionId { ticket, number: execution },
+                bytes,
+                done,
+                held,
+            } => {
                 let open = done.status != b'I';
                 let keeps = open && dispatcher.keeps(ticket);
                 let ending = Ending::Answered;
@@ -305,13 +315,13 @@
                 let pin = place.zip(held);
                 self.sessions.answer(now, ticket, &bytes, &done, pin);
             }
-            servers::Event::Refused { sent: (ticket, execution), error } => {
+            servers::Event::Refused { sent: ExecutionId { ticket, number: execution }, error } => {
                 dispatcher.begun(ticket);
                 if dispatcher.report(now, ticket, execution, Ending::Stale, None, None) {
                     self.sessions.fail(now, ticket, &Final::Broken, Some(&error));
                 }
             }
-            servers::Event::Ended { sent: (ticket, execution), ending } => {
+            servers::Event::Ended { sent: ExecutionId { ticket, number: execution }, ending } => {
                 let mut cancelled = false;
                 if let Some((_, open_session)) = self.sessions.by_ticket(ticket) {
                     if let Some(running) = &mut open_session.running {
@@ -327,7 +337,9 @@
                     dispatcher.left(now, ticket);
                 }
             }
-            servers::Event::Alive((ticket, execution)) => dispatcher.note(ticket, execution, Note::Alive),
+            servers::Event::Alive(ExecutionId { ticket, number: execution }) => {
+                dispatcher.note(ticket, execution, Note::Alive)
+            }
             servers::Event::TransactionLost { session } => self.sessions.transaction_lost(session),
         }
     }
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -10,52 +10,51 @@
 
 use calloop::LoopHandle;
 use hallmux_agreement::{Allowance, SessionLimits};
-use hallmux_dispatcher::{Dials, Ending, Micros, Place, Ticket};
+use hallmux_dispatcher::{Dials, Ending, Micros, Place};
 use hallmux_postgres::engine::{Account, Done, Engine};
 use hallmux_postgres::pool::{self, Pools};
 use hallmux_postgres::prepared::Settings;
 use hallmux_postgres::session::Part;
 
 use crate::events::Events;
+use crate::execution::ExecutionId;
 use crate::front::Pacer;
 use crate::link::Link;
 
 const CHECK_INTERVAL: Micros = 100_000; // microseconds between looks at connections that have rested for long
 const MOST_ACCOUNTS: usize = 1_000; // accounts at the engines, by user and database; beyond them none come in
 
-/// An execution: its statement and its number.
-pub type Sent = (Ticket, usize);
 pub type ServerId = u64;
 pub type SessionId = u64;
 
 /// Replies of engines, and how executions have ended.
 pub enum Event {
     /// It may have taken effect from now on, whatever becomes of its connection: it is not repeated.
-    Irrevocable(Sent),
+    Irrevocable(ExecutionId),
     /// Part of its answer; `whole` if that ends with a message.
     PartialAnswer {
-        sent: Sent,
+        sent: ExecutionId,
         bytes: Vec<u8>,
         whole: bool,
     },
     /// The rest of its answer, and the connection that holds its transaction, if one is open.
     Answered {
-        sent: Sent,
+        sent: ExecutionId,
         bytes: Vec<u8>,
         done: Done,
         held: Option<ServerId>,
     },
     /// Not executed, with the error that the engine gives.
     Refused {
-        sent: Sent,
+        sent: ExecutionId,
         error: Vec<u8>,
     },
     Ended {
-        sent: Sent,
+        sent: ExecutionId,
         ending: Ending,
     },
     /// The engine that this is out on has replied to something, if not to it.
-    Alive(Sent),
+    Alive(ExecutionId),
     /// The open transaction of a session is gone with its connection.
     TransactionLost {
         session: SessionId,
@@ -101,7 +100,7 @@
     engine: Engine,
     place: Place,
     up: bool,
-    serves: Option<Sent>,
+    serves: Option<ExecutionId>,
     /// The session whose transaction is open here.
     holds: Option<SessionId>,
     /// Up to where in the output the unit goes that leaves.
@@ -120,7 +119,7 @@
     server: ServerId,
     by: Micros,
     /// What is over once the engine has taken it.
-    ends: Option<(Sent, Ending)>,
+    ends: Option<(ExecutionId, Ending)>,
 }
 
 struct EngineEntry {
@@ -143,8 +142,8 @@
     links: BTreeMap<ServerId, Server>,
     cancels: BTreeMap<u64, Cancel>,
     connecting: BTreeMap<ServerId, Micros>,
-    executions: HashMap<Sent, Execution>,
-    pools: Pools<Sent>,
+    executions: HashMap<ExecutionId, Execution>,
+    pools: Pools<ExecutionId>,
     changed: BTreeSet<ServerId>,
     next: u64,
     max_links: usize,
@@ -207,7 +206,7 @@
     }
 
     /// Whether an execution is one of its own.
-    pub fn has(&self, sent: Sent) -> bool {
+    pub fn has(&self, sent: ExecutionId) -> bool {
         self.executions.contains_key(&sent)
     }
 
@@ -261,7 +260,7 @@
         }
     }
 
-    fn report_end(&mut self, sent: Sent, ending: Ending) {
+    fn report_end(&mut self, sent: ExecutionId, ending: Ending) {
         self.executions.remove(&sent);
         self.events.push(Event::Ended { sent, ending });
     }
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -4,13 +4,14 @@
 use hallmux_postgres::pool::Freed;
 use hallmux_postgres::wire;
 
-use super::{Cancel, Event, Sent, ServerId, Servers, Stage};
+use super::{Cancel, Event, ServerId, Servers, Stage};
 use crate::events::SocketKind;
+use crate::execution::ExecutionId;
 use crate::link::Link;
 
 impl Servers {
     /// Cancels an execution. It ends with the ending given, or as withdrawn where nothing of it has left.
-    pub fn cancel_execution(&mut self, now: Micros, sent: Sent, ending: Ending) {
+    pub fn cancel_execution(&mut self, now: Micros, sent: ExecutionId, ending: Ending) {
         let Some(x) = self.executions.get(&sent) else { return };
         let (place, link) = (x.place, x.link);
         let Some(id) = link else {
@@ -41,7 +42,7 @@
     }
 
     /// A client asks for the end of what is out. False if nothing can be done about it.
-    pub fn cancel(&mut self, now: Micros, sent: Sent) -> bool {
+    pub fn cancel(&mut self, now: Micros, sent: ExecutionId) -> bool {
         let Some(x) = self.executions.get(&sent).filter(|x| x.stage != Stage::Waiting) else { return false };
         let Some(id) = x.link.filter(|_| self.allowance.cancel) else { return false };
         if let Some(link) = self.links.get_mut(&id) {
@@ -51,7 +52,7 @@
     }
 
     /// Sends a request to cancel over a connection of its own.
-    fn ask_to_cancel(&mut self, now: Micros, id: ServerId, ends: Option<(Sent, Ending)>) -> bool {
+    fn ask_to_cancel(&mut self, now: Micros, id: ServerId, ends: Option<(ExecutionId, Ending)>) -> bool {
         let Some(server) = self.links.get_mut(&id) else { return false };
         let Some(((process, secret), engine)) = server.engine.key.zip(self.engines.get(&server.place)) else {
             return false;
@@ -91,7 +92,8 @@
         }
         if let Some(link) = self.links.get_mut(&cancel.server) {
             link.cancels -= 1;
-            let waits = |sent: &Sent| self.executions.get(sent).is_some_and(|x| x.stage == Stage::Waiting);
+            let waits =
+                |sent: &ExecutionId| self.executions.get(sent).is_some_and(|x| x.stage == Stage::Waiting);
             if let Some(sent) = link.serves.filter(waits).filter(|_| link.cancels == 0) {
                 self.start(sent, cancel.server);
             }
@@ -117,7 +119,7 @@
         }
     }
 
-    pub(super) fn forget(&mut self, id: ServerId) -> Vec<Sent> {
+    pub(super) fn forget(&mut self, id: ServerId) -> Vec<ExecutionId> {
         self.connecting.remove(&id);
         self.changed.remove(&id);
         self.pools.gone(id)
--- a/crates/front/src/postgres/servers/replies.rs
+++ b/crates/front/src/postgres/servers/replies.rs
@@ -8,7 +8,8 @@
 use hallmux_postgres::pool;
 
 use super::send::dial_ending;
-use super::{Event, Execution, Sent, ServerId, Servers, Stage};
+use super::{Event, Execution, ServerId, Servers, Stage};
+use crate::execution::ExecutionId;
 use crate::link::Broken;
 
 const LOGIN_TIMEOUT: Micros = 2_000_000; // microseconds for a login once the connection is up; it takes a few ms
@@ -17,7 +18,7 @@
 
 impl Servers {
     /// Hands on what has come of an answer, if it is due: too much to hold, or a client that waits for it.
-    pub(super) fn pass(&mut self, sent: Sent, caught: bool) {
+    pub(super) fn pass(&mut self, sent: ExecutionId, caught: bool) {
         let Some(x) = self.executions.get_mut(&sent) else { return };
         let flushed = x.unit.parts.last().is_some_and(|part| !part.ends);
         let due = x.begun || flushed || x.unsent_answer.len() > self.limits.buffer_bytes || caught;
@@ -31,7 +32,7 @@
     }
 
     /// A client is behind with its answer, or has caught up.
-    pub fn pause(&mut self, sent: Sent, paused: bool) -> Option<ServerId> {
+    pub fn pause(&mut self, sent: ExecutionId, paused: bool) -> Option<ServerId> {
         let x = self.executions.get_mut(&sent)?;
         let resumes = x.paused && !paused;
         x.paused = paused;
@@ -188,7 +189,7 @@
         }
     }
 
-    fn refused(&mut self, sent: Sent, error: Vec<u8>) {
+    fn refused(&mut self, sent: ExecutionId, error: Vec<u8>) {
         self.executions.remove(&sent);
         self.events.push(Event::Refused { sent, error });
     }
--- a/crates/front/src/postgres/servers/send.rs
+++ b/crates/front/src/postgres/servers/send.rs
@@ -8,15 +8,16 @@
 use hallmux_postgres::pool::{self, Step};
 use hallmux_postgres::session::Part;
 
-use super::{Event, Execution, Sent, Server, ServerId, Servers, Stage, Unit};
+use super::{Event, Execution, Server, ServerId, Servers, Stage, Unit};
 use crate::events::SocketKind;
+use crate::execution::ExecutionId;
 use crate::link::Link;
 
 const MOST_UNSENT: usize = 4 << 20; // bytes that an engine may leave untaken: some units of the largest size
 
 impl Servers {
     /// Sends a unit over the connection that holds its transaction, else over one that its pool gives.
-    pub fn send(&mut self, now: Micros, sent: Sent, place: Place, unit: Unit) {
+    pub fn send(&mut self, now: Micros, sent: ExecutionId, place: Place, unit: Unit) {
         if !self.engines.get(&place).is_some_and(|e| e.up) {
             return self.events.push(Event::Ended { sent, ending: Ending::Withdrawn });
         }
@@ -51,7 +52,7 @@
     }
 
     /// Does what the pools have decided, and what follows from that.
-    pub(super) fn step(&mut self, now: Micros, place: Place, step: Option<Step<Sent>>) {
+    pub(super) fn step(&mut self, now: Micros, place: Place, step: Option<Step<ExecutionId>>) {
         let mut step = step;
         while let Some(next) = step.take() {
             match next {
@@ -69,7 +70,7 @@
                         }
                     }
                     if let Err(ending) = self.dial(now, place, account) {
-                        let waited: Vec<Sent> = self.waiting(place, account);
+                        let waited: Vec<ExecutionId> = self.waiting(place, account);
                         for sent in waited {
                             self.pools.withdraw(place, sent);
                             self.report_end(sent, ending);
@@ -82,11 +83,12 @@
         }
     }
 
-    fn waiting(&self, place: Place, account: pool::Account) -> Vec<Sent> {
+    fn waiting(&self, place: Place, account: pool::Account) -> Vec<ExecutionId> {
         let waits = |x: &Execution| {
             x.place == place && x.link.is_none() && x.unit.pin.is_none() && x.unit.account == account
         };
-        let mut all: Vec<Sent> = self.executions.iter().filter(|(_, x)| waits(x)).map(|(s, _)| *s).collect();
+        let mut all: Vec<ExecutionId> =
+            self.executions.iter().filter(|(_, x)| waits(x)).map(|(s, _)| *s).collect();
         all.sort_unstable();
         all
     }
@@ -124,7 +126,7 @@
     }
 
     /// Puts a unit on its way.
-    pub(super) fn start(&mut self, sent: Sent, id: ServerId) {
+    pub(super) fn start(&mut self, sent: ExecutionId, id: ServerId) {
         let (Some(x), Some(link)) = (self.executions.get_mut(&sent), self.links.get_mut(&id)) else { return };
         link.serves = Some(sent);
         (x.link, x.stage) = (Some(id), Stage::Writing);
@@ -137,7 +139,7 @@
     }
 
     /// More of a unit that is out has come.
-    pub fn more(&mut self, sent: Sent, part: Rc<Part>) {
+    pub fn more(&mut self, sent: ExecutionId, part: Rc<Part>) {
         let Some(x) = self.executions.get_mut(&sent) else { return };
         x.unit.parts.push(part.clone());
         let Some(id) = x.link else { return };
--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -14,7 +14,8 @@
 use hallmux_postgres::prepared::Catalogue;
 use hallmux_postgres::session::{Bounds, Part, Session};
 
-use super::servers::{Sent, ServerId, SessionId};
+use super::servers::{ServerId, SessionId};
+use crate::execution::ExecutionId;
 use crate::link::Link;
 
 const MOST_ARRIVALS: usize = 32; // times kept of when input came; beyond them the earlier one holds
@@ -45,7 +46,7 @@
     /// Some of its answer has gone on; `cut` if that stops within a message.
     pub begun: bool,
     cut: bool,
-    pub sent: Option<Sent>,
+    pub sent: Option<ExecutionId>,
     pub key: Option<String>,
 }
 
@@ -238,7 +239,7 @@
     }
 
     /// Sends what is to leave; says which executions' clients have caught up.
-    pub fn flush(&mut self) -> Vec<Sent> {
+    pub fn flush(&mut self) -> Vec<ExecutionId> {
         let mut caught_up = Vec::new();
         for id in std::mem::take(&mut self.changed) {
             let Some(connection) = self.connections.get_mut(&id) else { continue };
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -12,7 +12,8 @@
 use hallmux_scatter::marks::{key, numbered, Touched};
 use hallmux_scatter::sql;
 
-use crate::engines::Sent;
+use crate::execution::ExecutionId;
+use crate::fleet::rules::Ordered;
 
 /// The highest byte of the numbers of this part's asks: others of one front have others.
 pub const ASK_NUMBERS: u64 = 3 << 56;
@@ -55,13 +56,13 @@
 
 pub struct Loads {
     marker: Marker,
-    held: HashMap<Sent, Held>,
+    held: HashMap<ExecutionId, Held>,
     /// Workloads whose statements may write.
     writes: Vec<String>,
     locations: Vec<String>,
     last_report: Micros,
     /// Those that can't be marked, to be turned away.
-    unmarked: Vec<Sent>,
+    unmarked: Vec<ExecutionId>,
 }
 
 /// The form in which a load is sent.
@@ -75,12 +76,12 @@
 pub enum LoadOutcome {
     /// It leaves, as it is to be sent.
     Send {
-        sent: Sent,
+        sent: ExecutionId,
         place: usize,
         terms: Terms,
         outgoing: Outgoing,
     },
-    TurnAway(Sent),
+    TurnAway(ExecutionId),
     Other(Follows),
 }
 
@@ -97,13 +98,9 @@
     }
 
     /// Holds an execution of what may write to groups of tables until it is marked. False: it needs no mark.
-    pub fn hold(
-        &mut self,
-        now: Micros,
-        dispatcher: &mut Dispatcher,
-        (sent, place, terms): (Sent, usize, Terms),
-        load: Load,
-    ) -> bool {
+    pub fn hold(&mut self, now: Micros, dispatcher: &mut Dispatcher, ordered: &Ordered, load: Load) -> bool {
+        let Ordered { place, terms, .. } = *ordered;
+        let sent = ordered.id();
         if matches!(&load, Load::Call(call) if !self.writes.contains(&call.workload)) {
             return false;
         }
@@ -111,7 +108,7 @@
         if groups.len() > MOST_GROUPS {
             // Not all could be marked.
             self.unmarked.push(sent);
-            dispatcher.waits(now, sent.0, sent.1);
+            dispatcher.waits(now, sent.ticket, sent.number);
             return true;
         }
         if groups.is_empty() || load.text().is_some_and(|text| sql::read(text).is_ok()) {
@@ -127,15 +124,15 @@
         }
         let Some(site) = self.locations.get(dispatcher.site(place).location) else { return false };
         let ends_ms = ((terms.ends + RUN_ON).max(0) / 1000) as u64;
-        self.marker.load((u64::from(sent.0), sent.1), site, ends_ms, touched);
+        self.marker.load((u64::from(sent.ticket), sent.number), site, ends_ms, touched);
         self.held.insert(sent, Held { place, terms, load });
-        dispatcher.waits(now, sent.0, sent.1);
+        dispatcher.waits(now, sent.ticket, sent.number);
         true
     }
 
     /// An execution is given up. True if it was held.
-    pub fn cancel(&mut self, sent: Sent) -> bool {
-        self.marker.stop((u64::from(sent.0), sent.1));
+    pub fn cancel(&mut self, sent: ExecutionId) -> bool {
+        self.marker.stop((u64::from(sent.ticket), sent.number));
         let before = self.unmarked.len();
         self.unmarked.retain(|unmarked| *unmarked != sent);
         self.held.remove(&sent).is_some() || self.unmarked.len() < before
@@ -158,7 +155,7 @@
     pub fn report_held(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
         if self.last_report + REPORT_INTERVAL <= now {
             self.last_report = now;
-            self.held.keys().for_each(|sent| dispatcher.waits(now, sent.0, sent.1));
+            self.held.keys().for_each(|sent| dispatcher.waits(now, sent.ticket, sent.number));
         }
     }
 
@@ -183,7 +180,7 @@
     }
 
     fn outcome(&mut self, follows: Follows) -> LoadOutcome {
-        let sent = |(ticket, execution): marker::Waiter| (ticket as u32, execution);
+        let sent = |(ticket, number): marker::Waiter| ExecutionId::new(ticket as u32, number);
         match follows {
             Follows::Go { load, numbers } => match self.held.remove(&sent(load)) {
                 Some(Held { place, terms, load: held }) => {
