--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 
 use calloop::LoopHandle;
-use hallmux_codec::coordinator::{self as codec, Events};
+use hallmux_codec::coordinator::{self as codec, Events as EngineListEvents};
 use hallmux_codec::Decoded;
 use hallmux_dispatcher::Micros;
 
-use crate::doors::{Changes, Door};
+use crate::events::{Events, SocketKind};
 use crate::link::Link;
 
 const WAIT_MS: i64 = 1000; // milliseconds a question is left open; silence shows soon after
@@ -15,7 +15,7 @@
 const AGAIN: Micros = 200_000; // microseconds until the next try after one that failed
 
 pub struct Coordinator {
-    handle: LoopHandle<'static, Changes>,
+    handle: LoopHandle<'static, Events>,
     at: Option<SocketAddr>,
     link: Option<Link>,
     number: u64, // of the connection
@@ -27,7 +27,7 @@
 }
 
 impl Coordinator {
-    pub fn new(handle: LoopHandle<'static, Changes>, at: Option<SocketAddr>, follow: u64) -> Self {
+    pub fn new(handle: LoopHandle<'static, Events>, at: Option<SocketAddr>, follow: u64) -> Self {
         Coordinator {
             handle,
             at,
@@ -42,7 +42,7 @@
     }
 
     /// Another address is to be asked from now on, from the last number; the old connection goes.
-    pub fn turn_to(&mut self, now: Micros, at: Option<SocketAddr>) {
+    pub fn set_address(&mut self, now: Micros, at: Option<SocketAddr>) {
         if self.at != at {
             (self.at, self.link, self.failing, self.due) = (at, None, false, now);
         }
@@ -63,7 +63,7 @@
             return self.failed(now, "silent");
         }
         self.number += 1;
-        match Link::dial(at, &self.handle, Door::Coordinator.party(self.number)) {
+        match Link::dial(at, &self.handle, SocketKind::Coordinator.id(self.number)) {
             Ok(link) => {
                 (self.link, self.asked) = (Some(link), None);
                 self.due = now + SILENCE;
@@ -90,7 +90,7 @@
     }
 
     /// The connection has changed; what it brought, if anything.
-    pub fn read(&mut self, now: Micros, number: u64) -> Option<Events> {
+    pub fn read(&mut self, now: Micros, number: u64) -> Option<EngineListEvents> {
         let link = self.link.as_mut().filter(|_| number == self.number)?;
         if self.asked.is_none() {
             match link.is_up() {
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -1,68 +1,68 @@
-//! What one front does in a turn: it takes in all that is there, decides once, and sends what follows.
+//! What one front does in an iteration: it takes in all that is there, decides once, and sends what follows.
 
-mod asked;
-mod listed;
-mod orders;
-mod rooms;
-mod scattered;
+mod admission;
+mod dial_capacity;
+mod dispatch;
+mod engine_list;
+mod scatter;
 
 use std::net::TcpListener;
 use std::time::Duration;
 
 use calloop::LoopHandle;
 use hallmux_agreement::{NodeConfig, NodeLimits, Settings};
-use hallmux_codec::coordinator::Events;
+use hallmux_codec::coordinator::Events as EngineListEvents;
 use hallmux_dispatcher::{Dispatcher, Micros, Rooms};
 
 use crate::clients::Clients;
 use crate::clock::Clock;
 use crate::coordinator::Coordinator;
-use crate::doors::{Changes, Door, Party};
 use crate::engines::Engines;
-use crate::entrance::Entrance;
+use crate::events::{Events, SocketId, SocketKind};
 use crate::fleet::rules::{self, Shared};
 use crate::fleet::{Guard, Peers};
 use crate::link::Link;
-use crate::postgres::portal::Portal;
-use crate::scatter::Scatters;
-use crate::shutdown::{Keeps, Shutdown};
-use crate::start::Fault;
+use crate::listener::Listener;
+use crate::postgres::gateway::Gateway;
+use crate::scatter::ScatteredStatements;
+use crate::shutdown::{LedgerDuty, Shutdown};
+use crate::start_error::StartError;
 
-pub use rooms::Pacer;
+pub use dial_capacity::Pacer;
 
-const ROUNDS: usize = 8; // decisions in a turn: what the first one stops is told to the next at once
+const MOST_DECISIONS: usize = 8; // decisions in an iteration: an execution that the first one stops is known to the next at once
 const MEMORY_PART: u64 = 4; // statements held may take one part of so many, untaken answers another
 const CLIENTS_PART: usize = 2; // of the descriptors; clients hold a third, the rest is for engines
 
 pub struct Front {
-    handle: LoopHandle<'static, Changes>,
-    entrance: Entrance,
+    handle: LoopHandle<'static, Events>,
+    listener: Listener,
     dispatcher: Dispatcher,
     answer_slack: Micros,
-    most_held: usize,
-    most_bytes: usize,
-    most_clients: usize,
-    full: bool,
+    max_statements: usize,
+    max_bytes: usize,
+    max_clients: usize,
+    memory_full: bool,
     clients: Clients,
     engines: Engines,
     coordinator: Coordinator,
     /// PostgreSQL sessions, where the operator's file switches them on.
-    portal: Option<Portal>,
-    /// Words with other fronts, likewise.
+    gateway: Option<Gateway>,
+    /// Messages with other fronts, likewise.
     peers: Option<Peers>,
     /// Regional access rules of customers, likewise.
     rules: Option<Shared>,
-    /// Where fronts keep promises: what waits for them.
+    /// Executions that wait for the ledger, where fronts keep one.
     guard: Option<Guard>,
     /// Statements that are asked of several sites, likewise.
-    scatter: Option<Scatters>,
-    /// What the module knows of connections that are there.
+    scatter: Option<ScatteredStatements>,
+    /// What was reported to the dispatcher of how many executions can leave for each engine.
     rooms: Rooms,
     shutdown: Shutdown,
     clock: Clock,
-    /// Connections with more to read than one turn takes.
-    unfinished: Vec<Party>,
-    /// What was decided has not left for engines yet: the connections are looked at first.
+    /// Connections with more to read than one iteration takes.
+    unfinished: Vec<SocketId>,
+    /// What was decided has not left for engines yet: the connections are read first.
     stale: bool,
 }
 
@@ -74,40 +74,41 @@
 impl Front {
     pub fn new(
         station: &NodeConfig,
-        known: &Events,
+        known: &EngineListEvents,
         listener: TcpListener,
-        handle: LoopHandle<'static, Changes>,
-    ) -> Result<Front, Fault> {
+        handle: LoopHandle<'static, Events>,
+    ) -> Result<Front, StartError> {
         let contract = &station.settings;
-        let portal = station.operator.postgres.as_ref();
-        let part = |why: std::io::Error| Fault::part(&why);
+        let gateway = station.operator.postgres.as_ref();
+        let part = |why: std::io::Error| StartError::part(&why);
         let clock = Clock::new(station.operator.clock_ahead, station.clock_file.as_deref());
         let mut clock = clock.map_err(part)?;
-        clock.look();
+        clock.refresh();
         let gossip = station.operator.gossip.as_ref();
         let peers = gossip.map(|gossip| Peers::new(gossip, clock.now, &handle)).transpose()?;
         let rules = rules::start(station, clock.now, peers.as_ref())?;
-        let open = |postgres| Portal::new(postgres, contract, handle.clone(), rules.clone());
-        let mut portal = portal.map(open).transpose().map_err(part)?;
-        let turn = peers.as_ref().map_or(0, Peers::turn);
+        let open = |postgres| Gateway::new(postgres, contract, handle.clone(), rules.clone());
+        let mut gateway = gateway.map(open).transpose().map_err(part)?;
+        let spread_offset = peers.as_ref().map_or(0, Peers::spread_offset);
         let scatter = station.operator.scatter.as_ref();
-        if let Some((portal, scatter)) = portal.as_mut().zip(scatter.filter(|scatter| scatter.marked)) {
-            portal.writes = scatter.writes.clone();
+        if let Some((gateway, scatter)) = gateway.as_mut().zip(scatter.filter(|scatter| scatter.marked)) {
+            gateway.writes = scatter.writes.clone();
         }
-        let scatter = scatter.map(|scatter| Scatters::new(scatter, clock.now, turn, contract));
+        let scatter =
+            scatter.map(|scatter| ScatteredStatements::new(scatter, clock.now, spread_offset, contract));
         let scatter = scatter.transpose().map_err(part)?;
         let mut front = Front {
-            entrance: Entrance::new(listener, &handle, Door::Listener.party(0)).map_err(part)?,
+            listener: Listener::new(listener, &handle, SocketKind::Listener.id(0)).map_err(part)?,
             dispatcher: Dispatcher::new(contract, station.seed),
             answer_slack: contract.network.answer_slack,
-            most_held: contract.network.most_held,
-            most_bytes: 0,
-            most_clients: 0,
-            full: false,
+            max_statements: contract.network.most_held,
+            max_bytes: 0,
+            max_clients: 0,
+            memory_full: false,
             clients: Clients::new(contract.agreement.longest_retry_after, longest_timeout(contract)),
             engines: Engines::new(handle.clone(), contract.network.clone(), &contract.names),
             coordinator: Coordinator::new(handle.clone(), station.coordinator, known.index),
-            portal,
+            gateway,
             peers,
             rules,
             guard: None,
@@ -119,30 +120,30 @@
             stale: false,
             handle,
         };
-        front.engines.dials = rooms::pacer(station, front.clock.now);
-        if let Some(portal) = &mut front.portal {
-            portal.servers().dials = front.engines.dials.clone();
+        front.engines.dials = dial_capacity::pacer(station, front.clock.now);
+        if let Some(gateway) = &mut front.gateway {
+            gateway.servers().dials = front.engines.dials.clone();
         }
         if let Some(ledger) = station.operator.gossip.as_ref().and_then(|gossip| gossip.ledger.as_ref()) {
             let now = front.clock.now;
             front.guard = Some(Guard::new(contract, now, ledger.shards, &mut front.dispatcher));
         }
         front.limit(&station.limits);
-        front.follow(known, 0);
+        front.apply_list(known, 0);
         Ok(front)
     }
 
     /// How long nothing is due.
     pub fn idle(&mut self) -> Duration {
-        self.clock.look();
+        self.clock.refresh();
         let due = [
             if self.unfinished.is_empty() && !self.stale { Micros::MAX } else { 0 },
             self.dispatcher.wake(),
             self.engines.due(),
             self.coordinator.due(),
-            self.entrance.due(),
+            self.listener.due(),
             self.shutdown.due(self.clock.now),
-            self.portal.as_ref().map_or(Micros::MAX, Portal::due),
+            self.gateway.as_ref().map_or(Micros::MAX, Gateway::due),
             self.peers.as_ref().map_or(Micros::MAX, |peers| peers.due(self.clock.now)),
             self.guard.as_ref().map_or(Micros::MAX, Guard::due),
             self.rules.as_ref().map_or(Micros::MAX, |rules| rules.borrow().due(self.clock.now)),
@@ -152,148 +153,169 @@
     }
 
     /// A connection has changed: takes what is there.
-    pub fn ready(&mut self, party: Party) {
-        self.clock.look();
-        self.clock.woke();
-        let number = party.number;
-        let more = match party.door {
+    pub fn ready(&mut self, socket: SocketId) {
+        self.clock.refresh();
+        self.clock.wake();
+        let number = socket.number;
+        let more = match socket.kind {
             // Statements of one order key run in the order in which they were taken: each is taken as it is found.
-            Door::Listener => {
-                self.entrance.knocked();
+            SocketKind::Listener => {
+                self.listener.readable();
                 self.accept();
                 false
             }
-            Door::Client => self.read_client(number),
-            Door::Engine => self.engines.read(self.clock.now, number),
-            Door::Coordinator => {
+            SocketKind::Client => self.read_client(number),
+            SocketKind::Engine => self.engines.read(self.clock.now, number),
+            SocketKind::Coordinator => {
                 let before = self.coordinator.follow;
                 if let Some(stream) = self.coordinator.read(self.clock.now, number) {
-                    self.follow(&stream, before);
+                    self.apply_list(&stream, before);
                 }
                 false
             }
-            Door::Peers => self.peers.as_mut().is_some_and(|peers| peers.read(self.clock.now)),
-            Door::SessionListener | Door::Session | Door::Server | Door::Cancel => {
+            SocketKind::Peers => self.peers.as_mut().is_some_and(|peers| peers.read(self.clock.now)),
+            SocketKind::SessionListener | SocketKind::Session | SocketKind::Server | SocketKind::Cancel => {
                 let (now, room) = (self.clock.now, self.room());
-                let portal = self.portal.as_mut();
-                portal.is_some_and(|portal| portal.found(now, party, room, &mut self.dispatcher))
+                let gateway = self.gateway.as_mut();
+                gateway.is_some_and(|gateway| gateway.socket_ready(now, socket, room, &mut self.dispatcher))
             }
         };
         if more {
-            self.unfinished.push(party);
+            self.unfinished.push(socket);
         }
     }
 
-    /// Decides on all that was taken in, and sends what follows.
-    pub fn turn(&mut self) {
-        self.clock.look();
-        self.clock.woke();
-        for party in std::mem::take(&mut self.unfinished) {
-            self.ready(party);
+    /// One iteration of the event loop, after `ready` was called for each socket that it reported: reads what is left,
+    /// decides on all that was read, and sends what follows.
+    pub fn iterate(&mut self) {
+        self.read_rest();
+        self.decide();
+        self.answer_clients();
+        self.close_if_due();
+        for client in self.clients.readable_again() {
+            self.unfinished.push(SocketKind::Client.id(client));
+        }
+    }
+
+    /// Accepts and reads what the last iteration left, and does what is due without the dispatcher's decisions.
+    fn read_rest(&mut self) {
+        self.clock.refresh();
+        self.clock.wake();
+        for socket in std::mem::take(&mut self.unfinished) {
+            self.ready(socket);
         }
         self.accept();
         let room = self.room();
-        if let Some(portal) = &mut self.portal {
-            let room_left = self.most_clients.saturating_sub(self.clients.len() + portal.len());
-            portal.accept(self.clock.now, room_left);
-            portal.take(self.clock.now, room, &mut self.dispatcher);
-            portal.expire(self.clock.now, room, &mut self.dispatcher);
+        if let Some(gateway) = &mut self.gateway {
+            let room_left = self.max_clients.saturating_sub(self.clients.len() + gateway.len());
+            gateway.accept(self.clock.now, room_left);
+            gateway.take(self.clock.now, room, &mut self.dispatcher);
+            gateway.expire(self.clock.now, room, &mut self.dispatcher);
         }
-        let mut told = Vec::new();
-        self.clients.expire(self.clock.now, &mut told);
-        self.take(told);
+        let mut events = Vec::new();
+        self.clients.expire(self.clock.now, &mut events);
+        self.handle_client_events(events);
         if let Some(peers) = &mut self.peers {
             peers.tick(self.clock.now, &mut self.dispatcher);
         }
-        self.tick_scatters();
+        self.tick_scatter();
         self.engines.expire(self.clock.now);
         self.coordinator.expire(self.clock.now);
-        self.clock.look();
-        self.clock.decides();
-        self.rule();
-        self.flush_after_look();
-        for _ in 0..ROUNDS {
-            self.heard();
-            self.guarded();
-            self.marked();
-            self.tell_rooms();
+    }
+
+    /// Lets the dispatcher decide on all that was read, and carries its orders out until none is left.
+    fn decide(&mut self) {
+        self.clock.refresh();
+        self.clock.decide();
+        self.apply_rulings();
+        self.flush_after_read();
+        for _ in 0..MOST_DECISIONS {
+            self.handle_engine_events();
+            self.apply_promises();
+            self.apply_marks();
+            self.report_dial_capacity();
             let orders = self.dispatcher.tick(self.clock.now);
             if orders.is_empty() {
                 break;
             }
             for order in orders {
-                self.obey(order);
+                self.carry_out(order);
             }
-            self.rule();
+            self.apply_rulings();
             // Stops go out before what they make room for.
             self.flush_engines();
         }
         self.flush_engines();
-        self.heard();
+        self.handle_engine_events();
+    }
+
+    /// Sends answers to clients, and questions to the coordinator.
+    fn answer_clients(&mut self) {
         let room = self.room();
-        if let Some(portal) = &mut self.portal {
-            portal.flush(self.clock.now, room, self.most_bytes, &mut self.dispatcher);
+        if let Some(gateway) = &mut self.gateway {
+            gateway.flush(self.clock.now, room, self.max_bytes, &mut self.dispatcher);
         }
         self.coordinator.flush(self.clock.now);
-        let mut told = Vec::new();
-        self.answer_scatters();
-        self.clients.flush(self.clock.now, &mut told);
-        if let (untaken, Some(client)) = self.clients.untaken() {
-            if untaken > self.most_bytes {
+        let mut events = Vec::new();
+        self.answer_scattered();
+        self.clients.flush(self.clock.now, &mut events);
+        if let (untaken, Some(client)) = self.clients.unsent() {
+            if untaken > self.max_bytes {
                 log::warn!(
                     "client {client}: takes no answers, {untaken} bytes wait; its connection is closed"
                 );
-                self.clients.end(client, &mut told);
+                self.clients.disconnect(client, &mut events);
             }
         }
-        self.take(told);
-        let peers = self.peers.as_ref().filter(|_| self.shutdown.asked());
-        let keeps = peers.map_or(Keeps::Nothing, |peers| peers.keeps(self.clock.now));
-        if self.shutdown.closes(self.clock.now, keeps) {
-            // Whoever has connected by now is heard: closing the listener resets what waits there.
+        self.handle_client_events(events);
+    }
+
+    /// Closes the listeners and what is idle, once the planned end has come so far.
+    fn close_if_due(&mut self) {
+        let peers = self.peers.as_ref().filter(|_| self.shutdown.is_requested());
+        let duty = peers.map_or(LedgerDuty::None, |peers| peers.ledger_duty(self.clock.now));
+        if self.shutdown.closes(self.clock.now, duty) {
+            // Whoever has connected by now is served: closing the listener resets what waits there.
             self.accept();
-            if self.entrance.close() {
+            if self.listener.close() {
                 log::info!("no more connections are taken; {} clients are connected", self.clients.len());
             }
             self.clients.close_idle(self.clock.now);
             let room = self.room();
-            if let Some(portal) = &mut self.portal {
-                portal.close(self.clock.now, room, &mut self.dispatcher);
+            if let Some(gateway) = &mut self.gateway {
+                gateway.close(self.clock.now, room, &mut self.dispatcher);
             }
         }
-        for client in self.clients.ready_again() {
-            self.unfinished.push(Door::Client.party(client));
-        }
     }
 
     /// Sends to engines what was decided. Guards against a front that stood still or worked for long since it last
-    /// looked at its connections: a client may have left meanwhile, or a drain been told. Then it looks first, and
-    /// sends in the next turn.
+    /// read its connections: a client may have left meanwhile, or a drain been listed. Then it reads first, and
+    /// sends in the next iteration.
     fn flush_engines(&mut self) {
-        self.clock.look();
+        self.clock.refresh();
         self.stale = self.clock.is_stale();
         if !self.stale {
             self.send_out();
         }
     }
 
-    /// The connections were looked at just now: what was kept for that leaves.
-    fn flush_after_look(&mut self) {
+    /// The connections were read just now: what was held back for that leaves.
+    fn flush_after_read(&mut self) {
         if std::mem::take(&mut self.stale) {
-            self.clock.look();
+            self.clock.refresh();
             self.send_out();
         }
     }
 
     fn send_out(&mut self) {
         self.engines.flush(self.clock.now);
-        self.portal.iter_mut().for_each(|portal| portal.flush_servers(self.clock.now));
+        self.gateway.iter_mut().for_each(|gateway| gateway.flush_servers(self.clock.now));
     }
 
     /// The end was asked for.
-    pub fn end(&mut self) {
-        self.clock.look();
-        self.shutdown.ask(self.clock.now);
+    pub fn shut_down(&mut self) {
+        self.clock.refresh();
+        self.shutdown.request(self.clock.now);
         self.peers.iter_mut().for_each(|peers| peers.leave(self.clock.now));
         self.scatter.iter().for_each(|scatter| scatter.summaries.save());
     }
@@ -301,7 +323,7 @@
     /// The configuration was read again: what may change while a front runs holds from now on. One that
     /// can't be used changes nothing.
     pub fn reload(&mut self, read: Result<NodeConfig, hallmux_agreement::Error>) {
-        self.clock.look();
+        self.clock.refresh();
         match read {
             Ok(station) => {
                 self.limit(&station.limits);
@@ -316,8 +338,8 @@
                 {
                     scatter.reload(settings, self.clock.now);
                 }
-                self.follow_known(&station.known_events);
-                self.coordinator.turn_to(self.clock.now, station.coordinator);
+                self.apply_known_list(&station.known_events);
+                self.coordinator.set_address(self.clock.now, station.coordinator);
                 let at = station.coordinator.map_or("none".to_string(), |at| at.to_string());
                 log::info!("the configuration was read again; coordinator: {at}");
             }
@@ -326,12 +348,12 @@
     }
 
     fn limit(&mut self, limits: &NodeLimits) {
-        self.most_bytes = (limits.memory_bytes / MEMORY_PART) as usize;
-        self.most_clients = limits.sockets / CLIENTS_PART;
-        let engines = limits.sockets - self.most_clients;
-        match &mut self.portal {
-            Some(portal) => {
-                portal.limit(engines / 2);
+        self.max_bytes = (limits.memory_bytes / MEMORY_PART) as usize;
+        self.max_clients = limits.sockets / CLIENTS_PART;
+        let engines = limits.sockets - self.max_clients;
+        match &mut self.gateway {
+            Some(gateway) => {
+                gateway.limit(engines / 2);
                 self.engines.limit(engines - engines / 2);
             }
             None => self.engines.limit(engines),
@@ -340,31 +362,31 @@
 
     /// Whether all is answered after the end was asked for.
     pub fn is_done(&self) -> bool {
-        !self.entrance.is_open()
+        !self.listener.is_open()
             && self.clients.len() == 0
-            && self.portal.as_ref().is_none_or(|portal| portal.len() == 0)
-            // What it holds for others is freed first.
+            && self.gateway.as_ref().is_none_or(|gateway| gateway.len() == 0)
+            // What it holds of the ledger is freed first.
             && self.guard.as_ref().is_none_or(Guard::is_idle)
     }
 
     fn accept(&mut self) {
         let now = self.clock.now;
         loop {
-            let (clients, portal, most) = (&mut self.clients, &mut self.portal, self.most_clients);
-            let room = || {
-                let sessions = portal.as_ref().map_or(0, Portal::len);
-                let room = clients.len() + sessions < most
-                    || clients.make_room()
-                    || portal.as_mut().is_some_and(|portal| portal.make_room(now));
-                room.then_some(())
+            let (clients, gateway, most) = (&mut self.clients, &mut self.gateway, self.max_clients);
+            let reserve = || {
+                let sessions = gateway.as_ref().map_or(0, Gateway::len);
+                let free = clients.len() + sessions < most
+                    || clients.evict_idle()
+                    || gateway.as_mut().is_some_and(|gateway| gateway.evict_idle(now));
+                free.then_some(())
                     .ok_or_else(|| format!("{} clients are connected", clients.len() + sessions))
             };
-            let Some(stream) = self.entrance.next(now, room) else { return };
+            let Some(stream) = self.listener.accept(now, reserve) else { return };
             let id = self.clients.next_id();
-            match Link::new(stream, &self.handle, Door::Client.party(id)) {
+            match Link::new(stream, &self.handle, SocketKind::Client.id(id)) {
                 Ok(link) => {
                     self.clients.accept(now, id, link);
-                    self.ready(Door::Client.party(id));
+                    self.ready(SocketKind::Client.id(id));
                 }
                 Err(e) => log::warn!("a client's connection can't be served: {e}"),
             }
--- a/crates/front/src/front/listed.rs
+++ b/crates/front/src/front/engine_list.rs
@@ -1,50 +1,50 @@
-//! The engine list as the coordinator tells it.
+//! The engine list: updates of the coordinator go to the dispatcher and to the connections.
 
 use std::net::SocketAddr;
 
-use hallmux_codec::coordinator::{Engine, EngineState, Events};
+use hallmux_codec::coordinator::{Engine, EngineState, Events as EngineListEvents};
 use hallmux_dispatcher::{Listing, Micros, Mode as EngineMode, Speech};
 
 use super::Front;
 
 impl Front {
-    /// Takes in what a new configuration knows of the coordinator's events: a drain that it tells counts as told,
-    /// whether the coordinator that it names answers or not.
-    pub(super) fn follow_known(&mut self, known: &str) {
+    /// Takes in what a new configuration knows of the coordinator's events: a drain among them counts,
+    /// whether the coordinator that the configuration names answers or not.
+    pub(super) fn apply_known_list(&mut self, known: &str) {
         match hallmux_codec::coordinator::events(known.as_bytes()) {
             Ok(known) => {
                 let before = self.coordinator.follow;
                 self.coordinator.follow = before.max(known.index);
-                self.follow(&known, before);
+                self.apply_list(&known, before);
             }
             Err(what) => log::error!("NODE_CONFIG: known: {what}; the engine list is left as it was"),
         }
     }
 
     /// Takes in the coordinator's events that come after the one given.
-    pub(super) fn follow(&mut self, stream: &Events, after: u64) {
+    pub(super) fn apply_list(&mut self, stream: &EngineListEvents, after: u64) {
         for update in stream.updates.iter().filter(|u| u.index > after) {
             let Some(list) = &update.list else { continue };
-            let portal = self.portal.as_ref();
-            let speaks = |e: &Engine| portal.and_then(|portal| portal.port(&e.kind));
+            let gateway = self.gateway.as_ref();
+            let speaks = |e: &Engine| gateway.and_then(|gateway| gateway.port(&e.kind));
             let listings: Vec<Listing> = list.engines.iter().map(|e| listing(e, speaks(e))).collect();
             let places = self.dispatcher.list(list.is_full, &listings);
             if list.is_full {
-                self.engines.retire_but(&places);
-                self.portal.iter_mut().for_each(|portal| portal.servers().retire_but(&places));
+                self.engines.retire_others(&places);
+                self.gateway.iter_mut().for_each(|gateway| gateway.servers().retire_others(&places));
             }
             for (engine, place) in list.engines.iter().zip(places) {
                 let Engine { id, address, kind, state, .. } = engine;
                 log::info!("engine {id}: {state:?} at {address} ({kind})");
-                let sessions = self.portal.as_ref().and_then(|portal| portal.port(kind));
+                let sessions = self.gateway.as_ref().and_then(|gateway| gateway.port(kind));
                 let up = *state == EngineState::Up;
-                if let Some((portal, port)) = self.portal.as_mut().zip(sessions) {
+                if let Some((gateway, port)) = self.gateway.as_mut().zip(sessions) {
                     match address.parse::<SocketAddr>() {
                         Ok(mut at) => {
                             at.set_port(port.unwrap_or(at.port()));
-                            portal.servers().list(place, id, at, engine.started_ms, up);
+                            gateway.servers().list(place, id, at, engine.started_ms, up);
                         }
-                        Err(_) => portal.servers().retire(place),
+                        Err(_) => gateway.servers().retire(place),
                     }
                 }
                 if sessions == Some(None) {
--- a/crates/front/src/front/scattered.rs
+++ b/crates/front/src/front/scatter.rs
@@ -1,4 +1,4 @@
-//! Statements that are asked of several sites: taken, their parts passed on, their one answer given.
+//! Statements over several sites (scatter and gather): admitted, their parts dispatched, their one answer given.
 
 use std::rc::Rc;
 
@@ -11,13 +11,14 @@
 
 use super::Front;
 use crate::clients::ClientId;
+use crate::execution::ExecutionId;
 use crate::fleet::rules::Ordered;
-use crate::scatter::{Leaves, Said, Scatters, Word, NUMBERS};
+use crate::scatter::{FinalReply, LoadOutcome, Outgoing, ScatteredStatements, ASK_NUMBERS};
 
 impl Front {
     /// Takes a statement of a workload that is scattered, where parts can make up its answer. Gives it back with the one
     /// location it may be sent to where they can't.
-    pub(super) fn scatters(
+    pub(super) fn scatter(
         &mut self,
         client: ClientId,
         number: i32,
@@ -26,18 +27,19 @@
         allowed: Option<Vec<String>>,
         judged: &Judged,
     ) -> Option<(Call, Option<String>)> {
-        let Some(scatter) = self.scatter.as_mut().filter(|scatter| scatter.takes(&call.workload)) else {
+        let Some(scatter) = self.scatter.as_mut().filter(|scatter| scatter.is_scattered(&call.workload))
+        else {
             return Some((call, None));
         };
         match scatter.read(&call) {
             Ok(Some(query)) => {
                 let ticket = self.dispatcher.number();
                 let ends = self.clock.now + time_left;
-                self.clients.opened(client, number, ticket, call);
+                self.clients.open(client, number, ticket, call);
                 let call: Rc<Call> = self.clients.call(ticket)?;
                 let whole = (call, query, ends);
                 if let Some(rules) = &self.rules {
-                    rules.borrow_mut().picked(&mut self.dispatcher, judged, Some(ticket));
+                    rules.borrow_mut().statement_picked(&mut self.dispatcher, judged, Some(ticket));
                 }
                 scatter.begin(self.clock.now, ticket, whole, allowed, &mut self.dispatcher);
                 None
@@ -48,9 +50,9 @@
             }
             Err(why) => {
                 log::debug!("client {client}: statement {} of several sites: {why}", call.id);
-                self.clients.say(client, number, &Reply::Refused(&[("reason", &why)]));
+                self.clients.reply(client, number, &Reply::Refused(&[("reason", &why)]));
                 if let Some(rules) = &self.rules {
-                    rules.borrow_mut().picked(&mut self.dispatcher, judged, None);
+                    rules.borrow_mut().statement_picked(&mut self.dispatcher, judged, None);
                 }
                 None
             }
@@ -58,95 +60,102 @@
     }
 
     /// A part is answered; false if the statement is none.
-    pub(super) fn part_ended(&mut self, part: Ticket, ended: Result<&[u8], Failed>) -> bool {
+    pub(super) fn end_part(&mut self, part: Ticket, ended: Result<&[u8], Failed>) -> bool {
         let now = self.clock.now;
         let Some(scatter) = self.scatter.as_mut().filter(|scatter| scatter.owns(part)) else { return false };
         scatter.ended(now, part, ended.map(<[u8]>::to_vec), &mut self.dispatcher);
         true
     }
 
-    /// Does what is due of scatters: letters, marks, and the answers there are.
-    pub(super) fn tick_scatters(&mut self) {
+    /// Does what is due of scatters: messages to other fronts, marks on loads, and the answers there are.
+    pub(super) fn tick_scatter(&mut self) {
         let now = self.clock.now;
         let Some(scatter) = &mut self.scatter else { return };
         scatter.summaries.choose(now);
-        scatter.hurry(now, &mut self.dispatcher);
+        scatter.finish_audits(now, &mut self.dispatcher);
         if let Some(peers) = &mut self.peers {
-            let mut letters = scatter.tick(now, &peers.others());
-            for (from, bytes) in peers.letters(Channel::Summaries) {
-                letters.extend(scatter.summaries.heard(now, from, &bytes));
+            let mut messages = scatter.tick(now, &peers.others());
+            for (from, bytes) in peers.take_messages(Channel::Summaries) {
+                messages.extend(scatter.summaries.receive(now, from, &bytes));
             }
-            letters.iter().for_each(|(to, bytes)| peers.post(now, *to, Channel::Summaries, bytes));
+            messages.iter().for_each(|(to, bytes)| peers.send_message(now, *to, Channel::Summaries, bytes));
         }
         if let Some(loads) = &mut scatter.loads {
-            loads.note(now, &mut self.dispatcher);
+            loads.report_held(now, &mut self.dispatcher);
         }
-        self.marked();
-        self.answer_scatters();
+        self.apply_marks();
+        self.answer_scattered();
     }
 
     /// Asks the ledger for marks and takes its answers: loads leave, scatters begin.
-    pub(super) fn marked(&mut self) {
+    pub(super) fn apply_marks(&mut self) {
         loop {
             let now = self.clock.now;
             let Some((scatter, peers)) = self.scatter.as_mut().zip(self.peers.as_mut()) else { return };
             let Some(loads) = &mut scatter.loads else { return };
-            let mut words: Vec<Word> =
-                peers.promised(NUMBERS).into_iter().flat_map(|done| loads.done(done)).collect();
+            let mut outcomes: Vec<LoadOutcome> =
+                peers.promised(ASK_NUMBERS).into_iter().flat_map(|done| loads.done(done)).collect();
             let (asks, more) = loads.asks(now, &scatter.summaries.book);
-            words.extend(more);
-            if words.is_empty() && asks.is_empty() {
+            outcomes.extend(more);
+            if outcomes.is_empty() && asks.is_empty() {
                 return;
             }
             asks.into_iter().for_each(|ask| peers.ask(now, ask));
-            for word in words {
-                match word {
-                    Word::Send { sent: (ticket, execution), place, terms, leaves } => {
+            for outcome in outcomes {
+                match outcome {
+                    LoadOutcome::Send {
+                        sent: ExecutionId { ticket, number: execution },
+                        place,
+                        terms,
+                        outgoing,
+                    } => {
                         self.dispatcher.leaves(now, ticket, execution);
-                        let of = self.judged_as(ticket);
+                        let of = self.statement_for_rules(ticket);
                         if self.may_leave(Ordered { of, ticket, execution, place, terms }) {
-                            let sent = (ticket, execution);
-                            match (leaves, &mut self.portal) {
-                                (Leaves::Call(call), _) => self.engines.send(now, sent, place, call, terms),
-                                (Leaves::Unit(text), Some(portal)) => portal.send(now, sent, place, text),
-                                (Leaves::Unit(_), None) => {}
+                            let sent = ExecutionId::new(ticket, execution);
+                            match (outgoing, &mut self.gateway) {
+                                (Outgoing::Call(call), _) => self.engines.send(now, sent, place, call, terms),
+                                (Outgoing::Unit(text), Some(gateway)) => gateway.send(now, sent, place, text),
+                                (Outgoing::Unit(_), None) => {}
                             }
                         }
                     }
-                    Word::TurnAway((ticket, _)) => {
+                    LoadOutcome::TurnAway(ExecutionId { ticket, .. }) => {
                         let retry_after = self.dispatcher.turn_away(now, ticket);
-                        self.obey(Order::Reject { ticket, retry_after });
+                        self.carry_out(Order::Reject { ticket, retry_after });
                     }
-                    Word::Other(Follows::Marks { group, scatters, marks }) => {
+                    LoadOutcome::Other(Follows::Marks { group, scatters, marks }) => {
                         let waiting: Vec<Ticket> = scatters.iter().map(|ticket| *ticket as Ticket).collect();
                         if let Some(scatter) = &mut self.scatter {
                             scatter.marks(now, (group, &waiting), marks.as_ref(), &mut self.dispatcher);
                         }
                     }
-                    Word::Other(_) => {}
+                    LoadOutcome::Other(_) => {}
                 }
             }
         }
     }
 
-    pub(super) fn answer_scatters(&mut self) {
-        for (ticket, said) in self.scatter.as_mut().map(Scatters::said).unwrap_or_default() {
-            self.rules.iter().for_each(|rules| rules.borrow_mut().gone(ticket));
-            match said {
-                Said::Answer(answer) => self.answer_whole(ticket, &answer),
-                Said::Unfit(unfit) => {
+    pub(super) fn answer_scattered(&mut self) {
+        for (ticket, reply) in
+            self.scatter.as_mut().map(ScatteredStatements::take_replies).unwrap_or_default()
+        {
+            self.rules.iter().for_each(|rules| rules.borrow_mut().statement_over(ticket));
+            match reply {
+                FinalReply::Answer(answer) => self.answer_scattered_statement(ticket, &answer),
+                FinalReply::Unfit(unfit) => {
                     let field = match unfit {
                         Unfit::Customer => statement::CUSTOMER,
                         Unfit::DedupKey => statement::DEDUP_KEY,
                         Unfit::Workload | Unfit::Barred => statement::WORKLOAD,
                     };
-                    self.clients.answer_unfit(ticket, field);
+                    self.clients.answer_taken_unusable(ticket, field);
                 }
             }
         }
     }
 
-    fn answer_whole(&mut self, ticket: Ticket, answer: &Answer) {
+    fn answer_scattered_statement(&mut self, ticket: Ticket, answer: &Answer) {
         let now = self.clock.now;
         match answer {
             Answer::Rows { bytes, missing, barred } if missing.is_empty() && barred.is_empty() => {
