--- a/crates/front/src/front/dispatch.rs
+++ b/crates/front/src/front/dispatch.rs
@@ -191,11 +191,27 @@
         }
     }
 
-    /// An execution that is to be given up waits here: nothing of it has left.
-    fn is_waiting_here(&mut self, now: Micros, ticket: Ticket, execution: usize) -> bool {
-        let (of, sent) = (self.statement_for_rules(ticket), ExecutionId::new(ticket, execution));
+    /// Cancels an execution, wherever it is.
+    fn stop(&mut self, sent: ExecutionId, ending: Ending) {
+        let now = self.clock.now;
+        if self.withdraw_held(now, sent) {
+            // Its session is to know why, though nothing of it has left.
+            self.gateway.iter_mut().for_each(|gateway| gateway.stop(now, sent, ending));
+            self.dispatcher.report(now, sent.ticket, sent.number, Ending::Withdrawn, None, None);
+        } else if self.is_execution_of_session(sent) {
+            self.gateway.iter_mut().for_each(|gateway| gateway.stop(now, sent, ending));
+        } else {
+            self.engines.cancel(now, sent, ending);
+        }
+    }
+
+    /// Lets go of an execution that waits for rules, promises or a mark: nothing of it has left. False if it does not.
+    fn withdraw_held(&mut self, now: Micros, sent: ExecutionId) -> bool {
+        let of = self.statement_for_rules(sent.ticket);
+        let loads = self.scatter.as_mut().and_then(|scatter| scatter.loads.as_mut());
         self.rules.as_ref().is_some_and(|rules| rules.borrow_mut().cancel(of, sent))
             || self.guard.as_mut().is_some_and(|guard| guard.cancel(now, sent))
+            || loads.is_some_and(|loads| loads.cancel(sent))
     }
 
     /// The statement that rules know: of a part the whole.
@@ -220,39 +236,13 @@
                     self.await_promises(ordered);
                 }
             }
-            Order::Stop { ticket, execution, ending } if self.is_waiting_here(now, ticket, execution) => {
-                // Its session is to know why, though nothing of it has left.
-                self.gateway
-                    .iter_mut()
-                    .for_each(|gateway| gateway.stop(now, ExecutionId::new(ticket, execution), ending));
-                self.dispatcher.report(now, ticket, execution, Ending::Withdrawn, None, None);
-            }
-            Order::Stop { ticket, execution, ending }
-                if self
-                    .scatter
-                    .as_mut()
-                    .and_then(|scatter| scatter.loads.as_mut())
-                    .is_some_and(|loads| loads.cancel(ExecutionId::new(ticket, execution))) =>
-            {
-                self.gateway
-                    .iter_mut()
-                    .for_each(|gateway| gateway.stop(now, ExecutionId::new(ticket, execution), ending));
-                self.dispatcher.report(now, ticket, execution, Ending::Withdrawn, None, None);
-            }
-            Order::Stop { ticket, execution, ending }
-                if self.is_execution_of_session(ExecutionId::new(ticket, execution)) =>
-            {
-                self.gateway
-                    .iter_mut()
-                    .for_each(|gateway| gateway.stop(now, ExecutionId::new(ticket, execution), ending));
+            Order::Stop { ticket, execution, ending } => {
+                self.stop(ExecutionId::new(ticket, execution), ending)
             }
             Order::Hurry { ticket, execution, priority } => {
                 self.guard.iter_mut().for_each(|guard| guard.set_priority(ticket, priority));
                 self.engines.set_priority(ExecutionId::new(ticket, execution), priority);
             }
-            Order::Stop { ticket, execution, ending } => {
-                self.engines.cancel(self.clock.now, ExecutionId::new(ticket, execution), ending)
-            }
             Order::Reject { ticket, retry_after }
                 if self.end_part(ticket, Err(Failed::Rejected { retry_after })) => {}
             Order::Abort { ticket } if self.end_part(ticket, Err(Failed::Aborted)) => {}
