--- a/crates/front/src/postgres/sessions/input.rs
+++ b/crates/front/src/postgres/sessions/input.rs
@@ -20,136 +20,12 @@
     /// Takes the units that have come, as far as they can be taken now.
     pub fn advance(&mut self, now: Micros, id: SessionId, users: &Users, servers: &mut Servers) {
         for _ in 0..UNITS_PER_ITERATION {
-            let logging_in =
-                matches!(self.connections.get(&id), Some(p) if matches!(p.stage, Stage::LoggingIn(_)));
-            let mut nonce = String::new();
-            let mut hidden = [0; 8];
-            if logging_in {
-                let (first, second) = (self.secret("nonce", id), self.secret("the rest of it", id));
-                nonce = format!("{first:016x}{second:016x}");
-                hidden = self.chance_bytes();
-            }
             let Some(connection) = self.connections.get_mut(&id) else { return };
             if connection.closing {
                 return;
             }
             let input = std::mem::take(&mut connection.link.input);
-            let (used, goes_on) = match &mut connection.stage {
-                Stage::LoggingIn(_) if input.is_empty() => (0, false),
-                Stage::LoggingIn(entry) => {
-                    let access = |user: &str| users.0.get(user).map(|(_, access)| access.clone());
-                    let out = connection.link.output();
-                    match entry.read(&input, access, &hidden, &nonce, out) {
-                        Err(what) => {
-                            log::info!("session {id}: {what}; its connection is closed");
-                            connection.closing = true;
-                            (0, false)
-                        }
-                        Ok((used, Step::More)) => (used, false),
-                        Ok((used, Step::Refused)) => {
-                            connection.closing = true;
-                            (used, false)
-                        }
-                        Ok((used, Step::Cancel { process, secret })) => {
-                            connection.closing = true;
-                            let meant = SessionId::from(process);
-                            if self.connections.get(&meant).is_some_and(|p| p.secret == secret) {
-                                self.events.push(Event::Cancel(meant));
-                            }
-                            (used, false)
-                        }
-                        Ok((used, Step::Welcome(welcome))) => {
-                            let user = users.0.get(&welcome.user).map(|(user, _)| user.clone());
-                            let account = user.as_ref().and_then(|user| account(servers, user, &welcome));
-                            match user.zip(account) {
-                                Some((user, account)) => {
-                                    let session = Session::new(&welcome, &mut self.catalogue);
-                                    let process = (id as u32, connection.secret);
-                                    greet(connection.link.output(), &welcome, &servers.parameters, process);
-                                    connection.last_active = now;
-                                    connection.stage = Stage::Open(Box::new(OpenSession {
-                                        session,
-                                        user,
-                                        account,
-                                        running: None,
-                                        pin: None,
-                                        held_keys: Vec::new(),
-                                        touched: BTreeSet::new(),
-                                        skipping: false,
-                                    }));
-                                    (used, true)
-                                }
-                                None => {
-                                    Final::Full.write(connection.link.output(), true);
-                                    connection.closing = true;
-                                    (used, false)
-                                }
-                            }
-                        }
-                    }
-                }
-                Stage::Open(open_session) if open_session.skipping => match open_session.session.skip(&input)
-                {
-                    Err(why) => {
-                        why.write(connection.link.output(), true);
-                        connection.closing = true;
-                        (0, false)
-                    }
-                    Ok((used, over)) => {
-                        open_session.skipping = !over;
-                        if over {
-                            open_session.session.ready(connection.link.output());
-                        }
-                        (used, over)
-                    }
-                },
-                // One unit after the other: each may hang on how the last one ended.
-                Stage::Open(open_session)
-                    if open_session.running.is_some() && !open_session.session.is_within() =>
-                {
-                    (0, false)
-                }
-                Stage::Open(open_session) => {
-                    match open_session.session.read(&input, &mut self.catalogue, &self.bounds) {
-                        Err(why) => {
-                            log::info!("session {id}: {}; its connection is closed", why.code());
-                            why.write(connection.link.output(), true);
-                            connection.closing = true;
-                            (0, false)
-                        }
-                        Ok((used, Read::More)) => (used, false),
-                        Ok((used, Read::Goes)) => {
-                            connection.closing = true;
-                            (used, false)
-                        }
-                        Ok((used, Read::Part(part))) => {
-                            let since = came(&connection.arrivals, used).unwrap_or(now);
-                            match &mut open_session.running {
-                                Some(running) => {
-                                    running.parts.push(part.clone());
-                                    running.commits |= part.commits;
-                                    self.events.push(Event::UnitPart { ticket: running.ticket, part });
-                                    (used, true)
-                                }
-                                None => {
-                                    let out = connection.link.output();
-                                    let was = open_session.session.transaction;
-                                    if open_session.session.answers(&part, &mut self.catalogue, out) {
-                                        (used, true)
-                                    } else if was == Transaction::Lost {
-                                        Final::InFailedTransaction.write(out, false);
-                                        open_session.skipping = true;
-                                        (used, true)
-                                    } else {
-                                        self.events.push(Event::Unit { session: id, part, since });
-                                        (used, false)
-                                    }
-                                }
-                            }
-                        }
-                    }
-                }
-            };
+            let (used, goes_on) = self.consume(now, id, &input, users, servers);
             self.changed.insert(id);
             let Some(connection) = self.connections.get_mut(&id) else { return };
             connection.link.input = input;
@@ -174,6 +50,153 @@
         self.ready.push(id);
     }
 
+    /// Takes what can be taken of the input now: how many bytes, and whether there may be more to take.
+    fn consume(
+        &mut self,
+        now: Micros,
+        id: SessionId,
+        input: &[u8],
+        users: &Users,
+        servers: &mut Servers,
+    ) -> (usize, bool) {
+        let Some(connection) = self.connections.get_mut(&id) else { return (0, false) };
+        match &mut connection.stage {
+            Stage::LoggingIn(_) if input.is_empty() => (0, false),
+            Stage::LoggingIn(_) => self.log_in(now, id, input, users, servers),
+            Stage::Open(open_session) if open_session.skipping => match open_session.session.skip(input) {
+                Err(why) => {
+                    why.write(connection.link.output(), true);
+                    connection.closing = true;
+                    (0, false)
+                }
+                Ok((used, over)) => {
+                    open_session.skipping = !over;
+                    if over {
+                        open_session.session.ready(connection.link.output());
+                    }
+                    (used, over)
+                }
+            },
+            // One unit after the other: each may hang on how the last one ended.
+            Stage::Open(open_session)
+                if open_session.running.is_some() && !open_session.session.is_within() =>
+            {
+                (0, false)
+            }
+            Stage::Open(_) => self.read_unit(now, id, input),
+        }
+    }
+
+    /// A step of the login; after the last one the session is open. Returns as `consume`.
+    fn log_in(
+        &mut self,
+        now: Micros,
+        id: SessionId,
+        input: &[u8],
+        users: &Users,
+        servers: &mut Servers,
+    ) -> (usize, bool) {
+        let (first, second) = (self.secret("nonce", id), self.secret("the rest of it", id));
+        let nonce = format!("{first:016x}{second:016x}");
+        let hidden = self.chance_bytes();
+        let Some(connection) = self.connections.get_mut(&id) else { return (0, false) };
+        let Stage::LoggingIn(entry) = &mut connection.stage else { return (0, false) };
+        let access = |user: &str| users.0.get(user).map(|(_, access)| access.clone());
+        let out = connection.link.output();
+        match entry.read(input, access, &hidden, &nonce, out) {
+            Err(what) => {
+                log::info!("session {id}: {what}; its connection is closed");
+                connection.closing = true;
+                (0, false)
+            }
+            Ok((used, Step::More)) => (used, false),
+            Ok((used, Step::Refused)) => {
+                connection.closing = true;
+                (used, false)
+            }
+            Ok((used, Step::Cancel { process, secret })) => {
+                connection.closing = true;
+                let meant = SessionId::from(process);
+                if self.connections.get(&meant).is_some_and(|p| p.secret == secret) {
+                    self.events.push(Event::Cancel(meant));
+                }
+                (used, false)
+            }
+            Ok((used, Step::Welcome(welcome))) => {
+                let user = users.0.get(&welcome.user).map(|(user, _)| user.clone());
+                let account = user.as_ref().and_then(|user| account(servers, user, &welcome));
+                match user.zip(account) {
+                    Some((user, account)) => {
+                        let session = Session::new(&welcome, &mut self.catalogue);
+                        let process = (id as u32, connection.secret);
+                        greet(connection.link.output(), &welcome, &servers.parameters, process);
+                        connection.last_active = now;
+                        connection.stage = Stage::Open(Box::new(OpenSession {
+                            session,
+                            user,
+                            account,
+                            running: None,
+                            pin: None,
+                            held_keys: Vec::new(),
+                            touched: BTreeSet::new(),
+                            skipping: false,
+                        }));
+                        (used, true)
+                    }
+                    None => {
+                        Final::Full.write(connection.link.output(), true);
+                        connection.closing = true;
+                        (used, false)
+                    }
+                }
+            }
+        }
+    }
+
+    /// Reads a unit, or more of one that is out. Returns as `consume`.
+    fn read_unit(&mut self, now: Micros, id: SessionId, input: &[u8]) -> (usize, bool) {
+        let Some(connection) = self.connections.get_mut(&id) else { return (0, false) };
+        let Stage::Open(open_session) = &mut connection.stage else { return (0, false) };
+        match open_session.session.read(input, &mut self.catalogue, &self.bounds) {
+            Err(why) => {
+                log::info!("session {id}: {}; its connection is closed", why.code());
+                why.write(connection.link.output(), true);
+                connection.closing = true;
+                (0, false)
+            }
+            Ok((used, Read::More)) => (used, false),
+            Ok((used, Read::Goes)) => {
+                connection.closing = true;
+                (used, false)
+            }
+            Ok((used, Read::Part(part))) => {
+                let since = came(&connection.arrivals, used).unwrap_or(now);
+                match &mut open_session.running {
+                    Some(running) => {
+                        running.parts.push(part.clone());
+                        running.commits |= part.commits;
+                        self.events.push(Event::UnitPart { ticket: running.ticket, part });
+                        (used, true)
+                    }
+                    None => {
+                        let out = connection.link.output();
+                        let was = open_session.session.transaction;
+                        if open_session.session.answers(&part, &mut self.catalogue, out) {
+                            (used, true)
+                        } else if was == Transaction::Lost {
+                            Final::InFailedTransaction.write(out, false);
+                            open_session.skipping = true;
+                            (used, true)
+                        } else {
+                            self.events.push(Event::Unit { session: id, part, since });
+                            (used, false)
+                        }
+                    }
+                }
+            }
+        }
+    }
+
     fn chance_bytes(&self) -> [u8; 8] {
         use std::hash::BuildHasher;
         self.chance.hash_one("nobody").to_be_bytes()
