--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -175,7 +175,7 @@
                 }
             }
         };
-        client.link.taken(at);
+        client.link.consume(at);
         client.has_sent_message |= at > 0;
         // Guards against messages that never end: what has begun, or is the first, is awaited for a while.
         let is_incomplete = !client.has_sent_message || !client.link.input.is_empty();
--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -9,34 +9,34 @@
 use crate::events::{Events, SocketKind};
 use crate::link::Link;
 
-const WAIT_MS: i64 = 1000; // milliseconds a question is left open; silence shows soon after
-const SILENCE: Micros = 750_000; // microseconds beyond that until the connection is given up for silent
-const AGAIN: Micros = 200_000; // microseconds until the next try after one that failed
+const POLL_MS: i64 = 1000; // milliseconds that the coordinator holds a question open (long poll)
+const SILENCE_TIMEOUT: Micros = 750_000; // microseconds beyond that until the connection counts as dead
+const RETRY_INTERVAL: Micros = 200_000; // microseconds until the next try after one that failed
 
 pub struct Coordinator {
     handle: LoopHandle<'static, Events>,
     at: Option<SocketAddr>,
     link: Option<Link>,
     number: u64, // of the connection
-    asked: Option<Micros>,
+    asked_at: Option<Micros>,
     due: Micros, // until when an answer is awaited, or when to try again
-    pub follow: u64,
+    pub last_index: u64,
     failing: bool,
-    answered: Micros, // when it last did
+    last_answer: Micros, // when it last did
 }
 
 impl Coordinator {
-    pub fn new(handle: LoopHandle<'static, Events>, at: Option<SocketAddr>, follow: u64) -> Self {
+    pub fn new(handle: LoopHandle<'static, Events>, at: Option<SocketAddr>, last_index: u64) -> Self {
         Coordinator {
             handle,
             at,
             link: None,
             number: 0,
-            asked: None,
+            asked_at: None,
             due: 0,
-            follow,
+            last_index,
             failing: false,
-            answered: 0,
+            last_answer: 0,
         }
     }
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Tries again, or gives up a connection that has been silent.
+    /// Tries again, or drops a connection that has been silent.
     pub fn expire(&mut self, now: Micros) {
         let Some(at) = self.at.filter(|_| self.due <= now) else { return };
         if self.link.is_some() {
@@ -64,8 +64,8 @@
         self.number += 1;
         match Link::dial(at, &self.handle, SocketKind::Coordinator.id(self.number)) {
             Ok(link) => {
-                (self.link, self.asked) = (Some(link), None);
-                self.due = now + SILENCE;
+                (self.link, self.asked_at) = (Some(link), None);
+                self.due = now + SILENCE_TIMEOUT;
             }
             Err(e) => self.failed(now, &e.to_string()),
         }
@@ -73,7 +73,7 @@
 
     fn failed(&mut self, now: Micros, why: &str) {
         // One that breaks off or stops is asked again at once, from then on every now and then.
-        let again = if std::mem::replace(&mut self.failing, true) { now + AGAIN } else { now };
+        let again = if std::mem::replace(&mut self.failing, true) { now + RETRY_INTERVAL } else { now };
         if again == now {
             log::warn!("coordinator: {why}; the engine list stands still until it answers");
         }
@@ -82,16 +82,16 @@
 
     fn ask(&mut self, now: Micros) {
         if let (Some(link), Some(at)) = (&mut self.link, self.at) {
-            let question = codec::question(&at.to_string(), self.follow, WAIT_MS);
+            let question = codec::question(&at.to_string(), self.last_index, POLL_MS);
             link.output().extend_from_slice(question.as_bytes());
-            (self.asked, self.due) = (Some(now), now + WAIT_MS * 1000 + SILENCE);
+            (self.asked_at, self.due) = (Some(now), now + POLL_MS * 1000 + SILENCE_TIMEOUT);
         }
     }
 
     /// The connection has changed; what it brought, if anything.
     pub fn read(&mut self, now: Micros, number: u64) -> Option<Stream> {
         let link = self.link.as_mut().filter(|_| number == self.number)?;
-        if self.asked.is_none() {
+        if self.asked_at.is_none() {
             match link.is_up() {
                 Ok(false) => return None,
                 Ok(true) => self.ask(now),
@@ -120,7 +120,7 @@
                 return None;
             }
         };
-        link.taken(answer.len);
+        link.consume(answer.len);
         let read = match answer.status {
             200 => codec::stream(&answer.body).map_err(|what| what.to_string()),
             status => Err(format!("status {status}")),
@@ -131,17 +131,18 @@
                 None
             }
             Ok(stream) => {
-                let before = std::mem::replace(&mut self.answered, now);
+                let before = std::mem::replace(&mut self.last_answer, now);
                 if std::mem::replace(&mut self.failing, false) {
-                    // What it told meanwhile counts as told some seconds after, whether it came here or not.
+                    // What it sent meanwhile counts as known some seconds after, whether it came here or not.
                     let silent = if before > 0 { (now - before) / 1000 } else { 0 };
                     log::info!("coordinator: answers again, {silent} ms after its last answer");
                 }
-                self.follow = self.follow.max(stream.index);
+                self.last_index = self.last_index.max(stream.index);
                 // Guards against one that answers at once with nothing: it is not asked without end.
-                let idle = stream.updates.is_empty() && self.asked.is_some_and(|at| now < at + AGAIN);
+                let idle =
+                    stream.updates.is_empty() && self.asked_at.is_some_and(|at| now < at + RETRY_INTERVAL);
                 if idle {
-                    (self.link, self.due) = (None, now + AGAIN);
+                    (self.link, self.due) = (None, now + RETRY_INTERVAL);
                 } else if answer.stays && broken.is_none() {
                     self.ask(now);
                 } else {
--- a/crates/front/src/coordinator_tests.rs
+++ b/crates/front/src/coordinator_tests.rs
@@ -10,5 +10,8 @@
         coordinator.failed(now, "connection over");
         coordinator.due()
     };
-    assert_eq!([due_after(1_000), due_after(2_000), due_after(3_000)], [1_000, 2_000 + AGAIN, 3_000 + AGAIN]);
+    assert_eq!(
+        [due_after(1_000), due_after(2_000), due_after(3_000)],
+        [1_000, 2_000 + RETRY_INTERVAL, 3_000 + RETRY_INTERVAL]
+    );
 }
--- a/crates/front/src/engines/replies.rs
+++ b/crates/front/src/engines/replies.rs
@@ -52,7 +52,7 @@
             self.close(now, id, Ending::Unreadable);
         } else if let Some(link) = self.links.get_mut(&id) {
             link.link.input = input;
-            link.link.taken(at);
+            link.link.consume(at);
             let partial = !link.link.input.is_empty();
             link.partial_line_since =
                 partial.then(|| link.partial_line_since.filter(|_| at == 0).unwrap_or(now));
--- a/crates/front/src/engines/timeouts.rs
+++ b/crates/front/src/engines/timeouts.rs
@@ -24,7 +24,7 @@
             // What is still to leave has as long as a connection has to come up.
             return Some(link.idle_since + if unsent { self.allowance.dial_timeout } else { 0 });
         }
-        (link.up && rests && !unsent).then_some(link.idle_since + self.reuse.most())
+        (link.up && rests && !unsent).then_some(link.idle_since + self.reuse.max_idle())
     }
 
     /// Ends what has waited too long: connections not up, probes not answered, idle connections.
@@ -84,7 +84,7 @@
 
     /// Since when a statement has begun to leave over a connection and has not left whole.
     fn writing_since(&self, link: &EngineLink) -> Option<Micros> {
-        let (sent, _) = link.writing.as_ref().filter(|(_, end)| !link.link.has_left(*end))?;
+        let (sent, _) = link.writing.as_ref().filter(|(_, end)| !link.link.has_sent(*end))?;
         self.executions.get(sent).map(|x| x.sent)
     }
 
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -57,7 +57,7 @@
         loop {
             let flushed = link.link.flush();
             // It may have run once its last byte has left, whatever becomes of the commands behind it.
-            if let Some((sent, _)) = link.writing.take_if(|(_, end)| link.link.has_left(*end)) {
+            if let Some((sent, _)) = link.writing.take_if(|(_, end)| link.link.has_sent(*end)) {
                 self.executions.entry(sent).and_modify(|x| x.stage = Stage::Out);
             }
             flushed?;
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -167,7 +167,7 @@
             SocketKind::Client => self.read_client(number),
             SocketKind::Engine => self.engines.read(self.clock.now, number),
             SocketKind::Coordinator => {
-                let before = self.coordinator.follow;
+                let before = self.coordinator.last_index;
                 if let Some(stream) = self.coordinator.read(self.clock.now, number) {
                     self.apply_list(&stream, before);
                 }
--- a/crates/front/src/front/engine_list.rs
+++ b/crates/front/src/front/engine_list.rs
@@ -13,8 +13,8 @@
     pub(super) fn apply_known_list(&mut self, known: &str) {
         match hallmux_codec::coordinator::stream(known.as_bytes()) {
             Ok(known) => {
-                let before = self.coordinator.follow;
-                self.coordinator.follow = before.max(known.index);
+                let before = self.coordinator.last_index;
+                self.coordinator.last_index = before.max(known.index);
                 self.apply_list(&known, before);
             }
             Err(what) => log::error!("NODE_CONFIG: known: {what}; the engine list is left as it was"),
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -1,4 +1,4 @@
-//! One connection: a socket that never blocks, what has come over it and what is still to leave.
+//! One connection: a socket that never blocks, what was received over it and what is still to be sent.
 
 use std::cell::RefCell;
 use std::io::{ErrorKind, Read, Write};
@@ -33,7 +33,7 @@
     handle: LoopHandle<'static, Events>,
     pub input: Vec<u8>,
     output: Vec<u8>,
-    left: usize, // bytes of output that have left
+    sent_bytes: usize, // bytes of output that were sent
 }
 
 impl Link {
@@ -55,7 +55,7 @@
             })
             .map_err(|e| std::io::Error::other(e.error.to_string()))?;
         let handle = handle.clone();
-        Ok(Link { stream, token, handle, input: Vec::new(), output: Vec::new(), left: 0 })
+        Ok(Link { stream, token, handle, input: Vec::new(), output: Vec::new(), sent_bytes: 0 })
     }
 
     /// Begins a connection.
@@ -87,10 +87,10 @@
     }
 
     /// The same up to so many bytes and one chunk.
-    pub fn read_some(&mut self, most: usize) -> (bool, Option<Broken>) {
+    pub fn read_some(&mut self, limit: usize) -> (bool, Option<Broken>) {
         READ_BUFFER.with_borrow_mut(|chunk| {
             let mut taken = 0;
-            while taken < most {
+            while taken < limit {
                 match (&*self.stream).read(chunk) {
                     Ok(0) => return (false, Some(Broken::Closed)),
                     Ok(n) => {
@@ -106,8 +106,8 @@
         })
     }
 
-    /// Lets go of room that a connection at rest does not need.
-    pub fn shrink(&mut self) {
+    /// Releases memory that an idle connection does not need.
+    pub fn release_memory(&mut self) {
         self.input.shrink_to(self.input.len());
         if self.unsent() == 0 {
             self.output.shrink_to(0);
@@ -120,19 +120,19 @@
     }
 
     pub fn unsent(&self) -> usize {
-        self.output.len() - self.left
+        self.output.len() - self.sent_bytes
     }
 
-    /// Whether the first bytes of the output have left, up to the place given.
-    pub fn has_left(&self, end: usize) -> bool {
-        self.unsent() == 0 || self.left >= end
+    /// Whether the first bytes of the output were sent, up to the offset given.
+    pub fn has_sent(&self, end: usize) -> bool {
+        self.unsent() == 0 || self.sent_bytes >= end
     }
 
     /// Sends as much as the network takes.
     pub fn flush(&mut self) -> Result<(), Broken> {
         while self.unsent() > 0 {
-            match (&*self.stream).write(&self.output[self.left..]) {
-                Ok(n) => self.left += n,
+            match (&*self.stream).write(&self.output[self.sent_bytes..]) {
+                Ok(n) => self.sent_bytes += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return Err(Broken::Reset),
@@ -140,7 +140,7 @@
         }
         self.output.clear();
         self.output.shrink_to(READ_CHUNK);
-        self.left = 0;
+        self.sent_bytes = 0;
         Ok(())
     }
 
@@ -149,8 +149,8 @@
         self.stream.shutdown(Shutdown::Write)
     }
 
-    /// Lets go of the first bytes of the input.
-    pub fn taken(&mut self, len: usize) {
+    /// Drops the first bytes of the input, which were read.
+    pub fn consume(&mut self, len: usize) {
         self.input.drain(..len);
         if self.input.capacity() > self.input.len() + 2 * READ_CHUNK {
             self.input.shrink_to(self.input.len() + READ_CHUNK);
--- a/crates/front/src/link_tests.rs
+++ b/crates/front/src/link_tests.rs
@@ -13,10 +13,10 @@
     const MORE: usize = 64 << 20; // more than the network takes from one who is not read
     link.output().resize(MORE, b'x');
     assert_eq!(link.flush(), Ok(()));
-    assert!(link.has_left(1) && !link.has_left(MORE));
+    assert!(link.has_sent(1) && !link.has_sent(MORE));
     drop(peer);
     while link.flush().is_ok() {
         std::thread::yield_now();
     }
-    assert!(link.has_left(1) && !link.has_left(MORE));
+    assert!(link.has_sent(1) && !link.has_sent(MORE));
 }
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -167,7 +167,7 @@
         }
         if let Some(sent) = server.serves {
             let x = self.executions.get(&sent);
-            let whole = server.link.has_left(server.write_end);
+            let whole = server.link.has_sent(server.write_end);
             let ending = match x.map(|x| x.stage) {
                 Some(Stage::Waiting) => Ending::Withdrawn,
                 // Without its Sync nothing that it does is kept, but for a commit of its own.
--- a/crates/front/src/postgres/servers/send.rs
+++ b/crates/front/src/postgres/servers/send.rs
@@ -156,7 +156,7 @@
         for id in std::mem::take(&mut self.changed) {
             let Some(server) = self.links.get_mut(&id).filter(|l| l.up) else { continue };
             let flushed = server.link.flush();
-            let left = server.link.has_left(server.write_end);
+            let left = server.link.has_sent(server.write_end);
             let sent = server.serves;
             let unsent = server.link.unsent();
             if let Some(x) = sent.and_then(|sent| self.executions.get_mut(&sent)) {
--- a/crates/front/src/postgres/sessions/close.rs
+++ b/crates/front/src/postgres/sessions/close.rs
@@ -70,7 +70,7 @@
                     } else if connection.closing && stands >= self.login_timeout {
                         over.push((*id, None));
                     } else if idle && stands >= IDLE_AFTER {
-                        connection.link.shrink();
+                        connection.link.release_memory();
                         connection.arrivals.shrink_to_fit();
                     }
                 }
--- a/crates/front/src/postgres/sessions/input.rs
+++ b/crates/front/src/postgres/sessions/input.rs
@@ -29,7 +29,7 @@
             self.changed.insert(id);
             let Some(connection) = self.connections.get_mut(&id) else { return };
             connection.link.input = input;
-            connection.link.taken(used);
+            connection.link.consume(used);
             self.held_bytes -= used;
             taken(&mut connection.arrivals, used);
             if used > 0 {
--- a/crates/front/src/reuse.rs
+++ b/crates/front/src/reuse.rs
@@ -1,13 +1,13 @@
-//! How long a connection to an engine may have rested and still be used again.
+//! How long a connection to an engine may have been idle and still be used again.
 //!
-//! Guards against peers and networks that forget resting connections sooner than agreed and do not say so:
+//! Guards against peers and networks that forget idle connections sooner than agreed and do not say so:
 //! what is sent over such a one is lost, and may have run or not.
 
 use hallmux_dispatcher::Micros;
 
-const AT_ONCE: Micros = 50_000; // microseconds within which one that was dead already is lost: some round trips
-const LEAST: Micros = 10_000; // microseconds of rest after which a connection is always used again
-const GROWS: Micros = 256; // part by which the rest that is trusted grows with each answer: slower than it halves
+const LOSS_WINDOW: Micros = 50_000; // microseconds within which one that was dead already is lost: some round trips
+const MIN_IDLE: Micros = 10_000; // microseconds of idle time after which a connection is always used again
+const GROWTH_DIVISOR: Micros = 256; // part by which the trusted idle time grows with each answer: slower than it halves
 
 pub struct Reuse {
     agreed: Micros,
@@ -15,24 +15,24 @@
 }
 
 impl Reuse {
-    /// Engines have agreed to keep resting connections for so long.
+    /// Engines have agreed to keep idle connections for so long.
     pub fn new(agreed: Micros) -> Self {
         Reuse { agreed, trusted: agreed }
     }
 
-    /// The longest rest after which a connection is used again.
-    pub fn most(&self) -> Micros {
+    /// The longest idle time after which a connection is used again.
+    pub fn max_idle(&self) -> Micros {
         self.trusted
     }
 
     pub fn answered(&mut self) {
-        self.trusted = (self.trusted + self.trusted / GROWS).min(self.agreed);
+        self.trusted = (self.trusted + self.trusted / GROWTH_DIVISOR).min(self.agreed);
     }
 
-    /// A connection that had rested was lost so long after it was taken up again, with not a word before.
-    pub fn lost(&mut self, rested: Micros, after: Micros) {
-        if after < AT_ONCE && rested > LEAST {
-            self.trusted = (rested / 2).max(LEAST).min(self.trusted);
+    /// A connection that had been idle was lost so long after it was used again, with no reply before.
+    pub fn lost(&mut self, idle: Micros, after: Micros) {
+        if after < LOSS_WINDOW && idle > MIN_IDLE {
+            self.trusted = (idle / 2).max(MIN_IDLE).min(self.trusted);
             log::debug!("resting connections are used again within {} ms", self.trusted / 1000);
         }
     }
