--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -19,7 +19,7 @@
 
 use hallmux::interface::{Event, KeyId, StatementId};
 use hallmux::Front;
-use hallmux_agreement::{Contract, Names};
+use hallmux_agreement::{Names, Settings};
 
 use engines::Engine;
 use offered::Offered;
@@ -29,7 +29,7 @@
 pub use dials::Dials;
 pub use ending::Ending;
 pub use engines::Listing;
-pub use hallmux::interface::{Asked, Cost, DedupGroup, Effect, Micros, Mode, Note, Offer};
+pub use hallmux::interface::{Asked, DedupGroup, Effect, Micros, Mode, Note, Offer};
 pub use offered::SPAN;
 pub use out::{Order, Terms};
 pub use promised::{Gone, Site, Taken, Word};
@@ -81,7 +81,7 @@
 }
 
 impl Dispatcher {
-    pub fn new(contract: &Contract, seed: u64) -> Self {
+    pub fn new(contract: &Settings, seed: u64) -> Self {
         Dispatcher {
             front: Front::new(contract.agreement.clone(), seed),
             names: contract.names.clone(),
--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -3,10 +3,11 @@
 use std::net::SocketAddr;
 
 use calloop::LoopHandle;
-use hallmux_codec::coordinator::{self as codec, Stream};
+use hallmux_codec::coordinator::{self as codec, Events};
+use hallmux_codec::Decoded;
 use hallmux_dispatcher::Micros;
 
-use crate::events::{Events, SocketKind};
+use crate::events::{LoopEvents, SocketKind};
 use crate::link::Link;
 
 const POLL_MS: i64 = 1000; // milliseconds that the coordinator holds a question open (long poll)
@@ -14,7 +15,7 @@
 const RETRY_INTERVAL: Micros = 200_000; // microseconds until the next try after one that failed
 
 pub struct Coordinator {
-    handle: LoopHandle<'static, Events>,
+    handle: LoopHandle<'static, LoopEvents>,
     at: Option<SocketAddr>,
     link: Option<Link>,
     number: u64, // of the connection
@@ -26,7 +27,7 @@
 }
 
 impl Coordinator {
-    pub fn new(handle: LoopHandle<'static, Events>, at: Option<SocketAddr>, last_index: u64) -> Self {
+    pub fn new(handle: LoopHandle<'static, LoopEvents>, at: Option<SocketAddr>, last_index: u64) -> Self {
         Coordinator {
             handle,
             at,
@@ -82,14 +83,14 @@
 
     fn ask(&mut self, now: Micros) {
         if let (Some(link), Some(at)) = (&mut self.link, self.at) {
-            let question = codec::question(&at.to_string(), self.last_index, POLL_MS);
+            let question = codec::poll_request(&at.to_string(), self.last_index, POLL_MS);
             link.output().extend_from_slice(question.as_bytes());
             (self.asked_at, self.due) = (Some(now), now + POLL_MS * 1000 + SILENCE_TIMEOUT);
         }
     }
 
     /// The connection has changed; what it brought, if anything.
-    pub fn read(&mut self, now: Micros, number: u64) -> Option<Stream> {
+    pub fn read(&mut self, now: Micros, number: u64) -> Option<Events> {
         let link = self.link.as_mut().filter(|_| number == self.number)?;
         if self.asked_at.is_none() {
             match link.is_up() {
@@ -108,7 +109,7 @@
                 break broken;
             }
         };
-        let answer = match codec::read(&link.input, broken.is_some()) {
+        let Decoded { len, message: answer } = match codec::read(&link.input, broken.is_some()) {
             Ok(Some(answer)) => answer,
             Ok(None) if broken.is_some() => {
                 self.failed(now, "connection over");
@@ -120,9 +121,9 @@
                 return None;
             }
         };
-        link.consume(answer.len);
+        link.consume(len);
         let read = match answer.status {
-            200 => codec::stream(&answer.body).map_err(|what| what.to_string()),
+            200 => codec::events(&answer.body).map_err(|what| what.to_string()),
             status => Err(format!("status {status}")),
         };
         match read {
@@ -143,7 +144,7 @@
                     stream.updates.is_empty() && self.asked_at.is_some_and(|at| now < at + RETRY_INTERVAL);
                 if idle {
                     (self.link, self.due) = (None, now + RETRY_INTERVAL);
-                } else if answer.stays && broken.is_none() {
+                } else if answer.keep_alive && broken.is_none() {
                     self.ask(now);
                 } else {
                     (self.link, self.due) = (None, now);
--- a/crates/front/src/engines/mod.rs
+++ b/crates/front/src/engines/mod.rs
@@ -12,12 +12,12 @@
 use std::rc::Rc;
 
 use calloop::LoopHandle;
-use hallmux_agreement::{Allowance, Names};
-use hallmux_codec::engine::{self, Command, Line, Said, Want};
+use hallmux_agreement::{Names, NetworkSettings};
+use hallmux_codec::engine::{self, Command, ExecutionRequest, Reply, ReplyKind};
 use hallmux_codec::statement::Call;
-use hallmux_dispatcher::{Cost, Dials, Ending, Micros, Note, Place, Terms, Ticket};
+use hallmux_dispatcher::{Dials, Ending, Micros, Note, Place, Terms, Ticket};
 
-use crate::events::{Events, SocketKind};
+use crate::events::{LoopEvents, SocketKind};
 use crate::execution::ExecutionId;
 use crate::front::Pacer;
 use crate::link::{Broken, Link};
@@ -39,7 +39,7 @@
 
 /// What engines have answered, and how executions have ended.
 pub enum Event {
-    Ended { sent: ExecutionId, ending: Ending, report: Option<Vec<f64>>, cost: Option<Cost>, result: Vec<u8> },
+    Ended { sent: ExecutionId, ending: Ending, report: Option<Vec<f64>>, result: Vec<u8> },
     Noted { sent: ExecutionId, note: Note },
     Probed { place: Place, alive: bool, report: Option<Vec<f64>> },
 }
@@ -62,7 +62,6 @@
     held: usize,
     last_page: Micros,
     report: Option<Vec<f64>>,
-    cost: Option<Cost>,
 }
 
 #[derive(PartialEq)]
@@ -112,8 +111,8 @@
 }
 
 pub struct Engines {
-    handle: LoopHandle<'static, Events>,
-    allowance: Allowance,
+    handle: LoopHandle<'static, LoopEvents>,
+    allowance: NetworkSettings,
     report_names: Vec<String>,
     engines: BTreeMap<Place, Engine>,
     links: BTreeMap<LinkId, EngineLink>,
@@ -130,7 +129,7 @@
 }
 
 impl Engines {
-    pub fn new(handle: LoopHandle<'static, Events>, allowance: Allowance, names: &Names) -> Self {
+    pub fn new(handle: LoopHandle<'static, LoopEvents>, allowance: NetworkSettings, names: &Names) -> Self {
         Engines {
             handle,
             reuse: Reuse::new((allowance.keepalive - IDLE_MARGIN).max(IDLE_MARGIN)),
@@ -166,7 +165,7 @@
 
     fn report_end(&mut self, sent: ExecutionId, ending: Ending) {
         self.executions.remove(&sent);
-        self.events.push(Event::Ended { sent, ending, report: None, cost: None, result: Vec::new() });
+        self.events.push(Event::Ended { sent, ending, report: None, result: Vec::new() });
     }
 
     /// An engine of the list: where it is, and whether anything may still be sent to it.
--- a/crates/front/src/events.rs
+++ b/crates/front/src/events.rs
@@ -40,7 +40,7 @@
 
 /// The data of the event loop: what has happened since the last iteration, in order of arrival.
 #[derive(Default)]
-pub struct Events {
+pub struct LoopEvents {
     /// Sockets that have become readable or writable.
     pub ready: Vec<SocketId>,
     pub signals: Vec<Signal>,
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -26,7 +26,7 @@
 use super::join::{join_ledger, join_ownership};
 use super::members::members;
 use super::votes::Votes;
-use crate::events::{Events, SocketKind};
+use crate::events::{LoopEvents, SocketKind};
 use crate::shutdown::LedgerDuty;
 
 const DATAGRAMS_PER_ITERATION: usize = 64; // datagrams taken before others are served
@@ -72,7 +72,7 @@
     pub fn new(
         gossip: &Gossip,
         now: Micros,
-        handle: &LoopHandle<'static, Events>,
+        handle: &LoopHandle<'static, LoopEvents>,
     ) -> Result<Peers, PeersError> {
         let file = || gossip.secret_file.clone();
         let secret = std::fs::read_to_string(&gossip.secret_file);
@@ -84,7 +84,7 @@
         let socket = Rc::new(socket);
         let at = socket.local_addr().map_err(unheard)?;
         let source = Generic::new(socket.clone(), Interest::READ, Mode::Edge);
-        let told = handle.insert_source(source, |_, _, events: &mut Events| {
+        let told = handle.insert_source(source, |_, _, events: &mut LoopEvents| {
             events.ready.push(SocketKind::Peers.id(0));
             Ok(PostAction::Continue)
         });
--- a/crates/front/src/fleet/rules/file.rs
+++ b/crates/front/src/fleet/rules/file.rs
@@ -4,12 +4,12 @@
 use std::rc::Rc;
 
 use hallmux_access::{self as access, Known, Owner, Wish};
-use hallmux_agreement::{line_of, Contract, Station};
+use hallmux_agreement::{line_of, NodeConfig, Settings};
 use hallmux_dispatcher::Micros;
 
 use super::{Peers, Rules, RulesError, Shared};
 
-pub(super) fn known(rules: &hallmux_agreement::Rules, contract: &Contract) -> Known {
+pub(super) fn known(rules: &hallmux_agreement::Rules, contract: &Settings) -> Known {
     let names = &contract.names;
     let workloads = names.workloads.iter().zip(&contract.agreement.workloads).map(|(name, w)| {
         let named =
@@ -34,7 +34,7 @@
 }
 
 /// Switched on by the operator's file.
-pub fn start(station: &Station, now: Micros, peers: Option<&Peers>) -> Result<Option<Shared>, RulesError> {
+pub fn start(station: &NodeConfig, now: Micros, peers: Option<&Peers>) -> Result<Option<Shared>, RulesError> {
     let Some(rules) = &station.operator.rules else { return Ok(None) };
     let incarnation = (now / 1000) as u64;
     let (front, fronts) = match peers.map(Peers::fleet) {
@@ -43,6 +43,6 @@
         Some(None) => return Err(RulesError::NoLedger),
     };
     let own = Owner { front, incarnation };
-    let rules = Rules::new(rules, &station.contract, own, fronts, peers.is_none())?;
+    let rules = Rules::new(rules, &station.settings, own, fronts, peers.is_none())?;
     Ok(Some(Rc::new(RefCell::new(rules))))
 }
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -10,15 +10,15 @@
 use std::time::Duration;
 
 use calloop::LoopHandle;
-use hallmux_agreement::{Contract, Limits, Station};
-use hallmux_codec::coordinator::Stream;
+use hallmux_agreement::{NodeConfig, NodeLimits, Settings};
+use hallmux_codec::coordinator::Events;
 use hallmux_dispatcher::{Dispatcher, Micros, Rooms};
 
 use crate::clients::Clients;
 use crate::clock::Clock;
 use crate::coordinator::Coordinator;
 use crate::engines::Engines;
-use crate::events::{Events, SocketId, SocketKind};
+use crate::events::{LoopEvents, SocketId, SocketKind};
 use crate::fleet::rules::{self, Shared};
 use crate::fleet::{Guard, Peers};
 use crate::link::Link;
@@ -35,7 +35,7 @@
 const CLIENTS_PART: usize = 2; // of the descriptors; clients hold a third, the rest is for engines
 
 pub struct Front {
-    handle: LoopHandle<'static, Events>,
+    handle: LoopHandle<'static, LoopEvents>,
     listener: Listener,
     dispatcher: Dispatcher,
     answer_slack: Micros,
@@ -67,21 +67,21 @@
 }
 
 /// No client waits longer than that for an answer.
-fn longest_timeout(contract: &Contract) -> Micros {
+fn longest_timeout(contract: &Settings) -> Micros {
     contract.agreement.workloads.iter().map(|workload| workload.statement_timeout).max().unwrap_or(0)
 }
 
 impl Front {
     pub fn new(
-        station: &Station,
-        known: &Stream,
+        station: &NodeConfig,
+        known: &Events,
         listener: TcpListener,
-        handle: LoopHandle<'static, Events>,
+        handle: LoopHandle<'static, LoopEvents>,
     ) -> Result<Front, StartError> {
-        let contract = &station.contract;
+        let contract = &station.settings;
         let gateway = station.operator.postgres.as_ref();
         let part = |why: std::io::Error| StartError::part(&why);
-        let clock = Clock::new(station.operator.clock_ahead, station.drill_clock.as_deref());
+        let clock = Clock::new(station.operator.clock_ahead, station.clock_file.as_deref());
         let mut clock = clock.map_err(part)?;
         clock.refresh();
         let gossip = station.operator.gossip.as_ref();
@@ -100,13 +100,13 @@
         let mut front = Front {
             listener: Listener::new(listener, &handle, SocketKind::Listener.id(0)).map_err(part)?,
             dispatcher: Dispatcher::new(contract, station.seed),
-            answer_slack: contract.allowance.answer_slack,
-            max_statements: contract.allowance.most_held,
+            answer_slack: contract.network.answer_slack,
+            max_statements: contract.network.most_held,
             max_bytes: 0,
             max_clients: 0,
             memory_full: false,
             clients: Clients::new(contract.agreement.longest_retry_after, longest_timeout(contract)),
-            engines: Engines::new(handle.clone(), contract.allowance.clone(), &contract.names),
+            engines: Engines::new(handle.clone(), contract.network.clone(), &contract.names),
             coordinator: Coordinator::new(handle.clone(), station.coordinator, known.index),
             gateway,
             peers,
@@ -322,7 +322,7 @@
 
     /// The configuration was read again: what may change while a front runs holds from now on. One that
     /// can't be used changes nothing.
-    pub fn reload(&mut self, read: Result<Station, hallmux_agreement::Error>) {
+    pub fn reload(&mut self, read: Result<NodeConfig, hallmux_agreement::Error>) {
         self.clock.refresh();
         match read {
             Ok(station) => {
@@ -338,7 +338,7 @@
                 {
                     scatter.reload(settings, self.clock.now);
                 }
-                self.apply_known_list(&station.known);
+                self.apply_known_list(&station.known_events);
                 self.coordinator.set_address(self.clock.now, station.coordinator);
                 let at = station.coordinator.map_or("none".to_string(), |at| at.to_string());
                 log::info!("the configuration was read again; coordinator: {at}");
@@ -347,7 +347,7 @@
         }
     }
 
-    fn limit(&mut self, limits: &Limits) {
+    fn limit(&mut self, limits: &NodeLimits) {
         self.max_bytes = (limits.memory_bytes / MEMORY_PART) as usize;
         self.max_clients = limits.sockets / CLIENTS_PART;
         let engines = limits.sockets - self.max_clients;
--- a/crates/front/src/front/admission.rs
+++ b/crates/front/src/front/admission.rs
@@ -57,7 +57,7 @@
         if !self.clients.admits(client, number, &call, ended) {
             return;
         }
-        if let Some(field) = call.unfit {
+        if let Some(field) = call.invalid_field {
             return self.clients.answer_unusable(client, number, field);
         }
         if self.shutdown.rejects() {
--- a/crates/front/src/front/dispatch.rs
+++ b/crates/front/src/front/dispatch.rs
@@ -25,14 +25,14 @@
                     sent: ExecutionId { ticket, number: execution },
                     ending,
                     report,
-                    cost,
+
                     result,
                 } => {
                     let of = self.statement_for_rules(ticket);
                     self.rules.iter().for_each(|rules| {
                         rules.borrow_mut().execution_ended(of, ExecutionId::new(ticket, execution))
                     });
-                    if self.dispatcher.report(self.clock.now, ticket, execution, ending, report, cost)
+                    if self.dispatcher.report(self.clock.now, ticket, execution, ending, report)
                         && !self.end_part(ticket, Ok(&result))
                     {
                         self.clients.answer(self.clock.now, ticket, &Reply::Completed(&result));
@@ -187,7 +187,7 @@
         }
         match self.call(ticket) {
             Some(call) => self.engines.send(now, sent, place, call, terms),
-            None => _ = self.dispatcher.report(now, ticket, execution, Ending::Withdrawn, None, None),
+            None => _ = self.dispatcher.report(now, ticket, execution, Ending::Withdrawn, None),
         }
     }
 
@@ -197,7 +197,7 @@
         if self.withdraw_held(now, sent) {
             // Its session is to know why, though nothing of it has left.
             self.gateway.iter_mut().for_each(|gateway| gateway.stop(now, sent, ending));
-            self.dispatcher.report(now, sent.ticket, sent.number, Ending::Withdrawn, None, None);
+            self.dispatcher.report(now, sent.ticket, sent.number, Ending::Withdrawn, None);
         } else if self.is_execution_of_session(sent) {
             self.gateway.iter_mut().for_each(|gateway| gateway.stop(now, sent, ending));
         } else {
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -9,7 +9,7 @@
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
 use socket2::{Domain, Protocol, Socket, Type};
 
-use crate::events::{Events, SocketId};
+use crate::events::{LoopEvents, SocketId};
 
 const READ_CHUNK: usize = 64 << 10; // bytes taken at once
 const SEND_BUFFER: usize = 64 << 10; // bytes on their way that can't be taken back: some hundred statements
@@ -30,7 +30,7 @@
 pub struct Link {
     stream: Rc<TcpStream>,
     token: RegistrationToken,
-    handle: LoopHandle<'static, Events>,
+    handle: LoopHandle<'static, LoopEvents>,
     pub input: Vec<u8>,
     output: Vec<u8>,
     sent_bytes: usize, // bytes of output that were sent
@@ -40,7 +40,7 @@
     /// Serves a connection that is up or coming up; the event loop reports it under the id given.
     pub fn new(
         stream: TcpStream,
-        handle: &LoopHandle<'static, Events>,
+        handle: &LoopHandle<'static, LoopEvents>,
         id: SocketId,
     ) -> std::io::Result<Link> {
         stream.set_nonblocking(true)?;
@@ -59,7 +59,11 @@
     }
 
     /// Begins a connection.
-    pub fn dial(to: SocketAddr, handle: &LoopHandle<'static, Events>, id: SocketId) -> std::io::Result<Link> {
+    pub fn dial(
+        to: SocketAddr,
+        handle: &LoopHandle<'static, LoopEvents>,
+        id: SocketId,
+    ) -> std::io::Result<Link> {
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_send_buffer_size(SEND_BUFFER)?;
--- a/crates/front/src/link_tests.rs
+++ b/crates/front/src/link_tests.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn what_has_left_is_known_also_when_the_rest_never_will() {
-    let events: calloop::EventLoop<'static, Events> = calloop::EventLoop::try_new().unwrap();
+    let events: calloop::EventLoop<'static, LoopEvents> = calloop::EventLoop::try_new().unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let peer = listener.accept().unwrap().0;
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -23,9 +23,9 @@
 
 use calloop::signals::{Event, Signal, Signals};
 use calloop::EventLoop;
-use hallmux_agreement::Station;
+use hallmux_agreement::NodeConfig;
 
-use events::Events;
+use events::LoopEvents;
 use front::Front;
 use start_error::StartError;
 
@@ -41,30 +41,30 @@
 
 fn run() -> Result<(), StartError> {
     let variables = std::env::vars().collect();
-    let station = Station::read(&variables)?;
+    let station = NodeConfig::read(&variables)?;
     logger::start(&station.name, station.log_level);
-    if let Some(path) = &station.drill_clock {
+    if let Some(path) = &station.clock_file {
         log::warn!("HALLMUX_CLOCK: the time is a drill's, from {}", path.display());
     }
-    let known = hallmux_codec::coordinator::stream(station.known.as_bytes());
+    let known = hallmux_codec::coordinator::events(station.known_events.as_bytes());
     let known = known.map_err(|what| StartError::Known(what.to_string()))?;
     let polls = StartError::system("polling");
-    let mut event_loop: EventLoop<'static, Events> = EventLoop::try_new().map_err(|e| polls(e.into()))?;
+    let mut event_loop: EventLoop<'static, LoopEvents> = EventLoop::try_new().map_err(|e| polls(e.into()))?;
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGHUP]).map_err(|e| polls(e.into()))?;
-    let queue = |event: Event, _: &mut (), events: &mut Events| events.signals.push(event.signal());
+    let queue = |event: Event, _: &mut (), events: &mut LoopEvents| events.signals.push(event.signal());
     event_loop.handle().insert_source(signals, queue).map_err(|e| polls(e.error.into()))?;
     let unfit = |why| StartError::Listen { at: station.listen, why };
     let listener = TcpListener::bind(station.listen).map_err(unfit)?;
     let address = listener.local_addr().map_err(unfit)?;
     let mut front = Front::new(&station, &known, listener, event_loop.handle())?;
     log::info!("takes statements at {address}");
-    let mut events = Events::default();
+    let mut events = LoopEvents::default();
     while !front.is_done() {
         let idle = front.idle();
         event_loop.dispatch(idle, &mut events).map_err(|e| polls(e.into()))?;
         for signal in events.signals.drain(..) {
             match signal {
-                Signal::SIGHUP => front.reload(Station::read(&variables)),
+                Signal::SIGHUP => front.reload(NodeConfig::read(&variables)),
                 _ => front.shut_down(),
             }
         }
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 use calloop::LoopHandle;
-use hallmux_agreement::{Contract, Postgres};
+use hallmux_agreement::{Postgres, Settings};
 use hallmux_dispatcher::{Dispatcher, Ending, Micros, Note, Place, Ticket};
 use hallmux_postgres::answer::Final;
 use hallmux_postgres::session::Transaction;
@@ -17,7 +17,7 @@
 use super::error::ListenError;
 use super::servers::{self, Servers, Unit};
 use super::sessions::{self, Sessions, Users};
-use crate::events::{Events, SocketId, SocketKind};
+use crate::events::{LoopEvents, SocketId, SocketKind};
 use crate::execution::ExecutionId;
 use crate::fleet::rules::Shared;
 use crate::link::Link;
@@ -33,7 +33,7 @@
 }
 
 pub struct Gateway {
-    handle: LoopHandle<'static, Events>,
+    handle: LoopHandle<'static, LoopEvents>,
     listener: Listener,
     sessions: Sessions,
     servers: Servers,
@@ -54,8 +54,8 @@
 impl Gateway {
     pub fn new(
         postgres: &Postgres,
-        contract: &Contract,
-        handle: LoopHandle<'static, Events>,
+        contract: &Settings,
+        handle: LoopHandle<'static, LoopEvents>,
         rules: Option<Shared>,
     ) -> std::io::Result<Gateway> {
         let listener = TcpListener::bind(postgres.listen)
@@ -65,10 +65,10 @@
         let gateway = Gateway {
             listener: Listener::new(listener, &handle, SocketKind::SessionListener.id(0))?,
             sessions: Sessions::new(&postgres.limits),
-            servers: Servers::new(handle.clone(), contract.allowance.clone(), postgres.limits.clone()),
+            servers: Servers::new(handle.clone(), contract.network.clone(), postgres.limits.clone()),
             users: Users::new(&postgres.users),
             allowed: postgres.clone(),
-            answer_slack: contract.allowance.answer_slack,
+            answer_slack: contract.network.answer_slack,
             timeouts: workloads.map(|(name, w)| (name.clone(), w.statement_timeout)).collect(),
             retry_after_ms: contract.agreement.longest_retry_after.map(|time| time / 1000),
             shut: None,
@@ -302,7 +302,7 @@
                 let open = done.status != b'I';
                 let keeps = open && dispatcher.keeps(ticket);
                 let ending = Ending::Answered;
-                if !dispatcher.report(now, ticket, execution, ending, None, None) {
+                if !dispatcher.report(now, ticket, execution, ending, None) {
                     // It had its answer before; a transaction that it opened is nobody's.
                     return held.into_iter().for_each(|link| self.servers.release(now, link));
                 }
@@ -317,7 +317,7 @@
             }
             servers::Event::Refused { sent: ExecutionId { ticket, number: execution }, error } => {
                 dispatcher.begun(ticket);
-                if dispatcher.report(now, ticket, execution, Ending::Stale, None, None) {
+                if dispatcher.report(now, ticket, execution, Ending::Stale, None) {
                     self.sessions.fail(now, ticket, &Final::Broken, Some(&error));
                 }
             }
@@ -330,7 +330,7 @@
                         cancelled = running.cancelled;
                     }
                 }
-                let over = dispatcher.report(now, ticket, execution, ending, None, None);
+                let over = dispatcher.report(now, ticket, execution, ending, None);
                 if over || cancelled {
                     // One whose client has asked for its end is not tried again.
                     self.refuse(now, ticket, false, None);
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -9,14 +9,14 @@
 use std::rc::Rc;
 
 use calloop::LoopHandle;
-use hallmux_agreement::{Allowance, SessionLimits};
+use hallmux_agreement::{NetworkSettings, SessionLimits};
 use hallmux_dispatcher::{Dials, Ending, Micros, Place};
 use hallmux_postgres::engine::{Account, Done, Engine};
 use hallmux_postgres::pool::{self, Pools};
 use hallmux_postgres::prepared::Settings;
 use hallmux_postgres::session::Part;
 
-use crate::events::Events;
+use crate::events::LoopEvents;
 use crate::execution::ExecutionId;
 use crate::front::Pacer;
 use crate::link::Link;
@@ -134,8 +134,8 @@
 }
 
 pub struct Servers {
-    handle: LoopHandle<'static, Events>,
-    allowance: Allowance,
+    handle: LoopHandle<'static, LoopEvents>,
+    allowance: NetworkSettings,
     limits: SessionLimits,
     engines: BTreeMap<Place, EngineEntry>,
     accounts: Vec<Account>,
@@ -156,7 +156,11 @@
 }
 
 impl Servers {
-    pub fn new(handle: LoopHandle<'static, Events>, allowance: Allowance, limits: SessionLimits) -> Self {
+    pub fn new(
+        handle: LoopHandle<'static, LoopEvents>,
+        allowance: NetworkSettings,
+        limits: SessionLimits,
+    ) -> Self {
         let bounds = pool::Bounds {
             each_engine: limits.engine_connections,
             idle: limits.connection_idle,
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
-use hallmux_agreement::{Contract, Scatter};
+use hallmux_agreement::{Scatter, Settings};
 use hallmux_codec::statement::Call;
 use hallmux_dispatcher::{Ask, Dispatcher, Micros, Speech, Ticket, Unfit};
 use hallmux_gossip::PeerId;
@@ -71,7 +71,7 @@
         settings: &Scatter,
         now: Micros,
         spread_offset: usize,
-        contract: &Contract,
+        contract: &Settings,
     ) -> std::io::Result<ScatteredStatements> {
         let locations = contract.names.locations.clone();
         let loads = settings.marked.then(|| Loads::new(settings.writes.clone(), locations));
