--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -155,8 +155,8 @@
                 Ok(None) => break None,
                 Err(what) => break Some(what),
                 Ok(Some(Decoded { len, message })) => {
-                    let Message { sequence_number: number, request } = message;
                     at += len;
+                    let Message { sequence_number: number, request } = message;
                     let mut answer = |reply: Reply| statement::write(client.link.output(), number, &reply);
                     match request {
                         Request::HealthCheck => answer(Reply::Health(well)),
@@ -177,7 +177,7 @@
                 }
             }
         };
-        client.link.taken(at);
+        client.link.consume(at);
         client.has_sent_message |= at > 0;
         // Guards against messages that never end: what has begun, or is the first, is awaited for a while.
         let is_incomplete = !client.has_sent_message || !client.link.input.is_empty();
--- a/crates/front/src/engines/mod.rs
+++ b/crates/front/src/engines/mod.rs
@@ -17,7 +17,7 @@
 use hallmux_codec::statement::Call;
 use hallmux_dispatcher::{Dials, Ending, Micros, Note, Place, Terms, Ticket};
 
-use crate::events::{Events, SocketKind};
+use crate::events::{LoopEvents, SocketKind};
 use crate::execution::ExecutionId;
 use crate::front::Pacer;
 use crate::link::{Broken, Link};
@@ -111,7 +111,7 @@
 }
 
 pub struct Engines {
-    handle: LoopHandle<'static, Events>,
+    handle: LoopHandle<'static, LoopEvents>,
     allowance: NetworkSettings,
     report_names: Vec<String>,
     engines: BTreeMap<Place, Engine>,
@@ -129,7 +129,7 @@
 }
 
 impl Engines {
-    pub fn new(handle: LoopHandle<'static, Events>, allowance: NetworkSettings, names: &Names) -> Self {
+    pub fn new(handle: LoopHandle<'static, LoopEvents>, allowance: NetworkSettings, names: &Names) -> Self {
         Engines {
             handle,
             reuse: Reuse::new((allowance.keepalive - IDLE_MARGIN).max(IDLE_MARGIN)),
--- a/crates/front/src/fleet/join.rs
+++ b/crates/front/src/fleet/join.rs
@@ -13,7 +13,7 @@
 use super::errors::PeersError;
 use super::members::setup;
 use super::votes::Votes;
-use crate::events::{Events, SocketKind};
+use crate::events::{LoopEvents, SocketKind};
 
 /// Joins the elections for ownership of the fleet's work. Returns the durable votes, where this front is a voter.
 pub(super) fn join_ownership(
@@ -48,7 +48,7 @@
     ledger: &agreement::Ledger,
     now: Micros,
     socket: &UdpSocket,
-    handle: &LoopHandle<'static, Events>,
+    handle: &LoopHandle<'static, LoopEvents>,
 ) -> Result<Option<Copies>, PeersError> {
     let memory_on_disk_failure = ledger.on_disk_failure == OnDiskFailure::Memory;
     let mut copies = None;
@@ -87,9 +87,9 @@
 }
 
 /// What wakes the loop from the thread that writes copies.
-fn loop_waker(handle: &LoopHandle<'static, Events>) -> std::io::Result<impl Fn() + Send + 'static> {
+fn loop_waker(handle: &LoopHandle<'static, LoopEvents>) -> std::io::Result<impl Fn() + Send + 'static> {
     let (ping, source) = calloop::ping::make_ping()?;
-    let told = handle.insert_source(source, |(), _, events: &mut Events| {
+    let told = handle.insert_source(source, |(), _, events: &mut LoopEvents| {
         events.ready.push(SocketKind::Peers.id(0));
     });
     told.map_err(|e| std::io::Error::other(e.error.to_string()))?;
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -18,7 +18,7 @@
 use crate::clock::Clock;
 use crate::coordinator::Coordinator;
 use crate::engines::Engines;
-use crate::events::{Events, SocketId, SocketKind};
+use crate::events::{LoopEvents, SocketId, SocketKind};
 use crate::fleet::rules::{self, Shared};
 use crate::fleet::{Guard, Peers};
 use crate::link::Link;
@@ -35,7 +35,7 @@
 const CLIENTS_PART: usize = 2; // of the descriptors; clients hold a third, the rest is for engines
 
 pub struct Front {
-    handle: LoopHandle<'static, Events>,
+    handle: LoopHandle<'static, LoopEvents>,
     listener: Listener,
     dispatcher: Dispatcher,
     answer_slack: Micros,
@@ -76,7 +76,7 @@
         station: &NodeConfig,
         known: &EngineListEvents,
         listener: TcpListener,
-        handle: LoopHandle<'static, Events>,
+        handle: LoopHandle<'static, LoopEvents>,
     ) -> Result<Front, StartError> {
         let contract = &station.settings;
         let gateway = station.operator.postgres.as_ref();
@@ -167,7 +167,7 @@
             SocketKind::Client => self.read_client(number),
             SocketKind::Engine => self.engines.read(self.clock.now, number),
             SocketKind::Coordinator => {
-                let before = self.coordinator.follow;
+                let before = self.coordinator.last_index;
                 if let Some(stream) = self.coordinator.read(self.clock.now, number) {
                     self.apply_list(&stream, before);
                 }
--- a/crates/front/src/front/engine_list.rs
+++ b/crates/front/src/front/engine_list.rs
@@ -13,8 +13,8 @@
     pub(super) fn apply_known_list(&mut self, known: &str) {
         match hallmux_codec::coordinator::events(known.as_bytes()) {
             Ok(known) => {
-                let before = self.coordinator.follow;
-                self.coordinator.follow = before.max(known.index);
+                let before = self.coordinator.last_index;
+                self.coordinator.last_index = before.max(known.index);
                 self.apply_list(&known, before);
             }
             Err(what) => log::error!("NODE_CONFIG: known: {what}; the engine list is left as it was"),
@@ -22,7 +22,7 @@
     }
 
     /// Takes in the coordinator's events that come after the one given.
-    pub(super) fn apply_list(&mut self, stream: &EngineListEvents, after: u64) {
+    pub(super) fn apply_list(&mut self, stream: &Events, after: u64) {
         for update in stream.updates.iter().filter(|u| u.index > after) {
             let Some(list) = &update.list else { continue };
             let gateway = self.gateway.as_ref();
--- a/crates/front/src/listener.rs
+++ b/crates/front/src/listener.rs
@@ -8,12 +8,12 @@
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
 use hallmux_dispatcher::Micros;
 
-use crate::events::{Events, SocketId};
+use crate::events::{LoopEvents, SocketId};
 
 const ACCEPT_BACKOFF: Micros = 50_000; // microseconds until the next try after one without capacity or descriptors
 
 pub struct Listener {
-    handle: LoopHandle<'static, Events>,
+    handle: LoopHandle<'static, LoopEvents>,
     /// None once it is closed.
     socket: Option<(Rc<TcpListener>, RegistrationToken)>,
     /// When to try `accept` next; none while the kernel's queue is known to be empty.
@@ -28,13 +28,13 @@
     /// Registers a bound socket with the event loop, which reports it under the id given.
     pub fn new(
         listener: TcpListener,
-        handle: &LoopHandle<'static, Events>,
+        handle: &LoopHandle<'static, LoopEvents>,
         id: SocketId,
     ) -> std::io::Result<Listener> {
         listener.set_nonblocking(true)?;
         let listener = Rc::new(listener);
         let source = Generic::new(listener.clone(), Interest::READ, Mode::Edge);
-        let accept = handle.insert_source(source, move |_, _, events: &mut Events| {
+        let accept = handle.insert_source(source, move |_, _, events: &mut LoopEvents| {
             events.ready.push(id);
             Ok(PostAction::Continue)
         });
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -25,7 +25,7 @@
 use calloop::EventLoop;
 use hallmux_agreement::NodeConfig;
 
-use events::Events;
+use events::LoopEvents;
 use front::Front;
 use start_error::StartError;
 
@@ -49,16 +49,16 @@
     let known = hallmux_codec::coordinator::events(station.known_events.as_bytes());
     let known = known.map_err(|what| StartError::Known(what.to_string()))?;
     let polls = StartError::system("polling");
-    let mut event_loop: EventLoop<'static, Events> = EventLoop::try_new().map_err(|e| polls(e.into()))?;
+    let mut event_loop: EventLoop<'static, LoopEvents> = EventLoop::try_new().map_err(|e| polls(e.into()))?;
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGHUP]).map_err(|e| polls(e.into()))?;
-    let queue = |event: Event, _: &mut (), events: &mut Events| events.signals.push(event.signal());
+    let queue = |event: Event, _: &mut (), events: &mut LoopEvents| events.signals.push(event.signal());
     event_loop.handle().insert_source(signals, queue).map_err(|e| polls(e.error.into()))?;
     let unfit = |why| StartError::Listen { at: station.listen, why };
     let listener = TcpListener::bind(station.listen).map_err(unfit)?;
     let address = listener.local_addr().map_err(unfit)?;
     let mut front = Front::new(&station, &known, listener, event_loop.handle())?;
     log::info!("takes statements at {address}");
-    let mut events = Events::default();
+    let mut events = LoopEvents::default();
     while !front.is_done() {
         let idle = front.idle();
         event_loop.dispatch(idle, &mut events).map_err(|e| polls(e.into()))?;
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -17,7 +17,7 @@
 use super::error::ListenError;
 use super::servers::{self, Servers, Unit};
 use super::sessions::{self, Sessions, Users};
-use crate::events::{Events, SocketId, SocketKind};
+use crate::events::{LoopEvents, SocketId, SocketKind};
 use crate::execution::ExecutionId;
 use crate::fleet::rules::Shared;
 use crate::link::Link;
@@ -33,7 +33,7 @@
 }
 
 pub struct Gateway {
-    handle: LoopHandle<'static, Events>,
+    handle: LoopHandle<'static, LoopEvents>,
     listener: Listener,
     sessions: Sessions,
     servers: Servers,
@@ -55,7 +55,7 @@
     pub fn new(
         postgres: &Postgres,
         contract: &Settings,
-        handle: LoopHandle<'static, Events>,
+        handle: LoopHandle<'static, LoopEvents>,
         rules: Option<Shared>,
     ) -> std::io::Result<Gateway> {
         let listener = TcpListener::bind(postgres.listen)
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -16,7 +16,7 @@
 use hallmux_postgres::prepared::Settings;
 use hallmux_postgres::session::Part;
 
-use crate::events::Events;
+use crate::events::LoopEvents;
 use crate::execution::ExecutionId;
 use crate::front::Pacer;
 use crate::link::Link;
@@ -134,7 +134,7 @@
 }
 
 pub struct Servers {
-    handle: LoopHandle<'static, Events>,
+    handle: LoopHandle<'static, LoopEvents>,
     allowance: NetworkSettings,
     limits: SessionLimits,
     engines: BTreeMap<Place, EngineEntry>,
@@ -157,7 +157,7 @@
 
 impl Servers {
     pub fn new(
-        handle: LoopHandle<'static, Events>,
+        handle: LoopHandle<'static, LoopEvents>,
         allowance: NetworkSettings,
         limits: SessionLimits,
     ) -> Self {
