--- a/crates/dispatcher/src/seen.rs
+++ b/crates/dispatcher/src/seen.rs
@@ -1,6 +1,6 @@
 //! What is spoken of by the fleet: what this front has seen of engines, and what others say of them.
 
-use hallmux::interface::{Event, Hearsay, Listed, Micros, Mode};
+use hallmux::interface::{Event, Listed, Micros, Mode, PeerReport};
 
 use crate::engines::Engine;
 use crate::Dispatcher;
@@ -91,11 +91,11 @@
         all.zip(is_back).filter(worth).map(|(s, _)| s).collect()
     }
 
-    /// Another front says something of an engine, which `is` knows by its id; `maker` is its place among them.
-    pub fn hearsay(
+    /// Another front reports on an engine, which `is` knows by its id; `reporter` is its index among the other fronts.
+    pub fn peer_report(
         &mut self,
         now: Micros,
-        maker: usize,
+        reporter: usize,
         is: impl Fn(&str) -> bool,
         seen: &Sighted,
         age: Micros,
@@ -105,11 +105,11 @@
             self.engines[engine].seen.ill = Some(now);
         }
         let Sighted { failed, answered, silent, .. } = *seen;
-        let said = Hearsay { maker, engine, failed, answered, silent, age };
-        if said.answers() {
-            self.engines[engine].seen.hushed = None; // whoever was silent has spoken since
+        let report = PeerReport { reporter, engine, failed, answered, silent, age };
+        if report.answers() {
+            self.engines[engine].seen.hushed = None; // the engine has answered since
         }
-        self.told.push(Event::Hearsay(said));
+        self.told.push(Event::PeerReport(report));
     }
 
     /// How many fronts there are, this one too: those that have not said good-bye, and of them those heard of.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -373,7 +373,7 @@
                 drains: s.drains,
                 started: None,
             };
-            dispatcher.hearsay(now, maker, |id| named(id) == s.engine, &seen, n.age);
+            dispatcher.peer_report(now, maker, |id| named(id) == s.engine, &seen, n.age);
         }
         let before = std::mem::replace(&mut self.known, known);
         news.into_iter().filter(|n| !before.contains_key(&(n.maker, n.sighting.engine))).collect()
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -9,11 +9,11 @@
 use crate::interface::*;
 use crate::state::*;
 
-mod doubt;
 mod give_up;
 mod learn;
 mod penalty;
 mod place;
+mod suspicion;
 
 pub use penalty::penalty;
 
@@ -59,10 +59,10 @@
 const STOOD_STILL: Micros = 4 * SWEEP; // between two calls; a front that waits so long has missed its turns
 const FORGOTTEN: f64 = 0.007; // share of what reports told that each look forgets: half is gone in about 10 s
 const OUTDATED: f64 = 0.02; // share of what one engine told that a look turns into the usual: half in 3.5 s
-const HEARD_FOR: Micros = 8 * SECOND; // age at which what others say of an engine is worth nothing
-const HEARSAY: f64 = 0.5; // most that others' word takes of a bound, however many speak; one half of it
-const TOLD_WRONG: f64 = 0.8; // factor on the credit of a front that speaks ill of an engine that does well
-const DOUBTFUL: f64 = 0.3; // share of failures or silence from which a word counts as ill
+const REPORT_LIFETIME: Micros = 8 * SECOND; // age at which a peer report on an engine is worth nothing
+const MOST_SUSPICION: f64 = 0.5; // most that peer reports take of a bound, however many; one takes half of it
+const FALSE_REPORT: f64 = 0.8; // factor on the credibility of a front whose adverse report proves false
+const ADVERSE: f64 = 0.3; // share of failures or silence from which a peer report counts as adverse
 const MISSED: f64 = 0.15; // share of what the fleet let in that was late, beyond which it lets in less
 const LET_IN: f64 = 1.25; // times what engines answer that the fleet lets in: less would leave them idle
 const LEAST_LET_IN: f64 = 0.05; // share of what is asked that is let in whatever was missed: else no way back
@@ -89,14 +89,14 @@
     shares: Vec<Bucket>, // of each customer
     taken: Times,
     further: Times,
-    many: bool,         // so many fronts that a share of one engine's bound holds no statement
-    ran: Load,          // what a statement usually holds while it runs
-    may_probe: f64,     // probes that statements have paid for
-    asks_next: usize,   // engine whose turn it is to be probed
-    words: Words,       // of other fronts, with their credit by whether what they said came true
-    known: f64,         // fronts that may share a returning zone: silent ones too, no fewer than agreed
-    up: f64,            // of them those that are heard of, this one too
-    let_in: Vec<f64>, // share of each workload within customers' shares, and beyond, that is let in; none: all
+    many: bool,       // so many fronts that a share of one engine's bound holds no statement
+    ran: Load,        // what a statement usually holds while it runs
+    may_probe: f64,   // probes that statements have paid for
+    asks_next: usize, // engine whose turn it is to be probed
+    peer_reports: PeerReports, // with the credibility of their reporters
+    known: f64,       // fronts that may share a returning zone: silent ones too, no fewer than agreed
+    up: f64,          // of them those that are heard of, this one too
+    let_in: Vec<f64>, // share of each workload inside and beyond customers' shares that is let in; none: all
     beyond: Vec<f64>, // share of what each customer asks the fleet that is beyond its own; none: not known
     part: f64,        // what this front is asked, against the mean; 0 where it hears of no others
     probes: Bucket,   // of the fleet's budget
@@ -152,7 +152,7 @@
                 Event::Noted { statement: s, execution: n, engine: e, note } => self.noted(s, n, e, note),
                 Event::Left(id) => self.close(id, false),
                 Event::Freed { key, rests } => self.freed(key, rests),
-                Event::Hearsay(said) => self.hear(said),
+                Event::PeerReport(report) => self.peer_reported(report),
                 Event::Offered(asked) => self.bears(&asked),
                 Event::Room { engine, room } => self.engines.has_room(engine, room),
                 Event::Fleet { known, up } => (self.known, self.up) = (known.max(self.agreed.fronts), up),
@@ -197,7 +197,7 @@
             if let Some(start) = entry.started.filter(|_| restarted) {
                 (self.engines.credit[e], self.engines.rests_until[e]) = (TRUSTED, 0);
                 self.engines.others[e] = Load::default();
-                self.words.forget(e); // of an earlier start
+                self.peer_reports.forget(e); // of an earlier start
                 self.found_well(e, true);
                 self.found_cold(e, start + self.agreed.warm_within);
             }
--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -53,10 +53,10 @@
         let stands = (workload.waits_for_data || workload.holds_data) && s.asked.data_set.is_some();
         let is_bound = |w: &Workload| w.kinds.is_some() || w.locations.is_some();
         let (mut best, mut best_room) = (None, f64::NEG_INFINITY);
-        // Where all that it may use are spoken ill of, nothing is said.
+        // Where all engines that it may use are suspected, none is.
         let may = |e: &EngineId| self.engines.entry(*e).is_some_and(|l| s.allows(workload, l));
         let all = || (0..self.engines.open.len()).filter(may);
-        let heeds = !self.words.said.is_empty() && all().any(|e| self.doubt(e) >= 1.0);
+        let heeds = !self.peer_reports.adverse.is_empty() && all().any(|e| self.unsuspected_share(e) >= 1.0);
         let leaves = !self.engines.left.is_empty() && all().any(|e| !self.engines.is_left(e));
         let (pool, out) = self.engines.open_totals();
         let (memory_pool, memory_out) = self.engines.open_memory(MEMORY_USED / THREADS_PER_CORE);
@@ -83,7 +83,7 @@
             let Some(entry) = &self.engines.listed[e] else { continue };
             let (size, own) = (self.engines.size[e], self.engines.own[e]);
             let credit = (self.engines.credit[e] / TRUSTED).min(1.0);
-            let credit = if heeds { credit * self.doubt(e) } else { credit };
+            let credit = if heeds { credit * self.unsuspected_share(e) } else { credit };
             let bound =
                 self.engines.bound[e] * credit.max(0.01) * self.engines.warmth(e, self.now, &self.agreed);
             let memory = size.memory * MEMORY_USED * (bound / (THREADS_PER_CORE * size.threads)).min(1.0);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -240,10 +240,10 @@
     pub report: Option<Report>,
 }
 
-/// What another front says of an engine, by its place among those that may speak.
+/// What another front reports of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Hearsay {
-    pub maker: usize,
+pub struct PeerReport {
+    pub reporter: usize,
     pub engine: EngineId,
     /// Executions there that failed and that were answered, of some seconds.
     pub failed: f64,
@@ -252,8 +252,8 @@
     pub age: Micros,
 }
 
-impl Hearsay {
-    /// It says that the engine answers, and nothing of any silence.
+impl PeerReport {
+    /// Whether it reports that the engine answers, with no silence.
     pub fn answers(&self) -> bool {
         self.answered >= 1.0 && self.silent == 0
     }
@@ -312,7 +312,7 @@
         alive: bool,
         report: Option<Report>,
     },
-    Hearsay(Hearsay),
+    PeerReport(PeerReport),
     /// Fronts that this one knows of, itself too: those that have not said good-bye, and of them those heard of.
     Fleet {
         known: f64,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,8 +10,8 @@
 pub mod interface;
 mod learned;
 mod offers;
+mod peer_reports;
 mod state;
 mod turns;
-mod words;
 
 pub use decide::Front;
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -250,8 +250,8 @@
                 },
             },
             "leave" => Event::Left(statement),
-            "hear" => Event::Hearsay(Hearsay {
-                maker: number(words[1]) as usize,
+            "hear" => Event::PeerReport(PeerReport {
+                reporter: number(words[1]) as usize,
                 engine: self.engine_names.iter().position(|e| e == words[2])?,
                 failed: value("failed"),
                 answered: value("answered"),
