--- a/crates/dispatcher/src/out.rs
+++ b/crates/dispatcher/src/out.rs
@@ -136,7 +136,7 @@
                 self.over(now, ticket);
             }
             Action::Probe { engine: place } => orders.push(Order::Probe { place, for_fleet: false }),
-            Action::ProbeLeft { engine: place } => orders.push(Order::Probe { place, for_fleet: true }),
+            Action::ProbeEvacuated { engine: place } => orders.push(Order::Probe { place, for_fleet: true }),
             Action::Pace { connections } => orders.push(Order::Pace { connections }),
             Action::Wake { at } => self.wake = at,
             // The coordinator is followed all the time, asked for or not.
--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -101,7 +101,7 @@
             }
         }
         Action::Abort { statement } => writeln!(out, "FAIL who={who} req={}", req(statement)),
-        Action::Probe { engine } | Action::ProbeLeft { engine } => {
+        Action::Probe { engine } | Action::ProbeEvacuated { engine } => {
             writeln!(out, "PROBE who={who} engine={}", engines[*engine])
         }
         // The settings name no such budget here.
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -66,7 +66,7 @@
 const MISSED: f64 = 0.15; // share of what the fleet let in that was late, beyond which it lets in less
 const LET_IN: f64 = 1.25; // times what engines answer that the fleet lets in: less would leave them idle
 const LEAST_LET_IN: f64 = 0.05; // share of what is asked that is let in whatever was missed: else no way back
-const FLEET_PROBES: f64 = 4.0; // a second into zones that the fleet has left, of all fronts together
+const FLEET_PROBES: f64 = 4.0; // a second into evacuated zones, of all fronts together
 
 #[derive(Default)]
 pub struct Front {
@@ -158,7 +158,7 @@
                 Event::Fleet { known, up } => (self.known, self.up) = (known.max(self.agreed.fronts), up),
                 Event::Probed { engine, alive, report } => {
                     self.engines.know(engine, TRUSTED);
-                    self.found_well(engine, alive);
+                    self.found_healthy(engine, alive);
                     self.engines.credit[engine] *= if alive { 1.0 } else { SPENT_ERROR };
                     report.iter().for_each(|r| self.reported(engine, r));
                 }
@@ -198,8 +198,8 @@
                 (self.engines.credit[e], self.engines.rests_until[e]) = (TRUSTED, 0);
                 self.engines.others[e] = Load::default();
                 self.peer_reports.forget(e); // of an earlier start
-                self.found_well(e, true);
-                self.found_cold(e, start + self.agreed.warm_within);
+                self.found_healthy(e, true);
+                self.start_warm_up(e, start + self.agreed.warm_within);
             }
             self.engines.open[e] = entry.mode == Mode::Ready;
             self.engines.listed[e] = Some(entry);
--- a/src/decide/learn.rs
+++ b/src/decide/learn.rs
@@ -5,13 +5,13 @@
 impl Front {
     /// Asks engines for their load where only probes bring it, in turn, as often as statements pay for.
     pub(super) fn probe(&mut self) {
-        // All fronts together probe what the fleet has left: each draws at its share of the rate. Where
+        // All fronts together probe evacuated zones: each draws at its share of the rate. Where
         // probes are not allowed a statement or two go there instead, as to a cold engine.
         let rate = FLEET_PROBES * SWEEP as f64 / SECOND as f64;
-        if !self.engines.left.is_empty() && self.chance.next() * self.up < rate {
-            match self.engines.one_left(self.chance.next()) {
-                Some(engine) if self.agreed.probes => self.actions.push(Action::ProbeLeft { engine }),
-                other => other.into_iter().for_each(|e| self.found_well(e, true)),
+        if !self.engines.evacuated.is_empty() && self.chance.next() * self.up < rate {
+            match self.engines.pick_evacuated(self.chance.next()) {
+                Some(engine) if self.agreed.probes => self.actions.push(Action::ProbeEvacuated { engine }),
+                other => other.into_iter().for_each(|e| self.found_healthy(e, true)),
             }
         }
         let budget = self.agreed.budgets.map_or(f64::INFINITY, |b| share_of(b.probes, self.part, self.known));
@@ -113,7 +113,7 @@
         let (before, unreached) = self.engines.tried(e, x.outcome, now + LOST_REST);
         if unreached.max(before) > 1 {
             // It could not be reached: once it is back it may have restarted before the list says so.
-            self.found_cold(e, now + self.agreed.warm_within);
+            self.start_warm_up(e, now + self.agreed.warm_within);
         }
         x.report.iter().for_each(|report| self.reported(e, report));
         match x.outcome {
@@ -121,7 +121,7 @@
                 if x.took <= self.slo_time(&self.statements[&x.statement]) {
                     self.proved(e, false);
                 }
-                self.found_well(e, true);
+                self.found_healthy(e, true);
                 self.completed(&x, load.threads)
             }
             Outcome::TimedOut if quiet => {} // an engine that hangs has been charged for its silence
--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -57,7 +57,7 @@
         let may = |e: &EngineId| self.engines.entry(*e).is_some_and(|l| s.allows(workload, l));
         let all = || (0..self.engines.open.len()).filter(may);
         let heeds = !self.peer_reports.adverse.is_empty() && all().any(|e| self.unsuspected_share(e) >= 1.0);
-        let leaves = !self.engines.left.is_empty() && all().any(|e| !self.engines.is_left(e));
+        let avoids = !self.engines.evacuated.is_empty() && all().any(|e| !self.engines.is_evacuated(e));
         let (pool, out) = self.engines.open_totals();
         let (memory_pool, memory_out) = self.engines.open_memory(MEMORY_USED / THREADS_PER_CORE);
         // Among many fronts the pool bounds a front's threads and memory; with nothing out it may send one.
@@ -71,7 +71,7 @@
             let trusted = s.executions.is_empty() || self.engines.credit[e] >= TRUSTED;
             let reached = self.engines.room[e] > 0 || s.asked.pinned.is_some();
             let away =
-                !reached || self.engines.rests_until[e] > self.now || leaves && self.engines.is_left(e);
+                !reached || self.engines.rests_until[e] > self.now || avoids && self.engines.is_evacuated(e);
             if !trusted || away || !self.may_execute(id, e) {
                 continue;
             }
@@ -117,7 +117,7 @@
     }
 
     /// What an earlier life of this front may just have sent is not known and counts as all it might.
-    pub(super) fn found_cold(&mut self, e: EngineId, until: Micros) {
+    pub(super) fn start_warm_up(&mut self, e: EngineId, until: Micros) {
         self.engines.cold_until[e] = until;
         let fresh = self.started == Some(self.now);
         self.engines.pushed[e] = (if fresh { self.pushed(e).1 } else { self.engines.pushed[e].0 }, self.now);
--- a/src/decide/suspicion.rs
+++ b/src/decide/suspicion.rs
@@ -1,4 +1,4 @@
-//! What peer reports on an engine are worth, and which zones the fleet leaves for them.
+//! What peer reports on an engine are worth, and which zones are evacuated for them.
 
 use super::*;
 
@@ -12,52 +12,52 @@
         let (e, reporter, until) = (report.engine, report.reporter, self.now - report.age + REPORT_LIFETIME);
         self.peer_reports.expire(self.now);
         let believed = self.peer_reports.credibility(reporter, TRUSTED) >= TRUSTED;
-        // What was reported before an engine was found well, or of an earlier start, is over.
-        let well_since = self.engines.cold_until[e] - self.agreed.warm_within;
-        if severity >= ADVERSE && until > self.now && until - REPORT_LIFETIME >= well_since {
+        // What was reported before an engine was found healthy, or of an earlier start, is over.
+        let healthy_since = self.engines.cold_until[e] - self.agreed.warm_within;
+        if severity >= ADVERSE && until > self.now && until - REPORT_LIFETIME >= healthy_since {
             self.peer_reports.adverse.insert((e, reporter), Adverse { severity, until });
-            self.leave_zone(e);
+            self.evacuate_zone(e);
         } else {
             self.peer_reports.adverse.remove(&(e, reporter));
-            let well = self.engines.left.get_mut(&e).filter(|_| believed && report.answers());
-            let enough = well.is_some_and(|w| w.insert(reporter) && w.len() >= self.agreed.zone_quorum);
-            self.found_well(e, enough);
+            let finders = self.engines.evacuated.get_mut(&e).filter(|_| believed && report.answers());
+            let enough = finders.is_some_and(|w| w.insert(reporter) && w.len() >= self.agreed.zone_quorum);
+            self.found_healthy(e, enough);
         }
     }
 
     /// The share of an engine's bound that peer reports leave: one believed front takes half at most, fading
-    /// with age; of a zone that the fleet has left nothing.
+    /// with age; of an evacuated zone nothing.
     pub(super) fn unsuspected_share(&self, e: EngineId) -> f64 {
         let worth = |(reporter, report): (usize, Adverse)| {
             let left = (report.until - self.now).max(0) as f64 / REPORT_LIFETIME as f64;
             (self.peer_reports.credibility(reporter, TRUSTED) * report.severity * left.sqrt()).min(0.5)
         };
         let suspicion = MOST_SUSPICION * self.peer_reports.on(e).map(worth).sum::<f64>().min(1.0);
-        f64::from(u8::from(!self.engines.is_left(e))) * (1.0 - suspicion)
+        f64::from(u8::from(!self.engines.is_evacuated(e))) * (1.0 - suspicion)
     }
 
     /// Adverse reports on most of a zone from believed fronts at as many vantages as agreed decide for the
-    /// fleet: it is left, and stays so when the reports fade, as nobody has anything out there by then.
-    fn leave_zone(&mut self, e: EngineId) {
-        let (near, quorum) = (self.engines.near(e), self.agreed.zone_quorum);
-        let suspects = self.peer_reports.suspects(&near, TRUSTED, TRUSTED);
-        if quorum > 0 && suspects.reporters.len() >= quorum && 2 * suspects.engines.len() > near.len() {
-            suspects.engines.iter().for_each(|o| _ = self.engines.left.entry(*o).or_default());
+    /// fleet: it is evacuated, and stays so when the reports fade, as nobody has anything out there by then.
+    fn evacuate_zone(&mut self, e: EngineId) {
+        let (zone, quorum) = (self.engines.same_zone(e), self.agreed.zone_quorum);
+        let suspects = self.peer_reports.suspects(&zone, TRUSTED, TRUSTED);
+        if quorum > 0 && suspects.reporters.len() >= quorum && 2 * suspects.engines.len() > zone.len() {
+            suspects.engines.iter().for_each(|o| _ = self.engines.evacuated.entry(*o).or_default());
         }
     }
 
-    /// An engine of a zone that was left is well: once half of them are, the zone is used again, as cold.
-    pub(super) fn found_well(&mut self, e: EngineId, well: bool) {
-        if !well || self.engines.left.remove(&e).is_none() {
+    /// An engine of an evacuated zone is healthy: once half of them are, the zone is used again, as cold.
+    pub(super) fn found_healthy(&mut self, e: EngineId, healthy: bool) {
+        if !healthy || self.engines.evacuated.remove(&e).is_none() {
             return;
         }
-        let near = self.engines.near(e);
-        if 2 * near.iter().filter(|o| self.engines.left.contains_key(o)).count() <= near.len() {
-            for o in near {
-                self.engines.left.remove(&o);
+        let zone = self.engines.same_zone(e);
+        if 2 * zone.iter().filter(|o| self.engines.evacuated.contains_key(o)).count() <= zone.len() {
+            for o in zone {
+                self.engines.evacuated.remove(&o);
                 self.peer_reports.forget(o);
                 (self.engines.credit[o], self.engines.rests_until[o]) = (TRUSTED, 0);
-                self.found_cold(o, self.now + self.agreed.warm_within);
+                self.start_warm_up(o, self.now + self.agreed.warm_within);
             }
         }
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -356,7 +356,7 @@
         engine: EngineId,
     },
     /// A probe on behalf of the fleet into what it has left.
-    ProbeLeft {
+    ProbeEvacuated {
         engine: EngineId,
     },
     Subscribe,
--- a/src/state.rs
+++ b/src/state.rs
@@ -176,13 +176,13 @@
     pub probed: Vec<Micros>,
     pub told: Vec<Micros>, // when its last report came
     pub room: Vec<usize>,  // executions that can leave now, over connections that are there or may be made
-    /// Ill in zones that the fleet has left; other fronts that have found each well since.
-    pub left: BTreeMap<EngineId, BTreeSet<usize>>,
+    /// Suspects in evacuated zones, each with the other fronts that have found it healthy since.
+    pub evacuated: BTreeMap<EngineId, BTreeSet<usize>>,
 }
 
 impl Engines {
-    /// The engines listed in the zone of this one, itself too, but for those that are gone.
-    pub fn near(&self, e: EngineId) -> Vec<EngineId> {
+    /// The engines listed in the zone of this one, itself included; those that are gone are left out.
+    pub fn same_zone(&self, e: EngineId) -> Vec<EngineId> {
         let zone = |e: EngineId| self.listed.get(e).and_then(|l| l.as_ref()).map(|l| l.location);
         let listed = |o: &EngineId| self.listed[*o].as_ref().is_some_and(|l| l.mode != Mode::Gone);
         (0..self.listed.len()).filter(listed).filter(|o| zone(*o) == zone(e)).collect()
@@ -210,15 +210,15 @@
         self.size[e].threads * since * (agreed.cold_from + self.warmth(e, now, agreed)) / 2.0 / work
     }
 
-    /// Whether the fleet has left the zone of this engine.
-    pub fn is_left(&self, e: EngineId) -> bool {
-        !self.left.is_empty() && self.near(e).iter().any(|o| self.left.contains_key(o))
+    /// Whether the zone of this engine is evacuated.
+    pub fn is_evacuated(&self, e: EngineId) -> bool {
+        !self.evacuated.is_empty() && self.same_zone(e).iter().any(|o| self.evacuated.contains_key(o))
     }
 
-    /// One of those that the fleet has left, by a share of their count.
-    pub fn one_left(&self, share: f64) -> Option<EngineId> {
+    /// One suspect of the evacuated zones, at a share of their count.
+    pub fn pick_evacuated(&self, share: f64) -> Option<EngineId> {
         let listed = |o: &&EngineId| self.listed[**o].as_ref().is_some_and(|l| l.mode != Mode::Gone);
-        let all: Vec<EngineId> = self.left.keys().filter(listed).copied().collect();
+        let all: Vec<EngineId> = self.evacuated.keys().filter(listed).copied().collect();
         all.get((share * all.len() as f64) as usize).copied()
     }
 
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -163,7 +163,9 @@
                 Action::Reject { statement: s, .. } => format!("reject {} come-back", statement(s)),
                 Action::Abort { statement: s } => format!("abort {}", statement(s)),
                 Action::Probe { engine } => format!("probe {}", self.engine_names[*engine]),
-                Action::ProbeLeft { engine } => format!("probe-left {}", self.engine_names[*engine]),
+                Action::ProbeEvacuated { engine } => {
+                    format!("probe-evacuated {}", self.engine_names[*engine])
+                }
                 Action::Pace { connections } => format!("pace {connections:.2}"),
                 Action::Subscribe => "subscribe".to_string(),
             };
