--- a/crates/agreement/src/contract.rs
+++ b/crates/agreement/src/contract.rs
@@ -259,7 +259,7 @@
         most_executions: read.bounds.most_tries.unwrap_or(1),
         longest_retry_after: (read.bounds.retry_after)
             .then(|| micros(read.bounds.max_retry_after_ms.unwrap_or(1000.0))),
-        turn_gap: micros(read.rules.turn_gap_ms),
+        order_gap: micros(read.rules.turn_gap_ms),
         cold_from: read.rules.cold_from,
         warm_within: micros(read.rules.warm_within_ms),
         overload_factor: read.rules.overload_factor,
--- a/crates/dispatcher/src/ended.rs
+++ b/crates/dispatcher/src/ended.rs
@@ -94,7 +94,7 @@
         }
         key.statements -= 1;
         if key.statements == 0 {
-            self.resting.insert((now + self.turn_gap, name.to_string()));
+            self.resting.insert((now + self.order_gap, name.to_string()));
         }
     }
 
@@ -122,7 +122,7 @@
         };
         key.statements -= 1;
         if key.statements == 0 {
-            self.resting.insert((now + self.turn_gap, name));
+            self.resting.insert((now + self.order_gap, name));
         }
     }
 
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -58,7 +58,7 @@
     needs_dedup_key: Vec<bool>,         // by workload
     dedup_windows: Vec<Option<Micros>>, // likewise, where engines drop repeats
     locations: Vec<Option<Vec<usize>>>, // that workloads are bound to
-    turn_gap: Micros,
+    order_gap: Micros,
     warm_within: Micros,
     wake: Micros,
     told: Vec<Event>,
@@ -92,7 +92,7 @@
                 .map(|w| (w.effect == Effect::Deduplicated).then_some(w.dedup_window))
                 .collect(),
             locations: contract.agreement.workloads.iter().map(|w| w.locations.clone()).collect(),
-            turn_gap: contract.agreement.turn_gap,
+            order_gap: contract.agreement.order_gap,
             warm_within: contract.agreement.warm_within,
             wake: 0,
             told: Vec::new(),
--- a/crates/fleet/src/gate/needs.rs
+++ b/crates/fleet/src/gate/needs.rs
@@ -91,7 +91,7 @@
             };
             (name.clone(), workload)
         });
-        Needs { workloads: workloads.collect(), turn_gap: contract.agreement.turn_gap }
+        Needs { workloads: workloads.collect(), turn_gap: contract.agreement.order_gap }
     }
 
     /// Of one statement, in the order in which its promises are asked for: the same on every front, so that no two
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,7 +1,6 @@
-//! Every decision of a front. Call `Front::new` once with what was agreed and the instance's seed, then
-//! `Front::decide` with the clock and what has happened since the last call; it returns what is to be done,
-//! in order. Nothing else goes in or out: no clock, no input or output, and chance only from the seed.
-//! The types stand in `interface.rs`; docs/design.md says what is the paper's and what is ours.
+//! Every decision of a front. `Front::new` takes what was agreed and a seed, `Front::decide` the clock and
+//! what has happened since the last call; it returns what is to be done, in order. It has no other effect.
+//! docs/design.md says what is the paper's and what is ours.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -56,7 +55,7 @@
 const COME_BACK: f64 = 0.3; // seconds after which a rejected client may try again, spread by half
 const REMEMBERED: f64 = 0.99; // share of those given up that may still come back, at each arrival
 const SAME_TRY: Micros = 20_000; // microseconds less time than a first try has that mark a later one
-const STOOD_STILL: Micros = 4 * SWEEP; // between two calls; a front that waits so long has missed its turns
+const STOOD_STILL: Micros = 4 * SWEEP; // between two calls; a front that waits so long was stopped
 const FORGOTTEN: f64 = 0.007; // share of what reports told that each look forgets: half is gone in about 10 s
 const OUTDATED: f64 = 0.02; // share of what one engine told that a look turns into the usual: half in 3.5 s
 const REPORT_LIFETIME: Micros = 8 * SECOND; // age at which a peer report on an engine is worth nothing
@@ -73,7 +72,7 @@
     agreed: Agreement,
     chance: Chance,
     now: Micros,
-    awake: Micros, // since when this front has had its turns without standing still
+    awake: Micros, // since when this front has run without standing still
     started: Option<Micros>,
     wake: Micros,
     sweeps: u32,
@@ -85,14 +84,14 @@
     due: BTreeSet<(Micros, StatementId)>, // when a statement's standing changes by time alone
     overdue: BTreeSet<StatementId>,
     late: BTreeSet<StatementId>,
-    turns: Turns,
+    order_queues: OrderQueues,
     shares: Vec<Bucket>, // of each customer
     taken: Times,
     further: Times,
     many: bool,       // so many fronts that a share of one engine's bound holds no statement
     ran: Load,        // what a statement usually holds while it runs
     may_probe: f64,   // probes that statements have paid for
-    asks_next: usize, // engine whose turn it is to be probed
+    asks_next: usize, // engine that is probed next
     peer_reports: PeerReports, // with the credibility of their reporters
     known: f64,       // fronts that may share a returning zone: silent ones too, no fewer than agreed
     up: f64,          // of them those that are heard of, this one too
@@ -101,7 +100,7 @@
     part: f64,        // what this front is asked, against the mean; 0 where it hears of no others
     probes: Bucket,   // of the fleet's budget
     paced: Option<f64>, // new connections a second to each engine, as it was told last
-    turn: f64,        // share of a turn at cold engines that passes before this front's first
+    first_slot: f64,  // share of a slot at cold engines that passes before the first one of this front
     first_look: f64,  // where in the list of engines the next choice looks first
 }
 
@@ -117,7 +116,7 @@
         let smallest = agreed.cores.iter().copied().fold(f64::INFINITY, f64::min);
         Front {
             first_look,
-            turn: first_look,
+            first_slot: first_look,
             probes: Bucket { left: first_look, at: 0 }, // fronts that start at once do not probe at once
             asks_next: (chance.next() * 256.0) as usize,
             many: THREADS_PER_CORE * smallest / agreed.fronts < narrowest,
@@ -234,7 +233,7 @@
         let memory = memory.min(least_mb * self.agreed.largest_grant);
         self.may_probe = (self.may_probe + PROBES).min(MOST_PROBES);
         a.key = a.key.filter(|_| workload.in_order);
-        self.turns.joins(a.key, a.statement);
+        self.order_queues.enqueue(a.key, a.statement);
         let (id, ends) = (a.statement, self.now + a.time_left);
         let load = Load { threads: workload.threads, memory };
         let let_in = self.lets_in(&a, over);
@@ -250,15 +249,15 @@
     fn hold(&mut self, id: StatementId) {
         let Some(s) = self.statements.get(&id).filter(|s| !s.over && !s.is_out()) else { return };
         let (class, timely, latest) = (s.class, self.last_timely_start(s), self.latest_start(s));
-        let rests_until = self.turns.of(s.asked.key).map_or(0, |t| t.rests_until);
-        let has_turn = self.has_turn(id, s);
-        // Once it is to be given up it is due now; till then at the next turn of its standing.
+        let paused_until = self.order_queues.of(s.asked.key).map_or(0, |q| q.paused_until);
+        let is_first = self.is_first_in_order(id, s);
+        // Once it is to be given up it is due now; till then when its standing changes next.
         let ends = if self.hopeless(s) { self.now } else { s.ends - LAST_CALL };
         let forgotten = s.executions.first().map_or(0, |x| x.sent + self.workload(s).dedup_window);
-        let next = [timely, latest, rests_until, forgotten].into_iter().filter(|t| *t > self.now).min();
+        let next = [timely, latest, paused_until, forgotten].into_iter().filter(|t| *t > self.now).min();
         self.due.insert((next.map_or(ends, |t| t.min(ends)), id));
         self.unhold(id);
-        if !has_turn {
+        if !is_first {
         } else if self.now >= latest {
             self.overdue.insert(id);
         } else if self.now >= timely {
@@ -332,12 +331,12 @@
     }
 
     fn freed(&mut self, key: KeyId, rests: bool) {
-        self.turns.found(Some(key), true, rests.then_some(self.now + self.agreed.turn_gap));
-        self.next_in_line(Some(key));
+        self.order_queues.resolve(Some(key), true, rests.then_some(self.now + self.agreed.order_gap));
+        self.hold_first_in_order(Some(key));
     }
 
-    fn next_in_line(&mut self, key: Option<KeyId>) {
-        self.turns.next(key, self.now).into_iter().for_each(|next| self.hold(next));
+    fn hold_first_in_order(&mut self, key: Option<KeyId>) {
+        self.order_queues.first(key, self.now).into_iter().for_each(|next| self.hold(next));
     }
 
     fn forget(&mut self, id: StatementId) {
--- a/src/decide/give_up.rs
+++ b/src/decide/give_up.rs
@@ -9,9 +9,9 @@
     }
 
     /// Whether a statement is given up at once: no engine may have it, or it must be late, and that is worth
-    /// little or others wait behind it in the line of its order key: running it would make them late too.
+    /// little or others wait behind it in the queue of its order key: running it would make them late too.
     pub(super) fn hopeless(&self, s: &Statement) -> bool {
-        let blocks = self.turns.of(s.asked.key).is_some_and(|t| t.line.len() > 1);
+        let blocks = self.order_queues.of(s.asked.key).is_some_and(|q| q.statements.len() > 1);
         let late = self.now >= self.last_timely_start(s);
         self.stranded(s) || !self.goes_on(s) || late && (blocks || self.workload(s).late_share < LATE_WORTH)
     }
@@ -74,9 +74,9 @@
         let Some(s) = self.statements.get_mut(&id).filter(|s| !s.over) else { return };
         s.over = true;
         let (class, key) = (s.class, s.asked.key);
-        let astray = s.unended();
+        let unresolved = s.unended();
         let cancel = |n: &usize| Action::Cancel { statement: id, execution: *n };
-        self.actions.extend(astray.iter().filter(|_| self.agreed.cancel).map(cancel));
+        self.actions.extend(unresolved.iter().filter(|_| self.agreed.cancel).map(cancel));
         let counts = &mut self.classes[class];
         counts.out.remove(&id);
         let before = counts.on_top();
@@ -86,8 +86,8 @@
                 self.prioritise(other);
             }
         }
-        self.turns.leaves(key, id, astray.len());
-        self.next_in_line(key);
+        self.order_queues.remove(key, id, unresolved.len());
+        self.hold_first_in_order(key);
         self.forget(id);
     }
 }
--- a/src/decide/learn.rs
+++ b/src/decide/learn.rs
@@ -107,8 +107,8 @@
         let (quiet, key, was_over, ends, load) = (sent.quiet, s.asked.key, s.over, s.ends, s.load);
         self.engines.took_back(e, (x.statement, x.execution), load);
         let lost = matches!(x.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
-        self.turns.found(key, was_over, lost.then_some(now + self.agreed.turn_gap));
-        self.turns.keeps(key, x.holds && x.settled && !was_over);
+        self.order_queues.resolve(key, was_over, lost.then_some(now + self.agreed.order_gap));
+        self.order_queues.keep(key, x.holds && x.settled && !was_over);
         // One connection late to come up tells little of its engine; two in a row tell that it is gone.
         let (before, unreached) = self.engines.tried(e, x.outcome, now + LOST_REST);
         if unreached.max(before) > 1 {
@@ -144,7 +144,7 @@
         let s = &self.statements[&x.statement];
         if was_over {
             self.forget(x.statement);
-            self.next_in_line(key);
+            self.hold_first_in_order(key);
         } else if x.settled {
             let slo = self.slo_time(s);
             self.close(x.statement, x.outcome == Outcome::Completed && now - s.first_asked <= slo);
--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -11,7 +11,7 @@
         let open = !s.over && !s.is_out() && s.allows(workload, entry) && entry.speaks & s.asked.speech != 0;
         let open = open && s.asked.pinned.is_none_or(|pinned| pinned == e);
         let bears = self.now >= self.engines.cold_until[e] || self.pushed_with(e, s).is_some();
-        let open = open && self.now < s.ends && self.has_turn(id, s);
+        let open = open && self.now < s.ends && self.is_first_in_order(id, s);
         open && bears && (s.executions.is_empty() || self.harmless(s, entry) && self.tries_left(s))
     }
 
@@ -42,9 +42,10 @@
             && s.asked.pinned.is_none()
     }
 
-    pub(super) fn has_turn(&self, id: StatementId, s: &Statement) -> bool {
-        let rested = |t: &Turn| t.rests_until <= self.now || !s.executions.is_empty();
-        self.turns.of(s.asked.key).is_none_or(|t| t.line.front() == Some(&id) && t.astray == 0 && rested(t))
+    pub(super) fn is_first_in_order(&self, id: StatementId, s: &Statement) -> bool {
+        let resumed = |q: &OrderQueue| q.paused_until <= self.now || !s.executions.is_empty();
+        let first = |q: &OrderQueue| q.statements.front() == Some(&id) && q.unresolved == 0 && resumed(q);
+        self.order_queues.of(s.asked.key).is_none_or(first)
     }
 
     pub(super) fn place(&self, id: StatementId) -> Option<EngineId> {
@@ -124,12 +125,12 @@
     }
 
     /// What is counted at a cold engine once this is sent there now; None: not now. One longer than this
-    /// front's share of the burst goes in turns that begin by chance: idle or fresh fronts rush no engine.
+    /// front's share of the burst goes in slots that begin by chance: idle or fresh fronts rush no engine.
     pub(super) fn pushed_with(&self, e: EngineId, s: &Statement) -> Option<f64> {
         let (workload, (pushed, most)) = (self.workload(s), self.pushed(e));
         let work = self.learned[s.asked.workload].usual_work(workload.threads, workload.slo_time);
-        let turns = self.engines.could_do(e, work * self.known, self.now, &self.agreed) - self.turn;
-        let past = if self.known > COLD_SPARE { turns.rem_euclid(1.0) * work } else { 0.0 };
+        let slots = self.engines.could_do(e, work * self.known, self.now, &self.agreed) - self.first_slot;
+        let past = if self.known > COLD_SPARE { slots.rem_euclid(1.0) * work } else { 0.0 };
         let after = if work > most { work - past } else { pushed + work };
         Some(after).filter(|after| if work > most { pushed <= 0.0 && past <= most } else { *after <= most })
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -126,7 +126,7 @@
     pub subscribe: bool,
     pub most_executions: usize,
     pub longest_retry_after: Option<Micros>,
-    pub turn_gap: Micros,
+    pub order_gap: Micros,
     pub cold_from: f64,
     pub warm_within: Micros,
     pub overload_factor: f64,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,8 +10,8 @@
 pub mod interface;
 mod learned;
 mod offers;
+mod order_queue;
 mod peer_reports;
 mod state;
-mod turns;
 
 pub use decide::Front;
--- /dev/null
+++ b/src/order_queue.rs
@@ -0,0 +1,66 @@
+//! Which statement of each order key is next, as plain figures: nothing is decided here.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use crate::interface::*;
+
+/// The statements of one order key.
+#[derive(Default)]
+pub struct OrderQueue {
+    /// Those that are not over, in the order in which they arrived.
+    pub statements: VecDeque<StatementId>,
+    /// Executions still out of statements that are over, and transactions that keep the key.
+    pub unresolved: usize,
+    /// No statement leaves for the first time before.
+    pub paused_until: Micros,
+}
+
+/// The queues of all order keys in use.
+#[derive(Default)]
+pub struct OrderQueues(BTreeMap<KeyId, OrderQueue>);
+
+impl OrderQueues {
+    pub fn of(&self, key: Option<KeyId>) -> Option<&OrderQueue> {
+        key.and_then(|key| self.0.get(&key))
+    }
+
+    fn change(&mut self, key: Option<KeyId>, change: impl FnMut(&mut OrderQueue)) {
+        key.and_then(|key| self.0.get_mut(&key)).into_iter().for_each(change);
+    }
+
+    /// A statement arrives: it is the last of its key.
+    pub fn enqueue(&mut self, key: Option<KeyId>, id: StatementId) {
+        key.into_iter().for_each(|key| self.0.entry(key).or_default().statements.push_back(id));
+    }
+
+    /// A statement is over, with so many of its executions still out.
+    pub fn remove(&mut self, key: Option<KeyId>, id: StatementId, unresolved: usize) {
+        self.change(key, |queue| {
+            queue.statements.retain(|other| *other != id);
+            queue.unresolved += unresolved;
+        });
+    }
+
+    /// An execution has ended, unresolved where its statement was over; the key may pause until then.
+    pub fn resolve(&mut self, key: Option<KeyId>, unresolved: bool, paused_until: Option<Micros>) {
+        self.change(key, |queue| {
+            queue.unresolved -= usize::from(unresolved && queue.unresolved > 0);
+            queue.paused_until = paused_until.unwrap_or(queue.paused_until);
+        });
+    }
+
+    /// Whether the transaction of a statement that is over goes on and keeps the key.
+    pub fn keep(&mut self, key: Option<KeyId>, kept: bool) {
+        self.change(key, |queue| queue.unresolved += usize::from(kept));
+    }
+
+    /// The first statement of a key; a queue with nothing in it, unresolved or paused is dropped.
+    pub fn first(&mut self, key: Option<KeyId>, now: Micros) -> Option<StatementId> {
+        let queue = self.of(key)?;
+        let first = queue.statements.front().copied();
+        if first.is_none() && queue.unresolved == 0 && queue.paused_until <= now {
+            key.into_iter().for_each(|key| _ = self.0.remove(&key));
+        }
+        first
+    }
+}
--- a/src/state.rs
+++ b/src/state.rs
@@ -6,8 +6,8 @@
 use crate::interface::*;
 pub use crate::learned::*;
 pub use crate::offers::*;
+pub use crate::order_queue::*;
 pub use crate::peer_reports::*;
-pub use crate::turns::*;
 
 pub const SECOND: Micros = 1_000_000; // microseconds
 
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -102,7 +102,7 @@
                 "grants" => self.agreed.grants = true,
                 "active" => self.agreed.report.active = Some(0),
                 "busy" => self.agreed.report.busy = Some(0),
-                "turn-gap" => self.agreed.turn_gap = micros(value),
+                "turn-gap" => self.agreed.order_gap = micros(value),
                 "seed" => self.seed = number(value) as u64,
                 "cold-from" => self.agreed.cold_from = number(value),
                 "warm-within" => self.agreed.warm_within = micros(value),
