--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -29,7 +29,7 @@
 pub use dials::Dials;
 pub use ending::Ending;
 pub use engines::Listing;
-pub use hallmux::interface::{Asked, Cost, DedupGroup, Effect, Micros, Mode, Note, Offer};
+pub use hallmux::interface::{Cost, DedupGroup, Demand, Effect, FleetDemand, Micros, Mode, Note};
 pub use offered::SPAN;
 pub use out::{Order, Terms};
 pub use promised::{Gone, Site, Taken, Word};
--- a/crates/dispatcher/src/offered.rs
+++ b/crates/dispatcher/src/offered.rs
@@ -1,6 +1,6 @@
 //! What this front is asked, by workload, as it is told to other fronts; and what they were asked, as the module hears it.
 
-use hallmux::interface::{Asked, Event, Micros};
+use hallmux::interface::{Event, FleetDemand, Micros};
 
 use crate::taken::Statement;
 use crate::{Dispatcher, Ticket};
@@ -61,8 +61,8 @@
     }
 
     /// What the fronts that tell were asked, in the order of workloads and customers.
-    pub fn fleet_offered(&mut self, asked: Asked) {
-        self.told.push(Event::Offered(asked));
+    pub fn fleet_offered(&mut self, asked: FleetDemand) {
+        self.told.push(Event::FleetDemand(asked));
     }
 
     /// An execution has answered its statement.
--- a/crates/dispatcher/src/offered_tests.rs
+++ b/crates/dispatcher/src/offered_tests.rs
@@ -23,8 +23,8 @@
     assert_eq!(counts(&mut d, 1_100_000)[2], (0.68, 1.0, 0.0));
     assert_eq!(counts(&mut d, 2_000_000)[0], (0.5, 0.52, 0.52));
     // The fleet bears no lookup: it ends when it comes.
-    let none = Offer { asked: 100.0, ended: 0.0, timely: 0.0, work: 1.0 };
-    d.fleet_offered(Asked { missed: 1.0, offers: vec![none; 3], ..Asked::default() });
+    let none = Demand { asked: 100.0, ended: 0.0, timely: 0.0, work: 1.0 };
+    d.fleet_offered(FleetDemand { late_share: 1.0, workloads: vec![none; 3], ..FleetDemand::default() });
     d.pick(2_000_000, &ask("lookup", None)).unwrap();
     let orders = d.tick(2_000_000);
     assert!(matches!(orders[..], [Order::Reject { retry_after: Some(_), .. }]), "{orders:?}");
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_dispatcher::{Asked, Dispatcher, Micros, Offer, SPAN};
+use hallmux_dispatcher::{Demand, Dispatcher, FleetDemand, Micros, SPAN};
 use hallmux_gossip::node::Node;
 use hallmux_gossip::shares::{Offered, MOST_OFFERED};
 
@@ -70,7 +70,7 @@
         // What was told counts for nothing once nobody tells any more.
         if told.is_empty() {
             if std::mem::take(&mut self.told) {
-                dispatcher.fleet_offered(Asked::default());
+                dispatcher.fleet_offered(FleetDemand::default());
             }
             return;
         }
@@ -84,14 +84,19 @@
         // Some tell; the others that are up are asked as they are.
         let each = node.fleet().1 as f64 / told.len() as f64 / SPAN;
         let rate = |of: &Option<u32>| of.map_or(0.0, |of| sum_of(&told, of, |o| o.asked) * each);
-        let customers = shared.iter().map(rate).collect();
+        let customers_per_s = shared.iter().map(rate).collect();
         let part = if node.hears_load(at.now) { part } else { 0.0 };
-        dispatcher.fleet_offered(Asked { missed, part, offers, customers });
+        dispatcher.fleet_offered(FleetDemand {
+            late_share: missed,
+            relative: part,
+            workloads: offers,
+            customers_per_s,
+        });
     }
 }
 
 /// What a front is asked, in work, against the mean of those that tell; 0 where they were asked nothing.
-fn part_of(own: f64, offers: &[Offer], fronts: usize) -> f64 {
+fn part_of(own: f64, offers: &[Demand], fronts: usize) -> f64 {
     let mean = offers.iter().map(|o| o.work * o.asked).sum::<f64>() / fronts.max(1) as f64;
     if mean > 0.0 {
         own / mean
@@ -114,7 +119,7 @@
 }
 
 /// What all were asked, by the workloads named, and the share that the front in the middle missed.
-fn merged(told: &[&[Offered]], names: &[u32]) -> (f64, Vec<Offer>) {
+fn merged(told: &[&[Offered]], names: &[u32]) -> (f64, Vec<Demand>) {
     let of: Vec<BTreeMap<u32, Offered>> =
         told.iter().map(|all| all.iter().map(|o| (o.workload, *o)).collect()).collect();
     let offers = names.iter().map(|name| {
@@ -122,7 +127,7 @@
         let sum = |field: fn(&Offered) -> u32| sum_of(told, *name, field);
         let work = median(all.iter().filter(|o| o.work_us > 0).map(|o| f64::from(o.work_us)).collect());
         let (asked, ended) = (sum(|o| o.asked), sum(|o| o.ended));
-        Offer { asked, ended, timely: sum(|o| o.timely).min(ended), work }
+        Demand { asked, ended, timely: sum(|o| o.timely).min(ended), work }
     });
     let missed = of.iter().filter_map(|all| {
         let sum = |field: fn(&Offered) -> u32| all.values().map(|o| f64::from(field(o)) / UNIT).sum::<f64>();
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -8,10 +8,10 @@
 use crate::interface::*;
 use crate::state::*;
 
-mod give_up;
 mod learn;
 mod penalty;
 mod place;
+mod shed;
 mod suspicion;
 
 pub use penalty::penalty;
@@ -37,8 +37,8 @@
 const LOST_REST: Micros = SECOND; // rest of an engine that seems gone: a try a second finds it soon
 const SILENCE_RUNS: f64 = 4.0; // usual run times, and a second, that one may be silent for without notes
 const SILENT_NOTES: f64 = 1.5; // gaps between notes of progress, where agreed, that one may be silent for
-const BAD_PLAN: f64 = 6.0; // times the expected run time that an execution must head for to be given up
-const LATE_WORTH: f64 = 0.25; // late share under which a statement that must be late is given up at once
+const BAD_PLAN: f64 = 6.0; // times the expected run time that an execution must head for to be cancelled
+const LATE_WORTH: f64 = 0.25; // late share under which a statement that must be late is shed at once
 const COLD_MARGIN: f64 = 0.4; // share of the overload factor sent to a cold engine: estimates may be half off
 const COLD_SPARE: f64 = 2.0; // statements beyond any budget that the rule lets a cold engine have, for chance
 const SWEEP: Micros = 25_000; // microseconds between looks at what is due; finer than any slack agreed
@@ -53,7 +53,7 @@
 const SCARCE: f64 = 1.0; // threads a core an engine counts as fuller where bound workloads need it
 const GRANTED: f64 = 1.25; // memory granted against the need expected: a quarter over, as engines do
 const COME_BACK: f64 = 0.3; // seconds after which a rejected client may try again, spread by half
-const REMEMBERED: f64 = 0.99; // share of those given up that may still come back, at each arrival
+const REMEMBERED: f64 = 0.99; // share of those shed that may still come back, at each arrival
 const SAME_TRY: Micros = 20_000; // microseconds less time than a first try has that mark a later one
 const STOOD_STILL: Micros = 4 * SWEEP; // between two calls; a front that waits so long was stopped
 const FORGOTTEN: f64 = 0.007; // share of what reports told that each look forgets: half is gone in about 10 s
@@ -62,9 +62,9 @@
 const MOST_SUSPICION: f64 = 0.5; // most that peer reports take of a bound, however many; one takes half of it
 const FALSE_REPORT: f64 = 0.8; // factor on the credibility of a front whose adverse report proves false
 const ADVERSE: f64 = 0.3; // share of failures or silence from which a peer report counts as adverse
-const MISSED: f64 = 0.15; // share of what the fleet let in that was late, beyond which it lets in less
-const LET_IN: f64 = 1.25; // times what engines answer that the fleet lets in: less would leave them idle
-const LEAST_LET_IN: f64 = 0.05; // share of what is asked that is let in whatever was missed: else no way back
+const MOST_LATE: f64 = 0.15; // share of what the fleet admitted that was late, beyond which it admits less
+const ADMITTED: f64 = 1.25; // times what engines answer that the fleet admits: less would leave them idle
+const LEAST_ADMITTED: f64 = 0.05; // share of what is asked that is admitted in any case: else no way back
 const FLEET_PROBES: f64 = 4.0; // a second into evacuated zones, of all fronts together
 
 #[derive(Default)]
@@ -95,9 +95,9 @@
     peer_reports: PeerReports, // with the credibility of their reporters
     known: f64,       // fronts that may share a returning zone: silent ones too, no fewer than agreed
     up: f64,          // of them those that are heard of, this one too
-    let_in: Vec<f64>, // share of each workload inside and beyond customers' shares that is let in; none: all
+    admitted: Vec<f64>, // admitted share of each workload, inside and beyond customers' shares; none: all
     beyond: Vec<f64>, // share of what each customer asks the fleet that is beyond its own; none: not known
-    part: f64,        // what this front is asked, against the mean; 0 where it hears of no others
+    demand: f64,      // on this front, against the mean; 0 where it hears of no others
     probes: Bucket,   // of the fleet's budget
     paced: Option<f64>, // new connections a second to each engine, as it was told last
     first_slot: f64,  // share of a slot at cold engines that passes before the first one of this front
@@ -152,7 +152,7 @@
                 Event::Left(id) => self.close(id, false),
                 Event::Freed { key, rests } => self.freed(key, rests),
                 Event::PeerReport(report) => self.peer_reported(report),
-                Event::Offered(asked) => self.bears(&asked),
+                Event::FleetDemand(fleet) => self.set_admission(&fleet),
                 Event::Room { engine, room } => self.engines.has_room(engine, room),
                 Event::Fleet { known, up } => (self.known, self.up) = (known.max(self.agreed.fronts), up),
                 Event::Probed { engine, alive, report } => {
@@ -165,7 +165,7 @@
         }
         self.sweep();
         self.release();
-        let pace = self.agreed.budgets.map(|b| share_of(b.connections, self.part, self.known));
+        let pace = self.agreed.budgets.map(|b| share_of(b.connections, self.demand, self.known));
         if self.paced != pace {
             self.paced = pace;
             self.actions.extend(pace.map(|connections| Action::Pace { connections }));
@@ -204,7 +204,7 @@
             self.engines.listed[e] = Some(entry);
         }
         // What is pinned to an engine that takes nothing new any more is to end now.
-        let stranded = self.statements.iter().filter(|(_, s)| self.stranded(s));
+        let stranded = self.statements.iter().filter(|(_, s)| self.pinned_engine_closed(s));
         self.due.extend(stranded.map(|(id, _)| (self.now, *id)).collect::<Vec<_>>());
     }
 
@@ -223,8 +223,8 @@
         learned.first_try = learned.first_try.max(a.time_left);
         // What a front that stood still finds has waited; what first tries have left tells how long.
         let missing = learned.first_try - a.time_left;
-        let later = missing > SAME_TRY && learned.given_up >= 1.0;
-        learned.given_up = learned.given_up * REMEMBERED - f64::from(u8::from(later));
+        let later = missing > SAME_TRY && learned.shed >= 1.0;
+        learned.shed = learned.shed * REMEMBERED - f64::from(u8::from(later));
         let past = if later { (workload.statement_timeout - a.time_left).max(0) } else { 0 };
         let spent = if self.awake == self.now && missing <= gap { missing } else { past };
         learned.work.take_told(LEARNING, a.work);
@@ -236,13 +236,13 @@
         self.order_queues.enqueue(a.key, a.statement);
         let (id, ends) = (a.statement, self.now + a.time_left);
         let load = Load { threads: workload.threads, memory };
-        let let_in = self.lets_in(&a, over);
-        self.taken.0.extend(self.agreed.further.filter(|_| let_in).map(|_| self.now));
+        let admitted = self.admits(&a, over);
+        self.taken.0.extend(self.agreed.further.filter(|_| admitted).map(|_| self.now));
         let s = Statement::new(a, class, self.now - spent, ends, load);
         self.statements.insert(id, s);
         self.hold(id);
-        if !let_in {
-            self.give_up(id);
+        if !admitted {
+            self.shed(id);
         }
     }
 
@@ -251,8 +251,8 @@
         let (class, timely, latest) = (s.class, self.last_timely_start(s), self.latest_start(s));
         let paused_until = self.order_queues.of(s.asked.key).map_or(0, |q| q.paused_until);
         let is_first = self.is_first_in_order(id, s);
-        // Once it is to be given up it is due now; till then when its standing changes next.
-        let ends = if self.hopeless(s) { self.now } else { s.ends - LAST_CALL };
+        // Once it is to be shed it is due now; till then when its standing changes next.
+        let ends = if self.is_to_be_shed(s) { self.now } else { s.ends - LAST_CALL };
         let forgotten = s.executions.first().map_or(0, |x| x.sent + self.workload(s).dedup_window);
         let next = [timely, latest, paused_until, forgotten].into_iter().filter(|t| *t > self.now).min();
         self.due.insert((next.map_or(ends, |t| t.min(ends)), id));
@@ -284,8 +284,8 @@
             let pressed = self.now >= self.latest_start(s) && others_wait();
             if s.is_out() {
                 self.prioritise(id);
-            } else if self.now >= s.ends - LAST_CALL || self.hopeless(s) || pressed {
-                self.give_up(id);
+            } else if self.now >= s.ends - LAST_CALL || self.is_to_be_shed(s) || pressed {
+                self.shed(id);
             } else {
                 self.hold(id);
             }
--- a/src/decide/learn.rs
+++ b/src/decide/learn.rs
@@ -14,7 +14,7 @@
                 other => other.into_iter().for_each(|e| self.found_healthy(e, true)),
             }
         }
-        let budget = self.agreed.budgets.map_or(f64::INFINITY, |b| share_of(b.probes, self.part, self.known));
+        let each = self.agreed.budgets.map_or(f64::INFINITY, |b| share_of(b.probes, self.demand, self.known));
         let (count, asks) = (self.engines.open.len(), self.agreed.report_on_probe && self.agreed.probes);
         for _ in 0..count {
             let e = self.asks_next % count;
@@ -22,7 +22,7 @@
                 return;
             }
             self.asks_next = e + 1;
-            if self.engines.open[e] && self.probes.take(budget * count as f64, self.now) {
+            if self.engines.open[e] && self.probes.take(each * count as f64, self.now) {
                 self.may_probe -= 1.0;
                 self.engines.probed[e] = self.now;
                 self.actions.push(Action::Probe { engine: e });
@@ -148,10 +148,10 @@
         } else if x.settled {
             let slo = self.slo_time(s);
             self.close(x.statement, x.outcome == Outcome::Completed && now - s.first_asked <= slo);
-        } else if self.goes_on(s) && self.tries_left(s) && now < ends - LAST_CALL {
+        } else if self.has_safe_engine(s) && self.tries_left(s) && now < ends - LAST_CALL {
             self.hold(x.statement);
         } else {
-            self.give_up(x.statement);
+            self.shed(x.statement);
         }
     }
 
--- a/src/decide/penalty.rs
+++ b/src/decide/penalty.rs
@@ -29,7 +29,7 @@
         let heads = |held: &BTreeSet<StatementId>| held.iter().copied().take(HEADS).collect::<Vec<_>>();
         // Past its latest start a statement could only answer after its client gives up: now or never.
         let stuck: Vec<_> = heads(&self.overdue).into_iter().filter(|id| !self.try_release(*id)).collect();
-        stuck.into_iter().for_each(|id| self.give_up(id));
+        stuck.into_iter().for_each(|id| self.shed(id));
         let mut waiting: Vec<(f64, usize)> = Vec::new();
         for class in 0..self.classes.len() {
             self.classes[class].fade(self.now, HALF_LIFE);
--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -12,11 +12,11 @@
         let open = open && s.asked.pinned.is_none_or(|pinned| pinned == e);
         let bears = self.now >= self.engines.cold_until[e] || self.pushed_with(e, s).is_some();
         let open = open && self.now < s.ends && self.is_first_in_order(id, s);
-        open && bears && (s.executions.is_empty() || self.harmless(s, entry) && self.tries_left(s))
+        open && bears && (s.executions.is_empty() || self.is_safe_repeat(s, entry) && self.tries_left(s))
     }
 
     /// Whether no harm comes of sending it there, whatever earlier executions of it may have done.
-    fn harmless(&self, s: &Statement, at: &Listed) -> bool {
+    fn is_safe_repeat(&self, s: &Statement, at: &Listed) -> bool {
         let workload = self.workload(s);
         let dropped = |x: &Execution| {
             let earlier = self.engines.listed[x.engine].as_ref();
@@ -31,8 +31,8 @@
     }
 
     /// Whether any engine may have it by what earlier executions of it may have done: else it waits in vain.
-    pub(super) fn goes_on(&self, s: &Statement) -> bool {
-        s.executions.is_empty() || self.engines.listed.iter().flatten().any(|at| self.harmless(s, at))
+    pub(super) fn has_safe_engine(&self, s: &Statement) -> bool {
+        s.executions.is_empty() || self.engines.listed.iter().flatten().any(|at| self.is_safe_repeat(s, at))
     }
 
     pub(super) fn tries_left(&self, s: &Statement) -> bool {
--- a/src/decide/give_up.rs
+++ b/src/decide/shed.rs
@@ -1,40 +1,40 @@
-//! Which statements and executions are given up, and how a statement ends.
+//! Admission, which statements are shed and executions cancelled, and how a statement ends.
 
 use super::*;
 
 impl Front {
     /// Whether the engine that holds its transaction takes nothing new any more.
-    pub(super) fn stranded(&self, s: &Statement) -> bool {
+    pub(super) fn pinned_engine_closed(&self, s: &Statement) -> bool {
         s.asked.pinned.is_some_and(|e| !self.engines.open.get(e).is_some_and(|open| *open))
     }
 
-    /// Whether a statement is given up at once: no engine may have it, or it must be late, and that is worth
+    /// Whether a statement is shed at once: no engine may have it, or it must be late, and that is worth
     /// little or others wait behind it in the queue of its order key: running it would make them late too.
-    pub(super) fn hopeless(&self, s: &Statement) -> bool {
-        let blocks = self.order_queues.of(s.asked.key).is_some_and(|q| q.statements.len() > 1);
-        let late = self.now >= self.last_timely_start(s);
-        self.stranded(s) || !self.goes_on(s) || late && (blocks || self.workload(s).late_share < LATE_WORTH)
+    pub(super) fn is_to_be_shed(&self, s: &Statement) -> bool {
+        let worthless = self.order_queues.blocks(s.asked.key) || self.workload(s).late_share < LATE_WORTH;
+        let late = worthless && self.now >= self.last_timely_start(s);
+        late || self.pinned_engine_closed(s) || !self.has_safe_engine(s)
     }
 
-    /// The fleet as one lets in what its engines bear, first of all where the penalty is highest by what all
-    /// fronts have kept together: each front turns away the same, before it asks an engine. What is beyond
-    /// customers' shares weighs as the paper has it.
-    pub(super) fn bears(&mut self, told: &Asked) {
-        let (customers, offers) = (self.agreed.customers.len().max(1), &told.offers);
-        let each = beyond(&told.customers, &self.agreed.customers);
-        let apart = |(o, learned): (&Offer, &Learned)| o.apart(learned.beyond.value);
-        let lines: Vec<Offer> = offers.iter().zip(&self.learned).flat_map(apart).collect();
-        let delta = |n: usize| self.delta(n / 2 * customers * 2 + n % 2);
-        let rank = |n: usize| penalty(lines[n].conformance(UNSEEN), delta(n));
-        let borne = |o: &Offer| o.work * LET_IN * if told.missed > MISSED { o.timely } else { o.ended };
-        let asked: f64 = offers.iter().map(Offer::work_asked).sum();
-        let most = offers.iter().map(borne).sum::<f64>().max(LEAST_LET_IN * asked);
-        (self.let_in, self.beyond, self.part) = (share_out(most, &lines, rank), each, told.part);
+    /// Admits what the engines can serve of all that is asked, by the penalty at the fleet's conformance:
+    /// each front sheds the same share on arrival. What is beyond customers' shares weighs as in the paper.
+    pub(super) fn set_admission(&mut self, fleet: &FleetDemand) {
+        let (customers, workloads) = (self.agreed.customers.len().max(1), &fleet.workloads);
+        self.beyond = beyond(&fleet.customers_per_s, &self.agreed.customers);
+        let split = |(o, learned): (&Demand, &Learned)| o.split(learned.beyond.value);
+        let parts: Vec<Demand> = workloads.iter().zip(&self.learned).flat_map(split).collect();
+        let rank =
+            |n: usize| penalty(parts[n].conformance(UNSEEN), self.delta(n / 2 * customers * 2 + n % 2));
+        let late = fleet.late_share > MOST_LATE;
+        let served = |o: &Demand| o.work * ADMITTED * if late { o.timely } else { o.ended };
+        let asked: f64 = workloads.iter().map(Demand::work_asked).sum();
+        let most = workloads.iter().map(served).sum::<f64>().max(LEAST_ADMITTED * asked);
+        (self.admitted, self.demand) = (admit_by_rank(most, &parts, rank), fleet.relative);
     }
 
-    /// Whether the fleet lets a statement in; what an open transaction waits for always.
-    pub(super) fn lets_in(&mut self, s: &Arrival, over: bool) -> bool {
-        let share = self.let_in.get(s.workload * 2 + usize::from(over)).copied().unwrap_or(1.0);
+    /// Whether the fleet admits a statement; what an open transaction waits for always.
+    pub(super) fn admits(&mut self, s: &Arrival, over: bool) -> bool {
+        let share = self.admitted.get(s.workload * 2 + usize::from(over)).copied().unwrap_or(1.0);
         share >= 1.0 || s.pinned.is_some() || self.chance.next() < share
     }
 
@@ -48,7 +48,7 @@
     }
 
     /// Ends a statement unanswered: a rejection where trying again is harmless, else an abort.
-    pub(super) fn give_up(&mut self, id: StatementId) {
+    pub(super) fn shed(&mut self, id: StatementId) {
         let s = &self.statements[&id];
         let (workload, ran) = (self.workload(s), s.may_have_run().next().is_some());
         let (w, first) = (s.asked.workload, s.first_asked == s.ends - s.asked.time_left);
@@ -64,7 +64,7 @@
         } else {
             self.actions.push(Action::Abort { statement: id });
         }
-        self.learned[w].given_up += f64::from(u8::from(first));
+        self.learned[w].shed += f64::from(u8::from(first));
         self.close(id, false);
     }
 
--- a/src/offers.rs
+++ b/src/demand.rs
@@ -1,4 +1,4 @@
-//! What the fleet was asked, as plain figures: nothing is decided here.
+//! What the fleet is asked for, as plain figures: nothing is decided here.
 
 use crate::chance::either;
 use crate::interface::*;
@@ -7,8 +7,8 @@
 /// A front's share of a budget of all fronts, by what it is asked against the mean of them. Where it knows nothing
 /// that is a fifth of an even part, at the mean two fifths, at three times the mean and more four fifths: the sum stays
 /// under the budget whatever is told, and what is left is for budgets that are saved up for a moment.
-pub fn share_of(budget: f64, part: f64, fronts: f64) -> f64 {
-    budget * (1.0 + either(part, 0.0).min(3.0)) / (5.0 * fronts.max(1.0))
+pub fn share_of(budget: f64, relative_demand: f64, fronts: f64) -> f64 {
+    budget * (1.0 + either(relative_demand, 0.0).min(3.0)) / (5.0 * fronts.max(1.0))
 }
 
 /// Of each customer the share of what it asks a second that is beyond its own.
@@ -17,12 +17,12 @@
     asked.iter().zip(agreed).map(of).collect()
 }
 
-impl Offer {
+impl Demand {
     /// What of it is within customers' shares and what beyond: of those within more came in time.
-    pub fn apart(&self, beyond: f64) -> [Offer; 2] {
+    pub fn split(&self, beyond: f64) -> [Demand; 2] {
         let asked = [self.asked * (1.0 - beyond), self.asked * beyond];
         let timely = self.timely.min(asked[0]);
-        let of = |n: usize, timely| Offer { asked: asked[n], timely, ..*self };
+        let of = |n: usize, timely| Demand { asked: asked[n], timely, ..*self };
         [of(0, timely), of(1, self.timely - timely)]
     }
 
@@ -38,12 +38,12 @@
 }
 
 /// The share of each that fits into so much work, those of the highest rank first; all of what takes none.
-pub fn share_out(most: f64, offers: &[Offer], rank: impl Fn(usize) -> f64) -> Vec<f64> {
-    let (mut left, mut shares) = (most, vec![1.0; offers.len()]);
-    let mut line: Vec<(f64, usize)> = (0..offers.len()).map(|w| (rank(w), w)).collect();
-    line.sort_by(|a, b| b.0.total_cmp(&a.0));
-    for (_, w) in line.into_iter().filter(|(_, w)| offers[*w].work_asked() > 0.0) {
-        let asked = offers[w].work_asked();
+pub fn admit_by_rank(most: f64, demands: &[Demand], rank: impl Fn(usize) -> f64) -> Vec<f64> {
+    let (mut left, mut shares) = (most, vec![1.0; demands.len()]);
+    let mut ranked: Vec<(f64, usize)> = (0..demands.len()).map(|w| (rank(w), w)).collect();
+    ranked.sort_by(|a, b| b.0.total_cmp(&a.0));
+    for (_, w) in ranked.into_iter().filter(|(_, w)| demands[*w].work_asked() > 0.0) {
+        let asked = demands[w].work_asked();
         shares[w] = (left / asked).min(1.0);
         left = (left - asked).max(0.0);
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -261,7 +261,7 @@
 
 /// What the fronts that tell of it were asked of a workload lately, in statements; the same figures at every front.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Offer {
+pub struct Demand {
     pub asked: f64,
     /// Of those let in: with their final answer, and of these in time.
     pub ended: f64,
@@ -272,15 +272,15 @@
 
 /// What the fleet was asked lately, as those of its fronts that tell of it say.
 #[derive(Clone, Debug, Default)]
-pub struct Asked {
+pub struct FleetDemand {
     /// The share of what was let in that was not in time.
-    pub missed: f64,
+    pub late_share: f64,
     /// What this front was asked, against the mean of those that tell; 0 where it hears of none.
-    pub part: f64,
+    pub relative: f64,
     /// By workload.
-    pub offers: Vec<Offer>,
+    pub workloads: Vec<Demand>,
     /// Statements a second over all fronts, by customer; none where no shares are agreed.
-    pub customers: Vec<f64>,
+    pub customers_per_s: Vec<f64>,
 }
 
 #[derive(Clone, Debug)]
@@ -318,7 +318,7 @@
         known: f64,
         up: f64,
     },
-    Offered(Asked),
+    FleetDemand(FleetDemand),
     /// Executions that can leave for an engine now, over connections that are there or may be made.
     Room {
         engine: EngineId,
--- a/src/learned.rs
+++ b/src/learned.rs
@@ -39,7 +39,7 @@
     pub run: Mean,         // mean microseconds from execution to answer
     pub pace: Mean, // run time over the estimate's share for each thread, or over one second; geometric mean
     pub memory_bias: Mean, // true need over its estimate
-    pub given_up: f64, // statements given up whose clients may ask again
+    pub shed: f64,  // statements shed whose clients may ask again
     pub beyond: Mean, // share of its statements that are beyond their customers' shares
     pub first_try: Micros, // the most time that a statement had left on arrival: what a first try gets
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,9 +7,9 @@
 
 mod chance;
 pub mod decide;
+mod demand;
 pub mod interface;
 mod learned;
-mod offers;
 mod order_queue;
 mod peer_reports;
 mod state;
--- a/src/order_queue.rs
+++ b/src/order_queue.rs
@@ -54,6 +54,11 @@
         self.change(key, |queue| queue.unresolved += usize::from(kept));
     }
 
+    /// Whether the first statement of a key holds up others.
+    pub fn blocks(&self, key: Option<KeyId>) -> bool {
+        self.of(key).is_some_and(|queue| queue.statements.len() > 1)
+    }
+
     /// The first statement of a key; a queue with nothing in it, unresolved or paused is dropped.
     pub fn first(&mut self, key: Option<KeyId>, now: Micros) -> Option<StatementId> {
         let queue = self.of(key)?;
--- a/src/state.rs
+++ b/src/state.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 pub use crate::chance::*;
+pub use crate::demand::*;
 use crate::interface::*;
 pub use crate::learned::*;
-pub use crate::offers::*;
 pub use crate::order_queue::*;
 pub use crate::peer_reports::*;
 
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -187,12 +187,12 @@
     }
 
     /// What the fleet was asked of each workload, as `NAME=ASKED/ENDED/TIMELY`, each of a second on one thread.
-    fn offers(&self, said: &BTreeMap<&str, &str>) -> Vec<Offer> {
+    fn demands(&self, said: &BTreeMap<&str, &str>) -> Vec<Demand> {
         let offer = |name: &String| {
             let counts: Vec<f64> =
                 said.get(&name[..]).map_or(Vec::new(), |v| v.split('/').map(number).collect());
             let count = |n: usize| counts.get(n).copied().unwrap_or(0.0);
-            Offer { asked: count(0), ended: count(1), timely: count(2), work: 1e6 }
+            Demand { asked: count(0), ended: count(1), timely: count(2), work: 1e6 }
         };
         self.workloads.iter().map(offer).collect()
     }
@@ -260,11 +260,11 @@
                 silent: micros(said.get("silent").copied().unwrap_or("0")),
                 age: micros(said.get("age").copied().unwrap_or("0")),
             }),
-            "asked" => Event::Offered(Asked {
-                missed: value("missed"),
-                part: value("part"),
-                offers: self.offers(&said),
-                customers: said.get("customers").map_or(vec![], |v| v.split(',').map(number).collect()),
+            "asked" => Event::FleetDemand(FleetDemand {
+                late_share: value("missed"),
+                relative: value("part"),
+                workloads: self.demands(&said),
+                customers_per_s: said.get("customers").map_or(vec![], |v| v.split(',').map(number).collect()),
             }),
             "room" => Event::Room {
                 engine: self.engine_names.iter().position(|e| e == words[1])?,
