--- a/crates/agreement/tests/drawn/settings.rs
+++ b/crates/agreement/tests/drawn/settings.rs
@@ -1,7 +1,7 @@
 //! The settings object, in the configuration of a front.
 
 use hallmux_agreement::Station;
-use hallmux_dispatcher::{Ask, Dispatcher, Listing, Mode, Speech};
+use hallmux_dispatcher::{Ask, Dispatcher, Listing, Mode, Protocol};
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
@@ -132,7 +132,7 @@
             cell: n,
             mode: Mode::Ready,
             started: None,
-            speaks: &[Speech::Lines],
+            protocols: &[Protocol::Lines],
         };
         dispatcher.list(n == 0, &[listing]);
     }
--- a/crates/dispatcher/src/engines.rs
+++ b/crates/dispatcher/src/engines.rs
@@ -1,9 +1,9 @@
 //! The engine list: each engine has a place, kept while it is listed or has executions out.
 
-use hallmux::interface::{Event, Listed, Micros, Mode, Report};
+use hallmux::interface::{EngineEntry, Event, Micros, Mode, Report};
 
 use crate::seen::Seen;
-use crate::{position, Dispatcher, Place, Speech};
+use crate::{position, Dispatcher, Place, Protocol};
 
 /// A line of the engine list, by the names that the settings use.
 #[derive(Clone, Debug)]
@@ -15,13 +15,13 @@
     pub mode: Mode,
     pub started: Option<Micros>,
     /// The protocols that it takes statements in.
-    pub speaks: &'a [Speech],
+    pub protocols: &'a [Protocol],
 }
 
 /// An engine's id, while it is listed or has executions out.
 pub struct Engine {
     pub id: String,
-    pub entry: Listed,
+    pub entry: EngineEntry,
     pub out: usize,
     /// Of those, how many have not left this front yet.
     pub held: usize,
@@ -39,16 +39,16 @@
         }
         for listing in listings {
             let place = |list: &[String], name: &str| position(list, name).unwrap_or(list.len());
-            let mut entry = Listed {
+            let mut entry = EngineEntry {
                 engine: 0,
                 location: place(&self.names.locations, listing.location),
                 kind: place(&self.names.kinds, listing.kind),
                 cell: listing.cell,
                 mode: listing.mode,
                 started: listing.started,
-                speaks: listing.speaks.iter().fold(0, |all, speech| all | *speech as u8),
+                protocols: listing.protocols.iter().fold(0, |all, protocol| all | *protocol as u8),
                 // Only the protocol of lines has notes.
-                tells: listing.speaks.contains(&Speech::Lines),
+                sends_progress: listing.protocols.contains(&Protocol::Lines),
             };
             entry.engine = self.place(listing.id, &entry);
             let seen = Seen::default();
@@ -71,9 +71,9 @@
 
     /// The place of an engine: its own, that of one like it that is gone with nothing out, or a new one.
     /// The module starts an engine with a start of its own afresh, so only such a one may follow another.
-    fn place(&self, id: &str, entry: &Listed) -> Place {
+    fn place(&self, id: &str, entry: &EngineEntry) -> Place {
         let like = |e: &Engine| {
-            let same = |of: &Listed| (of.location, of.kind, of.cell, of.speaks);
+            let same = |of: &EngineEntry| (of.location, of.kind, of.cell, of.protocols);
             e.entry.mode == Mode::Gone && e.out == 0 && same(&e.entry) == same(entry)
         };
         let follows = entry.started.is_some();
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -35,7 +35,7 @@
 pub use promised::{Gone, Site, Taken, Word};
 pub use rooms::Rooms;
 pub use seen::Sighted;
-pub use taken::{Ask, Speech, Unfit};
+pub use taken::{Ask, Protocol, Unfit};
 
 /// A statement as this front knows it, from `pick` until it is over and nothing is out for it.
 pub type Ticket = StatementId;
--- a/crates/dispatcher/src/played.rs
+++ b/crates/dispatcher/src/played.rs
@@ -18,8 +18,8 @@
 }
 
 pub fn listing(id: &str, mode: Mode, started: Option<Micros>) -> Listing<'_> {
-    let speaks = &[Speech::Lines];
-    Listing { id, location: "here", kind: "std", cell: 0, mode, started, speaks }
+    let protocols = &[Protocol::Lines];
+    Listing { id, location: "here", kind: "std", cell: 0, mode, started, protocols }
 }
 
 pub fn ask<'a>(workload: &'a str, key: Option<&'a str>) -> Ask<'a> {
--- a/crates/dispatcher/src/seen.rs
+++ b/crates/dispatcher/src/seen.rs
@@ -1,6 +1,6 @@
 //! What is spoken of by the fleet: what this front has seen of engines, and what others say of them.
 
-use hallmux::interface::{Event, Listed, Micros, Mode, PeerReport};
+use hallmux::interface::{EngineEntry, Event, Micros, Mode, PeerReport};
 
 use crate::engines::Engine;
 use crate::Dispatcher;
@@ -130,7 +130,7 @@
     pub fn answers_since(&mut self, is: impl Fn(&str) -> bool, since: Micros) {
         let Some(engine) = self.engines.iter_mut().find(|e| is(&e.id)) else { return };
         (engine.seen.back_since, engine.seen.hushed) = (Some(since), None);
-        let entry = Listed { started: Some(since), ..engine.entry.clone() };
+        let entry = EngineEntry { started: Some(since), ..engine.entry.clone() };
         self.told.push(Event::Engines { whole: false, entries: vec![entry] });
     }
 }
--- a/crates/dispatcher/src/taken.rs
+++ b/crates/dispatcher/src/taken.rs
@@ -18,7 +18,7 @@
     /// 0 where it is not told.
     pub memory_mb: f64,
     pub data_set: Option<u32>,
-    pub speech: Speech,
+    pub protocol: Protocol,
     /// The engine of the open transaction it belongs to.
     pub pinned: Option<Place>,
     /// Names of the locations it may be sent to; None: all that its workload allows.
@@ -27,7 +27,7 @@
 
 /// A protocol that statements are sent to engines in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Speech {
+pub enum Protocol {
     #[default]
     Lines = 1,
     Postgres = 2,
@@ -123,7 +123,7 @@
             work: ask.work,
             memory_mb: ask.memory_mb,
             data_set: ask.data_set,
-            speech: ask.speech as u8,
+            protocols: ask.protocol as u8,
             pinned: ask.pinned,
             allowed,
         }));
--- a/crates/dispatcher/tests/repeat_window.rs
+++ b/crates/dispatcher/tests/repeat_window.rs
@@ -1,7 +1,7 @@
 //! A further attempt of a deduplicated statement carries the time until which engines drop it as a repeat: its
 //! connection may come up long after the decision.
 
-use hallmux_dispatcher::{Ask, Dispatcher, Ending, Listing, Micros, Mode, Order, Speech};
+use hallmux_dispatcher::{Ask, Dispatcher, Ending, Listing, Micros, Mode, Order, Protocol};
 
 const SETTINGS: &str = r#"{"instances": 1, "areas": ["here"], "kinds": ["std"],
     "bounds": {"cancelling": true, "mostTries": 3, "retryAfter": true},
@@ -23,7 +23,7 @@
         cell: 0,
         mode: Mode::Ready,
         started: None,
-        speaks: &[Speech::Lines],
+        protocols: &[Protocol::Lines],
     };
     dispatcher.list(true, &[engine("a"), engine("b"), engine("c")]);
     dispatcher
--- a/crates/dispatcher/tests/slow_start/fleet.rs
+++ b/crates/dispatcher/tests/slow_start/fleet.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use hallmux_agreement::Contract;
-use hallmux_dispatcher::{Ask, Dispatcher, Ending, Listing, Micros, Mode, Order, Speech, Ticket};
+use hallmux_dispatcher::{Ask, Dispatcher, Ending, Listing, Micros, Mode, Order, Protocol, Ticket};
 
 use crate::shape::{Arrives, Chance, Deed, Demand, Shape, SECOND, START};
 
@@ -190,7 +190,7 @@
             cell: 0,
             mode,
             started: (e >= WARM && started).then_some(START),
-            speaks: &[Speech::Lines],
+            protocols: &[Protocol::Lines],
         };
         let warm = (0..WARM).filter(|_| whole).map(|e| (e, Mode::Ready));
         let cold = (WARM..ids.len()).filter_map(|e| Some((e, mode?)));
--- a/crates/drill/src/instance.rs
+++ b/crates/drill/src/instance.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use hallmux::interface::{
-    Action, Agreement, Arrival, Cost, Ended, Event, Listed, Micros, Mode, Note, Outcome,
+    Action, Agreement, Arrival, Cost, Ended, EngineEntry, Event, Micros, Mode, Note, Outcome,
 };
 use hallmux::Front;
 
@@ -12,13 +12,13 @@
 /// An engine as a list on the wire names it, before an instance has given it an index.
 pub struct Listing {
     name: String,
-    entry: Listed,
+    entry: EngineEntry,
 }
 
 impl Listing {
     pub fn read(line: &Line) -> Result<Self, String> {
         let started = line.number_or("onlineSinceMs", 0.0)?;
-        let entry = Listed {
+        let entry = EngineEntry {
             engine: 0,
             location: line.field("campus")?,
             kind: line.field("classOfHost")?,
@@ -30,8 +30,8 @@
                 other => return Err(format!("mode: unknown word '{other}'")),
             },
             started: (started > 0.0).then(|| hallmux_agreement::micros(started)),
-            speaks: 1,
-            tells: true,
+            protocols: 1,
+            sends_progress: true,
         };
         Ok(Listing { name: line.field("engine")?, entry })
     }
@@ -106,7 +106,7 @@
         };
         let list: u32 = line.field("ref")?;
         let listings = lists.get(&list).ok_or_else(|| format!("list {list} was never sent"))?;
-        let entry = |l: &Listing| Listed { engine: self.engine(&l.name), ..l.entry.clone() };
+        let entry = |l: &Listing| EngineEntry { engine: self.engine(&l.name), ..l.entry.clone() };
         Ok(Event::Engines { whole, entries: listings.iter().map(entry).collect() })
     }
 
@@ -130,7 +130,7 @@
             work: line.number_or("guessMs", 0.0)? * 1000.0,
             memory_mb: line.number_or("ramMb", 0.0)?,
             data_set: line.optional("tableGroup")?,
-            speech: 1,
+            protocols: 1,
             pinned: None,
             allowed: None,
         };
--- a/crates/front/src/front/asked.rs
+++ b/crates/front/src/front/asked.rs
@@ -3,7 +3,7 @@
 use hallmux_access::Judged;
 use hallmux_codec::statement::{self, Call, Reply};
 use hallmux_codec::tables;
-use hallmux_dispatcher::{Ask, Micros, Speech, Ticket, Unfit};
+use hallmux_dispatcher::{Ask, Micros, Protocol, Ticket, Unfit};
 
 use super::Front;
 use crate::clients::{self, ClientId};
@@ -109,7 +109,7 @@
             work: call.work_ms * 1000.0,
             memory_mb: call.memory_mb,
             data_set: tables::group(&call.statement),
-            speech: Speech::Lines,
+            protocol: Protocol::Lines,
             pinned: None,
             allowed: allowed.as_deref(),
         };
--- a/crates/front/src/front/listed.rs
+++ b/crates/front/src/front/listed.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use hallmux_codec::coordinator::{Engine, State, Stream};
-use hallmux_dispatcher::{Listing, Micros, Mode as EngineMode, Speech};
+use hallmux_dispatcher::{Listing, Micros, Mode as EngineMode, Protocol};
 
 use super::Front;
 
@@ -73,10 +73,10 @@
             State::Removed => EngineMode::Gone,
         },
         started: (engine.started_ms > 0.0).then_some((engine.started_ms * 1000.0) as Micros),
-        speaks: match sessions {
-            None => &[Speech::Lines],
-            Some(None) => &[Speech::Postgres],
-            Some(Some(_)) => &[Speech::Lines, Speech::Postgres],
+        protocols: match sessions {
+            None => &[Protocol::Lines],
+            Some(None) => &[Protocol::Postgres],
+            Some(Some(_)) => &[Protocol::Lines, Protocol::Postgres],
         },
     }
 }
--- a/crates/front/src/postgres/portal/asked.rs
+++ b/crates/front/src/postgres/portal/asked.rs
@@ -5,7 +5,7 @@
 use hallmux_access::Judged;
 use hallmux_agreement::User;
 use hallmux_codec::tables;
-use hallmux_dispatcher::{Ask, Dispatcher, Micros, Speech, Unfit};
+use hallmux_dispatcher::{Ask, Dispatcher, Micros, Protocol, Unfit};
 use hallmux_postgres::answer::Final;
 use hallmux_postgres::session::{Part, Transaction};
 use hallmux_postgres::sql::Label;
@@ -60,7 +60,7 @@
                     work: terms.work_ms * 1000.0,
                     memory_mb: terms.memory_mb,
                     data_set: tables::group(part.text()),
-                    speech: Speech::Postgres,
+                    protocol: Protocol::Postgres,
                     pinned: inside.pin.map(|(place, _)| place),
                     allowed: allowed.as_deref(),
                 };
--- a/crates/front/src/scatter/wholes.rs
+++ b/crates/front/src/scatter/wholes.rs
@@ -7,7 +7,7 @@
 
 use hallmux_agreement::{Contract, Scatter};
 use hallmux_codec::statement::Call;
-use hallmux_dispatcher::{Ask, Dispatcher, Micros, Speech, Ticket, Unfit};
+use hallmux_dispatcher::{Ask, Dispatcher, Micros, Protocol, Ticket, Unfit};
 use hallmux_gossip::PeerId;
 use hallmux_scatter::marks::{numbers, Marks};
 use hallmux_scatter::plan::{plan, Plan, Why, Word};
@@ -252,7 +252,7 @@
                         work: one.call.work_ms * 1000.0,
                         memory_mb: one.call.memory_mb,
                         data_set: Some(one.query.group),
-                        speech: Speech::Lines,
+                        protocol: Protocol::Lines,
                         pinned: None,
                         allowed: Some(&[site]),
                     };
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use hallmux_dispatcher::{Dispatcher, Ending, Listing, Mode, Order, Speech};
+use hallmux_dispatcher::{Dispatcher, Ending, Listing, Mode, Order, Protocol};
 use hallmux_fleet::gate::Guard;
 use hallmux_fleet::{Exchange, Ownership};
 use hallmux_gossip::node::Start;
@@ -205,6 +205,6 @@
         cell: 0,
         mode: Mode::Ready,
         started,
-        speaks: &[Speech::Lines],
+        protocols: &[Protocol::Lines],
     }
 }
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -70,7 +70,7 @@
 #[derive(Default)]
 pub struct Front {
     agreed: Agreement,
-    chance: Chance,
+    random: Random,
     now: Micros,
     awake: Micros, // since when this front has run without standing still
     started: Option<Micros>,
@@ -110,15 +110,15 @@
         let classes = agreed.workloads.len() * customers * 2;
         let guess = Mean { value: 1.0, seen: GUESSED };
         let fresh = Learned { memory_bias: guess, ..Learned::default() };
-        let mut chance = Chance::new(seed);
+        let mut random = Random::new(seed);
         let narrowest = agreed.workloads.iter().map(|w| w.threads).fold(f64::INFINITY, f64::min);
-        let first_look = chance.next();
+        let first_look = random.next();
         let smallest = agreed.cores.iter().copied().fold(f64::INFINITY, f64::min);
         Front {
             first_look,
             first_slot: first_look,
             probes: Bucket { left: first_look, at: 0 }, // fronts that start at once do not probe at once
-            asks_next: (chance.next() * 256.0) as usize,
+            asks_next: (random.next() * 256.0) as usize,
             many: THREADS_PER_CORE * smallest / agreed.fronts < narrowest,
             engines: Engines { usual: vec![Load::default(); agreed.cores.len()], ..Engines::default() },
             ran: Load { threads: 1.0, memory: 0.0 },
@@ -127,7 +127,7 @@
             classes: (0..classes).map(|_| ServiceClass::default()).collect(),
             learned: vec![fresh; agreed.workloads.len()],
             shares: vec![Bucket { left: f64::INFINITY, at: 0 }; agreed.customers.len()],
-            chance,
+            random,
             agreed,
             ..Front::default()
         }
@@ -180,7 +180,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    fn list(&mut self, whole: bool, entries: Vec<Listed>) {
+    fn list(&mut self, whole: bool, entries: Vec<EngineEntry>) {
         if whole {
             self.engines.open.fill(false);
         }
@@ -215,7 +215,7 @@
         let bucket = self.shares.get_mut(a.customer);
         let alone = bucket.is_some_and(|bucket| !bucket.take(rate, self.now));
         // Where the fleet's figures are known they say how much is beyond, whichever fronts a customer asks.
-        let over = self.beyond.get(a.customer).map_or(alone, |beyond| self.chance.next() < *beyond);
+        let over = self.beyond.get(a.customer).map_or(alone, |beyond| self.random.next() < *beyond);
         let class = class + usize::from(over);
         let workload = &self.agreed.workloads[a.workload];
         let learned = &mut self.learned[a.workload];
@@ -311,11 +311,11 @@
 
     fn expected_work(&self, s: &Statement) -> f64 {
         let learned = &self.learned[s.asked.workload];
-        either(s.asked.work, learned.work.value)
+        positive_or(s.asked.work, learned.work.value)
     }
 
     fn basis(&self, s: &Statement) -> f64 {
-        either(s.asked.work / self.workload(s).threads, SECOND as f64)
+        positive_or(s.asked.work / self.workload(s).threads, SECOND as f64)
     }
 
     fn last_timely_start(&self, s: &Statement) -> Micros {
--- a/src/decide/learn.rs
+++ b/src/decide/learn.rs
@@ -8,8 +8,8 @@
         // All fronts together probe evacuated zones: each draws at its share of the rate. Where
         // probes are not allowed a statement or two go there instead, as to a cold engine.
         let rate = FLEET_PROBES * SWEEP as f64 / SECOND as f64;
-        if !self.engines.evacuated.is_empty() && self.chance.next() * self.up < rate {
-            match self.engines.pick_evacuated(self.chance.next()) {
+        if !self.engines.evacuated.is_empty() && self.random.next() * self.up < rate {
+            match self.engines.pick_evacuated(self.random.next()) {
                 Some(engine) if self.agreed.probes => self.actions.push(Action::ProbeEvacuated { engine }),
                 other => other.into_iter().for_each(|e| self.found_healthy(e, true)),
             }
@@ -33,7 +33,7 @@
     pub(super) fn reported(&mut self, e: EngineId, report: &Report) {
         let (own, size) = (self.engines.own[e], self.engines.size[e]);
         let count = self.engines.out[e].len() as f64;
-        let each = if self.many { self.ran.threads } else { either(own.threads, 1.0) / count.max(1.0) };
+        let each = if self.many { self.ran.threads } else { positive_or(own.threads, 1.0) / count.max(1.0) };
         let in_hand = self.agreed.report.in_hand(report, size.threads / each.max(0.01));
         let active = in_hand.map_or(0.0, |active| (active - count).max(0.0));
         let need = if self.many { self.ran.memory } else { 0.0 };
@@ -53,7 +53,7 @@
         let quiet = |(id, n): &&(StatementId, usize)| {
             let s = &self.statements[id];
             let x = &s.executions[*n];
-            let tells = self.engines.listed[e].as_ref().is_some_and(|entry| entry.tells);
+            let tells = self.engines.listed[e].as_ref().is_some_and(|entry| entry.sends_progress);
             let run = self.learned[s.asked.workload].pace.value * self.basis(s);
             let (heard, patience) = match self.agreed.progress_every * Micros::from(tells) {
                 0 => (x.sent.max(self.engines.heard[e]), SECOND as f64 + SILENCE_RUNS * run),
--- a/src/decide/penalty.rs
+++ b/src/decide/penalty.rs
@@ -62,7 +62,7 @@
 
     fn execute(&mut self, id: StatementId, e: EngineId) {
         self.unhold(id);
-        self.first_look = self.chance.next();
+        self.first_look = self.random.next();
         let (now, priority) = (self.now, self.priority(id));
         let s = &self.statements[&id];
         let (class, load, latest) = (s.class, s.load, self.latest_start(s));
--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -8,15 +8,15 @@
         let s = &self.statements[&id];
         let workload = self.workload(s);
         let Some(entry) = self.engines.entry(e) else { return false };
-        let open = !s.over && !s.is_out() && s.allows(workload, entry) && entry.speaks & s.asked.speech != 0;
-        let open = open && s.asked.pinned.is_none_or(|pinned| pinned == e);
+        let open = !s.over && !s.is_out() && s.allows(workload, entry);
+        let open = open && s.asked.pinned.is_none_or(|p| p == e) && entry.protocols & s.asked.protocols != 0;
         let bears = self.now >= self.engines.cold_until[e] || self.pushed_with(e, s).is_some();
         let open = open && self.now < s.ends && self.is_first_in_order(id, s);
         open && bears && (s.executions.is_empty() || self.is_safe_repeat(s, entry) && self.tries_left(s))
     }
 
     /// Whether no harm comes of sending it there, whatever earlier executions of it may have done.
-    fn is_safe_repeat(&self, s: &Statement, at: &Listed) -> bool {
+    fn is_safe_repeat(&self, s: &Statement, at: &EngineEntry) -> bool {
         let workload = self.workload(s);
         let dropped = |x: &Execution| {
             let earlier = self.engines.listed[x.engine].as_ref();
@@ -114,7 +114,7 @@
             }
         }
         // With no report of what others hold, the roomiest is the largest for all fronts: each draws by room.
-        drawn_by((self.first_look * count as f64).fract(), &drawn).or(best)
+        draw_weighted((self.first_look * count as f64).fract(), &drawn).or(best)
     }
 
     /// What an earlier life of this front may just have sent is not known and counts as all it might.
@@ -125,7 +125,7 @@
     }
 
     /// What is counted at a cold engine once this is sent there now; None: not now. One longer than this
-    /// front's share of the burst goes in slots that begin by chance: idle or fresh fronts rush no engine.
+    /// front's share of the burst goes in slots that begin at random: idle or fresh fronts rush no engine.
     pub(super) fn pushed_with(&self, e: EngineId, s: &Statement) -> Option<f64> {
         let (workload, (pushed, most)) = (self.workload(s), self.pushed(e));
         let work = self.learned[s.asked.workload].usual_work(workload.threads, workload.slo_time);
--- a/src/decide/shed.rs
+++ b/src/decide/shed.rs
@@ -35,7 +35,7 @@
     /// Whether the fleet admits a statement; what an open transaction waits for always.
     pub(super) fn admits(&mut self, s: &Arrival, over: bool) -> bool {
         let share = self.admitted.get(s.workload * 2 + usize::from(over)).copied().unwrap_or(1.0);
-        share >= 1.0 || s.pinned.is_some() || self.chance.next() < share
+        share >= 1.0 || s.pinned.is_some() || self.random.next() < share
     }
 
     pub(super) fn stop(&mut self, id: StatementId, n: usize) {
@@ -58,7 +58,7 @@
             Effect::NonIdempotent => !ran,
         };
         if harmless {
-            let wait = COME_BACK * (0.5 + self.chance.next()) * SECOND as f64;
+            let wait = COME_BACK * (0.5 + self.random.next()) * SECOND as f64;
             let retry_after = self.agreed.longest_retry_after.map(|most| most.min(wait as Micros));
             self.actions.push(Action::Reject { statement: id, retry_after });
         } else {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -48,7 +48,7 @@
 
 impl Workload {
     /// Whether the engine is of a location and a kind that the workload is agreed to run on.
-    pub fn allows(&self, at: &Listed) -> bool {
+    pub fn allows(&self, at: &EngineEntry) -> bool {
         let named = |list: &Option<Vec<usize>>, place| list.as_ref().is_none_or(|l| l.contains(&place));
         named(&self.locations, at.location) && named(&self.kinds, at.kind)
     }
@@ -147,7 +147,7 @@
 
 /// One line of the engine list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct EngineEntry {
     pub engine: EngineId,
     pub location: usize,
     pub kind: usize,
@@ -156,14 +156,14 @@
     /// The latest start, where it is recent enough to be told.
     pub started: Option<Micros>,
     /// The protocols that it takes statements in, a bit for each.
-    pub speaks: u8,
+    pub protocols: u8,
     /// It sends notes of progress, where they are agreed.
-    pub tells: bool,
+    pub sends_progress: bool,
 }
 
-impl Listed {
+impl EngineEntry {
     /// Whether both engines are in one group that drops the repeats of a statement.
-    pub fn drops_repeats_of(&self, other: &Listed, group: DedupGroup) -> bool {
+    pub fn drops_repeats_of(&self, other: &EngineEntry, group: DedupGroup) -> bool {
         match group {
             DedupGroup::All => true,
             DedupGroup::Location => self.location == other.location,
@@ -218,7 +218,7 @@
     pub memory_mb: f64,
     pub data_set: Option<u32>,
     /// The protocols that it can be sent in, a bit for each.
-    pub speech: u8,
+    pub protocols: u8,
     /// The engine that holds the open transaction it belongs to: it goes there or nowhere, and once.
     pub pinned: Option<EngineId>,
     /// The locations it may be sent to, by their place; None: all that its workload allows.
@@ -288,7 +288,7 @@
     /// The engine list: whole, or only what changed.
     Engines {
         whole: bool,
-        entries: Vec<Listed>,
+        entries: Vec<EngineEntry>,
     },
     /// A subscription to the engine list failed or broke.
     ListFailed,
--- a/src/learned.rs
+++ b/src/learned.rs
@@ -1,7 +1,7 @@
 //! What is learned of workloads, as plain figures: nothing is decided here.
 
 use crate::interface::*;
-use crate::state::either;
+use crate::state::positive_or;
 
 /// A learned mean and how many samples it has taken.
 #[derive(Default, Clone, Copy)]
@@ -26,7 +26,7 @@
 
     /// The same for ratios, as a geometric mean.
     pub fn take_ratio(&mut self, least: f64, sample: f64) {
-        let (sample, value) = (sample.max(1e-6), either(self.value, 1.0));
+        let (sample, value) = (sample.max(1e-6), positive_or(self.value, 1.0));
         self.seen += 1.0;
         self.value = value * (sample / value).powf(least.max(1.0 / self.seen));
     }
@@ -48,7 +48,7 @@
     /// Work of a usual statement: as estimates tell, else as its runs do, which are no shorter; before any
     /// has run, as long as one may run to be in time.
     pub fn usual_work(&self, threads: f64, in_time: Micros) -> f64 {
-        either(self.work.value, either(self.run.value, in_time as f64) * threads)
+        positive_or(self.work.value, positive_or(self.run.value, in_time as f64) * threads)
     }
 
     /// An execution was answered after so long, against the estimate's time; `had_enough` moves the need of memory.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,13 +5,13 @@
 //! mechanism under it), `state` and the files beside it the plain
 //! figures it keeps.
 
-mod chance;
 pub mod decide;
 mod demand;
 pub mod interface;
 mod learned;
 mod order_queue;
 mod peer_reports;
+mod random;
 mod state;
 
 pub use decide::Front;
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,12 +2,12 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-pub use crate::chance::*;
 pub use crate::demand::*;
 use crate::interface::*;
 pub use crate::learned::*;
 pub use crate::order_queue::*;
 pub use crate::peer_reports::*;
+pub use crate::random::*;
 
 pub const SECOND: Micros = 1_000_000; // microseconds
 
@@ -112,7 +112,7 @@
     }
 
     /// Whether it may be sent to an engine at all: its workload and what is allowed to it agree.
-    pub fn allows(&self, workload: &Workload, at: &Listed) -> bool {
+    pub fn allows(&self, workload: &Workload, at: &EngineEntry) -> bool {
         workload.allows(at) && self.asked.allowed.as_ref().is_none_or(|l| l.contains(&at.location))
     }
 
@@ -158,7 +158,7 @@
 #[derive(Default)]
 pub struct Engines {
     pub open: Vec<bool>,
-    pub listed: Vec<Option<Listed>>,
+    pub listed: Vec<Option<EngineEntry>>,
     pub size: Vec<Load>,  // cores and memory
     pub usual: Vec<Load>, // what other fronts hold for each core, by kind
     pub cold_until: Vec<Micros>,
@@ -194,7 +194,7 @@
     }
 
     /// What the list says of an engine that is open.
-    pub fn entry(&self, e: EngineId) -> Option<&Listed> {
+    pub fn entry(&self, e: EngineId) -> Option<&EngineEntry> {
         self.listed[e].as_ref().filter(|_| self.open[e])
     }
 
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -23,7 +23,7 @@
 struct Play {
     agreed: Agreement,
     workloads: Vec<String>,
-    engines: Vec<Listed>,
+    engines: Vec<EngineEntry>,
     engine_names: Vec<String>,
     statements: Vec<String>,
     keys: Vec<String>,
@@ -124,9 +124,9 @@
         }
     }
 
-    fn engine(&mut self, name: &str, options: &BTreeMap<&str, &str>) -> Listed {
+    fn engine(&mut self, name: &str, options: &BTreeMap<&str, &str>) -> EngineEntry {
         let place = |name: &str| options.get(name).map_or(0, |v| number(v) as usize);
-        Listed {
+        EngineEntry {
             engine: index(&mut self.engine_names, name),
             location: place("location"),
             kind: place("kind"),
@@ -137,8 +137,8 @@
                 _ => Mode::Ready,
             },
             started: options.get("started").map(|v| micros(v)),
-            speaks: options.get("speaks").map_or(1, |v| number(v) as u8),
-            tells: !options.contains_key("quiet"),
+            protocols: options.get("speaks").map_or(1, |v| number(v) as u8),
+            sends_progress: !options.contains_key("quiet"),
         }
     }
 
@@ -214,7 +214,7 @@
                 work: value("work") * MS as f64,
                 memory_mb: value("memory"),
                 data_set: said.get("data").map(|d| number(d) as u32),
-                speech: said.get("speech").map_or(1, |v| number(v) as u8),
+                protocols: said.get("speech").map_or(1, |v| number(v) as u8),
                 allowed: said
                     .get("allowed")
                     .map(|l| l.split(',').filter(|l| !l.is_empty()).map(|l| number(l) as usize).collect()),
