--- a/crates/dispatcher/src/engines.rs
+++ b/crates/dispatcher/src/engines.rs
@@ -88,7 +88,7 @@
 
     /// How many executions can leave for an engine now, over connections that are there or may be made.
     pub(crate) fn has_room(&mut self, place: Place, room: usize) {
-        self.told.push(Event::Room { engine: place, room });
+        self.told.push(Event::SendCapacity { engine: place, executions: room });
     }
 
     pub fn probed(&mut self, now: Micros, place: Place, alive: bool, report: Option<Report>) {
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -72,9 +72,9 @@
     agreed: Agreement,
     random: Random,
     now: Micros,
-    awake: Micros, // since when this front has run without standing still
+    running_since: Micros, // without standing still
     started: Option<Micros>,
-    wake: Micros,
+    next_wake: Micros,
     sweeps: u32,
     actions: Vec<Action>,
     engines: Engines,
@@ -85,23 +85,23 @@
     overdue: BTreeSet<StatementId>,
     late: BTreeSet<StatementId>,
     order_queues: OrderQueues,
-    shares: Vec<Bucket>, // of each customer
-    taken: Times,
-    further: Times,
-    many: bool,       // so many fronts that a share of one engine's bound holds no statement
-    ran: Load,        // what a statement usually holds while it runs
-    may_probe: f64,   // probes that statements have paid for
-    asks_next: usize, // engine that is probed next
+    customer_shares: Vec<Bucket>,
+    admissions: Times,
+    further_executions: Times,
+    many: bool,           // so many fronts that a share of one engine's bound holds no statement
+    load: Load,           // what a statement usually holds while it runs
+    probe_allowance: f64, // probes that statements have paid for
+    next_probed: usize,   // engine that is probed next
     peer_reports: PeerReports, // with the credibility of their reporters
-    known: f64,       // fronts that may share a returning zone: silent ones too, no fewer than agreed
-    up: f64,          // of them those that are heard of, this one too
-    admitted: Vec<f64>, // admitted share of each workload, inside and beyond customers' shares; none: all
+    known: f64,           // fronts that may share a returning zone: silent ones too, no fewer than agreed
+    up: f64,              // of them those that are heard of, this one too
+    admitted: Vec<f64>,   // admitted share of each workload, inside and beyond customers' shares; none: all
     beyond: Vec<f64>, // share of what each customer asks the fleet that is beyond its own; none: not known
     demand: f64,      // on this front, against the mean; 0 where it hears of no others
-    probes: Bucket,   // of the fleet's budget
-    paced: Option<f64>, // new connections a second to each engine, as it was told last
+    probe_tokens: Bucket, // of the fleet's budget
+    last_pace: Option<f64>, // new connections a second to each engine, as last ordered
     first_slot: f64,  // share of a slot at cold engines that passes before the first one of this front
-    first_look: f64,  // where in the list of engines the next choice looks first
+    placement_start: f64, // where in the list of engines the next choice looks first
 }
 
 impl Front {
@@ -112,21 +112,21 @@
         let fresh = Learned { memory_bias: guess, ..Learned::default() };
         let mut random = Random::new(seed);
         let narrowest = agreed.workloads.iter().map(|w| w.threads).fold(f64::INFINITY, f64::min);
-        let first_look = random.next();
+        let placement_start = random.next();
         let smallest = agreed.cores.iter().copied().fold(f64::INFINITY, f64::min);
         Front {
-            first_look,
-            first_slot: first_look,
-            probes: Bucket { left: first_look, at: 0 }, // fronts that start at once do not probe at once
-            asks_next: (random.next() * 256.0) as usize,
+            placement_start,
+            first_slot: placement_start,
+            probe_tokens: Bucket { left: placement_start, at: 0 }, // fronts started together probe apart
+            next_probed: (random.next() * 256.0) as usize,
             many: THREADS_PER_CORE * smallest / agreed.fronts < narrowest,
             engines: Engines { usual: vec![Load::default(); agreed.cores.len()], ..Engines::default() },
-            ran: Load { threads: 1.0, memory: 0.0 },
+            load: Load { threads: 1.0, memory: 0.0 },
             known: agreed.fronts,
             up: agreed.fronts,
             classes: (0..classes).map(|_| ServiceClass::default()).collect(),
             learned: vec![fresh; agreed.workloads.len()],
-            shares: vec![Bucket { left: f64::INFINITY, at: 0 }; agreed.customers.len()],
+            customer_shares: vec![Bucket { left: f64::INFINITY, at: 0 }; agreed.customers.len()],
             random,
             agreed,
             ..Front::default()
@@ -136,51 +136,51 @@
     pub fn decide(&mut self, now: Micros, happened: impl IntoIterator<Item = Event>) -> Vec<Action> {
         // Guards against a front that stood still: what it finds is old, and its silence is nobody's fault.
         let gap = now - std::mem::replace(&mut self.now, now);
-        self.awake = if gap > STOOD_STILL { now } else { self.awake };
+        self.running_since = if gap > STOOD_STILL { now } else { self.running_since };
         if self.started.is_none() && self.agreed.subscribe {
             self.actions.push(Action::Subscribe);
         }
         self.started.get_or_insert(now);
         for event in happened {
             match event {
-                Event::Engines { whole, entries } => self.list(whole, entries),
+                Event::Engines { whole, entries } => self.engines_listed(whole, entries),
                 Event::ListFailed if self.agreed.subscribe => self.actions.push(Action::Subscribe),
                 Event::ListFailed | Event::Woken => {}
-                Event::Arrived(arrival) => self.arrive(arrival, gap),
+                Event::Arrived(arrival) => self.arrived(arrival, gap),
                 Event::Ended(ended) => self.ended(ended),
                 Event::Noted { statement: s, execution: n, engine: e, note } => self.noted(s, n, e, note),
                 Event::Left(id) => self.close(id, false),
                 Event::Freed { key, rests } => self.freed(key, rests),
                 Event::PeerReport(report) => self.peer_reported(report),
                 Event::FleetDemand(fleet) => self.set_admission(&fleet),
-                Event::Room { engine, room } => self.engines.has_room(engine, room),
+                Event::SendCapacity { engine, executions: n } => self.engines.set_send_capacity(engine, n),
                 Event::Fleet { known, up } => (self.known, self.up) = (known.max(self.agreed.fronts), up),
                 Event::Probed { engine, alive, report } => {
                     self.engines.know(engine, TRUSTED);
                     self.found_healthy(engine, alive);
                     self.engines.credit[engine] *= if alive { 1.0 } else { SPENT_ERROR };
-                    report.iter().for_each(|r| self.reported(engine, r));
+                    report.iter().for_each(|r| self.load_reported(engine, r));
                 }
             }
         }
         self.sweep();
         self.release();
         let pace = self.agreed.budgets.map(|b| share_of(b.connections, self.demand, self.known));
-        if self.paced != pace {
-            self.paced = pace;
+        if self.last_pace != pace {
+            self.last_pace = pace;
             self.actions.extend(pace.map(|connections| Action::Pace { connections }));
         }
         let window = self.agreed.further.map_or(0, |budget| budget.window);
-        self.taken.forget(now - window);
-        self.further.forget(now - window);
-        if self.wake <= now {
-            self.wake = now + SWEEP;
-            self.actions.push(Action::Wake { at: self.wake });
+        self.admissions.forget(now - window);
+        self.further_executions.forget(now - window);
+        if self.next_wake <= now {
+            self.next_wake = now + SWEEP;
+            self.actions.push(Action::Wake { at: self.next_wake });
         }
         std::mem::take(&mut self.actions)
     }
 
-    fn list(&mut self, whole: bool, entries: Vec<EngineEntry>) {
+    fn engines_listed(&mut self, whole: bool, entries: Vec<EngineEntry>) {
         if whole {
             self.engines.open.fill(false);
         }
@@ -204,15 +204,15 @@
             self.engines.listed[e] = Some(entry);
         }
         // What is pinned to an engine that takes nothing new any more is to end now.
-        let stranded = self.statements.iter().filter(|(_, s)| self.pinned_engine_closed(s));
-        self.due.extend(stranded.map(|(id, _)| (self.now, *id)).collect::<Vec<_>>());
+        let to_end = self.statements.iter().filter(|(_, s)| self.pinned_engine_closed(s));
+        self.due.extend(to_end.map(|(id, _)| (self.now, *id)).collect::<Vec<_>>());
     }
 
-    fn arrive(&mut self, mut a: Arrival, gap: Micros) {
+    fn arrived(&mut self, mut a: Arrival, gap: Micros) {
         let customers = self.agreed.customers.len().max(1);
         let class = (a.workload * customers + a.customer.min(customers - 1)) * 2;
         let rate = self.agreed.customers.get(a.customer).map_or(f64::INFINITY, |r| r / self.agreed.fronts);
-        let bucket = self.shares.get_mut(a.customer);
+        let bucket = self.customer_shares.get_mut(a.customer);
         let alone = bucket.is_some_and(|bucket| !bucket.take(rate, self.now));
         // Where the fleet's figures are known they say how much is beyond, whichever fronts a customer asks.
         let over = self.beyond.get(a.customer).map_or(alone, |beyond| self.random.next() < *beyond);
@@ -226,27 +226,27 @@
         let later = missing > SAME_TRY && learned.shed >= 1.0;
         learned.shed = learned.shed * REMEMBERED - f64::from(u8::from(later));
         let past = if later { (workload.statement_timeout - a.time_left).max(0) } else { 0 };
-        let spent = if self.awake == self.now && missing <= gap { missing } else { past };
+        let spent = if self.running_since == self.now && missing <= gap { missing } else { past };
         learned.work.take_told(LEARNING, a.work);
         let memory = a.memory_mb * learned.memory_bias.value;
         let least_mb = self.agreed.memory_mb.iter().copied().fold(f64::INFINITY, f64::min);
         let memory = memory.min(least_mb * self.agreed.largest_grant);
-        self.may_probe = (self.may_probe + PROBES).min(MOST_PROBES);
+        self.probe_allowance = (self.probe_allowance + PROBES).min(MOST_PROBES);
         a.key = a.key.filter(|_| workload.in_order);
         self.order_queues.enqueue(a.key, a.statement);
         let (id, ends) = (a.statement, self.now + a.time_left);
         let load = Load { threads: workload.threads, memory };
         let admitted = self.admits(&a, over);
-        self.taken.0.extend(self.agreed.further.filter(|_| admitted).map(|_| self.now));
+        self.admissions.0.extend(self.agreed.further.filter(|_| admitted).map(|_| self.now));
         let s = Statement::new(a, class, self.now - spent, ends, load);
         self.statements.insert(id, s);
-        self.hold(id);
+        self.enqueue(id);
         if !admitted {
             self.shed(id);
         }
     }
 
-    fn hold(&mut self, id: StatementId) {
+    fn enqueue(&mut self, id: StatementId) {
         let Some(s) = self.statements.get(&id).filter(|s| !s.over && !s.is_out()) else { return };
         let (class, timely, latest) = (s.class, self.last_timely_start(s), self.latest_start(s));
         let paused_until = self.order_queues.of(s.asked.key).map_or(0, |q| q.paused_until);
@@ -256,7 +256,7 @@
         let forgotten = s.executions.first().map_or(0, |x| x.sent + self.workload(s).dedup_window);
         let next = [timely, latest, paused_until, forgotten].into_iter().filter(|t| *t > self.now).min();
         self.due.insert((next.map_or(ends, |t| t.min(ends)), id));
-        self.unhold(id);
+        self.dequeue(id);
         if !is_first {
         } else if self.now >= latest {
             self.overdue.insert(id);
@@ -267,7 +267,7 @@
         }
     }
 
-    fn unhold(&mut self, id: StatementId) {
+    fn dequeue(&mut self, id: StatementId) {
         if let Some(s) = self.statements.get(&id) {
             self.classes[s.class].ready.remove(&id);
         }
@@ -287,15 +287,15 @@
             } else if self.now >= s.ends - LAST_CALL || self.is_to_be_shed(s) || pressed {
                 self.shed(id);
             } else {
-                self.hold(id);
+                self.enqueue(id);
             }
         }
-        if self.wake <= self.now {
+        if self.next_wake <= self.now {
             self.sweeps += 1;
             self.probe();
             if self.sweeps.is_multiple_of(SWEEPS_PER_LOOK) {
                 self.engines.grow_old(FORGOTTEN, self.many.then_some(OUTDATED));
-                (0..self.engines.open.len()).for_each(|e| self.listen(e));
+                (0..self.engines.open.len()).for_each(|e| self.check_silence(e));
             }
         }
     }
@@ -314,29 +314,29 @@
         positive_or(s.asked.work, learned.work.value)
     }
 
-    fn basis(&self, s: &Statement) -> f64 {
+    fn estimated_run(&self, s: &Statement) -> f64 {
         positive_or(s.asked.work / self.workload(s).threads, SECOND as f64)
     }
 
     fn last_timely_start(&self, s: &Statement) -> Micros {
         let slo = self.slo_time(s);
-        let run = self.learned[s.asked.workload].pace.value * self.basis(s) * SLOW_RUN;
+        let run = self.learned[s.asked.workload].pace.value * self.estimated_run(s) * SLOW_RUN;
         // While few of its class run, half the time may be waited: else a jam's run times shut it out.
         let few = self.classes[s.class].out.len() < self.engines.open.iter().filter(|o| **o).count();
         s.first_asked + slo - if few { (run as Micros).min(slo / 2) } else { run as Micros }
     }
 
     fn latest_start(&self, s: &Statement) -> Micros {
-        s.ends - (self.learned[s.asked.workload].pace.value * self.basis(s)) as Micros
+        s.ends - (self.learned[s.asked.workload].pace.value * self.estimated_run(s)) as Micros
     }
 
     fn freed(&mut self, key: KeyId, rests: bool) {
         self.order_queues.resolve(Some(key), true, rests.then_some(self.now + self.agreed.order_gap));
-        self.hold_first_in_order(Some(key));
+        self.enqueue_first_in_order(Some(key));
     }
 
-    fn hold_first_in_order(&mut self, key: Option<KeyId>) {
-        self.order_queues.first(key, self.now).into_iter().for_each(|next| self.hold(next));
+    fn enqueue_first_in_order(&mut self, key: Option<KeyId>) {
+        self.order_queues.first(key, self.now).into_iter().for_each(|next| self.enqueue(next));
     }
 
     fn forget(&mut self, id: StatementId) {
--- a/src/decide/learn.rs
+++ b/src/decide/learn.rs
@@ -17,26 +17,26 @@
         let each = self.agreed.budgets.map_or(f64::INFINITY, |b| share_of(b.probes, self.demand, self.known));
         let (count, asks) = (self.engines.open.len(), self.agreed.report_on_probe && self.agreed.probes);
         for _ in 0..count {
-            let e = self.asks_next % count;
-            if !asks || self.may_probe < 1.0 || self.engines.probed[e] > self.now - PROBE_GAP {
+            let e = self.next_probed % count;
+            if !asks || self.probe_allowance < 1.0 || self.engines.probed[e] > self.now - PROBE_GAP {
                 return;
             }
-            self.asks_next = e + 1;
-            if self.engines.open[e] && self.probes.take(each * count as f64, self.now) {
-                self.may_probe -= 1.0;
+            self.next_probed = e + 1;
+            if self.engines.open[e] && self.probe_tokens.take(each * count as f64, self.now) {
+                self.probe_allowance -= 1.0;
                 self.engines.probed[e] = self.now;
                 self.actions.push(Action::Probe { engine: e });
             }
         }
     }
 
-    pub(super) fn reported(&mut self, e: EngineId, report: &Report) {
+    pub(super) fn load_reported(&mut self, e: EngineId, report: &Report) {
         let (own, size) = (self.engines.own[e], self.engines.size[e]);
         let count = self.engines.out[e].len() as f64;
-        let each = if self.many { self.ran.threads } else { positive_or(own.threads, 1.0) / count.max(1.0) };
+        let each = if self.many { self.load.threads } else { positive_or(own.threads, 1.0) / count.max(1.0) };
         let in_hand = self.agreed.report.in_hand(report, size.threads / each.max(0.01));
         let active = in_hand.map_or(0.0, |active| (active - count).max(0.0));
-        let need = if self.many { self.ran.memory } else { 0.0 };
+        let need = if self.many { self.load.memory } else { 0.0 };
         let granted = self.agreed.report.granted(report).map(|x| x * size.memory - own.memory);
         // Where nothing tells what an engine holds, a report leaves what others are taken to hold.
         let threads = if in_hand.is_some() { active * each } else { self.engines.others[e].threads };
@@ -49,24 +49,24 @@
     /// Guards against executions that are taken and never answered, whatever the cause: a hung engine,
     /// answers lost on the way, a statement stuck in a sound engine. Where notes of progress are agreed, each
     /// execution must be heard of; else its engine. It could stop executions whose notes alone are lost.
-    pub(super) fn listen(&mut self, e: EngineId) {
-        let quiet = |(id, n): &&(StatementId, usize)| {
+    pub(super) fn check_silence(&mut self, e: EngineId) {
+        let silent = |(id, n): &&(StatementId, usize)| {
             let s = &self.statements[id];
             let x = &s.executions[*n];
             let tells = self.engines.listed[e].as_ref().is_some_and(|entry| entry.sends_progress);
-            let run = self.learned[s.asked.workload].pace.value * self.basis(s);
+            let run = self.learned[s.asked.workload].pace.value * self.estimated_run(s);
             let (heard, patience) = match self.agreed.progress_every * Micros::from(tells) {
                 0 => (x.sent.max(self.engines.heard[e]), SECOND as f64 + SILENCE_RUNS * run),
                 every => (x.heard, SILENT_NOTES * every as f64),
             };
-            !x.quiet && (self.now - heard.max(self.awake)) as f64 > patience
+            !x.silent && (self.now - heard.max(self.running_since)) as f64 > patience
         };
-        let stuck: Vec<_> = self.engines.out[e].iter().filter(quiet).copied().collect();
+        let stuck: Vec<_> = self.engines.out[e].iter().filter(silent).copied().collect();
         for (id, n) in stuck {
             let all_quiet = self.engines.heard[e] <= self.statements[&id].executions[n].heard;
-            self.spend(e, if all_quiet { SPENT_LOST } else { SPENT_ERROR });
-            self.stop(id, n);
-            self.statements.entry(id).and_modify(|s| s.executions[n].quiet = true);
+            self.lose_credit(e, if all_quiet { SPENT_LOST } else { SPENT_ERROR });
+            self.cancel_to_retry(id, n);
+            self.statements.entry(id).and_modify(|s| s.executions[n].silent = true);
         }
     }
 
@@ -84,16 +84,16 @@
             // Another front's load holds the data set there: guards against standing still behind it.
             let run = self.learned.iter().map(|l| l.run.value).fold(0.0, f64::max);
             self.engines.lock(e, data_set, self.now, self.now + run as Micros);
-            return self.stop(id, n);
+            return self.cancel_to_retry(id, n);
         }
         if let Note::ShareDone(done) = note {
             let run = (self.now - execution.sent) as f64;
             let s = &self.statements[&id];
-            let expected = self.learned[s.asked.workload].pace.value * self.basis(s);
+            let expected = self.learned[s.asked.workload].pace.value * self.estimated_run(s);
             // Guards against a bad plan, drawn anew at each execution, not against a long statement.
             let bad = expected > 0.0 && run > expected && run / done.max(0.001) > BAD_PLAN * expected;
             if bad && s.executions.len() == 1 {
-                self.stop(id, n);
+                self.cancel_to_retry(id, n);
             }
         }
     }
@@ -104,7 +104,7 @@
         let Some(s) = self.statements.get_mut(&x.statement) else { return };
         let Some(sent) = s.executions.get_mut(x.execution).filter(|x| x.outcome.is_none()) else { return };
         sent.outcome = Some(x.outcome);
-        let (quiet, key, was_over, ends, load) = (sent.quiet, s.asked.key, s.over, s.ends, s.load);
+        let (silent, key, was_over, ends, load) = (sent.silent, s.asked.key, s.over, s.ends, s.load);
         self.engines.took_back(e, (x.statement, x.execution), load);
         let lost = matches!(x.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
         self.order_queues.resolve(key, was_over, lost.then_some(now + self.agreed.order_gap));
@@ -115,7 +115,7 @@
             // It could not be reached: once it is back it may have restarted before the list says so.
             self.start_warm_up(e, now + self.agreed.warm_within);
         }
-        x.report.iter().for_each(|report| self.reported(e, report));
+        x.report.iter().for_each(|report| self.load_reported(e, report));
         match x.outcome {
             Outcome::Completed => {
                 if x.took <= self.slo_time(&self.statements[&x.statement]) {
@@ -124,38 +124,38 @@
                 self.found_healthy(e, true);
                 self.completed(&x, load.threads)
             }
-            Outcome::TimedOut if quiet => {} // an engine that hangs has been charged for its silence
+            Outcome::TimedOut if silent => {} // an engine that hangs has been charged for its silence
             // Guards against jams no answer tells of: one that turns work away or, among many fronts, lets it
             // run into the client's limit is full until it reports again, whatever it said before.
             Outcome::NoRoom | Outcome::TimedOut => {
                 if self.many || x.outcome == Outcome::NoRoom {
                     self.engines.others[e].threads = MOST_PER_CORE * self.engines.size[e].threads;
                 }
-                self.sway(e, -SHRINK * load.threads);
+                self.adjust_bound(e, -SHRINK * load.threads);
             }
             // A crash resets all that an engine holds at once; single resets are the network's.
             Outcome::Error | Outcome::Reset | Outcome::NoRoute => {
                 self.proved(e, true);
                 let gone = x.outcome == Outcome::NoRoute && unreached > 1;
-                self.spend(e, if gone { SPENT_LOST } else { SPENT_ERROR })
+                self.lose_credit(e, if gone { SPENT_LOST } else { SPENT_ERROR })
             }
             Outcome::Cancelled | Outcome::NotSent => {}
         }
         let s = &self.statements[&x.statement];
         if was_over {
             self.forget(x.statement);
-            self.hold_first_in_order(key);
+            self.enqueue_first_in_order(key);
         } else if x.settled {
             let slo = self.slo_time(s);
             self.close(x.statement, x.outcome == Outcome::Completed && now - s.first_asked <= slo);
         } else if self.has_safe_engine(s) && self.tries_left(s) && now < ends - LAST_CALL {
-            self.hold(x.statement);
+            self.enqueue(x.statement);
         } else {
             self.shed(x.statement);
         }
     }
 
-    fn spend(&mut self, e: EngineId, left: f64) {
+    fn lose_credit(&mut self, e: EngineId, left: f64) {
         self.engines.credit[e] *= left;
         if left <= SPENT_LOST {
             self.engines.rests_until[e] = self.now + LOST_REST;
@@ -165,24 +165,24 @@
     fn completed(&mut self, x: &Ended, threads: f64) {
         let (now, e, took) = (self.now, x.engine, x.took as f64);
         let s = &self.statements[&x.statement];
-        let (w, spilled, basis) = (s.asked.workload, s.executions[x.execution].spilled, self.basis(s));
+        let (w, spilled, base) = (s.asked.workload, s.executions[x.execution].spilled, self.estimated_run(s));
         let slo = self.slo_time(s) as f64;
         self.engines.heard[e] = now;
         self.engines.credit[e] = (self.engines.credit[e] + EARNED).min(1.0);
         let seconds = took / SECOND as f64;
-        self.ran.blend(Load { threads, memory: s.load.memory }, LEARNING * seconds.min(1.0));
+        self.load.blend(Load { threads, memory: s.load.memory }, LEARNING * seconds.min(1.0));
         let (bound, held) = self.engines.totals(if self.many { None } else { Some(e) });
         if took <= slo * QUICK && held + 2.0 * threads >= bound {
             let growth = if self.many { GROWTH } else { 1.0 / bound.max(1.0) };
-            self.sway(e, threads * seconds * growth);
+            self.adjust_bound(e, threads * seconds * growth);
         } else if took > slo {
-            self.sway(e, -SHRINK * threads);
+            self.adjust_bound(e, -SHRINK * threads);
         }
-        self.learned[w].took(LEARNING, (took, basis), if spilled { 1.0 } else { ENOUGH });
+        self.learned[w].took(LEARNING, (took, base), if spilled { 1.0 } else { ENOUGH });
     }
 
     /// Moves an engine's bound, or all alike: a front among many hears too seldom of each to know its own.
-    fn sway(&mut self, e: EngineId, threads: f64) {
+    fn adjust_bound(&mut self, e: EngineId, threads: f64) {
         let moved = if self.many { 0..self.engines.open.len() } else { e..e + 1 };
         let all: f64 = self.engines.bound[moved.clone()].iter().sum();
         for e in moved {
--- a/src/decide/penalty.rs
+++ b/src/decide/penalty.rs
@@ -61,8 +61,8 @@
     }
 
     fn execute(&mut self, id: StatementId, e: EngineId) {
-        self.unhold(id);
-        self.first_look = self.random.next();
+        self.dequeue(id);
+        self.placement_start = self.random.next();
         let (now, priority) = (self.now, self.priority(id));
         let s = &self.statements[&id];
         let (class, load, latest) = (s.class, s.load, self.latest_start(s));
@@ -77,7 +77,7 @@
         }
         self.actions.push(Action::Execute { statement: id, engine: e });
         let Some(s) = self.statements.get_mut(&id) else { return };
-        self.further.0.extend((!s.executions.is_empty()).then_some(now));
+        self.further_executions.0.extend((!s.executions.is_empty()).then_some(now));
         self.engines.sent(e, (id, s.executions.len()), load);
         s.priority = priority;
         s.executions.push(Execution { engine: e, sent: now, heard: now, ..Execution::default() });
--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -36,7 +36,7 @@
     }
 
     pub(super) fn tries_left(&self, s: &Statement) -> bool {
-        let within = |budget| self.further.one_more(budget, &self.taken, self.now);
+        let within = |budget| self.further_executions.allows_one_more(budget, &self.admissions, self.now);
         self.agreed.further.is_none_or(within)
             && s.executions.len() < self.agreed.most_executions
             && s.asked.pinned.is_none()
@@ -66,11 +66,11 @@
         let over = self.many && out > 0.0 && beyond;
         let count = self.engines.open.len();
         // Fronts that know the same must not all pick the same engine: each starts its look elsewhere.
-        let first = (self.first_look * count as f64) as usize;
+        let first = (self.placement_start * count as f64) as usize;
         let (guessed, mut drawn) = (self.many && !self.agreed.report.tells_load(), Vec::new());
         for e in (0..count).map(|i| (i + first) % count) {
             let trusted = s.executions.is_empty() || self.engines.credit[e] >= TRUSTED;
-            let reached = self.engines.room[e] > 0 || s.asked.pinned.is_some();
+            let reached = self.engines.send_capacity[e] > 0 || s.asked.pinned.is_some();
             let away =
                 !reached || self.engines.rests_until[e] > self.now || avoids && self.engines.is_evacuated(e);
             if !trusted || away || !self.may_execute(id, e) {
@@ -114,7 +114,7 @@
             }
         }
         // With no report of what others hold, the roomiest is the largest for all fronts: each draws by room.
-        draw_weighted((self.first_look * count as f64).fract(), &drawn).or(best)
+        draw_weighted((self.placement_start * count as f64).fract(), &drawn).or(best)
     }
 
     /// What an earlier life of this front may just have sent is not known and counts as all it might.
--- a/src/decide/shed.rs
+++ b/src/decide/shed.rs
@@ -38,7 +38,7 @@
         share >= 1.0 || s.pinned.is_some() || self.random.next() < share
     }
 
-    pub(super) fn stop(&mut self, id: StatementId, n: usize) {
+    pub(super) fn cancel_to_retry(&mut self, id: StatementId, n: usize) {
         let s = &self.statements[&id];
         let in_time = self.now + (self.learned[s.asked.workload].run.value as Micros) < s.ends;
         let again = self.workload(s).effect == Effect::Idempotent && self.tries_left(s) && in_time;
@@ -70,7 +70,7 @@
 
     /// Counts a statement that is over, and lets go of all it holds but executions still out.
     pub(super) fn close(&mut self, id: StatementId, timely: bool) {
-        self.unhold(id);
+        self.dequeue(id);
         let Some(s) = self.statements.get_mut(&id).filter(|s| !s.over) else { return };
         s.over = true;
         let (class, key) = (s.class, s.asked.key);
@@ -87,7 +87,7 @@
             }
         }
         self.order_queues.remove(key, id, unresolved.len());
-        self.hold_first_in_order(key);
+        self.enqueue_first_in_order(key);
         self.forget(id);
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -320,9 +320,9 @@
     },
     FleetDemand(FleetDemand),
     /// Executions that can leave for an engine now, over connections that are there or may be made.
-    Room {
+    SendCapacity {
         engine: EngineId,
-        room: usize,
+        executions: usize,
     },
     Woken,
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -64,11 +64,11 @@
         (self.0.len() - self.0.partition_point(|t| *t <= time)) as f64
     }
 
-    /// Whether a budget bears one more of these now, going by what was taken in its window.
-    pub fn one_more(&self, budget: FurtherBudget, taken: &Times, now: Micros) -> bool {
+    /// Whether a budget bears one more of these now, by the statements admitted in its window.
+    pub fn allows_one_more(&self, budget: FurtherBudget, admissions: &Times, now: Micros) -> bool {
         let since = now - budget.window;
         let used = self.after(since - 1);
-        used + 1.0 <= (budget.spare + budget.ratio * taken.after(since)).floor()
+        used + 1.0 <= (budget.spare + budget.ratio * admissions.after(since)).floor()
     }
 
     pub fn forget(&mut self, before: Micros) {
@@ -82,7 +82,7 @@
     pub sent: Micros,
     pub heard: Micros,
     pub spilled: bool, // it had less memory than it needed
-    pub quiet: bool,   // nothing was heard of it for too long
+    pub silent: bool,  // nothing was heard of it for too long
     pub outcome: Option<Outcome>,
 }
 
@@ -174,8 +174,8 @@
     pub rests_until: Vec<Micros>,
     pub heard: Vec<Micros>,
     pub probed: Vec<Micros>,
-    pub told: Vec<Micros>, // when its last report came
-    pub room: Vec<usize>,  // executions that can leave now, over connections that are there or may be made
+    pub told: Vec<Micros>,         // when its last report came
+    pub send_capacity: Vec<usize>, // executions that can leave now, over connections that are there or may be made
     /// Suspects in evacuated zones, each with the other fronts that have found it healthy since.
     pub evacuated: BTreeMap<EngineId, BTreeSet<usize>>,
 }
@@ -252,12 +252,12 @@
     pub fn sent(&mut self, e: EngineId, execution: (StatementId, usize), load: Load) {
         self.out[e].insert(execution);
         self.own[e].add(load, 1.0);
-        self.room[e] = self.room[e].saturating_sub(1);
+        self.send_capacity[e] = self.send_capacity[e].saturating_sub(1);
     }
 
     /// How many executions can leave for it now.
-    pub fn has_room(&mut self, e: EngineId, room: usize) {
-        self.room.get_mut(e).into_iter().for_each(|known| *known = room);
+    pub fn set_send_capacity(&mut self, e: EngineId, executions: usize) {
+        self.send_capacity.get_mut(e).into_iter().for_each(|known| *known = executions);
     }
 
     /// What others hold of each is half known and grows old: with reports of many, towards what is usual.
@@ -324,6 +324,6 @@
         self.heard.resize(count, 0);
         self.probed.resize(count, 0);
         self.told.resize(count, 0);
-        self.room.resize(count, usize::MAX);
+        self.send_capacity.resize(count, usize::MAX);
     }
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -266,9 +266,9 @@
                 workloads: self.demands(&said),
                 customers_per_s: said.get("customers").map_or(vec![], |v| v.split(',').map(number).collect()),
             }),
-            "room" => Event::Room {
+            "room" => Event::SendCapacity {
                 engine: self.engine_names.iter().position(|e| e == words[1])?,
-                room: number(words[2]) as usize,
+                executions: number(words[2]) as usize,
             },
             "fleet" => Event::Fleet { known: value("known"), up: value("up") },
             "probed" => Event::Probed {
