--- a/crates/agreement/src/contract.rs
+++ b/crates/agreement/src/contract.rs
@@ -2,7 +2,7 @@
 
 mod check;
 
-use hallmux::interface::{Agreement, FurtherBudget, Micros, ReportPlaces, Workload};
+use hallmux::interface::{Agreement, FurtherBudget, Micros, ReportLayout, Workload};
 use serde::Deserialize;
 
 use self::check::{check, word, EFFECTS, GROUPS};
@@ -246,7 +246,7 @@
         grants: read.extra.grants_count,
         priorities: read.extra.takes_priority,
         progress_every: micros(read.extra.tells_every_ms),
-        report: ReportPlaces {
+        report: ReportLayout {
             active: place("active"),
             busy: place("cpu"),
             waiting: place("waiting"),
--- a/crates/agreement/src/operator/whole.rs
+++ b/crates/agreement/src/operator/whole.rs
@@ -1,6 +1,6 @@
 //! The whole file: its parts, and what belongs to none of them.
 
-use hallmux::interface::{Micros, ReportPlaces};
+use hallmux::interface::{Micros, ReportLayout};
 use serde::Deserialize;
 
 use crate::contract::{micros, Contract};
@@ -52,7 +52,7 @@
 
 impl Operator {
     /// Makes the module read the figure chosen and leave the other.
-    pub fn apply(&self, report: &mut ReportPlaces) {
+    pub fn apply(&self, report: &mut ReportLayout) {
         match self.load_signal {
             Some(LoadSignal::InFlight) => report.busy = None,
             Some(LoadSignal::Utilization) => report.active = None,
--- a/crates/dispatcher/src/ended.rs
+++ b/crates/dispatcher/src/ended.rs
@@ -54,7 +54,7 @@
             outcome: ending.outcome(),
             took,
             settled: s.over,
-            holds,
+            keeps_order_key: holds,
             cost,
             report,
         }));
@@ -80,7 +80,7 @@
         let unheard = |e: &Event| matches!(e, Event::Arrived(a) if a.statement == ticket);
         match self.told.iter().position(unheard) {
             Some(at) => _ = self.told.remove(at),
-            None => self.told.push(Event::Left(ticket)),
+            None => self.told.push(Event::ClientLeft(ticket)),
         }
         self.forget(now, ticket);
     }
@@ -88,7 +88,7 @@
     /// A transaction that kept an order key is over; the key rests where the transaction may still run.
     pub fn freed(&mut self, now: Micros, name: &str, rests: bool) {
         let Some(key) = self.keys.get_mut(name) else { return };
-        self.told.push(Event::Freed { key: key.id, rests });
+        self.told.push(Event::OrderKeyFreed { key: key.id, pauses: rests });
         if self.watches {
             self.words.push(Word::Freed { key: name.to_string(), rests });
         }
--- a/crates/dispatcher/src/ending.rs
+++ b/crates/dispatcher/src/ending.rs
@@ -43,16 +43,16 @@
 impl Ending {
     /// Whether it leaves it open that the statement has run.
     pub fn may_have_run(self) -> bool {
-        !matches!(self.outcome(), Outcome::NoRoom | Outcome::NoRoute | Outcome::NotSent)
+        !matches!(self.outcome(), Outcome::NoCapacity | Outcome::Unreachable | Outcome::NotSent)
     }
 
-    /// The one table of what an ending proves. `NoRoom`, `NoRoute` and `NotSent` say that nothing ran.
+    /// The one table of what an ending proves. `NoCapacity`, `Unreachable` and `NotSent` say that nothing ran.
     pub fn outcome(self) -> Outcome {
         match self {
             Ending::Answered => Outcome::Completed,
             Ending::EngineFailed | Ending::PageLost => Outcome::Error,
-            Ending::TurnedAway => Outcome::NoRoom,
-            Ending::Refused | Ending::NeverUp => Outcome::NoRoute,
+            Ending::TurnedAway => Outcome::NoCapacity,
+            Ending::Refused | Ending::NeverUp => Outcome::Unreachable,
             Ending::NoMeans | Ending::Stale | Ending::Withdrawn => Outcome::NotSent,
             Ending::BrokenNew | Ending::HalfWritten => Outcome::NotSent,
             Ending::Reset | Ending::Closed | Ending::Unreadable | Ending::ClosedHere => Outcome::Reset,
--- a/crates/dispatcher/src/promised.rs
+++ b/crates/dispatcher/src/promised.rs
@@ -126,7 +126,7 @@
         }
         engine.held += usize::from(held);
         (x.held, x.sent) = (held, now);
-        let note = Note::Held;
+        let note = Note::NotSentYet;
         self.told.push(Event::Noted { statement: ticket, execution, engine: x.place, note });
     }
 
@@ -137,7 +137,7 @@
         s.over = true;
         let out: Vec<usize> = s.out().collect();
         if out.is_empty() {
-            self.told.push(Event::Left(ticket));
+            self.told.push(Event::ClientLeft(ticket));
             self.forget(now, ticket);
         }
         for execution in out {
--- a/crates/drill/src/instance.rs
+++ b/crates/drill/src/instance.rs
@@ -82,7 +82,7 @@
             "JOB_IN" => Some(self.arrived(line)?),
             "RETURNED" => self.ended(line)?,
             "NOTICE" => self.noted(line)?,
-            "GONE" => self.statement(line)?.map(Event::Left),
+            "GONE" => self.statement(line)?.map(Event::ClientLeft),
             "RING" => Some(Event::Woken),
             "FLEET" => Some(self.listed(line, lists)?),
             "PROBE_RESULT" => Some(Event::Probed {
@@ -144,9 +144,9 @@
         let outcome = match line.field::<String>("status")?.as_str() {
             "pass" => Outcome::Completed,
             "fault" => Outcome::Error,
-            "no_room" => Outcome::NoRoom,
+            "no_room" => Outcome::NoCapacity,
             "too_slow" => Outcome::TimedOut,
-            "no_route" => Outcome::NoRoute,
+            "no_route" => Outcome::Unreachable,
             "cut" => Outcome::Reset,
             "undone" => Outcome::Cancelled,
             "stale_send" => Outcome::NotSent,
@@ -161,7 +161,7 @@
             outcome,
             took: line.time("delaySeenMs")?,
             settled: line.flag("settled")?,
-            holds: false,
+            keeps_order_key: false,
             cost: (note > 0).then_some(Cost {
                 work: (note >> 12) as f64 * 1000.0,
                 memory_mb: (note & 4095) as f64 * 4.0,
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -149,8 +149,8 @@
                 Event::Arrived(arrival) => self.arrived(arrival, gap),
                 Event::Ended(ended) => self.ended(ended),
                 Event::Noted { statement: s, execution: n, engine: e, note } => self.noted(s, n, e, note),
-                Event::Left(id) => self.close(id, false),
-                Event::Freed { key, rests } => self.freed(key, rests),
+                Event::ClientLeft(id) => self.close(id, false),
+                Event::OrderKeyFreed { key, pauses } => self.order_key_freed(key, pauses),
                 Event::PeerReport(report) => self.peer_reported(report),
                 Event::FleetDemand(fleet) => self.set_admission(&fleet),
                 Event::SendCapacity { engine, executions: n } => self.engines.set_send_capacity(engine, n),
@@ -330,8 +330,8 @@
         s.ends - (self.learned[s.asked.workload].pace.value * self.estimated_run(s)) as Micros
     }
 
-    fn freed(&mut self, key: KeyId, rests: bool) {
-        self.order_queues.resolve(Some(key), true, rests.then_some(self.now + self.agreed.order_gap));
+    fn order_key_freed(&mut self, key: KeyId, pauses: bool) {
+        self.order_queues.resolve(Some(key), true, pauses.then_some(self.now + self.agreed.order_gap));
         self.enqueue_first_in_order(Some(key));
     }
 
--- a/src/decide/learn.rs
+++ b/src/decide/learn.rs
@@ -34,10 +34,10 @@
         let (own, size) = (self.engines.own[e], self.engines.size[e]);
         let count = self.engines.out[e].len() as f64;
         let each = if self.many { self.load.threads } else { positive_or(own.threads, 1.0) / count.max(1.0) };
-        let in_hand = self.agreed.report.in_hand(report, size.threads / each.max(0.01));
+        let in_hand = self.agreed.report.active_statements(report, size.threads / each.max(0.01));
         let active = in_hand.map_or(0.0, |active| (active - count).max(0.0));
         let need = if self.many { self.load.memory } else { 0.0 };
-        let granted = self.agreed.report.granted(report).map(|x| x * size.memory - own.memory);
+        let granted = self.agreed.report.granted_memory(report).map(|x| x * size.memory - own.memory);
         // Where nothing tells what an engine holds, a report leaves what others are taken to hold.
         let threads = if in_hand.is_some() { active * each } else { self.engines.others[e].threads };
         let told = Load { threads, memory: granted.unwrap_or(active * need).max(0.0) };
@@ -108,7 +108,7 @@
         self.engines.took_back(e, (x.statement, x.execution), load);
         let lost = matches!(x.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
         self.order_queues.resolve(key, was_over, lost.then_some(now + self.agreed.order_gap));
-        self.order_queues.keep(key, x.holds && x.settled && !was_over);
+        self.order_queues.keep(key, x.keeps_order_key && x.settled && !was_over);
         // One connection late to come up tells little of its engine; two in a row tell that it is gone.
         let (before, unreached) = self.engines.tried(e, x.outcome, now + LOST_REST);
         if unreached.max(before) > 1 {
@@ -127,16 +127,16 @@
             Outcome::TimedOut if silent => {} // an engine that hangs has been charged for its silence
             // Guards against jams no answer tells of: one that turns work away or, among many fronts, lets it
             // run into the client's limit is full until it reports again, whatever it said before.
-            Outcome::NoRoom | Outcome::TimedOut => {
-                if self.many || x.outcome == Outcome::NoRoom {
+            Outcome::NoCapacity | Outcome::TimedOut => {
+                if self.many || x.outcome == Outcome::NoCapacity {
                     self.engines.others[e].threads = MOST_PER_CORE * self.engines.size[e].threads;
                 }
                 self.adjust_bound(e, -SHRINK * load.threads);
             }
             // A crash resets all that an engine holds at once; single resets are the network's.
-            Outcome::Error | Outcome::Reset | Outcome::NoRoute => {
+            Outcome::Error | Outcome::Reset | Outcome::Unreachable => {
                 self.proved(e, true);
-                let gone = x.outcome == Outcome::NoRoute && unreached > 1;
+                let gone = x.outcome == Outcome::Unreachable && unreached > 1;
                 self.lose_credit(e, if gone { SPENT_LOST } else { SPENT_ERROR })
             }
             Outcome::Cancelled | Outcome::NotSent => {}
--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -67,7 +67,7 @@
         let count = self.engines.open.len();
         // Fronts that know the same must not all pick the same engine: each starts its look elsewhere.
         let first = (self.placement_start * count as f64) as usize;
-        let (guessed, mut drawn) = (self.many && !self.agreed.report.tells_load(), Vec::new());
+        let (guessed, mut drawn) = (self.many && !self.agreed.report.names_load(), Vec::new());
         for e in (0..count).map(|i| (i + first) % count) {
             let trusted = s.executions.is_empty() || self.engines.credit[e] >= TRUSTED;
             let reached = self.engines.send_capacity[e] > 0 || s.asked.pinned.is_some();
@@ -97,7 +97,7 @@
             let share = if self.many { whole * credit } else { bound };
             let room = share.min(whole - others.threads) - own.threads;
             let spare = IDLE * cores - others.threads - own.threads;
-            let fresh = self.agreed.report.tells_load() && self.engines.told[e] >= self.now - FRESH;
+            let fresh = self.agreed.report.names_load() && self.engines.told[e] >= self.now - FRESH;
             let within = !over || spare >= workload.threads && fresh;
             let taken = own.memory + s.load.memory;
             let full = taken + others.memory > size.memory;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -56,7 +56,7 @@
 
 /// Which load figures the engines' reports hold, by their place in the report.
 #[derive(Clone, Debug, Default)]
-pub struct ReportPlaces {
+pub struct ReportLayout {
     pub active: Option<usize>,
     /// The share of the engine's cores that is busy: where `active` is not told, it stands in for it.
     pub busy: Option<usize>,
@@ -65,26 +65,26 @@
     pub memory_granted: Option<usize>,
 }
 
-impl ReportPlaces {
+impl ReportLayout {
     fn read(place: Option<usize>, report: &Report) -> Option<f64> {
         place.and_then(|place| report.get(place)).copied()
     }
 
     /// Statements in hand; where they are not told, busy cores (each so many statements) and those that wait
     /// for memory stand in for them.
-    pub fn in_hand(&self, report: &Report, of_busy: f64) -> Option<f64> {
+    pub fn active_statements(&self, report: &Report, of_busy: f64) -> Option<f64> {
         let waiting = || Self::read(self.waiting, report).unwrap_or(0.0);
         let busy = || Some(Self::read(self.busy, report)? * of_busy + waiting());
         Self::read(self.active, report).or_else(busy)
     }
 
     /// The share of the memory that is granted.
-    pub fn granted(&self, report: &Report) -> Option<f64> {
+    pub fn granted_memory(&self, report: &Report) -> Option<f64> {
         Self::read(self.memory_granted, report)
     }
 
     /// Whether reports tell what an engine holds: statements in hand, or its busy cores.
-    pub fn tells_load(&self) -> bool {
+    pub fn names_load(&self) -> bool {
         self.active.is_some() || self.busy.is_some()
     }
 }
@@ -119,7 +119,7 @@
     pub grants: bool,
     pub priorities: bool,
     pub progress_every: Micros,
-    pub report: ReportPlaces,
+    pub report: ReportLayout,
     pub report_on_probe: bool,
     pub probes: bool,
     pub cancel: bool,
@@ -179,9 +179,9 @@
 pub enum Outcome {
     Completed,
     Error,
-    NoRoom,
+    NoCapacity,
     TimedOut,
-    NoRoute,
+    Unreachable,
     Reset,
     Cancelled,
     NotSent,
@@ -196,7 +196,7 @@
     /// Its engine has answered something else meanwhile.
     Alive,
     /// It has not left its front yet, which says nothing of its engine.
-    Held,
+    NotSentYet,
 }
 
 /// What an answer tells of the statement's true cost.
@@ -234,8 +234,8 @@
     pub took: Micros,
     /// The statement has its final answer, through this outcome or before it.
     pub settled: bool,
-    /// Its transaction goes on and keeps the turn of its order key until `Event::Freed`.
-    pub holds: bool,
+    /// Its transaction goes on and keeps the turn of its order key until `Event::OrderKeyFreed`.
+    pub keeps_order_key: bool,
     pub cost: Option<Cost>,
     pub report: Option<Report>,
 }
@@ -301,11 +301,11 @@
         note: Note,
     },
     /// The client left; the statement is over.
-    Left(StatementId),
+    ClientLeft(StatementId),
     /// A transaction that kept the turn of an order key is over; the key rests where it may still run.
-    Freed {
+    OrderKeyFreed {
         key: KeyId,
-        rests: bool,
+        pauses: bool,
     },
     Probed {
         engine: EngineId,
--- a/src/state.rs
+++ b/src/state.rs
@@ -89,7 +89,7 @@
 impl Execution {
     /// There is word of it: whether that tells of its engine too. One that has not left is sent from then on.
     pub fn hears(&mut self, now: Micros, note: Note) -> bool {
-        let left = note != Note::Held;
+        let left = note != Note::NotSentYet;
         (self.heard, self.sent) = (now, if left { self.sent } else { now });
         left
     }
@@ -118,7 +118,7 @@
 
     /// Executions that their outcomes do not prove to have been without effect.
     pub fn may_have_run(&self) -> impl Iterator<Item = &Execution> {
-        let unseen = [Outcome::NoRoom, Outcome::NoRoute, Outcome::NotSent];
+        let unseen = [Outcome::NoCapacity, Outcome::Unreachable, Outcome::NotSent];
         self.executions.iter().filter(move |x| x.outcome.is_none_or(|o| !unseen.contains(&o)))
     }
 
@@ -279,8 +279,8 @@
     pub fn tried(&mut self, e: EngineId, outcome: Outcome, rests_until: Micros) -> (usize, usize) {
         let before = self.unreached[e];
         match outcome {
-            Outcome::NoRoute => (self.unreached[e], self.rests_until[e]) = (before + 1, rests_until),
-            Outcome::Completed | Outcome::NoRoom | Outcome::Error => self.unreached[e] = 0,
+            Outcome::Unreachable => (self.unreached[e], self.rests_until[e]) = (before + 1, rests_until),
+            Outcome::Completed | Outcome::NoCapacity | Outcome::Error => self.unreached[e] = 0,
             _ => {} // nothing has come from there
         }
         (before, self.unreached[e])
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -227,9 +227,9 @@
                 outcome: match words[3] {
                     "completed" => Outcome::Completed,
                     "error" => Outcome::Error,
-                    "no-room" => Outcome::NoRoom,
+                    "no-room" => Outcome::NoCapacity,
                     "timed-out" => Outcome::TimedOut,
-                    "no-route" => Outcome::NoRoute,
+                    "no-route" => Outcome::Unreachable,
                     "reset" => Outcome::Reset,
                     "cancelled" => Outcome::Cancelled,
                     "not-sent" => Outcome::NotSent,
@@ -237,7 +237,7 @@
                 },
                 took: micros(said.get("took").copied().unwrap_or("100")),
                 settled: words[3] == "completed" || said.contains_key("settled"),
-                holds: said.contains_key("holds"),
+                keeps_order_key: said.contains_key("holds"),
                 cost: said.get("cost").map(|c| Cost { work: number(c) * MS as f64, memory_mb: value("mb") }),
                 report: said.get("active").or(said.get("busy")).map(|a| vec![number(a)]),
             }),
@@ -251,7 +251,7 @@
                     (None, None) => Note::ShareDone(value("done")),
                 },
             },
-            "leave" => Event::Left(statement),
+            "leave" => Event::ClientLeft(statement),
             "hear" => Event::PeerReport(PeerReport {
                 reporter: number(words[1]) as usize,
                 engine: self.engine_names.iter().position(|e| e == words[2])?,
@@ -276,9 +276,9 @@
                 alive: said.contains_key("alive"),
                 report: None,
             },
-            "free" => Event::Freed {
+            "free" => Event::OrderKeyFreed {
                 key: self.keys.iter().position(|k| k == words[1])? as KeyId,
-                rests: said.contains_key("rests"),
+                pauses: said.contains_key("rests"),
             },
             _ => return None,
         })
