--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -29,13 +29,13 @@
 pub use dials::Dials;
 pub use ending::Ending;
 pub use engines::Listing;
-pub use hallmux::interface::{Asked, DedupGroup, Effect, Micros, Mode, Note, Offer};
+pub use hallmux::interface::{DedupGroup, Demand, Effect, FleetDemand, Micros, Mode, Note};
 pub use offered::SPAN;
 pub use out::{Order, Terms};
 pub use promised::{Gone, Site, Taken, Word};
 pub use rooms::Rooms;
 pub use seen::Sighted;
-pub use taken::{Ask, Speech, Unfit};
+pub use taken::{Ask, Protocol, Unfit};
 
 /// A statement as this front knows it, from `pick` until it is over and nothing is out for it.
 pub type Ticket = StatementId;
@@ -58,7 +58,7 @@
     needs_dedup_key: Vec<bool>,         // by workload
     dedup_windows: Vec<Option<Micros>>, // likewise, where engines drop repeats
     locations: Vec<Option<Vec<usize>>>, // that workloads are bound to
-    turn_gap: Micros,
+    order_gap: Micros,
     warm_within: Micros,
     wake: Micros,
     told: Vec<Event>,
@@ -92,7 +92,7 @@
                 .map(|w| (w.effect == Effect::Deduplicated).then_some(w.dedup_window))
                 .collect(),
             locations: contract.agreement.workloads.iter().map(|w| w.locations.clone()).collect(),
-            turn_gap: contract.agreement.turn_gap,
+            order_gap: contract.agreement.order_gap,
             warm_within: contract.agreement.warm_within,
             wake: 0,
             told: Vec::new(),
--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use calloop::LoopHandle;
-use hallmux_codec::coordinator::{self as codec, Events as EngineListEvents};
+use hallmux_codec::coordinator::{self as codec, Events};
 use hallmux_codec::Decoded;
 use hallmux_dispatcher::Micros;
 
@@ -90,7 +90,7 @@
     }
 
     /// The connection has changed; what it brought, if anything.
-    pub fn read(&mut self, now: Micros, number: u64) -> Option<EngineListEvents> {
+    pub fn read(&mut self, now: Micros, number: u64) -> Option<Events> {
         let link = self.link.as_mut().filter(|_| number == self.number)?;
         if self.asked_at.is_none() {
             match link.is_up() {
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,12 +2,12 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-pub use crate::chance::*;
+pub use crate::demand::*;
 use crate::interface::*;
 pub use crate::learned::*;
-pub use crate::offers::*;
-pub use crate::turns::*;
-pub use crate::words::*;
+pub use crate::order_queue::*;
+pub use crate::peer_reports::*;
+pub use crate::random::*;
 
 pub const SECOND: Micros = 1_000_000; // microseconds
 
@@ -64,11 +64,11 @@
         (self.0.len() - self.0.partition_point(|t| *t <= time)) as f64
     }
 
-    /// Whether a budget bears one more of these now, going by what was taken in its window.
-    pub fn one_more(&self, budget: FurtherBudget, taken: &Times, now: Micros) -> bool {
+    /// Whether a budget bears one more of these now, by the statements admitted in its window.
+    pub fn allows_one_more(&self, budget: FurtherBudget, admissions: &Times, now: Micros) -> bool {
         let since = now - budget.window;
         let used = self.after(since - 1);
-        used + 1.0 <= (budget.spare + budget.ratio * taken.after(since)).floor()
+        used + 1.0 <= (budget.spare + budget.ratio * admissions.after(since)).floor()
     }
 
     pub fn forget(&mut self, before: Micros) {
@@ -82,14 +82,14 @@
     pub sent: Micros,
     pub heard: Micros,
     pub spilled: bool, // it had less memory than it needed
-    pub quiet: bool,   // nothing was heard of it for too long
+    pub silent: bool,  // nothing was heard of it for too long
     pub outcome: Option<Outcome>,
 }
 
 impl Execution {
     /// There is word of it: whether that tells of its engine too. One that has not left is sent from then on.
     pub fn hears(&mut self, now: Micros, note: Note) -> bool {
-        let left = note != Note::Held;
+        let left = note != Note::NotSentYet;
         (self.heard, self.sent) = (now, if left { self.sent } else { now });
         left
     }
@@ -112,13 +112,13 @@
     }
 
     /// Whether it may be sent to an engine at all: its workload and what is allowed to it agree.
-    pub fn allows(&self, workload: &Workload, at: &Listed) -> bool {
+    pub fn allows(&self, workload: &Workload, at: &EngineEntry) -> bool {
         workload.allows(at) && self.asked.allowed.as_ref().is_none_or(|l| l.contains(&at.location))
     }
 
     /// Executions that their outcomes do not prove to have been without effect.
     pub fn may_have_run(&self) -> impl Iterator<Item = &Execution> {
-        let unseen = [Outcome::NoRoom, Outcome::NoRoute, Outcome::NotSent];
+        let unseen = [Outcome::NoCapacity, Outcome::Unreachable, Outcome::NotSent];
         self.executions.iter().filter(move |x| x.outcome.is_none_or(|o| !unseen.contains(&o)))
     }
 
@@ -158,7 +158,7 @@
 #[derive(Default)]
 pub struct Engines {
     pub open: Vec<bool>,
-    pub listed: Vec<Option<Listed>>,
+    pub listed: Vec<Option<EngineEntry>>,
     pub size: Vec<Load>,  // cores and memory
     pub usual: Vec<Load>, // what other fronts hold for each core, by kind
     pub cold_until: Vec<Micros>,
@@ -174,15 +174,15 @@
     pub rests_until: Vec<Micros>,
     pub heard: Vec<Micros>,
     pub probed: Vec<Micros>,
-    pub told: Vec<Micros>, // when its last report came
-    pub room: Vec<usize>,  // executions that can leave now, over connections that are there or may be made
-    /// Ill in zones that the fleet has left; other fronts that have found each well since.
-    pub left: BTreeMap<EngineId, BTreeSet<usize>>,
+    pub told: Vec<Micros>,         // when its last report came
+    pub send_capacity: Vec<usize>, // executions that can leave now, over connections that are there or may be made
+    /// Suspects in evacuated zones, each with the other fronts that have found it healthy since.
+    pub evacuated: BTreeMap<EngineId, BTreeSet<usize>>,
 }
 
 impl Engines {
-    /// The engines listed in the zone of this one, itself too, but for those that are gone.
-    pub fn near(&self, e: EngineId) -> Vec<EngineId> {
+    /// The engines listed in the zone of this one, itself included; those that are gone are left out.
+    pub fn same_zone(&self, e: EngineId) -> Vec<EngineId> {
         let zone = |e: EngineId| self.listed.get(e).and_then(|l| l.as_ref()).map(|l| l.location);
         let listed = |o: &EngineId| self.listed[*o].as_ref().is_some_and(|l| l.mode != Mode::Gone);
         (0..self.listed.len()).filter(listed).filter(|o| zone(*o) == zone(e)).collect()
@@ -194,7 +194,7 @@
     }
 
     /// What the list says of an engine that is open.
-    pub fn entry(&self, e: EngineId) -> Option<&Listed> {
+    pub fn entry(&self, e: EngineId) -> Option<&EngineEntry> {
         self.listed[e].as_ref().filter(|_| self.open[e])
     }
 
@@ -210,15 +210,15 @@
         self.size[e].threads * since * (agreed.cold_from + self.warmth(e, now, agreed)) / 2.0 / work
     }
 
-    /// Whether the fleet has left the zone of this engine.
-    pub fn is_left(&self, e: EngineId) -> bool {
-        !self.left.is_empty() && self.near(e).iter().any(|o| self.left.contains_key(o))
+    /// Whether the zone of this engine is evacuated.
+    pub fn is_evacuated(&self, e: EngineId) -> bool {
+        !self.evacuated.is_empty() && self.same_zone(e).iter().any(|o| self.evacuated.contains_key(o))
     }
 
-    /// One of those that the fleet has left, by a share of their count.
-    pub fn one_left(&self, share: f64) -> Option<EngineId> {
+    /// One suspect of the evacuated zones, at a share of their count.
+    pub fn pick_evacuated(&self, share: f64) -> Option<EngineId> {
         let listed = |o: &&EngineId| self.listed[**o].as_ref().is_some_and(|l| l.mode != Mode::Gone);
-        let all: Vec<EngineId> = self.left.keys().filter(listed).copied().collect();
+        let all: Vec<EngineId> = self.evacuated.keys().filter(listed).copied().collect();
         all.get((share * all.len() as f64) as usize).copied()
     }
 
@@ -252,12 +252,12 @@
     pub fn sent(&mut self, e: EngineId, execution: (StatementId, usize), load: Load) {
         self.out[e].insert(execution);
         self.own[e].add(load, 1.0);
-        self.room[e] = self.room[e].saturating_sub(1);
+        self.send_capacity[e] = self.send_capacity[e].saturating_sub(1);
     }
 
     /// How many executions can leave for it now.
-    pub fn has_room(&mut self, e: EngineId, room: usize) {
-        self.room.get_mut(e).into_iter().for_each(|known| *known = room);
+    pub fn set_send_capacity(&mut self, e: EngineId, executions: usize) {
+        self.send_capacity.get_mut(e).into_iter().for_each(|known| *known = executions);
     }
 
     /// What others hold of each is half known and grows old: with reports of many, towards what is usual.
@@ -279,8 +279,8 @@
     pub fn tried(&mut self, e: EngineId, outcome: Outcome, rests_until: Micros) -> (usize, usize) {
         let before = self.unreached[e];
         match outcome {
-            Outcome::NoRoute => (self.unreached[e], self.rests_until[e]) = (before + 1, rests_until),
-            Outcome::Completed | Outcome::NoRoom | Outcome::Error => self.unreached[e] = 0,
+            Outcome::Unreachable => (self.unreached[e], self.rests_until[e]) = (before + 1, rests_until),
+            Outcome::Completed | Outcome::NoCapacity | Outcome::Error => self.unreached[e] = 0,
             _ => {} // nothing has come from there
         }
         (before, self.unreached[e])
@@ -324,6 +324,6 @@
         self.heard.resize(count, 0);
         self.probed.resize(count, 0);
         self.told.resize(count, 0);
-        self.room.resize(count, usize::MAX);
+        self.send_capacity.resize(count, usize::MAX);
     }
 }
