--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -358,3 +358,7 @@
         ready
     }
 }
+
+#[cfg(test)]
+#[path = "clients_tests.rs"]
+pub(crate) mod tests;
--- /dev/null
+++ b/crates/front/src/clients_tests.rs
@@ -0,0 +1,66 @@
+//! Unit tests of the `clients` module.
+
+use std::io::Write;
+use std::net::{TcpListener, TcpStream};
+use std::time::{Duration, Instant};
+
+use calloop::EventLoop;
+use socket2::SockRef;
+
+use super::*;
+use crate::doors::{Changes, Door};
+
+const SECOND: Micros = 1_000_000;
+const PATIENCE: Duration = Duration::from_secs(20);
+const BUFFER: usize = 400 << 10; // bytes asked for on the receiving side; half of that must be granted
+const SHORT: usize = 60 << 10; // bytes of a statement that one read takes, with the beginning of the next
+const LONG: usize = 120 << 10; // bytes of a statement whose end the third read brings
+
+/// A statement as clients send it, in its frame.
+pub(crate) fn frame(number: u32, statement: &str) -> Vec<u8> {
+    let text = |out: &mut Vec<u8>, text: &str| {
+        out.extend((text.len() as u32).to_be_bytes());
+        out.extend(text.as_bytes());
+    };
+    let mut message = vec![0x80, 1, 0, 1];
+    text(&mut message, "serve");
+    message.extend(number.to_be_bytes());
+    let id = format!("{number:0>16}");
+    let fields = [("txn", id.as_str()), ("verb", "lookup"), ("limit", "15000"), ("team", "acme")];
+    message.extend([13, 0, 1, 11, 11, 0, 0, 0, fields.len() as u8]);
+    for (name, value) in fields {
+        text(&mut message, name);
+        text(&mut message, value);
+    }
+    message.extend([11, 0, 2]);
+    text(&mut message, statement);
+    message.push(0);
+    let mut frame = (message.len() as u32).to_be_bytes().to_vec();
+    frame.extend(message);
+    frame
+}
+
+#[test]
+fn a_statement_that_several_reads_take_has_waited_since_the_first() {
+    let events: EventLoop<'static, Changes> = EventLoop::try_new().unwrap();
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    SockRef::from(&listener).set_recv_buffer_size(BUFFER).unwrap();
+    let mut peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let (stream, _) = listener.accept().unwrap();
+    let frames = [frame(1, &"x".repeat(SHORT)), frame(2, &"x".repeat(LONG))].concat();
+    peer.write_all(&frames).unwrap();
+    // All of it lies there before the first read.
+    let (begun, mut there) = (Instant::now(), vec![0; frames.len()]);
+    while stream.peek(&mut there).unwrap() < frames.len() {
+        assert!(begun.elapsed() < PATIENCE, "a receive buffer that holds {} bytes", frames.len());
+    }
+    let mut clients = Clients::new(None, SECOND);
+    clients.accept(0, 1, Link::new(stream, &events.handle(), Door::Client.party(1)).unwrap());
+    let (mut now, mut told) = (SECOND, Vec::new());
+    while clients.read(now, 1, true, &mut told) && told.len() < 2 {
+        now += SECOND;
+    }
+    let waited = |told: &Told| matches!(told, Told::Asked { waited, .. } if *waited == now - SECOND);
+    assert_eq!(now, 3 * SECOND, "reads that it takes");
+    assert!(told.len() == 2 && waited(&told[1]));
+}
