--- a/crates/front/src/clock_tests.rs
+++ b/crates/front/src/clock_tests.rs
@@ -1,6 +1,6 @@
 //! Unit tests of the `clock` module.
 
-use super::Clock;
+use super::{Clock, FRESH, PROMPT};
 use std::time::Duration;
 
 fn waited(decided: i64, sleeps: i64, until: i64, wakes: i64) -> i64 {
@@ -68,3 +68,27 @@
     clock.woke();
     assert_eq!(clock.waited(), 1_590_200);
 }
+
+#[test]
+fn a_look_at_the_connections_is_too_old_to_send_by_once_its_iteration_took_long_or_began_late() {
+    let mut clock = Clock::default();
+    clock.set(1_000_000);
+    clock.sleep(1_025_000);
+    clock.set(1_010_000);
+    clock.woke();
+    clock.set(1_010_000 + FRESH);
+    assert!(!clock.is_stale());
+    clock.set(1_010_001 + FRESH);
+    assert!(clock.is_stale());
+    clock.decides();
+    clock.sleep(1_100_000);
+    // The next look is fresh.
+    clock.woke();
+    assert!(!clock.is_stale());
+    clock.decides();
+    clock.sleep(1_100_000);
+    // A late one is not, however quick: what came meanwhile may not be found yet.
+    clock.set(1_100_001 + PROMPT);
+    clock.woke();
+    assert!(clock.is_stale());
+}
