--- a/crates/front/src/entrance.rs
+++ b/crates/front/src/entrance.rs
@@ -40,9 +40,9 @@
         Ok(Entrance { handle: handle.clone(), listener, accept_at: Some(0), at_door: None, shut_out: false })
     }
 
-    /// Somebody has come.
+    /// Somebody has come, or may have: `next` asks the system.
     pub fn knocked(&mut self) {
-        self.accept_at = Some(0);
+        self.accept_at = self.is_open().then_some(0);
     }
 
     pub fn due(&self) -> Micros {
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -250,7 +250,9 @@
         let peers = self.peers.as_ref().filter(|_| self.shutdown.asked());
         let keeps = peers.map_or(Keeps::Nothing, |peers| peers.keeps(self.clock.now));
         if self.shutdown.closes(self.clock.now, keeps) {
-            // Whoever has connected by now is heard: closing the listener resets what waits there.
+            // Whoever has connected by now is heard: closing the listener resets what waits there. The loop may not
+            // have told of it yet.
+            self.entrance.knocked();
             self.accept();
             if self.entrance.close() {
                 log::info!("no more connections are taken; {} clients are connected", self.clients.len());
@@ -258,7 +260,8 @@
             self.clients.close_idle(self.clock.now);
             let room = self.room();
             if let Some(portal) = &mut self.portal {
-                portal.close(self.clock.now, room, &mut self.dispatcher);
+                let room_left = self.most_clients.saturating_sub(self.clients.len() + portal.len());
+                portal.close(self.clock.now, room, room_left, &mut self.dispatcher);
             }
         }
         for client in self.clients.ready_again() {
@@ -371,3 +374,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "front_tests.rs"]
+mod tests;
--- a/crates/front/src/postgres/portal.rs
+++ b/crates/front/src/postgres/portal.rs
@@ -348,9 +348,13 @@
         self.hear(now, room, dispatcher);
     }
 
-    /// The front ends: no more sessions are taken, and those that rest are closed.
-    pub fn close(&mut self, now: Micros, room: Room, dispatcher: &mut Dispatcher) {
+    /// The front ends: no more sessions are taken, and those that rest are closed. `room_left` is how many more may
+    /// be connected.
+    pub fn close(&mut self, now: Micros, room: Room, room_left: usize, dispatcher: &mut Dispatcher) {
         self.shut.get_or_insert(now);
+        // Whoever has connected by now is told of the end: closing the listener resets what waits there.
+        self.entrance.knocked();
+        self.accept(now, room_left);
         self.entrance.close();
         self.sessions.close_idle();
         self.hear(now, room, dispatcher);
