--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -369,3 +369,7 @@
         ready
     }
 }
+
+#[cfg(test)]
+#[path = "clients_tests.rs"]
+pub(crate) mod tests;
--- a/crates/front/src/clock_tests.rs
+++ b/crates/front/src/clock_tests.rs
@@ -1,6 +1,6 @@
 //! Unit tests of the `clock` module.
 
-use super::Clock;
+use super::{Clock, FRESH_FOR, ON_TIME};
 use std::time::Duration;
 
 fn waited(decided: i64, sleeps: i64, until: i64, wakes: i64) -> i64 {
@@ -68,3 +68,27 @@
     clock.wake();
     assert_eq!(clock.waited(), 1_590_200);
 }
+
+#[test]
+fn a_read_of_the_connections_is_too_old_to_send_by_once_its_iteration_took_long_or_began_late() {
+    let mut clock = Clock::default();
+    clock.set(1_000_000);
+    clock.sleep(1_025_000);
+    clock.set(1_010_000);
+    clock.wake();
+    clock.set(1_010_000 + FRESH_FOR);
+    assert!(!clock.is_stale());
+    clock.set(1_010_001 + FRESH_FOR);
+    assert!(clock.is_stale());
+    clock.decide();
+    clock.sleep(1_100_000);
+    // The next read is fresh.
+    clock.wake();
+    assert!(!clock.is_stale());
+    clock.decide();
+    clock.sleep(1_100_000);
+    // A late one is not, however quick: what came meanwhile may not be found yet.
+    clock.set(1_100_001 + ON_TIME);
+    clock.wake();
+    assert!(clock.is_stale());
+}
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -275,7 +275,9 @@
         let peers = self.peers.as_ref().filter(|_| self.shutdown.is_requested());
         let duty = peers.map_or(LedgerDuty::None, |peers| peers.ledger_duty(self.clock.now));
         if self.shutdown.closes(self.clock.now, duty) {
-            // Whoever has connected by now is served: closing the listener resets what waits there.
+            // Whoever has connected by now is served: closing the listener resets what waits there. The event loop may
+            // not have reported it yet.
+            self.listener.readable();
             self.accept();
             if self.listener.close() {
                 log::info!("no more connections are taken; {} clients are connected", self.clients.len());
@@ -283,7 +285,8 @@
             self.clients.close_idle(self.clock.now);
             let room = self.room();
             if let Some(gateway) = &mut self.gateway {
-                gateway.close(self.clock.now, room, &mut self.dispatcher);
+                let sessions_left = self.max_clients.saturating_sub(self.clients.len() + gateway.len());
+                gateway.close(self.clock.now, room, sessions_left, &mut self.dispatcher);
             }
         }
     }
@@ -393,3 +396,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "front_tests.rs"]
+mod tests;
