--- a/crates/front/src/listener.rs
+++ b/crates/front/src/listener.rs
@@ -49,9 +49,9 @@
         })
     }
 
-    /// The event loop reports that connections wait to be accepted.
+    /// Connections wait to be accepted, or may: `accept` asks the system.
     pub fn readable(&mut self) {
-        self.accept_at = Some(0);
+        self.accept_at = self.is_open().then_some(0);
     }
 
     /// When `accept` is next due.
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -374,9 +374,19 @@
         self.handle_session_events(now, room, dispatcher);
     }
 
-    /// The front ends: no more sessions are taken, and those that rest are closed.
-    pub fn close(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
+    /// The front ends: no more sessions are taken, and those that rest are closed. `sessions_left` is how many more may
+    /// be connected.
+    pub fn close(
+        &mut self,
+        now: Micros,
+        room: AdmissionState,
+        sessions_left: usize,
+        dispatcher: &mut Dispatcher,
+    ) {
         self.shut.get_or_insert(now);
+        // Whoever has connected by now is told of the end: closing the listener resets what waits there.
+        self.listener.readable();
+        self.accept(now, sessions_left);
         self.listener.close();
         self.sessions.close_idle();
         self.handle_session_events(now, room, dispatcher);
--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -8,15 +8,15 @@
         let s = &self.statements[&id];
         let workload = self.workload(s);
         let Some(entry) = self.engines.entry(e) else { return false };
-        let open = !s.over && !s.is_out() && s.allows(workload, entry) && entry.speaks & s.asked.speech != 0;
-        let open = open && s.asked.pinned.is_none_or(|pinned| pinned == e);
+        let open = !s.over && !s.is_out() && s.allows(workload, entry);
+        let open = open && s.asked.pinned.is_none_or(|p| p == e) && entry.protocols & s.asked.protocols != 0;
         let bears = self.now >= self.engines.cold_until[e] || self.pushed_with(e, s).is_some();
-        let open = open && self.now < s.ends && self.has_turn(id, s);
-        open && bears && (s.executions.is_empty() || self.harmless(s, entry) && self.tries_left(s))
+        let open = open && self.now < s.ends && self.is_first_in_order(id, s);
+        open && bears && (s.executions.is_empty() || self.is_safe_repeat(s, entry) && self.tries_left(s))
     }
 
     /// Whether no harm comes of sending it there, whatever earlier executions of it may have done.
-    fn harmless(&self, s: &Statement, at: &Listed) -> bool {
+    fn is_safe_repeat(&self, s: &Statement, at: &EngineEntry) -> bool {
         let workload = self.workload(s);
         let dropped = |x: &Execution| {
             let earlier = self.engines.listed[x.engine].as_ref();
@@ -31,20 +31,21 @@
     }
 
     /// Whether any engine may have it by what earlier executions of it may have done: else it waits in vain.
-    pub(super) fn goes_on(&self, s: &Statement) -> bool {
-        s.executions.is_empty() || self.engines.listed.iter().flatten().any(|at| self.harmless(s, at))
+    pub(super) fn has_safe_engine(&self, s: &Statement) -> bool {
+        s.executions.is_empty() || self.engines.listed.iter().flatten().any(|at| self.is_safe_repeat(s, at))
     }
 
     pub(super) fn tries_left(&self, s: &Statement) -> bool {
-        let within = |budget| self.further.one_more(budget, &self.taken, self.now);
+        let within = |budget| self.further_executions.allows_one_more(budget, &self.admissions, self.now);
         self.agreed.further.is_none_or(within)
             && s.executions.len() < self.agreed.most_executions
             && s.asked.pinned.is_none()
     }
 
-    pub(super) fn has_turn(&self, id: StatementId, s: &Statement) -> bool {
-        let rested = |t: &Turn| t.rests_until <= self.now || !s.executions.is_empty();
-        self.turns.of(s.asked.key).is_none_or(|t| t.line.front() == Some(&id) && t.astray == 0 && rested(t))
+    pub(super) fn is_first_in_order(&self, id: StatementId, s: &Statement) -> bool {
+        let resumed = |q: &OrderQueue| q.paused_until <= self.now || !s.executions.is_empty();
+        let first = |q: &OrderQueue| q.statements.front() == Some(&id) && q.unresolved == 0 && resumed(q);
+        self.order_queues.of(s.asked.key).is_none_or(first)
     }
 
     pub(super) fn place(&self, id: StatementId) -> Option<EngineId> {
@@ -53,11 +54,11 @@
         let stands = (workload.waits_for_data || workload.holds_data) && s.asked.data_set.is_some();
         let is_bound = |w: &Workload| w.kinds.is_some() || w.locations.is_some();
         let (mut best, mut best_room) = (None, f64::NEG_INFINITY);
-        // Where all that it may use are spoken ill of, nothing is said.
+        // Where all engines that it may use are suspected, none is.
         let may = |e: &EngineId| self.engines.entry(*e).is_some_and(|l| s.allows(workload, l));
         let all = || (0..self.engines.open.len()).filter(may);
-        let heeds = !self.words.said.is_empty() && all().any(|e| self.doubt(e) >= 1.0);
-        let leaves = !self.engines.left.is_empty() && all().any(|e| !self.engines.is_left(e));
+        let heeds = !self.peer_reports.adverse.is_empty() && all().any(|e| self.unsuspected_share(e) >= 1.0);
+        let avoids = !self.engines.evacuated.is_empty() && all().any(|e| !self.engines.is_evacuated(e));
         let (pool, out) = self.engines.open_totals();
         let (memory_pool, memory_out) = self.engines.open_memory(MEMORY_USED / THREADS_PER_CORE);
         // Among many fronts the pool bounds a front's threads and memory; with nothing out it may send one.
@@ -65,13 +66,13 @@
         let over = self.many && out > 0.0 && beyond;
         let count = self.engines.open.len();
         // Fronts that know the same must not all pick the same engine: each starts its look elsewhere.
-        let first = (self.first_look * count as f64) as usize;
-        let (guessed, mut drawn) = (self.many && !self.agreed.report.tells_load(), Vec::new());
+        let first = (self.placement_start * count as f64) as usize;
+        let (guessed, mut drawn) = (self.many && !self.agreed.report.names_load(), Vec::new());
         for e in (0..count).map(|i| (i + first) % count) {
             let trusted = s.executions.is_empty() || self.engines.credit[e] >= TRUSTED;
-            let reached = self.engines.room[e] > 0 || s.asked.pinned.is_some();
+            let reached = self.engines.send_capacity[e] > 0 || s.asked.pinned.is_some();
             let away =
-                !reached || self.engines.rests_until[e] > self.now || leaves && self.engines.is_left(e);
+                !reached || self.engines.rests_until[e] > self.now || avoids && self.engines.is_evacuated(e);
             if !trusted || away || !self.may_execute(id, e) {
                 continue;
             }
@@ -83,7 +84,7 @@
             let Some(entry) = &self.engines.listed[e] else { continue };
             let (size, own) = (self.engines.size[e], self.engines.own[e]);
             let credit = (self.engines.credit[e] / TRUSTED).min(1.0);
-            let credit = if heeds { credit * self.doubt(e) } else { credit };
+            let credit = if heeds { credit * self.unsuspected_share(e) } else { credit };
             let bound =
                 self.engines.bound[e] * credit.max(0.01) * self.engines.warmth(e, self.now, &self.agreed);
             let memory = size.memory * MEMORY_USED * (bound / (THREADS_PER_CORE * size.threads)).min(1.0);
@@ -96,7 +97,7 @@
             let share = if self.many { whole * credit } else { bound };
             let room = share.min(whole - others.threads) - own.threads;
             let spare = IDLE * cores - others.threads - own.threads;
-            let fresh = self.agreed.report.tells_load() && self.engines.told[e] >= self.now - FRESH;
+            let fresh = self.agreed.report.names_load() && self.engines.told[e] >= self.now - FRESH;
             let within = !over || spare >= workload.threads && fresh;
             let taken = own.memory + s.load.memory;
             let full = taken + others.memory > size.memory;
@@ -113,23 +114,23 @@
             }
         }
         // With no report of what others hold, the roomiest is the largest for all fronts: each draws by room.
-        drawn_by((self.first_look * count as f64).fract(), &drawn).or(best)
+        draw_weighted((self.placement_start * count as f64).fract(), &drawn).or(best)
     }
 
     /// What an earlier life of this front may just have sent is not known and counts as all it might.
-    pub(super) fn found_cold(&mut self, e: EngineId, until: Micros) {
+    pub(super) fn start_warm_up(&mut self, e: EngineId, until: Micros) {
         self.engines.cold_until[e] = until;
         let fresh = self.started == Some(self.now);
         self.engines.pushed[e] = (if fresh { self.pushed(e).1 } else { self.engines.pushed[e].0 }, self.now);
     }
 
     /// What is counted at a cold engine once this is sent there now; None: not now. One longer than this
-    /// front's share of the burst goes in turns that begin by chance: idle or fresh fronts rush no engine.
+    /// front's share of the burst goes in slots that begin at random: idle or fresh fronts rush no engine.
     pub(super) fn pushed_with(&self, e: EngineId, s: &Statement) -> Option<f64> {
         let (workload, (pushed, most)) = (self.workload(s), self.pushed(e));
         let work = self.learned[s.asked.workload].usual_work(workload.threads, workload.slo_time);
-        let turns = self.engines.could_do(e, work * self.known, self.now, &self.agreed) - self.turn;
-        let past = if self.known > COLD_SPARE { turns.rem_euclid(1.0) * work } else { 0.0 };
+        let slots = self.engines.could_do(e, work * self.known, self.now, &self.agreed) - self.first_slot;
+        let past = if self.known > COLD_SPARE { slots.rem_euclid(1.0) * work } else { 0.0 };
         let after = if work > most { work - past } else { pushed + work };
         Some(after).filter(|after| if work > most { pushed <= 0.0 && past <= most } else { *after <= most })
     }
