--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -17,7 +17,7 @@
 pub use error::{Error, KeyProblem, Position};
 pub use node::{NodeConfig, NodeLimits};
 pub use operator::{
-    hexadecimal, line_of, Audits, Gossip, Keep, Ledger, LedgerMember, LoadSignal, OnDiskFailure, Operator,
-    Overload, Ownership, Postgres, Rules, Scatter, SessionLimits, SpeakingEngines, User,
+    line_of, parse_key, Audits, Gossip, Ledger, LedgerMember, LoadSignal, OnDiskFailure, Operator, Overload,
+    Ownership, Postgres, PostgresEngines, Rules, Scatter, SessionLimits, SummaryBudget, User,
 };
 pub use settings::{micros, Names, NetworkSettings, Settings};
--- a/crates/agreement/src/operator/file.rs
+++ b/crates/agreement/src/operator/file.rs
@@ -13,7 +13,7 @@
 use crate::error::{Error, KeyProblem};
 use crate::text::check_depth;
 
-const MOST_AHEAD_MS: f64 = 600_000.0; // milliseconds either way; clocks further apart are not drilled
+const MOST_AHEAD_MS: f64 = 600_000.0; // milliseconds either way; faults of clocks go no further
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -42,7 +42,7 @@
     /// them.
     pub load_signal: Option<LoadSignal>,
     /// For fault injection: this front's clock reads so much more than the machine's; negative: less.
-    pub clock_ahead: Micros,
+    pub clock_offset: Micros,
 }
 
 /// The shape of deployment as the engines' reports show it: they tell the statements in flight (the earlier
@@ -94,7 +94,7 @@
                 KeyProblem::out_of_range(-MOST_AHEAD_MS, MOST_AHEAD_MS),
             ));
         }
-        Ok(Operator { postgres, gossip, rules, scatter, load_signal, clock_ahead: micros(ahead) })
+        Ok(Operator { postgres, gossip, rules, scatter, load_signal, clock_offset: micros(ahead) })
     }
 }
 
--- a/crates/agreement/src/operator/gossip.rs
+++ b/crates/agreement/src/operator/gossip.rs
@@ -61,7 +61,7 @@
 pub fn gossip(text: &str, mut file: GossipFile) -> Result<Gossip, Error> {
     let mut peers = Vec::new();
     for (name, key) in std::mem::take(&mut file.peers) {
-        match hexadecimal(&key) {
+        match parse_key(&key) {
             Some(key) => peers.push((name, key)),
             None => {
                 let path = format!("gossip.peers.{name}");
@@ -81,7 +81,7 @@
 }
 
 /// Thirty-two bytes of a key, from 64 hexadecimal digits with white space around; None for any other text.
-pub fn hexadecimal(text: &str) -> Option<[u8; 32]> {
+pub fn parse_key(text: &str) -> Option<[u8; 32]> {
     let digits = text.trim().as_bytes();
     let mut bytes = [0; 32];
     for (n, byte) in bytes.iter_mut().enumerate() {
--- a/crates/agreement/src/operator/ledger.rs
+++ b/crates/agreement/src/operator/ledger.rs
@@ -136,7 +136,7 @@
     /// Where this front's copies are kept; without one they are in memory alone.
     pub directory: Option<String>,
     /// For fault injection: a file that says what befalls the disk that `directory` lies on.
-    pub drill: Option<String>,
+    pub disk_fault_file: Option<String>,
     /// What this front does when its disk fails.
     pub on_disk_failure: OnDiskFailure,
     /// Copies of each shard.
@@ -246,7 +246,7 @@
         fleet: file.fleet,
         members,
         directory: file.directory,
-        drill: file.drill,
+        disk_fault_file: file.drill,
         on_disk_failure,
         copies,
         shards: file.shards,
--- a/crates/agreement/src/operator/mod.rs
+++ b/crates/agreement/src/operator/mod.rs
@@ -14,11 +14,11 @@
 mod scatter;
 
 pub use file::{LoadSignal, Operator};
-pub use gossip::{hexadecimal, Gossip};
+pub use gossip::{parse_key, Gossip};
 pub use ledger::{Ledger, LedgerMember, OnDiskFailure};
 pub use overload::Overload;
 pub use ownership::Ownership;
 pub use position::line_of;
-pub use postgres::{Postgres, SessionLimits, SpeakingEngines, User};
+pub use postgres::{Postgres, PostgresEngines, SessionLimits, User};
 pub use rules::Rules;
-pub use scatter::{Audits, Keep, Scatter};
+pub use scatter::{Audits, Scatter, SummaryBudget};
--- a/crates/agreement/src/operator/postgres.rs
+++ b/crates/agreement/src/operator/postgres.rs
@@ -97,7 +97,7 @@
     /// Where clients connect.
     pub listen: SocketAddr,
     /// The engines that take sessions.
-    pub engines: Vec<SpeakingEngines>,
+    pub engines: Vec<PostgresEngines>,
     /// Who may open sessions, by name.
     pub users: BTreeMap<String, User>,
     /// Bounds on sessions.
@@ -106,7 +106,7 @@
 
 /// Engines of the list that speak PostgreSQL.
 #[derive(Clone, Debug)]
-pub struct SpeakingEngines {
+pub struct PostgresEngines {
     /// Their kinds, by name.
     pub kinds: Vec<String>,
     /// Beside lines, at this port of the listed address; without it at the listed address itself, and no
@@ -239,7 +239,7 @@
     ] {
         at_least(key, value, least)?;
     }
-    let engines = file.engines.into_iter().map(|e| SpeakingEngines { kinds: e.kinds, port: e.port });
+    let engines = file.engines.into_iter().map(|e| PostgresEngines { kinds: e.kinds, port: e.port });
     Ok(Postgres {
         listen: file.listen,
         engines: engines.collect(),
--- a/crates/agreement/src/operator/scatter.rs
+++ b/crates/agreement/src/operator/scatter.rs
@@ -7,7 +7,7 @@
 
 use crate::settings::Settings;
 
-use super::gossip::hexadecimal;
+use super::gossip::parse_key;
 use super::position::key_error;
 use crate::error::{Error, KeyProblem};
 
@@ -48,7 +48,7 @@
     at_once: usize,
     #[serde(default = "answer_bytes")]
     answer_bytes: usize,
-    keep: Option<KeepFile>,
+    keep: Option<SummaryBudgetFile>,
     audits: Option<AuditsFile>,
 }
 
@@ -61,7 +61,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct KeepFile {
+struct SummaryBudgetFile {
     memory_kb: u64,
     bytes_a_second: u64,
     file: Option<String>,
@@ -122,7 +122,7 @@
     /// Bytes of an answer at the most.
     pub answer_bytes: usize,
     /// Summaries are held as far as they earn their bytes; None: all that come.
-    pub keep: Option<Keep>,
+    pub keep: Option<SummaryBudget>,
     /// Sites that their summaries rule out are asked now and then all the same; None: never.
     pub audits: Option<Audits>,
 }
@@ -138,7 +138,7 @@
 
 /// The budget under which summaries are held.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Keep {
+pub struct SummaryBudget {
     /// Bytes of memory.
     pub memory_bytes: u64,
     /// Bytes a second for exchanging them with other fronts.
@@ -173,7 +173,7 @@
             let problem = KeyProblem::unknown_name(name, "the settings' areas", &names.locations);
             return refuse(&format!("sites.{name}"), problem);
         }
-        match hexadecimal(key) {
+        match parse_key(key) {
             Some(key) => _ = sites.insert(name.clone(), key),
             None => return refuse(&format!("sites.{name}"), KeyProblem::InvalidPublicKey),
         }
@@ -252,7 +252,7 @@
     }
     let millionths = |(name, error): (&String, &f64)| (name.clone(), (error * 1e6) as u32);
     let distinct_error = file.distinct_error.iter().map(millionths).collect();
-    let keep = file.keep.map(|KeepFile { memory_kb, bytes_a_second, file }| Keep {
+    let keep = file.keep.map(|SummaryBudgetFile { memory_kb, bytes_a_second, file }| SummaryBudget {
         memory_bytes: memory_kb * 1024,
         bytes_a_second,
         file,
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -10,7 +10,7 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction};
-use hallmux_agreement::{hexadecimal, Gossip, OnDiskFailure};
+use hallmux_agreement::{parse_key, Gossip, OnDiskFailure};
 use hallmux_dispatcher::{Dispatcher, Micros};
 use hallmux_fleet::{Exchange, Kept, Moment, Out, Ownership, Owns};
 use hallmux_gossip::evidence::News;
@@ -77,7 +77,7 @@
         let file = || gossip.secret_file.clone();
         let secret = std::fs::read_to_string(&gossip.secret_file);
         let secret = secret.map_err(|why| PeersFault::SecretFile { file: file(), why })?;
-        let secret = hexadecimal(&secret).ok_or_else(|| PeersFault::Secret(file()))?;
+        let secret = parse_key(&secret).ok_or_else(|| PeersFault::Secret(file()))?;
         let unheard = |why| PeersFault::Listen { at: gossip.listen, why };
         let socket = UdpSocket::bind(gossip.listen).map_err(unheard)?;
         socket.set_nonblocking(true).map_err(unheard)?;
@@ -125,7 +125,7 @@
             spares_disk = ledger.on_disk_failure == OnDiskFailure::Memory;
             let mut saved = None;
             if let Some(directory) = ledger.directory.as_ref().filter(|_| keeps) {
-                let drill = ledger.drill.as_deref();
+                let drill = ledger.disk_fault_file.as_deref();
                 let socket = socket.try_clone().map_err(PeersFault::system)?;
                 let wakes = wakes(handle).map_err(PeersFault::system)?;
                 match Copies::open(directory, drill, socket, wakes) {
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -81,7 +81,7 @@
         let contract = &station.settings;
         let portal = station.operator.postgres.as_ref();
         let part = |why: std::io::Error| Fault::part(&why);
-        let clock = Clock::new(station.operator.clock_ahead, station.clock_file.as_deref());
+        let clock = Clock::new(station.operator.clock_offset, station.clock_file.as_deref());
         let mut clock = clock.map_err(part)?;
         clock.look();
         let gossip = station.operator.gossip.as_ref();
--- a/crates/front/src/postgres/portal.rs
+++ b/crates/front/src/postgres/portal.rs
@@ -106,7 +106,7 @@
 
     /// Where an engine of a kind takes sessions: at a port of its own beside lines, or in their place.
     pub fn port(&self, kind: &str) -> Option<Option<u16>> {
-        let speaks = |e: &&hallmux_agreement::SpeakingEngines| e.kinds.iter().any(|k| k == kind);
+        let speaks = |e: &&hallmux_agreement::PostgresEngines| e.kinds.iter().any(|k| k == kind);
         self.allowed.engines.iter().find(speaks).map(|e| e.port)
     }
 
--- a/crates/front/src/scatter/summaries.rs
+++ b/crates/front/src/scatter/summaries.rs
@@ -33,7 +33,7 @@
     saved: Micros,
 }
 
-fn budget(keep: &hallmux_agreement::Keep) -> Budget {
+fn budget(keep: &hallmux_agreement::SummaryBudget) -> Budget {
     Budget { memory: keep.memory_bytes as f64, traffic: keep.bytes_a_second as f64 }
 }
 
