--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -11,6 +11,7 @@
 mod error;
 mod node;
 mod operator;
+mod scanner;
 mod settings;
 mod text;
 
--- a/crates/agreement/src/operator/position.rs
+++ b/crates/agreement/src/operator/position.rs
@@ -1,6 +1,7 @@
 //! Where in the operator's file an error is: the line of a key or element by its path.
 
 use crate::error::{Error, KeyProblem, Position};
+use crate::scanner::{Scanner, Token};
 
 const DEEPEST: usize = 32; // steps of a path; a text of brackets alone would have marks without number
 
@@ -48,82 +49,88 @@
 
 /// The path and line of each key and element of a JSON5 text that is known to be well-formed.
 fn marks(text: &str) -> Vec<(Vec<String>, usize)> {
-    let (mut marks, mut path) = (Vec::new(), Vec::<String>::new());
-    let mut elements: Vec<Option<usize>> = Vec::new(); // of each open bracket: the next element, if an array
-    let (mut line, mut word, mut word_line) = (1, String::new(), 1);
-    let mut worded = false; // a word stands, though it may be empty
-    let mut rest = text.chars().peekable();
-    let mut value_next = false; // a colon came: what follows is a value
-    while let Some(c) = rest.next() {
-        match c {
-            '\n' => line += 1,
-            '/' if rest.peek() == Some(&'/') => while rest.next_if(|c| *c != '\n').is_some() {},
-            '/' if rest.peek() == Some(&'*') => {
-                let mut last = ' ';
-                for c in rest.by_ref() {
-                    line += usize::from(c == '\n');
-                    if last == '*' && c == '/' {
-                        break;
-                    }
-                    last = c;
-                }
-            }
-            '"' | '\'' => {
-                (word, word_line, worded) = (String::new(), line, true);
-                while let Some(inner) = rest.next().filter(|inner| *inner != c) {
-                    line += usize::from(inner == '\n');
-                    word.extend(if inner == '\\' { rest.next() } else { Some(inner) });
-                }
-            }
-            ':' if !value_next => {
-                path.push(std::mem::take(&mut word));
-                worded = false;
-                if path.len() <= DEEPEST {
-                    marks.push((path.clone(), word_line));
-                }
-                value_next = true;
-            }
-            '{' | '[' => {
-                if let Some(Some(n)) = elements.last_mut() {
-                    path.push(n.to_string());
-                    if path.len() <= DEEPEST {
-                        marks.push((path.clone(), line));
-                    }
-                    *n += 1;
-                }
-                elements.push((c == '[').then_some(0));
-                value_next = false;
-            }
-            ',' | '}' | ']' => {
-                if let Some(Some(n)) = elements.last_mut().filter(|_| worded && path.len() < DEEPEST) {
-                    marks.push((path.iter().cloned().chain([n.to_string()]).collect(), word_line));
-                    *n += 1;
-                }
-                word.clear();
-                worded = false;
-                if value_next {
-                    path.pop();
-                }
-                value_next = false;
-                if c != ',' {
-                    elements.pop();
-                    let element = matches!(elements.last(), Some(Some(_)));
-                    // What closes was itself a value of a key, or an element.
-                    value_next = !element && !path.is_empty();
-                    if element {
-                        path.pop();
-                    }
-                }
-            }
-            c if c.is_whitespace() => {}
-            c => {
-                if !worded {
-                    word_line = line;
-                }
-                worded = true;
-                word.push(c);
-            }
+    let mut marks = Marks::default();
+    for (token, line) in Scanner::new(text) {
+        match token {
+            Token::Word(word) => marks.word = Some((word, line)),
+            Token::Punctuation(':') => marks.key(),
+            Token::Punctuation('{') => marks.open(line, false),
+            Token::Punctuation('[') => marks.open(line, true),
+            Token::Punctuation(',') => marks.value_ends(),
+            Token::Punctuation(_) => marks.close(),
+        }
+    }
+    marks.found
+}
+
+/// The marks of the text so far, and where in it the next token is.
+#[derive(Default)]
+struct Marks {
+    found: Vec<(Vec<String>, usize)>,
+    /// The path of the value that comes next, or is open.
+    path: Vec<String>,
+    /// Of each open bracket: the number of its next element, if it is an array's.
+    elements: Vec<Option<usize>>,
+    /// The last word and its line, until it is known whether it is a key or a value.
+    word: Option<(String, usize)>,
+    /// A colon came: what follows is a value.
+    value_next: bool,
+}
+
+impl Marks {
+    /// Marks the path; one that is too deep is not so much as copied, as it may be as long as the text.
+    fn mark(&mut self, line: usize) {
+        if self.path.len() <= DEEPEST {
+            self.found.push((self.path.clone(), line));
+        }
+    }
+
+    /// The last word is a key.
+    fn key(&mut self) {
+        if self.value_next {
+            return; // not so in a well-formed text
+        }
+        let (key, line) = self.word.take().unwrap_or((String::new(), 1));
+        self.path.push(key);
+        self.mark(line);
+        self.value_next = true;
+    }
+
+    /// An object or an array begins; as an element of an array it has a mark.
+    fn open(&mut self, line: usize, array: bool) {
+        if let Some(Some(number)) = self.elements.last_mut() {
+            self.path.push(number.to_string());
+            *number += 1;
+            self.mark(line);
+        }
+        self.elements.push(array.then_some(0));
+        self.value_next = false;
+    }
+
+    /// A value is over; where it was a word that is an element, it has a mark.
+    fn value_ends(&mut self) {
+        let word = self.word.take();
+        if let (Some(Some(number)), Some((_, line))) = (self.elements.last_mut(), word) {
+            self.path.push(number.to_string());
+            *number += 1;
+            self.mark(line);
+            self.path.pop();
+        }
+        if self.value_next {
+            self.path.pop();
+        }
+        self.value_next = false;
+    }
+
+    /// An object or an array is over, and with it the last value in it.
+    fn close(&mut self) {
+        self.value_ends();
+        self.elements.pop();
+        let element = matches!(self.elements.last(), Some(Some(_)));
+        // What closes was itself a value of a key, or an element.
+        self.value_next = !element && !self.path.is_empty();
+        if element {
+            self.path.pop();
         }
     }
-    marks
 }
--- a/crates/agreement/src/text.rs
+++ b/crates/agreement/src/text.rs
@@ -4,6 +4,7 @@
 
 use crate::error::{Error, KeyProblem, Position};
 use crate::operator::line_of;
+use crate::scanner::{Scanner, Token};
 
 const MOST_DEEP: usize = 64; // brackets; no key is meant deeper than ten, and the readers take a stack frame for each
 
@@ -30,39 +31,17 @@
 
 /// Refuses brackets that stand open deeper than any key is meant, before a reader that calls itself for each.
 pub fn check_depth(text: &str) -> Result<(), Error> {
-    let (mut open, mut line) = (0usize, 1);
-    let mut rest = text.chars().peekable();
-    while let Some(c) = rest.next() {
-        match c {
-            '\n' => line += 1,
-            '/' if rest.peek() == Some(&'/') => while rest.next_if(|c| *c != '\n').is_some() {},
-            '/' if rest.peek() == Some(&'*') => {
-                let mut last = ' ';
-                rest.next();
-                for c in rest.by_ref() {
-                    line += usize::from(c == '\n');
-                    if last == '*' && c == '/' {
-                        break;
-                    }
-                    last = c;
-                }
-            }
-            '"' | '\'' => {
-                while let Some(inner) = rest.next().filter(|inner| *inner != c) {
-                    let skipped = if inner == '\\' { rest.next() } else { None };
-                    line += usize::from(inner == '\n') + usize::from(skipped == Some('\n'));
-                }
-            }
-            '{' | '[' => {
-                open += 1;
-                if open > MOST_DEEP {
-                    let position = Position { line: Some(line), ..Position::default() };
-                    return Err(Error::TooDeep { position, most: MOST_DEEP });
-                }
-            }
-            '}' | ']' => open = open.saturating_sub(1),
+    let mut open = 0usize;
+    for (token, line) in Scanner::new(text) {
+        match token {
+            Token::Punctuation('{' | '[') => open += 1,
+            Token::Punctuation('}' | ']') => open = open.saturating_sub(1),
             _ => {}
         }
+        if open > MOST_DEEP {
+            let position = Position { line: Some(line), ..Position::default() };
+            return Err(Error::TooDeep { position, most: MOST_DEEP });
+        }
     }
     Ok(())
 }
