--- a/crates/agreement/src/error_tests.rs
+++ b/crates/agreement/src/error_tests.rs
@@ -1,5 +1,7 @@
 //! Unit tests of the `error` module.
 
+use std::collections::HashSet;
+
 use super::*;
 
 fn position(line: usize, path: &str) -> Position {
@@ -35,7 +37,9 @@
         KeyProblem::from("names none; name one"),
         KeyProblem::from("names none, and its author says nothing more".to_string()),
     ];
+    let mut seen = HashSet::new();
     for problem in kinds {
+        seen.insert(std::mem::discriminant(&problem));
         // No kind is left out above: a new one does not build here.
         match &problem {
             KeyProblem::Missing
@@ -52,6 +56,7 @@
             Error::Key { position: position(7, "gossip.peers.n1"), problem: Box::new(problem) }.to_string();
         has_shape(&text, "line 7: gossip.peers.n1");
     }
+    assert_eq!(seen.len(), 11, "a kind is left out");
     let many: Vec<String> = (0..18).map(|n| format!("k{n}")).collect();
     let text = KeyProblem::unknown_name("x", "the settings' kinds", &many).to_string();
     assert!(text.contains("k15 and 2 more") && !text.contains("k16"), "{text}");
@@ -75,20 +80,24 @@
         remedy: "give an address and a port",
     };
     let in_file = |error: &Error| error.clone().in_file("HALLMUX_OPERATOR", "op.json5");
+    let mut seen = HashSet::new();
     for (error, place) in [
         (Error::Unset { variable: "NODE_CONFIG", expected: "a path" }, "NODE_CONFIG"),
         (variable.clone(), "NODE_LISTEN"),
         (unreadable.clone(), "NODE_CONFIG: a.json"),
-        (not_text, "line 2, column 4"),
-        (malformed, "line 3: settings"),
+        (not_text.clone(), "line 2, column 4"),
+        (malformed.clone(), "line 3: settings"),
         (deep.clone(), "line 3"),
         (key.clone(), "line 7: seed"),
         (in_file(&key), "HALLMUX_OPERATOR: op.json5: line 7: seed"),
         (in_file(&deep), "HALLMUX_OPERATOR: op.json5: line 3"),
+        (in_file(&not_text), "HALLMUX_OPERATOR: op.json5: line 2, column 4"),
+        (in_file(&malformed), "HALLMUX_OPERATOR: op.json5: line 3: settings"),
         // What is not of the file is not said to be.
         (in_file(&variable), "NODE_LISTEN"),
         (in_file(&unreadable), "NODE_CONFIG: a.json"),
     ] {
+        seen.insert(std::mem::discriminant(&error));
         match &error {
             Error::Unset { .. } | Error::Variable { .. } | Error::UnreadableFile { .. } => {}
             Error::NotUtf8 { .. } | Error::Malformed { .. } | Error::TooDeep { .. } => {}
@@ -96,4 +105,5 @@
         }
         has_shape(&error.to_string(), place);
     }
+    assert_eq!(seen.len(), 8, "a kind is left out");
 }
