--- a/crates/front/src/postgres/portal.rs
+++ b/crates/front/src/postgres/portal.rs
@@ -10,7 +10,7 @@
 use calloop::LoopHandle;
 use hallmux_agreement::{Postgres, Settings};
 use hallmux_dispatcher::{Dispatcher, Ending, Micros, Note, Place, Ticket};
-use hallmux_postgres::answer::Final;
+use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::session::Transaction;
 
 use self::asked::verdict;
@@ -294,7 +294,7 @@
             servers::Told::Refused { sent: (ticket, execution), error } => {
                 dispatcher.begun(ticket);
                 if dispatcher.report(now, ticket, execution, Ending::Stale, None) {
-                    self.sessions.fail(now, ticket, &Final::Broken, Some(&error));
+                    self.sessions.fail(now, ticket, &ClientError::ResultLost, Some(&error));
                 }
             }
             servers::Told::Ended { sent: (ticket, execution), ending } => {
--- a/crates/front/src/postgres/portal/asked.rs
+++ b/crates/front/src/postgres/portal/asked.rs
@@ -6,7 +6,7 @@
 use hallmux_agreement::User;
 use hallmux_codec::tables;
 use hallmux_dispatcher::{Ask, Dispatcher, Micros, Speech, Unfit};
-use hallmux_postgres::answer::Final;
+use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::session::{Part, Transaction};
 use hallmux_postgres::sql::Label;
 
@@ -32,7 +32,7 @@
         let why = match terms(&label, &inside.user, &self.timeouts) {
             Err(why) => why,
             Ok(_) if loads::passes_for_numbered(&self.writes, &part) => loads::NUMBERED,
-            Ok(_) if room.full => Final::Rejected { retry_after_ms: self.come_back_ms },
+            Ok(_) if room.full => ClientError::Rejected { retry_after_ms: self.come_back_ms },
             Ok(terms) => {
                 let own = inside.session.statement_timeout(&label).unwrap_or(Micros::MAX);
                 let waited = (now - since).max(room.waited);
@@ -45,7 +45,7 @@
                     .map(|rules| rules.borrow_mut().judge(now, terms.member, terms.workload, part.text()));
                 let judged = judged.unwrap_or(Judged::Free);
                 if judged == Judged::Closed {
-                    let why = Final::Rejected { retry_after_ms: self.come_back_ms };
+                    let why = ClientError::Rejected { retry_after_ms: self.come_back_ms };
                     return self.sessions.unfit(id, part, &why);
                 }
                 let allowed = self.rules.as_ref().and_then(|rules| rules.borrow().allowed(&judged));
@@ -73,7 +73,7 @@
                     Ok(ticket) => {
                         return self.sessions.opened(id, ticket, part, key);
                     }
-                    Err(Unfit::Barred) => Final::Rejected { retry_after_ms: None },
+                    Err(Unfit::Barred) => ClientError::Rejected { retry_after_ms: None },
                     Err(Unfit::Workload) => unfit("hallmux.workload", "no such workload was agreed"),
                     Err(Unfit::Customer) => unfit("hallmux.member", "no such member is known"),
                     Err(Unfit::DedupKey) => unfit("hallmux.dedup_key", "this workload needs one"),
@@ -92,14 +92,14 @@
         let (ticket, sent) = (running.ticket, running.sent);
         // What is out is the engine's to end; what is held here, or can't be ended there, ends here.
         if !sent.is_some_and(|sent| self.servers.cancel(now, sent)) {
-            self.sessions.fail(now, ticket, &Final::Cancelled, None);
+            self.sessions.fail(now, ticket, &ClientError::Cancelled, None);
             dispatcher.left(now, ticket);
         }
     }
 }
 
-fn unfit(field: &'static str, why: &'static str) -> Final {
-    Final::Unfit { field, why }
+fn unfit(field: &'static str, why: &'static str) -> ClientError {
+    ClientError::InvalidSetting { field, why }
 }
 
 /// What a unit is to the dispatcher.
@@ -116,7 +116,7 @@
     label: &'a Label,
     user: &'a User,
     timeouts: &[(String, Micros)],
-) -> Result<UnitTerms<'a>, Final> {
+) -> Result<UnitTerms<'a>, ClientError> {
     let workload = label.workload.as_deref().or(user.workload.as_deref());
     let workload =
         workload.ok_or_else(|| unfit("hallmux.workload", "is not set, and there is no default"))?;
@@ -145,24 +145,26 @@
 }
 
 /// The answer to a unit that the module has given up on, or that ended once its answer had begun.
-pub(super) fn verdict(inside: &sessions::Inside, rejects: bool, retry_after: Option<Micros>) -> Final {
-    let Some(running) = &inside.running else { return Final::Broken };
+pub(super) fn verdict(inside: &sessions::Inside, rejects: bool, retry_after: Option<Micros>) -> ClientError {
+    let Some(running) = &inside.running else { return ClientError::ResultLost };
     let held = inside.session.transaction != Transaction::None;
     if running.commits && running.ran {
-        return Final::Unresolved;
+        return ClientError::Unresolved;
     }
     if running.cancelled {
-        return Final::Cancelled;
+        return ClientError::Cancelled;
     }
     if running.time_up {
-        return Final::TimeUp;
+        return ClientError::StatementTimeout;
     }
     match (held, rejects) {
-        (true, true) if inside.pin.is_some() => Final::RolledBack { why: "its statement was turned away" },
-        (true, _) => Final::RolledBack { why: "its engine drains or was lost" },
-        (false, true) => Final::Rejected { retry_after_ms: retry_after.map(|time| time / 1000) },
-        (false, false) if running.begun => Final::Broken,
-        (false, false) if running.ran => Final::Unresolved,
-        (false, false) => Final::Rejected { retry_after_ms: None },
+        (true, true) if inside.pin.is_some() => {
+            ClientError::RolledBack { why: "its statement was turned away" }
+        }
+        (true, _) => ClientError::RolledBack { why: "its engine drains or was lost" },
+        (false, true) => ClientError::Rejected { retry_after_ms: retry_after.map(|time| time / 1000) },
+        (false, false) if running.begun => ClientError::ResultLost,
+        (false, false) if running.ran => ClientError::Unresolved,
+        (false, false) => ClientError::Rejected { retry_after_ms: None },
     }
 }
--- a/crates/front/src/postgres/portal/loads.rs
+++ b/crates/front/src/postgres/portal/loads.rs
@@ -3,7 +3,7 @@
 
 use hallmux_codec::tables;
 use hallmux_dispatcher::Ticket;
-use hallmux_postgres::answer::Final;
+use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::session::{Part, Transaction};
 use hallmux_scatter::marks::numbers;
 
@@ -14,13 +14,13 @@
 const MOST_GROUPS: usize = 1_024; // groups of a text that are looked for; more than that can't be marked
 
 /// The answer to a unit that goes on, after a Flush, with tables that are not marked.
-pub const STRAYS: Final = Final::Unfit {
+pub const STRAYS: ClientError = ClientError::InvalidSetting {
     field: "hallmux.workload",
     why: "writes, and names a group of tables after a Flush that it has not named before",
 };
 
 /// The answer to text that passes for a load that a front has numbered.
-pub const NUMBERED: Final = Final::Unfit {
+pub const NUMBERED: ClientError = ClientError::InvalidSetting {
     field: "hallmux.workload",
     why: "writes, and its text begins as fronts number loads: leave that comment out",
 };
--- a/crates/front/src/postgres/servers/coming.rs
+++ b/crates/front/src/postgres/servers/coming.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use hallmux_dispatcher::{Ending, Micros, Place};
-use hallmux_postgres::answer::is_engine_fault;
+use hallmux_postgres::client_error::is_engine_fault;
 use hallmux_postgres::engine::{Done, Heard};
 use hallmux_postgres::pool;
 
--- a/crates/front/src/postgres/sessions/answering.rs
+++ b/crates/front/src/postgres/sessions/answering.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use hallmux_dispatcher::{Micros, Ticket};
-use hallmux_postgres::answer::Final;
+use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::engine::Done;
 use hallmux_postgres::session::Part;
 use hallmux_postgres::wire;
@@ -35,7 +35,7 @@
     }
 
     /// A unit that was not taken gets its answer.
-    pub fn unfit(&mut self, id: SessionId, part: Rc<Part>, why: &Final) {
+    pub fn unfit(&mut self, id: SessionId, part: Rc<Part>, why: &ClientError) {
         let Some(peer) = self.peers.get_mut(&id) else { return };
         let Stage::In(inside) = &mut peer.stage else { return };
         inside.session.fails(&[part], why, peer.link.output());
@@ -116,7 +116,7 @@
     }
 
     /// A unit has its final answer, the front's own, or the engine's on why it does not run.
-    pub fn fail(&mut self, now: Micros, ticket: Ticket, why: &Final, said: Option<&[u8]>) {
+    pub fn fail(&mut self, now: Micros, ticket: Ticket, why: &ClientError, said: Option<&[u8]>) {
         let Some((id, running)) = self.let_go(ticket) else { return };
         let Some(peer) = self.peers.get_mut(&id) else { return };
         peer.heard = now;
--- a/crates/front/src/postgres/sessions/ending.rs
+++ b/crates/front/src/postgres/sessions/ending.rs
@@ -1,7 +1,7 @@
 //! How sessions end: by themselves, for having stood still, to make room, with the front.
 
 use hallmux_dispatcher::Micros;
-use hallmux_postgres::answer::Final;
+use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::session::Transaction;
 
 use super::{Peer, Sessions, Stage, Told};
@@ -37,7 +37,7 @@
     }
 
     /// Ends a session with a last word.
-    fn dismiss(&mut self, id: SessionId, why: &Final) {
+    fn dismiss(&mut self, id: SessionId, why: &ClientError) {
         if let Some(peer) = self.peers.get_mut(&id) {
             why.write(peer.link.output(), true);
             peer.ends = true;
@@ -52,7 +52,7 @@
             return;
         }
         self.look = now + LOOK;
-        let mut over: Vec<(SessionId, Option<Final>)> = Vec::new();
+        let mut over: Vec<(SessionId, Option<ClientError>)> = Vec::new();
         for (id, peer) in &mut self.peers {
             match &peer.stage {
                 Stage::Entering(_) if peer.heard + self.start_up <= now => over.push((*id, None)),
@@ -62,9 +62,9 @@
                     let open = inside.session.transaction.is_held();
                     let stands = now - peer.heard;
                     if idle && open && stands >= self.transaction_idle {
-                        over.push((*id, Some(Final::IdleTransaction)));
+                        over.push((*id, Some(ClientError::IdleTransactionTimeout)));
                     } else if idle && open && shut.is_some_and(|since| since + GRACE <= now) {
-                        over.push((*id, Some(Final::ShutDown)));
+                        over.push((*id, Some(ClientError::ShuttingDown)));
                     } else if peer.ends && stands >= self.start_up {
                         over.push((*id, None));
                     } else if idle && stands >= AT_REST {
@@ -96,7 +96,7 @@
             }
         };
         let Some((_, _, id)) = self.peers.iter().filter_map(rank).min() else { return false };
-        self.dismiss(id, &Final::ShutDown);
+        self.dismiss(id, &ClientError::ShuttingDown);
         if let Some(peer) = self.peers.get_mut(&id) {
             // Its last word goes as far as the network takes it at once.
             let _ = peer.link.flush();
@@ -115,6 +115,6 @@
             }
         };
         let idle: Vec<SessionId> = self.peers.iter().filter_map(idle).collect();
-        idle.into_iter().for_each(|id| self.dismiss(id, &Final::ShutDown));
+        idle.into_iter().for_each(|id| self.dismiss(id, &ClientError::ShuttingDown));
     }
 }
--- a/crates/front/src/postgres/sessions/taking.rs
+++ b/crates/front/src/postgres/sessions/taking.rs
@@ -4,7 +4,7 @@
 
 use hallmux_agreement::User;
 use hallmux_dispatcher::Micros;
-use hallmux_postgres::answer::Final;
+use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::engine;
 use hallmux_postgres::entry::{Step, Welcome};
 use hallmux_postgres::pool::Account;
@@ -79,7 +79,7 @@
                                     (used, true)
                                 }
                                 None => {
-                                    Final::Full.write(peer.link.output(), true);
+                                    ClientError::TooManySessions.write(peer.link.output(), true);
                                     peer.ends = true;
                                     (used, false)
                                 }
@@ -130,7 +130,7 @@
                                 if inside.session.answers(&part, &mut self.catalogue, out) {
                                     (used, true)
                                 } else if was == Transaction::Lost {
-                                    Final::InFailedTransaction.write(out, false);
+                                    ClientError::InFailedTransaction.write(out, false);
                                     inside.skipping = true;
                                     (used, true)
                                 } else {
--- a/crates/postgres/src/answer.rs
+++ b/crates/postgres/src/client_error.rs
@@ -1,17 +1,17 @@
-//! Final answers that the front gives of itself, as errors that drivers understand: one table.
+//! The errors that the front itself answers a client with, and their codes.
 
 use crate::wire::{write, write_string};
 use crate::ProtocolError;
 
-/// Why a unit ends without an engine's answer.
+/// An error that the front answers a client with, in place of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Final {
+pub enum ClientError {
     /// Turned away: trying again is harmless; in milliseconds when.
     #[error("the front turns this statement away; trying again is harmless")]
     Rejected { retry_after_ms: Option<i64> },
     /// The time that it had is up.
     #[error("canceling statement due to statement timeout")]
-    TimeUp,
+    StatementTimeout,
     /// The client asked for its end.
     #[error("canceling statement due to user request")]
     Cancelled,
@@ -23,19 +23,19 @@
     RolledBack { why: &'static str },
     /// An open transaction stood idle too long.
     #[error("terminating transaction that stood idle for longer than allowed")]
-    IdleTransaction,
+    IdleTransactionTimeout,
     /// The transaction failed before; only its end is taken.
     #[error("current transaction is aborted, commands ignored until end of transaction block")]
     InFailedTransaction,
     /// A setting that is missing or can't be used, by its name.
     #[error("{field}: {why}")]
-    Unfit { field: &'static str, why: &'static str },
+    InvalidSetting { field: &'static str, why: &'static str },
     /// What a front can't do for a session.
     #[error("{why} can't be used through this front")]
-    NotHere { why: &'static str },
+    Unsupported { why: &'static str },
     /// More than a session may hold.
     #[error("{why}: more than a session may hold")]
-    TooMuch { why: &'static str },
+    LimitExceeded { why: &'static str },
     #[error("prepared statement \"{name}\" does not exist")]
     NoSuchStatement { name: String },
     #[error("prepared statement \"{name}\" already exists")]
@@ -46,39 +46,39 @@
     #[error("password authentication failed for user \"{user}\"")]
     WrongPassword { user: String },
     #[error("protocol {major} is not spoken here, 3.0 is")]
-    NoSuchVersion { major: u16 },
+    UnsupportedVersion { major: u16 },
     /// The front shuts down.
     #[error("terminating connection due to administrator command")]
-    ShutDown,
+    ShuttingDown,
     /// No more sessions are taken.
     #[error("no more sessions are taken for now")]
-    Full,
+    TooManySessions,
     /// An engine ended a result in the middle, or left the front.
     #[error("the engine was lost in the middle of a result")]
-    Broken,
+    ResultLost,
 }
 
-impl Final {
+impl ClientError {
     /// The code, after the published table of error codes.
     pub fn code(&self) -> &'static str {
         match self {
-            Final::Rejected { .. } => "53000",
-            Final::TimeUp | Final::Cancelled => "57014",
-            Final::Unresolved => "08007",
-            Final::RolledBack { .. } => "40001",
-            Final::IdleTransaction => "25P03",
-            Final::InFailedTransaction => "25P02",
-            Final::Unfit { .. } => "22023",
-            Final::NotHere { .. } => "0A000",
-            Final::TooMuch { .. } => "54000",
-            Final::NoSuchStatement { .. } => "26000",
-            Final::DuplicateStatement { .. } => "42P05",
-            Final::Protocol { .. } => "08P01",
-            Final::WrongPassword { .. } => "28P01",
-            Final::NoSuchVersion { .. } => "0A000",
-            Final::ShutDown => "57P01",
-            Final::Full => "53300",
-            Final::Broken => "08006",
+            ClientError::Rejected { .. } => "53000",
+            ClientError::StatementTimeout | ClientError::Cancelled => "57014",
+            ClientError::Unresolved => "08007",
+            ClientError::RolledBack { .. } => "40001",
+            ClientError::IdleTransactionTimeout => "25P03",
+            ClientError::InFailedTransaction => "25P02",
+            ClientError::InvalidSetting { .. } => "22023",
+            ClientError::Unsupported { .. } => "0A000",
+            ClientError::LimitExceeded { .. } => "54000",
+            ClientError::NoSuchStatement { .. } => "26000",
+            ClientError::DuplicateStatement { .. } => "42P05",
+            ClientError::Protocol { .. } => "08P01",
+            ClientError::WrongPassword { .. } => "28P01",
+            ClientError::UnsupportedVersion { .. } => "0A000",
+            ClientError::ShuttingDown => "57P01",
+            ClientError::TooManySessions => "53300",
+            ClientError::ResultLost => "08006",
         }
     }
 
@@ -96,7 +96,7 @@
             field(b'V', severity);
             field(b'C', self.code().as_bytes());
             field(b'M', self.to_string().as_bytes());
-            if let Final::Rejected { retry_after_ms: Some(ms) } = self {
+            if let ClientError::Rejected { retry_after_ms: Some(ms) } = self {
                 field(b'D', format!("retry-after-ms={ms}").as_bytes());
                 field(b'H', format!("try again after {ms} ms").as_bytes());
             }
@@ -113,5 +113,5 @@
 }
 
 #[cfg(test)]
-#[path = "answer_tests.rs"]
+#[path = "client_error_tests.rs"]
 mod tests;
--- a/crates/postgres/src/engine.rs
+++ b/crates/postgres/src/engine.rs
@@ -10,7 +10,7 @@
 use lru::LruCache;
 use postgres_protocol::authentication::sasl::ScramSha256;
 
-use crate::answer::Final;
+use crate::client_error::ClientError;
 use crate::prepared::Settings;
 use crate::session::Part;
 use crate::wire;
@@ -81,7 +81,7 @@
         hidden: Option<u64>,
     },
     /// The engine's next error stands for this one.
-    Fail(Final),
+    Fail(ClientError),
     Query,
     Sync,
     /// A Sync of the front's own, to hear whether anybody is there.
--- a/crates/postgres/src/engine/hearing.rs
+++ b/crates/postgres/src/engine/hearing.rs
@@ -4,7 +4,7 @@
 use postgres_protocol::authentication::sasl::{ChannelBinding, ScramSha256};
 
 use super::{Done, Engine, Expect, Heard, Stage};
-use crate::answer::is_engine_fault;
+use crate::client_error::is_engine_fault;
 use crate::wire;
 use crate::ProtocolError;
 
--- a/crates/postgres/src/entry.rs
+++ b/crates/postgres/src/entry.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::answer::Final;
+use crate::client_error::ClientError;
 use crate::scram::{Exchange, Verifier, MECHANISM};
 use crate::wire::{self, Opening};
 use crate::ProtocolError;
@@ -82,7 +82,7 @@
                             return Ok((used, Step::Cancel { process, secret }));
                         }
                         Opening::Other { major } => {
-                            Final::NoSuchVersion { major }.write(out, true);
+                            ClientError::UnsupportedVersion { major }.write(out, true);
                             return Ok((used, Step::Refused));
                         }
                         Opening::StartUp { minor, parameters } => {
@@ -168,18 +168,18 @@
 }
 
 fn refused(welcome: &Welcome, out: &mut Vec<u8>) -> Step {
-    Final::WrongPassword { user: welcome.user.clone() }.write(out, true);
+    ClientError::WrongPassword { user: welcome.user.clone() }.write(out, true);
     Step::Refused
 }
 
-fn welcome(parameters: &[(&str, &str)]) -> Result<Welcome, Final> {
+fn welcome(parameters: &[(&str, &str)]) -> Result<Welcome, ClientError> {
     let mut welcome = Welcome::default();
     for (name, value) in parameters {
         match *name {
             "user" => welcome.user = value.to_string(),
             "database" => welcome.database = value.to_string(),
             "replication" if !matches!(*value, "0" | "off" | "false" | "no") => {
-                return Err(Final::NotHere { why: "replication" });
+                return Err(ClientError::Unsupported { why: "replication" });
             }
             "replication" => {}
             "options" => options(value, &mut welcome.parameters),
@@ -188,7 +188,7 @@
         }
     }
     if welcome.user.is_empty() {
-        return Err(Final::Protocol { why: ProtocolError::NoUser });
+        return Err(ClientError::Protocol { why: ProtocolError::NoUser });
     }
     if welcome.database.is_empty() {
         welcome.database = welcome.user.clone();
--- a/crates/postgres/src/lib.rs
+++ b/crates/postgres/src/lib.rs
@@ -2,7 +2,7 @@
 //! and back, start-up and authentication, sessions, engine connections and their pools. No sockets, no clock,
 //! no chance: whoever calls hands in bytes, the time and random numbers, and sends what is written.
 
-pub mod answer;
+pub mod client_error;
 pub mod engine;
 pub mod entry;
 pub mod pool;
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 use self::answering::quoted;
-use crate::answer::Final;
+use crate::client_error::ClientError;
 use crate::entry::Welcome;
 use crate::prepared::{Catalogue, Prepared, Settings};
 use crate::sql::{self, Change, Label, Own, Scan};
@@ -77,7 +77,7 @@
     /// Engines keep statements of their own accord: it is only answered.
     CloseStatement,
     /// Answered with this error, and the engine's transaction fails with it.
-    Fail(Final),
+    Fail(ClientError),
     Query(Range<usize>),
     Flush,
     Sync,
--- a/crates/postgres/src/session/answering.rs
+++ b/crates/postgres/src/session/answering.rs
@@ -4,7 +4,7 @@
 
 use super::reading::ends;
 use super::{Bounds, Op, Part, Session, Transaction};
-use crate::answer::Final;
+use crate::client_error::ClientError;
 use crate::engine::Done;
 use crate::prepared::{Catalogue, Settings};
 use crate::sql::{self, Own, Scan};
@@ -78,10 +78,10 @@
     }
 
     /// Why nothing runs in a transaction that is lost; the first time with the reason.
-    fn aborted(&mut self) -> Final {
+    fn aborted(&mut self) -> ClientError {
         match self.untold.take() {
-            Some(why) => Final::RolledBack { why },
-            None => Final::InFailedTransaction,
+            Some(why) => ClientError::RolledBack { why },
+            None => ClientError::InFailedTransaction,
         }
     }
 
@@ -94,9 +94,9 @@
                 self.transaction = Transaction::None;
             }
             match untold {
-                Some(why) => Final::RolledBack { why }.write(out, false),
+                Some(why) => ClientError::RolledBack { why }.write(out, false),
                 None if ends(scan) => wire::write_complete(out, "ROLLBACK"),
-                None => Final::InFailedTransaction.write(out, false),
+                None => ClientError::InFailedTransaction.write(out, false),
             }
             return untold.is_none() && ends(scan);
         }
@@ -105,7 +105,7 @@
             Own::Label(name, value) => {
                 if !self.label.set(name, value) {
                     let why = "no such setting; see the page on PostgreSQL sessions";
-                    Final::Unfit { field: "hallmux", why }.write(out, false);
+                    ClientError::InvalidSetting { field: "hallmux", why }.write(out, false);
                     return false;
                 }
             }
@@ -160,7 +160,7 @@
     }
 
     /// A unit ends here, with the front's own answer; with a transaction that is lost by that, if one was open.
-    pub fn fails(&mut self, parts: &[Rc<Part>], why: &Final, out: &mut Vec<u8>) {
+    pub fn fails(&mut self, parts: &[Rc<Part>], why: &ClientError, out: &mut Vec<u8>) {
         for part in parts {
             part.named.iter().for_each(|name| self.forget(name));
         }
--- a/crates/postgres/src/session/reading.rs
+++ b/crates/postgres/src/session/reading.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use super::{Bounds, Op, Part, Read, Session};
-use crate::answer::Final;
+use crate::client_error::ClientError;
 use crate::prepared::{Catalogue, Prepared};
 use crate::sql::{self, Own, Scan};
 use crate::wire::{self, Said};
@@ -18,13 +18,13 @@
         input: &[u8],
         catalogue: &mut Catalogue,
         bounds: &Bounds,
-    ) -> Result<(usize, Read), Final> {
-        let against = |why: ProtocolError| Final::Protocol { why };
+    ) -> Result<(usize, Read), ClientError> {
+        let against = |why: ProtocolError| ClientError::Protocol { why };
         let mut at = std::mem::take(&mut self.looked);
         let end = loop {
             match wire::head(&input[at..]).map_err(against)? {
                 Some((_, len)) if len > bounds.bytes || at + len > bounds.bytes => {
-                    return Err(Final::TooMuch { why: "the bytes of a unit" });
+                    return Err(ClientError::LimitExceeded { why: "the bytes of a unit" });
                 }
                 Some((tag, len)) if at + len <= input.len() => {
                     at += len;
@@ -56,17 +56,17 @@
                 Said::Terminate => return Ok((end, Read::Goes)),
                 Said::Query(_) | Said::FunctionCall if self.within || at > 0 => {
                     // What an engine would do with it depends on whether the unit has failed by then.
-                    return Err(Final::Protocol { why: ProtocolError::Mixed });
+                    return Err(ClientError::Protocol { why: ProtocolError::Mixed });
                 }
                 Said::FunctionCall => {
-                    part.ops.push(Op::Fail(Final::NotHere { why: "a function call" }));
+                    part.ops.push(Op::Fail(ClientError::Unsupported { why: "a function call" }));
                     part.ops.push(Op::Sync);
                     part.ends = true;
                 }
                 Said::Query(text) => {
                     let scan = sql::scan(text);
                     match scan.not_here {
-                        Some(why) => part.ops.extend([Op::Fail(Final::NotHere { why }), Op::Sync]),
+                        Some(why) => part.ops.extend([Op::Fail(ClientError::Unsupported { why }), Op::Sync]),
                         None => part.ops.push(Op::Query(whole.clone())),
                     }
                     part.local = scan.not_here.is_some() || scan.own.is_some();
@@ -78,7 +78,7 @@
                     let prepared = catalogue.prepare(body);
                     part.local &= prepared.scan.own.is_some();
                     let fault = self.prepare(name, &prepared, bounds);
-                    let not_here = prepared.scan.not_here.map(|why| Final::NotHere { why });
+                    let not_here = prepared.scan.not_here.map(|why| ClientError::Unsupported { why });
                     let known_here = fault.is_none();
                     match fault.or(not_here) {
                         Some(why) => {
@@ -97,7 +97,7 @@
                     part.first.get_or_insert(prepared);
                 }
                 Said::Bind { portal, .. } if !self.opens(portal, bounds) => {
-                    part.ops.push(Op::Fail(Final::TooMuch { why: "portals" }));
+                    part.ops.push(Op::Fail(ClientError::LimitExceeded { why: "portals" }));
                 }
                 Said::Bind { portal, statement, rest } => match self.known(statement) {
                     Some(prepared) => {
@@ -148,7 +148,7 @@
         if mixed {
             let why = "DISCARD or DEALLOCATE among other statements";
             let last = part.ops.pop();
-            part.ops.push(Op::Fail(Final::NotHere { why }));
+            part.ops.push(Op::Fail(ClientError::Unsupported { why }));
             part.ops.extend(last);
         }
         part.local &= !self.within;
@@ -174,15 +174,15 @@
     }
 
     /// Takes a statement in under its name, or says why not.
-    fn prepare(&mut self, name: &[u8], prepared: &Rc<Prepared>, bounds: &Bounds) -> Option<Final> {
+    fn prepare(&mut self, name: &[u8], prepared: &Rc<Prepared>, bounds: &Bounds) -> Option<ClientError> {
         if name.is_empty() {
             self.unnamed = Some(prepared.clone());
         } else if self.statements.contains_key(name) {
-            return Some(Final::DuplicateStatement { name: String::from_utf8_lossy(name).into() });
+            return Some(ClientError::DuplicateStatement { name: String::from_utf8_lossy(name).into() });
         } else if self.statements.len() >= bounds.statements
             || self.held + name.len() + prepared.body.len() > bounds.bytes
         {
-            return Some(Final::TooMuch { why: "prepared statements" });
+            return Some(ClientError::LimitExceeded { why: "prepared statements" });
         } else {
             self.held += name.len() + prepared.body.len();
             self.statements.insert(name.to_vec(), prepared.clone());
@@ -200,9 +200,9 @@
 
     /// The unit that was begun is over, though its end has yet to come: what belongs to it is passed over.
     /// Says how much of the input that is, and whether the Sync was there.
-    pub fn skip(&mut self, input: &[u8]) -> Result<(usize, bool), Final> {
+    pub fn skip(&mut self, input: &[u8]) -> Result<(usize, bool), ClientError> {
         let mut at = 0;
-        while let Some((tag, len)) = wire::head(&input[at..]).map_err(|why| Final::Protocol { why })? {
+        while let Some((tag, len)) = wire::head(&input[at..]).map_err(|why| ClientError::Protocol { why })? {
             if at + len > input.len() {
                 break;
             }
@@ -217,7 +217,7 @@
 }
 
 fn no_such(name: &[u8]) -> Op {
-    Op::Fail(Final::NoSuchStatement { name: String::from_utf8_lossy(name).into() })
+    Op::Fail(ClientError::NoSuchStatement { name: String::from_utf8_lossy(name).into() })
 }
 
 /// It does nothing but end a transaction.
