--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -11,7 +11,7 @@
 use calloop::LoopHandle;
 use hallmux_agreement::{NetworkSettings, SessionLimits};
 use hallmux_dispatcher::{Dials, Ending, Micros, Place, Ticket};
-use hallmux_postgres::engine::{Account, Done, Engine};
+use hallmux_postgres::engine::{Account, EngineConnection, UnitOutcome};
 use hallmux_postgres::pool::{self, Pools};
 use hallmux_postgres::prepared::Settings;
 use hallmux_postgres::session::Part;
@@ -42,7 +42,7 @@
     Answered {
         sent: Sent,
         bytes: Vec<u8>,
-        done: Done,
+        done: UnitOutcome,
         held: Option<ServerId>,
     },
     /// Not executed, with what the engine says to that.
@@ -98,7 +98,7 @@
 
 struct Server {
     link: Link,
-    engine: Engine,
+    engine: EngineConnection,
     place: Place,
     up: bool,
     serves: Option<Sent>,
--- a/crates/front/src/postgres/servers/coming.rs
+++ b/crates/front/src/postgres/servers/coming.rs
@@ -4,7 +4,7 @@
 
 use hallmux_dispatcher::{Ending, Micros, Place};
 use hallmux_postgres::client_error::is_engine_fault;
-use hallmux_postgres::engine::{Done, Heard};
+use hallmux_postgres::engine::{EngineEvent, UnitOutcome};
 use hallmux_postgres::pool;
 
 use super::leaving::dialled;
@@ -113,12 +113,12 @@
         false
     }
 
-    fn heard(&mut self, now: Micros, id: ServerId, heard: Heard) {
+    fn heard(&mut self, now: Micros, id: ServerId, heard: EngineEvent) {
         let Some(server) = self.links.get_mut(&id) else { return };
         let place = server.place;
         match heard {
-            Heard::Alive => self.alive(place),
-            Heard::Up => {
+            EngineEvent::PingAnswered => self.alive(place),
+            EngineEvent::Ready => {
                 self.coming.remove(&id);
                 if !server.engine.parameters.is_empty() {
                     self.parameters = std::mem::take(&mut server.engine.parameters);
@@ -126,7 +126,7 @@
                 self.alive(place);
                 self.rests(now, id);
             }
-            Heard::Refused { code, error } => {
+            EngineEvent::LoginRefused { code, error } => {
                 log::warn!("engine {}: no login: {code}", self.name(id));
                 let lost = self.forget(id);
                 self.links.remove(&id);
@@ -140,14 +140,14 @@
                 let step = self.pools.next(place);
                 self.step(now, place, step);
             }
-            Heard::SettingsRefused { error } => {
+            EngineEvent::SettingsRefused { error } => {
                 let sent = server.serves.take();
                 self.close(id);
                 sent.into_iter().for_each(|sent| self.refused(sent, error.clone()));
                 let step = self.pools.next(place);
                 self.step(now, place, step);
             }
-            Heard::Done(done) => self.done(now, id, done),
+            EngineEvent::UnitDone(done) => self.done(now, id, done),
         }
     }
 
@@ -193,7 +193,7 @@
         self.told.push(Told::Refused { sent, error });
     }
 
-    fn done(&mut self, now: Micros, id: ServerId, done: Done) {
+    fn done(&mut self, now: Micros, id: ServerId, done: UnitOutcome) {
         let Some(server) = self.links.get_mut(&id) else { return };
         let (place, sent, session) = (server.place, server.serves.take(), server.holds.take());
         server.discards = false;
--- a/crates/front/src/postgres/servers/leaving.rs
+++ b/crates/front/src/postgres/servers/leaving.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use hallmux_dispatcher::{Ending, Micros, Place};
-use hallmux_postgres::engine::Engine;
+use hallmux_postgres::engine::EngineConnection;
 use hallmux_postgres::pool::{self, Step};
 use hallmux_postgres::session::Part;
 
@@ -103,7 +103,7 @@
                 return Err(dialled(&e));
             }
         };
-        let engine = Engine::new(who, self.limits.prepared, link.output());
+        let engine = EngineConnection::new(who, self.limits.prepared, link.output());
         let dial_by = now + self.allowed.dial_timeout;
         self.pools.dialled(now, place, account, id);
         self.coming.insert(id, dial_by);
--- a/crates/front/src/postgres/sessions/answering.rs
+++ b/crates/front/src/postgres/sessions/answering.rs
@@ -4,7 +4,7 @@
 
 use hallmux_dispatcher::{Micros, Ticket};
 use hallmux_postgres::client_error::ClientError;
-use hallmux_postgres::engine::Done;
+use hallmux_postgres::engine::UnitOutcome;
 use hallmux_postgres::session::Part;
 use hallmux_postgres::wire;
 
@@ -97,7 +97,7 @@
         now: Micros,
         ticket: Ticket,
         bytes: &[u8],
-        done: &Done,
+        done: &UnitOutcome,
         pin: Option<(usize, ServerId)>,
     ) {
         let Some((id, running)) = self.let_go(ticket) else { return };
--- a/crates/postgres/fuzz/drive.rs
+++ b/crates/postgres/fuzz/drive.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use hallmux_postgres::engine::{Account, Engine, Heard};
+use hallmux_postgres::engine::{Account, EngineConnection, EngineEvent};
 use hallmux_postgres::entry::{Entry, Step};
 use hallmux_postgres::prepared::{Catalogue, Settings};
 use hallmux_postgres::session::{Bounds, Part, Read, Session};
@@ -65,9 +65,9 @@
     let half = input.len() / 2;
     let parts = session(&input[..half]);
     let (mut out, mut back) = (Vec::new(), Vec::new());
-    let mut engine = Engine::new(Account::default(), 2, &mut out);
+    let mut engine = EngineConnection::new(Account::default(), 2, &mut out);
     let login = b"R\0\0\0\x08\0\0\0\0K\0\0\0\x0c\0\0\0\x01\0\0\0\x02Z\0\0\0\x05I";
-    assert!(matches!(engine.read(login, &mut out, &mut back, 64), Ok((_, Some(Heard::Up)))));
+    assert!(matches!(engine.read(login, &mut out, &mut back, 64), Ok((_, Some(EngineEvent::Ready)))));
     let settings = Rc::<Settings>::default();
     for part in &parts {
         engine.send(part, &settings, false, &mut out, &mut back);
--- a/crates/postgres/src/engine.rs
+++ b/crates/postgres/src/engine.rs
@@ -1,7 +1,7 @@
 //! A connection to an engine as the front knows it: its login, what is prepared and set on it, and which of
 //! its answers belong to which step of a unit. What the front did of its own accord is never seen by a client.
 
-mod hearing;
+mod receiving;
 mod sending;
 
 use std::collections::{HashSet, VecDeque};
@@ -17,7 +17,7 @@
 
 /// How a unit ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Done {
+pub struct UnitOutcome {
     /// As the protocol tells where the transaction stands.
     pub status: u8,
     /// The code of the error that it ended with.
@@ -32,11 +32,11 @@
 
 /// What an engine has said, beyond what goes on to the client.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum EngineEvent {
     /// It takes units from now on.
-    Up,
+    Ready,
     /// It does not let the front in: the code, and the whole message for the client.
-    Refused {
+    LoginRefused {
         code: String,
         error: Vec<u8>,
     },
@@ -45,8 +45,8 @@
         error: Vec<u8>,
     },
     /// It has answered a question that only asks for an answer.
-    Alive,
-    Done(Done),
+    PingAnswered,
+    UnitDone(UnitOutcome),
 }
 
 /// Who the front is at the engine.
@@ -65,7 +65,7 @@
     Ready,
 }
 
-enum Expect {
+enum Expected {
     /// Said by the front in the engine's place, as nothing was asked of it.
     Make(&'static [u8]),
     /// The number that the statement has, unless it has none there; hidden from the client or not.
@@ -88,7 +88,7 @@
     Ping,
 }
 
-pub struct Engine {
+pub struct EngineConnection {
     account: Account,
     stage: Stage,
     exchange: Option<Box<ScramSha256>>,
@@ -106,24 +106,24 @@
     settings: Option<Rc<Settings>>,
     waits: Vec<(Rc<Part>, Rc<Settings>)>,
     set_error: Option<Vec<u8>>,
-    expects: VecDeque<Expect>,
+    expects: VecDeque<Expected>,
     /// An error came: the engine passes over all up to the Sync.
     skipping: bool,
     /// Bytes of the message that is going on which have yet to come.
     passing: usize,
-    done: Done,
+    done: UnitOutcome,
 }
 
 fn name(number: u64) -> String {
     format!("hm:{number}")
 }
 
-impl Engine {
+impl EngineConnection {
     /// Begins a login.
-    pub fn new(account: Account, most_prepared: usize, out: &mut Vec<u8>) -> Engine {
+    pub fn new(account: Account, most_prepared: usize, out: &mut Vec<u8>) -> EngineConnection {
         let who = [("user", account.user.as_str()), ("database", &account.database)];
         wire::write_start_up(out, &who);
-        Engine {
+        EngineConnection {
             account,
             stage: Stage::Login,
             exchange: None,
@@ -139,7 +139,7 @@
             expects: VecDeque::new(),
             skipping: false,
             passing: 0,
-            done: Done::default(),
+            done: UnitOutcome::default(),
         }
     }
 
--- a/crates/postgres/src/engine/hearing.rs
+++ b/crates/postgres/src/engine/receiving.rs
@@ -3,7 +3,7 @@
 use postgres_protocol::authentication::md5_hash;
 use postgres_protocol::authentication::sasl::{ChannelBinding, ScramSha256};
 
-use super::{Done, Engine, Expect, Heard, Stage};
+use super::{EngineConnection, EngineEvent, Expected, Stage, UnitOutcome};
 use crate::client_error::is_engine_fault;
 use crate::wire;
 use crate::ProtocolError;
@@ -11,7 +11,7 @@
 const LONGEST_WHOLE: usize = 64 << 10; // bytes of a message that is read as one; errors take some hundred
 const MOST_PARAMETERS: usize = 64; // of an engine that it tells of itself; servers have some fifteen
 
-impl Engine {
+impl EngineConnection {
     /// Takes what the engine has said: what is the client's goes to `back`, up to `room` bytes and a little,
     /// what the engine is to hear to `out`. Says how much was taken, and what it means once it means something.
     pub fn read(
@@ -20,7 +20,7 @@
         out: &mut Vec<u8>,
         back: &mut Vec<u8>,
         room: usize,
-    ) -> Result<(usize, Option<Heard>), ProtocolError> {
+    ) -> Result<(usize, Option<EngineEvent>), ProtocolError> {
         let mut at = 0;
         while back.len() <= room {
             let rest = &input[at..];
@@ -68,7 +68,7 @@
         body: &[u8],
         message: &[u8],
         out: &mut Vec<u8>,
-    ) -> Result<Option<Heard>, ProtocolError> {
+    ) -> Result<Option<EngineEvent>, ProtocolError> {
         let word = |at: usize| body.get(at..at + 4).map(|n| u32::from_be_bytes([n[0], n[1], n[2], n[3]]));
         let password = self.account.password.clone().unwrap_or_default();
         match tag {
@@ -112,11 +112,11 @@
             b'K' => self.key = word(0).zip(word(4)),
             b'E' => {
                 let code = String::from_utf8_lossy(wire::field(body, b'C').unwrap_or(b"XX000")).into();
-                return Ok(Some(Heard::Refused { code, error: message.to_vec() }));
+                return Ok(Some(EngineEvent::LoginRefused { code, error: message.to_vec() }));
             }
             b'Z' => {
                 (self.stage, self.exchange) = (Stage::Ready, None);
-                return Ok(Some(Heard::Up));
+                return Ok(Some(EngineEvent::Ready));
             }
             b'N' | b'v' => {}
             other => return Err(ProtocolError::NotDue { tag: other, when: "during login" }),
@@ -134,18 +134,18 @@
     }
 
     /// The answer to bringing settings over: none of it is a client's, but why it failed.
-    fn set(&mut self, tag: u8, message: &[u8], out: &mut Vec<u8>, back: &mut Vec<u8>) -> Option<Heard> {
+    fn set(&mut self, tag: u8, message: &[u8], out: &mut Vec<u8>, back: &mut Vec<u8>) -> Option<EngineEvent> {
         match tag {
             b'E' => _ = self.set_error.get_or_insert(message.to_vec()),
-            b'Z' if matches!(self.expects.front(), Some(Expect::Ping)) => {
+            b'Z' if matches!(self.expects.front(), Some(Expected::Ping)) => {
                 self.expects.pop_front();
-                return Some(Heard::Alive);
+                return Some(EngineEvent::PingAnswered);
             }
             b'Z' => {
                 self.stage = Stage::Ready;
                 let waits = std::mem::take(&mut self.waits);
                 if let Some(error) = self.set_error.take() {
-                    return Some(Heard::SettingsRefused { error });
+                    return Some(EngineEvent::SettingsRefused { error });
                 }
                 self.settings = waits.first().map(|(_, settings)| settings.clone());
                 for (part, settings) in waits {
@@ -159,8 +159,8 @@
 
     /// A message that goes on in pieces begins: it must be one that is due.
     fn begin(&mut self, tag: u8) -> Result<(), ProtocolError> {
-        let described = matches!(self.expects.front(), Some(Expect::Described));
-        let running = matches!(self.expects.front(), Some(Expect::Executed | Expect::Query));
+        let described = matches!(self.expects.front(), Some(Expected::Described));
+        let running = matches!(self.expects.front(), Some(Expected::Executed | Expected::Query));
         match tag {
             b'N' => {}
             b'T' if described => _ = self.expects.pop_front(),
@@ -171,7 +171,12 @@
         Ok(())
     }
 
-    fn said(&mut self, tag: u8, message: &[u8], back: &mut Vec<u8>) -> Result<Option<Heard>, ProtocolError> {
+    fn said(
+        &mut self,
+        tag: u8,
+        message: &[u8],
+        back: &mut Vec<u8>,
+    ) -> Result<Option<EngineEvent>, ProtocolError> {
         let mut passes = true;
         match (tag, self.expects.front()) {
             (b'N', _) => passes = !self.expects.is_empty(),
@@ -179,7 +184,7 @@
             // Nobody listens through a front.
             (b'A', _) => passes = false,
             (b'E', _) => return self.error(message, back),
-            (b'1', Some(Expect::Parsed { number, hidden })) => {
+            (b'1', Some(Expected::Parsed { number, hidden })) => {
                 if let Some(number) = *number {
                     self.coming.remove(&number);
                     self.prepared.put(number, ());
@@ -188,28 +193,28 @@
                 self.done.parsed += usize::from(passes);
                 self.expects.pop_front();
             }
-            (b'3', Some(Expect::Closed { hidden })) => {
+            (b'3', Some(Expected::Closed { hidden })) => {
                 passes = hidden.is_none();
                 self.expects.pop_front();
             }
-            (b'2', Some(Expect::Bound)) | (b'n', Some(Expect::Described)) => _ = self.expects.pop_front(),
-            (b'T', Some(Expect::Described)) => _ = self.expects.pop_front(),
-            (b't', Some(Expect::Described)) => {}
-            (b'D' | b'H' | b'd' | b'c', Some(Expect::Executed | Expect::Query)) => {}
-            (b'T' | b'I', Some(Expect::Query)) => {}
-            (b'C', Some(Expect::Executed | Expect::Query)) => {
+            (b'2', Some(Expected::Bound)) | (b'n', Some(Expected::Described)) => _ = self.expects.pop_front(),
+            (b'T', Some(Expected::Described)) => _ = self.expects.pop_front(),
+            (b't', Some(Expected::Described)) => {}
+            (b'D' | b'H' | b'd' | b'c', Some(Expected::Executed | Expected::Query)) => {}
+            (b'T' | b'I', Some(Expected::Query)) => {}
+            (b'C', Some(Expected::Executed | Expected::Query)) => {
                 self.done.rolled_back |= message.starts_with(b"C\0\0\0\x0dROLLBACK\0");
-                if !matches!(self.expects.front(), Some(Expect::Query)) {
+                if !matches!(self.expects.front(), Some(Expected::Query)) {
                     self.expects.pop_front();
                 }
             }
-            (b'I' | b's', Some(Expect::Executed)) => _ = self.expects.pop_front(),
-            (b'Z', Some(Expect::Ping)) => {
+            (b'I' | b's', Some(Expected::Executed)) => _ = self.expects.pop_front(),
+            (b'Z', Some(Expected::Ping)) => {
                 self.expects.pop_front();
                 self.make(back);
-                return Ok(Some(Heard::Alive));
+                return Ok(Some(EngineEvent::PingAnswered));
             }
-            (b'Z', Some(Expect::Sync | Expect::Query)) => {
+            (b'Z', Some(Expected::Sync | Expected::Query)) => {
                 self.expects.pop_front();
                 back.extend_from_slice(message);
                 self.unnamed = None;
@@ -218,7 +223,7 @@
                 if status != b'I' && status != b'T' && status != b'E' {
                     return Err(ProtocolError::Malformed("a transaction in no known state"));
                 }
-                return Ok(Some(Heard::Done(Done { status, ..done })));
+                return Ok(Some(EngineEvent::UnitDone(UnitOutcome { status, ..done })));
             }
             (other, _) => {
                 return Err(ProtocolError::NotDue { tag: other, when: "in answer to what was asked" });
@@ -231,7 +236,7 @@
         Ok(None)
     }
 
-    fn error(&mut self, message: &[u8], back: &mut Vec<u8>) -> Result<Option<Heard>, ProtocolError> {
+    fn error(&mut self, message: &[u8], back: &mut Vec<u8>) -> Result<Option<EngineEvent>, ProtocolError> {
         let code = wire::field(&message[5..], b'C').unwrap_or(b"XX000");
         let fatal = wire::field(&message[5..], b'S') == Some(b"FATAL")
             || wire::field(&message[5..], b'V') == Some(b"FATAL");
@@ -240,7 +245,7 @@
             return Err(ProtocolError::Gone(String::from_utf8_lossy(code).into()));
         }
         match self.expects.front() {
-            Some(Expect::Fail(why)) => {
+            Some(Expected::Fail(why)) => {
                 why.write(back, false);
                 self.done.error = Some(why.code().to_string());
             }
@@ -251,15 +256,15 @@
             }
         }
         // A simple query ends of itself; all else is passed over up to the Sync.
-        if !matches!(self.expects.front(), Some(Expect::Query)) {
+        if !matches!(self.expects.front(), Some(Expected::Query)) {
             loop {
                 match self.expects.pop_front() {
-                    Some(Expect::Sync) => {
-                        self.expects.push_front(Expect::Sync);
+                    Some(Expected::Sync) => {
+                        self.expects.push_front(Expected::Sync);
                         break;
                     }
-                    Some(Expect::Parsed { number: Some(number), .. }) => _ = self.coming.remove(&number),
-                    Some(Expect::Closed { hidden: Some(number) }) => _ = self.prepared.put(number, ()),
+                    Some(Expected::Parsed { number: Some(number), .. }) => _ = self.coming.remove(&number),
+                    Some(Expected::Closed { hidden: Some(number) }) => _ = self.prepared.put(number, ()),
                     Some(_) => {}
                     None => {
                         self.skipping = true;
--- a/crates/postgres/src/engine/sending.rs
+++ b/crates/postgres/src/engine/sending.rs
@@ -2,12 +2,12 @@
 
 use std::rc::Rc;
 
-use super::{name, Engine, Expect, Stage};
+use super::{name, EngineConnection, Expected, Stage};
 use crate::prepared::{Prepared, Settings};
 use crate::session::{Op, Part};
 use crate::wire;
 
-impl Engine {
+impl EngineConnection {
     /// Writes a part of a unit. `own` says that the session's transaction is open here, with its settings.
     /// What the front answers in the engine's place before any word of it goes to `back`.
     pub fn send(
@@ -42,7 +42,7 @@
     pub fn ping(&mut self, out: &mut Vec<u8>) {
         if self.stage == Stage::Ready && self.expects.is_empty() {
             out.extend_from_slice(wire::SYNC);
-            self.expects.push_back(Expect::Ping);
+            self.expects.push_back(Expected::Ping);
         }
     }
 
@@ -53,7 +53,7 @@
         let message = |at: &std::ops::Range<usize>| raw.get(at.clone()).unwrap_or_default();
         match op {
             Op::Parse { prepared, named: true } if self.has(prepared.number) => {
-                self.expects.push_back(Expect::Make(wire::PARSE_COMPLETE));
+                self.expects.push_back(Expected::Make(wire::PARSE_COMPLETE));
             }
             Op::Parse { prepared, named } => self.parse(prepared, *named, false, out),
             Op::Bind { prepared, named, portal, rest } => {
@@ -66,7 +66,7 @@
                     );
                     out.extend_from_slice(message(rest));
                 });
-                self.expects.push_back(Expect::Bound);
+                self.expects.push_back(Expected::Bound);
             }
             Op::Describe { prepared, named } => {
                 self.ensure(prepared, *named, out);
@@ -77,21 +77,21 @@
                         if *named { name(prepared.number) } else { String::new() }.as_bytes(),
                     );
                 });
-                self.expects.push_back(Expect::Described);
+                self.expects.push_back(Expected::Described);
             }
             Op::DescribePortal(at) => {
                 out.extend_from_slice(message(at));
-                self.expects.push_back(Expect::Described);
+                self.expects.push_back(Expected::Described);
             }
             Op::Execute(at) => {
                 out.extend_from_slice(message(at));
-                self.expects.push_back(Expect::Executed);
+                self.expects.push_back(Expected::Executed);
             }
             Op::ClosePortal(at) => {
                 out.extend_from_slice(message(at));
-                self.expects.push_back(Expect::Closed { hidden: None });
+                self.expects.push_back(Expected::Closed { hidden: None });
             }
-            Op::CloseStatement => self.expects.push_back(Expect::Make(wire::CLOSE_COMPLETE)),
+            Op::CloseStatement => self.expects.push_back(Expected::Make(wire::CLOSE_COMPLETE)),
             Op::Fail(why) => {
                 // A statement of this name there never is: the engine fails what went before in the unit.
                 wire::write(out, b'B', |out| {
@@ -99,16 +99,16 @@
                     wire::write_string(out, b"hm:none");
                     out.extend_from_slice(&[0; 6]);
                 });
-                self.expects.push_back(Expect::Fail(why.clone()));
+                self.expects.push_back(Expected::Fail(why.clone()));
             }
             Op::Query(at) => {
                 out.extend_from_slice(message(at));
-                self.expects.push_back(Expect::Query);
+                self.expects.push_back(Expected::Query);
             }
             Op::Flush => out.extend_from_slice(wire::FLUSH),
             Op::Sync => {
                 out.extend_from_slice(wire::SYNC);
-                self.expects.push_back(Expect::Sync);
+                self.expects.push_back(Expected::Sync);
                 self.skipping = false;
             }
         }
@@ -133,7 +133,7 @@
                     out.push(b'S');
                     wire::write_string(out, name(oldest).as_bytes());
                 });
-                self.expects.push_back(Expect::Closed { hidden: Some(oldest) });
+                self.expects.push_back(Expected::Closed { hidden: Some(oldest) });
             }
         }
         wire::write(out, b'P', |out| {
@@ -146,12 +146,12 @@
             self.unnamed = Some(prepared.number);
         }
         let number = named.then_some(prepared.number);
-        self.expects.push_back(Expect::Parsed { number, hidden });
+        self.expects.push_back(Expected::Parsed { number, hidden });
     }
 
     /// Says what is due in the engine's place.
     pub(super) fn make(&mut self, back: &mut Vec<u8>) {
-        while let Some(Expect::Make(bytes)) = self.expects.front() {
+        while let Some(Expected::Make(bytes)) = self.expects.front() {
             back.extend_from_slice(bytes);
             self.done.parsed += usize::from(*bytes == wire::PARSE_COMPLETE);
             self.expects.pop_front();
--- a/crates/postgres/src/engine_tests.rs
+++ b/crates/postgres/src/engine_tests.rs
@@ -4,7 +4,7 @@
 use crate::scram::{Exchange, Verifier};
 
 /// What the engine hears next; `body` is what it says.
-fn told(engine: &mut Engine, tag: u8, body: &[u8]) -> (Vec<u8>, Option<Heard>) {
+fn told(engine: &mut EngineConnection, tag: u8, body: &[u8]) -> (Vec<u8>, Option<EngineEvent>) {
     let (mut input, mut out, mut back) = (Vec::new(), Vec::new(), Vec::new());
     wire::write(&mut input, tag, |out| out.extend_from_slice(body));
     let (used, heard) = engine.read(&input, &mut out, &mut back, 1 << 20).unwrap();
@@ -12,9 +12,9 @@
     (out, heard)
 }
 
-fn with(password: &str) -> Engine {
+fn with(password: &str) -> EngineConnection {
     let account = Account { user: "u".into(), database: "d".into(), password: Some(password.into()) };
-    Engine::new(account, 8, &mut Vec::new())
+    EngineConnection::new(account, 8, &mut Vec::new())
 }
 
 fn step(number: u32, rest: &[u8]) -> Vec<u8> {
@@ -40,11 +40,11 @@
         if let Some(proof) = proof {
             told(&mut scram, b'R', &step(12, proof.as_bytes()));
             told(&mut scram, b'R', &step(0, b""));
-            assert_eq!(told(&mut scram, b'Z', b"I").1, Some(Heard::Up));
+            assert_eq!(told(&mut scram, b'Z', b"I").1, Some(EngineEvent::Ready));
         }
     }
     let refused = told(&mut with("x"), b'E', b"SFATAL\0C28P01\0Mno\0\0").1;
-    assert!(matches!(refused, Some(Heard::Refused { code, .. }) if code == "28P01"));
+    assert!(matches!(refused, Some(EngineEvent::LoginRefused { code, .. }) if code == "28P01"));
 }
 
 #[test]
--- a/crates/postgres/src/session/answering.rs
+++ b/crates/postgres/src/session/answering.rs
@@ -5,7 +5,7 @@
 use super::reading::ends;
 use super::{Bounds, Op, Part, Session, Transaction};
 use crate::client_error::ClientError;
-use crate::engine::Done;
+use crate::engine::UnitOutcome;
 use crate::prepared::{Catalogue, Settings};
 use crate::sql::{self, Own, Scan};
 use crate::wire;
@@ -122,7 +122,13 @@
     }
 
     /// Takes in how a unit ended at an engine.
-    pub fn done(&mut self, parts: &[Rc<Part>], done: &Done, catalogue: &mut Catalogue, bounds: &Bounds) {
+    pub fn done(
+        &mut self,
+        parts: &[Rc<Part>],
+        done: &UnitOutcome,
+        catalogue: &mut Catalogue,
+        bounds: &Bounds,
+    ) {
         let failed = done.error.is_some();
         if failed {
             let named: Vec<&Vec<u8>> = parts.iter().flat_map(|p| &p.named).collect();
--- a/crates/postgres/tests/split.rs
+++ b/crates/postgres/tests/split.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use hallmux_postgres::engine::{Account, Engine, Heard};
+use hallmux_postgres::engine::{Account, EngineConnection, EngineEvent};
 use hallmux_postgres::prepared::{Catalogue, Settings};
 use hallmux_postgres::session::{Bounds, Part, Read, Session};
 use hallmux_postgres::wire;
@@ -72,9 +72,9 @@
 }
 
 /// What goes back to the client, and what the front hears, of an engine's answers in the pieces given.
-fn answered(pieces: &[&[u8]], room: usize) -> (Vec<u8>, Vec<Heard>) {
+fn answered(pieces: &[&[u8]], room: usize) -> (Vec<u8>, Vec<EngineEvent>) {
     let (mut out, mut back, mut heard) = (Vec::new(), Vec::new(), Vec::new());
-    let mut engine = Engine::new(Account::default(), 8, &mut out);
+    let mut engine = EngineConnection::new(Account::default(), 8, &mut out);
     let mut input = Vec::new();
     for (n, part) in std::iter::once(None).chain(read(&[&units()]).into_iter().map(Some)).enumerate() {
         if let Some(part) = &part {
@@ -83,7 +83,7 @@
         if n == 0 {
             input = b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I".to_vec();
             let (used, up) = engine.read(&input, &mut out, &mut back, room).unwrap();
-            assert_eq!(up, Some(Heard::Up));
+            assert_eq!(up, Some(EngineEvent::Ready));
             input.drain(..used);
         }
     }
@@ -135,7 +135,7 @@
     .concat();
     let whole = answered(&[&answers], usize::MAX);
     assert_eq!(whole.1.len(), 3);
-    let Heard::Done(last) = &whole.1[2] else { panic!() };
+    let EngineEvent::UnitDone(last) = &whole.1[2] else { panic!() };
     assert_eq!((last.status, last.error.as_deref(), last.fault), (b'E', Some("22023"), false));
     // A notification is nobody's; all else goes on, and the Close of a statement is answered here.
     assert!(whole.0.windows(5).any(|w| w == wire::CLOSE_COMPLETE));
@@ -152,7 +152,7 @@
 #[test]
 fn a_row_of_any_size_goes_on_in_pieces() {
     let (mut out, mut back) = (Vec::new(), Vec::new());
-    let mut engine = Engine::new(Account::default(), 8, &mut out);
+    let mut engine = EngineConnection::new(Account::default(), 8, &mut out);
     engine.read(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I", &mut out, &mut back, 1 << 20).unwrap();
     let part = read(&[&message(b'Q', b"select 1\0")]).remove(0);
     engine.send(&part, &Rc::<Settings>::default(), false, &mut out, &mut back);
