--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -9,10 +9,10 @@
 
 use hallmux_agreement::User;
 use hallmux_dispatcher::{Micros, Ticket};
-use hallmux_postgres::entry::{Access, Entry};
 use hallmux_postgres::pool::Account;
 use hallmux_postgres::prepared::Catalogue;
 use hallmux_postgres::session::{Bounds, Part, Session};
+use hallmux_postgres::startup::{Authentication, Startup};
 
 use super::servers::{Sent, ServerId, SessionId};
 use crate::link::Link;
@@ -66,7 +66,7 @@
 }
 
 enum Stage {
-    Entering(Box<Entry>),
+    Entering(Box<Startup>),
     In(Box<Inside>),
 }
 
@@ -108,14 +108,14 @@
 }
 
 /// Who may come in: users of the operator's file, with how they prove it.
-pub struct Users(HashMap<String, (Rc<User>, Access)>);
+pub struct Users(HashMap<String, (Rc<User>, Authentication)>);
 
 impl Users {
     /// A verifier that can't be read shuts its user out.
     pub fn new(users: &std::collections::BTreeMap<String, User>) -> Users {
         let access = |user: &User| match &user.verifier {
-            None => Some(Access::Trusted),
-            Some(text) => hallmux_postgres::scram::Verifier::read(text).map(Access::Verifier),
+            None => Some(Authentication::Trust),
+            Some(text) => hallmux_postgres::scram::Verifier::read(text).map(Authentication::Scram),
         };
         let known =
             |(name, user): (&String, &User)| Some((name.clone(), (Rc::new(user.clone()), access(user)?)));
--- a/crates/front/src/postgres/sessions/taking.rs
+++ b/crates/front/src/postgres/sessions/taking.rs
@@ -6,9 +6,9 @@
 use hallmux_dispatcher::Micros;
 use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::engine;
-use hallmux_postgres::entry::{Step, Welcome};
 use hallmux_postgres::pool::Account;
 use hallmux_postgres::session::{Read, Session, Transaction};
+use hallmux_postgres::startup::{Client, StartupStep};
 use hallmux_postgres::wire;
 
 use super::{Inside, Sessions, Stage, Told, Users};
@@ -44,12 +44,12 @@
                             peer.ends = true;
                             (0, false)
                         }
-                        Ok((used, Step::More)) => (used, false),
-                        Ok((used, Step::Refused)) => {
+                        Ok((used, StartupStep::Incomplete)) => (used, false),
+                        Ok((used, StartupStep::Refused)) => {
                             peer.ends = true;
                             (used, false)
                         }
-                        Ok((used, Step::Cancel { process, secret })) => {
+                        Ok((used, StartupStep::Cancel { process, secret })) => {
                             peer.ends = true;
                             let meant = SessionId::from(process);
                             if self.peers.get(&meant).is_some_and(|p| p.secret == secret) {
@@ -57,7 +57,7 @@
                             }
                             (used, false)
                         }
-                        Ok((used, Step::Welcome(welcome))) => {
+                        Ok((used, StartupStep::Accepted(welcome))) => {
                             let user = users.0.get(&welcome.user).map(|(user, _)| user.clone());
                             let account = user.as_ref().and_then(|user| account(servers, user, &welcome));
                             match user.zip(account) {
@@ -173,7 +173,7 @@
 }
 
 /// The account at the engines of one that came in, unless there are too many.
-fn account(servers: &mut Servers, user: &User, welcome: &Welcome) -> Option<Account> {
+fn account(servers: &mut Servers, user: &User, welcome: &Client) -> Option<Account> {
     let who = engine::Account {
         user: user.engine_user.clone(),
         database: welcome.database.clone(),
@@ -205,7 +205,7 @@
 }
 
 /// What a client hears when it has come in.
-fn greet(out: &mut Vec<u8>, welcome: &Welcome, parameters: &[(String, String)], key: (u32, u32)) {
+fn greet(out: &mut Vec<u8>, welcome: &Client, parameters: &[(String, String)], key: (u32, u32)) {
     wire::write(out, b'R', |out| out.extend_from_slice(&0u32.to_be_bytes()));
     let usual = [
         ("server_version", "15.0"),
--- a/crates/postgres/fuzz/drive.rs
+++ b/crates/postgres/fuzz/drive.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 
 use hallmux_postgres::engine::{Account, EngineConnection, EngineEvent};
-use hallmux_postgres::entry::{Entry, Step};
 use hallmux_postgres::prepared::{Catalogue, Settings};
 use hallmux_postgres::session::{Bounds, Part, Read, Session};
 use hallmux_postgres::sql;
+use hallmux_postgres::startup::{Startup, StartupStep};
 
 const BOUNDS: Bounds = Bounds { statements: 8, portals: 4, settings: 4, bytes: 4096 };
 
@@ -15,23 +15,23 @@
 pub fn drive(bytes: &[u8]) {
     let Some((which, input)) = bytes.split_first() else { return };
     match which % 4 {
-        0 => entry(input),
+        0 => startup(input),
         1 => _ = session(input),
         2 => engine(input),
         _ => _ = sql::scan(input),
     }
 }
 
-fn entry(input: &[u8]) {
-    let (mut entry, mut out) = (Entry::default(), Vec::new());
+fn startup(input: &[u8]) {
+    let (mut startup, mut out) = (Startup::default(), Vec::new());
     let mut at = 0;
     // In two pieces, so that what is kept between them is met as well.
     for end in [input.len() / 2, input.len()] {
-        match entry.read(&input[at..end], |_| None, b"secret", "nonce", &mut out) {
+        match startup.read(&input[at..end], |_| None, b"secret", "nonce", &mut out) {
             Ok((used, step)) => {
                 assert!(used <= end - at && out.len() <= 4 * input.len() + 1024);
                 at += used;
-                if !matches!(step, Step::More) {
+                if !matches!(step, StartupStep::Incomplete) {
                     return;
                 }
             }
--- a/crates/postgres/src/lib.rs
+++ b/crates/postgres/src/lib.rs
@@ -4,13 +4,13 @@
 
 pub mod client_error;
 pub mod engine;
-pub mod entry;
 pub mod pool;
 pub mod prepared;
 mod protocol_error;
 pub mod scram;
 pub mod session;
 pub mod sql;
+pub mod startup;
 pub mod wire;
 
 pub use protocol_error::ProtocolError;
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -10,9 +10,9 @@
 
 use self::answering::quoted;
 use crate::client_error::ClientError;
-use crate::entry::Welcome;
 use crate::prepared::{Catalogue, Prepared, Settings};
 use crate::sql::{self, Change, Label, Own, Scan};
+use crate::startup::Client;
 use crate::wire;
 
 /// What a session may hold.
@@ -190,10 +190,10 @@
 }
 
 impl Session {
-    pub fn new(welcome: &Welcome, catalogue: &mut Catalogue) -> Session {
+    pub fn new(client: &Client, catalogue: &mut Catalogue) -> Session {
         let mut label = Label::default();
         let mut settings = Settings::default();
-        for (name, value) in &welcome.parameters {
+        for (name, value) in &client.parameters {
             match name.strip_prefix("hallmux.") {
                 Some(name) => _ = label.set(name, value),
                 None => {
@@ -203,8 +203,8 @@
             }
         }
         Session {
-            user: welcome.user.clone(),
-            database: welcome.database.clone(),
+            user: client.user.clone(),
+            database: client.database.clone(),
             settings: catalogue.settings(settings),
             label,
             ..Session::default()
--- a/crates/postgres/src/entry.rs
+++ b/crates/postgres/src/startup.rs
@@ -1,4 +1,5 @@
-//! How a client comes in: questions for encryption, versions, who it is and its proof.
+//! The start-up of a client's connection: requests for encryption, protocol versions, who the client is, and
+//! its authentication.
 
 use std::collections::BTreeMap;
 
@@ -10,9 +11,9 @@
 const LONGEST_PROOF: usize = 4096; // bytes; those of the library's take some hundred
 const MOST_QUESTIONS: usize = 2; // for encryption: there are two kinds
 
-/// Who came in and what it said about itself.
+/// A client by the parameters of its start-up.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Welcome {
+pub struct Client {
     pub user: String,
     pub database: String,
     /// All other parameters, those of `options` among them.
@@ -21,19 +22,19 @@
 
 /// How a user proves who it is.
 #[derive(Clone)]
-pub enum Access {
-    Trusted,
-    Verifier(Verifier),
+pub enum Authentication {
+    Trust,
+    Scram(Verifier),
 }
 
-pub enum Step {
+pub enum StartupStep {
     /// More has to come.
-    More,
+    Incomplete,
     Cancel {
         process: u32,
         secret: u32,
     },
-    Welcome(Welcome),
+    Accepted(Client),
     /// The reason is written; the connection ends.
     Refused,
 }
@@ -42,33 +43,35 @@
 enum Stage {
     #[default]
     Opening,
-    First(Welcome, Verifier),
-    Last(Welcome, Exchange),
+    First(Client, Verifier),
+    Last(Client, Exchange),
 }
 
 #[derive(Default)]
-pub struct Entry {
+pub struct Startup {
     stage: Stage,
     questions: usize,
 }
 
-impl Entry {
+impl Startup {
     /// Takes what has come and writes what is to go back. `access` tells how a user proves itself, None for
     /// one that does not exist; `secret` hides which do; `nonce` is new for each connection.
     pub fn read(
         &mut self,
         input: &[u8],
-        access: impl Fn(&str) -> Option<Access>,
+        access: impl Fn(&str) -> Option<Authentication>,
         secret: &[u8],
         nonce: &str,
         out: &mut Vec<u8>,
-    ) -> Result<(usize, Step), ProtocolError> {
+    ) -> Result<(usize, StartupStep), ProtocolError> {
         let mut used = 0;
         loop {
             let rest = &input[used..];
             match std::mem::take(&mut self.stage) {
                 Stage::Opening => {
-                    let Some((len, opening)) = wire::opening(rest)? else { return Ok((used, Step::More)) };
+                    let Some((len, opening)) = wire::opening(rest)? else {
+                        return Ok((used, StartupStep::Incomplete));
+                    };
                     used += len;
                     match opening {
                         Opening::Encrypt => {
@@ -79,11 +82,11 @@
                             out.push(b'N');
                         }
                         Opening::Cancel { process, secret } => {
-                            return Ok((used, Step::Cancel { process, secret }));
+                            return Ok((used, StartupStep::Cancel { process, secret }));
                         }
                         Opening::Other { major } => {
                             ClientError::UnsupportedVersion { major }.write(out, true);
-                            return Ok((used, Step::Refused));
+                            return Ok((used, StartupStep::Refused));
                         }
                         Opening::StartUp { minor, parameters } => {
                             let unknown: Vec<&str> =
@@ -91,57 +94,59 @@
                             if minor > 0 || !unknown.is_empty() {
                                 wire::write_version(out, &unknown);
                             }
-                            let welcome = match welcome(&parameters) {
-                                Ok(welcome) => welcome,
+                            let client = match client(&parameters) {
+                                Ok(client) => client,
                                 Err(why) => {
                                     why.write(out, true);
-                                    return Ok((used, Step::Refused));
+                                    return Ok((used, StartupStep::Refused));
                                 }
                             };
-                            let verifier = match access(&welcome.user) {
-                                Some(Access::Trusted) => return Ok((used, Step::Welcome(welcome))),
-                                Some(Access::Verifier(verifier)) => verifier,
-                                None => Verifier::of_nobody(&welcome.user, secret),
+                            let verifier = match access(&client.user) {
+                                Some(Authentication::Trust) => {
+                                    return Ok((used, StartupStep::Accepted(client)))
+                                }
+                                Some(Authentication::Scram(verifier)) => verifier,
+                                None => Verifier::of_nobody(&client.user, secret),
                             };
                             wire::write(out, b'R', |out| {
                                 out.extend_from_slice(&10u32.to_be_bytes());
                                 wire::write_string(out, MECHANISM.as_bytes());
                                 out.push(0);
                             });
-                            self.stage = Stage::First(welcome, verifier);
+                            self.stage = Stage::First(client, verifier);
                         }
                     }
                 }
-                Stage::First(welcome, verifier) => {
+                Stage::First(client, verifier) => {
                     let Some((body, len)) = proof(rest)? else {
-                        self.stage = Stage::First(welcome, verifier);
-                        return Ok((used, Step::More));
+                        self.stage = Stage::First(client, verifier);
+                        return Ok((used, StartupStep::Incomplete));
                     };
                     used += len;
                     let begun = first(body).and_then(|first| Exchange::begin(verifier, first, nonce));
                     let Some((exchange, answer)) = begun else {
-                        return Ok((used, refused(&welcome, out)));
+                        return Ok((used, refused(&client, out)));
                     };
                     wire::write(out, b'R', |out| {
                         out.extend_from_slice(&11u32.to_be_bytes());
                         out.extend_from_slice(answer.as_bytes());
                     });
-                    self.stage = Stage::Last(welcome, exchange);
+                    self.stage = Stage::Last(client, exchange);
                 }
-                Stage::Last(welcome, exchange) => {
+                Stage::Last(client, exchange) => {
                     let Some((body, len)) = proof(rest)? else {
-                        self.stage = Stage::Last(welcome, exchange);
-                        return Ok((used, Step::More));
+                        self.stage = Stage::Last(client, exchange);
+                        return Ok((used, StartupStep::Incomplete));
                     };
                     used += len;
                     let Some(answer) = exchange.finish(body) else {
-                        return Ok((used, refused(&welcome, out)));
+                        return Ok((used, refused(&client, out)));
                     };
                     wire::write(out, b'R', |out| {
                         out.extend_from_slice(&12u32.to_be_bytes());
                         out.extend_from_slice(answer.as_bytes());
                     });
-                    return Ok((used, Step::Welcome(welcome)));
+                    return Ok((used, StartupStep::Accepted(client)));
                 }
             }
         }
@@ -159,7 +164,7 @@
     }
 }
 
-/// The client's first words, behind the mechanism that it chose.
+/// The client's first message of SASL, behind the mechanism that it chose.
 fn first(body: &[u8]) -> Option<&[u8]> {
     let mut rest = body;
     let mechanism = wire::string(&mut rest).ok()?;
@@ -167,33 +172,33 @@
     (mechanism == MECHANISM.as_bytes() && rest.len() - 4 == len).then_some(&rest[4..])
 }
 
-fn refused(welcome: &Welcome, out: &mut Vec<u8>) -> Step {
-    ClientError::WrongPassword { user: welcome.user.clone() }.write(out, true);
-    Step::Refused
+fn refused(client: &Client, out: &mut Vec<u8>) -> StartupStep {
+    ClientError::WrongPassword { user: client.user.clone() }.write(out, true);
+    StartupStep::Refused
 }
 
-fn welcome(parameters: &[(&str, &str)]) -> Result<Welcome, ClientError> {
-    let mut welcome = Welcome::default();
+fn client(parameters: &[(&str, &str)]) -> Result<Client, ClientError> {
+    let mut client = Client::default();
     for (name, value) in parameters {
         match *name {
-            "user" => welcome.user = value.to_string(),
-            "database" => welcome.database = value.to_string(),
+            "user" => client.user = value.to_string(),
+            "database" => client.database = value.to_string(),
             "replication" if !matches!(*value, "0" | "off" | "false" | "no") => {
                 return Err(ClientError::Unsupported { why: "replication" });
             }
             "replication" => {}
-            "options" => options(value, &mut welcome.parameters),
+            "options" => options(value, &mut client.parameters),
             name if name.starts_with("_pq_.") => {}
-            name => _ = welcome.parameters.insert(name.to_ascii_lowercase(), value.to_string()),
+            name => _ = client.parameters.insert(name.to_ascii_lowercase(), value.to_string()),
         }
     }
-    if welcome.user.is_empty() {
+    if client.user.is_empty() {
         return Err(ClientError::Protocol { why: ProtocolError::NoUser });
     }
-    if welcome.database.is_empty() {
-        welcome.database = welcome.user.clone();
+    if client.database.is_empty() {
+        client.database = client.user.clone();
     }
-    Ok(welcome)
+    Ok(client)
 }
 
 /// `-c name=value` and `--name=value`, spaces within a value behind a backslash.
@@ -216,5 +221,5 @@
 }
 
 #[cfg(test)]
-#[path = "entry_tests.rs"]
+#[path = "startup_tests.rs"]
 mod tests;
--- a/crates/postgres/src/entry_tests.rs
+++ b/crates/postgres/src/startup_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the `entry` module.
+//! Unit tests of the `startup` module.
 
 use super::*;
 use postgres_protocol::authentication::sasl::{ChannelBinding, ScramSha256};
@@ -10,12 +10,12 @@
     out
 }
 
-fn nobody(_: &str) -> Option<Access> {
+fn nobody(_: &str) -> Option<Authentication> {
     None
 }
 
-fn trusted(_: &str) -> Option<Access> {
-    Some(Access::Trusted)
+fn trusted(_: &str) -> Option<Authentication> {
+    Some(Authentication::Trust)
 }
 
 #[test]
@@ -24,15 +24,15 @@
     let options = "-c statement_timeout=5s --search-path=a\\ b";
     input.extend(start_up(2, &[("user", "u"), ("options", options), ("Application_Name", "x")]));
     for cut in 0..input.len() {
-        let (mut entry, mut out) = (Entry::default(), Vec::new());
-        let (used, step) = entry.read(&input[..cut], trusted, b"", "n", &mut out).unwrap();
-        assert!(matches!(step, Step::More));
-        let (_, step) = entry.read(&input[used..], trusted, b"", "n", &mut out).unwrap();
-        let Step::Welcome(welcome) = step else { panic!("no welcome") };
-        assert_eq!((&*welcome.user, &*welcome.database), ("u", "u"));
-        assert_eq!(welcome.parameters["statement_timeout"], "5s");
-        assert_eq!(welcome.parameters["search_path"], "a b");
-        assert_eq!(welcome.parameters["application_name"], "x");
+        let (mut startup, mut out) = (Startup::default(), Vec::new());
+        let (used, step) = startup.read(&input[..cut], trusted, b"", "n", &mut out).unwrap();
+        assert!(matches!(step, StartupStep::Incomplete));
+        let (_, step) = startup.read(&input[used..], trusted, b"", "n", &mut out).unwrap();
+        let StartupStep::Accepted(client) = step else { panic!("not accepted") };
+        assert_eq!((&*client.user, &*client.database), ("u", "u"));
+        assert_eq!(client.parameters["statement_timeout"], "5s");
+        assert_eq!(client.parameters["search_path"], "a b");
+        assert_eq!(client.parameters["application_name"], "x");
         assert_eq!(&out[..3], b"NNv");
     }
 }
@@ -41,11 +41,11 @@
 fn a_password_opens_the_door_and_nothing_else_does() {
     let verifier = postgres_protocol::password::scram_sha_256(b"secret");
     let verifier = Verifier::read(&verifier).unwrap();
-    let known = |user: &str| (user == "u").then(|| Access::Verifier(verifier.clone()));
+    let known = |user: &str| (user == "u").then(|| Authentication::Scram(verifier.clone()));
     for (user, password, opens) in [("u", "secret", true), ("u", "x", false), ("v", "secret", false)] {
         let mut client = ScramSha256::new(password.as_bytes(), ChannelBinding::unsupported());
-        let (mut entry, mut out) = (Entry::default(), Vec::new());
-        entry.read(&start_up(0, &[("user", user)]), known, b"s", "n", &mut out).unwrap();
+        let (mut startup, mut out) = (Startup::default(), Vec::new());
+        startup.read(&start_up(0, &[("user", user)]), known, b"s", "n", &mut out).unwrap();
         let mut message = Vec::new();
         wire::write(&mut message, b'p', |out| {
             wire::write_string(out, MECHANISM.as_bytes());
@@ -53,13 +53,13 @@
             out.extend_from_slice(client.message());
         });
         out.clear();
-        entry.read(&message, known, b"s", "n", &mut out).unwrap();
+        startup.read(&message, known, b"s", "n", &mut out).unwrap();
         client.update(&out[9..]).unwrap();
         message.clear();
         wire::write(&mut message, b'p', |out| out.extend_from_slice(client.message()));
         out.clear();
-        let (_, step) = entry.read(&message, known, b"s", "n", &mut out).unwrap();
-        assert_eq!(matches!(step, Step::Welcome(_)), opens, "{user} {password}");
+        let (_, step) = startup.read(&message, known, b"s", "n", &mut out).unwrap();
+        assert_eq!(matches!(step, StartupStep::Accepted(_)), opens, "{user} {password}");
         assert_eq!(out[0], if opens { b'R' } else { b'E' });
     }
 }
@@ -69,8 +69,8 @@
     let mut out = Vec::new();
     let mut refused = |input: &[u8]| {
         out.clear();
-        Entry::default().read(input, nobody, b"", "n", &mut out).map(|(_, step)| {
-            assert!(matches!(step, Step::Refused));
+        Startup::default().read(input, nobody, b"", "n", &mut out).map(|(_, step)| {
+            assert!(matches!(step, StartupStep::Refused));
             let body = &out[out.iter().position(|c| *c == b'E').unwrap() + 5..];
             String::from_utf8_lossy(wire::field(body, b'C').unwrap()).to_string()
         })
