--- a/crates/postgres/src/startup.rs
+++ b/crates/postgres/src/startup.rs
@@ -11,6 +11,11 @@
 const LONGEST_PROOF: usize = 4096; // bytes; those of the library's take some hundred
 const MOST_QUESTIONS: usize = 2; // for encryption: there are two kinds
 
+// Kinds of authentication messages, as the protocol numbers them.
+const SASL: u32 = 10;
+const SASL_CONTINUE: u32 = 11;
+const SASL_FINAL: u32 = 12;
+
 /// A client by the parameters of its start-up.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Client {
@@ -54,8 +59,9 @@
 }
 
 impl Startup {
-    /// Takes what has come and writes what is to go back. `access` tells how a user proves itself, None for
-    /// one that does not exist; `secret` hides which do; `nonce` is new for each connection.
+    /// Takes what has come and writes what is to go back; says how much was taken. `access` tells how a user
+    /// proves itself, None for one that does not exist; `secret` hides which do; `nonce` is new for each
+    /// connection. After any step but `Incomplete` it is not called again.
     pub fn read(
         &mut self,
         input: &[u8],
@@ -67,55 +73,13 @@
         let mut used = 0;
         loop {
             let rest = &input[used..];
-            match std::mem::take(&mut self.stage) {
+            let step = match std::mem::take(&mut self.stage) {
                 Stage::Opening => {
                     let Some((len, opening)) = wire::opening(rest)? else {
                         return Ok((used, StartupStep::Incomplete));
                     };
                     used += len;
-                    match opening {
-                        Opening::Encrypt => {
-                            self.questions += 1;
-                            if self.questions > MOST_QUESTIONS {
-                                return Err(ProtocolError::Encryption { times: self.questions });
-                            }
-                            out.push(b'N');
-                        }
-                        Opening::Cancel { process, secret } => {
-                            return Ok((used, StartupStep::Cancel { process, secret }));
-                        }
-                        Opening::Other { major } => {
-                            ClientError::UnsupportedVersion { major }.write(out, true);
-                            return Ok((used, StartupStep::Refused));
-                        }
-                        Opening::StartUp { minor, parameters } => {
-                            let unknown: Vec<&str> =
-                                parameters.iter().map(|p| p.0).filter(|n| n.starts_with("_pq_.")).collect();
-                            if minor > 0 || !unknown.is_empty() {
-                                wire::write_version(out, &unknown);
-                            }
-                            let client = match client(&parameters) {
-                                Ok(client) => client,
-                                Err(why) => {
-                                    why.write(out, true);
-                                    return Ok((used, StartupStep::Refused));
-                                }
-                            };
-                            let verifier = match access(&client.user) {
-                                Some(Authentication::Trust) => {
-                                    return Ok((used, StartupStep::Accepted(client)))
-                                }
-                                Some(Authentication::Scram(verifier)) => verifier,
-                                None => Verifier::of_nobody(&client.user, secret),
-                            };
-                            wire::write(out, b'R', |out| {
-                                out.extend_from_slice(&10u32.to_be_bytes());
-                                wire::write_string(out, MECHANISM.as_bytes());
-                                out.push(0);
-                            });
-                            self.stage = Stage::First(client, verifier);
-                        }
-                    }
+                    self.open(opening, &access, secret, out)?
                 }
                 Stage::First(client, verifier) => {
                     let Some((body, len)) = proof(rest)? else {
@@ -124,14 +88,14 @@
                     };
                     used += len;
                     let begun = first(body).and_then(|first| Exchange::begin(verifier, first, nonce));
-                    let Some((exchange, answer)) = begun else {
-                        return Ok((used, refused(&client, out)));
-                    };
-                    wire::write(out, b'R', |out| {
-                        out.extend_from_slice(&11u32.to_be_bytes());
-                        out.extend_from_slice(answer.as_bytes());
-                    });
-                    self.stage = Stage::Last(client, exchange);
+                    match begun {
+                        Some((exchange, answer)) => {
+                            write_authentication(out, SASL_CONTINUE, answer.as_bytes());
+                            self.stage = Stage::Last(client, exchange);
+                            None
+                        }
+                        None => Some(refused(&client, out)),
+                    }
                 }
                 Stage::Last(client, exchange) => {
                     let Some((body, len)) = proof(rest)? else {
@@ -139,18 +103,75 @@
                         return Ok((used, StartupStep::Incomplete));
                     };
                     used += len;
-                    let Some(answer) = exchange.finish(body) else {
-                        return Ok((used, refused(&client, out)));
-                    };
-                    wire::write(out, b'R', |out| {
-                        out.extend_from_slice(&12u32.to_be_bytes());
-                        out.extend_from_slice(answer.as_bytes());
-                    });
-                    return Ok((used, StartupStep::Accepted(client)));
+                    match exchange.finish(body) {
+                        Some(answer) => {
+                            write_authentication(out, SASL_FINAL, answer.as_bytes());
+                            Some(StartupStep::Accepted(client))
+                        }
+                        None => Some(refused(&client, out)),
+                    }
                 }
+            };
+            if let Some(step) = step {
+                return Ok((used, step));
             }
         }
     }
+
+    /// Takes the first message; None where another has to follow.
+    fn open(
+        &mut self,
+        opening: Opening,
+        access: impl Fn(&str) -> Option<Authentication>,
+        secret: &[u8],
+        out: &mut Vec<u8>,
+    ) -> Result<Option<StartupStep>, ProtocolError> {
+        match opening {
+            Opening::Encrypt => {
+                self.questions += 1;
+                if self.questions > MOST_QUESTIONS {
+                    return Err(ProtocolError::Encryption { times: self.questions });
+                }
+                out.push(b'N');
+                Ok(None)
+            }
+            Opening::Cancel { process, secret } => Ok(Some(StartupStep::Cancel { process, secret })),
+            Opening::Other { major } => {
+                ClientError::UnsupportedVersion { major }.write(out, true);
+                Ok(Some(StartupStep::Refused))
+            }
+            Opening::StartUp { minor, parameters } => {
+                let unknown: Vec<&str> =
+                    parameters.iter().map(|p| p.0).filter(|n| n.starts_with("_pq_.")).collect();
+                if minor > 0 || !unknown.is_empty() {
+                    wire::write_version(out, &unknown);
+                }
+                let client = match client(&parameters) {
+                    Ok(client) => client,
+                    Err(why) => {
+                        why.write(out, true);
+                        return Ok(Some(StartupStep::Refused));
+                    }
+                };
+                let verifier = match access(&client.user) {
+                    Some(Authentication::Trust) => return Ok(Some(StartupStep::Accepted(client))),
+                    Some(Authentication::Scram(verifier)) => verifier,
+                    None => Verifier::of_nobody(&client.user, secret),
+                };
+                write_authentication(out, SASL, &[MECHANISM.as_bytes(), b"\0\0"].concat());
+                self.stage = Stage::First(client, verifier);
+                Ok(None)
+            }
+        }
+    }
+}
+
+/// Writes a message of the authentication: its kind and what belongs to it.
+fn write_authentication(out: &mut Vec<u8>, kind: u32, body: &[u8]) {
+    wire::write(out, b'R', |out| {
+        out.extend_from_slice(&kind.to_be_bytes());
+        out.extend_from_slice(body);
+    });
 }
 
 fn proof(input: &[u8]) -> Result<Option<(&[u8], usize)>, ProtocolError> {
