--- a/crates/front/src/postgres/portal/asked.rs
+++ b/crates/front/src/postgres/portal/asked.rs
@@ -7,7 +7,7 @@
 use hallmux_codec::tables;
 use hallmux_dispatcher::{Ask, Dispatcher, Micros, Speech, Unfit};
 use hallmux_postgres::client_error::ClientError;
-use hallmux_postgres::session::{Part, Transaction};
+use hallmux_postgres::session::{Transaction, UnitPart};
 use hallmux_postgres::sql::Label;
 
 use super::{loads, Portal, Room};
@@ -24,7 +24,7 @@
         room: Room,
         dispatcher: &mut Dispatcher,
         id: SessionId,
-        part: Rc<Part>,
+        part: Rc<UnitPart>,
         since: Micros,
     ) {
         let Some(inside) = self.sessions.inside(id) else { return };
--- a/crates/front/src/postgres/portal/loads.rs
+++ b/crates/front/src/postgres/portal/loads.rs
@@ -4,7 +4,7 @@
 use hallmux_codec::tables;
 use hallmux_dispatcher::Ticket;
 use hallmux_postgres::client_error::ClientError;
-use hallmux_postgres::session::{Part, Transaction};
+use hallmux_postgres::session::{Transaction, UnitPart};
 use hallmux_scatter::marks::numbers;
 
 use super::Portal;
@@ -46,7 +46,7 @@
     }
 
     /// Whether more of a unit that is out names groups that nothing of it has named before.
-    pub(super) fn strays(&mut self, ticket: Ticket, part: &Part) -> bool {
+    pub(super) fn strays(&mut self, ticket: Ticket, part: &UnitPart) -> bool {
         if self.writes.is_empty() {
             return false;
         }
@@ -65,11 +65,11 @@
 }
 
 /// Whether a unit's text passes for a numbered load, where loads are marked.
-pub(super) fn passes_for_numbered(writes: &[String], part: &Part) -> bool {
+pub(super) fn passes_for_numbered(writes: &[String], part: &UnitPart) -> bool {
     !writes.is_empty() && part.texts().any(|text| !numbers(text).is_empty())
 }
 
-fn writes(workloads: &[String], inside: &Inside, part: &Part) -> bool {
+fn writes(workloads: &[String], inside: &Inside, part: &UnitPart) -> bool {
     let label = inside.session.label(part);
     let workload = label.workload.as_ref().or(inside.user.workload.as_ref());
     workload.is_some_and(|workload| workloads.contains(workload))
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -14,7 +14,7 @@
 use hallmux_postgres::engine::{Account, EngineConnection, UnitOutcome};
 use hallmux_postgres::pool::{self, Pools};
 use hallmux_postgres::prepared::Settings;
-use hallmux_postgres::session::Part;
+use hallmux_postgres::session::UnitPart;
 
 use crate::doors::Changes;
 use crate::front::Pacer;
@@ -66,7 +66,7 @@
 #[derive(Clone)]
 pub struct Unit {
     pub session: SessionId,
-    pub parts: Vec<Rc<Part>>,
+    pub parts: Vec<Rc<UnitPart>>,
     pub settings: Rc<Settings>,
     pub account: pool::Account,
     /// The connection that holds its transaction.
--- a/crates/front/src/postgres/servers/leaving.rs
+++ b/crates/front/src/postgres/servers/leaving.rs
@@ -6,7 +6,7 @@
 use hallmux_dispatcher::{Ending, Micros, Place};
 use hallmux_postgres::engine::EngineConnection;
 use hallmux_postgres::pool::{self, Step};
-use hallmux_postgres::session::Part;
+use hallmux_postgres::session::UnitPart;
 
 use super::{Execution, Sent, Server, ServerId, Servers, Stage, Told, Unit};
 use crate::doors::Door;
@@ -137,7 +137,7 @@
     }
 
     /// More of a unit that is out has come.
-    pub fn more(&mut self, sent: Sent, part: Rc<Part>) {
+    pub fn more(&mut self, sent: Sent, part: Rc<UnitPart>) {
         let Some(x) = self.executions.get_mut(&sent) else { return };
         x.unit.parts.push(part.clone());
         let Some(id) = x.link else { return };
--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -11,7 +11,7 @@
 use hallmux_dispatcher::{Micros, Ticket};
 use hallmux_postgres::pool::Account;
 use hallmux_postgres::prepared::Catalogue;
-use hallmux_postgres::session::{Bounds, Part, Session};
+use hallmux_postgres::session::{Bounds, Session, UnitPart};
 use hallmux_postgres::startup::{Authentication, Startup};
 
 use super::servers::{Sent, ServerId, SessionId};
@@ -22,9 +22,9 @@
 /// What happens at the door and needs the dispatcher or an engine.
 pub enum Told {
     /// A unit is to be taken; its last byte came at the time given.
-    Asked { session: SessionId, part: Rc<Part>, since: Micros },
+    Asked { session: SessionId, part: Rc<UnitPart>, since: Micros },
     /// More of the unit that is out.
-    More { ticket: Ticket, part: Rc<Part> },
+    More { ticket: Ticket, part: Rc<UnitPart> },
     /// The client no longer waits.
     Left(Ticket),
     /// A transaction is over: a connection that goes, the order keys that it kept.
@@ -36,7 +36,7 @@
 /// A unit that is taken and not answered.
 pub struct Running {
     pub ticket: Ticket,
-    pub parts: Vec<Rc<Part>>,
+    pub parts: Vec<Rc<UnitPart>>,
     pub commits: bool,
     /// An execution of it may have run.
     pub ran: bool,
--- a/crates/front/src/postgres/sessions/answering.rs
+++ b/crates/front/src/postgres/sessions/answering.rs
@@ -5,7 +5,7 @@
 use hallmux_dispatcher::{Micros, Ticket};
 use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::engine::UnitOutcome;
-use hallmux_postgres::session::Part;
+use hallmux_postgres::session::UnitPart;
 use hallmux_postgres::wire;
 
 use super::{Running, Sessions, Stage, Told};
@@ -13,7 +13,7 @@
 
 impl Sessions {
     /// A unit is taken under a ticket.
-    pub fn opened(&mut self, id: SessionId, ticket: Ticket, part: Rc<Part>, key: Option<String>) {
+    pub fn opened(&mut self, id: SessionId, ticket: Ticket, part: Rc<UnitPart>, key: Option<String>) {
         let Some(inside) = self.inside(id) else { return };
         let bytes = part.raw.len();
         inside.running = Some(Running {
@@ -35,11 +35,11 @@
     }
 
     /// A unit that was not taken gets its answer.
-    pub fn unfit(&mut self, id: SessionId, part: Rc<Part>, why: &ClientError) {
+    pub fn unfit(&mut self, id: SessionId, part: Rc<UnitPart>, why: &ClientError) {
         let Some(peer) = self.peers.get_mut(&id) else { return };
         let Stage::In(inside) = &mut peer.stage else { return };
         inside.session.fails(&[part], why, peer.link.output());
-        inside.skipping = inside.session.is_within();
+        inside.skipping = inside.session.is_in_unit();
         self.lost(id, false);
         self.dirty.insert(id);
         self.ready.push(id);
@@ -135,7 +135,7 @@
                 }
                 None => out.extend_from_slice(&own),
             }
-            inside.skipping = inside.session.is_within();
+            inside.skipping = inside.session.is_in_unit();
         }
         let cut = running.cut;
         self.lost(id, running.ran);
--- a/crates/front/src/postgres/sessions/ending.rs
+++ b/crates/front/src/postgres/sessions/ending.rs
@@ -111,7 +111,7 @@
             Stage::Entering(_) => Some(*id),
             Stage::In(inside) => {
                 let rests = inside.running.is_none() && !inside.session.transaction.is_held() && !p.ends;
-                (rests && !inside.session.is_within() && p.link.input.is_empty()).then_some(*id)
+                (rests && !inside.session.is_in_unit() && p.link.input.is_empty()).then_some(*id)
             }
         };
         let idle: Vec<SessionId> = self.peers.iter().filter_map(idle).collect();
--- a/crates/front/src/postgres/sessions/taking.rs
+++ b/crates/front/src/postgres/sessions/taking.rs
@@ -7,7 +7,7 @@
 use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::engine;
 use hallmux_postgres::pool::Account;
-use hallmux_postgres::session::{Read, Session, Transaction};
+use hallmux_postgres::session::{Session, SessionEvent, Transaction};
 use hallmux_postgres::startup::{Client, StartupStep};
 use hallmux_postgres::wire;
 
@@ -102,7 +102,7 @@
                     }
                 },
                 // One unit after the other: each may hang on how the last one ended.
-                Stage::In(inside) if inside.running.is_some() && !inside.session.is_within() => (0, false),
+                Stage::In(inside) if inside.running.is_some() && !inside.session.is_in_unit() => (0, false),
                 Stage::In(inside) => match inside.session.read(&input, &mut self.catalogue, &self.bounds) {
                     Err(why) => {
                         log::info!("session {id}: {}; its connection is closed", why.code());
@@ -110,12 +110,12 @@
                         peer.ends = true;
                         (0, false)
                     }
-                    Ok((used, Read::More)) => (used, false),
-                    Ok((used, Read::Goes)) => {
+                    Ok((used, SessionEvent::Incomplete)) => (used, false),
+                    Ok((used, SessionEvent::Terminated)) => {
                         peer.ends = true;
                         (used, false)
                     }
-                    Ok((used, Read::Part(part))) => {
+                    Ok((used, SessionEvent::Part(part))) => {
                         let since = came(&peer.marks, used).unwrap_or(now);
                         match &mut inside.running {
                             Some(running) => {
--- a/crates/postgres/fuzz/drive.rs
+++ b/crates/postgres/fuzz/drive.rs
@@ -5,7 +5,7 @@
 
 use hallmux_postgres::engine::{Account, EngineConnection, EngineEvent};
 use hallmux_postgres::prepared::{Catalogue, Settings};
-use hallmux_postgres::session::{Bounds, Part, Read, Session};
+use hallmux_postgres::session::{Bounds, Session, SessionEvent, UnitPart};
 use hallmux_postgres::sql;
 use hallmux_postgres::startup::{Startup, StartupStep};
 
@@ -41,7 +41,7 @@
 }
 
 /// Reads all units that the bytes hold.
-pub fn session(input: &[u8]) -> Vec<Rc<Part>> {
+pub fn session(input: &[u8]) -> Vec<Rc<UnitPart>> {
     let mut catalogue = Catalogue::default();
     let mut session = Session::new(&Default::default(), &mut catalogue);
     let (mut parts, mut at, mut out) = (Vec::new(), 0, Vec::new());
@@ -49,12 +49,12 @@
         assert!(used <= input.len() - at);
         at += used;
         match read {
-            Read::Part(part) => {
+            SessionEvent::Part(part) => {
                 assert!(used > 0 && part.raw.len() <= BOUNDS.bytes);
                 session.answers(&part, &mut catalogue, &mut out);
                 parts.push(part);
             }
-            Read::More | Read::Goes => break,
+            SessionEvent::Incomplete | SessionEvent::Terminated => break,
         }
     }
     parts
--- a/crates/postgres/src/engine.rs
+++ b/crates/postgres/src/engine.rs
@@ -12,7 +12,7 @@
 
 use crate::client_error::ClientError;
 use crate::prepared::Settings;
-use crate::session::Part;
+use crate::session::UnitPart;
 use crate::wire;
 
 /// How a unit ended.
@@ -104,7 +104,7 @@
     unnamed: Option<u64>,
     /// None where it is not known.
     settings: Option<Rc<Settings>>,
-    waits: Vec<(Rc<Part>, Rc<Settings>)>,
+    waits: Vec<(Rc<UnitPart>, Rc<Settings>)>,
     set_error: Option<Vec<u8>>,
     expects: VecDeque<Expected>,
     /// An error came: the engine passes over all up to the Sync.
--- a/crates/postgres/src/engine/sending.rs
+++ b/crates/postgres/src/engine/sending.rs
@@ -4,7 +4,7 @@
 
 use super::{name, EngineConnection, Expected, Stage};
 use crate::prepared::{Prepared, Settings};
-use crate::session::{Op, Part};
+use crate::session::{Operation, UnitPart};
 use crate::wire;
 
 impl EngineConnection {
@@ -12,7 +12,7 @@
     /// What the front answers in the engine's place before any word of it goes to `back`.
     pub fn send(
         &mut self,
-        part: &Rc<Part>,
+        part: &Rc<UnitPart>,
         settings: &Rc<Settings>,
         own: bool,
         out: &mut Vec<u8>,
@@ -46,17 +46,17 @@
         }
     }
 
-    fn step(&mut self, op: &Op, raw: &[u8], out: &mut Vec<u8>) {
-        if self.skipping && !matches!(op, Op::Sync) {
+    fn step(&mut self, op: &Operation, raw: &[u8], out: &mut Vec<u8>) {
+        if self.skipping && !matches!(op, Operation::Sync) {
             return;
         }
         let message = |at: &std::ops::Range<usize>| raw.get(at.clone()).unwrap_or_default();
         match op {
-            Op::Parse { prepared, named: true } if self.has(prepared.number) => {
+            Operation::Parse { prepared, named: true } if self.has(prepared.number) => {
                 self.expects.push_back(Expected::Make(wire::PARSE_COMPLETE));
             }
-            Op::Parse { prepared, named } => self.parse(prepared, *named, false, out),
-            Op::Bind { prepared, named, portal, rest } => {
+            Operation::Parse { prepared, named } => self.parse(prepared, *named, false, out),
+            Operation::Bind { prepared, named, portal, rest } => {
                 self.ensure(prepared, *named, out);
                 wire::write(out, b'B', |out| {
                     wire::write_string(out, message(portal));
@@ -68,7 +68,7 @@
                 });
                 self.expects.push_back(Expected::Bound);
             }
-            Op::Describe { prepared, named } => {
+            Operation::Describe { prepared, named } => {
                 self.ensure(prepared, *named, out);
                 wire::write(out, b'D', |out| {
                     out.push(b'S');
@@ -79,20 +79,20 @@
                 });
                 self.expects.push_back(Expected::Described);
             }
-            Op::DescribePortal(at) => {
+            Operation::DescribePortal(at) => {
                 out.extend_from_slice(message(at));
                 self.expects.push_back(Expected::Described);
             }
-            Op::Execute(at) => {
+            Operation::Execute(at) => {
                 out.extend_from_slice(message(at));
                 self.expects.push_back(Expected::Executed);
             }
-            Op::ClosePortal(at) => {
+            Operation::ClosePortal(at) => {
                 out.extend_from_slice(message(at));
                 self.expects.push_back(Expected::Closed { hidden: None });
             }
-            Op::CloseStatement => self.expects.push_back(Expected::Make(wire::CLOSE_COMPLETE)),
-            Op::Fail(why) => {
+            Operation::CloseStatement => self.expects.push_back(Expected::Make(wire::CLOSE_COMPLETE)),
+            Operation::Fail(why) => {
                 // A statement of this name there never is: the engine fails what went before in the unit.
                 wire::write(out, b'B', |out| {
                     wire::write_string(out, b"");
@@ -101,12 +101,12 @@
                 });
                 self.expects.push_back(Expected::Fail(why.clone()));
             }
-            Op::Query(at) => {
+            Operation::Query(at) => {
                 out.extend_from_slice(message(at));
                 self.expects.push_back(Expected::Query);
             }
-            Op::Flush => out.extend_from_slice(wire::FLUSH),
-            Op::Sync => {
+            Operation::Flush => out.extend_from_slice(wire::FLUSH),
+            Operation::Sync => {
                 out.extend_from_slice(wire::SYNC);
                 self.expects.push_back(Expected::Sync);
                 self.skipping = false;
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -55,7 +55,7 @@
 
 /// One step of a unit; places are those in the part's bytes.
 #[derive(Debug)]
-pub enum Op {
+pub enum Operation {
     Parse {
         prepared: Rc<Prepared>,
         named: bool,
@@ -85,8 +85,8 @@
 
 /// A unit, or as much of one as came before a Flush.
 #[derive(Debug, Default)]
-pub struct Part {
-    pub ops: Vec<Op>,
+pub struct UnitPart {
+    pub ops: Vec<Operation>,
     pub raw: Vec<u8>,
     /// Whether the unit ends with it.
     pub ends: bool,
@@ -95,7 +95,7 @@
     pub commits: bool,
     pub rolls_back: bool,
     pub changes: Vec<Change>,
-    /// The first text that runs: a place in the bytes, or what was prepared.
+    /// The first text that runs: a range of the bytes, or what was prepared.
     query: Option<Range<usize>>,
     first: Option<Rc<Prepared>>,
     /// Names of what it parses, in order, and whether it can be answered here.
@@ -104,7 +104,7 @@
     own: Vec<Own>,
 }
 
-impl Part {
+impl UnitPart {
     /// The first text that it runs.
     pub fn text(&self) -> &[u8] {
         let query = self.query.clone().and_then(|at| self.raw.get(at));
@@ -115,9 +115,9 @@
     pub fn texts(&self) -> impl Iterator<Item = &[u8]> {
         let query = self.query.clone().and_then(|at| self.raw.get(at));
         let prepared = self.ops.iter().filter_map(|op| match op {
-            Op::Parse { prepared, .. } | Op::Bind { prepared, .. } | Op::Describe { prepared, .. } => {
-                Some(prepared.text())
-            }
+            Operation::Parse { prepared, .. }
+            | Operation::Bind { prepared, .. }
+            | Operation::Describe { prepared, .. } => Some(prepared.text()),
             _ => None,
         });
         query.into_iter().chain(prepared)
@@ -125,17 +125,17 @@
 
     /// Its text where it is a simple query.
     pub fn simple(&self) -> Option<&[u8]> {
-        matches!(self.ops[..], [Op::Query(_)]).then(|| self.text())
+        matches!(self.ops[..], [Operation::Query(_)]).then(|| self.text())
     }
 
     /// The same with other text, where it is a simple query.
-    pub fn with_text(&self, text: &[u8]) -> Option<Part> {
+    pub fn with_text(&self, text: &[u8]) -> Option<UnitPart> {
         self.simple()?;
         let mut raw = Vec::new();
         wire::write(&mut raw, b'Q', |out| wire::write_string(out, text));
         let query = raw.len() - 1 - text.len()..raw.len() - 1;
-        Some(Part {
-            ops: vec![Op::Query(0..raw.len())],
+        Some(UnitPart {
+            ops: vec![Operation::Query(0..raw.len())],
             raw,
             ends: self.ends,
             label: self.label.clone(),
@@ -145,7 +145,7 @@
             changes: self.changes.clone(),
             query: Some(query),
             own: self.own.clone(),
-            ..Part::default()
+            ..UnitPart::default()
         })
     }
 
@@ -159,12 +159,12 @@
     }
 }
 
-/// What has come from a client.
-pub enum Read {
+/// What a client's input holds.
+pub enum SessionEvent {
     /// More has to come.
-    More,
-    Part(Rc<Part>),
-    Goes,
+    Incomplete,
+    Part(Rc<UnitPart>),
+    Terminated,
 }
 
 #[derive(Default)]
@@ -178,15 +178,15 @@
     unnamed: Option<Rc<Prepared>>,
     /// Names of the portals that its unit or transaction has opened.
     portals: HashSet<Vec<u8>>,
-    held: usize,
-    /// Why the open transaction is lost, as long as its client has not been told.
-    untold: Option<&'static str>,
+    held_bytes: usize,
+    /// Why the open transaction is lost, until its client has been told.
+    unreported_loss: Option<&'static str>,
     /// Changes of the open transaction: they go with it where it is rolled back.
-    pending: Vec<Change>,
+    pending_changes: Vec<Change>,
     /// A unit has begun and not ended.
-    within: bool,
-    /// Bytes of the input that were looked at before.
-    looked: usize,
+    in_unit: bool,
+    /// Bytes of the input that were scanned before.
+    scanned: usize,
 }
 
 impl Session {
@@ -212,7 +212,7 @@
     }
 
     /// The labels that hold for a unit.
-    pub fn label(&self, part: &Part) -> Label {
+    pub fn label(&self, part: &UnitPart) -> Label {
         self.label.over(&part.label)
     }
 
@@ -225,15 +225,15 @@
     }
 
     /// A unit has begun, and its Sync has yet to come.
-    pub fn is_within(&self) -> bool {
-        self.within
+    pub fn is_in_unit(&self) -> bool {
+        self.in_unit
     }
 }
 
-impl Part {
+impl UnitPart {
     /// Statements parsed before the first step that fails.
     fn done_before_fault(&self) -> usize {
-        let before = self.ops.iter().take_while(|op| !matches!(op, Op::Fail(_)));
-        before.filter(|op| matches!(op, Op::Parse { .. })).count()
+        let before = self.ops.iter().take_while(|op| !matches!(op, Operation::Fail(_)));
+        before.filter(|op| matches!(op, Operation::Parse { .. })).count()
     }
 }
--- a/crates/postgres/src/session/answering.rs
+++ b/crates/postgres/src/session/answering.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use super::reading::ends;
-use super::{Bounds, Op, Part, Session, Transaction};
+use super::{Bounds, Operation, Session, Transaction, UnitPart};
 use crate::client_error::ClientError;
 use crate::engine::UnitOutcome;
 use crate::prepared::{Catalogue, Settings};
@@ -12,11 +12,11 @@
 
 impl Session {
     /// Answers a unit that needs no engine. False if it does.
-    pub fn answers(&mut self, part: &Part, catalogue: &mut Catalogue, out: &mut Vec<u8>) -> bool {
+    pub fn answers(&mut self, part: &UnitPart, catalogue: &mut Catalogue, out: &mut Vec<u8>) -> bool {
         let lost = self.transaction == Transaction::Lost;
         let held = self.transaction.is_held();
         // Guards against a transaction whose engine would not learn that it has failed.
-        let fails = part.ops.iter().any(|op| matches!(op, Op::Fail(_)));
+        let fails = part.ops.iter().any(|op| matches!(op, Operation::Fail(_)));
         let discards = part.own.contains(&Own::Discard);
         if !part.ends || !lost && (!part.local || held && (fails || discards)) {
             return false;
@@ -26,37 +26,39 @@
         let mut query = false;
         for op in &part.ops {
             let step: &[u8] = match op {
-                Op::Sync | Op::Flush => continue,
+                Operation::Sync | Operation::Flush => continue,
                 _ if failed => continue,
-                Op::Fail(why) => {
+                Operation::Fail(why) => {
                     why.write(out, false);
                     failed = true;
                     continue;
                 }
-                Op::Query(_) => {
+                Operation::Query(_) => {
                     query = true;
                     let scan = sql::scan(part.text());
                     failed = !self.runs(&scan, catalogue, out);
                     continue;
                 }
-                Op::Parse { prepared, .. } | Op::Bind { prepared, .. } | Op::Describe { prepared, .. }
+                Operation::Parse { prepared, .. }
+                | Operation::Bind { prepared, .. }
+                | Operation::Describe { prepared, .. }
                     if lost && !ends(&prepared.scan) =>
                 {
                     self.aborted().write(out, false);
                     failed = true;
                     continue;
                 }
-                Op::Parse { .. } => wire::PARSE_COMPLETE,
-                Op::Bind { prepared, .. } => {
+                Operation::Parse { .. } => wire::PARSE_COMPLETE,
+                Operation::Bind { prepared, .. } => {
                     bound = Some(prepared.clone());
                     wire::BIND_COMPLETE
                 }
-                Op::Describe { .. } => {
+                Operation::Describe { .. } => {
                     out.extend_from_slice(wire::NO_PARAMETERS);
                     wire::NO_DATA
                 }
-                Op::DescribePortal(_) => wire::NO_DATA,
-                Op::Execute(_) => {
+                Operation::DescribePortal(_) => wire::NO_DATA,
+                Operation::Execute(_) => {
                     match &bound {
                         Some(prepared) => failed = !self.runs(&prepared.clone().scan, catalogue, out),
                         None => {
@@ -66,12 +68,12 @@
                     }
                     continue;
                 }
-                Op::ClosePortal(_) | Op::CloseStatement => wire::CLOSE_COMPLETE,
+                Operation::ClosePortal(_) | Operation::CloseStatement => wire::CLOSE_COMPLETE,
             };
             out.extend_from_slice(step);
         }
         if failed && !query {
-            self.keep_parsed(std::slice::from_ref(part), part.done_before_fault());
+            self.forget_unparsed(std::slice::from_ref(part), part.done_before_fault());
         }
         wire::write_ready(out, self.transaction.status());
         true
@@ -79,7 +81,7 @@
 
     /// Why nothing runs in a transaction that is lost; the first time with the reason.
     fn aborted(&mut self) -> ClientError {
-        match self.untold.take() {
+        match self.unreported_loss.take() {
             Some(why) => ClientError::RolledBack { why },
             None => ClientError::InFailedTransaction,
         }
@@ -89,16 +91,16 @@
     fn runs(&mut self, scan: &Scan, catalogue: &mut Catalogue, out: &mut Vec<u8>) -> bool {
         if self.transaction == Transaction::Lost {
             // Guards against a commit that seems to have come to pass, of a client that knows of no failure.
-            let untold = self.untold.take().filter(|_| !scan.rolls_back);
+            let unreported_loss = self.unreported_loss.take().filter(|_| !scan.rolls_back);
             if ends(scan) {
                 self.transaction = Transaction::None;
             }
-            match untold {
+            match unreported_loss {
                 Some(why) => ClientError::RolledBack { why }.write(out, false),
                 None if ends(scan) => wire::write_complete(out, "ROLLBACK"),
                 None => ClientError::InFailedTransaction.write(out, false),
             }
-            return untold.is_none() && ends(scan);
+            return unreported_loss.is_none() && ends(scan);
         }
         let Some(own) = &scan.own else { return true };
         match own {
@@ -111,7 +113,7 @@
             }
             Own::Deallocate | Own::Discard => {
                 self.statements.clear();
-                (self.unnamed, self.held) = (None, 0);
+                (self.unnamed, self.held_bytes) = (None, 0);
                 if *own == Own::Discard {
                     self.settings = catalogue.settings(Settings::default());
                 }
@@ -124,7 +126,7 @@
     /// Takes in how a unit ended at an engine.
     pub fn done(
         &mut self,
-        parts: &[Rc<Part>],
+        parts: &[Rc<UnitPart>],
         done: &UnitOutcome,
         catalogue: &mut Catalogue,
         bounds: &Bounds,
@@ -142,7 +144,7 @@
                         self.label.set(name, value);
                     }
                 }
-                self.pending.extend(part.changes.iter().cloned());
+                self.pending_changes.extend(part.changes.iter().cloned());
             }
         }
         self.transaction = match done.status {
@@ -152,10 +154,10 @@
         };
         if self.transaction == Transaction::None {
             self.portals.clear();
-            let pending = std::mem::take(&mut self.pending);
-            if !failed && !done.rolled_back && !pending.is_empty() {
+            let pending_changes = std::mem::take(&mut self.pending_changes);
+            if !failed && !done.rolled_back && !pending_changes.is_empty() {
                 let mut settings = (*self.settings).clone();
-                pending.iter().for_each(|change| settings.change(change));
+                pending_changes.iter().for_each(|change| settings.change(change));
                 // Guards against a session that grows without end: it keeps as many as it may.
                 while settings.0.len() > bounds.settings {
                     settings.0.pop_last();
@@ -166,18 +168,18 @@
     }
 
     /// A unit ends here, with the front's own answer; with a transaction that is lost by that, if one was open.
-    pub fn fails(&mut self, parts: &[Rc<Part>], why: &ClientError, out: &mut Vec<u8>) {
+    pub fn fails(&mut self, parts: &[Rc<UnitPart>], why: &ClientError, out: &mut Vec<u8>) {
         for part in parts {
             part.named.iter().for_each(|name| self.forget(name));
         }
         self.lose();
-        self.untold = None;
+        self.unreported_loss = None;
         if parts.iter().any(|part| part.commits || part.rolls_back) {
             // It was the transaction's end, and its client asks for no other.
             self.transaction = Transaction::None;
         }
         why.write(out, false);
-        if !self.within {
+        if !self.in_unit {
             self.ready(out);
         }
     }
@@ -191,15 +193,15 @@
     pub fn lose(&mut self) {
         if self.transaction.is_held() {
             if self.transaction == Transaction::Open {
-                self.untold = Some("its engine drains or was lost");
+                self.unreported_loss = Some("its engine drains or was lost");
             }
             self.transaction = Transaction::Lost;
         }
         self.portals.clear();
-        self.pending.clear();
+        self.pending_changes.clear();
     }
 
-    fn keep_parsed(&mut self, parts: &[Part], parsed: usize) {
+    fn forget_unparsed(&mut self, parts: &[UnitPart], parsed: usize) {
         let named: Vec<Vec<u8>> = parts.iter().flat_map(|p| p.named.iter().cloned()).skip(parsed).collect();
         named.iter().for_each(|name| self.forget(name));
     }
--- a/crates/postgres/src/session/reading.rs
+++ b/crates/postgres/src/session/reading.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use super::{Bounds, Op, Part, Read, Session};
+use super::{Bounds, Operation, Session, SessionEvent, UnitPart};
 use crate::client_error::ClientError;
 use crate::prepared::{Catalogue, Prepared};
 use crate::sql::{self, Own, Scan};
@@ -18,9 +18,9 @@
         input: &[u8],
         catalogue: &mut Catalogue,
         bounds: &Bounds,
-    ) -> Result<(usize, Read), ClientError> {
+    ) -> Result<(usize, SessionEvent), ClientError> {
         let against = |why: ProtocolError| ClientError::Protocol { why };
-        let mut at = std::mem::take(&mut self.looked);
+        let mut at = std::mem::take(&mut self.scanned);
         let end = loop {
             match wire::head(&input[at..]).map_err(against)? {
                 Some((_, len)) if len > bounds.bytes || at + len > bounds.bytes => {
@@ -33,12 +33,12 @@
                     }
                 }
                 _ => {
-                    self.looked = at;
-                    return Ok((0, Read::More));
+                    self.scanned = at;
+                    return Ok((0, SessionEvent::Incomplete));
                 }
             }
         };
-        let mut part = Part { raw: input[..end].to_vec(), local: true, ..Part::default() };
+        let mut part = UnitPart { raw: input[..end].to_vec(), local: true, ..UnitPart::default() };
         let mut at = 0;
         let mut bound: HashMap<Vec<u8>, Rc<Prepared>> = HashMap::new();
         while at < end {
@@ -53,21 +53,23 @@
                 from..from + inner.len()
             };
             match wire::said(tag, body).map_err(against)? {
-                Said::Terminate => return Ok((end, Read::Goes)),
-                Said::Query(_) | Said::FunctionCall if self.within || at > 0 => {
+                Said::Terminate => return Ok((end, SessionEvent::Terminated)),
+                Said::Query(_) | Said::FunctionCall if self.in_unit || at > 0 => {
                     // What an engine would do with it depends on whether the unit has failed by then.
                     return Err(ClientError::Protocol { why: ProtocolError::Mixed });
                 }
                 Said::FunctionCall => {
-                    part.ops.push(Op::Fail(ClientError::Unsupported { why: "a function call" }));
-                    part.ops.push(Op::Sync);
+                    part.ops.push(Operation::Fail(ClientError::Unsupported { why: "a function call" }));
+                    part.ops.push(Operation::Sync);
                     part.ends = true;
                 }
                 Said::Query(text) => {
                     let scan = sql::scan(text);
                     match scan.not_here {
-                        Some(why) => part.ops.extend([Op::Fail(ClientError::Unsupported { why }), Op::Sync]),
-                        None => part.ops.push(Op::Query(whole.clone())),
+                        Some(why) => part
+                            .ops
+                            .extend([Operation::Fail(ClientError::Unsupported { why }), Operation::Sync]),
+                        None => part.ops.push(Operation::Query(whole.clone())),
                     }
                     part.local = scan.not_here.is_some() || scan.own.is_some();
                     part.query = Some(place(text));
@@ -82,7 +84,7 @@
                     let known_here = fault.is_none();
                     match fault.or(not_here) {
                         Some(why) => {
-                            part.ops.push(Op::Fail(why));
+                            part.ops.push(Operation::Fail(why));
                             // A name that was taken before stays with what it names.
                             if known_here {
                                 self.forget(name);
@@ -90,14 +92,14 @@
                         }
                         None => {
                             let named = !name.is_empty();
-                            part.ops.push(Op::Parse { prepared: prepared.clone(), named });
+                            part.ops.push(Operation::Parse { prepared: prepared.clone(), named });
                             part.named.push(name.to_vec());
                         }
                     }
                     part.first.get_or_insert(prepared);
                 }
                 Said::Bind { portal, .. } if !self.opens(portal, bounds) => {
-                    part.ops.push(Op::Fail(ClientError::LimitExceeded { why: "portals" }));
+                    part.ops.push(Operation::Fail(ClientError::LimitExceeded { why: "portals" }));
                 }
                 Said::Bind { portal, statement, rest } => match self.known(statement) {
                     Some(prepared) => {
@@ -106,36 +108,41 @@
                         part.first = Some(prepared.clone());
                         bound.insert(portal.to_vec(), prepared.clone());
                         let (portal, rest) = (place(portal), place(rest));
-                        part.ops.push(Op::Bind { prepared, named: !statement.is_empty(), portal, rest });
+                        part.ops.push(Operation::Bind {
+                            prepared,
+                            named: !statement.is_empty(),
+                            portal,
+                            rest,
+                        });
                     }
                     None => part.ops.push(no_such(statement)),
                 },
                 Said::Describe { statement: true, name } => match self.known(name) {
                     Some(prepared) => {
                         part.local &= prepared.scan.own.is_some();
-                        part.ops.push(Op::Describe { prepared, named: !name.is_empty() });
+                        part.ops.push(Operation::Describe { prepared, named: !name.is_empty() });
                     }
                     None => part.ops.push(no_such(name)),
                 },
                 Said::Describe { statement: false, name } => {
                     part.local &= bound.contains_key(name);
-                    part.ops.push(Op::DescribePortal(whole.clone()));
+                    part.ops.push(Operation::DescribePortal(whole.clone()));
                 }
                 Said::Execute { portal, .. } => {
                     part.local &= bound.contains_key(portal);
-                    part.ops.push(Op::Execute(whole.clone()));
+                    part.ops.push(Operation::Execute(whole.clone()));
                 }
                 Said::Close { statement: true, name } => {
                     self.forget(name);
-                    part.ops.push(Op::CloseStatement);
+                    part.ops.push(Operation::CloseStatement);
                 }
                 Said::Close { statement: false, name } => {
                     self.portals.remove(name);
-                    part.ops.push(Op::ClosePortal(whole.clone()));
+                    part.ops.push(Operation::ClosePortal(whole.clone()));
                 }
-                Said::Flush => part.ops.push(Op::Flush),
+                Said::Flush => part.ops.push(Operation::Flush),
                 Said::Sync => {
-                    part.ops.push(Op::Sync);
+                    part.ops.push(Operation::Sync);
                     part.ends = true;
                 }
                 // Outside a copy it is passed over, as engines do.
@@ -148,12 +155,12 @@
         if mixed {
             let why = "DISCARD or DEALLOCATE among other statements";
             let last = part.ops.pop();
-            part.ops.push(Op::Fail(ClientError::Unsupported { why }));
+            part.ops.push(Operation::Fail(ClientError::Unsupported { why }));
             part.ops.extend(last);
         }
-        part.local &= !self.within;
-        self.within = !part.ends;
-        Ok((end, Read::Part(Rc::new(part))))
+        part.local &= !self.in_unit;
+        self.in_unit = !part.ends;
+        Ok((end, SessionEvent::Part(Rc::new(part))))
     }
 
     fn known(&self, name: &[u8]) -> Option<Rc<Prepared>> {
@@ -180,11 +187,11 @@
         } else if self.statements.contains_key(name) {
             return Some(ClientError::DuplicateStatement { name: String::from_utf8_lossy(name).into() });
         } else if self.statements.len() >= bounds.statements
-            || self.held + name.len() + prepared.body.len() > bounds.bytes
+            || self.held_bytes + name.len() + prepared.body.len() > bounds.bytes
         {
             return Some(ClientError::LimitExceeded { why: "prepared statements" });
         } else {
-            self.held += name.len() + prepared.body.len();
+            self.held_bytes += name.len() + prepared.body.len();
             self.statements.insert(name.to_vec(), prepared.clone());
         }
         None
@@ -194,7 +201,7 @@
         if name.is_empty() {
             self.unnamed = None;
         } else if let Some(prepared) = self.statements.remove(name) {
-            self.held -= name.len() + prepared.body.len();
+            self.held_bytes -= name.len() + prepared.body.len();
         }
     }
 
@@ -208,7 +215,7 @@
             }
             at += len;
             if tag == b'S' {
-                self.within = false;
+                self.in_unit = false;
                 return Ok((at, true));
             }
         }
@@ -216,8 +223,8 @@
     }
 }
 
-fn no_such(name: &[u8]) -> Op {
-    Op::Fail(ClientError::NoSuchStatement { name: String::from_utf8_lossy(name).into() })
+fn no_such(name: &[u8]) -> Operation {
+    Operation::Fail(ClientError::NoSuchStatement { name: String::from_utf8_lossy(name).into() })
 }
 
 /// It does nothing but end a transaction.
--- a/crates/postgres/tests/split.rs
+++ b/crates/postgres/tests/split.rs
@@ -4,7 +4,7 @@
 
 use hallmux_postgres::engine::{Account, EngineConnection, EngineEvent};
 use hallmux_postgres::prepared::{Catalogue, Settings};
-use hallmux_postgres::session::{Bounds, Part, Read, Session};
+use hallmux_postgres::session::{Bounds, Session, SessionEvent, UnitPart};
 use hallmux_postgres::wire;
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -43,13 +43,13 @@
 }
 
 /// What a session makes of the bytes, which come in the pieces given.
-fn read(pieces: &[&[u8]]) -> Vec<Rc<Part>> {
+fn read(pieces: &[&[u8]]) -> Vec<Rc<UnitPart>> {
     let mut catalogue = Catalogue::default();
     let mut session = Session::new(&Default::default(), &mut catalogue);
     let (mut parts, mut input) = (Vec::new(), Vec::new());
     for piece in pieces {
         input.extend_from_slice(piece);
-        while let (used, Read::Part(part)) = session.read(&input, &mut catalogue, &BOUNDS).unwrap() {
+        while let (used, SessionEvent::Part(part)) = session.read(&input, &mut catalogue, &BOUNDS).unwrap() {
             input.drain(..used);
             parts.push(part);
         }
