--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -13,7 +13,7 @@
 use hallmux_dispatcher::{Dials, Ending, Micros, Place, Ticket};
 use hallmux_postgres::engine::{Account, EngineConnection, UnitOutcome};
 use hallmux_postgres::pool::{self, Pools};
-use hallmux_postgres::prepared::Settings;
+use hallmux_postgres::prepared::SessionSettings;
 use hallmux_postgres::session::UnitPart;
 
 use crate::doors::Changes;
@@ -67,7 +67,7 @@
 pub struct Unit {
     pub session: SessionId,
     pub parts: Vec<Rc<UnitPart>>,
-    pub settings: Rc<Settings>,
+    pub settings: Rc<SessionSettings>,
     pub account: pool::Account,
     /// The connection that holds its transaction.
     pub pin: Option<ServerId>,
--- a/crates/postgres/fuzz/drive.rs
+++ b/crates/postgres/fuzz/drive.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use hallmux_postgres::engine::{Account, EngineConnection, EngineEvent};
-use hallmux_postgres::prepared::{Catalogue, Settings};
+use hallmux_postgres::prepared::{Catalogue, SessionSettings};
 use hallmux_postgres::session::{Bounds, Session, SessionEvent, UnitPart};
 use hallmux_postgres::sql;
 use hallmux_postgres::startup::{Startup, StartupStep};
@@ -68,7 +68,7 @@
     let mut engine = EngineConnection::new(Account::default(), 2, &mut out);
     let login = b"R\0\0\0\x08\0\0\0\0K\0\0\0\x0c\0\0\0\x01\0\0\0\x02Z\0\0\0\x05I";
     assert!(matches!(engine.read(login, &mut out, &mut back, 64), Ok((_, Some(EngineEvent::Ready)))));
-    let settings = Rc::<Settings>::default();
+    let settings = Rc::<SessionSettings>::default();
     for part in &parts {
         engine.send(part, &settings, false, &mut out, &mut back);
     }
--- a/crates/postgres/src/engine.rs
+++ b/crates/postgres/src/engine.rs
@@ -11,7 +11,7 @@
 use postgres_protocol::authentication::sasl::ScramSha256;
 
 use crate::client_error::ClientError;
-use crate::prepared::Settings;
+use crate::prepared::SessionSettings;
 use crate::session::UnitPart;
 use crate::wire;
 
@@ -60,7 +60,7 @@
 #[derive(PartialEq)]
 enum Stage {
     Login,
-    /// Settings are being brought over; what waits for them.
+    /// SessionSettings are being brought over; what waits for them.
     Setting,
     Ready,
 }
@@ -103,8 +103,8 @@
     /// The statement without a name that this unit has put there.
     unnamed: Option<u64>,
     /// None where it is not known.
-    settings: Option<Rc<Settings>>,
-    waits: Vec<(Rc<UnitPart>, Rc<Settings>)>,
+    settings: Option<Rc<SessionSettings>>,
+    waits: Vec<(Rc<UnitPart>, Rc<SessionSettings>)>,
     set_error: Option<Vec<u8>>,
     expects: VecDeque<Expected>,
     /// An error came: the engine passes over all up to the Sync.
@@ -153,7 +153,7 @@
     }
 
     /// Whether a session with these settings finds its own here.
-    pub fn suits(&self, settings: &Rc<Settings>) -> bool {
+    pub fn suits(&self, settings: &Rc<SessionSettings>) -> bool {
         self.settings.as_ref().is_some_and(|own| Rc::ptr_eq(own, settings) || own == settings)
     }
 
--- a/crates/postgres/src/engine/receiving.rs
+++ b/crates/postgres/src/engine/receiving.rs
@@ -35,9 +35,9 @@
                 continue;
             }
             let Some((tag, len)) = wire::head(rest)? else { break };
-            let own = self.stage != Stage::Ready;
+            let login_or_settings = self.stage != Stage::Ready;
             // Rows and their like have no limit; they go on as they come.
-            if matches!(tag, b'D' | b'd' | b'T' | b't' | b'N') && !own && rest.len() < len {
+            if matches!(tag, b'D' | b'd' | b'T' | b't' | b'N') && !login_or_settings && rest.len() < len {
                 if rest.len() < LONGEST_WHOLE {
                     break;
                 }
--- a/crates/postgres/src/engine/sending.rs
+++ b/crates/postgres/src/engine/sending.rs
@@ -3,27 +3,27 @@
 use std::rc::Rc;
 
 use super::{name, EngineConnection, Expected, Stage};
-use crate::prepared::{Prepared, Settings};
+use crate::prepared::{Prepared, SessionSettings};
 use crate::session::{Operation, UnitPart};
 use crate::wire;
 
 impl EngineConnection {
-    /// Writes a part of a unit. `own` says that the session's transaction is open here, with its settings.
+    /// Writes a part of a unit. `in_transaction` says that the session's transaction is open here, with its settings.
     /// What the front answers in the engine's place before any word of it goes to `back`.
     pub fn send(
         &mut self,
         part: &Rc<UnitPart>,
-        settings: &Rc<Settings>,
-        own: bool,
+        settings: &Rc<SessionSettings>,
+        in_transaction: bool,
         out: &mut Vec<u8>,
         back: &mut Vec<u8>,
     ) {
         if self.stage == Stage::Setting {
             return self.waits.push((part.clone(), settings.clone()));
         }
-        if !own && !self.suits(settings) {
+        if !in_transaction && !self.suits(settings) {
             // Guards against a unit that runs with another's settings: it waits until they are confirmed.
-            wire::write_query(out, settings.again().as_bytes());
+            wire::write_query(out, settings.restoring_sql().as_bytes());
             self.stage = Stage::Setting;
             self.settings = None;
             return self.waits.push((part.clone(), settings.clone()));
--- a/crates/postgres/src/prepared.rs
+++ b/crates/postgres/src/prepared.rs
@@ -26,23 +26,23 @@
 
 /// A session's settings: for each name the statement that sets it.
 #[derive(Debug, Default, PartialEq, Eq, Hash, Clone)]
-pub struct Settings(pub BTreeMap<String, String>);
+pub struct SessionSettings(pub BTreeMap<String, String>);
 
-impl Settings {
+impl SessionSettings {
     pub fn change(&mut self, change: &Change) {
         match change {
-            Change::Set { name, again } => _ = self.0.insert(name.clone(), again.clone()),
+            Change::Set { name, statement } => _ = self.0.insert(name.clone(), statement.clone()),
             Change::Reset(name) => _ = self.0.remove(name),
             Change::ResetAll => self.0.clear(),
         }
     }
 
     /// What brings a connection in any state to this one.
-    pub fn again(&self) -> String {
+    pub fn restoring_sql(&self) -> String {
         let mut text = String::from("RESET ALL");
-        for again in self.0.values() {
+        for statement in self.0.values() {
             text.push_str("; ");
-            text.push_str(again);
+            text.push_str(statement);
         }
         text
     }
@@ -51,9 +51,9 @@
 /// All that is prepared and set, by what it holds.
 #[derive(Default)]
 pub struct Catalogue {
-    chance: std::hash::RandomState,
+    hasher: std::hash::RandomState,
     prepared: HashMap<u64, Vec<Weak<Prepared>>>,
-    settings: HashMap<u64, Vec<Weak<Settings>>>,
+    settings: HashMap<u64, Vec<Weak<SessionSettings>>>,
     next: u64,
     sweep_at: usize,
 }
@@ -61,7 +61,7 @@
 impl Catalogue {
     /// The one that holds this body; read and kept if it is new.
     pub fn prepare(&mut self, body: &[u8]) -> Rc<Prepared> {
-        let hash = self.chance.hash_one(body);
+        let hash = self.hasher.hash_one(body);
         let known = self.prepared.get(&hash).into_iter().flatten();
         if let Some(found) = known.filter_map(Weak::upgrade).find(|p| *p.body == *body) {
             return found;
@@ -75,8 +75,8 @@
     }
 
     /// The same settings as others may have.
-    pub fn settings(&mut self, settings: Settings) -> Rc<Settings> {
-        let hash = self.chance.hash_one(&settings);
+    pub fn settings(&mut self, settings: SessionSettings) -> Rc<SessionSettings> {
+        let hash = self.hasher.hash_one(&settings);
         let known = self.settings.get(&hash).into_iter().flatten();
         if let Some(found) = known.filter_map(Weak::upgrade).find(|s| **s == settings) {
             return found;
--- a/crates/postgres/src/prepared_tests.rs
+++ b/crates/postgres/src/prepared_tests.rs
@@ -18,10 +18,10 @@
 
 #[test]
 fn settings_follow_their_changes_and_can_be_set_again() {
-    let mut settings = Settings::default();
+    let mut settings = SessionSettings::default();
     let scan = sql::scan(b"SET a = 1; SET b = 2; SET a = 3; RESET b; SET c TO 'x'");
     scan.changes.iter().for_each(|change| settings.change(change));
-    assert_eq!(settings.again(), "RESET ALL; SET a = 3; SET c TO 'x'");
+    assert_eq!(settings.restoring_sql(), "RESET ALL; SET a = 3; SET c TO 'x'");
     settings.change(&Change::ResetAll);
-    assert_eq!(settings.again(), "RESET ALL");
+    assert_eq!(settings.restoring_sql(), "RESET ALL");
 }
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -10,8 +10,8 @@
 
 use self::answering::quoted;
 use crate::client_error::ClientError;
-use crate::prepared::{Catalogue, Prepared, Settings};
-use crate::sql::{self, Change, Label, Own, Scan};
+use crate::prepared::{Catalogue, Prepared, SessionSettings};
+use crate::sql::{self, Change, Label, LocalCommand, Scan};
 use crate::startup::Client;
 use crate::wire;
 
@@ -101,7 +101,7 @@
     /// Names of what it parses, in order, and whether it can be answered here.
     named: Vec<Vec<u8>>,
     local: bool,
-    own: Vec<Own>,
+    local_commands: Vec<LocalCommand>,
 }
 
 impl UnitPart {
@@ -144,18 +144,18 @@
             rolls_back: self.rolls_back,
             changes: self.changes.clone(),
             query: Some(query),
-            own: self.own.clone(),
+            local_commands: self.local_commands.clone(),
             ..UnitPart::default()
         })
     }
 
     fn runs(&mut self, scan: &Scan) {
-        self.label = self.label.over(&scan.label);
+        self.label = self.label.overridden_by(&scan.label);
         self.begins |= scan.begins;
         self.commits |= scan.commits;
         self.rolls_back |= scan.rolls_back;
         self.changes.extend(scan.changes.iter().cloned());
-        self.own.extend(scan.own.clone());
+        self.local_commands.extend(scan.local_command.clone());
     }
 }
 
@@ -172,7 +172,7 @@
     pub user: String,
     pub database: String,
     pub transaction: Transaction,
-    pub settings: Rc<Settings>,
+    pub settings: Rc<SessionSettings>,
     label: Label,
     statements: HashMap<Vec<u8>, Rc<Prepared>>,
     unnamed: Option<Rc<Prepared>>,
@@ -192,13 +192,13 @@
 impl Session {
     pub fn new(client: &Client, catalogue: &mut Catalogue) -> Session {
         let mut label = Label::default();
-        let mut settings = Settings::default();
+        let mut settings = SessionSettings::default();
         for (name, value) in &client.parameters {
             match name.strip_prefix("hallmux.") {
                 Some(name) => _ = label.set(name, value),
                 None => {
-                    let again = format!("SET {} TO '{}'", quoted(name), value.replace('\'', "''"));
-                    settings.0.insert(name.clone(), again);
+                    let statement = format!("SET {} TO '{}'", quoted(name), value.replace('\'', "''"));
+                    settings.0.insert(name.clone(), statement);
                 }
             }
         }
@@ -213,13 +213,13 @@
 
     /// The labels that hold for a unit.
     pub fn label(&self, part: &UnitPart) -> Label {
-        self.label.over(&part.label)
+        self.label.overridden_by(&part.label)
     }
 
     /// The time a statement may take, in microseconds, as the session has set it; 0 is no limit.
     pub fn statement_timeout(&self, label: &Label) -> Option<i64> {
         let set = self.settings.0.get("statement_timeout");
-        let set = set.and_then(|again| again.rsplit(['=', ' ']).next()).and_then(sql::time);
+        let set = set.and_then(|statement| statement.rsplit(['=', ' ']).next()).and_then(sql::time);
         let told = label.statement_timeout.as_deref().and_then(sql::time);
         set.into_iter().chain(told).filter(|time| *time > 0).min()
     }
--- a/crates/postgres/src/session/answering.rs
+++ b/crates/postgres/src/session/answering.rs
@@ -6,8 +6,8 @@
 use super::{Bounds, Operation, Session, Transaction, UnitPart};
 use crate::client_error::ClientError;
 use crate::engine::UnitOutcome;
-use crate::prepared::{Catalogue, Settings};
-use crate::sql::{self, Own, Scan};
+use crate::prepared::{Catalogue, SessionSettings};
+use crate::sql::{self, LocalCommand, Scan};
 use crate::wire;
 
 impl Session {
@@ -17,7 +17,7 @@
         let held = self.transaction.is_held();
         // Guards against a transaction whose engine would not learn that it has failed.
         let fails = part.ops.iter().any(|op| matches!(op, Operation::Fail(_)));
-        let discards = part.own.contains(&Own::Discard);
+        let discards = part.local_commands.contains(&LocalCommand::Discard);
         if !part.ends || !lost && (!part.local || held && (fails || discards)) {
             return false;
         }
@@ -102,24 +102,24 @@
             }
             return unreported_loss.is_none() && ends(scan);
         }
-        let Some(own) = &scan.own else { return true };
-        match own {
-            Own::Label(name, value) => {
+        let Some(command) = &scan.local_command else { return true };
+        match command {
+            LocalCommand::Label(name, value) => {
                 if !self.label.set(name, value) {
                     let why = "no such setting; see the page on PostgreSQL sessions";
                     ClientError::InvalidSetting { field: "hallmux", why }.write(out, false);
                     return false;
                 }
             }
-            Own::Deallocate | Own::Discard => {
+            LocalCommand::Deallocate | LocalCommand::Discard => {
                 self.statements.clear();
                 (self.unnamed, self.held_bytes) = (None, 0);
-                if *own == Own::Discard {
-                    self.settings = catalogue.settings(Settings::default());
+                if *command == LocalCommand::Discard {
+                    self.settings = catalogue.settings(SessionSettings::default());
                 }
             }
         }
-        wire::write_complete(out, own.tag());
+        wire::write_complete(out, command.tag());
         true
     }
 
@@ -139,8 +139,8 @@
             }
         } else {
             for part in parts {
-                for own in &part.own {
-                    if let Own::Label(name, value) = own {
+                for command in &part.local_commands {
+                    if let LocalCommand::Label(name, value) = command {
                         self.label.set(name, value);
                     }
                 }
--- a/crates/postgres/src/session/reading.rs
+++ b/crates/postgres/src/session/reading.rs
@@ -6,7 +6,7 @@
 use super::{Bounds, Operation, Session, SessionEvent, UnitPart};
 use crate::client_error::ClientError;
 use crate::prepared::{Catalogue, Prepared};
-use crate::sql::{self, Own, Scan};
+use crate::sql::{self, LocalCommand, Scan};
 use crate::wire::{self, Said};
 use crate::ProtocolError;
 
@@ -65,24 +65,24 @@
                 }
                 Said::Query(text) => {
                     let scan = sql::scan(text);
-                    match scan.not_here {
+                    match scan.unsupported {
                         Some(why) => part
                             .ops
                             .extend([Operation::Fail(ClientError::Unsupported { why }), Operation::Sync]),
                         None => part.ops.push(Operation::Query(whole.clone())),
                     }
-                    part.local = scan.not_here.is_some() || scan.own.is_some();
+                    part.local = scan.unsupported.is_some() || scan.local_command.is_some();
                     part.query = Some(place(text));
                     part.runs(&scan);
                     part.ends = true;
                 }
                 Said::Parse { name, body, .. } => {
                     let prepared = catalogue.prepare(body);
-                    part.local &= prepared.scan.own.is_some();
+                    part.local &= prepared.scan.local_command.is_some();
                     let fault = self.prepare(name, &prepared, bounds);
-                    let not_here = prepared.scan.not_here.map(|why| ClientError::Unsupported { why });
+                    let unsupported = prepared.scan.unsupported.map(|why| ClientError::Unsupported { why });
                     let known_here = fault.is_none();
-                    match fault.or(not_here) {
+                    match fault.or(unsupported) {
                         Some(why) => {
                             part.ops.push(Operation::Fail(why));
                             // A name that was taken before stays with what it names.
@@ -103,7 +103,7 @@
                 }
                 Said::Bind { portal, statement, rest } => match self.known(statement) {
                     Some(prepared) => {
-                        part.local &= prepared.scan.own.is_some();
+                        part.local &= prepared.scan.local_command.is_some();
                         part.runs(&prepared.scan);
                         part.first = Some(prepared.clone());
                         bound.insert(portal.to_vec(), prepared.clone());
@@ -119,7 +119,7 @@
                 },
                 Said::Describe { statement: true, name } => match self.known(name) {
                     Some(prepared) => {
-                        part.local &= prepared.scan.own.is_some();
+                        part.local &= prepared.scan.local_command.is_some();
                         part.ops.push(Operation::Describe { prepared, named: !name.is_empty() });
                     }
                     None => part.ops.push(no_such(name)),
@@ -151,7 +151,8 @@
             at += len;
         }
         // What shared connections can't carry can't hide among other steps either.
-        let mixed = !part.local && part.own.iter().any(|own| !matches!(own, Own::Label(..)));
+        let mixed = !part.local
+            && part.local_commands.iter().any(|command| !matches!(command, LocalCommand::Label(..)));
         if mixed {
             let why = "DISCARD or DEALLOCATE among other statements";
             let last = part.ops.pop();
--- a/crates/postgres/src/sql.rs
+++ b/crates/postgres/src/sql.rs
@@ -40,7 +40,7 @@
     }
 
     /// What is set in `other` goes before what is set here.
-    pub fn over(&self, other: &Label) -> Label {
+    pub fn overridden_by(&self, other: &Label) -> Label {
         let either = |a: &Option<String>, b: &Option<String>| b.clone().or_else(|| a.clone());
         Label {
             workload: either(&self.workload, &other.workload),
@@ -60,7 +60,7 @@
     /// The name, in lower case, and the statement that sets it again.
     Set {
         name: String,
-        again: String,
+        statement: String,
     },
     Reset(String),
     ResetAll,
@@ -68,7 +68,7 @@
 
 /// What the front answers of itself, when it is all that a text holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Own {
+pub enum LocalCommand {
     /// A label, its name behind `hallmux.` and its value.
     Label(String, String),
     /// Everything that the session has prepared goes.
@@ -77,13 +77,13 @@
     Discard,
 }
 
-impl Own {
+impl LocalCommand {
     /// The tag of its completion.
     pub fn tag(&self) -> &'static str {
         match self {
-            Own::Label(..) => "SET",
-            Own::Deallocate => "DEALLOCATE ALL",
-            Own::Discard => "DISCARD ALL",
+            LocalCommand::Label(..) => "SET",
+            LocalCommand::Deallocate => "DEALLOCATE ALL",
+            LocalCommand::Discard => "DISCARD ALL",
         }
     }
 }
@@ -98,9 +98,9 @@
     pub commits: bool,
     pub rolls_back: bool,
     pub changes: Vec<Change>,
-    pub own: Option<Own>,
+    pub local_command: Option<LocalCommand>,
     /// What in it can't be done over shared connections.
-    pub not_here: Option<&'static str>,
+    pub unsupported: Option<&'static str>,
 }
 
 const HEAD: usize = 8; // tokens kept of a statement's beginning: enough for every form below
@@ -116,7 +116,7 @@
         match token {
             Some(token) if token.kind != Kind::End => {
                 let first = *head.first().unwrap_or(&token);
-                within(&mut scan, text, &first, before.as_ref(), &token, &tokens);
+                check_word(&mut scan, text, &first, before.as_ref(), &token, &tokens);
                 if head.len() < HEAD {
                     head.push(token);
                 }
@@ -125,7 +125,7 @@
             ended => {
                 let end = ended.map_or(text.len(), |token| token.at);
                 if !head.is_empty() {
-                    statement(&mut scan, text, &head, end);
+                    check_statement(&mut scan, text, &head, end);
                 }
                 head.clear();
                 before = None;
@@ -136,18 +136,25 @@
         }
     }
     if scan.statements != 1 {
-        scan.own = None;
+        scan.local_command = None;
     }
     scan
 }
 
 /// Looks at one word in its place.
-fn within(scan: &mut Scan, text: &[u8], first: &Token, before: Option<&Token>, token: &Token, rest: &Tokens) {
+fn check_word(
+    scan: &mut Scan,
+    text: &[u8],
+    first: &Token,
+    before: Option<&Token>,
+    token: &Token,
+    rest: &Tokens,
+) {
     if token.kind != Kind::Word {
         return;
     }
     let follows = |word: &str| before.is_some_and(|before| before.is(word));
-    let not_here = if token.is("stdin") && follows("from") && first.is("copy") {
+    let unsupported = if token.is("stdin") && follows("from") && first.is("copy") {
         Some("COPY FROM STDIN")
     } else if (token.is("temp") || token.is("temporary"))
         && (follows("into")
@@ -164,16 +171,16 @@
         let call = &text[rest.at..];
         let end = memchr::memchr(b')', call).unwrap_or(call.len());
         let last = call[..end].trim_ascii_end();
-        let own = last.len() >= 4 && last[last.len() - 4..].eq_ignore_ascii_case(b"true");
-        (!own).then_some("set_config beyond its transaction")
+        let local = last.len() >= 4 && last[last.len() - 4..].eq_ignore_ascii_case(b"true");
+        (!local).then_some("set_config beyond its transaction")
     } else {
         None
     };
-    scan.not_here = scan.not_here.or(not_here);
+    scan.unsupported = scan.unsupported.or(unsupported);
 }
 
 /// Looks at a statement that is whole, by its beginning.
-fn statement(scan: &mut Scan, text: &[u8], head: &[Token], end: usize) {
+fn check_statement(scan: &mut Scan, text: &[u8], head: &[Token], end: usize) {
     scan.statements += 1;
     let second = |word: &str| head.get(1).is_some_and(|t| t.is(word));
     let first = |word: &str| head[0].is(word);
@@ -182,43 +189,43 @@
     } else if first("commit") || first("end") {
         scan.commits = true;
         if second("prepared") {
-            scan.not_here = Some("a transaction in two phases");
+            scan.unsupported = Some("a transaction in two phases");
         }
     } else if first("rollback") || first("abort") {
         if second("prepared") {
-            scan.not_here = Some("a transaction in two phases");
+            scan.unsupported = Some("a transaction in two phases");
         }
         let to = |t: &Token| t.is("to");
         scan.rolls_back |= !head.iter().any(to);
     } else if first("prepare") {
         let two = second("transaction");
-        scan.not_here = Some(if two { "a transaction in two phases" } else { "PREPARE as a statement" });
+        scan.unsupported = Some(if two { "a transaction in two phases" } else { "PREPARE as a statement" });
     } else if first("execute") {
-        scan.not_here = Some("EXECUTE as a statement");
+        scan.unsupported = Some("EXECUTE as a statement");
     } else if first("deallocate") {
         if head[1..].iter().any(|t| t.is("all")) {
-            scan.own = Some(Own::Deallocate);
-            scan.not_here = scan.not_here.or(Some("DEALLOCATE among other statements"));
+            scan.local_command = Some(LocalCommand::Deallocate);
+            scan.unsupported = scan.unsupported.or(Some("DEALLOCATE among other statements"));
         } else {
-            scan.not_here = Some("DEALLOCATE as a statement");
+            scan.unsupported = Some("DEALLOCATE as a statement");
         }
     } else if first("discard") {
         if second("all") {
-            scan.own = Some(Own::Discard);
+            scan.local_command = Some(LocalCommand::Discard);
         }
-        scan.not_here = scan.not_here.or(Some("DISCARD among other statements"));
+        scan.unsupported = scan.unsupported.or(Some("DISCARD among other statements"));
     } else if first("listen") || first("unlisten") {
-        scan.not_here = Some("LISTEN");
+        scan.unsupported = Some("LISTEN");
     } else if first("load") {
-        scan.not_here = Some("LOAD");
+        scan.unsupported = Some("LOAD");
     } else if first("set") || first("reset") {
         setting(scan, text, head, end);
     }
-    if scan.statements == 1 && scan.own.is_some() {
-        scan.not_here = None;
-    } else if scan.own.is_some() && scan.statements == 2 {
-        scan.not_here = scan.not_here.or(match scan.own {
-            Some(Own::Label(..)) => None,
+    if scan.statements == 1 && scan.local_command.is_some() {
+        scan.unsupported = None;
+    } else if scan.local_command.is_some() && scan.statements == 2 {
+        scan.unsupported = scan.unsupported.or(match scan.local_command {
+            Some(LocalCommand::Label(..)) => None,
             _ => Some("DISCARD or DEALLOCATE among other statements"),
         });
     }
--- a/crates/postgres/src/sql/settings.rs
+++ b/crates/postgres/src/sql/settings.rs
@@ -1,7 +1,7 @@
 //! Statements that change the settings of a session.
 
 use super::tokens::{Kind, Token};
-use super::{Change, Own, Scan};
+use super::{Change, LocalCommand, Scan};
 
 /// The value as text, out of its quotes.
 fn plain(value: &[u8]) -> String {
@@ -22,7 +22,7 @@
     }
     let Some(name) = rest.first() else { return };
     if name.is("role") || name.is("authorization") || name.is("characteristics") {
-        scan.not_here = Some("another role or transaction characteristics for a session");
+        scan.unsupported = Some("another role or transaction characteristics for a session");
         return;
     }
     // A name may have two parts.
@@ -30,7 +30,7 @@
     let full = if dotted { [name.text, b".", rest[2].text].concat() } else { name.text.to_vec() };
     let full = String::from_utf8_lossy(&full).to_ascii_lowercase().replace('"', "");
     let rest = &rest[if dotted { 3 } else { 1 }..];
-    let again = || {
+    let statement = || {
         let value = String::from_utf8_lossy(&text[name.at..end]).trim().to_string();
         format!("SET {value}")
     };
@@ -41,7 +41,7 @@
             _ => Change::Reset(full),
         });
         if let Some(short) = short {
-            scan.own = Some(Own::Label(short, String::new()));
+            scan.local_command = Some(LocalCommand::Label(short, String::new()));
         }
         return;
     }
@@ -54,14 +54,14 @@
         let value = rest.first().filter(|t| gives(t)).map_or(&b""[..], |t| &text[t.at + t.text.len()..end]);
         let value = plain(value);
         let value = if value.eq_ignore_ascii_case("default") { String::new() } else { value };
-        scan.own = Some(Own::Label(short, value));
+        scan.local_command = Some(LocalCommand::Label(short, value));
         return;
     }
     let value = rest.first().map(|t| String::from_utf8_lossy(&text[t.at + t.text.len()..end]).to_string());
     if full == "standard_conforming_strings"
         && !value.as_ref().is_some_and(|v| matches!(plain(v.as_bytes()).as_str(), "on" | "true" | "1"))
     {
-        scan.not_here = Some("backslashes in plain strings");
+        scan.unsupported = Some("backslashes in plain strings");
         return;
     }
     let name = match full.as_str() {
@@ -70,5 +70,9 @@
         _ => full,
     };
     let default = rest.iter().any(|t| t.is("default"));
-    scan.changes.push(if default { Change::Reset(name) } else { Change::Set { name, again: again() } });
+    scan.changes.push(if default {
+        Change::Reset(name)
+    } else {
+        Change::Set { name, statement: statement() }
+    });
 }
--- a/crates/postgres/src/sql_tests.rs
+++ b/crates/postgres/src/sql_tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn set(name: &str, again: &str) -> Change {
-    Change::Set { name: name.into(), again: again.into() }
+fn set(name: &str, statement: &str) -> Change {
+    Change::Set { name: name.into(), statement: statement.into() }
 }
 
 #[test]
@@ -26,7 +26,7 @@
 
 #[test]
 fn what_shared_connections_can_not_carry_is_found_and_its_like_is_not() {
-    for (text, not_here) in [
+    for (text, unsupported) in [
         ("COPY t FROM STDIN", true),
         ("copy t (a) from  stdin with csv", true),
         ("COPY t TO STDOUT", false),
@@ -61,7 +61,7 @@
         ("select $1, $2", false),
         ("select e'it\\'s; listen x'", false),
     ] {
-        assert_eq!(scan(text.as_bytes()).not_here.is_some(), not_here, "{text}");
+        assert_eq!(scan(text.as_bytes()).unsupported.is_some(), unsupported, "{text}");
     }
 }
 
@@ -81,11 +81,17 @@
 
 #[test]
 fn labels_come_from_statements_and_leading_comments() {
-    let own = |text: &str| scan(text.as_bytes()).own;
-    assert_eq!(own("SET hallmux.workload = 'report'"), Some(Own::Label("workload".into(), "report".into())));
-    assert_eq!(own("set \"hallmux\".key to 'it''s'"), Some(Own::Label("key".into(), "it's".into())));
-    assert_eq!(own("RESET hallmux.key"), Some(Own::Label("key".into(), String::new())));
-    assert_eq!(own("SET hallmux.key = 'a'; select 1"), None);
+    let local = |text: &str| scan(text.as_bytes()).local_command;
+    assert_eq!(
+        local("SET hallmux.workload = 'report'"),
+        Some(LocalCommand::Label("workload".into(), "report".into()))
+    );
+    assert_eq!(
+        local("set \"hallmux\".key to 'it''s'"),
+        Some(LocalCommand::Label("key".into(), "it's".into()))
+    );
+    assert_eq!(local("RESET hallmux.key"), Some(LocalCommand::Label("key".into(), String::new())));
+    assert_eq!(local("SET hallmux.key = 'a'; select 1"), None);
     let label = scan(b"/*a='b'*/ /*hallmux.workload='re%20port',hallmux.key='k'*/ select 1").label;
     assert_eq!((label.workload.as_deref(), label.key.as_deref()), (Some("re port"), Some("k")));
     assert_eq!(scan(b"select 1 /*hallmux.workload='x'*/").label, Label::default());
--- a/crates/postgres/tests/split.rs
+++ b/crates/postgres/tests/split.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use hallmux_postgres::engine::{Account, EngineConnection, EngineEvent};
-use hallmux_postgres::prepared::{Catalogue, Settings};
+use hallmux_postgres::prepared::{Catalogue, SessionSettings};
 use hallmux_postgres::session::{Bounds, Session, SessionEvent, UnitPart};
 use hallmux_postgres::wire;
 use proptest::collection::vec;
@@ -78,7 +78,7 @@
     let mut input = Vec::new();
     for (n, part) in std::iter::once(None).chain(read(&[&units()]).into_iter().map(Some)).enumerate() {
         if let Some(part) = &part {
-            engine.send(part, &Rc::<Settings>::default(), true, &mut out, &mut back);
+            engine.send(part, &Rc::<SessionSettings>::default(), true, &mut out, &mut back);
         }
         if n == 0 {
             input = b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I".to_vec();
@@ -155,7 +155,7 @@
     let mut engine = EngineConnection::new(Account::default(), 8, &mut out);
     engine.read(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I", &mut out, &mut back, 1 << 20).unwrap();
     let part = read(&[&message(b'Q', b"select 1\0")]).remove(0);
-    engine.send(&part, &Rc::<Settings>::default(), false, &mut out, &mut back);
+    engine.send(&part, &Rc::<SessionSettings>::default(), false, &mut out, &mut back);
     let row = message(b'D', &vec![7; 10 << 20]);
     let (mut went, mut input) = (0, Vec::new());
     for piece in row.chunks(100_000) {
