--- a/crates/front/src/postgres/servers/ending.rs
+++ b/crates/front/src/postgres/servers/ending.rs
@@ -53,7 +53,7 @@
     /// Sends a request to cancel over a connection of its own.
     fn ask_to_cancel(&mut self, now: Micros, id: ServerId, ends: Option<(Sent, Ending)>) -> bool {
         let Some(server) = self.links.get_mut(&id) else { return false };
-        let Some(((process, secret), engine)) = server.engine.key.zip(self.engines.get(&server.place)) else {
+        let Some((key, engine)) = server.engine.key.zip(self.engines.get(&server.place)) else {
             return false;
         };
         let number = self.next + 1;
@@ -61,7 +61,7 @@
             return false;
         };
         self.next = number;
-        wire::write_cancel(link.output(), process, secret);
+        wire::write_cancel(link.output(), key);
         server.cancels += 1;
         let by = now + 2 * self.allowed.dial_timeout;
         self.cancels.insert(number, Cancel { link, server: id, by, ends });
--- a/crates/front/src/postgres/sessions/answering.rs
+++ b/crates/front/src/postgres/sessions/answering.rs
@@ -128,7 +128,7 @@
         } else {
             let mut own = Vec::new();
             inside.session.fails(&running.parts, why, &mut own);
-            match said.and_then(|said| Some((said, wire::head(&own).ok()??.1))) {
+            match said.and_then(|said| Some((said, wire::header(&own).ok()??.len))) {
                 Some((said, len)) => {
                     out.extend_from_slice(said);
                     out.extend_from_slice(&own[len..]);
--- a/crates/front/src/postgres/sessions/taking.rs
+++ b/crates/front/src/postgres/sessions/taking.rs
@@ -9,7 +9,7 @@
 use hallmux_postgres::pool::Account;
 use hallmux_postgres::session::{Session, SessionEvent, Transaction};
 use hallmux_postgres::startup::{Client, StartupStep};
-use hallmux_postgres::wire;
+use hallmux_postgres::wire::{self, CancelKey};
 
 use super::{Inside, Sessions, Stage, Told, Users};
 use crate::postgres::servers::{Servers, SessionId};
@@ -49,7 +49,7 @@
                             peer.ends = true;
                             (used, false)
                         }
-                        Ok((used, StartupStep::Cancel { process, secret })) => {
+                        Ok((used, StartupStep::Cancel(CancelKey { process, secret }))) => {
                             peer.ends = true;
                             let meant = SessionId::from(process);
                             if self.peers.get(&meant).is_some_and(|p| p.secret == secret) {
@@ -63,8 +63,8 @@
                             match user.zip(account) {
                                 Some((user, account)) => {
                                     let session = Session::new(&welcome, &mut self.catalogue);
-                                    let process = (id as u32, peer.secret);
-                                    greet(peer.link.output(), &welcome, &servers.parameters, process);
+                                    let key = CancelKey { process: id as u32, secret: peer.secret };
+                                    greet(peer.link.output(), &welcome, &servers.parameters, key);
                                     peer.heard = now;
                                     peer.stage = Stage::In(Box::new(Inside {
                                         session,
@@ -205,7 +205,7 @@
 }
 
 /// What a client hears when it has come in.
-fn greet(out: &mut Vec<u8>, welcome: &Client, parameters: &[(String, String)], key: (u32, u32)) {
+fn greet(out: &mut Vec<u8>, welcome: &Client, parameters: &[(String, String)], key: CancelKey) {
     wire::write(out, b'R', |out| out.extend_from_slice(&0u32.to_be_bytes()));
     let usual = [
         ("server_version", "15.0"),
@@ -229,6 +229,6 @@
         };
         wire::write_parameter(out, name, value);
     }
-    wire::write_key(out, key.0, key.1);
+    wire::write_key(out, key);
     wire::write_ready(out, b'I');
 }
--- a/crates/front/tests/scatter/portal.rs
+++ b/crates/front/tests/scatter/portal.rs
@@ -38,7 +38,7 @@
     stream.read_exact(&mut vec![0; u32::from_be_bytes(len) as usize - 4]).ok()?;
     let mut out = Vec::new();
     wire::write(&mut out, b'R', |out| out.extend_from_slice(&[0; 4]));
-    wire::write_key(&mut out, 1, 1);
+    wire::write_key(&mut out, wire::CancelKey { process: 1, secret: 1 });
     wire::write_ready(&mut out, b'I');
     stream.write_all(&out).ok()?;
     let (mut open, mut pending) = (false, Vec::new());
--- a/crates/lab/src/engine/conversation.rs
+++ b/crates/lab/src/engine/conversation.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hallmux_postgres::wire::{self, Said};
+use hallmux_postgres::wire::{self, ClientMessage, Message};
 
 use super::portal::{Engine, Link};
 use super::record::Kind;
@@ -99,10 +99,10 @@
         loop {
             let mut at = 0;
             let input = std::mem::take(&mut self.input);
-            while let Ok(Some((tag, body, len))) = wire::message(&input[at..], 64 << 20) {
+            while let Ok(Some(Message { tag, body, len })) = wire::message(&input[at..], 64 << 20) {
                 at += len;
-                let said = wire::said(tag, body).map_err(std::io::Error::other)?;
-                if said == Said::Terminate {
+                let said = wire::client_message(tag, body).map_err(std::io::Error::other)?;
+                if said == ClientMessage::Terminate {
                     return Ok(());
                 }
                 match self.take(said) {
@@ -134,12 +134,12 @@
         self.status = if self.status == b'I' { b'I' } else { b'E' };
     }
 
-    fn take(&mut self, said: Said) -> Result<(), Ends> {
-        if self.skipping && said != Said::Sync {
+    fn take(&mut self, said: ClientMessage) -> Result<(), Ends> {
+        if self.skipping && said != ClientMessage::Sync {
             return Ok(());
         }
         match said {
-            Said::Query(text) => {
+            ClientMessage::Query(text) => {
                 let text = String::from_utf8_lossy(text).into_owned();
                 let ended = text.split(';').filter(|part| !part.trim().is_empty()).try_for_each(|part| {
                     let mut portal = Portal { task: task(part), text: part.into(), sent: 0, begun: false };
@@ -159,7 +159,7 @@
                 }
                 self.sync()?;
             }
-            Said::Parse { name, text, .. } => {
+            ClientMessage::Parse { name, text, .. } => {
                 let refuses = &self.engine.faults.refused_parses;
                 if refuses.fetch_update(SeqCst, SeqCst, |n| n.checked_sub(1)).is_ok() {
                     self.engine.faults.played.fetch_add(1, SeqCst);
@@ -171,7 +171,7 @@
                 self.statements.insert(name.to_vec(), String::from_utf8_lossy(text).into_owned());
                 self.out.extend_from_slice(wire::PARSE_COMPLETE);
             }
-            Said::Bind { portal, statement, rest } => {
+            ClientMessage::Bind { portal, statement, rest } => {
                 let text = self.statements.get(statement).cloned();
                 let text = text.ok_or_else(|| Ends::Error("26000".into()))?;
                 let value = parameter(rest).map(|value| told(&String::from_utf8_lossy(value)));
@@ -179,7 +179,7 @@
                 self.portals.insert(portal.to_vec(), Portal { text, task, sent: 0, begun: false });
                 self.out.extend_from_slice(wire::BIND_COMPLETE);
             }
-            Said::Describe { statement, name } => {
+            ClientMessage::Describe { statement, name } => {
                 let text = match statement {
                     true => self.statements.get(name).cloned(),
                     false => self.portals.get(name).map(|p| p.text.clone()),
@@ -198,7 +198,7 @@
                     false => self.out.extend_from_slice(wire::NO_DATA),
                 }
             }
-            Said::Execute { portal, rows } => {
+            ClientMessage::Execute { portal, rows } => {
                 let found = self.portals.remove(portal);
                 let mut found = found.ok_or_else(|| Ends::Error("34000".into()))?;
                 let limit = if rows == 0 { usize::MAX } else { rows as usize };
@@ -207,19 +207,19 @@
                     self.portals.insert(portal.to_vec(), found);
                 }
             }
-            Said::Close { statement, name } => {
+            ClientMessage::Close { statement, name } => {
                 match statement {
                     true => _ = self.statements.remove(name),
                     false => _ = self.portals.remove(name),
                 }
                 self.out.extend_from_slice(wire::CLOSE_COMPLETE);
             }
-            Said::Sync => {
+            ClientMessage::Sync => {
                 self.skipping = false;
                 self.sync()?;
             }
-            Said::Flush => self.flush()?,
-            Said::FunctionCall | Said::Copy | Said::Terminate => {}
+            ClientMessage::Flush => self.flush()?,
+            ClientMessage::FunctionCall | ClientMessage::Copy | ClientMessage::Terminate => {}
         }
         Ok(())
     }
--- a/crates/lab/src/engine/portal.rs
+++ b/crates/lab/src/engine/portal.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering::SeqCst};
 use std::sync::{Arc, Condvar, Mutex};
 
-use hallmux_postgres::wire::{self, Opening};
+use hallmux_postgres::wire::{self, CancelKey, InitialMessage};
 
 use super::conversation::Conversation;
 use super::record::{Kind, Records};
@@ -116,20 +116,20 @@
         let mut at_door = Conversation::new(self.clone(), stream.try_clone()?, 0);
         loop {
             at_door.fill()?;
-            let Ok(opening) = wire::opening(&at_door.input) else { return Ok(()) };
+            let Ok(opening) = wire::initial_message(&at_door.input) else { return Ok(()) };
             let Some((len, opening)) = opening else { continue };
             let comes_in = match opening {
-                Opening::Encrypt => {
+                InitialMessage::EncryptionRequest => {
                     at_door.out.push(b'N');
                     at_door.flush()?;
                     false
                 }
-                Opening::Cancel { process, secret } => {
+                InitialMessage::Cancel(CancelKey { process, secret }) => {
                     self.cancel(process, secret);
                     return Ok(());
                 }
-                Opening::Other { .. } => return Ok(()),
-                Opening::StartUp { .. } => true,
+                InitialMessage::UnsupportedVersion { .. } => return Ok(()),
+                InitialMessage::StartUp { .. } => true,
             };
             at_door.input.drain(..len);
             if comes_in {
@@ -149,7 +149,7 @@
         wire::write(out, b'R', |out| out.extend_from_slice(&[0; 4]));
         wire::write_parameter(out, "server_version", "15.4");
         wire::write_parameter(out, "client_encoding", "UTF8");
-        wire::write_key(out, number, secret);
+        wire::write_key(out, CancelKey { process: number, secret });
         wire::write_ready(out, b'I');
         let ended = at_door.flush().and_then(|()| at_door.talk());
         if let Ok(mut links) = self.links.lock() {
--- a/crates/lab/src/scripted/session.rs
+++ b/crates/lab/src/scripted/session.rs
@@ -42,7 +42,7 @@
     pub fn read(&mut self) -> std::io::Result<Message> {
         loop {
             let whole = wire::message(&self.input, 1 << 24).map_err(std::io::Error::other)?;
-            if let Some((tag, body, len)) = whole {
+            if let Some(wire::Message { tag, body, len }) = whole {
                 let message = (tag, body.to_vec());
                 self.input.drain(..len);
                 if !matches!(tag, b'N' | b'S') {
@@ -133,8 +133,9 @@
         let mut cancel = TcpStream::connect(at)?;
         cancel.set_read_timeout(Some(PATIENCE))?;
         let [a, b, c, d, e, f, g, h] = self.key;
+        let (process, secret) = (u32::from_be_bytes([a, b, c, d]), u32::from_be_bytes([e, f, g, h]));
         let mut packet = Vec::new();
-        wire::write_cancel(&mut packet, u32::from_be_bytes([a, b, c, d]), u32::from_be_bytes([e, f, g, h]));
+        wire::write_cancel(&mut packet, wire::CancelKey { process, secret });
         cancel.write_all(&packet)?;
         // As the servers do, the front ends the connection then.
         let _ = cancel.read(&mut [0]);
--- a/crates/postgres/src/client_error_tests.rs
+++ b/crates/postgres/src/client_error_tests.rs
@@ -1,19 +1,19 @@
 //! Unit tests of the `client_error` module.
 
 use super::*;
-use crate::wire::{field, message};
+use crate::wire::{field, message, Message};
 
 #[test]
 fn a_rejection_tells_its_wait_where_a_driver_reads_it() {
     let mut out = Vec::new();
     ClientError::Rejected { retry_after_ms: Some(250) }.write(&mut out, false);
-    let (tag, body, len) = message(&out, 1000).unwrap().unwrap();
+    let Message { tag, body, len } = message(&out, 1000).unwrap().unwrap();
     assert_eq!((tag, len), (b'E', out.len()));
     assert_eq!(field(body, b'C'), Some(&b"53000"[..]));
     assert_eq!(field(body, b'D'), Some(&b"retry-after-ms=250"[..]));
     out.clear();
     ClientError::Rejected { retry_after_ms: None }.write(&mut out, true);
-    let (_, body, _) = message(&out, 1000).unwrap().unwrap();
+    let Message { body, .. } = message(&out, 1000).unwrap().unwrap();
     assert_eq!((field(body, b'D'), field(body, b'S')), (None, Some(&b"FATAL"[..])));
 }
 
--- a/crates/postgres/src/engine.rs
+++ b/crates/postgres/src/engine.rs
@@ -13,7 +13,7 @@
 use crate::client_error::ClientError;
 use crate::prepared::SessionSettings;
 use crate::session::UnitPart;
-use crate::wire;
+use crate::wire::{self, CancelKey};
 
 /// How a unit ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -93,7 +93,7 @@
     stage: Stage,
     exchange: Option<Box<ScramSha256>>,
     /// What a request to cancel has to tell.
-    pub key: Option<(u32, u32)>,
+    pub key: Option<CancelKey>,
     /// What the engine tells of itself, for the welcome of clients.
     pub parameters: Vec<(String, String)>,
     prepared: LruCache<u64, ()>,
--- a/crates/postgres/src/engine/receiving.rs
+++ b/crates/postgres/src/engine/receiving.rs
@@ -5,7 +5,7 @@
 
 use super::{EngineConnection, EngineEvent, Expected, Stage, UnitOutcome};
 use crate::client_error::is_engine_fault;
-use crate::wire;
+use crate::wire::{self, CancelKey, Header};
 use crate::ProtocolError;
 
 const LONGEST_WHOLE: usize = 64 << 10; // bytes of a message that is read as one; errors take some hundred
@@ -34,7 +34,7 @@
                 at += len;
                 continue;
             }
-            let Some((tag, len)) = wire::head(rest)? else { break };
+            let Some(Header { tag, len }) = wire::header(rest)? else { break };
             let login_or_settings = self.stage != Stage::Ready;
             // Rows and their like have no limit; they go on as they come.
             if matches!(tag, b'D' | b'd' | b'T' | b't' | b'N') && !login_or_settings && rest.len() < len {
@@ -109,7 +109,9 @@
                 None => return Err(ProtocolError::Malformed("a login of no kind")),
             },
             b'S' => self.parameter(body),
-            b'K' => self.key = word(0).zip(word(4)),
+            b'K' => {
+                self.key = word(0).zip(word(4)).map(|(process, secret)| CancelKey { process, secret });
+            }
             b'E' => {
                 let code = String::from_utf8_lossy(wire::field(body, b'C').unwrap_or(b"XX000")).into();
                 return Ok(Some(EngineEvent::LoginRefused { code, error: message.to_vec() }));
@@ -126,7 +128,9 @@
 
     fn parameter(&mut self, body: &[u8]) {
         let mut rest = body;
-        let (Ok(name), Ok(value)) = (wire::string(&mut rest), wire::string(&mut rest)) else { return };
+        let (Ok(name), Ok(value)) = (wire::read_string(&mut rest), wire::read_string(&mut rest)) else {
+            return;
+        };
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         if self.parameters.len() < MOST_PARAMETERS {
             self.parameters.push((text(name), text(value)));
--- a/crates/postgres/src/session/reading.rs
+++ b/crates/postgres/src/session/reading.rs
@@ -7,7 +7,7 @@
 use crate::client_error::ClientError;
 use crate::prepared::{Catalogue, Prepared};
 use crate::sql::{self, LocalCommand, Scan};
-use crate::wire::{self, Said};
+use crate::wire::{self, ClientMessage, Header, Message};
 use crate::ProtocolError;
 
 impl Session {
@@ -22,11 +22,11 @@
         let against = |why: ProtocolError| ClientError::Protocol { why };
         let mut at = std::mem::take(&mut self.scanned);
         let end = loop {
-            match wire::head(&input[at..]).map_err(against)? {
-                Some((_, len)) if len > bounds.bytes || at + len > bounds.bytes => {
+            match wire::header(&input[at..]).map_err(against)? {
+                Some(Header { len, .. }) if len > bounds.bytes || at + len > bounds.bytes => {
                     return Err(ClientError::LimitExceeded { why: "the bytes of a unit" });
                 }
-                Some((tag, len)) if at + len <= input.len() => {
+                Some(Header { tag, len }) if at + len <= input.len() => {
                     at += len;
                     if matches!(tag, b'S' | b'Q' | b'H' | b'F' | b'X') {
                         break at;
@@ -42,7 +42,8 @@
         let mut at = 0;
         let mut bound: HashMap<Vec<u8>, Rc<Prepared>> = HashMap::new();
         while at < end {
-            let Some((tag, body, len)) = wire::message(&input[at..end], bounds.bytes).map_err(against)?
+            let Some(Message { tag, body, len }) =
+                wire::message(&input[at..end], bounds.bytes).map_err(against)?
             else {
                 break;
             };
@@ -52,18 +53,18 @@
                 let from = inner.as_ptr() as usize - input.as_ptr() as usize;
                 from..from + inner.len()
             };
-            match wire::said(tag, body).map_err(against)? {
-                Said::Terminate => return Ok((end, SessionEvent::Terminated)),
-                Said::Query(_) | Said::FunctionCall if self.in_unit || at > 0 => {
+            match wire::client_message(tag, body).map_err(against)? {
+                ClientMessage::Terminate => return Ok((end, SessionEvent::Terminated)),
+                ClientMessage::Query(_) | ClientMessage::FunctionCall if self.in_unit || at > 0 => {
                     // What an engine would do with it depends on whether the unit has failed by then.
                     return Err(ClientError::Protocol { why: ProtocolError::Mixed });
                 }
-                Said::FunctionCall => {
+                ClientMessage::FunctionCall => {
                     part.ops.push(Operation::Fail(ClientError::Unsupported { why: "a function call" }));
                     part.ops.push(Operation::Sync);
                     part.ends = true;
                 }
-                Said::Query(text) => {
+                ClientMessage::Query(text) => {
                     let scan = sql::scan(text);
                     match scan.unsupported {
                         Some(why) => part
@@ -76,7 +77,7 @@
                     part.runs(&scan);
                     part.ends = true;
                 }
-                Said::Parse { name, body, .. } => {
+                ClientMessage::Parse { name, body, .. } => {
                     let prepared = catalogue.prepare(body);
                     part.local &= prepared.scan.local_command.is_some();
                     let fault = self.prepare(name, &prepared, bounds);
@@ -98,10 +99,10 @@
                     }
                     part.first.get_or_insert(prepared);
                 }
-                Said::Bind { portal, .. } if !self.opens(portal, bounds) => {
+                ClientMessage::Bind { portal, .. } if !self.opens(portal, bounds) => {
                     part.ops.push(Operation::Fail(ClientError::LimitExceeded { why: "portals" }));
                 }
-                Said::Bind { portal, statement, rest } => match self.known(statement) {
+                ClientMessage::Bind { portal, statement, rest } => match self.known(statement) {
                     Some(prepared) => {
                         part.local &= prepared.scan.local_command.is_some();
                         part.runs(&prepared.scan);
@@ -117,36 +118,36 @@
                     }
                     None => part.ops.push(no_such(statement)),
                 },
-                Said::Describe { statement: true, name } => match self.known(name) {
+                ClientMessage::Describe { statement: true, name } => match self.known(name) {
                     Some(prepared) => {
                         part.local &= prepared.scan.local_command.is_some();
                         part.ops.push(Operation::Describe { prepared, named: !name.is_empty() });
                     }
                     None => part.ops.push(no_such(name)),
                 },
-                Said::Describe { statement: false, name } => {
+                ClientMessage::Describe { statement: false, name } => {
                     part.local &= bound.contains_key(name);
                     part.ops.push(Operation::DescribePortal(whole.clone()));
                 }
-                Said::Execute { portal, .. } => {
+                ClientMessage::Execute { portal, .. } => {
                     part.local &= bound.contains_key(portal);
                     part.ops.push(Operation::Execute(whole.clone()));
                 }
-                Said::Close { statement: true, name } => {
+                ClientMessage::Close { statement: true, name } => {
                     self.forget(name);
                     part.ops.push(Operation::CloseStatement);
                 }
-                Said::Close { statement: false, name } => {
+                ClientMessage::Close { statement: false, name } => {
                     self.portals.remove(name);
                     part.ops.push(Operation::ClosePortal(whole.clone()));
                 }
-                Said::Flush => part.ops.push(Operation::Flush),
-                Said::Sync => {
+                ClientMessage::Flush => part.ops.push(Operation::Flush),
+                ClientMessage::Sync => {
                     part.ops.push(Operation::Sync);
                     part.ends = true;
                 }
                 // Outside a copy it is passed over, as engines do.
-                Said::Copy => {}
+                ClientMessage::Copy => {}
             }
             at += len;
         }
@@ -210,7 +211,9 @@
     /// Says how much of the input that is, and whether the Sync was there.
     pub fn skip(&mut self, input: &[u8]) -> Result<(usize, bool), ClientError> {
         let mut at = 0;
-        while let Some((tag, len)) = wire::head(&input[at..]).map_err(|why| ClientError::Protocol { why })? {
+        while let Some(Header { tag, len }) =
+            wire::header(&input[at..]).map_err(|why| ClientError::Protocol { why })?
+        {
             if at + len > input.len() {
                 break;
             }
--- a/crates/postgres/src/startup.rs
+++ b/crates/postgres/src/startup.rs
@@ -5,7 +5,7 @@
 
 use crate::client_error::ClientError;
 use crate::scram::{Exchange, Verifier, MECHANISM};
-use crate::wire::{self, Opening};
+use crate::wire::{self, CancelKey, InitialMessage, Message};
 use crate::ProtocolError;
 
 const LONGEST_PROOF: usize = 4096; // bytes; those of the library's take some hundred
@@ -35,10 +35,7 @@
 pub enum StartupStep {
     /// More has to come.
     Incomplete,
-    Cancel {
-        process: u32,
-        secret: u32,
-    },
+    Cancel(CancelKey),
     Accepted(Client),
     /// The reason is written; the connection ends.
     Refused,
@@ -75,11 +72,11 @@
             let rest = &input[used..];
             let step = match std::mem::take(&mut self.stage) {
                 Stage::Opening => {
-                    let Some((len, opening)) = wire::opening(rest)? else {
+                    let Some((len, message)) = wire::initial_message(rest)? else {
                         return Ok((used, StartupStep::Incomplete));
                     };
                     used += len;
-                    self.open(opening, &access, secret, out)?
+                    self.open(message, &access, secret, out)?
                 }
                 Stage::First(client, verifier) => {
                     let Some((body, len)) = proof(rest)? else {
@@ -121,13 +118,13 @@
     /// Takes the first message; None where another has to follow.
     fn open(
         &mut self,
-        opening: Opening,
+        message: InitialMessage,
         access: impl Fn(&str) -> Option<Authentication>,
         secret: &[u8],
         out: &mut Vec<u8>,
     ) -> Result<Option<StartupStep>, ProtocolError> {
-        match opening {
-            Opening::Encrypt => {
+        match message {
+            InitialMessage::EncryptionRequest => {
                 self.questions += 1;
                 if self.questions > MOST_QUESTIONS {
                     return Err(ProtocolError::Encryption { times: self.questions });
@@ -135,12 +132,12 @@
                 out.push(b'N');
                 Ok(None)
             }
-            Opening::Cancel { process, secret } => Ok(Some(StartupStep::Cancel { process, secret })),
-            Opening::Other { major } => {
+            InitialMessage::Cancel(key) => Ok(Some(StartupStep::Cancel(key))),
+            InitialMessage::UnsupportedVersion { major } => {
                 ClientError::UnsupportedVersion { major }.write(out, true);
                 Ok(Some(StartupStep::Refused))
             }
-            Opening::StartUp { minor, parameters } => {
+            InitialMessage::StartUp { minor, parameters } => {
                 let unknown: Vec<&str> =
                     parameters.iter().map(|p| p.0).filter(|n| n.starts_with("_pq_.")).collect();
                 if minor > 0 || !unknown.is_empty() {
@@ -176,8 +173,8 @@
 
 fn proof(input: &[u8]) -> Result<Option<(&[u8], usize)>, ProtocolError> {
     match wire::message(input, LONGEST_PROOF)? {
-        Some((b'p', body, len)) => Ok(Some((body, len))),
-        Some((tag, ..)) => Err(ProtocolError::NoProof(tag)),
+        Some(Message { tag: b'p', body, len }) => Ok(Some((body, len))),
+        Some(Message { tag, .. }) => Err(ProtocolError::NoProof(tag)),
         None => match input.first() {
             Some(tag) if *tag != b'p' => Err(ProtocolError::NoProof(*tag)),
             _ => Ok(None),
@@ -188,7 +185,7 @@
 /// The client's first message of SASL, behind the mechanism that it chose.
 fn first(body: &[u8]) -> Option<&[u8]> {
     let mut rest = body;
-    let mechanism = wire::string(&mut rest).ok()?;
+    let mechanism = wire::read_string(&mut rest).ok()?;
     let len = u32::from_be_bytes(rest.get(..4)?.try_into().ok()?) as usize;
     (mechanism == MECHANISM.as_bytes() && rest.len() - 4 == len).then_some(&rest[4..])
 }
--- a/crates/postgres/src/wire.rs
+++ b/crates/postgres/src/wire.rs
@@ -8,21 +8,28 @@
 const GSS: u32 = 80_877_104;
 const VERSION: u32 = 3 << 16;
 
-/// What a connection opens with.
+/// Identifies a connection in a request to cancel what runs for it; whoever knows it may ask.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CancelKey {
+    /// The number of the process behind the connection; of a session, where the front is the server.
+    pub process: u32,
+    /// Known to both sides of the connection alone.
+    pub secret: u32,
+}
+
+/// The first message of a connection.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Opening<'a> {
+pub enum InitialMessage<'a> {
     StartUp {
         minor: u16,
         parameters: Vec<(&'a str, &'a str)>,
     },
     /// A question for encryption, of either kind.
-    Encrypt,
-    Cancel {
-        process: u32,
-        secret: u32,
-    },
+    EncryptionRequest,
+    /// Whatever runs for the connection with this key is to be cancelled.
+    Cancel(CancelKey),
     /// A version that is not spoken here.
-    Other {
+    UnsupportedVersion {
         major: u16,
     },
 }
@@ -31,8 +38,8 @@
     Some(u32::from_be_bytes(bytes.get(..4)?.try_into().ok()?))
 }
 
-/// Takes the opening from the start of `input`, with its length.
-pub fn opening(input: &[u8]) -> Result<Option<(usize, Opening<'_>)>, ProtocolError> {
+/// Takes the first message from the start of `input`, with its length; None until all of it has come.
+pub fn initial_message(input: &[u8]) -> Result<Option<(usize, InitialMessage<'_>)>, ProtocolError> {
     let Some(len) = number(input) else { return Ok(None) };
     let len = len as usize;
     if !(8..=LONGEST_START_UP).contains(&len) {
@@ -40,10 +47,12 @@
     }
     let Some(packet) = input.get(..len) else { return Ok(None) };
     let code = number(&packet[4..]).unwrap_or(0);
-    let opening = match code {
-        SSL | GSS if len == 8 => Opening::Encrypt,
+    let message = match code {
+        SSL | GSS if len == 8 => InitialMessage::EncryptionRequest,
         CANCEL => match (number(&packet[8..]), packet.get(12..).and_then(number)) {
-            (Some(process), Some(secret)) if len == 16 => Opening::Cancel { process, secret },
+            (Some(process), Some(secret)) if len == 16 => {
+                InitialMessage::Cancel(CancelKey { process, secret })
+            }
             _ => return Err(ProtocolError::Malformed("a request to cancel that is none")),
         },
         code if code >> 16 == VERSION >> 16 => {
@@ -59,15 +68,15 @@
             if !rest.is_empty() {
                 return Err(ProtocolError::Malformed("a start-up with bytes behind its end"));
             }
-            Opening::StartUp { minor: code as u16, parameters }
+            InitialMessage::StartUp { minor: code as u16, parameters }
         }
-        code => Opening::Other { major: (code >> 16) as u16 },
+        code => InitialMessage::UnsupportedVersion { major: (code >> 16) as u16 },
     };
-    Ok(Some((len, opening)))
+    Ok(Some((len, message)))
 }
 
 /// A string that ends in a zero byte.
-pub fn string<'a>(rest: &mut &'a [u8]) -> Result<&'a [u8], ProtocolError> {
+pub fn read_string<'a>(rest: &mut &'a [u8]) -> Result<&'a [u8], ProtocolError> {
     let end = memchr::memchr(0, rest).ok_or(ProtocolError::Malformed("a string without an end"))?;
     let string = &rest[..end];
     *rest = &rest[end + 1..];
@@ -75,33 +84,53 @@
 }
 
 fn text<'a>(rest: &mut &'a [u8]) -> Result<&'a str, ProtocolError> {
-    std::str::from_utf8(string(rest)?).map_err(|_| ProtocolError::Malformed("a parameter that is no UTF-8"))
+    std::str::from_utf8(read_string(rest)?)
+        .map_err(|_| ProtocolError::Malformed("a parameter that is no UTF-8"))
 }
 
-/// The kind of the message that `input` begins with, and its whole length; nothing is allocated for it.
-pub fn head(input: &[u8]) -> Result<Option<(u8, usize)>, ProtocolError> {
+/// The start of a message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Header {
+    /// The message's kind.
+    pub tag: u8,
+    /// Bytes of the whole message, tag and length included.
+    pub len: usize,
+}
+
+/// The header of the message that `input` begins with, once it is there; nothing is allocated for it.
+pub fn header(input: &[u8]) -> Result<Option<Header>, ProtocolError> {
     let (Some(tag), Some(len)) = (input.first(), input.get(1..).and_then(number)) else { return Ok(None) };
     if len < 4 || len > i32::MAX as u32 {
         return Err(ProtocolError::Malformed("a message whose length can't be"));
     }
-    Ok(Some((*tag, len as usize + 1)))
+    Ok(Some(Header { tag: *tag, len: len as usize + 1 }))
 }
 
-/// The kind, the body and the whole length of a message.
-pub type Whole<'a> = (u8, &'a [u8], usize);
+/// A message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Message<'a> {
+    /// Its kind.
+    pub tag: u8,
+    /// What stands behind the length.
+    pub body: &'a [u8],
+    /// Bytes of the whole message, tag and length included.
+    pub len: usize,
+}
 
 /// The first message, once it is whole.
-pub fn message(input: &[u8], longest: usize) -> Result<Option<Whole<'_>>, ProtocolError> {
-    match head(input)? {
-        Some((_, len)) if len > longest => Err(ProtocolError::TooLong { bytes: len, most: longest }),
-        Some((tag, len)) => Ok(input.get(5..len).map(|body| (tag, body, len))),
+pub fn message(input: &[u8], longest: usize) -> Result<Option<Message<'_>>, ProtocolError> {
+    match header(input)? {
+        Some(Header { len, .. }) if len > longest => {
+            Err(ProtocolError::TooLong { bytes: len, most: longest })
+        }
+        Some(Header { tag, len }) => Ok(input.get(5..len).map(|body| Message { tag, body, len })),
         None => Ok(None),
     }
 }
 
-/// What a client says after start-up.
+/// A message of a client after start-up.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Said<'a> {
+pub enum ClientMessage<'a> {
     Query(&'a [u8]),
     /// The body is the text, its end and the types of its parameters.
     Parse {
@@ -137,7 +166,7 @@
 }
 
 /// Reads a client's message.
-pub fn said(tag: u8, body: &[u8]) -> Result<Said<'_>, ProtocolError> {
+pub fn client_message(tag: u8, body: &[u8]) -> Result<ClientMessage<'_>, ProtocolError> {
     let mut rest = body;
     let kind = |rest: &mut &[u8]| match rest.split_first() {
         Some((b'S', after)) => {
@@ -150,39 +179,39 @@
         }
         _ => Err(ProtocolError::Malformed("neither a statement nor a portal")),
     };
-    let said = match tag {
-        b'Q' => Said::Query(string(&mut rest)?),
+    let message = match tag {
+        b'Q' => ClientMessage::Query(read_string(&mut rest)?),
         b'P' => {
-            let name = string(&mut rest)?;
+            let name = read_string(&mut rest)?;
             let body = rest;
-            let text = string(&mut rest)?;
+            let text = read_string(&mut rest)?;
             let count = rest.get(..2).map(|n| u16::from_be_bytes([n[0], n[1]]) as usize);
             if count.map(|count| 2 + 4 * count) != Some(rest.len()) {
                 return Err(ProtocolError::Malformed("types that do not fill their message"));
             }
-            return Ok(Said::Parse { name, text, body });
+            return Ok(ClientMessage::Parse { name, text, body });
         }
         b'B' => {
-            let (portal, statement) = (string(&mut rest)?, string(&mut rest)?);
-            return Ok(Said::Bind { portal, statement, rest });
+            let (portal, statement) = (read_string(&mut rest)?, read_string(&mut rest)?);
+            return Ok(ClientMessage::Bind { portal, statement, rest });
         }
-        b'D' => Said::Describe { statement: kind(&mut rest)?, name: string(&mut rest)? },
-        b'C' => Said::Close { statement: kind(&mut rest)?, name: string(&mut rest)? },
+        b'D' => ClientMessage::Describe { statement: kind(&mut rest)?, name: read_string(&mut rest)? },
+        b'C' => ClientMessage::Close { statement: kind(&mut rest)?, name: read_string(&mut rest)? },
         b'E' => {
-            let portal = string(&mut rest)?;
+            let portal = read_string(&mut rest)?;
             let rows = number(rest).ok_or(ProtocolError::Malformed("an Execute without a count of rows"))?;
             rest = &rest[4..];
-            Said::Execute { portal, rows }
+            ClientMessage::Execute { portal, rows }
         }
-        b'H' => Said::Flush,
-        b'S' => Said::Sync,
-        b'X' => Said::Terminate,
-        b'F' => return Ok(Said::FunctionCall),
-        b'd' | b'c' | b'f' => return Ok(Said::Copy),
+        b'H' => ClientMessage::Flush,
+        b'S' => ClientMessage::Sync,
+        b'X' => ClientMessage::Terminate,
+        b'F' => return Ok(ClientMessage::FunctionCall),
+        b'd' | b'c' | b'f' => return Ok(ClientMessage::Copy),
         other => return Err(ProtocolError::Unknown(other)),
     };
     match rest.is_empty() {
-        true => Ok(said),
+        true => Ok(message),
         false => Err(ProtocolError::Malformed("bytes behind the end of a message")),
     }
 }
@@ -232,10 +261,10 @@
     });
 }
 
-pub fn write_key(out: &mut Vec<u8>, process: u32, secret: u32) {
+pub fn write_key(out: &mut Vec<u8>, key: CancelKey) {
     write(out, b'K', |out| {
-        out.extend_from_slice(&process.to_be_bytes());
-        out.extend_from_slice(&secret.to_be_bytes());
+        out.extend_from_slice(&key.process.to_be_bytes());
+        out.extend_from_slice(&key.secret.to_be_bytes());
     });
 }
 
@@ -251,11 +280,11 @@
     });
 }
 
-pub fn write_cancel(out: &mut Vec<u8>, process: u32, secret: u32) {
+pub fn write_cancel(out: &mut Vec<u8>, key: CancelKey) {
     write_packet(out, |out| {
         out.extend_from_slice(&CANCEL.to_be_bytes());
-        out.extend_from_slice(&process.to_be_bytes());
-        out.extend_from_slice(&secret.to_be_bytes());
+        out.extend_from_slice(&key.process.to_be_bytes());
+        out.extend_from_slice(&key.secret.to_be_bytes());
     });
 }
 
@@ -277,7 +306,7 @@
     let mut rest = body;
     while let Some((kind, after)) = rest.split_first().filter(|(kind, _)| **kind != 0) {
         rest = after;
-        let value = string(&mut rest).ok()?;
+        let value = read_string(&mut rest).ok()?;
         if *kind == wanted {
             return Some(value);
         }
--- a/crates/postgres/src/wire_tests.rs
+++ b/crates/postgres/src/wire_tests.rs
@@ -9,25 +9,34 @@
 }
 
 #[test]
-fn an_opening_is_read_once_it_is_whole_and_not_before() {
+fn an_initial_message_is_read_once_it_is_whole_and_not_before() {
     let packet = start_up(&[("user", "a"), ("database", "b")]);
     for cut in 0..packet.len() {
-        assert_eq!(opening(&packet[..cut]), Ok(None));
+        assert_eq!(initial_message(&packet[..cut]), Ok(None));
     }
     let parameters = vec![("user", "a"), ("database", "b")];
-    assert_eq!(opening(&packet), Ok(Some((packet.len(), Opening::StartUp { minor: 0, parameters }))));
+    assert_eq!(
+        initial_message(&packet),
+        Ok(Some((packet.len(), InitialMessage::StartUp { minor: 0, parameters })))
+    );
     let mut cancel = Vec::new();
-    write_cancel(&mut cancel, 7, 9);
-    assert_eq!(opening(&cancel), Ok(Some((16, Opening::Cancel { process: 7, secret: 9 }))));
-    assert_eq!(opening(b"\0\0\0\x08\x04\xd2\x16\x2f"), Ok(Some((8, Opening::Encrypt))));
+    write_cancel(&mut cancel, CancelKey { process: 7, secret: 9 });
+    assert_eq!(
+        initial_message(&cancel),
+        Ok(Some((16, InitialMessage::Cancel(CancelKey { process: 7, secret: 9 }))))
+    );
+    assert_eq!(
+        initial_message(b"\0\0\0\x08\x04\xd2\x16\x2f"),
+        Ok(Some((8, InitialMessage::EncryptionRequest)))
+    );
 }
 
 #[test]
-fn openings_that_can_not_be_are_told_at_once() {
-    assert!(opening(b"\xff\xff\xff\xff").is_err());
-    assert!(opening(b"\0\0\0\x04").is_err());
-    assert!(opening(b"GET / HTTP/1.1\r\n").is_err());
-    assert!(opening(b"\0\0\0\x09\0\x03\0\0x").is_err());
+fn impossible_initial_messages_are_refused_at_once() {
+    assert!(initial_message(b"\xff\xff\xff\xff").is_err());
+    assert!(initial_message(b"\0\0\0\x04").is_err());
+    assert!(initial_message(b"GET / HTTP/1.1\r\n").is_err());
+    assert!(initial_message(b"\0\0\0\x09\0\x03\0\0x").is_err());
 }
 
 #[test]
@@ -43,24 +52,24 @@
         (b'H', b""),
         (b'X', b""),
     ] {
-        assert!(said(tag, body).is_ok(), "{}", tag as char);
+        assert!(client_message(tag, body).is_ok(), "{}", tag as char);
         let mut whole = Vec::new();
         write(&mut whole, tag, |out| out.extend_from_slice(body));
         for cut in 0..whole.len() {
             assert_eq!(message(&whole[..cut], 100), Ok(None));
         }
-        assert_eq!(message(&whole, 100), Ok(Some((tag, body, whole.len()))));
+        assert_eq!(message(&whole, 100), Ok(Some(Message { tag, body, len: whole.len() })));
         assert!(message(&whole, whole.len() - 1).is_err());
         if tag != b'B' {
             let longer = [body, b"x"].concat();
-            assert!(said(tag, &longer).is_err(), "{}", tag as char);
+            assert!(client_message(tag, &longer).is_err(), "{}", tag as char);
         }
         if !body.is_empty() && tag != b'B' {
-            assert!(said(tag, &body[..body.len() - 1]).is_err(), "{}", tag as char);
+            assert!(client_message(tag, &body[..body.len() - 1]).is_err(), "{}", tag as char);
         }
     }
-    assert!(said(b'p', b"secret\0").is_err());
-    assert!(head(b"Q\0\0\0\x03").is_err() && head(b"Q\xff\xff\xff\xff").is_err());
+    assert!(client_message(b'p', b"secret\0").is_err());
+    assert!(header(b"Q\0\0\0\x03").is_err() && header(b"Q\xff\xff\xff\xff").is_err());
 }
 
 #[test]
