--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -68,7 +68,7 @@
     pub session: SessionId,
     pub parts: Vec<Rc<UnitPart>>,
     pub settings: Rc<SessionSettings>,
-    pub account: pool::Account,
+    pub account: pool::AccountId,
     /// The connection that holds its transaction.
     pub pin: Option<ServerId>,
     /// It is not to be repeated once it has left.
@@ -195,12 +195,12 @@
 
     /// Units that can leave for an engine over connections at rest or on their way, or one that may be made now.
     pub fn room(&self, now: Micros, place: Place) -> usize {
-        let dials = self.pools.takes_more(place) && self.dials.borrow().next(now, place) <= now;
-        self.pools.free(place) + usize::from(dials && self.engines.get(&place).is_some_and(|e| e.up))
+        let dials = self.pools.has_capacity(place) && self.dials.borrow().next(now, place) <= now;
+        self.pools.available(place) + usize::from(dials && self.engines.get(&place).is_some_and(|e| e.up))
     }
 
     /// The number of an account at the engines.
-    pub fn account(&mut self, account: Account) -> Option<pool::Account> {
+    pub fn account(&mut self, account: Account) -> Option<pool::AccountId> {
         let known = self.accounts.iter().position(|a| *a == account);
         // Guards against names of databases without end.
         if known.is_none() && self.accounts.len() < MOST_ACCOUNTS {
@@ -245,7 +245,7 @@
         if let Some(engine) = self.engines.get_mut(&place) {
             engine.up = false;
         }
-        let (waited, resting) = self.pools.retire(place);
+        let (waited, resting) = self.pools.retire_engine(place);
         waited.into_iter().for_each(|sent| self.ended(sent, Ending::Withdrawn));
         resting.into_iter().for_each(|id| self.close(id));
         let held = |(id, l): (&ServerId, &Server)| {
@@ -293,12 +293,12 @@
         if self.look <= now {
             self.look = now + LOOK;
             self.ask(now);
-            for id in self.pools.idle(now) {
+            for id in self.pools.expired(now) {
                 self.close(id);
             }
             // What waits for descriptors that others have let go of.
             for place in self.engines.keys().copied().collect::<Vec<_>>() {
-                let step = self.pools.next(place);
+                let step = self.pools.next_action(place);
                 self.step(now, place, step);
             }
         }
--- a/crates/front/src/postgres/servers/coming.rs
+++ b/crates/front/src/postgres/servers/coming.rs
@@ -137,14 +137,14 @@
                         _ => self.refused(sent, error.clone()),
                     }
                 }
-                let step = self.pools.next(place);
+                let step = self.pools.next_action(place);
                 self.step(now, place, step);
             }
             EngineEvent::SettingsRefused { error } => {
                 let sent = server.serves.take();
                 self.close(id);
                 sent.into_iter().for_each(|sent| self.refused(sent, error.clone()));
-                let step = self.pools.next(place);
+                let step = self.pools.next_action(place);
                 self.step(now, place, step);
             }
             EngineEvent::UnitDone(done) => self.done(now, id, done),
@@ -161,7 +161,7 @@
     /// Asks engines that have units out and say nothing whether they are there. They send no notes of progress,
     /// and a long statement on an engine that does little else is not to be taken for a hung one.
     pub(super) fn ask(&mut self, now: Micros) {
-        let mut quiet: BTreeMap<Place, pool::Account> = BTreeMap::new();
+        let mut quiet: BTreeMap<Place, pool::AccountId> = BTreeMap::new();
         for x in self.executions.values().filter(|x| x.stage == Stage::Out) {
             let engine = self.engines.get(&x.place);
             if engine.is_some_and(|e| e.up && now - e.heard.max(e.asked) >= QUIET) {
@@ -172,7 +172,7 @@
             if let Some(engine) = self.engines.get_mut(&place) {
                 engine.asked = now;
             }
-            match self.pools.resting(place) {
+            match self.pools.idle_connection(place) {
                 Some(id) => {
                     if let Some(server) = self.links.get_mut(&id) {
                         server.engine.ping(server.link.output());
--- a/crates/front/src/postgres/servers/ending.rs
+++ b/crates/front/src/postgres/servers/ending.rs
@@ -1,7 +1,7 @@
 //! How executions and connections end: given up, cancelled, let go, lost.
 
 use hallmux_dispatcher::{Ending, Micros, Place};
-use hallmux_postgres::pool::Freed;
+use hallmux_postgres::pool::Released;
 use hallmux_postgres::wire;
 
 use super::{Cancel, Sent, ServerId, Servers, Stage, Told};
@@ -120,12 +120,12 @@
     pub(super) fn forget(&mut self, id: ServerId) -> Vec<Sent> {
         self.coming.remove(&id);
         self.dirty.remove(&id);
-        self.pools.gone(id)
+        self.pools.remove(id)
     }
 
     pub(super) fn gone(&mut self, now: Micros, id: ServerId, place: Place) {
         self.close(id);
-        let step = self.pools.next(place);
+        let step = self.pools.next_action(place);
         self.step(now, place, step);
     }
 
@@ -136,10 +136,10 @@
         if server.last || server.cancels > 0 {
             return self.gone(now, id, place);
         }
-        match self.pools.rests(now, id) {
-            Freed::Rests => {}
-            Freed::Step(step) => self.step(now, place, Some(step)),
-            Freed::Close => self.gone(now, id, place),
+        match self.pools.release(now, id) {
+            Released::Idle => {}
+            Released::Action(step) => self.step(now, place, Some(step)),
+            Released::Close => self.gone(now, id, place),
         }
     }
 
@@ -175,7 +175,7 @@
             self.ended(sent, ending);
         }
         self.told.extend(server.holds.map(|session| Told::Lost { session }));
-        let step = self.pools.next(place);
+        let step = self.pools.next_action(place);
         self.step(now, place, step);
     }
 }
--- a/crates/front/src/postgres/servers/leaving.rs
+++ b/crates/front/src/postgres/servers/leaving.rs
@@ -5,7 +5,7 @@
 
 use hallmux_dispatcher::{Ending, Micros, Place};
 use hallmux_postgres::engine::EngineConnection;
-use hallmux_postgres::pool::{self, Step};
+use hallmux_postgres::pool::{self, PoolAction};
 use hallmux_postgres::session::UnitPart;
 
 use super::{Execution, Sent, Server, ServerId, Servers, Stage, Told, Unit};
@@ -51,17 +51,17 @@
     }
 
     /// Does what the pools have decided, and what follows from that.
-    pub(super) fn step(&mut self, now: Micros, place: Place, step: Option<Step<Sent>>) {
+    pub(super) fn step(&mut self, now: Micros, place: Place, step: Option<PoolAction<Sent>>) {
         let mut step = step;
         while let Some(next) = step.take() {
             match next {
-                Step::Use { unit, link } => self.start(unit, link),
+                PoolAction::Use { unit, connection } => self.start(unit, connection),
                 // What waits is served as connections come free, or at the next look when it is its turn.
-                Step::Dial { .. } if !self.dials.borrow_mut().take(now, place) => return,
-                Step::Dial { account, instead_of } => {
+                PoolAction::Dial { .. } if !self.dials.borrow_mut().take(now, place) => return,
+                PoolAction::Dial { account, instead_of } => {
                     instead_of.into_iter().for_each(|id| self.close(id));
                     if self.links.len() + self.cancels.len() >= self.most_links {
-                        match self.pools.spare() {
+                        match self.pools.oldest_idle() {
                             Some(id) => self.close(id),
                             // What waits is served as connections come free; with none at all it ends.
                             None if !self.links.is_empty() => return,
@@ -76,13 +76,13 @@
                         }
                         return;
                     }
-                    step = self.pools.next(place);
+                    step = self.pools.next_action(place);
                 }
             }
         }
     }
 
-    fn waiting(&self, place: Place, account: pool::Account) -> Vec<Sent> {
+    fn waiting(&self, place: Place, account: pool::AccountId) -> Vec<Sent> {
         let waits = |x: &Execution| {
             x.place == place && x.link.is_none() && x.unit.pin.is_none() && x.unit.account == account
         };
@@ -91,7 +91,7 @@
         all
     }
 
-    pub(super) fn dial(&mut self, now: Micros, place: Place, account: pool::Account) -> Result<(), Ending> {
+    pub(super) fn dial(&mut self, now: Micros, place: Place, account: pool::AccountId) -> Result<(), Ending> {
         let engine = self.engines.get(&place).ok_or(Ending::Withdrawn)?;
         let who = self.accounts.get(account).cloned().ok_or(Ending::Withdrawn)?;
         self.next += 1;
@@ -105,7 +105,7 @@
         };
         let engine = EngineConnection::new(who, self.limits.prepared, link.output());
         let dial_by = now + self.allowed.dial_timeout;
-        self.pools.dialled(now, place, account, id);
+        self.pools.connecting(now, place, account, id);
         self.coming.insert(id, dial_by);
         let server = Server {
             link,
--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -9,7 +9,7 @@
 
 use hallmux_agreement::User;
 use hallmux_dispatcher::{Micros, Ticket};
-use hallmux_postgres::pool::Account;
+use hallmux_postgres::pool::AccountId;
 use hallmux_postgres::prepared::Catalogue;
 use hallmux_postgres::session::{Bounds, Session, UnitPart};
 use hallmux_postgres::startup::{Authentication, Startup};
@@ -53,7 +53,7 @@
 pub struct Inside {
     pub session: Session,
     pub user: Rc<User>,
-    pub account: Account,
+    pub account: AccountId,
     pub running: Option<Running>,
     /// The connection that holds its transaction, and the engine.
     pub pin: Option<(usize, ServerId)>,
--- a/crates/front/src/postgres/sessions/taking.rs
+++ b/crates/front/src/postgres/sessions/taking.rs
@@ -6,7 +6,7 @@
 use hallmux_dispatcher::Micros;
 use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::engine;
-use hallmux_postgres::pool::Account;
+use hallmux_postgres::pool::AccountId;
 use hallmux_postgres::session::{Session, SessionEvent, Transaction};
 use hallmux_postgres::startup::{Client, StartupStep};
 use hallmux_postgres::wire::{self, CancelKey};
@@ -173,7 +173,7 @@
 }
 
 /// The account at the engines of one that came in, unless there are too many.
-fn account(servers: &mut Servers, user: &User, welcome: &Client) -> Option<Account> {
+fn account(servers: &mut Servers, user: &User, welcome: &Client) -> Option<AccountId> {
     let who = engine::Account {
         user: user.engine_user.clone(),
         database: welcome.database.clone(),
