--- a/crates/postgres/src/pool.rs
+++ b/crates/postgres/src/pool.rs
@@ -103,7 +103,7 @@
             return Some(PoolAction::Use { unit, connection });
         }
         self.waiting.entry(engine).or_default().push_back((unit, account));
-        self.dial(engine)
+        self.next_action(engine)
     }
 
     /// The account of the first that waits at an engine with no connection on its way for it: each one that
@@ -124,8 +124,8 @@
         line.find(|account| !served(account)).copied()
     }
 
-    /// Whether another connection is to be made for those that wait at an engine.
-    fn dial(&self, engine: EngineIndex) -> Option<PoolAction<U>> {
+    /// What is to be done for the units that wait at an engine: the connection to make for them, if any.
+    pub fn next_action(&self, engine: EngineIndex) -> Option<PoolAction<U>> {
         let account = self.uncovered(engine)?;
         if self.of(engine).count() < self.bounds.each_engine {
             return Some(PoolAction::Dial { account, instead_of: None });
@@ -171,12 +171,7 @@
                 return Released::Action(PoolAction::Use { unit, connection });
             }
         }
-        self.dial(engine).map_or(Released::Idle, Released::Action)
-    }
-
-    /// What else is to be done for those that wait at an engine, after one of its connections has gone.
-    pub fn next_action(&self, engine: EngineIndex) -> Option<PoolAction<U>> {
-        self.dial(engine)
+        self.next_action(engine).map_or(Released::Idle, Released::Action)
     }
 
     /// A connection is gone. Those that waited for it alone, as no other of their account is there.
@@ -221,11 +216,6 @@
         (waited.into_iter().map(|(unit, _)| unit).collect(), idle)
     }
 
-    /// A connection is not taken again once it is free.
-    pub fn ages(&mut self, connection: ConnectionId) {
-        self.members.entry(connection).and_modify(|m| m.old = true);
-    }
-
     /// Connections that have rested for so long that they are to be closed.
     pub fn expired(&self, now: i64) -> Vec<ConnectionId> {
         let over = |m: &Member| match m.state {
