--- a/crates/front/src/postgres/servers/replies.rs
+++ b/crates/front/src/postgres/servers/replies.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use hallmux_dispatcher::{Ending, Micros, Place};
-use hallmux_postgres::answer::is_engine_fault;
-use hallmux_postgres::engine::{Done, Heard};
+use hallmux_postgres::client_error::is_engine_fault;
+use hallmux_postgres::engine::{EngineEvent, UnitOutcome};
 use hallmux_postgres::pool;
 
 use super::send::dial_ending;
@@ -114,12 +114,12 @@
         false
     }
 
-    fn handle_reply(&mut self, now: Micros, id: ServerId, reply: Heard) {
+    fn handle_reply(&mut self, now: Micros, id: ServerId, reply: EngineEvent) {
         let Some(server) = self.links.get_mut(&id) else { return };
         let place = server.place;
         match reply {
-            Heard::Alive => self.report_alive(place),
-            Heard::Up => {
+            EngineEvent::PingAnswered => self.report_alive(place),
+            EngineEvent::Ready => {
                 self.connecting.remove(&id);
                 if !server.engine.parameters.is_empty() {
                     self.parameters = std::mem::take(&mut server.engine.parameters);
@@ -127,7 +127,7 @@
                 self.report_alive(place);
                 self.release_idle(now, id);
             }
-            Heard::Refused { code, error } => {
+            EngineEvent::LoginRefused { code, error } => {
                 log::warn!("engine {}: no login: {code}", self.engine_name(id));
                 let lost = self.forget(id);
                 self.links.remove(&id);
@@ -138,17 +138,17 @@
                         _ => self.refused(sent, error.clone()),
                     }
                 }
-                let step = self.pools.next(place);
+                let step = self.pools.next_action(place);
                 self.step(now, place, step);
             }
-            Heard::SettingsRefused { error } => {
+            EngineEvent::SettingsRefused { error } => {
                 let sent = server.serves.take();
                 self.close(id);
                 sent.into_iter().for_each(|sent| self.refused(sent, error.clone()));
-                let step = self.pools.next(place);
+                let step = self.pools.next_action(place);
                 self.step(now, place, step);
             }
-            Heard::Done(done) => self.unit_done(now, id, done),
+            EngineEvent::UnitDone(done) => self.unit_done(now, id, done),
         }
     }
 
@@ -162,7 +162,7 @@
     /// Pings engines that have units out and are silent. They send no notes of progress,
     /// and a long statement on an engine that does little else is not to be taken for a hung one.
     pub(super) fn ping_silent(&mut self, now: Micros) {
-        let mut quiet: BTreeMap<Place, pool::Account> = BTreeMap::new();
+        let mut quiet: BTreeMap<Place, pool::AccountId> = BTreeMap::new();
         for x in self.executions.values().filter(|x| x.stage == Stage::Out) {
             let engine = self.engines.get(&x.place);
             if engine.is_some_and(|e| e.up && now - e.last_reply.max(e.last_ping) >= PING_AFTER) {
@@ -173,7 +173,7 @@
             if let Some(engine) = self.engines.get_mut(&place) {
                 engine.last_ping = now;
             }
-            match self.pools.resting(place) {
+            match self.pools.idle_connection(place) {
                 Some(id) => {
                     if let Some(server) = self.links.get_mut(&id) {
                         server.engine.ping(server.link.output());
@@ -194,7 +194,7 @@
         self.events.push(Event::Refused { sent, error });
     }
 
-    fn unit_done(&mut self, now: Micros, id: ServerId, done: Done) {
+    fn unit_done(&mut self, now: Micros, id: ServerId, done: UnitOutcome) {
         let Some(server) = self.links.get_mut(&id) else { return };
         let (place, sent, session) = (server.place, server.serves.take(), server.holds.take());
         server.discards = false;
--- a/crates/front/src/postgres/sessions/input.rs
+++ b/crates/front/src/postgres/sessions/input.rs
@@ -4,12 +4,12 @@
 
 use hallmux_agreement::User;
 use hallmux_dispatcher::Micros;
-use hallmux_postgres::answer::Final;
+use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::engine;
-use hallmux_postgres::entry::{Step, Welcome};
-use hallmux_postgres::pool::Account;
-use hallmux_postgres::session::{Read, Session, Transaction};
-use hallmux_postgres::wire;
+use hallmux_postgres::pool::AccountId;
+use hallmux_postgres::session::{Session, SessionEvent, Transaction};
+use hallmux_postgres::startup::{Client, StartupStep};
+use hallmux_postgres::wire::{self, CancelKey};
 
 use super::{Event, OpenSession, Sessions, Stage, Users};
 use crate::postgres::servers::{Servers, SessionId};
@@ -79,7 +79,7 @@
             },
             // One unit after the other: each may hang on how the last one ended.
             Stage::Open(open_session)
-                if open_session.running.is_some() && !open_session.session.is_within() =>
+                if open_session.running.is_some() && !open_session.session.is_in_unit() =>
             {
                 (0, false)
             }
@@ -109,12 +109,12 @@
                 connection.closing = true;
                 (0, false)
             }
-            Ok((used, Step::More)) => (used, false),
-            Ok((used, Step::Refused)) => {
+            Ok((used, StartupStep::Incomplete)) => (used, false),
+            Ok((used, StartupStep::Refused)) => {
                 connection.closing = true;
                 (used, false)
             }
-            Ok((used, Step::Cancel { process, secret })) => {
+            Ok((used, StartupStep::Cancel(CancelKey { process, secret }))) => {
                 connection.closing = true;
                 let meant = SessionId::from(process);
                 if self.connections.get(&meant).is_some_and(|p| p.secret == secret) {
@@ -122,14 +122,14 @@
                 }
                 (used, false)
             }
-            Ok((used, Step::Welcome(welcome))) => {
+            Ok((used, StartupStep::Accepted(welcome))) => {
                 let user = users.0.get(&welcome.user).map(|(user, _)| user.clone());
                 let account = user.as_ref().and_then(|user| account(servers, user, &welcome));
                 match user.zip(account) {
                     Some((user, account)) => {
                         let session = Session::new(&welcome, &mut self.catalogue);
-                        let process = (id as u32, connection.secret);
-                        greet(connection.link.output(), &welcome, &servers.parameters, process);
+                        let key = CancelKey { process: id as u32, secret: connection.secret };
+                        greet(connection.link.output(), &welcome, &servers.parameters, key);
                         connection.last_active = now;
                         connection.stage = Stage::Open(Box::new(OpenSession {
                             session,
@@ -144,7 +144,7 @@
                         (used, true)
                     }
                     None => {
-                        Final::Full.write(connection.link.output(), true);
+                        ClientError::TooManySessions.write(connection.link.output(), true);
                         connection.closing = true;
                         (used, false)
                     }
@@ -164,12 +164,12 @@
                 connection.closing = true;
                 (0, false)
             }
-            Ok((used, Read::More)) => (used, false),
-            Ok((used, Read::Goes)) => {
+            Ok((used, SessionEvent::Incomplete)) => (used, false),
+            Ok((used, SessionEvent::Terminated)) => {
                 connection.closing = true;
                 (used, false)
             }
-            Ok((used, Read::Part(part))) => {
+            Ok((used, SessionEvent::Part(part))) => {
                 let since = came(&connection.arrivals, used).unwrap_or(now);
                 match &mut open_session.running {
                     Some(running) => {
@@ -184,7 +184,7 @@
                         if open_session.session.answers(&part, &mut self.catalogue, out) {
                             (used, true)
                         } else if was == Transaction::Lost {
-                            Final::InFailedTransaction.write(out, false);
+                            ClientError::InFailedTransaction.write(out, false);
                             open_session.skipping = true;
                             (used, true)
                         } else {
@@ -204,7 +204,7 @@
 }
 
 /// The account at the engines of one that came in, unless there are too many.
-fn account(servers: &mut Servers, user: &User, welcome: &Welcome) -> Option<Account> {
+fn account(servers: &mut Servers, user: &User, welcome: &Client) -> Option<AccountId> {
     let who = engine::Account {
         user: user.engine_user.clone(),
         database: welcome.database.clone(),
@@ -236,7 +236,7 @@
 }
 
 /// What a client hears when it has come in.
-fn greet(out: &mut Vec<u8>, welcome: &Welcome, parameters: &[(String, String)], key: (u32, u32)) {
+fn greet(out: &mut Vec<u8>, welcome: &Client, parameters: &[(String, String)], key: CancelKey) {
     wire::write(out, b'R', |out| out.extend_from_slice(&0u32.to_be_bytes()));
     let usual = [
         ("server_version", "15.0"),
@@ -260,6 +260,6 @@
         };
         wire::write_parameter(out, name, value);
     }
-    wire::write_key(out, key.0, key.1);
+    wire::write_key(out, key);
     wire::write_ready(out, b'I');
 }
--- a/crates/postgres/src/lib.rs
+++ b/crates/postgres/src/lib.rs
@@ -2,15 +2,15 @@
 //! and back, start-up and authentication, sessions, engine connections and their pools. No sockets, no clock,
 //! no chance: whoever calls hands in bytes, the time and random numbers, and sends what is written.
 
-pub mod answer;
+pub mod client_error;
 pub mod engine;
-pub mod entry;
 pub mod pool;
 pub mod prepared;
 mod protocol_error;
 pub mod scram;
 pub mod session;
 pub mod sql;
+pub mod startup;
 pub mod wire;
 
 pub use protocol_error::ProtocolError;
