--- a/src/decide.rs
+++ b/src/decide.rs
@@ -108,7 +108,7 @@
     pub fn new(agreed: Agreement, seed: u64) -> Self {
         let customers = agreed.customers.len().max(1);
         let classes = agreed.workloads.len() * customers * 2;
-        let guess = Mean { value: 1.0, seen: GUESSED };
+        let guess = Mean { value: 1.0, samples: GUESSED };
         let fresh = Learned { memory_bias: guess, ..Learned::default() };
         let mut random = Random::new(seed);
         let narrowest = agreed.workloads.iter().map(|w| w.threads).fold(f64::INFINITY, f64::min);
@@ -156,7 +156,7 @@
                 Event::SendCapacity { engine, executions: n } => self.engines.set_send_capacity(engine, n),
                 Event::Fleet { known, up } => (self.known, self.up) = (known.max(self.agreed.fronts), up),
                 Event::Probed { engine, alive, report } => {
-                    self.engines.know(engine, TRUSTED);
+                    self.engines.ensure(engine, TRUSTED);
                     self.found_healthy(engine, alive);
                     self.engines.credit[engine] *= if alive { 1.0 } else { SPENT_ERROR };
                     report.iter().for_each(|r| self.load_reported(engine, r));
@@ -186,7 +186,7 @@
         }
         for entry in entries {
             let e = entry.engine;
-            self.engines.know(e, TRUSTED);
+            self.engines.ensure(e, TRUSTED);
             let known = self.engines.listed[e].as_ref();
             let restarted = known.is_none_or(|k| k.started != entry.started);
             if known.is_none() {
@@ -194,7 +194,7 @@
                 self.engines.bound[e] = THREADS_PER_CORE * self.engines.size[e].threads / self.agreed.fronts;
             }
             if let Some(start) = entry.started.filter(|_| restarted) {
-                (self.engines.credit[e], self.engines.rests_until[e]) = (TRUSTED, 0);
+                (self.engines.credit[e], self.engines.ejected_until[e]) = (TRUSTED, 0);
                 self.engines.others[e] = Load::default();
                 self.peer_reports.forget(e); // of an earlier start
                 self.found_healthy(e, true);
@@ -227,7 +227,7 @@
         learned.shed = learned.shed * REMEMBERED - f64::from(u8::from(later));
         let past = if later { (workload.statement_timeout - a.time_left).max(0) } else { 0 };
         let spent = if self.running_since == self.now && missing <= gap { missing } else { past };
-        learned.work.take_told(LEARNING, a.work);
+        learned.work.take_known(LEARNING, a.work);
         let memory = a.memory_mb * learned.memory_bias.value;
         let least_mb = self.agreed.memory_mb.iter().copied().fold(f64::INFINITY, f64::min);
         let memory = memory.min(least_mb * self.agreed.largest_grant);
@@ -247,13 +247,13 @@
     }
 
     fn enqueue(&mut self, id: StatementId) {
-        let Some(s) = self.statements.get(&id).filter(|s| !s.over && !s.is_out()) else { return };
+        let Some(s) = self.statements.get(&id).filter(|s| !s.over && !s.is_in_flight()) else { return };
         let (class, timely, latest) = (s.class, self.last_timely_start(s), self.latest_start(s));
         let paused_until = self.order_queues.of(s.asked.key).map_or(0, |q| q.paused_until);
         let is_first = self.is_first_in_order(id, s);
         // Once it is to be shed it is due now; till then when its standing changes next.
-        let ends = if self.is_to_be_shed(s) { self.now } else { s.ends - LAST_CALL };
-        let forgotten = s.executions.first().map_or(0, |x| x.sent + self.workload(s).dedup_window);
+        let ends = if self.is_to_be_shed(s) { self.now } else { s.deadline - LAST_CALL };
+        let forgotten = s.executions.first().map_or(0, |x| x.sent_at + self.workload(s).dedup_window);
         let next = [timely, latest, paused_until, forgotten].into_iter().filter(|t| *t > self.now).min();
         self.due.insert((next.map_or(ends, |t| t.min(ends)), id));
         self.dequeue(id);
@@ -282,9 +282,9 @@
             // Past its latest start one goes ahead of all, unless others wait that can still be in time.
             let others_wait = || self.classes.iter().any(|c| !c.ready.is_empty());
             let pressed = self.now >= self.latest_start(s) && others_wait();
-            if s.is_out() {
+            if s.is_in_flight() {
                 self.prioritise(id);
-            } else if self.now >= s.ends - LAST_CALL || self.is_to_be_shed(s) || pressed {
+            } else if self.now >= s.deadline - LAST_CALL || self.is_to_be_shed(s) || pressed {
                 self.shed(id);
             } else {
                 self.enqueue(id);
@@ -294,7 +294,7 @@
             self.sweeps += 1;
             self.probe();
             if self.sweeps.is_multiple_of(SWEEPS_PER_LOOK) {
-                self.engines.grow_old(FORGOTTEN, self.many.then_some(OUTDATED));
+                self.engines.decay_others(FORGOTTEN, self.many.then_some(OUTDATED));
                 (0..self.engines.open.len()).for_each(|e| self.check_silence(e));
             }
         }
@@ -322,12 +322,12 @@
         let slo = self.slo_time(s);
         let run = self.learned[s.asked.workload].pace.value * self.estimated_run(s) * SLOW_RUN;
         // While few of its class run, half the time may be waited: else a jam's run times shut it out.
-        let few = self.classes[s.class].out.len() < self.engines.open.iter().filter(|o| **o).count();
-        s.first_asked + slo - if few { (run as Micros).min(slo / 2) } else { run as Micros }
+        let few = self.classes[s.class].in_flight.len() < self.engines.open.iter().filter(|o| **o).count();
+        s.first_arrival + slo - if few { (run as Micros).min(slo / 2) } else { run as Micros }
     }
 
     fn latest_start(&self, s: &Statement) -> Micros {
-        s.ends - (self.learned[s.asked.workload].pace.value * self.estimated_run(s)) as Micros
+        s.deadline - (self.learned[s.asked.workload].pace.value * self.estimated_run(s)) as Micros
     }
 
     fn order_key_freed(&mut self, key: KeyId, pauses: bool) {
@@ -340,7 +340,7 @@
     }
 
     fn forget(&mut self, id: StatementId) {
-        if self.statements.get(&id).is_some_and(|s| s.over && !s.is_out()) {
+        if self.statements.get(&id).is_some_and(|s| s.over && !s.is_in_flight()) {
             self.statements.remove(&id);
         }
     }
--- a/src/decide/learn.rs
+++ b/src/decide/learn.rs
@@ -18,13 +18,13 @@
         let (count, asks) = (self.engines.open.len(), self.agreed.report_on_probe && self.agreed.probes);
         for _ in 0..count {
             let e = self.next_probed % count;
-            if !asks || self.probe_allowance < 1.0 || self.engines.probed[e] > self.now - PROBE_GAP {
+            if !asks || self.probe_allowance < 1.0 || self.engines.probed_at[e] > self.now - PROBE_GAP {
                 return;
             }
             self.next_probed = e + 1;
             if self.engines.open[e] && self.probe_tokens.take(each * count as f64, self.now) {
                 self.probe_allowance -= 1.0;
-                self.engines.probed[e] = self.now;
+                self.engines.probed_at[e] = self.now;
                 self.actions.push(Action::Probe { engine: e });
             }
         }
@@ -32,7 +32,7 @@
 
     pub(super) fn load_reported(&mut self, e: EngineId, report: &Report) {
         let (own, size) = (self.engines.own[e], self.engines.size[e]);
-        let count = self.engines.out[e].len() as f64;
+        let count = self.engines.in_flight[e].len() as f64;
         let each = if self.many { self.load.threads } else { positive_or(own.threads, 1.0) / count.max(1.0) };
         let in_hand = self.agreed.report.active_statements(report, size.threads / each.max(0.01));
         let active = in_hand.map_or(0.0, |active| (active - count).max(0.0));
@@ -40,10 +40,10 @@
         let granted = self.agreed.report.granted_memory(report).map(|x| x * size.memory - own.memory);
         // Where nothing tells what an engine holds, a report leaves what others are taken to hold.
         let threads = if in_hand.is_some() { active * each } else { self.engines.others[e].threads };
-        let told = Load { threads, memory: granted.unwrap_or(active * need).max(0.0) };
-        (self.engines.seen[e], self.engines.told[e]) = (own, self.now);
-        self.engines.others[e].blend(told, if self.many { 1.0 } else { 0.5 });
-        self.engines.learn_usual(e, told.times(1.0 / size.threads), LEARNING);
+        let reported = Load { threads, memory: granted.unwrap_or(active * need).max(0.0) };
+        (self.engines.own_at_report[e], self.engines.reported_at[e]) = (own, self.now);
+        self.engines.others[e].blend(reported, if self.many { 1.0 } else { 0.5 });
+        self.engines.learn_usual(e, reported.times(1.0 / size.threads), LEARNING);
     }
 
     /// Guards against executions that are taken and never answered, whatever the cause: a hung engine,
@@ -56,14 +56,14 @@
             let tells = self.engines.listed[e].as_ref().is_some_and(|entry| entry.sends_progress);
             let run = self.learned[s.asked.workload].pace.value * self.estimated_run(s);
             let (heard, patience) = match self.agreed.progress_every * Micros::from(tells) {
-                0 => (x.sent.max(self.engines.heard[e]), SECOND as f64 + SILENCE_RUNS * run),
-                every => (x.heard, SILENT_NOTES * every as f64),
+                0 => (x.sent_at.max(self.engines.heard_at[e]), SECOND as f64 + SILENCE_RUNS * run),
+                every => (x.heard_at, SILENT_NOTES * every as f64),
             };
             !x.silent && (self.now - heard.max(self.running_since)) as f64 > patience
         };
-        let stuck: Vec<_> = self.engines.out[e].iter().filter(silent).copied().collect();
+        let stuck: Vec<_> = self.engines.in_flight[e].iter().filter(silent).copied().collect();
         for (id, n) in stuck {
-            let all_quiet = self.engines.heard[e] <= self.statements[&id].executions[n].heard;
+            let all_quiet = self.engines.heard_at[e] <= self.statements[&id].executions[n].heard_at;
             self.lose_credit(e, if all_quiet { SPENT_LOST } else { SPENT_ERROR });
             self.cancel_to_retry(id, n);
             self.statements.entry(id).and_modify(|s| s.executions[n].silent = true);
@@ -73,8 +73,8 @@
     pub(super) fn noted(&mut self, id: StatementId, n: usize, e: EngineId, note: Note) {
         let Some(s) = self.statements.get_mut(&id) else { return };
         let Some(execution) = s.executions.get_mut(n).filter(|x| x.outcome.is_none()) else { return };
-        let tells = execution.hears(self.now, note);
-        self.engines.heard[e] = if tells { self.now } else { self.engines.heard[e] };
+        let tells = execution.noted(self.now, note);
+        self.engines.heard_at[e] = if tells { self.now } else { self.engines.heard_at[e] };
         if let Note::SpillsMb(missing) = note {
             execution.spilled = true;
             let need = (s.load.memory * GRANTED + missing) / s.asked.memory_mb.max(1.0);
@@ -87,7 +87,7 @@
             return self.cancel_to_retry(id, n);
         }
         if let Note::ShareDone(done) = note {
-            let run = (self.now - execution.sent) as f64;
+            let run = (self.now - execution.sent_at) as f64;
             let s = &self.statements[&id];
             let expected = self.learned[s.asked.workload].pace.value * self.estimated_run(s);
             // Guards against a bad plan, drawn anew at each execution, not against a long statement.
@@ -100,17 +100,17 @@
 
     pub(super) fn ended(&mut self, x: Ended) {
         let (now, e) = (self.now, x.engine);
-        self.engines.know(e, TRUSTED);
+        self.engines.ensure(e, TRUSTED);
         let Some(s) = self.statements.get_mut(&x.statement) else { return };
         let Some(sent) = s.executions.get_mut(x.execution).filter(|x| x.outcome.is_none()) else { return };
         sent.outcome = Some(x.outcome);
-        let (silent, key, was_over, ends, load) = (sent.silent, s.asked.key, s.over, s.ends, s.load);
-        self.engines.took_back(e, (x.statement, x.execution), load);
+        let (silent, key, was_over, ends, load) = (sent.silent, s.asked.key, s.over, s.deadline, s.load);
+        self.engines.remove(e, (x.statement, x.execution), load);
         let lost = matches!(x.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
         self.order_queues.resolve(key, was_over, lost.then_some(now + self.agreed.order_gap));
         self.order_queues.keep(key, x.keeps_order_key && x.settled && !was_over);
         // One connection late to come up tells little of its engine; two in a row tell that it is gone.
-        let (before, unreached) = self.engines.tried(e, x.outcome, now + LOST_REST);
+        let (before, unreached) = self.engines.count_unreached(e, x.outcome, now + LOST_REST);
         if unreached.max(before) > 1 {
             // It could not be reached: once it is back it may have restarted before the list says so.
             self.start_warm_up(e, now + self.agreed.warm_within);
@@ -147,7 +147,7 @@
             self.enqueue_first_in_order(key);
         } else if x.settled {
             let slo = self.slo_time(s);
-            self.close(x.statement, x.outcome == Outcome::Completed && now - s.first_asked <= slo);
+            self.close(x.statement, x.outcome == Outcome::Completed && now - s.first_arrival <= slo);
         } else if self.has_safe_engine(s) && self.tries_left(s) && now < ends - LAST_CALL {
             self.enqueue(x.statement);
         } else {
@@ -158,7 +158,7 @@
     fn lose_credit(&mut self, e: EngineId, left: f64) {
         self.engines.credit[e] *= left;
         if left <= SPENT_LOST {
-            self.engines.rests_until[e] = self.now + LOST_REST;
+            self.engines.ejected_until[e] = self.now + LOST_REST;
         }
     }
 
@@ -167,7 +167,7 @@
         let s = &self.statements[&x.statement];
         let (w, spilled, base) = (s.asked.workload, s.executions[x.execution].spilled, self.estimated_run(s));
         let slo = self.slo_time(s) as f64;
-        self.engines.heard[e] = now;
+        self.engines.heard_at[e] = now;
         self.engines.credit[e] = (self.engines.credit[e] + EARNED).min(1.0);
         let seconds = took / SECOND as f64;
         self.load.blend(Load { threads, memory: s.load.memory }, LEARNING * seconds.min(1.0));
@@ -178,7 +178,7 @@
         } else if took > slo {
             self.adjust_bound(e, -SHRINK * threads);
         }
-        self.learned[w].took(LEARNING, (took, base), if spilled { 1.0 } else { ENOUGH });
+        self.learned[w].completed(LEARNING, (took, base), if spilled { 1.0 } else { ENOUGH });
     }
 
     /// Moves an engine's bound, or all alike: a front among many hears too seldom of each to know its own.
--- a/src/decide/penalty.rs
+++ b/src/decide/penalty.rs
@@ -66,8 +66,8 @@
         let (now, priority) = (self.now, self.priority(id));
         let s = &self.statements[&id];
         let (class, load, latest) = (s.class, s.load, self.latest_start(s));
-        if let Some(pushed) = self.pushed_with(e, s).filter(|_| now < self.engines.cold_until[e]) {
-            self.engines.pushed[e] = (pushed, now);
+        if let Some(pushed) = self.cold_work_with(e, s).filter(|_| now < self.engines.cold_until[e]) {
+            self.engines.cold_work[e] = (pushed, now);
         }
         let most = self.engines.size[e].memory * self.agreed.largest_grant;
         let grants = self.agreed.grants && s.asked.memory_mb > 0.0;
@@ -78,10 +78,10 @@
         self.actions.push(Action::Execute { statement: id, engine: e });
         let Some(s) = self.statements.get_mut(&id) else { return };
         self.further_executions.0.extend((!s.executions.is_empty()).then_some(now));
-        self.engines.sent(e, (id, s.executions.len()), load);
+        self.engines.add(e, (id, s.executions.len()), load);
         s.priority = priority;
-        s.executions.push(Execution { engine: e, sent: now, heard: now, ..Execution::default() });
-        self.classes[class].out.insert(id);
+        s.executions.push(Execution { engine: e, sent_at: now, heard_at: now, ..Execution::default() });
+        self.classes[class].in_flight.insert(id);
         self.due.insert((latest.max(now + 1), id));
     }
 
--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -8,10 +8,10 @@
         let s = &self.statements[&id];
         let workload = self.workload(s);
         let Some(entry) = self.engines.entry(e) else { return false };
-        let open = !s.over && !s.is_out() && s.allows(workload, entry);
+        let open = !s.over && !s.is_in_flight() && s.allows(workload, entry);
         let open = open && s.asked.pinned.is_none_or(|p| p == e) && entry.protocols & s.asked.protocols != 0;
-        let bears = self.now >= self.engines.cold_until[e] || self.pushed_with(e, s).is_some();
-        let open = open && self.now < s.ends && self.is_first_in_order(id, s);
+        let bears = self.now >= self.engines.cold_until[e] || self.cold_work_with(e, s).is_some();
+        let open = open && self.now < s.deadline && self.is_first_in_order(id, s);
         open && bears && (s.executions.is_empty() || self.is_safe_repeat(s, entry) && self.tries_left(s))
     }
 
@@ -21,7 +21,7 @@
         let dropped = |x: &Execution| {
             let earlier = self.engines.listed[x.engine].as_ref();
             let same = earlier.is_some_and(|x| at.drops_repeats_of(x, workload.dedup_group));
-            same && at.mode == Mode::Ready && self.now - x.sent < workload.dedup_window
+            same && at.mode == Mode::Ready && self.now - x.sent_at < workload.dedup_window
         };
         s.may_have_run().all(|x| match workload.effect {
             Effect::Idempotent => true,
@@ -58,7 +58,7 @@
         let may = |e: &EngineId| self.engines.entry(*e).is_some_and(|l| s.allows(workload, l));
         let all = || (0..self.engines.open.len()).filter(may);
         let heeds = !self.peer_reports.adverse.is_empty() && all().any(|e| self.unsuspected_share(e) >= 1.0);
-        let avoids = !self.engines.evacuated.is_empty() && all().any(|e| !self.engines.is_evacuated(e));
+        let avoid = !self.engines.evacuated.is_empty() && all().any(|e| !self.engines.is_evacuated(e));
         let (pool, out) = self.engines.open_totals();
         let (memory_pool, memory_out) = self.engines.open_memory(MEMORY_USED / THREADS_PER_CORE);
         // Among many fronts the pool bounds a front's threads and memory; with nothing out it may send one.
@@ -72,12 +72,12 @@
             let trusted = s.executions.is_empty() || self.engines.credit[e] >= TRUSTED;
             let reached = self.engines.send_capacity[e] > 0 || s.asked.pinned.is_some();
             let away =
-                !reached || self.engines.rests_until[e] > self.now || avoids && self.engines.is_evacuated(e);
+                !reached || self.engines.ejected_until[e] > self.now || avoid && self.engines.is_evacuated(e);
             if !trusted || away || !self.may_execute(id, e) {
                 continue;
             }
             let holds = |o: &Statement| self.workload(o).holds_data && o.asked.data_set == s.asked.data_set;
-            let locked = || self.engines.out[e].iter().any(|(other, _)| holds(&self.statements[other]));
+            let locked = || self.engines.in_flight[e].iter().any(|(other, _)| holds(&self.statements[other]));
             if stands && (self.engines.holds(e, s.asked.data_set, self.now) || locked()) {
                 continue;
             }
@@ -90,20 +90,19 @@
             let memory = size.memory * MEMORY_USED * (bound / (THREADS_PER_CORE * size.threads)).min(1.0);
             // What this front has added since the last report, the others are taken to have added too.
             let (mut others, mut added) = (self.engines.others[e], own);
-            added.add(self.engines.seen[e], -1.0);
+            added.add(self.engines.own_at_report[e], -1.0);
             others.add(added, self.agreed.fronts - 1.0);
             let cores = size.threads * self.engines.warmth(e, self.now, &self.agreed);
             let whole = MOST_PER_CORE * cores;
             let share = if self.many { whole * credit } else { bound };
             let room = share.min(whole - others.threads) - own.threads;
             let spare = IDLE * cores - others.threads - own.threads;
-            let fresh = self.agreed.report.names_load() && self.engines.told[e] >= self.now - FRESH;
+            let fresh = self.agreed.report.names_load() && self.engines.reported_at[e] >= self.now - FRESH;
             let within = !over || spare >= workload.threads && fresh;
             let taken = own.memory + s.load.memory;
             let full = taken + others.memory > size.memory;
             let fits = room >= workload.threads && (taken <= memory || self.many) && !full;
-            let idle =
-                if self.many { out <= 0.0 } else { self.engines.out[e].is_empty() && room > 0.0 && !full };
+            let idle = if self.many { out <= 0.0 } else { self.engines.is_idle(e) && room > 0.0 && !full };
             let needs = |w: &Workload| is_bound(w) && w.allows(entry);
             let scarce = !is_bound(workload) && self.agreed.workloads.iter().any(needs);
             let room = if scarce { room - SCARCE * size.threads } else { room };
@@ -121,13 +120,14 @@
     pub(super) fn start_warm_up(&mut self, e: EngineId, until: Micros) {
         self.engines.cold_until[e] = until;
         let fresh = self.started == Some(self.now);
-        self.engines.pushed[e] = (if fresh { self.pushed(e).1 } else { self.engines.pushed[e].0 }, self.now);
+        let work = if fresh { self.cold_work(e).1 } else { self.engines.cold_work[e].0 };
+        self.engines.cold_work[e] = (work, self.now);
     }
 
     /// What is counted at a cold engine once this is sent there now; None: not now. One longer than this
     /// front's share of the burst goes in slots that begin at random: idle or fresh fronts rush no engine.
-    pub(super) fn pushed_with(&self, e: EngineId, s: &Statement) -> Option<f64> {
-        let (workload, (pushed, most)) = (self.workload(s), self.pushed(e));
+    pub(super) fn cold_work_with(&self, e: EngineId, s: &Statement) -> Option<f64> {
+        let (workload, (pushed, most)) = (self.workload(s), self.cold_work(e));
         let work = self.learned[s.asked.workload].usual_work(workload.threads, workload.slo_time);
         let slots = self.engines.could_do(e, work * self.known, self.now, &self.agreed) - self.first_slot;
         let past = if self.known > COLD_SPARE { slots.rem_euclid(1.0) * work } else { 0.0 };
@@ -137,9 +137,9 @@
 
     /// Work pushed at a cold engine and not yet worked off, and how much of it there may be. It drains at
     /// this front's share of what the engine can do by now: any window holds less than the overload factor.
-    pub(super) fn pushed(&self, e: EngineId) -> (f64, f64) {
+    pub(super) fn cold_work(&self, e: EngineId) -> (f64, f64) {
         let rate = self.engines.warmth(e, self.now, &self.agreed) * self.engines.size[e].threads / self.known;
         let burst = (self.agreed.overload_factor * COLD_MARGIN - 0.5).max(0.1) * rate;
-        (self.engines.left_of_pushed(e, rate, self.now), burst * self.agreed.fall_window as f64)
+        (self.engines.cold_work_left(e, rate, self.now), burst * self.agreed.fall_window as f64)
     }
 }
--- a/src/decide/shed.rs
+++ b/src/decide/shed.rs
@@ -40,7 +40,7 @@
 
     pub(super) fn cancel_to_retry(&mut self, id: StatementId, n: usize) {
         let s = &self.statements[&id];
-        let in_time = self.now + (self.learned[s.asked.workload].run.value as Micros) < s.ends;
+        let in_time = self.now + (self.learned[s.asked.workload].run.value as Micros) < s.deadline;
         let again = self.workload(s).effect == Effect::Idempotent && self.tries_left(s) && in_time;
         if again && self.agreed.cancel && !s.over {
             self.actions.push(Action::Cancel { statement: id, execution: n });
@@ -51,7 +51,7 @@
     pub(super) fn shed(&mut self, id: StatementId) {
         let s = &self.statements[&id];
         let (workload, ran) = (self.workload(s), s.may_have_run().next().is_some());
-        let (w, first) = (s.asked.workload, s.first_asked == s.ends - s.asked.time_left);
+        let (w, first) = (s.asked.workload, s.first_arrival == s.deadline - s.asked.time_left);
         let harmless = match workload.effect {
             Effect::Idempotent => true,
             Effect::Deduplicated => !ran || workload.dedup_group == DedupGroup::All,
@@ -74,15 +74,15 @@
         let Some(s) = self.statements.get_mut(&id).filter(|s| !s.over) else { return };
         s.over = true;
         let (class, key) = (s.class, s.asked.key);
-        let unresolved = s.unended();
+        let unresolved = s.in_flight();
         let cancel = |n: &usize| Action::Cancel { statement: id, execution: *n };
         self.actions.extend(unresolved.iter().filter(|_| self.agreed.cancel).map(cancel));
         let counts = &mut self.classes[class];
-        counts.out.remove(&id);
+        counts.in_flight.remove(&id);
         let before = counts.on_top();
         counts.count(self.now, HALF_LIFE, timely);
         if counts.on_top() != before {
-            for other in counts.out.clone() {
+            for other in counts.in_flight.clone() {
                 self.prioritise(other);
             }
         }
--- a/src/decide/suspicion.rs
+++ b/src/decide/suspicion.rs
@@ -56,7 +56,7 @@
             for o in zone {
                 self.engines.evacuated.remove(&o);
                 self.peer_reports.forget(o);
-                (self.engines.credit[o], self.engines.rests_until[o]) = (TRUSTED, 0);
+                (self.engines.credit[o], self.engines.ejected_until[o]) = (TRUSTED, 0);
                 self.start_warm_up(o, self.now + self.agreed.warm_within);
             }
         }
--- a/src/learned.rs
+++ b/src/learned.rs
@@ -3,22 +3,22 @@
 use crate::interface::*;
 use crate::state::positive_or;
 
-/// A learned mean and how many samples it has taken.
+/// A learned mean and the number of its samples.
 #[derive(Default, Clone, Copy)]
 pub struct Mean {
     pub value: f64,
-    pub seen: f64,
+    pub samples: f64,
 }
 
 impl Mean {
     /// Takes a sample; the weight of the newest is its share of all, but not under the least given.
     pub fn take(&mut self, least: f64, sample: f64) {
-        self.seen += 1.0;
-        self.value += (sample - self.value) * least.max(1.0 / self.seen);
+        self.samples += 1.0;
+        self.value += (sample - self.value) * least.max(1.0 / self.samples);
     }
 
-    /// The same, unless there was none.
-    pub fn take_told(&mut self, least: f64, sample: f64) {
+    /// The same; a sample of 0 is not known and is not taken.
+    pub fn take_known(&mut self, least: f64, sample: f64) {
         if sample > 0.0 {
             self.take(least, sample);
         }
@@ -27,8 +27,8 @@
     /// The same for ratios, as a geometric mean.
     pub fn take_ratio(&mut self, least: f64, sample: f64) {
         let (sample, value) = (sample.max(1e-6), positive_or(self.value, 1.0));
-        self.seen += 1.0;
-        self.value = value * (sample / value).powf(least.max(1.0 / self.seen));
+        self.samples += 1.0;
+        self.value = value * (sample / value).powf(least.max(1.0 / self.samples));
     }
 }
 
@@ -52,7 +52,7 @@
     }
 
     /// An execution was answered after so long, against the estimate's time; `had_enough` moves the need of memory.
-    pub fn took(&mut self, least: f64, (took, estimate): (f64, f64), had_enough: f64) {
+    pub fn completed(&mut self, least: f64, (took, estimate): (f64, f64), had_enough: f64) {
         self.run.take(least, took);
         self.pace.take_ratio(least, took / estimate);
         self.memory_bias.value *= had_enough;
--- a/src/state.rs
+++ b/src/state.rs
@@ -18,7 +18,7 @@
     pub counted: f64,
     pub at: Micros,
     pub ready: BTreeSet<StatementId>,
-    pub out: BTreeSet<StatementId>,
+    pub in_flight: BTreeSet<StatementId>,
 }
 
 impl ServiceClass {
@@ -79,8 +79,8 @@
 #[derive(Default)]
 pub struct Execution {
     pub engine: EngineId,
-    pub sent: Micros,
-    pub heard: Micros,
+    pub sent_at: Micros,
+    pub heard_at: Micros,
     pub spilled: bool, // it had less memory than it needed
     pub silent: bool,  // nothing was heard of it for too long
     pub outcome: Option<Outcome>,
@@ -88,9 +88,9 @@
 
 impl Execution {
     /// There is word of it: whether that tells of its engine too. One that has not left is sent from then on.
-    pub fn hears(&mut self, now: Micros, note: Note) -> bool {
+    pub fn noted(&mut self, now: Micros, note: Note) -> bool {
         let left = note != Note::NotSentYet;
-        (self.heard, self.sent) = (now, if left { self.sent } else { now });
+        (self.heard_at, self.sent_at) = (now, if left { self.sent_at } else { now });
         left
     }
 }
@@ -98,8 +98,8 @@
 pub struct Statement {
     pub asked: Arrival,
     pub class: usize,
-    pub first_asked: Micros, // when its first try arrived, as far as the time that is left tells
-    pub ends: Micros,
+    pub first_arrival: Micros, // when its first try arrived, as far as the time that is left tells
+    pub deadline: Micros,
     pub load: Load, // what it counts for on its engine
     pub priority: u8,
     pub executions: Vec<Execution>,
@@ -107,8 +107,17 @@
 }
 
 impl Statement {
-    pub fn new(asked: Arrival, class: usize, first_asked: Micros, ends: Micros, load: Load) -> Self {
-        Statement { asked, class, first_asked, ends, load, priority: 1, executions: Vec::new(), over: false }
+    pub fn new(asked: Arrival, class: usize, first_arrival: Micros, deadline: Micros, load: Load) -> Self {
+        Statement {
+            asked,
+            class,
+            first_arrival,
+            deadline,
+            load,
+            priority: 1,
+            executions: Vec::new(),
+            over: false,
+        }
     }
 
     /// Whether it may be sent to an engine at all: its workload and what is allowed to it agree.
@@ -122,11 +131,11 @@
         self.executions.iter().filter(move |x| x.outcome.is_none_or(|o| !unseen.contains(&o)))
     }
 
-    pub fn is_out(&self) -> bool {
+    pub fn is_in_flight(&self) -> bool {
         self.executions.iter().any(|e| e.outcome.is_none())
     }
 
-    pub fn unended(&self) -> Vec<usize> {
+    pub fn in_flight(&self) -> Vec<usize> {
         (0..self.executions.len()).filter(|n| self.executions[*n].outcome.is_none()).collect()
     }
 }
@@ -162,19 +171,19 @@
     pub size: Vec<Load>,  // cores and memory
     pub usual: Vec<Load>, // what other fronts hold for each core, by kind
     pub cold_until: Vec<Micros>,
-    pub pushed: Vec<(f64, Micros)>, // work counted against a cold engine's budget, and when
+    pub cold_work: Vec<(f64, Micros)>, // work counted against a cold engine's budget, and when
     pub own: Vec<Load>,
-    pub seen: Vec<Load>,   // what was own at the last report
-    pub others: Vec<Load>, // of other fronts, and of work given up here that may run on
-    pub out: Vec<BTreeSet<(StatementId, usize)>>,
-    pub held: Vec<Vec<(u32, Micros)>>, // data sets that loads of other fronts hold there, and until when
+    pub own_at_report: Vec<Load>, // what was own at the last report
+    pub others: Vec<Load>,        // of other fronts, and of work given up here that may run on
+    pub in_flight: Vec<BTreeSet<(StatementId, usize)>>,
+    pub locked_data: Vec<Vec<(u32, Micros)>>, // data sets that loads of other fronts hold there, and until when
     pub bound: Vec<f64>,
     pub credit: Vec<f64>,
     pub unreached: Vec<usize>, // times in a row that it could not be reached
-    pub rests_until: Vec<Micros>,
-    pub heard: Vec<Micros>,
-    pub probed: Vec<Micros>,
-    pub told: Vec<Micros>,         // when its last report came
+    pub ejected_until: Vec<Micros>,
+    pub heard_at: Vec<Micros>,
+    pub probed_at: Vec<Micros>,
+    pub reported_at: Vec<Micros>,  // when its last report came
     pub send_capacity: Vec<usize>, // executions that can leave now, over connections that are there or may be made
     /// Suspects in evacuated zones, each with the other fronts that have found it healthy since.
     pub evacuated: BTreeMap<EngineId, BTreeSet<usize>>,
@@ -190,7 +199,7 @@
 
     /// Whether a load of another front holds the data set there.
     pub fn holds(&self, e: EngineId, data_set: Option<u32>, now: Micros) -> bool {
-        self.held[e].iter().any(|(held, until)| data_set == Some(*held) && *until > now)
+        self.locked_data[e].iter().any(|(held, until)| data_set == Some(*held) && *until > now)
     }
 
     /// What the list says of an engine that is open.
@@ -227,10 +236,10 @@
         one.map_or_else(|| self.open_totals(), |e| (self.bound[e], self.own[e].threads))
     }
 
-    /// What was pushed at a cold engine and is not worked off yet, at a rate.
-    pub fn left_of_pushed(&self, e: EngineId, rate: f64, now: Micros) -> f64 {
-        let (pushed, at) = self.pushed[e];
-        (pushed - rate * (now - at) as f64).max(0.0)
+    /// What a cold engine that works at a rate has not worked off yet of the work sent to it.
+    pub fn cold_work_left(&self, e: EngineId, rate: f64, now: Micros) -> f64 {
+        let (work, at) = self.cold_work[e];
+        (work - rate * (now - at) as f64).max(0.0)
     }
 
     /// The bounds of all open engines added up, and the threads that this front has out there.
@@ -248,9 +257,14 @@
         open.fold((0.0, 0.0), |(pool, own), e| (pool + share(e), own + self.own[e].memory))
     }
 
+    /// Whether no execution of this front is out there.
+    pub fn is_idle(&self, e: EngineId) -> bool {
+        self.in_flight[e].is_empty()
+    }
+
     /// An execution is out there, and what it counts for.
-    pub fn sent(&mut self, e: EngineId, execution: (StatementId, usize), load: Load) {
-        self.out[e].insert(execution);
+    pub fn add(&mut self, e: EngineId, execution: (StatementId, usize), load: Load) {
+        self.in_flight[e].insert(execution);
         self.own[e].add(load, 1.0);
         self.send_capacity[e] = self.send_capacity[e].saturating_sub(1);
     }
@@ -261,7 +275,7 @@
     }
 
     /// What others hold of each is half known and grows old: with reports of many, towards what is usual.
-    pub fn grow_old(&mut self, forgotten: f64, outdated: Option<f64>) {
+    pub fn decay_others(&mut self, forgotten: f64, outdated: Option<f64>) {
         self.usual.iter_mut().for_each(|usual| usual.blend(Load::default(), forgotten));
         for e in 0..self.open.len() {
             let usual = outdated.map_or(Load::default(), |_| self.usual(e));
@@ -270,16 +284,21 @@
     }
 
     /// It is out no more.
-    pub fn took_back(&mut self, e: EngineId, execution: (StatementId, usize), load: Load) {
-        self.out[e].remove(&execution);
+    pub fn remove(&mut self, e: EngineId, execution: (StatementId, usize), load: Load) {
+        self.in_flight[e].remove(&execution);
         self.own[e].add(load, -1.0);
     }
 
     /// How often in a row it could not be reached, before and now; then it rests.
-    pub fn tried(&mut self, e: EngineId, outcome: Outcome, rests_until: Micros) -> (usize, usize) {
+    pub fn count_unreached(
+        &mut self,
+        e: EngineId,
+        outcome: Outcome,
+        ejected_until: Micros,
+    ) -> (usize, usize) {
         let before = self.unreached[e];
         match outcome {
-            Outcome::Unreachable => (self.unreached[e], self.rests_until[e]) = (before + 1, rests_until),
+            Outcome::Unreachable => (self.unreached[e], self.ejected_until[e]) = (before + 1, ejected_until),
             Outcome::Completed | Outcome::NoCapacity | Outcome::Error => self.unreached[e] = 0,
             _ => {} // nothing has come from there
         }
@@ -293,37 +312,37 @@
     }
 
     /// The same for each core, as its reports tell.
-    pub fn learn_usual(&mut self, e: EngineId, told: Load, weight: f64) {
+    pub fn learn_usual(&mut self, e: EngineId, reported: Load, weight: f64) {
         let usual = self.listed[e].as_ref().and_then(|entry| self.usual.get_mut(entry.kind));
-        usual.into_iter().for_each(|usual| usual.blend(told, weight));
+        usual.into_iter().for_each(|usual| usual.blend(reported, weight));
     }
 
     /// A load of another front holds the data set there until then.
     pub fn lock(&mut self, e: EngineId, data_set: u32, now: Micros, until: Micros) {
-        self.held[e].retain(|(held, until)| *held != data_set && *until > now);
-        self.held[e].push((data_set, until));
+        self.locked_data[e].retain(|(held, until)| *held != data_set && *until > now);
+        self.locked_data[e].push((data_set, until));
     }
 
     /// Makes room for an engine; one that is new starts with the credit given.
-    pub fn know(&mut self, engine: EngineId, credit: f64) {
+    pub fn ensure(&mut self, engine: EngineId, credit: f64) {
         let count = self.open.len().max(engine + 1);
         self.open.resize(count, false);
         self.listed.resize(count, None);
         self.size.resize(count, Load { threads: 1.0, memory: f64::INFINITY });
         self.cold_until.resize(count, 0);
-        self.pushed.resize(count, (0.0, 0));
+        self.cold_work.resize(count, (0.0, 0));
         self.own.resize(count, Load::default());
-        self.seen.resize(count, Load::default());
+        self.own_at_report.resize(count, Load::default());
         self.others.resize(count, Load::default());
-        self.out.resize(count, BTreeSet::new());
-        self.held.resize(count, Vec::new());
+        self.in_flight.resize(count, BTreeSet::new());
+        self.locked_data.resize(count, Vec::new());
         self.bound.resize(count, 0.0);
         self.credit.resize(count, credit);
         self.unreached.resize(count, 0);
-        self.rests_until.resize(count, 0);
-        self.heard.resize(count, 0);
-        self.probed.resize(count, 0);
-        self.told.resize(count, 0);
+        self.ejected_until.resize(count, 0);
+        self.heard_at.resize(count, 0);
+        self.probed_at.resize(count, 0);
+        self.reported_at.resize(count, 0);
         self.send_capacity.resize(count, usize::MAX);
     }
 }
