--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,6 +1,4 @@
-//! Every decision of a front. `Front::new` takes what was agreed and a seed, `Front::decide` the clock and
-//! what has happened since the last call; it returns what is to be done, in order. It has no other effect.
-//! docs/design.md says what is the paper's and what is ours.
+//! Every decision of a front: see [`Front`]. docs/design.md says what is the paper's and what is ours.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -68,6 +66,7 @@
 const FLEET_PROBES: f64 = 4.0; // a second into evacuated zones, of all fronts together
 
 #[derive(Default)]
+/// One front: what it was agreed, what it knows, and its decisions.
 pub struct Front {
     agreed: Agreement,
     random: Random,
@@ -105,6 +104,7 @@
 }
 
 impl Front {
+    /// A front at its start. All its random draws follow from the seed, which differs from front to front.
     pub fn new(agreed: Agreement, seed: u64) -> Self {
         let customers = agreed.customers.len().max(1);
         let classes = agreed.workloads.len() * customers * 2;
@@ -133,6 +133,7 @@
         }
     }
 
+    /// Takes the clock and what has happened since the last call; returns what is to be done, in order.
     pub fn decide(&mut self, now: Micros, happened: impl IntoIterator<Item = Event>) -> Vec<Action> {
         // Guards against a front that stood still: what it finds is old, and its silence is nobody's fault.
         let gap = now - std::mem::replace(&mut self.now, now);
@@ -238,8 +239,7 @@
         let load = Load { threads: workload.threads, memory };
         let admitted = self.admits(&a, over);
         self.admissions.0.extend(self.agreed.further.filter(|_| admitted).map(|_| self.now));
-        let s = Statement::new(a, class, self.now - spent, ends, load);
-        self.statements.insert(id, s);
+        self.statements.insert(id, Statement::new(a, class, self.now - spent, ends, load));
         self.enqueue(id);
         if !admitted {
             self.shed(id);
--- a/src/demand.rs
+++ b/src/demand.rs
@@ -4,9 +4,10 @@
 use crate::random::positive_or;
 use crate::state::Load;
 
-/// A front's share of a budget of all fronts, by what it is asked against the mean of them. Where it knows nothing
-/// that is a fifth of an even part, at the mean two fifths, at three times the mean and more four fifths: the sum stays
-/// under the budget whatever is told, and what is left is for budgets that are saved up for a moment.
+/// A front's share of a budget of all fronts, by what it is asked against the mean of them. Where it knows
+/// nothing that is a fifth of an even part, at the mean two fifths, at three times the mean and more four
+/// fifths: the sum stays under the budget whatever is told, and what is left is for budgets that are saved up
+/// for a moment.
 pub fn share_of(budget: f64, relative_demand: f64, fronts: f64) -> f64 {
     budget * (1.0 + positive_or(relative_demand, 0.0).min(3.0)) / (5.0 * fronts.max(1.0))
 }
--- a/src/learned.rs
+++ b/src/learned.rs
@@ -51,7 +51,8 @@
         positive_or(self.work.value, positive_or(self.run.value, in_time as f64) * threads)
     }
 
-    /// An execution was answered after so long, against the estimate's time; `had_enough` moves the need of memory.
+    /// An execution was answered after so long, against the estimate's time; `had_enough` moves the need of
+    /// memory.
     pub fn completed(&mut self, least: f64, (took, estimate): (f64, f64), had_enough: f64) {
         self.run.take(least, took);
         self.pace.take_ratio(least, took / estimate);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
 //! hallmux: a front for query engines with limited memory.
 //!
-//! The library decides and does nothing else: no input or output, no clock, no threads. `interface` has the
-//! types that go in and come out, `decide` the one module that decides (a file for each part of the
-//! mechanism under it), `state` and the files beside it the plain
-//! figures it keeps.
+//! The library decides and does nothing else: no input or output, no clock, no threads. [`interface`] has the types
+//! that go in and come out, [`decide`] the module that decides, with a file for each part of the mechanism under it.
+//! `state` and the files beside it keep the figures that decisions go by and decide nothing.
+
+#![warn(missing_docs)]
 
 pub mod decide;
 mod demand;
