--- a/crates/dispatcher/src/ended.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -2,8 +2,8 @@
 
 use hallmux::interface::{Cost, Ended, Event, Micros, Note, Report};
 
+use crate::observations::SILENT;
 use crate::promised::{Gone, Word};
-use crate::seen::SILENT;
 use crate::{Dispatcher, Ending, Ticket};
 
 impl Dispatcher {
@@ -23,19 +23,20 @@
         let engine = &mut self.engines[x.place];
         engine.out -= 1;
         engine.held -= usize::from(std::mem::take(&mut x.held));
-        engine.seen.fade(now);
+        engine.stats.fade(now);
         match ending {
-            Ending::Answered => engine.seen.answers(now),
-            Ending::EngineFailed | Ending::Refused | Ending::NeverUp => engine.seen.failed += 1.0,
-            Ending::Reset | Ending::Closed | Ending::Unreadable => engine.seen.failed += 1.0,
+            Ending::Answered => engine.stats.record_answer(now),
+            Ending::EngineFailed | Ending::Refused | Ending::NeverUp => engine.stats.failed += 1.0,
+            Ending::Reset | Ending::Closed | Ending::Unreadable => engine.stats.failed += 1.0,
             Ending::GivenUp | Ending::TimeUp => {
-                let silent = now - engine.seen.heard.max(engine.seen.busy);
-                engine.seen.hushed = Some((now, silent)).filter(|_| silent >= SILENT).or(engine.seen.hushed);
+                let silent = now - engine.stats.heard_at.max(engine.stats.busy_since);
+                engine.stats.ended_silence =
+                    Some((now, silent)).filter(|_| silent >= SILENT).or(engine.stats.ended_silence);
             }
             _ => {}
         }
         if matches!(ending, Ending::EngineFailed | Ending::TurnedAway) {
-            engine.seen.heard = now;
+            engine.stats.heard_at = now;
         }
         let answers = (ending == Ending::Answered || s.begun) && !s.over;
         s.over |= answers;
@@ -47,7 +48,7 @@
         if let Some(key) = s.key.as_ref().filter(|_| holds && s.promised) {
             self.words.push(Word::Keeps(key.clone()));
         }
-        self.told.push(Event::Ended(Ended {
+        self.events.push(Event::Ended(Ended {
             statement: ticket,
             execution,
             engine: x.place,
@@ -69,7 +70,7 @@
     pub fn note(&mut self, ticket: Ticket, execution: usize, note: Note) {
         let Some(s) = self.statements.get(&ticket) else { return };
         let Some(x) = s.executions.get(execution).filter(|x| x.out) else { return };
-        self.told.push(Event::Noted { statement: ticket, execution, engine: x.place, note });
+        self.events.push(Event::Noted { statement: ticket, execution, engine: x.place, note });
     }
 
     /// The client no longer waits.
@@ -78,9 +79,9 @@
         s.over = true;
         // What was withdrawn before it was decided on counts for nothing: the module never hears of it.
         let unheard = |e: &Event| matches!(e, Event::Arrived(a) if a.statement == ticket);
-        match self.told.iter().position(unheard) {
-            Some(at) => _ = self.told.remove(at),
-            None => self.told.push(Event::ClientLeft(ticket)),
+        match self.events.iter().position(unheard) {
+            Some(at) => _ = self.events.remove(at),
+            None => self.events.push(Event::ClientLeft(ticket)),
         }
         self.forget(now, ticket);
     }
@@ -88,7 +89,7 @@
     /// A transaction that kept an order key is over; the key rests where the transaction may still run.
     pub fn freed(&mut self, now: Micros, name: &str, rests: bool) {
         let Some(key) = self.keys.get_mut(name) else { return };
-        self.told.push(Event::OrderKeyFreed { key: key.id, pauses: rests });
+        self.events.push(Event::OrderKeyFreed { key: key.id, pauses: rests });
         if self.watches {
             self.words.push(Word::Freed { key: name.to_string(), rests });
         }
@@ -141,5 +142,5 @@
 }
 
 #[cfg(test)]
-#[path = "ended_tests.rs"]
+#[path = "completion_tests.rs"]
 mod tests;
--- a/crates/dispatcher/src/ended_tests.rs
+++ b/crates/dispatcher/src/completion_tests.rs
@@ -1,6 +1,6 @@
-//! Unit tests of the `ended` module.
+//! Unit tests of the `completion` module.
 
-use crate::played::*;
+use crate::test_support::*;
 use crate::*;
 
 #[test]
--- a/crates/dispatcher/src/dials.rs
+++ b/crates/dispatcher/src/dials.rs
@@ -1,6 +1,6 @@
-//! New connections to engines, at the pace that the module hands out: each engine has turns of its own, spread over
-//! engines and fronts, and a turn that is not taken soon is lost. So fronts that all start at once, or that all lose
-//! their connections at once, dial one after the other.
+//! New connections to engines, at the pace that the module hands out: each engine has turns of its own,
+//! spread over engines and fronts, and a turn that is not taken soon is lost. So fronts that all start at
+//! once, or that all lose their connections at once, dial one after the other.
 
 use std::collections::BTreeMap;
 
--- a/crates/dispatcher/src/ending.rs
+++ b/crates/dispatcher/src/ending.rs
@@ -30,7 +30,8 @@
     Reset,
     /// The engine closed the connection with the execution out.
     Closed,
-    /// What came over the connection can't be read, is no result or stopped short, so it was closed from here.
+    /// What came over the connection can't be read, is no result or stopped short, so it was closed from
+    /// here.
     Unreadable,
     /// The connection was closed from here, as another execution could not be given up otherwise.
     ClosedHere,
@@ -46,7 +47,8 @@
         !matches!(self.outcome(), Outcome::NoCapacity | Outcome::Unreachable | Outcome::NotSent)
     }
 
-    /// The one table of what an ending proves. `NoCapacity`, `Unreachable` and `NotSent` say that nothing ran.
+    /// The one table of what an ending proves. `NoCapacity`, `Unreachable` and `NotSent` say that nothing
+    /// ran.
     pub fn outcome(self) -> Outcome {
         match self {
             Ending::Answered => Outcome::Completed,
--- a/crates/dispatcher/src/engines.rs
+++ b/crates/dispatcher/src/engines.rs
@@ -2,7 +2,7 @@
 
 use hallmux::interface::{EngineEntry, Event, Micros, Mode, Report};
 
-use crate::seen::Seen;
+use crate::observations::EngineStats;
 use crate::{position, Dispatcher, Place, Protocol};
 
 /// A line of the engine list, by the names that the settings use.
@@ -25,7 +25,7 @@
     pub out: usize,
     /// Of those, how many have not left this front yet.
     pub held: usize,
-    pub seen: Seen,
+    pub stats: EngineStats,
 }
 
 impl Dispatcher {
@@ -51,21 +51,21 @@
                 sends_progress: listing.protocols.contains(&Protocol::Lines),
             };
             entry.engine = self.place(listing.id, &entry);
-            let seen = Seen::default();
-            let engine = Engine { id: listing.id.to_string(), entry: entry.clone(), out: 0, held: 0, seen };
+            let stats = EngineStats::default();
+            let engine = Engine { id: listing.id.to_string(), entry: entry.clone(), out: 0, held: 0, stats };
             match self.engines.get_mut(entry.engine) {
                 Some(known) => {
                     // What was seen of another, or of an earlier start, says nothing of this one.
                     let same = known.id == engine.id && known.entry.started == engine.entry.started;
-                    let seen = if same { known.seen } else { seen };
-                    *known = Engine { out: known.out, held: known.held, seen, ..engine };
+                    let stats = if same { known.stats } else { stats };
+                    *known = Engine { out: known.out, held: known.held, stats, ..engine };
                 }
                 None => self.engines.push(engine),
             }
             places.push(entry.engine);
             entries.push(entry);
         }
-        self.told.push(Event::Engines { whole, entries });
+        self.events.push(Event::Engines { whole, entries });
         places
     }
 
@@ -88,14 +88,14 @@
 
     /// How many executions can leave for an engine now, over connections that are there or may be made.
     pub(crate) fn has_room(&mut self, place: Place, room: usize) {
-        self.told.push(Event::SendCapacity { engine: place, executions: room });
+        self.events.push(Event::SendCapacity { engine: place, executions: room });
     }
 
     pub fn probed(&mut self, now: Micros, place: Place, alive: bool, report: Option<Report>) {
         if let Some(engine) = self.engines.get_mut(place).filter(|_| alive) {
-            engine.seen.fade(now);
-            engine.seen.answers(now);
+            engine.stats.fade(now);
+            engine.stats.record_answer(now);
         }
-        self.told.push(Event::Probed { engine: place, alive, report });
+        self.events.push(Event::Probed { engine: place, alive, report });
     }
 }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -2,18 +2,18 @@
 //! `report` says how an execution ended, `tick` decides on all that was told since and returns what the
 //! network is to do. Whoever calls it knows neither the module's events nor its actions.
 
+mod completion;
 mod dials;
-mod ended;
 mod ending;
 mod engines;
+mod observations;
 mod offered;
-mod out;
-#[cfg(test)]
-mod played;
+mod orders;
 mod promised;
 mod rooms;
-mod seen;
-mod taken;
+mod statements;
+#[cfg(test)]
+mod test_support;
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -24,18 +24,18 @@
 use engines::Engine;
 use offered::Offered;
 use promised::Depends;
-use taken::{Key, Statement};
+use statements::{Key, Statement};
 
 pub use dials::Dials;
 pub use ending::Ending;
 pub use engines::Listing;
 pub use hallmux::interface::{Cost, DedupGroup, Demand, Effect, FleetDemand, Micros, Mode, Note};
+pub use observations::EngineObservation;
 pub use offered::SPAN;
-pub use out::{Order, Terms};
+pub use orders::{Order, Terms};
 pub use promised::{Gone, Site, Taken, Word};
 pub use rooms::Rooms;
-pub use seen::Sighted;
-pub use taken::{Ask, Protocol, Unfit};
+pub use statements::{Ask, Protocol, Unfit};
 
 /// A statement as this front knows it, from `pick` until it is over and nothing is out for it.
 pub type Ticket = StatementId;
@@ -61,7 +61,7 @@
     order_gap: Micros,
     warm_within: Micros,
     wake: Micros,
-    told: Vec<Event>,
+    events: Vec<Event>,
     next_ticket: Ticket,
     statements: HashMap<Ticket, Statement>,
     ends: BTreeSet<(Micros, Ticket)>,
@@ -95,7 +95,7 @@
             order_gap: contract.agreement.order_gap,
             warm_within: contract.agreement.warm_within,
             wake: 0,
-            told: Vec::new(),
+            events: Vec::new(),
             next_ticket: 0,
             statements: HashMap::new(),
             ends: BTreeSet::new(),
--- a/crates/dispatcher/src/offered.rs
+++ b/crates/dispatcher/src/offered.rs
@@ -1,8 +1,9 @@
-//! What this front is asked, by workload, as it is told to other fronts; and what they were asked, as the module hears it.
+//! What this front is asked, by workload, as it is told to other fronts; and what they were asked, as the
+//! module hears it.
 
 use hallmux::interface::{Event, FleetDemand, Micros};
 
-use crate::taken::Statement;
+use crate::statements::Statement;
 use crate::{Dispatcher, Ticket};
 
 const HALVES: Micros = 2_000_000; // microseconds until a count is worth half: the load of some seconds
@@ -62,7 +63,7 @@
 
     /// What the fronts that tell were asked, in the order of workloads and customers.
     pub fn fleet_offered(&mut self, asked: FleetDemand) {
-        self.told.push(Event::FleetDemand(asked));
+        self.events.push(Event::FleetDemand(asked));
     }
 
     /// An execution has answered its statement.
@@ -73,7 +74,8 @@
         offered.took(took as f64 * self.threads.get(s.workload).copied().unwrap_or(1.0));
     }
 
-    /// Rejected or aborted; one that the module did not let in, as it ended when it came, counts as asked alone.
+    /// Rejected or aborted; one that the module did not let in, as it ended when it came, counts as asked
+    /// alone.
     pub(crate) fn ended_without(&mut self, now: Micros, ticket: Ticket, first_new: Option<Ticket>) {
         let let_in = |s: &&Statement| !s.executions.is_empty() || first_new.is_none_or(|new| ticket < new);
         let Some(s) = self.statements.get(&ticket).filter(let_in) else { return };
--- a/crates/dispatcher/src/offered_tests.rs
+++ b/crates/dispatcher/src/offered_tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of the `offered` module.
 
 use super::*;
-use crate::played::*;
+use crate::test_support::*;
 use crate::*;
 
 fn counts(d: &mut Dispatcher, now: Micros) -> Vec<(f64, f64, f64)> {
--- a/crates/dispatcher/src/out.rs
+++ b/crates/dispatcher/src/orders.rs
@@ -2,7 +2,7 @@
 
 use hallmux::interface::{Action, Event, Micros};
 
-use crate::taken::Execution;
+use crate::statements::Execution;
 use crate::{Dispatcher, Ending, Place, Ticket};
 
 /// What holds for an execution.
@@ -60,7 +60,7 @@
 impl Dispatcher {
     /// When `tick` is next due, whatever happens.
     pub fn wake(&self) -> Micros {
-        if !self.told.is_empty() {
+        if !self.events.is_empty() {
             return 0;
         }
         self.ends.first().map_or(self.wake, |(ends, _)| self.wake.min(*ends))
@@ -75,15 +75,15 @@
             let ending = Ending::TimeUp;
             orders.extend(s.out().map(|execution| Order::Stop { ticket, execution, ending }));
         }
-        if self.told.is_empty() && now < self.wake {
+        if self.events.is_empty() && now < self.wake {
             return orders;
         }
         if self.wake <= now {
-            self.told.push(Event::Woken);
+            self.events.push(Event::Woken);
         }
-        let mut told = std::mem::take(&mut self.told);
+        let mut events = std::mem::take(&mut self.events);
         let mut first_new = None;
-        for event in &mut told {
+        for event in &mut events {
             if let Event::Arrived(arrival) = event {
                 first_new.get_or_insert(arrival.statement);
                 // Guards against a stop between taking a statement and deciding: its time has run on.
@@ -91,7 +91,7 @@
                 arrival.time_left = ends - now;
             }
         }
-        for action in self.front.decide(now, told) {
+        for action in self.front.decide(now, events) {
             if let Action::Reject { statement, .. } | Action::Abort { statement } = &action {
                 self.ended_without(now, *statement, first_new);
             }
@@ -116,7 +116,7 @@
                 s.executions.push(Execution { place, sent: now, out: true, held: false, ending: None });
                 let engine = &mut self.engines[place];
                 if engine.out == 0 {
-                    engine.seen.busy = now;
+                    engine.stats.busy_since = now;
                 }
                 engine.out += 1;
                 orders.push(Order::Send { ticket, execution, place, terms });
@@ -146,5 +146,5 @@
 }
 
 #[cfg(test)]
-#[path = "out_tests.rs"]
+#[path = "orders_tests.rs"]
 mod tests;
--- a/crates/dispatcher/src/out_tests.rs
+++ b/crates/dispatcher/src/orders_tests.rs
@@ -1,7 +1,7 @@
-//! Unit tests of the `out` module.
+//! Unit tests of the `orders` module.
 
 use super::*;
-use crate::played::*;
+use crate::test_support::*;
 use crate::*;
 
 #[test]
--- a/crates/dispatcher/src/promised.rs
+++ b/crates/dispatcher/src/promised.rs
@@ -1,9 +1,9 @@
-//! Statements that depend on promises: each is told of when it is taken and when it is over, their executions may be
-//! held in this front before they leave, and what can't have its promise is turned away.
+//! Statements that depend on promises: each is told of when it is taken and when it is over, their executions
+//! may be held in this front before they leave, and what can't have its promise is turned away.
 
 use hallmux::interface::{Event, Micros, Note, Outcome};
 
-use crate::taken::Statement;
+use crate::statements::Statement;
 use crate::{Ask, Dispatcher, Ending, Place, Ticket};
 
 /// What whoever keeps promises is told, in the order in which it happened.
@@ -106,7 +106,8 @@
         entry.map(|e| Site { location: e.location, cell: e.cell }).unwrap_or_default()
     }
 
-    /// An execution that was ordered waits in this front; to be said again while it does, or it is taken for silent.
+    /// An execution that was ordered waits in this front; to be said again while it does, or it is taken for
+    /// silent.
     pub fn waits(&mut self, now: Micros, ticket: Ticket, execution: usize) {
         self.holds(now, ticket, execution, true);
     }
@@ -122,22 +123,23 @@
         let engine = &mut self.engines[x.place];
         engine.held -= usize::from(x.held);
         if !held && engine.out - engine.held == 1 {
-            engine.seen.busy = now;
+            engine.stats.busy_since = now;
         }
         engine.held += usize::from(held);
         (x.held, x.sent) = (held, now);
         let note = Note::NotSentYet;
-        self.told.push(Event::Noted { statement: ticket, execution, engine: x.place, note });
+        self.events.push(Event::Noted { statement: ticket, execution, engine: x.place, note });
     }
 
-    /// Ends a statement that can't have its promise: nothing of it is out but what is held here. When its client
-    /// may come back, where that is told: spread, so that those turned away together do not come back together.
+    /// Ends a statement that can't have its promise: nothing of it is out but what is held here. When its
+    /// client may come back, where that is told: spread, so that those turned away together do not come back
+    /// together.
     pub fn turn_away(&mut self, now: Micros, ticket: Ticket) -> Option<Micros> {
         let s = self.statements.get_mut(&ticket).filter(|s| !s.over)?;
         s.over = true;
         let out: Vec<usize> = s.out().collect();
         if out.is_empty() {
-            self.told.push(Event::ClientLeft(ticket));
+            self.events.push(Event::ClientLeft(ticket));
             self.forget(now, ticket);
         }
         for execution in out {
--- a/crates/dispatcher/src/promised_tests.rs
+++ b/crates/dispatcher/src/promised_tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of the `promised` module.
 
 use super::*;
-use crate::played::*;
+use crate::test_support::*;
 use crate::{Mode, Order};
 
 #[test]
@@ -14,12 +14,12 @@
     while now < 3_000_000 {
         d.waits(now, ticket, 0);
         now += 100_000;
-        assert_eq!((d.tick(now), d.sighted(now).len()), (vec![], 0), "{now}");
+        assert_eq!((d.tick(now), d.observations(now).len()), (vec![], 0), "{now}");
     }
     d.leaves(now, ticket, 0);
     d.tick(now);
-    assert!(d.sighted(now + 900_000).is_empty());
-    let silent: Vec<_> = d.sighted(now + 999_000 + 1_000).iter().map(|s| s.silent).collect();
+    assert!(d.observations(now + 900_000).is_empty());
+    let silent: Vec<_> = d.observations(now + 999_000 + 1_000).iter().map(|s| s.silent).collect();
     assert_eq!(silent, [1_000_000]);
     assert!(d.report(now + 1_000_000, ticket, 0, Ending::Answered, None, None));
     assert_eq!(d.engines[0].held, 0);
--- a/crates/dispatcher/src/rooms.rs
+++ b/crates/dispatcher/src/rooms.rs
@@ -1,5 +1,6 @@
-//! Where the fleet has a budget of new connections: how many executions can leave for each engine, told to the module
-//! as it changes, so that no statement waits for a connection to one engine while others have one to spare.
+//! Where the fleet has a budget of new connections: how many executions can leave for each engine, told to
+//! the module as it changes, so that no statement waits for a connection to one engine while others have one
+//! to spare.
 
 use std::collections::BTreeMap;
 
--- a/crates/dispatcher/src/taken.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -2,7 +2,7 @@
 
 use hallmux::interface::{Arrival, Event, KeyId, Micros};
 
-use crate::out::Terms;
+use crate::orders::Terms;
 use crate::{position, Dispatcher, Ending, Place, Ticket};
 
 /// What a statement asks for.
@@ -72,8 +72,8 @@
 }
 
 impl Statement {
-    /// Until when a further execution may leave, where engines drop repeats within a window: counted from the first
-    /// execution that may have run. The decision is made within it, but a connection may come up late.
+    /// Until when a further execution may leave, where engines drop repeats within a window: counted from the
+    /// first execution that may have run. The decision is made within it, but a connection may come up late.
     pub fn repeats_until(&self, window: Option<Micros>) -> Micros {
         let may_have_run = |x: &&Execution| x.ending.is_none_or(Ending::may_have_run);
         let first = self.executions.iter().filter(may_have_run).map(|x| x.sent).min();
@@ -114,7 +114,7 @@
         let ticket = self.number();
         let promised = self.tell_taken(ticket, ask, workload);
         let key = ask.key.map(|key| self.key(key));
-        self.told.push(Event::Arrived(Arrival {
+        self.events.push(Event::Arrived(Arrival {
             statement: ticket,
             workload,
             customer,
@@ -152,7 +152,8 @@
         Ok(ticket)
     }
 
-    /// The places of the locations allowed. An error where nothing is left to send to: as it would be at any try.
+    /// The places of the locations allowed. An error where nothing is left to send to: as it would be at any
+    /// try.
     fn allowed(&self, workload: usize, pinned: Option<Place>, names: &[&str]) -> Result<Vec<usize>, Unfit> {
         // A name that the settings do not have allows nothing: no engine is told apart by it.
         let mut allowed: Vec<usize> =
@@ -185,8 +186,8 @@
         }
     }
 
-    /// Says that the transaction which a statement belongs to goes on once its answer is reported. True if the
-    /// transaction keeps the turn of an order key from then on, until `freed`.
+    /// Says that the transaction which a statement belongs to goes on once its answer is reported. True if
+    /// the transaction keeps the turn of an order key from then on, until `freed`.
     pub fn keeps(&mut self, ticket: Ticket) -> bool {
         let workload_keeps = |s: &Statement| s.key.is_some() && !s.over;
         match self.statements.get_mut(&ticket).filter(|s| workload_keeps(s)) {
@@ -200,5 +201,5 @@
 }
 
 #[cfg(test)]
-#[path = "taken_tests.rs"]
+#[path = "statements_tests.rs"]
 mod tests;
--- a/crates/dispatcher/src/taken_tests.rs
+++ b/crates/dispatcher/src/statements_tests.rs
@@ -1,7 +1,7 @@
-//! Unit tests of the `taken` module.
+//! Unit tests of the `statements` module.
 
 use super::*;
-use crate::played::*;
+use crate::test_support::*;
 use crate::{Listing, Mode};
 
 #[test]
@@ -38,5 +38,5 @@
         let ticket = d.pick(0, &ask("load", Some("k"))).unwrap();
         d.left(0, ticket);
     }
-    assert!(d.told.is_empty() && d.held() == 0);
+    assert!(d.events.is_empty() && d.held() == 0);
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use hallmux_dispatcher::{Dispatcher, Micros, Sighted};
+use hallmux_dispatcher::{Dispatcher, EngineObservation, Micros};
 use hallmux_gossip::evidence::News;
 use hallmux_gossip::message::Sighting;
 use hallmux_gossip::node::{Datagram, Node, Start};
@@ -79,14 +79,14 @@
     hash.finish()
 }
 
-fn sighting(seen: &Sighted) -> Sighting {
+fn sighting(seen: &EngineObservation) -> Sighting {
     Sighting {
         engine: named(seen.id),
         failed: seen.failed.min(255.0) as u8,
         answered: seen.answered.min(255.0) as u8,
         silent_ms: (seen.silent / 1000 / SILENCE_STEP_MS * SILENCE_STEP_MS).min(Micros::from(u16::MAX))
             as u16,
-        drains: seen.drains,
+        drains: seen.draining,
         started_s: seen.started.map_or(0, |at| (at / 1_000_000) as u32),
     }
 }
@@ -294,7 +294,7 @@
         self.send_promises(at, &mut out);
         if self.look <= at.now {
             self.look = at.now + LOOK;
-            let mut seen: Vec<Sighting> = dispatcher.sighted(at.now).iter().map(sighting).collect();
+            let mut seen: Vec<Sighting> = dispatcher.observations(at.now).iter().map(sighting).collect();
             seen.sort_by_key(|s| (std::cmp::Reverse(s.silent_ms), std::cmp::Reverse(s.failed), s.engine));
             let work = self.owning.as_ref().map(|owning| owning.says(at, dispatcher));
             self.node.says(at.now, at.wall_ms, seen, work.unwrap_or_default());
@@ -365,12 +365,12 @@
             }
             let next = self.makers.len();
             let maker = *self.makers.entry(n.maker).or_insert(next);
-            let seen = Sighted {
+            let seen = EngineObservation {
                 id: "",
                 failed: f64::from(s.failed),
                 answered: f64::from(s.answered),
                 silent: Micros::from(s.silent_ms) * 1000,
-                drains: s.drains,
+                draining: s.drains,
                 started: None,
             };
             dispatcher.peer_report(now, maker, |id| named(id) == s.engine, &seen, n.age);
--- a/crates/fleet/src/owning.rs
+++ b/crates/fleet/src/owning.rs
@@ -148,7 +148,7 @@
     /// Engines that answer again, and for how long.
     fn back(&self, at: Moment, dispatcher: &Dispatcher) -> Vec<Back> {
         let since_ms = |since: Micros| ((at.now - since).max(0) / 1000).min(Micros::from(u32::MAX)) as u32;
-        let back = dispatcher.back(at.now).into_iter();
+        let back = dispatcher.recovered(at.now).into_iter();
         back.map(|(id, since)| Back { engine: named(id), since_ms: since_ms(since) })
             .take(MOST_BACK)
             .collect()
@@ -200,11 +200,11 @@
         age: Micros,
         dispatcher: &mut Dispatcher,
     ) {
-        let here: Vec<u64> = dispatcher.back(at.now).into_iter().map(|(id, _)| named(id)).collect();
+        let here: Vec<u64> = dispatcher.recovered(at.now).into_iter().map(|(id, _)| named(id)).collect();
         for Back { engine, since_ms } in back.iter().take(MOST_BACK) {
             if !here.contains(engine) && self.told.insert(*engine, token) != Some(token) {
                 let since = at.now - age - Micros::from(*since_ms) * 1000;
-                dispatcher.answers_since(|id| named(id) == *engine, since);
+                dispatcher.set_recovered_since(|id| named(id) == *engine, since);
             }
         }
         self.told.retain(|engine, _| here.contains(engine) || back.iter().any(|b| b.engine == *engine));
