--- a/crates/dispatcher/src/completion.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -60,7 +60,7 @@
             report,
         }));
         if answers {
-            self.answered(now, ticket, took);
+            self.count_answer(now, ticket, took);
         }
         self.forget(now, ticket);
         answers
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -3,11 +3,11 @@
 //! network is to do. Whoever calls it knows neither the module's events nor its actions.
 
 mod completion;
+mod demand;
 mod dials;
 mod ending;
 mod engines;
 mod observations;
-mod offered;
 mod orders;
 mod promised;
 mod rooms;
@@ -21,17 +21,17 @@
 use hallmux::Front;
 use hallmux_agreement::{Contract, Names};
 
+use demand::DemandCounts;
 use engines::Engine;
-use offered::Offered;
 use promised::Depends;
 use statements::{Key, Statement};
 
+pub use demand::DEMAND_SECONDS;
 pub use dials::Dials;
 pub use ending::Ending;
 pub use engines::Listing;
 pub use hallmux::interface::{Cost, DedupGroup, Demand, Effect, FleetDemand, Micros, Mode, Note};
 pub use observations::EngineObservation;
-pub use offered::SPAN;
 pub use orders::{Order, Terms};
 pub use promised::{Gone, Site, Taken, Word};
 pub use rooms::Rooms;
@@ -70,10 +70,10 @@
     resting: BTreeSet<(Micros, String)>,
     engines: Vec<Engine>,
     watches: bool,
-    depends: Vec<Depends>,           // by workload
-    offered: Vec<Offered>,           // likewise
-    customers: Vec<(bool, Offered)>, // likewise by customer, and whether a share is agreed
-    threads: Vec<f64>,               // that a statement takes, likewise
+    depends: Vec<Depends>,                      // by workload
+    workload_demand: Vec<DemandCounts>,         // likewise
+    customer_demand: Vec<(bool, DemandCounts)>, // likewise by customer, and whether a share is agreed
+    threads: Vec<f64>,                          // that a statement takes, likewise
     in_time: Vec<(Micros, f64)>, // the SLO time, and by how much it is longer for each microsecond of work
     words: Vec<Word>,
     followed: Vec<Ticket>,
@@ -105,9 +105,9 @@
             engines: Vec::new(),
             watches: false,
             depends: contract.agreement.workloads.iter().map(depends).collect(),
-            offered: vec![Offered::default(); contract.agreement.workloads.len()],
-            customers: (contract.agreement.customers.iter())
-                .map(|share| (share.is_finite(), Offered::default()))
+            workload_demand: vec![DemandCounts::default(); contract.agreement.workloads.len()],
+            customer_demand: (contract.agreement.customers.iter())
+                .map(|share| (share.is_finite(), DemandCounts::default()))
                 .collect(),
             threads: contract.agreement.workloads.iter().map(|w| w.threads).collect(),
             in_time: (contract.agreement.workloads.iter())
--- a/crates/dispatcher/src/orders.rs
+++ b/crates/dispatcher/src/orders.rs
@@ -93,7 +93,7 @@
         }
         for action in self.front.decide(now, events) {
             if let Action::Reject { statement, .. } | Action::Abort { statement } = &action {
-                self.ended_without(now, *statement, first_new);
+                self.count_shed(now, *statement, first_new);
             }
             self.order(now, action, &mut orders);
         }
--- a/crates/dispatcher/src/statements.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -132,8 +132,8 @@
         let key = ask.key.map(str::to_string);
         let terms = Terms { ends, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 };
         let executions = Vec::new();
-        self.offered[workload].asks(now);
-        self.customers.get_mut(customer).into_iter().for_each(|(_, asked)| asked.asks(now));
+        self.workload_demand[workload].record_arrival(now);
+        self.customer_demand.get_mut(customer).into_iter().for_each(|(_, asked)| asked.record_arrival(now));
         let (slo_time, stretch) = self.in_time[workload];
         let in_time_until = now + slo_time + (stretch * ask.work) as Micros;
         let statement = Statement {
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_dispatcher::{Demand, Dispatcher, FleetDemand, Micros, SPAN};
+use hallmux_dispatcher::{Demand, Dispatcher, FleetDemand, Micros, DEMAND_SECONDS};
 use hallmux_gossip::node::Node;
 use hallmux_gossip::shares::{Offered, MOST_OFFERED};
 
@@ -44,7 +44,7 @@
         self.look = at.now + LOOK;
         node.offers(at.now, at.wall_ms, || {
             let counts = |x: f64| (x * UNIT).round().clamp(0.0, f64::from(u32::MAX)) as u32;
-            let all = dispatcher.offered(at.now).map(|(name, o)| Offered {
+            let all = dispatcher.workload_demand(at.now).map(|(name, o)| Offered {
                 workload: workload(name),
                 asked: counts(o.asked),
                 ended: counts(o.ended),
@@ -53,7 +53,7 @@
             });
             let mut all: Vec<Offered> = all.filter(|o| o.asked > 0 || o.ended > 0).collect();
             all.sort_by_key(|o| std::cmp::Reverse(u64::from(o.asked) * u64::from(o.work_us.max(1))));
-            let shared = dispatcher.by_customers(at.now).filter_map(|(name, asked)| Some((name, asked?)));
+            let shared = dispatcher.customer_demand(at.now).filter_map(|(name, asked)| Some((name, asked?)));
             let shared = shared.map(|(name, o)| Offered {
                 workload: customer(name),
                 asked: counts(o.asked),
@@ -70,23 +70,24 @@
         // What was told counts for nothing once nobody tells any more.
         if told.is_empty() {
             if std::mem::take(&mut self.told) {
-                dispatcher.fleet_offered(FleetDemand::default());
+                dispatcher.fleet_demand(FleetDemand::default());
             }
             return;
         }
         self.told = true;
-        let names: Vec<u32> = dispatcher.offered(at.now).map(|(name, _)| workload(name)).collect();
+        let names: Vec<u32> = dispatcher.workload_demand(at.now).map(|(name, _)| workload(name)).collect();
         let (missed, offers) = merged(&told, &names);
-        let own = dispatcher.offered(at.now).zip(&offers).map(|((_, own), offer)| own.asked * offer.work);
+        let own =
+            dispatcher.workload_demand(at.now).zip(&offers).map(|((_, own), offer)| own.asked * offer.work);
         let part = part_of(own.sum(), &offers, told.len());
-        let shared = dispatcher.by_customers(at.now);
+        let shared = dispatcher.customer_demand(at.now);
         let shared: Vec<Option<u32>> = shared.map(|(name, asked)| asked.map(|_| customer(name))).collect();
         // Some tell; the others that are up are asked as they are.
-        let each = node.fleet().1 as f64 / told.len() as f64 / SPAN;
+        let each = node.fleet().1 as f64 / told.len() as f64 / DEMAND_SECONDS;
         let rate = |of: &Option<u32>| of.map_or(0.0, |of| sum_of(&told, of, |o| o.asked) * each);
         let customers_per_s = shared.iter().map(rate).collect();
         let part = if node.hears_load(at.now) { part } else { 0.0 };
-        dispatcher.fleet_offered(FleetDemand {
+        dispatcher.fleet_demand(FleetDemand {
             late_share: missed,
             relative: part,
             workloads: offers,
