--- a/crates/dispatcher/src/demand_tests.rs
+++ b/crates/dispatcher/src/demand_tests.rs
@@ -17,8 +17,8 @@
     d.tick(0);
     d.report(100_000, first, 0, Ending::Answered, None);
     d.report(1_100_000, late, 0, Ending::Answered, None);
-    let told: Vec<_> = d.offered(1_100_000).map(|(name, o)| (name.to_string(), o.work)).collect();
-    assert_eq!(told[0], ("lookup".to_string(), 100_000.0));
+    let reported: Vec<_> = d.workload_demand(1_100_000).map(|(name, o)| (name.to_string(), o.work)).collect();
+    assert_eq!(reported[0], ("lookup".to_string(), 100_000.0));
     // Its SLO time is a second.
     assert_eq!(counts(&mut d, 1_100_000)[2], (0.68, 1.0, 0.0));
     assert_eq!(counts(&mut d, 2_000_000)[0], (0.5, 0.52, 0.52));
--- a/crates/dispatcher/src/observations_tests.rs
+++ b/crates/dispatcher/src/observations_tests.rs
@@ -10,9 +10,9 @@
     d.list(true, &[listing("a", Mode::Ready, None)]);
     let ticket = d.pick(0, &ask("lookup", None)).unwrap();
     d.tick(0);
-    assert!(d.sighted(900_000).is_empty());
+    assert!(d.observations(900_000).is_empty());
     d.report(1_400_000, ticket, 0, Ending::GivenUp, None);
-    let told: Vec<_> = d.sighted(1_500_000).iter().map(|s| (s.id.to_string(), s.silent)).collect();
+    let told: Vec<_> = d.observations(1_500_000).iter().map(|s| (s.id.to_string(), s.silent)).collect();
     assert_eq!(told, [("a".to_string(), 1_400_000)]);
     assert!(d.observations(1_400_000 + SILENCE_REPORTED_FOR).is_empty());
     // It answers a probe: for a while that is told, then nothing.
@@ -29,5 +29,5 @@
     let ticket = d.pick(0, &ask("lookup", None)).unwrap();
     d.tick(0);
     d.report(SILENT - 1, ticket, 0, Ending::GivenUp, None);
-    assert!(d.sighted(SILENT + 500_000).is_empty());
+    assert!(d.observations(SILENT + 500_000).is_empty());
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -40,15 +40,6 @@
     NotSentYet,
 }
 
-/// What an answer tells of the statement's true cost.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cost {
-    /// Its work on one thread, in microseconds.
-    pub work: f64,
-    /// The memory that it needed, in MB.
-    pub memory_mb: f64,
-}
-
 /// A statement as its client sent it.
 #[derive(Clone, Debug)]
 pub struct Arrival {
@@ -93,8 +84,6 @@
     pub settled: bool,
     /// Its transaction goes on and keeps its order key until [`Event::OrderKeyFreed`].
     pub keeps_order_key: bool,
-    /// The statement's true cost, where answers tell it.
-    pub cost: Option<Cost>,
     /// The engine's load report, where the answer carries one.
     pub report: Option<Report>,
 }
