--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 
 use hallmux_dispatcher::{Dispatcher, Micros, Sighted};
-use hallmux_gossip::evidence::News;
+use hallmux_gossip::evidence::PeerReport;
 use hallmux_gossip::message::Sighting;
 use hallmux_gossip::node::{Datagram, Node, Start};
 use hallmux_gossip::seal::{Keys, Refused};
@@ -22,7 +22,7 @@
 const LOOK: Micros = 250_000; // microseconds between looks at what this front has seen itself
 const SILENCE_STEP_MS: Micros = 500; // milliseconds that silence is told in: each change is a report for all to pass on
 const MOST_CAME: usize = 1_024; // letters that wait for other parts: some 100 KB
-const MOST_MAKERS: usize = 4_096; // fronts that the module keeps apart in one life of this one
+const MAX_REPORTERS: usize = 4_096; // fronts that the module keeps apart in one life of this one
 
 pub use hallmux_gossip::post::{Channel, Letter};
 pub use owning::{Ownership, Owns, Saved};
@@ -56,7 +56,7 @@
     /// What others said last, so that a change is told once.
     known: BTreeMap<(PeerId, u64), Sighting>,
     /// Their places for the module, in the order in which they were first heard.
-    makers: BTreeMap<PeerId, usize>,
+    reporters: BTreeMap<PeerId, usize>,
     /// How many fronts the dispatcher was told of last.
     fleet: (usize, usize),
     left: bool,
@@ -98,7 +98,7 @@
             node: Node::new(start, wall_ms),
             look: 0,
             known: BTreeMap::new(),
-            makers: BTreeMap::new(),
+            reporters: BTreeMap::new(),
             fleet: (1, 1),
             left: false,
             came: Vec::new(),
@@ -273,7 +273,7 @@
         at: Moment,
         dispatcher: &mut Dispatcher,
         chance: &mut impl Chance,
-    ) -> (Out, Vec<News>) {
+    ) -> (Out, Vec<PeerReport>) {
         let (mut out, mut new) = (Out::default(), Vec::new());
         if at.now < self.due(at) {
             return (out, new);
@@ -353,18 +353,18 @@
     }
 
     /// Hands on what has changed in what others say; gives what is new.
-    fn tell(&mut self, now: Micros, dispatcher: &mut Dispatcher) -> Vec<News> {
-        let news = self.node.news(now);
+    fn tell(&mut self, now: Micros, dispatcher: &mut Dispatcher) -> Vec<PeerReport> {
+        let news = self.node.peer_reports(now);
         let known: BTreeMap<(PeerId, u64), Sighting> =
-            news.iter().map(|n| ((n.maker, n.sighting.engine), n.sighting)).collect();
+            news.iter().map(|n| ((n.reporter, n.sighting.engine), n.sighting)).collect();
         for n in &news {
             let s = n.sighting;
-            // Guards against makers without end, as keys come and go.
-            if self.known.get(&(n.maker, s.engine)) == Some(&s) || self.makers.len() >= MOST_MAKERS {
+            // Guards against reporters without end, as keys come and go.
+            if self.known.get(&(n.reporter, s.engine)) == Some(&s) || self.reporters.len() >= MAX_REPORTERS {
                 continue;
             }
-            let next = self.makers.len();
-            let maker = *self.makers.entry(n.maker).or_insert(next);
+            let next = self.reporters.len();
+            let reporter = *self.reporters.entry(n.reporter).or_insert(next);
             let seen = Sighted {
                 id: "",
                 failed: f64::from(s.failed),
@@ -373,10 +373,10 @@
                 drains: s.drains,
                 started: None,
             };
-            dispatcher.hearsay(now, maker, |id| named(id) == s.engine, &seen, n.age);
+            dispatcher.hearsay(now, reporter, |id| named(id) == s.engine, &seen, n.age);
         }
         let before = std::mem::replace(&mut self.known, known);
-        news.into_iter().filter(|n| !before.contains_key(&(n.maker, n.sighting.engine))).collect()
+        news.into_iter().filter(|n| !before.contains_key(&(n.reporter, n.sighting.engine))).collect()
     }
 }
 
--- a/crates/fleet/src/owning.rs
+++ b/crates/fleet/src/owning.rs
@@ -167,21 +167,21 @@
 
     /// Takes in what others say of it: which owner the voters name, and what that owner has done.
     pub fn admits(&mut self, at: Moment, node: &Node, dispatcher: &mut Dispatcher) {
-        let voters = node.work(at.now).filter(|(maker, ..)| self.voters.contains_key(maker));
+        let voters = node.work(at.now).filter(|(reporter, ..)| self.voters.contains_key(reporter));
         let said: BTreeMap<PeerId, (Token, PeerId)> =
-            voters.filter_map(|(maker, work, _)| Some((maker, work.lease?))).collect();
+            voters.filter_map(|(reporter, work, _)| Some((reporter, work.lease?))).collect();
         if let Some((token, owner)) = fence::majority(&said, self.voters.len()) {
             self.fence.saw(TASK, token, owner);
         }
         let acts: Vec<(PeerId, Act, Micros)> = node
             .work(at.now)
-            .filter_map(|(maker, work, age)| Some((maker, work.act.clone()?, age)))
+            .filter_map(|(reporter, work, age)| Some((reporter, work.act.clone()?, age)))
             .collect();
-        for (maker, act, age) in acts {
-            match self.fence.admit(TASK, act.token, maker) {
+        for (reporter, act, age) in acts {
+            match self.fence.admit(TASK, act.token, reporter) {
                 Ok(()) => {
                     self.owner_seen = self.owner_seen.max(at.steady - age);
-                    if maker != self.own {
+                    if reporter != self.own {
                         self.answer_again(at, act.token, &act.back, age, dispatcher);
                     }
                 }
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -13,7 +13,7 @@
 use hallmux_agreement::{hexadecimal, Gossip, OnDiskFailure};
 use hallmux_dispatcher::{Dispatcher, Micros};
 use hallmux_fleet::{Exchange, Kept, Moment, Out, Ownership, Owns};
-use hallmux_gossip::evidence::News;
+use hallmux_gossip::evidence::PeerReport;
 use hallmux_gossip::message::LONGEST;
 use hallmux_gossip::node::{Datagram, Start};
 use hallmux_gossip::post::Channel;
@@ -322,8 +322,8 @@
         if (known, up) != before {
             log::debug!("{known} fronts are known, {up} of them up");
         }
-        for News { maker, sighting: s, age } in news {
-            let name = self.names.get(&maker).map_or("?", String::as_str);
+        for PeerReport { reporter, sighting: s, age } in news {
+            let name = self.names.get(&reporter).map_or("?", String::as_str);
             log::info!(
                 "front {name} says of engine {:016x}: {} failed, {} answered, silent for {} ms{}; {} ms ago",
                 s.engine,
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What fronts have seen of engines: of each maker its latest report. Merging is taking the later one, so that
+//! What fronts have seen of engines: of each reporter its latest report. Merging is taking the later one, so that
 //! order, repeats and losses do no harm; what is not renewed fades.
 
 use std::collections::BTreeMap;
@@ -7,17 +7,17 @@
 use crate::{Micros, PeerId};
 
 /// Microseconds after which a report is worth nothing: an engine's trouble lasts some seconds to half a minute,
-/// and its makers renew what they still see.
+/// and its reporters renew what they still see.
 pub const FADES: Micros = 8_000_000;
 /// Sightings of a report that count; more engines in trouble at once are all engines.
 pub const MOST_SIGHTINGS: usize = 12;
-const MOST_MAKERS: usize = 256; // whose reports are kept; the oldest goes first
+const MAX_REPORTERS: usize = 256; // whose reports are kept; the oldest goes first
 
 struct Held {
     life: u64,
     version: u32,
-    /// When it was made, on our clock.
-    made: Micros,
+    /// When it was created, on our clock.
+    created: Micros,
     sightings: Vec<Sighting>,
     work: Work,
     signed: Signed,
@@ -27,8 +27,8 @@
 
 /// One thing that is known.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct News {
-    pub maker: PeerId,
+pub struct PeerReport {
+    pub reporter: PeerId,
     pub sighting: Sighting,
     pub age: Micros,
 }
@@ -39,47 +39,52 @@
 }
 
 impl Evidence {
-    /// Whether a report says more than what is held of its maker; to be asked before its signature is looked at.
-    pub fn is_later(&self, maker: PeerId, life: u64, version: u32) -> bool {
-        self.held.get(&maker).is_none_or(|held| (life, version) > (held.life, held.version))
+    /// Whether a report says more than what is held of its reporter; to be asked before its signature is looked at.
+    pub fn is_later(&self, reporter: PeerId, life: u64, version: u32) -> bool {
+        self.held.get(&reporter).is_none_or(|held| (life, version) > (held.life, held.version))
     }
 
     /// Takes a report in; false if it is no news.
     pub fn merge(&mut self, now: Micros, report: Report, signed: Signed, age: Micros) -> bool {
         let back = report.work.act.as_ref().map_or(0, |act| act.back.len());
         let fits = report.sightings.len() <= MOST_SIGHTINGS && back <= MOST_SIGHTINGS && age < FADES;
-        if !fits || !self.is_later(report.maker, report.life, report.version) {
+        if !fits || !self.is_later(report.reporter, report.life, report.version) {
             return false;
         }
-        if self.held.len() >= MOST_MAKERS && !self.held.contains_key(&report.maker) {
-            let oldest = self.held.iter().min_by_key(|(_, held)| held.made).map(|(maker, _)| *maker);
-            oldest.into_iter().for_each(|maker| _ = self.held.remove(&maker));
+        if self.held.len() >= MAX_REPORTERS && !self.held.contains_key(&report.reporter) {
+            let oldest = self.held.iter().min_by_key(|(_, held)| held.created).map(|(reporter, _)| *reporter);
+            oldest.into_iter().for_each(|reporter| _ = self.held.remove(&reporter));
         }
-        let Report { maker, life, version, sightings, work, .. } = report;
-        self.held.insert(maker, Held { life, version, made: now - age, sightings, work, signed, sent: 0 });
+        let Report { reporter, life, version, sightings, work, .. } = report;
+        self.held
+            .insert(reporter, Held { life, version, created: now - age, sightings, work, signed, sent: 0 });
         true
     }
 
     /// Lets go of what has faded; what is empty stays as long, so that nothing older comes in its place.
     pub fn fade(&mut self, now: Micros) {
-        self.held.retain(|_, held| now - held.made < 2 * FADES);
+        self.held.retain(|_, held| now - held.created < 2 * FADES);
     }
 
     /// All that counts now, but for what `own` has said itself.
-    pub fn news(&self, now: Micros, own: PeerId) -> Vec<News> {
-        let counts = |(maker, held): &(&PeerId, &Held)| **maker != own && now - held.made < FADES;
-        let all = self.held.iter().filter(counts).flat_map(|(maker, held)| {
-            let age = now - held.made;
-            held.sightings.iter().map(move |sighting| News { maker: *maker, sighting: *sighting, age })
+    pub fn peer_reports(&self, now: Micros, own: PeerId) -> Vec<PeerReport> {
+        let counts = |(reporter, held): &(&PeerId, &Held)| **reporter != own && now - held.created < FADES;
+        let all = self.held.iter().filter(counts).flat_map(|(reporter, held)| {
+            let age = now - held.created;
+            held.sightings.iter().map(move |sighting| PeerReport {
+                reporter: *reporter,
+                sighting: *sighting,
+                age,
+            })
         });
         all.collect()
     }
 
     /// What each front says of work on behalf of the fleet, with its age; this front's own too.
     pub fn work(&self, now: Micros) -> impl Iterator<Item = (PeerId, &Work, Micros)> {
-        let counts = move |held: &Held| now - held.made < FADES && !held.work.is_empty();
+        let counts = move |held: &Held| now - held.created < FADES && !held.work.is_empty();
         let all = self.held.iter().filter(move |(_, held)| counts(held));
-        all.map(move |(maker, held)| (*maker, &held.work, now - held.made))
+        all.map(move |(reporter, held)| (*reporter, &held.work, now - held.created))
     }
 
     /// Reports to be passed on within so many bytes: first those on an engine of which least was passed on, good and
@@ -88,11 +93,14 @@
     pub fn pass_on(&mut self, now: Micros, most_sent: u32, mut room: usize) -> Vec<Signed> {
         let matter = |s: &Sighting| (s.engine, s.answered > 0 && s.silent_ms == 0 && s.failed == 0);
         let mut told: BTreeMap<(u64, bool), u32> = BTreeMap::new();
-        for held in self.held.values().filter(|held| now - held.made < FADES) {
+        for held in self.held.values().filter(|held| now - held.created < FADES) {
             held.sightings.iter().for_each(|s| *told.entry(matter(s)).or_default() += held.sent);
         }
-        let mut all: Vec<&mut Held> =
-            self.held.values_mut().filter(|held| now - held.made < FADES && held.sent < most_sent).collect();
+        let mut all: Vec<&mut Held> = self
+            .held
+            .values_mut()
+            .filter(|held| now - held.created < FADES && held.sent < most_sent)
+            .collect();
         let mut picked = Vec::new();
         loop {
             let least = |held: &Held| {
@@ -101,7 +109,8 @@
             };
             let len = |held: &Held| held.signed.report.len() + held.signed.signature.len() + 4;
             let fits = (0..all.len()).filter(|n| len(all[*n]) <= room);
-            let Some(next) = fits.min_by_key(|n| (least(all[*n]), all[*n].sent, now - all[*n].made)) else {
+            let Some(next) = fits.min_by_key(|n| (least(all[*n]), all[*n].sent, now - all[*n].created))
+            else {
                 return picked;
             };
             let held = all.swap_remove(next);
--- a/crates/gossip/src/evidence_tests.rs
+++ b/crates/gossip/src/evidence_tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn report(maker: PeerId, life: u64, version: u32, failed: u8) -> Report {
+fn report(reporter: PeerId, life: u64, version: u32, failed: u8) -> Report {
     let sightings = vec![Sighting { engine: 1, failed, ..Sighting::default() }];
-    Report { maker, life, version, made_ms: 0, sightings, work: Work::default() }
+    Report { reporter, life, version, created_ms: 0, sightings, work: Work::default() }
 }
 
 fn signed() -> Signed {
@@ -15,7 +15,7 @@
 fn known(order: &[Report]) -> Vec<(PeerId, u8)> {
     let mut evidence = Evidence::default();
     order.iter().for_each(|r| _ = evidence.merge(0, r.clone(), signed(), 0));
-    evidence.news(1, 99).into_iter().map(|n| (n.maker, n.sighting.failed)).collect()
+    evidence.peer_reports(1, 99).into_iter().map(|n| (n.reporter, n.sighting.failed)).collect()
 }
 
 #[test]
@@ -42,7 +42,7 @@
         reports.extend(reports.clone());
         assert_eq!(known(&reports), expected);
         // Without what was made before the latest of each.
-        let latest: Vec<Report> = reports.into_iter().filter(|r| r.life > 5 || r.maker == 2).collect();
+        let latest: Vec<Report> = reports.into_iter().filter(|r| r.life > 5 || r.reporter == 2).collect();
         assert_eq!(known(&latest), expected);
     }
 }
@@ -51,8 +51,8 @@
 fn what_is_not_renewed_fades_and_does_not_come_back() {
     let mut evidence = Evidence::default();
     assert!(evidence.merge(0, report(1, 1, 2, 1), signed(), 3_000_000));
-    assert_eq!(evidence.news(FADES - 3_000_001, 9).len(), 1);
-    assert_eq!(evidence.news(FADES - 3_000_000, 9).len(), 0);
+    assert_eq!(evidence.peer_reports(FADES - 3_000_001, 9).len(), 1);
+    assert_eq!(evidence.peer_reports(FADES - 3_000_000, 9).len(), 0);
     assert!(!evidence.merge(FADES, report(1, 1, 1, 1), signed(), 0), "an earlier version");
     assert!(!evidence.merge(FADES, report(2, 1, 1, 1), signed(), FADES), "older than it lasts");
     evidence.fade(3 * FADES);
@@ -62,9 +62,9 @@
 #[test]
 fn one_voice_on_an_engine_is_passed_on_before_the_many_on_another() {
     let mut evidence = Evidence::default();
-    let signed = |maker: u64| Signed { report: vec![maker as u8; 40], signature: vec![0; 64] };
-    for maker in 0..100 {
-        evidence.merge(maker as Micros, report(maker, 1, 1, 1), signed(maker), 0);
+    let signed = |reporter: u64| Signed { report: vec![reporter as u8; 40], signature: vec![0; 64] };
+    for reporter in 0..100 {
+        evidence.merge(reporter as Micros, report(reporter, 1, 1, 1), signed(reporter), 0);
     }
     let mut other = report(200, 1, 1, 1);
     other.sightings[0].engine = 2;
@@ -75,16 +75,16 @@
         firsts.extend(evidence.pass_on(1_000, 9, 216).iter().map(|s| s.report[0]));
     }
     assert!(firsts[..2].contains(&200), "{firsts:?}");
-    assert!(firsts.iter().filter(|maker| **maker == 200).count() >= 2, "{firsts:?}");
+    assert!(firsts.iter().filter(|reporter| **reporter == 200).count() >= 2, "{firsts:?}");
 }
 
 #[test]
 fn makers_and_bytes_are_bounded() {
     let mut evidence = Evidence::default();
-    for maker in 0..10_000 {
-        evidence.merge(maker as Micros, report(maker, 1, 1, 1), signed(), 0);
+    for reporter in 0..10_000 {
+        evidence.merge(reporter as Micros, report(reporter, 1, 1, 1), signed(), 0);
     }
-    assert_eq!(evidence.len(), MOST_MAKERS);
+    assert_eq!(evidence.len(), MAX_REPORTERS);
     assert_eq!(evidence.pass_on(10_000, 4, 400).len(), 3);
     let mut long = report(1, 1, 1, 1);
     long.sightings = vec![Sighting::default(); MOST_SIGHTINGS + 1];
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -47,12 +47,12 @@
 /// All that a front has seen, signed by itself and passed on as it is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    pub maker: PeerId,
-    /// When its maker began, in Unix milliseconds on its own clock, and how many reports it had made since.
+    pub reporter: PeerId,
+    /// When its reporter began, in Unix milliseconds on its own clock, and how many reports it had made since.
     pub life: u64,
     pub version: u32,
-    /// When it was made, in Unix milliseconds on its maker's clock.
-    pub made_ms: u64,
+    /// When it was created, in Unix milliseconds on its reporter's clock.
+    pub created_ms: u64,
     pub sightings: Vec<Sighting>,
     pub work: Work,
 }
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use crate::evidence::{Evidence, News, MOST_SIGHTINGS};
+use crate::evidence::{Evidence, PeerReport, MOST_SIGHTINGS};
 use crate::members::{Members, Send};
 use crate::message::{self, Message, Probe, Report, Sighting, Work, LONGEST};
 use crate::post::{Channel, Letter, Post, LETTER_ROOM};
@@ -137,10 +137,10 @@
         self.renew = now + RENEWED;
         self.version += 1;
         let report = Report {
-            maker: self.own.id,
+            reporter: self.own.id,
             life: self.own.life,
             version: self.version,
-            made_ms: wall_ms,
+            created_ms: wall_ms,
             sightings: sightings.clone(),
             work,
         };
@@ -150,8 +150,8 @@
     }
 
     /// What others say of engines, with its age.
-    pub fn news(&self, now: Micros) -> Vec<News> {
-        self.evidence.news(now, self.own.id)
+    pub fn peer_reports(&self, now: Micros) -> Vec<PeerReport> {
+        self.evidence.peer_reports(now, self.own.id)
     }
 
     /// What each front says of work on behalf of the fleet, with its age; this front's own too.
@@ -211,7 +211,7 @@
             }
         }
         for send in sends {
-            out.extend(self.send(now, wall_ms, send, Why::News));
+            out.extend(self.send(now, wall_ms, send, Why::Gossip));
         }
         out
     }
@@ -223,7 +223,7 @@
         let mut out = Vec::new();
         for _ in 0..(2 * FANOUT).min(targets.len()) {
             let to = targets.swap_remove(chance.below(targets.len()));
-            out.extend(self.send(now, wall_ms, Send { to, probe: Probe::None }, Why::News));
+            out.extend(self.send(now, wall_ms, Send { to, probe: Probe::None }, Why::Gossip));
         }
         out
     }
@@ -234,14 +234,14 @@
         let most = match why {
             // Guards against one who asks without end: answers use up no news that others are to hear.
             Why::Answer => 0,
-            Why::News => MOST_RUMOURS,
+            Why::Gossip => MOST_RUMOURS,
             Why::Welcome => WELCOME,
         };
         rumours.extend(self.members.pass_on(send.to, most));
         let most_sent = (SENT_EACH * ((self.peers.len() + 2) as f64).log2()).ceil() as u32;
         let mut message = Message { probe: send.probe, rumours, reports: Vec::new(), letter: Vec::new() };
         let used = SEAL + message::bytes(&message).len() + 2;
-        let room = if why == Why::News { TOLD.min(LONGEST).saturating_sub(used) } else { 0 };
+        let room = if why == Why::Gossip { TOLD.min(LONGEST).saturating_sub(used) } else { 0 };
         message.reports = self.evidence.pass_on(now, most_sent, room);
         let content = message::bytes(&message);
         let len = content.len() + SEAL;
@@ -306,14 +306,14 @@
         for signed in message.reports {
             let Some(report) = message::read::<Report>(&signed.report) else { continue };
             // Guards against the cost of what is known already, which is most of what comes.
-            if report.maker == self.own.id
-                || !self.evidence.is_later(report.maker, report.life, report.version)
+            if report.reporter == self.own.id
+                || !self.evidence.is_later(report.reporter, report.life, report.version)
             {
                 continue;
             }
             match self.peers.read(now, from.ip(), &signed) {
                 Ok(report) => {
-                    let age = self.peers.age(report.maker, wall_ms, report.made_ms);
+                    let age = self.peers.age(report.reporter, wall_ms, report.created_ms);
                     if let Some(age) = age {
                         self.evidence.merge(now, report, signed, age);
                     }
@@ -328,7 +328,7 @@
 /// Why a datagram is sent: it bounds what it may carry, and which tokens it takes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Why {
-    News,
+    Gossip,
     Answer,
     /// To one that was not known before.
     Welcome,
--- a/crates/gossip/src/node/load.rs
+++ b/crates/gossip/src/node/load.rs
@@ -25,8 +25,8 @@
             return;
         }
         (self.share_told, self.share_version) = (now, version);
-        let (maker, life) = (self.own.id, self.own.life);
-        let share = Share { maker, life, version, made_ms: wall_ms, offered: offered() };
+        let (reporter, life) = (self.own.id, self.own.life);
+        let share = Share { reporter, life, version, created_ms: wall_ms, offered: offered() };
         let signed = self.own.sign_share(&share);
         shares.merge(now, share, signed, 0);
     }
@@ -38,7 +38,7 @@
 
     /// Whether any other front that counts is heard.
     pub fn hears_load(&self, now: Micros) -> bool {
-        self.shares.iter().flat_map(|shares| shares.makers(now)).any(|maker| maker != self.own.id)
+        self.shares.iter().flat_map(|shares| shares.reporters(now)).any(|reporter| reporter != self.own.id)
     }
 
     pub(super) fn pass_shares(&mut self, now: Micros, wall_ms: u64, to: SocketAddr) -> Option<Datagram> {
@@ -61,12 +61,12 @@
                 continue;
             };
             // Guards against the cost of what is known already, which is most of what comes.
-            if share.maker == self.own.id || !shares.wants(share.maker, share.life, share.version) {
+            if share.reporter == self.own.id || !shares.wants(share.reporter, share.life, share.version) {
                 continue;
             }
-            match self.peers.holds(now, from, share.maker, &signed) {
+            match self.peers.holds(now, from, share.reporter, &signed) {
                 Ok(()) => {
-                    let age = self.peers.age(share.maker, wall_ms, share.made_ms);
+                    let age = self.peers.age(share.reporter, wall_ms, share.created_ms);
                     age.into_iter().for_each(|age| _ = shares.merge(now, share.clone(), signed.clone(), age));
                 }
                 Err(why) => *self.refused.entry(why).or_default() += 1,
--- a/crates/gossip/src/seal.rs
+++ b/crates/gossip/src/seal.rs
@@ -1,4 +1,4 @@
-//! Whose word it is: datagrams and reports are signed by their senders and makers, and what comes is believed only
+//! Whose word it is: datagrams and reports are signed by their senders and reporters, and what comes is believed only
 //! if its key is known, it is not a replay, and there is a token left to look at its signature.
 
 mod heard;
@@ -195,27 +195,33 @@
         Ok(Opened { sender, content: &signed[HEAD..] })
     }
 
-    /// Reads a report, if its maker's signature holds.
+    /// Reads a report, if its reporter's signature holds.
     pub fn read(&mut self, now: Micros, from: IpAddr, signed: &Signed) -> Result<Report, Refused> {
         let report: Report = message::read(&signed.report).ok_or(Refused::Form)?;
-        self.verify(now, from, report.maker, REPORT, signed)?;
+        self.verify(now, from, report.reporter, REPORT, signed)?;
         Ok(report)
     }
 
-    /// Whether a share is its maker's.
-    pub fn holds(&mut self, now: Micros, from: IpAddr, maker: PeerId, share: &Signed) -> Result<(), Refused> {
-        self.verify(now, from, maker, SHARE, share)
+    /// Whether a share is its reporter's.
+    pub fn holds(
+        &mut self,
+        now: Micros,
+        from: IpAddr,
+        reporter: PeerId,
+        share: &Signed,
+    ) -> Result<(), Refused> {
+        self.verify(now, from, reporter, SHARE, share)
     }
 
     fn verify(
         &mut self,
         now: Micros,
         from: IpAddr,
-        maker: PeerId,
+        reporter: PeerId,
         mark: &[u8],
         signed: &Signed,
     ) -> Result<(), Refused> {
-        let key = *self.keys.0.get(&maker).ok_or(Refused::Stranger)?;
+        let key = *self.keys.0.get(&reporter).ok_or(Refused::Stranger)?;
         self.may_verify(now, from)?;
         let signature = Signature::from_slice(&signed.signature).map_err(|_| Refused::Form)?;
         key.verify_strict(&[mark, &signed.report].concat(), &signature).map_err(|_| Refused::Forged)
@@ -239,12 +245,12 @@
         self.proven.take(now, 1.0).then_some(()).ok_or(Refused::Flood)
     }
 
-    /// How old a report of a maker is, in microseconds, going by how its clock compares with ours.
-    pub fn age(&self, maker: PeerId, wall_ms: u64, made_ms: u64) -> Option<Micros> {
-        let least = self.peers.get(&maker).map_or(i64::MAX, Peer::least);
+    /// How old a report of a reporter is, in microseconds, going by how its clock compares with ours.
+    pub fn age(&self, reporter: PeerId, wall_ms: u64, created_ms: u64) -> Option<Micros> {
+        let least = self.peers.get(&reporter).map_or(i64::MAX, Peer::least);
         // Of one that was never heard itself nothing is known of its clock: as they are.
         let least = if least == i64::MAX { 0 } else { least };
-        let delay = (wall_ms as i64).checked_sub(made_ms as i64)?.checked_sub(least)?;
+        let delay = (wall_ms as i64).checked_sub(created_ms as i64)?.checked_sub(least)?;
         delay.max(0).checked_mul(1000)
     }
 }
--- a/crates/gossip/src/seal_tests.rs
+++ b/crates/gossip/src/seal_tests.rs
@@ -125,10 +125,10 @@
 fn a_report_is_its_makers_alone() {
     let (own, mut peers) = pair();
     let report = Report {
-        maker: own.id,
+        reporter: own.id,
         life: own.life,
         version: 1,
-        made_ms: WALL,
+        created_ms: WALL,
         sightings: Vec::new(),
         work: Default::default(),
     };
--- a/crates/gossip/src/shares.rs
+++ b/crates/gossip/src/shares.rs
@@ -1,4 +1,4 @@
-//! What fronts tell each other of their load: of a few makers, the same on every front, the latest share of each.
+//! What fronts tell each other of their load: of a few reporters, the same on every front, the latest share of each.
 //! Those with the least ids count, so that bytes do not grow with the fleet and all go by the same figures. Merging
 //! is taking the later one: order, repeats and losses do no harm; what is not renewed fades.
 
@@ -12,7 +12,7 @@
 /// Microseconds after which a share is worth nothing.
 pub const FADES: Micros = 5_000_000;
 /// Makers whose shares count: at some four statements a second each, twelve tell a mix to a tenth.
-pub const MOST_MAKERS: usize = 12;
+pub const MAX_REPORTERS: usize = 12;
 /// Workloads of a share that count.
 pub const MOST_OFFERED: usize = 24;
 const MOST_SENT: u32 = 4; // times that a front passes a share on: with four each, some 98 in 100 fronts hear it
@@ -33,17 +33,17 @@
 /// A front's own word, signed by itself and passed on as it is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
-    pub maker: PeerId,
+    pub reporter: PeerId,
     pub life: u64,
     pub version: u32,
-    pub made_ms: u64,
+    pub created_ms: u64,
     pub offered: Vec<Offered>,
 }
 
 struct Held {
     life: u64,
     version: u32,
-    made: Micros,
+    created: Micros,
     offered: Vec<Offered>,
     signed: Signed,
     sent: u32,
@@ -55,24 +55,25 @@
 }
 
 impl Shares {
-    /// Whether a share of this maker would say more than what is held; to be asked before its signature is looked at.
-    pub fn wants(&self, maker: PeerId, life: u64, version: u32) -> bool {
-        match self.held.get(&maker) {
+    /// Whether a share of this reporter would say more than what is held; to be asked before its signature is looked at.
+    pub fn wants(&self, reporter: PeerId, life: u64, version: u32) -> bool {
+        match self.held.get(&reporter) {
             Some(held) => (life, version) > (held.life, held.version),
             None => {
-                self.held.len() < MOST_MAKERS || self.held.last_key_value().is_some_and(|(k, _)| maker < *k)
+                self.held.len() < MAX_REPORTERS
+                    || self.held.last_key_value().is_some_and(|(k, _)| reporter < *k)
             }
         }
     }
 
     /// Takes a share in; false if it is no news.
     pub fn merge(&mut self, now: Micros, share: Share, signed: Signed, age: Micros) -> bool {
-        let Share { maker, life, version, offered, .. } = share;
-        if offered.len() > MOST_OFFERED || age >= FADES || !self.wants(maker, life, version) {
+        let Share { reporter, life, version, offered, .. } = share;
+        if offered.len() > MOST_OFFERED || age >= FADES || !self.wants(reporter, life, version) {
             return false;
         }
-        self.held.insert(maker, Held { life, version, made: now - age, offered, signed, sent: 0 });
-        if self.held.len() > MOST_MAKERS {
+        self.held.insert(reporter, Held { life, version, created: now - age, offered, signed, sent: 0 });
+        if self.held.len() > MAX_REPORTERS {
             self.held.pop_last();
         }
         true
@@ -80,24 +81,24 @@
 
     /// Lets go of what has faded, so that others are heard in its place.
     pub fn fade(&mut self, now: Micros) {
-        self.held.retain(|_, held| now - held.made < FADES);
+        self.held.retain(|_, held| now - held.created < FADES);
     }
 
-    /// Of each maker what counts now.
+    /// Of each reporter what counts now.
     pub fn all(&self, now: Micros) -> impl Iterator<Item = &[Offered]> {
-        self.held.values().filter(move |held| now - held.made < FADES).map(|held| &held.offered[..])
+        self.held.values().filter(move |held| now - held.created < FADES).map(|held| &held.offered[..])
     }
 
     /// Whose counts now.
-    pub fn makers(&self, now: Micros) -> impl Iterator<Item = PeerId> + '_ {
-        self.held.iter().filter(move |(_, held)| now - held.made < FADES).map(|(maker, _)| *maker)
+    pub fn reporters(&self, now: Micros) -> impl Iterator<Item = PeerId> + '_ {
+        self.held.iter().filter(move |(_, held)| now - held.created < FADES).map(|(reporter, _)| *reporter)
     }
 
     /// Shares to be passed on within so many bytes: those passed on least, of them the latest.
     pub fn pass_on(&mut self, now: Micros, mut room: usize) -> Vec<Signed> {
-        let counts = |held: &&mut Held| now - held.made < FADES && held.sent < MOST_SENT;
+        let counts = |held: &&mut Held| now - held.created < FADES && held.sent < MOST_SENT;
         let mut all: Vec<&mut Held> = self.held.values_mut().filter(counts).collect();
-        all.sort_by_key(|held| (held.sent, now - held.made));
+        all.sort_by_key(|held| (held.sent, now - held.created));
         let mut picked = Vec::new();
         for held in all {
             let len = held.signed.report.len() + held.signed.signature.len() + 4;
--- a/crates/gossip/src/shares_tests.rs
+++ b/crates/gossip/src/shares_tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn share(maker: PeerId, version: u32, asked: u32) -> Share {
+fn share(reporter: PeerId, version: u32, asked: u32) -> Share {
     let offered = vec![Offered { workload: 1, asked, ..Offered::default() }];
-    Share { maker, life: 1, version, made_ms: 0, offered }
+    Share { reporter, life: 1, version, created_ms: 0, offered }
 }
 
 fn signed() -> Signed {
@@ -24,14 +24,14 @@
         for s in all.iter().chain(all.clone().iter()) {
             shares.merge(0, s.clone(), signed(), 0);
         }
-        assert_eq!(asked(&shares, 1), (100..100 + MOST_MAKERS as u32).collect::<Vec<_>>());
+        assert_eq!(asked(&shares, 1), (100..100 + MAX_REPORTERS as u32).collect::<Vec<_>>());
     }
 }
 
 #[test]
 fn what_is_not_renewed_fades_and_makes_room_for_others() {
     let mut shares = Shares::default();
-    (0..MOST_MAKERS as u64).for_each(|n| _ = shares.merge(0, share(n, 1, 1), signed(), 0));
+    (0..MAX_REPORTERS as u64).for_each(|n| _ = shares.merge(0, share(n, 1, 1), signed(), 0));
     assert!(!shares.merge(0, share(99, 1, 7), signed(), 0), "others have lesser ids");
     shares.fade(FADES);
     assert!(shares.merge(FADES, share(99, 1, 7), signed(), 0));
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -27,7 +27,7 @@
     fleet.sees(7, sullen(77));
     fleet.run(13 * SECOND);
     assert_eq!(fleet.heard_of(77).len(), 19);
-    // It fades once its maker no longer says so.
+    // It fades once its reporter no longer says so.
     fleet.sees(7, Vec::new());
     fleet.run(22 * SECOND);
     assert_eq!(fleet.heard_of(77).len(), 0);
@@ -96,14 +96,14 @@
     assert_eq!(fleet.health(3, Health::Left), 9);
 }
 
-/// What a datagram of this key holds that says a lie of an engine in the name of a maker.
-fn lie(liar: &mut Own, maker: PeerId, wall: u64, engine: u64) -> Vec<u8> {
+/// What a datagram of this key holds that says a lie of an engine in the name of a reporter.
+fn lie(liar: &mut Own, reporter: PeerId, wall: u64, engine: u64) -> Vec<u8> {
     let life = wall - 1;
     let report = message::Report {
-        maker,
+        reporter,
         life,
         version: 9,
-        made_ms: wall,
+        created_ms: wall,
         sightings: sullen(engine),
         work: Default::default(),
     };
@@ -122,7 +122,7 @@
 fn a_stranger_changes_nothing_and_a_liar_speaks_for_itself_alone() {
     let mut fleet = Fleet::new(6, 5);
     fleet.run(8 * SECOND);
-    let before: Vec<_> = (0..6).map(|n| fleet.nodes[n].as_ref().unwrap().news(fleet.now)).collect();
+    let before: Vec<_> = (0..6).map(|n| fleet.nodes[n].as_ref().unwrap().peer_reports(fleet.now)).collect();
     let (mut stranger, mut liar) = (Own::new(&secret(999), WALL), Own::new(&secret(4), WALL + 8_001));
     let wall = fleet.wall(0);
     for to in 0..6 {
@@ -130,7 +130,7 @@
         fleet.deliver(5, to, 1, forged);
     }
     fleet.run(9 * SECOND);
-    let after: Vec<_> = (0..6).map(|n| fleet.nodes[n].as_ref().unwrap().news(fleet.now)).collect();
+    let after: Vec<_> = (0..6).map(|n| fleet.nodes[n].as_ref().unwrap().peer_reports(fleet.now)).collect();
     assert_eq!(before, after);
     assert!((0..6).all(|n| fleet.nodes[n].as_ref().unwrap().refused[&Refused::Stranger] == 1));
     // A good key: in another's name it is refused, in its own it counts as one voice.
@@ -142,7 +142,7 @@
     fleet.deliver(4, 0, 2, told);
     fleet.run(12 * SECOND);
     assert_eq!(fleet.heard_of(8).len(), 0);
-    assert!(fleet.heard_of(9).iter().all(|(_, makers)| *makers == BTreeSet::from([own])));
+    assert!(fleet.heard_of(9).iter().all(|(_, reporters)| *reporters == BTreeSet::from([own])));
     assert!(!fleet.heard_of(9).is_empty());
 }
 
@@ -179,14 +179,14 @@
     fleet.run(8 * SECOND);
     for n in 0..6 {
         fleet.sees(n, sullen(n as u64));
-        let made = fleet.now;
-        fleet.run(made + 2 * SECOND);
+        let created = fleet.now;
+        fleet.run(created + 2 * SECOND);
         let heard = fleet.heard_of(n as u64);
         assert_eq!(heard.len(), 5, "of {n}");
         for (to, _) in heard {
-            let news = fleet.nodes[to].as_ref().unwrap().news(fleet.now);
+            let news = fleet.nodes[to].as_ref().unwrap().peer_reports(fleet.now);
             let age = news.iter().find(|x| x.sighting.engine == n as u64).unwrap().age;
-            assert!((age - (fleet.now - made)).abs() < 100_000, "{to} of {n}: {age}");
+            assert!((age - (fleet.now - created)).abs() < 100_000, "{to} of {n}: {age}");
         }
         fleet.sees(n, Vec::new());
     }
--- a/crates/gossip/tests/fleet/sim.rs
+++ b/crates/gossip/tests/fleet/sim.rs
@@ -160,12 +160,12 @@
 
     /// Who has heard of this engine, and from whom.
     pub fn heard_of(&self, engine: u64) -> Vec<(usize, BTreeSet<PeerId>)> {
-        let makers = |node: &Node| -> BTreeSet<PeerId> {
-            let news = node.news(self.now);
-            news.into_iter().filter(|n| n.sighting.engine == engine).map(|n| n.maker).collect()
+        let reporters = |node: &Node| -> BTreeSet<PeerId> {
+            let news = node.peer_reports(self.now);
+            news.into_iter().filter(|n| n.sighting.engine == engine).map(|n| n.reporter).collect()
         };
-        let all = self.nodes.iter().enumerate().filter_map(|(n, node)| Some((n, makers(node.as_ref()?))));
-        all.filter(|(_, makers)| !makers.is_empty()).collect()
+        let all = self.nodes.iter().enumerate().filter_map(|(n, node)| Some((n, reporters(node.as_ref()?))));
+        all.filter(|(_, reporters)| !reporters.is_empty()).collect()
     }
 
     /// How many of those that run take this one to be so.
--- a/crates/gossip/tests/shares.rs
+++ b/crates/gossip/tests/shares.rs
@@ -12,9 +12,9 @@
 use hallmux_gossip::Micros;
 use sim::{at, keys, secret, SECOND, WALL};
 
-fn share(maker: u64, version: u32, asked: u32) -> Share {
+fn share(reporter: u64, version: u32, asked: u32) -> Share {
     let offered = vec![Offered { workload: 1, asked, work_us: 100, ..Offered::default() }];
-    Share { maker, life: WALL, version, made_ms: WALL, offered }
+    Share { reporter, life: WALL, version, created_ms: WALL, offered }
 }
 
 /// A datagram of `own` that holds these shares.
@@ -36,7 +36,7 @@
     let (mut liar, honest) = (Own::new(&secret(1), WALL), Own::new(&secret(2), WALL));
     let told = letter(&mut liar, &[honest.sign_share(&share(honest.id, 1, 7))]);
     node.heard(0, WALL, at(1), &told);
-    assert_eq!(asked(&node, 1), [7], "whoever passes it on, it is its maker's word");
+    assert_eq!(asked(&node, 1), [7], "whoever passes it on, it is its reporter's word");
     assert!(node.hears_load(1));
     // Under another's name, of fronts that nobody knows, cut short, with more workloads than count.
     let stranger = Own::new(&secret(9), WALL);
