--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -1,6 +1,7 @@
-//! Executions that depend on promises are held here until those stand in the ledger: one at a time of an order key
-//! over all fronts, a repeat only where it is dropped, a non-idempotent statement never twice. What depends on
-//! nothing never comes here. No sockets, no clock, no chance; it says what to ask the ledger and what may leave.
+//! Executions that depend on promises are held here until those stand in the ledger: one at a time of an
+//! order key over all fronts, a repeat only where it is dropped, a non-idempotent statement never twice. What
+//! depends on nothing never comes here. No sockets, no clock, no chance; it says what to ask the ledger and
+//! what may leave.
 
 mod guard;
 mod hold;
@@ -87,8 +88,8 @@
         }
     }
 
-    /// What the dispatcher tells of statements that depend on promises. `id` names one that was taken wherever it is
-    /// tried, if anything does.
+    /// What the dispatcher tells of statements that depend on promises. `id` names one that was taken
+    /// wherever it is tried, if anything does.
     pub fn hear(&mut self, now: Micros, word: Word, id: impl Fn(Ticket) -> Option<String>) {
         match word {
             Word::Taken(taken) => {
@@ -218,13 +219,14 @@
         std::mem::take(&mut self.asks)
     }
 
-    /// What becomes of what was held. Each is to be obeyed at once, at a time that is not later than it was asked at.
+    /// What becomes of what was held. Each is to be obeyed at once, at a time that is not later than it was
+    /// asked at.
     pub fn rulings(&mut self) -> Vec<Ruling> {
         std::mem::take(&mut self.rulings)
     }
 
-    /// A held execution wants its promises, in order: none behind one that another front has, so that fronts that
-    /// want the same ones do not wait for each other.
+    /// A held execution wants its promises, in order: none behind one that another front has, so that fronts
+    /// that want the same ones do not wait for each other.
     fn want(&mut self, now: Micros, ticket: Ticket) {
         let Some(s) = self.statements.get(&ticket) else { return };
         let (Some(held), patient_until) = (s.held, s.patient_until) else { return };
--- a/crates/fleet/src/gate/guard.rs
+++ b/crates/fleet/src/gate/guard.rs
@@ -1,5 +1,5 @@
-//! The gate between a front's dispatcher and its ledger: executions are held in it, and words go to and fro until
-//! nothing is new.
+//! The gate between a front's dispatcher and its ledger: executions are held in it, and words go to and fro
+//! until nothing is new.
 
 use std::collections::BTreeMap;
 
@@ -71,8 +71,8 @@
         self.gate.stop(now, ticket, execution)
     }
 
-    /// Passes on what statements have come to and what the ledger says; what becomes of what was held. `id` names a
-    /// statement wherever it is tried.
+    /// Passes on what statements have come to and what the ledger says; what becomes of what was held. `id`
+    /// names a statement wherever it is tried.
     pub fn turn(
         &mut self,
         now: Micros,
--- a/crates/fleet/src/gate/hold.rs
+++ b/crates/fleet/src/gate/hold.rs
@@ -1,4 +1,5 @@
-//! What this front has of one key of the ledger, and what it asks for it next. One ask of a key is out at a time.
+//! What this front has of one key of the ledger, and what it asks for it next. One ask of a key is out at a
+//! time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,14 +8,15 @@
 
 use super::needs::{Group, Out};
 
-/// Microseconds until what another has is asked for again; twice as long each time. The ledger says when it is free:
-/// this is for where that word is lost, or is of an earlier build.
+/// Microseconds until what another has is asked for again; twice as long each time. The ledger says when it
+/// is free: this is for where that word is lost, or is of an earlier build.
 const AGAIN: Micros = 40_000;
 const AGAIN_MOST: Micros = 320_000; // microseconds; a key that is free stays unused so long at most
 const FIRST_AGAIN: Micros = 100_000; // microseconds until a shard that never spoke is asked again
 const ASK: Micros = 600_000; // microseconds that an ask may take until it is known to have found no majority
 const FREE_AGAIN: Micros = 1_000_000; // microseconds until what could not be freed is tried again
-const KEPT_MS: u64 = 20_000; // milliseconds that a transaction's key stands without word; renewed at half of them
+/// Milliseconds that a transaction's key stands without word; renewed at half of them.
+const KEPT_MS: u64 = 20_000;
 
 /// What an ask that is out was for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -192,7 +194,8 @@
         }
     }
 
-    /// It is free, and this front is next: true where it was asked for by that number last, and is wanted still.
+    /// It is free, and this front is next: true where it was asked for by that number last, and is wanted
+    /// still.
     pub fn turn(&mut self, now: Micros, number: u64) -> bool {
         let next = self.blocked && self.number == number && self.asked.is_none();
         if next {
--- a/crates/fleet/src/gate/needs.rs
+++ b/crates/fleet/src/gate/needs.rs
@@ -7,8 +7,8 @@
 use hallmux_ledger::{Key, Kind};
 use serde::{Deserialize, Serialize};
 
-/// Microseconds beyond its client's time for which a non-idempotent statement is known to have been begun: clients
-/// that come again under its name come within seconds.
+/// Microseconds beyond its client's time for which a non-idempotent statement is known to have been begun:
+/// clients that come again under its name come within seconds.
 const BEGUN_KEPT: Micros = 60_000_000;
 /// Microseconds that fronts' clocks are apart at most, as the ledger has it.
 const APART: Micros = 500_000;
@@ -94,8 +94,8 @@
         Needs { workloads: workloads.collect(), turn_gap: contract.agreement.turn_gap }
     }
 
-    /// Of one statement, in the order in which its promises are asked for: the same on every front, so that no two
-    /// statements wait for each other. `id` is its name wherever it is tried.
+    /// Of one statement, in the order in which its promises are asked for: the same on every front, so that
+    /// no two statements wait for each other. `id` is its name wherever it is tried.
     pub fn of(&self, taken: &Taken, id: &str) -> Vec<Need> {
         let Some(workload) = self.workloads.get(&taken.workload) else { return Vec::new() };
         let mut needs = Vec::new();
@@ -108,7 +108,8 @@
             let key = Key { kind: Kind::Begun, name: format!("{}/{id}", taken.customer) };
             needs.push(Need { key, beyond: BEGUN_KEPT, after: BEGUN_KEPT, groups: Groups::All, gap });
         }
-        // Last: many statements want an order key, and none is to keep it while it waits for what is its own alone.
+        // Last: many statements want an order key, and none is to keep it while it waits for what is its own
+        // alone.
         if let Some(key) = taken.key.as_ref().filter(|_| workload.in_order) {
             // As in one front, the order of a key is the same for all workloads.
             let key = Key { kind: Kind::Order, name: key.clone() };
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,6 +1,6 @@
-//! What one front and its fleet know of each other, carried between gossip and the dispatcher: what this front has
-//! seen of engines goes out, what others have seen and how many fronts there are goes to the module as events.
-//! No sockets, no clock, no chance of its own; nothing is decided here.
+//! What one front and its fleet know of each other, carried between gossip and the dispatcher: what this
+//! front has seen of engines goes out, what others have seen and how many fronts there are goes to the module
+//! as events. No sockets, no clock, no chance of its own; nothing is decided here.
 
 pub mod gate;
 mod load;
@@ -20,11 +20,12 @@
 use hallmux_gossip::{Chance, PeerId};
 
 const LOOK: Micros = 250_000; // microseconds between looks at what this front has seen itself
-const SILENCE_STEP_MS: Micros = 500; // milliseconds that silence is told in: each change is a report for all to pass on
-const MOST_CAME: usize = 1_024; // letters that wait for other parts: some 100 KB
+/// Milliseconds that silence is told in: each change is a report for all to pass on.
+const SILENCE_STEP_MS: Micros = 500;
+const MAX_RECEIVED: usize = 1_024; // channel messages held for other subsystems: some 100 KB
 const MAX_REPORTERS: usize = 4_096; // fronts that the module keeps apart in one life of this one
 
-pub use hallmux_gossip::post::{Channel, Letter};
+pub use hallmux_gossip::channels::{Channel, ChannelMessage};
 pub use owning::{Ownership, Owns, Saved};
 pub use promises::Kept;
 
@@ -60,7 +61,7 @@
     /// How many fronts the dispatcher was told of last.
     fleet: (usize, usize),
     left: bool,
-    came: Vec<Letter>,
+    received: Vec<ChannelMessage>,
     /// One owner at a time for work on behalf of the fleet, where voters are named.
     owning: Option<owning::Owning>,
     /// The ledger of promises, where it is switched on.
@@ -101,7 +102,7 @@
             reporters: BTreeMap::new(),
             fleet: (1, 1),
             left: false,
-            came: Vec::new(),
+            received: Vec::new(),
             owning: None,
             promises: None,
             load: None,
@@ -131,7 +132,7 @@
         self.owning.as_ref().is_none_or(|owning| owning.owns(steady).is_some())
     }
 
-    /// Acts and letters of owners and voters that counted for nothing, by why.
+    /// Acts and messages of owners and voters that counted for nothing, by why.
     pub fn refused_acts(&self) -> BTreeMap<&'static str, u64> {
         self.owning.as_ref().map(|owning| owning.refused.clone()).unwrap_or_default()
     }
@@ -146,7 +147,8 @@
         self.node.keys(keys);
     }
 
-    /// How many fronts there are, this one too: those that have not said good-bye, and of them those that are up.
+    /// How many fronts there are, this one too: those that have not said good-bye, and of them those that are
+    /// up.
     pub fn fleet(&self) -> (usize, usize) {
         self.fleet
     }
@@ -172,15 +174,15 @@
     /// A datagram has come; what is to go back.
     pub fn heard(&mut self, at: Moment, from: SocketAddr, bytes: &[u8]) -> Out {
         let mut out = Out { datagrams: self.node.heard(at.now, at.wall_ms, from, bytes), ..Out::default() };
-        for Letter { from, at: heard_at, channel, bytes } in self.node.letters() {
+        for ChannelMessage { from, at: heard_at, channel, bytes } in self.node.received() {
             match (channel, &mut self.owning) {
                 (Channel::Lease, Some(owning)) => owning.heard(at, from, heard_at, &bytes),
                 (Channel::Lease, None) => {}
                 (Channel::Ledger, _) => {
                     self.promises.iter_mut().for_each(|promises| promises.heard(at, from, &bytes));
                 }
-                _ if self.came.len() >= MOST_CAME => {}
-                _ => self.came.push(Letter { from, at: heard_at, channel, bytes }),
+                _ if self.received.len() >= MAX_RECEIVED => {}
+                _ => self.received.push(ChannelMessage { from, at: heard_at, channel, bytes }),
             }
         }
         if let Some(owning) = &mut self.owning {
@@ -190,7 +192,8 @@
         out
     }
 
-    /// Switches on the ledger of promises; `members` are heard there. An error says why it can't be, or why what was saved can't be used.
+    /// Switches on the ledger of promises; `members` are heard there. An error says why it can't be, or why
+    /// what was saved can't be used.
     pub fn promise(
         &mut self,
         at: Moment,
@@ -202,7 +205,8 @@
         Ok(())
     }
 
-    /// Other fronts keep copies from now on, as the operator says; nothing changes where the list can't be used.
+    /// Other fronts keep copies from now on, as the operator says; nothing changes where the list can't be
+    /// used.
     pub fn members(
         &mut self,
         at: Moment,
@@ -233,7 +237,8 @@
         out
     }
 
-    /// The front's copies are lost with their disk: it begins anew with another, as one that remembers nothing.
+    /// The front's copies are lost with their disk: it begins anew with another, as one that remembers
+    /// nothing.
     pub fn start_over(&mut self, at: Moment, disk: u64) -> Out {
         let mut out = Out::default();
         self.promises.iter_mut().for_each(|promises| promises.start_over(at, disk));
@@ -256,15 +261,22 @@
         }
     }
 
-    /// Letters that have come for parts beside this one; what is not taken from turn to turn gets lost.
-    pub fn letters(&mut self) -> Vec<Letter> {
-        std::mem::take(&mut self.came)
+    /// Takes the messages received on other channels; beyond a bound those not taken are dropped.
+    pub fn received(&mut self) -> Vec<ChannelMessage> {
+        std::mem::take(&mut self.received)
     }
 
-    /// A letter of such a part to another front: None if it is not known, or too much was sent this second.
-    pub fn post(&mut self, at: Moment, to: PeerId, channel: Channel, bytes: &[u8]) -> Option<Datagram> {
+    /// Seals such a message to another front. None if its address is unknown or the channel's rate is
+    /// exceeded.
+    pub fn channel_datagram(
+        &mut self,
+        at: Moment,
+        to: PeerId,
+        channel: Channel,
+        bytes: &[u8],
+    ) -> Option<Datagram> {
         let to = self.node.address(to)?;
-        self.node.post(at.now, at.wall_ms, to, channel, bytes)
+        self.node.channel_datagram(at.now, at.wall_ms, to, channel, bytes)
     }
 
     /// Does what is due: what is to go out, and what others say that was not known before.
@@ -311,7 +323,8 @@
         (out, new)
     }
 
-    /// Tells the dispatcher how many fronts there are and who of them probes for the fleet, once that changes.
+    /// Tells the dispatcher how many fronts there are and who of them probes for the fleet, once that
+    /// changes.
     fn share(&mut self, at: Moment, dispatcher: &mut Dispatcher) {
         let fleet = self.node.fleet();
         let probes = self.owning.as_ref().map(|owning| owning.owns(at.steady).is_some());
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -1,5 +1,5 @@
-//! What the fleet is asked: this front's counts go out as its share, those of all that tell come together to what
-//! the module hears. Merged figures only; what they mean is decided in the module.
+//! What the fleet is asked: this front's counts go out as its share, those of all that tell come together to
+//! what the module hears. Merged figures only; what they mean is decided in the module.
 
 use std::collections::BTreeMap;
 
@@ -9,9 +9,11 @@
 
 use crate::{named, Moment};
 
-const LOOK: Micros = 1_000_000; // microseconds between what the module hears: shares are renewed every second and a half
+/// Microseconds between what the module hears: shares are renewed every second and a half.
+const LOOK: Micros = 1_000_000;
 const UNIT: f64 = 16.0; // parts of a statement that counts are told in
-const MOST_OF_MEDIAN: f64 = 4.0; // times the median that one front's count may be: some see several times the mean
+/// Times the median that one front's count may be: some see several times the mean.
+const MOST_OF_MEDIAN: f64 = 4.0;
 const MOST_CUSTOMERS: usize = 8; // told of in a share: those that ask most
 const LEAST_ENDED: f64 = 2.0; // statements from which a front's share that missed says anything
 
@@ -100,7 +102,8 @@
     }
 }
 
-/// What all tell of one count. No front counts for more than some times the one in the middle, whatever it says.
+/// What all tell of one count. No front counts for more than some times the one in the middle, whatever it
+/// says.
 fn sum_of(told: &[&[Offered]], name: u32, field: fn(&Offered) -> u32) -> f64 {
     let of = |all: &&[Offered]| all.iter().find(|o| o.workload == name).map_or(0, field);
     let counts: Vec<f64> = told.iter().map(|all| f64::from(of(all)) / UNIT).collect();
--- a/crates/fleet/src/owning.rs
+++ b/crates/fleet/src/owning.rs
@@ -1,13 +1,13 @@
-//! One owner at a time for the fleet's work, as one front takes part in it: its claim, its vote where it is a voter,
-//! and what it lets pass of owners' acts.
+//! One owner at a time for the fleet's work, as one front takes part in it: its claim, its vote where it is a
+//! voter, and what it lets pass of owners' acts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use hallmux_dispatcher::{Dispatcher, Micros};
+use hallmux_gossip::channels::Channel;
 use hallmux_gossip::message::{Act, Back, Work};
 use hallmux_gossip::node::Node;
-use hallmux_gossip::post::Channel;
 use hallmux_gossip::{Chance, PeerId};
 use hallmux_lease::disk::Spoilt;
 use hallmux_lease::fence::{self, Fence, Refused};
@@ -130,7 +130,8 @@
             let out = voter.tick(at.steady);
             self.voted.push(out);
         }
-        // Whoever asks first may have it, as long as nobody is seen to own it: of all fronts a few a second ask.
+        // Whoever asks first may have it, as long as nobody is seen to own it: of all fronts a few a second
+        // ask.
         let draw = chance.below(1_000_000) as f64 / 1e6;
         let share = ASKS * (self.look - at.now) as f64 / 1e6 / up.max(1) as f64;
         self.wants = at.steady - self.owner_seen > OWNER_SEEN && (self.wants || draw < share);
@@ -213,7 +214,7 @@
     /// Puts what there is to send into datagrams: a voter's behind what it has to save.
     pub fn send(&mut self, at: Moment, node: &mut Node, out: &mut Out) {
         let post = |node: &mut Node, to, letter: &Letter| {
-            node.post(at.now, at.wall_ms, to, Channel::Lease, &hallmux_lease::bytes(letter))
+            node.channel_datagram(at.now, at.wall_ms, to, Channel::Lease, &hallmux_lease::bytes(letter))
         };
         let mut asks = std::mem::take(&mut self.asks);
         // What this front asks itself as a voter stays here.
--- a/crates/fleet/src/promises.rs
+++ b/crates/fleet/src/promises.rs
@@ -1,11 +1,12 @@
-//! The ledger of promises as one front takes part in it: its letters among the datagrams, and what waits for its disk.
+//! The ledger of promises as one front takes part in it: its letters among the datagrams, and what waits for
+//! its disk.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+use hallmux_gossip::channels::Channel;
 use hallmux_gossip::message::Health;
 use hallmux_gossip::node::{Datagram, Node};
-use hallmux_gossip::post::Channel;
 use hallmux_gossip::PeerId;
 use hallmux_ledger::{Ask, Done, Error, Ledger, Member, Saved, Setup};
 
@@ -130,17 +131,18 @@
     pub fn send(&mut self, at: Moment, node: &mut Node, out: &mut Out) {
         let hallmux_ledger::Out { letters, saves, done } = self.ledger.take();
         self.done.extend(done);
-        let mut post = |letters: Vec<(PeerId, Vec<u8>)>| -> Vec<Datagram> {
-            let mut datagrams = Vec::new();
-            for (to, letter) in letters {
-                // What does not go out is as if it were lost on the way.
-                let at_peer = self.members.get(&to).copied().or_else(|| node.address(to));
-                datagrams.extend(
-                    at_peer.and_then(|to| node.post(at.now, at.wall_ms, to, Channel::Ledger, &letter)),
-                );
-            }
-            datagrams
-        };
+        let mut post =
+            |letters: Vec<(PeerId, Vec<u8>)>| -> Vec<Datagram> {
+                let mut datagrams = Vec::new();
+                for (to, letter) in letters {
+                    // What does not go out is as if it were lost on the way.
+                    let at_peer = self.members.get(&to).copied().or_else(|| node.address(to));
+                    datagrams.extend(at_peer.and_then(|to| {
+                        node.channel_datagram(at.now, at.wall_ms, to, Channel::Ledger, &letter)
+                    }));
+                }
+                datagrams
+            };
         out.datagrams.extend(post(letters));
         for save in saves {
             let datagrams = post(save.letters);
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -13,10 +13,10 @@
 use hallmux_agreement::{hexadecimal, Gossip, OnDiskFailure};
 use hallmux_dispatcher::{Dispatcher, Micros};
 use hallmux_fleet::{Exchange, Kept, Moment, Out, Ownership, Owns};
+use hallmux_gossip::channels::Channel;
 use hallmux_gossip::evidence::PeerReport;
 use hallmux_gossip::message::LONGEST;
 use hallmux_gossip::node::{Datagram, Start};
-use hallmux_gossip::post::Channel;
 use hallmux_gossip::seal::{id, Keys, Refused};
 use hallmux_gossip::PeerId;
 use hallmux_lease::Terms;
@@ -219,7 +219,7 @@
 
     /// Letters that have come for a part beside gossip; of parts that take none, the latest are kept.
     pub fn letters(&mut self, channel: Channel) -> Vec<(PeerId, Vec<u8>)> {
-        for letter in self.exchange.letters() {
+        for letter in self.exchange.received() {
             let kept = self.letters.entry(letter.channel).or_default();
             if kept.len() < ONE_TURN {
                 kept.push((letter.from, letter.bytes));
@@ -231,7 +231,7 @@
     /// Sends such a letter; what does not go out is as if it were lost on the way.
     pub fn post(&mut self, now: Micros, to: PeerId, channel: Channel, bytes: &[u8]) {
         let at = self.moment(now);
-        let datagrams = self.exchange.post(at, to, channel, bytes).into_iter().collect();
+        let datagrams = self.exchange.channel_datagram(at, to, channel, bytes).into_iter().collect();
         self.send(now, Out { datagrams, ..Out::default() });
     }
 
--- a/crates/front/src/front/scattered.rs
+++ b/crates/front/src/front/scattered.rs
@@ -5,7 +5,7 @@
 use hallmux_access::Judged;
 use hallmux_codec::statement::{self, Call, Reply};
 use hallmux_dispatcher::{Micros, Order, Ticket, Unfit};
-use hallmux_gossip::post::Channel;
+use hallmux_gossip::channels::Channel;
 use hallmux_scatter::marker::Follows;
 use hallmux_scatter::whole::{Answer, Failed};
 
--- /dev/null
+++ b/crates/gossip/src/channels.rs
@@ -0,0 +1,94 @@
+//! Channels: other subsystems of a front (leases, ledger, rules, summaries, order queues) send their own
+//! messages to their counterparts on other fronts inside gossip datagrams. The first byte of a payload names
+//! the channel; each channel has a byte rate of its own, so that none can starve another.
+
+use std::net::SocketAddr;
+
+use crate::message::LONGEST;
+use crate::seal::{Tokens, SEAL};
+use crate::{Micros, PeerId};
+
+/// Longest payload in bytes: a datagram less the seal, the channel byte and the sender's own rumour.
+pub const MAX_PAYLOAD: usize = LONGEST - SEAL - OVERHEAD;
+const OVERHEAD: usize = 64; // bytes: a rumour of an IPv6 address takes some 45, counts and channel the rest
+const MAX_WAITING: usize = 256; // messages held until `take`; more are dropped
+
+/// The subsystem that a payload is for. The discriminant is its byte on the wire: append only.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Channel {
+    /// Leases on the fleet's work: requests, replies and the voters' log.
+    Lease,
+    /// Ledger entries and their replicas.
+    Ledger,
+    /// Access rules: the version in force and the hits counted against it.
+    Rules,
+    /// Summaries of the data that sites hold.
+    Summaries,
+    /// Fronts waiting for a ledger key notify its holder.
+    Gate,
+    /// Load reports; consumed by gossip itself.
+    Load,
+}
+
+/// Channels in the order of their discriminants, with the bytes a second that each may send.
+const CHANNELS: [(Channel, f64); 6] = [
+    // Bytes a second: a leader of five voters sends some 8,000, more while one is away.
+    (Channel::Lease, 24_000.0),
+    (Channel::Ledger, 600_000.0), // a shard's owner sends each promise to two others: some 1,500 a second
+    // A set of rules goes out once a change, in the ledger's messages; leases are small.
+    (Channel::Rules, 64_000.0),
+    (Channel::Summaries, 48_000.0), // whatever the fleet's size
+    (Channel::Gate, 16_000.0),      // some 300 waits a second
+    (Channel::Load, 8_000.0),       // a dozen shares a second, each passed on four times
+];
+
+/// A message received on a channel.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ChannelMessage {
+    /// The front that signed the datagram.
+    pub from: PeerId,
+    /// The address at which the sender says that it listens.
+    pub at: SocketAddr,
+    /// The channel that it came on.
+    pub channel: Channel,
+    /// The payload without its channel byte.
+    pub bytes: Vec<u8>,
+}
+
+/// Byte budgets for sending, and received messages until they are read.
+pub(crate) struct Mailbox {
+    tokens: [Tokens; CHANNELS.len()],
+    inbox: Vec<ChannelMessage>,
+}
+
+impl Mailbox {
+    pub fn new() -> Mailbox {
+        Mailbox { tokens: CHANNELS.map(|(_, rate)| Tokens::new(rate)), inbox: Vec::new() }
+    }
+
+    /// Takes `bytes` from the channel's budget. False, and nothing taken, if they exceed it.
+    pub fn may_send(&mut self, now: Micros, channel: Channel, bytes: usize) -> bool {
+        self.tokens.get_mut(channel as usize).is_some_and(|tokens| tokens.take(now, bytes as f64))
+    }
+
+    /// Stores the payload of a received datagram. False if it names a channel unknown here; an empty one is
+    /// no error.
+    pub fn deliver(&mut self, from: PeerId, at: SocketAddr, mut payload: Vec<u8>) -> bool {
+        if payload.is_empty() {
+            return true;
+        }
+        let Some((channel, _)) = CHANNELS.get(usize::from(payload.remove(0))) else { return false };
+        if self.inbox.len() < MAX_WAITING {
+            self.inbox.push(ChannelMessage { from, at, channel: *channel, bytes: payload });
+        }
+        true
+    }
+
+    pub fn take(&mut self) -> Vec<ChannelMessage> {
+        std::mem::take(&mut self.inbox)
+    }
+}
+
+#[cfg(test)]
+#[path = "channels_tests.rs"]
+mod tests;
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -1,13 +1,13 @@
-//! What fronts have seen of engines: of each reporter its latest report. Merging is taking the later one, so that
-//! order, repeats and losses do no harm; what is not renewed fades.
+//! What fronts have seen of engines: of each reporter its latest report. Merging is taking the later one, so
+//! that order, repeats and losses do no harm; what is not renewed fades.
 
 use std::collections::BTreeMap;
 
 use crate::message::{Report, Sighting, Signed, Work};
 use crate::{Micros, PeerId};
 
-/// Microseconds after which a report is worth nothing: an engine's trouble lasts some seconds to half a minute,
-/// and its reporters renew what they still see.
+/// Microseconds after which a report is worth nothing: an engine's trouble lasts some seconds to half a
+/// minute, and its reporters renew what they still see.
 pub const FADES: Micros = 8_000_000;
 /// Sightings of a report that count; more engines in trouble at once are all engines.
 pub const MOST_SIGHTINGS: usize = 12;
@@ -39,7 +39,8 @@
 }
 
 impl Evidence {
-    /// Whether a report says more than what is held of its reporter; to be asked before its signature is looked at.
+    /// Whether a report says more than what is held of its reporter; to be asked before its signature is
+    /// looked at.
     pub fn is_later(&self, reporter: PeerId, life: u64, version: u32) -> bool {
         self.held.get(&reporter).is_none_or(|held| (life, version) > (held.life, held.version))
     }
@@ -87,9 +88,10 @@
         all.map(move |(reporter, held)| (*reporter, &held.work, now - held.created))
     }
 
-    /// Reports to be passed on within so many bytes: first those on an engine of which least was passed on, good and
-    /// ill apart, so that many voices on one matter do not crowd out the few on another; then those passed on least, of them the latest.
-    /// Those that say nothing any more come last: what they take back fades by itself.
+    /// Reports to be passed on within so many bytes: first those on an engine of which least was passed on,
+    /// good and ill apart, so that many voices on one matter do not crowd out the few on another; then those
+    /// passed on least, of them the latest. Those that say nothing any more come last: what they take back
+    /// fades by itself.
     pub fn pass_on(&mut self, now: Micros, most_sent: u32, mut room: usize) -> Vec<Signed> {
         let matter = |s: &Sighting| (s.engine, s.answered > 0 && s.silent_ms == 0 && s.failed == 0);
         let mut told: BTreeMap<(u64, bool), u32> = BTreeMap::new();
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -3,11 +3,11 @@
 //!
 //! Times are whole microseconds on the caller's clock, unless named otherwise.
 
+pub mod channels;
 pub mod evidence;
 pub mod members;
 pub mod message;
 pub mod node;
-pub mod post;
 pub mod seal;
 pub mod shares;
 
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -15,7 +15,8 @@
 const MOST_SUSPICION: f64 = 6.0; // times that, while nobody else suspects
 const CONFIRMATIONS: usize = 3; // others whose suspicion brings it down to the least
 const MOST_DOUBT: u32 = 8; // times a front in doubt of itself stretches its waits; Lifeguard's value
-const GONE: Micros = 30_000_000; // microseconds that the dead are remembered, so that old rumours don't wake them
+/// Microseconds that the dead are remembered, so that old rumours don't wake them.
+const GONE: Micros = 30_000_000;
 const MOST_MEMBERS: usize = 128; // of the view; twenty or so would do for rumours, more makes probes rarer
 const SWAPS: usize = 8; // one in so many new members displaces one of a full view, so that views stay mixed
 const SENT_EACH: f64 = 4.0; // times the logarithm of the view that a rumour is passed on
@@ -239,7 +240,8 @@
             out.push(Send { to: at, probe: Probe::Ping { number } });
             break;
         }
-        // Alone, all seeds; else one now and then, so that two parts of a fleet that lost each other meet again.
+        // Alone, all seeds; else one now and then, so that two parts of a fleet that lost each other meet
+        // again.
         if self.members.is_empty() {
             let others = self.seeds.iter().filter(|to| **to != self.at).collect::<BTreeSet<_>>();
             out.extend(others.into_iter().map(|to| Send { to: *to, probe: Probe::Ping { number } }));
@@ -366,8 +368,8 @@
         self.rumours.push((rumour, 0));
     }
 
-    /// Rumours for a datagram, those passed on least first; what its receiver is said to be before all, so that
-    /// it can object.
+    /// Rumours for a datagram, those passed on least first; what its receiver is said to be before all, so
+    /// that it can object.
     pub fn pass_on(&mut self, to: SocketAddr, most: usize) -> Vec<Rumour> {
         let limit = (SENT_EACH * ((self.members.len() + 2) as f64).log2()).ceil() as u32;
         self.rumours.retain(|(_, sent)| *sent < limit);
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -1,5 +1,5 @@
-//! What datagrams hold. Everything is bounded by the datagram's length: nothing is allocated for a count that the
-//! bytes do not bear out.
+//! What datagrams hold. Everything is bounded by the datagram's length: nothing is allocated for a count that
+//! the bytes do not bear out.
 
 use std::net::SocketAddr;
 
@@ -48,7 +48,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     pub reporter: PeerId,
-    /// When its reporter began, in Unix milliseconds on its own clock, and how many reports it had made since.
+    /// When its reporter began, in Unix milliseconds on its own clock, and how many reports it had made
+    /// since.
     pub life: u64,
     pub version: u32,
     /// When it was created, in Unix milliseconds on its reporter's clock.
@@ -73,7 +74,8 @@
     pub back: Vec<Back>,
 }
 
-/// An engine, by a hash of its id, and for how many milliseconds it has answered again when the report was made.
+/// An engine, by a hash of its id, and for how many milliseconds it has answered again when the report was
+/// made.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Back {
     pub engine: u64,
@@ -130,8 +132,8 @@
     pub probe: Probe,
     pub rumours: Vec<Rumour>,
     pub reports: Vec<Signed>,
-    /// What another part of the fronts says to each other, as it words it; mostly nothing.
-    pub letter: Vec<u8>,
+    /// A channel byte and a subsystem's message (see [`crate::channels`]); mostly empty.
+    pub payload: Vec<u8>,
 }
 
 /// The bytes of a value that can be written; values here always can.
--- a/crates/gossip/src/message_tests.rs
+++ b/crates/gossip/src/message_tests.rs
@@ -11,7 +11,7 @@
         probe: Probe::PingFor { number: 1, member: 2, at: rumour.at },
         rumours: vec![rumour],
         reports: vec![signed],
-        letter: vec![5; 3],
+        payload: vec![5; 3],
     };
     let whole = bytes(&message);
     assert_eq!(read::<Message>(&whole), Some(message));
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -4,10 +4,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+use crate::channels::{Channel, ChannelMessage, Mailbox, MAX_PAYLOAD};
 use crate::evidence::{Evidence, PeerReport, MOST_SIGHTINGS};
 use crate::members::{Members, Send};
 use crate::message::{self, Message, Probe, Report, Sighting, Work, LONGEST};
-use crate::post::{Channel, Letter, Post, LETTER_ROOM};
 use crate::seal::{Keys, Own, Peers, Refused, Tokens, SEAL};
 use crate::shares::Shares;
 use crate::{Chance, Micros, PeerId};
@@ -17,7 +17,8 @@
 const ROUND: Micros = 250_000; // microseconds between rounds: news reaches a thousand in some ten of them
 const FANOUT: usize = 2; // members told in a round
 const BYTES_A_SECOND: f64 = 3_000.0; // sent at most of its own accord, with a second's worth saved up
-const ANSWERS_A_SECOND: f64 = 1_000.0; // bytes of answers to others, so that a flood of questions starves no news
+/// Bytes of answers to others, so that a flood of questions starves no news.
+const ANSWERS_A_SECOND: f64 = 1_000.0;
 const RENEWED: Micros = 1_000_000; // microseconds after which a front says again what it still sees
 const FOR_PROBES: f64 = 800.0; // bytes that news leaves for probes: a peer that is not asked seems dead
 const WELCOME: usize = 24; // members that a newcomer is told of at once: some 600 bytes
@@ -52,7 +53,7 @@
     round: Micros,
     sightings: Vec<Sighting>,
     work: Work,
-    post: Post,
+    mailbox: Mailbox,
     /// What fronts are asked, where it is told.
     shares: Option<Shares>,
     share_told: Micros,
@@ -79,7 +80,7 @@
             round: 0,
             sightings: Vec::new(),
             work: Work::default(),
-            post: Post::new(),
+            mailbox: Mailbox::new(),
             shares: None,
             share_told: Micros::MIN / 2,
             share_version: 0,
@@ -105,8 +106,9 @@
         &self.members
     }
 
-    /// How many fronts there are, this one too: those that have not said good-bye, and of them those that are up.
-    /// Where there are more than the view holds, the keys tell how many, and the view's share of them that are up.
+    /// How many fronts there are, this one too: those that have not said good-bye, and of them those that are
+    /// up. Where there are more than the view holds, the keys tell how many, and the view's share of them
+    /// that are up.
     pub fn fleet(&self) -> (usize, usize) {
         let (known, up) = self.members.counts();
         if !self.members.is_full() {
@@ -159,21 +161,22 @@
         self.evidence.work(now)
     }
 
-    /// A letter to another front, if it fits a datagram and what its part may send a second.
-    pub fn post(
+    /// Seals a subsystem's message to another front. None if it is too long for a datagram or beyond its
+    /// channel's rate.
+    pub fn channel_datagram(
         &mut self,
         now: Micros,
         wall_ms: u64,
         to: SocketAddr,
         channel: Channel,
-        letter: &[u8],
+        payload: &[u8],
     ) -> Option<Datagram> {
         let rumours = vec![self.members.own()];
-        let letter = [&[channel as u8], letter].concat();
-        let message = Message { probe: Probe::None, rumours, reports: Vec::new(), letter };
+        let payload = [&[channel as u8], payload].concat();
+        let message = Message { probe: Probe::None, rumours, reports: Vec::new(), payload };
         let content = message::bytes(&message);
         let len = content.len() + SEAL;
-        if len > LONGEST || !self.post.may_send(now, channel, len) {
+        if len > LONGEST || !self.mailbox.may_send(now, channel, len) {
             self.held_back += 1;
             return None;
         }
@@ -181,9 +184,9 @@
         Some(Datagram { to, bytes: self.own.seal(wall_ms, &content) })
     }
 
-    /// Letters that have come.
-    pub fn letters(&mut self) -> Vec<Letter> {
-        self.post.take()
+    /// Takes the channel messages received since the last call.
+    pub fn received(&mut self) -> Vec<ChannelMessage> {
+        self.mailbox.take()
     }
 
     /// Where a front is heard, as far as it is known.
@@ -239,7 +242,7 @@
         };
         rumours.extend(self.members.pass_on(send.to, most));
         let most_sent = (SENT_EACH * ((self.peers.len() + 2) as f64).log2()).ceil() as u32;
-        let mut message = Message { probe: send.probe, rumours, reports: Vec::new(), letter: Vec::new() };
+        let mut message = Message { probe: send.probe, rumours, reports: Vec::new(), payload: Vec::new() };
         let used = SEAL + message::bytes(&message).len() + 2;
         let room = if why == Why::Gossip { TOLD.min(LONGEST).saturating_sub(used) } else { 0 };
         message.reports = self.evidence.pass_on(now, most_sent, room);
@@ -298,9 +301,9 @@
         }
         let mut sends = Vec::new();
         self.members.heard(now, sender, from_at, message.probe, &mut sends);
-        if message.letter.first() == Some(&(Channel::Load as u8)) {
-            self.hear_shares(now, wall_ms, from.ip(), &message.letter[1..]);
-        } else if !self.post.came(sender, from_at, message.letter) {
+        if message.payload.first() == Some(&(Channel::Load as u8)) {
+            self.hear_shares(now, wall_ms, from.ip(), &message.payload[1..]);
+        } else if !self.mailbox.deliver(sender, from_at, message.payload) {
             *self.refused.entry(Refused::Form).or_default() += 1;
         }
         for signed in message.reports {
--- a/crates/gossip/src/node/load.rs
+++ b/crates/gossip/src/node/load.rs
@@ -6,7 +6,8 @@
 use crate::message::Signed;
 use crate::shares::{Offered, Share};
 
-const TOLD_EVERY: Micros = 1_500_000; // microseconds between a front's shares: they reach 300 fronts in some two seconds
+/// Microseconds between a front's shares: they reach 300 fronts in some two seconds.
+const TOLD_EVERY: Micros = 1_500_000;
 
 impl Node {
     /// From now on shares are told and heard.
@@ -42,16 +43,16 @@
     }
 
     pub(super) fn pass_shares(&mut self, now: Micros, wall_ms: u64, to: SocketAddr) -> Option<Datagram> {
-        let room = LETTER_ROOM - 8; // the count of them
+        let room = MAX_PAYLOAD - 8; // the count of them
         let shares = self.shares.as_mut()?.pass_on(now, room);
         (!shares.is_empty())
             .then(|| message::bytes(&shares))
-            .and_then(|letter| self.post(now, wall_ms, to, Channel::Load, &letter))
+            .and_then(|payload| self.channel_datagram(now, wall_ms, to, Channel::Load, &payload))
     }
 
-    pub(super) fn hear_shares(&mut self, now: Micros, wall_ms: u64, from: IpAddr, letter: &[u8]) {
+    pub(super) fn hear_shares(&mut self, now: Micros, wall_ms: u64, from: IpAddr, payload: &[u8]) {
         let Some(shares) = &mut self.shares else { return };
-        let Some(all) = message::read::<Vec<Signed>>(letter) else {
+        let Some(all) = message::read::<Vec<Signed>>(payload) else {
             *self.refused.entry(Refused::Form).or_default() += 1;
             return;
         };
--- a/crates/gossip/src/seal.rs
+++ b/crates/gossip/src/seal.rs
@@ -1,5 +1,5 @@
-//! Whose word it is: datagrams and reports are signed by their senders and reporters, and what comes is believed only
-//! if its key is known, it is not a replay, and there is a token left to look at its signature.
+//! Whose word it is: datagrams and reports are signed by their senders and reporters, and what comes is
+//! believed only if its key is known, it is not a replay, and there is a token left to look at its signature.
 
 mod heard;
 mod tokens;
@@ -237,7 +237,8 @@
         may.then_some(()).ok_or(Refused::Flood)
     }
 
-    /// A signature held: it counts among those of fronts, and no longer among those of whoever sends from there.
+    /// A signature held: it counts among those of fronts, and no longer among those of whoever sends from
+    /// there.
     fn held(&mut self, now: Micros, from: IpAddr) -> Result<(), Refused> {
         let source = self.sources.get_mut(&from).unwrap_or(&mut self.others);
         source.give_back(1.0);
--- a/crates/gossip/src/seal/heard.rs
+++ b/crates/gossip/src/seal/heard.rs
@@ -4,7 +4,8 @@
 use crate::Micros;
 
 const WINDOW: u32 = 256; // numbers of datagrams of a sender that may come out of order
-pub(super) const TIME_WINDOW: Micros = 10_000_000; // microseconds a datagram may be under way, over the least seen
+                         // Microseconds a datagram may be under way, over the least seen.
+pub(super) const TIME_WINDOW: Micros = 10_000_000;
 
 /// What was heard from a front itself.
 pub(super) struct Peer {
--- a/crates/gossip/src/shares.rs
+++ b/crates/gossip/src/shares.rs
@@ -1,6 +1,6 @@
-//! What fronts tell each other of their load: of a few reporters, the same on every front, the latest share of each.
-//! Those with the least ids count, so that bytes do not grow with the fleet and all go by the same figures. Merging
-//! is taking the later one: order, repeats and losses do no harm; what is not renewed fades.
+//! What fronts tell each other of their load: of a few reporters, the same on every front, the latest share
+//! of each. Those with the least ids count, so that bytes do not grow with the fleet and all go by the same
+//! figures. Merging is taking the later one: order, repeats and losses do no harm; what is not renewed fades.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,8 @@
 pub const MAX_REPORTERS: usize = 12;
 /// Workloads of a share that count.
 pub const MOST_OFFERED: usize = 24;
-const MOST_SENT: u32 = 4; // times that a front passes a share on: with four each, some 98 in 100 fronts hear it
+/// Times that a front passes a share on: with four each, some 98 in 100 fronts hear it.
+const MOST_SENT: u32 = 4;
 
 /// What a front was asked of one workload lately: sixteenths of statements, counts halving in some seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -55,7 +56,8 @@
 }
 
 impl Shares {
-    /// Whether a share of this reporter would say more than what is held; to be asked before its signature is looked at.
+    /// Whether a share of this reporter would say more than what is held; to be asked before its signature is
+    /// looked at.
     pub fn wants(&self, reporter: PeerId, life: u64, version: u32) -> bool {
         match self.held.get(&reporter) {
             Some(held) => (life, version) > (held.life, held.version),
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -90,7 +90,7 @@
     fleet.run(8 * SECOND);
     let (now, wall, mut seed) = (fleet.now, fleet.wall(3), 9);
     let out = fleet.nodes[3].as_mut().unwrap().leave(now, wall, &mut || draw(&mut seed));
-    fleet.post(3, out);
+    fleet.send(3, out);
     fleet.nodes[3] = None;
     fleet.run(11 * SECOND);
     assert_eq!(fleet.health(3, Health::Left), 9);
@@ -112,7 +112,7 @@
         probe: Probe::None,
         rumours: Vec::new(),
         reports: vec![signed],
-        letter: Vec::new(),
+        payload: Vec::new(),
     };
     let content = message::bytes(&message);
     liar.seal(wall, &content)
@@ -151,13 +151,13 @@
     let mut fleet = Fleet::new(5, 6);
     fleet.run(5 * SECOND);
     fleet.sees(1, sullen(3));
-    fleet.listens = true;
+    fleet.captures = true;
     fleet.run(6 * SECOND);
-    fleet.listens = false;
+    fleet.captures = false;
     fleet.sees(1, Vec::new());
     fleet.run(70 * SECOND);
     assert!(fleet.heard_of(3).is_empty());
-    let all = std::mem::take(&mut fleet.overheard);
+    let all = std::mem::take(&mut fleet.captured);
     assert!(all.len() > 20);
     for (from, datagram) in all {
         for to in 0..5 {
@@ -207,7 +207,7 @@
             probe: Probe::Ping { number: n },
             rumours: Vec::new(),
             reports: Vec::new(),
-            letter: Vec::new(),
+            payload: Vec::new(),
         };
         let wall = fleet.wall(0) + u64::from(n) / 4;
         let bytes = loud.seal(wall, &message::bytes(&message));
@@ -234,7 +234,7 @@
             probe: Probe::None,
             rumours: vec![rumour],
             reports: Vec::new(),
-            letter: Vec::new(),
+            payload: Vec::new(),
         };
         let content = message::bytes(&message);
         for to in [0, 1, 3, 5] {
--- a/crates/gossip/tests/fleet/sim.rs
+++ b/crates/gossip/tests/fleet/sim.rs
@@ -1,5 +1,5 @@
-//! A fleet of fronts over a simulated network: everything is drawn from a seed, and time is a number. Shared by
-//! the tests of this crate and the measurement of the lab.
+//! A fleet of fronts over a simulated network: everything is drawn from a seed, and time is a number. Shared
+//! by the tests of this crate and the measurement of the lab.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashSet};
@@ -23,12 +23,12 @@
     pub loss: f64,
     /// Pairs that can't reach each other.
     pub cut: HashSet<(usize, usize)>,
-    pub mail: BinaryHeap<Reverse<(Micros, u64, usize, usize)>>,
+    pub in_flight: BinaryHeap<Reverse<(Micros, u64, usize, usize)>>,
     pub bytes: Vec<Vec<u8>>,
-    pub posted: u64,
-    /// All that was sent, for one who listens.
-    pub overheard: Vec<(usize, Datagram)>,
-    pub listens: bool,
+    pub sequence: u64,
+    /// All that was sent, where `captures` is set.
+    pub captured: Vec<(usize, Datagram)>,
+    pub captures: bool,
     keys: Rc<Keys>,
     /// How many a front is told of at start, drawn by chance; 0 for the first two.
     seeds: usize,
@@ -72,11 +72,11 @@
             seed,
             loss: 0.0,
             cut: HashSet::new(),
-            mail: BinaryHeap::new(),
+            in_flight: BinaryHeap::new(),
             bytes: Vec::new(),
-            posted: 0,
-            overheard: Vec::new(),
-            listens: false,
+            sequence: 0,
+            captured: Vec::new(),
+            captures: false,
             keys: keys(count),
             seeds,
         };
@@ -100,12 +100,12 @@
         self.nodes[n] = Some(Node::new(start, self.wall(n) - behind));
     }
 
-    pub fn post(&mut self, from: usize, datagrams: Vec<Datagram>) {
+    pub fn send(&mut self, from: usize, datagrams: Vec<Datagram>) {
         for datagram in datagrams {
             let to = place(datagram.to);
             let lost = (draw(&mut self.seed) % 1000) as f64 / 1000.0 < self.loss;
-            if self.listens {
-                self.overheard.push((from, datagram.clone()));
+            if self.captures {
+                self.captured.push((from, datagram.clone()));
             }
             if lost || self.cut.contains(&(from.min(to), from.max(to))) || to >= self.nodes.len() {
                 continue;
@@ -116,26 +116,26 @@
     }
 
     pub fn deliver(&mut self, from: usize, to: usize, way: Micros, bytes: Vec<u8>) {
-        self.posted += 1;
+        self.sequence += 1;
         self.bytes.push(bytes);
-        self.mail.push(Reverse((self.now + way, self.posted - 1, from, to)));
+        self.in_flight.push(Reverse((self.now + way, self.sequence - 1, from, to)));
     }
 
     pub fn run(&mut self, until: Micros) {
         while self.now < until {
             let due = self.nodes.iter().flatten().map(Node::due).min().unwrap_or(until);
-            let mail = self.mail.peek().map_or(until, |Reverse((at, ..))| *at);
-            self.now = due.min(mail).max(self.now).min(until);
-            while let Some(Reverse((when, number, from, to))) = self.mail.peek().copied() {
+            let in_flight = self.in_flight.peek().map_or(until, |Reverse((at, ..))| *at);
+            self.now = due.min(in_flight).max(self.now).min(until);
+            while let Some(Reverse((when, number, from, to))) = self.in_flight.peek().copied() {
                 if when > self.now {
                     break;
                 }
-                self.mail.pop();
+                self.in_flight.pop();
                 let bytes = std::mem::take(&mut self.bytes[number as usize]);
                 let (now, wall) = (self.now, self.wall(to));
                 if let Some(node) = &mut self.nodes[to] {
                     let back = node.heard(now, wall, at(from), &bytes);
-                    self.post(to, back);
+                    self.send(to, back);
                 }
             }
             for n in 0..self.nodes.len() {
@@ -144,7 +144,7 @@
                 let mut seed = self.seed;
                 let out = node.tick(now, wall, &mut || draw(&mut seed));
                 self.seed = seed;
-                self.post(n, out);
+                self.send(n, out);
             }
         }
     }
--- a/crates/gossip/tests/shares.rs
+++ b/crates/gossip/tests/shares.rs
@@ -4,9 +4,9 @@
 #[path = "fleet/sim.rs"]
 mod sim;
 
+use hallmux_gossip::channels::Channel;
 use hallmux_gossip::message::{self, Message, Probe, Signed};
 use hallmux_gossip::node::{Node, Start};
-use hallmux_gossip::post::Channel;
 use hallmux_gossip::seal::Own;
 use hallmux_gossip::shares::{Offered, Share};
 use hallmux_gossip::Micros;
@@ -18,9 +18,9 @@
 }
 
 /// A datagram of `own` that holds these shares.
-fn letter(own: &mut Own, shares: &[Signed]) -> Vec<u8> {
-    let letter = [&[Channel::Load as u8][..], &message::bytes(&shares.to_vec())].concat();
-    let message = Message { probe: Probe::None, rumours: Vec::new(), reports: Vec::new(), letter };
+fn datagram_with(own: &mut Own, shares: &[Signed]) -> Vec<u8> {
+    let payload = [&[Channel::Load as u8][..], &message::bytes(&shares.to_vec())].concat();
+    let message = Message { probe: Probe::None, rumours: Vec::new(), reports: Vec::new(), payload };
     own.seal(WALL, &message::bytes(&message))
 }
 
@@ -34,7 +34,7 @@
     let mut node = Node::new(start, WALL);
     node.tells_load();
     let (mut liar, honest) = (Own::new(&secret(1), WALL), Own::new(&secret(2), WALL));
-    let told = letter(&mut liar, &[honest.sign_share(&share(honest.id, 1, 7))]);
+    let told = datagram_with(&mut liar, &[honest.sign_share(&share(honest.id, 1, 7))]);
     node.heard(0, WALL, at(1), &told);
     assert_eq!(asked(&node, 1), [7], "whoever passes it on, it is its reporter's word");
     assert!(node.hears_load(1));
@@ -47,7 +47,7 @@
         short.report.pop();
         let many = Share { offered: vec![Offered::default(); 25], ..share(liar.id, version, 0) };
         for shares in [[forged, strange], [short, liar.sign_share(&many)]] {
-            let datagram = letter(&mut liar, &shares);
+            let datagram = datagram_with(&mut liar, &shares);
             node.heard(Micros::from(version), WALL, at(1), &datagram);
         }
     }
@@ -56,7 +56,7 @@
     // One that speaks for itself without end has one word, the last.
     for version in 1..400 {
         let own = liar.sign_share(&share(liar.id, version, u32::MAX - version));
-        let datagram = letter(&mut liar, &[own]);
+        let datagram = datagram_with(&mut liar, &[own]);
         node.heard(SECOND + Micros::from(version) * 10_000, WALL + 1_000, at(1), &datagram);
     }
     let now = 4 * SECOND;
--- a/crates/lease/src/disk.rs
+++ b/crates/lease/src/disk.rs
@@ -1,5 +1,5 @@
-//! What a voter must not forget: its promise, what it accepted, what is decided. Kept in memory and written out
-//! whole: it is a few kilobytes, as the log is folded into a snapshot every few entries.
+//! What a voter must not forget: its promise, what it accepted, what is decided. Kept in memory and written
+//! out whole: it is a few kilobytes, as the log is folded into a snapshot every few entries.
 
 use hallmux_replica::{Held, Store};
 use serde::{Deserialize, Serialize};
--- a/crates/lease/src/fence.rs
+++ b/crates/lease/src/fence.rs
@@ -1,5 +1,5 @@
-//! The receiver's check: nothing passes under a token lower than the highest that was seen. A token counts as seen
-//! once a majority of the voters has named it with its owner, so that nobody can make one up.
+//! The receiver's check: nothing passes under a token lower than the highest that was seen. A token counts as
+//! seen once a majority of the voters has named it with its owner, so that nobody can make one up.
 
 use std::collections::BTreeMap;
 
@@ -43,8 +43,8 @@
     }
 }
 
-/// What a majority names: of what each voter says last, the highest lease that enough of them say. Voters may be
-/// behind each other, so one that names a later lease of a task counts for the earlier as well.
+/// What a majority names: of what each voter says last, the highest lease that enough of them say. Voters may
+/// be behind each other, so one that names a later lease of a task counts for the earlier as well.
 pub fn majority(said: &BTreeMap<FrontId, (Token, FrontId)>, voters: usize) -> Option<(Token, FrontId)> {
     let count = |lease: &(Token, FrontId)| said.values().filter(|other| *other == lease).count();
     let enough = said.values().filter(|lease| count(lease) > voters / 2);
--- a/crates/lease/src/holder.rs
+++ b/crates/lease/src/holder.rs
@@ -1,5 +1,5 @@
-//! The owner's side: asks voters for the lease, keeps it, and knows by its own monotonic clock alone until when it
-//! may act.
+//! The owner's side: asks voters for the lease, keeps it, and knows by its own monotonic clock alone until
+//! when it may act.
 
 use crate::{Answer, Ask, FrontId, Micros, Task, Terms, Token};
 
@@ -34,7 +34,8 @@
 }
 
 impl Holder {
-    /// `first` is the number of its first question: of no use twice, as answers to an earlier life are not this one's.
+    /// `first` is the number of its first question: of no use twice, as answers to an earlier life are not
+    /// this one's.
     pub fn new(task: Task, terms: Terms, voters: Vec<FrontId>, first: u64) -> Holder {
         Holder { task, terms, voters, held: None, asked: None, next_number: first, voter: 0, progress: None }
     }
--- a/crates/lease/src/leases.rs
+++ b/crates/lease/src/leases.rs
@@ -7,10 +7,12 @@
 
 use crate::{FrontId, Task, Token};
 
-/// An entry of the log. A change that no longer fits changes nothing: of two leaders' grants the first counts.
+/// An entry of the log. A change that no longer fits changes nothing: of two leaders' grants the first
+/// counts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Change {
-    /// The lease passes from the one under `after` (0: nobody's yet) to a new owner, for its question `number`.
+    /// The lease passes from the one under `after` (0: nobody's yet) to a new owner, for its question
+    /// `number`.
     Grant { task: Task, after: Token, owner: FrontId, number: u64 },
     /// The owner under this token goes on, its work being so far.
     Keep { task: Task, token: Token, number: u64, progress: Vec<u8> },
@@ -66,8 +68,8 @@
     }
 }
 
-/// A snapshot of the log: the leases up to some entry, and the changes since that have yet to be applied to them.
-/// The log's library makes one of some entries alone, and then merges it into what was there before.
+/// A snapshot of the log: the leases up to some entry, and the changes since that have yet to be applied to
+/// them. The log's library makes one of some entries alone, and then merges it into what was there before.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Folded {
     base: Leases,
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,7 +1,8 @@
-//! One owner at a time for work on behalf of the fleet. Voters keep a replicated log of leases (`voter`); whoever
-//! owns one acts only while its own monotonic clock says that it still does (`holder`); whoever is acted upon lets
-//! nothing pass under a token lower than the highest it has seen (`fence`). No sockets, no clock, no files: whoever
-//! calls hands in messages, the time and what was saved, and sends and saves what comes out.
+//! One owner at a time for work on behalf of the fleet. Voters keep a replicated log of leases (`voter`);
+//! whoever owns one acts only while its own monotonic clock says that it still does (`holder`); whoever is
+//! acted upon lets nothing pass under a token lower than the highest it has seen (`fence`). No sockets, no
+//! clock, no files: whoever calls hands in messages, the time and what was saved, and sends and saves what
+//! comes out.
 //!
 //! Times are whole microseconds on the caller's monotonic clock; clocks need not agree, only run about alike.
 
@@ -42,7 +43,8 @@
         self.length - self.drift()
     }
 
-    /// How long nobody else is granted the lease after it was last confirmed: more than the length on any clock.
+    /// How long nobody else is granted the lease after it was last confirmed: more than the length on any
+    /// clock.
     pub fn rests_for(&self) -> Micros {
         self.length + self.drift()
     }
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -1,6 +1,6 @@
-//! A voter: keeps the log of leases with the others through OmniPaxos, and grants leases where it leads. The log
-//! alone says who owns what; time only keeps a leader from proposing a new owner before the one before has surely
-//! stopped.
+//! A voter: keeps the log of leases with the others through OmniPaxos, and grants leases where it leads. The
+//! log alone says who owns what; time only keeps a leader from proposing a new owner before the one before
+//! has surely stopped.
 
 use std::collections::BTreeMap;
 
@@ -14,9 +14,11 @@
 use crate::{Answer, Ask, FrontId, Letter, Micros, Task, Terms, Word};
 
 const TICK: Micros = 50_000; // microseconds between ticks of the log's clock
-const ELECTION_TICKS: u64 = 6; // 300 ms without word of a leader: some round trips and a stall of a busy machine
+/// 300 ms without word of a leader: some round trips and a stall of a busy machine.
+const ELECTION_TICKS: u64 = 6;
 const RESEND_TICKS: u64 = 4; // 200 ms until a message counts as lost
-const FOLDED_AFTER: usize = 16; // decided entries until the log is folded: a follower far behind gets it whole
+/// Decided entries until the log is folded: a follower far behind gets it whole.
+const FOLDED_AFTER: usize = 16;
 const MOST_PROGRESS: usize = 256; // bytes of progress that go with a lease
 const MOST_WAITING: usize = 64; // questions that wait for the log at once
 
@@ -141,7 +143,8 @@
         self.settle(now)
     }
 
-    /// A letter has come from a front whose signature holds; what is not for this fleet or no voter's says nothing.
+    /// A letter has come from a front whose signature holds; what is not for this fleet or no voter's says
+    /// nothing.
     pub fn heard(&mut self, now: Micros, from: FrontId, letter: Letter) -> Out {
         if letter.fleet != self.fleet {
             return Out::default();
@@ -190,8 +193,8 @@
         }
     }
 
-    /// Whether whoever had the lease last has surely stopped, whichever voter confirmed it and whenever: a leader
-    /// counts from when it began to lead, and from when it learned of each confirmation.
+    /// Whether whoever had the lease last has surely stopped, whichever voter confirmed it and whenever: a
+    /// leader counts from when it began to lead, and from when it learned of each confirmation.
     fn is_free(&self, now: Micros, task: Task) -> bool {
         let rested = |since: Micros| now >= since + self.terms.rests_for();
         let since_leading = self.leads.is_some_and(rested);
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -1,9 +1,9 @@
-//! A model of owners, the authority that grants leases, and a receiver of their acts, on the code that runs: holders,
-//! leases, the fence. Every letter that was ever sent may arrive at any later time, any number of times, or never:
-//! so letters are lost, doubled and reordered. Fronts pause at any point (they do nothing while time goes on, and what
-//! they sent arrives late), one restarts, and their clocks lose a tick now and then within the drift agreed. Checked
-//! exhaustively to a stated depth. The authority here is one that never fails: that several voters with a log come to
-//! the same is what `voters.rs` plays.
+//! A model of owners, the authority that grants leases, and a receiver of their acts, on the code that runs:
+//! holders, leases, the fence. Every letter that was ever sent may arrive at any later time, any number of
+//! times, or never: so letters are lost, doubled and reordered. Fronts pause at any point (they do nothing
+//! while time goes on, and what they sent arrives late), one restarts, and their clocks lose a tick now and
+//! then within the drift agreed. Checked exhaustively to a stated depth. The authority here is one that never
+//! fails: that several voters with a log come to the same is what `voters.rs` plays.
 
 use std::collections::BTreeSet;
 
--- a/crates/lease/tests/voters.rs
+++ b/crates/lease/tests/voters.rs
@@ -1,5 +1,5 @@
-//! Leases among voters that are cut apart, stopped, killed and started anew, over a network that loses, doubles and
-//! reorders letters, with clocks that run apart.
+//! Leases among voters that are cut apart, stopped, killed and started anew, over a network that loses,
+//! doubles and reorders letters, with clocks that run apart.
 
 use hallmux_lease::voter::Voter;
 use hallmux_lease::{fingerprint, Ask, Letter, Task, Word};
--- a/crates/lease/tests/voters/sim.rs
+++ b/crates/lease/tests/voters/sim.rs
@@ -1,5 +1,6 @@
-//! Fronts that want one lease and their voters over a simulated network: everything is drawn from a seed, true time
-//! is a number, and each front's clock runs a little fast or slow. Shared by the tests of this crate.
+//! Fronts that want one lease and their voters over a simulated network: everything is drawn from a seed,
+//! true time is a number, and each front's clock runs a little fast or slow. Shared by the tests of this
+//! crate.
 
 use std::collections::BTreeMap;
 
@@ -36,7 +37,8 @@
     posted: u64,
     pub lost: f64,
     pub doubled: f64,
-    /// The longest that a letter may be under way: what is longer than the time between letters reorders them.
+    /// The longest that a letter may be under way: what is longer than the time between letters reorders
+    /// them.
     pub way: Micros,
     /// Fronts of different sides hear nothing of each other.
     pub side: Vec<u8>,
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,5 +1,5 @@
-//! What a member of a replicated log must not forget: its promise, what it accepted, what is decided. Kept in memory
-//! for the log's library (omnipaxos) and told to whoever saves it, whole or by what has changed.
+//! What a member of a replicated log must not forget: its promise, what it accepted, what is decided. Kept in
+//! memory for the log's library (omnipaxos) and told to whoever saves it, whole or by what has changed.
 
 mod order;
 
@@ -55,7 +55,8 @@
 /// What has changed since it was last told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Must be lasting before anything that follows from it is told. What is decided need not be: it is heard again.
+    /// Must be lasting before anything that follows from it is told. What is decided need not be: it is heard
+    /// again.
     pub must: bool,
     /// Entries from this one on were appended, replaced or removed.
     pub log_from: Option<usize>,
@@ -174,9 +175,10 @@
         self.tells(|held| held.accepted_round)
     }
 
-    /// Only decided entries are ever asked for. Where a snapshot's difference is merged, the library (0.2.4) asks up
-    /// to the index that will be decided then, before the entries are there: what is decided here is the answer, as
-    /// the difference begins at it. Nothing, or entries accepted in an earlier round, would spoil the snapshot.
+    /// Only decided entries are ever asked for. Where a snapshot's difference is merged, the library (0.2.4)
+    /// asks up to the index that will be decided then, before the entries are there: what is decided here is
+    /// the answer, as the difference begins at it. Nothing, or entries accepted in an earlier round, would
+    /// spoil the snapshot.
     fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<T>> {
         self.tells(|held| {
             let to = to.min(held.decided);
--- a/crates/replica/src/order.rs
+++ b/crates/replica/src/order.rs
@@ -1,5 +1,5 @@
-//! The log's library counts on messages that come in the order in which they left, and may forget what it has accepted,
-//! or panic, where an older one comes late: one that was overtaken counts as lost.
+//! The log's library counts on messages that come in the order in which they left, and may forget what it has
+//! accepted, or panic, where an older one comes late: one that was overtaken counts as lost.
 
 use std::collections::BTreeMap;
 
