--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -14,6 +14,7 @@
 
 use hallmux_dispatcher::{Dispatcher, Micros, Sighted};
 use hallmux_gossip::evidence::PeerReport;
+use hallmux_gossip::members::FleetSize;
 use hallmux_gossip::message::Sighting;
 use hallmux_gossip::node::{Datagram, Node, Start};
 use hallmux_gossip::seal::{Keys, Refused};
@@ -58,8 +59,8 @@
     known: BTreeMap<(PeerId, u64), Sighting>,
     /// Their places for the module, in the order in which they were first heard.
     reporters: BTreeMap<PeerId, usize>,
-    /// How many fronts the dispatcher was told of last.
-    fleet: (usize, usize),
+    /// The size of the fleet as the dispatcher knows it.
+    fleet: FleetSize,
     left: bool,
     received: Vec<ChannelMessage>,
     /// One owner at a time for work on behalf of the fleet, where voters are named.
@@ -100,7 +101,7 @@
             look: 0,
             known: BTreeMap::new(),
             reporters: BTreeMap::new(),
-            fleet: (1, 1),
+            fleet: FleetSize { known: 1, up: 1 },
             left: false,
             received: Vec::new(),
             owning: None,
@@ -147,9 +148,8 @@
         self.node.keys(keys);
     }
 
-    /// How many fronts there are, this one too: those that have not said good-bye, and of them those that are
-    /// up.
-    pub fn fleet(&self) -> (usize, usize) {
+    /// The size of the fleet, this front included, as the dispatcher knows it.
+    pub fn fleet_size(&self) -> FleetSize {
         self.fleet
     }
 
@@ -298,7 +298,7 @@
             return (out, new);
         }
         if let Some(owning) = &mut self.owning {
-            owning.tick(at, self.fleet.1, dispatcher, chance);
+            owning.tick(at, self.fleet.up, dispatcher, chance);
             owning.send(at, &mut self.node, &mut out);
         }
         let node = &self.node;
@@ -326,16 +326,16 @@
     /// Tells the dispatcher how many fronts there are and who of them probes for the fleet, once that
     /// changes.
     fn share(&mut self, at: Moment, dispatcher: &mut Dispatcher) {
-        let fleet = self.node.fleet();
+        let fleet = self.node.fleet_size();
         let probes = self.owning.as_ref().map(|owning| owning.owns(at.steady).is_some());
         if (fleet, probes) != (self.fleet, self.probes) {
             (self.fleet, self.probes) = (fleet, probes);
             let probers = match probes {
-                None => fleet.1 as f64,
+                None => fleet.up as f64,
                 Some(true) => 1.0,
                 Some(false) => f64::INFINITY,
             };
-            dispatcher.fleet(fleet.0, probers);
+            dispatcher.fleet(fleet.known, probers);
         }
     }
 
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -84,7 +84,7 @@
         let shared = dispatcher.by_customers(at.now);
         let shared: Vec<Option<u32>> = shared.map(|(name, asked)| asked.map(|_| customer(name))).collect();
         // Some tell; the others that are up are asked as they are.
-        let each = node.fleet().1 as f64 / told.len() as f64 / SPAN;
+        let each = node.fleet_size().up as f64 / told.len() as f64 / SPAN;
         let rate = |of: &Option<u32>| of.map_or(0.0, |of| sum_of(&told, of, |o| o.asked) * each);
         let customers = shared.iter().map(rate).collect();
         let part = if node.hears_load(at.now) { part } else { 0.0 };
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -15,6 +15,7 @@
 use hallmux_fleet::{Exchange, Kept, Moment, Out, Ownership, Owns};
 use hallmux_gossip::channels::Channel;
 use hallmux_gossip::evidence::PeerReport;
+use hallmux_gossip::members::FleetSize;
 use hallmux_gossip::message::LONGEST;
 use hallmux_gossip::node::{Datagram, Start};
 use hallmux_gossip::seal::{id, Keys, Refused};
@@ -90,7 +91,7 @@
         });
         told.map_err(|e| PeersFault::system(e.error))?;
         let told = gossip.advertise.unwrap_or(at);
-        let start = Start { secret, keys: keys(gossip), at: told, seeds: gossip.seeds.clone() };
+        let start = Start { secret, keys: keys(gossip), address: told, seeds: gossip.seeds.clone() };
         let mut exchange = Exchange::new(start, (now / 1000) as u64);
         if gossip.overload.is_some() {
             exchange.tells_load();
@@ -314,12 +315,12 @@
     /// Does what is due; the log says what is new, and what was refused.
     pub fn tick(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
         self.lasting(now);
-        let before = self.exchange.fleet();
+        let before = self.exchange.fleet_size();
         let at = self.moment(now);
         let (out, news) = self.exchange.tick(at, dispatcher, &mut draws(&self.chance, &mut self.drawn));
         self.send(now, out);
-        let (known, up) = self.exchange.fleet();
-        if (known, up) != before {
+        let FleetSize { known, up } = self.exchange.fleet_size();
+        if (FleetSize { known, up }) != before {
             log::debug!("{known} fronts are known, {up} of them up");
         }
         for PeerReport { reporter, sighting: s, age } in news {
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -1,327 +1,205 @@
-//! Which fronts there are, after SWIM (Das, Gupta, Motivala) with Lifeguard's refinements (Dadgar, Phillips,
-//! Currey): probes in turn, probes through others, suspicion that others' word shortens, and a front that
-//! doubts itself before it doubts the rest. A bounded view of the fleet, drawn by chance.
+//! Membership after SWIM (Das, Gupta, Motivala) with Lifeguard's refinements (Dadgar, Phillips, Currey):
+//! members are probed one after another, directly and then indirectly; a suspicion expires the sooner the
+//! more peers share it; and a front that suspects itself of being slow stretches its own timeouts first. The
+//! view is bounded: of a larger fleet it holds a sample.
+
+mod probing;
+mod rumours;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 use crate::message::{Health, Probe, Rumour};
-use crate::{Chance, Micros, PeerId};
+use crate::{Micros, PeerId};
+
+use probing::{Probing, Relay};
+use rumours::RumourQueue;
 
-const PERIOD: Micros = 500_000; // microseconds between probes, while this front has no cause to doubt itself
-const ACK: Micros = 150_000; // microseconds until others are asked to probe: some round trips on a campus
-const THROUGH: usize = 3; // others that are asked; SWIM's usual number
-const LEAST_SUSPICION: Micros = 2_000_000; // microseconds: four periods, for a refutation to come through
-const MOST_SUSPICION: f64 = 6.0; // times that, while nobody else suspects
-const CONFIRMATIONS: usize = 3; // others whose suspicion brings it down to the least
-const MOST_DOUBT: u32 = 8; // times a front in doubt of itself stretches its waits; Lifeguard's value
-/// Microseconds that the dead are remembered, so that old rumours don't wake them.
-const GONE: Micros = 30_000_000;
-const MOST_MEMBERS: usize = 128; // of the view; twenty or so would do for rumours, more makes probes rarer
-const SWAPS: usize = 8; // one in so many new members displaces one of a full view, so that views stay mixed
-const SENT_EACH: f64 = 4.0; // times the logarithm of the view that a rumour is passed on
-const MOST_RUMOURS: usize = 256; // kept to be passed on
-const LARGEST_LEAP: u64 = 1 << 40; // of an incarnation, in milliseconds some thirty years: more is a lie
+const MIN_SUSPICION: Micros = 2_000_000; // microseconds: four probe periods, for a refutation to come through
+const MAX_SUSPICION_FACTOR: f64 = 6.0; // times that, while no other front suspects the member
+const CONFIRMATIONS: usize = 3; // other fronts whose suspicion brings the timeout down to the minimum
+/// Highest local health score: timeouts are stretched ninefold; Lifeguard's value.
+const MAX_LOCAL_HEALTH: u32 = 8;
+/// Microseconds that the dead are held, so that stale rumours don't revive them.
+const RECLAIM_AFTER: Micros = 30_000_000;
+const MAX_MEMBERS: usize = 128; // of the view; some twenty would do for rumours, more make probes rarer
+/// Of new members, one in so many displaces one of a full view, so that views stay mixed.
+const DISPLACE_ONE_IN: usize = 8;
+const MAX_INCARNATION_LEAP: u64 = 1 << 40; // milliseconds, some thirty years: a larger step is a forgery
+const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15; // 2^64 over the golden ratio: Fibonacci hashing of ids
 
 struct Member {
-    at: SocketAddr,
+    address: SocketAddr,
     incarnation: u64,
     health: Health,
     since: Micros,
-    /// Others that suspect it too.
+    /// Other fronts that suspect it too.
     confirmed: BTreeSet<PeerId>,
 }
 
-struct Probing {
-    member: PeerId,
-    at: SocketAddr,
-    number: u32,
-    acked: bool,
-    /// Asked others by then, and how many have yet to say that they heard nothing either.
-    asks_at: Option<Micros>,
-    nacks: usize,
-}
+impl Member {
+    /// Alive, or not yet proved dead.
+    fn is_up(&self) -> bool {
+        matches!(self.health, Health::Alive | Health::Suspect)
+    }
 
-/// A probe in another's place.
-struct Relay {
-    asker: SocketAddr,
-    number: u32,
-    nack_at: Option<Micros>,
-    ends: Micros,
+    fn rumour(&self, member: PeerId, health: Health) -> Rumour {
+        Rumour { member, address: self.address, incarnation: self.incarnation, health }
+    }
 }
 
-/// Something to be sent.
+/// A probe to be sent, or an answer to one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Send {
+pub struct Outgoing {
+    /// Its receiver.
     pub to: SocketAddr,
+    /// What it asks or answers.
     pub probe: Probe,
 }
 
+/// How many fronts a fleet has.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FleetSize {
+    /// Fronts that have not left, whether they are up or dead.
+    pub known: usize,
+    /// Those of them that are alive or only suspected.
+    pub up: usize,
+}
+
+/// One front's view of the fleet, and its failure detector.
 pub struct Members {
     own: PeerId,
-    at: SocketAddr,
+    address: SocketAddr,
     incarnation: u64,
     left: bool,
     seeds: Vec<SocketAddr>,
     members: BTreeMap<PeerId, Member>,
-    /// Members in the order in which they are probed next.
-    line: Vec<PeerId>,
-    doubt: u32,
+    /// Members in the order in which they are probed next; the last comes first.
+    probe_order: Vec<PeerId>,
+    /// Lifeguard's local health score: 0 is healthy; timeouts grow with it.
+    local_health: u32,
     probing: Option<Probing>,
     period_ends: Micros,
     next_number: u32,
     relays: BTreeMap<u32, Relay>,
-    /// To be passed on, and how often each was.
-    rumours: Vec<(Rumour, u32)>,
-    /// The member told of last where there was no rumour left to tell.
-    told: PeerId,
+    rumours: RumourQueue,
+    /// The member repeated last where no rumour was left to pass on.
+    last_repeated: PeerId,
 }
 
 impl Members {
-    /// `incarnation` is larger with each life where the wall clock is: milliseconds at start.
-    pub fn new(own: PeerId, at: SocketAddr, incarnation: u64, seeds: Vec<SocketAddr>) -> Members {
+    /// `incarnation` has to grow with each start of this front: Unix milliseconds do, where the clock is
+    /// right.
+    pub fn new(own: PeerId, address: SocketAddr, incarnation: u64, seeds: Vec<SocketAddr>) -> Members {
         Members {
             own,
-            at,
+            address,
             incarnation,
             left: false,
             seeds,
             members: BTreeMap::new(),
-            line: Vec::new(),
-            doubt: 0,
+            probe_order: Vec::new(),
+            local_health: 0,
             probing: None,
             period_ends: 0,
             next_number: 0,
             relays: BTreeMap::new(),
-            rumours: Vec::new(),
-            told: 0,
+            rumours: RumourQueue::default(),
+            last_repeated: 0,
         }
     }
 
-    /// What this front says of itself, with every datagram.
-    pub fn own(&self) -> Rumour {
+    /// The rumour on this front itself; it goes with every datagram.
+    pub fn own_rumour(&self) -> Rumour {
         let health = if self.left { Health::Left } else { Health::Alive };
-        Rumour { member: self.own, at: self.at, incarnation: self.incarnation, health }
+        Rumour { member: self.own, address: self.address, incarnation: self.incarnation, health }
     }
 
-    /// Members that are alive or only suspected.
+    /// Members that are alive or only suspected, with their addresses.
     pub fn up(&self) -> impl Iterator<Item = (PeerId, SocketAddr)> + '_ {
-        let up = |m: &Member| matches!(m.health, Health::Alive | Health::Suspect);
-        self.members.iter().filter(move |(_, m)| up(m)).map(|(id, m)| (*id, m.at))
+        self.members.iter().filter(|(_, m)| m.is_up()).map(|(id, m)| (*id, m.address))
     }
 
+    /// The health of a member; None if it is not in the view.
     pub fn health(&self, id: PeerId) -> Option<Health> {
         self.members.get(&id).map(|m| m.health)
     }
 
-    /// How many members have not said good-bye, and of them how many are up.
-    pub fn counts(&self) -> (usize, usize) {
-        (self.members.values().filter(|m| m.health != Health::Left).count(), self.up().count())
+    /// The size of the view, without this front.
+    pub fn size(&self) -> FleetSize {
+        let known = self.members.values().filter(|m| m.health != Health::Left).count();
+        FleetSize { known, up: self.up().count() }
     }
 
-    /// The view is as large as it grows: there may be more members than it holds.
+    /// Whether the view is as large as it grows: there may be more members than it holds.
     pub fn is_full(&self) -> bool {
-        self.members.len() >= MOST_MEMBERS
+        self.members.len() >= MAX_MEMBERS
     }
 
+    /// Members in the view, of any health.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
+    /// Whether this front knows of no other.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// This front goes: others need not find out.
+    /// From now on this front announces that it leaves, and probes nobody.
     pub fn leave(&mut self) {
         self.left = true;
     }
 
-    /// When `tick` is next due.
-    pub fn due(&self) -> Micros {
-        let asks = self.probing.as_ref().and_then(|p| p.asks_at).unwrap_or(Micros::MAX);
-        let relays = self.relays.values().map(|r| r.nack_at.unwrap_or(r.ends)).min().unwrap_or(Micros::MAX);
-        self.period_ends.min(asks).min(relays)
-    }
-
-    /// Does what is due.
-    pub fn tick(&mut self, now: Micros, chance: &mut impl Chance, out: &mut Vec<Send>) {
-        let stretch = Micros::from(self.doubt + 1);
-        if let Some(probing) = self.probing.as_mut().filter(|p| p.asks_at.is_some_and(|at| at <= now)) {
-            probing.asks_at = None;
-            if !probing.acked {
-                let (member, at, number) = (probing.member, probing.at, probing.number);
-                let mut others: Vec<SocketAddr> = self
-                    .members
-                    .iter()
-                    .filter(|(id, m)| **id != member && m.health == Health::Alive)
-                    .map(|(_, m)| m.at)
-                    .collect();
-                for _ in 0..THROUGH.min(others.len()) {
-                    let to = others.swap_remove(chance.below(others.len()));
-                    out.push(Send { to, probe: Probe::PingFor { number, member, at } });
-                    probing.nacks += 1;
-                }
-            }
-        }
-        if self.period_ends <= now {
-            self.period_ends = now + PERIOD * stretch;
-            self.judge(now);
-            self.expire(now);
-            self.probe(now, chance, out);
-        }
-        let mut nacks = Vec::new();
-        for relay in self.relays.values_mut().filter(|r| r.nack_at.is_some_and(|at| at <= now)) {
-            relay.nack_at = None;
-            nacks.push(Send { to: relay.asker, probe: Probe::Nack { number: relay.number } });
-        }
-        self.relays.retain(|_, r| r.ends > now);
-        out.extend(nacks);
-    }
-
-    /// The period of a probe is over: what it came to.
-    fn judge(&mut self, now: Micros) {
-        let Some(probing) = self.probing.take() else { return };
-        if probing.acked {
-            self.doubt = self.doubt.saturating_sub(1);
-            return;
-        }
-        // Those that were asked and did not even say that they heard nothing: the fault may be here.
-        self.doubt = (self.doubt + if probing.nacks > 0 { probing.nacks as u32 } else { 1 }).min(MOST_DOUBT);
-        if let Some(member) = self.members.get(&probing.member).filter(|m| m.health == Health::Alive) {
-            let (at, incarnation) = (member.at, member.incarnation);
-            let rumour = Rumour { member: probing.member, at, incarnation, health: Health::Suspect };
-            self.hear(now, self.own, rumour);
-        }
-    }
-
-    /// How long a member is suspected before it is given up: the shorter, the more others suspect it.
-    fn suspicion(&self, confirmed: usize) -> Micros {
+    /// How long a member is suspected before it counts as dead: the shorter, the more others suspect it.
+    fn suspicion_timeout(&self, confirmed: usize) -> Micros {
         let size = ((self.members.len() + 1) as f64).log10().max(1.0);
-        let least = LEAST_SUSPICION as f64 * size;
+        let least = MIN_SUSPICION as f64 * size;
         let share = ((confirmed + 1) as f64).ln() / ((CONFIRMATIONS + 1) as f64).ln();
-        (least * (MOST_SUSPICION - (MOST_SUSPICION - 1.0) * share.min(1.0))) as Micros
+        (least * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1.0) * share.min(1.0))) as Micros
     }
 
+    /// Declares expired suspects dead, and forgets those that have been dead or gone for long.
     fn expire(&mut self, now: Micros) {
-        let over =
-            |m: &Member| m.health == Health::Suspect && now - m.since >= self.suspicion(m.confirmed.len());
+        let over = |m: &Member| {
+            m.health == Health::Suspect && now - m.since >= self.suspicion_timeout(m.confirmed.len())
+        };
         let over: Vec<Rumour> = (self.members.iter())
             .filter(|(_, m)| over(m))
-            .map(|(id, m)| Rumour { member: *id, at: m.at, incarnation: m.incarnation, health: Health::Dead })
+            .map(|(id, m)| m.rumour(*id, Health::Dead))
             .collect();
-        over.into_iter().for_each(|rumour| self.hear(now, self.own, rumour));
-        let gone = |m: &Member| matches!(m.health, Health::Dead | Health::Left) && now - m.since >= GONE;
-        self.members.retain(|_, m| !gone(m));
-    }
-
-    fn probe(&mut self, now: Micros, chance: &mut impl Chance, out: &mut Vec<Send>) {
-        if self.left {
-            return;
-        }
-        self.next_number = self.next_number.wrapping_add(1);
-        let number = self.next_number;
-        // Each in turn, in an order that is drawn anew when all had theirs.
-        while self.members.values().any(|m| matches!(m.health, Health::Alive | Health::Suspect)) {
-            let Some(id) = self.line.pop() else {
-                self.line = self.up().map(|(id, _)| id).collect();
-                for n in (1..self.line.len()).rev() {
-                    self.line.swap(n, chance.below(n + 1));
-                }
-                continue;
-            };
-            let Some(member) = self.members.get(&id) else { continue };
-            if !matches!(member.health, Health::Alive | Health::Suspect) {
-                continue;
-            }
-            let asks_at = Some(now + ACK * Micros::from(self.doubt + 1));
-            let at = member.at;
-            self.probing = Some(Probing { member: id, at, number, acked: false, asks_at, nacks: 0 });
-            out.push(Send { to: at, probe: Probe::Ping { number } });
-            break;
-        }
-        // Alone, all seeds; else one now and then, so that two parts of a fleet that lost each other meet
-        // again.
-        if self.members.is_empty() {
-            let others = self.seeds.iter().filter(|to| **to != self.at).collect::<BTreeSet<_>>();
-            out.extend(others.into_iter().map(|to| Send { to: *to, probe: Probe::Ping { number } }));
-        } else if !self.seeds.is_empty() && (self.probing.is_none() || number.is_multiple_of(8)) {
-            let to = self.seeds[chance.below(self.seeds.len())];
-            if to != self.at {
-                out.push(Send { to, probe: Probe::Ping { number } });
-            }
-        }
-    }
-
-    /// A probe, or an answer to one, has come from a peer.
-    pub fn heard(&mut self, now: Micros, from: PeerId, at: SocketAddr, probe: Probe, out: &mut Vec<Send>) {
-        match probe {
-            Probe::None => {}
-            Probe::Ping { number } => out.push(Send { to: at, probe: Probe::Ack { number } }),
-            Probe::PingFor { number, member, at: target } => {
-                // Guards against being used to flood others: only members are probed, and few at a time.
-                if self.members.get(&member).is_none_or(|m| m.at != target) || self.relays.len() >= 64 {
-                    return;
-                }
-                self.next_number = self.next_number.wrapping_add(1);
-                let own = self.next_number;
-                let relay = Relay { asker: at, number, nack_at: Some(now + ACK), ends: now + 2 * PERIOD };
-                self.relays.insert(own, relay);
-                out.push(Send { to: target, probe: Probe::Ping { number: own } });
-            }
-            Probe::Ack { number } => {
-                if let Some(relay) = self.relays.remove(&number) {
-                    out.push(Send { to: relay.asker, probe: Probe::Ack { number: relay.number } });
-                } else if let Some(p) = self.probing.as_mut().filter(|p| p.number == number) {
-                    p.acked = true;
-                }
-            }
-            Probe::Nack { number } => {
-                if let Some(p) = self.probing.as_mut().filter(|p| p.number == number && p.member != from) {
-                    p.nacks = p.nacks.saturating_sub(1);
-                }
-            }
-        }
+        over.into_iter().for_each(|rumour| self.apply(now, self.own, rumour));
+        let reclaimed =
+            |m: &Member| matches!(m.health, Health::Dead | Health::Left) && now - m.since >= RECLAIM_AFTER;
+        self.members.retain(|_, m| !reclaimed(m));
     }
 
-    /// Something is said of a member, by a peer or by this front itself.
-    pub fn hear(&mut self, now: Micros, by: PeerId, rumour: Rumour) {
-        let Rumour { member: id, at, incarnation, health } = rumour;
-        if id == self.own {
-            // Whatever else is said of this front, it says itself, with an incarnation above all others.
-            let wrong = health != Health::Alive || at != self.at;
-            let leap = incarnation.saturating_sub(self.incarnation);
-            if !self.left
-                && leap < LARGEST_LEAP
-                && (incarnation > self.incarnation || incarnation == self.incarnation && wrong)
-            {
-                self.incarnation = incarnation + 1;
-                let own = self.own();
-                self.tell(own);
-                if health == Health::Suspect {
-                    self.doubt = (self.doubt + 1).min(MOST_DOUBT);
-                }
-            }
-            return;
+    /// Applies a rumour that `by` has sent: a peer, or this front itself. Rumours that supersede nothing are
+    /// ignored, but for suspicions, which confirm one another.
+    pub fn apply(&mut self, now: Micros, by: PeerId, rumour: Rumour) {
+        if rumour.member == self.own {
+            return self.refute(rumour);
         }
+        let Rumour { member: id, address, incarnation, health } = rumour;
         let confirmed = BTreeSet::new();
         match self.members.get_mut(&id) {
             None if health == Health::Alive => {
-                if self.members.len() >= MOST_MEMBERS && !self.displaces(id) {
+                if self.members.len() >= MAX_MEMBERS && !self.displaces(id) {
                     return;
                 }
-                self.members.insert(id, Member { at, incarnation, health, since: now, confirmed });
-                let place = (id % (self.line.len() as u64 + 1)) as usize;
-                self.line.insert(place, id);
+                self.members.insert(id, Member { address, incarnation, health, since: now, confirmed });
+                let place = (id % (self.probe_order.len() as u64 + 1)) as usize;
+                self.probe_order.insert(place, id);
             }
             None => return,
             Some(m) => {
-                if incarnation.saturating_sub(m.incarnation) >= LARGEST_LEAP {
+                if incarnation.saturating_sub(m.incarnation) >= MAX_INCARNATION_LEAP {
                     return;
                 }
-                // A life after a death known here begins with what is said of it by the dead's own successor.
-                let news = incarnation > m.incarnation || incarnation == m.incarnation && health > m.health;
-                if !news {
+                // A restart after a death known here is announced by the restarted front itself.
+                let supersedes =
+                    incarnation > m.incarnation || incarnation == m.incarnation && health > m.health;
+                if !supersedes {
                     if incarnation == m.incarnation
                         && health == Health::Suspect
                         && m.health == health
@@ -329,71 +207,70 @@
                     {
                         m.confirmed.insert(by);
                         if m.confirmed.len() <= CONFIRMATIONS {
-                            self.tell(rumour);
+                            self.rumours.spread(rumour);
                         }
                     }
                     return;
                 }
                 if health == Health::Alive {
-                    m.at = at;
+                    m.address = address;
                 }
                 (m.incarnation, m.health, m.since, m.confirmed) = (incarnation, health, now, confirmed);
             }
         }
-        self.tell(rumour);
+        self.rumours.spread(rumour);
     }
 
-    /// Whether a newcomer takes the place of one of a full view; drawn by its own id, so that views differ.
-    fn displaces(&mut self, id: PeerId) -> bool {
-        let mixed = (id ^ self.own).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
-        if !(mixed as usize).is_multiple_of(SWAPS) {
-            return false;
+    /// Answers a rumour on this front itself: whatever differs from its own is refuted under a higher
+    /// incarnation.
+    fn refute(&mut self, rumour: Rumour) {
+        let Rumour { address, incarnation, health, .. } = rumour;
+        let wrong = health != Health::Alive || address != self.address;
+        let leap = incarnation.saturating_sub(self.incarnation);
+        if !self.left
+            && leap < MAX_INCARNATION_LEAP
+            && (incarnation > self.incarnation || incarnation == self.incarnation && wrong)
+        {
+            self.incarnation = incarnation + 1;
+            let own = self.own_rumour();
+            self.rumours.spread(own);
+            if health == Health::Suspect {
+                self.local_health = (self.local_health + 1).min(MAX_LOCAL_HEALTH);
+            }
         }
-        let oldest =
-            self.members.iter().max_by_key(|(other, _)| (**other ^ id).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let Some(oldest) = oldest.map(|(id, _)| *id) else { return false };
-        self.members.remove(&oldest);
-        self.line.retain(|other| *other != oldest);
-        self.rumours.retain(|(r, _)| r.member != oldest);
-        true
     }
 
-    fn tell(&mut self, rumour: Rumour) {
-        self.rumours.retain(|(r, _)| r.member != rumour.member);
-        if self.rumours.len() >= MOST_RUMOURS {
-            if let Some(most) = (0..self.rumours.len()).max_by_key(|n| self.rumours[*n].1) {
-                self.rumours.swap_remove(most);
-            }
+    /// Whether a newcomer takes the place of one of a full view; derived from the ids, so that views differ.
+    fn displaces(&mut self, id: PeerId) -> bool {
+        let mixed = (id ^ self.own).wrapping_mul(HASH_MULTIPLIER) >> 32;
+        if !(mixed as usize).is_multiple_of(DISPLACE_ONE_IN) {
+            return false;
         }
-        self.rumours.push((rumour, 0));
+        let displaced =
+            self.members.iter().max_by_key(|(other, _)| (**other ^ id).wrapping_mul(HASH_MULTIPLIER));
+        let Some(displaced) = displaced.map(|(id, _)| *id) else { return false };
+        self.members.remove(&displaced);
+        self.probe_order.retain(|other| *other != displaced);
+        self.rumours.forget(displaced);
+        true
     }
 
-    /// Rumours for a datagram, those passed on least first; what its receiver is said to be before all, so
-    /// that it can object.
+    /// Rumours for a datagram, at most `most` beside those on the receiver: those passed on least come first,
+    /// and before all what its receiver is said to be, so that it can refute it.
     pub fn pass_on(&mut self, to: SocketAddr, most: usize) -> Vec<Rumour> {
-        let limit = (SENT_EACH * ((self.members.len() + 2) as f64).log2()).ceil() as u32;
-        self.rumours.retain(|(_, sent)| *sent < limit);
-        self.rumours.sort_by_key(|(_, sent)| *sent);
         let mut picked: Vec<Rumour> = (self.members.iter())
-            .filter(|(_, m)| m.at == to && m.health != Health::Alive)
-            .map(|(id, m)| Rumour { member: *id, at: m.at, incarnation: m.incarnation, health: m.health })
+            .filter(|(_, m)| m.address == to && m.health != Health::Alive)
+            .map(|(id, m)| m.rumour(*id, m.health))
             .collect();
-        for (rumour, sent) in self.rumours.iter_mut() {
-            if picked.len() >= most {
-                break;
-            }
-            if !picked.iter().any(|r| r.member == rumour.member) {
-                *sent += 1;
-                picked.push(*rumour);
-            }
-        }
-        // What room is left goes to members in turn: so what rumours missed is made good.
+        self.rumours.pick(self.members.len(), most, &mut picked);
+        // The remaining places repeat members one after another (anti-entropy): it makes good what rumours
+        // missed.
         for _ in picked.len()..most.min(self.members.len()) {
-            let after = self.members.range(self.told.wrapping_add(1)..).next();
+            let after = self.members.range(self.last_repeated.wrapping_add(1)..).next();
             let Some((id, m)) = after.or_else(|| self.members.iter().next()) else { break };
-            self.told = *id;
+            self.last_repeated = *id;
             if !picked.iter().any(|r| r.member == *id) {
-                picked.push(Rumour { member: *id, at: m.at, incarnation: m.incarnation, health: m.health });
+                picked.push(m.rumour(*id, m.health));
             }
         }
         picked
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rumour {
     pub member: PeerId,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub incarnation: u64,
     pub health: Health,
 }
@@ -112,10 +112,10 @@
         number: u32,
     },
     /// Asks the receiver to ping another in the sender's place.
-    PingFor {
+    PingRequest {
         number: u32,
         member: PeerId,
-        at: SocketAddr,
+        address: SocketAddr,
     },
     Ack {
         number: u32,
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -6,7 +6,7 @@
 
 use crate::channels::{Channel, ChannelMessage, Mailbox, MAX_PAYLOAD};
 use crate::evidence::{Evidence, PeerReport, MOST_SIGHTINGS};
-use crate::members::{Members, Send};
+use crate::members::{FleetSize, Members, Outgoing};
 use crate::message::{self, Message, Probe, Report, Sighting, Work, LONGEST};
 use crate::seal::{Keys, Own, Peers, Refused, Tokens, SEAL};
 use crate::shares::Shares;
@@ -39,7 +39,7 @@
     pub secret: [u8; 32],
     /// Public keys of all fronts that count.
     pub keys: Rc<Keys>,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub seeds: Vec<SocketAddr>,
 }
 
@@ -72,7 +72,7 @@
     pub fn new(start: Start, wall_ms: u64) -> Node {
         let own = Own::new(&start.secret, wall_ms);
         Node {
-            members: Members::new(own.id, start.at, wall_ms, start.seeds),
+            members: Members::new(own.id, start.address, wall_ms, start.seeds),
             peers: Peers::new(start.keys),
             evidence: Evidence::default(),
             bytes: Tokens::new(BYTES_A_SECOND),
@@ -106,16 +106,15 @@
         &self.members
     }
 
-    /// How many fronts there are, this one too: those that have not said good-bye, and of them those that are
-    /// up. Where there are more than the view holds, the keys tell how many, and the view's share of them
-    /// that are up.
-    pub fn fleet(&self) -> (usize, usize) {
-        let (known, up) = self.members.counts();
+    /// The size of the fleet, this front included. Where there are more fronts than the view holds, the
+    /// number of keys stands for those known, and the part of the view that is up for the part of the fleet.
+    pub fn fleet_size(&self) -> FleetSize {
+        let FleetSize { known, up } = self.members.size();
         if !self.members.is_full() {
-            return (known + 1, up + 1);
+            return FleetSize { known: known + 1, up: up + 1 };
         }
-        let all = self.peers.len().max(known + 1);
-        (all, (up + 1) * all / (self.members.len() + 1))
+        let known = self.peers.len().max(known + 1);
+        FleetSize { known, up: (up + 1) * known / (self.members.len() + 1) }
     }
 
     /// Other public keys count from now on.
@@ -171,7 +170,7 @@
         channel: Channel,
         payload: &[u8],
     ) -> Option<Datagram> {
-        let rumours = vec![self.members.own()];
+        let rumours = vec![self.members.own_rumour()];
         let payload = [&[channel as u8], payload].concat();
         let message = Message { probe: Probe::None, rumours, reports: Vec::new(), payload };
         let content = message::bytes(&message);
@@ -209,7 +208,7 @@
             let mut targets: Vec<SocketAddr> = self.members.up().map(|(_, at)| at).collect();
             for _ in 0..FANOUT.min(targets.len()) {
                 let to = targets.swap_remove(chance.below(targets.len()));
-                sends.push(Send { to, probe: Probe::None });
+                sends.push(Outgoing { to, probe: Probe::None });
                 out.extend(self.pass_shares(now, wall_ms, to));
             }
         }
@@ -226,13 +225,13 @@
         let mut out = Vec::new();
         for _ in 0..(2 * FANOUT).min(targets.len()) {
             let to = targets.swap_remove(chance.below(targets.len()));
-            out.extend(self.send(now, wall_ms, Send { to, probe: Probe::None }, Why::Gossip));
+            out.extend(self.send(now, wall_ms, Outgoing { to, probe: Probe::None }, Why::Gossip));
         }
         out
     }
 
-    fn send(&mut self, now: Micros, wall_ms: u64, send: Send, why: Why) -> Option<Datagram> {
-        let mut rumours = vec![self.members.own()];
+    fn send(&mut self, now: Micros, wall_ms: u64, outgoing: Outgoing, why: Why) -> Option<Datagram> {
+        let mut rumours = vec![self.members.own_rumour()];
         let answers = why == Why::Answer;
         let most = match why {
             // Guards against one who asks without end: answers use up no news that others are to hear.
@@ -240,22 +239,23 @@
             Why::Gossip => MOST_RUMOURS,
             Why::Welcome => WELCOME,
         };
-        rumours.extend(self.members.pass_on(send.to, most));
+        rumours.extend(self.members.pass_on(outgoing.to, most));
         let most_sent = (SENT_EACH * ((self.peers.len() + 2) as f64).log2()).ceil() as u32;
-        let mut message = Message { probe: send.probe, rumours, reports: Vec::new(), payload: Vec::new() };
+        let mut message =
+            Message { probe: outgoing.probe, rumours, reports: Vec::new(), payload: Vec::new() };
         let used = SEAL + message::bytes(&message).len() + 2;
         let room = if why == Why::Gossip { TOLD.min(LONGEST).saturating_sub(used) } else { 0 };
         message.reports = self.evidence.pass_on(now, most_sent, room);
         let content = message::bytes(&message);
         let len = content.len() + SEAL;
         let tokens = if answers { &mut self.answers } else { &mut self.bytes };
-        let rest = if send.probe == Probe::None { FOR_PROBES } else { 0.0 };
+        let rest = if outgoing.probe == Probe::None { FOR_PROBES } else { 0.0 };
         if len > LONGEST || !tokens.take_leaving(now, len as f64, rest) {
             self.held_back += 1;
             return None;
         }
         self.sent += len as u64;
-        Some(Datagram { to: send.to, bytes: self.own.seal(wall_ms, &content) })
+        Some(Datagram { to: outgoing.to, bytes: self.own.seal(wall_ms, &content) })
     }
 
     /// A datagram has come; what is to go back.
@@ -265,7 +265,7 @@
                 let mut out: Vec<Datagram> =
                     sends.into_iter().filter_map(|send| self.send(now, wall_ms, send, Why::Answer)).collect();
                 // One that was not known is told of others at once: it would meet them one by one.
-                let welcome = newcomer.map(|to| Send { to, probe: Probe::None });
+                let welcome = newcomer.map(|to| Outgoing { to, probe: Probe::None });
                 out.extend(welcome.and_then(|send| self.send(now, wall_ms, send, Why::Welcome)));
                 out
             }
@@ -282,7 +282,7 @@
         wall_ms: u64,
         from: SocketAddr,
         bytes: &[u8],
-    ) -> Result<(Vec<Send>, Option<SocketAddr>), Refused> {
+    ) -> Result<(Vec<Outgoing>, Option<SocketAddr>), Refused> {
         let opened = self.peers.open(now, wall_ms, from.ip(), bytes)?;
         let sender = opened.sender;
         let message: Message = message::read(opened.content).ok_or(Refused::Form)?;
@@ -291,19 +291,19 @@
         }
         // Answers go where the sender says that it is heard, which need not be where it speaks from.
         let own = message.rumours.iter().find(|rumour| rumour.member == sender);
-        let from_at = own.map_or(from, |rumour| rumour.at);
-        let newcomer = self.members.health(sender).is_none().then_some(from_at);
+        let from_address = own.map_or(from, |rumour| rumour.address);
+        let newcomer = self.members.health(sender).is_none().then_some(from_address);
         for rumour in message.rumours {
             // Only those count that could speak for themselves.
             if self.peers.knows(rumour.member) {
-                self.members.hear(now, sender, rumour);
+                self.members.apply(now, sender, rumour);
             }
         }
         let mut sends = Vec::new();
-        self.members.heard(now, sender, from_at, message.probe, &mut sends);
+        self.members.receive(now, sender, from_address, message.probe, &mut sends);
         if message.payload.first() == Some(&(Channel::Load as u8)) {
             self.hear_shares(now, wall_ms, from.ip(), &message.payload[1..]);
-        } else if !self.mailbox.deliver(sender, from_at, message.payload) {
+        } else if !self.mailbox.deliver(sender, from_address, message.payload) {
             *self.refused.entry(Refused::Form).or_default() += 1;
         }
         for signed in message.reports {
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -2,6 +2,7 @@
 
 use std::collections::BTreeSet;
 
+use hallmux_gossip::members::FleetSize;
 use hallmux_gossip::message::{self, Health, Probe, Rumour, Sighting};
 use hallmux_gossip::seal::{Own, Refused};
 use hallmux_gossip::{Micros, PeerId};
@@ -38,7 +39,7 @@
     let mut fleet = Fleet::with_seeds(12, 11, 3);
     fleet.run(3 * SECOND);
     for n in 0..12 {
-        assert_eq!(fleet.nodes[n].as_ref().unwrap().fleet(), (12, 12), "{n}");
+        assert_eq!(fleet.nodes[n].as_ref().unwrap().fleet_size(), FleetSize { known: 12, up: 12 }, "{n}");
     }
 }
 
@@ -229,7 +230,7 @@
     let wall = fleet.wall(0);
     let victim = fleet.id(2);
     for incarnation in [WALL + 1, WALL + 1_000_000, u64::MAX] {
-        let rumour = Rumour { member: victim, at: at(2), incarnation, health: Health::Dead };
+        let rumour = Rumour { member: victim, address: at(2), incarnation, health: Health::Dead };
         let message = message::Message {
             probe: Probe::None,
             rumours: vec![rumour],
--- a/crates/gossip/tests/fleet/sim.rs
+++ b/crates/gossip/tests/fleet/sim.rs
@@ -96,7 +96,7 @@
         let drawn: Vec<SocketAddr> =
             (0..self.seeds).map(|_| at((draw(&mut self.seed) % count as u64) as usize)).collect();
         let seeds = if drawn.is_empty() { vec![at(0), at(1)] } else { drawn };
-        let start = Start { secret: secret(n), keys: self.keys.clone(), at: at(n), seeds };
+        let start = Start { secret: secret(n), keys: self.keys.clone(), address: at(n), seeds };
         self.nodes[n] = Some(Node::new(start, self.wall(n) - behind));
     }
 
--- a/crates/gossip/tests/shares.rs
+++ b/crates/gossip/tests/shares.rs
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_flood_of_forged_shares_changes_nothing() {
-    let start = Start { secret: secret(0), keys: keys(4), at: at(0), seeds: Vec::new() };
+    let start = Start { secret: secret(0), keys: keys(4), address: at(0), seeds: Vec::new() };
     let mut node = Node::new(start, WALL);
     node.tells_load();
     let (mut liar, honest) = (Own::new(&secret(1), WALL), Own::new(&secret(2), WALL));
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -25,7 +25,7 @@
         let exchange = self.scenario.fleet.gossip.then(|| {
             let fronts = self.scenario.fleet.fronts;
             let seeds = (0..MOST_SEEDS).map(|_| address(self.chance.random_range(0..fronts))).collect();
-            let start = Start { secret: secret(n), keys: self.keys.clone(), at: address(n), seeds };
+            let start = Start { secret: secret(n), keys: self.keys.clone(), address: address(n), seeds };
             let mut exchange = Exchange::new(start, at.wall_ms);
             if self.scenario.fleet.sheds_as_one {
                 exchange.tells_load();
