--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -118,8 +118,8 @@
     }
 
     /// Switches on that the fleet sheds as one.
-    pub fn tells_load(&mut self) {
-        self.node.tells_load();
+    pub fn enable_load_reports(&mut self) {
+        self.node.enable_load_reports();
         self.load.get_or_insert_default();
     }
 
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -1,23 +1,23 @@
-//! What the fleet is asked: this front's counts go out as its share, those of all that tell come together to
-//! what the module hears. Merged figures only; what they mean is decided in the module.
+//! The load offered to the fleet: this front's counts go out as its load report, and those of all fronts that
+//! report are merged for the dispatcher. Merged figures only; what they mean is decided there.
 
 use std::collections::BTreeMap;
 
 use hallmux_dispatcher::{Asked, Dispatcher, Micros, Offer, SPAN};
+use hallmux_gossip::load_reports::{OfferedLoad, MAX_LOADS};
 use hallmux_gossip::node::Node;
-use hallmux_gossip::shares::{Offered, MOST_OFFERED};
 
 use crate::{named, Moment};
 
-/// Microseconds between what the module hears: shares are renewed every second and a half.
-const LOOK: Micros = 1_000_000;
-const UNIT: f64 = 16.0; // parts of a statement that counts are told in
+/// Microseconds between merges: reports are renewed every second and a half.
+const MERGE_EVERY: Micros = 1_000_000;
+const UNIT: f64 = 16.0; // counts of a load report are in sixteenths of a statement
 /// Times the median that one front's count may be: some see several times the mean.
-const MOST_OF_MEDIAN: f64 = 4.0;
-const MOST_CUSTOMERS: usize = 8; // told of in a share: those that ask most
-const LEAST_ENDED: f64 = 2.0; // statements from which a front's share that missed says anything
+const MAX_OF_MEDIAN: f64 = 4.0;
+const MAX_CUSTOMERS: usize = 8; // in a load report: those that request most
+const MIN_COMPLETED: f64 = 2.0; // statements below which the part of them that was late says nothing
 
-/// A workload as shares name it.
+/// A workload as load reports name it.
 fn workload(name: &str) -> u32 {
     named(name) as u32
 }
@@ -29,70 +29,74 @@
 
 #[derive(Default)]
 pub(crate) struct Load {
-    look: Micros,
-    /// The module goes by what was told.
-    told: bool,
+    next_merge: Micros,
+    /// Whether the dispatcher goes by merged load now.
+    merging: bool,
 }
 
 impl Load {
     pub fn due(&self) -> Micros {
-        self.look
+        self.next_merge
     }
 
     pub fn tick(&mut self, at: Moment, node: &mut Node, dispatcher: &mut Dispatcher) {
-        if at.now < self.look {
+        if at.now < self.next_merge {
             return;
         }
-        self.look = at.now + LOOK;
-        node.offers(at.now, at.wall_ms, || {
-            let counts = |x: f64| (x * UNIT).round().clamp(0.0, f64::from(u32::MAX)) as u32;
-            let all = dispatcher.offered(at.now).map(|(name, o)| Offered {
-                workload: workload(name),
-                asked: counts(o.asked),
-                ended: counts(o.ended),
-                timely: counts(o.timely),
-                work_us: o.work.clamp(0.0, f64::from(u32::MAX)) as u32,
-            });
-            let mut all: Vec<Offered> = all.filter(|o| o.asked > 0 || o.ended > 0).collect();
-            all.sort_by_key(|o| std::cmp::Reverse(u64::from(o.asked) * u64::from(o.work_us.max(1))));
-            let shared = dispatcher.by_customers(at.now).filter_map(|(name, asked)| Some((name, asked?)));
-            let shared = shared.map(|(name, o)| Offered {
-                workload: customer(name),
-                asked: counts(o.asked),
-                ..Offered::default()
-            });
-            let mut shared: Vec<Offered> = shared.filter(|o| o.asked > 0).collect();
-            shared.sort_by_key(|o| std::cmp::Reverse(o.asked));
-            shared.truncate(MOST_CUSTOMERS);
-            all.truncate(MOST_OFFERED - shared.len());
-            all.extend(shared);
-            all
-        });
-        let told: Vec<&[Offered]> = node.offered(at.now).collect();
-        // What was told counts for nothing once nobody tells any more.
-        if told.is_empty() {
-            if std::mem::take(&mut self.told) {
+        self.next_merge = at.now + MERGE_EVERY;
+        node.report_load(at.now, at.wall_ms, || own_loads(at.now, dispatcher));
+        let reports: Vec<&[OfferedLoad]> = node.offered_loads(at.now).collect();
+        // Merged load counts for nothing once nobody reports any more.
+        if reports.is_empty() {
+            if std::mem::take(&mut self.merging) {
                 dispatcher.fleet_offered(Asked::default());
             }
             return;
         }
-        self.told = true;
+        self.merging = true;
         let names: Vec<u32> = dispatcher.offered(at.now).map(|(name, _)| workload(name)).collect();
-        let (missed, offers) = merged(&told, &names);
+        let (missed, offers) = merged(&reports, &names);
         let own = dispatcher.offered(at.now).zip(&offers).map(|((_, own), offer)| own.asked * offer.work);
-        let part = part_of(own.sum(), &offers, told.len());
+        let part = part_of(own.sum(), &offers, reports.len());
         let shared = dispatcher.by_customers(at.now);
         let shared: Vec<Option<u32>> = shared.map(|(name, asked)| asked.map(|_| customer(name))).collect();
-        // Some tell; the others that are up are asked as they are.
-        let each = node.fleet_size().up as f64 / told.len() as f64 / SPAN;
-        let rate = |of: &Option<u32>| of.map_or(0.0, |of| sum_of(&told, of, |o| o.asked) * each);
+        // Some fronts report; the others that are up are taken to be offered the same.
+        let each = node.fleet_size().up as f64 / reports.len() as f64 / SPAN;
+        let rate = |of: &Option<u32>| of.map_or(0.0, |of| sum_of(&reports, of, |o| o.requested) * each);
         let customers = shared.iter().map(rate).collect();
-        let part = if node.hears_load(at.now) { part } else { 0.0 };
+        let part = if node.has_peer_load(at.now) { part } else { 0.0 };
         dispatcher.fleet_offered(Asked { missed, part, offers, customers });
     }
 }
 
-/// What a front is asked, in work, against the mean of those that tell; 0 where they were asked nothing.
+/// What this front reports: its heaviest workloads, and the customers that request most.
+fn own_loads(now: Micros, dispatcher: &mut Dispatcher) -> Vec<OfferedLoad> {
+    let counts = |x: f64| (x * UNIT).round().clamp(0.0, f64::from(u32::MAX)) as u32;
+    let all = dispatcher.offered(now).map(|(name, o)| OfferedLoad {
+        workload: workload(name),
+        requested: counts(o.asked),
+        completed: counts(o.ended),
+        on_time: counts(o.timely),
+        service_us: o.work.clamp(0.0, f64::from(u32::MAX)) as u32,
+    });
+    let mut all: Vec<OfferedLoad> = all.filter(|o| o.requested > 0 || o.completed > 0).collect();
+    all.sort_by_key(|o| std::cmp::Reverse(u64::from(o.requested) * u64::from(o.service_us.max(1))));
+    let shared = dispatcher.by_customers(now).filter_map(|(name, asked)| Some((name, asked?)));
+    let shared = shared.map(|(name, o)| OfferedLoad {
+        workload: customer(name),
+        requested: counts(o.asked),
+        ..OfferedLoad::default()
+    });
+    let mut shared: Vec<OfferedLoad> = shared.filter(|o| o.requested > 0).collect();
+    shared.sort_by_key(|o| std::cmp::Reverse(o.requested));
+    shared.truncate(MAX_CUSTOMERS);
+    all.truncate(MAX_LOADS - shared.len());
+    all.extend(shared);
+    all
+}
+
+/// The work offered to a front relative to the mean of the fronts that report; 0 where they were offered
+/// none.
 fn part_of(own: f64, offers: &[Offer], fronts: usize) -> f64 {
     let mean = offers.iter().map(|o| o.work * o.asked).sum::<f64>() / fronts.max(1) as f64;
     if mean > 0.0 {
@@ -102,12 +106,12 @@
     }
 }
 
-/// What all tell of one count. No front counts for more than some times the one in the middle, whatever it
-/// says.
-fn sum_of(told: &[&[Offered]], name: u32, field: fn(&Offered) -> u32) -> f64 {
-    let of = |all: &&[Offered]| all.iter().find(|o| o.workload == name).map_or(0, field);
-    let counts: Vec<f64> = told.iter().map(|all| f64::from(of(all)) / UNIT).collect();
-    let most = MOST_OF_MEDIAN * median(counts.clone()).max(1.0);
+/// The sum of one count over all reports. No front counts for more than some times the median, whatever it
+/// reports.
+fn sum_of(reports: &[&[OfferedLoad]], name: u32, field: fn(&OfferedLoad) -> u32) -> f64 {
+    let of = |all: &&[OfferedLoad]| all.iter().find(|o| o.workload == name).map_or(0, field);
+    let counts: Vec<f64> = reports.iter().map(|all| f64::from(of(all)) / UNIT).collect();
+    let most = MAX_OF_MEDIAN * median(counts.clone()).max(1.0);
     counts.into_iter().map(|count| count.min(most)).sum()
 }
 
@@ -116,21 +120,23 @@
     values.get(values.len() / 2).copied().unwrap_or(0.0)
 }
 
-/// What all were asked, by the workloads named, and the share that the front in the middle missed.
-fn merged(told: &[&[Offered]], names: &[u32]) -> (f64, Vec<Offer>) {
-    let of: Vec<BTreeMap<u32, Offered>> =
-        told.iter().map(|all| all.iter().map(|o| (o.workload, *o)).collect()).collect();
+/// The load offered to all fronts by the workloads named, and the median over fronts of the part that was
+/// late.
+fn merged(reports: &[&[OfferedLoad]], names: &[u32]) -> (f64, Vec<Offer>) {
+    let of: Vec<BTreeMap<u32, OfferedLoad>> =
+        reports.iter().map(|all| all.iter().map(|o| (o.workload, *o)).collect()).collect();
     let offers = names.iter().map(|name| {
-        let all: Vec<Offered> = of.iter().map(|all| all.get(name).copied().unwrap_or_default()).collect();
-        let sum = |field: fn(&Offered) -> u32| sum_of(told, *name, field);
-        let work = median(all.iter().filter(|o| o.work_us > 0).map(|o| f64::from(o.work_us)).collect());
-        let (asked, ended) = (sum(|o| o.asked), sum(|o| o.ended));
-        Offer { asked, ended, timely: sum(|o| o.timely).min(ended), work }
+        let all: Vec<OfferedLoad> = of.iter().map(|all| all.get(name).copied().unwrap_or_default()).collect();
+        let sum = |field: fn(&OfferedLoad) -> u32| sum_of(reports, *name, field);
+        let work = median(all.iter().filter(|o| o.service_us > 0).map(|o| f64::from(o.service_us)).collect());
+        let (requested, completed) = (sum(|o| o.requested), sum(|o| o.completed));
+        Offer { asked: requested, ended: completed, timely: sum(|o| o.on_time).min(completed), work }
     });
     let missed = of.iter().filter_map(|all| {
-        let sum = |field: fn(&Offered) -> u32| all.values().map(|o| f64::from(field(o)) / UNIT).sum::<f64>();
-        let (ended, timely) = (sum(|o| o.ended), sum(|o| o.timely));
-        (ended >= LEAST_ENDED).then(|| ((ended - timely) / ended).clamp(0.0, 1.0))
+        let sum =
+            |field: fn(&OfferedLoad) -> u32| all.values().map(|o| f64::from(field(o)) / UNIT).sum::<f64>();
+        let (completed, on_time) = (sum(|o| o.completed), sum(|o| o.on_time));
+        (completed >= MIN_COMPLETED).then(|| ((completed - on_time) / completed).clamp(0.0, 1.0))
     });
     let missed = median(missed.collect());
     (missed, offers.collect())
--- a/crates/fleet/src/load_tests.rs
+++ b/crates/fleet/src/load_tests.rs
@@ -2,12 +2,18 @@
 
 use super::*;
 
-fn of(workload: u32, asked: u32, ended: u32, timely: u32) -> Offered {
-    Offered { workload, asked: asked * 16, ended: ended * 16, timely: timely * 16, work_us: 100 }
+fn of(workload: u32, requested: u32, completed: u32, on_time: u32) -> OfferedLoad {
+    OfferedLoad {
+        workload,
+        requested: requested * 16,
+        completed: completed * 16,
+        on_time: on_time * 16,
+        service_us: 100,
+    }
 }
 
 #[test]
-fn counts_add_up_in_any_order_and_the_middle_front_says_what_was_missed() {
+fn counts_add_up_in_any_order_and_the_median_front_gives_what_was_missed() {
     let (a, b, c) = ([of(1, 4, 4, 4)], [of(1, 8, 4, 2), of(2, 3, 3, 3)], [of(2, 5, 4, 3)]);
     let (missed, offers) = merged(&[&a, &b, &c], &[1, 2, 3]);
     let rows: Vec<_> = offers.iter().map(|o| (o.asked, o.ended, o.timely, o.work)).collect();
@@ -17,26 +23,26 @@
 }
 
 #[test]
-fn a_front_takes_its_part_of_what_all_are_asked_and_none_where_nothing_is_told() {
+fn a_front_takes_its_part_of_what_all_are_asked_and_none_where_nothing_is_reported() {
     let (a, b) = ([of(1, 10, 0, 0)], [of(1, 30, 0, 0)]);
     let (_, offers) = merged(&[&a, &b], &[1]);
     assert_eq!(part_of(10.0 * 100.0, &offers, 2), 0.5);
     assert_eq!((part_of(5.0, &[], 0), part_of(5.0, &offers[..0], 3)), (0.0, 0.0));
     // Absurd load of one front makes nobody's part small: it counts for four times the middle at most.
-    let liar = [Offered { asked: u32::MAX, ..of(1, 0, 0, 0) }];
-    let sane: Vec<[Offered; 1]> = (0..9).map(|_| [of(1, 10, 10, 10)]).collect();
-    let told: Vec<&[Offered]> = sane.iter().map(|o| &o[..]).chain([&liar[..]]).collect();
-    let (_, offers) = merged(&told, &[1]);
+    let liar = [OfferedLoad { requested: u32::MAX, ..of(1, 0, 0, 0) }];
+    let sane: Vec<[OfferedLoad; 1]> = (0..9).map(|_| [of(1, 10, 10, 10)]).collect();
+    let reports: Vec<&[OfferedLoad]> = sane.iter().map(|o| &o[..]).chain([&liar[..]]).collect();
+    let (_, offers) = merged(&reports, &[1]);
     assert!((0.7..1.0).contains(&part_of(10.0 * 100.0, &offers, 10)));
 }
 
 #[test]
 fn absurd_load_of_one_front_moves_little() {
-    let sane: Vec<[Offered; 1]> = (0..9).map(|_| [of(1, 10, 10, 10)]).collect();
-    let liar = [Offered { asked: u32::MAX, ended: u32::MAX, timely: 0, ..of(1, 0, 0, 0) }];
-    let mut told: Vec<&[Offered]> = sane.iter().map(|o| &o[..]).collect();
-    told.push(&liar);
-    let (missed, offers) = merged(&told, &[1]);
+    let sane: Vec<[OfferedLoad; 1]> = (0..9).map(|_| [of(1, 10, 10, 10)]).collect();
+    let liar = [OfferedLoad { requested: u32::MAX, completed: u32::MAX, on_time: 0, ..of(1, 0, 0, 0) }];
+    let mut reports: Vec<&[OfferedLoad]> = sane.iter().map(|o| &o[..]).collect();
+    reports.push(&liar);
+    let (missed, offers) = merged(&reports, &[1]);
     assert_eq!((missed, offers[0].asked, offers[0].timely), (0.0, 130.0, 90.0));
     // More in time than ended, and a workload that nobody knows.
     let odd = [of(9, 5, 5, 5), of(1, 1, 1, 7)];
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -94,7 +94,7 @@
         let start = Start { secret, keys: keys(gossip), address: told, seeds: gossip.seeds.clone() };
         let mut exchange = Exchange::new(start, (now / 1000) as u64);
         if gossip.overload.is_some() {
-            exchange.tells_load();
+            exchange.enable_load_reports();
             log::info!("sheds overload as one with the fleet");
         }
         let steady = Instant::now();
--- a/crates/gossip/src/channels.rs
+++ b/crates/gossip/src/channels.rs
@@ -39,7 +39,7 @@
     (Channel::Rules, 64_000.0),
     (Channel::Summaries, 48_000.0), // whatever the fleet's size
     (Channel::Gate, 16_000.0),      // some 300 waits a second
-    (Channel::Load, 8_000.0),       // a dozen shares a second, each passed on four times
+    (Channel::Load, 8_000.0),       // a dozen load reports a second, each passed on four times
 ];
 
 /// A message received on a channel.
--- a/crates/gossip/src/evidence_tests.rs
+++ b/crates/gossip/src/evidence_tests.rs
@@ -51,11 +51,11 @@
 fn what_is_not_renewed_fades_and_does_not_come_back() {
     let mut evidence = Evidence::default();
     assert!(evidence.merge(0, report(1, 1, 2, 1), signed(), 3_000_000));
-    assert_eq!(evidence.peer_reports(FADES - 3_000_001, 9).len(), 1);
-    assert_eq!(evidence.peer_reports(FADES - 3_000_000, 9).len(), 0);
-    assert!(!evidence.merge(FADES, report(1, 1, 1, 1), signed(), 0), "an earlier version");
-    assert!(!evidence.merge(FADES, report(2, 1, 1, 1), signed(), FADES), "older than it lasts");
-    evidence.fade(3 * FADES);
+    assert_eq!(evidence.peer_reports(EXPIRY - 3_000_001, 9).len(), 1);
+    assert_eq!(evidence.peer_reports(EXPIRY - 3_000_000, 9).len(), 0);
+    assert!(!evidence.merge(EXPIRY, report(1, 1, 1, 1), signed(), 0), "an earlier version");
+    assert!(!evidence.merge(EXPIRY, report(2, 1, 1, 1), signed(), EXPIRY), "older than it lasts");
+    evidence.expire(3 * EXPIRY);
     assert!(evidence.is_empty());
 }
 
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -5,11 +5,11 @@
 
 pub mod channels;
 pub mod evidence;
+pub mod load_reports;
 pub mod members;
 pub mod message;
 pub mod node;
 pub mod seal;
-pub mod shares;
 
 pub type Micros = i64;
 
--- /dev/null
+++ b/crates/gossip/src/load_reports.rs
@@ -0,0 +1,139 @@
+//! Load reports: the latest of each of a few fronts, the same ones on every front. Those with the lowest ids
+//! count, so that traffic does not grow with the fleet and all fronts go by the same figures. Merging keeps
+//! the later report: order, repeats and losses do no harm, and a report that is not renewed expires.
+
+use std::collections::BTreeMap;
+
+use serde::{Deserialize, Serialize};
+
+use crate::message::Signed;
+use crate::{Micros, PeerId};
+
+/// Microseconds after which a report counts for nothing.
+pub const EXPIRY: Micros = 5_000_000;
+/// Fronts whose reports count: at some four statements a second each, twelve give the workload mix to a
+/// tenth.
+pub const MAX_REPORTERS: usize = 12;
+/// Most loads in a report; a longer one is refused.
+pub const MAX_LOADS: usize = 24;
+/// Times that a front passes a report on: with four each, some 98 in 100 fronts hear it.
+const MAX_SENT: u32 = 4;
+
+/// The load offered to a front lately by one workload or customer. Counts are sixteenths of statements and
+/// decay by half in some seconds.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct OfferedLoad {
+    /// A hash of the workload's or customer's name.
+    pub workload: u32,
+    /// Statements requested.
+    pub requested: u32,
+    /// Admitted statements that have their final answer.
+    pub completed: u32,
+    /// Those of them that met their latency objective.
+    pub on_time: u32,
+    /// Mean work of a statement: microseconds on one thread.
+    pub service_us: u32,
+}
+
+/// The loads offered to one front, as it reports them itself; passed on under its signature.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct LoadReport {
+    /// The front that made it.
+    pub reporter: PeerId,
+    /// When that front started, in Unix milliseconds on its clock.
+    pub life: u64,
+    /// Counts the load reports of that life.
+    pub version: u32,
+    /// When it was made, in Unix milliseconds on its reporter's clock.
+    pub created_ms: u64,
+    /// By workload and by customer; at most [`MAX_LOADS`].
+    pub offered: Vec<OfferedLoad>,
+}
+
+struct Held {
+    life: u64,
+    version: u32,
+    created: Micros,
+    offered: Vec<OfferedLoad>,
+    signed: Signed,
+    sent: u32,
+}
+
+/// The reports that count.
+#[derive(Default)]
+pub struct LoadReports {
+    held: BTreeMap<PeerId, Held>,
+}
+
+impl LoadReports {
+    /// Whether a report would count and is later than the one held. Cheap: to be asked before the signature
+    /// is checked.
+    pub fn is_later(&self, reporter: PeerId, life: u64, version: u32) -> bool {
+        match self.held.get(&reporter) {
+            Some(held) => (life, version) > (held.life, held.version),
+            None => {
+                self.held.len() < MAX_REPORTERS
+                    || self.held.last_key_value().is_some_and(|(k, _)| reporter < *k)
+            }
+        }
+    }
+
+    /// Stores a report that is `age` microseconds old; false if it is not later, too long or expired.
+    pub fn merge(&mut self, now: Micros, report: LoadReport, signed: Signed, age: Micros) -> bool {
+        let LoadReport { reporter, life, version, offered, .. } = report;
+        if offered.len() > MAX_LOADS || age >= EXPIRY || !self.is_later(reporter, life, version) {
+            return false;
+        }
+        self.held.insert(reporter, Held { life, version, created: now - age, offered, signed, sent: 0 });
+        if self.held.len() > MAX_REPORTERS {
+            self.held.pop_last();
+        }
+        true
+    }
+
+    /// Drops expired reports, so that those of other fronts can take their place.
+    pub fn expire(&mut self, now: Micros) {
+        self.held.retain(|_, held| now - held.created < EXPIRY);
+    }
+
+    /// The loads of each reporter that have not expired.
+    pub fn current(&self, now: Micros) -> impl Iterator<Item = &[OfferedLoad]> {
+        self.held.values().filter(move |held| now - held.created < EXPIRY).map(|held| &held.offered[..])
+    }
+
+    /// The fronts whose reports have not expired.
+    pub fn reporters(&self, now: Micros) -> impl Iterator<Item = PeerId> + '_ {
+        self.held.iter().filter(move |(_, held)| now - held.created < EXPIRY).map(|(reporter, _)| *reporter)
+    }
+
+    /// Reports to be passed on within so many bytes: those passed on least, of them the latest.
+    pub fn pass_on(&mut self, now: Micros, mut budget: usize) -> Vec<Signed> {
+        let counts = |held: &&mut Held| now - held.created < EXPIRY && held.sent < MAX_SENT;
+        let mut all: Vec<&mut Held> = self.held.values_mut().filter(counts).collect();
+        all.sort_by_key(|held| (held.sent, now - held.created));
+        let mut picked = Vec::new();
+        for held in all {
+            let len = held.signed.report.len() + held.signed.signature.len() + 4;
+            if len <= budget {
+                budget -= len;
+                held.sent += 1;
+                picked.push(held.signed.clone());
+            }
+        }
+        picked
+    }
+
+    /// Reports held, expired ones too.
+    pub fn len(&self) -> usize {
+        self.held.len()
+    }
+
+    /// Whether no report is held.
+    pub fn is_empty(&self) -> bool {
+        self.held.is_empty()
+    }
+}
+
+#[cfg(test)]
+#[path = "load_reports_tests.rs"]
+mod tests;
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -6,10 +6,10 @@
 
 use crate::channels::{Channel, ChannelMessage, Mailbox, MAX_PAYLOAD};
 use crate::evidence::{Evidence, PeerReport, MOST_SIGHTINGS};
+use crate::load_reports::LoadReports;
 use crate::members::{FleetSize, Members, Outgoing};
 use crate::message::{self, Message, Probe, Report, Sighting, Work, LONGEST};
 use crate::seal::{Keys, Own, Peers, Refused, Tokens, SEAL};
-use crate::shares::Shares;
 use crate::{Chance, Micros, PeerId};
 
 mod load;
@@ -54,10 +54,10 @@
     sightings: Vec<Sighting>,
     work: Work,
     mailbox: Mailbox,
-    /// What fronts are asked, where it is told.
-    shares: Option<Shares>,
-    share_told: Micros,
-    share_version: u32,
+    /// Load reports, once they are enabled.
+    load_reports: Option<LoadReports>,
+    load_reported: Micros,
+    load_version: u32,
     version: u32,
     renew: Micros,
     /// What counted for nothing, by why.
@@ -81,9 +81,9 @@
             sightings: Vec::new(),
             work: Work::default(),
             mailbox: Mailbox::new(),
-            shares: None,
-            share_told: Micros::MIN / 2,
-            share_version: 0,
+            load_reports: None,
+            load_reported: Micros::MIN / 2,
+            load_version: 0,
             version: 0,
             renew: 0,
             refused: BTreeMap::new(),
@@ -204,12 +204,12 @@
         self.members.tick(now, chance, &mut sends);
         if self.round <= now {
             self.round = now + ROUND;
-            self.evidence.fade(now);
+            self.evidence.expire(now);
             let mut targets: Vec<SocketAddr> = self.members.up().map(|(_, at)| at).collect();
             for _ in 0..FANOUT.min(targets.len()) {
                 let to = targets.swap_remove(chance.below(targets.len()));
                 sends.push(Outgoing { to, probe: Probe::None });
-                out.extend(self.pass_shares(now, wall_ms, to));
+                out.extend(self.pass_load_reports(now, wall_ms, to));
             }
         }
         for send in sends {
@@ -244,8 +244,8 @@
         let mut message =
             Message { probe: outgoing.probe, rumours, reports: Vec::new(), payload: Vec::new() };
         let used = SEAL + message::bytes(&message).len() + 2;
-        let room = if why == Why::Gossip { TOLD.min(LONGEST).saturating_sub(used) } else { 0 };
-        message.reports = self.evidence.pass_on(now, most_sent, room);
+        let budget = if why == Why::Gossip { TOLD.min(LONGEST).saturating_sub(used) } else { 0 };
+        message.reports = self.evidence.pass_on(now, most_sent, budget);
         let content = message::bytes(&message);
         let len = content.len() + SEAL;
         let tokens = if answers { &mut self.answers } else { &mut self.bytes };
@@ -302,7 +302,7 @@
         let mut sends = Vec::new();
         self.members.receive(now, sender, from_address, message.probe, &mut sends);
         if message.payload.first() == Some(&(Channel::Load as u8)) {
-            self.hear_shares(now, wall_ms, from.ip(), &message.payload[1..]);
+            self.receive_load_reports(now, wall_ms, from.ip(), &message.payload[1..]);
         } else if !self.mailbox.deliver(sender, from_address, message.payload) {
             *self.refused.entry(Refused::Form).or_default() += 1;
         }
--- a/crates/gossip/src/seal.rs
+++ b/crates/gossip/src/seal.rs
@@ -10,8 +10,8 @@
 
 use ed25519_dalek::{Signature, Signer, SigningKey, VerifyingKey};
 
+use crate::load_reports::LoadReport;
 use crate::message::{self, Report, Signed, LONGEST};
-use crate::shares::Share;
 use crate::{Micros, PeerId};
 
 use heard::Peer;
@@ -72,9 +72,9 @@
         self.sign_as(REPORT, message::bytes(report))
     }
 
-    /// A word on this front's load, likewise.
-    pub fn sign_share(&self, share: &Share) -> Signed {
-        self.sign_as(SHARE, message::bytes(share))
+    /// A load report with the signature over its bytes.
+    pub fn sign_load_report(&self, report: &LoadReport) -> Signed {
+        self.sign_as(LOAD_REPORT, message::bytes(report))
     }
 
     fn sign_as(&self, mark: &[u8], report: Vec<u8>) -> Signed {
@@ -85,7 +85,7 @@
 }
 
 const REPORT: &[u8] = b"hallmux report\0";
-const SHARE: &[u8] = b"hallmux share\0";
+const LOAD_REPORT: &[u8] = b"hallmux share\0";
 
 /// Why a datagram or report counts for nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -202,15 +202,15 @@
         Ok(report)
     }
 
-    /// Whether a share is its reporter's.
+    /// Whether a load report carries the signature of its reporter.
     pub fn holds(
         &mut self,
         now: Micros,
         from: IpAddr,
         reporter: PeerId,
-        share: &Signed,
+        signed: &Signed,
     ) -> Result<(), Refused> {
-        self.verify(now, from, reporter, SHARE, share)
+        self.verify(now, from, reporter, LOAD_REPORT, signed)
     }
 
     fn verify(
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -28,7 +28,7 @@
             let start = Start { secret: secret(n), keys: self.keys.clone(), address: address(n), seeds };
             let mut exchange = Exchange::new(start, at.wall_ms);
             if self.scenario.fleet.sheds_as_one {
-                exchange.tells_load();
+                exchange.enable_load_reports();
             }
             if let Some(voters) = self.scenario.fleet.voters {
                 let voters =
