--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -16,7 +16,7 @@
 use hallmux_gossip::evidence::PeerReport;
 use hallmux_gossip::members::FleetSize;
 use hallmux_gossip::message::Sighting;
-use hallmux_gossip::node::{Datagram, Node, Start};
+use hallmux_gossip::node::{Datagram, Node, NodeConfig};
 use hallmux_gossip::seal::{Keys, Refused};
 use hallmux_gossip::{Chance, PeerId};
 
@@ -95,9 +95,9 @@
 
 impl Exchange {
     /// `wall_ms` is the Unix clock: it is the name of this life.
-    pub fn new(start: Start, wall_ms: u64) -> Exchange {
+    pub fn new(config: NodeConfig, wall_ms: u64) -> Exchange {
         Exchange {
-            node: Node::new(start, wall_ms),
+            node: Node::new(config, wall_ms),
             look: 0,
             known: BTreeMap::new(),
             reporters: BTreeMap::new(),
@@ -113,7 +113,7 @@
 
     /// Switches on one owner at a time. An error says why what was saved can't be used.
     pub fn own(&mut self, at: Moment, ownership: Ownership) -> Result<(), hallmux_lease::disk::Spoilt> {
-        self.owning = Some(owning::Owning::new(at, self.node.id(), ownership)?);
+        self.owning = Some(owning::Owning::new(at, self.node.peer_id(), ownership)?);
         Ok(())
     }
 
@@ -139,13 +139,13 @@
     }
 
     /// The public half of its key pair.
-    pub fn public(&self) -> [u8; 32] {
-        self.node.public()
+    pub fn public_key(&self) -> [u8; 32] {
+        self.node.public_key()
     }
 
     /// Other public keys count from now on.
-    pub fn keys(&mut self, keys: Rc<Keys>) {
-        self.node.keys(keys);
+    pub fn set_keys(&mut self, keys: Rc<Keys>) {
+        self.node.set_keys(keys);
     }
 
     /// The size of the fleet, this front included, as the dispatcher knows it.
@@ -172,8 +172,8 @@
     }
 
     /// A datagram has come; what is to go back.
-    pub fn heard(&mut self, at: Moment, from: SocketAddr, bytes: &[u8]) -> Out {
-        let mut out = Out { datagrams: self.node.heard(at.now, at.wall_ms, from, bytes), ..Out::default() };
+    pub fn receive(&mut self, at: Moment, from: SocketAddr, bytes: &[u8]) -> Out {
+        let mut out = Out { datagrams: self.node.receive(at.now, at.wall_ms, from, bytes), ..Out::default() };
         for ChannelMessage { from, at: heard_at, channel, bytes } in self.node.received() {
             match (channel, &mut self.owning) {
                 (Channel::Lease, Some(owning)) => owning.heard(at, from, heard_at, &bytes),
@@ -309,7 +309,7 @@
             let mut seen: Vec<Sighting> = dispatcher.sighted(at.now).iter().map(sighting).collect();
             seen.sort_by_key(|s| (std::cmp::Reverse(s.silent_ms), std::cmp::Reverse(s.failed), s.engine));
             let work = self.owning.as_ref().map(|owning| owning.says(at, dispatcher));
-            self.node.says(at.now, at.wall_ms, seen, work.unwrap_or_default());
+            self.node.report(at.now, at.wall_ms, seen, work.unwrap_or_default());
             if let Some(owning) = &mut self.owning {
                 owning.admits(at, &self.node, dispatcher);
             }
--- a/crates/front/src/fleet/members.rs
+++ b/crates/front/src/fleet/members.rs
@@ -5,14 +5,15 @@
 use std::net::SocketAddr;
 
 use hallmux_agreement::Ledger;
-use hallmux_gossip::seal::id;
+use hallmux_gossip::seal::peer_id;
 use hallmux_gossip::PeerId;
 use hallmux_ledger::{Member, Setup};
 
 /// Who keeps copies, and where they are heard.
 pub fn members(ledger: &Ledger) -> (Vec<Member>, BTreeMap<PeerId, SocketAddr>) {
-    let member = |m: &hallmux_agreement::LedgerMember| Member { front: id(&m.key), zone: m.zone.clone() };
-    let addresses = ledger.members.iter().map(|m| (id(&m.key), m.at)).collect();
+    let member =
+        |m: &hallmux_agreement::LedgerMember| Member { front: peer_id(&m.key), zone: m.zone.clone() };
+    let addresses = ledger.members.iter().map(|m| (peer_id(&m.key), m.at)).collect();
     (ledger.members.iter().map(member).collect(), addresses)
 }
 
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -16,9 +16,9 @@
 use hallmux_gossip::channels::Channel;
 use hallmux_gossip::evidence::PeerReport;
 use hallmux_gossip::members::FleetSize;
-use hallmux_gossip::message::LONGEST;
-use hallmux_gossip::node::{Datagram, Start};
-use hallmux_gossip::seal::{id, Keys, Refused};
+use hallmux_gossip::message::MAX_DATAGRAM;
+use hallmux_gossip::node::{Datagram, NodeConfig};
+use hallmux_gossip::seal::{peer_id, Keys, Refused};
 use hallmux_gossip::PeerId;
 use hallmux_lease::Terms;
 use hallmux_ledger::{Ask, Done};
@@ -65,7 +65,7 @@
 }
 
 fn names(gossip: &Gossip) -> BTreeMap<PeerId, String> {
-    gossip.peers.iter().map(|(name, key)| (id(key), name.clone())).collect()
+    gossip.peers.iter().map(|(name, key)| (peer_id(key), name.clone())).collect()
 }
 
 impl Peers {
@@ -91,7 +91,7 @@
         });
         told.map_err(|e| PeersFault::system(e.error))?;
         let told = gossip.advertise.unwrap_or(at);
-        let start = Start { secret, keys: keys(gossip), address: told, seeds: gossip.seeds.clone() };
+        let start = NodeConfig { secret, keys: keys(gossip), address: told, seeds: gossip.seeds.clone() };
         let mut exchange = Exchange::new(start, (now / 1000) as u64);
         if gossip.overload.is_some() {
             exchange.enable_load_reports();
@@ -100,8 +100,8 @@
         let steady = Instant::now();
         let mut votes = None;
         if let Some(ownership) = &gossip.ownership {
-            let voters: Vec<_> = ownership.voters.iter().map(|(key, at)| (id(key), *at)).collect();
-            let own = id(&exchange.public());
+            let voters: Vec<_> = ownership.voters.iter().map(|(key, at)| (peer_id(key), *at)).collect();
+            let own = peer_id(&exchange.public_key());
             let mut saved = None;
             if voters.iter().any(|(voter, _)| *voter == own) {
                 let socket = socket.try_clone().map_err(PeersFault::system)?;
@@ -119,10 +119,10 @@
         }
         let (mut copies, mut spares_disk) = (None, false);
         if let Some(ledger) = &gossip.ledger {
-            let own = id(&exchange.public());
+            let own = peer_id(&exchange.public_key());
             let moment = Moment { now, steady: 0, wall_ms: (now / 1000) as u64 };
             let (mut setup, members) = setup(ledger, own, (now / 1000) as u64);
-            let keeps = ledger.members.iter().any(|member| id(&member.key) == own);
+            let keeps = ledger.members.iter().any(|member| peer_id(&member.key) == own);
             spares_disk = ledger.on_disk_failure == OnDiskFailure::Memory;
             let mut saved = None;
             if let Some(directory) = ledger.directory.as_ref().filter(|_| keeps) {
@@ -152,7 +152,7 @@
                 }
             );
         }
-        let public: String = exchange.public().iter().map(|byte| format!("{byte:02x}")).collect();
+        let public: String = exchange.public_key().iter().map(|byte| format!("{byte:02x}")).collect();
         log::info!(
             "talks with other fronts, {} keys count; its own is {public}, its address {at}",
             gossip.peers.len()
@@ -181,7 +181,7 @@
     /// The file was read again: its keys count from now on.
     pub fn reload(&mut self, now: Micros, gossip: &Gossip) {
         self.names = names(gossip);
-        self.exchange.keys(keys(gossip));
+        self.exchange.set_keys(keys(gossip));
         if let Some(ledger) = gossip.ledger.as_ref().filter(|_| self.keeps) {
             let (members, addresses) = members(ledger);
             if let Err(e) = self.exchange.members(self.moment(now), members, addresses) {
@@ -198,11 +198,11 @@
     /// Datagrams have come; true if there are more for another turn.
     pub fn read(&mut self, now: Micros) -> bool {
         self.lasting(now);
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM + 1];
         for _ in 0..ONE_TURN {
             match self.socket.recv_from(&mut bytes) {
                 Ok((len, from)) => {
-                    let out = self.exchange.heard(self.moment(now), from, &bytes[..len]);
+                    let out = self.exchange.receive(self.moment(now), from, &bytes[..len]);
                     self.send(now, out);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
@@ -238,13 +238,13 @@
 
     /// The other fronts whose word counts.
     pub fn others(&self) -> Vec<PeerId> {
-        let own = id(&self.exchange.public());
+        let own = peer_id(&self.exchange.public_key());
         self.names.keys().copied().filter(|peer| *peer != own).collect()
     }
 
     /// A number of this front's own, for turns that fronts should not all begin alike.
     pub fn turn(&self) -> usize {
-        id(&self.exchange.public()) as usize
+        peer_id(&self.exchange.public_key()) as usize
     }
 
     /// Whether a probe on behalf of the fleet may leave now.
@@ -308,7 +308,7 @@
 
     /// Where a ledger is kept, this front by its key, and all fronts whose keys count.
     pub fn fleet(&self) -> Option<(PeerId, Vec<PeerId>)> {
-        let own = id(&self.exchange.public());
+        let own = peer_id(&self.exchange.public_key());
         self.keeps.then(|| (own, self.names.keys().copied().collect()))
     }
 
--- a/crates/gossip/src/channels.rs
+++ b/crates/gossip/src/channels.rs
@@ -4,12 +4,12 @@
 
 use std::net::SocketAddr;
 
-use crate::message::LONGEST;
-use crate::seal::{Tokens, SEAL};
+use crate::message::MAX_DATAGRAM;
+use crate::seal::{TokenBucket, SEAL_BYTES};
 use crate::{Micros, PeerId};
 
 /// Longest payload in bytes: a datagram less the seal, the channel byte and the sender's own rumour.
-pub const MAX_PAYLOAD: usize = LONGEST - SEAL - OVERHEAD;
+pub const MAX_PAYLOAD: usize = MAX_DATAGRAM - SEAL_BYTES - OVERHEAD;
 const OVERHEAD: usize = 64; // bytes: a rumour of an IPv6 address takes some 45, counts and channel the rest
 const MAX_WAITING: usize = 256; // messages held until `take`; more are dropped
 
@@ -57,13 +57,13 @@
 
 /// Byte budgets for sending, and received messages until they are read.
 pub(crate) struct Mailbox {
-    tokens: [Tokens; CHANNELS.len()],
+    tokens: [TokenBucket; CHANNELS.len()],
     inbox: Vec<ChannelMessage>,
 }
 
 impl Mailbox {
     pub fn new() -> Mailbox {
-        Mailbox { tokens: CHANNELS.map(|(_, rate)| Tokens::new(rate)), inbox: Vec::new() }
+        Mailbox { tokens: CHANNELS.map(|(_, rate)| TokenBucket::new(rate)), inbox: Vec::new() }
     }
 
     /// Takes `bytes` from the channel's budget. False, and nothing taken, if they exceed it.
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -14,7 +14,7 @@
 const MAX_REPORTERS: usize = 256; // whose reports are kept; the oldest goes first
 
 struct Held {
-    life: u64,
+    started_ms: u64,
     version: u32,
     /// When it was created, on our clock.
     created: Micros,
@@ -41,24 +41,26 @@
 impl Evidence {
     /// Whether a report says more than what is held of its reporter; to be asked before its signature is
     /// looked at.
-    pub fn is_later(&self, reporter: PeerId, life: u64, version: u32) -> bool {
-        self.held.get(&reporter).is_none_or(|held| (life, version) > (held.life, held.version))
+    pub fn is_later(&self, reporter: PeerId, started_ms: u64, version: u32) -> bool {
+        self.held.get(&reporter).is_none_or(|held| (started_ms, version) > (held.started_ms, held.version))
     }
 
     /// Takes a report in; false if it is no news.
     pub fn merge(&mut self, now: Micros, report: Report, signed: Signed, age: Micros) -> bool {
         let back = report.work.act.as_ref().map_or(0, |act| act.back.len());
         let fits = report.sightings.len() <= MOST_SIGHTINGS && back <= MOST_SIGHTINGS && age < EXPIRY;
-        if !fits || !self.is_later(report.reporter, report.life, report.version) {
+        if !fits || !self.is_later(report.reporter, report.started_ms, report.version) {
             return false;
         }
         if self.held.len() >= MAX_REPORTERS && !self.held.contains_key(&report.reporter) {
             let oldest = self.held.iter().min_by_key(|(_, held)| held.created).map(|(reporter, _)| *reporter);
             oldest.into_iter().for_each(|reporter| _ = self.held.remove(&reporter));
         }
-        let Report { reporter, life, version, sightings, work, .. } = report;
-        self.held
-            .insert(reporter, Held { life, version, created: now - age, sightings, work, signed, sent: 0 });
+        let Report { reporter, started_ms, version, sightings, work, .. } = report;
+        self.held.insert(
+            reporter,
+            Held { started_ms, version, created: now - age, sightings, work, signed, sent: 0 },
+        );
         true
     }
 
--- a/crates/gossip/src/evidence_tests.rs
+++ b/crates/gossip/src/evidence_tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn report(reporter: PeerId, life: u64, version: u32, failed: u8) -> Report {
+fn report(reporter: PeerId, started_ms: u64, version: u32, failed: u8) -> Report {
     let sightings = vec![Sighting { engine: 1, failed, ..Sighting::default() }];
-    Report { reporter, life, version, created_ms: 0, sightings, work: Work::default() }
+    Report { reporter, started_ms, version, created_ms: 0, sightings, work: Work::default() }
 }
 
 fn signed() -> Signed {
@@ -42,7 +42,8 @@
         reports.extend(reports.clone());
         assert_eq!(known(&reports), expected);
         // Without what was made before the latest of each.
-        let latest: Vec<Report> = reports.into_iter().filter(|r| r.life > 5 || r.reporter == 2).collect();
+        let latest: Vec<Report> =
+            reports.into_iter().filter(|r| r.started_ms > 5 || r.reporter == 2).collect();
         assert_eq!(known(&latest), expected);
     }
 }
--- a/crates/gossip/src/load_reports.rs
+++ b/crates/gossip/src/load_reports.rs
@@ -41,8 +41,8 @@
     /// The front that made it.
     pub reporter: PeerId,
     /// When that front started, in Unix milliseconds on its clock.
-    pub life: u64,
-    /// Counts the load reports of that life.
+    pub started_ms: u64,
+    /// Counts the load reports since that start.
     pub version: u32,
     /// When it was made, in Unix milliseconds on its reporter's clock.
     pub created_ms: u64,
@@ -51,7 +51,7 @@
 }
 
 struct Held {
-    life: u64,
+    started_ms: u64,
     version: u32,
     created: Micros,
     offered: Vec<OfferedLoad>,
@@ -68,9 +68,9 @@
 impl LoadReports {
     /// Whether a report would count and is later than the one held. Cheap: to be asked before the signature
     /// is checked.
-    pub fn is_later(&self, reporter: PeerId, life: u64, version: u32) -> bool {
+    pub fn is_later(&self, reporter: PeerId, started_ms: u64, version: u32) -> bool {
         match self.held.get(&reporter) {
-            Some(held) => (life, version) > (held.life, held.version),
+            Some(held) => (started_ms, version) > (held.started_ms, held.version),
             None => {
                 self.held.len() < MAX_REPORTERS
                     || self.held.last_key_value().is_some_and(|(k, _)| reporter < *k)
@@ -80,11 +80,12 @@
 
     /// Stores a report that is `age` microseconds old; false if it is not later, too long or expired.
     pub fn merge(&mut self, now: Micros, report: LoadReport, signed: Signed, age: Micros) -> bool {
-        let LoadReport { reporter, life, version, offered, .. } = report;
-        if offered.len() > MAX_LOADS || age >= EXPIRY || !self.is_later(reporter, life, version) {
+        let LoadReport { reporter, started_ms, version, offered, .. } = report;
+        if offered.len() > MAX_LOADS || age >= EXPIRY || !self.is_later(reporter, started_ms, version) {
             return false;
         }
-        self.held.insert(reporter, Held { life, version, created: now - age, offered, signed, sent: 0 });
+        self.held
+            .insert(reporter, Held { started_ms, version, created: now - age, offered, signed, sent: 0 });
         if self.held.len() > MAX_REPORTERS {
             self.held.pop_last();
         }
--- a/crates/gossip/src/load_reports_tests.rs
+++ b/crates/gossip/src/load_reports_tests.rs
@@ -4,7 +4,7 @@
 
 fn report(reporter: PeerId, version: u32, requested: u32) -> LoadReport {
     let offered = vec![OfferedLoad { workload: 1, requested, ..OfferedLoad::default() }];
-    LoadReport { reporter, life: 1, version, created_ms: 0, offered }
+    LoadReport { reporter, started_ms: 1, version, created_ms: 0, offered }
 }
 
 fn signed() -> Signed {
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -8,7 +8,7 @@
 use crate::PeerId;
 
 /// Bytes of a datagram at most, sealed: what every network carries in one piece.
-pub const LONGEST: usize = 1_200;
+pub const MAX_DATAGRAM: usize = 1_200;
 
 /// How a member is thought to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -50,7 +50,7 @@
     pub reporter: PeerId,
     /// When its reporter began, in Unix milliseconds on its own clock, and how many reports it had made
     /// since.
-    pub life: u64,
+    pub started_ms: u64,
     pub version: u32,
     /// When it was created, in Unix milliseconds on its reporter's clock.
     pub created_ms: u64,
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -8,23 +8,25 @@
 use crate::evidence::{Evidence, PeerReport, MOST_SIGHTINGS};
 use crate::load_reports::LoadReports;
 use crate::members::{FleetSize, Members, Outgoing};
-use crate::message::{self, Message, Probe, Report, Sighting, Work, LONGEST};
-use crate::seal::{Keys, Own, Peers, Refused, Tokens, SEAL};
+use crate::message::{self, Message, Probe, Report, Sighting, Work, MAX_DATAGRAM};
+use crate::seal::{Identity, Keys, Peers, Refused, TokenBucket, SEAL_BYTES};
 use crate::{Chance, Micros, PeerId};
 
 mod load;
 
-const ROUND: Micros = 250_000; // microseconds between rounds: news reaches a thousand in some ten of them
-const FANOUT: usize = 2; // members told in a round
-const BYTES_A_SECOND: f64 = 3_000.0; // sent at most of its own accord, with a second's worth saved up
-/// Bytes of answers to others, so that a flood of questions starves no news.
-const ANSWERS_A_SECOND: f64 = 1_000.0;
-const RENEWED: Micros = 1_000_000; // microseconds after which a front says again what it still sees
-const FOR_PROBES: f64 = 800.0; // bytes that news leaves for probes: a peer that is not asked seems dead
-const WELCOME: usize = 24; // members that a newcomer is told of at once: some 600 bytes
-const MOST_RUMOURS: usize = 2; // in a datagram beside its sender's own: some 25 bytes each
-const TOLD: usize = 420; // bytes of a datagram that only tells news
-const SENT_EACH: f64 = 2.0; // times the logarithm of the peers that a report is passed on by each front
+/// Microseconds between rounds: a report reaches a thousand fronts in some ten.
+const ROUND_PERIOD: Micros = 250_000;
+const FANOUT: usize = 2; // members that a round sends to
+const GOSSIP_RATE: f64 = 3_000.0; // bytes a second sent of its own accord, with a second's worth saved up
+const ANSWER_RATE: f64 = 1_000.0; // bytes a second of answers, so that a flood of probes starves no reports
+const RENEW_AFTER: Micros = 1_000_000; // microseconds after which a front repeats a report that still holds
+const PROBE_RESERVE: f64 = 800.0; // bytes that reports leave for probes: a peer that is not probed seems dead
+const WELCOME_RUMOURS: usize = 24; // members that a newcomer learns of at once: some 600 bytes
+const MAX_RUMOURS: usize = 2; // in a datagram beside its sender's own: some 25 bytes each
+const REPORT_DATAGRAM: usize = 420; // bytes of a datagram that carries reports unasked
+/// Times the logarithm of the peers that a report is passed on by each front.
+const RETRANSMIT_FACTOR: f64 = 2.0;
+const COUNT_BYTES: usize = 8; // at the most, of the number of load reports in a payload
 
 /// A datagram to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -34,7 +36,7 @@
 }
 
 /// What it is at start.
-pub struct Start {
+pub struct NodeConfig {
     /// The secret half of its key pair.
     pub secret: [u8; 32],
     /// Public keys of all fronts that count.
@@ -44,22 +46,22 @@
 }
 
 pub struct Node {
-    own: Own,
+    own: Identity,
     peers: Peers,
     members: Members,
     evidence: Evidence,
-    bytes: Tokens,
-    answers: Tokens,
-    round: Micros,
+    gossip_tokens: TokenBucket,
+    answer_tokens: TokenBucket,
+    next_round: Micros,
     sightings: Vec<Sighting>,
     work: Work,
     mailbox: Mailbox,
     /// Load reports, once they are enabled.
     load_reports: Option<LoadReports>,
-    load_reported: Micros,
+    load_reported_at: Micros,
     load_version: u32,
     version: u32,
-    renew: Micros,
+    renew_at: Micros,
     /// What counted for nothing, by why.
     pub refused: BTreeMap<Refused, u64>,
     /// Bytes that were sent, and datagrams that were not, for want of tokens.
@@ -68,24 +70,24 @@
 }
 
 impl Node {
-    /// `wall_ms` is the Unix clock: it is the name of this life.
-    pub fn new(start: Start, wall_ms: u64) -> Node {
-        let own = Own::new(&start.secret, wall_ms);
+    /// `wall_ms` is Unix time in milliseconds: it names this run of the front.
+    pub fn new(start: NodeConfig, wall_ms: u64) -> Node {
+        let own = Identity::new(&start.secret, wall_ms);
         Node {
             members: Members::new(own.id, start.address, wall_ms, start.seeds),
             peers: Peers::new(start.keys),
             evidence: Evidence::default(),
-            bytes: Tokens::new(BYTES_A_SECOND),
-            answers: Tokens::new(ANSWERS_A_SECOND),
-            round: 0,
+            gossip_tokens: TokenBucket::new(GOSSIP_RATE),
+            answer_tokens: TokenBucket::new(ANSWER_RATE),
+            next_round: 0,
             sightings: Vec::new(),
             work: Work::default(),
             mailbox: Mailbox::new(),
             load_reports: None,
-            load_reported: Micros::MIN / 2,
+            load_reported_at: Micros::MIN / 2,
             load_version: 0,
             version: 0,
-            renew: 0,
+            renew_at: 0,
             refused: BTreeMap::new(),
             sent: 0,
             held_back: 0,
@@ -93,13 +95,13 @@
         }
     }
 
-    pub fn id(&self) -> PeerId {
+    pub fn peer_id(&self) -> PeerId {
         self.own.id
     }
 
     /// The public half of its key pair.
-    pub fn public(&self) -> [u8; 32] {
-        self.own.public()
+    pub fn public_key(&self) -> [u8; 32] {
+        self.own.public_key()
     }
 
     pub fn members(&self) -> &Members {
@@ -118,28 +120,28 @@
     }
 
     /// Other public keys count from now on.
-    pub fn keys(&mut self, keys: Rc<Keys>) {
-        self.peers.keys(keys);
+    pub fn set_keys(&mut self, keys: Rc<Keys>) {
+        self.peers.set_keys(keys);
     }
 
     /// What this front sees of engines now; only those in some trouble, or with something told of them.
-    pub fn sees(&mut self, now: Micros, wall_ms: u64, sightings: Vec<Sighting>) {
-        self.says(now, wall_ms, sightings, Work::default());
+    pub fn report_sightings(&mut self, now: Micros, wall_ms: u64, sightings: Vec<Sighting>) {
+        self.report(now, wall_ms, sightings, Work::default());
     }
 
     /// The same, with what it has to say of work on behalf of the fleet.
-    pub fn says(&mut self, now: Micros, wall_ms: u64, mut sightings: Vec<Sighting>, work: Work) {
+    pub fn report(&mut self, now: Micros, wall_ms: u64, mut sightings: Vec<Sighting>, work: Work) {
         sightings.truncate(MOST_SIGHTINGS);
         let changed = sightings != self.sightings || !work.is_like(&self.work);
-        if !changed && (sightings.is_empty() && work.is_empty() || now < self.renew) {
+        if !changed && (sightings.is_empty() && work.is_empty() || now < self.renew_at) {
             return;
         }
         self.work = work.clone();
-        self.renew = now + RENEWED;
+        self.renew_at = now + RENEW_AFTER;
         self.version += 1;
         let report = Report {
             reporter: self.own.id,
-            life: self.own.life,
+            started_ms: self.own.started_ms,
             version: self.version,
             created_ms: wall_ms,
             sightings: sightings.clone(),
@@ -174,8 +176,8 @@
         let payload = [&[channel as u8], payload].concat();
         let message = Message { probe: Probe::None, rumours, reports: Vec::new(), payload };
         let content = message::bytes(&message);
-        let len = content.len() + SEAL;
-        if len > LONGEST || !self.mailbox.may_send(now, channel, len) {
+        let len = content.len() + SEAL_BYTES;
+        if len > MAX_DATAGRAM || !self.mailbox.may_send(now, channel, len) {
             self.held_back += 1;
             return None;
         }
@@ -195,15 +197,15 @@
 
     /// When `tick` is next due.
     pub fn due(&self) -> Micros {
-        self.members.due().min(self.round)
+        self.members.due().min(self.next_round)
     }
 
     /// Does what is due.
     pub fn tick(&mut self, now: Micros, wall_ms: u64, chance: &mut impl Chance) -> Vec<Datagram> {
         let (mut sends, mut out) = (Vec::new(), Vec::new());
         self.members.tick(now, chance, &mut sends);
-        if self.round <= now {
-            self.round = now + ROUND;
+        if self.next_round <= now {
+            self.next_round = now + ROUND_PERIOD;
             self.evidence.expire(now);
             let mut targets: Vec<SocketAddr> = self.members.up().map(|(_, at)| at).collect();
             for _ in 0..FANOUT.min(targets.len()) {
@@ -213,7 +215,7 @@
             }
         }
         for send in sends {
-            out.extend(self.send(now, wall_ms, send, Why::Gossip));
+            out.extend(self.send(now, wall_ms, send, Purpose::Gossip));
         }
         out
     }
@@ -225,32 +227,36 @@
         let mut out = Vec::new();
         for _ in 0..(2 * FANOUT).min(targets.len()) {
             let to = targets.swap_remove(chance.below(targets.len()));
-            out.extend(self.send(now, wall_ms, Outgoing { to, probe: Probe::None }, Why::Gossip));
+            out.extend(self.send(now, wall_ms, Outgoing { to, probe: Probe::None }, Purpose::Gossip));
         }
         out
     }
 
-    fn send(&mut self, now: Micros, wall_ms: u64, outgoing: Outgoing, why: Why) -> Option<Datagram> {
+    fn send(&mut self, now: Micros, wall_ms: u64, outgoing: Outgoing, purpose: Purpose) -> Option<Datagram> {
         let mut rumours = vec![self.members.own_rumour()];
-        let answers = why == Why::Answer;
-        let most = match why {
+        let answers = purpose == Purpose::Answer;
+        let most = match purpose {
             // Guards against one who asks without end: answers use up no news that others are to hear.
-            Why::Answer => 0,
-            Why::Gossip => MOST_RUMOURS,
-            Why::Welcome => WELCOME,
+            Purpose::Answer => 0,
+            Purpose::Gossip => MAX_RUMOURS,
+            Purpose::Welcome => WELCOME_RUMOURS,
         };
         rumours.extend(self.members.pass_on(outgoing.to, most));
-        let most_sent = (SENT_EACH * ((self.peers.len() + 2) as f64).log2()).ceil() as u32;
+        let most_sent = (RETRANSMIT_FACTOR * ((self.peers.len() + 2) as f64).log2()).ceil() as u32;
         let mut message =
             Message { probe: outgoing.probe, rumours, reports: Vec::new(), payload: Vec::new() };
-        let used = SEAL + message::bytes(&message).len() + 2;
-        let budget = if why == Why::Gossip { TOLD.min(LONGEST).saturating_sub(used) } else { 0 };
+        let used = SEAL_BYTES + message::bytes(&message).len() + 2;
+        let budget = if purpose == Purpose::Gossip {
+            REPORT_DATAGRAM.min(MAX_DATAGRAM).saturating_sub(used)
+        } else {
+            0
+        };
         message.reports = self.evidence.pass_on(now, most_sent, budget);
         let content = message::bytes(&message);
-        let len = content.len() + SEAL;
-        let tokens = if answers { &mut self.answers } else { &mut self.bytes };
-        let rest = if outgoing.probe == Probe::None { FOR_PROBES } else { 0.0 };
-        if len > LONGEST || !tokens.take_leaving(now, len as f64, rest) {
+        let len = content.len() + SEAL_BYTES;
+        let tokens = if answers { &mut self.answer_tokens } else { &mut self.gossip_tokens };
+        let reserve = if outgoing.probe == Probe::None { PROBE_RESERVE } else { 0.0 };
+        if len > MAX_DATAGRAM || !tokens.take_leaving(now, len as f64, reserve) {
             self.held_back += 1;
             return None;
         }
@@ -259,14 +265,16 @@
     }
 
     /// A datagram has come; what is to go back.
-    pub fn heard(&mut self, now: Micros, wall_ms: u64, from: SocketAddr, bytes: &[u8]) -> Vec<Datagram> {
+    pub fn receive(&mut self, now: Micros, wall_ms: u64, from: SocketAddr, bytes: &[u8]) -> Vec<Datagram> {
         match self.take(now, wall_ms, from, bytes) {
             Ok((sends, newcomer)) => {
-                let mut out: Vec<Datagram> =
-                    sends.into_iter().filter_map(|send| self.send(now, wall_ms, send, Why::Answer)).collect();
+                let mut out: Vec<Datagram> = sends
+                    .into_iter()
+                    .filter_map(|send| self.send(now, wall_ms, send, Purpose::Answer))
+                    .collect();
                 // One that was not known is told of others at once: it would meet them one by one.
                 let welcome = newcomer.map(|to| Outgoing { to, probe: Probe::None });
-                out.extend(welcome.and_then(|send| self.send(now, wall_ms, send, Why::Welcome)));
+                out.extend(welcome.and_then(|send| self.send(now, wall_ms, send, Purpose::Welcome)));
                 out
             }
             Err(why) => {
@@ -310,11 +318,11 @@
             let Some(report) = message::read::<Report>(&signed.report) else { continue };
             // Guards against the cost of what is known already, which is most of what comes.
             if report.reporter == self.own.id
-                || !self.evidence.is_later(report.reporter, report.life, report.version)
+                || !self.evidence.is_later(report.reporter, report.started_ms, report.version)
             {
                 continue;
             }
-            match self.peers.read(now, from.ip(), &signed) {
+            match self.peers.verify_report(now, from.ip(), &signed) {
                 Ok(report) => {
                     let age = self.peers.age(report.reporter, wall_ms, report.created_ms);
                     if let Some(age) = age {
@@ -328,11 +336,11 @@
     }
 }
 
-/// Why a datagram is sent: it bounds what it may carry, and which tokens it takes.
+/// Why a datagram is sent: it bounds what the datagram may carry, and which tokens it takes.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Why {
+enum Purpose {
     Gossip,
     Answer,
-    /// To one that was not known before.
+    /// To a front that was not known before.
     Welcome,
 }
--- a/crates/gossip/src/node/load.rs
+++ b/crates/gossip/src/node/load.rs
@@ -18,18 +18,19 @@
     /// Reports the load offered to this front, where a report is due and would count. `offered` is called
     /// only then.
     pub fn report_load(&mut self, now: Micros, wall_ms: u64, offered: impl FnOnce() -> Vec<OfferedLoad>) {
-        let Some(reports) = self.load_reports.as_mut().filter(|_| now - self.load_reported >= REPORT_EVERY)
+        let Some(reports) =
+            self.load_reports.as_mut().filter(|_| now - self.load_reported_at >= REPORT_EVERY)
         else {
             return;
         };
         reports.expire(now);
         let version = self.load_version + 1;
-        if !reports.is_later(self.own.id, self.own.life, version) {
+        if !reports.is_later(self.own.id, self.own.started_ms, version) {
             return;
         }
-        (self.load_reported, self.load_version) = (now, version);
-        let (reporter, life) = (self.own.id, self.own.life);
-        let report = LoadReport { reporter, life, version, created_ms: wall_ms, offered: offered() };
+        (self.load_reported_at, self.load_version) = (now, version);
+        let (reporter, started_ms) = (self.own.id, self.own.started_ms);
+        let report = LoadReport { reporter, started_ms, version, created_ms: wall_ms, offered: offered() };
         let signed = self.own.sign_load_report(&report);
         reports.merge(now, report, signed, 0);
     }
@@ -53,7 +54,7 @@
         wall_ms: u64,
         to: SocketAddr,
     ) -> Option<Datagram> {
-        let budget = MAX_PAYLOAD - 8; // the count of them
+        let budget = MAX_PAYLOAD - COUNT_BYTES;
         let reports = self.load_reports.as_mut()?.pass_on(now, budget);
         (!reports.is_empty())
             .then(|| message::bytes(&reports))
@@ -73,11 +74,11 @@
             };
             // Guards against the cost of what is known already, which is most of what comes.
             if report.reporter == self.own.id
-                || !reports.is_later(report.reporter, report.life, report.version)
+                || !reports.is_later(report.reporter, report.started_ms, report.version)
             {
                 continue;
             }
-            match self.peers.holds(now, from, report.reporter, &signed) {
+            match self.peers.verify_load_report(now, from, report.reporter, &signed) {
                 Ok(()) => {
                     let age = self.peers.age(report.reporter, wall_ms, report.created_ms);
                     age.into_iter()
--- a/crates/gossip/src/seal.rs
+++ b/crates/gossip/src/seal.rs
@@ -1,8 +1,8 @@
 //! Whose word it is: datagrams and reports are signed by their senders and reporters, and what comes is
 //! believed only if its key is known, it is not a replay, and there is a token left to look at its signature.
 
-mod heard;
-mod tokens;
+mod peer;
+mod token_bucket;
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -11,54 +11,55 @@
 use ed25519_dalek::{Signature, Signer, SigningKey, VerifyingKey};
 
 use crate::load_reports::LoadReport;
-use crate::message::{self, Report, Signed, LONGEST};
+use crate::message::{self, Report, Signed, MAX_DATAGRAM};
 use crate::{Micros, PeerId};
 
-use heard::Peer;
-pub use tokens::Tokens;
+use peer::Peer;
+pub use token_bucket::TokenBucket;
 
-const HEAD: usize = 8 + 8 + 4 + 8; // bytes: sender, life, number, milliseconds of the sender's clock
-const SIGNATURE: usize = 64;
+const HEADER_BYTES: usize = 8 + 8 + 4 + 8; // sender, its start, number, milliseconds of the sender's clock
+const SIGNATURE_BYTES: usize = 64;
 /// Bytes that sealing adds to a message.
-pub const SEAL: usize = HEAD + SIGNATURE;
-const VERIFIED_A_SECOND: f64 = 1_000.0; // signatures looked at; each takes some 50 microseconds
-const FROM_ONE: f64 = 100.0; // of which from one address that has not proved to be a front's
-const PROVEN_A_SECOND: f64 = 4_000.0; // signatures that held: a fifth of a core
-const MOST_SOURCES: usize = 1_024; // addresses that are counted; others share one count
+pub const SEAL_BYTES: usize = HEADER_BYTES + SIGNATURE_BYTES;
+const VERIFICATIONS_A_SECOND: f64 = 1_000.0; // signatures looked at; each takes some 50 microseconds
+const VERIFICATIONS_A_SOURCE: f64 = 100.0; // of which from one address that has not proved to be a front's
+const VALID_A_SECOND: f64 = 4_000.0; // signatures that held: a fifth of a core
+const MAX_SOURCES: usize = 1_024; // addresses that are counted; others share one count
 
 /// A front's own key pair.
-pub struct Own {
+pub struct Identity {
     key: SigningKey,
     pub id: PeerId,
-    /// Unix milliseconds when this life began, and how many datagrams it has sent.
-    pub life: u64,
+    /// Unix milliseconds when this run of the front began.
+    pub started_ms: u64,
+    /// Datagrams sent in this run; the number of the latest.
     sent: u32,
 }
 
 /// The id that goes with a public key.
-pub fn id(key: &[u8; 32]) -> PeerId {
+pub fn peer_id(key: &[u8; 32]) -> PeerId {
     let mut first = [0; 8];
     first.copy_from_slice(&key[..8]);
     PeerId::from_be_bytes(first)
 }
 
-impl Own {
-    pub fn new(secret: &[u8; 32], life: u64) -> Own {
+impl Identity {
+    pub fn new(secret: &[u8; 32], started_ms: u64) -> Identity {
         let key = SigningKey::from_bytes(secret);
-        let id = id(key.verifying_key().as_bytes());
-        Own { key, id, life, sent: 0 }
+        let id = peer_id(key.verifying_key().as_bytes());
+        Identity { key, id, started_ms, sent: 0 }
     }
 
-    pub fn public(&self) -> [u8; 32] {
+    pub fn public_key(&self) -> [u8; 32] {
         self.key.verifying_key().to_bytes()
     }
 
     /// A message as it leaves; `wall_ms` is the Unix clock.
     pub fn seal(&mut self, wall_ms: u64, content: &[u8]) -> Vec<u8> {
         self.sent += 1;
-        let mut out = Vec::with_capacity(SEAL + content.len());
+        let mut out = Vec::with_capacity(SEAL_BYTES + content.len());
         out.extend_from_slice(&self.id.to_be_bytes());
-        out.extend_from_slice(&self.life.to_be_bytes());
+        out.extend_from_slice(&self.started_ms.to_be_bytes());
         out.extend_from_slice(&self.sent.to_be_bytes());
         out.extend_from_slice(&wall_ms.to_be_bytes());
         out.extend_from_slice(content);
@@ -69,25 +70,25 @@
 
     /// A report with the signature over its bytes.
     pub fn sign(&self, report: &Report) -> Signed {
-        self.sign_as(REPORT, message::bytes(report))
+        self.sign_as(REPORT_CONTEXT, message::bytes(report))
     }
 
     /// A load report with the signature over its bytes.
     pub fn sign_load_report(&self, report: &LoadReport) -> Signed {
-        self.sign_as(LOAD_REPORT, message::bytes(report))
+        self.sign_as(LOAD_REPORT_CONTEXT, message::bytes(report))
     }
 
-    fn sign_as(&self, mark: &[u8], report: Vec<u8>) -> Signed {
+    fn sign_as(&self, context: &[u8], report: Vec<u8>) -> Signed {
         // Guards against a report that passes for a datagram: what is signed says which it is.
-        let signature = self.key.sign(&[mark, &report].concat()).to_bytes().to_vec();
+        let signature = self.key.sign(&[context, &report].concat()).to_bytes().to_vec();
         Signed { report, signature }
     }
 }
 
-const REPORT: &[u8] = b"hallmux report\0";
-const LOAD_REPORT: &[u8] = b"hallmux share\0";
+const REPORT_CONTEXT: &[u8] = b"hallmux report\0";
+const LOAD_REPORT_CONTEXT: &[u8] = b"hallmux share\0";
 
-/// Why a datagram or report counts for nothing.
+/// Why a datagram or report was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Refused {
     /// Too long, too short, or no message.
@@ -95,7 +96,7 @@
     /// Nobody's whose key is known, or its signature does not hold.
     Stranger,
     Forged,
-    /// Known already, or of an earlier life.
+    /// Received before, or of an earlier run of its sender.
     Replay,
     /// Too long under way.
     Old,
@@ -110,7 +111,7 @@
 impl Keys {
     /// One that is no key is left out.
     pub fn new(keys: &[[u8; 32]]) -> Rc<Keys> {
-        let known = |bytes: &[u8; 32]| Some((id(bytes), VerifyingKey::from_bytes(bytes).ok()?));
+        let known = |bytes: &[u8; 32]| Some((peer_id(bytes), VerifyingKey::from_bytes(bytes).ok()?));
         Rc::new(Keys(keys.iter().filter_map(known).collect()))
     }
 }
@@ -119,10 +120,10 @@
 pub struct Peers {
     keys: Rc<Keys>,
     peers: HashMap<PeerId, Peer>,
-    all: Tokens,
-    sources: HashMap<IpAddr, Tokens>,
-    others: Tokens,
-    proven: Tokens,
+    all: TokenBucket,
+    sources: HashMap<IpAddr, TokenBucket>,
+    others: TokenBucket,
+    proven: TokenBucket,
 }
 
 /// A datagram that counts.
@@ -137,15 +138,15 @@
         Peers {
             keys,
             peers: HashMap::new(),
-            all: Tokens::new(VERIFIED_A_SECOND),
+            all: TokenBucket::new(VERIFICATIONS_A_SECOND),
             sources: HashMap::new(),
-            others: Tokens::new(FROM_ONE),
-            proven: Tokens::new(PROVEN_A_SECOND),
+            others: TokenBucket::new(VERIFICATIONS_A_SOURCE),
+            proven: TokenBucket::new(VALID_A_SECOND),
         }
     }
 
     /// These keys count from now on; what is known of those that stay is kept.
-    pub fn keys(&mut self, keys: Rc<Keys>) {
+    pub fn set_keys(&mut self, keys: Rc<Keys>) {
         self.peers.retain(|id, _| keys.0.get(id) == self.keys.0.get(id));
         self.keys = keys;
     }
@@ -171,46 +172,46 @@
         from: IpAddr,
         datagram: &'a [u8],
     ) -> Result<Opened<'a>, Refused> {
-        if datagram.len() > LONGEST || datagram.len() < SEAL {
+        if datagram.len() > MAX_DATAGRAM || datagram.len() < SEAL_BYTES {
             return Err(Refused::Form);
         }
-        let word = |at: usize| {
+        let u64_at = |at: usize| {
             let mut bytes = [0; 8];
             bytes.copy_from_slice(&datagram[at..at + 8]);
             u64::from_be_bytes(bytes)
         };
-        let (sender, life) = (word(0), word(8));
-        let number = (word(16) >> 32) as u32;
-        let sent_ms = word(20);
+        let (sender, started_ms) = (u64_at(0), u64_at(8));
+        let number = (u64_at(16) >> 32) as u32;
+        let sent_ms = u64_at(20);
         let key = *self.keys.0.get(&sender).ok_or(Refused::Stranger)?;
         // The cheap questions first, so that a flood of what can't be costs no signatures.
         let delay = (wall_ms as i64).wrapping_sub(sent_ms as i64);
-        self.peers.get(&sender).unwrap_or(&Peer::UNHEARD).fits(now, life, number, delay)?;
+        self.peers.get(&sender).unwrap_or(&Peer::UNKNOWN).check(now, started_ms, number, delay)?;
         self.may_verify(now, from)?;
-        let (signed, signature) = datagram.split_at(datagram.len() - SIGNATURE);
+        let (signed, signature) = datagram.split_at(datagram.len() - SIGNATURE_BYTES);
         let signature = Signature::from_slice(signature).map_err(|_| Refused::Form)?;
         key.verify_strict(signed, &signature).map_err(|_| Refused::Forged)?;
-        self.held(now, from)?;
-        self.peers.entry(sender).or_insert(Peer::UNHEARD).takes(now, life, number, delay);
-        Ok(Opened { sender, content: &signed[HEAD..] })
+        self.count_valid(now, from)?;
+        self.peers.entry(sender).or_insert(Peer::UNKNOWN).record(now, started_ms, number, delay);
+        Ok(Opened { sender, content: &signed[HEADER_BYTES..] })
     }
 
     /// Reads a report, if its reporter's signature holds.
-    pub fn read(&mut self, now: Micros, from: IpAddr, signed: &Signed) -> Result<Report, Refused> {
+    pub fn verify_report(&mut self, now: Micros, from: IpAddr, signed: &Signed) -> Result<Report, Refused> {
         let report: Report = message::read(&signed.report).ok_or(Refused::Form)?;
-        self.verify(now, from, report.reporter, REPORT, signed)?;
+        self.verify(now, from, report.reporter, REPORT_CONTEXT, signed)?;
         Ok(report)
     }
 
     /// Whether a load report carries the signature of its reporter.
-    pub fn holds(
+    pub fn verify_load_report(
         &mut self,
         now: Micros,
         from: IpAddr,
         reporter: PeerId,
         signed: &Signed,
     ) -> Result<(), Refused> {
-        self.verify(now, from, reporter, LOAD_REPORT, signed)
+        self.verify(now, from, reporter, LOAD_REPORT_CONTEXT, signed)
     }
 
     fn verify(
@@ -218,19 +219,19 @@
         now: Micros,
         from: IpAddr,
         reporter: PeerId,
-        mark: &[u8],
+        context: &[u8],
         signed: &Signed,
     ) -> Result<(), Refused> {
         let key = *self.keys.0.get(&reporter).ok_or(Refused::Stranger)?;
         self.may_verify(now, from)?;
         let signature = Signature::from_slice(&signed.signature).map_err(|_| Refused::Form)?;
-        key.verify_strict(&[mark, &signed.report].concat(), &signature).map_err(|_| Refused::Forged)
+        key.verify_strict(&[context, &signed.report].concat(), &signature).map_err(|_| Refused::Forged)
     }
 
     fn may_verify(&mut self, now: Micros, from: IpAddr) -> Result<(), Refused> {
-        let known = self.sources.contains_key(&from) || self.sources.len() < MOST_SOURCES;
+        let known = self.sources.contains_key(&from) || self.sources.len() < MAX_SOURCES;
         let source = match known {
-            true => self.sources.entry(from).or_insert_with(|| Tokens::new(FROM_ONE)),
+            true => self.sources.entry(from).or_insert_with(|| TokenBucket::new(VERIFICATIONS_A_SOURCE)),
             false => &mut self.others,
         };
         let may = source.take(now, 1.0) && self.all.take(now, 1.0);
@@ -239,10 +240,10 @@
 
     /// A signature held: it counts among those of fronts, and no longer among those of whoever sends from
     /// there.
-    fn held(&mut self, now: Micros, from: IpAddr) -> Result<(), Refused> {
+    fn count_valid(&mut self, now: Micros, from: IpAddr) -> Result<(), Refused> {
         let source = self.sources.get_mut(&from).unwrap_or(&mut self.others);
-        source.give_back(1.0);
-        self.all.give_back(1.0);
+        source.refund(1.0);
+        self.all.refund(1.0);
         self.proven.take(now, 1.0).then_some(()).ok_or(Refused::Flood)
     }
 
--- a/crates/gossip/src/seal/tokens.rs
+++ b/crates/gossip/src/seal/token_bucket.rs
@@ -1,18 +1,18 @@
-//! Tokens: what may be done in a second.
+//! TokenBucket: what may be done in a second.
 
 use crate::Micros;
 
-/// Tokens that come at a rate, up to a second's worth.
+/// TokenBucket that come at a rate, up to a second's worth.
 #[derive(Clone, Copy)]
-pub struct Tokens {
+pub struct TokenBucket {
     left: f64,
     rate: f64,
     at: Micros,
 }
 
-impl Tokens {
-    pub fn new(rate: f64) -> Tokens {
-        Tokens { left: rate, rate, at: 0 }
+impl TokenBucket {
+    pub fn new(rate: f64) -> TokenBucket {
+        TokenBucket { left: rate, rate, at: 0 }
     }
 
     pub fn take(&mut self, now: Micros, count: f64) -> bool {
@@ -29,7 +29,7 @@
     }
 
     /// What was taken is not counted after all.
-    pub fn give_back(&mut self, count: f64) {
+    pub fn refund(&mut self, count: f64) {
         self.left = (self.left + count).min(self.rate);
     }
 }
--- a/crates/gossip/src/seal_tests.rs
+++ b/crates/gossip/src/seal_tests.rs
@@ -1,14 +1,14 @@
 //! Unit tests of the `seal` module.
 
-use super::heard::TIME_WINDOW;
+use super::peer::TIME_WINDOW;
 use super::*;
 
 const FROM: IpAddr = IpAddr::V4(std::net::Ipv4Addr::LOCALHOST);
 const WALL: u64 = 1_800_000_000_000;
 
-fn pair() -> (Own, Peers) {
-    let own = Own::new(&[7; 32], WALL - 1000);
-    let peers = Peers::new(Keys::new(&[own.public()]));
+fn pair() -> (Identity, Peers) {
+    let own = Identity::new(&[7; 32], WALL - 1000);
+    let peers = Peers::new(Keys::new(&[own.public_key()]));
     (own, peers)
 }
 
@@ -25,7 +25,7 @@
     let opened = peers.open(now, WALL, FROM, &sealed).unwrap();
     assert_eq!((opened.sender, opened.content), (own.id, &b"news"[..]));
     assert_eq!(peers.open(now, WALL, FROM, &sealed), Err(Refused::Replay));
-    assert_eq!(peers.open(now, WALL, FROM, &sealed[..SEAL - 1]), Err(Refused::Form));
+    assert_eq!(peers.open(now, WALL, FROM, &sealed[..SEAL_BYTES - 1]), Err(Refused::Form));
     assert_eq!(Peers::new(Keys::new(&[])).open(now, WALL, FROM, &sealed), Err(Refused::Stranger));
 }
 
@@ -55,7 +55,7 @@
     assert_eq!(peers.open(later, wall, FROM, &first), Err(Refused::Replay));
     assert_eq!(peers.open(later, wall, FROM, &second), Err(Refused::Old));
     // Nor to one that has never heard of it.
-    let mut fresh = Peers::new(Keys::new(&[own.public()]));
+    let mut fresh = Peers::new(Keys::new(&[own.public_key()]));
     assert_eq!(fresh.open(later, wall, FROM, &first), Err(Refused::Old));
 }
 
@@ -78,9 +78,9 @@
 fn a_new_life_goes_before_the_old_and_an_older_counts_once_the_newer_is_forgotten() {
     let (mut own, mut peers) = pair();
     assert!(peers.open(0, WALL, FROM, &own.seal(WALL, b"x")).is_ok());
-    let mut older = Own::new(&[7; 32], WALL - 500_000);
+    let mut older = Identity::new(&[7; 32], WALL - 500_000);
     assert_eq!(peers.open(1_000_000, WALL, FROM, &older.seal(WALL, b"x")), Err(Refused::Replay));
-    let mut newer = Own::new(&[7; 32], WALL);
+    let mut newer = Identity::new(&[7; 32], WALL);
     assert!(peers.open(2_000_000, WALL, FROM, &newer.seal(WALL, b"x")).is_ok());
     assert_eq!(peers.open(3_000_000, WALL, FROM, &own.seal(WALL, b"x")), Err(Refused::Replay));
     let silent = 2_000_000 + TIME_WINDOW + 1;
@@ -94,12 +94,12 @@
     let mut refused: HashMap<Refused, usize> = HashMap::new();
     for n in 0..20_000u32 {
         let mut forged = own.seal(WALL, b"x");
-        forged[HEAD] ^= 1;
+        forged[HEADER_BYTES] ^= 1;
         let now = Micros::from(n) * 50; // a second in all
         let why = peers.open(now, WALL, FROM, &forged).unwrap_err();
         *refused.entry(why).or_default() += 1;
     }
-    assert!(refused[&Refused::Forged] <= 2 * FROM_ONE as usize, "{refused:?}");
+    assert!(refused[&Refused::Forged] <= 2 * VERIFICATIONS_A_SOURCE as usize, "{refused:?}");
     // Those of others still count meanwhile.
     let other = IpAddr::V4(std::net::Ipv4Addr::new(127, 0, 0, 2));
     assert!(peers.open(1_000_000, WALL, other, &own.seal(WALL, b"x")).is_ok());
@@ -113,12 +113,12 @@
         let sealed = own.seal(WALL, b"x");
         opened += usize::from(peers.open(Micros::from(n) * 10, WALL, FROM, &sealed).is_ok());
     }
-    let most = PROVEN_A_SECOND as usize;
+    let most = VALID_A_SECOND as usize;
     assert!((most..most + most / 10).contains(&opened), "{opened}");
     let mut forged = own.seal(WALL, b"x");
-    forged[HEAD] ^= 1;
+    forged[HEADER_BYTES] ^= 1;
     let looked = (0..1_000).filter(|_| peers.open(60_000, WALL, FROM, &forged) == Err(Refused::Forged));
-    assert!(looked.count() <= FROM_ONE as usize);
+    assert!(looked.count() <= VERIFICATIONS_A_SOURCE as usize);
 }
 
 #[test]
@@ -126,19 +126,19 @@
     let (own, mut peers) = pair();
     let report = Report {
         reporter: own.id,
-        life: own.life,
+        started_ms: own.started_ms,
         version: 1,
         created_ms: WALL,
         sightings: Vec::new(),
         work: Default::default(),
     };
     let signed = own.sign(&report);
-    assert_eq!(peers.read(0, FROM, &signed), Ok(report.clone()));
-    let other = Own::new(&[8; 32], 1);
+    assert_eq!(peers.verify_report(0, FROM, &signed), Ok(report.clone()));
+    let other = Identity::new(&[8; 32], 1);
     // A liar whose key is good can't speak for another.
-    let mut both = Peers::new(Keys::new(&[own.public(), other.public()]));
-    assert_eq!(both.read(0, FROM, &other.sign(&report)), Err(Refused::Forged));
+    let mut both = Peers::new(Keys::new(&[own.public_key(), other.public_key()]));
+    assert_eq!(both.verify_report(0, FROM, &other.sign(&report)), Err(Refused::Forged));
     let mut spoilt = signed.clone();
     spoilt.report[9] ^= 1;
-    assert!(peers.read(0, FROM, &spoilt).is_err());
+    assert!(peers.verify_report(0, FROM, &spoilt).is_err());
 }
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -4,7 +4,7 @@
 
 use hallmux_gossip::members::FleetSize;
 use hallmux_gossip::message::{self, Health, Probe, Rumour, Sighting};
-use hallmux_gossip::seal::{Own, Refused};
+use hallmux_gossip::seal::{Identity, Refused};
 use hallmux_gossip::{Micros, PeerId};
 
 #[path = "fleet/sim.rs"]
@@ -25,11 +25,11 @@
     for n in 0..20 {
         assert_eq!(fleet.health(n, Health::Alive) + fleet.health(n, Health::Suspect), 19, "{n}");
     }
-    fleet.sees(7, sullen(77));
+    fleet.report_sightings(7, sullen(77));
     fleet.run(13 * SECOND);
     assert_eq!(fleet.heard_of(77).len(), 19);
     // It fades once its reporter no longer says so.
-    fleet.sees(7, Vec::new());
+    fleet.report_sightings(7, Vec::new());
     fleet.run(22 * SECOND);
     assert_eq!(fleet.heard_of(77).len(), 0);
 }
@@ -54,11 +54,11 @@
     for n in (0..12).filter(|n| *n != 5) {
         assert_eq!(fleet.health(n, Health::Dead), 0, "{n}");
     }
-    // Its clock was set back by an hour meanwhile, and is right again: its life has an older name.
+    // Its clock was set back by an hour meanwhile, and is right again: its new run has an earlier start.
     fleet.start(5, 12, 3_600_000);
     fleet.run(60 * SECOND);
     assert_eq!(fleet.health(5, Health::Alive), 11);
-    fleet.sees(5, sullen(5));
+    fleet.report_sightings(5, sullen(5));
     fleet.run(63 * SECOND);
     assert_eq!(fleet.heard_of(5).len(), 11);
 }
@@ -72,7 +72,7 @@
     }
     fleet.run(45 * SECOND);
     assert_eq!(fleet.health(9, Health::Alive), 4);
-    fleet.sees(9, sullen(9));
+    fleet.report_sightings(9, sullen(9));
     fleet.run(48 * SECOND);
     assert_eq!(fleet.heard_of(9).len(), 4);
     fleet.cut.clear();
@@ -80,7 +80,7 @@
     for n in 0..10 {
         assert_eq!(fleet.health(n, Health::Alive), 9, "{n}");
     }
-    fleet.sees(9, sullen(10));
+    fleet.report_sightings(9, sullen(10));
     fleet.run(78 * SECOND);
     assert_eq!(fleet.heard_of(10).len(), 9);
 }
@@ -98,11 +98,11 @@
 }
 
 /// What a datagram of this key holds that says a lie of an engine in the name of a reporter.
-fn lie(liar: &mut Own, reporter: PeerId, wall: u64, engine: u64) -> Vec<u8> {
-    let life = wall - 1;
+fn lie(liar: &mut Identity, reporter: PeerId, wall: u64, engine: u64) -> Vec<u8> {
+    let started_ms = wall - 1;
     let report = message::Report {
         reporter,
-        life,
+        started_ms,
         version: 9,
         created_ms: wall,
         sightings: sullen(engine),
@@ -124,10 +124,11 @@
     let mut fleet = Fleet::new(6, 5);
     fleet.run(8 * SECOND);
     let before: Vec<_> = (0..6).map(|n| fleet.nodes[n].as_ref().unwrap().peer_reports(fleet.now)).collect();
-    let (mut stranger, mut liar) = (Own::new(&secret(999), WALL), Own::new(&secret(4), WALL + 8_001));
+    let (mut stranger, mut liar) =
+        (Identity::new(&secret(999), WALL), Identity::new(&secret(4), WALL + 8_001));
     let wall = fleet.wall(0);
     for to in 0..6 {
-        let forged = lie(&mut stranger, fleet.id(2), wall, 8);
+        let forged = lie(&mut stranger, fleet.peer_id(2), wall, 8);
         fleet.deliver(5, to, 1, forged);
     }
     fleet.run(9 * SECOND);
@@ -136,7 +137,7 @@
     assert!((0..6).all(|n| fleet.nodes[n].as_ref().unwrap().refused[&Refused::Stranger] == 1));
     // A good key: in another's name it is refused, in its own it counts as one voice.
     let wall = fleet.wall(0);
-    let (other, own) = (fleet.id(2), fleet.id(4));
+    let (other, own) = (fleet.peer_id(2), fleet.peer_id(4));
     let forged = lie(&mut liar, other, wall, 8);
     fleet.deliver(4, 0, 1, forged);
     let told = lie(&mut liar, own, wall, 9);
@@ -151,11 +152,11 @@
 fn what_is_replayed_a_minute_later_counts_for_nothing() {
     let mut fleet = Fleet::new(5, 6);
     fleet.run(5 * SECOND);
-    fleet.sees(1, sullen(3));
+    fleet.report_sightings(1, sullen(3));
     fleet.captures = true;
     fleet.run(6 * SECOND);
     fleet.captures = false;
-    fleet.sees(1, Vec::new());
+    fleet.report_sightings(1, Vec::new());
     fleet.run(70 * SECOND);
     assert!(fleet.heard_of(3).is_empty());
     let all = std::mem::take(&mut fleet.captured);
@@ -179,7 +180,7 @@
     }
     fleet.run(8 * SECOND);
     for n in 0..6 {
-        fleet.sees(n, sullen(n as u64));
+        fleet.report_sightings(n, sullen(n as u64));
         let created = fleet.now;
         fleet.run(created + 2 * SECOND);
         let heard = fleet.heard_of(n as u64);
@@ -189,7 +190,7 @@
             let age = news.iter().find(|x| x.sighting.engine == n as u64).unwrap().age;
             assert!((age - (fleet.now - created)).abs() < 100_000, "{to} of {n}: {age}");
         }
-        fleet.sees(n, Vec::new());
+        fleet.report_sightings(n, Vec::new());
     }
 }
 
@@ -200,7 +201,7 @@
     let calm = fleet.sent();
     fleet.run(18 * SECOND);
     let each: Vec<u64> = fleet.sent().iter().zip(&calm).map(|(after, before)| after - before).collect();
-    let mut loud = Own::new(&secret(7), WALL + 20_000);
+    let mut loud = Identity::new(&secret(7), WALL + 20_000);
     fleet.nodes[7] = None;
     let before = fleet.sent();
     for n in 0..4_000 {
@@ -214,7 +215,7 @@
         let bytes = loud.seal(wall, &message::bytes(&message));
         fleet.deliver(7, n as usize % 7, Micros::from(n) * 2_500, bytes);
     }
-    fleet.sees(2, sullen(2));
+    fleet.report_sightings(2, sullen(2));
     fleet.run(21 * SECOND);
     assert_eq!(fleet.heard_of(2).len(), 6);
     fleet.run(28 * SECOND);
@@ -226,9 +227,9 @@
 fn a_liar_can_not_talk_a_member_dead_for_long() {
     let mut fleet = Fleet::new(6, 9);
     fleet.run(8 * SECOND);
-    let mut liar = Own::new(&secret(4), WALL + 8_001);
+    let mut liar = Identity::new(&secret(4), WALL + 8_001);
     let wall = fleet.wall(0);
-    let victim = fleet.id(2);
+    let victim = fleet.peer_id(2);
     for incarnation in [WALL + 1, WALL + 1_000_000, u64::MAX] {
         let rumour = Rumour { member: victim, address: at(2), incarnation, health: Health::Dead };
         let message = message::Message {
@@ -253,8 +254,8 @@
         let mut fleet = Fleet::new(count, 10);
         fleet.run(8 * SECOND);
         let before: u64 = fleet.sent().iter().sum();
-        fleet.sees(1, sullen(4));
-        fleet.sees(2, sullen(4));
+        fleet.report_sightings(1, sullen(4));
+        fleet.report_sightings(2, sullen(4));
         fleet.run(20 * SECOND);
         (fleet.sent().iter().sum::<u64>() - before) as f64 / 12.0 / count as f64
     };
--- a/crates/gossip/tests/fleet/sim.rs
+++ b/crates/gossip/tests/fleet/sim.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 
 use hallmux_gossip::message::{Health, Sighting};
-use hallmux_gossip::node::{Datagram, Node, Start};
-use hallmux_gossip::seal::{Keys, Own};
+use hallmux_gossip::node::{Datagram, Node, NodeConfig};
+use hallmux_gossip::seal::{Identity, Keys};
 use hallmux_gossip::{Micros, PeerId};
 
 pub const SECOND: Micros = 1_000_000;
@@ -51,7 +51,7 @@
 }
 
 pub fn keys(count: usize) -> Rc<Keys> {
-    Keys::new(&(0..count).map(|n| Own::new(&secret(n), 0).public()).collect::<Vec<_>>())
+    Keys::new(&(0..count).map(|n| Identity::new(&secret(n), 0).public_key()).collect::<Vec<_>>())
 }
 
 pub fn draw(seed: &mut u64) -> u64 {
@@ -96,7 +96,7 @@
         let drawn: Vec<SocketAddr> =
             (0..self.seeds).map(|_| at((draw(&mut self.seed) % count as u64) as usize)).collect();
         let seeds = if drawn.is_empty() { vec![at(0), at(1)] } else { drawn };
-        let start = Start { secret: secret(n), keys: self.keys.clone(), address: at(n), seeds };
+        let start = NodeConfig { secret: secret(n), keys: self.keys.clone(), address: at(n), seeds };
         self.nodes[n] = Some(Node::new(start, self.wall(n) - behind));
     }
 
@@ -134,7 +134,7 @@
                 let bytes = std::mem::take(&mut self.bytes[number as usize]);
                 let (now, wall) = (self.now, self.wall(to));
                 if let Some(node) = &mut self.nodes[to] {
-                    let back = node.heard(now, wall, at(from), &bytes);
+                    let back = node.receive(now, wall, at(from), &bytes);
                     self.send(to, back);
                 }
             }
@@ -149,13 +149,13 @@
         }
     }
 
-    pub fn id(&self, n: usize) -> PeerId {
-        Own::new(&secret(n), 0).id
+    pub fn peer_id(&self, n: usize) -> PeerId {
+        Identity::new(&secret(n), 0).id
     }
 
-    pub fn sees(&mut self, n: usize, sightings: Vec<Sighting>) {
+    pub fn report_sightings(&mut self, n: usize, sightings: Vec<Sighting>) {
         let (now, wall) = (self.now, self.wall(n));
-        self.nodes[n].as_mut().unwrap().sees(now, wall, sightings);
+        self.nodes[n].as_mut().unwrap().report_sightings(now, wall, sightings);
     }
 
     /// Who has heard of this engine, and from whom.
@@ -170,7 +170,7 @@
 
     /// How many of those that run take this one to be so.
     pub fn health(&self, of: usize, health: Health) -> usize {
-        let id = self.id(of);
+        let id = self.peer_id(of);
         self.nodes.iter().flatten().filter(|node| node.members().health(id) == Some(health)).count()
     }
 
--- a/crates/lab/src/hard/engines.rs
+++ b/crates/lab/src/hard/engines.rs
@@ -156,7 +156,7 @@
     let secret = |n: usize| [n as u8 + 1; 32];
     // Two that know each other, and a third that both do not know.
     let keys: Vec<String> =
-        (0..2).map(|n| hex(&hallmux_gossip::seal::Own::new(&secret(n), 0).public())).collect();
+        (0..2).map(|n| hex(&hallmux_gossip::seal::Identity::new(&secret(n), 0).public_key())).collect();
     let known = format!("peers: {{ one: '{}', two: '{}' }}", keys[0], keys[1]);
     let mut seeds = String::new();
     let mut stages = Vec::new();
--- a/crates/lab/src/measure/gossip.rs
+++ b/crates/lab/src/measure/gossip.rs
@@ -31,8 +31,10 @@
             let reporter = size / (round + 2);
             let engine = 1000 + round as u64;
             let at = fleet.now;
-            fleet
-                .sees(reporter, vec![Sighting { engine, failed: 9, silent_ms: 3000, ..Sighting::default() }]);
+            fleet.report_sightings(
+                reporter,
+                vec![Sighting { engine, failed: 9, silent_ms: 3000, ..Sighting::default() }],
+            );
             let mut heard = 0;
             while heard < size - 1 && fleet.now < at + 8 * SECOND {
                 fleet.run(fleet.now + LOOK);
@@ -44,7 +46,7 @@
             if heard == size - 1 {
                 all.push((fleet.now - at) / 1000);
             }
-            fleet.sees(reporter, Vec::new());
+            fleet.report_sightings(reporter, Vec::new());
             fleet.run(at + 8 * SECOND);
         }
         let seconds = (fleet.now - since) as f64 / 1e6;
--- a/crates/lab/src/rig/member.rs
+++ b/crates/lab/src/rig/member.rs
@@ -227,7 +227,7 @@
         for n in 0..shape.fronts {
             let secret: [u8; 32] = chance.random();
             std::fs::write(folder.join(format!("secret{n}")), hex(&secret))?;
-            let public = hallmux_gossip::seal::Own::new(&secret, 0).public();
+            let public = hallmux_gossip::seal::Identity::new(&secret, 0).public_key();
             peers.push(format!("f{n}: '{}'", hex(&public)));
         }
         let copies = shape.copies.map(|copies| (copies, shape.zones));
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -5,8 +5,8 @@
 use hallmux_dispatcher::{Dispatcher, Ending, Listing, Mode, Order, Speech};
 use hallmux_fleet::gate::Guard;
 use hallmux_fleet::{Exchange, Ownership};
-use hallmux_gossip::node::Start;
-use hallmux_gossip::seal::{id, Own};
+use hallmux_gossip::node::NodeConfig;
+use hallmux_gossip::seal::{peer_id, Identity};
 use hallmux_lease::Terms;
 use rand::Rng;
 
@@ -25,14 +25,15 @@
         let exchange = self.scenario.fleet.gossip.then(|| {
             let fronts = self.scenario.fleet.fronts;
             let seeds = (0..MOST_SEEDS).map(|_| address(self.chance.random_range(0..fronts))).collect();
-            let start = Start { secret: secret(n), keys: self.keys.clone(), address: address(n), seeds };
+            let start = NodeConfig { secret: secret(n), keys: self.keys.clone(), address: address(n), seeds };
             let mut exchange = Exchange::new(start, at.wall_ms);
             if self.scenario.fleet.sheds_as_one {
                 exchange.enable_load_reports();
             }
             if let Some(voters) = self.scenario.fleet.voters {
-                let voters =
-                    (0..voters).map(|n| (id(&Own::new(&secret(n), 0).public()), address(n))).collect();
+                let voters = (0..voters)
+                    .map(|n| (peer_id(&Identity::new(&secret(n), 0).public_key()), address(n)))
+                    .collect();
                 let scenario = &self.scenario.fleet;
                 let terms = Terms { length: scenario.lease_ms as i64 * 1000, drift_ppm: DRIFT_PPM };
                 let saved = self.members[n].saved.clone();
--- a/crates/lab/src/simulated/ledger.rs
+++ b/crates/lab/src/simulated/ledger.rs
@@ -5,7 +5,7 @@
 
 use hallmux_fleet::gate::{Asks, Ruling};
 use hallmux_fleet::{Exchange, Moment, Out};
-use hallmux_gossip::seal::{id, Own};
+use hallmux_gossip::seal::{peer_id, Identity};
 use hallmux_gossip::PeerId;
 use hallmux_ledger::{Ask, Done, Member, Setup};
 
@@ -38,7 +38,7 @@
 
 /// The fronts that keep copies, by their keys, and where each is heard.
 pub(super) fn members(fronts: usize, zones: usize) -> (Vec<Member>, BTreeMap<PeerId, SocketAddr>) {
-    let keeper = |n| id(&Own::new(&secret(n), 0).public());
+    let keeper = |n| peer_id(&Identity::new(&secret(n), 0).public_key());
     let member = |n| Member { front: keeper(n), zone: zone_name(n % zones) };
     ((0..fronts).map(member).collect(), (0..fronts).map(|n| (keeper(n), address(n))).collect())
 }
@@ -50,7 +50,7 @@
         let (members, heard) = &self.keepers;
         let at = self.moment(n);
         let disk = &self.members[n].disk;
-        let own = id(&exchange.public());
+        let own = peer_id(&exchange.public_key());
         let setup = Setup { copies, ..Setup::new("lab", own, at.wall_ms, disk.identity, members.clone()) };
         let found = disk.found();
         exchange.promise(at, setup, heard.clone(), found).map_err(|e| e.to_string())
--- a/crates/lab/src/simulated/play.rs
+++ b/crates/lab/src/simulated/play.rs
@@ -10,7 +10,7 @@
 use hallmux_dispatcher::{Dispatcher, Ending, Place, Ticket};
 use hallmux_fleet::gate::Guard;
 use hallmux_fleet::{Exchange, Moment};
-use hallmux_gossip::seal::{Keys, Own};
+use hallmux_gossip::seal::{Identity, Keys};
 use hallmux_ledger::Done;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -200,7 +200,7 @@
         scenario.fleet.overload().apply(&mut contract.agreement);
     }
     let fronts = scenario.fleet.fronts;
-    let keys: Vec<[u8; 32]> = (0..fronts).map(|n| Own::new(&secret(n), 0).public()).collect();
+    let keys: Vec<[u8; 32]> = (0..fronts).map(|n| Identity::new(&secret(n), 0).public_key()).collect();
     let engine = |n: usize| Engine {
         zone: n / scenario.fleet.engines_per_zone,
         started: WALL - 3_600_000_000,
@@ -350,7 +350,7 @@
                 if member.stopped {
                     member.waits.push(Event::Datagram(from, to, bytes));
                 } else if let Some(exchange) = member.life.as_mut().and_then(|life| life.exchange.as_mut()) {
-                    let out = exchange.heard(moment, address(from), &bytes);
+                    let out = exchange.receive(moment, address(from), &bytes);
                     self.sends(to, out);
                     self.promised(to);
                 }
