--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -4,7 +4,7 @@
 
 pub mod gate;
 mod load;
-mod owning;
+mod ownership;
 mod promises;
 
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
 const MAX_REPORTERS: usize = 4_096; // fronts that the module keeps apart in one life of this one
 
 pub use hallmux_gossip::channels::{Channel, ChannelMessage};
-pub use owning::{Ownership, Owns, Saved};
+pub use ownership::{OwnedLease, OwnershipConfig, VoterSave};
 pub use promises::Kept;
 
 /// One moment on a front's clocks.
@@ -46,7 +46,7 @@
 pub struct Out {
     pub datagrams: Vec<Datagram>,
     /// Must be lasting before the datagrams beside it leave, in this order.
-    pub saved: Vec<Saved>,
+    pub saved: Vec<VoterSave>,
     /// The same of the ledger; `saved` is to be said of each.
     pub kept: Vec<Kept>,
 }
@@ -64,7 +64,7 @@
     left: bool,
     received: Vec<ChannelMessage>,
     /// One owner at a time for work on behalf of the fleet, where voters are named.
-    owning: Option<owning::Owning>,
+    ownership: Option<ownership::Ownership>,
     /// The ledger of promises, where it is switched on.
     promises: Option<promises::Promises>,
     /// What the fleet is asked, where it sheds as one.
@@ -104,16 +104,21 @@
             fleet: FleetSize { known: 1, up: 1 },
             left: false,
             received: Vec::new(),
-            owning: None,
+            ownership: None,
             promises: None,
             load: None,
             probes: None,
         }
     }
 
-    /// Switches on one owner at a time. An error says why what was saved can't be used.
-    pub fn own(&mut self, at: Moment, ownership: Ownership) -> Result<(), hallmux_lease::disk::Spoilt> {
-        self.owning = Some(owning::Owning::new(at, self.node.peer_id(), ownership)?);
+    /// Switches on that one front at a time owns the fleet's work. An error says why the saved state can't be
+    /// used.
+    pub fn enable_ownership(
+        &mut self,
+        at: Moment,
+        config: OwnershipConfig,
+    ) -> Result<(), hallmux_lease::disk::Spoilt> {
+        self.ownership = Some(ownership::Ownership::new(at, self.node.peer_id(), config)?);
         Ok(())
     }
 
@@ -123,19 +128,19 @@
         self.load.get_or_insert_default();
     }
 
-    /// Under which token this front owns the fleet's work now.
-    pub fn owns(&self, steady: Micros) -> Option<Owns> {
-        self.owning.as_ref().and_then(|owning| owning.owns(steady))
+    /// The lease under which this front owns the fleet's work now.
+    pub fn owned_lease(&self, steady: Micros) -> Option<OwnedLease> {
+        self.ownership.as_ref().and_then(|ownership| ownership.owned_lease(steady))
     }
 
     /// Whether a probe on behalf of the fleet may leave now: where such work has owners, only the owner's.
     pub fn may_probe(&self, steady: Micros) -> bool {
-        self.owning.as_ref().is_none_or(|owning| owning.owns(steady).is_some())
+        self.ownership.as_ref().is_none_or(|ownership| ownership.owned_lease(steady).is_some())
     }
 
     /// Acts and messages of owners and voters that counted for nothing, by why.
     pub fn refused_acts(&self) -> BTreeMap<&'static str, u64> {
-        self.owning.as_ref().map(|owning| owning.refused.clone()).unwrap_or_default()
+        self.ownership.as_ref().map(|ownership| ownership.refused.clone()).unwrap_or_default()
     }
 
     /// The public half of its key pair.
@@ -165,9 +170,9 @@
         if self.left {
             promises
         } else {
-            let owning = self.owning.as_ref().map_or(Micros::MAX, owning::Owning::due);
+            let ownership = self.ownership.as_ref().map_or(Micros::MAX, ownership::Ownership::due);
             let load = self.load.as_ref().map_or(Micros::MAX, load::Load::due);
-            self.node.due().min(self.look).min(owning).min(promises).min(load)
+            self.node.due().min(self.look).min(ownership).min(promises).min(load)
         }
     }
 
@@ -175,8 +180,8 @@
     pub fn receive(&mut self, at: Moment, from: SocketAddr, bytes: &[u8]) -> Out {
         let mut out = Out { datagrams: self.node.receive(at.now, at.wall_ms, from, bytes), ..Out::default() };
         for ChannelMessage { from, at: heard_at, channel, bytes } in self.node.received() {
-            match (channel, &mut self.owning) {
-                (Channel::Lease, Some(owning)) => owning.heard(at, from, heard_at, &bytes),
+            match (channel, &mut self.ownership) {
+                (Channel::Lease, Some(ownership)) => ownership.receive(at, from, heard_at, &bytes),
                 (Channel::Lease, None) => {}
                 (Channel::Ledger, _) => {
                     self.promises.iter_mut().for_each(|promises| promises.heard(at, from, &bytes));
@@ -185,8 +190,8 @@
                 _ => self.received.push(ChannelMessage { from, at: heard_at, channel, bytes }),
             }
         }
-        if let Some(owning) = &mut self.owning {
-            owning.send(at, &mut self.node, &mut out);
+        if let Some(ownership) = &mut self.ownership {
+            ownership.send(at, &mut self.node, &mut out);
         }
         self.send_promises(at, &mut out);
         out
@@ -297,9 +302,9 @@
             self.send_promises(at, &mut out);
             return (out, new);
         }
-        if let Some(owning) = &mut self.owning {
-            owning.tick(at, self.fleet.up, dispatcher, chance);
-            owning.send(at, &mut self.node, &mut out);
+        if let Some(ownership) = &mut self.ownership {
+            ownership.tick(at, self.fleet.up, dispatcher, chance);
+            ownership.send(at, &mut self.node, &mut out);
         }
         let node = &self.node;
         self.promises.iter_mut().for_each(|promises| promises.tick(at, node));
@@ -308,10 +313,10 @@
             self.look = at.now + LOOK;
             let mut seen: Vec<Sighting> = dispatcher.sighted(at.now).iter().map(sighting).collect();
             seen.sort_by_key(|s| (std::cmp::Reverse(s.silent_ms), std::cmp::Reverse(s.failed), s.engine));
-            let work = self.owning.as_ref().map(|owning| owning.says(at, dispatcher));
-            self.node.report(at.now, at.wall_ms, seen, work.unwrap_or_default());
-            if let Some(owning) = &mut self.owning {
-                owning.admits(at, &self.node, dispatcher);
+            let ownership = self.ownership.as_ref().map(|ownership| ownership.report(at, dispatcher));
+            self.node.report(at.now, at.wall_ms, seen, ownership.unwrap_or_default());
+            if let Some(ownership) = &mut self.ownership {
+                ownership.admit(at, &self.node, dispatcher);
             }
             new = self.tell(at.now, dispatcher);
         }
@@ -327,7 +332,7 @@
     /// changes.
     fn share(&mut self, at: Moment, dispatcher: &mut Dispatcher) {
         let fleet = self.node.fleet_size();
-        let probes = self.owning.as_ref().map(|owning| owning.owns(at.steady).is_some());
+        let probes = self.ownership.as_ref().map(|ownership| ownership.owned_lease(at.steady).is_some());
         if (fleet, probes) != (self.fleet, self.probes) {
             (self.fleet, self.probes) = (fleet, probes);
             let probers = match probes {
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -12,7 +12,7 @@
 use calloop::{Interest, LoopHandle, Mode, PostAction};
 use hallmux_agreement::{hexadecimal, Gossip, OnDiskFailure};
 use hallmux_dispatcher::{Dispatcher, Micros};
-use hallmux_fleet::{Exchange, Kept, Moment, Out, Ownership, Owns};
+use hallmux_fleet::{Exchange, Kept, Moment, Out, OwnedLease, OwnershipConfig};
 use hallmux_gossip::channels::Channel;
 use hallmux_gossip::evidence::PeerReport;
 use hallmux_gossip::members::FleetSize;
@@ -49,7 +49,7 @@
     copies: Option<Copies>,
     /// A disk that fails leaves them in memory.
     spares_disk: bool,
-    owns: Option<Owns>,
+    owns: Option<OwnedLease>,
     refused_acts: BTreeMap<&'static str, u64>,
     /// Copies of promises that differed, and that were mended here.
     differed: (u64, u64),
@@ -109,9 +109,9 @@
                 (votes, saved) = (Some(opened), kept);
             }
             let terms = Terms { length: ownership.lease, drift_ppm: ownership.drift_ppm };
-            let ownership = Ownership { fleet: ownership.fleet.clone(), voters, terms, saved };
+            let ownership = OwnershipConfig { fleet: ownership.fleet.clone(), voters, terms, saved };
             let moment = Moment { now, steady: 0, wall_ms: (now / 1000) as u64 };
-            exchange.own(moment, ownership)?;
+            exchange.enable_ownership(moment, ownership)?;
             log::info!(
                 "takes part in ownership of the fleet's work{}",
                 if votes.is_some() { ", and votes" } else { "" }
@@ -335,12 +335,14 @@
                 age / 1000
             );
         }
-        let owns = self.exchange.owns(at.steady);
+        let owns = self.exchange.owned_lease(at.steady);
         match (self.owns, owns) {
-            (before, Some(Owns { token })) if before != owns => {
+            (before, Some(OwnedLease { token })) if before != owns => {
                 log::info!("owns the fleet's work under token {token}")
             }
-            (Some(Owns { token }), None) => log::info!("owns the fleet's work under token {token} no longer"),
+            (Some(OwnedLease { token }), None) => {
+                log::info!("owns the fleet's work under token {token} no longer")
+            }
             _ => {}
         }
         self.owns = owns;
--- a/crates/front/src/fleet/votes.rs
+++ b/crates/front/src/fleet/votes.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{sync_channel, SyncSender, TrySendError};
 
-use hallmux_fleet::Saved;
+use hallmux_fleet::VoterSave;
 
 use super::fault::VotesFault;
 
@@ -15,7 +15,7 @@
 const FILE: &str = "votes";
 
 pub struct Votes {
-    writes: SyncSender<Saved>,
+    writes: SyncSender<VoterSave>,
     /// A write was lost: nothing that a voter says may leave any more in this life.
     silent: bool,
     /// Held while this front runs: two on one directory would vote twice.
@@ -42,11 +42,11 @@
             Err(e) if e.kind() == ErrorKind::NotFound => None,
             Err(e) => return Err(unfit("can't be read")(e)),
         };
-        let (writes, to_write) = sync_channel::<Saved>(WAITING);
+        let (writes, to_write) = sync_channel::<VoterSave>(WAITING);
         std::thread::Builder::new()
             .name("votes".to_string())
             .spawn(move || {
-                for Saved { bytes, datagrams } in to_write {
+                for VoterSave { bytes, datagrams } in to_write {
                     if let Err(e) = bytes.map_or(Ok(()), |bytes| write(&directory, &bytes)) {
                         log::error!("{}: {e}; this front votes no more in this life", directory.display());
                         return;
@@ -60,7 +60,7 @@
     }
 
     /// Has it written, and sent what waits for it.
-    pub fn save(&mut self, saved: Saved) {
+    pub fn save(&mut self, saved: VoterSave) {
         if self.silent {
             return;
         }
--- a/crates/front/src/fleet/votes_tests.rs
+++ b/crates/front/src/fleet/votes_tests.rs
@@ -15,7 +15,7 @@
     let second = Votes::open(&directory, socket()).err().unwrap();
     assert!(matches!(&second, VotesFault::Taken(at) if *at == directory), "{second}");
     let datagrams = vec![Datagram { to: hears.local_addr().unwrap(), bytes: b"word".to_vec() }];
-    votes.save(Saved { bytes: Some(b"state".to_vec()), datagrams });
+    votes.save(VoterSave { bytes: Some(b"state".to_vec()), datagrams });
     let mut word = [0; 8];
     assert_eq!(hears.recv(&mut word).unwrap(), 4);
     assert_eq!(std::fs::read(folder.join(FILE)).unwrap(), b"state");
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -1,54 +1,76 @@
-//! What fronts have seen of engines: of each reporter its latest report. Merging is taking the later one, so
-//! that order, repeats and losses do no harm; what is not renewed fades.
+//! Evidence on engines: the latest report of each front. Merging keeps the later report, so that order,
+//! repeats and losses do no harm; a report that is not renewed expires.
 
 use std::collections::BTreeMap;
 
-use crate::message::{Report, Sighting, Signed, Work};
+use crate::message::{OwnershipReport, Report, Sighting, Signed};
 use crate::{Micros, PeerId};
 
-/// Microseconds after which a report is worth nothing: an engine's trouble lasts some seconds to half a
-/// minute, and its reporters renew what they still see.
+/// Microseconds after which a report counts for nothing: an engine's trouble lasts some seconds to half a
+/// minute, and reporters renew what they still observe.
 pub const EXPIRY: Micros = 8_000_000;
-/// Sightings of a report that count; more engines in trouble at once are all engines.
-pub const MOST_SIGHTINGS: usize = 12;
-const MAX_REPORTERS: usize = 256; // whose reports are kept; the oldest goes first
+/// Most sightings in a report, and most recovered engines in an act; a longer one is refused. With more
+/// engines in trouble at once, all are.
+pub const MAX_SIGHTINGS: usize = 12;
+const MAX_REPORTERS: usize = 256; // whose reports are held; the oldest report is dropped first
 
 struct Held {
     started_ms: u64,
     version: u32,
-    /// When it was created, on our clock.
+    /// When it was made, on our clock.
     created: Micros,
     sightings: Vec<Sighting>,
-    work: Work,
+    ownership: OwnershipReport,
     signed: Signed,
-    /// How often it was passed on.
+    /// How often this front has passed it on.
     sent: u32,
 }
 
-/// One thing that is known.
+impl Held {
+    fn is_current(&self, now: Micros) -> bool {
+        now - self.created < EXPIRY
+    }
+}
+
+/// What one peer reports of one engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerReport {
+    /// The front that observed it.
     pub reporter: PeerId,
+    /// What it observed.
     pub sighting: Sighting,
+    /// Microseconds since it was reported.
+    pub age: Micros,
+}
+
+/// What one front reports of the fleet's work.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PeerOwnership<'a> {
+    /// The front that reports it.
+    pub reporter: PeerId,
+    /// What it reports.
+    pub ownership: &'a OwnershipReport,
+    /// Microseconds since it was reported.
     pub age: Micros,
 }
 
+/// The latest report of each front.
 #[derive(Default)]
 pub struct Evidence {
     held: BTreeMap<PeerId, Held>,
 }
 
 impl Evidence {
-    /// Whether a report says more than what is held of its reporter; to be asked before its signature is
-    /// looked at.
+    /// Whether a report is later than the one held of its reporter. Cheap: to be asked before its signature
+    /// is checked.
     pub fn is_later(&self, reporter: PeerId, started_ms: u64, version: u32) -> bool {
         self.held.get(&reporter).is_none_or(|held| (started_ms, version) > (held.started_ms, held.version))
     }
 
-    /// Takes a report in; false if it is no news.
+    /// Stores a report that is `age` microseconds old; false if it is not later, too long or expired.
     pub fn merge(&mut self, now: Micros, report: Report, signed: Signed, age: Micros) -> bool {
-        let back = report.work.act.as_ref().map_or(0, |act| act.back.len());
-        let fits = report.sightings.len() <= MOST_SIGHTINGS && back <= MOST_SIGHTINGS && age < EXPIRY;
+        let recovered = report.ownership.act.as_ref().map_or(0, |act| act.recovered.len());
+        let fits = report.sightings.len() <= MAX_SIGHTINGS && recovered <= MAX_SIGHTINGS && age < EXPIRY;
         if !fits || !self.is_later(report.reporter, report.started_ms, report.version) {
             return false;
         }
@@ -56,22 +78,21 @@
             let oldest = self.held.iter().min_by_key(|(_, held)| held.created).map(|(reporter, _)| *reporter);
             oldest.into_iter().for_each(|reporter| _ = self.held.remove(&reporter));
         }
-        let Report { reporter, started_ms, version, sightings, work, .. } = report;
-        self.held.insert(
-            reporter,
-            Held { started_ms, version, created: now - age, sightings, work, signed, sent: 0 },
-        );
+        let Report { reporter, started_ms, version, sightings, ownership, .. } = report;
+        let created = now - age;
+        self.held
+            .insert(reporter, Held { started_ms, version, created, sightings, ownership, signed, sent: 0 });
         true
     }
 
-    /// Lets go of what has faded; what is empty stays as long, so that nothing older comes in its place.
+    /// Drops reports some time after they expired: until then nothing older can come in their place.
     pub fn expire(&mut self, now: Micros) {
         self.held.retain(|_, held| now - held.created < 2 * EXPIRY);
     }
 
-    /// All that counts now, but for what `own` has said itself.
+    /// All sightings that have not expired, but for those that `own` has reported.
     pub fn peer_reports(&self, now: Micros, own: PeerId) -> Vec<PeerReport> {
-        let counts = |(reporter, held): &(&PeerId, &Held)| **reporter != own && now - held.created < EXPIRY;
+        let counts = |(reporter, held): &(&PeerId, &Held)| **reporter != own && held.is_current(now);
         let all = self.held.iter().filter(counts).flat_map(|(reporter, held)| {
             let age = now - held.created;
             held.sightings.iter().map(move |sighting| PeerReport {
@@ -83,52 +104,55 @@
         all.collect()
     }
 
-    /// What each front says of work on behalf of the fleet, with its age; this front's own too.
-    pub fn work(&self, now: Micros) -> impl Iterator<Item = (PeerId, &Work, Micros)> {
-        let counts = move |held: &Held| now - held.created < EXPIRY && !held.work.is_empty();
+    /// What each front reports of the fleet's work, this front's own report included.
+    pub fn ownership_reports(&self, now: Micros) -> impl Iterator<Item = PeerOwnership<'_>> {
+        let counts = move |held: &Held| held.is_current(now) && !held.ownership.is_empty();
         let all = self.held.iter().filter(move |(_, held)| counts(held));
-        all.map(move |(reporter, held)| (*reporter, &held.work, now - held.created))
+        all.map(move |(reporter, held)| PeerOwnership {
+            reporter: *reporter,
+            ownership: &held.ownership,
+            age: now - held.created,
+        })
     }
 
-    /// Reports to be passed on within so many bytes: first those on an engine of which least was passed on,
-    /// good and ill apart, so that many voices on one matter do not crowd out the few on another; then those
-    /// passed on least, of them the latest. Those that say nothing any more come last: what they take back
-    /// fades by itself.
+    /// Reports to be passed on within `budget` bytes, each at most `most_sent` times. First come those on an
+    /// engine of which least was passed on, good and bad news apart, so that many reports on one engine do
+    /// not crowd out the few on another; then those passed on least, and of them the latest. Reports without
+    /// content come last: what they take back expires by itself.
     pub fn pass_on(&mut self, now: Micros, most_sent: u32, mut budget: usize) -> Vec<Signed> {
-        let matter = |s: &Sighting| (s.engine, s.answered > 0 && s.silent_ms == 0 && s.failed == 0);
+        let subject = |s: &Sighting| (s.engine, s.answered > 0 && s.silent_ms == 0 && s.failed == 0);
         let mut passed_on: BTreeMap<(u64, bool), u32> = BTreeMap::new();
-        for held in self.held.values().filter(|held| now - held.created < EXPIRY) {
-            held.sightings.iter().for_each(|s| *passed_on.entry(matter(s)).or_default() += held.sent);
+        for held in self.held.values().filter(|held| held.is_current(now)) {
+            held.sightings.iter().for_each(|s| *passed_on.entry(subject(s)).or_default() += held.sent);
         }
-        let mut all: Vec<&mut Held> = self
-            .held
-            .values_mut()
-            .filter(|held| now - held.created < EXPIRY && held.sent < most_sent)
-            .collect();
+        let mut all: Vec<&mut Held> =
+            self.held.values_mut().filter(|held| held.is_current(now) && held.sent < most_sent).collect();
         let mut picked = Vec::new();
         loop {
             let least = |held: &Held| {
-                let matters = held.sightings.iter().map(|s| passed_on.get(&matter(s)).copied().unwrap_or(0));
-                matters.min().unwrap_or(if held.work.is_empty() { u32::MAX } else { held.sent })
+                let subjects =
+                    held.sightings.iter().map(|s| passed_on.get(&subject(s)).copied().unwrap_or(0));
+                subjects.min().unwrap_or(if held.ownership.is_empty() { u32::MAX } else { held.sent })
             };
-            let len = |held: &Held| held.signed.report.len() + held.signed.signature.len() + 4;
-            let fits = (0..all.len()).filter(|n| len(all[*n]) <= budget);
+            let fits = (0..all.len()).filter(|n| all[*n].signed.encoded_len() <= budget);
             let Some(next) = fits.min_by_key(|n| (least(all[*n]), all[*n].sent, now - all[*n].created))
             else {
                 return picked;
             };
             let held = all.swap_remove(next);
-            budget -= len(held);
+            budget -= held.signed.encoded_len();
             held.sent += 1;
-            held.sightings.iter().for_each(|s| *passed_on.entry(matter(s)).or_default() += 1);
+            held.sightings.iter().for_each(|s| *passed_on.entry(subject(s)).or_default() += 1);
             picked.push(held.signed.clone());
         }
     }
 
+    /// Reports held, expired ones too.
     pub fn len(&self) -> usize {
         self.held.len()
     }
 
+    /// Whether no report is held.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
--- a/crates/gossip/src/evidence_tests.rs
+++ b/crates/gossip/src/evidence_tests.rs
@@ -4,7 +4,7 @@
 
 fn report(reporter: PeerId, started_ms: u64, version: u32, failed: u8) -> Report {
     let sightings = vec![Sighting { engine: 1, failed, ..Sighting::default() }];
-    Report { reporter, started_ms, version, created_ms: 0, sightings, work: Work::default() }
+    Report { reporter, started_ms, version, created_ms: 0, sightings, ownership: OwnershipReport::default() }
 }
 
 fn signed() -> Signed {
@@ -88,6 +88,6 @@
     assert_eq!(evidence.len(), MAX_REPORTERS);
     assert_eq!(evidence.pass_on(10_000, 4, 400).len(), 3);
     let mut long = report(1, 1, 1, 1);
-    long.sightings = vec![Sighting::default(); MOST_SIGHTINGS + 1];
+    long.sightings = vec![Sighting::default(); MAX_SIGHTINGS + 1];
     assert!(!Evidence::default().merge(0, long, signed(), 0));
 }
--- a/crates/gossip/src/load_reports.rs
+++ b/crates/gossip/src/load_reports.rs
@@ -114,9 +114,8 @@
         all.sort_by_key(|held| (held.sent, now - held.created));
         let mut picked = Vec::new();
         for held in all {
-            let len = held.signed.report.len() + held.signed.signature.len() + 4;
-            if len <= budget {
-                budget -= len;
+            if held.signed.encoded_len() <= budget {
+                budget -= held.signed.encoded_len();
                 held.sent += 1;
                 picked.push(held.signed.clone());
             }
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -1,5 +1,6 @@
-//! What datagrams hold. Everything is bounded by the datagram's length: nothing is allocated for a count that
-//! the bytes do not bear out.
+//! What datagrams hold, encoded with postcard. Everything is bounded by the datagram's length: nothing is
+//! allocated for a count that the bytes do not bear out. Fields and variants are positional on the wire:
+//! append only.
 
 use std::net::SocketAddr;
 
@@ -7,91 +8,118 @@
 
 use crate::PeerId;
 
-/// Bytes of a datagram at most, sealed: what every network carries in one piece.
+/// Most bytes of a sealed datagram: what every network carries in one piece.
 pub const MAX_DATAGRAM: usize = 1_200;
 
-/// How a member is thought to be.
+/// A member's state in the failure detector. Of one incarnation the later variant supersedes the earlier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Health {
+    /// Answers probes, as far as is known.
     Alive,
+    /// Left a probe unanswered; counts as up until its suspicion expires.
     Suspect,
+    /// Suspected until the suspicion expired.
     Dead,
+    /// Announced that it leaves.
     Left,
 }
 
-/// What is said of a member; a later incarnation goes before an earlier, and of one the graver health.
+/// A membership update. A later incarnation supersedes an earlier one, and of one incarnation the graver
+/// health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rumour {
+    /// The front that it is about.
     pub member: PeerId,
+    /// Where that front listens.
     pub address: SocketAddr,
+    /// Grows with each start of the member and each refutation by it; Unix milliseconds at its start.
     pub incarnation: u64,
+    /// The member's state.
     pub health: Health,
 }
 
-/// What a front has seen of an engine lately.
+/// What a front has observed of one engine lately.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sighting {
-    /// The engine, by a hash of its id.
+    /// A hash of the engine's id.
     pub engine: u64,
-    /// Executions that failed or were lost, and that were answered, in the last seconds; at most 255.
+    /// Executions that failed or were lost in the last seconds; at most 255.
     pub failed: u8,
+    /// Executions that were answered in the last seconds; at most 255.
     pub answered: u8,
-    /// Milliseconds for which it has said nothing though executions are out, 0 where it speaks.
+    /// Milliseconds without an answer while executions are out; 0 where it answers.
     pub silent_ms: u16,
-    /// It was told to drain, or to be gone.
+    /// It announced that it drains or ends.
     pub drains: bool,
-    /// Unix seconds of a start that was told, 0 where none was.
+    /// Unix seconds of its announced start; 0 where none was announced.
     pub started_s: u32,
 }
 
-/// All that a front has seen, signed by itself and passed on as it is.
+/// All that a front has observed, signed by itself and passed on unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
+    /// The front that made it.
     pub reporter: PeerId,
-    /// When its reporter began, in Unix milliseconds on its own clock, and how many reports it had made
-    /// since.
+    /// When that front started, in Unix milliseconds on its clock.
     pub started_ms: u64,
+    /// Counts the reports since that start.
     pub version: u32,
-    /// When it was created, in Unix milliseconds on its reporter's clock.
+    /// When it was made, in Unix milliseconds on its reporter's clock.
     pub created_ms: u64,
+    /// Engines in trouble, or with something announced of them.
     pub sightings: Vec<Sighting>,
-    pub work: Work,
+    /// The reporter's view of who owns the fleet's work.
+    pub ownership: OwnershipReport,
 }
 
-/// What a front says of work on behalf of the fleet, where that has owners.
+/// What a front reports of work that one front does for the whole fleet; empty where no voters are
+/// configured.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Work {
-    /// Of a voter: the lease that its log tells, by token and owner.
-    pub lease: Option<(u64, PeerId)>,
-    /// Of an owner: what it does under its token.
-    pub act: Option<Act>,
+pub struct OwnershipReport {
+    /// Of a voter: the lease in force according to its log.
+    pub lease: Option<ReportedLease>,
+    /// Of an owner: what it has done under its token.
+    pub act: Option<OwnerAct>,
 }
 
-/// An owner's act: engines that answer again in zones that were away.
+/// A lease as a voter reports it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ReportedLease {
+    /// Its fencing token.
+    pub token: u64,
+    /// The front that holds it.
+    pub owner: PeerId,
+}
+
+/// What the owner of the fleet's probes has found: engines that answer again in zones that were away.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Act {
+pub struct OwnerAct {
+    /// The fencing token that it acts under.
     pub token: u64,
-    pub back: Vec<Back>,
+    /// The engines that answer again.
+    pub recovered: Vec<RecoveredEngine>,
 }
 
-/// An engine, by a hash of its id, and for how many milliseconds it has answered again when the report was
-/// made.
+/// An engine that answers again after its zone was away.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Back {
+pub struct RecoveredEngine {
+    /// A hash of its id.
     pub engine: u64,
+    /// Milliseconds for which it had answered again when the report was made.
     pub since_ms: u32,
 }
 
-impl Work {
+impl OwnershipReport {
+    /// Whether it reports neither a lease nor an act.
     pub fn is_empty(&self) -> bool {
         self.lease.is_none() && self.act.is_none()
     }
 
-    /// Whether it says the same as another, but for time going on.
-    pub fn is_like(&self, other: &Work) -> bool {
-        let engines = |work: &Work| {
-            let act = work.act.as_ref();
-            act.map(|act| (act.token, act.back.iter().map(|back| back.engine).collect::<Vec<_>>()))
+    /// Whether it says the same as another, durations aside.
+    pub fn is_equivalent(&self, other: &OwnershipReport) -> bool {
+        let engines = |ownership: &OwnershipReport| {
+            let act = ownership.act.as_ref();
+            act.map(|act| (act.token, act.recovered.iter().map(|r| r.engine).collect::<Vec<_>>()))
         };
         self.lease == other.lease && engines(self) == engines(other)
     }
@@ -100,28 +128,46 @@
 /// A report's bytes with the signature over them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Signed {
+    /// The encoded [`Report`] or [`crate::load_reports::LoadReport`].
     pub report: Vec<u8>,
+    /// Its reporter's Ed25519 signature, over a context string and the bytes.
     pub signature: Vec<u8>,
 }
 
+impl Signed {
+    /// Bytes that it takes in a message: both parts, and at most two bytes each for their lengths.
+    pub fn encoded_len(&self) -> usize {
+        self.report.len() + self.signature.len() + 4
+    }
+}
+
+/// The failure detector's part of a message. An answer repeats the number of the probe that it answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Probe {
-    /// Only news.
+    /// No probe: the message carries rumours, reports or a payload.
     None,
+    /// Asks the receiver for an ack.
     Ping {
+        /// Chosen by the sender.
         number: u32,
     },
-    /// Asks the receiver to ping another in the sender's place.
+    /// Asks the receiver to ping another member on the sender's behalf.
     PingRequest {
+        /// Chosen by the sender.
         number: u32,
+        /// The member to be probed.
         member: PeerId,
+        /// Where that member listens.
         address: SocketAddr,
     },
+    /// The probed member answered.
     Ack {
+        /// Of the ping or ping request that it answers.
         number: u32,
     },
-    /// The one that was asked to ping has heard nothing.
+    /// The member of a ping request has not answered in time, but the front that was asked is there.
     Nack {
+        /// Of the ping request that it answers.
         number: u32,
     },
 }
@@ -129,19 +175,22 @@
 /// A datagram's content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
+    /// A probe, or the answer to one.
     pub probe: Probe,
+    /// Membership updates, the sender's own among them.
     pub rumours: Vec<Rumour>,
+    /// Reports of any fronts, under their reporters' signatures.
     pub reports: Vec<Signed>,
     /// A channel byte and a subsystem's message (see [`crate::channels`]); mostly empty.
     pub payload: Vec<u8>,
 }
 
-/// The bytes of a value that can be written; values here always can.
+/// Encodes a value. The types of this crate always can be encoded.
 pub fn bytes<T: Serialize>(value: &T) -> Vec<u8> {
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
-/// Reads a value that fills the bytes exactly.
+/// Decodes a value that fills the bytes exactly; None for any other bytes.
 pub fn read<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Option<T> {
     match postcard::take_from_bytes(bytes) {
         Ok((value, [])) => Some(value),
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -5,10 +5,10 @@
 use std::rc::Rc;
 
 use crate::channels::{Channel, ChannelMessage, Mailbox, MAX_PAYLOAD};
-use crate::evidence::{Evidence, PeerReport, MOST_SIGHTINGS};
+use crate::evidence::{Evidence, PeerOwnership, PeerReport, MAX_SIGHTINGS};
 use crate::load_reports::LoadReports;
 use crate::members::{FleetSize, Members, Outgoing};
-use crate::message::{self, Message, Probe, Report, Sighting, Work, MAX_DATAGRAM};
+use crate::message::{self, Message, OwnershipReport, Probe, Report, Sighting, MAX_DATAGRAM};
 use crate::seal::{Identity, Keys, Peers, Refused, TokenBucket, SEAL_BYTES};
 use crate::{Chance, Micros, PeerId};
 
@@ -54,7 +54,7 @@
     answer_tokens: TokenBucket,
     next_round: Micros,
     sightings: Vec<Sighting>,
-    work: Work,
+    ownership: OwnershipReport,
     mailbox: Mailbox,
     /// Load reports, once they are enabled.
     load_reports: Option<LoadReports>,
@@ -81,7 +81,7 @@
             answer_tokens: TokenBucket::new(ANSWER_RATE),
             next_round: 0,
             sightings: Vec::new(),
-            work: Work::default(),
+            ownership: OwnershipReport::default(),
             mailbox: Mailbox::new(),
             load_reports: None,
             load_reported_at: Micros::MIN / 2,
@@ -124,19 +124,26 @@
         self.peers.set_keys(keys);
     }
 
-    /// What this front sees of engines now; only those in some trouble, or with something told of them.
+    /// Reports what this front observes of engines now: only those in some trouble, or with something
+    /// announced of them. Beyond [`MAX_SIGHTINGS`] the rest is left out.
     pub fn report_sightings(&mut self, now: Micros, wall_ms: u64, sightings: Vec<Sighting>) {
-        self.report(now, wall_ms, sightings, Work::default());
+        self.report(now, wall_ms, sightings, OwnershipReport::default());
     }
 
-    /// The same, with what it has to say of work on behalf of the fleet.
-    pub fn report(&mut self, now: Micros, wall_ms: u64, mut sightings: Vec<Sighting>, work: Work) {
-        sightings.truncate(MOST_SIGHTINGS);
-        let changed = sightings != self.sightings || !work.is_like(&self.work);
-        if !changed && (sightings.is_empty() && work.is_empty() || now < self.renew_at) {
+    /// The same, with what this front reports of work on behalf of the fleet.
+    pub fn report(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        mut sightings: Vec<Sighting>,
+        ownership: OwnershipReport,
+    ) {
+        sightings.truncate(MAX_SIGHTINGS);
+        let changed = sightings != self.sightings || !ownership.is_equivalent(&self.ownership);
+        if !changed && (sightings.is_empty() && ownership.is_empty() || now < self.renew_at) {
             return;
         }
-        self.work = work.clone();
+        self.ownership = ownership.clone();
         self.renew_at = now + RENEW_AFTER;
         self.version += 1;
         let report = Report {
@@ -145,21 +152,21 @@
             version: self.version,
             created_ms: wall_ms,
             sightings: sightings.clone(),
-            work,
+            ownership,
         };
         self.sightings = sightings;
         let signed = self.own.sign(&report);
         self.evidence.merge(now, report, signed, 0);
     }
 
-    /// What others say of engines, with its age.
+    /// What other fronts report of engines.
     pub fn peer_reports(&self, now: Micros) -> Vec<PeerReport> {
         self.evidence.peer_reports(now, self.own.id)
     }
 
-    /// What each front says of work on behalf of the fleet, with its age; this front's own too.
-    pub fn work(&self, now: Micros) -> impl Iterator<Item = (PeerId, &Work, Micros)> {
-        self.evidence.work(now)
+    /// What each front reports of the fleet's work, this front's own report included.
+    pub fn ownership_reports(&self, now: Micros) -> impl Iterator<Item = PeerOwnership<'_>> {
+        self.evidence.ownership_reports(now)
     }
 
     /// Seals a subsystem's message to another front. None if it is too long for a datagram or beyond its
--- a/crates/gossip/src/seal_tests.rs
+++ b/crates/gossip/src/seal_tests.rs
@@ -130,7 +130,7 @@
         version: 1,
         created_ms: WALL,
         sightings: Vec::new(),
-        work: Default::default(),
+        ownership: Default::default(),
     };
     let signed = own.sign(&report);
     assert_eq!(peers.verify_report(0, FROM, &signed), Ok(report.clone()));
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -106,7 +106,7 @@
         version: 9,
         created_ms: wall,
         sightings: sullen(engine),
-        work: Default::default(),
+        ownership: Default::default(),
     };
     let signed = liar.sign(&report);
     let message = message::Message {
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -4,7 +4,7 @@
 
 use hallmux_dispatcher::{Dispatcher, Ending, Listing, Mode, Order, Speech};
 use hallmux_fleet::gate::Guard;
-use hallmux_fleet::{Exchange, Ownership};
+use hallmux_fleet::{Exchange, OwnershipConfig};
 use hallmux_gossip::node::NodeConfig;
 use hallmux_gossip::seal::{peer_id, Identity};
 use hallmux_lease::Terms;
@@ -37,8 +37,8 @@
                 let scenario = &self.scenario.fleet;
                 let terms = Terms { length: scenario.lease_ms as i64 * 1000, drift_ppm: DRIFT_PPM };
                 let saved = self.members[n].saved.clone();
-                let ownership = Ownership { fleet: "lab".to_string(), voters, terms, saved };
-                let owns = exchange.own(at, ownership);
+                let ownership = OwnershipConfig { fleet: "lab".to_string(), voters, terms, saved };
+                let owns = exchange.enable_ownership(at, ownership);
                 debug_assert!(owns.is_ok(), "what was saved is whole");
             }
             let promises = self.promises(n, &mut exchange);
