--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -18,7 +18,7 @@
 use hallmux_gossip::message::Sighting;
 use hallmux_gossip::node::{Datagram, Node, NodeConfig};
 use hallmux_gossip::seal::{Keys, Refused};
-use hallmux_gossip::{Chance, PeerId};
+use hallmux_gossip::{PeerId, RandomSource};
 
 const LOOK: Micros = 250_000; // microseconds between looks at what this front has seen itself
 /// Milliseconds that silence is told in: each change is a report for all to pass on.
@@ -289,7 +289,7 @@
         &mut self,
         at: Moment,
         dispatcher: &mut Dispatcher,
-        chance: &mut impl Chance,
+        random: &mut impl RandomSource,
     ) -> (Out, Vec<PeerReport>) {
         let (mut out, mut new) = (Out::default(), Vec::new());
         if at.now < self.due(at) {
@@ -303,7 +303,7 @@
             return (out, new);
         }
         if let Some(ownership) = &mut self.ownership {
-            ownership.tick(at, self.fleet.up, dispatcher, chance);
+            ownership.tick(at, self.fleet.up, dispatcher, random);
             ownership.send(at, &mut self.node, &mut out);
         }
         let node = &self.node;
@@ -324,7 +324,7 @@
             load.tick(at, &mut self.node, dispatcher);
         }
         self.share(at, dispatcher);
-        out.datagrams.extend(self.node.tick(at.now, at.wall_ms, chance));
+        out.datagrams.extend(self.node.tick(at.now, at.wall_ms, random));
         (out, new)
     }
 
@@ -363,11 +363,11 @@
     }
 
     /// This front ends: some peers hear so, and tell the others.
-    pub fn leave(&mut self, now: Micros, wall_ms: u64, chance: &mut impl Chance) -> Vec<Datagram> {
+    pub fn leave(&mut self, now: Micros, wall_ms: u64, random: &mut impl RandomSource) -> Vec<Datagram> {
         if std::mem::replace(&mut self.left, true) {
             return Vec::new();
         }
-        self.node.leave(now, wall_ms, chance)
+        self.node.leave(now, wall_ms, random)
     }
 
     /// Hands on what has changed in what others say; gives what is new.
--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -8,7 +8,7 @@
 use hallmux_gossip::channels::Channel;
 use hallmux_gossip::message::{OwnerAct, OwnershipReport, RecoveredEngine, ReportedLease};
 use hallmux_gossip::node::{Datagram, Node};
-use hallmux_gossip::{Chance, PeerId};
+use hallmux_gossip::{PeerId, RandomSource};
 use hallmux_lease::disk::Spoilt;
 use hallmux_lease::fence::{self, Fence, Refused};
 use hallmux_lease::holder::Holder;
@@ -137,7 +137,13 @@
     }
 
     /// Runs the voter's clock, and asks for the lease or renews it. `up` is the number of fronts that are up.
-    pub fn tick(&mut self, at: Moment, up: usize, dispatcher: &mut Dispatcher, chance: &mut impl Chance) {
+    pub fn tick(
+        &mut self,
+        at: Moment,
+        up: usize,
+        dispatcher: &mut Dispatcher,
+        random: &mut impl RandomSource,
+    ) {
         let wait = if self.voter.is_some() { CHECK_EVERY / VOTER_TICKS } else { CHECK_EVERY };
         self.next_check = at.now + wait;
         if let Some(voter) = &mut self.voter {
@@ -145,7 +151,7 @@
             self.voter_outbox.push(out);
         }
         // The first to ask may have it, as long as no owner is seen: of all fronts a few a second ask.
-        let draw = chance.below(1_000_000) as f64 / 1e6;
+        let draw = random.below(1_000_000) as f64 / 1e6;
         let share = REQUESTS_A_SECOND * wait as f64 / 1e6 / up.max(1) as f64;
         self.claims = at.steady - self.owner_seen > OWNER_SEEN && (self.claims || draw < share);
         let progress = self.progress(at, dispatcher);
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,7 +1,11 @@
-//! What fronts tell each other of engines. No sockets, no clock, no chance of its own: whoever calls hands in
-//! datagrams, the time and random numbers, and sends what comes out.
+//! Gossip between fronts: membership, signed reports on engines and load, and channels for other subsystems,
+//! within a bounded traffic that does not grow with the fleet. Free of sockets, clocks and randomness of its
+//! own: the caller passes in datagrams, the time and random numbers, and sends what comes out.
 //!
-//! Times are whole microseconds on the caller's clock, unless named otherwise.
+//! Times are whole microseconds on the caller's monotonic clock, unless a name ends in `_ms` (milliseconds)
+//! or `_s` (seconds); `wall_ms` is Unix time in milliseconds.
+
+#![warn(missing_docs)]
 
 pub mod channels;
 pub mod evidence;
@@ -11,22 +15,24 @@
 pub mod node;
 pub mod seal;
 
+/// A time or duration in microseconds.
 pub type Micros = i64;
 
-/// A front, by the first bytes of its public key.
+/// A front: the first eight bytes of its public key, see [`seal::peer_id`].
 pub type PeerId = u64;
 
-/// Random numbers, as the caller draws them.
-pub trait Chance {
+/// A source of random numbers; a closure that returns them is one.
+pub trait RandomSource {
+    /// The next number, uniform over all values.
     fn next(&mut self) -> u64;
 
-    /// One below `most`, which is at least 1.
+    /// A number below `most`; 0 where `most` is 0.
     fn below(&mut self, most: usize) -> usize {
         (self.next() % most.max(1) as u64) as usize
     }
 }
 
-impl<F: FnMut() -> u64> Chance for F {
+impl<F: FnMut() -> u64> RandomSource for F {
     fn next(&mut self) -> u64 {
         self()
     }
--- a/crates/gossip/src/members/probing.rs
+++ b/crates/gossip/src/members/probing.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use crate::message::{Health, Probe};
-use crate::{Chance, Micros, PeerId};
+use crate::{Micros, PeerId, RandomSource};
 
 use super::{Members, Outgoing, MAX_LOCAL_HEALTH};
 
@@ -46,14 +46,14 @@
 
     /// Does what is due: probes, indirect probes, suspicions that expire. What is to be sent is added to
     /// `out`.
-    pub fn tick(&mut self, now: Micros, chance: &mut impl Chance, out: &mut Vec<Outgoing>) {
+    pub fn tick(&mut self, now: Micros, random: &mut impl RandomSource, out: &mut Vec<Outgoing>) {
         let stretch = Micros::from(self.local_health + 1);
-        self.probe_indirectly(now, chance, out);
+        self.probe_indirectly(now, random, out);
         if self.period_ends <= now {
             self.period_ends = now + PROBE_PERIOD * stretch;
             self.conclude_probe(now);
             self.expire(now);
-            self.probe(now, chance, out);
+            self.probe(now, random, out);
         }
         let mut nacks = Vec::new();
         for relay in self.relays.values_mut().filter(|r| r.nack_at.is_some_and(|at| at <= now)) {
@@ -65,7 +65,7 @@
     }
 
     /// Asks others to probe a member that has not answered in time.
-    fn probe_indirectly(&mut self, now: Micros, chance: &mut impl Chance, out: &mut Vec<Outgoing>) {
+    fn probe_indirectly(&mut self, now: Micros, random: &mut impl RandomSource, out: &mut Vec<Outgoing>) {
         let Some(probing) = self.probing.as_mut().filter(|p| p.indirect_at.is_some_and(|at| at <= now))
         else {
             return;
@@ -82,7 +82,7 @@
             .map(|(_, m)| m.address)
             .collect();
         for _ in 0..INDIRECT_PROBES.min(others.len()) {
-            let to = others.swap_remove(chance.below(others.len()));
+            let to = others.swap_remove(random.below(others.len()));
             out.push(Outgoing { to, probe: Probe::PingRequest { number, member, address } });
             probing.missing_nacks += 1;
         }
@@ -105,7 +105,7 @@
     }
 
     /// Probes the next member of the round, and seeds where it is due.
-    fn probe(&mut self, now: Micros, chance: &mut impl Chance, out: &mut Vec<Outgoing>) {
+    fn probe(&mut self, now: Micros, random: &mut impl RandomSource, out: &mut Vec<Outgoing>) {
         if self.left {
             return;
         }
@@ -116,7 +116,7 @@
             let Some(id) = self.probe_order.pop() else {
                 self.probe_order = self.up().map(|(id, _)| id).collect();
                 for n in (1..self.probe_order.len()).rev() {
-                    self.probe_order.swap(n, chance.below(n + 1));
+                    self.probe_order.swap(n, random.below(n + 1));
                 }
                 continue;
             };
@@ -128,19 +128,19 @@
             out.push(Outgoing { to: address, probe: Probe::Ping { number } });
             break;
         }
-        self.probe_seeds(number, chance, out);
+        self.probe_seeds(number, random, out);
     }
 
     /// Alone, probes all seeds; else one now and then, so that two parts of a fleet that lost each other meet
     /// again.
-    fn probe_seeds(&mut self, number: u32, chance: &mut impl Chance, out: &mut Vec<Outgoing>) {
+    fn probe_seeds(&mut self, number: u32, random: &mut impl RandomSource, out: &mut Vec<Outgoing>) {
         if self.members.is_empty() {
             let others = self.seeds.iter().filter(|to| **to != self.address).collect::<BTreeSet<_>>();
             out.extend(others.into_iter().map(|to| Outgoing { to: *to, probe: Probe::Ping { number } }));
         } else if !self.seeds.is_empty()
             && (self.probing.is_none() || number.is_multiple_of(SEED_PROBE_EVERY))
         {
-            let to = self.seeds[chance.below(self.seeds.len())];
+            let to = self.seeds[random.below(self.seeds.len())];
             if to != self.address {
                 out.push(Outgoing { to, probe: Probe::Ping { number } });
             }
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -1,4 +1,4 @@
-//! One front among its peers: what it sends when, and what it takes in.
+//! One front among its peers: it sends rounds of gossip and probes, and takes in datagrams.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,9 +8,9 @@
 use crate::evidence::{Evidence, PeerOwnership, PeerReport, MAX_SIGHTINGS};
 use crate::load_reports::LoadReports;
 use crate::members::{FleetSize, Members, Outgoing};
-use crate::message::{self, Message, OwnershipReport, Probe, Report, Sighting, MAX_DATAGRAM};
+use crate::message::{self, Message, OwnershipReport, Probe, Report, Sighting, Signed, MAX_DATAGRAM};
 use crate::seal::{Identity, Keys, Peers, Refused, TokenBucket, SEAL_BYTES};
-use crate::{Chance, Micros, PeerId};
+use crate::{Micros, PeerId, RandomSource};
 
 mod load;
 
@@ -31,20 +31,25 @@
 /// A datagram to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
+    /// Its receiver.
     pub to: SocketAddr,
+    /// The sealed message.
     pub bytes: Vec<u8>,
 }
 
-/// What it is at start.
+/// What a front needs to take part.
 pub struct NodeConfig {
     /// The secret half of its key pair.
     pub secret: [u8; 32],
     /// Public keys of all fronts that count.
     pub keys: Rc<Keys>,
+    /// Where other fronts reach this one.
     pub address: SocketAddr,
+    /// Addresses of fronts to contact first, and now and then later.
     pub seeds: Vec<SocketAddr>,
 }
 
+/// One front's part in the gossip.
 pub struct Node {
     own: Identity,
     peers: Peers,
@@ -62,10 +67,11 @@
     load_version: u32,
     version: u32,
     renew_at: Micros,
-    /// What counted for nothing, by why.
+    /// Datagrams and reports that were refused, by reason.
     pub refused: BTreeMap<Refused, u64>,
-    /// Bytes that were sent, and datagrams that were not, for want of tokens.
+    /// Bytes that were sent.
     pub sent: u64,
+    /// Datagrams that were not sent: too long, or beyond a rate limit.
     pub held_back: u64,
 }
 
@@ -95,15 +101,17 @@
         }
     }
 
+    /// The id that other fronts know this one by.
     pub fn peer_id(&self) -> PeerId {
         self.own.id
     }
 
-    /// The public half of its key pair.
+    /// The public half of this front's key pair.
     pub fn public_key(&self) -> [u8; 32] {
         self.own.public_key()
     }
 
+    /// This front's view of the fleet.
     pub fn members(&self) -> &Members {
         &self.members
     }
@@ -197,26 +205,26 @@
         self.mailbox.take()
     }
 
-    /// Where a front is heard, as far as it is known.
+    /// Where a front that is up listens, as far as it is known.
     pub fn address(&self, front: PeerId) -> Option<SocketAddr> {
         self.members.up().find(|(id, _)| *id == front).map(|(_, at)| at)
     }
 
-    /// When `tick` is next due.
+    /// When `tick` is next due, in microseconds on the caller's clock.
     pub fn due(&self) -> Micros {
         self.members.due().min(self.next_round)
     }
 
-    /// Does what is due.
-    pub fn tick(&mut self, now: Micros, wall_ms: u64, chance: &mut impl Chance) -> Vec<Datagram> {
+    /// Does what is due and returns what is to be sent.
+    pub fn tick(&mut self, now: Micros, wall_ms: u64, random: &mut impl RandomSource) -> Vec<Datagram> {
         let (mut sends, mut out) = (Vec::new(), Vec::new());
-        self.members.tick(now, chance, &mut sends);
+        self.members.tick(now, random, &mut sends);
         if self.next_round <= now {
             self.next_round = now + ROUND_PERIOD;
             self.evidence.expire(now);
             let mut targets: Vec<SocketAddr> = self.members.up().map(|(_, at)| at).collect();
             for _ in 0..FANOUT.min(targets.len()) {
-                let to = targets.swap_remove(chance.below(targets.len()));
+                let to = targets.swap_remove(random.below(targets.len()));
                 sends.push(Outgoing { to, probe: Probe::None });
                 out.extend(self.pass_load_reports(now, wall_ms, to));
             }
@@ -227,13 +235,13 @@
         out
     }
 
-    /// Says good-bye to some members; they tell the others.
-    pub fn leave(&mut self, now: Micros, wall_ms: u64, chance: &mut impl Chance) -> Vec<Datagram> {
+    /// Announces to some members that this front leaves; they pass it on.
+    pub fn leave(&mut self, now: Micros, wall_ms: u64, random: &mut impl RandomSource) -> Vec<Datagram> {
         self.members.leave();
         let mut targets: Vec<SocketAddr> = self.members.up().map(|(_, at)| at).collect();
         let mut out = Vec::new();
         for _ in 0..(2 * FANOUT).min(targets.len()) {
-            let to = targets.swap_remove(chance.below(targets.len()));
+            let to = targets.swap_remove(random.below(targets.len()));
             out.extend(self.send(now, wall_ms, Outgoing { to, probe: Probe::None }, Purpose::Gossip));
         }
         out
@@ -243,7 +251,7 @@
         let mut rumours = vec![self.members.own_rumour()];
         let answers = purpose == Purpose::Answer;
         let most = match purpose {
-            // Guards against one who asks without end: answers use up no news that others are to hear.
+            // Guards against a flood of probes: answers use up no rumours that others are to learn.
             Purpose::Answer => 0,
             Purpose::Gossip => MAX_RUMOURS,
             Purpose::Welcome => WELCOME_RUMOURS,
@@ -271,15 +279,16 @@
         Some(Datagram { to: outgoing.to, bytes: self.own.seal(wall_ms, &content) })
     }
 
-    /// A datagram has come; what is to go back.
+    /// Takes in a datagram from the address `from` and returns what is to be sent in answer. What is refused
+    /// is counted.
     pub fn receive(&mut self, now: Micros, wall_ms: u64, from: SocketAddr, bytes: &[u8]) -> Vec<Datagram> {
-        match self.take(now, wall_ms, from, bytes) {
+        match self.open(now, wall_ms, from, bytes) {
             Ok((sends, newcomer)) => {
                 let mut out: Vec<Datagram> = sends
                     .into_iter()
                     .filter_map(|send| self.send(now, wall_ms, send, Purpose::Answer))
                     .collect();
-                // One that was not known is told of others at once: it would meet them one by one.
+                // A newcomer learns of others at once: else it would meet them one by one.
                 let welcome = newcomer.map(|to| Outgoing { to, probe: Probe::None });
                 out.extend(welcome.and_then(|send| self.send(now, wall_ms, send, Purpose::Welcome)));
                 out
@@ -291,7 +300,8 @@
         }
     }
 
-    fn take(
+    /// Opens a datagram and takes in what it holds: probes to be answered, and the address of a newcomer.
+    fn open(
         &mut self,
         now: Micros,
         wall_ms: u64,
@@ -302,14 +312,14 @@
         let sender = opened.sender;
         let message: Message = message::read(opened.content).ok_or(Refused::Form)?;
         if sender == self.own.id {
-            return Err(Refused::Replay); // our own, come back
+            return Err(Refused::Replay); // this front's own, come back
         }
-        // Answers go where the sender says that it is heard, which need not be where it speaks from.
+        // Answers go where the sender says that it listens, which need not be where it sends from.
         let own = message.rumours.iter().find(|rumour| rumour.member == sender);
         let from_address = own.map_or(from, |rumour| rumour.address);
         let newcomer = self.members.health(sender).is_none().then_some(from_address);
         for rumour in message.rumours {
-            // Only those count that could speak for themselves.
+            // Only fronts with a known key count: they could refute the rumour.
             if self.peers.knows(rumour.member) {
                 self.members.apply(now, sender, rumour);
             }
@@ -321,7 +331,12 @@
         } else if !self.mailbox.deliver(sender, from_address, message.payload) {
             *self.refused.entry(Refused::Form).or_default() += 1;
         }
-        for signed in message.reports {
+        self.merge_reports(now, wall_ms, from, message.reports);
+        Ok((sends, newcomer.filter(|_| self.members.len() > 1)))
+    }
+
+    fn merge_reports(&mut self, now: Micros, wall_ms: u64, from: SocketAddr, reports: Vec<Signed>) {
+        for signed in reports {
             let Some(report) = message::read::<Report>(&signed.report) else { continue };
             // Guards against the cost of what is known already, which is most of what comes.
             if report.reporter == self.own.id
@@ -339,7 +354,6 @@
                 Err(why) => *self.refused.entry(why).or_default() += 1,
             }
         }
-        Ok((sends, newcomer.filter(|_| self.members.len() > 1)))
     }
 }
 
--- a/crates/gossip/src/node/load.rs
+++ b/crates/gossip/src/node/load.rs
@@ -4,7 +4,6 @@
 
 use super::*;
 use crate::load_reports::{LoadReport, OfferedLoad};
-use crate::message::Signed;
 
 /// Microseconds between a front's load reports: they reach 300 fronts in some two seconds.
 const REPORT_EVERY: Micros = 1_500_000;
--- a/crates/gossip/src/seal.rs
+++ b/crates/gossip/src/seal.rs
@@ -1,5 +1,5 @@
-//! Whose word it is: datagrams and reports are signed by their senders and reporters, and what comes is
-//! believed only if its key is known, it is not a replay, and there is a token left to look at its signature.
+//! Authentication: datagrams are signed by their senders and reports by their reporters. What comes counts
+//! only if its key is known, it is not a replay, and a token is left to check its signature.
 
 mod peer;
 mod token_bucket;
@@ -21,14 +21,15 @@
 const SIGNATURE_BYTES: usize = 64;
 /// Bytes that sealing adds to a message.
 pub const SEAL_BYTES: usize = HEADER_BYTES + SIGNATURE_BYTES;
-const VERIFICATIONS_A_SECOND: f64 = 1_000.0; // signatures looked at; each takes some 50 microseconds
-const VERIFICATIONS_A_SOURCE: f64 = 100.0; // of which from one address that has not proved to be a front's
-const VALID_A_SECOND: f64 = 4_000.0; // signatures that held: a fifth of a core
-const MAX_SOURCES: usize = 1_024; // addresses that are counted; others share one count
+const VERIFICATIONS_A_SECOND: f64 = 1_000.0; // failed checks of signatures; each takes some 50 microseconds
+const VERIFICATIONS_A_SOURCE: f64 = 100.0; // failed checks for datagrams from one address
+const VALID_A_SECOND: f64 = 4_000.0; // checks that succeed: a fifth of a core
+const MAX_SOURCES: usize = 1_024; // addresses that are counted apart; others share one bucket
 
-/// A front's own key pair.
+/// A front's key pair, with which it signs what it sends.
 pub struct Identity {
     key: SigningKey,
+    /// The id that goes with the public key.
     pub id: PeerId,
     /// Unix milliseconds when this run of the front began.
     pub started_ms: u64,
@@ -36,7 +37,7 @@
     sent: u32,
 }
 
-/// The id that goes with a public key.
+/// The id that goes with a public key: its first eight bytes, big endian.
 pub fn peer_id(key: &[u8; 32]) -> PeerId {
     let mut first = [0; 8];
     first.copy_from_slice(&key[..8]);
@@ -44,17 +45,19 @@
 }
 
 impl Identity {
+    /// From the secret half of a key pair; `started_ms` has to grow with each start.
     pub fn new(secret: &[u8; 32], started_ms: u64) -> Identity {
         let key = SigningKey::from_bytes(secret);
         let id = peer_id(key.verifying_key().as_bytes());
         Identity { key, id, started_ms, sent: 0 }
     }
 
+    /// The public half of the key pair.
     pub fn public_key(&self) -> [u8; 32] {
         self.key.verifying_key().to_bytes()
     }
 
-    /// A message as it leaves; `wall_ms` is the Unix clock.
+    /// The datagram of a message: header, content, signature. `wall_ms` is Unix time in milliseconds.
     pub fn seal(&mut self, wall_ms: u64, content: &[u8]) -> Vec<u8> {
         self.sent += 1;
         let mut out = Vec::with_capacity(SEAL_BYTES + content.len());
@@ -79,12 +82,13 @@
     }
 
     fn sign_as(&self, context: &[u8], report: Vec<u8>) -> Signed {
-        // Guards against a report that passes for a datagram: what is signed says which it is.
+        // Guards against a report that passes for a datagram: the signed context says which it is.
         let signature = self.key.sign(&[context, &report].concat()).to_bytes().to_vec();
         Signed { report, signature }
     }
 }
 
+// Signed in front of a report's bytes (domain separation). Part of the format between versions.
 const REPORT_CONTEXT: &[u8] = b"hallmux report\0";
 const LOAD_REPORT_CONTEXT: &[u8] = b"hallmux share\0";
 
@@ -93,47 +97,55 @@
 pub enum Refused {
     /// Too long, too short, or no message.
     Form,
-    /// Nobody's whose key is known, or its signature does not hold.
+    /// Its sender's or reporter's key is not known.
     Stranger,
+    /// Its signature does not hold.
     Forged,
     /// Received before, or of an earlier run of its sender.
     Replay,
     /// Too long under way.
     Old,
-    /// More than can be looked at.
+    /// No token was left to check its signature.
     Flood,
 }
 
-/// Public keys of all fronts that count.
+/// The public keys of all fronts whose datagrams and reports count.
 #[derive(Default)]
 pub struct Keys(HashMap<PeerId, VerifyingKey>);
 
 impl Keys {
-    /// One that is no key is left out.
+    /// Bytes that are no Ed25519 key are left out.
     pub fn new(keys: &[[u8; 32]]) -> Rc<Keys> {
         let known = |bytes: &[u8; 32]| Some((peer_id(bytes), VerifyingKey::from_bytes(bytes).ok()?));
         Rc::new(Keys(keys.iter().filter_map(known).collect()))
     }
 }
 
-/// The peers whose word counts.
+/// The peers whose datagrams and reports count, with what guards against replays and floods.
 pub struct Peers {
     keys: Rc<Keys>,
     peers: HashMap<PeerId, Peer>,
+    /// Failed checks of all sources.
     all: TokenBucket,
+    /// Failed checks by source address.
     sources: HashMap<IpAddr, TokenBucket>,
+    /// Failed checks of all sources beyond [`MAX_SOURCES`].
     others: TokenBucket,
-    proven: TokenBucket,
+    /// Checks that succeeded.
+    valid: TokenBucket,
 }
 
-/// A datagram that counts.
+/// A datagram whose signature holds.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Opened<'a> {
+    /// The front that signed it.
     pub sender: PeerId,
+    /// The encoded message.
     pub content: &'a [u8],
 }
 
 impl Peers {
+    /// Peers of which nothing was heard yet.
     pub fn new(keys: Rc<Keys>) -> Peers {
         Peers {
             keys,
@@ -141,30 +153,33 @@
             all: TokenBucket::new(VERIFICATIONS_A_SECOND),
             sources: HashMap::new(),
             others: TokenBucket::new(VERIFICATIONS_A_SOURCE),
-            proven: TokenBucket::new(VALID_A_SECOND),
+            valid: TokenBucket::new(VALID_A_SECOND),
         }
     }
 
-    /// These keys count from now on; what is known of those that stay is kept.
+    /// These keys count from now on; the replay protection of those that stay goes on.
     pub fn set_keys(&mut self, keys: Rc<Keys>) {
         self.peers.retain(|id, _| keys.0.get(id) == self.keys.0.get(id));
         self.keys = keys;
     }
 
+    /// Whether this front's key counts.
     pub fn knows(&self, id: PeerId) -> bool {
         self.keys.0.contains_key(&id)
     }
 
-    /// Fronts that count.
+    /// The number of keys that count.
     pub fn len(&self) -> usize {
         self.keys.0.len()
     }
 
+    /// Whether no key counts.
     pub fn is_empty(&self) -> bool {
         self.keys.0.is_empty()
     }
 
-    /// Takes a datagram apart, if it counts; `wall_ms` is the Unix clock.
+    /// Opens a datagram that came from the address `from`; `wall_ms` is Unix time in milliseconds. An error
+    /// says why it was refused; it changes nothing but the rate limits.
     pub fn open<'a>(
         &mut self,
         now: Micros,
@@ -184,7 +199,7 @@
         let number = (u64_at(16) >> 32) as u32;
         let sent_ms = u64_at(20);
         let key = *self.keys.0.get(&sender).ok_or(Refused::Stranger)?;
-        // The cheap questions first, so that a flood of what can't be costs no signatures.
+        // The cheap checks first, so that a flood of what can't be costs no signatures.
         let delay = (wall_ms as i64).wrapping_sub(sent_ms as i64);
         self.peers.get(&sender).unwrap_or(&Peer::UNKNOWN).check(now, started_ms, number, delay)?;
         self.may_verify(now, from)?;
@@ -196,7 +211,7 @@
         Ok(Opened { sender, content: &signed[HEADER_BYTES..] })
     }
 
-    /// Reads a report, if its reporter's signature holds.
+    /// Decodes a report that came with a datagram from `from`, if its reporter's signature holds.
     pub fn verify_report(&mut self, now: Micros, from: IpAddr, signed: &Signed) -> Result<Report, Refused> {
         let report: Report = message::read(&signed.report).ok_or(Refused::Form)?;
         self.verify(now, from, report.reporter, REPORT_CONTEXT, signed)?;
@@ -228,6 +243,7 @@
         key.verify_strict(&[context, &signed.report].concat(), &signature).map_err(|_| Refused::Forged)
     }
 
+    /// Takes the tokens of a check that may fail.
     fn may_verify(&mut self, now: Micros, from: IpAddr) -> Result<(), Refused> {
         let known = self.sources.contains_key(&from) || self.sources.len() < MAX_SOURCES;
         let source = match known {
@@ -238,19 +254,19 @@
         may.then_some(()).ok_or(Refused::Flood)
     }
 
-    /// A signature held: it counts among those of fronts, and no longer among those of whoever sends from
-    /// there.
+    /// A signature held: it counts among the valid ones, and no longer against its source.
     fn count_valid(&mut self, now: Micros, from: IpAddr) -> Result<(), Refused> {
         let source = self.sources.get_mut(&from).unwrap_or(&mut self.others);
         source.refund(1.0);
         self.all.refund(1.0);
-        self.proven.take(now, 1.0).then_some(()).ok_or(Refused::Flood)
+        self.valid.take(now, 1.0).then_some(()).ok_or(Refused::Flood)
     }
 
-    /// How old a report of a reporter is, in microseconds, going by how its clock compares with ours.
+    /// Microseconds since a reporter made a report, by the least delay seen of it. None where it can't be
+    /// computed.
     pub fn age(&self, reporter: PeerId, wall_ms: u64, created_ms: u64) -> Option<Micros> {
         let least = self.peers.get(&reporter).map_or(i64::MAX, Peer::least);
-        // Of one that was never heard itself nothing is known of its clock: as they are.
+        // Of a front that was never heard itself nothing is known: the clocks are taken to agree.
         let least = if least == i64::MAX { 0 } else { least };
         let delay = (wall_ms as i64).checked_sub(created_ms as i64)?.checked_sub(least)?;
         delay.max(0).checked_mul(1000)
--- a/crates/gossip/src/seal/peer.rs
+++ b/crates/gossip/src/seal/peer.rs
@@ -1,22 +1,26 @@
-//! What was heard from a front itself: whether a datagram of it can be new.
+//! What is known of a front from its own datagrams: whether another of them can be new (replay protection).
 
 use super::Refused;
 use crate::Micros;
 
-const WINDOW: u32 = 256; // numbers of datagrams of a sender that may come out of order
-                         // Microseconds a datagram may be under way, over the least seen.
+const WINDOW: u32 = 256; // numbers by which a sender's datagrams may be out of order
+                         // Microseconds a datagram may be under way, beyond the least delay seen.
 pub(super) const TIME_WINDOW: Micros = 10_000_000;
 
-/// What was heard from a front itself.
+/// What is known of a front from its own datagrams.
 pub(super) struct Peer {
+    /// When its latest run began, in Unix milliseconds on its clock; 0 if it was never heard.
     pub(super) started_ms: u64,
     /// The highest number of a datagram of that run, and a bitmap of those before it that were received.
     pub(super) highest: u32,
     pub(super) received: [u64; (WINDOW / 64) as usize],
+    /// When its latest datagram came.
     pub(super) heard: Micros,
-    /// Least differences between our clock and its own, of this window and the last; when this one began.
+    /// Least difference in milliseconds between our clock and its datagrams', in this time window and the
+    /// last.
     pub(super) least: [i64; 2],
-    pub(super) since: Micros,
+    /// When this time window began.
+    pub(super) window_began: Micros,
 }
 
 impl Peer {
@@ -26,14 +30,16 @@
         received: [0; (WINDOW / 64) as usize],
         heard: 0,
         least: [i64::MAX; 2],
-        since: 0,
+        window_began: 0,
     };
 
-    /// The least that datagrams seem to have been under way: the clocks' difference, and the way itself.
+    /// The least apparent delay in milliseconds: the clocks' difference and the network's delay.
     pub(super) fn least(&self) -> i64 {
         self.least[0].min(self.least[1])
     }
 
+    /// Whether a datagram can be new, before its signature is checked; `delay` is its apparent delay in
+    /// milliseconds.
     pub(super) fn check(&self, now: Micros, started_ms: u64, number: u32, delay: i64) -> Result<(), Refused> {
         let forgotten = now - self.heard > TIME_WINDOW;
         if started_ms < self.started_ms && !forgotten {
@@ -59,11 +65,12 @@
         Ok(())
     }
 
+    /// Takes note of a datagram whose signature holds.
     pub(super) fn record(&mut self, now: Micros, started_ms: u64, number: u32, delay: i64) {
         if started_ms != self.started_ms {
             (self.started_ms, self.highest, self.received) = (started_ms, number, Default::default());
             self.received[0] = 1;
-            (self.least, self.since) = ([i64::MAX; 2], now);
+            (self.least, self.window_began) = ([i64::MAX; 2], now);
         } else if number > self.highest {
             self.shift(number - self.highest);
             self.highest = number;
@@ -72,14 +79,14 @@
             let back = self.highest - number;
             self.received[(back / 64) as usize] |= 1 << (back % 64);
         }
-        if now - self.since > TIME_WINDOW {
-            (self.least, self.since) = ([i64::MAX, self.least[0]], now);
+        if now - self.window_began > TIME_WINDOW {
+            (self.least, self.window_began) = ([i64::MAX, self.least[0]], now);
         }
         self.least[0] = self.least[0].min(delay);
         self.heard = now;
     }
 
-    /// The window moves on by so many numbers.
+    /// Moves the bitmap of received numbers on by `by`.
     fn shift(&mut self, by: u32) {
         let (words, bits) = ((by / 64) as usize, by % 64);
         let before = self.received;
