--- /dev/null
+++ b/crates/fleet/src/exchange.rs
@@ -0,0 +1,285 @@
+//! One front's part in the exchange between the fleet and its dispatcher.
+
+mod ledger;
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use hallmux_dispatcher::{Dispatcher, Micros, Sighted};
+use hallmux_gossip::channels::{Channel, ChannelMessage};
+use hallmux_gossip::evidence::PeerReport;
+use hallmux_gossip::members::FleetSize;
+use hallmux_gossip::message::Sighting;
+use hallmux_gossip::node::{Datagram, Node, NodeConfig};
+use hallmux_gossip::seal::{Keys, Refused};
+use hallmux_gossip::{PeerId, RandomSource};
+
+use crate::ledger::LedgerNode;
+use crate::load::Load;
+use crate::ownership::Ownership;
+use crate::{engine_hash, Moment, Output, OwnedLease, OwnershipConfig};
+
+const OBSERVE_EVERY: Micros = 250_000; // microseconds between looks at what this front has observed itself
+/// Milliseconds: each step of a silence is a report for all fronts to pass on.
+const SILENCE_STEP_MS: Micros = 500;
+const MAX_RECEIVED: usize = 1_024; // channel messages held for other subsystems: some 100 KB
+const MAX_REPORTERS: usize = 4_096; // fronts that the dispatcher tells apart in one run of this one
+
+/// One front's part in the exchange.
+pub struct Exchange {
+    node: Node,
+    next_look: Micros,
+    /// What each peer reported last of each engine, so that a change reaches the dispatcher once.
+    known: BTreeMap<(PeerId, u64), Sighting>,
+    /// The dispatcher's numbers for reporters, in the order in which they were first heard.
+    reporters: BTreeMap<PeerId, usize>,
+    /// The size of the fleet as the dispatcher knows it.
+    fleet: FleetSize,
+    left: bool,
+    received: Vec<ChannelMessage>,
+    /// Ownership of the fleet's work, where voters are configured.
+    ownership: Option<Ownership>,
+    /// The replicated ledger, where it is enabled.
+    ledger: Option<LedgerNode>,
+    /// The load offered to the fleet, where it sheds overload as one.
+    load: Option<Load>,
+    /// Whether this front makes the fleet's probes, as the dispatcher knows it; None where they have no
+    /// owner.
+    probes: Option<bool>,
+}
+
+fn sighting(seen: &Sighted) -> Sighting {
+    Sighting {
+        engine: engine_hash(seen.id),
+        failed: seen.failed.min(255.0) as u8,
+        answered: seen.answered.min(255.0) as u8,
+        silent_ms: (seen.silent / 1000 / SILENCE_STEP_MS * SILENCE_STEP_MS).min(Micros::from(u16::MAX))
+            as u16,
+        drains: seen.drains,
+        started_s: seen.started.map_or(0, |at| (at / 1_000_000) as u32),
+    }
+}
+
+impl Exchange {
+    /// A front that knows of no other yet; `wall_ms` is Unix time in milliseconds and names this run.
+    pub fn new(config: NodeConfig, wall_ms: u64) -> Exchange {
+        Exchange {
+            node: Node::new(config, wall_ms),
+            next_look: 0,
+            known: BTreeMap::new(),
+            reporters: BTreeMap::new(),
+            fleet: FleetSize { known: 1, up: 1 },
+            left: false,
+            received: Vec::new(),
+            ownership: None,
+            ledger: None,
+            load: None,
+            probes: None,
+        }
+    }
+
+    /// Switches on that one front at a time owns the fleet's work. An error says why the saved state can't be
+    /// used.
+    pub fn enable_ownership(
+        &mut self,
+        at: Moment,
+        config: OwnershipConfig,
+    ) -> Result<(), hallmux_lease::disk::Spoilt> {
+        self.ownership = Some(Ownership::new(at, self.node.peer_id(), config)?);
+        Ok(())
+    }
+
+    /// Switches on that the fleet sheds overload as one.
+    pub fn enable_load_reports(&mut self) {
+        self.node.enable_load_reports();
+        self.load.get_or_insert_default();
+    }
+
+    /// The lease under which this front owns the fleet's work now.
+    pub fn owned_lease(&self, steady: Micros) -> Option<OwnedLease> {
+        self.ownership.as_ref().and_then(|ownership| ownership.owned_lease(steady))
+    }
+
+    /// Whether a probe on behalf of the fleet may leave now: where such work has an owner, only the owner's.
+    pub fn may_probe(&self, steady: Micros) -> bool {
+        self.ownership.as_ref().is_none_or(|ownership| ownership.owned_lease(steady).is_some())
+    }
+
+    /// Acts and messages of owners and voters that were refused, by reason.
+    pub fn refused_acts(&self) -> BTreeMap<&'static str, u64> {
+        self.ownership.as_ref().map(|ownership| ownership.refused.clone()).unwrap_or_default()
+    }
+
+    /// The public half of this front's key pair.
+    pub fn public_key(&self) -> [u8; 32] {
+        self.node.public_key()
+    }
+
+    /// These public keys count from now on, instead of those before.
+    pub fn set_keys(&mut self, keys: Rc<Keys>) {
+        self.node.set_keys(keys);
+    }
+
+    /// The size of the fleet, this front included, as the dispatcher knows it.
+    pub fn fleet_size(&self) -> FleetSize {
+        self.fleet
+    }
+
+    /// Datagrams and reports that were refused, by reason.
+    pub fn refused(&self) -> &BTreeMap<Refused, u64> {
+        &self.node.refused
+    }
+
+    /// When `tick` is next due, on the dispatcher's clock.
+    pub fn due(&self, at: Moment) -> Micros {
+        let ledger = self.ledger.as_ref().map_or(Micros::MAX, |l| at.now.saturating_add(l.due(at.steady)));
+        if self.left {
+            ledger
+        } else {
+            let ownership = self.ownership.as_ref().map_or(Micros::MAX, Ownership::due);
+            let load = self.load.as_ref().map_or(Micros::MAX, Load::due);
+            self.node.due().min(self.next_look).min(ownership).min(ledger).min(load)
+        }
+    }
+
+    /// Takes in a datagram from the address `from`; gives what is to be sent in answer.
+    pub fn receive(&mut self, at: Moment, from: SocketAddr, bytes: &[u8]) -> Output {
+        let datagrams = self.node.receive(at.now, at.wall_ms, from, bytes);
+        let mut out = Output { datagrams, ..Output::default() };
+        for ChannelMessage { from, at: address, channel, bytes } in self.node.received() {
+            match (channel, &mut self.ownership) {
+                (Channel::Lease, Some(ownership)) => ownership.receive(at, from, address, &bytes),
+                (Channel::Lease, None) => {}
+                (Channel::Ledger, _) => {
+                    self.ledger.iter_mut().for_each(|ledger| ledger.receive(at, from, &bytes));
+                }
+                _ if self.received.len() >= MAX_RECEIVED => {}
+                _ => self.received.push(ChannelMessage { from, at: address, channel, bytes }),
+            }
+        }
+        if let Some(ownership) = &mut self.ownership {
+            ownership.send(at, &mut self.node, &mut out);
+        }
+        self.send_ledger(at, &mut out);
+        out
+    }
+
+    /// Takes the messages received on other channels; beyond a bound those not taken are dropped.
+    pub fn received(&mut self) -> Vec<ChannelMessage> {
+        std::mem::take(&mut self.received)
+    }
+
+    /// Seals such a message to another front. None if its address is unknown or the channel's rate is
+    /// exceeded.
+    pub fn channel_datagram(
+        &mut self,
+        at: Moment,
+        to: PeerId,
+        channel: Channel,
+        bytes: &[u8],
+    ) -> Option<Datagram> {
+        let to = self.node.address(to)?;
+        self.node.channel_datagram(at.now, at.wall_ms, to, channel, bytes)
+    }
+
+    /// Does what is due; gives what is to go out, and the reports of other fronts on engines that they had
+    /// not reported before.
+    pub fn tick(
+        &mut self,
+        at: Moment,
+        dispatcher: &mut Dispatcher,
+        random: &mut impl RandomSource,
+    ) -> (Output, Vec<PeerReport>) {
+        let (mut out, mut new) = (Output::default(), Vec::new());
+        if at.now < self.due(at) {
+            return (out, new);
+        }
+        if self.left {
+            // Statements that it has yet to answer still rest on the ledger.
+            self.tick_ledger(at, &mut out);
+            return (out, new);
+        }
+        if let Some(ownership) = &mut self.ownership {
+            ownership.tick(at, self.fleet.up, dispatcher, random);
+            ownership.send(at, &mut self.node, &mut out);
+        }
+        self.tick_ledger(at, &mut out);
+        if self.next_look <= at.now {
+            self.next_look = at.now + OBSERVE_EVERY;
+            self.report(at, dispatcher);
+            new = self.take_reports(at.now, dispatcher);
+        }
+        if let Some(load) = &mut self.load {
+            load.tick(at, &mut self.node, dispatcher);
+        }
+        self.announce_fleet(at, dispatcher);
+        out.datagrams.extend(self.node.tick(at.now, at.wall_ms, random));
+        (out, new)
+    }
+
+    /// Reports what this front observes of engines, worst first, and of ownership; takes in others' ownership
+    /// reports.
+    fn report(&mut self, at: Moment, dispatcher: &mut Dispatcher) {
+        let mut seen: Vec<Sighting> = dispatcher.sighted(at.now).iter().map(sighting).collect();
+        seen.sort_by_key(|s| (std::cmp::Reverse(s.silent_ms), std::cmp::Reverse(s.failed), s.engine));
+        let ownership = self.ownership.as_ref().map(|ownership| ownership.report(at, dispatcher));
+        self.node.report(at.now, at.wall_ms, seen, ownership.unwrap_or_default());
+        if let Some(ownership) = &mut self.ownership {
+            ownership.admit(at, &self.node, dispatcher);
+        }
+    }
+
+    /// Passes the fleet's size, and who of it probes for the fleet, to the dispatcher where it has changed.
+    fn announce_fleet(&mut self, at: Moment, dispatcher: &mut Dispatcher) {
+        let fleet = self.node.fleet_size();
+        let probes = self.ownership.as_ref().map(|ownership| ownership.owned_lease(at.steady).is_some());
+        if (fleet, probes) != (self.fleet, self.probes) {
+            (self.fleet, self.probes) = (fleet, probes);
+            let probers = match probes {
+                None => fleet.up as f64,
+                Some(true) => 1.0,
+                Some(false) => f64::INFINITY,
+            };
+            dispatcher.fleet(fleet.known, probers);
+        }
+    }
+
+    /// This front ends: some peers learn so, and pass it on.
+    pub fn leave(&mut self, now: Micros, wall_ms: u64, random: &mut impl RandomSource) -> Vec<Datagram> {
+        if std::mem::replace(&mut self.left, true) {
+            return Vec::new();
+        }
+        self.node.leave(now, wall_ms, random)
+    }
+
+    /// Passes what has changed in other fronts' reports to the dispatcher; gives reports on engines not
+    /// reported before.
+    fn take_reports(&mut self, now: Micros, dispatcher: &mut Dispatcher) -> Vec<PeerReport> {
+        let reports = self.node.peer_reports(now);
+        let known: BTreeMap<(PeerId, u64), Sighting> =
+            reports.iter().map(|r| ((r.reporter, r.sighting.engine), r.sighting)).collect();
+        for report in &reports {
+            let s = report.sighting;
+            // Guards against reporters without end, as keys come and go.
+            if self.known.get(&(report.reporter, s.engine)) == Some(&s)
+                || self.reporters.len() >= MAX_REPORTERS
+            {
+                continue;
+            }
+            let next = self.reporters.len();
+            let reporter = *self.reporters.entry(report.reporter).or_insert(next);
+            let seen = Sighted {
+                id: "",
+                failed: f64::from(s.failed),
+                answered: f64::from(s.answered),
+                silent: Micros::from(s.silent_ms) * 1000,
+                drains: s.drains,
+                started: None,
+            };
+            dispatcher.hearsay(now, reporter, |id| engine_hash(id) == s.engine, &seen, report.age);
+        }
+        let before = std::mem::replace(&mut self.known, known);
+        reports.into_iter().filter(|r| !before.contains_key(&(r.reporter, r.sighting.engine))).collect()
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/exchange/ledger.rs
@@ -0,0 +1,102 @@
+//! The exchange's methods on the replicated ledger.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use hallmux_gossip::PeerId;
+use hallmux_ledger as ledger;
+
+use super::{Exchange, LedgerNode, Moment, Output};
+
+impl Exchange {
+    /// Switches on the ledger; `addresses` says where its members listen. An error says why the setup or the
+    /// saved records can't be used.
+    pub fn enable_ledger(
+        &mut self,
+        at: Moment,
+        setup: ledger::Setup,
+        addresses: BTreeMap<PeerId, SocketAddr>,
+        saved: Option<ledger::Saved>,
+    ) -> Result<(), ledger::Error> {
+        self.ledger = Some(LedgerNode::new(at, setup, addresses, saved)?);
+        Ok(())
+    }
+
+    /// The operator's list of members has changed. Nothing changes where the list can't be used.
+    pub fn set_ledger_members(
+        &mut self,
+        at: Moment,
+        members: Vec<ledger::Member>,
+        addresses: BTreeMap<PeerId, SocketAddr>,
+    ) -> Result<(), ledger::Error> {
+        self.ledger.as_mut().map_or(Ok(()), |ledger| ledger.set_members(at, members, addresses))
+    }
+
+    /// Asks the ledger; the answer comes with [`Exchange::ledger_answers`], maybe at once.
+    pub fn ask_ledger(&mut self, at: Moment, ask: ledger::Ask) -> Output {
+        self.with_ledger(at, |ledger| ledger.ask(at, ask))
+    }
+
+    /// Takes the ledger's answers since the last call.
+    pub fn ledger_answers(&mut self) -> Vec<ledger::Done> {
+        self.ledger.as_mut().map(LedgerNode::answers).unwrap_or_default()
+    }
+
+    /// The save of this number is durable, or has failed where `ok` is false.
+    pub fn ledger_saved(&mut self, at: Moment, number: u64, ok: bool) -> Output {
+        self.with_ledger(at, |ledger| ledger.saved(at, number, ok))
+    }
+
+    /// The front's replicas are lost with their disk: it begins anew on the disk of this identity, holding
+    /// nothing.
+    pub fn start_over(&mut self, at: Moment, disk: u64) -> Output {
+        self.with_ledger(at, |ledger| ledger.start_over(at, disk))
+    }
+
+    /// This front is to end: the shards that it owns are handed over.
+    pub fn hand_over(&mut self, at: Moment) -> Output {
+        self.with_ledger(at, |ledger| ledger.hand_over(at))
+    }
+
+    /// Whether it still owns a shard that another front could own.
+    pub fn hands_over(&self) -> bool {
+        self.ledger.as_ref().is_some_and(LedgerNode::hands_over)
+    }
+
+    /// Whether a shard would lose its quorum without this front, as other replicas are away.
+    pub fn is_needed(&self, at: Moment) -> bool {
+        self.ledger.as_ref().is_some_and(|ledger| ledger.is_needed(at))
+    }
+
+    /// Replicas that this front found to differ from the majority, and those repaired here.
+    pub fn differed(&self) -> (u64, u64) {
+        self.ledger.as_ref().map_or((0, 0), LedgerNode::differed)
+    }
+
+    /// The ledger's counters, where it is enabled.
+    pub fn ledger_tallies(&self) -> Option<ledger::Tallies> {
+        self.ledger.as_ref().map(LedgerNode::tallies)
+    }
+
+    pub(super) fn tick_ledger(&mut self, at: Moment, out: &mut Output) {
+        let node = &self.node;
+        self.ledger.iter_mut().for_each(|ledger| ledger.tick(at, node));
+        self.send_ledger(at, out);
+    }
+
+    pub(super) fn send_ledger(&mut self, at: Moment, out: &mut Output) {
+        if let Some(ledger) = &mut self.ledger {
+            ledger.send(at, &mut self.node, out);
+        }
+    }
+
+    /// Applies a change to the ledger, where it is enabled; gives what is to go out.
+    fn with_ledger(&mut self, at: Moment, change: impl FnOnce(&mut LedgerNode)) -> Output {
+        let mut out = Output::default();
+        if let Some(ledger) = &mut self.ledger {
+            change(ledger);
+        }
+        self.send_ledger(at, &mut out);
+        out
+    }
+}
--- a/crates/fleet/src/promises.rs
+++ b/crates/fleet/src/ledger.rs
@@ -1,48 +1,52 @@
-//! The ledger of promises as one front takes part in it: its letters among the datagrams, and what waits for
-//! its disk.
+//! The replicated ledger as one front takes part in it: its messages go out in gossip datagrams, and those
+//! that rest on a save wait for it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+use hallmux_dispatcher::Micros;
 use hallmux_gossip::channels::Channel;
 use hallmux_gossip::message::Health;
 use hallmux_gossip::node::{Datagram, Node};
 use hallmux_gossip::PeerId;
 use hallmux_ledger::{Ask, Done, Error, Ledger, Member, Saved, Setup};
 
-use crate::{Moment, Out};
+use crate::{Moment, Output};
 
-const HEALTH: hallmux_dispatcher::Micros = 1_000_000; // microseconds between words of gossip on who is there
+const HEALTH_EVERY: Micros = 1_000_000; // microseconds between updates of the ledger on which members are up
 
-/// Records to be kept, and the datagrams that wait for them to be lasting.
+/// Ledger records that must be durable before the datagrams beside them leave.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
+pub struct LedgerSave {
+    /// Its number, by which [`crate::Exchange::ledger_saved`] is told of the outcome.
     pub number: u64,
+    /// To be written in this order.
     pub records: Vec<hallmux_ledger::Record>,
+    /// To be sent once the records are durable.
     pub datagrams: Vec<Datagram>,
 }
 
-pub(crate) struct Promises {
+pub(crate) struct LedgerNode {
     ledger: Ledger,
-    /// Where the fronts that keep copies are heard, as the operator says.
-    members: BTreeMap<PeerId, SocketAddr>,
-    done: Vec<Done>,
-    health_at: hallmux_dispatcher::Micros,
+    /// Where the fronts that hold replicas listen, as the operator has configured.
+    addresses: BTreeMap<PeerId, SocketAddr>,
+    answers: Vec<Done>,
+    next_health: Micros,
 }
 
-impl Promises {
-    /// `saved` is what an earlier life on the same disk has kept.
+impl LedgerNode {
+    /// `saved` is what an earlier run on the same disk has saved.
     pub fn new(
         at: Moment,
         setup: Setup,
-        members: BTreeMap<PeerId, SocketAddr>,
+        addresses: BTreeMap<PeerId, SocketAddr>,
         saved: Option<Saved>,
-    ) -> Result<Promises, Error> {
-        Ok(Promises {
+    ) -> Result<LedgerNode, Error> {
+        Ok(LedgerNode {
             ledger: Ledger::new(moment(at), setup, saved)?,
-            members,
-            done: Vec::new(),
-            health_at: at.steady,
+            addresses,
+            answers: Vec::new(),
+            next_health: at.steady,
         })
     }
 
@@ -50,23 +54,25 @@
         self.ledger.ask(moment(at), ask);
     }
 
-    pub fn done(&mut self) -> Vec<Done> {
-        std::mem::take(&mut self.done)
+    /// Takes the answers since the last call.
+    pub fn answers(&mut self) -> Vec<Done> {
+        std::mem::take(&mut self.answers)
     }
 
-    pub fn heard(&mut self, at: Moment, from: PeerId, bytes: &[u8]) {
+    /// Takes in a message on the ledger channel.
+    pub fn receive(&mut self, at: Moment, from: PeerId, bytes: &[u8]) {
         self.ledger.heard(moment(at), from, bytes);
     }
 
     /// The operator's list has changed.
-    pub fn members(
+    pub fn set_members(
         &mut self,
         at: Moment,
         members: Vec<Member>,
         addresses: BTreeMap<PeerId, SocketAddr>,
     ) -> Result<(), Error> {
         self.ledger.members(moment(at), members)?;
-        self.members = addresses;
+        self.addresses = addresses;
         Ok(())
     }
 
@@ -83,12 +89,12 @@
         self.ledger.is_needed(moment(at))
     }
 
-    /// Who of the members is up and who is not, as far as gossip knows them.
+    /// Tells the ledger which members are up and which are not, as far as gossip knows them.
     fn health(&mut self, at: Moment, node: &Node) {
-        self.health_at = at.steady + HEALTH;
+        self.next_health = at.steady + HEALTH_EVERY;
         let of = |front: &PeerId| node.members().health(*front);
         let which = |healths: [Health; 2]| -> Vec<PeerId> {
-            let all = self.members.keys().copied();
+            let all = self.addresses.keys().copied();
             all.filter(|front| of(front).is_some_and(|health| healths.contains(&health))).collect()
         };
         let (up, away) = (which([Health::Alive; 2]), which([Health::Dead, Health::Left]));
@@ -96,7 +102,7 @@
     }
 
     pub fn tick(&mut self, at: Moment, node: &Node) {
-        if self.health_at <= at.steady {
+        if self.next_health <= at.steady {
             self.health(at, node);
         }
         if self.ledger.due() <= at.steady {
@@ -105,16 +111,16 @@
     }
 
     /// When `tick` is next due, in microseconds from now.
-    pub fn due(&self, steady: hallmux_dispatcher::Micros) -> hallmux_dispatcher::Micros {
+    pub fn due(&self, steady: Micros) -> Micros {
         self.ledger.due().saturating_sub(steady).max(0)
     }
 
-    /// A save is lasting, or has failed.
+    /// A save is durable, or has failed.
     pub fn saved(&mut self, at: Moment, number: u64, ok: bool) {
         self.ledger.saved(moment(at), number, ok);
     }
 
-    /// Begins anew with another disk, as a front that remembers nothing.
+    /// Begins anew on another disk, holding nothing.
     pub fn start_over(&mut self, at: Moment, disk: u64) {
         self.ledger.start_over(moment(at), disk);
     }
@@ -127,26 +133,26 @@
         self.ledger.tallies()
     }
 
-    /// Puts what there is to send into datagrams: behind what has to be kept before.
-    pub fn send(&mut self, at: Moment, node: &mut Node, out: &mut Out) {
+    /// Puts what there is to send into datagrams: behind the saves that they rest on.
+    pub fn send(&mut self, at: Moment, node: &mut Node, out: &mut Output) {
         let hallmux_ledger::Out { letters, saves, done } = self.ledger.take();
-        self.done.extend(done);
-        let mut post =
+        self.answers.extend(done);
+        let mut seal =
             |letters: Vec<(PeerId, Vec<u8>)>| -> Vec<Datagram> {
                 let mut datagrams = Vec::new();
-                for (to, letter) in letters {
-                    // What does not go out is as if it were lost on the way.
-                    let at_peer = self.members.get(&to).copied().or_else(|| node.address(to));
-                    datagrams.extend(at_peer.and_then(|to| {
-                        node.channel_datagram(at.now, at.wall_ms, to, Channel::Ledger, &letter)
+                for (to, message) in letters {
+                    // A message that can't be sent counts as lost on the way.
+                    let address = self.addresses.get(&to).copied().or_else(|| node.address(to));
+                    datagrams.extend(address.and_then(|to| {
+                        node.channel_datagram(at.now, at.wall_ms, to, Channel::Ledger, &message)
                     }));
                 }
                 datagrams
             };
-        out.datagrams.extend(post(letters));
+        out.datagrams.extend(seal(letters));
         for save in saves {
-            let datagrams = post(save.letters);
-            out.kept.push(Kept { number: save.number, records: save.records, datagrams });
+            let datagrams = seal(save.letters);
+            out.ledger_saves.push(LedgerSave { number: save.number, records: save.records, datagrams });
         }
     }
 }
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -7,7 +7,7 @@
 use hallmux_gossip::load_reports::{OfferedLoad, MAX_LOADS};
 use hallmux_gossip::node::Node;
 
-use crate::{named, Moment};
+use crate::{engine_hash, Moment};
 
 /// Microseconds between merges: reports are renewed every second and a half.
 const MERGE_EVERY: Micros = 1_000_000;
@@ -19,12 +19,12 @@
 
 /// A workload as load reports name it.
 fn workload(name: &str) -> u32 {
-    named(name) as u32
+    engine_hash(name) as u32
 }
 
 /// A customer likewise: no workload has such a name.
 fn customer(name: &str) -> u32 {
-    named(&format!("customer\0{name}")) as u32
+    engine_hash(&format!("customer\0{name}")) as u32
 }
 
 #[derive(Default)]
--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -15,7 +15,7 @@
 use hallmux_lease::voter::{self, Voter};
 use hallmux_lease::{fingerprint, Letter, Task, Terms, Token, Word};
 
-use crate::{named, Moment, Out};
+use crate::{engine_hash, Moment, Output};
 
 const TASK: Task = Task::Zones;
 const MAX_RECOVERED: usize = 12; // engines in an owner's act: they fit a report
@@ -169,7 +169,7 @@
     fn recovered(&self, at: Moment, dispatcher: &Dispatcher) -> Vec<RecoveredEngine> {
         let since_ms = |since: Micros| ((at.now - since).max(0) / 1000).min(Micros::from(u32::MAX)) as u32;
         let back = dispatcher.back(at.now).into_iter();
-        back.map(|(id, since)| RecoveredEngine { engine: named(id), since_ms: since_ms(since) })
+        back.map(|(id, since)| RecoveredEngine { engine: engine_hash(id), since_ms: since_ms(since) })
             .take(MAX_RECOVERED)
             .collect()
     }
@@ -229,11 +229,11 @@
         age: Micros,
         dispatcher: &mut Dispatcher,
     ) {
-        let known: Vec<u64> = dispatcher.back(at.now).into_iter().map(|(id, _)| named(id)).collect();
+        let known: Vec<u64> = dispatcher.back(at.now).into_iter().map(|(id, _)| engine_hash(id)).collect();
         for RecoveredEngine { engine, since_ms } in recovered.iter().take(MAX_RECOVERED) {
             if !known.contains(engine) && self.announced.insert(*engine, token) != Some(token) {
                 let since = at.now - age - Micros::from(*since_ms) * 1000;
-                dispatcher.answers_since(|id| named(id) == *engine, since);
+                dispatcher.answers_since(|id| engine_hash(id) == *engine, since);
             }
         }
         self.announced
@@ -241,7 +241,7 @@
     }
 
     /// Puts what there is to send into datagrams: a voter's behind what it has to save.
-    pub fn send(&mut self, at: Moment, node: &mut Node, out: &mut Out) {
+    pub fn send(&mut self, at: Moment, node: &mut Node, out: &mut Output) {
         let seal = |node: &mut Node, to, letter: &Letter| {
             node.channel_datagram(at.now, at.wall_ms, to, Channel::Lease, &hallmux_lease::bytes(letter))
         };
@@ -269,7 +269,7 @@
                 }
             }
             if voted.save.is_some() || !datagrams.is_empty() {
-                out.saved.push(VoterSave { bytes: voted.save, datagrams });
+                out.voter_saves.push(VoterSave { bytes: voted.save, datagrams });
             }
         }
     }
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -12,7 +12,7 @@
 use calloop::{Interest, LoopHandle, Mode, PostAction};
 use hallmux_agreement::{hexadecimal, Gossip, OnDiskFailure};
 use hallmux_dispatcher::{Dispatcher, Micros};
-use hallmux_fleet::{Exchange, Kept, Moment, Out, OwnedLease, OwnershipConfig};
+use hallmux_fleet::{Exchange, LedgerSave, Moment, Output, OwnedLease, OwnershipConfig};
 use hallmux_gossip::channels::Channel;
 use hallmux_gossip::evidence::PeerReport;
 use hallmux_gossip::members::FleetSize;
@@ -140,7 +140,7 @@
                 }
             }
             let (on_disk, remembers) = (copies.is_some(), saved.is_some());
-            exchange.promise(moment, setup, members, saved)?;
+            exchange.enable_ledger(moment, setup, members, saved)?;
             log::info!(
                 "asks {} fronts for promises{}",
                 ledger.members.len(),
@@ -184,7 +184,7 @@
         self.exchange.set_keys(keys(gossip));
         if let Some(ledger) = gossip.ledger.as_ref().filter(|_| self.keeps) {
             let (members, addresses) = members(ledger);
-            if let Err(e) = self.exchange.members(self.moment(now), members, addresses) {
+            if let Err(e) = self.exchange.set_ledger_members(self.moment(now), members, addresses) {
                 log::error!("gossip.ledger.members is left as it was: {e}");
             }
         }
@@ -233,7 +233,7 @@
     pub fn post(&mut self, now: Micros, to: PeerId, channel: Channel, bytes: &[u8]) {
         let at = self.moment(now);
         let datagrams = self.exchange.channel_datagram(at, to, channel, bytes).into_iter().collect();
-        self.send(now, Out { datagrams, ..Out::default() });
+        self.send(now, Output { datagrams, ..Output::default() });
     }
 
     /// The other fronts whose word counts.
@@ -253,14 +253,14 @@
     }
 
     /// What does not go out is as if it were lost on the way.
-    fn send(&mut self, now: Micros, out: Out) {
+    fn send(&mut self, now: Micros, out: Output) {
         for Datagram { to, bytes } in out.datagrams {
             let _ = self.socket.send_to(&bytes, to);
         }
         if let Some(votes) = &mut self.votes {
-            out.saved.into_iter().for_each(|saved| votes.save(saved));
+            out.voter_saves.into_iter().for_each(|saved| votes.save(saved));
         }
-        for Kept { number, records, datagrams } in out.kept {
+        for LedgerSave { number, records, datagrams } in out.ledger_saves {
             if let Some(copies) = &mut self.copies {
                 copies.save(Write { number, records, datagrams });
                 continue;
@@ -269,7 +269,7 @@
             for Datagram { to, bytes } in datagrams {
                 let _ = self.socket.send_to(&bytes, to);
             }
-            let out = self.exchange.saved(self.moment(now), number, true);
+            let out = self.exchange.ledger_saved(self.moment(now), number, true);
             self.send(now, out);
         }
     }
@@ -279,7 +279,7 @@
         let lasting = self.copies.as_ref().map(Copies::lasting).unwrap_or_default();
         for (number, ok) in lasting {
             let at = self.moment(now);
-            let out = self.exchange.saved(at, number, ok);
+            let out = self.exchange.ledger_saved(at, number, ok);
             self.send(now, out);
             if !ok && self.spares_disk && self.copies.take().is_some() {
                 log::error!(
@@ -293,13 +293,13 @@
 
     /// Asks the ledger; the answer comes with `promised`.
     pub fn ask(&mut self, now: Micros, ask: Ask) {
-        let out = self.exchange.ask(self.moment(now), ask);
+        let out = self.exchange.ask_ledger(self.moment(now), ask);
         self.send(now, out);
     }
 
     /// What the ledger has answered to the part of this front whose asks have that highest byte.
     pub fn promised(&mut self, part: u64) -> Vec<Done> {
-        self.done.extend(self.exchange.promised());
+        self.done.extend(self.exchange.ledger_answers());
         let (told, others) =
             std::mem::take(&mut self.done).into_iter().partition(|done| done.number >> PART == part >> PART);
         self.done = others;
@@ -379,7 +379,7 @@
         self.send(now, out);
         let wall = (now / 1000) as u64;
         let datagrams = self.exchange.leave(now, wall, &mut draws(&self.chance, &mut self.drawn));
-        self.send(now, Out { datagrams, ..Out::default() });
+        self.send(now, Output { datagrams, ..Output::default() });
     }
 }
 
--- a/crates/lab/src/simulated/disk.rs
+++ b/crates/lab/src/simulated/disk.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_fleet::Kept;
+use hallmux_fleet::LedgerSave;
 use hallmux_ledger::{DiskId, Record, Saved};
 use rand::Rng;
 
@@ -20,8 +20,8 @@
     pub(super) slow: i64,
     /// Nothing can be written.
     pub(super) full: bool,
-    pub(super) waits: Vec<Kept>,
-    pub(super) writing: Vec<Kept>,
+    pub(super) waits: Vec<LedgerSave>,
+    pub(super) writing: Vec<LedgerSave>,
 }
 
 impl Disk {
@@ -45,7 +45,7 @@
         (!self.records.is_empty()).then(|| Saved(records()))
     }
 
-    fn write(&mut self, writes: &[Kept]) {
+    fn write(&mut self, writes: &[LedgerSave]) {
         for Record { name, bytes } in writes.iter().flat_map(|kept| &kept.records) {
             match bytes {
                 Some(bytes) => _ = self.records.insert(name.clone(), bytes.clone()),
@@ -57,7 +57,7 @@
 
 impl Play<'_> {
     /// Has it made lasting; its datagrams leave then.
-    pub(super) fn keeps(&mut self, n: usize, mut kept: Vec<Kept>) {
+    pub(super) fn keeps(&mut self, n: usize, mut kept: Vec<LedgerSave>) {
         if self.members[n].life.is_none() || kept.is_empty() {
             return;
         }
@@ -100,7 +100,7 @@
         }
         let at = self.moment(n);
         let exchange = self.members[n].life.as_mut().and_then(|life| life.exchange.as_mut());
-        let Some(out) = exchange.map(|exchange| exchange.saved(at, last, ok)) else { return };
+        let Some(out) = exchange.map(|exchange| exchange.ledger_saved(at, last, ok)) else { return };
         self.sends(n, out);
         self.syncs(n);
         self.promised(n);
--- a/crates/lab/src/simulated/ledger.rs
+++ b/crates/lab/src/simulated/ledger.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use hallmux_fleet::gate::{Asks, Ruling};
-use hallmux_fleet::{Exchange, Moment, Out};
+use hallmux_fleet::{Exchange, Moment, Output};
 use hallmux_gossip::seal::{peer_id, Identity};
 use hallmux_gossip::PeerId;
 use hallmux_ledger::{Ask, Done, Member, Setup};
@@ -20,16 +20,16 @@
     exchange: &'a mut Exchange,
     at: Moment,
     done: &'a mut Vec<Done>,
-    outs: Vec<Out>,
+    outs: Vec<Output>,
 }
 
 impl Asks for Way<'_> {
     fn ask(&mut self, _: i64, ask: Ask) {
-        self.outs.push(self.exchange.ask(self.at, ask));
+        self.outs.push(self.exchange.ask_ledger(self.at, ask));
     }
 
     fn promised(&mut self, part: u64) -> Vec<Done> {
-        self.done.extend(self.exchange.promised());
+        self.done.extend(self.exchange.ledger_answers());
         let (told, others) = self.done.drain(..).partition(|done| done.number >> PART == part >> PART);
         *self.done = others;
         told
@@ -53,7 +53,7 @@
         let own = peer_id(&exchange.public_key());
         let setup = Setup { copies, ..Setup::new("lab", own, at.wall_ms, disk.identity, members.clone()) };
         let found = disk.found();
-        exchange.promise(at, setup, heard.clone(), found).map_err(|e| e.to_string())
+        exchange.enable_ledger(at, setup, heard.clone(), found).map_err(|e| e.to_string())
     }
 
     /// What promises let go of, or can't be had for.
@@ -91,7 +91,7 @@
     pub(super) fn promised(&mut self, n: usize) {
         let Some(life) = &mut self.members[n].life else { return };
         if let Some(exchange) = &mut life.exchange {
-            life.done.extend(exchange.promised());
+            life.done.extend(exchange.ledger_answers());
         }
         match life.done.is_empty() {
             true => self.wakes(n),
--- a/crates/lab/src/simulated/words.rs
+++ b/crates/lab/src/simulated/words.rs
@@ -1,6 +1,6 @@
 //! Datagrams between simulated fronts.
 
-use hallmux_fleet::Out;
+use hallmux_fleet::Output;
 use hallmux_gossip::node::Datagram;
 use rand::Rng;
 
@@ -10,15 +10,15 @@
 
 impl Play<'_> {
     /// Sends what is to go out; what a voter has to save is lasting at once, the ledger's waits for the disk.
-    pub(super) fn sends(&mut self, n: usize, out: Out) {
+    pub(super) fn sends(&mut self, n: usize, out: Output) {
         self.posts(n, out.datagrams);
-        for saved in out.saved {
+        for saved in out.voter_saves {
             if saved.bytes.is_some() {
                 self.members[n].saved = saved.bytes;
             }
             self.posts(n, saved.datagrams);
         }
-        self.keeps(n, out.kept);
+        self.keeps(n, out.ledger_saves);
     }
 
     pub(super) fn posts(&mut self, from: usize, datagrams: Vec<Datagram>) {
