--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -1,11 +1,11 @@
-//! Executions that depend on promises are held here until those stand in the ledger: one at a time of an
-//! order key over all fronts, a repeat only where it is dropped, a non-idempotent statement never twice. What
-//! depends on nothing never comes here. No sockets, no clock, no chance; it says what to ask the ledger and
-//! what may leave.
+//! Holds executions back until the ledger entries that they require are held: executions of one order key run
+//! one at a time over all fronts, a repeat goes only to the group that drops it, and a non-idempotent
+//! statement is begun at most once. Statements that require nothing never come here. Free of sockets and
+//! clocks: it says what to ask the ledger and which executions may leave.
 
 mod guard;
 mod hold;
-mod needs;
+mod requirements;
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,74 +13,83 @@
 use hallmux_dispatcher::{Gone, Micros, Place, Site, Taken, Terms, Ticket, Word};
 use hallmux_ledger::{self as ledger, Done, Key, Kind};
 
-pub use guard::{Asks, Guard};
-use hold::{Hold, Verdict, Wanted};
-use needs::{Need, Needs};
+pub use guard::{Guard, LedgerClient};
+use hold::{Claim, Hold, Verdict};
+use requirements::{EntryMark, Requirement, Requirements};
 
-/// The highest byte of the numbers of this part's asks: others of one front have others.
+/// Added to the numbers of this part's asks: the highest byte tells the parts of one front apart.
 pub const NUMBERS: u64 = 1 << 56;
 
-/// Microseconds from a front's start within which a shard may yet have to begin, or to be found.
-const FIRST: Micros = 10_000_000;
-/// Microseconds that an execution waits for the first word of its shard at most; half of its time at most.
-const FIRST_WAIT: Micros = 3_000_000;
+/// Microseconds from a front's start within which a shard may not have started yet, or its owner not be
+/// known.
+const SHARDS_START: Micros = 10_000_000;
+/// Most microseconds that an execution waits for the first answer of its shard; and half of its time at most.
+const MAX_FIRST_WAIT: Micros = 3_000_000;
 
-/// An execution that was ordered.
+/// An execution that the dispatcher has ordered.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ordered {
+pub struct PendingExecution {
+    /// Its statement.
     pub ticket: Ticket,
+    /// Its number among the statement's executions.
     pub execution: usize,
+    /// The engine that it goes to.
     pub place: Place,
+    /// Its deadline and priority.
     pub terms: Terms,
     /// Where that engine is.
     pub site: Site,
 }
 
-/// What becomes of what is held.
+/// What becomes of an execution that was held.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ruling {
-    /// Its promises stand: it leaves at once, or never under them.
-    Go(Ordered),
-    /// Its promise can't be had now: final, and trying again is harmless.
-    TurnAway(Ticket),
-    /// It was begun before, here or elsewhere: final, and nothing is promised.
+    /// Its entries are held: it leaves at once, or not under this ruling.
+    Release(PendingExecution),
+    /// An entry can't be had now: final, and a retry by the client is harmless.
+    Reject(Ticket),
+    /// Its statement was begun before, on some front: final, and its outcome is not known.
     Abort(Ticket),
 }
 
 struct Statement {
-    needs: Vec<Need>,
-    held: Option<Ordered>,
-    patient_until: Micros,
+    requirements: Vec<Requirement>,
+    held: Option<PendingExecution>,
+    /// Until when it waits for the first answer of a shard.
+    wait_until: Micros,
 }
 
+/// The statements that require ledger entries, and the keys that they hold or claim.
 pub struct Gate {
-    life: u64,
-    /// By shard, whether it has said anything in this life.
-    spoke: Vec<bool>,
-    needs: Needs,
+    /// When this front started, in Unix milliseconds.
+    started_ms: u64,
+    /// By shard, whether it has answered since.
+    shards_heard: Vec<bool>,
+    requirements: Requirements,
     statements: HashMap<Ticket, Statement>,
     holds: BTreeMap<Key, Hold>,
+    /// The keys of the asks that are out, by number.
     asked: BTreeMap<u64, Key>,
-    next: u64,
-    /// When the first of the holds is due; asked anew of all only then.
+    last_number: u64,
+    /// When the first of the holds is due; computed anew only then.
     due: Micros,
     asks: Vec<ledger::Ask>,
     rulings: Vec<Ruling>,
-    /// Statements that were turned away, by why.
+    /// Statements that were rejected or aborted, by reason.
     pub refused: BTreeMap<&'static str, u64>,
 }
 
 impl Gate {
-    /// `life` is the name of this life of the front: as for the ledger, Unix milliseconds when it began.
-    pub fn new(contract: &Contract, life: u64, shards: u16) -> Gate {
+    /// `started_ms` is when this front started, in Unix milliseconds, as the ledger knows it.
+    pub fn new(contract: &Contract, started_ms: u64, shards: u16) -> Gate {
         Gate {
-            life,
-            spoke: vec![false; usize::from(shards)],
-            needs: Needs::new(contract),
+            started_ms,
+            shards_heard: vec![false; usize::from(shards)],
+            requirements: Requirements::new(contract),
             statements: HashMap::new(),
             holds: BTreeMap::new(),
             asked: BTreeMap::new(),
-            next: NUMBERS,
+            last_number: NUMBERS,
             due: Micros::MAX,
             asks: Vec::new(),
             rulings: Vec::new(),
@@ -88,105 +97,109 @@
         }
     }
 
-    /// What the dispatcher tells of statements that depend on promises. `id` names one that was taken
-    /// wherever it is tried, if anything does.
-    pub fn hear(&mut self, now: Micros, word: Word, id: impl Fn(Ticket) -> Option<String>) {
+    /// Takes in what the dispatcher reports of statements that require entries. `id` gives the name that such
+    /// a statement has on whichever front it is retried, if it has one.
+    pub fn observe(&mut self, now: Micros, word: Word, id: impl Fn(Ticket) -> Option<String>) {
         match word {
             Word::Taken(taken) => {
                 let id = id(taken.ticket);
                 self.taken(&taken, id);
             }
-            Word::Keeps(key) => self.keeps(&key),
-            Word::Freed { key, rests } => self.freed(now, &key, rests),
-            Word::Gone(gone) => self.gone(now, gone),
+            Word::Keeps(key) => self.retain_key(&key),
+            Word::Freed { key, rests } => self.release_key(now, &key, rests),
+            Word::Gone(gone) => self.end(now, gone),
         }
     }
 
-    /// A statement was taken.
+    /// A statement was admitted.
     fn taken(&mut self, taken: &Taken, id: Option<String>) {
-        // One that nothing names is told apart by this front alone: its entry is for the record.
-        let own = || format!("{}-{}", self.life, taken.ticket);
-        let needs = self.needs.of(taken, &id.unwrap_or_else(own));
-        if !needs.is_empty() {
-            self.statements.insert(taken.ticket, Statement { needs, held: None, patient_until: 0 });
+        // A statement without a name is told apart by this front alone: its entry is for the record.
+        let own = || format!("{}-{}", self.started_ms, taken.ticket);
+        let requirements = self.requirements.of(taken, &id.unwrap_or_else(own));
+        if !requirements.is_empty() {
+            self.statements.insert(taken.ticket, Statement { requirements, held: None, wait_until: 0 });
         }
     }
 
-    /// Whether an execution of it may only leave by a ruling.
-    pub fn guards(&self, ticket: Ticket) -> bool {
+    /// Whether executions of a statement may leave only by a ruling.
+    pub fn holds_back(&self, ticket: Ticket) -> bool {
         self.statements.contains_key(&ticket)
     }
 
-    /// An execution of such a statement is ordered.
-    pub fn order(&mut self, now: Micros, ordered: Ordered) {
-        let Some(s) = self.statements.get_mut(&ordered.ticket) else { return };
-        s.held = Some(ordered);
-        s.patient_until = now + FIRST_WAIT.min((ordered.terms.ends - now) / 2);
-        self.want(now, ordered.ticket);
+    /// The dispatcher has ordered an execution of such a statement: it is held until a ruling.
+    pub fn hold(&mut self, now: Micros, pending: PendingExecution) {
+        let Some(s) = self.statements.get_mut(&pending.ticket) else { return };
+        s.held = Some(pending);
+        s.wait_until = now + MAX_FIRST_WAIT.min((pending.terms.ends - now) / 2);
+        self.claim(now, pending.ticket);
     }
 
-    /// The priority of what is held may change before it leaves.
-    pub fn hurry(&mut self, ticket: Ticket, priority: u8) {
+    /// The priority of an execution has changed while it is held.
+    pub fn set_priority(&mut self, ticket: Ticket, priority: u8) {
         if let Some(held) = self.statements.get_mut(&ticket).and_then(|s| s.held.as_mut()) {
             held.terms.priority = priority;
         }
     }
 
-    /// Gives an execution up. True if it was held: nothing of it has left.
-    pub fn stop(&mut self, now: Micros, ticket: Ticket, execution: usize) -> bool {
+    /// Withdraws an execution. True if it was held: it has never left.
+    pub fn cancel(&mut self, now: Micros, ticket: Ticket, execution: usize) -> bool {
         let Some(s) = self.statements.get_mut(&ticket) else { return false };
         if s.held.take_if(|held| held.execution == execution).is_none() {
             return false;
         }
-        for key in s.needs.iter().map(|need| need.key.clone()).collect::<Vec<_>>() {
-            self.holds.get_mut(&key).map(|hold| hold.wanting.remove(&ticket));
+        for key in s.requirements.iter().map(|requirement| requirement.key.clone()).collect::<Vec<_>>() {
+            self.holds.get_mut(&key).map(|hold| hold.waiting.remove(&ticket));
             self.advance(now, &key);
         }
         true
     }
 
-    /// A statement is over with nothing out for it.
-    fn gone(&mut self, now: Micros, gone: Gone) {
+    /// A statement has ended, and no execution of it is out.
+    fn end(&mut self, now: Micros, gone: Gone) {
         let Some(s) = self.statements.remove(&gone.ticket) else { return };
-        for Need { key, .. } in s.needs {
-            self.holds.get_mut(&key).into_iter().for_each(|hold| hold.gone(now, gone));
+        for Requirement { key, .. } in s.requirements {
+            self.holds.get_mut(&key).into_iter().for_each(|hold| hold.end(now, gone));
             self.advance(now, &key);
         }
     }
 
-    /// A transaction keeps the order key of one of its statements until `freed`.
-    fn keeps(&mut self, name: &str) {
+    /// A transaction holds the order key of one of its statements until `release_key`.
+    fn retain_key(&mut self, name: &str) {
         let key = Key { kind: Kind::Order, name: name.to_string() };
-        self.holds.get_mut(&key).into_iter().for_each(Hold::keep);
+        self.holds.get_mut(&key).into_iter().for_each(Hold::retain);
     }
 
-    fn freed(&mut self, now: Micros, name: &str, rests: bool) {
+    fn release_key(&mut self, now: Micros, name: &str, rests: bool) {
         let key = Key { kind: Kind::Order, name: name.to_string() };
-        self.holds.get_mut(&key).into_iter().for_each(|hold| hold.freed(now, rests));
+        self.holds.get_mut(&key).into_iter().for_each(|hold| hold.release(now, rests));
         self.advance(now, &key);
     }
 
-    /// The ledger has answered an ask.
-    pub fn done(&mut self, now: Micros, done: Done) {
-        let Some(key) = self.asked.remove(&done.number) else { return self.turn(now, done.number) };
-        let shard = usize::from(ledger::shard_of(&key, self.spoke.len() as u16));
-        let spoke = self.spoke.get_mut(shard).is_none_or(|spoke| {
-            *spoke |= done.outcome != ledger::Outcome::Unreachable;
-            *spoke
+    /// The ledger has answered an ask, or notifies that a key is available.
+    pub fn answered(&mut self, now: Micros, done: Done) {
+        let Some(key) = self.asked.remove(&done.number) else { return self.key_available(now, done.number) };
+        let shard = usize::from(ledger::shard_of(&key, self.shards_heard.len() as u16));
+        let heard = self.shards_heard.get_mut(shard).is_none_or(|heard| {
+            *heard |= done.outcome != ledger::Outcome::Unreachable;
+            *heard
         });
-        let first = !spoke && now < self.life as Micros * 1_000 + FIRST;
+        let first = !heard && now < self.started_ms as Micros * 1_000 + SHARDS_START;
         let Some(hold) = self.holds.get_mut(&key) else { return };
         let verdict = hold.answered(now, done.outcome, first);
-        self.ruled(now, &key, verdict);
+        self.apply_verdict(now, &key, verdict);
     }
 
-    /// A key that another had is free, and it is this front's turn: known by the latest ask for it.
-    fn turn(&mut self, now: Micros, number: u64) {
-        let next = self.holds.iter_mut().find_map(|(key, hold)| hold.turn(now, number).then(|| key.clone()));
+    /// A key that another front held is free, and this front is next: known by the number of the latest ask
+    /// for it.
+    fn key_available(&mut self, now: Micros, number: u64) {
+        let next = self
+            .holds
+            .iter_mut()
+            .find_map(|(key, hold)| hold.key_available(now, number).then(|| key.clone()));
         next.into_iter().for_each(|key| self.advance(now, &key));
     }
 
-    /// Asks again what is due.
+    /// Makes the asks that are due.
     pub fn tick(&mut self, now: Micros) {
         if now < self.due {
             return;
@@ -197,6 +210,7 @@
         self.due = self.holds.values().map(Hold::due).min().unwrap_or(Micros::MAX);
     }
 
+    /// When `tick` is next due, or 0 where asks or rulings wait to be taken.
     pub fn due(&self) -> Micros {
         if !self.asks.is_empty() || !self.rulings.is_empty() {
             return 0;
@@ -204,87 +218,92 @@
         self.due
     }
 
-    /// Nothing is asked that has no answer yet.
+    /// Whether every ask was answered.
     pub fn is_idle(&self) -> bool {
         self.asked.is_empty()
     }
 
-    /// Executions that are held.
+    /// The executions that are held, by ticket and number.
     pub fn held(&self) -> impl Iterator<Item = (Ticket, usize)> + '_ {
         self.statements.values().filter_map(|s| s.held.map(|held| (held.ticket, held.execution)))
     }
 
-    /// What to ask the ledger.
+    /// Takes the asks that are to be passed to the ledger.
     pub fn asks(&mut self) -> Vec<ledger::Ask> {
         std::mem::take(&mut self.asks)
     }
 
-    /// What becomes of what was held. Each is to be obeyed at once, at a time that is not later than it was
-    /// asked at.
+    /// Takes the rulings. Each is to be obeyed at once, and not later than the time passed in last.
     pub fn rulings(&mut self) -> Vec<Ruling> {
         std::mem::take(&mut self.rulings)
     }
 
-    /// A held execution wants its promises, in order: none behind one that another front has, so that fronts
-    /// that want the same ones do not wait for each other.
-    fn want(&mut self, now: Micros, ticket: Ticket) {
+    /// A held execution claims its entries in order: none behind one that another front holds, so that fronts
+    /// that claim the same ones do not wait for each other.
+    fn claim(&mut self, now: Micros, ticket: Ticket) {
         let Some(s) = self.statements.get(&ticket) else { return };
-        let (Some(held), patient_until) = (s.held, s.patient_until) else { return };
+        let (Some(held), wait_until) = (s.held, s.wait_until) else { return };
         let mut behind = false;
-        for need in s.needs.clone() {
-            let hold =
-                self.holds.entry(need.key.clone()).or_insert_with(|| Hold::new(need.key.kind, need.after));
-            let wanted = Wanted { patient_until, ..wanted(&need, &held) };
+        for requirement in s.requirements.clone() {
+            let hold = self
+                .holds
+                .entry(requirement.key.clone())
+                .or_insert_with(|| Hold::new(requirement.key.kind, requirement.after_end));
+            let claim = Claim { wait_until, ..claim_on(&requirement, &held) };
             let verdict = match behind {
                 true => {
-                    hold.wanting.remove(&ticket);
-                    Verdict::Look
+                    hold.waiting.remove(&ticket);
+                    Verdict::Recheck
                 }
-                false => hold.want(now, ticket, wanted),
+                false => hold.claim(now, ticket, claim),
             };
             behind |= hold.blocked;
-            if verdict != Verdict::Look {
-                return self.ruled(now, &need.key, verdict);
+            if verdict != Verdict::Recheck {
+                return self.apply_verdict(now, &requirement.key, verdict);
             }
         }
-        for need in self.statements.get(&ticket).map(|s| s.needs.clone()).unwrap_or_default() {
-            self.advance(now, &need.key);
+        for requirement in self.statements.get(&ticket).map(|s| s.requirements.clone()).unwrap_or_default() {
+            self.advance(now, &requirement.key);
         }
     }
 
-    fn ruled(&mut self, now: Micros, key: &Key, verdict: Verdict) {
+    /// Rules on the executions of a verdict, and claims anew for the others.
+    fn apply_verdict(&mut self, now: Micros, key: &Key, verdict: Verdict) {
         let (tickets, why) = match verdict {
-            Verdict::Look => (Vec::new(), ""),
-            Verdict::TurnAway(tickets, why) => (tickets, why),
+            Verdict::Recheck => (Vec::new(), ""),
+            Verdict::Reject(tickets, why) => (tickets, why),
             Verdict::Begun(tickets) => (tickets, "begun"),
         };
         for ticket in tickets {
             *self.refused.entry(why).or_default() += 1;
             let Some(s) = self.statements.get_mut(&ticket) else { continue };
             s.held = None;
-            for other in s.needs.iter().map(|need| need.key.clone()).collect::<Vec<_>>() {
-                self.holds.get_mut(&other).map(|hold| hold.wanting.remove(&ticket));
+            for other in s.requirements.iter().map(|requirement| requirement.key.clone()).collect::<Vec<_>>()
+            {
+                self.holds.get_mut(&other).map(|hold| hold.waiting.remove(&ticket));
                 self.advance(now, &other);
             }
-            self.rulings.push(if why == "begun" { Ruling::Abort(ticket) } else { Ruling::TurnAway(ticket) });
+            self.rulings.push(if why == "begun" { Ruling::Abort(ticket) } else { Ruling::Reject(ticket) });
         }
-        // Those that go on waiting may want their other promises now.
-        let wanting = self.holds.get(key).map(|hold| hold.wanting.keys().copied().collect::<Vec<_>>());
-        wanting.unwrap_or_default().into_iter().for_each(|ticket| self.want(now, ticket));
+        // Executions that go on waiting may claim their other entries now.
+        let waiting = self.holds.get(key).map(|hold| hold.waiting.keys().copied().collect::<Vec<_>>());
+        waiting.unwrap_or_default().into_iter().for_each(|ticket| self.claim(now, ticket));
         self.advance(now, key);
     }
 
-    /// Lets go what may leave, and asks what is due of a key.
+    /// Releases executions that may leave, and makes the ask that is due of a key.
     fn advance(&mut self, now: Micros, key: &Key) {
-        let wanting = self.holds.get(key).map(|hold| hold.wanting.keys().copied().collect::<Vec<_>>());
-        for ticket in wanting.unwrap_or_default() {
-            self.leaves(now, ticket);
+        let waiting = self.holds.get(key).map(|hold| hold.waiting.keys().copied().collect::<Vec<_>>());
+        for ticket in waiting.unwrap_or_default() {
+            self.release(now, ticket);
         }
         let Some(hold) = self.holds.get_mut(key) else { return };
-        if let Some(act) = hold.ask(now, (self.life, self.next + 1)) {
-            self.next += 1;
-            self.asked.insert(self.next, key.clone());
-            self.asks.push(ledger::Ask { number: self.next, key: key.clone(), act });
+        if let Some(act) =
+            hold.next_ask(now, EntryMark { started_ms: self.started_ms, number: self.last_number + 1 })
+        {
+            self.last_number += 1;
+            self.asked.insert(self.last_number, key.clone());
+            self.asks.push(ledger::Ask { number: self.last_number, key: key.clone(), act });
         }
         self.due = self.due.min(hold.due());
         if hold.is_over(now) {
@@ -292,26 +311,29 @@
         }
     }
 
-    fn leaves(&mut self, now: Micros, ticket: Ticket) {
+    /// Releases a held execution once all its entries are held.
+    fn release(&mut self, now: Micros, ticket: Ticket) {
         let Some(s) = self.statements.get_mut(&ticket) else { return };
         let Some(held) = s.held.filter(|held| now < held.terms.ends) else { return };
-        let stands = |need: &Need| {
-            self.holds.get(&need.key).is_some_and(|hold| hold.stands(now, ticket, wanted(need, &held)))
+        let is_held = |requirement: &Requirement| {
+            self.holds
+                .get(&requirement.key)
+                .is_some_and(|hold| hold.permits(now, ticket, claim_on(requirement, &held)))
         };
-        if s.needs.iter().all(stands) {
-            s.needs.iter().for_each(|need| {
-                self.holds.get_mut(&need.key).into_iter().for_each(|hold| hold.leaves(ticket));
+        if s.requirements.iter().all(is_held) {
+            s.requirements.iter().for_each(|requirement| {
+                self.holds.get_mut(&requirement.key).into_iter().for_each(|hold| hold.start(ticket));
             });
             s.held = None;
-            self.rulings.push(Ruling::Go(held));
+            self.rulings.push(Ruling::Release(held));
         }
     }
 }
 
-fn wanted(need: &Need, held: &Ordered) -> Wanted {
+fn claim_on(requirement: &Requirement, held: &PendingExecution) -> Claim {
     let ends = held.terms.ends;
-    let (until_ms, runs_ms) = (need.until(ends), need.runs_until(ends));
-    Wanted { until_ms, runs_ms, group: need.group(held.site), patient_until: 0 }
+    let (until_ms, runs_until_ms) = (requirement.until(ends), requirement.runs_until(ends));
+    Claim { until_ms, runs_until_ms, group: requirement.group(held.site), wait_until: 0 }
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/gate/guard.rs
+++ b/crates/fleet/src/gate/guard.rs
@@ -1,5 +1,5 @@
-//! The gate between a front's dispatcher and its ledger: executions are held in it, and words go to and fro
-//! until nothing is new.
+//! Runs the gate between a front's dispatcher and its ledger: passes events, asks and answers on until
+//! nothing is new.
 
 use std::collections::BTreeMap;
 
@@ -7,93 +7,98 @@
 use hallmux_dispatcher::{Dispatcher, Micros, Place, Terms, Ticket};
 use hallmux_ledger::{Ask, Done};
 
-use super::{Gate, Ordered, Ruling, NUMBERS};
+use super::{Gate, PendingExecution, Ruling, NUMBERS};
 
-const NOTED: Micros = 100_000; // microseconds between words to the dispatcher that an execution is still held
+/// Microseconds between notes to the dispatcher that an execution is still held.
+const NOTE_EVERY: Micros = 100_000;
 
-/// The front's way to its ledger.
-pub trait Asks {
+/// The front's connection to its ledger.
+pub trait LedgerClient {
+    /// Passes an ask to the ledger; `now` is the dispatcher's clock.
     fn ask(&mut self, now: Micros, ask: Ask);
-    /// What it has answered to asks whose numbers have this highest byte.
-    fn promised(&mut self, part: u64) -> Vec<Done>;
+    /// Takes the answers to asks whose numbers have the same highest byte as `part`.
+    fn answers(&mut self, part: u64) -> Vec<Done>;
 }
 
+/// A gate with what its front's dispatcher has to be told.
 pub struct Guard {
     gate: Gate,
-    noted: Micros,
+    last_note: Micros,
 }
 
 impl Guard {
-    /// Where there is a ledger; `now` is the Unix clock: this life's name.
+    /// For a front with a ledger, which starts at `now`: Unix time in microseconds.
     pub fn new(contract: &Contract, now: Micros, shards: u16, dispatcher: &mut Dispatcher) -> Guard {
         dispatcher.watch();
-        Guard { gate: Gate::new(contract, (now / 1000) as u64, shards), noted: 0 }
+        Guard { gate: Gate::new(contract, (now / 1000) as u64, shards), last_note: 0 }
     }
 
-    /// When something is due though nothing happens.
+    /// When `advance` is next due, on the dispatcher's clock, if nothing happens before.
     pub fn due(&self) -> Micros {
-        let noted = if self.gate.held().next().is_some() { self.noted + NOTED } else { Micros::MAX };
-        self.gate.due().min(noted)
+        let last_note =
+            if self.gate.held().next().is_some() { self.last_note + NOTE_EVERY } else { Micros::MAX };
+        self.gate.due().min(last_note)
     }
 
-    /// Nothing is asked that has no answer yet.
+    /// Whether every ask was answered.
     pub fn is_idle(&self) -> bool {
         self.gate.is_idle()
     }
 
-    /// Statements that were turned away, by why.
+    /// Statements that were rejected or aborted, by reason.
     pub fn refused(&self) -> &BTreeMap<&'static str, u64> {
         &self.gate.refused
     }
 
-    /// An execution is ordered. True if it is held for now.
-    pub fn holds(
+    /// The dispatcher has ordered an execution. True if it is held for now.
+    pub fn hold(
         &mut self,
         now: Micros,
         dispatcher: &mut Dispatcher,
         ((ticket, execution), place, terms): ((Ticket, usize), Place, Terms),
     ) -> bool {
-        if !self.gate.guards(ticket) {
+        if !self.gate.holds_back(ticket) {
             return false;
         }
         let site = dispatcher.site(place);
         dispatcher.waits(now, ticket, execution);
-        self.gate.order(now, Ordered { ticket, execution, place, terms, site });
+        self.gate.hold(now, PendingExecution { ticket, execution, place, terms, site });
         true
     }
 
-    pub fn hurry(&mut self, ticket: Ticket, priority: u8) {
-        self.gate.hurry(ticket, priority);
+    /// The priority of a statement has changed while an execution of it may be held.
+    pub fn set_priority(&mut self, ticket: Ticket, priority: u8) {
+        self.gate.set_priority(ticket, priority);
     }
 
-    /// Gives an execution up. True if it was held.
-    pub fn stops(&mut self, now: Micros, (ticket, execution): (Ticket, usize)) -> bool {
-        self.gate.stop(now, ticket, execution)
+    /// Withdraws an execution. True if it was held: it has never left.
+    pub fn cancel(&mut self, now: Micros, (ticket, execution): (Ticket, usize)) -> bool {
+        self.gate.cancel(now, ticket, execution)
     }
 
-    /// Passes on what statements have come to and what the ledger says; what becomes of what was held. `id`
-    /// names a statement wherever it is tried.
-    pub fn turn(
+    /// Passes events of statements and answers of the ledger to the gate, and gives the rulings that follow.
+    /// `id` gives the name that a statement has on whichever front it is retried.
+    pub fn advance(
         &mut self,
         now: Micros,
         dispatcher: &mut Dispatcher,
-        ledger: &mut impl Asks,
+        ledger: &mut impl LedgerClient,
         id: impl Fn(Ticket) -> Option<String>,
     ) -> Vec<Ruling> {
         for word in dispatcher.words() {
-            self.gate.hear(now, word, &id);
+            self.gate.observe(now, word, &id);
         }
         self.gate.tick(now);
         loop {
-            let (done, asks) = (ledger.promised(NUMBERS), self.gate.asks());
+            let (done, asks) = (ledger.answers(NUMBERS), self.gate.asks());
             if done.is_empty() && asks.is_empty() {
                 break;
             }
-            done.into_iter().for_each(|done| self.gate.done(now, done));
+            done.into_iter().for_each(|done| self.gate.answered(now, done));
             asks.into_iter().for_each(|ask| ledger.ask(now, ask));
         }
-        if self.noted + NOTED <= now {
-            self.noted = now;
+        if self.last_note + NOTE_EVERY <= now {
+            self.last_note = now;
             self.gate.held().for_each(|(ticket, execution)| dispatcher.waits(now, ticket, execution));
         }
         self.gate.rulings()
--- /dev/null
+++ b/crates/fleet/src/gate/requirements.rs
@@ -0,0 +1,185 @@
+//! The ledger entries that a statement's executions require, by the settings of its workload.
+
+use std::collections::HashMap;
+
+use hallmux_agreement::Contract;
+use hallmux_dispatcher::{Micros, Site, Taken};
+use hallmux_ledger::{Key, Kind};
+use serde::{Deserialize, Serialize};
+
+/// Microseconds past its deadline for which the ledger knows that a non-idempotent statement was begun:
+/// clients that retry it under the same id do so within seconds.
+const BEGUN_RETENTION: Micros = 60_000_000;
+/// Most microseconds that fronts' clocks differ by, as the ledger assumes.
+const MAX_CLOCK_SKEW: Micros = 500_000;
+
+/// The engines among which repeats of a deduplicated statement are dropped. Part of the entries' format:
+/// append only.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Group {
+    /// All engines.
+    All,
+    /// Those of one location.
+    Location(u32),
+    /// Those of one cell.
+    Cell(u32),
+}
+
+/// By what engines are grouped.
+#[derive(Clone, Copy, Debug)]
+enum Grouping {
+    All,
+    Location,
+    Cell,
+}
+
+/// One ledger entry that a statement requires.
+#[derive(Clone, Debug)]
+pub(super) struct Requirement {
+    pub key: Key,
+    /// Microseconds past the statement's deadline for which it is needed.
+    after_deadline: Micros,
+    /// Microseconds past its end for which it is needed, where it may have run, or may be running.
+    pub after_end: Micros,
+    grouping: Grouping,
+    /// Microseconds past the deadline until an execution can't be running any more.
+    gap: Micros,
+}
+
+impl Requirement {
+    /// Unix milliseconds until which the entry has to be held for an execution that ends by `ends`.
+    pub fn until(&self, ends: Micros) -> u64 {
+        ((ends + self.after_deadline + MAX_CLOCK_SKEW).max(0) / 1000) as u64
+    }
+
+    /// Unix milliseconds from which an execution can't be running any more.
+    pub fn runs_until(&self, ends: Micros) -> u64 {
+        ((ends + self.gap + MAX_CLOCK_SKEW).max(0) / 1000) as u64
+    }
+
+    /// The group of an engine at this site.
+    pub fn group(&self, site: Site) -> Group {
+        match self.grouping {
+            Grouping::All => Group::All,
+            Grouping::Location => Group::Location(site.location as u32),
+            Grouping::Cell => Group::Cell(site.cell as u32),
+        }
+    }
+}
+
+struct Workload {
+    in_order: bool,
+    dedup: Option<Deduplication>,
+    non_idempotent: bool,
+}
+
+/// How repeats of a workload's statements are dropped.
+#[derive(Clone, Copy)]
+struct Deduplication {
+    /// Microseconds for which engines drop them.
+    window: Micros,
+    grouping: Grouping,
+}
+
+/// The requirements of workloads, by name.
+pub(super) struct Requirements {
+    workloads: HashMap<String, Workload>,
+    order_gap: Micros,
+}
+
+impl Requirements {
+    pub fn new(contract: &Contract) -> Requirements {
+        use hallmux_dispatcher::{DedupGroup, Effect};
+        let agreed = contract.names.workloads.iter().zip(&contract.agreement.workloads);
+        let workloads = agreed.map(|(name, w)| {
+            let grouping = match w.dedup_group {
+                DedupGroup::All => Grouping::All,
+                DedupGroup::Location => Grouping::Location,
+                DedupGroup::Cell => Grouping::Cell,
+            };
+            let workload = Workload {
+                in_order: w.in_order,
+                dedup: (w.effect == Effect::Deduplicated)
+                    .then_some(Deduplication { window: w.dedup_window, grouping }),
+                non_idempotent: w.effect == Effect::NonIdempotent,
+            };
+            (name.clone(), workload)
+        });
+        Requirements { workloads: workloads.collect(), order_gap: contract.agreement.turn_gap }
+    }
+
+    /// Those of one statement, in the order in which they are claimed: the same on every front, so that no
+    /// two statements wait for each other. `id` names it on whichever front it is retried.
+    pub fn of(&self, taken: &Taken, id: &str) -> Vec<Requirement> {
+        let Some(workload) = self.workloads.get(&taken.workload) else { return Vec::new() };
+        let mut requirements = Vec::new();
+        let gap = self.order_gap;
+        if let Some((Deduplication { window, grouping }, dedup)) =
+            workload.dedup.zip(taken.dedup_key.as_ref())
+        {
+            let key = Key { kind: Kind::Dedup, name: format!("{}/{dedup}", taken.workload) };
+            requirements.push(Requirement {
+                key,
+                after_deadline: window.max(gap),
+                after_end: window,
+                grouping,
+                gap,
+            });
+        }
+        if workload.non_idempotent {
+            let key = Key { kind: Kind::Begun, name: format!("{}/{id}", taken.customer) };
+            requirements.push(Requirement {
+                key,
+                after_deadline: BEGUN_RETENTION,
+                after_end: BEGUN_RETENTION,
+                grouping: Grouping::All,
+                gap,
+            });
+        }
+        // Last: many statements claim an order key, and none is to hold it while it waits for an entry of its
+        // own.
+        if let Some(key) = taken.key.as_ref().filter(|_| workload.in_order) {
+            // As in one front, the order of a key is the same for all workloads.
+            let key = Key { kind: Kind::Order, name: key.clone() };
+            requirements.push(Requirement {
+                key,
+                after_deadline: gap,
+                after_end: gap,
+                grouping: Grouping::All,
+                gap,
+            });
+        }
+        requirements
+    }
+}
+
+/// Names one entry: the ask that made it.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub(super) struct EntryMark {
+    /// When the front that made it started, in Unix milliseconds.
+    pub started_ms: u64,
+    /// The number of the ask.
+    pub number: u64,
+}
+
+/// The value of an entry; entries of order keys have none.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(super) struct EntryValue {
+    /// What tells it from other entries of the key, also of the same front.
+    pub mark: EntryMark,
+    /// Where its executions run.
+    pub group: Group,
+    /// Unix milliseconds from which none of them can be running any more.
+    pub runs_until_ms: u64,
+}
+
+impl EntryValue {
+    pub fn bytes(&self) -> Vec<u8> {
+        postcard::to_stdvec(self).unwrap_or_default()
+    }
+
+    /// None where it can't be read: it counts as running in an unknown group.
+    pub fn read(bytes: &[u8]) -> Option<EntryValue> {
+        postcard::from_bytes(bytes).ok()
+    }
+}
--- a/crates/fleet/src/gate/tests/drawn.rs
+++ b/crates/fleet/src/gate/tests/drawn.rs
@@ -128,7 +128,7 @@
             Step::Answered { which } if !self.answers.is_empty() => {
                 let (front, life, done) = self.answers.remove(which % self.answers.len());
                 if self.gates[front].1 == life {
-                    self.gates[front].0.done(self.now, done);
+                    self.gates[front].0.answered(self.now, done);
                 }
             }
             Step::Ends { which, how } => {
@@ -174,13 +174,13 @@
             // It may be running on for a while.
             self.running.push(Run { life: 0, ends: (now + GAP).min(run.ends), ..run });
         }
-        self.gates[run.front].0.gone(now, over(run.ticket, how != 1, how == 2));
+        self.gates[run.front].0.end(now, over(run.ticket, how != 1, how == 2));
     }
 
     fn withdraw(&mut self, front: usize, ticket: Ticket) {
         self.open.remove(&(front, ticket));
-        self.gates[front].0.stop(self.now, ticket, 0);
-        self.gates[front].0.gone(self.now, over(ticket, false, false));
+        self.gates[front].0.cancel(self.now, ticket, 0);
+        self.gates[front].0.end(self.now, over(ticket, false, false));
     }
 
     /// Times that are up, then all that the fronts do of themselves.
@@ -212,7 +212,7 @@
                 let gate = &mut self.gates[front].0;
                 let dedup = (of.workload == "load").then_some(of.name);
                 assert!(open(gate, ticket, (of.workload, of.key, dedup), Some(of.name)));
-                gate.order(now, ordered(ticket, 0, now, location));
+                gate.hold(now, pending(ticket, 0, now, location));
                 self.open.insert((front, ticket), (of, now + 4_000 * MS));
             }
             self.gates[front].0.tick(now);
@@ -231,10 +231,10 @@
     fn obey(&mut self, front: usize, ruling: Ruling) {
         let (now, life) = (self.now, self.gates[front].1);
         let held = match ruling {
-            Ruling::Go(held) => held,
-            Ruling::TurnAway(ticket) | Ruling::Abort(ticket) => {
+            Ruling::Release(held) => held,
+            Ruling::Reject(ticket) | Ruling::Abort(ticket) => {
                 self.open.remove(&(front, ticket));
-                return self.gates[front].0.gone(now, over(ticket, false, false));
+                return self.gates[front].0.end(now, over(ticket, false, false));
             }
         };
         self.went += 1;
--- a/crates/front/src/fleet/gate.rs
+++ b/crates/front/src/fleet/gate.rs
@@ -5,7 +5,7 @@
 
 use hallmux_agreement::Contract;
 use hallmux_dispatcher::{Dispatcher, Micros, Terms, Ticket};
-use hallmux_fleet::gate::{self, Asks, Ruling};
+use hallmux_fleet::gate::{self, LedgerClient, Ruling};
 use hallmux_ledger::{Ask, Done};
 
 use super::Peers;
@@ -13,12 +13,12 @@
 
 const SAID: Micros = 10_000_000; // microseconds between lines of the log on what was turned away
 
-impl Asks for Peers {
+impl LedgerClient for Peers {
     fn ask(&mut self, now: Micros, ask: Ask) {
         Peers::ask(self, now, ask);
     }
 
-    fn promised(&mut self, part: u64) -> Vec<Done> {
+    fn answers(&mut self, part: u64) -> Vec<Done> {
         Peers::promised(self, part)
     }
 }
@@ -48,16 +48,16 @@
 
     /// An execution is ordered. True if it is held for now.
     pub fn holds(&mut self, now: Micros, dispatcher: &mut Dispatcher, ordered: (Sent, usize, Terms)) -> bool {
-        self.guard.holds(now, dispatcher, ordered)
+        self.guard.hold(now, dispatcher, ordered)
     }
 
     pub fn hurry(&mut self, ticket: Ticket, priority: u8) {
-        self.guard.hurry(ticket, priority);
+        self.guard.set_priority(ticket, priority);
     }
 
     /// Gives an execution up. True if it was held.
     pub fn stops(&mut self, now: Micros, sent: Sent) -> bool {
-        self.guard.stops(now, sent)
+        self.guard.cancel(now, sent)
     }
 
     /// Passes on what statements have come to and what the ledger says; what becomes of what was held. `id` names a
@@ -69,7 +69,7 @@
         peers: &mut Peers,
         id: impl Fn(Ticket) -> Option<String>,
     ) -> Vec<Ruling> {
-        let rulings = self.guard.turn(now, dispatcher, peers, id);
+        let rulings = self.guard.advance(now, dispatcher, peers, id);
         if self.guard.refused() != &self.refused && self.said + SAID <= now {
             (self.said, self.refused) = (now, self.guard.refused().clone());
             log::warn!("statements ended for want of a promise so far: {:?}", self.refused);
--- a/crates/front/src/front/orders.rs
+++ b/crates/front/src/front/orders.rs
@@ -94,11 +94,11 @@
         let now = self.clock.now;
         for ruling in guard.turn(now, &mut self.dispatcher, peers, id) {
             match ruling {
-                gate::Ruling::Go(gate::Ordered { ticket, execution, place, terms, .. }) => {
+                gate::Ruling::Release(gate::PendingExecution { ticket, execution, place, terms, .. }) => {
                     self.dispatcher.leaves(now, ticket, execution);
                     self.mark(Ordered { of: self.judged_as(ticket), ticket, execution, place, terms });
                 }
-                gate::Ruling::TurnAway(ticket) => {
+                gate::Ruling::Reject(ticket) => {
                     let retry_after = self.dispatcher.turn_away(now, ticket);
                     self.obey(Order::Reject { ticket, retry_after });
                 }
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -109,8 +109,7 @@
                 let own = self.own(n);
                 let Some(life) = &mut self.members[n].life else { return };
                 let (sent, dispatcher) = ((ticket, execution), &mut life.dispatcher);
-                let held =
-                    life.guard.as_mut().is_some_and(|g| g.holds(own, dispatcher, (sent, place, terms)));
+                let held = life.guard.as_mut().is_some_and(|g| g.hold(own, dispatcher, (sent, place, terms)));
                 if !held || self.spoil.acts_first {
                     self.leaves(n, sent, place);
                 }
@@ -142,7 +141,7 @@
             Order::Stop { ticket, execution, ending } => {
                 let own = self.own(n);
                 let Some(life) = &mut self.members[n].life else { return };
-                let held = life.guard.as_mut().is_some_and(|guard| guard.stops(own, (ticket, execution)));
+                let held = life.guard.as_mut().is_some_and(|guard| guard.cancel(own, (ticket, execution)));
                 let ending = if held { Ending::Withdrawn } else { ending };
                 life.connections.ended((ticket, execution), ending);
                 life.dispatcher.report(own, ticket, execution, ending, None, None);
--- a/crates/lab/src/simulated/ledger.rs
+++ b/crates/lab/src/simulated/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use hallmux_fleet::gate::{Asks, Ruling};
+use hallmux_fleet::gate::{LedgerClient, Ruling};
 use hallmux_fleet::{Exchange, Moment, Output};
 use hallmux_gossip::seal::{peer_id, Identity};
 use hallmux_gossip::PeerId;
@@ -23,12 +23,12 @@
     outs: Vec<Output>,
 }
 
-impl Asks for Way<'_> {
+impl LedgerClient for Way<'_> {
     fn ask(&mut self, _: i64, ask: Ask) {
         self.outs.push(self.exchange.ask_ledger(self.at, ask));
     }
 
-    fn promised(&mut self, part: u64) -> Vec<Done> {
+    fn answers(&mut self, part: u64) -> Vec<Done> {
         self.done.extend(self.exchange.ledger_answers());
         let (told, others) = self.done.drain(..).partition(|done| done.number >> PART == part >> PART);
         *self.done = others;
@@ -65,17 +65,17 @@
         let mut way = Way { exchange, at, done: &mut life.done, outs: Vec::new() };
         let (named, asked) = (&self.named, &self.account.asked);
         let id = |ticket| named.get(&(n, lives, ticket)).map(|number| asked[*number].asked.id.clone());
-        let rulings = guard.turn(own, &mut life.dispatcher, &mut way, id);
+        let rulings = guard.advance(own, &mut life.dispatcher, &mut way, id);
         let outs = way.outs;
         outs.into_iter().for_each(|out| self.sends(n, out));
         for ruling in rulings {
             let Some(life) = &mut self.members[n].life else { return };
             match ruling {
-                Ruling::Go(go) => {
+                Ruling::Release(go) => {
                     life.dispatcher.leaves(own, go.ticket, go.execution);
                     self.leaves(n, (go.ticket, go.execution), go.place);
                 }
-                Ruling::TurnAway(ticket) => {
+                Ruling::Reject(ticket) => {
                     life.dispatcher.turn_away(own, ticket);
                     self.answer(n, ticket, Outcome::Error("53000".into()));
                 }
