--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -85,7 +85,7 @@
         &mut self,
         at: Moment,
         config: OwnershipConfig,
-    ) -> Result<(), hallmux_lease::disk::Spoilt> {
+    ) -> Result<(), hallmux_lease::disk::StateError> {
         self.ownership = Some(Ownership::new(at, self.node.peer_id(), config)?);
         Ok(())
     }
--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -9,11 +9,11 @@
 use hallmux_gossip::message::{OwnerAct, OwnershipReport, RecoveredEngine, ReportedLease};
 use hallmux_gossip::node::{Datagram, Node};
 use hallmux_gossip::{PeerId, RandomSource};
-use hallmux_lease::disk::Spoilt;
+use hallmux_lease::disk::StateError;
 use hallmux_lease::fence::{self, Fence, Refused};
 use hallmux_lease::holder::Holder;
 use hallmux_lease::voter::{self, Voter};
-use hallmux_lease::{fingerprint, Letter, Task, Terms, Token, Word};
+use hallmux_lease::{fingerprint, Envelope, LeaseMessage, Task, Terms, Token, TokenOwner};
 
 use crate::{engine_hash, Moment, Output};
 
@@ -63,9 +63,9 @@
     /// Where other fronts that have sent lease messages listen.
     addresses: BTreeMap<PeerId, SocketAddr>,
     /// What this front's voter has to save and send.
-    voter_outbox: Vec<voter::Out>,
+    voter_outbox: Vec<voter::Output>,
     /// Lease requests to be sent to voters.
-    requests: Vec<(PeerId, Letter)>,
+    requests: Vec<(PeerId, Envelope)>,
     next_check: Micros,
     /// Whether this front asks for the lease.
     claims: bool,
@@ -79,7 +79,7 @@
 
 impl Ownership {
     /// An error says why the saved state can't be used.
-    pub fn new(at: Moment, own: PeerId, config: OwnershipConfig) -> Result<Ownership, Spoilt> {
+    pub fn new(at: Moment, own: PeerId, config: OwnershipConfig) -> Result<Ownership, StateError> {
         let OwnershipConfig { fleet, voters, terms, saved } = config;
         let ids: Vec<PeerId> = voters.iter().map(|(id, _)| *id).collect();
         let fleet = fingerprint(&fleet, &ids);
@@ -109,7 +109,7 @@
     /// The lease that this front holds now, unless a later owner was seen.
     pub fn owned_lease(&self, steady: Micros) -> Option<OwnedLease> {
         let token = self.holder.token(steady)?;
-        let later = self.fence.highest(TASK).is_some_and(|(highest, _)| highest > token);
+        let later = self.fence.highest(TASK).is_some_and(|highest| highest.token > token);
         (!later).then_some(OwnedLease { token })
     }
 
@@ -120,16 +120,16 @@
 
     /// Takes in a message on the lease channel.
     pub fn receive(&mut self, at: Moment, from: PeerId, address: SocketAddr, bytes: &[u8]) {
-        let Some(letter) = hallmux_lease::read(bytes) else { return self.refuse("form") };
-        if letter.fleet != self.fleet {
+        let Some(envelope) = hallmux_lease::read(bytes) else { return self.refuse("form") };
+        if envelope.fleet != self.fleet {
             return self.refuse("fleet");
         }
         self.addresses.insert(from, address);
-        match (letter.word, &mut self.voter) {
-            (Word::Answer(answer), _) if self.voters.contains_key(&from) => self.holder.answered(&answer),
-            (Word::Answer(_), _) => self.refuse("no voter"),
-            (word, Some(voter)) => {
-                let out = voter.heard(at.steady, from, Letter { fleet: self.fleet, word });
+        match (envelope.message, &mut self.voter) {
+            (LeaseMessage::Reply(reply), _) if self.voters.contains_key(&from) => self.holder.receive(&reply),
+            (LeaseMessage::Reply(_), _) => self.refuse("no voter"),
+            (message, Some(voter)) => {
+                let out = voter.receive(at.steady, from, Envelope { fleet: self.fleet, message });
                 self.voter_outbox.push(out);
             }
             (_, None) => self.refuse("no voter here"),
@@ -155,8 +155,9 @@
         let share = REQUESTS_A_SECOND * wait as f64 / 1e6 / up.max(1) as f64;
         self.claims = at.steady - self.owner_seen > OWNER_SEEN && (self.claims || draw < share);
         let progress = self.progress(at, dispatcher);
-        if let Some((voter, ask)) = self.holder.ask(at.steady, self.claims, &progress) {
-            self.requests.push((voter, Letter { fleet: self.fleet, word: Word::Ask(ask) }));
+        if let Some((voter, request)) = self.holder.next_request(at.steady, self.claims, &progress) {
+            self.requests
+                .push((voter, Envelope { fleet: self.fleet, message: LeaseMessage::Request(request) }));
         }
         if let Some(progress) = self.holder.inherited() {
             let recovered: Vec<RecoveredEngine> = postcard::from_bytes(&progress).unwrap_or_default();
@@ -192,21 +193,21 @@
     /// done.
     pub fn admit(&mut self, at: Moment, node: &Node, dispatcher: &mut Dispatcher) {
         let voters = node.ownership_reports(at.now).filter(|peer| self.voters.contains_key(&peer.reporter));
-        let leases: BTreeMap<PeerId, (Token, PeerId)> = voters
+        let leases: BTreeMap<PeerId, TokenOwner> = voters
             .filter_map(|peer| {
-                let lease = peer.ownership.lease?;
-                Some((peer.reporter, (lease.token, lease.owner)))
+                let ReportedLease { token, owner } = peer.ownership.lease?;
+                Some((peer.reporter, TokenOwner { token, owner }))
             })
             .collect();
-        if let Some((token, owner)) = fence::majority(&leases, self.voters.len()) {
-            self.fence.saw(TASK, token, owner);
+        if let Some(lease) = fence::majority(&leases, self.voters.len()) {
+            self.fence.observe(TASK, lease);
         }
         let acts: Vec<(PeerId, OwnerAct, Micros)> = node
             .ownership_reports(at.now)
             .filter_map(|peer| Some((peer.reporter, peer.ownership.act.clone()?, peer.age)))
             .collect();
         for (reporter, act, age) in acts {
-            match self.fence.admit(TASK, act.token, reporter) {
+            match self.fence.admit(TASK, TokenOwner { token: act.token, owner: reporter }) {
                 Ok(()) => {
                     self.owner_seen = self.owner_seen.max(at.steady - age);
                     if reporter != self.own {
@@ -242,29 +243,29 @@
 
     /// Puts what there is to send into datagrams: a voter's behind what it has to save.
     pub fn send(&mut self, at: Moment, node: &mut Node, out: &mut Output) {
-        let seal = |node: &mut Node, to, letter: &Letter| {
-            node.channel_datagram(at.now, at.wall_ms, to, Channel::Lease, &hallmux_lease::bytes(letter))
+        let seal = |node: &mut Node, to, envelope: &Envelope| {
+            node.channel_datagram(at.now, at.wall_ms, to, Channel::Lease, &hallmux_lease::bytes(envelope))
         };
         let mut requests = std::mem::take(&mut self.requests);
         // What this front asks itself as a voter stays here.
-        let own: Vec<Letter> =
-            requests.extract_if(.., |(to, _)| *to == self.own).map(|(_, letter)| letter).collect();
-        for letter in own {
-            let answer = self.voter.as_mut().map(|voter| voter.heard(at.steady, self.own, letter));
+        let own: Vec<Envelope> =
+            requests.extract_if(.., |(to, _)| *to == self.own).map(|(_, envelope)| envelope).collect();
+        for envelope in own {
+            let answer = self.voter.as_mut().map(|voter| voter.receive(at.steady, self.own, envelope));
             self.voter_outbox.extend(answer);
         }
-        for (to, letter) in requests {
+        for (to, envelope) in requests {
             let to = self.voters.get(&to).copied();
-            out.datagrams.extend(to.and_then(|to| seal(node, to, &letter)));
+            out.datagrams.extend(to.and_then(|to| seal(node, to, &envelope)));
         }
         for voted in std::mem::take(&mut self.voter_outbox) {
             let mut datagrams = Vec::new();
-            for (to, letter) in voted.letters {
-                match letter.word {
-                    Word::Answer(answer) if to == self.own => self.holder.answered(&answer),
+            for (to, envelope) in voted.messages {
+                match envelope.message {
+                    LeaseMessage::Reply(reply) if to == self.own => self.holder.receive(&reply),
                     _ => {
                         let to = self.voters.get(&to).or(self.addresses.get(&to)).copied();
-                        datagrams.extend(to.and_then(|to| seal(node, to, &letter)));
+                        datagrams.extend(to.and_then(|to| seal(node, to, &envelope)));
                     }
                 }
             }
--- a/crates/front/src/fleet/fault.rs
+++ b/crates/front/src/fleet/fault.rs
@@ -16,7 +16,7 @@
     #[error("gossip: ownership.{0}")]
     Votes(#[from] VotesFault),
     #[error("gossip: ownership.directory: {0}")]
-    Voted(#[from] hallmux_lease::disk::Spoilt),
+    Voted(#[from] hallmux_lease::disk::StateError),
     #[error("gossip: {0}")]
     Copies(#[from] super::copies::Unfit),
     #[error("gossip: {0}")]
--- a/crates/lease/src/disk.rs
+++ b/crates/lease/src/disk.rs
@@ -1,87 +1,98 @@
-//! What a voter must not forget: its promise, what it accepted, what is decided. Kept in memory and written
-//! out whole: it is a few kilobytes, as the log is folded into a snapshot every few entries.
+//! A voter's durable state: its promised ballot, the entries accepted and how far they are decided. Held in
+//! memory and saved whole: it is a few kilobytes, as the log is compacted into a snapshot every few entries.
 
 use hallmux_replica::{Held, Store};
 use serde::{Deserialize, Serialize};
 
 use crate::leases::Change;
 
-const MAGIC: [u8; 8] = *b"hmlease2"; // the form's name; another form is another name
-const BEFORE: [u8; 8] = *b"hmlease1"; // the form of builds that did not count lives
-const SUM: usize = 4; // bytes of the checksum behind the name
+const MAGIC: [u8; 8] = *b"hmlease2"; // names the format; another format has another name
+const MAGIC_BEFORE: [u8; 8] = *b"hmlease1"; // the format of builds that did not count incarnations
+const CHECKSUM_BYTES: usize = 4; // CRC-32 behind the name
 
 /// The state, as it is saved.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct State {
-    /// The fleet that it was saved in.
+    /// The fingerprint of the fleet that it was saved in.
     fleet: u64,
     held: Held<Change>,
-    /// How often a voter has begun with it.
-    life: u64,
+    /// How often a voter has started with it.
+    incarnation: u64,
 }
 
-/// Why what was saved can't be used.
+/// Why a saved state can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Spoilt {
+pub enum StateError {
+    /// It is cut short, altered or of an unknown format.
     #[error("what was saved is cut short, altered or of another form; bring the directory back from before, or name another front as voter")]
-    Form,
+    Corrupt,
+    /// It was saved in another fleet.
     #[error("what was saved is of another fleet or of other voters; give the front the directory of its own fleet")]
-    Fleet,
+    OtherFleet,
+    /// This front is no voter of the fleet, or the list of voters can't be used.
     #[error(
         "this front is not among the voters, or there are too few of them; name it, and three or five in all"
     )]
     Voters,
 }
 
-/// What a voter holds, by the fleet that it is of.
+/// A voter's state, with what is not saved of it yet.
 #[derive(Clone, Debug)]
 pub struct Disk {
     fleet: u64,
-    /// The number of this life of the voter.
-    pub life: u64,
-    /// This life's number is not saved yet.
-    begun: bool,
-    /// The log's library has this handle as well.
+    /// Counts the voter's starts with this state.
+    pub incarnation: u64,
+    /// This incarnation is not saved yet.
+    started: bool,
+    /// The replicated log's storage; the log library holds another handle.
     pub store: Store<Change>,
 }
 
 impl Disk {
+    /// An empty state, for a voter that never ran in this fleet.
     pub fn new(fleet: u64) -> Disk {
-        Disk { fleet, life: 0, begun: false, store: Store::new(Held::default()) }
+        Disk { fleet, incarnation: 0, started: false, store: Store::new(Held::default()) }
     }
 
-    /// What was saved in an earlier life.
-    pub fn read(fleet: u64, saved: &[u8]) -> Result<Disk, Spoilt> {
-        let (head, body) = saved.split_at_checked(MAGIC.len() + SUM).ok_or(Spoilt::Form)?;
-        let sum = head[MAGIC.len()..].try_into().map(u32::from_be_bytes).map_err(|_| Spoilt::Form)?;
+    /// Decodes the state that an earlier run of the voter saved.
+    pub fn read(fleet: u64, saved: &[u8]) -> Result<Disk, StateError> {
+        let (head, body) = saved.split_at_checked(MAGIC.len() + CHECKSUM_BYTES).ok_or(StateError::Corrupt)?;
+        let sum = head[MAGIC.len()..].try_into().map(u32::from_be_bytes).map_err(|_| StateError::Corrupt)?;
         if crc32fast::hash(body) != sum {
-            return Err(Spoilt::Form);
+            return Err(StateError::Corrupt);
         }
         let state: State = match &head[..MAGIC.len()] {
             form if *form == MAGIC => postcard::from_bytes(body),
-            // No life was counted then: a 0 behind it says so.
-            form if *form == BEFORE => postcard::from_bytes(&[body, &[0]].concat()),
-            _ => return Err(Spoilt::Form),
+            // No incarnation was counted then: a 0 behind it says so.
+            form if *form == MAGIC_BEFORE => postcard::from_bytes(&[body, &[0]].concat()),
+            _ => return Err(StateError::Corrupt),
         }
-        .map_err(|_| Spoilt::Form)?;
+        .map_err(|_| StateError::Corrupt)?;
         match state.fleet == fleet {
-            true => Ok(Disk { fleet, life: state.life, begun: false, store: Store::new(state.held) }),
-            false => Err(Spoilt::Fleet),
+            true => Ok(Disk {
+                fleet,
+                incarnation: state.incarnation,
+                started: false,
+                store: Store::new(state.held),
+            }),
+            false => Err(StateError::OtherFleet),
         }
     }
 
-    /// A voter begins with it: another life, whose number is saved before anything is told in it.
-    pub fn begins(&mut self) {
-        (self.life, self.begun) = (self.life + 1, true);
+    /// A voter starts with this state: its incarnation is saved before any message of it leaves.
+    pub fn start(&mut self) {
+        (self.incarnation, self.started) = (self.incarnation + 1, true);
     }
 
-    /// What has to be saved before anything that follows from it is told, if there is anything.
+    /// Takes the bytes that have to be durable before any message that follows from them leaves; None if
+    /// nothing changed.
     pub fn unsaved(&mut self) -> Option<Vec<u8>> {
         let changed = self.store.changes().is_some();
-        if !std::mem::take(&mut self.begun) && !changed {
+        if !std::mem::take(&mut self.started) && !changed {
             return None;
         }
-        let state = State { fleet: self.fleet, held: self.store.look(Held::clone), life: self.life };
+        let state =
+            State { fleet: self.fleet, held: self.store.look(Held::clone), incarnation: self.incarnation };
         let body = postcard::to_stdvec(&state).unwrap_or_default();
         let sum = crc32fast::hash(&body).to_be_bytes();
         Some([&MAGIC[..], &sum, &body].concat())
--- a/crates/lease/src/fence.rs
+++ b/crates/lease/src/fence.rs
@@ -1,53 +1,56 @@
-//! The receiver's check: nothing passes under a token lower than the highest that was seen. A token counts as
-//! seen once a majority of the voters has named it with its owner, so that nobody can make one up.
+//! The receiver's check of fencing tokens: nothing is admitted under a token lower than the highest that was
+//! seen. A token counts as seen once a majority of the voters has reported it with its owner, so that nobody
+//! can make one up.
 
 use std::collections::BTreeMap;
 
-use crate::{FrontId, Task, Token};
+use crate::{FrontId, Task, TokenOwner};
 
-/// Why an act was not let pass.
+/// Why an act was not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Refused {
     /// A later owner was seen.
     Stale,
-    /// No majority of voters has named this token with this owner: made up, or word of it has yet to come.
+    /// No majority of voters has reported this token with this owner: it is made up, or the reports have yet
+    /// to come.
     Unknown,
 }
 
 /// The highest token seen of each task, with its owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fence {
-    seen: BTreeMap<Task, (Token, FrontId)>,
+    seen: BTreeMap<Task, TokenOwner>,
 }
 
 impl Fence {
-    /// A majority of the voters names this lease.
-    pub fn saw(&mut self, task: Task, token: Token, owner: FrontId) {
-        let seen = self.seen.entry(task).or_insert((token, owner));
-        if token > seen.0 {
-            *seen = (token, owner);
+    /// A majority of the voters reports this lease.
+    pub fn observe(&mut self, task: Task, lease: TokenOwner) {
+        let seen = self.seen.entry(task).or_insert(lease);
+        if lease.token > seen.token {
+            *seen = lease;
         }
     }
 
-    pub fn highest(&self, task: Task) -> Option<(Token, FrontId)> {
+    /// The highest token seen of a task, with its owner.
+    pub fn highest(&self, task: Task) -> Option<TokenOwner> {
         self.seen.get(&task).copied()
     }
 
-    /// Whether an act passes.
-    pub fn admit(&self, task: Task, token: Token, owner: FrontId) -> Result<(), Refused> {
+    /// Whether an act of this owner under this token passes.
+    pub fn admit(&self, task: Task, act: TokenOwner) -> Result<(), Refused> {
         match self.highest(task) {
-            Some((highest, _)) if token < highest => Err(Refused::Stale),
-            Some(seen) if seen == (token, owner) => Ok(()),
+            Some(highest) if act.token < highest.token => Err(Refused::Stale),
+            Some(highest) if highest == act => Ok(()),
             _ => Err(Refused::Unknown),
         }
     }
 }
 
-/// What a majority names: of what each voter says last, the highest lease that enough of them say. Voters may
-/// be behind each other, so one that names a later lease of a task counts for the earlier as well.
-pub fn majority(said: &BTreeMap<FrontId, (Token, FrontId)>, voters: usize) -> Option<(Token, FrontId)> {
-    let count = |lease: &(Token, FrontId)| said.values().filter(|other| *other == lease).count();
-    let enough = said.values().filter(|lease| count(lease) > voters / 2);
+/// The lease that a majority of `voters` reports, going by the latest report of each; of several the highest.
+/// Voters may be behind each other: only equal reports count together.
+pub fn majority(reported: &BTreeMap<FrontId, TokenOwner>, voters: usize) -> Option<TokenOwner> {
+    let count = |lease: &TokenOwner| reported.values().filter(|other| *other == lease).count();
+    let enough = reported.values().filter(|lease| count(lease) > voters / 2);
     enough.max().copied()
 }
 
--- a/crates/lease/src/leases.rs
+++ b/crates/lease/src/leases.rs
@@ -1,4 +1,4 @@
-//! The leases as the voters' log tells them: every voter that applies the same changes knows the same.
+//! The leases as the voters' log records them: every voter that applies the same changes has the same leases.
 
 use std::collections::BTreeMap;
 
@@ -7,27 +7,48 @@
 
 use crate::{FrontId, Task, Token};
 
-/// An entry of the log. A change that no longer fits changes nothing: of two leaders' grants the first
-/// counts.
+/// An entry of the log. A change that no longer fits has no effect: of two leaders' grants the first counts.
+/// Variants and fields are positional in the saved state: append only.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Change {
-    /// The lease passes from the one under `after` (0: nobody's yet) to a new owner, for its question
-    /// `number`.
-    Grant { task: Task, after: Token, owner: FrontId, number: u64 },
-    /// The owner under this token goes on, its work being so far.
-    Keep { task: Task, token: Token, number: u64, progress: Vec<u8> },
+    /// The lease passes to a new owner.
+    Grant {
+        /// The work that it is for.
+        task: Task,
+        /// The token that it is held under until then; 0: it was never granted.
+        after: Token,
+        /// The new owner.
+        owner: FrontId,
+        /// Of the owner's request.
+        number: u64,
+    },
+    /// The owner renews the lease.
+    Renew {
+        /// The work that it is for.
+        task: Task,
+        /// The token that it is held under.
+        token: Token,
+        /// Of the owner's request.
+        number: u64,
+        /// How far the work has gone.
+        progress: Vec<u8>,
+    },
 }
 
+/// A lease in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
+    /// Its fencing token.
     pub token: Token,
+    /// The front that holds it.
     pub owner: FrontId,
-    /// The owner's question that was granted last.
+    /// The number of the owner's request that was granted last.
     pub number: u64,
+    /// How far the work has gone.
     pub progress: Vec<u8>,
 }
 
-/// All leases.
+/// The leases of all tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Leases {
     held: BTreeMap<Task, Lease>,
@@ -35,15 +56,17 @@
 }
 
 impl Leases {
+    /// The lease of a task, if it was ever granted.
     pub fn of(&self, task: Task) -> Option<&Lease> {
         self.held.get(&task)
     }
 
+    /// All leases, by task.
     pub fn all(&self) -> impl Iterator<Item = (Task, &Lease)> {
         self.held.iter().map(|(task, lease)| (*task, lease))
     }
 
-    /// Applies a change; whether it took effect.
+    /// Applies a change; false if it had no effect.
     pub fn apply(&mut self, change: &Change) -> bool {
         match change {
             Change::Grant { task, after, owner, number } => {
@@ -57,7 +80,7 @@
                 self.held.insert(*task, lease);
                 true
             }
-            Change::Keep { task, token, number, progress } => match self.held.get_mut(task) {
+            Change::Renew { task, token, number, progress } => match self.held.get_mut(task) {
                 Some(lease) if lease.token == *token => {
                     (lease.number, lease.progress) = (*number, progress.clone());
                     true
@@ -68,15 +91,16 @@
     }
 }
 
-/// A snapshot of the log: the leases up to some entry, and the changes since that have yet to be applied to
-/// them. The log's library makes one of some entries alone, and then merges it into what was there before.
+/// A snapshot of the log: the leases up to some entry, and later changes that have yet to be applied to them.
+/// The log library makes one of some entries alone, and then merges it into the snapshot before.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Folded {
+pub struct LeaseSnapshot {
     base: Leases,
     since: Vec<Change>,
 }
 
-impl Folded {
+impl LeaseSnapshot {
+    /// The leases with all changes applied.
     pub fn leases(&self) -> Leases {
         let mut leases = self.base.clone();
         self.since.iter().for_each(|change| _ = leases.apply(change));
@@ -84,12 +108,12 @@
     }
 }
 
-impl Snapshot<Change> for Folded {
-    fn create(entries: &[Change]) -> Folded {
-        Folded { base: Leases::default(), since: entries.to_vec() }
+impl Snapshot<Change> for LeaseSnapshot {
+    fn create(entries: &[Change]) -> LeaseSnapshot {
+        LeaseSnapshot { base: Leases::default(), since: entries.to_vec() }
     }
 
-    fn merge(&mut self, later: Folded) {
+    fn merge(&mut self, later: LeaseSnapshot) {
         self.base = self.leases();
         self.since.clear();
         later.since.iter().for_each(|change| _ = self.base.apply(change));
@@ -101,7 +125,7 @@
 }
 
 impl Entry for Change {
-    type Snapshot = Folded;
+    type Snapshot = LeaseSnapshot;
 }
 
 #[cfg(test)]
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,11 +1,13 @@
-//! One owner at a time for work on behalf of the fleet. Voters keep a replicated log of leases (`voter`);
-//! whoever owns one acts only while its own monotonic clock says that it still does (`holder`); whoever is
-//! acted upon lets nothing pass under a token lower than the highest it has seen (`fence`). No sockets, no
-//! clock, no files: whoever calls hands in messages, the time and what was saved, and sends and saves what
-//! comes out.
+//! Leases: one owner at a time for work on behalf of the fleet. Voters agree on a replicated log of leases
+//! ([`voter`]); an owner acts only while its own monotonic clock says that its lease lasts ([`holder`]);
+//! receivers of its acts admit nothing under a token lower than the highest they have seen ([`fence`]). Free
+//! of sockets, clocks and files: the caller passes in messages, the time and the saved state, and sends and
+//! saves what comes out.
 //!
 //! Times are whole microseconds on the caller's monotonic clock; clocks need not agree, only run about alike.
 
+#![warn(missing_docs)]
+
 pub mod disk;
 pub mod fence;
 pub mod holder;
@@ -16,35 +18,46 @@
 
 use serde::{Deserialize, Serialize};
 
+/// A time or duration in microseconds.
 pub type Micros = i64;
-/// A front, by the first bytes of its public key.
+/// A front: the first eight bytes of its public key.
 pub type FrontId = u64;
-/// Grows with every grant of a lease: of two owners the later has the higher.
+/// A fencing token: grows with every grant, so that of two owners the later has the higher.
 pub type Token = u64;
 
+/// A fencing token with the front that it was granted to; ordered by the token.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct TokenOwner {
+    /// The token.
+    pub token: Token,
+    /// The front that holds it.
+    pub owner: FrontId,
+}
+
 /// Work that exactly one front does for the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Task {
-    /// Probing what the fleet has left, and saying since when a zone is back.
+    /// Probing engines that the fleet sends nothing to, and announcing that a zone answers again.
     Zones,
 }
 
 /// How long a lease lasts, and how far clocks may run apart meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Terms {
+    /// Microseconds from a request until the lease it was granted ends.
     pub length: Micros,
-    /// The most that one clock gains or loses against true time, in millionths.
+    /// The most that a clock gains or loses against true time, in parts per million.
     pub drift_ppm: u32,
 }
 
 impl Terms {
-    /// How long an owner may act after it asked: less than the length on any clock.
+    /// Microseconds for which an owner may act after its request: less than the length on any clock.
     pub fn acts_for(&self) -> Micros {
         self.length - self.drift()
     }
 
-    /// How long nobody else is granted the lease after it was last confirmed: more than the length on any
-    /// clock.
+    /// Microseconds for which the lease is granted to nobody else after its last confirmation: more than the
+    /// length on any clock.
     pub fn rests_for(&self) -> Micros {
         self.length + self.drift()
     }
@@ -54,68 +67,91 @@
     }
 }
 
-/// What a front asks of a voter; the number tells its answer from others'.
+/// Asks a voter for a lease, or for its renewal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Request {
+    /// The work that the lease is for.
     pub task: Task,
+    /// Tells the reply to this request from others; grows with each request of a front, over its restarts
+    /// too.
     pub number: u64,
-    /// The token that it holds and wants to keep; without one it wants the lease.
+    /// The token that the front holds and wants to renew; without one it wants the lease.
     pub token: Option<Token>,
-    /// How far the work has gone: kept with the lease for whoever has it next.
+    /// How far the work has gone: stored with the lease for the next owner.
     pub progress: Vec<u8>,
 }
 
-/// What a voter answers.
+/// A voter's reply to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Answer {
-    /// The lease is the asker's, counted from when it asked.
-    Yours { number: u64, token: Token, progress: Vec<u8> },
-    /// It is another's, or nobody can say yet.
-    NotYours { number: u64 },
-    /// Another voter leads.
-    Elsewhere { number: u64, leader: FrontId },
+pub enum Reply {
+    /// The lease is granted or renewed, counted from when it was requested.
+    Granted {
+        /// Of the request.
+        number: u64,
+        /// The lease's fencing token.
+        token: Token,
+        /// What the owner stored last; of a new lease, the owner before.
+        progress: Vec<u8>,
+    },
+    /// Another front holds it, or may hold it.
+    Denied {
+        /// Of the request.
+        number: u64,
+    },
+    /// Another voter leads: the request is to be sent there.
+    NotLeader {
+        /// Of the request.
+        number: u64,
+        /// The voter that leads.
+        leader: FrontId,
+    },
 }
 
-/// Everything that fronts say to each other of leases.
+/// Everything that fronts send to each other about leases. Variants are positional on the wire: append only.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Word {
-    Ask(Ask),
-    Answer(Answer),
-    /// Of builds that did not number them: nothing is done with it.
+pub enum LeaseMessage {
+    /// From a front to a voter.
+    Request(Request),
+    /// From a voter to the front that requested.
+    Reply(Reply),
+    /// A log message of builds that did not number them: it is ignored.
     Unnumbered(Box<omnipaxos::messages::Message<leases::Change>>),
-    /// Among voters, as the log's library words it.
+    /// Between voters: a message of the replicated log.
     Log {
-        /// Which of its sender's lives it is of; each has a higher number.
-        life: u64,
-        /// Counts those that must come in order; 0: it need not.
+        /// The sender's incarnation: grows with each of its starts.
+        incarnation: u64,
+        /// Counts the messages that must come in order; 0: it need not.
         number: u64,
+        /// The log library's message.
         message: Box<omnipaxos::messages::Message<leases::Change>>,
     },
 }
 
-/// A word with the fleet that it is meant for.
+/// A message with the fleet that it is meant for.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Letter {
-    /// A fingerprint of the fleet's name and voters: a letter of another is refused.
+pub struct Envelope {
+    /// The fleet's [`fingerprint`]: a message of another fleet is refused.
     pub fleet: u64,
-    pub word: Word,
+    /// The message.
+    pub message: LeaseMessage,
 }
 
-pub fn bytes(letter: &Letter) -> Vec<u8> {
-    postcard::to_stdvec(letter).unwrap_or_default()
+/// Encodes an envelope.
+pub fn bytes(envelope: &Envelope) -> Vec<u8> {
+    postcard::to_stdvec(envelope).unwrap_or_default()
 }
 
-/// Reads a letter that fills the bytes exactly.
-pub fn read(bytes: &[u8]) -> Option<Letter> {
+/// Decodes an envelope that fills the bytes exactly; None for any other bytes.
+pub fn read(bytes: &[u8]) -> Option<Envelope> {
     match postcard::take_from_bytes(bytes) {
-        Ok((letter, [])) => Some(letter),
+        Ok((envelope, [])) => Some(envelope),
         _ => None,
     }
 }
 
-/// The fleet's fingerprint: its name and who votes in it.
+/// The fleet's fingerprint: a 64-bit FNV-1a hash of its name and voters, in any order; the same in every
+/// build.
 pub fn fingerprint(name: &str, voters: &[FrontId]) -> u64 {
-    // FNV-1a, as published: it has to come to the same in every build.
     let mut voters = voters.to_vec();
     voters.sort_unstable();
     let mut hash = fnv::FnvHasher::default();
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -1,42 +1,45 @@
-//! A voter: keeps the log of leases with the others through OmniPaxos, and grants leases where it leads. The
-//! log alone says who owns what; time only keeps a leader from proposing a new owner before the one before
+//! A voter: an acceptor of the replicated log of leases (OmniPaxos), which grants leases while it leads. The
+//! log alone decides who owns what; time only keeps a leader from proposing a new owner before the one before
 //! has surely stopped.
 
 use std::collections::BTreeMap;
 
 use hallmux_replica::{Order, Store};
-use omnipaxos::messages::Message;
+use omnipaxos::messages::Message as LogMessage;
 use omnipaxos::util::LogEntry;
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
 
-use crate::disk::{Disk, Spoilt};
+use crate::disk::{Disk, StateError};
 use crate::leases::{Change, Leases};
-use crate::{Answer, Ask, FrontId, Letter, Micros, Task, Terms, Word};
+use crate::{Envelope, FrontId, LeaseMessage, Micros, Reply, Request, Task, Terms};
 
 const TICK: Micros = 50_000; // microseconds between ticks of the log's clock
-/// 300 ms without word of a leader: some round trips and a stall of a busy machine.
+/// 300 ms without a message of a leader: some round trips and a stall of a busy machine.
 const ELECTION_TICKS: u64 = 6;
 const RESEND_TICKS: u64 = 4; // 200 ms until a message counts as lost
-/// Decided entries until the log is folded: a follower far behind gets it whole.
-const FOLDED_AFTER: usize = 16;
-const MOST_PROGRESS: usize = 256; // bytes of progress that go with a lease
-const MOST_WAITING: usize = 64; // questions that wait for the log at once
+/// Decided entries until the log is compacted into a snapshot: a follower far behind gets it whole.
+const SNAPSHOT_AFTER: usize = 16;
+const MAX_PROGRESS: usize = 256; // bytes of progress that go with a lease
+const MAX_WAITING: usize = 64; // requests that wait for the log at once
 
-/// A question that waits until the log has decided on it.
+/// A request that waits until the log has decided on it.
 struct Waiting {
-    asker: FrontId,
-    ask: Ask,
+    requester: FrontId,
+    request: Request,
     ends: Micros,
 }
 
-/// What is to be done for it, in order: what to save, and what to send once that is safe.
+/// What a call gives out: what to save, and what to send once that is durable.
 #[derive(Default)]
-pub struct Out {
-    /// Must be lasting before any of the letters leaves; the letters of an earlier call too.
+pub struct Output {
+    /// Replaces what was saved before. Must be durable before any of the messages leaves, those of later
+    /// calls too.
     pub save: Option<Vec<u8>>,
-    pub letters: Vec<(FrontId, Letter)>,
+    /// To be sent, each to its front.
+    pub messages: Vec<(FrontId, Envelope)>,
 }
 
+/// One voter, and its part of the log.
 pub struct Voter {
     fleet: u64,
     own: FrontId,
@@ -45,22 +48,23 @@
     terms: Terms,
     log: OmniPaxos<Change, Store<Change>>,
     disk: Disk,
-    /// What comes out of order counts as lost.
+    /// Messages that come out of order count as lost.
     order: Order,
     leases: Leases,
     applied: usize,
     /// When each lease was last confirmed, on this clock.
     confirmed: BTreeMap<Task, Micros>,
     /// Since when this voter leads.
-    leads: Option<Micros>,
+    leading_since: Option<Micros>,
     started: Micros,
-    tick_at: Micros,
+    next_tick: Micros,
     waiting: Vec<Waiting>,
-    letters: Vec<(FrontId, Letter)>,
+    messages: Vec<(FrontId, Envelope)>,
 }
 
 impl Voter {
-    /// `saved` is what an earlier life gave out to be saved last; None only where there was none.
+    /// `saved` is what an earlier run gave out to be saved last; None only where there was none. An error
+    /// says why it can't be used, or that this front is no voter.
     pub fn new(
         now: Micros,
         fleet: u64,
@@ -68,7 +72,7 @@
         voters: &[FrontId],
         terms: Terms,
         saved: Option<&[u8]>,
-    ) -> Result<Voter, Spoilt> {
+    ) -> Result<Voter, StateError> {
         let mut voters = voters.to_vec();
         voters.sort_unstable();
         voters.dedup();
@@ -76,7 +80,7 @@
             Some(saved) => Disk::read(fleet, saved)?,
             None => Disk::new(fleet),
         };
-        disk.begins();
+        disk.start();
         let number = |front: FrontId| voters.iter().position(|v| *v == front).map(|n| n as u64 + 1);
         let cluster_config = ClusterConfig {
             configuration_id: 1,
@@ -84,14 +88,14 @@
             ..ClusterConfig::default()
         };
         let server_config = ServerConfig {
-            pid: number(own).ok_or(Spoilt::Voters)?,
+            pid: number(own).ok_or(StateError::Voters)?,
             election_tick_timeout: ELECTION_TICKS,
             resend_message_tick_timeout: RESEND_TICKS,
             ..ServerConfig::default()
         };
         let log = OmniPaxosConfig { cluster_config, server_config }
             .build(disk.store.clone())
-            .map_err(|_| Spoilt::Voters)?;
+            .map_err(|_| StateError::Voters)?;
         let mut voter = Voter {
             fleet,
             own,
@@ -103,24 +107,24 @@
             leases: Leases::default(),
             applied: 0,
             confirmed: BTreeMap::new(),
-            leads: None,
+            leading_since: None,
             started: now,
-            tick_at: now,
+            next_tick: now,
             waiting: Vec::new(),
-            letters: Vec::new(),
+            messages: Vec::new(),
         };
         voter.apply(now);
         Ok(voter)
     }
 
-    /// What the log says of the leases, as far as it is decided here.
+    /// The leases, as far as the log is decided here.
     pub fn leases(&self) -> &Leases {
         &self.leases
     }
 
     /// Whether it leads now.
-    pub fn leads(&self) -> bool {
-        self.leads.is_some()
+    pub fn is_leader(&self) -> bool {
+        self.leading_since.is_some()
     }
 
     /// How many entries of the log are decided, as far as this voter knows.
@@ -128,76 +132,79 @@
         self.applied
     }
 
-    /// When `tick` is next due.
+    /// When `tick` is next due, on the caller's monotonic clock.
     pub fn due(&self) -> Micros {
-        self.tick_at
+        self.next_tick
     }
 
-    /// Does what is due.
-    pub fn tick(&mut self, now: Micros) -> Out {
-        if self.tick_at <= now {
-            // A voter that stood still does not catch up: the log's clock counts turns it had.
-            self.tick_at = now + TICK;
+    /// Runs the log's clock where it is due, and gives what is to be saved and sent.
+    pub fn tick(&mut self, now: Micros) -> Output {
+        if self.next_tick <= now {
+            // A voter that was paused does not catch up: the log's clock counts the ticks that it ran.
+            self.next_tick = now + TICK;
             self.log.tick();
         }
         self.settle(now)
     }
 
-    /// A letter has come from a front whose signature holds; what is not for this fleet or no voter's says
-    /// nothing.
-    pub fn heard(&mut self, now: Micros, from: FrontId, letter: Letter) -> Out {
-        if letter.fleet != self.fleet {
-            return Out::default();
+    /// A message has come from a front whose signature holds. It is ignored where it is for another fleet, or
+    /// no voter's.
+    pub fn receive(&mut self, now: Micros, from: FrontId, envelope: Envelope) -> Output {
+        if envelope.fleet != self.fleet {
+            return Output::default();
         }
-        match letter.word {
-            Word::Log { life, number, message } if self.is_from(&message, from) => {
-                if self.order.takes(from, life, number) {
+        match envelope.message {
+            LeaseMessage::Log { incarnation, number, message } if self.is_from(&message, from) => {
+                if self.order.takes(from, incarnation, number) {
                     self.log.handle_incoming(*message);
                 }
             }
-            Word::Ask(ask) => self.asked(now, from, ask),
-            Word::Log { .. } | Word::Unnumbered(_) | Word::Answer(_) => {}
+            LeaseMessage::Request(request) => self.requested(now, from, request),
+            LeaseMessage::Log { .. } | LeaseMessage::Unnumbered(_) | LeaseMessage::Reply(_) => {}
         }
         self.settle(now)
     }
 
-    /// Whether a message of the log is its sender's own, and for this voter: its numbers are used as places.
-    fn is_from(&self, message: &Message<Change>, from: FrontId) -> bool {
+    /// Whether a log message names its true sender and this voter: the library uses its numbers as places.
+    fn is_from(&self, message: &LogMessage<Change>, from: FrontId) -> bool {
         let voter = |number: u64| number.checked_sub(1).and_then(|n| self.voters.get(n as usize)).copied();
         voter(message.get_sender()) == Some(from) && voter(message.get_receiver()) == Some(self.own)
     }
 
-    fn asked(&mut self, now: Micros, asker: FrontId, ask: Ask) {
-        let number = ask.number;
+    fn requested(&mut self, now: Micros, requester: FrontId, request: Request) {
+        let number = request.number;
         let Some(leader) = self.leader() else { return };
         if leader != self.own {
-            return self.answers(asker, Answer::Elsewhere { number, leader });
+            return self.reply(requester, Reply::NotLeader { number, leader });
         }
-        if self.leads.is_none() || ask.progress.len() > MOST_PROGRESS || self.waiting.len() >= MOST_WAITING {
-            return; // asked again, it may be ready
+        if self.leading_since.is_none()
+            || request.progress.len() > MAX_PROGRESS
+            || self.waiting.len() >= MAX_WAITING
+        {
+            return; // requested again, it may be ready
         }
-        let lease = self.leases.of(ask.task);
-        let change = match (ask.token, lease) {
-            (Some(token), Some(lease)) if lease.token == token && lease.owner == asker => {
-                Change::Keep { task: ask.task, token, number, progress: ask.progress.clone() }
+        let lease = self.leases.of(request.task);
+        let change = match (request.token, lease) {
+            (Some(token), Some(lease)) if lease.token == token && lease.owner == requester => {
+                Change::Renew { task: request.task, token, number, progress: request.progress.clone() }
             }
-            (Some(_), _) => return self.answers(asker, Answer::NotYours { number }),
-            (None, lease) if self.is_free(now, ask.task) => {
+            (Some(_), _) => return self.reply(requester, Reply::Denied { number }),
+            (None, lease) if self.is_free(now, request.task) => {
                 let after = lease.map_or(0, |lease| lease.token);
-                Change::Grant { task: ask.task, after, owner: asker, number }
+                Change::Grant { task: request.task, after, owner: requester, number }
             }
-            (None, _) => return self.answers(asker, Answer::NotYours { number }),
+            (None, _) => return self.reply(requester, Reply::Denied { number }),
         };
         if self.log.append(change).is_ok() {
-            self.waiting.push(Waiting { asker, ask, ends: now + self.terms.length });
+            self.waiting.push(Waiting { requester, request, ends: now + self.terms.length });
         }
     }
 
-    /// Whether whoever had the lease last has surely stopped, whichever voter confirmed it and whenever: a
-    /// leader counts from when it began to lead, and from when it learned of each confirmation.
+    /// Whether the lease's last owner has surely stopped, whichever voter confirmed it and whenever: a leader
+    /// counts from when it began to lead, and from when it learned of each confirmation.
     fn is_free(&self, now: Micros, task: Task) -> bool {
         let rested = |since: Micros| now >= since + self.terms.rests_for();
-        let since_leading = self.leads.is_some_and(rested);
+        let since_leading = self.leading_since.is_some_and(rested);
         since_leading && self.confirmed.get(&task).is_none_or(|at| rested(*at)) && rested(self.started)
     }
 
@@ -206,26 +213,27 @@
         number.checked_sub(1).and_then(|n| self.voters.get(n as usize)).copied()
     }
 
-    fn answers(&mut self, to: FrontId, answer: Answer) {
-        self.letters.push((to, Letter { fleet: self.fleet, word: Word::Answer(answer) }));
+    fn reply(&mut self, to: FrontId, reply: Reply) {
+        self.messages.push((to, Envelope { fleet: self.fleet, message: LeaseMessage::Reply(reply) }));
     }
 
-    /// Takes in what the log has decided, answers what waited for it, and gathers what is to go out.
-    fn settle(&mut self, now: Micros) -> Out {
+    /// Applies what the log has decided, replies to requests that waited for it, and gathers what is to go
+    /// out.
+    fn settle(&mut self, now: Micros) -> Output {
         self.apply(now);
         let leads =
             self.log.get_current_leader().is_some_and(|(_, ready)| ready) && self.leader() == Some(self.own);
-        self.leads = if leads { self.leads.or(Some(now)) } else { None };
+        self.leading_since = if leads { self.leading_since.or(Some(now)) } else { None };
         let waiting = std::mem::take(&mut self.waiting);
         for w in waiting {
-            let lease = self.leases.of(w.ask.task);
-            let granted = lease.filter(|l| l.owner == w.asker && l.number == w.ask.number);
+            let lease = self.leases.of(w.request.task);
+            let granted = lease.filter(|l| l.owner == w.requester && l.number == w.request.number);
             match granted.map(|l| (l.token, l.progress.clone())) {
                 Some((token, progress)) => {
-                    self.answers(w.asker, Answer::Yours { number: w.ask.number, token, progress });
+                    self.reply(w.requester, Reply::Granted { number: w.request.number, token, progress });
                 }
                 None if now < w.ends => self.waiting.push(w),
-                None => {} // the log has not decided in time: nothing is promised
+                None => {} // the log has not decided in time: no reply
             }
         }
         let mut messages = Vec::new();
@@ -233,12 +241,12 @@
         for message in messages {
             let place = message.get_receiver().checked_sub(1).and_then(|n| self.voters.get(n as usize));
             if let Some(to) = place.copied().filter(|to| *to != self.own) {
-                let (life, number) = (self.disk.life, self.order.number(&message));
-                let word = Word::Log { life, number, message: Box::new(message) };
-                self.letters.push((to, Letter { fleet: self.fleet, word }));
+                let (incarnation, number) = (self.disk.incarnation, self.order.number(&message));
+                let message = LeaseMessage::Log { incarnation, number, message: Box::new(message) };
+                self.messages.push((to, Envelope { fleet: self.fleet, message }));
             }
         }
-        Out { save: self.disk.unsaved(), letters: std::mem::take(&mut self.letters) }
+        Output { save: self.disk.unsaved(), messages: std::mem::take(&mut self.messages) }
     }
 
     fn apply(&mut self, now: Micros) {
@@ -250,7 +258,7 @@
             match entry {
                 LogEntry::Decided(change) => {
                     self.leases.apply(&change);
-                    let (Change::Grant { task, .. } | Change::Keep { task, .. }) = change;
+                    let (Change::Grant { task, .. } | Change::Renew { task, .. }) = change;
                     self.confirmed.insert(task, now);
                 }
                 LogEntry::Snapshotted(snapshotted) => {
@@ -262,8 +270,8 @@
             }
         }
         self.applied = decided;
-        if decided.saturating_sub(self.log.get_compacted_idx()) >= FOLDED_AFTER {
-            // What can't be folded now is folded next time.
+        if decided.saturating_sub(self.log.get_compacted_idx()) >= SNAPSHOT_AFTER {
+            // If it can't be compacted now, it is the next time.
             let _ = self.log.snapshot(Some(decided), true);
         }
     }
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -1,5 +1,5 @@
 //! A model of owners, the authority that grants leases, and a receiver of their acts, on the code that runs:
-//! holders, leases, the fence. Every letter that was ever sent may arrive at any later time, any number of
+//! holders, leases, the fence. Every message that was ever sent may arrive at any later time, any number of
 //! times, or never: so letters are lost, doubled and reordered. Fronts pause at any point (they do nothing
 //! while time goes on, and what they sent arrives late), one restarts, and their clocks lose a tick now and
 //! then within the drift agreed. Checked exhaustively to a stated depth. The authority here is one that never
@@ -10,7 +10,7 @@
 use hallmux_lease::fence::Fence;
 use hallmux_lease::holder::Holder;
 use hallmux_lease::leases::{Change, Leases};
-use hallmux_lease::{Answer, Ask, FrontId, Micros, Task, Terms, Token};
+use hallmux_lease::{FrontId, Micros, Reply, Request, Task, Terms, Token, TokenOwner};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const TICK: Micros = 1_000_000; // microseconds of a step of time
@@ -20,7 +20,7 @@
 const DEPTH: usize = 14; // steps
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Letter {
+enum InFlight {
     Asks(usize, Token, u64),
     Grants(usize, Token, u64),
     /// An act of an owner under its token.
@@ -40,7 +40,7 @@
     leases: Leases,
     confirmed: Micros,
     /// All that was ever sent.
-    way: BTreeSet<Letter>,
+    way: BTreeSet<InFlight>,
     fence: Fence,
     /// The highest token under which an act was accepted, and whether one under a lower followed.
     highest: Token,
@@ -54,7 +54,7 @@
     Ask(usize),
     Act(usize),
     Restart,
-    Arrives(Letter),
+    Arrives(InFlight),
 }
 
 struct Fleet {
@@ -116,21 +116,21 @@
                 }
             }
             Step::Ask(n) => {
-                let (_, ask) = s.holders[n].ask(s.clocks[n] * TICK, true, &[])?;
+                let (_, ask) = s.holders[n].next_request(s.clocks[n] * TICK, true, &[])?;
                 if ask.number % 100 >= MOST_QUESTIONS {
                     return None;
                 }
-                s.way.insert(Letter::Asks(n, ask.token.unwrap_or(0), ask.number));
+                s.way.insert(InFlight::Asks(n, ask.token.unwrap_or(0), ask.number));
             }
             Step::Act(n) => {
                 let token = s.holders[n].token(s.clocks[n] * TICK)?;
-                s.way.insert(Letter::Acts(n, token));
+                s.way.insert(InFlight::Acts(n, token));
             }
             Step::Restart => {
                 s.restarted = true;
                 s.holders[0] = holder(0, 1);
             }
-            Step::Arrives(letter) => arrives(&mut s, letter, self.checks_tokens),
+            Step::Arrives(message) => arrives(&mut s, message, self.checks_tokens),
         }
         (s != *last).then_some(s)
     }
@@ -148,15 +148,19 @@
     }
 }
 
-fn arrives(s: &mut State, letter: Letter, checks_tokens: bool) {
-    match letter {
-        Letter::Asks(n, token, number) => {
+fn arrives(s: &mut State, message: InFlight, checks_tokens: bool) {
+    match message {
+        InFlight::Asks(n, token, number) => {
             let lease = s.leases.of(Task::Zones).cloned().unwrap_or_default();
-            let ask =
-                Ask { task: Task::Zones, number, token: (token > 0).then_some(token), progress: Vec::new() };
+            let ask = Request {
+                task: Task::Zones,
+                number,
+                token: (token > 0).then_some(token),
+                progress: Vec::new(),
+            };
             let change = match ask.token {
                 Some(token) if lease.token == token && lease.owner == id(n) => {
-                    Some(Change::Keep { task: Task::Zones, token, number, progress: Vec::new() })
+                    Some(Change::Renew { task: Task::Zones, token, number, progress: Vec::new() })
                 }
                 Some(_) => None,
                 // As `Voter::is_free`: nobody else until whoever had it last has surely stopped.
@@ -169,17 +173,17 @@
             if change.is_some_and(|change| s.leases.apply(&change)) {
                 s.confirmed = s.now * TICK;
                 let token = s.leases.of(Task::Zones).map_or(0, |lease| lease.token);
-                s.way.insert(Letter::Grants(n, token, number));
-                s.way.insert(Letter::Names(token, id(n)));
+                s.way.insert(InFlight::Grants(n, token, number));
+                s.way.insert(InFlight::Names(token, id(n)));
             }
         }
-        Letter::Grants(n, token, number) => {
-            s.holders[n].answered(&Answer::Yours { number, token, progress: Vec::new() });
+        InFlight::Grants(n, token, number) => {
+            s.holders[n].receive(&Reply::Granted { number, token, progress: Vec::new() });
             s.holders[n].inherited();
         }
-        Letter::Names(token, owner) => s.fence.saw(Task::Zones, token, owner),
-        Letter::Acts(n, token) => {
-            if !checks_tokens || s.fence.admit(Task::Zones, token, id(n)).is_ok() {
+        InFlight::Names(token, owner) => s.fence.observe(Task::Zones, TokenOwner { token, owner }),
+        InFlight::Acts(n, token) => {
+            if !checks_tokens || s.fence.admit(Task::Zones, TokenOwner { token, owner: id(n) }).is_ok() {
                 s.broken |= token < s.highest;
                 s.highest = s.highest.max(token);
             }
--- a/crates/lease/tests/voters.rs
+++ b/crates/lease/tests/voters.rs
@@ -1,8 +1,8 @@
 //! Leases among voters that are cut apart, stopped, killed and started anew, over a network that loses,
-//! doubles and reorders letters, with clocks that run apart.
+//! doubles and reorders messages, with clocks that run apart.
 
 use hallmux_lease::voter::Voter;
-use hallmux_lease::{fingerprint, Ask, Letter, Task, Word};
+use hallmux_lease::{fingerprint, Envelope, LeaseMessage, Request, Task};
 use rand::Rng;
 
 #[path = "voters/sim.rs"]
@@ -142,7 +142,7 @@
         let mut fleet = Fleet::new(6, if seed % 2 == 0 { 3 } else { 5 }, 5_000 + seed);
         (fleet.way, fleet.doubled) = ([60_000, 120_000, 180_000][seed as usize % 3], 0.3);
         for step in 1..=8 {
-            // Leaders change now and then, as their letters stay away.
+            // Leaders change now and then, as their messages stay away.
             let cut = fleet.chance.random_range(0..3);
             fleet.side[cut] = 1;
             fleet.run((3 * step - 2) * SECOND, &[0, 1, 2, 3, 4, 5]);
@@ -177,23 +177,28 @@
     let voters = [100, 101, 102];
     let fleet = fingerprint("tests", &voters);
     let mut voter = Voter::new(0, fleet, 100, &voters, TERMS, None).unwrap();
-    let ask = |fleet| Letter {
+    let ask = |fleet| Envelope {
         fleet,
-        word: Word::Ask(Ask { task: Task::Zones, number: 1, token: None, progress: vec![0; 10_000] }),
+        message: LeaseMessage::Request(Request {
+            task: Task::Zones,
+            number: 1,
+            token: None,
+            progress: vec![0; 10_000],
+        }),
     };
-    assert!(voter.heard(1, 7, ask(fleet + 1)).letters.is_empty());
+    assert!(voter.receive(1, 7, ask(fleet + 1)).messages.is_empty());
     // Log messages of a real exchange, each said to come from everybody but its sender.
     let mut other = Voter::new(0, fleet, 101, &voters, TERMS, None).unwrap();
     let mut said = Vec::new();
     for now in 1..40 {
-        said.extend(other.tick(now * 50_000).letters);
+        said.extend(other.tick(now * 50_000).messages);
         voter.tick(now * 50_000);
     }
     assert!(!said.is_empty());
-    for (to, letter) in said {
+    for (to, envelope) in said {
         for from in [100, 102, 7, 0, u64::MAX] {
             let before = voter.leases().clone();
-            assert!(voter.heard(2_000_001, from, letter.clone()).save.is_none(), "{from} to {to}");
+            assert!(voter.receive(2_000_001, from, envelope.clone()).save.is_none(), "{from} to {to}");
             assert_eq!(*voter.leases(), before);
         }
     }
@@ -201,11 +206,16 @@
 
 #[test]
 fn any_bytes_are_read_or_refused() {
-    let letter = Letter {
+    let envelope = Envelope {
         fleet: 9,
-        word: Word::Ask(Ask { task: Task::Zones, number: 1, token: Some(3), progress: vec![1, 2] }),
+        message: LeaseMessage::Request(Request {
+            task: Task::Zones,
+            number: 1,
+            token: Some(3),
+            progress: vec![1, 2],
+        }),
     };
-    let whole = hallmux_lease::bytes(&letter);
+    let whole = hallmux_lease::bytes(&envelope);
     assert!(hallmux_lease::read(&whole).is_some());
     for cut in 0..whole.len() {
         assert!(hallmux_lease::read(&whole[..cut]).is_none());
--- a/crates/lease/tests/voters/sim.rs
+++ b/crates/lease/tests/voters/sim.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use hallmux_lease::holder::Holder;
-use hallmux_lease::voter::{Out, Voter};
-use hallmux_lease::{fingerprint, Answer, FrontId, Letter, Micros, Task, Terms, Token, Word};
+use hallmux_lease::voter::{Output, Voter};
+use hallmux_lease::{fingerprint, Envelope, FrontId, LeaseMessage, Micros, Reply, Task, Terms, Token};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -32,12 +32,12 @@
     voters: Vec<FrontId>,
     pub now: Micros,
     pub chance: Pcg64Mcg,
-    /// When each letter arrives: to whom, from whom.
-    mail: BTreeMap<(Micros, u64), (usize, usize, Letter)>,
-    posted: u64,
+    /// When each envelope arrives: to whom, from whom.
+    in_flight: BTreeMap<(Micros, u64), (usize, usize, Envelope)>,
+    sequence: u64,
     pub lost: f64,
     pub doubled: f64,
-    /// The longest that a letter may be under way: what is longer than the time between letters reorders
+    /// The longest that an envelope may be under way: what is longer than the time between messages reorders
     /// them.
     pub way: Micros,
     /// Fronts of different sides hear nothing of each other.
@@ -47,7 +47,7 @@
     /// The most fronts that could act at once, and for how many steps nobody could.
     pub most_at_once: usize,
     pub without: usize,
-    pub letters: BTreeMap<&'static str, u64>,
+    pub messages: BTreeMap<&'static str, u64>,
     pub inherited: Vec<(Token, Vec<u8>)>,
     next_number: u64,
 }
@@ -64,8 +64,8 @@
             voters: (0..voters).map(id).collect(),
             now: 0,
             chance: Pcg64Mcg::seed_from_u64(seed),
-            mail: BTreeMap::new(),
-            posted: 0,
+            in_flight: BTreeMap::new(),
+            sequence: 0,
             lost: 0.0,
             doubled: 0.0,
             way: 20_000,
@@ -73,7 +73,7 @@
             acts: Vec::new(),
             most_at_once: 0,
             without: 0,
-            letters: BTreeMap::new(),
+            messages: BTreeMap::new(),
             inherited: Vec::new(),
             next_number: 0,
         };
@@ -120,45 +120,45 @@
         (self.fronts[n].up, self.fronts[n].voter) = (false, None);
     }
 
-    fn post(&mut self, from: usize, to: FrontId, letter: Letter) {
+    fn send(&mut self, from: usize, to: FrontId, envelope: Envelope) {
         let to = (to - 100) as usize;
-        let kind = match letter.word {
-            Word::Log { .. } | Word::Unnumbered(_) => "log",
-            Word::Ask(_) => "ask",
-            Word::Answer(_) => "answer",
+        let kind = match envelope.message {
+            LeaseMessage::Log { .. } | LeaseMessage::Unnumbered(_) => "log",
+            LeaseMessage::Request(_) => "request",
+            LeaseMessage::Reply(_) => "reply",
         };
-        *self.letters.entry(kind).or_default() += 1;
+        *self.messages.entry(kind).or_default() += 1;
         let copies = 1 + usize::from(self.chance.random_bool(self.doubled));
         for _ in 0..copies {
             let way = self.chance.random_range(500..self.way);
             if self.side[from] == self.side[to] && !self.chance.random_bool(self.lost) {
-                self.posted += 1;
-                self.mail.insert((self.now + way, self.posted), (to, from, letter.clone()));
+                self.sequence += 1;
+                self.in_flight.insert((self.now + way, self.sequence), (to, from, envelope.clone()));
             }
         }
     }
 
-    fn does(&mut self, n: usize, out: Out) {
+    fn does(&mut self, n: usize, out: Output) {
         // Saved before anything leaves: the tests' disk is instant.
         if let Some(save) = out.save {
             self.fronts[n].saved = Some(save);
         }
-        for (to, letter) in out.letters {
+        for (to, envelope) in out.messages {
             // What a voter answers itself stays on its machine.
-            match (letter.word, to == id(n)) {
-                (Word::Answer(answer), true) => self.fronts[n].holder.answered(&answer),
-                (word, _) => self.post(n, to, Letter { word, ..letter }),
+            match (envelope.message, to == id(n)) {
+                (LeaseMessage::Reply(reply), true) => self.fronts[n].holder.receive(&reply),
+                (message, _) => self.send(n, to, Envelope { message, ..envelope }),
             }
         }
     }
 
-    fn arrives(&mut self, to: usize, from: usize, letter: Letter) {
+    fn arrives(&mut self, to: usize, from: usize, envelope: Envelope) {
         let now = self.clock(to);
         let front = &mut self.fronts[to];
-        if let Word::Answer(answer) = &letter.word {
-            front.holder.answered(answer);
+        if let LeaseMessage::Reply(reply) = &envelope.message {
+            front.holder.receive(reply);
         }
-        let out = front.voter.as_mut().map(|voter| voter.heard(now, id(from), letter));
+        let out = front.voter.as_mut().map(|voter| voter.receive(now, id(from), envelope));
         self.does(to, out.unwrap_or_default());
     }
 
@@ -166,21 +166,21 @@
     pub fn run(&mut self, until: Micros, wants: &[usize]) {
         while self.now < until {
             self.now += STEP;
-            while let Some(((at, number), (to, from, letter))) = self.mail.pop_first() {
+            while let Some(((at, number), (to, from, envelope))) = self.in_flight.pop_first() {
                 if at > self.now {
-                    self.mail.insert((at, number), (to, from, letter));
+                    self.in_flight.insert((at, number), (to, from, envelope));
                     break;
                 }
                 let front = &self.fronts[to];
                 if front.up && front.stopped {
                     // It waits in the socket until the front goes on.
-                    self.posted += 1;
-                    self.mail.insert((self.now + STEP, self.posted), (to, from, letter));
-                    if self.mail.keys().all(|(at, _)| *at > self.now) {
+                    self.sequence += 1;
+                    self.in_flight.insert((self.now + STEP, self.sequence), (to, from, envelope));
+                    if self.in_flight.keys().all(|(at, _)| *at > self.now) {
                         break;
                     }
                 } else if front.up {
-                    self.arrives(to, from, letter);
+                    self.arrives(to, from, envelope);
                 }
             }
             for n in 0..self.fronts.len() {
@@ -212,13 +212,14 @@
             front.progress = front.progress.saturating_add(u8::from(self.now % (SECOND / 4) == 0));
         }
         let progress = [front.progress];
-        let Some((voter, ask)) = front.holder.ask(now, wants, &progress) else { return };
-        let letter = Letter { fleet: fingerprint("tests", &self.voters), word: Word::Ask(ask) };
+        let Some((voter, ask)) = front.holder.next_request(now, wants, &progress) else { return };
+        let envelope =
+            Envelope { fleet: fingerprint("tests", &self.voters), message: LeaseMessage::Request(ask) };
         if voter == id(n) {
-            let out = self.fronts[n].voter.as_mut().map(|voter| voter.heard(now, id(n), letter));
+            let out = self.fronts[n].voter.as_mut().map(|voter| voter.receive(now, id(n), envelope));
             self.does(n, out.unwrap_or_default());
         } else {
-            self.post(n, voter, letter);
+            self.send(n, voter, envelope);
         }
     }
 
@@ -230,12 +231,12 @@
     }
 
     pub fn leaders(&self) -> usize {
-        self.fronts.iter().filter(|f| f.up && f.voter.as_ref().is_some_and(Voter::leads)).count()
+        self.fronts.iter().filter(|f| f.up && f.voter.as_ref().is_some_and(Voter::is_leader)).count()
     }
 }
 
-/// An answer as some voter might make it up.
+/// An reply as some voter might make it up.
 #[allow(dead_code)] // one of the tests uses it
-pub fn forged(number: u64) -> Answer {
-    Answer::Yours { number, token: 1_000_000, progress: Vec::new() }
+pub fn forged(number: u64) -> Reply {
+    Reply::Granted { number, token: 1_000_000, progress: Vec::new() }
 }
