--- a/crates/lease/src/disk.rs
+++ b/crates/lease/src/disk.rs
@@ -1,7 +1,7 @@
 //! A voter's durable state: its promised ballot, the entries accepted and how far they are decided. Held in
 //! memory and saved whole: it is a few kilobytes, as the log is compacted into a snapshot every few entries.
 
-use hallmux_replica::{Held, Store};
+use hallmux_replica::{LogState, LogStore};
 use serde::{Deserialize, Serialize};
 
 use crate::leases::Change;
@@ -15,7 +15,7 @@
 struct State {
     /// The fingerprint of the fleet that it was saved in.
     fleet: u64,
-    held: Held<Change>,
+    held: LogState<Change>,
     /// How often a voter has started with it.
     incarnation: u64,
 }
@@ -45,13 +45,13 @@
     /// This incarnation is not saved yet.
     started: bool,
     /// The replicated log's storage; the log library holds another handle.
-    pub store: Store<Change>,
+    pub store: LogStore<Change>,
 }
 
 impl Disk {
     /// An empty state, for a voter that never ran in this fleet.
     pub fn new(fleet: u64) -> Disk {
-        Disk { fleet, incarnation: 0, started: false, store: Store::new(Held::default()) }
+        Disk { fleet, incarnation: 0, started: false, store: LogStore::new(LogState::default()) }
     }
 
     /// Decodes the state that an earlier run of the voter saved.
@@ -73,7 +73,7 @@
                 fleet,
                 incarnation: state.incarnation,
                 started: false,
-                store: Store::new(state.held),
+                store: LogStore::new(state.held),
             }),
             false => Err(StateError::OtherFleet),
         }
@@ -87,12 +87,15 @@
     /// Takes the bytes that have to be durable before any message that follows from them leaves; None if
     /// nothing changed.
     pub fn unsaved(&mut self) -> Option<Vec<u8>> {
-        let changed = self.store.changes().is_some();
+        let changed = self.store.take_changes().is_some();
         if !std::mem::take(&mut self.started) && !changed {
             return None;
         }
-        let state =
-            State { fleet: self.fleet, held: self.store.look(Held::clone), incarnation: self.incarnation };
+        let state = State {
+            fleet: self.fleet,
+            held: self.store.read(LogState::clone),
+            incarnation: self.incarnation,
+        };
         let body = postcard::to_stdvec(&state).unwrap_or_default();
         let sum = crc32fast::hash(&body).to_be_bytes();
         Some([&MAGIC[..], &sum, &body].concat())
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_replica::{Order, Store};
+use hallmux_replica::{LogStore, MessageOrder};
 use omnipaxos::messages::Message as LogMessage;
 use omnipaxos::util::LogEntry;
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
@@ -46,10 +46,10 @@
     /// All voters in order: the place of each, counted from 1, is its number in the log.
     voters: Vec<FrontId>,
     terms: Terms,
-    log: OmniPaxos<Change, Store<Change>>,
+    log: OmniPaxos<Change, LogStore<Change>>,
     disk: Disk,
     /// Messages that come out of order count as lost.
-    order: Order,
+    order: MessageOrder,
     leases: Leases,
     applied: usize,
     /// When each lease was last confirmed, on this clock.
@@ -103,7 +103,7 @@
             terms,
             log,
             disk,
-            order: Order::default(),
+            order: MessageOrder::default(),
             leases: Leases::default(),
             applied: 0,
             confirmed: BTreeMap::new(),
@@ -155,7 +155,7 @@
         }
         match envelope.message {
             LeaseMessage::Log { incarnation, number, message } if self.is_from(&message, from) => {
-                if self.order.takes(from, incarnation, number) {
+                if self.order.accepts(from, incarnation, number) {
                     self.log.handle_incoming(*message);
                 }
             }
--- a/crates/ledger/src/log.rs
+++ b/crates/ledger/src/log.rs
@@ -1,6 +1,6 @@
 //! A shard's log: kept with the other members through OmniPaxos, or by this front alone where it is the only one.
 
-use hallmux_replica::{Held, Store};
+use hallmux_replica::{LogState, LogStore};
 use omnipaxos::messages::Message;
 use omnipaxos::storage::{Snapshot, Storage};
 use omnipaxos::util::LogEntry;
@@ -14,7 +14,7 @@
 const FOLDED_AFTER: usize = 64; // decided entries until the log is folded: a follower further behind gets it whole
 
 enum Kind {
-    Many(Box<OmniPaxos<Batch, Store<Batch>>>),
+    Many(Box<OmniPaxos<Batch, LogStore<Batch>>>),
     One,
 }
 
@@ -32,7 +32,7 @@
 
 pub(crate) struct Log {
     kind: Kind,
-    store: Store<Batch>,
+    store: LogStore<Batch>,
     keepers: Vec<Keeper>,
     own: FrontId,
     /// What is decided, and for how many ticks that has not changed though more was proposed.
@@ -46,7 +46,7 @@
         keepers: &[Keeper],
         own: Keeper,
         first: bool,
-        store: Store<Batch>,
+        store: LogStore<Batch>,
     ) -> Option<Log> {
         let place = keepers.iter().position(|keeper| *keeper == own)?;
         let kind = if keepers.len() == 1 {
@@ -160,7 +160,7 @@
             Kind::Many(log) => log.append(batch).is_ok(),
             Kind::One => {
                 let kept = self.store.append_entry(batch).is_ok();
-                let end = self.store.look(Held::end);
+                let end = self.store.read(LogState::end);
                 kept && self.store.set_decided_idx(end).is_ok()
             }
         }
@@ -169,18 +169,18 @@
     pub fn decided(&self) -> usize {
         match &self.kind {
             Kind::Many(log) => log.get_decided_idx(),
-            Kind::One => self.store.look(|held| held.decided),
+            Kind::One => self.store.read(|held| held.decided),
         }
     }
 
     pub fn compacted(&self) -> usize {
-        self.store.look(|held| held.compacted)
+        self.store.read(|held| held.compacted)
     }
 
     /// What is decided from this entry on: the state where the log was folded beyond it, and the batches after it.
     pub fn since(&self, from: usize) -> (Option<State>, Vec<Batch>) {
         let Kind::Many(log) = &self.kind else {
-            return self.store.look(|held| {
+            return self.store.read(|held| {
                 let folded = held.snapshot.as_ref().filter(|_| from < held.compacted);
                 let at = from.saturating_sub(held.compacted).min(held.log.len());
                 (folded.map(Folded::state), held.log[at..].to_vec())
@@ -214,7 +214,7 @@
             // What can't be folded now is folded next time.
             Kind::Many(log) => _ = log.snapshot(Some(decided), true),
             Kind::One => {
-                let (snapshot, entries) = self.store.look(|held| (held.snapshot.clone(), held.log.clone()));
+                let (snapshot, entries) = self.store.read(|held| (held.snapshot.clone(), held.log.clone()));
                 let mut folded = snapshot.unwrap_or_default();
                 folded.merge(Folded::create(&entries));
                 let _ = self.store.set_snapshot(Some(folded));
--- a/crates/ledger/src/records.rs
+++ b/crates/ledger/src/records.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_replica::Held;
+use hallmux_replica::LogState;
 use omnipaxos::ballot_leader_election::Ballot;
 use serde::{Deserialize, Serialize};
 
@@ -129,7 +129,7 @@
 #[derive(Default)]
 pub(crate) struct Kept {
     pub meta: Option<Meta>,
-    pub held: Held<Batch>,
+    pub held: LogState<Batch>,
     pub birth: Vec<Born>,
 }
 
--- a/crates/ledger/src/replica.rs
+++ b/crates/ledger/src/replica.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use hallmux_replica::{Changes, Held, Order, Store};
+use hallmux_replica::{Changes, LogState, LogStore, MessageOrder};
 use omnipaxos::messages::Message;
 
 use crate::forms::OLDEST;
@@ -35,7 +35,7 @@
     pub config: u32,
     pub keepers: Vec<Keeper>,
     log: Log,
-    store: Store<Batch>,
+    store: LogStore<Batch>,
     pub state: State,
     applied: usize,
     queue: Vec<Waiting>,
@@ -48,7 +48,7 @@
     /// Log records that are kept, by the numbers of the first and of the next after the last.
     kept: (usize, usize),
     /// What comes out of order counts as lost.
-    order: Order,
+    order: MessageOrder,
     /// Members are to change: nothing more is proposed here.
     changing: bool,
     /// The form of what it proposes.
@@ -75,10 +75,14 @@
         (index, state): (u64, State),
     ) -> Option<Replica> {
         let index = usize::try_from(index).ok()?;
-        let held =
-            Held { decided: index, compacted: index, snapshot: Some(Folded::of(state)), ..Held::default() };
+        let held = LogState {
+            decided: index,
+            compacted: index,
+            snapshot: Some(Folded::of(state)),
+            ..LogState::default()
+        };
         let mut replica = Replica::open(shard, config, keepers, own, first, held)?;
-        replica.changes = Changes { must: true, log_from: None, snapshot: true };
+        replica.changes = Changes { must_persist: true, log_from: None, snapshot: true };
         replica.dirty = true;
         Some(replica)
     }
@@ -90,10 +94,10 @@
         keepers: &[Keeper],
         own: Keeper,
         first: bool,
-        held: Held<Batch>,
+        held: LogState<Batch>,
     ) -> Option<Replica> {
         let kept = (held.compacted, held.end());
-        let store = Store::new(held);
+        let store = LogStore::new(held);
         let log = Log::new(config, keepers, own, first, store.clone())?;
         let mut replica = Replica {
             shard,
@@ -109,7 +113,7 @@
             changes: Changes::default(),
             dirty: false,
             kept,
-            order: Order::default(),
+            order: MessageOrder::default(),
             changing: false,
             form: OLDEST,
             to_change: None,
@@ -154,7 +158,7 @@
 
     /// A message of a member in one of its lives.
     pub fn heard(&mut self, from: (FrontId, u64), number: u64, message: Message<Batch>) -> Heard {
-        if !self.order.takes(from.0, from.1, number) {
+        if !self.order.accepts(from.0, from.1, number) {
             return Heard::Overtaken;
         }
         self.log.heard(from.0, message)
@@ -280,13 +284,13 @@
 
     /// Whether something must be lasting before anything that follows from it is told.
     pub fn must_save(&mut self) -> bool {
-        if let Some(changes) = self.store.changes() {
-            self.changes.must |= changes.must;
+        if let Some(changes) = self.store.take_changes() {
+            self.changes.must_persist |= changes.must_persist;
             self.changes.snapshot |= changes.snapshot;
             self.changes.log_from = self.changes.log_from.into_iter().chain(changes.log_from).min();
             self.dirty = true;
         }
-        self.changes.must
+        self.changes.must_persist
     }
 
     /// Goes on with another state as of an entry, with what its own log has since; false where that can't be.
@@ -316,7 +320,7 @@
         }
         let changes = std::mem::take(&mut self.changes);
         let (shard, config, keepers, before) = (self.shard, self.config, self.keepers.clone(), self.kept);
-        self.kept = self.store.look(|held| {
+        self.kept = self.store.read(|held| {
             let (compacted, end) = (held.compacted, held.end());
             let (promise, accepted_round, decided) = (held.promise, held.accepted_round, held.decided);
             let meta = Meta { config, keepers, mine: true, promise, accepted_round, decided, compacted, end };
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,9 +1,12 @@
-//! What a member of a replicated log must not forget: its promise, what it accepted, what is decided. Kept in
-//! memory for the log's library (omnipaxos) and told to whoever saves it, whole or by what has changed.
+//! The durable state of a replicated log's member: its promised ballot, the entries accepted, how far they
+//! are decided. It is held in memory for the log library (omnipaxos); whoever saves it reads it whole or by
+//! what changed.
+
+#![warn(missing_docs)]
 
 mod order;
 
-pub use order::Order;
+pub use order::MessageOrder;
 
 use std::cell::RefCell;
 use std::error::Error;
@@ -13,22 +16,30 @@
 use omnipaxos::storage::{Entry, StopSign, Storage, StorageOp, StorageResult};
 use serde::{Deserialize, Serialize};
 
-/// All of it. Entries are counted from the first that ever was; those before `compacted` are in the snapshot.
+/// The state of a member. Entries are numbered from the log's first; those before `compacted` are in the
+/// snapshot. Fields are positional in saved states: append only.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(bound(serialize = "T: Serialize", deserialize = "T: Deserialize<'de>"))]
-pub struct Held<T: Entry> {
+pub struct LogState<T: Entry> {
+    /// The highest ballot promised.
     pub promise: Option<Ballot>,
+    /// The ballot of the latest accepted entries.
     pub accepted_round: Option<Ballot>,
+    /// The number of decided entries.
     pub decided: usize,
+    /// The number of entries that the snapshot stands for.
     pub compacted: usize,
+    /// The entries accepted since.
     pub log: Vec<T>,
+    /// The snapshot of the entries before.
     pub snapshot: Option<T::Snapshot>,
+    /// The log's end for a change of configuration, if it was accepted.
     pub stopsign: Option<StopSign>,
 }
 
-impl<T: Entry> Default for Held<T> {
-    fn default() -> Held<T> {
-        Held {
+impl<T: Entry> Default for LogState<T> {
+    fn default() -> LogState<T> {
+        LogState {
             promise: None,
             accepted_round: None,
             decided: 0,
@@ -40,87 +51,89 @@
     }
 }
 
-impl<T: Entry> Held<T> {
-    /// The place in the log that is kept of an entry by its number from the first.
+impl<T: Entry> LogState<T> {
+    /// The index in `log` of an entry by its number.
     fn place(&self, idx: usize) -> usize {
         idx.saturating_sub(self.compacted).min(self.log.len())
     }
 
-    /// The number of the entry that comes next.
+    /// The number of the next entry.
     pub fn end(&self) -> usize {
         self.compacted + self.log.len()
     }
 }
 
-/// What has changed since it was last told.
+/// What has changed since the changes were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Must be lasting before anything that follows from it is told. What is decided need not be: it is heard
-    /// again.
-    pub must: bool,
-    /// Entries from this one on were appended, replaced or removed.
+    /// The state has to be durable before any message that follows from it leaves. How far the log is decided
+    /// need not be: the leader repeats it.
+    pub must_persist: bool,
+    /// Entries from this number on were appended, replaced or removed.
     pub log_from: Option<usize>,
+    /// The snapshot was replaced.
     pub snapshot: bool,
 }
 
 #[derive(Debug, Default)]
-struct Kept<T: Entry> {
-    held: Held<T>,
+struct Shared<T: Entry> {
+    held: LogState<T>,
     changed: Option<Changes>,
 }
 
-/// A handle: the log's library has one, whoever saves another.
+/// A handle on one member's state; clones share it. The log library has one, whoever saves the state another.
 #[derive(Debug)]
-pub struct Store<T: Entry>(Rc<RefCell<Kept<T>>>);
+pub struct LogStore<T: Entry>(Rc<RefCell<Shared<T>>>);
 
-impl<T: Entry> Clone for Store<T> {
-    fn clone(&self) -> Store<T> {
-        Store(self.0.clone())
+impl<T: Entry> Clone for LogStore<T> {
+    fn clone(&self) -> LogStore<T> {
+        LogStore(self.0.clone())
     }
 }
 
-impl<T: Entry> Store<T> {
-    pub fn new(held: Held<T>) -> Store<T> {
-        Store(Rc::new(RefCell::new(Kept { held, changed: None })))
+impl<T: Entry> LogStore<T> {
+    /// Storage that starts from this state.
+    pub fn new(held: LogState<T>) -> LogStore<T> {
+        LogStore(Rc::new(RefCell::new(Shared { held, changed: None })))
     }
 
-    /// What has changed since it was last asked, if anything.
-    pub fn changes(&self) -> Option<Changes> {
+    /// Takes what has changed since the last call, if anything has.
+    pub fn take_changes(&self) -> Option<Changes> {
         self.0.borrow_mut().changed.take()
     }
 
-    /// Looks at what is held.
-    pub fn look<R>(&self, of: impl FnOnce(&Held<T>) -> R) -> R {
+    /// Reads the state.
+    pub fn read<R>(&self, of: impl FnOnce(&LogState<T>) -> R) -> R {
         of(&self.0.borrow().held)
     }
 
-    fn change(&self, changes: Changes, change: impl FnOnce(&mut Held<T>)) -> StorageResult<()> {
-        let kept = &mut *self.0.borrow_mut();
-        change(&mut kept.held);
-        let before = kept.changed.unwrap_or_default();
+    fn change(&self, changes: Changes, change: impl FnOnce(&mut LogState<T>)) -> StorageResult<()> {
+        let shared = &mut *self.0.borrow_mut();
+        change(&mut shared.held);
+        let before = shared.changed.unwrap_or_default();
         let from = before.log_from.into_iter().chain(changes.log_from).min();
-        kept.changed = Some(Changes {
-            must: before.must || changes.must,
+        shared.changed = Some(Changes {
+            must_persist: before.must_persist || changes.must_persist,
             log_from: from,
             snapshot: before.snapshot || changes.snapshot,
         });
         Ok(())
     }
 
-    fn must(&self, change: impl FnOnce(&mut Held<T>)) -> StorageResult<()> {
-        self.change(Changes { must: true, ..Changes::default() }, change)
+    fn persist(&self, change: impl FnOnce(&mut LogState<T>)) -> StorageResult<()> {
+        self.change(Changes { must_persist: true, ..Changes::default() }, change)
     }
 
-    fn log(&self, from: usize, change: impl FnOnce(&mut Held<T>)) -> StorageResult<()> {
-        self.change(Changes { must: true, log_from: Some(from), snapshot: false }, change)
+    fn log(&self, from: usize, change: impl FnOnce(&mut LogState<T>)) -> StorageResult<()> {
+        self.change(Changes { must_persist: true, log_from: Some(from), snapshot: false }, change)
     }
 
-    fn tells<R>(&self, of: impl FnOnce(&Held<T>) -> R) -> StorageResult<R> {
-        Ok(self.look(of))
+    fn get<R>(&self, of: impl FnOnce(&LogState<T>) -> R) -> StorageResult<R> {
+        Ok(self.read(of))
     }
 }
 
-impl<T: Entry> Storage<T> for Store<T> {
+impl<T: Entry> Storage<T> for LogStore<T> {
     fn write_atomically(&mut self, ops: Vec<StorageOp<T>>) -> Result<(), Box<dyn Error>> {
         for op in ops {
             match op {
@@ -144,7 +157,7 @@
     }
 
     fn append_entries(&mut self, entries: Vec<T>) -> StorageResult<()> {
-        let end = self.look(Held::end);
+        let end = self.read(LogState::end);
         self.log(end, |held| held.log.extend(entries))
     }
 
@@ -156,7 +169,7 @@
     }
 
     fn set_promise(&mut self, promise: Ballot) -> StorageResult<()> {
-        self.must(|held| held.promise = Some(promise))
+        self.persist(|held| held.promise = Some(promise))
     }
 
     fn set_decided_idx(&mut self, idx: usize) -> StorageResult<()> {
@@ -164,15 +177,15 @@
     }
 
     fn get_decided_idx(&self) -> StorageResult<usize> {
-        self.tells(|held| held.decided)
+        self.get(|held| held.decided)
     }
 
     fn set_accepted_round(&mut self, round: Ballot) -> StorageResult<()> {
-        self.must(|held| held.accepted_round = Some(round))
+        self.persist(|held| held.accepted_round = Some(round))
     }
 
     fn get_accepted_round(&self) -> StorageResult<Option<Ballot>> {
-        self.tells(|held| held.accepted_round)
+        self.get(|held| held.accepted_round)
     }
 
     /// Only decided entries are ever asked for. Where a snapshot's difference is merged, the library (0.2.4)
@@ -180,7 +193,7 @@
     /// the answer, as the difference begins at it. Nothing, or entries accepted in an earlier round, would
     /// spoil the snapshot.
     fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<T>> {
-        self.tells(|held| {
+        self.get(|held| {
             let to = to.min(held.decided);
             if from >= held.compacted && from <= to {
                 held.log[held.place(from)..held.place(to)].to_vec()
@@ -191,23 +204,23 @@
     }
 
     fn get_log_len(&self) -> StorageResult<usize> {
-        self.tells(|held| held.log.len())
+        self.get(|held| held.log.len())
     }
 
     fn get_suffix(&self, from: usize) -> StorageResult<Vec<T>> {
-        self.tells(|held| held.log[held.place(from)..].to_vec())
+        self.get(|held| held.log[held.place(from)..].to_vec())
     }
 
     fn get_promise(&self) -> StorageResult<Option<Ballot>> {
-        self.tells(|held| held.promise)
+        self.get(|held| held.promise)
     }
 
     fn set_stopsign(&mut self, sign: Option<StopSign>) -> StorageResult<()> {
-        self.must(|held| held.stopsign = sign)
+        self.persist(|held| held.stopsign = sign)
     }
 
     fn get_stopsign(&self) -> StorageResult<Option<StopSign>> {
-        self.tells(|held| held.stopsign.clone())
+        self.get(|held| held.stopsign.clone())
     }
 
     fn trim(&mut self, idx: usize) -> StorageResult<()> {
@@ -219,15 +232,17 @@
     }
 
     fn get_compacted_idx(&self) -> StorageResult<usize> {
-        self.tells(|held| held.compacted)
+        self.get(|held| held.compacted)
     }
 
     fn set_snapshot(&mut self, snapshot: Option<T::Snapshot>) -> StorageResult<()> {
-        self.change(Changes { must: true, log_from: None, snapshot: true }, |held| held.snapshot = snapshot)
+        self.change(Changes { must_persist: true, log_from: None, snapshot: true }, |held| {
+            held.snapshot = snapshot
+        })
     }
 
     fn get_snapshot(&self) -> StorageResult<Option<T::Snapshot>> {
-        self.tells(|held| held.snapshot.clone())
+        self.get(|held| held.snapshot.clone())
     }
 }
 
--- a/crates/replica/src/lib_tests.rs
+++ b/crates/replica/src/lib_tests.rs
@@ -10,8 +10,8 @@
     type Snapshot = NoSnapshot;
 }
 
-fn store() -> Store<Number> {
-    Store::new(Held::default())
+fn store() -> LogStore<Number> {
+    LogStore::new(LogState::default())
 }
 
 fn numbers(of: std::ops::Range<u64>) -> Vec<Number> {
@@ -37,13 +37,16 @@
 #[test]
 fn changes_are_told_once_from_the_first_entry_on() {
     let mut store = store();
-    assert_eq!(store.changes(), None);
+    assert_eq!(store.take_changes(), None);
     store.set_decided_idx(0).unwrap();
-    assert_eq!(store.changes(), Some(Changes::default()));
+    assert_eq!(store.take_changes(), Some(Changes::default()));
     store.append_entries(numbers(0..4)).unwrap();
-    assert_eq!(store.changes().unwrap().log_from, Some(0));
+    assert_eq!(store.take_changes().unwrap().log_from, Some(0));
     store.append_on_prefix(2, numbers(7..8)).unwrap();
     store.append_entry(Number(9)).unwrap();
-    assert_eq!(store.changes(), Some(Changes { must: true, log_from: Some(2), snapshot: false }));
-    assert_eq!((store.changes(), store.look(Held::end)), (None, 4));
+    assert_eq!(
+        store.take_changes(),
+        Some(Changes { must_persist: true, log_from: Some(2), snapshot: false })
+    );
+    assert_eq!((store.take_changes(), store.read(LogState::end)), (None, 4));
 }
--- a/crates/replica/src/order.rs
+++ b/crates/replica/src/order.rs
@@ -1,21 +1,29 @@
-//! The log's library counts on messages that come in the order in which they left, and may forget what it has
-//! accepted, or panic, where an older one comes late: one that was overtaken counts as lost.
+//! Message order between members of a replicated log. The log library relies on messages that come in the
+//! order in which they left, and may lose accepted entries, or panic, where an older one comes late: a
+//! message that was overtaken counts as lost.
 
 use std::collections::BTreeMap;
 
 use omnipaxos::messages::Message;
 use omnipaxos::storage::Entry;
 
-/// Counts the messages of one member to the others, and those that it hears of them.
+/// A sender's incarnation and the number of its latest message; ordered by both.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+struct Latest {
+    incarnation: u64,
+    number: u64,
+}
+
+/// Numbers the messages of one member to the others, and checks the numbers of those that it receives.
 #[derive(Debug, Default)]
-pub struct Order {
+pub struct MessageOrder {
     sent: u64,
-    /// Of each sender: its life and the number of its last.
-    heard: BTreeMap<u64, (u64, u64)>,
+    /// Of each sender, its latest message.
+    received: BTreeMap<u64, Latest>,
 }
 
-impl Order {
-    /// The number that goes with a message; 0: it need not come in order.
+impl MessageOrder {
+    /// The number that goes with a message to be sent; 0: it need not come in order.
     pub fn number<T: Entry>(&mut self, message: &Message<T>) -> u64 {
         match message {
             Message::SequencePaxos(_) => {
@@ -26,14 +34,16 @@
         }
     }
 
-    /// Whether a message has not been overtaken. Later lives of a sender have higher numbers, and count anew.
-    pub fn takes(&mut self, from: u64, life: u64, number: u64) -> bool {
-        let last = self.heard.entry(from).or_default();
-        if number > 0 && (life, number) <= *last {
+    /// Whether a received message was not overtaken. `incarnation` grows with each start of the sender, which
+    /// numbers its messages anew.
+    pub fn accepts(&mut self, from: u64, incarnation: u64, number: u64) -> bool {
+        let latest = self.received.entry(from).or_default();
+        let message = Latest { incarnation, number };
+        if number > 0 && message <= *latest {
             return false;
         }
         if number > 0 {
-            *last = (life, number);
+            *latest = message;
         }
         true
     }
--- a/crates/replica/src/order_tests.rs
+++ b/crates/replica/src/order_tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn what_was_overtaken_or_comes_twice_is_not_taken() {
-    let mut order = Order::default();
+    let mut order = MessageOrder::default();
     for (from, life, number, taken) in [
         (1, 1, 1, true),
         (1, 1, 3, true),
@@ -16,6 +16,6 @@
         (1, 1, 9, false), // of an earlier life
         (1, 2, 2, true),
     ] {
-        assert_eq!(order.takes(from, life, number), taken, "{from} {life} {number}");
+        assert_eq!(order.accepts(from, life, number), taken, "{from} {life} {number}");
     }
 }
