--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -67,6 +67,7 @@
     }
 }
 
+/// A front's part in the ledger: its own asks, and the replicas that it holds.
 pub struct Ledger {
     pub(crate) setup: Setup,
     pub(crate) own: Keeper,
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,10 +1,13 @@
-//! What fronts have promised, so that it outlives the machine it was promised on. Entries are kept in shards by key;
-//! each shard is a replicated log on a few fronts, in different zones where there are any, and an ask is answered once
-//! a majority of them has it lasting. No sockets, no clock, no files, no chance: whoever calls hands in letters, the
-//! time and what was saved, and sends and saves what comes out.
+//! The replicated ledger: entries that fronts rely on, which outlive the machine that made them. Entries belong to
+//! shards by key. Each shard is a replicated log on a few fronts, in different zones where there are any; an ask is
+//! answered once a quorum of its replicas has made it durable. Free of sockets, clocks, files and randomness: the
+//! caller passes in messages, the time and the saved records, and sends and saves what comes out.
 //!
-//! An ask asked twice counts once (a claim asked again is answered by what stands now): it is known by its front, the front's incarnation and the ask's number. The number
-//! may be asked again for `REMEMBERED_MS` after it was first asked; later it is answered `Unreachable`.
+//! An ask made twice counts once (a repeated claim is answered by the entry as it is then): it is known by its front,
+//! the front's incarnation and its number. The number may be repeated for [`REMEMBERED_MS`] after it was first used;
+//! later it is answered [`Outcome::Unreachable`].
+
+#![warn(missing_docs)]
 
 mod asks;
 mod balance;
@@ -37,21 +40,22 @@
 pub use ledger::Ledger;
 pub use placement::shard_of;
 
-/// Microseconds on a clock that only ever runs evenly on.
+/// A time on a monotonic clock, or a duration, in microseconds.
 pub type Micros = i64;
-/// A front, by the first bytes of its public key.
+/// A front: the first eight bytes of its public key.
 pub type FrontId = u64;
-/// A directory's identity, drawn when it is made new: a front with another remembers nothing of this one.
+/// A directory's identity, drawn when it is made: a front with another one holds none of its replicas.
 pub type DiskId = u64;
 
-/// Milliseconds for which the answer to an ask is remembered, so that a retry counts once.
+/// Milliseconds for which the answer to an ask is remembered, so that a repeat counts once.
 pub const REMEMBERED_MS: u64 = 10_000;
 
 /// One moment on a front's clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Moment {
+    /// Microseconds on a monotonic clock that runs evenly.
     pub steady: Micros,
-    /// Unix milliseconds: entries end by it.
+    /// Unix time in milliseconds: entries end by it.
     pub wall_ms: u64,
 }
 
@@ -66,13 +70,13 @@
     Begun,
     /// Further executions spent in the budget's window.
     Budget,
-    /// A drain or a start that was told.
+    /// A drain or a start that was announced.
     Drain,
     /// Access rules: the set in force and leases on it.
     Rules,
     /// Hits of rules.
     Hits,
-    /// A load that summaries have yet to speak beyond.
+    /// A load of data that summaries do not cover yet.
     Mark,
     /// Shares that fronts hold of a rule's limit.
     Shares,
@@ -81,149 +85,184 @@
 /// An entry's key; its shard follows from the whole of it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
+    /// What the entry is about.
     pub kind: Kind,
+    /// Its name among the entries of that kind.
     pub name: String,
 }
 
-/// Whose an entry is: a front in one of its lives.
+/// The owner of an entry: a front in one of its incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Owner {
+    /// The front.
     pub front: FrontId,
-    /// Unix milliseconds when the front began, as in gossip.
+    /// When it started, in Unix milliseconds, as in gossip.
     pub incarnation: u64,
 }
 
+/// One entry of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
+    /// Its key.
     pub key: Key,
+    /// Who made it.
     pub owner: Owner,
     /// Grows with every change of a key; a key that comes back after its end goes on from a higher one.
     pub version: u64,
-    /// Unix milliseconds from which it means nothing; 0: never.
+    /// Unix milliseconds from which it counts for nothing; 0: never.
     pub ends_ms: u64,
+    /// What it says, as its owner has encoded it.
     pub value: Vec<u8>,
 }
 
+/// What an ask does with a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Act {
-    /// Mine if it is free, ended, or mine already; else `Held`.
-    Claim { ends_ms: u64, value: Vec<u8> },
-    /// Compare and swap on the version (0: there is none; None: whatever is there); else `Held`, or `Absent` where
-    /// there is none.
-    Put { expects: Option<u64>, ends_ms: u64, value: Vec<u8> },
-    /// Removed if mine: `Absent`; another's is `Held`.
+    /// Makes the entry if the key is free, its entry has ended or is the asker's own; else [`Outcome::Held`].
+    Claim {
+        /// Unix milliseconds at which the entry ends.
+        ends_ms: u64,
+        /// The entry's value.
+        value: Vec<u8>,
+    },
+    /// Compare and swap on the version; else [`Outcome::Held`], or [`Outcome::Absent`] where there is no entry.
+    Put {
+        /// The version to be replaced: 0 where there is none, None for whatever is there.
+        expects: Option<u64>,
+        /// Unix milliseconds at which the entry ends.
+        ends_ms: u64,
+        /// The entry's value.
+        value: Vec<u8>,
+    },
+    /// Removes the asker's own entry: [`Outcome::Absent`]; another's is [`Outcome::Held`].
     Free,
-    /// What stands, as of some moment between the ask and its answer.
+    /// Reads the entry, as of some moment between the ask and its answer.
     Read,
 }
 
+/// An ask of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// The caller's, unique in its incarnation and growing: an ask asked twice counts once, and a claim or a free that
-    /// comes late undoes none with a higher number.
+    /// Chosen by the caller, unique in its incarnation and growing: an ask made twice counts once, and a claim or a free
+    /// that comes late undoes none with a higher number.
     pub number: u64,
+    /// The key that it is about.
     pub key: Key,
+    /// What it does.
     pub act: Act,
 }
 
+/// The answer to an ask.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It stands on a majority of the copies, as the act wanted it or as it was read.
+    /// The entry as a quorum of the replicas has it: as the act made it, or as it was read.
     Stands(Entry),
-    /// Another has the key, or it has another version than expected.
+    /// Another owner has the key, or the entry has another version than expected.
     Held(Entry),
     /// There is no such entry (any more).
     Absent,
-    /// No majority answered in time: it may stand or not. The same number may be asked again.
+    /// No quorum answered in time: the act may take effect or not. The same number may be used again.
     Unreachable,
     /// The shard holds as many entries or bytes as it may; nothing was changed.
     Full,
 }
 
+/// An answered ask.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Done {
+    /// Of the ask.
     pub number: u64,
+    /// The answer.
     pub outcome: Outcome,
 }
 
-/// One record to be kept, by its name; without bytes it is to be removed.
+/// One record to be saved, by its name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
+    /// Replaces the record saved under the same name.
     pub name: Vec<u8>,
+    /// Its content; None: it is to be removed.
     pub bytes: Option<Vec<u8>>,
 }
 
-/// What must be lasting, as a whole, before its letters leave; in order of numbers. May be empty of records: its
-/// letters then only wait for the saves before it.
+/// Records that must be durable, as a whole, before the messages beside them leave; in order of numbers. Without records
+/// its messages only wait for the saves before it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Save {
+    /// By which [`Ledger::saved`] is told of the outcome.
     pub number: u64,
+    /// To be written in this order.
     pub records: Vec<Record>,
+    /// Encoded messages, each with its receiver.
     pub letters: Vec<(FrontId, Vec<u8>)>,
 }
 
-/// All records as they were kept last.
+/// All records, by name, as they were saved last.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Saved(pub Vec<(Vec<u8>, Vec<u8>)>);
 
-/// What is to be done for it.
+/// What is to be sent, saved and answered.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Out {
-    /// May leave at once.
+    /// Encoded messages that may leave at once, each with its receiver.
     pub letters: Vec<(FrontId, Vec<u8>)>,
+    /// In order of their numbers.
     pub saves: Vec<Save>,
-    /// Answers to this front's own asks; each ask gets one. One for an order or dedup key that was `Held` may be told
-    /// `Absent` later: the key is free now, and this front's turn.
+    /// Answers to this front's own asks; each ask gets one. One for an order or dedup key that was `Held` may get
+    /// `Absent` later: the key is free now, and this front is next.
     pub done: Vec<Done>,
 }
 
-/// A front that keeps copies.
+/// A front that holds replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
+    /// The front.
     pub front: FrontId,
-    /// Where it is; copies lie in different ones where there are.
+    /// Where it is; the replicas of a shard are in different zones where there are.
     pub zone: String,
 }
 
 /// How a front takes part.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Setup {
-    /// The fleet's name: letters and records of another are refused.
+    /// The fleet's name: messages and records of another are refused.
     pub fleet: String,
+    /// This front.
     pub own: FrontId,
-    /// Unix milliseconds when this front began: later lives have higher ones.
+    /// When this front started, in Unix milliseconds; has to grow with each start.
     pub incarnation: u64,
     /// Drawn anew whenever the directory is made new, and at every start without one; never 0.
     pub disk: DiskId,
-    /// All that keep copies, the same on every front; this front need not be one.
+    /// All fronts that hold replicas, the same list on every front; this front need not be one.
     pub members: Vec<Member>,
-    /// Copies of a shard in all.
+    /// Replicas of a shard in all.
     pub copies: usize,
-    /// The same on every front for good.
+    /// Number of shards; the same on every front, and never changed.
     pub shards: u16,
-    /// Of a shard.
+    /// Most entries of a shard.
     pub most_entries: usize,
+    /// Most bytes of a shard's entries.
     pub most_bytes: usize,
-    /// Microseconds until an ask without a majority's word is `Unreachable`.
+    /// Microseconds until an ask that no quorum has answered is [`Outcome::Unreachable`].
     pub patience: Micros,
-    /// Microseconds without a sign of a member until its copy is made again elsewhere.
+    /// Microseconds without a sign of a member until its replicas are rebuilt elsewhere.
     pub repair_after: Micros,
-    /// Bytes a second that making copies again may take.
+    /// Bytes a second that rebuilding replicas may take.
     pub repair_bytes: u32,
     /// Hundredths of the shards that may move at once for balance, or as members change; 0: none moves.
     pub moves_percent: u8,
     /// Microseconds that a zone is waited for that is away as a whole; never less than `repair_after`.
     pub zone_after: Micros,
-    /// The form of letters that it reads and writes, with all before it: an earlier one is for plays of mixed fleets.
+    /// The latest message format that it reads and writes, see [`FORM`]; an earlier one is for tests of mixed fleets.
     pub form: u8,
-    /// The latest form in which it keeps entries and records, once all members read it: see `KEEPS`.
+    /// The latest format in which it saves entries and records, once all members read it, see [`KEEPS`].
     pub keeps: u8,
-    /// Milliseconds that fronts' Unix clocks are apart at most: an ended entry is kept from others for so much longer.
+    /// Most milliseconds that fronts' Unix clocks differ by: an ended entry is withheld from others for so much longer.
     pub apart_ms: u64,
 }
 
 impl Setup {
-    /// With what the operator's file has by default.
+    /// The operator file's defaults.
     pub fn new(fleet: &str, own: FrontId, incarnation: u64, disk: DiskId, members: Vec<Member>) -> Setup {
         Setup {
             fleet: fleet.to_string(),
@@ -247,31 +286,37 @@
     }
 }
 
-/// What it has counted.
+/// The ledger's counters and its present state on this front.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tallies {
-    /// Letters, records and asks that counted for nothing, by why.
+    /// Messages, records and asks that were refused, by reason.
     pub refused: std::collections::BTreeMap<&'static str, u64>,
-    /// Shards of which this front keeps a copy, and of which it is the owner now.
+    /// Shards of which this front holds a replica.
     pub copies: usize,
+    /// Shards that it owns now.
     pub owned: usize,
-    /// Of the shards it owns: copies that are missing, by members that are silent or have yet to catch up.
+    /// Of the shards it owns: replicas that are missing, by members that are silent or have yet to catch up.
     pub missing: usize,
+    /// Entries in its replicas.
     pub entries: usize,
+    /// Bytes of those entries.
     pub bytes: usize,
-    /// Asks answered, and rounds that they took.
+    /// Asks answered.
     pub answered: u64,
+    /// Rounds of the log that the answers took.
     pub rounds: u64,
-    /// Copies made again.
+    /// Replicas rebuilt.
     pub repaired: u64,
-    /// Of them, those that moved though none was missing; and those under way now.
+    /// Of them, those that moved though none was missing.
     pub moved: u64,
+    /// Moves under way now.
     pub moving: usize,
-    /// Copies that differed from the majority when this front compared them, and that were mended here.
+    /// Replicas that differed from the majority when this front compared them.
     pub differed: u64,
+    /// Replicas of this front that were repaired after such a comparison.
     pub mended: u64,
-    /// Shards that others left to it.
+    /// Shards whose ownership others handed over to it.
     pub inherited: u64,
-    /// A save has failed: this front keeps no copies any more in this life.
+    /// A save has failed: this front holds no replicas until it starts again.
     pub failed: bool,
 }
