--- a/crates/front/src/fleet/errors.rs
+++ b/crates/front/src/fleet/errors.rs
@@ -16,7 +16,7 @@
     #[error("gossip: ownership.{0}")]
     Votes(#[from] VotesError),
     #[error("gossip: ownership.directory: {0}")]
-    Voted(#[from] hallmux_lease::disk::Spoilt),
+    Voted(#[from] hallmux_lease::disk::StateError),
     #[error("gossip: {0}")]
     Copies(#[from] super::copies::CopiesError),
     #[error("gossip: {0}")]
--- a/crates/front/src/fleet/join.rs
+++ b/crates/front/src/fleet/join.rs
@@ -5,8 +5,8 @@
 use calloop::LoopHandle;
 use hallmux_agreement::{self as agreement, OnDiskFailure};
 use hallmux_dispatcher::Micros;
-use hallmux_fleet::{Exchange, Moment, Ownership};
-use hallmux_gossip::seal::id;
+use hallmux_fleet::{Exchange, Moment, OwnershipConfig};
+use hallmux_gossip::seal::peer_id;
 use hallmux_lease::Terms;
 
 use super::copies::{Copies, CopiesError, Found};
@@ -23,8 +23,8 @@
     socket: &UdpSocket,
 ) -> Result<Option<Votes>, PeersError> {
     let mut votes = None;
-    let voters: Vec<_> = ownership.voters.iter().map(|(key, at)| (id(key), *at)).collect();
-    let own = id(&exchange.public());
+    let voters: Vec<_> = ownership.voters.iter().map(|(key, at)| (peer_id(key), *at)).collect();
+    let own = peer_id(&exchange.public_key());
     let mut saved = None;
     if voters.iter().any(|(voter, _)| *voter == own) {
         let socket = socket.try_clone().map_err(PeersError::system)?;
@@ -32,9 +32,9 @@
         (votes, saved) = (Some(opened), kept);
     }
     let terms = Terms { length: ownership.lease, drift_ppm: ownership.drift_ppm };
-    let ownership = Ownership { fleet: ownership.fleet.clone(), voters, terms, saved };
+    let ownership = OwnershipConfig { fleet: ownership.fleet.clone(), voters, terms, saved };
     let moment = Moment { now, steady: 0, wall_ms: (now / 1000) as u64 };
-    exchange.own(moment, ownership)?;
+    exchange.enable_ownership(moment, ownership)?;
     log::info!(
         "takes part in ownership of the fleet's work{}",
         if votes.is_some() { ", and votes" } else { "" }
@@ -52,10 +52,10 @@
 ) -> Result<Option<Copies>, PeersError> {
     let memory_on_disk_failure = ledger.on_disk_failure == OnDiskFailure::Memory;
     let mut copies = None;
-    let own = id(&exchange.public());
+    let own = peer_id(&exchange.public_key());
     let moment = Moment { now, steady: 0, wall_ms: (now / 1000) as u64 };
     let (mut setup, members) = setup(ledger, own, (now / 1000) as u64);
-    let keeps = ledger.members.iter().any(|member| id(&member.key) == own);
+    let keeps = ledger.members.iter().any(|member| peer_id(&member.key) == own);
     let mut saved = None;
     if let Some(directory) = ledger.directory.as_ref().filter(|_| keeps) {
         let drill = ledger.disk_fault_file.as_deref();
@@ -72,7 +72,7 @@
         }
     }
     let (on_disk, remembers) = (copies.is_some(), saved.is_some());
-    exchange.promise(moment, setup, members, saved)?;
+    exchange.enable_ledger(moment, setup, members, saved)?;
     log::info!(
         "asks {} fronts for promises{}",
         ledger.members.len(),
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -310,7 +310,7 @@
                 None => {
                     let Some(peers) = &mut peers else { break };
                     out.asks.into_iter().for_each(|ask| peers.ask(now, ask));
-                    done.extend(peers.promised(ASK_NUMBERS));
+                    done.extend(peers.ledger_answers(ASK_NUMBERS));
                 }
             }
             if done.is_empty() {
--- a/crates/front/src/front/dispatch.rs
+++ b/crates/front/src/front/dispatch.rs
@@ -104,7 +104,7 @@
         let now = self.clock.now;
         for ruling in guard.tick(now, &mut self.dispatcher, peers, id) {
             match ruling {
-                gate::Ruling::Go(gate::Ordered { ticket, execution, place, terms, .. }) => {
+                gate::Ruling::Release(gate::PendingExecution { ticket, execution, place, terms, .. }) => {
                     self.dispatcher.leaves(now, ticket, execution);
                     self.await_mark(Ordered {
                         of: self.statement_for_rules(ticket),
@@ -114,7 +114,7 @@
                         terms,
                     });
                 }
-                gate::Ruling::TurnAway(ticket) => {
+                gate::Ruling::Reject(ticket) => {
                     let retry_after = self.dispatcher.turn_away(now, ticket);
                     self.carry_out(Order::Reject { ticket, retry_after });
                 }
--- a/crates/front/src/front/scatter.rs
+++ b/crates/front/src/front/scatter.rs
@@ -5,7 +5,7 @@
 use hallmux_access::Judged;
 use hallmux_codec::statement::{self, Call, Reply};
 use hallmux_dispatcher::{Micros, Order, Ticket, Unfit};
-use hallmux_gossip::post::Channel;
+use hallmux_gossip::channels::Channel;
 use hallmux_scatter::marker::Follows;
 use hallmux_scatter::whole::{Answer, Failed};
 
@@ -94,7 +94,7 @@
             let Some((scatter, peers)) = self.scatter.as_mut().zip(self.peers.as_mut()) else { return };
             let Some(loads) = &mut scatter.loads else { return };
             let mut outcomes: Vec<LoadOutcome> =
-                peers.promised(ASK_NUMBERS).into_iter().flat_map(|done| loads.done(done)).collect();
+                peers.ledger_answers(ASK_NUMBERS).into_iter().flat_map(|done| loads.done(done)).collect();
             let (asks, more) = loads.asks(now, &scatter.summaries.book);
             outcomes.extend(more);
             if outcomes.is_empty() && asks.is_empty() {
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -1,90 +1,99 @@
-//! One front among its peers: what it sends when, and what it takes in.
+//! One front among its peers: it sends rounds of gossip and probes, and takes in datagrams.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use crate::evidence::{Evidence, News, MOST_SIGHTINGS};
-use crate::members::{Members, Send};
-use crate::message::{self, Message, Probe, Report, Sighting, Work, LONGEST};
-use crate::post::{Channel, Letter, Post, LETTER_ROOM};
-use crate::seal::{Keys, Own, Peers, Refused, Tokens, SEAL};
-use crate::shares::Shares;
-use crate::{Chance, Micros, PeerId};
+use crate::channels::{Channel, ChannelMessage, Mailbox, MAX_PAYLOAD};
+use crate::evidence::{Evidence, PeerOwnership, PeerReport, MAX_SIGHTINGS};
+use crate::load_reports::LoadReports;
+use crate::members::{FleetSize, Members, Outgoing};
+use crate::message::{self, Message, OwnershipReport, Probe, Report, Sighting, Signed, MAX_DATAGRAM};
+use crate::seal::{Identity, Keys, Peers, Refused, TokenBucket, SEAL_BYTES};
+use crate::{Micros, PeerId, RandomSource};
 
 mod load;
 
-const ROUND: Micros = 250_000; // microseconds between rounds: news reaches a thousand in some ten of them
-const FANOUT: usize = 2; // members told in a round
-const BYTES_A_SECOND: f64 = 3_000.0; // sent at most of its own accord, with a second's worth saved up
-const ANSWERS_A_SECOND: f64 = 1_000.0; // bytes of answers to others, so that a flood of questions starves no news
-const RENEWED: Micros = 1_000_000; // microseconds after which a front says again what it still sees
-const FOR_PROBES: f64 = 800.0; // bytes that news leaves for probes: a peer that is not asked seems dead
-const WELCOME: usize = 24; // members that a newcomer is told of at once: some 600 bytes
-const MOST_RUMOURS: usize = 2; // in a datagram beside its sender's own: some 25 bytes each
-const TOLD: usize = 420; // bytes of a datagram that only tells news
-const SENT_EACH: f64 = 2.0; // times the logarithm of the peers that a report is passed on by each front
+/// Microseconds between rounds: a report reaches a thousand fronts in some ten.
+const ROUND_PERIOD: Micros = 250_000;
+const FANOUT: usize = 2; // members that a round sends to
+const GOSSIP_RATE: f64 = 3_000.0; // bytes a second sent of its own accord, with a second's worth saved up
+const ANSWER_RATE: f64 = 1_000.0; // bytes a second of answers, so that a flood of probes starves no reports
+const RENEW_AFTER: Micros = 1_000_000; // microseconds after which a front repeats a report that still holds
+const PROBE_RESERVE: f64 = 800.0; // bytes that reports leave for probes: a peer that is not probed seems dead
+const WELCOME_RUMOURS: usize = 24; // members that a newcomer learns of at once: some 600 bytes
+const MAX_RUMOURS: usize = 2; // in a datagram beside its sender's own: some 25 bytes each
+const REPORT_DATAGRAM: usize = 420; // bytes of a datagram that carries reports unasked
+/// Times the logarithm of the peers that a report is passed on by each front.
+const RETRANSMIT_FACTOR: f64 = 2.0;
+const COUNT_BYTES: usize = 8; // at the most, of the number of load reports in a payload
 
 /// A datagram to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
+    /// Its receiver.
     pub to: SocketAddr,
+    /// The sealed message.
     pub bytes: Vec<u8>,
 }
 
-/// What it is at start.
-pub struct Start {
+/// What a front needs to take part.
+pub struct NodeConfig {
     /// The secret half of its key pair.
     pub secret: [u8; 32],
     /// Public keys of all fronts that count.
     pub keys: Rc<Keys>,
-    pub at: SocketAddr,
+    /// Where other fronts reach this one.
+    pub address: SocketAddr,
+    /// Addresses of fronts to contact first, and now and then later.
     pub seeds: Vec<SocketAddr>,
 }
 
+/// One front's part in the gossip.
 pub struct Node {
-    own: Own,
+    own: Identity,
     peers: Peers,
     members: Members,
     evidence: Evidence,
-    bytes: Tokens,
-    answers: Tokens,
-    round: Micros,
+    gossip_tokens: TokenBucket,
+    answer_tokens: TokenBucket,
+    next_round: Micros,
     sightings: Vec<Sighting>,
-    work: Work,
-    post: Post,
-    /// What fronts are asked, where it is told.
-    shares: Option<Shares>,
-    share_told: Micros,
-    share_version: u32,
+    ownership: OwnershipReport,
+    mailbox: Mailbox,
+    /// Load reports, once they are enabled.
+    load_reports: Option<LoadReports>,
+    load_reported_at: Micros,
+    load_version: u32,
     version: u32,
-    renew: Micros,
-    /// What counted for nothing, by why.
+    renew_at: Micros,
+    /// Datagrams and reports that were refused, by reason.
     pub refused: BTreeMap<Refused, u64>,
-    /// Bytes that were sent, and datagrams that were not, for want of tokens.
+    /// Bytes that were sent.
     pub sent: u64,
+    /// Datagrams that were not sent: too long, or beyond a rate limit.
     pub held_back: u64,
 }
 
 impl Node {
-    /// `wall_ms` is the Unix clock: it is the name of this life.
-    pub fn new(start: Start, wall_ms: u64) -> Node {
-        let own = Own::new(&start.secret, wall_ms);
+    /// `wall_ms` is Unix time in milliseconds: it names this run of the front.
+    pub fn new(start: NodeConfig, wall_ms: u64) -> Node {
+        let own = Identity::new(&start.secret, wall_ms);
         Node {
-            members: Members::new(own.id, start.at, wall_ms, start.seeds),
+            members: Members::new(own.id, start.address, wall_ms, start.seeds),
             peers: Peers::new(start.keys),
             evidence: Evidence::default(),
-            bytes: Tokens::new(BYTES_A_SECOND),
-            answers: Tokens::new(ANSWERS_A_SECOND),
-            round: 0,
+            gossip_tokens: TokenBucket::new(GOSSIP_RATE),
+            answer_tokens: TokenBucket::new(ANSWER_RATE),
+            next_round: 0,
             sightings: Vec::new(),
-            work: Work::default(),
-            post: Post::new(),
-            shares: None,
-            share_told: Micros::MIN / 2,
-            share_version: 0,
+            ownership: OwnershipReport::default(),
+            mailbox: Mailbox::new(),
+            load_reports: None,
+            load_reported_at: Micros::MIN / 2,
+            load_version: 0,
             version: 0,
-            renew: 0,
+            renew_at: 0,
             refused: BTreeMap::new(),
             sent: 0,
             held_back: 0,
@@ -92,88 +101,98 @@
         }
     }
 
-    pub fn id(&self) -> PeerId {
+    /// The id that other fronts know this one by.
+    pub fn peer_id(&self) -> PeerId {
         self.own.id
     }
 
-    /// The public half of its key pair.
-    pub fn public(&self) -> [u8; 32] {
-        self.own.public()
+    /// The public half of this front's key pair.
+    pub fn public_key(&self) -> [u8; 32] {
+        self.own.public_key()
     }
 
+    /// This front's view of the fleet.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// How many fronts there are, this one too: those that have not said good-bye, and of them those that are up.
-    /// Where there are more than the view holds, the keys tell how many, and the view's share of them that are up.
-    pub fn fleet(&self) -> (usize, usize) {
-        let (known, up) = self.members.counts();
+    /// The size of the fleet, this front included. Where there are more fronts than the view holds, the
+    /// number of keys stands for those known, and the part of the view that is up for the part of the fleet.
+    pub fn fleet_size(&self) -> FleetSize {
+        let FleetSize { known, up } = self.members.size();
         if !self.members.is_full() {
-            return (known + 1, up + 1);
+            return FleetSize { known: known + 1, up: up + 1 };
         }
-        let all = self.peers.len().max(known + 1);
-        (all, (up + 1) * all / (self.members.len() + 1))
+        let known = self.peers.len().max(known + 1);
+        FleetSize { known, up: (up + 1) * known / (self.members.len() + 1) }
     }
 
     /// Other public keys count from now on.
-    pub fn keys(&mut self, keys: Rc<Keys>) {
-        self.peers.keys(keys);
+    pub fn set_keys(&mut self, keys: Rc<Keys>) {
+        self.peers.set_keys(keys);
     }
 
-    /// What this front sees of engines now; only those in some trouble, or with something told of them.
-    pub fn sees(&mut self, now: Micros, wall_ms: u64, sightings: Vec<Sighting>) {
-        self.says(now, wall_ms, sightings, Work::default());
+    /// Reports what this front observes of engines now: only those in some trouble, or with something
+    /// announced of them. Beyond [`MAX_SIGHTINGS`] the rest is left out.
+    pub fn report_sightings(&mut self, now: Micros, wall_ms: u64, sightings: Vec<Sighting>) {
+        self.report(now, wall_ms, sightings, OwnershipReport::default());
     }
 
-    /// The same, with what it has to say of work on behalf of the fleet.
-    pub fn says(&mut self, now: Micros, wall_ms: u64, mut sightings: Vec<Sighting>, work: Work) {
-        sightings.truncate(MOST_SIGHTINGS);
-        let changed = sightings != self.sightings || !work.is_like(&self.work);
-        if !changed && (sightings.is_empty() && work.is_empty() || now < self.renew) {
+    /// The same, with what this front reports of work on behalf of the fleet.
+    pub fn report(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        mut sightings: Vec<Sighting>,
+        ownership: OwnershipReport,
+    ) {
+        sightings.truncate(MAX_SIGHTINGS);
+        let changed = sightings != self.sightings || !ownership.is_equivalent(&self.ownership);
+        if !changed && (sightings.is_empty() && ownership.is_empty() || now < self.renew_at) {
             return;
         }
-        self.work = work.clone();
-        self.renew = now + RENEWED;
+        self.ownership = ownership.clone();
+        self.renew_at = now + RENEW_AFTER;
         self.version += 1;
         let report = Report {
-            maker: self.own.id,
-            life: self.own.life,
+            reporter: self.own.id,
+            started_ms: self.own.started_ms,
             version: self.version,
-            made_ms: wall_ms,
+            created_ms: wall_ms,
             sightings: sightings.clone(),
-            work,
+            ownership,
         };
         self.sightings = sightings;
         let signed = self.own.sign(&report);
         self.evidence.merge(now, report, signed, 0);
     }
 
-    /// What others say of engines, with its age.
-    pub fn news(&self, now: Micros) -> Vec<News> {
-        self.evidence.news(now, self.own.id)
+    /// What other fronts report of engines.
+    pub fn peer_reports(&self, now: Micros) -> Vec<PeerReport> {
+        self.evidence.peer_reports(now, self.own.id)
     }
 
-    /// What each front says of work on behalf of the fleet, with its age; this front's own too.
-    pub fn work(&self, now: Micros) -> impl Iterator<Item = (PeerId, &Work, Micros)> {
-        self.evidence.work(now)
+    /// What each front reports of the fleet's work, this front's own report included.
+    pub fn ownership_reports(&self, now: Micros) -> impl Iterator<Item = PeerOwnership<'_>> {
+        self.evidence.ownership_reports(now)
     }
 
-    /// A letter to another front, if it fits a datagram and what its part may send a second.
-    pub fn post(
+    /// Seals a subsystem's message to another front. None if it is too long for a datagram or beyond its
+    /// channel's rate.
+    pub fn channel_datagram(
         &mut self,
         now: Micros,
         wall_ms: u64,
         to: SocketAddr,
         channel: Channel,
-        letter: &[u8],
+        payload: &[u8],
     ) -> Option<Datagram> {
-        let rumours = vec![self.members.own()];
-        let letter = [&[channel as u8], letter].concat();
-        let message = Message { probe: Probe::None, rumours, reports: Vec::new(), letter };
+        let rumours = vec![self.members.own_rumour()];
+        let payload = [&[channel as u8], payload].concat();
+        let message = Message { probe: Probe::None, rumours, reports: Vec::new(), payload };
         let content = message::bytes(&message);
-        let len = content.len() + SEAL;
-        if len > LONGEST || !self.post.may_send(now, channel, len) {
+        let len = content.len() + SEAL_BYTES;
+        if len > MAX_DATAGRAM || !self.mailbox.may_send(now, channel, len) {
             self.held_back += 1;
             return None;
         }
@@ -181,89 +200,97 @@
         Some(Datagram { to, bytes: self.own.seal(wall_ms, &content) })
     }
 
-    /// Letters that have come.
-    pub fn letters(&mut self) -> Vec<Letter> {
-        self.post.take()
+    /// Takes the channel messages received since the last call.
+    pub fn received(&mut self) -> Vec<ChannelMessage> {
+        self.mailbox.take()
     }
 
-    /// Where a front is heard, as far as it is known.
+    /// Where a front that is up listens, as far as it is known.
     pub fn address(&self, front: PeerId) -> Option<SocketAddr> {
         self.members.up().find(|(id, _)| *id == front).map(|(_, at)| at)
     }
 
-    /// When `tick` is next due.
+    /// When `tick` is next due, in microseconds on the caller's clock.
     pub fn due(&self) -> Micros {
-        self.members.due().min(self.round)
+        self.members.due().min(self.next_round)
     }
 
-    /// Does what is due.
-    pub fn tick(&mut self, now: Micros, wall_ms: u64, chance: &mut impl Chance) -> Vec<Datagram> {
+    /// Does what is due and returns what is to be sent.
+    pub fn tick(&mut self, now: Micros, wall_ms: u64, random: &mut impl RandomSource) -> Vec<Datagram> {
         let (mut sends, mut out) = (Vec::new(), Vec::new());
-        self.members.tick(now, chance, &mut sends);
-        if self.round <= now {
-            self.round = now + ROUND;
-            self.evidence.fade(now);
+        self.members.tick(now, random, &mut sends);
+        if self.next_round <= now {
+            self.next_round = now + ROUND_PERIOD;
+            self.evidence.expire(now);
             let mut targets: Vec<SocketAddr> = self.members.up().map(|(_, at)| at).collect();
             for _ in 0..FANOUT.min(targets.len()) {
-                let to = targets.swap_remove(chance.below(targets.len()));
-                sends.push(Send { to, probe: Probe::None });
-                out.extend(self.pass_shares(now, wall_ms, to));
+                let to = targets.swap_remove(random.below(targets.len()));
+                sends.push(Outgoing { to, probe: Probe::None });
+                out.extend(self.pass_load_reports(now, wall_ms, to));
             }
         }
         for send in sends {
-            out.extend(self.send(now, wall_ms, send, Why::News));
+            out.extend(self.send(now, wall_ms, send, Purpose::Gossip));
         }
         out
     }
 
-    /// Says good-bye to some members; they tell the others.
-    pub fn leave(&mut self, now: Micros, wall_ms: u64, chance: &mut impl Chance) -> Vec<Datagram> {
+    /// Announces to some members that this front leaves; they pass it on.
+    pub fn leave(&mut self, now: Micros, wall_ms: u64, random: &mut impl RandomSource) -> Vec<Datagram> {
         self.members.leave();
         let mut targets: Vec<SocketAddr> = self.members.up().map(|(_, at)| at).collect();
         let mut out = Vec::new();
         for _ in 0..(2 * FANOUT).min(targets.len()) {
-            let to = targets.swap_remove(chance.below(targets.len()));
-            out.extend(self.send(now, wall_ms, Send { to, probe: Probe::None }, Why::News));
+            let to = targets.swap_remove(random.below(targets.len()));
+            out.extend(self.send(now, wall_ms, Outgoing { to, probe: Probe::None }, Purpose::Gossip));
         }
         out
     }
 
-    fn send(&mut self, now: Micros, wall_ms: u64, send: Send, why: Why) -> Option<Datagram> {
-        let mut rumours = vec![self.members.own()];
-        let answers = why == Why::Answer;
-        let most = match why {
-            // Guards against one who asks without end: answers use up no news that others are to hear.
-            Why::Answer => 0,
-            Why::News => MOST_RUMOURS,
-            Why::Welcome => WELCOME,
+    fn send(&mut self, now: Micros, wall_ms: u64, outgoing: Outgoing, purpose: Purpose) -> Option<Datagram> {
+        let mut rumours = vec![self.members.own_rumour()];
+        let answers = purpose == Purpose::Answer;
+        let most = match purpose {
+            // Guards against a flood of probes: answers use up no rumours that others are to learn.
+            Purpose::Answer => 0,
+            Purpose::Gossip => MAX_RUMOURS,
+            Purpose::Welcome => WELCOME_RUMOURS,
+        };
+        rumours.extend(self.members.pass_on(outgoing.to, most));
+        let most_sent = (RETRANSMIT_FACTOR * ((self.peers.len() + 2) as f64).log2()).ceil() as u32;
+        let mut message =
+            Message { probe: outgoing.probe, rumours, reports: Vec::new(), payload: Vec::new() };
+        let used = SEAL_BYTES + message::bytes(&message).len() + 2;
+        let budget = if purpose == Purpose::Gossip {
+            REPORT_DATAGRAM.min(MAX_DATAGRAM).saturating_sub(used)
+        } else {
+            0
         };
-        rumours.extend(self.members.pass_on(send.to, most));
-        let most_sent = (SENT_EACH * ((self.peers.len() + 2) as f64).log2()).ceil() as u32;
-        let mut message = Message { probe: send.probe, rumours, reports: Vec::new(), letter: Vec::new() };
-        let used = SEAL + message::bytes(&message).len() + 2;
-        let room = if why == Why::News { TOLD.min(LONGEST).saturating_sub(used) } else { 0 };
-        message.reports = self.evidence.pass_on(now, most_sent, room);
+        message.reports = self.evidence.pass_on(now, most_sent, budget);
         let content = message::bytes(&message);
-        let len = content.len() + SEAL;
-        let tokens = if answers { &mut self.answers } else { &mut self.bytes };
-        let rest = if send.probe == Probe::None { FOR_PROBES } else { 0.0 };
-        if len > LONGEST || !tokens.take_leaving(now, len as f64, rest) {
+        let len = content.len() + SEAL_BYTES;
+        let tokens = if answers { &mut self.answer_tokens } else { &mut self.gossip_tokens };
+        let reserve = if outgoing.probe == Probe::None { PROBE_RESERVE } else { 0.0 };
+        if len > MAX_DATAGRAM || !tokens.take_leaving(now, len as f64, reserve) {
             self.held_back += 1;
             return None;
         }
         self.sent += len as u64;
-        Some(Datagram { to: send.to, bytes: self.own.seal(wall_ms, &content) })
+        Some(Datagram { to: outgoing.to, bytes: self.own.seal(wall_ms, &content) })
     }
 
-    /// A datagram has come; what is to go back.
-    pub fn heard(&mut self, now: Micros, wall_ms: u64, from: SocketAddr, bytes: &[u8]) -> Vec<Datagram> {
-        match self.take(now, wall_ms, from, bytes) {
+    /// Takes in a datagram from the address `from` and returns what is to be sent in answer. What is refused
+    /// is counted.
+    pub fn receive(&mut self, now: Micros, wall_ms: u64, from: SocketAddr, bytes: &[u8]) -> Vec<Datagram> {
+        match self.open(now, wall_ms, from, bytes) {
             Ok((sends, newcomer)) => {
-                let mut out: Vec<Datagram> =
-                    sends.into_iter().filter_map(|send| self.send(now, wall_ms, send, Why::Answer)).collect();
-                // One that was not known is told of others at once: it would meet them one by one.
-                let welcome = newcomer.map(|to| Send { to, probe: Probe::None });
-                out.extend(welcome.and_then(|send| self.send(now, wall_ms, send, Why::Welcome)));
+                let mut out: Vec<Datagram> = sends
+                    .into_iter()
+                    .filter_map(|send| self.send(now, wall_ms, send, Purpose::Answer))
+                    .collect();
+                // A newcomer learns of others at once: else it would meet them one by one.
+                let welcome = newcomer.map(|to| Outgoing { to, probe: Probe::None });
+                out.extend(welcome.and_then(|send| self.send(now, wall_ms, send, Purpose::Welcome)));
                 out
             }
             Err(why) => {
@@ -273,47 +300,53 @@
         }
     }
 
-    fn take(
+    /// Opens a datagram and takes in what it holds: probes to be answered, and the address of a newcomer.
+    fn open(
         &mut self,
         now: Micros,
         wall_ms: u64,
         from: SocketAddr,
         bytes: &[u8],
-    ) -> Result<(Vec<Send>, Option<SocketAddr>), Refused> {
+    ) -> Result<(Vec<Outgoing>, Option<SocketAddr>), Refused> {
         let opened = self.peers.open(now, wall_ms, from.ip(), bytes)?;
         let sender = opened.sender;
         let message: Message = message::read(opened.content).ok_or(Refused::Form)?;
         if sender == self.own.id {
-            return Err(Refused::Replay); // our own, come back
+            return Err(Refused::Replay); // this front's own, come back
         }
-        // Answers go where the sender says that it is heard, which need not be where it speaks from.
+        // Answers go where the sender says that it listens, which need not be where it sends from.
         let own = message.rumours.iter().find(|rumour| rumour.member == sender);
-        let from_at = own.map_or(from, |rumour| rumour.at);
-        let newcomer = self.members.health(sender).is_none().then_some(from_at);
+        let from_address = own.map_or(from, |rumour| rumour.address);
+        let newcomer = self.members.health(sender).is_none().then_some(from_address);
         for rumour in message.rumours {
-            // Only those count that could speak for themselves.
+            // Only fronts with a known key count: they could refute the rumour.
             if self.peers.knows(rumour.member) {
-                self.members.hear(now, sender, rumour);
+                self.members.apply(now, sender, rumour);
             }
         }
         let mut sends = Vec::new();
-        self.members.heard(now, sender, from_at, message.probe, &mut sends);
-        if message.letter.first() == Some(&(Channel::Load as u8)) {
-            self.hear_shares(now, wall_ms, from.ip(), &message.letter[1..]);
-        } else if !self.post.came(sender, from_at, message.letter) {
+        self.members.receive(now, sender, from_address, message.probe, &mut sends);
+        if message.payload.first() == Some(&(Channel::Load as u8)) {
+            self.receive_load_reports(now, wall_ms, from.ip(), &message.payload[1..]);
+        } else if !self.mailbox.deliver(sender, from_address, message.payload) {
             *self.refused.entry(Refused::Form).or_default() += 1;
         }
-        for signed in message.reports {
+        self.merge_reports(now, wall_ms, from, message.reports);
+        Ok((sends, newcomer.filter(|_| self.members.len() > 1)))
+    }
+
+    fn merge_reports(&mut self, now: Micros, wall_ms: u64, from: SocketAddr, reports: Vec<Signed>) {
+        for signed in reports {
             let Some(report) = message::read::<Report>(&signed.report) else { continue };
             // Guards against the cost of what is known already, which is most of what comes.
-            if report.maker == self.own.id
-                || !self.evidence.is_later(report.maker, report.life, report.version)
+            if report.reporter == self.own.id
+                || !self.evidence.is_later(report.reporter, report.started_ms, report.version)
             {
                 continue;
             }
-            match self.peers.read(now, from.ip(), &signed) {
+            match self.peers.verify_report(now, from.ip(), &signed) {
                 Ok(report) => {
-                    let age = self.peers.age(report.maker, wall_ms, report.made_ms);
+                    let age = self.peers.age(report.reporter, wall_ms, report.created_ms);
                     if let Some(age) = age {
                         self.evidence.merge(now, report, signed, age);
                     }
@@ -321,15 +354,14 @@
                 Err(why) => *self.refused.entry(why).or_default() += 1,
             }
         }
-        Ok((sends, newcomer.filter(|_| self.members.len() > 1)))
     }
 }
 
-/// Why a datagram is sent: it bounds what it may carry, and which tokens it takes.
+/// Why a datagram is sent: it bounds what the datagram may carry, and which tokens it takes.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Why {
-    News,
+enum Purpose {
+    Gossip,
     Answer,
-    /// To one that was not known before.
+    /// To a front that was not known before.
     Welcome,
 }
--- a/crates/gossip/tests/fleet/sim.rs
+++ b/crates/gossip/tests/fleet/sim.rs
@@ -1,5 +1,5 @@
-//! A fleet of fronts over a simulated network: everything is drawn from a seed, and time is a number. Shared by
-//! the tests of this crate and the measurement of the lab.
+//! A fleet of fronts over a simulated network: everything is drawn from a seed, and time is a number. Shared
+//! by the tests of this crate and the measurement of the lab.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashSet};
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 
 use hallmux_gossip::message::{Health, Sighting};
-use hallmux_gossip::node::{Datagram, Node, Start};
-use hallmux_gossip::seal::{Keys, Own};
+use hallmux_gossip::node::{Datagram, Node, NodeConfig};
+use hallmux_gossip::seal::{Identity, Keys};
 use hallmux_gossip::{Micros, PeerId};
 
 pub const SECOND: Micros = 1_000_000;
@@ -23,12 +23,12 @@
     pub loss: f64,
     /// Pairs that can't reach each other.
     pub cut: HashSet<(usize, usize)>,
-    pub mail: BinaryHeap<Reverse<(Micros, u64, usize, usize)>>,
+    pub in_flight: BinaryHeap<Reverse<(Micros, u64, usize, usize)>>,
     pub bytes: Vec<Vec<u8>>,
-    pub posted: u64,
-    /// All that was sent, for one who listens.
-    pub overheard: Vec<(usize, Datagram)>,
-    pub listens: bool,
+    pub sequence: u64,
+    /// All that was sent, where `captures` is set.
+    pub captured: Vec<(usize, Datagram)>,
+    pub captures: bool,
     keys: Rc<Keys>,
     /// How many a front is told of at start, drawn by chance; 0 for the first two.
     seeds: usize,
@@ -51,7 +51,7 @@
 }
 
 pub fn keys(count: usize) -> Rc<Keys> {
-    Keys::new(&(0..count).map(|n| Own::new(&secret(n), 0).public()).collect::<Vec<_>>())
+    Keys::new(&(0..count).map(|n| Identity::new(&secret(n), 0).public_key()).collect::<Vec<_>>())
 }
 
 pub fn draw(seed: &mut u64) -> u64 {
@@ -72,11 +72,11 @@
             seed,
             loss: 0.0,
             cut: HashSet::new(),
-            mail: BinaryHeap::new(),
+            in_flight: BinaryHeap::new(),
             bytes: Vec::new(),
-            posted: 0,
-            overheard: Vec::new(),
-            listens: false,
+            sequence: 0,
+            captured: Vec::new(),
+            captures: false,
             keys: keys(count),
             seeds,
         };
@@ -96,16 +96,16 @@
         let drawn: Vec<SocketAddr> =
             (0..self.seeds).map(|_| at((draw(&mut self.seed) % count as u64) as usize)).collect();
         let seeds = if drawn.is_empty() { vec![at(0), at(1)] } else { drawn };
-        let start = Start { secret: secret(n), keys: self.keys.clone(), at: at(n), seeds };
+        let start = NodeConfig { secret: secret(n), keys: self.keys.clone(), address: at(n), seeds };
         self.nodes[n] = Some(Node::new(start, self.wall(n) - behind));
     }
 
-    pub fn post(&mut self, from: usize, datagrams: Vec<Datagram>) {
+    pub fn send(&mut self, from: usize, datagrams: Vec<Datagram>) {
         for datagram in datagrams {
             let to = place(datagram.to);
             let lost = (draw(&mut self.seed) % 1000) as f64 / 1000.0 < self.loss;
-            if self.listens {
-                self.overheard.push((from, datagram.clone()));
+            if self.captures {
+                self.captured.push((from, datagram.clone()));
             }
             if lost || self.cut.contains(&(from.min(to), from.max(to))) || to >= self.nodes.len() {
                 continue;
@@ -116,26 +116,26 @@
     }
 
     pub fn deliver(&mut self, from: usize, to: usize, way: Micros, bytes: Vec<u8>) {
-        self.posted += 1;
+        self.sequence += 1;
         self.bytes.push(bytes);
-        self.mail.push(Reverse((self.now + way, self.posted - 1, from, to)));
+        self.in_flight.push(Reverse((self.now + way, self.sequence - 1, from, to)));
     }
 
     pub fn run(&mut self, until: Micros) {
         while self.now < until {
             let due = self.nodes.iter().flatten().map(Node::due).min().unwrap_or(until);
-            let mail = self.mail.peek().map_or(until, |Reverse((at, ..))| *at);
-            self.now = due.min(mail).max(self.now).min(until);
-            while let Some(Reverse((when, number, from, to))) = self.mail.peek().copied() {
+            let in_flight = self.in_flight.peek().map_or(until, |Reverse((at, ..))| *at);
+            self.now = due.min(in_flight).max(self.now).min(until);
+            while let Some(Reverse((when, number, from, to))) = self.in_flight.peek().copied() {
                 if when > self.now {
                     break;
                 }
-                self.mail.pop();
+                self.in_flight.pop();
                 let bytes = std::mem::take(&mut self.bytes[number as usize]);
                 let (now, wall) = (self.now, self.wall(to));
                 if let Some(node) = &mut self.nodes[to] {
-                    let back = node.heard(now, wall, at(from), &bytes);
-                    self.post(to, back);
+                    let back = node.receive(now, wall, at(from), &bytes);
+                    self.send(to, back);
                 }
             }
             for n in 0..self.nodes.len() {
@@ -144,33 +144,33 @@
                 let mut seed = self.seed;
                 let out = node.tick(now, wall, &mut || draw(&mut seed));
                 self.seed = seed;
-                self.post(n, out);
+                self.send(n, out);
             }
         }
     }
 
-    pub fn id(&self, n: usize) -> PeerId {
-        Own::new(&secret(n), 0).id
+    pub fn peer_id(&self, n: usize) -> PeerId {
+        Identity::new(&secret(n), 0).id
     }
 
-    pub fn sees(&mut self, n: usize, sightings: Vec<Sighting>) {
+    pub fn report_sightings(&mut self, n: usize, sightings: Vec<Sighting>) {
         let (now, wall) = (self.now, self.wall(n));
-        self.nodes[n].as_mut().unwrap().sees(now, wall, sightings);
+        self.nodes[n].as_mut().unwrap().report_sightings(now, wall, sightings);
     }
 
     /// Who has heard of this engine, and from whom.
     pub fn heard_of(&self, engine: u64) -> Vec<(usize, BTreeSet<PeerId>)> {
-        let makers = |node: &Node| -> BTreeSet<PeerId> {
-            let news = node.news(self.now);
-            news.into_iter().filter(|n| n.sighting.engine == engine).map(|n| n.maker).collect()
+        let reporters = |node: &Node| -> BTreeSet<PeerId> {
+            let news = node.peer_reports(self.now);
+            news.into_iter().filter(|n| n.sighting.engine == engine).map(|n| n.reporter).collect()
         };
-        let all = self.nodes.iter().enumerate().filter_map(|(n, node)| Some((n, makers(node.as_ref()?))));
-        all.filter(|(_, makers)| !makers.is_empty()).collect()
+        let all = self.nodes.iter().enumerate().filter_map(|(n, node)| Some((n, reporters(node.as_ref()?))));
+        all.filter(|(_, reporters)| !reporters.is_empty()).collect()
     }
 
     /// How many of those that run take this one to be so.
     pub fn health(&self, of: usize, health: Health) -> usize {
-        let id = self.id(of);
+        let id = self.peer_id(of);
         self.nodes.iter().flatten().filter(|node| node.members().health(id) == Some(health)).count()
     }
 
--- a/crates/lab/src/simulated/ledger.rs
+++ b/crates/lab/src/simulated/ledger.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use hallmux_fleet::gate::{Asks, Ruling};
-use hallmux_fleet::{Exchange, Moment, Out};
-use hallmux_gossip::seal::{id, Own};
+use hallmux_fleet::gate::{LedgerClient, Ruling};
+use hallmux_fleet::{Exchange, Moment, Output};
+use hallmux_gossip::seal::{peer_id, Identity};
 use hallmux_gossip::PeerId;
 use hallmux_ledger::{Ask, Done, Member, Setup};
 
@@ -20,16 +20,16 @@
     exchange: &'a mut Exchange,
     at: Moment,
     done: &'a mut Vec<Done>,
-    outs: Vec<Out>,
+    outs: Vec<Output>,
 }
 
-impl Asks for Way<'_> {
+impl LedgerClient for Way<'_> {
     fn ask(&mut self, _: i64, ask: Ask) {
-        self.outs.push(self.exchange.ask(self.at, ask));
+        self.outs.push(self.exchange.ask_ledger(self.at, ask));
     }
 
-    fn promised(&mut self, part: u64) -> Vec<Done> {
-        self.done.extend(self.exchange.promised());
+    fn answers(&mut self, part: u64) -> Vec<Done> {
+        self.done.extend(self.exchange.ledger_answers());
         let (told, others) = self.done.drain(..).partition(|done| done.number >> PART == part >> PART);
         *self.done = others;
         told
@@ -38,7 +38,7 @@
 
 /// The fronts that keep copies, by their keys, and where each is heard.
 pub(super) fn members(fronts: usize, zones: usize) -> (Vec<Member>, BTreeMap<PeerId, SocketAddr>) {
-    let keeper = |n| id(&Own::new(&secret(n), 0).public());
+    let keeper = |n| peer_id(&Identity::new(&secret(n), 0).public_key());
     let member = |n| Member { front: keeper(n), zone: zone_name(n % zones) };
     ((0..fronts).map(member).collect(), (0..fronts).map(|n| (keeper(n), address(n))).collect())
 }
@@ -50,10 +50,10 @@
         let (members, heard) = &self.keepers;
         let at = self.moment(n);
         let disk = &self.members[n].disk;
-        let own = id(&exchange.public());
+        let own = peer_id(&exchange.public_key());
         let setup = Setup { copies, ..Setup::new("lab", own, at.wall_ms, disk.identity, members.clone()) };
         let found = disk.found();
-        exchange.promise(at, setup, heard.clone(), found).map_err(|e| e.to_string())
+        exchange.enable_ledger(at, setup, heard.clone(), found).map_err(|e| e.to_string())
     }
 
     /// What promises let go of, or can't be had for.
@@ -65,17 +65,17 @@
         let mut way = Way { exchange, at, done: &mut life.done, outs: Vec::new() };
         let (named, asked) = (&self.named, &self.account.asked);
         let id = |ticket| named.get(&(n, lives, ticket)).map(|number| asked[*number].asked.id.clone());
-        let rulings = guard.turn(own, &mut life.dispatcher, &mut way, id);
+        let rulings = guard.advance(own, &mut life.dispatcher, &mut way, id);
         let outs = way.outs;
         outs.into_iter().for_each(|out| self.sends(n, out));
         for ruling in rulings {
             let Some(life) = &mut self.members[n].life else { return };
             match ruling {
-                Ruling::Go(go) => {
+                Ruling::Release(go) => {
                     life.dispatcher.leaves(own, go.ticket, go.execution);
                     self.leaves(n, (go.ticket, go.execution), go.place);
                 }
-                Ruling::TurnAway(ticket) => {
+                Ruling::Reject(ticket) => {
                     life.dispatcher.turn_away(own, ticket);
                     self.answer(n, ticket, Outcome::Error("53000".into()));
                 }
@@ -91,7 +91,7 @@
     pub(super) fn promised(&mut self, n: usize) {
         let Some(life) = &mut self.members[n].life else { return };
         if let Some(exchange) = &mut life.exchange {
-            life.done.extend(exchange.promised());
+            life.done.extend(exchange.ledger_answers());
         }
         match life.done.is_empty() {
             true => self.wakes(n),
