--- a/crates/dispatcher/src/ended.rs
+++ b/crates/dispatcher/src/ended.rs
@@ -1,6 +1,6 @@
 //! Executions and statements end; what nobody needs any more is let go.
 
-use hallmux::interface::{Cost, Ended, Event, Micros, Note, Report};
+use hallmux::interface::{Ended, Event, Micros, Note, Report};
 
 use crate::promised::{Gone, Word};
 use crate::seen::SILENT;
@@ -15,7 +15,6 @@
         execution: usize,
         ending: Ending,
         report: Option<Report>,
-        cost: Option<Cost>,
     ) -> bool {
         let Some(s) = self.statements.get_mut(&ticket) else { return false };
         let Some(x) = s.executions.get_mut(execution).filter(|x| x.out) else { return false };
@@ -54,8 +53,7 @@
             outcome: ending.outcome(),
             took,
             settled: s.over,
-            holds,
-            cost,
+            keeps_order_key: holds,
             report,
         }));
         if answers {
@@ -80,7 +78,7 @@
         let unheard = |e: &Event| matches!(e, Event::Arrived(a) if a.statement == ticket);
         match self.told.iter().position(unheard) {
             Some(at) => _ = self.told.remove(at),
-            None => self.told.push(Event::Left(ticket)),
+            None => self.told.push(Event::ClientLeft(ticket)),
         }
         self.forget(now, ticket);
     }
@@ -88,13 +86,13 @@
     /// A transaction that kept an order key is over; the key rests where the transaction may still run.
     pub fn freed(&mut self, now: Micros, name: &str, rests: bool) {
         let Some(key) = self.keys.get_mut(name) else { return };
-        self.told.push(Event::Freed { key: key.id, rests });
+        self.told.push(Event::OrderKeyFreed { key: key.id, pauses: rests });
         if self.watches {
             self.words.push(Word::Freed { key: name.to_string(), rests });
         }
         key.statements -= 1;
         if key.statements == 0 {
-            self.resting.insert((now + self.turn_gap, name.to_string()));
+            self.resting.insert((now + self.order_gap, name.to_string()));
         }
     }
 
@@ -122,7 +120,7 @@
         };
         key.statements -= 1;
         if key.statements == 0 {
-            self.resting.insert((now + self.turn_gap, name));
+            self.resting.insert((now + self.order_gap, name));
         }
     }
 
--- a/crates/dispatcher/src/played.rs
+++ b/crates/dispatcher/src/played.rs
@@ -14,12 +14,12 @@
     "rules": {"turnGapMs": 50}}"#;
 
 pub fn dispatcher() -> Dispatcher {
-    Dispatcher::new(&hallmux_agreement::contract(SETTINGS).unwrap(), 7)
+    Dispatcher::new(&hallmux_agreement::Settings::parse(SETTINGS).unwrap(), 7)
 }
 
 pub fn listing(id: &str, mode: Mode, started: Option<Micros>) -> Listing<'_> {
-    let speaks = &[Speech::Lines];
-    Listing { id, location: "here", kind: "std", cell: 0, mode, started, speaks }
+    let protocols = &[Protocol::Lines];
+    Listing { id, location: "here", kind: "std", cell: 0, mode, started, protocols }
 }
 
 pub fn ask<'a>(workload: &'a str, key: Option<&'a str>) -> Ask<'a> {
--- a/crates/dispatcher/tests/repeat_window.rs
+++ b/crates/dispatcher/tests/repeat_window.rs
@@ -1,7 +1,7 @@
 //! A further attempt of a deduplicated statement carries the time until which engines drop it as a repeat: its
 //! connection may come up long after the decision.
 
-use hallmux_dispatcher::{Ask, Dispatcher, Ending, Listing, Micros, Mode, Order, Speech};
+use hallmux_dispatcher::{Ask, Dispatcher, Ending, Listing, Micros, Mode, Order, Protocol};
 
 const SETTINGS: &str = r#"{"instances": 1, "areas": ["here"], "kinds": ["std"],
     "bounds": {"cancelling": true, "mostTries": 3, "retryAfter": true},
@@ -15,7 +15,7 @@
 const WINDOW: Micros = 900_000;
 
 fn dispatcher() -> Dispatcher {
-    let mut dispatcher = Dispatcher::new(&hallmux_agreement::contract(SETTINGS).unwrap(), 7);
+    let mut dispatcher = Dispatcher::new(&hallmux_agreement::Settings::parse(SETTINGS).unwrap(), 7);
     let engine = |id| Listing {
         id,
         location: "here",
@@ -23,7 +23,7 @@
         cell: 0,
         mode: Mode::Ready,
         started: None,
-        speaks: &[Speech::Lines],
+        protocols: &[Protocol::Lines],
     };
     dispatcher.list(true, &[engine("a"), engine("b"), engine("c")]);
     dispatcher
@@ -48,9 +48,9 @@
     let ticket = d.pick(1_000_000, &ask("load")).unwrap();
     assert_eq!(leave_by(&d.tick(1_000_000)), [Micros::MAX]);
     // The first surely never ran: no window has begun.
-    d.report(1_100_000, ticket, 0, Ending::TurnedAway, None, None);
+    d.report(1_100_000, ticket, 0, Ending::TurnedAway, None);
     assert_eq!(leave_by(&d.tick(1_100_000)), [Micros::MAX]);
-    d.report(1_300_000, ticket, 1, Ending::Reset, None, None);
+    d.report(1_300_000, ticket, 1, Ending::Reset, None);
     assert_eq!(leave_by(&d.tick(1_300_000)), [1_100_000 + WINDOW]);
 }
 
@@ -59,6 +59,6 @@
     let mut d = dispatcher();
     let ticket = d.pick(1_000_000, &ask("lookup")).unwrap();
     d.tick(1_000_000);
-    d.report(1_100_000, ticket, 0, Ending::Reset, None, None);
+    d.report(1_100_000, ticket, 0, Ending::Reset, None);
     assert_eq!(leave_by(&d.tick(1_100_000)), [Micros::MAX]);
 }
--- a/crates/drill/src/instance.rs
+++ b/crates/drill/src/instance.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use hallmux::interface::{
-    Action, Agreement, Arrival, Cost, Ended, Event, Listed, Micros, Mode, Note, Outcome,
+    Action, Agreement, Arrival, Ended, EngineEntry, Event, Micros, Mode, Note, Outcome,
 };
 use hallmux::Front;
 
@@ -12,13 +12,13 @@
 /// An engine as a list on the wire names it, before an instance has given it an index.
 pub struct Listing {
     name: String,
-    entry: Listed,
+    entry: EngineEntry,
 }
 
 impl Listing {
     pub fn read(line: &Line) -> Result<Self, String> {
         let started = line.number_or("onlineSinceMs", 0.0)?;
-        let entry = Listed {
+        let entry = EngineEntry {
             engine: 0,
             location: line.field("campus")?,
             kind: line.field("classOfHost")?,
@@ -30,8 +30,8 @@
                 other => return Err(format!("mode: unknown word '{other}'")),
             },
             started: (started > 0.0).then(|| hallmux_agreement::micros(started)),
-            speaks: 1,
-            tells: true,
+            protocols: 1,
+            sends_progress: true,
         };
         Ok(Listing { name: line.field("engine")?, entry })
     }
@@ -82,7 +82,7 @@
             "JOB_IN" => Some(self.arrived(line)?),
             "RETURNED" => self.ended(line)?,
             "NOTICE" => self.noted(line)?,
-            "GONE" => self.statement(line)?.map(Event::Left),
+            "GONE" => self.statement(line)?.map(Event::ClientLeft),
             "RING" => Some(Event::Woken),
             "FLEET" => Some(self.listed(line, lists)?),
             "PROBE_RESULT" => Some(Event::Probed {
@@ -106,7 +106,7 @@
         };
         let list: u32 = line.field("ref")?;
         let listings = lists.get(&list).ok_or_else(|| format!("list {list} was never sent"))?;
-        let entry = |l: &Listing| Listed { engine: self.engine(&l.name), ..l.entry.clone() };
+        let entry = |l: &Listing| EngineEntry { engine: self.engine(&l.name), ..l.entry.clone() };
         Ok(Event::Engines { whole, entries: listings.iter().map(entry).collect() })
     }
 
@@ -130,7 +130,7 @@
             work: line.number_or("guessMs", 0.0)? * 1000.0,
             memory_mb: line.number_or("ramMb", 0.0)?,
             data_set: line.optional("tableGroup")?,
-            speech: 1,
+            protocols: 1,
             pinned: None,
             allowed: None,
         };
@@ -144,16 +144,15 @@
         let outcome = match line.field::<String>("status")?.as_str() {
             "pass" => Outcome::Completed,
             "fault" => Outcome::Error,
-            "no_room" => Outcome::NoRoom,
+            "no_room" => Outcome::NoCapacity,
             "too_slow" => Outcome::TimedOut,
-            "no_route" => Outcome::NoRoute,
+            "no_route" => Outcome::Unreachable,
             "cut" => Outcome::Reset,
             "undone" => Outcome::Cancelled,
             "stale_send" => Outcome::NotSent,
             other => return Err(format!("status: unknown word '{other}'")),
         };
-        // The note packs milliseconds of work above twelve bits of memory in units of 4 MB.
-        let note: u64 = line.optional("note")?.unwrap_or(0);
+        line.optional::<u64>("note")?; // work and memory that the answer tells of, which nothing here uses
         Ok(Some(Event::Ended(Ended {
             statement,
             execution: line.field("seqNo")?,
@@ -161,11 +160,7 @@
             outcome,
             took: line.time("delaySeenMs")?,
             settled: line.flag("settled")?,
-            holds: false,
-            cost: (note > 0).then_some(Cost {
-                work: (note >> 12) as f64 * 1000.0,
-                memory_mb: (note & 4095) as f64 * 4.0,
-            }),
+            keeps_order_key: false,
             report: line.report()?,
         })))
     }
--- a/crates/front/src/front/rooms.rs
+++ b/crates/front/src/front/dial_capacity.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use hallmux_agreement::Station;
+use hallmux_agreement::NodeConfig;
 use hallmux_dispatcher::{Dials, Micros};
 
 use super::Front;
@@ -11,21 +11,21 @@
 /// When this front may dial which engine, for both protocols.
 pub type Pacer = Rc<RefCell<Dials>>;
 
-pub fn pacer(station: &Station, now: Micros) -> Pacer {
-    let paced = station.contract.agreement.budgets.is_some();
+pub fn pacer(station: &NodeConfig, now: Micros) -> Pacer {
+    let paced = station.settings.agreement.budgets.is_some();
     Rc::new(RefCell::new(Dials::new(paced, now, station.seed)))
 }
 
 impl Front {
-    /// Tells the module how many executions can leave for each engine.
-    pub(super) fn tell_rooms(&mut self) {
+    /// Reports to the dispatcher how many executions can leave for each engine.
+    pub(super) fn report_dial_capacity(&mut self) {
         if !self.engines.dials.borrow().is_paced() {
             return;
         }
-        let (now, engines, portal) = (self.clock.now, &self.engines, &mut self.portal);
+        let (now, engines, gateway) = (self.clock.now, &self.engines, &mut self.gateway);
         self.rooms.tell(now, &mut self.dispatcher, |place| {
-            let sessions = portal.as_mut().map_or(0, |portal| portal.servers().room(now, place));
-            engines.room(now, place) + sessions
+            let sessions = gateway.as_mut().map_or(0, |gateway| gateway.servers().capacity(now, place));
+            engines.capacity(now, place) + sessions
         });
     }
 }
