--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -1,6 +1,7 @@
 //! What one front does in an iteration: it takes in all that is there, decides once, and sends what follows.
 
 mod admission;
+mod configuration;
 mod dial_capacity;
 mod dispatch;
 mod engine_list;
@@ -10,7 +11,7 @@
 use std::time::Duration;
 
 use calloop::LoopHandle;
-use hallmux_agreement::{NodeConfig, NodeLimits, Settings};
+use hallmux_agreement::{NodeConfig, Settings};
 use hallmux_codec::coordinator::Events as EngineListEvents;
 use hallmux_dispatcher::{Dispatcher, Micros, Rooms};
 
@@ -31,8 +32,6 @@
 pub use dial_capacity::Pacer;
 
 const MOST_DECISIONS: usize = 8; // decisions in an iteration: an execution that the first one stops is known to the next at once
-const MEMORY_PART: u64 = 4; // statements held may take one part of so many, untaken answers another
-const CLIENTS_PART: usize = 2; // of the descriptors; clients hold a third, the rest is for engines
 
 pub struct Front {
     handle: LoopHandle<'static, LoopEvents>,
@@ -323,46 +322,6 @@
         self.scatter.iter().for_each(|scatter| scatter.summaries.save());
     }
 
-    /// The configuration was read again: what may change while a front runs holds from now on. One that
-    /// can't be used changes nothing.
-    pub fn reload(&mut self, read: Result<NodeConfig, hallmux_agreement::Error>) {
-        self.clock.refresh();
-        match read {
-            Ok(station) => {
-                self.limit(&station.limits);
-                if let Some((peers, gossip)) = self.peers.as_mut().zip(station.operator.gossip.as_ref()) {
-                    peers.reload(self.clock.now, gossip);
-                }
-                if let Some((rules, read)) = self.rules.as_ref().zip(station.operator.rules.as_ref()) {
-                    rules.borrow_mut().reload(self.clock.now, read);
-                }
-                if let Some((scatter, settings)) =
-                    self.scatter.as_mut().zip(station.operator.scatter.as_ref())
-                {
-                    scatter.reload(settings, self.clock.now);
-                }
-                self.apply_known_list(&station.known_events);
-                self.coordinator.set_address(self.clock.now, station.coordinator);
-                let at = station.coordinator.map_or("none".to_string(), |at| at.to_string());
-                log::info!("the configuration was read again; coordinator: {at}");
-            }
-            Err(why) => log::error!("the configuration is left as it was: {why}"),
-        }
-    }
-
-    fn limit(&mut self, limits: &NodeLimits) {
-        self.max_bytes = (limits.memory_bytes / MEMORY_PART) as usize;
-        self.max_clients = limits.sockets / CLIENTS_PART;
-        let engines = limits.sockets - self.max_clients;
-        match &mut self.gateway {
-            Some(gateway) => {
-                gateway.limit(engines / 2);
-                self.engines.limit(engines - engines / 2);
-            }
-            None => self.engines.limit(engines),
-        }
-    }
-
     /// Whether all is answered after the end was asked for.
     pub fn is_done(&self) -> bool {
         !self.listener.is_open()
--- /dev/null
+++ b/crates/front/src/front/configuration.rs
@@ -0,0 +1,51 @@
+//! What of the configuration may change while a front runs, and the limits of memory and descriptors.
+
+use hallmux_agreement::{NodeConfig, NodeLimits};
+
+use super::Front;
+
+const MEMORY_PART: u64 = 4; // statements held may take one part of so many, untaken answers another
+const CLIENTS_PART: usize = 2; // of the descriptors; clients hold a third, the rest is for engines
+
+impl Front {
+    /// The configuration was read again: what may change while a front runs holds from now on. One that
+    /// can't be used changes nothing.
+    pub fn reload(&mut self, read: Result<NodeConfig, hallmux_agreement::Error>) {
+        self.clock.refresh();
+        match read {
+            Ok(station) => {
+                self.limit(&station.limits);
+                if let Some((peers, gossip)) = self.peers.as_mut().zip(station.operator.gossip.as_ref()) {
+                    peers.reload(self.clock.now, gossip);
+                }
+                if let Some((rules, read)) = self.rules.as_ref().zip(station.operator.rules.as_ref()) {
+                    rules.borrow_mut().reload(self.clock.now, read);
+                }
+                if let Some((scatter, settings)) =
+                    self.scatter.as_mut().zip(station.operator.scatter.as_ref())
+                {
+                    scatter.reload(settings, self.clock.now);
+                }
+                self.apply_known_list(&station.known_events);
+                self.coordinator.set_address(self.clock.now, station.coordinator);
+                let at = station.coordinator.map_or("none".to_string(), |at| at.to_string());
+                log::info!("the configuration was read again; coordinator: {at}");
+            }
+            Err(why) => log::error!("the configuration is left as it was: {why}"),
+        }
+    }
+
+    /// Shares memory and descriptors out between clients, sessions and engines.
+    pub(super) fn limit(&mut self, limits: &NodeLimits) {
+        self.max_bytes = (limits.memory_bytes / MEMORY_PART) as usize;
+        self.max_clients = limits.sockets / CLIENTS_PART;
+        let engines = limits.sockets - self.max_clients;
+        match &mut self.gateway {
+            Some(gateway) => {
+                gateway.limit(engines / 2);
+                self.engines.limit(engines - engines / 2);
+            }
+            None => self.engines.limit(engines),
+        }
+    }
+}
