--- a/crates/front/src/fleet/gate.rs
+++ b/crates/front/src/fleet/gate.rs
@@ -32,8 +32,8 @@
 
 impl Guard {
     /// Where there is a ledger; `now` is the Unix clock: this life's name.
-    pub fn new(contract: &Settings, now: Micros, shards: u16, dispatcher: &mut Dispatcher) -> Guard {
-        let guard = gate::Guard::new(contract, now, shards, dispatcher);
+    pub fn new(settings: &Settings, now: Micros, shards: u16, dispatcher: &mut Dispatcher) -> Guard {
+        let guard = gate::Guard::new(settings, now, shards, dispatcher);
         Guard { guard, last_log: 0, refused: BTreeMap::new() }
     }
 
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -85,12 +85,12 @@
     /// `own` and `fronts` are by the keys of gossip. Without other fronts this one is the fleet.
     pub fn new(
         rules: &hallmux_agreement::Rules,
-        contract: &Settings,
+        settings: &Settings,
         own: Owner,
         fronts: Vec<u64>,
         alone: bool,
     ) -> Result<Rules, RulesError> {
-        let known = known(rules, contract);
+        let known = known(rules, settings);
         let (text, wish) = read(&rules.file, &known)?;
         if matches!(wish, Wish::WhatIf(_)) {
             return Err(RulesError::Question(rules.file.clone()));
--- a/crates/front/src/fleet/rules/file.rs
+++ b/crates/front/src/fleet/rules/file.rs
@@ -9,9 +9,9 @@
 
 use super::{Peers, Rules, RulesError, Shared};
 
-pub(super) fn known(rules: &hallmux_agreement::Rules, contract: &Settings) -> Known {
-    let names = &contract.names;
-    let workloads = names.workloads.iter().zip(&contract.agreement.workloads).map(|(name, w)| {
+pub(super) fn known(rules: &hallmux_agreement::Rules, settings: &Settings) -> Known {
+    let names = &settings.names;
+    let workloads = names.workloads.iter().zip(&settings.agreement.workloads).map(|(name, w)| {
         let named =
             |all: &Vec<usize>| all.iter().filter_map(|at| names.locations.get(*at).cloned()).collect();
         access::Bound { name: name.clone(), locations: w.locations.as_ref().map(named) }
@@ -34,8 +34,8 @@
 }
 
 /// Switched on by the operator's file.
-pub fn start(station: &NodeConfig, now: Micros, peers: Option<&Peers>) -> Result<Option<Shared>, RulesError> {
-    let Some(rules) = &station.operator.rules else { return Ok(None) };
+pub fn start(config: &NodeConfig, now: Micros, peers: Option<&Peers>) -> Result<Option<Shared>, RulesError> {
+    let Some(rules) = &config.operator.rules else { return Ok(None) };
     let incarnation = (now / 1000) as u64;
     let (front, fronts) = match peers.map(Peers::fleet) {
         None => (1, vec![1]),
@@ -43,6 +43,6 @@
         Some(None) => return Err(RulesError::NoLedger),
     };
     let own = Owner { front, incarnation };
-    let rules = Rules::new(rules, &station.settings, own, fronts, peers.is_none())?;
+    let rules = Rules::new(rules, &config.settings, own, fronts, peers.is_none())?;
     Ok(Some(Rc::new(RefCell::new(rules))))
 }
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -66,47 +66,47 @@
 }
 
 /// No client waits longer than that for an answer.
-fn longest_timeout(contract: &Settings) -> Micros {
-    contract.agreement.workloads.iter().map(|workload| workload.statement_timeout).max().unwrap_or(0)
+fn longest_timeout(settings: &Settings) -> Micros {
+    settings.agreement.workloads.iter().map(|workload| workload.statement_timeout).max().unwrap_or(0)
 }
 
 impl Front {
     pub fn new(
-        station: &NodeConfig,
+        config: &NodeConfig,
         known: &EngineListEvents,
         listener: TcpListener,
         handle: LoopHandle<'static, LoopEvents>,
     ) -> Result<Front, StartError> {
-        let contract = &station.settings;
-        let gateway = station.operator.postgres.as_ref();
+        let settings = &config.settings;
+        let gateway = config.operator.postgres.as_ref();
         let part = |why: std::io::Error| StartError::part(&why);
-        let clock = Clock::new(station.operator.clock_ahead, station.clock_file.as_deref());
+        let clock = Clock::new(config.operator.clock_ahead, config.clock_file.as_deref());
         let mut clock = clock.map_err(part)?;
         clock.refresh();
-        let gossip = station.operator.gossip.as_ref();
+        let gossip = config.operator.gossip.as_ref();
         let peers = gossip.map(|gossip| Peers::new(gossip, clock.now, &handle)).transpose()?;
-        let rules = rules::start(station, clock.now, peers.as_ref())?;
-        let open = |postgres| Gateway::new(postgres, contract, handle.clone(), rules.clone());
+        let rules = rules::start(config, clock.now, peers.as_ref())?;
+        let open = |postgres| Gateway::new(postgres, settings, handle.clone(), rules.clone());
         let mut gateway = gateway.map(open).transpose().map_err(part)?;
         let spread_offset = peers.as_ref().map_or(0, Peers::spread_offset);
-        let scatter = station.operator.scatter.as_ref();
+        let scatter = config.operator.scatter.as_ref();
         if let Some((gateway, scatter)) = gateway.as_mut().zip(scatter.filter(|scatter| scatter.marked)) {
             gateway.writes = scatter.writes.clone();
         }
         let scatter =
-            scatter.map(|scatter| ScatteredStatements::new(scatter, clock.now, spread_offset, contract));
+            scatter.map(|scatter| ScatteredStatements::new(scatter, clock.now, spread_offset, settings));
         let scatter = scatter.transpose().map_err(part)?;
         let mut front = Front {
             listener: Listener::new(listener, &handle, SocketKind::Listener.id(0)).map_err(part)?,
-            dispatcher: Dispatcher::new(contract, station.seed),
-            answer_slack: contract.network.answer_slack,
-            max_statements: contract.network.most_held,
+            dispatcher: Dispatcher::new(settings, config.seed),
+            answer_slack: settings.network.answer_slack,
+            max_statements: settings.network.most_held,
             max_bytes: 0,
             max_clients: 0,
             memory_full: false,
-            clients: Clients::new(contract.agreement.longest_retry_after, longest_timeout(contract)),
-            engines: Engines::new(handle.clone(), contract.network.clone(), &contract.names),
-            coordinator: Coordinator::new(handle.clone(), station.coordinator, known.index),
+            clients: Clients::new(settings.agreement.longest_retry_after, longest_timeout(settings)),
+            engines: Engines::new(handle.clone(), settings.network.clone(), &settings.names),
+            coordinator: Coordinator::new(handle.clone(), config.coordinator, known.index),
             gateway,
             peers,
             rules,
@@ -119,15 +119,15 @@
             stale: false,
             handle,
         };
-        front.engines.dials = dial_capacity::pacer(station, front.clock.now);
+        front.engines.dials = dial_capacity::pacer(config, front.clock.now);
         if let Some(gateway) = &mut front.gateway {
             gateway.servers().dials = front.engines.dials.clone();
         }
-        if let Some(ledger) = station.operator.gossip.as_ref().and_then(|gossip| gossip.ledger.as_ref()) {
+        if let Some(ledger) = config.operator.gossip.as_ref().and_then(|gossip| gossip.ledger.as_ref()) {
             let now = front.clock.now;
-            front.guard = Some(Guard::new(contract, now, ledger.shards, &mut front.dispatcher));
+            front.guard = Some(Guard::new(settings, now, ledger.shards, &mut front.dispatcher));
         }
-        front.limit(&station.limits);
+        front.limit(&config.limits);
         front.apply_list(known, 0);
         Ok(front)
     }
--- a/crates/front/src/front/dial_capacity.rs
+++ b/crates/front/src/front/dial_capacity.rs
@@ -11,9 +11,9 @@
 /// When this front may dial which engine, for both protocols.
 pub type Pacer = Rc<RefCell<Dials>>;
 
-pub fn pacer(station: &NodeConfig, now: Micros) -> Pacer {
-    let paced = station.settings.agreement.budgets.is_some();
-    Rc::new(RefCell::new(Dials::new(paced, now, station.seed)))
+pub fn pacer(config: &NodeConfig, now: Micros) -> Pacer {
+    let paced = config.settings.agreement.budgets.is_some();
+    Rc::new(RefCell::new(Dials::new(paced, now, config.seed)))
 }
 
 impl Front {
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -41,22 +41,22 @@
 
 fn run() -> Result<(), StartError> {
     let variables = std::env::vars().collect();
-    let station = NodeConfig::read(&variables)?;
-    logger::start(&station.name, station.log_level);
-    if let Some(path) = &station.clock_file {
+    let config = NodeConfig::read(&variables)?;
+    logger::start(&config.name, config.log_level);
+    if let Some(path) = &config.clock_file {
         log::warn!("HALLMUX_CLOCK: the time is a drill's, from {}", path.display());
     }
-    let known = hallmux_codec::coordinator::events(station.known_events.as_bytes());
+    let known = hallmux_codec::coordinator::events(config.known_events.as_bytes());
     let known = known.map_err(|what| StartError::Known(what.to_string()))?;
     let polls = StartError::system("polling");
     let mut event_loop: EventLoop<'static, LoopEvents> = EventLoop::try_new().map_err(|e| polls(e.into()))?;
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGHUP]).map_err(|e| polls(e.into()))?;
     let queue = |event: Event, _: &mut (), events: &mut LoopEvents| events.signals.push(event.signal());
     event_loop.handle().insert_source(signals, queue).map_err(|e| polls(e.error.into()))?;
-    let unfit = |why| StartError::Listen { at: station.listen, why };
-    let listener = TcpListener::bind(station.listen).map_err(unfit)?;
+    let unfit = |why| StartError::Listen { at: config.listen, why };
+    let listener = TcpListener::bind(config.listen).map_err(unfit)?;
     let address = listener.local_addr().map_err(unfit)?;
-    let mut front = Front::new(&station, &known, listener, event_loop.handle())?;
+    let mut front = Front::new(&config, &known, listener, event_loop.handle())?;
     log::info!("takes statements at {address}");
     let mut events = LoopEvents::default();
     while !front.is_done() {
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -54,23 +54,23 @@
 impl Gateway {
     pub fn new(
         postgres: &Postgres,
-        contract: &Settings,
+        settings: &Settings,
         handle: LoopHandle<'static, LoopEvents>,
         rules: Option<Shared>,
     ) -> std::io::Result<Gateway> {
         let listener = TcpListener::bind(postgres.listen)
             .map_err(|why| ListenError::Listen { at: postgres.listen, why })?;
         let address = listener.local_addr()?;
-        let workloads = contract.names.workloads.iter().zip(&contract.agreement.workloads);
+        let workloads = settings.names.workloads.iter().zip(&settings.agreement.workloads);
         let gateway = Gateway {
             listener: Listener::new(listener, &handle, SocketKind::SessionListener.id(0))?,
             sessions: Sessions::new(&postgres.limits),
-            servers: Servers::new(handle.clone(), contract.network.clone(), postgres.limits.clone()),
+            servers: Servers::new(handle.clone(), settings.network.clone(), postgres.limits.clone()),
             users: Users::new(&postgres.users),
             allowed: postgres.clone(),
-            answer_slack: contract.network.answer_slack,
+            answer_slack: settings.network.answer_slack,
             timeouts: workloads.map(|(name, w)| (name.clone(), w.statement_timeout)).collect(),
-            retry_after_ms: contract.agreement.longest_retry_after.map(|time| time / 1000),
+            retry_after_ms: settings.agreement.longest_retry_after.map(|time| time / 1000),
             shut: None,
             rules,
             writes: Vec::new(),
