--- a/crates/front/tests/play/busy.rs
+++ b/crates/front/tests/scripted/busy.rs
@@ -5,7 +5,7 @@
 use std::net::TcpStream;
 use std::time::Instant;
 
-use crate::{Play, PATIENCE};
+use crate::{Scenario, PATIENCE};
 
 const BUSY: usize = 40; // connections that keep it at work
 const QUESTIONS: usize = 2_000; // on each; all of them fit in its socket
@@ -13,13 +13,13 @@
 const HALF: usize = 10; // bytes of one that has only begun, so that no connection rests
 const NAME: &str = "busy";
 
-impl Play {
+impl Scenario {
     fn question(&self) -> Vec<u8> {
         self.message(1, "isWell", "900", &[2, 0, 1, 0])
     }
 
     /// Connections that the front knows by the time they keep it at work.
-    pub fn gets_busy(&mut self) {
+    pub fn fill_with_work(&mut self) {
         let question = self.question();
         let mut busy = Vec::new();
         for _ in 0..BUSY {
@@ -33,10 +33,10 @@
 
     /// Lets a halted front find what a line brings, if one is named, together with much else, and halts it while it
     /// still reads that.
-    pub fn halts_at_work(&mut self, by: &str) {
+    pub fn halt_at_work(&mut self, by: &str) {
         if !self.fillers.contains_key(NAME) {
             self.line("goes on");
-            self.gets_busy();
+            self.fill_with_work();
             self.line("halt");
         }
         let (busy, question) = (self.fillers.remove(NAME).unwrap(), self.question());
--- a/crates/front/tests/play/client.rs
+++ b/crates/front/tests/scripted/client.rs
@@ -3,10 +3,10 @@
 use std::io::{Read, Write};
 use std::time::Duration;
 
-use crate::served::result;
-use crate::{id, Play, BIG};
+use crate::outcomes::result;
+use crate::{id, Scenario, BIG};
 
-impl Play {
+impl Scenario {
     pub fn frame(&self, number: &str, fields: &[&str], statement: &str) -> Vec<u8> {
         let txn = id(number);
         let mut map = vec![("txn", txn.as_str()), ("verb", "lookup"), ("limit", "15000"), ("team", "acme")];
@@ -66,10 +66,10 @@
     pub fn unread(&mut self, client: &str) -> (String, Vec<(String, String)>) {
         let stream = &self.clients[client];
         stream.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
-        let told = std::iter::from_fn(|| self.reply(client));
+        let replies = std::iter::from_fn(|| self.reply(client));
         (
             client.to_string(),
-            told.map(|(_, _, n, held)| (n, String::from_utf8_lossy(&held).into_owned())).collect(),
+            replies.map(|(_, _, n, held)| (n, String::from_utf8_lossy(&held).into_owned())).collect(),
         )
     }
 
--- a/crates/front/tests/play/coordinator.rs
+++ b/crates/front/tests/scripted/coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinator as the scenarios play it.
+//! The coordinator as the scenarios script it.
 
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, Write};
@@ -9,10 +9,10 @@
 use serde_json::{json, Value};
 use socket2::SockRef;
 
-use crate::{Play, PATIENCE};
+use crate::{Scenario, PATIENCE};
 
 #[derive(Default)]
-pub struct Told {
+pub struct CoordinatorState {
     pub moves: usize,
     pub updates: Vec<Value>,
     pub answers: VecDeque<String>,
@@ -23,10 +23,10 @@
     pub sent: usize,
     /// Where questions are taken, and the connections that are there.
     open: Vec<TcpStream>,
-    door: Option<TcpListener>,
+    listener: Option<TcpListener>,
 }
 
-impl Told {
+impl CoordinatorState {
     /// The number of a new connection.
     fn joins(&mut self, stream: &TcpStream) -> usize {
         self.open.extend(stream.try_clone());
@@ -35,19 +35,19 @@
     }
 }
 
-impl Play {
+impl Scenario {
     /// The coordinator: each question is answered once there is something later than what it names.
     pub fn serve_list(&mut self) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         self.coordinator = Some(listener.local_addr().unwrap());
-        let (told, (sender, questions)) = (self.told.clone(), channel());
+        let (state, (sender, questions)) = (self.coordinator_state.clone(), channel());
         self.questions = Some(questions);
-        self.tell(|told| told.door = listener.try_clone().ok());
-        let moves = told.0.lock().unwrap().moves;
+        self.update_coordinator(|state| state.listener = listener.try_clone().ok());
+        let moves = state.0.lock().unwrap().moves;
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (told, sender) = (told.clone(), sender.clone());
-                let number = told.0.lock().unwrap().joins(&stream);
+                let (state, sender) = (state.clone(), sender.clone());
+                let number = state.0.lock().unwrap().joins(&stream);
                 std::thread::spawn(move || {
                     stream.set_nodelay(true).ok()?;
                     let mut input = BufReader::new(stream.try_clone().ok()?);
@@ -59,16 +59,17 @@
                             line[at + 7..].chars().take_while(|c| c.is_ascii_digit()).collect();
                         let follow: usize = digits.parse().ok()?;
                         sender.send(follow).ok()?;
-                        let waits = |t: &mut Told| t.updates.len() <= follow && t.answers.is_empty();
-                        let guard = told.0.lock().unwrap();
-                        let mut held = told.1.wait_while(guard, waits).unwrap();
+                        let waits =
+                            |t: &mut CoordinatorState| t.updates.len() <= follow && t.answers.is_empty();
+                        let guard = state.0.lock().unwrap();
+                        let mut held = state.1.wait_while(guard, waits).unwrap();
                         while held.moves > moves || number <= held.silent {
-                            held = told.1.wait(held).unwrap();
+                            held = state.1.wait(held).unwrap();
                         }
                         if let Some(answer) = held.answers.pop_front() {
                             (&stream).write_all(answer.as_bytes()).ok()?;
                             held.answered += 1;
-                            told.1.notify_all();
+                            state.1.notify_all();
                             continue;
                         }
                         let later = held.updates.get(follow..).unwrap_or_default();
@@ -76,7 +77,7 @@
                         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
                         (&stream).write_all((head + &body).as_bytes()).ok()?;
                         held.sent = held.updates.len();
-                        told.1.notify_all();
+                        state.1.notify_all();
                     }
                     #[allow(unreachable_code)]
                     Some(())
@@ -97,28 +98,31 @@
 
     /// Gives the next answer as it is, and waits until it has left.
     pub fn answers(&mut self, answer: String) {
-        let before = self.told.0.lock().unwrap().answered;
-        self.tell(|told| told.answers.push_back(answer));
-        let waits = |told: &mut Told| told.answered == before;
-        let guard = self.told.0.lock().unwrap();
-        let (held, wait) = self.told.1.wait_timeout_while(guard, PATIENCE, waits).unwrap();
+        let before = self.coordinator_state.0.lock().unwrap().answered;
+        self.update_coordinator(|state| state.answers.push_back(answer));
+        let waits = |state: &mut CoordinatorState| state.answered == before;
+        let guard = self.coordinator_state.0.lock().unwrap();
+        let (held, wait) = self.coordinator_state.1.wait_timeout_while(guard, PATIENCE, waits).unwrap();
         assert!(!wait.timed_out(), "no question for {:?}", held.answers);
     }
 
     /// Waits until the latest change has left.
-    pub fn has_told(&mut self) {
-        let waits = |told: &mut Told| told.sent < told.updates.len();
-        let (held, wait) =
-            self.told.1.wait_timeout_while(self.told.0.lock().unwrap(), PATIENCE, waits).unwrap();
+    pub fn coordinator_has_sent(&mut self) {
+        let waits = |state: &mut CoordinatorState| state.sent < state.updates.len();
+        let (held, wait) = self
+            .coordinator_state
+            .1
+            .wait_timeout_while(self.coordinator_state.0.lock().unwrap(), PATIENCE, waits)
+            .unwrap();
         assert!(!wait.timed_out(), "no question after {}", held.sent);
     }
 
     /// Nobody listens any more where the coordinator was: its connections end, new ones are refused.
     pub fn coordinator_goes(&mut self) {
-        self.tell(|told| {
-            let door = told.door.take().unwrap();
-            SockRef::from(&door).shutdown(Shutdown::Both).unwrap();
-            told.open.drain(..).for_each(|stream| _ = stream.shutdown(Shutdown::Both));
+        self.update_coordinator(|state| {
+            let listener = state.listener.take().unwrap();
+            SockRef::from(&listener).shutdown(Shutdown::Both).unwrap();
+            state.open.drain(..).for_each(|stream| _ = stream.shutdown(Shutdown::Both));
         });
         let (at, begun) = (self.coordinator.unwrap(), Instant::now());
         while TcpStream::connect(at).is_ok() {
@@ -126,8 +130,8 @@
         }
     }
 
-    pub fn tell(&mut self, update: impl FnOnce(&mut Told)) {
-        update(&mut self.told.0.lock().unwrap());
-        self.told.1.notify_all();
+    pub fn update_coordinator(&mut self, update: impl FnOnce(&mut CoordinatorState)) {
+        update(&mut self.coordinator_state.0.lock().unwrap());
+        self.coordinator_state.1.notify_all();
     }
 }
--- a/crates/front/tests/play/dials.rs
+++ b/crates/front/tests/scripted/dials.rs
@@ -9,14 +9,14 @@
 
 use socket2::SockRef;
 
-use crate::{Play, PATIENCE};
+use crate::{Scenario, PATIENCE};
 
 const QUEUE: i32 = 128; // connections that a listener holds untaken; with none agreed the system still holds one
 const LOOK: Duration = Duration::from_millis(1);
 
 /// Where an engine's connections are taken, one after the other.
 #[derive(Default)]
-pub struct Door {
+pub struct DialGate {
     state: Mutex<Passes>,
     changed: Condvar,
 }
@@ -24,12 +24,12 @@
 #[derive(Default)]
 struct Passes {
     shut: bool,
-    /// Somebody stands at the shut door.
+    /// A dial is held at the shut gate.
     waits: bool,
 }
 
-impl Door {
-    /// Lets a connection through, as soon as the door is open.
+impl DialGate {
+    /// Lets a connection through, as soon as the gate is open.
     pub fn pass(&self) {
         let mut state = self.state.lock().unwrap();
         while state.shut {
@@ -45,22 +45,22 @@
         self.changed.notify_all();
     }
 
-    fn is_stood_at(&self) -> bool {
+    fn holds_a_dial(&self) -> bool {
         let guard = self.state.lock().unwrap();
         let (state, _) = self.changed.wait_timeout_while(guard, PATIENCE, |state| !state.waits).unwrap();
         state.waits
     }
 }
 
-impl Play {
+impl Scenario {
     /// From now on a dial to an engine stays pending.
     pub fn accepts_nothing(&mut self, name: &str) {
         let engine = &self.engines[name];
-        engine.door.shut(true);
+        engine.dial_gate.shut(true);
         SockRef::from(engine.listener.as_ref().unwrap()).listen(0).unwrap();
-        // One is taken and stands at the door, the next fills the queue.
+        // One is accepted and held at the gate, the next fills the queue.
         let first = TcpStream::connect(engine.at).unwrap();
-        assert!(engine.door.is_stood_at());
+        assert!(engine.dial_gate.holds_a_dial());
         let second = TcpStream::connect_timeout(&engine.at, PATIENCE).unwrap();
         self.fillers.insert(name.to_string(), vec![first, second]);
     }
@@ -69,7 +69,7 @@
         self.fillers.remove(name);
         let engine = &self.engines[name];
         SockRef::from(engine.listener.as_ref().unwrap()).listen(QUEUE).unwrap();
-        engine.door.shut(false);
+        engine.dial_gate.shut(false);
     }
 
     /// Waits until there is a pending dial to an engine, or none any more.
--- a/crates/front/tests/play/engine.rs
+++ b/crates/front/tests/scripted/engine.rs
@@ -9,8 +9,8 @@
 
 use socket2::SockRef;
 
-use crate::dials::Door;
-use crate::{id, rows, Play, PATIENCE};
+use crate::dials::DialGate;
+use crate::{id, rows, Scenario, PATIENCE};
 
 pub const NARROW: usize = 2048; // bytes of a narrow machine's buffer, as far as the system keeps to it
 
@@ -41,7 +41,7 @@
     pub at: SocketAddr,
     pub listener: Option<TcpListener>,
     pub listens: Listens,
-    pub door: Arc<Door>,
+    pub dial_gate: Arc<DialGate>,
     heard: Receiver<Heard>,
     /// Heard by now, and no line has named it yet.
     waiting: Vec<Heard>,
@@ -61,8 +61,9 @@
         }
         let at = listener.local_addr().unwrap();
         let (sender, heard) = channel();
-        let (listens, door) = (Arc::new((Mutex::new(!deaf), Condvar::new())), Arc::new(Door::default()));
-        let (ears, accepts, passes) = (listens.clone(), listener.try_clone().unwrap(), door.clone());
+        let (listens, dial_gate) =
+            (Arc::new((Mutex::new(!deaf), Condvar::new())), Arc::new(DialGate::default()));
+        let (ears, accepts, passes) = (listens.clone(), listener.try_clone().unwrap(), dial_gate.clone());
         std::thread::spawn(move || {
             for stream in accepts.incoming().map_while(Result::ok) {
                 passes.pass();
@@ -74,7 +75,7 @@
             at,
             listener: Some(listener),
             listens,
-            door,
+            dial_gate,
             heard,
             waiting: Vec::new(),
             latest: None,
@@ -126,7 +127,7 @@
     }
 }
 
-impl Play {
+impl Scenario {
     /// The next command that is one of those named, by its word (`want|turn` for either) and its statement. Connections are read side by side, so the order is that of
     /// each: what comes by another connection may come sooner or later.
     pub fn engine_hears(&mut self, name: &str, command: &str, numbers: &[&str], words: &[&str]) -> String {
--- a/crates/front/tests/play/told.rs
+++ b/crates/front/tests/scripted/engine_list.rs
@@ -3,11 +3,11 @@
 use serde_json::{json, Value};
 
 use crate::engine::Engine;
-use crate::Play;
+use crate::Scenario;
 
-impl Play {
+impl Scenario {
     /// True if the line is one of these.
-    pub fn told_line(&mut self, words: &[&str]) -> bool {
+    pub fn engine_list_line(&mut self, words: &[&str]) -> bool {
         match words[..] {
             ["list", "only", ..] => self.lists_only(&words[2..].join(" ")),
             ["list", name, state, ..] => {
@@ -18,11 +18,11 @@
             ["known", name, state] => {
                 let server = self.listed(name, state, None);
                 self.lists(false, vec![server], false);
-                self.known = self.told.0.lock().unwrap().updates.len();
+                self.known = self.coordinator_state.0.lock().unwrap().updates.len();
             }
-            ["coordinator", "is", "silent"] => self.tell(|told| told.silent = usize::MAX),
-            ["coordinator", "speaks"] => self.tell(|told| told.silent = told.connections),
-            ["coordinator", "has", "told"] => self.has_told(),
+            ["coordinator", "is", "silent"] => self.update_coordinator(|state| state.silent = usize::MAX),
+            ["coordinator", "speaks"] => self.update_coordinator(|state| state.silent = state.connections),
+            ["coordinator", "has", "told"] => self.coordinator_has_sent(),
             ["coordinator", "goes"] => self.coordinator_goes(),
             _ => return false,
         }
@@ -40,9 +40,9 @@
 
     /// The next update; if it is `heard`, waits until the front asks for what follows it.
     fn lists(&mut self, full: bool, servers: Vec<Value>, heard: bool) {
-        let index = self.told.0.lock().unwrap().updates.len() + 1;
+        let index = self.coordinator_state.0.lock().unwrap().updates.len() + 1;
         let list = json!({"version": index, "full": full, "servers": servers});
-        self.tell(|told| told.updates.push(json!({"index": index, "endpoints": list})));
+        self.update_coordinator(|state| state.updates.push(json!({"index": index, "endpoints": list})));
         if heard {
             self.asked(Some(index));
         }
--- a/crates/front/tests/play/together.rs
+++ b/crates/front/tests/scripted/fronts.rs
@@ -5,7 +5,7 @@
 
 use ed25519_dalek::SigningKey;
 
-use crate::{usual_settings, Play, FILES};
+use crate::{usual_settings, Scenario, FILES};
 
 const FRONTS: usize = 3;
 
@@ -14,7 +14,7 @@
 }
 
 /// Fronts that gossip, and keep promises on all of them.
-pub fn fleet(rules: &str) -> Vec<Play> {
+pub fn fleet(rules: &str) -> Vec<Scenario> {
     let secrets: Vec<[u8; 32]> = (1..=FRONTS as u8).map(|n| [n; 32]).collect();
     let key = |secret: &[u8; 32]| hexadecimal(&SigningKey::from_bytes(secret).verifying_key().to_bytes());
     // All are free at once; each is let go of just before its front takes it.
@@ -30,22 +30,22 @@
         let secret =
             std::env::temp_dir().join(format!("hallmux-play-{}-{number}.secret", std::process::id()));
         std::fs::write(&secret, hexadecimal(&secrets[n])).unwrap();
-        let mut play = Play::default();
-        play.settings = usual_settings();
-        play.files.push(secret.clone());
-        play.line("agreed areas [\"here\", \"there\"]");
-        play.line("engine a");
-        play.line("engine b@there");
-        play.line(&format!("rules {rules}"));
-        play.line(&format!(
+        let mut scenario = Scenario::default();
+        scenario.settings = usual_settings();
+        scenario.files.push(secret.clone());
+        scenario.line("agreed areas [\"here\", \"there\"]");
+        scenario.line("engine a");
+        scenario.line("engine b@there");
+        scenario.line(&format!("rules {rules}"));
+        scenario.line(&format!(
             "operator {{ gossip: {{ listen: '{}', secret_file: '{}', peers: {{ {peers} }}, seeds: [{seeds}], \
              ledger: {{ fleet: 'test', shards: 2, members: {{ {members} }} }} }}, \
              rules: {{ file: 'RULES', region: 'here', lease_ms: 1500, tell_every_ms: 3600000 }} }}",
             at[n],
             secret.display()
         ));
-        play.line("start");
-        play
+        scenario.line("start");
+        scenario
     };
     (0..FRONTS).map(start).collect()
 }
@@ -57,7 +57,7 @@
     };
     let mut fleet = fleet(&rules(1, "there"));
     fleet.iter_mut().for_each(|front| front.line("logs version 1 of the rules is in force"));
-    let lines = |front: &mut Play, lines: &[&str]| lines.iter().for_each(|line| front.line(line));
+    let lines = |front: &mut Scenario, lines: &[&str]| lines.iter().for_each(|line| front.line(line));
     lines(
         &mut fleet[2],
         &[
--- a/crates/front/tests/play/limits.rs
+++ b/crates/front/tests/scripted/limits.rs
@@ -6,8 +6,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use crate::together::fleet;
-use crate::{id, Play};
+use crate::fronts::fleet;
+use crate::{id, Scenario};
 
 const MOST: usize = 20;
 const WINDOW: Duration = Duration::from_secs(6);
@@ -23,7 +23,7 @@
 }
 
 /// Asks a front for a statement; when.
-fn ask(front: &mut Play, number: u32) -> Instant {
+fn ask(front: &mut Scenario, number: u32) -> Instant {
     let number = number.to_string();
     let frame = front.frame(&number, &[], &format!("select {number}"));
     let sent = Instant::now();
--- a/crates/front/tests/play/line.rs
+++ b/crates/front/tests/scripted/line.rs
@@ -4,9 +4,9 @@
 use std::net::{TcpListener, TcpStream};
 
 use crate::engine::Engine;
-use crate::{unescaped, Play, BIG, PATIENCE};
+use crate::{unescaped, Scenario, BIG, PATIENCE};
 
-impl Play {
+impl Scenario {
     pub fn line(&mut self, line: &str) {
         let words: Vec<&str> = line.split(' ').collect();
         let rest = |n: usize| words[n..].join(" ");
@@ -41,7 +41,7 @@
                 self.files.insert(0, path); // the last is the configuration
             }
             ["told", key, ..] => {
-                self.told_otherwise.push((key.to_string(), serde_json::from_str(&rest(2)).unwrap()));
+                self.configuration_overrides.push((key.to_string(), serde_json::from_str(&rest(2)).unwrap()));
             }
             ["engine", name, ..] => {
                 let mut engine = Engine::new(words[2..].contains(&"deaf"), words[2..].contains(&"narrow"));
@@ -56,18 +56,18 @@
                 let output = self.spawn().wait_with_output().unwrap();
                 let said = String::from_utf8_lossy(&output.stderr).into_owned();
                 assert!(!output.status.success() && said.contains(&rest(1)), "{said}");
-                self.told_otherwise.clear();
+                self.configuration_overrides.clear();
             }
             ["coordinator", "answers", ..] => self.answers(unescaped(&rest(2))),
             ["coordinator", "asked"] => self.asked(None),
             ["coordinator", "asked", number] => self.asked(Some(number.parse().unwrap())),
             ["coordinator", "moves"] => {
-                self.tell(|told| told.moves += 1);
+                self.update_coordinator(|state| state.moves += 1);
                 self.serve_list();
             }
             ["reloads"] => {
                 self.configure();
-                self.told_otherwise.clear();
+                self.configuration_overrides.clear();
                 self.signal("-HUP");
             }
             ["logs", ..] => {
@@ -171,7 +171,10 @@
                 let latest = self.engines.get_mut(engine).unwrap().latest.take().unwrap();
                 latest.shutdown(std::net::Shutdown::Both).unwrap();
             }
-            _ => assert!(self.told_line(&words) || self.ordered_line(&words), "a line that means nothing"),
+            _ => assert!(
+                self.engine_list_line(&words) || self.ordered_line(&words),
+                "a line that means nothing"
+            ),
         }
     }
 }
--- a/crates/front/tests/play/main.rs
+++ b/crates/front/tests/scripted/main.rs
@@ -1,4 +1,4 @@
-//! Plays the scenarios beside this file against the front's binary: scripted peers on loopback, on ports
+//! Runs the scenarios of the folder `scenarios` against the front's binary: scripted peers on loopback, on ports
 //! that the system gives. Each line waits for what it names and for nothing else; too long a wait fails.
 //!
 //!     agreed KEY JSON          a value of the settings object, in place of the usual one
@@ -33,7 +33,7 @@
 //!     passes MS                lets time pass, as a client's patience does
 //!     many N CLIENT ENGINE     N statements one by one, each completed; memory must not grow
 //!
-//! Lines that choose an order of events, where something ends (`told.rs`, `moments.rs`):
+//! Lines that choose an order of events, where something ends (`engine_list.rs`, `ordering.rs`):
 //!
 //!     list only NAME STATE, NAME STATE    tells the whole list; what it does not name is gone
 //!     list NAME STATE [at OTHER] unheard  the same as without, but the front is not waited for
@@ -71,13 +71,13 @@
 mod coordinator;
 mod dials;
 mod engine;
+mod engine_list;
+mod fronts;
 mod limits;
 mod line;
-mod moments;
+mod ordering;
+mod outcomes;
 mod process;
-mod served;
-mod together;
-mod told;
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpStream};
@@ -91,7 +91,7 @@
 use serde_json::{json, Value};
 
 use clock::Clock;
-use coordinator::Told;
+use coordinator::CoordinatorState;
 use engine::Engine;
 
 const PATIENCE: Duration = Duration::from_secs(20); // for any one wait; a busy machine takes some of it
@@ -99,14 +99,14 @@
 const BIG: usize = 100_000; // bytes that `BIG` in a statement stands for
 
 #[derive(Default)]
-struct Play {
+struct Scenario {
     settings: Value,
-    told_otherwise: Vec<(String, Value)>,
+    configuration_overrides: Vec<(String, Value)>,
     files: Vec<PathBuf>,
     engines: HashMap<String, Engine>,
     clients: HashMap<String, TcpStream>,
     statements: HashMap<String, String>,
-    told: Arc<(Mutex<Told>, Condvar)>,
+    coordinator_state: Arc<(Mutex<CoordinatorState>, Condvar)>,
     questions: Option<Receiver<usize>>,
     coordinator: Option<SocketAddr>,
     front: Option<Child>,
@@ -143,7 +143,7 @@
 
 static FILES: AtomicUsize = AtomicUsize::new(0);
 
-impl Drop for Play {
+impl Drop for Scenario {
     fn drop(&mut self) {
         if let Some(mut front) = self.front.take() {
             let _ = front.kill();
@@ -177,11 +177,11 @@
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/scenarios");
     let mut paths: Vec<_> = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()).collect();
     paths.sort();
-    if let Ok(only) = std::env::var("PLAY") {
+    if let Ok(only) = std::env::var("SCENARIO") {
         paths.retain(|path| path.file_stem().is_some_and(|name| name == &*only));
     }
     assert!(!paths.is_empty());
-    // Each is played whatever becomes of the others, so that one run names all that fail.
+    // Each is run whatever becomes of the others, so that one run names all that fail.
     let fails = |path: &PathBuf| std::panic::catch_unwind(|| scenario(path)).is_err();
     let failed: Vec<PathBuf> = paths.into_iter().filter(fails).collect();
     assert!(failed.is_empty(), "failed: {failed:#?}");
@@ -189,13 +189,13 @@
 
 fn scenario(path: &PathBuf) {
     println!("{}", path.display());
-    let mut play = Play::default();
-    play.settings = usual_settings();
+    let mut scenario = Scenario::default();
+    scenario.settings = usual_settings();
     for (number, line) in std::fs::read_to_string(path).unwrap().lines().enumerate() {
         if !line.is_empty() && !line.starts_with('#') {
             println!("{}: {line}", number + 1);
-            play.line(line);
+            scenario.line(line);
         }
     }
-    play.nothing_else_came();
+    scenario.nothing_else_came();
 }
--- a/crates/front/tests/play/moments.rs
+++ b/crates/front/tests/scripted/ordering.rs
@@ -8,12 +8,12 @@
 use socket2::{Domain, SockAddr, Socket, Type};
 
 use crate::engine::NARROW;
-use crate::{Play, PATIENCE};
+use crate::{Scenario, PATIENCE};
 
 const LEAST_FLOOD: usize = 1_000; // statements that a socket must hold, or they are no flood
 const TOLERANCE: i64 = 150; // milliseconds by which a deadline may come late to an engine
 
-impl Play {
+impl Scenario {
     /// True if the line is one of these.
     pub fn ordered_line(&mut self, words: &[&str]) -> bool {
         let rest = |n: usize| words[n..].join(" ");
@@ -23,16 +23,16 @@
                 assert!(turns <= most.parse().unwrap(), "{turns} turns");
             }
             ["settles"] => self.settles(),
-            ["gets", "busy"] => self.gets_busy(),
-            ["halts", "at", "work"] => self.halts_at_work(""),
-            ["halts", "at", "work", "by", ..] => self.halts_at_work(&rest(4)),
+            ["gets", "busy"] => self.fill_with_work(),
+            ["halts", "at", "work"] => self.halt_at_work(""),
+            ["halts", "at", "work", "by", ..] => self.halt_at_work(&rest(4)),
             ["kills"] => {
                 let mut front = self.front.take().unwrap();
                 front.kill().unwrap();
                 front.wait().unwrap();
             }
             ["starts", "anew"] => {
-                self.told_otherwise.push(("listen".to_string(), self.listens.as_str().into()));
+                self.configuration_overrides.push(("listen".to_string(), self.listens.as_str().into()));
                 self.start();
             }
             [client, "connects", "narrowly"] => {
--- a/crates/front/tests/play/served.rs
+++ b/crates/front/tests/scripted/outcomes.rs
@@ -4,7 +4,7 @@
 use std::io::{ErrorKind, Read, Write};
 use std::time::{Duration, Instant};
 
-use crate::{id, rows, Play, PATIENCE};
+use crate::{id, rows, Scenario, PATIENCE};
 
 const LOOK: Duration = Duration::from_millis(2);
 const PAGES: usize = 8; // of the longest result
@@ -34,7 +34,7 @@
     }
 }
 
-impl Play {
+impl Scenario {
     /// Hears the statements named, in any order, and answers each at once.
     pub fn answers_all(&mut self, engine: &str, which: &str, text: &str) {
         let (awaited, big) = (numbers(which), text == "BIG");
@@ -119,13 +119,13 @@
     pub fn is_well_past(&mut self, client: &str, number: &str) {
         let asks = self.message(1, "isWell", "900", &[2, 0, 1, 0]);
         self.clients.get_mut(client).unwrap().write_all(&asks).unwrap();
-        let mut told = 0;
+        let mut answers = 0;
         while let Some((_, name, heard, _)) = self.reply(client) {
             if name == "isWell" {
                 return;
             }
-            told += 1;
-            assert!(heard == number && told == 1, "{name} {heard}");
+            answers += 1;
+            assert!(heard == number && answers == 1, "{name} {heard}");
         }
         panic!("no answer");
     }
--- a/crates/front/tests/play/process.rs
+++ b/crates/front/tests/scripted/process.rs
@@ -11,12 +11,12 @@
 use serde_json::{json, Value};
 
 use crate::clock::Clock;
-use crate::{Play, FILES, PATIENCE};
+use crate::{Scenario, FILES, PATIENCE};
 
 const LINGERS_MS: i64 = 10; // milliseconds of the front's time between looks at whether it has ended
 const LOOK: Duration = Duration::from_millis(2);
 
-impl Play {
+impl Scenario {
     pub fn server(&self, name: &str, state: &str, at: SocketAddr, started: bool) -> Value {
         let started_ms = if started { 1_700_000_000_000u64 } else { 0 };
         json!({"id": name, "addr": at.to_string(), "zone": name.split_once('@').map_or("here", |(_, zone)| zone), "kind": "std", "cell": 0,
@@ -35,7 +35,7 @@
         let servers: Vec<Value> =
             self.engines.iter().map(|(name, e)| self.server(name, "up", e.at, false)).collect();
         let known = json!({"index": 1, "endpoints": {"version": 1, "full": true, "servers": servers}});
-        self.told.0.lock().unwrap().updates.push(known);
+        self.coordinator_state.0.lock().unwrap().updates.push(known);
         self.serve_list();
         self.config = self.file("json");
         self.configure();
@@ -58,13 +58,13 @@
 
     /// Writes the configuration to the latest file.
     pub fn configure(&self) {
-        let updates = &self.told.0.lock().unwrap().updates;
+        let updates = &self.coordinator_state.0.lock().unwrap().updates;
         let known = &updates[..self.known.max(1)];
         let mut config = json!({"name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "coordinator": self.coordinator.map(|at| at.to_string()),
             "known": {"index": known.len(), "updates": known}, "settings": self.settings});
-        for (key, value) in &self.told_otherwise {
+        for (key, value) in &self.configuration_overrides {
             config[key] = value.clone();
         }
         std::fs::write(&self.config, config.to_string()).unwrap();
