--- a/crates/front/src/fleet/join.rs
+++ b/crates/front/src/fleet/join.rs
@@ -58,7 +58,7 @@
     let keeps = ledger.members.iter().any(|member| id(&member.key) == own);
     let mut saved = None;
     if let Some(directory) = ledger.directory.as_ref().filter(|_| keeps) {
-        let drill = ledger.drill.as_deref();
+        let drill = ledger.disk_fault_file.as_deref();
         let socket = socket.try_clone().map_err(PeersError::system)?;
         let loop_waker = loop_waker(handle).map_err(PeersError::system)?;
         match Copies::open(directory, drill, socket, loop_waker) {
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -369,7 +369,7 @@
     }
 }
 
-/// An execution's number for the mind: those of a statement's parts are told apart.
+/// The number of an execution for `hallmux_access`; executions of different parts of a statement have different ones.
 fn place_of(sent: ExecutionId) -> u64 {
     u64::from(sent.ticket) << 16 | sent.number as u64 & 0xffff
 }
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -80,7 +80,7 @@
         let settings = &config.settings;
         let gateway = config.operator.postgres.as_ref();
         let part = |why: std::io::Error| StartError::part(&why);
-        let clock = Clock::new(config.operator.clock_ahead, config.clock_file.as_deref());
+        let clock = Clock::new(config.operator.clock_offset, config.clock_file.as_deref());
         let mut clock = clock.map_err(part)?;
         clock.refresh();
         let gossip = config.operator.gossip.as_ref();
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -11,10 +11,10 @@
 use calloop::LoopHandle;
 use hallmux_agreement::{NetworkSettings, SessionLimits};
 use hallmux_dispatcher::{Dials, Ending, Micros, Place};
-use hallmux_postgres::engine::{Account, Done, Engine};
+use hallmux_postgres::engine::{Account, EngineConnection, UnitOutcome};
 use hallmux_postgres::pool::{self, Pools};
-use hallmux_postgres::prepared::Settings;
-use hallmux_postgres::session::Part;
+use hallmux_postgres::prepared::SessionSettings;
+use hallmux_postgres::session::UnitPart;
 
 use crate::events::LoopEvents;
 use crate::execution::ExecutionId;
@@ -41,7 +41,7 @@
     Answered {
         sent: ExecutionId,
         bytes: Vec<u8>,
-        done: Done,
+        done: UnitOutcome,
         held: Option<ServerId>,
     },
     /// Not executed, with the error that the engine gives.
@@ -65,9 +65,9 @@
 #[derive(Clone)]
 pub struct Unit {
     pub session: SessionId,
-    pub parts: Vec<Rc<Part>>,
-    pub settings: Rc<Settings>,
-    pub account: pool::Account,
+    pub parts: Vec<Rc<UnitPart>>,
+    pub settings: Rc<SessionSettings>,
+    pub account: pool::AccountId,
     /// The connection that holds its transaction.
     pub pin: Option<ServerId>,
     /// It is not to be repeated once it has left.
@@ -97,7 +97,7 @@
 
 struct Server {
     link: Link,
-    engine: Engine,
+    engine: EngineConnection,
     place: Place,
     up: bool,
     serves: Option<ExecutionId>,
@@ -194,12 +194,12 @@
 
     /// Units that can leave for an engine over connections at rest or on their way, or one that may be made now.
     pub fn capacity(&self, now: Micros, place: Place) -> usize {
-        let dials = self.pools.takes_more(place) && self.dials.borrow().next(now, place) <= now;
-        self.pools.free(place) + usize::from(dials && self.engines.get(&place).is_some_and(|e| e.up))
+        let dials = self.pools.has_capacity(place) && self.dials.borrow().next(now, place) <= now;
+        self.pools.available(place) + usize::from(dials && self.engines.get(&place).is_some_and(|e| e.up))
     }
 
     /// The number of an account at the engines.
-    pub fn account(&mut self, account: Account) -> Option<pool::Account> {
+    pub fn account(&mut self, account: Account) -> Option<pool::AccountId> {
         let known = self.accounts.iter().position(|a| *a == account);
         // Guards against names of databases without end.
         if known.is_none() && self.accounts.len() < MOST_ACCOUNTS {
@@ -244,7 +244,7 @@
         if let Some(engine) = self.engines.get_mut(&place) {
             engine.up = false;
         }
-        let (waited, resting) = self.pools.retire(place);
+        let (waited, resting) = self.pools.retire_engine(place);
         waited.into_iter().for_each(|sent| self.report_end(sent, Ending::Withdrawn));
         resting.into_iter().for_each(|id| self.close(id));
         let held = |(id, l): (&ServerId, &Server)| {
@@ -292,12 +292,12 @@
         if self.next_check <= now {
             self.next_check = now + CHECK_INTERVAL;
             self.ping_silent(now);
-            for id in self.pools.idle(now) {
+            for id in self.pools.expired(now) {
                 self.close(id);
             }
             // What waits for descriptors that others have let go of.
             for place in self.engines.keys().copied().collect::<Vec<_>>() {
-                let step = self.pools.next(place);
+                let step = self.pools.next_action(place);
                 self.step(now, place, step);
             }
         }
--- a/crates/front/src/postgres/sessions/answers.rs
+++ b/crates/front/src/postgres/sessions/answers.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 
 use hallmux_dispatcher::{Micros, Ticket};
-use hallmux_postgres::answer::Final;
-use hallmux_postgres::engine::Done;
-use hallmux_postgres::session::Part;
+use hallmux_postgres::client_error::ClientError;
+use hallmux_postgres::engine::UnitOutcome;
+use hallmux_postgres::session::UnitPart;
 use hallmux_postgres::wire;
 
 use super::{Event, Running, Sessions, Stage};
@@ -13,7 +13,7 @@
 
 impl Sessions {
     /// A unit is taken under a ticket.
-    pub fn open_unit(&mut self, id: SessionId, ticket: Ticket, part: Rc<Part>, key: Option<String>) {
+    pub fn open_unit(&mut self, id: SessionId, ticket: Ticket, part: Rc<UnitPart>, key: Option<String>) {
         let Some(open_session) = self.open_session(id) else { return };
         let bytes = part.raw.len();
         open_session.running = Some(Running {
@@ -35,11 +35,11 @@
     }
 
     /// A unit that was not taken gets its answer.
-    pub fn answer_unusable(&mut self, id: SessionId, part: Rc<Part>, why: &Final) {
+    pub fn answer_unusable(&mut self, id: SessionId, part: Rc<UnitPart>, why: &ClientError) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let Stage::Open(open_session) = &mut connection.stage else { return };
         open_session.session.fails(&[part], why, connection.link.output());
-        open_session.skipping = open_session.session.is_within();
+        open_session.skipping = open_session.session.is_in_unit();
         self.release_transaction(id, false);
         self.changed.insert(id);
         self.ready.push(id);
@@ -98,7 +98,7 @@
         now: Micros,
         ticket: Ticket,
         bytes: &[u8],
-        done: &Done,
+        done: &UnitOutcome,
         pin: Option<(usize, ServerId)>,
     ) {
         let Some((id, running)) = self.remove_running(ticket) else { return };
@@ -117,7 +117,7 @@
     }
 
     /// A unit has its final answer, the front's own, or the engine's on why it does not run.
-    pub fn fail(&mut self, now: Micros, ticket: Ticket, why: &Final, engine_error: Option<&[u8]>) {
+    pub fn fail(&mut self, now: Micros, ticket: Ticket, why: &ClientError, engine_error: Option<&[u8]>) {
         let Some((id, running)) = self.remove_running(ticket) else { return };
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.last_active = now;
@@ -129,14 +129,14 @@
         } else {
             let mut own = Vec::new();
             open_session.session.fails(&running.parts, why, &mut own);
-            match engine_error.and_then(|engine_error| Some((engine_error, wire::head(&own).ok()??.1))) {
+            match engine_error.and_then(|engine_error| Some((engine_error, wire::header(&own).ok()??.len))) {
                 Some((engine_error, len)) => {
                     out.extend_from_slice(engine_error);
                     out.extend_from_slice(&own[len..]);
                 }
                 None => out.extend_from_slice(&own),
             }
-            open_session.skipping = open_session.session.is_within();
+            open_session.skipping = open_session.session.is_in_unit();
         }
         let cut = running.cut;
         self.release_transaction(id, running.ran);
