--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -85,12 +85,12 @@
     /// `own` and `fronts` are by the keys of gossip. Without other fronts this one is the fleet.
     pub fn new(
         rules: &hallmux_agreement::Rules,
-        contract: &Settings,
+        settings: &Settings,
         own: Owner,
         fronts: Vec<u64>,
         alone: bool,
     ) -> Result<Rules, RulesError> {
-        let known = known(rules, contract);
+        let known = known(rules, settings);
         let (text, wish) = read(&rules.file, &known)?;
         if matches!(wish, Wish::WhatIf(_)) {
             return Err(RulesError::Question(rules.file.clone()));
@@ -369,7 +369,7 @@
     }
 }
 
-/// An execution's number for the mind: those of a statement's parts are told apart.
+/// The number of an execution for `hallmux_access`; executions of different parts of a statement have different ones.
 fn place_of(sent: ExecutionId) -> u64 {
     u64::from(sent.ticket) << 16 | sent.number as u64 & 0xffff
 }
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -1,6 +1,7 @@
 //! What one front does in an iteration: it takes in all that is there, decides once, and sends what follows.
 
 mod admission;
+mod configuration;
 mod dial_capacity;
 mod dispatch;
 mod engine_list;
@@ -10,7 +11,7 @@
 use std::time::Duration;
 
 use calloop::LoopHandle;
-use hallmux_agreement::{NodeConfig, NodeLimits, Settings};
+use hallmux_agreement::{NodeConfig, Settings};
 use hallmux_codec::coordinator::Events as EngineListEvents;
 use hallmux_dispatcher::{Dispatcher, Micros, Rooms};
 
@@ -31,8 +32,6 @@
 pub use dial_capacity::Pacer;
 
 const MOST_DECISIONS: usize = 8; // decisions in an iteration: an execution that the first one stops is known to the next at once
-const MEMORY_PART: u64 = 4; // statements held may take one part of so many, untaken answers another
-const CLIENTS_PART: usize = 2; // of the descriptors; clients hold a third, the rest is for engines
 
 pub struct Front {
     handle: LoopHandle<'static, LoopEvents>,
@@ -67,47 +66,47 @@
 }
 
 /// No client waits longer than that for an answer.
-fn longest_timeout(contract: &Settings) -> Micros {
-    contract.agreement.workloads.iter().map(|workload| workload.statement_timeout).max().unwrap_or(0)
+fn longest_timeout(settings: &Settings) -> Micros {
+    settings.agreement.workloads.iter().map(|workload| workload.statement_timeout).max().unwrap_or(0)
 }
 
 impl Front {
     pub fn new(
-        station: &NodeConfig,
+        config: &NodeConfig,
         known: &EngineListEvents,
         listener: TcpListener,
         handle: LoopHandle<'static, LoopEvents>,
     ) -> Result<Front, StartError> {
-        let contract = &station.settings;
-        let gateway = station.operator.postgres.as_ref();
+        let settings = &config.settings;
+        let gateway = config.operator.postgres.as_ref();
         let part = |why: std::io::Error| StartError::part(&why);
-        let clock = Clock::new(station.operator.clock_offset, station.clock_file.as_deref());
+        let clock = Clock::new(config.operator.clock_offset, config.clock_file.as_deref());
         let mut clock = clock.map_err(part)?;
         clock.refresh();
-        let gossip = station.operator.gossip.as_ref();
+        let gossip = config.operator.gossip.as_ref();
         let peers = gossip.map(|gossip| Peers::new(gossip, clock.now, &handle)).transpose()?;
-        let rules = rules::start(station, clock.now, peers.as_ref())?;
-        let open = |postgres| Gateway::new(postgres, contract, handle.clone(), rules.clone());
+        let rules = rules::start(config, clock.now, peers.as_ref())?;
+        let open = |postgres| Gateway::new(postgres, settings, handle.clone(), rules.clone());
         let mut gateway = gateway.map(open).transpose().map_err(part)?;
         let spread_offset = peers.as_ref().map_or(0, Peers::spread_offset);
-        let scatter = station.operator.scatter.as_ref();
+        let scatter = config.operator.scatter.as_ref();
         if let Some((gateway, scatter)) = gateway.as_mut().zip(scatter.filter(|scatter| scatter.marked)) {
             gateway.writes = scatter.writes.clone();
         }
         let scatter =
-            scatter.map(|scatter| ScatteredStatements::new(scatter, clock.now, spread_offset, contract));
+            scatter.map(|scatter| ScatteredStatements::new(scatter, clock.now, spread_offset, settings));
         let scatter = scatter.transpose().map_err(part)?;
         let mut front = Front {
             listener: Listener::new(listener, &handle, SocketKind::Listener.id(0)).map_err(part)?,
-            dispatcher: Dispatcher::new(contract, station.seed),
-            answer_slack: contract.network.answer_slack,
-            max_statements: contract.network.most_held,
+            dispatcher: Dispatcher::new(settings, config.seed),
+            answer_slack: settings.network.answer_slack,
+            max_statements: settings.network.most_held,
             max_bytes: 0,
             max_clients: 0,
             memory_full: false,
-            clients: Clients::new(contract.agreement.longest_retry_after, longest_timeout(contract)),
-            engines: Engines::new(handle.clone(), contract.network.clone(), &contract.names),
-            coordinator: Coordinator::new(handle.clone(), station.coordinator, known.index),
+            clients: Clients::new(settings.agreement.longest_retry_after, longest_timeout(settings)),
+            engines: Engines::new(handle.clone(), settings.network.clone(), &settings.names),
+            coordinator: Coordinator::new(handle.clone(), config.coordinator, known.index),
             gateway,
             peers,
             rules,
@@ -120,15 +119,15 @@
             stale: false,
             handle,
         };
-        front.engines.dials = dial_capacity::pacer(station, front.clock.now);
+        front.engines.dials = dial_capacity::pacer(config, front.clock.now);
         if let Some(gateway) = &mut front.gateway {
             gateway.servers().dials = front.engines.dials.clone();
         }
-        if let Some(ledger) = station.operator.gossip.as_ref().and_then(|gossip| gossip.ledger.as_ref()) {
+        if let Some(ledger) = config.operator.gossip.as_ref().and_then(|gossip| gossip.ledger.as_ref()) {
             let now = front.clock.now;
-            front.guard = Some(Guard::new(contract, now, ledger.shards, &mut front.dispatcher));
+            front.guard = Some(Guard::new(settings, now, ledger.shards, &mut front.dispatcher));
         }
-        front.limit(&station.limits);
+        front.limit(&config.limits);
         front.apply_list(known, 0);
         Ok(front)
     }
@@ -323,46 +322,6 @@
         self.scatter.iter().for_each(|scatter| scatter.summaries.save());
     }
 
-    /// The configuration was read again: what may change while a front runs holds from now on. One that
-    /// can't be used changes nothing.
-    pub fn reload(&mut self, read: Result<NodeConfig, hallmux_agreement::Error>) {
-        self.clock.refresh();
-        match read {
-            Ok(station) => {
-                self.limit(&station.limits);
-                if let Some((peers, gossip)) = self.peers.as_mut().zip(station.operator.gossip.as_ref()) {
-                    peers.reload(self.clock.now, gossip);
-                }
-                if let Some((rules, read)) = self.rules.as_ref().zip(station.operator.rules.as_ref()) {
-                    rules.borrow_mut().reload(self.clock.now, read);
-                }
-                if let Some((scatter, settings)) =
-                    self.scatter.as_mut().zip(station.operator.scatter.as_ref())
-                {
-                    scatter.reload(settings, self.clock.now);
-                }
-                self.apply_known_list(&station.known_events);
-                self.coordinator.set_address(self.clock.now, station.coordinator);
-                let at = station.coordinator.map_or("none".to_string(), |at| at.to_string());
-                log::info!("the configuration was read again; coordinator: {at}");
-            }
-            Err(why) => log::error!("the configuration is left as it was: {why}"),
-        }
-    }
-
-    fn limit(&mut self, limits: &NodeLimits) {
-        self.max_bytes = (limits.memory_bytes / MEMORY_PART) as usize;
-        self.max_clients = limits.sockets / CLIENTS_PART;
-        let engines = limits.sockets - self.max_clients;
-        match &mut self.gateway {
-            Some(gateway) => {
-                gateway.limit(engines / 2);
-                self.engines.limit(engines - engines / 2);
-            }
-            None => self.engines.limit(engines),
-        }
-    }
-
     /// Whether all is answered after the end was asked for.
     pub fn is_done(&self) -> bool {
         !self.listener.is_open()
