--- a/crates/postgres/src/client_error.rs
+++ b/crates/postgres/src/client_error.rs
@@ -6,9 +6,12 @@
 /// An error that the front answers a client with, in place of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClientError {
-    /// Turned away: trying again is harmless; in milliseconds when.
+    /// Not executed: trying again is harmless.
     #[error("the front turns this statement away; trying again is harmless")]
-    Rejected { retry_after_ms: Option<i64> },
+    Rejected {
+        /// Milliseconds to wait before that; None leaves it to the client.
+        retry_after_ms: Option<i64>,
+    },
     /// The time that it had is up.
     #[error("canceling statement due to statement timeout")]
     StatementTimeout,
@@ -20,33 +23,66 @@
     Unresolved,
     /// The open transaction is rolled back: nothing of it has taken effect.
     #[error("the transaction was rolled back: {why}")]
-    RolledBack { why: &'static str },
+    RolledBack {
+        /// What rolled it back.
+        why: &'static str,
+    },
     /// An open transaction stood idle too long.
     #[error("terminating transaction that stood idle for longer than allowed")]
     IdleTransactionTimeout,
     /// The transaction failed before; only its end is taken.
     #[error("current transaction is aborted, commands ignored until end of transaction block")]
     InFailedTransaction,
-    /// A setting that is missing or can't be used, by its name.
+    /// A setting of the front that is missing or can't be used.
     #[error("{field}: {why}")]
-    InvalidSetting { field: &'static str, why: &'static str },
-    /// What a front can't do for a session.
+    InvalidSetting {
+        /// Its name.
+        field: &'static str,
+        /// What is wrong with it.
+        why: &'static str,
+    },
+    /// What can't be done over shared connections.
     #[error("{why} can't be used through this front")]
-    Unsupported { why: &'static str },
+    Unsupported {
+        /// Its name.
+        why: &'static str,
+    },
     /// More than a session may hold.
     #[error("{why}: more than a session may hold")]
-    LimitExceeded { why: &'static str },
+    LimitExceeded {
+        /// Of what.
+        why: &'static str,
+    },
+    /// A prepared statement that the session does not have.
     #[error("prepared statement \"{name}\" does not exist")]
-    NoSuchStatement { name: String },
+    NoSuchStatement {
+        /// Its name.
+        name: String,
+    },
+    /// A prepared statement under a name that is taken.
     #[error("prepared statement \"{name}\" already exists")]
-    DuplicateStatement { name: String },
-    /// Against the protocol.
+    DuplicateStatement {
+        /// The name.
+        name: String,
+    },
+    /// A violation of the protocol.
     #[error("against the protocol: {why}")]
-    Protocol { why: ProtocolError },
+    Protocol {
+        /// The violation.
+        why: ProtocolError,
+    },
+    /// The user does not exist, or its proof does not hold.
     #[error("password authentication failed for user \"{user}\"")]
-    WrongPassword { user: String },
+    WrongPassword {
+        /// The user's name.
+        user: String,
+    },
+    /// Another version of the protocol than 3.
     #[error("protocol {major} is not spoken here, 3.0 is")]
-    UnsupportedVersion { major: u16 },
+    UnsupportedVersion {
+        /// Its major number.
+        major: u16,
+    },
     /// The front shuts down.
     #[error("terminating connection due to administrator command")]
     ShuttingDown,
@@ -59,7 +95,7 @@
 }
 
 impl ClientError {
-    /// The code, after the published table of error codes.
+    /// The SQLSTATE, after PostgreSQL's table of error codes.
     pub fn code(&self) -> &'static str {
         match self {
             ClientError::Rejected { .. } => "53000",
@@ -82,7 +118,7 @@
         }
     }
 
-    /// Writes it as an error; one that is fatal ends the connection.
+    /// Appends it to `out` as an error message; after one that is fatal the connection ends.
     pub fn write(&self, out: &mut Vec<u8>, fatal: bool) {
         let severity: &[u8] = if fatal { b"FATAL" } else { b"ERROR" };
         write(out, b'E', |out| {
@@ -105,8 +141,8 @@
     }
 }
 
-/// Whether an engine's error speaks of the engine rather than of the statement: short of resources, going
-/// down, broken. What a client or a time limit ended is not held against it.
+/// Whether an engine's error, by its SQLSTATE, is the engine's fault rather than the statement's: it is short
+/// of resources, shutting down or broken. What a client or a time limit ended is not.
 pub fn is_engine_fault(code: &[u8]) -> bool {
     let class = code.get(..2).unwrap_or_default();
     matches!(class, b"53" | b"58" | b"XX" | b"08" | b"F0") || class == b"57" && code != b"57014"
--- a/crates/postgres/src/engine.rs
+++ b/crates/postgres/src/engine.rs
@@ -1,5 +1,6 @@
 //! A connection to an engine as the front knows it: its login, what is prepared and set on it, and which of
-//! its answers belong to which step of a unit. What the front did of its own accord is never seen by a client.
+//! its answers belong to which step of a unit. What the front did of its own accord is never seen by a
+//! client.
 
 mod receiving;
 mod sending;
@@ -18,11 +19,11 @@
 /// How a unit ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UnitOutcome {
-    /// As the protocol tells where the transaction stands.
+    /// The transaction status in the protocol's letters: `I` idle, `T` in a transaction, `E` in a failed one.
     pub status: u8,
-    /// The code of the error that it ended with.
+    /// The SQLSTATE of the error that it ended with, if it did.
     pub error: Option<String>,
-    /// The error speaks of the engine, not of the statement.
+    /// The error is the engine's fault, not the statement's.
     pub fault: bool,
     /// A transaction ended without effect.
     pub rolled_back: bool,
@@ -30,30 +31,37 @@
     pub parsed: usize,
 }
 
-/// What an engine has said, beyond what goes on to the client.
+/// What an engine's messages mean, beyond what goes on to the client.
 #[derive(Debug, PartialEq, Eq)]
 pub enum EngineEvent {
     /// It takes units from now on.
     Ready,
-    /// It does not let the front in: the code, and the whole message for the client.
+    /// It does not let the front in.
     LoginRefused {
+        /// The SQLSTATE.
         code: String,
+        /// The whole error message, for the client.
         error: Vec<u8>,
     },
-    /// A session's settings can't be had here: the whole message for the client.
+    /// A session's settings can't be had here.
     SettingsRefused {
+        /// The whole error message, for the client.
         error: Vec<u8>,
     },
-    /// It has answered a question that only asks for an answer.
+    /// It has answered a ping.
     PingAnswered,
+    /// The unit that it had is over.
     UnitDone(UnitOutcome),
 }
 
-/// Who the front is at the engine.
+/// An account at the engines, with which the front logs in.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Account {
+    /// The user's name.
     pub user: String,
+    /// The database's name.
     pub database: String,
+    /// The password, where engines ask for one.
     pub password: Option<String>,
 }
 
@@ -88,13 +96,14 @@
     Ping,
 }
 
+/// The state of a connection to an engine. It takes one unit at a time.
 pub struct EngineConnection {
     account: Account,
     stage: Stage,
     exchange: Option<Box<ScramSha256>>,
-    /// What a request to cancel has to tell.
+    /// For requests to cancel, once the engine has sent it.
     pub key: Option<CancelKey>,
-    /// What the engine tells of itself, for the welcome of clients.
+    /// Parameters that the engine reports of itself, by name, for the start-up of clients.
     pub parameters: Vec<(String, String)>,
     prepared: LruCache<u64, ()>,
     most_prepared: usize,
@@ -119,7 +128,8 @@
 }
 
 impl EngineConnection {
-    /// Begins a login.
+    /// Begins a login: writes the start-up to `out`. No more than `most_prepared` statements stay prepared
+    /// there.
     pub fn new(account: Account, most_prepared: usize, out: &mut Vec<u8>) -> EngineConnection {
         let who = [("user", account.user.as_str()), ("database", &account.database)];
         wire::write_start_up(out, &who);
@@ -143,6 +153,7 @@
         }
     }
 
+    /// Whether the login is over.
     pub fn is_up(&self) -> bool {
         self.stage != Stage::Login
     }
@@ -152,11 +163,12 @@
         self.passing == 0
     }
 
-    /// Whether a session with these settings finds its own here.
+    /// Whether the connection has a session's settings, so that nothing has to be set.
     pub fn suits(&self, settings: &Rc<SessionSettings>) -> bool {
         self.settings.as_ref().is_some_and(|own| Rc::ptr_eq(own, settings) || own == settings)
     }
 
+    /// How many statements are prepared there.
     pub fn prepared(&self) -> usize {
         self.prepared.len()
     }
--- a/crates/postgres/src/engine/receiving.rs
+++ b/crates/postgres/src/engine/receiving.rs
@@ -13,7 +13,8 @@
 
 impl EngineConnection {
     /// Takes what the engine has said: what is the client's goes to `back`, up to `room` bytes and a little,
-    /// what the engine is to hear to `out`. Says how much was taken, and what it means once it means something.
+    /// what the engine is to hear to `out`. Says how much was taken, and what it means once it means
+    /// something.
     pub fn read(
         &mut self,
         input: &[u8],
--- a/crates/postgres/src/engine/sending.rs
+++ b/crates/postgres/src/engine/sending.rs
@@ -8,8 +8,8 @@
 use crate::wire;
 
 impl EngineConnection {
-    /// Writes a part of a unit. `in_transaction` says that the session's transaction is open here, with its settings.
-    /// What the front answers in the engine's place before any word of it goes to `back`.
+    /// Writes a part of a unit. `in_transaction` says that the session's transaction is open here, with its
+    /// settings. What the front answers in the engine's place before any word of it goes to `back`.
     pub fn send(
         &mut self,
         part: &Rc<UnitPart>,
--- a/crates/postgres/src/pool.rs
+++ b/crates/postgres/src/pool.rs
@@ -1,4 +1,4 @@
-//! Which connection to an engine a unit gets: one that rests, a new one, or none for now. Connections belong to
+//! Which connection to an engine a unit gets: an idle one, a new one, or none for now. Connections belong to
 //! an engine and an account there; an engine takes so many in all, whoever's they are.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -33,16 +33,26 @@
 /// What is to be done for a unit that was submitted, or for those that wait.
 #[derive(Debug, PartialEq, Eq)]
 pub enum PoolAction<U> {
-    /// The unit goes out on this connection.
-    Use { unit: U, connection: ConnectionId },
-    /// A connection for this account is to be made; first the other one closed, where one is named.
-    Dial { account: AccountId, instead_of: Option<ConnectionId> },
+    /// A unit goes out on a connection.
+    Use {
+        /// The unit.
+        unit: U,
+        /// The connection.
+        connection: ConnectionId,
+    },
+    /// A connection is to be made.
+    Dial {
+        /// The account to log in with.
+        account: AccountId,
+        /// A connection to close first, as the engine takes no more.
+        instead_of: Option<ConnectionId>,
+    },
 }
 
 /// What becomes of a connection that is free.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Released<U> {
-    /// It rests.
+    /// It is idle.
     Idle,
     /// Something is to be done for those that wait.
     Action(PoolAction<U>),
@@ -50,14 +60,18 @@
     Close,
 }
 
-/// Bounds on connections; counts and microseconds.
+/// Bounds on connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
+    /// Connections to an engine.
     pub each_engine: usize,
+    /// Microseconds after which an idle connection is closed.
     pub idle: i64,
+    /// Microseconds after which a connection is not used again.
     pub age: i64,
 }
 
+/// The pools of connections to all engines, and the units `U` that wait for one.
 pub struct Pools<U> {
     bounds: Bounds,
     members: BTreeMap<ConnectionId, Member>,
@@ -65,14 +79,17 @@
 }
 
 impl<U: Copy + PartialEq> Pools<U> {
+    /// Pools without connections.
     pub fn new(bounds: Bounds) -> Self {
         Pools { bounds, members: BTreeMap::new(), waiting: BTreeMap::new() }
     }
 
+    /// How many connections there are, those that are being made included.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
+    /// Whether there is no connection.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
@@ -81,7 +98,7 @@
         self.members.iter().filter(move |(_, m)| m.engine == engine)
     }
 
-    /// A unit wants a connection to an engine; `suits` ranks those that rest, the highest first.
+    /// A unit wants a connection to an engine; `suits` ranks the idle ones, the highest first.
     pub fn submit(
         &mut self,
         engine: EngineIndex,
@@ -174,7 +191,8 @@
         self.next_action(engine).map_or(Released::Idle, Released::Action)
     }
 
-    /// A connection is gone. Those that waited for it alone, as no other of their account is there.
+    /// A connection is gone. Returns the units that waited for it alone, as there is no other of their
+    /// account.
     pub fn remove(&mut self, connection: ConnectionId) -> Vec<U> {
         let Some(member) = self.members.remove(&connection) else { return Vec::new() };
         if member.state != State::Connecting {
@@ -203,7 +221,7 @@
         line.len() < before
     }
 
-    /// An engine takes nothing new any more: those that waited, and the connections that rest.
+    /// An engine takes nothing new any more. Returns the units that waited for it, and its idle connections.
     pub fn retire_engine(&mut self, engine: EngineIndex) -> (Vec<U>, Vec<ConnectionId>) {
         let mut idle = Vec::new();
         for (connection, member) in self.members.iter_mut().filter(|(_, m)| m.engine == engine) {
@@ -216,7 +234,7 @@
         (waited.into_iter().map(|(unit, _)| unit).collect(), idle)
     }
 
-    /// Connections that have rested for so long that they are to be closed.
+    /// Connections that have been idle for so long, or are so old, that they are to be closed.
     pub fn expired(&self, now: i64) -> Vec<ConnectionId> {
         let over = |m: &Member| match m.state {
             State::Idle { since } => {
@@ -227,7 +245,7 @@
         self.members.iter().filter(|(_, m)| over(m)).map(|(connection, _)| *connection).collect()
     }
 
-    /// A connection to an engine that rests, if there is one.
+    /// An idle connection to an engine, if there is one.
     pub fn idle_connection(&self, engine: EngineIndex) -> Option<ConnectionId> {
         self.of(engine)
             .find(|(_, m)| matches!(m.state, State::Idle { .. }))
@@ -245,13 +263,13 @@
         self.of(engine).count() < self.bounds.each_engine
     }
 
-    /// Connections to an engine that rest or are on their way, beyond those that units wait for.
+    /// Connections to an engine that are idle or being made, beyond those that units wait for.
     pub fn available(&self, engine: EngineIndex) -> usize {
         let free = self.of(engine).filter(|(_, m)| m.state != State::InUse && !m.old).count();
         free.saturating_sub(self.waiting.get(&engine).map_or(0, VecDeque::len))
     }
 
-    /// A connection that rests, longest of all, to make room for others.
+    /// The connection that has been idle longest, which can make room for others.
     pub fn oldest_idle(&self) -> Option<ConnectionId> {
         let idle = |(connection, m): (&ConnectionId, &Member)| match m.state {
             State::Idle { since } => Some((since, *connection)),
--- a/crates/postgres/src/prepared.rs
+++ b/crates/postgres/src/prepared.rs
@@ -1,4 +1,4 @@
-//! What sessions have prepared, kept once for all that have prepared the same, with what its text says.
+//! Prepared statements and settings of sessions, each kept once for all sessions that have the same.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::BuildHasher;
@@ -8,17 +8,19 @@
 
 const SWEEP_FROM: usize = 1024; // entries from which those that nobody holds any more are looked for
 
-/// A text with the types of its parameters.
+/// A prepared statement: its text and the types of its parameters.
 #[derive(Debug)]
 pub struct Prepared {
-    /// Of its own among all that this front has seen; engines know it under this.
+    /// Unique among all that this front has seen; engines have it under a name with this number.
     pub number: u64,
     /// As the protocol has it: the text, its end, the types.
     pub body: Box<[u8]>,
+    /// What its text says.
     pub scan: Scan,
 }
 
 impl Prepared {
+    /// The statement's text.
     pub fn text(&self) -> &[u8] {
         &self.body[..memchr::memchr(0, &self.body).unwrap_or(self.body.len())]
     }
@@ -29,6 +31,7 @@
 pub struct SessionSettings(pub BTreeMap<String, String>);
 
 impl SessionSettings {
+    /// Takes in a change.
     pub fn change(&mut self, change: &Change) {
         match change {
             Change::Set { name, statement } => _ = self.0.insert(name.clone(), statement.clone()),
@@ -37,7 +40,7 @@
         }
     }
 
-    /// What brings a connection in any state to this one.
+    /// The statements that bring a connection from any settings to these.
     pub fn restoring_sql(&self) -> String {
         let mut text = String::from("RESET ALL");
         for statement in self.0.values() {
--- a/crates/postgres/src/protocol_error.rs
+++ b/crates/postgres/src/protocol_error.rs
@@ -1,38 +1,76 @@
 //! Violations of the protocol by a peer, after which its connection has to end.
 
 /// Bytes that are no message of the protocol, a message out of order, or one over a limit: its connection has
-/// to end. The text says what is wrong and, after a semicolon, what an operator can do; whoever logs it names the
-/// connection.
+/// to end. The text says what is wrong and, after a semicolon, what an operator can do; whoever logs it names
+/// the connection.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
+    /// A start-up of an impossible length.
     #[error("a start-up of {bytes} bytes, not 8 to {most}; see that what connects here speaks PostgreSQL's protocol 3")]
-    StartUp { bytes: usize, most: usize },
+    StartUp {
+        /// Its length.
+        bytes: usize,
+        /// The longest that is allowed.
+        most: usize,
+    },
+    /// A start-up without a user.
     #[error("no user in the start-up; name one in the connection string")]
     NoUser,
+    /// More requests for encryption than there are kinds.
     #[error(
         "encryption was asked for {times} times and refused each time; set sslmode and gssencmode to disable"
     )]
-    Encryption { times: usize },
+    Encryption {
+        /// Requests so far.
+        times: usize,
+    },
+    /// Another message than the authentication's, by its kind.
     #[error("a message of kind '{}' where the proof of a password is due; see that the driver knows SCRAM-SHA-256", kind(.0))]
     NoProof(u8),
+    /// A message that can't be parsed.
     #[error("{0}; see that the peer's driver or server speaks PostgreSQL's protocol 3")]
     Malformed(&'static str),
+    /// A message of an unknown kind.
     #[error("a message of kind '{}' is not known; see that the peer speaks PostgreSQL's protocol 3", kind(.0))]
     Unknown(u8),
+    /// A message of a client over the limit.
     #[error(
         "a message of {bytes} bytes, over {most}; send less at once, or raise postgres.limits.message_bytes"
     )]
-    TooLong { bytes: usize, most: usize },
+    TooLong {
+        /// Its length.
+        bytes: usize,
+        /// The limit.
+        most: usize,
+    },
+    /// A simple query within an extended one.
     #[error("a simple query before the Sync that ends an extended one; send the Sync first")]
     Mixed,
+    /// A message of an engine over the limit.
     #[error("a message of kind '{}' with {bytes} bytes, over {most}; see that a PostgreSQL engine listens there", kind(.tag))]
-    EngineTooLong { tag: u8, bytes: usize, most: usize },
+    EngineTooLong {
+        /// Its kind.
+        tag: u8,
+        /// Its length.
+        bytes: usize,
+        /// The limit.
+        most: usize,
+    },
+    /// A message of an engine out of order.
     #[error("a message of kind '{}' that is not due {when}; see that a PostgreSQL engine listens there", kind(.tag))]
-    NotDue { tag: u8, when: &'static str },
+    NotDue {
+        /// Its kind.
+        tag: u8,
+        /// What was going on.
+        when: &'static str,
+    },
+    /// An engine asks for a kind of authentication, by its number, that the front does not know.
     #[error("a login of kind {0} is not spoken here; let the engine's pg_hba.conf ask the front for scram-sha-256, md5 or password")]
     Login(u32),
+    /// The authentication at an engine fails.
     #[error("the login fails: {0}; see postgres.users for the engine's user and password, and the engine's pg_hba.conf")]
     Proof(String),
+    /// An engine ends the connection, with this SQLSTATE.
     #[error("the engine ends the connection with {0}; see its own log for why")]
     Gone(String),
 }
--- a/crates/postgres/src/scram.rs
+++ b/crates/postgres/src/scram.rs
@@ -6,9 +6,11 @@
 use hmac::{Hmac, Mac};
 use sha2::{Digest, Sha256};
 
+/// The mechanism's name in SASL.
 pub const MECHANISM: &str = "SCRAM-SHA-256";
 const ITERATIONS: u32 = 4096; // of users that do not exist; the servers' default
 
+/// What a server keeps of a user's password, and can check a proof against.
 #[derive(Clone)]
 pub struct Verifier {
     iterations: u32,
@@ -32,6 +34,7 @@
 }
 
 impl Verifier {
+    /// Reads a verifier in the form of `pg_authid`; None for any other text.
     pub fn read(text: &str) -> Option<Verifier> {
         let (head, keys) = text.strip_prefix("SCRAM-SHA-256$")?.split_once('$')?;
         let (iterations, salt) = head.split_once(':')?;
@@ -45,8 +48,8 @@
         })
     }
 
-    /// For a user that does not exist: the same exchange, the same salt each time, and no way through.
-    pub fn of_nobody(user: &str, secret: &[u8]) -> Verifier {
+    /// For a user that does not exist: the same exchange, the same salt each time, and no proof that holds.
+    pub fn for_unknown_user(user: &str, secret: &[u8]) -> Verifier {
         let salt = hmac(secret, &[b"salt", user.as_bytes()]);
         Verifier {
             iterations: ITERATIONS,
@@ -57,7 +60,7 @@
     }
 }
 
-/// An exchange after the client's first message.
+/// An authentication after the client's first message.
 pub struct Exchange {
     verifier: Verifier,
     nonce: String,
--- a/crates/postgres/src/scram_tests.rs
+++ b/crates/postgres/src/scram_tests.rs
@@ -26,12 +26,12 @@
     assert!(log_in(&verifier, b"secret", false));
     assert!(!log_in(&verifier, b"Secret", false));
     assert!(!log_in(&verifier, b"secret", true));
-    assert!(!log_in(&Verifier::of_nobody("x", b"s"), b"secret", false));
+    assert!(!log_in(&Verifier::for_unknown_user("x", b"s"), b"secret", false));
 }
 
 #[test]
 fn what_is_no_exchange_is_refused() {
-    let verifier = Verifier::of_nobody("x", b"s");
+    let verifier = Verifier::for_unknown_user("x", b"s");
     let first: [&[u8]; 7] =
         [b"", b"n,,", b"p=tls-unique,,n=,r=abc", b"n,,n=,r=", b"n,,m=x,n=,r=a", b"n,,n=,r=a,b=c", b"\xff"];
     for first in first {
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -18,18 +18,23 @@
 /// What a session may hold.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
+    /// Prepared statements.
     pub statements: usize,
+    /// Portals open at once.
     pub portals: usize,
+    /// Settings.
     pub settings: usize,
     /// Bytes of a message, of a unit's part, and of all that is prepared.
     pub bytes: usize,
 }
 
-/// Where the session's transaction stands.
+/// The state of a session's transaction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Transaction {
+    /// There is none.
     #[default]
     None,
+    /// An engine has it.
     Open,
     /// An engine has it, and takes only its end.
     Failed,
@@ -38,7 +43,7 @@
 }
 
 impl Transaction {
-    /// As the protocol tells it.
+    /// The letter by which the protocol tells it.
     pub fn status(self) -> u8 {
         match self {
             Transaction::None => b'I',
@@ -47,53 +52,77 @@
         }
     }
 
-    /// An engine holds it.
+    /// Whether an engine holds it.
     pub fn is_held(self) -> bool {
         matches!(self, Transaction::Open | Transaction::Failed)
     }
 }
 
-/// One step of a unit; places are those in the part's bytes.
+/// One operation of a unit; ranges are those of the part's bytes. `named` tells whether the prepared
+/// statement has a name in the session.
 #[derive(Debug)]
 pub enum Operation {
+    /// Prepares a statement.
     Parse {
+        /// The statement.
         prepared: Rc<Prepared>,
+        /// See above.
         named: bool,
     },
+    /// Opens a portal on a prepared statement.
     Bind {
+        /// The statement.
         prepared: Rc<Prepared>,
+        /// See above.
         named: bool,
+        /// The portal's name.
         portal: Range<usize>,
+        /// The formats and values of its parameters.
         rest: Range<usize>,
     },
+    /// Describes a prepared statement.
     Describe {
+        /// The statement.
         prepared: Rc<Prepared>,
+        /// See above.
         named: bool,
     },
-    /// A whole message that goes on as it is.
+    /// Describes a portal: a whole message that goes on as it is.
     DescribePortal(Range<usize>),
+    /// Executes a portal: a whole message that goes on as it is.
     Execute(Range<usize>),
+    /// Closes a portal: a whole message that goes on as it is.
     ClosePortal(Range<usize>),
-    /// Engines keep statements of their own accord: it is only answered.
+    /// Closes a statement. Engines keep statements for all sessions, so it is only answered.
     CloseStatement,
-    /// Answered with this error, and the engine's transaction fails with it.
+    /// Is answered with this error, and the engine's transaction fails with it.
     Fail(ClientError),
+    /// A simple query: a whole message that goes on as it is.
     Query(Range<usize>),
+    /// Asks for the answers so far.
     Flush,
+    /// Ends the unit.
     Sync,
 }
 
 /// A unit, or as much of one as came before a Flush.
 #[derive(Debug, Default)]
 pub struct UnitPart {
+    /// Its operations, in order.
     pub ops: Vec<Operation>,
+    /// The client's bytes.
     pub raw: Vec<u8>,
     /// Whether the unit ends with it.
     pub ends: bool,
+    /// The labels in its texts.
     pub label: Label,
+    /// Whether it begins a transaction.
     pub begins: bool,
+    /// Whether it commits one.
     pub commits: bool,
+    /// Whether it rolls one back.
     pub rolls_back: bool,
+    /// Changes of the session's settings.
     pub changes: Vec<Change>,
     /// The first text that runs: a range of the bytes, or what was prepared.
     query: Option<Range<usize>>,
@@ -163,15 +192,22 @@
 pub enum SessionEvent {
     /// More has to come.
     Incomplete,
+    /// A unit, or a part of one.
     Part(Rc<UnitPart>),
+    /// The client ends the session.
     Terminated,
 }
 
+/// The state of a session between a client and a front.
 #[derive(Default)]
 pub struct Session {
+    /// The user's name.
     pub user: String,
+    /// The database's name.
     pub database: String,
+    /// Its transaction.
     pub transaction: Transaction,
+    /// What it has set, in transactions that are over.
     pub settings: Rc<SessionSettings>,
     label: Label,
     statements: HashMap<Vec<u8>, Rc<Prepared>>,
@@ -190,6 +226,7 @@
 }
 
 impl Session {
+    /// A session with the settings and labels of the client's start-up.
     pub fn new(client: &Client, catalogue: &mut Catalogue) -> Session {
         let mut label = Label::default();
         let mut settings = SessionSettings::default();
@@ -216,7 +253,8 @@
         self.label.overridden_by(&part.label)
     }
 
-    /// The time a statement may take, in microseconds, as the session has set it; 0 is no limit.
+    /// The time a statement may take, in microseconds, as the session or a label has set it; None for no
+    /// limit.
     pub fn statement_timeout(&self, label: &Label) -> Option<i64> {
         let set = self.settings.0.get("statement_timeout");
         let set = set.and_then(|statement| statement.rsplit(['=', ' ']).next()).and_then(sql::time);
@@ -224,7 +262,7 @@
         set.into_iter().chain(told).filter(|time| *time > 0).min()
     }
 
-    /// A unit has begun, and its Sync has yet to come.
+    /// Whether a unit has begun, and its Sync has yet to come.
     pub fn is_in_unit(&self) -> bool {
         self.in_unit
     }
--- a/crates/postgres/src/session/answering.rs
+++ b/crates/postgres/src/session/answering.rs
@@ -11,7 +11,7 @@
 use crate::wire;
 
 impl Session {
-    /// Answers a unit that needs no engine. False if it does.
+    /// Answers a unit that needs no engine, to `out`. False if it needs one; nothing is written then.
     pub fn answers(&mut self, part: &UnitPart, catalogue: &mut Catalogue, out: &mut Vec<u8>) -> bool {
         let lost = self.transaction == Transaction::Lost;
         let held = self.transaction.is_held();
@@ -167,7 +167,8 @@
         }
     }
 
-    /// A unit ends here, with the front's own answer; with a transaction that is lost by that, if one was open.
+    /// A unit ends here, with the front's own answer; with a transaction that is lost by that, if one was
+    /// open.
     pub fn fails(&mut self, parts: &[Rc<UnitPart>], why: &ClientError, out: &mut Vec<u8>) {
         for part in parts {
             part.named.iter().for_each(|name| self.forget(name));
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Says that the next unit may come.
+    /// Tells the client that the next unit may come.
     pub fn ready(&self, out: &mut Vec<u8>) {
         wire::write_ready(out, self.transaction.status());
     }
--- a/crates/postgres/src/sql.rs
+++ b/crates/postgres/src/sql.rs
@@ -13,17 +13,25 @@
 /// What a statement is for the front, as far as it was told; empty where it was not.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Label {
+    /// The workload's name.
     pub workload: Option<String>,
+    /// The customer's name.
     pub member: Option<String>,
+    /// The order key: statements with equal ones run one after the other.
     pub key: Option<String>,
+    /// Statements with equal ones take effect once.
     pub dedup_key: Option<String>,
+    /// The client's estimate of the work, in milliseconds on one core.
     pub work_ms: Option<String>,
+    /// The client's estimate of the memory, in MB.
     pub memory_mb: Option<String>,
+    /// The time that it may take, in the form of the setting of that name.
     pub statement_timeout: Option<String>,
 }
 
 impl Label {
-    /// Takes one field by its name behind `hallmux.`; an empty value takes it back. False if there is none such.
+    /// Takes one field by its name behind `hallmux.`; an empty value takes it back. False if there is none
+    /// such.
     pub fn set(&mut self, name: &str, value: &str) -> bool {
         let place = match name {
             "workload" => &mut self.workload,
@@ -57,23 +65,27 @@
 /// A change of the session's settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The name, in lower case, and the statement that sets it again.
+    /// A setting gets a value.
     Set {
+        /// Its name, in lower case.
         name: String,
+        /// The statement that sets it again.
         statement: String,
     },
+    /// The setting of this name goes back to its default.
     Reset(String),
+    /// All settings go back to their defaults.
     ResetAll,
 }
 
-/// What the front answers of itself, when it is all that a text holds.
+/// A statement that the front answers without an engine, where it is all that a text holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LocalCommand {
     /// A label, its name behind `hallmux.` and its value.
     Label(String, String),
-    /// Everything that the session has prepared goes.
+    /// Drops everything that the session has prepared.
     Deallocate,
-    /// That, and all settings.
+    /// Drops that, and all settings.
     Discard,
 }
 
@@ -88,16 +100,22 @@
     }
 }
 
-/// All that the front wants to know of a text.
+/// What a front has to know of a text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Scan {
+    /// The labels in its leading comments.
     pub label: Label,
+    /// How many statements it holds.
     pub statements: usize,
-    /// It holds a statement that begins a transaction, commits one, or rolls one back.
+    /// Whether one begins a transaction.
     pub begins: bool,
+    /// Whether one commits a transaction.
     pub commits: bool,
+    /// Whether one rolls a transaction back.
     pub rolls_back: bool,
+    /// Changes of the session's settings, in order.
     pub changes: Vec<Change>,
+    /// The statement, where it is the only one and needs no engine.
     pub local_command: Option<LocalCommand>,
     /// What in it can't be done over shared connections.
     pub unsupported: Option<&'static str>,
@@ -105,7 +123,7 @@
 
 const HEAD: usize = 8; // tokens kept of a statement's beginning: enough for every form below
 
-/// Reads a text.
+/// Scans a text of one or more statements. Whatever it does not understand counts as harmless.
 pub fn scan(text: &[u8]) -> Scan {
     let mut scan = Scan { label: label(text), ..Scan::default() };
     let mut head: Vec<Token> = Vec::with_capacity(HEAD);
--- a/crates/postgres/src/startup.rs
+++ b/crates/postgres/src/startup.rs
@@ -19,7 +19,9 @@
 /// A client by the parameters of its start-up.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Client {
+    /// The user's name.
     pub user: String,
+    /// The database's name; the user's where it gave none.
     pub database: String,
     /// All other parameters, those of `options` among them.
     pub parameters: BTreeMap<String, String>,
@@ -28,16 +30,21 @@
 /// How a user proves who it is.
 #[derive(Clone)]
 pub enum Authentication {
+    /// Not at all.
     Trust,
+    /// By SCRAM-SHA-256.
     Scram(Verifier),
 }
 
+/// What the input of a connection that starts up comes to.
 pub enum StartupStep {
     /// More has to come.
     Incomplete,
+    /// It is a request to cancel; the connection ends.
     Cancel(CancelKey),
+    /// The client is in; its session begins.
     Accepted(Client),
-    /// The reason is written; the connection ends.
+    /// It is refused, and the error is written; the connection ends.
     Refused,
 }
 
@@ -49,6 +56,7 @@
     Last(Client, Exchange),
 }
 
+/// The state of a connection that starts up.
 #[derive(Default)]
 pub struct Startup {
     stage: Stage,
@@ -153,7 +161,7 @@
                 let verifier = match access(&client.user) {
                     Some(Authentication::Trust) => return Ok(Some(StartupStep::Accepted(client))),
                     Some(Authentication::Scram(verifier)) => verifier,
-                    None => Verifier::of_nobody(&client.user, secret),
+                    None => Verifier::for_unknown_user(&client.user, secret),
                 };
                 write_authentication(out, SASL, &[MECHANISM.as_bytes(), b"\0\0"].concat());
                 self.stage = Stage::First(client, verifier);
--- a/crates/postgres/src/wire.rs
+++ b/crates/postgres/src/wire.rs
@@ -20,16 +20,20 @@
 /// The first message of a connection.
 #[derive(Debug, PartialEq, Eq)]
 pub enum InitialMessage<'a> {
+    /// A session is to begin, by version 3 of the protocol.
     StartUp {
+        /// The version's minor number.
         minor: u16,
+        /// Names and values.
         parameters: Vec<(&'a str, &'a str)>,
     },
-    /// A question for encryption, of either kind.
+    /// A request for encryption, of either kind.
     EncryptionRequest,
     /// Whatever runs for the connection with this key is to be cancelled.
     Cancel(CancelKey),
     /// A version that is not spoken here.
     UnsupportedVersion {
+        /// Its major number.
         major: u16,
     },
 }
@@ -75,7 +79,7 @@
     Ok(Some((len, message)))
 }
 
-/// A string that ends in a zero byte.
+/// Takes a string that ends in a zero byte from the start of `rest`.
 pub fn read_string<'a>(rest: &mut &'a [u8]) -> Result<&'a [u8], ProtocolError> {
     let end = memchr::memchr(0, rest).ok_or(ProtocolError::Malformed("a string without an end"))?;
     let string = &rest[..end];
@@ -131,41 +135,60 @@
 /// A message of a client after start-up.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ClientMessage<'a> {
+    /// A simple query, by its text.
     Query(&'a [u8]),
-    /// The body is the text, its end and the types of its parameters.
+    /// Prepares a statement.
     Parse {
+        /// The statement's name; empty for the unnamed one.
         name: &'a [u8],
+        /// Its text.
         text: &'a [u8],
+        /// Its text, the byte that ends it, and the types of its parameters.
         body: &'a [u8],
     },
-    /// The rest holds formats and values.
+    /// Opens a portal on a prepared statement.
     Bind {
+        /// The portal's name; empty for the unnamed one.
         portal: &'a [u8],
+        /// The statement's name.
         statement: &'a [u8],
+        /// Formats and values of its parameters.
         rest: &'a [u8],
     },
+    /// Asks for a description.
     Describe {
+        /// Of a prepared statement, else of a portal.
         statement: bool,
+        /// Its name.
         name: &'a [u8],
     },
-    /// No more than so many rows; 0 is no limit.
+    /// Executes a portal.
     Execute {
+        /// The portal's name.
         portal: &'a [u8],
+        /// No more than so many rows; 0 is no limit.
         rows: u32,
     },
+    /// Closes something.
     Close {
+        /// A prepared statement, else a portal.
         statement: bool,
+        /// Its name.
         name: &'a [u8],
     },
+    /// Asks for the answers so far.
     Flush,
+    /// Ends an extended query.
     Sync,
+    /// Ends the session.
     Terminate,
+    /// Calls a function directly.
     FunctionCall,
     /// Data of a copy, or its end.
     Copy,
 }
 
-/// Reads a client's message.
+/// Parses a message of a client after start-up.
 pub fn client_message(tag: u8, body: &[u8]) -> Result<ClientMessage<'_>, ProtocolError> {
     let mut rest = body;
     let kind = |rest: &mut &[u8]| match rest.split_first() {
@@ -231,29 +254,42 @@
     out[at..at + 4].copy_from_slice(&len.to_be_bytes());
 }
 
+/// Appends a string and the zero byte that ends it; there must be none within.
 pub fn write_string(out: &mut Vec<u8>, text: &[u8]) {
     out.extend_from_slice(text);
     out.push(0);
 }
 
+/// The message ParseComplete.
 pub const PARSE_COMPLETE: &[u8] = b"1\0\0\0\x04";
+/// The message BindComplete.
 pub const BIND_COMPLETE: &[u8] = b"2\0\0\0\x04";
+/// The message CloseComplete.
 pub const CLOSE_COMPLETE: &[u8] = b"3\0\0\0\x04";
+/// The message NoData.
 pub const NO_DATA: &[u8] = b"n\0\0\0\x04";
+/// The message ParameterDescription of a statement without parameters.
 pub const NO_PARAMETERS: &[u8] = b"t\0\0\0\x06\0\0";
+/// The message EmptyQueryResponse.
 pub const EMPTY_QUERY: &[u8] = b"I\0\0\0\x04";
+/// The message Sync.
 pub const SYNC: &[u8] = b"S\0\0\0\x04";
+/// The message Flush.
 pub const FLUSH: &[u8] = b"H\0\0\0\x04";
+/// The message Terminate.
 pub const TERMINATE: &[u8] = b"X\0\0\0\x04";
 
+/// Writes ReadyForQuery, with the letter of the transaction's status.
 pub fn write_ready(out: &mut Vec<u8>, status: u8) {
     write(out, b'Z', |out| out.push(status));
 }
 
+/// Writes CommandComplete, with the command's tag.
 pub fn write_complete(out: &mut Vec<u8>, tag: &str) {
     write(out, b'C', |out| write_string(out, tag.as_bytes()));
 }
 
+/// Writes ParameterStatus.
 pub fn write_parameter(out: &mut Vec<u8>, name: &str, value: &str) {
     write(out, b'S', |out| {
         write_string(out, name.as_bytes());
@@ -261,6 +297,7 @@
     });
 }
 
+/// Writes BackendKeyData.
 pub fn write_key(out: &mut Vec<u8>, key: CancelKey) {
     write(out, b'K', |out| {
         out.extend_from_slice(&key.process.to_be_bytes());
@@ -268,7 +305,7 @@
     });
 }
 
-/// The start of a session at an engine.
+/// Writes the start-up of a session, by names and values.
 pub fn write_start_up(out: &mut Vec<u8>, parameters: &[(&str, &str)]) {
     write_packet(out, |out| {
         out.extend_from_slice(&VERSION.to_be_bytes());
@@ -280,6 +317,7 @@
     });
 }
 
+/// Writes a request to cancel, which is a connection's only message.
 pub fn write_cancel(out: &mut Vec<u8>, key: CancelKey) {
     write_packet(out, |out| {
         out.extend_from_slice(&CANCEL.to_be_bytes());
@@ -288,11 +326,13 @@
     });
 }
 
+/// Writes a simple query.
 pub fn write_query(out: &mut Vec<u8>, text: &[u8]) {
     write(out, b'Q', |out| write_string(out, text));
 }
 
-/// The newest version spoken and the options that are not known, for a client that asked for more.
+/// Writes NegotiateProtocolVersion: the newest version there is and the options that are not known, for a
+/// client that asked for more.
 pub fn write_version(out: &mut Vec<u8>, unknown: &[&str]) {
     write(out, b'v', |out| {
         out.extend_from_slice(&0u32.to_be_bytes());
@@ -301,7 +341,7 @@
     });
 }
 
-/// A field of an error or a notice: `C` the code, `M` the message, `S` the severity.
+/// A field of the body of an error or a notice: `C` the SQLSTATE, `M` the message, `S` the severity.
 pub fn field(body: &[u8], wanted: u8) -> Option<&[u8]> {
     let mut rest = body;
     while let Some((kind, after)) = rest.split_first().filter(|(kind, _)| **kind != 0) {
