--- a/crates/agreement/src/operator/gossip.rs
+++ b/crates/agreement/src/operator/gossip.rs
@@ -11,6 +11,9 @@
 use super::position::key_error;
 use crate::error::{Error, KeyProblem};
 
+/// The problem of a name in a section of gossip's.
+pub const NOT_A_PEER: &str = "is not among gossip.peers; add its public key there, or name another";
+
 const MOST_QUORUM: usize = 64; // vantages; more fronts than that never agree in time
 
 #[derive(Deserialize)]
--- a/crates/agreement/src/operator/ledger.rs
+++ b/crates/agreement/src/operator/ledger.rs
@@ -9,8 +9,9 @@
 
 use crate::settings::micros;
 
-use super::position::key_error;
-use crate::error::{Error, KeyProblem};
+use super::gossip::NOT_A_PEER;
+use super::position::Checker;
+use crate::error::Error;
 
 const COPIES: usize = 3; // one may be lost, with its disk, and a majority still knows
 const MOST_COPIES: usize = 9; // each round waits for a majority of them
@@ -25,6 +26,7 @@
 const REPAIR_BYTES: u32 = 65_536; // a second: a tenth of what the ledger's messages may take
 const MOVES_PERCENT: u8 = 25; // hundredths of the shards: most answer without so much as an election
 const ZONE_AFTER_MS: f64 = 600_000.0; // milliseconds: a zone's power or uplink comes back within minutes
+const DAY_MS: f64 = 86_400_000.0; // milliseconds; nothing here waits longer
 const APART_MS: u64 = 500; // milliseconds: what a machine without care for its clock is off
 
 #[derive(Deserialize)]
@@ -161,87 +163,23 @@
     pub clocks_apart_ms: u64,
 }
 
-const UNKNOWN: &str = "is not among gossip.peers; add its public key there, or name another";
-
 /// Checks the section; `peers` are the fronts known by name.
 pub fn ledger(text: &str, file: LedgerFile, peers: &[(String, [u8; 32])]) -> Result<Ledger, Error> {
-    let refuse =
-        |key: &str, problem: KeyProblem| Err(key_error(text, &format!("gossip.ledger.{key}"), problem));
-    if file.fleet.is_empty() {
-        return refuse(
-            "fleet",
-            "names none; give the fleet a name: letters and records of another are told apart by it".into(),
-        );
-    }
-    if file.members.is_empty() {
-        return refuse(
-            "members",
-            "names none; name the fronts that keep copies, or leave the ledger out".into(),
-        );
-    }
-    let copies = file.copies.unwrap_or(COPIES.min(file.members.len()));
-    if copies == 0 || copies > MOST_COPIES.min(file.members.len()) {
-        let most = MOST_COPIES.min(file.members.len());
-        return refuse(
-            "copies",
-            format!("is not from 1 to {most}; give as many as members are named at most, and no more than 9")
-                .into(),
-        );
-    }
-    if file.shards == 0 || file.shards > MOST_SHARDS {
-        return refuse("shards", KeyProblem::out_of_range(1, MOST_SHARDS));
-    }
-    if file.most_entries == 0 || file.most_entries > MOST_ENTRIES {
-        return refuse("most_entries", KeyProblem::out_of_range(1, MOST_ENTRIES));
-    }
-    if !(4_096..=MOST_BYTES).contains(&file.most_bytes) {
-        return refuse("most_bytes", KeyProblem::out_of_range(4_096, MOST_BYTES));
-    }
-    if !(50.0..=10_000.0).contains(&file.patience_ms) {
-        return refuse("patience_ms", KeyProblem::out_of_range(50, 10_000));
-    }
-    if !(1_000.0..=86_400_000.0).contains(&file.repair_after_ms) {
-        return refuse("repair_after_ms", KeyProblem::out_of_range(1_000, 86_400_000));
-    }
-    if file.repair_bytes < 1_024 {
-        return refuse(
-            "repair_bytes",
-            "is under 1024 a second; give more, or no copy is made again in time".into(),
-        );
-    }
-    if file.moves_percent > 100 {
-        return refuse("moves_percent", KeyProblem::out_of_range(0, 100));
-    }
-    if !(file.repair_after_ms..=86_400_000.0).contains(&file.zone_after_ms) {
-        return refuse("zone_after_ms", KeyProblem::out_of_range(file.repair_after_ms, 86_400_000));
-    }
-    if file.clocks_apart_ms > 60_000 {
-        return refuse("clocks_apart_ms", "is over 60000; set the clocks instead".into());
-    }
+    let check = Checker { text, section: "gossip.ledger" };
+    let copies = copies(&check, &file)?;
+    check_ranges(&check, &file)?;
     if file.directory.as_ref().is_some_and(String::is_empty) {
-        return refuse("directory", "names none; leave the key out to keep copies in memory alone".into());
+        return check.refuse("directory", "names none; leave the key out to keep copies in memory alone");
     }
     if file.drill.is_some() && file.directory.is_none() {
-        return refuse("drill", "needs gossip.ledger.directory; name one, or leave the drill out".into());
+        return check.refuse("drill", "needs gossip.ledger.directory; name one, or leave the drill out");
     }
     let on_disk_failure = match file.on_disk_failure.as_str() {
         "refuse" => OnDiskFailure::Refuse,
         "memory" => OnDiskFailure::Memory,
-        _ => return refuse("on_disk_failure", "is neither 'refuse' nor 'memory'; give one of them".into()),
+        _ => return check.refuse("on_disk_failure", "is neither 'refuse' nor 'memory'; give one of them"),
     };
-    let (mut members, mut seen) = (Vec::new(), BTreeSet::new());
-    for (name, MemberFile { at, zone }) in file.members {
-        match peers.iter().find(|(peer, _)| *peer == name) {
-            Some((_, key)) if seen.insert(*key) => members.push(LedgerMember { key: *key, at, zone }),
-            Some(_) => {
-                return refuse(
-                    &format!("members.{name}"),
-                    "has the key of another member; give each front a key of its own".into(),
-                )
-            }
-            None => return refuse(&format!("members.{name}"), UNKNOWN.into()),
-        }
-    }
+    let members = members(&check, file.members, peers)?;
     Ok(Ledger {
         fleet: file.fleet,
         members,
@@ -261,6 +199,66 @@
     })
 }
 
+/// How many copies there are; the fleet has a name, and members to keep them.
+fn copies(check: &Checker, file: &LedgerFile) -> Result<usize, Error> {
+    if file.fleet.is_empty() {
+        let problem =
+            "names none; give the fleet a name: letters and records of another are told apart by it";
+        return check.refuse("fleet", problem);
+    }
+    if file.members.is_empty() {
+        let problem = "names none; name the fronts that keep copies, or leave the ledger out";
+        return check.refuse("members", problem);
+    }
+    let most = MOST_COPIES.min(file.members.len());
+    let copies = file.copies.unwrap_or(COPIES.min(file.members.len()));
+    if copies == 0 || copies > most {
+        let problem =
+            format!("is not from 1 to {most}; give as many as members are named at most, and no more than 9");
+        return check.refuse("copies", problem);
+    }
+    Ok(copies)
+}
+
+fn check_ranges(check: &Checker, file: &LedgerFile) -> Result<(), Error> {
+    check.range("shards", file.shards, 1, MOST_SHARDS)?;
+    check.range("most_entries", file.most_entries, 1, MOST_ENTRIES)?;
+    check.range("most_bytes", file.most_bytes, 4_096, MOST_BYTES)?;
+    check.range("patience_ms", file.patience_ms, 50.0, 10_000.0)?;
+    check.range("repair_after_ms", file.repair_after_ms, 1_000.0, DAY_MS)?;
+    if file.repair_bytes < 1_024 {
+        let problem = "is under 1024 a second; give more, or no copy is made again in time";
+        return check.refuse("repair_bytes", problem);
+    }
+    check.range("moves_percent", file.moves_percent, 0, 100)?;
+    check.range("zone_after_ms", file.zone_after_ms, file.repair_after_ms, DAY_MS)?;
+    if file.clocks_apart_ms > 60_000 {
+        return check.refuse("clocks_apart_ms", "is over 60000; set the clocks instead");
+    }
+    Ok(())
+}
+
+/// Members are peers, each with a key of its own.
+fn members(
+    check: &Checker,
+    named: BTreeMap<String, MemberFile>,
+    peers: &[(String, [u8; 32])],
+) -> Result<Vec<LedgerMember>, Error> {
+    let (mut members, mut seen) = (Vec::new(), BTreeSet::new());
+    for (name, MemberFile { at, zone }) in named {
+        let key = format!("members.{name}");
+        match peers.iter().find(|(peer, _)| *peer == name) {
+            Some((_, key)) if seen.insert(*key) => members.push(LedgerMember { key: *key, at, zone }),
+            Some(_) => {
+                let problem = "has the key of another member; give each front a key of its own";
+                return check.refuse(&key, problem);
+            }
+            None => return check.refuse(&key, NOT_A_PEER),
+        }
+    }
+    Ok(members)
+}
+
 #[cfg(test)]
 #[path = "ledger_tests.rs"]
 mod tests;
--- a/crates/agreement/src/operator/ownership.rs
+++ b/crates/agreement/src/operator/ownership.rs
@@ -8,7 +8,8 @@
 
 use crate::settings::micros;
 
-use super::position::key_error;
+use super::gossip::NOT_A_PEER;
+use super::position::Checker;
 use crate::error::{Error, KeyProblem};
 
 const LEASE_MS: f64 = 3_000.0; // milliseconds: some elections of a third of a second, and no zone is lost for less
@@ -35,8 +36,6 @@
     DRIFT_PPM
 }
 
-const UNKNOWN: &str = "is not among gossip.peers; add its public key there, or name another";
-
 /// Who grants the leases of work on behalf of the fleet, and for how long.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ownership {
@@ -54,27 +53,24 @@
 
 /// Checks the section; `peers` are the fronts known by name.
 pub fn owned(text: &str, file: OwnershipFile, peers: &[(String, [u8; 32])]) -> Result<Ownership, Error> {
-    let refuse =
-        |key: &str, problem: KeyProblem| Err(key_error(text, &format!("gossip.ownership.{key}"), problem));
+    let check = Checker { text, section: "gossip.ownership" };
     if !matches!(file.voters.len(), 3 | 5) {
-        return refuse("voters", "names neither 3 nor 5 fronts; name as many of gossip.peers".into());
-    }
-    if !(500.0..=60_000.0).contains(&file.lease_ms) {
-        return refuse("lease_ms", KeyProblem::out_of_range(500, 60_000));
+        return check.refuse("voters", "names neither 3 nor 5 fronts; name as many of gossip.peers");
     }
+    check.range("lease_ms", file.lease_ms, 500.0, 60_000.0)?;
     if file.drift_ppm > MOST_DRIFT_PPM {
-        return refuse("drift_ppm", KeyProblem::above_maximum(MOST_DRIFT_PPM));
+        return check.refuse("drift_ppm", KeyProblem::above_maximum(MOST_DRIFT_PPM));
     }
     if file.directory.is_empty() {
         let problem =
             "names none; name one on a lasting disk, as a voter that forgets its votes must not vote again";
-        return refuse("directory", problem.into());
+        return check.refuse("directory", problem);
     }
     let mut voters = Vec::new();
     for (name, at) in file.voters {
         match peers.iter().find(|(peer, _)| *peer == name) {
             Some((_, key)) => voters.push((*key, at)),
-            None => return refuse(&format!("voters.{name}"), UNKNOWN.into()),
+            None => return check.refuse(&format!("voters.{name}"), NOT_A_PEER),
         }
     }
     let (fleet, directory, drift_ppm) = (file.fleet, file.directory, file.drift_ppm);
--- a/crates/agreement/src/operator/position.rs
+++ b/crates/agreement/src/operator/position.rs
@@ -1,5 +1,7 @@
 //! Where in the operator's file an error is: the line of a key or element by its path.
 
+use std::fmt;
+
 use crate::error::{Error, KeyProblem, Position};
 use crate::scanner::{Scanner, Token};
 
@@ -11,6 +13,43 @@
     Error::Key { position, problem: Box::new(problem.into()) }
 }
 
+/// Checks keys of one section of the operator's file; an error names line and key.
+pub struct Checker<'a> {
+    /// The whole file.
+    pub text: &'a str,
+    /// The section's path.
+    pub section: &'static str,
+}
+
+impl Checker<'_> {
+    /// The error of a key of the section.
+    pub fn refuse<T>(&self, key: &str, problem: impl Into<KeyProblem>) -> Result<T, Error> {
+        Err(key_error(self.text, &format!("{}.{key}", self.section), problem))
+    }
+
+    /// Refuses a number that is not from `least` to `most`.
+    pub fn range<T: PartialOrd + Copy + fmt::Display>(
+        &self,
+        key: &str,
+        value: T,
+        least: T,
+        most: T,
+    ) -> Result<(), Error> {
+        match (least..=most).contains(&value) {
+            true => Ok(()),
+            false => self.refuse(key, KeyProblem::out_of_range(least, most)),
+        }
+    }
+
+    /// Refuses a name that is not among those of another part of the configuration, which `whose` names.
+    pub fn known(&self, key: &str, name: &str, whose: &'static str, known: &[String]) -> Result<(), Error> {
+        match known.iter().any(|other| other == name) {
+            true => Ok(()),
+            false => self.refuse(key, KeyProblem::unknown_name(name, whose, known)),
+        }
+    }
+}
+
 /// The error of a text that is no JSON5.
 pub fn malformed(error: &json5::Error) -> Error {
     let at = error.position();
--- a/crates/agreement/src/operator/postgres.rs
+++ b/crates/agreement/src/operator/postgres.rs
@@ -8,7 +8,7 @@
 
 use crate::settings::{micros, Settings};
 
-use super::position::key_error;
+use super::position::Checker;
 use crate::error::{Error, KeyProblem};
 
 const MOST_SESSIONS: usize = 5_000; // sessions, where the file is silent; descriptors bound them before that
@@ -160,104 +160,90 @@
 
 /// Checks the section against the settings.
 pub fn postgres(text: &str, file: PostgresFile, settings: &Settings) -> Result<Postgres, Error> {
-    let names = &settings.names;
-    let known =
-        |path: String, whose: &'static str, list: &[String], name: &str| match list.iter().any(|n| n == name)
-        {
-            true => Ok(()),
-            false => Err(key_error(text, &path, KeyProblem::unknown_name(name, whose, list))),
-        };
+    let check = Checker { text, section: "postgres" };
     if file.engines.is_empty() {
-        return Err(key_error(
-            text,
-            "postgres.engines",
-            "names no engines; name kinds that speak PostgreSQL, or leave 'postgres' out",
-        ));
+        let problem = "names no engines; name kinds that speak PostgreSQL, or leave 'postgres' out";
+        return check.refuse("engines", problem);
     }
     for (i, engines) in file.engines.iter().enumerate() {
         for (k, kind) in engines.kinds.iter().enumerate() {
-            known(format!("postgres.engines[{i}].kinds[{k}]"), "the settings' kinds", &names.kinds, kind)?;
+            let key = format!("engines[{i}].kinds[{k}]");
+            check.known(&key, kind, "the settings' kinds", &settings.names.kinds)?;
         }
     }
     let mut users = BTreeMap::new();
-    for (name, user) in file.users {
-        let path = format!("postgres.users.{name}");
-        match (&user.verifier, user.trust) {
-            (None, false) => {
-                return Err(key_error(text, &path, "needs 'verifier', or 'trust: true'; give one of them"))
-            }
-            (Some(_), true) => {
-                return Err(key_error(text, &path, "has both 'verifier' and 'trust'; leave one out"))
-            }
-            (Some(verifier), false) if !is_verifier(verifier) => {
-                let form = "SCRAM-SHA-256$ITERATIONS:SALT$STORED_KEY:SERVER_KEY";
-                return Err(key_error(
-                    text,
-                    &format!("{path}.verifier"),
-                    format!("is not of the form {form}; copy it from pg_authid"),
-                ));
-            }
-            _ => {}
-        }
-        if let Some(member) = &user.member {
-            known(format!("{path}.member"), "the settings' customers", &names.customers, member)?;
-        }
-        if let Some(workload) = &user.workload {
-            known(format!("{path}.workload"), "the settings' workloads", &names.workloads, workload)?;
-        }
-        let user = User {
-            verifier: user.verifier,
-            member: user.member,
-            workload: user.workload,
-            engine_user: user.engine_user.unwrap_or_else(|| name.clone()),
-            engine_password: user.engine_password,
-        };
+    for (name, read) in file.users {
+        let user = user(&check, &name, read, settings)?;
         users.insert(name, user);
     }
-    let l = file.limits;
-    let at_least = |key: &str, value: f64, least: f64| {
+    let engines = file.engines.into_iter().map(|e| PostgresEngines { kinds: e.kinds, port: e.port });
+    let limits = limits(&check, file.limits)?;
+    Ok(Postgres { listen: file.listen, engines: engines.collect(), users, limits })
+}
+
+fn user(check: &Checker, name: &str, file: UserFile, settings: &Settings) -> Result<User, Error> {
+    let path = format!("users.{name}");
+    match (&file.verifier, file.trust) {
+        (None, false) => return check.refuse(&path, "needs 'verifier', or 'trust: true'; give one of them"),
+        (Some(_), true) => return check.refuse(&path, "has both 'verifier' and 'trust'; leave one out"),
+        (Some(verifier), false) if !is_verifier(verifier) => {
+            let form = "SCRAM-SHA-256$ITERATIONS:SALT$STORED_KEY:SERVER_KEY";
+            let problem = format!("is not of the form {form}; copy it from pg_authid");
+            return check.refuse(&format!("{path}.verifier"), problem);
+        }
+        _ => {}
+    }
+    let names = &settings.names;
+    if let Some(member) = &file.member {
+        check.known(&format!("{path}.member"), member, "the settings' customers", &names.customers)?;
+    }
+    if let Some(workload) = &file.workload {
+        check.known(&format!("{path}.workload"), workload, "the settings' workloads", &names.workloads)?;
+    }
+    Ok(User {
+        verifier: file.verifier,
+        member: file.member,
+        workload: file.workload,
+        engine_user: file.engine_user.unwrap_or_else(|| name.to_string()),
+        engine_password: file.engine_password,
+    })
+}
+
+fn limits(check: &Checker, file: LimitsFile) -> Result<SessionLimits, Error> {
+    for (key, value, least) in [
+        ("sessions", file.sessions as f64, 1.0),
+        ("start_up_ms", file.start_up_ms, 10.0),
+        ("statements", file.statements as f64, 1.0),
+        ("portals", file.portals as f64, 1.0),
+        ("settings", file.settings as f64, 1.0),
+        ("message_bytes", file.message_bytes as f64, 1024.0),
+        ("buffer_bytes", file.buffer_bytes as f64, 1024.0),
+        ("engine_connections", file.engine_connections as f64, 1.0),
+        ("prepared", file.prepared as f64, 1.0),
+        ("transaction_idle_ms", file.transaction_idle_ms, 10.0),
+        ("connection_idle_ms", file.connection_idle_ms, 10.0),
+        ("connection_age_ms", file.connection_age_ms, 10.0),
+    ] {
         let problem = match value {
-            value if (least..=MOST).contains(&value) => return Ok(()),
+            value if (least..=MOST).contains(&value) => continue,
             value if value > MOST => KeyProblem::above_maximum(MOST),
             _ => KeyProblem::below_minimum(least),
         };
-        Err(key_error(text, &format!("postgres.limits.{key}"), problem))
-    };
-    for (key, value, least) in [
-        ("sessions", l.sessions as f64, 1.0),
-        ("start_up_ms", l.start_up_ms, 10.0),
-        ("statements", l.statements as f64, 1.0),
-        ("portals", l.portals as f64, 1.0),
-        ("settings", l.settings as f64, 1.0),
-        ("message_bytes", l.message_bytes as f64, 1024.0),
-        ("buffer_bytes", l.buffer_bytes as f64, 1024.0),
-        ("engine_connections", l.engine_connections as f64, 1.0),
-        ("prepared", l.prepared as f64, 1.0),
-        ("transaction_idle_ms", l.transaction_idle_ms, 10.0),
-        ("connection_idle_ms", l.connection_idle_ms, 10.0),
-        ("connection_age_ms", l.connection_age_ms, 10.0),
-    ] {
-        at_least(key, value, least)?;
+        return check.refuse(&format!("limits.{key}"), problem);
     }
-    let engines = file.engines.into_iter().map(|e| PostgresEngines { kinds: e.kinds, port: e.port });
-    Ok(Postgres {
-        listen: file.listen,
-        engines: engines.collect(),
-        users,
-        limits: SessionLimits {
-            sessions: l.sessions,
-            start_up: micros(l.start_up_ms),
-            statements: l.statements,
-            portals: l.portals,
-            settings: l.settings,
-            message_bytes: l.message_bytes,
-            buffer_bytes: l.buffer_bytes,
-            engine_connections: l.engine_connections,
-            prepared: l.prepared,
-            transaction_idle: micros(l.transaction_idle_ms),
-            connection_idle: micros(l.connection_idle_ms),
-            connection_age: micros(l.connection_age_ms),
-        },
+    Ok(SessionLimits {
+        sessions: file.sessions,
+        start_up: micros(file.start_up_ms),
+        statements: file.statements,
+        portals: file.portals,
+        settings: file.settings,
+        message_bytes: file.message_bytes,
+        buffer_bytes: file.buffer_bytes,
+        engine_connections: file.engine_connections,
+        prepared: file.prepared,
+        transaction_idle: micros(file.transaction_idle_ms),
+        connection_idle: micros(file.connection_idle_ms),
+        connection_age: micros(file.connection_age_ms),
     })
 }
 
--- a/crates/agreement/src/operator/rules.rs
+++ b/crates/agreement/src/operator/rules.rs
@@ -7,7 +7,7 @@
 
 use crate::settings::{micros, Settings};
 
-use super::position::key_error;
+use super::position::Checker;
 use crate::error::{Error, KeyProblem};
 
 const LEASE_MS: f64 = 3_000.0; // milliseconds: what tightens waits as long; some elections of the ledger's owners
@@ -74,44 +74,38 @@
 
 /// Checks the section against the settings.
 pub fn rules(text: &str, file: RulesFile, settings: &Settings) -> Result<Rules, Error> {
-    let refuse = |key: &str, problem: KeyProblem| Err(key_error(text, &format!("rules.{key}"), problem));
+    let check = Checker { text, section: "rules" };
     let names = &settings.names;
     if file.file.is_empty() {
-        return refuse("file", "names none; give the path of the file of rules".into());
+        return check.refuse("file", "names none; give the path of the file of rules");
     }
     for (region, locations) in &file.regions {
-        let unknown = locations.iter().enumerate().find(|(_, l)| !names.locations.contains(l));
-        if let Some((at, location)) = unknown {
-            let problem = KeyProblem::unknown_name(location, "the settings' locations", &names.locations);
-            return refuse(&format!("regions.{region}[{at}]"), problem);
+        for (at, location) in locations.iter().enumerate() {
+            let key = format!("regions.{region}[{at}]");
+            check.known(&key, location, "the settings' locations", &names.locations)?;
         }
         if locations.is_empty() {
-            return refuse(&format!("regions.{region}"), "holds no location; name one".into());
+            return check.refuse(&format!("regions.{region}"), "holds no location; name one");
         }
     }
-    let known: Vec<&String> = file.regions.keys().chain(&names.locations).collect();
-    if !known.contains(&&file.region) {
-        let known: Vec<String> = known.into_iter().cloned().collect();
-        return refuse("region", KeyProblem::unknown_name(&file.region, "the regions", &known));
-    }
+    let regions: Vec<String> = file.regions.keys().chain(&names.locations).cloned().collect();
+    check.known("region", &file.region, "the regions", &regions)?;
     for (at, customer) in file.customers.iter().flatten().enumerate() {
-        if !names.customers.is_empty() && !names.customers.contains(customer) {
-            let problem = KeyProblem::unknown_name(customer, "the settings' customers", &names.customers);
-            return refuse(&format!("customers[{at}]"), problem);
+        if !names.customers.is_empty() {
+            check.known(
+                &format!("customers[{at}]"),
+                customer,
+                "the settings' customers",
+                &names.customers,
+            )?;
         }
     }
-    if !(500.0..=60_000.0).contains(&file.lease_ms) {
-        return refuse("lease_ms", KeyProblem::out_of_range(500, 60_000));
-    }
+    check.range("lease_ms", file.lease_ms, 500.0, 60_000.0)?;
     if file.drift_ppm > MOST_DRIFT_PPM {
-        return refuse("drift_ppm", KeyProblem::above_maximum(MOST_DRIFT_PPM));
-    }
-    if !(1_000.0..=86_400_000.0).contains(&file.tell_every_ms) {
-        return refuse("tell_every_ms", KeyProblem::out_of_range(1_000, 86_400_000));
-    }
-    if !(0.0..=MOST_WHAT_IF_HOURS).contains(&file.what_if_hours) {
-        return refuse("what_if_hours", KeyProblem::out_of_range(0, 168));
+        return check.refuse("drift_ppm", KeyProblem::above_maximum(MOST_DRIFT_PPM));
     }
+    check.range("tell_every_ms", file.tell_every_ms, 1_000.0, 86_400_000.0)?;
+    check.range("what_if_hours", file.what_if_hours, 0.0, MOST_WHAT_IF_HOURS)?;
     let RulesFile {
         file: path,
         region,
--- a/crates/agreement/src/operator/scatter.rs
+++ b/crates/agreement/src/operator/scatter.rs
@@ -8,7 +8,7 @@
 use crate::settings::Settings;
 
 use super::gossip::parse_key;
-use super::position::key_error;
+use super::position::Checker;
 use crate::error::{Error, KeyProblem};
 
 const OLDEST_MS: u64 = 600_000; // milliseconds: a site that has written nothing for so long may have lost its way
@@ -149,107 +149,27 @@
 
 /// Checks the section against the settings.
 pub fn scatter(text: &str, file: ScatterFile, settings: &Settings) -> Result<Scatter, Error> {
-    let refuse = |key: &str, problem: KeyProblem| Err(key_error(text, &format!("scatter.{key}"), problem));
+    let check = Checker { text, section: "scatter" };
     let names = &settings.names;
-    for (n, name) in file.workloads.iter().enumerate() {
-        let path = format!("workloads[{n}]");
-        let Some(at) = names.workloads.iter().position(|known| known == name) else {
-            return refuse(
-                &path,
-                KeyProblem::unknown_name(name, "the settings' workloads", &names.workloads),
-            );
-        };
-        let effect = settings.agreement.workloads.get(at).map(|w| w.effect);
-        if effect != Some(Effect::Idempotent) {
-            return refuse(
-                &path,
-                format!("'{name}' is not idempotent; name workloads that only read").into(),
-            );
-        }
-    }
-    let mut sites = BTreeMap::new();
-    for (name, key) in &file.sites {
-        if !names.locations.contains(name) {
-            let problem = KeyProblem::unknown_name(name, "the settings' areas", &names.locations);
-            return refuse(&format!("sites.{name}"), problem);
-        }
-        match parse_key(key) {
-            Some(key) => _ = sites.insert(name.clone(), key),
-            None => return refuse(&format!("sites.{name}"), KeyProblem::InvalidPublicKey),
-        }
-    }
-    if file.workloads.is_empty() || sites.is_empty() {
-        return refuse("sites", "names none, or no workloads; leave 'scatter' out to switch it off".into());
-    }
-    let mut schemas = BTreeMap::new();
-    for (group, schema) in &file.schemas {
-        match group.parse() {
-            Ok(number) => _ = schemas.insert(number, *schema),
-            Err(_) => {
-                return refuse(&format!("schemas.{group}"), "is no number of a table group; give one".into())
-            }
-        }
-    }
-    if let Some(site) = file.whole_site.as_ref().filter(|site| !sites.contains_key(*site)) {
-        return refuse(
-            "whole_site",
-            KeyProblem::unknown_name(site, "scatter.sites", &sites.keys().cloned().collect::<Vec<_>>()),
-        );
-    }
-    for (n, name) in file.partial.iter().enumerate() {
-        if !names.customers.contains(name) {
-            let problem = KeyProblem::unknown_name(name, "the settings' customers", &names.customers);
-            return refuse(&format!("partial[{n}]"), problem);
-        }
-    }
-    for (name, error) in &file.distinct_error {
-        let key = format!("distinct_error.{name}");
-        if !names.customers.contains(name) {
-            return refuse(&key, KeyProblem::unknown_name(name, "the settings' customers", &names.customers));
-        }
-        if !(0.0..=MOST_ERROR).contains(error) {
-            return refuse(&key, format!("is not from 0 to {MOST_ERROR}, a part of the number").into());
-        }
+    check_workloads(&check, &file, settings)?;
+    let sites = sites(&check, &file, settings)?;
+    let schemas = schemas(&check, &file)?;
+    if let Some(site) = &file.whole_site {
+        check.known("whole_site", site, "scatter.sites", &sites.keys().cloned().collect::<Vec<_>>())?;
     }
+    check_customers(&check, &file, settings)?;
     for (n, name) in file.writes.iter().enumerate() {
-        if !names.workloads.contains(name) {
-            let problem = KeyProblem::unknown_name(name, "the settings' workloads", &names.workloads);
-            return refuse(&format!("writes[{n}]"), problem);
-        }
+        check.known(&format!("writes[{n}]"), name, "the settings' workloads", &names.workloads)?;
     }
     let marked = match file.loads.as_deref() {
         None | Some("marked") => true,
         Some("none") => false,
         Some(other) => {
-            return refuse(
-                "loads",
-                format!("'{other}' is neither 'marked' nor 'none'; give one of them").into(),
-            )
+            let problem = format!("'{other}' is neither 'marked' nor 'none'; give one of them");
+            return check.refuse("loads", problem);
         }
     };
-    for (key, value, least, most) in [
-        ("oldest_ms", file.oldest_ms, 1_000, MOST_OLDEST_MS),
-        ("ahead_ms", file.ahead_ms, 0, OLDEST_MS),
-        ("most", file.most as u64, 1, MOST_OF_ALL as u64),
-        ("at_once", file.at_once as u64, 1, 1_000),
-        ("answer_bytes", file.answer_bytes as u64, 1_000, 1 << 26),
-    ] {
-        if !(least..=most).contains(&value) {
-            return refuse(key, KeyProblem::out_of_range(least, most));
-        }
-    }
-    let range = |key: &str, value: u64, least: u64, most: u64| match (least..=most).contains(&value) {
-        true => Ok(()),
-        false => refuse(key, KeyProblem::out_of_range(least, most)).map(|_: Scatter| ()),
-    };
-    if let Some(keep) = &file.keep {
-        range("keep.memory_kb", keep.memory_kb, 16, 1 << 24)?;
-        range("keep.bytes_a_second", keep.bytes_a_second, 100, 1 << 24)?;
-    }
-    if let Some(audits) = &file.audits {
-        range("audits.one_in", audits.one_in, 1, 1_000_000)?;
-        range("audits.a_minute", audits.a_minute, 1, 60_000)?;
-    }
+    check_ranges(&check, &file)?;
     let millionths = |(name, error): (&String, &f64)| (name.clone(), (error * 1e6) as u32);
     let distinct_error = file.distinct_error.iter().map(millionths).collect();
     let keep = file.keep.map(|SummaryBudgetFile { memory_kb, bytes_a_second, file }| SummaryBudget {
@@ -285,6 +205,90 @@
     })
 }
 
+/// Workloads are known and only read.
+fn check_workloads(check: &Checker, file: &ScatterFile, settings: &Settings) -> Result<(), Error> {
+    let known = &settings.names.workloads;
+    for (n, name) in file.workloads.iter().enumerate() {
+        let key = format!("workloads[{n}]");
+        check.known(&key, name, "the settings' workloads", known)?;
+        let at = known.iter().position(|other| other == name);
+        let effect = at.and_then(|at| settings.agreement.workloads.get(at)).map(|w| w.effect);
+        if effect != Some(Effect::Idempotent) {
+            let problem = format!("'{name}' is not idempotent; name workloads that only read");
+            return check.refuse(&key, problem);
+        }
+    }
+    Ok(())
+}
+
+/// Sites are locations, each with a key; there is one at least, and a workload.
+fn sites(
+    check: &Checker,
+    file: &ScatterFile,
+    settings: &Settings,
+) -> Result<BTreeMap<String, [u8; 32]>, Error> {
+    let mut sites = BTreeMap::new();
+    for (name, key) in &file.sites {
+        let path = format!("sites.{name}");
+        check.known(&path, name, "the settings' areas", &settings.names.locations)?;
+        match parse_key(key) {
+            Some(key) => _ = sites.insert(name.clone(), key),
+            None => return check.refuse(&path, KeyProblem::InvalidPublicKey),
+        }
+    }
+    if file.workloads.is_empty() || sites.is_empty() {
+        return check.refuse("sites", "names none, or no workloads; leave 'scatter' out to switch it off");
+    }
+    Ok(sites)
+}
+
+fn schemas(check: &Checker, file: &ScatterFile) -> Result<BTreeMap<u32, u32>, Error> {
+    let mut schemas = BTreeMap::new();
+    for (group, schema) in &file.schemas {
+        match group.parse() {
+            Ok(number) => _ = schemas.insert(number, *schema),
+            Err(_) => {
+                let key = format!("schemas.{group}");
+                return check.refuse(&key, "is no number of a table group; give one");
+            }
+        }
+    }
+    Ok(schemas)
+}
+
+/// Customers with terms of their own are known, and the terms make sense.
+fn check_customers(check: &Checker, file: &ScatterFile, settings: &Settings) -> Result<(), Error> {
+    let known = &settings.names.customers;
+    for (n, name) in file.partial.iter().enumerate() {
+        check.known(&format!("partial[{n}]"), name, "the settings' customers", known)?;
+    }
+    for (name, error) in &file.distinct_error {
+        let key = format!("distinct_error.{name}");
+        check.known(&key, name, "the settings' customers", known)?;
+        if !(0.0..=MOST_ERROR).contains(error) {
+            return check.refuse(&key, format!("is not from 0 to {MOST_ERROR}, a part of the number"));
+        }
+    }
+    Ok(())
+}
+
+fn check_ranges(check: &Checker, file: &ScatterFile) -> Result<(), Error> {
+    check.range("oldest_ms", file.oldest_ms, 1_000, MOST_OLDEST_MS)?;
+    check.range("ahead_ms", file.ahead_ms, 0, OLDEST_MS)?;
+    check.range("most", file.most, 1, MOST_OF_ALL)?;
+    check.range("at_once", file.at_once, 1, 1_000)?;
+    check.range("answer_bytes", file.answer_bytes, 1_000, 1 << 26)?;
+    if let Some(keep) = &file.keep {
+        check.range("keep.memory_kb", keep.memory_kb, 16, 1 << 24)?;
+        check.range("keep.bytes_a_second", keep.bytes_a_second, 100, 1 << 24)?;
+    }
+    if let Some(audits) = &file.audits {
+        check.range("audits.one_in", audits.one_in, 1, 1_000_000)?;
+        check.range("audits.a_minute", audits.a_minute, 1, 60_000)?;
+    }
+    Ok(())
+}
+
 #[cfg(test)]
 #[path = "scatter_tests.rs"]
 mod tests;
