--- a/crates/postgres/src/session/reading.rs
+++ b/crates/postgres/src/session/reading.rs
@@ -1,6 +1,7 @@
-//! What a client says becomes steps, and steps a unit.
+//! A client's messages become operations, and operations a unit.
 
-use std::collections::HashMap;
+use std::collections::HashSet;
+use std::ops::Range;
 use std::rc::Rc;
 
 use super::{Bounds, Operation, Session, SessionEvent, UnitPart};
@@ -10,6 +11,65 @@
 use crate::wire::{self, ClientMessage, Header, Message};
 use crate::ProtocolError;
 
+/// What a part of a unit is read from, and what has been read of it.
+struct Reading<'a> {
+    input: &'a [u8],
+    catalogue: &'a mut Catalogue,
+    bounds: &'a Bounds,
+    part: UnitPart,
+    /// Names of the portals that it has opened.
+    bound: HashSet<Vec<u8>>,
+}
+
+impl Reading<'_> {
+    /// The range in the part's bytes of something that lies within the input.
+    fn range(&self, inner: &[u8]) -> Range<usize> {
+        let from = inner.as_ptr() as usize - self.input.as_ptr() as usize;
+        from..from + inner.len()
+    }
+
+    fn query(&mut self, text: &[u8], whole: Range<usize>) {
+        let scan = sql::scan(text);
+        match scan.unsupported {
+            Some(why) => {
+                self.part.ops.push(Operation::Fail(ClientError::Unsupported { why }));
+                self.part.ops.push(Operation::Sync);
+            }
+            None => self.part.ops.push(Operation::Query(whole)),
+        }
+        self.part.local = scan.unsupported.is_some() || scan.local_command.is_some();
+        self.part.query = Some(self.range(text));
+        self.part.runs(&scan);
+        self.part.ends = true;
+    }
+
+    fn bind(&mut self, prepared: Rc<Prepared>, portal: &[u8], statement: &[u8], rest: &[u8]) {
+        self.part.local &= prepared.scan.local_command.is_some();
+        self.part.runs(&prepared.scan);
+        self.part.first = Some(prepared.clone());
+        self.bound.insert(portal.to_vec());
+        let (portal, rest) = (self.range(portal), self.range(rest));
+        self.part.ops.push(Operation::Bind { prepared, named: !statement.is_empty(), portal, rest });
+    }
+
+    /// What shared connections can't carry can't hide among other operations either.
+    fn refuse_mixed_commands(&mut self) {
+        let part = &mut self.part;
+        let mixed = !part.local
+            && part.local_commands.iter().any(|command| !matches!(command, LocalCommand::Label(..)));
+        if mixed {
+            let why = "DISCARD or DEALLOCATE among other statements";
+            let last = part.ops.pop();
+            part.ops.push(Operation::Fail(ClientError::Unsupported { why }));
+            part.ops.extend(last);
+        }
+    }
+}
+
+fn violation(why: ProtocolError) -> ClientError {
+    ClientError::Protocol { why }
+}
+
 impl Session {
     /// Takes the next unit, or part of one, from the start of `input`; says how much of it is used up. An
     /// error ends the session.
@@ -19,150 +79,127 @@
         catalogue: &mut Catalogue,
         bounds: &Bounds,
     ) -> Result<(usize, SessionEvent), ClientError> {
-        let against = |why: ProtocolError| ClientError::Protocol { why };
+        let Some(end) = self.end_of_part(input, bounds)? else {
+            return Ok((0, SessionEvent::Incomplete));
+        };
+        let part = UnitPart { raw: input[..end].to_vec(), local: true, ..UnitPart::default() };
+        let mut reading = Reading { input, catalogue, bounds, part, bound: HashSet::new() };
+        let mut at = 0;
+        while at < end {
+            let message = wire::message(&input[at..end], bounds.bytes).map_err(violation)?;
+            let Some(Message { tag, body, len }) = message else { break };
+            match wire::client_message(tag, body).map_err(violation)? {
+                ClientMessage::Terminate => return Ok((end, SessionEvent::Terminated)),
+                ClientMessage::Query(_) | ClientMessage::FunctionCall if self.in_unit || at > 0 => {
+                    // What an engine would do with it depends on whether the unit has failed by then.
+                    return Err(violation(ProtocolError::Mixed));
+                }
+                message => self.take(&mut reading, message, at..at + len),
+            }
+            at += len;
+        }
+        reading.refuse_mixed_commands();
+        let mut part = reading.part;
+        part.local &= !self.in_unit;
+        self.in_unit = !part.ends;
+        Ok((end, SessionEvent::Part(Rc::new(part))))
+    }
+
+    /// Where the unit, or the part of it that a Flush ends, is over; None until all of it has come.
+    fn end_of_part(&mut self, input: &[u8], bounds: &Bounds) -> Result<Option<usize>, ClientError> {
         let mut at = std::mem::take(&mut self.scanned);
-        let end = loop {
-            match wire::header(&input[at..]).map_err(against)? {
+        loop {
+            match wire::header(&input[at..]).map_err(violation)? {
                 Some(Header { len, .. }) if len > bounds.bytes || at + len > bounds.bytes => {
                     return Err(ClientError::LimitExceeded { why: "the bytes of a unit" });
                 }
                 Some(Header { tag, len }) if at + len <= input.len() => {
                     at += len;
                     if matches!(tag, b'S' | b'Q' | b'H' | b'F' | b'X') {
-                        break at;
+                        return Ok(Some(at));
                     }
                 }
                 _ => {
                     self.scanned = at;
-                    return Ok((0, SessionEvent::Incomplete));
+                    return Ok(None);
                 }
             }
-        };
-        let mut part = UnitPart { raw: input[..end].to_vec(), local: true, ..UnitPart::default() };
-        let mut at = 0;
-        let mut bound: HashMap<Vec<u8>, Rc<Prepared>> = HashMap::new();
-        while at < end {
-            let Some(Message { tag, body, len }) =
-                wire::message(&input[at..end], bounds.bytes).map_err(against)?
-            else {
-                break;
-            };
-            let whole = at..at + len;
-            // Where something that lies within the body stands in the part's bytes.
-            let place = |inner: &[u8]| {
-                let from = inner.as_ptr() as usize - input.as_ptr() as usize;
-                from..from + inner.len()
-            };
-            match wire::client_message(tag, body).map_err(against)? {
-                ClientMessage::Terminate => return Ok((end, SessionEvent::Terminated)),
-                ClientMessage::Query(_) | ClientMessage::FunctionCall if self.in_unit || at > 0 => {
-                    // What an engine would do with it depends on whether the unit has failed by then.
-                    return Err(ClientError::Protocol { why: ProtocolError::Mixed });
-                }
-                ClientMessage::FunctionCall => {
-                    part.ops.push(Operation::Fail(ClientError::Unsupported { why: "a function call" }));
-                    part.ops.push(Operation::Sync);
-                    part.ends = true;
-                }
-                ClientMessage::Query(text) => {
-                    let scan = sql::scan(text);
-                    match scan.unsupported {
-                        Some(why) => part
-                            .ops
-                            .extend([Operation::Fail(ClientError::Unsupported { why }), Operation::Sync]),
-                        None => part.ops.push(Operation::Query(whole.clone())),
-                    }
-                    part.local = scan.unsupported.is_some() || scan.local_command.is_some();
-                    part.query = Some(place(text));
-                    part.runs(&scan);
-                    part.ends = true;
-                }
-                ClientMessage::Parse { name, body, .. } => {
-                    let prepared = catalogue.prepare(body);
-                    part.local &= prepared.scan.local_command.is_some();
-                    let fault = self.prepare(name, &prepared, bounds);
-                    let unsupported = prepared.scan.unsupported.map(|why| ClientError::Unsupported { why });
-                    let known_here = fault.is_none();
-                    match fault.or(unsupported) {
-                        Some(why) => {
-                            part.ops.push(Operation::Fail(why));
-                            // A name that was taken before stays with what it names.
-                            if known_here {
-                                self.forget(name);
-                            }
-                        }
-                        None => {
-                            let named = !name.is_empty();
-                            part.ops.push(Operation::Parse { prepared: prepared.clone(), named });
-                            part.named.push(name.to_vec());
-                        }
-                    }
-                    part.first.get_or_insert(prepared);
-                }
-                ClientMessage::Bind { portal, .. } if !self.opens(portal, bounds) => {
-                    part.ops.push(Operation::Fail(ClientError::LimitExceeded { why: "portals" }));
-                }
-                ClientMessage::Bind { portal, statement, rest } => match self.known(statement) {
-                    Some(prepared) => {
-                        part.local &= prepared.scan.local_command.is_some();
-                        part.runs(&prepared.scan);
-                        part.first = Some(prepared.clone());
-                        bound.insert(portal.to_vec(), prepared.clone());
-                        let (portal, rest) = (place(portal), place(rest));
-                        part.ops.push(Operation::Bind {
-                            prepared,
-                            named: !statement.is_empty(),
-                            portal,
-                            rest,
-                        });
-                    }
-                    None => part.ops.push(no_such(statement)),
-                },
-                ClientMessage::Describe { statement: true, name } => match self.known(name) {
-                    Some(prepared) => {
-                        part.local &= prepared.scan.local_command.is_some();
-                        part.ops.push(Operation::Describe { prepared, named: !name.is_empty() });
-                    }
-                    None => part.ops.push(no_such(name)),
-                },
-                ClientMessage::Describe { statement: false, name } => {
-                    part.local &= bound.contains_key(name);
-                    part.ops.push(Operation::DescribePortal(whole.clone()));
-                }
-                ClientMessage::Execute { portal, .. } => {
-                    part.local &= bound.contains_key(portal);
-                    part.ops.push(Operation::Execute(whole.clone()));
+        }
+    }
+
+    /// Takes one message, which is `whole` in the part's bytes.
+    fn take(&mut self, reading: &mut Reading, message: ClientMessage, whole: Range<usize>) {
+        match message {
+            ClientMessage::FunctionCall => {
+                let why = ClientError::Unsupported { why: "a function call" };
+                reading.part.ops.extend([Operation::Fail(why), Operation::Sync]);
+                reading.part.ends = true;
+            }
+            ClientMessage::Query(text) => reading.query(text, whole),
+            ClientMessage::Parse { name, body, .. } => self.take_parse(reading, name, body),
+            ClientMessage::Bind { portal, .. } if !self.opens(portal, reading.bounds) => {
+                let why = ClientError::LimitExceeded { why: "portals" };
+                reading.part.ops.push(Operation::Fail(why));
+            }
+            ClientMessage::Bind { portal, statement, rest } => match self.known(statement) {
+                Some(prepared) => reading.bind(prepared, portal, statement, rest),
+                None => reading.part.ops.push(no_such(statement)),
+            },
+            ClientMessage::Describe { statement: true, name } => match self.known(name) {
+                Some(prepared) => {
+                    reading.part.local &= prepared.scan.local_command.is_some();
+                    reading.part.ops.push(Operation::Describe { prepared, named: !name.is_empty() });
                 }
-                ClientMessage::Close { statement: true, name } => {
+                None => reading.part.ops.push(no_such(name)),
+            },
+            ClientMessage::Describe { statement: false, name } => {
+                reading.part.local &= reading.bound.contains(name);
+                reading.part.ops.push(Operation::DescribePortal(whole));
+            }
+            ClientMessage::Execute { portal, .. } => {
+                reading.part.local &= reading.bound.contains(portal);
+                reading.part.ops.push(Operation::Execute(whole));
+            }
+            ClientMessage::Close { statement: true, name } => {
+                self.forget(name);
+                reading.part.ops.push(Operation::CloseStatement);
+            }
+            ClientMessage::Close { statement: false, name } => {
+                self.portals.remove(name);
+                reading.part.ops.push(Operation::ClosePortal(whole));
+            }
+            ClientMessage::Flush => reading.part.ops.push(Operation::Flush),
+            ClientMessage::Sync => {
+                reading.part.ops.push(Operation::Sync);
+                reading.part.ends = true;
+            }
+            // Outside a copy it is passed over, as engines do; Terminate is for the caller.
+            ClientMessage::Copy | ClientMessage::Terminate => {}
+        }
+    }
+
+    fn take_parse(&mut self, reading: &mut Reading, name: &[u8], body: &[u8]) {
+        let prepared = reading.catalogue.prepare(body);
+        let part = &mut reading.part;
+        part.local &= prepared.scan.local_command.is_some();
+        let fault = self.prepare(name, &prepared, reading.bounds);
+        let unsupported = prepared.scan.unsupported.map(|why| ClientError::Unsupported { why });
+        let known_here = fault.is_none();
+        match fault.or(unsupported) {
+            Some(why) => {
+                part.ops.push(Operation::Fail(why));
+                // A name that was taken before stays with what it names.
+                if known_here {
                     self.forget(name);
-                    part.ops.push(Operation::CloseStatement);
-                }
-                ClientMessage::Close { statement: false, name } => {
-                    self.portals.remove(name);
-                    part.ops.push(Operation::ClosePortal(whole.clone()));
                 }
-                ClientMessage::Flush => part.ops.push(Operation::Flush),
-                ClientMessage::Sync => {
-                    part.ops.push(Operation::Sync);
-                    part.ends = true;
-                }
-                // Outside a copy it is passed over, as engines do.
-                ClientMessage::Copy => {}
             }
-            at += len;
-        }
-        // What shared connections can't carry can't hide among other steps either.
-        let mixed = !part.local
-            && part.local_commands.iter().any(|command| !matches!(command, LocalCommand::Label(..)));
-        if mixed {
-            let why = "DISCARD or DEALLOCATE among other statements";
-            let last = part.ops.pop();
-            part.ops.push(Operation::Fail(ClientError::Unsupported { why }));
-            part.ops.extend(last);
+            None => {
+                let named = !name.is_empty();
+                part.ops.push(Operation::Parse { prepared: prepared.clone(), named });
+                part.named.push(name.to_vec());
+            }
         }
-        part.local &= !self.in_unit;
-        self.in_unit = !part.ends;
-        Ok((end, SessionEvent::Part(Rc::new(part))))
+        part.first.get_or_insert(prepared);
     }
 
     fn known(&self, name: &[u8]) -> Option<Rc<Prepared>> {
@@ -211,9 +248,7 @@
     /// Says how much of the input that is, and whether the Sync was there.
     pub fn skip(&mut self, input: &[u8]) -> Result<(usize, bool), ClientError> {
         let mut at = 0;
-        while let Some(Header { tag, len }) =
-            wire::header(&input[at..]).map_err(|why| ClientError::Protocol { why })?
-        {
+        while let Some(Header { tag, len }) = wire::header(&input[at..]).map_err(violation)? {
             if at + len > input.len() {
                 break;
             }
