--- a/crates/agreement/src/operator/postgres.rs
+++ b/crates/agreement/src/operator/postgres.rs
@@ -120,7 +120,7 @@
     /// The SCRAM-SHA-256 verifier in the form of `pg_authid`; without one the user is trusted.
     pub verifier: Option<String>,
     /// The customer that its statements belong to by default, by name.
-    pub member: Option<String>,
+    pub customer: Option<String>,
     /// The workload of its statements by default, by name.
     pub workload: Option<String>,
     /// The user's name at the engines.
@@ -202,7 +202,7 @@
     }
     Ok(User {
         verifier: file.verifier,
-        member: file.member,
+        customer: file.member,
         workload: file.workload,
         engine_user: file.engine_user.unwrap_or_else(|| name.to_string()),
         engine_password: file.engine_password,
--- a/crates/front/src/postgres/portal/asked.rs
+++ b/crates/front/src/postgres/portal/asked.rs
@@ -123,7 +123,7 @@
     let timeout = timeouts.iter().find(|(name, _)| name == workload);
     let timeout = timeout.ok_or_else(|| unfit("hallmux.workload", "no such workload was agreed"))?.1;
     // Whom a user belongs to is the operator's word where it is given.
-    let member = user.member.as_deref().or(label.member.as_deref()).unwrap_or_default();
+    let member = user.customer.as_deref().or(label.customer.as_deref()).unwrap_or_default();
     let number = |field: &'static str, text: &Option<String>| match text.as_deref().map(str::parse::<f64>) {
         None => Ok(0.0),
         Some(Ok(value)) if (0.0..=MOST_FIGURE).contains(&value) => Ok(value),
--- a/crates/postgres/src/sql.rs
+++ b/crates/postgres/src/sql.rs
@@ -16,7 +16,7 @@
     /// The workload's name.
     pub workload: Option<String>,
     /// The customer's name.
-    pub member: Option<String>,
+    pub customer: Option<String>,
     /// The order key: statements with equal ones run one after the other.
     pub key: Option<String>,
     /// Statements with equal ones take effect once.
@@ -35,7 +35,7 @@
     pub fn set(&mut self, name: &str, value: &str) -> bool {
         let place = match name {
             "workload" => &mut self.workload,
-            "member" => &mut self.member,
+            "member" => &mut self.customer,
             "key" => &mut self.key,
             "dedup_key" => &mut self.dedup_key,
             "work_ms" => &mut self.work_ms,
@@ -52,7 +52,7 @@
         let either = |a: &Option<String>, b: &Option<String>| b.clone().or_else(|| a.clone());
         Label {
             workload: either(&self.workload, &other.workload),
-            member: either(&self.member, &other.member),
+            customer: either(&self.customer, &other.customer),
             key: either(&self.key, &other.key),
             dedup_key: either(&self.dedup_key, &other.dedup_key),
             work_ms: either(&self.work_ms, &other.work_ms),
