--- a/crates/agreement/src/operator/file.rs
+++ b/crates/agreement/src/operator/file.rs
@@ -1,6 +1,6 @@
 //! The whole file: its sections, and the keys that belong to none of them.
 
-use hallmux::interface::{Micros, ReportPlaces};
+use hallmux::interface::{Micros, ReportLayout};
 use serde::Deserialize;
 
 use crate::settings::{micros, Settings};
@@ -58,7 +58,7 @@
 
 impl Operator {
     /// Makes the decision module read the figure chosen and leave the other.
-    pub fn apply(&self, report: &mut ReportPlaces) {
+    pub fn apply(&self, report: &mut ReportLayout) {
         match self.load_signal {
             Some(LoadSignal::InFlight) => report.busy = None,
             Some(LoadSignal::Utilization) => report.active = None,
--- a/crates/agreement/src/settings.rs
+++ b/crates/agreement/src/settings.rs
@@ -2,7 +2,7 @@
 
 mod check;
 
-use hallmux::interface::{Agreement, FurtherBudget, Micros, ReportPlaces, Workload};
+use hallmux::interface::{Agreement, FurtherBudget, Micros, ReportLayout, Workload};
 use serde::Deserialize;
 
 use self::check::{check, word, EFFECTS, GROUPS};
@@ -255,7 +255,7 @@
         grants: read.extra.grants_count,
         priorities: read.extra.takes_priority,
         progress_every: micros(read.extra.tells_every_ms),
-        report: ReportPlaces {
+        report: ReportLayout {
             active: place("active"),
             busy: place("cpu"),
             waiting: place("waiting"),
@@ -268,7 +268,7 @@
         most_executions: read.bounds.most_tries.unwrap_or(1),
         longest_retry_after: (read.bounds.retry_after)
             .then(|| micros(read.bounds.max_retry_after_ms.unwrap_or(1000.0))),
-        turn_gap: micros(read.rules.turn_gap_ms),
+        order_gap: micros(read.rules.turn_gap_ms),
         cold_from: read.rules.cold_from,
         warm_within: micros(read.rules.warm_within_ms),
         overload_factor: read.rules.overload_factor,
--- a/crates/dispatcher/src/ended.rs
+++ b/crates/dispatcher/src/ended.rs
@@ -53,7 +53,7 @@
             outcome: ending.outcome(),
             took,
             settled: s.over,
-            holds,
+            keeps_order_key: holds,
             report,
         }));
         if answers {
@@ -78,7 +78,7 @@
         let unheard = |e: &Event| matches!(e, Event::Arrived(a) if a.statement == ticket);
         match self.told.iter().position(unheard) {
             Some(at) => _ = self.told.remove(at),
-            None => self.told.push(Event::Left(ticket)),
+            None => self.told.push(Event::ClientLeft(ticket)),
         }
         self.forget(now, ticket);
     }
@@ -86,13 +86,13 @@
     /// A transaction that kept an order key is over; the key rests where the transaction may still run.
     pub fn freed(&mut self, now: Micros, name: &str, rests: bool) {
         let Some(key) = self.keys.get_mut(name) else { return };
-        self.told.push(Event::Freed { key: key.id, rests });
+        self.told.push(Event::OrderKeyFreed { key: key.id, pauses: rests });
         if self.watches {
             self.words.push(Word::Freed { key: name.to_string(), rests });
         }
         key.statements -= 1;
         if key.statements == 0 {
-            self.resting.insert((now + self.turn_gap, name.to_string()));
+            self.resting.insert((now + self.order_gap, name.to_string()));
         }
     }
 
@@ -120,7 +120,7 @@
         };
         key.statements -= 1;
         if key.statements == 0 {
-            self.resting.insert((now + self.turn_gap, name));
+            self.resting.insert((now + self.order_gap, name));
         }
     }
 
--- a/crates/drill/src/instance.rs
+++ b/crates/drill/src/instance.rs
@@ -2,7 +2,9 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use hallmux::interface::{Action, Agreement, Arrival, Ended, Event, Listed, Micros, Mode, Note, Outcome};
+use hallmux::interface::{
+    Action, Agreement, Arrival, Ended, EngineEntry, Event, Micros, Mode, Note, Outcome,
+};
 use hallmux::Front;
 
 use crate::wire::{self, Line};
@@ -10,13 +12,13 @@
 /// An engine as a list on the wire names it, before an instance has given it an index.
 pub struct Listing {
     name: String,
-    entry: Listed,
+    entry: EngineEntry,
 }
 
 impl Listing {
     pub fn read(line: &Line) -> Result<Self, String> {
         let started = line.number_or("onlineSinceMs", 0.0)?;
-        let entry = Listed {
+        let entry = EngineEntry {
             engine: 0,
             location: line.field("campus")?,
             kind: line.field("classOfHost")?,
@@ -28,8 +30,8 @@
                 other => return Err(format!("mode: unknown word '{other}'")),
             },
             started: (started > 0.0).then(|| hallmux_agreement::micros(started)),
-            speaks: 1,
-            tells: true,
+            protocols: 1,
+            sends_progress: true,
         };
         Ok(Listing { name: line.field("engine")?, entry })
     }
@@ -80,7 +82,7 @@
             "JOB_IN" => Some(self.arrived(line)?),
             "RETURNED" => self.ended(line)?,
             "NOTICE" => self.noted(line)?,
-            "GONE" => self.statement(line)?.map(Event::Left),
+            "GONE" => self.statement(line)?.map(Event::ClientLeft),
             "RING" => Some(Event::Woken),
             "FLEET" => Some(self.listed(line, lists)?),
             "PROBE_RESULT" => Some(Event::Probed {
@@ -104,7 +106,7 @@
         };
         let list: u32 = line.field("ref")?;
         let listings = lists.get(&list).ok_or_else(|| format!("list {list} was never sent"))?;
-        let entry = |l: &Listing| Listed { engine: self.engine(&l.name), ..l.entry.clone() };
+        let entry = |l: &Listing| EngineEntry { engine: self.engine(&l.name), ..l.entry.clone() };
         Ok(Event::Engines { whole, entries: listings.iter().map(entry).collect() })
     }
 
@@ -128,7 +130,7 @@
             work: line.number_or("guessMs", 0.0)? * 1000.0,
             memory_mb: line.number_or("ramMb", 0.0)?,
             data_set: line.optional("tableGroup")?,
-            speech: 1,
+            protocols: 1,
             pinned: None,
             allowed: None,
         };
@@ -142,9 +144,9 @@
         let outcome = match line.field::<String>("status")?.as_str() {
             "pass" => Outcome::Completed,
             "fault" => Outcome::Error,
-            "no_room" => Outcome::NoRoom,
+            "no_room" => Outcome::NoCapacity,
             "too_slow" => Outcome::TimedOut,
-            "no_route" => Outcome::NoRoute,
+            "no_route" => Outcome::Unreachable,
             "cut" => Outcome::Reset,
             "undone" => Outcome::Cancelled,
             "stale_send" => Outcome::NotSent,
@@ -158,7 +160,7 @@
             outcome,
             took: line.time("delaySeenMs")?,
             settled: line.flag("settled")?,
-            holds: false,
+            keeps_order_key: false,
             report: line.report()?,
         })))
     }
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -1,4 +1,4 @@
-//! Words with other fronts over datagrams: what this front has seen of engines goes out, what others have seen
+//! Gossip with other fronts over datagrams: what this front has seen of engines goes out, what others have seen
 //! comes in. Switched on by the operator's file; off, it is not there.
 
 use std::collections::BTreeMap;
@@ -12,51 +12,51 @@
 use calloop::{Interest, LoopHandle, Mode, PostAction};
 use hallmux_agreement::{parse_key, Gossip, OnDiskFailure};
 use hallmux_dispatcher::{Dispatcher, Micros};
-use hallmux_fleet::{Exchange, Kept, Moment, Out, Ownership, Owns};
+use hallmux_fleet::{Exchange, Kept, Moment, Out, Owns};
 use hallmux_gossip::evidence::News;
 use hallmux_gossip::message::LONGEST;
 use hallmux_gossip::node::{Datagram, Start};
 use hallmux_gossip::post::Channel;
 use hallmux_gossip::seal::{id, Keys, Refused};
 use hallmux_gossip::PeerId;
-use hallmux_lease::Terms;
 use hallmux_ledger::{Ask, Done};
 
-use super::copies::{drawn, Copies, Found, Unfit, Write};
-use super::fault::PeersFault;
-use super::members::{members, setup};
+use super::copies::{random_disk_id, Copies, Write};
+use super::errors::PeersError;
+use super::join::{join_ledger, join_ownership};
+use super::members::members;
 use super::votes::Votes;
-use crate::doors::{Changes, Door};
-use crate::shutdown::Keeps;
+use crate::events::{LoopEvents, SocketKind};
+use crate::shutdown::LedgerDuty;
 
-const ONE_TURN: usize = 64; // datagrams taken before others have their turn
-const PART: u32 = 56; // bits of a number that a part of the front counts in
-const SAID: Micros = 10_000_000; // microseconds between lines of the log on what was refused
+const DATAGRAMS_PER_ITERATION: usize = 64; // datagrams taken before others are served
+const PART_SHIFT: u32 = 56; // bits of a number that a part of the front counts in
+const LOG_INTERVAL: Micros = 10_000_000; // microseconds between lines of the log on what was refused
 
 pub struct Peers {
     socket: Rc<UdpSocket>,
     exchange: Exchange,
     names: BTreeMap<PeerId, String>,
-    chance: RandomState,
-    drawn: u64,
-    said: Micros,
+    random: RandomState,
+    draws_made: u64,
+    last_log: Micros,
     refused: BTreeMap<Refused, u64>,
     /// The clock that leases go by: it runs evenly on, whatever becomes of the wall clock.
-    steady: Instant,
+    started: Instant,
     votes: Option<Votes>,
     /// Where copies of promises are kept; none: in memory alone.
     copies: Option<Copies>,
     /// A disk that fails leaves them in memory.
-    spares_disk: bool,
-    owns: Option<Owns>,
+    memory_on_disk_failure: bool,
+    ownership: Option<Owns>,
     refused_acts: BTreeMap<&'static str, u64>,
     /// Copies of promises that differed, and that were mended here.
     differed: (u64, u64),
-    letters: BTreeMap<Channel, Vec<(PeerId, Vec<u8>)>>,
+    messages: BTreeMap<Channel, Vec<(PeerId, Vec<u8>)>>,
     /// Answers of the ledger that their part of this front has not taken yet.
     done: Vec<Done>,
     /// A ledger is kept.
-    keeps: bool,
+    has_ledger: bool,
 }
 
 fn keys(gossip: &Gossip) -> Rc<Keys> {
@@ -68,27 +68,27 @@
 }
 
 impl Peers {
-    /// `now` is the Unix clock: this life's name.
+    /// `now` is the Unix clock: it names this incarnation of the front.
     pub fn new(
         gossip: &Gossip,
         now: Micros,
-        handle: &LoopHandle<'static, Changes>,
-    ) -> Result<Peers, PeersFault> {
+        handle: &LoopHandle<'static, LoopEvents>,
+    ) -> Result<Peers, PeersError> {
         let file = || gossip.secret_file.clone();
         let secret = std::fs::read_to_string(&gossip.secret_file);
-        let secret = secret.map_err(|why| PeersFault::SecretFile { file: file(), why })?;
-        let secret = parse_key(&secret).ok_or_else(|| PeersFault::Secret(file()))?;
-        let unheard = |why| PeersFault::Listen { at: gossip.listen, why };
+        let secret = secret.map_err(|why| PeersError::SecretFile { file: file(), why })?;
+        let secret = parse_key(&secret).ok_or_else(|| PeersError::Secret(file()))?;
+        let unheard = |why| PeersError::Listen { at: gossip.listen, why };
         let socket = UdpSocket::bind(gossip.listen).map_err(unheard)?;
         socket.set_nonblocking(true).map_err(unheard)?;
         let socket = Rc::new(socket);
         let at = socket.local_addr().map_err(unheard)?;
         let source = Generic::new(socket.clone(), Interest::READ, Mode::Edge);
-        let told = handle.insert_source(source, |_, _, changes: &mut Changes| {
-            changes.parties.push(Door::Peers.party(0));
+        let told = handle.insert_source(source, |_, _, events: &mut LoopEvents| {
+            events.ready.push(SocketKind::Peers.id(0));
             Ok(PostAction::Continue)
         });
-        told.map_err(|e| PeersFault::system(e.error))?;
+        told.map_err(|e| PeersError::system(e.error))?;
         let told = gossip.advertise.unwrap_or(at);
         let start = Start { secret, keys: keys(gossip), at: told, seeds: gossip.seeds.clone() };
         let mut exchange = Exchange::new(start, (now / 1000) as u64);
@@ -96,61 +96,17 @@
             exchange.tells_load();
             log::info!("sheds overload as one with the fleet");
         }
-        let steady = Instant::now();
-        let mut votes = None;
-        if let Some(ownership) = &gossip.ownership {
-            let voters: Vec<_> = ownership.voters.iter().map(|(key, at)| (id(key), *at)).collect();
-            let own = id(&exchange.public());
-            let mut saved = None;
-            if voters.iter().any(|(voter, _)| *voter == own) {
-                let socket = socket.try_clone().map_err(PeersFault::system)?;
-                let (opened, kept) = Votes::open(&ownership.directory, socket)?;
-                (votes, saved) = (Some(opened), kept);
-            }
-            let terms = Terms { length: ownership.lease, drift_ppm: ownership.drift_ppm };
-            let ownership = Ownership { fleet: ownership.fleet.clone(), voters, terms, saved };
-            let moment = Moment { now, steady: 0, wall_ms: (now / 1000) as u64 };
-            exchange.own(moment, ownership)?;
-            log::info!(
-                "takes part in ownership of the fleet's work{}",
-                if votes.is_some() { ", and votes" } else { "" }
-            );
-        }
-        let (mut copies, mut spares_disk) = (None, false);
-        if let Some(ledger) = &gossip.ledger {
-            let own = id(&exchange.public());
-            let moment = Moment { now, steady: 0, wall_ms: (now / 1000) as u64 };
-            let (mut setup, members) = setup(ledger, own, (now / 1000) as u64);
-            let keeps = ledger.members.iter().any(|member| id(&member.key) == own);
-            spares_disk = ledger.on_disk_failure == OnDiskFailure::Memory;
-            let mut saved = None;
-            if let Some(directory) = ledger.directory.as_ref().filter(|_| keeps) {
-                let drill = ledger.disk_fault_file.as_deref();
-                let socket = socket.try_clone().map_err(PeersFault::system)?;
-                let wakes = wakes(handle).map_err(PeersFault::system)?;
-                match Copies::open(directory, drill, socket, wakes) {
-                    Ok((opened, Found { disk, saved: found })) => {
-                        (copies, setup.disk, saved) = (Some(opened), disk, found);
-                    }
-                    Err(e @ Unfit::Disk { .. }) if spares_disk => {
-                        log::error!("{e}; copies are in memory alone")
-                    }
-                    Err(e) => return Err(e.into()),
-                }
-            }
-            let (on_disk, remembers) = (copies.is_some(), saved.is_some());
-            exchange.promise(moment, setup, members, saved)?;
-            log::info!(
-                "asks {} fronts for promises{}",
-                ledger.members.len(),
-                match (keeps, on_disk, remembers) {
-                    (false, ..) => "",
-                    (_, false, _) => ", and keeps copies in memory alone",
-                    (_, _, false) => ", and keeps copies on a disk that is new",
-                    _ => ", and keeps copies on the disk that it had",
-                }
-            );
-        }
+        let started = Instant::now();
+        let votes = match &gossip.ownership {
+            Some(ownership) => join_ownership(&mut exchange, ownership, now, &socket)?,
+            None => None,
+        };
+        let copies = match &gossip.ledger {
+            Some(ledger) => join_ledger(&mut exchange, ledger, now, &socket, handle)?,
+            None => None,
+        };
+        let memory_on_disk_failure =
+            gossip.ledger.as_ref().is_some_and(|l| l.on_disk_failure == OnDiskFailure::Memory);
         let public: String = exchange.public().iter().map(|byte| format!("{byte:02x}")).collect();
         log::info!(
             "talks with other fronts, {} keys count; its own is {public}, its address {at}",
@@ -160,20 +116,20 @@
             socket,
             exchange,
             names: names(gossip),
-            chance: RandomState::new(),
-            drawn: 0,
-            said: 0,
+            random: RandomState::new(),
+            draws_made: 0,
+            last_log: 0,
             refused: BTreeMap::new(),
-            steady,
+            started,
             votes,
             copies,
-            spares_disk,
-            owns: None,
+            memory_on_disk_failure,
+            ownership: None,
             refused_acts: BTreeMap::new(),
             differed: (0, 0),
             done: Vec::new(),
-            keeps: gossip.ledger.is_some(),
-            letters: BTreeMap::new(),
+            has_ledger: gossip.ledger.is_some(),
+            messages: BTreeMap::new(),
         })
     }
 
@@ -181,7 +137,7 @@
     pub fn reload(&mut self, now: Micros, gossip: &Gossip) {
         self.names = names(gossip);
         self.exchange.keys(keys(gossip));
-        if let Some(ledger) = gossip.ledger.as_ref().filter(|_| self.keeps) {
+        if let Some(ledger) = gossip.ledger.as_ref().filter(|_| self.has_ledger) {
             let (members, addresses) = members(ledger);
             if let Err(e) = self.exchange.members(self.moment(now), members, addresses) {
                 log::error!("gossip.ledger.members is left as it was: {e}");
@@ -194,11 +150,11 @@
         self.exchange.due(self.moment(now))
     }
 
-    /// Datagrams have come; true if there are more for another turn.
+    /// Datagrams have come; true if there are more for another iteration.
     pub fn read(&mut self, now: Micros) -> bool {
-        self.lasting(now);
+        self.apply_durable(now);
         let mut bytes = [0; LONGEST + 1];
-        for _ in 0..ONE_TURN {
+        for _ in 0..DATAGRAMS_PER_ITERATION {
             match self.socket.recv_from(&mut bytes) {
                 Ok((len, from)) => {
                     let out = self.exchange.heard(self.moment(now), from, &bytes[..len]);
@@ -213,42 +169,42 @@
     }
 
     fn moment(&self, now: Micros) -> Moment {
-        let steady = self.steady.elapsed().as_micros() as Micros;
+        let steady = self.started.elapsed().as_micros() as Micros;
         Moment { now, steady, wall_ms: (now / 1000) as u64 }
     }
 
-    /// Letters that have come for a part beside gossip; of parts that take none, the latest are kept.
-    pub fn letters(&mut self, channel: Channel) -> Vec<(PeerId, Vec<u8>)> {
-        for letter in self.exchange.letters() {
-            let kept = self.letters.entry(letter.channel).or_default();
-            if kept.len() < ONE_TURN {
-                kept.push((letter.from, letter.bytes));
+    /// Messages that have come on a channel beside gossip; of a channel that nobody reads so many are kept.
+    pub fn take_messages(&mut self, channel: Channel) -> Vec<(PeerId, Vec<u8>)> {
+        for message in self.exchange.letters() {
+            let kept = self.messages.entry(message.channel).or_default();
+            if kept.len() < DATAGRAMS_PER_ITERATION {
+                kept.push((message.from, message.bytes));
             }
         }
-        self.letters.remove(&channel).unwrap_or_default()
+        self.messages.remove(&channel).unwrap_or_default()
     }
 
-    /// Sends such a letter; what does not go out is as if it were lost on the way.
-    pub fn post(&mut self, now: Micros, to: PeerId, channel: Channel, bytes: &[u8]) {
+    /// Sends such a message; what does not go out is as if it were lost on the way.
+    pub fn send_message(&mut self, now: Micros, to: PeerId, channel: Channel, bytes: &[u8]) {
         let at = self.moment(now);
         let datagrams = self.exchange.post(at, to, channel, bytes).into_iter().collect();
         self.send(now, Out { datagrams, ..Out::default() });
     }
 
-    /// The other fronts whose word counts.
+    /// The other fronts whose messages count.
     pub fn others(&self) -> Vec<PeerId> {
         let own = id(&self.exchange.public());
         self.names.keys().copied().filter(|peer| *peer != own).collect()
     }
 
-    /// A number of this front's own, for turns that fronts should not all begin alike.
-    pub fn turn(&self) -> usize {
+    /// A number of this front's own, so that not all fronts begin with the same peer in what they send by turns.
+    pub fn spread_offset(&self) -> usize {
         id(&self.exchange.public()) as usize
     }
 
     /// Whether a probe on behalf of the fleet may leave now.
     pub fn may_probe(&self) -> bool {
-        self.exchange.may_probe(self.steady.elapsed().as_micros() as Micros)
+        self.exchange.may_probe(self.started.elapsed().as_micros() as Micros)
     }
 
     /// What does not go out is as if it were lost on the way.
@@ -273,18 +229,18 @@
         }
     }
 
-    /// Takes in what has become lasting, or has failed.
-    fn lasting(&mut self, now: Micros) {
-        let lasting = self.copies.as_ref().map(Copies::lasting).unwrap_or_default();
-        for (number, ok) in lasting {
+    /// Applies writes of copies that have become durable, or have failed.
+    fn apply_durable(&mut self, now: Micros) {
+        let durable = self.copies.as_ref().map(Copies::durable).unwrap_or_default();
+        for (number, ok) in durable {
             let at = self.moment(now);
             let out = self.exchange.saved(at, number, ok);
             self.send(now, out);
-            if !ok && self.spares_disk && self.copies.take().is_some() {
+            if !ok && self.memory_on_disk_failure && self.copies.take().is_some() {
                 log::error!(
                     "copies of promises are in memory alone from now on, as a front's that remembers nothing"
                 );
-                let out = self.exchange.start_over(at, drawn());
+                let out = self.exchange.start_over(at, random_disk_id());
                 self.send(now, out);
             }
         }
@@ -299,8 +255,9 @@
     /// What the ledger has answered to the part of this front whose asks have that highest byte.
     pub fn promised(&mut self, part: u64) -> Vec<Done> {
         self.done.extend(self.exchange.promised());
-        let (told, others) =
-            std::mem::take(&mut self.done).into_iter().partition(|done| done.number >> PART == part >> PART);
+        let (told, others) = std::mem::take(&mut self.done)
+            .into_iter()
+            .partition(|done| done.number >> PART_SHIFT == part >> PART_SHIFT);
         self.done = others;
         told
     }
@@ -308,15 +265,16 @@
     /// Where a ledger is kept, this front by its key, and all fronts whose keys count.
     pub fn fleet(&self) -> Option<(PeerId, Vec<PeerId>)> {
         let own = id(&self.exchange.public());
-        self.keeps.then(|| (own, self.names.keys().copied().collect()))
+        self.has_ledger.then(|| (own, self.names.keys().copied().collect()))
     }
 
     /// Does what is due; the log says what is new, and what was refused.
     pub fn tick(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
-        self.lasting(now);
+        self.apply_durable(now);
         let before = self.exchange.fleet();
         let at = self.moment(now);
-        let (out, news) = self.exchange.tick(at, dispatcher, &mut draws(&self.chance, &mut self.drawn));
+        let (out, news) =
+            self.exchange.tick(at, dispatcher, &mut random_numbers(&self.random, &mut self.draws_made));
         self.send(now, out);
         let (known, up) = self.exchange.fleet();
         if (known, up) != before {
@@ -335,15 +293,15 @@
             );
         }
         let owns = self.exchange.owns(at.steady);
-        match (self.owns, owns) {
+        match (self.ownership, owns) {
             (before, Some(Owns { token })) if before != owns => {
                 log::info!("owns the fleet's work under token {token}")
             }
             (Some(Owns { token }), None) => log::info!("owns the fleet's work under token {token} no longer"),
             _ => {}
         }
-        self.owns = owns;
-        if self.exchange.refused_acts() != self.refused_acts && self.said + SAID <= now {
+        self.ownership = owns;
+        if self.exchange.refused_acts() != self.refused_acts && self.last_log + LOG_INTERVAL <= now {
             self.refused_acts = self.exchange.refused_acts();
             log::warn!("words on the fleet's work that count for nothing so far: {:?}", self.refused_acts);
         }
@@ -355,8 +313,8 @@
                 "ledger: {others} copies differed from the majority so far, {here} mended here; look at the disks"
             );
         }
-        if self.exchange.refused() != &self.refused && self.said + SAID <= now {
-            self.said = now;
+        if self.exchange.refused() != &self.refused && self.last_log + LOG_INTERVAL <= now {
+            self.last_log = now;
             self.refused = self.exchange.refused().clone();
             log::warn!(
                 "datagrams and reports of other fronts that count for nothing so far: {:?}",
@@ -365,35 +323,26 @@
         }
     }
 
-    /// What of promises stands or falls with this front.
-    pub fn keeps(&self, now: Micros) -> Keeps {
-        Keeps::of(self.exchange.is_needed(self.moment(now)), self.exchange.hands_over())
+    /// What of the ledger depends on this front.
+    pub fn ledger_duty(&self, now: Micros) -> LedgerDuty {
+        LedgerDuty::of(self.exchange.is_needed(self.moment(now)), self.exchange.hands_over())
     }
 
-    /// This front ends: what it owns of promises is handed over, and some peers hear so, and tell the others.
+    /// This front ends: what it owns of the ledger is handed over, and some peers are notified, which notify the others.
     pub fn leave(&mut self, now: Micros) {
         let out = self.exchange.hand_over(self.moment(now));
         self.send(now, out);
         let wall = (now / 1000) as u64;
-        let datagrams = self.exchange.leave(now, wall, &mut draws(&self.chance, &mut self.drawn));
+        let datagrams =
+            self.exchange.leave(now, wall, &mut random_numbers(&self.random, &mut self.draws_made));
         self.send(now, Out { datagrams, ..Out::default() });
     }
 }
 
-/// What wakes the loop from the thread that writes copies.
-fn wakes(handle: &LoopHandle<'static, Changes>) -> std::io::Result<impl Fn() + Send + 'static> {
-    let (ping, source) = calloop::ping::make_ping()?;
-    let told = handle.insert_source(source, |(), _, changes: &mut Changes| {
-        changes.parties.push(Door::Peers.party(0));
-    });
-    told.map_err(|e| std::io::Error::other(e.error.to_string()))?;
-    Ok(move || ping.ping())
-}
-
-/// Numbers that nobody can foretell.
-fn draws<'a>(chance: &'a RandomState, drawn: &'a mut u64) -> impl FnMut() -> u64 + 'a {
+/// Numbers that nobody can predict.
+fn random_numbers<'a>(random: &'a RandomState, draws_made: &'a mut u64) -> impl FnMut() -> u64 + 'a {
     move || {
-        *drawn += 1;
-        chance.hash_one(*drawn)
+        *draws_made += 1;
+        random.hash_one(*draws_made)
     }
 }
--- a/crates/front/src/front/rooms.rs
+++ b/crates/front/src/front/dial_capacity.rs
@@ -17,15 +17,15 @@
 }
 
 impl Front {
-    /// Tells the module how many executions can leave for each engine.
-    pub(super) fn tell_rooms(&mut self) {
+    /// Reports to the dispatcher how many executions can leave for each engine.
+    pub(super) fn report_dial_capacity(&mut self) {
         if !self.engines.dials.borrow().is_paced() {
             return;
         }
-        let (now, engines, portal) = (self.clock.now, &self.engines, &mut self.portal);
+        let (now, engines, gateway) = (self.clock.now, &self.engines, &mut self.gateway);
         self.rooms.tell(now, &mut self.dispatcher, |place| {
-            let sessions = portal.as_mut().map_or(0, |portal| portal.servers().room(now, place));
-            engines.room(now, place) + sessions
+            let sessions = gateway.as_mut().map_or(0, |gateway| gateway.servers().capacity(now, place));
+            engines.capacity(now, place) + sessions
         });
     }
 }
--- /dev/null
+++ b/crates/front/src/front/dispatch.rs
@@ -0,0 +1,257 @@
+//! Dispatch: the dispatcher's orders are carried out by clients, engines and sessions; what becomes of them is reported
+//! back to it.
+
+use std::rc::Rc;
+
+use hallmux_codec::statement::{Call, Reply};
+use hallmux_dispatcher::{Ending, Micros, Order, Ticket};
+use hallmux_fleet::gate;
+use hallmux_scatter::whole::Failed;
+
+use super::Front;
+use crate::engines;
+use crate::execution::ExecutionId;
+use crate::fleet::rules::{Ordered, Ruling, Shared};
+use crate::fleet::Peers;
+use crate::postgres::gateway::{AdmissionState, Gateway};
+use crate::scatter::Load;
+
+impl Front {
+    /// Reports replies of engines, and how executions have ended, to the dispatcher; answers go on to clients.
+    pub(super) fn handle_engine_events(&mut self) {
+        for event in std::mem::take(&mut self.engines.events) {
+            match event {
+                engines::Event::Ended {
+                    sent: ExecutionId { ticket, number: execution },
+                    ending,
+                    report,
+
+                    result,
+                } => {
+                    let of = self.statement_for_rules(ticket);
+                    self.rules.iter().for_each(|rules| {
+                        rules.borrow_mut().execution_ended(of, ExecutionId::new(ticket, execution))
+                    });
+                    if self.dispatcher.report(self.clock.now, ticket, execution, ending, report)
+                        && !self.end_part(ticket, Ok(&result))
+                    {
+                        self.clients.answer(self.clock.now, ticket, &Reply::Completed(&result));
+                    }
+                }
+                engines::Event::Noted { sent: ExecutionId { ticket, number: execution }, note } => {
+                    self.dispatcher.note(ticket, execution, note);
+                }
+                engines::Event::Probed { place, alive, report } => {
+                    self.dispatcher.probed(self.clock.now, place, alive, report);
+                }
+            }
+        }
+        let room = self.room();
+        if let Some(gateway) = &mut self.gateway {
+            gateway.handle_server_events(self.clock.now, room, &mut self.dispatcher);
+        }
+    }
+
+    /// What the admission of units of sessions depends on just now.
+    pub(super) fn room(&self) -> AdmissionState {
+        let held = self.clients.held_bytes() + self.gateway.as_ref().map_or(0, Gateway::held_bytes);
+        let full = held > self.max_bytes || self.dispatcher.held() >= self.max_statements;
+        AdmissionState { waited: self.clock.waited(), full }
+    }
+
+    /// A statement is a session's.
+    pub(super) fn is_of_session(&self, ticket: Ticket) -> bool {
+        self.gateway.as_ref().is_some_and(|gateway| gateway.owns(ticket))
+    }
+
+    /// An execution is one of a session's.
+    pub(super) fn is_execution_of_session(&self, sent: ExecutionId) -> bool {
+        self.gateway.as_ref().is_some_and(|gateway| gateway.has(sent))
+    }
+
+    /// Carries out rulings of the access rules: executions that were held go on, or statements end.
+    pub(super) fn apply_rulings(&mut self) {
+        let Some(rules) = self.rules.clone() else { return };
+        let now = self.clock.now;
+        self.dispatcher.followed().iter().for_each(|ticket| rules.borrow_mut().statement_over(*ticket));
+        let rulings = rules.borrow_mut().tick(now, &mut self.dispatcher, self.peers.as_mut());
+        for ruling in rulings {
+            match ruling {
+                Ruling::Go(ordered) => self.await_promises(ordered),
+                Ruling::Deny(ticket) => {
+                    self.answer_without_result(ticket, true, None);
+                    self.dispatcher.turn_away(now, ticket);
+                }
+                Ruling::End { ticket, ran: true, .. } => {
+                    self.answer_without_result(ticket, false, None);
+                    self.abandon(ticket);
+                }
+                Ruling::End { ticket, ran: false, again } => {
+                    let retry_after = self.dispatcher.turn_away(now, ticket).filter(|_| again);
+                    self.answer_without_result(ticket, true, retry_after);
+                    self.abandon(ticket);
+                }
+            }
+        }
+    }
+
+    /// Carries out rulings of the ledger: executions that were held for promises go on, or statements end.
+    pub(super) fn apply_promises(&mut self) {
+        let Some((guard, peers)) = self.guard.as_mut().zip(self.peers.as_mut()) else { return };
+        let clients = &self.clients;
+        let id = |ticket| clients.call(ticket).map(|call| call.id.clone());
+        self.clock.refresh();
+        let now = self.clock.now;
+        for ruling in guard.tick(now, &mut self.dispatcher, peers, id) {
+            match ruling {
+                gate::Ruling::Go(gate::Ordered { ticket, execution, place, terms, .. }) => {
+                    self.dispatcher.leaves(now, ticket, execution);
+                    self.await_mark(Ordered {
+                        of: self.statement_for_rules(ticket),
+                        ticket,
+                        execution,
+                        place,
+                        terms,
+                    });
+                }
+                gate::Ruling::TurnAway(ticket) => {
+                    let retry_after = self.dispatcher.turn_away(now, ticket);
+                    self.carry_out(Order::Reject { ticket, retry_after });
+                }
+                gate::Ruling::Abort(ticket) => {
+                    self.dispatcher.turn_away(now, ticket);
+                    self.carry_out(Order::Abort { ticket });
+                }
+            }
+        }
+    }
+
+    /// A statement's final answer without a result.
+    fn answer_without_result(&mut self, ticket: Ticket, rejects: bool, retry_after: Option<Micros>) {
+        let now = self.clock.now;
+        if self.is_of_session(ticket) {
+            self.gateway.iter_mut().for_each(|gateway| gateway.refuse(now, ticket, rejects, retry_after));
+        } else if rejects {
+            let retry_after_ms = retry_after.map(|time| time / 1000);
+            self.clients.answer(now, ticket, &Reply::Rejected { retry_after_ms });
+        } else {
+            self.clients.answer(now, ticket, &Reply::Aborted);
+        }
+    }
+
+    /// An execution that rules have let go on waits for its promises, or leaves.
+    fn await_promises(&mut self, ordered: Ordered) {
+        let (now, guard) = (self.clock.now, self.guard.as_mut());
+        if !guard.is_some_and(|guard| guard.hold(now, &mut self.dispatcher, &ordered)) {
+            self.await_mark(ordered);
+        }
+    }
+
+    /// An execution that has its promises waits for the mark on its load, or leaves.
+    fn await_mark(&mut self, ordered: Ordered) {
+        let now = self.clock.now;
+        let load = self.load(ordered.ticket);
+        let loads = self.scatter.as_mut().and_then(|scatter| scatter.loads.as_mut());
+        let dispatcher = &mut self.dispatcher;
+        if !loads.zip(load).is_some_and(|(loads, load)| loads.hold(now, dispatcher, &ordered, load)) {
+            self.send(ordered);
+        }
+    }
+
+    /// What a statement may write, where loads are marked.
+    fn load(&mut self, ticket: Ticket) -> Option<Load> {
+        self.scatter.as_ref()?.loads.as_ref()?;
+        if self.is_of_session(ticket) {
+            return self.gateway.as_mut()?.load(ticket);
+        }
+        self.call(ticket).map(Load::Call)
+    }
+
+    /// Whether rules still let it leave: nothing may come between this look and its way.
+    pub(super) fn may_leave(&mut self, ordered: Ordered) -> bool {
+        let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
+        let may = |rules: &Shared| rules.borrow_mut().check_leaving(now, dispatcher, ordered);
+        self.rules.as_ref().is_none_or(may)
+    }
+
+    /// An execution leaves for its engine.
+    fn send(&mut self, ordered: Ordered) {
+        if !self.may_leave(ordered) {
+            return;
+        }
+        let Ordered { ticket, execution, place, terms, .. } = ordered;
+        let (now, sent) = (self.clock.now, ExecutionId::new(ticket, execution));
+        self.rooms.took(place);
+        if self.is_of_session(ticket) {
+            return self.gateway.iter_mut().for_each(|gateway| gateway.send(now, sent, place, None));
+        }
+        match self.call(ticket) {
+            Some(call) => self.engines.send(now, sent, place, call, terms),
+            None => _ = self.dispatcher.report(now, ticket, execution, Ending::Withdrawn, None),
+        }
+    }
+
+    /// Cancels an execution, wherever it is.
+    fn stop(&mut self, sent: ExecutionId, ending: Ending) {
+        let now = self.clock.now;
+        if self.withdraw_held(now, sent) {
+            // Its session is to know why, though nothing of it has left.
+            self.gateway.iter_mut().for_each(|gateway| gateway.stop(now, sent, ending));
+            self.dispatcher.report(now, sent.ticket, sent.number, Ending::Withdrawn, None);
+        } else if self.is_execution_of_session(sent) {
+            self.gateway.iter_mut().for_each(|gateway| gateway.stop(now, sent, ending));
+        } else {
+            self.engines.cancel(now, sent, ending);
+        }
+    }
+
+    /// Lets go of an execution that waits for rules, promises or a mark: nothing of it has left. False if it does not.
+    fn withdraw_held(&mut self, now: Micros, sent: ExecutionId) -> bool {
+        let of = self.statement_for_rules(sent.ticket);
+        let loads = self.scatter.as_mut().and_then(|scatter| scatter.loads.as_mut());
+        self.rules.as_ref().is_some_and(|rules| rules.borrow_mut().cancel(of, sent))
+            || self.guard.as_mut().is_some_and(|guard| guard.cancel(now, sent))
+            || loads.is_some_and(|loads| loads.cancel(sent))
+    }
+
+    /// The statement that rules know: of a part the whole.
+    pub(super) fn statement_for_rules(&self, ticket: Ticket) -> Ticket {
+        self.scatter.as_ref().and_then(|scatter| scatter.whole_of(ticket)).unwrap_or(ticket)
+    }
+
+    fn call(&self, ticket: Ticket) -> Option<Rc<Call>> {
+        let part = || self.scatter.as_ref().and_then(|scatter| scatter.call(ticket));
+        self.clients.call(ticket).or_else(part)
+    }
+
+    pub(super) fn carry_out(&mut self, order: Order) {
+        let now = self.clock.now;
+        match order {
+            Order::Send { ticket, execution, place, terms } => {
+                let ordered =
+                    Ordered { of: self.statement_for_rules(ticket), ticket, execution, place, terms };
+                let dispatcher = &mut self.dispatcher;
+                let goes = |rules: &Shared| rules.borrow_mut().hold_or_pass(now, dispatcher, ordered);
+                if self.rules.as_ref().is_none_or(goes) {
+                    self.await_promises(ordered);
+                }
+            }
+            Order::Stop { ticket, execution, ending } => {
+                self.stop(ExecutionId::new(ticket, execution), ending)
+            }
+            Order::Hurry { ticket, execution, priority } => {
+                self.guard.iter_mut().for_each(|guard| guard.set_priority(ticket, priority));
+                self.engines.set_priority(ExecutionId::new(ticket, execution), priority);
+            }
+            Order::Reject { ticket, retry_after }
+                if self.end_part(ticket, Err(Failed::Rejected { retry_after })) => {}
+            Order::Abort { ticket } if self.end_part(ticket, Err(Failed::Aborted)) => {}
+            Order::Reject { ticket, retry_after } => self.answer_without_result(ticket, true, retry_after),
+            Order::Abort { ticket } => self.answer_without_result(ticket, false, None),
+            // Between the decision and now the work may have become another's: then the probe stays here.
+            Order::Probe { for_fleet: true, .. } if !self.peers.as_ref().is_none_or(Peers::may_probe) => {}
+            Order::Pace { connections } => self.engines.dials.borrow_mut().pace(now, connections),
+            Order::Probe { place, .. } => self.engines.probe(self.clock.now, place),
+        }
+    }
+}
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -1,4 +1,4 @@
-//! One connection: a socket that never blocks, what has come over it and what is still to leave.
+//! One connection: a socket that never blocks, what was received over it and what is still to be sent.
 
 use std::cell::RefCell;
 use std::io::{ErrorKind, Read, Write};
@@ -9,15 +9,15 @@
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
 use socket2::{Domain, Protocol, Socket, Type};
 
-use crate::doors::{Changes, Party};
+use crate::events::{LoopEvents, SocketId};
 
-const CHUNK: usize = 64 << 10; // bytes taken at once
-const AHEAD: usize = 64 << 10; // bytes on their way that can't be taken back: some hundred statements
-const ONE_TURN: usize = 256 << 10; // bytes taken before other connections have their turn
+const READ_CHUNK: usize = 64 << 10; // bytes taken at once
+const SEND_BUFFER: usize = 64 << 10; // bytes on their way that can't be taken back: some hundred statements
+const BYTES_PER_ITERATION: usize = 256 << 10; // bytes taken from a connection before others are served
 
 thread_local! {
     /// What is read goes through here, so that a connection holds no more than it needs.
-    static TAKEN: RefCell<Vec<u8>> = RefCell::new(vec![0; CHUNK]);
+    static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_CHUNK]);
 }
 
 /// How a connection ended from the other side.
@@ -30,46 +30,46 @@
 pub struct Link {
     stream: Rc<TcpStream>,
     token: RegistrationToken,
-    handle: LoopHandle<'static, Changes>,
+    handle: LoopHandle<'static, LoopEvents>,
     pub input: Vec<u8>,
     output: Vec<u8>,
-    left: usize, // bytes of output that have left
+    sent_bytes: usize, // bytes of output that were sent
 }
 
 impl Link {
-    /// Serves a connection that is up or coming up; the loop tells of it under the name given.
+    /// Serves a connection that is up or coming up; the event loop reports it under the id given.
     pub fn new(
         stream: TcpStream,
-        handle: &LoopHandle<'static, Changes>,
-        party: Party,
+        handle: &LoopHandle<'static, LoopEvents>,
+        id: SocketId,
     ) -> std::io::Result<Link> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
-        // Told once for each change, so that a connection which is not read for now costs nothing.
+        // Reported once for each change (edge-triggered), so that a connection that is not read for now costs nothing.
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
         let token = handle
-            .insert_source(source, move |_, _, changes| {
-                changes.parties.push(party);
+            .insert_source(source, move |_, _, events| {
+                events.ready.push(id);
                 Ok(PostAction::Continue)
             })
             .map_err(|e| std::io::Error::other(e.error.to_string()))?;
         let handle = handle.clone();
-        Ok(Link { stream, token, handle, input: Vec::new(), output: Vec::new(), left: 0 })
+        Ok(Link { stream, token, handle, input: Vec::new(), output: Vec::new(), sent_bytes: 0 })
     }
 
     /// Begins a connection.
     pub fn dial(
         to: SocketAddr,
-        handle: &LoopHandle<'static, Changes>,
-        party: Party,
+        handle: &LoopHandle<'static, LoopEvents>,
+        id: SocketId,
     ) -> std::io::Result<Link> {
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
-        socket.set_send_buffer_size(AHEAD)?;
+        socket.set_send_buffer_size(SEND_BUFFER)?;
         match socket.connect(&to.into()) {
             Err(e) if e.raw_os_error() != Some(IN_PROGRESS) && e.kind() != ErrorKind::WouldBlock => Err(e),
-            _ => Link::new(socket.into(), handle, party),
+            _ => Link::new(socket.into(), handle, id),
         }
     }
 
@@ -85,16 +85,16 @@
         }
     }
 
-    /// Takes what is readable; true if there is more for another turn.
+    /// Takes what is readable; true if there is more for another iteration.
     pub fn read(&mut self) -> (bool, Option<Broken>) {
-        self.read_some(ONE_TURN)
+        self.read_some(BYTES_PER_ITERATION)
     }
 
     /// The same up to so many bytes and one chunk.
-    pub fn read_some(&mut self, most: usize) -> (bool, Option<Broken>) {
-        TAKEN.with_borrow_mut(|chunk| {
+    pub fn read_some(&mut self, limit: usize) -> (bool, Option<Broken>) {
+        READ_BUFFER.with_borrow_mut(|chunk| {
             let mut taken = 0;
-            while taken < most {
+            while taken < limit {
                 match (&*self.stream).read(chunk) {
                     Ok(0) => return (false, Some(Broken::Closed)),
                     Ok(n) => {
@@ -110,8 +110,8 @@
         })
     }
 
-    /// Lets go of room that a connection at rest does not need.
-    pub fn shrink(&mut self) {
+    /// Releases memory that an idle connection does not need.
+    pub fn release_memory(&mut self) {
         self.input.shrink_to(self.input.len());
         if self.unsent() == 0 {
             self.output.shrink_to(0);
@@ -124,27 +124,27 @@
     }
 
     pub fn unsent(&self) -> usize {
-        self.output.len() - self.left
+        self.output.len() - self.sent_bytes
     }
 
-    /// Whether the first bytes of the output have left, up to the place given.
-    pub fn has_left(&self, end: usize) -> bool {
-        self.unsent() == 0 || self.left >= end
+    /// Whether the first bytes of the output were sent, up to the offset given.
+    pub fn has_sent(&self, end: usize) -> bool {
+        self.unsent() == 0 || self.sent_bytes >= end
     }
 
     /// Sends as much as the network takes.
     pub fn flush(&mut self) -> Result<(), Broken> {
         while self.unsent() > 0 {
-            match (&*self.stream).write(&self.output[self.left..]) {
-                Ok(n) => self.left += n,
+            match (&*self.stream).write(&self.output[self.sent_bytes..]) {
+                Ok(n) => self.sent_bytes += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return Err(Broken::Reset),
             }
         }
         self.output.clear();
-        self.output.shrink_to(CHUNK);
-        self.left = 0;
+        self.output.shrink_to(READ_CHUNK);
+        self.sent_bytes = 0;
         Ok(())
     }
 
@@ -153,11 +153,11 @@
         self.stream.shutdown(Shutdown::Write)
     }
 
-    /// Lets go of the first bytes of the input.
-    pub fn taken(&mut self, len: usize) {
+    /// Drops the first bytes of the input, which were read.
+    pub fn consume(&mut self, len: usize) {
         self.input.drain(..len);
-        if self.input.capacity() > self.input.len() + 2 * CHUNK {
-            self.input.shrink_to(self.input.len() + CHUNK);
+        if self.input.capacity() > self.input.len() + 2 * READ_CHUNK {
+            self.input.shrink_to(self.input.len() + READ_CHUNK);
         }
     }
 }
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -3,19 +3,20 @@
 mod clients;
 mod clock;
 mod coordinator;
-mod doors;
-mod drill;
 mod engines;
-mod entrance;
+mod events;
+mod execution;
 mod fleet;
 mod front;
 mod link;
+mod listener;
 mod logger;
 mod postgres;
 mod reuse;
 mod scatter;
 mod shutdown;
-mod start;
+mod start_error;
+mod test_clock;
 
 use std::net::TcpListener;
 use std::process::ExitCode;
@@ -24,9 +25,9 @@
 use calloop::EventLoop;
 use hallmux_agreement::NodeConfig;
 
-use doors::Changes;
+use events::LoopEvents;
 use front::Front;
-use start::Fault;
+use start_error::StartError;
 
 fn main() -> ExitCode {
     match run() {
@@ -38,7 +39,7 @@
     }
 }
 
-fn run() -> Result<(), Fault> {
+fn run() -> Result<(), StartError> {
     let variables = std::env::vars().collect();
     let station = NodeConfig::read(&variables)?;
     logger::start(&station.name, station.log_level);
@@ -46,29 +47,29 @@
         log::warn!("HALLMUX_CLOCK: the time is a drill's, from {}", path.display());
     }
     let known = hallmux_codec::coordinator::events(station.known_events.as_bytes());
-    let known = known.map_err(|what| Fault::Known(what.to_string()))?;
-    let polls = Fault::system("polling");
-    let mut event_loop: EventLoop<'static, Changes> = EventLoop::try_new().map_err(|e| polls(e.into()))?;
+    let known = known.map_err(|what| StartError::Known(what.to_string()))?;
+    let polls = StartError::system("polling");
+    let mut event_loop: EventLoop<'static, LoopEvents> = EventLoop::try_new().map_err(|e| polls(e.into()))?;
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGHUP]).map_err(|e| polls(e.into()))?;
-    let asked = |event: Event, _: &mut (), changes: &mut Changes| changes.signals.push(event.signal());
-    event_loop.handle().insert_source(signals, asked).map_err(|e| polls(e.error.into()))?;
-    let unfit = |why| Fault::Listen { at: station.listen, why };
+    let queue = |event: Event, _: &mut (), events: &mut LoopEvents| events.signals.push(event.signal());
+    event_loop.handle().insert_source(signals, queue).map_err(|e| polls(e.error.into()))?;
+    let unfit = |why| StartError::Listen { at: station.listen, why };
     let listener = TcpListener::bind(station.listen).map_err(unfit)?;
     let address = listener.local_addr().map_err(unfit)?;
     let mut front = Front::new(&station, &known, listener, event_loop.handle())?;
     log::info!("takes statements at {address}");
-    let mut changes = Changes::default();
+    let mut events = LoopEvents::default();
     while !front.is_done() {
         let idle = front.idle();
-        event_loop.dispatch(idle, &mut changes).map_err(|e| polls(e.into()))?;
-        for signal in changes.signals.drain(..) {
+        event_loop.dispatch(idle, &mut events).map_err(|e| polls(e.into()))?;
+        for signal in events.signals.drain(..) {
             match signal {
                 Signal::SIGHUP => front.reload(NodeConfig::read(&variables)),
-                _ => front.end(),
+                _ => front.shut_down(),
             }
         }
-        changes.parties.drain(..).for_each(|party| front.ready(party));
-        front.turn();
+        events.ready.drain(..).for_each(|socket| front.ready(socket));
+        front.iterate();
     }
     log::info!("all is answered");
     Ok(())
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,7 +1,6 @@
-//! Every decision of a front. Call `Front::new` once with what was agreed and the instance's seed, then
-//! `Front::decide` with the clock and what has happened since the last call; it returns what is to be done,
-//! in order. Nothing else goes in or out: no clock, no input or output, and chance only from the seed.
-//! The types stand in `interface.rs`; docs/design.md says what is the paper's and what is ours.
+//! Every decision of a front. `Front::new` takes what was agreed and a seed, `Front::decide` the clock and
+//! what has happened since the last call; it returns what is to be done, in order. It has no other effect.
+//! docs/design.md says what is the paper's and what is ours.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,11 +8,11 @@
 use crate::interface::*;
 use crate::state::*;
 
-mod doubt;
-mod give_up;
 mod learn;
 mod penalty;
 mod place;
+mod shed;
+mod suspicion;
 
 pub use penalty::penalty;
 
@@ -38,8 +37,8 @@
 const LOST_REST: Micros = SECOND; // rest of an engine that seems gone: a try a second finds it soon
 const SILENCE_RUNS: f64 = 4.0; // usual run times, and a second, that one may be silent for without notes
 const SILENT_NOTES: f64 = 1.5; // gaps between notes of progress, where agreed, that one may be silent for
-const BAD_PLAN: f64 = 6.0; // times the expected run time that an execution must head for to be given up
-const LATE_WORTH: f64 = 0.25; // late share under which a statement that must be late is given up at once
+const BAD_PLAN: f64 = 6.0; // times the expected run time that an execution must head for to be cancelled
+const LATE_WORTH: f64 = 0.25; // late share under which a statement that must be late is shed at once
 const COLD_MARGIN: f64 = 0.4; // share of the overload factor sent to a cold engine: estimates may be half off
 const COLD_SPARE: f64 = 2.0; // statements beyond any budget that the rule lets a cold engine have, for chance
 const SWEEP: Micros = 25_000; // microseconds between looks at what is due; finer than any slack agreed
@@ -54,28 +53,28 @@
 const SCARCE: f64 = 1.0; // threads a core an engine counts as fuller where bound workloads need it
 const GRANTED: f64 = 1.25; // memory granted against the need expected: a quarter over, as engines do
 const COME_BACK: f64 = 0.3; // seconds after which a rejected client may try again, spread by half
-const REMEMBERED: f64 = 0.99; // share of those given up that may still come back, at each arrival
+const REMEMBERED: f64 = 0.99; // share of those shed that may still come back, at each arrival
 const SAME_TRY: Micros = 20_000; // microseconds less time than a first try has that mark a later one
-const STOOD_STILL: Micros = 4 * SWEEP; // between two calls; a front that waits so long has missed its turns
+const STOOD_STILL: Micros = 4 * SWEEP; // between two calls; a front that waits so long was stopped
 const FORGOTTEN: f64 = 0.007; // share of what reports told that each look forgets: half is gone in about 10 s
 const OUTDATED: f64 = 0.02; // share of what one engine told that a look turns into the usual: half in 3.5 s
-const HEARD_FOR: Micros = 8 * SECOND; // age at which what others say of an engine is worth nothing
-const HEARSAY: f64 = 0.5; // most that others' word takes of a bound, however many speak; one half of it
-const TOLD_WRONG: f64 = 0.8; // factor on the credit of a front that speaks ill of an engine that does well
-const DOUBTFUL: f64 = 0.3; // share of failures or silence from which a word counts as ill
-const MISSED: f64 = 0.15; // share of what the fleet let in that was late, beyond which it lets in less
-const LET_IN: f64 = 1.25; // times what engines answer that the fleet lets in: less would leave them idle
-const LEAST_LET_IN: f64 = 0.05; // share of what is asked that is let in whatever was missed: else no way back
-const FLEET_PROBES: f64 = 4.0; // a second into zones that the fleet has left, of all fronts together
+const REPORT_LIFETIME: Micros = 8 * SECOND; // age at which a peer report on an engine is worth nothing
+const MOST_SUSPICION: f64 = 0.5; // most that peer reports take of a bound, however many; one takes half of it
+const FALSE_REPORT: f64 = 0.8; // factor on the credibility of a front whose adverse report proves false
+const ADVERSE: f64 = 0.3; // share of failures or silence from which a peer report counts as adverse
+const MOST_LATE: f64 = 0.15; // share of what the fleet admitted that was late, beyond which it admits less
+const ADMITTED: f64 = 1.25; // times what engines answer that the fleet admits: less would leave them idle
+const LEAST_ADMITTED: f64 = 0.05; // share of what is asked that is admitted in any case: else no way back
+const FLEET_PROBES: f64 = 4.0; // a second into evacuated zones, of all fronts together
 
 #[derive(Default)]
 pub struct Front {
     agreed: Agreement,
-    chance: Chance,
+    random: Random,
     now: Micros,
-    awake: Micros, // since when this front has had its turns without standing still
+    running_since: Micros, // without standing still
     started: Option<Micros>,
-    wake: Micros,
+    next_wake: Micros,
     sweeps: u32,
     actions: Vec<Action>,
     engines: Engines,
@@ -85,24 +84,24 @@
     due: BTreeSet<(Micros, StatementId)>, // when a statement's standing changes by time alone
     overdue: BTreeSet<StatementId>,
     late: BTreeSet<StatementId>,
-    turns: Turns,
-    shares: Vec<Bucket>, // of each customer
-    taken: Times,
-    further: Times,
-    many: bool,         // so many fronts that a share of one engine's bound holds no statement
-    ran: Load,          // what a statement usually holds while it runs
-    may_probe: f64,     // probes that statements have paid for
-    asks_next: usize,   // engine whose turn it is to be probed
-    words: Words,       // of other fronts, with their credit by whether what they said came true
-    known: f64,         // fronts that may share a returning zone: silent ones too, no fewer than agreed
-    up: f64,            // of them those that are heard of, this one too
-    let_in: Vec<f64>, // share of each workload within customers' shares, and beyond, that is let in; none: all
+    order_queues: OrderQueues,
+    customer_shares: Vec<Bucket>,
+    admissions: Times,
+    further_executions: Times,
+    many: bool,           // so many fronts that a share of one engine's bound holds no statement
+    load: Load,           // what a statement usually holds while it runs
+    probe_allowance: f64, // probes that statements have paid for
+    next_probed: usize,   // engine that is probed next
+    peer_reports: PeerReports, // with the credibility of their reporters
+    known: f64,           // fronts that may share a returning zone: silent ones too, no fewer than agreed
+    up: f64,              // of them those that are heard of, this one too
+    admitted: Vec<f64>,   // admitted share of each workload, inside and beyond customers' shares; none: all
     beyond: Vec<f64>, // share of what each customer asks the fleet that is beyond its own; none: not known
-    part: f64,        // what this front is asked, against the mean; 0 where it hears of no others
-    probes: Bucket,   // of the fleet's budget
-    paced: Option<f64>, // new connections a second to each engine, as it was told last
-    turn: f64,        // share of a turn at cold engines that passes before this front's first
-    first_look: f64,  // where in the list of engines the next choice looks first
+    demand: f64,      // on this front, against the mean; 0 where it hears of no others
+    probe_tokens: Bucket, // of the fleet's budget
+    last_pace: Option<f64>, // new connections a second to each engine, as last ordered
+    first_slot: f64,  // share of a slot at cold engines that passes before the first one of this front
+    placement_start: f64, // where in the list of engines the next choice looks first
 }
 
 impl Front {
@@ -111,24 +110,24 @@
         let classes = agreed.workloads.len() * customers * 2;
         let guess = Mean { value: 1.0, seen: GUESSED };
         let fresh = Learned { memory_bias: guess, ..Learned::default() };
-        let mut chance = Chance::new(seed);
+        let mut random = Random::new(seed);
         let narrowest = agreed.workloads.iter().map(|w| w.threads).fold(f64::INFINITY, f64::min);
-        let first_look = chance.next();
+        let placement_start = random.next();
         let smallest = agreed.cores.iter().copied().fold(f64::INFINITY, f64::min);
         Front {
-            first_look,
-            turn: first_look,
-            probes: Bucket { left: first_look, at: 0 }, // fronts that start at once do not probe at once
-            asks_next: (chance.next() * 256.0) as usize,
+            placement_start,
+            first_slot: placement_start,
+            probe_tokens: Bucket { left: placement_start, at: 0 }, // fronts started together probe apart
+            next_probed: (random.next() * 256.0) as usize,
             many: THREADS_PER_CORE * smallest / agreed.fronts < narrowest,
             engines: Engines { usual: vec![Load::default(); agreed.cores.len()], ..Engines::default() },
-            ran: Load { threads: 1.0, memory: 0.0 },
+            load: Load { threads: 1.0, memory: 0.0 },
             known: agreed.fronts,
             up: agreed.fronts,
             classes: (0..classes).map(|_| ServiceClass::default()).collect(),
             learned: vec![fresh; agreed.workloads.len()],
-            shares: vec![Bucket { left: f64::INFINITY, at: 0 }; agreed.customers.len()],
-            chance,
+            customer_shares: vec![Bucket { left: f64::INFINITY, at: 0 }; agreed.customers.len()],
+            random,
             agreed,
             ..Front::default()
         }
@@ -137,51 +136,51 @@
     pub fn decide(&mut self, now: Micros, happened: impl IntoIterator<Item = Event>) -> Vec<Action> {
         // Guards against a front that stood still: what it finds is old, and its silence is nobody's fault.
         let gap = now - std::mem::replace(&mut self.now, now);
-        self.awake = if gap > STOOD_STILL { now } else { self.awake };
+        self.running_since = if gap > STOOD_STILL { now } else { self.running_since };
         if self.started.is_none() && self.agreed.subscribe {
             self.actions.push(Action::Subscribe);
         }
         self.started.get_or_insert(now);
         for event in happened {
             match event {
-                Event::Engines { whole, entries } => self.list(whole, entries),
+                Event::Engines { whole, entries } => self.engines_listed(whole, entries),
                 Event::ListFailed if self.agreed.subscribe => self.actions.push(Action::Subscribe),
                 Event::ListFailed | Event::Woken => {}
-                Event::Arrived(arrival) => self.arrive(arrival, gap),
+                Event::Arrived(arrival) => self.arrived(arrival, gap),
                 Event::Ended(ended) => self.ended(ended),
                 Event::Noted { statement: s, execution: n, engine: e, note } => self.noted(s, n, e, note),
-                Event::Left(id) => self.close(id, false),
-                Event::Freed { key, rests } => self.freed(key, rests),
-                Event::Hearsay(said) => self.hear(said),
-                Event::Offered(asked) => self.bears(&asked),
-                Event::Room { engine, room } => self.engines.has_room(engine, room),
+                Event::ClientLeft(id) => self.close(id, false),
+                Event::OrderKeyFreed { key, pauses } => self.order_key_freed(key, pauses),
+                Event::PeerReport(report) => self.peer_reported(report),
+                Event::FleetDemand(fleet) => self.set_admission(&fleet),
+                Event::SendCapacity { engine, executions: n } => self.engines.set_send_capacity(engine, n),
                 Event::Fleet { known, up } => (self.known, self.up) = (known.max(self.agreed.fronts), up),
                 Event::Probed { engine, alive, report } => {
                     self.engines.know(engine, TRUSTED);
-                    self.found_well(engine, alive);
+                    self.found_healthy(engine, alive);
                     self.engines.credit[engine] *= if alive { 1.0 } else { SPENT_ERROR };
-                    report.iter().for_each(|r| self.reported(engine, r));
+                    report.iter().for_each(|r| self.load_reported(engine, r));
                 }
             }
         }
         self.sweep();
         self.release();
-        let pace = self.agreed.budgets.map(|b| share_of(b.connections, self.part, self.known));
-        if self.paced != pace {
-            self.paced = pace;
+        let pace = self.agreed.budgets.map(|b| share_of(b.connections, self.demand, self.known));
+        if self.last_pace != pace {
+            self.last_pace = pace;
             self.actions.extend(pace.map(|connections| Action::Pace { connections }));
         }
         let window = self.agreed.further.map_or(0, |budget| budget.window);
-        self.taken.forget(now - window);
-        self.further.forget(now - window);
-        if self.wake <= now {
-            self.wake = now + SWEEP;
-            self.actions.push(Action::Wake { at: self.wake });
+        self.admissions.forget(now - window);
+        self.further_executions.forget(now - window);
+        if self.next_wake <= now {
+            self.next_wake = now + SWEEP;
+            self.actions.push(Action::Wake { at: self.next_wake });
         }
         std::mem::take(&mut self.actions)
     }
 
-    fn list(&mut self, whole: bool, entries: Vec<Listed>) {
+    fn engines_listed(&mut self, whole: bool, entries: Vec<EngineEntry>) {
         if whole {
             self.engines.open.fill(false);
         }
@@ -197,26 +196,26 @@
             if let Some(start) = entry.started.filter(|_| restarted) {
                 (self.engines.credit[e], self.engines.rests_until[e]) = (TRUSTED, 0);
                 self.engines.others[e] = Load::default();
-                self.words.forget(e); // of an earlier start
-                self.found_well(e, true);
-                self.found_cold(e, start + self.agreed.warm_within);
+                self.peer_reports.forget(e); // of an earlier start
+                self.found_healthy(e, true);
+                self.start_warm_up(e, start + self.agreed.warm_within);
             }
             self.engines.open[e] = entry.mode == Mode::Ready;
             self.engines.listed[e] = Some(entry);
         }
         // What is pinned to an engine that takes nothing new any more is to end now.
-        let stranded = self.statements.iter().filter(|(_, s)| self.stranded(s));
-        self.due.extend(stranded.map(|(id, _)| (self.now, *id)).collect::<Vec<_>>());
+        let to_end = self.statements.iter().filter(|(_, s)| self.pinned_engine_closed(s));
+        self.due.extend(to_end.map(|(id, _)| (self.now, *id)).collect::<Vec<_>>());
     }
 
-    fn arrive(&mut self, mut a: Arrival, gap: Micros) {
+    fn arrived(&mut self, mut a: Arrival, gap: Micros) {
         let customers = self.agreed.customers.len().max(1);
         let class = (a.workload * customers + a.customer.min(customers - 1)) * 2;
         let rate = self.agreed.customers.get(a.customer).map_or(f64::INFINITY, |r| r / self.agreed.fronts);
-        let bucket = self.shares.get_mut(a.customer);
+        let bucket = self.customer_shares.get_mut(a.customer);
         let alone = bucket.is_some_and(|bucket| !bucket.take(rate, self.now));
         // Where the fleet's figures are known they say how much is beyond, whichever fronts a customer asks.
-        let over = self.beyond.get(a.customer).map_or(alone, |beyond| self.chance.next() < *beyond);
+        let over = self.beyond.get(a.customer).map_or(alone, |beyond| self.random.next() < *beyond);
         let class = class + usize::from(over);
         let workload = &self.agreed.workloads[a.workload];
         let learned = &mut self.learned[a.workload];
@@ -224,41 +223,41 @@
         learned.first_try = learned.first_try.max(a.time_left);
         // What a front that stood still finds has waited; what first tries have left tells how long.
         let missing = learned.first_try - a.time_left;
-        let later = missing > SAME_TRY && learned.given_up >= 1.0;
-        learned.given_up = learned.given_up * REMEMBERED - f64::from(u8::from(later));
+        let later = missing > SAME_TRY && learned.shed >= 1.0;
+        learned.shed = learned.shed * REMEMBERED - f64::from(u8::from(later));
         let past = if later { (workload.statement_timeout - a.time_left).max(0) } else { 0 };
-        let spent = if self.awake == self.now && missing <= gap { missing } else { past };
+        let spent = if self.running_since == self.now && missing <= gap { missing } else { past };
         learned.work.take_told(LEARNING, a.work);
         let memory = a.memory_mb * learned.memory_bias.value;
         let least_mb = self.agreed.memory_mb.iter().copied().fold(f64::INFINITY, f64::min);
         let memory = memory.min(least_mb * self.agreed.largest_grant);
-        self.may_probe = (self.may_probe + PROBES).min(MOST_PROBES);
+        self.probe_allowance = (self.probe_allowance + PROBES).min(MOST_PROBES);
         a.key = a.key.filter(|_| workload.in_order);
-        self.turns.joins(a.key, a.statement);
+        self.order_queues.enqueue(a.key, a.statement);
         let (id, ends) = (a.statement, self.now + a.time_left);
         let load = Load { threads: workload.threads, memory };
-        let let_in = self.lets_in(&a, over);
-        self.taken.0.extend(self.agreed.further.filter(|_| let_in).map(|_| self.now));
+        let admitted = self.admits(&a, over);
+        self.admissions.0.extend(self.agreed.further.filter(|_| admitted).map(|_| self.now));
         let s = Statement::new(a, class, self.now - spent, ends, load);
         self.statements.insert(id, s);
-        self.hold(id);
-        if !let_in {
-            self.give_up(id);
+        self.enqueue(id);
+        if !admitted {
+            self.shed(id);
         }
     }
 
-    fn hold(&mut self, id: StatementId) {
+    fn enqueue(&mut self, id: StatementId) {
         let Some(s) = self.statements.get(&id).filter(|s| !s.over && !s.is_out()) else { return };
         let (class, timely, latest) = (s.class, self.last_timely_start(s), self.latest_start(s));
-        let rests_until = self.turns.of(s.asked.key).map_or(0, |t| t.rests_until);
-        let has_turn = self.has_turn(id, s);
-        // Once it is to be given up it is due now; till then at the next turn of its standing.
-        let ends = if self.hopeless(s) { self.now } else { s.ends - LAST_CALL };
+        let paused_until = self.order_queues.of(s.asked.key).map_or(0, |q| q.paused_until);
+        let is_first = self.is_first_in_order(id, s);
+        // Once it is to be shed it is due now; till then when its standing changes next.
+        let ends = if self.is_to_be_shed(s) { self.now } else { s.ends - LAST_CALL };
         let forgotten = s.executions.first().map_or(0, |x| x.sent + self.workload(s).dedup_window);
-        let next = [timely, latest, rests_until, forgotten].into_iter().filter(|t| *t > self.now).min();
+        let next = [timely, latest, paused_until, forgotten].into_iter().filter(|t| *t > self.now).min();
         self.due.insert((next.map_or(ends, |t| t.min(ends)), id));
-        self.unhold(id);
-        if !has_turn {
+        self.dequeue(id);
+        if !is_first {
         } else if self.now >= latest {
             self.overdue.insert(id);
         } else if self.now >= timely {
@@ -268,7 +267,7 @@
         }
     }
 
-    fn unhold(&mut self, id: StatementId) {
+    fn dequeue(&mut self, id: StatementId) {
         if let Some(s) = self.statements.get(&id) {
             self.classes[s.class].ready.remove(&id);
         }
@@ -285,18 +284,18 @@
             let pressed = self.now >= self.latest_start(s) && others_wait();
             if s.is_out() {
                 self.prioritise(id);
-            } else if self.now >= s.ends - LAST_CALL || self.hopeless(s) || pressed {
-                self.give_up(id);
+            } else if self.now >= s.ends - LAST_CALL || self.is_to_be_shed(s) || pressed {
+                self.shed(id);
             } else {
-                self.hold(id);
+                self.enqueue(id);
             }
         }
-        if self.wake <= self.now {
+        if self.next_wake <= self.now {
             self.sweeps += 1;
             self.probe();
             if self.sweeps.is_multiple_of(SWEEPS_PER_LOOK) {
                 self.engines.grow_old(FORGOTTEN, self.many.then_some(OUTDATED));
-                (0..self.engines.open.len()).for_each(|e| self.listen(e));
+                (0..self.engines.open.len()).for_each(|e| self.check_silence(e));
             }
         }
     }
@@ -312,32 +311,32 @@
 
     fn expected_work(&self, s: &Statement) -> f64 {
         let learned = &self.learned[s.asked.workload];
-        either(s.asked.work, learned.work.value)
+        positive_or(s.asked.work, learned.work.value)
     }
 
-    fn basis(&self, s: &Statement) -> f64 {
-        either(s.asked.work / self.workload(s).threads, SECOND as f64)
+    fn estimated_run(&self, s: &Statement) -> f64 {
+        positive_or(s.asked.work / self.workload(s).threads, SECOND as f64)
     }
 
     fn last_timely_start(&self, s: &Statement) -> Micros {
         let slo = self.slo_time(s);
-        let run = self.learned[s.asked.workload].pace.value * self.basis(s) * SLOW_RUN;
+        let run = self.learned[s.asked.workload].pace.value * self.estimated_run(s) * SLOW_RUN;
         // While few of its class run, half the time may be waited: else a jam's run times shut it out.
         let few = self.classes[s.class].out.len() < self.engines.open.iter().filter(|o| **o).count();
         s.first_asked + slo - if few { (run as Micros).min(slo / 2) } else { run as Micros }
     }
 
     fn latest_start(&self, s: &Statement) -> Micros {
-        s.ends - (self.learned[s.asked.workload].pace.value * self.basis(s)) as Micros
+        s.ends - (self.learned[s.asked.workload].pace.value * self.estimated_run(s)) as Micros
     }
 
-    fn freed(&mut self, key: KeyId, rests: bool) {
-        self.turns.found(Some(key), true, rests.then_some(self.now + self.agreed.turn_gap));
-        self.next_in_line(Some(key));
+    fn order_key_freed(&mut self, key: KeyId, pauses: bool) {
+        self.order_queues.resolve(Some(key), true, pauses.then_some(self.now + self.agreed.order_gap));
+        self.enqueue_first_in_order(Some(key));
     }
 
-    fn next_in_line(&mut self, key: Option<KeyId>) {
-        self.turns.next(key, self.now).into_iter().for_each(|next| self.hold(next));
+    fn enqueue_first_in_order(&mut self, key: Option<KeyId>) {
+        self.order_queues.first(key, self.now).into_iter().for_each(|next| self.enqueue(next));
     }
 
     fn forget(&mut self, id: StatementId) {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -48,7 +48,7 @@
 
 impl Workload {
     /// Whether the engine is of a location and a kind that the workload is agreed to run on.
-    pub fn allows(&self, at: &Listed) -> bool {
+    pub fn allows(&self, at: &EngineEntry) -> bool {
         let named = |list: &Option<Vec<usize>>, place| list.as_ref().is_none_or(|l| l.contains(&place));
         named(&self.locations, at.location) && named(&self.kinds, at.kind)
     }
@@ -56,7 +56,7 @@
 
 /// Which load figures the engines' reports hold, by their place in the report.
 #[derive(Clone, Debug, Default)]
-pub struct ReportPlaces {
+pub struct ReportLayout {
     pub active: Option<usize>,
     /// The share of the engine's cores that is busy: where `active` is not told, it stands in for it.
     pub busy: Option<usize>,
@@ -65,26 +65,26 @@
     pub memory_granted: Option<usize>,
 }
 
-impl ReportPlaces {
+impl ReportLayout {
     fn read(place: Option<usize>, report: &Report) -> Option<f64> {
         place.and_then(|place| report.get(place)).copied()
     }
 
     /// Statements in hand; where they are not told, busy cores (each so many statements) and those that wait
     /// for memory stand in for them.
-    pub fn in_hand(&self, report: &Report, of_busy: f64) -> Option<f64> {
+    pub fn active_statements(&self, report: &Report, of_busy: f64) -> Option<f64> {
         let waiting = || Self::read(self.waiting, report).unwrap_or(0.0);
         let busy = || Some(Self::read(self.busy, report)? * of_busy + waiting());
         Self::read(self.active, report).or_else(busy)
     }
 
     /// The share of the memory that is granted.
-    pub fn granted(&self, report: &Report) -> Option<f64> {
+    pub fn granted_memory(&self, report: &Report) -> Option<f64> {
         Self::read(self.memory_granted, report)
     }
 
     /// Whether reports tell what an engine holds: statements in hand, or its busy cores.
-    pub fn tells_load(&self) -> bool {
+    pub fn names_load(&self) -> bool {
         self.active.is_some() || self.busy.is_some()
     }
 }
@@ -119,14 +119,14 @@
     pub grants: bool,
     pub priorities: bool,
     pub progress_every: Micros,
-    pub report: ReportPlaces,
+    pub report: ReportLayout,
     pub report_on_probe: bool,
     pub probes: bool,
     pub cancel: bool,
     pub subscribe: bool,
     pub most_executions: usize,
     pub longest_retry_after: Option<Micros>,
-    pub turn_gap: Micros,
+    pub order_gap: Micros,
     pub cold_from: f64,
     pub warm_within: Micros,
     pub overload_factor: f64,
@@ -147,7 +147,7 @@
 
 /// One line of the engine list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct EngineEntry {
     pub engine: EngineId,
     pub location: usize,
     pub kind: usize,
@@ -156,14 +156,14 @@
     /// The latest start, where it is recent enough to be told.
     pub started: Option<Micros>,
     /// The protocols that it takes statements in, a bit for each.
-    pub speaks: u8,
+    pub protocols: u8,
     /// It sends notes of progress, where they are agreed.
-    pub tells: bool,
+    pub sends_progress: bool,
 }
 
-impl Listed {
+impl EngineEntry {
     /// Whether both engines are in one group that drops the repeats of a statement.
-    pub fn drops_repeats_of(&self, other: &Listed, group: DedupGroup) -> bool {
+    pub fn drops_repeats_of(&self, other: &EngineEntry, group: DedupGroup) -> bool {
         match group {
             DedupGroup::All => true,
             DedupGroup::Location => self.location == other.location,
@@ -179,9 +179,9 @@
 pub enum Outcome {
     Completed,
     Error,
-    NoRoom,
+    NoCapacity,
     TimedOut,
-    NoRoute,
+    Unreachable,
     Reset,
     Cancelled,
     NotSent,
@@ -196,7 +196,7 @@
     /// Its engine has answered something else meanwhile.
     Alive,
     /// It has not left its front yet, which says nothing of its engine.
-    Held,
+    NotSentYet,
 }
 
 #[derive(Clone, Debug)]
@@ -211,7 +211,7 @@
     pub memory_mb: f64,
     pub data_set: Option<u32>,
     /// The protocols that it can be sent in, a bit for each.
-    pub speech: u8,
+    pub protocols: u8,
     /// The engine that holds the open transaction it belongs to: it goes there or nowhere, and once.
     pub pinned: Option<EngineId>,
     /// The locations it may be sent to, by their place; None: all that its workload allows.
@@ -227,15 +227,15 @@
     pub took: Micros,
     /// The statement has its final answer, through this outcome or before it.
     pub settled: bool,
-    /// Its transaction goes on and keeps the turn of its order key until `Event::Freed`.
-    pub holds: bool,
+    /// Its transaction goes on and keeps the turn of its order key until `Event::OrderKeyFreed`.
+    pub keeps_order_key: bool,
     pub report: Option<Report>,
 }
 
-/// What another front says of an engine, by its place among those that may speak.
+/// What another front reports of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Hearsay {
-    pub maker: usize,
+pub struct PeerReport {
+    pub reporter: usize,
     pub engine: EngineId,
     /// Executions there that failed and that were answered, of some seconds.
     pub failed: f64,
@@ -244,8 +244,8 @@
     pub age: Micros,
 }
 
-impl Hearsay {
-    /// It says that the engine answers, and nothing of any silence.
+impl PeerReport {
+    /// Whether it reports that the engine answers, with no silence.
     pub fn answers(&self) -> bool {
         self.answered >= 1.0 && self.silent == 0
     }
@@ -253,7 +253,7 @@
 
 /// What the fronts that tell of it were asked of a workload lately, in statements; the same figures at every front.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Offer {
+pub struct Demand {
     pub asked: f64,
     /// Of those let in: with their final answer, and of these in time.
     pub ended: f64,
@@ -264,15 +264,15 @@
 
 /// What the fleet was asked lately, as those of its fronts that tell of it say.
 #[derive(Clone, Debug, Default)]
-pub struct Asked {
+pub struct FleetDemand {
     /// The share of what was let in that was not in time.
-    pub missed: f64,
+    pub late_share: f64,
     /// What this front was asked, against the mean of those that tell; 0 where it hears of none.
-    pub part: f64,
+    pub relative: f64,
     /// By workload.
-    pub offers: Vec<Offer>,
+    pub workloads: Vec<Demand>,
     /// Statements a second over all fronts, by customer; none where no shares are agreed.
-    pub customers: Vec<f64>,
+    pub customers_per_s: Vec<f64>,
 }
 
 #[derive(Clone, Debug)]
@@ -280,7 +280,7 @@
     /// The engine list: whole, or only what changed.
     Engines {
         whole: bool,
-        entries: Vec<Listed>,
+        entries: Vec<EngineEntry>,
     },
     /// A subscription to the engine list failed or broke.
     ListFailed,
@@ -293,28 +293,28 @@
         note: Note,
     },
     /// The client left; the statement is over.
-    Left(StatementId),
+    ClientLeft(StatementId),
     /// A transaction that kept the turn of an order key is over; the key rests where it may still run.
-    Freed {
+    OrderKeyFreed {
         key: KeyId,
-        rests: bool,
+        pauses: bool,
     },
     Probed {
         engine: EngineId,
         alive: bool,
         report: Option<Report>,
     },
-    Hearsay(Hearsay),
+    PeerReport(PeerReport),
     /// Fronts that this one knows of, itself too: those that have not said good-bye, and of them those heard of.
     Fleet {
         known: f64,
         up: f64,
     },
-    Offered(Asked),
+    FleetDemand(FleetDemand),
     /// Executions that can leave for an engine now, over connections that are there or may be made.
-    Room {
+    SendCapacity {
         engine: EngineId,
-        room: usize,
+        executions: usize,
     },
     Woken,
 }
@@ -348,7 +348,7 @@
         engine: EngineId,
     },
     /// A probe on behalf of the fleet into what it has left.
-    ProbeLeft {
+    ProbeEvacuated {
         engine: EngineId,
     },
     Subscribe,
