--- /dev/null
+++ b/crates/agreement/src/node.rs
@@ -0,0 +1,183 @@
+//! The configuration of one front: its environment variables and the file that `NODE_CONFIG` names.
+
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::str::FromStr;
+
+use serde::Deserialize;
+use serde_json::value::RawValue;
+
+use crate::error::{Error, KeyProblem, Position};
+use crate::operator::Operator;
+use crate::settings::{settings_of, Settings};
+use crate::text::{self, Section};
+
+const MEMORY_MB: u64 = 192; // MB, where the file is silent; the least that the operators grant
+const SOCKETS: usize = 1024; // descriptors, where the file is silent; the least that the operators grant
+const NOTHING_KNOWN: &str = r#"{"index":0,"updates":[]}"#; // the coordinator tells all that has been since
+const LEVEL: &str = "info"; // log level; one line for each change worth waking for
+
+#[derive(Deserialize)]
+struct File<'a> {
+    name: Option<String>,
+    listen: Option<String>,
+    seed: Option<String>,
+    #[serde(borrow)]
+    limits: Option<&'a RawValue>,
+    coordinator: Option<String>,
+    #[serde(borrow)]
+    known: Option<&'a RawValue>,
+    #[serde(borrow)]
+    settings: Option<&'a RawValue>,
+}
+
+#[derive(Deserialize)]
+#[serde(default)]
+struct FileLimits {
+    memory_mb: u64,
+    sockets: usize,
+}
+
+impl Default for FileLimits {
+    fn default() -> Self {
+        FileLimits { memory_mb: MEMORY_MB, sockets: SOCKETS }
+    }
+}
+
+/// What the machine grants this front.
+#[derive(Clone, Debug)]
+pub struct NodeLimits {
+    /// Bytes of memory.
+    pub memory_bytes: u64,
+    /// File descriptors.
+    pub sockets: usize,
+}
+
+/// The configuration of one front.
+#[derive(Clone, Debug)]
+pub struct NodeConfig {
+    /// Its name, as the log gives it.
+    pub name: String,
+    /// Where it listens for clients.
+    pub listen: SocketAddr,
+    /// Of its random choices.
+    pub seed: u64,
+    /// Of its memory and descriptors.
+    pub limits: NodeLimits,
+    /// The coordinator to poll for the engine list; without one, the list stays as `known_events` has it.
+    pub coordinator: Option<SocketAddr>,
+    /// The coordinator's events so far, as the body of one of its responses.
+    pub known_events: String,
+    /// The settings object, with what the operator's file changes in it.
+    pub settings: Settings,
+    /// What the operator's own file switches on; without one, nothing.
+    pub operator: Operator,
+    /// Lines below this level are left out of the log.
+    pub log_level: log::LevelFilter,
+    /// For fault injection: a file that holds the time in place of the machine's clock.
+    pub clock_file: Option<PathBuf>,
+}
+
+impl NodeConfig {
+    /// Reads the environment variables given and the files that they name: `NODE_CONFIG`, which has to be
+    /// there, and `HALLMUX_OPERATOR`.
+    pub fn read(variables: &HashMap<String, String>) -> Result<NodeConfig, Error> {
+        let unset = Error::Unset { variable: "NODE_CONFIG", expected: "the path of this front's JSON file" };
+        let path = variables.get("NODE_CONFIG").ok_or(unset)?;
+        let text = text::file("NODE_CONFIG", path)?;
+        NodeConfig::parse(variables, &text).map_err(|e| e.in_file("NODE_CONFIG", path))
+    }
+
+    /// Reads the text of the file that `NODE_CONFIG` names. Variables go before its keys.
+    pub fn parse(variables: &HashMap<String, String>, text: &str) -> Result<NodeConfig, Error> {
+        let whole_file = Section { name: "", text, lines: 0 };
+        let file: File = whole_file.read()?;
+        // The variables go before the file: they are what the one who started the program sees.
+        let variable_or_key = |variable: &'static str, key: &str, in_file: Option<String>| {
+            let value = variables.get(variable).cloned().or(in_file);
+            value.ok_or_else(|| whole_file.error(key, KeyProblem::MissingWithVariable { variable }))
+        };
+        let missing = |key: &str| Error::Key {
+            position: Position { path: key.to_string(), ..Position::default() },
+            problem: Box::new(KeyProblem::Missing),
+        };
+        let section = |name: &'static str, raw: &'_ RawValue| (name, text::lines_before(text, raw.get()));
+        let seed = file.seed.ok_or_else(|| missing("seed"))?;
+        let limits: FileLimits = match file.limits {
+            Some(raw) => {
+                let (name, lines) = section("limits", raw);
+                Section { name, text: raw.get(), lines }.read()?
+            }
+            None => FileLimits::default(),
+        };
+        let raw = file.settings.ok_or_else(|| missing("settings"))?;
+        let (name, lines) = section("settings", raw);
+        let mut settings = settings_of(&Section { name, text: raw.get(), lines })?;
+        let operator = match variables.get("HALLMUX_OPERATOR") {
+            Some(path) => {
+                let text = text::file("HALLMUX_OPERATOR", path)?;
+                Operator::parse(&text, &settings).map_err(|e| e.in_file("HALLMUX_OPERATOR", path))?
+            }
+            None => Operator::default(),
+        };
+        operator.apply(&mut settings.agreement.report);
+        if let Some(gossip) = &operator.gossip {
+            settings.agreement.zone_quorum = gossip.zone_quorum;
+            gossip.overload.iter().for_each(|o| o.apply(&mut settings.agreement));
+        }
+        let address = |variable: &'static str, key: &str, in_file: Option<String>| {
+            let value = variable_or_key(variable, key, in_file)?;
+            match variables.contains_key(variable) {
+                true => from_variable(variable, &value, ADDRESS),
+                false => from_key(&whole_file, key, &value, value.parse(), ADDRESS),
+            }
+        };
+        let level = variables.get("HALLMUX_LOG").map_or(LEVEL, String::as_str);
+        Ok(NodeConfig {
+            name: variable_or_key("NODE_NAME", "name", file.name)?,
+            listen: address("NODE_LISTEN", "listen", file.listen)?,
+            seed: from_key(&whole_file, "seed", &seed, u64::from_str_radix(&seed, 16), SEED)?,
+            limits: NodeLimits {
+                memory_bytes: limits.memory_mb.saturating_mul(1 << 20),
+                sockets: limits.sockets,
+            },
+            coordinator: (file.coordinator)
+                .map(|at| from_key(&whole_file, "coordinator", &at, at.parse(), ADDRESS))
+                .transpose()?,
+            known_events: file.known.map_or_else(|| NOTHING_KNOWN.to_string(), |raw| raw.get().to_string()),
+            settings,
+            operator,
+            log_level: from_variable(
+                "HALLMUX_LOG",
+                level,
+                "give one of off, error, warn, info, debug, trace",
+            )?,
+            clock_file: variables.get("HALLMUX_CLOCK").map(PathBuf::from),
+        })
+    }
+}
+
+const ADDRESS: &str = "give an address and a port, like 127.0.0.1:9090";
+const SEED: &str = "give up to 16 hexadecimal digits";
+
+fn from_variable<T>(variable: &'static str, value: &str, remedy: &'static str) -> Result<T, Error>
+where
+    T: FromStr<Err: std::fmt::Display>,
+{
+    let invalid =
+        |e: T::Err| Error::Variable { variable, value: value.into(), reason: e.to_string(), remedy };
+    value.parse().map_err(invalid)
+}
+
+fn from_key<T, E: std::fmt::Display>(
+    section: &Section,
+    key: &str,
+    value: &str,
+    read: Result<T, E>,
+    remedy: &'static str,
+) -> Result<T, Error> {
+    read.map_err(|e| {
+        section.error(key, KeyProblem::InvalidValue { value: value.into(), reason: e.to_string(), remedy })
+    })
+}
--- a/crates/dispatcher/src/promised.rs
+++ b/crates/dispatcher/src/promised.rs
@@ -126,7 +126,7 @@
         }
         engine.held += usize::from(held);
         (x.held, x.sent) = (held, now);
-        let note = Note::Held;
+        let note = Note::NotSentYet;
         self.told.push(Event::Noted { statement: ticket, execution, engine: x.place, note });
     }
 
@@ -137,11 +137,11 @@
         s.over = true;
         let out: Vec<usize> = s.out().collect();
         if out.is_empty() {
-            self.told.push(Event::Left(ticket));
+            self.told.push(Event::ClientLeft(ticket));
             self.forget(now, ticket);
         }
         for execution in out {
-            self.report(now, ticket, execution, Ending::Withdrawn, None, None);
+            self.report(now, ticket, execution, Ending::Withdrawn, None);
         }
         // The golden ratio's multiples lie evenly whatever the tickets are.
         let spread = (f64::from(ticket) * 0.618_033_988_749_895).fract();
--- a/crates/dispatcher/tests/slow_start/fleet.rs
+++ b/crates/dispatcher/tests/slow_start/fleet.rs
@@ -3,8 +3,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use hallmux_agreement::Contract;
-use hallmux_dispatcher::{Ask, Dispatcher, Ending, Listing, Micros, Mode, Order, Speech, Ticket};
+use hallmux_agreement::Settings;
+use hallmux_dispatcher::{Ask, Dispatcher, Ending, Listing, Micros, Mode, Order, Protocol, Ticket};
 
 use crate::shape::{Arrives, Chance, Deed, Demand, Shape, SECOND, START};
 
@@ -59,7 +59,7 @@
 
 pub struct Fleet<'a> {
     shape: &'a Shape,
-    contract: Contract,
+    contract: Settings,
     chance: Chance,
     now: Micros,
     serial: u64,
@@ -73,7 +73,7 @@
 impl<'a> Fleet<'a> {
     pub fn new(shape: &'a Shape, seed: u64) -> Self {
         let count = WARM + shape.colds;
-        let contract = hallmux_agreement::contract(&shape.settings()).unwrap();
+        let contract = Settings::parse(&shape.settings()).unwrap();
         let mut fleet = Fleet {
             shape,
             contract,
@@ -190,7 +190,7 @@
             cell: 0,
             mode,
             started: (e >= WARM && started).then_some(START),
-            speaks: &[Speech::Lines],
+            protocols: &[Protocol::Lines],
         };
         let warm = (0..WARM).filter(|_| whole).map(|e| (e, Mode::Ready));
         let cold = (WARM..ids.len()).filter_map(|e| Some((e, mode?)));
@@ -245,7 +245,7 @@
                     Order::Send { ticket, execution, place, .. } => self.sends(p, ticket, execution, place),
                     Order::Stop { ticket, execution, ending } => {
                         let Some(dispatcher) = &mut self.processes[p].dispatcher else { return };
-                        dispatcher.report(self.now, ticket, execution, ending, None, None);
+                        dispatcher.report(self.now, ticket, execution, ending, None);
                     }
                     Order::Reject { ticket, .. } | Order::Abort { ticket } => {
                         self.processes[p].works.remove(&ticket);
@@ -302,7 +302,7 @@
         let tells = self.shape.reports && matches!(how, How::Answered | How::TurnedAway);
         let report = tells.then(|| vec![self.engines[e].running as f64]);
         let Some(dispatcher) = &mut self.processes[p].dispatcher else { return };
-        self.answered += usize::from(dispatcher.report(self.now, ticket, execution, ending, report, None));
+        self.answered += usize::from(dispatcher.report(self.now, ticket, execution, ending, report));
         self.settles(p);
     }
 }
--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -277,7 +277,7 @@
                 drains: s.drains,
                 started: None,
             };
-            dispatcher.hearsay(now, reporter, |id| engine_hash(id) == s.engine, &seen, report.age);
+            dispatcher.peer_report(now, reporter, |id| engine_hash(id) == s.engine, &seen, report.age);
         }
         let before = std::mem::replace(&mut self.known, known);
         reports.into_iter().filter(|r| !before.contains_key(&(r.reporter, r.sighting.engine))).collect()
--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use hallmux_agreement::Contract;
+use hallmux_agreement::Settings;
 use hallmux_dispatcher::{Gone, Micros, Place, Site, Taken, Terms, Ticket, Word};
 use hallmux_ledger::{self as ledger, Done, Key, Kind};
 
@@ -81,7 +81,7 @@
 
 impl Gate {
     /// `started_ms` is when this front started, in Unix milliseconds, as the ledger knows it.
-    pub fn new(contract: &Contract, started_ms: u64, shards: u16) -> Gate {
+    pub fn new(contract: &Settings, started_ms: u64, shards: u16) -> Gate {
         Gate {
             started_ms,
             shards_heard: vec![false; usize::from(shards)],
--- a/crates/fleet/src/gate/requirements.rs
+++ b/crates/fleet/src/gate/requirements.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use hallmux_agreement::Contract;
+use hallmux_agreement::Settings;
 use hallmux_dispatcher::{Micros, Site, Taken};
 use hallmux_ledger::{Key, Kind};
 use serde::{Deserialize, Serialize};
@@ -88,7 +88,7 @@
 }
 
 impl Requirements {
-    pub fn new(contract: &Contract) -> Requirements {
+    pub fn new(contract: &Settings) -> Requirements {
         use hallmux_dispatcher::{DedupGroup, Effect};
         let agreed = contract.names.workloads.iter().zip(&contract.agreement.workloads);
         let workloads = agreed.map(|(name, w)| {
@@ -105,7 +105,7 @@
             };
             (name.clone(), workload)
         });
-        Requirements { workloads: workloads.collect(), order_gap: contract.agreement.turn_gap }
+        Requirements { workloads: workloads.collect(), order_gap: contract.agreement.order_gap }
     }
 
     /// Those of one statement, in the order in which they are claimed: the same on every front, so that no
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_dispatcher::{Asked, Dispatcher, Micros, Offer, SPAN};
+use hallmux_dispatcher::{Demand, Dispatcher, FleetDemand, Micros, SPAN};
 use hallmux_gossip::load_reports::{OfferedLoad, MAX_LOADS};
 use hallmux_gossip::node::Node;
 
@@ -49,7 +49,7 @@
         // Merged load counts for nothing once nobody reports any more.
         if reports.is_empty() {
             if std::mem::take(&mut self.merging) {
-                dispatcher.fleet_offered(Asked::default());
+                dispatcher.fleet_offered(FleetDemand::default());
             }
             return;
         }
@@ -63,9 +63,14 @@
         // Some fronts report; the others that are up are taken to be offered the same.
         let each = node.fleet_size().up as f64 / reports.len() as f64 / SPAN;
         let rate = |of: &Option<u32>| of.map_or(0.0, |of| sum_of(&reports, of, |o| o.requested) * each);
-        let customers = shared.iter().map(rate).collect();
+        let customers_per_s = shared.iter().map(rate).collect();
         let part = if node.has_peer_load(at.now) { part } else { 0.0 };
-        dispatcher.fleet_offered(Asked { missed, part, offers, customers });
+        dispatcher.fleet_offered(FleetDemand {
+            late_share: missed,
+            relative: part,
+            workloads: offers,
+            customers_per_s,
+        });
     }
 }
 
@@ -97,7 +102,7 @@
 
 /// The work offered to a front relative to the mean of the fronts that report; 0 where they were offered
 /// none.
-fn part_of(own: f64, offers: &[Offer], fronts: usize) -> f64 {
+fn part_of(own: f64, offers: &[Demand], fronts: usize) -> f64 {
     let mean = offers.iter().map(|o| o.work * o.asked).sum::<f64>() / fronts.max(1) as f64;
     if mean > 0.0 {
         own / mean
@@ -122,7 +127,7 @@
 
 /// The load offered to all fronts by the workloads named, and the median over fronts of the part that was
 /// late.
-fn merged(reports: &[&[OfferedLoad]], names: &[u32]) -> (f64, Vec<Offer>) {
+fn merged(reports: &[&[OfferedLoad]], names: &[u32]) -> (f64, Vec<Demand>) {
     let of: Vec<BTreeMap<u32, OfferedLoad>> =
         reports.iter().map(|all| all.iter().map(|o| (o.workload, *o)).collect()).collect();
     let offers = names.iter().map(|name| {
@@ -130,7 +135,7 @@
         let sum = |field: fn(&OfferedLoad) -> u32| sum_of(reports, *name, field);
         let work = median(all.iter().filter(|o| o.service_us > 0).map(|o| f64::from(o.service_us)).collect());
         let (requested, completed) = (sum(|o| o.requested), sum(|o| o.completed));
-        Offer { asked: requested, ended: completed, timely: sum(|o| o.on_time).min(completed), work }
+        Demand { asked: requested, ended: completed, timely: sum(|o| o.on_time).min(completed), work }
     });
     let missed = of.iter().filter_map(|all| {
         let sum =
--- a/crates/front/src/clients/lingering.rs
+++ b/crates/front/src/clients/lingering.rs
@@ -12,7 +12,7 @@
 use super::ClientId;
 use crate::link::Link;
 
-const LONGEST: Micros = 1_000_000; // microseconds; some round trips of a slow network
+const LINGER_TIMEOUT: Micros = 1_000_000; // microseconds; some round trips of a slow network
 
 struct Closing {
     link: Link,
@@ -29,7 +29,7 @@
     /// Shuts the write side of a connection that has sent all it owes.
     pub fn close(&mut self, now: Micros, id: ClientId, link: Link) {
         if link.shut_writes().is_ok() {
-            self.connections.insert(id, Closing { link, until: now + LONGEST });
+            self.connections.insert(id, Closing { link, until: now + LINGER_TIMEOUT });
             self.read(id);
         }
     }
@@ -39,7 +39,7 @@
         let Some(closing) = self.connections.get_mut(&id) else { return false };
         let (more, broken) = closing.link.read();
         closing.link.input.clear();
-        // One that sends more than a turn takes has not stopped: it is not listened to any longer.
+        // One that sends more than an iteration takes has not stopped: it is not listened to any longer.
         if more || broken.is_some() {
             self.connections.remove(&id);
         }
--- /dev/null
+++ b/crates/front/src/front/admission.rs
@@ -0,0 +1,152 @@
+//! Admission: statements of clients are checked and handed to the dispatcher, and clients that leave are reported to it.
+
+use hallmux_access::Judged;
+use hallmux_codec::statement::{self, Call, Reply};
+use hallmux_codec::tables;
+use hallmux_dispatcher::{Ask, Micros, Protocol, Ticket, Unfit};
+
+use super::Front;
+use crate::clients::{self, ClientId};
+
+impl Front {
+    pub(super) fn read_client(&mut self, id: ClientId) -> bool {
+        let mut events = Vec::new();
+        let more = self.clients.read(self.clock.now, id, !self.shutdown.is_requested(), &mut events);
+        self.handle_client_events(events);
+        more
+    }
+
+    pub(super) fn handle_client_events(&mut self, events: Vec<clients::Event>) {
+        for event in events {
+            match event {
+                clients::Event::Statement { client, number, call, unread_for } => {
+                    let mut ended = Vec::new();
+                    self.admit(client, number, *call, unread_for, &mut ended);
+                    self.handle_client_events(ended);
+                }
+                clients::Event::Cancelled { client, number } => {
+                    let ticket = self.clients.cancel(client, number);
+                    ticket.into_iter().for_each(|ticket| self.abandon(ticket));
+                }
+                clients::Event::Abandoned(ticket) => self.abandon(ticket),
+            }
+        }
+    }
+
+    /// Nobody waits for a statement any more: its executions are cancelled.
+    pub(super) fn abandon(&mut self, ticket: Ticket) {
+        // What waits for a connection is not sent any more, also where cancelling is not allowed.
+        self.engines.abandon(ticket);
+        let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
+        match self.scatter.as_mut().is_some_and(|scatter| scatter.abandon(now, ticket, dispatcher)) {
+            true => self.rules.iter().for_each(|rules| rules.borrow_mut().statement_over(ticket)),
+            false => self.dispatcher.left(now, ticket),
+        }
+    }
+
+    /// Takes a statement that a client has sent, or answers why it is not taken. `unread_for`: how long it may have
+    /// lain unread, as its client took no answers. `ended`: statements that end as their connection is closed.
+    pub(super) fn admit(
+        &mut self,
+        client: ClientId,
+        number: i32,
+        call: Call,
+        unread_for: Micros,
+        ended: &mut Vec<clients::Event>,
+    ) {
+        if !self.clients.admits(client, number, &call, ended) {
+            return;
+        }
+        if let Some(field) = call.invalid_field {
+            return self.clients.answer_unusable(client, number, field);
+        }
+        if self.shutdown.rejects() {
+            return self.clients.reject(client, number);
+        }
+        if self.scatter.as_ref().is_some_and(|scatter| scatter.passes_for_numbered(&call)) {
+            let why = "its text begins as fronts number loads: leave that comment out";
+            return self.clients.reply(client, number, &Reply::Refused(&[("reason", why)]));
+        }
+        if self.is_full() {
+            return self.clients.reject(client, number);
+        }
+        // Guards against a final answer that is held up on its way: it has the slack twice, before the
+        // client's time is up and after. A result that comes in that last moment is lost to the client.
+        let time_left = (call.time_left_ms * 1000.0) as Micros - self.answer_slack;
+        // Guards against a deadline beyond the client's: its time has run on while the statement lay unread.
+        let time_left = time_left - self.clock.waited().max(unread_for);
+        let judged = self.rules.as_ref().map(|rules| {
+            rules.borrow_mut().judge(self.clock.now, &call.customer, &call.workload, &call.statement)
+        });
+        let judged = judged.unwrap_or(Judged::Free);
+        if judged == Judged::Closed {
+            return self.clients.reject(client, number);
+        }
+        let allowed = self.rules.as_ref().and_then(|rules| rules.borrow().allowed(&judged));
+        // What is denied is never asked of anybody.
+        let scattered = match judged.is_denied() {
+            true => Some((call, None)),
+            false => self.scatter(client, number, call, time_left, allowed.clone(), &judged),
+        };
+        let Some((call, whole_site)) = scattered else { return };
+        let within = |site: &String| allowed.as_ref().is_none_or(|allowed| allowed.contains(site));
+        let allowed = match whole_site {
+            Some(site) => Some(if within(&site) { vec![site] } else { Vec::new() }),
+            None => allowed,
+        };
+        self.pick(client, number, call, time_left, allowed, &judged);
+    }
+
+    /// Whether no more statements can be taken: too many are held, or they take too much memory.
+    fn is_full(&mut self) -> bool {
+        let full = self.clients.held_bytes() > self.max_bytes;
+        if full != std::mem::replace(&mut self.memory_full, full) {
+            log::warn!(
+                "statements held take {} bytes; {}",
+                self.clients.held_bytes(),
+                if full { "more are rejected" } else { "taken again" }
+            );
+        }
+        full || self.dispatcher.held() >= self.max_statements
+    }
+
+    /// Hands a statement to the dispatcher, to be sent to engines at the locations allowed (none given: all).
+    fn pick(
+        &mut self,
+        client: ClientId,
+        number: i32,
+        call: Call,
+        time_left: Micros,
+        allowed: Option<Vec<String>>,
+        judged: &Judged,
+    ) {
+        let allowed: Option<Vec<&str>> =
+            allowed.as_ref().map(|names| names.iter().map(String::as_str).collect());
+        let ask = Ask {
+            workload: &call.workload,
+            customer: &call.customer,
+            key: call.order_key.as_deref(),
+            dedup_key: call.dedup_key.as_deref(),
+            time_left,
+            work: call.work_ms * 1000.0,
+            memory_mb: call.memory_mb,
+            data_set: tables::group(&call.statement),
+            protocol: Protocol::Lines,
+            pinned: None,
+            allowed: allowed.as_deref(),
+        };
+        let picked = self.dispatcher.pick(self.clock.now, &ask);
+        if let Some(rules) = &self.rules {
+            rules.borrow_mut().statement_picked(&mut self.dispatcher, judged, picked.ok());
+        }
+        match picked {
+            Ok(ticket) => self.clients.open(client, number, ticket, call),
+            Err(Unfit::Barred) => {
+                self.clients.reply(client, number, &Reply::Rejected { retry_after_ms: None });
+            }
+            Err(Unfit::Workload) => self.clients.answer_unusable(client, number, statement::WORKLOAD),
+            Err(Unfit::DedupKey) => self.clients.answer_unusable(client, number, statement::DEDUP_KEY),
+            Err(Unfit::Customer) => self.clients.answer_unusable(client, number, statement::CUSTOMER),
+        }
+    }
+}
--- /dev/null
+++ b/src/decide/shed.rs
@@ -0,0 +1,93 @@
+//! Admission, which statements are shed and executions cancelled, and how a statement ends.
+
+use super::*;
+
+impl Front {
+    /// Whether the engine that holds its transaction takes nothing new any more.
+    pub(super) fn pinned_engine_closed(&self, s: &Statement) -> bool {
+        s.asked.pinned.is_some_and(|e| !self.engines.open.get(e).is_some_and(|open| *open))
+    }
+
+    /// Whether a statement is shed at once: no engine may have it, or it must be late, and that is worth
+    /// little or others wait behind it in the queue of its order key: running it would make them late too.
+    pub(super) fn is_to_be_shed(&self, s: &Statement) -> bool {
+        let worthless = self.order_queues.blocks(s.asked.key) || self.workload(s).late_share < LATE_WORTH;
+        let late = worthless && self.now >= self.last_timely_start(s);
+        late || self.pinned_engine_closed(s) || !self.has_safe_engine(s)
+    }
+
+    /// Admits what the engines can serve of all that is asked, by the penalty at the fleet's conformance:
+    /// each front sheds the same share on arrival. What is beyond customers' shares weighs as in the paper.
+    pub(super) fn set_admission(&mut self, fleet: &FleetDemand) {
+        let (customers, workloads) = (self.agreed.customers.len().max(1), &fleet.workloads);
+        self.beyond = beyond(&fleet.customers_per_s, &self.agreed.customers);
+        let split = |(o, learned): (&Demand, &Learned)| o.split(learned.beyond.value);
+        let parts: Vec<Demand> = workloads.iter().zip(&self.learned).flat_map(split).collect();
+        let rank =
+            |n: usize| penalty(parts[n].conformance(UNSEEN), self.delta(n / 2 * customers * 2 + n % 2));
+        let late = fleet.late_share > MOST_LATE;
+        let served = |o: &Demand| o.work * ADMITTED * if late { o.timely } else { o.ended };
+        let asked: f64 = workloads.iter().map(Demand::work_asked).sum();
+        let most = workloads.iter().map(served).sum::<f64>().max(LEAST_ADMITTED * asked);
+        (self.admitted, self.demand) = (admit_by_rank(most, &parts, rank), fleet.relative);
+    }
+
+    /// Whether the fleet admits a statement; what an open transaction waits for always.
+    pub(super) fn admits(&mut self, s: &Arrival, over: bool) -> bool {
+        let share = self.admitted.get(s.workload * 2 + usize::from(over)).copied().unwrap_or(1.0);
+        share >= 1.0 || s.pinned.is_some() || self.random.next() < share
+    }
+
+    pub(super) fn cancel_to_retry(&mut self, id: StatementId, n: usize) {
+        let s = &self.statements[&id];
+        let in_time = self.now + (self.learned[s.asked.workload].run.value as Micros) < s.ends;
+        let again = self.workload(s).effect == Effect::Idempotent && self.tries_left(s) && in_time;
+        if again && self.agreed.cancel && !s.over {
+            self.actions.push(Action::Cancel { statement: id, execution: n });
+        }
+    }
+
+    /// Ends a statement unanswered: a rejection where trying again is harmless, else an abort.
+    pub(super) fn shed(&mut self, id: StatementId) {
+        let s = &self.statements[&id];
+        let (workload, ran) = (self.workload(s), s.may_have_run().next().is_some());
+        let (w, first) = (s.asked.workload, s.first_asked == s.ends - s.asked.time_left);
+        let harmless = match workload.effect {
+            Effect::Idempotent => true,
+            Effect::Deduplicated => !ran || workload.dedup_group == DedupGroup::All,
+            Effect::NonIdempotent => !ran,
+        };
+        if harmless {
+            let wait = COME_BACK * (0.5 + self.random.next()) * SECOND as f64;
+            let retry_after = self.agreed.longest_retry_after.map(|most| most.min(wait as Micros));
+            self.actions.push(Action::Reject { statement: id, retry_after });
+        } else {
+            self.actions.push(Action::Abort { statement: id });
+        }
+        self.learned[w].shed += f64::from(u8::from(first));
+        self.close(id, false);
+    }
+
+    /// Counts a statement that is over, and lets go of all it holds but executions still out.
+    pub(super) fn close(&mut self, id: StatementId, timely: bool) {
+        self.dequeue(id);
+        let Some(s) = self.statements.get_mut(&id).filter(|s| !s.over) else { return };
+        s.over = true;
+        let (class, key) = (s.class, s.asked.key);
+        let unresolved = s.unended();
+        let cancel = |n: &usize| Action::Cancel { statement: id, execution: *n };
+        self.actions.extend(unresolved.iter().filter(|_| self.agreed.cancel).map(cancel));
+        let counts = &mut self.classes[class];
+        counts.out.remove(&id);
+        let before = counts.on_top();
+        counts.count(self.now, HALF_LIFE, timely);
+        if counts.on_top() != before {
+            for other in counts.out.clone() {
+                self.prioritise(other);
+            }
+        }
+        self.order_queues.remove(key, id, unresolved.len());
+        self.enqueue_first_in_order(key);
+        self.forget(id);
+    }
+}
