--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -2,18 +2,18 @@
 //! `report` says how an execution ended, `tick` decides on all that was told since and returns what the
 //! network is to do. Whoever calls it knows neither the module's events nor its actions.
 
+mod completion;
+mod demand;
 mod dials;
-mod ended;
 mod ending;
 mod engines;
-mod offered;
-mod out;
-#[cfg(test)]
-mod played;
+mod observations;
+mod orders;
 mod promised;
 mod rooms;
-mod seen;
-mod taken;
+mod statements;
+#[cfg(test)]
+mod test_support;
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -21,21 +21,21 @@
 use hallmux::Front;
 use hallmux_agreement::{Names, Settings};
 
+use demand::DemandCounts;
 use engines::Engine;
-use offered::Offered;
 use promised::Depends;
-use taken::{Key, Statement};
+use statements::{Key, Statement};
 
+pub use demand::DEMAND_SECONDS;
 pub use dials::Dials;
 pub use ending::Ending;
 pub use engines::Listing;
 pub use hallmux::interface::{DedupGroup, Demand, Effect, FleetDemand, Micros, Mode, Note};
-pub use offered::SPAN;
-pub use out::{Order, Terms};
+pub use observations::EngineObservation;
+pub use orders::{Order, Terms};
 pub use promised::{Gone, Site, Taken, Word};
 pub use rooms::Rooms;
-pub use seen::Sighted;
-pub use taken::{Ask, Protocol, Unfit};
+pub use statements::{Ask, Protocol, Unfit};
 
 /// A statement as this front knows it, from `pick` until it is over and nothing is out for it.
 pub type Ticket = StatementId;
@@ -61,7 +61,7 @@
     order_gap: Micros,
     warm_within: Micros,
     wake: Micros,
-    told: Vec<Event>,
+    events: Vec<Event>,
     next_ticket: Ticket,
     statements: HashMap<Ticket, Statement>,
     ends: BTreeSet<(Micros, Ticket)>,
@@ -70,10 +70,10 @@
     resting: BTreeSet<(Micros, String)>,
     engines: Vec<Engine>,
     watches: bool,
-    depends: Vec<Depends>,           // by workload
-    offered: Vec<Offered>,           // likewise
-    customers: Vec<(bool, Offered)>, // likewise by customer, and whether a share is agreed
-    threads: Vec<f64>,               // that a statement takes, likewise
+    depends: Vec<Depends>,                      // by workload
+    workload_demand: Vec<DemandCounts>,         // likewise
+    customer_demand: Vec<(bool, DemandCounts)>, // likewise by customer, and whether a share is agreed
+    threads: Vec<f64>,                          // that a statement takes, likewise
     in_time: Vec<(Micros, f64)>, // the SLO time, and by how much it is longer for each microsecond of work
     words: Vec<Word>,
     followed: Vec<Ticket>,
@@ -95,7 +95,7 @@
             order_gap: contract.agreement.order_gap,
             warm_within: contract.agreement.warm_within,
             wake: 0,
-            told: Vec::new(),
+            events: Vec::new(),
             next_ticket: 0,
             statements: HashMap::new(),
             ends: BTreeSet::new(),
@@ -105,9 +105,9 @@
             engines: Vec::new(),
             watches: false,
             depends: contract.agreement.workloads.iter().map(depends).collect(),
-            offered: vec![Offered::default(); contract.agreement.workloads.len()],
-            customers: (contract.agreement.customers.iter())
-                .map(|share| (share.is_finite(), Offered::default()))
+            workload_demand: vec![DemandCounts::default(); contract.agreement.workloads.len()],
+            customer_demand: (contract.agreement.customers.iter())
+                .map(|share| (share.is_finite(), DemandCounts::default()))
                 .collect(),
             threads: contract.agreement.workloads.iter().map(|w| w.threads).collect(),
             in_time: (contract.agreement.workloads.iter())
--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use hallmux_dispatcher::{Dispatcher, Micros, Sighted};
+use hallmux_dispatcher::{Dispatcher, EngineObservation, Micros};
 use hallmux_gossip::channels::{Channel, ChannelMessage};
 use hallmux_gossip::evidence::PeerReport;
 use hallmux_gossip::members::FleetSize;
@@ -49,14 +49,14 @@
     probes: Option<bool>,
 }
 
-fn sighting(seen: &Sighted) -> Sighting {
+fn sighting(seen: &EngineObservation) -> Sighting {
     Sighting {
         engine: engine_hash(seen.id),
         failed: seen.failed.min(255.0) as u8,
         answered: seen.answered.min(255.0) as u8,
         silent_ms: (seen.silent / 1000 / SILENCE_STEP_MS * SILENCE_STEP_MS).min(Micros::from(u16::MAX))
             as u16,
-        drains: seen.drains,
+        drains: seen.draining,
         started_s: seen.started.map_or(0, |at| (at / 1_000_000) as u32),
     }
 }
@@ -221,7 +221,7 @@
     /// Reports what this front observes of engines, worst first, and of ownership; takes in others' ownership
     /// reports.
     fn report(&mut self, at: Moment, dispatcher: &mut Dispatcher) {
-        let mut seen: Vec<Sighting> = dispatcher.sighted(at.now).iter().map(sighting).collect();
+        let mut seen: Vec<Sighting> = dispatcher.observations(at.now).iter().map(sighting).collect();
         seen.sort_by_key(|s| (std::cmp::Reverse(s.silent_ms), std::cmp::Reverse(s.failed), s.engine));
         let ownership = self.ownership.as_ref().map(|ownership| ownership.report(at, dispatcher));
         self.node.report(at.now, at.wall_ms, seen, ownership.unwrap_or_default());
@@ -269,12 +269,12 @@
             }
             let next = self.reporters.len();
             let reporter = *self.reporters.entry(report.reporter).or_insert(next);
-            let seen = Sighted {
+            let seen = EngineObservation {
                 id: "",
                 failed: f64::from(s.failed),
                 answered: f64::from(s.answered),
                 silent: Micros::from(s.silent_ms) * 1000,
-                drains: s.drains,
+                draining: s.drains,
                 started: None,
             };
             dispatcher.peer_report(now, reporter, |id| engine_hash(id) == s.engine, &seen, report.age);
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_dispatcher::{Demand, Dispatcher, FleetDemand, Micros, SPAN};
+use hallmux_dispatcher::{Demand, Dispatcher, FleetDemand, Micros, DEMAND_SECONDS};
 use hallmux_gossip::load_reports::{OfferedLoad, MAX_LOADS};
 use hallmux_gossip::node::Node;
 
@@ -49,23 +49,24 @@
         // Merged load counts for nothing once nobody reports any more.
         if reports.is_empty() {
             if std::mem::take(&mut self.merging) {
-                dispatcher.fleet_offered(FleetDemand::default());
+                dispatcher.fleet_demand(FleetDemand::default());
             }
             return;
         }
         self.merging = true;
-        let names: Vec<u32> = dispatcher.offered(at.now).map(|(name, _)| workload(name)).collect();
+        let names: Vec<u32> = dispatcher.workload_demand(at.now).map(|(name, _)| workload(name)).collect();
         let (missed, offers) = merged(&reports, &names);
-        let own = dispatcher.offered(at.now).zip(&offers).map(|((_, own), offer)| own.asked * offer.work);
+        let own =
+            dispatcher.workload_demand(at.now).zip(&offers).map(|((_, own), offer)| own.asked * offer.work);
         let part = part_of(own.sum(), &offers, reports.len());
-        let shared = dispatcher.by_customers(at.now);
+        let shared = dispatcher.customer_demand(at.now);
         let shared: Vec<Option<u32>> = shared.map(|(name, asked)| asked.map(|_| customer(name))).collect();
         // Some fronts report; the others that are up are taken to be offered the same.
-        let each = node.fleet_size().up as f64 / reports.len() as f64 / SPAN;
+        let each = node.fleet_size().up as f64 / reports.len() as f64 / DEMAND_SECONDS;
         let rate = |of: &Option<u32>| of.map_or(0.0, |of| sum_of(&reports, of, |o| o.requested) * each);
         let customers_per_s = shared.iter().map(rate).collect();
         let part = if node.has_peer_load(at.now) { part } else { 0.0 };
-        dispatcher.fleet_offered(FleetDemand {
+        dispatcher.fleet_demand(FleetDemand {
             late_share: missed,
             relative: part,
             workloads: offers,
@@ -77,7 +78,7 @@
 /// What this front reports: its heaviest workloads, and the customers that request most.
 fn own_loads(now: Micros, dispatcher: &mut Dispatcher) -> Vec<OfferedLoad> {
     let counts = |x: f64| (x * UNIT).round().clamp(0.0, f64::from(u32::MAX)) as u32;
-    let all = dispatcher.offered(now).map(|(name, o)| OfferedLoad {
+    let all = dispatcher.workload_demand(now).map(|(name, o)| OfferedLoad {
         workload: workload(name),
         requested: counts(o.asked),
         completed: counts(o.ended),
@@ -86,7 +87,7 @@
     });
     let mut all: Vec<OfferedLoad> = all.filter(|o| o.requested > 0 || o.completed > 0).collect();
     all.sort_by_key(|o| std::cmp::Reverse(u64::from(o.requested) * u64::from(o.service_us.max(1))));
-    let shared = dispatcher.by_customers(now).filter_map(|(name, asked)| Some((name, asked?)));
+    let shared = dispatcher.customer_demand(now).filter_map(|(name, asked)| Some((name, asked?)));
     let shared = shared.map(|(name, o)| OfferedLoad {
         workload: customer(name),
         requested: counts(o.asked),
--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -169,7 +169,7 @@
     /// Engines that answer again, and for how long.
     fn recovered(&self, at: Moment, dispatcher: &Dispatcher) -> Vec<RecoveredEngine> {
         let since_ms = |since: Micros| ((at.now - since).max(0) / 1000).min(Micros::from(u32::MAX)) as u32;
-        let back = dispatcher.back(at.now).into_iter();
+        let back = dispatcher.recovered(at.now).into_iter();
         back.map(|(id, since)| RecoveredEngine { engine: engine_hash(id), since_ms: since_ms(since) })
             .take(MAX_RECOVERED)
             .collect()
@@ -230,11 +230,12 @@
         age: Micros,
         dispatcher: &mut Dispatcher,
     ) {
-        let known: Vec<u64> = dispatcher.back(at.now).into_iter().map(|(id, _)| engine_hash(id)).collect();
+        let known: Vec<u64> =
+            dispatcher.recovered(at.now).into_iter().map(|(id, _)| engine_hash(id)).collect();
         for RecoveredEngine { engine, since_ms } in recovered.iter().take(MAX_RECOVERED) {
             if !known.contains(engine) && self.announced.insert(*engine, token) != Some(token) {
                 let since = at.now - age - Micros::from(*since_ms) * 1000;
-                dispatcher.answers_since(|id| engine_hash(id) == *engine, since);
+                dispatcher.set_recovered_since(|id| engine_hash(id) == *engine, since);
             }
         }
         self.announced
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -10,7 +10,7 @@
 use calloop::LoopHandle;
 use hallmux_agreement::{Postgres, Settings};
 use hallmux_dispatcher::{Dispatcher, Ending, Micros, Note, Place, Ticket};
-use hallmux_postgres::answer::Final;
+use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::session::Transaction;
 
 use self::admission::final_answer;
@@ -107,7 +107,7 @@
 
     /// Where an engine of a kind takes sessions: at a port of its own beside lines, or in their place.
     pub fn port(&self, kind: &str) -> Option<Option<u16>> {
-        let speaks = |e: &&hallmux_agreement::SpeakingEngines| e.kinds.iter().any(|k| k == kind);
+        let speaks = |e: &&hallmux_agreement::PostgresEngines| e.kinds.iter().any(|k| k == kind);
         self.allowed.engines.iter().find(speaks).map(|e| e.port)
     }
 
@@ -318,7 +318,7 @@
             servers::Event::Refused { sent: ExecutionId { ticket, number: execution }, error } => {
                 dispatcher.begun(ticket);
                 if dispatcher.report(now, ticket, execution, Ending::Stale, None) {
-                    self.sessions.fail(now, ticket, &Final::Broken, Some(&error));
+                    self.sessions.fail(now, ticket, &ClientError::ResultLost, Some(&error));
                 }
             }
             servers::Event::Ended { sent: ExecutionId { ticket, number: execution }, ending } => {
--- a/crates/front/src/postgres/gateway/loads.rs
+++ b/crates/front/src/postgres/gateway/loads.rs
@@ -3,8 +3,8 @@
 
 use hallmux_codec::tables;
 use hallmux_dispatcher::Ticket;
-use hallmux_postgres::answer::Final;
-use hallmux_postgres::session::{Part, Transaction};
+use hallmux_postgres::client_error::ClientError;
+use hallmux_postgres::session::{Transaction, UnitPart};
 use hallmux_scatter::marks::numbers;
 
 use super::Gateway;
@@ -14,13 +14,13 @@
 const MOST_GROUPS: usize = 1_024; // groups of a text that are looked for; more than that can't be marked
 
 /// The answer to a unit that goes on, after a Flush, with tables that are not marked.
-pub const UNMARKED_GROUPS: Final = Final::Unfit {
+pub const UNMARKED_GROUPS: ClientError = ClientError::InvalidSetting {
     field: "hallmux.workload",
     why: "writes, and names a group of tables after a Flush that it has not named before",
 };
 
 /// The answer to text that passes for a load that a front has numbered.
-pub const NUMBERED: Final = Final::Unfit {
+pub const NUMBERED: ClientError = ClientError::InvalidSetting {
     field: "hallmux.workload",
     why: "writes, and its text begins as fronts number loads: leave that comment out",
 };
@@ -46,7 +46,7 @@
     }
 
     /// Whether more of a unit that is out names groups that nothing of it has named before.
-    pub(super) fn names_unmarked_groups(&mut self, ticket: Ticket, part: &Part) -> bool {
+    pub(super) fn names_unmarked_groups(&mut self, ticket: Ticket, part: &UnitPart) -> bool {
         if self.writes.is_empty() {
             return false;
         }
@@ -65,11 +65,11 @@
 }
 
 /// Whether a unit's text passes for a numbered load, where loads are marked.
-pub(super) fn passes_for_numbered(writes: &[String], part: &Part) -> bool {
+pub(super) fn passes_for_numbered(writes: &[String], part: &UnitPart) -> bool {
     !writes.is_empty() && part.texts().any(|text| !numbers(text).is_empty())
 }
 
-fn writes(workloads: &[String], open_session: &OpenSession, part: &Part) -> bool {
+fn writes(workloads: &[String], open_session: &OpenSession, part: &UnitPart) -> bool {
     let label = open_session.session.label(part);
     let workload = label.workload.as_ref().or(open_session.user.workload.as_ref());
     workload.is_some_and(|workload| workloads.contains(workload))
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -1,7 +1,7 @@
 //! How executions and connections end: given up, cancelled, let go, lost.
 
 use hallmux_dispatcher::{Ending, Micros, Place};
-use hallmux_postgres::pool::Freed;
+use hallmux_postgres::pool::Released;
 use hallmux_postgres::wire;
 
 use super::{Cancel, Event, ServerId, Servers, Stage};
@@ -54,7 +54,7 @@
     /// Sends a request to cancel over a connection of its own.
     fn ask_to_cancel(&mut self, now: Micros, id: ServerId, ends: Option<(ExecutionId, Ending)>) -> bool {
         let Some(server) = self.links.get_mut(&id) else { return false };
-        let Some(((process, secret), engine)) = server.engine.key.zip(self.engines.get(&server.place)) else {
+        let Some((key, engine)) = server.engine.key.zip(self.engines.get(&server.place)) else {
             return false;
         };
         let number = self.next + 1;
@@ -62,7 +62,7 @@
             return false;
         };
         self.next = number;
-        wire::write_cancel(link.output(), process, secret);
+        wire::write_cancel(link.output(), key);
         server.cancels += 1;
         let by = now + 2 * self.allowance.dial_timeout;
         self.cancels.insert(number, Cancel { link, server: id, by, ends });
@@ -122,12 +122,12 @@
     pub(super) fn forget(&mut self, id: ServerId) -> Vec<ExecutionId> {
         self.connecting.remove(&id);
         self.changed.remove(&id);
-        self.pools.gone(id)
+        self.pools.remove(id)
     }
 
     pub(super) fn close_and_refill(&mut self, now: Micros, id: ServerId, place: Place) {
         self.close(id);
-        let step = self.pools.next(place);
+        let step = self.pools.next_action(place);
         self.step(now, place, step);
     }
 
@@ -138,10 +138,10 @@
         if server.closes_after_unit || server.cancels > 0 {
             return self.close_and_refill(now, id, place);
         }
-        match self.pools.rests(now, id) {
-            Freed::Rests => {}
-            Freed::Step(step) => self.step(now, place, Some(step)),
-            Freed::Close => self.close_and_refill(now, id, place),
+        match self.pools.release(now, id) {
+            Released::Idle => {}
+            Released::Action(step) => self.step(now, place, Some(step)),
+            Released::Close => self.close_and_refill(now, id, place),
         }
     }
 
@@ -177,7 +177,7 @@
             self.report_end(sent, ending);
         }
         self.events.extend(server.holds.map(|session| Event::TransactionLost { session }));
-        let step = self.pools.next(place);
+        let step = self.pools.next_action(place);
         self.step(now, place, step);
     }
 }
--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -9,10 +9,10 @@
 
 use hallmux_agreement::User;
 use hallmux_dispatcher::{Micros, Ticket};
-use hallmux_postgres::entry::{Access, Entry};
-use hallmux_postgres::pool::Account;
+use hallmux_postgres::pool::AccountId;
 use hallmux_postgres::prepared::Catalogue;
-use hallmux_postgres::session::{Bounds, Part, Session};
+use hallmux_postgres::session::{Bounds, Session, UnitPart};
+use hallmux_postgres::startup::{Authentication, Startup};
 
 use super::servers::{ServerId, SessionId};
 use crate::execution::ExecutionId;
@@ -23,9 +23,9 @@
 /// What sessions have come to that needs the dispatcher or an engine.
 pub enum Event {
     /// A unit is to be taken; its last byte came at the time given.
-    Unit { session: SessionId, part: Rc<Part>, since: Micros },
+    Unit { session: SessionId, part: Rc<UnitPart>, since: Micros },
     /// More of the unit that is out.
-    UnitPart { ticket: Ticket, part: Rc<Part> },
+    UnitPart { ticket: Ticket, part: Rc<UnitPart> },
     /// The client no longer waits.
     Abandoned(Ticket),
     /// A transaction is over: a connection that goes, the order keys that it kept.
@@ -37,7 +37,7 @@
 /// A unit that is taken and not answered.
 pub struct Running {
     pub ticket: Ticket,
-    pub parts: Vec<Rc<Part>>,
+    pub parts: Vec<Rc<UnitPart>>,
     pub commits: bool,
     /// An execution of it may have run.
     pub ran: bool,
@@ -54,7 +54,7 @@
 pub struct OpenSession {
     pub session: Session,
     pub user: Rc<User>,
-    pub account: Account,
+    pub account: AccountId,
     pub running: Option<Running>,
     /// The connection that holds its transaction, and the engine.
     pub pin: Option<(usize, ServerId)>,
@@ -67,7 +67,7 @@
 }
 
 enum Stage {
-    LoggingIn(Box<Entry>),
+    LoggingIn(Box<Startup>),
     Open(Box<OpenSession>),
 }
 
@@ -109,14 +109,14 @@
 }
 
 /// Who may come in: users of the operator's file, with how they prove it.
-pub struct Users(HashMap<String, (Rc<User>, Access)>);
+pub struct Users(HashMap<String, (Rc<User>, Authentication)>);
 
 impl Users {
     /// A verifier that can't be read shuts its user out.
     pub fn new(users: &std::collections::BTreeMap<String, User>) -> Users {
         let access = |user: &User| match &user.verifier {
-            None => Some(Access::Trusted),
-            Some(text) => hallmux_postgres::scram::Verifier::read(text).map(Access::Verifier),
+            None => Some(Authentication::Trust),
+            Some(text) => hallmux_postgres::scram::Verifier::read(text).map(Authentication::Scram),
         };
         let known =
             |(name, user): (&String, &User)| Some((name.clone(), (Rc::new(user.clone()), access(user)?)));
--- a/crates/front/src/postgres/sessions/close.rs
+++ b/crates/front/src/postgres/sessions/close.rs
@@ -1,7 +1,7 @@
 //! How sessions end: by themselves, for having stood still, to make room, with the front.
 
 use hallmux_dispatcher::Micros;
-use hallmux_postgres::answer::Final;
+use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::session::Transaction;
 
 use super::{Connection, Event, Sessions, Stage};
@@ -37,7 +37,7 @@
     }
 
     /// Ends a session with a last message.
-    fn dismiss(&mut self, id: SessionId, why: &Final) {
+    fn dismiss(&mut self, id: SessionId, why: &ClientError) {
         if let Some(connection) = self.connections.get_mut(&id) {
             why.write(connection.link.output(), true);
             connection.closing = true;
@@ -52,7 +52,7 @@
             return;
         }
         self.next_check = now + CHECK_INTERVAL;
-        let mut over: Vec<(SessionId, Option<Final>)> = Vec::new();
+        let mut over: Vec<(SessionId, Option<ClientError>)> = Vec::new();
         for (id, connection) in &mut self.connections {
             match &connection.stage {
                 Stage::LoggingIn(_) if connection.last_active + self.login_timeout <= now => {
@@ -64,9 +64,9 @@
                     let open = open_session.session.transaction.is_held();
                     let stands = now - connection.last_active;
                     if idle && open && stands >= self.transaction_idle {
-                        over.push((*id, Some(Final::IdleTransaction)));
+                        over.push((*id, Some(ClientError::IdleTransactionTimeout)));
                     } else if idle && open && shut.is_some_and(|since| since + GRACE <= now) {
-                        over.push((*id, Some(Final::ShutDown)));
+                        over.push((*id, Some(ClientError::ShuttingDown)));
                     } else if connection.closing && stands >= self.login_timeout {
                         over.push((*id, None));
                     } else if idle && stands >= IDLE_AFTER {
@@ -98,7 +98,7 @@
             }
         };
         let Some((_, _, id)) = self.connections.iter().filter_map(rank).min() else { return false };
-        self.dismiss(id, &Final::ShutDown);
+        self.dismiss(id, &ClientError::ShuttingDown);
         if let Some(connection) = self.connections.get_mut(&id) {
             // Its last message goes as far as the network takes it at once.
             let _ = connection.link.flush();
@@ -115,10 +115,10 @@
                 let may_go_on = open_session.running.is_none()
                     && !open_session.session.transaction.is_held()
                     && !p.closing;
-                (may_go_on && !open_session.session.is_within() && p.link.input.is_empty()).then_some(*id)
+                (may_go_on && !open_session.session.is_in_unit() && p.link.input.is_empty()).then_some(*id)
             }
         };
         let idle: Vec<SessionId> = self.connections.iter().filter_map(idle).collect();
-        idle.into_iter().for_each(|id| self.dismiss(id, &Final::ShutDown));
+        idle.into_iter().for_each(|id| self.dismiss(id, &ClientError::ShuttingDown));
     }
 }
