--- a/crates/front/src/fleet/gate.rs
+++ b/crates/front/src/fleet/gate.rs
@@ -20,7 +20,7 @@
     }
 
     fn answers(&mut self, part: u64) -> Vec<Done> {
-        Peers::promised(self, part)
+        Peers::ledger_answers(self, part)
     }
 }
 
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -254,7 +254,7 @@
     }
 
     /// What the ledger has answered to the part of this front whose asks have that highest byte.
-    pub fn promised(&mut self, part: u64) -> Vec<Done> {
+    pub fn ledger_answers(&mut self, part: u64) -> Vec<Done> {
         self.done.extend(self.exchange.ledger_answers());
         let (told, others) = std::mem::take(&mut self.done)
             .into_iter()
