--- a/crates/front/src/front_tests.rs
+++ b/crates/front/src/front_tests.rs
@@ -1,12 +1,13 @@
 //! Unit tests of the `front` module.
 
 use std::collections::HashMap;
-use std::io::{Read, Write};
+use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
 use std::time::Instant;
 
 use calloop::EventLoop;
+use hallmux_postgres::wire;
 use serde_json::json;
 
 use super::*;
@@ -33,7 +34,8 @@
 }
 
 impl Driven {
-    fn new(name: &str) -> Driven {
+    /// With an engine that speaks PostgreSQL.
+    fn new(name: &str, engine: SocketAddr, cancelling: bool) -> Driven {
         let file =
             |kind: &str| std::env::temp_dir().join(format!("hallmux-{name}-{}.{kind}", std::process::id()));
         let files = [file("clock"), file("json5")];
@@ -47,8 +49,12 @@
         let variables = [("HALLMUX_CLOCK", &files[0]), ("HALLMUX_OPERATOR", &files[1])];
         let variables: HashMap<String, String> =
             variables.iter().map(|(name, path)| (name.to_string(), path.display().to_string())).collect();
-        let text = json!({"name": "n1", "listen": "127.0.0.1:0", "seed": "1", "settings": {
-            "instances": 1, "areas": ["here"], "kinds": ["std"], "customers": [{"name": "acme"}], "rules": {},
+        let server = json!({"id": "e", "addr": engine.to_string(), "zone": "here", "kind": "std", "cell": 0,
+            "state": "up", "weight": 1, "started_ms": 0});
+        let list = json!({"version": 1, "full": true, "servers": [server]});
+        let known = json!({"index": 1, "updates": [{"index": 1, "endpoints": list}]});
+        let text = json!({"name": "n1", "listen": "127.0.0.1:0", "seed": "1", "known": known, "settings": {
+            "instances": 1, "areas": ["here"], "kinds": ["std"], "customers": [{"name": "acme"}], "rules": {}, "bounds": {"cancelling": cancelling},
             "requestClasses": [{"name": "lookup", "aimMs": 2000, "deadlineMs": 8000, "repeat": "repeatable"}]}});
         write_clock(&files[0], START);
         let station = Station::parse(&variables, &text.to_string()).unwrap();
@@ -68,30 +74,97 @@
         assert!(self.front.entrance.is_open());
     }
 
-    /// Goes on as `run` does, until a peer has something to read: the first bytes of that, none at its end.
+    /// One iteration, as `run` has it.
+    fn goes_on(&mut self) {
+        let mut changes = Changes::default();
+        self.events.dispatch(Duration::ZERO, &mut changes).unwrap();
+        changes.parties.drain(..).for_each(|party| self.front.ready(party));
+        self.front.turn();
+    }
+
+    /// Goes on until there is what is waited for.
+    fn until<T>(&mut self, what: &str, mut there: impl FnMut(&Front) -> Option<T>) -> T {
+        let begun = Instant::now();
+        loop {
+            if let Some(found) = there(&self.front) {
+                return found;
+            }
+            assert!(begun.elapsed() < PATIENCE, "{what}");
+            self.goes_on();
+        }
+    }
+
+    /// Goes on until a peer has something to read: the first bytes of that, none at its end.
     fn hears(&mut self, peer: &mut TcpStream) -> Vec<u8> {
         peer.set_nonblocking(true).unwrap();
-        let (begun, mut changes, mut heard) = (Instant::now(), Changes::default(), vec![0; 1024]);
-        loop {
-            match peer.read(&mut heard) {
-                Ok(len) => return heard[..len].to_vec(),
-                Err(e) => assert_eq!(e.kind(), std::io::ErrorKind::WouldBlock, "{e}"),
+        let mut heard = vec![0; 4096];
+        self.until("an answer", |_| match peer.read(&mut heard) {
+            Ok(len) => Some(heard[..len].to_vec()),
+            Err(e) => {
+                assert_eq!(e.kind(), ErrorKind::WouldBlock, "{e}");
+                None
             }
-            assert!(begun.elapsed() < PATIENCE, "an answer");
-            self.events.dispatch(Duration::ZERO, &mut changes).unwrap();
-            changes.parties.drain(..).for_each(|party| self.front.ready(party));
-            self.front.turn();
+        })
+    }
+
+    /// The same until certain bytes have come, which not all before them have to be.
+    fn hears_text(&mut self, peer: &mut TcpStream, text: &str) -> String {
+        let mut all = String::new();
+        while !all.contains(text) {
+            let heard = self.hears(peer);
+            assert!(!heard.is_empty(), "{text} did not come, but the end behind {all:?}");
+            all += &String::from_utf8_lossy(&heard);
         }
+        all
+    }
+
+    /// A session that has come in.
+    fn enters(&mut self) -> TcpStream {
+        let mut session = TcpStream::connect(self.sessions).unwrap();
+        let mut out = Vec::new();
+        wire::write_start_up(&mut out, &[("user", "portal"), ("database", "x")]);
+        session.write_all(&out).unwrap();
+        self.hears_text(&mut session, "Z\0\0\0\x05I");
+        session
+    }
+
+    /// The front's next connection to the engine, which waits for its login.
+    fn dials(&mut self, engine: &TcpListener) -> TcpStream {
+        engine.set_nonblocking(true).unwrap();
+        let mut stream = self.until("a dial", |_| engine.accept().ok()).0;
+        self.hears_text(&mut stream, "user");
+        stream
     }
 }
 
+fn asks(session: &mut TcpStream, text: &str) {
+    let mut out = Vec::new();
+    wire::write_query(&mut out, text.as_bytes());
+    session.write_all(&out).unwrap();
+}
+
+fn lets_in(engine: &mut TcpStream) {
+    let mut out = Vec::new();
+    wire::write(&mut out, b'R', |out| out.extend_from_slice(&[0; 4]));
+    wire::write_key(&mut out, 1, 1);
+    wire::write_ready(&mut out, b'I');
+    engine.write_all(&out).unwrap();
+}
+
+fn listener() -> (TcpListener, SocketAddr) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let at = listener.local_addr().unwrap();
+    (listener, at)
+}
+
 fn write_clock(path: &PathBuf, time: Micros) {
     std::fs::write(path, [time, 0, 0, 0].map(i64::to_le_bytes).concat()).unwrap();
 }
 
 #[test]
 fn who_connects_right_before_the_listener_closes_is_answered() {
-    let mut driven = Driven::new("last-client");
+    let (_engine, at) = listener();
+    let mut driven = Driven::new("last-client", at, true);
     driven.is_about_to_close();
     // The loop has not told of it: it is in the listener's queue alone.
     let mut client = TcpStream::connect(driven.listens).unwrap();
@@ -108,7 +181,8 @@
 
 #[test]
 fn a_session_that_connects_right_before_the_listener_closes_is_told_of_the_end() {
-    let mut driven = Driven::new("last-session");
+    let (_engine, at) = listener();
+    let mut driven = Driven::new("last-session", at, true);
     driven.is_about_to_close();
     let mut session = TcpStream::connect(driven.sessions).unwrap();
     driven.front.turn();
@@ -116,3 +190,50 @@
     assert!(heard.starts_with(b"E") && heard.windows(5).any(|code| code == b"57P01"), "{heard:?}");
     assert!(driven.hears(&mut session).is_empty());
 }
+
+#[test]
+fn a_unit_that_waits_for_its_connection_is_not_sent_once_its_session_has_left() {
+    let (engine, at) = listener();
+    // Engines are not told to give anything up.
+    let mut driven = Driven::new("left-session", at, false);
+    let mut first = driven.enters();
+    asks(&mut first, "select 1");
+    let mut link = driven.dials(&engine);
+    drop(first);
+    driven.until("its end is known", |front| (front.portal.as_ref()?.len() == 0).then_some(()));
+    lets_in(&mut link);
+    let mut second = driven.enters();
+    asks(&mut second, "select 2");
+    let heard = driven.hears_text(&mut link, "select");
+    assert!(heard.contains("select 2") && !heard.contains("select 1"), "{heard:?}");
+}
+
+#[test]
+fn a_unit_decided_on_by_an_old_look_is_not_sent_once_its_session_has_left() {
+    let (engine, at) = listener();
+    let mut driven = Driven::new("stale-session", at, true);
+    let mut session = driven.enters();
+    asks(&mut session, "select 1");
+    let mut link = driven.dials(&engine);
+    lets_in(&mut link);
+    driven.hears_text(&mut link, "select 1");
+    let mut out = Vec::new();
+    wire::write_complete(&mut out, "SELECT 0");
+    wire::write_ready(&mut out, b'I');
+    link.write_all(&out).unwrap();
+    driven.hears_text(&mut session, "SELECT 0");
+    asks(&mut session, "select 2");
+    // It is found, then the front is held up, and decides.
+    let mut changes = Changes::default();
+    while changes.parties.is_empty() {
+        driven.events.dispatch(Duration::ZERO, &mut changes).unwrap();
+    }
+    changes.parties.drain(..).for_each(|party| driven.front.ready(party));
+    write_clock(&driven.files[0], START + 30_000);
+    driven.front.turn();
+    assert!(driven.front.stale);
+    drop(session);
+    // The connection that it was written to goes with it.
+    let heard = driven.hears(&mut link);
+    assert!(heard.is_empty(), "{}", String::from_utf8_lossy(&heard));
+}
--- a/crates/front/src/postgres/portal.rs
+++ b/crates/front/src/postgres/portal.rs
@@ -199,14 +199,14 @@
                     }
                     sessions::Told::More { ticket, part } if self.strays(ticket, &part) => {
                         self.sessions.fail(now, ticket, &loads::STRAYS, None);
-                        dispatcher.left(now, ticket);
+                        self.left(now, dispatcher, ticket);
                     }
                     sessions::Told::More { ticket, part } => {
                         let sent = self.sessions.by_ticket(ticket);
                         let sent = sent.and_then(|(_, i)| i.running.as_ref()?.sent);
                         sent.into_iter().for_each(|sent| self.servers.more(sent, part.clone()));
                     }
-                    sessions::Told::Left(ticket) => dispatcher.left(now, ticket),
+                    sessions::Told::Left(ticket) => self.left(now, dispatcher, ticket),
                     sessions::Told::Freed { pin, keys, rests } => {
                         pin.into_iter().for_each(|pin| self.servers.release(now, pin));
                         keys.iter().for_each(|key| dispatcher.freed(now, key, rests));
@@ -217,6 +217,13 @@
         }
     }
 
+    /// Nobody waits for a statement any more.
+    fn left(&mut self, now: Micros, dispatcher: &mut Dispatcher, ticket: Ticket) {
+        // What waits for a connection is not sent any more, also where engines can't be told to give it up.
+        self.servers.leave(now, ticket);
+        dispatcher.left(now, ticket);
+    }
+
     /// An execution leaves; with other text where it is a simple query that is to have it.
     pub fn send(&mut self, now: Micros, sent: Sent, place: Place, text: Option<Vec<u8>>) {
         let Some((session, inside)) = self.sessions.by_ticket(sent.0) else {
--- a/crates/front/src/postgres/portal/asked.rs
+++ b/crates/front/src/postgres/portal/asked.rs
@@ -93,7 +93,7 @@
         // What is out is the engine's to end; what is held here, or can't be ended there, ends here.
         if !sent.is_some_and(|sent| self.servers.cancel(now, sent)) {
             self.sessions.fail(now, ticket, &Final::Cancelled, None);
-            dispatcher.left(now, ticket);
+            self.left(now, dispatcher, ticket);
         }
     }
 }
--- a/crates/front/src/postgres/servers/ending.rs
+++ b/crates/front/src/postgres/servers/ending.rs
@@ -1,6 +1,6 @@
 //! How executions and connections end: given up, cancelled, let go, lost.
 
-use hallmux_dispatcher::{Ending, Micros, Place};
+use hallmux_dispatcher::{Ending, Micros, Place, Ticket};
 use hallmux_postgres::pool::Freed;
 use hallmux_postgres::wire;
 
@@ -40,6 +40,24 @@
         }
     }
 
+    /// Nobody waits for a statement any more: what has not left for an engine never will.
+    pub fn leave(&mut self, now: Micros, ticket: Ticket) {
+        let of_ticket = self.executions.iter().filter(|(sent, _)| sent.0 == ticket);
+        let here: Vec<(Sent, Option<ServerId>)> = of_ticket.map(|(sent, x)| (*sent, x.link)).collect();
+        for (sent, link) in here {
+            let Some(id) = link else {
+                self.stop(now, sent, Ending::Withdrawn);
+                continue;
+            };
+            // What is written and has yet to leave goes with its connection.
+            let unsent = self.links.get(&id).is_some_and(|l| l.serves == Some(sent) && !l.link.has_left(1));
+            if let Some(place) = self.place(id).filter(|_| unsent) {
+                self.ended(sent, Ending::Withdrawn);
+                self.gone(now, id, place);
+            }
+        }
+    }
+
     /// A client asks for the end of what is out. False if nothing can be done about it.
     pub fn cancel(&mut self, now: Micros, sent: Sent) -> bool {
         let Some(x) = self.executions.get(&sent).filter(|x| x.stage != Stage::Waits) else { return false };
