--- a/crates/front/src/front_tests.rs
+++ b/crates/front/src/front_tests.rs
@@ -191,6 +191,19 @@
     assert!(driven.hears(&mut session).is_empty());
 }
 
+#[test]
+fn a_unit_that_comes_right_before_its_idle_session_is_closed_is_answered() {
+    let (_engine, at) = listener();
+    let mut driven = Driven::new("last-unit", at, true);
+    let mut session = driven.enters();
+    driven.is_about_to_close();
+    asks(&mut session, "SET hallmux.workload = 'lookup'");
+    driven.front.turn();
+    let heard = driven.hears_text(&mut session, "57P01");
+    assert!(heard.starts_with("C\0\0\0\x08SET\0Z"), "{heard:?}");
+    assert!(driven.hears(&mut session).is_empty());
+}
+
 #[test]
 fn a_unit_that_waits_for_its_connection_is_not_sent_once_its_session_has_left() {
     let (engine, at) = listener();
@@ -237,3 +250,19 @@
     let heard = driven.hears(&mut link);
     assert!(heard.is_empty(), "{}", String::from_utf8_lossy(&heard));
 }
+
+#[test]
+fn a_unit_that_comes_right_before_its_resting_session_makes_room_is_answered() {
+    let (_engine, at) = listener();
+    let mut driven = Driven::new("room", at, true);
+    let mut session = driven.enters();
+    driven.front.most_clients = 1;
+    write_clock(&driven.files[0], START + 2_000_000);
+    asks(&mut session, "SET hallmux.workload = 'lookup'");
+    let _newcomer = TcpStream::connect(driven.sessions).unwrap();
+    // The loop tells of the newcomer alone.
+    driven.front.ready(Door::SessionListener.party(0));
+    driven.front.turn();
+    assert_eq!(driven.front.portal.as_ref().map(Portal::len), Some(1));
+    driven.hears_text(&mut session, "SET\0");
+}
--- a/crates/front/src/postgres/portal.rs
+++ b/crates/front/src/postgres/portal.rs
@@ -363,7 +363,7 @@
         self.entrance.knocked();
         self.accept(now, room_left);
         self.entrance.close();
-        self.sessions.close_idle();
+        self.sessions.close_idle(now);
         self.hear(now, room, dispatcher);
     }
 }
--- a/crates/front/src/postgres/sessions/ending.rs
+++ b/crates/front/src/postgres/sessions/ending.rs
@@ -95,7 +95,10 @@
                 rests.then_some((true, p.heard, *id))
             }
         };
-        let Some((_, _, id)) = self.peers.iter().filter_map(rank).min() else { return false };
+        let mut ranked: Vec<_> = self.peers.iter().filter_map(rank).collect();
+        ranked.sort_unstable();
+        let found = ranked.into_iter().map(|(.., id)| id).find(|id| self.brings_nothing(now, *id));
+        let Some(id) = found else { return false };
         self.dismiss(id, &Final::ShutDown);
         if let Some(peer) = self.peers.get_mut(&id) {
             // Its last word goes as far as the network takes it at once.
@@ -106,7 +109,7 @@
     }
 
     /// Closes the sessions that have nothing out and no transaction open.
-    pub fn close_idle(&mut self) {
+    pub fn close_idle(&mut self, now: Micros) {
         let idle = |(id, p): (&SessionId, &Peer)| match &p.stage {
             Stage::Entering(_) => Some(*id),
             Stage::In(inside) => {
@@ -115,6 +118,22 @@
             }
         };
         let idle: Vec<SessionId> = self.peers.iter().filter_map(idle).collect();
-        idle.into_iter().for_each(|id| self.dismiss(id, &Final::ShutDown));
+        for id in idle {
+            if self.brings_nothing(now, id) {
+                self.dismiss(id, &Final::ShutDown);
+            }
+        }
+    }
+
+    /// Whether a session that is to be closed as idle brings nothing just now. Guards against a unit that came since
+    /// it was last read: it is taken then, and its session stays.
+    fn brings_nothing(&mut self, now: Micros, id: SessionId) -> bool {
+        let held = |sessions: &Sessions| sessions.peers.get(&id).map_or(0, |p| p.link.input.len());
+        let before = held(self);
+        if self.read(now, id) {
+            // The loop does not tell of the rest again.
+            self.stalled.insert(id);
+        }
+        held(self) <= before
     }
 }
