--- a/crates/front/src/front_tests.rs
+++ b/crates/front/src/front_tests.rs
@@ -266,3 +266,17 @@
     assert_eq!(driven.front.portal.as_ref().map(Portal::len), Some(1));
     driven.hears_text(&mut session, "SET\0");
 }
+
+#[test]
+fn a_session_that_has_said_half_a_message_does_not_hold_up_the_end() {
+    let (_engine, at) = listener();
+    let mut driven = Driven::new("half-unit", at, true);
+    let mut session = driven.enters();
+    session.write_all(b"Q\0\0\0\x20select").unwrap();
+    driven.until("it is read", |front| (front.portal.as_ref()?.held() > 0).then_some(()));
+    driven.is_about_to_close();
+    driven.front.turn();
+    write_clock(&driven.files[0], LATER + 2_500_000);
+    driven.hears_text(&mut session, "57P01");
+    driven.until("the end", |front| front.is_done().then_some(()));
+}
--- a/crates/front/src/postgres/sessions/ending.rs
+++ b/crates/front/src/postgres/sessions/ending.rs
@@ -8,7 +8,7 @@
 use crate::postgres::servers::SessionId;
 
 const AT_REST: Micros = 1_000_000; // microseconds after which a resting session lets go of its buffers
-const GRACE: Micros = 2_000_000; // microseconds that an idle transaction has left once the front ends
+const GRACE: Micros = 2_000_000; // microseconds that a session without a unit out has left once the front ends
 const LOOK: Micros = 200_000; // microseconds between looks at sessions that stand still
 
 impl Sessions {
@@ -63,7 +63,8 @@
                     let stands = now - peer.heard;
                     if idle && open && stands >= self.transaction_idle {
                         over.push((*id, Some(Final::IdleTransaction)));
-                    } else if idle && open && shut.is_some_and(|since| since + GRACE <= now) {
+                    } else if idle && shut.is_some_and(|since| since + GRACE <= now) {
+                        // Also one that has said half a message, or owes the Sync of a unit that failed.
                         over.push((*id, Some(Final::ShutDown)));
                     } else if peer.ends && stands >= self.start_up {
                         over.push((*id, None));
