--- a/crates/agreement/src/operator/rules.rs
+++ b/crates/agreement/src/operator/rules.rs
@@ -1,14 +1,14 @@
-//! Regional access rules of customers: the file that holds them, and what it may speak of.
+//! The section `rules`: regional access rules of customers.
 
 use std::collections::BTreeMap;
 
 use hallmux::interface::Micros;
 use serde::Deserialize;
 
-use crate::contract::{micros, Contract};
+use crate::settings::{micros, Settings};
 
-use super::places::fault;
-use crate::error::{Error, What};
+use super::position::key_error;
+use crate::error::{Error, KeyProblem};
 
 const LEASE_MS: f64 = 3_000.0; // milliseconds: what tightens waits as long; some elections of the ledger's owners
 const DRIFT_PPM: u32 = 10_000; // millionths: a hundred times what quartz does, for machines that are throttled
@@ -51,7 +51,7 @@
     TELL_EVERY_MS
 }
 
-/// Where the rules are, and all that they may speak of.
+/// Where the rules are, and all that they may be about.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rules {
     /// The file of rules; SIGHUP reads it again.
@@ -62,24 +62,28 @@
     pub regions: BTreeMap<String, Vec<String>>,
     /// The customers that rules may be about; None: all.
     pub customers: Option<Vec<String>>,
+    /// How long a front may go on by the rules it has without hearing from their owner.
     pub lease: Micros,
+    /// Millionths that a clock may gain or lose.
     pub drift_ppm: u32,
+    /// Between lines of the log with the fleet's counts.
     pub tell_every: Micros,
-    /// How long what was asked is remembered, by kind, to tell what other rules would change; 0: not at all.
+    /// How long requests are remembered, by kind, to tell what other rules would change; 0: not at all.
     pub remembers: Micros,
 }
 
-pub fn rules(text: &str, file: RulesFile, contract: &Contract) -> Result<Rules, Error> {
-    let refuse = |key: &str, what: What| Err(fault(text, &format!("rules.{key}"), what));
-    let names = &contract.names;
+/// Checks the section against the settings.
+pub fn rules(text: &str, file: RulesFile, settings: &Settings) -> Result<Rules, Error> {
+    let refuse = |key: &str, problem: KeyProblem| Err(key_error(text, &format!("rules.{key}"), problem));
+    let names = &settings.names;
     if file.file.is_empty() {
         return refuse("file", "names none; give the path of the file of rules".into());
     }
     for (region, locations) in &file.regions {
         let unknown = locations.iter().enumerate().find(|(_, l)| !names.locations.contains(l));
         if let Some((at, location)) = unknown {
-            let what = What::stranger(location, "the settings' locations", &names.locations);
-            return refuse(&format!("regions.{region}[{at}]"), what);
+            let problem = KeyProblem::unknown_name(location, "the settings' locations", &names.locations);
+            return refuse(&format!("regions.{region}[{at}]"), problem);
         }
         if locations.is_empty() {
             return refuse(&format!("regions.{region}"), "holds no location; name one".into());
@@ -88,25 +92,25 @@
     let known: Vec<&String> = file.regions.keys().chain(&names.locations).collect();
     if !known.contains(&&file.region) {
         let known: Vec<String> = known.into_iter().cloned().collect();
-        return refuse("region", What::stranger(&file.region, "the regions", &known));
+        return refuse("region", KeyProblem::unknown_name(&file.region, "the regions", &known));
     }
     for (at, customer) in file.customers.iter().flatten().enumerate() {
         if !names.customers.is_empty() && !names.customers.contains(customer) {
-            let what = What::stranger(customer, "the settings' customers", &names.customers);
-            return refuse(&format!("customers[{at}]"), what);
+            let problem = KeyProblem::unknown_name(customer, "the settings' customers", &names.customers);
+            return refuse(&format!("customers[{at}]"), problem);
         }
     }
     if !(500.0..=60_000.0).contains(&file.lease_ms) {
-        return refuse("lease_ms", What::range(500, 60_000));
+        return refuse("lease_ms", KeyProblem::out_of_range(500, 60_000));
     }
     if file.drift_ppm > MOST_DRIFT_PPM {
-        return refuse("drift_ppm", What::over(MOST_DRIFT_PPM));
+        return refuse("drift_ppm", KeyProblem::above_maximum(MOST_DRIFT_PPM));
     }
     if !(1_000.0..=86_400_000.0).contains(&file.tell_every_ms) {
-        return refuse("tell_every_ms", What::range(1_000, 86_400_000));
+        return refuse("tell_every_ms", KeyProblem::out_of_range(1_000, 86_400_000));
     }
     if !(0.0..=MOST_WHAT_IF_HOURS).contains(&file.what_if_hours) {
-        return refuse("what_if_hours", What::range(0, 168));
+        return refuse("what_if_hours", KeyProblem::out_of_range(0, 168));
     }
     let RulesFile {
         file: path,
--- a/crates/agreement/src/contract.rs
+++ b/crates/agreement/src/settings.rs
@@ -1,15 +1,16 @@
-//! Decodes the settings object into the agreement that the module reads and what the network code needs.
+//! The settings object: what the decision module reads of it, and what the network code needs.
 
 mod check;
 
-use hallmux::interface::{Agreement, FurtherBudget, Micros, ReportPlaces, Workload};
+use hallmux::interface::{Agreement, FurtherBudget, Micros, ReportLayout, Workload};
 use serde::Deserialize;
 
 use self::check::{check, word, EFFECTS, GROUPS};
 use crate::error::Error;
-use crate::text::Part;
+use crate::text::Section;
 
-/// Vantages whose word of a zone leads the fleet out, where the operator's file says nothing: one front may be cut off alone.
+/// Fronts of as many vantages have to report a zone as failed before the fleet leaves it, where the
+/// operator's file says nothing: one front may be cut off alone.
 pub const ZONE_QUORUM: usize = 2;
 const DIAL_TIMEOUT_MS: f64 = 250.0; // milliseconds, where the settings are silent; a few round trips and more
 const KEEPALIVE_MS: f64 = 15_000.0; // milliseconds, where the settings are silent; what most servers use
@@ -88,7 +89,9 @@
 #[serde(rename_all = "camelCase", default)]
 struct Extra {
     class_waits: Vec<bool>,
-    cost_in_answers: bool,
+    /// Its type is checked; nothing uses it.
+    #[serde(rename = "costInAnswers")]
+    _cost_in_answers: bool,
     writes_tables: Vec<bool>,
     parallelism: Vec<f64>,
     grants_count: bool,
@@ -133,58 +136,65 @@
     1.0
 }
 
+/// Microseconds of a time in milliseconds.
 pub fn micros(ms: f64) -> Micros {
     (ms * 1000.0).round() as Micros
 }
 
-/// The names that the settings give to what the module knows by its place.
+/// The names that the settings give to what the decision module knows by its index.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
+    /// Of the workloads.
     pub workloads: Vec<String>,
+    /// Of the customers.
     pub customers: Vec<String>,
+    /// Of the engines' locations.
     pub locations: Vec<String>,
+    /// Of the kinds of engines.
     pub kinds: Vec<String>,
+    /// Of the figures of a load report.
     pub report: Vec<String>,
 }
 
-/// What the settings allow the network code; nothing here is weighed, only kept.
+/// What the settings say for the network code alone; the decision module does not read it.
 #[derive(Clone, Debug, Default)]
-pub struct Allowance {
+pub struct NetworkSettings {
     /// A connection that is not up by then never will be.
     pub dial_timeout: Micros,
     /// Engines close connections that have been idle for so long.
     pub keepalive: Micros,
+    /// Executions that may be open at once on a connection to an engine; 1 at least.
     pub executions_per_connection: usize,
+    /// Statements that a front may hold at once; those beyond are rejected.
     pub most_held: usize,
-    pub cost_in_answers: bool,
     /// How long after the client's time is up a final answer still counts.
     pub answer_slack: Micros,
     /// Engines may be told to give an execution up.
     pub cancel: bool,
 }
 
-/// All that the settings object tells.
+/// All that the settings object says.
 #[derive(Clone, Debug)]
-pub struct Contract {
+pub struct Settings {
+    /// For the decision module.
     pub agreement: Agreement,
+    /// Names by index, for the log and for what comes over the network.
     pub names: Names,
-    pub allowance: Allowance,
+    /// For the network code.
+    pub network: NetworkSettings,
 }
 
-/// Reads the settings' JSON text for the module alone.
-pub fn agreement(text: &str) -> Result<Agreement, Error> {
-    Ok(contract(text)?.agreement)
-}
-
-/// Reads the settings' JSON text.
-pub fn contract(text: &str) -> Result<Contract, Error> {
-    contract_of(&Part { name: "options", text, lines: 0 })
+impl Settings {
+    /// Reads the settings' JSON text. Keys that are not known are ignored.
+    pub fn parse(text: &str) -> Result<Settings, Error> {
+        settings_of(&Section { name: "options", text, lines: 0 })
+    }
 }
 
-/// Reads the settings as a part of a larger text.
-pub(crate) fn contract_of(part: &Part) -> Result<Contract, Error> {
-    let read: Options = part.read()?;
-    check(part, &read)?;
+/// Reads the settings as a section of a larger text.
+pub(crate) fn settings_of(section: &Section) -> Result<Settings, Error> {
+    let read: Options = section.read()?;
+    check(section, &read)?;
     let names = Names {
         workloads: read.request_classes.iter().map(|c| c.name.clone()).collect(),
         customers: read.customers.iter().map(|c| c.name.clone()).collect(),
@@ -192,12 +202,11 @@
         kinds: read.kinds.clone(),
         report: read.report.names.clone(),
     };
-    let allowance = Allowance {
+    let network = NetworkSettings {
         dial_timeout: micros(read.bounds.dial_timeout_ms.unwrap_or(DIAL_TIMEOUT_MS)),
         keepalive: micros(read.bounds.keepalive_ms.unwrap_or(KEEPALIVE_MS)),
         executions_per_connection: read.bounds.streams_per_conn.unwrap_or(1).max(1),
         most_held: read.bounds.most_held.unwrap_or(MOST_HELD),
-        cost_in_answers: read.extra.cost_in_answers,
         answer_slack: micros(read.rules.answer_slack_ms),
         cancel: read.bounds.cancelling,
     };
@@ -210,9 +219,9 @@
             slo_time: micros(class.aim_ms),
             slo_stretch: class.aim_stretch,
             statement_timeout: micros(class.deadline_ms),
-            effect: word(part, &format!("requestClasses[{i}].repeat"), &class.repeat, &EFFECTS)?,
+            effect: word(section, &format!("requestClasses[{i}].repeat"), &class.repeat, &EFFECTS)?,
             dedup_group: word(
-                part,
+                section,
                 &format!("requestClasses[{i}].group"),
                 class.group.as_deref().unwrap_or("cell"),
                 &GROUPS,
@@ -246,7 +255,7 @@
         grants: read.extra.grants_count,
         priorities: read.extra.takes_priority,
         progress_every: micros(read.extra.tells_every_ms),
-        report: ReportPlaces {
+        report: ReportLayout {
             active: place("active"),
             busy: place("cpu"),
             waiting: place("waiting"),
@@ -259,7 +268,7 @@
         most_executions: read.bounds.most_tries.unwrap_or(1),
         longest_retry_after: (read.bounds.retry_after)
             .then(|| micros(read.bounds.max_retry_after_ms.unwrap_or(1000.0))),
-        turn_gap: micros(read.rules.turn_gap_ms),
+        order_gap: micros(read.rules.turn_gap_ms),
         cold_from: read.rules.cold_from,
         warm_within: micros(read.rules.warm_within_ms),
         overload_factor: read.rules.overload_factor,
@@ -270,5 +279,5 @@
             window: micros(span),
         }),
     };
-    Ok(Contract { agreement, names, allowance })
+    Ok(Settings { agreement, names, network })
 }
--- a/crates/dispatcher/src/engines.rs
+++ b/crates/dispatcher/src/engines.rs
@@ -1,9 +1,9 @@
 //! The engine list: each engine has a place, kept while it is listed or has executions out.
 
-use hallmux::interface::{Event, Listed, Micros, Mode, Report};
+use hallmux::interface::{EngineEntry, Event, Micros, Mode, Report};
 
-use crate::seen::Seen;
-use crate::{position, Dispatcher, Place, Speech};
+use crate::observations::EngineStats;
+use crate::{position, Dispatcher, Place, Protocol};
 
 /// A line of the engine list, by the names that the settings use.
 #[derive(Clone, Debug)]
@@ -15,17 +15,17 @@
     pub mode: Mode,
     pub started: Option<Micros>,
     /// The protocols that it takes statements in.
-    pub speaks: &'a [Speech],
+    pub protocols: &'a [Protocol],
 }
 
 /// An engine's id, while it is listed or has executions out.
 pub struct Engine {
     pub id: String,
-    pub entry: Listed,
+    pub entry: EngineEntry,
     pub out: usize,
     /// Of those, how many have not left this front yet.
     pub held: usize,
-    pub seen: Seen,
+    pub stats: EngineStats,
 }
 
 impl Dispatcher {
@@ -39,41 +39,41 @@
         }
         for listing in listings {
             let place = |list: &[String], name: &str| position(list, name).unwrap_or(list.len());
-            let mut entry = Listed {
+            let mut entry = EngineEntry {
                 engine: 0,
                 location: place(&self.names.locations, listing.location),
                 kind: place(&self.names.kinds, listing.kind),
                 cell: listing.cell,
                 mode: listing.mode,
                 started: listing.started,
-                speaks: listing.speaks.iter().fold(0, |all, speech| all | *speech as u8),
+                protocols: listing.protocols.iter().fold(0, |all, protocol| all | *protocol as u8),
                 // Only the protocol of lines has notes.
-                tells: listing.speaks.contains(&Speech::Lines),
+                sends_progress: listing.protocols.contains(&Protocol::Lines),
             };
             entry.engine = self.place(listing.id, &entry);
-            let seen = Seen::default();
-            let engine = Engine { id: listing.id.to_string(), entry: entry.clone(), out: 0, held: 0, seen };
+            let stats = EngineStats::default();
+            let engine = Engine { id: listing.id.to_string(), entry: entry.clone(), out: 0, held: 0, stats };
             match self.engines.get_mut(entry.engine) {
                 Some(known) => {
                     // What was seen of another, or of an earlier start, says nothing of this one.
                     let same = known.id == engine.id && known.entry.started == engine.entry.started;
-                    let seen = if same { known.seen } else { seen };
-                    *known = Engine { out: known.out, held: known.held, seen, ..engine };
+                    let stats = if same { known.stats } else { stats };
+                    *known = Engine { out: known.out, held: known.held, stats, ..engine };
                 }
                 None => self.engines.push(engine),
             }
             places.push(entry.engine);
             entries.push(entry);
         }
-        self.told.push(Event::Engines { whole, entries });
+        self.events.push(Event::Engines { whole, entries });
         places
     }
 
     /// The place of an engine: its own, that of one like it that is gone with nothing out, or a new one.
     /// The module starts an engine with a start of its own afresh, so only such a one may follow another.
-    fn place(&self, id: &str, entry: &Listed) -> Place {
+    fn place(&self, id: &str, entry: &EngineEntry) -> Place {
         let like = |e: &Engine| {
-            let same = |of: &Listed| (of.location, of.kind, of.cell, of.speaks);
+            let same = |of: &EngineEntry| (of.location, of.kind, of.cell, of.protocols);
             e.entry.mode == Mode::Gone && e.out == 0 && same(&e.entry) == same(entry)
         };
         let follows = entry.started.is_some();
@@ -88,14 +88,14 @@
 
     /// How many executions can leave for an engine now, over connections that are there or may be made.
     pub(crate) fn has_room(&mut self, place: Place, room: usize) {
-        self.told.push(Event::Room { engine: place, room });
+        self.events.push(Event::SendCapacity { engine: place, executions: room });
     }
 
     pub fn probed(&mut self, now: Micros, place: Place, alive: bool, report: Option<Report>) {
         if let Some(engine) = self.engines.get_mut(place).filter(|_| alive) {
-            engine.seen.fade(now);
-            engine.seen.answers(now);
+            engine.stats.fade(now);
+            engine.stats.record_answer(now);
         }
-        self.told.push(Event::Probed { engine: place, alive, report });
+        self.events.push(Event::Probed { engine: place, alive, report });
     }
 }
--- a/crates/front/src/clients_tests.rs
+++ b/crates/front/src/clients_tests.rs
@@ -8,7 +8,7 @@
 use socket2::SockRef;
 
 use super::*;
-use crate::doors::{Changes, Door};
+use crate::events::{LoopEvents, SocketKind};
 
 const SECOND: Micros = 1_000_000;
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_statement_that_several_reads_take_has_waited_since_the_first() {
-    let events: EventLoop<'static, Changes> = EventLoop::try_new().unwrap();
+    let events: EventLoop<'static, LoopEvents> = EventLoop::try_new().unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     SockRef::from(&listener).set_recv_buffer_size(BUFFER).unwrap();
     let mut peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -55,12 +55,13 @@
         assert!(begun.elapsed() < PATIENCE, "a receive buffer that holds {} bytes", frames.len());
     }
     let mut clients = Clients::new(None, SECOND);
-    clients.accept(0, 1, Link::new(stream, &events.handle(), Door::Client.party(1)).unwrap());
-    let (mut now, mut told) = (SECOND, Vec::new());
-    while clients.read(now, 1, true, &mut told) && told.len() < 2 {
+    clients.accept(0, 1, Link::new(stream, &events.handle(), SocketKind::Client.id(1)).unwrap());
+    let (mut now, mut reported) = (SECOND, Vec::new());
+    while clients.read(now, 1, true, &mut reported) && reported.len() < 2 {
         now += SECOND;
     }
-    let waited = |told: &Told| matches!(told, Told::Asked { waited, .. } if *waited == now - SECOND);
+    let has_waited =
+        |event: &Event| matches!(event, Event::Statement { unread_for, .. } if *unread_for == now - SECOND);
     assert_eq!(now, 3 * SECOND, "reads that it takes");
-    assert!(told.len() == 2 && waited(&told[1]));
+    assert!(reported.len() == 2 && has_waited(&reported[1]));
 }
--- a/crates/front/src/front_tests.rs
+++ b/crates/front/src/front_tests.rs
@@ -21,7 +21,7 @@
 /// A front that no loop drives, with a clock that the test moves.
 struct Driven {
     front: Front,
-    events: EventLoop<'static, Changes>,
+    events: EventLoop<'static, LoopEvents>,
     listens: SocketAddr,
     sessions: SocketAddr,
     files: [PathBuf; 2],
@@ -42,8 +42,8 @@
         // A port that is free: it is let go of just before the front takes it.
         let sessions = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let operator = format!(
-            "{{ postgres: {{ listen: '{sessions}', engines: [{{ kinds: ['std'] }}], users: {{ portal: {{ trust: true, \
-             member: 'acme', workload: 'lookup' }} }} }} }}"
+            "{{ postgres: {{ listen: '{sessions}', engines: [{{ kinds: ['std'] }}], \
+             users: {{ portal: {{ trust: true, member: 'acme', workload: 'lookup' }} }} }} }}"
         );
         std::fs::write(&files[1], operator).unwrap();
         let variables = [("HALLMUX_CLOCK", &files[0]), ("HALLMUX_OPERATOR", &files[1])];
@@ -54,32 +54,34 @@
         let list = json!({"version": 1, "full": true, "servers": [server]});
         let known = json!({"index": 1, "updates": [{"index": 1, "endpoints": list}]});
         let text = json!({"name": "n1", "listen": "127.0.0.1:0", "seed": "1", "known": known, "settings": {
-            "instances": 1, "areas": ["here"], "kinds": ["std"], "customers": [{"name": "acme"}], "rules": {}, "bounds": {"cancelling": cancelling},
-            "requestClasses": [{"name": "lookup", "aimMs": 2000, "deadlineMs": 8000, "repeat": "repeatable"}]}});
+            "instances": 1, "areas": ["here"], "kinds": ["std"], "customers": [{"name": "acme"}], "rules": {},
+            "bounds": {"cancelling": cancelling},
+            "requestClasses": [
+                {"name": "lookup", "aimMs": 2000, "deadlineMs": 8000, "repeat": "repeatable"}]}});
         write_clock(&files[0], START);
-        let station = Station::parse(&variables, &text.to_string()).unwrap();
-        let known = hallmux_codec::coordinator::stream(station.known.as_bytes()).unwrap();
+        let config = NodeConfig::parse(&variables, &text.to_string()).unwrap();
+        let known = hallmux_codec::coordinator::events(config.known_events.as_bytes()).unwrap();
         let events = EventLoop::try_new().unwrap();
-        let listener = TcpListener::bind(station.listen).unwrap();
+        let listener = TcpListener::bind(config.listen).unwrap();
         let listens = listener.local_addr().unwrap();
-        let front = Front::new(&station, &known, listener, events.handle()).unwrap();
+        let front = Front::new(&config, &known, listener, events.handle()).unwrap();
         Driven { front, events, listens, sessions, files }
     }
 
     /// Up to the iteration in which it closes its listeners.
     fn is_about_to_close(&mut self) {
-        self.front.end();
+        self.front.shut_down();
         write_clock(&self.files[0], LATER);
-        (0..BEFORE).for_each(|_| self.front.turn());
-        assert!(self.front.entrance.is_open());
+        (0..BEFORE).for_each(|_| self.front.iterate());
+        assert!(self.front.listener.is_open());
     }
 
     /// One iteration, as `run` has it.
     fn goes_on(&mut self) {
-        let mut changes = Changes::default();
+        let mut changes = LoopEvents::default();
         self.events.dispatch(Duration::ZERO, &mut changes).unwrap();
-        changes.parties.drain(..).for_each(|party| self.front.ready(party));
-        self.front.turn();
+        changes.ready.drain(..).for_each(|socket| self.front.ready(socket));
+        self.front.iterate();
     }
 
     /// Goes on until there is what is waited for.
@@ -146,7 +148,7 @@
 fn lets_in(engine: &mut TcpStream) {
     let mut out = Vec::new();
     wire::write(&mut out, b'R', |out| out.extend_from_slice(&[0; 4]));
-    wire::write_key(&mut out, 1, 1);
+    wire::write_key(&mut out, wire::CancelKey { process: 1, secret: 1 });
     wire::write_ready(&mut out, b'I');
     engine.write_all(&out).unwrap();
 }
@@ -169,8 +171,8 @@
     // The loop has not told of it: it is in the listener's queue alone.
     let mut client = TcpStream::connect(driven.listens).unwrap();
     client.write_all(&frame(7, "select 7")).unwrap();
-    driven.front.turn();
-    assert!(!driven.front.entrance.is_open());
+    driven.front.iterate();
+    assert!(!driven.front.listener.is_open());
     let heard = driven.hears(&mut client);
     // A reply to number 7, whose second field is there: rejected.
     let reply = [&[0x80, 1, 0, 2, 0, 0, 0, 5][..], b"serve", &[0, 0, 0, 7, 12, 0, 1]].concat();
@@ -185,7 +187,7 @@
     let mut driven = Driven::new("last-session", at, true);
     driven.is_about_to_close();
     let mut session = TcpStream::connect(driven.sessions).unwrap();
-    driven.front.turn();
+    driven.front.iterate();
     let heard = driven.hears(&mut session);
     assert!(heard.starts_with(b"E") && heard.windows(5).any(|code| code == b"57P01"), "{heard:?}");
     assert!(driven.hears(&mut session).is_empty());
@@ -198,7 +200,7 @@
     let mut session = driven.enters();
     driven.is_about_to_close();
     asks(&mut session, "SET hallmux.workload = 'lookup'");
-    driven.front.turn();
+    driven.front.iterate();
     let heard = driven.hears_text(&mut session, "57P01");
     assert!(heard.starts_with("C\0\0\0\x08SET\0Z"), "{heard:?}");
     assert!(driven.hears(&mut session).is_empty());
@@ -213,7 +215,7 @@
     asks(&mut first, "select 1");
     let mut link = driven.dials(&engine);
     drop(first);
-    driven.until("its end is known", |front| (front.portal.as_ref()?.len() == 0).then_some(()));
+    driven.until("its end is known", |front| (front.gateway.as_ref()?.len() == 0).then_some(()));
     lets_in(&mut link);
     let mut second = driven.enters();
     asks(&mut second, "select 2");
@@ -237,13 +239,13 @@
     driven.hears_text(&mut session, "SELECT 0");
     asks(&mut session, "select 2");
     // It is found, then the front is held up, and decides.
-    let mut changes = Changes::default();
-    while changes.parties.is_empty() {
+    let mut changes = LoopEvents::default();
+    while changes.ready.is_empty() {
         driven.events.dispatch(Duration::ZERO, &mut changes).unwrap();
     }
-    changes.parties.drain(..).for_each(|party| driven.front.ready(party));
+    changes.ready.drain(..).for_each(|socket| driven.front.ready(socket));
     write_clock(&driven.files[0], START + 30_000);
-    driven.front.turn();
+    driven.front.iterate();
     assert!(driven.front.stale);
     drop(session);
     // The connection that it was written to goes with it.
@@ -256,14 +258,14 @@
     let (_engine, at) = listener();
     let mut driven = Driven::new("room", at, true);
     let mut session = driven.enters();
-    driven.front.most_clients = 1;
+    driven.front.max_clients = 1;
     write_clock(&driven.files[0], START + 2_000_000);
     asks(&mut session, "SET hallmux.workload = 'lookup'");
     let _newcomer = TcpStream::connect(driven.sessions).unwrap();
     // The loop tells of the newcomer alone.
-    driven.front.ready(Door::SessionListener.party(0));
-    driven.front.turn();
-    assert_eq!(driven.front.portal.as_ref().map(Portal::len), Some(1));
+    driven.front.ready(SocketKind::SessionListener.id(0));
+    driven.front.iterate();
+    assert_eq!(driven.front.gateway.as_ref().map(Gateway::len), Some(1));
     driven.hears_text(&mut session, "SET\0");
 }
 
@@ -273,9 +275,9 @@
     let mut driven = Driven::new("half-unit", at, true);
     let mut session = driven.enters();
     session.write_all(b"Q\0\0\0\x20select").unwrap();
-    driven.until("it is read", |front| (front.portal.as_ref()?.held() > 0).then_some(()));
+    driven.until("it is read", |front| (front.gateway.as_ref()?.held_bytes() > 0).then_some(()));
     driven.is_about_to_close();
-    driven.front.turn();
+    driven.front.iterate();
     write_clock(&driven.files[0], LATER + 2_500_000);
     driven.hears_text(&mut session, "57P01");
     driven.until("the end", |front| front.is_done().then_some(()));
--- a/crates/front/src/postgres/servers/leaving.rs
+++ b/crates/front/src/postgres/servers/send.rs
@@ -4,29 +4,30 @@
 use std::rc::Rc;
 
 use hallmux_dispatcher::{Ending, Micros, Place};
-use hallmux_postgres::engine::Engine;
-use hallmux_postgres::pool::{self, Step};
-use hallmux_postgres::session::Part;
+use hallmux_postgres::engine::EngineConnection;
+use hallmux_postgres::pool::{self, PoolAction};
+use hallmux_postgres::session::UnitPart;
 
-use super::{Execution, Sent, Server, ServerId, Servers, Stage, Told, Unit};
-use crate::doors::Door;
+use super::{Event, Execution, Server, ServerId, Servers, Stage, Unit};
+use crate::events::SocketKind;
+use crate::execution::ExecutionId;
 use crate::link::Link;
 
 const MOST_UNSENT: usize = 4 << 20; // bytes that an engine may leave untaken: some units of the largest size
 
 impl Servers {
     /// Sends a unit over the connection that holds its transaction, else over one that its pool gives.
-    pub fn send(&mut self, now: Micros, sent: Sent, place: Place, unit: Unit) {
+    pub fn send(&mut self, now: Micros, sent: ExecutionId, place: Place, unit: Unit) {
         if !self.engines.get(&place).is_some_and(|e| e.up) {
-            return self.told.push(Told::Ended { sent, ending: Ending::Withdrawn });
+            return self.events.push(Event::Ended { sent, ending: Ending::Withdrawn });
         }
         let (pin, account, settings) = (unit.pin, unit.account, unit.settings.clone());
         let x = Execution {
             unit,
             place,
             link: None,
-            stage: Stage::Waits,
-            back: Vec::new(),
+            stage: Stage::Waiting,
+            unsent_answer: Vec::new(),
             begun: false,
             paused: false,
         };
@@ -39,7 +40,7 @@
                         self.start(sent, id);
                     }
                 }
-                None => self.told.push(Told::Ended { sent, ending: Ending::Withdrawn }),
+                None => self.events.push(Event::Ended { sent, ending: Ending::Withdrawn }),
             },
             None => {
                 self.executions.insert(sent, x);
@@ -51,17 +52,17 @@
     }
 
     /// Does what the pools have decided, and what follows from that.
-    pub(super) fn step(&mut self, now: Micros, place: Place, step: Option<Step<Sent>>) {
+    pub(super) fn step(&mut self, now: Micros, place: Place, step: Option<PoolAction<ExecutionId>>) {
         let mut step = step;
         while let Some(next) = step.take() {
             match next {
-                Step::Use { unit, link } => self.start(unit, link),
-                // What waits is served as connections come free, or at the next look when it is its turn.
-                Step::Dial { .. } if !self.dials.borrow_mut().take(now, place) => return,
-                Step::Dial { account, instead_of } => {
+                PoolAction::Use { unit, connection } => self.start(unit, connection),
+                // What waits is served as connections come free, or at the next look when a connection may be made.
+                PoolAction::Dial { .. } if !self.dials.borrow_mut().take(now, place) => return,
+                PoolAction::Dial { account, instead_of } => {
                     instead_of.into_iter().for_each(|id| self.close(id));
-                    if self.links.len() + self.cancels.len() >= self.most_links {
-                        match self.pools.spare() {
+                    if self.links.len() + self.cancels.len() >= self.max_links {
+                        match self.pools.oldest_idle() {
                             Some(id) => self.close(id),
                             // What waits is served as connections come free; with none at all it ends.
                             None if !self.links.is_empty() => return,
@@ -69,44 +70,45 @@
                         }
                     }
                     if let Err(ending) = self.dial(now, place, account) {
-                        let waited: Vec<Sent> = self.waiting(place, account);
+                        let waited: Vec<ExecutionId> = self.waiting(place, account);
                         for sent in waited {
                             self.pools.withdraw(place, sent);
-                            self.ended(sent, ending);
+                            self.report_end(sent, ending);
                         }
                         return;
                     }
-                    step = self.pools.next(place);
+                    step = self.pools.next_action(place);
                 }
             }
         }
     }
 
-    fn waiting(&self, place: Place, account: pool::Account) -> Vec<Sent> {
+    fn waiting(&self, place: Place, account: pool::AccountId) -> Vec<ExecutionId> {
         let waits = |x: &Execution| {
             x.place == place && x.link.is_none() && x.unit.pin.is_none() && x.unit.account == account
         };
-        let mut all: Vec<Sent> = self.executions.iter().filter(|(_, x)| waits(x)).map(|(s, _)| *s).collect();
+        let mut all: Vec<ExecutionId> =
+            self.executions.iter().filter(|(_, x)| waits(x)).map(|(s, _)| *s).collect();
         all.sort_unstable();
         all
     }
 
-    pub(super) fn dial(&mut self, now: Micros, place: Place, account: pool::Account) -> Result<(), Ending> {
+    pub(super) fn dial(&mut self, now: Micros, place: Place, account: pool::AccountId) -> Result<(), Ending> {
         let engine = self.engines.get(&place).ok_or(Ending::Withdrawn)?;
         let who = self.accounts.get(account).cloned().ok_or(Ending::Withdrawn)?;
         self.next += 1;
         let id = self.next;
-        let mut link = match Link::dial(engine.at, &self.handle, Door::Server.party(id)) {
+        let mut link = match Link::dial(engine.at, &self.handle, SocketKind::Server.id(id)) {
             Ok(link) => link,
             Err(e) => {
                 log::warn!("engine {}: no connection can be made: {e}", engine.id);
-                return Err(dialled(&e));
+                return Err(dial_ending(&e));
             }
         };
-        let engine = Engine::new(who, self.limits.prepared, link.output());
-        let dial_by = now + self.allowed.dial_timeout;
-        self.pools.dialled(now, place, account, id);
-        self.coming.insert(id, dial_by);
+        let engine = EngineConnection::new(who, self.limits.prepared, link.output());
+        let dial_by = now + self.allowance.dial_timeout;
+        self.pools.connecting(now, place, account, id);
+        self.connecting.insert(id, dial_by);
         let server = Server {
             link,
             engine,
@@ -114,9 +116,9 @@
             up: false,
             serves: None,
             holds: None,
-            leaving: 0,
+            write_end: 0,
             cancels: 0,
-            last: false,
+            closes_after_unit: false,
             discards: false,
         };
         self.links.insert(id, server);
@@ -124,56 +126,56 @@
     }
 
     /// Puts a unit on its way.
-    pub(super) fn start(&mut self, sent: Sent, id: ServerId) {
+    pub(super) fn start(&mut self, sent: ExecutionId, id: ServerId) {
         let (Some(x), Some(link)) = (self.executions.get_mut(&sent), self.links.get_mut(&id)) else { return };
         link.serves = Some(sent);
-        (x.link, x.stage) = (Some(id), Stage::Leaving);
+        (x.link, x.stage) = (Some(id), Stage::Writing);
         let own = x.unit.pin.is_some();
         for (n, part) in x.unit.parts.iter().enumerate() {
-            link.engine.send(part, &x.unit.settings, own || n > 0, link.link.output(), &mut x.back);
+            link.engine.send(part, &x.unit.settings, own || n > 0, link.link.output(), &mut x.unsent_answer);
         }
-        link.leaving = link.link.output().len();
-        self.dirty.insert(id);
+        link.write_end = link.link.output().len();
+        self.changed.insert(id);
     }
 
     /// More of a unit that is out has come.
-    pub fn more(&mut self, sent: Sent, part: Rc<Part>) {
+    pub fn more(&mut self, sent: ExecutionId, part: Rc<UnitPart>) {
         let Some(x) = self.executions.get_mut(&sent) else { return };
         x.unit.parts.push(part.clone());
         let Some(id) = x.link else { return };
         let Some(link) = self.links.get_mut(&id) else { return };
-        link.engine.send(&part, &x.unit.settings, true, link.link.output(), &mut x.back);
-        link.leaving = link.link.output().len();
-        x.stage = Stage::Leaving;
-        self.dirty.insert(id);
+        link.engine.send(&part, &x.unit.settings, true, link.link.output(), &mut x.unsent_answer);
+        link.write_end = link.link.output().len();
+        x.stage = Stage::Writing;
+        self.changed.insert(id);
         self.pass(sent, false);
     }
 
     /// Sends what is to leave.
     pub fn flush(&mut self, now: Micros) {
-        for id in std::mem::take(&mut self.dirty) {
+        for id in std::mem::take(&mut self.changed) {
             let Some(server) = self.links.get_mut(&id).filter(|l| l.up) else { continue };
             let flushed = server.link.flush();
-            let left = server.link.has_left(server.leaving);
+            let left = server.link.has_sent(server.write_end);
             let sent = server.serves;
             let unsent = server.link.unsent();
             if let Some(x) = sent.and_then(|sent| self.executions.get_mut(&sent)) {
-                if left && x.stage == Stage::Leaving {
+                if left && x.stage == Stage::Writing {
                     x.stage = Stage::Out;
                     let once = x.unit.once || x.unit.pin.is_some();
-                    self.told.extend(sent.filter(|_| once).map(Told::Irrevocable));
+                    self.events.extend(sent.filter(|_| once).map(Event::Irrevocable));
                 }
             }
             if flushed.is_err() {
-                self.end(now, id, Ending::Reset);
+                self.connection_lost(now, id, Ending::Reset);
             } else if unsent > MOST_UNSENT {
-                self.end(now, id, Ending::Unreadable);
+                self.connection_lost(now, id, Ending::Unreadable);
             }
         }
     }
 }
 
-pub(super) fn dialled(e: &std::io::Error) -> Ending {
+pub(super) fn dial_ending(e: &std::io::Error) -> Ending {
     match e.kind() {
         ErrorKind::ConnectionRefused => Ending::Refused,
         // Whoever resets a connection is there.
--- a/crates/postgres/src/engine/sending.rs
+++ b/crates/postgres/src/engine/sending.rs
@@ -2,28 +2,28 @@
 
 use std::rc::Rc;
 
-use super::{name, Engine, Expect, Stage};
-use crate::prepared::{Prepared, Settings};
-use crate::session::{Op, Part};
+use super::{name, EngineConnection, Expected, Stage};
+use crate::prepared::{Prepared, SessionSettings};
+use crate::session::{Operation, UnitPart};
 use crate::wire;
 
-impl Engine {
-    /// Writes a part of a unit. `own` says that the session's transaction is open here, with its settings.
+impl EngineConnection {
+    /// Writes a part of a unit. `in_transaction` says that the session's transaction is open here, with its settings.
     /// What the front answers in the engine's place before any word of it goes to `back`.
     pub fn send(
         &mut self,
-        part: &Rc<Part>,
-        settings: &Rc<Settings>,
-        own: bool,
+        part: &Rc<UnitPart>,
+        settings: &Rc<SessionSettings>,
+        in_transaction: bool,
         out: &mut Vec<u8>,
         back: &mut Vec<u8>,
     ) {
         if self.stage == Stage::Setting {
             return self.waits.push((part.clone(), settings.clone()));
         }
-        if !own && !self.suits(settings) {
+        if !in_transaction && !self.suits(settings) {
             // Guards against a unit that runs with another's settings: it waits until they are confirmed.
-            wire::write_query(out, settings.again().as_bytes());
+            wire::write_query(out, settings.restoring_sql().as_bytes());
             self.stage = Stage::Setting;
             self.settings = None;
             return self.waits.push((part.clone(), settings.clone()));
@@ -42,21 +42,21 @@
     pub fn ping(&mut self, out: &mut Vec<u8>) {
         if self.stage == Stage::Ready && self.expects.is_empty() {
             out.extend_from_slice(wire::SYNC);
-            self.expects.push_back(Expect::Ping);
+            self.expects.push_back(Expected::Ping);
         }
     }
 
-    fn step(&mut self, op: &Op, raw: &[u8], out: &mut Vec<u8>) {
-        if self.skipping && !matches!(op, Op::Sync) {
+    fn step(&mut self, op: &Operation, raw: &[u8], out: &mut Vec<u8>) {
+        if self.skipping && !matches!(op, Operation::Sync) {
             return;
         }
         let message = |at: &std::ops::Range<usize>| raw.get(at.clone()).unwrap_or_default();
         match op {
-            Op::Parse { prepared, named: true } if self.has(prepared.number) => {
-                self.expects.push_back(Expect::Make(wire::PARSE_COMPLETE));
+            Operation::Parse { prepared, named: true } if self.has(prepared.number) => {
+                self.expects.push_back(Expected::Make(wire::PARSE_COMPLETE));
             }
-            Op::Parse { prepared, named } => self.parse(prepared, *named, false, out),
-            Op::Bind { prepared, named, portal, rest } => {
+            Operation::Parse { prepared, named } => self.parse(prepared, *named, false, out),
+            Operation::Bind { prepared, named, portal, rest } => {
                 self.ensure(prepared, *named, out);
                 wire::write(out, b'B', |out| {
                     wire::write_string(out, message(portal));
@@ -66,9 +66,9 @@
                     );
                     out.extend_from_slice(message(rest));
                 });
-                self.expects.push_back(Expect::Bound);
+                self.expects.push_back(Expected::Bound);
             }
-            Op::Describe { prepared, named } => {
+            Operation::Describe { prepared, named } => {
                 self.ensure(prepared, *named, out);
                 wire::write(out, b'D', |out| {
                     out.push(b'S');
@@ -77,38 +77,38 @@
                         if *named { name(prepared.number) } else { String::new() }.as_bytes(),
                     );
                 });
-                self.expects.push_back(Expect::Described);
+                self.expects.push_back(Expected::Described);
             }
-            Op::DescribePortal(at) => {
+            Operation::DescribePortal(at) => {
                 out.extend_from_slice(message(at));
-                self.expects.push_back(Expect::Described);
+                self.expects.push_back(Expected::Described);
             }
-            Op::Execute(at) => {
+            Operation::Execute(at) => {
                 out.extend_from_slice(message(at));
-                self.expects.push_back(Expect::Executed);
+                self.expects.push_back(Expected::Executed);
             }
-            Op::ClosePortal(at) => {
+            Operation::ClosePortal(at) => {
                 out.extend_from_slice(message(at));
-                self.expects.push_back(Expect::Closed { hidden: None });
+                self.expects.push_back(Expected::Closed { hidden: None });
             }
-            Op::CloseStatement => self.expects.push_back(Expect::Make(wire::CLOSE_COMPLETE)),
-            Op::Fail(why) => {
+            Operation::CloseStatement => self.expects.push_back(Expected::Make(wire::CLOSE_COMPLETE)),
+            Operation::Fail(why) => {
                 // A statement of this name there never is: the engine fails what went before in the unit.
                 wire::write(out, b'B', |out| {
                     wire::write_string(out, b"");
                     wire::write_string(out, b"hm:none");
                     out.extend_from_slice(&[0; 6]);
                 });
-                self.expects.push_back(Expect::Fail(why.clone()));
+                self.expects.push_back(Expected::Fail(why.clone()));
             }
-            Op::Query(at) => {
+            Operation::Query(at) => {
                 out.extend_from_slice(message(at));
-                self.expects.push_back(Expect::Query);
+                self.expects.push_back(Expected::Query);
             }
-            Op::Flush => out.extend_from_slice(wire::FLUSH),
-            Op::Sync => {
+            Operation::Flush => out.extend_from_slice(wire::FLUSH),
+            Operation::Sync => {
                 out.extend_from_slice(wire::SYNC);
-                self.expects.push_back(Expect::Sync);
+                self.expects.push_back(Expected::Sync);
                 self.skipping = false;
             }
         }
@@ -133,7 +133,7 @@
                     out.push(b'S');
                     wire::write_string(out, name(oldest).as_bytes());
                 });
-                self.expects.push_back(Expect::Closed { hidden: Some(oldest) });
+                self.expects.push_back(Expected::Closed { hidden: Some(oldest) });
             }
         }
         wire::write(out, b'P', |out| {
@@ -146,12 +146,12 @@
             self.unnamed = Some(prepared.number);
         }
         let number = named.then_some(prepared.number);
-        self.expects.push_back(Expect::Parsed { number, hidden });
+        self.expects.push_back(Expected::Parsed { number, hidden });
     }
 
     /// Says what is due in the engine's place.
     pub(super) fn make(&mut self, back: &mut Vec<u8>) {
-        while let Some(Expect::Make(bytes)) = self.expects.front() {
+        while let Some(Expected::Make(bytes)) = self.expects.front() {
             back.extend_from_slice(bytes);
             self.done.parsed += usize::from(*bytes == wire::PARSE_COMPLETE);
             self.expects.pop_front();
--- a/crates/postgres/src/session/reading.rs
+++ b/crates/postgres/src/session/reading.rs
@@ -3,12 +3,12 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use super::{Bounds, Op, Part, Read, Session};
-use crate::answer::Final;
+use super::{Bounds, Operation, Session, SessionEvent, UnitPart};
+use crate::client_error::ClientError;
 use crate::prepared::{Catalogue, Prepared};
-use crate::sql::{self, Own, Scan};
-use crate::wire::{self, Said};
-use crate::Unreadable;
+use crate::sql::{self, LocalCommand, Scan};
+use crate::wire::{self, ClientMessage, Header, Message};
+use crate::ProtocolError;
 
 impl Session {
     /// Takes the next unit, or part of one, from the start of `input`; says how much of it is used up. An
@@ -18,31 +18,32 @@
         input: &[u8],
         catalogue: &mut Catalogue,
         bounds: &Bounds,
-    ) -> Result<(usize, Read), Final> {
-        let against = |why: Unreadable| Final::Protocol { why };
-        let mut at = std::mem::take(&mut self.looked);
+    ) -> Result<(usize, SessionEvent), ClientError> {
+        let against = |why: ProtocolError| ClientError::Protocol { why };
+        let mut at = std::mem::take(&mut self.scanned);
         let end = loop {
-            match wire::head(&input[at..]).map_err(against)? {
-                Some((_, len)) if len > bounds.bytes || at + len > bounds.bytes => {
-                    return Err(Final::TooMuch { why: "the bytes of a unit" });
+            match wire::header(&input[at..]).map_err(against)? {
+                Some(Header { len, .. }) if len > bounds.bytes || at + len > bounds.bytes => {
+                    return Err(ClientError::LimitExceeded { why: "the bytes of a unit" });
                 }
-                Some((tag, len)) if at + len <= input.len() => {
+                Some(Header { tag, len }) if at + len <= input.len() => {
                     at += len;
                     if matches!(tag, b'S' | b'Q' | b'H' | b'F' | b'X') {
                         break at;
                     }
                 }
                 _ => {
-                    self.looked = at;
-                    return Ok((0, Read::More));
+                    self.scanned = at;
+                    return Ok((0, SessionEvent::Incomplete));
                 }
             }
         };
-        let mut part = Part { raw: input[..end].to_vec(), local: true, ..Part::default() };
+        let mut part = UnitPart { raw: input[..end].to_vec(), local: true, ..UnitPart::default() };
         let mut at = 0;
         let mut bound: HashMap<Vec<u8>, Rc<Prepared>> = HashMap::new();
         while at < end {
-            let Some((tag, body, len)) = wire::message(&input[at..end], bounds.bytes).map_err(against)?
+            let Some(Message { tag, body, len }) =
+                wire::message(&input[at..end], bounds.bytes).map_err(against)?
             else {
                 break;
             };
@@ -52,37 +53,39 @@
                 let from = inner.as_ptr() as usize - input.as_ptr() as usize;
                 from..from + inner.len()
             };
-            match wire::said(tag, body).map_err(against)? {
-                Said::Terminate => return Ok((end, Read::Goes)),
-                Said::Query(_) | Said::FunctionCall if self.within || at > 0 => {
+            match wire::client_message(tag, body).map_err(against)? {
+                ClientMessage::Terminate => return Ok((end, SessionEvent::Terminated)),
+                ClientMessage::Query(_) | ClientMessage::FunctionCall if self.in_unit || at > 0 => {
                     // What an engine would do with it depends on whether the unit has failed by then.
-                    return Err(Final::Protocol { why: Unreadable::Mixed });
+                    return Err(ClientError::Protocol { why: ProtocolError::Mixed });
                 }
-                Said::FunctionCall => {
-                    part.ops.push(Op::Fail(Final::NotHere { why: "a function call" }));
-                    part.ops.push(Op::Sync);
+                ClientMessage::FunctionCall => {
+                    part.ops.push(Operation::Fail(ClientError::Unsupported { why: "a function call" }));
+                    part.ops.push(Operation::Sync);
                     part.ends = true;
                 }
-                Said::Query(text) => {
+                ClientMessage::Query(text) => {
                     let scan = sql::scan(text);
-                    match scan.not_here {
-                        Some(why) => part.ops.extend([Op::Fail(Final::NotHere { why }), Op::Sync]),
-                        None => part.ops.push(Op::Query(whole.clone())),
+                    match scan.unsupported {
+                        Some(why) => part
+                            .ops
+                            .extend([Operation::Fail(ClientError::Unsupported { why }), Operation::Sync]),
+                        None => part.ops.push(Operation::Query(whole.clone())),
                     }
-                    part.local = scan.not_here.is_some() || scan.own.is_some();
+                    part.local = scan.unsupported.is_some() || scan.local_command.is_some();
                     part.query = Some(place(text));
                     part.runs(&scan);
                     part.ends = true;
                 }
-                Said::Parse { name, body, .. } => {
+                ClientMessage::Parse { name, body, .. } => {
                     let prepared = catalogue.prepare(body);
-                    part.local &= prepared.scan.own.is_some();
+                    part.local &= prepared.scan.local_command.is_some();
                     let fault = self.prepare(name, &prepared, bounds);
-                    let not_here = prepared.scan.not_here.map(|why| Final::NotHere { why });
+                    let unsupported = prepared.scan.unsupported.map(|why| ClientError::Unsupported { why });
                     let known_here = fault.is_none();
-                    match fault.or(not_here) {
+                    match fault.or(unsupported) {
                         Some(why) => {
-                            part.ops.push(Op::Fail(why));
+                            part.ops.push(Operation::Fail(why));
                             // A name that was taken before stays with what it names.
                             if known_here {
                                 self.forget(name);
@@ -90,70 +93,76 @@
                         }
                         None => {
                             let named = !name.is_empty();
-                            part.ops.push(Op::Parse { prepared: prepared.clone(), named });
+                            part.ops.push(Operation::Parse { prepared: prepared.clone(), named });
                             part.named.push(name.to_vec());
                         }
                     }
                     part.first.get_or_insert(prepared);
                 }
-                Said::Bind { portal, .. } if !self.opens(portal, bounds) => {
-                    part.ops.push(Op::Fail(Final::TooMuch { why: "portals" }));
+                ClientMessage::Bind { portal, .. } if !self.opens(portal, bounds) => {
+                    part.ops.push(Operation::Fail(ClientError::LimitExceeded { why: "portals" }));
                 }
-                Said::Bind { portal, statement, rest } => match self.known(statement) {
+                ClientMessage::Bind { portal, statement, rest } => match self.known(statement) {
                     Some(prepared) => {
-                        part.local &= prepared.scan.own.is_some();
+                        part.local &= prepared.scan.local_command.is_some();
                         part.runs(&prepared.scan);
                         part.first = Some(prepared.clone());
                         bound.insert(portal.to_vec(), prepared.clone());
                         let (portal, rest) = (place(portal), place(rest));
-                        part.ops.push(Op::Bind { prepared, named: !statement.is_empty(), portal, rest });
+                        part.ops.push(Operation::Bind {
+                            prepared,
+                            named: !statement.is_empty(),
+                            portal,
+                            rest,
+                        });
                     }
                     None => part.ops.push(no_such(statement)),
                 },
-                Said::Describe { statement: true, name } => match self.known(name) {
+                ClientMessage::Describe { statement: true, name } => match self.known(name) {
                     Some(prepared) => {
-                        part.local &= prepared.scan.own.is_some();
-                        part.ops.push(Op::Describe { prepared, named: !name.is_empty() });
+                        part.local &= prepared.scan.local_command.is_some();
+                        part.ops.push(Operation::Describe { prepared, named: !name.is_empty() });
                     }
                     None => part.ops.push(no_such(name)),
                 },
-                Said::Describe { statement: false, name } => {
+                ClientMessage::Describe { statement: false, name } => {
                     part.local &= bound.contains_key(name);
-                    part.ops.push(Op::DescribePortal(whole.clone()));
+                    part.ops.push(Operation::DescribePortal(whole.clone()));
                 }
-                Said::Execute { portal, .. } => {
+                ClientMessage::Execute { portal, .. } => {
                     part.local &= bound.contains_key(portal);
-                    part.ops.push(Op::Execute(whole.clone()));
+                    part.ops.push(Operation::Execute(whole.clone()));
                 }
-                Said::Close { statement: true, name } => {
+                ClientMessage::Close { statement: true, name } => {
                     self.forget(name);
-                    part.ops.push(Op::CloseStatement);
+                    part.ops.push(Operation::CloseStatement);
                 }
-                Said::Close { statement: false, name } => {
+                ClientMessage::Close { statement: false, name } => {
                     self.portals.remove(name);
-                    part.ops.push(Op::ClosePortal(whole.clone()));
+                    part.ops.push(Operation::ClosePortal(whole.clone()));
                 }
-                Said::Flush => part.ops.push(Op::Flush),
-                Said::Sync => {
-                    part.ops.push(Op::Sync);
+                ClientMessage::Flush => part.ops.push(Operation::Flush),
+                ClientMessage::Sync => {
+                    part.ops.push(Operation::Sync);
                     part.ends = true;
                 }
                 // Outside a copy it is passed over, as engines do.
-                Said::Copy => {}
+                ClientMessage::Copy => {}
             }
             at += len;
         }
         // What shared connections can't carry can't hide among other steps either.
-        let mixed = !part.local && part.own.iter().any(|own| !matches!(own, Own::Label(..)));
+        let mixed = !part.local
+            && part.local_commands.iter().any(|command| !matches!(command, LocalCommand::Label(..)));
         if mixed {
             let why = "DISCARD or DEALLOCATE among other statements";
             let last = part.ops.pop();
-            part.ops.push(Op::Fail(Final::NotHere { why }));
+            part.ops.push(Operation::Fail(ClientError::Unsupported { why }));
             part.ops.extend(last);
         }
-        part.local &= !self.within;
-        self.within = !part.ends;
-        Ok((end, Read::Part(Rc::new(part))))
+        part.local &= !self.in_unit;
+        self.in_unit = !part.ends;
+        Ok((end, SessionEvent::Part(Rc::new(part))))
     }
 
     fn known(&self, name: &[u8]) -> Option<Rc<Prepared>> {
@@ -174,17 +183,17 @@
     }
 
     /// Takes a statement in under its name, or says why not.
-    fn prepare(&mut self, name: &[u8], prepared: &Rc<Prepared>, bounds: &Bounds) -> Option<Final> {
+    fn prepare(&mut self, name: &[u8], prepared: &Rc<Prepared>, bounds: &Bounds) -> Option<ClientError> {
         if name.is_empty() {
             self.unnamed = Some(prepared.clone());
         } else if self.statements.contains_key(name) {
-            return Some(Final::DuplicateStatement { name: String::from_utf8_lossy(name).into() });
+            return Some(ClientError::DuplicateStatement { name: String::from_utf8_lossy(name).into() });
         } else if self.statements.len() >= bounds.statements
-            || self.held + name.len() + prepared.body.len() > bounds.bytes
+            || self.held_bytes + name.len() + prepared.body.len() > bounds.bytes
         {
-            return Some(Final::TooMuch { why: "prepared statements" });
+            return Some(ClientError::LimitExceeded { why: "prepared statements" });
         } else {
-            self.held += name.len() + prepared.body.len();
+            self.held_bytes += name.len() + prepared.body.len();
             self.statements.insert(name.to_vec(), prepared.clone());
         }
         None
@@ -194,21 +203,23 @@
         if name.is_empty() {
             self.unnamed = None;
         } else if let Some(prepared) = self.statements.remove(name) {
-            self.held -= name.len() + prepared.body.len();
+            self.held_bytes -= name.len() + prepared.body.len();
         }
     }
 
     /// The unit that was begun is over, though its end has yet to come: what belongs to it is passed over.
     /// Says how much of the input that is, and whether the Sync was there.
-    pub fn skip(&mut self, input: &[u8]) -> Result<(usize, bool), Final> {
+    pub fn skip(&mut self, input: &[u8]) -> Result<(usize, bool), ClientError> {
         let mut at = 0;
-        while let Some((tag, len)) = wire::head(&input[at..]).map_err(|why| Final::Protocol { why })? {
+        while let Some(Header { tag, len }) =
+            wire::header(&input[at..]).map_err(|why| ClientError::Protocol { why })?
+        {
             if at + len > input.len() {
                 break;
             }
             at += len;
             if tag == b'S' {
-                self.within = false;
+                self.in_unit = false;
                 return Ok((at, true));
             }
         }
@@ -216,8 +227,8 @@
     }
 }
 
-fn no_such(name: &[u8]) -> Op {
-    Op::Fail(Final::NoSuchStatement { name: String::from_utf8_lossy(name).into() })
+fn no_such(name: &[u8]) -> Operation {
+    Operation::Fail(ClientError::NoSuchStatement { name: String::from_utf8_lossy(name).into() })
 }
 
 /// It does nothing but end a transaction.
--- a/src/decide/penalty.rs
+++ b/src/decide/penalty.rs
@@ -29,7 +29,7 @@
         let heads = |held: &BTreeSet<StatementId>| held.iter().copied().take(HEADS).collect::<Vec<_>>();
         // Past its latest start a statement could only answer after its client gives up: now or never.
         let stuck: Vec<_> = heads(&self.overdue).into_iter().filter(|id| !self.try_release(*id)).collect();
-        stuck.into_iter().for_each(|id| self.give_up(id));
+        stuck.into_iter().for_each(|id| self.shed(id));
         let mut waiting: Vec<(f64, usize)> = Vec::new();
         for class in 0..self.classes.len() {
             self.classes[class].fade(self.now, HALF_LIFE);
@@ -61,13 +61,13 @@
     }
 
     fn execute(&mut self, id: StatementId, e: EngineId) {
-        self.unhold(id);
-        self.first_look = self.chance.next();
+        self.dequeue(id);
+        self.placement_start = self.random.next();
         let (now, priority) = (self.now, self.priority(id));
         let s = &self.statements[&id];
         let (class, load, latest) = (s.class, s.load, self.latest_start(s));
-        if let Some(pushed) = self.pushed_with(e, s).filter(|_| now < self.engines.cold_until[e]) {
-            self.engines.pushed[e] = (pushed, now);
+        if let Some(pushed) = self.cold_work_with(e, s).filter(|_| now < self.engines.cold_until[e]) {
+            self.engines.cold_work[e] = (pushed, now);
         }
         let most = self.engines.size[e].memory * self.agreed.largest_grant;
         let grants = self.agreed.grants && s.asked.memory_mb > 0.0;
@@ -77,11 +77,11 @@
         }
         self.actions.push(Action::Execute { statement: id, engine: e });
         let Some(s) = self.statements.get_mut(&id) else { return };
-        self.further.0.extend((!s.executions.is_empty()).then_some(now));
-        self.engines.sent(e, (id, s.executions.len()), load);
+        self.further_executions.0.extend((!s.executions.is_empty()).then_some(now));
+        self.engines.add(e, (id, s.executions.len()), load);
         s.priority = priority;
-        s.executions.push(Execution { engine: e, sent: now, heard: now, ..Execution::default() });
-        self.classes[class].out.insert(id);
+        s.executions.push(Execution { engine: e, sent_at: now, heard_at: now, ..Execution::default() });
+        self.classes[class].in_flight.insert(id);
         self.due.insert((latest.max(now + 1), id));
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,17 +1,18 @@
 //! hallmux: a front for query engines with limited memory.
 //!
-//! The library decides and does nothing else: no input or output, no clock, no threads. `interface` has the
-//! types that go in and come out, `decide` the one module that decides (a file for each part of the
-//! mechanism under it), `state` and the files beside it the plain
-//! figures it keeps.
+//! The library decides and does nothing else: no input or output, no clock, no threads. [`interface`] has the types
+//! that go in and come out, [`decide`] the module that decides, with a file for each part of the mechanism under it.
+//! `state` and the files beside it keep the figures that decisions go by and decide nothing.
+
+#![warn(missing_docs)]
 
-mod chance;
 pub mod decide;
+mod demand;
 pub mod interface;
 mod learned;
-mod offers;
+mod order_queue;
+mod peer_reports;
+mod random;
 mod state;
-mod turns;
-mod words;
 
 pub use decide::Front;
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -23,7 +23,7 @@
 struct Play {
     agreed: Agreement,
     workloads: Vec<String>,
-    engines: Vec<Listed>,
+    engines: Vec<EngineEntry>,
     engine_names: Vec<String>,
     statements: Vec<String>,
     keys: Vec<String>,
@@ -102,7 +102,7 @@
                 "grants" => self.agreed.grants = true,
                 "active" => self.agreed.report.active = Some(0),
                 "busy" => self.agreed.report.busy = Some(0),
-                "turn-gap" => self.agreed.turn_gap = micros(value),
+                "turn-gap" => self.agreed.order_gap = micros(value),
                 "seed" => self.seed = number(value) as u64,
                 "cold-from" => self.agreed.cold_from = number(value),
                 "warm-within" => self.agreed.warm_within = micros(value),
@@ -124,9 +124,9 @@
         }
     }
 
-    fn engine(&mut self, name: &str, options: &BTreeMap<&str, &str>) -> Listed {
+    fn engine(&mut self, name: &str, options: &BTreeMap<&str, &str>) -> EngineEntry {
         let place = |name: &str| options.get(name).map_or(0, |v| number(v) as usize);
-        Listed {
+        EngineEntry {
             engine: index(&mut self.engine_names, name),
             location: place("location"),
             kind: place("kind"),
@@ -137,8 +137,8 @@
                 _ => Mode::Ready,
             },
             started: options.get("started").map(|v| micros(v)),
-            speaks: options.get("speaks").map_or(1, |v| number(v) as u8),
-            tells: !options.contains_key("quiet"),
+            protocols: options.get("speaks").map_or(1, |v| number(v) as u8),
+            sends_progress: !options.contains_key("quiet"),
         }
     }
 
@@ -163,7 +163,9 @@
                 Action::Reject { statement: s, .. } => format!("reject {} come-back", statement(s)),
                 Action::Abort { statement: s } => format!("abort {}", statement(s)),
                 Action::Probe { engine } => format!("probe {}", self.engine_names[*engine]),
-                Action::ProbeLeft { engine } => format!("probe-left {}", self.engine_names[*engine]),
+                Action::ProbeEvacuated { engine } => {
+                    format!("probe-evacuated {}", self.engine_names[*engine])
+                }
                 Action::Pace { connections } => format!("pace {connections:.2}"),
                 Action::Subscribe => "subscribe".to_string(),
             };
@@ -185,12 +187,12 @@
     }
 
     /// What the fleet was asked of each workload, as `NAME=ASKED/ENDED/TIMELY`, each of a second on one thread.
-    fn offers(&self, said: &BTreeMap<&str, &str>) -> Vec<Offer> {
+    fn demands(&self, said: &BTreeMap<&str, &str>) -> Vec<Demand> {
         let offer = |name: &String| {
             let counts: Vec<f64> =
                 said.get(&name[..]).map_or(Vec::new(), |v| v.split('/').map(number).collect());
             let count = |n: usize| counts.get(n).copied().unwrap_or(0.0);
-            Offer { asked: count(0), ended: count(1), timely: count(2), work: 1e6 }
+            Demand { asked: count(0), ended: count(1), timely: count(2), work: 1e6 }
         };
         self.workloads.iter().map(offer).collect()
     }
@@ -212,7 +214,7 @@
                 work: value("work") * MS as f64,
                 memory_mb: value("memory"),
                 data_set: said.get("data").map(|d| number(d) as u32),
-                speech: said.get("speech").map_or(1, |v| number(v) as u8),
+                protocols: said.get("speech").map_or(1, |v| number(v) as u8),
                 allowed: said
                     .get("allowed")
                     .map(|l| l.split(',').filter(|l| !l.is_empty()).map(|l| number(l) as usize).collect()),
@@ -225,9 +227,9 @@
                 outcome: match words[3] {
                     "completed" => Outcome::Completed,
                     "error" => Outcome::Error,
-                    "no-room" => Outcome::NoRoom,
+                    "no-room" => Outcome::NoCapacity,
                     "timed-out" => Outcome::TimedOut,
-                    "no-route" => Outcome::NoRoute,
+                    "no-route" => Outcome::Unreachable,
                     "reset" => Outcome::Reset,
                     "cancelled" => Outcome::Cancelled,
                     "not-sent" => Outcome::NotSent,
@@ -235,8 +237,7 @@
                 },
                 took: micros(said.get("took").copied().unwrap_or("100")),
                 settled: words[3] == "completed" || said.contains_key("settled"),
-                holds: said.contains_key("holds"),
-                cost: said.get("cost").map(|c| Cost { work: number(c) * MS as f64, memory_mb: value("mb") }),
+                keeps_order_key: said.contains_key("holds"),
                 report: said.get("active").or(said.get("busy")).map(|a| vec![number(a)]),
             }),
             "note" => Event::Noted {
@@ -249,24 +250,24 @@
                     (None, None) => Note::ShareDone(value("done")),
                 },
             },
-            "leave" => Event::Left(statement),
-            "hear" => Event::Hearsay(Hearsay {
-                maker: number(words[1]) as usize,
+            "leave" => Event::ClientLeft(statement),
+            "hear" => Event::PeerReport(PeerReport {
+                reporter: number(words[1]) as usize,
                 engine: self.engine_names.iter().position(|e| e == words[2])?,
                 failed: value("failed"),
                 answered: value("answered"),
                 silent: micros(said.get("silent").copied().unwrap_or("0")),
                 age: micros(said.get("age").copied().unwrap_or("0")),
             }),
-            "asked" => Event::Offered(Asked {
-                missed: value("missed"),
-                part: value("part"),
-                offers: self.offers(&said),
-                customers: said.get("customers").map_or(vec![], |v| v.split(',').map(number).collect()),
+            "asked" => Event::FleetDemand(FleetDemand {
+                late_share: value("missed"),
+                relative: value("part"),
+                workloads: self.demands(&said),
+                customers_per_s: said.get("customers").map_or(vec![], |v| v.split(',').map(number).collect()),
             }),
-            "room" => Event::Room {
+            "room" => Event::SendCapacity {
                 engine: self.engine_names.iter().position(|e| e == words[1])?,
-                room: number(words[2]) as usize,
+                executions: number(words[2]) as usize,
             },
             "fleet" => Event::Fleet { known: value("known"), up: value("up") },
             "probed" => Event::Probed {
@@ -274,9 +275,9 @@
                 alive: said.contains_key("alive"),
                 report: None,
             },
-            "free" => Event::Freed {
+            "free" => Event::OrderKeyFreed {
                 key: self.keys.iter().position(|k| k == words[1])? as KeyId,
-                rests: said.contains_key("rests"),
+                pauses: said.contains_key("rests"),
             },
             _ => return None,
         })
