--- a/crates/front/src/postgres/sessions/close.rs
+++ b/crates/front/src/postgres/sessions/close.rs
@@ -8,7 +8,7 @@
 use crate::postgres::servers::SessionId;
 
 const IDLE_AFTER: Micros = 1_000_000; // microseconds after which a resting session lets go of its buffers
-const GRACE: Micros = 2_000_000; // microseconds that a session without a unit out has left once the front ends
+const GRACE: Micros = 2_000_000; // microseconds for a session without a unit out once the front ends
 const CHECK_INTERVAL: Micros = 200_000; // microseconds between looks at sessions that stand still
 
 impl Sessions {
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Whether a session that is to be closed as idle brings nothing just now. Guards against a unit that came since
-    /// it was last read: it is taken then, and its session stays.
+    /// Whether a session that is to be closed as idle brings nothing just now. Guards against a unit that came
+    /// since it was last read: it is taken then, and its session stays.
     fn brings_nothing(&mut self, now: Micros, id: SessionId) -> bool {
         let held = |sessions: &Sessions| sessions.connections.get(&id).map_or(0, |c| c.link.input.len());
         let before = held(self);
