--- a/crates/front/src/front_tests.rs
+++ b/crates/front/src/front_tests.rs
@@ -1,12 +1,13 @@
 //! Unit tests of the `front` module.
 
 use std::collections::HashMap;
-use std::io::{Read, Write};
+use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
 use std::time::Instant;
 
 use calloop::EventLoop;
+use hallmux_postgres::wire;
 use serde_json::json;
 
 use super::*;
@@ -33,23 +34,30 @@
 }
 
 impl Driven {
-    fn new(name: &str) -> Driven {
+    /// With an engine that speaks PostgreSQL.
+    fn new(name: &str, engine: SocketAddr, cancelling: bool) -> Driven {
         let file =
             |kind: &str| std::env::temp_dir().join(format!("hallmux-{name}-{}.{kind}", std::process::id()));
         let files = [file("clock"), file("json5")];
         // A port that is free: it is let go of just before the front takes it.
         let sessions = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let operator = format!(
-            "{{ postgres: {{ listen: '{sessions}', engines: [{{ kinds: ['std'] }}], users: {{ portal: {{ trust: true, \
-             member: 'acme', workload: 'lookup' }} }} }} }}"
+            "{{ postgres: {{ listen: '{sessions}', engines: [{{ kinds: ['std'] }}], \
+             users: {{ portal: {{ trust: true, member: 'acme', workload: 'lookup' }} }} }} }}"
         );
         std::fs::write(&files[1], operator).unwrap();
         let variables = [("HALLMUX_CLOCK", &files[0]), ("HALLMUX_OPERATOR", &files[1])];
         let variables: HashMap<String, String> =
             variables.iter().map(|(name, path)| (name.to_string(), path.display().to_string())).collect();
-        let text = json!({"name": "n1", "listen": "127.0.0.1:0", "seed": "1", "settings": {
+        let server = json!({"id": "e", "addr": engine.to_string(), "zone": "here", "kind": "std", "cell": 0,
+            "state": "up", "weight": 1, "started_ms": 0});
+        let list = json!({"version": 1, "full": true, "servers": [server]});
+        let known = json!({"index": 1, "updates": [{"index": 1, "endpoints": list}]});
+        let text = json!({"name": "n1", "listen": "127.0.0.1:0", "seed": "1", "known": known, "settings": {
             "instances": 1, "areas": ["here"], "kinds": ["std"], "customers": [{"name": "acme"}], "rules": {},
-            "requestClasses": [{"name": "lookup", "aimMs": 2000, "deadlineMs": 8000, "repeat": "repeatable"}]}});
+            "bounds": {"cancelling": cancelling},
+            "requestClasses": [
+                {"name": "lookup", "aimMs": 2000, "deadlineMs": 8000, "repeat": "repeatable"}]}});
         write_clock(&files[0], START);
         let config = NodeConfig::parse(&variables, &text.to_string()).unwrap();
         let known = hallmux_codec::coordinator::events(config.known_events.as_bytes()).unwrap();
@@ -68,30 +76,97 @@
         assert!(self.front.listener.is_open());
     }
 
-    /// Goes on as `run` does, until a peer has something to read: the first bytes of that, none at its end.
+    /// One iteration, as `run` has it.
+    fn goes_on(&mut self) {
+        let mut changes = LoopEvents::default();
+        self.events.dispatch(Duration::ZERO, &mut changes).unwrap();
+        changes.ready.drain(..).for_each(|socket| self.front.ready(socket));
+        self.front.iterate();
+    }
+
+    /// Goes on until there is what is waited for.
+    fn until<T>(&mut self, what: &str, mut there: impl FnMut(&Front) -> Option<T>) -> T {
+        let begun = Instant::now();
+        loop {
+            if let Some(found) = there(&self.front) {
+                return found;
+            }
+            assert!(begun.elapsed() < PATIENCE, "{what}");
+            self.goes_on();
+        }
+    }
+
+    /// Goes on until a peer has something to read: the first bytes of that, none at its end.
     fn hears(&mut self, peer: &mut TcpStream) -> Vec<u8> {
         peer.set_nonblocking(true).unwrap();
-        let (begun, mut changes, mut heard) = (Instant::now(), LoopEvents::default(), vec![0; 1024]);
-        loop {
-            match peer.read(&mut heard) {
-                Ok(len) => return heard[..len].to_vec(),
-                Err(e) => assert_eq!(e.kind(), std::io::ErrorKind::WouldBlock, "{e}"),
+        let mut heard = vec![0; 4096];
+        self.until("an answer", |_| match peer.read(&mut heard) {
+            Ok(len) => Some(heard[..len].to_vec()),
+            Err(e) => {
+                assert_eq!(e.kind(), ErrorKind::WouldBlock, "{e}");
+                None
             }
-            assert!(begun.elapsed() < PATIENCE, "an answer");
-            self.events.dispatch(Duration::ZERO, &mut changes).unwrap();
-            changes.ready.drain(..).for_each(|socket| self.front.ready(socket));
-            self.front.iterate();
+        })
+    }
+
+    /// The same until certain bytes have come, which not all before them have to be.
+    fn hears_text(&mut self, peer: &mut TcpStream, text: &str) -> String {
+        let mut all = String::new();
+        while !all.contains(text) {
+            let heard = self.hears(peer);
+            assert!(!heard.is_empty(), "{text} did not come, but the end behind {all:?}");
+            all += &String::from_utf8_lossy(&heard);
         }
+        all
+    }
+
+    /// A session that has come in.
+    fn enters(&mut self) -> TcpStream {
+        let mut session = TcpStream::connect(self.sessions).unwrap();
+        let mut out = Vec::new();
+        wire::write_start_up(&mut out, &[("user", "portal"), ("database", "x")]);
+        session.write_all(&out).unwrap();
+        self.hears_text(&mut session, "Z\0\0\0\x05I");
+        session
+    }
+
+    /// The front's next connection to the engine, which waits for its login.
+    fn dials(&mut self, engine: &TcpListener) -> TcpStream {
+        engine.set_nonblocking(true).unwrap();
+        let mut stream = self.until("a dial", |_| engine.accept().ok()).0;
+        self.hears_text(&mut stream, "user");
+        stream
     }
 }
 
+fn asks(session: &mut TcpStream, text: &str) {
+    let mut out = Vec::new();
+    wire::write_query(&mut out, text.as_bytes());
+    session.write_all(&out).unwrap();
+}
+
+fn lets_in(engine: &mut TcpStream) {
+    let mut out = Vec::new();
+    wire::write(&mut out, b'R', |out| out.extend_from_slice(&[0; 4]));
+    wire::write_key(&mut out, wire::CancelKey { process: 1, secret: 1 });
+    wire::write_ready(&mut out, b'I');
+    engine.write_all(&out).unwrap();
+}
+
+fn listener() -> (TcpListener, SocketAddr) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let at = listener.local_addr().unwrap();
+    (listener, at)
+}
+
 fn write_clock(path: &PathBuf, time: Micros) {
     std::fs::write(path, [time, 0, 0, 0].map(i64::to_le_bytes).concat()).unwrap();
 }
 
 #[test]
 fn who_connects_right_before_the_listener_closes_is_answered() {
-    let mut driven = Driven::new("last-client");
+    let (_engine, at) = listener();
+    let mut driven = Driven::new("last-client", at, true);
     driven.is_about_to_close();
     // The loop has not told of it: it is in the listener's queue alone.
     let mut client = TcpStream::connect(driven.listens).unwrap();
@@ -108,7 +183,8 @@
 
 #[test]
 fn a_session_that_connects_right_before_the_listener_closes_is_told_of_the_end() {
-    let mut driven = Driven::new("last-session");
+    let (_engine, at) = listener();
+    let mut driven = Driven::new("last-session", at, true);
     driven.is_about_to_close();
     let mut session = TcpStream::connect(driven.sessions).unwrap();
     driven.front.iterate();
@@ -116,3 +192,93 @@
     assert!(heard.starts_with(b"E") && heard.windows(5).any(|code| code == b"57P01"), "{heard:?}");
     assert!(driven.hears(&mut session).is_empty());
 }
+
+#[test]
+fn a_unit_that_comes_right_before_its_idle_session_is_closed_is_answered() {
+    let (_engine, at) = listener();
+    let mut driven = Driven::new("last-unit", at, true);
+    let mut session = driven.enters();
+    driven.is_about_to_close();
+    asks(&mut session, "SET hallmux.workload = 'lookup'");
+    driven.front.iterate();
+    let heard = driven.hears_text(&mut session, "57P01");
+    assert!(heard.starts_with("C\0\0\0\x08SET\0Z"), "{heard:?}");
+    assert!(driven.hears(&mut session).is_empty());
+}
+
+#[test]
+fn a_unit_that_waits_for_its_connection_is_not_sent_once_its_session_has_left() {
+    let (engine, at) = listener();
+    // Engines are not told to give anything up.
+    let mut driven = Driven::new("left-session", at, false);
+    let mut first = driven.enters();
+    asks(&mut first, "select 1");
+    let mut link = driven.dials(&engine);
+    drop(first);
+    driven.until("its end is known", |front| (front.gateway.as_ref()?.len() == 0).then_some(()));
+    lets_in(&mut link);
+    let mut second = driven.enters();
+    asks(&mut second, "select 2");
+    let heard = driven.hears_text(&mut link, "select");
+    assert!(heard.contains("select 2") && !heard.contains("select 1"), "{heard:?}");
+}
+
+#[test]
+fn a_unit_decided_on_by_an_old_look_is_not_sent_once_its_session_has_left() {
+    let (engine, at) = listener();
+    let mut driven = Driven::new("stale-session", at, true);
+    let mut session = driven.enters();
+    asks(&mut session, "select 1");
+    let mut link = driven.dials(&engine);
+    lets_in(&mut link);
+    driven.hears_text(&mut link, "select 1");
+    let mut out = Vec::new();
+    wire::write_complete(&mut out, "SELECT 0");
+    wire::write_ready(&mut out, b'I');
+    link.write_all(&out).unwrap();
+    driven.hears_text(&mut session, "SELECT 0");
+    asks(&mut session, "select 2");
+    // It is found, then the front is held up, and decides.
+    let mut changes = LoopEvents::default();
+    while changes.ready.is_empty() {
+        driven.events.dispatch(Duration::ZERO, &mut changes).unwrap();
+    }
+    changes.ready.drain(..).for_each(|socket| driven.front.ready(socket));
+    write_clock(&driven.files[0], START + 30_000);
+    driven.front.iterate();
+    assert!(driven.front.stale);
+    drop(session);
+    // The connection that it was written to goes with it.
+    let heard = driven.hears(&mut link);
+    assert!(heard.is_empty(), "{}", String::from_utf8_lossy(&heard));
+}
+
+#[test]
+fn a_unit_that_comes_right_before_its_resting_session_makes_room_is_answered() {
+    let (_engine, at) = listener();
+    let mut driven = Driven::new("room", at, true);
+    let mut session = driven.enters();
+    driven.front.max_clients = 1;
+    write_clock(&driven.files[0], START + 2_000_000);
+    asks(&mut session, "SET hallmux.workload = 'lookup'");
+    let _newcomer = TcpStream::connect(driven.sessions).unwrap();
+    // The loop tells of the newcomer alone.
+    driven.front.ready(SocketKind::SessionListener.id(0));
+    driven.front.iterate();
+    assert_eq!(driven.front.gateway.as_ref().map(Gateway::len), Some(1));
+    driven.hears_text(&mut session, "SET\0");
+}
+
+#[test]
+fn a_session_that_has_said_half_a_message_does_not_hold_up_the_end() {
+    let (_engine, at) = listener();
+    let mut driven = Driven::new("half-unit", at, true);
+    let mut session = driven.enters();
+    session.write_all(b"Q\0\0\0\x20select").unwrap();
+    driven.until("it is read", |front| (front.gateway.as_ref()?.held_bytes() > 0).then_some(()));
+    driven.is_about_to_close();
+    driven.front.iterate();
+    write_clock(&driven.files[0], LATER + 2_500_000);
+    driven.hears_text(&mut session, "57P01");
+    driven.until("the end", |front| front.is_done().then_some(()));
+}
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -212,14 +212,14 @@
                         if self.names_unmarked_groups(ticket, &part) =>
                     {
                         self.sessions.fail(now, ticket, &loads::UNMARKED_GROUPS, None);
-                        dispatcher.left(now, ticket);
+                        self.left(now, dispatcher, ticket);
                     }
                     sessions::Event::UnitPart { ticket, part } => {
                         let sent = self.sessions.by_ticket(ticket);
                         let sent = sent.and_then(|(_, i)| i.running.as_ref()?.sent);
                         sent.into_iter().for_each(|sent| self.servers.more(sent, part.clone()));
                     }
-                    sessions::Event::Abandoned(ticket) => dispatcher.left(now, ticket),
+                    sessions::Event::Abandoned(ticket) => self.left(now, dispatcher, ticket),
                     sessions::Event::TransactionOver { pin, keys, may_go_on } => {
                         pin.into_iter().for_each(|pin| self.servers.release(now, pin));
                         keys.iter().for_each(|key| dispatcher.freed(now, key, may_go_on));
@@ -388,7 +388,7 @@
         self.listener.readable();
         self.accept(now, sessions_left);
         self.listener.close();
-        self.sessions.close_idle();
+        self.sessions.close_idle(now);
         self.handle_session_events(now, room, dispatcher);
     }
 }
--- a/crates/front/src/postgres/gateway/admission.rs
+++ b/crates/front/src/postgres/gateway/admission.rs
@@ -5,7 +5,7 @@
 use hallmux_access::Judged;
 use hallmux_agreement::User;
 use hallmux_codec::tables;
-use hallmux_dispatcher::{Ask, Dispatcher, Micros, Protocol, Unfit};
+use hallmux_dispatcher::{Ask, Dispatcher, Micros, Protocol, Ticket, Unfit};
 use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::session::{Transaction, UnitPart};
 use hallmux_postgres::sql::Label;
@@ -83,6 +83,13 @@
         self.sessions.answer_unusable(id, part, &why);
     }
 
+    /// Nobody waits for a statement any more.
+    pub(super) fn left(&mut self, now: Micros, dispatcher: &mut Dispatcher, ticket: Ticket) {
+        // What waits for a connection is not sent any more, also where engines can't be told to give it up.
+        self.servers.abandon(now, ticket);
+        dispatcher.left(now, ticket);
+    }
+
     /// A client asks for the end of what its session has out.
     pub(super) fn cancel(&mut self, now: Micros, dispatcher: &mut Dispatcher, id: SessionId) {
         let Some(running) = self.sessions.open_session(id).and_then(|i| i.running.as_mut()) else { return };
@@ -93,7 +100,7 @@
         // What is out is the engine's to end; what is held here, or can't be ended there, ends here.
         if !sent.is_some_and(|sent| self.servers.cancel(now, sent)) {
             self.sessions.fail(now, ticket, &ClientError::Cancelled, None);
-            dispatcher.left(now, ticket);
+            self.left(now, dispatcher, ticket);
         }
     }
 }
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -1,6 +1,6 @@
 //! How executions and connections end: given up, cancelled, let go, lost.
 
-use hallmux_dispatcher::{Ending, Micros, Place};
+use hallmux_dispatcher::{Ending, Micros, Place, Ticket};
 use hallmux_postgres::pool::Released;
 use hallmux_postgres::wire;
 
@@ -41,6 +41,24 @@
         }
     }
 
+    /// Nobody waits for a statement any more: what has not left for an engine never will.
+    pub fn abandon(&mut self, now: Micros, ticket: Ticket) {
+        let of_ticket = self.executions.iter().filter(|(sent, _)| sent.ticket == ticket);
+        let here: Vec<(ExecutionId, Option<ServerId>)> = of_ticket.map(|(sent, x)| (*sent, x.link)).collect();
+        for (sent, link) in here {
+            let Some(id) = link else {
+                self.cancel_execution(now, sent, Ending::Withdrawn);
+                continue;
+            };
+            // What is written and has yet to leave goes with its connection.
+            let unsent = self.links.get(&id).is_some_and(|l| l.serves == Some(sent) && !l.link.has_sent(1));
+            if let Some(place) = self.place(id).filter(|_| unsent) {
+                self.report_end(sent, Ending::Withdrawn);
+                self.close_and_refill(now, id, place);
+            }
+        }
+    }
+
     /// A client asks for the end of what is out. False if nothing can be done about it.
     pub fn cancel(&mut self, now: Micros, sent: ExecutionId) -> bool {
         let Some(x) = self.executions.get(&sent).filter(|x| x.stage != Stage::Waiting) else { return false };
--- a/crates/front/src/postgres/sessions/close.rs
+++ b/crates/front/src/postgres/sessions/close.rs
@@ -8,7 +8,7 @@
 use crate::postgres::servers::SessionId;
 
 const IDLE_AFTER: Micros = 1_000_000; // microseconds after which a resting session lets go of its buffers
-const GRACE: Micros = 2_000_000; // microseconds that an idle transaction has left once the front ends
+const GRACE: Micros = 2_000_000; // microseconds for a session without a unit out once the front ends
 const CHECK_INTERVAL: Micros = 200_000; // microseconds between looks at sessions that stand still
 
 impl Sessions {
@@ -65,7 +65,8 @@
                     let stands = now - connection.last_active;
                     if idle && open && stands >= self.transaction_idle {
                         over.push((*id, Some(ClientError::IdleTransactionTimeout)));
-                    } else if idle && open && shut.is_some_and(|since| since + GRACE <= now) {
+                    } else if idle && shut.is_some_and(|since| since + GRACE <= now) {
+                        // Also one that has said half a message, or owes the Sync of a unit that failed.
                         over.push((*id, Some(ClientError::ShuttingDown)));
                     } else if connection.closing && stands >= self.login_timeout {
                         over.push((*id, None));
@@ -97,7 +98,10 @@
                 may_go_on.then_some((true, p.last_active, *id))
             }
         };
-        let Some((_, _, id)) = self.connections.iter().filter_map(rank).min() else { return false };
+        let mut ranked: Vec<_> = self.connections.iter().filter_map(rank).collect();
+        ranked.sort_unstable();
+        let found = ranked.into_iter().map(|(.., id)| id).find(|id| self.brings_nothing(now, *id));
+        let Some(id) = found else { return false };
         self.dismiss(id, &ClientError::ShuttingDown);
         if let Some(connection) = self.connections.get_mut(&id) {
             // Its last message goes as far as the network takes it at once.
@@ -108,7 +112,7 @@
     }
 
     /// Closes the sessions that have nothing out and no transaction open.
-    pub fn close_idle(&mut self) {
+    pub fn close_idle(&mut self, now: Micros) {
         let idle = |(id, p): (&SessionId, &Connection)| match &p.stage {
             Stage::LoggingIn(_) => Some(*id),
             Stage::Open(open_session) => {
@@ -119,6 +123,22 @@
             }
         };
         let idle: Vec<SessionId> = self.connections.iter().filter_map(idle).collect();
-        idle.into_iter().for_each(|id| self.dismiss(id, &ClientError::ShuttingDown));
+        for id in idle {
+            if self.brings_nothing(now, id) {
+                self.dismiss(id, &ClientError::ShuttingDown);
+            }
+        }
+    }
+
+    /// Whether a session that is to be closed as idle brings nothing just now. Guards against a unit that came
+    /// since it was last read: it is taken then, and its session stays.
+    fn brings_nothing(&mut self, now: Micros, id: SessionId) -> bool {
+        let held = |sessions: &Sessions| sessions.connections.get(&id).map_or(0, |c| c.link.input.len());
+        let before = held(self);
+        if self.read(now, id) {
+            // The loop does not tell of the rest again.
+            self.stalled.insert(id);
+        }
+        held(self) <= before
     }
 }
