--- a/crates/front/src/scatter/wholes.rs
+++ b/crates/front/src/scatter/wholes.rs
@@ -10,7 +10,7 @@
 use hallmux_dispatcher::{Ask, Dispatcher, Micros, Speech, Ticket, Unfit};
 use hallmux_gossip::PeerId;
 use hallmux_scatter::marks::{numbers, Marks};
-use hallmux_scatter::plan::{plan, Plan, Why, Word};
+use hallmux_scatter::plan::{plan, Basis, Plan, Why, Word};
 use hallmux_scatter::sql::Query;
 use hallmux_scatter::whole::{Act, Answer, Failed, Rules, Whole};
 
@@ -186,7 +186,10 @@
         let (sites, allowed) = (&self.sites, allowed.as_deref());
         let mut plan = match self.settings.whole_site.as_ref().filter(|_| distinct) {
             Some(site) => Plan::whole(site, allowed),
-            None => plan(&one.query, sites, allowed, book, wall_ms, word, &doubted),
+            None => plan(
+                &one.query,
+                &Basis { sites, allowed, summaries: book, wall_ms, loads: word, suspected: &doubted },
+            ),
         };
         if distinct {
             // The one site has all rows.
--- a/crates/front/src/scatter/wholes/told.rs
+++ b/crates/front/src/scatter/wholes/told.rs
@@ -5,7 +5,7 @@
 use hallmux_dispatcher::{Dispatcher, Micros, Ticket};
 use hallmux_scatter::join::Join;
 use hallmux_scatter::marks::Marks;
-use hallmux_scatter::plan::{Why, Word};
+use hallmux_scatter::plan::{Basis, Why, Word};
 use hallmux_scatter::sketch;
 use hallmux_scatter::sql::{self, Query};
 use hallmux_scatter::whole::Answer;
@@ -68,7 +68,8 @@
         let doubted = |site: &str| self.doubts.as_ref().is_some_and(|doubts| doubts.doubts(site));
         let (book, wall_ms) = (&self.summaries.book, (now / 1000) as u64);
         let (sites, allowed) = (&self.sites, allowed.as_deref());
-        let told = sketch::distinct(&one.query, sites, allowed, book, wall_ms, word, &doubted);
+        let basis = Basis { sites, allowed, summaries: book, wall_ms, loads: word, suspected: &doubted };
+        let told = sketch::distinct(&one.query, &basis);
         match told.filter(|told| told.error * 1e6 <= f64::from(accepted)) {
             Some(told) => Some(Answer::About { distinct: told.distinct, error: told.error }),
             None => self.settings.whole_site.is_none().then_some(Answer::Untold),
--- a/crates/scatter/src/join.rs
+++ b/crates/scatter/src/join.rs
@@ -4,12 +4,11 @@
 
 use sqlparser::ast::{BinaryOperator, Expr, Join as Joined, JoinConstraint, JoinOperator};
 
-use crate::book::Book;
 use crate::condition::Condition;
 use crate::filter::Members;
 use crate::marks::Touched;
 use crate::of::chain;
-use crate::plan::{stands, Why, Word};
+use crate::plan::{stands, Basis, Why, Word};
 use crate::row::{beyond_one_row, is_of_one_reading};
 use crate::runs;
 use crate::sql::{condition, named, whole, Names, Query, Unfit};
@@ -71,20 +70,13 @@
 type Side<'a> = Option<(&'a Summary, &'a Table)>;
 
 /// What stands against leaving a site out of a join; None: surely no row of it is asked for.
-pub(crate) fn stands_joined(
-    query: &Query,
-    join: &Join,
-    book: &Book,
-    wall_ms: u64,
-    site: &str,
-    word: &Word,
-) -> Option<Why> {
+pub(crate) fn stands_joined(query: &Query, join: &Join, basis: &Basis, site: &str) -> Option<Why> {
     let side = |group: u32, table: &str| -> Side {
-        let summary = book.look(wall_ms, site, group)?;
+        let summary = basis.summaries.look(basis.wall_ms, site, group)?;
         Some((summary, summary.table(table)?))
     };
     let (first, second) = (side(query.group, &query.table), side(join.group, &join.table));
-    let (of_first, of_second) = word.sides();
+    let (of_first, of_second) = basis.loads.sides();
     let why = |side: Side, condition: &Condition, word: &Word| match side {
         None => Some(Why::NoSummary),
         Some((summary, table)) => stands(condition, summary, table, word),
--- a/crates/scatter/src/plan.rs
+++ b/crates/scatter/src/plan.rs
@@ -100,31 +100,47 @@
     pub left_out: Vec<String>,
 }
 
-/// The sites that could have rows: among `sites`, in their order, of which `allowed` may be asked (None: all). The word of
-/// those that `doubted` names counts for nothing.
-pub fn plan(
-    query: &Query,
-    sites: &[String],
-    allowed: Option<&[&str]>,
-    book: &Book,
-    wall_ms: u64,
-    word: &Word,
-    doubted: &dyn Fn(&str) -> bool,
-) -> Plan {
+/// What the choice of sites goes by, beside the statement itself.
+#[derive(Clone, Copy)]
+pub struct Basis<'a> {
+    /// All sites of the operator, in the order in which their rows are joined.
+    pub sites: &'a [String],
+    /// The sites that may be asked; None: all.
+    pub allowed: Option<&'a [&'a str]>,
+    /// The summaries that this front holds.
+    pub summaries: &'a Book,
+    /// Unix milliseconds by this front's clock.
+    pub wall_ms: u64,
+    /// What is known of loads on the statement's groups.
+    pub loads: &'a Word<'a>,
+    /// Whether a site's summaries count for nothing for now.
+    pub suspected: &'a dyn Fn(&str) -> bool,
+}
+
+impl Basis<'_> {
+    /// Whether a site may be asked.
+    pub(crate) fn allows(&self, site: &str) -> bool {
+        self.allowed.is_none_or(|allowed| allowed.contains(&site))
+    }
+}
+
+/// The sites that could have rows, in their order.
+pub fn plan(query: &Query, basis: &Basis) -> Plan {
+    let Basis { sites, summaries, wall_ms, loads, suspected, .. } = *basis;
     let mut plan = Plan::default();
     for site in sites {
-        let summary = book.look(wall_ms, site, query.group);
+        let summary = summaries.look(wall_ms, site, query.group);
         let table = summary.and_then(|summary| Some((summary, summary.table(&query.table)?)));
         let why = match (&query.join, summary, table) {
-            (Some(join), ..) => stands_joined(query, join, book, wall_ms, site, word),
+            (Some(join), ..) => stands_joined(query, join, basis, site),
             (None, None, _) => Some(Why::NoSummary),
             (None, _, None) => Some(Why::NoTable),
-            (None, _, Some((summary, table))) => stands(&query.condition, summary, table, word),
+            (None, _, Some((summary, table))) => stands(&query.condition, summary, table, loads),
         };
         let proved = why.is_none();
-        if proved && !doubted(site) || query.limit == Some(0) {
+        if proved && !suspected(site) || query.limit == Some(0) {
             plan.left_out.push(site.clone());
-        } else if allowed.is_some_and(|allowed| !allowed.contains(&site.as_str())) {
+        } else if !basis.allows(site) {
             plan.barred.push(site.clone());
         } else {
             let rows = table.map_or(f64::INFINITY, |(_, t)| t.rows as f64 * query.condition.share(t));
--- a/crates/scatter/src/sketch.rs
+++ b/crates/scatter/src/sketch.rs
@@ -4,9 +4,8 @@
 use datasketches::common::NumStdDev;
 use datasketches::hll::{HllSketch, HllType, HllUnion};
 
-use crate::book::Book;
 use crate::marks::{Cell, Touched};
-use crate::plan::Word;
+use crate::plan::{Basis, Word};
 use crate::sql::Query;
 use crate::value::{Kind, Value};
 
@@ -48,35 +47,28 @@
 
 /// How many distinct values a column has at all of the sites. None: a site says nothing of it that counts, or
 /// a load may have brought values that are not known.
-pub fn distinct(
-    query: &Query,
-    sites: &[String],
-    allowed: Option<&[&str]>,
-    book: &Book,
-    wall_ms: u64,
-    word: &Word,
-    doubted: &dyn Fn(&str) -> bool,
-) -> Option<Estimate> {
+pub fn distinct(query: &Query, basis: &Basis) -> Option<Estimate> {
+    let Basis { sites, summaries, wall_ms, loads, suspected, .. } = *basis;
     let name = query.distinct.as_ref()?;
     let mut all = HllUnion::new(LG_K).ok()?;
     let mut alike = None;
     for site in sites {
-        if doubted(site) || allowed.is_some_and(|allowed| !allowed.contains(&site.as_str())) {
+        if suspected(site) || !basis.allows(site) {
             return None;
         }
-        let summary = book.look(wall_ms, site, query.group)?;
+        let summary = summaries.look(wall_ms, site, query.group)?;
         let column = summary.table(&query.table)?.columns.iter().find(|column| column.name == *name)?;
         // Values of two kinds may be equal and are not known to be.
         if *alike.get_or_insert(column.kind) != column.kind {
             return None;
         }
         all.update(&read(column.sketch.as_ref()?)?);
-        let loads = match word {
+        let open = match loads {
             Word::Marks(marks) => marks.open(summary)?,
             Word::NoLoads => Vec::new(),
             Word::Both(..) | Word::Nothing => return None,
         };
-        for touched in loads {
+        for touched in open {
             let Touched::Rows { table, columns, rows } = touched else { return None };
             if *table != query.table {
                 continue;
--- a/crates/scatter/src/spread.rs
+++ b/crates/scatter/src/spread.rs
@@ -55,6 +55,16 @@
     pub version: u64,
 }
 
+/// A piece of a summary that has come.
+struct Piece {
+    name: u64,
+    version: u64,
+    /// Which of its pieces it is, counted from 0, and how many there are.
+    piece: u16,
+    pieces: u16,
+    bytes: Vec<u8>,
+}
+
 struct Coming {
     version: u64,
     wanted: Fineness,
@@ -229,7 +239,8 @@
                 self.give(now, from, (name, version, piece), book, &mut out);
             }
             Ok((Letter::Piece { name, version, piece, pieces, bytes }, [])) => {
-                let whole = self.piece(now, from, (name, version), (piece, pieces), &bytes, &mut out);
+                let piece = Piece { name, version, piece, pieces, bytes };
+                let whole = self.piece(now, from, &piece, &mut out);
                 if let Some(whole) = whole {
                     let taken = book.take(wall_ms, &whole);
                     if taken == Ok(true) {
@@ -315,15 +326,8 @@
     }
 
     /// Puts a piece behind those that have come; the whole, with the last one.
-    fn piece(
-        &mut self,
-        now: Micros,
-        from: FrontId,
-        (name, version): (u64, u64),
-        (piece, pieces): (u16, u16),
-        bytes: &[u8],
-        out: &mut Out,
-    ) -> Option<Vec<u8>> {
+    fn piece(&mut self, now: Micros, from: FrontId, piece: &Piece, out: &mut Out) -> Option<Vec<u8>> {
+        let Piece { name, version, piece, pieces, ref bytes } = *piece;
         let coming = self.coming.get_mut(&name)?;
         let expected = (coming.version, coming.from, coming.next) == (version, from, piece);
         if !expected || piece >= pieces || coming.bytes.len() + bytes.len() > MOST_BYTES {
--- a/crates/scatter/tests/distinct.rs
+++ b/crates/scatter/tests/distinct.rs
@@ -7,7 +7,7 @@
 use hallmux_scatter::book::{Book, Terms};
 use hallmux_scatter::build::{in_sheets, summary, About, TableBuilder};
 use hallmux_scatter::marks::{Marks, Touched};
-use hallmux_scatter::plan::Word;
+use hallmux_scatter::plan::{Basis, Word};
 use hallmux_scatter::sketch::{distinct, Estimate};
 use hallmux_scatter::sql;
 use hallmux_scatter::summary::{Loads, MOST_BYTES};
@@ -41,9 +41,14 @@
 
 const WHOLE: Kind = Kind::Number { scale: 0 };
 
+fn basis<'a>(sites: &'a [String], book: &'a Book, word: &'a Word<'a>) -> Basis<'a> {
+    Basis { sites, allowed: None, summaries: book, wall_ms: 0, loads: word, suspected: &|_| false }
+}
+
 fn asked(book: &Book, word: &Word) -> Option<Estimate> {
     let query = sql::read_distinct(b"select count(distinct id) as n from sales_17.orders").unwrap();
-    distinct(&query, &SITES.map(str::to_string), None, book, 0, word, &|_| false)
+    let sites = SITES.map(str::to_string);
+    distinct(&query, &basis(&sites, book, word))
 }
 
 #[test]
@@ -92,8 +97,9 @@
     }
     let query = sql::read_distinct(b"select count(distinct id) from sales_17.orders").unwrap();
     let sites = SITES.map(str::to_string);
-    assert_eq!(distinct(&query, &sites, Some(&["ash", "elm"]), &all, 0, &Word::NoLoads, &|_| false), None);
-    assert_eq!(distinct(&query, &sites, None, &all, 0, &Word::NoLoads, &|site| site == "ash"), None);
+    let basis = basis(&sites, &all, &Word::NoLoads);
+    assert_eq!(distinct(&query, &Basis { allowed: Some(&["ash", "elm"]), ..basis }), None);
+    assert_eq!(distinct(&query, &Basis { suspected: &|site| site == "ash", ..basis }), None);
 }
 
 #[test]
--- a/crates/scatter/tests/join.rs
+++ b/crates/scatter/tests/join.rs
@@ -8,7 +8,7 @@
 use hallmux_scatter::book::{Book, Terms};
 use hallmux_scatter::build::{summary, About, TableBuilder};
 use hallmux_scatter::marks::{Marks, Touched};
-use hallmux_scatter::plan::{plan, Why, Word};
+use hallmux_scatter::plan::{plan, Basis, Why, Word};
 use hallmux_scatter::sql::{self, Query};
 use hallmux_scatter::summary::{Loads, MOST_BYTES};
 use hallmux_scatter::value::{Kind, Value};
@@ -51,7 +51,16 @@
 }
 
 fn asked(query: &Query, book: &Book, word: &Word) -> Vec<(String, Why)> {
-    let plan = plan(query, &SITES.map(str::to_string), None, book, 0, word, &|_| false);
+    let sites = SITES.map(str::to_string);
+    let basis = Basis {
+        sites: &sites,
+        allowed: None,
+        summaries: book,
+        wall_ms: 0,
+        loads: word,
+        suspected: &|_| false,
+    };
+    let plan = plan(query, &basis);
     plan.parts.into_iter().map(|part| (part.site, part.why)).collect()
 }
 
--- a/crates/scatter/tests/keep.rs
+++ b/crates/scatter/tests/keep.rs
@@ -7,7 +7,7 @@
 use hallmux_scatter::book::{name, Book, Terms};
 use hallmux_scatter::build::{in_sheets, About, TableBuilder};
 use hallmux_scatter::keep::{Budget, Keep};
-use hallmux_scatter::plan::{plan, Word};
+use hallmux_scatter::plan::{plan, Basis, Word};
 use hallmux_scatter::sheets::{ends, Fineness};
 use hallmux_scatter::sql;
 use hallmux_scatter::summary::{Loads, MOST_BYTES};
@@ -141,7 +141,17 @@
         }
         let condition = if id == to { format!("id = {id}") } else { format!("id between {id} and {to}") };
         let query = sql::read(format!("select id from a_{group}.t where {condition}").as_bytes()).unwrap();
-        let plan = plan(&query, &sites, None, &book, *at_ms, &Word::NoLoads, &|_| false);
+        let plan = plan(
+            &query,
+            &Basis {
+                sites: &sites,
+                allowed: None,
+                summaries: &book,
+                wall_ms: *at_ms,
+                loads: &Word::NoLoads,
+                suspected: &|_| false,
+            },
+        );
         let has = |at: usize| world.rows[&(*group, at)].iter().any(|row| (*id..=*to).contains(row));
         for (at, name) in sites.iter().enumerate() {
             let out = plan.left_out.contains(name);
--- a/crates/scatter/tests/loads.rs
+++ b/crates/scatter/tests/loads.rs
@@ -8,7 +8,7 @@
 use hallmux_scatter::book::{Book, Terms};
 use hallmux_scatter::build::{summary, About, TableBuilder};
 use hallmux_scatter::marks::{numbered, numbers, Marks, Spoken, Touched};
-use hallmux_scatter::plan::{plan, Word};
+use hallmux_scatter::plan::{plan, Basis, Word};
 use hallmux_scatter::sql;
 use hallmux_scatter::summary::{Loads, MOST_BYTES};
 use hallmux_scatter::value::{Kind, Value};
@@ -52,6 +52,10 @@
     },
 }
 
+fn basis<'a>(sites: &'a [String], book: &'a Book, wall_ms: u64, word: &'a Word<'a>) -> Basis<'a> {
+    Basis { sites, allowed: None, summaries: book, wall_ms, loads: word, suspected: &|_| false }
+}
+
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         3 => (0..FRONTS, 0..3usize, 0i128..40, any::<bool>())
@@ -131,8 +135,8 @@
                 let query = sql::read(text.as_bytes()).unwrap();
                 let marks = Marks::read(&entry).unwrap();
                 let word = if with_marks { Word::Marks(&marks) } else { Word::NoLoads };
-                let plan =
-                    plan(&query, &SITES.map(str::to_string), None, &books[front], now, &word, &|_| false);
+                let names = SITES.map(str::to_string);
+                let plan = plan(&query, &basis(&names, &books[front], now, &word));
                 all += 3;
                 asked += plan.parts.len() as u32;
                 for (site, name) in sites.iter().zip(SITES) {
@@ -167,7 +171,7 @@
 fn a_load_that_is_lost_keeps_its_site_asked_until_a_later_one_is_spoken_of() {
     let query = sql::read(b"select * from sales_17.orders where id = 5").unwrap();
     let proved = |marks: &Marks, book: &Book| {
-        plan(&query, &["ash".to_string()], None, book, 0, &Word::Marks(marks), &|_| false).parts.is_empty()
+        plan(&query, &basis(&["ash".to_string()], book, 0, &Word::Marks(marks))).parts.is_empty()
     };
     let spoken = |version, numbers: &[u64]| {
         let mut loads = Loads::default();
@@ -214,7 +218,7 @@
     let query = sql::read(b"select * from sales_17.orders where id = 5").unwrap();
     let left_out = |marks: &Marks, book: &Book, now| {
         let word = Word::Marks(marks);
-        !plan(&query, &["ash".to_string()], None, book, now, &word, &|_| false).left_out.is_empty()
+        !plan(&query, &basis(&["ash".to_string()], book, now, &word)).left_out.is_empty()
     };
     let (mut near, mut far, mut marks) = (book(), book(), Marks::default());
     for book in [&mut near, &mut far] {
