--- a/crates/access/src/hits/fold.rs
+++ b/crates/access/src/hits/fold.rs
@@ -8,6 +8,7 @@
 
 use std::collections::BTreeMap;
 
+use hallmux_hash::fnv1a;
 use hallmux_ledger::{Act, Key, Kind, Outcome, Owner};
 use serde::{Deserialize, Serialize};
 
@@ -53,13 +54,10 @@
     }
 }
 
-/// The part that a row belongs to; the same in every build (FNV-1a).
+/// The part that a row belongs to; the same in every build.
 pub(super) fn place_of(hit: &Hit) -> usize {
     let texts = [&hit.rule, &hit.customer, &hit.region];
-    let hash = texts
-        .into_iter()
-        .flat_map(|text| text.bytes().chain([0]))
-        .fold(0xcbf2_9ce4_8422_2325, |hash: u64, b| (hash ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
+    let hash = fnv1a(texts.into_iter().flat_map(|text| text.bytes().chain([0])));
     ((hash ^ (hash >> 32)) % PLACES as u64) as usize
 }
 
@@ -193,3 +191,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "fold_tests.rs"]
+mod tests;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -8,7 +8,6 @@
 mod promises;
 
 use std::collections::BTreeMap;
-use std::hash::Hasher;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -18,6 +17,7 @@
 use hallmux_gossip::node::{Datagram, Node, Start};
 use hallmux_gossip::seal::{Keys, Refused};
 use hallmux_gossip::{Chance, PeerId};
+use hallmux_hash::fnv1a;
 
 const LOOK: Micros = 250_000; // microseconds between looks at what this front has seen itself
 const SILENCE_STEP_MS: Micros = 500; // milliseconds that silence is told in: each change is a report for all to pass on
@@ -73,10 +73,7 @@
 
 /// An engine's id as it goes out: the same on every front.
 pub fn named(engine: &str) -> u64 {
-    // FNV-1a, as published: it has to come to the same in every build.
-    let mut hash = fnv::FnvHasher::default();
-    hash.write(engine.as_bytes());
-    hash.finish()
+    fnv1a(engine.bytes())
 }
 
 fn sighting(seen: &Sighted) -> Sighting {
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -11,8 +11,7 @@
 pub mod leases;
 pub mod voter;
 
-use std::hash::Hasher;
-
+use hallmux_hash::fnv1a;
 use serde::{Deserialize, Serialize};
 
 pub type Micros = i64;
@@ -113,14 +112,9 @@
 
 /// The fleet's fingerprint: its name and who votes in it.
 pub fn fingerprint(name: &str, voters: &[FrontId]) -> u64 {
-    // FNV-1a, as published: it has to come to the same in every build.
     let mut voters = voters.to_vec();
     voters.sort_unstable();
-    let mut hash = fnv::FnvHasher::default();
-    hash.write(name.as_bytes());
-    hash.write(&[0]);
-    voters.into_iter().for_each(|voter| hash.write(&voter.to_be_bytes()));
-    hash.finish()
+    fnv1a(name.bytes().chain([0]).chain(voters.into_iter().flat_map(u64::to_be_bytes)))
 }
 
 #[cfg(test)]
--- a/crates/ledger/src/placement.rs
+++ b/crates/ledger/src/placement.rs
@@ -1,14 +1,12 @@
 //! Which shard a key is of, and which fronts keep a shard's copies.
 
-use std::hash::Hasher;
+use hallmux_hash::fnv1a;
 
 use crate::{FrontId, Key, Member};
 
-/// FNV-1a, as published: it has to come to the same in every build. Finished by a mixer, as FNV's high bits are poor.
+/// The same in every build. FNV-1a finished by a mixer, as its high bits are poor.
 pub(crate) fn hash(bytes: impl Iterator<Item = u8>) -> u64 {
-    let mut fnv = fnv::FnvHasher::default();
-    bytes.for_each(|byte| fnv.write(&[byte]));
-    let fnv = fnv.finish();
+    let fnv = fnv1a(bytes);
     let mixed = (fnv ^ (fnv >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     mixed ^ (mixed >> 33)
 }
--- a/crates/scatter/src/book.rs
+++ b/crates/scatter/src/book.rs
@@ -4,13 +4,14 @@
 use std::rc::Rc;
 
 use ed25519_dalek::VerifyingKey;
+use hallmux_hash::fnv1a;
 
 use crate::keep::{Keep, Shown};
 use crate::marks::Spoken;
 use crate::sheets::{self, Fineness};
 use crate::sql::Query;
 use crate::summary::{Loads, Refused, Summary};
-use crate::value::{fnv, Kind};
+use crate::value::Kind;
 use crate::Micros;
 
 /// What the operator says of summaries.
@@ -71,7 +72,7 @@
 
 /// The name that a site's summary of a group goes by between fronts.
 pub fn name(site: &str, group: u32) -> u64 {
-    fnv(&[site.as_bytes(), &[0], &group.to_le_bytes()].concat())
+    fnv1a(site.bytes().chain([0]).chain(group.to_le_bytes()))
 }
 
 impl Book {
--- a/crates/scatter/src/filter_tests.rs
+++ b/crates/scatter/src/filter_tests.rs
@@ -1,7 +1,8 @@
 //! Unit tests of the `filter` module.
 
 use super::*;
-use crate::value::{fnv, Value};
+use crate::value::Value;
+use hallmux_hash::fnv1a;
 
 fn hashes(from: i128, count: i128) -> Vec<u64> {
     (from..from + count).map(|n| Value::Number(n).hash()).collect()
@@ -50,7 +51,6 @@
     assert!(!fuse(0, segments, &prints).is_sound());
     assert!(!fuse(segment, 0, &prints).is_sound());
     assert!(!fuse(segment, u32::MAX, &prints).is_sound());
-    assert!(
-        !Members::All(vec![fnv(b"b"), fnv(b"a")].into_iter().rev().collect::<Vec<_>>().repeat(2)).is_sound()
-    );
+    assert!(!Members::All(vec![fnv1a(*b"b"), fnv1a(*b"a")].into_iter().rev().collect::<Vec<_>>().repeat(2))
+        .is_sound());
 }
--- a/crates/scatter/src/value.rs
+++ b/crates/scatter/src/value.rs
@@ -1,8 +1,7 @@
 //! Values of columns as summaries keep them, literals as statements write them, and how the two compare: where engines
 //! may differ, a comparison answers for each of them.
 
-use std::hash::Hasher;
-
+use hallmux_hash::fnv1a;
 use serde::{Deserialize, Serialize};
 
 pub const MOST_SCALE: u8 = 18; // digits behind the point: with 18 before it they fit 128 bits by far
@@ -67,8 +66,8 @@
     /// What the membership filter knows it by; the same in every build.
     pub fn hash(&self) -> u64 {
         match self {
-            Value::Number(n) => fnv(&n.to_le_bytes()),
-            Value::Text(text) => fnv(text.as_bytes()),
+            Value::Number(n) => fnv1a(n.to_le_bytes()),
+            Value::Text(text) => fnv1a(text.bytes()),
             Value::Bool(b) => u64::from(*b),
             Value::Float(f) => f.to_bits(),
             Value::Other => 0,
@@ -76,13 +75,6 @@
     }
 }
 
-/// FNV-1a, as published; the filter mixes it further.
-pub fn fnv(bytes: &[u8]) -> u64 {
-    let mut hash = fnv::FnvHasher::default();
-    hash.write(bytes);
-    hash.finish()
-}
-
 /// A constant of a statement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Literal {
--- a/crates/scatter/src/value_tests.rs
+++ b/crates/scatter/src/value_tests.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn hashes_are_the_same_in_every_build() {
-    assert_eq!(fnv(b"abc"), 0xe71f_a219_0541_574b);
+    assert_eq!(Value::Text("abc".into()).hash(), 0xe71f_a219_0541_574b);
     assert_eq!(Value::Number(7).hash(), 0x9b25_de61_27c0_1ba2);
     assert_eq!(crate::book::name("ash", 17), 0xf563_fdf5_1c9a_ffbc);
 }
