--- a/crates/agreement/src/operator/gossip.rs
+++ b/crates/agreement/src/operator/gossip.rs
@@ -1,4 +1,4 @@
-//! Words with other fronts: where they come in, whose count.
+//! The section `gossip`: messages between fronts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,8 +8,8 @@
 use super::ledger::{ledger, Ledger, LedgerFile};
 use super::overload::{overload, Overload, OverloadFile};
 use super::ownership::{owned, Ownership, OwnershipFile};
-use super::places::fault;
-use crate::error::{Error, What};
+use super::position::key_error;
+use crate::error::{Error, KeyProblem};
 
 const MOST_QUORUM: usize = 64; // vantages; more fronts than that never agree in time
 
@@ -30,12 +30,13 @@
 }
 
 fn zone_quorum() -> usize {
-    crate::contract::ZONE_QUORUM
+    crate::settings::ZONE_QUORUM
 }
 
-/// Words with other fronts: where they come in, whose count, whom to ask first.
+/// Messages between fronts: where they come in, whose count, whom to ask first.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Gossip {
+    /// Where datagrams of other fronts come in.
     pub listen: SocketAddr,
     /// The address that other fronts are told, where it is not the one it listens on.
     pub advertise: Option<SocketAddr>,
@@ -43,8 +44,10 @@
     pub secret_file: String,
     /// Public keys, by the names that the log gives them.
     pub peers: Vec<(String, [u8; 32])>,
+    /// Fronts to ask first, and now and then.
     pub seeds: Vec<SocketAddr>,
-    /// Believed fronts of as many vantages whose word of most of a zone leads the fleet out of it; 0: never.
+    /// Trusted fronts of as many vantages have to report most of a zone as failed before the fleet leaves it;
+    /// 0: it never does.
     pub zone_quorum: usize,
     /// One owner at a time for work on behalf of the fleet, where voters are named.
     pub ownership: Option<Ownership>,
@@ -54,19 +57,20 @@
     pub overload: Option<Overload>,
 }
 
+/// Checks the section.
 pub fn gossip(text: &str, mut file: GossipFile) -> Result<Gossip, Error> {
     let mut peers = Vec::new();
     for (name, key) in std::mem::take(&mut file.peers) {
-        match hexadecimal(&key) {
+        match parse_key(&key) {
             Some(key) => peers.push((name, key)),
             None => {
                 let path = format!("gossip.peers.{name}");
-                return Err(fault(text, &path, What::NoKey));
+                return Err(key_error(text, &path, KeyProblem::InvalidPublicKey));
             }
         }
     }
     if file.zone_quorum > MOST_QUORUM {
-        return Err(fault(text, "gossip.zone_quorum", What::over(MOST_QUORUM)));
+        return Err(key_error(text, "gossip.zone_quorum", KeyProblem::above_maximum(MOST_QUORUM)));
     }
     let shed = file.overload.take();
     let GossipFile { listen, advertise, secret_file, seeds, zone_quorum, ownership, ledger: kept, .. } = file;
@@ -76,8 +80,8 @@
     Ok(Gossip { listen, advertise, secret_file, peers, seeds, zone_quorum, ownership, ledger, overload })
 }
 
-/// Thirty-two bytes, as 64 hexadecimal digits.
-pub fn hexadecimal(text: &str) -> Option<[u8; 32]> {
+/// Thirty-two bytes of a key, from 64 hexadecimal digits with white space around; None for any other text.
+pub fn parse_key(text: &str) -> Option<[u8; 32]> {
     let digits = text.trim().as_bytes();
     let mut bytes = [0; 32];
     for (n, byte) in bytes.iter_mut().enumerate() {
--- a/crates/front/src/fleet/rules/file.rs
+++ b/crates/front/src/fleet/rules/file.rs
@@ -4,12 +4,12 @@
 use std::rc::Rc;
 
 use hallmux_access::{self as access, Known, Owner, Wish};
-use hallmux_agreement::{line_of, Contract, Station};
+use hallmux_agreement::{line_of, NodeConfig, Settings};
 use hallmux_dispatcher::Micros;
 
-use super::{Peers, Rules, RulesFault, Shared};
+use super::{Peers, Rules, RulesError, Shared};
 
-pub(super) fn known(rules: &hallmux_agreement::Rules, contract: &Contract) -> Known {
+pub(super) fn known(rules: &hallmux_agreement::Rules, contract: &Settings) -> Known {
     let names = &contract.names;
     let workloads = names.workloads.iter().zip(&contract.agreement.workloads).map(|(name, w)| {
         let named =
@@ -26,23 +26,23 @@
 }
 
 /// Reads the file of rules; all its faults at once.
-pub(super) fn read(file: &str, known: &Known) -> Result<(String, Wish), RulesFault> {
+pub(super) fn read(file: &str, known: &Known) -> Result<(String, Wish), RulesError> {
     let text = std::fs::read_to_string(file);
-    let text = text.map_err(|why| RulesFault::File { file: file.to_string(), why })?;
+    let text = text.map_err(|why| RulesError::File { file: file.to_string(), why })?;
     let wish = access::read(file, &text, known, &|path| line_of(&text, path))?;
     Ok((text, wish))
 }
 
 /// Switched on by the operator's file.
-pub fn start(station: &Station, now: Micros, peers: Option<&Peers>) -> Result<Option<Shared>, RulesFault> {
+pub fn start(station: &NodeConfig, now: Micros, peers: Option<&Peers>) -> Result<Option<Shared>, RulesError> {
     let Some(rules) = &station.operator.rules else { return Ok(None) };
     let incarnation = (now / 1000) as u64;
     let (front, fronts) = match peers.map(Peers::fleet) {
         None => (1, vec![1]),
         Some(Some(fleet)) => fleet,
-        Some(None) => return Err(RulesFault::NoLedger),
+        Some(None) => return Err(RulesError::NoLedger),
     };
     let own = Owner { front, incarnation };
-    let rules = Rules::new(rules, &station.contract, own, fronts, peers.is_none())?;
+    let rules = Rules::new(rules, &station.settings, own, fronts, peers.is_none())?;
     Ok(Some(Rc::new(RefCell::new(rules))))
 }
--- /dev/null
+++ b/crates/front/src/postgres/gateway.rs
@@ -0,0 +1,394 @@
+//! The gateway for PostgreSQL sessions: it hands their units to the dispatcher, carries out its orders over
+//! connections to engines, and hands the answers back. Switched on by the operator's file; off, it is not there.
+
+mod admission;
+mod loads;
+
+use std::net::TcpListener;
+use std::rc::Rc;
+
+use calloop::LoopHandle;
+use hallmux_agreement::{Postgres, Settings};
+use hallmux_dispatcher::{Dispatcher, Ending, Micros, Note, Place, Ticket};
+use hallmux_postgres::client_error::ClientError;
+use hallmux_postgres::session::Transaction;
+
+use self::admission::final_answer;
+use super::error::ListenError;
+use super::servers::{self, Servers, Unit};
+use super::sessions::{self, Sessions, Users};
+use crate::events::{LoopEvents, SocketId, SocketKind};
+use crate::execution::ExecutionId;
+use crate::fleet::rules::Shared;
+use crate::link::Link;
+use crate::listener::Listener;
+
+/// What admission of a unit depends on beyond its session.
+#[derive(Clone, Copy)]
+pub struct AdmissionState {
+    /// How long what is found now may have waited.
+    pub waited: Micros,
+    /// No more statements can be taken.
+    pub full: bool,
+}
+
+pub struct Gateway {
+    handle: LoopHandle<'static, LoopEvents>,
+    listener: Listener,
+    sessions: Sessions,
+    servers: Servers,
+    users: Users,
+    allowed: Postgres,
+    answer_slack: Micros,
+    timeouts: Vec<(String, Micros)>,
+    retry_after_ms: Option<i64>,
+    /// Regional access rules, where they are switched on.
+    rules: Option<Shared>,
+    /// Workloads whose units may write, where loads are marked.
+    pub writes: Vec<String>,
+    shut: Option<Micros>,
+    /// Connections with more to read than one iteration takes, that the event loop does not report again.
+    unfinished: Vec<SocketId>,
+}
+
+impl Gateway {
+    pub fn new(
+        postgres: &Postgres,
+        contract: &Settings,
+        handle: LoopHandle<'static, LoopEvents>,
+        rules: Option<Shared>,
+    ) -> std::io::Result<Gateway> {
+        let listener = TcpListener::bind(postgres.listen)
+            .map_err(|why| ListenError::Listen { at: postgres.listen, why })?;
+        let address = listener.local_addr()?;
+        let workloads = contract.names.workloads.iter().zip(&contract.agreement.workloads);
+        let gateway = Gateway {
+            listener: Listener::new(listener, &handle, SocketKind::SessionListener.id(0))?,
+            sessions: Sessions::new(&postgres.limits),
+            servers: Servers::new(handle.clone(), contract.network.clone(), postgres.limits.clone()),
+            users: Users::new(&postgres.users),
+            allowed: postgres.clone(),
+            answer_slack: contract.network.answer_slack,
+            timeouts: workloads.map(|(name, w)| (name.clone(), w.statement_timeout)).collect(),
+            retry_after_ms: contract.agreement.longest_retry_after.map(|time| time / 1000),
+            shut: None,
+            rules,
+            writes: Vec::new(),
+            unfinished: Vec::new(),
+            handle,
+        };
+        log::info!("takes PostgreSQL sessions at {address}");
+        Ok(gateway)
+    }
+
+    /// Descriptors that its engine connections may use.
+    pub fn limit(&mut self, descriptors: usize) {
+        self.servers.limit(descriptors);
+    }
+
+    /// Sessions that are connected.
+    pub fn len(&self) -> usize {
+        self.sessions.len()
+    }
+
+    /// Bytes held of what clients have sent.
+    pub fn held_bytes(&self) -> usize {
+        self.sessions.held_bytes()
+    }
+
+    pub fn owns(&self, ticket: Ticket) -> bool {
+        self.sessions.owns(ticket)
+    }
+
+    /// Whether an execution is out for a session, or was when it left.
+    pub fn has(&self, sent: ExecutionId) -> bool {
+        self.servers.has(sent)
+    }
+
+    /// Where an engine of a kind takes sessions: at a port of its own beside lines, or in their place.
+    pub fn port(&self, kind: &str) -> Option<Option<u16>> {
+        let speaks = |e: &&hallmux_agreement::PostgresEngines| e.kinds.iter().any(|k| k == kind);
+        self.allowed.engines.iter().find(speaks).map(|e| e.port)
+    }
+
+    pub fn servers(&mut self) -> &mut Servers {
+        &mut self.servers
+    }
+
+    pub fn due(&self) -> Micros {
+        let more = !self.servers.events.is_empty() || !self.sessions.ready.is_empty();
+        let more = more || !self.unfinished.is_empty();
+        let ready = if more { 0 } else { Micros::MAX };
+        self.listener.due().min(self.servers.due()).min(ready)
+    }
+
+    /// A connection has changed: takes what is there. True if there is more for another iteration.
+    pub fn socket_ready(
+        &mut self,
+        now: Micros,
+        socket: SocketId,
+        room: AdmissionState,
+        dispatcher: &mut Dispatcher,
+    ) -> bool {
+        let more = self.ready(now, socket);
+        if socket.kind == SocketKind::Session {
+            self.take_units(now, room, dispatcher);
+        }
+        more
+    }
+
+    fn ready(&mut self, now: Micros, socket: SocketId) -> bool {
+        match socket.kind {
+            SocketKind::SessionListener => self.listener.readable(),
+            SocketKind::Session => return self.sessions.read(now, socket.number),
+            SocketKind::Server => return self.servers.read(now, socket.number),
+            SocketKind::Cancel => self.servers.read_cancel(socket.number),
+            SocketKind::Listener
+            | SocketKind::Client
+            | SocketKind::Engine
+            | SocketKind::Coordinator
+            | SocketKind::Peers => {}
+        }
+        false
+    }
+
+    /// Closes a session for another connection, of whatever kind. False if none can go.
+    pub fn evict_idle(&mut self, now: Micros) -> bool {
+        self.sessions.evict_idle(now)
+    }
+
+    /// Accepts connections; `room` is how many more may be connected.
+    pub fn accept(&mut self, now: Micros, mut room: usize) {
+        loop {
+            let (sessions, most) = (&mut self.sessions, self.allowed.limits.sessions);
+            let reserve = || {
+                let free = room > 0 && sessions.len() < most || sessions.evict_idle(now);
+                free.then_some(()).ok_or_else(|| format!("{} sessions are connected", sessions.len()))
+            };
+            let Some(stream) = self.listener.accept(now, reserve) else { return };
+            let id = self.sessions.next_id();
+            room = room.saturating_sub(1);
+            match Link::new(stream, &self.handle, SocketKind::Session.id(id)) {
+                Ok(link) => {
+                    self.sessions.accept(now, id, link);
+                    self.read_on(now, SocketKind::Session.id(id));
+                }
+                Err(e) => log::warn!("a session's connection can't be served: {e}"),
+            }
+        }
+    }
+
+    /// Reads a connection that the event loop has not reported; what one iteration leaves is read in the next.
+    fn read_on(&mut self, now: Micros, socket: SocketId) {
+        if self.ready(now, socket) {
+            self.unfinished.push(socket);
+        }
+    }
+
+    /// Reads on where an iteration has left more, and takes the units that have come.
+    pub fn take(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
+        for socket in std::mem::take(&mut self.unfinished) {
+            self.read_on(now, socket);
+        }
+        self.take_units(now, room, dispatcher);
+    }
+
+    fn take_units(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
+        for id in std::mem::take(&mut self.sessions.ready) {
+            self.sessions.advance(now, id, &self.users, &mut self.servers);
+            self.handle_session_events(now, room, dispatcher);
+        }
+    }
+
+    /// Carries out what sessions have come to.
+    fn handle_session_events(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
+        while !self.sessions.events.is_empty() {
+            for event in std::mem::take(&mut self.sessions.events) {
+                match event {
+                    sessions::Event::Unit { session, part, since } => {
+                        self.admit(now, room, dispatcher, session, part, since);
+                    }
+                    sessions::Event::UnitPart { ticket, part }
+                        if self.names_unmarked_groups(ticket, &part) =>
+                    {
+                        self.sessions.fail(now, ticket, &loads::UNMARKED_GROUPS, None);
+                        dispatcher.left(now, ticket);
+                    }
+                    sessions::Event::UnitPart { ticket, part } => {
+                        let sent = self.sessions.by_ticket(ticket);
+                        let sent = sent.and_then(|(_, i)| i.running.as_ref()?.sent);
+                        sent.into_iter().for_each(|sent| self.servers.more(sent, part.clone()));
+                    }
+                    sessions::Event::Abandoned(ticket) => dispatcher.left(now, ticket),
+                    sessions::Event::TransactionOver { pin, keys, may_go_on } => {
+                        pin.into_iter().for_each(|pin| self.servers.release(now, pin));
+                        keys.iter().for_each(|key| dispatcher.freed(now, key, may_go_on));
+                    }
+                    sessions::Event::Cancel(session) => self.cancel(now, dispatcher, session),
+                }
+            }
+        }
+    }
+
+    /// An execution leaves; with other text where it is a simple query that is to have it.
+    pub fn send(&mut self, now: Micros, sent: ExecutionId, place: Place, text: Option<Vec<u8>>) {
+        let Some((session, open_session)) = self.sessions.by_ticket(sent.ticket) else {
+            return self.servers.events.push(servers::Event::Ended { sent, ending: Ending::Withdrawn });
+        };
+        let (settings, account) = (open_session.session.settings.clone(), open_session.account);
+        let pin = open_session.pin.map(|(_, link)| link);
+        let lost = open_session.session.transaction == Transaction::Lost;
+        let Some(running) = &mut open_session.running else { return };
+        running.sent = Some(sent);
+        let (mut parts, once) = (running.parts.clone(), running.commits);
+        if let (Some(text), [part]) = (text, &mut parts[..]) {
+            *part = part.with_text(&text).map_or_else(|| part.clone(), Rc::new);
+        }
+        if lost {
+            // Its transaction went while it waited.
+            return self.servers.events.push(servers::Event::Ended { sent, ending: Ending::Withdrawn });
+        }
+        self.servers.send(now, sent, place, Unit { session, parts, settings, account, pin, once });
+    }
+
+    pub fn stop(&mut self, now: Micros, sent: ExecutionId, ending: Ending) {
+        let running =
+            self.sessions.by_ticket(sent.ticket).and_then(|(_, open_session)| open_session.running.as_mut());
+        running.into_iter().for_each(|r| r.time_up |= ending == Ending::TimeUp);
+        self.servers.cancel_execution(now, sent, ending);
+    }
+
+    /// The module turns a statement away, or ends it.
+    pub fn refuse(&mut self, now: Micros, ticket: Ticket, rejects: bool, retry_after: Option<Micros>) {
+        let Some((_, open_session)) = self.sessions.by_ticket(ticket) else { return };
+        let why = final_answer(open_session, rejects, retry_after);
+        self.sessions.fail(now, ticket, &why, None);
+    }
+
+    /// Reports replies of engines, and how executions have ended, to sessions and to the dispatcher.
+    pub fn handle_server_events(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
+        loop {
+            let events = std::mem::take(&mut self.servers.events);
+            if events.is_empty() {
+                break;
+            }
+            for event in events {
+                self.handle_server_event(now, dispatcher, event);
+            }
+            self.handle_session_events(now, room, dispatcher);
+        }
+        self.take(now, room, dispatcher);
+    }
+
+    fn handle_server_event(&mut self, now: Micros, dispatcher: &mut Dispatcher, event: servers::Event) {
+        match event {
+            servers::Event::Irrevocable(ExecutionId { ticket, .. }) => dispatcher.begun(ticket),
+            servers::Event::PartialAnswer {
+                sent: ExecutionId { ticket, number: execution },
+                bytes,
+                whole,
+            } => {
+                dispatcher.begun(ticket);
+                if self.sessions.pass(ticket, &bytes, whole) {
+                    self.servers.pause(ExecutionId::new(ticket, execution), true);
+                }
+            }
+            servers::Event::Answered {
+                sent: ExecutionId { ticket, number: execution },
+                bytes,
+                done,
+                held,
+            } => {
+                let open = done.status != b'I';
+                let keeps = open && dispatcher.keeps(ticket);
+                let ending = Ending::Answered;
+                if !dispatcher.report(now, ticket, execution, ending, None) {
+                    // It had its answer before; a transaction that it opened is nobody's.
+                    return held.into_iter().for_each(|link| self.servers.release(now, link));
+                }
+                let Some((_, open_session)) = self.sessions.by_ticket(ticket) else { return };
+                if let Some(key) = open_session.running.as_mut().and_then(|r| r.key.take()).filter(|_| keeps)
+                {
+                    open_session.held_keys.push(key);
+                }
+                let place = held.and_then(|link| self.servers.place(link));
+                let pin = place.zip(held);
+                self.sessions.answer(now, ticket, &bytes, &done, pin);
+            }
+            servers::Event::Refused { sent: ExecutionId { ticket, number: execution }, error } => {
+                dispatcher.begun(ticket);
+                if dispatcher.report(now, ticket, execution, Ending::Stale, None) {
+                    self.sessions.fail(now, ticket, &ClientError::ResultLost, Some(&error));
+                }
+            }
+            servers::Event::Ended { sent: ExecutionId { ticket, number: execution }, ending } => {
+                let mut cancelled = false;
+                if let Some((_, open_session)) = self.sessions.by_ticket(ticket) {
+                    if let Some(running) = &mut open_session.running {
+                        running.ran |= ending.may_have_run();
+                        running.sent = None;
+                        cancelled = running.cancelled;
+                    }
+                }
+                let over = dispatcher.report(now, ticket, execution, ending, None);
+                if over || cancelled {
+                    // One whose client has asked for its end is not tried again.
+                    self.refuse(now, ticket, false, None);
+                    dispatcher.left(now, ticket);
+                }
+            }
+            servers::Event::Alive(ExecutionId { ticket, number: execution }) => {
+                dispatcher.note(ticket, execution, Note::Alive)
+            }
+            servers::Event::TransactionLost { session } => self.sessions.transaction_lost(session),
+        }
+    }
+
+    /// Sends what is to leave to engines.
+    pub fn flush_servers(&mut self, now: Micros) {
+        self.servers.flush(now);
+    }
+
+    /// Sends what is to leave to clients; ends the one that takes least where all leave too much.
+    pub fn flush(&mut self, now: Micros, room: AdmissionState, most: usize, dispatcher: &mut Dispatcher) {
+        for sent in self.sessions.flush() {
+            if let Some(link) = self.servers.pause(sent, false) {
+                self.read_on(now, SocketKind::Server.id(link));
+            }
+        }
+        if let (untaken, Some(id)) = self.sessions.unsent() {
+            if untaken > most {
+                log::warn!("session {id}: takes no answers, {untaken} bytes wait; its connection is closed");
+                self.sessions.disconnect(id);
+            }
+        }
+        for id in self.sessions.unstalled() {
+            self.read_on(now, SocketKind::Session.id(id));
+        }
+        self.handle_session_events(now, room, dispatcher);
+    }
+
+    pub fn expire(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
+        self.sessions.expire(now, self.shut);
+        self.servers.expire(now);
+        self.handle_session_events(now, room, dispatcher);
+    }
+
+    /// The front ends: no more sessions are taken, and those that rest are closed. `sessions_left` is how many more may
+    /// be connected.
+    pub fn close(
+        &mut self,
+        now: Micros,
+        room: AdmissionState,
+        sessions_left: usize,
+        dispatcher: &mut Dispatcher,
+    ) {
+        self.shut.get_or_insert(now);
+        // Whoever has connected by now is told of the end: closing the listener resets what waits there.
+        self.listener.readable();
+        self.accept(now, sessions_left);
+        self.listener.close();
+        self.sessions.close_idle();
+        self.handle_session_events(now, room, dispatcher);
+    }
+}
--- a/crates/postgres/fuzz/drive.rs
+++ b/crates/postgres/fuzz/drive.rs
@@ -3,11 +3,11 @@
 
 use std::rc::Rc;
 
-use hallmux_postgres::engine::{Account, Engine, Heard};
-use hallmux_postgres::entry::{Entry, Step};
-use hallmux_postgres::prepared::{Catalogue, Settings};
-use hallmux_postgres::session::{Bounds, Part, Read, Session};
+use hallmux_postgres::engine::{Account, EngineConnection, EngineEvent};
+use hallmux_postgres::prepared::{Catalogue, SessionSettings};
+use hallmux_postgres::session::{Bounds, Session, SessionEvent, UnitPart};
 use hallmux_postgres::sql;
+use hallmux_postgres::startup::{Startup, StartupStep};
 
 const BOUNDS: Bounds = Bounds { statements: 8, portals: 4, settings: 4, bytes: 4096 };
 
@@ -15,23 +15,23 @@
 pub fn drive(bytes: &[u8]) {
     let Some((which, input)) = bytes.split_first() else { return };
     match which % 4 {
-        0 => entry(input),
+        0 => startup(input),
         1 => _ = session(input),
         2 => engine(input),
         _ => _ = sql::scan(input),
     }
 }
 
-fn entry(input: &[u8]) {
-    let (mut entry, mut out) = (Entry::default(), Vec::new());
+fn startup(input: &[u8]) {
+    let (mut startup, mut out) = (Startup::default(), Vec::new());
     let mut at = 0;
     // In two pieces, so that what is kept between them is met as well.
     for end in [input.len() / 2, input.len()] {
-        match entry.read(&input[at..end], |_| None, b"secret", "nonce", &mut out) {
+        match startup.read(&input[at..end], |_| None, b"secret", "nonce", &mut out) {
             Ok((used, step)) => {
                 assert!(used <= end - at && out.len() <= 4 * input.len() + 1024);
                 at += used;
-                if !matches!(step, Step::More) {
+                if !matches!(step, StartupStep::Incomplete) {
                     return;
                 }
             }
@@ -41,7 +41,7 @@
 }
 
 /// Reads all units that the bytes hold.
-pub fn session(input: &[u8]) -> Vec<Rc<Part>> {
+pub fn session(input: &[u8]) -> Vec<Rc<UnitPart>> {
     let mut catalogue = Catalogue::default();
     let mut session = Session::new(&Default::default(), &mut catalogue);
     let (mut parts, mut at, mut out) = (Vec::new(), 0, Vec::new());
@@ -49,12 +49,12 @@
         assert!(used <= input.len() - at);
         at += used;
         match read {
-            Read::Part(part) => {
+            SessionEvent::Part(part) => {
                 assert!(used > 0 && part.raw.len() <= BOUNDS.bytes);
                 session.answers(&part, &mut catalogue, &mut out);
                 parts.push(part);
             }
-            Read::More | Read::Goes => break,
+            SessionEvent::Incomplete | SessionEvent::Terminated => break,
         }
     }
     parts
@@ -65,10 +65,10 @@
     let half = input.len() / 2;
     let parts = session(&input[..half]);
     let (mut out, mut back) = (Vec::new(), Vec::new());
-    let mut engine = Engine::new(Account::default(), 2, &mut out);
+    let mut engine = EngineConnection::new(Account::default(), 2, &mut out);
     let login = b"R\0\0\0\x08\0\0\0\0K\0\0\0\x0c\0\0\0\x01\0\0\0\x02Z\0\0\0\x05I";
-    assert!(matches!(engine.read(login, &mut out, &mut back, 64), Ok((_, Some(Heard::Up)))));
-    let settings = Rc::<Settings>::default();
+    assert!(matches!(engine.read(login, &mut out, &mut back, 64), Ok((_, Some(EngineEvent::Ready)))));
+    let settings = Rc::<SessionSettings>::default();
     for part in &parts {
         engine.send(part, &settings, false, &mut out, &mut back);
     }
--- /dev/null
+++ b/crates/postgres/src/startup.rs
@@ -0,0 +1,243 @@
+//! The start-up of a client's connection: requests for encryption, protocol versions, who the client is, and
+//! its authentication.
+
+use std::collections::BTreeMap;
+
+use crate::client_error::ClientError;
+use crate::scram::{Exchange, Verifier, MECHANISM};
+use crate::wire::{self, CancelKey, InitialMessage, Message};
+use crate::ProtocolError;
+
+const LONGEST_PROOF: usize = 4096; // bytes; those of the library's take some hundred
+const MOST_QUESTIONS: usize = 2; // for encryption: there are two kinds
+
+// Kinds of authentication messages, as the protocol numbers them.
+const SASL: u32 = 10;
+const SASL_CONTINUE: u32 = 11;
+const SASL_FINAL: u32 = 12;
+
+/// A client by the parameters of its start-up.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Client {
+    pub user: String,
+    pub database: String,
+    /// All other parameters, those of `options` among them.
+    pub parameters: BTreeMap<String, String>,
+}
+
+/// How a user proves who it is.
+#[derive(Clone)]
+pub enum Authentication {
+    Trust,
+    Scram(Verifier),
+}
+
+pub enum StartupStep {
+    /// More has to come.
+    Incomplete,
+    Cancel(CancelKey),
+    Accepted(Client),
+    /// The reason is written; the connection ends.
+    Refused,
+}
+
+#[derive(Default)]
+enum Stage {
+    #[default]
+    Opening,
+    First(Client, Verifier),
+    Last(Client, Exchange),
+}
+
+#[derive(Default)]
+pub struct Startup {
+    stage: Stage,
+    questions: usize,
+}
+
+impl Startup {
+    /// Takes what has come and writes what is to go back; says how much was taken. `access` tells how a user
+    /// proves itself, None for one that does not exist; `secret` hides which do; `nonce` is new for each
+    /// connection. After any step but `Incomplete` it is not called again.
+    pub fn read(
+        &mut self,
+        input: &[u8],
+        access: impl Fn(&str) -> Option<Authentication>,
+        secret: &[u8],
+        nonce: &str,
+        out: &mut Vec<u8>,
+    ) -> Result<(usize, StartupStep), ProtocolError> {
+        let mut used = 0;
+        loop {
+            let rest = &input[used..];
+            let step = match std::mem::take(&mut self.stage) {
+                Stage::Opening => {
+                    let Some((len, message)) = wire::initial_message(rest)? else {
+                        return Ok((used, StartupStep::Incomplete));
+                    };
+                    used += len;
+                    self.open(message, &access, secret, out)?
+                }
+                Stage::First(client, verifier) => {
+                    let Some((body, len)) = proof(rest)? else {
+                        self.stage = Stage::First(client, verifier);
+                        return Ok((used, StartupStep::Incomplete));
+                    };
+                    used += len;
+                    let begun = first(body).and_then(|first| Exchange::begin(verifier, first, nonce));
+                    match begun {
+                        Some((exchange, answer)) => {
+                            write_authentication(out, SASL_CONTINUE, answer.as_bytes());
+                            self.stage = Stage::Last(client, exchange);
+                            None
+                        }
+                        None => Some(refused(&client, out)),
+                    }
+                }
+                Stage::Last(client, exchange) => {
+                    let Some((body, len)) = proof(rest)? else {
+                        self.stage = Stage::Last(client, exchange);
+                        return Ok((used, StartupStep::Incomplete));
+                    };
+                    used += len;
+                    match exchange.finish(body) {
+                        Some(answer) => {
+                            write_authentication(out, SASL_FINAL, answer.as_bytes());
+                            Some(StartupStep::Accepted(client))
+                        }
+                        None => Some(refused(&client, out)),
+                    }
+                }
+            };
+            if let Some(step) = step {
+                return Ok((used, step));
+            }
+        }
+    }
+
+    /// Takes the first message; None where another has to follow.
+    fn open(
+        &mut self,
+        message: InitialMessage,
+        access: impl Fn(&str) -> Option<Authentication>,
+        secret: &[u8],
+        out: &mut Vec<u8>,
+    ) -> Result<Option<StartupStep>, ProtocolError> {
+        match message {
+            InitialMessage::EncryptionRequest => {
+                self.questions += 1;
+                if self.questions > MOST_QUESTIONS {
+                    return Err(ProtocolError::Encryption { times: self.questions });
+                }
+                out.push(b'N');
+                Ok(None)
+            }
+            InitialMessage::Cancel(key) => Ok(Some(StartupStep::Cancel(key))),
+            InitialMessage::UnsupportedVersion { major } => {
+                ClientError::UnsupportedVersion { major }.write(out, true);
+                Ok(Some(StartupStep::Refused))
+            }
+            InitialMessage::StartUp { minor, parameters } => {
+                let unknown: Vec<&str> =
+                    parameters.iter().map(|p| p.0).filter(|n| n.starts_with("_pq_.")).collect();
+                if minor > 0 || !unknown.is_empty() {
+                    wire::write_version(out, &unknown);
+                }
+                let client = match client(&parameters) {
+                    Ok(client) => client,
+                    Err(why) => {
+                        why.write(out, true);
+                        return Ok(Some(StartupStep::Refused));
+                    }
+                };
+                let verifier = match access(&client.user) {
+                    Some(Authentication::Trust) => return Ok(Some(StartupStep::Accepted(client))),
+                    Some(Authentication::Scram(verifier)) => verifier,
+                    None => Verifier::of_nobody(&client.user, secret),
+                };
+                write_authentication(out, SASL, &[MECHANISM.as_bytes(), b"\0\0"].concat());
+                self.stage = Stage::First(client, verifier);
+                Ok(None)
+            }
+        }
+    }
+}
+
+/// Writes a message of the authentication: its kind and what belongs to it.
+fn write_authentication(out: &mut Vec<u8>, kind: u32, body: &[u8]) {
+    wire::write(out, b'R', |out| {
+        out.extend_from_slice(&kind.to_be_bytes());
+        out.extend_from_slice(body);
+    });
+}
+
+fn proof(input: &[u8]) -> Result<Option<(&[u8], usize)>, ProtocolError> {
+    match wire::message(input, LONGEST_PROOF)? {
+        Some(Message { tag: b'p', body, len }) => Ok(Some((body, len))),
+        Some(Message { tag, .. }) => Err(ProtocolError::NoProof(tag)),
+        None => match input.first() {
+            Some(tag) if *tag != b'p' => Err(ProtocolError::NoProof(*tag)),
+            _ => Ok(None),
+        },
+    }
+}
+
+/// The client's first message of SASL, behind the mechanism that it chose.
+fn first(body: &[u8]) -> Option<&[u8]> {
+    let mut rest = body;
+    let mechanism = wire::read_string(&mut rest).ok()?;
+    let len = u32::from_be_bytes(rest.get(..4)?.try_into().ok()?) as usize;
+    (mechanism == MECHANISM.as_bytes() && rest.len() - 4 == len).then_some(&rest[4..])
+}
+
+fn refused(client: &Client, out: &mut Vec<u8>) -> StartupStep {
+    ClientError::WrongPassword { user: client.user.clone() }.write(out, true);
+    StartupStep::Refused
+}
+
+fn client(parameters: &[(&str, &str)]) -> Result<Client, ClientError> {
+    let mut client = Client::default();
+    for (name, value) in parameters {
+        match *name {
+            "user" => client.user = value.to_string(),
+            "database" => client.database = value.to_string(),
+            "replication" if !matches!(*value, "0" | "off" | "false" | "no") => {
+                return Err(ClientError::Unsupported { why: "replication" });
+            }
+            "replication" => {}
+            "options" => options(value, &mut client.parameters),
+            name if name.starts_with("_pq_.") => {}
+            name => _ = client.parameters.insert(name.to_ascii_lowercase(), value.to_string()),
+        }
+    }
+    if client.user.is_empty() {
+        return Err(ClientError::Protocol { why: ProtocolError::NoUser });
+    }
+    if client.database.is_empty() {
+        client.database = client.user.clone();
+    }
+    Ok(client)
+}
+
+/// `-c name=value` and `--name=value`, spaces within a value behind a backslash.
+fn options(text: &str, parameters: &mut BTreeMap<String, String>) {
+    let mut words: Vec<String> = vec![String::new()];
+    let mut chars = text.chars();
+    while let Some(c) = chars.next() {
+        match c {
+            '\\' => words.last_mut().into_iter().for_each(|word| word.extend(chars.next())),
+            c if c.is_whitespace() => words.push(String::new()),
+            c => words.last_mut().into_iter().for_each(|word| word.push(c)),
+        }
+    }
+    for word in words.iter().filter(|word| !word.is_empty()) {
+        let pair = word.strip_prefix("--").or(word.strip_prefix("-c")).unwrap_or(word);
+        if let Some((name, value)) = pair.split_once('=') {
+            parameters.insert(name.replace('-', "_").to_ascii_lowercase(), value.to_string());
+        }
+    }
+}
+
+#[cfg(test)]
+#[path = "startup_tests.rs"]
+mod tests;
