--- a/crates/front/src/front/dispatch.rs
+++ b/crates/front/src/front/dispatch.rs
@@ -6,7 +6,7 @@
 use hallmux_codec::statement::{Call, Reply};
 use hallmux_dispatcher::{Ending, Micros, Order, Ticket};
 use hallmux_fleet::gate;
-use hallmux_scatter::whole::Failed;
+use hallmux_scatter::gather::PartFailure;
 
 use super::Front;
 use crate::engines;
@@ -244,8 +244,8 @@
                 self.engines.set_priority(ExecutionId::new(ticket, execution), priority);
             }
             Order::Reject { ticket, retry_after }
-                if self.end_part(ticket, Err(Failed::Rejected { retry_after })) => {}
-            Order::Abort { ticket } if self.end_part(ticket, Err(Failed::Aborted)) => {}
+                if self.end_part(ticket, Err(PartFailure::Rejected { retry_after })) => {}
+            Order::Abort { ticket } if self.end_part(ticket, Err(PartFailure::Aborted)) => {}
             Order::Reject { ticket, retry_after } => self.answer_without_result(ticket, true, retry_after),
             Order::Abort { ticket } => self.answer_without_result(ticket, false, None),
             // Between the decision and now the work may have become another's: then the probe stays here.
--- a/crates/front/src/front/scatter.rs
+++ b/crates/front/src/front/scatter.rs
@@ -6,8 +6,8 @@
 use hallmux_codec::statement::{self, Call, Reply};
 use hallmux_dispatcher::{Micros, Order, Ticket, Unfit};
 use hallmux_gossip::post::Channel;
-use hallmux_scatter::marker::Follows;
-use hallmux_scatter::whole::{Answer, Failed};
+use hallmux_scatter::gather::{Answer, PartFailure};
+use hallmux_scatter::marker::Effect;
 
 use super::Front;
 use crate::clients::ClientId;
@@ -60,7 +60,7 @@
     }
 
     /// A part is answered; false if the statement is none.
-    pub(super) fn end_part(&mut self, part: Ticket, ended: Result<&[u8], Failed>) -> bool {
+    pub(super) fn end_part(&mut self, part: Ticket, ended: Result<&[u8], PartFailure>) -> bool {
         let now = self.clock.now;
         let Some(scatter) = self.scatter.as_mut().filter(|scatter| scatter.owns(part)) else { return false };
         scatter.ended(now, part, ended.map(<[u8]>::to_vec), &mut self.dispatcher);
@@ -124,7 +124,7 @@
                         let retry_after = self.dispatcher.turn_away(now, ticket);
                         self.carry_out(Order::Reject { ticket, retry_after });
                     }
-                    LoadOutcome::Other(Follows::Marks { group, scatters, marks }) => {
+                    LoadOutcome::Other(Effect::Marks { group, scatters, marks }) => {
                         let waiting: Vec<Ticket> = scatters.iter().map(|ticket| *ticket as Ticket).collect();
                         if let Some(scatter) = &mut self.scatter {
                             scatter.marks(now, (group, &waiting), marks.as_ref(), &mut self.dispatcher);
@@ -179,24 +179,24 @@
             Answer::Barred(sites) => {
                 self.clients.answer(now, ticket, &Reply::Refused(&[("barred", &sites.join(","))]));
             }
-            Answer::About { distinct, error } => {
+            Answer::Estimate { distinct, error } => {
                 // Engines' rows have three columns.
                 let (row, error) = (format!("{distinct}\t\t\n"), format!("{error:.4}"));
                 let reply = Reply::Partial { body: row.as_bytes(), fields: &[("error", &error)] };
                 self.clients.answer(now, ticket, &reply);
             }
-            Answer::Untold => {
+            Answer::NotEstimated => {
                 let why =
                     "sites' summaries do not tell distinct values now as scatter.distinct_error has it: \
                            ask later, or name a scatter.whole_site";
                 self.clients.answer(now, ticket, &Reply::Refused(&[("reason", why)]));
             }
-            Answer::Unlike { site } => {
+            Answer::Mismatch { site } => {
                 let why =
                     format!("site '{site}' answers aggregates in another form: name a scatter.whole_site");
                 self.clients.answer(now, ticket, &Reply::Refused(&[("reason", &why)]));
             }
-            Answer::Long => {
+            Answer::TooLong => {
                 let why = "more bytes than scatter.answer_bytes: ask for fewer rows, or raise it";
                 self.clients.answer(now, ticket, &Reply::Refused(&[("reason", why)]));
             }
--- a/crates/front/src/scatter/audits.rs
+++ b/crates/front/src/scatter/audits.rs
@@ -5,11 +5,11 @@
 use std::hash::{BuildHasher, RandomState};
 
 use hallmux_dispatcher::{Micros, Ticket};
-use hallmux_scatter::audit::{Audits, Terms, Verdict};
-use hallmux_scatter::book::Book;
-use hallmux_scatter::plan::{Plan, Word};
-use hallmux_scatter::spread::FalseWord;
+use hallmux_scatter::audit::{AuditSettings, Audits, Verdict};
+use hallmux_scatter::exchange::FalseSummary;
+use hallmux_scatter::plan::{LoadInfo, Plan};
 use hallmux_scatter::sql::Query;
+use hallmux_scatter::store::SummaryStore;
 
 /// A site that is asked though its summary rules it out, and the version of that.
 #[derive(Clone, Debug)]
@@ -31,13 +31,13 @@
     checks: HashMap<Ticket, PendingCheck>,
     random: RandomState,
     /// False summaries found here, which are to be reported to other fronts.
-    pub found: Vec<FalseWord>,
+    pub found: Vec<FalseSummary>,
     /// Fronts that share the budget.
     pub fronts: usize,
 }
 
-fn terms(settings: hallmux_agreement::Audits) -> Terms {
-    Terms { one_in: settings.one_in, a_second: settings.a_minute as f64 / 60.0 }
+fn terms(settings: hallmux_agreement::Audits) -> AuditSettings {
+    AuditSettings { one_in: settings.one_in, per_second: settings.a_minute as f64 / 60.0 }
 }
 
 impl SiteAudits {
@@ -47,21 +47,21 @@
     }
 
     pub fn set_terms(&mut self, settings: hallmux_agreement::Audits) {
-        self.audits.turn_to(terms(settings));
+        self.audits.reconfigure(terms(settings));
     }
 
     /// Another front reports a false summary.
-    pub fn receive_report(&mut self, word: &FalseWord) {
-        let FalseWord { site, group, version } = word;
+    pub fn receive_report(&mut self, word: &FalseSummary) {
+        let FalseSummary { site, group, version } = word;
         log::warn!(
             "site '{site}': another front has found its summary of group {group}, version {version}, false; \
              it is asked always until its answers bear it out"
         );
-        self.audits.told(site);
+        self.audits.reported_by_peer(site);
     }
 
     pub fn is_suspect(&self, site: &str) -> bool {
-        self.audits.doubts(site)
+        self.audits.is_suspected(site)
     }
 
     /// Now and then adds a site that is left out to those that are asked.
@@ -74,7 +74,7 @@
         allowed: Option<&[&str]>,
     ) {
         let drawn = self.random.hash_one(ticket);
-        if let Some(at) = self.audits.pick(now, drawn, self.fronts as f64, &plan.left_out) {
+        if let Some(at) = self.audits.pick(now, drawn, self.fronts as f64, &plan.pruned) {
             plan.audit(at, sites, allowed);
         }
     }
@@ -90,14 +90,14 @@
     }
 
     /// The marks on loads for an answer. False: it is none of these.
-    pub fn apply_marks(&mut self, wall_ms: u64, check: Ticket, word: &Word, book: &Book) -> bool {
+    pub fn apply_marks(&mut self, wall_ms: u64, check: Ticket, word: &LoadInfo, book: &SummaryStore) -> bool {
         let Some(PendingCheck { of, query, rows }) = self.checks.remove(&check) else { return false };
-        let summary = book.look(wall_ms, &of.site, query.group).filter(|s| s.version == of.version);
+        let summary = book.current(wall_ms, &of.site, query.group).filter(|s| s.version == of.version);
         let table = summary.and_then(|summary| Some((summary, summary.table(&query.table)?)));
         let sure = table.is_some_and(|(summary, table)| match word {
-            Word::Marks(marks) => marks.prove(summary, table, &query.condition),
-            Word::NoLoads => true,
-            Word::Both(..) | Word::Nothing => false,
+            LoadInfo::Marks(marks) => marks.prove_absent(summary, table, &query.condition),
+            LoadInfo::NoLoads => true,
+            LoadInfo::MarksOfJoin(..) | LoadInfo::Unknown => false,
         });
         self.conclude(&of, rows, sure);
         true
@@ -108,7 +108,7 @@
         match self.audits.answered(site, rows, sure) {
             Verdict::False => {
                 let counts = self.audits.counts;
-                self.found.push(FalseWord { site: site.clone(), group: *group, version: *version });
+                self.found.push(FalseSummary { site: site.clone(), group: *group, version: *version });
                 log::error!(
                     "site '{site}': its summary, version {version}, says that it has no row for a statement, and it has \
                      {rows}; it is asked always until its answers bear it out. Mend what makes its summaries. {} false \
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -7,10 +7,10 @@
 use hallmux_codec::tables;
 use hallmux_dispatcher::{Dispatcher, Micros, Terms};
 use hallmux_ledger::{Act, Ask, Done, Key, Kind, Outcome};
-use hallmux_scatter::book::Book;
-use hallmux_scatter::marker::{self, Follows, Marker, Said, What};
-use hallmux_scatter::marks::{key, numbered, Touched};
+use hallmux_scatter::marker::{self, Effect, LedgerReply, Marker, Operation};
+use hallmux_scatter::marks::{key, numbered, Affected};
 use hallmux_scatter::sql;
+use hallmux_scatter::store::SummaryStore;
 
 use crate::execution::ExecutionId;
 use crate::fleet::rules::Ordered;
@@ -82,7 +82,7 @@
         outgoing: Outgoing,
     },
     TurnAway(ExecutionId),
-    Other(Follows),
+    Other(Effect),
 }
 
 impl Loads {
@@ -114,17 +114,17 @@
         if groups.is_empty() || load.text().is_some_and(|text| sql::read(text).is_ok()) {
             return false;
         }
-        let by = |group| load.text().map_or(Touched::Anything, |text| Touched::by(text, group));
+        let by = |group| load.text().map_or(Affected::Anything, |text| Affected::of_statement(text, group));
         let of = |group| (group, by(group));
-        let only = |touched: &Touched| matches!(touched, Touched::Rows { .. });
-        let mut touched: std::collections::BTreeMap<u32, Touched> = groups.iter().map(|g| of(*g)).collect();
+        let only = |touched: &Affected| matches!(touched, Affected::Rows { .. });
+        let mut touched: std::collections::BTreeMap<u32, Affected> = groups.iter().map(|g| of(*g)).collect();
         // Rows for one table alone are rows for no other group.
         if touched.values().any(only) {
             touched.retain(|_, touched| only(touched));
         }
         let Some(site) = self.locations.get(dispatcher.site(place).location) else { return false };
         let ends_ms = ((terms.ends + RUN_ON).max(0) / 1000) as u64;
-        self.marker.load((u64::from(sent.ticket), sent.number), site, ends_ms, touched);
+        self.marker.add_load((u64::from(sent.ticket), sent.number), site, ends_ms, touched);
         self.held.insert(sent, Held { place, terms, load });
         dispatcher.waits(now, sent.ticket, sent.number);
         true
@@ -132,7 +132,7 @@
 
     /// An execution is given up. True if it was held.
     pub fn cancel(&mut self, sent: ExecutionId) -> bool {
-        self.marker.stop((u64::from(sent.ticket), sent.number));
+        self.marker.cancel((u64::from(sent.ticket), sent.number));
         let before = self.unmarked.len();
         self.unmarked.retain(|unmarked| *unmarked != sent);
         self.held.remove(&sent).is_some() || self.unmarked.len() < before
@@ -140,7 +140,7 @@
 
     /// A scattered statement waits for the marks of its group.
     pub fn scatter(&mut self, ticket: hallmux_dispatcher::Ticket, group: u32) {
-        self.marker.scatter(u64::from(ticket), group);
+        self.marker.await_marks(u64::from(ticket), group);
     }
 
     pub fn due(&self) -> Micros {
@@ -160,9 +160,10 @@
     }
 
     /// What is to be asked of the ledger now.
-    pub fn asks(&mut self, now: Micros, book: &Book) -> (Vec<Ask>, Vec<LoadOutcome>) {
+    pub fn asks(&mut self, now: Micros, book: &SummaryStore) -> (Vec<Ask>, Vec<LoadOutcome>) {
         let wall_ms = (now / 1000) as u64;
-        let (asks, follows) = self.marker.asks(wall_ms, |site, group| book.spoken(wall_ms, site, group));
+        let (asks, follows) =
+            self.marker.requests(wall_ms, |site, group| book.reported_loads(wall_ms, site, group));
         let mut outcomes: Vec<LoadOutcome> = follows.into_iter().map(|f| self.outcome(f)).collect();
         outcomes.extend(self.unmarked.drain(..).map(LoadOutcome::TurnAway));
         (asks.into_iter().map(ask).collect(), outcomes)
@@ -171,18 +172,18 @@
     /// What follows from an answer of the ledger.
     pub fn done(&mut self, done: Done) -> Vec<LoadOutcome> {
         let said = match done.outcome {
-            Outcome::Stands(entry) => Said::Stands { version: entry.version, value: entry.value },
-            Outcome::Held(entry) => Said::Held { version: entry.version, value: entry.value },
-            Outcome::Absent => Said::Absent,
-            Outcome::Unreachable | Outcome::Full => Said::Unreachable,
+            Outcome::Stands(entry) => LedgerReply::Stands { version: entry.version, value: entry.value },
+            Outcome::Held(entry) => LedgerReply::Held { version: entry.version, value: entry.value },
+            Outcome::Absent => LedgerReply::Absent,
+            Outcome::Unreachable | Outcome::Full => LedgerReply::Unreachable,
         };
-        self.marker.said(done.number, said).into_iter().map(|f| self.outcome(f)).collect()
+        self.marker.on_reply(done.number, said).into_iter().map(|f| self.outcome(f)).collect()
     }
 
-    fn outcome(&mut self, follows: Follows) -> LoadOutcome {
+    fn outcome(&mut self, follows: Effect) -> LoadOutcome {
         let sent = |(ticket, number): marker::Waiter| ExecutionId::new(ticket as u32, number);
         match follows {
-            Follows::Go { load, numbers } => match self.held.remove(&sent(load)) {
+            Effect::Send { load, numbers } => match self.held.remove(&sent(load)) {
                 Some(Held { place, terms, load: held }) => {
                     let text = held.text().map(|text| numbered(&numbers, text));
                     let outgoing = match (held, text) {
@@ -195,7 +196,7 @@
                 }
                 None => LoadOutcome::TurnAway(sent(load)),
             },
-            Follows::TurnAway { load } => {
+            Effect::Reject { load } => {
                 self.held.remove(&sent(load));
                 LoadOutcome::TurnAway(sent(load))
             }
@@ -204,11 +205,11 @@
     }
 }
 
-fn ask(ask: marker::Ask) -> Ask {
+fn ask(ask: marker::LedgerRequest) -> Ask {
     let act = match ask.what {
-        What::Read => Act::Read,
+        Operation::Read => Act::Read,
         // It never ends: what it says of versions holds for good.
-        What::Put { expects, value } => Act::Put { expects: Some(expects), ends_ms: 0, value },
+        Operation::Put { expects, value } => Act::Put { expects: Some(expects), ends_ms: 0, value },
     };
     Ask { number: ask.number, key: Key { kind: Kind::Mark, name: key(ask.group) }, act }
 }
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -9,10 +9,10 @@
 use hallmux_codec::statement::Call;
 use hallmux_dispatcher::{Ask, Dispatcher, Micros, Protocol, Ticket, Unfit};
 use hallmux_gossip::PeerId;
+use hallmux_scatter::gather::{Action, Answer, Gather, GatherRules, PartFailure};
 use hallmux_scatter::marks::{numbers, Marks};
-use hallmux_scatter::plan::{plan, Basis, Plan, Why, Word};
+use hallmux_scatter::plan::{plan, Basis, LoadInfo, Plan, Reason};
 use hallmux_scatter::sql::Query;
-use hallmux_scatter::whole::{Act, Answer, Failed, Rules, Whole};
 
 use super::audits::{RuledOut, SiteAudits};
 use super::loads::Loads;
@@ -39,7 +39,7 @@
     /// Of a join: the marks of its groups that are there.
     group_marks: BTreeMap<u32, Option<Marks>>,
     /// None while the marks of its group are awaited.
-    whole: Option<Whole>,
+    whole: Option<Gather>,
     /// Parts that are out: place and ticket.
     tickets: BTreeMap<usize, Ticket>,
     /// Sites that are asked though their summaries rule them out.
@@ -62,7 +62,7 @@
     /// Sites asked, left out, and of how many in all.
     counts: (u64, u64),
     /// Of those asked, how many had no row, by why they were asked.
-    asked_without_rows: BTreeMap<Why, u64>,
+    asked_without_rows: BTreeMap<Reason, u64>,
     last_log: Micros,
 }
 
@@ -138,7 +138,7 @@
         self.open.insert(ticket, statement);
         match &mut self.loads {
             Some(loads) => groups.into_iter().for_each(|group| loads.scatter(ticket, group)),
-            None => self.ask_sites(now, ticket, &Word::NoLoads, dispatcher),
+            None => self.ask_sites(now, ticket, &LoadInfo::NoLoads, dispatcher),
         }
     }
 
@@ -150,7 +150,7 @@
         marks: Option<&Marks>,
         dispatcher: &mut Dispatcher,
     ) {
-        let word = marks.map_or(Word::Nothing, Word::Marks);
+        let word = marks.map_or(LoadInfo::Unknown, LoadInfo::Marks);
         for ticket in waiting {
             if self.open.get(ticket).is_some_and(|statement| statement.query.join.is_some()) {
                 self.marks_of_join(now, *ticket, (group, marks), dispatcher);
@@ -163,10 +163,10 @@
         }
     }
 
-    fn ask_sites(&mut self, now: Micros, ticket: Ticket, word: &Word, dispatcher: &mut Dispatcher) {
+    fn ask_sites(&mut self, now: Micros, ticket: Ticket, word: &LoadInfo, dispatcher: &mut Dispatcher) {
         if self.last_log + LOG_INTERVAL <= now {
             self.last_log = now;
-            if matches!(word, Word::Nothing) {
+            if matches!(word, LoadInfo::Unknown) {
                 log::info!("the ledger gives no word on loads, so all sites are asked");
             }
             self.log_counts();
@@ -188,7 +188,7 @@
         let is_suspect = |site: &str| audits.is_some_and(|audits| audits.is_suspect(site));
         let (sites, allowed) = (&self.sites, allowed.as_deref());
         let mut plan = match self.settings.whole_site.as_ref().filter(|_| distinct) {
-            Some(site) => Plan::whole(site, allowed),
+            Some(site) => Plan::single_site(site, allowed),
             None => plan(
                 &statement.query,
                 &Basis { sites, allowed, summaries: book, wall_ms, loads: word, suspected: &is_suspect },
@@ -197,12 +197,13 @@
         if distinct {
             // The one site has all rows.
         } else if statement.query.combine.is_some() {
-            plan.ask_one(sites, allowed);
+            plan.ensure_one(sites, allowed);
         } else if let Some(audits) = self.audits.as_mut().filter(|_| statement.query.join.is_none()) {
             // A join may be ruled out by either side, which no audit tells apart.
             audits.audit(now, ticket, &mut plan, sites, allowed);
         }
-        let version = |site: &str| book.look(wall_ms, site, statement.query.group).map_or(0, |s| s.version);
+        let version =
+            |site: &str| book.current(wall_ms, site, statement.query.group).map_or(0, |s| s.version);
         let asked = plan.parts.iter().filter(|part| part.ruled_out && statement.query.join.is_none());
         statement.ruled_out = asked
             .map(|p| RuledOut {
@@ -212,18 +213,18 @@
             })
             .collect();
         let book = &mut self.summaries.book;
-        let left_out = plan.left_out.iter().filter(|_| statement.query.join.is_none());
-        left_out.for_each(|site| book.learn(wall_ms, &statement.query, site, false));
+        let left_out = plan.pruned.iter().filter(|_| statement.query.join.is_none());
+        left_out.for_each(|site| book.record_outcome(wall_ms, &statement.query, site, false));
         self.counts.0 += plan.parts.len() as u64;
-        self.counts.1 += plan.left_out.len() as u64;
-        let rules = Rules {
+        self.counts.1 += plan.pruned.len() as u64;
+        let rules = GatherRules {
             limit: statement.query.limit,
             partial: self.settings.partial.contains(&statement.call.customer),
             at_once: self.settings.at_once,
             most_bytes: self.settings.answer_bytes,
             combine: statement.query.combine.clone(),
         };
-        let (whole, acts) = Whole::new(plan.parts, plan.barred, rules);
+        let (whole, acts) = Gather::new(plan.parts, plan.barred, rules);
         statement.whole = Some(whole);
         self.act(now, ticket, acts, dispatcher);
         self.note_audit_wait(now, ticket);
@@ -232,7 +233,7 @@
     /// Notes a whole that waits for audits alone.
     fn note_audit_wait(&mut self, now: Micros, ticket: Ticket) {
         let whole = self.open.get(&ticket).and_then(|statement| statement.whole.as_ref());
-        if whole.is_some_and(Whole::waits_for_audits) {
+        if whole.is_some_and(Gather::only_audits_pending) {
             self.audit_waits.push_back((now + AUDIT_TIMEOUT, ticket));
         }
     }
@@ -241,17 +242,17 @@
     pub fn finish_audits(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
         while let Some((_, ticket)) = self.audit_waits.pop_front_if(|(until, _)| *until <= now) {
             let whole = self.open.get_mut(&ticket).and_then(|statement| statement.whole.as_mut());
-            let acts = whole.map_or(Vec::new(), Whole::hurry);
+            let acts = whole.map_or(Vec::new(), Gather::skip_audits);
             self.act(now, ticket, acts, dispatcher);
         }
     }
 
-    fn act(&mut self, now: Micros, ticket: Ticket, acts: Vec<Act>, dispatcher: &mut Dispatcher) {
+    fn act(&mut self, now: Micros, ticket: Ticket, acts: Vec<Action>, dispatcher: &mut Dispatcher) {
         let mut acts = std::collections::VecDeque::from(acts);
         while let Some(act) = acts.pop_front() {
             let Some(statement) = self.open.get_mut(&ticket) else { return };
             match act {
-                Act::Start(place) => {
+                Action::Start(place) => {
                     let site =
                         statement.whole.as_ref().and_then(|whole| whole.site(place)).unwrap_or_default();
                     let ask = Ask {
@@ -273,8 +274,10 @@
                             self.parts.insert(part, (ticket, place));
                         }
                         Err(Unfit::Barred) => {
-                            let more =
-                                statement.whole.as_mut().map(|whole| whole.failed(place, Failed::Barred));
+                            let more = statement
+                                .whole
+                                .as_mut()
+                                .map(|whole| whole.failed(place, PartFailure::Barred));
                             acts.extend(more.unwrap_or_default());
                         }
                         Err(unfit) => {
@@ -283,13 +286,13 @@
                         }
                     }
                 }
-                Act::End(place) => {
+                Action::End(place) => {
                     if let Some(part) = statement.tickets.remove(&place) {
                         self.parts.remove(&part);
                         dispatcher.left(now, part);
                     }
                 }
-                Act::Answer(answer) => {
+                Action::Answer(answer) => {
                     self.open.remove(&ticket);
                     return self.replies.push((ticket, FinalReply::Answer(answer)));
                 }
@@ -322,7 +325,7 @@
         &mut self,
         now: Micros,
         part: Ticket,
-        ended: Result<Vec<u8>, Failed>,
+        ended: Result<Vec<u8>, PartFailure>,
         dispatcher: &mut Dispatcher,
     ) {
         let Some((ticket, place)) = self.parts.remove(&part) else { return };
@@ -334,9 +337,9 @@
                 let site = whole.site(place).unwrap_or_default();
                 if rows.is_empty() {
                     if let Some(part) = whole.part(place) {
-                        *self.asked_without_rows.entry(part.why).or_default() += 1;
+                        *self.asked_without_rows.entry(part.reason).or_default() += 1;
                     }
-                    self.summaries.book.learn((now / 1000) as u64, &statement.query, site, true);
+                    self.summaries.book.record_outcome((now / 1000) as u64, &statement.query, site, true);
                 }
                 let of = statement.ruled_out.iter().find(|of| of.site == site).cloned();
                 if let Some((audits, of)) = self.audits.as_mut().zip(of) {
@@ -346,7 +349,7 @@
                             Some(loads) => loads.scatter(check, statement.query.group),
                             None => {
                                 let (wall_ms, book) = ((now / 1000) as u64, &self.summaries.book);
-                                audits.apply_marks(wall_ms, check, &Word::NoLoads, book);
+                                audits.apply_marks(wall_ms, check, &LoadInfo::NoLoads, book);
                             }
                         }
                     }
--- a/crates/front/src/scatter/statements/sketches.rs
+++ b/crates/front/src/scatter/statements/sketches.rs
@@ -2,12 +2,12 @@
 
 use hallmux_codec::statement::Call;
 use hallmux_dispatcher::{Dispatcher, Micros, Ticket};
+use hallmux_scatter::gather::Answer;
 use hallmux_scatter::join::Join;
 use hallmux_scatter::marks::Marks;
-use hallmux_scatter::plan::{Basis, Why, Word};
+use hallmux_scatter::plan::{Basis, LoadInfo, Reason};
 use hallmux_scatter::sketch;
 use hallmux_scatter::sql::{self, Query};
-use hallmux_scatter::whole::Answer;
 
 use super::{ScatteredStatements, Statement};
 
@@ -22,15 +22,15 @@
         }
         let read = sql::read(&call.statement).and_then(|mut query| {
             let (group, table) = (query.group, &query.table);
-            let kind = |column: &str| self.summaries.book.kind(group, table, column);
-            query.combine.iter_mut().flatten().try_for_each(|aggregate| aggregate.fits(kind))?;
+            let kind = |column: &str| self.summaries.book.column_kind(group, table, column);
+            query.combine.iter_mut().flatten().try_for_each(|aggregate| aggregate.check(kind))?;
             let of = |join: &Join| [group, join.group];
             let there = |both: [u32; 2]| {
                 let together = |groups: &Vec<u32>| both.iter().all(|group| groups.contains(group));
                 both[0] == both[1] || self.settings.together.iter().any(together)
             };
             if let Some([a, b]) = query.join.as_ref().map(of).filter(|both| !there(*both)) {
-                return Err(sql::Unfit::Apart(a, b));
+                return Err(sql::Unsupported::NotColocated(a, b));
             }
             Ok(query)
         });
@@ -58,13 +58,13 @@
             return;
         };
         let both = a.clone().zip(b.clone());
-        let word = both.as_ref().map_or(Word::Nothing, |(a, b)| Word::Both(a, b));
+        let word = both.as_ref().map_or(LoadInfo::Unknown, |(a, b)| LoadInfo::MarksOfJoin(a, b));
         self.ask_sites(now, ticket, &word, dispatcher);
     }
 
     /// The answer to a statement for distinct values, where sketches tell it as well as its customer wants
     /// it, or where there is no other way to one. None: the site that has all rows is asked.
-    pub(super) fn by_sketch(&self, now: Micros, statement: &Statement, word: &Word) -> Option<Answer> {
+    pub(super) fn by_sketch(&self, now: Micros, statement: &Statement, word: &LoadInfo) -> Option<Answer> {
         let accepted = self.settings.distinct_error.get(&statement.call.customer).copied().unwrap_or(0);
         let allowed: Option<Vec<&str>> =
             statement.allowed.as_ref().map(|names| names.iter().map(String::as_str).collect());
@@ -74,15 +74,15 @@
         let basis = Basis { sites, allowed, summaries: book, wall_ms, loads: word, suspected: &is_suspect };
         let estimate = sketch::distinct(&statement.query, &basis);
         match estimate.filter(|estimate| estimate.error * 1e6 <= f64::from(accepted)) {
-            Some(estimate) => Some(Answer::About { distinct: estimate.distinct, error: estimate.error }),
-            None => self.settings.whole_site.is_none().then_some(Answer::Untold),
+            Some(estimate) => Some(Answer::Estimate { distinct: estimate.distinct, error: estimate.error }),
+            None => self.settings.whole_site.is_none().then_some(Answer::NotEstimated),
         }
     }
 
     /// Says what was asked and what for.
     pub(super) fn log_counts(&self) {
         let (asked, left_out) = self.counts;
-        let of = |(why, count): (&Why, &u64)| format!(", {}: {count}", why.name());
+        let of = |(why, count): (&Reason, &u64)| format!(", {}: {count}", why.name());
         let asked_without_rows: String = self.asked_without_rows.iter().map(of).collect();
         log::info!(
             "sites asked so far {asked}, left out by their summaries {left_out}; asked and without rows{}",
--- a/crates/front/src/scatter/summaries.rs
+++ b/crates/front/src/scatter/summaries.rs
@@ -9,10 +9,10 @@
 use hallmux_agreement::Scatter;
 use hallmux_dispatcher::Micros;
 use hallmux_gossip::PeerId;
-use hallmux_scatter::book::{Book, Terms};
-use hallmux_scatter::keep::{Budget, Keep};
-use hallmux_scatter::sheets::Fineness;
-use hallmux_scatter::spread::{FalseWord, Out, Spread};
+use hallmux_scatter::exchange::{Exchange, FalseSummary, Output};
+use hallmux_scatter::layers::Detail;
+use hallmux_scatter::retention::{Budget, Retention};
+use hallmux_scatter::store::{StoreSettings, SummaryStore};
 use hallmux_scatter::summary::{Refused, MOST_BYTES};
 
 const LOG_INTERVAL: Micros = 60_000_000; // microseconds between lines of the log on what other fronts sent that was refused
@@ -21,10 +21,10 @@
 const SAVE_INTERVAL: Micros = 60_000_000; // microseconds between saves of what was learned
 
 pub struct Summaries {
-    pub book: Book,
-    spread: Spread,
+    pub book: SummaryStore,
+    spread: Exchange,
     /// False summaries of sites that other fronts have reported.
-    pub found: Vec<FalseWord>,
+    pub found: Vec<FalseSummary>,
     last_log: Micros,
     /// Files of this front's directory, by the names of what they hold; where that may be held in part.
     local_files: BTreeMap<u64, PathBuf>,
@@ -37,12 +37,12 @@
     Budget { memory: keep.memory_bytes as f64, traffic: keep.bytes_a_second as f64 }
 }
 
-fn terms(settings: &Scatter) -> std::io::Result<Terms> {
+fn terms(settings: &Scatter) -> std::io::Result<StoreSettings> {
     let key = |(name, key): (&String, &[u8; 32])| match VerifyingKey::from_bytes(key) {
         Ok(key) => Ok((name.clone(), key)),
         Err(_) => Err(std::io::Error::other(format!("scatter.sites.{name}: is no public key of ed25519"))),
     };
-    Ok(Terms {
+    Ok(StoreSettings {
         sites: settings.sites.iter().map(key).collect::<std::io::Result<BTreeMap<_, _>>>()?,
         schemas: settings.schemas.clone(),
         oldest_ms: settings.oldest_ms,
@@ -55,8 +55,8 @@
     /// `spread_offset`: with which of its peers this front begins to spread what it holds.
     pub fn new(settings: &Scatter, now: Micros, spread_offset: usize) -> std::io::Result<Summaries> {
         let mut summaries = Summaries {
-            book: Book::new(terms(settings)?),
-            spread: Spread::new(spread_offset),
+            book: SummaryStore::new(terms(settings)?),
+            spread: Exchange::new(spread_offset),
             found: Vec::new(),
             last_log: 0,
             local_files: BTreeMap::new(),
@@ -71,7 +71,7 @@
 
     /// The operator's file was read again.
     pub fn reload(&mut self, settings: &Scatter, now: Micros) -> std::io::Result<()> {
-        self.book.turn_to(terms(settings)?);
+        self.book.reconfigure(terms(settings)?);
         self.keep(settings, now);
         self.read(settings, now);
         Ok(())
@@ -80,17 +80,17 @@
     /// Takes up the budget, with what was learned before.
     fn keep(&mut self, settings: &Scatter, now: Micros) {
         let Some(terms) = &settings.keep else {
-            self.book.keep = None;
+            self.book.retention = None;
             return;
         };
         self.file = terms.file.as_ref().map(PathBuf::from);
-        if let Some(keep) = &mut self.book.keep {
-            return keep.budget(budget(terms));
+        if let Some(keep) = &mut self.book.retention {
+            return keep.set_budget(budget(terms));
         }
-        let mut keep = Keep::new(budget(terms));
+        let mut keep = Retention::new(budget(terms));
         if let Some(file) = &self.file {
             match std::fs::read(file) {
-                Ok(bytes) if keep.read(now, &bytes) => {
+                Ok(bytes) if keep.restore(now, &bytes) => {
                     log::info!("{} summaries are known of before", keep.len())
                 }
                 Ok(_) => log::warn!(
@@ -102,14 +102,14 @@
             }
         }
         keep.choose(now);
-        self.book.keep = Some(keep);
+        self.book.retention = Some(keep);
     }
 
     /// Writes what was learned, beside and then in place of what was there.
     pub fn save(&self) {
-        let Some((file, keep)) = self.file.as_ref().zip(self.book.keep.as_ref()) else { return };
+        let Some((file, keep)) = self.file.as_ref().zip(self.book.retention.as_ref()) else { return };
         let beside = file.with_extension("new");
-        let written = std::fs::write(&beside, keep.bytes()).and_then(|()| std::fs::rename(&beside, file));
+        let written = std::fs::write(&beside, keep.to_bytes()).and_then(|()| std::fs::rename(&beside, file));
         if let Err(e) = written {
             log::warn!("scatter.keep.file {}: {e}; what is learned is lost at a restart", file.display());
         }
@@ -126,7 +126,7 @@
         };
         let mut new = 0;
         self.local_files.clear();
-        self.spread.home.clear();
+        self.spread.local.clear();
         for path in files.flatten().map(|file| file.path()).filter(|path| path.is_file()) {
             // One byte more than counts: what is longer is refused for its length.
             let mut bytes = Vec::new();
@@ -134,17 +134,17 @@
                 .and_then(|file| file.take(MOST_BYTES as u64 + 1).read_to_end(&mut bytes).map(|_| ()));
             match read
                 .map_err(|e| e.to_string())
-                .and_then(|()| self.book.take((now / 1000) as u64, &bytes).map_err(|why| why.to_string()))
+                .and_then(|()| self.book.accept((now / 1000) as u64, &bytes).map_err(|why| why.to_string()))
             {
                 Ok(taken) => {
                     new += usize::from(taken);
-                    if let Some((name, version)) = self.book.named(&bytes) {
+                    if let Some((name, version)) = self.book.id_and_version(&bytes) {
                         if taken {
-                            self.spread.news(name);
+                            self.spread.announce(name);
                         }
-                        if self.book.keep.is_some() {
+                        if self.book.retention.is_some() {
                             self.local_files.insert(name, path);
-                            self.spread.home.insert(name, version);
+                            self.spread.local.insert(name, version);
                         }
                     }
                 }
@@ -166,28 +166,28 @@
 
     /// A message of another front; returns what is to be sent back.
     pub fn receive(&mut self, now: Micros, from: PeerId, bytes: &[u8]) -> Vec<(PeerId, Vec<u8>)> {
-        let out = self.spread.heard(now, (now / 1000) as u64, from, bytes, &mut self.book);
+        let out = self.spread.on_message(now, (now / 1000) as u64, from, bytes, &mut self.book);
         self.take(now, out)
     }
 
     /// When `choose` is next due.
     pub fn choose_due(&self) -> Micros {
-        self.book.keep.as_ref().map_or(Micros::MAX, |_| self.chosen + CHOOSE_INTERVAL)
+        self.book.retention.as_ref().map_or(Micros::MAX, |_| self.chosen + CHOOSE_INTERVAL)
     }
 
     /// Chooses anew what is held, where it is time, and saves what was learned.
     pub fn choose(&mut self, now: Micros) {
-        if self.book.keep.is_none() || now < self.chosen + CHOOSE_INTERVAL {
+        if self.book.retention.is_none() || now < self.chosen + CHOOSE_INTERVAL {
             return;
         }
         self.chosen = now;
         self.book.choose((now / 1000) as u64);
-        let held: BTreeMap<u64, Fineness> = self.book.versions().map(|(n, _, fine)| (n, fine)).collect();
+        let held: BTreeMap<u64, Detail> = self.book.versions().map(|(n, _, fine)| (n, fine)).collect();
         for (name, path) in &self.local_files {
             // A summary that is in a local file need not come from others.
-            if held.get(name).copied() < self.book.wants(*name) {
+            if held.get(name).copied() < self.book.wanted_detail(*name) {
                 let read = std::fs::read(path).ok().filter(|bytes| bytes.len() <= MOST_BYTES);
-                read.into_iter().for_each(|bytes| _ = self.book.take((now / 1000) as u64, &bytes));
+                read.into_iter().for_each(|bytes| _ = self.book.accept((now / 1000) as u64, &bytes));
             }
         }
         if now >= self.saved + SAVE_INTERVAL {
@@ -197,29 +197,29 @@
     }
 
     /// What others want of local files that are not held whole.
-    fn lend(&mut self, now: Micros, out: &mut Out) {
-        for loan in std::mem::take(&mut out.loans) {
+    fn lend(&mut self, now: Micros, out: &mut Output) {
+        for loan in std::mem::take(&mut out.local_reads) {
             let bytes = self.local_files.get(&loan.name).and_then(|path| std::fs::read(path).ok());
-            let of = |bytes: &Vec<u8>| self.book.named(bytes) == Some((loan.name, loan.version));
+            let of = |bytes: &Vec<u8>| self.book.id_and_version(bytes) == Some((loan.name, loan.version));
             if let Some(bytes) = bytes.filter(of) {
-                self.spread.lend(now, loan, &bytes, out);
+                self.spread.send_piece(now, loan, &bytes, out);
             }
         }
     }
 
     /// A false summary was found here: it is reported to others.
-    pub fn report_false_word(&mut self, now: Micros, word: &FalseWord) {
-        self.spread.finds(now, word);
+    pub fn report_false_word(&mut self, now: Micros, word: &FalseSummary) {
+        self.spread.report_false(now, word);
     }
 
-    fn take(&mut self, now: Micros, mut out: Out) -> Vec<(PeerId, Vec<u8>)> {
-        self.found.append(&mut out.found);
+    fn take(&mut self, now: Micros, mut out: Output) -> Vec<(PeerId, Vec<u8>)> {
+        self.found.append(&mut out.false_summaries);
         self.lend(now, &mut out);
-        let refused: Vec<Refused> = out.taken.into_iter().filter_map(Result::err).collect();
+        let refused: Vec<Refused> = out.accepted.into_iter().filter_map(Result::err).collect();
         if let Some(why) = refused.first().filter(|_| self.last_log + LOG_INTERVAL <= now) {
             self.last_log = now;
             log::warn!("from another front: {why}; refused so far: {:?}", self.book.refused);
         }
-        out.letters
+        out.messages
     }
 }
--- a/crates/front/tests/scatter/site.rs
+++ b/crates/front/tests/scatter/site.rs
@@ -7,7 +7,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use ed25519_dalek::{SigningKey, VerifyingKey};
-use hallmux_scatter::build::{in_sheets, summary, About, TableBuilder};
+use hallmux_scatter::build::{layered, summary, SummaryHeader, TableBuilder};
 use hallmux_scatter::marks::numbers;
 use hallmux_scatter::summary::{Loads, MOST_BYTES};
 use hallmux_scatter::value::{Kind, Value};
@@ -80,17 +80,18 @@
     /// The same in sheets, of which fronts may hold a part.
     pub fn writes_in_sheets(&self, directory: &Path, version: u64) {
         let (about, table) = self.summed(version);
-        let bytes = in_sheets(about, vec![table], MOST_BYTES, &SigningKey::from_bytes(&[self.key; 32]));
+        let bytes = layered(about, vec![table], MOST_BYTES, &SigningKey::from_bytes(&[self.key; 32]));
         std::fs::write(directory.join(self.name), bytes).unwrap();
     }
 
-    fn summed(&self, version: u64) -> (About, TableBuilder) {
+    fn summed(&self, version: u64) -> (SummaryHeader, TableBuilder) {
         let held = self.held.lock().unwrap();
-        let mut table = TableBuilder::new("orders", &[("id", Kind::Number { scale: 0 })]).sketched(&["id"]);
-        held.rows.iter().for_each(|id| table.row(&[Some(Value::Number(i128::from(*id)))]));
+        let mut table =
+            TableBuilder::new("orders", &[("id", Kind::Number { scale: 0 })]).with_sketches(&["id"]);
+        held.rows.iter().for_each(|id| table.add_row(&[Some(Value::Number(i128::from(*id)))]));
         let made_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
         let (site, loads) = (self.name.to_string(), held.loads.clone());
-        (About { site, group: 17, schema: 1, version, made_ms, loads }, table)
+        (SummaryHeader { site, group: 17, schema: 1, version, made_ms, loads }, table)
     }
 }
 
--- a/crates/lab/src/rig/sites.rs
+++ b/crates/lab/src/rig/sites.rs
@@ -7,7 +7,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use ed25519_dalek::SigningKey;
-use hallmux_scatter::build::{summary, About, TableBuilder};
+use hallmux_scatter::build::{summary, SummaryHeader, TableBuilder};
 use hallmux_scatter::summary::{Column, Loads, Summary, Table, MOST_BYTES};
 use hallmux_scatter::value::{Kind, Value};
 
@@ -113,9 +113,10 @@
         let mut site = self.sites[at].lock().ok()?;
         site.version += 1;
         let mut table = TableBuilder::new("t", &[("v", Kind::Number { scale: 0 })]);
-        site.values.iter().for_each(|value| table.row(&[Some(Value::Number(i128::from(*value)))]));
+        site.values.iter().for_each(|value| table.add_row(&[Some(Value::Number(i128::from(*value)))]));
         let (site_name, loads, version) = (zone_name(at), site.loads.clone(), site.version);
-        let about = About { site: site_name, group: GROUP, schema: 1, version, made_ms: now_ms(), loads };
+        let about =
+            SummaryHeader { site: site_name, group: GROUP, schema: 1, version, made_ms: now_ms(), loads };
         Some(summary(about, vec![table], MOST_BYTES))
     }
 
--- a/crates/scatter/src/audit.rs
+++ b/crates/scatter/src/audit.rs
@@ -5,27 +5,27 @@
 
 use crate::Micros;
 
-const EARNS: u32 = 20; // answers in a row that bear its word out, for a site that was found wrong once
+const ANSWERS_TO_RECOVER: u32 = 20; // answers in a row that bear its word out, for a site that was found wrong once
 const MOST: u32 = 640; // for one that was found wrong again and again: each time twice as many
 const BURST: f64 = 1.0; // audits that a front may save up
 
 /// How much is spent on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct AuditSettings {
     /// One scatter of so many.
     pub one_in: u64,
     /// Audits a second, of the whole fleet.
-    pub a_second: f64,
+    pub per_second: f64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Site {
     /// When it was audited last.
-    asked: Micros,
+    audited_at: Micros,
     /// Answers that it still has to give before its word counts again; 0: it counts.
-    owes: u32,
+    answers_owed: u32,
     /// What the next false word costs.
-    costs: u32,
+    penalty: u32,
 }
 
 /// What an answer of a site that its summary rules out has shown.
@@ -42,7 +42,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct AuditCounts {
     /// Sites asked that their summaries rule out.
     pub audits: u64,
     /// False words found.
@@ -52,50 +52,56 @@
 }
 
 pub struct Audits {
-    terms: Terms,
+    terms: AuditSettings,
     /// What may be spent, as of when.
-    left: f64,
-    filled: Option<Micros>,
+    budget: f64,
+    refilled_at: Option<Micros>,
     sites: BTreeMap<String, Site>,
-    pub counts: Counts,
+    pub counts: AuditCounts,
 }
 
 impl Audits {
-    pub fn new(terms: Terms) -> Audits {
-        Audits { terms, left: BURST, filled: None, sites: BTreeMap::new(), counts: Counts::default() }
+    pub fn new(terms: AuditSettings) -> Audits {
+        Audits {
+            terms,
+            budget: BURST,
+            refilled_at: None,
+            sites: BTreeMap::new(),
+            counts: AuditCounts::default(),
+        }
     }
 
-    pub fn turn_to(&mut self, terms: Terms) {
+    pub fn reconfigure(&mut self, terms: AuditSettings) {
         self.terms = terms;
     }
 
     /// Which of the sites that a scatter leaves out it asks all the same: the one audited longest ago. `drawn` is chance,
     /// `fronts` how many share the fleet's budget.
-    pub fn pick(&mut self, now: Micros, drawn: u64, fronts: f64, left_out: &[String]) -> Option<usize> {
-        let since = self.filled.replace(now).map_or(0, |filled| (now - filled).max(0));
-        self.left = (self.left + since as f64 / 1e6 * self.terms.a_second / fronts.max(1.0)).min(BURST);
-        if !drawn.is_multiple_of(self.terms.one_in.max(1)) || self.left < 1.0 {
+    pub fn pick(&mut self, now: Micros, drawn: u64, fronts: f64, pruned: &[String]) -> Option<usize> {
+        let since = self.refilled_at.replace(now).map_or(0, |filled| (now - filled).max(0));
+        self.budget = (self.budget + since as f64 / 1e6 * self.terms.per_second / fronts.max(1.0)).min(BURST);
+        if !drawn.is_multiple_of(self.terms.one_in.max(1)) || self.budget < 1.0 {
             return None;
         }
-        let asked = |name: &String| self.sites.get(name).map_or(Micros::MIN, |site| site.asked);
-        let (at, name) = left_out.iter().enumerate().min_by_key(|(_, name)| asked(name))?;
-        self.left -= 1.0;
+        let audited_at = |name: &String| self.sites.get(name).map_or(Micros::MIN, |site| site.audited_at);
+        let (at, name) = pruned.iter().enumerate().min_by_key(|(_, name)| audited_at(name))?;
+        self.budget -= 1.0;
         self.counts.audits += 1;
-        self.sites.entry(name.clone()).or_default().asked = now;
+        self.sites.entry(name.clone()).or_default().audited_at = now;
         Some(at)
     }
 
     /// A site's word counts for nothing for now.
-    pub fn doubts(&self, site: &str) -> bool {
-        self.sites.get(site).is_some_and(|site| site.owes > 0)
+    pub fn is_suspected(&self, site: &str) -> bool {
+        self.sites.get(site).is_some_and(|site| site.answers_owed > 0)
     }
 
     /// Another front has found a site's word false: it loses credit here too, as much as for one that was
     /// found here first.
-    pub fn told(&mut self, site: &str) {
+    pub fn reported_by_peer(&mut self, site: &str) {
         let site = self.sites.entry(site.to_string()).or_default();
-        site.costs = site.costs.max(EARNS);
-        site.owes = site.owes.max(EARNS);
+        site.penalty = site.penalty.max(ANSWERS_TO_RECOVER);
+        site.answers_owed = site.answers_owed.max(ANSWERS_TO_RECOVER);
     }
 
     /// A site that its summary rules out has answered with so many rows. `sure`: no load can have brought them.
@@ -105,14 +111,14 @@
         }
         let site = self.sites.entry(site.to_string()).or_default();
         if rows > 0 {
-            site.costs = (site.costs * 2).clamp(EARNS, MOST);
-            site.owes = site.costs;
+            site.penalty = (site.penalty * 2).clamp(ANSWERS_TO_RECOVER, MOST);
+            site.answers_owed = site.penalty;
             self.counts.found += 1;
             self.counts.rows += rows;
             return Verdict::False;
         }
-        let owed = site.owes;
-        site.owes = owed.saturating_sub(1);
+        let owed = site.answers_owed;
+        site.answers_owed = owed.saturating_sub(1);
         if owed == 1 {
             Verdict::Earned
         } else {
--- a/crates/scatter/src/build.rs
+++ b/crates/scatter/src/build.rs
@@ -5,18 +5,18 @@
 use ed25519_dalek::SigningKey;
 
 use crate::filter::Members;
-use crate::sheets;
+use crate::layers;
 use crate::summary::{Column, Loads, Summary, Table, MOST_BYTES};
 use crate::value::{less, Kind, Value};
 use crate::{runs, sketch};
 
 const LONGEST_TEXT: usize = 64; // bytes of text that bounds keep
 const MOST_HASHES: usize = MOST_BYTES; // of a column: a filter of more would not fit
-const SEALS: usize = 128; // bytes for the signature and lengths around it
+const SIGNATURE_BYTES: usize = 128; // bytes for the signature and lengths around it
 
 /// What holds for a whole summary.
 #[derive(Clone, Debug)]
-pub struct About {
+pub struct SummaryHeader {
     pub site: String,
     pub group: u32,
     pub schema: u32,
@@ -29,31 +29,31 @@
 pub struct TableBuilder {
     name: String,
     rows: u64,
-    columns: Vec<Growing>,
+    columns: Vec<ColumnBuilder>,
 }
 
-struct Growing {
+struct ColumnBuilder {
     name: String,
     kind: Kind,
     nulls: u64,
     bounds: Option<(Value, Value)>,
-    /// A value came that has no place in any order, or is not of the kind: nothing is told of the column.
-    unruly: bool,
-    runs: runs::Growing,
-    sketch: Option<sketch::Growing>,
+    /// A value came that has no place in any order, or is not of the kind: nothing is usable of the column.
+    unordered: bool,
+    runs: runs::RunsBuilder,
+    sketch: Option<sketch::SketchBuilder>,
     hashes: BTreeSet<u64>,
 }
 
 impl TableBuilder {
     /// Names as unquoted ones are, without the schema.
     pub fn new(name: &str, columns: &[(&str, Kind)]) -> TableBuilder {
-        let growing = |(name, kind): &(&str, Kind)| Growing {
+        let growing = |(name, kind): &(&str, Kind)| ColumnBuilder {
             name: name.to_ascii_lowercase(),
             kind: *kind,
             nulls: 0,
             bounds: None,
-            unruly: false,
-            runs: runs::Growing::default(),
+            unordered: false,
+            runs: runs::RunsBuilder::default(),
             sketch: None,
             hashes: BTreeSet::new(),
         };
@@ -65,44 +65,44 @@
     }
 
     /// Sketches of the distinct values of these columns are made too, where their kind has them.
-    pub fn sketched(mut self, columns: &[&str]) -> TableBuilder {
+    pub fn with_sketches(mut self, columns: &[&str]) -> TableBuilder {
         for column in self.columns.iter_mut().filter(|column| columns.contains(&column.name.as_str())) {
-            column.sketch = sketch::Growing::new(column.kind);
+            column.sketch = sketch::SketchBuilder::new(column.kind);
         }
         self
     }
 
     /// One row, its values in the order of the columns; None and what is missing are null.
-    pub fn row(&mut self, values: &[Option<Value>]) {
+    pub fn add_row(&mut self, values: &[Option<Value>]) {
         self.rows += 1;
         for (place, column) in self.columns.iter_mut().enumerate() {
             match values.get(place) {
-                Some(Some(value)) => column.value(value),
+                Some(Some(value)) => column.add_value(value),
                 _ => column.nulls += 1,
             }
         }
     }
 
     /// The table with full filters, and the small ones of its columns.
-    fn table(self) -> (Table, Vec<Option<Members>>) {
-        let (columns, small) = self.columns.into_iter().map(Growing::column).unzip();
+    fn finish(self) -> (Table, Vec<Option<Members>>) {
+        let (columns, small) = self.columns.into_iter().map(ColumnBuilder::finish).unzip();
         (Table { name: self.name, rows: self.rows, columns }, small)
     }
 }
 
-impl Growing {
-    fn value(&mut self, value: &Value) {
+impl ColumnBuilder {
+    fn add_value(&mut self, value: &Value) {
         if self.hashes.len() < MOST_HASHES {
             self.hashes.insert(value.hash());
         }
         // NaN has no order that all engines share.
         if !value.fits(self.kind) || matches!(value, Value::Float(f) if !f.is_finite()) {
-            self.unruly = true;
+            self.unordered = true;
             return;
         }
-        self.sketch.iter_mut().for_each(|sketch| sketch.value(value));
+        self.sketch.iter_mut().for_each(|sketch| sketch.add_value(value));
         if let Value::Number(number) = value {
-            self.runs.value(*number);
+            self.runs.add_value(*number);
         }
         match &mut self.bounds {
             None => self.bounds = Some((value.clone(), value.clone())),
@@ -116,10 +116,10 @@
         }
     }
 
-    fn column(self) -> (Column, Option<Members>) {
+    fn finish(self) -> (Column, Option<Members>) {
         let distinct = self.hashes.len() as u64;
-        let told = !self.unruly && self.kind != Kind::Other;
-        let (mut bounds, mut tight) = (self.bounds.filter(|_| told), true);
+        let usable = !self.unordered && self.kind != Kind::Other;
+        let (mut bounds, mut tight) = (self.bounds.filter(|_| usable), true);
         if let Some((Value::Text(least), Value::Text(greatest))) = &mut bounds {
             if least.len() > LONGEST_TEXT {
                 (tight, *least) = (false, cut(least).to_string());
@@ -132,10 +132,10 @@
                 }
             }
         }
-        let runs = if told { self.runs.runs() } else { Vec::new() };
-        let sketch = self.sketch.as_ref().filter(|_| told).map(sketch::Growing::bytes);
+        let runs = if usable { self.runs.runs() } else { Vec::new() };
+        let sketch = self.sketch.as_ref().filter(|_| usable).map(sketch::SketchBuilder::bytes);
         // Engines round floats in ways of their own: their equality proves nothing.
-        let whole = self.hashes.len() < MOST_HASHES && told && self.kind != Kind::Float;
+        let whole = self.hashes.len() < MOST_HASHES && usable && self.kind != Kind::Float;
         let hashes: Vec<u64> = self.hashes.into_iter().filter(|_| whole).collect();
         let small = whole.then(|| Members::small(hashes.clone()));
         let members = whole.then(|| Members::new(hashes)).flatten();
@@ -166,11 +166,11 @@
 }
 
 /// The summary of a group's tables. Where it would be too long, the largest filters go until it is not.
-pub fn summary(about: About, tables: Vec<TableBuilder>, most_bytes: usize) -> Summary {
-    let About { site, group, schema, version, made_ms, loads } = about;
-    let tables = tables.into_iter().map(|table| table.table().0).collect();
+pub fn summary(about: SummaryHeader, tables: Vec<TableBuilder>, most_bytes: usize) -> Summary {
+    let SummaryHeader { site, group, schema, version, made_ms, loads } = about;
+    let tables = tables.into_iter().map(|table| table.finish().0).collect();
     let mut summary = Summary { schema, version, made_ms, loads, tables, ..Summary::empty(&site, group) };
-    let most = most_bytes.min(MOST_BYTES).saturating_sub(SEALS);
+    let most = most_bytes.min(MOST_BYTES).saturating_sub(SIGNATURE_BYTES);
     while summary.size() > most {
         let columns = summary.tables.iter_mut().flat_map(|t| &mut t.columns);
         let largest = columns.max_by_key(|c| c.members.as_ref().map_or(0, Members::size));
@@ -183,11 +183,16 @@
 }
 
 /// The same in sheets, signed: fronts may hold a part of it.
-pub fn in_sheets(about: About, tables: Vec<TableBuilder>, most_bytes: usize, key: &SigningKey) -> Vec<u8> {
-    let About { site, group, schema, version, made_ms, loads } = about;
+pub fn layered(
+    about: SummaryHeader,
+    tables: Vec<TableBuilder>,
+    most_bytes: usize,
+    key: &SigningKey,
+) -> Vec<u8> {
+    let SummaryHeader { site, group, schema, version, made_ms, loads } = about;
     let (mut small, mut full) = (Vec::new(), Vec::new());
     let mut of = |(at, table): (usize, TableBuilder)| {
-        let (mut table, smalls) = table.table();
+        let (mut table, smalls) = table.finish();
         for (place, (column, few)) in table.columns.iter_mut().zip(smalls).enumerate() {
             let name = (at as u16, place as u16);
             let members = column.members.take();
@@ -199,5 +204,5 @@
     };
     let tables = tables.into_iter().enumerate().map(&mut of).collect();
     let summary = Summary { schema, version, made_ms, loads, tables, ..Summary::empty(&site, group) };
-    sheets::sign(summary, small, full, most_bytes, key)
+    layers::sign(summary, small, full, most_bytes, key)
 }
--- a/crates/scatter/src/combine.rs
+++ b/crates/scatter/src/combine.rs
@@ -6,24 +6,24 @@
 use sqlparser::ast::{Expr, Function, FunctionArg, FunctionArgExpr, FunctionArguments, SelectItem};
 
 use crate::row::{arguments, beyond_one_row};
-use crate::sql::{Names, Unfit};
+use crate::sql::{ColumnScope, Unsupported};
 use crate::value::Kind;
 
 const NULLS: [&str; 4] = ["", "\\N", "NULL", "null"]; // as engines write that there is no value
 const LONGEST: usize = 1_000; // characters of a number
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum AggregateKind {
     Count,
     Sum,
-    Least,
-    Greatest,
+    Min,
+    Max,
 }
 
 /// One column of the answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Aggregate {
-    pub way: Way,
+    pub kind: AggregateKind,
     /// Of which column; None: of rows.
     pub column: Option<String>,
     /// The column holds floats: they are added as doubles, in the order of sites.
@@ -31,39 +31,46 @@
 }
 
 /// Takes a select list of aggregates; None: it has none.
-pub(crate) fn read(projection: &[SelectItem], names: &Names) -> Result<Option<Vec<Aggregate>>, Unfit> {
-    let way = |f: &Function| match f.name.to_string().to_ascii_lowercase().as_str() {
-        "count" => Some(Way::Count),
-        "sum" => Some(Way::Sum),
-        "min" => Some(Way::Least),
-        "max" => Some(Way::Greatest),
+pub(crate) fn read(
+    projection: &[SelectItem],
+    names: &ColumnScope,
+) -> Result<Option<Vec<Aggregate>>, Unsupported> {
+    let kind_of = |f: &Function| match f.name.to_string().to_ascii_lowercase().as_str() {
+        "count" => Some(AggregateKind::Count),
+        "sum" => Some(AggregateKind::Sum),
+        "min" => Some(AggregateKind::Min),
+        "max" => Some(AggregateKind::Max),
         _ => None,
     };
     let of = |item: &SelectItem| match item {
         SelectItem::UnnamedExpr(Expr::Function(f))
-        | SelectItem::ExprWithAlias { expr: Expr::Function(f), .. } => way(f).map(|way| (way, f.clone())),
+        | SelectItem::ExprWithAlias { expr: Expr::Function(f), .. } => {
+            kind_of(f).map(|kind| (kind, f.clone()))
+        }
         _ => None,
     };
-    let all: Vec<(Way, Function)> = projection.iter().filter_map(of).collect();
+    let all: Vec<(AggregateKind, Function)> = projection.iter().filter_map(of).collect();
     if all.is_empty() {
         return Ok(None);
     }
-    let whole = |what: &str| Err(Unfit::Whole(what.to_string()));
+    let not_divisible = |what: &str| Err(Unsupported::NotDivisible(what.to_string()));
     if all.len() < projection.len() {
-        return whole("aggregates beside other columns");
+        return not_divisible("aggregates beside other columns");
     }
     let mut aggregates = Vec::new();
-    for (way, f) in all {
-        let column = match (way, arguments(&f).as_deref()) {
-            (Way::Count, None) if is_of_rows(&f) => None,
-            (Way::Count, Some([e])) if beyond_one_row(e).is_none() => None,
-            (Way::Sum | Way::Least | Way::Greatest, Some([e])) => match names.column(e) {
-                Some(column) => Some(column),
-                None => return whole("a sum, least or greatest of anything but a column"),
-            },
-            _ => return whole("an aggregate with DISTINCT, OVER, FILTER or other arguments"),
+    for (kind, f) in all {
+        let column = match (kind, arguments(&f).as_deref()) {
+            (AggregateKind::Count, None) if is_of_rows(&f) => None,
+            (AggregateKind::Count, Some([e])) if beyond_one_row(e).is_none() => None,
+            (AggregateKind::Sum | AggregateKind::Min | AggregateKind::Max, Some([e])) => {
+                match names.column(e) {
+                    Some(column) => Some(column),
+                    None => return not_divisible("a sum, least or greatest of anything but a column"),
+                }
+            }
+            _ => return not_divisible("an aggregate with DISTINCT, OVER, FILTER or other arguments"),
         };
-        aggregates.push(Aggregate { way, column, float: false });
+        aggregates.push(Aggregate { kind, column, float: false });
     }
     Ok(Some(aggregates))
 }
@@ -84,18 +91,18 @@
 
 impl Aggregate {
     /// Whether it can be put together, by what its column holds at every site. Text depends on a collation.
-    pub fn fits(&mut self, kind: impl Fn(&str) -> Option<Kind>) -> Result<(), Unfit> {
+    pub fn check(&mut self, column_kind: impl Fn(&str) -> Option<Kind>) -> Result<(), Unsupported> {
         let Some(column) = &self.column else { return Ok(()) };
-        match (self.way, kind(column)) {
-            (Way::Count, _) | (_, Some(Kind::Number { .. })) => Ok(()),
-            (_, None) => Err(Unfit::Whole(format!(
+        match (self.kind, column_kind(column)) {
+            (AggregateKind::Count, _) | (_, Some(Kind::Number { .. })) => Ok(()),
+            (_, None) => Err(Unsupported::NotDivisible(format!(
                 "column '{column}', of whose kind no two summaries speak alike, or none,"
             ))),
             (_, Some(Kind::Float)) => {
                 self.float = true;
                 Ok(())
             }
-            _ => Err(Unfit::Whole(format!(
+            _ => Err(Unsupported::NotDivisible(format!(
                 "the least or greatest of '{column}', which is no column of numbers,"
             ))),
         }
@@ -103,22 +110,24 @@
 
     fn join(&self, fields: &[&str]) -> Option<String> {
         let null = fields.iter().find(|field| NULLS.contains(field));
-        if self.float && self.way != Way::Count {
+        if self.float && self.kind != AggregateKind::Count {
             return self.join_floats(fields, null.copied());
         }
         let values = fields.iter().filter(|field| !NULLS.contains(field));
         let values: Vec<(BigDecimal, &str)> =
             values.map(|field| Some((number(field)?, *field))).collect::<Option<_>>()?;
-        if values.is_empty() || self.way == Way::Count && null.is_some() {
-            return null.filter(|_| self.way != Way::Count).map(|null| (*null).to_string());
+        if values.is_empty() || self.kind == AggregateKind::Count && null.is_some() {
+            return null.filter(|_| self.kind != AggregateKind::Count).map(|null| (*null).to_string());
         }
-        match self.way {
-            Way::Count | Way::Sum => {
+        match self.kind {
+            AggregateKind::Count | AggregateKind::Sum => {
                 let sum: BigDecimal = values.iter().map(|(number, _)| number).sum();
                 Some(sum.to_plain_string())
             }
-            Way::Least => values.iter().min_by(|a, b| a.0.cmp(&b.0)).map(|(_, field)| (*field).to_string()),
-            Way::Greatest => {
+            AggregateKind::Min => {
+                values.iter().min_by(|a, b| a.0.cmp(&b.0)).map(|(_, field)| (*field).to_string())
+            }
+            AggregateKind::Max => {
                 values.iter().max_by(|a, b| a.0.cmp(&b.0)).map(|(_, field)| (*field).to_string())
             }
         }
@@ -133,9 +142,13 @@
         if values.is_empty() {
             return null.map(str::to_string);
         }
-        match self.way {
-            Way::Least => values.iter().min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, f)| (*f).to_string()),
-            Way::Greatest => values.iter().max_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, f)| (*f).to_string()),
+        match self.kind {
+            AggregateKind::Min => {
+                values.iter().min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, f)| (*f).to_string())
+            }
+            AggregateKind::Max => {
+                values.iter().max_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, f)| (*f).to_string())
+            }
             // One site's own sum stays as it wrote it.
             _ if values.len() == 1 => Some(values[0].1.to_string()),
             _ => Some(values.iter().map(|(number, _)| number).sum::<f64>())
--- a/crates/scatter/src/combine_tests.rs
+++ b/crates/scatter/src/combine_tests.rs
@@ -2,18 +2,18 @@
 
 use super::*;
 
-fn of(way: Way) -> Aggregate {
-    Aggregate { way, column: None, float: false }
+fn of(way: AggregateKind) -> Aggregate {
+    Aggregate { kind: way, column: None, float: false }
 }
 
 #[test]
 fn floats_are_added_in_the_order_of_sites_and_compared_as_numbers() {
     let float = |way| Aggregate { float: true, ..of(way) };
-    let all = [float(Way::Sum), float(Way::Least), float(Way::Greatest)];
+    let all = [float(AggregateKind::Sum), float(AggregateKind::Min), float(AggregateKind::Max)];
     let parts: [&[u8]; 3] = [b"1e16\t-2.5e0\t1e3\n", b"1\t\\N\t0.5\n", b"-1e16\t-10\t9\n"];
     assert_eq!(join(&all, &parts).unwrap(), b"0\t-10\t1e3\n");
-    let turned: [&[u8]; 3] = [b"1e16\n", b"-1e16\n", b"1\n"];
-    assert_eq!(join(&all[..1], &turned).unwrap(), b"1\n");
+    let flipped: [&[u8]; 3] = [b"1e16\n", b"-1e16\n", b"1\n"];
+    assert_eq!(join(&all[..1], &flipped).unwrap(), b"1\n");
     assert_eq!(join(&all, &[b"0.1\t\\N\t\\N\n"]).unwrap(), b"0.1\t\\N\t\\N\n");
     for wrong in [&b"NaN\t1\t1\n"[..], b"inf\t1\t1\n", b"1e999\t1\t1\n", b"x\t1\t1\n"] {
         assert_eq!(join(&all, &[parts[0], wrong]), Err(1), "{wrong:?}");
@@ -22,7 +22,8 @@
 
 #[test]
 fn aggregates_are_joined_exactly() {
-    let all = [of(Way::Count), of(Way::Sum), of(Way::Least), of(Way::Greatest)];
+    let all =
+        [of(AggregateKind::Count), of(AggregateKind::Sum), of(AggregateKind::Min), of(AggregateKind::Max)];
     let parts: [&[u8]; 3] = [
         b"2\t99999999999999999999999999999999999999.10\t-3\t9\n",
         b"0\t\\N\t\\N\t\\N\n",
--- a/crates/scatter/src/condition.rs
+++ b/crates/scatter/src/condition.rs
@@ -16,19 +16,19 @@
     Not(Box<Condition>),
     Compare {
         column: String,
-        by: By,
+        by: Comparison,
         literal: Literal,
     },
     Null {
         column: String,
     },
     /// LIKE with this beginning, and anything behind it.
-    Begins {
+    StartsWith {
         column: String,
-        with: String,
+        prefix: String,
     },
     /// A column of truth values by itself.
-    Holds {
+    IsTrue {
         column: String,
     },
     Constant(bool),
@@ -37,7 +37,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum By {
+pub enum Comparison {
     Equal,
     Unequal,
     Less,
@@ -46,26 +46,26 @@
     AtLeast,
 }
 
-impl By {
+impl Comparison {
     /// What holds where this does not, for a value that is not null.
-    fn complement(self) -> By {
+    fn complement(self) -> Comparison {
         match self {
-            By::Equal => By::Unequal,
-            By::Unequal => By::Equal,
-            By::Less => By::AtLeast,
-            By::AtLeast => By::Less,
-            By::Greater => By::AtMost,
-            By::AtMost => By::Greater,
+            Comparison::Equal => Comparison::Unequal,
+            Comparison::Unequal => Comparison::Equal,
+            Comparison::Less => Comparison::AtLeast,
+            Comparison::AtLeast => Comparison::Less,
+            Comparison::Greater => Comparison::AtMost,
+            Comparison::AtMost => Comparison::Greater,
         }
     }
 
     /// The same with its sides changed.
-    pub fn turned(self) -> By {
+    pub fn flipped(self) -> Comparison {
         match self {
-            By::Less => By::Greater,
-            By::Greater => By::Less,
-            By::AtMost => By::AtLeast,
-            By::AtLeast => By::AtMost,
+            Comparison::Less => Comparison::Greater,
+            Comparison::Greater => Comparison::Less,
+            Comparison::AtMost => Comparison::AtLeast,
+            Comparison::AtLeast => Comparison::AtMost,
             same => same,
         }
     }
@@ -78,18 +78,20 @@
     }
 
     /// Surely no row gives it this truth value.
-    fn never(&self, table: &Table, truth: bool, picks: bool) -> bool {
+    fn never(&self, table: &Table, truth: bool, tries_constants: bool) -> bool {
         let column = |name: &str| table.columns.iter().find(|c| c.name == name);
-        let never = |c: &Condition| c.never(table, truth, picks);
+        let never = |c: &Condition| c.never(table, truth, tries_constants);
         match self {
             // One that is never TRUE keeps the whole from being TRUE; for FALSE all must never be FALSE.
             Condition::All(all) if truth => {
-                all.iter().any(never) || narrows(all, table) || picks && none_fits(all, table)
+                all.iter().any(never)
+                    || excluded_by_range(all, table)
+                    || tries_constants && no_listed_value_fits(all, table)
             }
             Condition::All(all) => all.iter().all(never),
             Condition::Any(any) if truth => any.iter().all(never),
             Condition::Any(any) => any.iter().any(never),
-            Condition::Not(inner) => inner.never(table, !truth, picks),
+            Condition::Not(inner) => inner.never(table, !truth, tries_constants),
             Condition::Constant(value) => *value != truth,
             Condition::Null { column: name } => column(name).is_some_and(|c| match truth {
                 true => c.nulls == 0,
@@ -99,10 +101,11 @@
                 let by = if truth { *by } else { by.complement() };
                 column(name).is_some_and(|c| c.nulls == table.rows || c.excludes(by, literal))
             }
-            Condition::Holds { column: name } => column(name)
-                .is_some_and(|c| c.nulls == table.rows || c.excludes(By::Equal, &Literal::Bool(truth))),
-            Condition::Begins { column: name, with } => {
-                truth && column(name).is_some_and(|c| c.nulls == table.rows || c.never_begins(with))
+            Condition::IsTrue { column: name } => column(name).is_some_and(|c| {
+                c.nulls == table.rows || c.excludes(Comparison::Equal, &Literal::Bool(truth))
+            }),
+            Condition::StartsWith { column: name, prefix } => {
+                truth && column(name).is_some_and(|c| c.nulls == table.rows || c.never_starts_with(prefix))
             }
             Condition::Other => false,
         }
@@ -112,19 +115,19 @@
     pub fn has_equality(&self) -> bool {
         match self {
             Condition::All(all) | Condition::Any(all) => all.iter().any(Condition::has_equality),
-            Condition::Compare { by, .. } => *by == By::Equal,
+            Condition::Compare { by, .. } => *by == Comparison::Equal,
             _ => false,
         }
     }
 
     /// Whether all of it is understood, and over columns that the table's summary tells of.
-    pub fn is_told(&self, table: &Table) -> bool {
-        let told = |name: &String| table.columns.iter().any(|c| c.name == *name && c.bounds.is_some());
+    pub fn is_summarized(&self, table: &Table) -> bool {
+        let summarized = |name: &String| table.columns.iter().any(|c| c.name == *name && c.bounds.is_some());
         match self {
-            Condition::All(all) | Condition::Any(all) => all.iter().all(|c| c.is_told(table)),
-            Condition::Not(inner) => inner.is_told(table),
-            Condition::Compare { column, .. } | Condition::Holds { column } => told(column),
-            Condition::Begins { column, .. } => told(column),
+            Condition::All(all) | Condition::Any(all) => all.iter().all(|c| c.is_summarized(table)),
+            Condition::Not(inner) => inner.is_summarized(table),
+            Condition::Compare { column, .. } | Condition::IsTrue { column } => summarized(column),
+            Condition::StartsWith { column, .. } => summarized(column),
             Condition::Null { column } => table.columns.iter().any(|c| c.name == *column),
             Condition::Constant(_) => true,
             Condition::Other => false,
@@ -148,7 +151,7 @@
         match self {
             Condition::All(all) => all.iter().map(|c| c.share(table)).product(),
             Condition::Any(any) => any.iter().map(|c| c.share(table)).sum::<f64>().min(1.0),
-            Condition::Compare { column, by: By::Equal, .. } => {
+            Condition::Compare { column, by: Comparison::Equal, .. } => {
                 let column = table.columns.iter().find(|c| c.name == *column);
                 column.map_or(0.1, |c| 1.0 / c.distinct.max(1) as f64)
             }
@@ -156,7 +159,7 @@
                 let column = table.columns.iter().find(|c| c.name == *column);
                 column.and_then(|c| c.part(*by, literal)).unwrap_or(SOME)
             }
-            Condition::Begins { .. } => SOME,
+            Condition::StartsWith { .. } => SOME,
             _ => 0.5,
         }
     }
@@ -167,14 +170,16 @@
 const MOST_POINTS: i128 = 64; // whole numbers between two bounds that are each asked of the filter
 
 /// A column that must be one of a few constants, none of which it has or the rest allows.
-fn none_fits(all: &[Condition], table: &Table) -> bool {
+fn no_listed_value_fits(all: &[Condition], table: &Table) -> bool {
     let refuted = |condition: &Condition| {
         let any = match condition {
             Condition::Any(any) if any.len() <= FEW_LEAVES => &any[..],
             one => std::slice::from_ref(one),
         };
         any.iter().all(|one| {
-            let Condition::Compare { column: name, by: By::Equal, literal } = one else { return false };
+            let Condition::Compare { column: name, by: Comparison::Equal, literal } = one else {
+                return false;
+            };
             let Some(column) = table.columns.iter().find(|c| c.name == *name) else { return false };
             let Some(point) = literal.point(column.kind) else { return false };
             // A row of that constant alone: what else is asked of the column may rule it out.
@@ -184,7 +189,7 @@
             let of =
                 Column { name, kind, nulls: 0, distinct, bounds, tight, runs, sketch: None, members: None };
             let row = Table { name: String::new(), rows: 1, columns: vec![of] };
-            column.excludes(By::Equal, literal) || all.iter().any(|c| c.never(&row, true, false))
+            column.excludes(Comparison::Equal, literal) || all.iter().any(|c| c.never(&row, true, false))
         })
     };
     all.iter().any(refuted)
@@ -192,7 +197,7 @@
 
 /// Bounds on one column of numbers between which it has no value: by its runs, or each of the few by its
 /// filter.
-fn narrows(all: &[Condition], table: &Table) -> bool {
+fn excluded_by_range(all: &[Condition], table: &Table) -> bool {
     table.columns.iter().any(|column| {
         let Kind::Number { .. } = column.kind else { return false };
         let Some((Value::Number(mut low), Value::Number(mut high))) = column.bounds else { return false };
@@ -204,12 +209,12 @@
                 continue;
             };
             match by {
-                By::AtLeast => low = low.max(below),
-                By::AtMost => high = high.min(above),
+                Comparison::AtLeast => low = low.max(below),
+                Comparison::AtMost => high = high.min(above),
                 // However an engine rounds the literal: the next value at least.
-                By::Greater => low = low.max(below.saturating_add(1)),
-                By::Less => high = high.min(above.saturating_sub(1)),
-                By::Equal | By::Unequal => continue,
+                Comparison::Greater => low = low.max(below.saturating_add(1)),
+                Comparison::Less => high = high.min(above.saturating_sub(1)),
+                Comparison::Equal | Comparison::Unequal => continue,
             }
             bound = true;
         }
@@ -226,7 +231,7 @@
     }
 
     /// Which part of the range between its bounds lies so to the literal.
-    fn part(&self, by: By, literal: &Literal) -> Option<f64> {
+    fn part(&self, by: Comparison, literal: &Literal) -> Option<f64> {
         let (least, greatest) = self.bounds.as_ref()?;
         let at = literal.point(self.kind)?.above;
         let number = |v: &Value| match v {
@@ -237,21 +242,21 @@
         let (least, greatest, at) = (number(least)?, number(greatest)?, number(&at)?);
         let below = ((at - least) / (greatest - least).max(1.0)).clamp(0.0, 1.0);
         match by {
-            By::Less | By::AtMost => Some(below),
-            By::Greater | By::AtLeast => Some(1.0 - below),
-            By::Equal | By::Unequal => None,
+            Comparison::Less | Comparison::AtMost => Some(below),
+            Comparison::Greater | Comparison::AtLeast => Some(1.0 - below),
+            Comparison::Equal | Comparison::Unequal => None,
         }
     }
 
     /// Surely no value that is not null compares so to the literal.
-    fn excludes(&self, by: By, literal: &Literal) -> bool {
+    fn excludes(&self, by: Comparison, literal: &Literal) -> bool {
         let (Some(point), Some((least, greatest))) = (literal.point(self.kind), &self.bounds) else {
             return false;
         };
         let ordered = !matches!(self.kind, Kind::Text(Collation::Exact | Collation::Unknown));
         let same = |a: &Value, b: &Value| point.exact && crate::value::order(a, b).is_some_and(|o| o.is_eq());
         match by {
-            By::Equal => {
+            Comparison::Equal => {
                 let outside = less(&point.above, least) || less(greatest, &point.below);
                 let outside = outside
                     || matches!((&point.below, &point.above),
@@ -259,22 +264,22 @@
                 let absent = |v: &Value| self.members.as_ref().is_some_and(|m| !m.may_have(v.hash()));
                 outside || self.kind != Kind::Float && absent(&point.below) && absent(&point.above)
             }
-            By::Unequal => self.tight && same(least, greatest) && same(least, &point.below),
-            By::Less => ordered && (less(&point.above, least) || same(&point.above, least)),
-            By::AtMost => ordered && less(&point.above, least),
-            By::Greater => ordered && (less(greatest, &point.below) || same(greatest, &point.below)),
-            By::AtLeast => ordered && less(greatest, &point.below),
+            Comparison::Unequal => self.tight && same(least, greatest) && same(least, &point.below),
+            Comparison::Less => ordered && (less(&point.above, least) || same(&point.above, least)),
+            Comparison::AtMost => ordered && less(&point.above, least),
+            Comparison::Greater => ordered && (less(greatest, &point.below) || same(greatest, &point.below)),
+            Comparison::AtLeast => ordered && less(greatest, &point.below),
         }
     }
 
     /// Surely no value begins so. LIKE goes by characters, so bytes tell wherever equality goes by bytes.
-    fn never_begins(&self, with: &str) -> bool {
+    fn never_starts_with(&self, prefix: &str) -> bool {
         let by_bytes = matches!(self.kind, Kind::Text(Collation::C | Collation::Exact));
         let Some((Value::Text(least), Value::Text(greatest))) = self.bounds.as_ref().filter(|_| by_bytes)
         else {
             return false;
         };
-        let behind = above(with).is_some_and(|above| least.as_bytes() >= above.as_bytes());
-        greatest.as_bytes() < with.as_bytes() || behind
+        let behind = above(prefix).is_some_and(|above| least.as_bytes() >= above.as_bytes());
+        greatest.as_bytes() < prefix.as_bytes() || behind
     }
 }
--- /dev/null
+++ b/crates/scatter/src/exchange.rs
@@ -0,0 +1,400 @@
+//! Summaries between fronts: each round tells two others some names and versions in turn; whoever lacks a version asks for
+//! it piece by piece. A version that is new at a front is told on at once. What leaves a second is bounded,
+//! whatever the number of fronts and sites.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use serde::{Deserialize, Serialize};
+
+use crate::layers::{self, Detail};
+use crate::store::SummaryStore;
+use crate::summary::{Refused, MOST_BYTES};
+use crate::Micros;
+
+/// Another front, by the first bytes of its public key.
+pub type FrontId = u64;
+
+const ROUND: Micros = 1_000_000; // microseconds between rounds
+const ROUND_FANOUT: usize = 2; // fronts that a round is told to
+const NEW_VERSION_FANOUT: usize = 3; // fronts that a new version is told to, each of which tells it on
+const WINDOW: usize = 32; // names and versions of a round: some 600 bytes
+const PIECE: usize = 800; // bytes: with what seals it, it fits a datagram
+const BYTES_A_SECOND: f64 = 12_000.0; // of messages, answers included: a whole summary in some six seconds
+const MAX_DOWNLOADS: usize = 8; // summaries that come in at once
+const PIECE_TIMEOUT: Micros = 1_500_000; // microseconds for a piece, then another front may be asked
+const FALSE_REPORT_TTL: Micros = 60_000_000; // microseconds for which a false word is told, each round to two
+const MAX_FALSE_REPORTS: usize = 1_024; // sites and groups whose false reports are known
+const MAX_REFUSED: usize = 256; // reports of others that were refused and are not asked for again
+
+#[derive(Debug, PartialEq, Serialize, Deserialize)]
+enum Message {
+    Versions(Vec<(u64, u64)>),
+    Request {
+        name: u64,
+        version: u64,
+        piece: u16,
+    },
+    Piece {
+        name: u64,
+        version: u64,
+        piece: u16,
+        pieces: u16,
+        bytes: Vec<u8>,
+    },
+    /// The same as `Have`, with how fine it is: between fronts that hold parts of summaries.
+    DetailedVersions(Vec<(u64, u64, Detail)>),
+    /// False reports of sites that fronts have found lately.
+    FalseSummaries(Vec<FalseSummary>),
+}
+
+/// A site's summary of a group said that it has no row for a statement, and it had.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct FalseSummary {
+    pub site: String,
+    pub group: u32,
+    pub version: u64,
+}
+
+/// A piece of a summary that has come.
+struct Piece {
+    name: u64,
+    version: u64,
+    /// Which of its pieces it is, counted from 0, and how many there are.
+    piece: u16,
+    pieces: u16,
+    bytes: Vec<u8>,
+}
+
+struct Download {
+    version: u64,
+    wanted: Detail,
+    from: FrontId,
+    bytes: Vec<u8>,
+    next: u16,
+    asked: Micros,
+}
+
+pub struct Exchange {
+    due: Micros,
+    /// Where the next window begins.
+    after: u64,
+    next_peer: usize,
+    byte_budget: f64,
+    refilled_at: Micros,
+    downloads: BTreeMap<u64, Download>,
+    /// New here, to be told on.
+    fresh: BTreeSet<u64>,
+    /// By site and group the highest version found false, and when this front came to know of it.
+    false_reports: BTreeMap<(String, u32), (u64, Micros)>,
+    /// Refused reports: name, version, whose.
+    refused: BTreeSet<(u64, u64, FrontId)>,
+    /// Names and versions that this front can read whole at home, whatever it holds of them.
+    pub local: BTreeMap<u64, u64>,
+}
+
+/// A piece that another front wants of what lies at home and is not held.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PieceRequest {
+    pub to: FrontId,
+    pub name: u64,
+    pub version: u64,
+    piece: u16,
+}
+
+/// What is to leave, and what became of whole summaries that came.
+#[derive(Default)]
+pub struct Output {
+    pub messages: Vec<(FrontId, Vec<u8>)>,
+    pub accepted: Vec<Result<bool, Refused>>,
+    /// What is to be read at home and handed to `send_piece`.
+    pub local_reads: Vec<PieceRequest>,
+    /// False reports that others have found and this front had not heard of.
+    pub false_summaries: Vec<FalseSummary>,
+}
+
+impl Exchange {
+    /// `turn` is where among the others it begins; fronts should differ.
+    pub fn new(next_peer: usize) -> Exchange {
+        Exchange {
+            due: 0,
+            after: 0,
+            next_peer,
+            byte_budget: BYTES_A_SECOND,
+            refilled_at: 0,
+            downloads: BTreeMap::new(),
+            fresh: BTreeSet::new(),
+            false_reports: BTreeMap::new(),
+            refused: BTreeSet::new(),
+            local: BTreeMap::new(),
+        }
+    }
+
+    pub fn due(&self) -> Micros {
+        if self.fresh.is_empty() {
+            self.due
+        } else {
+            0
+        }
+    }
+
+    /// A version of this name is new here.
+    pub fn announce(&mut self, name: u64) {
+        self.fresh.insert(name);
+    }
+
+    /// A site's word was found false here, or was heard to be: false where that was known already.
+    pub fn report_false(&mut self, now: Micros, report: &FalseSummary) -> bool {
+        let of = (report.site.clone(), report.group);
+        let known = self.false_reports.get(&of).is_some_and(|(version, _)| *version >= report.version);
+        let has_capacity =
+            self.false_reports.len() < MAX_FALSE_REPORTS || self.false_reports.contains_key(&of);
+        if known || !has_capacity {
+            return false;
+        }
+        self.false_reports.insert(of, (report.version, now));
+        true
+    }
+
+    /// The false reports that are told in this round, those found last first.
+    fn false_to_report(&self, now: Micros) -> Option<Message> {
+        let mut all: Vec<_> =
+            self.false_reports.iter().filter(|(_, (_, at))| now - at < FALSE_REPORT_TTL).collect();
+        all.sort_by_key(|(_, (_, at))| std::cmp::Reverse(*at));
+        let report = |((site, group), (version, _)): (&(String, u32), &(u64, Micros))| FalseSummary {
+            site: site.clone(),
+            group: *group,
+            version: *version,
+        };
+        let reports: Vec<FalseSummary> = all.into_iter().take(MAX_DOWNLOADS).map(report).collect();
+        (!reports.is_empty()).then_some(Message::FalseSummaries(reports))
+    }
+
+    /// Tells some of what is held to some others, where it is time.
+    pub fn tick(&mut self, now: Micros, others: &[FrontId], summaries: &SummaryStore) -> Output {
+        let mut out = Output::default();
+        self.announce_new(now, others, summaries, &mut out);
+        if now < self.due {
+            return out;
+        }
+        self.due = now + ROUND;
+        self.downloads.retain(|_, download| now - download.asked < PIECE_TIMEOUT);
+        let found = self.false_to_report(now);
+        for _ in 0..ROUND_FANOUT.min(others.len()) {
+            let Some(message) = &found else { break };
+            self.next_peer = self.next_peer.wrapping_add(1);
+            let to = others.get(self.next_peer % others.len()).copied().unwrap_or_default();
+            self.send(now, to, message, &mut out);
+        }
+        let mut all = self.available(summaries);
+        if all.is_empty() || others.is_empty() {
+            return out;
+        }
+        all.sort_unstable();
+        let first = all.partition_point(|(name, ..)| *name <= self.after);
+        all.rotate_left(first);
+        all.truncate(WINDOW);
+        self.after = all.last().map_or(0, |(name, ..)| *name);
+        for _ in 0..ROUND_FANOUT.min(others.len()) {
+            self.next_peer = self.next_peer.wrapping_add(1);
+            let to = others.get(self.next_peer % others.len()).copied().unwrap_or_default();
+            self.send(now, to, &list(all.clone(), summaries), &mut out);
+        }
+        out
+    }
+
+    fn announce_new(&mut self, now: Micros, others: &[FrontId], summaries: &SummaryStore, out: &mut Output) {
+        let fresh = std::mem::take(&mut self.fresh);
+        if fresh.is_empty() || others.is_empty() {
+            return;
+        }
+        let all: Vec<_> =
+            self.available(summaries).into_iter().filter(|(name, ..)| fresh.contains(name)).collect();
+        for window in all.chunks(WINDOW) {
+            for _ in 0..NEW_VERSION_FANOUT.min(others.len()) {
+                self.next_peer = self.next_peer.wrapping_add(1);
+                let to = others.get(self.next_peer % others.len()).copied().unwrap_or_default();
+                self.send(now, to, &list(window.to_vec(), summaries), out);
+            }
+        }
+    }
+
+    /// What can be had here: what is held, and what lies at home.
+    fn available(&self, summaries: &SummaryStore) -> Vec<(u64, u64, Detail)> {
+        let mut all: BTreeMap<u64, (u64, Detail)> =
+            summaries.versions().map(|(name, version, fineness)| (name, (version, fineness))).collect();
+        for (&name, &version) in self.local.iter().filter(|_| summaries.retention.is_some()) {
+            let known = all.entry(name).or_insert((version, Detail::Full));
+            *known = (*known).max((version, Detail::Full));
+        }
+        all.into_iter().map(|(name, (version, fineness))| (name, version, fineness)).collect()
+    }
+
+    /// A message has come. One that can't be read counts for nothing.
+    pub fn on_message(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        from: FrontId,
+        bytes: &[u8],
+        summaries: &mut SummaryStore,
+    ) -> Output {
+        let mut out = Output::default();
+        match postcard::take_from_bytes(bytes) {
+            Ok((Message::Versions(all), [])) => {
+                let all: Vec<_> = all.into_iter().map(|(n, v)| (n, v, Detail::Full)).collect();
+                self.compare(now, from, &all, summaries, &mut out);
+            }
+            Ok((Message::DetailedVersions(all), [])) => self.compare(now, from, &all, summaries, &mut out),
+            Ok((Message::Request { name, version, piece }, [])) => {
+                self.serve_piece(now, from, (name, version, piece), summaries, &mut out);
+            }
+            Ok((Message::Piece { name, version, piece, pieces, bytes }, [])) => {
+                let piece = Piece { name, version, piece, pieces, bytes };
+                let whole = self.add_piece(now, from, &piece, &mut out);
+                if let Some(whole) = whole {
+                    let taken = summaries.accept(wall_ms, &whole);
+                    if taken == Ok(true) {
+                        self.fresh.insert(name);
+                    }
+                    if taken.is_err() && self.refused.len() < MAX_REFUSED {
+                        self.refused.insert((name, version, from));
+                    }
+                    out.accepted.push(taken);
+                }
+            }
+            Ok((Message::FalseSummaries(reports), [])) => {
+                let known = |report: &FalseSummary| summaries.has_site(&report.site);
+                let reports = reports.into_iter().take(MAX_DOWNLOADS).filter(known);
+                out.false_summaries = reports.filter(|report| self.report_false(now, report)).collect();
+            }
+            _ => out.accepted.push(Err(Refused::Form)),
+        }
+        out
+    }
+
+    fn compare(
+        &mut self,
+        now: Micros,
+        from: FrontId,
+        all: &[(u64, u64, Detail)],
+        summaries: &SummaryStore,
+        out: &mut Output,
+    ) {
+        let known: BTreeMap<u64, (u64, Detail)> = self
+            .available(summaries)
+            .into_iter()
+            .map(|(name, version, fineness)| (name, (version, fineness)))
+            .collect();
+        let held: BTreeMap<u64, (u64, Detail)> =
+            summaries.versions().map(|(name, version, fineness)| (name, (version, fineness))).collect();
+        let mut newer = Vec::new();
+        for &(name, version, finest) in all.iter().take(WINDOW) {
+            let here = known.get(&name).copied();
+            newer.extend(here.filter(|(held, _)| *held > version).map(|(v, f)| (name, v, f)));
+            let Some(wanted) = summaries.wanted_detail(name).map(|wanted| wanted.min(finest)) else {
+                continue;
+            };
+            let lacks = held.get(&name).is_none_or(|held| *held < (version, wanted));
+            let waits = self
+                .downloads
+                .get(&name)
+                .is_some_and(|c| now - c.asked < PIECE_TIMEOUT && c.version >= version);
+            let has_capacity = self.downloads.len() < MAX_DOWNLOADS || self.downloads.contains_key(&name);
+            if lacks
+                && version > 0
+                && !waits
+                && has_capacity
+                && !self.refused.contains(&(name, version, from))
+            {
+                // What is held of it already need not come again.
+                let bytes = summaries.bytes(name).filter(|(held, _)| *held == version);
+                let mut bytes = bytes.map_or(Vec::new(), |(_, bytes)| bytes.to_vec());
+                bytes.truncate(bytes.len() / PIECE * PIECE);
+                let next = (bytes.len() / PIECE) as u16;
+                self.downloads.insert(name, Download { version, wanted, from, bytes, next, asked: now });
+                self.send(now, from, &Message::Request { name, version, piece: next }, out);
+            }
+        }
+        if !newer.is_empty() {
+            self.send(now, from, &list(newer, summaries), out);
+        }
+    }
+
+    fn serve_piece(
+        &mut self,
+        now: Micros,
+        to: FrontId,
+        wanted: (u64, u64, u16),
+        summaries: &SummaryStore,
+        out: &mut Output,
+    ) {
+        let (name, version, piece) = wanted;
+        let held = summaries.bytes(name).filter(|(held, _)| *held == version);
+        let request = PieceRequest { to, name, version, piece };
+        match held {
+            // Where there is more at home, a piece that is not whole comes from there.
+            Some((_, bytes)) if (usize::from(piece) + 1) * PIECE <= bytes.len() => {
+                self.send_piece(now, request, &bytes, out);
+            }
+            _ if summaries.retention.is_some() && self.local.get(&name) == Some(&version) => {
+                out.local_reads.push(request)
+            }
+            Some((_, bytes)) => self.send_piece(now, request, &bytes, out),
+            None => {}
+        }
+    }
+
+    /// Gives a piece of what was read at home.
+    pub fn send_piece(&mut self, now: Micros, request: PieceRequest, bytes: &[u8], out: &mut Output) {
+        let PieceRequest { to, name, version, piece } = request;
+        let Some(part) = bytes.chunks(PIECE).nth(usize::from(piece)) else { return };
+        let pieces = bytes.len().div_ceil(PIECE) as u16;
+        let message = Message::Piece { name, version, piece, pieces, bytes: part.to_vec() };
+        self.send(now, to, &message, out);
+    }
+
+    /// Puts a piece behind those that have come; the whole, with the last one.
+    fn add_piece(&mut self, now: Micros, from: FrontId, piece: &Piece, out: &mut Output) -> Option<Vec<u8>> {
+        let Piece { name, version, piece, pieces, ref bytes } = *piece;
+        let download = self.downloads.get_mut(&name)?;
+        let expected = (download.version, download.from, download.next) == (version, from, piece);
+        if !expected || piece >= pieces || download.bytes.len() + bytes.len() > MOST_BYTES {
+            return None;
+        }
+        download.bytes.extend_from_slice(bytes);
+        download.next += 1;
+        download.asked = now;
+        let ends = layers::layer_ends(&download.bytes);
+        let end = ends.and_then(|ends| ends.get(download.wanted as usize).copied());
+        if let Some(end) = end.filter(|end| *end <= download.bytes.len()) {
+            download.bytes.truncate(end);
+            return self.downloads.remove(&name).map(|download| download.bytes);
+        }
+        if download.next == pieces {
+            return self.downloads.remove(&name).map(|download| download.bytes);
+        }
+        let next = download.next;
+        self.send(now, from, &Message::Request { name, version, piece: next }, out);
+        None
+    }
+
+    fn send(&mut self, now: Micros, to: FrontId, message: &Message, out: &mut Output) {
+        let Ok(bytes) = postcard::to_stdvec(message) else { return };
+        let fills = (now - self.refilled_at).max(0) as f64 / 1e6 * BYTES_A_SECOND;
+        self.byte_budget = (self.byte_budget + fills).min(BYTES_A_SECOND);
+        self.refilled_at = now;
+        // What is over the bound is lost, as any datagram may be: it is asked for again.
+        if self.byte_budget >= bytes.len() as f64 {
+            self.byte_budget -= bytes.len() as f64;
+            out.messages.push((to, bytes));
+        }
+    }
+}
+
+/// What a front tells that it has; to fronts that take all of a summary, as they know it.
+fn list(all: Vec<(u64, u64, Detail)>, summaries: &SummaryStore) -> Message {
+    match summaries.retention {
+        Some(_) => Message::DetailedVersions(all),
+        None => Message::Versions(all.into_iter().map(|(name, version, _)| (name, version)).collect()),
+    }
+}
--- a/crates/scatter/src/filter.rs
+++ b/crates/scatter/src/filter.rs
@@ -12,13 +12,13 @@
     /// Their hashes, in order.
     All(Vec<u64>),
     /// A binary fuse filter: its seed, its segments and its fingerprints.
-    Fuse { seed: u64, segment: u32, segments: u32, prints: Vec<u8> },
+    Fuse { seed: u64, segment: u32, segments: u32, fingerprints: Vec<u8> },
     /// Four bits a value, of which each sets two: one in six of the others is found too.
     Bits(Vec<u8>),
 }
 
 /// The two bits of a hash among so many; the hash is mixed first (the finaliser of SplitMix64).
-fn two(hash: u64, bits: u64) -> [u64; 2] {
+fn bit_positions(hash: u64, bits: u64) -> [u64; 2] {
     let mut mixed = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     mixed ^= mixed >> 31;
@@ -38,7 +38,7 @@
             seed: descriptor.seed,
             segment: descriptor.segment_length,
             segments: descriptor.segment_count_length,
-            prints: fingerprints.into_vec(),
+            fingerprints: fingerprints.into_vec(),
         })
     }
 
@@ -51,7 +51,7 @@
         }
         let mut bytes = vec![0; hashes.len().div_ceil(2)];
         let bits = bytes.len() as u64 * 8;
-        for bit in hashes.iter().flat_map(|hash| two(*hash, bits)) {
+        for bit in hashes.iter().flat_map(|hash| bit_positions(*hash, bits)) {
             bytes[(bit / 8) as usize] |= 1 << (bit % 8);
         }
         Members::Bits(bytes)
@@ -62,12 +62,12 @@
         match self {
             Members::All(hashes) => hashes.len() < FEW && hashes.windows(2).all(|w| w[0] < w[1]),
             Members::Bits(bytes) => (1..1 << 24).contains(&bytes.len()),
-            Members::Fuse { segment, segments, prints, .. } => {
+            Members::Fuse { segment, segments, fingerprints, .. } => {
                 let end = u64::from(*segments) + 2 * u64::from(*segment);
                 segment.is_power_of_two()
                     && *segments > 0
                     && segments.is_multiple_of(*segment)
-                    && end == prints.len() as u64
+                    && end == fingerprints.len() as u64
             }
         }
     }
@@ -78,16 +78,16 @@
             Members::All(hashes) => hashes.binary_search(&hash).is_ok(),
             Members::Bits(bytes) => {
                 let set = |bit: u64| bytes.get((bit / 8) as usize).is_none_or(|b| (b >> (bit % 8)) & 1 == 1);
-                two(hash, bytes.len() as u64 * 8).into_iter().all(set)
+                bit_positions(hash, bytes.len() as u64 * 8).into_iter().all(set)
             }
-            Members::Fuse { seed, segment, segments, prints } => {
+            Members::Fuse { seed, segment, segments, fingerprints } => {
                 // The library takes a filter that lies elsewhere by a head of this form.
                 let mut head = Vec::with_capacity(HEAD);
                 head.extend(seed.to_le_bytes());
                 head.extend(segment.to_le_bytes());
                 head.extend(segment.wrapping_sub(1).to_le_bytes());
                 head.extend(segments.to_le_bytes());
-                BinaryFuse8Ref::from_dma(&head, prints).contains(&hash)
+                BinaryFuse8Ref::from_dma(&head, fingerprints).contains(&hash)
             }
         }
     }
@@ -97,7 +97,7 @@
         match self {
             Members::All(hashes) => hashes.len() * 10 + 4,
             Members::Bits(bytes) => bytes.len() + 4,
-            Members::Fuse { prints, .. } => prints.len() + 24,
+            Members::Fuse { fingerprints, .. } => fingerprints.len() + 24,
         }
     }
 }
--- a/crates/scatter/src/filter_tests.rs
+++ b/crates/scatter/src/filter_tests.rs
@@ -40,17 +40,21 @@
 
 #[test]
 fn what_would_look_beyond_its_end_is_unsound() {
-    let Some(Members::Fuse { seed, segment, segments, prints }) = Members::new(hashes(0, 100)) else {
+    let Some(Members::Fuse { seed, segment, segments, fingerprints }) = Members::new(hashes(0, 100)) else {
         panic!()
     };
-    let fuse =
-        |segment, segments, prints: &[u8]| Members::Fuse { seed, segment, segments, prints: prints.to_vec() };
-    assert!(fuse(segment, segments, &prints).is_sound());
-    assert!(!fuse(segment, segments, &prints[1..]).is_sound());
-    assert!(!fuse(segment * 2, segments, &prints).is_sound());
-    assert!(!fuse(0, segments, &prints).is_sound());
-    assert!(!fuse(segment, 0, &prints).is_sound());
-    assert!(!fuse(segment, u32::MAX, &prints).is_sound());
+    let fuse = |segment, segments, fingerprints: &[u8]| Members::Fuse {
+        seed,
+        segment,
+        segments,
+        fingerprints: fingerprints.to_vec(),
+    };
+    assert!(fuse(segment, segments, &fingerprints).is_sound());
+    assert!(!fuse(segment, segments, &fingerprints[1..]).is_sound());
+    assert!(!fuse(segment * 2, segments, &fingerprints).is_sound());
+    assert!(!fuse(0, segments, &fingerprints).is_sound());
+    assert!(!fuse(segment, 0, &fingerprints).is_sound());
+    assert!(!fuse(segment, u32::MAX, &fingerprints).is_sound());
     assert!(!Members::All(vec![fnv1a(*b"b"), fnv1a(*b"a")].into_iter().rev().collect::<Vec<_>>().repeat(2))
         .is_sound());
 }
--- a/crates/scatter/src/of.rs
+++ b/crates/scatter/src/from_sql.rs
@@ -2,8 +2,8 @@
 
 use sqlparser::ast::{BinaryOperator, Expr, InTarget, UnaryOperator, Value as Word};
 
-use crate::condition::{By, Condition};
-use crate::sql::{literal, Names};
+use crate::condition::{Comparison, Condition};
+use crate::sql::{literal, ColumnScope};
 use crate::value::Literal;
 
 const DEEPEST: usize = 64; // expressions within expressions; what is deeper is not understood
@@ -11,11 +11,11 @@
 const MOST_LEAVES: usize = 256; // comparisons: each is held against each site's summary in the front's one thread
 
 /// What is not understood is `Other`, which proves nothing.
-pub(crate) fn of(e: &Expr, names: &Names) -> Condition {
+pub(crate) fn condition(e: &Expr, names: &ColumnScope) -> Condition {
     Some(within(e, names, 0)).filter(|c| c.leaves() <= MOST_LEAVES).unwrap_or(Condition::Other)
 }
 
-fn within(e: &Expr, names: &Names, depth: usize) -> Condition {
+fn within(e: &Expr, names: &ColumnScope, depth: usize) -> Condition {
     if depth > DEEPEST {
         return Condition::Other;
     }
@@ -31,18 +31,18 @@
         }
         Expr::BinaryOp { left, op, right } => {
             let by = match op {
-                BinaryOperator::Eq => By::Equal,
-                BinaryOperator::NotEq => By::Unequal,
-                BinaryOperator::Lt => By::Less,
-                BinaryOperator::LtEq => By::AtMost,
-                BinaryOperator::Gt => By::Greater,
-                BinaryOperator::GtEq => By::AtLeast,
+                BinaryOperator::Eq => Comparison::Equal,
+                BinaryOperator::NotEq => Comparison::Unequal,
+                BinaryOperator::Lt => Comparison::Less,
+                BinaryOperator::LtEq => Comparison::AtMost,
+                BinaryOperator::Gt => Comparison::Greater,
+                BinaryOperator::GtEq => Comparison::AtLeast,
                 _ => return Condition::Other,
             };
             match (names.column(left), literal(right), literal(left), names.column(right)) {
                 (Some(column), Some(literal), ..) => Condition::Compare { column, by, literal },
                 (_, _, Some(literal), Some(column)) => {
-                    Condition::Compare { column, by: by.turned(), literal }
+                    Condition::Compare { column, by: by.flipped(), literal }
                 }
                 _ => Condition::Other,
             }
@@ -53,14 +53,17 @@
                 return Condition::Other;
             };
             let side = |by, literal| Condition::Compare { column: column.clone(), by, literal };
-            not(*negated, Condition::All(vec![side(By::AtLeast, low), side(By::AtMost, high)]))
+            not(
+                *negated,
+                Condition::All(vec![side(Comparison::AtLeast, low), side(Comparison::AtMost, high)]),
+            )
         }
         Expr::In { expr, target: InTarget::List(list), negated, global: false } => {
             let (Some(column), true) = (names.column(expr), list.len() <= MOST_LISTED) else {
                 return Condition::Other;
             };
             let equal = |e: &Expr| {
-                let (column, by) = (column.clone(), By::Equal);
+                let (column, by) = (column.clone(), Comparison::Equal);
                 literal(e).map_or(Condition::Other, |literal| Condition::Compare { column, by, literal })
             };
             not(*negated, Condition::Any(list.iter().map(equal).collect()))
@@ -79,14 +82,14 @@
                 },
             };
             let end = pattern.find(|c| matches!(c, '%' | '_' | '[') || Some(c) == escape);
-            let with = pattern[..end.unwrap_or(pattern.len())].to_string();
-            not(*negated, Condition::Begins { column, with })
+            let prefix = pattern[..end.unwrap_or(pattern.len())].to_string();
+            not(*negated, Condition::StartsWith { column, prefix })
         }
         Expr::Value(value) => match value.value {
             Word::Boolean(b) => Condition::Constant(b),
             _ => Condition::Other,
         },
-        _ => names.column(e).map_or(Condition::Other, |column| Condition::Holds { column }),
+        _ => names.column(e).map_or(Condition::Other, |column| Condition::IsTrue { column }),
     }
 }
 
@@ -98,7 +101,7 @@
     }
 }
 
-fn null(inner: &Expr, negated: bool, names: &Names) -> Condition {
+fn null(inner: &Expr, negated: bool, names: &ColumnScope) -> Condition {
     names.column(inner).map_or(Condition::Other, |column| not(negated, Condition::Null { column }))
 }
 
--- a/crates/scatter/src/whole.rs
+++ b/crates/scatter/src/gather.rs
@@ -6,7 +6,7 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// The part of this place is to be asked.
     Start(usize),
     /// It is no longer waited for.
@@ -34,23 +34,23 @@
     /// Sites that could have rows may not be asked.
     Barred(Vec<String>),
     /// More rows than an answer holds.
-    Long,
+    TooLong,
     /// So many distinct values, and by which part of them that may be wrong at two standard deviations.
-    About {
+    Estimate {
         distinct: u64,
         error: f64,
     },
     /// Sketches do not tell it now as well as its customer wants it.
-    Untold,
+    NotEstimated,
     /// A site's answer can't be joined with the others: it is of another form.
-    Unlike {
+    Mismatch {
         site: String,
     },
 }
 
 /// How a part failed for good.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failed {
+pub enum PartFailure {
     Rejected {
         retry_after: Option<Micros>,
     },
@@ -59,9 +59,9 @@
     Barred,
 }
 
-/// What holds for the whole.
+/// What holds for the gather.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Rules {
+pub struct GatherRules {
     pub limit: Option<u64>,
     /// The customer takes an answer that says which sites are missing.
     pub partial: bool,
@@ -75,43 +75,43 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum State {
-    Waits,
-    Out,
+    Waiting,
+    Running,
     Rows(Vec<u8>),
     Missing,
-    Over,
+    Dropped,
 }
 
 /// A statement and its parts, from the first to the final answer.
-pub struct Whole {
-    rules: Rules,
+pub struct Gather {
+    rules: GatherRules,
     parts: Vec<(Part, State)>,
     barred: Vec<String>,
     /// Places in the order in which they are asked.
     order: Vec<usize>,
     done: bool,
     /// Audits are waited for no more.
-    hurried: bool,
+    audits_skipped: bool,
 }
 
-impl Whole {
+impl Gather {
     /// What is to be done first; an answer where nothing needs to be asked.
-    pub fn new(parts: Vec<Part>, barred: Vec<String>, rules: Rules) -> (Whole, Vec<Act>) {
+    pub fn new(parts: Vec<Part>, barred: Vec<String>, rules: GatherRules) -> (Gather, Vec<Action>) {
         let mut order: Vec<usize> = (0..parts.len()).collect();
         if rules.limit.is_some() {
             // Those likeliest to have enough rows go first; of equal ones the first.
             let rows = |at: &usize| parts.get(*at).map_or(0.0, |part| part.rows);
             order.sort_by(|a, b| rows(b).total_cmp(&rows(a)));
         }
-        let parts = parts.into_iter().map(|part| (part, State::Waits)).collect();
-        let mut whole = Whole { rules, parts, barred, order, done: false, hurried: false };
-        if !whole.barred.is_empty() && !whole.rules.partial {
-            whole.done = true;
-            let barred = whole.barred.clone();
-            return (whole, vec![Act::Answer(Answer::Barred(barred))]);
+        let parts = parts.into_iter().map(|part| (part, State::Waiting)).collect();
+        let mut gather = Gather { rules, parts, barred, order, done: false, audits_skipped: false };
+        if !gather.barred.is_empty() && !gather.rules.partial {
+            gather.done = true;
+            let barred = gather.barred.clone();
+            return (gather, vec![Action::Answer(Answer::Barred(barred))]);
         }
-        let acts = whole.go_on();
-        (whole, acts)
+        let actions = gather.advance();
+        (gather, actions)
     }
 
     pub fn site(&self, place: usize) -> Option<&str> {
@@ -124,18 +124,18 @@
     }
 
     /// All that is still out are audits.
-    pub fn waits_for_audits(&self) -> bool {
-        let open = |(_, state): &&(Part, State)| matches!(state, State::Waits | State::Out);
+    pub fn only_audits_pending(&self) -> bool {
+        let open = |(_, state): &&(Part, State)| matches!(state, State::Waiting | State::Running);
         !self.done && self.parts.iter().filter(open).all(|(part, _)| part.audit)
     }
 
     /// Audits are waited for no more.
-    pub fn hurry(&mut self) -> Vec<Act> {
-        self.hurried = true;
+    pub fn skip_audits(&mut self) -> Vec<Action> {
+        self.audits_skipped = true;
         if self.done {
             return Vec::new();
         }
-        self.go_on()
+        self.advance()
     }
 
     pub fn is_done(&self) -> bool {
@@ -143,51 +143,51 @@
     }
 
     /// A part is answered.
-    pub fn answered(&mut self, place: usize, rows: Vec<u8>) -> Vec<Act> {
+    pub fn answered(&mut self, place: usize, rows: Vec<u8>) -> Vec<Action> {
         self.ended(place, State::Rows(rows))
     }
 
     /// A part failed for good.
-    pub fn failed(&mut self, place: usize, failed: Failed) -> Vec<Act> {
+    pub fn failed(&mut self, place: usize, failed: PartFailure) -> Vec<Action> {
         if self.done || !self.is_out(place) {
             return Vec::new();
         }
         if self.part(place).is_some_and(|part| part.audit) {
-            return self.ended(place, State::Over);
+            return self.ended(place, State::Dropped);
         }
         let site = self.site(place).unwrap_or_default().to_string();
         if self.rules.partial {
-            if failed == Failed::Barred {
+            if failed == PartFailure::Barred {
                 self.barred.push(site);
-                return self.ended(place, State::Over);
+                return self.ended(place, State::Dropped);
             }
             return self.ended(place, State::Missing);
         }
-        self.set(place, State::Over);
+        self.set(place, State::Dropped);
         self.end(match failed {
-            Failed::Rejected { retry_after } => Answer::Rejected { retry_after, site },
-            Failed::Aborted => Answer::Aborted { site },
-            Failed::Barred => Answer::Barred(vec![site]),
+            PartFailure::Rejected { retry_after } => Answer::Rejected { retry_after, site },
+            PartFailure::Aborted => Answer::Aborted { site },
+            PartFailure::Barred => Answer::Barred(vec![site]),
         })
     }
 
     /// Nobody waits for the whole any more: the parts to end.
-    pub fn left(&mut self) -> Vec<Act> {
-        let mut acts = self.end(Answer::Long);
-        acts.retain(|act| !matches!(act, Act::Answer(_)));
-        acts
+    pub fn cancel(&mut self) -> Vec<Action> {
+        let mut actions = self.end(Answer::TooLong);
+        actions.retain(|act| !matches!(act, Action::Answer(_)));
+        actions
     }
 
-    fn ended(&mut self, place: usize, state: State) -> Vec<Act> {
+    fn ended(&mut self, place: usize, state: State) -> Vec<Action> {
         if self.done || !self.is_out(place) {
             return Vec::new();
         }
         self.set(place, state);
-        self.go_on()
+        self.advance()
     }
 
     fn is_out(&self, place: usize) -> bool {
-        self.parts.get(place).is_some_and(|(_, state)| *state == State::Out)
+        self.parts.get(place).is_some_and(|(_, state)| *state == State::Running)
     }
 
     fn set(&mut self, place: usize, state: State) {
@@ -203,37 +203,37 @@
         })
     }
 
-    fn go_on(&mut self) -> Vec<Act> {
+    fn advance(&mut self) -> Vec<Action> {
         if self.rows().map(<[u8]>::len).sum::<usize>() > self.rules.most_bytes {
-            return self.end(Answer::Long);
+            return self.end(Answer::TooLong);
         }
         let had: u64 = self.rows().map(lines).sum();
         let enough = self.rules.limit.is_some_and(|limit| had >= limit);
-        let hurried = self.hurried;
+        let audits_skipped = self.audits_skipped;
         let open = |(part, state): &(Part, State)| {
-            matches!(state, State::Waits | State::Out) && !(hurried && part.audit)
+            matches!(state, State::Waiting | State::Running) && !(audits_skipped && part.audit)
         };
         if enough || !self.parts.iter().any(open) {
-            let answer = self.joined(enough);
+            let answer = self.combined(enough);
             return self.end(answer);
         }
-        let mut acts = Vec::new();
-        let mut out = self.parts.iter().filter(|(_, state)| *state == State::Out).count();
+        let mut actions = Vec::new();
+        let mut out = self.parts.iter().filter(|(_, state)| *state == State::Running).count();
         let most = if self.rules.limit.is_some() { self.rules.at_once.max(1) } else { usize::MAX };
         for place in self.order.clone() {
             if out >= most {
                 break;
             }
-            if self.parts.get(place).is_some_and(|(_, state)| *state == State::Waits) {
-                self.set(place, State::Out);
-                acts.push(Act::Start(place));
+            if self.parts.get(place).is_some_and(|(_, state)| *state == State::Waiting) {
+                self.set(place, State::Running);
+                actions.push(Action::Start(place));
                 out += 1;
             }
         }
-        acts
+        actions
     }
 
-    fn joined(&self, enough: bool) -> Answer {
+    fn combined(&self, enough: bool) -> Answer {
         let mut bytes: Vec<u8> = match &self.rules.combine {
             Some(aggregates) if self.rows().next().is_some() => {
                 let parts: Vec<&[u8]> = self.rows().collect();
@@ -242,7 +242,7 @@
                     Err(at) => {
                         let answered = self.parts.iter().filter(|(_, s)| matches!(s, State::Rows(_)));
                         let site = answered.map(|(part, _)| part.site.clone()).nth(at);
-                        return Answer::Unlike { site: site.unwrap_or_default() };
+                        return Answer::Mismatch { site: site.unwrap_or_default() };
                     }
                 }
             }
@@ -258,13 +258,14 @@
         Answer::Rows { bytes, missing, barred }
     }
 
-    fn end(&mut self, answer: Answer) -> Vec<Act> {
+    fn end(&mut self, answer: Answer) -> Vec<Action> {
         if std::mem::replace(&mut self.done, true) {
             return Vec::new();
         }
-        let mut acts: Vec<Act> = (0..self.parts.len()).filter(|p| self.is_out(*p)).map(Act::End).collect();
-        acts.push(Act::Answer(answer));
-        acts
+        let mut actions: Vec<Action> =
+            (0..self.parts.len()).filter(|p| self.is_out(*p)).map(Action::End).collect();
+        actions.push(Action::Answer(answer));
+        actions
     }
 }
 
@@ -281,5 +282,5 @@
 }
 
 #[cfg(test)]
-#[path = "whole_tests.rs"]
+#[path = "gather_tests.rs"]
 mod tests;
--- a/crates/scatter/src/join.rs
+++ b/crates/scatter/src/join.rs
@@ -6,12 +6,12 @@
 
 use crate::condition::Condition;
 use crate::filter::Members;
-use crate::marks::Touched;
-use crate::of::chain;
-use crate::plan::{stands, Basis, Why, Word};
+use crate::from_sql::chain;
+use crate::marks::Affected;
+use crate::plan::{reason_to_ask, Basis, LoadInfo, Reason};
 use crate::row::{beyond_one_row, is_of_one_reading};
 use crate::runs;
-use crate::sql::{condition, named, whole, Names, Query, Unfit};
+use crate::sql::{condition, not_divisible, table_reference, ColumnScope, Query, Unsupported};
 use crate::summary::{Column, Summary, Table};
 use crate::value::{less, Kind, Value};
 
@@ -29,29 +29,36 @@
 }
 
 /// The names of the first table, what the join asks of its rows, and the other table.
-pub(crate) type Read = (Names, (Condition, Join));
+pub(crate) type Read = (ColumnScope, (Condition, Join));
 
 /// Takes an inner join apart.
-pub(crate) fn read(joined: &Joined, first: Names, selection: Option<&Expr>) -> Result<Read, Unfit> {
-    let Joined { relation, global: false, join_operator } = joined else { return whole("GLOBAL JOIN") };
+pub(crate) fn read(
+    joined: &Joined,
+    first: ColumnScope,
+    selection: Option<&Expr>,
+) -> Result<Read, Unsupported> {
+    let Joined { relation, global: false, join_operator } = joined else {
+        return not_divisible("GLOBAL JOIN");
+    };
     let (JoinOperator::Join(JoinConstraint::On(on)) | JoinOperator::Inner(JoinConstraint::On(on))) =
         join_operator
     else {
-        return whole("a join that is no JOIN ... ON");
+        return not_divisible("a join that is no JOIN ... ON");
     };
     if let Some(what) = beyond_one_row(on) {
-        return whole(what);
+        return not_divisible(what);
     }
     let mut on = on;
     while let Expr::Nested(inner) = on {
         on = inner;
     }
-    let other = named(relation)?;
+    let other = table_reference(relation)?;
     if other.alias == first.table {
-        return whole("a join of two tables by one name");
+        return not_divisible("a join of two tables by one name");
     }
-    let second = Names { table: other.alias, ..first.clone() };
-    let both = |names: &Names| Condition::All(vec![condition(selection, names), condition(Some(on), names)]);
+    let second = ColumnScope { table: other.alias, ..first.clone() };
+    let both =
+        |names: &ColumnScope| Condition::All(vec![condition(selection, names), condition(Some(on), names)]);
     let equal = |e: &Expr| {
         let Expr::BinaryOp { left, op: BinaryOperator::Eq, right } = e else { return None };
         match (first.column(left), second.column(right)) {
@@ -70,16 +77,16 @@
 type Side<'a> = Option<(&'a Summary, &'a Table)>;
 
 /// What stands against leaving a site out of a join; None: surely no row of it is asked for.
-pub(crate) fn stands_joined(query: &Query, join: &Join, basis: &Basis, site: &str) -> Option<Why> {
+pub(crate) fn reason_to_ask_join(query: &Query, join: &Join, basis: &Basis, site: &str) -> Option<Reason> {
     let side = |group: u32, table: &str| -> Side {
-        let summary = basis.summaries.look(basis.wall_ms, site, group)?;
+        let summary = basis.summaries.current(basis.wall_ms, site, group)?;
         Some((summary, summary.table(table)?))
     };
     let (first, second) = (side(query.group, &query.table), side(join.group, &join.table));
     let (of_first, of_second) = basis.loads.sides();
-    let why = |side: Side, condition: &Condition, word: &Word| match side {
-        None => Some(Why::NoSummary),
-        Some((summary, table)) => stands(condition, summary, table, word),
+    let why = |side: Side, condition: &Condition, word: &LoadInfo| match side {
+        None => Some(Reason::NoSummary),
+        Some((summary, table)) => reason_to_ask(condition, summary, table, word),
     };
     let by_first = why(first, &query.condition, &of_first)?;
     why(second, &join.condition, &of_second)?;
@@ -95,13 +102,15 @@
 }
 
 /// No load that the summary does not speak of has touched the table.
-fn untouched((summary, table): (&Summary, &Table), word: &Word) -> bool {
+fn untouched((summary, table): (&Summary, &Table), word: &LoadInfo) -> bool {
     let elsewhere =
-        |touched: &Touched| matches!(touched, Touched::Rows { table: of, .. } if *of != table.name);
+        |touched: &Affected| matches!(touched, Affected::Rows { table: of, .. } if *of != table.name);
     match word {
-        Word::Marks(marks) => marks.open(summary).is_some_and(|open| open.into_iter().all(elsewhere)),
-        Word::NoLoads => true,
-        Word::Both(..) | Word::Nothing => false,
+        LoadInfo::Marks(marks) => {
+            marks.uncovered(summary).is_some_and(|open| open.into_iter().all(elsewhere))
+        }
+        LoadInfo::NoLoads => true,
+        LoadInfo::MarksOfJoin(..) | LoadInfo::Unknown => false,
     }
 }
 
--- a/crates/scatter/src/sheets.rs
+++ b/crates/scatter/src/layers.rs
@@ -1,4 +1,4 @@
-//! A summary in sheets: what its site signs holds rows and bounds, and the hashes of two sheets behind it: small filters, and
+//! A summary in layers: what its site signs holds rows and bounds, and the hashes of two layers behind it: small filters, and
 //! full ones. A front may hold as much of it as earns its bytes, and hand on what it holds: any of it proves itself.
 
 use ed25519_dalek::SigningKey;
@@ -7,15 +7,15 @@
 
 use crate::filter::Members;
 use crate::runs;
-use crate::summary::{signed, More, Signed, Summary, Table, MOST_BYTES};
+use crate::summary::{signed, Extension, Signed, Summary, Table, MOST_BYTES};
 
-pub(crate) const IN_SHEETS: u16 = 2; // the format of summaries in sheets; a front of an earlier version refuses them
-pub(crate) const IN_SHEETS_WITH_MORE: u16 = 4;
-const SEALS: usize = 256; // bytes for the signature, the hashes and lengths
+pub(crate) const LAYERED: u16 = 2; // the format of summaries in layers; a front of an earlier version refuses them
+pub(crate) const LAYERED_EXTENDED: u16 = 4;
+const SIGNATURE_BYTES: usize = 256; // bytes for the signature, the hashes and lengths
 
 /// How much of a summary there is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Fineness {
+pub enum Detail {
     /// Rows, nulls, distinct values and bounds.
     Bounds,
     /// And filters of four bits a value.
@@ -26,65 +26,65 @@
 }
 
 /// All of them, the coarsest first.
-pub const ALL: [Fineness; 3] = [Fineness::Bounds, Fineness::Small, Fineness::Full];
+pub const ALL: [Detail; 3] = [Detail::Bounds, Detail::Small, Detail::Full];
 
-/// A sheet that stands behind what is signed.
+/// A layer that stands behind what is signed.
 #[derive(Serialize, Deserialize)]
-struct Seal {
+struct LayerDigest {
     bytes: u32,
     hash: [u8; 32],
 }
 
 /// Members of columns, by the places of their tables and of themselves.
-pub(crate) type Sheet = Vec<(u16, u16, Members)>;
+pub(crate) type Layer = Vec<(u16, u16, Members)>;
 
-fn seal(sheet: &[u8]) -> Seal {
-    Seal { bytes: sheet.len() as u32, hash: Sha256::digest(sheet).into() }
+fn digest(layer: &[u8]) -> LayerDigest {
+    LayerDigest { bytes: layer.len() as u32, hash: Sha256::digest(layer).into() }
 }
 
-/// The bytes of a summary without members whose members are on the sheets; the largest go until it is not too long.
+/// The bytes of a summary without members whose members are on the layers; the largest go until it is not too long.
 pub(crate) fn sign(
     mut summary: Summary,
-    mut small: Sheet,
-    mut full: Sheet,
+    mut small: Layer,
+    mut full: Layer,
     most: usize,
     key: &SigningKey,
 ) -> Vec<u8> {
     for column in summary.tables.iter_mut().flat_map(|table| &mut table.columns) {
         column.runs = runs::coarser(std::mem::take(&mut column.runs), runs::FEWER);
     }
-    summary.cut(most.min(MOST_BYTES) / 2, IN_SHEETS, IN_SHEETS_WITH_MORE);
-    let size = |sheet: &Sheet| sheet.iter().map(|(_, _, members)| members.size() + 8).sum::<usize>();
-    let core = summary.encoded(IN_SHEETS, IN_SHEETS_WITH_MORE);
-    let most = most.min(MOST_BYTES).saturating_sub(core.len() + SEALS);
+    summary.cut(most.min(MOST_BYTES) / 2, LAYERED, LAYERED_EXTENDED);
+    let size = |layer: &Layer| layer.iter().map(|(_, _, members)| members.size() + 8).sum::<usize>();
+    let core = summary.encoded(LAYERED, LAYERED_EXTENDED);
+    let most = most.min(MOST_BYTES).saturating_sub(core.len() + SIGNATURE_BYTES);
     while size(&small) + size(&full) > most {
-        let sheet = if full.is_empty() { &mut small } else { &mut full };
-        let largest = sheet.iter().enumerate().max_by_key(|(_, (_, _, members))| members.size());
+        let layer = if full.is_empty() { &mut small } else { &mut full };
+        let largest = layer.iter().enumerate().max_by_key(|(_, (_, _, members))| members.size());
         let Some(at) = largest.map(|(at, _)| at) else { break };
-        sheet.remove(at);
+        layer.remove(at);
     }
     let small = postcard::to_stdvec(&small).unwrap_or_default();
     let full = postcard::to_stdvec(&full).unwrap_or_default();
-    let seals = postcard::to_stdvec(&(seal(&small), seal(&full))).unwrap_or_default();
-    [signed([core, seals].concat(), key), small, full].concat()
+    let digests = postcard::to_stdvec(&(digest(&small), digest(&full))).unwrap_or_default();
+    [signed([core, digests].concat(), key), small, full].concat()
 }
 
-/// Puts the members of what sheets there are into the tables. None: what is there is none of them, or cut within one.
-pub(crate) fn lay(tables: &mut [Table], seals: &[u8], sheets: &[u8]) -> Option<Fineness> {
-    let ((small, full), rest) = postcard::take_from_bytes::<(Seal, Seal)>(seals).ok()?;
+/// Puts the members of what layers there are into the tables. None: what is there is none of them, or cut within one.
+pub(crate) fn apply(tables: &mut [Table], digests: &[u8], layers: &[u8]) -> Option<Detail> {
+    let ((small, full), rest) = postcard::take_from_bytes::<(LayerDigest, LayerDigest)>(digests).ok()?;
     if !rest.is_empty() || tables.iter().flat_map(|t| &t.columns).any(|c| c.members.is_some()) {
         return None;
     }
-    let (mut sheets, mut fineness) = (sheets, Fineness::Bounds);
-    for (seal, finer) in [(small, Fineness::Small), (full, Fineness::Full)] {
-        if sheets.is_empty() {
+    let (mut layers, mut present) = (layers, Detail::Bounds);
+    for (digest, detail) in [(small, Detail::Small), (full, Detail::Full)] {
+        if layers.is_empty() {
             break;
         }
-        let sheet = sheets.get(..seal.bytes as usize)?;
-        if Sha256::digest(sheet)[..] != seal.hash {
+        let layer = layers.get(..digest.bytes as usize)?;
+        if Sha256::digest(layer)[..] != digest.hash {
             return None;
         }
-        let (all, rest) = postcard::take_from_bytes::<Sheet>(sheet).ok()?;
+        let (all, rest) = postcard::take_from_bytes::<Layer>(layer).ok()?;
         for (table, column, members) in all {
             let column = tables.get_mut(usize::from(table))?.columns.get_mut(usize::from(column))?;
             column.members = Some(members);
@@ -92,22 +92,22 @@
         if !rest.is_empty() {
             return None;
         }
-        (sheets, fineness) = (&sheets[seal.bytes as usize..], finer);
+        (layers, present) = (&layers[digest.bytes as usize..], detail);
     }
-    sheets.is_empty().then_some(fineness)
+    layers.is_empty().then_some(present)
 }
 
 /// Where in its bytes each fineness ends, the coarsest first; from its beginning alone, once that is there. Nothing is checked.
-pub fn ends(bytes: &[u8]) -> Option<[usize; 3]> {
+pub fn layer_ends(bytes: &[u8]) -> Option<[usize; 3]> {
     let (signed, rest) = postcard::take_from_bytes::<Signed>(bytes).ok()?;
     let (format, _) = postcard::take_from_bytes::<u16>(&signed.summary).ok()?;
-    let (_, mut seals) = postcard::take_from_bytes::<Summary>(&signed.summary).ok()?;
+    let (_, mut digests) = postcard::take_from_bytes::<Summary>(&signed.summary).ok()?;
     match format {
-        IN_SHEETS => {}
-        IN_SHEETS_WITH_MORE => seals = postcard::take_from_bytes::<More>(seals).ok()?.1,
+        LAYERED => {}
+        LAYERED_EXTENDED => digests = postcard::take_from_bytes::<Extension>(digests).ok()?.1,
         _ => return None,
     }
-    let ((small, full), _) = postcard::take_from_bytes::<(Seal, Seal)>(seals).ok()?;
+    let ((small, full), _) = postcard::take_from_bytes::<(LayerDigest, LayerDigest)>(digests).ok()?;
     let core = bytes.len() - rest.len();
     let small = core + small.bytes as usize;
     Some([core, small, small + full.bytes as usize]).filter(|ends| ends[2] <= MOST_BYTES)
--- a/crates/scatter/src/lib.rs
+++ b/crates/scatter/src/lib.rs
@@ -2,27 +2,27 @@
 //! marks of loads that they do not speak of yet, and one answer from the parts. No sockets, no clock, no chance.
 
 pub mod audit;
-pub mod book;
 pub mod build;
 pub mod combine;
 pub mod condition;
+pub mod exchange;
 pub mod filter;
+mod from_sql;
+pub mod gather;
 pub mod join;
-pub mod keep;
+pub mod layers;
 mod load;
 pub mod marker;
 pub mod marks;
-mod of;
 pub mod plan;
+pub mod retention;
 mod row;
 pub mod runs;
-pub mod sheets;
 pub mod sketch;
-pub mod spread;
 pub mod sql;
+pub mod store;
 pub mod summary;
 pub mod value;
-pub mod whole;
 
 /// Microseconds on the front's clock.
 pub type Micros = i64;
--- a/crates/scatter/src/load.rs
+++ b/crates/scatter/src/load.rs
@@ -5,14 +5,14 @@
     OnInsert, SetExpr, Statement, TableObject, Value as Word,
 };
 
-use crate::marks::{Cell, Touched};
+use crate::marks::{Affected, Cell};
 use crate::sql::{self, literal, plain_name};
 
 const MOST_ROWS_BYTES: usize = 256; // bytes of a load's rows that a mark keeps; of more nothing is known
 const MOST_ROWS: usize = 64; // of a load that a mark keeps
 
 /// The rows of an `INSERT ... VALUES` into a table of the group that does nothing else.
-pub(crate) fn rows(statement: Statement, group: u32) -> Option<Touched> {
+pub(crate) fn rows(statement: Statement, group: u32) -> Option<Affected> {
     let Statement::Insert(insert) = statement else { return None };
     let Insert { or: None, ignore: false, table, columns, overwrite: false, source, on, .. } = insert else {
         return None;
@@ -76,7 +76,7 @@
 
 /// As much of the rows as a mark keeps. Of too many the columns with the fewest values stay: a load of a
 /// day's rows is known by its day.
-fn short(table: String, columns: &[String], rows: &[Vec<Cell>], kept: Vec<usize>) -> Option<Touched> {
+fn short(table: String, columns: &[String], rows: &[Vec<Cell>], kept: Vec<usize>) -> Option<Affected> {
     let of = |kept: &[usize]| {
         let project = |row: &Vec<Cell>| kept.iter().filter_map(|at| row.get(*at).cloned()).collect();
         let mut all: Vec<Vec<Cell>> = Vec::new();
@@ -89,7 +89,7 @@
             }
         }
         let columns = kept.iter().filter_map(|at| columns.get(*at).cloned()).collect();
-        let touched = Touched::Rows { table: table.clone(), columns, rows: all };
+        let touched = Affected::Rows { table: table.clone(), columns, rows: all };
         let short = postcard::to_stdvec(&touched).is_ok_and(|bytes| bytes.len() <= MOST_ROWS_BYTES);
         short.then_some(touched)
     };
--- a/crates/scatter/src/marker.rs
+++ b/crates/scatter/src/marker.rs
@@ -1,9 +1,9 @@
-//! What a front asks of the ledger for marks: loads that wait until they are marked, and scatters that wait for a word on a
-//! group that is asked for after they came. One change of a group's entry at a time; all that waits shares it.
+//! What a front requests of the ledger for marks: loads that wait until they are marked, and scatters that wait for a word on a
+//! group that is requested for after they came. One change of a group's entry at a time; all that waits shares it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::marks::{Marks, Spoken, Touched};
+use crate::marks::{Affected, Marks, ReportedLoads};
 
 const APART_MS: u64 = 10_000; // milliseconds that fronts' clocks may be apart, as gossip has it
 const MOST_TRIES: u32 = 16; // changes of one batch that others' got before; then its loads are turned away
@@ -14,16 +14,16 @@
 /// Loads, and the number that each gets.
 type Batch = Vec<(Waiter, u64)>;
 
-/// What is to be asked of the ledger.
+/// What is to be requested of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct LedgerRequest {
     pub number: u64,
     pub group: u32,
-    pub what: What,
+    pub what: Operation,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum Operation {
     Read,
     /// 0: there is none yet.
     Put {
@@ -34,7 +34,7 @@
 
 /// What the ledger answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum LedgerReply {
     Stands {
         version: u64,
         value: Vec<u8>,
@@ -48,13 +48,13 @@
     Unreachable,
 }
 
-/// What follows for those that waited.
+/// What effects for those that waited.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Follows {
+pub enum Effect {
     /// A load's marks stand: it leaves with these numbers.
-    Go { load: Waiter, numbers: Vec<(u32, u64)> },
+    Send { load: Waiter, numbers: Vec<(u32, u64)> },
     /// A load can't be marked: it must not leave.
-    TurnAway { load: Waiter },
+    Reject { load: Waiter },
     /// The word on a group, for scatters. None: there is none to have.
     Marks { group: u32, scatters: Vec<u64>, marks: Option<Marks> },
 }
@@ -63,7 +63,7 @@
     site: String,
     ends_ms: u64,
     /// Groups that are not marked yet, and what it may have touched there.
-    left: BTreeMap<u32, Touched>,
+    left: BTreeMap<u32, Affected>,
     numbers: Vec<(u32, u64)>,
 }
 
@@ -73,7 +73,7 @@
     version: u64,
     marks: Marks,
     queue: BTreeSet<Waiter>,
-    /// The change that is asked for: its number, loads and the marks as they will be.
+    /// The change that is requested for: its number, loads and the marks as they will be.
     put: Option<(u64, Batch, Marks)>,
     tries: u32,
     readers: Vec<u64>,
@@ -85,17 +85,17 @@
     next: u64,
     loads: BTreeMap<Waiter, Load>,
     groups: BTreeMap<u32, Group>,
-    asked: BTreeMap<u64, u32>,
+    requested: BTreeMap<u64, u32>,
 }
 
 impl Marker {
-    /// Its asks are numbered from the number given.
+    /// Its requests are numbered from the number given.
     pub fn new(first: u64) -> Marker {
-        Marker { next: first, loads: BTreeMap::new(), groups: BTreeMap::new(), asked: BTreeMap::new() }
+        Marker { next: first, loads: BTreeMap::new(), groups: BTreeMap::new(), requested: BTreeMap::new() }
     }
 
     /// A load waits to leave for a site; it can't be running any more from `ends_ms` on.
-    pub fn load(&mut self, load: Waiter, site: &str, ends_ms: u64, touched: BTreeMap<u32, Touched>) {
+    pub fn add_load(&mut self, load: Waiter, site: &str, ends_ms: u64, touched: BTreeMap<u32, Affected>) {
         for group in touched.keys() {
             self.groups.entry(*group).or_default().queue.insert(load);
         }
@@ -104,7 +104,7 @@
     }
 
     /// A load waits no longer. False if it did not.
-    pub fn stop(&mut self, load: Waiter) -> bool {
+    pub fn cancel(&mut self, load: Waiter) -> bool {
         self.groups.values_mut().for_each(|group| _ = group.queue.remove(&load));
         self.loads.remove(&load).is_some()
     }
@@ -114,70 +114,70 @@
     }
 
     /// A scatter waits for the word on a group.
-    pub fn scatter(&mut self, ticket: u64, group: u32) {
+    pub fn await_marks(&mut self, ticket: u64, group: u32) {
         self.groups.entry(group).or_default().readers.push(ticket);
     }
 
-    /// What is to be asked now. `wall_ms` is the Unix clock; summaries lift what they speak beyond.
-    pub fn asks<'a>(
+    /// What is to be requested now. `wall_ms` is the Unix clock; summaries lift what they speak beyond.
+    pub fn requests<'a>(
         &mut self,
         wall_ms: u64,
-        spoken: impl Fn(&str, u32) -> Spoken<'a>,
-    ) -> (Vec<Ask>, Vec<Follows>) {
-        let (mut asks, mut follows) = (Vec::new(), Vec::new());
+        reported_loads: impl Fn(&str, u32) -> ReportedLoads<'a>,
+    ) -> (Vec<LedgerRequest>, Vec<Effect>) {
+        let (mut requests, mut effects) = (Vec::new(), Vec::new());
         for (&number, group) in &mut self.groups {
             if group.read.is_none() && !group.readers.is_empty() {
                 // Those that come from now on are for the next one: this one may be older than they are.
                 group.read = Some((self.next, std::mem::take(&mut group.readers)));
-                self.asked.insert(self.next, number);
-                asks.push(Ask { number: self.next, group: number, what: What::Read });
+                self.requested.insert(self.next, number);
+                requests.push(LedgerRequest { number: self.next, group: number, what: Operation::Read });
                 self.next += 1;
             }
             if group.put.is_some() || group.queue.is_empty() {
                 continue;
             }
             let mut marks = group.marks.clone();
-            marks.tidy(wall_ms.saturating_sub(APART_MS), |site| spoken(site, number));
+            marks.clean_up(wall_ms.saturating_sub(APART_MS), |site| reported_loads(site, number));
             let mut batch = Vec::new();
             for waiter in std::mem::take(&mut group.queue) {
                 let Some(load) = self.loads.get(&waiter) else { continue };
                 let Some(touched) = load.left.get(&number) else { continue };
                 batch.push((waiter, marks.add(&load.site, load.ends_ms, touched.clone())));
             }
-            marks.fit(|site| spoken(site, number));
+            marks.shrink_to_fit(|site| reported_loads(site, number));
             match marks.bytes() {
                 _ if batch.is_empty() => {}
-                None => turn_away(&mut self.loads, batch, &mut follows),
+                None => reject(&mut self.loads, batch, &mut effects),
                 Some(value) => {
                     group.put = Some((self.next, batch, marks));
-                    self.asked.insert(self.next, number);
-                    let what = What::Put { expects: group.version, value };
-                    asks.push(Ask { number: self.next, group: number, what });
+                    self.requested.insert(self.next, number);
+                    let what = Operation::Put { expects: group.version, value };
+                    requests.push(LedgerRequest { number: self.next, group: number, what });
                     self.next += 1;
                 }
             }
         }
-        (asks, follows)
+        (requests, effects)
     }
 
     /// The ledger has answered an ask.
-    pub fn said(&mut self, number: u64, said: Said) -> Vec<Follows> {
-        let mut follows = Vec::new();
-        let Some(place) = self.asked.remove(&number) else { return follows };
-        let Some(group) = self.groups.get_mut(&place) else { return follows };
-        if group.read.as_ref().is_some_and(|(asked, _)| *asked == number) {
+    pub fn on_reply(&mut self, number: u64, reply: LedgerReply) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        let Some(place) = self.requested.remove(&number) else { return effects };
+        let Some(group) = self.groups.get_mut(&place) else { return effects };
+        if group.read.as_ref().is_some_and(|(requested, _)| *requested == number) {
             let scatters = group.read.take().map_or(Vec::new(), |(_, scatters)| scatters);
-            let marks = match said {
-                Said::Stands { value, .. } | Said::Held { value, .. } => Marks::read(&value),
-                Said::Absent => Some(Marks::default()),
-                Said::Unreachable => None,
+            let marks = match reply {
+                LedgerReply::Stands { value, .. } | LedgerReply::Held { value, .. } => Marks::read(&value),
+                LedgerReply::Absent => Some(Marks::default()),
+                LedgerReply::Unreachable => None,
             };
-            follows.push(Follows::Marks { group: place, scatters, marks });
-            return follows;
+            effects.push(Effect::Marks { group: place, scatters, marks });
+            return effects;
         }
-        let Some((_, batch, marks)) = group.put.take() else { return follows };
-        match said {
-            Said::Stands { version, .. } => {
+        let Some((_, batch, marks)) = group.put.take() else { return effects };
+        match reply {
+            LedgerReply::Stands { version, .. } => {
                 (group.version, group.marks, group.tries) = (version, marks, 0);
                 for (waiter, number) in batch {
                     let Some(load) = self.loads.get_mut(&waiter) else { continue };
@@ -186,12 +186,12 @@
                     if load.left.is_empty() {
                         let numbers = std::mem::take(&mut load.numbers);
                         self.loads.remove(&waiter);
-                        follows.push(Follows::Go { load: waiter, numbers });
+                        effects.push(Effect::Send { load: waiter, numbers });
                     }
                 }
             }
             // Another front was before: once more on what it has left.
-            Said::Held { version, value } => {
+            LedgerReply::Held { version, value } => {
                 group.tries += 1;
                 match Marks::read(&value).filter(|_| group.tries < MOST_TRIES) {
                     Some(marks) => {
@@ -200,29 +200,29 @@
                     }
                     None => {
                         group.tries = 0;
-                        turn_away(&mut self.loads, batch, &mut follows);
+                        reject(&mut self.loads, batch, &mut effects);
                     }
                 }
             }
-            Said::Absent if group.version > 0 => {
+            LedgerReply::Absent if group.version > 0 => {
                 (group.version, group.marks) = (0, Marks::default());
                 group.queue.extend(batch.into_iter().map(|(waiter, _)| waiter));
             }
-            Said::Absent | Said::Unreachable => turn_away(&mut self.loads, batch, &mut follows),
+            LedgerReply::Absent | LedgerReply::Unreachable => reject(&mut self.loads, batch, &mut effects),
         }
-        follows
+        effects
     }
 
     /// Whether nothing waits.
     pub fn is_idle(&self) -> bool {
-        self.asked.is_empty() && self.groups.values().all(|g| g.queue.is_empty() && g.readers.is_empty())
+        self.requested.is_empty() && self.groups.values().all(|g| g.queue.is_empty() && g.readers.is_empty())
     }
 }
 
-fn turn_away(loads: &mut BTreeMap<Waiter, Load>, batch: Batch, follows: &mut Vec<Follows>) {
+fn reject(loads: &mut BTreeMap<Waiter, Load>, batch: Batch, effects: &mut Vec<Effect>) {
     for (load, _) in batch {
         if loads.remove(&load).is_some() {
-            follows.push(Follows::TurnAway { load });
+            effects.push(Effect::Reject { load });
         }
     }
 }
--- a/crates/scatter/src/marks.rs
+++ b/crates/scatter/src/marks.rs
@@ -7,20 +7,20 @@
 
 use crate::condition::Condition;
 use crate::load;
-use crate::plan::Why;
+use crate::plan::Reason;
 use crate::sql;
 use crate::summary::{Column, Loads, Summary, Table};
 use crate::value::Literal;
 
 const MOST_MARKS: usize = 64; // of a site that are kept apart; more make one
-const CROWDED: usize = 32; // of a site: from here on what any summary lifts is taken out
+const MANY_MARKS: usize = 32; // of a site: from here on what any summary lifts is taken out
 const FEWER: [usize; 3] = [16, 4, 1]; // of a site, where all sites' together are too long
 /// Bytes of a group's marks: a thousand sites with two each.
 pub const MOST_BYTES: usize = 64 << 10;
 
 /// What a load may have touched.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Touched {
+pub enum Affected {
     /// Anything in the group.
     Anything,
     /// These rows came to this table, nothing else changed.
@@ -44,16 +44,16 @@
     /// Unix milliseconds from which none of them can be running.
     pub ends_ms: u64,
     /// Once that moment has passed: the next load's number. A summary with that one or a later one speaks beyond these.
-    pub over: Option<u64>,
-    pub touched: Touched,
+    pub ended_before: Option<u64>,
+    pub touched: Affected,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct Site {
     /// The last number given.
     last: u64,
-    /// The version of its summary that marks were lifted by: an older one proves nothing.
-    needs: u64,
+    /// The version of its summary that marks were cleared by: an older one proves nothing.
+    min_version: u64,
     marks: Vec<Mark>,
 }
 
@@ -98,69 +98,71 @@
     }
 
     /// Marks a load at a site, which can't be running any more from `ends_ms` on. Its number.
-    pub fn add(&mut self, site: &str, ends_ms: u64, touched: Touched) -> u64 {
+    pub fn add(&mut self, site: &str, ends_ms: u64, touched: Affected) -> u64 {
         let site = self.sites.entry(site.to_string()).or_default();
         site.last += 1;
-        site.marks.push(Mark { from: site.last, to: site.last, ends_ms, over: None, touched });
-        site.fold(MOST_MARKS);
+        site.marks.push(Mark { from: site.last, to: site.last, ends_ms, ended_before: None, touched });
+        site.merge_oldest(MOST_MARKS);
         site.last
     }
 
     /// Takes out what summaries lift that other fronts hold by now, and notes what can't be running any more
     /// by `wall_ms`, the clock of the front less what fronts' clocks may differ by. A mark that is out asks
-    /// for a summary that lifted it: until one is held everywhere, fronts without it would have to ask the
+    /// for a summary that cleared it: until one is held everywhere, fronts without it would have to ask the
     /// site.
-    pub fn tidy<'a>(&mut self, wall_ms: u64, spoken: impl Fn(&str) -> Spoken<'a>) {
+    pub fn clean_up<'a>(&mut self, wall_ms: u64, reported_loads: impl Fn(&str) -> ReportedLoads<'a>) {
         for (name, site) in &mut self.sites {
             let next = site.last + 1;
             for mark in &mut site.marks {
-                if mark.over.is_none() && mark.ends_ms < wall_ms {
-                    mark.over = Some(next);
+                if mark.ended_before.is_none() && mark.ends_ms < wall_ms {
+                    mark.ended_before = Some(next);
                 }
             }
-            let spoken = spoken(name);
-            site.lift(spoken.settled);
-            if site.marks.len() >= CROWDED {
-                site.lift(spoken.newest);
+            let reported_loads = reported_loads(name);
+            site.clear_covered(reported_loads.settled);
+            if site.marks.len() >= MANY_MARKS {
+                site.clear_covered(reported_loads.newest);
             }
         }
     }
 
     /// Makes room where all marks together are too long: what any summary lifts goes, then marks are folded.
-    pub fn fit<'a>(&mut self, spoken: impl Fn(&str) -> Spoken<'a>) {
+    pub fn shrink_to_fit<'a>(&mut self, reported_loads: impl Fn(&str) -> ReportedLoads<'a>) {
         let mut fewer = FEWER.iter();
-        let mut lifted = false;
+        let mut cleared = false;
         while self.bytes().is_none() {
-            if !std::mem::replace(&mut lifted, true) {
-                self.sites.iter_mut().for_each(|(name, site)| site.lift(spoken(name).newest));
+            if !std::mem::replace(&mut cleared, true) {
+                self.sites
+                    .iter_mut()
+                    .for_each(|(name, site)| site.clear_covered(reported_loads(name).newest));
                 continue;
             }
             let Some(most) = fewer.next() else { return };
-            self.sites.values_mut().for_each(|site| site.fold(*most));
+            self.sites.values_mut().for_each(|site| site.merge_oldest(*most));
         }
     }
 
     /// Surely none of the site's rows makes the condition TRUE, as far as loads go that were marked.
-    pub fn prove(&self, summary: &Summary, table: &Table, condition: &Condition) -> bool {
-        self.stands(summary, table, condition).is_none()
+    pub fn prove_absent(&self, summary: &Summary, table: &Table, condition: &Condition) -> bool {
+        self.reason_to_ask(summary, table, condition).is_none()
     }
 
     /// What loads may have touched that a summary does not speak of. None: it is too old to say.
-    pub fn open(&self, summary: &Summary) -> Option<Vec<&Touched>> {
+    pub fn uncovered(&self, summary: &Summary) -> Option<Vec<&Affected>> {
         let Some(site) = self.sites.get(&summary.site) else { return Some(Vec::new()) };
-        let open = site.marks.iter().filter(|mark| !mark.is_lifted(&summary.loads));
-        (summary.version >= site.needs).then(|| open.map(|mark| &mark.touched).collect())
+        let open = site.marks.iter().filter(|mark| !mark.is_covered(&summary.loads));
+        (summary.version >= site.min_version).then(|| open.map(|mark| &mark.touched).collect())
     }
 
     /// What of loads stands against that.
-    pub fn stands(&self, summary: &Summary, table: &Table, condition: &Condition) -> Option<Why> {
+    pub fn reason_to_ask(&self, summary: &Summary, table: &Table, condition: &Condition) -> Option<Reason> {
         let site = self.sites.get(&summary.site)?;
-        if summary.version < site.needs {
-            return Some(Why::Behind);
+        if summary.version < site.min_version {
+            return Some(Reason::SummaryBehind);
         }
-        let mut open = site.marks.iter().filter(|mark| !mark.is_lifted(&summary.loads));
+        let mut open = site.marks.iter().filter(|mark| !mark.is_covered(&summary.loads));
         let fits = open.find(|mark| !mark.touched.never_true(table, condition))?;
-        Some(if fits.touched == Touched::Anything { Why::Load } else { Why::LoadRows })
+        Some(if fits.touched == Affected::Anything { Reason::UnknownLoad } else { Reason::LoadedRows })
     }
 
     /// How many marks stand, of all sites.
@@ -178,65 +180,65 @@
 
 /// What a front holds of a site's word on loads.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Spoken<'a> {
+pub struct ReportedLoads<'a> {
     pub newest: Version<'a>,
     /// The newest that has been here long enough for other fronts to hold it too.
     pub settled: Version<'a>,
 }
 
-impl<'a> Spoken<'a> {
+impl<'a> ReportedLoads<'a> {
     /// All that is held counts as held by others.
-    pub fn at_once(summary: Option<&'a Summary>) -> Spoken<'a> {
+    pub fn at_once(summary: Option<&'a Summary>) -> ReportedLoads<'a> {
         let of = summary.map(|s| (s.version, &s.loads));
-        Spoken { newest: of, settled: of }
+        ReportedLoads { newest: of, settled: of }
     }
 }
 
 impl Site {
     /// Takes out what a version lifts. Older ones prove nothing from then on.
-    fn lift(&mut self, by: Version) {
+    fn clear_covered(&mut self, by: Version) {
         let Some((version, loads)) = by else { return };
         let before = self.marks.len();
-        self.marks.retain(|mark| !mark.is_lifted(loads));
+        self.marks.retain(|mark| !mark.is_covered(loads));
         if self.marks.len() < before {
-            self.needs = self.needs.max(version);
+            self.min_version = self.min_version.max(version);
         }
     }
 
     /// Makes one of the first ones until there are no more than that.
-    fn fold(&mut self, most: usize) {
+    fn merge_oldest(&mut self, most: usize) {
         while self.marks.len() > most.max(1) {
             let first = self.marks.remove(0);
             let Some(second) = self.marks.first_mut() else { return };
             second.from = first.from;
             second.ends_ms = second.ends_ms.max(first.ends_ms);
             // None where either is not over.
-            second.over = second.over.zip(first.over).map(|(a, b)| a.max(b));
-            second.touched = Touched::Anything;
+            second.ended_before = second.ended_before.zip(first.ended_before).map(|(a, b)| a.max(b));
+            second.touched = Affected::Anything;
         }
     }
 }
 
 impl Mark {
-    fn is_lifted(&self, loads: &Loads) -> bool {
-        loads.has(self.from, self.to) || self.over.is_some_and(|over| loads.last() >= over)
+    fn is_covered(&self, loads: &Loads) -> bool {
+        loads.has(self.from, self.to) || self.ended_before.is_some_and(|number| loads.last() >= number)
     }
 }
 
-impl Touched {
+impl Affected {
     /// What a load says of itself, for the group that it names.
-    pub fn by(statement: &[u8], group: u32) -> Touched {
+    pub fn of_statement(statement: &[u8], group: u32) -> Affected {
         sql::parse(statement)
             .ok()
             .and_then(|statement| load::rows(statement, group))
-            .unwrap_or(Touched::Anything)
+            .unwrap_or(Affected::Anything)
     }
 
     fn never_true(&self, table: &Table, condition: &Condition) -> bool {
         match self {
-            Touched::Anything => false,
-            Touched::Rows { table: other, .. } if *other != table.name => true,
-            Touched::Rows { columns, rows, .. } => {
+            Affected::Anything => false,
+            Affected::Rows { table: other, .. } if *other != table.name => true,
+            Affected::Rows { columns, rows, .. } => {
                 rows.iter().all(|row| condition.never_true(&one(table, columns, row)))
             }
         }
--- a/crates/scatter/src/plan.rs
+++ b/crates/scatter/src/plan.rs
@@ -1,78 +1,78 @@
 //! Which sites a statement is asked of, and in which order.
 
-use crate::book::Book;
 use crate::condition::Condition;
-use crate::join::stands_joined;
+use crate::join::reason_to_ask_join;
 use crate::marks::Marks;
 use crate::sql::Query;
+use crate::store::SummaryStore;
 use crate::summary::{Summary, Table};
 
 /// What is known of loads on the group.
-pub enum Word<'a> {
+pub enum LoadInfo<'a> {
     /// The marks, as the ledger said after the statement came.
     Marks(&'a Marks),
     /// The marks of the two groups of a join.
-    Both(&'a Marks, &'a Marks),
+    MarksOfJoin(&'a Marks, &'a Marks),
     /// The operator says that no load goes through a front.
     NoLoads,
     /// Nothing: the ledger does not answer.
-    Nothing,
+    Unknown,
 }
 
-impl<'a> Word<'a> {
+impl<'a> LoadInfo<'a> {
     /// What is known of each side of a join.
-    pub(crate) fn sides(&self) -> (Word<'a>, Word<'a>) {
+    pub(crate) fn sides(&self) -> (LoadInfo<'a>, LoadInfo<'a>) {
         match self {
-            Word::Both(first, second) => (Word::Marks(first), Word::Marks(second)),
-            Word::NoLoads => (Word::NoLoads, Word::NoLoads),
+            LoadInfo::MarksOfJoin(first, second) => (LoadInfo::Marks(first), LoadInfo::Marks(second)),
+            LoadInfo::NoLoads => (LoadInfo::NoLoads, LoadInfo::NoLoads),
             // Of one group alone the other's loads are not known.
-            Word::Marks(_) | Word::Nothing => (Word::Nothing, Word::Nothing),
+            LoadInfo::Marks(_) | LoadInfo::Unknown => (LoadInfo::Unknown, LoadInfo::Unknown),
         }
     }
 }
 
 /// Why a site is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Why {
+pub enum Reason {
     /// Nothing that may count is held of it: none came, or it is too old, or of another schema.
     NoSummary,
     NoTable,
     /// The ledger gives no word on loads.
-    NoWord,
+    LoadsUnknown,
     /// Marks were lifted by a later summary than the one that is held.
-    Behind,
+    SummaryBehind,
     /// A load that its summary does not speak of may have touched anything.
-    Load,
+    UnknownLoad,
     /// Rows that such a load names fit.
-    LoadRows,
+    LoadedRows,
     /// The condition is not understood, or over what its summary does not tell.
-    Untold,
+    NotSummarized,
     /// Its summary does not rule it out: an equality by its filter, anything else by its bounds and runs.
     Filter,
     Bounds,
     /// Its word counts for nothing for now.
-    Doubted,
+    Suspected,
     Audit,
     /// One is asked that says in the engines' own way that there is nothing.
-    One,
+    OneForAll,
 }
 
-impl Why {
+impl Reason {
     /// For counts by reason.
     pub fn name(self) -> &'static str {
         match self {
-            Why::NoSummary => "no summary",
-            Why::NoTable => "no table",
-            Why::NoWord => "no word on loads",
-            Why::Behind => "summary behind",
-            Why::Load => "unknown load",
-            Why::LoadRows => "rows of a load",
-            Why::Untold => "not told",
-            Why::Filter => "filter",
-            Why::Bounds => "bounds",
-            Why::Doubted => "doubted",
-            Why::Audit => "audit",
-            Why::One => "one for all",
+            Reason::NoSummary => "no summary",
+            Reason::NoTable => "no table",
+            Reason::LoadsUnknown => "no word on loads",
+            Reason::SummaryBehind => "summary behind",
+            Reason::UnknownLoad => "unknown load",
+            Reason::LoadedRows => "rows of a load",
+            Reason::NotSummarized => "not told",
+            Reason::Filter => "filter",
+            Reason::Bounds => "bounds",
+            Reason::Suspected => "doubted",
+            Reason::Audit => "audit",
+            Reason::OneForAll => "one for all",
         }
     }
 }
@@ -87,7 +87,7 @@
     pub ruled_out: bool,
     /// The whole does not hang on it.
     pub audit: bool,
-    pub why: Why,
+    pub reason: Reason,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -97,7 +97,7 @@
     /// Could have rows, and may not be asked.
     pub barred: Vec<String>,
     /// Proved to have none.
-    pub left_out: Vec<String>,
+    pub pruned: Vec<String>,
 }
 
 /// What the choice of sites goes by, beside the statement itself.
@@ -108,11 +108,11 @@
     /// The sites that may be asked; None: all.
     pub allowed: Option<&'a [&'a str]>,
     /// The summaries that this front holds.
-    pub summaries: &'a Book,
+    pub summaries: &'a SummaryStore,
     /// Unix milliseconds by this front's clock.
     pub wall_ms: u64,
     /// What is known of loads on the statement's groups.
-    pub loads: &'a Word<'a>,
+    pub loads: &'a LoadInfo<'a>,
     /// Whether a site's summaries count for nothing for now.
     pub suspected: &'a dyn Fn(&str) -> bool,
 }
@@ -129,63 +129,69 @@
     let Basis { sites, summaries, wall_ms, loads, suspected, .. } = *basis;
     let mut plan = Plan::default();
     for site in sites {
-        let summary = summaries.look(wall_ms, site, query.group);
+        let summary = summaries.current(wall_ms, site, query.group);
         let table = summary.and_then(|summary| Some((summary, summary.table(&query.table)?)));
-        let why = match (&query.join, summary, table) {
-            (Some(join), ..) => stands_joined(query, join, basis, site),
-            (None, None, _) => Some(Why::NoSummary),
-            (None, _, None) => Some(Why::NoTable),
-            (None, _, Some((summary, table))) => stands(&query.condition, summary, table, loads),
+        let reason = match (&query.join, summary, table) {
+            (Some(join), ..) => reason_to_ask_join(query, join, basis, site),
+            (None, None, _) => Some(Reason::NoSummary),
+            (None, _, None) => Some(Reason::NoTable),
+            (None, _, Some((summary, table))) => reason_to_ask(&query.condition, summary, table, loads),
         };
-        let proved = why.is_none();
+        let proved = reason.is_none();
         if proved && !suspected(site) || query.limit == Some(0) {
-            plan.left_out.push(site.clone());
+            plan.pruned.push(site.clone());
         } else if !basis.allows(site) {
             plan.barred.push(site.clone());
         } else {
             let rows = table.map_or(f64::INFINITY, |(_, t)| t.rows as f64 * query.condition.share(t));
-            let why = why.unwrap_or(Why::Doubted);
-            plan.parts.push(Part { site: site.clone(), rows, ruled_out: proved, audit: false, why });
+            let reason = reason.unwrap_or(Reason::Suspected);
+            plan.parts.push(Part { site: site.clone(), rows, ruled_out: proved, audit: false, reason });
         }
     }
     plan
 }
 
 /// What stands against leaving a site out; None: surely no row of it is asked for.
-pub(crate) fn stands(condition: &Condition, summary: &Summary, table: &Table, word: &Word) -> Option<Why> {
+pub(crate) fn reason_to_ask(
+    condition: &Condition,
+    summary: &Summary,
+    table: &Table,
+    word: &LoadInfo,
+) -> Option<Reason> {
     if !condition.never_true(table) {
         return Some(match () {
-            () if !condition.is_told(table) => Why::Untold,
-            () if condition.has_equality() => Why::Filter,
-            () => Why::Bounds,
+            () if !condition.is_summarized(table) => Reason::NotSummarized,
+            () if condition.has_equality() => Reason::Filter,
+            () => Reason::Bounds,
         });
     }
     match word {
-        Word::Marks(marks) => marks.stands(summary, table, condition),
-        Word::NoLoads => None,
-        Word::Both(..) | Word::Nothing => Some(Why::NoWord),
+        LoadInfo::Marks(marks) => marks.reason_to_ask(summary, table, condition),
+        LoadInfo::NoLoads => None,
+        LoadInfo::MarksOfJoin(..) | LoadInfo::Unknown => Some(Reason::LoadsUnknown),
     }
 }
 
 impl Plan {
     /// Of the one site that has all rows.
-    pub fn whole(site: &str, allowed: Option<&[&str]>) -> Plan {
+    pub fn single_site(site: &str, allowed: Option<&[&str]>) -> Plan {
         let site = site.to_string();
         if allowed.is_some_and(|allowed| !allowed.contains(&site.as_str())) {
             return Plan { barred: vec![site], ..Plan::default() };
         }
-        let part = Part { site, rows: f64::INFINITY, ruled_out: false, audit: false, why: Why::One };
+        let part =
+            Part { site, rows: f64::INFINITY, ruled_out: false, audit: false, reason: Reason::OneForAll };
         Plan { parts: vec![part], ..Plan::default() }
     }
 
     /// What each site answers even without rows is asked of one of them at least.
-    pub fn ask_one(&mut self, sites: &[String], allowed: Option<&[&str]>) {
-        while self.parts.is_empty() && self.barred.is_empty() && !self.left_out.is_empty() {
+    pub fn ensure_one(&mut self, sites: &[String], allowed: Option<&[&str]>) {
+        while self.parts.is_empty() && self.barred.is_empty() && !self.pruned.is_empty() {
             self.audit(0, sites, allowed);
         }
         for part in &mut self.parts {
             if part.audit {
-                part.why = Why::One;
+                part.reason = Reason::OneForAll;
             }
             (part.audit, part.ruled_out) = (false, false);
         }
@@ -193,14 +199,15 @@
 
     /// A site that is left out is asked all the same, if it may be.
     pub fn audit(&mut self, at: usize, sites: &[String], allowed: Option<&[&str]>) {
-        if at >= self.left_out.len() {
+        if at >= self.pruned.len() {
             return;
         }
-        let site = self.left_out.remove(at);
+        let site = self.pruned.remove(at);
         if allowed.is_none_or(|allowed| allowed.contains(&site.as_str())) {
             let place = |name: &String| sites.iter().position(|site| site == name);
             let at = self.parts.partition_point(|part| place(&part.site) < place(&site));
-            self.parts.insert(at, Part { site, rows: 0.0, ruled_out: true, audit: true, why: Why::Audit });
+            self.parts
+                .insert(at, Part { site, rows: 0.0, ruled_out: true, audit: true, reason: Reason::Audit });
         }
     }
 }
--- a/crates/scatter/src/keep.rs
+++ b/crates/scatter/src/retention.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::sheets::{Fineness, ALL};
+use crate::layers::{Detail, ALL};
 use crate::Micros;
 
 const HALF_LIFE: f64 = 3_600e6; // microseconds in which what was spared counts half: a day's turns are followed within hours
@@ -29,7 +29,7 @@
 
 /// What a scatter has shown of a site that has no row for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shown {
+pub enum Outcome {
     /// Its bounds rule it out.
     ByBounds,
     /// Only its filter does.
@@ -43,145 +43,146 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Item {
+struct Entry {
     /// Sites spared, or that could have been: by bounds, and by filters beyond them.
     bounds: f64,
     filter: f64,
-    faded: Micros,
+    decayed_at: Micros,
     bytes: [u32; 3],
     version: u64,
-    /// When that came, and how far apart versions come.
-    came: Micros,
-    apart: f64,
-    holds: Option<Fineness>,
+    /// When that came, and how far interval versions come.
+    arrived: Micros,
+    interval: f64,
+    detail: Option<Detail>,
 }
 
-impl Item {
-    fn new(now: Micros) -> Item {
+impl Entry {
+    fn new(now: Micros) -> Entry {
         let bytes = USUAL;
-        Item {
+        Entry {
             bounds: NEW,
             filter: 0.0,
-            faded: now,
+            decayed_at: now,
             bytes,
             version: 0,
-            came: now,
-            apart: USUAL_AGE,
-            holds: Some(Fineness::Bounds),
+            arrived: now,
+            interval: USUAL_AGE,
+            detail: Some(Detail::Bounds),
         }
     }
 
-    fn fade(&mut self, now: Micros) {
-        let part = 0.5_f64.powf((now - self.faded).max(0) as f64 / HALF_LIFE);
-        (self.bounds, self.filter, self.faded) = (self.bounds * part, self.filter * part, now);
+    fn decay(&mut self, now: Micros) {
+        let part = 0.5_f64.powf((now - self.decayed_at).max(0) as f64 / HALF_LIFE);
+        (self.bounds, self.filter, self.decayed_at) = (self.bounds * part, self.filter * part, now);
     }
 
     /// Sites spared by a fineness, of which `hit` of the chances of a filter come true.
-    fn spares(&self, fineness: Option<Fineness>, hit: f64) -> f64 {
+    fn benefit(&self, fineness: Option<Detail>, hit: f64) -> f64 {
         match fineness {
             None => 0.0,
-            Some(Fineness::Bounds) => self.bounds,
-            Some(Fineness::Small) => self.bounds + self.filter * hit * FINDS[0],
-            Some(Fineness::Full) => self.bounds + self.filter * hit * FINDS[1],
+            Some(Detail::Bounds) => self.bounds,
+            Some(Detail::Small) => self.bounds + self.filter * hit * FINDS[0],
+            Some(Detail::Full) => self.bounds + self.filter * hit * FINDS[1],
         }
     }
 
-    fn takes(&self, fineness: Option<Fineness>) -> (f64, f64) {
+    fn cost(&self, fineness: Option<Detail>) -> (f64, f64) {
         let bytes = fineness.and_then(|f| self.bytes.get(f as usize)).copied().unwrap_or(0);
-        (f64::from(bytes) * TWICE, f64::from(bytes) / (self.apart / 1e6).max(1.0))
+        (f64::from(bytes) * TWICE, f64::from(bytes) / (self.interval / 1e6).max(1.0))
     }
 }
 
 /// A step from one fineness of one summary to a finer one.
-struct Step {
-    earns: f64,
+struct Upgrade {
+    benefit_per_cost: f64,
     name: u64,
-    from: Option<Fineness>,
-    to: Fineness,
+    from: Option<Detail>,
+    to: Detail,
 }
 
-pub struct Keep {
+pub struct Retention {
     budget: Budget,
-    items: BTreeMap<u64, Item>,
+    items: BTreeMap<u64, Entry>,
     /// Of what bounds do not rule out: how often filters do, and how often they were there and did not.
-    hits: (f64, f64),
+    filter_hits: (f64, f64),
     /// Of sites that were asked for nothing: those that bounds rule out, and the others.
-    splits: (f64, f64),
+    bounds_share: (f64, f64),
 }
 
 #[derive(Serialize, Deserialize)]
-struct Saved {
+struct SavedState {
     format: u16,
-    items: BTreeMap<u64, Item>,
-    hits: (f64, f64),
-    splits: (f64, f64),
+    items: BTreeMap<u64, Entry>,
+    filter_hits: (f64, f64),
+    bounds_share: (f64, f64),
 }
 
-impl Keep {
-    pub fn new(budget: Budget) -> Keep {
-        Keep { budget, items: BTreeMap::new(), hits: (1.0, 0.0), splits: (1.0, 1.0) }
+impl Retention {
+    pub fn new(budget: Budget) -> Retention {
+        Retention { budget, items: BTreeMap::new(), filter_hits: (1.0, 0.0), bounds_share: (1.0, 1.0) }
     }
 
     /// What was learned in an earlier life. False: it is damaged, or of another format, and nothing is taken from it.
-    pub fn read(&mut self, now: Micros, bytes: &[u8]) -> bool {
-        let Ok((Saved { format: FORMAT, mut items, hits, splits }, [])) =
-            postcard::take_from_bytes::<Saved>(bytes)
+    pub fn restore(&mut self, now: Micros, bytes: &[u8]) -> bool {
+        let Ok((SavedState { format: FORMAT, mut items, filter_hits, bounds_share }, [])) =
+            postcard::take_from_bytes::<SavedState>(bytes)
         else {
             return false;
         };
         let sound = |x: f64| x.is_finite() && x >= 0.0;
-        let figures = |item: &Item| sound(item.bounds) && sound(item.filter) && item.apart >= 1.0;
-        let sums = [hits.0, hits.1, splits.0, splits.1];
+        let figures = |item: &Entry| sound(item.bounds) && sound(item.filter) && item.interval >= 1.0;
+        let sums = [filter_hits.0, filter_hits.1, bounds_share.0, bounds_share.1];
         if items.len() > MOST || !items.values().all(figures) || !sums.into_iter().all(sound) {
             return false;
         }
         for item in items.values_mut() {
             // Nothing is held yet; a clock that went back fades nothing.
-            (item.holds, item.version, item.faded) = (None, 0, item.faded.min(now));
-            item.came = now;
+            (item.detail, item.version, item.decayed_at) = (None, 0, item.decayed_at.min(now));
+            item.arrived = now;
         }
-        (self.items, self.hits, self.splits) = (items, hits, splits);
+        (self.items, self.filter_hits, self.bounds_share) = (items, filter_hits, bounds_share);
         true
     }
 
-    pub fn bytes(&self) -> Vec<u8> {
-        let (items, hits, splits) = (self.items.clone(), self.hits, self.splits);
-        postcard::to_stdvec(&Saved { format: FORMAT, items, hits, splits }).unwrap_or_default()
+    pub fn to_bytes(&self) -> Vec<u8> {
+        let (items, filter_hits, bounds_share) = (self.items.clone(), self.filter_hits, self.bounds_share);
+        postcard::to_stdvec(&SavedState { format: FORMAT, items, filter_hits, bounds_share })
+            .unwrap_or_default()
     }
 
-    pub fn budget(&mut self, budget: Budget) {
+    pub fn set_budget(&mut self, budget: Budget) {
         self.budget = budget;
     }
 
-    fn item(&mut self, now: Micros, name: u64) -> Option<&mut Item> {
+    fn item(&mut self, now: Micros, name: u64) -> Option<&mut Entry> {
         if self.items.len() >= MOST && !self.items.contains_key(&name) {
             return None;
         }
-        Some(self.items.entry(name).or_insert_with(|| Item::new(now)))
+        Some(self.items.entry(name).or_insert_with(|| Entry::new(now)))
     }
 
     /// A version was taken in, of so many bytes up to the end of each fineness.
-    pub fn came(&mut self, now: Micros, name: u64, version: u64, bytes: [usize; 3]) {
+    pub fn version_arrived(&mut self, now: Micros, name: u64, version: u64, bytes: [usize; 3]) {
         let Some(item) = self.item(now, name) else { return };
         if version > item.version && item.version > 0 {
-            item.apart = (item.apart * 0.75 + (now - item.came).max(0) as f64 * 0.25).max(1e6);
+            item.interval = (item.interval * 0.75 + (now - item.arrived).max(0) as f64 * 0.25).max(1e6);
         }
         if version > item.version {
-            (item.version, item.came) = (version, now);
+            (item.version, item.arrived) = (version, now);
         }
         item.bytes = bytes.map(|bytes| bytes as u32);
     }
 
     /// What a scatter has shown of a site without rows.
-    pub fn shows(&mut self, now: Micros, name: u64, shown: Shown) {
-        let by_bounds = self.splits.0 / (self.splits.0 + self.splits.1).max(1.0);
+    pub fn record(&mut self, now: Micros, name: u64, shown: Outcome) {
+        let by_bounds = self.bounds_share.0 / (self.bounds_share.0 + self.bounds_share.1).max(1.0);
         let Some(item) = self.item(now, name) else { return };
-        item.fade(now);
+        item.decay(now);
         let (bounds, filter) = match shown {
-            Shown::ByBounds => (1.0, 0.0),
-            Shown::ByFilter | Shown::MissedByBounds => (0.0, 1.0),
-            Shown::MissedByFilter => (0.0, 0.0),
-            Shown::Unknown => (by_bounds, 1.0 - by_bounds),
+            Outcome::ByBounds => (1.0, 0.0),
+            Outcome::ByFilter | Outcome::MissedByBounds => (0.0, 1.0),
+            Outcome::MissedByFilter => (0.0, 0.0),
+            Outcome::Unknown => (by_bounds, 1.0 - by_bounds),
         };
         (item.bounds, item.filter) = (item.bounds + bounds, item.filter + filter);
         let add = |sum: &mut (f64, f64), first: bool| {
@@ -196,58 +197,63 @@
             }
         };
         match shown {
-            Shown::ByBounds => add(&mut self.splits, true),
-            Shown::ByFilter => {
-                add(&mut self.splits, false);
-                add(&mut self.hits, true);
+            Outcome::ByBounds => add(&mut self.bounds_share, true),
+            Outcome::ByFilter => {
+                add(&mut self.bounds_share, false);
+                add(&mut self.filter_hits, true);
             }
-            Shown::MissedByFilter => add(&mut self.hits, false),
-            Shown::MissedByBounds | Shown::Unknown => {}
+            Outcome::MissedByFilter => add(&mut self.filter_hits, false),
+            Outcome::MissedByBounds | Outcome::Unknown => {}
         }
     }
 
     /// How fine the summary of a name is to be held; None: not at all.
-    pub fn holds(&self, name: u64) -> Option<Fineness> {
+    pub fn wanted_detail(&self, name: u64) -> Option<Detail> {
         match self.items.get(&name) {
-            Some(item) => item.holds,
+            Some(item) => item.detail,
             // One that is new is looked at, coarsely.
-            None => (self.items.len() < MOST).then_some(Fineness::Bounds),
+            None => (self.items.len() < MOST).then_some(Detail::Bounds),
         }
     }
 
     /// Chooses anew what is held: by what each step spares for the part of the budget that it takes, the best first.
     pub fn choose(&mut self, now: Micros) {
-        let hit = self.hits.0 / (self.hits.0 + self.hits.1).max(1.0);
+        let hit = self.filter_hits.0 / (self.filter_hits.0 + self.filter_hits.1).max(1.0);
         let Budget { memory, traffic } = self.budget;
         let part = |(bytes, rate): (f64, f64)| bytes / memory.max(1.0) + rate / traffic.max(1.0);
         let mut steps = Vec::new();
         for (&name, item) in &mut self.items {
-            item.fade(now);
+            item.decay(now);
             let mut from = None;
             // Along the upper edge of what it spares over what it takes: always the steepest step next.
-            while from < Some(Fineness::Full) {
-                let slope = |to: Fineness| {
-                    let more = item.spares(Some(to), hit) - item.spares(from, hit);
-                    more / (part(item.takes(Some(to))) - part(item.takes(from))).max(1e-9)
+            while from < Some(Detail::Full) {
+                let slope = |to: Detail| {
+                    let more = item.benefit(Some(to), hit) - item.benefit(from, hit);
+                    more / (part(item.cost(Some(to))) - part(item.cost(from))).max(1e-9)
                 };
                 let finer = ALL.into_iter().filter(|to| Some(*to) > from);
                 let Some(to) = finer.max_by(|a, b| slope(*a).total_cmp(&slope(*b))) else { break };
-                let held = if Some(to) <= item.holds { STAYS } else { 1.0 };
-                steps.push(Step { earns: slope(to) * held, name, from, to });
+                let held = if Some(to) <= item.detail { STAYS } else { 1.0 };
+                steps.push(Upgrade { benefit_per_cost: slope(to) * held, name, from, to });
                 from = Some(to);
             }
-            item.holds = None;
+            item.detail = None;
         }
-        steps.sort_by(|a, b| b.earns.total_cmp(&a.earns).then(a.name.cmp(&b.name)).then(a.from.cmp(&b.from)));
+        steps.sort_by(|a, b| {
+            b.benefit_per_cost
+                .total_cmp(&a.benefit_per_cost)
+                .then(a.name.cmp(&b.name))
+                .then(a.from.cmp(&b.from))
+        });
         let mut left = (memory, traffic);
         for step in steps {
-            let Some(item) = self.items.get_mut(&step.name).filter(|item| item.holds == step.from) else {
+            let Some(item) = self.items.get_mut(&step.name).filter(|item| item.detail == step.from) else {
                 continue;
             };
-            let (before, after) = (item.takes(step.from), item.takes(Some(step.to)));
+            let (before, after) = (item.cost(step.from), item.cost(Some(step.to)));
             let rest = (left.0 + before.0 - after.0, left.1 + before.1 - after.1);
-            if step.earns > 0.0 && rest.0 >= 0.0 && rest.1 >= 0.0 {
-                (item.holds, left) = (Some(step.to), rest);
+            if step.benefit_per_cost > 0.0 && rest.0 >= 0.0 && rest.1 >= 0.0 {
+                (item.detail, left) = (Some(step.to), rest);
             }
         }
     }
--- a/crates/scatter/src/runs.rs
+++ b/crates/scatter/src/runs.rs
@@ -15,13 +15,13 @@
 /// The same as bytes hold it: the first value, then how far each run begins behind the last one's end, and
 /// how long it is.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Told {
+pub(crate) struct EncodedRuns {
     first: i128,
     steps: Vec<(u128, u128)>,
 }
 
-impl Told {
-    pub fn of(runs: &[(i128, i128)]) -> Option<Told> {
+impl EncodedRuns {
+    pub fn of(runs: &[(i128, i128)]) -> Option<EncodedRuns> {
         let first = runs.first()?.0;
         let mut end = first;
         let step = |(from, to): &(i128, i128)| {
@@ -29,7 +29,7 @@
             end = *to;
             step
         };
-        Some(Told { first, steps: runs.iter().map(step).collect() })
+        Some(EncodedRuns { first, steps: runs.iter().map(step).collect() })
     }
 
     /// None: it is of no runs.
@@ -67,10 +67,10 @@
 
 /// Runs as values come, in any order.
 #[derive(Default)]
-pub(crate) struct Growing(BTreeMap<i128, i128>);
+pub(crate) struct RunsBuilder(BTreeMap<i128, i128>);
 
-impl Growing {
-    pub fn value(&mut self, value: i128) {
+impl RunsBuilder {
+    pub fn add_value(&mut self, value: i128) {
         let before = self.0.range(..=value).next_back().map(|(from, end)| (*from, *end));
         if before.is_some_and(|(_, end)| value <= end) {
             return;
--- a/crates/scatter/src/runs_tests.rs
+++ b/crates/scatter/src/runs_tests.rs
@@ -5,12 +5,12 @@
 
 #[test]
 fn runs_are_joined_over_the_least_gaps() {
-    let mut growing = Growing::default();
-    [5, 1, 2, 9, 3, 90, 7, i128::MIN, i128::MAX].into_iter().for_each(|v| growing.value(v));
+    let mut growing = RunsBuilder::default();
+    [5, 1, 2, 9, 3, 90, 7, i128::MIN, i128::MAX].into_iter().for_each(|v| growing.add_value(v));
     let runs = growing.runs();
     assert_eq!(runs[1..7], [(1, 3), (5, 5), (7, 7), (9, 9), (90, 90), (i128::MAX, i128::MAX)]);
     assert_eq!(coarser(runs.clone(), 4)[1..3], [(1, 9), (90, 90)]);
-    assert_eq!(Told::of(&runs).unwrap().runs().unwrap(), runs);
+    assert_eq!(EncodedRuns::of(&runs).unwrap().runs().unwrap(), runs);
     assert!(meet(&runs, 4, 5) && meet(&runs, 3, 4) && !meet(&runs, 4, 4) && !meet(&runs, 10, 89));
 }
 
@@ -20,8 +20,8 @@
         values in prop::collection::vec(-500i128..500, 1..300),
         most in 1usize..40,
     ) {
-        let mut growing = Growing::default();
-        values.iter().for_each(|value| growing.value(*value));
+        let mut growing = RunsBuilder::default();
+        values.iter().for_each(|value| growing.add_value(*value));
         let runs = coarser(growing.runs(), most);
         prop_assert!(runs.len() <= most && runs.windows(2).all(|w| w[0].1 < w[1].0));
         prop_assert!(values.iter().all(|value| meet(&runs, *value, *value)));
@@ -32,7 +32,7 @@
         first in any::<i128>(),
         steps in prop::collection::vec(any::<(u128, u128)>(), 0..4),
     ) {
-        if let Some(runs) = (Told { first, steps }).runs() {
+        if let Some(runs) = (EncodedRuns { first, steps }).runs() {
             prop_assert!(runs.windows(2).all(|w| w[0].1 < w[1].0));
             prop_assert!(runs.iter().all(|run| run.0 <= run.1));
         }
--- a/crates/scatter/src/sketch.rs
+++ b/crates/scatter/src/sketch.rs
@@ -4,8 +4,8 @@
 use datasketches::common::NumStdDev;
 use datasketches::hll::{HllSketch, HllType, HllUnion};
 
-use crate::marks::{Cell, Touched};
-use crate::plan::{Basis, Word};
+use crate::marks::{Affected, Cell};
+use crate::plan::{Basis, LoadInfo};
 use crate::sql::Query;
 use crate::value::{Kind, Value};
 
@@ -13,14 +13,14 @@
 const LONGEST: usize = 8 << 10; // bytes of one
 
 /// A column's sketch as its rows come.
-pub(crate) struct Growing(HllSketch);
+pub(crate) struct SketchBuilder(HllSketch);
 
-impl Growing {
-    pub fn new(kind: Kind) -> Option<Growing> {
-        HllSketch::new(LG_K, HllType::Hll4).ok().filter(|_| kind.is_equal_by_value()).map(Growing)
+impl SketchBuilder {
+    pub fn new(kind: Kind) -> Option<SketchBuilder> {
+        HllSketch::new(LG_K, HllType::Hll4).ok().filter(|_| kind.is_equal_by_value()).map(SketchBuilder)
     }
 
-    pub fn value(&mut self, value: &Value) {
+    pub fn add_value(&mut self, value: &Value) {
         self.0.update(value.hash());
     }
 
@@ -56,7 +56,7 @@
         if suspected(site) || !basis.allows(site) {
             return None;
         }
-        let summary = summaries.look(wall_ms, site, query.group)?;
+        let summary = summaries.current(wall_ms, site, query.group)?;
         let column = summary.table(&query.table)?.columns.iter().find(|column| column.name == *name)?;
         // Values of two kinds may be equal and are not known to be.
         if *alike.get_or_insert(column.kind) != column.kind {
@@ -64,12 +64,12 @@
         }
         all.update(&read(column.sketch.as_ref()?)?);
         let open = match loads {
-            Word::Marks(marks) => marks.open(summary)?,
-            Word::NoLoads => Vec::new(),
-            Word::Both(..) | Word::Nothing => return None,
+            LoadInfo::Marks(marks) => marks.uncovered(summary)?,
+            LoadInfo::NoLoads => Vec::new(),
+            LoadInfo::MarksOfJoin(..) | LoadInfo::Unknown => return None,
         };
         for touched in open {
-            let Touched::Rows { table, columns, rows } = touched else { return None };
+            let Affected::Rows { table, columns, rows } = touched else { return None };
             if *table != query.table {
                 continue;
             }
--- a/crates/scatter/src/sql.rs
+++ b/crates/scatter/src/sql.rs
@@ -34,7 +34,7 @@
 
 /// Why the rows of a statement can't be put together from parts.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unfit {
+pub enum Unsupported {
     #[error("a statement of {0} bytes, over {LONGEST}: shorten it, or name a scatter.whole_site for it")]
     Long(usize),
     #[error(
@@ -44,18 +44,18 @@
     #[error("not understood ({0}): write it plainer, or name a scatter.whole_site")]
     Syntax(String),
     #[error("{0} can't be put together from the sites' parts: leave it out, or name a scatter.whole_site")]
-    Whole(String),
+    NotDivisible(String),
     #[error(
         "a join of groups {0} and {1}, which scatter.together does not name: name them where equal keys lie \
          at one site, or name a scatter.whole_site"
     )]
-    Apart(u32, u32),
+    NotColocated(u32, u32),
     #[error("names no table as SCHEMA_NUMBER.TABLE: name the group's schema, or name a scatter.whole_site")]
     NoGroup,
 }
 
-pub(crate) fn whole<T>(what: impl Into<String>) -> Result<T, Unfit> {
-    Err(Unfit::Whole(what.into()))
+pub(crate) fn not_divisible<T>(what: impl Into<String>) -> Result<T, Unsupported> {
+    Err(Unsupported::NotDivisible(what.into()))
 }
 
 /// Text that begins or ends strings and comments in one dialect and not in another.
@@ -82,23 +82,23 @@
     }
 }
 
-pub(crate) fn parse(statement: &[u8]) -> Result<Statement, Unfit> {
+pub(crate) fn parse(statement: &[u8]) -> Result<Statement, Unsupported> {
     if statement.len() > LONGEST {
-        return Err(Unfit::Long(statement.len()));
+        return Err(Unsupported::Long(statement.len()));
     }
     let Ok(text) = std::str::from_utf8(statement) else {
-        return Err(Unfit::Syntax("it is no UTF-8".to_string()));
+        return Err(Unsupported::Syntax("it is no UTF-8".to_string()));
     };
     if let Some(what) = ambiguous(text) {
-        return Err(Unfit::Ambiguous(what));
+        return Err(Unsupported::Ambiguous(what));
     }
     match Parser::parse_sql(&GenericDialect {}, text) {
         Ok(mut all) => match (all.pop(), all.is_empty()) {
             (Some(one), true) => Ok(one),
-            (Some(_), false) => Err(Unfit::Syntax("several statements".to_string())),
-            (None, _) => Err(Unfit::Syntax("no statement".to_string())),
+            (Some(_), false) => Err(Unsupported::Syntax("several statements".to_string())),
+            (None, _) => Err(Unsupported::Syntax("no statement".to_string())),
         },
-        Err(e) => Err(Unfit::Syntax(e.to_string())),
+        Err(e) => Err(Unsupported::Syntax(e.to_string())),
     }
 }
 
@@ -121,7 +121,7 @@
 }
 
 /// Takes a statement apart, if its rows can be put together from parts.
-pub fn read(statement: &[u8]) -> Result<Query, Unfit> {
+pub fn read(statement: &[u8]) -> Result<Query, Unsupported> {
     of(parse(statement)?)
 }
 
@@ -151,8 +151,8 @@
     Some(Query { combine: None, distinct: Some(distinct), ..query })
 }
 
-fn of(statement: Statement) -> Result<Query, Unfit> {
-    let Statement::Query(query) = statement else { return whole("what is no SELECT") };
+fn of(statement: Statement) -> Result<Query, Unsupported> {
+    let Statement::Query(query) = statement else { return not_divisible("what is no SELECT") };
     // Named one by one: a clause that a later version of the crate knows of must be looked at here.
     let Parsed {
         with,
@@ -175,21 +175,21 @@
         (!pipe_operators.is_empty(), "a pipe"),
     ] {
         if there {
-            return whole(what);
+            return not_divisible(what);
         }
     }
-    let SetExpr::Select(select) = *body else { return whole("UNION or another set of statements") };
+    let SetExpr::Select(select) = *body else { return not_divisible("UNION or another set of statements") };
     let limit = match limit_clause {
         None => None,
         Some(LimitClause::LimitOffset { limit, offset: None, limit_by }) if limit_by.is_empty() => {
             limit.map(|limit| rows(&limit)).transpose()?
         }
-        Some(_) => return whole("OFFSET"),
+        Some(_) => return not_divisible("OFFSET"),
     };
     select_from(*select, limit)
 }
 
-fn rows(limit: &Expr) -> Result<u64, Unfit> {
+fn rows(limit: &Expr) -> Result<u64, Unsupported> {
     let count = match limit {
         Expr::Value(value) => match &value.value {
             Word::Number(digits, false) => digits.parse().ok(),
@@ -197,10 +197,10 @@
         },
         _ => None,
     };
-    count.ok_or_else(|| Unfit::Whole("LIMIT by anything but a number".to_string()))
+    count.ok_or_else(|| Unsupported::NotDivisible("LIMIT by anything but a number".to_string()))
 }
 
-fn select_from(select: Select, limit: Option<u64>) -> Result<Query, Unfit> {
+fn select_from(select: Select, limit: Option<u64>) -> Result<Query, Unsupported> {
     let Select {
         select_token: _,
         optimizer_hints,
@@ -248,25 +248,26 @@
         (value_table_mode.is_some() || flavor != SelectFlavor::Standard, "a SELECT of another form"),
     ] {
         if there {
-            return whole(what);
+            return not_divisible(what);
         }
     }
-    let [from] = &from[..] else { return whole("a list of tables") };
-    let Named { group, table, alias } = named(&from.relation)?;
-    let taken: Vec<String> = projection.iter().filter_map(given_name).collect();
-    let (first, other) = (Names { table: alias, taken, qualified: !from.joins.is_empty() }, &from.joins[..]);
+    let [from] = &from[..] else { return not_divisible("a list of tables") };
+    let TableReference { group, table, alias } = table_reference(&from.relation)?;
+    let aliases: Vec<String> = projection.iter().filter_map(alias_of).collect();
+    let (first, other) =
+        (ColumnScope { table: alias, aliases, qualified: !from.joins.is_empty() }, &from.joins[..]);
     let (names, joined) = match other {
         [] => (first, None),
         [other] => join::read(other, first, selection.as_ref()).map(|(names, join)| (names, Some(join)))?,
-        _ => return whole("a join of more than two tables"),
+        _ => return not_divisible("a join of more than two tables"),
     };
     let combine = combine::read(&projection, &names)?;
     if combine.is_some() && limit.is_some() {
-        return whole("LIMIT beside aggregates");
+        return not_divisible("LIMIT beside aggregates");
     }
     let beyond = projection.iter().filter(|_| combine.is_none()).find_map(selects_beyond_one_row);
     if let Some(what) = beyond.or_else(|| selection.as_ref().and_then(beyond_one_row)) {
-        return whole(what);
+        return not_divisible(what);
     }
     let condition = condition(selection.as_ref(), &names);
     let (condition, join) = match joined {
@@ -277,24 +278,24 @@
 }
 
 /// What a row of a table is asked for.
-pub(crate) fn condition(selection: Option<&Expr>, names: &Names) -> Condition {
+pub(crate) fn condition(selection: Option<&Expr>, names: &ColumnScope) -> Condition {
     match selection {
         None => Condition::Constant(true),
         // MySQL reads some operators as AND and OR: then the whole falls apart otherwise.
         Some(e) if !is_of_one_reading(e) => Condition::Other,
-        Some(e) => crate::of::of(e, names),
+        Some(e) => crate::from_sql::condition(e, names),
     }
 }
 
 /// A table as a statement names it.
-pub(crate) struct Named {
+pub(crate) struct TableReference {
     pub group: u32,
     pub table: String,
     /// What its columns are named by.
     pub alias: String,
 }
 
-pub(crate) fn named(relation: &TableFactor) -> Result<Named, Unfit> {
+pub(crate) fn table_reference(relation: &TableFactor) -> Result<TableReference, Unsupported> {
     let TableFactor::Table {
         name,
         alias,
@@ -309,18 +310,18 @@
         inheritance: None,
     } = relation
     else {
-        return whole("anything but a table");
+        return not_divisible("anything but a table");
     };
     let aliased = alias.as_ref().is_some_and(|a| !a.columns.is_empty());
     if !with_hints.is_empty() || !partitions.is_empty() || !index_directives.is_empty() || aliased {
-        return whole("a table with hints, partitions or other names");
+        return not_divisible("a table with hints, partitions or other names");
     }
-    let (group, table) = table(name).ok_or(Unfit::NoGroup)?;
+    let (group, table) = table(name).ok_or(Unsupported::NoGroup)?;
     let alias = alias.as_ref().map_or_else(|| table.clone(), |a| plain_name(&a.name));
-    Ok(Named { group, table, alias })
+    Ok(TableReference { group, table, alias })
 }
 
-fn given_name(item: &SelectItem) -> Option<String> {
+fn alias_of(item: &SelectItem) -> Option<String> {
     match item {
         SelectItem::ExprWithAlias { alias, .. } => Some(alias.value.to_ascii_lowercase()),
         _ => None,
@@ -329,15 +330,15 @@
 
 /// Which names stand for columns of the table.
 #[derive(Clone)]
-pub(crate) struct Names {
+pub(crate) struct ColumnScope {
     pub table: String,
     /// Given to what is selected: dialects differ in what they stand for in a condition.
-    pub taken: Vec<String>,
+    pub aliases: Vec<String>,
     /// Beside another table: a name by itself may be a column of either.
     pub qualified: bool,
 }
 
-impl Names {
+impl ColumnScope {
     pub fn column(&self, e: &Expr) -> Option<String> {
         let name = match e {
             Expr::Identifier(name) if !self.qualified => name,
@@ -350,7 +351,7 @@
         };
         // What is quoted is a name in one dialect and text in another.
         let plain = name.quote_style.is_none().then(|| name.value.to_ascii_lowercase())?;
-        (!self.taken.contains(&plain)).then_some(plain)
+        (!self.aliases.contains(&plain)).then_some(plain)
     }
 }
 
