--- a/crates/scatter/src/book.rs
+++ b/crates/scatter/src/store.rs
@@ -6,9 +6,9 @@
 use ed25519_dalek::VerifyingKey;
 use hallmux_hash::fnv1a;
 
-use crate::keep::{Keep, Shown};
-use crate::marks::Spoken;
-use crate::sheets::{self, Fineness};
+use crate::layers::{self, Detail};
+use crate::marks::ReportedLoads;
+use crate::retention::{Outcome, Retention};
 use crate::sql::Query;
 use crate::summary::{Loads, Refused, Summary};
 use crate::value::Kind;
@@ -16,7 +16,7 @@
 
 /// What the operator says of summaries.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct StoreSettings {
     /// The sites and their public keys.
     pub sites: BTreeMap<String, VerifyingKey>,
     /// The schema that a group's summaries must be of, where it is stated.
@@ -32,56 +32,60 @@
 const MOST_NOTED: usize = 8; // versions of one summary that are not settled yet
 
 /// A version, and which loads were in it.
-struct Noted {
+struct SeenVersion {
     came_ms: u64,
     version: u64,
     loads: Loads,
 }
 
-struct Held {
+struct HeldSummary {
     summary: Summary,
     bytes: Rc<[u8]>,
     /// In the order in which they came; the first is the settled one, where one is.
-    noted: VecDeque<Noted>,
+    versions_seen: VecDeque<SeenVersion>,
 }
 
 /// Notes a version that has come.
-fn note(mut noted: VecDeque<Noted>, wall_ms: u64, summary: &Summary) -> VecDeque<Noted> {
-    while noted.get(1).is_some_and(|next| next.came_ms + SETTLES_MS <= wall_ms) {
-        noted.pop_front();
+fn note_version(
+    mut versions_seen: VecDeque<SeenVersion>,
+    wall_ms: u64,
+    summary: &Summary,
+) -> VecDeque<SeenVersion> {
+    while versions_seen.get(1).is_some_and(|next| next.came_ms + SETTLES_MS <= wall_ms) {
+        versions_seen.pop_front();
     }
-    let latest = noted.back();
+    let latest = versions_seen.back();
     let new = latest.is_none_or(|n| {
         n.version < summary.version && n.came_ms + SETTLES_MS / (MOST_NOTED as u64 - 2) <= wall_ms
     });
-    if new && noted.len() < MOST_NOTED {
+    if new && versions_seen.len() < MOST_NOTED {
         let (version, loads) = (summary.version, summary.loads.clone());
-        noted.push_back(Noted { came_ms: wall_ms, version, loads });
+        versions_seen.push_back(SeenVersion { came_ms: wall_ms, version, loads });
     }
-    noted
+    versions_seen
 }
 
-pub struct Book {
-    terms: Terms,
-    held: BTreeMap<(String, u32), Held>,
+pub struct SummaryStore {
+    terms: StoreSettings,
+    held: BTreeMap<(String, u32), HeldSummary>,
     /// What is held and how fine, where that follows from what it spares; None: all that comes, whole.
-    pub keep: Option<Keep>,
+    pub retention: Option<Retention>,
     /// What counted for nothing, by why.
     pub refused: BTreeMap<&'static str, u64>,
 }
 
 /// The name that a site's summary of a group goes by between fronts.
-pub fn name(site: &str, group: u32) -> u64 {
+pub fn summary_id(site: &str, group: u32) -> u64 {
     fnv1a(site.bytes().chain([0]).chain(group.to_le_bytes()))
 }
 
-impl Book {
-    pub fn new(terms: Terms) -> Book {
-        Book { terms, held: BTreeMap::new(), keep: None, refused: BTreeMap::new() }
+impl SummaryStore {
+    pub fn new(terms: StoreSettings) -> SummaryStore {
+        SummaryStore { terms, held: BTreeMap::new(), retention: None, refused: BTreeMap::new() }
     }
 
     /// Other terms hold from now on; what is of no site any more goes.
-    pub fn turn_to(&mut self, terms: Terms) {
+    pub fn reconfigure(&mut self, terms: StoreSettings) {
         let before = std::mem::replace(&mut self.terms, terms);
         let sites = &self.terms.sites;
         // Under another key of the site it may be anybody's.
@@ -90,18 +94,18 @@
     }
 
     /// Takes a site's word, from wherever it came. False: held already. What is refused changes nothing.
-    pub fn take(&mut self, wall_ms: u64, bytes: &[u8]) -> Result<bool, Refused> {
-        let taken = self.weigh(wall_ms, bytes);
+    pub fn accept(&mut self, wall_ms: u64, bytes: &[u8]) -> Result<bool, Refused> {
+        let taken = self.check_and_hold(wall_ms, bytes);
         if let Err(why) = &taken {
             *self.refused.entry(why.why()).or_default() += 1;
         }
         taken
     }
 
-    fn weigh(&mut self, wall_ms: u64, bytes: &[u8]) -> Result<bool, Refused> {
+    fn check_and_hold(&mut self, wall_ms: u64, bytes: &[u8]) -> Result<bool, Refused> {
         let summary = Summary::read(bytes, |site| self.terms.sites.get(site).copied())?;
         let (site, group, version) = (summary.site.clone(), summary.group, summary.version);
-        self.fits(wall_ms, &summary)?;
+        self.check_validity(wall_ms, &summary)?;
         let known = self.held.get(&(site.clone(), group));
         if let Some(held) = known {
             match version.cmp(&held.summary.version) {
@@ -120,51 +124,52 @@
         } else if self.held.len() >= self.terms.most {
             return Err(Refused::Full { site, group, held: self.held.len() });
         }
-        if let Some(keep) = &mut self.keep {
-            let ends = sheets::ends(bytes).unwrap_or([bytes.len(); 3]);
-            keep.came((wall_ms * 1000) as Micros, name(&site, group), version, ends);
+        if let Some(retention) = &mut self.retention {
+            let ends = layers::layer_ends(bytes).unwrap_or([bytes.len(); 3]);
+            retention.version_arrived((wall_ms * 1000) as Micros, summary_id(&site, group), version, ends);
         }
-        let wanted = self.wants(name(&site, group));
+        let wanted = self.wanted_detail(summary_id(&site, group));
         let of = (site, group);
         if wanted.is_none() {
             // An older one proves less than none: loads may have come since.
             self.held.remove(&of);
             return Ok(false);
         }
-        let noted = self.held.remove(&of).map_or(VecDeque::new(), |held| held.noted);
-        let noted = note(noted, wall_ms, &summary);
-        self.held.insert(of.clone(), Held { summary, bytes: bytes.into(), noted });
+        let versions_seen = self.held.remove(&of).map_or(VecDeque::new(), |held| held.versions_seen);
+        let versions_seen = note_version(versions_seen, wall_ms, &summary);
+        self.held.insert(of.clone(), HeldSummary { summary, bytes: bytes.into(), versions_seen });
         self.cut(&of, wanted);
         Ok(true)
     }
 
     /// How fine the summary of a name is to be held.
-    pub fn wants(&self, name: u64) -> Option<Fineness> {
-        self.keep.as_ref().map_or(Some(Fineness::Full), |keep| keep.holds(name))
+    pub fn wanted_detail(&self, name: u64) -> Option<Detail> {
+        self.retention.as_ref().map_or(Some(Detail::Full), |retention| retention.wanted_detail(name))
     }
 
     /// Chooses anew what is held, and lets go of the rest.
     pub fn choose(&mut self, wall_ms: u64) {
-        let Some(keep) = &mut self.keep else { return };
-        keep.choose((wall_ms * 1000) as Micros);
+        let Some(retention) = &mut self.retention else { return };
+        retention.choose((wall_ms * 1000) as Micros);
         for of in self.held.keys().cloned().collect::<Vec<_>>() {
-            let wanted = self.wants(name(&of.0, of.1));
+            let wanted = self.wanted_detail(summary_id(&of.0, of.1));
             self.cut(&of, wanted);
         }
     }
 
     /// Lets go of what is finer than wanted.
-    fn cut(&mut self, of: &(String, u32), wanted: Option<Fineness>) {
+    fn cut(&mut self, of: &(String, u32), wanted: Option<Detail>) {
         let Some(held) = self.held.get_mut(of) else { return };
         let Some(wanted) = wanted else {
             self.held.remove(of);
             return;
         };
-        if held.summary.fineness <= wanted {
+        if held.summary.detail <= wanted {
             return;
         }
         // One that is not in sheets has no less of it.
-        let Some(end) = sheets::ends(&held.bytes).and_then(|ends| ends.get(wanted as usize).copied()) else {
+        let Some(end) = layers::layer_ends(&held.bytes).and_then(|ends| ends.get(wanted as usize).copied())
+        else {
             return;
         };
         let sites = &self.terms.sites;
@@ -177,46 +182,48 @@
     }
 
     /// A scatter has left a site out by its summary, or has asked it and heard of no row.
-    pub fn learn(&mut self, wall_ms: u64, query: &Query, site: &str, asked: bool) {
-        if self.keep.is_none() {
+    pub fn record_outcome(&mut self, wall_ms: u64, query: &Query, site: &str, asked: bool) {
+        if self.retention.is_none() {
             return;
         }
         let now = (wall_ms * 1000) as Micros;
-        let summary = self.look(wall_ms, site, query.group);
-        let table = summary.and_then(|summary| Some((summary.fineness, summary.table(&query.table)?)));
+        let summary = self.current(wall_ms, site, query.group);
+        let table = summary.and_then(|summary| Some((summary.detail, summary.table(&query.table)?)));
         let shown = match table {
-            None if asked => Shown::Unknown,
+            None if asked => Outcome::Unknown,
             None => return,
             Some((_, table)) if !asked => match query.condition.never_true(&table.bare()) {
-                true => Shown::ByBounds,
-                false => Shown::ByFilter,
+                true => Outcome::ByBounds,
+                false => Outcome::ByFilter,
             },
             // It was asked for its loads.
             Some((_, table)) if query.condition.never_true(table) => return,
             Some(_) if !query.condition.has_equality() => return,
-            Some((Fineness::Bounds, _)) => Shown::MissedByBounds,
-            Some(_) => Shown::MissedByFilter,
+            Some((Detail::Bounds, _)) => Outcome::MissedByBounds,
+            Some(_) => Outcome::MissedByFilter,
         };
-        self.keep.iter_mut().for_each(|keep| keep.shows(now, name(site, query.group), shown));
+        self.retention
+            .iter_mut()
+            .for_each(|retention| retention.record(now, summary_id(site, query.group), shown));
     }
 
     /// The name and version of what a known site has signed.
-    pub fn named(&self, bytes: &[u8]) -> Option<(u64, u64)> {
+    pub fn id_and_version(&self, bytes: &[u8]) -> Option<(u64, u64)> {
         let summary = Summary::read(bytes, |site| self.terms.sites.get(site).copied()).ok()?;
-        Some((name(&summary.site, summary.group), summary.version))
+        Some((summary_id(&summary.site, summary.group), summary.version))
     }
 
-    pub fn knows(&self, site: &str) -> bool {
+    pub fn has_site(&self, site: &str) -> bool {
         self.terms.sites.contains_key(site)
     }
 
     /// Lets go of one.
-    pub fn drop(&mut self, site: &str, group: u32) {
+    pub fn remove(&mut self, site: &str, group: u32) {
         self.held.remove(&(site.to_string(), group));
     }
 
     /// What a column holds, where all that is held speaks alike of it.
-    pub fn kind(&self, group: u32, table: &str, column: &str) -> Option<Kind> {
+    pub fn column_kind(&self, group: u32, table: &str, column: &str) -> Option<Kind> {
         let of = self
             .held
             .iter()
@@ -233,7 +240,7 @@
     }
 
     /// Whether it may count now, apart from its version.
-    fn fits(&self, wall_ms: u64, summary: &Summary) -> Result<(), Refused> {
+    fn check_validity(&self, wall_ms: u64, summary: &Summary) -> Result<(), Refused> {
         let (site, group) = (summary.site.clone(), summary.group);
         let (schema, made_ms) = (summary.schema, summary.made_ms);
         match self.terms.schemas.get(&group) {
@@ -252,17 +259,24 @@
     }
 
     /// A site's summary of a group, as long as it may count.
-    pub fn look(&self, wall_ms: u64, site: &str, group: u32) -> Option<&Summary> {
+    pub fn current(&self, wall_ms: u64, site: &str, group: u32) -> Option<&Summary> {
         let held = self.held.get(&(site.to_string(), group))?;
-        self.fits(wall_ms, &held.summary).is_ok().then_some(&held.summary)
+        self.check_validity(wall_ms, &held.summary).is_ok().then_some(&held.summary)
     }
 
     /// What a site has said of loads into a group.
-    pub fn spoken(&self, wall_ms: u64, site: &str, group: u32) -> Spoken<'_> {
-        let Some(held) = self.held.get(&(site.to_string(), group)) else { return Spoken::default() };
-        let newest = self.look(wall_ms, site, group).map(|summary| (summary.version, &summary.loads));
-        let settled = held.noted.iter().rev().find(|noted| noted.came_ms + SETTLES_MS <= wall_ms);
-        Spoken { newest, settled: settled.map(|noted| (noted.version, &noted.loads)) }
+    pub fn reported_loads(&self, wall_ms: u64, site: &str, group: u32) -> ReportedLoads<'_> {
+        let Some(held) = self.held.get(&(site.to_string(), group)) else { return ReportedLoads::default() };
+        let newest = self.current(wall_ms, site, group).map(|summary| (summary.version, &summary.loads));
+        let settled = held
+            .versions_seen
+            .iter()
+            .rev()
+            .find(|versions_seen| versions_seen.came_ms + SETTLES_MS <= wall_ms);
+        ReportedLoads {
+            newest,
+            settled: settled.map(|versions_seen| (versions_seen.version, &versions_seen.loads)),
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -273,10 +287,10 @@
         self.held.is_empty()
     }
 
-    /// Names, versions and finenesses of all that is held.
-    pub fn versions(&self) -> impl Iterator<Item = (u64, u64, Fineness)> + '_ {
-        let of = |((site, group), held): (&(String, u32), &Held)| {
-            (name(site, *group), held.summary.version, held.summary.fineness)
+    /// Names, versions and detailes of all that is held.
+    pub fn versions(&self) -> impl Iterator<Item = (u64, u64, Detail)> + '_ {
+        let of = |((site, group), held): (&(String, u32), &HeldSummary)| {
+            (summary_id(site, *group), held.summary.version, held.summary.detail)
         };
         self.held.iter().map(of)
     }
@@ -284,7 +298,7 @@
     /// The bytes of one that is held, as they came.
     pub fn bytes(&self, wanted: u64) -> Option<(u64, Rc<[u8]>)> {
         let mut all = self.held.iter();
-        let found = all.find(|((site, group), _)| name(site, *group) == wanted);
+        let found = all.find(|((site, group), _)| summary_id(site, *group) == wanted);
         found.map(|(_, held)| (held.summary.version, held.bytes.clone()))
     }
 }
--- a/crates/scatter/src/summary.rs
+++ b/crates/scatter/src/summary.rs
@@ -4,16 +4,16 @@
 use serde::{Deserialize, Serialize};
 
 use crate::filter::Members;
-use crate::runs::{Runs, Told};
-use crate::sheets::{self, Fineness, IN_SHEETS, IN_SHEETS_WITH_MORE};
+use crate::layers::{self, Detail, LAYERED, LAYERED_EXTENDED};
+use crate::runs::{EncodedRuns, Runs};
 use crate::sketch;
 use crate::value::{less, Kind, Value, MOST_SCALE};
 
 pub const MOST_BYTES: usize = 64 << 10; // bytes of a summary: 50,000 values in filters, and 60 pieces on their way
 const FORMAT: u16 = 1;
-const WITH_MORE: u16 = 3; // 2 and 4 are in sheets
+const EXTENDED: u16 = 3; // 2 and 4 are in sheets
 const RUN_BYTES: usize = 6; // bytes of a run, about
-const MARK: &[u8] = b"hallmux summary\0"; // what is signed says what it is: no other word passes for it
+const SIGNING_CONTEXT: &[u8] = b"hallmux summary\0"; // what is signed says what it is: no other word passes for it
 pub const MOST_TABLES: usize = 64; // of a group
 pub const MOST_COLUMNS: usize = 256; // of a table
 pub const MOST_NAME: usize = 128; // bytes of a name
@@ -35,14 +35,14 @@
     pub tables: Vec<Table>,
     /// How much of what its site says is here.
     #[serde(skip)]
-    pub fineness: Fineness,
+    pub detail: Detail,
 }
 
 /// What stands behind a summary and tells more of its columns, by the places of their tables and of
 /// themselves.
 #[derive(Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct More {
-    runs: Vec<(u16, u16, Told)>,
+pub(crate) struct Extension {
+    runs: Vec<(u16, u16, EncodedRuns)>,
     sketches: Vec<(u16, u16, Vec<u8>)>,
 }
 
@@ -168,12 +168,12 @@
 
 pub(crate) fn signed(summary: Vec<u8>, key: &SigningKey) -> Vec<u8> {
     use ed25519_dalek::Signer;
-    let signature = key.sign(&marked(&summary)).to_bytes().to_vec();
+    let signature = key.sign(&signed_bytes(&summary)).to_bytes().to_vec();
     postcard::to_stdvec(&Signed { summary, signature }).unwrap_or_default()
 }
 
-fn marked(summary: &[u8]) -> Vec<u8> {
-    [MARK, summary].concat()
+fn signed_bytes(summary: &[u8]) -> Vec<u8> {
+    [SIGNING_CONTEXT, summary].concat()
 }
 
 impl Summary {
@@ -187,61 +187,61 @@
             made_ms: 0,
             loads: Loads::default(),
             tables: Vec::new(),
-            fineness: Fineness::Full,
+            detail: Detail::Full,
         }
     }
 
     /// Its bytes with the site's signature over them.
     pub fn sign(&self, key: &SigningKey) -> Vec<u8> {
-        signed(self.encoded(FORMAT, WITH_MORE), key)
+        signed(self.encoded(FORMAT, EXTENDED), key)
     }
 
     pub(crate) fn size(&self) -> usize {
-        self.encoded(FORMAT, WITH_MORE).len()
+        self.encoded(FORMAT, EXTENDED).len()
     }
 
-    /// Its bytes: of the one format as they always were, of the other with what tells more. One that says
+    /// Its bytes: of the one format as they always were, of the other with what tells extension. One that says
     /// that it is of another is left so.
-    pub(crate) fn encoded(&self, plain: u16, with_more: u16) -> Vec<u8> {
+    pub(crate) fn encoded(&self, plain: u16, extended: u16) -> Vec<u8> {
         if self.format != FORMAT {
             return postcard::to_stdvec(self).unwrap_or_default();
         }
-        let mut more = More::default();
+        let mut extension = Extension::default();
         for (at, table) in self.tables.iter().enumerate() {
             for (place, column) in table.columns.iter().enumerate() {
                 let name = (at as u16, place as u16);
-                more.runs.extend(Told::of(&column.runs).map(|told| (name.0, name.1, told)));
-                more.sketches.extend(column.sketch.clone().map(|sketch| (name.0, name.1, sketch)));
+                extension.runs.extend(EncodedRuns::of(&column.runs).map(|told| (name.0, name.1, told)));
+                extension.sketches.extend(column.sketch.clone().map(|sketch| (name.0, name.1, sketch)));
             }
         }
-        let none = more == More::default();
-        let format = if none { plain } else { with_more };
+        let none = extension == Extension::default();
+        let format = if none { plain } else { extended };
         let mut bytes = postcard::to_stdvec(&Summary { format, ..self.clone() }).unwrap_or_default();
         if !none {
-            bytes.extend(postcard::to_stdvec(&more).unwrap_or_default());
+            bytes.extend(postcard::to_stdvec(&extension).unwrap_or_default());
         }
         bytes
     }
 
     /// Lets go of what tells more, of the columns where it is longest first, until it is not longer than
     /// that.
-    pub(crate) fn cut(&mut self, most: usize, plain: u16, with_more: u16) {
-        while self.encoded(plain, with_more).len() > most {
+    pub(crate) fn cut(&mut self, most: usize, plain: u16, extended: u16) {
+        while self.encoded(plain, extended).len() > most {
             let columns = self.tables.iter_mut().flat_map(|t| &mut t.columns);
-            let more = |c: &Column| c.runs.len() * RUN_BYTES + c.sketch.as_ref().map_or(0, Vec::len);
-            let Some(largest) = columns.max_by_key(|c| more(c)).filter(|c| more(c) > 0) else { return };
+            let length = |c: &Column| c.runs.len() * RUN_BYTES + c.sketch.as_ref().map_or(0, Vec::len);
+            let Some(largest) = columns.max_by_key(|c| length(c)).filter(|c| length(c) > 0) else { return };
             (largest.runs, largest.sketch) = (Runs::new(), None);
         }
     }
 
     /// Takes what stands behind it and tells more; what is left behind that. None: it is none.
-    fn take_more<'a>(&mut self, behind: &'a [u8]) -> Option<&'a [u8]> {
-        let (more, rest) = postcard::take_from_bytes::<More>(behind).ok()?;
-        for (table, column, told) in more.runs {
+    fn take_extension<'a>(&mut self, behind: &'a [u8]) -> Option<&'a [u8]> {
+        let (extension, rest) = postcard::take_from_bytes::<Extension>(behind).ok()?;
+        for (table, column, told) in extension.runs {
             let table = self.tables.get_mut(usize::from(table))?;
             table.columns.get_mut(usize::from(column))?.runs = told.runs()?;
         }
-        for (table, column, sketch) in more.sketches {
+        for (table, column, sketch) in extension.sketches {
             let table = self.tables.get_mut(usize::from(table))?;
             table.columns.get_mut(usize::from(column))?.sketch = Some(sketch);
         }
@@ -257,25 +257,25 @@
         let signature = Signature::from_slice(&signed.signature).map_err(|_| Refused::Form)?;
         // The format comes first in every format there will be.
         let (format, _) = postcard::take_from_bytes::<u16>(&signed.summary).map_err(|_| Refused::Form)?;
-        if !matches!(format, FORMAT | IN_SHEETS | WITH_MORE | IN_SHEETS_WITH_MORE) {
+        if !matches!(format, FORMAT | LAYERED | EXTENDED | LAYERED_EXTENDED) {
             return Err(Refused::Format(format));
         }
         let (mut summary, mut behind) =
             postcard::take_from_bytes::<Summary>(&signed.summary).map_err(|_| Refused::Form)?;
-        if matches!(format, WITH_MORE | IN_SHEETS_WITH_MORE) {
-            behind = summary.take_more(behind).ok_or(Refused::Form)?;
+        if matches!(format, EXTENDED | LAYERED_EXTENDED) {
+            behind = summary.take_extension(behind).ok_or(Refused::Form)?;
         }
         // What it is made of says the rest.
         summary.format = FORMAT;
-        if matches!(format, IN_SHEETS | IN_SHEETS_WITH_MORE) {
-            summary.fineness = sheets::lay(&mut summary.tables, behind, rest).ok_or(Refused::Form)?;
+        if matches!(format, LAYERED | LAYERED_EXTENDED) {
+            summary.detail = layers::apply(&mut summary.tables, behind, rest).ok_or(Refused::Form)?;
         } else if !rest.is_empty() || !behind.is_empty() {
             return Err(Refused::Form);
         }
         let key = key(&summary.site).ok_or_else(|| Refused::Unknown(summary.site.clone()))?;
-        key.verify_strict(&marked(&signed.summary), &signature)
+        key.verify_strict(&signed_bytes(&signed.summary), &signature)
             .map_err(|_| Refused::Forged(summary.site.clone()))?;
-        match summary.fault() {
+        match summary.inconsistency() {
             Some(what) => Err(Refused::Content { site: summary.site, group: summary.group, what }),
             None => Ok(summary),
         }
@@ -286,7 +286,7 @@
     }
 
     /// What in it can't be so.
-    fn fault(&self) -> Option<&'static str> {
+    fn inconsistency(&self) -> Option<&'static str> {
         let runs = &self.loads.0;
         let ordered = runs.windows(2).all(|w| w[0].1 < w[1].0) && runs.iter().all(|run| run.0 <= run.1);
         if runs.len() > MOST_RUNS || !ordered {
@@ -306,7 +306,7 @@
             if !names(&mut table.columns.iter().map(|c| &c.name), MOST_COLUMNS) {
                 return Some("its columns' names");
             }
-            if let Some(what) = table.columns.iter().find_map(|c| c.fault(table.rows)) {
+            if let Some(what) = table.columns.iter().find_map(|c| c.inconsistency(table.rows)) {
                 return Some(what);
             }
         }
@@ -333,7 +333,7 @@
 }
 
 impl Column {
-    fn fault(&self, rows: u64) -> Option<&'static str> {
+    fn inconsistency(&self, rows: u64) -> Option<&'static str> {
         if matches!(self.kind, Kind::Number { scale } if scale > MOST_SCALE) {
             return Some("the digits of a number");
         }
--- a/crates/scatter/src/value_tests.rs
+++ b/crates/scatter/src/value_tests.rs
@@ -15,7 +15,7 @@
 fn hashes_are_the_same_in_every_build() {
     assert_eq!(Value::Text("abc".into()).hash(), 0xe71f_a219_0541_574b);
     assert_eq!(Value::Number(7).hash(), 0x9b25_de61_27c0_1ba2);
-    assert_eq!(crate::book::name("ash", 17), 0xf563_fdf5_1c9a_ffbc);
+    assert_eq!(crate::store::summary_id("ash", 17), 0xf563_fdf5_1c9a_ffbc);
 }
 
 #[test]
--- a/crates/scatter/tests/audit.rs
+++ b/crates/scatter/tests/audit.rs
@@ -1,6 +1,6 @@
 //! How long a site's false word lasts, in simulated time, by the share of scatters and the budget of the fleet.
 
-use hallmux_scatter::audit::{Audits, Terms, Verdict};
+use hallmux_scatter::audit::{AuditSettings, Audits, Verdict};
 use hallmux_scatter::Micros;
 
 const FRONTS: usize = 10;
@@ -17,13 +17,13 @@
 }
 
 /// Seconds until each front has found it, in the mean; audits of the fleet a second; rows missed.
-fn plays(one_in: u64, a_second: f64, seed: u64) -> (f64, f64, u64) {
+fn plays(one_in: u64, per_second: f64, seed: u64) -> (f64, f64, u64) {
     let sites: Vec<String> = (0..SITES).map(|n| format!("s{n:02}")).collect();
     let (mut seed, mut sum, mut last, mut missed, mut audits) = (seed, 0.0, 0, 0, 0);
     for _ in 0..FRONTS {
-        let mut front = Audits::new(Terms { one_in, a_second });
+        let mut front = Audits::new(AuditSettings { one_in, per_second });
         let (mut now, mut steps) = (0, 0);
-        while !front.doubts(FALSE) {
+        while !front.is_suspected(FALSE) {
             now += APART;
             steps += 1;
             assert!(steps < 2_000_000, "never found");
@@ -40,7 +40,7 @@
         }
         (sum, last) = (sum + now as f64 / 1e6, last.max(now));
         audits += front.counts.audits;
-        assert!(front.counts.audits as f64 <= now as f64 / 1e6 * a_second / FRONTS as f64 + 1.0);
+        assert!(front.counts.audits as f64 <= now as f64 / 1e6 * per_second / FRONTS as f64 + 1.0);
     }
     (sum / FRONTS as f64, audits as f64 / (last as f64 / 1e6), missed)
 }
@@ -48,10 +48,10 @@
 #[test]
 fn a_false_word_is_found_the_sooner_the_more_is_spent_and_never_over_the_budget() {
     let mut before = f64::MAX;
-    for (one_in, a_second) in [(300, 1.0), (100, 1.0), (10, 1.0), (10, 10.0)] {
-        let (found, spent, missed) = plays(one_in, a_second, 5);
+    for (one_in, per_second) in [(300, 1.0), (100, 1.0), (10, 1.0), (10, 10.0)] {
+        let (found, spent, missed) = plays(one_in, per_second, 5);
         println!(
-            "one scatter in {one_in}, {a_second} audits a second: found after {found:.0} s in the mean, {spent:.2} audits a \
+            "one scatter in {one_in}, {per_second} audits a second: found after {found:.0} s in the mean, {spent:.2} audits a \
              second spent, {missed} rows missed by the site's own word"
         );
         assert!(found < before * 1.1, "{found} after {before}");
@@ -61,32 +61,32 @@
 
 #[test]
 fn credit_is_earned_back_by_answers_in_a_row_and_costs_more_each_time() {
-    let mut audits = Audits::new(Terms { one_in: 1, a_second: 1.0 });
+    let mut audits = Audits::new(AuditSettings { one_in: 1, per_second: 1.0 });
     // Rows that a load may have brought prove nothing.
     assert_eq!(audits.answered(FALSE, 1, false), Verdict::Unsure);
-    assert!(!audits.doubts(FALSE));
-    for costs in [20, 40, 80] {
+    assert!(!audits.is_suspected(FALSE));
+    for penalty in [20, 40, 80] {
         assert_eq!(audits.answered(FALSE, 3, true), Verdict::False);
-        for _ in 1..costs {
+        for _ in 1..penalty {
             assert_eq!(audits.answered(FALSE, 0, true), Verdict::Holds);
-            assert!(audits.doubts(FALSE));
+            assert!(audits.is_suspected(FALSE));
         }
         assert_eq!(audits.answered(FALSE, 0, true), Verdict::Earned);
-        assert!(!audits.doubts(FALSE));
+        assert!(!audits.is_suspected(FALSE));
     }
     assert_eq!((audits.counts.found, audits.counts.rows), (3, 9));
 }
 
 #[test]
 fn a_word_that_another_front_found_false_counts_for_nothing_until_it_is_earned_back() {
-    let mut audits = Audits::new(Terms { one_in: 1, a_second: 1.0 });
-    audits.told(FALSE);
+    let mut audits = Audits::new(AuditSettings { one_in: 1, per_second: 1.0 });
+    audits.reported_by_peer(FALSE);
     for _ in 1..20 {
         assert_eq!(audits.answered(FALSE, 0, true), Verdict::Holds);
-        assert!(audits.doubts(FALSE));
+        assert!(audits.is_suspected(FALSE));
     }
     assert_eq!(audits.answered(FALSE, 0, true), Verdict::Earned);
-    assert!(!audits.doubts(FALSE) && audits.counts.found == 0);
+    assert!(!audits.is_suspected(FALSE) && audits.counts.found == 0);
     // Found false here after that it costs twice as much.
     assert_eq!(audits.answered(FALSE, 1, true), Verdict::False);
     let earned = (0..100).position(|_| audits.answered(FALSE, 0, true) == Verdict::Earned);
--- a/crates/scatter/tests/distinct.rs
+++ b/crates/scatter/tests/distinct.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeMap;
 
 use ed25519_dalek::SigningKey;
-use hallmux_scatter::book::{Book, Terms};
-use hallmux_scatter::build::{in_sheets, summary, About, TableBuilder};
-use hallmux_scatter::marks::{Marks, Touched};
-use hallmux_scatter::plan::{Basis, Word};
+use hallmux_scatter::build::{layered, summary, SummaryHeader, TableBuilder};
+use hallmux_scatter::marks::{Affected, Marks};
+use hallmux_scatter::plan::{Basis, LoadInfo};
 use hallmux_scatter::sketch::{distinct, Estimate};
 use hallmux_scatter::sql;
+use hallmux_scatter::store::{StoreSettings, SummaryStore};
 use hallmux_scatter::summary::{Loads, MOST_BYTES};
 use hallmux_scatter::value::{Kind, Value};
 
@@ -19,33 +19,39 @@
     SigningKey::from_bytes(&[site.as_bytes()[0]; 32])
 }
 
-fn book() -> Book {
+fn book() -> SummaryStore {
     let sites = SITES.iter().map(|s| (s.to_string(), key(s).verifying_key())).collect();
-    Book::new(Terms { sites, schemas: BTreeMap::new(), oldest_ms: u64::MAX, ahead_ms: u64::MAX, most: 10 })
+    SummaryStore::new(StoreSettings {
+        sites,
+        schemas: BTreeMap::new(),
+        oldest_ms: u64::MAX,
+        ahead_ms: u64::MAX,
+        most: 10,
+    })
 }
 
-fn told(site: &str, values: std::ops::Range<i128>, kind: Kind, sketched: bool, sheets: bool) -> Vec<u8> {
+fn told(site: &str, values: std::ops::Range<i128>, kind: Kind, with_sketches: bool, sheets: bool) -> Vec<u8> {
     let columns = [("id", kind)];
     let mut table = TableBuilder::new("orders", &columns);
-    if sketched {
-        table = table.sketched(&["id"]);
+    if with_sketches {
+        table = table.with_sketches(&["id"]);
     }
-    values.for_each(|value| table.row(&[Some(Value::Number(value))]));
+    values.for_each(|value| table.add_row(&[Some(Value::Number(value))]));
     let loads = Loads::default();
-    let about = About { site: site.into(), group: 17, schema: 1, version: 1, made_ms: 0, loads };
+    let about = SummaryHeader { site: site.into(), group: 17, schema: 1, version: 1, made_ms: 0, loads };
     match sheets {
-        true => in_sheets(about, vec![table], MOST_BYTES, &key(site)),
+        true => layered(about, vec![table], MOST_BYTES, &key(site)),
         false => summary(about, vec![table], MOST_BYTES).sign(&key(site)),
     }
 }
 
 const WHOLE: Kind = Kind::Number { scale: 0 };
 
-fn basis<'a>(sites: &'a [String], book: &'a Book, word: &'a Word<'a>) -> Basis<'a> {
+fn basis<'a>(sites: &'a [String], book: &'a SummaryStore, word: &'a LoadInfo<'a>) -> Basis<'a> {
     Basis { sites, allowed: None, summaries: book, wall_ms: 0, loads: word, suspected: &|_| false }
 }
 
-fn asked(book: &Book, word: &Word) -> Option<Estimate> {
+fn asked(book: &SummaryStore, word: &LoadInfo) -> Option<Estimate> {
     let query = sql::read_distinct(b"select count(distinct id) as n from sales_17.orders").unwrap();
     let sites = SITES.map(str::to_string);
     distinct(&query, &basis(&sites, book, word))
@@ -57,10 +63,10 @@
         let mut book = book();
         for (n, site) in (0..).zip(SITES) {
             let bytes = told(site, n * apart..n * apart + each, WHOLE, true, n == 1);
-            assert_eq!(book.take(0, &bytes), Ok(true));
+            assert_eq!(book.accept(0, &bytes), Ok(true));
         }
         let truth = (2 * apart + each) as f64;
-        let found = asked(&book, &Word::NoLoads).unwrap();
+        let found = asked(&book, &LoadInfo::NoLoads).unwrap();
         println!("{truth} distinct: {} told, within {:.2} %", found.distinct, found.error * 100.0);
         assert!((found.distinct as f64 - truth).abs() <= truth * found.error + 0.5, "{truth}: {found:?}");
         assert!(found.error < 0.04);
@@ -70,12 +76,12 @@
 #[test]
 fn loads_that_no_summary_speaks_of_count_by_their_rows_and_what_is_not_known_tells_nothing() {
     let mut all = book();
-    SITES.iter().for_each(|site| _ = all.take(0, &told(site, 0..10, WHOLE, true, false)));
+    SITES.iter().for_each(|site| _ = all.accept(0, &told(site, 0..10, WHOLE, true, false)));
     let mut marks = Marks::default();
-    let rows = |text: &str| Touched::by(text.as_bytes(), 17);
+    let rows = |text: &str| Affected::of_statement(text.as_bytes(), 17);
     marks.add("elm", 9, rows("insert into sales_17.orders (id) values (3), (50), (51), (null)"));
     marks.add("elm", 9, rows("insert into sales_17.others (id) values (70)"));
-    assert_eq!(asked(&all, &Word::Marks(&marks)).map(|e| e.distinct), Some(12));
+    assert_eq!(asked(&all, &LoadInfo::Marks(&marks)).map(|e| e.distinct), Some(12));
     for unknown in [
         "insert into sales_17.orders (id) select 1 from sales_17.others",
         "insert into sales_17.orders (name) values ('x')",
@@ -83,21 +89,21 @@
     ] {
         let mut marks = marks.clone();
         marks.add("oak", 9, rows(unknown));
-        assert_eq!(asked(&all, &Word::Marks(&marks)), None, "{unknown}");
+        assert_eq!(asked(&all, &LoadInfo::Marks(&marks)), None, "{unknown}");
     }
-    assert_eq!(asked(&all, &Word::Nothing), None);
+    assert_eq!(asked(&all, &LoadInfo::Unknown), None);
     // A site without a sketch, of another kind, or barred.
     for other in
         [told("oak", 0..10, WHOLE, false, false), told("oak", 0..10, Kind::Number { scale: 2 }, true, false)]
     {
         let mut two = book();
-        SITES[..2].iter().for_each(|site| _ = two.take(0, &told(site, 0..10, WHOLE, true, false)));
-        two.take(0, &other).unwrap();
-        assert_eq!(asked(&two, &Word::NoLoads), None);
+        SITES[..2].iter().for_each(|site| _ = two.accept(0, &told(site, 0..10, WHOLE, true, false)));
+        two.accept(0, &other).unwrap();
+        assert_eq!(asked(&two, &LoadInfo::NoLoads), None);
     }
     let query = sql::read_distinct(b"select count(distinct id) from sales_17.orders").unwrap();
     let sites = SITES.map(str::to_string);
-    let basis = basis(&sites, &all, &Word::NoLoads);
+    let basis = basis(&sites, &all, &LoadInfo::NoLoads);
     assert_eq!(distinct(&query, &Basis { allowed: Some(&["ash", "elm"]), ..basis }), None);
     assert_eq!(distinct(&query, &Basis { suspected: &|site| site == "ash", ..basis }), None);
 }
@@ -123,10 +129,16 @@
 
 #[test]
 fn a_damaged_sketch_is_refused() {
-    let about =
-        About { site: "ash".into(), group: 17, schema: 1, version: 1, made_ms: 0, loads: Loads::default() };
-    let mut table = TableBuilder::new("orders", &[("id", WHOLE)]).sketched(&["id"]);
-    (0..9_000).for_each(|n| table.row(&[Some(Value::Number(n))]));
+    let about = SummaryHeader {
+        site: "ash".into(),
+        group: 17,
+        schema: 1,
+        version: 1,
+        made_ms: 0,
+        loads: Loads::default(),
+    };
+    let mut table = TableBuilder::new("orders", &[("id", WHOLE)]).with_sketches(&["id"]);
+    (0..9_000).for_each(|n| table.add_row(&[Some(Value::Number(n))]));
     let good = summary(about, vec![table], MOST_BYTES);
     let mut read = 0;
     for at in 0..400 {
@@ -137,8 +149,8 @@
         sketch[place] ^= flip;
         let mut all = book();
         // Taken or refused; never a panic, here or when it is asked.
-        read += usize::from(all.take(0, &whole.sign(&key("ash"))).is_ok());
-        let _ = asked(&all, &Word::NoLoads);
+        read += usize::from(all.accept(0, &whole.sign(&key("ash"))).is_ok());
+        let _ = asked(&all, &LoadInfo::NoLoads);
     }
     println!("{read} of 400 altered sketches can be read");
 }
--- a/crates/scatter/tests/join.rs
+++ b/crates/scatter/tests/join.rs
@@ -5,11 +5,11 @@
 use std::collections::BTreeMap;
 
 use ed25519_dalek::SigningKey;
-use hallmux_scatter::book::{Book, Terms};
-use hallmux_scatter::build::{summary, About, TableBuilder};
-use hallmux_scatter::marks::{Marks, Touched};
-use hallmux_scatter::plan::{plan, Basis, Why, Word};
+use hallmux_scatter::build::{summary, SummaryHeader, TableBuilder};
+use hallmux_scatter::marks::{Affected, Marks};
+use hallmux_scatter::plan::{plan, Basis, LoadInfo, Reason};
 use hallmux_scatter::sql::{self, Query};
+use hallmux_scatter::store::{StoreSettings, SummaryStore};
 use hallmux_scatter::summary::{Loads, MOST_BYTES};
 use hallmux_scatter::value::{Kind, Value};
 use proptest::prelude::*;
@@ -28,15 +28,15 @@
 
 fn told(site: &str, group: u32, table: &str, rows: &Rows) -> Vec<u8> {
     let mut builder = TableBuilder::new(table, &[("k", WHOLE), ("v", WHOLE)]);
-    rows.iter().for_each(|(k, v)| builder.row(&[k.map(Value::Number), Some(Value::Number(*v))]));
+    rows.iter().for_each(|(k, v)| builder.add_row(&[k.map(Value::Number), Some(Value::Number(*v))]));
     let loads = Loads::default();
-    let about = About { site: site.into(), group, schema: 1, version: 1, made_ms: 0, loads };
+    let about = SummaryHeader { site: site.into(), group, schema: 1, version: 1, made_ms: 0, loads };
     summary(about, vec![builder], MOST_BYTES).sign(&key(site))
 }
 
-fn book(sites: &[(Rows, Rows)]) -> Book {
+fn book(sites: &[(Rows, Rows)]) -> SummaryStore {
     let keys = SITES.iter().map(|s| (s.to_string(), key(s).verifying_key())).collect();
-    let mut book = Book::new(Terms {
+    let mut book = SummaryStore::new(StoreSettings {
         sites: keys,
         schemas: BTreeMap::new(),
         oldest_ms: u64::MAX,
@@ -44,13 +44,13 @@
         most: 100,
     });
     for (site, (first, second)) in SITES.iter().zip(sites) {
-        assert_eq!(book.take(0, &told(site, 17, "a", first)), Ok(true));
-        assert_eq!(book.take(0, &told(site, 18, "b", second)), Ok(true));
+        assert_eq!(book.accept(0, &told(site, 17, "a", first)), Ok(true));
+        assert_eq!(book.accept(0, &told(site, 18, "b", second)), Ok(true));
     }
     book
 }
 
-fn asked(query: &Query, book: &Book, word: &Word) -> Vec<(String, Why)> {
+fn asked(query: &Query, book: &SummaryStore, word: &LoadInfo) -> Vec<(String, Reason)> {
     let sites = SITES.map(str::to_string);
     let basis = Basis {
         sites: &sites,
@@ -61,7 +61,7 @@
         suspected: &|_| false,
     };
     let plan = plan(query, &basis);
-    plan.parts.into_iter().map(|part| (part.site, part.why)).collect()
+    plan.parts.into_iter().map(|part| (part.site, part.reason)).collect()
 }
 
 fn joined(rest: &str) -> Query {
@@ -97,11 +97,11 @@
             let (group, table) = if is_first { (17, "a") } else { (18, "b") };
             let text = format!("insert into s_{group}.{table} (k, v) values ({k}, {v})");
             let marks = if is_first { &mut first } else { &mut second };
-            marks.add(SITES[at], 9, Touched::by(text.as_bytes(), group));
+            marks.add(SITES[at], 9, Affected::of_statement(text.as_bytes(), group));
             if is_first { &mut sites[at].0 } else { &mut sites[at].1 }.push((Some(k), v));
         }
         let query = joined(&format!("where x.v < {low} and (y.v >= {high} or x.v = 3)"));
-        let parts = asked(&query, &book, &Word::Both(&first, &second));
+        let parts = asked(&query, &book, &LoadInfo::MarksOfJoin(&first, &second));
         for (site, (a, b)) in SITES.iter().zip(&sites) {
             let fits = |x: i128, y: i128| x < low && (y >= high || x == 3);
             let pairs = |(k, x): &(Option<i128>, i128)| {
@@ -131,25 +131,25 @@
         .map(|(at, few)| (large(at as i128), few.into_iter().map(|k| (Some(k), 1)).collect()))
         .collect();
     let book = book(&sites);
-    let names = |query: &Query, word: &Word| -> Vec<String> {
+    let names = |query: &Query, word: &LoadInfo| -> Vec<String> {
         asked(query, &book, word).into_iter().map(|(site, _)| site).collect()
     };
     let (none, query) = (Marks::default(), joined(""));
-    assert_eq!(names(&query, &Word::Both(&none, &none)), ["ash", "elm"]);
-    assert_eq!(names(&query, &Word::NoLoads), ["ash", "elm"]);
+    assert_eq!(names(&query, &LoadInfo::MarksOfJoin(&none, &none)), ["ash", "elm"]);
+    assert_eq!(names(&query, &LoadInfo::NoLoads), ["ash", "elm"]);
     // One side's own condition, aggregates, keys the other way round.
-    assert_eq!(names(&joined("where y.v > 1"), &Word::NoLoads), Vec::<String>::new());
+    assert_eq!(names(&joined("where y.v > 1"), &LoadInfo::NoLoads), Vec::<String>::new());
     let text = "select count(*), max(x.v) from s_17.a x inner join s_18.b y on (y.k = x.k and y.v = 1)";
     let other = sql::read(text.as_bytes()).unwrap();
     assert!(other.combine.is_some());
-    assert_eq!(names(&other, &Word::NoLoads), ["ash", "elm"]);
+    assert_eq!(names(&other, &LoadInfo::NoLoads), ["ash", "elm"]);
     // A load that the summaries do not speak of, of either side; of one group alone nothing is known of the
     // other.
     let mut touched = Marks::default();
-    touched.add("yew", 9, Touched::by(b"insert into s_18.b (k, v) values (3, 1)", 18));
-    assert_eq!(names(&query, &Word::Both(&none, &touched)), ["ash", "elm", "yew"]);
-    assert_eq!(names(&query, &Word::Marks(&none)).len(), 4);
-    assert_eq!(names(&query, &Word::Nothing).len(), 4);
+    touched.add("yew", 9, Affected::of_statement(b"insert into s_18.b (k, v) values (3, 1)", 18));
+    assert_eq!(names(&query, &LoadInfo::MarksOfJoin(&none, &touched)), ["ash", "elm", "yew"]);
+    assert_eq!(names(&query, &LoadInfo::Marks(&none)).len(), 4);
+    assert_eq!(names(&query, &LoadInfo::Unknown).len(), 4);
 }
 
 #[test]
@@ -173,5 +173,5 @@
     let query = joined("where v = 5 and k = 9");
     assert!(query.join.is_some());
     let sites: Vec<(Rows, Rows)> = SITES.iter().map(|_| (vec![(Some(1), 1)], vec![(Some(1), 1)])).collect();
-    assert_eq!(asked(&query, &book(&sites), &Word::NoLoads).len(), 4);
+    assert_eq!(asked(&query, &book(&sites), &LoadInfo::NoLoads).len(), 4);
 }
--- a/crates/scatter/tests/loads.rs
+++ b/crates/scatter/tests/loads.rs
@@ -5,11 +5,11 @@
 use std::collections::BTreeMap;
 
 use ed25519_dalek::SigningKey;
-use hallmux_scatter::book::{Book, Terms};
-use hallmux_scatter::build::{summary, About, TableBuilder};
-use hallmux_scatter::marks::{numbered, numbers, Marks, Spoken, Touched};
-use hallmux_scatter::plan::{plan, Basis, Word};
+use hallmux_scatter::build::{summary, SummaryHeader, TableBuilder};
+use hallmux_scatter::marks::{numbered, numbers, Affected, Marks, ReportedLoads};
+use hallmux_scatter::plan::{plan, Basis, LoadInfo};
 use hallmux_scatter::sql;
+use hallmux_scatter::store::{StoreSettings, SummaryStore};
 use hallmux_scatter::summary::{Loads, MOST_BYTES};
 use hallmux_scatter::value::{Kind, Value};
 use proptest::prelude::*;
@@ -52,7 +52,7 @@
     },
 }
 
-fn basis<'a>(sites: &'a [String], book: &'a Book, wall_ms: u64, word: &'a Word<'a>) -> Basis<'a> {
+fn basis<'a>(sites: &'a [String], book: &'a SummaryStore, wall_ms: u64, word: &'a LoadInfo<'a>) -> Basis<'a> {
     Basis { sites, allowed: None, summaries: book, wall_ms, loads: word, suspected: &|_| false }
 }
 
@@ -76,9 +76,15 @@
     version: u64,
 }
 
-fn book() -> Book {
+fn book() -> SummaryStore {
     let sites = SITES.iter().map(|s| (s.to_string(), key(s).verifying_key())).collect();
-    Book::new(Terms { sites, schemas: BTreeMap::new(), oldest_ms: u64::MAX, ahead_ms: u64::MAX, most: 10 })
+    SummaryStore::new(StoreSettings {
+        sites,
+        schemas: BTreeMap::new(),
+        oldest_ms: u64::MAX,
+        ahead_ms: u64::MAX,
+        most: 10,
+    })
 }
 
 fn key(site: &str) -> SigningKey {
@@ -87,7 +93,7 @@
 
 /// The rows that a scatter missed, and the sites asked, of all, in a schedule.
 fn play(steps: &[Step], with_marks: bool) -> (u32, u32, u32) {
-    let mut books: Vec<Book> = (0..FRONTS).map(|_| book()).collect();
+    let mut books: Vec<SummaryStore> = (0..FRONTS).map(|_| book()).collect();
     let mut sites: Vec<Site> = SITES.iter().map(|_| Site::default()).collect();
     // The ledger: one entry, changed as a whole.
     let mut entry = Marks::default().bytes().unwrap();
@@ -102,11 +108,11 @@
                     false => format!("insert into sales_17.orders (id) select {value} from sales_17.new"),
                 };
                 // By what others hold, as fronts do it, or at once.
-                marks.tidy(now, |name| match value % 2 {
-                    0 => books[front].spoken(now, name, 17),
-                    _ => Spoken::at_once(books[front].look(now, name, 17)),
+                marks.clean_up(now, |name| match value % 2 {
+                    0 => books[front].reported_loads(now, name, 17),
+                    _ => ReportedLoads::at_once(books[front].current(now, name, 17)),
                 });
-                let n = marks.add(SITES[site], now + LIFE_MS, Touched::by(text.as_bytes(), 17));
+                let n = marks.add(SITES[site], now + LIFE_MS, Affected::of_statement(text.as_bytes(), 17));
                 entry = marks.bytes().unwrap();
                 under_way.push((now + LIFE_MS, site, value, numbered(&[(17, n)], text.as_bytes())));
             }
@@ -121,27 +127,27 @@
                 let s = &mut sites[site];
                 s.version += 1;
                 let mut table = TableBuilder::new("orders", &[("id", Kind::Number { scale: 0 })]);
-                s.rows.iter().for_each(|v| table.row(&[Some(Value::Number(*v))]));
+                s.rows.iter().for_each(|v| table.add_row(&[Some(Value::Number(*v))]));
                 let (name, version, loads) = (SITES[site].to_string(), s.version, s.loads.clone());
-                let about = About { site: name, group: 17, schema: 1, version, made_ms: now, loads };
+                let about = SummaryHeader { site: name, group: 17, schema: 1, version, made_ms: now, loads };
                 written.push(summary(about, vec![table], MOST_BYTES).sign(&key(SITES[site])));
             }
             Step::Reach { which, front } if !written.is_empty() => {
-                let _ = books[front].take(now, &written[which % written.len()]);
+                let _ = books[front].accept(now, &written[which % written.len()]);
             }
             Step::Pass { ms } => now += ms,
             Step::Ask { front, from, to } => {
                 let text = format!("select * from sales_17.orders where id between {from} and {to}");
                 let query = sql::read(text.as_bytes()).unwrap();
                 let marks = Marks::read(&entry).unwrap();
-                let word = if with_marks { Word::Marks(&marks) } else { Word::NoLoads };
+                let word = if with_marks { LoadInfo::Marks(&marks) } else { LoadInfo::NoLoads };
                 let names = SITES.map(str::to_string);
                 let plan = plan(&query, &basis(&names, &books[front], now, &word));
                 all += 3;
                 asked += plan.parts.len() as u32;
                 for (site, name) in sites.iter().zip(SITES) {
                     let has = site.rows.iter().any(|v| (from..=to).contains(v));
-                    missing += u32::from(has && plan.left_out.iter().any(|s| s == name));
+                    missing += u32::from(has && plan.pruned.iter().any(|s| s == name));
                 }
             }
             _ => {}
@@ -170,45 +176,45 @@
 #[test]
 fn a_load_that_is_lost_keeps_its_site_asked_until_a_later_one_is_spoken_of() {
     let query = sql::read(b"select * from sales_17.orders where id = 5").unwrap();
-    let proved = |marks: &Marks, book: &Book| {
-        plan(&query, &basis(&["ash".to_string()], book, 0, &Word::Marks(marks))).parts.is_empty()
+    let proved = |marks: &Marks, book: &SummaryStore| {
+        plan(&query, &basis(&["ash".to_string()], book, 0, &LoadInfo::Marks(marks))).parts.is_empty()
     };
-    let spoken = |version, numbers: &[u64]| {
+    let reported_loads = |version, numbers: &[u64]| {
         let mut loads = Loads::default();
         numbers.iter().for_each(|n| loads.insert(*n));
-        let about = About { site: "ash".into(), group: 17, schema: 1, version, made_ms: 0, loads };
+        let about = SummaryHeader { site: "ash".into(), group: 17, schema: 1, version, made_ms: 0, loads };
         let table = TableBuilder::new("orders", &[("id", Kind::Number { scale: 0 })]);
         summary(about, vec![table], MOST_BYTES).sign(&key("ash"))
     };
     // A later load that was marked before the end of the lost one says nothing of it.
     let (mut marks, mut both) = (Marks::default(), book());
-    marks.add("ash", 50, Touched::Anything);
-    marks.add("ash", 50, Touched::Anything);
-    both.take(0, &spoken(1, &[2])).unwrap();
-    marks.tidy(100, |name| Spoken::at_once(both.look(0, name, 17)));
+    marks.add("ash", 50, Affected::Anything);
+    marks.add("ash", 50, Affected::Anything);
+    both.accept(0, &reported_loads(1, &[2])).unwrap();
+    marks.clean_up(100, |name| ReportedLoads::at_once(both.current(0, name, 17)));
     assert!(!proved(&marks, &both));
     let (mut marks, mut book) = (Marks::default(), book());
-    marks.add("ash", 50, Touched::Anything);
+    marks.add("ash", 50, Affected::Anything);
     for version in 1..4 {
-        book.take(0, &spoken(version, &[])).unwrap();
-        marks.tidy(100 * version, |name| Spoken::at_once(book.look(0, name, 17)));
+        book.accept(0, &reported_loads(version, &[])).unwrap();
+        marks.clean_up(100 * version, |name| ReportedLoads::at_once(book.current(0, name, 17)));
         assert!(!proved(&marks, &book));
     }
-    assert_eq!(marks.add("ash", 500, Touched::Anything), 2);
-    book.take(0, &spoken(4, &[2])).unwrap();
+    assert_eq!(marks.add("ash", 500, Affected::Anything), 2);
+    book.accept(0, &reported_loads(4, &[2])).unwrap();
     assert!(proved(&marks, &book));
     // Whoever tidies leaves behind what others need: an older summary proves nothing any more.
-    marks.tidy(600, |name| Spoken::at_once(book.look(0, name, 17)));
+    marks.clean_up(600, |name| ReportedLoads::at_once(book.current(0, name, 17)));
     assert!(marks.is_empty());
     let mut behind = self::book();
-    behind.take(0, &spoken(3, &[])).unwrap();
+    behind.accept(0, &reported_loads(3, &[])).unwrap();
     assert!(!proved(&marks, &behind));
 }
 
 /// A site's word that speaks of loads up to a number.
-fn spoken(site: &str, version: u64, to: u64) -> Vec<u8> {
+fn reported_loads(site: &str, version: u64, to: u64) -> Vec<u8> {
     let loads = Loads(if to > 0 { vec![(1, to)] } else { Vec::new() });
-    let about = About { site: site.into(), group: 17, schema: 1, version, made_ms: 0, loads };
+    let about = SummaryHeader { site: site.into(), group: 17, schema: 1, version, made_ms: 0, loads };
     let table = TableBuilder::new("orders", &[("id", Kind::Number { scale: 0 })]);
     summary(about, vec![table], MOST_BYTES).sign(&key(site))
 }
@@ -216,27 +222,27 @@
 #[test]
 fn a_front_whose_summary_is_a_little_behind_need_not_ask_for_what_another_has_lifted() {
     let query = sql::read(b"select * from sales_17.orders where id = 5").unwrap();
-    let left_out = |marks: &Marks, book: &Book, now| {
-        let word = Word::Marks(marks);
-        !plan(&query, &basis(&["ash".to_string()], book, now, &word)).left_out.is_empty()
+    let pruned = |marks: &Marks, book: &SummaryStore, now| {
+        let word = LoadInfo::Marks(marks);
+        !plan(&query, &basis(&["ash".to_string()], book, now, &word)).pruned.is_empty()
     };
     let (mut near, mut far, mut marks) = (book(), book(), Marks::default());
     for book in [&mut near, &mut far] {
-        book.take(0, &spoken("ash", 1, 0)).unwrap();
+        book.accept(0, &reported_loads("ash", 1, 0)).unwrap();
     }
-    marks.add("ash", 60_000, Touched::by(b"insert into sales_17.orders (id) values (7)", 17));
+    marks.add("ash", 60_000, Affected::of_statement(b"insert into sales_17.orders (id) values (7)", 17));
     // The new summary is at the front where the next load comes, and on its way to the other.
-    near.take(1_000, &spoken("ash", 2, 1)).unwrap();
-    marks.tidy(1_100, |name| near.spoken(1_100, name, 17));
-    assert!(left_out(&marks, &near, 1_100) && left_out(&marks, &far, 1_100));
+    near.accept(1_000, &reported_loads("ash", 2, 1)).unwrap();
+    marks.clean_up(1_100, |name| near.reported_loads(1_100, name, 17));
+    assert!(pruned(&marks, &near, 1_100) && pruned(&marks, &far, 1_100));
     // Once it has been there for a while the mark goes, and what is older proves nothing.
-    marks.tidy(6_100, |name| near.spoken(6_100, name, 17));
-    assert!(marks.is_empty() && left_out(&marks, &near, 6_100) && !left_out(&marks, &far, 6_100));
+    marks.clean_up(6_100, |name| near.reported_loads(6_100, name, 17));
+    assert!(marks.is_empty() && pruned(&marks, &near, 6_100) && !pruned(&marks, &far, 6_100));
     // Versions that come every second settle too, one after the other.
     for version in 3..60 {
-        near.take(version * 1_000, &spoken("ash", version, version)).unwrap();
+        near.accept(version * 1_000, &reported_loads("ash", version, version)).unwrap();
     }
-    let now = near.spoken(60_000, "ash", 17);
+    let now = near.reported_loads(60_000, "ash", 17);
     assert_eq!(now.newest.map(|(version, _)| version), Some(59));
     assert!(now.settled.is_some_and(|(version, _)| (53..=55).contains(&version)), "{now:?}");
 }
@@ -248,9 +254,9 @@
     for round in 0..20 {
         for site in &sites {
             let text = format!("insert into sales_17.orders (id) values ({round})");
-            marks.add(site, 60_000, Touched::by(text.as_bytes(), 17));
+            marks.add(site, 60_000, Affected::of_statement(text.as_bytes(), 17));
         }
-        marks.fit(|_| Spoken::default());
+        marks.shrink_to_fit(|_| ReportedLoads::default());
         assert!(marks.bytes().is_some(), "round {round}: {} marks", marks.len());
         all = marks.len();
     }
@@ -261,24 +267,29 @@
 fn a_load_of_many_rows_is_known_by_the_columns_with_few_values() {
     let rows: Vec<String> = (0..200).map(|n| format!("(20260401, {n}, 'x{n}')")).collect();
     let text = format!("insert into sales_17.orders (day, id, name) values {}", rows.join(", "));
-    let touched = Touched::by(text.as_bytes(), 17);
-    let Touched::Rows { columns, rows, .. } = &touched else { panic!("{touched:?}") };
+    let touched = Affected::of_statement(text.as_bytes(), 17);
+    let Affected::Rows { columns, rows, .. } = &touched else { panic!("{touched:?}") };
     assert_eq!((&columns[..], rows.len()), (&["day".to_string()][..], 1));
     let wide = format!("insert into sales_17.orders (id) values {}", ["(1)", "(2)"].repeat(400).join(", "));
-    assert!(matches!(Touched::by(wide.as_bytes(), 17), Touched::Rows { rows, .. } if rows.len() == 2));
+    assert!(
+        matches!(Affected::of_statement(wide.as_bytes(), 17), Affected::Rows { rows, .. } if rows.len() == 2)
+    );
     let all: Vec<String> = (0..400).map(|n| format!("({n})")).collect();
     let text = format!("insert into sales_17.orders (id) values {}", all.join(", "));
-    assert_eq!(Touched::by(text.as_bytes(), 17), Touched::Anything);
-    assert_eq!(Touched::by(b"insert into sales_17.orders (id) values (1, 2)", 17), Touched::Anything);
+    assert_eq!(Affected::of_statement(text.as_bytes(), 17), Affected::Anything);
+    assert_eq!(
+        Affected::of_statement(b"insert into sales_17.orders (id) values (1, 2)", 17),
+        Affected::Anything
+    );
 }
 
 #[test]
 fn a_load_that_writes_over_rows_is_known_by_what_it_sets_and_by_what_tells_them_apart() {
     let by = |rest: &str| {
         let text = format!("insert into sales_17.orders (id, day, price) values (1, 2, 3), (4, 2, 5) {rest}");
-        match Touched::by(text.as_bytes(), 17) {
-            Touched::Rows { columns, .. } => columns.join(" "),
-            Touched::Anything => "anything".to_string(),
+        match Affected::of_statement(text.as_bytes(), 17) {
+            Affected::Rows { columns, .. } => columns.join(" "),
+            Affected::Anything => "anything".to_string(),
         }
     };
     for (rest, known) in [
--- a/crates/scatter/tests/proof.rs
+++ b/crates/scatter/tests/proof.rs
@@ -4,7 +4,7 @@
 use std::cell::Cell;
 use std::cmp::Ordering;
 
-use hallmux_scatter::build::{summary, About, TableBuilder};
+use hallmux_scatter::build::{summary, SummaryHeader, TableBuilder};
 use hallmux_scatter::sql;
 use hallmux_scatter::summary::{Loads, Summary, MOST_BYTES};
 use hallmux_scatter::value::{Collation, Kind, Value};
@@ -212,9 +212,15 @@
 
 fn summed(rows: &[Row]) -> Summary {
     let mut table = TableBuilder::new("orders", &COLUMNS);
-    rows.iter().for_each(|row| table.row(row));
-    let about =
-        About { site: "s".into(), group: 17, schema: 1, version: 1, made_ms: 0, loads: Loads::default() };
+    rows.iter().for_each(|row| table.add_row(row));
+    let about = SummaryHeader {
+        site: "s".into(),
+        group: 17,
+        schema: 1,
+        version: 1,
+        made_ms: 0,
+        loads: Loads::default(),
+    };
     summary(about, vec![table], MOST_BYTES)
 }
 
@@ -252,9 +258,15 @@
     let key = SigningKey::from_bytes(&[7; 32]);
     let mut table = TableBuilder::new("orders", &[("id", Kind::Number { scale: 0 })]);
     let values = (0..400).map(|n| n * 3).chain([50_000, 90_000]);
-    values.for_each(|value| table.row(&[Some(Value::Number(value))]));
-    let about =
-        About { site: "s".into(), group: 17, schema: 1, version: 1, made_ms: 0, loads: Loads::default() };
+    values.for_each(|value| table.add_row(&[Some(Value::Number(value))]));
+    let about = SummaryHeader {
+        site: "s".into(),
+        group: 17,
+        schema: 1,
+        version: 1,
+        made_ms: 0,
+        loads: Loads::default(),
+    };
     let mut told = summary(about, vec![table], MOST_BYTES);
     let out = |told: &Summary, text: &str| {
         let read = Summary::read(&told.sign(&key), |_| Some(key.verifying_key())).unwrap();
--- a/crates/scatter/tests/keep.rs
+++ b/crates/scatter/tests/retention.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeMap;
 
 use ed25519_dalek::SigningKey;
-use hallmux_scatter::book::{name, Book, Terms};
-use hallmux_scatter::build::{in_sheets, About, TableBuilder};
-use hallmux_scatter::keep::{Budget, Keep};
-use hallmux_scatter::plan::{plan, Basis, Word};
-use hallmux_scatter::sheets::{ends, Fineness};
+use hallmux_scatter::build::{layered, SummaryHeader, TableBuilder};
+use hallmux_scatter::layers::{layer_ends, Detail};
+use hallmux_scatter::plan::{plan, Basis, LoadInfo};
+use hallmux_scatter::retention::{Budget, Retention};
 use hallmux_scatter::sql;
+use hallmux_scatter::store::{summary_id, StoreSettings, SummaryStore};
 use hallmux_scatter::summary::{Loads, MOST_BYTES};
 use hallmux_scatter::value::{Kind, Value};
 
@@ -76,21 +76,23 @@
         for at in 0..SITES {
             let ids = rows(&mut drawn, at, group);
             let mut table = TableBuilder::new("t", &[("id", Kind::Number { scale: 0 })]);
-            ids.iter().for_each(|id| table.row(&[Some(Value::Number(i128::from(*id)))]));
+            ids.iter().for_each(|id| table.add_row(&[Some(Value::Number(i128::from(*id)))]));
             let (name, loads) = (site(at), Loads::default());
-            let about = About { site: name, group: group as u32, schema: 1, version: 1, made_ms: 0, loads };
-            bytes.insert((group, at), in_sheets(about, vec![table], MOST_BYTES, &key(at)));
+            let about =
+                SummaryHeader { site: name, group: group as u32, schema: 1, version: 1, made_ms: 0, loads };
+            bytes.insert((group, at), layered(about, vec![table], MOST_BYTES, &key(at)));
             all.insert((group, at), ids);
         }
     }
     World { rows: all, bytes }
 }
 
-fn book(keep: Option<Keep>) -> Book {
+fn book(keep: Option<Retention>) -> SummaryStore {
     let sites = (0..SITES).map(|n| (site(n), key(n).verifying_key())).collect();
-    let terms = Terms { sites, schemas: BTreeMap::new(), oldest_ms: DAY_MS * 2, ahead_ms: 0, most: 10_000 };
-    let mut book = Book::new(terms);
-    book.keep = keep;
+    let terms =
+        StoreSettings { sites, schemas: BTreeMap::new(), oldest_ms: DAY_MS * 2, ahead_ms: 0, most: 10_000 };
+    let mut book = SummaryStore::new(terms);
+    book.retention = keep;
     book
 }
 
@@ -111,7 +113,7 @@
 
 /// Sites asked over the day, beside those that have rows.
 fn plays(way: Way, budget: Budget, world: &World, day: &[(u64, usize, u64, u64)]) -> (usize, usize) {
-    let mut book = book((way == Way::Earned).then(|| Keep::new(budget)));
+    let mut book = book((way == Way::Earned).then(|| Retention::new(budget)));
     let sites: Vec<String> = (0..SITES).map(site).collect();
     let (mut asked, mut due, mut chosen) = (0, 0, 0);
     // Of the plain ways: what is held now, and when each was used.
@@ -119,8 +121,8 @@
     let mut used: BTreeMap<(usize, usize), u64> = BTreeMap::new();
     if way == Way::Equal {
         for bytes in world.bytes.values() {
-            let end = ends(bytes).unwrap().into_iter().filter(|end| *end as f64 <= share).max();
-            end.into_iter().for_each(|end| _ = book.take(0, &bytes[..end]));
+            let end = layer_ends(bytes).unwrap().into_iter().filter(|end| *end as f64 <= share).max();
+            end.into_iter().for_each(|end| _ = book.accept(0, &bytes[..end]));
         }
     }
     for (n, (at_ms, group, id, to)) in day.iter().enumerate() {
@@ -128,13 +130,13 @@
             // Some ten seconds apart where there is load; what is wanted and lacks comes from other fronts.
             chosen = at_ms + 60_000;
             book.choose(*at_ms);
-            let held: BTreeMap<u64, Fineness> = book.versions().map(|(name, _, f)| (name, f)).collect();
+            let held: BTreeMap<u64, Detail> = book.versions().map(|(name, _, f)| (name, f)).collect();
             for ((group, at), bytes) in &world.bytes {
-                let of = name(&site(*at), *group as u32);
-                let wanted = book.wants(of);
+                let of = summary_id(&site(*at), *group as u32);
+                let wanted = book.wanted_detail(of);
                 if wanted > held.get(&of).copied() {
-                    let end = ends(bytes).unwrap()[wanted.unwrap() as usize];
-                    let _ = book.take(*at_ms, &bytes[..end]);
+                    let end = layer_ends(bytes).unwrap()[wanted.unwrap() as usize];
+                    let _ = book.accept(*at_ms, &bytes[..end]);
                 }
             }
             assert!(book.size() as f64 * 2.0 <= budget.memory * 1.05 || n == 0, "{} bytes", book.size());
@@ -148,28 +150,28 @@
                 allowed: None,
                 summaries: &book,
                 wall_ms: *at_ms,
-                loads: &Word::NoLoads,
+                loads: &LoadInfo::NoLoads,
                 suspected: &|_| false,
             },
         );
         let has = |at: usize| world.rows[&(*group, at)].iter().any(|row| (*id..=*to).contains(row));
         for (at, name) in sites.iter().enumerate() {
-            let out = plan.left_out.contains(name);
+            let out = plan.pruned.contains(name);
             assert!(!out || !has(at), "a row missing: {way:?}, group {group}, site {name}, {condition}");
             due += usize::from(has(at));
             asked += usize::from(!out);
             if out || !has(at) {
-                book.learn(*at_ms, &query, name, !out);
+                book.record_outcome(*at_ms, &query, name, !out);
             }
             if way == Way::Last {
                 used.insert((*group, at), n as u64);
-                let _ = book.take(*at_ms, &world.bytes[&(*group, at)]);
+                let _ = book.accept(*at_ms, &world.bytes[&(*group, at)]);
             }
         }
         while way == Way::Last && book.size() as f64 * 2.0 > budget.memory {
             let Some((&first, _)) = used.iter().min_by_key(|(_, at)| **at) else { break };
             used.remove(&first);
-            book.drop(&site(first.1), first.0 as u32);
+            book.remove(&site(first.1), first.0 as u32);
         }
     }
     (asked, due)
@@ -195,63 +197,67 @@
 
 #[test]
 fn what_was_learned_outlives_the_front_and_damage_is_taken_for_nothing() {
-    use hallmux_scatter::keep::Shown;
+    use hallmux_scatter::retention::Outcome;
     let budget = Budget { memory: 9_000.0, traffic: 1e9 };
-    let mut keep = Keep::new(budget);
+    let mut keep = Retention::new(budget);
     for name in 0..20 {
-        keep.came(0, name, 1, [200, 1_000, 3_000]);
+        keep.version_arrived(0, name, 1, [200, 1_000, 3_000]);
     }
-    (0..50).for_each(|n| keep.shows(n, 3, Shown::ByFilter));
+    (0..50).for_each(|n| keep.record(n, 3, Outcome::ByFilter));
     keep.choose(100);
-    assert_eq!(keep.holds(3), Some(Fineness::Full));
-    let bytes = keep.bytes();
-    let mut next = Keep::new(budget);
-    assert!(next.read(200, &bytes) && next.len() == 20);
+    assert_eq!(keep.wanted_detail(3), Some(Detail::Full));
+    let bytes = keep.to_bytes();
+    let mut next = Retention::new(budget);
+    assert!(next.restore(200, &bytes) && next.len() == 20);
     next.choose(200);
-    assert_eq!(next.holds(3), Some(Fineness::Full));
+    assert_eq!(next.wanted_detail(3), Some(Detail::Full));
     // A day without use, and another takes its place.
-    (0..50).for_each(|n| next.shows(100_000_000_000 + n, 5, Shown::ByFilter));
+    (0..50).for_each(|n| next.record(100_000_000_000 + n, 5, Outcome::ByFilter));
     next.choose(100_000_000_100);
-    assert_eq!((next.holds(5), next.holds(3) < Some(Fineness::Full)), (Some(Fineness::Full), true));
+    assert_eq!(
+        (next.wanted_detail(5), next.wanted_detail(3) < Some(Detail::Full)),
+        (Some(Detail::Full), true)
+    );
     for cut in 0..bytes.len() {
-        assert!(!Keep::new(budget).read(0, &bytes[..cut]));
+        assert!(!Retention::new(budget).restore(0, &bytes[..cut]));
     }
-    assert!(!Keep::new(budget).read(0, &[vec![2], bytes[1..].to_vec()].concat()));
+    assert!(!Retention::new(budget).restore(0, &[vec![2], bytes[1..].to_vec()].concat()));
 }
 
 #[test]
 fn a_front_fetches_as_much_of_a_summary_as_it_wants_from_one_that_has_it_at_home() {
-    use hallmux_scatter::keep::Shown;
-    use hallmux_scatter::spread::Spread;
+    use hallmux_scatter::exchange::Exchange;
+    use hallmux_scatter::retention::Outcome;
     let world = world(3);
     let ((group, at), whole) = world.bytes.iter().max_by_key(|(_, bytes)| bytes.len()).unwrap();
-    let (of, fine) = (name(&site(*at), *group as u32), ends(whole).unwrap());
+    let (of, fine) = (summary_id(&site(*at), *group as u32), layer_ends(whole).unwrap());
     assert!(fine[2] > 2_000, "several pieces");
     let budget = Budget { memory: 1e6, traffic: 1e6 };
-    let mut books = [book(Some(Keep::new(budget))), book(Some(Keep::new(budget)))];
-    let mut spreads = [Spread::new(0), Spread::new(0)];
-    spreads[0].home.insert(of, 1);
-    books[0].take(0, whole).unwrap();
+    let mut books = [book(Some(Retention::new(budget))), book(Some(Retention::new(budget)))];
+    let mut spreads = [Exchange::new(0), Exchange::new(0)];
+    spreads[0].local.insert(of, 1);
+    books[0].accept(0, whole).unwrap();
     let mut held = Vec::new();
     for second in 1..=40 {
         let now = second * 1_000_000;
         if second == 20 {
-            (0..50).for_each(|_| books[1].keep.as_mut().unwrap().shows(now, of, Shown::MissedByBounds));
+            (0..50)
+                .for_each(|_| books[1].retention.as_mut().unwrap().record(now, of, Outcome::MissedByBounds));
             books[1].choose(now as u64 / 1_000);
         }
-        let mut letters = Vec::new();
+        let mut messages = Vec::new();
         for front in 0..2 {
             let out = spreads[front].tick(now, &[1 - front as u64], &books[front]);
-            letters.extend(out.letters.into_iter().map(|(to, bytes)| (front as u64, to, bytes)));
+            messages.extend(out.messages.into_iter().map(|(to, bytes)| (front as u64, to, bytes)));
         }
-        while let Some((from, to, bytes)) = letters.pop() {
+        while let Some((from, to, bytes)) = messages.pop() {
             let at = to as usize;
-            let mut out = spreads[at].heard(now, now as u64 / 1_000, from, &bytes, &mut books[at]);
-            assert!(out.taken.iter().all(Result::is_ok), "{:?}", out.taken);
-            for loan in std::mem::take(&mut out.loans) {
-                spreads[at].lend(now, loan, whole, &mut out);
+            let mut out = spreads[at].on_message(now, now as u64 / 1_000, from, &bytes, &mut books[at]);
+            assert!(out.accepted.iter().all(Result::is_ok), "{:?}", out.accepted);
+            for loan in std::mem::take(&mut out.local_reads) {
+                spreads[at].send_piece(now, loan, whole, &mut out);
             }
-            letters.extend(out.letters.into_iter().map(|(next, bytes)| (to, next, bytes)));
+            messages.extend(out.messages.into_iter().map(|(next, bytes)| (to, next, bytes)));
         }
         held.push(books[1].size());
         assert_eq!(books[0].size(), fine[0], "what lies at home is held no finer than it is wanted");
