--- a/crates/front/src/fleet/gate.rs
+++ b/crates/front/src/fleet/gate.rs
@@ -5,7 +5,7 @@
 
 use hallmux_agreement::Settings;
 use hallmux_dispatcher::{Dispatcher, Micros, Ticket};
-use hallmux_fleet::gate::{self, Asks, Ruling};
+use hallmux_fleet::gate::{self, LedgerClient, Ruling};
 use hallmux_ledger::{Ask, Done};
 
 use super::rules::Ordered;
@@ -14,13 +14,13 @@
 
 const LOG_INTERVAL: Micros = 10_000_000; // microseconds between lines of the log on what was turned away
 
-impl Asks for Peers {
+impl LedgerClient for Peers {
     fn ask(&mut self, now: Micros, ask: Ask) {
         Peers::ask(self, now, ask);
     }
 
-    fn promised(&mut self, part: u64) -> Vec<Done> {
-        Peers::promised(self, part)
+    fn answers(&mut self, part: u64) -> Vec<Done> {
+        Peers::ledger_answers(self, part)
     }
 }
 
@@ -50,16 +50,16 @@
     /// An execution is ordered. True if it is held for now.
     pub fn hold(&mut self, now: Micros, dispatcher: &mut Dispatcher, ordered: &Ordered) -> bool {
         let Ordered { ticket, execution, place, terms, .. } = *ordered;
-        self.guard.holds(now, dispatcher, ((ticket, execution), place, terms))
+        self.guard.hold(now, dispatcher, ((ticket, execution), place, terms))
     }
 
     pub fn set_priority(&mut self, ticket: Ticket, priority: u8) {
-        self.guard.hurry(ticket, priority);
+        self.guard.set_priority(ticket, priority);
     }
 
     /// Gives an execution up. True if it was held.
     pub fn cancel(&mut self, now: Micros, sent: ExecutionId) -> bool {
-        self.guard.stops(now, (sent.ticket, sent.number))
+        self.guard.cancel(now, (sent.ticket, sent.number))
     }
 
     /// Passes on what statements have come to and what the ledger says; what becomes of what was held. `id` names a
@@ -71,7 +71,7 @@
         peers: &mut Peers,
         id: impl Fn(Ticket) -> Option<String>,
     ) -> Vec<Ruling> {
-        let rulings = self.guard.turn(now, dispatcher, peers, id);
+        let rulings = self.guard.advance(now, dispatcher, peers, id);
         if self.guard.refused() != &self.refused && self.last_log + LOG_INTERVAL <= now {
             (self.last_log, self.refused) = (now, self.guard.refused().clone());
             log::warn!("statements ended for want of a promise so far: {:?}", self.refused);
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -12,12 +12,13 @@
 use calloop::{Interest, LoopHandle, Mode, PostAction};
 use hallmux_agreement::{parse_key, Gossip, OnDiskFailure};
 use hallmux_dispatcher::{Dispatcher, Micros};
-use hallmux_fleet::{Exchange, Kept, Moment, Out, Owns};
-use hallmux_gossip::evidence::News;
-use hallmux_gossip::message::LONGEST;
-use hallmux_gossip::node::{Datagram, Start};
-use hallmux_gossip::post::Channel;
-use hallmux_gossip::seal::{id, Keys, Refused};
+use hallmux_fleet::{Exchange, LedgerSave, Moment, Output, OwnedLease};
+use hallmux_gossip::channels::Channel;
+use hallmux_gossip::evidence::PeerReport;
+use hallmux_gossip::members::FleetSize;
+use hallmux_gossip::message::MAX_DATAGRAM;
+use hallmux_gossip::node::{Datagram, NodeConfig};
+use hallmux_gossip::seal::{peer_id, Keys, Refused};
 use hallmux_gossip::PeerId;
 use hallmux_ledger::{Ask, Done};
 
@@ -48,7 +49,7 @@
     copies: Option<Copies>,
     /// A disk that fails leaves them in memory.
     memory_on_disk_failure: bool,
-    ownership: Option<Owns>,
+    ownership: Option<OwnedLease>,
     refused_acts: BTreeMap<&'static str, u64>,
     /// Copies of promises that differed, and that were mended here.
     differed: (u64, u64),
@@ -64,7 +65,7 @@
 }
 
 fn names(gossip: &Gossip) -> BTreeMap<PeerId, String> {
-    gossip.peers.iter().map(|(name, key)| (id(key), name.clone())).collect()
+    gossip.peers.iter().map(|(name, key)| (peer_id(key), name.clone())).collect()
 }
 
 impl Peers {
@@ -90,10 +91,10 @@
         });
         told.map_err(|e| PeersError::system(e.error))?;
         let told = gossip.advertise.unwrap_or(at);
-        let start = Start { secret, keys: keys(gossip), at: told, seeds: gossip.seeds.clone() };
+        let start = NodeConfig { secret, keys: keys(gossip), address: told, seeds: gossip.seeds.clone() };
         let mut exchange = Exchange::new(start, (now / 1000) as u64);
         if gossip.overload.is_some() {
-            exchange.tells_load();
+            exchange.enable_load_reports();
             log::info!("sheds overload as one with the fleet");
         }
         let started = Instant::now();
@@ -107,7 +108,7 @@
         };
         let memory_on_disk_failure =
             gossip.ledger.as_ref().is_some_and(|l| l.on_disk_failure == OnDiskFailure::Memory);
-        let public: String = exchange.public().iter().map(|byte| format!("{byte:02x}")).collect();
+        let public: String = exchange.public_key().iter().map(|byte| format!("{byte:02x}")).collect();
         log::info!(
             "talks with other fronts, {} keys count; its own is {public}, its address {at}",
             gossip.peers.len()
@@ -136,10 +137,10 @@
     /// The file was read again: its keys count from now on.
     pub fn reload(&mut self, now: Micros, gossip: &Gossip) {
         self.names = names(gossip);
-        self.exchange.keys(keys(gossip));
+        self.exchange.set_keys(keys(gossip));
         if let Some(ledger) = gossip.ledger.as_ref().filter(|_| self.has_ledger) {
             let (members, addresses) = members(ledger);
-            if let Err(e) = self.exchange.members(self.moment(now), members, addresses) {
+            if let Err(e) = self.exchange.set_ledger_members(self.moment(now), members, addresses) {
                 log::error!("gossip.ledger.members is left as it was: {e}");
             }
         }
@@ -153,11 +154,11 @@
     /// Datagrams have come; true if there are more for another iteration.
     pub fn read(&mut self, now: Micros) -> bool {
         self.apply_durable(now);
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM + 1];
         for _ in 0..DATAGRAMS_PER_ITERATION {
             match self.socket.recv_from(&mut bytes) {
                 Ok((len, from)) => {
-                    let out = self.exchange.heard(self.moment(now), from, &bytes[..len]);
+                    let out = self.exchange.receive(self.moment(now), from, &bytes[..len]);
                     self.send(now, out);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
@@ -175,7 +176,7 @@
 
     /// Messages that have come on a channel beside gossip; of a channel that nobody reads so many are kept.
     pub fn take_messages(&mut self, channel: Channel) -> Vec<(PeerId, Vec<u8>)> {
-        for message in self.exchange.letters() {
+        for message in self.exchange.received() {
             let kept = self.messages.entry(message.channel).or_default();
             if kept.len() < DATAGRAMS_PER_ITERATION {
                 kept.push((message.from, message.bytes));
@@ -187,19 +188,19 @@
     /// Sends such a message; what does not go out is as if it were lost on the way.
     pub fn send_message(&mut self, now: Micros, to: PeerId, channel: Channel, bytes: &[u8]) {
         let at = self.moment(now);
-        let datagrams = self.exchange.post(at, to, channel, bytes).into_iter().collect();
-        self.send(now, Out { datagrams, ..Out::default() });
+        let datagrams = self.exchange.channel_datagram(at, to, channel, bytes).into_iter().collect();
+        self.send(now, Output { datagrams, ..Output::default() });
     }
 
     /// The other fronts whose messages count.
     pub fn others(&self) -> Vec<PeerId> {
-        let own = id(&self.exchange.public());
+        let own = peer_id(&self.exchange.public_key());
         self.names.keys().copied().filter(|peer| *peer != own).collect()
     }
 
     /// A number of this front's own, so that not all fronts begin with the same peer in what they send by turns.
     pub fn spread_offset(&self) -> usize {
-        id(&self.exchange.public()) as usize
+        peer_id(&self.exchange.public_key()) as usize
     }
 
     /// Whether a probe on behalf of the fleet may leave now.
@@ -208,14 +209,14 @@
     }
 
     /// What does not go out is as if it were lost on the way.
-    fn send(&mut self, now: Micros, out: Out) {
+    fn send(&mut self, now: Micros, out: Output) {
         for Datagram { to, bytes } in out.datagrams {
             let _ = self.socket.send_to(&bytes, to);
         }
         if let Some(votes) = &mut self.votes {
-            out.saved.into_iter().for_each(|saved| votes.save(saved));
+            out.voter_saves.into_iter().for_each(|saved| votes.save(saved));
         }
-        for Kept { number, records, datagrams } in out.kept {
+        for LedgerSave { number, records, datagrams } in out.ledger_saves {
             if let Some(copies) = &mut self.copies {
                 copies.save(Write { number, records, datagrams });
                 continue;
@@ -224,7 +225,7 @@
             for Datagram { to, bytes } in datagrams {
                 let _ = self.socket.send_to(&bytes, to);
             }
-            let out = self.exchange.saved(self.moment(now), number, true);
+            let out = self.exchange.ledger_saved(self.moment(now), number, true);
             self.send(now, out);
         }
     }
@@ -234,7 +235,7 @@
         let durable = self.copies.as_ref().map(Copies::durable).unwrap_or_default();
         for (number, ok) in durable {
             let at = self.moment(now);
-            let out = self.exchange.saved(at, number, ok);
+            let out = self.exchange.ledger_saved(at, number, ok);
             self.send(now, out);
             if !ok && self.memory_on_disk_failure && self.copies.take().is_some() {
                 log::error!(
@@ -248,13 +249,13 @@
 
     /// Asks the ledger; the answer comes with `promised`.
     pub fn ask(&mut self, now: Micros, ask: Ask) {
-        let out = self.exchange.ask(self.moment(now), ask);
+        let out = self.exchange.ask_ledger(self.moment(now), ask);
         self.send(now, out);
     }
 
     /// What the ledger has answered to the part of this front whose asks have that highest byte.
-    pub fn promised(&mut self, part: u64) -> Vec<Done> {
-        self.done.extend(self.exchange.promised());
+    pub fn ledger_answers(&mut self, part: u64) -> Vec<Done> {
+        self.done.extend(self.exchange.ledger_answers());
         let (told, others) = std::mem::take(&mut self.done)
             .into_iter()
             .partition(|done| done.number >> PART_SHIFT == part >> PART_SHIFT);
@@ -264,24 +265,24 @@
 
     /// Where a ledger is kept, this front by its key, and all fronts whose keys count.
     pub fn fleet(&self) -> Option<(PeerId, Vec<PeerId>)> {
-        let own = id(&self.exchange.public());
+        let own = peer_id(&self.exchange.public_key());
         self.has_ledger.then(|| (own, self.names.keys().copied().collect()))
     }
 
     /// Does what is due; the log says what is new, and what was refused.
     pub fn tick(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
         self.apply_durable(now);
-        let before = self.exchange.fleet();
+        let before = self.exchange.fleet_size();
         let at = self.moment(now);
         let (out, news) =
             self.exchange.tick(at, dispatcher, &mut random_numbers(&self.random, &mut self.draws_made));
         self.send(now, out);
-        let (known, up) = self.exchange.fleet();
-        if (known, up) != before {
+        let FleetSize { known, up } = self.exchange.fleet_size();
+        if (FleetSize { known, up }) != before {
             log::debug!("{known} fronts are known, {up} of them up");
         }
-        for News { maker, sighting: s, age } in news {
-            let name = self.names.get(&maker).map_or("?", String::as_str);
+        for PeerReport { reporter, sighting: s, age } in news {
+            let name = self.names.get(&reporter).map_or("?", String::as_str);
             log::info!(
                 "front {name} says of engine {:016x}: {} failed, {} answered, silent for {} ms{}; {} ms ago",
                 s.engine,
@@ -292,12 +293,14 @@
                 age / 1000
             );
         }
-        let owns = self.exchange.owns(at.steady);
+        let owns = self.exchange.owned_lease(at.steady);
         match (self.ownership, owns) {
-            (before, Some(Owns { token })) if before != owns => {
+            (before, Some(OwnedLease { token })) if before != owns => {
                 log::info!("owns the fleet's work under token {token}")
             }
-            (Some(Owns { token }), None) => log::info!("owns the fleet's work under token {token} no longer"),
+            (Some(OwnedLease { token }), None) => {
+                log::info!("owns the fleet's work under token {token} no longer")
+            }
             _ => {}
         }
         self.ownership = owns;
@@ -335,7 +338,7 @@
         let wall = (now / 1000) as u64;
         let datagrams =
             self.exchange.leave(now, wall, &mut random_numbers(&self.random, &mut self.draws_made));
-        self.send(now, Out { datagrams, ..Out::default() });
+        self.send(now, Output { datagrams, ..Output::default() });
     }
 }
 
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -4,9 +4,9 @@
 
 use hallmux_dispatcher::{Dispatcher, Ending, Listing, Mode, Order, Protocol};
 use hallmux_fleet::gate::Guard;
-use hallmux_fleet::{Exchange, Ownership};
-use hallmux_gossip::node::Start;
-use hallmux_gossip::seal::{id, Own};
+use hallmux_fleet::{Exchange, OwnershipConfig};
+use hallmux_gossip::node::NodeConfig;
+use hallmux_gossip::seal::{peer_id, Identity};
 use hallmux_lease::Terms;
 use rand::Rng;
 
@@ -25,19 +25,20 @@
         let exchange = self.scenario.fleet.gossip.then(|| {
             let fronts = self.scenario.fleet.fronts;
             let seeds = (0..MOST_SEEDS).map(|_| address(self.chance.random_range(0..fronts))).collect();
-            let start = Start { secret: secret(n), keys: self.keys.clone(), at: address(n), seeds };
+            let start = NodeConfig { secret: secret(n), keys: self.keys.clone(), address: address(n), seeds };
             let mut exchange = Exchange::new(start, at.wall_ms);
             if self.scenario.fleet.sheds_as_one {
-                exchange.tells_load();
+                exchange.enable_load_reports();
             }
             if let Some(voters) = self.scenario.fleet.voters {
-                let voters =
-                    (0..voters).map(|n| (id(&Own::new(&secret(n), 0).public()), address(n))).collect();
+                let voters = (0..voters)
+                    .map(|n| (peer_id(&Identity::new(&secret(n), 0).public_key()), address(n)))
+                    .collect();
                 let scenario = &self.scenario.fleet;
                 let terms = Terms { length: scenario.lease_ms as i64 * 1000, drift_ppm: DRIFT_PPM };
                 let saved = self.members[n].saved.clone();
-                let ownership = Ownership { fleet: "lab".to_string(), voters, terms, saved };
-                let owns = exchange.own(at, ownership);
+                let ownership = OwnershipConfig { fleet: "lab".to_string(), voters, terms, saved };
+                let owns = exchange.enable_ownership(at, ownership);
                 debug_assert!(owns.is_ok(), "what was saved is whole");
             }
             let promises = self.promises(n, &mut exchange);
@@ -108,8 +109,7 @@
                 let own = self.own(n);
                 let Some(life) = &mut self.members[n].life else { return };
                 let (sent, dispatcher) = ((ticket, execution), &mut life.dispatcher);
-                let held =
-                    life.guard.as_mut().is_some_and(|g| g.holds(own, dispatcher, (sent, place, terms)));
+                let held = life.guard.as_mut().is_some_and(|g| g.hold(own, dispatcher, (sent, place, terms)));
                 if !held || self.spoil.acts_first {
                     self.leaves(n, sent, place);
                 }
@@ -141,7 +141,7 @@
             Order::Stop { ticket, execution, ending } => {
                 let own = self.own(n);
                 let Some(life) = &mut self.members[n].life else { return };
-                let held = life.guard.as_mut().is_some_and(|guard| guard.stops(own, (ticket, execution)));
+                let held = life.guard.as_mut().is_some_and(|guard| guard.cancel(own, (ticket, execution)));
                 let ending = if held { Ending::Withdrawn } else { ending };
                 life.connections.ended((ticket, execution), ending);
                 life.dispatcher.report(own, ticket, execution, ending, None);
