--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -11,10 +11,9 @@
 mod load;
 mod ownership;
 
-use std::hash::Hasher;
-
 use hallmux_dispatcher::Micros;
 use hallmux_gossip::node::Datagram;
+use hallmux_hash::fnv1a;
 
 pub use exchange::Exchange;
 pub use hallmux_gossip::channels::{Channel, ChannelMessage};
@@ -45,9 +44,7 @@
 
 /// An engine's id as fronts send it: a 64-bit FNV-1a hash, the same in every build.
 pub fn engine_hash(engine: &str) -> u64 {
-    let mut hash = fnv::FnvHasher::default();
-    hash.write(engine.as_bytes());
-    hash.finish()
+    fnv1a(engine.bytes())
 }
 
 #[cfg(test)]
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -14,8 +14,7 @@
 pub mod leases;
 pub mod voter;
 
-use std::hash::Hasher;
-
+use hallmux_hash::fnv1a;
 use serde::{Deserialize, Serialize};
 
 /// A time or duration in microseconds.
@@ -154,11 +153,7 @@
 pub fn fingerprint(name: &str, voters: &[FrontId]) -> u64 {
     let mut voters = voters.to_vec();
     voters.sort_unstable();
-    let mut hash = fnv::FnvHasher::default();
-    hash.write(name.as_bytes());
-    hash.write(&[0]);
-    voters.into_iter().for_each(|voter| hash.write(&voter.to_be_bytes()));
-    hash.finish()
+    fnv1a(name.bytes().chain([0]).chain(voters.into_iter().flat_map(u64::to_be_bytes)))
 }
 
 #[cfg(test)]
--- a/crates/scatter/src/sketch.rs
+++ b/crates/scatter/src/sketch.rs
@@ -4,9 +4,8 @@
 use datasketches::common::NumStdDev;
 use datasketches::hll::{HllSketch, HllType, HllUnion};
 
-use crate::book::Book;
-use crate::marks::{Cell, Touched};
-use crate::plan::Word;
+use crate::marks::{Affected, Cell};
+use crate::plan::{Basis, LoadInfo};
 use crate::sql::Query;
 use crate::value::{Kind, Value};
 
@@ -14,14 +13,14 @@
 const LONGEST: usize = 8 << 10; // bytes of one
 
 /// A column's sketch as its rows come.
-pub(crate) struct Growing(HllSketch);
+pub(crate) struct SketchBuilder(HllSketch);
 
-impl Growing {
-    pub fn new(kind: Kind) -> Option<Growing> {
-        HllSketch::new(LG_K, HllType::Hll4).ok().filter(|_| kind.is_equal_by_value()).map(Growing)
+impl SketchBuilder {
+    pub fn new(kind: Kind) -> Option<SketchBuilder> {
+        HllSketch::new(LG_K, HllType::Hll4).ok().filter(|_| kind.is_equal_by_value()).map(SketchBuilder)
     }
 
-    pub fn value(&mut self, value: &Value) {
+    pub fn add_value(&mut self, value: &Value) {
         self.0.update(value.hash());
     }
 
@@ -48,36 +47,29 @@
 
 /// How many distinct values a column has at all of the sites. None: a site says nothing of it that counts, or
 /// a load may have brought values that are not known.
-pub fn distinct(
-    query: &Query,
-    sites: &[String],
-    allowed: Option<&[&str]>,
-    book: &Book,
-    wall_ms: u64,
-    word: &Word,
-    doubted: &dyn Fn(&str) -> bool,
-) -> Option<Estimate> {
+pub fn distinct(query: &Query, basis: &Basis) -> Option<Estimate> {
+    let Basis { sites, summaries, wall_ms, loads, suspected, .. } = *basis;
     let name = query.distinct.as_ref()?;
     let mut all = HllUnion::new(LG_K).ok()?;
     let mut alike = None;
     for site in sites {
-        if doubted(site) || allowed.is_some_and(|allowed| !allowed.contains(&site.as_str())) {
+        if suspected(site) || !basis.allows(site) {
             return None;
         }
-        let summary = book.look(wall_ms, site, query.group)?;
+        let summary = summaries.current(wall_ms, site, query.group)?;
         let column = summary.table(&query.table)?.columns.iter().find(|column| column.name == *name)?;
         // Values of two kinds may be equal and are not known to be.
         if *alike.get_or_insert(column.kind) != column.kind {
             return None;
         }
         all.update(&read(column.sketch.as_ref()?)?);
-        let loads = match word {
-            Word::Marks(marks) => marks.open(summary)?,
-            Word::NoLoads => Vec::new(),
-            Word::Both(..) | Word::Nothing => return None,
+        let open = match loads {
+            LoadInfo::Marks(marks) => marks.uncovered(summary)?,
+            LoadInfo::NoLoads => Vec::new(),
+            LoadInfo::MarksOfJoin(..) | LoadInfo::Unknown => return None,
         };
-        for touched in loads {
-            let Touched::Rows { table, columns, rows } = touched else { return None };
+        for touched in open {
+            let Affected::Rows { table, columns, rows } = touched else { return None };
             if *table != query.table {
                 continue;
             }
