--- a/crates/dispatcher/src/completion.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -3,7 +3,7 @@
 use hallmux::interface::{Cost, Ended, Event, Micros, Note, Report};
 
 use crate::observations::SILENT;
-use crate::promised::{Gone, Word};
+use crate::promises::{PromiseEvent, StatementOver};
 use crate::{Dispatcher, Ending, Ticket};
 
 impl Dispatcher {
@@ -46,7 +46,7 @@
             key.statements += 1;
         }
         if let Some(key) = s.key.as_ref().filter(|_| holds && s.promised) {
-            self.words.push(Word::Keeps(key.clone()));
+            self.promise_events.push(PromiseEvent::KeyKept(key.clone()));
         }
         self.events.push(Event::Ended(Ended {
             statement: ticket,
@@ -66,7 +66,7 @@
         answers
     }
 
-    /// Word on an execution that is still out.
+    /// Something is learned of an execution that is still out.
     pub fn note(&mut self, ticket: Ticket, execution: usize, note: Note) {
         let Some(s) = self.statements.get(&ticket) else { return };
         let Some(x) = s.executions.get(execution).filter(|x| x.out) else { return };
@@ -90,8 +90,8 @@
     pub fn freed(&mut self, now: Micros, name: &str, rests: bool) {
         let Some(key) = self.keys.get_mut(name) else { return };
         self.events.push(Event::OrderKeyFreed { key: key.id, pauses: rests });
-        if self.watches {
-            self.words.push(Word::Freed { key: name.to_string(), rests });
+        if self.watches_promises {
+            self.promise_events.push(PromiseEvent::KeyFreed { key: name.to_string(), rests });
         }
         key.statements -= 1;
         if key.statements == 0 {
@@ -115,7 +115,7 @@
         self.ends.remove(&(s.terms.ends, ticket));
         let Some(s) = self.statements.remove(&ticket) else { return };
         if s.promised {
-            self.words.push(Word::Gone(Gone::of(ticket, &s)));
+            self.promise_events.push(PromiseEvent::Over(StatementOver::of(ticket, &s)));
         }
         self.followed.extend(s.followed.then_some(ticket));
         let Some((name, key)) = s.key.and_then(|name| self.keys.get_mut(&name).map(|key| (name, key))) else {
--- a/crates/dispatcher/src/engines.rs
+++ b/crates/dispatcher/src/engines.rs
@@ -87,8 +87,8 @@
     }
 
     /// How many executions can leave for an engine now, over connections that are there or may be made.
-    pub(crate) fn has_room(&mut self, place: Place, room: usize) {
-        self.events.push(Event::SendCapacity { engine: place, executions: room });
+    pub(crate) fn set_send_capacity(&mut self, place: Place, executions: usize) {
+        self.events.push(Event::SendCapacity { engine: place, executions });
     }
 
     pub fn probed(&mut self, now: Micros, place: Place, alive: bool, report: Option<Report>) {
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -3,14 +3,14 @@
 //! network is to do. Whoever calls it knows neither the module's events nor its actions.
 
 mod completion;
+mod connection_pacer;
 mod demand;
-mod dials;
 mod ending;
 mod engines;
 mod observations;
 mod orders;
-mod promised;
-mod rooms;
+mod promises;
+mod send_capacity;
 mod statements;
 #[cfg(test)]
 mod test_support;
@@ -23,18 +23,18 @@
 
 use demand::DemandCounts;
 use engines::Engine;
-use promised::Depends;
+use promises::Depends;
 use statements::{Key, Statement};
 
+pub use connection_pacer::ConnectionPacer;
 pub use demand::DEMAND_SECONDS;
-pub use dials::Dials;
 pub use ending::Ending;
 pub use engines::Listing;
 pub use hallmux::interface::{Cost, DedupGroup, Demand, Effect, FleetDemand, Micros, Mode, Note};
 pub use observations::EngineObservation;
 pub use orders::{Order, Terms};
-pub use promised::{Gone, Site, Taken, Word};
-pub use rooms::Rooms;
+pub use promises::{PromiseEvent, Site, StatementArrived, StatementOver};
+pub use send_capacity::SendCapacity;
 pub use statements::{Ask, Protocol, Unfit};
 
 /// A statement as this front knows it, from `pick` until it is over and nothing is out for it.
@@ -69,13 +69,13 @@
     free_keys: Vec<KeyId>,
     resting: BTreeSet<(Micros, String)>,
     engines: Vec<Engine>,
-    watches: bool,
+    watches_promises: bool,
     depends: Vec<Depends>,                      // by workload
     workload_demand: Vec<DemandCounts>,         // likewise
     customer_demand: Vec<(bool, DemandCounts)>, // likewise by customer, and whether a share is agreed
     threads: Vec<f64>,                          // that a statement takes, likewise
     in_time: Vec<(Micros, f64)>, // the SLO time, and by how much it is longer for each microsecond of work
-    words: Vec<Word>,
+    promise_events: Vec<PromiseEvent>,
     followed: Vec<Ticket>,
     longest_retry_after: Option<Micros>,
 }
@@ -103,7 +103,7 @@
             free_keys: Vec::new(),
             resting: BTreeSet::new(),
             engines: Vec::new(),
-            watches: false,
+            watches_promises: false,
             depends: contract.agreement.workloads.iter().map(depends).collect(),
             workload_demand: vec![DemandCounts::default(); contract.agreement.workloads.len()],
             customer_demand: (contract.agreement.customers.iter())
@@ -113,7 +113,7 @@
             in_time: (contract.agreement.workloads.iter())
                 .map(|w| (w.slo_time, w.slo_stretch / w.threads))
                 .collect(),
-            words: Vec::new(),
+            promise_events: Vec::new(),
             followed: Vec::new(),
             longest_retry_after: contract.agreement.longest_retry_after,
         }
--- a/crates/dispatcher/src/promised.rs
+++ b/crates/dispatcher/src/promises.rs
@@ -8,20 +8,20 @@
 
 /// What whoever keeps promises is told, in the order in which it happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Word {
-    Taken(Taken),
+pub enum PromiseEvent {
+    Arrived(StatementArrived),
     /// The transaction of such a statement keeps its order key, until it is freed.
-    Keeps(String),
-    Freed {
+    KeyKept(String),
+    KeyFreed {
         key: String,
         rests: bool,
     },
-    Gone(Gone),
+    Over(StatementOver),
 }
 
 /// A statement that depends on promises, as it was asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Taken {
+pub struct StatementArrived {
     pub ticket: Ticket,
     pub workload: String,
     pub customer: String,
@@ -40,7 +40,7 @@
 
 /// A statement that depends on promises is over with nothing out for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Gone {
+pub struct StatementOver {
     pub ticket: Ticket,
     /// It may have run.
     pub ran: bool,
@@ -48,12 +48,12 @@
     pub rests: bool,
 }
 
-impl Gone {
-    pub(crate) fn of(ticket: Ticket, s: &Statement) -> Gone {
+impl StatementOver {
+    pub(crate) fn of(ticket: Ticket, s: &Statement) -> StatementOver {
         let endings = || s.executions.iter().filter_map(|x| x.ending);
         let runs_on =
             |e: Ending| matches!(e.outcome(), Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
-        Gone { ticket, ran: endings().any(Ending::may_have_run), rests: endings().any(runs_on) }
+        StatementOver { ticket, ran: endings().any(Ending::may_have_run), rests: endings().any(runs_on) }
     }
 }
 
@@ -66,12 +66,12 @@
 
 impl Dispatcher {
     /// From now on statements that depend on promises are told of, in `words`.
-    pub fn watch(&mut self) {
-        self.watches = true;
+    pub fn watch_promises(&mut self) {
+        self.watches_promises = true;
     }
 
-    pub fn words(&mut self) -> Vec<Word> {
-        std::mem::take(&mut self.words)
+    pub fn promise_events(&mut self) -> Vec<PromiseEvent> {
+        std::mem::take(&mut self.promise_events)
     }
 
     /// The end of a statement is to be told by `followed`.
@@ -85,12 +85,12 @@
     }
 
     /// Tells of a statement that was taken, if it depends on promises: whether it does.
-    pub(crate) fn tell_taken(&mut self, ticket: Ticket, ask: &Ask, workload: usize) -> bool {
+    pub(crate) fn announce_arrival(&mut self, ticket: Ticket, ask: &Ask, workload: usize) -> bool {
         let depends = self.depends.get(workload).copied().unwrap_or_default();
-        let promised = self.watches && (depends.always || depends.in_order && ask.key.is_some());
+        let promised = self.watches_promises && (depends.always || depends.in_order && ask.key.is_some());
         if promised {
             let text = |text: Option<&str>| text.map(str::to_string);
-            self.words.push(Word::Taken(Taken {
+            self.promise_events.push(PromiseEvent::Arrived(StatementArrived {
                 ticket,
                 workload: ask.workload.to_string(),
                 customer: ask.customer.to_string(),
@@ -152,5 +152,5 @@
 }
 
 #[cfg(test)]
-#[path = "promised_tests.rs"]
+#[path = "promises_tests.rs"]
 mod tests;
--- a/crates/dispatcher/src/promised_tests.rs
+++ b/crates/dispatcher/src/promises_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the `promised` module.
+//! Unit tests of the `promises` module.
 
 use super::*;
 use crate::test_support::*;
@@ -29,16 +29,21 @@
 fn what_is_turned_away_ends_at_once_and_comes_back_spread() {
     let mut d = dispatcher();
     d.list(true, &[listing("a", Mode::Ready, None)]);
-    d.watch();
+    d.watch_promises();
     let mut came_back = Vec::new();
     for n in 0..4 {
         let ticket = d.pick(n, &ask("load", None)).unwrap();
-        assert!(matches!(&d.words()[..], [Word::Taken(t)] if t.ticket == ticket && t.key.is_none()));
+        assert!(
+            matches!(&d.promise_events()[..], [PromiseEvent::Arrived(t)] if t.ticket == ticket && t.key.is_none())
+        );
         assert_eq!(sent(&d.tick(n)), [(ticket, 0)]);
         d.waits(n, ticket, 0);
         came_back.extend(d.turn_away(n, ticket));
         assert_eq!(d.turn_away(n, ticket), None);
-        assert_eq!(d.words(), [Word::Gone(Gone { ticket, ran: false, rests: false })]);
+        assert_eq!(
+            d.promise_events(),
+            [PromiseEvent::Over(StatementOver { ticket, ran: false, rests: false })]
+        );
         assert_eq!((d.tick(n), d.held(), d.engines[0].held), (vec![], 0, 0));
     }
     came_back.sort();
@@ -59,15 +64,19 @@
     ] {
         let mut d = dispatcher();
         d.list(true, &[listing("a", Mode::Ready, None)]);
-        d.watch();
+        d.watch_promises();
         let ticket = d.pick(0, &ask("load", Some("k"))).unwrap();
         d.pick(0, &ask("lookup", Some("k"))).unwrap();
-        assert_eq!(d.words().len(), 1);
+        assert_eq!(d.promise_events().len(), 1);
         d.tick(0);
         d.left(1, ticket);
         let stop = Order::Stop { ticket, execution: 0, ending: Ending::GivenUp };
-        assert_eq!((d.words(), d.tick(1)), (vec![], vec![stop]));
+        assert_eq!((d.promise_events(), d.tick(1)), (vec![], vec![stop]));
         d.report(2, ticket, 0, ending, None, None);
-        assert_eq!(d.words(), [Word::Gone(Gone { ticket, ran, rests })], "{ending:?}");
+        assert_eq!(
+            d.promise_events(),
+            [PromiseEvent::Over(StatementOver { ticket, ran, rests })],
+            "{ending:?}"
+        );
     }
 }
--- /dev/null
+++ b/crates/dispatcher/src/send_capacity.rs
@@ -0,0 +1,46 @@
+//! Where the fleet has a budget of new connections: how many executions can leave for each engine, told to
+//! the module as it changes, so that no statement waits for a connection to one engine while others have one
+//! to spare.
+
+use std::collections::BTreeMap;
+
+use hallmux::interface::Micros;
+
+use crate::{Dispatcher, Place};
+
+const REPORTED_AGAIN: Micros = 1_000_000; // microseconds after which all is reported anew: what was held here may have left
+const MOST_REPORTED: usize = 64; // beyond it a front lacks no connections, and the module need not know how many
+
+/// The executions that can leave for each engine, as last reported to the module.
+#[derive(Default)]
+pub struct SendCapacity {
+    reported: BTreeMap<Place, usize>,
+    again: Micros,
+}
+
+impl SendCapacity {
+    /// Reports to the module what has changed; `capacity` gives the executions that can leave for an engine
+    /// now.
+    pub fn report(
+        &mut self,
+        now: Micros,
+        dispatcher: &mut Dispatcher,
+        mut capacity: impl FnMut(Place) -> usize,
+    ) {
+        if self.again <= now {
+            self.again = now + REPORTED_AGAIN;
+            self.reported.clear();
+        }
+        for place in dispatcher.places() {
+            let executions = capacity(place).min(MOST_REPORTED);
+            if self.reported.insert(place, executions) != Some(executions) {
+                dispatcher.set_send_capacity(place, executions);
+            }
+        }
+    }
+
+    /// An execution has left for an engine: the module has counted it, so the capacity is reported anew.
+    pub fn sent(&mut self, place: Place) {
+        self.reported.remove(&place);
+    }
+}
--- a/crates/dispatcher/src/statements.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -112,7 +112,7 @@
         }
         let allowed = ask.allowed.map(|names| self.allowed(workload, ask.pinned, names)).transpose()?;
         let ticket = self.number();
-        let promised = self.tell_taken(ticket, ask, workload);
+        let promised = self.announce_arrival(ticket, ask, workload);
         let key = ask.key.map(|key| self.key(key));
         self.events.push(Event::Arrived(Arrival {
             statement: ticket,
--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use hallmux_agreement::Contract;
-use hallmux_dispatcher::{Gone, Micros, Place, Site, Taken, Terms, Ticket, Word};
+use hallmux_dispatcher::{Micros, Place, PromiseEvent, Site, StatementArrived, StatementOver, Terms, Ticket};
 use hallmux_ledger::{self as ledger, Done, Key, Kind};
 
 pub use guard::{Asks, Guard};
@@ -89,20 +89,20 @@
 
     /// What the dispatcher tells of statements that depend on promises. `id` names one that was taken wherever it is
     /// tried, if anything does.
-    pub fn hear(&mut self, now: Micros, word: Word, id: impl Fn(Ticket) -> Option<String>) {
+    pub fn hear(&mut self, now: Micros, word: PromiseEvent, id: impl Fn(Ticket) -> Option<String>) {
         match word {
-            Word::Taken(taken) => {
+            PromiseEvent::Arrived(taken) => {
                 let id = id(taken.ticket);
                 self.taken(&taken, id);
             }
-            Word::Keeps(key) => self.keeps(&key),
-            Word::Freed { key, rests } => self.freed(now, &key, rests),
-            Word::Gone(gone) => self.gone(now, gone),
+            PromiseEvent::KeyKept(key) => self.keeps(&key),
+            PromiseEvent::KeyFreed { key, rests } => self.freed(now, &key, rests),
+            PromiseEvent::Over(gone) => self.gone(now, gone),
         }
     }
 
     /// A statement was taken.
-    fn taken(&mut self, taken: &Taken, id: Option<String>) {
+    fn taken(&mut self, taken: &StatementArrived, id: Option<String>) {
         // One that nothing names is told apart by this front alone: its entry is for the record.
         let own = || format!("{}-{}", self.life, taken.ticket);
         let needs = self.needs.of(taken, &id.unwrap_or_else(own));
@@ -145,7 +145,7 @@
     }
 
     /// A statement is over with nothing out for it.
-    fn gone(&mut self, now: Micros, gone: Gone) {
+    fn gone(&mut self, now: Micros, gone: StatementOver) {
         let Some(s) = self.statements.remove(&gone.ticket) else { return };
         for Need { key, .. } in s.needs {
             self.holds.get_mut(&key).into_iter().for_each(|hold| hold.gone(now, gone));
--- a/crates/fleet/src/gate/guard.rs
+++ b/crates/fleet/src/gate/guard.rs
@@ -26,7 +26,7 @@
 impl Guard {
     /// Where there is a ledger; `now` is the Unix clock: this life's name.
     pub fn new(contract: &Contract, now: Micros, shards: u16, dispatcher: &mut Dispatcher) -> Guard {
-        dispatcher.watch();
+        dispatcher.watch_promises();
         Guard { gate: Gate::new(contract, (now / 1000) as u64, shards), noted: 0 }
     }
 
@@ -80,7 +80,7 @@
         ledger: &mut impl Asks,
         id: impl Fn(Ticket) -> Option<String>,
     ) -> Vec<Ruling> {
-        for word in dispatcher.words() {
+        for word in dispatcher.promise_events() {
             self.gate.hear(now, word, &id);
         }
         self.gate.tick(now);
--- a/crates/fleet/src/gate/hold.rs
+++ b/crates/fleet/src/gate/hold.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hallmux_dispatcher::{Gone, Micros, Ticket};
+use hallmux_dispatcher::{Micros, StatementOver, Ticket};
 use hallmux_ledger::{Act, Entry, Kind, Outcome};
 
 use super::needs::{Group, Out};
@@ -155,7 +155,7 @@
     }
 
     /// A statement is over.
-    pub fn gone(&mut self, now: Micros, gone: Gone) {
+    pub fn gone(&mut self, now: Micros, gone: StatementOver) {
         self.wanting.remove(&gone.ticket);
         let rests = if self.kind == Kind::Order { gone.rests } else { gone.ran };
         if self.using.remove(&gone.ticket) && rests {
--- a/crates/fleet/src/gate/needs.rs
+++ b/crates/fleet/src/gate/needs.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use hallmux_agreement::Contract;
-use hallmux_dispatcher::{Micros, Site, Taken};
+use hallmux_dispatcher::{Micros, Site, StatementArrived};
 use hallmux_ledger::{Key, Kind};
 use serde::{Deserialize, Serialize};
 
@@ -96,7 +96,7 @@
 
     /// Of one statement, in the order in which its promises are asked for: the same on every front, so that no two
     /// statements wait for each other. `id` is its name wherever it is tried.
-    pub fn of(&self, taken: &Taken, id: &str) -> Vec<Need> {
+    pub fn of(&self, taken: &StatementArrived, id: &str) -> Vec<Need> {
         let Some(workload) = self.workloads.get(&taken.workload) else { return Vec::new() };
         let mut needs = Vec::new();
         let gap = self.turn_gap;
--- a/crates/fleet/src/gate/tests.rs
+++ b/crates/fleet/src/gate/tests.rs
@@ -37,8 +37,8 @@
 ) -> bool {
     let (key, dedup_key) = (key.map(str::to_string), dedup_key.map(str::to_string));
     let (workload, customer) = (workload.to_string(), "acme".to_string());
-    let taken = Taken { ticket, workload, customer, key, dedup_key };
-    gate.hear(0, Word::Taken(taken), |_| id.map(str::to_string));
+    let taken = StatementArrived { ticket, workload, customer, key, dedup_key };
+    gate.hear(0, PromiseEvent::Arrived(taken), |_| id.map(str::to_string));
     gate.guards(ticket)
 }
 
@@ -106,8 +106,8 @@
     }
 }
 
-fn over(ticket: Ticket, ran: bool, rests: bool) -> Gone {
-    Gone { ticket, ran, rests }
+fn over(ticket: Ticket, ran: bool, rests: bool) -> StatementOver {
+    StatementOver { ticket, ran, rests }
 }
 
 #[test]
--- a/crates/front/src/engines/mod.rs
+++ b/crates/front/src/engines/mod.rs
@@ -15,7 +15,7 @@
 use hallmux_agreement::{Allowance, Names};
 use hallmux_codec::engine::{self, Command, Line, Said, Want};
 use hallmux_codec::statement::Call;
-use hallmux_dispatcher::{Cost, Dials, Ending, Micros, Note, Place, Terms, Ticket};
+use hallmux_dispatcher::{ConnectionPacer, Cost, Ending, Micros, Note, Place, Terms, Ticket};
 
 use crate::doors::{Changes, Door};
 use crate::front::Pacer;
@@ -141,7 +141,7 @@
             executions: BTreeMap::new(),
             next: 0,
             most_links: 0,
-            dials: Pacer::new(Dials::new(false, 0, 0).into()),
+            dials: Pacer::new(ConnectionPacer::new(false, 0, 0).into()),
             lagging: VecDeque::new(),
             told: Vec::new(),
         }
--- a/crates/front/src/engines/room_tests.rs
+++ b/crates/front/src/engines/room_tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of the `room` module.
 
 use super::*;
-use hallmux_dispatcher::Dials;
+use hallmux_dispatcher::ConnectionPacer;
 
 const SECOND: Micros = 1_000_000;
 
@@ -12,7 +12,7 @@
     let allowed = Allowance { cancel: true, executions_per_connection: 2, ..Allowance::default() };
     let mut engines = Engines::new(events.handle(), allowed, &Names::default());
     engines.limit(256);
-    let mut dials = Dials::new(true, 0, 0);
+    let mut dials = ConnectionPacer::new(true, 0, 0);
     dials.pace(0, 1.0);
     engines.dials.replace(dials);
     engines.list(0, "a", listener.local_addr().unwrap(), 0.0, true);
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -12,7 +12,7 @@
 use calloop::LoopHandle;
 use hallmux_agreement::{Contract, Limits, Station};
 use hallmux_codec::coordinator::Stream;
-use hallmux_dispatcher::{Dispatcher, Micros, Rooms};
+use hallmux_dispatcher::{Dispatcher, Micros, SendCapacity};
 
 use crate::clients::Clients;
 use crate::clock::Clock;
@@ -57,7 +57,7 @@
     /// Statements that are asked of several sites, likewise.
     scatter: Option<Scatters>,
     /// What the module knows of connections that are there.
-    rooms: Rooms,
+    rooms: SendCapacity,
     shutdown: Shutdown,
     clock: Clock,
     /// Connections with more to read than one turn takes.
@@ -112,7 +112,7 @@
             rules,
             guard: None,
             scatter,
-            rooms: Rooms::default(),
+            rooms: SendCapacity::default(),
             shutdown: Shutdown::default(),
             clock,
             unfinished: Vec::new(),
--- a/crates/front/src/front/orders.rs
+++ b/crates/front/src/front/orders.rs
@@ -168,7 +168,7 @@
         }
         let Ordered { ticket, execution, place, terms, .. } = ordered;
         let (now, sent) = (self.clock.now, (ticket, execution));
-        self.rooms.took(place);
+        self.rooms.sent(place);
         if self.owns(ticket) {
             return self.portal.iter_mut().for_each(|portal| portal.send(now, sent, place, None));
         }
--- a/crates/front/src/front/rooms.rs
+++ b/crates/front/src/front/rooms.rs
@@ -4,16 +4,16 @@
 use std::rc::Rc;
 
 use hallmux_agreement::Station;
-use hallmux_dispatcher::{Dials, Micros};
+use hallmux_dispatcher::{ConnectionPacer, Micros};
 
 use super::Front;
 
 /// When this front may dial which engine, for both protocols.
-pub type Pacer = Rc<RefCell<Dials>>;
+pub type Pacer = Rc<RefCell<ConnectionPacer>>;
 
 pub fn pacer(station: &Station, now: Micros) -> Pacer {
     let paced = station.contract.agreement.budgets.is_some();
-    Rc::new(RefCell::new(Dials::new(paced, now, station.seed)))
+    Rc::new(RefCell::new(ConnectionPacer::new(paced, now, station.seed)))
 }
 
 impl Front {
@@ -23,7 +23,7 @@
             return;
         }
         let (now, engines, portal) = (self.clock.now, &self.engines, &mut self.portal);
-        self.rooms.tell(now, &mut self.dispatcher, |place| {
+        self.rooms.report(now, &mut self.dispatcher, |place| {
             let sessions = portal.as_mut().map_or(0, |portal| portal.servers().room(now, place));
             engines.room(now, place) + sessions
         });
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -10,7 +10,7 @@
 
 use calloop::LoopHandle;
 use hallmux_agreement::{Allowance, SessionLimits};
-use hallmux_dispatcher::{Dials, Ending, Micros, Place, Ticket};
+use hallmux_dispatcher::{ConnectionPacer, Ending, Micros, Place, Ticket};
 use hallmux_postgres::engine::{Account, Done, Engine};
 use hallmux_postgres::pool::{self, Pools};
 use hallmux_postgres::prepared::Settings;
@@ -177,7 +177,7 @@
             dirty: BTreeSet::new(),
             next: 0,
             most_links: usize::MAX,
-            dials: Pacer::new(Dials::new(false, 0, 0).into()),
+            dials: Pacer::new(ConnectionPacer::new(false, 0, 0).into()),
             look: 0,
             parameters: Vec::new(),
             told: Vec::new(),
--- a/crates/lab/src/simulated/connections.rs
+++ b/crates/lab/src/simulated/connections.rs
@@ -3,21 +3,21 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use hallmux_dispatcher::{Dials, Dispatcher, Ending, Place, Rooms};
+use hallmux_dispatcher::{ConnectionPacer, Dispatcher, Ending, Place, SendCapacity};
 
 use super::play::{Play, Sent};
 
 pub(super) struct Connections {
-    pub(super) dials: Dials,
+    pub(super) dials: ConnectionPacer,
     idle: BTreeMap<Place, usize>,
     busy: HashMap<Sent, Place>,
-    rooms: Rooms,
+    rooms: SendCapacity,
 }
 
 impl Connections {
     pub(super) fn new(paced: bool, now: i64, seed: u64) -> Connections {
-        let (idle, busy, rooms) = (BTreeMap::new(), HashMap::new(), Rooms::default());
-        Connections { dials: Dials::new(paced, now, seed), idle, busy, rooms }
+        let (idle, busy, rooms) = (BTreeMap::new(), HashMap::new(), SendCapacity::default());
+        Connections { dials: ConnectionPacer::new(paced, now, seed), idle, busy, rooms }
     }
 
     /// Tells the module how many executions can leave for each engine, as it changes.
@@ -25,7 +25,7 @@
         if !self.dials.is_paced() {
             return;
         }
-        self.rooms.tell(now, dispatcher, |place| {
+        self.rooms.report(now, dispatcher, |place| {
             self.idle.get(&place).copied().unwrap_or(0) + usize::from(self.dials.next(now, place) <= now)
         });
     }
@@ -50,7 +50,7 @@
         let own = self.own(n);
         let Some(life) = &mut self.members[n].life else { return false };
         let connections = &mut life.connections;
-        connections.rooms.took(place);
+        connections.rooms.sent(place);
         let idle = connections.idle.entry(place).or_default();
         let dials = *idle == 0;
         if dials && !connections.dials.take(own, place) {
