--- a/crates/dispatcher/src/completion.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -1,4 +1,4 @@
-//! Executions and statements end; what nobody needs any more is let go.
+//! The end of executions and statements; what nobody needs any more is let go.
 
 use hallmux::interface::{Cost, Ended, Event, Micros, Note, Report};
 
@@ -7,7 +7,8 @@
 use crate::{Dispatcher, Ending, Ticket};
 
 impl Dispatcher {
-    /// Says how an execution ended. True if this ends its statement: its answer now goes to the client.
+    /// Says how an execution ended, with the engine's load report and the statement's cost where the answer
+    /// carried them. True if this ends its statement: its answer now goes to the client.
     pub fn report(
         &mut self,
         now: Micros,
--- a/crates/dispatcher/src/connection_pacer.rs
+++ b/crates/dispatcher/src/connection_pacer.rs
@@ -27,17 +27,19 @@
 }
 
 impl ConnectionPacer {
-    /// Paced, it waits to be told at which pace; `seed` is the front's own.
+    /// A pacer that, where `paced`, lets nothing connect until the first [`ConnectionPacer::pace`], and
+    /// everything else. The seed is the front's own: it spreads the slots of fronts that start together.
     pub fn new(paced: bool, now: Micros, seed: u64) -> ConnectionPacer {
         let first = seed as f64 / u64::MAX as f64;
         ConnectionPacer { rate: paced.then_some(0.0), slots: 0.0, at: now, first, used: BTreeMap::new() }
     }
 
+    /// Whether connections are paced at all.
     pub fn is_paced(&self) -> bool {
         self.rate.is_some()
     }
 
-    /// From now on so many a second to each engine.
+    /// From now on so many connections a second to each engine; none where that is no positive number.
     pub fn pace(&mut self, now: Micros, connections: f64) {
         (self.slots, self.at) = (self.passed(now), now);
         // No number is no pace.
@@ -56,7 +58,7 @@
         (kept.max(used).floor() + 1.0, passed)
     }
 
-    /// When an engine may be dialled next; now, where that is over.
+    /// The time of the next slot of an engine; `now` where one may be used.
     pub fn next(&self, now: Micros, place: Place) -> Micros {
         let Some(rate) = self.rate else { return now };
         let (slot, passed) = self.next_slot(now, place);
@@ -64,7 +66,7 @@
         now.saturating_add(wait.min(FAR).ceil() as Micros)
     }
 
-    /// Whether an engine may be dialled now; if so, this is it.
+    /// Whether a connection to an engine may be begun now; if so, its slot is used up.
     pub fn take(&mut self, now: Micros, place: Place) -> bool {
         if self.rate.is_none() {
             return true;
--- a/crates/dispatcher/src/demand.rs
+++ b/crates/dispatcher/src/demand.rs
@@ -7,18 +7,20 @@
 use crate::{Dispatcher, Ticket};
 
 const HALF_LIFE: Micros = 2_000_000; // microseconds until a count is worth half: the load of some seconds
-/// Seconds of an even load that its count comes to.
+/// The count of an even demand over its rate a second, in seconds: what counts hold of a rate.
 pub const DEMAND_SECONDS: f64 = HALF_LIFE as f64 / 1e6 / std::f64::consts::LN_2;
 const LEAST_WEIGHT: f64 = 0.05; // weight of the newest sample in the mean work
 
 /// What was asked of a workload lately; counts halve with time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DemandCounts {
+    /// Statements that arrived.
     pub asked: f64,
-    /// Of those admitted: with their final answer, and of these in time.
+    /// Statements, of those admitted, that had their final answer.
     pub ended: f64,
+    /// Statements, of those ended, that were answered within their SLO time.
     pub timely: f64,
-    /// The mean of what one takes on one thread, in microseconds; 0 where none was answered yet.
+    /// The mean work of a statement on one thread, in microseconds; 0 where none was answered yet.
     pub work: f64,
     at: Micros,
 }
@@ -47,13 +49,13 @@
 }
 
 impl Dispatcher {
-    /// What this front was asked lately, by the names of workloads.
+    /// The demand on this front over the last seconds, by the names of workloads.
     pub fn workload_demand(&mut self, now: Micros) -> impl Iterator<Item = (&str, &DemandCounts)> {
         self.workload_demand.iter_mut().for_each(|o| o.fade(now));
         self.names.workloads.iter().map(String::as_str).zip(&self.workload_demand)
     }
 
-    /// The same of customers, where any has an agreed share; None: without one.
+    /// The same by the names of customers; nothing where none has an agreed share, None for one without.
     pub fn customer_demand(&mut self, now: Micros) -> impl Iterator<Item = (&str, Option<&DemandCounts>)> {
         self.customer_demand.iter_mut().for_each(|(_, o)| o.fade(now));
         let any = self.customer_demand.iter().any(|(shared, _)| *shared);
@@ -62,7 +64,7 @@
         all.map(|(name, (shared, asked))| (name, Some(asked).filter(|_| *shared)))
     }
 
-    /// What the fronts that tell were asked, in the order of workloads and customers.
+    /// Hands the demand on the fleet to the module, in the order of workloads and customers.
     pub fn fleet_demand(&mut self, demand: FleetDemand) {
         self.events.push(Event::FleetDemand(demand));
     }
--- a/crates/dispatcher/src/ending.rs
+++ b/crates/dispatcher/src/ending.rs
@@ -2,6 +2,7 @@
 
 use hallmux::interface::Outcome;
 
+/// How an execution ended on the network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     /// The whole result is here.
@@ -22,7 +23,7 @@
     BrokenNew,
     /// No descriptor or buffer could be had for a connection, which says nothing of the engine.
     NoMeans,
-    /// It was given up, or its engine drains, before its first byte left.
+    /// It was cancelled, or its engine drains, before its first byte left.
     Withdrawn,
     /// The connection broke before its last byte left: no engine has it whole.
     HalfWritten,
@@ -33,22 +34,22 @@
     /// What came over the connection can't be read, is no result or stopped short, so it was closed from
     /// here.
     Unreadable,
-    /// The connection was closed from here, as another execution could not be given up otherwise.
+    /// The connection was closed from here, as another execution could not be cancelled otherwise.
     ClosedHere,
     /// The client's time is up.
     TimeUp,
-    /// Given up by decision.
+    /// Cancelled by decision.
     GivenUp,
 }
 
 impl Ending {
-    /// Whether it leaves it open that the statement has run.
+    /// Whether the statement may have run; false only where this ending proves that it has not.
     pub fn may_have_run(self) -> bool {
         !matches!(self.outcome(), Outcome::NoCapacity | Outcome::Unreachable | Outcome::NotSent)
     }
 
-    /// The one table of what an ending proves. `NoCapacity`, `Unreachable` and `NotSent` say that nothing
-    /// ran.
+    /// What the ending means to the module: the one table of what it proves. `NoCapacity`, `Unreachable` and
+    /// `NotSent` say that nothing ran.
     pub fn outcome(self) -> Outcome {
         match self {
             Ending::Answered => Outcome::Completed,
--- a/crates/dispatcher/src/engines.rs
+++ b/crates/dispatcher/src/engines.rs
@@ -8,17 +8,23 @@
 /// A line of the engine list, by the names that the settings use.
 #[derive(Clone, Debug)]
 pub struct Listing<'a> {
+    /// Its id on the engine list.
     pub id: &'a str,
+    /// The name of its location; one that the settings do not have is like none of theirs.
     pub location: &'a str,
+    /// The name of its kind; likewise.
     pub kind: &'a str,
+    /// Its cell, a part of a location.
     pub cell: usize,
+    /// Whether it takes statements.
     pub mode: Mode,
+    /// The time of its last start, where that is known.
     pub started: Option<Micros>,
     /// The protocols that it takes statements in.
     pub protocols: &'a [Protocol],
 }
 
-/// An engine's id, while it is listed or has executions out.
+/// An engine, while it is listed or has executions in flight.
 pub struct Engine {
     pub id: String,
     pub entry: EngineEntry,
@@ -29,7 +35,8 @@
 }
 
 impl Dispatcher {
-    /// Takes a change of the engine list and gives each line's place back, in order.
+    /// Takes the whole engine list, or a change of it, and returns the place of each line, in order. Engines
+    /// that a whole list lacks are gone.
     pub fn list(&mut self, whole: bool, listings: &[Listing]) -> Vec<Place> {
         let mut places = Vec::new();
         let mut entries = Vec::new();
@@ -91,6 +98,7 @@
         self.events.push(Event::SendCapacity { engine: place, executions });
     }
 
+    /// A probe ended: whether the engine answered, and the load report that it answered with.
     pub fn probed(&mut self, now: Micros, place: Place, alive: bool, report: Option<Report>) {
         if let Some(engine) = self.engines.get_mut(place).filter(|_| alive) {
             engine.stats.fade(now);
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,6 +1,10 @@
-//! A small facade in blocking style over the decision module. `pick` asks for an engine for a statement,
-//! `report` says how an execution ended, `tick` decides on all that was told since and returns what the
-//! network is to do. Whoever calls it knows neither the module's events nor its actions.
+//! A small facade in blocking style over the decision module. [`Dispatcher::pick`] asks for an engine for a
+//! statement, [`Dispatcher::report`] says how an execution ended, [`Dispatcher::tick`] decides on all that
+//! was said since and returns what the network is to do. Whoever calls it knows neither the module's events
+//! nor its actions. Like the module it has no clock and does no input or output; `now` must not run
+//! backwards.
+
+#![warn(missing_docs)]
 
 mod completion;
 mod connection_pacer;
@@ -40,7 +44,7 @@
 /// A statement as this front knows it, from `pick` until it is over and nothing is out for it.
 pub type Ticket = StatementId;
 
-/// An engine as this front knows it.
+/// An engine as this front knows it: its index, which another engine may have once this one is gone.
 pub type Place = usize;
 
 /// Idempotent statements without an order key depend on nothing.
@@ -52,6 +56,7 @@
     list.iter().position(|n| n == name)
 }
 
+/// The statements, engines and order keys of one front, and the module that decides on them.
 pub struct Dispatcher {
     front: Front,
     names: Names,
@@ -81,6 +86,8 @@
 }
 
 impl Dispatcher {
+    /// A front at its start, by its settings. The seed drives its random draws and differs from front to
+    /// front.
     pub fn new(contract: &Contract, seed: u64) -> Self {
         Dispatcher {
             front: Front::new(contract.agreement.clone(), seed),
--- a/crates/dispatcher/src/observations.rs
+++ b/crates/dispatcher/src/observations.rs
@@ -1,4 +1,4 @@
-//! What is spoken of by the fleet: what this front has seen of engines, and what others say of them.
+//! What this front reports to others of engines, and what others report of them.
 
 use hallmux::interface::{EngineEntry, Event, Micros, Mode, PeerReport};
 
@@ -53,13 +53,17 @@
 /// What this front has seen of an engine, for others.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineObservation<'a> {
+    /// Its id on the engine list.
     pub id: &'a str,
-    /// Executions that failed or were lost, and that were answered, of some seconds.
+    /// Executions there that failed or were lost over the last seconds; older ones count less.
     pub failed: f64,
+    /// Executions there that were answered over the last seconds; older ones count less.
     pub answered: f64,
-    /// How long it has said nothing though something is out there.
+    /// The time for which it has sent nothing with executions in flight; 0 where that is short.
     pub silent: Micros,
+    /// It takes no new statements.
     pub draining: bool,
+    /// The time of its last start, where that is known.
     pub started: Option<Micros>,
 }
 
--- a/crates/dispatcher/src/orders.rs
+++ b/crates/dispatcher/src/orders.rs
@@ -1,64 +1,83 @@
-//! A statement goes out: decisions become orders to the network.
+//! What the module decides becomes orders to the network.
 
 use hallmux::interface::{Action, Event, Micros};
 
 use crate::statements::Execution;
 use crate::{Dispatcher, Ending, Place, Ticket};
 
-/// What holds for an execution.
+/// What holds for one execution.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    /// When its client's time is up.
+    /// The time at which its client stops waiting.
     pub ends: Micros,
     /// It may not leave for its engine later: engines drop its repeats for a while only.
     pub leave_by: Micros,
-    /// 0 leaves it to the engine.
+    /// The memory to grant, in MB; 0 leaves it to the engine.
     pub grant_mb: f64,
+    /// 0 to 3; a higher one goes first.
     pub priority: u8,
 }
 
 /// What the network is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
+    /// Send a statement to an engine.
     Send {
+        /// The statement.
         ticket: Ticket,
+        /// The number of this execution among those of the statement, from 0.
         execution: usize,
+        /// The engine.
         place: Place,
+        /// What holds for the execution.
         terms: Terms,
     },
+    /// Change the priority of an execution in flight.
     Hurry {
+        /// The statement.
         ticket: Ticket,
+        /// The number of the execution.
         execution: usize,
+        /// The new priority, 0 to 3.
         priority: u8,
     },
-    /// Give the execution up and report it: as told, or as withdrawn where it never left.
+    /// Cancel the execution and report its end: with this ending, or as withdrawn where it never left.
     Stop {
+        /// The statement.
         ticket: Ticket,
+        /// The number of the execution.
         execution: usize,
+        /// The ending to report.
         ending: Ending,
     },
-    /// Final: trying again is harmless.
+    /// The final answer: the statement is rejected, and trying again is harmless.
     Reject {
+        /// The statement.
         ticket: Ticket,
+        /// The time after which the client may try again; None where no time may be named.
         retry_after: Option<Micros>,
     },
-    /// Final: nothing is promised.
+    /// The final answer: the statement is aborted, and it may have run.
     Abort {
+        /// The statement.
         ticket: Ticket,
     },
+    /// Probe an engine.
     Probe {
+        /// The engine.
         place: Place,
         /// On behalf of the fleet: only whoever owns that work may send it.
         for_fleet: bool,
     },
-    /// From now on so many new connections a second to each engine at most.
+    /// From now on this front may make so many connections to each engine.
     Pace {
+        /// New connections a second.
         connections: f64,
     },
 }
 
 impl Dispatcher {
-    /// When `tick` is next due, whatever happens.
+    /// The time at which [`Dispatcher::tick`] is next due; 0 where something waits to be decided on.
     pub fn wake(&self) -> Micros {
         if !self.events.is_empty() {
             return 0;
@@ -66,7 +85,7 @@
         self.ends.first().map_or(self.wake, |(ends, _)| self.wake.min(*ends))
     }
 
-    /// Decides on all that was told since the last call.
+    /// Decides on all that happened since the last call; the orders are to be carried out in this order.
     pub fn tick(&mut self, now: Micros) -> Vec<Order> {
         let mut orders = Vec::new();
         while let Some(&(ends, ticket)) = self.ends.first().filter(|(ends, _)| *ends <= now) {
--- a/crates/dispatcher/src/promises.rs
+++ b/crates/dispatcher/src/promises.rs
@@ -6,26 +6,36 @@
 use crate::statements::Statement;
 use crate::{Ask, Dispatcher, Ending, Place, Ticket};
 
-/// What whoever keeps promises is told, in the order in which it happened.
+/// What happens to statements that depend on promises, in the order in which it happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PromiseEvent {
+    /// Such a statement was taken.
     Arrived(StatementArrived),
     /// The transaction of such a statement keeps its order key, until it is freed.
     KeyKept(String),
+    /// The transaction that kept an order key is over.
     KeyFreed {
+        /// The order key.
         key: String,
+        /// The transaction may still run: the key pauses.
         rests: bool,
     },
+    /// Such a statement is over.
     Over(StatementOver),
 }
 
 /// A statement that depends on promises, as it was asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatementArrived {
+    /// The statement.
     pub ticket: Ticket,
+    /// The name of its workload.
     pub workload: String,
+    /// The name of its customer.
     pub customer: String,
+    /// Its order key.
     pub key: Option<String>,
+    /// The mark by which its repeats are known.
     pub dedup_key: Option<String>,
 }
 
@@ -41,10 +51,11 @@
 /// A statement that depends on promises is over with nothing out for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatementOver {
+    /// The statement.
     pub ticket: Ticket,
     /// It may have run.
     pub ran: bool,
-    /// Some execution of it may be running on: its order key rests.
+    /// Some execution of it may be running on: its order key pauses.
     pub rests: bool,
 }
 
@@ -60,7 +71,9 @@
 /// Where an engine is, by place in the settings: the same on every front.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Site {
+    /// The place of its location.
     pub location: usize,
+    /// Its cell, a part of the location.
     pub cell: usize,
 }
 
@@ -70,6 +83,7 @@
         self.watches_promises = true;
     }
 
+    /// What has happened to statements that depend on promises since the last call.
     pub fn promise_events(&mut self) -> Vec<PromiseEvent> {
         std::mem::take(&mut self.promise_events)
     }
@@ -101,6 +115,7 @@
         promised
     }
 
+    /// Where an engine is; the default where there is no such engine.
     pub fn site(&self, place: Place) -> Site {
         let entry = self.engines.get(place).map(|e| &e.entry);
         entry.map(|e| Site { location: e.location, cell: e.cell }).unwrap_or_default()
--- a/crates/dispatcher/src/statements.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -1,4 +1,4 @@
-//! A statement is taken: what it asks for, and what is known of it until it is over.
+//! Statements: what one asks for, and what is known of it from its arrival until it is over.
 
 use hallmux::interface::{Arrival, Event, KeyId, Micros};
 
@@ -8,16 +8,23 @@
 /// What a statement asks for.
 #[derive(Clone, Debug, Default)]
 pub struct Ask<'a> {
+    /// The name of its workload.
     pub workload: &'a str,
+    /// The name of its customer; any where the settings name none.
     pub customer: &'a str,
+    /// Its order key.
     pub key: Option<&'a str>,
+    /// The mark by which its repeats are known.
     pub dedup_key: Option<&'a str>,
+    /// The time that its client still waits.
     pub time_left: Micros,
-    /// Microseconds on one thread, 0 where it is not told.
+    /// An estimate of its work on one thread, in microseconds; 0 where there is none.
     pub work: f64,
-    /// 0 where it is not told.
+    /// An estimate of the memory that it needs, in MB; 0 where there is none.
     pub memory_mb: f64,
+    /// The data set that it reads or loads, where that is known.
     pub data_set: Option<u32>,
+    /// The protocol that it is sent in.
     pub protocol: Protocol,
     /// The engine of the open transaction it belongs to.
     pub pinned: Option<Place>,
@@ -28,17 +35,21 @@
 /// A protocol that statements are sent to engines in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Protocol {
+    /// The line protocol of the engines.
     #[default]
     Lines = 1,
+    /// PostgreSQL's protocol 3.
     Postgres = 2,
 }
 
 /// Why a statement was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unfit {
+    /// The settings have no such workload.
     Workload,
+    /// The settings have no such customer.
     Customer,
-    /// It may run twice, and engines could not tell.
+    /// It has no mark by which engines could drop its repeats, which its workload needs.
     DedupKey,
     /// No location is allowed to it, or not that of its open transaction.
     Barred,
@@ -93,14 +104,15 @@
 }
 
 impl Dispatcher {
-    /// A ticket for what is no statement here itself, but is answered by parts that are.
+    /// A new ticket, for what is no statement here itself but is answered by parts that are.
     pub fn number(&mut self) -> Ticket {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         ticket
     }
 
-    /// Asks for an engine; the answer comes with a later `tick`.
+    /// Takes a statement that arrives now and asks for an engine; the answer comes with a later
+    /// [`Dispatcher::tick`]. An error says why it was not taken: then nothing is kept of it.
     pub fn pick(&mut self, now: Micros, ask: &Ask) -> Result<Ticket, Unfit> {
         let workload = position(&self.names.workloads, ask.workload).ok_or(Unfit::Workload)?;
         let customer = match position(&self.names.customers, ask.customer) {
