--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,16 +1,20 @@
-//! A small facade in blocking style over the decision module. `pick` asks for an engine for a statement,
-//! `report` says how an execution ended, `tick` decides on all that was told since and returns what the
-//! network is to do. Whoever calls it knows neither the module's events nor its actions.
+//! A small facade in blocking style over the decision module. [`Dispatcher::pick`] asks for an engine for a
+//! statement, [`Dispatcher::report`] says how an execution ended, [`Dispatcher::tick`] decides on all that
+//! was said since and returns what the network is to do. Whoever calls it knows neither the module's events
+//! nor its actions. Like the module it has no clock and does no input or output; `now` must not run
+//! backwards.
+
+#![warn(missing_docs)]
 
 mod completion;
+mod connection_pacer;
 mod demand;
-mod dials;
 mod ending;
 mod engines;
 mod observations;
 mod orders;
-mod promised;
-mod rooms;
+mod promises;
+mod send_capacity;
 mod statements;
 #[cfg(test)]
 mod test_support;
@@ -23,24 +27,24 @@
 
 use demand::DemandCounts;
 use engines::Engine;
-use promised::Depends;
+use promises::Depends;
 use statements::{Key, Statement};
 
+pub use connection_pacer::ConnectionPacer;
 pub use demand::DEMAND_SECONDS;
-pub use dials::Dials;
 pub use ending::Ending;
 pub use engines::Listing;
 pub use hallmux::interface::{DedupGroup, Demand, Effect, FleetDemand, Micros, Mode, Note};
 pub use observations::EngineObservation;
 pub use orders::{Order, Terms};
-pub use promised::{Gone, Site, Taken, Word};
-pub use rooms::Rooms;
+pub use promises::{PromiseEvent, Site, StatementArrived, StatementOver};
+pub use send_capacity::SendCapacity;
 pub use statements::{Ask, Protocol, Unfit};
 
 /// A statement as this front knows it, from `pick` until it is over and nothing is out for it.
 pub type Ticket = StatementId;
 
-/// An engine as this front knows it.
+/// An engine as this front knows it: its index, which another engine may have once this one is gone.
 pub type Place = usize;
 
 /// Idempotent statements without an order key depend on nothing.
@@ -52,6 +56,7 @@
     list.iter().position(|n| n == name)
 }
 
+/// The statements, engines and order keys of one front, and the module that decides on them.
 pub struct Dispatcher {
     front: Front,
     names: Names,
@@ -69,18 +74,20 @@
     free_keys: Vec<KeyId>,
     resting: BTreeSet<(Micros, String)>,
     engines: Vec<Engine>,
-    watches: bool,
+    watches_promises: bool,
     depends: Vec<Depends>,                      // by workload
     workload_demand: Vec<DemandCounts>,         // likewise
     customer_demand: Vec<(bool, DemandCounts)>, // likewise by customer, and whether a share is agreed
     threads: Vec<f64>,                          // that a statement takes, likewise
     in_time: Vec<(Micros, f64)>, // the SLO time, and by how much it is longer for each microsecond of work
-    words: Vec<Word>,
+    promise_events: Vec<PromiseEvent>,
     followed: Vec<Ticket>,
     longest_retry_after: Option<Micros>,
 }
 
 impl Dispatcher {
+    /// A front at its start, by its settings. The seed drives its random draws and differs from front to
+    /// front.
     pub fn new(contract: &Settings, seed: u64) -> Self {
         Dispatcher {
             front: Front::new(contract.agreement.clone(), seed),
@@ -103,7 +110,7 @@
             free_keys: Vec::new(),
             resting: BTreeSet::new(),
             engines: Vec::new(),
-            watches: false,
+            watches_promises: false,
             depends: contract.agreement.workloads.iter().map(depends).collect(),
             workload_demand: vec![DemandCounts::default(); contract.agreement.workloads.len()],
             customer_demand: (contract.agreement.customers.iter())
@@ -113,7 +120,7 @@
             in_time: (contract.agreement.workloads.iter())
                 .map(|w| (w.slo_time, w.slo_stretch / w.threads))
                 .collect(),
-            words: Vec::new(),
+            promise_events: Vec::new(),
             followed: Vec::new(),
             longest_retry_after: contract.agreement.longest_retry_after,
         }
--- a/crates/dispatcher/src/promised.rs
+++ b/crates/dispatcher/src/promises.rs
@@ -6,26 +6,36 @@
 use crate::statements::Statement;
 use crate::{Ask, Dispatcher, Ending, Place, Ticket};
 
-/// What whoever keeps promises is told, in the order in which it happened.
+/// What happens to statements that depend on promises, in the order in which it happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Word {
-    Taken(Taken),
+pub enum PromiseEvent {
+    /// Such a statement was taken.
+    Arrived(StatementArrived),
     /// The transaction of such a statement keeps its order key, until it is freed.
-    Keeps(String),
-    Freed {
+    KeyKept(String),
+    /// The transaction that kept an order key is over.
+    KeyFreed {
+        /// The order key.
         key: String,
+        /// The transaction may still run: the key pauses.
         rests: bool,
     },
-    Gone(Gone),
+    /// Such a statement is over.
+    Over(StatementOver),
 }
 
 /// A statement that depends on promises, as it was asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Taken {
+pub struct StatementArrived {
+    /// The statement.
     pub ticket: Ticket,
+    /// The name of its workload.
     pub workload: String,
+    /// The name of its customer.
     pub customer: String,
+    /// Its order key.
     pub key: Option<String>,
+    /// The mark by which its repeats are known.
     pub dedup_key: Option<String>,
 }
 
@@ -40,38 +50,42 @@
 
 /// A statement that depends on promises is over with nothing out for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Gone {
+pub struct StatementOver {
+    /// The statement.
     pub ticket: Ticket,
     /// It may have run.
     pub ran: bool,
-    /// Some execution of it may be running on: its order key rests.
+    /// Some execution of it may be running on: its order key pauses.
     pub rests: bool,
 }
 
-impl Gone {
-    pub(crate) fn of(ticket: Ticket, s: &Statement) -> Gone {
+impl StatementOver {
+    pub(crate) fn of(ticket: Ticket, s: &Statement) -> StatementOver {
         let endings = || s.executions.iter().filter_map(|x| x.ending);
         let runs_on =
             |e: Ending| matches!(e.outcome(), Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
-        Gone { ticket, ran: endings().any(Ending::may_have_run), rests: endings().any(runs_on) }
+        StatementOver { ticket, ran: endings().any(Ending::may_have_run), rests: endings().any(runs_on) }
     }
 }
 
 /// Where an engine is, by place in the settings: the same on every front.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Site {
+    /// The place of its location.
     pub location: usize,
+    /// Its cell, a part of the location.
     pub cell: usize,
 }
 
 impl Dispatcher {
     /// From now on statements that depend on promises are told of, in `words`.
-    pub fn watch(&mut self) {
-        self.watches = true;
+    pub fn watch_promises(&mut self) {
+        self.watches_promises = true;
     }
 
-    pub fn words(&mut self) -> Vec<Word> {
-        std::mem::take(&mut self.words)
+    /// What has happened to statements that depend on promises since the last call.
+    pub fn promise_events(&mut self) -> Vec<PromiseEvent> {
+        std::mem::take(&mut self.promise_events)
     }
 
     /// The end of a statement is to be told by `followed`.
@@ -85,12 +99,12 @@
     }
 
     /// Tells of a statement that was taken, if it depends on promises: whether it does.
-    pub(crate) fn tell_taken(&mut self, ticket: Ticket, ask: &Ask, workload: usize) -> bool {
+    pub(crate) fn announce_arrival(&mut self, ticket: Ticket, ask: &Ask, workload: usize) -> bool {
         let depends = self.depends.get(workload).copied().unwrap_or_default();
-        let promised = self.watches && (depends.always || depends.in_order && ask.key.is_some());
+        let promised = self.watches_promises && (depends.always || depends.in_order && ask.key.is_some());
         if promised {
             let text = |text: Option<&str>| text.map(str::to_string);
-            self.words.push(Word::Taken(Taken {
+            self.promise_events.push(PromiseEvent::Arrived(StatementArrived {
                 ticket,
                 workload: ask.workload.to_string(),
                 customer: ask.customer.to_string(),
@@ -101,6 +115,7 @@
         promised
     }
 
+    /// Where an engine is; the default where there is no such engine.
     pub fn site(&self, place: Place) -> Site {
         let entry = self.engines.get(place).map(|e| &e.entry);
         entry.map(|e| Site { location: e.location, cell: e.cell }).unwrap_or_default()
@@ -152,5 +167,5 @@
 }
 
 #[cfg(test)]
-#[path = "promised_tests.rs"]
+#[path = "promises_tests.rs"]
 mod tests;
--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use hallmux_agreement::Settings;
-use hallmux_dispatcher::{Gone, Micros, Place, Site, Taken, Terms, Ticket, Word};
+use hallmux_dispatcher::{Micros, Place, PromiseEvent, Site, StatementArrived, StatementOver, Terms, Ticket};
 use hallmux_ledger::{self as ledger, Done, Key, Kind};
 
 pub use guard::{Guard, LedgerClient};
@@ -99,20 +99,20 @@
 
     /// Takes in what the dispatcher reports of statements that require entries. `id` gives the name that such
     /// a statement has on whichever front it is retried, if it has one.
-    pub fn observe(&mut self, now: Micros, word: Word, id: impl Fn(Ticket) -> Option<String>) {
+    pub fn observe(&mut self, now: Micros, word: PromiseEvent, id: impl Fn(Ticket) -> Option<String>) {
         match word {
-            Word::Taken(taken) => {
+            PromiseEvent::Arrived(taken) => {
                 let id = id(taken.ticket);
                 self.taken(&taken, id);
             }
-            Word::Keeps(key) => self.retain_key(&key),
-            Word::Freed { key, rests } => self.release_key(now, &key, rests),
-            Word::Gone(gone) => self.end(now, gone),
+            PromiseEvent::KeyKept(key) => self.retain_key(&key),
+            PromiseEvent::KeyFreed { key, rests } => self.release_key(now, &key, rests),
+            PromiseEvent::Over(gone) => self.end(now, gone),
         }
     }
 
     /// A statement was admitted.
-    fn taken(&mut self, taken: &Taken, id: Option<String>) {
+    fn taken(&mut self, taken: &StatementArrived, id: Option<String>) {
         // A statement without a name is told apart by this front alone: its entry is for the record.
         let own = || format!("{}-{}", self.started_ms, taken.ticket);
         let requirements = self.requirements.of(taken, &id.unwrap_or_else(own));
@@ -155,7 +155,7 @@
     }
 
     /// A statement has ended, and no execution of it is out.
-    fn end(&mut self, now: Micros, gone: Gone) {
+    fn end(&mut self, now: Micros, gone: StatementOver) {
         let Some(s) = self.statements.remove(&gone.ticket) else { return };
         for Requirement { key, .. } in s.requirements {
             self.holds.get_mut(&key).into_iter().for_each(|hold| hold.end(now, gone));
--- a/crates/fleet/src/gate/guard.rs
+++ b/crates/fleet/src/gate/guard.rs
@@ -29,7 +29,7 @@
 impl Guard {
     /// For a front with a ledger, which starts at `now`: Unix time in microseconds.
     pub fn new(contract: &Settings, now: Micros, shards: u16, dispatcher: &mut Dispatcher) -> Guard {
-        dispatcher.watch();
+        dispatcher.watch_promises();
         Guard { gate: Gate::new(contract, (now / 1000) as u64, shards), last_note: 0 }
     }
 
@@ -85,7 +85,7 @@
         ledger: &mut impl LedgerClient,
         id: impl Fn(Ticket) -> Option<String>,
     ) -> Vec<Ruling> {
-        for word in dispatcher.words() {
+        for word in dispatcher.promise_events() {
             self.gate.observe(now, word, &id);
         }
         self.gate.tick(now);
--- a/crates/fleet/src/gate/hold.rs
+++ b/crates/fleet/src/gate/hold.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hallmux_dispatcher::{Gone, Micros, Ticket};
+use hallmux_dispatcher::{Micros, StatementOver, Ticket};
 use hallmux_ledger::{Act, Kind};
 
 use super::requirements::{EntryMark, EntryValue, Group};
@@ -173,7 +173,7 @@
     }
 
     /// A statement is over.
-    pub fn end(&mut self, now: Micros, gone: Gone) {
+    pub fn end(&mut self, now: Micros, gone: StatementOver) {
         self.waiting.remove(&gone.ticket);
         let rests = if self.kind == Kind::Order { gone.rests } else { gone.ran };
         if self.executing.remove(&gone.ticket) && rests {
--- a/crates/fleet/src/gate/requirements.rs
+++ b/crates/fleet/src/gate/requirements.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use hallmux_agreement::Settings;
-use hallmux_dispatcher::{Micros, Site, Taken};
+use hallmux_dispatcher::{Micros, Site, StatementArrived};
 use hallmux_ledger::{Key, Kind};
 use serde::{Deserialize, Serialize};
 
@@ -110,7 +110,7 @@
 
     /// Those of one statement, in the order in which they are claimed: the same on every front, so that no
     /// two statements wait for each other. `id` names it on whichever front it is retried.
-    pub fn of(&self, taken: &Taken, id: &str) -> Vec<Requirement> {
+    pub fn of(&self, taken: &StatementArrived, id: &str) -> Vec<Requirement> {
         let Some(workload) = self.workloads.get(&taken.workload) else { return Vec::new() };
         let mut requirements = Vec::new();
         let gap = self.order_gap;
--- a/crates/front/src/engines/mod.rs
+++ b/crates/front/src/engines/mod.rs
@@ -15,7 +15,7 @@
 use hallmux_agreement::{Names, NetworkSettings};
 use hallmux_codec::engine::{self, Command, ExecutionRequest, Reply, ReplyKind};
 use hallmux_codec::statement::Call;
-use hallmux_dispatcher::{Dials, Ending, Micros, Note, Place, Terms, Ticket};
+use hallmux_dispatcher::{ConnectionPacer, Ending, Micros, Note, Place, Terms, Ticket};
 
 use crate::events::{LoopEvents, SocketKind};
 use crate::execution::ExecutionId;
@@ -140,7 +140,7 @@
             executions: BTreeMap::new(),
             next: 0,
             max_links: 0,
-            dials: Pacer::new(Dials::new(false, 0, 0).into()),
+            dials: Pacer::new(ConnectionPacer::new(false, 0, 0).into()),
             awaiting_cancel: VecDeque::new(),
             events: Vec::new(),
         }
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -13,7 +13,7 @@
 use calloop::LoopHandle;
 use hallmux_agreement::{NodeConfig, Settings};
 use hallmux_codec::coordinator::Events as EngineListEvents;
-use hallmux_dispatcher::{Dispatcher, Micros, Rooms};
+use hallmux_dispatcher::{Dispatcher, Micros, SendCapacity};
 
 use crate::clients::Clients;
 use crate::clock::Clock;
@@ -56,7 +56,7 @@
     /// Statements that are asked of several sites, likewise.
     scatter: Option<ScatteredStatements>,
     /// What was reported to the dispatcher of how many executions can leave for each engine.
-    rooms: Rooms,
+    rooms: SendCapacity,
     shutdown: Shutdown,
     clock: Clock,
     /// Connections with more to read than one iteration takes.
@@ -112,7 +112,7 @@
             rules,
             guard: None,
             scatter,
-            rooms: Rooms::default(),
+            rooms: SendCapacity::default(),
             shutdown: Shutdown::default(),
             clock,
             unfinished: Vec::new(),
--- a/crates/front/src/front/dial_capacity.rs
+++ b/crates/front/src/front/dial_capacity.rs
@@ -4,16 +4,16 @@
 use std::rc::Rc;
 
 use hallmux_agreement::NodeConfig;
-use hallmux_dispatcher::{Dials, Micros};
+use hallmux_dispatcher::{ConnectionPacer, Micros};
 
 use super::Front;
 
 /// When this front may dial which engine, for both protocols.
-pub type Pacer = Rc<RefCell<Dials>>;
+pub type Pacer = Rc<RefCell<ConnectionPacer>>;
 
 pub fn pacer(config: &NodeConfig, now: Micros) -> Pacer {
     let paced = config.settings.agreement.budgets.is_some();
-    Rc::new(RefCell::new(Dials::new(paced, now, config.seed)))
+    Rc::new(RefCell::new(ConnectionPacer::new(paced, now, config.seed)))
 }
 
 impl Front {
@@ -23,7 +23,7 @@
             return;
         }
         let (now, engines, gateway) = (self.clock.now, &self.engines, &mut self.gateway);
-        self.rooms.tell(now, &mut self.dispatcher, |place| {
+        self.rooms.report(now, &mut self.dispatcher, |place| {
             let sessions = gateway.as_mut().map_or(0, |gateway| gateway.servers().capacity(now, place));
             engines.capacity(now, place) + sessions
         });
--- a/crates/front/src/front/dispatch.rs
+++ b/crates/front/src/front/dispatch.rs
@@ -181,7 +181,7 @@
         }
         let Ordered { ticket, execution, place, terms, .. } = ordered;
         let (now, sent) = (self.clock.now, ExecutionId::new(ticket, execution));
-        self.rooms.took(place);
+        self.rooms.sent(place);
         if self.is_of_session(ticket) {
             return self.gateway.iter_mut().for_each(|gateway| gateway.send(now, sent, place, None));
         }
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -10,7 +10,7 @@
 
 use calloop::LoopHandle;
 use hallmux_agreement::{NetworkSettings, SessionLimits};
-use hallmux_dispatcher::{Dials, Ending, Micros, Place};
+use hallmux_dispatcher::{ConnectionPacer, Ending, Micros, Place};
 use hallmux_postgres::engine::{Account, EngineConnection, UnitOutcome};
 use hallmux_postgres::pool::{self, Pools};
 use hallmux_postgres::prepared::SessionSettings;
@@ -180,7 +180,7 @@
             changed: BTreeSet::new(),
             next: 0,
             max_links: usize::MAX,
-            dials: Pacer::new(Dials::new(false, 0, 0).into()),
+            dials: Pacer::new(ConnectionPacer::new(false, 0, 0).into()),
             next_check: 0,
             parameters: Vec::new(),
             events: Vec::new(),
