--- a/crates/agreement/src/error.rs
+++ b/crates/agreement/src/error.rs
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyProblem {
     /// A key that there has to be is not there.
-    #[error("missing in NODE_CONFIG; add it as the README shows")]
+    #[error("missing in NODE_CONFIG; add it as docs/configuration.md shows")]
     Missing,
     /// Neither the key nor the variable that stands for it is there.
     #[error("missing in NODE_CONFIG, and {variable} is not set; add the key or set the variable")]
--- a/crates/agreement/src/text.rs
+++ b/crates/agreement/src/text.rs
@@ -91,7 +91,7 @@
         if position.line == there.line {
             position.column = there.column;
         }
-        let problem = KeyProblem::Rejected { reason, hint: "the README says what is meant" };
+        let problem = KeyProblem::Rejected { reason, hint: "docs/configuration.md says what is meant" };
         Error::Key { position, problem: Box::new(problem) }
     }
 }
--- a/crates/front/src/front/configuration.rs
+++ b/crates/front/src/front/configuration.rs
@@ -5,7 +5,7 @@
 use super::Front;
 
 const MEMORY_PART: u64 = 4; // statements held may take one part of so many, untaken answers another
-const CLIENTS_PART: usize = 2; // of the descriptors; clients hold a third, the rest is for engines
+const CLIENTS_PART: usize = 2; // of the descriptors clients hold one part of so many, the rest is for engines
 
 impl Front {
     /// The configuration was read again: what may change while a front runs holds from now on. One that
--- a/crates/front/tests/scripted/busy.rs
+++ b/crates/front/tests/scripted/busy.rs
@@ -5,7 +5,7 @@
 use std::net::TcpStream;
 use std::time::Instant;
 
-use crate::{Scenario, PATIENCE};
+use crate::{NotForced, Scenario, PATIENCE};
 
 const BUSY: usize = 40; // connections that keep it at work
 const QUESTIONS: usize = 2_000; // on each; all of them fit in its socket
@@ -54,7 +54,10 @@
             assert!(begun.elapsed() < PATIENCE, "a front that reads");
         }
         self.line("halt");
-        assert!(self.unread_bytes(&busy) > 0, "it had read all before it was halted");
+        // On a busy machine the signal can come after the front has read all of it.
+        if self.unread_bytes(&busy) == 0 {
+            std::panic::panic_any(NotForced);
+        }
         self.fillers.insert(NAME.to_string(), busy);
     }
 
--- a/crates/front/tests/scripted/main.rs
+++ b/crates/front/tests/scripted/main.rs
@@ -96,8 +96,12 @@
 
 const PATIENCE: Duration = Duration::from_secs(20); // for any one wait; a busy machine takes some of it
 
+const MAX_RUNS: usize = 5; // of a scenario whose order of events does not come about
 const BIG: usize = 100_000; // bytes that `BIG` in a statement stands for
 
+/// What a step panics with where the machine was too busy for the order of events that the scenario is about.
+struct NotForced;
+
 #[derive(Default)]
 struct Scenario {
     settings: Value,
@@ -182,11 +186,23 @@
     }
     assert!(!paths.is_empty());
     // Each is run whatever becomes of the others, so that one run names all that fail.
-    let fails = |path: &PathBuf| std::panic::catch_unwind(|| scenario(path)).is_err();
     let failed: Vec<PathBuf> = paths.into_iter().filter(fails).collect();
     assert!(failed.is_empty(), "failed: {failed:#?}");
 }
 
+/// Whether a scenario fails. One whose order of events did not come about says nothing of the front and is run again,
+/// a few times: then it fails, too.
+fn fails(path: &PathBuf) -> bool {
+    for _ in 0..MAX_RUNS {
+        match std::panic::catch_unwind(|| scenario(path)) {
+            Ok(()) => return false,
+            Err(why) if why.is::<NotForced>() => println!("the order of events did not come about"),
+            Err(_) => return true,
+        }
+    }
+    true
+}
+
 fn scenario(path: &PathBuf) {
     println!("{}", path.display());
     let mut scenario = Scenario::default();
