--- a/crates/drill/src/main_tests.rs
+++ b/crates/drill/src/main_tests.rs
@@ -40,6 +40,29 @@
     assert!(!reply.contains("req=9"), "{reply}");
 }
 
+#[test]
+fn an_execution_that_ends_at_another_engine_than_its_own_is_passed_over() {
+    let job = ["JOB_IN who=3 req=9 cls=0 expiresInMs=240.0 later=1", "EOF_BATCH", "BEGIN_BATCH clockMs=9"];
+    let ended = |engine: &str| {
+        format!("RETURNED who=3 req=9 seqNo=0 engine={engine} status=pass delaySeenMs=1 settled=1")
+    };
+    let (foreign, own) = (ended("e2"), ended("e1"));
+    let (errors, reply) = play(&[&FLEET[..], &job, &[&foreign, "EOF_BATCH"]].concat());
+    assert!(errors.is_empty(), "{errors:?}");
+    assert!(reply.contains("CALL_OUT who=3 req=9 engine=e1"), "{reply}");
+    // It is still looked after later on, and its own end counts.
+    let batch =
+        |n: usize| [format!("BEGIN_BATCH clockMs={}", 20 + n * 200), "RING who=3 ref=wake".to_string()];
+    let later: Vec<String> = (1..60).flat_map(batch).collect();
+    let mut lines = [&FLEET[..], &job, &[foreign.as_str(), "EOF_BATCH"]].concat();
+    for batch in later.chunks(2) {
+        lines.extend([batch[0].as_str(), batch[1].as_str(), "EOF_BATCH"]);
+    }
+    lines.extend(["BEGIN_BATCH clockMs=30000", own.as_str(), "EOF_BATCH"]);
+    let (errors, _) = play(&lines);
+    assert!(errors.is_empty(), "{errors:?}");
+}
+
 #[test]
 fn bad_lines_are_named_and_end_nothing() {
     for (line, said) in [
--- a/src/decide/learn.rs
+++ b/src/decide/learn.rs
@@ -72,7 +72,7 @@
 
     pub(super) fn noted(&mut self, id: StatementId, n: usize, e: EngineId, note: Note) {
         let Some(s) = self.statements.get_mut(&id) else { return };
-        let Some(execution) = s.executions.get_mut(n).filter(|x| x.outcome.is_none()) else { return };
+        let Some(execution) = in_flight_at(&mut s.executions, n, e) else { return };
         let tells = execution.noted(self.now, note);
         self.engines.heard_at[e] = if tells { self.now } else { self.engines.heard_at[e] };
         if let Note::SpillsMb(missing) = note {
@@ -102,7 +102,7 @@
         let (now, e) = (self.now, x.engine);
         self.engines.ensure(e, TRUSTED);
         let Some(s) = self.statements.get_mut(&x.statement) else { return };
-        let Some(sent) = s.executions.get_mut(x.execution).filter(|x| x.outcome.is_none()) else { return };
+        let Some(sent) = in_flight_at(&mut s.executions, x.execution, e) else { return };
         sent.outcome = Some(x.outcome);
         let (silent, key, was_over, ends, load) = (sent.silent, s.asked.key, s.over, s.deadline, s.load);
         self.engines.remove(e, (x.statement, x.execution), load);
--- a/src/state.rs
+++ b/src/state.rs
@@ -106,6 +106,12 @@
     pub over: bool, // it has its final answer
 }
 
+/// An execution by its number, while it is in flight at that engine. Guards against events that name another engine
+/// than the one it was sent to, of which nothing may be known.
+pub fn in_flight_at(executions: &mut [Execution], number: usize, engine: EngineId) -> Option<&mut Execution> {
+    executions.get_mut(number).filter(|x| x.outcome.is_none() && x.engine == engine)
+}
+
 impl Statement {
     pub fn new(asked: Arrival, class: usize, first_arrival: Micros, deadline: Micros, load: Load) -> Self {
         Statement {
