--- a/crates/front/src/fleet/errors.rs
+++ b/crates/front/src/fleet/errors.rs
@@ -7,7 +7,7 @@
 pub enum PeersError {
     #[error("gossip: secret_file: {file}: {why}; name a file that this front may read")]
     SecretFile { file: String, why: std::io::Error },
-    #[error("gossip: secret_file: {0}: holds no 64 parse_key digits; write this front's secret there")]
+    #[error("gossip: secret_file: {0}: holds no 64 hexadecimal digits; write this front's secret there")]
     Secret(String),
     #[error("gossip: listen: {at}: {why}; give the address of a free UDP port of this machine")]
     Listen { at: SocketAddr, why: std::io::Error },
--- a/crates/front/src/fleet/errors_tests.rs
+++ b/crates/front/src/fleet/errors_tests.rs
@@ -28,3 +28,12 @@
         assert!(text.matches("; ").count() == 1 && !text.contains('\n'), "{text}");
     }
 }
+
+#[test]
+fn a_secret_of_another_form_is_refused_in_words_that_name_the_form() {
+    let text = PeersError::Secret("/f".to_string()).to_string();
+    assert_eq!(
+        text,
+        "gossip: secret_file: /f: holds no 64 hexadecimal digits; write this front's secret there"
+    );
+}
