--- a/crates/agreement/src/error.rs
+++ b/crates/agreement/src/error.rs
@@ -2,6 +2,8 @@
 
 use std::fmt;
 
+use crate::one_line::OneLine;
+
 /// Where in a text an error is.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Position {
@@ -26,7 +28,8 @@
         if self.path.is_empty() && !between.is_empty() {
             return Ok(());
         }
-        write!(f, "{between}{}", if self.path.is_empty() { "the text" } else { &self.path })
+        // A key may be any text.
+        write!(f, "{between}{}", OneLine(if self.path.is_empty() { "the text" } else { &self.path }))
     }
 }
 
@@ -42,7 +45,7 @@
         expected: &'static str,
     },
     /// An environment variable has a value that can't be used.
-    #[error("{variable}: '{value}': {reason}; {remedy}")]
+    #[error("{variable}: '{}': {}; {remedy}", OneLine(.value), OneLine(.reason))]
     Variable {
         /// The variable.
         variable: &'static str,
@@ -54,7 +57,11 @@
         remedy: &'static str,
     },
     /// The file that a variable names can't be read.
-    #[error("{variable}: {path}: can't be read: {reason}; name a file that the front's user may read")]
+    #[error(
+        "{variable}: {}: can't be read: {}; name a file that the front's user may read",
+        OneLine(.path),
+        OneLine(.reason)
+    )]
     UnreadableFile {
         /// The variable that names the file.
         variable: &'static str,
@@ -70,7 +77,7 @@
         position: Position,
     },
     /// A text is no JSON, or no JSON5, from a position on.
-    #[error("{position}: {reason}; mend the text from there on")]
+    #[error("{position}: {}; mend the text from there on", OneLine(.reason))]
     Malformed {
         /// From where on.
         position: Position,
@@ -86,7 +93,7 @@
         most: usize,
     },
     /// A key is missing, unknown, or has a value that can't be used.
-    #[error("{position}: {problem}")]
+    #[error("{position}: {}", OneLine(.problem))]
     Key {
         /// Where it is.
         position: Position,
@@ -94,7 +101,7 @@
         problem: Box<KeyProblem>,
     },
     /// An error of a file, by the variable that names the file.
-    #[error("{variable}: {path}: {error}")]
+    #[error("{variable}: {}: {error}", OneLine(.path))]
     InFile {
         /// The variable that names the file.
         variable: &'static str,
--- a/crates/agreement/src/error_tests.rs
+++ b/crates/agreement/src/error_tests.rs
@@ -107,3 +107,38 @@
     }
     assert_eq!(seen.len(), 8, "a kind is left out");
 }
+
+/// A text with each character that could end a line, and one that steers a terminal.
+const BREAKING: &str = "a\nb\rc\u{85}d\u{2028}e\u{2029}f\u{1b}[2J\u{0}";
+
+#[test]
+fn an_error_that_quotes_a_line_break_stays_on_one_line() {
+    let breaking = || BREAKING.to_string();
+    let at = |path: &str| Position { line: Some(7), column: None, path: path.into() };
+    let problem = |problem| Error::Key { position: at("settings.x"), problem: Box::new(problem) };
+    let key = Error::Key { position: at(BREAKING), problem: Box::new(KeyProblem::Missing) };
+    let unreadable = Error::UnreadableFile { variable: "NODE_CONFIG", path: breaking(), reason: breaking() };
+    let variable = Error::Variable {
+        variable: "NODE_LISTEN",
+        value: breaking(),
+        reason: breaking(),
+        remedy: "give an address and a port",
+    };
+    let errors = [
+        key.clone(),
+        key.in_file("HALLMUX_OPERATOR", BREAKING),
+        unreadable,
+        variable,
+        Error::Malformed { position: at(BREAKING), reason: breaking() },
+        problem(KeyProblem::Rejected { reason: breaking(), hint: "the example shows each key" }),
+        problem(KeyProblem::InvalidValue { value: breaking(), reason: breaking(), remedy: "give another" }),
+        problem(KeyProblem::UnknownWord { word: breaking(), known: vec!["all", "zone"] }),
+        problem(KeyProblem::unknown_name(BREAKING, "the settings' kinds", &[breaking()])),
+        problem(KeyProblem::from(format!("{BREAKING} can't be used; give another"))),
+    ];
+    for error in errors {
+        let text = error.to_string();
+        assert!(!text.contains(|c: char| c.is_control() || "\u{2028}\u{2029}".contains(c)), "{text:?}");
+        assert!(text.contains(r"a\nb\rc\u{85}d\u{2028}e\u{2029}f\u{1b}[2J\u{0}"), "{text}");
+    }
+}
--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -10,6 +10,7 @@
 
 mod error;
 mod node;
+mod one_line;
 mod operator;
 mod scanner;
 mod settings;
@@ -17,6 +18,7 @@
 
 pub use error::{Error, KeyProblem, Position};
 pub use node::{NodeConfig, NodeLimits};
+pub use one_line::OneLine;
 pub use operator::{
     line_of, parse_key, Audits, Gossip, Ledger, LedgerMember, LoadSignal, OnDiskFailure, Operator, Overload,
     Ownership, Postgres, PostgresEngines, Rules, Scatter, SessionLimits, SummaryBudget, User,
--- a/crates/front/src/logger.rs
+++ b/crates/front/src/logger.rs
@@ -1,8 +1,9 @@
 //! A logger of a few lines: each record is one line on standard error, with the time and the front's name.
 
 use std::io::Write;
-use std::time::SystemTime;
+use std::time::{Duration, SystemTime};
 
+use hallmux_agreement::OneLine;
 use log::{LevelFilter, Log, Metadata, Record};
 
 struct Logger {
@@ -28,11 +29,21 @@
             return;
         }
         let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        let (s, ms) = (since.as_secs(), since.subsec_millis());
-        let level = record.level().as_str().to_ascii_lowercase();
         // A log that nobody takes is no reason to stop.
-        let _ = writeln!(std::io::stderr().lock(), "{s}.{ms:03} {} {level}: {}", self.name, record.args());
+        let _ = writeln!(std::io::stderr().lock(), "{}", line(since, &self.name, record));
     }
 
     fn flush(&self) {}
 }
+
+/// A record as one line. Records quote what clients, engines and files said: none of them may write a record of
+/// its own.
+fn line(since_epoch: Duration, name: &str, record: &Record) -> String {
+    let (seconds, milliseconds) = (since_epoch.as_secs(), since_epoch.subsec_millis());
+    let level = record.level().as_str().to_ascii_lowercase();
+    format!("{seconds}.{milliseconds:03} {} {level}: {}", OneLine(name), OneLine(record.args()))
+}
+
+#[cfg(test)]
+#[path = "logger_tests.rs"]
+mod tests;
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -23,7 +23,7 @@
 
 use calloop::signals::{Event, Signal, Signals};
 use calloop::EventLoop;
-use hallmux_agreement::NodeConfig;
+use hallmux_agreement::{NodeConfig, OneLine};
 
 use events::LoopEvents;
 use front::Front;
@@ -33,7 +33,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("hallmux-front: {why}");
+            eprintln!("hallmux-front: {}", OneLine(why));
             ExitCode::FAILURE
         }
     }
--- a/crates/front/tests/refused/main.rs
+++ b/crates/front/tests/refused/main.rs
@@ -79,6 +79,11 @@
             "\"twice\"",
             "line 16: settings.requestClasses[1].repeat: unknown word 'twice'; give one of",
         ),
+        (
+            "\"once\"",
+            r#""o\nce\r""#,
+            r"line 16: settings.requestClasses[1].repeat: unknown word 'o\nce\r'; give one of",
+        ),
         ("40}", "[40]}", "line 11, column 41: settings.customers[1].allowancePerS: invalid type"),
         ("\"seed\": \"8c", "\"seed\": \"zz", "line 4: seed: 'zz1f30d27a5be964': invalid digit"),
         ("\n  }\n}", "\n  }\n", "line 19, column 0: EOF while parsing an object"),
