--- a/crates/dispatcher/src/completion.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -2,7 +2,6 @@
 
 use hallmux::interface::{Ended, Event, Micros, Note, Report};
 
-use crate::observations::SILENT;
 use crate::promises::{PromiseEvent, StatementOver};
 use crate::{Dispatcher, Ending, Ticket};
 
@@ -23,21 +22,7 @@
         let engine = &mut self.engines[x.place];
         engine.out -= 1;
         engine.held -= usize::from(std::mem::take(&mut x.held));
-        engine.stats.fade(now);
-        match ending {
-            Ending::Answered => engine.stats.record_answer(now),
-            Ending::EngineFailed | Ending::Refused | Ending::NeverUp => engine.stats.failed += 1.0,
-            Ending::Reset | Ending::Closed | Ending::Unreadable => engine.stats.failed += 1.0,
-            Ending::GivenUp | Ending::TimeUp => {
-                let silent = now - engine.stats.heard_at.max(engine.stats.busy_since);
-                engine.stats.ended_silence =
-                    Some((now, silent)).filter(|_| silent >= SILENT).or(engine.stats.ended_silence);
-            }
-            _ => {}
-        }
-        if matches!(ending, Ending::EngineFailed | Ending::TurnedAway) {
-            engine.stats.heard_at = now;
-        }
+        engine.stats.record_ending(now, ending);
         let answers = (ending == Ending::Answered || s.begun) && !s.over;
         s.over |= answers;
         let took = now - x.sent;
--- a/crates/dispatcher/src/demand.rs
+++ b/crates/dispatcher/src/demand.rs
@@ -74,7 +74,7 @@
         let Some(s) = self.statements.get(&ticket) else { return };
         let Some(demand) = self.workload_demand.get_mut(s.workload) else { return };
         demand.record_end(now, now <= s.in_time_until);
-        demand.record_work(took as f64 * self.threads.get(s.workload).copied().unwrap_or(1.0));
+        demand.record_work(took as f64 * self.workloads.get(s.workload).map_or(1.0, |w| w.threads));
     }
 
     /// Rejected or aborted; one that the module did not let in, as it ended when it came, counts as asked
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -21,13 +21,12 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use hallmux::interface::{Event, KeyId, StatementId};
+use hallmux::interface::{Event, KeyId, StatementId, Workload};
 use hallmux::Front;
 use hallmux_agreement::{Names, Settings};
 
 use demand::DemandCounts;
 use engines::Engine;
-use promises::Depends;
 use statements::{Key, Statement};
 
 pub use connection_pacer::ConnectionPacer;
@@ -47,11 +46,6 @@
 /// An engine as this front knows it: its index, which another engine may have once this one is gone.
 pub type Place = usize;
 
-/// Idempotent statements without an order key depend on nothing.
-fn depends(workload: &hallmux::interface::Workload) -> Depends {
-    Depends { in_order: workload.in_order, always: workload.effect != Effect::Idempotent }
-}
-
 fn position(list: &[String], name: &str) -> Option<usize> {
     list.iter().position(|n| n == name)
 }
@@ -60,9 +54,7 @@
 pub struct Dispatcher {
     front: Front,
     names: Names,
-    needs_dedup_key: Vec<bool>,         // by workload
-    dedup_windows: Vec<Option<Micros>>, // likewise, where engines drop repeats
-    locations: Vec<Option<Vec<usize>>>, // that workloads are bound to
+    workloads: Vec<Workload>,
     order_gap: Micros,
     warm_within: Micros,
     wake: Micros,
@@ -75,11 +67,8 @@
     resting: BTreeSet<(Micros, String)>,
     engines: Vec<Engine>,
     watches_promises: bool,
-    depends: Vec<Depends>,                      // by workload
-    workload_demand: Vec<DemandCounts>,         // likewise
-    customer_demand: Vec<(bool, DemandCounts)>, // likewise by customer, and whether a share is agreed
-    threads: Vec<f64>,                          // that a statement takes, likewise
-    in_time: Vec<(Micros, f64)>, // the SLO time, and by how much it is longer for each microsecond of work
+    workload_demand: Vec<DemandCounts>,         // by workload
+    customer_demand: Vec<(bool, DemandCounts)>, // by customer, and whether a share is agreed
     promise_events: Vec<PromiseEvent>,
     followed: Vec<Ticket>,
     longest_retry_after: Option<Micros>,
@@ -88,19 +77,14 @@
 impl Dispatcher {
     /// A front at its start, by its settings. The seed drives its random draws and differs from front to
     /// front.
-    pub fn new(contract: &Settings, seed: u64) -> Self {
+    pub fn new(settings: &Settings, seed: u64) -> Self {
+        let agreement = &settings.agreement;
         Dispatcher {
-            front: Front::new(contract.agreement.clone(), seed),
-            names: contract.names.clone(),
-            needs_dedup_key: (contract.agreement.workloads.iter())
-                .map(|w| w.effect == Effect::Deduplicated)
-                .collect(),
-            dedup_windows: (contract.agreement.workloads.iter())
-                .map(|w| (w.effect == Effect::Deduplicated).then_some(w.dedup_window))
-                .collect(),
-            locations: contract.agreement.workloads.iter().map(|w| w.locations.clone()).collect(),
-            order_gap: contract.agreement.order_gap,
-            warm_within: contract.agreement.warm_within,
+            front: Front::new(agreement.clone(), seed),
+            names: settings.names.clone(),
+            workloads: agreement.workloads.clone(),
+            order_gap: agreement.order_gap,
+            warm_within: agreement.warm_within,
             wake: 0,
             events: Vec::new(),
             next_ticket: 0,
@@ -111,18 +95,13 @@
             resting: BTreeSet::new(),
             engines: Vec::new(),
             watches_promises: false,
-            depends: contract.agreement.workloads.iter().map(depends).collect(),
-            workload_demand: vec![DemandCounts::default(); contract.agreement.workloads.len()],
-            customer_demand: (contract.agreement.customers.iter())
+            workload_demand: vec![DemandCounts::default(); agreement.workloads.len()],
+            customer_demand: (agreement.customers.iter())
                 .map(|share| (share.is_finite(), DemandCounts::default()))
                 .collect(),
-            threads: contract.agreement.workloads.iter().map(|w| w.threads).collect(),
-            in_time: (contract.agreement.workloads.iter())
-                .map(|w| (w.slo_time, w.slo_stretch / w.threads))
-                .collect(),
             promise_events: Vec::new(),
             followed: Vec::new(),
-            longest_retry_after: contract.agreement.longest_retry_after,
+            longest_retry_after: agreement.longest_retry_after,
         }
     }
 
--- a/crates/dispatcher/src/observations.rs
+++ b/crates/dispatcher/src/observations.rs
@@ -3,10 +3,10 @@
 use hallmux::interface::{EngineEntry, Event, Micros, Mode, PeerReport};
 
 use crate::engines::Engine;
-use crate::Dispatcher;
+use crate::{Dispatcher, Ending};
 
 const STATS_HALF_LIFE: Micros = 2_000_000; // microseconds until what was seen of an engine counts half
-pub const SILENT: Micros = 1_000_000; // microseconds of silence with something in flight that others are told of
+const SILENT: Micros = 1_000_000; // microseconds of silence with something in flight that others are told of
 /// Microseconds for which silence that ended with its execution cancelled is reported: else it would be taken
 /// back before the report of it reached many fronts.
 const SILENCE_REPORTED_FOR: Micros = 3_000_000;
@@ -39,6 +39,29 @@
         (self.failed, self.answered, self.at) = (self.failed * left, self.answered * left, now);
     }
 
+    /// An execution there has ended.
+    pub fn record_ending(&mut self, now: Micros, ending: Ending) {
+        self.fade(now);
+        match ending {
+            Ending::Answered => self.record_answer(now),
+            Ending::EngineFailed | Ending::Refused | Ending::NeverUp => self.failed += 1.0,
+            Ending::Reset | Ending::Closed | Ending::Unreadable => self.failed += 1.0,
+            Ending::GivenUp | Ending::TimeUp => self.record_silence(now),
+            _ => {}
+        }
+        if matches!(ending, Ending::EngineFailed | Ending::TurnedAway) {
+            self.heard_at = now;
+        }
+    }
+
+    /// An execution was given up: the silence before it is remembered if it is worth a report.
+    fn record_silence(&mut self, now: Micros) {
+        let silent = now - self.heard_at.max(self.busy_since);
+        if silent >= SILENT {
+            self.ended_silence = Some((now, silent));
+        }
+    }
+
     /// It has answered. Where it was in trouble lately, it is back.
     pub fn record_answer(&mut self, now: Micros) {
         (self.heard_at, self.ended_silence) = (now, None);
--- a/crates/dispatcher/src/orders.rs
+++ b/crates/dispatcher/src/orders.rs
@@ -2,7 +2,7 @@
 
 use hallmux::interface::{Action, Event, Micros};
 
-use crate::statements::Execution;
+use crate::statements::{repeat_window, Execution};
 use crate::{Dispatcher, Ending, Place, Ticket};
 
 /// What holds for one execution.
@@ -129,7 +129,7 @@
             }
             Action::Execute { statement: ticket, engine: place } => {
                 let Some(s) = self.statements.get_mut(&ticket) else { return };
-                let window = self.dedup_windows[s.workload];
+                let window = repeat_window(&self.workloads[s.workload]);
                 let terms = Terms { leave_by: s.repeats_until(window), ..s.terms };
                 let execution = s.executions.len();
                 s.executions.push(Execution { place, sent: now, out: true, held: false, ending: None });
--- a/crates/dispatcher/src/promises.rs
+++ b/crates/dispatcher/src/promises.rs
@@ -1,7 +1,7 @@
 //! Statements that depend on promises: each is told of when it is taken and when it is over, their executions
 //! may be held in this front before they leave, and what can't have its promise is turned away.
 
-use hallmux::interface::{Event, Micros, Note, Outcome};
+use hallmux::interface::{Effect, Event, Micros, Note, Outcome, Workload};
 
 use crate::statements::Statement;
 use crate::{Ask, Dispatcher, Ending, Place, Ticket};
@@ -39,15 +39,6 @@
     pub dedup_key: Option<String>,
 }
 
-/// What was agreed of a workload that makes statements depend on promises.
-#[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Depends {
-    /// Those with an order key do.
-    pub in_order: bool,
-    /// All do.
-    pub always: bool,
-}
-
 /// A statement that depends on promises is over with nothing out for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatementOver {
@@ -100,8 +91,8 @@
 
     /// Tells of a statement that was taken, if it depends on promises: whether it does.
     pub(crate) fn announce_arrival(&mut self, ticket: Ticket, ask: &Ask, workload: usize) -> bool {
-        let depends = self.depends.get(workload).copied().unwrap_or_default();
-        let promised = self.watches_promises && (depends.always || depends.in_order && ask.key.is_some());
+        let depends = |w: &Workload| w.effect != Effect::Idempotent || w.in_order && ask.key.is_some();
+        let promised = self.watches_promises && self.workloads.get(workload).is_some_and(depends);
         if promised {
             let text = |text: Option<&str>| text.map(str::to_string);
             self.promise_events.push(PromiseEvent::Arrived(StatementArrived {
--- a/crates/dispatcher/src/statements.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -1,6 +1,6 @@
 //! Statements: what one asks for, and what is known of it from its arrival until it is over.
 
-use hallmux::interface::{Arrival, Event, KeyId, Micros};
+use hallmux::interface::{Arrival, Effect, Event, KeyId, Micros, Workload};
 
 use crate::orders::Terms;
 use crate::{position, Dispatcher, Ending, Place, Ticket};
@@ -82,7 +82,31 @@
     pub executions: Vec<Execution>,
 }
 
+/// The time for which engines drop the repeats of a workload's statements, from the first execution on; None: they
+/// drop none.
+pub fn repeat_window(workload: &Workload) -> Option<Micros> {
+    (workload.effect == Effect::Deduplicated).then_some(workload.dedup_window)
+}
+
 impl Statement {
+    /// One that arrives now and has not been executed.
+    fn arrived(now: Micros, ask: &Ask, place: usize, workload: &Workload, promised: bool) -> Statement {
+        let stretch = workload.slo_stretch / workload.threads * ask.work;
+        let ends = now + ask.time_left;
+        Statement {
+            workload: place,
+            in_time_until: now + workload.slo_time + stretch as Micros,
+            terms: Terms { ends, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 },
+            over: false,
+            begun: false,
+            keeps: false,
+            key: ask.key.map(str::to_string),
+            promised,
+            followed: false,
+            executions: Vec::new(),
+        }
+    }
+
     /// Until when a further execution may leave, where engines drop repeats within a window: counted from the
     /// first execution that may have run. The decision is made within it, but a connection may come up late.
     pub fn repeats_until(&self, window: Option<Micros>) -> Micros {
@@ -114,14 +138,7 @@
     /// Takes a statement that arrives now and asks for an engine; the answer comes with a later
     /// [`Dispatcher::tick`]. An error says why it was not taken: then nothing is kept of it.
     pub fn pick(&mut self, now: Micros, ask: &Ask) -> Result<Ticket, Unfit> {
-        let workload = position(&self.names.workloads, ask.workload).ok_or(Unfit::Workload)?;
-        let customer = match position(&self.names.customers, ask.customer) {
-            None if !self.names.customers.is_empty() => return Err(Unfit::Customer),
-            found => found.unwrap_or(0),
-        };
-        if ask.dedup_key.is_none() && self.needs_dedup_key[workload] {
-            return Err(Unfit::DedupKey);
-        }
+        let (workload, customer) = self.agreed_places(ask)?;
         let allowed = ask.allowed.map(|names| self.allowed(workload, ask.pinned, names)).transpose()?;
         let ticket = self.number();
         let promised = self.announce_arrival(ticket, ask, workload);
@@ -139,38 +156,36 @@
             pinned: ask.pinned,
             allowed,
         }));
-        let ends = now + ask.time_left;
-        self.ends.insert((ends, ticket));
-        let key = ask.key.map(str::to_string);
-        let terms = Terms { ends, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 };
-        let executions = Vec::new();
         self.workload_demand[workload].record_arrival(now);
         self.customer_demand.get_mut(customer).into_iter().for_each(|(_, asked)| asked.record_arrival(now));
-        let (slo_time, stretch) = self.in_time[workload];
-        let in_time_until = now + slo_time + (stretch * ask.work) as Micros;
-        let statement = Statement {
-            workload,
-            in_time_until,
-            terms,
-            over: false,
-            begun: false,
-            keeps: false,
-            key,
-            promised,
-            followed: false,
-            executions,
-        };
+        let statement = Statement::arrived(now, ask, workload, &self.workloads[workload], promised);
+        self.ends.insert((statement.terms.ends, ticket));
         self.statements.insert(ticket, statement);
         Ok(ticket)
     }
 
+    /// The places of a statement's workload and customer in the agreement.
+    fn agreed_places(&self, ask: &Ask) -> Result<(usize, usize), Unfit> {
+        let workload = position(&self.names.workloads, ask.workload).ok_or(Unfit::Workload)?;
+        let customer = match position(&self.names.customers, ask.customer) {
+            None if !self.names.customers.is_empty() => return Err(Unfit::Customer),
+            found => found.unwrap_or(0),
+        };
+        let marked = ask.dedup_key.is_some() || self.workloads[workload].effect != Effect::Deduplicated;
+        if marked {
+            Ok((workload, customer))
+        } else {
+            Err(Unfit::DedupKey)
+        }
+    }
+
     /// The places of the locations allowed. An error where nothing is left to send to: as it would be at any
     /// try.
     fn allowed(&self, workload: usize, pinned: Option<Place>, names: &[&str]) -> Result<Vec<usize>, Unfit> {
         // A name that the settings do not have allows nothing: no engine is told apart by it.
         let mut allowed: Vec<usize> =
             names.iter().filter_map(|name| position(&self.names.locations, name)).collect();
-        let bound = self.locations.get(workload).and_then(Option::as_ref);
+        let bound = self.workloads.get(workload).and_then(|w| w.locations.as_ref());
         allowed.retain(|location| bound.is_none_or(|bound| bound.contains(location)));
         let there = |place: Place| self.engines.get(place).map(|e| e.entry.location);
         match pinned.and_then(there) {
