--- a/crates/agreement/src/node.rs
+++ b/crates/agreement/src/node.rs
@@ -91,75 +91,100 @@
 
     /// Reads the text of the file that `NODE_CONFIG` names. Variables go before its keys.
     pub fn parse(variables: &HashMap<String, String>, text: &str) -> Result<NodeConfig, Error> {
-        let whole_file = Section { name: "", text, lines: 0 };
-        let file: File = whole_file.read()?;
-        // The variables go before the file: they are what the one who started the program sees.
-        let variable_or_key = |variable: &'static str, key: &str, in_file: Option<String>| {
-            let value = variables.get(variable).cloned().or(in_file);
-            value.ok_or_else(|| whole_file.error(key, KeyProblem::MissingWithVariable { variable }))
-        };
-        let missing = |key: &str| Error::Key {
-            position: Position { path: key.to_string(), ..Position::default() },
-            problem: Box::new(KeyProblem::Missing),
-        };
-        let section = |name: &'static str, raw: &'_ RawValue| (name, text::lines_before(text, raw.get()));
+        let sources = Sources { variables, file: Section { name: "", text, lines: 0 } };
+        let file: File = sources.file.read()?;
         let seed = file.seed.ok_or_else(|| missing("seed"))?;
-        let limits: FileLimits = match file.limits {
-            Some(raw) => {
-                let (name, lines) = section("limits", raw);
-                Section { name, text: raw.get(), lines }.read()?
-            }
+        let limits = match file.limits {
+            Some(limits) => sources.section("limits", limits).read()?,
             None => FileLimits::default(),
         };
-        let raw = file.settings.ok_or_else(|| missing("settings"))?;
-        let (name, lines) = section("settings", raw);
-        let mut settings = settings_of(&Section { name, text: raw.get(), lines })?;
-        let operator = match variables.get("HALLMUX_OPERATOR") {
-            Some(path) => {
-                let text = text::file("HALLMUX_OPERATOR", path)?;
-                Operator::parse(&text, &settings).map_err(|e| e.in_file("HALLMUX_OPERATOR", path))?
-            }
-            None => Operator::default(),
-        };
-        operator.apply(&mut settings.agreement.report);
-        if let Some(gossip) = &operator.gossip {
-            settings.agreement.zone_quorum = gossip.zone_quorum;
-            gossip.overload.iter().for_each(|o| o.apply(&mut settings.agreement));
-        }
-        let address = |variable: &'static str, key: &str, in_file: Option<String>| {
-            let value = variable_or_key(variable, key, in_file)?;
-            match variables.contains_key(variable) {
-                true => from_variable(variable, &value, ADDRESS),
-                false => from_key(&whole_file, key, &value, value.parse(), ADDRESS),
-            }
-        };
+        let settings = file.settings.ok_or_else(|| missing("settings"))?;
+        let mut settings = settings_of(&sources.section("settings", settings))?;
+        let operator = sources.operator(&settings)?;
+        operator.apply(&mut settings.agreement);
+        let coordinator = file.coordinator.map(|at| sources.parsed("coordinator", &at, at.parse(), ADDRESS));
         let level = variables.get("HALLMUX_LOG").map_or(LEVEL, String::as_str);
         Ok(NodeConfig {
-            name: variable_or_key("NODE_NAME", "name", file.name)?,
-            listen: address("NODE_LISTEN", "listen", file.listen)?,
-            seed: from_key(&whole_file, "seed", &seed, u64::from_str_radix(&seed, 16), SEED)?,
+            name: sources.text("NODE_NAME", "name", file.name)?,
+            listen: sources.address("NODE_LISTEN", "listen", file.listen)?,
+            seed: sources.parsed("seed", &seed, u64::from_str_radix(&seed, 16), SEED)?,
             limits: NodeLimits {
                 memory_bytes: limits.memory_mb.saturating_mul(1 << 20),
                 sockets: limits.sockets,
             },
-            coordinator: (file.coordinator)
-                .map(|at| from_key(&whole_file, "coordinator", &at, at.parse(), ADDRESS))
-                .transpose()?,
+            coordinator: coordinator.transpose()?,
             known_events: file.known.map_or_else(|| NOTHING_KNOWN.to_string(), |raw| raw.get().to_string()),
             settings,
             operator,
-            log_level: from_variable(
-                "HALLMUX_LOG",
-                level,
-                "give one of off, error, warn, info, debug, trace",
-            )?,
+            log_level: from_variable("HALLMUX_LOG", level, LEVELS)?,
             clock_file: variables.get("HALLMUX_CLOCK").map(PathBuf::from),
         })
     }
 }
 
+/// What a configuration is read from. Variables go before keys of the file: they are what the one who started the
+/// program sees.
+struct Sources<'a> {
+    variables: &'a HashMap<String, String>,
+    file: Section<'a>,
+}
+
+impl<'a> Sources<'a> {
+    /// An object of the file that is read by itself.
+    fn section(&self, name: &'a str, raw: &'a RawValue) -> Section<'a> {
+        Section { name, text: raw.get(), lines: text::lines_before(self.file.text, raw.get()) }
+    }
+
+    /// The value of a variable, or else of a key.
+    fn text(&self, variable: &'static str, key: &str, in_file: Option<String>) -> Result<String, Error> {
+        let value = self.variables.get(variable).cloned().or(in_file);
+        value.ok_or_else(|| self.file.error(key, KeyProblem::MissingWithVariable { variable }))
+    }
+
+    fn address(
+        &self,
+        variable: &'static str,
+        key: &str,
+        in_file: Option<String>,
+    ) -> Result<SocketAddr, Error> {
+        let value = self.text(variable, key, in_file)?;
+        match self.variables.contains_key(variable) {
+            true => from_variable(variable, &value, ADDRESS),
+            false => self.parsed(key, &value, value.parse(), ADDRESS),
+        }
+    }
+
+    /// The value of a key as it was read, or an error that names the key.
+    fn parsed<T, E: std::fmt::Display>(
+        &self,
+        key: &str,
+        value: &str,
+        read: Result<T, E>,
+        remedy: &'static str,
+    ) -> Result<T, Error> {
+        read.map_err(|e| {
+            let (value, reason) = (value.to_string(), e.to_string());
+            self.file.error(key, KeyProblem::InvalidValue { value, reason, remedy })
+        })
+    }
+
+    /// The operator's own file, if a variable names one.
+    fn operator(&self, settings: &Settings) -> Result<Operator, Error> {
+        let Some(path) = self.variables.get(OPERATOR) else { return Ok(Operator::default()) };
+        let text = text::file(OPERATOR, path)?;
+        Operator::parse(&text, settings).map_err(|e| e.in_file(OPERATOR, path))
+    }
+}
+
+fn missing(key: &str) -> Error {
+    let position = Position { path: key.to_string(), ..Position::default() };
+    Error::Key { position, problem: Box::new(KeyProblem::Missing) }
+}
+
+const OPERATOR: &str = "HALLMUX_OPERATOR";
 const ADDRESS: &str = "give an address and a port, like 127.0.0.1:9090";
 const SEED: &str = "give up to 16 hexadecimal digits";
+const LEVELS: &str = "give one of off, error, warn, info, debug, trace";
 
 fn from_variable<T>(variable: &'static str, value: &str, remedy: &'static str) -> Result<T, Error>
 where
@@ -169,15 +194,3 @@
         |e: T::Err| Error::Variable { variable, value: value.into(), reason: e.to_string(), remedy };
     value.parse().map_err(invalid)
 }
-
-fn from_key<T, E: std::fmt::Display>(
-    section: &Section,
-    key: &str,
-    value: &str,
-    read: Result<T, E>,
-    remedy: &'static str,
-) -> Result<T, Error> {
-    read.map_err(|e| {
-        section.error(key, KeyProblem::InvalidValue { value: value.into(), reason: e.to_string(), remedy })
-    })
-}
--- a/crates/agreement/src/operator/file.rs
+++ b/crates/agreement/src/operator/file.rs
@@ -1,6 +1,6 @@
 //! The whole file: its sections, and the keys that belong to none of them.
 
-use hallmux::interface::{Micros, ReportLayout};
+use hallmux::interface::{Agreement, Micros, ReportLayout};
 use serde::Deserialize;
 
 use crate::settings::{micros, Settings};
@@ -57,8 +57,18 @@
 }
 
 impl Operator {
+    /// Changes what the settings agree by what the operator has chosen.
+    pub(crate) fn apply(&self, agreement: &mut Agreement) {
+        self.apply_load_signal(&mut agreement.report);
+        let Some(gossip) = &self.gossip else { return };
+        agreement.zone_quorum = gossip.zone_quorum;
+        if let Some(overload) = &gossip.overload {
+            overload.apply(agreement);
+        }
+    }
+
     /// Makes the decision module read the figure chosen and leave the other.
-    pub fn apply(&self, report: &mut ReportLayout) {
+    pub fn apply_load_signal(&self, report: &mut ReportLayout) {
         match self.load_signal {
             Some(LoadSignal::InFlight) => report.busy = None,
             Some(LoadSignal::Utilization) => report.active = None,
--- a/crates/agreement/src/operator/file_tests.rs
+++ b/crates/agreement/src/operator/file_tests.rs
@@ -48,8 +48,8 @@
     let both = REPORTING.replace(r#"["cpu", "waiting"]"#, r#"["active", "cpu"]"#);
     let settings = crate::Settings::parse(&both).unwrap();
     let (mut earlier, mut later) = (settings.agreement.report.clone(), settings.agreement.report.clone());
-    Operator::parse("{ load_signal: 'in_flight' }", &settings).unwrap().apply(&mut earlier);
-    Operator::parse("{ load_signal: 'utilization' }", &settings).unwrap().apply(&mut later);
+    Operator::parse("{ load_signal: 'in_flight' }", &settings).unwrap().apply_load_signal(&mut earlier);
+    Operator::parse("{ load_signal: 'utilization' }", &settings).unwrap().apply_load_signal(&mut later);
     assert_eq!((earlier.active, earlier.busy), (Some(0), None));
     assert_eq!((later.active, later.busy), (None, Some(1)));
 }
