--- /dev/null
+++ b/crates/front/src/engines/cancels.rs
@@ -0,0 +1,127 @@
+//! Executions that were ended from here, until their engines have surely read so.
+
+use super::*;
+
+/// An execution that was ended from here, but whose engine may not have read so yet.
+pub(super) struct AwaitingCancel {
+    sent: ExecutionId,
+    ending: Ending,
+    state: CancelState,
+}
+
+/// How far the word that ends an execution has come.
+#[derive(Clone, Copy, PartialEq)]
+enum CancelState {
+    /// A command on a connection, which ends there in the output and has not left whole; from `close_by` on
+    /// its connection is closed, once a flush has found that the network does not take it.
+    Unsent { link: LinkId, end: usize, close_by: Option<Micros> },
+    /// The connection was closed: this goes out with the next flush.
+    Closed,
+    /// It has left: its engine has surely read it by then.
+    Left { read_by: Micros },
+}
+
+impl Engines {
+    /// It ends; what was ended from here, not before its engine has read of it. Guards against two executions
+    /// of a statement, or of an order key, at once: one connection may bring the next sooner than another the
+    /// cancel of the first. Where the time is up the client is answered at once. `command`: the connection
+    /// whose output says so, and where that ends in it; none where the connection was closed.
+    pub(super) fn end_execution(
+        &mut self,
+        sent: ExecutionId,
+        ending: Ending,
+        command: Option<(LinkId, usize)>,
+    ) {
+        if !matches!(ending, Ending::GivenUp | Ending::Unreadable | Ending::ClosedHere) {
+            return self.report_end(sent, ending);
+        }
+        self.executions.remove(&sent);
+        let state = command.map_or(CancelState::Closed, |(link, end)| CancelState::Unsent {
+            link,
+            end,
+            close_by: None,
+        });
+        self.awaiting_cancel.push(AwaitingCancel { sent, ending, state });
+    }
+
+    /// An execution that is cancelled is to end at once if its client's time is up, read or not. Guards
+    /// against a final answer that waits for an engine that reads nothing.
+    pub(super) fn end_awaited(&mut self, sent: ExecutionId, ending: Ending) {
+        let before = self.awaiting_cancel.len();
+        self.awaiting_cancel.retain(|awaited| ending != Ending::TimeUp || awaited.sent != sent);
+        if self.awaiting_cancel.len() < before {
+            self.report_end(sent, ending);
+        }
+    }
+
+    /// What could leave has left. An engine's time to read a command counts from when its last byte has left:
+    /// not from when it was decided, as a front may stand still in between, nor from a flush that a full
+    /// socket did not take all of.
+    pub(super) fn cancels_flushed(&mut self, now: Micros) {
+        let timeout = self.allowance.dial_timeout;
+        for awaited in &mut self.awaiting_cancel {
+            awaited.state = match awaited.state {
+                CancelState::Unsent { link, end, close_by }
+                    if self.links.get(&link).is_some_and(|l| !l.link.has_sent_up_to(end)) =>
+                {
+                    let close_by = close_by.or(Some(now.saturating_add(timeout)));
+                    CancelState::Unsent { link, end, close_by }
+                }
+                CancelState::Unsent { .. } | CancelState::Closed => {
+                    CancelState::Left { read_by: now + CANCEL_LAG }
+                }
+                left @ CancelState::Left { .. } => left,
+            };
+        }
+    }
+
+    /// When the next wait for an engine to read of an end is over, or its connection is to be closed.
+    pub(super) fn cancels_due(&self) -> Micros {
+        let due = |awaited: &AwaitingCancel| match awaited.state {
+            CancelState::Unsent { close_by, .. } => close_by,
+            CancelState::Left { read_by } => Some(read_by),
+            CancelState::Closed => None,
+        };
+        self.awaiting_cancel.iter().filter_map(due).min().unwrap_or(Micros::MAX)
+    }
+
+    /// Reports the ends that their engines have surely read by now.
+    pub(super) fn end_cancelled(&mut self, now: Micros) {
+        let is_read = |awaited: &mut AwaitingCancel| match awaited.state {
+            CancelState::Left { read_by } => read_by <= now,
+            _ => false,
+        };
+        let read: Vec<AwaitingCancel> = self.awaiting_cancel.extract_if(.., is_read).collect();
+        read.into_iter().for_each(|awaited| self.report_end(awaited.sent, awaited.ending));
+    }
+
+    /// Whether a connection has not taken a command that ends an execution for as long as one has to come up.
+    /// Closing it gives up what is open on it, which is all that is left to tell its engine.
+    pub(super) fn is_cancel_overdue(&self, now: Micros, id: LinkId) -> bool {
+        let Some(link) = self.links.get(&id) else { return false };
+        self.awaiting_cancel.iter().any(|awaited| match awaited.state {
+            CancelState::Unsent { link: on, end, close_by } => {
+                on == id && close_by.is_some_and(|by| by <= now) && !link.link.has_sent_up_to(end)
+            }
+            _ => false,
+        })
+    }
+
+    /// A connection is over: what was cancelled on it, but not told, ends as what was still out there.
+    pub(super) fn settle_unsent_cancels(&mut self, link: LinkId, ending: Ending) {
+        let unsent = |awaited: &mut AwaitingCancel| match awaited.state {
+            CancelState::Unsent { link: on, .. } => on == link,
+            _ => false,
+        };
+        let unsent: Vec<AwaitingCancel> = self.awaiting_cancel.extract_if(.., unsent).collect();
+        for AwaitingCancel { sent, .. } in unsent {
+            let ending = match ending {
+                Ending::Reset | Ending::Closed | Ending::Unreadable => ending,
+                // From here, for whatever reason: it may have run, and its engine may read of the end only
+                // now.
+                _ => Ending::ClosedHere,
+            };
+            self.end_execution(sent, ending, None);
+        }
+    }
+}
--- a/crates/front/src/engines/engines_tests.rs
+++ b/crates/front/src/engines/engines_tests.rs
@@ -1,7 +1,15 @@
 //! Unit tests of the `engines` module.
 
 use super::*;
-use std::io::{BufRead, BufReader};
+use std::io::{BufRead, BufReader, Read};
+use std::net::{TcpListener, TcpStream};
+use std::time::{Duration, Instant};
+
+use socket2::SockRef;
+
+const PATIENCE: Duration = Duration::from_secs(20); // for any one wait; a busy machine takes some of it
+const RECEIVE_BUFFER: usize = 4 << 10; // bytes asked for at an engine: little that it leaves unread fits
+const DIAL_TIMEOUT: Micros = 250_000;
 
 #[test]
 fn what_is_given_up_ends_once_its_engine_has_read_so() {
@@ -91,3 +99,154 @@
     peer.read_line(&mut heard).unwrap();
     assert!(heard.starts_with("want 1 "), "{heard}");
 }
+
+/// Connections to one engine, which takes connections but reads nothing unless the test does.
+struct Deaf {
+    _events: calloop::EventLoop<'static, LoopEvents>,
+    engines: Engines,
+    peer: TcpStream,
+}
+
+fn sends(engines: &mut Engines, ticket: Ticket, statement: Vec<u8>) {
+    let call = Call { id: ticket.to_string(), workload: "lookup".into(), statement, ..Call::default() };
+    let terms = Terms { ends: 5_000_000, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 };
+    engines.send(0, ExecutionId::new(ticket, 0), 0, Rc::new(call), terms);
+}
+
+impl Deaf {
+    /// With statement 1 out there.
+    fn new() -> Deaf {
+        let events: calloop::EventLoop<'static, LoopEvents> = calloop::EventLoop::try_new().unwrap();
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        SockRef::from(&listener).set_recv_buffer_size(RECEIVE_BUFFER).unwrap();
+        let allowance = NetworkSettings {
+            cancel: true,
+            dial_timeout: DIAL_TIMEOUT,
+            executions_per_connection: 32,
+            ..NetworkSettings::default()
+        };
+        let mut engines = Engines::new(events.handle(), allowance, &Names::default());
+        engines.list(0, "a", listener.local_addr().unwrap(), 0.0, true);
+        sends(&mut engines, 1, b"select 1".to_vec());
+        let peer = listener.accept().unwrap().0;
+        let begun = Instant::now();
+        while engines.executions[&ExecutionId::new(1, 0)].stage != Stage::Out {
+            assert!(begun.elapsed() < PATIENCE, "the statement does not leave");
+            engines.read(0, 1);
+            engines.flush(0);
+        }
+        Deaf { _events: events, engines, peer }
+    }
+
+    /// Gives statement 1 up behind so many small commands that the socket is full, and flushes at the time
+    /// given: the command is written, but its bytes have not left.
+    fn gives_up_into_a_full_socket(&mut self, now: Micros) {
+        let begun = Instant::now();
+        while self.engines.links[&1].link.unsent() == 0 {
+            assert!(begun.elapsed() < PATIENCE, "the socket takes everything");
+            (0..1_000).for_each(|_| self.engines.set_priority(ExecutionId::new(1, 0), 2));
+            self.engines.flush(now);
+        }
+        self.engines.cancel(now, ExecutionId::new(1, 0), Ending::GivenUp);
+        self.engines.flush(now);
+        assert!(self.engines.links[&1].link.unsent() > 0 && self.engines.events.is_empty());
+    }
+
+    /// The engine reads until the front has nothing left to send, which it flushes at the time given: what is
+    /// heard.
+    fn reads_all(&mut self, now: Micros) -> String {
+        self.peer.set_nonblocking(true).unwrap();
+        let (begun, mut heard, mut chunk) = (Instant::now(), Vec::new(), vec![0; 64 << 10]);
+        while !heard.ends_with(b"never_mind 1\r\n") {
+            assert!(begun.elapsed() < PATIENCE, "not all comes");
+            match self.peer.read(&mut chunk) {
+                Ok(len) => heard.extend_from_slice(&chunk[..len]),
+                Err(e) => assert_eq!(e.kind(), ErrorKind::WouldBlock, "{e}"),
+            }
+            self.engines.flush(now);
+        }
+        String::from_utf8(heard).unwrap()
+    }
+
+    /// How executions have ended since the last look.
+    fn ended(&mut self) -> Vec<(Ticket, Ending)> {
+        let ended = |event: Event| match event {
+            Event::Ended { sent, ending, .. } => Some((sent.ticket, ending)),
+            _ => None,
+        };
+        std::mem::take(&mut self.engines.events).into_iter().filter_map(ended).collect()
+    }
+}
+
+#[test]
+fn what_is_given_up_into_a_full_socket_ends_once_the_command_has_left_and_was_read() {
+    let mut deaf = Deaf::new();
+    deaf.gives_up_into_a_full_socket(0);
+    // Its engine has not been told: nothing may go out by this end.
+    deaf.engines.expire(DIAL_TIMEOUT - 1);
+    assert_eq!(deaf.ended(), [], "its command has not left");
+    // What has come to the connection only now is read some round trips later.
+    let left_at = DIAL_TIMEOUT - 1;
+    deaf.reads_all(left_at);
+    deaf.engines.expire(left_at + CANCEL_LAG - 1);
+    assert_eq!(deaf.ended(), [], "its engine may not have read the command");
+    assert_eq!(deaf.engines.due(), left_at + CANCEL_LAG);
+    deaf.engines.expire(left_at + CANCEL_LAG);
+    assert_eq!(deaf.ended(), [(1, Ending::GivenUp)]);
+    assert_eq!(deaf.engines.links.len(), 1);
+}
+
+#[test]
+fn an_engine_that_never_takes_that_an_execution_is_given_up_is_told_by_the_end_of_its_connection() {
+    let mut deaf = Deaf::new();
+    deaf.gives_up_into_a_full_socket(1_000);
+    sends(&mut deaf.engines, 2, b"select 2".to_vec());
+    deaf.engines.expire(1_000 + DIAL_TIMEOUT - 1);
+    assert_eq!(deaf.ended(), []);
+    assert_eq!(deaf.engines.due(), 1_000 + DIAL_TIMEOUT);
+    let closed_at = 1_000 + DIAL_TIMEOUT;
+    deaf.engines.expire(closed_at);
+    assert!(deaf.engines.links.is_empty());
+    deaf.engines.flush(closed_at);
+    // What had not begun to leave surely never ran; the other may have.
+    assert_eq!(deaf.ended(), [(2, Ending::Withdrawn)]);
+    deaf.engines.expire(closed_at + CANCEL_LAG - 1);
+    assert_eq!(deaf.ended(), []);
+    deaf.engines.expire(closed_at + CANCEL_LAG);
+    assert_eq!(deaf.ended(), [(1, Ending::ClosedHere)]);
+}
+
+#[test]
+fn what_is_given_up_on_a_connection_that_is_lost_before_the_command_has_left_ends_with_it() {
+    let mut deaf = Deaf::new();
+    deaf.gives_up_into_a_full_socket(0);
+    // The engine leaves with much unread: whether that is found as a reset or as the end depends on who looks
+    // first.
+    let Deaf { engines, peer, _events } = deaf;
+    drop(peer);
+    let (begun, mut engines) = (Instant::now(), engines);
+    while !engines.links.is_empty() {
+        assert!(begun.elapsed() < PATIENCE, "the connection is not lost");
+        engines.flush(1);
+    }
+    let lost = |event: &Event| {
+        let Event::Ended { sent, ending, .. } = event else { return false };
+        *sent == ExecutionId::new(1, 0) && matches!(ending, Ending::Reset | Ending::Closed)
+    };
+    assert!(engines.events.len() == 1 && lost(&engines.events[0]));
+    engines.expire(DIAL_TIMEOUT);
+    assert_eq!(engines.events.len(), 1, "an execution ends once");
+}
+
+#[test]
+fn a_time_that_is_up_does_not_wait_for_an_engine_to_take_the_command() {
+    let mut deaf = Deaf::new();
+    deaf.gives_up_into_a_full_socket(0);
+    deaf.engines.cancel(1, ExecutionId::new(1, 0), Ending::GivenUp);
+    assert_eq!(deaf.ended(), [], "given up once more it is still out");
+    deaf.engines.cancel(2, ExecutionId::new(1, 0), Ending::TimeUp);
+    assert_eq!(deaf.ended(), [(1, Ending::TimeUp)]);
+    deaf.reads_all(3);
+    deaf.engines.expire(3 + CANCEL_LAG);
+    assert_eq!(deaf.ended(), [], "an execution ends once");
+}
--- a/crates/front/src/engines/mod.rs
+++ b/crates/front/src/engines/mod.rs
@@ -1,5 +1,6 @@
 //! Connections to query engines: executions out, answers put together from their pages.
 
+mod cancels;
 mod capacity;
 mod replies;
 mod send;
@@ -22,6 +23,7 @@
 use crate::front::Pacer;
 use crate::link::{Broken, Link};
 use crate::reuse::Reuse;
+use cancels::AwaitingCancel;
 
 const MOST_PAGES: usize = 64; // of a result; those agreed have eight
 const LONGEST_RESULT: usize = 48_000; // bytes, as the protocol has it
@@ -122,9 +124,8 @@
     /// When connections may be made; any time where nothing else is set.
     pub dials: Pacer,
     reuse: Reuse,
-    /// Cancelled, but their engines may not have read so yet, in the order in which they were. Each ends at the time
-    /// given, which is set once the command has left.
-    awaiting_cancel: VecDeque<(Option<Micros>, ExecutionId, Ending)>,
+    /// Cancelled, but their engines may not have read so yet, in the order in which they were.
+    awaiting_cancel: Vec<AwaitingCancel>,
     pub events: Vec<Event>,
 }
 
@@ -141,7 +142,7 @@
             next: 0,
             max_links: 0,
             dials: Pacer::new(ConnectionPacer::new(false, 0, 0).into()),
-            awaiting_cancel: VecDeque::new(),
+            awaiting_cancel: Vec::new(),
             events: Vec::new(),
         }
     }
@@ -151,18 +152,6 @@
         self.max_links = sockets.saturating_sub(OTHER_DESCRIPTORS).max(1);
     }
 
-    /// It ends; what was ended from here, not before its engine has read of it. Guards against two executions
-    /// of a statement, or of an order key, at once: one connection may bring the next sooner than another the
-    /// cancel of the first. Where the time is up the client is answered at once.
-    fn end_execution(&mut self, sent: ExecutionId, ending: Ending) {
-        if matches!(ending, Ending::GivenUp | Ending::Unreadable | Ending::ClosedHere) {
-            self.executions.remove(&sent);
-            self.awaiting_cancel.push_back((None, sent, ending));
-        } else {
-            self.report_end(sent, ending);
-        }
-    }
-
     fn report_end(&mut self, sent: ExecutionId, ending: Ending) {
         self.executions.remove(&sent);
         self.events.push(Event::Ended { sent, ending, report: None, result: Vec::new() });
--- a/crates/front/src/engines/send.rs
+++ b/crates/front/src/engines/send.rs
@@ -105,7 +105,7 @@
 
     /// Cancels an execution. It ends with the ending given, or as withdrawn where nothing of it has left.
     pub fn cancel(&mut self, now: Micros, sent: ExecutionId, ending: Ending) {
-        let Some(x) = self.executions.get(&sent) else { return };
+        let Some(x) = self.executions.get(&sent) else { return self.end_awaited(sent, ending) };
         let (id, name) = (x.link, x.call.id.clone());
         let Some(link) = self.links.get_mut(&id) else { return };
         // A connection silent since then, longer than one takes to come up, may be to a machine that is gone.
@@ -130,7 +130,8 @@
                 link.idle_since = now;
                 link.open.remove(&name);
                 link.cancelled.insert(name);
-                self.end_execution(sent, ending);
+                let leaves = (id, link.link.end_of_output());
+                self.end_execution(sent, ending, Some(leaves));
             }
         }
     }
--- a/crates/front/src/engines/timeouts.rs
+++ b/crates/front/src/engines/timeouts.rs
@@ -12,8 +12,7 @@
             let leaving = self.writing_since(link).map_or(Micros::MAX, |since| since + WRITE_TIMEOUT);
             dial.min(probe).min(partial).min(leaving).min(self.idle_until(link).unwrap_or(Micros::MAX))
         };
-        let lag = self.awaiting_cancel.front().and_then(|(due, ..)| *due).unwrap_or(Micros::MAX);
-        self.links.values().map(due).min().unwrap_or(Micros::MAX).min(lag)
+        self.links.values().map(due).min().unwrap_or(Micros::MAX).min(self.cancels_due())
     }
 
     pub(super) fn idle_until(&self, link: &EngineLink) -> Option<Micros> {
@@ -29,11 +28,7 @@
 
     /// Ends what has waited too long: connections not up, probes not answered, idle connections.
     pub fn expire(&mut self, now: Micros) {
-        while let Some((_, sent, ending)) =
-            self.awaiting_cancel.pop_front_if(|(due, ..)| due.is_some_and(|due| due <= now))
-        {
-            self.report_end(sent, ending);
-        }
+        self.end_cancelled(now);
         let ids: Vec<LinkId> = self.links.keys().copied().collect();
         for id in ids {
             let Some(link) = self.links.get_mut(&id) else { continue };
@@ -58,6 +53,15 @@
                 self.close(now, id, Ending::ClosedHere);
                 continue;
             }
+            if self.is_cancel_overdue(now, id) {
+                log::warn!(
+                    "engine {}: does not take that an execution is given up; its connection is closed",
+                    self.engine_name(id)
+                );
+                self.read(now, id);
+                self.close(now, id, Ending::ClosedHere);
+                continue;
+            }
             // Guards against an answer that stops short: nothing comes over such a connection any more. What has
             // come by now is read first.
             let more = self.overdue(now, id).is_some() && self.read(now, id);
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -30,11 +30,12 @@
                 Some(_) => ending,
                 None => continue,
             };
-            self.end_execution(sent, ending);
+            self.end_execution(sent, ending, None);
         }
         for _ in link.probes {
             self.events.push(Event::Probed { place: link.place, alive: false, report: None });
         }
+        self.settle_unsent_cancels(id, ending);
     }
 
     /// Sends what is to leave. Of what is queued only as much is begun as the network takes.
@@ -47,9 +48,7 @@
                 self.close(now, id, Ending::Reset);
             }
         }
-        // Counted from when the command has left, not from when it was decided: a front may stand still in between.
-        let unsent = self.awaiting_cancel.iter_mut().filter(|(due, ..)| due.is_none());
-        unsent.for_each(|(due, ..)| *due = Some(now + CANCEL_LAG));
+        self.cancels_flushed(now);
     }
 
     pub(super) fn write_queue(&mut self, now: Micros, id: LinkId) -> Result<(), Broken> {
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -33,7 +33,8 @@
     handle: LoopHandle<'static, LoopEvents>,
     pub input: Vec<u8>,
     output: Vec<u8>,
-    sent_bytes: usize, // bytes of output that were sent
+    sent_bytes: usize,    // bytes of output that were sent
+    cleared_bytes: usize, // bytes sent before those of output, over the connection's whole life
 }
 
 impl Link {
@@ -55,7 +56,8 @@
             })
             .map_err(|e| std::io::Error::other(e.error.to_string()))?;
         let handle = handle.clone();
-        Ok(Link { stream, token, handle, input: Vec::new(), output: Vec::new(), sent_bytes: 0 })
+        let (input, output) = (Vec::new(), Vec::new());
+        Ok(Link { stream, token, handle, input, output, sent_bytes: 0, cleared_bytes: 0 })
     }
 
     /// Begins a connection.
@@ -132,6 +134,17 @@
         self.unsent() == 0 || self.sent_bytes >= end
     }
 
+    /// Where what is written by now ends among all bytes of the connection, sent or not.
+    pub fn end_of_output(&self) -> usize {
+        self.cleared_bytes + self.output.len()
+    }
+
+    /// Whether all bytes were sent up to an end that `end_of_output` gave. Guards against an end from before
+    /// the output was last cleared, which `has_sent` would look for in what was written since.
+    pub fn has_sent_up_to(&self, end: usize) -> bool {
+        self.cleared_bytes + self.sent_bytes >= end
+    }
+
     /// Sends as much as the network takes.
     pub fn flush(&mut self) -> Result<(), Broken> {
         while self.unsent() > 0 {
@@ -142,6 +155,7 @@
                 Err(_) => return Err(Broken::Reset),
             }
         }
+        self.cleared_bytes += self.output.len();
         self.output.clear();
         self.output.shrink_to(READ_CHUNK);
         self.sent_bytes = 0;
