--- a/crates/front/src/front_tests.rs
+++ b/crates/front/src/front_tests.rs
@@ -19,10 +19,10 @@
 const BEFORE: usize = 3; // iterations after that in which it is still open
 
 /// A front that no loop drives, with a clock that the test moves.
-struct Driven {
-    front: Front,
+pub(super) struct Driven {
+    pub(super) front: Front,
     events: EventLoop<'static, LoopEvents>,
-    listens: SocketAddr,
+    pub(super) listens: SocketAddr,
     sessions: SocketAddr,
     files: [PathBuf; 2],
 }
@@ -36,15 +36,30 @@
 impl Driven {
     /// With an engine that speaks PostgreSQL.
     fn new(name: &str, engine: SocketAddr, cancelling: bool) -> Driven {
-        let file =
-            |kind: &str| std::env::temp_dir().join(format!("hallmux-{name}-{}.{kind}", std::process::id()));
-        let files = [file("clock"), file("json5")];
         // A port that is free: it is let go of just before the front takes it.
         let sessions = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let operator = format!(
             "{{ postgres: {{ listen: '{sessions}', engines: [{{ kinds: ['std'] }}], \
              users: {{ portal: {{ trust: true, member: 'acme', workload: 'lookup' }} }} }} }}"
         );
+        let workloads =
+            json!([{"name": "lookup", "aimMs": 2000, "deadlineMs": 8000, "repeat": "repeatable"}]);
+        let mut driven = Driven::with(name, engine, &operator, cancelling, &workloads);
+        driven.sessions = sessions;
+        driven
+    }
+
+    /// With an operator's file and workloads of the test's own.
+    pub(super) fn with(
+        name: &str,
+        engine: SocketAddr,
+        operator: &str,
+        cancelling: bool,
+        workloads: &serde_json::Value,
+    ) -> Driven {
+        let file =
+            |kind: &str| std::env::temp_dir().join(format!("hallmux-{name}-{}.{kind}", std::process::id()));
+        let files = [file("clock"), file("json5")];
         std::fs::write(&files[1], operator).unwrap();
         let variables = [("HALLMUX_CLOCK", &files[0]), ("HALLMUX_OPERATOR", &files[1])];
         let variables: HashMap<String, String> =
@@ -55,9 +70,7 @@
         let known = json!({"index": 1, "updates": [{"index": 1, "endpoints": list}]});
         let text = json!({"name": "n1", "listen": "127.0.0.1:0", "seed": "1", "known": known, "settings": {
             "instances": 1, "areas": ["here"], "kinds": ["std"], "customers": [{"name": "acme"}], "rules": {},
-            "bounds": {"cancelling": cancelling},
-            "requestClasses": [
-                {"name": "lookup", "aimMs": 2000, "deadlineMs": 8000, "repeat": "repeatable"}]}});
+            "bounds": {"cancelling": cancelling}, "requestClasses": workloads}});
         write_clock(&files[0], START);
         let config = NodeConfig::parse(&variables, &text.to_string()).unwrap();
         let known = hallmux_codec::coordinator::events(config.known_events.as_bytes()).unwrap();
@@ -65,7 +78,7 @@
         let listener = TcpListener::bind(config.listen).unwrap();
         let listens = listener.local_addr().unwrap();
         let front = Front::new(&config, &known, listener, events.handle()).unwrap();
-        Driven { front, events, listens, sessions, files }
+        Driven { front, events, listens, sessions: listens, files }
     }
 
     /// Up to the iteration in which it closes its listeners.
@@ -77,15 +90,25 @@
     }
 
     /// One iteration, as `run` has it.
-    fn goes_on(&mut self) {
+    pub(super) fn goes_on(&mut self) {
         let mut changes = LoopEvents::default();
         self.events.dispatch(Duration::ZERO, &mut changes).unwrap();
         changes.ready.drain(..).for_each(|socket| self.front.ready(socket));
         self.front.iterate();
     }
 
+    /// Waits until the loop has a change to tell, which the front has not heard of.
+    fn has_something_to_tell(&mut self) -> LoopEvents {
+        let (begun, mut changes) = (Instant::now(), LoopEvents::default());
+        while changes.ready.is_empty() {
+            assert!(begun.elapsed() < PATIENCE, "nothing has come");
+            self.events.dispatch(Duration::ZERO, &mut changes).unwrap();
+        }
+        changes
+    }
+
     /// Goes on until there is what is waited for.
-    fn until<T>(&mut self, what: &str, mut there: impl FnMut(&Front) -> Option<T>) -> T {
+    pub(super) fn until<T>(&mut self, what: &str, mut there: impl FnMut(&Front) -> Option<T>) -> T {
         let begun = Instant::now();
         loop {
             if let Some(found) = there(&self.front) {
@@ -110,7 +133,7 @@
     }
 
     /// The same until certain bytes have come, which not all before them have to be.
-    fn hears_text(&mut self, peer: &mut TcpStream, text: &str) -> String {
+    pub(super) fn hears_text(&mut self, peer: &mut TcpStream, text: &str) -> String {
         let mut all = String::new();
         while !all.contains(text) {
             let heard = self.hears(peer);
@@ -153,7 +176,7 @@
     engine.write_all(&out).unwrap();
 }
 
-fn listener() -> (TcpListener, SocketAddr) {
+pub(super) fn listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     (listener, at)
@@ -181,6 +204,27 @@
     assert!(driven.hears(&mut client).is_empty());
 }
 
+#[test]
+fn a_request_that_crosses_the_close_of_its_resting_connection_is_answered() {
+    let (_engine, at) = listener();
+    let mut driven = Driven::new("resting-client", at, true);
+    let mut client = TcpStream::connect(driven.listens).unwrap();
+    // One that can't be used is answered at once; then the connection rests.
+    client.write_all(&frame(6, "")).unwrap();
+    assert!(!driven.hears(&mut client).is_empty());
+    driven.is_about_to_close();
+    // It is there before the front closes what rests, but the loop tells of it only afterwards.
+    client.write_all(&frame(7, "select 7")).unwrap();
+    let mut changes = driven.has_something_to_tell();
+    driven.front.iterate();
+    assert!(!driven.front.listener.is_open());
+    changes.ready.drain(..).for_each(|socket| driven.front.ready(socket));
+    let heard = driven.hears(&mut client);
+    let reply = [&[0x80, 1, 0, 2, 0, 0, 0, 5][..], b"serve", &[0, 0, 0, 7, 12, 0, 1]].concat();
+    assert!(heard.len() > 4 && heard[4..].starts_with(&reply), "{heard:?}");
+    assert!(driven.hears(&mut client).is_empty());
+}
+
 #[test]
 fn a_session_that_connects_right_before_the_listener_closes_is_told_of_the_end() {
     let (_engine, at) = listener();
