--- a/crates/dispatcher/src/statements.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -111,6 +111,11 @@
         ticket
     }
 
+    /// The numbers of a statement's executions that were ordered and have not ended.
+    pub fn executions_out(&self, ticket: Ticket) -> Vec<usize> {
+        self.statements.get(&ticket).map_or(Vec::new(), |s| s.out().collect())
+    }
+
     /// Takes a statement that arrives now and asks for an engine; the answer comes with a later
     /// [`Dispatcher::tick`]. An error says why it was not taken: then nothing is kept of it.
     pub fn pick(&mut self, now: Micros, ask: &Ask) -> Result<Ticket, Unfit> {
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -359,3 +359,7 @@
 #[cfg(test)]
 #[path = "front_tests.rs"]
 mod tests;
+
+#[cfg(test)]
+#[path = "held_tests.rs"]
+mod held_tests;
--- a/crates/front/src/front/admission.rs
+++ b/crates/front/src/front/admission.rs
@@ -3,10 +3,11 @@
 use hallmux_access::Judged;
 use hallmux_codec::statement::{self, Call, Reply};
 use hallmux_codec::tables;
-use hallmux_dispatcher::{Ask, Micros, Protocol, Ticket, Unfit};
+use hallmux_dispatcher::{Ask, Ending, Micros, Protocol, Ticket, Unfit};
 
 use super::Front;
 use crate::clients::{self, ClientId};
+use crate::execution::ExecutionId;
 
 impl Front {
     pub(super) fn read_client(&mut self, id: ClientId) -> bool {
@@ -35,17 +36,40 @@
 
     /// Nobody waits for a statement any more: its executions are cancelled.
     pub(super) fn abandon(&mut self, ticket: Ticket) {
+        let mut tickets = self.scatter.as_ref().map_or(Vec::new(), |scatter| scatter.parts_of(ticket));
+        tickets.push(ticket);
         // What waits for a connection is not sent any more, also where cancelling is not allowed.
-        self.engines.abandon(ticket);
+        tickets.iter().for_each(|ticket| self.engines.abandon(*ticket));
+        let withdrawn = self.withdraw_all_held(&tickets);
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
         match self.scatter.as_mut().is_some_and(|scatter| scatter.abandon(now, ticket, dispatcher)) {
             true => self.rules.iter().for_each(|rules| rules.borrow_mut().statement_over(ticket)),
             false => self.dispatcher.left(now, ticket),
         }
+        // The statement is over first: else it could be tried anew.
+        for sent in withdrawn {
+            self.dispatcher.report(now, sent.ticket, sent.number, Ending::Withdrawn, None);
+        }
+    }
+
+    /// Lets go of all that waits for rules, promises or marks for a statement and its parts. Guards against a
+    /// load that leaves once its mark stands though its client has left, and against parts that rules hold
+    /// and forget with their whole; where cancelling is not allowed no order to stop them would come before
+    /// their time is up.
+    fn withdraw_all_held(&mut self, tickets: &[Ticket]) -> Vec<ExecutionId> {
+        let of = |ticket: &Ticket| {
+            let ticket = *ticket;
+            let out = self.dispatcher.executions_out(ticket).into_iter();
+            out.map(move |number| ExecutionId::new(ticket, number))
+        };
+        let mut held: Vec<ExecutionId> = tickets.iter().flat_map(of).collect();
+        held.retain(|sent| self.withdraw_held(self.clock.now, *sent));
+        held
     }
 
-    /// Takes a statement that a client has sent, or answers why it is not taken. `unread_for`: how long it may have
-    /// lain unread, as its client took no answers. `ended`: statements that end as their connection is closed.
+    /// Takes a statement that a client has sent, or answers why it is not taken. `unread_for`: how long it
+    /// may have lain unread, as its client took no answers. `ended`: statements that end as their connection
+    /// is closed.
     pub(super) fn admit(
         &mut self,
         client: ClientId,
--- a/crates/front/src/front/dispatch.rs
+++ b/crates/front/src/front/dispatch.rs
@@ -206,7 +206,7 @@
     }
 
     /// Lets go of an execution that waits for rules, promises or a mark: nothing of it has left. False if it does not.
-    fn withdraw_held(&mut self, now: Micros, sent: ExecutionId) -> bool {
+    pub(super) fn withdraw_held(&mut self, now: Micros, sent: ExecutionId) -> bool {
         let of = self.statement_for_rules(sent.ticket);
         let loads = self.scatter.as_mut().and_then(|scatter| scatter.loads.as_mut());
         self.rules.as_ref().is_some_and(|rules| rules.borrow_mut().cancel(of, sent))
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -1,5 +1,6 @@
 //! Statements that are asked of several sites, from their reading to their final answer.
 
+mod parts;
 mod sketches;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -305,21 +306,6 @@
         std::mem::take(&mut self.replies)
     }
 
-    /// A statement is a part of one of these.
-    pub fn owns(&self, part: Ticket) -> bool {
-        self.parts.contains_key(&part)
-    }
-
-    /// The whole that a statement is a part of.
-    pub fn whole_of(&self, part: Ticket) -> Option<Ticket> {
-        self.parts.get(&part).map(|(whole, _)| *whole)
-    }
-
-    pub fn call(&self, part: Ticket) -> Option<Rc<Call>> {
-        let (ticket, _) = self.parts.get(&part)?;
-        self.open.get(ticket).map(|statement| statement.call.clone())
-    }
-
     /// A part has its answer, or has failed for good.
     pub fn ended(
         &mut self,
--- /dev/null
+++ b/crates/front/src/scatter/statements/parts.rs
@@ -0,0 +1,25 @@
+//! Which statements are parts, and of which whole.
+
+use super::*;
+
+impl ScatteredStatements {
+    /// A statement is a part of one of these.
+    pub fn owns(&self, part: Ticket) -> bool {
+        self.parts.contains_key(&part)
+    }
+
+    /// The whole that a statement is a part of.
+    pub fn whole_of(&self, part: Ticket) -> Option<Ticket> {
+        self.parts.get(&part).map(|(whole, _)| *whole)
+    }
+
+    pub fn call(&self, part: Ticket) -> Option<Rc<Call>> {
+        let (ticket, _) = self.parts.get(&part)?;
+        self.open.get(ticket).map(|statement| statement.call.clone())
+    }
+
+    /// The parts of a whole statement that are out.
+    pub fn parts_of(&self, whole: Ticket) -> Vec<Ticket> {
+        self.open.get(&whole).map_or(Vec::new(), |statement| statement.tickets.values().copied().collect())
+    }
+}
