--- a/crates/front/src/engines/engines_tests.rs
+++ b/crates/front/src/engines/engines_tests.rs
@@ -250,3 +250,36 @@
     deaf.engines.expire(3 + CANCEL_LAG);
     assert_eq!(deaf.ended(), [], "an execution ends once");
 }
+
+#[test]
+fn a_statement_whose_end_left_as_timeouts_were_looked_at_may_have_run() {
+    let mut deaf = Deaf::new();
+    sends(&mut deaf.engines, 2, vec![b'x'; MOST_UNSENT - 1_000]);
+    deaf.engines.flush(0);
+    assert!(deaf.engines.links[&1].link.unsent() > 0, "its end has not left");
+    // The engine reads as fast as it can; each look at the timeouts sends on, until its end has left.
+    deaf.peer.set_nonblocking(true).unwrap();
+    let (begun, mut chunk) = (Instant::now(), vec![0; 64 << 10]);
+    while deaf.engines.links[&1].link.unsent() > 0 {
+        assert!(begun.elapsed() < PATIENCE, "not all comes");
+        let _ = deaf.peer.read(&mut chunk);
+        deaf.engines.expire(1);
+    }
+    deaf.engines.cancel(2, ExecutionId::new(2, 0), Ending::TimeUp);
+    assert_eq!(deaf.ended(), [(2, Ending::TimeUp)]);
+    assert_eq!(deaf.engines.links.len(), 1, "others go on there");
+}
+
+#[test]
+fn an_engine_that_leaves_too_much_untaken_has_its_executions_end_once_it_may_know() {
+    let mut deaf = Deaf::new();
+    let begun = Instant::now();
+    while !deaf.engines.links.is_empty() {
+        assert!(begun.elapsed() < PATIENCE, "the socket takes everything");
+        (0..20_000).for_each(|_| deaf.engines.set_priority(ExecutionId::new(1, 0), 2));
+        deaf.engines.flush(0);
+    }
+    assert_eq!(deaf.ended(), [], "its engine has yet to read that the connection is closed");
+    deaf.engines.expire(CANCEL_LAG);
+    assert_eq!(deaf.ended(), [(1, Ending::ClosedHere)]);
+}
--- a/crates/front/src/engines/mod.rs
+++ b/crates/front/src/engines/mod.rs
@@ -100,7 +100,7 @@
     idle_before: Micros,
     resumed_at: Micros,
     queue: VecDeque<ExecutionId>,
-    /// The one being written, and where in the output it ends; commands may follow it.
+    /// The one being written, and where it ends in the output (`Link::end_of_output`); commands may follow it.
     writing: Option<(ExecutionId, usize)>,
     open: HashMap<String, ExecutionId>,
     /// Ids that are over here; what is still said of them means nothing. Where cancelling is not allowed, these may
--- a/crates/front/src/engines/timeouts.rs
+++ b/crates/front/src/engines/timeouts.rs
@@ -42,7 +42,7 @@
             }
             // Guards against a deadline that its engine would read late: what has begun to leave can't be
             // written anew, and what has not left whole has not run.
-            let _ = link.link.flush();
+            let _ = self.flush_link(id);
             let link = &self.links[&id];
             if self.writing_since(link).is_some_and(|since| since + WRITE_TIMEOUT <= now) {
                 log::warn!(
@@ -88,7 +88,7 @@
 
     /// Since when a statement has begun to leave over a connection and has not left whole.
     fn writing_since(&self, link: &EngineLink) -> Option<Micros> {
-        let (sent, _) = link.writing.as_ref().filter(|(_, end)| !link.link.has_sent(*end))?;
+        let (sent, _) = link.writing.as_ref().filter(|(_, end)| !link.link.has_sent_up_to(*end))?;
         self.executions.get(sent).map(|x| x.sent)
     }
 
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -42,26 +42,35 @@
     pub fn flush(&mut self, now: Micros) {
         let ids: Vec<LinkId> = self.links.keys().copied().collect();
         for id in ids {
-            if self.write_queue(now, id).is_err() {
+            if let Err(ending) = self.write_queue(now, id) {
                 // What its engine had answered before the connection broke still counts.
                 self.read(now, id);
-                self.close(now, id, Ending::Reset);
+                self.close(now, id, ending);
             }
         }
         self.cancels_flushed(now);
     }
 
-    pub(super) fn write_queue(&mut self, now: Micros, id: LinkId) -> Result<(), Broken> {
+    /// Sends what the network takes over a connection that is up. A statement may have run once its last byte
+    /// has left, whatever becomes of the commands behind it. Guards against one that has left and passes for
+    /// half written: that would prove that it has not run.
+    pub(super) fn flush_link(&mut self, id: LinkId) -> Result<(), Broken> {
         let Some(link) = self.links.get_mut(&id).filter(|l| l.up) else { return Ok(()) };
+        let flushed = link.link.flush();
+        if let Some((sent, _)) = link.writing.take_if(|(_, end)| link.link.has_sent_up_to(*end)) {
+            self.executions.entry(sent).and_modify(|x| x.stage = Stage::Out);
+        }
+        flushed
+    }
+
+    /// Begins what is queued as far as the network takes it. An error is how the connection ends.
+    pub(super) fn write_queue(&mut self, now: Micros, id: LinkId) -> Result<(), Ending> {
         loop {
-            let flushed = link.link.flush();
-            // It may have run once its last byte has left, whatever becomes of the commands behind it.
-            if let Some((sent, _)) = link.writing.take_if(|(_, end)| link.link.has_sent(*end)) {
-                self.executions.entry(sent).and_modify(|x| x.stage = Stage::Out);
-            }
-            flushed?;
+            self.flush_link(id).map_err(|_| Ending::Reset)?;
+            let Some(link) = self.links.get_mut(&id).filter(|l| l.up) else { return Ok(()) };
             if link.link.unsent() > MOST_UNSENT {
-                return Err(Broken::Reset);
+                // Closed from here: its engine has yet to read so, as of anything that is given up.
+                return Err(Ending::ClosedHere);
             } else if link.link.unsent() > 0 {
                 return Ok(());
             }
@@ -89,7 +98,7 @@
             }
             engine::write(link.link.output(), &Command::Execute(request));
             (x.stage, x.sent) = (Stage::Writing, now);
-            link.writing = Some((sent, link.link.output().len()));
+            link.writing = Some((sent, link.link.end_of_output()));
         }
     }
 }
