--- a/crates/dispatcher/src/ending.rs
+++ b/crates/dispatcher/src/ending.rs
@@ -34,7 +34,8 @@
     /// What came over the connection can't be read, is no result or stopped short, so it was closed from
     /// here.
     Unreadable,
-    /// The connection was closed from here, as another execution could not be cancelled otherwise.
+    /// The connection was closed from here, as this execution or another on it could not be cancelled
+    /// otherwise, or its engine left too much untaken.
     ClosedHere,
     /// The client's time is up.
     TimeUp,
--- a/crates/front/src/held_tests.rs
+++ b/crates/front/src/held_tests.rs
@@ -24,6 +24,7 @@
 const RULES: &str = "{ version: 1, default: 'allow', rules: [\
     { name: 'here', workload: 'lookup', regions: ['here'] } ] }";
 const BY_RULES: &str = "rules: { file: 'RULES', region: 'here', lease_ms: 600 }";
+const MARKED: &str = "scatter: { workloads: ['report'], sites: { here: 'SITE' }, writes: ['lookup'] }";
 const SCATTERED: &str = "scatter: { workloads: ['lookup'], sites: { here: 'SITE' }, loads: 'none' }";
 
 /// Two fronts that keep a ledger together, which stands still as long as the other is not driven; and an
@@ -158,6 +159,17 @@
     }
 }
 
+/// A client's message that it no longer waits for a statement.
+fn forget(number: u32) -> Vec<u8> {
+    let mut message = vec![0x80, 1, 0, 4, 0, 0, 0, 6];
+    message.extend(b"forget");
+    message.extend(number.to_be_bytes());
+    message.extend([8, 0, 1]);
+    message.extend(number.to_be_bytes());
+    message.push(0);
+    [(message.len() as u32).to_be_bytes().to_vec(), message].concat()
+}
+
 /// Something waits for a mark.
 fn waits_for_a_mark(front: &Front) -> bool {
     let loads = front.scatter.as_ref().and_then(|scatter| scatter.loads.as_ref());
@@ -171,12 +183,22 @@
 
 #[test]
 fn a_load_that_waits_for_its_mark_is_not_sent_once_its_client_has_left() {
-    let more = "scatter: { workloads: ['report'], sites: { here: 'SITE' }, writes: ['lookup'] }";
-    let mut fleet = Fleet::new("marks", "repeatable", more);
+    let mut fleet = Fleet::new("marks", "repeatable", MARKED);
     let heard = fleet.hears_after_one_has_left(LOAD, waits_for_a_mark);
     fleet.has_let_go(&heard);
 }
 
+#[test]
+fn a_load_that_waits_for_its_mark_is_not_sent_once_its_client_has_cancelled_it() {
+    let mut fleet = Fleet::new("cancelled", "repeatable", MARKED);
+    let mut client = fleet.asks(1, LOAD);
+    fleet.driven.until("it is held", |front| waits_for_a_mark(front).then_some(()));
+    client.write_all(&forget(1)).unwrap();
+    fleet.driven.until("it is let go", |front| (front.dispatcher.held() == 0).then_some(()));
+    let heard = fleet.hears_the_second(LOAD);
+    fleet.has_let_go(&heard);
+}
+
 #[test]
 fn a_statement_that_waits_for_the_ledger_is_not_sent_once_its_client_has_left() {
     let mut fleet = Fleet::new("ledger", "once", "");
