--- a/crates/front/src/front_tests.rs
+++ b/crates/front/src/front_tests.rs
@@ -16,6 +16,7 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 const START: Micros = 1_800_000_000_000_000; // Unix microseconds
 const LATER: Micros = START + 700_000; // the end was asked for at the start, and the listener is due to close
+const MOST_STARTS: usize = 10; // of a front whose port was taken by somebody else
 const BEFORE: usize = 3; // iterations after that in which it is still open
 
 /// A front that no loop drives, with a clock that the test moves.
@@ -36,17 +37,19 @@
 impl Driven {
     /// With an engine that speaks PostgreSQL.
     fn new(name: &str, engine: SocketAddr, cancelling: bool) -> Driven {
-        // A port that is free: it is let go of just before the front takes it.
-        let sessions = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-        let operator = format!(
-            "{{ postgres: {{ listen: '{sessions}', engines: [{{ kinds: ['std'] }}], \
-             users: {{ portal: {{ trust: true, member: 'acme', workload: 'lookup' }} }} }} }}"
-        );
         let workloads =
             json!([{"name": "lookup", "aimMs": 2000, "deadlineMs": 8000, "repeat": "repeatable"}]);
-        let mut driven = Driven::with(name, engine, &operator, cancelling, &workloads);
-        driven.sessions = sessions;
-        driven
+        again_if_ports_are_taken(|| {
+            // A port that is free: it is let go of just before the front takes it.
+            let sessions = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+            let operator = format!(
+                "{{ postgres: {{ listen: '{sessions}', engines: [{{ kinds: ['std'] }}], \
+                 users: {{ portal: {{ trust: true, member: 'acme', workload: 'lookup' }} }} }} }}"
+            );
+            let mut driven = Driven::with(name, engine, &operator, cancelling, &workloads)?;
+            driven.sessions = sessions;
+            Ok(driven)
+        })
     }
 
     /// With an operator's file and workloads of the test's own.
@@ -56,7 +59,7 @@
         operator: &str,
         cancelling: bool,
         workloads: &serde_json::Value,
-    ) -> Driven {
+    ) -> Result<Driven, StartError> {
         let file =
             |kind: &str| std::env::temp_dir().join(format!("hallmux-{name}-{}.{kind}", std::process::id()));
         let files = [file("clock"), file("json5")];
@@ -77,8 +80,8 @@
         let events = EventLoop::try_new().unwrap();
         let listener = TcpListener::bind(config.listen).unwrap();
         let listens = listener.local_addr().unwrap();
-        let front = Front::new(&config, &known, listener, events.handle()).unwrap();
-        Driven { front, events, listens, sessions: listens, files }
+        let front = Front::new(&config, &known, listener, events.handle())?;
+        Ok(Driven { front, events, listens, sessions: listens, files })
     }
 
     /// Up to the iteration in which it closes its listeners.
@@ -162,6 +165,17 @@
     }
 }
 
+/// Makes what takes ports that were let go of for it; with others where one was taken meanwhile.
+pub(super) fn again_if_ports_are_taken<T>(mut make: impl FnMut() -> Result<T, StartError>) -> T {
+    for _ in 1..MOST_STARTS {
+        match make() {
+            Err(e) if e.to_string().contains("in use") => {}
+            other => return other.unwrap(),
+        }
+    }
+    make().unwrap()
+}
+
 fn asks(session: &mut TcpStream, text: &str) {
     let mut out = Vec::new();
     wire::write_query(&mut out, text.as_bytes());
--- a/crates/front/src/held_tests.rs
+++ b/crates/front/src/held_tests.rs
@@ -2,7 +2,7 @@
 //! cancelling is not allowed: none of them is ever sent.
 
 use std::io::{Read, Write};
-use std::net::{TcpStream, UdpSocket};
+use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::path::PathBuf;
 use std::time::Instant;
 
@@ -10,7 +10,7 @@
 use hallmux_access::Judged;
 use serde_json::json;
 
-use super::tests::{listener, Driven};
+use super::tests::{again_if_ports_are_taken, listener, Driven};
 use super::*;
 use crate::clients::tests::frame;
 
@@ -65,15 +65,12 @@
         let rules = folder.join("rules.json5");
         std::fs::write(&rules, RULES).unwrap();
         let more = more.replace("RULES", &rules.display().to_string()).replace("SITE", &public(0));
-        // Ports that are free: they are let go of just before the fronts take them.
-        let sockets = [0, 1].map(|_| UdpSocket::bind("127.0.0.1:0").unwrap());
-        let at = sockets.map(|socket| socket.local_addr().unwrap());
         let (engine, engine_at) = listener();
         engine.set_nonblocking(true).unwrap();
         let workloads = json!([
             {"name": "lookup", "aimMs": 10000, "deadlineMs": 15000, "repeat": effect},
             {"name": "report", "aimMs": 10000, "deadlineMs": 15000, "repeat": "repeatable"}]);
-        let [driven, other] = [0, 1].map(|front| {
+        let start = |front: usize, at: [SocketAddr; 2]| {
             let key = folder.join(format!("secret-{front}"));
             std::fs::write(&key, hexadecimal(&secret(front))).unwrap();
             let operator = format!(
@@ -83,6 +80,12 @@
                 at[front], key.display(), at[1 - front], public(0), public(1), at[0], at[1]
             );
             Driven::with(&format!("held-{name}-{front}"), engine_at, &operator, false, &workloads)
+        };
+        let (driven, other) = again_if_ports_are_taken(|| {
+            // Ports that are free: they are let go of just before the fronts take them.
+            let sockets = [0, 1].map(|_| UdpSocket::bind("127.0.0.1:0").unwrap());
+            let at = sockets.map(|socket| socket.local_addr().unwrap());
+            Ok((start(0, at)?, start(1, at)?))
         });
         Fleet { driven, other, engine, folder, kept: 0 }
     }
