--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -1,7 +1,6 @@
 //! Connections of clients: statements in, one final answer out for each.
 
 mod idle;
-mod lingering;
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
@@ -10,8 +9,8 @@
 use hallmux_codec::Decoded;
 use hallmux_dispatcher::{Micros, Ticket};
 
+use crate::lingering::Lingering;
 use crate::link::Link;
-use lingering::Lingering;
 
 const MOST_OPEN: usize = 32; // statements open on a connection, as the protocol has it
 const READ_SIZE: usize = 16 << 10; // bytes taken from a client in an iteration, and one chunk: all that it may have open
@@ -129,8 +128,8 @@
     /// A connection has changed: takes what the client has sent, and sends on where it takes more again.
     /// True if there is more for another iteration.
     pub fn read(&mut self, now: Micros, id: ClientId, well: bool, events: &mut Vec<Event>) -> bool {
-        if self.lingering.read(id) {
-            return false;
+        if let Some(more) = self.lingering.read(id) {
+            return more;
         }
         let Some(client) = self.clients.get_mut(&id) else { return false };
         self.changed.insert(id);
@@ -366,6 +365,7 @@
             std::mem::take(&mut self.paused).into_iter().partition(with_unsent);
         self.paused.extend(paused);
         ready.extend(std::mem::take(&mut self.found_unread));
+        ready.extend(self.lingering.take_unread());
         ready
     }
 }
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -326,7 +326,7 @@
     pub fn is_done(&self) -> bool {
         !self.listener.is_open()
             && self.clients.len() == 0
-            && self.gateway.as_ref().is_none_or(|gateway| gateway.len() == 0)
+            && self.gateway.as_ref().is_none_or(Gateway::is_done)
             // What it holds of the ledger is freed first.
             && self.guard.as_ref().is_none_or(Guard::is_idle)
     }
@@ -338,6 +338,7 @@
             let reserve = || {
                 let sessions = gateway.as_ref().map_or(0, Gateway::len);
                 let free = clients.len() + sessions < most
+                    || gateway.as_mut().is_some_and(Gateway::drop_lingering)
                     || clients.evict_idle()
                     || gateway.as_mut().is_some_and(|gateway| gateway.evict_idle(now));
                 free.then_some(())
--- a/crates/front/src/front/configuration.rs
+++ b/crates/front/src/front/configuration.rs
@@ -6,6 +6,8 @@
 
 const MEMORY_PART: u64 = 4; // statements held may take one part of so many, untaken answers another
 const CLIENTS_PART: usize = 2; // of the descriptors clients hold one part of so many, the rest is for engines
+const LINGERING_PART: usize = 64; // one part of so many is for sessions that are being closed, beside those
+const MOST_LINGERING: usize = 8; // descriptors of that part at most: each is held for a second, usually less
 
 impl Front {
     /// The configuration was read again: what may change while a front runs holds from now on. One that
@@ -41,7 +43,9 @@
         let engines = limits.sockets - self.max_clients;
         match &mut self.gateway {
             Some(gateway) => {
-                gateway.limit(engines / 2);
+                let lingering = (limits.sockets / LINGERING_PART).min(MOST_LINGERING);
+                let engines = engines - lingering;
+                gateway.limit(engines / 2, lingering);
                 self.engines.limit(engines - engines / 2);
             }
             None => self.engines.limit(engines),
--- /dev/null
+++ b/crates/front/src/lingering_tests.rs
@@ -0,0 +1,75 @@
+//! Unit tests of the `lingering` module.
+
+use std::io::{ErrorKind, Read, Write};
+use std::net::{TcpListener, TcpStream};
+use std::time::{Duration, Instant};
+
+use calloop::EventLoop;
+use socket2::SockRef;
+
+use super::*;
+use crate::events::{LoopEvents, SocketKind};
+
+const PATIENCE: Duration = Duration::from_secs(20);
+const BUFFER: usize = 1200 << 10; // bytes asked for on the receiving side; half of that must be granted
+const MUCH: usize = 600 << 10; // bytes; three iterations take them
+
+/// A client, and the front's side of its connection, over which nothing was read yet.
+fn connection(events: &EventLoop<'static, LoopEvents>) -> (TcpStream, TcpStream, Link) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    SockRef::from(&listener).set_recv_buffer_size(BUFFER).unwrap();
+    let peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let (stream, _) = listener.accept().unwrap();
+    let link = Link::new(stream.try_clone().unwrap(), &events.handle(), SocketKind::Session.id(1)).unwrap();
+    (peer, stream, link)
+}
+
+#[test]
+fn what_one_iteration_leaves_is_read_though_nothing_more_comes() {
+    let events = EventLoop::try_new().unwrap();
+    let (mut peer, stream, link) = connection(&events);
+    stream.set_nonblocking(false).unwrap();
+    peer.write_all(&vec![b'x'; MUCH]).unwrap();
+    // All of it lies there before the close, and no event tells of it later.
+    let (begun, mut there) = (Instant::now(), vec![0; MUCH]);
+    while stream.peek(&mut there).unwrap() < MUCH {
+        assert!(begun.elapsed() < PATIENCE, "a receive buffer that holds {MUCH} bytes");
+    }
+    stream.set_nonblocking(true).unwrap();
+    let mut lingering = Lingering::default();
+    lingering.close(0, 1, link);
+    assert_eq!(lingering.take_unread(), [1]);
+    assert!(lingering.take_unread().is_empty());
+    while lingering.read(1) == Some(true) {}
+    assert_eq!(stream.peek(&mut there).unwrap_err().kind(), ErrorKind::WouldBlock);
+    assert_eq!(peer.read(&mut [0]).unwrap(), 0);
+    drop(peer);
+    let begun = Instant::now();
+    while lingering.len() > 0 {
+        assert!(begun.elapsed() < PATIENCE, "its client has closed");
+        lingering.read(1);
+    }
+    assert_eq!(lingering.read(1), None);
+}
+
+#[test]
+fn the_one_that_has_lingered_longest_is_dropped_and_each_at_its_bound() {
+    let events = EventLoop::try_new().unwrap();
+    let connections = [connection(&events), connection(&events), connection(&events)];
+    let mut lingering = Lingering::default();
+    let mut peers = Vec::new();
+    // The numbers do not tell which came first.
+    for ((peer, _, link), (now, id)) in connections.into_iter().zip([(0, 3), (1, 1), (2, 2)]) {
+        lingering.close(now, id, link);
+        peers.push(peer);
+    }
+    assert_eq!(lingering.due(), LINGER_TIMEOUT);
+    assert!(lingering.drop_oldest());
+    assert_eq!([1, 2, 3].map(|id| lingering.read(id)), [Some(false), Some(false), None]);
+    assert_eq!(lingering.due(), 1 + LINGER_TIMEOUT);
+    lingering.expire(1 + LINGER_TIMEOUT);
+    assert_eq!([1, 2].map(|id| lingering.read(id)), [None, Some(false)]);
+    lingering.expire(2 + LINGER_TIMEOUT);
+    assert!(!lingering.drop_oldest());
+    assert_eq!((lingering.len(), lingering.due()), (0, Micros::MAX));
+}
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -8,6 +8,7 @@
 mod execution;
 mod fleet;
 mod front;
+mod lingering;
 mod link;
 mod listener;
 mod logger;
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -1,6 +1,7 @@
 //! The gateway for PostgreSQL sessions: it hands their units to the dispatcher, carries out its orders over
 //! connections to engines, and hands the answers back. Switched on by the operator's file; off, it is not there.
 
+mod accept;
 mod admission;
 mod loads;
 
@@ -20,7 +21,6 @@
 use crate::events::{LoopEvents, SocketId, SocketKind};
 use crate::execution::ExecutionId;
 use crate::fleet::rules::Shared;
-use crate::link::Link;
 use crate::listener::Listener;
 
 /// What admission of a unit depends on beyond its session.
@@ -81,16 +81,23 @@
         Ok(gateway)
     }
 
-    /// Descriptors that its engine connections may use.
-    pub fn limit(&mut self, descriptors: usize) {
+    /// Descriptors that its engine connections may use, and those that sessions which are being closed have
+    /// beside those of clients.
+    pub fn limit(&mut self, descriptors: usize, lingering: usize) {
         self.servers.limit(descriptors);
+        self.sessions.limit(lingering);
     }
 
-    /// Sessions that are connected.
+    /// Sessions that are connected, or take a descriptor until they are closed.
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
+    /// Whether all sessions are closed.
+    pub fn is_done(&self) -> bool {
+        self.sessions.is_done()
+    }
+
     /// Bytes held of what clients have sent.
     pub fn held_bytes(&self) -> usize {
         self.sessions.held_bytes()
@@ -119,7 +126,7 @@
         let more = !self.servers.events.is_empty() || !self.sessions.ready.is_empty();
         let more = more || !self.unfinished.is_empty();
         let ready = if more { 0 } else { Micros::MAX };
-        self.listener.due().min(self.servers.due()).min(ready)
+        self.listener.due().min(self.servers.due()).min(self.sessions.due()).min(ready)
     }
 
     /// A connection has changed: takes what is there. True if there is more for another iteration.
@@ -152,32 +159,6 @@
         false
     }
 
-    /// Closes a session for another connection, of whatever kind. False if none can go.
-    pub fn evict_idle(&mut self, now: Micros) -> bool {
-        self.sessions.evict_idle(now)
-    }
-
-    /// Accepts connections; `room` is how many more may be connected.
-    pub fn accept(&mut self, now: Micros, mut room: usize) {
-        loop {
-            let (sessions, most) = (&mut self.sessions, self.allowed.limits.sessions);
-            let reserve = || {
-                let free = room > 0 && sessions.len() < most || sessions.evict_idle(now);
-                free.then_some(()).ok_or_else(|| format!("{} sessions are connected", sessions.len()))
-            };
-            let Some(stream) = self.listener.accept(now, reserve) else { return };
-            let id = self.sessions.next_id();
-            room = room.saturating_sub(1);
-            match Link::new(stream, &self.handle, SocketKind::Session.id(id)) {
-                Ok(link) => {
-                    self.sessions.accept(now, id, link);
-                    self.read_on(now, SocketKind::Session.id(id));
-                }
-                Err(e) => log::warn!("a session's connection can't be served: {e}"),
-            }
-        }
-    }
-
     /// Reads a connection that the event loop has not reported; what one iteration leaves is read in the next.
     fn read_on(&mut self, now: Micros, socket: SocketId) {
         if self.ready(now, socket) {
@@ -351,7 +332,7 @@
 
     /// Sends what is to leave to clients; ends the one that takes least where all leave too much.
     pub fn flush(&mut self, now: Micros, room: AdmissionState, most: usize, dispatcher: &mut Dispatcher) {
-        for sent in self.sessions.flush() {
+        for sent in self.sessions.flush(now) {
             if let Some(link) = self.servers.pause(sent, false) {
                 self.read_on(now, SocketKind::Server.id(link));
             }
--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -16,6 +16,7 @@
 
 use super::servers::{ServerId, SessionId};
 use crate::execution::ExecutionId;
+use crate::lingering::Lingering;
 use crate::link::Link;
 
 const MOST_ARRIVALS: usize = 32; // times kept of when input came; beyond them the earlier one holds
@@ -103,6 +104,9 @@
     halted: BTreeSet<SessionId>,
     /// Not read for now: their input waits for units that are out.
     stalled: BTreeSet<SessionId>,
+    lingering: Lingering,
+    /// So many lingering connections have descriptors of their own.
+    lingering_places: usize,
     pub events: Vec<Event>,
     /// Sessions with input that may make a unit.
     pub ready: Vec<SessionId>,
@@ -148,15 +152,34 @@
             with_unsent: BTreeSet::new(),
             halted: BTreeSet::new(),
             stalled: BTreeSet::new(),
+            lingering: Lingering::default(),
+            lingering_places: 0,
             events: Vec::new(),
             ready: Vec::new(),
         }
     }
 
-    pub fn len(&self) -> usize {
+    /// Connections that are not being closed.
+    pub fn open_len(&self) -> usize {
         self.connections.len()
     }
 
+    /// Connections that take descriptors of clients: those being closed too, beyond the ones that have
+    /// descriptors of their own.
+    pub fn len(&self) -> usize {
+        self.connections.len() + self.lingering.len().saturating_sub(self.lingering_places)
+    }
+
+    /// Whether all connections are closed.
+    pub fn is_done(&self) -> bool {
+        self.connections.is_empty() && self.lingering.len() == 0
+    }
+
+    /// When the first of the connections that are being closed is dropped.
+    pub fn due(&self) -> Micros {
+        self.lingering.due()
+    }
+
     pub fn next_id(&mut self) -> SessionId {
         // Ids go out as process numbers, which have 31 bits.
         self.next = (self.next + 1) & 0x7fff_ffff;
@@ -211,6 +234,9 @@
 
     /// A connection has changed: takes what is there. True if there is more for another iteration.
     pub fn read(&mut self, now: Micros, id: SessionId) -> bool {
+        if let Some(more) = self.lingering.read(id) {
+            return more;
+        }
         let most = self.bounds.bytes;
         let Some(connection) = self.connections.get_mut(&id) else { return false };
         self.changed.insert(id);
@@ -239,16 +265,20 @@
     }
 
     /// Sends what is to leave; says which executions' clients have caught up.
-    pub fn flush(&mut self) -> Vec<ExecutionId> {
+    pub fn flush(&mut self, now: Micros) -> Vec<ExecutionId> {
         let mut caught_up = Vec::new();
         for id in std::mem::take(&mut self.changed) {
             let Some(connection) = self.connections.get_mut(&id) else { continue };
             let flushed = connection.link.flush();
             let unsent = connection.link.unsent();
-            if flushed.is_err() || connection.closing && unsent == 0 {
+            if flushed.is_err() {
                 self.disconnect(id);
                 continue;
             }
+            if connection.closing && unsent == 0 {
+                self.close(now, id);
+                continue;
+            }
             if unsent <= self.buffer / 2 && self.halted.remove(&id) {
                 if let Stage::Open(open_session) = &connection.stage {
                     caught_up.extend(open_session.running.as_ref().and_then(|r| r.sent));
@@ -270,6 +300,6 @@
         let (full, ready): (BTreeSet<_>, BTreeSet<_>) =
             std::mem::take(&mut self.stalled).into_iter().partition(full);
         self.stalled = full;
-        ready.into_iter().collect()
+        ready.into_iter().chain(self.lingering.take_unread()).collect()
     }
 }
--- a/crates/front/src/postgres/sessions/close.rs
+++ b/crates/front/src/postgres/sessions/close.rs
@@ -26,14 +26,37 @@
 
     /// A connection is over.
     pub fn disconnect(&mut self, id: SessionId) {
-        self.abandon(id);
-        if let Some(connection) = self.connections.remove(&id) {
-            self.held_bytes -= connection.link.input.len();
+        self.remove(id);
+    }
+
+    /// Closes a connection in order. Guards against a reset that destroys its last answer on the way: what
+    /// comes between the last read and the close is read and dropped.
+    pub(super) fn close(&mut self, now: Micros, id: SessionId) {
+        if let Some(connection) = self.remove(id).filter(|connection| connection.link.unsent() == 0) {
+            self.lingering.close(now, id, connection.link);
         }
+    }
+
+    /// The one way in which a connection leaves.
+    fn remove(&mut self, id: SessionId) -> Option<Connection> {
+        self.abandon(id);
         self.changed.remove(&id);
         self.with_unsent.remove(&id);
         self.stalled.remove(&id);
         self.halted.remove(&id);
+        let connection = self.connections.remove(&id)?;
+        self.held_bytes -= connection.link.input.len();
+        Some(connection)
+    }
+
+    /// Descriptors for connections that are being closed, beside those of clients.
+    pub fn limit(&mut self, lingering_places: usize) {
+        self.lingering_places = lingering_places;
+    }
+
+    /// Makes room by dropping a connection that is being closed; false if none takes a client's descriptor.
+    pub fn drop_lingering(&mut self) -> bool {
+        self.lingering.len() > self.lingering_places && self.lingering.drop_oldest()
     }
 
     /// Ends a session with a last message.
@@ -48,10 +71,13 @@
 
     /// Ends what has stood still too long. `shut` is since when the front ends.
     pub fn expire(&mut self, now: Micros, shut: Option<Micros>) {
+        self.lingering.expire(now);
         if now < self.next_check {
             return;
         }
-        self.next_check = now + CHECK_INTERVAL;
+        // Once the front ends it does not wait longer than it must.
+        let grace_over = shut.map(|since| since + GRACE).filter(|over| *over > now).unwrap_or(Micros::MAX);
+        self.next_check = grace_over.min(now + CHECK_INTERVAL);
         let mut over: Vec<(SessionId, Option<ClientError>)> = Vec::new();
         for (id, connection) in &mut self.connections {
             match &connection.stage {
@@ -80,13 +106,13 @@
         for (id, why) in over {
             match why {
                 Some(why) => self.dismiss(id, &why),
-                None => self.disconnect(id),
+                None => self.close(now, id),
             }
         }
     }
 
     /// Makes room for a newcomer: of those that never came in the one that has waited longest, else of those
-    /// that rest outside a transaction.
+    /// that rest outside a transaction. It may linger where there are descriptors for that.
     pub fn evict_idle(&mut self, now: Micros) -> bool {
         let rank = |(id, p): (&SessionId, &Connection)| match &p.stage {
             Stage::LoggingIn(_) => Some((false, p.last_active, *id)),
@@ -107,7 +133,8 @@
             // Its last message goes as far as the network takes it at once.
             let _ = connection.link.flush();
         }
-        self.disconnect(id);
+        self.close(now, id);
+        self.drop_lingering();
         true
     }
 
