--- a/crates/front/src/front_tests.rs
+++ b/crates/front/src/front_tests.rs
@@ -15,6 +15,8 @@
 
 #[path = "postgres/session_close_tests.rs"]
 mod session_close;
+#[path = "postgres/session_units_tests.rs"]
+mod session_units;
 
 const PATIENCE: Duration = Duration::from_secs(20);
 const START: Micros = 1_800_000_000_000_000; // Unix microseconds
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -16,7 +16,7 @@
 
 use self::admission::final_answer;
 use super::error::ListenError;
-use super::servers::{self, Servers, Unit};
+use super::servers::{self, Servers, SessionId, Unit};
 use super::sessions::{self, Sessions, Users};
 use crate::events::{LoopEvents, SocketId, SocketKind};
 use crate::execution::ExecutionId;
@@ -103,6 +103,11 @@
         self.sessions.held_bytes()
     }
 
+    /// Bytes of the answers that clients have not taken yet, and the session that has left most.
+    pub fn unsent(&self) -> (usize, Option<SessionId>) {
+        self.sessions.unsent()
+    }
+
     pub fn owns(&self, ticket: Ticket) -> bool {
         self.sessions.owns(ticket)
     }
@@ -337,7 +342,7 @@
                 self.read_on(now, SocketKind::Server.id(link));
             }
         }
-        if let (untaken, Some(id)) = self.sessions.unsent() {
+        if let (untaken, Some(id)) = self.unsent() {
             if untaken > most {
                 log::warn!("session {id}: takes no answers, {untaken} bytes wait; its connection is closed");
                 self.sessions.disconnect(id);
--- a/crates/front/src/postgres/session_close_tests.rs
+++ b/crates/front/src/postgres/session_close_tests.rs
@@ -8,7 +8,7 @@
 
 impl Driven {
     /// Goes on until the connection ends: all that was heard till then.
-    fn hears_end(&mut self, peer: &mut TcpStream) -> String {
+    pub(super) fn hears_end(&mut self, peer: &mut TcpStream) -> String {
         let mut all = String::new();
         loop {
             let heard = self.hears(peer);
@@ -23,7 +23,7 @@
     }
 
     /// Goes on until all bytes are written.
-    fn is_sent(&mut self, peer: &mut TcpStream, bytes: &[u8]) {
+    pub(super) fn is_sent(&mut self, peer: &mut TcpStream, bytes: &[u8]) {
         peer.set_nonblocking(true).unwrap();
         let mut rest = bytes;
         self.until("what is sent", |_| {
--- /dev/null
+++ b/crates/front/src/postgres/session_units_tests.rs
@@ -0,0 +1,204 @@
+//! Tests of what PostgreSQL clients do to the unit that they wait for: they cancel it before it has left, send
+//! garbage behind it, or take nothing of its answer.
+
+use hallmux_postgres::wire::CancelKey;
+use socket2::{Domain, SockRef, Socket, Type};
+
+use super::*;
+
+const CANCEL_REQUEST: [u8; 8] = [0, 0, 0, 16, 4, 210, 22, 46]; // as it begins
+const READY: &[u8] = b"Z\0\0\0\x05I"; // the end of a unit
+const ROW: usize = 32 << 10; // bytes of a row, header included
+const MOST_ROWS: usize = 4_096; // far more than any socket takes
+const NARROW: usize = 256 << 10; // bytes asked for of a client's buffer: no more comes to fit as it reads
+const MOST_UNTAKEN: usize = 2 << 20; // bytes that answers may leave untaken
+
+/// The key by which a session is cancelled, out of what it hears as it comes in.
+fn key_in(mut greeting: &[u8]) -> CancelKey {
+    while let Ok(Some(message)) = wire::message(greeting, greeting.len()) {
+        let word = |at: usize| u32::from_be_bytes(message.body[at..at + 4].try_into().unwrap());
+        if message.tag == b'K' {
+            return CancelKey { process: word(0), secret: word(4) };
+        }
+        greeting = &greeting[message.len..];
+    }
+    panic!("no key in {greeting:?}");
+}
+
+impl Driven {
+    /// A session that has come in, and its key.
+    fn enters_with_key(&mut self) -> (TcpStream, CancelKey) {
+        let mut session = TcpStream::connect(self.sessions).unwrap();
+        starts_up(&mut session, "portal");
+        let greeting = self.hears_unit(&mut session);
+        (session, key_in(&greeting))
+    }
+
+    /// All up to the end of a unit: however much that is, each byte is looked at once.
+    fn hears_unit(&mut self, session: &mut TcpStream) -> Vec<u8> {
+        let mut all = Vec::new();
+        while !all.ends_with(READY) {
+            let heard = self.hears(session);
+            assert!(!heard.is_empty(), "the end behind {} bytes", all.len());
+            all.extend(heard);
+        }
+        all
+    }
+
+    /// A request to cancel is taken: its connection has ended.
+    fn cancels(&mut self, key: CancelKey) {
+        let mut request = TcpStream::connect(self.sessions).unwrap();
+        let mut out = Vec::new();
+        wire::write_cancel(&mut out, key);
+        request.write_all(&out).unwrap();
+        assert!(self.hears(&mut request).is_empty());
+    }
+
+    /// A session that has come in, little of whose answers fits into its socket.
+    fn enters_narrowly(&mut self) -> TcpStream {
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+        SockRef::from(&socket).set_recv_buffer_size(NARROW).unwrap();
+        socket.connect(&self.sessions.into()).unwrap();
+        let mut session = TcpStream::from(socket);
+        starts_up(&mut session, "portal");
+        self.hears_text(&mut session, "Z\0\0\0\x05I");
+        session
+    }
+
+    /// A session's unit that is out: over which connection.
+    fn is_out(&mut self, session: &mut TcpStream, engine: &TcpListener, text: &str) -> TcpStream {
+        asks(session, text);
+        let mut link = self.dials(engine);
+        lets_in(&mut link);
+        self.hears_text(&mut link, text);
+        link
+    }
+}
+
+#[test]
+fn a_unit_that_waits_for_its_connection_is_cancelled_once_and_never_sent() {
+    for cancelling in [true, false] {
+        let (engine, at) = listener();
+        let mut driven = Driven::new(&format!("cancel-waiting-{cancelling}"), at, cancelling);
+        let (mut session, key) = driven.enters_with_key();
+        asks(&mut session, "select 1");
+        let mut link = driven.dials(&engine);
+        // The engine has the start-up, and has not answered it. A second request finds nothing.
+        driven.cancels(key);
+        driven.cancels(key);
+        let heard = driven.hears_text(&mut session, "Z\0\0\0\x05I");
+        assert!(heard.starts_with('E') && heard.matches("C57014").count() == 1, "{heard:?}");
+        lets_in(&mut link);
+        asks(&mut session, "select 2");
+        let heard = driven.hears_text(&mut link, "select 2");
+        assert!(!heard.contains("select 1"), "{heard:?}");
+        answers(&mut link, "SELECT 2", b'I');
+        let heard = driven.hears_text(&mut session, "Z\0\0\0\x05I");
+        assert!(heard.starts_with('C') && heard.contains("SELECT 2"), "{heard:?}");
+        // Nothing was asked of the engine beside that.
+        driven.goes_on();
+        assert_eq!(engine.accept().unwrap_err().kind(), ErrorKind::WouldBlock);
+    }
+}
+
+#[test]
+fn garbage_behind_a_unit_that_is_out_waits_for_its_answer() {
+    for at_once in [true, false] {
+        let (engine, at) = listener();
+        let mut driven = Driven::new(&format!("garbage-behind-{at_once}"), at, true);
+        let mut session = driven.enters();
+        let garbage = b"Q\0\0\0\x03select 2";
+        let mut link = if at_once {
+            let mut out = Vec::new();
+            wire::write_query(&mut out, b"select 1");
+            out.extend(garbage);
+            session.write_all(&out).unwrap();
+            let mut link = driven.dials(&engine);
+            lets_in(&mut link);
+            driven.hears_text(&mut link, "select 1");
+            link
+        } else {
+            let link = driven.is_out(&mut session, &engine, "select 1");
+            session.write_all(garbage).unwrap();
+            link
+        };
+        // It is read, and nothing comes of it yet.
+        driven.until("it is read", |front| {
+            let gateway = front.gateway.as_ref()?;
+            (gateway.held_bytes() > garbage.len()).then_some(())
+        });
+        driven.goes_on();
+        session.set_nonblocking(true).unwrap();
+        assert_eq!(session.read(&mut [0]).unwrap_err().kind(), ErrorKind::WouldBlock);
+        answers(&mut link, "SELECT 1", b'I');
+        let heard = driven.hears_end(&mut session);
+        let error = heard.strip_prefix("C\0\0\0\x0dSELECT 1\0Z\0\0\0\x05I").unwrap_or(&heard);
+        let errors = error.matches("SFATAL").count();
+        assert!(error.starts_with('E') && error.contains("C08P01") && errors == 1, "{heard:?}");
+        drop(session);
+        // The engine is not asked to give up what it has answered, and its connection serves on.
+        let mut next = driven.enters();
+        asks(&mut next, "select 3");
+        let heard = driven.hears_text(&mut link, "select 3");
+        assert!(!heard.contains("select 2"), "{heard:?}");
+        assert_eq!(engine.accept().unwrap_err().kind(), ErrorKind::WouldBlock);
+    }
+}
+
+#[test]
+fn of_clients_that_take_no_answers_the_one_that_leaves_most_is_closed_and_its_unit_given_up() {
+    let (engine, at) = listener();
+    // More of an answer is read than may be left untaken.
+    let mut driven = Driven::with_limits("untaken", at, true, &format!("buffer_bytes: {}", 2 * MOST_UNTAKEN));
+    driven.front.max_bytes = MOST_UNTAKEN;
+    let (mut most, mut little) = (driven.enters_narrowly(), driven.enters_narrowly());
+    let mut link_of_little = driven.is_out(&mut little, &engine, "select 'little'");
+    let mut link_of_most = driven.is_out(&mut most, &engine, "select 'most'");
+    let mut row = Vec::new();
+    wire::write(&mut row, b'D', |out| out.resize(ROW, b'x'));
+    // Rows come until the first of them do not fit into the sockets.
+    let mut rows = 0;
+    let unsent = loop {
+        driven.is_sent(&mut link_of_little, &row);
+        rows += 1;
+        driven.goes_on();
+        match driven.front.gateway.as_ref().unwrap().unsent() {
+            (0, _) => assert!(rows < MOST_ROWS, "all fits into the sockets"),
+            (unsent, _) => break unsent,
+        }
+    };
+    assert!(unsent < MOST_UNTAKEN / 2, "{unsent} bytes");
+    let tag = format!("SELECT {rows}");
+    answers(&mut link_of_little, &tag, b'I');
+    driven.until("its answer", |front| (front.gateway.as_ref()?.held_bytes() == most_holds()).then_some(()));
+    // The other's answer has no end: rows come until the front does not want them any more.
+    link_of_most.set_nonblocking(true).unwrap();
+    let mut at = 0;
+    let mut given_up = driven.until("its end", |_| {
+        while let Ok(len) = link_of_most.write(&row[at..]) {
+            at = (at + len) % row.len();
+        }
+        engine.accept().ok()
+    });
+    // The engine is asked to end it, over a connection of its own.
+    let request = driven.hears(&mut given_up.0);
+    assert!(request.starts_with(&CANCEL_REQUEST), "{request:?}");
+    let gateway = driven.front.gateway.as_ref().unwrap();
+    assert_eq!((gateway.len(), gateway.held_bytes()), (1, 0));
+    // The one that has left little has its whole answer, and goes on.
+    let heard = driven.hears_unit(&mut little);
+    let mut whole = row.repeat(rows);
+    wire::write_complete(&mut whole, &tag);
+    whole.extend(READY);
+    assert!(heard == whole, "{} bytes in place of {}", heard.len(), whole.len());
+    asks(&mut little, "SET hallmux.workload = 'lookup'");
+    let heard = driven.hears_text(&mut little, "Z\0\0\0\x05I");
+    assert!(heard.starts_with("C\0\0\0\x08SET\0"), "{heard:?}");
+}
+
+/// Bytes held of the unit of the client that takes nothing.
+fn most_holds() -> usize {
+    let mut out = Vec::new();
+    wire::write_query(&mut out, b"select 'most'");
+    out.len()
+}
