--- a/crates/front/src/postgres/session_units_tests.rs
+++ b/crates/front/src/postgres/session_units_tests.rs
@@ -1,5 +1,5 @@
-//! Tests of what PostgreSQL clients do to the unit that they wait for: they cancel it before it has left, send
-//! garbage behind it, or take nothing of its answer.
+//! Tests of what PostgreSQL clients do to the unit that they wait for: they cancel it before it has left,
+//! send garbage behind it, or take nothing of its answer.
 
 use hallmux_postgres::wire::CancelKey;
 use socket2::{Domain, SockRef, Socket, Type};
--- a/crates/front/src/postgres/sessions/close.rs
+++ b/crates/front/src/postgres/sessions/close.rs
@@ -9,6 +9,7 @@
 
 const IDLE_AFTER: Micros = 1_000_000; // microseconds after which a resting session lets go of its buffers
 const GRACE: Micros = 2_000_000; // microseconds for a session without a unit out once the front ends
+const SHORTER_AT_END: Micros = 500_000; // microseconds that they linger less then: the end is due within 4 s
 const CHECK_INTERVAL: Micros = 200_000; // microseconds between looks at sessions that stand still
 
 impl Sessions {
@@ -71,13 +72,11 @@
 
     /// Ends what has stood still too long. `shut` is since when the front ends.
     pub fn expire(&mut self, now: Micros, shut: Option<Micros>) {
-        self.lingering.expire(now);
+        self.lingering.expire(now + shut.map_or(0, |_| SHORTER_AT_END));
         if now < self.next_check {
             return;
         }
-        // Once the front ends it does not wait longer than it must.
-        let grace_over = shut.map(|since| since + GRACE).filter(|over| *over > now).unwrap_or(Micros::MAX);
-        self.next_check = grace_over.min(now + CHECK_INTERVAL);
+        self.next_check = now + CHECK_INTERVAL;
         let mut over: Vec<(SessionId, Option<ClientError>)> = Vec::new();
         for (id, connection) in &mut self.connections {
             match &connection.stage {
