--- a/crates/front/src/postgres/session_units_tests.rs
+++ b/crates/front/src/postgres/session_units_tests.rs
@@ -10,6 +10,7 @@
 const READY: &[u8] = b"Z\0\0\0\x05I"; // the end of a unit
 const ROW: usize = 32 << 10; // bytes of a row, header included
 const MOST_ROWS: usize = 4_096; // far more than any socket takes
+const LITTLE: usize = 700 << 10; // bytes that the one which leaves less has left
 const NARROW: usize = 256 << 10; // bytes asked for of a client's buffer: no more comes to fit as it reads
 const MOST_UNTAKEN: usize = 2 << 20; // bytes that answers may leave untaken
 
@@ -147,44 +148,62 @@
 
 #[test]
 fn of_clients_that_take_no_answers_the_one_that_leaves_most_is_closed_and_its_unit_given_up() {
+    the_one_that_leaves_most_is_closed(true);
+}
+
+#[test]
+fn of_clients_that_take_no_answers_the_one_that_leaves_most_is_closed_also_without_cancelling() {
+    the_one_that_leaves_most_is_closed(false);
+}
+
+fn the_one_that_leaves_most_is_closed(cancelling: bool) {
     let (engine, at) = listener();
     // More of an answer is read than may be left untaken.
-    let mut driven = Driven::with_limits("untaken", at, true, &format!("buffer_bytes: {}", 2 * MOST_UNTAKEN));
+    let limits = format!("buffer_bytes: {}", 2 * MOST_UNTAKEN);
+    let mut driven = Driven::with_limits(&format!("untaken-{cancelling}"), at, cancelling, &limits);
     driven.front.max_bytes = MOST_UNTAKEN;
     let (mut most, mut little) = (driven.enters_narrowly(), driven.enters_narrowly());
     let mut link_of_little = driven.is_out(&mut little, &engine, "select 'little'");
     let mut link_of_most = driven.is_out(&mut most, &engine, "select 'most'");
     let mut row = Vec::new();
     wire::write(&mut row, b'D', |out| out.resize(ROW, b'x'));
-    // Rows come until the first of them do not fit into the sockets.
+    // Rows come until so much of them does not fit into the sockets that some will stay.
+    let unsent = |driven: &Driven| driven.front.gateway.as_ref().unwrap().unsent().0;
     let mut rows = 0;
-    let unsent = loop {
+    while unsent(&driven) < LITTLE {
+        assert!(rows < MOST_ROWS, "all fits into the sockets");
         driven.is_sent(&mut link_of_little, &row);
         rows += 1;
         driven.goes_on();
-        match driven.front.gateway.as_ref().unwrap().unsent() {
-            (0, _) => assert!(rows < MOST_ROWS, "all fits into the sockets"),
-            (unsent, _) => break unsent,
-        }
-    };
-    assert!(unsent < MOST_UNTAKEN / 2, "{unsent} bytes");
+    }
+    assert!(unsent(&driven) < MOST_UNTAKEN / 2, "{} bytes", unsent(&driven));
     let tag = format!("SELECT {rows}");
     answers(&mut link_of_little, &tag, b'I');
     driven.until("its answer", |front| (front.gateway.as_ref()?.held_bytes() == most_holds()).then_some(()));
     // The other's answer has no end: rows come until the front does not want them any more.
     link_of_most.set_nonblocking(true).unwrap();
     let mut at = 0;
-    let mut given_up = driven.until("its end", |_| {
+    driven.until("its end", |front| {
         while let Ok(len) = link_of_most.write(&row[at..]) {
             at = (at + len) % row.len();
         }
-        engine.accept().ok()
+        (front.gateway.as_ref()?.len() < 2).then_some(())
     });
-    // The engine is asked to end it, over a connection of its own.
-    let request = driven.hears(&mut given_up.0);
-    assert!(request.starts_with(&CANCEL_REQUEST), "{request:?}");
-    let gateway = driven.front.gateway.as_ref().unwrap();
-    assert_eq!((gateway.len(), gateway.held_bytes()), (1, 0));
+    assert_eq!(driven.front.gateway.as_ref().unwrap().held_bytes(), 0);
+    // The other one was there to be closed.
+    assert!(unsent(&driven) > 0);
+    if cancelling {
+        // The engine is asked to end it, over a connection of its own.
+        let mut request = driven.until("a request", |_| engine.accept().ok()).0;
+        let request = driven.hears(&mut request);
+        assert!(request.starts_with(&CANCEL_REQUEST), "{request:?}");
+    } else {
+        // What still comes of it is nobody's.
+        driven.is_sent(&mut link_of_most, &row[at..]);
+        answers(&mut link_of_most, "SELECT 0", b'I');
+        driven.goes_on();
+        assert_eq!(engine.accept().unwrap_err().kind(), ErrorKind::WouldBlock);
+    }
     // The one that has left little has its whole answer, and goes on.
     let heard = driven.hears_unit(&mut little);
     let mut whole = row.repeat(rows);
