--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -370,7 +370,8 @@
 
     pub fn expire(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
         self.sessions.expire(now, self.shut);
-        self.servers.expire(now);
+        let unfinished = self.servers.expire(now);
+        self.unfinished.extend(unfinished.into_iter().map(|id| SocketKind::Server.id(id)));
         self.handle_session_events(now, room, dispatcher);
     }
 
--- a/crates/front/src/postgres/servers/replies.rs
+++ b/crates/front/src/postgres/servers/replies.rs
@@ -12,7 +12,7 @@
 use crate::execution::ExecutionId;
 use crate::link::Broken;
 
-const LOGIN_TIMEOUT: Micros = 2_000_000; // microseconds for a login once the connection is up; it takes a few ms
+pub(super) const LOGIN_TIMEOUT: Micros = 2_000_000; // microseconds for a login once the connection is up; it takes a few ms
 const PING_AFTER: Micros = 300_000; // microseconds that an engine with units out may be silent before it is pinged
 const READ_SIZE: usize = 64 << 10; // bytes taken from an engine at once, and so how far a client may be behind
 
