--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -209,9 +209,10 @@
         known
     }
 
-    /// Whether an execution is one of its own.
+    /// Whether an execution is one of its own, also where it only waits for its request to cancel.
     pub fn has(&self, sent: ExecutionId) -> bool {
-        self.executions.contains_key(&sent)
+        let ends = |cancel: &Cancel| cancel.ends.is_some_and(|(other, _)| other == sent);
+        self.executions.contains_key(&sent) || self.cancels.values().any(ends)
     }
 
     /// The engine that a connection is to.
@@ -287,7 +288,7 @@
     pub fn expire(&mut self, now: Micros) -> Vec<ServerId> {
         let unfinished = self.expire_connecting(now);
         let late: Vec<u64> = self.cancels.iter().filter(|(_, c)| c.by <= now).map(|(n, _)| *n).collect();
-        late.into_iter().for_each(|number| self.cancelled(number));
+        late.into_iter().for_each(|number| self.cancel_overdue(now, number));
         if self.next_check <= now {
             self.next_check = now + CHECK_INTERVAL;
             self.ping_silent(now);
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -12,7 +12,7 @@
 impl Servers {
     /// Cancels an execution. It ends with the ending given, or as withdrawn where nothing of it has left.
     pub fn cancel_execution(&mut self, now: Micros, sent: ExecutionId, ending: Ending) {
-        let Some(x) = self.executions.get(&sent) else { return };
+        let Some(x) = self.executions.get(&sent) else { return self.end_before_cancelled(sent, ending) };
         let (place, link) = (x.place, x.link);
         let Some(id) = link else {
             self.pools.withdraw(place, sent);
@@ -22,15 +22,17 @@
             pinned.into_iter().for_each(|id| self.close(id));
             return;
         };
+        // Its client is owed its answer now; else it ends when the engine has taken the request.
+        let at_once = ending == Ending::TimeUp;
         // Time that a client spent on taking its answer is not the engine's.
         let ending = if ending == Ending::TimeUp && x.paused { Ending::GivenUp } else { ending };
         self.executions.remove(&sent);
         let held = self.links.get(&id).is_some_and(|l| l.holds.is_some());
         if self.allowance.cancel || held {
-            let asked = self.allowance.cancel && self.ask_to_cancel(now, id, Some((sent, ending)));
+            let ends = (!at_once).then_some((sent, ending));
+            let asked = self.allowance.cancel && self.ask_to_cancel(now, id, ends);
             self.close(id);
-            // At once where a client is owed its answer; else when the engine has taken the request.
-            if ending == Ending::TimeUp || !asked {
+            if at_once || !asked {
                 self.events.push(Event::Ended { sent, ending });
             }
         } else {
@@ -41,6 +43,19 @@
         }
     }
 
+    /// An execution that waits for its request to cancel has its client's time up. Guards against a client that is
+    /// answered late, as it waits for an engine that takes no requests.
+    fn end_before_cancelled(&mut self, sent: ExecutionId, ending: Ending) {
+        if ending != Ending::TimeUp {
+            return;
+        }
+        let waits = |cancel: &&mut Cancel| cancel.ends.is_some_and(|(other, _)| other == sent);
+        if let Some(cancel) = self.cancels.values_mut().find(waits) {
+            cancel.ends = None;
+            self.events.push(Event::Ended { sent, ending });
+        }
+    }
+
     /// Nobody waits for a statement any more: what has not left for an engine never will.
     pub fn abandon(&mut self, now: Micros, ticket: Ticket) {
         let of_ticket = self.executions.iter().filter(|(sent, _)| sent.ticket == ticket);
@@ -102,10 +117,23 @@
         }
     }
 
+    /// A request to cancel has not been taken in time. Guards against a front that stood still: one whose connection has
+    /// come up meanwhile leaves now, and has some time more, as it must not end what comes after.
+    pub(super) fn cancel_overdue(&mut self, now: Micros, number: u64) {
+        let was_unsent = self.cancels.get(&number).is_some_and(|c| c.link.unsent() > 0);
+        self.read_cancel(number);
+        match self.cancels.get_mut(&number) {
+            Some(cancel) if was_unsent && cancel.link.unsent() == 0 => {
+                cancel.by = now + self.allowance.dial_timeout
+            }
+            _ => self.cancelled(number),
+        }
+    }
+
     /// The engine has taken the request, or never will.
     pub(super) fn cancelled(&mut self, number: u64) {
         let Some(cancel) = self.cancels.remove(&number) else { return };
-        if let Some((sent, ending)) = cancel.ends.filter(|(_, ending)| *ending != Ending::TimeUp) {
+        if let Some((sent, ending)) = cancel.ends {
             self.events.push(Event::Ended { sent, ending });
         }
         if let Some(link) = self.links.get_mut(&cancel.server) {
