--- a/crates/front/src/front_tests.rs
+++ b/crates/front/src/front_tests.rs
@@ -13,9 +13,13 @@
 use super::*;
 use crate::clients::tests::frame;
 
+#[path = "postgres/engine_endings_tests.rs"]
+mod engine_endings;
+
 const PATIENCE: Duration = Duration::from_secs(20);
 const START: Micros = 1_800_000_000_000_000; // Unix microseconds
 const LATER: Micros = START + 700_000; // the end was asked for at the start, and the listener is due to close
+const AIM_MS: u32 = 2000; // milliseconds that statements are meant to take, where a test says nothing else
 const BEFORE: usize = 3; // iterations after that in which it is still open
 
 /// A front that no loop drives, with a clock that the test moves.
@@ -36,28 +40,32 @@
 impl Driven {
     /// With an engine that speaks PostgreSQL.
     fn new(name: &str, engine: SocketAddr, cancelling: bool) -> Driven {
+        Driven::with_engines(name, &[engine], json!({"cancelling": cancelling}), AIM_MS)
+    }
+
+    /// With several of them, what is agreed of bounds, and the time that statements are meant to take.
+    fn with_engines(name: &str, engines: &[SocketAddr], bounds: serde_json::Value, aim_ms: u32) -> Driven {
         let file =
             |kind: &str| std::env::temp_dir().join(format!("hallmux-{name}-{}.{kind}", std::process::id()));
         let files = [file("clock"), file("json5")];
-        // A port that is free: it is let go of just before the front takes it.
-        let sessions = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-        let operator = format!(
-            "{{ postgres: {{ listen: '{sessions}', engines: [{{ kinds: ['std'] }}], \
-             users: {{ portal: {{ trust: true, member: 'acme', workload: 'lookup' }} }} }} }}"
-        );
+        let operator = "{ postgres: { listen: '127.0.0.1:0', engines: [{ kinds: ['std'] }], \
+             users: { portal: { trust: true, member: 'acme', workload: 'lookup' } } } }";
         std::fs::write(&files[1], operator).unwrap();
         let variables = [("HALLMUX_CLOCK", &files[0]), ("HALLMUX_OPERATOR", &files[1])];
         let variables: HashMap<String, String> =
             variables.iter().map(|(name, path)| (name.to_string(), path.display().to_string())).collect();
-        let server = json!({"id": "e", "addr": engine.to_string(), "zone": "here", "kind": "std", "cell": 0,
-            "state": "up", "weight": 1, "started_ms": 0});
-        let list = json!({"version": 1, "full": true, "servers": [server]});
+        let server = |(n, engine): (usize, &SocketAddr)| {
+            json!({"id": format!("e{n}"), "addr": engine.to_string(), "zone": "here", "kind": "std",
+                "cell": 0, "state": "up", "weight": 1, "started_ms": 0})
+        };
+        let servers: Vec<serde_json::Value> = engines.iter().enumerate().map(server).collect();
+        let list = json!({"version": 1, "full": true, "servers": servers});
         let known = json!({"index": 1, "updates": [{"index": 1, "endpoints": list}]});
         let text = json!({"name": "n1", "listen": "127.0.0.1:0", "seed": "1", "known": known, "settings": {
             "instances": 1, "areas": ["here"], "kinds": ["std"], "customers": [{"name": "acme"}], "rules": {},
-            "bounds": {"cancelling": cancelling},
+            "bounds": bounds,
             "requestClasses": [
-                {"name": "lookup", "aimMs": 2000, "deadlineMs": 8000, "repeat": "repeatable"}]}});
+                {"name": "lookup", "aimMs": aim_ms, "deadlineMs": 8000, "repeat": "repeatable"}]}});
         write_clock(&files[0], START);
         let config = NodeConfig::parse(&variables, &text.to_string()).unwrap();
         let known = hallmux_codec::coordinator::events(config.known_events.as_bytes()).unwrap();
@@ -65,6 +73,7 @@
         let listener = TcpListener::bind(config.listen).unwrap();
         let listens = listener.local_addr().unwrap();
         let front = Front::new(&config, &known, listener, events.handle()).unwrap();
+        let sessions = front.gateway.as_ref().and_then(Gateway::address).unwrap();
         Driven { front, events, listens, sessions, files }
     }
 
--- a/crates/front/src/listener.rs
+++ b/crates/front/src/listener.rs
@@ -63,6 +63,12 @@
         self.socket.is_some()
     }
 
+    /// Where it listens, for tests that let the system give the port.
+    #[cfg(test)]
+    pub fn address(&self) -> Option<std::net::SocketAddr> {
+        self.socket.as_ref().and_then(|(listener, _)| listener.local_addr().ok())
+    }
+
     /// Stops listening. True if it was open till now.
     pub fn close(&mut self) -> bool {
         self.accept_at = None;
--- /dev/null
+++ b/crates/front/src/postgres/engine_endings_tests.rs
@@ -0,0 +1,322 @@
+//! What a client of a session hears when something ends at its engine: each test forces the order that it is
+//! named after.
+
+use super::*;
+
+#[path = "cancel_endings_tests.rs"]
+mod cancel_endings;
+
+const LOGIN_TIME: Micros = 2_000_000; // microseconds that an engine has for a login
+const STATEMENT_TIME: Micros = 8_000_000; // microseconds that a client of `Driven` waits
+const DIAL_TIMEOUT_MS: u32 = 250; // milliseconds; a request to cancel has twice as long
+const LATE_ITERATIONS: usize = 3; // the late one, the one behind it, and one that is on time
+const MORE_THAN_HELD: usize = 200 << 10; // bytes of an answer, of which a part goes on before the rest
+const COMMIT: &str = "begin; insert into t values (1); commit"; // a unit that may not run twice
+
+impl Driven {
+    /// With two engines, and further attempts until a client's time is up.
+    fn with_two(name: &str, engines: [SocketAddr; 2], dial_timeout_ms: u32) -> Driven {
+        let aim_ms = (STATEMENT_TIME / 1000) as u32;
+        let bounds = json!({"cancelling": true, "mostTries": 3, "dialTimeoutMs": dial_timeout_ms});
+        Driven::with_engines(name, &engines, bounds, aim_ms)
+    }
+
+    /// Time passes at once. What is found from then on has not waited: the iterations that take it for late
+    /// are over.
+    fn set_time(&mut self, time: Micros) {
+        self.front.idle();
+        write_clock(&self.files[0], time);
+        for _ in 0..LATE_ITERATIONS {
+            self.goes_on();
+            self.front.idle();
+        }
+    }
+
+    /// The front's next connection to one of the engines, which waits for its login, and the engine's number.
+    fn dials_one(&mut self, engines: &[&TcpListener]) -> (usize, TcpStream) {
+        engines.iter().for_each(|engine| engine.set_nonblocking(true).unwrap());
+        let accept = |engine: &&TcpListener| engine.accept().ok();
+        let (number, mut stream) = self.until("a dial", |_| {
+            engines.iter().enumerate().find_map(|(n, engine)| Some((n, accept(engine)?.0)))
+        });
+        self.hears_text(&mut stream, "user");
+        (number, stream)
+    }
+
+    /// All that a peer hears up to the end of its connection.
+    fn hears_to_the_end(&mut self, peer: &mut TcpStream) -> Vec<u8> {
+        let mut all = Vec::new();
+        loop {
+            let heard = self.hears(peer);
+            if heard.is_empty() {
+                return all;
+            }
+            all.extend(heard);
+        }
+    }
+
+    /// A connection on which the session's unit is out.
+    fn has_out(&mut self, engine: &TcpListener, session: &mut TcpStream, text: &str) -> TcpStream {
+        asks(session, text);
+        let mut link = self.dials(engine);
+        lets_in(&mut link);
+        self.hears_text(&mut link, text);
+        link
+    }
+
+    /// The session asks, the engine answers, and nothing else comes: what came before was final.
+    fn goes_on_usably(&mut self, session: &mut TcpStream, link: &mut TcpStream) {
+        asks(session, "select 'further'");
+        self.hears_text(link, "further");
+        answers(link, "FURTHER");
+        assert_eq!(self.hears_unit(session), [b'C', b'Z'], "one answer, and no other before it");
+    }
+
+    /// The kinds of the messages that a client hears up to ReadyForQuery.
+    fn hears_unit(&mut self, session: &mut TcpStream) -> Vec<u8> {
+        self.hears_messages(session).into_iter().map(|message| message[0]).collect()
+    }
+
+    /// The messages that a client hears up to ReadyForQuery.
+    fn hears_messages(&mut self, session: &mut TcpStream) -> Vec<Vec<u8>> {
+        let mut heard = Vec::new();
+        loop {
+            let messages = whole_messages(&heard);
+            if messages.last().is_some_and(|message| message[0] == b'Z') {
+                return messages;
+            }
+            let more = self.hears(session);
+            assert!(!more.is_empty(), "the end behind {:?}", String::from_utf8_lossy(&heard));
+            heard.extend(more);
+        }
+    }
+
+    /// One error of that code, and that the session is ready: nothing else.
+    fn hears_error(&mut self, session: &mut TcpStream, code: &str) {
+        let messages = self.hears_messages(session);
+        let kinds: Vec<u8> = messages.iter().map(|message| message[0]).collect();
+        assert_eq!(kinds, [b'E', b'Z'], "{messages:?}");
+        let heard = wire::field(&messages[0][5..], b'C').unwrap();
+        assert_eq!(String::from_utf8_lossy(heard), code);
+    }
+}
+
+/// The whole messages that some bytes begin with.
+fn whole_messages(bytes: &[u8]) -> Vec<Vec<u8>> {
+    let mut rest = bytes;
+    let mut messages = Vec::new();
+    while let Some(header) = wire::header(rest).unwrap().filter(|header| header.len <= rest.len()) {
+        messages.push(rest[..header.len].to_vec());
+        rest = &rest[header.len..];
+    }
+    messages
+}
+
+fn answers(engine: &mut TcpStream, tag: &str) {
+    let mut out = Vec::new();
+    wire::write_complete(&mut out, tag);
+    wire::write_ready(&mut out, b'I');
+    engine.write_all(&out).unwrap();
+}
+
+/// An error of an engine, with what follows it.
+fn fails(engine: &mut TcpStream, severity: &str, code: &str, ready: bool) {
+    let mut out = Vec::new();
+    wire::write(&mut out, b'E', |out| {
+        for (kind, value) in [(b'S', severity), (b'V', severity), (b'C', code), (b'M', "no")] {
+            out.push(kind);
+            wire::write_string(out, value.as_bytes());
+        }
+        out.push(0);
+    });
+    if ready {
+        wire::write_ready(&mut out, b'I');
+    }
+    engine.write_all(&out).unwrap();
+}
+
+/// A result of one column and one row of so many bytes, without its end.
+fn rows(bytes: usize) -> Vec<u8> {
+    let mut out = Vec::new();
+    wire::write(&mut out, b'T', |out| {
+        out.extend_from_slice(&1u16.to_be_bytes());
+        wire::write_string(out, b"c");
+        out.extend_from_slice(&[0; 18]);
+    });
+    wire::write(&mut out, b'D', |out| {
+        out.extend_from_slice(&1u16.to_be_bytes());
+        out.extend_from_slice(&(bytes as u32).to_be_bytes());
+        out.resize(out.len() + bytes, b'x');
+    });
+    out
+}
+
+#[test]
+fn a_login_that_is_not_over_in_time_is_tried_elsewhere() {
+    let ((one, at_one), (other, at_other)) = (listener(), listener());
+    let mut driven = Driven::with_two("late-login", [at_one, at_other], DIAL_TIMEOUT_MS);
+    let mut session = driven.enters();
+    asks(&mut session, "select 1");
+    let (slow, mut link) = driven.dials_one(&[&one, &other]);
+    driven.set_time(START + LOGIN_TIME);
+    let heard = driven.hears_to_the_end(&mut link);
+    assert!(heard.is_empty(), "{heard:?}");
+    let (number, mut link) = driven.dials_one(&[&one, &other]);
+    assert_ne!(number, slow);
+    lets_in(&mut link);
+    driven.hears_text(&mut link, "select 1");
+    answers(&mut link, "SELECT 0");
+    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+    driven.goes_on_usably(&mut session, &mut link);
+}
+
+#[test]
+fn a_unit_whose_only_engine_lets_nobody_in_in_time_has_one_answer() {
+    for (name, text) in [("no-login", "select 1"), ("no-login-commit", COMMIT)] {
+        let (engine, at) = listener();
+        let mut driven = Driven::new(name, at, true);
+        let mut session = driven.enters();
+        asks(&mut session, text);
+        let mut link = driven.dials(&engine);
+        driven.set_time(START + LOGIN_TIME);
+        assert!(driven.hears_to_the_end(&mut link).is_empty());
+        driven.set_time(START + STATEMENT_TIME);
+        // It surely never ran.
+        driven.hears_error(&mut session, "53000");
+        asks(&mut session, "SET hallmux.workload = 'lookup'");
+        assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+    }
+}
+
+#[test]
+fn a_unit_whose_engine_refuses_the_login_for_a_fault_of_its_own_is_tried_elsewhere() {
+    // Too many connections; it starts up.
+    for code in ["53300", "57P03"] {
+        let ((one, at_one), (other, at_other)) = (listener(), listener());
+        let mut driven = Driven::with_two(&format!("refused-{code}"), [at_one, at_other], DIAL_TIMEOUT_MS);
+        let mut session = driven.enters();
+        asks(&mut session, "select 1");
+        let (refusing, mut link) = driven.dials_one(&[&one, &other]);
+        fails(&mut link, "FATAL", code, false);
+        let heard = driven.hears_to_the_end(&mut link);
+        assert!(heard.is_empty(), "{heard:?}");
+        let (number, mut link) = driven.dials_one(&[&one, &other]);
+        assert_ne!(number, refusing, "{code}");
+        lets_in(&mut link);
+        driven.hears_text(&mut link, "select 1");
+        answers(&mut link, "SELECT 0");
+        assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+        driven.goes_on_usably(&mut session, &mut link);
+    }
+}
+
+#[test]
+fn a_login_refused_for_its_account_is_told_once_with_the_engines_own_error() {
+    let (engine, at) = listener();
+    let mut driven = Driven::new("refused-account", at, true);
+    let mut session = driven.enters();
+    asks(&mut session, "select 1");
+    let mut link = driven.dials(&engine);
+    fails(&mut link, "FATAL", "28P01", false);
+    driven.hears_error(&mut session, "28P01");
+    assert!(driven.hears_to_the_end(&mut link).is_empty());
+    let mut link = driven.has_out(&engine, &mut session, "select 2");
+    answers(&mut link, "SELECT 0");
+    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+    driven.goes_on_usably(&mut session, &mut link);
+}
+
+#[test]
+fn settings_refused_are_told_once_with_the_engines_own_error() {
+    let (engine, at) = listener();
+    let mut driven = Driven::new("refused-settings", at, true);
+    let mut session = driven.enters();
+    let mut link = driven.has_out(&engine, &mut session, "SET search_path = 'own'");
+    answers(&mut link, "SET");
+    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+    // What a session sets is brought over again before its next unit.
+    asks(&mut session, "select 1");
+    driven.hears_text(&mut link, "search_path");
+    fails(&mut link, "ERROR", "42704", true);
+    driven.hears_error(&mut session, "42704");
+    // The connection ends: what is set there is not known.
+    let heard = driven.hears_to_the_end(&mut link);
+    assert!(!String::from_utf8_lossy(&heard).contains("select 1"), "{heard:?}");
+    asks(&mut session, "select 2");
+    let mut link = driven.dials(&engine);
+    lets_in(&mut link);
+    driven.hears_text(&mut link, "search_path");
+    answers(&mut link, "SET");
+    driven.hears_text(&mut link, "select 2");
+    answers(&mut link, "SELECT 0");
+    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+    driven.goes_on_usably(&mut session, &mut link);
+}
+
+#[test]
+fn a_connection_lost_in_the_middle_of_a_message_ends_the_clients() {
+    let (engine, at) = listener();
+    let mut driven = Driven::new("lost-in-a-row", at, true);
+    let mut session = driven.enters();
+    let mut link = driven.has_out(&engine, &mut session, "select 1");
+    let result = rows(2 * MORE_THAN_HELD);
+    link.write_all(&result[..MORE_THAN_HELD]).unwrap();
+    let mut heard = driven.hears(&mut session);
+    drop(link);
+    heard.extend(driven.hears_to_the_end(&mut session));
+    // What came of it, and nothing that would pass for a part of it.
+    assert!(!heard.is_empty() && result.starts_with(&heard), "{} bytes", heard.len());
+    driven.until("its session is over", |front| (front.gateway.as_ref()?.len() == 0).then_some(()));
+}
+
+#[test]
+fn a_connection_lost_between_the_messages_of_a_result_is_told_once() {
+    let (engine, at) = listener();
+    let mut driven = Driven::new("lost-between", at, true);
+    let mut session = driven.enters();
+    let mut link = driven.has_out(&engine, &mut session, "select 1");
+    link.write_all(&rows(MORE_THAN_HELD)).unwrap();
+    let mut heard = driven.hears(&mut session);
+    while whole_messages(&heard).len() < 2 {
+        heard.extend(driven.hears(&mut session));
+    }
+    drop(link);
+    driven.hears_error(&mut session, "08006");
+    let mut link = driven.has_out(&engine, &mut session, "select 2");
+    answers(&mut link, "SELECT 0");
+    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+    driven.goes_on_usably(&mut session, &mut link);
+}
+
+#[test]
+fn a_connection_lost_before_any_of_a_result_has_gone_on_is_not_noticed_by_the_client() {
+    let ((one, at_one), (other, at_other)) = (listener(), listener());
+    let mut driven = Driven::with_two("lost-unseen", [at_one, at_other], DIAL_TIMEOUT_MS);
+    let mut session = driven.enters();
+    asks(&mut session, "select 1");
+    let (_, mut link) = driven.dials_one(&[&one, &other]);
+    lets_in(&mut link);
+    driven.hears_text(&mut link, "select 1");
+    // It is held: an answer that is small goes on as a whole.
+    link.write_all(&rows(10)).unwrap();
+    drop(link);
+    let (_, mut link) = driven.dials_one(&[&one, &other]);
+    lets_in(&mut link);
+    driven.hears_text(&mut link, "select 1");
+    answers(&mut link, "SELECT 0");
+    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+    driven.goes_on_usably(&mut session, &mut link);
+}
+
+#[test]
+fn a_connection_lost_with_a_commit_leaves_it_in_doubt() {
+    let (engine, at) = listener();
+    let mut driven = Driven::new("lost-commit", at, true);
+    let mut session = driven.enters();
+    let link = driven.has_out(&engine, &mut session, COMMIT);
+    drop(link);
+    driven.hears_error(&mut session, "08007");
+    let mut link = driven.has_out(&engine, &mut session, "select 2");
+    answers(&mut link, "SELECT 0");
+    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+}
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -393,3 +393,7 @@
         self.handle_session_events(now, room, dispatcher);
     }
 }
+
+#[cfg(test)]
+#[path = "gateway_tests.rs"]
+mod tests;
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -283,8 +283,8 @@
         connecting.min(cancels).min(next_check)
     }
 
-    /// Ends what has waited too long: connections not up, logins, cancels, idle connections. Says which connections
-    /// have more to read than one iteration takes.
+    /// Ends what has waited too long: connections not up, logins, cancels, idle connections. Says which
+    /// connections have more to read than one iteration takes.
     pub fn expire(&mut self, now: Micros) -> Vec<ServerId> {
         let unfinished = self.expire_connecting(now);
         let late: Vec<u64> = self.cancels.iter().filter(|(_, c)| c.by <= now).map(|(n, _)| *n).collect();
@@ -304,15 +304,15 @@
         unfinished
     }
 
-    /// Ends connections that did not come up, or did not let the front in, in time. Says which of those that stay have
-    /// more to read.
+    /// Ends connections that did not come up, or did not let the front in, in time. Says which of those that
+    /// stay have more to read.
     fn expire_connecting(&mut self, now: Micros) -> Vec<ServerId> {
         let late: Vec<ServerId> =
             self.connecting.iter().filter(|(_, by)| **by <= now).map(|(id, _)| *id).collect();
         let mut unfinished = Vec::new();
         for id in late {
-            // Guards against a front that stood still between its look at the connections and this one: what has come
-            // up, or let it in, meanwhile is found before it is judged.
+            // Guards against a front that stood still between its look at the connections and this one: what has
+            // come up, or let it in, meanwhile is found before it is judged.
             let more = self.read(now, id);
             if self.connecting.get(&id).is_some_and(|by| *by <= now) {
                 self.connection_lost(now, id, Ending::NeverUp);
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -18,7 +18,8 @@
             self.pools.withdraw(place, sent);
             // One that waits for a cancel to be over lets its transaction go, which it could not end.
             let pinned = x.unit.pin;
-            self.report_end(sent, if ending == Ending::TimeUp { ending } else { Ending::Withdrawn });
+            // Also where its time is up. Guards against a commit that passes for one in doubt and never left.
+            self.report_end(sent, Ending::Withdrawn);
             pinned.into_iter().for_each(|id| self.close(id));
             return;
         };
@@ -43,8 +44,8 @@
         }
     }
 
-    /// An execution that waits for its request to cancel has its client's time up. Guards against a client that is
-    /// answered late, as it waits for an engine that takes no requests.
+    /// An execution that waits for its request to cancel has its client's time up. Guards against a client
+    /// that is answered late, as it waits for an engine that takes no requests.
     fn end_before_cancelled(&mut self, sent: ExecutionId, ending: Ending) {
         if ending != Ending::TimeUp {
             return;
@@ -117,8 +118,9 @@
         }
     }
 
-    /// A request to cancel has not been taken in time. Guards against a front that stood still: one whose connection has
-    /// come up meanwhile leaves now, and has some time more, as it must not end what comes after.
+    /// A request to cancel has not been taken in time. Guards against a front that stood still: one whose
+    /// connection has come up meanwhile leaves now, and has some time more, as it must not end what comes
+    /// after.
     pub(super) fn cancel_overdue(&mut self, now: Micros, number: u64) {
         let was_unsent = self.cancels.get(&number).is_some_and(|c| c.link.unsent() > 0);
         self.read_cancel(number);
