--- a/crates/front/src/postgres/cancel_endings_tests.rs
+++ b/crates/front/src/postgres/cancel_endings_tests.rs
@@ -153,3 +153,40 @@
     driven.set_time(START + LOGIN_TIME / 2);
     driven.hears_error(&mut session, "57014");
 }
+
+/// A session with a setting, whose unit waits for that to be brought over to the connection that it has.
+fn waits_for_settings(driven: &mut Driven, engine: &TcpListener) -> (TcpStream, TcpStream) {
+    let mut session = driven.enters();
+    let mut link = driven.has_out(engine, &mut session, "SET statement_timeout = 1000");
+    answers(&mut link, "SET");
+    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+    asks(&mut session, COMMIT);
+    let heard = driven.hears_text(&mut link, "statement_timeout");
+    assert!(!heard.contains("insert"), "{heard:?}");
+    (session, link)
+}
+
+#[test]
+fn a_commit_whose_settings_are_still_brought_over_is_not_in_doubt_once_its_time_is_up() {
+    let (engine, at) = listener();
+    let mut driven = Driven::new("time-up-with-settings", at, true);
+    let (mut session, mut link) = waits_for_settings(&mut driven, &engine);
+    driven.set_time(START + 1_000_000);
+    driven.hears_error(&mut session, "57014");
+    let heard = driven.hears_to_the_end(&mut link);
+    assert!(!String::from_utf8_lossy(&heard).contains("insert"), "{heard:?}");
+}
+
+#[test]
+fn a_unit_whose_settings_are_still_brought_over_is_not_sent_once_its_session_has_left() {
+    let (engine, at) = listener();
+    // Engines are not told to give anything up.
+    let mut driven = Driven::new("left-with-settings", at, false);
+    let (session, mut link) = waits_for_settings(&mut driven, &engine);
+    drop(session);
+    driven.until("its end is known", |front| (front.gateway.as_ref()?.len() == 0).then_some(()));
+    answers(&mut link, "SET");
+    // Its connection goes with it.
+    let heard = driven.hears(&mut link);
+    assert!(heard.is_empty(), "{}", String::from_utf8_lossy(&heard));
+}
--- a/crates/front/src/postgres/engine_endings_tests.rs
+++ b/crates/front/src/postgres/engine_endings_tests.rs
@@ -320,3 +320,48 @@
     answers(&mut link, "SELECT 0");
     assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
 }
+
+#[test]
+fn a_connection_lost_in_the_middle_of_a_result_ends_its_transaction() {
+    let (engine, at) = listener();
+    let mut driven = Driven::new("lost-in-transaction", at, true);
+    let mut session = driven.enters();
+    let mut link = driven.has_out(&engine, &mut session, "begin");
+    let mut out = Vec::new();
+    wire::write_complete(&mut out, "BEGIN");
+    wire::write_ready(&mut out, b'T');
+    link.write_all(&out).unwrap();
+    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+    asks(&mut session, "select 1");
+    driven.hears_text(&mut link, "select 1");
+    link.write_all(&rows(MORE_THAN_HELD)).unwrap();
+    let mut heard = driven.hears(&mut session);
+    while whole_messages(&heard).len() < 2 {
+        heard.extend(driven.hears(&mut session));
+    }
+    drop(link);
+    driven.hears_error(&mut session, "40001");
+    asks(&mut session, "select 2");
+    driven.hears_error(&mut session, "25P02");
+    asks(&mut session, "rollback");
+    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+    let mut link = driven.has_out(&engine, &mut session, "select 3");
+    answers(&mut link, "SELECT 0");
+    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+}
+
+#[test]
+fn a_commit_whose_settings_are_still_brought_over_is_not_in_doubt_once_its_connection_is_lost() {
+    let (engine, at) = listener();
+    let mut driven = Driven::new("lost-with-settings", at, true);
+    let mut session = driven.enters();
+    let mut link = driven.has_out(&engine, &mut session, "SET search_path = 'own'");
+    answers(&mut link, "SET");
+    assert_eq!(driven.hears_unit(&mut session), [b'C', b'Z']);
+    asks(&mut session, COMMIT);
+    let heard = driven.hears_text(&mut link, "search_path");
+    assert!(!heard.contains("insert"), "{heard:?}");
+    drop(link);
+    // It surely never ran.
+    driven.hears_error(&mut session, "53000");
+}
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -4,7 +4,7 @@
 use hallmux_postgres::pool::Released;
 use hallmux_postgres::wire;
 
-use super::{Cancel, Event, ServerId, Servers, Stage};
+use super::{Cancel, Event, Server, ServerId, Servers, Stage};
 use crate::events::SocketKind;
 use crate::execution::ExecutionId;
 use crate::link::Link;
@@ -23,6 +23,12 @@
             pinned.into_iter().for_each(|id| self.close(id));
             return;
         };
+        // Guards against a commit that passes for one in doubt, and a unit that leaves though it is given up:
+        // behind settings that are being brought over nothing of it has left.
+        if self.links.get(&id).is_some_and(|l| l.engine.is_setting()) {
+            self.report_end(sent, Ending::Withdrawn);
+            return self.close(id);
+        }
         // Its client is owed its answer now; else it ends when the engine has taken the request.
         let at_once = ending == Ending::TimeUp;
         // Time that a client spent on taking its answer is not the engine's.
@@ -66,8 +72,9 @@
                 self.cancel_execution(now, sent, Ending::Withdrawn);
                 continue;
             };
-            // What is written and has yet to leave goes with its connection.
-            let unsent = self.links.get(&id).is_some_and(|l| l.serves == Some(sent) && !l.link.has_sent(1));
+            // What is written and has yet to leave goes with its connection, also what waits for its settings.
+            let stays = |l: &Server| !l.link.has_sent(1) || l.engine.is_setting();
+            let unsent = self.links.get(&id).is_some_and(|l| l.serves == Some(sent) && stays(l));
             if let Some(place) = self.place(id).filter(|_| unsent) {
                 self.report_end(sent, Ending::Withdrawn);
                 self.close_and_refill(now, id, place);
@@ -218,6 +225,8 @@
             let whole = server.link.has_sent(server.write_end);
             let ending = match x.map(|x| x.stage) {
                 Some(Stage::Waiting) => Ending::Withdrawn,
+                // It waits here for its settings.
+                Some(_) if server.engine.is_setting() => Ending::HalfWritten,
                 // Without its Sync nothing that it does is kept, but for a commit of its own.
                 Some(Stage::Writing) if !whole && !x.is_some_and(|x| x.unit.once) => Ending::HalfWritten,
                 _ => ending,
--- a/crates/front/src/postgres/servers/replies.rs
+++ b/crates/front/src/postgres/servers/replies.rs
@@ -77,7 +77,12 @@
             let mut dropped = Vec::new();
             let unsent_answer = execution.map_or(&mut dropped, |x| &mut x.unsent_answer);
             let room = self.limits.buffer_bytes;
+            let was_setting = server.engine.is_setting();
             let read = server.engine.read(&input[at..], server.link.output(), unsent_answer, room);
+            if was_setting && !server.engine.is_setting() {
+                // What waited for the settings leaves now.
+                server.write_end = server.link.output().len();
+            }
             match read {
                 Err(what) => break Some(what),
                 Ok((used, reply)) => {
@@ -163,7 +168,11 @@
     /// and a long statement on an engine that does little else is not to be taken for a hung one.
     pub(super) fn ping_silent(&mut self, now: Micros) {
         let mut quiet: BTreeMap<Place, pool::AccountId> = BTreeMap::new();
-        for x in self.executions.values().filter(|x| x.stage == Stage::Out) {
+        let setting = |x: &Execution| {
+            let link = x.link.and_then(|id| self.links.get(&id));
+            link.is_some_and(|l| l.engine.is_setting())
+        };
+        for x in self.executions.values().filter(|x| x.stage == Stage::Out || setting(x)) {
             let engine = self.engines.get(&x.place);
             if engine.is_some_and(|e| e.up && now - e.last_reply.max(e.last_ping) >= PING_AFTER) {
                 quiet.entry(x.place).or_insert(x.unit.account);
--- a/crates/front/src/postgres/servers/send.rs
+++ b/crates/front/src/postgres/servers/send.rs
@@ -160,7 +160,9 @@
             let sent = server.serves;
             let unsent = server.link.unsent();
             if let Some(x) = sent.and_then(|sent| self.executions.get_mut(&sent)) {
-                if left && x.stage == Stage::Writing {
+                // Guards against a commit that passes for one in doubt: behind settings that are being brought
+                // over nothing of it has left.
+                if left && x.stage == Stage::Writing && !server.engine.is_setting() {
                     x.stage = Stage::Out;
                     let once = x.unit.once || x.unit.pin.is_some();
                     self.events.extend(sent.filter(|_| once).map(Event::Irrevocable));
--- a/crates/postgres/src/engine.rs
+++ b/crates/postgres/src/engine.rs
@@ -158,6 +158,11 @@
         self.stage != Stage::Login
     }
 
+    /// Whether a session's settings are being brought over: what waits for them has not left.
+    pub fn is_setting(&self) -> bool {
+        self.stage == Stage::Setting
+    }
+
     /// Whether what was passed on so far ends with a whole message.
     pub fn is_between_messages(&self) -> bool {
         self.passing == 0
