--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -248,6 +248,15 @@
         let (waited, resting) = self.pools.retire_engine(place);
         waited.into_iter().for_each(|sent| self.report_end(sent, Ending::Withdrawn));
         resting.into_iter().for_each(|id| self.close(id));
+        // What waits for its settings there has not left either.
+        let setting = |(id, l): (&ServerId, &Server)| {
+            (l.place == place && l.engine.is_setting()).then_some((*id, l.serves))
+        };
+        let setting: Vec<(ServerId, Option<ExecutionId>)> = self.links.iter().filter_map(setting).collect();
+        for (id, waits) in setting {
+            self.close(id);
+            waits.into_iter().for_each(|sent| self.report_end(sent, Ending::Withdrawn));
+        }
         let held = |(id, l): (&ServerId, &Server)| {
             let idle = match l.serves.and_then(|sent| self.executions.get(&sent)) {
                 Some(x) => x.stage == Stage::Waiting,
--- a/crates/front/src/postgres/servers_tests.rs
+++ b/crates/front/src/postgres/servers_tests.rs
@@ -255,3 +255,24 @@
     let heard = driven.hears(LOGIN_TIMEOUT, &mut link, b"");
     assert!(!String::from_utf8_lossy(&heard).contains("select"), "{heard:?}");
 }
+
+#[test]
+fn a_unit_whose_settings_are_still_brought_over_is_withdrawn_once_its_engine_drains() {
+    let (engine, at) = listener();
+    let mut driven = Driven::new(at);
+    let set = BTreeMap::from([("search_path".to_string(), "SET search_path = 'own'".to_string())]);
+    let (settings, parts) = (Rc::new(SessionSettings(set)), vec![query("select 1")]);
+    let account = driven.servers.account(Account::default()).unwrap();
+    let unit = Unit { session: 1, parts, settings, account, pin: None, once: true };
+    driven.servers.send(0, FIRST, PLACE, unit);
+    let mut link = engine.accept().unwrap().0;
+    driven.hears(0, &mut link, b"user");
+    lets_in(&mut link);
+    driven.hears(0, &mut link, b"search_path");
+    let left = |event: &Event| matches!(event, Event::Irrevocable(_));
+    assert!(!driven.servers.events.iter().any(left));
+    driven.servers.list(PLACE, "a", at, 0.0, false);
+    assert_eq!(driven.ended(), [(FIRST, Ending::Withdrawn)]);
+    let heard = driven.hears(0, &mut link, b"");
+    assert!(!String::from_utf8_lossy(&heard).contains("select 1"), "{heard:?}");
+}
