--- a/crates/front/src/front_tests.rs
+++ b/crates/front/src/front_tests.rs
@@ -8,11 +8,13 @@
 
 use calloop::EventLoop;
 use hallmux_postgres::wire;
-use serde_json::json;
+use serde_json::{json, Value};
 
 use super::*;
 use crate::clients::tests::frame;
 
+#[path = "postgres/engine_endings_tests.rs"]
+mod engine_endings;
 #[path = "postgres/session_close_tests.rs"]
 mod session_close;
 #[path = "postgres/session_units_tests.rs"]
@@ -21,7 +23,7 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 const START: Micros = 1_800_000_000_000_000; // Unix microseconds
 const LATER: Micros = START + 700_000; // the end was asked for at the start, and the listener is due to close
-const MOST_STARTS: usize = 10; // of a front whose port was taken by somebody else
+const AIM_MS: u32 = 2000; // milliseconds that statements are meant to take, where a test says nothing else
 const BEFORE: usize = 3; // iterations after that in which it is still open
 
 /// A front that no loop drives, with a clock that the test moves.
@@ -47,29 +49,21 @@
 
     /// The same with limits of sessions, as the operator's file has them.
     fn with_limits(name: &str, engine: SocketAddr, cancelling: bool, limits: &str) -> Driven {
-        let workloads =
-            json!([{"name": "lookup", "aimMs": 2000, "deadlineMs": 8000, "repeat": "repeatable"}]);
-        again_if_ports_are_taken(|| {
-            // A port that is free: it is let go of just before the front takes it.
-            let sessions = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-            let operator = format!(
-                "{{ postgres: {{ listen: '{sessions}', engines: [{{ kinds: ['std'] }}], \
-                 users: {{ portal: {{ trust: true, member: 'acme', workload: 'lookup' }} }}, \
-                 limits: {{ {limits} }} }} }}"
-            );
-            let mut driven = Driven::with(name, engine, &operator, cancelling, &workloads)?;
-            driven.sessions = sessions;
-            Ok(driven)
-        })
+        let agreed = (json!({"cancelling": cancelling}), lookup(AIM_MS));
+        Driven::start(name, &[engine], &sessions(limits), agreed).unwrap()
+    }
+
+    /// With several engines, what is agreed of bounds, and the time that statements are meant to take.
+    fn with_engines(name: &str, engines: &[SocketAddr], bounds: Value, aim_ms: u32) -> Driven {
+        Driven::start(name, engines, &sessions(""), (bounds, lookup(aim_ms))).unwrap()
     }
 
-    /// With an operator's file and workloads of the test's own.
-    pub(super) fn with(
+    /// With an operator's file, and bounds and workloads of the test's own.
+    pub(super) fn start(
         name: &str,
-        engine: SocketAddr,
+        engines: &[SocketAddr],
         operator: &str,
-        cancelling: bool,
-        workloads: &serde_json::Value,
+        (bounds, workloads): (Value, Value),
     ) -> Result<Driven, StartError> {
         let file =
             |kind: &str| std::env::temp_dir().join(format!("hallmux-{name}-{}.{kind}", std::process::id()));
@@ -78,13 +72,16 @@
         let variables = [("HALLMUX_CLOCK", &files[0]), ("HALLMUX_OPERATOR", &files[1])];
         let variables: HashMap<String, String> =
             variables.iter().map(|(name, path)| (name.to_string(), path.display().to_string())).collect();
-        let server = json!({"id": "e", "addr": engine.to_string(), "zone": "here", "kind": "std", "cell": 0,
-            "state": "up", "weight": 1, "started_ms": 0});
-        let list = json!({"version": 1, "full": true, "servers": [server]});
+        let server = |(n, engine): (usize, &SocketAddr)| {
+            json!({"id": format!("e{n}"), "addr": engine.to_string(), "zone": "here", "kind": "std",
+                "cell": 0, "state": "up", "weight": 1, "started_ms": 0})
+        };
+        let servers: Vec<Value> = engines.iter().enumerate().map(server).collect();
+        let list = json!({"version": 1, "full": true, "servers": servers});
         let known = json!({"index": 1, "updates": [{"index": 1, "endpoints": list}]});
         let text = json!({"name": "n1", "listen": "127.0.0.1:0", "seed": "1", "known": known, "settings": {
             "instances": 1, "areas": ["here"], "kinds": ["std"], "customers": [{"name": "acme"}], "rules": {},
-            "bounds": {"cancelling": cancelling}, "requestClasses": workloads}});
+            "bounds": bounds, "requestClasses": workloads}});
         write_clock(&files[0], START);
         let config = NodeConfig::parse(&variables, &text.to_string()).unwrap();
         let known = hallmux_codec::coordinator::events(config.known_events.as_bytes()).unwrap();
@@ -92,7 +89,8 @@
         let listener = TcpListener::bind(config.listen).unwrap();
         let listens = listener.local_addr().unwrap();
         let front = Front::new(&config, &known, listener, events.handle())?;
-        Ok(Driven { front, events, listens, sessions: listens, files })
+        let sessions = front.gateway.as_ref().and_then(Gateway::address).unwrap_or(listens);
+        Ok(Driven { front, events, listens, sessions, files })
     }
 
     /// Up to the iteration in which it closes its listeners.
@@ -182,15 +180,17 @@
     }
 }
 
-/// Makes what takes ports that were let go of for it; with others where one was taken meanwhile.
-pub(super) fn again_if_ports_are_taken<T>(mut make: impl FnMut() -> Result<T, StartError>) -> T {
-    for _ in 1..MOST_STARTS {
-        match make() {
-            Err(e) if e.to_string().contains("in use") => {}
-            other => return other.unwrap(),
-        }
-    }
-    make().unwrap()
+/// An operator's file that lets sessions in, with limits of theirs.
+fn sessions(limits: &str) -> String {
+    format!(
+        "{{ postgres: {{ listen: '127.0.0.1:0', engines: [{{ kinds: ['std'] }}], \
+         users: {{ portal: {{ trust: true, member: 'acme', workload: 'lookup' }} }}, limits: {{ {limits} }} }} }}"
+    )
+}
+
+/// A workload whose statements are meant to take so long.
+fn lookup(aim_ms: u32) -> Value {
+    json!([{"name": "lookup", "aimMs": aim_ms, "deadlineMs": 8000, "repeat": "repeatable"}])
 }
 
 fn starts_up(session: &mut TcpStream, user: &str) {
--- a/crates/front/src/held_tests.rs
+++ b/crates/front/src/held_tests.rs
@@ -10,10 +10,11 @@
 use hallmux_access::Judged;
 use serde_json::json;
 
-use super::tests::{again_if_ports_are_taken, listener, Driven};
+use super::tests::{listener, Driven};
 use super::*;
 use crate::clients::tests::frame;
 
+const MOST_STARTS: usize = 10; // of fronts whose ports were taken by somebody else
 const PATIENCE: Duration = Duration::from_secs(20); // for any one wait; a busy machine takes some of it
 const LOAD: &str = "insert into sales_17.orders (id) values (500)";
 const SELECT: &str = "select id, a, b from sales_17.orders";
@@ -79,7 +80,8 @@
                  patience_ms: 10000 }} }}, {more} }}",
                 at[front], key.display(), at[1 - front], public(0), public(1), at[0], at[1]
             );
-            Driven::with(&format!("held-{name}-{front}"), engine_at, &operator, false, &workloads)
+            let agreed = (json!({"cancelling": false}), workloads.clone());
+            Driven::start(&format!("held-{name}-{front}"), &[engine_at], &operator, agreed)
         };
         let (driven, other) = again_if_ports_are_taken(|| {
             // Ports that are free: they are let go of just before the fronts take them.
@@ -184,6 +186,17 @@
     (0..16).any(|ticket| !front.dispatcher.executions_out(ticket).is_empty())
 }
 
+/// Makes what takes ports that were let go of for it; with others where one was taken meanwhile.
+fn again_if_ports_are_taken<T>(mut make: impl FnMut() -> Result<T, StartError>) -> T {
+    for _ in 1..MOST_STARTS {
+        match make() {
+            Err(e) if e.to_string().contains("in use") => {}
+            other => return other.unwrap(),
+        }
+    }
+    make().unwrap()
+}
+
 #[test]
 fn a_load_that_waits_for_its_mark_is_not_sent_once_its_client_has_left() {
     let mut fleet = Fleet::new("marks", "repeatable", MARKED);
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -356,7 +356,8 @@
 
     pub fn expire(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
         self.sessions.expire(now, self.shut);
-        self.servers.expire(now);
+        let unfinished = self.servers.expire(now);
+        self.unfinished.extend(unfinished.into_iter().map(|id| SocketKind::Server.id(id)));
         self.handle_session_events(now, room, dispatcher);
     }
 
@@ -378,3 +379,7 @@
         self.handle_session_events(now, room, dispatcher);
     }
 }
+
+#[cfg(test)]
+#[path = "gateway_tests.rs"]
+mod tests;
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -209,9 +209,10 @@
         known
     }
 
-    /// Whether an execution is one of its own.
+    /// Whether an execution is one of its own, also where it only waits for its request to cancel.
     pub fn has(&self, sent: ExecutionId) -> bool {
-        self.executions.contains_key(&sent)
+        let ends = |cancel: &Cancel| cancel.ends.is_some_and(|(other, _)| other == sent);
+        self.executions.contains_key(&sent) || self.cancels.values().any(ends)
     }
 
     /// The engine that a connection is to.
@@ -247,6 +248,15 @@
         let (waited, resting) = self.pools.retire_engine(place);
         waited.into_iter().for_each(|sent| self.report_end(sent, Ending::Withdrawn));
         resting.into_iter().for_each(|id| self.close(id));
+        // What waits for its settings there has not left either.
+        let setting = |(id, l): (&ServerId, &Server)| {
+            (l.place == place && l.engine.is_setting()).then_some((*id, l.serves))
+        };
+        let setting: Vec<(ServerId, Option<ExecutionId>)> = self.links.iter().filter_map(setting).collect();
+        for (id, waits) in setting {
+            self.close(id);
+            waits.into_iter().for_each(|sent| self.report_end(sent, Ending::Withdrawn));
+        }
         let held = |(id, l): (&ServerId, &Server)| {
             let idle = match l.serves.and_then(|sent| self.executions.get(&sent)) {
                 Some(x) => x.stage == Stage::Waiting,
@@ -282,13 +292,12 @@
         connecting.min(cancels).min(next_check)
     }
 
-    /// Ends what has waited too long: connections not up, logins, cancels, idle connections.
-    pub fn expire(&mut self, now: Micros) {
-        let late: Vec<ServerId> =
-            self.connecting.iter().filter(|(_, by)| **by <= now).map(|(id, _)| *id).collect();
-        late.into_iter().for_each(|id| self.connection_lost(now, id, Ending::NeverUp));
+    /// Ends what has waited too long: connections not up, logins, cancels, idle connections. Says which
+    /// connections have more to read than one iteration takes.
+    pub fn expire(&mut self, now: Micros) -> Vec<ServerId> {
+        let unfinished = self.expire_connecting(now);
         let late: Vec<u64> = self.cancels.iter().filter(|(_, c)| c.by <= now).map(|(n, _)| *n).collect();
-        late.into_iter().for_each(|number| self.cancelled(number));
+        late.into_iter().for_each(|number| self.cancel_overdue(now, number));
         if self.next_check <= now {
             self.next_check = now + CHECK_INTERVAL;
             self.ping_silent(now);
@@ -301,5 +310,29 @@
                 self.step(now, place, step);
             }
         }
+        unfinished
+    }
+
+    /// Ends connections that did not come up, or did not let the front in, in time. Says which of those that
+    /// stay have more to read.
+    fn expire_connecting(&mut self, now: Micros) -> Vec<ServerId> {
+        let late: Vec<ServerId> =
+            self.connecting.iter().filter(|(_, by)| **by <= now).map(|(id, _)| *id).collect();
+        let mut unfinished = Vec::new();
+        for id in late {
+            // Guards against a front that stood still between its look at the connections and this one: what has
+            // come up, or let it in, meanwhile is found before it is judged.
+            let more = self.read(now, id);
+            if self.connecting.get(&id).is_some_and(|by| *by <= now) {
+                self.connection_lost(now, id, Ending::NeverUp);
+            } else if more {
+                unfinished.push(id);
+            }
+        }
+        unfinished
     }
 }
+
+#[cfg(test)]
+#[path = "servers_tests.rs"]
+mod tests;
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -4,7 +4,7 @@
 use hallmux_postgres::pool::Released;
 use hallmux_postgres::wire;
 
-use super::{Cancel, Event, ServerId, Servers, Stage};
+use super::{Cancel, Event, Server, ServerId, Servers, Stage};
 use crate::events::SocketKind;
 use crate::execution::ExecutionId;
 use crate::link::Link;
@@ -12,25 +12,34 @@
 impl Servers {
     /// Cancels an execution. It ends with the ending given, or as withdrawn where nothing of it has left.
     pub fn cancel_execution(&mut self, now: Micros, sent: ExecutionId, ending: Ending) {
-        let Some(x) = self.executions.get(&sent) else { return };
+        let Some(x) = self.executions.get(&sent) else { return self.end_before_cancelled(sent, ending) };
         let (place, link) = (x.place, x.link);
         let Some(id) = link else {
             self.pools.withdraw(place, sent);
             // One that waits for a cancel to be over lets its transaction go, which it could not end.
             let pinned = x.unit.pin;
-            self.report_end(sent, if ending == Ending::TimeUp { ending } else { Ending::Withdrawn });
+            // Also where its time is up. Guards against a commit that passes for one in doubt and never left.
+            self.report_end(sent, Ending::Withdrawn);
             pinned.into_iter().for_each(|id| self.close(id));
             return;
         };
+        // Guards against a commit that passes for one in doubt, and a unit that leaves though it is given up:
+        // behind settings that are being brought over nothing of it has left.
+        if self.links.get(&id).is_some_and(|l| l.engine.is_setting()) {
+            self.report_end(sent, Ending::Withdrawn);
+            return self.close(id);
+        }
+        // Its client is owed its answer now; else it ends when the engine has taken the request.
+        let at_once = ending == Ending::TimeUp;
         // Time that a client spent on taking its answer is not the engine's.
         let ending = if ending == Ending::TimeUp && x.paused { Ending::GivenUp } else { ending };
         self.executions.remove(&sent);
         let held = self.links.get(&id).is_some_and(|l| l.holds.is_some());
         if self.allowance.cancel || held {
-            let asked = self.allowance.cancel && self.ask_to_cancel(now, id, Some((sent, ending)));
+            let ends = (!at_once).then_some((sent, ending));
+            let asked = self.allowance.cancel && self.ask_to_cancel(now, id, ends);
             self.close(id);
-            // At once where a client is owed its answer; else when the engine has taken the request.
-            if ending == Ending::TimeUp || !asked {
+            if at_once || !asked {
                 self.events.push(Event::Ended { sent, ending });
             }
         } else {
@@ -41,6 +50,19 @@
         }
     }
 
+    /// An execution that waits for its request to cancel has its client's time up. Guards against a client
+    /// that is answered late, as it waits for an engine that takes no requests.
+    fn end_before_cancelled(&mut self, sent: ExecutionId, ending: Ending) {
+        if ending != Ending::TimeUp {
+            return;
+        }
+        let waits = |cancel: &&mut Cancel| cancel.ends.is_some_and(|(other, _)| other == sent);
+        if let Some(cancel) = self.cancels.values_mut().find(waits) {
+            cancel.ends = None;
+            self.events.push(Event::Ended { sent, ending });
+        }
+    }
+
     /// Nobody waits for a statement any more: what has not left for an engine never will.
     pub fn abandon(&mut self, now: Micros, ticket: Ticket) {
         let of_ticket = self.executions.iter().filter(|(sent, _)| sent.ticket == ticket);
@@ -50,8 +72,9 @@
                 self.cancel_execution(now, sent, Ending::Withdrawn);
                 continue;
             };
-            // What is written and has yet to leave goes with its connection.
-            let unsent = self.links.get(&id).is_some_and(|l| l.serves == Some(sent) && !l.link.has_sent(1));
+            // What is written and has yet to leave goes with its connection, also what waits for its settings.
+            let stays = |l: &Server| !l.link.has_sent(1) || l.engine.is_setting();
+            let unsent = self.links.get(&id).is_some_and(|l| l.serves == Some(sent) && stays(l));
             if let Some(place) = self.place(id).filter(|_| unsent) {
                 self.report_end(sent, Ending::Withdrawn);
                 self.close_and_refill(now, id, place);
@@ -102,10 +125,24 @@
         }
     }
 
+    /// A request to cancel has not been taken in time. Guards against a front that stood still: one whose
+    /// connection has come up meanwhile leaves now, and has some time more, as it must not end what comes
+    /// after.
+    pub(super) fn cancel_overdue(&mut self, now: Micros, number: u64) {
+        let was_unsent = self.cancels.get(&number).is_some_and(|c| c.link.unsent() > 0);
+        self.read_cancel(number);
+        match self.cancels.get_mut(&number) {
+            Some(cancel) if was_unsent && cancel.link.unsent() == 0 => {
+                cancel.by = now + self.allowance.dial_timeout
+            }
+            _ => self.cancelled(number),
+        }
+    }
+
     /// The engine has taken the request, or never will.
     pub(super) fn cancelled(&mut self, number: u64) {
         let Some(cancel) = self.cancels.remove(&number) else { return };
-        if let Some((sent, ending)) = cancel.ends.filter(|(_, ending)| *ending != Ending::TimeUp) {
+        if let Some((sent, ending)) = cancel.ends {
             self.events.push(Event::Ended { sent, ending });
         }
         if let Some(link) = self.links.get_mut(&cancel.server) {
@@ -188,6 +225,8 @@
             let whole = server.link.has_sent(server.write_end);
             let ending = match x.map(|x| x.stage) {
                 Some(Stage::Waiting) => Ending::Withdrawn,
+                // It waits here for its settings.
+                Some(_) if server.engine.is_setting() => Ending::HalfWritten,
                 // Without its Sync nothing that it does is kept, but for a commit of its own.
                 Some(Stage::Writing) if !whole && !x.is_some_and(|x| x.unit.once) => Ending::HalfWritten,
                 _ => ending,
--- a/crates/front/src/postgres/session_units_tests.rs
+++ b/crates/front/src/postgres/session_units_tests.rs
@@ -31,12 +31,12 @@
     fn enters_with_key(&mut self) -> (TcpStream, CancelKey) {
         let mut session = TcpStream::connect(self.sessions).unwrap();
         starts_up(&mut session, "portal");
-        let greeting = self.hears_unit(&mut session);
+        let greeting = self.hears_unit_bytes(&mut session);
         (session, key_in(&greeting))
     }
 
     /// All up to the end of a unit: however much that is, each byte is looked at once.
-    fn hears_unit(&mut self, session: &mut TcpStream) -> Vec<u8> {
+    fn hears_unit_bytes(&mut self, session: &mut TcpStream) -> Vec<u8> {
         let mut all = Vec::new();
         while !all.ends_with(READY) {
             let heard = self.hears(session);
@@ -205,7 +205,7 @@
         assert_eq!(engine.accept().unwrap_err().kind(), ErrorKind::WouldBlock);
     }
     // The one that has left little has its whole answer, and goes on.
-    let heard = driven.hears_unit(&mut little);
+    let heard = driven.hears_unit_bytes(&mut little);
     let mut whole = row.repeat(rows);
     wire::write_complete(&mut whole, &tag);
     whole.extend(READY);
