--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -18,6 +18,8 @@
 mod start_error;
 mod test_clock;
 
+use std::collections::HashMap;
+use std::ffi::OsString;
 use std::net::TcpListener;
 use std::process::ExitCode;
 
@@ -39,21 +41,27 @@
     }
 }
 
+/// The environment. Guards against a variable, whichever it is, that is no UTF-8: to ask for text would panic.
+fn environment() -> HashMap<String, String> {
+    let text = |bytes: OsString| bytes.to_string_lossy().into_owned();
+    std::env::vars_os().map(|(name, value)| (text(name), text(value))).collect()
+}
+
 fn run() -> Result<(), StartError> {
-    let variables = std::env::vars().collect();
+    let variables = environment();
     let config = NodeConfig::read(&variables)?;
     logger::start(&config.name, config.log_level);
     if let Some(path) = &config.clock_file {
         log::warn!("HALLMUX_CLOCK: the time is a drill's, from {}", path.display());
     }
     let known = hallmux_codec::coordinator::events(config.known_events.as_bytes());
-    let known = known.map_err(|what| StartError::Known(what.to_string()))?;
+    let known = known.map_err(|what| StartError::known(&variables, &what.to_string()))?;
     let polls = StartError::system("polling");
     let mut event_loop: EventLoop<'static, LoopEvents> = EventLoop::try_new().map_err(|e| polls(e.into()))?;
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGHUP]).map_err(|e| polls(e.into()))?;
     let queue = |event: Event, _: &mut (), events: &mut LoopEvents| events.signals.push(event.signal());
     event_loop.handle().insert_source(signals, queue).map_err(|e| polls(e.error.into()))?;
-    let unfit = |why| StartError::Listen { at: config.listen, why };
+    let unfit = |why| StartError::listen(&variables, config.listen, why);
     let listener = TcpListener::bind(config.listen).map_err(unfit)?;
     let address = listener.local_addr().map_err(unfit)?;
     let mut front = Front::new(&config, &known, listener, event_loop.handle())?;
--- a/crates/front/src/start_error.rs
+++ b/crates/front/src/start_error.rs
@@ -1,15 +1,16 @@
 //! Why a front does not start: each text says what is wrong, where, and what an operator can do.
 
+use std::collections::HashMap;
 use std::net::SocketAddr;
 
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     #[error(transparent)]
     Configuration(#[from] hallmux_agreement::Error),
-    #[error("NODE_CONFIG: known: {0}; give the coordinator's events as it words them, or leave the key out")]
-    Known(String),
-    #[error("listen: {at}: {why}; give the address of a free port of this machine")]
-    Listen { at: SocketAddr, why: std::io::Error },
+    #[error("{key}: {why}; give the coordinator's events as it words them, or leave the key out")]
+    Known { key: String, why: String },
+    #[error("{key}: {at}: {why}; give the address of a free port of this machine")]
+    Listen { key: String, at: SocketAddr, why: std::io::Error },
     #[error(transparent)]
     Peers(#[from] crate::fleet::PeersError),
     #[error(transparent)]
@@ -24,7 +25,27 @@
     System { what: &'static str, why: String },
 }
 
+/// A key of the file that NODE_CONFIG names, as an operator finds it.
+fn key_in_file(variables: &HashMap<String, String>, key: &str) -> String {
+    let file = variables.get("NODE_CONFIG").map_or("?", String::as_str);
+    format!("NODE_CONFIG: {file}: {key}")
+}
+
 impl StartError {
+    /// The coordinator's events in the file can't be used.
+    pub fn known(variables: &HashMap<String, String>, what: &str) -> StartError {
+        // Its line counts from where the key's value begins, which is no line of the file.
+        let why = what.rsplit_once(" at line ").map_or(what, |(why, _)| why).to_string();
+        StartError::Known { key: key_in_file(variables, "known"), why }
+    }
+
+    /// The address, which a variable or the file has given, can't be listened on.
+    pub fn listen(variables: &HashMap<String, String>, at: SocketAddr, why: std::io::Error) -> StartError {
+        const VARIABLE: &str = "NODE_LISTEN";
+        let set = variables.contains_key(VARIABLE).then(|| VARIABLE.to_string());
+        StartError::Listen { key: set.unwrap_or_else(|| key_in_file(variables, "listen")), at, why }
+    }
+
     /// Of a part that may have said itself what can be done.
     pub fn part(why: &std::io::Error) -> StartError {
         let said = why.to_string();
--- a/crates/front/tests/refused/main.rs
+++ b/crates/front/tests/refused/main.rs
@@ -1,6 +1,9 @@
 //! Starts the front's binary with configurations that can't be used: it ends at once, with exit code 1 and one line
 //! that names the file, the line in it, the key and what can be done.
 
+use std::ffi::OsStr;
+use std::net::TcpListener;
+use std::os::unix::ffi::OsStrExt;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
@@ -44,11 +47,14 @@
 
 /// What it says; it has ended by then.
 fn refused(config: &Path, operator: Option<&Path>) -> String {
+    let operator = operator.map(|path| ("HALLMUX_OPERATOR", path.as_os_str()));
+    refused_with(config, operator.as_slice())
+}
+
+/// The same, with some variables set.
+fn refused_with(config: &Path, variables: &[(&str, &OsStr)]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hallmux-front"));
-    command.env_clear().env("NODE_CONFIG", config);
-    if let Some(operator) = operator {
-        command.env("HALLMUX_OPERATOR", operator);
-    }
+    command.env_clear().env("NODE_CONFIG", config).envs(variables.iter().copied());
     let output = command.stdout(Stdio::null()).stderr(Stdio::piped()).output().unwrap();
     let said = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(1), "{said}");
@@ -115,3 +121,51 @@
         assert!(said.starts_with(&begins), "{said}\nis not\n{begins}");
     }
 }
+
+fn folder(name: &str) -> Folder {
+    let folder = Folder(std::env::temp_dir().join(format!("hallmux-{name}-{}", std::process::id())));
+    std::fs::create_dir_all(&folder.0).unwrap();
+    folder
+}
+
+#[test]
+fn what_the_program_itself_finds_wrong_is_named_with_file_and_key() {
+    let folder = folder("refused-keys");
+    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
+    let at = taken.local_addr().unwrap().to_string();
+    let name = folder.0.join("front.json");
+    for (from, to, says) in [
+        ("127.0.0.1:0", at.as_str(), format!("listen: {at}: ")),
+        ("{\"index\": 0,", "{\"index\": \"none\",", "known: invalid type: string \"none\"".to_string()),
+        ("\"updates\": []", "\"updates\": [7]", "known: invalid type: integer `7`".to_string()),
+        ("\"updates\": []", "\"updates\": 7", "known: invalid type: integer `7`".to_string()),
+    ] {
+        assert!(GOOD.contains(from), "{from}");
+        let said = refused(&folder.file("front.json", GOOD.replacen(from, to, 1).as_bytes()), None);
+        let begins = format!("hallmux-front: NODE_CONFIG: {}: {says}", name.display());
+        assert!(said.starts_with(&begins) && !said.contains("line 1"), "{said}\nis not\n{begins}");
+    }
+    let config = folder.file("front.json", GOOD.as_bytes());
+    let said = refused_with(&config, &[("NODE_LISTEN", OsStr::new(&at))]);
+    assert!(said.starts_with(&format!("hallmux-front: NODE_LISTEN: {at}: ")), "{said}");
+}
+
+#[test]
+fn a_variable_that_is_no_text_ends_no_start_but_its_own() {
+    let folder = folder("refused-variables");
+    let config = folder.file("front.json", GOOD.replacen("\"once\"", "\"twice\"", 1).as_bytes());
+    let no_text = OsStr::from_bytes(b"x\xff");
+    // One that is none of the front's changes nothing: the file is read.
+    let said = refused_with(&config, &[("LABEL", no_text)]);
+    assert!(said.contains("line 16: settings.requestClasses[1].repeat: unknown word 'twice'"), "{said}");
+    let config = folder.file("front.json", GOOD.as_bytes());
+    for (variable, says) in [
+        ("NODE_CONFIG", "can't be read: "),
+        ("HALLMUX_OPERATOR", "can't be read: "),
+        ("NODE_LISTEN", "invalid socket address"),
+        ("HALLMUX_LOG", "give one of off, error,"),
+    ] {
+        let said = refused_with(&config, &[(variable, no_text)]);
+        assert!(said.contains(&format!("{variable}: ")) && said.contains(says), "{said}");
+    }
+}
