--- a/crates/front/tests/scripted/line.rs
+++ b/crates/front/tests/scripted/line.rs
@@ -172,7 +172,7 @@
                 latest.shutdown(std::net::Shutdown::Both).unwrap();
             }
             _ => assert!(
-                self.engine_list_line(&words) || self.ordered_line(&words),
+                self.engine_list_line(&words) || self.ordered_line(&words) || self.resources_line(&words),
                 "a line that means nothing"
             ),
         }
--- a/crates/front/tests/scripted/main.rs
+++ b/crates/front/tests/scripted/main.rs
@@ -62,6 +62,16 @@
 //!     passes MS in at most N turns        lets time pass, in which the front has that little to do
 //!     kills | starts anew      ends the front by SIGKILL; starts it again, where it was
 //!
+//! Lines about what a front takes of the machine, and garbage (`resources.rs`, `garbage.rs`):
+//!
+//!     machine grants N descriptors         the process can have no more, from the next start on
+//!     runs in real time        the next start takes the machine's time: no line can let time pass then
+//!     rests                    takes next to no CPU time for two seconds of the machine's time
+//!     notes its descriptors | has its descriptors back     waits until it holds as many as were noted
+//!     starts anew N times      kills it and starts it again, where it was: it is ready in time each time
+//!     garbage from N | garbage is gone     so many connections bring garbage; those that stay are closed
+//!     ENGINE spoils N answers to CLIENT    each aborted, with one between that is answered well
+//!
 //! Of the WORDS that an engine hears `wait<N` is a figure below N, `in-time` a deadline that is no later than the
 //! client's. `engine NAME [deaf] narrow`: little that it leaves unread fits.
 
@@ -73,11 +83,13 @@
 mod engine;
 mod engine_list;
 mod fronts;
+mod garbage;
 mod limits;
 mod line;
 mod ordering;
 mod outcomes;
 mod process;
+mod resources;
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpStream};
@@ -93,6 +105,7 @@
 use clock::Clock;
 use coordinator::CoordinatorState;
 use engine::Engine;
+use resources::Resources;
 
 const PATIENCE: Duration = Duration::from_secs(20); // for any one wait; a busy machine takes some of it
 
@@ -129,6 +142,7 @@
     unsent: HashMap<String, Vec<u8>>,
     /// Connections that keep an engine from taking others.
     fillers: HashMap<String, Vec<TcpStream>>,
+    resources: Resources,
 }
 
 fn id(number: &str) -> String {
--- a/crates/front/tests/scripted/process.rs
+++ b/crates/front/tests/scripted/process.rs
@@ -43,19 +43,27 @@
             self.time = self.file("clock");
             self.clock = Some(Clock::new(&self.time));
         }
-        let mut command = Command::new(env!("CARGO_BIN_EXE_hallmux-front"));
-        command
-            .env("NODE_CONFIG", &self.config)
-            .env("HALLMUX_CLOCK", &self.time)
-            .env_remove("NODE_LISTEN")
-            .env_remove("NODE_NAME");
-        command.env_remove("HALLMUX_OPERATOR");
+        let mut command = self.command();
+        command.env("NODE_CONFIG", &self.config).env_remove("NODE_LISTEN").env_remove("NODE_NAME");
+        command.env_remove("HALLMUX_OPERATOR").env_remove("HALLMUX_CLOCK");
+        if !self.resources.real_time {
+            command.env("HALLMUX_CLOCK", &self.time);
+        }
         if let Some(operator) = &self.operator {
             command.env("HALLMUX_OPERATOR", operator);
         }
         command.stderr(Stdio::piped()).spawn().unwrap()
     }
 
+    /// The front's program; with a limit of descriptors of its own by way of a shell, whose process it takes over.
+    fn command(&self) -> Command {
+        const FRONT: &str = env!("CARGO_BIN_EXE_hallmux-front");
+        let Some(most) = self.resources.granted_descriptors else { return Command::new(FRONT) };
+        let mut shell = Command::new("sh");
+        shell.args(["-c", &format!("ulimit -n {most} && exec \"$0\""), FRONT]);
+        shell
+    }
+
     /// Writes the configuration to the latest file.
     pub fn configure(&self) {
         let updates = &self.coordinator_state.0.lock().unwrap().updates;
