--- a/crates/front/tests/scripted/garbage.rs
+++ b/crates/front/tests/scripted/garbage.rs
@@ -1,4 +1,4 @@
-//! Garbage, drawn by number so that each run has the same: from clients, and from engines in place of answers.
+//! Garbage, drawn by number so that each run has the same: from clients, and from engines instead of answers.
 
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
@@ -48,13 +48,52 @@
         }
     }
 
-    /// So many connections bring garbage: some leave at once, some reset it, some wait for what comes.
+    /// What no PostgreSQL client sends that may come in; the user is one that there is not.
+    fn session_garbage(&self, n: usize) -> Vec<u8> {
+        let draw = drawn(n, 300);
+        let begins = |code: u32, rest: &[u8]| {
+            let len = (8 + rest.len() as u32).to_be_bytes();
+            [&len[..], &code.to_be_bytes(), rest].concat()
+        };
+        const VERSION_2: u32 = 2 << 16;
+        const VERSION_3: u32 = 3 << 16;
+        const CANCEL: u32 = 80_877_102;
+        const TLS: u32 = 80_877_103;
+        match n % FORMS {
+            0 => draw,
+            1 => [[0x7f, 0xff, 0xff, 0xff], [0xff; 4], [0, 0, 0, 0]][n / FORMS % 3].to_vec(),
+            2 => begins(VERSION_3, b"user\0nobody\0database\0x\0\0"),
+            3 => begins(VERSION_3, b"user\0portal\0database")[..draw[0] as usize % 20].to_vec(),
+            4 => begins(VERSION_2, &draw),
+            5 => begins(CANCEL, &draw[..8]),
+            6 => [begins(TLS, b""), draw].concat(),
+            // A message that no client sends, of a length that none has, right behind the start.
+            _ => [begins(VERSION_3, b"user\0portal\0database\0x\0\0"), vec![b'~', 0x7f, 0xff, 0xff, 0xff]]
+                .concat(),
+        }
+    }
+
+    /// So many connections of clients bring garbage.
     pub fn garbage_from(&mut self, count: usize) {
+        let at = self.listens.clone();
+        let garbage = (0..count).map(|n| self.client_garbage(n)).collect();
+        self.brings(&at, garbage);
+    }
+
+    /// The same of PostgreSQL sessions.
+    pub fn garbage_from_sessions(&mut self, count: usize) {
+        let at = self.resources.sessions.unwrap().to_string();
+        let garbage = (0..count).map(|n| self.session_garbage(n)).collect();
+        self.brings(&at, garbage);
+    }
+
+    /// A connection for each: some leave at once, some reset it, some wait for what comes.
+    fn brings(&mut self, at: &str, garbage: Vec<Vec<u8>>) {
         let mut waiting = Vec::new();
-        for n in 0..count {
-            let mut stream = TcpStream::connect(&self.listens).unwrap();
+        for (n, bytes) in garbage.into_iter().enumerate() {
+            let mut stream = TcpStream::connect(at).unwrap();
             // One that is refused while it writes has said enough.
-            let _ = stream.write_all(&self.client_garbage(n));
+            let _ = stream.write_all(&bytes);
             match n / FORMS % 3 {
                 0 => drop(stream),
                 1 => SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap(),
@@ -105,7 +144,7 @@
         self.line(&format!("{client} hears {good} completed x"));
     }
 
-    /// Lets time pass until an engine has heard a statement, as one that has failed is trusted again only by then.
+    /// Lets time pass until an engine has heard a statement: one that has failed is trusted again only by then.
     fn hears_in_time(&mut self, engine: &str, number: &str) {
         let heard = (0..LOOKS).any(|_| {
             self.passes(STEP_MS);
--- a/crates/front/tests/scripted/line.rs
+++ b/crates/front/tests/scripted/line.rs
@@ -26,6 +26,7 @@
                 let path = self.file("json5");
                 let rules = self.rules.as_ref().map(|path| path.display().to_string());
                 let text = unescaped(&rest(1)).replace("RULES", &rules.unwrap_or_default());
+                let text = self.with_sessions(&text);
                 std::fs::write(&path, text).unwrap();
                 self.operator = Some(path);
             }
--- a/crates/front/tests/scripted/main.rs
+++ b/crates/front/tests/scripted/main.rs
@@ -4,7 +4,8 @@
 //!     agreed KEY JSON          a value of the settings object, in place of the usual one
 //!     told KEY JSON            a value of the configuration itself, for the next start
 //!     operator TEXT            the operator's own file, for the starts from now on (`\n` a line's end)
-//!     rules TEXT               the file of rules, written anew; `RULES` in the operator's file is its path
+//!     rules TEXT               the file of rules, written anew; `RULES` in the operator's file is its path,
+//!                              `SESSIONS` a free address
 //!     engine NAME[@ZONE] [gone|deaf]  of the list at start; `gone` listens no more, `deaf` reads nothing yet
 //!     start                    starts the front and waits until it takes statements
 //!     fails TEXT               starts it and waits until it ends with a complaint that holds TEXT
@@ -69,7 +70,7 @@
 //!     rests                    takes next to no CPU time for two seconds of the machine's time
 //!     notes its descriptors | has its descriptors back     waits until it holds as many as were noted
 //!     starts anew N times      kills it and starts it again, where it was: it is ready in time each time
-//!     garbage from N | garbage is gone     so many connections bring garbage; those that stay are closed
+//!     garbage from N [sessions] | garbage is gone    so many connections bring garbage; those that stay are closed
 //!     ENGINE spoils N answers to CLIENT    each aborted, with one between that is answered well
 //!
 //! Of the WORDS that an engine hears `wait<N` is a figure below N, `in-time` a deadline that is no later than the
--- a/crates/front/tests/scripted/process.rs
+++ b/crates/front/tests/scripted/process.rs
@@ -55,7 +55,7 @@
         command.stderr(Stdio::piped()).spawn().unwrap()
     }
 
-    /// The front's program; with a limit of descriptors of its own by way of a shell, whose process it takes over.
+    /// The front's program; where it has its own limit of descriptors, by a shell whose process it takes over.
     fn command(&self) -> Command {
         const FRONT: &str = env!("CARGO_BIN_EXE_hallmux-front");
         let Some(most) = self.resources.granted_descriptors else { return Command::new(FRONT) };
--- a/crates/front/tests/scripted/resources.rs
+++ b/crates/front/tests/scripted/resources.rs
@@ -1,12 +1,13 @@
-//! What a front takes of the machine and gives back: descriptors, CPU time where it has nothing to do, time to start.
+//! What a front takes of the machine: descriptors, CPU time where it has nothing to do, time to start.
 
+use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
 use crate::{Scenario, PATIENCE};
 
-const WATCHED: Duration = Duration::from_secs(2); // of the machine's time, for the CPU time taken in it
+const WATCHED: Duration = Duration::from_secs(2); // of the machine's time
 const REST: u32 = 20; // a front that rests takes less than one part of so many of a core
-const TICK: Duration = Duration::from_millis(10); // unit of CPU time in /proc/PID/stat, the same on all Linux systems
+const TICK: Duration = Duration::from_millis(10); // the unit of /proc/PID/stat on Linux
 const LOOK: Duration = Duration::from_millis(10);
 const STEP_MS: i64 = 20; // milliseconds of the front's time between looks at its descriptors
 const READY: Duration = Duration::from_secs(10); // in which nine of ten restarted fronts have to take statements
@@ -19,6 +20,8 @@
     /// The front takes the time from the machine.
     pub real_time: bool,
     noted_descriptors: usize,
+    /// Where PostgreSQL sessions are taken, if the operator's file names `SESSIONS`.
+    pub sessions: Option<SocketAddr>,
 }
 
 impl Scenario {
@@ -39,6 +42,7 @@
                 (0..count.parse().unwrap()).for_each(|_| self.is_ready_again());
             }
             ["garbage", "from", count] => self.garbage_from(count.parse().unwrap()),
+            ["garbage", "from", count, "sessions"] => self.garbage_from_sessions(count.parse().unwrap()),
             ["garbage", "is", "gone"] => self.garbage_is_gone(),
             [engine, "spoils", count, "answers", "to", client] => {
                 (0..count.parse().unwrap()).for_each(|n| self.spoils_an_answer(engine, client, n));
@@ -48,6 +52,18 @@
         true
     }
 
+    /// A text of the operator's file with the address for sessions: a port that is free, let go of just before the
+    /// front takes it.
+    pub fn with_sessions(&mut self, text: &str) -> String {
+        const NAME: &str = "SESSIONS";
+        if !text.contains(NAME) {
+            return text.to_string();
+        }
+        let at = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        self.resources.sessions = Some(at);
+        text.replace(NAME, &at.to_string())
+    }
+
     fn descriptors(&self) -> usize {
         let pid = self.front.as_ref().unwrap().id();
         std::fs::read_dir(format!("/proc/{pid}/fd")).unwrap().count()
