--- a/crates/dispatcher/tests/slow_start/main.rs
+++ b/crates/dispatcher/tests/slow_start/main.rs
@@ -13,6 +13,7 @@
 const FLEETS: [usize; 6] = [1, 2, 3, 5, 12, 30];
 const SEEDS: u64 = 3; // of each three one with short statements
 const MANY: u64 = 12; // for what breaks seldom
+const CRASHES: i64 = 6; // of each process in one window, over two windows
 
 /// The window fullest against its bound: its share of the bound, the calls in it, and those allowed.
 fn fullest(shape: &Shape, pushes: &[Push]) -> (f64, f64, f64) {
@@ -125,6 +126,19 @@
     holds("restart apart", SEEDS, |shape, chance| restarts(shape, chance, false));
 }
 
+#[test]
+fn processes_that_crash_again_and_again_under_a_burst() {
+    holds("crash again and again", MANY, |shape, chance| {
+        shape.demand = Demand::Burst(0);
+        let first = START + chance.one_of(&[10_000, 200_000, SECOND]);
+        let life = shape.fall / CRASHES;
+        for p in 0..shape.processes {
+            let after = chance.within(life / 4);
+            (0..2 * CRASHES).for_each(|n| shape.restarts.push((p, first + after + n * life, life / 20)));
+        }
+    });
+}
+
 #[test]
 fn an_engine_that_turns_all_away() {
     holds("turns away", SEEDS, |shape, _| shape.deed = Deed::TurnsAway);
