--- a/crates/front/tests/scripted/line.rs
+++ b/crates/front/tests/scripted/line.rs
@@ -26,6 +26,7 @@
                 let path = self.file("json5");
                 let rules = self.rules.as_ref().map(|path| path.display().to_string());
                 let text = unescaped(&rest(1)).replace("RULES", &rules.unwrap_or_default());
+                let text = self.with_sessions(&text);
                 std::fs::write(&path, text).unwrap();
                 self.operator = Some(path);
             }
@@ -172,7 +173,7 @@
                 latest.shutdown(std::net::Shutdown::Both).unwrap();
             }
             _ => assert!(
-                self.engine_list_line(&words) || self.ordered_line(&words),
+                self.engine_list_line(&words) || self.ordered_line(&words) || self.resources_line(&words),
                 "a line that means nothing"
             ),
         }
