--- a/crates/agreement/src/node.rs
+++ b/crates/agreement/src/node.rs
@@ -15,6 +15,8 @@
 
 const MEMORY_MB: u64 = 192; // MB, where the file is silent; the least that the operators grant
 const SOCKETS: usize = 1024; // descriptors, where the file is silent; the least that the operators grant
+const LEAST_MEMORY_MB: u64 = 16; // MB; held statements get a quarter of it, unread answers another
+const LEAST_SOCKETS: usize = 16; // descriptors; some ten are the front's own, and half are for clients
 const NOTHING_KNOWN: &str = r#"{"index":0,"updates":[]}"#; // the coordinator tells all that has been since
 const LEVEL: &str = "info"; // log level; one line for each change worth waking for
 
@@ -94,10 +96,7 @@
         let sources = Sources { variables, file: Section { name: "", text, lines: 0 } };
         let file: File = sources.file.read()?;
         let seed = file.seed.ok_or_else(|| missing("seed"))?;
-        let limits = match file.limits {
-            Some(limits) => sources.section("limits", limits).read()?,
-            None => FileLimits::default(),
-        };
+        let limits = file.limits.map_or(Ok(FileLimits::default()), |limits| sources.limits(limits))?;
         let settings = file.settings.ok_or_else(|| missing("settings"))?;
         let mut settings = settings_of(&sources.section("settings", settings))?;
         let operator = sources.operator(&settings)?;
@@ -135,6 +134,19 @@
         Section { name, text: raw.get(), lines: text::lines_before(self.file.text, raw.get()) }
     }
 
+    /// What the machine grants. Guards against limits under which a front would start and serve nobody.
+    fn limits(&self, raw: &'a RawValue) -> Result<FileLimits, Error> {
+        let section = self.section("limits", raw);
+        let limits: FileLimits = section.read()?;
+        if limits.memory_mb < LEAST_MEMORY_MB {
+            return Err(section.error("memory_mb", KeyProblem::below_minimum(LEAST_MEMORY_MB)));
+        }
+        if limits.sockets < LEAST_SOCKETS {
+            return Err(section.error("sockets", KeyProblem::below_minimum(LEAST_SOCKETS)));
+        }
+        Ok(limits)
+    }
+
     /// The value of a variable, or else of a key.
     fn text(&self, variable: &'static str, key: &str, in_file: Option<String>) -> Result<String, Error> {
         let value = self.variables.get(variable).cloned().or(in_file);
--- a/crates/agreement/src/settings/check.rs
+++ b/crates/agreement/src/settings/check.rs
@@ -60,6 +60,9 @@
     perhaps("bounds.dialTimeoutMs", bounds.dial_timeout_ms)?;
     perhaps("bounds.keepaliveMs", bounds.keepalive_ms)?;
     perhaps("bounds.maxRetryAfterMs", bounds.max_retry_after_ms)?;
+    perhaps("bounds.streamsPerConn", bounds.streams_per_conn.map(|count| count as f64))?;
+    perhaps("bounds.mostHeld", bounds.most_held.map(|count| count as f64))?;
+    perhaps("bounds.mostTries", bounds.most_tries.map(|count| count as f64))?;
     each("extra.parallelism", &extra.parallelism)?;
     each("extra.memoryByKindMb", &extra.memory_by_kind_mb)?;
     each("extra.sizeCores", &extra.size_cores)?;
--- a/crates/front/tests/refused/main.rs
+++ b/crates/front/tests/refused/main.rs
@@ -5,7 +5,11 @@
 use std::net::TcpListener;
 use std::os::unix::ffi::OsStrExt;
 use std::path::{Path, PathBuf};
-use std::process::{Command, Stdio};
+use std::process::{Child, Command, Output, Stdio};
+use std::time::{Duration, Instant};
+
+const PATIENCE: Duration = Duration::from_secs(10); // for a start to end; a busy machine takes some of it
+const LOOK: Duration = Duration::from_millis(2); // between looks whether it has
 
 const GOOD: &str = r#"{
   "name": "n1",
@@ -45,6 +49,19 @@
     }
 }
 
+/// What a process has left that ends by itself. One that goes on is killed, and fails the test: it would hang.
+fn ended(mut process: Child) -> Output {
+    let begun = Instant::now();
+    while process.try_wait().unwrap().is_none() {
+        if begun.elapsed() > PATIENCE {
+            process.kill().unwrap();
+            panic!("it started: {:?}", process.wait_with_output().unwrap());
+        }
+        std::thread::sleep(LOOK);
+    }
+    process.wait_with_output().unwrap()
+}
+
 /// What it says; it has ended by then.
 fn refused(config: &Path, operator: Option<&Path>) -> String {
     let operator = operator.map(|path| ("HALLMUX_OPERATOR", path.as_os_str()));
@@ -55,7 +72,7 @@
 fn refused_with(config: &Path, variables: &[(&str, &OsStr)]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hallmux-front"));
     command.env_clear().env("NODE_CONFIG", config).envs(variables.iter().copied());
-    let output = command.stdout(Stdio::null()).stderr(Stdio::piped()).output().unwrap();
+    let output = ended(command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap());
     let said = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(1), "{said}");
     assert_eq!(said.matches('\n').count(), 1, "one line: {said}");
@@ -90,6 +107,21 @@
             r#""o\nce\r""#,
             r"line 16: settings.requestClasses[1].repeat: unknown word 'o\nce\r'; give one of",
         ),
+        (
+            "\"known\"",
+            "\"limits\": {\"sockets\": 15},\n\"known\"",
+            "line 5: limits.sockets: is under 16; give no less",
+        ),
+        (
+            "\"known\"",
+            "\"limits\": {\n\"memory_mb\": 0},\n\"known\"",
+            "line 6: limits.memory_mb: is under 16; give no less",
+        ),
+        (
+            "\"rules\": {\"turnGapMs\": 100}",
+            "\"rules\": {},\n\"bounds\": {\"streamsPerConn\": 18446744073709551615}",
+            "line 10: settings.bounds.streamsPerConn: is not from 0 to 1000000000000; give a value within",
+        ),
         ("40}", "[40]}", "line 11, column 41: settings.customers[1].allowancePerS: invalid type"),
         ("\"seed\": \"8c", "\"seed\": \"zz", "line 4: seed: 'zz1f30d27a5be964': invalid digit"),
         ("\n  }\n}", "\n  }\n", "line 19, column 0: EOF while parsing an object"),
