--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -293,6 +293,10 @@
 
     /// Releases executions that may leave, and makes the ask that is due of a key.
     fn advance(&mut self, now: Micros, key: &Key) {
+        let forgotten = self.holds.get_mut(key).map(|hold| hold.take_forgotten(now)).unwrap_or_default();
+        if !forgotten.is_empty() {
+            return self.apply_verdict(now, key, Verdict::Begun(forgotten));
+        }
         let waiting = self.holds.get(key).map(|hold| hold.waiting.keys().copied().collect::<Vec<_>>());
         for ticket in waiting.unwrap_or_default() {
             self.release(now, ticket);
@@ -322,7 +326,7 @@
         };
         if s.requirements.iter().all(is_held) {
             s.requirements.iter().for_each(|requirement| {
-                self.holds.get_mut(&requirement.key).into_iter().for_each(|hold| hold.start(ticket));
+                self.holds.get_mut(&requirement.key).into_iter().for_each(|hold| hold.start(now, ticket));
             });
             s.held = None;
             self.rulings.push(Ruling::Release(held));
--- a/crates/fleet/src/gate/hold.rs
+++ b/crates/fleet/src/gate/hold.rs
@@ -8,7 +8,7 @@
 use hallmux_dispatcher::{Micros, StatementOver, Ticket};
 use hallmux_ledger::{Act, Kind};
 
-use super::requirements::{EntryMark, EntryValue, Group};
+use super::requirements::{EntryMark, EntryValue, Group, MAX_CLOCK_SKEW};
 
 /// Microseconds until a key that another front holds is asked for again; doubles each time. The ledger
 /// notifies when it is free: this is for notices that are lost, and for fronts of an earlier build that send
@@ -95,6 +95,13 @@
     may_run_on: bool,
     /// Unix milliseconds from which no execution that has left can be running any more.
     runs_until_ms: u64,
+    /// Of a dedup key: the statement whose execution left first under this front's own entry.
+    first: Option<Ticket>,
+    /// Of a dedup key: Unix milliseconds until which engines surely drop a repeat of what left first here;
+    /// until anything has left, counted from the ask that made the entry.
+    dropped_until_ms: u64,
+    /// The same of what may have run under an entry that was there before: all executions here repeat that.
+    inherited_until_ms: Option<u64>,
 }
 
 impl Hold {
@@ -121,6 +128,9 @@
             reserved_until: 0,
             may_run_on: false,
             runs_until_ms: 0,
+            first: None,
+            dropped_until_ms: 0,
+            inherited_until_ms: None,
         }
     }
 
@@ -144,6 +154,37 @@
             && group
             && self.holds_until_ms >= claim.until_ms
             && self.holds_until_ms > ms(now)
+            && !self.is_forgotten(now, ticket)
+    }
+
+    /// Unix milliseconds until which the engines drop an execution of this statement as a repeat of another's;
+    /// None where it repeats none (a statement's own further executions are the dispatcher's to judge).
+    fn repeats_until_ms(&self, ticket: Ticket) -> Option<u64> {
+        if self.kind != Kind::Dedup {
+            return None;
+        }
+        let other = self.first.is_some_and(|first| first != ticket);
+        self.inherited_until_ms.or(other.then_some(self.dropped_until_ms))
+    }
+
+    /// Whether the engines may have forgotten what this statement repeats: they would run it a second time.
+    fn is_forgotten(&self, now: Micros, ticket: Ticket) -> bool {
+        self.repeats_until_ms(ticket).is_some_and(|until_ms| until_ms <= ms(now))
+    }
+
+    /// Takes out the statements that wait and must not leave any more, as engines may have forgotten what they
+    /// repeat.
+    pub fn take_forgotten(&mut self, now: Micros) -> Vec<Ticket> {
+        let forgotten: Vec<Ticket> =
+            self.waiting.keys().copied().filter(|ticket| self.is_forgotten(now, *ticket)).collect();
+        forgotten.iter().for_each(|ticket| _ = self.waiting.remove(ticket));
+        forgotten
+    }
+
+    /// Unix milliseconds until which engines surely drop a repeat of what leaves at `now` or later, on the clock
+    /// of any front.
+    fn drops_from(&self, now: Micros) -> u64 {
+        ms(now + self.after_end - MAX_CLOCK_SKEW)
     }
 
     /// Adds an execution's claim; a claim that can't succeed is rejected at once.
@@ -165,7 +206,10 @@
     }
 
     /// A waiting execution leaves for its engine.
-    pub fn start(&mut self, ticket: Ticket) {
+    pub fn start(&mut self, now: Micros, ticket: Ticket) {
+        if self.first.is_none() {
+            (self.first, self.dropped_until_ms) = (Some(ticket), self.drops_from(now));
+        }
         if let Some(claim) = self.waiting.remove(&ticket) {
             self.runs_until_ms = self.runs_until_ms.max(claim.runs_until_ms);
             self.executing.insert(ticket);
@@ -203,7 +247,9 @@
         if !self.waiting.is_empty() {
             // Those that have it wait for another key: for them it is due when it expires.
             let lacks = self.waiting.iter().any(|(ticket, claim)| !self.permits(0, *ticket, *claim));
-            return if lacks { self.retry_at } else { self.holds_until_ms as Micros * 1000 };
+            let forgotten_ms = self.waiting.keys().filter_map(|ticket| self.repeats_until_ms(*ticket)).min();
+            let due = if lacks { self.retry_at } else { self.holds_until_ms as Micros * 1000 };
+            return forgotten_ms.map_or(due, |until_ms| due.min(until_ms as Micros * 1000));
         }
         match (self.transactions, self.is_unused()) {
             (0, false) => Micros::MAX,
@@ -232,6 +278,9 @@
             let until_ms = claim.until_ms.max(self.holds_until_ms).max(ms(self.reserved_until));
             if !self.unconfirmed && self.version == 0 {
                 self.mark = mark;
+                if self.first.is_none() {
+                    self.dropped_until_ms = self.drops_from(now);
+                }
             }
             (self.asked, self.number) = (Some(Purpose::Hold(until_ms, claim.group)), mark.number);
             self.may_hold_until_ms = self.may_hold_until_ms.max(until_ms);
@@ -279,7 +328,8 @@
             // An entry already there is not replaced, though it be this front's: a repeat is one whoever
             // sends it.
             _ => {
-                let value = EntryValue { mark: self.mark, group, runs_until_ms }.bytes();
+                let dropped_until_ms = self.inherited_until_ms.unwrap_or(self.dropped_until_ms);
+                let value = EntryValue { mark: self.mark, group, runs_until_ms, dropped_until_ms }.bytes();
                 Act::Put { expects: Some(self.version), ends_ms, value }
             }
         }
--- a/crates/fleet/src/gate/hold/answers.rs
+++ b/crates/fleet/src/gate/hold/answers.rs
@@ -52,6 +52,7 @@
             (Purpose::Reserve | Purpose::Free | Purpose::Read, _) => {
                 (self.holds_until_ms, self.may_hold_until_ms, self.version) = (0, 0, 0);
                 (self.runs_until_ms, self.may_run_on, self.unconfirmed) = (0, false, false);
+                (self.first, self.inherited_until_ms) = (None, None);
                 Verdict::Recheck
             }
         }
@@ -80,6 +81,15 @@
         let ends = entry.ends_ms as Micros * 1000 + 1_000;
         let value = EntryValue::read(&entry.value);
         let over = value.is_some_and(|value| value.runs_until_ms <= ms(now));
+        if let Some(value) = value.filter(|_| self.kind == Kind::Dedup) {
+            // Engines drop a repeat for the dedup window from the first execution on, whichever fronts have had
+            // the entry since: without this a repeat that waited beyond it at another front ran a second time.
+            self.inherited_until_ms = Some(value.dropped_until_ms);
+            let forgotten = self.take_forgotten(now);
+            if !forgotten.is_empty() {
+                return Verdict::Begun(forgotten);
+            }
+        }
         match self.kind {
             Kind::Begun => return Verdict::Begun(self.take_waiting()),
             // None of its executions runs any more: its group drops the repeat, and no other group may have
--- a/crates/fleet/src/gate/requirements.rs
+++ b/crates/fleet/src/gate/requirements.rs
@@ -11,7 +11,7 @@
 /// clients that retry it under the same id do so within seconds.
 const BEGUN_RETENTION: Micros = 60_000_000;
 /// Most microseconds that fronts' clocks differ by, as the ledger assumes.
-const MAX_CLOCK_SKEW: Micros = 500_000;
+pub(super) const MAX_CLOCK_SKEW: Micros = 500_000;
 
 /// The engines among which repeats of a deduplicated statement are dropped. Part of the entries' format:
 /// append only.
@@ -171,6 +171,18 @@
     pub group: Group,
     /// Unix milliseconds from which none of them can be running any more.
     pub runs_until_ms: u64,
+    /// Of a dedup key: Unix milliseconds until which engines surely drop a repeat of the first of them, on the
+    /// clock of any front. An earlier build writes none, which is read as 0: when its executions left is unknown.
+    pub dropped_until_ms: u64,
+}
+
+/// The value as builds before `dropped_until_ms` write it. They pass over what follows it, and so read the
+/// later one.
+#[derive(Deserialize)]
+struct EarlierValue {
+    mark: EntryMark,
+    group: Group,
+    runs_until_ms: u64,
 }
 
 impl EntryValue {
@@ -180,6 +192,10 @@
 
     /// None where it can't be read: it counts as running in an unknown group.
     pub fn read(bytes: &[u8]) -> Option<EntryValue> {
-        postcard::from_bytes(bytes).ok()
+        let earlier = || {
+            let EarlierValue { mark, group, runs_until_ms } = postcard::from_bytes(bytes).ok()?;
+            Some(EntryValue { mark, group, runs_until_ms, dropped_until_ms: 0 })
+        };
+        postcard::from_bytes(bytes).ok().or_else(earlier)
     }
 }
--- a/crates/fleet/src/gate/tests.rs
+++ b/crates/fleet/src/gate/tests.rs
@@ -5,6 +5,7 @@
 use super::*;
 
 mod drawn;
+mod window;
 
 const SETTINGS: &str = r#"{"instances": 3, "areas": ["here", "there"], "kinds": ["std"], "customers": [{"name": "acme"}],
     "requestClasses": [
