--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -129,6 +129,8 @@
     Rules,
     /// The whole fleet ended by SIGTERM and started anew, a tenth at a time.
     Roll,
+    /// In simulated time: fronts that die while disks are slow, and a second one right after a return.
+    Deaths,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
@@ -155,17 +157,18 @@
             seed, small, simulated, fronts, copies, only, long, minutes, other, without, ..
         } => {
             let seed = seed.unwrap_or_else(|| u64::from(rand::random::<u32>()));
+            let spoil = without.map(Without::spoils).unwrap_or_default();
+            let way = prove::promises::Way { small, simulated, fronts, copies, spoil };
             if let Some(only) = only {
                 let played = match only {
                     Only::Disks => prove::disks::run(seed, small),
                     Only::Sites => prove::sites::run(seed, small),
                     Only::Rules => prove::rules::run(seed, small),
                     Only::Roll => prove::roll::run(seed, small, other.as_deref()),
+                    Only::Deaths => prove::deaths::run(seed, way),
                 };
                 return told("promises", seed, played);
             }
-            let spoil = without.map(Without::spoils).unwrap_or_default();
-            let way = prove::promises::Way { small, simulated, fronts, copies, spoil };
             if long {
                 return told("promises long", seed, prove::long::run(seed, minutes, way));
             }
--- a/crates/lab/src/prove.rs
+++ b/crates/lab/src/prove.rs
@@ -2,6 +2,7 @@
 //! with clients of a library and scripted sessions. All is drawn from the seed.
 
 mod clients;
+pub mod deaths;
 pub mod disks;
 mod faults;
 mod keys;
--- a/crates/lab/src/record/promises.rs
+++ b/crates/lab/src/record/promises.rs
@@ -1,7 +1,10 @@
 //! All checks of what fronts promise for each other, put to a fleet's record.
 
+use hallmux_ledger::Setup;
+
 use crate::check::{Asked, Outcome, Violations};
 use crate::engine::{Deed, Kind};
+use crate::rig::agreed::settings;
 use crate::rig::scenario::{Scenario, What};
 
 use super::account::{Account, Offered, Tallies};
@@ -75,6 +78,13 @@
     cuts.map(|(.., end)| last(*end)).max().unwrap_or(0)
 }
 
+/// How long an order key is kept after a statement that may be running on: as agreed, and for the fronts' clocks.
+fn rests(scenario: &Scenario) -> i64 {
+    let agreed = settings(scenario)["rules"]["turnGapMs"].as_i64().unwrap_or(0);
+    let apart = Setup::new("lab", 0, 0, 1, Vec::new()).apart_ms as i64;
+    (agreed + apart) * 1000
+}
+
 pub fn check(scenario: &Scenario, account: &Account, tallies: &mut Tallies) -> Violations {
     let mut wrong = Violations::new();
     let ran = executions(&account.deeds, &account.sent_by);
@@ -113,7 +123,8 @@
         // Enough of the fleet for every shard's copies to have a majority, whichever fronts they lie on.
         let enough = scenario.fleet.fronts - (copies - majority);
         unpromised::check(&mut wrong, &ran, (&account.asked, &account.starved), (&ways, majority));
-        let terms = Terms { majority: enough, settles: SETTLES, spare: SPARE };
+        let rests = rests(scenario);
+        let terms = Terms { majority: enough, settles: SETTLES, rests, spare: SPARE };
         refused::check(&mut wrong, &account.asked, (&ways, terms));
     }
     wrong
--- a/crates/lab/src/record/refused.rs
+++ b/crates/lab/src/record/refused.rs
@@ -17,6 +17,9 @@
     pub majority: usize,
     /// Microseconds of quiet until every shard has an owner again.
     pub settles: i64,
+    /// Microseconds for which a key may be kept from others after a statement that did not complete, as it may
+    /// be running on.
+    pub rests: i64,
     /// Statements that must be refused without an excuse before it counts: engines turn away, too.
     pub spare: usize,
 }
@@ -31,7 +34,10 @@
         // Whoever waits for a key that others have may be refused for the time that it takes.
         let waits = |p: &&Offered| {
             let own = p.asked.id == o.asked.id && p.front == o.front;
-            !own && p.asked.sent < o.asked.answered && o.asked.sent < p.asked.answered
+            let completed = matches!(p.asked.outcome, Outcome::Completed { .. });
+            let rests = if completed { 0 } else { terms.rests };
+            let until = p.asked.answered.saturating_add(rests);
+            !own && p.asked.sent < o.asked.answered && o.asked.sent < until
         };
         let alone = o.asked.key.is_empty()
             || !by_key.get(o.asked.key.as_str()).is_some_and(|all| all.iter().any(waits));
--- a/crates/lab/src/simulated/faults.rs
+++ b/crates/lab/src/simulated/faults.rs
@@ -55,7 +55,8 @@
             What::PostSlow => self.post.delay_ms = fault.delay_ms,
             What::PostShuffled => self.post.shuffled_ms = fault.delay_ms,
             What::StallOwner | What::KillOwner => {} // played as what it is on the owner
-            What::DiskFull | What::DiskSlow => {}    // no disk here
+            What::DiskFull => {}                     // not played here
+            What::DiskSlow => self.members[fault.front].disk.slow = fault.delay_ms as i64 * 1000,
             What::Hup => self.account.read_again += 1, // nothing that is read again plays a part here
             What::Stall => {
                 let member = &mut self.members[fault.front];
@@ -89,7 +90,8 @@
             }
             What::ZoneSlow => self.links(fault, true, |s| s.delay_ms = 0),
             What::ZoneReset | What::Hup | What::StallOwner | What::KillOwner => {}
-            What::DiskFull | What::DiskSlow => {}
+            What::DiskFull => {}
+            What::DiskSlow => self.members[fault.front].disk.slow = 0,
             What::FrontsSplit | What::FrontsSplitOut => self.post.split = None,
             What::PostLossy => self.post.lost_percent = 0,
             What::PostDoubled => self.post.doubled_ms = None,
