--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -194,7 +194,7 @@
         }
     };
     let seed = seed.unwrap_or_else(|| u64::from(rand::random::<u32>()));
-    told("postgres", seed, prove::postgres(prove::Size { seed, units, rounds }))
+    told("postgres", seed, prove::postgres::run(prove::postgres::Size { seed, units, rounds }))
 }
 
 /// Prints the last line of a proof.
--- /dev/null
+++ b/crates/lab/src/prove/postgres/load.rs
@@ -0,0 +1,108 @@
+//! All that goes on in a run of `prove postgres` beside the front: clients, scripted sessions, faults, drains, and
+//! the sampling of how long the machine lets somebody wait.
+
+use std::collections::BTreeMap;
+use std::sync::atomic::Ordering::SeqCst;
+use std::sync::Arc;
+use std::thread::JoinHandle;
+use std::time::Duration;
+
+use tokio::runtime::Runtime;
+
+use super::clients::client;
+use super::faults::{play_drains, play_faults};
+use super::keys::both_protocols;
+use super::looks::stood;
+use super::setup::Setup;
+use super::Notes;
+use crate::check::{Drain, Stood};
+use crate::scripted;
+
+const CLIENTS: usize = 48;
+const SCRIPTS: u64 = 6; // threads that play scripted sessions
+const CLIENT_THREADS: usize = 3; // on which all clients of the library run
+const CLIENT_ENDS: Duration = Duration::from_secs(6); // within which a client ends when it is to
+const RUNTIME_ENDS: Duration = Duration::from_secs(2);
+
+/// The threads of a run.
+pub(super) struct Load {
+    notes: Arc<Notes>,
+    drains: JoinHandle<Vec<Drain>>,
+    faults: JoinHandle<BTreeMap<&'static str, usize>>,
+    keys: JoinHandle<()>,
+    scripts: Vec<JoinHandle<()>>,
+    runtime: Runtime,
+    clients: Vec<tokio::task::JoinHandle<()>>,
+    waits: JoinHandle<Stood>,
+}
+
+/// What the threads of a run have seen.
+pub(super) struct Played {
+    /// How often each fault was played.
+    pub(super) faults: BTreeMap<&'static str, usize>,
+    pub(super) drains: Vec<Drain>,
+    /// How long the harness and the front waited for a processor.
+    pub(super) stood: Stood,
+}
+
+impl Load {
+    /// Starts all of them, each with chance of its own from the seed.
+    pub(super) fn start(seed: u64, setup: &Setup) -> Result<Load, String> {
+        let notes = &setup.notes;
+        let (sessions, lines, front) = (setup.front.sessions, setup.front.lines, setup.front.pid());
+        let drains = {
+            let (engines, coordinator) = (setup.engines.clone(), setup.coordinator.clone());
+            let notes = notes.clone();
+            std::thread::spawn(move || play_drains(seed, &engines, &coordinator, &notes))
+        };
+        let faults = {
+            let (engines, notes) = (setup.engines.clone(), notes.clone());
+            std::thread::spawn(move || play_faults(seed, &engines, &notes))
+        };
+        let keys = {
+            let notes = notes.clone();
+            std::thread::spawn(move || both_protocols(seed, lines, sessions, &notes))
+        };
+        let script = |n: u64| {
+            let notes = notes.clone();
+            std::thread::spawn(move || scripted::play(seed ^ (n << 32), sessions, &notes))
+        };
+        let scripts = (0..SCRIPTS).map(script).collect();
+        let runtime =
+            tokio::runtime::Builder::new_multi_thread().worker_threads(CLIENT_THREADS).enable_all().build();
+        let runtime = runtime.map_err(|e| e.to_string())?;
+        let port = sessions.port();
+        let clients = (0..CLIENTS)
+            .map(|n| runtime.spawn(client(seed.wrapping_add(n as u64 * 7919), port, notes.clone())))
+            .collect();
+        let waits = {
+            let notes = notes.clone();
+            std::thread::spawn(move || stood(front, &notes))
+        };
+        Ok(Load { notes: notes.clone(), drains, faults, keys, scripts, runtime, clients, waits })
+    }
+
+    /// Waits until clients and scripted sessions have ended, which they do once the notes say so.
+    pub(super) fn clients_ended(&mut self) {
+        let clients = std::mem::take(&mut self.clients);
+        self.runtime.block_on(async {
+            for client in clients {
+                let _ = tokio::time::timeout(CLIENT_ENDS, client).await;
+            }
+        });
+        for script in self.scripts.drain(..) {
+            let _ = script.join();
+        }
+    }
+
+    /// Waits for all that is left, and gives what was seen.
+    pub(super) fn ended(self) -> Result<Played, String> {
+        let drains = self.drains.join().map_err(|_| "drains")?;
+        let faults = self.faults.join().map_err(|_| "faults")?;
+        let _ = self.keys.join();
+        self.notes.done.store(true, SeqCst);
+        let stood = self.waits.join().map_err(|_| "looks")?;
+        self.runtime.shutdown_timeout(RUNTIME_ENDS);
+        Ok(Played { faults, drains, stood })
+    }
+}
--- a/crates/lab/src/scripted.rs
+++ b/crates/lab/src/scripted.rs
@@ -13,7 +13,7 @@
 
 use self::session::{code, come_to, lost, tags, Session, PATIENCE};
 use crate::check::{Asked, Outcome, Repeat, Transaction};
-use crate::prove::Notes;
+use crate::prove::postgres::Notes;
 
 /// Plays scripts in a drawn order until the run ends.
 pub fn play(seed: u64, at: SocketAddr, notes: &Arc<Notes>) {
