--- a/crates/lab/src/rig/scenario.rs
+++ b/crates/lab/src/rig/scenario.rs
@@ -26,6 +26,8 @@
 }
 
 const MOST_KEYS: usize = 10_000; // order keys of a workload
+const MOST_WINDOW_MS: u64 = 600_000; // milliseconds of a dedup window
+const MOST_TIMEOUT_MS: u64 = 60_000; // milliseconds of a statement timeout
 const MOST_AGAIN: usize = 8; // further fronts that a client asks
 
 const MOST_CLASSES: usize = 16;
@@ -156,141 +158,180 @@
             let line = e.span().map(|span| 1 + text[..span.start.min(text.len())].matches('\n').count());
             format!("line {}: {}", line.unwrap_or(0), e.message())
         })?;
-        let refuse = |key: &str, why: &str| Err(format!("line {}: `{key}` {why}", line_of(text, key, 0)));
         scenario.fleet.fronts = count.unwrap_or(scenario.fleet.fronts);
-        let one = |class: &Class| class.share > 0.0 && class.importance > 0.0 && class.slo_ms > 0;
-        if scenario.classes.len() > MOST_CLASSES || !scenario.classes.iter().all(one) {
-            return refuse(
-                "share",
-                &format!(
-                    "and importance and slo_ms of a class must be over 0, {MOST_CLASSES} classes at most"
-                ),
-            );
-        }
+        let file = Place { text, after: 0 };
+        check_shares(&scenario.classes, file)?;
         if scenario.classes.is_empty() {
             let slo_ms = scenario.load.timeout_ms / 2;
             scenario.classes = vec![Class::plain("lookup", slo_ms)];
         }
-        let Shape { fronts, zones, engines_per_zone, .. } = scenario.fleet;
+        scenario.fleet.check(simulated, file)?;
+        for (n, class) in scenario.classes.iter().enumerate() {
+            scenario.check_class(class, file.table("[[class]]", n))?;
+        }
+        scenario.fleet.check_lease_and_quorum(file)?;
+        scenario.check_load(file)?;
+        scenario.engine.check(scenario.load.memory_mb, file)?;
+        for (n, fault) in scenario.faults.iter().enumerate() {
+            scenario.check_fault(fault, file.table("[[fault]]", n))?;
+        }
+        Ok(scenario)
+    }
+
+    fn check_class(&self, class: &Class, place: Place) -> Result<(), String> {
+        let work = class.work_ms.unwrap_or(self.load.work_ms);
+        let timeout = class.timeout_ms.unwrap_or(self.load.timeout_ms);
+        if class.keys > MOST_KEYS {
+            return place.refuse("keys", &format!("is over {MOST_KEYS}"));
+        }
+        if class.asks_again > MOST_AGAIN {
+            return place.refuse("asks_again", &format!("is over {MOST_AGAIN}"));
+        }
+        if !(1..=MOST_WINDOW_MS).contains(&class.window_ms) {
+            return place.refuse("window_ms", &format!("must be from 1 to {MOST_WINDOW_MS}"));
+        }
+        if timeout <= work || timeout > MOST_TIMEOUT_MS {
+            let why = format!("of a class must be over its work_ms and {MOST_TIMEOUT_MS} at most");
+            return place.refuse("timeout_ms", &why);
+        }
+        Ok(())
+    }
+
+    fn check_load(&self, place: Place) -> Result<(), String> {
+        if !(1..=MOST_SECONDS).contains(&self.seconds) {
+            return place.refuse("seconds", &format!("must be from 1 to {MOST_SECONDS}"));
+        }
+        if !(1..=MOST_RATE).contains(&self.load.per_second) {
+            return place.refuse("per_second", &format!("must be from 1 to {MOST_RATE}"));
+        }
+        if self.load.timeout_ms <= self.load.work_ms || self.load.timeout_ms > MOST_TIMEOUT_MS {
+            let why = format!("must be over work_ms and {MOST_TIMEOUT_MS} at most");
+            return place.refuse("timeout_ms", &why);
+        }
+        Ok(())
+    }
+
+    fn check_fault(&self, fault: &Fault, place: Place) -> Result<(), String> {
+        let Shape { fronts, zones, .. } = self.fleet;
+        if fault.zone >= zones {
+            return place.refuse("zone", &format!("names a zone of {zones}, counted from 0"));
+        }
+        if fault.front >= fronts {
+            return place.refuse("front", &format!("names a front of {fronts}, counted from 0"));
+        }
+        if fault.second.is_some_and(|second| second <= fault.front || second >= fronts) {
+            return place.refuse("second", "must be over `front` and a front");
+        }
+        if fault.step.is_some() && fault.what != What::LoseDisk {
+            return place.refuse("step", "goes with lose_disk alone");
+        }
+        if fault.percent > 100 {
+            return place.refuse("percent", "is over 100");
+        }
+        if fault.delay_ms > MOST_DELAY_MS {
+            return place.refuse("delay_ms", &format!("is over {MOST_DELAY_MS}"));
+        }
+        if fault.at_ms.checked_add(fault.for_ms).is_none_or(|ends| ends > self.seconds * 1000) {
+            return place.refuse("at_ms", "and for_ms must end within the seconds of load");
+        }
+        Ok(())
+    }
+}
+
+fn check_shares(classes: &[Class], place: Place) -> Result<(), String> {
+    let is_valid = |class: &Class| class.share > 0.0 && class.importance > 0.0 && class.slo_ms > 0;
+    if classes.len() <= MOST_CLASSES && classes.iter().all(is_valid) {
+        return Ok(());
+    }
+    let why = format!("and importance and slo_ms of a class must be over 0, {MOST_CLASSES} classes at most");
+    place.refuse("share", &why)
+}
+
+impl Shape {
+    fn check(&self, simulated: bool, place: Place) -> Result<(), String> {
+        let Shape { fronts, zones, engines_per_zone, .. } = *self;
         let most = if simulated { MOST_SIMULATED } else { MOST_FRONTS };
         if !(1..=most).contains(&fronts) {
-            return refuse("fronts", &format!("must be from 1 to {most}"));
+            return place.refuse("fronts", &format!("must be from 1 to {most}"));
         }
-        if scenario.fleet.clocks_apart_ms > MOST_APART_MS {
-            return refuse("clocks_apart_ms", &format!("is over {MOST_APART_MS}"));
+        if self.clocks_apart_ms > MOST_APART_MS {
+            return place.refuse("clocks_apart_ms", &format!("is over {MOST_APART_MS}"));
         }
         if zones == 0 || engines_per_zone == 0 || zones * engines_per_zone > MOST_ENGINES {
-            return refuse(
-                "zones",
-                &format!("and engines_per_zone must be 1 or more, {MOST_ENGINES} engines at most"),
-            );
+            let why = format!("and engines_per_zone must be 1 or more, {MOST_ENGINES} engines at most");
+            return place.refuse("zones", &why);
         }
-        match scenario.fleet.voters {
-            Some(_) if !scenario.fleet.gossip => return refuse("voters", "needs gossip = true"),
+        match self.voters {
+            Some(_) if !self.gossip => return place.refuse("voters", "needs gossip = true"),
             Some(voters) if !matches!(voters, 3 | 5) || voters > fronts => {
-                return refuse("voters", "must be 3 or 5, and no more than fronts")
+                return place.refuse("voters", "must be 3 or 5, and no more than fronts")
             }
             _ => {}
         }
-        match scenario.fleet.copies {
-            Some(_) if !scenario.fleet.gossip => return refuse("copies", "needs gossip = true"),
+        match self.copies {
+            Some(_) if !self.gossip => place.refuse("copies", "needs gossip = true"),
             Some(copies) if !matches!(copies, 1 | 3 | 5) || copies > fronts => {
-                return refuse("copies", "must be 1, 3 or 5, and no more than fronts")
-            }
-            _ => {}
-        }
-        for (n, class) in scenario.classes.iter().enumerate() {
-            let after = header(text, "[[class]]", n);
-            let refuse =
-                |key: &str, why: &str| Err(format!("line {}: `{key}` {why}", line_of(text, key, after)));
-            let work = class.work_ms.unwrap_or(scenario.load.work_ms);
-            let timeout = class.timeout_ms.unwrap_or(scenario.load.timeout_ms);
-            if class.keys > MOST_KEYS {
-                return refuse("keys", &format!("is over {MOST_KEYS}"));
-            }
-            if class.asks_again > MOST_AGAIN {
-                return refuse("asks_again", &format!("is over {MOST_AGAIN}"));
-            }
-            if !(1..=600_000).contains(&class.window_ms) {
-                return refuse("window_ms", "must be from 1 to 600000");
-            }
-            if timeout <= work || timeout > 60_000 {
-                return refuse("timeout_ms", "of a class must be over its work_ms and 60000 at most");
+                place.refuse("copies", "must be 1, 3 or 5, and no more than fronts")
             }
+            _ => Ok(()),
         }
-        if !(500..=60_000).contains(&scenario.fleet.lease_ms) {
-            return refuse("lease_ms", "must be from 500 to 60000");
+    }
+
+    fn check_lease_and_quorum(&self, place: Place) -> Result<(), String> {
+        if !(500..=60_000).contains(&self.lease_ms) {
+            return place.refuse("lease_ms", "must be from 500 to 60000");
         }
-        match scenario.fleet.zone_quorum {
-            Some(_) if !scenario.fleet.gossip => return refuse("zone_quorum", "needs gossip = true"),
+        match self.zone_quorum {
+            Some(_) if !self.gossip => place.refuse("zone_quorum", "needs gossip = true"),
             Some(quorum) if quorum > MOST_QUORUM => {
-                return refuse("zone_quorum", &format!("is over {MOST_QUORUM}"))
+                place.refuse("zone_quorum", &format!("is over {MOST_QUORUM}"))
             }
-            _ => {}
-        }
-        if !(1..=MOST_SECONDS).contains(&scenario.seconds) {
-            return refuse("seconds", &format!("must be from 1 to {MOST_SECONDS}"));
+            _ => Ok(()),
         }
-        if !(1..=MOST_RATE).contains(&scenario.load.per_second) {
-            return refuse("per_second", &format!("must be from 1 to {MOST_RATE}"));
-        }
-        if scenario.load.timeout_ms <= scenario.load.work_ms || scenario.load.timeout_ms > 60_000 {
-            return refuse("timeout_ms", "must be over work_ms and 60000 at most");
-        }
-        let warm = &scenario.engine;
-        if warm.slots == 0 || warm.cold_slots == 0 || warm.cold_slots > warm.slots {
-            return refuse("cold_slots", "must be from 1 to slots");
-        }
-        if scenario.load.memory_mb > warm.memory_mb {
-            return refuse("memory_mb", "of a statement is over what an engine has");
+    }
+}
+
+impl Warm {
+    fn check(&self, statement_mb: u64, place: Place) -> Result<(), String> {
+        if self.slots == 0 || self.cold_slots == 0 || self.cold_slots > self.slots {
+            return place.refuse("cold_slots", "must be from 1 to slots");
         }
-        if !(1.0..=100.0).contains(&warm.overload) {
-            return refuse("overload", "must be from 1 to 100");
+        if statement_mb > self.memory_mb {
+            return place.refuse("memory_mb", "of a statement is over what an engine has");
         }
-        for (n, fault) in scenario.faults.iter().enumerate() {
-            // The fault's own table begins at its header; its keys are looked for from there.
-            let after = header(text, "[[fault]]", n);
-            let refuse =
-                |key: &str, why: &str| Err(format!("line {}: `{key}` {why}", line_of(text, key, after)));
-            if fault.zone >= zones {
-                return refuse("zone", &format!("names a zone of {zones}, counted from 0"));
-            }
-            if fault.front >= fronts {
-                return refuse("front", &format!("names a front of {fronts}, counted from 0"));
-            }
-            if fault.second.is_some_and(|second| second <= fault.front || second >= fronts) {
-                return refuse("second", "must be over `front` and a front");
-            }
-            if fault.step.is_some() && fault.what != What::LoseDisk {
-                return refuse("step", "goes with lose_disk alone");
-            }
-            if fault.percent > 100 {
-                return refuse("percent", "is over 100");
-            }
-            if fault.delay_ms > MOST_DELAY_MS {
-                return refuse("delay_ms", &format!("is over {MOST_DELAY_MS}"));
-            }
-            let over =
-                fault.at_ms.checked_add(fault.for_ms).is_none_or(|ends| ends > scenario.seconds * 1000);
-            if over {
-                return refuse("at_ms", "and for_ms must end within the seconds of load");
-            }
+        if !(1.0..=100.0).contains(&self.overload) {
+            return place.refuse("overload", "must be from 1 to 100");
         }
-        Ok(scenario)
+        Ok(())
     }
 }
 
-/// The line, counted from 0, of the so-manieth table of that name.
-fn header(text: &str, table: &str, n: usize) -> usize {
-    text.lines().enumerate().filter(|(_, line)| line.trim() == table).nth(n).map_or(0, |(at, _)| at)
+/// Where in the file a key that is refused is looked for: from a line on, counted from 0.
+#[derive(Clone, Copy)]
+struct Place<'a> {
+    text: &'a str,
+    after: usize,
 }
 
-/// The line, counted from 1, that sets `key` first at or after line `after` (counted from 0); 0 where none does.
-fn line_of(text: &str, key: &str, after: usize) -> usize {
-    let sets = |line: &str| {
-        line.trim_start().strip_prefix(key).is_some_and(|rest| rest.trim_start().starts_with('='))
-    };
-    text.lines().enumerate().skip(after).find(|(_, line)| sets(line)).map_or(0, |(at, _)| at + 1)
+impl Place<'_> {
+    /// The `n`-th table of that name, counted from 0: it begins at its header.
+    fn table(self, header: &str, n: usize) -> Self {
+        let headers = self.text.lines().enumerate().filter(|(_, line)| line.trim() == header);
+        Place { after: headers.map(|(at, _)| at).nth(n).unwrap_or(0), ..self }
+    }
+
+    fn refuse(self, key: &str, why: &str) -> Result<(), String> {
+        Err(format!("line {}: `{key}` {why}", self.line_of(key)))
+    }
+
+    /// The line, counted from 1, that sets `key` first from here on; 0 where none does.
+    fn line_of(self, key: &str) -> usize {
+        let sets = |line: &str| {
+            line.trim_start().strip_prefix(key).is_some_and(|rest| rest.trim_start().starts_with('='))
+        };
+        let mut lines = self.text.lines().enumerate().skip(self.after);
+        lines.find(|(_, line)| sets(line)).map_or(0, |(at, _)| at + 1)
+    }
 }
 
 #[cfg(test)]
