--- a/crates/lab/src/engine/conversation.rs
+++ b/crates/lab/src/engine/conversation.rs
@@ -1,8 +1,10 @@
-//! One connection of an engine that speaks PostgreSQL: what it says to each message.
+//! One connection of an engine that speaks PostgreSQL: what it says to each message. `statements` runs what is asked.
+
+mod statements;
 
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
-use std::net::{Shutdown, TcpStream};
+use std::net::TcpStream;
 use std::sync::atomic::Ordering::SeqCst;
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,6 +16,7 @@
 use super::task::{parameter, task, told, Task};
 
 const CHUNK: usize = 32 << 10; // bytes read and written at once
+const TEXT_TYPE: u32 = 25; // PostgreSQL's number of the type `text`
 
 struct Portal {
     text: String,
@@ -101,11 +104,11 @@
             let input = std::mem::take(&mut self.input);
             while let Ok(Some(Message { tag, body, len })) = wire::message(&input[at..], 64 << 20) {
                 at += len;
-                let said = wire::client_message(tag, body).map_err(std::io::Error::other)?;
-                if said == ClientMessage::Terminate {
+                let message = wire::client_message(tag, body).map_err(std::io::Error::other)?;
+                if message == ClientMessage::Terminate {
                     return Ok(());
                 }
-                match self.take(said) {
+                match self.take(message) {
                     Ok(()) => {}
                     Err(Ends::Connection(e)) => return Err(e),
                     Err(Ends::Error(code)) => self.fail(&code),
@@ -134,229 +137,125 @@
         self.status = if self.status == b'I' { b'I' } else { b'E' };
     }
 
-    fn take(&mut self, said: ClientMessage) -> Result<(), Ends> {
-        if self.skipping && said != ClientMessage::Sync {
+    /// Does what a message asks for.
+    fn take(&mut self, message: ClientMessage) -> Result<(), Ends> {
+        if self.skipping && message != ClientMessage::Sync {
             return Ok(());
         }
-        match said {
-            ClientMessage::Query(text) => {
-                let text = String::from_utf8_lossy(text).into_owned();
-                let ended = text.split(';').filter(|part| !part.trim().is_empty()).try_for_each(|part| {
-                    let mut portal = Portal { task: task(part), text: part.into(), sent: 0, begun: false };
-                    if portal.task.is_some() {
-                        self.describe_row();
-                    }
-                    self.execute(&mut portal, usize::MAX).map(|_| ())
-                });
-                if text.trim().is_empty() {
-                    self.out.extend_from_slice(wire::EMPTY_QUERY);
-                }
-                if let Err(Ends::Error(code)) = &ended {
-                    self.fail(code);
-                    self.skipping = false;
-                } else {
-                    ended?;
-                }
-                self.sync()?;
-            }
-            ClientMessage::Parse { name, text, .. } => {
-                let refuses = &self.engine.faults.refused_parses;
-                if refuses.fetch_update(SeqCst, SeqCst, |n| n.checked_sub(1)).is_ok() {
-                    self.engine.faults.played.fetch_add(1, SeqCst);
-                    return Err(Ends::Error("42P01".into()));
-                }
-                if !name.is_empty() && self.statements.contains_key(name) {
-                    return Err(Ends::Error("42P05".into()));
-                }
-                self.statements.insert(name.to_vec(), String::from_utf8_lossy(text).into_owned());
-                self.out.extend_from_slice(wire::PARSE_COMPLETE);
-            }
-            ClientMessage::Bind { portal, statement, rest } => {
-                let text = self.statements.get(statement).cloned();
-                let text = text.ok_or_else(|| Ends::Error("26000".into()))?;
-                let value = parameter(rest).map(|value| told(&String::from_utf8_lossy(value)));
-                let task = if text.contains("$1") { value } else { task(&text) };
-                self.portals.insert(portal.to_vec(), Portal { text, task, sent: 0, begun: false });
-                self.out.extend_from_slice(wire::BIND_COMPLETE);
-            }
-            ClientMessage::Describe { statement, name } => {
-                let text = match statement {
-                    true => self.statements.get(name).cloned(),
-                    false => self.portals.get(name).map(|p| p.text.clone()),
-                };
-                let text =
-                    text.ok_or_else(|| Ends::Error(if statement { "26000" } else { "34000" }.into()))?;
-                if statement {
-                    let takes = u16::from(text.contains("$1"));
-                    wire::write(&mut self.out, b't', |out| {
-                        out.extend_from_slice(&takes.to_be_bytes());
-                        (0..takes).for_each(|_| out.extend_from_slice(&25u32.to_be_bytes()));
-                    });
-                }
-                match text.contains("run(") {
-                    true => self.describe_row(),
-                    false => self.out.extend_from_slice(wire::NO_DATA),
-                }
-            }
-            ClientMessage::Execute { portal, rows } => {
-                let found = self.portals.remove(portal);
-                let mut found = found.ok_or_else(|| Ends::Error("34000".into()))?;
-                let limit = if rows == 0 { usize::MAX } else { rows as usize };
-                let suspended = self.execute(&mut found, limit)?;
-                if suspended {
-                    self.portals.insert(portal.to_vec(), found);
-                }
-            }
+        match message {
+            ClientMessage::Query(text) => self.query(&String::from_utf8_lossy(text)),
+            ClientMessage::Parse { name, text, .. } => self.parse(name, text),
+            ClientMessage::Bind { portal, statement, rest } => self.bind(portal, statement, rest),
+            ClientMessage::Describe { statement: true, name } => self.describe_statement(name),
+            ClientMessage::Describe { statement: false, name } => self.describe_portal(name),
+            ClientMessage::Execute { portal, rows } => self.execute_portal(portal, rows as usize),
             ClientMessage::Close { statement, name } => {
                 match statement {
                     true => _ = self.statements.remove(name),
                     false => _ = self.portals.remove(name),
                 }
                 self.out.extend_from_slice(wire::CLOSE_COMPLETE);
+                Ok(())
             }
             ClientMessage::Sync => {
                 self.skipping = false;
-                self.sync()?;
+                self.sync()
             }
-            ClientMessage::Flush => self.flush()?,
-            ClientMessage::FunctionCall | ClientMessage::Copy | ClientMessage::Terminate => {}
+            ClientMessage::Flush => Ok(self.flush()?),
+            ClientMessage::FunctionCall | ClientMessage::Copy | ClientMessage::Terminate => Ok(()),
         }
-        Ok(())
-    }
-
-    fn describe_row(&mut self) {
-        wire::write(&mut self.out, b'T', |out| {
-            out.extend_from_slice(&1u16.to_be_bytes());
-            wire::write_string(out, b"run");
-            out.extend_from_slice(&[0; 6]);
-            out.extend_from_slice(&25u32.to_be_bytes());
-            out.extend_from_slice(&(-1i16).to_be_bytes());
-            out.extend_from_slice(&(-1i32).to_be_bytes());
-            out.extend_from_slice(&[0; 2]);
-        });
     }
 
-    /// Runs a statement, or goes on with one; true if rows are left when the limit is reached.
-    fn execute(&mut self, portal: &mut Portal, limit: usize) -> Result<bool, Ends> {
-        let first = portal.text.trim_start().split(|c: char| !c.is_ascii_alphabetic()).next();
-        let first = first.unwrap_or_default().to_ascii_uppercase();
-        if self.status == b'E' && !matches!(first.as_str(), "ROLLBACK" | "COMMIT" | "ABORT" | "END") {
-            return Err(Ends::Error("25P02".into()));
-        }
-        let task = match (&portal.task, first.as_str()) {
-            (Some(task), _) => task.clone(),
-            (None, "BEGIN" | "START") => {
-                self.status = b'T';
-                return self.complete("BEGIN", &portal.text);
-            }
-            (None, "COMMIT" | "END") => {
-                let failed = self.status == b'E';
-                let lost = &self.engine.faults.lost_commits;
-                let left = lost.fetch_update(SeqCst, SeqCst, |n| n.checked_sub(1)).ok();
-                if let Some(left) = left.filter(|_| !failed) {
-                    self.engine.faults.played.fetch_add(1, SeqCst);
-                    if left % 2 == 1 {
-                        self.keep();
-                    }
-                    let _ = self.stream.shutdown(Shutdown::Both);
-                    return Err(Ends::Connection(ErrorKind::ConnectionReset.into()));
-                }
-                self.status = b'I';
-                match failed {
-                    true => self.pending.clear(),
-                    false => self.keep(),
-                }
-                return self.complete(if failed { "ROLLBACK" } else { "COMMIT" }, &portal.text);
-            }
-            (None, "ROLLBACK" | "ABORT") => {
-                self.status = b'I';
-                self.pending.clear();
-                return self.complete("ROLLBACK", &portal.text);
-            }
-            (None, other) => {
-                return self.complete(if other == "RESET" { "RESET" } else { "SET" }, &portal.text)
+    /// A simple query: its statements one after the other, until one fails.
+    fn query(&mut self, text: &str) -> Result<(), Ends> {
+        let ended = text.split(';').filter(|part| !part.trim().is_empty()).try_for_each(|part| {
+            let mut portal = Portal { task: task(part), text: part.into(), sent: 0, begun: false };
+            if portal.task.is_some() {
+                self.describe_row();
             }
-        };
-        if !std::mem::replace(&mut portal.begun, true) {
-            self.run(&task)?;
-        }
-        let until = task.rows.min(portal.sent.saturating_add(limit));
-        let row = vec![b'x'; task.bytes.max(1)];
-        while portal.sent < until {
-            wire::write(&mut self.out, b'D', |out| {
-                out.extend_from_slice(&1u16.to_be_bytes());
-                let mark = format!("{}:{}:", task.id, portal.sent);
-                out.extend_from_slice(&((mark.len() + row.len()) as u32).to_be_bytes());
-                out.extend_from_slice(mark.as_bytes());
-                out.extend_from_slice(&row);
-            });
-            portal.sent += 1;
-            if self.out.len() > CHUNK {
-                self.flush()?;
-                let lost = &self.engine.faults.lost_results;
-                if portal.sent > 200 && lost.fetch_update(SeqCst, SeqCst, |n| n.checked_sub(1)).is_ok() {
-                    self.engine.faults.played.fetch_add(1, SeqCst);
-                    let _ = self.stream.shutdown(Shutdown::Both);
-                    return Err(Ends::Connection(ErrorKind::ConnectionReset.into()));
-                }
-            }
-        }
-        if portal.sent < task.rows {
-            wire::write(&mut self.out, b's', |_| {});
-            return Ok(true);
+            self.execute(&mut portal, usize::MAX).map(|_| ())
+        });
+        if text.trim().is_empty() {
+            self.out.extend_from_slice(wire::EMPTY_QUERY);
         }
-        wire::write_complete(&mut self.out, &format!("SELECT {}", task.rows));
-        if self.engine.notes {
-            self.pending.push(task.id);
+        if let Err(Ends::Error(code)) = &ended {
+            self.fail(code);
+            self.skipping = false;
+        } else {
+            ended?;
         }
-        Ok(false)
+        self.sync()
     }
 
-    /// The work of a statement: time, until its end is asked for.
-    fn run(&mut self, task: &Task) -> Result<(), Ends> {
-        let faults = &self.engine.faults;
-        let takes = Duration::from_micros(task.ms * 1000 + faults.slower.load(SeqCst));
-        let reset = || Ends::Connection(ErrorKind::ConnectionReset.into());
-        let Some(link) = self.link.clone() else { return Ok(()) };
-        let Ok(mut running) = link.running.lock() else { return Ok(()) };
-        // What was reset begins nothing any more.
-        if running.2 {
-            return Err(reset());
-        }
-        self.note(Kind::Began { id: task.id.clone(), key: task.key.clone() });
-        (running.0, running.1) = (Some(task.id.clone()), false);
-        let waits = link.changed.wait_timeout_while(running, takes, |r| !r.1 && !r.2);
-        let Ok((mut running, _)) = waits else { return Ok(()) };
-        let mut ends = match (running.1, running.2) {
-            (_, true) => Some(reset()),
-            (true, _) => Some(Ends::Error("57014".into())),
-            _ => None,
-        };
-        running.1 = false;
-        self.engine.over(self.number, &mut running.0);
-        if faults.lost_statements.fetch_update(SeqCst, SeqCst, |n| n.checked_sub(1)).is_ok() {
-            faults.played.fetch_add(1, SeqCst);
-            let _ = self.stream.shutdown(Shutdown::Both);
-            ends = Some(reset());
+    fn parse(&mut self, name: &[u8], text: &[u8]) -> Result<(), Ends> {
+        if self.engine.faults.strikes(&self.engine.faults.refused_parses) {
+            return Err(Ends::Error("42P01".into()));
         }
-        drop(running);
-        match ends {
-            Some(ends) => Err(ends),
-            None if !task.fail.is_empty() => Err(Ends::Error(task.fail.clone())),
-            None => Ok(()),
+        if !name.is_empty() && self.statements.contains_key(name) {
+            return Err(Ends::Error("42P05".into()));
         }
+        self.statements.insert(name.to_vec(), String::from_utf8_lossy(text).into_owned());
+        self.out.extend_from_slice(wire::PARSE_COMPLETE);
+        Ok(())
+    }
+
+    fn bind(&mut self, portal: &[u8], statement: &[u8], rest: &[u8]) -> Result<(), Ends> {
+        let text = self.statements.get(statement).cloned();
+        let text = text.ok_or_else(|| Ends::Error("26000".into()))?;
+        let value = parameter(rest).map(|value| told(&String::from_utf8_lossy(value)));
+        let task = if text.contains("$1") { value } else { task(&text) };
+        self.portals.insert(portal.to_vec(), Portal { text, task, sent: 0, begun: false });
+        self.out.extend_from_slice(wire::BIND_COMPLETE);
+        Ok(())
+    }
+
+    fn describe_statement(&mut self, name: &[u8]) -> Result<(), Ends> {
+        let text = self.statements.get(name).cloned().ok_or_else(|| Ends::Error("26000".into()))?;
+        let parameters = u16::from(text.contains("$1"));
+        wire::write(&mut self.out, b't', |out| {
+            out.extend_from_slice(&parameters.to_be_bytes());
+            (0..parameters).for_each(|_| out.extend_from_slice(&TEXT_TYPE.to_be_bytes()));
+        });
+        self.describe_rows_of(&text);
+        Ok(())
     }
 
-    fn complete(&mut self, tag: &str, text: &str) -> Result<bool, Ends> {
-        wire::write_complete(&mut self.out, tag);
-        self.note(Kind::Control { text: text.trim().to_string() });
-        Ok(false)
+    fn describe_portal(&mut self, name: &[u8]) -> Result<(), Ends> {
+        let text = self.portals.get(name).map(|portal| portal.text.clone());
+        let text = text.ok_or_else(|| Ends::Error("34000".into()))?;
+        self.describe_rows_of(&text);
+        Ok(())
+    }
+
+    fn describe_rows_of(&mut self, text: &str) {
+        match text.contains("run(") {
+            true => self.describe_row(),
+            false => self.out.extend_from_slice(wire::NO_DATA),
+        }
     }
 
-    fn keep(&mut self) {
-        for id in std::mem::take(&mut self.pending) {
-            self.note(Kind::Kept { id });
+    /// Executes a portal up to `rows`; 0: all of them.
+    fn execute_portal(&mut self, name: &[u8], rows: usize) -> Result<(), Ends> {
+        let portal = self.portals.remove(name);
+        let mut portal = portal.ok_or_else(|| Ends::Error("34000".into()))?;
+        let limit = if rows == 0 { usize::MAX } else { rows };
+        let suspended = self.execute(&mut portal, limit)?;
+        if suspended {
+            self.portals.insert(name.to_vec(), portal);
         }
+        Ok(())
+    }
+
+    fn describe_row(&mut self) {
+        wire::write(&mut self.out, b'T', |out| {
+            out.extend_from_slice(&1u16.to_be_bytes());
+            wire::write_string(out, b"run");
+            out.extend_from_slice(&[0; 6]);
+            out.extend_from_slice(&TEXT_TYPE.to_be_bytes());
+            out.extend_from_slice(&(-1i16).to_be_bytes());
+            out.extend_from_slice(&(-1i32).to_be_bytes());
+            out.extend_from_slice(&[0; 2]);
+        });
     }
 
     fn sync(&mut self) -> Result<(), Ends> {
--- /dev/null
+++ b/crates/lab/src/engine/conversation/statements.rs
@@ -0,0 +1,152 @@
+//! The statements of a connection: their work, their rows, and the transactions that they are part of.
+
+use std::io::ErrorKind;
+use std::net::Shutdown;
+use std::sync::atomic::Ordering::SeqCst;
+use std::time::Duration;
+
+use hallmux_postgres::wire;
+
+use super::{Conversation, Ends, Portal, CHUNK};
+use crate::engine::record::Kind;
+use crate::engine::task::Task;
+
+const GOOD_PART: usize = 200; // rows of a result that have gone before a fault may lose the rest
+
+impl Conversation {
+    /// Runs a statement, or goes on with one; true if rows are left when the limit is reached.
+    pub(super) fn execute(&mut self, portal: &mut Portal, limit: usize) -> Result<bool, Ends> {
+        let first = portal.text.trim_start().split(|c: char| !c.is_ascii_alphabetic()).next();
+        let first = first.unwrap_or_default().to_ascii_uppercase();
+        if self.status == b'E' && !matches!(first.as_str(), "ROLLBACK" | "COMMIT" | "ABORT" | "END") {
+            return Err(Ends::Error("25P02".into()));
+        }
+        let Some(task) = portal.task.clone() else {
+            self.control(&first, &portal.text)?;
+            return Ok(false);
+        };
+        if !std::mem::replace(&mut portal.begun, true) {
+            self.run(&task)?;
+        }
+        self.send_rows(portal, &task, limit)?;
+        if portal.sent < task.rows {
+            wire::write(&mut self.out, b's', |_| {});
+            return Ok(true);
+        }
+        wire::write_complete(&mut self.out, &format!("SELECT {}", task.rows));
+        if self.engine.notes {
+            self.pending.push(task.id);
+        }
+        Ok(false)
+    }
+
+    /// A statement that controls a transaction, or a setting; `verb` is its first word.
+    fn control(&mut self, verb: &str, text: &str) -> Result<(), Ends> {
+        let tag = match verb {
+            "BEGIN" | "START" => {
+                self.status = b'T';
+                "BEGIN"
+            }
+            "COMMIT" | "END" => self.commit()?,
+            "ROLLBACK" | "ABORT" => {
+                self.status = b'I';
+                self.pending.clear();
+                "ROLLBACK"
+            }
+            "RESET" => "RESET",
+            _ => "SET",
+        };
+        wire::write_complete(&mut self.out, tag);
+        self.note(Kind::Control { text: text.trim().to_string() });
+        Ok(())
+    }
+
+    /// Ends the transaction: what it did is kept, unless it has failed; its answer may be lost by a fault.
+    fn commit(&mut self) -> Result<&'static str, Ends> {
+        let failed = self.status == b'E';
+        let faults = &self.engine.faults;
+        let left = faults.take_one(&faults.lost_commits);
+        if let Some(left) = left.filter(|_| !failed) {
+            faults.played.fetch_add(1, SeqCst);
+            if left % 2 == 1 {
+                self.keep();
+            }
+            return Err(self.lose_connection());
+        }
+        self.status = b'I';
+        match failed {
+            true => self.pending.clear(),
+            false => self.keep(),
+        }
+        Ok(if failed { "ROLLBACK" } else { "COMMIT" })
+    }
+
+    /// Sends the next rows of a portal, `limit` at most; a fault may lose the rest with the connection.
+    fn send_rows(&mut self, portal: &mut Portal, task: &Task, limit: usize) -> Result<(), Ends> {
+        let until = task.rows.min(portal.sent.saturating_add(limit));
+        let row = vec![b'x'; task.bytes.max(1)];
+        while portal.sent < until {
+            wire::write(&mut self.out, b'D', |out| {
+                out.extend_from_slice(&1u16.to_be_bytes());
+                let mark = format!("{}:{}:", task.id, portal.sent);
+                out.extend_from_slice(&((mark.len() + row.len()) as u32).to_be_bytes());
+                out.extend_from_slice(mark.as_bytes());
+                out.extend_from_slice(&row);
+            });
+            portal.sent += 1;
+            if self.out.len() > CHUNK {
+                self.flush()?;
+                let faults = &self.engine.faults;
+                if portal.sent > GOOD_PART && faults.strikes(&faults.lost_results) {
+                    return Err(self.lose_connection());
+                }
+            }
+        }
+        Ok(())
+    }
+
+    /// Resets the connection, as a fault asks for.
+    fn lose_connection(&self) -> Ends {
+        let _ = self.stream.shutdown(Shutdown::Both);
+        Ends::Connection(ErrorKind::ConnectionReset.into())
+    }
+
+    /// The work of a statement: time, until its end is asked for.
+    fn run(&mut self, task: &Task) -> Result<(), Ends> {
+        let faults = &self.engine.faults;
+        let takes = Duration::from_micros(task.ms * 1000 + faults.slower.load(SeqCst));
+        let reset = || Ends::Connection(ErrorKind::ConnectionReset.into());
+        let Some(link) = self.link.clone() else { return Ok(()) };
+        let Ok(mut running) = link.running.lock() else { return Ok(()) };
+        // What was reset begins nothing any more.
+        if running.2 {
+            return Err(reset());
+        }
+        self.note(Kind::Began { id: task.id.clone(), key: task.key.clone() });
+        (running.0, running.1) = (Some(task.id.clone()), false);
+        let waits = link.changed.wait_timeout_while(running, takes, |r| !r.1 && !r.2);
+        let Ok((mut running, _)) = waits else { return Ok(()) };
+        let mut ends = match (running.1, running.2) {
+            (_, true) => Some(reset()),
+            (true, _) => Some(Ends::Error("57014".into())),
+            _ => None,
+        };
+        running.1 = false;
+        self.engine.over(self.number, &mut running.0);
+        if faults.strikes(&faults.lost_statements) {
+            ends = Some(self.lose_connection());
+        }
+        drop(running);
+        match ends {
+            Some(ends) => Err(ends),
+            None if !task.fail.is_empty() => Err(Ends::Error(task.fail.clone())),
+            None => Ok(()),
+        }
+    }
+
+    pub(super) fn keep(&mut self) {
+        for id in std::mem::take(&mut self.pending) {
+            self.note(Kind::Kept { id });
+        }
+    }
+}
--- a/crates/lab/src/engine/lines.rs
+++ b/crates/lab/src/engine/lines.rs
@@ -1,5 +1,7 @@
 //! The other protocol of the front, as far as the rig needs it: an engine that speaks lines and writes down
-//! what it runs, and a client that asks over Thrift.
+//! what it runs, and in `client` a client that asks over Thrift.
+
+mod client;
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,10 +10,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use crate::check::Outcome;
+pub use self::client::{ask, ask_body, ask_told, Client};
 use crate::engine::{Deed, Kind, Records};
 use crate::rig::scenario::Step;
 
+const MOST_BODY: usize = 1 << 20; // bytes of a statement that are read
+
 /// Starts an engine that speaks lines and is always warm; statements are `id=..,key=..,ms=..`.
 pub fn engine(number: usize, records: Arc<Records>) -> std::io::Result<SocketAddr> {
     let warmth = Warmth { cold: usize::MAX, warm: usize::MAX, warm_us: 0, memory: usize::MAX };
@@ -169,174 +173,126 @@
                 write!(&*stream, "{tag} READY stats=inflight:{} 0\r\n\r\n", self.running.load(SeqCst))?;
             }
             let ["want", id, _, len] = words[..] else { continue };
-            let mut body = vec![0; len.parse::<usize>().unwrap_or(0).min(1 << 20) + 2];
+            let mut body = vec![0; len.parse::<usize>().unwrap_or(0).min(MOST_BODY) + 2];
             reader.read_exact(&mut body)?;
             let statement = String::from_utf8_lossy(&body).trim().to_string();
-            let told = statement.find("id=").map_or("", |at| &statement[at..]);
-            let told = told.split(' ').next().unwrap_or_default();
-            let field = |name: &str| {
-                let found = told.split(',').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
-                found.unwrap_or_default().to_string()
-            };
-            let (own, key, ms) = (field("id"), field("key"), field("ms").parse().unwrap_or(0));
-            let asked = self.running.fetch_add(1, SeqCst) + 1;
-            let bears = self.bears();
-            for peak in [&self.peak, &self.peak_since_start] {
-                if let Ok(mut peak) = peak.lock() {
-                    *peak = peak.max(asked as f64 / bears.max(1) as f64);
-                }
-            }
-            if asked > bears {
-                self.running.fetch_sub(1, SeqCst);
-                self.turned_away.fetch_add(1, SeqCst);
+            if self.admits() {
+                self.begin(Statement::read(statement), id, (peer, &stream), runs);
+            } else {
                 write!(&*stream, "{id} AGAIN stats=inflight:{} 0\r\n\r\n", self.running.load(SeqCst))?;
-                continue;
-            }
-            // One that goes on has its effect also where its connection ends first.
-            let (goes_on, keyed) = (field("on") == "1", field("promised") == "1");
-            let (id, engine, stream, runs) = (id.to_string(), self.clone(), stream.clone(), runs.clone());
-            let link = self.next.fetch_add(1, SeqCst);
-            let front = self.records.front_of(peer, self.at);
-            if let (Some(front), Ok(mut sent_by)) = (front, self.records.sent_by.lock()) {
-                sent_by.insert((self.number, link), front);
             }
-            self.records.runs(self.number, link, (peer, &id));
-            self.note(link, Kind::Began { id: own.clone(), key });
-            if let Some(front) = front.filter(|_| keyed) {
-                self.records.reached(Step::Began, front);
-            }
-            if let Ok(mut runs) = runs.lock().map(|runs| (!goes_on).then_some(runs)) {
-                runs.iter_mut().for_each(|runs| _ = runs.insert(id.clone(), (own.clone(), link)));
-            }
-            std::thread::spawn(move || {
-                std::thread::sleep(Duration::from_millis(ms));
-                // Noted under the lock: once `serve` has it, every end that its close could tell of is on the record.
-                if let Ok(mut runs) = runs.lock() {
-                    if runs.remove(&id).is_none() && !goes_on {
-                        return; // stopped with its connection
-                    }
-                    engine.note(link, Kind::Ended { id: own.clone() });
-                }
-                engine.note(link, Kind::Kept { id: own.clone() });
-                if let Some(front) = front.filter(|_| keyed) {
-                    engine.records.reached(Step::Kept, front);
-                }
-                engine.running.fetch_sub(1, SeqCst);
-                let row = match &engine.holds {
-                    Some(holds) => holds.answer(engine.number, &statement),
-                    None => format!("{own}\t-\t-\n"),
-                };
-                let active = engine.running.load(SeqCst);
-                let _ =
-                    write!(&*stream, "{id} ACK batches=1,stats=inflight:{active} {}\r\n{row}\r\n", row.len());
-            });
         }
     }
-}
-
-/// Asks over a connection of its own; gives the outcome and whether its rows are the statement's.
-pub fn ask(front: SocketAddr, number: u64, fields: &[(&str, &str)], statement: &str) -> Outcome {
-    ask_told(front, number, fields, statement).0
-}
-
-/// The same, with whether a refusal names a time to come back.
-pub fn ask_told(front: SocketAddr, number: u64, fields: &[(&str, &str)], statement: &str) -> (Outcome, bool) {
-    let Ok(mut client) = Client::open(front) else { return (Outcome::Lost, false) };
-    let outcome = client.send(number, fields, statement).map_or(Outcome::Lost, |()| client.answer());
-    (outcome, client.later)
-}
-
-/// Asks, and gives the body of a completed answer as it came.
-pub fn ask_body(
-    front: SocketAddr,
-    number: u64,
-    fields: &[(&str, &str)],
-    statement: &str,
-) -> std::io::Result<Option<Vec<u8>>> {
-    let mut client = Client::open(front)?;
-    client.send(number, fields, statement)?;
-    let reply = client.raw()?;
-    // Behind the head: the field of a result, and in it that of its body, with the body's length.
-    let Some([12, 0, 0, 11, 0, 1, a, b, c, d, rest @ ..]) = reply.get(HEAD..) else { return Ok(None) };
-    let len = u32::from_be_bytes([*a, *b, *c, *d]) as usize;
-    Ok(rest.get(..len).map(<[u8]>::to_vec))
-}
 
-/// Bytes of a reply before its result: the kind, the name and the number.
-const HEAD: usize = 4 + 4 + 5 + 4;
-
-/// A client's connection, for one statement at a time.
-pub struct Client {
-    stream: TcpStream,
-    /// The id that the statement's rows bear.
-    own: String,
-    /// The last answer named a time to come back.
-    later: bool,
-}
-
-impl Client {
-    pub fn open(front: SocketAddr) -> std::io::Result<Client> {
-        let stream = TcpStream::connect(front)?;
-        stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(Duration::from_secs(20)))?;
-        Ok(Client { stream, own: String::new(), later: false })
+    /// Whether it bears one statement more, which then counts as running; notes how much was asked of it at once.
+    fn admits(&self) -> bool {
+        let asked = self.running.fetch_add(1, SeqCst) + 1;
+        let bears = self.bears();
+        for peak in [&self.peak, &self.peak_since_start] {
+            if let Ok(mut peak) = peak.lock() {
+                *peak = peak.max(asked as f64 / bears.max(1) as f64);
+            }
+        }
+        if asked > bears {
+            self.running.fetch_sub(1, SeqCst);
+            self.turned_away.fetch_add(1, SeqCst);
+        }
+        asked <= bears
     }
 
-    /// Asks; all of it has left when this returns.
-    pub fn send(&mut self, number: u64, fields: &[(&str, &str)], statement: &str) -> std::io::Result<()> {
-        let id = format!("{number:016x}");
-        let all: Vec<(&str, &str)> = fields.iter().copied().chain([("txn", id.as_str())]).collect();
-        let text = |out: &mut Vec<u8>, text: &str| {
-            out.extend((text.len() as u32).to_be_bytes());
-            out.extend(text.as_bytes());
-        };
-        let mut message = vec![0x80, 1, 0, 1];
-        text(&mut message, "serve");
-        message.extend(1u32.to_be_bytes());
-        message.extend([13, 0, 1, 11, 11]);
-        message.extend((all.len() as u32).to_be_bytes());
-        for (name, value) in all {
-            text(&mut message, name);
-            text(&mut message, value);
+    /// Begins the execution of that id, which is on the record when this returns; a thread of its own ends it.
+    fn begin(
+        self: &Arc<Self>,
+        statement: Statement,
+        id: &str,
+        (peer, stream): (SocketAddr, &Arc<TcpStream>),
+        runs: &Runs,
+    ) {
+        let link = self.next.fetch_add(1, SeqCst);
+        let front = self.records.front_of(peer, self.at);
+        if let (Some(front), Ok(mut sent_by)) = (front, self.records.sent_by.lock()) {
+            sent_by.insert((self.number, link), front);
+        }
+        self.records.runs(self.number, link, (peer, id));
+        self.note(link, Kind::Began { id: statement.id.clone(), key: statement.key.clone() });
+        let promised_at = front.filter(|_| statement.promised);
+        if let Some(front) = promised_at {
+            self.records.reached(Step::Began, front);
+        }
+        if let Ok(mut runs) = runs.lock().map(|runs| (!statement.goes_on).then_some(runs)) {
+            runs.iter_mut().for_each(|runs| _ = runs.insert(id.to_string(), (statement.id.clone(), link)));
         }
-        message.extend([11, 0, 2]);
-        text(&mut message, statement);
-        message.push(0);
-        let mut frame = (message.len() as u32).to_be_bytes().to_vec();
-        frame.extend(message);
-        let own = statement.split(',').next().and_then(|pair| pair.strip_prefix("id="));
-        self.own = own.unwrap_or_default().to_string();
-        self.stream.write_all(&frame)
+        let execution = Execution { id: id.to_string(), link, promised_at, statement };
+        let (engine, stream, runs) = (self.clone(), stream.clone(), runs.clone());
+        std::thread::spawn(move || {
+            std::thread::sleep(Duration::from_millis(execution.statement.ms));
+            engine.finish(execution, &stream, &runs);
+        });
     }
 
-    /// Waits for the final answer to what was asked.
-    pub fn answer(&mut self) -> Outcome {
-        self.reply().unwrap_or(Outcome::Lost)
+    /// Ends an execution whose work is done, and answers it, unless it was stopped with its connection.
+    fn finish(&self, execution: Execution, stream: &TcpStream, runs: &Runs) {
+        let Execution { id, link, promised_at, statement } = execution;
+        // Noted under the lock: once `serve` has it, every end that its close could tell of is on the record.
+        if let Ok(mut runs) = runs.lock() {
+            if runs.remove(&id).is_none() && !statement.goes_on {
+                return; // stopped with its connection
+            }
+            self.note(link, Kind::Ended { id: statement.id.clone() });
+        }
+        self.note(link, Kind::Kept { id: statement.id.clone() });
+        if let Some(front) = promised_at {
+            self.records.reached(Step::Kept, front);
+        }
+        self.running.fetch_sub(1, SeqCst);
+        let row = match &self.holds {
+            Some(holds) => holds.answer(self.number, &statement.text),
+            None => format!("{}\t-\t-\n", statement.id),
+        };
+        let active = self.running.load(SeqCst);
+        let len = row.len();
+        let _ = write!(&*stream, "{id} ACK batches=1,stats=inflight:{active} {len}\r\n{row}\r\n");
     }
+}
 
-    fn raw(&mut self) -> std::io::Result<Vec<u8>> {
-        let mut len = [0; 4];
-        self.stream.read_exact(&mut len)?;
-        let mut reply = vec![0; u32::from_be_bytes(len) as usize];
-        self.stream.read_exact(&mut reply)?;
-        Ok(reply)
-    }
+/// A statement, and what it says of itself: `id=..,key=..,ms=..`.
+struct Statement {
+    text: String,
+    id: String,
+    key: String,
+    /// Milliseconds of its work.
+    ms: u64,
+    /// It has its effect also where its connection ends first.
+    goes_on: bool,
+    /// It needs a promise.
+    promised: bool,
+}
 
-    fn reply(&mut self) -> std::io::Result<Outcome> {
-        let reply = self.raw()?;
-        self.later = reply.windows(5).any(|part| part == b"later");
-        // Behind the head, the name and the number stands the field that tells which kind of answer it is.
-        let holds = reply.windows(self.own.len().max(1)).any(|part| part == self.own.as_bytes());
-        Ok(match reply.get(HEAD..) {
-            Some([_, 0, 0, ..]) if holds => Outcome::Completed { rows: 1 },
-            Some([_, 0, 0, ..]) => Outcome::Spoilt,
-            Some([_, 0, 1, ..]) => Outcome::Error("53000".into()),
-            Some([_, 0, 2, ..]) => Outcome::Error("08007".into()),
-            _ => Outcome::Spoilt,
-        })
+impl Statement {
+    fn read(text: String) -> Statement {
+        let fields = text.find("id=").map_or("", |at| &text[at..]);
+        let fields = fields.split(' ').next().unwrap_or_default();
+        let field = |name: &str| {
+            let found = fields.split(',').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
+            found.unwrap_or_default().to_string()
+        };
+        let (id, key, ms) = (field("id"), field("key"), field("ms").parse().unwrap_or(0));
+        let (goes_on, promised) = (field("on") == "1", field("promised") == "1");
+        Statement { text, id, key, ms, goes_on, promised }
     }
 }
 
+/// A statement that runs.
+struct Execution {
+    /// As the front calls it.
+    id: String,
+    /// Its own in the record.
+    link: u32,
+    /// The front that sent it, where it needs a promise.
+    promised_at: Option<usize>,
+    statement: Statement,
+}
+
 #[cfg(test)]
 #[path = "lines_tests.rs"]
 mod tests;
--- /dev/null
+++ b/crates/lab/src/engine/lines/client.rs
@@ -0,0 +1,110 @@
+//! A client that asks a front over Thrift.
+
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::time::Duration;
+
+use crate::check::Outcome;
+
+/// Asks over a connection of its own; gives the outcome and whether its rows are the statement's.
+pub fn ask(front: SocketAddr, number: u64, fields: &[(&str, &str)], statement: &str) -> Outcome {
+    ask_told(front, number, fields, statement).0
+}
+
+/// The same, with whether a refusal names a time to come back.
+pub fn ask_told(front: SocketAddr, number: u64, fields: &[(&str, &str)], statement: &str) -> (Outcome, bool) {
+    let Ok(mut client) = Client::open(front) else { return (Outcome::Lost, false) };
+    let outcome = client.send(number, fields, statement).map_or(Outcome::Lost, |()| client.answer());
+    (outcome, client.later)
+}
+
+/// Asks, and gives the body of a completed answer as it came.
+pub fn ask_body(
+    front: SocketAddr,
+    number: u64,
+    fields: &[(&str, &str)],
+    statement: &str,
+) -> std::io::Result<Option<Vec<u8>>> {
+    let mut client = Client::open(front)?;
+    client.send(number, fields, statement)?;
+    let reply = client.raw()?;
+    // Behind the head: the field of a result, and in it that of its body, with the body's length.
+    let Some([12, 0, 0, 11, 0, 1, a, b, c, d, rest @ ..]) = reply.get(HEAD..) else { return Ok(None) };
+    let len = u32::from_be_bytes([*a, *b, *c, *d]) as usize;
+    Ok(rest.get(..len).map(<[u8]>::to_vec))
+}
+
+/// Bytes of a reply before its result: the kind, the name and the number.
+const HEAD: usize = 4 + 4 + 5 + 4;
+
+/// A client's connection, for one statement at a time.
+pub struct Client {
+    stream: TcpStream,
+    /// The id that the statement's rows bear.
+    own: String,
+    /// The last answer named a time to come back.
+    later: bool,
+}
+
+impl Client {
+    pub fn open(front: SocketAddr) -> std::io::Result<Client> {
+        let stream = TcpStream::connect(front)?;
+        stream.set_nodelay(true)?;
+        stream.set_read_timeout(Some(Duration::from_secs(20)))?;
+        Ok(Client { stream, own: String::new(), later: false })
+    }
+
+    /// Asks; all of it has left when this returns.
+    pub fn send(&mut self, number: u64, fields: &[(&str, &str)], statement: &str) -> std::io::Result<()> {
+        let id = format!("{number:016x}");
+        let all: Vec<(&str, &str)> = fields.iter().copied().chain([("txn", id.as_str())]).collect();
+        let text = |out: &mut Vec<u8>, text: &str| {
+            out.extend((text.len() as u32).to_be_bytes());
+            out.extend(text.as_bytes());
+        };
+        let mut message = vec![0x80, 1, 0, 1];
+        text(&mut message, "serve");
+        message.extend(1u32.to_be_bytes());
+        message.extend([13, 0, 1, 11, 11]);
+        message.extend((all.len() as u32).to_be_bytes());
+        for (name, value) in all {
+            text(&mut message, name);
+            text(&mut message, value);
+        }
+        message.extend([11, 0, 2]);
+        text(&mut message, statement);
+        message.push(0);
+        let mut frame = (message.len() as u32).to_be_bytes().to_vec();
+        frame.extend(message);
+        let own = statement.split(',').next().and_then(|pair| pair.strip_prefix("id="));
+        self.own = own.unwrap_or_default().to_string();
+        self.stream.write_all(&frame)
+    }
+
+    /// Waits for the final answer to what was asked.
+    pub fn answer(&mut self) -> Outcome {
+        self.reply().unwrap_or(Outcome::Lost)
+    }
+
+    fn raw(&mut self) -> std::io::Result<Vec<u8>> {
+        let mut len = [0; 4];
+        self.stream.read_exact(&mut len)?;
+        let mut reply = vec![0; u32::from_be_bytes(len) as usize];
+        self.stream.read_exact(&mut reply)?;
+        Ok(reply)
+    }
+
+    fn reply(&mut self) -> std::io::Result<Outcome> {
+        let reply = self.raw()?;
+        self.later = reply.windows(5).any(|part| part == b"later");
+        // Behind the head, the name and the number stands the field that tells which kind of answer it is.
+        let holds = reply.windows(self.own.len().max(1)).any(|part| part == self.own.as_bytes());
+        Ok(match reply.get(HEAD..) {
+            Some([_, 0, 0, ..]) if holds => Outcome::Completed { rows: 1 },
+            Some([_, 0, 0, ..]) => Outcome::Spoilt,
+            Some([_, 0, 1, ..]) => Outcome::Error("53000".into()),
+            Some([_, 0, 2, ..]) => Outcome::Error("08007".into()),
+            _ => Outcome::Spoilt,
+        })
+    }
+}
--- a/crates/lab/src/engine/portal.rs
+++ b/crates/lab/src/engine/portal.rs
@@ -33,6 +33,20 @@
     pub played: AtomicU32,
 }
 
+impl Faults {
+    /// Takes one of the faults that are left of a kind; how many were left before.
+    pub(super) fn take_one(&self, left: &AtomicU32) -> Option<u32> {
+        left.fetch_update(SeqCst, SeqCst, |n| n.checked_sub(1)).ok()
+    }
+
+    /// Whether a fault of the kind is left: it is taken, and counts as played.
+    pub(super) fn strikes(&self, left: &AtomicU32) -> bool {
+        let struck = self.take_one(left).is_some();
+        self.played.fetch_add(u32::from(struck), SeqCst);
+        struck
+    }
+}
+
 pub(super) struct Link {
     pub(super) stream: TcpStream,
     /// The statement that runs, whether its end was asked for, and whether the connection was reset.
