--- a/crates/lab/src/measure/grown.rs
+++ b/crates/lab/src/measure/grown.rs
@@ -4,7 +4,8 @@
 use std::time::Instant;
 
 use crate::check::Outcome;
-use crate::prove::promises::{draw, fault, Way};
+use crate::prove::played::fault;
+use crate::prove::promises::{draw, Way};
 use crate::record::account::{Offered, Run};
 use crate::rig::scenario::{Fault, Scenario, What};
 use crate::simulated;
--- a/crates/lab/src/prove.rs
+++ b/crates/lab/src/prove.rs
@@ -3,7 +3,7 @@
 
 pub mod disks;
 pub mod long;
-mod played;
+pub mod played;
 pub mod postgres;
 pub mod promises;
 pub mod roll;
--- a/crates/lab/src/prove/long.rs
+++ b/crates/lab/src/prove/long.rs
@@ -7,6 +7,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use super::played::fault;
 use super::promises::{self, Way};
 use crate::record::account::Run;
 use crate::rig::scenario::{Fault, Load, Scenario, Step, What};
@@ -57,14 +58,14 @@
         let begins = slot * SLOT_MS;
         let step = chance.random_bool(0.7).then(|| STEPS[chance.random_range(0..STEPS.len())]);
         let at = begins + chance.random_range(1_000..5_000);
-        let gone = promises::fault(What::LoseDisk, at, chance.random_range(500..8_000));
+        let gone = fault(What::LoseDisk, at, chance.random_range(500..8_000));
         faults.push(Fault { front: chance.random_range(0..fronts), step, ..gone });
         for _ in 0..chance.random_range(LEAST..=MOST) {
             let Some(what) = OTHERS.choose(&mut chance) else { continue };
             let for_ms = chance.random_range(300..6_000);
             let at = begins + chance.random_range(1_000..SLOT_MS - QUIET_MS - for_ms);
             let (delay_ms, percent) = (chance.random_range(5..120), chance.random_range(5..40));
-            let fault = Fault {
+            let drawn = Fault {
                 front: match what {
                     What::FrontsSplit | What::FrontsSplitOut => chance.random_range(1..fronts - 1),
                     _ => chance.random_range(0..fronts),
@@ -72,13 +73,13 @@
                 zone: chance.random_range(0..zones),
                 delay_ms,
                 percent,
-                ..promises::fault(*what, at, for_ms)
+                ..fault(*what, at, for_ms)
             };
             let second = (*what == What::FrontsSplit && chance.random_bool(0.4))
-                .then(|| chance.random_range(fault.front + 1..fronts));
+                .then(|| chance.random_range(drawn.front + 1..fronts));
             let meets = |f: &&Fault| f.at_ms <= at + for_ms + 2_000 && at <= f.at_ms + f.for_ms + 2_000;
-            if !faults.iter().filter(meets).any(|f| is_alike(f, &fault)) {
-                faults.push(Fault { second, ..fault });
+            if !faults.iter().filter(meets).any(|f| is_alike(f, &drawn)) {
+                faults.push(Fault { second, ..drawn });
             }
         }
     }
--- a/crates/lab/src/prove/played.rs
+++ b/crates/lab/src/prove/played.rs
@@ -3,22 +3,35 @@
 use crate::record::account::Run;
 use crate::rig::scenario::{Fault, What};
 
-pub(super) fn fault(what: What, at_ms: u64, for_ms: u64) -> Fault {
+const MOST_PRINTED: usize = 8; // violations printed of each rule
+
+/// A fault with nothing drawn yet but its kind and its time.
+pub fn fault(what: What, at_ms: u64, for_ms: u64) -> Fault {
     let (zone, front, delay_ms, percent) = (0, 0, 0, 0);
     Fault { what, at_ms, for_ms, zone, front, second: None, step: None, delay_ms, percent, told: true }
 }
 
 /// Prints what was found; whether it passed, and the tallies of its line.
 pub(super) fn end(run: &Run, more: &str) -> (bool, String) {
+    print_found(run);
+    for (fault, from, to) in &run.played {
+        eprintln!("played {from} to {to}: {fault:?}");
+    }
+    last_line(run, more)
+}
+
+/// Prints the table of a run, and some violations of each rule.
+pub(super) fn print_found(run: &Run) {
     eprint!("{}", run.table);
     for (rule, found) in &run.violations {
-        for what in found.iter().take(8) {
+        for what in found.iter().take(MOST_PRINTED) {
             eprintln!("{rule}: {what}");
         }
     }
-    for (fault, from, to) in &run.played {
-        eprintln!("played {from} to {to}: {fault:?}");
-    }
+}
+
+/// Prints the processes of a run; whether it passed, and the tallies of its line.
+pub(super) fn last_line(run: &Run, more: &str) -> (bool, String) {
     let pids: Vec<String> = run.pids.iter().map(u32::to_string).collect();
     println!("pids {}", pids.join(","));
     let violations: usize = run.violations.values().map(Vec::len).sum();
--- a/crates/lab/src/prove/promises.rs
+++ b/crates/lab/src/prove/promises.rs
@@ -8,7 +8,10 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use super::played::{fault, last_line, print_found};
 use super::shape;
+use crate::check::Outcome;
+use crate::record::account::{Offered, Run};
 use crate::rig;
 use crate::rig::scenario::{Class, Fault, Load, Scenario, Shape, Step, What};
 use crate::simulated::{self, Spoil};
@@ -21,6 +24,7 @@
 const STEPS: [Step; 4] = [Step::Taken, Step::Copying, Step::Began, Step::Kept];
 /// Statements that need a promise and ran, of a hundred asked: with fewer, most were refused or lost.
 const LEAST_RUN_PERCENT: i64 = 50;
+const LATE: i64 = 300_000; // microseconds beyond its timeout after which an answer is printed
 
 /// How a run is to be played.
 #[derive(Clone, Copy, Debug, Default)]
@@ -38,69 +42,18 @@
 /// The kinds of trouble that a run takes its turn of; each of them comes in a whole run.
 const KINDS: [&str; 7] = ["loss", "loss_again", "cut_two", "cut_three", "stall", "words", "end"];
 
-pub fn fault(what: What, at_ms: u64, for_ms: u64) -> Fault {
-    let (zone, front, delay_ms, percent) = (0, 0, 0, 0);
-    Fault { what, at_ms, for_ms, zone, front, second: None, step: None, delay_ms, percent, told: true }
-}
-
 /// The run of a seed.
 pub fn draw(seed: u64, way: Way) -> Scenario {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let fronts = way.fronts.unwrap_or_else(|| chance.random_range(5..=7));
-    let mut kinds = KINDS.to_vec();
-    kinds.shuffle(&mut chance);
-    if way.small {
-        // A loss is always among them.
-        kinds.sort_by_key(|kind| *kind != "loss");
-        kinds.truncate(3);
-        kinds.shuffle(&mut chance);
-    }
+    let kinds = draw_kinds(&mut chance, way.small);
     let mut faults = Vec::new();
     let mut lost = None;
     for (slot, kind) in kinds.iter().enumerate() {
         let at = FIRST_MS + slot as u64 * SLOT_MS + chance.random_range(0..500);
-        let mut front = chance.random_range(0..fronts);
-        let split = chance.random_range(1..fronts - 1);
-        match *kind {
-            "loss" | "loss_again" => {
-                // The second is another front's, after the repair of the first.
-                while lost == Some(front) {
-                    front = chance.random_range(0..fronts);
-                }
-                lost = Some(front);
-                let step = Some(STEPS[chance.random_range(0..STEPS.len())]);
-                let gone = fault(What::LoseDisk, at, chance.random_range(500..1_500));
-                faults.push(Fault { front, step, ..gone });
-            }
-            "cut_two" => {
-                let cut = fault(What::FrontsSplit, at, chance.random_range(2_000..4_000));
-                faults.push(Fault { front: split, ..cut });
-            }
-            "cut_three" => {
-                let cut = fault(What::FrontsSplit, at, chance.random_range(2_000..3_500));
-                faults.push(Fault {
-                    front: split,
-                    second: Some(chance.random_range(split + 1..fronts)),
-                    ..cut
-                });
-            }
-            "stall" => {
-                let stall = fault(What::Stall, at, chance.random_range(3_000..4_500));
-                faults.push(Fault { front, ..stall });
-            }
-            // Asked to end: it hands over what it owns, and nothing that it was asked is excused.
-            "end" => faults.push(Fault { front, ..fault(What::Term, at, chance.random_range(500..2_000)) }),
-            _ => {
-                let long = chance.random_range(3_000..4_500);
-                let delay_ms = chance.random_range(5..60);
-                faults
-                    .push(Fault { percent: chance.random_range(5..30), ..fault(What::PostLossy, at, long) });
-                faults.push(Fault { delay_ms, ..fault(What::PostDoubled, at, long) });
-                faults.push(Fault { delay_ms, ..fault(What::PostShuffled, at, long) });
-                let one_way = fault(What::FrontsSplitOut, at + long / 2, long / 3);
-                faults.push(Fault { front: split, ..one_way });
-            }
-        }
+        let drawn = draw_faults(&mut chance, kind, at, fronts, lost);
+        lost = drawn.iter().find(|fault| fault.what == What::LoseDisk).map(|fault| fault.front).or(lost);
+        faults.extend(drawn);
     }
     let (keys, work_ms) = (chance.random_range(12..20), chance.random_range(60..160));
     let keyed = Class { share: 2.0, asks_again: 2, ..shape::keyed(keys, work_ms) };
@@ -120,6 +73,64 @@
     }
 }
 
+/// The kinds of trouble of a run, in the order in which they come.
+fn draw_kinds(chance: &mut Pcg64Mcg, small: bool) -> Vec<&'static str> {
+    let mut kinds = KINDS.to_vec();
+    kinds.shuffle(chance);
+    if small {
+        // A loss is always among them.
+        kinds.sort_by_key(|kind| *kind != "loss");
+        kinds.truncate(3);
+        kinds.shuffle(chance);
+    }
+    kinds
+}
+
+/// The faults of a slot that begins at `at`; `lost` is the front whose disk was lost before.
+fn draw_faults(chance: &mut Pcg64Mcg, kind: &str, at: u64, fronts: usize, lost: Option<usize>) -> Vec<Fault> {
+    let mut front = chance.random_range(0..fronts);
+    let split = chance.random_range(1..fronts - 1);
+    match kind {
+        "loss" | "loss_again" => {
+            // The second is another front's, after the repair of the first.
+            while lost == Some(front) {
+                front = chance.random_range(0..fronts);
+            }
+            let step = Some(STEPS[chance.random_range(0..STEPS.len())]);
+            let gone = fault(What::LoseDisk, at, chance.random_range(500..1_500));
+            vec![Fault { front, step, ..gone }]
+        }
+        "cut_two" => {
+            let cut = fault(What::FrontsSplit, at, chance.random_range(2_000..4_000));
+            vec![Fault { front: split, ..cut }]
+        }
+        "cut_three" => {
+            let cut = fault(What::FrontsSplit, at, chance.random_range(2_000..3_500));
+            vec![Fault { front: split, second: Some(chance.random_range(split + 1..fronts)), ..cut }]
+        }
+        "stall" => {
+            let stall = fault(What::Stall, at, chance.random_range(3_000..4_500));
+            vec![Fault { front, ..stall }]
+        }
+        // Asked to end: it hands over what it owns, and nothing that it was asked is excused.
+        "end" => vec![Fault { front, ..fault(What::Term, at, chance.random_range(500..2_000)) }],
+        _ => draw_bad_links(chance, at, split),
+    }
+}
+
+/// Messages between fronts lost, doubled and out of order, and one side heard by none for part of that time.
+fn draw_bad_links(chance: &mut Pcg64Mcg, at: u64, split: usize) -> Vec<Fault> {
+    let for_ms = chance.random_range(3_000..4_500);
+    let delay_ms = chance.random_range(5..60);
+    let percent = chance.random_range(5..30);
+    vec![
+        Fault { percent, ..fault(What::PostLossy, at, for_ms) },
+        Fault { delay_ms, ..fault(What::PostDoubled, at, for_ms) },
+        Fault { delay_ms, ..fault(What::PostShuffled, at, for_ms) },
+        Fault { front: split, ..fault(What::FrontsSplitOut, at + for_ms / 2, for_ms / 3) },
+    ]
+}
+
 /// Plays the run of a seed: whether it passed, and the tallies of its line.
 pub fn run(seed: u64, way: Way) -> Result<(bool, String), String> {
     let began = Instant::now();
@@ -128,41 +139,48 @@
         true => simulated::run_with(&scenario, seed, way.spoil)?,
         false => rig::fleet::run(&scenario, seed)?,
     };
-    let mut add = |rule: &'static str, what: String| run.violations.entry(rule).or_default().push(what);
+    check_enough(&mut run, &scenario);
+    let seconds = began.elapsed().as_secs();
+    // Starting so many processes takes what the machine gives.
+    let own = (seconds as i64 - run.tallies.get("start_seconds").copied().unwrap_or(0)).max(0) as u64;
+    if !way.simulated && own >= MOST_SECONDS {
+        run.violations.entry("run").or_default().push(format!("took {seconds} s"));
+    }
+    print_found(&run);
+    print_late_and_refused(&run);
+    for (fault, from, to) in &run.played {
+        eprintln!("from {} to {} ms", from / 1000, to / 1000);
+        eprintln!("played {fault:?}");
+    }
+    let fronts = scenario.fleet.fronts;
+    Ok(last_line(&run, &format!("fronts={fronts} seconds={seconds}")))
+}
+
+/// A run in which too little happened proves nothing.
+fn check_enough(run: &mut Run, scenario: &Scenario) {
+    let mut add = |what: String| run.violations.entry("run").or_default().push(what);
     let tally = |key: &str| run.tallies.get(key).copied().unwrap_or(0);
-    // A run in which too little happened proves nothing.
     let steps = scenario.faults.iter().filter(|f| f.step.is_some()).count() as i64;
     if tally("steps_played") < steps {
-        add("run", format!("{} of {steps} fronts died at their step", tally("steps_played")));
+        add(format!("{} of {steps} fronts died at their step", tally("steps_played")));
     }
     let cut = scenario.faults.iter().any(|f| matches!(f.what, What::FrontsSplit | What::PostLossy));
     if cut && tally("gossip_lost") == 0 {
-        add("run", "no word between fronts was lost".to_string());
+        add("no word between fronts was lost".to_string());
     }
     let (promised, ran) = (tally("promised") - tally("asked_again"), tally("promised_runs"));
     if promised < scenario.seconds as i64 * 10 || ran * 100 < promised * LEAST_RUN_PERCENT {
-        add("run", format!("{ran} of {promised} that need a promise ran"));
+        add(format!("{ran} of {promised} that need a promise ran"));
     }
-    let seconds = began.elapsed().as_secs();
-    // Starting so many processes takes what the machine gives.
-    let own = (seconds as i64 - run.tallies.get("start_seconds").copied().unwrap_or(0)).max(0) as u64;
-    if !way.simulated && own >= MOST_SECONDS {
-        add("run", format!("took {seconds} s"));
-    }
-    eprint!("{}", run.table);
-    for (rule, found) in &run.violations {
-        for what in found.iter().take(8) {
-            eprintln!("{rule}: {what}");
-        }
-    }
-    for o in run.asked.iter().filter(|o| o.asked.answered - o.asked.sent > o.asked.timeout + 300_000) {
+}
+
+/// Prints statements answered long after their timeout, and those refused.
+fn print_late_and_refused(run: &Run) {
+    for o in run.asked.iter().filter(|o| o.asked.answered - o.asked.sent > o.asked.timeout + LATE) {
         eprintln!("late: {o:?}");
     }
-    for o in run
-        .asked
-        .iter()
-        .filter(|o| matches!(&o.asked.outcome, crate::check::Outcome::Error(code) if code == "53000"))
-    {
+    let refused = |o: &&Offered| matches!(&o.asked.outcome, Outcome::Error(code) if code == "53000");
+    for o in run.asked.iter().filter(refused) {
         let (id, key, sent) = (&o.asked.id, &o.asked.key, o.asked.sent / 1000);
         eprintln!(
             "refused: {id} {key} at front {}, sent at {sent} ms, after {} ms",
@@ -170,16 +188,6 @@
             o.asked.answered / 1000 - sent
         );
     }
-    for (fault, from, to) in &run.played {
-        eprintln!("from {} to {} ms", from / 1000, to / 1000);
-        eprintln!("played {fault:?}");
-    }
-    let pids: Vec<String> = run.pids.iter().map(u32::to_string).collect();
-    println!("pids {}", pids.join(","));
-    let violations: usize = run.violations.values().map(Vec::len).sum();
-    let line =
-        format!("{} fronts={} seconds={seconds} violations={violations}", run.line(), scenario.fleet.fronts);
-    Ok((run.passed(), line))
 }
 
 #[cfg(test)]
--- a/crates/lab/src/prove/rules.rs
+++ b/crates/lab/src/prove/rules.rs
@@ -57,14 +57,7 @@
 fn draw(seed: u64, small: bool) -> Plan {
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x7275_6c65);
     let (fronts, zones) = (5, 3);
-    let mut kinds = KINDS.to_vec();
-    kinds.shuffle(&mut chance);
-    if small {
-        // A change during a cut is always among them.
-        kinds.sort_by_key(|kind| *kind != "cut");
-        kinds.truncate(2);
-        kinds.shuffle(&mut chance);
-    }
+    let kinds = draw_kinds(&mut chance, small);
     let mut set = Set { version: 1, barred: BTreeSet::from([chance.random_range(0..zones)]) };
     let first = set.clone();
     let (mut faults, mut changes, mut old) = (Vec::new(), Vec::new(), Vec::new());
@@ -72,53 +65,68 @@
         let at = FIRST_MS + slot as u64 * SLOT_MS + chance.random_range(0..300);
         let mut others: Vec<usize> = (0..fronts).collect();
         others.shuffle(&mut chance);
-        let next = |set: &Set, chance: &mut Pcg64Mcg| {
-            // A zone more is barred than before, or another: always something that was allowed.
-            let open: Vec<usize> = (0..zones).filter(|zone| !set.barred.contains(zone)).collect();
-            let mut barred = BTreeSet::from([open[chance.random_range(0..open.len())]]);
-            if chance.random_bool(0.5) {
-                barred.insert(chance.random_range(0..zones));
-            }
-            Set { version: set.version + 1, barred }
-        };
-        let now = next(&set, &mut chance);
-        let at_change = at + 1_000;
-        let files = match *kind {
+        let now = draw_next(&set, zones, &mut chance);
+        let (files, fault) = match *kind {
             "two" => {
-                let mut other = next(&set, &mut chance);
-                while other == now {
-                    other = next(&set, &mut chance);
+                let mut rival = draw_next(&set, zones, &mut chance);
+                while rival == now {
+                    rival = draw_next(&set, zones, &mut chance);
                 }
-                vec![(others[0], now.clone()), (others[1], other)]
+                (vec![(others[0], now.clone()), (others[1], rival)], None)
             }
             "stalled" => {
                 let away = fault(What::Stall, at, chance.random_range(4_000..5_000));
-                faults.push(Fault { front: others[1], ..away });
-                vec![(others[0], now.clone())]
+                (vec![(others[0], now.clone())], Some(Fault { front: others[1], ..away }))
             }
             "cut" => {
                 let below = chance.random_range(1..fronts);
-                faults.push(Fault { front: below, ..fault(What::FrontsSplit, at, 5_500) });
+                let cut = Fault { front: below, ..fault(What::FrontsSplit, at, 5_500) };
                 // On either side: one of them has the majority of whoever keeps the rules.
-                vec![
-                    (chance.random_range(0..below), now.clone()),
-                    (chance.random_range(below..fronts), now.clone()),
-                ]
+                let sides = [chance.random_range(0..below), chance.random_range(below..fronts)];
+                (sides.map(|front| (front, now.clone())).to_vec(), Some(cut))
             }
             _ => {
                 // It comes back with the file that it had, by then an old one.
                 let gone = fault(What::Kill, at, chance.random_range(3_000..4_000));
-                faults.push(Fault { front: others[1], ..gone });
                 old.push((at + 5_500, others[2]));
-                vec![(others[0], now.clone())]
+                (vec![(others[0], now.clone())], Some(Fault { front: others[1], ..gone }))
             }
         };
-        changes.push(Change { at_ms: at_change, files, kind });
+        faults.extend(fault);
+        changes.push(Change { at_ms: at + 1_000, files, kind });
         set = now;
     }
+    let scenario = scenario(seed, &kinds, (fronts, zones), faults);
+    Plan { scenario, first, changes, old }
+}
+
+/// The kinds of changes of a run, in the order in which they come.
+fn draw_kinds(chance: &mut Pcg64Mcg, small: bool) -> Vec<&'static str> {
+    let mut kinds = KINDS.to_vec();
+    kinds.shuffle(chance);
+    if small {
+        // A change during a cut is always among them.
+        kinds.sort_by_key(|kind| *kind != "cut");
+        kinds.truncate(2);
+        kinds.shuffle(chance);
+    }
+    kinds
+}
+
+/// The next version: a zone more is barred than before, or another: always something that was allowed.
+fn draw_next(set: &Set, zones: usize, chance: &mut Pcg64Mcg) -> Set {
+    let open: Vec<usize> = (0..zones).filter(|zone| !set.barred.contains(zone)).collect();
+    let mut barred = BTreeSet::from([open[chance.random_range(0..open.len())]]);
+    if chance.random_bool(0.5) {
+        barred.insert(chance.random_range(0..zones));
+    }
+    Set { version: set.version + 1, barred }
+}
+
+fn scenario(seed: u64, kinds: &[&str], (fronts, zones): (usize, usize), faults: Vec<Fault>) -> Scenario {
     let report = Class { customer: RULED.into(), share: 3.0, ..Class::plain("report", 1_000) };
     let audit = Class { customer: RULED.into(), share: 1.0, ..Class::plain(DENIED, 1_000) };
-    let scenario = Scenario {
+    Scenario {
         seed: Some(seed),
         seconds: (FIRST_MS + kinds.len() as u64 * SLOT_MS + AFTER_MS) / 1000,
         fleet: Shape { zones, ..shape::fleet(fronts) },
@@ -126,8 +134,7 @@
         engine: shape::engines(),
         faults,
         classes: vec![Class { share: 2.0, ..Class::plain("lookup", 1_000) }, report, audit],
-    };
-    Plan { scenario, first, changes, old }
+    }
 }
 
 /// What is played beside the faults.
