--- a/crates/lab/src/simulated/mod.rs
+++ b/crates/lab/src/simulated/mod.rs
@@ -11,6 +11,7 @@
 mod least;
 mod ledger;
 mod play;
+mod run;
 mod steps;
 #[cfg(test)]
 mod tests;
@@ -18,4 +19,4 @@
 
 pub use least::smallest;
 pub use play::Spoil;
-pub use play::{run, run_with};
+pub use run::{run, run_with};
--- a/crates/lab/src/simulated/play.rs
+++ b/crates/lab/src/simulated/play.rs
@@ -10,9 +10,9 @@
 use hallmux_dispatcher::{Dispatcher, Ending, Place, Ticket};
 use hallmux_fleet::gate::Guard;
 use hallmux_fleet::{Exchange, Moment};
-use hallmux_gossip::seal::{Identity, Keys};
+use hallmux_gossip::seal::Keys;
 use hallmux_ledger::Done;
-use rand::{Rng, SeedableRng};
+use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
 use super::clients::Client;
@@ -21,8 +21,7 @@
 use super::grows::Grows;
 use super::steps::Armed;
 use crate::engine::lines::Warmth;
-use crate::record::account::{judge, warmth, Account, Offered, Run};
-use crate::rig::agreed::settings;
+use crate::record::account::Account;
 use crate::rig::post::State as PostState;
 use crate::rig::relay::State as LinkState;
 use crate::rig::scenario::{Fault, Scenario, Step};
@@ -185,106 +184,6 @@
     Some(usize::from(high) * 250 + usize::from(low).checked_sub(1)?)
 }
 
-/// Plays the scenario in simulated time and checks what happened.
-pub fn run(scenario: &Scenario, seed: u64) -> Result<Run, String> {
-    run_with(scenario, seed, Spoil::default())
-}
-
-/// The same, with a rule taken out.
-pub fn run_with(scenario: &Scenario, seed: u64, spoil: Spoil) -> Result<Run, String> {
-    let mut contract = Settings::parse(&settings(scenario).to_string())?;
-    if let Some(quorum) = scenario.fleet.zone_quorum {
-        contract.agreement.zone_quorum = quorum;
-    }
-    if scenario.fleet.sheds_as_one {
-        scenario.fleet.overload().apply(&mut contract.agreement);
-    }
-    let fronts = scenario.fleet.fronts;
-    let keys: Vec<[u8; 32]> = (0..fronts).map(|n| Identity::new(&secret(n), 0).public_key()).collect();
-    let engine = |n: usize| Engine {
-        zone: n / scenario.fleet.engines_per_zone,
-        started: WALL - 3_600_000_000,
-        running: 0,
-        resets: 0,
-        turned_away: 0,
-        peak: 0.0,
-        peak_since_start: 0.0,
-    };
-    let mut play = Play {
-        scenario,
-        contract,
-        warmth: warmth(scenario),
-        now: WALL,
-        began: WALL + SETTLES,
-        queue: BinaryHeap::new(),
-        events: HashMap::new(),
-        number: 0,
-        chance: Pcg64Mcg::seed_from_u64(seed),
-        members: Vec::new(),
-        engines: (0..scenario.fleet.zones * scenario.fleet.engines_per_zone).map(engine).collect(),
-        keys: Keys::new(&keys),
-        post: PostState::default(),
-        account: Account { began: WALL + SETTLES, slack: SLACK, ..Account::default() },
-        out: BTreeMap::new(),
-        statements: 0,
-        named: HashMap::new(),
-        clients: Vec::new(),
-        links: 0,
-        firsts: HashMap::new(),
-        keepers: super::ledger::members(fronts, scenario.fleet.zones),
-        armed: None,
-        spoil,
-        grows: Grows::default(),
-        shards: hallmux_ledger::Setup::new("lab", 0, 0, 1, Vec::new()).shards,
-        playing: BTreeMap::new(),
-    };
-    let apart = scenario.fleet.clocks_apart_ms as i64 * 1000;
-    for n in 0..fronts {
-        let ahead = play.chance.random_range(-apart..=apart);
-        play.members.push(Member {
-            life: None,
-            lives: 0,
-            stopped: false,
-            ending: None,
-            waits: Vec::new(),
-            due: i64::MAX,
-            ahead,
-            links: BTreeMap::new(),
-            saved: None,
-            disk: Disk { identity: play.chance.random_range(1..u64::MAX), ..Disk::default() },
-            troubled: Vec::new(),
-        });
-        play.start(n);
-    }
-    let began = play.began;
-    play.at(began, Event::Offered);
-    if scenario.fleet.copies.is_some() {
-        play.at(began, Event::Looks);
-    }
-    for (n, fault) in scenario.faults.iter().enumerate() {
-        play.at(began + fault.at_ms as i64 * 1000, Event::Begins(n));
-        play.at(began + (fault.at_ms + fault.for_ms) as i64 * 1000, Event::Ends(n));
-    }
-    let over = began + scenario.seconds as i64 * 1_000_000 + scenario.load.timeout_ms as i64 * 1000 + AFTER;
-    play.play(over);
-    let Play { engines, mut account, members, grows, .. } = play;
-    account.turned_away = engines.iter().map(|e| e.turned_away).sum();
-    account.peak = engines.iter().map(|e| e.peak).fold(0.0, f64::max);
-    account.peaks_since_start = engines.iter().map(|e| e.peak_since_start).collect();
-    for Offered { front, asked, .. } in &mut account.asked {
-        let troubled = &members[*front].troubled;
-        let excused = troubled.iter().any(|(from, to)| asked.sent <= *to && asked.answered >= *from);
-        if excused {
-            (asked.may_be_lost, asked.timeout) = (true, asked.timeout + 70_000_000);
-        }
-    }
-    let mut run = judge(scenario, &account, Vec::new());
-    if scenario.fleet.copies.is_some() {
-        grows.tell(&mut run.tallies);
-    }
-    Ok(run)
-}
-
 impl Play<'_> {
     pub(super) fn at(&mut self, when: i64, event: Event) {
         self.number += 1;
@@ -320,11 +219,7 @@
             Event::Looks => self.looks(),
             Event::Copies => self.copies(),
             Event::Lasting(front, life) => {
-                let member = &mut self.members[front];
-                if member.lives != life || member.life.is_none() {
-                } else if member.stopped {
-                    member.waits.push(event);
-                } else {
+                if self.is_there(front, life, event).is_some() {
                     self.lasting(front);
                 }
             }
@@ -336,41 +231,58 @@
                 }
             }
             Event::Answers(front, life, ..) | Event::ProbeAnswers(front, life, ..) => {
-                let member = &mut self.members[front];
-                if member.lives != life || member.life.is_none() {
-                } else if member.stopped {
-                    member.waits.push(event);
-                } else {
+                if let Some(event) = self.is_there(front, life, event) {
                     self.told(front, event);
                 }
             }
-            Event::Datagram(from, to, bytes) => {
-                let moment = self.moment(to);
-                let member = &mut self.members[to];
-                if member.stopped {
-                    member.waits.push(Event::Datagram(from, to, bytes));
-                } else if let Some(exchange) = member.life.as_mut().and_then(|life| life.exchange.as_mut()) {
-                    let out = exchange.receive(moment, address(from), &bytes);
-                    self.sends(to, out);
-                    self.promised(to);
-                }
-            }
-            Event::Begins(n) => {
-                let probed = self.account.relayed.iter().rev().find(|r| r.probes > 0).map(|r| r.front);
-                let fault = self.scenario.faults[n].on(probed);
-                self.playing.insert(n, fault.clone());
-                self.begin(n, &fault);
-            }
-            Event::Ends(n) => {
-                if let Some(later) = self.is_armed(n).or_else(|| self.still_ends(n)) {
-                    return self.at(later, Event::Ends(n));
-                }
-                let Some(fault) = self.playing.remove(&n) else { return };
-                self.end(&fault);
-                let from = self.began + fault.at_ms as i64 * 1000;
-                self.account.played.push((fault, from, self.now));
-            }
+            Event::Datagram(from, to, bytes) => self.datagram(from, to, bytes),
+            Event::Begins(n) => self.fault_begins(n),
+            Event::Ends(n) => self.fault_ends(n),
+        }
+    }
+
+    /// The event, if the front of that life runs; if it is stopped, the event waits until it goes on.
+    fn is_there(&mut self, front: usize, life: u32, event: Event) -> Option<Event> {
+        let member = &mut self.members[front];
+        if member.lives != life || member.life.is_none() {
+            return None;
+        }
+        if member.stopped {
+            member.waits.push(event);
+            return None;
+        }
+        Some(event)
+    }
+
+    fn datagram(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
+        let moment = self.moment(to);
+        let member = &mut self.members[to];
+        if member.stopped {
+            member.waits.push(Event::Datagram(from, to, bytes));
+        } else if let Some(exchange) = member.life.as_mut().and_then(|life| life.exchange.as_mut()) {
+            let out = exchange.receive(moment, address(from), &bytes);
+            self.sends(to, out);
+            self.promised(to);
+        }
+    }
+
+    /// A fault of the scenario begins.
+    fn fault_begins(&mut self, n: usize) {
+        let probed = self.account.relayed.iter().rev().find(|r| r.probes > 0).map(|r| r.front);
+        let fault = self.scenario.faults[n].on(probed);
+        self.playing.insert(n, fault.clone());
+        self.begin(n, &fault);
+    }
+
+    /// A fault of the scenario ends, unless it has to wait.
+    fn fault_ends(&mut self, n: usize) {
+        if let Some(later) = self.is_armed(n).or_else(|| self.still_ends(n)) {
+            return self.at(later, Event::Ends(n));
         }
+        let Some(fault) = self.playing.remove(&n) else { return };
+        self.end(&fault);
+        let from = self.began + fault.at_ms as i64 * 1000;
+        self.account.played.push((fault, from, self.now));
     }
 
     /// The Unix clock of a front, by which it decides.
--- /dev/null
+++ b/crates/lab/src/simulated/run.rs
@@ -0,0 +1,161 @@
+//! A run in simulated time from its start to its account.
+
+use std::collections::{BTreeMap, BinaryHeap, HashMap};
+
+use hallmux_agreement::Settings;
+use hallmux_gossip::seal::{Identity, Keys};
+use hallmux_ledger::DiskId;
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+use super::disk::Disk;
+use super::grows::Grows;
+use super::play::{secret, Engine, Event, Member, Play, Spoil, AFTER, SETTLES, SLACK, WALL};
+use crate::record::account::{judge, warmth, Account, Offered, Run};
+use crate::rig::agreed::settings;
+use crate::rig::post::State as PostState;
+use crate::rig::scenario::Scenario;
+
+const EXCUSED: i64 = 70_000_000; // microseconds that an answer of a front in trouble may take longer
+const WARM_SINCE: i64 = 3_600_000_000; // microseconds for which engines have run at time 0
+/// Plays the scenario in simulated time and checks what happened.
+pub fn run(scenario: &Scenario, seed: u64) -> Result<Run, String> {
+    run_with(scenario, seed, Spoil::default())
+}
+
+/// The same, with a rule taken out.
+pub fn run_with(scenario: &Scenario, seed: u64, spoil: Spoil) -> Result<Run, String> {
+    let mut play = Play::new(scenario, seed, spoil)?;
+    play.start_members();
+    play.schedule();
+    let load_ends = play.began + scenario.seconds as i64 * 1_000_000;
+    play.play(load_ends + scenario.load.timeout_ms as i64 * 1000 + AFTER);
+    let (account, grows) = play.account();
+    let mut run = judge(scenario, &account, Vec::new());
+    if scenario.fleet.copies.is_some() {
+        grows.tell(&mut run.tallies);
+    }
+    Ok(run)
+}
+
+/// The settings that the fronts of a scenario decide by.
+fn settings_of(scenario: &Scenario) -> Result<Settings, String> {
+    let mut contract = Settings::parse(&settings(scenario).to_string())?;
+    if let Some(quorum) = scenario.fleet.zone_quorum {
+        contract.agreement.zone_quorum = quorum;
+    }
+    if scenario.fleet.sheds_as_one {
+        scenario.fleet.overload().apply(&mut contract.agreement);
+    }
+    Ok(contract)
+}
+
+impl Engine {
+    /// One that is warm.
+    fn new(zone: usize) -> Engine {
+        Engine {
+            zone,
+            started: WALL - WARM_SINCE,
+            running: 0,
+            resets: 0,
+            turned_away: 0,
+            peak: 0.0,
+            peak_since_start: 0.0,
+        }
+    }
+}
+
+impl Member {
+    /// One that has yet to start, with its clock ahead by so many microseconds.
+    fn new(ahead: i64, identity: DiskId) -> Member {
+        Member {
+            life: None,
+            lives: 0,
+            stopped: false,
+            ending: None,
+            waits: Vec::new(),
+            due: i64::MAX,
+            ahead,
+            links: BTreeMap::new(),
+            saved: None,
+            disk: Disk { identity, ..Disk::default() },
+            troubled: Vec::new(),
+        }
+    }
+}
+
+impl Play<'_> {
+    fn new(scenario: &Scenario, seed: u64, spoil: Spoil) -> Result<Play<'_>, String> {
+        let (fronts, zones) = (scenario.fleet.fronts, scenario.fleet.zones);
+        let per_zone = scenario.fleet.engines_per_zone;
+        let keys: Vec<[u8; 32]> = (0..fronts).map(|n| Identity::new(&secret(n), 0).public_key()).collect();
+        Ok(Play {
+            scenario,
+            contract: settings_of(scenario)?,
+            warmth: warmth(scenario),
+            now: WALL,
+            began: WALL + SETTLES,
+            queue: BinaryHeap::new(),
+            events: HashMap::new(),
+            number: 0,
+            chance: Pcg64Mcg::seed_from_u64(seed),
+            members: Vec::new(),
+            engines: (0..zones * per_zone).map(|n| Engine::new(n / per_zone)).collect(),
+            keys: Keys::new(&keys),
+            post: PostState::default(),
+            account: Account { began: WALL + SETTLES, slack: SLACK, ..Account::default() },
+            out: BTreeMap::new(),
+            statements: 0,
+            named: HashMap::new(),
+            clients: Vec::new(),
+            links: 0,
+            firsts: HashMap::new(),
+            keepers: super::ledger::members(fronts, zones),
+            armed: None,
+            spoil,
+            grows: Grows::default(),
+            shards: hallmux_ledger::Setup::new("lab", 0, 0, 1, Vec::new()).shards,
+            playing: BTreeMap::new(),
+        })
+    }
+
+    /// Starts all fronts, with clocks and disks drawn.
+    fn start_members(&mut self) {
+        let apart = self.scenario.fleet.clocks_apart_ms as i64 * 1000;
+        for n in 0..self.scenario.fleet.fronts {
+            let ahead = self.chance.random_range(-apart..=apart);
+            let identity = self.chance.random_range(1..u64::MAX);
+            self.members.push(Member::new(ahead, identity));
+            self.start(n);
+        }
+    }
+
+    /// Puts the load and the faults of the scenario into the queue of events.
+    fn schedule(&mut self) {
+        let (scenario, began) = (self.scenario, self.began);
+        self.at(began, Event::Offered);
+        if scenario.fleet.copies.is_some() {
+            self.at(began, Event::Looks);
+        }
+        for (n, fault) in scenario.faults.iter().enumerate() {
+            self.at(began + fault.at_ms as i64 * 1000, Event::Begins(n));
+            self.at(began + (fault.at_ms + fault.for_ms) as i64 * 1000, Event::Ends(n));
+        }
+    }
+
+    /// What was seen of the run; statements at fronts that were in trouble meanwhile are excused.
+    fn account(self) -> (Account, Grows) {
+        let Play { engines, mut account, members, grows, .. } = self;
+        account.turned_away = engines.iter().map(|e| e.turned_away).sum();
+        account.peak = engines.iter().map(|e| e.peak).fold(0.0, f64::max);
+        account.peaks_since_start = engines.iter().map(|e| e.peak_since_start).collect();
+        for Offered { front, asked, .. } in &mut account.asked {
+            let troubled = &members[*front].troubled;
+            let excused = troubled.iter().any(|(from, to)| asked.sent <= *to && asked.answered >= *from);
+            if excused {
+                (asked.may_be_lost, asked.timeout) = (true, asked.timeout + EXCUSED);
+            }
+        }
+        (account, grows)
+    }
+}
