--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -17,6 +17,7 @@
 use clap::{Parser, Subcommand, ValueEnum};
 
 use engine::lines;
+use record::account::Run;
 use rig::{fleet, scenario};
 use simulated::Spoil;
 
@@ -162,17 +163,18 @@
                     Only::Rules => prove::rules::run(seed, small),
                     Only::Roll => prove::roll::run(seed, small, other.as_deref()),
                 };
-                return told("promises", seed, played);
+                return proof_result("promises", seed, played);
             }
             let spoil = without.map(Without::spoils).unwrap_or_default();
             let way = prove::promises::Way { small, simulated, fronts, copies, spoil };
             if long {
-                return told("promises long", seed, prove::long::run(seed, minutes, way));
+                return proof_result("promises long", seed, prove::long::run(seed, minutes, way));
             }
-            return told("promises", seed, prove::promises::run(seed, way));
+            return proof_result("promises", seed, prove::promises::run(seed, way));
         }
         What::Fleet { scenario, seed, beside_quorum, simulated, fronts } => {
-            return fleet_run(&scenario, seed, beside_quorum, simulated, fronts)
+            let options = FleetOptions { seed, beside_quorum, simulated, fronts };
+            return fleet_run(&scenario, options);
         }
         What::Measure { subject } => {
             let measured = match subject {
@@ -194,30 +196,29 @@
         }
     };
     let seed = seed.unwrap_or_else(|| u64::from(rand::random::<u32>()));
-    told("postgres", seed, prove::postgres::run(prove::postgres::Size { seed, units, rounds }))
+    proof_result("postgres", seed, prove::postgres::run(prove::postgres::Size { seed, units, rounds }))
 }
 
 /// Prints the last line of a proof.
-fn told(name: &str, seed: u64, run: Result<(bool, String), String>) -> ExitCode {
+fn proof_result(name: &str, seed: u64, run: Result<(bool, String), String>) -> ExitCode {
     let (passed, tallies) = match run {
         Ok(found) => found,
         Err(why) => (false, why),
     };
-    println!("prove {name} seed {seed}: {} {tallies}", if passed { "pass" } else { "FAIL" });
-    if passed {
-        ExitCode::SUCCESS
-    } else {
-        ExitCode::FAILURE
-    }
+    println!("prove {name} seed {seed}: {} {tallies}", verdict(passed));
+    exit_code(passed)
 }
 
-fn fleet_run(
-    path: &std::path::Path,
+/// How a fleet scenario is played.
+struct FleetOptions {
     seed: Option<u64>,
-    beside: Option<usize>,
+    beside_quorum: Option<usize>,
     simulated: bool,
     fronts: Option<usize>,
-) -> ExitCode {
+}
+
+fn fleet_run(path: &std::path::Path, options: FleetOptions) -> ExitCode {
+    let FleetOptions { seed, beside_quorum, simulated, fronts } = options;
     let read = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()));
     let scenario = match read.and_then(|text| scenario::Scenario::parse(&text, simulated, fronts)) {
         Ok(scenario) => scenario,
@@ -230,50 +231,68 @@
     let name = path.file_stem().map(|s| s.to_string_lossy().to_string()).unwrap_or_default();
     let name = if simulated { format!("{name} (simulated, {} fronts)", scenario.fleet.fronts) } else { name };
     let play = if simulated { simulated::run } else { fleet::run };
-    if let Some(quorum) = beside {
-        // The other way first, then the file's, on the same seed; each line as it would stand alone.
-        let mut other = scenario.clone();
-        other.fleet.zone_quorum = Some(quorum);
-        let mut all_passed = true;
-        for (label, played) in
-            [(format!("zone_quorum {quorum}"), &other), ("as the file says".to_string(), &scenario)]
-        {
-            match play(played, seed) {
-                Ok(run) => {
-                    all_passed &= run.passed();
-                    println!("fleet {name} seed {seed} ({label}): {} {}", word(run.passed()), run.line())
-                }
-                Err(why) => {
-                    all_passed = false;
-                    println!("fleet {name} seed {seed} ({label}): FAIL {why}");
-                }
-            }
-        }
-        return if all_passed { ExitCode::SUCCESS } else { ExitCode::FAILURE };
-    }
-    match play(&scenario, seed) {
-        Ok(run) => {
-            print!("{}", run.table);
-            for (rule, seen) in &run.violations {
-                println!("violation {rule}: {}", seen.iter().take(5).cloned().collect::<Vec<_>>().join("; "));
+    let passed = match beside_quorum {
+        Some(quorum) => fleet_beside(&scenario, &format!("{name} seed {seed}"), quorum, &|s| play(s, seed)),
+        None => fleet_result(&format!("{name} seed {seed}"), play(&scenario, seed)),
+    };
+    exit_code(passed)
+}
+
+/// Plays the other quorum first, then the file's, on the same seed; each line as it would stand alone.
+fn fleet_beside(
+    scenario: &scenario::Scenario,
+    name: &str,
+    quorum: usize,
+    play: &dyn Fn(&scenario::Scenario) -> Result<Run, String>,
+) -> bool {
+    let mut other = scenario.clone();
+    other.fleet.zone_quorum = Some(quorum);
+    let mut all_passed = true;
+    for (label, played) in
+        [(format!("zone_quorum {quorum}"), &other), ("as the file says".to_string(), scenario)]
+    {
+        match play(played) {
+            Ok(run) => {
+                all_passed &= run.passed();
+                println!("fleet {name} ({label}): {} {}", verdict(run.passed()), run.line())
             }
-            let pids: Vec<String> = run.pids.iter().map(u32::to_string).collect();
-            println!("pids {}", pids.join(","));
-            println!("fleet {name} seed {seed}: {} {}", word(run.passed()), run.line());
-            if run.passed() {
-                ExitCode::SUCCESS
-            } else {
-                ExitCode::FAILURE
+            Err(why) => {
+                all_passed = false;
+                println!("fleet {name} ({label}): FAIL {why}");
             }
         }
+    }
+    all_passed
+}
+
+/// Prints what a fleet's run came to, and its last line; whether it passed.
+fn fleet_result(name: &str, played: Result<Run, String>) -> bool {
+    let run = match played {
+        Ok(run) => run,
         Err(why) => {
-            println!("fleet {name} seed {seed}: FAIL {why}");
-            ExitCode::FAILURE
+            println!("fleet {name}: FAIL {why}");
+            return false;
         }
+    };
+    print!("{}", run.table);
+    for (rule, seen) in &run.violations {
+        println!("violation {rule}: {}", seen.iter().take(5).cloned().collect::<Vec<_>>().join("; "));
+    }
+    let pids: Vec<String> = run.pids.iter().map(u32::to_string).collect();
+    println!("pids {}", pids.join(","));
+    println!("fleet {name}: {} {}", verdict(run.passed()), run.line());
+    run.passed()
+}
+
+fn exit_code(passed: bool) -> ExitCode {
+    if passed {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
     }
 }
 
-fn word(passed: bool) -> &'static str {
+fn verdict(passed: bool) -> &'static str {
     if passed {
         "pass"
     } else {
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -2,7 +2,7 @@
 //! every engine, a schedule of faults from a scenario file, one record of all that happened, the rules checked
 //! on it, and a table by the second.
 
-use std::sync::atomic::{AtomicBool, AtomicI64, Ordering::SeqCst};
+use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,7 @@
 use super::member::{Beside, Ground, Keys, Member, Record};
 use super::post::Post;
 use super::relay::{Link, Relayed};
-use super::scenario::{Fault, Scenario, Step};
+use super::scenario::{Fault, Scenario, Shape, Step};
 use super::stage::Stage;
 use super::starved::{self, Starved};
 use super::Coordinator;
@@ -60,49 +60,25 @@
             .map(|n| Engine::holding(n, records.clone(), warmth(scenario), holds.clone()))
             .collect::<Result<_, _>>()
             .map_err(why)?;
-        let zone_of = |engine: usize| engine / shape.engines_per_zone;
-        let gossip = match shape.gossip {
-            true => {
-                let (clock, steps) = (records.clone(), records.clone());
-                let left = move |front| steps.reached(Step::Copying, front);
-                let post = Post::start(shape.fronts, move || clock.now(), left).map_err(why)?;
-                Some((Keys::new(shape, seed).map_err(why)?, post))
-            }
-            false => None,
-        };
+        let gossip = start_gossip(shape, seed, &records).map_err(why)?;
         let ground = Ground { seed, settings: settings(scenario), beside, gossip };
         let (mut links, mut members, mut pids) = (Vec::new(), Vec::new(), Vec::new());
         let mut clocks = Pcg64Mcg::seed_from_u64(seed ^ 0x636c_6f63);
+        let apart = shape.clocks_apart_ms as i64;
         for front in 0..shape.fronts {
             let own: Vec<Arc<Link>> = engines
                 .iter()
                 .map(|e| {
-                    Link::start((front, e.number, zone_of(e.number)), e.at, records.clone(), relayed.clone())
+                    let zone = e.number / shape.engines_per_zone;
+                    Link::start((front, e.number, zone), e.at, records.clone(), relayed.clone())
                 })
                 .collect::<Result<_, _>>()
                 .map_err(why)?;
-            let coordinator = Coordinator::start().map_err(why)?;
-            let zones: Vec<String> = own.iter().map(|l| zone_name(l.zone)).collect();
-            let list: Vec<_> = own
-                .iter()
-                .zip(&zones)
-                .map(|(l, zone)| (format!("e{}", l.engine), l.at, "lines", "up", zone.as_str()))
-                .collect();
-            coordinator.tell_zoned(true, &list);
+            let coordinator = start_coordinator(&own).map_err(why)?;
             links.push(own);
-            let apart = shape.clocks_apart_ms as i64;
-            let member = Arc::new(Member {
-                front: Mutex::default(),
-                coordinator,
-                number: front,
-                ahead_ms: clocks.random_range(-apart..=apart),
-                away: AtomicBool::new(false),
-                until: AtomicI64::new(0),
-                program: Mutex::new(ground.beside.get(front).and_then(|beside| beside.program.clone())),
-                ends: Mutex::default(),
-                troubled: Mutex::default(),
-                logs: Mutex::default(),
-            });
+            let ahead_ms = clocks.random_range(-apart..=apart);
+            let program = ground.beside.get(front).and_then(|beside| beside.program.clone());
+            let member = Arc::new(Member::new(front, coordinator, ahead_ms, program));
             pids.push(member.start(&ground)?);
             members.push(member);
         }
@@ -175,6 +151,30 @@
     }
 }
 
+/// The keys of the fronts and the relay of their datagrams, where they talk with each other.
+fn start_gossip(shape: &Shape, seed: u64, records: &Arc<Records>) -> std::io::Result<Option<(Keys, Post)>> {
+    if !shape.gossip {
+        return Ok(None);
+    }
+    let (clock, steps) = (records.clone(), records.clone());
+    let left = move |front| steps.reached(Step::Copying, front);
+    let post = Post::start(shape.fronts, move || clock.now(), left)?;
+    Ok(Some((Keys::new(shape, seed)?, post)))
+}
+
+/// The coordinator of a front: engines stand in its list with the addresses of the front's own links to them.
+fn start_coordinator(links: &[Arc<Link>]) -> std::io::Result<Coordinator> {
+    let coordinator = Coordinator::start()?;
+    let zones: Vec<String> = links.iter().map(|l| zone_name(l.zone)).collect();
+    let list: Vec<_> = links
+        .iter()
+        .zip(&zones)
+        .map(|(l, zone)| (format!("e{}", l.engine), l.at, "lines", "up", zone.as_str()))
+        .collect();
+    coordinator.tell_zoned(true, &list);
+    Ok(coordinator)
+}
+
 /// Plays the scenario and checks what happened.
 pub fn run(scenario: &Scenario, seed: u64) -> Result<Run, String> {
     let fleet = Fleet::start(scenario, seed)?;
--- a/crates/lab/src/rig/member.rs
+++ b/crates/lab/src/rig/member.rs
@@ -56,6 +56,27 @@
 }
 
 impl Member {
+    /// One that has yet to start: its number, its clock's lead, and the program of its first life where it is another.
+    pub(crate) fn new(
+        number: usize,
+        coordinator: Coordinator,
+        ahead_ms: i64,
+        program: Option<PathBuf>,
+    ) -> Member {
+        Member {
+            front: Mutex::default(),
+            coordinator,
+            number,
+            ahead_ms,
+            away: AtomicBool::new(false),
+            until: AtomicI64::new(0),
+            program: Mutex::new(program),
+            ends: Mutex::default(),
+            troubled: Mutex::default(),
+            logs: Mutex::default(),
+        }
+    }
+
     /// Whether clients come to it now.
     pub(crate) fn takes(&self, now: i64) -> bool {
         !self.away.load(SeqCst) || now < self.until.load(SeqCst)
