--- a/crates/lab/src/record/account_tests.rs
+++ b/crates/lab/src/record/account_tests.rs
@@ -16,7 +16,7 @@
 }
 
 fn sent(at: i64, statements: usize, passed: bool) -> Relayed {
-    Relayed { at, front: 0, engine: 2, zone: 1, statements, probes: 0, dials: 0, passed }
+    Relayed { at, front: 0, engine: 2, zone: 1, statements, probes: 0, opened: 0, passed }
 }
 
 #[test]
--- a/crates/lab/src/record/herd.rs
+++ b/crates/lab/src/record/herd.rs
@@ -21,9 +21,9 @@
         });
         each.max().unwrap_or(0) as i64
     };
-    tallies.insert("released_connections_most_s", most(|r| r.dials));
+    tallies.insert("released_connections_most_s", most(|r| r.opened));
     tallies.insert("released_probes_most_s", most(|r| r.probes));
-    let made = account.relayed.iter().filter(|r| after(r.at)).map(|r| r.dials as i64).sum();
+    let made = account.relayed.iter().filter(|r| after(r.at)).map(|r| r.opened as i64).sum();
     tallies.insert("released_connections", made);
     let asked: Vec<_> = account.asked.iter().filter(|o| after(o.asked.sent)).collect();
     let in_time = asked.iter().filter(|o| {
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab/src/rig/relay.rs
@@ -33,7 +33,7 @@
     pub statements: usize,
     pub probes: usize,
     /// Connections that were made.
-    pub dials: usize,
+    pub opened: usize,
     pub passed: bool,
 }
 
@@ -130,11 +130,11 @@
         }
     }
 
-    fn notes(&self, (statements, probes, dials): (usize, usize, usize), passed: bool) {
+    fn notes(&self, (statements, probes, opened): (usize, usize, usize), passed: bool) {
         let Link { front, engine, zone, .. } = *self;
         let at = self.records.now();
-        let relayed = Relayed { at, front, engine, zone, statements, probes, dials, passed };
-        if let (true, Ok(mut all)) = (statements + probes + dials > 0, self.relayed.lock()) {
+        let relayed = Relayed { at, front, engine, zone, statements, probes, opened, passed };
+        if let (true, Ok(mut all)) = (statements + probes + opened > 0, self.relayed.lock()) {
             all.push(relayed);
         }
     }
--- a/crates/lab/src/rig/relay_tests.rs
+++ b/crates/lab/src/rig/relay_tests.rs
@@ -33,7 +33,7 @@
     assert!(s.read(&mut b).is_err(), "nothing may come back through a lost link");
     let all = relayed.lock().unwrap().clone();
     assert_eq!(
-        all.iter().map(|r| (r.dials, r.statements, r.passed, r.zone)).collect::<Vec<_>>(),
+        all.iter().map(|r| (r.opened, r.statements, r.passed, r.zone)).collect::<Vec<_>>(),
         [(1, 0, true, 2), (0, 1, true, 2), (0, 1, false, 2)]
     );
     link.reset();
--- a/crates/lab/src/simulated/connections.rs
+++ b/crates/lab/src/simulated/connections.rs
@@ -8,25 +8,25 @@
 use super::play::{Play, Sent};
 
 pub(super) struct Connections {
-    pub(super) dials: ConnectionPacer,
+    pub(super) pacer: ConnectionPacer,
     idle: BTreeMap<Place, usize>,
     busy: HashMap<Sent, Place>,
-    rooms: SendCapacity,
+    capacity: SendCapacity,
 }
 
 impl Connections {
     pub(super) fn new(paced: bool, now: i64, seed: u64) -> Connections {
-        let (idle, busy, rooms) = (BTreeMap::new(), HashMap::new(), SendCapacity::default());
-        Connections { dials: ConnectionPacer::new(paced, now, seed), idle, busy, rooms }
+        let (idle, busy, capacity) = (BTreeMap::new(), HashMap::new(), SendCapacity::default());
+        Connections { pacer: ConnectionPacer::new(paced, now, seed), idle, busy, capacity }
     }
 
     /// Tells the module how many executions can leave for each engine, as it changes.
     pub(super) fn tell(&mut self, now: i64, dispatcher: &mut Dispatcher) {
-        if !self.dials.is_paced() {
+        if !self.pacer.is_paced() {
             return;
         }
-        self.rooms.report(now, dispatcher, |place| {
-            self.idle.get(&place).copied().unwrap_or(0) + usize::from(self.dials.next(now, place) <= now)
+        self.capacity.report(now, dispatcher, |place| {
+            self.idle.get(&place).copied().unwrap_or(0) + usize::from(self.pacer.next(now, place) <= now)
         });
     }
 
@@ -50,10 +50,10 @@
         let own = self.own(n);
         let Some(life) = &mut self.members[n].life else { return false };
         let connections = &mut life.connections;
-        connections.rooms.sent(place);
+        connections.capacity.sent(place);
         let idle = connections.idle.entry(place).or_default();
-        let dials = *idle == 0;
-        if dials && !connections.dials.take(own, place) {
+        let opens = *idle == 0;
+        if opens && !connections.pacer.take(own, place) {
             return false;
         }
         match sent {
@@ -63,7 +63,7 @@
             }
             None => *idle = (*idle).max(1),
         }
-        if dials {
+        if opens {
             self.relays((n, place), (0, 0, 1));
         }
         true
--- a/crates/lab/src/simulated/engines.rs
+++ b/crates/lab/src/simulated/engines.rs
@@ -13,11 +13,11 @@
     pub(super) fn relays(
         &mut self,
         (front, engine): (usize, usize),
-        (statements, probes, dials): (usize, usize, usize),
+        (statements, probes, opened): (usize, usize, usize),
     ) {
         let (at, zone) = (self.now, self.engines[engine].zone);
         let passed = self.passes(front, engine, true);
-        self.account.relayed.push(Relayed { at, front, engine, zone, statements, probes, dials, passed });
+        self.account.relayed.push(Relayed { at, front, engine, zone, statements, probes, opened, passed });
     }
 
     pub(super) fn link(&self, front: usize, engine: usize) -> LinkState {
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -46,8 +46,8 @@
             exchange
         });
         let seed = self.chance.random();
-        let mut dispatcher = Dispatcher::new(&self.contract, seed);
-        let paced = self.contract.agreement.budgets.is_some();
+        let mut dispatcher = Dispatcher::new(&self.settings, seed);
+        let paced = self.settings.agreement.budgets.is_some();
         let connections = Connections::new(paced, self.own(n), seed);
         let zones: Vec<String> = (0..self.scenario.fleet.zones).map(zone_name).collect();
         let ids: Vec<String> = (0..self.engines.len()).map(|e| format!("e{e}")).collect();
@@ -56,7 +56,7 @@
         dispatcher.list(true, &list);
         let own = self.own(n);
         let guards = self.scenario.fleet.copies.is_some();
-        let guard = guards.then(|| Guard::new(&self.contract, own, self.shards, &mut dispatcher));
+        let guard = guards.then(|| Guard::new(&self.settings, own, self.shards, &mut dispatcher));
         let member = &mut self.members[n];
         member.lives += 1;
         member.life =
@@ -149,7 +149,7 @@
             Order::Pace { connections } => {
                 let own = self.own(n);
                 let life = self.members[n].life.iter_mut();
-                life.for_each(|life| life.connections.dials.pace(own, connections));
+                life.for_each(|life| life.connections.pacer.pace(own, connections));
             }
             Order::Hurry { .. } => {}
         }
@@ -158,19 +158,19 @@
     /// An execution leaves for its engine.
     pub(super) fn leaves(&mut self, n: usize, sent: Sent, place: usize) {
         let lives = self.members[n].lives;
-        let dials = self.account.relayed.len();
+        let before = self.account.relayed.len();
         if !self.reaches(n, place, Some(sent)) {
             let own = self.own(n);
             let Some(life) = &mut self.members[n].life else { return };
             life.dispatcher.report(own, sent.0, sent.1, Ending::Withdrawn, None);
             return;
         }
-        let dialled = self.account.relayed.len() > dials;
+        let opened = self.account.relayed.len() > before;
         self.relays((n, place), (1, 0, 0));
         *self.account.first_tries.get_or_insert(0) += i64::from(sent.1 == 0);
         if self.passes(n, place, true) {
             self.out.entry(place).or_default().push((n, lives, sent));
-            let there = if dialled { self.way() + self.way() } else { 0 };
+            let there = if opened { self.way() + self.way() } else { 0 };
             let at = self.now + there + self.way() + self.delay(n, place);
             self.at(at, Event::Arrives(n, lives, sent, place));
         }
--- a/crates/lab/src/simulated/play.rs
+++ b/crates/lab/src/simulated/play.rs
@@ -134,7 +134,7 @@
 
 pub(super) struct Play<'a> {
     pub(super) scenario: &'a Scenario,
-    pub(super) contract: Settings,
+    pub(super) settings: Settings,
     pub(super) warmth: Warmth,
     pub(super) now: i64,
     pub(super) began: i64,
--- a/crates/lab/src/simulated/run.rs
+++ b/crates/lab/src/simulated/run.rs
@@ -12,7 +12,7 @@
 use super::grows::Grows;
 use super::play::{secret, Engine, Event, Member, Play, Spoil, AFTER, SETTLES, SLACK, WALL};
 use crate::record::account::{judge, warmth, Account, Offered, Run};
-use crate::rig::agreed::settings;
+use crate::rig::agreed;
 use crate::rig::post::State as PostState;
 use crate::rig::scenario::Scenario;
 
@@ -40,14 +40,14 @@
 
 /// The settings that the fronts of a scenario decide by.
 fn settings_of(scenario: &Scenario) -> Result<Settings, String> {
-    let mut contract = Settings::parse(&settings(scenario).to_string())?;
+    let mut settings = Settings::parse(&agreed::settings(scenario).to_string())?;
     if let Some(quorum) = scenario.fleet.zone_quorum {
-        contract.agreement.zone_quorum = quorum;
+        settings.agreement.zone_quorum = quorum;
     }
     if scenario.fleet.sheds_as_one {
-        scenario.fleet.overload().apply(&mut contract.agreement);
+        scenario.fleet.overload().apply(&mut settings.agreement);
     }
-    Ok(contract)
+    Ok(settings)
 }
 
 impl Engine {
@@ -91,7 +91,7 @@
         let keys: Vec<[u8; 32]> = (0..fronts).map(|n| Identity::new(&secret(n), 0).public_key()).collect();
         Ok(Play {
             scenario,
-            contract: settings_of(scenario)?,
+            settings: settings_of(scenario)?,
             warmth: warmth(scenario),
             now: WALL,
             began: WALL + SETTLES,
