--- a/crates/lab/src/check.rs
+++ b/crates/lab/src/check.rs
@@ -1,14 +1,14 @@
 //! The rules, checked on what clients and engines wrote down, never on what a front says of itself.
 
 mod answers;
-mod stood;
 mod turns;
+mod waits;
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use self::answers::{answers, effects};
-pub use self::stood::Stood;
 use self::turns::{drains, order, placement, repeats};
+pub use self::waits::ProcessorWaits;
 use crate::engine::{Deed, Kind};
 
 /// How a unit ended for its client.
@@ -110,7 +110,7 @@
     pub grace: i64,
     pub slack: i64,
     /// How long the machine let somebody wait: answers may be later by it.
-    pub stood: Stood,
+    pub waited: ProcessorWaits,
     /// Engines that bound statements may run on.
     pub bound_to: HashSet<usize>,
     /// Further executions: spare, share of the statements taken, window.
--- a/crates/lab/src/check/answers.rs
+++ b/crates/lab/src/check/answers.rs
@@ -12,8 +12,8 @@
             add(wrong, "answers", format!("{}: two final answers", a.id));
         }
         // What was waited before it was due is no excuse.
-        let stood = agreed.stood.between(a.sent + a.timeout, a.answered);
-        let late = a.answered - a.sent > a.timeout + agreed.slack + stood;
+        let waited = agreed.waited.between(a.sent + a.timeout, a.answered);
+        let late = a.answered - a.sent > a.timeout + agreed.slack + waited;
         match &a.outcome {
             Outcome::Nothing => add(wrong, "answers", format!("{}: no answer", a.id)),
             Outcome::Spoilt => add(wrong, "answers", format!("{}: another's rows", a.id)),
@@ -44,7 +44,7 @@
                     "{}: after {ms} ms of {}, {} of them the machine's",
                     a.id,
                     a.timeout / 1000,
-                    stood / 1000
+                    waited / 1000
                 ),
             );
         }
--- a/crates/lab/src/check/stood.rs
+++ b/crates/lab/src/check/waits.rs
@@ -5,21 +5,21 @@
 
 /// Waiting so far, by the time it was looked at; all in microseconds.
 #[derive(Clone, Debug, Default)]
-pub struct Stood {
+pub struct ProcessorWaits {
     /// When, and how long the harness and the front had waited by then.
-    pub looks: Vec<(i64, i64)>,
+    pub samples: Vec<(i64, i64)>,
 }
 
-impl Stood {
+impl ProcessorWaits {
     /// How long at most somebody waited between two moments: from the last look before to the first one after.
     pub fn between(&self, from: i64, to: i64) -> i64 {
-        let before = self.looks.partition_point(|(at, _)| *at <= from).saturating_sub(1);
-        let after = self.looks.partition_point(|(at, _)| *at < to);
-        let at = |n: usize| self.looks.get(n).or(self.looks.last()).map_or(0, |(_, stood)| *stood);
+        let before = self.samples.partition_point(|(at, _)| *at <= from).saturating_sub(1);
+        let after = self.samples.partition_point(|(at, _)| *at < to);
+        let at = |n: usize| self.samples.get(n).or(self.samples.last()).map_or(0, |(_, waited)| *waited);
         (at(after) - at(before)).clamp(0, MOST)
     }
 }
 
 #[cfg(test)]
-#[path = "stood_tests.rs"]
+#[path = "waits_tests.rs"]
 mod tests;
--- a/crates/lab/src/check_tests.rs
+++ b/crates/lab/src/check_tests.rs
@@ -20,7 +20,7 @@
     Agreed {
         grace: 2_000_000,
         slack: 100_000,
-        stood: Stood::default(),
+        waited: ProcessorWaits::default(),
         bound_to: HashSet::from([1]),
         further: Some((1.0, 0.1, 10_000_000)),
         drains: vec![Drain { engine: 2, from: 0, to: 9_000_000 }],
@@ -82,7 +82,7 @@
 #[test]
 fn an_answer_is_late_but_for_what_the_machine_let_it_wait() {
     let ends = 1_100_000; // the timeout and the slack
-    let looks = vec![
+    let samples = vec![
         (0, 0),
         (900_000, 400_000),
         (1_000_000, 400_000),
@@ -100,7 +100,7 @@
         (2_000_000, ends + 1_000_001, true),
     ] {
         let asked = Asked { sent, answered: sent + takes, ..asked("a", DONE) };
-        let agreed = Agreed { stood: Stood { looks: looks.clone() }, ..agreed() };
+        let agreed = Agreed { waited: ProcessorWaits { samples: samples.clone() }, ..agreed() };
         let wrong = check(&[asked], &[], &ran("a", "", 0, sent, sent + 10), &agreed);
         assert_eq!(wrong.contains_key("answers"), late, "{sent} {takes}: {wrong:?}");
     }
--- a/crates/lab/src/prove/postgres.rs
+++ b/crates/lab/src/prove/postgres.rs
@@ -5,8 +5,8 @@
 mod faults;
 mod keys;
 mod load;
-mod looks;
 mod notes;
+mod sampling;
 mod setup;
 
 use std::collections::BTreeMap;
@@ -15,8 +15,8 @@
 
 use self::faults::FAULTS;
 use self::load::{Load, Played};
-use self::looks::Memory;
 pub use self::notes::Notes;
+use self::sampling::Memory;
 use self::setup::{is_big, Setup};
 use crate::check::{check, Agreed, Asked, Outcome, Transaction, Violations};
 use crate::rig::Front;
@@ -72,7 +72,7 @@
         ("told_at_end", told),
         ("memory_kb", memory.late_kb as usize),
         ("settled_kb", memory.early_kb as usize),
-        ("stood_ms", (played.stood.looks.last().map_or(0, |(_, stood)| *stood) / 1000) as usize),
+        ("stood_ms", (played.waited.samples.last().map_or(0, |(_, waited)| *waited) / 1000) as usize),
         ("seconds", began.elapsed().as_secs() as usize),
     ] {
         *tallies.entry(key.into()).or_default() += value;
@@ -94,7 +94,7 @@
     };
     while began.elapsed() < LONGEST && !enough() && front.is_up() {
         std::thread::sleep(SAMPLE);
-        memory.look(notes.count.load(SeqCst), front.memory_kb());
+        memory.sample(notes.count.load(SeqCst), front.memory_kb());
     }
     memory
 }
@@ -136,7 +136,7 @@
     let agreed = Agreed {
         grace: GRACE,
         slack: SLACK,
-        stood: played.stood.clone(),
+        waited: played.waited.clone(),
         bound_to: (0..ENGINES).filter(|engine| is_big(*engine)).collect(),
         further: Some(FURTHER),
         drains: played.drains.clone(),
--- a/crates/lab/src/prove/postgres/load.rs
+++ b/crates/lab/src/prove/postgres/load.rs
@@ -12,10 +12,10 @@
 use super::clients::client;
 use super::faults::{play_drains, play_faults};
 use super::keys::both_protocols;
-use super::looks::stood;
+use super::sampling::sample_waits;
 use super::setup::Setup;
 use super::Notes;
-use crate::check::{Drain, Stood};
+use crate::check::{Drain, ProcessorWaits};
 use crate::scripted;
 
 const CLIENTS: usize = 48;
@@ -33,7 +33,7 @@
     scripts: Vec<JoinHandle<()>>,
     runtime: Runtime,
     clients: Vec<tokio::task::JoinHandle<()>>,
-    waits: JoinHandle<Stood>,
+    sampler: JoinHandle<ProcessorWaits>,
 }
 
 /// What the threads of a run have seen.
@@ -42,7 +42,7 @@
     pub(super) faults: BTreeMap<&'static str, usize>,
     pub(super) drains: Vec<Drain>,
     /// How long the harness and the front waited for a processor.
-    pub(super) stood: Stood,
+    pub(super) waited: ProcessorWaits,
 }
 
 impl Load {
@@ -75,11 +75,11 @@
         let clients = (0..CLIENTS)
             .map(|n| runtime.spawn(client(seed.wrapping_add(n as u64 * 7919), port, notes.clone())))
             .collect();
-        let waits = {
+        let sampler = {
             let notes = notes.clone();
-            std::thread::spawn(move || stood(front, &notes))
+            std::thread::spawn(move || sample_waits(front, &notes))
         };
-        Ok(Load { notes: notes.clone(), drains, faults, keys, scripts, runtime, clients, waits })
+        Ok(Load { notes: notes.clone(), drains, faults, keys, scripts, runtime, clients, sampler })
     }
 
     /// Waits until clients and scripted sessions have ended, which they do once the notes say so.
@@ -101,8 +101,8 @@
         let faults = self.faults.join().map_err(|_| "faults")?;
         let _ = self.keys.join();
         self.notes.done.store(true, SeqCst);
-        let stood = self.waits.join().map_err(|_| "looks")?;
+        let waited = self.sampler.join().map_err(|_| "sampling of waits")?;
         self.runtime.shutdown_timeout(RUNTIME_ENDS);
-        Ok(Played { faults, drains, stood })
+        Ok(Played { faults, drains, waited })
     }
 }
--- a/crates/lab/src/prove/postgres/looks.rs
+++ b/crates/lab/src/prove/postgres/sampling.rs
@@ -1,10 +1,10 @@
-//! What the harness looks at while a run goes on: the front's memory, and how long the machine lets somebody wait.
+//! What the harness samples while a run goes on: the front's memory, and how long the machine lets somebody wait.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use super::Notes;
-use crate::check::Stood;
+use crate::check::ProcessorWaits;
 
 const TICK: Duration = Duration::from_millis(10);
 const LATE: i64 = 2_000; // microseconds that a sleeper may oversleep on an idle machine
@@ -20,8 +20,8 @@
 }
 
 impl Memory {
-    /// Looked at again, with so many units accepted by now.
-    pub fn look(&mut self, units: usize, kb: u64) {
+    /// Samples it again, with so many units accepted by now.
+    pub fn sample(&mut self, units: usize, kb: u64) {
         if self.early_kb == 0 && units >= SETTLED {
             self.early_kb = kb;
         }
@@ -35,10 +35,10 @@
     }
 }
 
-/// Looks every few milliseconds how long the harness has overslept and the front has waited for a processor, until the
-/// run ends.
-pub fn stood(front: u32, notes: &Arc<Notes>) -> Stood {
-    let (mut looks, mut overslept, mut fronts) = (Vec::new(), 0, 0);
+/// Samples every few milliseconds how long the harness has overslept and the front has waited for a processor,
+/// until the run ends.
+pub fn sample_waits(front: u32, notes: &Arc<Notes>) -> ProcessorWaits {
+    let (mut samples, mut overslept, mut fronts) = (Vec::new(), 0, 0);
     let before = waited(front);
     while !notes.done() {
         let slept = notes.records.now();
@@ -47,9 +47,9 @@
         overslept += (now - slept - TICK.as_micros() as i64 - LATE).max(0);
         // An answer passes both, one after the other.
         fronts = (waited(front) - before).max(fronts); // once it has ended nothing more is counted
-        looks.push((now, overslept + fronts));
+        samples.push((now, overslept + fronts));
     }
-    Stood { looks }
+    ProcessorWaits { samples }
 }
 
 /// Microseconds for which the front's one thread could run and had no processor, as the kernel counts them.
@@ -59,5 +59,5 @@
 }
 
 #[cfg(test)]
-#[path = "looks_tests.rs"]
+#[path = "sampling_tests.rs"]
 mod tests;
--- a/crates/lab/src/prove/postgres/looks_tests.rs
+++ b/crates/lab/src/prove/postgres/sampling_tests.rs
@@ -1,12 +1,12 @@
-//! Unit tests of the `looks` module.
+//! Unit tests of the `sampling` module.
 
 use super::*;
 
 #[test]
 fn memory_that_grows_after_it_has_settled_is_found() {
-    let run = |looks: &[(usize, u64)]| {
+    let run = |samples: &[(usize, u64)]| {
         let mut memory = Memory::default();
-        looks.iter().for_each(|(units, kb)| memory.look(*units, *kb));
+        samples.iter().for_each(|(units, kb)| memory.sample(*units, *kb));
         memory.wrong()
     };
     // Growth until then is no fault, and a short run says nothing.
