--- a/crates/lab/src/engine/mod.rs
+++ b/crates/lab/src/engine/mod.rs
@@ -5,10 +5,10 @@
 mod portal;
 mod record;
 mod task;
-mod words;
+mod wire_events;
 #[cfg(test)]
-mod words_tests;
+mod wire_events_tests;
 
 pub use portal::Engine;
 pub use record::{Armed, Deed, Kind, Records};
-pub use words::{Lines, Said, Word};
+pub use wire_events::{Lines, WireEvent, WireEventKind};
--- a/crates/lab/src/engine/record.rs
+++ b/crates/lab/src/engine/record.rs
@@ -8,7 +8,7 @@
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 
-use super::words::Word;
+use super::wire_events::WireEvent;
 use crate::rig::death::DeathStep;
 use crate::rig::scenario::Step;
 
@@ -47,7 +47,7 @@
     /// What an engine wrote down under this link came over the connection from this port of the relay's, as this id.
     pub came: Mutex<HashMap<(usize, u32), (u16, String)>>,
     /// What was said over the connections between fronts and engines.
-    pub words: Mutex<Vec<Word>>,
+    pub wire_events: Mutex<Vec<WireEvent>>,
     /// Statements that were sent to any engine, by their front and the client's name for them.
     firsts: Mutex<HashSet<(usize, Vec<u8>)>>,
     armed: Mutex<Option<Armed>>,
@@ -69,7 +69,7 @@
             peers: Mutex::default(),
             sent_by: Mutex::default(),
             came: Mutex::default(),
-            words: Mutex::default(),
+            wire_events: Mutex::default(),
             firsts: Mutex::default(),
             armed: Mutex::default(),
             steps: Mutex::default(),
@@ -98,9 +98,9 @@
     }
 
     /// A relay has read this.
-    pub fn hears(&self, word: Word) {
-        if let Ok(mut words) = self.words.lock() {
-            words.push(word);
+    pub fn note_wire_event(&self, event: WireEvent) {
+        if let Ok(mut events) = self.wire_events.lock() {
+            events.push(event);
         }
     }
 
--- a/crates/lab/src/engine/words.rs
+++ b/crates/lab/src/engine/wire_events.rs
@@ -3,21 +3,21 @@
 
 /// Something said, or the end of one; times are microseconds since the rig began.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Word {
+pub struct WireEvent {
     /// When the relay had read it, which on a busy machine may be long after it was written.
     pub at: i64,
     pub front: usize,
     pub engine: usize,
     /// The connection, by the relay's port towards the engine.
     pub port: u16,
-    pub said: Said,
+    pub kind: WireEventKind,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum WireEventKind {
     /// The first word of a line, and the id in it.
     Line {
-        word: String,
+        verb: String,
         id: String,
         passed: bool,
     },
--- a/crates/lab/src/engine/words_tests.rs
+++ b/crates/lab/src/engine/wire_events_tests.rs
@@ -1,20 +1,20 @@
 //! Lines taken from what a relay reads.
 
-use super::words::Lines;
+use super::wire_events::Lines;
 
 fn taken(chunks: &[&str]) -> Vec<(String, String)> {
     let mut lines = Lines::default();
     chunks.iter().flat_map(|chunk| lines.take(chunk.as_bytes())).collect()
 }
 
-fn words(pairs: &[(&str, &str)]) -> Vec<(String, String)> {
-    pairs.iter().map(|(word, id)| (word.to_string(), id.to_string())).collect()
+fn verbs(pairs: &[(&str, &str)]) -> Vec<(String, String)> {
+    pairs.iter().map(|(verb, id)| (verb.to_string(), id.to_string())).collect()
 }
 
 #[test]
-fn words_are_found_wherever_the_bytes_are_cut() {
+fn verbs_are_found_wherever_the_bytes_are_cut() {
     let said = "want 1a class=x,wait=5 9\r\nid=s1,ms=1\r\nhurry 1a 2\r\nnever_mind 1a\r\nbusy p1\r\n";
-    let all = words(&[("want", "1a"), ("never_mind", "1a")]);
+    let all = verbs(&[("want", "1a"), ("never_mind", "1a")]);
     assert_eq!(taken(&[said]), all);
     for cut in 0..said.len() {
         assert_eq!(taken(&[&said[..cut], &said[cut..]]), all, "{cut}");
@@ -24,7 +24,7 @@
 #[test]
 fn what_engines_answer_is_kept_with_its_id() {
     let said = "2b ACK batches=1,stats=inflight:3 7\r\ns1\t-\t-\n\r\n3c AGAIN stats=inflight:9 0\r\n\r\np1 READY - 0\r\n\r\n";
-    assert_eq!(taken(&[said]), words(&[("ACK", "2b"), ("AGAIN", "3c")]));
+    assert_eq!(taken(&[said]), verbs(&[("ACK", "2b"), ("AGAIN", "3c")]));
 }
 
 #[test]
@@ -34,5 +34,5 @@
         assert!(lines.take(&[b'x'; 4096]).is_empty());
     }
     lines.take(b"\n");
-    assert_eq!(lines.take(b"want 1 - 0\r\n"), words(&[("want", "1")]));
+    assert_eq!(lines.take(b"want 1 - 0\r\n"), verbs(&[("want", "1")]));
 }
--- a/crates/lab/src/record/account.rs
+++ b/crates/lab/src/record/account.rs
@@ -9,7 +9,7 @@
 use super::{attempts, given_up, herd, promises};
 use crate::check::{self, Agreed, Asked, Outcome};
 use crate::engine::lines::Warmth;
-use crate::engine::{Deed, Word};
+use crate::engine::{Deed, WireEvent};
 use crate::rig::member::End;
 use crate::rig::post::Posted;
 use crate::rig::relay::Relayed;
@@ -29,7 +29,7 @@
     pub sent_by: HashMap<(usize, u32), usize>,
     /// The relay's port and the id that the same came over and under; what was said over all connections.
     pub came: HashMap<(usize, u32), (u16, String)>,
-    pub words: Vec<Word>,
+    pub wire_events: Vec<WireEvent>,
     /// Warnings of fronts, with when they were read.
     pub warned: Vec<(usize, i64, String)>,
     pub relayed: Vec<Relayed>,
--- a/crates/lab/src/record/attempts.rs
+++ b/crates/lab/src/record/attempts.rs
@@ -5,7 +5,7 @@
 
 use super::account::Account;
 use crate::check::Violations;
-use crate::engine::{Kind, Said, Word};
+use crate::engine::{Kind, WireEvent, WireEventKind};
 
 /// Rules whose statements are named with all that the rig saw of them.
 const RULES: [&str; 3] = ["repeats", "second_run", "promise_lost"];
@@ -54,28 +54,28 @@
         let over = came.map_or(String::new(), |(port, _)| format!(" over {port}"));
         seen.push((deed.at, format!("engine {} run {}{over}: {what}", deed.engine, deed.link)));
     }
-    let mut said = Vec::new();
-    for word in &account.words {
-        if let Said::Line { word: what, id, passed } = &word.said {
+    let mut events = Vec::new();
+    for event in &account.wire_events {
+        if let WireEventKind::Line { verb, id, passed } = &event.kind {
             if ids.contains(id.as_str()) {
-                ports.insert((word.engine, word.port));
-                said.push((word, if *passed { what.clone() } else { format!("{what}, lost on the way") }));
+                ports.insert((event.engine, event.port));
+                events.push((event, if *passed { verb.clone() } else { format!("{verb}, lost on the way") }));
             }
         }
     }
     let (first, last) = (seen.iter().map(|s| s.0).min(), seen.iter().map(|s| s.0).max());
     let (first, last) = (first.unwrap_or(0), last.unwrap_or(0));
     let around = |at: i64| at >= first - AROUND && at <= last + AROUND;
-    let own = |w: &&Word| ports.contains(&(w.engine, w.port)) && around(w.at);
-    for word in account.words.iter().filter(own) {
-        match word.said {
-            Said::Line { .. } => {}
-            Said::FrontClosed => said.push((word, "closed by the front".to_string())),
-            Said::EngineClosed => said.push((word, "closed by the engine".to_string())),
+    let own = |w: &&WireEvent| ports.contains(&(w.engine, w.port)) && around(w.at);
+    for event in account.wire_events.iter().filter(own) {
+        match event.kind {
+            WireEventKind::Line { .. } => {}
+            WireEventKind::FrontClosed => events.push((event, "closed by the front".to_string())),
+            WireEventKind::EngineClosed => events.push((event, "closed by the engine".to_string())),
         }
     }
-    seen.extend(said.into_iter().map(|(w, what)| {
-        let Word { at, front, engine, port, .. } = w;
+    seen.extend(events.into_iter().map(|(w, what)| {
+        let WireEvent { at, front, engine, port, .. } = w;
         (*at, format!("relay {port} between front {front} and engine {engine}: {what}"))
     }));
     let warned = account.warned.iter().filter(|(front, at, _)| fronts.contains(front) && around(*at));
@@ -84,9 +84,9 @@
     );
     seen.sort_by_key(|(at, _)| *at);
     let first = seen.first().map_or(0, |(at, _)| *at);
-    let told = |(at, what): &(i64, String)| {
+    let line = |(at, what): &(i64, String)| {
         let since = at - first;
         format!("{}.{:03} ms {what}", since / 1000, since % 1000)
     };
-    seen.iter().map(told).collect::<Vec<_>>().join("; ")
+    seen.iter().map(line).collect::<Vec<_>>().join("; ")
 }
--- a/crates/lab/src/record/attempts_tests.rs
+++ b/crates/lab/src/record/attempts_tests.rs
@@ -3,16 +3,16 @@
 use std::collections::HashMap;
 
 use super::account::{judge, offered, Account};
-use crate::engine::{Deed, Kind, Said, Word};
+use crate::engine::{Deed, Kind, WireEvent, WireEventKind};
 use crate::rig::scenario::Scenario;
 
 pub const TEXT: &str = "seconds = 1\n[fleet]\nfronts = 4\nzones = 1\nengines_per_zone = 3\n\
     [load]\nper_second = 1\nwork_ms = 100\ntimeout_ms = 1000\n\
     [engine]\nslots = 8\ncold_slots = 8\n";
 
-pub fn line(at: i64, (engine, port): (usize, u16), (word, id): (&str, &str)) -> Word {
-    let said = Said::Line { word: word.into(), id: id.into(), passed: true };
-    Word { at, front: 3, engine, port, said }
+pub fn line(at: i64, (engine, port): (usize, u16), (verb, id): (&str, &str)) -> WireEvent {
+    let kind = WireEventKind::Line { verb: verb.into(), id: id.into(), passed: true };
+    WireEvent { at, front: 3, engine, port, kind }
 }
 
 /// Sent to engine 1, given up by closing its connection, and sent to engine 2 before engine 1 has read so.
@@ -25,7 +25,7 @@
     );
     let mut own = offered("s7", 3, 1_000);
     own.asked.answered = 160_000;
-    let closed = Word { at: 41_000, front: 3, engine: 1, port: 501, said: Said::FrontClosed };
+    let closed = WireEvent { at: 41_000, front: 3, engine: 1, port: 501, kind: WireEventKind::FrontClosed };
     Account {
         asked: vec![own],
         deeds: vec![
@@ -37,15 +37,15 @@
         ],
         sent_by: HashMap::from([((1, 10), 3), ((2, 11), 3)]),
         came: HashMap::from([((1, 10), (501, "0007".into())), ((2, 11), (502, "0007".into()))]),
-        words: vec![
+        wire_events: vec![
             line(2_000, (1, 501), ("want", "0007")),
             line(2_500, (1, 501), ("want", "0008")),
             line(39_000, (2, 502), ("want", "0007")),
             closed,
             line(150_000, (2, 502), ("ACK", "0007")),
             // Another connection's end, and the same one's long after.
-            Word { at: 60_000, front: 3, engine: 1, port: 509, said: Said::FrontClosed },
-            Word { at: 9_000_000, front: 3, engine: 2, port: 502, said: Said::FrontClosed },
+            WireEvent { at: 60_000, front: 3, engine: 1, port: 509, kind: WireEventKind::FrontClosed },
+            WireEvent { at: 9_000_000, front: 3, engine: 2, port: 502, kind: WireEventKind::FrontClosed },
         ],
         warned: vec![
             (3, 27_000, "f3 warn: engine e1: a line of 5 words".into()),
@@ -82,7 +82,7 @@
 #[test]
 fn what_was_lost_on_the_way_is_told_as_lost() {
     let mut account = account();
-    let Said::Line { passed, .. } = &mut account.words[0].said else { panic!() };
+    let WireEventKind::Line { passed, .. } = &mut account.wire_events[0].kind else { panic!() };
     *passed = false;
     let scenario = Scenario::parse(TEXT, false, None).unwrap();
     let run = judge(&scenario, &account, Vec::new());
--- a/crates/lab/src/record/given_up.rs
+++ b/crates/lab/src/record/given_up.rs
@@ -5,7 +5,7 @@
 
 use super::account::Account;
 use crate::check::Repeat;
-use crate::engine::{Deed, Kind, Said, Word};
+use crate::engine::{Deed, Kind, WireEvent, WireEventKind};
 use crate::rig::scenario::Scenario;
 
 /// Microseconds between the word of one attempt's end and the next attempt, by the relays: half of what fronts wait.
@@ -46,24 +46,23 @@
 /// rig was late, before the run began: then it was never out.
 fn given_up(account: &Account, run: &Deed) -> Option<i64> {
     let (port, id) = account.came.get(&(run.engine, run.link))?;
-    let is_want =
-        |w: &&Word| matches!(&w.said, Said::Line { word, id: other, .. } if word == "want" && other == id);
-    let is_here = |w: &&Word| (w.engine, w.port) == (run.engine, *port);
-    let since = account.words.iter().filter(is_here).find(is_want)?.at;
-    let here = || account.words.iter().filter(is_here).filter(|w| w.at >= since);
+    let is_want = |w: &&WireEvent| matches!(&w.kind, WireEventKind::Line { verb, id: other, .. } if verb == "want" && other == id);
+    let is_here = |w: &&WireEvent| (w.engine, w.port) == (run.engine, *port);
+    let since = account.wire_events.iter().filter(is_here).find(is_want)?.at;
+    let here = || account.wire_events.iter().filter(is_here).filter(|w| w.at >= since);
     // A relay closes both sides: the front's is its own doing only where the engine's was open.
-    let lost = here().find(|w| w.said == Said::EngineClosed).map_or(i64::MAX, |w| w.at);
-    let ends = |w: &&Word| match &w.said {
-        Said::Line { word, id: other, passed } => *passed && word == "never_mind" && other == id,
-        Said::FrontClosed => w.at < lost,
-        Said::EngineClosed => false,
+    let lost = here().find(|w| w.kind == WireEventKind::EngineClosed).map_or(i64::MAX, |w| w.at);
+    let ends = |w: &&WireEvent| match &w.kind {
+        WireEventKind::Line { verb, id: other, passed } => *passed && verb == "never_mind" && other == id,
+        WireEventKind::FrontClosed => w.at < lost,
+        WireEventKind::EngineClosed => false,
     };
     let at = here().filter(ends).map(|w| w.at).min()?;
     let late = |until: i64| account.starved.rig((at - AROUND, until + AROUND)) > 0;
     if at < run.at {
         return late(run.at).then_some(at);
     }
-    let elsewhere = |w: &&Word| w.at > run.at && !is_here(w);
-    let next = account.words.iter().filter(is_want).filter(elsewhere).map(|w| w.at).min()?;
+    let elsewhere = |w: &&WireEvent| w.at > run.at && !is_here(w);
+    let next = account.wire_events.iter().filter(is_want).filter(elsewhere).map(|w| w.at).min()?;
     (next >= at + APART || next >= at && late(next)).then_some(at)
 }
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -128,7 +128,7 @@
             asked,
             sent_by: self.records.sent_by.lock().map(|s| s.clone()).unwrap_or_default(),
             came: self.records.came.lock().map(|c| c.clone()).unwrap_or_default(),
-            words: self.records.words.lock().map(|w| w.clone()).unwrap_or_default(),
+            wire_events: self.records.wire_events.lock().map(|w| w.clone()).unwrap_or_default(),
             warned,
             steps: self.records.steps.lock().map(|s| s.clone()).unwrap_or_default(),
             deeds: self.records.deeds.lock().map(|d| d.clone()).unwrap_or_default(),
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab/src/rig/relay.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use crate::engine::{Lines, Records, Said, Word};
+use crate::engine::{Lines, Records, WireEvent, WireEventKind};
 
 const CHUNK: usize = 16 << 10; // bytes read and passed on at once
 
@@ -139,9 +139,9 @@
         }
     }
 
-    fn hears(&self, port: u16, said: Said) {
+    fn note_wire_event(&self, port: u16, kind: WireEventKind) {
         let Link { front, engine, .. } = *self;
-        self.records.hears(Word { at: self.records.now(), front, engine, port, said });
+        self.records.note_wire_event(WireEvent { at: self.records.now(), front, engine, port, kind });
     }
 
     fn pass(&self, mut from: TcpStream, mut to: TcpStream, way: &Way) {
@@ -160,8 +160,8 @@
                 self.notes((count(b"want "), count(b"busy "), 0), !lost);
                 self.records.sends(self.front, &chunk[..read]);
             }
-            for (word, id) in lines.take(&chunk[..read]) {
-                self.hears(way.port, Said::Line { word, id, passed: !lost });
+            for (verb, id) in lines.take(&chunk[..read]) {
+                self.note_wire_event(way.port, WireEventKind::Line { verb, id, passed: !lost });
             }
             if lost {
                 continue;
@@ -174,7 +174,10 @@
                 break;
             }
         }
-        self.hears(way.port, if way.out { Said::FrontClosed } else { Said::EngineClosed });
+        self.note_wire_event(
+            way.port,
+            if way.out { WireEventKind::FrontClosed } else { WireEventKind::EngineClosed },
+        );
         let _ = (from.shutdown(Shutdown::Both), to.shutdown(Shutdown::Both));
     }
 }
