--- a/crates/lab/src/check.rs
+++ b/crates/lab/src/check.rs
@@ -9,7 +9,7 @@
 use self::answers::{answers, effects};
 use self::turns::{drains, order, placement, repeats};
 pub use self::waits::ProcessorWaits;
-use crate::engine::{Deed, Kind};
+use crate::engine::{EngineEvent, Kind};
 
 /// How a unit ended for its client.
 #[derive(Clone, Debug, PartialEq)]
@@ -130,14 +130,19 @@
 }
 
 /// Checks all rules.
-pub fn check(asked: &[Asked], transactions: &[Transaction], deeds: &[Deed], agreed: &Agreed) -> Violations {
+pub fn check(
+    asked: &[Asked],
+    transactions: &[Transaction],
+    engine_events: &[EngineEvent],
+    agreed: &Agreed,
+) -> Violations {
     let mut wrong = Violations::new();
-    let executions = executions(deeds);
-    let kept = kept(deeds);
+    let executions = executions(engine_events);
+    let kept = kept(engine_events);
     answers(&mut wrong, asked, agreed);
     effects(&mut wrong, asked, transactions, &executions, &kept);
     repeats(&mut wrong, asked, &executions, agreed);
-    drains(&mut wrong, deeds, agreed);
+    drains(&mut wrong, engine_events, agreed);
     order(&mut wrong, asked, &executions);
     placement(&mut wrong, asked, &executions, agreed);
     wrong
@@ -147,20 +152,20 @@
     wrong.entry(rule).or_default().push(what);
 }
 
-fn executions(deeds: &[Deed]) -> HashMap<String, Vec<Execution>> {
+fn executions(engine_events: &[EngineEvent]) -> HashMap<String, Vec<Execution>> {
     let mut all: HashMap<String, Vec<Execution>> = HashMap::new();
-    for deed in deeds {
-        match &deed.kind {
+    for event in engine_events {
+        match &event.kind {
             Kind::Began { id, key } => {
-                let (engine, link, from, key) = (deed.engine, deed.link, deed.at, key.clone());
+                let (engine, link, from, key) = (event.engine, event.link, event.at, key.clone());
                 let execution = Execution { engine, link, from, to: i64::MAX, key };
                 all.entry(id.clone()).or_default().push(execution);
             }
             Kind::Ended { id } => {
                 let out = all.get_mut(id).into_iter().flatten();
                 let own =
-                    |x: &&mut Execution| x.engine == deed.engine && x.link == deed.link && x.to == i64::MAX;
-                out.filter(own).for_each(|x| x.to = deed.at);
+                    |x: &&mut Execution| x.engine == event.engine && x.link == event.link && x.to == i64::MAX;
+                out.filter(own).for_each(|x| x.to = event.at);
             }
             _ => {}
         }
@@ -168,10 +173,10 @@
     all
 }
 
-fn kept(deeds: &[Deed]) -> HashMap<String, usize> {
+fn kept(engine_events: &[EngineEvent]) -> HashMap<String, usize> {
     let mut all = HashMap::new();
-    for deed in deeds {
-        if let Kind::Kept { id } = &deed.kind {
+    for event in engine_events {
+        if let Kind::Kept { id } = &event.kind {
             *all.entry(id.clone()).or_default() += 1;
         }
     }
--- a/crates/lab/src/check/turns.rs
+++ b/crates/lab/src/check/turns.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use super::{add, Agreed, Asked, Drain, Execution, Outcome, Repeat, Violations};
-use crate::engine::{Deed, Kind};
+use crate::engine::{EngineEvent, Kind};
 
 /// Nothing twice that may not be, never two at once, and no more further executions than agreed.
 pub(super) fn repeats(
@@ -41,13 +41,14 @@
 }
 
 /// Nothing new to an engine that drains.
-pub(super) fn drains(wrong: &mut Violations, deeds: &[Deed], agreed: &Agreed) {
-    for deed in deeds {
-        let new = matches!(deed.kind, Kind::Began { .. } | Kind::Control { .. });
-        let drain = |d: &&Drain| d.engine == deed.engine && deed.at > d.from + agreed.grace && deed.at < d.to;
+pub(super) fn drains(wrong: &mut Violations, engine_events: &[EngineEvent], agreed: &Agreed) {
+    for event in engine_events {
+        let new = matches!(event.kind, Kind::Began { .. } | Kind::Control { .. });
+        let drain =
+            |d: &&Drain| d.engine == event.engine && event.at > d.from + agreed.grace && event.at < d.to;
         if let Some(drain) = agreed.drains.iter().find(drain).filter(|_| new) {
-            let ms = (deed.at - drain.from) / 1000;
-            add(wrong, "drains", format!("engine {}: {:?} after {ms} ms", deed.engine, deed.kind));
+            let ms = (event.at - drain.from) / 1000;
+            add(wrong, "drains", format!("engine {}: {:?} after {ms} ms", event.engine, event.kind));
         }
     }
 }
--- a/crates/lab/src/check_tests.rs
+++ b/crates/lab/src/check_tests.rs
@@ -7,12 +7,12 @@
     Asked { answered: 1000, outcome, rows: 1, ..sent }
 }
 
-fn ran(id: &str, key: &str, engine: usize, from: i64, to: i64) -> Vec<Deed> {
-    let deed = |at, kind| Deed { at, engine, link: from as u32, kind };
+fn ran(id: &str, key: &str, engine: usize, from: i64, to: i64) -> Vec<EngineEvent> {
+    let event = |at, kind| EngineEvent { at, engine, link: from as u32, kind };
     vec![
-        deed(from, Kind::Began { id: id.into(), key: key.into() }),
-        deed(to, Kind::Ended { id: id.into() }),
-        deed(to, Kind::Kept { id: id.into() }),
+        event(from, Kind::Began { id: id.into(), key: key.into() }),
+        event(to, Kind::Ended { id: id.into() }),
+        event(to, Kind::Kept { id: id.into() }),
     ]
 }
 
@@ -27,10 +27,14 @@
     }
 }
 
-fn found(asked: &[Asked], transactions: &[Transaction], deeds: &[Vec<Deed>]) -> Vec<&'static str> {
-    let mut deeds = deeds.concat();
-    deeds.sort_by_key(|d| d.at);
-    check(asked, transactions, &deeds, &agreed()).into_keys().collect()
+fn found(
+    asked: &[Asked],
+    transactions: &[Transaction],
+    engine_events: &[Vec<EngineEvent>],
+) -> Vec<&'static str> {
+    let mut engine_events = engine_events.concat();
+    engine_events.sort_by_key(|d| d.at);
+    check(asked, transactions, &engine_events, &agreed()).into_keys().collect()
 }
 
 const DONE: Outcome = Outcome::Completed { rows: 1 };
@@ -54,7 +58,7 @@
         vec![a]
     };
     let plain = |outcome| with(&|_| {}, outcome);
-    for (all, deeds, rule) in [
+    for (all, engine_events, rule) in [
         (plain(Outcome::Nothing), vec![], "answers"),
         (plain(Outcome::Lost), vec![], "answers"),
         (plain(Outcome::Spoilt), vec![], "answers"),
@@ -75,7 +79,7 @@
         (plain(DONE), vec![ran("a", "", 2, 3_000_000, 3_000_001)], "drains"),
         (plain(DONE), vec![ran("a", "k", 0, 0, 10), ran("b", "k", 1, 5, 30)], "order"),
     ] {
-        assert_eq!(found(&all, &[], &deeds), [rule], "{all:?}");
+        assert_eq!(found(&all, &[], &engine_events), [rule], "{all:?}");
     }
 }
 
@@ -111,12 +115,12 @@
     // One that may have been taken after the other was sent may run after it; one between makes no difference.
     let late = || Asked { sent: 500_000, answered: 600_000, ..asked("b", DONE) };
     let between = ran("c", "k", 0, 521_000, 522_000);
-    let deeds = [ran("b", "k", 0, 510_000, 520_000), between, ran("a", "k", 0, 530_000, 540_000)];
+    let engine_events = [ran("b", "k", 0, 510_000, 520_000), between, ran("a", "k", 0, 530_000, 540_000)];
     for (taken, wrong) in [(Some(499_999), true), (Some(500_000), false), (None, false)] {
         let early = Asked { answered: 600_000, taken, ..asked("a", DONE) };
-        assert_eq!(!found(&[early, late()], &[], &deeds).is_empty(), wrong, "{taken:?}");
+        assert_eq!(!found(&[early, late()], &[], &engine_events).is_empty(), wrong, "{taken:?}");
     }
-    let again: Vec<Vec<Deed>> = (0..5).map(|n| ran("a", "", 0, n * 100, n * 100 + 10)).collect();
+    let again: Vec<Vec<EngineEvent>> = (0..5).map(|n| ran("a", "", 0, n * 100, n * 100 + 10)).collect();
     assert_eq!(found(&[asked("a", DONE)], &[], &again), ["budget"]);
     for (commit, kept, wrong) in [
         (Some(DONE), 2, false),
@@ -128,7 +132,8 @@
         (None, 0, false),
     ] {
         let t = Transaction { statements: vec!["x".into(), "y".into()], commit };
-        let deeds: Vec<Vec<Deed>> = ["x", "y"][..kept].iter().map(|id| ran(id, "", 0, 0, 1)).collect();
-        assert_eq!(!found(&[], std::slice::from_ref(&t), &deeds).is_empty(), wrong, "{t:?} {kept}");
+        let engine_events: Vec<Vec<EngineEvent>> =
+            ["x", "y"][..kept].iter().map(|id| ran(id, "", 0, 0, 1)).collect();
+        assert_eq!(!found(&[], std::slice::from_ref(&t), &engine_events).is_empty(), wrong, "{t:?} {kept}");
     }
 }
--- a/crates/lab/src/engine/lines.rs
+++ b/crates/lab/src/engine/lines.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 pub use self::client::{ask, ask_body, ask_told, Client};
-use crate::engine::{Deed, Kind, Records};
+use crate::engine::{EngineEvent, Kind, Records};
 use crate::rig::scenario::Step;
 
 const MOST_BODY: usize = 1 << 20; // bytes of a statement that are read
@@ -137,8 +137,8 @@
     }
 
     fn note(&self, link: u32, kind: Kind) {
-        if let Ok(mut deeds) = self.records.deeds.lock() {
-            deeds.push(Deed { at: self.records.now(), engine: self.number, link, kind });
+        if let Ok(mut engine_events) = self.records.deeds.lock() {
+            engine_events.push(EngineEvent { at: self.records.now(), engine: self.number, link, kind });
         }
     }
 
--- a/crates/lab/src/engine/record.rs
+++ b/crates/lab/src/engine/record.rs
@@ -14,7 +14,7 @@
 
 /// What an engine did; times are microseconds since the rig began.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Deed {
+pub struct EngineEvent {
     pub at: i64,
     pub engine: usize,
     pub link: u32,
@@ -38,7 +38,8 @@
 /// The records of all engines of a rig.
 pub struct Records {
     pub since: Instant,
-    pub deeds: Mutex<Vec<Deed>>,
+    /// What the engines did, in the order in which it was written down.
+    pub deeds: Mutex<Vec<EngineEvent>>,
     /// The front behind each connection to an engine, by the relay's end of it and the engine's: one port of the
     /// relay's side may lead to several engines.
     peers: Mutex<HashMap<(SocketAddr, SocketAddr), usize>>,
@@ -152,9 +153,9 @@
     }
 
     pub(super) fn note(&self, engine: usize, link: u32, kind: Kind) {
-        let deed = Deed { at: self.now(), engine, link, kind };
-        if let Ok(mut deeds) = self.deeds.lock() {
-            deeds.push(deed);
+        let event = EngineEvent { at: self.now(), engine, link, kind };
+        if let Ok(mut engine_events) = self.deeds.lock() {
+            engine_events.push(event);
         }
     }
 }
--- a/crates/lab/src/prove/postgres.rs
+++ b/crates/lab/src/prove/postgres.rs
@@ -132,7 +132,7 @@
 
 /// Checks all rules on what clients and engines wrote down.
 fn check_seen(seen: &Seen, notes: &Notes, played: &Played, wrong: &mut Violations) -> Result<(), String> {
-    let deeds = notes.records.deeds.lock().map_err(|e| e.to_string())?.clone();
+    let engine_events = notes.records.deeds.lock().map_err(|e| e.to_string())?.clone();
     let agreed = Agreed {
         grace: GRACE,
         slack: SLACK,
@@ -141,7 +141,7 @@
         further: Some(FURTHER),
         drains: played.drains.clone(),
     };
-    for (rule, found) in check(&seen.asked, &seen.transactions, &deeds, &agreed) {
+    for (rule, found) in check(&seen.asked, &seen.transactions, &engine_events, &agreed) {
         wrong.entry(rule).or_default().extend(found);
     }
     Ok(())
--- a/crates/lab/src/prove/rules.rs
+++ b/crates/lab/src/prove/rules.rs
@@ -249,7 +249,7 @@
 
 fn checked(run: &mut Run, rules: &Rules, planned: &[Change], scenario: &Scenario, account: &Account) {
     let wrong = &mut run.violations;
-    let ran = executions(&account.deeds, &account.sent_by);
+    let ran = executions(&account.engine_events, &account.sent_by);
     let end = i64::MAX;
     let bars = rules.bars(end);
     let zone = |engine: usize| engine / scenario.fleet.engines_per_zone;
@@ -292,8 +292,8 @@
 fn denied(wrong: &mut Violations, account: &Account) {
     let refused = |o: &Offered| matches!(&o.asked.outcome, Outcome::Error(code) if code == "53000");
     let second = |o: &Offered| (o.front, o.asked.answered / 1_000_000);
-    let began: BTreeSet<&str> = (account.deeds.iter())
-        .filter_map(|deed| match &deed.kind {
+    let began: BTreeSet<&str> = (account.engine_events.iter())
+        .filter_map(|event| match &event.kind {
             Kind::Began { id, .. } => Some(id.as_str()),
             _ => None,
         })
--- a/crates/lab/src/prove/sites/seen.rs
+++ b/crates/lab/src/prove/sites/seen.rs
@@ -61,9 +61,9 @@
 /// Sites that were asked, by the engines' records, and those with a row that matches.
 pub(super) fn asked(whole: &[&Scatter], held: &[Row], account: &Account) -> (i64, i64) {
     let mut asked: BTreeMap<&str, BTreeSet<usize>> = BTreeMap::new();
-    for deed in &account.deeds {
-        if let Kind::Began { id, .. } = &deed.kind {
-            asked.entry(id).or_default().insert(deed.engine);
+    for event in &account.engine_events {
+        if let Kind::Began { id, .. } = &event.kind {
+            asked.entry(id).or_default().insert(event.engine);
         }
     }
     let (mut of, mut least) = (0, 0);
--- a/crates/lab/src/record/account.rs
+++ b/crates/lab/src/record/account.rs
@@ -9,7 +9,7 @@
 use super::{attempts, given_up, herd, promises};
 use crate::check::{self, Agreed, Asked, Outcome};
 use crate::engine::lines::Warmth;
-use crate::engine::{Deed, WireEvent};
+use crate::engine::{EngineEvent, WireEvent};
 use crate::rig::member::End;
 use crate::rig::post::Posted;
 use crate::rig::relay::Relayed;
@@ -24,7 +24,7 @@
     /// When the load began.
     pub began: i64,
     pub asked: Vec<Offered>,
-    pub deeds: Vec<Deed>,
+    pub engine_events: Vec<EngineEvent>,
     /// The front that sent what an engine wrote down under a link.
     pub sent_by: HashMap<(usize, u32), usize>,
     /// The relay's port and the id that the same came over and under; what was said over all connections.
@@ -105,9 +105,10 @@
     // What was asked again is another statement to the front that it came to. Order keys are the fleet's here, and have
     // a check of their own.
     let statements: Vec<Asked> = asked.iter().map(promises::at_its_front).collect();
-    let deeds = given_up::ended(scenario, account);
-    let deeds: Vec<Deed> = deeds.iter().map(|deed| promises::by_its_front(deed, account)).collect();
-    for (rule, found) in check::check(&statements, &[], &deeds, &agreed) {
+    let engine_events = given_up::ended(scenario, account);
+    let engine_events: Vec<EngineEvent> =
+        engine_events.iter().map(|event| promises::by_its_front(event, account)).collect();
+    for (rule, found) in check::check(&statements, &[], &engine_events, &agreed) {
         violations.entry(rule).or_default().extend(found);
     }
     attempts::name(&mut violations, account);
--- a/crates/lab/src/record/attempts.rs
+++ b/crates/lab/src/record/attempts.rs
@@ -36,8 +36,8 @@
     }
     // The connections that it came over, and the ids that it had there.
     let (mut ports, mut ids) = (HashSet::new(), HashSet::new());
-    for deed in &account.deeds {
-        let (what, own) = match &deed.kind {
+    for event in &account.engine_events {
+        let (what, own) = match &event.kind {
             Kind::Began { id, .. } => ("began", id),
             Kind::Ended { id } => ("ended", id),
             Kind::Kept { id } => ("lasting", id),
@@ -46,13 +46,13 @@
         if own != id {
             continue;
         }
-        let came = account.came.get(&(deed.engine, deed.link));
+        let came = account.came.get(&(event.engine, event.link));
         if let Some((port, id)) = came {
-            ports.insert((deed.engine, *port));
+            ports.insert((event.engine, *port));
             ids.insert(id.as_str());
         }
         let over = came.map_or(String::new(), |(port, _)| format!(" over {port}"));
-        seen.push((deed.at, format!("engine {} run {}{over}: {what}", deed.engine, deed.link)));
+        seen.push((event.at, format!("engine {} run {}{over}: {what}", event.engine, event.link)));
     }
     let mut events = Vec::new();
     for event in &account.wire_events {
--- a/crates/lab/src/record/attempts_tests.rs
+++ b/crates/lab/src/record/attempts_tests.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use super::account::{judge, offered, Account};
-use crate::engine::{Deed, Kind, WireEvent, WireEventKind};
+use crate::engine::{EngineEvent, Kind, WireEvent, WireEventKind};
 use crate::rig::scenario::Scenario;
 
 pub const TEXT: &str = "seconds = 1\n[fleet]\nfronts = 4\nzones = 1\nengines_per_zone = 3\n\
@@ -17,7 +17,7 @@
 
 /// Sent to engine 1, given up by closing its connection, and sent to engine 2 before engine 1 has read so.
 pub fn account() -> Account {
-    let deed = |at, engine, link, kind| Deed { at, engine, link, kind };
+    let event = |at, engine, link, kind| EngineEvent { at, engine, link, kind };
     let (began, ended, kept) = (
         || Kind::Began { id: "s7".into(), key: String::new() },
         || Kind::Ended { id: "s7".into() },
@@ -28,12 +28,12 @@
     let closed = WireEvent { at: 41_000, front: 3, engine: 1, port: 501, kind: WireEventKind::FrontClosed };
     Account {
         asked: vec![own],
-        deeds: vec![
-            deed(3_000, 1, 10, began()),
-            deed(40_000, 2, 11, began()),
-            deed(45_000, 1, 10, ended()),
-            deed(140_000, 2, 11, ended()),
-            deed(140_000, 2, 11, kept()),
+        engine_events: vec![
+            event(3_000, 1, 10, began()),
+            event(40_000, 2, 11, began()),
+            event(45_000, 1, 10, ended()),
+            event(140_000, 2, 11, ended()),
+            event(140_000, 2, 11, kept()),
         ],
         sent_by: HashMap::from([((1, 10), 3), ((2, 11), 3)]),
         came: HashMap::from([((1, 10), (501, "0007".into())), ((2, 11), (502, "0007".into()))]),
--- a/crates/lab/src/record/executions.rs
+++ b/crates/lab/src/record/executions.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::engine::{Deed, Kind};
+use crate::engine::{EngineEvent, Kind};
 
 /// One run of a statement on an engine; times are microseconds since the rig began.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,15 +26,15 @@
 }
 
 /// All executions in the order of their starts; `sent_by` says which front an engine's link number stands for.
-pub fn executions(deeds: &[Deed], sent_by: &HashMap<(usize, u32), usize>) -> Vec<Execution> {
+pub fn executions(engine_events: &[EngineEvent], sent_by: &HashMap<(usize, u32), usize>) -> Vec<Execution> {
     let mut all: Vec<Execution> = Vec::new();
     let mut at: HashMap<(usize, u32, &str), usize> = HashMap::new();
-    for deed in deeds {
-        let (id, ended, kept) = match &deed.kind {
+    for event in engine_events {
+        let (id, ended, kept) = match &event.kind {
             Kind::Began { id, key } => {
-                at.insert((deed.engine, deed.link, id), all.len());
-                let front = sent_by.get(&(deed.engine, deed.link)).copied().unwrap_or(usize::MAX);
-                let (id, key, engine, from) = (id.clone(), key.clone(), deed.engine, deed.at);
+                at.insert((event.engine, event.link, id), all.len());
+                let front = sent_by.get(&(event.engine, event.link)).copied().unwrap_or(usize::MAX);
+                let (id, key, engine, from) = (id.clone(), key.clone(), event.engine, event.at);
                 all.push(Execution { id, key, engine, front, from, to: i64::MAX, kept: false });
                 continue;
             }
@@ -42,10 +42,10 @@
             Kind::Kept { id } => (id, false, true),
             _ => continue,
         };
-        let own = at.get(&(deed.engine, deed.link, id.as_str())).and_then(|at| all.get_mut(*at));
+        let own = at.get(&(event.engine, event.link, id.as_str())).and_then(|at| all.get_mut(*at));
         if let Some(own) = own {
             own.kept |= kept;
-            own.to = if ended { own.to.min(deed.at) } else { own.to };
+            own.to = if ended { own.to.min(event.at) } else { own.to };
         }
     }
     all.sort_by_key(|x| x.from);
--- a/crates/lab/src/record/given_up.rs
+++ b/crates/lab/src/record/given_up.rs
@@ -5,7 +5,7 @@
 
 use super::account::Account;
 use crate::check::Repeat;
-use crate::engine::{Deed, Kind, WireEvent, WireEventKind};
+use crate::engine::{EngineEvent, Kind, WireEvent, WireEventKind};
 use crate::rig::scenario::Scenario;
 
 /// Microseconds between the word of one attempt's end and the next attempt, by the relays: half of what fronts wait.
@@ -15,36 +15,37 @@
 
 /// The record's deeds, with the end of each attempt that was given up before the next one of its statement was sent, and
 /// without the start of those that were given up before it.
-pub fn ended(scenario: &Scenario, account: &Account) -> Vec<Deed> {
-    let mut deeds = account.deeds.clone();
+pub fn ended(scenario: &Scenario, account: &Account) -> Vec<EngineEvent> {
+    let mut engine_events = account.engine_events.clone();
     let repeated = |o: &&super::account::Offered| {
         o.asked.repeat == Repeat::Idempotent && !scenario.classes.get(o.class).is_some_and(|c| c.goes_on)
     };
-    let mut runs: HashMap<&str, Vec<&Deed>> =
+    let mut runs: HashMap<&str, Vec<&EngineEvent>> =
         account.asked.iter().filter(repeated).map(|o| (o.asked.id.as_str(), Vec::new())).collect();
-    for deed in &account.deeds {
-        if let Kind::Began { id, .. } = &deed.kind {
-            runs.entry(id).and_modify(|runs| runs.push(deed));
+    for event in &account.engine_events {
+        if let Kind::Began { id, .. } = &event.kind {
+            runs.entry(id).and_modify(|runs| runs.push(event));
         }
     }
     for (own, runs) in runs.into_iter().filter(|(_, runs)| runs.len() > 1) {
         for run in runs {
             match given_up(account, run) {
-                Some(at) if at < run.at => deeds.retain(|deed| deed != run),
+                Some(at) if at < run.at => engine_events.retain(|event| event != run),
                 at => {
-                    let ended = |at| Deed { at, kind: Kind::Ended { id: own.to_string() }, ..run.clone() };
-                    deeds.extend(at.map(ended));
+                    let ended =
+                        |at| EngineEvent { at, kind: Kind::Ended { id: own.to_string() }, ..run.clone() };
+                    engine_events.extend(at.map(ended));
                 }
             }
         }
     }
-    deeds.sort_by_key(|deed| deed.at);
-    deeds
+    engine_events.sort_by_key(|event| event.at);
+    engine_events
 }
 
 /// When the relay had read that a run was given up, where the next attempt was read surely after that; or, where the
 /// rig was late, before the run began: then it was never out.
-fn given_up(account: &Account, run: &Deed) -> Option<i64> {
+fn given_up(account: &Account, run: &EngineEvent) -> Option<i64> {
     let (port, id) = account.came.get(&(run.engine, run.link))?;
     let is_want = |w: &&WireEvent| matches!(&w.kind, WireEventKind::Line { verb, id: other, .. } if verb == "want" && other == id);
     let is_here = |w: &&WireEvent| (w.engine, w.port) == (run.engine, *port);
--- a/crates/lab/src/record/given_up_tests.rs
+++ b/crates/lab/src/record/given_up_tests.rs
@@ -10,8 +10,8 @@
 fn broken(change: impl FnOnce(&mut Account)) -> bool {
     let mut account = account();
     // Engine 1 tells the end of what was given up a second late; the next is sent at 39 ms and begins at 40.
-    account.deeds[2].at = 1_040_000;
-    account.deeds.sort_by_key(|deed| deed.at);
+    account.engine_events[2].at = 1_040_000;
+    account.engine_events.sort_by_key(|event| event.at);
     account.wire_events[3].at = 30_000;
     change(&mut account);
     let run = judge(&Scenario::parse(TEXT, false, None).unwrap(), &account, Vec::new());
@@ -54,9 +54,9 @@
 fn what_was_given_up_before_its_late_engine_read_it_was_never_out() {
     // The relay reads the statement and its end together, once the next already runs elsewhere.
     let stuck = |a: &mut Account| {
-        let run = |deed: &&mut crate::engine::Deed| deed.link == 10;
-        a.deeds.iter_mut().filter(run).zip([50_000, 50_100]).for_each(|(deed, at)| deed.at = at);
-        a.deeds.sort_by_key(|deed| deed.at);
+        let run = |event: &&mut crate::engine::EngineEvent| event.link == 10;
+        a.engine_events.iter_mut().filter(run).zip([50_000, 50_100]).for_each(|(event, at)| event.at = at);
+        a.engine_events.sort_by_key(|event| event.at);
         a.wire_events[0].at = 41_500;
         a.wire_events[3].at = 41_600;
     };
--- a/crates/lab/src/record/promises.rs
+++ b/crates/lab/src/record/promises.rs
@@ -1,7 +1,7 @@
 //! All checks of what fronts promise for each other, put to a fleet's record.
 
 use crate::check::{Asked, Outcome, Violations};
-use crate::engine::{Deed, Kind};
+use crate::engine::{EngineEvent, Kind};
 use crate::rig::scenario::{Scenario, What};
 
 use super::account::{Account, Offered, Tallies};
@@ -20,11 +20,11 @@
     Asked { id: format!("{} at front {}", offered.asked.id, offered.front), ..offered.asked.clone() }
 }
 
-/// The deed as one of the front that sent it, without its order key.
-pub fn by_its_front(deed: &Deed, account: &Account) -> Deed {
-    let mut deed = deed.clone();
-    let front = account.sent_by.get(&(deed.engine, deed.link)).copied().unwrap_or_default();
-    match &mut deed.kind {
+/// The event as one of the front that sent it, without its order key.
+pub fn by_its_front(event: &EngineEvent, account: &Account) -> EngineEvent {
+    let mut event = event.clone();
+    let front = account.sent_by.get(&(event.engine, event.link)).copied().unwrap_or_default();
+    match &mut event.kind {
         Kind::Began { id, key } => {
             key.clear();
             *id = format!("{id} at front {front}");
@@ -32,7 +32,7 @@
         Kind::Ended { id } | Kind::Kept { id } => *id = format!("{id} at front {front}"),
         _ => {}
     }
-    deed
+    event
 }
 
 /// Who could hear whom, from the faults as they were played.
@@ -77,7 +77,7 @@
 
 pub fn check(scenario: &Scenario, account: &Account, tallies: &mut Tallies) -> Violations {
     let mut wrong = Violations::new();
-    let ran = executions(&account.deeds, &account.sent_by);
+    let ran = executions(&account.engine_events, &account.sent_by);
     let lost: Vec<(usize, i64)> = (account.played.iter())
         .filter(|(fault, ..)| matches!(fault.what, What::Kill | What::LoseDisk))
         .map(|(fault, from, _)| (fault.front, *from))
--- a/crates/lab/src/record/rolled.rs
+++ b/crates/lab/src/record/rolled.rs
@@ -55,7 +55,7 @@
         let said = format!("{} {} at front {}", o.asked.id, o.asked.key, o.front);
         add(rule, format!("{said}, sent at {} ms, answered at {} ms", ms(sent), ms(answered)));
     }
-    let ran = executions(&account.deeds, &account.sent_by);
+    let ran = executions(&account.engine_events, &account.sent_by);
     let waited = waits(asked, &ran);
     let mut all: Vec<i64> = waited.iter().map(|(_, wait, _)| *wait / 1000).collect();
     all.sort_unstable();
--- a/crates/lab/src/record/rolled_tests.rs
+++ b/crates/lab/src/record/rolled_tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of the `rolled` module.
 
 use super::*;
-use crate::engine::{Deed, Kind};
+use crate::engine::{EngineEvent, Kind};
 use crate::record::account::offered;
 use crate::rig::member::End;
 
@@ -10,19 +10,19 @@
 fn account(began: i64, outcome: Outcome, end: End) -> Account {
     let mut own = offered("b", 1, 1_000_000);
     (own.asked.key, own.asked.outcome, own.asked.answered) = ("k".into(), outcome, began + 100_000);
-    let deed = |at, id: &str, link, ends| {
+    let event = |at, id: &str, link, ends| {
         let id = id.to_string();
         let kind = if ends { Kind::Ended { id } } else { Kind::Began { id, key: "k".into() } };
-        Deed { at, engine: 0, link, kind }
+        EngineEvent { at, engine: 0, link, kind }
     };
-    let deeds = vec![
-        deed(900_000, "a", 1, false),
-        deed(1_200_000, "a", 1, true),
-        deed(began, "b", 2, false),
-        deed(began + 50_000, "b", 2, true),
+    let engine_events = vec![
+        event(900_000, "a", 1, false),
+        event(1_200_000, "a", 1, true),
+        event(began, "b", 2, false),
+        event(began + 50_000, "b", 2, true),
     ];
     let sent_by = HashMap::from([((0, 1), 0), ((0, 2), 1)]);
-    Account { asked: vec![own], deeds, sent_by, ends: vec![end], ..Account::default() }
+    Account { asked: vec![own], engine_events, sent_by, ends: vec![end], ..Account::default() }
 }
 
 fn found(account: &Account) -> (Vec<&'static str>, Tallies) {
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -131,7 +131,7 @@
             wire_events: self.records.wire_events.lock().map(|w| w.clone()).unwrap_or_default(),
             warned,
             steps: self.records.steps.lock().map(|s| s.clone()).unwrap_or_default(),
-            deeds: self.records.deeds.lock().map(|d| d.clone()).unwrap_or_default(),
+            engine_events: self.records.deeds.lock().map(|d| d.clone()).unwrap_or_default(),
             relayed: self.relayed.lock().map(|r| r.clone()).unwrap_or_default(),
             posted: self.ground.gossip.as_ref().map(|(_, post)| post.posted()).unwrap_or_default(),
             played,
--- a/crates/lab/src/simulated/engines.rs
+++ b/crates/lab/src/simulated/engines.rs
@@ -4,7 +4,7 @@
 
 use super::play::{Event, Play, Ran, Sent};
 use crate::check::Repeat;
-use crate::engine::{Deed, Kind};
+use crate::engine::{EngineEvent, Kind};
 use crate::record::account::Offered;
 use crate::rig::relay::{Relayed, State as LinkState};
 use crate::rig::scenario::Step;
@@ -58,7 +58,7 @@
             work_ms = self.scenario.classes[*class].work_ms.unwrap_or(work_ms);
             let kind = Kind::Began { id: asked.id.clone(), key: asked.key.clone() };
             self.account.sent_by.insert((e, link), front);
-            self.account.deeds.push(Deed { at: self.now, engine: e, link, kind });
+            self.account.engine_events.push(EngineEvent { at: self.now, engine: e, link, kind });
         }
         self.at(
             self.now + work_ms as i64 * 1000,
@@ -100,7 +100,7 @@
         if let Some(number) = number {
             let id = self.account.asked[number].asked.id.clone();
             for kind in [Kind::Ended { id: id.clone() }, Kind::Kept { id }] {
-                self.account.deeds.push(Deed { at: self.now, engine: e, link, kind });
+                self.account.engine_events.push(EngineEvent { at: self.now, engine: e, link, kind });
             }
         }
         if self.promised_of(front, life, sent) && self.reached(Step::Kept, front) {
