--- a/crates/lab/src/record/account.rs
+++ b/crates/lab/src/record/account.rs
@@ -10,8 +10,8 @@
 use crate::check::{self, Agreed, Asked, Outcome};
 use crate::engine::lines::Warmth;
 use crate::engine::{EngineEvent, WireEvent};
+use crate::rig::datagrams::RelayedDatagram;
 use crate::rig::member::End;
-use crate::rig::post::Posted;
 use crate::rig::relay::Relayed;
 use crate::rig::scenario::{Fault, Scenario, Step, What};
 use crate::rig::starved::Starved;
@@ -33,7 +33,7 @@
     /// Warnings of fronts, with when they were read.
     pub warned: Vec<(usize, i64, String)>,
     pub relayed: Vec<Relayed>,
-    pub posted: Vec<Posted>,
+    pub datagrams: Vec<RelayedDatagram>,
     /// Faults as played: what, from, to.
     pub played: Vec<(Fault, i64, i64)>,
     /// Ends that fronts were asked for.
@@ -132,11 +132,11 @@
     if scenario.fleet.gossip {
         let seconds = scenario.seconds as i64 * scenario.fleet.fronts as i64;
         let over = account.began + scenario.seconds as i64 * SECOND;
-        let during = account.posted.iter().filter(|p| p.at >= account.began && p.at < over);
+        let during = account.datagrams.iter().filter(|p| p.at >= account.began && p.at < over);
         let sent: i64 = during.map(|p| p.bytes as i64).sum();
         tallies.insert("gossip_bytes_per_front_s", sent / seconds.max(1));
         tallies.insert("gossip_bytes_per_s", sent / (scenario.seconds as i64).max(1));
-        tallies.insert("gossip_lost", account.posted.iter().filter(|p| !p.passed).count() as i64);
+        tallies.insert("gossip_lost", account.datagrams.iter().filter(|p| !p.passed).count() as i64);
     }
     for (fault, from, to) in played {
         match fault.what {
--- a/crates/lab/src/rig/post.rs
+++ b/crates/lab/src/rig/datagrams.rs
@@ -10,7 +10,7 @@
 
 /// What happens to datagrams now.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct State {
+pub struct DatagramFaults {
     pub split: Option<Split>,
     /// So many in a hundred are lost.
     pub lost_percent: u64,
@@ -38,7 +38,7 @@
     }
 }
 
-impl State {
+impl DatagramFaults {
     /// Whether a datagram passes; `drawn` is a number below a hundred.
     pub fn passes(&self, from: usize, to: usize, drawn: u64) -> bool {
         let cut = self.split.is_some_and(|split| {
@@ -51,7 +51,7 @@
 
 /// A datagram as the rig saw it: microseconds since the rig began, its bytes, whether it passed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Posted {
+pub struct RelayedDatagram {
     pub at: i64,
     pub from: usize,
     pub to: usize,
@@ -61,28 +61,28 @@
 
 #[derive(Default)]
 struct Shared {
-    state: Mutex<State>,
+    state: Mutex<DatagramFaults>,
     /// The fronts by the address that each speaks from, and where each listens.
     fronts: Mutex<HashMap<SocketAddr, usize>>,
     listens: Mutex<HashMap<usize, SocketAddr>>,
-    posted: Mutex<Vec<Posted>>,
+    datagrams: Mutex<Vec<RelayedDatagram>>,
 }
 
 /// The way between all fronts.
-pub struct Post {
+pub struct DatagramRelay {
     shared: Arc<Shared>,
     /// Where each front is heard, by its number.
     pub at: Vec<SocketAddr>,
 }
 
-impl Post {
+impl DatagramRelay {
     /// Opens a port for each of so many fronts; `now` tells microseconds since the rig began.
     /// `left` is told of each datagram by its sender, and says whether that ends it.
     pub fn start(
         fronts: usize,
         now: impl Fn() -> i64 + Send + Sync + 'static,
         left: impl Fn(usize) -> bool + Send + Sync + 'static,
-    ) -> std::io::Result<Post> {
+    ) -> std::io::Result<DatagramRelay> {
         let (shared, now, left) = (Arc::new(Shared::default()), Arc::new(now), Arc::new(left));
         let mut at = Vec::new();
         for to in 0..fronts {
@@ -91,7 +91,7 @@
             let (shared, now, left) = (shared.clone(), now.clone(), left.clone());
             std::thread::spawn(move || relay(to, &socket, &shared, (&*now, &*left)));
         }
-        Ok(Post { shared, at })
+        Ok(DatagramRelay { shared, at })
     }
 
     /// A front has started and speaks and listens at this address.
@@ -103,14 +103,14 @@
         }
     }
 
-    pub fn set(&self, change: impl FnOnce(&mut State)) {
+    pub fn set(&self, change: impl FnOnce(&mut DatagramFaults)) {
         if let Ok(mut state) = self.shared.state.lock() {
             change(&mut state);
         }
     }
 
-    pub fn posted(&self) -> Vec<Posted> {
-        self.shared.posted.lock().map(|p| p.clone()).unwrap_or_default()
+    pub fn datagrams(&self) -> Vec<RelayedDatagram> {
+        self.shared.datagrams.lock().map(|p| p.clone()).unwrap_or_default()
     }
 }
 
@@ -132,8 +132,8 @@
         if left(from) {
             continue; // it died of this one
         }
-        if let Ok(mut posted) = shared.posted.lock() {
-            posted.push(Posted { at: now(), from, to, bytes: len, passed });
+        if let Ok(mut datagrams) = shared.datagrams.lock() {
+            datagrams.push(RelayedDatagram { at: now(), from, to, bytes: len, passed });
         }
         if !passed {
             continue;
@@ -157,5 +157,5 @@
 }
 
 #[cfg(test)]
-#[path = "post_tests.rs"]
+#[path = "datagrams_tests.rs"]
 mod tests;
--- a/crates/lab/src/rig/fault.rs
+++ b/crates/lab/src/rig/fault.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 
-use super::post::Split;
+use super::datagrams::Split;
 
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -10,8 +10,8 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::agreed::{settings, zone_name};
+use super::datagrams::DatagramRelay;
 use super::member::{Beside, Ground, Keys, Member, Record};
-use super::post::Post;
 use super::relay::{Link, Relayed};
 use super::scenario::{Fault, Scenario, Shape, Step};
 use super::stage::Stage;
@@ -89,9 +89,9 @@
     /// ledger.
     pub(crate) fn busiest(&self, but: &[usize]) -> Option<usize> {
         let since = self.records.now() - LATELY_US;
-        let (_, post) = self.ground.gossip.as_ref()?;
+        let (_, relay) = self.ground.gossip.as_ref()?;
         let mut bytes = vec![0; self.members.len()];
-        post.posted().iter().filter(|p| p.at >= since).for_each(|p| bytes[p.from] += p.bytes);
+        relay.datagrams().iter().filter(|p| p.at >= since).for_each(|p| bytes[p.from] += p.bytes);
         let here = (0..bytes.len()).filter(|n| !but.contains(n) && !self.members[*n].away.load(SeqCst));
         here.max_by_key(|n| bytes[*n])
     }
@@ -133,7 +133,7 @@
             steps: self.records.steps.lock().map(|s| s.clone()).unwrap_or_default(),
             engine_events: self.records.deeds.lock().map(|d| d.clone()).unwrap_or_default(),
             relayed: self.relayed.lock().map(|r| r.clone()).unwrap_or_default(),
-            posted: self.ground.gossip.as_ref().map(|(_, post)| post.posted()).unwrap_or_default(),
+            datagrams: self.ground.gossip.as_ref().map(|(_, relay)| relay.datagrams()).unwrap_or_default(),
             played,
             ends: self
                 .members
@@ -152,14 +152,18 @@
 }
 
 /// The keys of the fronts and the relay of their datagrams, where they talk with each other.
-fn start_gossip(shape: &Shape, seed: u64, records: &Arc<Records>) -> std::io::Result<Option<(Keys, Post)>> {
+fn start_gossip(
+    shape: &Shape,
+    seed: u64,
+    records: &Arc<Records>,
+) -> std::io::Result<Option<(Keys, DatagramRelay)>> {
     if !shape.gossip {
         return Ok(None);
     }
     let (clock, steps) = (records.clone(), records.clone());
     let left = move |front| steps.reached(Step::Copying, front);
-    let post = Post::start(shape.fronts, move || clock.now(), left)?;
-    Ok(Some((Keys::new(shape, seed)?, post)))
+    let relay = DatagramRelay::start(shape.fronts, move || clock.now(), left)?;
+    Ok(Some((Keys::new(shape, seed)?, relay)))
 }
 
 /// The coordinator of a front: engines stand in its list with the addresses of the front's own links to them.
--- a/crates/lab/src/rig/member.rs
+++ b/crates/lab/src/rig/member.rs
@@ -9,8 +9,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use super::datagrams::DatagramRelay;
 use super::front::Log;
-use super::post::Post;
 use super::scenario::Shape;
 use super::{Coordinator, Front};
 use crate::engine::Records;
@@ -117,13 +117,13 @@
         let ahead = format!("clock_ahead_ms: {}{}", self.ahead_ms, beside.operator);
         let operator = match &ground.gossip {
             None => format!("{{ {ahead} }}"),
-            Some((keys, post)) => {
+            Some((keys, relay)) => {
                 let mut chance = Pcg64Mcg::seed_from_u64(self.number as u64);
-                let seed = |_| format!("'{}'", post.at[chance.random_range(0..post.at.len())]);
+                let seed = |_| format!("'{}'", relay.at[chance.random_range(0..relay.at.len())]);
                 let seeds: Vec<String> = (0..MOST_SEEDS).map(seed).collect();
                 let file = keys.folder.join(format!("secret{}", self.number));
                 let voters =
-                    |count: usize| (0..count).map(|n| format!("f{n}: '{}'", post.at[n])).collect::<Vec<_>>();
+                    |count: usize| (0..count).map(|n| format!("f{n}: '{}'", relay.at[n])).collect::<Vec<_>>();
                 let ownership = keys.voters.map(|(count, lease_ms)| {
                     let directory = keys.folder.join(format!("votes{}", self.number));
                     format!(
@@ -133,13 +133,13 @@
                     )
                 });
                 let ownership = ownership.unwrap_or_default()
-                    + &keys.ledger(self.number, &post.at, &beside.ledger)
+                    + &keys.ledger(self.number, &relay.at, &beside.ledger)
                     + &keys.overload;
                 let quorum = keys.zone_quorum.map(|q| format!("zone_quorum: {q}, ")).unwrap_or_default();
                 format!(
                     "{{ {ahead}, gossip: {{ listen: '127.0.0.1:0', advertise: '{}', secret_file: '{}', {quorum}peers: {{ {} }}, \
                      seeds: [{}]{ownership} }} }}",
-                    post.at[self.number],
+                    relay.at[self.number],
                     file.display(),
                     keys.peers,
                     seeds.join(", ")
@@ -157,8 +157,8 @@
         }
         let at = started.logged("talks with other fronts");
         let at = at.and_then(|line| line.rsplit(' ').next().and_then(|word| word.parse().ok()));
-        if let Some(((_, post), at)) = ground.gossip.as_ref().zip(at) {
-            post.front(self.number, at);
+        if let Some(((_, relay), at)) = ground.gossip.as_ref().zip(at) {
+            relay.front(self.number, at);
         }
         let pid = started.pid();
         if let Ok(mut front) = self.front.lock() {
@@ -221,7 +221,7 @@
     /// For each front; fronts beyond have nothing of their own.
     pub(crate) beside: Vec<Beside>,
     /// With gossip, the fronts' keys and the way between them.
-    pub(crate) gossip: Option<(Keys, Post)>,
+    pub(crate) gossip: Option<(Keys, DatagramRelay)>,
 }
 
 /// The fronts' keys for gossip: secrets in files of a folder of the run's, public halves known to all.
--- a/crates/lab/src/rig/mod.rs
+++ b/crates/lab/src/rig/mod.rs
@@ -3,12 +3,12 @@
 pub mod agreed;
 mod class;
 mod coordinator;
+pub mod datagrams;
 pub mod death;
 mod fault;
 pub mod fleet;
 mod front;
 pub mod member;
-pub mod post;
 pub mod relay;
 pub mod rules;
 pub mod scenario;
--- a/crates/lab/src/rig/stage.rs
+++ b/crates/lab/src/rig/stage.rs
@@ -35,9 +35,9 @@
         self.links[fault.front].iter().filter(move |l| l.zone == zone)
     }
 
-    fn post(&self, change: impl FnOnce(&mut super::post::State)) {
-        if let Some((_, post)) = &self.ground.gossip {
-            post.set(change);
+    fn set_datagram_faults(&self, change: impl FnOnce(&mut super::datagrams::DatagramFaults)) {
+        if let Some((_, relay)) = &self.ground.gossip {
+            relay.set(change);
         }
     }
 
@@ -71,12 +71,12 @@
                 self.zone_links(fault.zone).for_each(|l| l.set(|s| s.delay_ms = fault.delay_ms))
             }
             What::ZoneReset => self.zone_links(fault.zone).for_each(|l| l.reset()),
-            What::FrontsSplit => self.post(|s| s.split = Some(fault.split())),
-            What::FrontsSplitOut => self.post(|s| s.split = Some(fault.split())),
-            What::PostLossy => self.post(|s| s.lost_percent = fault.percent),
-            What::PostDoubled => self.post(|s| s.doubled_ms = Some(fault.delay_ms)),
-            What::PostSlow => self.post(|s| s.delay_ms = fault.delay_ms),
-            What::PostShuffled => self.post(|s| s.shuffled_ms = fault.delay_ms),
+            What::FrontsSplit => self.set_datagram_faults(|s| s.split = Some(fault.split())),
+            What::FrontsSplitOut => self.set_datagram_faults(|s| s.split = Some(fault.split())),
+            What::PostLossy => self.set_datagram_faults(|s| s.lost_percent = fault.percent),
+            What::PostDoubled => self.set_datagram_faults(|s| s.doubled_ms = Some(fault.delay_ms)),
+            What::PostSlow => self.set_datagram_faults(|s| s.delay_ms = fault.delay_ms),
+            What::PostShuffled => self.set_datagram_faults(|s| s.shuffled_ms = fault.delay_ms),
             What::Hup => {
                 if let Ok(front) = member.front.lock() {
                     front.iter().for_each(|f| f.read_again(2 * SOCKETS));
@@ -155,11 +155,11 @@
             }
             What::ZoneSlow => self.zone_links(fault.zone).for_each(|l| l.set(|s| s.delay_ms = 0)),
             What::ZoneReset | What::Hup | What::StallOwner | What::KillOwner => {}
-            What::FrontsSplit | What::FrontsSplitOut => self.post(|s| s.split = None),
-            What::PostLossy => self.post(|s| s.lost_percent = 0),
-            What::PostDoubled => self.post(|s| s.doubled_ms = None),
-            What::PostSlow => self.post(|s| s.delay_ms = 0),
-            What::PostShuffled => self.post(|s| s.shuffled_ms = 0),
+            What::FrontsSplit | What::FrontsSplitOut => self.set_datagram_faults(|s| s.split = None),
+            What::PostLossy => self.set_datagram_faults(|s| s.lost_percent = 0),
+            What::PostDoubled => self.set_datagram_faults(|s| s.doubled_ms = None),
+            What::PostSlow => self.set_datagram_faults(|s| s.delay_ms = 0),
+            What::PostShuffled => self.set_datagram_faults(|s| s.shuffled_ms = 0),
             What::Stall => {
                 if let Ok(front) = member.front.lock() {
                     front.iter().for_each(|f| f.signal(Signal::SIGCONT));
--- a/crates/lab/src/simulated/words.rs
+++ b/crates/lab/src/simulated/datagrams.rs
@@ -5,40 +5,46 @@
 use rand::Rng;
 
 use super::play::{front_at, Event, Play};
-use crate::rig::post::Posted;
+use crate::rig::datagrams::RelayedDatagram;
 use crate::rig::scenario::Step;
 
 impl Play<'_> {
     /// Sends what is to go out; what a voter has to save is lasting at once, the ledger's waits for the disk.
-    pub(super) fn sends(&mut self, n: usize, out: Output) {
-        self.posts(n, out.datagrams);
+    pub(super) fn send_output(&mut self, n: usize, out: Output) {
+        self.send_datagrams(n, out.datagrams);
         for saved in out.voter_saves {
             if saved.bytes.is_some() {
                 self.members[n].saved = saved.bytes;
             }
-            self.posts(n, saved.datagrams);
+            self.send_datagrams(n, saved.datagrams);
         }
-        self.keeps(n, out.ledger_saves);
+        self.save(n, out.ledger_saves);
     }
 
-    pub(super) fn posts(&mut self, from: usize, datagrams: Vec<Datagram>) {
+    pub(super) fn send_datagrams(&mut self, from: usize, datagrams: Vec<Datagram>) {
         for Datagram { to, bytes } in datagrams {
             let Some(to) = front_at(to).filter(|to| *to < self.members.len()) else { continue };
             let drawn = self.chance.random_range(0..100);
-            let passed = self.post.passes(from, to, drawn);
+            let passed = self.datagram_faults.passes(from, to, drawn);
             if self.reached(Step::Copying, from) {
                 return; // it died of this one
             }
-            self.account.posted.push(Posted { at: self.now, from, to, bytes: bytes.len(), passed });
+            self.account.datagrams.push(RelayedDatagram {
+                at: self.now,
+                from,
+                to,
+                bytes: bytes.len(),
+                passed,
+            });
             if !passed {
                 continue;
             }
-            let shuffled = match self.post.shuffled_ms {
+            let shuffled = match self.datagram_faults.shuffled_ms {
                 0 => 0,
                 ms => self.chance.random_range(0..=ms as i64 * 1000),
             };
-            let at = self.now + self.way() + self.post.delay_ms as i64 * 1000 + shuffled;
-            if let Some(ms) = self.post.doubled_ms {
+            let at = self.now + self.way() + self.datagram_faults.delay_ms as i64 * 1000 + shuffled;
+            if let Some(ms) = self.datagram_faults.doubled_ms {
                 self.at(at + ms as i64 * 1000, Event::Datagram(from, to, bytes.clone()));
             }
             self.at(at, Event::Datagram(from, to, bytes));
--- a/crates/lab/src/simulated/disk.rs
+++ b/crates/lab/src/simulated/disk.rs
@@ -57,21 +57,21 @@
 
 impl Play<'_> {
     /// Has it made lasting; its datagrams leave then.
-    pub(super) fn keeps(&mut self, n: usize, mut kept: Vec<LedgerSave>) {
+    pub(super) fn save(&mut self, n: usize, mut kept: Vec<LedgerSave>) {
         if self.members[n].life.is_none() || kept.is_empty() {
             return;
         }
         if self.spoil.sends_first {
             for kept in &mut kept {
                 let datagrams = std::mem::take(&mut kept.datagrams);
-                self.posts(n, datagrams);
+                self.send_datagrams(n, datagrams);
             }
         }
         self.members[n].disk.waits.extend(kept);
-        self.syncs(n);
+        self.start_sync(n);
     }
 
-    fn syncs(&mut self, n: usize) {
+    fn start_sync(&mut self, n: usize) {
         let time = self.chance.random_range(SYNC);
         let member = &mut self.members[n];
         let disk = &mut member.disk;
@@ -95,14 +95,14 @@
         if ok {
             disk.write(&writing);
             for kept in writing {
-                self.posts(n, kept.datagrams);
+                self.send_datagrams(n, kept.datagrams);
             }
         }
         let at = self.moment(n);
         let exchange = self.members[n].life.as_mut().and_then(|life| life.exchange.as_mut());
         let Some(out) = exchange.map(|exchange| exchange.ledger_saved(at, last, ok)) else { return };
-        self.sends(n, out);
-        self.syncs(n);
+        self.send_output(n, out);
+        self.start_sync(n);
         self.promised(n);
     }
 }
--- a/crates/lab/src/simulated/ends.rs
+++ b/crates/lab/src/simulated/ends.rs
@@ -23,8 +23,8 @@
             let chance = &mut self.chance;
             let out = exchange.hand_over(at);
             let bye = exchange.leave(at.now, at.wall_ms, &mut || chance.random());
-            self.sends(n, out);
-            self.posts(n, bye);
+            self.send_output(n, out);
+            self.send_datagrams(n, bye);
         }
         self.at(self.now + DOOR, Event::Closes(n, lives));
         self.wakes(n);
--- a/crates/lab/src/simulated/faults.rs
+++ b/crates/lab/src/simulated/faults.rs
@@ -48,12 +48,12 @@
             What::LinkCutBack => self.links(fault, false, |s| s.back_lost = true),
             What::ZoneSlow => self.links(fault, true, |s| s.delay_ms = fault.delay_ms),
             What::ZoneReset => self.reset(fault, true),
-            What::FrontsSplit => self.post.split = Some(fault.split()),
-            What::FrontsSplitOut => self.post.split = Some(fault.split()),
-            What::PostLossy => self.post.lost_percent = fault.percent,
-            What::PostDoubled => self.post.doubled_ms = Some(fault.delay_ms),
-            What::PostSlow => self.post.delay_ms = fault.delay_ms,
-            What::PostShuffled => self.post.shuffled_ms = fault.delay_ms,
+            What::FrontsSplit => self.datagram_faults.split = Some(fault.split()),
+            What::FrontsSplitOut => self.datagram_faults.split = Some(fault.split()),
+            What::PostLossy => self.datagram_faults.lost_percent = fault.percent,
+            What::PostDoubled => self.datagram_faults.doubled_ms = Some(fault.delay_ms),
+            What::PostSlow => self.datagram_faults.delay_ms = fault.delay_ms,
+            What::PostShuffled => self.datagram_faults.shuffled_ms = fault.delay_ms,
             What::StallOwner | What::KillOwner => {} // played as what it is on the owner
             What::DiskFull | What::DiskSlow => {}    // no disk here
             What::Hup => self.account.read_again += 1, // nothing that is read again plays a part here
@@ -90,11 +90,11 @@
             What::ZoneSlow => self.links(fault, true, |s| s.delay_ms = 0),
             What::ZoneReset | What::Hup | What::StallOwner | What::KillOwner => {}
             What::DiskFull | What::DiskSlow => {}
-            What::FrontsSplit | What::FrontsSplitOut => self.post.split = None,
-            What::PostLossy => self.post.lost_percent = 0,
-            What::PostDoubled => self.post.doubled_ms = None,
-            What::PostSlow => self.post.delay_ms = 0,
-            What::PostShuffled => self.post.shuffled_ms = 0,
+            What::FrontsSplit | What::FrontsSplitOut => self.datagram_faults.split = None,
+            What::PostLossy => self.datagram_faults.lost_percent = 0,
+            What::PostDoubled => self.datagram_faults.doubled_ms = None,
+            What::PostSlow => self.datagram_faults.delay_ms = 0,
+            What::PostShuffled => self.datagram_faults.shuffled_ms = 0,
             What::Release => {
                 for n in 0..fault.released(self.members.len()) {
                     let troubled = self.members[n].troubled.iter_mut();
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -73,7 +73,7 @@
         if let Some(exchange) = &mut life.exchange {
             let chance = &mut self.chance;
             let (out, _) = exchange.tick(at, &mut life.dispatcher, &mut || chance.random());
-            self.sends(n, out);
+            self.send_output(n, out);
         }
         for _ in 0..ROUNDS {
             self.guarded(n);
@@ -177,7 +177,7 @@
     }
 
     /// An engine's answer has come to a front.
-    pub(super) fn told(&mut self, n: usize, event: Event) {
+    pub(super) fn receive_answer(&mut self, n: usize, event: Event) {
         let now = self.own(n);
         let Some(life) = &mut self.members[n].life else { return };
         if let Event::Answers(_, _, (ticket, execution), ending, active) = event {
--- a/crates/lab/src/simulated/ledger.rs
+++ b/crates/lab/src/simulated/ledger.rs
@@ -67,7 +67,7 @@
         let id = |ticket| named.get(&(n, lives, ticket)).map(|number| asked[*number].asked.id.clone());
         let rulings = guard.advance(own, &mut life.dispatcher, &mut way, id);
         let outs = way.outs;
-        outs.into_iter().for_each(|out| self.sends(n, out));
+        outs.into_iter().for_each(|out| self.send_output(n, out));
         for ruling in rulings {
             let Some(life) = &mut self.members[n].life else { return };
             match ruling {
--- a/crates/lab/src/simulated/mod.rs
+++ b/crates/lab/src/simulated/mod.rs
@@ -2,6 +2,7 @@
 
 mod clients;
 mod connections;
+mod datagrams;
 mod disk;
 mod ends;
 mod engines;
@@ -15,7 +16,6 @@
 mod steps;
 #[cfg(test)]
 mod tests;
-mod words;
 
 pub use least::smallest;
 pub use play::Spoil;
--- a/crates/lab/src/simulated/play.rs
+++ b/crates/lab/src/simulated/play.rs
@@ -22,7 +22,7 @@
 use super::steps::Armed;
 use crate::engine::lines::Warmth;
 use crate::record::account::Account;
-use crate::rig::post::State as PostState;
+use crate::rig::datagrams::DatagramFaults;
 use crate::rig::relay::State as LinkState;
 use crate::rig::scenario::{Fault, Scenario, Step};
 
@@ -145,7 +145,7 @@
     pub(super) members: Vec<Member>,
     pub(super) engines: Vec<Engine>,
     pub(super) keys: std::rc::Rc<Keys>,
-    pub(super) post: PostState,
+    pub(super) datagram_faults: DatagramFaults,
     pub(super) account: Account,
     /// Executions out at engines, for resets: by engine.
     pub(super) out: BTreeMap<usize, Vec<(usize, u32, Sent)>>,
@@ -232,7 +232,7 @@
             }
             Event::Answers(front, life, ..) | Event::ProbeAnswers(front, life, ..) => {
                 if let Some(event) = self.is_there(front, life, event) {
-                    self.told(front, event);
+                    self.receive_answer(front, event);
                 }
             }
             Event::Datagram(from, to, bytes) => self.datagram(from, to, bytes),
@@ -261,7 +261,7 @@
             member.waits.push(Event::Datagram(from, to, bytes));
         } else if let Some(exchange) = member.life.as_mut().and_then(|life| life.exchange.as_mut()) {
             let out = exchange.receive(moment, address(from), &bytes);
-            self.sends(to, out);
+            self.send_output(to, out);
             self.promised(to);
         }
     }
--- a/crates/lab/src/simulated/run.rs
+++ b/crates/lab/src/simulated/run.rs
@@ -13,7 +13,7 @@
 use super::play::{secret, Engine, Event, Member, Play, Spoil, AFTER, SETTLES, SLACK, WALL};
 use crate::record::account::{judge, warmth, Account, Offered, Run};
 use crate::rig::agreed;
-use crate::rig::post::State as PostState;
+use crate::rig::datagrams::DatagramFaults;
 use crate::rig::scenario::Scenario;
 
 const EXCUSED: i64 = 70_000_000; // microseconds that an answer of a front in trouble may take longer
@@ -102,7 +102,7 @@
             members: Vec::new(),
             engines: (0..zones * per_zone).map(|n| Engine::new(n / per_zone)).collect(),
             keys: Keys::new(&keys),
-            post: PostState::default(),
+            datagram_faults: DatagramFaults::default(),
             account: Account { began: WALL + SETTLES, slack: SLACK, ..Account::default() },
             out: BTreeMap::new(),
             statements: 0,
