--- a/crates/lab/src/check.rs
+++ b/crates/lab/src/check.rs
@@ -37,7 +37,7 @@
 
 /// A unit as its client saw it; times are microseconds since the rig began.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct StatementRecord {
     pub id: String,
     pub sent: i64,
     pub answered: i64,
@@ -64,10 +64,10 @@
     pub may_be_lost: bool,
 }
 
-impl Asked {
+impl StatementRecord {
     /// A plain statement that has just been sent, with no answer yet.
-    pub fn new(id: String, sent: i64, timeout: i64, repeat: Repeat) -> Asked {
-        Asked {
+    pub fn new(id: String, sent: i64, timeout: i64, repeat: Repeat) -> StatementRecord {
+        StatementRecord {
             id,
             sent,
             answered: 0,
@@ -131,7 +131,7 @@
 
 /// Checks all rules.
 pub fn check(
-    asked: &[Asked],
+    asked: &[StatementRecord],
     transactions: &[Transaction],
     engine_events: &[EngineEvent],
     agreed: &Agreed,
--- a/crates/lab/src/check/answers.rs
+++ b/crates/lab/src/check/answers.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{HashMap, HashSet};
 
-use super::{add, Agreed, Asked, Execution, Outcome, Repeat, Transaction, Violations};
+use super::{add, Agreed, Execution, Outcome, Repeat, StatementRecord, Transaction, Violations};
 
 /// Exactly one final answer, whole and true, in time.
-pub(super) fn answers(wrong: &mut Violations, asked: &[Asked], agreed: &Agreed) {
+pub(super) fn answers(wrong: &mut Violations, asked: &[StatementRecord], agreed: &Agreed) {
     let mut seen = HashSet::new();
     for a in asked {
         if !seen.insert(&a.id) {
@@ -54,7 +54,7 @@
 /// What was answered is what has come to pass.
 pub(super) fn effects(
     wrong: &mut Violations,
-    asked: &[Asked],
+    asked: &[StatementRecord],
     transactions: &[Transaction],
     executions: &HashMap<String, Vec<Execution>>,
     kept: &HashMap<String, usize>,
--- a/crates/lab/src/check/turns.rs
+++ b/crates/lab/src/check/turns.rs
@@ -2,13 +2,13 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::{add, Agreed, Asked, Drain, Execution, Outcome, Repeat, Violations};
+use super::{add, Agreed, Drain, Execution, Outcome, Repeat, StatementRecord, Violations};
 use crate::engine::{EngineEvent, Kind};
 
 /// Nothing twice that may not be, never two at once, and no more further executions than agreed.
 pub(super) fn repeats(
     wrong: &mut Violations,
-    asked: &[Asked],
+    asked: &[StatementRecord],
     executions: &HashMap<String, Vec<Execution>>,
     agreed: &Agreed,
 ) {
@@ -54,7 +54,11 @@
 }
 
 /// Statements of one order key one at a time, in the order in which they were taken.
-pub(super) fn order(wrong: &mut Violations, asked: &[Asked], executions: &HashMap<String, Vec<Execution>>) {
+pub(super) fn order(
+    wrong: &mut Violations,
+    asked: &[StatementRecord],
+    executions: &HashMap<String, Vec<Execution>>,
+) {
     let mut by_key: BTreeMap<&str, Vec<(i64, i64, &str)>> = BTreeMap::new();
     for (id, ran) in executions {
         for x in ran.iter().filter(|x| !x.key.is_empty()) {
@@ -62,7 +66,7 @@
         }
     }
     // Between these the front took a statement, whatever the machine gave each of the processes to run.
-    let within = |a: &Asked| {
+    let within = |a: &StatementRecord| {
         let answered = matches!(a.outcome, Outcome::Completed { .. } | Outcome::Error(_));
         (a.sent, a.taken.or(answered.then_some(a.answered)).unwrap_or(i64::MAX))
     };
@@ -93,7 +97,7 @@
 
 pub(super) fn placement(
     wrong: &mut Violations,
-    asked: &[Asked],
+    asked: &[StatementRecord],
     executions: &HashMap<String, Vec<Execution>>,
     agreed: &Agreed,
 ) {
--- a/crates/lab/src/check_tests.rs
+++ b/crates/lab/src/check_tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn asked(id: &str, outcome: Outcome) -> Asked {
-    let sent = Asked::new(id.into(), 0, 1_000_000, Repeat::Idempotent);
-    Asked { answered: 1000, outcome, rows: 1, ..sent }
+fn asked(id: &str, outcome: Outcome) -> StatementRecord {
+    let sent = StatementRecord::new(id.into(), 0, 1_000_000, Repeat::Idempotent);
+    StatementRecord { answered: 1000, outcome, rows: 1, ..sent }
 }
 
 fn ran(id: &str, key: &str, engine: usize, from: i64, to: i64) -> Vec<EngineEvent> {
@@ -28,7 +28,7 @@
 }
 
 fn found(
-    asked: &[Asked],
+    asked: &[StatementRecord],
     transactions: &[Transaction],
     engine_events: &[Vec<EngineEvent>],
 ) -> Vec<&'static str> {
@@ -45,14 +45,14 @@
 
 #[test]
 fn a_clean_record_passes() {
-    let all = [asked("a", DONE), Asked { fails: Some("23505"), ..asked("b", error("23505")) }];
+    let all = [asked("a", DONE), StatementRecord { fails: Some("23505"), ..asked("b", error("23505")) }];
     assert!(found(&all, &[], &[ran("a", "k", 0, 0, 10), ran("c", "k", 1, 20, 30)]).is_empty());
 }
 
 #[test]
 fn each_kind_of_violation_is_found() {
     let one = ran("a", "", 0, 0, 10);
-    let with = |change: &dyn Fn(&mut Asked), outcome: Outcome| {
+    let with = |change: &dyn Fn(&mut StatementRecord), outcome: Outcome| {
         let mut a = asked("a", outcome);
         change(&mut a);
         vec![a]
@@ -103,7 +103,7 @@
         (2_000_000, ends + 1_000_000, false),
         (2_000_000, ends + 1_000_001, true),
     ] {
-        let asked = Asked { sent, answered: sent + takes, ..asked("a", DONE) };
+        let asked = StatementRecord { sent, answered: sent + takes, ..asked("a", DONE) };
         let agreed = Agreed { waited: ProcessorWaits { samples: samples.clone() }, ..agreed() };
         let wrong = check(&[asked], &[], &ran("a", "", 0, sent, sent + 10), &agreed);
         assert_eq!(wrong.contains_key("answers"), late, "{sent} {takes}: {wrong:?}");
@@ -113,11 +113,11 @@
 #[test]
 fn order_budget_and_transactions_are_checked_over_several_statements() {
     // One that may have been taken after the other was sent may run after it; one between makes no difference.
-    let late = || Asked { sent: 500_000, answered: 600_000, ..asked("b", DONE) };
+    let late = || StatementRecord { sent: 500_000, answered: 600_000, ..asked("b", DONE) };
     let between = ran("c", "k", 0, 521_000, 522_000);
     let engine_events = [ran("b", "k", 0, 510_000, 520_000), between, ran("a", "k", 0, 530_000, 540_000)];
     for (taken, wrong) in [(Some(499_999), true), (Some(500_000), false), (None, false)] {
-        let early = Asked { answered: 600_000, taken, ..asked("a", DONE) };
+        let early = StatementRecord { answered: 600_000, taken, ..asked("a", DONE) };
         assert_eq!(!found(&[early, late()], &[], &engine_events).is_empty(), wrong, "{taken:?}");
     }
     let again: Vec<Vec<EngineEvent>> = (0..5).map(|n| ran("a", "", 0, n * 100, n * 100 + 10)).collect();
--- a/crates/lab/src/load/offer.rs
+++ b/crates/lab/src/load/offer.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::check::{Asked, Outcome, Repeat};
+use crate::check::{Outcome, Repeat, StatementRecord};
 use crate::engine::lines;
 use crate::record::account::Offered;
 use crate::rig::member::{Member, Record};
@@ -94,7 +94,7 @@
         let work_ms = class.work_ms.unwrap_or(load.work_ms);
         let key = self.key.map(|key| format!("{}-{key}", class.name)).unwrap_or_default();
         let now = || record.records.now();
-        let mut asked = Asked::new(id.clone(), now(), timeout_ms as i64 * 1000, class.repeat());
+        let mut asked = StatementRecord::new(id.clone(), now(), timeout_ms as i64 * 1000, class.repeat());
         (asked.rows, asked.key) = (1, key.clone());
         let (limit, work, memory) = (timeout_ms.to_string(), work_ms.to_string(), load.memory_mb.to_string());
         let unique = format!("u{}", self.number);
--- a/crates/lab/src/measure/sites.rs
+++ b/crates/lab/src/measure/sites.rs
@@ -1,7 +1,7 @@
 //! `measure sites`: sites that statements over several are asked of, beside all of them and beside those that
 //! have a row, with loads at several rates, in processes.
 
-use crate::prove::sites::{measured, Asked};
+use crate::prove::sites::{measured, SitesAsked};
 
 const RATES: [f64; 3] = [0.0, 1.0, 10.0]; // loads a second
 const SECONDS: u64 = 24;
@@ -15,7 +15,7 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     let mut lost = 0;
     for (rate, seed) in RATES.into_iter().zip(1..) {
-        let Asked { scatters, loads, all, asked, with_rows, missing, needless } =
+        let SitesAsked { scatters, loads, all, asked, with_rows, missing, needless } =
             measured(seed, rate, SECONDS)?;
         let ratio = asked as f64 / with_rows.max(1) as f64;
         let why: Vec<String> = needless.iter().map(|(why, count)| format!("{why} {count}")).collect();
--- a/crates/lab/src/prove/postgres.rs
+++ b/crates/lab/src/prove/postgres.rs
@@ -18,7 +18,7 @@
 pub use self::notes::Notes;
 use self::sampling::Memory;
 use self::setup::{is_big, Setup};
-use crate::check::{check, Agreed, Asked, Outcome, Transaction, Violations};
+use crate::check::{check, Agreed, Outcome, StatementRecord, Transaction, Violations};
 use crate::rig::Front;
 use crate::scripted;
 
@@ -111,7 +111,7 @@
 
 /// What clients saw.
 struct Seen {
-    asked: Vec<Asked>,
+    asked: Vec<StatementRecord>,
     transactions: Vec<Transaction>,
     accepted: usize,
 }
@@ -120,9 +120,9 @@
     fn of(notes: &Notes, ended_at: i64) -> Result<Seen, String> {
         let asked = notes.asked.lock().map_err(|e| e.to_string())?.clone();
         // Where the front has ended, what came late was no longer its to answer.
-        let asked: Vec<Asked> = asked
+        let asked: Vec<StatementRecord> = asked
             .into_iter()
-            .map(|a| Asked { may_be_lost: a.may_be_lost || a.answered > ended_at - 1, ..a })
+            .map(|a| StatementRecord { may_be_lost: a.may_be_lost || a.answered > ended_at - 1, ..a })
             .filter(|a| !(a.sent > ended_at && matches!(a.outcome, Outcome::Lost | Outcome::Nothing)))
             .collect();
         let transactions = notes.transactions.lock().map_err(|e| e.to_string())?.clone();
@@ -148,7 +148,7 @@
 }
 
 /// How many statements ended in each way.
-fn outcomes(asked: &[Asked]) -> BTreeMap<String, usize> {
+fn outcomes(asked: &[StatementRecord]) -> BTreeMap<String, usize> {
     let mut tallies = BTreeMap::new();
     for a in asked {
         let outcome = match &a.outcome {
@@ -168,7 +168,7 @@
     if accepted < size.units {
         add(wrong, "run", format!("{accepted} of {} units", size.units));
     }
-    let ended_by = |a: &Asked, code: &str| matches!(&a.outcome, Outcome::Error(own) if own == code);
+    let ended_by = |a: &StatementRecord, code: &str| matches!(&a.outcome, Outcome::Error(own) if own == code);
     // Faults are short: what runs into its time limit without having been asked to stands still somewhere.
     let timed_out = seen.asked.iter().filter(|a| !a.cancels && ended_by(a, "57014")).count();
     if timed_out * LEAST_PER_TIMEOUT > accepted {
--- a/crates/lab/src/prove/postgres/keys.rs
+++ b/crates/lab/src/prove/postgres/keys.rs
@@ -8,7 +8,7 @@
 
 use super::clients::text;
 use super::Notes;
-use crate::check::{Asked, Outcome, Repeat};
+use crate::check::{Outcome, Repeat, StatementRecord};
 use crate::lines;
 use crate::scripted::session;
 
@@ -20,7 +20,7 @@
         let key = format!("both{}", chance.random_range(0..3));
         let mut waits = Vec::new();
         for _ in 0..4 {
-            let asked = Asked { key: key.clone(), rows: 1, ..notes.fresh(Repeat::Deduplicated) };
+            let asked = StatementRecord { key: key.clone(), rows: 1, ..notes.fresh(Repeat::Deduplicated) };
             let answer = match chance.random_bool(0.5) {
                 true => ask_in_lines(lines, number, &asked),
                 false => ask_in_session(sessions, &asked),
@@ -30,12 +30,12 @@
             let wait = std::thread::spawn(move || {
                 let outcome = answer.map_or(Outcome::Lost, |answer| answer());
                 // What a Thrift client calls aborted may or may not have run.
-                Asked { outcome, answered: records.now(), ..asked }
+                StatementRecord { outcome, answered: records.now(), ..asked }
             });
             waits.push((wait, session::round_trip(sessions).ok().map(|()| notes.records.now())));
         }
         for (wait, taken) in waits {
-            wait.join().into_iter().for_each(|asked| notes.note(Asked { taken, ..asked }));
+            wait.join().into_iter().for_each(|asked| notes.note(StatementRecord { taken, ..asked }));
         }
     }
 }
@@ -43,7 +43,7 @@
 /// What waits for the answer to a statement that has left.
 type Waits = Box<dyn FnOnce() -> Outcome + Send>;
 
-fn ask_in_lines(at: SocketAddr, number: u64, asked: &Asked) -> std::io::Result<Waits> {
+fn ask_in_lines(at: SocketAddr, number: u64, asked: &StatementRecord) -> std::io::Result<Waits> {
     let statement = format!("id={},key={},ms=15", asked.id, asked.key);
     let dedup = format!("d{}", asked.id);
     let fields = [
@@ -58,7 +58,7 @@
     Ok(Box::new(move || client.answer()))
 }
 
-fn ask_in_session(at: SocketAddr, asked: &Asked) -> std::io::Result<Waits> {
+fn ask_in_session(at: SocketAddr, asked: &StatementRecord) -> std::io::Result<Waits> {
     let label = format!(
         "/*hallmux.workload='log-load',hallmux.key='{}',hallmux.dedup_key='d{}'*/ ",
         asked.key, asked.id
--- a/crates/lab/src/prove/postgres/notes.rs
+++ b/crates/lab/src/prove/postgres/notes.rs
@@ -4,13 +4,13 @@
 use std::sync::{Arc, Mutex};
 
 use super::TIMEOUT;
-use crate::check::{Asked, Outcome, Repeat, Transaction};
+use crate::check::{Outcome, Repeat, StatementRecord, Transaction};
 use crate::engine::Records;
 
 /// All that is written down of a run.
 pub struct Notes {
     pub records: Arc<Records>,
-    pub asked: Mutex<Vec<Asked>>,
+    pub asked: Mutex<Vec<StatementRecord>>,
     pub transactions: Mutex<Vec<Transaction>>,
     /// Statements that were accepted: completed, or ended by an error of their own.
     pub count: AtomicUsize,
@@ -46,7 +46,7 @@
     }
 
     /// Writes down a statement with its outcome.
-    pub fn note(&self, asked: Asked) {
+    pub fn note(&self, asked: StatementRecord) {
         if matches!(asked.outcome, Outcome::Completed { .. } | Outcome::Error(_)) {
             self.count.fetch_add(1, SeqCst);
         }
@@ -56,8 +56,8 @@
     }
 
     /// A statement that is about to be asked.
-    pub fn fresh(&self, repeat: Repeat) -> Asked {
-        Asked::new(self.id(), self.records.now(), TIMEOUT, repeat)
+    pub fn fresh(&self, repeat: Repeat) -> StatementRecord {
+        StatementRecord::new(self.id(), self.records.now(), TIMEOUT, repeat)
     }
 
     /// Whether clients are to end.
--- a/crates/lab/src/prove/sites.rs
+++ b/crates/lab/src/prove/sites.rs
@@ -234,7 +234,7 @@
 
 /// What a run without faults shows of sites asked.
 #[derive(Debug, Default)]
-pub struct Asked {
+pub struct SitesAsked {
     pub scatters: usize,
     pub loads: usize,
     pub all: i64,
@@ -242,12 +242,12 @@
     /// Those with a row that matches.
     pub with_rows: i64,
     pub missing: usize,
-    /// Asked and without rows, by why.
+    /// SitesAsked and without rows, by why.
     pub needless: BTreeMap<String, u64>,
 }
 
 /// Plays a quiet fleet with so many loads a second.
-pub fn measured(seed: u64, loads: f64, seconds: u64) -> Result<Asked, String> {
+pub fn measured(seed: u64, loads: f64, seconds: u64) -> Result<SitesAsked, String> {
     let mut scenario = draw(seed, true);
     (scenario.seconds, scenario.faults) = (seconds, Vec::new());
     let (plan, account, _) = played(&scenario, seed, loads, false)?;
@@ -264,7 +264,7 @@
     let needless = counted(&plan.needless);
     let missing = violations.values().map(Vec::len).sum();
     let all = (whole.len() * SITES) as i64;
-    Ok(Asked { scatters: whole.len(), loads, all, asked, with_rows, missing, needless })
+    Ok(SitesAsked { scatters: whole.len(), loads, all, asked, with_rows, missing, needless })
 }
 
 /// Plays the run of a seed: whether it passed, and the tallies of its line.
--- a/crates/lab/src/record/account.rs
+++ b/crates/lab/src/record/account.rs
@@ -7,7 +7,7 @@
 pub use super::offered::offered;
 pub use super::offered::Offered;
 use super::{attempts, given_up, herd, promises};
-use crate::check::{self, Agreed, Asked, Outcome};
+use crate::check::{self, Agreed, Outcome, StatementRecord};
 use crate::engine::lines::Warmth;
 use crate::engine::{EngineEvent, WireEvent};
 use crate::rig::datagrams::RelayedDatagram;
@@ -104,7 +104,7 @@
     let mut violations = promises::check(scenario, account, &mut tallies);
     // What was asked again is another statement to the front that it came to. Order keys are the fleet's here, and have
     // a check of their own.
-    let statements: Vec<Asked> = asked.iter().map(promises::at_its_front).collect();
+    let statements: Vec<StatementRecord> = asked.iter().map(promises::at_its_front).collect();
     let engine_events = given_up::ended(scenario, account);
     let engine_events: Vec<EngineEvent> =
         engine_events.iter().map(|event| promises::by_its_front(event, account)).collect();
--- a/crates/lab/src/record/given_up.rs
+++ b/crates/lab/src/record/given_up.rs
@@ -13,8 +13,8 @@
 /// Microseconds before and after in which a rig without a CPU read its connections late, and in another order.
 const AROUND: i64 = 1_000_000;
 
-/// The record's engine events, with the end of each attempt that was given up before the next one of its statement was sent, and
-/// without the start of those that were given up before it.
+/// The engine events of the record, with the end of each attempt that was given up before the next one of its
+/// statement was sent, and without the start of those that were given up before it.
 pub fn ended(scenario: &Scenario, account: &Account) -> Vec<EngineEvent> {
     let mut engine_events = account.engine_events.clone();
     let repeated = |o: &&super::account::Offered| {
--- a/crates/lab/src/record/offered.rs
+++ b/crates/lab/src/record/offered.rs
@@ -1,6 +1,6 @@
 //! A statement as its client saw it, and what excuses its front.
 
-use crate::check::Asked;
+use crate::check::StatementRecord;
 use crate::rig::starved::Starved;
 
 const EXCUSED: i64 = 70_000_000; // microseconds; the longest that a client waits for any answer
@@ -10,7 +10,7 @@
 pub struct Offered {
     pub front: usize,
     pub class: usize,
-    pub asked: Asked,
+    pub asked: StatementRecord,
     /// The rules deny it: a refusal is its right answer.
     pub barred: bool,
     /// It was asked before, at another front.
@@ -23,7 +23,7 @@
     /// What it may be lost or late by through no fault of its front: by what was done to the front while it was out,
     /// and by the CPU that the front and the client wanted and were not given.
     pub fn excuse(&mut self, troubled: &[(i64, i64)], starved: &Starved) {
-        let Asked { sent, answered, .. } = self.asked;
+        let StatementRecord { sent, answered, .. } = self.asked;
         self.asked.may_be_lost = troubled.iter().any(|(from, to)| sent <= *to && answered >= *from);
         if self.asked.may_be_lost {
             self.asked.timeout += EXCUSED;
@@ -35,9 +35,9 @@
 /// For the checks' own tests: a completed statement without an order key.
 #[cfg(test)]
 pub fn offered(id: &str, front: usize, sent: i64) -> Offered {
-    let asked = Asked::new(id.into(), sent, 1_000_000, crate::check::Repeat::Idempotent);
+    let asked = StatementRecord::new(id.into(), sent, 1_000_000, crate::check::Repeat::Idempotent);
     let outcome = crate::check::Outcome::Completed { rows: 1 };
-    let asked = Asked { answered: sent + 1_000, outcome, rows: 1, ..asked };
+    let asked = StatementRecord { answered: sent + 1_000, outcome, rows: 1, ..asked };
     Offered { front, class: 0, asked, barred: false, again: false, starved: 0 }
 }
 
--- a/crates/lab/src/record/promises.rs
+++ b/crates/lab/src/record/promises.rs
@@ -1,6 +1,6 @@
 //! All checks of what fronts promise for each other, put to a fleet's record.
 
-use crate::check::{Asked, Outcome, Violations};
+use crate::check::{Outcome, StatementRecord, Violations};
 use crate::engine::{EngineEvent, Kind};
 use crate::rig::scenario::{Scenario, What};
 
@@ -16,8 +16,11 @@
 const SPARE: usize = 0; // statements that engines may have turned away
 
 /// The statement as one of the front that it was asked of: each front is asked for it once.
-pub fn at_its_front(offered: &Offered) -> Asked {
-    Asked { id: format!("{} at front {}", offered.asked.id, offered.front), ..offered.asked.clone() }
+pub fn at_its_front(offered: &Offered) -> StatementRecord {
+    StatementRecord {
+        id: format!("{} at front {}", offered.asked.id, offered.front),
+        ..offered.asked.clone()
+    }
 }
 
 /// The event as one of the front that sent it, without its order key.
--- a/crates/lab/src/scripted.rs
+++ b/crates/lab/src/scripted.rs
@@ -12,7 +12,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use self::session::{code, come_to, lost, tags, Session, PATIENCE};
-use crate::check::{Asked, Outcome, Repeat, Transaction};
+use crate::check::{Outcome, Repeat, StatementRecord, Transaction};
 use crate::prove::postgres::Notes;
 
 /// Plays scripts in a drawn order until the run ends.
@@ -32,17 +32,17 @@
 const SCRIPTS: [Script; 9] =
     [bound_twice, leaves, cancels, pipeline, slow, flushed, cancels, refused, nonsense];
 
-fn fresh(notes: &Notes, rows: usize) -> Asked {
-    Asked { rows, may_fail: Some("42P01"), ..notes.fresh(Repeat::Idempotent) }
+fn fresh(notes: &Notes, rows: usize) -> StatementRecord {
+    StatementRecord { rows, may_fail: Some("42P01"), ..notes.fresh(Repeat::Idempotent) }
 }
 
-fn note(notes: &Notes, asked: Asked, outcome: Outcome) {
-    notes.note(Asked { outcome, answered: notes.records.now(), ..asked });
+fn note(notes: &Notes, asked: StatementRecord, outcome: Outcome) {
+    notes.note(StatementRecord { outcome, answered: notes.records.now(), ..asked });
 }
 
 /// Says that what came was not what had to come.
-fn spoilt(notes: &Notes, asked: Asked, what: &str) {
-    note(notes, Asked { id: format!("{} {what}", asked.id), ..asked }, Outcome::Spoilt);
+fn spoilt(notes: &Notes, asked: StatementRecord, what: &str) {
+    note(notes, StatementRecord { id: format!("{} {what}", asked.id), ..asked }, Outcome::Spoilt);
 }
 
 /// Prepares, binds twice, closes the first in the middle of its rows, and has the second whole.
@@ -114,7 +114,7 @@
             s.send()?;
             s.unit()?;
         }
-        let asked = Asked { cancels: true, ..fresh(notes, 1) };
+        let asked = StatementRecord { cancels: true, ..fresh(notes, 1) };
         let ms = chance.random_range(0..20);
         s.query(&format!("select run('id={},rows=1,ms={ms}')", asked.id));
         s.send()?;
@@ -127,10 +127,10 @@
         let failed = !matches!(first, Outcome::Completed { .. });
         // What is rolled back is not to last.
         let transaction = within.then_some(usize::MAX);
-        note(notes, Asked { transaction, ..asked }, first);
+        note(notes, StatementRecord { transaction, ..asked }, first);
         let second = s.unit().map_or_else(|e| lost(&e), |unit| come_to(&unit, &next.id));
         if !(within && failed) {
-            note(notes, Asked { transaction, ..next }, second);
+            note(notes, StatementRecord { transaction, ..next }, second);
         }
         if within {
             s.query("ROLLBACK");
@@ -151,7 +151,7 @@
         return Ok(());
     }
     for _ in 0..5 {
-        let fails = Asked { fails: Some("23505"), ..fresh(notes, 0) };
+        let fails = StatementRecord { fails: Some("23505"), ..fresh(notes, 0) };
         let units = [fresh(notes, 2), fails, fresh(notes, 1)];
         for unit in &units {
             let fail = unit.fails.filter(|code| *code == "23505").unwrap_or_default();
@@ -186,7 +186,7 @@
     let mut s = Session::open(at, "portal", false)?;
     let rows = 3000;
     // Within a row nothing can be said: an engine that ends there ends the connection.
-    let asked = Asked { may_be_lost: true, ..fresh(notes, rows) };
+    let asked = StatementRecord { may_be_lost: true, ..fresh(notes, rows) };
     s.query(&format!("select run('id={},rows={rows},bytes=1000')", asked.id));
     s.send()?;
     let mut seen = Vec::new();
--- a/crates/lab/src/scripted/session.rs
+++ b/crates/lab/src/scripted/session.rs
@@ -6,7 +6,7 @@
 
 use hallmux_postgres::wire;
 
-use crate::check::{Asked, Outcome};
+use crate::check::{Outcome, StatementRecord};
 
 pub(super) const PATIENCE: Duration = Duration::from_secs(8); // for one message: longer than any statement may take
 
@@ -200,7 +200,7 @@
 }
 
 /// What the simple query that is on its way comes to.
-pub fn answer(session: &mut Session, asked: &Asked) -> Outcome {
+pub fn answer(session: &mut Session, asked: &StatementRecord) -> Outcome {
     session.unit().map_or_else(|e| lost(&e), |messages| come_to(&messages, &asked.id))
 }
 
--- a/crates/lab/src/simulated/clients.rs
+++ b/crates/lab/src/simulated/clients.rs
@@ -5,7 +5,7 @@
 
 use super::ends::STILL_COME;
 use super::play::{Event, Play};
-use crate::check::{Asked, Outcome, Repeat};
+use crate::check::{Outcome, Repeat, StatementRecord};
 use crate::record::account::Offered;
 use crate::rig::scenario::Step;
 
@@ -54,7 +54,7 @@
         let Some(front) = armed.or(drawn) else { return };
         let timeout_ms = class.timeout_ms.unwrap_or(scenario.load.timeout_ms);
         let (id, timeout) = (format!("s{}", client.number), timeout_ms as i64 * 1000);
-        let mut asked = Asked::new(id, now, timeout, class.repeat());
+        let mut asked = StatementRecord::new(id, now, timeout, class.repeat());
         asked.rows = 1;
         asked.key = client.key.map(|key| format!("{}-{key}", class.name)).unwrap_or_default();
         (asked.outcome, asked.answered) = (Outcome::Nothing, i64::MAX);
