--- a/crates/lab/src/engine/conversation.rs
+++ b/crates/lab/src/engine/conversation.rs
@@ -13,7 +13,7 @@
 
 use super::portal::{Engine, Link};
 use super::record::Kind;
-use super::task::{parameter, task, told, Task};
+use super::task::{parameter, task, task_of_fields, Task};
 
 const CHUNK: usize = 32 << 10; // bytes read and written at once
 const TEXT_TYPE: u32 = 25; // PostgreSQL's number of the type `text`
@@ -202,7 +202,7 @@
     fn bind(&mut self, portal: &[u8], statement: &[u8], rest: &[u8]) -> Result<(), Ends> {
         let text = self.statements.get(statement).cloned();
         let text = text.ok_or_else(|| Ends::Error("26000".into()))?;
-        let value = parameter(rest).map(|value| told(&String::from_utf8_lossy(value)));
+        let value = parameter(rest).map(|value| task_of_fields(&String::from_utf8_lossy(value)));
         let task = if text.contains("$1") { value } else { task(&text) };
         self.portals.insert(portal.to_vec(), Portal { text, task, sent: 0, begun: false });
         self.out.extend_from_slice(wire::BIND_COMPLETE);
--- a/crates/lab/src/engine/task.rs
+++ b/crates/lab/src/engine/task.rs
@@ -14,10 +14,10 @@
 pub(super) fn task(text: &str) -> Option<Task> {
     let at = text.find("run('")? + 5;
     let inner = &text[at..at + text[at..].find('\'')?];
-    Some(told(inner))
+    Some(task_of_fields(inner))
 }
 
-pub(super) fn told(inner: &str) -> Task {
+pub(super) fn task_of_fields(inner: &str) -> Task {
     let mut task = Task::default();
     for (name, value) in inner.split(',').filter_map(|pair| pair.split_once('=')) {
         match name {
--- a/crates/lab/src/prove/postgres.rs
+++ b/crates/lab/src/prove/postgres.rs
@@ -58,7 +58,7 @@
     let ended_at = setup.notes.records.now();
     end_front(&mut setup.front, &setup.notes, &mut wrong);
     load.clients_ended();
-    let told = open.into_iter().map(scripted::Open::was_told).filter(|told| *told).count();
+    let told_of_end = open.into_iter().map(scripted::Open::was_told).filter(|told| *told).count();
     let played = load.ended()?;
     let seen = Seen::of(&setup.notes, ended_at)?;
     check_seen(&seen, &setup.notes, &played, &mut wrong)?;
@@ -69,7 +69,7 @@
         ("asked", seen.asked.len()),
         ("transactions", seen.transactions.len()),
         ("drains", played.drains.len()),
-        ("told_at_end", told),
+        ("told_at_end", told_of_end),
         ("memory_kb", memory.late_kb as usize),
         ("settled_kb", memory.early_kb as usize),
         ("stood_ms", (played.waited.samples.last().map_or(0, |(_, waited)| *waited) / 1000) as usize),
--- a/crates/lab/src/prove/rules.rs
+++ b/crates/lab/src/prove/rules.rs
@@ -19,7 +19,7 @@
 use crate::record::executions::executions;
 use crate::record::hits;
 use crate::rig::fleet::{play, Fleet, Plays};
-use crate::rig::rules::{self, Files, Set, Told, DENIED, RULED};
+use crate::rig::rules::{self, Files, RuleLogs, Set, DENIED, RULED};
 use crate::rig::scenario::{Class, Fault, Load, Scenario, Shape, What};
 
 const FIRST_MS: u64 = 1_000; // milliseconds of load before the first change
@@ -145,7 +145,7 @@
     /// Sets as they were offered, with when and at which front.
     offered: Vec<(i64, usize, Set)>,
     asked_front: usize,
-    told: Told,
+    logs: RuleLogs,
     hits: Option<BTreeMap<String, i64>>,
 }
 
@@ -162,8 +162,8 @@
         let own = |(at, front, set): &(i64, usize, Set)| {
             let rivals = || self.offered.iter().filter(|(_, _, other)| other.version == set.version);
             let alone = rivals().all(|(_, _, other)| other == set);
-            let won = self.told.accepted.get(&set.version).is_some_and(|by| by.contains(front));
-            let judged = self.told.judged.contains_key(&set.version);
+            let won = self.logs.accepted.get(&set.version).is_some_and(|by| by.contains(front));
+            let judged = self.logs.judged.contains_key(&set.version);
             (judged && (alone || won)).then(|| (*at, set.clone()))
         };
         let mut all: Vec<(i64, Set)> = self.offered.iter().filter_map(own).collect();
@@ -175,7 +175,7 @@
     fn bars(&self, end: i64) -> Vec<Bar> {
         let (lived, mut bars) = (self.lived(), Vec::new());
         for (n, (_, set)) in lived.iter().enumerate() {
-            let Some(in_force) = self.told.in_force.get(&set.version) else { continue };
+            let Some(in_force) = self.logs.in_force.get(&set.version) else { continue };
             for zone in &set.barred {
                 let ends = lived[n + 1..].iter().find(|(_, later)| !later.barred.contains(zone));
                 let until = ends.map_or(end, |(at, _)| *at);
@@ -194,7 +194,7 @@
             let judges = |m: &std::sync::Arc<crate::rig::member::Member>| {
                 !m.said("knows which rules hold").is_empty() || !m.said("judges by version 1 ").is_empty()
             };
-            if fleet.members.iter().all(judges) && rules::told(fleet).in_force.contains_key(&1) {
+            if fleet.members.iter().all(judges) && rules::read_logs(fleet).in_force.contains_key(&1) {
                 return Ok(());
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -217,10 +217,10 @@
     fn over(&mut self, fleet: &Fleet) {
         let last = self.offered.iter().map(|(_, _, set)| set.version).max().unwrap_or(1);
         let until = Instant::now() + LAST;
-        self.told = rules::told(fleet);
-        while !self.told.in_force.contains_key(&last) && Instant::now() < until {
+        self.logs = rules::read_logs(fleet);
+        while !self.logs.in_force.contains_key(&last) && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(50));
-            self.told = rules::told(fleet);
+            self.logs = rules::read_logs(fleet);
         }
         self.hits = rules::hits(fleet, self.asked_front, LAST);
     }
@@ -236,7 +236,8 @@
     let offered = vec![(0, 0, first)];
     let asked_front = (seed % fronts as u64) as usize;
     let planned = changes.clone();
-    let mut rules = Rules { files, changes, old, offered, asked_front, told: Told::default(), hits: None };
+    let mut rules =
+        Rules { files, changes, old, offered, asked_front, logs: RuleLogs::default(), hits: None };
     let (account, pids) = play(fleet, &scenario, seed, &mut rules)?;
     let mut run = judge(&scenario, &account, pids);
     checked(&mut run, &rules, &planned, &scenario, &account);
@@ -258,7 +259,7 @@
     let class = |id: &str| account.asked.iter().find(|o| o.asked.id == id).map(|o| o.class);
     let ruled = ran.iter().filter(|x| class(&x.id) == Some(REPORT)).count() as i64;
     run.tallies.insert("ruled_runs", ruled);
-    run.tallies.insert("versions_in_force", rules.told.in_force.len() as i64);
+    run.tallies.insert("versions_in_force", rules.logs.in_force.len() as i64);
     run.tallies.insert("bars", bars.len() as i64);
     let mut add = |rule: &'static str, what: String| wrong.entry(rule).or_default().push(what);
     if ruled < LEAST_RUN {
@@ -267,20 +268,20 @@
     let lived: BTreeSet<u64> = rules.lived().iter().map(|(_, set)| set.version).collect();
     for change in planned {
         let version = change.files[0].1.version;
-        if !lived.contains(&version) || !rules.told.in_force.contains_key(&version) {
+        if !lived.contains(&version) || !rules.logs.in_force.contains_key(&version) {
             add("run", format!("version {version} ({}) did not come to be in force", change.kind));
         }
-        if change.kind == "two" && rules.told.accepted.get(&version).map_or(0, Vec::len) > 1 {
+        if change.kind == "two" && rules.logs.accepted.get(&version).map_or(0, Vec::len) > 1 {
             add("two_in_force", format!("two files of version {version} became the fleet's"));
         }
-        if let (true, Some(at)) = (change.kind == "cut", rules.told.in_force.get(&version)) {
+        if let (true, Some(at)) = (change.kind == "cut", rules.logs.in_force.get(&version)) {
             let cuts = account.played.iter().filter(|(fault, ..)| fault.what == What::FrontsSplit);
             let inside = cuts.filter(|(_, from, to)| from <= at && at < to).count() as i64;
             run.tallies.insert("in_force_during_a_cut", inside);
         }
     }
     let killed = planned.iter().any(|change| change.kind == "killed");
-    let old: usize = rules.told.old.values().sum();
+    let old: usize = rules.logs.old.values().sum();
     run.tallies.insert("old_files_refused", old as i64);
     if killed && old < 2 {
         add("run", format!("{old} of 2 old files were refused"));
@@ -315,7 +316,7 @@
 
 /// The fleet's hits, asked of one front, against what clients had answered.
 fn counted(run: &mut Run, rules: &Rules, account: &Account) {
-    let Some(told) = &rules.hits else {
+    let Some(fleet_hits) = &rules.hits else {
         let said = format!("front {} did not tell the fleet's hits", rules.asked_front);
         return run.violations.entry("run").or_default().push(said);
     };
@@ -333,7 +334,7 @@
             o
         })
         .collect();
-    run.tallies.insert("hits", told.values().sum());
+    run.tallies.insert("hits", fleet_hits.values().sum());
     run.tallies.insert("hits_sure", asked.iter().filter(|o| sure(o)).count() as i64);
     run.tallies.insert("hits_unsure", asked.iter().filter(|o| !sure(o)).count() as i64);
     let of = |o: &Offered, rule: &str| Some(format!("{rule} r{}", o.front));
@@ -341,7 +342,7 @@
     let counts = |o: &Offered| of(o, "counted").filter(|_| o.class == REPORT);
     let split = |counting: bool| {
         let holds = |rule: &str| rule.starts_with("counted") == counting;
-        told.iter().filter(|(rule, _)| holds(rule)).map(|(rule, n)| (rule.clone(), *n)).collect()
+        fleet_hits.iter().filter(|(rule, _)| holds(rule)).map(|(rule, n)| (rule.clone(), *n)).collect()
     };
     hits::check(&mut run.violations, &asked, &split(false), &decided);
     hits::check(&mut run.violations, &asked, &split(true), &counts);
--- a/crates/lab/src/prove/sites.rs
+++ b/crates/lab/src/prove/sites.rs
@@ -45,7 +45,7 @@
     clients: Option<std::thread::JoinHandle<()>>,
     seed: u64,
     chance: Pcg64Mcg,
-    told: Instant,
+    told_at: Instant,
     turns: usize,
     /// Loads a second, and whether summaries that must count for nothing come too.
     loads: f64,
@@ -109,20 +109,20 @@
     /// Every site's summary at two fronts, from which others hear of it; and one that must count for nothing.
     fn tell(&mut self, fleet: &Fleet) {
         let fronts = fleet.members.len();
-        let mut told = BTreeSet::new();
+        let mut fronts_told = BTreeSet::new();
         for site in 0..SITES {
             let front = self.chance.random_range(0..fronts);
             self.sites.tell(site, front);
-            told.insert(front);
+            fronts_told.insert(front);
         }
         if self.spoils {
             let (what, _) = BAD[self.turns % BAD.len()];
             let (site, front) = (self.chance.random_range(0..SITES), self.chance.random_range(0..fronts));
             self.sites.tell_badly(site, front, what);
-            told.insert(front);
+            fronts_told.insert(front);
             self.turns += 1;
         }
-        let here = told.iter().map(|front| &fleet.members[*front]).filter(|m| !m.away.load(SeqCst));
+        let here = fronts_told.iter().map(|front| &fleet.members[*front]).filter(|m| !m.away.load(SeqCst));
         here.for_each(|member| member.signal(Signal::SIGHUP));
     }
 }
@@ -138,8 +138,8 @@
     }
 
     fn turn(&mut self, fleet: &Fleet, _: i64) -> Vec<Fault> {
-        if self.told.elapsed() >= TELL {
-            self.told = Instant::now();
+        if self.told_at.elapsed() >= TELL {
+            self.told_at = Instant::now();
             self.tell(fleet);
         }
         Vec::new()
@@ -221,7 +221,7 @@
         clients: None,
         seed,
         chance: Pcg64Mcg::seed_from_u64(seed ^ 0x7465_6c6c),
-        told: Instant::now(),
+        told_at: Instant::now(),
         turns: 0,
         loads,
         spoils,
@@ -309,7 +309,7 @@
         };
         across += whole.iter().filter(|(front, scatter)| other(*front, scatter)).count() as i64;
     }
-    let told = whole.iter().flat_map(|(_, scatter)| &scatter.rows).map(Vec::len).sum::<usize>() as i64;
+    let rows = whole.iter().flat_map(|(_, scatter)| &scatter.rows).map(Vec::len).sum::<usize>() as i64;
     let acknowledged = loads.iter().filter(|load| load.acknowledged < i64::MAX).count() as i64;
     let needless = counted(&plan.needless);
     let without = |why: &str| needless.get(why).map_or(0, |count| *count as i64);
@@ -325,15 +325,15 @@
         ("sites_all", (whole.len() * SITES) as i64),
         ("sites_asked", of),
         ("sites_true", least),
-        ("rows", told),
+        ("rows", rows),
         ("across_a_cut", across),
         ("summaries_refused", plan.refused.values().sum::<usize>() as i64),
     ] {
         run.tallies.insert(key, value);
     }
     let mut add = |what: String| run.violations.entry("run").or_default().push(what);
-    if whole.len() < LEAST_WHOLE || acknowledged < 10 || told < LEAST_ROWS {
-        add(format!("{} scatters in whole, {told} rows, {acknowledged} loads acknowledged", whole.len()));
+    if whole.len() < LEAST_WHOLE || acknowledged < 10 || rows < LEAST_ROWS {
+        add(format!("{} scatters in whole, {rows} rows, {acknowledged} loads acknowledged", whole.len()));
     }
     if across == 0 {
         add("no scatter came on one side of a cut after a load on the other".to_string());
--- a/crates/lab/src/record/hits.rs
+++ b/crates/lab/src/record/hits.rs
@@ -10,7 +10,7 @@
 pub fn check(
     wrong: &mut Violations,
     asked: &[Offered],
-    told: &BTreeMap<String, i64>,
+    counted: &BTreeMap<String, i64>,
     rule: &dyn Fn(&Offered) -> Option<String>,
 ) {
     let mut counts: BTreeMap<String, (i64, i64)> = BTreeMap::new();
@@ -21,16 +21,16 @@
         count.0 += i64::from(answered);
         count.1 += 1;
     }
-    for rule in told.keys().filter(|rule| !counts.contains_key(*rule)).cloned().collect::<Vec<_>>() {
+    for rule in counted.keys().filter(|rule| !counts.contains_key(*rule)).cloned().collect::<Vec<_>>() {
         counts.insert(rule, (0, 0));
     }
     for (rule, (least, most)) in counts {
-        let told = told.get(&rule).copied().unwrap_or(0);
-        if told < least {
-            wrong.entry("hit_lost").or_default().push(format!("{rule}: {told} told, {least} answered"));
+        let counted = counted.get(&rule).copied().unwrap_or(0);
+        if counted < least {
+            wrong.entry("hit_lost").or_default().push(format!("{rule}: {counted} told, {least} answered"));
         }
-        if told > most {
-            wrong.entry("hit_doubled").or_default().push(format!("{rule}: {told} told, {most} asked"));
+        if counted > most {
+            wrong.entry("hit_doubled").or_default().push(format!("{rule}: {counted} told, {most} asked"));
         }
     }
 }
--- a/crates/lab/src/record/rows.rs
+++ b/crates/lab/src/record/rows.rs
@@ -41,19 +41,19 @@
             let due = row.acknowledged < scatter.sent && !scatter.without.contains(&row.site);
             *least.entry((row.site, row.value)).or_default() += usize::from(due);
         }
-        let mut told = BTreeMap::<_, usize>::new();
-        rows.iter().for_each(|row| *told.entry(*row).or_default() += 1);
+        let mut received = BTreeMap::<_, usize>::new();
+        rows.iter().for_each(|row| *received.entry(*row).or_default() += 1);
         for (row, least) in least {
-            let told = told.get(&row).copied().unwrap_or(0);
-            if told < least {
-                let said = format!("{}: {told} of {least} rows {row:?}", scatter.id);
+            let received = received.get(&row).copied().unwrap_or(0);
+            if received < least {
+                let said = format!("{}: {received} of {least} rows {row:?}", scatter.id);
                 wrong.entry("row_missing").or_default().push(said);
             }
         }
-        for (row, told) in told {
+        for (row, received) in received {
             let most = most.get(&row).copied().unwrap_or(0);
-            if told > most {
-                let said = format!("{}: {told} of {most} rows {row:?}", scatter.id);
+            if received > most {
+                let said = format!("{}: {received} of {most} rows {row:?}", scatter.id);
                 wrong.entry("row_too_many").or_default().push(said);
             }
         }
--- a/crates/lab/src/rig/coordinator.rs
+++ b/crates/lab/src/rig/coordinator.rs
@@ -20,11 +20,11 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
         let events = Events::default();
-        let told = events.clone();
+        let served = events.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let told = told.clone();
-                std::thread::spawn(move || _ = answer(stream, &told));
+                let events = served.clone();
+                std::thread::spawn(move || _ = answer(stream, &events));
             }
         });
         Ok(Coordinator { at, events })
@@ -62,7 +62,7 @@
     }
 }
 
-fn answer(stream: TcpStream, told: &Events) -> std::io::Result<()> {
+fn answer(stream: TcpStream, shared: &Events) -> std::io::Result<()> {
     let mut reader = BufReader::new(stream.try_clone()?);
     let mut stream = stream;
     loop {
@@ -80,9 +80,9 @@
             rest[..end].parse::<usize>().unwrap_or(0)
         };
         let (follow, wait) = (figure("follow="), figure("wait_ms="));
-        let Ok(events) = told.0.lock() else { return Ok(()) };
+        let Ok(events) = shared.0.lock() else { return Ok(()) };
         let wait = Duration::from_millis(wait as u64);
-        let Ok((events, _)) = told.1.wait_timeout_while(events, wait, |e| e.len() <= follow) else {
+        let Ok((events, _)) = shared.1.wait_timeout_while(events, wait, |e| e.len() <= follow) else {
             return Ok(());
         };
         let body =
--- a/crates/lab/src/rig/front.rs
+++ b/crates/lab/src/rig/front.rs
@@ -84,7 +84,7 @@
             .map_err(why)?;
         let log = BufReader::new(child.stderr.take().ok_or("no log")?);
         let found: Heard = Arc::default();
-        let told = found.clone();
+        let addresses = found.clone();
         let kept = Log::default();
         let keeps = kept.clone();
         let shows = std::env::var("HALLMUX_LAB_LOG").is_ok();
@@ -97,10 +97,11 @@
                     lines.push((Instant::now(), line.clone()));
                 }
                 let address = line.rsplit(' ').next().and_then(|word| word.parse().ok());
-                if let (true, Some(address), Ok(mut all)) = (line.contains(" takes "), address, told.0.lock())
+                if let (true, Some(address), Ok(mut all)) =
+                    (line.contains(" takes "), address, addresses.0.lock())
                 {
                     all.push((line.contains(" takes statements at "), address));
-                    told.1.notify_all();
+                    addresses.1.notify_all();
                 }
             }
         });
--- a/crates/lab/src/rig/rules.rs
+++ b/crates/lab/src/rig/rules.rs
@@ -86,7 +86,7 @@
 
 /// When fronts said of a version first: that they judge by it, that it is in force, and who that its file is the fleet's.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
+pub struct RuleLogs {
     pub judged: BTreeMap<u64, i64>,
     pub in_force: BTreeMap<u64, i64>,
     pub accepted: BTreeMap<u64, Vec<usize>>,
@@ -102,8 +102,8 @@
 }
 
 /// What the logs of all fronts have said so far.
-pub fn told(fleet: &Fleet) -> Told {
-    let mut told = Told::default();
+pub fn read_logs(fleet: &Fleet) -> RuleLogs {
+    let mut logs = RuleLogs::default();
     for member in &fleet.members {
         for (at, line) in member.said("version") {
             let at = at.duration_since(fleet.records.since).as_micros() as i64;
@@ -112,17 +112,17 @@
                 *known = at.min(*known);
             };
             if let Some(version) = number(&line, "judges by version ") {
-                first(&mut told.judged, version);
+                first(&mut logs.judged, version);
             } else if let Some(version) = number(&line, "the fleet's: version ") {
-                told.accepted.entry(version).or_default().push(member.number);
+                logs.accepted.entry(version).or_default().push(member.number);
             } else if line.contains(" is in force") {
-                number(&line, "version ").into_iter().for_each(|version| first(&mut told.in_force, version));
+                number(&line, "version ").into_iter().for_each(|version| first(&mut logs.in_force, version));
             } else if line.contains("is not above the fleet's") {
-                *told.old.entry(member.number).or_default() += 1;
+                *logs.old.entry(member.number).or_default() += 1;
             }
         }
     }
-    told
+    logs
 }
 
 /// Asks a front for the fleet's hits: by rule and region. None while it says that fronts are missing from them.
