--- a/crates/lab/src/simulated/clients.rs
+++ b/crates/lab/src/simulated/clients.rs
@@ -3,8 +3,8 @@
 use hallmux_dispatcher::{Ask, Ticket};
 use rand::Rng;
 
-use super::ends::STILL_COME;
-use super::play::{Event, Play};
+use super::shutdown::STILL_COME;
+use super::simulation::{Event, Simulation};
 use crate::check::{Outcome, Repeat, StatementRecord};
 use crate::record::account::Offered;
 use crate::rig::scenario::Step;
@@ -22,7 +22,7 @@
     pub(super) before: Vec<usize>,
 }
 
-impl Play<'_> {
+impl Simulation<'_> {
     /// A statement comes to a front drawn among those that take statements.
     pub(super) fn offer(&mut self) {
         let (load, classes) = (&self.scenario.load, &self.scenario.classes);
@@ -89,12 +89,12 @@
     /// A statement has its final answer.
     pub(super) fn answer(&mut self, n: usize, ticket: Ticket, outcome: Outcome) {
         if let Some(number) = self.named.get(&(n, self.members[n].lives, ticket)).copied() {
-            self.ends(number, outcome);
+            self.settle(number, outcome);
         }
     }
 
     /// What a client has come to; it asks again as its workload allows.
-    pub(super) fn ends(&mut self, number: usize, outcome: Outcome) {
+    pub(super) fn settle(&mut self, number: usize, outcome: Outcome) {
         let now = self.now;
         let Some(Offered { asked, class, .. }) = self.account.asked.get_mut(number) else { return };
         if asked.answered != i64::MAX {
--- a/crates/lab/src/simulated/connections.rs
+++ b/crates/lab/src/simulated/connections.rs
@@ -5,7 +5,7 @@
 
 use hallmux_dispatcher::{ConnectionPacer, Dispatcher, Ending, Place, SendCapacity};
 
-use super::play::{Play, Sent};
+use super::simulation::{Sent, Simulation};
 
 pub(super) struct Connections {
     pub(super) pacer: ConnectionPacer,
@@ -44,7 +44,7 @@
     }
 }
 
-impl Play<'_> {
+impl Simulation<'_> {
     /// Whether an execution, or a probe, has a connection to its engine, which may be made for it.
     pub(super) fn reaches(&mut self, n: usize, place: Place, sent: Option<Sent>) -> bool {
         let own = self.own(n);
--- a/crates/lab/src/simulated/datagrams.rs
+++ b/crates/lab/src/simulated/datagrams.rs
@@ -4,11 +4,11 @@
 use hallmux_gossip::node::Datagram;
 use rand::Rng;
 
-use super::play::{front_at, Event, Play};
+use super::simulation::{front_at, Event, Simulation};
 use crate::rig::datagrams::RelayedDatagram;
 use crate::rig::scenario::Step;
 
-impl Play<'_> {
+impl Simulation<'_> {
     /// Sends what is to go out; what a voter has to save is lasting at once, the ledger's waits for the disk.
     pub(super) fn send_output(&mut self, n: usize, out: Output) {
         self.send_datagrams(n, out.datagrams);
--- a/crates/lab/src/simulated/disk.rs
+++ b/crates/lab/src/simulated/disk.rs
@@ -6,7 +6,7 @@
 use hallmux_ledger::{DiskId, Record, Saved};
 use rand::Rng;
 
-use super::play::{Event, Play};
+use super::simulation::{Event, Simulation};
 
 const SYNC: std::ops::Range<i64> = 500..4_000; // microseconds that making records lasting takes, drawn
 const TOLD: i64 = 20; // microseconds until word of what needed no sync is there
@@ -55,7 +55,7 @@
     }
 }
 
-impl Play<'_> {
+impl Simulation<'_> {
     /// Has it made lasting; its datagrams leave then.
     pub(super) fn save(&mut self, n: usize, mut kept: Vec<LedgerSave>) {
         if self.members[n].life.is_none() || kept.is_empty() {
--- a/crates/lab/src/simulated/engines.rs
+++ b/crates/lab/src/simulated/engines.rs
@@ -2,14 +2,14 @@
 
 use hallmux_dispatcher::Ending;
 
-use super::play::{Event, Play, Ran, Sent};
+use super::simulation::{Event, Ran, Sent, Simulation};
 use crate::check::Repeat;
 use crate::engine::{EngineEvent, Kind};
 use crate::record::account::Offered;
 use crate::rig::relay::{Relayed, State as LinkState};
 use crate::rig::scenario::Step;
 
-impl Play<'_> {
+impl Simulation<'_> {
     pub(super) fn relays(
         &mut self,
         (front, engine): (usize, usize),
--- a/crates/lab/src/simulated/faults.rs
+++ b/crates/lab/src/simulated/faults.rs
@@ -4,12 +4,12 @@
 use rand::Rng;
 
 use super::fronts::listing;
-use super::play::{Event, Play};
+use super::simulation::{Event, Simulation};
 use crate::rig::agreed::zone_name;
 use crate::rig::relay::State as LinkState;
 use crate::rig::scenario::{Fault, What};
 
-impl Play<'_> {
+impl Simulation<'_> {
     /// The links that a fault is played on: of all fronts, or of one, into the zone.
     pub(super) fn links(&mut self, fault: &Fault, all: bool, change: impl Fn(&mut LinkState)) {
         let own: Vec<usize> =
@@ -110,7 +110,7 @@
                 if fault.what == What::Stall {
                     member.stopped = false;
                     let waits = std::mem::take(&mut member.waits);
-                    waits.into_iter().for_each(|event| self.happens(event));
+                    waits.into_iter().for_each(|event| self.handle(event));
                     self.turn(fault.front);
                 } else if member.life.is_none() {
                     if fault.what == What::LoseDisk {
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -11,14 +11,14 @@
 use rand::Rng;
 
 use super::connections::Connections;
-use super::play::{address, secret, Event, Life, Play, Sent};
-use super::play::{DRIFT_PPM, MOST_SEEDS, PROBED_WITHIN};
+use super::simulation::{address, secret, Event, Life, Sent, Simulation};
+use super::simulation::{DRIFT_PPM, MOST_SEEDS, PROBED_WITHIN};
 use crate::check::Outcome;
 use crate::rig::agreed::zone_name;
 
 const ROUNDS: usize = 8; // decisions in a turn, as in the front
 
-impl Play<'_> {
+impl Simulation<'_> {
     /// A front starts, anew where it ran before.
     pub(super) fn start(&mut self, n: usize) {
         let at = self.moment(n);
--- a/crates/lab/src/simulated/grows.rs
+++ b/crates/lab/src/simulated/growth.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeMap;
 
-use super::play::{Event, Play};
+use super::simulation::{Event, Simulation};
 
-pub(super) const LOOK: i64 = 10_000_000; // microseconds between looks at what is held
-const COPIES_LOOK: i64 = 50_000; // microseconds between looks at whether all copies stand
+pub(super) const INTERVAL: i64 = 10_000_000; // microseconds between samples of what is held
+const COPIES_INTERVAL: i64 = 50_000; // microseconds from one check to the next whether all copies stand
 
 /// Of one look, the most of any front.
 #[derive(Clone, Copy, Debug, Default)]
@@ -18,8 +18,8 @@
 }
 
 #[derive(Default)]
-pub(super) struct Grows {
-    looks: Vec<Held>,
+pub(super) struct Growth {
+    samples: Vec<Held>,
     /// Since when copies are missing, of whose loss.
     lost: Option<i64>,
     /// Microseconds until all stood again, of each loss.
@@ -28,11 +28,11 @@
     most_copies: Option<usize>,
 }
 
-impl Grows {
+impl Growth {
     pub(super) fn tell(&self, tallies: &mut BTreeMap<&'static str, i64>) {
-        let quarter = self.looks.len().div_ceil(4);
-        let most = |looks: &[Held], of: fn(&Held) -> i64| looks.iter().map(of).max().unwrap_or(0);
-        let (early, late) = (&self.looks[..quarter], &self.looks[self.looks.len() - quarter..]);
+        let quarter = self.samples.len().div_ceil(4);
+        let most = |samples: &[Held], of: fn(&Held) -> i64| samples.iter().map(of).max().unwrap_or(0);
+        let (early, late) = (&self.samples[..quarter], &self.samples[self.samples.len() - quarter..]);
         tallies.insert("disk_bytes_early", most(early, |h| h.disk_bytes));
         tallies.insert("disk_bytes_late", most(late, |h| h.disk_bytes));
         tallies.insert("disk_records_late", most(late, |h| h.records));
@@ -49,9 +49,9 @@
     }
 }
 
-impl Play<'_> {
+impl Simulation<'_> {
     /// Looks at what every front holds.
-    pub(super) fn looks(&mut self) {
+    pub(super) fn sample_sizes(&mut self) {
         let mut held = Held::default();
         let mut most = (0, None);
         for (n, member) in self.members.iter().enumerate() {
@@ -66,22 +66,22 @@
                 most = (tallies.copies, Some(n));
             }
         }
-        self.grows.looks.push(held);
-        self.grows.most_copies = most.1;
-        self.at(self.now + LOOK, Event::Looks);
+        self.growth.samples.push(held);
+        self.growth.most_copies = most.1;
+        self.at(self.now + INTERVAL, Event::SampleSizes);
     }
 
     /// A front is gone with its disk: from now on copies are missing.
     pub(super) fn copies_lost(&mut self) {
         if self.scenario.fleet.copies.is_some() {
-            self.grows.lost.get_or_insert(self.now);
-            self.at(self.now + COPIES_LOOK, Event::Copies);
+            self.growth.lost.get_or_insert(self.now);
+            self.at(self.now + COPIES_INTERVAL, Event::Copies);
         }
     }
 
     /// Whether every shard has an owner and all its copies, on fronts that run.
     pub(super) fn copies(&mut self) {
-        let Some((since, copies)) = self.grows.lost.zip(self.scenario.fleet.copies) else { return };
+        let Some((since, copies)) = self.growth.lost.zip(self.scenario.fleet.copies) else { return };
         let (mut owned, mut kept, mut missing) = (0, 0, 0);
         let exchanges = self.members.iter().filter_map(|m| m.life.as_ref()?.exchange.as_ref());
         for tallies in exchanges.filter_map(|exchange| exchange.ledger_tallies()) {
@@ -90,10 +90,10 @@
         }
         let shards = usize::from(self.shards);
         if owned >= shards && kept >= shards * copies && missing == 0 {
-            self.grows.again.push(self.now - since);
-            self.grows.lost = None;
+            self.growth.again.push(self.now - since);
+            self.growth.lost = None;
             return;
         }
-        self.at(self.now + COPIES_LOOK, Event::Copies);
+        self.at(self.now + COPIES_INTERVAL, Event::Copies);
     }
 }
--- a/crates/lab/src/simulated/ledger.rs
+++ b/crates/lab/src/simulated/ledger.rs
@@ -9,7 +9,7 @@
 use hallmux_gossip::PeerId;
 use hallmux_ledger::{Ask, Done, Member, Setup};
 
-use super::play::{address, secret, Play};
+use super::simulation::{address, secret, Simulation};
 use crate::check::Outcome;
 use crate::rig::agreed::zone_name;
 
@@ -43,11 +43,11 @@
     ((0..fronts).map(member).collect(), (0..fronts).map(|n| (keeper(n), address(n))).collect())
 }
 
-impl Play<'_> {
+impl Simulation<'_> {
     /// Switches on the ledger of a front that starts, on the disk that it has.
     pub(super) fn promises(&self, n: usize, exchange: &mut Exchange) -> Result<(), String> {
         let Some(copies) = self.scenario.fleet.copies else { return Ok(()) };
-        let (members, heard) = &self.keepers;
+        let (members, heard) = &self.ledger_members;
         let at = self.moment(n);
         let disk = &self.members[n].disk;
         let own = peer_id(&exchange.public_key());
--- a/crates/lab/src/simulated/mod.rs
+++ b/crates/lab/src/simulated/mod.rs
@@ -4,19 +4,19 @@
 mod connections;
 mod datagrams;
 mod disk;
-mod ends;
 mod engines;
 mod faults;
 mod fronts;
-mod grows;
+mod growth;
 mod least;
 mod ledger;
-mod play;
 mod run;
+mod shutdown;
+mod simulation;
 mod steps;
 #[cfg(test)]
 mod tests;
 
 pub use least::smallest;
-pub use play::Spoil;
 pub use run::{run, run_with};
+pub use simulation::Spoil;
--- a/crates/lab/src/simulated/run.rs
+++ b/crates/lab/src/simulated/run.rs
@@ -9,8 +9,8 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::disk::Disk;
-use super::grows::Grows;
-use super::play::{secret, Engine, Event, Member, Play, Spoil, AFTER, SETTLES, SLACK, WALL};
+use super::growth::Growth;
+use super::simulation::{secret, Engine, Event, Member, Simulation, Spoil, AFTER, SETTLES, SLACK, WALL};
 use crate::record::account::{judge, warmth, Account, Offered, Run};
 use crate::rig::agreed;
 use crate::rig::datagrams::DatagramFaults;
@@ -25,15 +25,15 @@
 
 /// The same, with a rule taken out.
 pub fn run_with(scenario: &Scenario, seed: u64, spoil: Spoil) -> Result<Run, String> {
-    let mut play = Play::new(scenario, seed, spoil)?;
-    play.start_members();
-    play.schedule();
-    let load_ends = play.began + scenario.seconds as i64 * 1_000_000;
-    play.play(load_ends + scenario.load.timeout_ms as i64 * 1000 + AFTER);
-    let (account, grows) = play.account();
+    let mut simulation = Simulation::new(scenario, seed, spoil)?;
+    simulation.start_members();
+    simulation.schedule();
+    let load_ends = simulation.began + scenario.seconds as i64 * 1_000_000;
+    simulation.run_until(load_ends + scenario.load.timeout_ms as i64 * 1000 + AFTER);
+    let (account, growth) = simulation.account();
     let mut run = judge(scenario, &account, Vec::new());
     if scenario.fleet.copies.is_some() {
-        grows.tell(&mut run.tallies);
+        growth.tell(&mut run.tallies);
     }
     Ok(run)
 }
@@ -84,12 +84,12 @@
     }
 }
 
-impl Play<'_> {
-    fn new(scenario: &Scenario, seed: u64, spoil: Spoil) -> Result<Play<'_>, String> {
+impl Simulation<'_> {
+    fn new(scenario: &Scenario, seed: u64, spoil: Spoil) -> Result<Simulation<'_>, String> {
         let (fronts, zones) = (scenario.fleet.fronts, scenario.fleet.zones);
         let per_zone = scenario.fleet.engines_per_zone;
         let keys: Vec<[u8; 32]> = (0..fronts).map(|n| Identity::new(&secret(n), 0).public_key()).collect();
-        Ok(Play {
+        Ok(Simulation {
             scenario,
             settings: settings_of(scenario)?,
             warmth: warmth(scenario),
@@ -110,10 +110,10 @@
             clients: Vec::new(),
             links: 0,
             firsts: HashMap::new(),
-            keepers: super::ledger::members(fronts, zones),
+            ledger_members: super::ledger::members(fronts, zones),
             armed: None,
             spoil,
-            grows: Grows::default(),
+            growth: Growth::default(),
             shards: hallmux_ledger::Setup::new("lab", 0, 0, 1, Vec::new()).shards,
             playing: BTreeMap::new(),
         })
@@ -135,7 +135,7 @@
         let (scenario, began) = (self.scenario, self.began);
         self.at(began, Event::Offered);
         if scenario.fleet.copies.is_some() {
-            self.at(began, Event::Looks);
+            self.at(began, Event::SampleSizes);
         }
         for (n, fault) in scenario.faults.iter().enumerate() {
             self.at(began + fault.at_ms as i64 * 1000, Event::Begins(n));
@@ -144,8 +144,8 @@
     }
 
     /// What was seen of the run; statements at fronts that were in trouble meanwhile are excused.
-    fn account(self) -> (Account, Grows) {
-        let Play { engines, mut account, members, grows, .. } = self;
+    fn account(self) -> (Account, Growth) {
+        let Simulation { engines, mut account, members, growth, .. } = self;
         account.turned_away = engines.iter().map(|e| e.turned_away).sum();
         account.peak = engines.iter().map(|e| e.peak).fold(0.0, f64::max);
         account.peaks_since_start = engines.iter().map(|e| e.peak_since_start).collect();
@@ -156,6 +156,6 @@
                 (asked.may_be_lost, asked.timeout) = (true, asked.timeout + EXCUSED);
             }
         }
-        (account, grows)
+        (account, growth)
     }
 }
--- a/crates/lab/src/simulated/ends.rs
+++ b/crates/lab/src/simulated/shutdown.rs
@@ -2,17 +2,17 @@
 
 use rand::Rng;
 
-use super::play::{Event, Play};
+use super::simulation::{Event, Simulation};
 use crate::rig::scenario::What;
 
 /// Microseconds for which clients still come to a front that was asked to end.
 pub(super) const STILL_COME: i64 = 300_000;
-const DOOR: i64 = 800_000; // microseconds that its door stays open, as the front's own does
+const LISTENS_ON: i64 = 800_000; // microseconds that its listener stays open, as that of a front process does
 const HANDED_OVER: i64 = 3_000_000; // microseconds at most while it still owns promises that others could own
 const NEEDED: i64 = 10_000_000; // microseconds at most while a shard would have no majority without it
-const LOOK: i64 = 10_000; // microseconds between looks at whether all is answered
+const INTERVAL: i64 = 10_000; // microseconds from one check to the next whether all is answered
 
-impl Play<'_> {
+impl Simulation<'_> {
     pub(super) fn asked_to_end(&mut self, n: usize) {
         let at = self.moment(n);
         let member = &mut self.members[n];
@@ -26,11 +26,11 @@
             self.send_output(n, out);
             self.send_datagrams(n, bye);
         }
-        self.at(self.now + DOOR, Event::Closes(n, lives));
+        self.at(self.now + LISTENS_ON, Event::Closes(n, lives));
         self.wakes(n);
     }
 
-    /// Its door closes once all is handed over, and it is gone once all is answered.
+    /// Its listener closes once all is handed over, and it is gone once all is answered.
     pub(super) fn closes(&mut self, n: usize, life: u32) {
         let member = &self.members[n];
         let Some((runs, asked)) = member.life.as_ref().zip(member.ending).filter(|_| member.lives == life)
@@ -38,16 +38,16 @@
             return;
         };
         let at = self.moment(n);
-        let door = asked
+        let closes_at = asked
             + match &runs.exchange {
                 Some(exchange) if exchange.is_needed(at) => NEEDED,
                 Some(exchange) if exchange.hands_over() => HANDED_OVER,
-                _ => DOOR,
+                _ => LISTENS_ON,
             };
         let mut own = self.account.asked.iter().rev().filter(|o| o.front == n);
         let waits = own.any(|o| o.asked.answered == i64::MAX);
-        if self.now < door || waits || member.stopped {
-            return self.at(self.now + LOOK, Event::Closes(n, life));
+        if self.now < closes_at || waits || member.stopped {
+            return self.at(self.now + INTERVAL, Event::Closes(n, life));
         }
         self.dies(n);
     }
@@ -55,6 +55,6 @@
     /// Until when the end of this fault has to wait, as its front has yet to end.
     pub(super) fn still_ends(&self, fault: usize) -> Option<i64> {
         let fault = self.playing.get(&fault).filter(|fault| fault.what == What::Term)?;
-        self.members[fault.front].ending.map(|_| self.now + LOOK)
+        self.members[fault.front].ending.map(|_| self.now + INTERVAL)
     }
 }
--- a/crates/lab/src/simulated/play.rs
+++ b/crates/lab/src/simulated/simulation.rs
@@ -18,7 +18,7 @@
 use super::clients::Client;
 use super::connections::Connections;
 use super::disk::Disk;
-use super::grows::Grows;
+use super::growth::Growth;
 use super::steps::Armed;
 use crate::engine::lines::Warmth;
 use crate::record::account::Account;
@@ -60,10 +60,10 @@
     /// A step of a promise is reached at a front; and the time for that is over.
     Reached(Step, usize),
     Unarmed(usize),
-    /// A front of that life that is to end may close its door.
+    /// A front of that life that is to end may close its listener.
     Closes(usize, u32),
     /// Time to look at what fronts hold; and at whether all copies stand.
-    Looks,
+    SampleSizes,
     Copies,
     Begins(usize),
     Ends(usize),
@@ -132,7 +132,7 @@
     pub(super) peak_since_start: f64,
 }
 
-pub(super) struct Play<'a> {
+pub(super) struct Simulation<'a> {
     pub(super) scenario: &'a Scenario,
     pub(super) settings: Settings,
     pub(super) warmth: Warmth,
@@ -158,10 +158,10 @@
     /// When the first of each deduplicated statement of a front began and ends.
     pub(super) firsts: HashMap<(usize, String), (i64, i64)>,
     /// The fronts that keep copies, and where each is heard.
-    pub(super) keepers: (Vec<hallmux_ledger::Member>, BTreeMap<hallmux_gossip::PeerId, SocketAddr>),
+    pub(super) ledger_members: (Vec<hallmux_ledger::Member>, BTreeMap<hallmux_gossip::PeerId, SocketAddr>),
     pub(super) armed: Option<Armed>,
     pub(super) spoil: Spoil,
-    pub(super) grows: Grows,
+    pub(super) growth: Growth,
     /// Of the ledger.
     pub(super) shards: u16,
     /// Faults that are played now, by their place in the scenario.
@@ -184,7 +184,7 @@
     Some(usize::from(high) * 250 + usize::from(low).checked_sub(1)?)
 }
 
-impl Play<'_> {
+impl Simulation<'_> {
     pub(super) fn at(&mut self, when: i64, event: Event) {
         self.number += 1;
         self.queue.push(Reverse((when.max(self.now), self.number)));
@@ -195,16 +195,16 @@
         self.chance.random_range(WAY.0..=WAY.1)
     }
 
-    pub(super) fn play(&mut self, over: i64) {
+    pub(super) fn run_until(&mut self, over: i64) {
         while let Some(Reverse((when, number))) = self.queue.pop().filter(|Reverse((when, _))| *when <= over)
         {
             self.now = when;
             let Some(event) = self.events.remove(&number) else { continue };
-            self.happens(event);
+            self.handle(event);
         }
     }
 
-    pub(super) fn happens(&mut self, event: Event) {
+    pub(super) fn handle(&mut self, event: Event) {
         match event {
             Event::Offered => self.offer(),
             Event::Due(n) if self.members[n].due <= self.now => self.turn(n),
@@ -216,7 +216,7 @@
             Event::Reached(step, front) => _ = self.reached(step, front),
             Event::Unarmed(fault) => self.unarmed(fault),
             Event::Closes(front, life) => self.closes(front, life),
-            Event::Looks => self.looks(),
+            Event::SampleSizes => self.sample_sizes(),
             Event::Copies => self.copies(),
             Event::Lasting(front, life) => {
                 if self.is_there(front, life, event).is_some() {
--- a/crates/lab/src/simulated/steps.rs
+++ b/crates/lab/src/simulated/steps.rs
@@ -2,7 +2,7 @@
 
 use rand::Rng;
 
-use super::play::{Event, Play};
+use super::simulation::{Event, Simulation};
 use crate::check::Outcome;
 use crate::rig::death::DeathStep;
 use crate::rig::scenario::{Fault, Step, What};
@@ -17,7 +17,7 @@
     fault: usize,
 }
 
-impl Play<'_> {
+impl Simulation<'_> {
     /// The front of a fault is to die: at once, or at its step.
     pub(super) fn dooms(&mut self, place: usize, front: usize, step: Option<Step>, draw: u64) {
         let Some(step) = step else { return self.dies(front) };
@@ -67,6 +67,6 @@
             o.front == front && o.asked.answered == i64::MAX
         };
         let out: Vec<usize> = self.account.asked.iter().enumerate().filter(out).map(|(n, _)| n).collect();
-        out.into_iter().for_each(|number| self.ends(number, Outcome::Lost));
+        out.into_iter().for_each(|number| self.settle(number, Outcome::Lost));
     }
 }
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -120,10 +120,10 @@
 }
 
 #[test]
-fn five_voters_among_forty_fronts_have_room_for_their_letters() {
+fn five_voters_among_forty_fronts_have_an_owner_again_within_seconds_of_a_stall() {
     let t = simulated("owner-stall-five", 2, 40);
     assert_eq!((t["owners"], t["probes_of_earlier_owners"]), (2, 0), "{t:?}");
-    // With 8,000 bytes of letters a second for each they went 18 s without an owner.
+    // With 8,000 bytes of messages a second for each they went 18 s without an owner.
     assert!(t["without_owner_ms"] < 6_000, "{t:?}");
 }
 
