--- a/crates/lab/src/engine/conversation.rs
+++ b/crates/lab/src/engine/conversation.rs
@@ -27,14 +27,14 @@
 }
 
 /// An error that a statement ends with, or the end of the connection.
-enum Ends {
+enum Interruption {
     Error(String),
     Connection(std::io::Error),
 }
 
-impl From<std::io::Error> for Ends {
-    fn from(e: std::io::Error) -> Ends {
-        Ends::Connection(e)
+impl From<std::io::Error> for Interruption {
+    fn from(e: std::io::Error) -> Interruption {
+        Interruption::Connection(e)
     }
 }
 
@@ -110,8 +110,8 @@
                 }
                 match self.take(message) {
                     Ok(()) => {}
-                    Err(Ends::Connection(e)) => return Err(e),
-                    Err(Ends::Error(code)) => self.fail(&code),
+                    Err(Interruption::Connection(e)) => return Err(e),
+                    Err(Interruption::Error(code)) => self.fail(&code),
                 }
             }
             self.input = input[at..].to_vec();
@@ -138,7 +138,7 @@
     }
 
     /// Does what a message asks for.
-    fn take(&mut self, message: ClientMessage) -> Result<(), Ends> {
+    fn take(&mut self, message: ClientMessage) -> Result<(), Interruption> {
         if self.skipping && message != ClientMessage::Sync {
             return Ok(());
         }
@@ -167,7 +167,7 @@
     }
 
     /// A simple query: its statements one after the other, until one fails.
-    fn query(&mut self, text: &str) -> Result<(), Ends> {
+    fn query(&mut self, text: &str) -> Result<(), Interruption> {
         let ended = text.split(';').filter(|part| !part.trim().is_empty()).try_for_each(|part| {
             let mut portal = Portal { task: task(part), text: part.into(), sent: 0, begun: false };
             if portal.task.is_some() {
@@ -178,7 +178,7 @@
         if text.trim().is_empty() {
             self.out.extend_from_slice(wire::EMPTY_QUERY);
         }
-        if let Err(Ends::Error(code)) = &ended {
+        if let Err(Interruption::Error(code)) = &ended {
             self.fail(code);
             self.skipping = false;
         } else {
@@ -187,21 +187,21 @@
         self.sync()
     }
 
-    fn parse(&mut self, name: &[u8], text: &[u8]) -> Result<(), Ends> {
+    fn parse(&mut self, name: &[u8], text: &[u8]) -> Result<(), Interruption> {
         if self.engine.faults.strikes(&self.engine.faults.refused_parses) {
-            return Err(Ends::Error("42P01".into()));
+            return Err(Interruption::Error("42P01".into()));
         }
         if !name.is_empty() && self.statements.contains_key(name) {
-            return Err(Ends::Error("42P05".into()));
+            return Err(Interruption::Error("42P05".into()));
         }
         self.statements.insert(name.to_vec(), String::from_utf8_lossy(text).into_owned());
         self.out.extend_from_slice(wire::PARSE_COMPLETE);
         Ok(())
     }
 
-    fn bind(&mut self, portal: &[u8], statement: &[u8], rest: &[u8]) -> Result<(), Ends> {
+    fn bind(&mut self, portal: &[u8], statement: &[u8], rest: &[u8]) -> Result<(), Interruption> {
         let text = self.statements.get(statement).cloned();
-        let text = text.ok_or_else(|| Ends::Error("26000".into()))?;
+        let text = text.ok_or_else(|| Interruption::Error("26000".into()))?;
         let value = parameter(rest).map(|value| task_of_fields(&String::from_utf8_lossy(value)));
         let task = if text.contains("$1") { value } else { task(&text) };
         self.portals.insert(portal.to_vec(), Portal { text, task, sent: 0, begun: false });
@@ -209,8 +209,8 @@
         Ok(())
     }
 
-    fn describe_statement(&mut self, name: &[u8]) -> Result<(), Ends> {
-        let text = self.statements.get(name).cloned().ok_or_else(|| Ends::Error("26000".into()))?;
+    fn describe_statement(&mut self, name: &[u8]) -> Result<(), Interruption> {
+        let text = self.statements.get(name).cloned().ok_or_else(|| Interruption::Error("26000".into()))?;
         let parameters = u16::from(text.contains("$1"));
         wire::write(&mut self.out, b't', |out| {
             out.extend_from_slice(&parameters.to_be_bytes());
@@ -220,9 +220,9 @@
         Ok(())
     }
 
-    fn describe_portal(&mut self, name: &[u8]) -> Result<(), Ends> {
+    fn describe_portal(&mut self, name: &[u8]) -> Result<(), Interruption> {
         let text = self.portals.get(name).map(|portal| portal.text.clone());
-        let text = text.ok_or_else(|| Ends::Error("34000".into()))?;
+        let text = text.ok_or_else(|| Interruption::Error("34000".into()))?;
         self.describe_rows_of(&text);
         Ok(())
     }
@@ -235,9 +235,9 @@
     }
 
     /// Executes a portal up to `rows`; 0: all of them.
-    fn execute_portal(&mut self, name: &[u8], rows: usize) -> Result<(), Ends> {
+    fn execute_portal(&mut self, name: &[u8], rows: usize) -> Result<(), Interruption> {
         let portal = self.portals.remove(name);
-        let mut portal = portal.ok_or_else(|| Ends::Error("34000".into()))?;
+        let mut portal = portal.ok_or_else(|| Interruption::Error("34000".into()))?;
         let limit = if rows == 0 { usize::MAX } else { rows };
         let suspended = self.execute(&mut portal, limit)?;
         if suspended {
@@ -258,7 +258,7 @@
         });
     }
 
-    fn sync(&mut self) -> Result<(), Ends> {
+    fn sync(&mut self) -> Result<(), Interruption> {
         if self.status == b'I' {
             self.keep();
             self.portals.clear();
--- a/crates/lab/src/engine/conversation/statements.rs
+++ b/crates/lab/src/engine/conversation/statements.rs
@@ -7,7 +7,7 @@
 
 use hallmux_postgres::wire;
 
-use super::{Conversation, Ends, Portal, CHUNK};
+use super::{Conversation, Interruption, Portal, CHUNK};
 use crate::engine::record::Kind;
 use crate::engine::task::Task;
 
@@ -15,11 +15,11 @@
 
 impl Conversation {
     /// Runs a statement, or goes on with one; true if rows are left when the limit is reached.
-    pub(super) fn execute(&mut self, portal: &mut Portal, limit: usize) -> Result<bool, Ends> {
+    pub(super) fn execute(&mut self, portal: &mut Portal, limit: usize) -> Result<bool, Interruption> {
         let first = portal.text.trim_start().split(|c: char| !c.is_ascii_alphabetic()).next();
         let first = first.unwrap_or_default().to_ascii_uppercase();
         if self.status == b'E' && !matches!(first.as_str(), "ROLLBACK" | "COMMIT" | "ABORT" | "END") {
-            return Err(Ends::Error("25P02".into()));
+            return Err(Interruption::Error("25P02".into()));
         }
         let Some(task) = portal.task.clone() else {
             self.control(&first, &portal.text)?;
@@ -41,7 +41,7 @@
     }
 
     /// A statement that controls a transaction, or a setting; `verb` is its first word.
-    fn control(&mut self, verb: &str, text: &str) -> Result<(), Ends> {
+    fn control(&mut self, verb: &str, text: &str) -> Result<(), Interruption> {
         let tag = match verb {
             "BEGIN" | "START" => {
                 self.status = b'T';
@@ -62,7 +62,7 @@
     }
 
     /// Ends the transaction: what it did is kept, unless it has failed; its answer may be lost by a fault.
-    fn commit(&mut self) -> Result<&'static str, Ends> {
+    fn commit(&mut self) -> Result<&'static str, Interruption> {
         let failed = self.status == b'E';
         let faults = &self.engine.faults;
         let left = faults.take_one(&faults.lost_commits);
@@ -82,7 +82,7 @@
     }
 
     /// Sends the next rows of a portal, `limit` at most; a fault may lose the rest with the connection.
-    fn send_rows(&mut self, portal: &mut Portal, task: &Task, limit: usize) -> Result<(), Ends> {
+    fn send_rows(&mut self, portal: &mut Portal, task: &Task, limit: usize) -> Result<(), Interruption> {
         let until = task.rows.min(portal.sent.saturating_add(limit));
         let row = vec![b'x'; task.bytes.max(1)];
         while portal.sent < until {
@@ -106,16 +106,16 @@
     }
 
     /// Resets the connection, as a fault asks for.
-    fn lose_connection(&self) -> Ends {
+    fn lose_connection(&self) -> Interruption {
         let _ = self.stream.shutdown(Shutdown::Both);
-        Ends::Connection(ErrorKind::ConnectionReset.into())
+        Interruption::Connection(ErrorKind::ConnectionReset.into())
     }
 
     /// The work of a statement: time, until its end is asked for.
-    fn run(&mut self, task: &Task) -> Result<(), Ends> {
+    fn run(&mut self, task: &Task) -> Result<(), Interruption> {
         let faults = &self.engine.faults;
         let takes = Duration::from_micros(task.ms * 1000 + faults.slower.load(SeqCst));
-        let reset = || Ends::Connection(ErrorKind::ConnectionReset.into());
+        let reset = || Interruption::Connection(ErrorKind::ConnectionReset.into());
         let Some(link) = self.link.clone() else { return Ok(()) };
         let Ok(mut running) = link.running.lock() else { return Ok(()) };
         // What was reset begins nothing any more.
@@ -126,20 +126,20 @@
         (running.0, running.1) = (Some(task.id.clone()), false);
         let waits = link.changed.wait_timeout_while(running, takes, |r| !r.1 && !r.2);
         let Ok((mut running, _)) = waits else { return Ok(()) };
-        let mut ends = match (running.1, running.2) {
+        let mut interruption = match (running.1, running.2) {
             (_, true) => Some(reset()),
-            (true, _) => Some(Ends::Error("57014".into())),
+            (true, _) => Some(Interruption::Error("57014".into())),
             _ => None,
         };
         running.1 = false;
         self.engine.over(self.number, &mut running.0);
         if faults.strikes(&faults.lost_statements) {
-            ends = Some(self.lose_connection());
+            interruption = Some(self.lose_connection());
         }
         drop(running);
-        match ends {
-            Some(ends) => Err(ends),
-            None if !task.fail.is_empty() => Err(Ends::Error(task.fail.clone())),
+        match interruption {
+            Some(interruption) => Err(interruption),
+            None if !task.fail.is_empty() => Err(Interruption::Error(task.fail.clone())),
             None => Ok(()),
         }
     }
--- a/crates/lab/src/measure/portal.rs
+++ b/crates/lab/src/measure/portal.rs
@@ -60,15 +60,15 @@
 /// Units a second from as many sessions at once as given, each with one on its way; scripted, so that the
 /// client's own work stays small.
 fn throughput(port: u16, sessions: usize) -> Result<f64, String> {
-    let (ends, count) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
+    let (stop, count) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
     let mut threads = Vec::new();
     for _ in 0..sessions {
-        let (ends, count) = (ends.clone(), count.clone());
+        let (stop, count) = (stop.clone(), count.clone());
         let at = ([127, 0, 0, 1], port).into();
         threads.push(std::thread::spawn(move || -> std::io::Result<()> {
             let mut session = Session::open(at, "portal", false)?;
             session.prepare("s", "select run($1)")?;
-            while !ends.load(SeqCst) {
+            while !stop.load(SeqCst) {
                 session.ask("s", "id=1,rows=1,bytes=20")?;
                 count.fetch_add(1, SeqCst);
             }
@@ -79,7 +79,7 @@
     let (before, since) = (count.load(SeqCst), Instant::now());
     std::thread::sleep(ROUND);
     let rate = (count.load(SeqCst) - before) as f64 / since.elapsed().as_secs_f64();
-    ends.store(true, SeqCst);
+    stop.store(true, SeqCst);
     for thread in threads {
         thread.join().map_err(|_| "a client")?.map_err(|e| e.to_string())?;
     }
--- a/crates/lab/src/prove/disks.rs
+++ b/crates/lab/src/prove/disks.rs
@@ -12,8 +12,8 @@
 use super::played::{end, fault};
 use super::shape;
 use crate::record::account::{judge, Run};
-use crate::rig::fleet::{play, Fleet, Plays};
-use crate::rig::member::Beside;
+use crate::rig::fleet::{play, Fleet, FleetHooks};
+use crate::rig::member::MemberOptions;
 use crate::rig::scenario::{Class, Fault, Load, Scenario, Shape, Step, What};
 
 const FIRST_MS: u64 = 2_500; // milliseconds of load before the first loss
@@ -33,7 +33,7 @@
     said: Vec<(What, usize)>,
 }
 
-impl Plays for Disks {
+impl FleetHooks for Disks {
     fn turn(&mut self, fleet: &Fleet, since: i64) -> Vec<Fault> {
         let due = self.owners.first().is_some_and(|f| f.at_ms as i64 * 1000 <= since);
         if !due {
@@ -115,7 +115,7 @@
     let beside = (0..scenario.fleet.fronts).map(|front| {
         let drill = folder.0.join(format!("drill{front}"));
         let ledger = format!(", shards: 4, repair_after_ms: {REPAIR_AFTER_MS}, drill: '{}'", drill.display());
-        Beside { ledger, drill: Some(drill), ..Beside::default() }
+        MemberOptions { ledger, drill: Some(drill), ..MemberOptions::default() }
     });
     let fleet = Fleet::start_with(&scenario, seed, beside.collect(), None)?;
     let planned = owners.len();
--- a/crates/lab/src/prove/postgres.rs
+++ b/crates/lab/src/prove/postgres.rs
@@ -102,7 +102,7 @@
 /// Asks the front to end, and clients with it.
 fn end_front(front: &mut Front, notes: &Notes, wrong: &mut Violations) {
     front.terminate();
-    notes.ends.store(true, SeqCst);
+    notes.stop.store(true, SeqCst);
     let ended = front.ended();
     if ended.is_none_or(|(well, _)| !well) {
         add(wrong, "front", format!("after SIGTERM: {ended:?}"));
--- a/crates/lab/src/prove/postgres/notes.rs
+++ b/crates/lab/src/prove/postgres/notes.rs
@@ -15,7 +15,7 @@
     /// Statements that were accepted: completed, or ended by an error of their own.
     pub count: AtomicUsize,
     /// Clients are to end.
-    pub ends: AtomicBool,
+    pub stop: AtomicBool,
     /// All clients have ended.
     pub(super) done: AtomicBool,
     /// How often each fault was played by now, and engines drained.
@@ -32,7 +32,7 @@
             asked: Mutex::default(),
             transactions: Mutex::default(),
             count: AtomicUsize::new(0),
-            ends: AtomicBool::new(false),
+            stop: AtomicBool::new(false),
             done: AtomicBool::new(false),
             rounds: AtomicUsize::new(0),
             drains: AtomicUsize::new(0),
@@ -62,7 +62,7 @@
 
     /// Whether clients are to end.
     pub fn over(&self) -> bool {
-        self.ends.load(SeqCst)
+        self.stop.load(SeqCst)
     }
 
     pub(super) fn done(&self) -> bool {
--- a/crates/lab/src/prove/promises.rs
+++ b/crates/lab/src/prove/promises.rs
@@ -112,7 +112,7 @@
             let stall = fault(What::Stall, at, chance.random_range(3_000..4_500));
             vec![Fault { front, ..stall }]
         }
-        // StatementRecord to end: it hands over what it owns, and nothing that it was asked is excused.
+        // Asked to end: it hands over what it owns, and nothing that it was asked is excused.
         "end" => vec![Fault { front, ..fault(What::Term, at, chance.random_range(500..2_000)) }],
         _ => draw_bad_links(chance, at, split),
     }
--- a/crates/lab/src/prove/roll.rs
+++ b/crates/lab/src/prove/roll.rs
@@ -14,8 +14,8 @@
 use super::shape;
 use crate::record::account::{judge, Run};
 use crate::record::rolled::{self, Terms};
-use crate::rig::fleet::{play, Fleet, Plays};
-use crate::rig::member::Beside;
+use crate::rig::fleet::{play, Fleet, FleetHooks};
+use crate::rig::member::MemberOptions;
 use crate::rig::scenario::{Class, Fault, Load, Scenario, What};
 
 const FIRST: i64 = 2_000_000; // microseconds of load before the first end
@@ -58,7 +58,7 @@
     played: Vec<Fault>,
 }
 
-impl Plays for Roll {
+impl FleetHooks for Roll {
     fn turn(&mut self, fleet: &Fleet, since: i64) -> Vec<Fault> {
         if !fleet.is_whole() {
             self.since = since;
@@ -134,7 +134,7 @@
     let (mut scenario, plan) = draw(seed, small, other.is_some());
     let fronts = scenario.fleet.fronts;
     let first = |front: usize| other.map(Path::to_path_buf).filter(|_| is_other(front));
-    let beside = (0..fronts).map(|front| Beside { program: first(front), ..Beside::default() });
+    let beside = (0..fronts).map(|front| MemberOptions { program: first(front), ..MemberOptions::default() });
     let fleet = Fleet::start_with(&scenario, seed, beside.collect(), None)?;
     let planned = plan.iter().map(|step| step.fronts.len()).sum::<usize>();
     let other = other.map(Path::to_path_buf);
--- a/crates/lab/src/prove/rules.rs
+++ b/crates/lab/src/prove/rules.rs
@@ -18,7 +18,7 @@
 use crate::record::barred::{self, Bar};
 use crate::record::executions::executions;
 use crate::record::hits;
-use crate::rig::fleet::{play, Fleet, Plays};
+use crate::rig::fleet::{play, Fleet, FleetHooks};
 use crate::rig::rules::{self, Files, RuleLogs, Set, DENIED, RULED};
 use crate::rig::scenario::{Class, Fault, Load, Scenario, Shape, What};
 
@@ -187,7 +187,7 @@
     }
 }
 
-impl Plays for Rules {
+impl FleetHooks for Rules {
     fn ready(&mut self, fleet: &Fleet) -> Result<(), String> {
         let until = Instant::now() + READY;
         while Instant::now() < until {
--- a/crates/lab/src/prove/sites.rs
+++ b/crates/lab/src/prove/sites.rs
@@ -18,7 +18,7 @@
 use crate::engine::Records;
 use crate::record::account::{judge, Account, Run};
 use crate::record::rows::{self, Scatter};
-use crate::rig::fleet::{play, Fleet, Plays};
+use crate::rig::fleet::{play, Fleet, FleetHooks};
 use crate::rig::member::Member;
 use crate::rig::scenario::{Class, Effect, Fault, Load, Scenario, Shape, What};
 use crate::rig::sites::{Sites, BAD};
@@ -127,7 +127,7 @@
     }
 }
 
-impl Plays for Plan {
+impl FleetHooks for Plan {
     fn ready(&mut self, fleet: &Fleet) -> Result<(), String> {
         self.tell(fleet);
         let (seed, members, records) =
@@ -242,7 +242,7 @@
     /// Those with a row that matches.
     pub with_rows: i64,
     pub missing: usize,
-    /// SitesAsked and without rows, by why.
+    /// Asked and without rows, by why.
     pub needless: BTreeMap<String, u64>,
 }
 
--- a/crates/lab/src/record/account.rs
+++ b/crates/lab/src/record/account.rs
@@ -11,7 +11,7 @@
 use crate::engine::lines::Warmth;
 use crate::engine::{EngineEvent, WireEvent};
 use crate::rig::datagrams::RelayedDatagram;
-use crate::rig::member::End;
+use crate::rig::member::Shutdown;
 use crate::rig::relay::Relayed;
 use crate::rig::scenario::{Fault, Scenario, Step, What};
 use crate::rig::starved::Starved;
@@ -37,7 +37,7 @@
     /// Faults as played: what, from, to.
     pub played: Vec<(Fault, i64, i64)>,
     /// Ends that fronts were asked for.
-    pub ends: Vec<End>,
+    pub shutdowns: Vec<Shutdown>,
     pub turned_away: i64,
     /// The most asked of any engine at once against what it bore then, and the same of each since its last start.
     pub peak: f64,
--- a/crates/lab/src/record/rolled.rs
+++ b/crates/lab/src/record/rolled.rs
@@ -36,7 +36,7 @@
 }
 
 pub fn check(wrong: &mut Violations, account: &Account, terms: Terms, tallies: &mut Tallies) {
-    let Account { asked, ends, starved, .. } = account;
+    let Account { asked, shutdowns, starved, .. } = account;
     let busy = starved.spans();
     let is_busy = |from: i64, to: i64| busy.iter().any(|(f, t)| *f <= to && from <= *t);
     let mut add = |rule: &'static str, what: String| wrong.entry(rule).or_default().push(what);
@@ -59,7 +59,7 @@
     let waited = waits(asked, &ran);
     let mut all: Vec<i64> = waited.iter().map(|(_, wait, _)| *wait / 1000).collect();
     all.sort_unstable();
-    let near = |at: i64| ends.iter().any(|end| end.asked <= at && at <= end.gone + terms.most_wait);
+    let near = |at: i64| shutdowns.iter().any(|end| end.asked <= at && at <= end.gone + terms.most_wait);
     let ended: Vec<i64> =
         waited.iter().filter(|(.., at)| near(*at)).map(|(_, wait, _)| *wait / 1000).collect();
     for (o, wait, at) in &waited {
@@ -68,7 +68,7 @@
             add("long_wait", format!("{id} {} at front {}: {ms} ms", o.asked.key, o.front));
         }
     }
-    for end in ends {
+    for end in shutdowns {
         let took = end.gone.saturating_sub(end.asked);
         if !end.well || took > terms.most_end && !is_busy(end.asked, end.gone) {
             let how = if end.well { "well" } else { "with an error" };
@@ -76,7 +76,7 @@
         }
     }
     // Statements that needed a promise and were out at a front when it was asked to end.
-    let out = |end: &&crate::rig::member::End| {
+    let out = |end: &&crate::rig::member::Shutdown| {
         let out = |o: &Offered| {
             o.front == end.front && needs(o) && o.asked.sent < end.asked && end.asked < o.asked.answered
         };
@@ -88,9 +88,9 @@
         ("wait_most_ms", all.last().copied().unwrap_or(0)),
         ("waited_during_ends", ended.len() as i64),
         ("wait_most_during_ends_ms", ended.into_iter().max().unwrap_or(0)),
-        ("ends", ends.iter().filter(|end| end.well).count() as i64),
-        ("ends_with_promises_out", ends.iter().filter(out).count() as i64),
-        ("end_most_ms", ends.iter().map(|e| e.gone.saturating_sub(e.asked)).max().unwrap_or(0) / 1000),
+        ("ends", shutdowns.iter().filter(|end| end.well).count() as i64),
+        ("ends_with_promises_out", shutdowns.iter().filter(out).count() as i64),
+        ("end_most_ms", shutdowns.iter().map(|e| e.gone.saturating_sub(e.asked)).max().unwrap_or(0) / 1000),
     ] {
         tallies.insert(key, value);
     }
--- a/crates/lab/src/record/rolled_tests.rs
+++ b/crates/lab/src/record/rolled_tests.rs
@@ -3,11 +3,11 @@
 use super::*;
 use crate::engine::{EngineEvent, Kind};
 use crate::record::account::offered;
-use crate::rig::member::End;
+use crate::rig::member::Shutdown;
 
 const TERMS: Terms = Terms { most_wait: 500_000, most_end: 3_000_000 };
 
-fn account(began: i64, outcome: Outcome, end: End) -> Account {
+fn account(began: i64, outcome: Outcome, end: Shutdown) -> Account {
     let mut own = offered("b", 1, 1_000_000);
     (own.asked.key, own.asked.outcome, own.asked.answered) = ("k".into(), outcome, began + 100_000);
     let event = |at, id: &str, link, ends| {
@@ -22,7 +22,7 @@
         event(began + 50_000, "b", 2, true),
     ];
     let sent_by = HashMap::from([((0, 1), 0), ((0, 2), 1)]);
-    Account { asked: vec![own], engine_events, sent_by, ends: vec![end], ..Account::default() }
+    Account { asked: vec![own], engine_events, sent_by, shutdowns: vec![end], ..Account::default() }
 }
 
 fn found(account: &Account) -> (Vec<&'static str>, Tallies) {
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_refusal_a_loss_and_a_wait_beyond_that_for_the_key_are_found() {
-    let well = End { front: 1, asked: 1_100_000, gone: 2_000_000, well: true };
+    let well = Shutdown { front: 1, asked: 1_100_000, gone: 2_000_000, well: true };
     let done = || Outcome::Completed { rows: 1 };
     let (rules, tallies) = found(&account(1_700_000, done(), well.clone()));
     assert!(rules.is_empty(), "{rules:?}");
@@ -48,7 +48,7 @@
     let mut busy = account(1_700_001, Outcome::Lost, well.clone());
     busy.starved = crate::rig::starved::Starved::of(0, (1_000_000, 1_300_000), 250_000);
     assert!(found(&busy).0.is_empty());
-    for end in [End { well: false, ..well.clone() }, End { gone: 4_100_001, ..well }] {
+    for end in [Shutdown { well: false, ..well.clone() }, Shutdown { gone: 4_100_001, ..well }] {
         assert_eq!(found(&account(1_300_000, done(), end)).0, ["end"]);
     }
 }
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -11,7 +11,7 @@
 
 use super::agreed::{settings, zone_name};
 use super::datagrams::DatagramRelay;
-use super::member::{Beside, Ground, Keys, Member, Record};
+use super::member::{FleetConfig, Keys, Member, MemberOptions, Record};
 use super::relay::{Link, Relayed};
 use super::scenario::{Fault, Scenario, Shape, Step};
 use super::stage::Stage;
@@ -33,7 +33,7 @@
     engines: Vec<Arc<Engine>>,
     links: Vec<Vec<Arc<Link>>>,
     pub members: Vec<Arc<Member>>,
-    ground: Ground,
+    config: FleetConfig,
     /// The ids of every front process that was started.
     pids: Vec<u32>,
 }
@@ -48,7 +48,7 @@
     pub(crate) fn start_with(
         scenario: &Scenario,
         seed: u64,
-        beside: Vec<Beside>,
+        beside: Vec<MemberOptions>,
         holds: Option<Arc<dyn Holds>>,
     ) -> Result<Fleet, String> {
         let why = |e: std::io::Error| e.to_string();
@@ -61,7 +61,7 @@
             .collect::<Result<_, _>>()
             .map_err(why)?;
         let gossip = start_gossip(shape, seed, &records).map_err(why)?;
-        let ground = Ground { seed, settings: settings(scenario), beside, gossip };
+        let config = FleetConfig { seed, settings: settings(scenario), beside, gossip };
         let (mut links, mut members, mut pids) = (Vec::new(), Vec::new(), Vec::new());
         let mut clocks = Pcg64Mcg::seed_from_u64(seed ^ 0x636c_6f63);
         let apart = shape.clocks_apart_ms as i64;
@@ -77,19 +77,19 @@
             let coordinator = start_coordinator(&own).map_err(why)?;
             links.push(own);
             let ahead_ms = clocks.random_range(-apart..=apart);
-            let program = ground.beside.get(front).and_then(|beside| beside.program.clone());
+            let program = config.beside.get(front).and_then(|beside| beside.program.clone());
             let member = Arc::new(Member::new(front, coordinator, ahead_ms, program));
-            pids.push(member.start(&ground)?);
+            pids.push(member.start(&config)?);
             members.push(member);
         }
-        Ok(Fleet { records, record, relayed, engines, links, members, ground, pids })
+        Ok(Fleet { records, record, relayed, engines, links, members, config, pids })
     }
 
     /// The front that sent most bytes to others lately, of those that run and are not `but`: it owns shards of the
     /// ledger.
     pub(crate) fn busiest(&self, but: &[usize]) -> Option<usize> {
         let since = self.records.now() - LATELY_US;
-        let (_, relay) = self.ground.gossip.as_ref()?;
+        let (_, relay) = self.config.gossip.as_ref()?;
         let mut bytes = vec![0; self.members.len()];
         relay.datagrams().iter().filter(|p| p.at >= since).for_each(|p| bytes[p.from] += p.bytes);
         let here = (0..bytes.len()).filter(|n| !but.contains(n) && !self.members[*n].away.load(SeqCst));
@@ -102,8 +102,8 @@
     }
 
     fn stage(&self) -> Stage<'_> {
-        let Fleet { records, links, members, engines, ground, .. } = self;
-        Stage { records, links, members, engines, ground }
+        let Fleet { records, links, members, engines, config, .. } = self;
+        Stage { records, links, members, engines, config }
     }
 
     /// Ends all fronts, and gives what was seen of them.
@@ -133,12 +133,12 @@
             steps: self.records.steps.lock().map(|s| s.clone()).unwrap_or_default(),
             engine_events: self.records.deeds.lock().map(|d| d.clone()).unwrap_or_default(),
             relayed: self.relayed.lock().map(|r| r.clone()).unwrap_or_default(),
-            datagrams: self.ground.gossip.as_ref().map(|(_, relay)| relay.datagrams()).unwrap_or_default(),
+            datagrams: self.config.gossip.as_ref().map(|(_, relay)| relay.datagrams()).unwrap_or_default(),
             played,
-            ends: self
+            shutdowns: self
                 .members
                 .iter()
-                .flat_map(|m| m.ends.lock().map(|e| e.clone()).unwrap_or_default())
+                .flat_map(|m| m.shutdowns.lock().map(|e| e.clone()).unwrap_or_default())
                 .collect(),
             turned_away: self.engines.iter().map(|e| e.turned_away.load(SeqCst) as i64).sum(),
             peak: self.engines.iter().map(|e| e.peak()).fold(0.0, f64::max),
@@ -187,7 +187,7 @@
 }
 
 /// What is played on a fleet beside the faults of its scenario.
-pub(crate) trait Plays {
+pub(crate) trait FleetHooks {
     /// The fronts have started; the load begins when this returns.
     fn ready(&mut self, _fleet: &Fleet) -> Result<(), String> {
         Ok(())
@@ -209,14 +209,14 @@
 
 struct Nothing;
 
-impl Plays for Nothing {}
+impl FleetHooks for Nothing {}
 
 /// Plays the scenario with what comes beside it; gives what was seen, and the ids of all processes.
 pub(crate) fn play(
     fleet: Fleet,
     scenario: &Scenario,
     seed: u64,
-    beside: &mut dyn Plays,
+    beside: &mut dyn FleetHooks,
 ) -> Result<(Account, Vec<u32>), String> {
     beside.ready(&fleet)?;
     let began = fleet.records.now();
@@ -231,11 +231,11 @@
     let mut faults = scenario.faults.clone();
     faults.sort_by_key(|f| f.at_ms);
     let mut started = Vec::new();
-    let (mut played, mut ends, mut next) = (Vec::new(), Vec::<(i64, i64, Fault)>::new(), 0);
+    let (mut played, mut playing, mut next) = (Vec::new(), Vec::<(i64, i64, Fault)>::new(), 0);
     let over = began + scenario.seconds as i64 * 1_000_000;
     loop {
         let now = fleet.records.now() - began;
-        if (began + now >= over || beside.is_done(now)) && ends.is_empty() {
+        if (began + now >= over || beside.is_done(now)) && playing.is_empty() {
             break;
         }
         while let Some(fault) = faults.get(next).filter(|f| f.at_ms as i64 * 1000 <= now) {
@@ -247,12 +247,12 @@
             let fault = fault.on(probed);
             stage.begin(&fault);
             // From when it was in force: a busy machine may have begun it later than it was to be.
-            ends.push((now + fault.for_ms as i64 * 1000, fleet.records.now(), fault));
+            playing.push((now + fault.for_ms as i64 * 1000, fleet.records.now(), fault));
             next += 1;
         }
         let over = |(at, _, fault): &(i64, i64, Fault)| *at <= now && !stage.still_ends(fault);
-        let (due, later): (Vec<_>, Vec<_>) = ends.drain(..).partition(over);
-        ends = later;
+        let (due, later): (Vec<_>, Vec<_>) = playing.drain(..).partition(over);
+        playing = later;
         for (_, from, fault) in due {
             started.extend(stage.end(&fault)?);
             played.push((fault, from, fleet.records.now()));
@@ -260,7 +260,7 @@
         for fault in beside.turn(&fleet, now) {
             let fault = Fault { at_ms: now as u64 / 1000, ..fault };
             stage.begin(&fault);
-            ends.push((now + fault.for_ms as i64 * 1000, fleet.records.now(), fault));
+            playing.push((now + fault.for_ms as i64 * 1000, fleet.records.now(), fault));
         }
         std::thread::sleep(Duration::from_millis(5));
     }
--- a/crates/lab/src/rig/member.rs
+++ b/crates/lab/src/rig/member.rs
@@ -36,7 +36,7 @@
     /// The program that its next life is; none: the one beside the lab.
     pub(crate) program: Mutex<Option<PathBuf>>,
     /// Its ends that were asked for.
-    pub(crate) ends: Mutex<Vec<End>>,
+    pub(crate) shutdowns: Mutex<Vec<Shutdown>>,
     /// Spans, in microseconds since the rig began, in which it was stopped, killed or ending: a statement out at
     /// it then may be late or lost by a fault of its own.
     pub(crate) troubled: Mutex<Vec<(i64, i64)>>,
@@ -46,7 +46,7 @@
 
 /// An end that a front was asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct End {
+pub struct Shutdown {
     pub front: usize,
     /// When it was asked, and when its process was gone.
     pub asked: i64,
@@ -71,7 +71,7 @@
             away: AtomicBool::new(false),
             until: AtomicI64::new(0),
             program: Mutex::new(program),
-            ends: Mutex::default(),
+            shutdowns: Mutex::default(),
             troubled: Mutex::default(),
             logs: Mutex::default(),
         }
@@ -92,30 +92,30 @@
     /// It is asked to end.
     pub(crate) fn asked_to_end(&self, now: i64) {
         self.until.store(now + STILL_COME, SeqCst);
-        if let Ok(mut ends) = self.ends.lock() {
-            ends.push(End { front: self.number, asked: now, gone: i64::MAX, well: false });
+        if let Ok(mut shutdowns) = self.shutdowns.lock() {
+            shutdowns.push(Shutdown { front: self.number, asked: now, gone: i64::MAX, well: false });
         }
     }
 
     /// When its end that was asked for last should long be over.
     pub(crate) fn ends_by(&self) -> i64 {
-        let asked = self.ends.lock().ok().and_then(|ends| ends.last().map(|end| end.asked));
+        let asked = self.shutdowns.lock().ok().and_then(|shutdowns| shutdowns.last().map(|end| end.asked));
         asked.map_or(0, |asked| asked + LONGEST_END)
     }
 
     /// Its process is gone, after an end that it was asked for where one is open.
     pub(crate) fn has_ended(&self, now: i64, well: bool) {
-        if let Ok(mut ends) = self.ends.lock() {
-            let open = ends.iter_mut().filter(|end| end.gone == i64::MAX);
+        if let Ok(mut shutdowns) = self.shutdowns.lock() {
+            let open = shutdowns.iter_mut().filter(|end| end.gone == i64::MAX);
             open.for_each(|end| (end.gone, end.well) = (now, well));
         }
     }
 
     /// Starts its front, anew where it ran before; with gossip, the others it knows of are its seeds.
-    pub(crate) fn start(&self, ground: &Ground) -> Result<u32, String> {
-        let beside = ground.beside.get(self.number).cloned().unwrap_or_default();
+    pub(crate) fn start(&self, config: &FleetConfig) -> Result<u32, String> {
+        let beside = config.beside.get(self.number).cloned().unwrap_or_default();
         let ahead = format!("clock_ahead_ms: {}{}", self.ahead_ms, beside.operator);
-        let operator = match &ground.gossip {
+        let operator = match &config.gossip {
             None => format!("{{ {ahead} }}"),
             Some((keys, relay)) => {
                 let mut chance = Pcg64Mcg::seed_from_u64(self.number as u64);
@@ -147,17 +147,17 @@
             }
         };
         let name = format!("f{}", self.number);
-        let seed = Pcg64Mcg::seed_from_u64(ground.seed ^ (self.number as u64) << 32).random();
+        let seed = Pcg64Mcg::seed_from_u64(config.seed ^ (self.number as u64) << 32).random();
         let own = (operator.as_str(), beside.environment.as_slice());
         let program = self.program.lock().ok().and_then(|program| program.clone());
         let started =
-            Front::named((&name, seed), &ground.settings, own, &self.coordinator, (SOCKETS, program))?;
+            Front::named((&name, seed), &config.settings, own, &self.coordinator, (SOCKETS, program))?;
         if let Ok(mut logs) = self.logs.lock() {
             logs.push(started.log());
         }
         let at = started.logged("talks with other fronts");
         let at = at.and_then(|line| line.rsplit(' ').next().and_then(|word| word.parse().ok()));
-        if let Some(((_, relay), at)) = ground.gossip.as_ref().zip(at) {
+        if let Some(((_, relay), at)) = config.gossip.as_ref().zip(at) {
             relay.front(self.number, at);
         }
         let pid = started.pid();
@@ -203,7 +203,7 @@
 
 /// What a front has beside what all have: rules, sites, drills.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Beside {
+pub(crate) struct MemberOptions {
     /// Further keys of its operator's file and of the ledger's part of it, each with a comma before it.
     pub(crate) operator: String,
     pub(crate) ledger: String,
@@ -215,11 +215,11 @@
 }
 
 /// What all fronts of a run share.
-pub(crate) struct Ground {
+pub(crate) struct FleetConfig {
     pub(crate) seed: u64,
     pub(crate) settings: serde_json::Value,
     /// For each front; fronts beyond have nothing of their own.
-    pub(crate) beside: Vec<Beside>,
+    pub(crate) beside: Vec<MemberOptions>,
     /// With gossip, the fronts' keys and the way between them.
     pub(crate) gossip: Option<(Keys, DatagramRelay)>,
 }
@@ -283,7 +283,7 @@
     }
 }
 
-impl Ground {
+impl FleetConfig {
     /// What a front kept on disk is gone.
     pub(crate) fn lose_disk(&self, front: usize) {
         if let Some((keys, _)) = &self.gossip {
--- a/crates/lab/src/rig/rules.rs
+++ b/crates/lab/src/rig/rules.rs
@@ -8,7 +8,7 @@
 
 use super::agreed::zone_name;
 use super::fleet::Fleet;
-use super::member::Beside;
+use super::member::MemberOptions;
 
 /// The customer that rules are about, and its workload that they deny.
 pub const RULED: &str = "ruled";
@@ -62,7 +62,7 @@
     }
 
     /// Each front's part of the operator's file; each stands in a region of its own.
-    pub fn beside(&self, fronts: usize, zones: usize) -> Vec<Beside> {
+    pub fn beside(&self, fronts: usize, zones: usize) -> Vec<MemberOptions> {
         let regions: Vec<String> =
             (0..fronts).map(|n| format!("r{n}: ['{}']", zone_name(n % zones))).collect();
         let part = |front: usize, path: &Path| {
@@ -73,7 +73,8 @@
                 regions.join(", ")
             )
         };
-        let each = (0..fronts).map(|n| Beside { operator: part(n, &self.path(n)), ..Beside::default() });
+        let each = (0..fronts)
+            .map(|n| MemberOptions { operator: part(n, &self.path(n)), ..MemberOptions::default() });
         each.collect()
     }
 }
--- a/crates/lab/src/rig/sites.rs
+++ b/crates/lab/src/rig/sites.rs
@@ -12,7 +12,7 @@
 use hallmux_scatter::value::{Kind, Value};
 
 use super::agreed::zone_name;
-use super::member::Beside;
+use super::member::MemberOptions;
 use crate::engine::lines::Holds;
 
 pub const GROUP: u32 = 17;
@@ -88,7 +88,7 @@
         Ok(Sites { sites, engines_per_zone, keys, folder, landed: Mutex::default() })
     }
 
-    pub fn beside(&self, fronts: usize) -> Vec<Beside> {
+    pub fn beside(&self, fronts: usize) -> Vec<MemberOptions> {
         let hex = |key: &SigningKey| -> String {
             key.verifying_key().to_bytes().iter().map(|byte| format!("{byte:02x}")).collect()
         };
@@ -105,7 +105,7 @@
                 self.folder.join(format!("f{front}")).display()
             )
         };
-        (0..fronts).map(|n| Beside { operator: part(n), ..Beside::default() }).collect()
+        (0..fronts).map(|n| MemberOptions { operator: part(n), ..MemberOptions::default() }).collect()
     }
 
     /// The summary of what a site holds now, under its next version.
--- a/crates/lab/src/rig/stage.rs
+++ b/crates/lab/src/rig/stage.rs
@@ -7,7 +7,7 @@
 
 use super::agreed::zone_name;
 use super::death::DeathStep;
-use super::member::{Ground, Member, SOCKETS};
+use super::member::{FleetConfig, Member, SOCKETS};
 use super::relay::Link;
 use super::scenario::{Fault, What};
 use crate::engine::lines::Engine;
@@ -21,7 +21,7 @@
     pub(super) links: &'a [Vec<Arc<Link>>],
     pub(super) members: &'a [Arc<Member>],
     pub(super) engines: &'a [Arc<Engine>],
-    pub(super) ground: &'a Ground,
+    pub(super) config: &'a FleetConfig,
 }
 
 impl Stage<'_> {
@@ -36,7 +36,7 @@
     }
 
     fn set_datagram_faults(&self, change: impl FnOnce(&mut super::datagrams::DatagramFaults)) {
-        if let Some((_, relay)) = &self.ground.gossip {
+        if let Some((_, relay)) = &self.config.gossip {
             relay.set(change);
         }
     }
@@ -87,8 +87,8 @@
                 member.goes_away(self.records.now());
                 member.signal(Signal::SIGKILL);
             }),
-            What::DiskFull => self.ground.drill(fault.front, "full"),
-            What::DiskSlow => self.ground.drill(fault.front, &format!("slow {}", fault.delay_ms)),
+            What::DiskFull => self.config.drill(fault.front, "full"),
+            What::DiskSlow => self.config.drill(fault.front, &format!("slow {}", fault.delay_ms)),
             What::Term => {
                 member.asked_to_end(self.records.now());
                 member.away.store(true, SeqCst);
@@ -115,7 +115,7 @@
                 scope.spawn(move || {
                     let old = member.front.lock().map(|mut f| f.take());
                     old.ok().flatten().into_iter().for_each(|mut old| _ = old.ended());
-                    let pid = member.start(self.ground)?;
+                    let pid = member.start(self.config)?;
                     member.is_back(self.records.now());
                     Ok(pid)
                 })
@@ -166,11 +166,11 @@
                 }
                 mended();
             }
-            What::DiskSlow => self.ground.drill(fault.front, ""),
+            What::DiskSlow => self.config.drill(fault.front, ""),
             What::Release => return self.start_all(fault),
             What::Kill | What::Term | What::LoseDisk | What::DiskFull => {
                 if fault.what == What::DiskFull {
-                    self.ground.drill(fault.front, "");
+                    self.config.drill(fault.front, "");
                     self.begin(&Fault { what: What::Kill, step: None, ..fault.clone() });
                 }
                 let front = member.front.lock().map(|mut f| f.take());
@@ -179,9 +179,9 @@
                     member.has_ended(self.records.now(), well);
                 }
                 if fault.what == What::LoseDisk {
-                    self.ground.lose_disk(member.number);
+                    self.config.lose_disk(member.number);
                 }
-                let pid = member.start(self.ground)?;
+                let pid = member.start(self.config)?;
                 mended();
                 return Ok(vec![pid]);
             }
