--- a/crates/lab/src/prove/promises.rs
+++ b/crates/lab/src/prove/promises.rs
@@ -4,7 +4,6 @@
 
 use std::time::Instant;
 
-use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -40,13 +39,14 @@
 }
 
 /// The kinds of trouble that a run takes its turn of; each of them comes in a whole run.
-const KINDS: [&str; 7] = ["loss", "loss_again", "cut_two", "cut_three", "stall", "words", "end"];
+const KINDS: [&str; 7] = ["loss", "loss_again", "cut_two", "cut_three", "stall", "bad_links", "end"];
+const SMALL: usize = 3; // kinds in a small run
 
 /// The run of a seed.
 pub fn draw(seed: u64, way: Way) -> Scenario {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let fronts = way.fronts.unwrap_or_else(|| chance.random_range(5..=7));
-    let kinds = draw_kinds(&mut chance, way.small);
+    let kinds = shape::draw_kinds(&mut chance, &KINDS, way.small.then_some((SMALL, "loss")));
     let mut faults = Vec::new();
     let mut lost = None;
     for (slot, kind) in kinds.iter().enumerate() {
@@ -73,19 +73,6 @@
     }
 }
 
-/// The kinds of trouble of a run, in the order in which they come.
-fn draw_kinds(chance: &mut Pcg64Mcg, small: bool) -> Vec<&'static str> {
-    let mut kinds = KINDS.to_vec();
-    kinds.shuffle(chance);
-    if small {
-        // A loss is always among them.
-        kinds.sort_by_key(|kind| *kind != "loss");
-        kinds.truncate(3);
-        kinds.shuffle(chance);
-    }
-    kinds
-}
-
 /// The faults of a slot that begins at `at`; `lost` is the front whose disk was lost before.
 fn draw_faults(chance: &mut Pcg64Mcg, kind: &str, at: u64, fronts: usize, lost: Option<usize>) -> Vec<Fault> {
     let mut front = chance.random_range(0..fronts);
--- a/crates/lab/src/prove/rules.rs
+++ b/crates/lab/src/prove/rules.rs
@@ -35,6 +35,7 @@
 const REPORT: usize = 1;
 const AUDIT: usize = 2;
 const KINDS: [&str; 4] = ["two", "stalled", "cut", "killed"];
+const SMALL: usize = 2; // kinds in a small run
 
 /// A change of the rules: when, which files at which fronts.
 #[derive(Clone, Debug, PartialEq)]
@@ -57,7 +58,7 @@
 fn draw(seed: u64, small: bool) -> Plan {
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x7275_6c65);
     let (fronts, zones) = (5, 3);
-    let kinds = draw_kinds(&mut chance, small);
+    let kinds = shape::draw_kinds(&mut chance, &KINDS, small.then_some((SMALL, "cut")));
     let mut set = Set { version: 1, barred: BTreeSet::from([chance.random_range(0..zones)]) };
     let first = set.clone();
     let (mut faults, mut changes, mut old) = (Vec::new(), Vec::new(), Vec::new());
@@ -100,19 +101,6 @@
     Plan { scenario, first, changes, old }
 }
 
-/// The kinds of changes of a run, in the order in which they come.
-fn draw_kinds(chance: &mut Pcg64Mcg, small: bool) -> Vec<&'static str> {
-    let mut kinds = KINDS.to_vec();
-    kinds.shuffle(chance);
-    if small {
-        // A change during a cut is always among them.
-        kinds.sort_by_key(|kind| *kind != "cut");
-        kinds.truncate(2);
-        kinds.shuffle(chance);
-    }
-    kinds
-}
-
 /// The next version: a zone more is barred than before, or another: always something that was allowed.
 fn draw_next(set: &Set, zones: usize, chance: &mut Pcg64Mcg) -> Set {
     let open: Vec<usize> = (0..zones).filter(|zone| !set.barred.contains(zone)).collect();
--- a/crates/lab/src/prove/shape.rs
+++ b/crates/lab/src/prove/shape.rs
@@ -1,7 +1,28 @@
-//! What the fleets of proofs have in common: their shape, their engines, and the workloads that need promises.
+//! What the fleets of proofs have in common: their shape, their engines, the workloads that need promises, and the
+//! order in which kinds of trouble come.
+
+use rand::seq::SliceRandom;
+use rand_pcg::Pcg64Mcg;
 
 use crate::rig::scenario::{Class, Effect, Shape, Warm};
 
+/// The kinds of trouble of a run, in the order drawn. A small run has so many of them, the named one always
+/// among these.
+pub(super) fn draw_kinds(
+    chance: &mut Pcg64Mcg,
+    kinds: &[&'static str],
+    small: Option<(usize, &str)>,
+) -> Vec<&'static str> {
+    let mut drawn = kinds.to_vec();
+    drawn.shuffle(chance);
+    if let Some((count, always)) = small {
+        drawn.sort_by_key(|kind| *kind != always);
+        drawn.truncate(count);
+        drawn.shuffle(chance);
+    }
+    drawn
+}
+
 /// Fronts that talk with each other, their promises on three of them, engines in three zones.
 pub(super) fn fleet(fronts: usize) -> Shape {
     Shape {
