--- a/crates/lab/src/record/given_up.rs
+++ b/crates/lab/src/record/given_up.rs
@@ -47,7 +47,10 @@
 /// rig was late, before the run began: then it was never out.
 fn given_up(account: &Account, run: &EngineEvent) -> Option<i64> {
     let (port, id) = account.came.get(&(run.engine, run.link))?;
-    let is_want = |w: &&WireEvent| matches!(&w.kind, WireEventKind::Line { verb, id: other, .. } if verb == "want" && other == id);
+    let is_want = |w: &&WireEvent| match &w.kind {
+        WireEventKind::Line { verb, id: other, .. } => verb == "want" && other == id,
+        _ => false,
+    };
     let is_here = |w: &&WireEvent| (w.engine, w.port) == (run.engine, *port);
     let since = account.wire_events.iter().filter(is_here).find(is_want)?.at;
     let here = || account.wire_events.iter().filter(is_here).filter(|w| w.at >= since);
