--- a/crates/lab/src/check/answers.rs
+++ b/crates/lab/src/check/answers.rs
@@ -2,18 +2,18 @@
 
 use std::collections::{HashMap, HashSet};
 
-use super::{add, Agreed, Asked, Execution, Outcome, Repeat, Transaction, Violations};
+use super::{add, Agreed, Execution, Outcome, Repeat, StatementRecord, Transaction, Violations};
 
 /// Exactly one final answer, whole and true, in time.
-pub(super) fn answers(wrong: &mut Violations, asked: &[Asked], agreed: &Agreed) {
+pub(super) fn answers(wrong: &mut Violations, asked: &[StatementRecord], agreed: &Agreed) {
     let mut seen = HashSet::new();
     for a in asked {
         if !seen.insert(&a.id) {
             add(wrong, "answers", format!("{}: two final answers", a.id));
         }
         // What was waited before it was due is no excuse.
-        let stood = agreed.stood.between(a.sent + a.timeout, a.answered);
-        let late = a.answered - a.sent > a.timeout + agreed.slack + stood;
+        let waited = agreed.waited.between(a.sent + a.timeout, a.answered);
+        let late = a.answered - a.sent > a.timeout + agreed.slack + waited;
         match &a.outcome {
             Outcome::Nothing => add(wrong, "answers", format!("{}: no answer", a.id)),
             Outcome::Spoilt => add(wrong, "answers", format!("{}: another's rows", a.id)),
@@ -44,7 +44,7 @@
                     "{}: after {ms} ms of {}, {} of them the machine's",
                     a.id,
                     a.timeout / 1000,
-                    stood / 1000
+                    waited / 1000
                 ),
             );
         }
@@ -54,7 +54,7 @@
 /// What was answered is what has come to pass.
 pub(super) fn effects(
     wrong: &mut Violations,
-    asked: &[Asked],
+    asked: &[StatementRecord],
     transactions: &[Transaction],
     executions: &HashMap<String, Vec<Execution>>,
     kept: &HashMap<String, usize>,
--- a/crates/lab/src/check/turns.rs
+++ b/crates/lab/src/check/turns.rs
@@ -2,13 +2,13 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::{add, Agreed, Asked, Drain, Execution, Outcome, Repeat, Violations};
-use crate::engine::{Deed, Kind};
+use super::{add, Agreed, Drain, Execution, Outcome, Repeat, StatementRecord, Violations};
+use crate::engine::{EngineEvent, Kind};
 
 /// Nothing twice that may not be, never two at once, and no more further executions than agreed.
 pub(super) fn repeats(
     wrong: &mut Violations,
-    asked: &[Asked],
+    asked: &[StatementRecord],
     executions: &HashMap<String, Vec<Execution>>,
     agreed: &Agreed,
 ) {
@@ -41,19 +41,24 @@
 }
 
 /// Nothing new to an engine that drains.
-pub(super) fn drains(wrong: &mut Violations, deeds: &[Deed], agreed: &Agreed) {
-    for deed in deeds {
-        let new = matches!(deed.kind, Kind::Began { .. } | Kind::Control { .. });
-        let drain = |d: &&Drain| d.engine == deed.engine && deed.at > d.from + agreed.grace && deed.at < d.to;
+pub(super) fn drains(wrong: &mut Violations, engine_events: &[EngineEvent], agreed: &Agreed) {
+    for event in engine_events {
+        let new = matches!(event.kind, Kind::Began { .. } | Kind::Control { .. });
+        let drain =
+            |d: &&Drain| d.engine == event.engine && event.at > d.from + agreed.grace && event.at < d.to;
         if let Some(drain) = agreed.drains.iter().find(drain).filter(|_| new) {
-            let ms = (deed.at - drain.from) / 1000;
-            add(wrong, "drains", format!("engine {}: {:?} after {ms} ms", deed.engine, deed.kind));
+            let ms = (event.at - drain.from) / 1000;
+            add(wrong, "drains", format!("engine {}: {:?} after {ms} ms", event.engine, event.kind));
         }
     }
 }
 
 /// Statements of one order key one at a time, in the order in which they were taken.
-pub(super) fn order(wrong: &mut Violations, asked: &[Asked], executions: &HashMap<String, Vec<Execution>>) {
+pub(super) fn order(
+    wrong: &mut Violations,
+    asked: &[StatementRecord],
+    executions: &HashMap<String, Vec<Execution>>,
+) {
     let mut by_key: BTreeMap<&str, Vec<(i64, i64, &str)>> = BTreeMap::new();
     for (id, ran) in executions {
         for x in ran.iter().filter(|x| !x.key.is_empty()) {
@@ -61,7 +66,7 @@
         }
     }
     // Between these the front took a statement, whatever the machine gave each of the processes to run.
-    let within = |a: &Asked| {
+    let within = |a: &StatementRecord| {
         let answered = matches!(a.outcome, Outcome::Completed { .. } | Outcome::Error(_));
         (a.sent, a.taken.or(answered.then_some(a.answered)).unwrap_or(i64::MAX))
     };
@@ -92,7 +97,7 @@
 
 pub(super) fn placement(
     wrong: &mut Violations,
-    asked: &[Asked],
+    asked: &[StatementRecord],
     executions: &HashMap<String, Vec<Execution>>,
     agreed: &Agreed,
 ) {
--- a/crates/lab/src/engine/record.rs
+++ b/crates/lab/src/engine/record.rs
@@ -8,13 +8,13 @@
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 
-use super::words::Word;
+use super::wire_events::WireEvent;
 use crate::rig::death::DeathStep;
 use crate::rig::scenario::Step;
 
 /// What an engine did; times are microseconds since the rig began.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Deed {
+pub struct EngineEvent {
     pub at: i64,
     pub engine: usize,
     pub link: u32,
@@ -38,7 +38,8 @@
 /// The records of all engines of a rig.
 pub struct Records {
     pub since: Instant,
-    pub deeds: Mutex<Vec<Deed>>,
+    /// What the engines did, in the order in which it was written down.
+    pub deeds: Mutex<Vec<EngineEvent>>,
     /// The front behind each connection to an engine, by the relay's end of it and the engine's: one port of the
     /// relay's side may lead to several engines.
     peers: Mutex<HashMap<(SocketAddr, SocketAddr), usize>>,
@@ -47,7 +48,7 @@
     /// What an engine wrote down under this link came over the connection from this port of the relay's, as this id.
     pub came: Mutex<HashMap<(usize, u32), (u16, String)>>,
     /// What was said over the connections between fronts and engines.
-    pub words: Mutex<Vec<Word>>,
+    pub wire_events: Mutex<Vec<WireEvent>>,
     /// Statements that were sent to any engine, by their front and the client's name for them.
     firsts: Mutex<HashSet<(usize, Vec<u8>)>>,
     armed: Mutex<Option<Armed>>,
@@ -69,7 +70,7 @@
             peers: Mutex::default(),
             sent_by: Mutex::default(),
             came: Mutex::default(),
-            words: Mutex::default(),
+            wire_events: Mutex::default(),
             firsts: Mutex::default(),
             armed: Mutex::default(),
             steps: Mutex::default(),
@@ -98,9 +99,9 @@
     }
 
     /// A relay has read this.
-    pub fn hears(&self, word: Word) {
-        if let Ok(mut words) = self.words.lock() {
-            words.push(word);
+    pub fn note_wire_event(&self, event: WireEvent) {
+        if let Ok(mut events) = self.wire_events.lock() {
+            events.push(event);
         }
     }
 
@@ -152,9 +153,9 @@
     }
 
     pub(super) fn note(&self, engine: usize, link: u32, kind: Kind) {
-        let deed = Deed { at: self.now(), engine, link, kind };
-        if let Ok(mut deeds) = self.deeds.lock() {
-            deeds.push(deed);
+        let event = EngineEvent { at: self.now(), engine, link, kind };
+        if let Ok(mut engine_events) = self.deeds.lock() {
+            engine_events.push(event);
         }
     }
 }
--- a/crates/lab/src/prove/rules.rs
+++ b/crates/lab/src/prove/rules.rs
@@ -18,8 +18,8 @@
 use crate::record::barred::{self, Bar};
 use crate::record::executions::executions;
 use crate::record::hits;
-use crate::rig::fleet::{play, Fleet, Plays};
-use crate::rig::rules::{self, Files, Set, Told, DENIED, RULED};
+use crate::rig::fleet::{play, Fleet, FleetHooks};
+use crate::rig::rules::{self, Files, RuleLogs, Set, DENIED, RULED};
 use crate::rig::scenario::{Class, Fault, Load, Scenario, Shape, What};
 
 const FIRST_MS: u64 = 1_000; // milliseconds of load before the first change
@@ -35,6 +35,7 @@
 const REPORT: usize = 1;
 const AUDIT: usize = 2;
 const KINDS: [&str; 4] = ["two", "stalled", "cut", "killed"];
+const SMALL: usize = 2; // kinds in a small run
 
 /// A change of the rules: when, which files at which fronts.
 #[derive(Clone, Debug, PartialEq)]
@@ -57,14 +58,7 @@
 fn draw(seed: u64, small: bool) -> Plan {
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x7275_6c65);
     let (fronts, zones) = (5, 3);
-    let mut kinds = KINDS.to_vec();
-    kinds.shuffle(&mut chance);
-    if small {
-        // A change during a cut is always among them.
-        kinds.sort_by_key(|kind| *kind != "cut");
-        kinds.truncate(2);
-        kinds.shuffle(&mut chance);
-    }
+    let kinds = shape::draw_kinds(&mut chance, &KINDS, small.then_some((SMALL, "cut")));
     let mut set = Set { version: 1, barred: BTreeSet::from([chance.random_range(0..zones)]) };
     let first = set.clone();
     let (mut faults, mut changes, mut old) = (Vec::new(), Vec::new(), Vec::new());
@@ -72,53 +66,55 @@
         let at = FIRST_MS + slot as u64 * SLOT_MS + chance.random_range(0..300);
         let mut others: Vec<usize> = (0..fronts).collect();
         others.shuffle(&mut chance);
-        let next = |set: &Set, chance: &mut Pcg64Mcg| {
-            // A zone more is barred than before, or another: always something that was allowed.
-            let open: Vec<usize> = (0..zones).filter(|zone| !set.barred.contains(zone)).collect();
-            let mut barred = BTreeSet::from([open[chance.random_range(0..open.len())]]);
-            if chance.random_bool(0.5) {
-                barred.insert(chance.random_range(0..zones));
-            }
-            Set { version: set.version + 1, barred }
-        };
-        let now = next(&set, &mut chance);
-        let at_change = at + 1_000;
-        let files = match *kind {
+        let now = draw_next(&set, zones, &mut chance);
+        let (files, fault) = match *kind {
             "two" => {
-                let mut other = next(&set, &mut chance);
-                while other == now {
-                    other = next(&set, &mut chance);
+                let mut rival = draw_next(&set, zones, &mut chance);
+                while rival == now {
+                    rival = draw_next(&set, zones, &mut chance);
                 }
-                vec![(others[0], now.clone()), (others[1], other)]
+                (vec![(others[0], now.clone()), (others[1], rival)], None)
             }
             "stalled" => {
                 let away = fault(What::Stall, at, chance.random_range(4_000..5_000));
-                faults.push(Fault { front: others[1], ..away });
-                vec![(others[0], now.clone())]
+                (vec![(others[0], now.clone())], Some(Fault { front: others[1], ..away }))
             }
             "cut" => {
                 let below = chance.random_range(1..fronts);
-                faults.push(Fault { front: below, ..fault(What::FrontsSplit, at, 5_500) });
+                let cut = Fault { front: below, ..fault(What::FrontsSplit, at, 5_500) };
                 // On either side: one of them has the majority of whoever keeps the rules.
-                vec![
-                    (chance.random_range(0..below), now.clone()),
-                    (chance.random_range(below..fronts), now.clone()),
-                ]
+                let sides = [chance.random_range(0..below), chance.random_range(below..fronts)];
+                (sides.map(|front| (front, now.clone())).to_vec(), Some(cut))
             }
             _ => {
                 // It comes back with the file that it had, by then an old one.
                 let gone = fault(What::Kill, at, chance.random_range(3_000..4_000));
-                faults.push(Fault { front: others[1], ..gone });
                 old.push((at + 5_500, others[2]));
-                vec![(others[0], now.clone())]
+                (vec![(others[0], now.clone())], Some(Fault { front: others[1], ..gone }))
             }
         };
-        changes.push(Change { at_ms: at_change, files, kind });
+        faults.extend(fault);
+        changes.push(Change { at_ms: at + 1_000, files, kind });
         set = now;
     }
+    let scenario = scenario(seed, &kinds, (fronts, zones), faults);
+    Plan { scenario, first, changes, old }
+}
+
+/// The next version: a zone more is barred than before, or another: always something that was allowed.
+fn draw_next(set: &Set, zones: usize, chance: &mut Pcg64Mcg) -> Set {
+    let open: Vec<usize> = (0..zones).filter(|zone| !set.barred.contains(zone)).collect();
+    let mut barred = BTreeSet::from([open[chance.random_range(0..open.len())]]);
+    if chance.random_bool(0.5) {
+        barred.insert(chance.random_range(0..zones));
+    }
+    Set { version: set.version + 1, barred }
+}
+
+fn scenario(seed: u64, kinds: &[&str], (fronts, zones): (usize, usize), faults: Vec<Fault>) -> Scenario {
     let report = Class { customer: RULED.into(), share: 3.0, ..Class::plain("report", 1_000) };
     let audit = Class { customer: RULED.into(), share: 1.0, ..Class::plain(DENIED, 1_000) };
-    let scenario = Scenario {
+    Scenario {
         seed: Some(seed),
         seconds: (FIRST_MS + kinds.len() as u64 * SLOT_MS + AFTER_MS) / 1000,
         fleet: Shape { zones, ..shape::fleet(fronts) },
@@ -126,8 +122,7 @@
         engine: shape::engines(),
         faults,
         classes: vec![Class { share: 2.0, ..Class::plain("lookup", 1_000) }, report, audit],
-    };
-    Plan { scenario, first, changes, old }
+    }
 }
 
 /// What is played beside the faults.
@@ -138,7 +133,7 @@
     /// Sets as they were offered, with when and at which front.
     offered: Vec<(i64, usize, Set)>,
     asked_front: usize,
-    told: Told,
+    logs: RuleLogs,
     hits: Option<BTreeMap<String, i64>>,
 }
 
@@ -155,8 +150,8 @@
         let own = |(at, front, set): &(i64, usize, Set)| {
             let rivals = || self.offered.iter().filter(|(_, _, other)| other.version == set.version);
             let alone = rivals().all(|(_, _, other)| other == set);
-            let won = self.told.accepted.get(&set.version).is_some_and(|by| by.contains(front));
-            let judged = self.told.judged.contains_key(&set.version);
+            let won = self.logs.accepted.get(&set.version).is_some_and(|by| by.contains(front));
+            let judged = self.logs.judged.contains_key(&set.version);
             (judged && (alone || won)).then(|| (*at, set.clone()))
         };
         let mut all: Vec<(i64, Set)> = self.offered.iter().filter_map(own).collect();
@@ -168,7 +163,7 @@
     fn bars(&self, end: i64) -> Vec<Bar> {
         let (lived, mut bars) = (self.lived(), Vec::new());
         for (n, (_, set)) in lived.iter().enumerate() {
-            let Some(in_force) = self.told.in_force.get(&set.version) else { continue };
+            let Some(in_force) = self.logs.in_force.get(&set.version) else { continue };
             for zone in &set.barred {
                 let ends = lived[n + 1..].iter().find(|(_, later)| !later.barred.contains(zone));
                 let until = ends.map_or(end, |(at, _)| *at);
@@ -180,14 +175,14 @@
     }
 }
 
-impl Plays for Rules {
+impl FleetHooks for Rules {
     fn ready(&mut self, fleet: &Fleet) -> Result<(), String> {
         let until = Instant::now() + READY;
         while Instant::now() < until {
             let judges = |m: &std::sync::Arc<crate::rig::member::Member>| {
                 !m.said("knows which rules hold").is_empty() || !m.said("judges by version 1 ").is_empty()
             };
-            if fleet.members.iter().all(judges) && rules::told(fleet).in_force.contains_key(&1) {
+            if fleet.members.iter().all(judges) && rules::read_logs(fleet).in_force.contains_key(&1) {
                 return Ok(());
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -210,10 +205,10 @@
     fn over(&mut self, fleet: &Fleet) {
         let last = self.offered.iter().map(|(_, _, set)| set.version).max().unwrap_or(1);
         let until = Instant::now() + LAST;
-        self.told = rules::told(fleet);
-        while !self.told.in_force.contains_key(&last) && Instant::now() < until {
+        self.logs = rules::read_logs(fleet);
+        while !self.logs.in_force.contains_key(&last) && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(50));
-            self.told = rules::told(fleet);
+            self.logs = rules::read_logs(fleet);
         }
         self.hits = rules::hits(fleet, self.asked_front, LAST);
     }
@@ -229,7 +224,8 @@
     let offered = vec![(0, 0, first)];
     let asked_front = (seed % fronts as u64) as usize;
     let planned = changes.clone();
-    let mut rules = Rules { files, changes, old, offered, asked_front, told: Told::default(), hits: None };
+    let mut rules =
+        Rules { files, changes, old, offered, asked_front, logs: RuleLogs::default(), hits: None };
     let (account, pids) = play(fleet, &scenario, seed, &mut rules)?;
     let mut run = judge(&scenario, &account, pids);
     checked(&mut run, &rules, &planned, &scenario, &account);
@@ -242,7 +238,7 @@
 
 fn checked(run: &mut Run, rules: &Rules, planned: &[Change], scenario: &Scenario, account: &Account) {
     let wrong = &mut run.violations;
-    let ran = executions(&account.deeds, &account.sent_by);
+    let ran = executions(&account.engine_events, &account.sent_by);
     let end = i64::MAX;
     let bars = rules.bars(end);
     let zone = |engine: usize| engine / scenario.fleet.engines_per_zone;
@@ -251,7 +247,7 @@
     let class = |id: &str| account.asked.iter().find(|o| o.asked.id == id).map(|o| o.class);
     let ruled = ran.iter().filter(|x| class(&x.id) == Some(REPORT)).count() as i64;
     run.tallies.insert("ruled_runs", ruled);
-    run.tallies.insert("versions_in_force", rules.told.in_force.len() as i64);
+    run.tallies.insert("versions_in_force", rules.logs.in_force.len() as i64);
     run.tallies.insert("bars", bars.len() as i64);
     let mut add = |rule: &'static str, what: String| wrong.entry(rule).or_default().push(what);
     if ruled < LEAST_RUN {
@@ -260,20 +256,20 @@
     let lived: BTreeSet<u64> = rules.lived().iter().map(|(_, set)| set.version).collect();
     for change in planned {
         let version = change.files[0].1.version;
-        if !lived.contains(&version) || !rules.told.in_force.contains_key(&version) {
+        if !lived.contains(&version) || !rules.logs.in_force.contains_key(&version) {
             add("run", format!("version {version} ({}) did not come to be in force", change.kind));
         }
-        if change.kind == "two" && rules.told.accepted.get(&version).map_or(0, Vec::len) > 1 {
+        if change.kind == "two" && rules.logs.accepted.get(&version).map_or(0, Vec::len) > 1 {
             add("two_in_force", format!("two files of version {version} became the fleet's"));
         }
-        if let (true, Some(at)) = (change.kind == "cut", rules.told.in_force.get(&version)) {
+        if let (true, Some(at)) = (change.kind == "cut", rules.logs.in_force.get(&version)) {
             let cuts = account.played.iter().filter(|(fault, ..)| fault.what == What::FrontsSplit);
             let inside = cuts.filter(|(_, from, to)| from <= at && at < to).count() as i64;
             run.tallies.insert("in_force_during_a_cut", inside);
         }
     }
     let killed = planned.iter().any(|change| change.kind == "killed");
-    let old: usize = rules.told.old.values().sum();
+    let old: usize = rules.logs.old.values().sum();
     run.tallies.insert("old_files_refused", old as i64);
     if killed && old < 2 {
         add("run", format!("{old} of 2 old files were refused"));
@@ -285,8 +281,8 @@
 fn denied(wrong: &mut Violations, account: &Account) {
     let refused = |o: &Offered| matches!(&o.asked.outcome, Outcome::Error(code) if code == "53000");
     let second = |o: &Offered| (o.front, o.asked.answered / 1_000_000);
-    let began: BTreeSet<&str> = (account.deeds.iter())
-        .filter_map(|deed| match &deed.kind {
+    let began: BTreeSet<&str> = (account.engine_events.iter())
+        .filter_map(|event| match &event.kind {
             Kind::Began { id, .. } => Some(id.as_str()),
             _ => None,
         })
@@ -308,7 +304,7 @@
 
 /// The fleet's hits, asked of one front, against what clients had answered.
 fn counted(run: &mut Run, rules: &Rules, account: &Account) {
-    let Some(told) = &rules.hits else {
+    let Some(fleet_hits) = &rules.hits else {
         let said = format!("front {} did not tell the fleet's hits", rules.asked_front);
         return run.violations.entry("run").or_default().push(said);
     };
@@ -326,7 +322,7 @@
             o
         })
         .collect();
-    run.tallies.insert("hits", told.values().sum());
+    run.tallies.insert("hits", fleet_hits.values().sum());
     run.tallies.insert("hits_sure", asked.iter().filter(|o| sure(o)).count() as i64);
     run.tallies.insert("hits_unsure", asked.iter().filter(|o| !sure(o)).count() as i64);
     let of = |o: &Offered, rule: &str| Some(format!("{rule} r{}", o.front));
@@ -334,7 +330,7 @@
     let counts = |o: &Offered| of(o, "counted").filter(|_| o.class == REPORT);
     let split = |counting: bool| {
         let holds = |rule: &str| rule.starts_with("counted") == counting;
-        told.iter().filter(|(rule, _)| holds(rule)).map(|(rule, n)| (rule.clone(), *n)).collect()
+        fleet_hits.iter().filter(|(rule, _)| holds(rule)).map(|(rule, n)| (rule.clone(), *n)).collect()
     };
     hits::check(&mut run.violations, &asked, &split(false), &decided);
     hits::check(&mut run.violations, &asked, &split(true), &counts);
--- a/crates/lab/src/record/account.rs
+++ b/crates/lab/src/record/account.rs
@@ -7,11 +7,11 @@
 pub use super::offered::offered;
 pub use super::offered::Offered;
 use super::{attempts, given_up, herd, promises};
-use crate::check::{self, Agreed, Asked, Outcome};
+use crate::check::{self, Agreed, Outcome, StatementRecord};
 use crate::engine::lines::Warmth;
-use crate::engine::{Deed, Word};
-use crate::rig::member::End;
-use crate::rig::post::Posted;
+use crate::engine::{EngineEvent, WireEvent};
+use crate::rig::datagrams::RelayedDatagram;
+use crate::rig::member::Shutdown;
 use crate::rig::relay::Relayed;
 use crate::rig::scenario::{Fault, Scenario, Step, What};
 use crate::rig::starved::Starved;
@@ -24,20 +24,20 @@
     /// When the load began.
     pub began: i64,
     pub asked: Vec<Offered>,
-    pub deeds: Vec<Deed>,
+    pub engine_events: Vec<EngineEvent>,
     /// The front that sent what an engine wrote down under a link.
     pub sent_by: HashMap<(usize, u32), usize>,
     /// The relay's port and the id that the same came over and under; what was said over all connections.
     pub came: HashMap<(usize, u32), (u16, String)>,
-    pub words: Vec<Word>,
+    pub wire_events: Vec<WireEvent>,
     /// Warnings of fronts, with when they were read.
     pub warned: Vec<(usize, i64, String)>,
     pub relayed: Vec<Relayed>,
-    pub posted: Vec<Posted>,
+    pub datagrams: Vec<RelayedDatagram>,
     /// Faults as played: what, from, to.
     pub played: Vec<(Fault, i64, i64)>,
     /// Ends that fronts were asked for.
-    pub ends: Vec<End>,
+    pub shutdowns: Vec<Shutdown>,
     pub turned_away: i64,
     /// The most asked of any engine at once against what it bore then, and the same of each since its last start.
     pub peak: f64,
@@ -104,10 +104,11 @@
     let mut violations = promises::check(scenario, account, &mut tallies);
     // What was asked again is another statement to the front that it came to. Order keys are the fleet's here, and have
     // a check of their own.
-    let statements: Vec<Asked> = asked.iter().map(promises::at_its_front).collect();
-    let deeds = given_up::ended(scenario, account);
-    let deeds: Vec<Deed> = deeds.iter().map(|deed| promises::by_its_front(deed, account)).collect();
-    for (rule, found) in check::check(&statements, &[], &deeds, &agreed) {
+    let statements: Vec<StatementRecord> = asked.iter().map(promises::at_its_front).collect();
+    let engine_events = given_up::ended(scenario, account);
+    let engine_events: Vec<EngineEvent> =
+        engine_events.iter().map(|event| promises::by_its_front(event, account)).collect();
+    for (rule, found) in check::check(&statements, &[], &engine_events, &agreed) {
         violations.entry(rule).or_default().extend(found);
     }
     attempts::name(&mut violations, account);
@@ -131,11 +132,11 @@
     if scenario.fleet.gossip {
         let seconds = scenario.seconds as i64 * scenario.fleet.fronts as i64;
         let over = account.began + scenario.seconds as i64 * SECOND;
-        let during = account.posted.iter().filter(|p| p.at >= account.began && p.at < over);
+        let during = account.datagrams.iter().filter(|p| p.at >= account.began && p.at < over);
         let sent: i64 = during.map(|p| p.bytes as i64).sum();
         tallies.insert("gossip_bytes_per_front_s", sent / seconds.max(1));
         tallies.insert("gossip_bytes_per_s", sent / (scenario.seconds as i64).max(1));
-        tallies.insert("gossip_lost", account.posted.iter().filter(|p| !p.passed).count() as i64);
+        tallies.insert("gossip_lost", account.datagrams.iter().filter(|p| !p.passed).count() as i64);
     }
     for (fault, from, to) in played {
         match fault.what {
--- a/crates/lab/src/record/promises.rs
+++ b/crates/lab/src/record/promises.rs
@@ -2,8 +2,8 @@
 
 use hallmux_ledger::Setup;
 
-use crate::check::{Asked, Outcome, Violations};
-use crate::engine::{Deed, Kind};
+use crate::check::{Outcome, StatementRecord, Violations};
+use crate::engine::{EngineEvent, Kind};
 use crate::rig::agreed::settings;
 use crate::rig::scenario::{Scenario, What};
 
@@ -19,15 +19,18 @@
 const SPARE: usize = 0; // statements that engines may have turned away
 
 /// The statement as one of the front that it was asked of: each front is asked for it once.
-pub fn at_its_front(offered: &Offered) -> Asked {
-    Asked { id: format!("{} at front {}", offered.asked.id, offered.front), ..offered.asked.clone() }
+pub fn at_its_front(offered: &Offered) -> StatementRecord {
+    StatementRecord {
+        id: format!("{} at front {}", offered.asked.id, offered.front),
+        ..offered.asked.clone()
+    }
 }
 
-/// The deed as one of the front that sent it, without its order key.
-pub fn by_its_front(deed: &Deed, account: &Account) -> Deed {
-    let mut deed = deed.clone();
-    let front = account.sent_by.get(&(deed.engine, deed.link)).copied().unwrap_or_default();
-    match &mut deed.kind {
+/// The event as one of the front that sent it, without its order key.
+pub fn by_its_front(event: &EngineEvent, account: &Account) -> EngineEvent {
+    let mut event = event.clone();
+    let front = account.sent_by.get(&(event.engine, event.link)).copied().unwrap_or_default();
+    match &mut event.kind {
         Kind::Began { id, key } => {
             key.clear();
             *id = format!("{id} at front {front}");
@@ -35,7 +38,7 @@
         Kind::Ended { id } | Kind::Kept { id } => *id = format!("{id} at front {front}"),
         _ => {}
     }
-    deed
+    event
 }
 
 /// Who could hear whom, from the faults as they were played.
@@ -87,7 +90,7 @@
 
 pub fn check(scenario: &Scenario, account: &Account, tallies: &mut Tallies) -> Violations {
     let mut wrong = Violations::new();
-    let ran = executions(&account.deeds, &account.sent_by);
+    let ran = executions(&account.engine_events, &account.sent_by);
     let lost: Vec<(usize, i64)> = (account.played.iter())
         .filter(|(fault, ..)| matches!(fault.what, What::Kill | What::LoseDisk))
         .map(|(fault, from, _)| (fault.front, *from))
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -2,7 +2,7 @@
 //! every engine, a schedule of faults from a scenario file, one record of all that happened, the rules checked
 //! on it, and a table by the second.
 
-use std::sync::atomic::{AtomicBool, AtomicI64, Ordering::SeqCst};
+use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
@@ -10,10 +10,10 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::agreed::{settings, zone_name};
-use super::member::{Beside, Ground, Keys, Member, Record};
-use super::post::Post;
+use super::datagrams::DatagramRelay;
+use super::member::{FleetConfig, Keys, Member, MemberOptions, Record};
 use super::relay::{Link, Relayed};
-use super::scenario::{Fault, Scenario, Step};
+use super::scenario::{Fault, Scenario, Shape, Step};
 use super::stage::Stage;
 use super::starved::{self, Starved};
 use super::Coordinator;
@@ -33,7 +33,7 @@
     engines: Vec<Arc<Engine>>,
     links: Vec<Vec<Arc<Link>>>,
     pub members: Vec<Arc<Member>>,
-    ground: Ground,
+    config: FleetConfig,
     /// The ids of every front process that was started.
     pids: Vec<u32>,
 }
@@ -48,7 +48,7 @@
     pub(crate) fn start_with(
         scenario: &Scenario,
         seed: u64,
-        beside: Vec<Beside>,
+        beside: Vec<MemberOptions>,
         holds: Option<Arc<dyn Holds>>,
     ) -> Result<Fleet, String> {
         let why = |e: std::io::Error| e.to_string();
@@ -60,62 +60,38 @@
             .map(|n| Engine::holding(n, records.clone(), warmth(scenario), holds.clone()))
             .collect::<Result<_, _>>()
             .map_err(why)?;
-        let zone_of = |engine: usize| engine / shape.engines_per_zone;
-        let gossip = match shape.gossip {
-            true => {
-                let (clock, steps) = (records.clone(), records.clone());
-                let left = move |front| steps.reached(Step::Copying, front);
-                let post = Post::start(shape.fronts, move || clock.now(), left).map_err(why)?;
-                Some((Keys::new(shape, seed).map_err(why)?, post))
-            }
-            false => None,
-        };
-        let ground = Ground { seed, settings: settings(scenario), beside, gossip };
+        let gossip = start_gossip(shape, seed, &records).map_err(why)?;
+        let config = FleetConfig { seed, settings: settings(scenario), beside, gossip };
         let (mut links, mut members, mut pids) = (Vec::new(), Vec::new(), Vec::new());
         let mut clocks = Pcg64Mcg::seed_from_u64(seed ^ 0x636c_6f63);
+        let apart = shape.clocks_apart_ms as i64;
         for front in 0..shape.fronts {
             let own: Vec<Arc<Link>> = engines
                 .iter()
                 .map(|e| {
-                    Link::start((front, e.number, zone_of(e.number)), e.at, records.clone(), relayed.clone())
+                    let zone = e.number / shape.engines_per_zone;
+                    Link::start((front, e.number, zone), e.at, records.clone(), relayed.clone())
                 })
                 .collect::<Result<_, _>>()
                 .map_err(why)?;
-            let coordinator = Coordinator::start().map_err(why)?;
-            let zones: Vec<String> = own.iter().map(|l| zone_name(l.zone)).collect();
-            let list: Vec<_> = own
-                .iter()
-                .zip(&zones)
-                .map(|(l, zone)| (format!("e{}", l.engine), l.at, "lines", "up", zone.as_str()))
-                .collect();
-            coordinator.tell_zoned(true, &list);
+            let coordinator = start_coordinator(&own).map_err(why)?;
             links.push(own);
-            let apart = shape.clocks_apart_ms as i64;
-            let member = Arc::new(Member {
-                front: Mutex::default(),
-                coordinator,
-                number: front,
-                ahead_ms: clocks.random_range(-apart..=apart),
-                away: AtomicBool::new(false),
-                until: AtomicI64::new(0),
-                program: Mutex::new(ground.beside.get(front).and_then(|beside| beside.program.clone())),
-                ends: Mutex::default(),
-                troubled: Mutex::default(),
-                logs: Mutex::default(),
-            });
-            pids.push(member.start(&ground)?);
+            let ahead_ms = clocks.random_range(-apart..=apart);
+            let program = config.beside.get(front).and_then(|beside| beside.program.clone());
+            let member = Arc::new(Member::new(front, coordinator, ahead_ms, program));
+            pids.push(member.start(&config)?);
             members.push(member);
         }
-        Ok(Fleet { records, record, relayed, engines, links, members, ground, pids })
+        Ok(Fleet { records, record, relayed, engines, links, members, config, pids })
     }
 
     /// The front that sent most bytes to others lately, of those that run and are not `but`: it owns shards of the
     /// ledger.
     pub(crate) fn busiest(&self, but: &[usize]) -> Option<usize> {
         let since = self.records.now() - LATELY_US;
-        let (_, post) = self.ground.gossip.as_ref()?;
+        let (_, relay) = self.config.gossip.as_ref()?;
         let mut bytes = vec![0; self.members.len()];
-        post.posted().iter().filter(|p| p.at >= since).for_each(|p| bytes[p.from] += p.bytes);
+        relay.datagrams().iter().filter(|p| p.at >= since).for_each(|p| bytes[p.from] += p.bytes);
         let here = (0..bytes.len()).filter(|n| !but.contains(n) && !self.members[*n].away.load(SeqCst));
         here.max_by_key(|n| bytes[*n])
     }
@@ -126,8 +102,8 @@
     }
 
     fn stage(&self) -> Stage<'_> {
-        let Fleet { records, links, members, engines, ground, .. } = self;
-        Stage { records, links, members, engines, ground }
+        let Fleet { records, links, members, engines, config, .. } = self;
+        Stage { records, links, members, engines, config }
     }
 
     /// Ends all fronts, and gives what was seen of them.
@@ -152,17 +128,17 @@
             asked,
             sent_by: self.records.sent_by.lock().map(|s| s.clone()).unwrap_or_default(),
             came: self.records.came.lock().map(|c| c.clone()).unwrap_or_default(),
-            words: self.records.words.lock().map(|w| w.clone()).unwrap_or_default(),
+            wire_events: self.records.wire_events.lock().map(|w| w.clone()).unwrap_or_default(),
             warned,
             steps: self.records.steps.lock().map(|s| s.clone()).unwrap_or_default(),
-            deeds: self.records.deeds.lock().map(|d| d.clone()).unwrap_or_default(),
+            engine_events: self.records.deeds.lock().map(|d| d.clone()).unwrap_or_default(),
             relayed: self.relayed.lock().map(|r| r.clone()).unwrap_or_default(),
-            posted: self.ground.gossip.as_ref().map(|(_, post)| post.posted()).unwrap_or_default(),
+            datagrams: self.config.gossip.as_ref().map(|(_, relay)| relay.datagrams()).unwrap_or_default(),
             played,
-            ends: self
+            shutdowns: self
                 .members
                 .iter()
-                .flat_map(|m| m.ends.lock().map(|e| e.clone()).unwrap_or_default())
+                .flat_map(|m| m.shutdowns.lock().map(|e| e.clone()).unwrap_or_default())
                 .collect(),
             turned_away: self.engines.iter().map(|e| e.turned_away.load(SeqCst) as i64).sum(),
             peak: self.engines.iter().map(|e| e.peak()).fold(0.0, f64::max),
@@ -175,6 +151,34 @@
     }
 }
 
+/// The keys of the fronts and the relay of their datagrams, where they talk with each other.
+fn start_gossip(
+    shape: &Shape,
+    seed: u64,
+    records: &Arc<Records>,
+) -> std::io::Result<Option<(Keys, DatagramRelay)>> {
+    if !shape.gossip {
+        return Ok(None);
+    }
+    let (clock, steps) = (records.clone(), records.clone());
+    let left = move |front| steps.reached(Step::Copying, front);
+    let relay = DatagramRelay::start(shape.fronts, move || clock.now(), left)?;
+    Ok(Some((Keys::new(shape, seed)?, relay)))
+}
+
+/// The coordinator of a front: engines stand in its list with the addresses of the front's own links to them.
+fn start_coordinator(links: &[Arc<Link>]) -> std::io::Result<Coordinator> {
+    let coordinator = Coordinator::start()?;
+    let zones: Vec<String> = links.iter().map(|l| zone_name(l.zone)).collect();
+    let list: Vec<_> = links
+        .iter()
+        .zip(&zones)
+        .map(|(l, zone)| (format!("e{}", l.engine), l.at, "lines", "up", zone.as_str()))
+        .collect();
+    coordinator.tell_zoned(true, &list);
+    Ok(coordinator)
+}
+
 /// Plays the scenario and checks what happened.
 pub fn run(scenario: &Scenario, seed: u64) -> Result<Run, String> {
     let fleet = Fleet::start(scenario, seed)?;
@@ -183,7 +187,7 @@
 }
 
 /// What is played on a fleet beside the faults of its scenario.
-pub(crate) trait Plays {
+pub(crate) trait FleetHooks {
     /// The fronts have started; the load begins when this returns.
     fn ready(&mut self, _fleet: &Fleet) -> Result<(), String> {
         Ok(())
@@ -205,14 +209,14 @@
 
 struct Nothing;
 
-impl Plays for Nothing {}
+impl FleetHooks for Nothing {}
 
 /// Plays the scenario with what comes beside it; gives what was seen, and the ids of all processes.
 pub(crate) fn play(
     fleet: Fleet,
     scenario: &Scenario,
     seed: u64,
-    beside: &mut dyn Plays,
+    beside: &mut dyn FleetHooks,
 ) -> Result<(Account, Vec<u32>), String> {
     beside.ready(&fleet)?;
     let began = fleet.records.now();
@@ -227,11 +231,11 @@
     let mut faults = scenario.faults.clone();
     faults.sort_by_key(|f| f.at_ms);
     let mut started = Vec::new();
-    let (mut played, mut ends, mut next) = (Vec::new(), Vec::<(i64, i64, Fault)>::new(), 0);
+    let (mut played, mut playing, mut next) = (Vec::new(), Vec::<(i64, i64, Fault)>::new(), 0);
     let over = began + scenario.seconds as i64 * 1_000_000;
     loop {
         let now = fleet.records.now() - began;
-        if (began + now >= over || beside.is_done(now)) && ends.is_empty() {
+        if (began + now >= over || beside.is_done(now)) && playing.is_empty() {
             break;
         }
         while let Some(fault) = faults.get(next).filter(|f| f.at_ms as i64 * 1000 <= now) {
@@ -243,12 +247,12 @@
             let fault = fault.on(probed);
             stage.begin(&fault);
             // From when it was in force: a busy machine may have begun it later than it was to be.
-            ends.push((now + fault.for_ms as i64 * 1000, fleet.records.now(), fault));
+            playing.push((now + fault.for_ms as i64 * 1000, fleet.records.now(), fault));
             next += 1;
         }
         let over = |(at, _, fault): &(i64, i64, Fault)| *at <= now && !stage.still_ends(fault);
-        let (due, later): (Vec<_>, Vec<_>) = ends.drain(..).partition(over);
-        ends = later;
+        let (due, later): (Vec<_>, Vec<_>) = playing.drain(..).partition(over);
+        playing = later;
         for (_, from, fault) in due {
             started.extend(stage.end(&fault)?);
             played.push((fault, from, fleet.records.now()));
@@ -256,7 +260,7 @@
         for fault in beside.turn(&fleet, now) {
             let fault = Fault { at_ms: now as u64 / 1000, ..fault };
             stage.begin(&fault);
-            ends.push((now + fault.for_ms as i64 * 1000, fleet.records.now(), fault));
+            playing.push((now + fault.for_ms as i64 * 1000, fleet.records.now(), fault));
         }
         std::thread::sleep(Duration::from_millis(5));
     }
--- a/crates/lab/src/rig/stage.rs
+++ b/crates/lab/src/rig/stage.rs
@@ -7,7 +7,7 @@
 
 use super::agreed::zone_name;
 use super::death::DeathStep;
-use super::member::{Ground, Member, SOCKETS};
+use super::member::{FleetConfig, Member, SOCKETS};
 use super::relay::Link;
 use super::scenario::{Fault, What};
 use crate::engine::lines::Engine;
@@ -21,7 +21,7 @@
     pub(super) links: &'a [Vec<Arc<Link>>],
     pub(super) members: &'a [Arc<Member>],
     pub(super) engines: &'a [Arc<Engine>],
-    pub(super) ground: &'a Ground,
+    pub(super) config: &'a FleetConfig,
 }
 
 impl Stage<'_> {
@@ -35,9 +35,9 @@
         self.links[fault.front].iter().filter(move |l| l.zone == zone)
     }
 
-    fn post(&self, change: impl FnOnce(&mut super::post::State)) {
-        if let Some((_, post)) = &self.ground.gossip {
-            post.set(change);
+    fn set_datagram_faults(&self, change: impl FnOnce(&mut super::datagrams::DatagramFaults)) {
+        if let Some((_, relay)) = &self.config.gossip {
+            relay.set(change);
         }
     }
 
@@ -71,12 +71,12 @@
                 self.zone_links(fault.zone).for_each(|l| l.set(|s| s.delay_ms = fault.delay_ms))
             }
             What::ZoneReset => self.zone_links(fault.zone).for_each(|l| l.reset()),
-            What::FrontsSplit => self.post(|s| s.split = Some(fault.split())),
-            What::FrontsSplitOut => self.post(|s| s.split = Some(fault.split())),
-            What::PostLossy => self.post(|s| s.lost_percent = fault.percent),
-            What::PostDoubled => self.post(|s| s.doubled_ms = Some(fault.delay_ms)),
-            What::PostSlow => self.post(|s| s.delay_ms = fault.delay_ms),
-            What::PostShuffled => self.post(|s| s.shuffled_ms = fault.delay_ms),
+            What::FrontsSplit => self.set_datagram_faults(|s| s.split = Some(fault.split())),
+            What::FrontsSplitOut => self.set_datagram_faults(|s| s.split = Some(fault.split())),
+            What::PostLossy => self.set_datagram_faults(|s| s.lost_percent = fault.percent),
+            What::PostDoubled => self.set_datagram_faults(|s| s.doubled_ms = Some(fault.delay_ms)),
+            What::PostSlow => self.set_datagram_faults(|s| s.delay_ms = fault.delay_ms),
+            What::PostShuffled => self.set_datagram_faults(|s| s.shuffled_ms = fault.delay_ms),
             What::Hup => {
                 if let Ok(front) = member.front.lock() {
                     front.iter().for_each(|f| f.read_again(2 * SOCKETS));
@@ -87,8 +87,8 @@
                 member.goes_away(self.records.now());
                 member.signal(Signal::SIGKILL);
             }),
-            What::DiskFull => self.ground.drill(fault.front, "full"),
-            What::DiskSlow => self.ground.drill(fault.front, &format!("slow {}", fault.delay_ms)),
+            What::DiskFull => self.config.drill(fault.front, "full"),
+            What::DiskSlow => self.config.drill(fault.front, &format!("slow {}", fault.delay_ms)),
             What::Term => {
                 member.asked_to_end(self.records.now());
                 member.away.store(true, SeqCst);
@@ -115,7 +115,7 @@
                 scope.spawn(move || {
                     let old = member.front.lock().map(|mut f| f.take());
                     old.ok().flatten().into_iter().for_each(|mut old| _ = old.ended());
-                    let pid = member.start(self.ground)?;
+                    let pid = member.start(self.config)?;
                     member.is_back(self.records.now());
                     Ok(pid)
                 })
@@ -155,22 +155,22 @@
             }
             What::ZoneSlow => self.zone_links(fault.zone).for_each(|l| l.set(|s| s.delay_ms = 0)),
             What::ZoneReset | What::Hup | What::StallOwner | What::KillOwner => {}
-            What::FrontsSplit | What::FrontsSplitOut => self.post(|s| s.split = None),
-            What::PostLossy => self.post(|s| s.lost_percent = 0),
-            What::PostDoubled => self.post(|s| s.doubled_ms = None),
-            What::PostSlow => self.post(|s| s.delay_ms = 0),
-            What::PostShuffled => self.post(|s| s.shuffled_ms = 0),
+            What::FrontsSplit | What::FrontsSplitOut => self.set_datagram_faults(|s| s.split = None),
+            What::PostLossy => self.set_datagram_faults(|s| s.lost_percent = 0),
+            What::PostDoubled => self.set_datagram_faults(|s| s.doubled_ms = None),
+            What::PostSlow => self.set_datagram_faults(|s| s.delay_ms = 0),
+            What::PostShuffled => self.set_datagram_faults(|s| s.shuffled_ms = 0),
             What::Stall => {
                 if let Ok(front) = member.front.lock() {
                     front.iter().for_each(|f| f.signal(Signal::SIGCONT));
                 }
                 mended();
             }
-            What::DiskSlow => self.ground.drill(fault.front, ""),
+            What::DiskSlow => self.config.drill(fault.front, ""),
             What::Release => return self.start_all(fault),
             What::Kill | What::Term | What::LoseDisk | What::DiskFull => {
                 if fault.what == What::DiskFull {
-                    self.ground.drill(fault.front, "");
+                    self.config.drill(fault.front, "");
                     self.begin(&Fault { what: What::Kill, step: None, ..fault.clone() });
                 }
                 let front = member.front.lock().map(|mut f| f.take());
@@ -179,9 +179,9 @@
                     member.has_ended(self.records.now(), well);
                 }
                 if fault.what == What::LoseDisk {
-                    self.ground.lose_disk(member.number);
+                    self.config.lose_disk(member.number);
                 }
-                let pid = member.start(self.ground)?;
+                let pid = member.start(self.config)?;
                 mended();
                 return Ok(vec![pid]);
             }
--- a/crates/lab/src/simulated/faults.rs
+++ b/crates/lab/src/simulated/faults.rs
@@ -4,12 +4,12 @@
 use rand::Rng;
 
 use super::fronts::listing;
-use super::play::{Event, Play};
+use super::simulation::{Event, Simulation};
 use crate::rig::agreed::zone_name;
 use crate::rig::relay::State as LinkState;
 use crate::rig::scenario::{Fault, What};
 
-impl Play<'_> {
+impl Simulation<'_> {
     /// The links that a fault is played on: of all fronts, or of one, into the zone.
     pub(super) fn links(&mut self, fault: &Fault, all: bool, change: impl Fn(&mut LinkState)) {
         let own: Vec<usize> =
@@ -48,12 +48,12 @@
             What::LinkCutBack => self.links(fault, false, |s| s.back_lost = true),
             What::ZoneSlow => self.links(fault, true, |s| s.delay_ms = fault.delay_ms),
             What::ZoneReset => self.reset(fault, true),
-            What::FrontsSplit => self.post.split = Some(fault.split()),
-            What::FrontsSplitOut => self.post.split = Some(fault.split()),
-            What::PostLossy => self.post.lost_percent = fault.percent,
-            What::PostDoubled => self.post.doubled_ms = Some(fault.delay_ms),
-            What::PostSlow => self.post.delay_ms = fault.delay_ms,
-            What::PostShuffled => self.post.shuffled_ms = fault.delay_ms,
+            What::FrontsSplit => self.datagram_faults.split = Some(fault.split()),
+            What::FrontsSplitOut => self.datagram_faults.split = Some(fault.split()),
+            What::PostLossy => self.datagram_faults.lost_percent = fault.percent,
+            What::PostDoubled => self.datagram_faults.doubled_ms = Some(fault.delay_ms),
+            What::PostSlow => self.datagram_faults.delay_ms = fault.delay_ms,
+            What::PostShuffled => self.datagram_faults.shuffled_ms = fault.delay_ms,
             What::StallOwner | What::KillOwner => {} // played as what it is on the owner
             What::DiskFull => {}                     // not played here
             What::DiskSlow => self.members[fault.front].disk.slow = fault.delay_ms as i64 * 1000,
@@ -92,11 +92,11 @@
             What::ZoneReset | What::Hup | What::StallOwner | What::KillOwner => {}
             What::DiskFull => {}
             What::DiskSlow => self.members[fault.front].disk.slow = 0,
-            What::FrontsSplit | What::FrontsSplitOut => self.post.split = None,
-            What::PostLossy => self.post.lost_percent = 0,
-            What::PostDoubled => self.post.doubled_ms = None,
-            What::PostSlow => self.post.delay_ms = 0,
-            What::PostShuffled => self.post.shuffled_ms = 0,
+            What::FrontsSplit | What::FrontsSplitOut => self.datagram_faults.split = None,
+            What::PostLossy => self.datagram_faults.lost_percent = 0,
+            What::PostDoubled => self.datagram_faults.doubled_ms = None,
+            What::PostSlow => self.datagram_faults.delay_ms = 0,
+            What::PostShuffled => self.datagram_faults.shuffled_ms = 0,
             What::Release => {
                 for n in 0..fault.released(self.members.len()) {
                     let troubled = self.members[n].troubled.iter_mut();
@@ -112,7 +112,7 @@
                 if fault.what == What::Stall {
                     member.stopped = false;
                     let waits = std::mem::take(&mut member.waits);
-                    waits.into_iter().for_each(|event| self.happens(event));
+                    waits.into_iter().for_each(|event| self.handle(event));
                     self.turn(fault.front);
                 } else if member.life.is_none() {
                     if fault.what == What::LoseDisk {
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -11,14 +11,14 @@
 use rand::Rng;
 
 use super::connections::Connections;
-use super::play::{address, secret, Event, Life, Play, Sent};
-use super::play::{DRIFT_PPM, MOST_SEEDS, PROBED_WITHIN};
+use super::simulation::{address, secret, Event, Life, Sent, Simulation};
+use super::simulation::{DRIFT_PPM, MOST_SEEDS, PROBED_WITHIN};
 use crate::check::Outcome;
 use crate::rig::agreed::zone_name;
 
 const ROUNDS: usize = 8; // decisions in a turn, as in the front
 
-impl Play<'_> {
+impl Simulation<'_> {
     /// A front starts, anew where it ran before.
     pub(super) fn start(&mut self, n: usize) {
         let at = self.moment(n);
@@ -46,8 +46,8 @@
             exchange
         });
         let seed = self.chance.random();
-        let mut dispatcher = Dispatcher::new(&self.contract, seed);
-        let paced = self.contract.agreement.budgets.is_some();
+        let mut dispatcher = Dispatcher::new(&self.settings, seed);
+        let paced = self.settings.agreement.budgets.is_some();
         let connections = Connections::new(paced, self.own(n), seed);
         let zones: Vec<String> = (0..self.scenario.fleet.zones).map(zone_name).collect();
         let ids: Vec<String> = (0..self.engines.len()).map(|e| format!("e{e}")).collect();
@@ -56,7 +56,7 @@
         dispatcher.list(true, &list);
         let own = self.own(n);
         let guards = self.scenario.fleet.copies.is_some();
-        let guard = guards.then(|| Guard::new(&self.contract, own, self.shards, &mut dispatcher));
+        let guard = guards.then(|| Guard::new(&self.settings, own, self.shards, &mut dispatcher));
         let member = &mut self.members[n];
         member.lives += 1;
         member.life =
@@ -73,7 +73,7 @@
         if let Some(exchange) = &mut life.exchange {
             let chance = &mut self.chance;
             let (out, _) = exchange.tick(at, &mut life.dispatcher, &mut || chance.random());
-            self.sends(n, out);
+            self.send_output(n, out);
         }
         for _ in 0..ROUNDS {
             self.guarded(n);
@@ -149,7 +149,7 @@
             Order::Pace { connections } => {
                 let own = self.own(n);
                 let life = self.members[n].life.iter_mut();
-                life.for_each(|life| life.connections.dials.pace(own, connections));
+                life.for_each(|life| life.connections.pacer.pace(own, connections));
             }
             Order::Hurry { .. } => {}
         }
@@ -158,26 +158,26 @@
     /// An execution leaves for its engine.
     pub(super) fn leaves(&mut self, n: usize, sent: Sent, place: usize) {
         let lives = self.members[n].lives;
-        let dials = self.account.relayed.len();
+        let before = self.account.relayed.len();
         if !self.reaches(n, place, Some(sent)) {
             let own = self.own(n);
             let Some(life) = &mut self.members[n].life else { return };
             life.dispatcher.report(own, sent.0, sent.1, Ending::Withdrawn, None);
             return;
         }
-        let dialled = self.account.relayed.len() > dials;
+        let opened = self.account.relayed.len() > before;
         self.relays((n, place), (1, 0, 0));
         *self.account.first_tries.get_or_insert(0) += i64::from(sent.1 == 0);
         if self.passes(n, place, true) {
             self.out.entry(place).or_default().push((n, lives, sent));
-            let there = if dialled { self.way() + self.way() } else { 0 };
+            let there = if opened { self.way() + self.way() } else { 0 };
             let at = self.now + there + self.way() + self.delay(n, place);
             self.at(at, Event::Arrives(n, lives, sent, place));
         }
     }
 
     /// An engine's answer has come to a front.
-    pub(super) fn told(&mut self, n: usize, event: Event) {
+    pub(super) fn receive_answer(&mut self, n: usize, event: Event) {
         let now = self.own(n);
         let Some(life) = &mut self.members[n].life else { return };
         if let Event::Answers(_, _, (ticket, execution), ending, active) = event {
