--- a/crates/ledger/src/birth.rs
+++ b/crates/ledger/src/birth.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeMap;
 
+use crate::messages::Born;
 use crate::state::Keeper;
-use crate::words::Born;
 use crate::FrontId;
 
 #[derive(Default)]
--- a/crates/ledger/src/forms.rs
+++ b/crates/ledger/src/forms.rs
@@ -9,11 +9,11 @@
 
 use std::collections::BTreeMap;
 
-use crate::words::Word;
+use crate::messages::LedgerMessage;
 use crate::{FrontId, Micros};
 
-/// The form that this build writes where it can: 1, the first; 2, with words of handing over and of comparing copies;
-/// 3, with entries, states and records that say their form, and words of fronts that are to end and of keys that are free.
+/// The form that this build writes where it can: 1, the first; 2, with messages for leader transfer and for comparing replicas;
+/// 3, with entries, states and records that name their form, and messages of fronts that shut down and of free keys.
 pub const FORM: u8 = 3;
 /// The latest form in which this build keeps anything: what the build before it reads. The next one's is 3.
 pub const KEEPS: u8 = 1;
@@ -59,23 +59,25 @@
     }
 
     /// What is to be said first to a front that may not know this one's form.
-    pub fn introduces(&mut self, now: Micros, own: u8, front: FrontId) -> Option<Word> {
+    pub fn introduces(&mut self, now: Micros, own: u8, front: FrontId) -> Option<LedgerMessage> {
         let told = self.told.get(&front).copied().unwrap_or(Micros::MIN);
         if own == OLDEST || self.of(own, front) == own || now.saturating_sub(told) < AGAIN {
             return None;
         }
         self.told.insert(front, now);
-        Some(Word::Here { shard: NO_SHARD, config: own.into(), with: Vec::new() })
+        Some(LedgerMessage::Available { shard: NO_SHARD, config: own.into(), with: Vec::new() })
     }
 }
 
-impl Word {
+impl LedgerMessage {
     /// The earliest form that has it.
     pub fn form(&self) -> u8 {
         match self {
-            Word::Leaves => FORMED,
-            Word::Turn { .. } => TURNS,
-            Word::Heir { .. } | Word::Sums { .. } | Word::Mend { .. } => 2,
+            LedgerMessage::ShuttingDown => FORMED,
+            LedgerMessage::KeyFree { .. } => TURNS,
+            LedgerMessage::TransferLeadership { .. }
+            | LedgerMessage::Hashes { .. }
+            | LedgerMessage::RepairReplica { .. } => 2,
             _ => OLDEST,
         }
     }
@@ -83,7 +85,7 @@
     /// The form that its sender says it reads.
     pub fn introduced(&self) -> Option<u8> {
         match self {
-            Word::Here { shard: NO_SHARD, config, .. } => u8::try_from(*config).ok(),
+            LedgerMessage::Available { shard: NO_SHARD, config, .. } => u8::try_from(*config).ok(),
             _ => None,
         }
     }
--- a/crates/ledger/src/forms_tests.rs
+++ b/crates/ledger/src/forms_tests.rs
@@ -1,8 +1,8 @@
 use super::*;
+use crate::messages::{self, Base, Born, Letter, Sheet};
 use crate::records;
 use crate::state::{Batch, Command, Keeper, Limits, State};
 use crate::tail::Tail;
-use crate::words::{self, Base, Born, Letter, Sheet};
 use crate::{Act, Entry, Key, Kind, Outcome, Owner};
 
 fn hex(bytes: &[u8]) -> String {
@@ -30,7 +30,7 @@
     Keeper { front: 300, disk: 5 }
 }
 
-/// Every word of the first form, and what is kept, byte by byte as the first build writes it.
+/// Every message of the first form, and what is kept, byte by byte as the first build writes it.
 fn first_form() -> Vec<(&'static str, Vec<u8>)> {
     let with = vec![Born { keeper: keeper(), incarnation: 9 }];
     let entry = Entry {
@@ -41,29 +41,29 @@
         value: vec![8],
     };
     let keepers = vec![keeper()];
-    let told = |outcome| Word::Told { incarnation: 1, number: 2, outcome };
+    let told = |outcome| LedgerMessage::Reply { incarnation: 1, number: 2, outcome };
     let (whole, after) =
-        (Base::Whole { index: 1, state: vec![7] }, Base::After { index: 2, batches: vec![batch()] });
+        (Base::Snapshot { index: 1, state: vec![7] }, Base::Suffix { index: 2, batches: vec![batch()] });
     let of = vec![
-        Word::Missed { shard: 1, config: 2 },
-        Word::Ask { shard: 1, command: batch().commands[0].clone() },
+        LedgerMessage::Resync { shard: 1, config: 2 },
+        LedgerMessage::Request { shard: 1, command: batch().commands[0].clone() },
         told(Outcome::Stands(entry.clone())),
         told(Outcome::Held(entry)),
         told(Outcome::Absent),
         told(Outcome::Unreachable),
         told(Outcome::Full),
-        Word::Elsewhere { shard: 1, incarnation: 2, number: 3, owner: Some(4) },
-        Word::Here { shard: 1, config: 2, with },
-        Word::Members { shard: 1, config: 2, keepers: keepers.clone() },
-        Word::Offer { shard: 1 },
-        Word::Copy { shard: 1, config: 2, index: 3, state: vec![4] },
-        Word::Caught { shard: 1, config: 2, index: 3 },
-        Word::Begin { shard: 1, config: 2, keepers: keepers.clone(), base: whole },
-        Word::Begin { shard: 1, config: 2, keepers, base: after },
+        LedgerMessage::NotLeader { shard: 1, incarnation: 2, number: 3, owner: Some(4) },
+        LedgerMessage::Available { shard: 1, config: 2, with },
+        LedgerMessage::Membership { shard: 1, config: 2, keepers: keepers.clone() },
+        LedgerMessage::Probe { shard: 1 },
+        LedgerMessage::Snapshot { shard: 1, config: 2, index: 3, state: vec![4] },
+        LedgerMessage::CaughtUp { shard: 1, config: 2, index: 3 },
+        LedgerMessage::Join { shard: 1, config: 2, keepers: keepers.clone(), base: whole },
+        LedgerMessage::Join { shard: 1, config: 2, keepers, base: after },
     ];
     let letter = |sheet| Letter { form: 1, fleet: 2, disk: 3, incarnation: 4, wall_ms: 5, sheet };
     let letters = [
-        letter(Sheet::Words(vec![vec![1, 2], vec![3]])),
+        letter(Sheet::Messages(vec![vec![1, 2], vec![3]])),
         letter(Sheet::Piece { id: 1, index: 2, count: 3, bytes: vec![4] }),
         letter(Sheet::Again { id: 1, missing: vec![2] }),
         letter(Sheet::Whole { id: 1 }),
@@ -71,10 +71,11 @@
     let mut state = State::new(Limits { entries: 10, bytes: 1_000, apart_ms: 500 });
     state.apply(&Batch { tail: Tail::None, ..batch() });
     let record = |record: crate::Record| record.bytes.unwrap_or_default();
-    let mut all: Vec<(&'static str, Vec<u8>)> = of.iter().map(|word| ("word", words::bytes(word))).collect();
-    all.extend(letters.iter().map(|letter| ("letter", words::bytes(letter))));
-    all.push(("batch", words::bytes(&batch())));
-    all.push(("state", words::bytes(&state)));
+    let mut all: Vec<(&'static str, Vec<u8>)> =
+        of.iter().map(|message| ("word", messages::encode(message))).collect();
+    all.extend(letters.iter().map(|letter| ("letter", messages::encode(letter))));
+    all.push(("batch", messages::encode(&batch())));
+    all.push(("state", messages::encode(&state)));
     all.push(("mark", record(records::mark(1, 7, 8))));
     all.push(("entry", record(records::entry(3, 4, &batch()))));
     all
@@ -92,10 +93,10 @@
     // And is read again as what it was.
     for (what, bytes) in first_form() {
         let again = match what {
-            "word" => words::read::<Word>(&bytes).map(|word| words::bytes(&word)),
-            "letter" => words::read::<Letter>(&bytes).map(|letter| words::bytes(&letter)),
-            "batch" => words::read::<Batch>(&bytes).map(|batch| words::bytes(&batch)),
-            "state" => words::read::<State>(&bytes).map(|state| words::bytes(&state)),
+            "word" => messages::decode::<LedgerMessage>(&bytes).map(|message| messages::encode(&message)),
+            "letter" => messages::decode::<Letter>(&bytes).map(|letter| messages::encode(&letter)),
+            "batch" => messages::decode::<Batch>(&bytes).map(|batch| messages::encode(&batch)),
+            "state" => messages::decode::<State>(&bytes).map(|state| messages::encode(&state)),
             _ => continue,
         };
         assert_eq!(again, Some(bytes), "{what}");
@@ -106,8 +107,8 @@
 fn a_later_form_is_written_once_its_reader_has_shown_it_and_not_to_its_next_life() {
     let mut forms = Forms::default();
     assert_eq!(forms.of(2, 7), 1);
-    let word = forms.introduces(0, 2, 7).unwrap();
-    assert!(word.introduced() == Some(2) && forms.introduces(1, 2, 7).is_none());
+    let message = forms.introduces(0, 2, 7).unwrap();
+    assert!(message.introduced() == Some(2) && forms.introduces(1, 2, 7).is_none());
     forms.heard(7, 5, 1);
     assert_eq!(forms.of(2, 7), 1);
     forms.heard(7, 5, 2);
@@ -128,15 +129,15 @@
     state.apply(&formed(3, None));
     let record = |record: crate::Record| record.bytes.unwrap_or_default();
     let folded = crate::state::Folded::of(state.clone());
-    let words = [
-        Word::Heir { shard: 1, config: 2 },
-        Word::Sums { shard: 1, config: 2, index: 3, sums: vec![4, u64::MAX] },
-        Word::Mend { shard: 1, config: 2, index: 3, state: vec![5] },
-        Word::Leaves,
+    let messages = [
+        LedgerMessage::TransferLeadership { shard: 1, config: 2 },
+        LedgerMessage::Hashes { shard: 1, config: 2, index: 3, sums: vec![4, u64::MAX] },
+        LedgerMessage::RepairReplica { shard: 1, config: 2, index: 3, state: vec![5] },
+        LedgerMessage::ShuttingDown,
     ];
-    let mut all: Vec<_> = words.iter().map(|word| ("word", words::bytes(word))).collect();
-    all.push(("batch", words::bytes(&formed(3, Some(vec![keeper()])))));
-    all.push(("state", words::bytes(&state)));
+    let mut all: Vec<_> = messages.iter().map(|message| ("word", messages::encode(message))).collect();
+    all.push(("batch", messages::encode(&formed(3, Some(vec![keeper()])))));
+    all.push(("state", messages::encode(&state)));
     all.push(("mark", record(records::mark(3, 7, 8))));
     all.push(("entry", record(records::entry(3, 4, &formed(3, None)))));
     all.push(("snapshot", record(records::snapshot(3, &folded))));
@@ -156,24 +157,27 @@
         let later = match what {
             "batch" => {
                 assert_eq!(
-                    words::read::<Batch>(&bytes).map(|batch| words::bytes(&batch)),
+                    messages::decode::<Batch>(&bytes).map(|batch| messages::encode(&batch)),
                     Some(bytes.clone())
                 );
                 // The form stands before the one member that comes next.
                 let at = bytes.len() - 6;
                 bytes[at] = FORM + 1;
-                words::read::<Batch>(&bytes).is_none()
+                messages::decode::<Batch>(&bytes).is_none()
             }
             "state" => {
                 assert_eq!(
-                    words::read::<State>(&bytes).map(|state| words::bytes(&state)),
+                    messages::decode::<State>(&bytes).map(|state| messages::encode(&state)),
                     Some(bytes.clone())
                 );
                 let at = bytes.len() - 2;
                 bytes[at] = FORM + 1;
-                words::read::<State>(&bytes).is_none()
+                messages::decode::<State>(&bytes).is_none()
+            }
+            "word" => {
+                messages::decode::<LedgerMessage>(&bytes).map(|message| messages::encode(&message))
+                    == Some(bytes)
             }
-            "word" => words::read::<Word>(&bytes).map(|word| words::bytes(&word)) == Some(bytes),
             _ => continue,
         };
         assert!(later, "{what}");
--- a/crates/ledger/src/handover.rs
+++ b/crates/ledger/src/handover.rs
@@ -5,11 +5,11 @@
 
 use crate::forms::FORMED;
 use crate::ledger::Ledger;
+use crate::messages::LedgerMessage;
 use crate::post::Pace;
 use crate::repair::Peer;
 use crate::replica::Replica;
 use crate::state::Keeper;
-use crate::words::Word;
 use crate::{FrontId, Micros, Moment};
 
 const AGAIN: Micros = 150_000; // microseconds until another is named: some round trips and a sync
@@ -74,14 +74,14 @@
             let young = |front: &FrontId| self.peers.get(front).is_none_or(|peer| !peer.stays(at));
             heirs.sort_by_key(|front| (young(front), place.owner != Some(*front), wanted(front)));
             let Some(heir) = heirs.get(turn % heirs.len().max(1)) else { continue };
-            let word = Word::Heir { shard: replica.shard, config: replica.config };
-            self.post.say(at, *heir, &word, Pace::Quick);
+            let message = LedgerMessage::TransferLeadership { shard: replica.shard, config: replica.config };
+            self.post.say(at, *heir, &message, Pace::Quick);
         }
         let members = self.places.iter().filter_map(|place| place.replica.as_ref());
         let members = members.flat_map(|replica| replica.keepers.iter().map(|keeper| keeper.front));
         let members: BTreeSet<FrontId> = members.filter(|front| *front != self.own.front).collect();
         for to in members.into_iter().filter(|to| self.post.reads(*to) >= FORMED).collect::<Vec<_>>() {
-            self.post.say(at, to, &Word::Leaves, Pace::Quick);
+            self.post.say(at, to, &LedgerMessage::ShuttingDown, Pace::Quick);
         }
     }
 
@@ -106,8 +106,8 @@
         let there = self.peers.get(&to).is_some_and(there) && !self.away.is_away(to) && !self.is_leaving(to);
         if there && now - since >= STAYS as Micros && self.post.reads(to) >= 2 {
             self.yields_at = now + APART;
-            let word = Word::Heir { shard, config: replica.config };
-            self.post.say(at, to, &word, Pace::Quick);
+            let message = LedgerMessage::TransferLeadership { shard, config: replica.config };
+            self.post.say(at, to, &message, Pace::Quick);
         }
     }
 
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -6,6 +6,7 @@
 use crate::birth::Birth;
 use crate::forms::OLDEST;
 use crate::handover::Leaving;
+use crate::messages::{fingerprint, LedgerMessage};
 use crate::moves::Away;
 use crate::placement::ranked;
 use crate::post::{Pace, Post};
@@ -14,7 +15,6 @@
 use crate::replica::{size, Replica};
 use crate::scrub::Scrub;
 use crate::state::{Command, Keeper, State};
-use crate::words::{fingerprint, Word};
 use crate::{
     shard_of, Act, Ask, Done, Error, FrontId, Micros, Moment, Out, Outcome, Owner, Record, Save, Saved,
 };
@@ -220,8 +220,8 @@
         let rest = place.ranked.iter().filter(|front| !keepers.contains(front)).copied();
         let others: Vec<FrontId> = keepers.iter().copied().chain(rest).collect();
         if let Some(to) = asks::whom(owner, &others, self.own.front, tries) {
-            let word = Word::Ask { shard, command: waiting.command.clone() };
-            self.post.say(at, to, &word, Pace::Quick);
+            let message = LedgerMessage::Request { shard, command: waiting.command.clone() };
+            self.post.say(at, to, &message, Pace::Quick);
         }
     }
 
@@ -267,11 +267,11 @@
             None => place.hint,
         };
         let members = (place.config(), place.keepers().to_vec());
-        let word = Word::Elsewhere { shard, incarnation, number, owner };
-        self.post.say(at, from, &word, Pace::Quick);
+        let message = LedgerMessage::NotLeader { shard, incarnation, number, owner };
+        self.post.say(at, from, &message, Pace::Quick);
         if place.replica.is_none() && members.0 > 0 {
-            let word = Word::Members { shard, config: members.0, keepers: members.1 };
-            self.post.say(at, from, &word, Pace::Quick);
+            let message = LedgerMessage::Membership { shard, config: members.0, keepers: members.1 };
+            self.post.say(at, from, &message, Pace::Quick);
         }
     }
 
@@ -287,7 +287,7 @@
                 if let Some(replica) = &mut place.replica {
                     let config = replica.config;
                     for to in replica.tick().into_iter().filter(|to| *to != self.own.front) {
-                        self.post.say(at, to, &Word::Missed { shard, config }, Pace::Quick);
+                        self.post.say(at, to, &LedgerMessage::Resync { shard, config }, Pace::Quick);
                     }
                     self.touched.insert(shard);
                 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -18,6 +18,7 @@
 mod ledger;
 mod lines;
 mod log;
+mod messages;
 mod moves;
 mod owners;
 mod placement;
@@ -31,7 +32,6 @@
 mod tail;
 mod tallies;
 mod upkeep;
-mod words;
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/ledger/src/log.rs
+++ b/crates/ledger/src/log.rs
@@ -9,7 +9,7 @@
 use crate::state::{Batch, Folded, Keeper, State};
 use crate::FrontId;
 
-const ELECTION_TICKS: u64 = 6; // 300 ms without word of an owner: some round trips and a stall of a busy machine
+const ELECTION_TICKS: u64 = 6; // 300 ms without a sign of a leader: some round trips and a stall of a busy machine
 const RESEND_TICKS: u64 = 4; // 200 ms until a message counts as lost
 const FOLDED_AFTER: usize = 64; // decided entries until the log is folded: a follower further behind gets it whole
 
--- a/crates/ledger/src/post.rs
+++ b/crates/ledger/src/post.rs
@@ -1,29 +1,29 @@
-//! Words into letters and back: small ones share a datagram, long ones are cut into pieces that are sent at a stated
+//! Messages into letters and back: small ones share a datagram, long ones are cut into pieces that are sent at a stated
 //! pace, asked for again where they are lost, and put together.
 
 use std::collections::BTreeMap;
 
 use crate::forms::{Forms, OLDEST};
-use crate::words::{self, Letter, Sheet, Word};
+use crate::messages::{self, LedgerMessage, Letter, Sheet};
 use crate::{DiskId, FrontId, Micros, Moment, Setup};
 
 /// Bytes of a letter at most: a datagram of gossip (1,200) less its seal (92), its sender's own rumour and lengths
 /// (44), and the byte that tells whose letter it is.
 pub(crate) const ROOM: usize = 1_040;
-const HEAD: usize = 48; // bytes of a letter beside its words or its piece at most
+const HEAD: usize = 48; // bytes of a letter beside its messages or its piece at most
 const PIECE: usize = ROOM - HEAD;
-const MOST_PIECES: usize = 4_096; // of a word: some 4 MB
-const MOST_PARTS: usize = 64; // words of one front that are being put together
+const MOST_PIECES: usize = 4_096; // of a message: some 4 MB
+const MOST_PARTS: usize = 64; // messages of one front that are being put together
 const MOST_HELD: usize = 32 * 1_024 * 1_024; // bytes of pieces that wait for others
 const STALLED: Micros = 60_000; // microseconds without a piece until gaps are asked for
 const TAIL: Micros = 400_000; // microseconds until pieces count as lost that may yet have to be sent
 const REMINDED: Micros = 250_000; // microseconds without a sign until its receiver is sent the last piece again
-const GIVEN_UP: Micros = 10_000_000; // microseconds without a sign until a long word is forgotten
-const MOST_WHOLE: usize = 4_096; // words that are whole and remembered as such
+const GIVEN_UP: Micros = 10_000_000; // microseconds without a sign until a long message is forgotten
+const MOST_WHOLE: usize = 4_096; // messages that are whole and remembered as such
 const MOST_MISSING: usize = 256; // pieces asked for at once
-const QUICK: f64 = 2_000_000.0; // bytes a second of long words of the log: a follower waits for them
+const QUICK: f64 = 2_000_000.0; // bytes a second of long messages of the log: a follower waits for them
 
-/// How soon a long word has to be there.
+/// How soon a long message has to be there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Pace {
     Quick,
@@ -96,7 +96,7 @@
     long: BTreeMap<u64, Long>,
     next_long: u64,
     parts: BTreeMap<(FrontId, u64), Part>,
-    /// Words that became whole, and when: the word of that may be lost, and is said again to a sender that reminds.
+    /// Messages that became whole, and when: the acknowledgement may be lost, and is sent again to a sender that reminds.
     whole: BTreeMap<(FrontId, u64), Micros>,
     held: usize,
     quick: Tokens,
@@ -135,8 +135,8 @@
         self.forms.of_all(self.form, fronts)
     }
 
-    pub fn say(&mut self, at: Moment, to: FrontId, word: &Word, pace: Pace) {
-        let bytes = words::bytes(word);
+    pub fn say(&mut self, at: Moment, to: FrontId, message: &LedgerMessage, pace: Pace) {
+        let bytes = messages::encode(message);
         if bytes.len() + 3 <= PIECE {
             self.small.entry(to).or_default().push(bytes);
             return;
@@ -151,28 +151,28 @@
         self.next_long += 1;
     }
 
-    /// Whether a long word to this front is under way at this pace.
+    /// Whether a long message to this front is under way at this pace.
     pub fn is_busy(&self, to: FrontId, pace: Pace) -> bool {
         self.long.values().any(|long| long.to == to && long.pace == pace)
     }
 
-    /// A letter has come: its head, and the words that are whole by it.
+    /// A letter has come: its head, and the messages that are whole by it.
     pub fn heard(
         &mut self,
         at: Moment,
         from: FrontId,
         bytes: &[u8],
-    ) -> Result<(Letter, Vec<Word>), &'static str> {
-        let mut letter: Letter = words::read(bytes).ok_or("form")?;
+    ) -> Result<(Letter, Vec<LedgerMessage>), &'static str> {
+        let mut letter: Letter = messages::decode(bytes).ok_or("form")?;
         if !(OLDEST..=self.form).contains(&letter.form) {
             return Err("version");
         }
         if letter.fleet != self.fleet {
             return Err("fleet");
         }
-        let sheet = std::mem::replace(&mut letter.sheet, Sheet::Words(Vec::new()));
+        let sheet = std::mem::replace(&mut letter.sheet, Sheet::Messages(Vec::new()));
         let whole = match sheet {
-            Sheet::Words(words) => words,
+            Sheet::Messages(messages) => messages,
             Sheet::Piece { id, index, count, bytes } => {
                 self.piece(at, (from, id), index, count, bytes)?.into_iter().collect()
             }
@@ -194,14 +194,16 @@
             }
         };
         self.forms.heard(from, letter.incarnation, letter.form);
-        let words: Option<Vec<Word>> = whole.iter().map(|word| words::read(word)).collect();
-        let mut words = words.filter(|words| words.iter().all(|w| w.form() <= self.form)).ok_or("form")?;
-        words.retain(|word| {
-            let form = word.introduced();
+        let messages: Option<Vec<LedgerMessage>> =
+            whole.iter().map(|message| messages::decode(message)).collect();
+        let mut messages =
+            messages.filter(|messages| messages.iter().all(|w| w.form() <= self.form)).ok_or("form")?;
+        messages.retain(|message| {
+            let form = message.introduced();
             form.into_iter().for_each(|form| self.forms.heard(from, letter.incarnation, form));
             form.is_none()
         });
-        Ok((letter, words))
+        Ok((letter, messages))
     }
 
     fn piece(
@@ -244,7 +246,7 @@
         Ok(Some(part.pieces.into_iter().flatten().flatten().collect()))
     }
 
-    /// When there is something to do without a word or a letter.
+    /// When there is something to do without a message or a letter.
     pub fn due(&self) -> Micros {
         let paced = |repair: bool, tokens: &Tokens| {
             let mut waits = self.long.values().filter(|long| !long.to_send.is_empty());
@@ -266,23 +268,24 @@
         self.ask_again(at.steady);
         self.remind(at.steady);
         let mut sheets = std::mem::take(&mut self.sheets);
-        for (to, mut words) in std::mem::take(&mut self.small) {
+        for (to, mut messages) in std::mem::take(&mut self.small) {
             let first = self.forms.introduces(at.steady, self.form, to);
-            first.into_iter().for_each(|word| words.insert(0, words::bytes(&word)));
+            first.into_iter().for_each(|message| messages.insert(0, messages::encode(&message)));
             let (mut sheet, mut used) = (Vec::new(), 0);
-            for word in words {
-                if used + word.len() + 3 > PIECE {
-                    sheets.push((to, Sheet::Words(std::mem::take(&mut sheet))));
+            for message in messages {
+                if used + message.len() + 3 > PIECE {
+                    sheets.push((to, Sheet::Messages(std::mem::take(&mut sheet))));
                     used = 0;
                 }
-                used += word.len() + 3;
-                sheet.push(word);
+                used += message.len() + 3;
+                sheet.push(message);
             }
-            sheets.push((to, Sheet::Words(sheet)));
+            sheets.push((to, Sheet::Messages(sheet)));
         }
         self.pieces(at.steady, &mut sheets);
         let (fleet, disk, incarnation, wall_ms) = (self.fleet, self.disk, self.incarnation, at.wall_ms);
-        let letter = |form, sheet| words::bytes(&Letter { form, fleet, disk, incarnation, wall_ms, sheet });
+        let letter =
+            |form, sheet| messages::encode(&Letter { form, fleet, disk, incarnation, wall_ms, sheet });
         sheets.into_iter().map(|(to, sheet)| (to, letter(self.reads(to), sheet))).collect()
     }
 
@@ -302,7 +305,7 @@
         }
     }
 
-    /// Of a word that is sent and not known to be whole, its last piece again: until one knows that it is, nothing else
+    /// Of a message that is sent and not known to be whole, its last piece again: until one knows that it is, nothing else
     /// of the same log goes to its receiver.
     fn remind(&mut self, now: Micros) {
         self.long.retain(|_, long| now - long.touched < GIVEN_UP);
--- a/crates/ledger/src/post_tests.rs
+++ b/crates/ledger/src/post_tests.rs
@@ -10,25 +10,30 @@
     Moment { steady, wall_ms: 1_000 }
 }
 
-fn long(bytes: usize) -> Word {
-    Word::Copy { shard: 1, config: 1, index: 1, state: (0..bytes).map(|n| (n % 251) as u8).collect() }
+fn long(bytes: usize) -> LedgerMessage {
+    LedgerMessage::Snapshot {
+        shard: 1,
+        config: 1,
+        index: 1,
+        state: (0..bytes).map(|n| (n % 251) as u8).collect(),
+    }
 }
 
 #[test]
 fn small_words_share_a_letter_and_no_letter_is_longer_than_a_datagram() {
     let (mut one, mut other) = (post(1), post(2));
     for shard in 0..200 {
-        one.say(at(0), 2, &Word::Offer { shard }, Pace::Quick);
+        one.say(at(0), 2, &LedgerMessage::Probe { shard }, Pace::Quick);
     }
-    one.say(at(0), 3, &Word::Offer { shard: 1 }, Pace::Quick);
+    one.say(at(0), 3, &LedgerMessage::Probe { shard: 1 }, Pace::Quick);
     let letters = one.letters(at(0));
     assert!(
         letters.len() == 3 && letters.iter().all(|(_, letter)| letter.len() <= ROOM),
         "{}",
         letters.len()
     );
-    let words: usize = letters[..2].iter().map(|(_, l)| other.heard(at(0), 1, l).unwrap().1.len()).sum();
-    assert_eq!(words, 200);
+    let messages: usize = letters[..2].iter().map(|(_, l)| other.heard(at(0), 1, l).unwrap().1.len()).sum();
+    assert_eq!(messages, 200);
 }
 
 #[test]
@@ -52,7 +57,7 @@
             one.heard(at(now), 2, &letter).unwrap();
         }
     }
-    let Some(Word::Copy { state, .. }) = heard.first() else { panic!("{}", heard.len()) };
+    let Some(LedgerMessage::Snapshot { state, .. }) = heard.first() else { panic!("{}", heard.len()) };
     assert_eq!(state.len(), 60_000);
     assert!(state.iter().enumerate().all(|(n, byte)| *byte == (n % 251) as u8));
 }
@@ -72,7 +77,7 @@
         }
         assert_eq!((heard, one.is_busy(2, Pace::Log(3))), (1, false), "{pieces_lost}");
     }
-    // One that never hears it is reminded for a while, then the word is forgotten.
+    // One that never hears it is reminded for a while, then the message is forgotten.
     let mut one = post(1);
     one.say(at(0), 2, &long(3_000), Pace::Log(3));
     let sent: usize = (0..1_200).map(|n| one.letters(at(n * 10_000)).len()).sum();
@@ -94,7 +99,7 @@
 fn letters_of_another_fleet_or_form_are_refused_and_nothing_spoilt_is_believed() {
     let mut one = post(1);
     one.say(at(0), 2, &long(3_000), Pace::Quick);
-    one.say(at(0), 2, &Word::Offer { shard: 1 }, Pace::Quick);
+    one.say(at(0), 2, &LedgerMessage::Probe { shard: 1 }, Pace::Quick);
     let mut foreign = Post::new(&Setup::new("g", 2, 2, 20, Vec::new()), 8);
     for now in 0..5 {
         for (_, letter) in one.letters(at(now * 100_000)) {
@@ -111,5 +116,5 @@
             }
         }
     }
-    assert!(words::read::<State>(&[0xff; 30]).is_none());
+    assert!(messages::decode::<State>(&[0xff; 30]).is_none());
 }
--- a/crates/ledger/src/records.rs
+++ b/crates/ledger/src/records.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::forms::{FORM, FORMED, OLDEST};
+use crate::messages::{self, Born};
 use crate::state::{Batch, Folded, Keeper};
-use crate::words::{self, Born};
 use crate::{Error, Record, Saved, Setup};
 
 /// In the checksum of records that say their form: those of the first say none.
@@ -51,7 +51,7 @@
 
 /// A record in a form.
 fn record<T: Serialize>(form: u8, name: Vec<u8>, value: &T) -> Record {
-    let mut body = words::bytes(value);
+    let mut body = messages::encode(value);
     let mut says = 0;
     if form >= FORMED {
         body.insert(0, form);
@@ -90,7 +90,7 @@
 }
 
 fn open<'a, T: Deserialize<'a>>(name: &[u8], bytes: &'a [u8]) -> Result<T, Error> {
-    words::read(checked(name, bytes)?).ok_or_else(|| damaged(name))
+    messages::decode(checked(name, bytes)?).ok_or_else(|| damaged(name))
 }
 
 pub(crate) fn mark(form: u8, fleet: u64, disk: u64) -> Record {
--- a/crates/ledger/src/replica.rs
+++ b/crates/ledger/src/replica.rs
@@ -9,10 +9,10 @@
 use crate::forms::OLDEST;
 use crate::lines::Lines;
 use crate::log::{Heard, Log};
+use crate::messages::{Base, LedgerMessage};
 use crate::records::{self, Meta};
 use crate::state::{Batch, Command, Folded, Keeper, State};
 use crate::tail::Tail;
-use crate::words::{Base, Word};
 use crate::{FrontId, Micros, Outcome, Owner, Record};
 
 const MOST_QUEUED: usize = 4_096; // asks that wait for a round
@@ -260,24 +260,24 @@
         told
     }
 
-    pub fn messages(&mut self) -> Vec<(FrontId, Word)> {
+    pub fn messages(&mut self) -> Vec<(FrontId, LedgerMessage)> {
         let (shard, config) = (self.shard, self.config);
         let order = &mut self.order;
-        let word = |(to, message)| {
+        let wrap = |(to, message)| {
             let number = order.number(&message);
-            (to, Word::Log { shard, config, number, message: Box::new(message) })
+            (to, LedgerMessage::Log { shard, config, number, message: Box::new(message) })
         };
-        self.log.messages().into_iter().map(word).collect()
+        self.log.messages().into_iter().map(wrap).collect()
     }
 
     /// What one that has the entries up to this index of this log begins the next one with.
     pub fn base_after(&self, index: u64) -> Base {
         let from = usize::try_from(index).unwrap_or_default();
         match self.log.since(from) {
-            (None, batches) if from >= self.log.compacted() => Base::After { index, batches },
+            (None, batches) if from >= self.log.compacted() => Base::Suffix { index, batches },
             _ => {
-                let state = crate::words::bytes(&self.state.handed_over());
-                Base::Whole { index: FIRST, state }
+                let state = crate::messages::encode(&self.state.handed_over());
+                Base::Snapshot { index: FIRST, state }
             }
         }
     }
--- a/crates/ledger/src/scrub.rs
+++ b/crates/ledger/src/scrub.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeMap;
 
 use crate::ledger::{Ledger, Place};
+use crate::messages::{self, LedgerMessage};
 use crate::placement::hash;
 use crate::post::Pace;
 use crate::state::{Keeper, State};
-use crate::words::{self, Word};
 use crate::{FrontId, Micros, Moment};
 
 const EVERY: Micros = 60_000_000; // microseconds between comparisons of a shard: hashing 512 KB takes about one in 1,000
@@ -67,7 +67,12 @@
         let read = |front: &FrontId| *front != self.own.front && self.post.reads(*front) >= 2;
         let others: Vec<FrontId> = others.filter(read).collect();
         for to in others {
-            self.post.say(at, to, &Word::Sums { shard, config, index, sums: sums.clone() }, Pace::Quick);
+            self.post.say(
+                at,
+                to,
+                &LedgerMessage::Hashes { shard, config, index, sums: sums.clone() },
+                Pace::Quick,
+            );
         }
     }
 
@@ -92,16 +97,21 @@
         if wrong.contains(&own) {
             // One of the majority owns it from now on, and mends this front's copy.
             let heir = sums.iter().find(|(_, of)| **of == right).map(|(front, _)| *front);
-            let word = Word::Heir { shard, config };
-            heir.into_iter().for_each(|heir| self.post.say(at, heir, &word, Pace::Quick));
+            let message = LedgerMessage::TransferLeadership { shard, config };
+            heir.into_iter().for_each(|heir| self.post.say(at, heir, &message, Pace::Quick));
             return;
         }
-        let (index, state) = (replica.applied(), words::bytes(&replica.state));
+        let (index, state) = (replica.applied(), messages::encode(&replica.state));
         for to in wrong {
             if self.post.is_busy(to, Pace::Repair) {
                 continue;
             }
-            self.post.say(at, to, &Word::Mend { shard, config, index, state: state.clone() }, Pace::Repair);
+            self.post.say(
+                at,
+                to,
+                &LedgerMessage::RepairReplica { shard, config, index, state: state.clone() },
+                Pace::Repair,
+            );
         }
     }
 
@@ -135,13 +145,13 @@
         place.scrub.told = None;
         if replica.applied() == index {
             let (config, sums) = (replica.config, sums(&replica.state));
-            self.post.say(at, to, &Word::Sums { shard, config, index, sums }, Pace::Quick);
+            self.post.say(at, to, &LedgerMessage::Hashes { shard, config, index, sums }, Pace::Quick);
         }
     }
 
     /// The owner has found this copy to differ.
     pub(crate) fn mended(&mut self, from: Keeper, (shard, config): (u16, u32), index: u64, state: &[u8]) {
-        let state = words::read::<State>(state);
+        let state = messages::decode::<State>(state);
         let Some(place) = self.of_member(from, shard, config) else { return };
         let Some((replica, state)) = place.replica.as_mut().zip(state) else { return };
         if replica.owner() == Some(from.front) && replica.mend(index, state) {
--- a/crates/ledger/src/shards.rs
+++ b/crates/ledger/src/shards.rs
@@ -4,13 +4,13 @@
 use crate::forms::OLDEST;
 use crate::ledger::Ledger;
 use crate::log::Heard;
+use crate::messages::{self, Base, Born, LedgerMessage};
 use crate::post::Pace;
 use crate::records::{self, Meta};
 use crate::repair::Peer;
 use crate::replica::{Replica, FIRST};
 use crate::state::{Keeper, State};
 use crate::upkeep::LOOK;
-use crate::words::{self, Base, Born, Word};
 use crate::{Done, FrontId, Micros, Moment, Outcome, Owner};
 
 const TOLD_AGAIN: Micros = 500_000; // microseconds until a member that is behind is told again
@@ -21,7 +21,7 @@
         if from == self.own.front {
             return self.refuse("own");
         }
-        let (letter, words) = match self.post.heard(at, from, bytes) {
+        let (letter, messages) = match self.post.heard(at, from, bytes) {
             Ok(heard) => heard,
             Err(why) => return self.refuse(why),
         };
@@ -33,19 +33,19 @@
         let (incarnation, disk, wall_ms) = (letter.incarnation, letter.disk, letter.wall_ms);
         self.away.returned(at.steady, &self.setup.members, from);
         self.peers.insert(from, Peer { at: at.steady, incarnation, disk, wall_ms });
-        for word in words {
-            self.word(at, Born { keeper: Keeper { front: from, disk }, incarnation }, word);
+        for message in messages {
+            self.handle(at, Born { keeper: Keeper { front: from, disk }, incarnation }, message);
         }
         self.settle(at);
     }
 
-    fn word(&mut self, at: Moment, sender: Born, word: Word) {
+    fn handle(&mut self, at: Moment, sender: Born, message: LedgerMessage) {
         let from = sender.keeper.front;
-        match word {
-            Word::Log { shard, config, number, message } => {
+        match message {
+            LedgerMessage::Log { shard, config, number, message } => {
                 self.logged(at, sender, shard, config, (number, *message));
             }
-            Word::Missed { shard, config } => {
+            LedgerMessage::Resync { shard, config } => {
                 let place = self.places.get_mut(usize::from(shard));
                 let replica = place.and_then(|place| place.replica.as_mut());
                 if let Some(replica) =
@@ -55,47 +55,55 @@
                     self.touched.insert(shard);
                 }
             }
-            Word::Ask { shard, command } => {
+            LedgerMessage::Request { shard, command } => {
                 self.touched.insert(shard);
                 self.asked(at, from, shard, command);
             }
-            Word::Told { incarnation, number, outcome } if incarnation == self.setup.incarnation => {
+            LedgerMessage::Reply { incarnation, number, outcome }
+                if incarnation == self.setup.incarnation =>
+            {
                 self.answered(Some(from), number, outcome);
             }
-            Word::Elsewhere { incarnation, number, owner, .. } if incarnation == self.setup.incarnation => {
+            LedgerMessage::NotLeader { incarnation, number, owner, .. }
+                if incarnation == self.setup.incarnation =>
+            {
                 self.elsewhere(at, from, number, owner);
             }
-            Word::Told { .. } | Word::Elsewhere { .. } => {}
-            Word::Here { shard, config, with } => self.here(at, sender, shard, config, &with),
-            Word::Members { shard, config, keepers } => self.learn(at, from, shard, config, keepers),
-            Word::Offer { shard } => self.is_here(at, from, shard),
-            Word::Copy { shard, config, index, state } => {
+            LedgerMessage::Reply { .. } | LedgerMessage::NotLeader { .. } => {}
+            LedgerMessage::Available { shard, config, with } => self.here(at, sender, shard, config, &with),
+            LedgerMessage::Membership { shard, config, keepers } => {
+                self.learn(at, from, shard, config, keepers)
+            }
+            LedgerMessage::Probe { shard } => self.is_here(at, from, shard),
+            LedgerMessage::Snapshot { shard, config, index, state } => {
                 let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-                let Some(state) = words::read::<State>(&state) else { return self.refuse("form") };
+                let Some(state) = messages::decode::<State>(&state) else { return self.refuse("form") };
                 if place.replica.is_none() && self.own.disk != 0 {
                     place.learned = Some((config, index, state));
-                    self.post.say(at, from, &Word::Caught { shard, config, index }, Pace::Quick);
+                    self.post.say(at, from, &LedgerMessage::CaughtUp { shard, config, index }, Pace::Quick);
                 }
             }
-            Word::Caught { shard, config, index } => {
+            LedgerMessage::CaughtUp { shard, config, index } => {
                 let place = self.places.get_mut(usize::from(shard));
                 let repair = place.and_then(|place| place.repair.as_mut());
                 if let Some(repair) = repair.filter(|r| r.into == sender.keeper && r.config == config) {
                     repair.caught = Some(index);
                 }
             }
-            Word::Sums { shard, config, index, sums } => {
+            LedgerMessage::Hashes { shard, config, index, sums } => {
                 self.summed(at, sender.keeper, (shard, config), (index, sums));
             }
-            Word::Mend { shard, config, index, state } => {
+            LedgerMessage::RepairReplica { shard, config, index, state } => {
                 self.mended(sender.keeper, (shard, config), index, &state);
             }
-            Word::Leaves => _ = self.leavers.insert(from, sender.incarnation),
-            Word::Turn { incarnation, number } => {
+            LedgerMessage::ShuttingDown => _ = self.leavers.insert(from, sender.incarnation),
+            LedgerMessage::KeyFree { incarnation, number } => {
                 self.turn(Owner { front: self.own.front, incarnation }, number);
             }
-            Word::Heir { shard, config } => self.inherits(from, shard, config),
-            Word::Begin { shard, config, keepers, base } => self.begin(at, shard, config, keepers, &base),
+            LedgerMessage::TransferLeadership { shard, config } => self.inherits(from, shard, config),
+            LedgerMessage::Join { shard, config, keepers, base } => {
+                self.begin(at, shard, config, keepers, &base)
+            }
         }
     }
 
@@ -150,7 +158,7 @@
         place.told.insert(to, at.steady);
         let with = place.birth.as_ref().map(|birth| birth.agreed().to_vec()).unwrap_or_default();
         let config = place.replica.as_ref().map_or(0, |replica| replica.config);
-        self.post.say(at, to, &Word::Here { shard, config, with }, Pace::Quick);
+        self.post.say(at, to, &LedgerMessage::Available { shard, config, with }, Pace::Quick);
     }
 
     fn here(&mut self, at: Moment, sender: Born, shard: u16, config: u32, with: &[Born]) {
@@ -175,17 +183,18 @@
         }
         place.told.insert(sender.front, at.steady);
         let Some((config, keepers)) = place.known.clone() else { return };
-        let word = match &place.replica {
+        let message = match &place.replica {
             Some(replica) if keepers.contains(&sender) && replica.config == config => {
                 if self.post.is_busy(sender.front, Pace::Quick) {
                     return;
                 }
-                let base = Base::Whole { index: replica.applied(), state: words::bytes(&replica.state) };
-                Word::Begin { shard, config, keepers, base }
+                let base =
+                    Base::Snapshot { index: replica.applied(), state: messages::encode(&replica.state) };
+                LedgerMessage::Join { shard, config, keepers, base }
             }
-            _ => Word::Members { shard, config, keepers },
+            _ => LedgerMessage::Membership { shard, config, keepers },
         };
-        self.post.say(at, sender.front, &word, Pace::Quick);
+        self.post.say(at, sender.front, &message, Pace::Quick);
     }
 
     /// Another says who keeps the shard.
@@ -278,20 +287,20 @@
         if place.leads.is_none() {
             place.repair = None;
         }
-        let words = replica.messages();
+        let messages = replica.messages();
         self.tallies.rounds += settled.rounds;
-        for (to, word) in words {
+        for (to, message) in messages {
             // What would overtake a long one counts as lost instead: it is sent again once that has come.
-            let ordered = matches!(word, Word::Log { number, .. } if number > 0);
+            let ordered = matches!(message, LedgerMessage::Log { number, .. } if number > 0);
             if !ordered || !self.post.is_busy(to, Pace::Log(shard)) {
-                self.post.say(at, to, &word, if ordered { Pace::Log(shard) } else { Pace::Quick });
+                self.post.say(at, to, &message, if ordered { Pace::Log(shard) } else { Pace::Quick });
             }
         }
         for (command, outcome) in settled.told {
             let (owner, number) = (command.owner, command.number);
             if owner.front != self.own.front {
-                let word = Word::Told { incarnation: owner.incarnation, number, outcome };
-                self.post.say(at, owner.front, &word, Pace::Quick);
+                let message = LedgerMessage::Reply { incarnation: owner.incarnation, number, outcome };
+                self.post.say(at, owner.front, &message, Pace::Quick);
             } else if owner.incarnation == self.setup.incarnation {
                 self.answered(None, number, outcome);
             }
@@ -300,8 +309,8 @@
             if owner.front == self.own.front {
                 self.turn(owner, number);
             } else {
-                let word = Word::Turn { incarnation: owner.incarnation, number };
-                self.post.say(at, owner.front, &word, Pace::Quick);
+                let message = LedgerMessage::KeyFree { incarnation: owner.incarnation, number };
+                self.post.say(at, owner.front, &message, Pace::Quick);
             }
         }
         self.answers_sums(at, shard);
@@ -330,8 +339,8 @@
             for to in next.iter().filter(|keeper| **keeper != own && !before.contains(keeper)) {
                 let index = caught.filter(|(into, _)| into == to).map_or(0, |(_, index)| index);
                 let base = replica.base_after(index);
-                let word = Word::Begin { shard, config, keepers: next.clone(), base };
-                self.post.say(at, to.front, &word, Pace::Quick);
+                let message = LedgerMessage::Join { shard, config, keepers: next.clone(), base };
+                self.post.say(at, to.front, &message, Pace::Quick);
                 self.tallies.repaired += 1;
                 self.tallies.moved += u64::from(moves);
             }
@@ -339,8 +348,8 @@
             let told = place.ranked.iter().take(self.setup.copies).copied();
             let told = told.chain(before.iter().map(|keeper| keeper.front)).filter(|front| !stay(front));
             for to in told.filter(|to| *to != own.front) {
-                let word = Word::Members { shard, config, keepers: next.clone() };
-                self.post.say(at, to, &word, Pace::Quick);
+                let message = LedgerMessage::Membership { shard, config, keepers: next.clone() };
+                self.post.say(at, to, &message, Pace::Quick);
             }
         }
         place.known = Some((config, next.clone()));
@@ -375,8 +384,8 @@
 /// The state that a base tells, where the copy that this front has been given bears it.
 fn state_of(base: &Base, learned: Option<(u32, u64, State)>, config: u32) -> Option<(u64, State)> {
     match base {
-        Base::Whole { index, state } => Some((*index, words::read(state)?)),
-        Base::After { index, batches } => {
+        Base::Snapshot { index, state } => Some((*index, messages::decode(state)?)),
+        Base::Suffix { index, batches } => {
             let (of, at, mut state) = learned?;
             if (of.checked_add(1), at) != (Some(config), *index) {
                 return None;
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -114,9 +114,9 @@
 
     /// Each entry, and all else that copies agree on, as bytes.
     pub fn parts(&self) -> (impl Iterator<Item = (&Key, Vec<u8>)>, Vec<u8>) {
-        let entries = self.entries.iter().map(|(key, entry)| (key, crate::words::bytes(entry)));
+        let entries = self.entries.iter().map(|(key, entry)| (key, crate::messages::encode(entry)));
         let State { limits, now_ms, last, bytes, answers, tail, .. } = self;
-        (entries, crate::words::bytes(&(limits, now_ms, last, bytes, answers, tail)))
+        (entries, crate::messages::encode(&(limits, now_ms, last, bytes, answers, tail)))
     }
 
     fn of(&self, key: &Key) -> Option<&Entry> {
--- a/crates/ledger/src/tail.rs
+++ b/crates/ledger/src/tail.rs
@@ -28,7 +28,7 @@
 }
 
 impl Tail {
-    /// In the form, or in the first where that has no word for it.
+    /// In the form, or in the first where that has no place for it.
     pub fn of(form: u8, next: Option<Vec<Keeper>>) -> Tail {
         match next {
             next if form >= FORMED => Tail::Formed { form, next },
--- a/crates/ledger/src/upkeep.rs
+++ b/crates/ledger/src/upkeep.rs
@@ -1,16 +1,16 @@
-//! What is done without a word of others: shards begin, and missing copies are made again.
+//! What is done without a message of others: shards begin, and missing copies are made again.
 
 use crate::birth::{Birth, Next};
 use crate::ledger::Ledger;
+use crate::messages::{self, Born, LedgerMessage};
 use crate::post::Pace;
 use crate::records;
 use crate::repair::{missing, spare, Peer, Repair};
 use crate::replica::{Replica, FIRST};
 use crate::state::{Keeper, Limits, State};
-use crate::words::{self, Born, Word};
 use crate::{FrontId, Micros, Moment};
 
-/// Microseconds between looks at who is missing, and between words of one that waits.
+/// Microseconds between looks at who is missing, and between messages of one that waits.
 pub(crate) const LOOK: Micros = 250_000;
 const ASKED: usize = 8; // fronts that are asked at once whether a shard has begun
 
@@ -38,8 +38,8 @@
                 self.records.push(records::birth(shard, &with));
                 place.told.clear();
                 placed.iter().filter(|front| **front != own.keeper.front).for_each(|to| {
-                    let word = Word::Here { shard, config: 0, with: with.clone() };
-                    self.post.say(at, *to, &word, Pace::Quick);
+                    let message = LedgerMessage::Available { shard, config: 0, with: with.clone() };
+                    self.post.say(at, *to, &message, Pace::Quick);
                 });
                 if placed.len() == 1 {
                     self.born(at, shard);
@@ -49,8 +49,8 @@
                 // The others begin once they hear that this one has agreed, which it says once more.
                 let with = birth.agreed().to_vec();
                 for to in placed.iter().filter(|front| **front != own.keeper.front) {
-                    let word = Word::Here { shard, config: 0, with: with.clone() };
-                    self.post.say(at, *to, &word, Pace::Quick);
+                    let message = LedgerMessage::Available { shard, config: 0, with: with.clone() };
+                    self.post.say(at, *to, &message, Pace::Quick);
                 }
                 let state = State::new(Limits::of(&self.setup));
                 self.open(at, shard, 1, keepers, (FIRST, state));
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Looks at what has to be done without a word of others.
+    /// Looks at what has to be done without a message of others.
     pub(crate) fn look(&mut self, at: Moment) {
         if at.steady < self.look_at {
             return;
@@ -139,7 +139,7 @@
 
     /// Asks a front whether it could keep a copy.
     pub(crate) fn offer(&mut self, at: Moment, to: FrontId, shard: u16) {
-        self.post.say(at, to, &Word::Offer { shard }, Pace::Quick);
+        self.post.say(at, to, &LedgerMessage::Probe { shard }, Pace::Quick);
     }
 
     /// Gives a copy to the one that is to take another's place; until when, where it only moves.
@@ -148,11 +148,11 @@
         let Some(replica) = &place.replica else { return };
         let config = replica.config;
         let (index, bytes) = (replica.applied(), replica.state.bytes());
-        let state = words::bytes(&replica.state);
+        let state = messages::encode(&replica.state);
         let mut repair = Repair::new(at.steady, out, into, config, bytes, self.setup.repair_bytes);
         (repair.moves, repair.ends) = (moves.is_some(), moves.unwrap_or(repair.ends));
         place.repair = Some(repair);
-        self.post.say(at, into.front, &Word::Copy { shard, config, index, state }, Pace::Repair);
+        self.post.say(at, into.front, &LedgerMessage::Snapshot { shard, config, index, state }, Pace::Repair);
     }
 
     /// The time that goes with a round: the middle one of the members' Unix clocks, so that one that is far off ends
