--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -135,12 +135,12 @@
 
     /// Puts what there is to send into datagrams: behind the saves that they rest on.
     pub fn send(&mut self, at: Moment, node: &mut Node, out: &mut Output) {
-        let hallmux_ledger::Out { letters, saves, done } = self.ledger.take();
+        let hallmux_ledger::Out { packets, saves, done } = self.ledger.take();
         self.answers.extend(done);
         let mut seal =
-            |letters: Vec<(PeerId, Vec<u8>)>| -> Vec<Datagram> {
+            |packets: Vec<(PeerId, Vec<u8>)>| -> Vec<Datagram> {
                 let mut datagrams = Vec::new();
-                for (to, message) in letters {
+                for (to, message) in packets {
                     // A message that can't be sent counts as lost on the way.
                     let address = self.addresses.get(&to).copied().or_else(|| node.address(to));
                     datagrams.extend(address.and_then(|to| {
@@ -149,9 +149,9 @@
                 }
                 datagrams
             };
-        out.datagrams.extend(seal(letters));
+        out.datagrams.extend(seal(packets));
         for save in saves {
-            let datagrams = seal(save.letters);
+            let datagrams = seal(save.packets);
             out.ledger_saves.push(LedgerSave { number: save.number, records: save.records, datagrams });
         }
     }
--- a/crates/ledger/src/forms.rs
+++ b/crates/ledger/src/forms.rs
@@ -1,4 +1,4 @@
-//! Forms of letters: a fleet is of two builds while a release goes through it. A front writes to another in the latest
+//! Forms of packets: a fleet is of two builds while a release goes through it. A front writes to another in the latest
 //! form that both read, and in the first until it knows: what only later ones know waits until its reader has shown
 //! that it can read it.
 //!
@@ -47,7 +47,7 @@
         fronts.map(|front| self.of(own, front)).min().unwrap_or(own)
     }
 
-    /// A letter has come in a form, in a life of its front.
+    /// A packet has come in a form, in a life of its front.
     pub fn heard(&mut self, front: FrontId, incarnation: u64, form: u8) {
         let known = self.known.entry(front).or_insert((incarnation, form));
         if incarnation > known.0 {
--- a/crates/ledger/src/forms_tests.rs
+++ b/crates/ledger/src/forms_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::messages::{self, Base, Born, Letter, Sheet};
+use crate::messages::{self, Base, Born, Packet, Payload};
 use crate::records;
 use crate::state::{Batch, Command, Keeper, Limits, State};
 use crate::tail::Tail;
@@ -61,19 +61,19 @@
         LedgerMessage::Join { shard: 1, config: 2, keepers: keepers.clone(), base: whole },
         LedgerMessage::Join { shard: 1, config: 2, keepers, base: after },
     ];
-    let letter = |sheet| Letter { form: 1, fleet: 2, disk: 3, incarnation: 4, wall_ms: 5, sheet };
-    let letters = [
-        letter(Sheet::Messages(vec![vec![1, 2], vec![3]])),
-        letter(Sheet::Piece { id: 1, index: 2, count: 3, bytes: vec![4] }),
-        letter(Sheet::Again { id: 1, missing: vec![2] }),
-        letter(Sheet::Whole { id: 1 }),
+    let packet = |payload| Packet { form: 1, fleet: 2, disk: 3, incarnation: 4, wall_ms: 5, payload };
+    let packets = [
+        packet(Payload::Messages(vec![vec![1, 2], vec![3]])),
+        packet(Payload::Fragment { id: 1, index: 2, count: 3, bytes: vec![4] }),
+        packet(Payload::Resend { id: 1, missing: vec![2] }),
+        packet(Payload::Received { id: 1 }),
     ];
     let mut state = State::new(Limits { entries: 10, bytes: 1_000, apart_ms: 500 });
     state.apply(&Batch { tail: Tail::None, ..batch() });
     let record = |record: crate::Record| record.bytes.unwrap_or_default();
     let mut all: Vec<(&'static str, Vec<u8>)> =
         of.iter().map(|message| ("word", messages::encode(message))).collect();
-    all.extend(letters.iter().map(|letter| ("letter", messages::encode(letter))));
+    all.extend(packets.iter().map(|packet| ("letter", messages::encode(packet))));
     all.push(("batch", messages::encode(&batch())));
     all.push(("state", messages::encode(&state)));
     all.push(("mark", record(records::mark(1, 7, 8))));
@@ -94,7 +94,7 @@
     for (what, bytes) in first_form() {
         let again = match what {
             "word" => messages::decode::<LedgerMessage>(&bytes).map(|message| messages::encode(&message)),
-            "letter" => messages::decode::<Letter>(&bytes).map(|letter| messages::encode(&letter)),
+            "letter" => messages::decode::<Packet>(&bytes).map(|packet| messages::encode(&packet)),
             "batch" => messages::decode::<Batch>(&bytes).map(|batch| messages::encode(&batch)),
             "state" => messages::decode::<State>(&bytes).map(|state| messages::encode(&state)),
             _ => continue,
@@ -113,7 +113,7 @@
     assert_eq!(forms.of(2, 7), 1);
     forms.heard(7, 5, 2);
     assert!(forms.of(2, 7) == 2 && forms.introduces(2 * AGAIN, 2, 7).is_none());
-    // A letter of it that was under way changes nothing; a life of an earlier build does.
+    // A packet of it that was under way changes nothing; a life of an earlier build does.
     forms.heard(7, 5, 1);
     assert_eq!(forms.of(2, 7), 2);
     forms.heard(7, 6, 1);
--- a/crates/ledger/src/handover.rs
+++ b/crates/ledger/src/handover.rs
@@ -6,10 +6,10 @@
 use crate::forms::FORMED;
 use crate::ledger::Ledger;
 use crate::messages::LedgerMessage;
-use crate::post::Pace;
 use crate::repair::Peer;
 use crate::replica::Replica;
 use crate::state::Keeper;
+use crate::transport::Pace;
 use crate::{FrontId, Micros, Moment};
 
 const AGAIN: Micros = 150_000; // microseconds until another is named: some round trips and a sync
@@ -66,7 +66,7 @@
                         && !self.away.is_away(*front)
                         && !self.is_leaving(*front)
                 })
-                .filter(|front| self.post.reads(*front) >= 2)
+                .filter(|front| self.transport.reads(*front) >= 2)
                 .collect();
             // Who is wanted most first; the next where that one does not take it, as it may leave itself.
             let wanted = |front: &FrontId| place.wanted.iter().position(|wanted| wanted == front);
@@ -75,13 +75,13 @@
             heirs.sort_by_key(|front| (young(front), place.owner != Some(*front), wanted(front)));
             let Some(heir) = heirs.get(turn % heirs.len().max(1)) else { continue };
             let message = LedgerMessage::TransferLeadership { shard: replica.shard, config: replica.config };
-            self.post.say(at, *heir, &message, Pace::Quick);
+            self.transport.send(at, *heir, &message, Pace::Fast);
         }
         let members = self.places.iter().filter_map(|place| place.replica.as_ref());
         let members = members.flat_map(|replica| replica.keepers.iter().map(|keeper| keeper.front));
         let members: BTreeSet<FrontId> = members.filter(|front| *front != self.own.front).collect();
-        for to in members.into_iter().filter(|to| self.post.reads(*to) >= FORMED).collect::<Vec<_>>() {
-            self.post.say(at, to, &LedgerMessage::ShuttingDown, Pace::Quick);
+        for to in members.into_iter().filter(|to| self.transport.reads(*to) >= FORMED).collect::<Vec<_>>() {
+            self.transport.send(at, to, &LedgerMessage::ShuttingDown, Pace::Fast);
         }
     }
 
@@ -104,10 +104,10 @@
             peer.stays(at) && now - peer.at < FRESH && replica.keepers.contains(&keeper)
         };
         let there = self.peers.get(&to).is_some_and(there) && !self.away.is_away(to) && !self.is_leaving(to);
-        if there && now - since >= STAYS as Micros && self.post.reads(to) >= 2 {
+        if there && now - since >= STAYS as Micros && self.transport.reads(to) >= 2 {
             self.yields_at = now + APART;
             let message = LedgerMessage::TransferLeadership { shard, config: replica.config };
-            self.post.say(at, to, &message, Pace::Quick);
+            self.transport.send(at, to, &message, Pace::Fast);
         }
     }
 
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -9,12 +9,12 @@
 use crate::messages::{fingerprint, LedgerMessage};
 use crate::moves::Away;
 use crate::placement::ranked;
-use crate::post::{Pace, Post};
 use crate::records::{self, Meta};
 use crate::repair::{Peer, Repair};
 use crate::replica::{size, Replica};
 use crate::scrub::Scrub;
 use crate::state::{Command, Keeper, State};
+use crate::transport::{Pace, Transport};
 use crate::{
     shard_of, Act, Ask, Done, Error, FrontId, Micros, Moment, Out, Outcome, Owner, Record, Save, Saved,
 };
@@ -80,7 +80,7 @@
     /// When this front may next leave a shard to the one that is to own it.
     pub(crate) yields_at: Micros,
     pub(crate) asks: Asks,
-    pub(crate) post: Post,
+    pub(crate) transport: Transport,
     /// What must be lasting before anything more is told, beside the logs.
     pub(crate) records: Vec<Record>,
     next_save: u64,
@@ -132,7 +132,7 @@
             leavers: BTreeMap::new(),
             yields_at: at.steady,
             asks: Asks::default(),
-            post: Post::new(&setup, fleet),
+            transport: Transport::new(&setup, fleet),
             records: Vec::new(),
             next_save: 1,
             unsaved: VecDeque::new(),
@@ -221,7 +221,7 @@
         let others: Vec<FrontId> = keepers.iter().copied().chain(rest).collect();
         if let Some(to) = asks::whom(owner, &others, self.own.front, tries) {
             let message = LedgerMessage::Request { shard, command: waiting.command.clone() };
-            self.post.say(at, to, &message, Pace::Quick);
+            self.transport.send(at, to, &message, Pace::Fast);
         }
     }
 
@@ -268,10 +268,10 @@
         };
         let members = (place.config(), place.keepers().to_vec());
         let message = LedgerMessage::NotLeader { shard, incarnation, number, owner };
-        self.post.say(at, from, &message, Pace::Quick);
+        self.transport.send(at, from, &message, Pace::Fast);
         if place.replica.is_none() && members.0 > 0 {
             let message = LedgerMessage::Membership { shard, config: members.0, keepers: members.1 };
-            self.post.say(at, from, &message, Pace::Quick);
+            self.transport.send(at, from, &message, Pace::Fast);
         }
     }
 
@@ -287,7 +287,7 @@
                 if let Some(replica) = &mut place.replica {
                     let config = replica.config;
                     for to in replica.tick().into_iter().filter(|to| *to != self.own.front) {
-                        self.post.say(at, to, &LedgerMessage::Resync { shard, config }, Pace::Quick);
+                        self.transport.send(at, to, &LedgerMessage::Resync { shard, config }, Pace::Fast);
                     }
                     self.touched.insert(shard);
                 }
@@ -302,10 +302,10 @@
     pub fn due(&self) -> Micros {
         let keeps = self.places.iter().any(|place| place.replica.is_some() || place.birth.is_some());
         let tick = if keeps { self.tick_at } else { Micros::MAX };
-        tick.min(self.asks.due()).min(self.post.due()).min(self.hands_on_at())
+        tick.min(self.asks.due()).min(self.transport.due()).min(self.hands_on_at())
     }
 
-    /// What is to be done for it since it was last asked. What `letters` holds may leave at once.
+    /// What is to be done for it since it was last asked. What `packets` holds may leave at once.
     pub fn take(&mut self) -> Out {
         std::mem::take(&mut self.out)
     }
@@ -325,7 +325,7 @@
     /// Nothing can be kept any more: this front is a member of nothing in this life, and says so.
     pub(crate) fn fail(&mut self) {
         self.tallies.failed = true;
-        self.post.disk = 0;
+        self.transport.disk = 0;
         self.own.disk = 0;
         for place in &mut self.places {
             (place.replica, place.birth, place.learned) = (None, None, None);
@@ -346,10 +346,10 @@
         self.tallies.failed = false;
         self.setup.disk = disk;
         self.own.disk = disk;
-        self.post.disk = disk;
-        self.post.incarnation = at.wall_ms.max(self.post.incarnation + 1);
+        self.transport.disk = disk;
+        self.transport.incarnation = at.wall_ms.max(self.transport.incarnation + 1);
         self.kept_form = OLDEST;
-        self.records.push(records::mark(OLDEST, self.post.fleet, disk));
+        self.records.push(records::mark(OLDEST, self.transport.fleet, disk));
         self.places.iter_mut().for_each(|place| place.barred = 0);
         self.conceive();
         self.settle(at);
@@ -360,7 +360,7 @@
         while let Some(shard) = self.touched.pop_first() {
             self.settle_shard(at, shard);
         }
-        let letters = self.post.letters(at);
+        let packets = self.transport.packets(at);
         let mut must = !self.records.is_empty();
         for place in &mut self.places {
             must |= place.replica.as_mut().is_some_and(Replica::must_save);
@@ -374,23 +374,23 @@
             if form > self.kept_form {
                 // With the first of them, so that a build that can't read them finds that said.
                 self.kept_form = form;
-                records.push(records::mark(form, self.post.fleet, self.own.disk));
+                records.push(records::mark(form, self.transport.fleet, self.own.disk));
             }
-            return self.save(records, letters, done);
+            return self.save(records, packets, done);
         }
         if self.unsaved.is_empty() {
-            self.out.letters.extend(letters);
+            self.out.packets.extend(packets);
             self.out.done.extend(done);
-        } else if !letters.is_empty() || !done.is_empty() {
-            self.save(Vec::new(), letters, done);
+        } else if !packets.is_empty() || !done.is_empty() {
+            self.save(Vec::new(), packets, done);
         }
     }
 
-    fn save(&mut self, records: Vec<Record>, letters: Vec<(FrontId, Vec<u8>)>, done: Vec<Done>) {
+    fn save(&mut self, records: Vec<Record>, packets: Vec<(FrontId, Vec<u8>)>, done: Vec<Done>) {
         let number = self.next_save;
         self.next_save += 1;
         self.unsaved.push_back((number, done));
-        self.out.saves.push(Save { number, records, letters });
+        self.out.saves.push(Save { number, records, packets });
     }
 
     pub(crate) fn refuse(&mut self, why: &'static str) {
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -22,7 +22,6 @@
 mod moves;
 mod owners;
 mod placement;
-mod post;
 mod records;
 mod repair;
 mod replica;
@@ -31,6 +30,7 @@
 mod state;
 mod tail;
 mod tallies;
+mod transport;
 mod upkeep;
 
 use serde::{Deserialize, Serialize};
@@ -194,7 +194,7 @@
     /// To be written in this order.
     pub records: Vec<Record>,
     /// Encoded messages, each with its receiver.
-    pub letters: Vec<(FrontId, Vec<u8>)>,
+    pub packets: Vec<(FrontId, Vec<u8>)>,
 }
 
 /// All records, by name, as they were saved last.
@@ -205,7 +205,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Out {
     /// Encoded messages that may leave at once, each with its receiver.
-    pub letters: Vec<(FrontId, Vec<u8>)>,
+    pub packets: Vec<(FrontId, Vec<u8>)>,
     /// In order of their numbers.
     pub saves: Vec<Save>,
     /// Answers to this front's own asks; each ask gets one. One for an order or dedup key that was `Held` may get
--- a/crates/ledger/src/messages.rs
+++ b/crates/ledger/src/messages.rs
@@ -69,32 +69,32 @@
 
 /// A datagram's content.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Letter {
+pub(crate) struct Packet {
     pub form: u8,
     pub fleet: u64,
     pub disk: DiskId,
     pub incarnation: u64,
     pub wall_ms: u64,
-    pub sheet: Sheet,
+    pub payload: Payload,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) enum Sheet {
+pub(crate) enum Payload {
     Messages(Vec<Vec<u8>>),
     /// A part of a message that is longer than a datagram.
-    Piece {
+    Fragment {
         id: u64,
         index: u16,
         count: u16,
         bytes: Vec<u8>,
     },
-    /// Pieces that have not come.
-    Again {
+    /// Fragments that the receiver lacks.
+    Resend {
         id: u64,
         missing: Vec<u16>,
     },
-    /// All have come.
-    Whole {
+    /// All fragments have come.
+    Received {
         id: u64,
     },
 }
--- a/crates/ledger/src/repair.rs
+++ b/crates/ledger/src/repair.rs
@@ -37,7 +37,7 @@
         Repair { out, into, config, caught: None, moves: false, ends }
     }
 
-    /// Microseconds within which so much is copied at the budget's rate, lost letters and all.
+    /// Microseconds within which so much is copied at the budget's rate, lost packets and all.
     pub fn takes(bytes: usize, rate: u32) -> Micros {
         bytes as Micros * 2_000_000 / Micros::from(rate.max(1))
     }
--- a/crates/ledger/src/scrub.rs
+++ b/crates/ledger/src/scrub.rs
@@ -7,8 +7,8 @@
 use crate::ledger::{Ledger, Place};
 use crate::messages::{self, LedgerMessage};
 use crate::placement::hash;
-use crate::post::Pace;
 use crate::state::{Keeper, State};
+use crate::transport::Pace;
 use crate::{FrontId, Micros, Moment};
 
 const EVERY: Micros = 60_000_000; // microseconds between comparisons of a shard: hashing 512 KB takes about one in 1,000
@@ -64,14 +64,14 @@
         place.scrub.sums = BTreeMap::from([(self.own.front, sums.clone())]);
         let (config, index) = (replica.config, replica.applied());
         let others = replica.keepers.iter().map(|keeper| keeper.front);
-        let read = |front: &FrontId| *front != self.own.front && self.post.reads(*front) >= 2;
+        let read = |front: &FrontId| *front != self.own.front && self.transport.reads(*front) >= 2;
         let others: Vec<FrontId> = others.filter(read).collect();
         for to in others {
-            self.post.say(
+            self.transport.send(
                 at,
                 to,
                 &LedgerMessage::Hashes { shard, config, index, sums: sums.clone() },
-                Pace::Quick,
+                Pace::Fast,
             );
         }
     }
@@ -98,15 +98,15 @@
             // One of the majority owns it from now on, and mends this front's copy.
             let heir = sums.iter().find(|(_, of)| **of == right).map(|(front, _)| *front);
             let message = LedgerMessage::TransferLeadership { shard, config };
-            heir.into_iter().for_each(|heir| self.post.say(at, heir, &message, Pace::Quick));
+            heir.into_iter().for_each(|heir| self.transport.send(at, heir, &message, Pace::Fast));
             return;
         }
         let (index, state) = (replica.applied(), messages::encode(&replica.state));
         for to in wrong {
-            if self.post.is_busy(to, Pace::Repair) {
+            if self.transport.is_busy(to, Pace::Repair) {
                 continue;
             }
-            self.post.say(
+            self.transport.send(
                 at,
                 to,
                 &LedgerMessage::RepairReplica { shard, config, index, state: state.clone() },
@@ -145,7 +145,7 @@
         place.scrub.told = None;
         if replica.applied() == index {
             let (config, sums) = (replica.config, sums(&replica.state));
-            self.post.say(at, to, &LedgerMessage::Hashes { shard, config, index, sums }, Pace::Quick);
+            self.transport.send(at, to, &LedgerMessage::Hashes { shard, config, index, sums }, Pace::Fast);
         }
     }
 
--- a/crates/ledger/src/shards.rs
+++ b/crates/ledger/src/shards.rs
@@ -5,32 +5,32 @@
 use crate::ledger::Ledger;
 use crate::log::Heard;
 use crate::messages::{self, Base, Born, LedgerMessage};
-use crate::post::Pace;
 use crate::records::{self, Meta};
 use crate::repair::Peer;
 use crate::replica::{Replica, FIRST};
 use crate::state::{Keeper, State};
+use crate::transport::Pace;
 use crate::upkeep::LOOK;
 use crate::{Done, FrontId, Micros, Moment, Outcome, Owner};
 
 const TOLD_AGAIN: Micros = 500_000; // microseconds until a member that is behind is told again
 
 impl Ledger {
-    /// A letter of a front has come, whose signature holds.
+    /// A packet of a front has come, whose signature holds.
     pub fn heard(&mut self, at: Moment, from: FrontId, bytes: &[u8]) {
         if from == self.own.front {
             return self.refuse("own");
         }
-        let (letter, messages) = match self.post.heard(at, from, bytes) {
+        let (packet, messages) = match self.transport.receive(at, from, bytes) {
             Ok(heard) => heard,
             Err(why) => return self.refuse(why),
         };
         let silent = |peer: &Peer| at.steady - peer.at >= self.setup.repair_after;
         let before = self.peers.get(&from).filter(|peer| !silent(peer));
-        if before.is_some_and(|peer| peer.incarnation > letter.incarnation) {
+        if before.is_some_and(|peer| peer.incarnation > packet.incarnation) {
             return self.refuse("earlier life");
         }
-        let (incarnation, disk, wall_ms) = (letter.incarnation, letter.disk, letter.wall_ms);
+        let (incarnation, disk, wall_ms) = (packet.incarnation, packet.disk, packet.wall_ms);
         self.away.returned(at.steady, &self.setup.members, from);
         self.peers.insert(from, Peer { at: at.steady, incarnation, disk, wall_ms });
         for message in messages {
@@ -80,7 +80,12 @@
                 let Some(state) = messages::decode::<State>(&state) else { return self.refuse("form") };
                 if place.replica.is_none() && self.own.disk != 0 {
                     place.learned = Some((config, index, state));
-                    self.post.say(at, from, &LedgerMessage::CaughtUp { shard, config, index }, Pace::Quick);
+                    self.transport.send(
+                        at,
+                        from,
+                        &LedgerMessage::CaughtUp { shard, config, index },
+                        Pace::Fast,
+                    );
                 }
             }
             LedgerMessage::CaughtUp { shard, config, index } => {
@@ -158,7 +163,7 @@
         place.told.insert(to, at.steady);
         let with = place.birth.as_ref().map(|birth| birth.agreed().to_vec()).unwrap_or_default();
         let config = place.replica.as_ref().map_or(0, |replica| replica.config);
-        self.post.say(at, to, &LedgerMessage::Available { shard, config, with }, Pace::Quick);
+        self.transport.send(at, to, &LedgerMessage::Available { shard, config, with }, Pace::Fast);
     }
 
     fn here(&mut self, at: Moment, sender: Born, shard: u16, config: u32, with: &[Born]) {
@@ -185,7 +190,7 @@
         let Some((config, keepers)) = place.known.clone() else { return };
         let message = match &place.replica {
             Some(replica) if keepers.contains(&sender) && replica.config == config => {
-                if self.post.is_busy(sender.front, Pace::Quick) {
+                if self.transport.is_busy(sender.front, Pace::Fast) {
                     return;
                 }
                 let base =
@@ -194,7 +199,7 @@
             }
             _ => LedgerMessage::Membership { shard, config, keepers },
         };
-        self.post.say(at, sender.front, &message, Pace::Quick);
+        self.transport.send(at, sender.front, &message, Pace::Fast);
     }
 
     /// Another says who keeps the shard.
@@ -278,7 +283,7 @@
         let settled = replica.settle(at.steady, wall_ms);
         for (command, outcome) in &settled.told {
             let front = command.owner.front;
-            if front == self.own.front || self.post.reads(front) >= crate::forms::TURNS {
+            if front == self.own.front || self.transport.reads(front) >= crate::forms::TURNS {
                 replica.lines.heard(at.steady, command, outcome);
             }
         }
@@ -292,15 +297,15 @@
         for (to, message) in messages {
             // What would overtake a long one counts as lost instead: it is sent again once that has come.
             let ordered = matches!(message, LedgerMessage::Log { number, .. } if number > 0);
-            if !ordered || !self.post.is_busy(to, Pace::Log(shard)) {
-                self.post.say(at, to, &message, if ordered { Pace::Log(shard) } else { Pace::Quick });
+            if !ordered || !self.transport.is_busy(to, Pace::Log(shard)) {
+                self.transport.send(at, to, &message, if ordered { Pace::Log(shard) } else { Pace::Fast });
             }
         }
         for (command, outcome) in settled.told {
             let (owner, number) = (command.owner, command.number);
             if owner.front != self.own.front {
                 let message = LedgerMessage::Reply { incarnation: owner.incarnation, number, outcome };
-                self.post.say(at, owner.front, &message, Pace::Quick);
+                self.transport.send(at, owner.front, &message, Pace::Fast);
             } else if owner.incarnation == self.setup.incarnation {
                 self.answered(None, number, outcome);
             }
@@ -310,7 +315,7 @@
                 self.turn(owner, number);
             } else {
                 let message = LedgerMessage::KeyFree { incarnation: owner.incarnation, number };
-                self.post.say(at, owner.front, &message, Pace::Quick);
+                self.transport.send(at, owner.front, &message, Pace::Fast);
             }
         }
         self.answers_sums(at, shard);
@@ -340,7 +345,7 @@
                 let index = caught.filter(|(into, _)| into == to).map_or(0, |(_, index)| index);
                 let base = replica.base_after(index);
                 let message = LedgerMessage::Join { shard, config, keepers: next.clone(), base };
-                self.post.say(at, to.front, &message, Pace::Quick);
+                self.transport.send(at, to.front, &message, Pace::Fast);
                 self.tallies.repaired += 1;
                 self.tallies.moved += u64::from(moves);
             }
@@ -349,7 +354,7 @@
             let told = told.chain(before.iter().map(|keeper| keeper.front)).filter(|front| !stay(front));
             for to in told.filter(|to| *to != own.front) {
                 let message = LedgerMessage::Membership { shard, config, keepers: next.clone() };
-                self.post.say(at, to, &message, Pace::Quick);
+                self.transport.send(at, to, &message, Pace::Fast);
             }
         }
         place.known = Some((config, next.clone()));
--- a/crates/ledger/src/upkeep.rs
+++ b/crates/ledger/src/upkeep.rs
@@ -3,11 +3,11 @@
 use crate::birth::{Birth, Next};
 use crate::ledger::Ledger;
 use crate::messages::{self, Born, LedgerMessage};
-use crate::post::Pace;
 use crate::records;
 use crate::repair::{missing, spare, Peer, Repair};
 use crate::replica::{Replica, FIRST};
 use crate::state::{Keeper, Limits, State};
+use crate::transport::Pace;
 use crate::{FrontId, Micros, Moment};
 
 /// Microseconds between looks at who is missing, and between messages of one that waits.
@@ -27,7 +27,7 @@
     }
 
     pub(crate) fn born(&mut self, at: Moment, shard: u16) {
-        let own = Born { keeper: self.own, incarnation: self.post.incarnation };
+        let own = Born { keeper: self.own, incarnation: self.transport.incarnation };
         let copies = self.setup.copies;
         let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
         let placed: Vec<FrontId> = place.ranked.iter().take(copies).copied().collect();
@@ -39,7 +39,7 @@
                 place.told.clear();
                 placed.iter().filter(|front| **front != own.keeper.front).for_each(|to| {
                     let message = LedgerMessage::Available { shard, config: 0, with: with.clone() };
-                    self.post.say(at, *to, &message, Pace::Quick);
+                    self.transport.send(at, *to, &message, Pace::Fast);
                 });
                 if placed.len() == 1 {
                     self.born(at, shard);
@@ -50,7 +50,7 @@
                 let with = birth.agreed().to_vec();
                 for to in placed.iter().filter(|front| **front != own.keeper.front) {
                     let message = LedgerMessage::Available { shard, config: 0, with: with.clone() };
-                    self.post.say(at, *to, &message, Pace::Quick);
+                    self.transport.send(at, *to, &message, Pace::Fast);
                 }
                 let state = State::new(Limits::of(&self.setup));
                 self.open(at, shard, 1, keepers, (FIRST, state));
@@ -67,7 +67,7 @@
         self.place(at.steady);
         // Whoever is on the list may have to read what is kept, and may be a build back by then.
         let others = self.setup.members.iter().map(|member| member.front).filter(|f| *f != self.own.front);
-        self.form = self.setup.keeps.min(self.post.all_read(others));
+        self.form = self.setup.keeps.min(self.transport.all_read(others));
         for shard in 0..self.setup.shards {
             let Some(place) = self.places.get(usize::from(shard)) else { continue };
             if place.birth.is_some() {
@@ -139,7 +139,7 @@
 
     /// Asks a front whether it could keep a copy.
     pub(crate) fn offer(&mut self, at: Moment, to: FrontId, shard: u16) {
-        self.post.say(at, to, &LedgerMessage::Probe { shard }, Pace::Quick);
+        self.transport.send(at, to, &LedgerMessage::Probe { shard }, Pace::Fast);
     }
 
     /// Gives a copy to the one that is to take another's place; until when, where it only moves.
@@ -152,7 +152,12 @@
         let mut repair = Repair::new(at.steady, out, into, config, bytes, self.setup.repair_bytes);
         (repair.moves, repair.ends) = (moves.is_some(), moves.unwrap_or(repair.ends));
         place.repair = Some(repair);
-        self.post.say(at, into.front, &LedgerMessage::Snapshot { shard, config, index, state }, Pace::Repair);
+        self.transport.send(
+            at,
+            into.front,
+            &LedgerMessage::Snapshot { shard, config, index, state },
+            Pace::Repair,
+        );
     }
 
     /// The time that goes with a round: the middle one of the members' Unix clocks, so that one that is far off ends
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/ledger/tests/ledger.rs
@@ -1,5 +1,5 @@
 //! Promises among fronts that are cut apart, stopped, killed and emptied, over a network that loses, doubles and
-//! reorders letters.
+//! reorders packets.
 
 mod sim;
 
@@ -221,7 +221,7 @@
         "{:?}",
         longest.iter().rev().take(9).collect::<Vec<_>>()
     );
-    // One letter in fifty comes up to 200 ms late: an ask that meets two of them takes as long without any.
+    // One packet in fifty comes up to 200 ms late: an ask that meets two of them takes as long without any.
     let longest = asks_during_changes(0.02);
     let over = longest.iter().filter(|ms| **ms >= 300).count();
     assert!(over <= 1, "{:?}", longest.iter().rev().take(9).collect::<Vec<_>>());
--- a/crates/ledger/tests/model.rs
+++ b/crates/ledger/tests/model.rs
@@ -33,7 +33,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Letter {
+struct Packet {
     from: usize,
     /// The disk of the front that sent it; an answer goes to whoever has its ballot.
     disk: u8,
@@ -58,7 +58,7 @@
     lasting: Vec<Kept>,
     disks: [u8; FRONTS],
     leads: Vec<Option<Leads>>,
-    way: BTreeSet<Letter>,
+    way: BTreeSet<Packet>,
     campaigns: usize,
     values: u8,
     killed: bool,
@@ -75,7 +75,7 @@
     Save(usize),
     Kill(usize),
     LoseDisk(usize),
-    Arrives(usize, Letter),
+    Arrives(usize, Packet),
 }
 
 /// The rules, each of which can be taken out.
@@ -120,7 +120,7 @@
     }
 
     fn say(&mut self, from: usize, config: u8, ballot: u8, word: Word) {
-        self.way.insert(Letter { from, disk: self.disks[from], config, ballot, word });
+        self.way.insert(Packet { from, disk: self.disks[from], config, ballot, word });
     }
 
     fn keep(&mut self, front: usize, rules: Rules, kept: Kept) {
@@ -156,8 +156,8 @@
         self.keep(front, rules, Kept { config, promise: 0, accepted: 0, log });
     }
 
-    fn arrives(&mut self, to: usize, letter: Letter, rules: Rules) -> Option<()> {
-        let Letter { from, disk, config, ballot, word } = letter;
+    fn arrives(&mut self, to: usize, packet: Packet, rules: Rules) -> Option<()> {
+        let Packet { from, disk, config, ballot, word } = packet;
         // A member is a front with its disk: all had the first as they became one.
         if !self.is_member(to, config) || disk != 0 || self.disks[to] != 0 {
             return None;
@@ -264,9 +264,9 @@
                 steps.push(Step::LoseDisk(n));
             }
         }
-        let letters = s.way.iter().flat_map(|letter| (0..FRONTS).map(move |to| (to, letter)));
-        let others = letters.filter(|(to, letter)| *to != letter.from);
-        steps.extend(others.map(|(to, letter)| Step::Arrives(to, letter.clone())));
+        let packets = s.way.iter().flat_map(|packet| (0..FRONTS).map(move |to| (to, packet)));
+        let others = packets.filter(|(to, packet)| *to != packet.from);
+        steps.extend(others.map(|(to, packet)| Step::Arrives(to, packet.clone())));
     }
 
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
@@ -310,7 +310,7 @@
                 s.lasting[n] = s.kept[n].clone();
                 s.leads[n] = None;
             }
-            Step::Arrives(to, letter) => s.arrives(to, letter, *self)?,
+            Step::Arrives(to, packet) => s.arrives(to, packet, *self)?,
         }
         (s != *last).then_some(s)
     }
--- a/crates/ledger/tests/sim/mod.rs
+++ b/crates/ledger/tests/sim/mod.rs
@@ -30,7 +30,7 @@
     /// Saves take up to so long; one of so many fails.
     pub slow: Micros,
     pub fails: bool,
-    /// The form of letters of its build.
+    /// The form of packets of its build.
     pub form: u8,
 }
 
@@ -49,7 +49,7 @@
     pub record: Record,
     pub bytes: u64,
     next_disk: u64,
-    /// Takes a safety rule out: letters and answers leave before what they rest on is lasting.
+    /// Takes a safety rule out: packets and answers leave before what they rest on is lasting.
     pub hasty: bool,
     /// Takes a safety rule out: an emptied disk keeps its identity.
     pub same_disk: bool,
@@ -228,15 +228,15 @@
 
     fn drain(&mut self, n: usize) {
         let Some(ledger) = &mut self.fronts[n].ledger else { return };
-        let Out { letters, saves, done } = ledger.take();
+        let Out { packets, saves, done } = ledger.take();
         for done in done {
             self.record.answered(n, self.fronts[n].incarnation, done, self.now);
         }
-        self.post(n, letters);
+        self.deliver(n, packets);
         for mut save in saves {
             if self.hasty {
-                let letters = std::mem::take(&mut save.letters);
-                self.post(n, letters);
+                let packets = std::mem::take(&mut save.packets);
+                self.deliver(n, packets);
                 let at = self.at(n);
                 let number = save.number;
                 let ledger = self.fronts[n].ledger.as_mut();
@@ -253,20 +253,20 @@
             more.done.into_iter().for_each(|done| {
                 self.record.answered(n, self.fronts[n].incarnation, done, self.now);
             });
-            self.post(n, more.letters);
+            self.deliver(n, more.packets);
             for save in more.saves {
-                self.post(n, save.letters.clone());
+                self.deliver(n, save.packets.clone());
                 let after = self.fronts[n].saves.back().map_or(self.now, |(at, _)| *at);
                 let slow = self.fronts[n].slow;
                 self.fronts[n]
                     .saves
-                    .push_back((after.max(self.now + slow), Save { letters: Vec::new(), ..save }));
+                    .push_back((after.max(self.now + slow), Save { packets: Vec::new(), ..save }));
             }
         }
     }
 
-    fn post(&mut self, from: usize, letters: Vec<(FrontId, Vec<u8>)>) {
-        for (to, bytes) in letters {
+    fn deliver(&mut self, from: usize, packets: Vec<(FrontId, Vec<u8>)>) {
+        for (to, bytes) in packets {
             let to = (to - 100) as usize;
             assert!(bytes.len() <= 1_040);
             self.bytes += bytes.len() as u64;
@@ -322,7 +322,7 @@
                     None => self.fronts[n].disk.remove(&record.name),
                 };
             }
-            self.post(n, save.letters);
+            self.deliver(n, save.packets);
         }
         let at = self.at(n);
         if let Some(ledger) = self.fronts[n].ledger.as_mut().filter(|_| !self.hasty) {
