--- a/crates/ledger/src/transport.rs
+++ b/crates/ledger/src/transport.rs
@@ -1,74 +1,73 @@
-//! Messages into packets and back: small ones share a datagram, long ones are cut into fragments that are sent at a stated
-//! pace, asked for again where they are lost, and put together.
+//! Sends and receives messages between fronts as packets, each for one datagram: small messages share a packet, long ones
+//! are cut into fragments that are sent at a stated pace, and sent again where they are lost.
 
 use std::collections::BTreeMap;
 
 use crate::forms::{Forms, OLDEST};
 use crate::messages::{self, LedgerMessage, Packet, Payload};
+use crate::pacer::Pacer;
+use crate::reassembly::{Added, Fragment, MessageId, Reassembly};
 use crate::{DiskId, FrontId, Micros, Moment, Setup};
 
 /// Bytes of a packet at most: a datagram of gossip (1,200) less its seal (92), its sender's own rumour and lengths
 /// (44), and the byte that tells whose packet it is.
 pub(crate) const PACKET_BYTES: usize = 1_040;
 const HEADER_BYTES: usize = 48; // bytes of a packet beside its messages or its fragment at most
-const FRAGMENT_BYTES: usize = PACKET_BYTES - HEADER_BYTES;
-const MAX_FRAGMENTS: usize = 4_096; // of a message: some 4 MB
-const MAX_REASSEMBLIES: usize = 64; // messages of one front that are being put together
-const MAX_BUFFERED: usize = 32 * 1_024 * 1_024; // bytes of fragments that wait for others
-const GAP_TIMEOUT: Micros = 60_000; // microseconds without a fragment until gaps are asked for
-const TAIL_TIMEOUT: Micros = 400_000; // microseconds until fragments count as lost that may yet have to be sent
+pub(crate) const FRAGMENT_BYTES: usize = PACKET_BYTES - HEADER_BYTES;
+pub(crate) const MAX_FRAGMENTS: usize = 4_096; // of a message: some 4 MB
 const ACK_TIMEOUT: Micros = 250_000; // microseconds without a sign until its receiver is sent the last fragment again
-const ABANDON_AFTER: Micros = 10_000_000; // microseconds without a sign until a long message is forgotten
-const MAX_RECEIVED: usize = 4_096; // messages that are whole and remembered as such
-const MAX_RESEND: usize = 256; // fragments asked for at once
+pub(crate) const ABANDON_AFTER: Micros = 10_000_000; // microseconds without a sign until a long message is forgotten
 const LOG_RATE: f64 = 2_000_000.0; // bytes a second of long messages of the log: a follower waits for them
 
 /// How soon a long message has to be there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Pace {
+    /// At the rate of the log.
     Fast,
-    /// The same, of a shard's log: in order.
+    /// The same, for the log of this shard: one message at a time, as the log relies on their order.
     Log(u16),
-    /// By the budget for making copies again.
+    /// At the rate that the operator gives to rebuilding replicas.
     Repair,
 }
 
-/// Bytes a second, with a tenth of a second's worth saved up, and a fragment at least.
-#[derive(Debug)]
-struct Pacer {
-    rate: f64,
-    left: f64,
-    at: Micros,
-}
-
-impl Pacer {
-    fn new(rate: f64) -> Pacer {
-        Pacer { rate, left: 0.0, at: 0 }
-    }
-
-    fn refill(&mut self, now: Micros) {
-        let gained = (now - self.at).max(0) as f64 / 1e6 * self.rate;
-        self.left = (self.left + gained).min((self.rate / 10.0).max(PACKET_BYTES as f64));
-        self.at = now;
-    }
-
-    /// When the next fragment may leave.
-    fn due(&self) -> Micros {
-        self.at + ((PACKET_BYTES as f64 - self.left).max(0.0) / self.rate.max(1.0) * 1e6) as Micros + 1
-    }
-}
-
+/// A message that is longer than a packet and not acknowledged yet.
 struct LongMessage {
     to: FrontId,
     pace: Pace,
     bytes: Vec<u8>,
     /// Fragments that are to be sent, the next last.
     to_send: Vec<u16>,
+    /// When a fragment of it was sent or asked for last.
     touched: Micros,
+    /// When its receiver was sent the last fragment again.
     reminded: Micros,
 }
 
 impl LongMessage {
+    /// Fragments of it in all.
+    fn count(&self) -> u16 {
+        self.bytes.len().div_ceil(FRAGMENT_BYTES) as u16
+    }
+
+    fn slice(&self, index: u16) -> Option<&[u8]> {
+        self.bytes.chunks(FRAGMENT_BYTES).nth(index.into())
+    }
+
+    /// A fragment of it as it is sent; `id` is its number here.
+    fn fragment(&self, id: u64, index: u16) -> Option<Payload> {
+        let bytes = self.slice(index)?.to_vec();
+        Some(Payload::Fragment { id, index, count: self.count(), bytes })
+    }
+
+    /// Its receiver lacks these fragments.
+    fn resend(&mut self, now: Micros, missing: Vec<u16>) {
+        let count = self.count();
+        let new = missing.into_iter().rev().filter(|n| *n < count && !self.to_send.contains(n));
+        let new: Vec<u16> = new.collect();
+        self.to_send.extend(new);
+        self.touched = now;
+    }
+
     /// When its receiver is to be reminded.
     fn ack_due(&self) -> Micros {
         if self.to_send.is_empty() {
@@ -79,28 +78,22 @@
     }
 }
 
-struct Reassembly {
-    fragments: Vec<Option<Vec<u8>>>,
-    buffered: usize,
-    touched: Micros,
-    asked: Micros,
-}
-
+/// Sends messages to other fronts and receives theirs.
 pub(crate) struct Transport {
     pub fleet: u64,
     pub disk: DiskId,
     pub incarnation: u64,
     form: u8,
     forms: Forms,
+    /// Encoded messages that share packets, by receiver.
     small: BTreeMap<FrontId, Vec<Vec<u8>>>,
+    /// By the number that this front has given them.
     long: BTreeMap<u64, LongMessage>,
     next_long: u64,
-    reassemblies: BTreeMap<(FrontId, u64), Reassembly>,
-    /// Messages that became whole, and when: the acknowledgement may be lost, and is sent again to a sender that reminds.
-    received: BTreeMap<(FrontId, u64), Micros>,
-    buffered: usize,
+    reassembly: Reassembly,
     log_pacer: Pacer,
     repair_pacer: Pacer,
+    /// Requests and acknowledgements of fragments that leave next.
     payloads: Vec<(FrontId, Payload)>,
 }
 
@@ -116,9 +109,7 @@
             small: BTreeMap::new(),
             long: BTreeMap::new(),
             next_long: incarnation << 20, // an earlier life's are not this one's
-            reassemblies: BTreeMap::new(),
-            received: BTreeMap::new(),
-            buffered: 0,
+            reassembly: Reassembly::default(),
             log_pacer: Pacer::new(LOG_RATE),
             repair_pacer: Pacer::new(f64::from(setup.repair_bytes)),
             payloads: Vec::new(),
@@ -135,6 +126,7 @@
         self.forms.of_all(self.form, fronts)
     }
 
+    /// Puts a message into the next packets to this front.
     pub fn send(&mut self, at: Moment, to: FrontId, message: &LedgerMessage, pace: Pace) {
         let bytes = messages::encode(message);
         if bytes.len() + 3 <= FRAGMENT_BYTES {
@@ -156,7 +148,7 @@
         self.long.values().any(|long| long.to == to && long.pace == pace)
     }
 
-    /// A packet has come: its head, and the messages that are whole by it.
+    /// Takes in a packet: its header, and the messages that are complete by it; why it was refused, otherwise.
     pub fn receive(
         &mut self,
         at: Moment,
@@ -174,15 +166,19 @@
         let whole = match payload {
             Payload::Messages(messages) => messages,
             Payload::Fragment { id, index, count, bytes } => {
-                self.add_fragment(at, (from, id), index, count, bytes)?.into_iter().collect()
+                let id = MessageId { from, number: id };
+                let added = self.reassembly.add(at.steady, id, Fragment { index, count, bytes })?;
+                if !matches!(added, Added::Incomplete) {
+                    self.payloads.push((from, Payload::Received { id: id.number }));
+                }
+                match added {
+                    Added::Complete(message) => vec![message],
+                    Added::Incomplete | Added::Repeated => Vec::new(),
+                }
             }
             Payload::Resend { id, missing } => {
                 if let Some(long) = self.long.get_mut(&id).filter(|long| long.to == from) {
-                    let count = long.bytes.len().div_ceil(FRAGMENT_BYTES) as u16;
-                    let new = missing.into_iter().rev().filter(|n| *n < count && !long.to_send.contains(n));
-                    let new: Vec<u16> = new.collect();
-                    long.to_send.extend(new);
-                    long.touched = at.steady;
+                    long.resend(at.steady, missing);
                 }
                 Vec::new()
             }
@@ -206,52 +202,7 @@
         Ok((packet, messages))
     }
 
-    fn add_fragment(
-        &mut self,
-        at: Moment,
-        of: (FrontId, u64),
-        index: u16,
-        count: u16,
-        bytes: Vec<u8>,
-    ) -> Result<Option<Vec<u8>>, &'static str> {
-        if self.received.contains_key(&of) {
-            self.payloads.push((of.0, Payload::Received { id: of.1 }));
-            return Ok(None);
-        }
-        let many = self.reassemblies.range((of.0, 0)..=(of.0, u64::MAX)).count() >= MAX_REASSEMBLIES;
-        if index >= count || usize::from(count) > MAX_FRAGMENTS || bytes.len() > FRAGMENT_BYTES {
-            return Err("form");
-        }
-        if !self.reassemblies.contains_key(&of) && many || self.buffered + bytes.len() > MAX_BUFFERED {
-            return Err("too much");
-        }
-        let none = || Reassembly {
-            fragments: vec![None; count.into()],
-            buffered: 0,
-            touched: at.steady,
-            asked: at.steady,
-        };
-        let reassembly = self.reassemblies.entry(of).or_insert_with(none);
-        let place = reassembly.fragments.get_mut(usize::from(index)).ok_or("form")?;
-        reassembly.touched = at.steady;
-        if place.is_none() {
-            (reassembly.buffered, self.buffered) =
-                (reassembly.buffered + bytes.len(), self.buffered + bytes.len());
-            *place = Some(bytes);
-        }
-        if reassembly.fragments.iter().any(Option::is_none) {
-            return Ok(None);
-        }
-        let reassembly = self.reassemblies.remove(&of).ok_or("form")?;
-        self.buffered -= reassembly.buffered;
-        if self.received.len() < MAX_RECEIVED {
-            self.received.insert(of, at.steady);
-        }
-        self.payloads.push((of.0, Payload::Received { id: of.1 }));
-        Ok(Some(reassembly.fragments.into_iter().flatten().flatten().collect()))
-    }
-
-    /// When there is something to do without a message or a packet.
+    /// When `packets` is next due though nothing is sent or received.
     pub fn due(&self) -> Micros {
         let paced = |repair: bool, pacer: &Pacer| {
             let mut waits = self.long.values().filter(|long| !long.to_send.is_empty());
@@ -262,18 +213,14 @@
                 Micros::MAX
             }
         };
-        let reassemblies = self
-            .reassemblies
-            .values()
-            .map(|reassembly| reassembly.touched.max(reassembly.asked) + GAP_TIMEOUT);
         let long = self.long.values().map(|long| long.ack_due().min(long.touched + ABANDON_AFTER));
-        let log_pacer = paced(false, &self.log_pacer).min(paced(true, &self.repair_pacer));
-        reassemblies.chain(long).min().unwrap_or(Micros::MAX).min(log_pacer)
+        let fragments = paced(false, &self.log_pacer).min(paced(true, &self.repair_pacer));
+        long.min().unwrap_or(Micros::MAX).min(self.reassembly.due()).min(fragments)
     }
 
-    /// The packets that may leave now.
+    /// The packets that may leave now, each with its receiver.
     pub fn packets(&mut self, at: Moment) -> Vec<(FrontId, Vec<u8>)> {
-        self.request_missing(at.steady);
+        self.payloads.extend(self.reassembly.request_missing(at.steady));
         self.remind_receivers(at.steady);
         let mut payloads = std::mem::take(&mut self.payloads);
         for (to, mut messages) in std::mem::take(&mut self.small) {
@@ -302,53 +249,23 @@
         self.repair_pacer.refill(now);
         for (id, long) in &mut self.long {
             let pacer = if long.pace == Pace::Repair { &mut self.repair_pacer } else { &mut self.log_pacer };
-            let count = long.bytes.len().div_ceil(FRAGMENT_BYTES) as u16;
-            while pacer.left >= PACKET_BYTES as f64 {
+            while pacer.has_packet() {
                 let Some(index) = long.to_send.pop() else { break };
-                let Some(bytes) = long.bytes.chunks(FRAGMENT_BYTES).nth(index.into()) else { continue };
-                pacer.left -= (bytes.len() + HEADER_BYTES) as f64;
+                let Some(fragment) = long.fragment(*id, index) else { continue };
+                pacer.spend(long.slice(index).map_or(0, <[u8]>::len) + HEADER_BYTES);
                 long.touched = now;
-                payloads.push((long.to, Payload::Fragment { id: *id, index, count, bytes: bytes.to_vec() }));
+                payloads.push((long.to, fragment));
             }
         }
     }
 
-    /// Of a message that is sent and not known to be whole, its last fragment again: until one knows that it is, nothing else
-    /// of the same log goes to its receiver.
+    /// Sends the last fragment of a message again that is sent and not acknowledged: until it is, nothing else of the same
+    /// log goes to its receiver.
     fn remind_receivers(&mut self, now: Micros) {
         self.long.retain(|_, long| now - long.touched < ABANDON_AFTER);
         for (id, long) in self.long.iter_mut().filter(|(_, long)| long.ack_due() <= now) {
             long.reminded = now;
-            let count = long.bytes.len().div_ceil(FRAGMENT_BYTES) as u16;
-            let Some(bytes) = long.bytes.chunks(FRAGMENT_BYTES).next_back() else { continue };
-            let (index, bytes) = (count - 1, bytes.to_vec());
-            self.payloads.push((long.to, Payload::Fragment { id: *id, index, count, bytes }));
-        }
-    }
-
-    fn request_missing(&mut self, now: Micros) {
-        self.received.retain(|_, at| now - *at < 2 * ABANDON_AFTER);
-        let buffered = &mut self.buffered;
-        self.reassemblies.retain(|_, reassembly| {
-            let stays = now - reassembly.touched < ABANDON_AFTER;
-            *buffered -= if stays { 0 } else { reassembly.buffered };
-            stays
-        });
-        for ((from, id), reassembly) in &mut self.reassemblies {
-            if now - reassembly.touched.max(reassembly.asked) < GAP_TIMEOUT {
-                continue;
-            }
-            reassembly.asked = now;
-            // What follows the last that has come may only be waiting for its turn.
-            let last = reassembly.fragments.iter().rposition(Option::is_some).unwrap_or(0);
-            let sure =
-                if now - reassembly.touched >= TAIL_TIMEOUT { reassembly.fragments.len() } else { last };
-            let missing =
-                reassembly.fragments.iter().take(sure).enumerate().filter(|(_, fragment)| fragment.is_none());
-            let missing: Vec<u16> = missing.map(|(n, _)| n as u16).take(MAX_RESEND).collect();
-            if !missing.is_empty() {
-                self.payloads.push((*from, Payload::Resend { id: *id, missing }));
-            }
+            self.payloads.extend(long.fragment(*id, long.count() - 1).map(|last| (long.to, last)));
         }
     }
 }
--- a/crates/ledger/src/transport_tests.rs
+++ b/crates/ledger/src/transport_tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn small_words_share_a_letter_and_no_letter_is_longer_than_a_datagram() {
+fn small_messages_share_a_packet_and_no_packet_is_longer_than_a_datagram() {
     let (mut one, mut other) = (transport(1), transport(2));
     for shard in 0..200 {
         one.send(at(0), 2, &LedgerMessage::Probe { shard }, Pace::Fast);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_long_word_comes_whole_though_pieces_are_lost_doubled_and_out_of_order() {
+fn a_long_message_arrives_complete_though_fragments_are_lost_repeated_and_out_of_order() {
     let (mut one, mut other) = (transport(1), transport(2));
     one.send(at(0), 2, &long(60_000), Pace::Fast);
     let (mut now, mut heard, mut lost) = (0, Vec::new(), 0u64);
@@ -63,19 +63,22 @@
 }
 
 #[test]
-fn a_long_word_is_known_to_be_whole_though_the_word_of_that_or_all_its_pieces_were_lost() {
-    for (pieces_lost, whole_lost) in [(true, false), (false, true)] {
+fn a_long_message_is_acknowledged_though_the_acknowledgement_or_all_its_fragments_were_lost() {
+    for (fragments_lost, acknowledgement_lost) in [(true, false), (false, true)] {
         let (mut one, mut other, mut heard) = (transport(1), transport(2), 0);
         one.send(at(0), 2, &long(3_000), Pace::Log(3));
         for now in (0..80).map(|n| n * 10_000) {
-            for (_, packet) in one.packets(at(now)).into_iter().filter(|_| !(pieces_lost && now < 100_000)) {
+            for (_, packet) in one.packets(at(now)).into_iter().filter(|_| !(fragments_lost && now < 100_000))
+            {
                 heard += other.receive(at(now), 1, &packet).unwrap().1.len();
             }
-            for (_, packet) in other.packets(at(now)).into_iter().filter(|_| !(whole_lost && now < 100_000)) {
+            for (_, packet) in
+                other.packets(at(now)).into_iter().filter(|_| !(acknowledgement_lost && now < 100_000))
+            {
                 one.receive(at(now), 2, &packet).unwrap();
             }
         }
-        assert_eq!((heard, one.is_busy(2, Pace::Log(3))), (1, false), "{pieces_lost}");
+        assert_eq!((heard, one.is_busy(2, Pace::Log(3))), (1, false), "{fragments_lost}");
     }
     // One that never hears it is reminded for a while, then the message is forgotten.
     let mut one = transport(1);
@@ -85,7 +88,7 @@
 }
 
 #[test]
-fn making_copies_again_keeps_to_its_budget() {
+fn rebuilding_replicas_keeps_to_its_rate() {
     let mut one = transport(1);
     one.send(at(0), 2, &long(100_000), Pace::Repair);
     let mut sent = 0;
@@ -96,7 +99,7 @@
 }
 
 #[test]
-fn letters_of_another_fleet_or_form_are_refused_and_nothing_spoilt_is_believed() {
+fn packets_of_another_fleet_or_format_are_refused_and_nothing_corrupt_is_accepted() {
     let mut one = transport(1);
     one.send(at(0), 2, &long(3_000), Pace::Fast);
     one.send(at(0), 2, &LedgerMessage::Probe { shard: 1 }, Pace::Fast);
