--- a/crates/ledger/src/birth.rs
+++ b/crates/ledger/src/birth.rs
@@ -5,13 +5,13 @@
 use std::collections::BTreeMap;
 
 use crate::messages::Born;
-use crate::state::Keeper;
+use crate::state::ReplicaId;
 use crate::FrontId;
 
 #[derive(Default)]
 pub(crate) struct Birth {
     /// What each other says of itself, and with whom it would begin.
-    heard: BTreeMap<FrontId, (Born, Vec<Keeper>)>,
+    heard: BTreeMap<FrontId, (Born, Vec<ReplicaId>)>,
     /// With whom this front has agreed to begin.
     agreed: Vec<Born>,
     /// One says that the shard has begun already.
@@ -22,11 +22,11 @@
     Waits,
     /// Agree to begin with these: lasting before it is told.
     Agree(Vec<Born>),
-    Begin(Vec<Keeper>),
+    Begin(Vec<ReplicaId>),
 }
 
-fn keepers(with: &[Born]) -> Vec<Keeper> {
-    with.iter().map(|born| born.keeper).collect()
+fn replica_ids(with: &[Born]) -> Vec<ReplicaId> {
+    with.iter().map(|born| born.id).collect()
 }
 
 impl Birth {
@@ -39,11 +39,11 @@
     }
 
     pub fn heard(&mut self, born: Born, with: &[Born]) {
-        let front = born.keeper.front;
-        let agreed = self.agreed.iter().find(|before| before.keeper.front == front);
+        let front = born.id.front;
+        let agreed = self.agreed.iter().find(|before| before.id.front == front);
         let before = self.heard.get(&front).map(|(before, _)| before).or(agreed);
         if before.is_none_or(|before| before.incarnation <= born.incarnation) {
-            self.heard.insert(front, (born, keepers(with)));
+            self.heard.insert(front, (born, replica_ids(with)));
         }
     }
 
@@ -61,11 +61,11 @@
 
     /// What to do now, where the shard is placed on these.
     pub fn next(&mut self, own: Born, placed: &[FrontId], members: &[FrontId]) -> Next {
-        if self.begun || !self.unheard(own.keeper.front, members).is_empty() {
+        if self.begun || !self.unheard(own.id.front, members).is_empty() {
             return Next::Waits;
         }
         let born = |front: &FrontId| {
-            if *front == own.keeper.front {
+            if *front == own.id.front {
                 return Some(own);
             }
             self.heard.get(front).map(|(born, _)| *born)
@@ -73,13 +73,13 @@
         let Some(mut with) = placed.iter().map(born).collect::<Option<Vec<Born>>>() else {
             return Next::Waits;
         };
-        with.sort_unstable_by_key(|born| born.keeper);
-        let wanted = keepers(&with);
-        if keepers(&self.agreed) != wanted {
+        with.sort_unstable_by_key(|born| born.id);
+        let wanted = replica_ids(&with);
+        if replica_ids(&self.agreed) != wanted {
             self.agreed.clone_from(&with);
             return Next::Agree(with);
         }
-        let mut others = placed.iter().filter(|front| **front != own.keeper.front);
+        let mut others = placed.iter().filter(|front| **front != own.id.front);
         let all = others.all(|front| self.heard.get(front).is_some_and(|(_, with)| *with == wanted));
         if all {
             Next::Begin(wanted)
--- a/crates/ledger/src/birth_tests.rs
+++ b/crates/ledger/src/birth_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn born(front: FrontId, disk: u64, incarnation: u64) -> Born {
-    Born { keeper: Keeper { front, disk }, incarnation }
+    Born { id: ReplicaId { front, disk }, incarnation }
 }
 
 #[test]
@@ -36,7 +36,7 @@
     birth.heard(born(2, 20, 5), &later);
     assert!(matches!(birth.next(own, &placed, &placed), Next::Waits));
     birth.heard(born(3, 31, 6), &later);
-    assert!(matches!(birth.next(own, &placed, &placed), Next::Begin(keepers) if keepers.len() == 3));
+    assert!(matches!(birth.next(own, &placed, &placed), Next::Begin(members) if members.len() == 3));
     // Come back itself, with what it agreed to: the earlier disk counts for nothing.
     let mut again = Birth::new(later.clone());
     again.heard(born(2, 20, 5), &later);
--- a/crates/ledger/src/forms_tests.rs
+++ b/crates/ledger/src/forms_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::messages::{self, Base, Born, Packet, Payload};
 use crate::records;
-use crate::state::{Batch, Command, Keeper, Limits, State};
+use crate::state::{Batch, Command, Limits, ReplicaId, State};
 use crate::tail::Tail;
 use crate::{Act, Entry, Key, Kind, Outcome, Owner};
 
@@ -23,16 +23,16 @@
         command(3, Act::Free),
         command(4, Act::Read),
     ];
-    Batch { wall_ms: 1_800_000_000_200, commands, tail: Tail::Next(vec![keeper()]) }
+    Batch { wall_ms: 1_800_000_000_200, commands, tail: Tail::Next(vec![member()]) }
 }
 
-fn keeper() -> Keeper {
-    Keeper { front: 300, disk: 5 }
+fn member() -> ReplicaId {
+    ReplicaId { front: 300, disk: 5 }
 }
 
 /// Every message of the first form, and what is kept, byte by byte as the first build writes it.
 fn first_form() -> Vec<(&'static str, Vec<u8>)> {
-    let with = vec![Born { keeper: keeper(), incarnation: 9 }];
+    let with = vec![Born { id: member(), incarnation: 9 }];
     let entry = Entry {
         key: Key { kind: Kind::Mark, name: "m".to_string() },
         owner: Owner { front: 1, incarnation: 2 },
@@ -40,7 +40,7 @@
         ends_ms: 0,
         value: vec![8],
     };
-    let keepers = vec![keeper()];
+    let members = vec![member()];
     let told = |outcome| LedgerMessage::Reply { incarnation: 1, number: 2, outcome };
     let (whole, after) =
         (Base::Snapshot { index: 1, state: vec![7] }, Base::Suffix { index: 2, batches: vec![batch()] });
@@ -54,12 +54,12 @@
         told(Outcome::Full),
         LedgerMessage::NotLeader { shard: 1, incarnation: 2, number: 3, owner: Some(4) },
         LedgerMessage::Available { shard: 1, config: 2, with },
-        LedgerMessage::Membership { shard: 1, config: 2, keepers: keepers.clone() },
+        LedgerMessage::Membership { shard: 1, config: 2, members: members.clone() },
         LedgerMessage::Probe { shard: 1 },
         LedgerMessage::Snapshot { shard: 1, config: 2, index: 3, state: vec![4] },
         LedgerMessage::CaughtUp { shard: 1, config: 2, index: 3 },
-        LedgerMessage::Join { shard: 1, config: 2, keepers: keepers.clone(), base: whole },
-        LedgerMessage::Join { shard: 1, config: 2, keepers, base: after },
+        LedgerMessage::Join { shard: 1, config: 2, members: members.clone(), base: whole },
+        LedgerMessage::Join { shard: 1, config: 2, members, base: after },
     ];
     let packet = |payload| Packet { form: 1, fleet: 2, disk: 3, incarnation: 4, wall_ms: 5, payload };
     let packets = [
@@ -136,7 +136,7 @@
         LedgerMessage::ShuttingDown,
     ];
     let mut all: Vec<_> = messages.iter().map(|message| ("word", messages::encode(message))).collect();
-    all.push(("batch", messages::encode(&formed(3, Some(vec![keeper()])))));
+    all.push(("batch", messages::encode(&formed(3, Some(vec![member()])))));
     all.push(("state", messages::encode(&state)));
     all.push(("mark", record(records::mark(3, 7, 8))));
     all.push(("entry", record(records::entry(3, 4, &formed(3, None)))));
--- a/crates/ledger/src/handover.rs
+++ b/crates/ledger/src/handover.rs
@@ -8,7 +8,7 @@
 use crate::messages::LedgerMessage;
 use crate::repair::Peer;
 use crate::replica::Replica;
-use crate::state::Keeper;
+use crate::state::ReplicaId;
 use crate::transport::Pace;
 use crate::{FrontId, Micros, Moment};
 
@@ -43,7 +43,7 @@
 
     /// Whether it still owns what others could own.
     pub fn hands_over(&self) -> bool {
-        let more = |place: &&crate::ledger::Place| place.keepers().len() > 1;
+        let more = |place: &&crate::ledger::Place| place.members().len() > 1;
         let owned = self.places.iter().filter_map(|place| place.replica.as_ref().zip(Some(place)));
         owned.filter(|(_, place)| more(place)).any(|(replica, _)| replica.leads())
     }
@@ -58,7 +58,7 @@
             let Some(replica) = place.replica.as_ref().filter(|replica| replica.leads()) else { continue };
             let fresh = |peer: &Peer| peer.disk != 0 && now - peer.at < FRESH;
             let here = |front: &FrontId| self.peers.get(front).is_some_and(fresh);
-            let others = replica.keepers.iter().map(|keeper| keeper.front);
+            let others = replica.members.iter().map(|member| member.front);
             let mut heirs: Vec<FrontId> = others
                 .filter(|front| {
                     *front != self.own.front
@@ -78,7 +78,7 @@
             self.transport.send(at, *heir, &message, Pace::Fast);
         }
         let members = self.places.iter().filter_map(|place| place.replica.as_ref());
-        let members = members.flat_map(|replica| replica.keepers.iter().map(|keeper| keeper.front));
+        let members = members.flat_map(|replica| replica.members.iter().map(|member| member.front));
         let members: BTreeSet<FrontId> = members.filter(|front| *front != self.own.front).collect();
         for to in members.into_iter().filter(|to| self.transport.reads(*to) >= FORMED).collect::<Vec<_>>() {
             self.transport.send(at, to, &LedgerMessage::ShuttingDown, Pace::Fast);
@@ -98,10 +98,10 @@
         let Some(place) = self.places.get(usize::from(shard)) else { return };
         let Some((replica, since)) = place.replica.as_ref().zip(place.leads) else { return };
         let busy = place.repair.is_some() || self.leaving.is_some() || now < self.yields_at;
-        let Some(to) = place.first(&replica.keepers).filter(|to| *to != own && !busy) else { return };
+        let Some(to) = place.first(&replica.members).filter(|to| *to != own && !busy) else { return };
         let there = |peer: &Peer| {
-            let keeper = Keeper { front: to, disk: peer.disk };
-            peer.stays(at) && now - peer.at < FRESH && replica.keepers.contains(&keeper)
+            let member = ReplicaId { front: to, disk: peer.disk };
+            peer.stays(at) && now - peer.at < FRESH && replica.members.contains(&member)
         };
         let there = self.peers.get(&to).is_some_and(there) && !self.away.is_away(to) && !self.is_leaving(to);
         if there && now - since >= STAYS as Micros && self.transport.reads(to) >= 2 {
@@ -114,15 +114,15 @@
     /// Whether a shard that this front keeps would have no majority without it, as others of its members are away: an
     /// end had better wait for them. Of two that leave at once the one with the lower id does not wait for the other.
     pub fn is_needed(&self, at: Moment) -> bool {
-        let here = |keeper: &Keeper| {
-            let peer = self.peers.get(&keeper.front).filter(|peer| peer.disk == keeper.disk);
+        let here = |member: &ReplicaId| {
+            let peer = self.peers.get(&member.front).filter(|peer| peer.disk == member.disk);
             let fresh = peer.is_some_and(|peer| at.steady - peer.at < FRESH);
-            fresh && (!self.is_leaving(keeper.front) || keeper.front > self.own.front)
+            fresh && (!self.is_leaving(member.front) || member.front > self.own.front)
         };
         let needed = |replica: &Replica| {
-            let (majority, others) = (replica.keepers.len() / 2 + 1, replica.keepers.len() - 1);
+            let (majority, others) = (replica.members.len() / 2 + 1, replica.members.len() - 1);
             let there =
-                replica.keepers.iter().filter(|keeper| keeper.front != self.own.front && here(keeper));
+                replica.members.iter().filter(|member| member.front != self.own.front && here(member));
             majority <= others && there.count() < majority
         };
         self.places.iter().filter_map(|place| place.replica.as_ref()).any(needed)
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -13,7 +13,7 @@
 use crate::repair::{Peer, Repair};
 use crate::replica::{size, Replica};
 use crate::scrub::Scrub;
-use crate::state::{Command, Keeper, State};
+use crate::state::{Command, ReplicaId, State};
 use crate::transport::{Pace, Transport};
 use crate::{
     shard_of, Act, Ask, Done, Error, FrontId, Micros, Moment, Out, Outcome, Owner, Record, Save, Saved,
@@ -35,7 +35,7 @@
     pub owner: Option<FrontId>,
     pub replica: Option<Replica>,
     /// Who keeps it, by the latest that was heard.
-    pub known: Option<(u32, Vec<Keeper>)>,
+    pub known: Option<(u32, Vec<ReplicaId>)>,
     /// With these members or earlier ones this disk never begins (again).
     pub barred: u32,
     pub birth: Option<Birth>,
@@ -52,14 +52,14 @@
 }
 
 impl Place {
-    pub fn keepers(&self) -> &[Keeper] {
-        self.known.as_ref().map_or(&[], |(_, keepers)| keepers)
+    pub fn members(&self) -> &[ReplicaId] {
+        self.known.as_ref().map_or(&[], |(_, members)| members)
     }
 
     /// Which of its members is to own it.
-    pub fn first(&self, keepers: &[Keeper]) -> Option<FrontId> {
+    pub fn first(&self, members: &[ReplicaId]) -> Option<FrontId> {
         let mut order = self.owner.iter().chain(&self.wanted).chain(&self.ranked);
-        order.find(|front| keepers.iter().any(|keeper| keeper.front == **front)).copied()
+        order.find(|front| members.iter().any(|member| member.front == **front)).copied()
     }
 
     pub fn config(&self) -> u32 {
@@ -70,7 +70,7 @@
 /// A front's part in the ledger: its own asks, and the replicas that it holds.
 pub struct Ledger {
     pub(crate) setup: Setup,
-    pub(crate) own: Keeper,
+    pub(crate) own: ReplicaId,
     pub(crate) places: Vec<Place>,
     pub(crate) peers: BTreeMap<FrontId, Peer>,
     pub(crate) away: Away,
@@ -119,7 +119,7 @@
     pub fn new(at: Moment, setup: Setup, saved: Option<Saved>) -> Result<Ledger, Error> {
         check(&setup)?;
         let fleet = fingerprint(&setup.fleet, setup.shards);
-        let own = Keeper { front: setup.own, disk: setup.disk };
+        let own = ReplicaId { front: setup.own, disk: setup.disk };
         let none = Ok((OLDEST, BTreeMap::new()));
         let (kept_form, kept) = saved.as_ref().map_or(none, |saved| records::read(&setup, fleet, saved))?;
         let place = |shard| Place { ranked: ranked(&setup.members, shard), ..Place::default() };
@@ -163,16 +163,16 @@
         let own = self.own;
         let place = self.places.get_mut(usize::from(shard)).ok_or(Error::Fleet)?;
         place.birth = (!kept.birth.is_empty()).then(|| Birth::new(kept.birth));
-        let Some(Meta { config, keepers, mine, .. }) = kept.meta else { return Ok(()) };
+        let Some(Meta { config, members, is_member, .. }) = kept.meta else { return Ok(()) };
         place.birth = None;
         place.barred = config;
-        if mine {
-            let first = place.first(&keepers) == Some(own.front);
-            let replica = Replica::open(shard, config, &keepers, own, first, kept.held);
+        if is_member {
+            let first = place.first(&members) == Some(own.front);
+            let replica = Replica::open(shard, config, &members, own, first, kept.held);
             let damaged = || Error::Damaged { record: format!("members of shard {shard}") };
             place.replica = Some(replica.ok_or_else(damaged)?);
         }
-        place.known = Some((config, keepers));
+        place.known = Some((config, members));
         Ok(())
     }
 
@@ -216,9 +216,9 @@
             return;
         }
         let owner = place.replica.as_ref().and_then(Replica::owner).or(place.hint);
-        let keepers: Vec<FrontId> = place.keepers().iter().map(|keeper| keeper.front).collect();
-        let rest = place.ranked.iter().filter(|front| !keepers.contains(front)).copied();
-        let others: Vec<FrontId> = keepers.iter().copied().chain(rest).collect();
+        let members: Vec<FrontId> = place.members().iter().map(|member| member.front).collect();
+        let rest = place.ranked.iter().filter(|front| !members.contains(front)).copied();
+        let others: Vec<FrontId> = members.iter().copied().chain(rest).collect();
         if let Some(to) = asks::whom(owner, &others, self.own.front, tries) {
             let message = LedgerMessage::Request { shard, command: waiting.command.clone() };
             self.transport.send(at, to, &message, Pace::Fast);
@@ -266,11 +266,11 @@
             Some(replica) => replica.owner(),
             None => place.hint,
         };
-        let members = (place.config(), place.keepers().to_vec());
+        let (config, members) = (place.config(), place.members().to_vec());
         let message = LedgerMessage::NotLeader { shard, incarnation, number, owner };
         self.transport.send(at, from, &message, Pace::Fast);
-        if place.replica.is_none() && members.0 > 0 {
-            let message = LedgerMessage::Membership { shard, config: members.0, keepers: members.1 };
+        if place.replica.is_none() && config > 0 {
+            let message = LedgerMessage::Membership { shard, config, members };
             self.transport.send(at, from, &message, Pace::Fast);
         }
     }
--- a/crates/ledger/src/log.rs
+++ b/crates/ledger/src/log.rs
@@ -6,7 +6,7 @@
 use omnipaxos::util::LogEntry;
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
 
-use crate::state::{Batch, Folded, Keeper, State};
+use crate::state::{Batch, Folded, ReplicaId, State};
 use crate::FrontId;
 
 const ELECTION_TICKS: u64 = 6; // 300 ms without a sign of a leader: some round trips and a stall of a busy machine
@@ -33,7 +33,7 @@
 pub(crate) struct Log {
     kind: Kind,
     store: LogStore<Batch>,
-    keepers: Vec<Keeper>,
+    members: Vec<ReplicaId>,
     own: FrontId,
     /// What is decided, and for how many ticks that has not changed though more was proposed.
     stuck: (usize, u64),
@@ -43,18 +43,18 @@
     /// `first` leads where nobody does yet. None where this front is not among the members.
     pub fn new(
         config: u32,
-        keepers: &[Keeper],
-        own: Keeper,
+        members: &[ReplicaId],
+        own: ReplicaId,
         first: bool,
         store: LogStore<Batch>,
     ) -> Option<Log> {
-        let place = keepers.iter().position(|keeper| *keeper == own)?;
-        let kind = if keepers.len() == 1 {
+        let place = members.iter().position(|member| *member == own)?;
+        let kind = if members.len() == 1 {
             Kind::One
         } else {
             let cluster_config = ClusterConfig {
                 configuration_id: config,
-                nodes: (1..=keepers.len() as u64).collect(),
+                nodes: (1..=members.len() as u64).collect(),
                 ..ClusterConfig::default()
             };
             let server_config = ServerConfig {
@@ -67,12 +67,12 @@
             let config = OmniPaxosConfig { cluster_config, server_config };
             Kind::Many(Box::new(config.build(store.clone()).ok()?))
         };
-        Some(Log { kind, store, keepers: keepers.to_vec(), own: own.front, stuck: (0, 0) })
+        Some(Log { kind, store, members: members.to_vec(), own: own.front, stuck: (0, 0) })
     }
 
     fn front(&self, number: u64) -> Option<FrontId> {
         let place = usize::try_from(number.checked_sub(1)?).ok()?;
-        self.keepers.get(place).map(|keeper| keeper.front)
+        self.members.get(place).map(|member| member.front)
     }
 
     /// Who owns the shard as far as this member knows, and whether that one is ready for asks.
@@ -108,7 +108,7 @@
 
     /// The owner's connection counts as made anew: what was missed is asked for.
     pub fn asks_again(&mut self, owner: FrontId) {
-        let place = self.keepers.iter().position(|keeper| keeper.front == owner);
+        let place = self.members.iter().position(|member| member.front == owner);
         if let (Kind::Many(log), Some(place)) = (&mut self.kind, place) {
             log.reconnected(place as u64 + 1);
         }
--- a/crates/ledger/src/messages.rs
+++ b/crates/ledger/src/messages.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::placement::hash;
-use crate::state::{Batch, Command, Keeper};
+use crate::state::{Batch, Command, ReplicaId};
 use crate::{DiskId, FrontId, Outcome};
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
     /// it has agreed to start the shard.
     Available { shard: u16, config: u32, with: Vec<Born> },
     /// The shard's present configuration and its members.
-    Membership { shard: u16, config: u32, keepers: Vec<Keeper> },
+    Membership { shard: u16, config: u32, members: Vec<ReplicaId> },
     /// Asks whether the receiver can hold a replica of the shard; it answers with `Available`.
     Probe { shard: u16 },
     /// The shard's state as of an entry of the log, for a front that is to become a member; it answers with `CaughtUp`.
@@ -38,7 +38,7 @@
     /// The sender has taken in the snapshot up to this entry.
     CaughtUp { shard: u16, config: u32, index: u64 },
     /// The receiver is a member of this configuration, and starts from what the members before it have decided.
-    Join { shard: u16, config: u32, keepers: Vec<Keeper>, base: Base },
+    Join { shard: u16, config: u32, members: Vec<ReplicaId>, base: Base },
     /// The leader asks the receiver to take over the shard. Of form 2.
     TransferLeadership { shard: u16, config: u32 },
     /// The hashes of a replica as of an entry: the leader sends its own, and members answer with theirs. Of form 2.
@@ -54,7 +54,7 @@
 /// A front that has yet to begin a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Born {
-    pub keeper: Keeper,
+    pub id: ReplicaId,
     pub incarnation: u64,
 }
 
--- a/crates/ledger/src/moves.rs
+++ b/crates/ledger/src/moves.rs
@@ -10,7 +10,7 @@
 use crate::owners::owners;
 use crate::placement::ranked;
 use crate::repair::{Repair, HEARD, PATIENCE};
-use crate::state::Keeper;
+use crate::state::ReplicaId;
 use crate::{Error, FrontId, Member, Micros, Moment, Setup};
 
 /// Who is away, since when, and who of them is no longer waited for.
@@ -61,11 +61,11 @@
 }
 
 /// What of a shard's members is to change next: who goes, and who comes in its place.
-fn next(wanted: &[FrontId], keepers: &[Keeper], own: FrontId) -> Option<(Keeper, FrontId)> {
-    let into = wanted.iter().find(|front| keepers.iter().all(|keeper| keeper.front != **front))?;
+fn next(wanted: &[FrontId], members: &[ReplicaId], own: FrontId) -> Option<(ReplicaId, FrontId)> {
+    let into = wanted.iter().find(|front| members.iter().all(|member| member.front != **front))?;
     // The owner goes last: it is the one that sees to the others.
-    let mut out: Vec<&Keeper> = keepers.iter().filter(|keeper| !wanted.contains(&keeper.front)).collect();
-    out.sort_by_key(|keeper| (keeper.front == own, keeper.front));
+    let mut out: Vec<&ReplicaId> = members.iter().filter(|member| !wanted.contains(&member.front)).collect();
+    out.sort_by_key(|member| (member.front == own, member.front));
     Some((**out.first()?, *into))
 }
 
@@ -146,14 +146,14 @@
     }
 
     /// Moves a copy of a shard that this front owns, and of which none is missing, once it is the shard's turn.
-    pub(crate) fn shift(&mut self, at: Moment, shard: u16) -> Option<(Keeper, Keeper, Micros)> {
+    pub(crate) fn shift(&mut self, at: Moment, shard: u16) -> Option<(ReplicaId, ReplicaId, Micros)> {
         let now = at.steady;
         let place = self.places.get(usize::from(shard))?;
         let replica = place.replica.as_ref()?;
         if self.setup.moves_percent == 0 || place.wanted.len() < self.setup.copies {
             return None;
         }
-        let (out, into) = next(&place.wanted, &replica.keepers, self.own.front)?;
+        let (out, into) = next(&place.wanted, &replica.members, self.own.front)?;
         let left = turn(&self.setup, shard, self.wall_ms(at, shard))?;
         let takes = PATIENCE + Repair::takes(replica.state.bytes(), self.setup.repair_bytes);
         let busy = self.places.iter().any(|place| place.repair.is_some());
@@ -165,7 +165,7 @@
             self.offer(at, into, shard);
             return None;
         };
-        Some((out, Keeper { front: into, disk: peer.disk }, now + takes))
+        Some((out, ReplicaId { front: into, disk: peer.disk }, now + takes))
     }
 }
 
--- a/crates/ledger/src/records.rs
+++ b/crates/ledger/src/records.rs
@@ -8,7 +8,7 @@
 
 use crate::forms::{FORM, FORMED, OLDEST};
 use crate::messages::{self, Born};
-use crate::state::{Batch, Folded, Keeper};
+use crate::state::{Batch, Folded, ReplicaId};
 use crate::{Error, Record, Saved, Setup};
 
 /// In the checksum of records that say their form: those of the first say none.
@@ -27,9 +27,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Meta {
     pub config: u32,
-    pub keepers: Vec<Keeper>,
+    pub members: Vec<ReplicaId>,
     /// This front is one of them; otherwise it is kept so that the front never begins with these or earlier ones.
-    pub mine: bool,
+    pub is_member: bool,
     pub promise: Option<Ballot>,
     pub accepted_round: Option<Ballot>,
     pub decided: usize,
@@ -173,7 +173,7 @@
     }
     for (shard, of) in &mut kept {
         let log = logs.remove(shard).unwrap_or_default();
-        if let Some(meta) = of.meta.as_ref().filter(|meta| meta.mine) {
+        if let Some(meta) = of.meta.as_ref().filter(|meta| meta.is_member) {
             let whole = (meta.compacted as u64..meta.end as u64).eq(log.keys().copied());
             let damaged = || Error::Damaged { record: format!("log of shard {shard}") };
             if !whole || of.held.snapshot.is_none() || meta.decided > meta.end {
--- a/crates/ledger/src/repair.rs
+++ b/crates/ledger/src/repair.rs
@@ -1,7 +1,7 @@
 //! Copies that are missing: a member that lost its disk, or that nobody has heard for long, is replaced by a change of
 //! the shard's members, once the one that takes its place has caught up.
 
-use crate::state::Keeper;
+use crate::state::ReplicaId;
 use crate::{FrontId, Micros};
 
 /// Microseconds that taking in a new member may take beside the time its copy takes by the budget.
@@ -21,8 +21,8 @@
 /// A member that is to be replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Repair {
-    pub out: Keeper,
-    pub into: Keeper,
+    pub out: ReplicaId,
+    pub into: ReplicaId,
     pub config: u32,
     /// Entries that the copy holds, once it is there.
     pub caught: Option<u64>,
@@ -32,7 +32,7 @@
 }
 
 impl Repair {
-    pub fn new(now: Micros, out: Keeper, into: Keeper, config: u32, bytes: usize, rate: u32) -> Repair {
+    pub fn new(now: Micros, out: ReplicaId, into: ReplicaId, config: u32, bytes: usize, rate: u32) -> Repair {
         let ends = now + PATIENCE + Repair::takes(bytes, rate);
         Repair { out, into, config, caught: None, moves: false, ends }
     }
@@ -48,8 +48,8 @@
         self.ends <= now || self.config != config || !here
     }
 
-    pub fn next(&self, keepers: &[Keeper]) -> Vec<Keeper> {
-        let mut next: Vec<Keeper> = keepers.iter().copied().filter(|keeper| *keeper != self.out).collect();
+    pub fn next(&self, members: &[ReplicaId]) -> Vec<ReplicaId> {
+        let mut next: Vec<ReplicaId> = members.iter().copied().filter(|member| *member != self.out).collect();
         next.push(self.into);
         next.sort_unstable();
         next
@@ -61,23 +61,23 @@
     now: Micros,
     since: Micros,
     waits: impl Fn(FrontId, Micros) -> Micros,
-    keepers: &[Keeper],
+    members: &[ReplicaId],
     own: FrontId,
     peer: impl Fn(FrontId) -> Option<Peer>,
-) -> Option<(Keeper, Option<Keeper>)> {
+) -> Option<(ReplicaId, Option<ReplicaId>)> {
     let mut silent = None;
-    for keeper in keepers.iter().filter(|keeper| keeper.front != own) {
-        let heard = peer(keeper.front);
+    for member in members.iter().filter(|member| member.front != own) {
+        let heard = peer(member.front);
         match heard {
             // Back with another disk: it remembers nothing, and is taken in as a new member. Without any: another is.
-            Some(peer) if peer.disk != keeper.disk => {
-                let back = Keeper { front: keeper.front, disk: peer.disk };
-                return Some((*keeper, Some(back).filter(|back| back.disk != 0 && now - peer.at < HEARD)));
+            Some(peer) if peer.disk != member.disk => {
+                let back = ReplicaId { front: member.front, disk: peer.disk };
+                return Some((*member, Some(back).filter(|back| back.disk != 0 && now - peer.at < HEARD)));
             }
             heard => {
                 let last = heard.map_or(since, |peer| peer.at.max(since));
-                if waits(keeper.front, last) <= now {
-                    silent = silent.or(Some((*keeper, None)));
+                if waits(member.front, last) <= now {
+                    silent = silent.or(Some((*member, None)));
                 }
             }
         }
@@ -89,12 +89,12 @@
 pub(crate) fn spare(
     now: Micros,
     ranked: &[FrontId],
-    keepers: &[Keeper],
+    members: &[ReplicaId],
     peer: impl Fn(FrontId) -> Option<Peer>,
-) -> Option<Keeper> {
-    let mut free = ranked.iter().filter(|front| keepers.iter().all(|keeper| keeper.front != **front));
+) -> Option<ReplicaId> {
+    let mut free = ranked.iter().filter(|front| members.iter().all(|member| member.front != **front));
     free.find_map(|front| {
         let peer = peer(*front).filter(|peer| peer.disk != 0 && now - peer.at < HEARD)?;
-        Some(Keeper { front: *front, disk: peer.disk })
+        Some(ReplicaId { front: *front, disk: peer.disk })
     })
 }
--- a/crates/ledger/src/replica.rs
+++ b/crates/ledger/src/replica.rs
@@ -11,7 +11,7 @@
 use crate::log::{Heard, Log};
 use crate::messages::{Base, LedgerMessage};
 use crate::records::{self, Meta};
-use crate::state::{Batch, Command, Folded, Keeper, State};
+use crate::state::{Batch, Command, Folded, ReplicaId, State};
 use crate::tail::Tail;
 use crate::{FrontId, Micros, Outcome, Owner, Record};
 
@@ -33,7 +33,7 @@
 pub(crate) struct Replica {
     pub shard: u16,
     pub config: u32,
-    pub keepers: Vec<Keeper>,
+    pub members: Vec<ReplicaId>,
     log: Log,
     store: LogStore<Batch>,
     pub state: State,
@@ -54,7 +54,7 @@
     /// The form of what it proposes.
     pub form: u8,
     /// Who they are to be once the round under way has ended, and until when that goes before the next round.
-    to_change: Option<(Vec<Keeper>, Micros)>,
+    to_change: Option<(Vec<ReplicaId>, Micros)>,
 }
 
 /// What has become of asks since it was last looked at.
@@ -69,8 +69,8 @@
     pub fn begin(
         shard: u16,
         config: u32,
-        keepers: &[Keeper],
-        own: Keeper,
+        members: &[ReplicaId],
+        own: ReplicaId,
         first: bool,
         (index, state): (u64, State),
     ) -> Option<Replica> {
@@ -81,7 +81,7 @@
             snapshot: Some(Folded::of(state)),
             ..LogState::default()
         };
-        let mut replica = Replica::open(shard, config, keepers, own, first, held)?;
+        let mut replica = Replica::open(shard, config, members, own, first, held)?;
         replica.changes = Changes { must_persist: true, log_from: None, snapshot: true };
         replica.dirty = true;
         Some(replica)
@@ -91,18 +91,18 @@
     pub fn open(
         shard: u16,
         config: u32,
-        keepers: &[Keeper],
-        own: Keeper,
+        members: &[ReplicaId],
+        own: ReplicaId,
         first: bool,
         held: LogState<Batch>,
     ) -> Option<Replica> {
         let kept = (held.compacted, held.end());
         let store = LogStore::new(held);
-        let log = Log::new(config, keepers, own, first, store.clone())?;
+        let log = Log::new(config, members, own, first, store.clone())?;
         let mut replica = Replica {
             shard,
             config,
-            keepers: keepers.to_vec(),
+            members: members.to_vec(),
             log,
             store,
             state: State::default(),
@@ -125,7 +125,7 @@
     /// A turn of the log's clock; whom to tell that they may have missed something.
     pub fn tick(&mut self) -> Vec<FrontId> {
         let told = self.log.tick();
-        let others = self.keepers.iter().map(|keeper| keeper.front);
+        let others = self.members.iter().map(|member| member.front);
         others.filter(|_| told).collect()
     }
 
@@ -176,7 +176,7 @@
     }
 
     /// Proposes other members, after the round that is under way: rounds back to back would keep it waiting for good.
-    pub fn change(&mut self, now: Micros, next: Vec<Keeper>) {
+    pub fn change(&mut self, now: Micros, next: Vec<ReplicaId>) {
         if !self.changing && self.leads() {
             self.to_change = Some((next, now + CHANGE_WAITS));
         }
@@ -319,11 +319,12 @@
             return form;
         }
         let changes = std::mem::take(&mut self.changes);
-        let (shard, config, keepers, before) = (self.shard, self.config, self.keepers.clone(), self.kept);
+        let (shard, config, members, before) = (self.shard, self.config, self.members.clone(), self.kept);
         self.kept = self.store.read(|held| {
             let (compacted, end) = (held.compacted, held.end());
             let (promise, accepted_round, decided) = (held.promise, held.accepted_round, held.decided);
-            let meta = Meta { config, keepers, mine: true, promise, accepted_round, decided, compacted, end };
+            let meta =
+                Meta { config, members, is_member: true, promise, accepted_round, decided, compacted, end };
             records.push(records::meta(form, shard, &meta));
             if let Some(snapshot) = held.snapshot.as_ref().filter(|_| changes.snapshot) {
                 form = form.max(snapshot.form());
--- a/crates/ledger/src/scrub.rs
+++ b/crates/ledger/src/scrub.rs
@@ -7,7 +7,7 @@
 use crate::ledger::{Ledger, Place};
 use crate::messages::{self, LedgerMessage};
 use crate::placement::hash;
-use crate::state::{Keeper, State};
+use crate::state::{ReplicaId, State};
 use crate::transport::Pace;
 use crate::{FrontId, Micros, Moment};
 
@@ -50,7 +50,7 @@
         self.compared(at, shard);
         let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
         let Some(replica) = &place.replica else { return };
-        if at.steady < place.scrub.next || replica.keepers.len() < 2 || place.repair.is_some() {
+        if at.steady < place.scrub.next || replica.members.len() < 2 || place.repair.is_some() {
             return;
         }
         if place.scrub.next == 0 {
@@ -63,7 +63,7 @@
         let sums = sums(&replica.state);
         place.scrub.sums = BTreeMap::from([(self.own.front, sums.clone())]);
         let (config, index) = (replica.config, replica.applied());
-        let others = replica.keepers.iter().map(|keeper| keeper.front);
+        let others = replica.members.iter().map(|member| member.front);
         let read = |front: &FrontId| *front != self.own.front && self.transport.reads(*front) >= 2;
         let others: Vec<FrontId> = others.filter(read).collect();
         for to in others {
@@ -86,7 +86,7 @@
             return;
         }
         place.scrub.next = at.steady + EVERY;
-        let Some(right) = majority(&sums, replica.keepers.len()) else { return };
+        let Some(right) = majority(&sums, replica.members.len()) else { return };
         let wrong: Vec<FrontId> = sums.iter().filter(|(_, of)| **of != right).map(|(f, _)| *f).collect();
         if wrong.is_empty() {
             return;
@@ -119,7 +119,7 @@
     pub(crate) fn summed(
         &mut self,
         at: Moment,
-        from: Keeper,
+        from: ReplicaId,
         (shard, config): (u16, u32),
         (index, sums): (u64, Vec<u64>),
     ) {
@@ -150,7 +150,7 @@
     }
 
     /// The owner has found this copy to differ.
-    pub(crate) fn mended(&mut self, from: Keeper, (shard, config): (u16, u32), index: u64, state: &[u8]) {
+    pub(crate) fn mended(&mut self, from: ReplicaId, (shard, config): (u16, u32), index: u64, state: &[u8]) {
         let state = messages::decode::<State>(state);
         let Some(place) = self.of_member(from, shard, config) else { return };
         let Some((replica, state)) = place.replica.as_mut().zip(state) else { return };
@@ -160,9 +160,9 @@
         }
     }
 
-    fn of_member(&mut self, from: Keeper, shard: u16, config: u32) -> Option<&mut Place> {
+    fn of_member(&mut self, from: ReplicaId, shard: u16, config: u32) -> Option<&mut Place> {
         let place = self.places.get_mut(usize::from(shard))?;
         let replica = place.replica.as_ref()?;
-        (replica.config == config && replica.keepers.contains(&from)).then_some(place)
+        (replica.config == config && replica.members.contains(&from)).then_some(place)
     }
 }
--- a/crates/ledger/src/shards.rs
+++ b/crates/ledger/src/shards.rs
@@ -8,7 +8,7 @@
 use crate::records::{self, Meta};
 use crate::repair::Peer;
 use crate::replica::{Replica, FIRST};
-use crate::state::{Keeper, State};
+use crate::state::{ReplicaId, State};
 use crate::transport::Pace;
 use crate::upkeep::LOOK;
 use crate::{Done, FrontId, Micros, Moment, Outcome, Owner};
@@ -34,13 +34,13 @@
         self.away.returned(at.steady, &self.setup.members, from);
         self.peers.insert(from, Peer { at: at.steady, incarnation, disk, wall_ms });
         for message in messages {
-            self.handle(at, Born { keeper: Keeper { front: from, disk }, incarnation }, message);
+            self.handle(at, Born { id: ReplicaId { front: from, disk }, incarnation }, message);
         }
         self.settle(at);
     }
 
     fn handle(&mut self, at: Moment, sender: Born, message: LedgerMessage) {
-        let from = sender.keeper.front;
+        let from = sender.id.front;
         match message {
             LedgerMessage::Log { shard, config, number, message } => {
                 self.logged(at, sender, shard, config, (number, *message));
@@ -49,7 +49,7 @@
                 let place = self.places.get_mut(usize::from(shard));
                 let replica = place.and_then(|place| place.replica.as_mut());
                 if let Some(replica) =
-                    replica.filter(|r| r.config == config && r.keepers.contains(&sender.keeper))
+                    replica.filter(|r| r.config == config && r.members.contains(&sender.id))
                 {
                     replica.missed(from);
                     self.touched.insert(shard);
@@ -71,8 +71,8 @@
             }
             LedgerMessage::Reply { .. } | LedgerMessage::NotLeader { .. } => {}
             LedgerMessage::Available { shard, config, with } => self.here(at, sender, shard, config, &with),
-            LedgerMessage::Membership { shard, config, keepers } => {
-                self.learn(at, from, shard, config, keepers)
+            LedgerMessage::Membership { shard, config, members } => {
+                self.learn(at, from, shard, config, members)
             }
             LedgerMessage::Probe { shard } => self.is_here(at, from, shard),
             LedgerMessage::Snapshot { shard, config, index, state } => {
@@ -91,23 +91,23 @@
             LedgerMessage::CaughtUp { shard, config, index } => {
                 let place = self.places.get_mut(usize::from(shard));
                 let repair = place.and_then(|place| place.repair.as_mut());
-                if let Some(repair) = repair.filter(|r| r.into == sender.keeper && r.config == config) {
+                if let Some(repair) = repair.filter(|r| r.into == sender.id && r.config == config) {
                     repair.caught = Some(index);
                 }
             }
             LedgerMessage::Hashes { shard, config, index, sums } => {
-                self.summed(at, sender.keeper, (shard, config), (index, sums));
+                self.summed(at, sender.id, (shard, config), (index, sums));
             }
             LedgerMessage::RepairReplica { shard, config, index, state } => {
-                self.mended(sender.keeper, (shard, config), index, &state);
+                self.mended(sender.id, (shard, config), index, &state);
             }
             LedgerMessage::ShuttingDown => _ = self.leavers.insert(from, sender.incarnation),
             LedgerMessage::KeyFree { incarnation, number } => {
                 self.turn(Owner { front: self.own.front, incarnation }, number);
             }
             LedgerMessage::TransferLeadership { shard, config } => self.inherits(from, shard, config),
-            LedgerMessage::Join { shard, config, keepers, base } => {
-                self.begin(at, shard, config, keepers, &base)
+            LedgerMessage::Join { shard, config, members, base } => {
+                self.begin(at, shard, config, members, &base)
             }
         }
     }
@@ -120,7 +120,7 @@
         config: u32,
         (number, message): (u64, omnipaxos::messages::Message<crate::state::Batch>),
     ) {
-        let Born { keeper: sender, incarnation } = sender;
+        let Born { id: sender, incarnation } = sender;
         let behind = |replica: &Replica| replica.config < config;
         let replica = self.places.get(usize::from(shard)).and_then(|place| place.replica.as_ref());
         if replica.is_some_and(behind) && self.touched.contains(&shard) {
@@ -131,7 +131,7 @@
         match &mut place.replica {
             Some(replica) if replica.config == config => {
                 // One that came back with another disk does not speak for the member that it was.
-                if !replica.keepers.contains(&sender) {
+                if !replica.members.contains(&sender) {
                     return self.refuse("no member");
                 }
                 match replica.heard((sender.front, incarnation), number, message) {
@@ -175,42 +175,42 @@
             }
             self.born(at, shard);
         } else if config < place.config() {
-            self.bring_on(at, sender.keeper, shard);
+            self.bring_on(at, sender.id, shard);
         }
     }
 
     /// Another is behind: it is told who the members are, and what to begin with where it is one of them.
-    fn bring_on(&mut self, at: Moment, sender: Keeper, shard: u16) {
+    fn bring_on(&mut self, at: Moment, sender: ReplicaId, shard: u16) {
         let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
         let told = place.told.get(&sender.front).copied().unwrap_or(Micros::MIN);
         if at.steady.saturating_sub(told) < TOLD_AGAIN {
             return;
         }
         place.told.insert(sender.front, at.steady);
-        let Some((config, keepers)) = place.known.clone() else { return };
+        let Some((config, members)) = place.known.clone() else { return };
         let message = match &place.replica {
-            Some(replica) if keepers.contains(&sender) && replica.config == config => {
+            Some(replica) if members.contains(&sender) && replica.config == config => {
                 if self.transport.is_busy(sender.front, Pace::Fast) {
                     return;
                 }
                 let base =
                     Base::Snapshot { index: replica.applied(), state: messages::encode(&replica.state) };
-                LedgerMessage::Join { shard, config, keepers, base }
+                LedgerMessage::Join { shard, config, members, base }
             }
-            _ => LedgerMessage::Membership { shard, config, keepers },
+            _ => LedgerMessage::Membership { shard, config, members },
         };
         self.transport.send(at, sender.front, &message, Pace::Fast);
     }
 
     /// Another says who keeps the shard.
-    fn learn(&mut self, at: Moment, from: FrontId, shard: u16, config: u32, keepers: Vec<Keeper>) {
+    fn learn(&mut self, at: Moment, from: FrontId, shard: u16, config: u32, members: Vec<ReplicaId>) {
         let own = self.own;
         let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
         if config <= place.config() {
             return;
         }
-        let mine = keepers.contains(&own);
-        place.known = Some((config, keepers));
+        let mine = members.contains(&own);
+        place.known = Some((config, members));
         place.birth.iter_mut().for_each(Birth::has_begun);
         if mine {
             self.is_here(at, from, shard);
@@ -223,25 +223,25 @@
     fn leave(&mut self, shard: u16) {
         let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
         let Some(replica) = place.replica.take() else { return };
-        let Some((config, keepers)) = place.known.clone() else { return };
+        let Some((config, members)) = place.known.clone() else { return };
         place.barred = config;
         (place.leads, place.repair) = (None, None);
         replica.forgotten(&mut self.records);
-        self.records.push(records::meta(OLDEST, shard, &gone(config, keepers)));
+        self.records.push(records::meta(OLDEST, shard, &gone(config, members)));
         self.records.push(records::no_snapshot(shard));
     }
 
-    fn begin(&mut self, at: Moment, shard: u16, config: u32, keepers: Vec<Keeper>, base: &Base) {
+    fn begin(&mut self, at: Moment, shard: u16, config: u32, members: Vec<ReplicaId>, base: &Base) {
         let own = self.own;
         let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        if config <= place.barred || config < place.config() || !keepers.contains(&own) {
+        if config <= place.barred || config < place.config() || !members.contains(&own) {
             return;
         }
         let Some(begun) = state_of(base, place.learned.take(), config) else {
-            place.known = Some((config, keepers));
+            place.known = Some((config, members));
             return; // it says that it is here, and is given the whole
         };
-        self.open(at, shard, config, keepers, begun);
+        self.open(at, shard, config, members, begun);
     }
 
     /// Becomes a member, with what the members have decided; lasting before anything is told of it.
@@ -250,13 +250,13 @@
         at: Moment,
         shard: u16,
         config: u32,
-        keepers: Vec<Keeper>,
+        members: Vec<ReplicaId>,
         begun: (u64, State),
     ) {
         let own = self.own;
         let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let first = place.first(&keepers) == Some(own.front);
-        let Some(mut replica) = Replica::begin(shard, config, &keepers, own, first, begun) else { return };
+        let first = place.first(&members) == Some(own.front);
+        let Some(mut replica) = Replica::begin(shard, config, &members, own, first, begun) else { return };
         if let Some(before) = place.replica.take() {
             before.forgotten(&mut self.records);
         }
@@ -268,7 +268,7 @@
         }
         replica.must_save();
         place.replica = Some(replica);
-        (place.barred, place.known) = (config, Some((config, keepers)));
+        (place.barred, place.known) = (config, Some((config, members)));
         (place.leads, place.repair, place.learned) = (None, None, None);
         self.tick_at = self.tick_at.min(at.steady + crate::ledger::TICK);
         self.touched.insert(shard);
@@ -334,26 +334,26 @@
         let own = self.own;
         let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
         let Some(replica) = &place.replica else { return };
-        let Some(next) = replica.state.next().map(<[Keeper]>::to_vec) else { return };
+        let Some(next) = replica.state.next().map(<[ReplicaId]>::to_vec) else { return };
         let config = replica.config + 1;
-        let (leads, before) = (replica.leads(), replica.keepers.clone());
+        let (leads, before) = (replica.leads(), replica.members.clone());
         let moves = place.repair.is_some_and(|repair| repair.moves);
         let caught = place.repair.and_then(|repair| Some((repair.into, repair.caught?)));
         let state = replica.state.handed_over();
         if leads {
-            for to in next.iter().filter(|keeper| **keeper != own && !before.contains(keeper)) {
+            for to in next.iter().filter(|member| **member != own && !before.contains(member)) {
                 let index = caught.filter(|(into, _)| into == to).map_or(0, |(_, index)| index);
                 let base = replica.base_after(index);
-                let message = LedgerMessage::Join { shard, config, keepers: next.clone(), base };
+                let message = LedgerMessage::Join { shard, config, members: next.clone(), base };
                 self.transport.send(at, to.front, &message, Pace::Fast);
                 self.tallies.repaired += 1;
                 self.tallies.moved += u64::from(moves);
             }
-            let stay = |front: &FrontId| next.iter().any(|keeper| keeper.front == *front);
+            let stay = |front: &FrontId| next.iter().any(|member| member.front == *front);
             let told = place.ranked.iter().take(self.setup.copies).copied();
-            let told = told.chain(before.iter().map(|keeper| keeper.front)).filter(|front| !stay(front));
+            let told = told.chain(before.iter().map(|member| member.front)).filter(|front| !stay(front));
             for to in told.filter(|to| *to != own.front) {
-                let message = LedgerMessage::Membership { shard, config, keepers: next.clone() };
+                let message = LedgerMessage::Membership { shard, config, members: next.clone() };
                 self.transport.send(at, to, &message, Pace::Fast);
             }
         }
@@ -373,11 +373,11 @@
 }
 
 /// A record that says that this front is no member.
-fn gone(config: u32, keepers: Vec<Keeper>) -> Meta {
+fn gone(config: u32, members: Vec<ReplicaId>) -> Meta {
     Meta {
         config,
-        keepers,
-        mine: false,
+        members,
+        is_member: false,
         promise: None,
         accepted_round: None,
         decided: 0,
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -12,9 +12,10 @@
 const OVERHEAD: usize = 64; // bytes that an entry counts beside its name and value
 const MOST_REMEMBERED: usize = 8_192; // answers: some 30 bytes each in a snapshot
 
-/// A member of a shard: the front with what it remembers by. Come back with another disk, it is another member.
+/// The identity of a replica: its front and the disk that holds it. A front that comes back with another disk has
+/// forgotten what it promised, so it is another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub(crate) struct Keeper {
+pub(crate) struct ReplicaId {
     pub front: FrontId,
     pub disk: DiskId,
 }
@@ -41,7 +42,7 @@
 
 impl Batch {
     /// One that names who keeps the shard from here on.
-    pub fn change(form: u8, wall_ms: u64, next: Vec<Keeper>) -> Batch {
+    pub fn change(form: u8, wall_ms: u64, next: Vec<ReplicaId>) -> Batch {
         Batch { wall_ms, commands: Vec::new(), tail: Tail::of(form, Some(next)) }
     }
 }
@@ -129,7 +130,7 @@
         self.of(key).is_none_or(|entry| entry.ends_ms > 0 && ends(entry) <= wall_ms)
     }
 
-    pub fn next(&self) -> Option<&[Keeper]> {
+    pub fn next(&self) -> Option<&[ReplicaId]> {
         self.tail.next()
     }
 
@@ -152,7 +153,7 @@
         self.now_ms = self.now_ms.max(batch.wall_ms);
         self.end();
         let outcomes = batch.commands.iter().map(|command| self.command(command)).collect();
-        let next = batch.tail.next().map(<[Keeper]>::to_vec);
+        let next = batch.tail.next().map(<[ReplicaId]>::to_vec);
         self.tail = Tail::of(self.form().max(batch.tail.form()), next);
         outcomes
     }
--- a/crates/ledger/src/state_tests.rs
+++ b/crates/ledger/src/state_tests.rs
@@ -105,7 +105,7 @@
 fn nothing_counts_after_the_shard_was_handed_over() {
     let mut state = State::new(LIMITS);
     once(&mut state, 1_000, command(1, 1, "a", claim(0)));
-    let next = vec![Keeper { front: 1, disk: 5 }];
+    let next = vec![ReplicaId { front: 1, disk: 5 }];
     let change = Batch::change(1, 1_000, next.clone());
     state.apply(&change);
     assert_eq!(state.apply(&at(1_000, command(1, 2, "a", Act::Free))), Vec::new());
--- a/crates/ledger/src/tail.rs
+++ b/crates/ledger/src/tail.rs
@@ -5,17 +5,17 @@
 use serde::{Deserialize, Deserializer, Serialize};
 
 use crate::forms::{FORM, FORMED, OLDEST};
-use crate::state::Keeper;
+use crate::state::ReplicaId;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Tail {
     #[default]
     None,
-    Next(Vec<Keeper>),
+    Next(Vec<ReplicaId>),
     Formed {
         #[serde(deserialize_with = "known")]
         form: u8,
-        next: Option<Vec<Keeper>>,
+        next: Option<Vec<ReplicaId>>,
     },
 }
 
@@ -29,7 +29,7 @@
 
 impl Tail {
     /// In the form, or in the first where that has no place for it.
-    pub fn of(form: u8, next: Option<Vec<Keeper>>) -> Tail {
+    pub fn of(form: u8, next: Option<Vec<ReplicaId>>) -> Tail {
         match next {
             next if form >= FORMED => Tail::Formed { form, next },
             Some(next) => Tail::Next(next),
@@ -44,7 +44,7 @@
         }
     }
 
-    pub fn next(&self) -> Option<&[Keeper]> {
+    pub fn next(&self) -> Option<&[ReplicaId]> {
         match self {
             Tail::Next(next) | Tail::Formed { next: Some(next), .. } => Some(next),
             Tail::None | Tail::Formed { next: None, .. } => None,
--- a/crates/ledger/src/upkeep.rs
+++ b/crates/ledger/src/upkeep.rs
@@ -6,7 +6,7 @@
 use crate::records;
 use crate::repair::{missing, spare, Peer, Repair};
 use crate::replica::{Replica, FIRST};
-use crate::state::{Keeper, Limits, State};
+use crate::state::{Limits, ReplicaId, State};
 use crate::transport::Pace;
 use crate::{FrontId, Micros, Moment};
 
@@ -27,7 +27,7 @@
     }
 
     pub(crate) fn born(&mut self, at: Moment, shard: u16) {
-        let own = Born { keeper: self.own, incarnation: self.transport.incarnation };
+        let own = Born { id: self.own, incarnation: self.transport.incarnation };
         let copies = self.setup.copies;
         let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
         let placed: Vec<FrontId> = place.ranked.iter().take(copies).copied().collect();
@@ -37,7 +37,7 @@
             Next::Agree(with) => {
                 self.records.push(records::birth(shard, &with));
                 place.told.clear();
-                placed.iter().filter(|front| **front != own.keeper.front).for_each(|to| {
+                placed.iter().filter(|front| **front != own.id.front).for_each(|to| {
                     let message = LedgerMessage::Available { shard, config: 0, with: with.clone() };
                     self.transport.send(at, *to, &message, Pace::Fast);
                 });
@@ -45,15 +45,15 @@
                     self.born(at, shard);
                 }
             }
-            Next::Begin(keepers) => {
+            Next::Begin(members) => {
                 // The others begin once they hear that this one has agreed, which it says once more.
                 let with = birth.agreed().to_vec();
-                for to in placed.iter().filter(|front| **front != own.keeper.front) {
+                for to in placed.iter().filter(|front| **front != own.id.front) {
                     let message = LedgerMessage::Available { shard, config: 0, with: with.clone() };
                     self.transport.send(at, *to, &message, Pace::Fast);
                 }
                 let state = State::new(Limits::of(&self.setup));
-                self.open(at, shard, 1, keepers, (FIRST, state));
+                self.open(at, shard, 1, members, (FIRST, state));
             }
         }
     }
@@ -72,7 +72,7 @@
             let Some(place) = self.places.get(usize::from(shard)) else { continue };
             if place.birth.is_some() {
                 let placed = place.ranked.iter().take(self.setup.copies).copied();
-                let members = place.keepers().iter().map(|keeper| keeper.front);
+                let members = place.members().iter().map(|member| member.front);
                 let others: Vec<FrontId> = placed.chain(members).filter(|to| *to != self.own.front).collect();
                 let unheard = place.birth.as_ref().filter(|_| place.config() == 0);
                 let unheard = unheard.map(|birth| birth.unheard(self.own.front, &place.ranked));
@@ -103,13 +103,13 @@
             if repair.is_over(now, config, into.as_ref()) {
                 place.repair = None;
             } else if repair.caught.is_some() {
-                replica.change(now, repair.next(&replica.keepers));
+                replica.change(now, repair.next(&replica.members));
                 self.touched.insert(shard);
             }
             return;
         }
         let waits = |front, since| self.away.waits(&self.setup, front, since);
-        let missed = missing(now, since, waits, &replica.keepers, own, peer);
+        let missed = missing(now, since, waits, &replica.members, own, peer);
         let Some((out, back)) = missed else {
             if let Some((out, into, ends)) = self.shift(at, shard) {
                 self.copy(at, shard, out, into, Some(ends));
@@ -123,10 +123,10 @@
         let Some(replica) = &place.replica else { return };
         let peer = |front: FrontId| self.peers.get(&front).copied();
         let order: Vec<FrontId> = place.wanted.iter().chain(&place.ranked).copied().collect();
-        let into = back.or_else(|| spare(now, &order, &replica.keepers, peer));
+        let into = back.or_else(|| spare(now, &order, &replica.members, peer));
         let Some(into) = into else {
             // Who could take its place says so, if it is there.
-            let kept = |front: &FrontId| replica.keepers.iter().any(|keeper| keeper.front == *front);
+            let kept = |front: &FrontId| replica.members.iter().any(|member| member.front == *front);
             let free: Vec<FrontId> = place.ranked.iter().filter(|front| !kept(front)).copied().collect();
             let turn = (now / LOOK) as usize;
             for to in (0..free.len().min(2)).filter_map(|n| free.get((turn * 2 + n) % free.len())) {
@@ -143,7 +143,7 @@
     }
 
     /// Gives a copy to the one that is to take another's place; until when, where it only moves.
-    fn copy(&mut self, at: Moment, shard: u16, out: Keeper, into: Keeper, moves: Option<Micros>) {
+    fn copy(&mut self, at: Moment, shard: u16, out: ReplicaId, into: ReplicaId, moves: Option<Micros>) {
         let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
         let Some(replica) = &place.replica else { return };
         let config = replica.config;
@@ -163,8 +163,8 @@
     /// The time that goes with a round: the middle one of the members' Unix clocks, so that one that is far off ends
     /// no entry of others.
     pub(crate) fn wall_ms(&self, at: Moment, shard: u16) -> u64 {
-        let keepers = self.places.get(usize::from(shard)).map_or(&[][..], |place| place.keepers());
-        let others = keepers.iter().filter(|keeper| keeper.front != self.own.front);
+        let members = self.places.get(usize::from(shard)).map_or(&[][..], |place| place.members());
+        let others = members.iter().filter(|member| member.front != self.own.front);
         let now = |peer: &Peer| peer.wall_ms + ((at.steady - peer.at).max(0) / 1_000) as u64;
         let mut walls: Vec<u64> = others.filter_map(|k| self.peers.get(&k.front)).map(now).collect();
         walls.push(at.wall_ms);
