--- a/crates/ledger/src/forms.rs
+++ b/crates/ledger/src/forms.rs
@@ -65,7 +65,7 @@
             return None;
         }
         self.told.insert(front, now);
-        Some(LedgerMessage::Available { shard: NO_SHARD, config: own.into(), with: Vec::new() })
+        Some(LedgerMessage::Available { shard: NO_SHARD, config: own.into(), agreed: Vec::new() })
     }
 }
 
--- a/crates/ledger/src/forms_tests.rs
+++ b/crates/ledger/src/forms_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::messages::{self, Base, Born, Packet, Payload};
+use crate::messages::{self, Base, Packet, Payload, ReplicaIncarnation};
 use crate::records;
 use crate::state::{Batch, Command, Limits, ReplicaId, State};
 use crate::tail::Tail;
@@ -32,7 +32,7 @@
 
 /// Every message of the first form, and what is kept, byte by byte as the first build writes it.
 fn first_form() -> Vec<(&'static str, Vec<u8>)> {
-    let with = vec![Born { id: member(), incarnation: 9 }];
+    let agreed = vec![ReplicaIncarnation { id: member(), incarnation: 9 }];
     let entry = Entry {
         key: Key { kind: Kind::Mark, name: "m".to_string() },
         owner: Owner { front: 1, incarnation: 2 },
@@ -53,7 +53,7 @@
         told(Outcome::Unreachable),
         told(Outcome::Full),
         LedgerMessage::NotLeader { shard: 1, incarnation: 2, number: 3, owner: Some(4) },
-        LedgerMessage::Available { shard: 1, config: 2, with },
+        LedgerMessage::Available { shard: 1, config: 2, agreed },
         LedgerMessage::Membership { shard: 1, config: 2, members: members.clone() },
         LedgerMessage::Probe { shard: 1 },
         LedgerMessage::Snapshot { shard: 1, config: 2, index: 3, state: vec![4] },
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::asks::{self, Asks};
-use crate::birth::Birth;
+use crate::bootstrap::Bootstrap;
 use crate::forms::OLDEST;
 use crate::handover::Leaving;
 use crate::messages::{fingerprint, LedgerMessage};
@@ -38,7 +38,7 @@
     pub known: Option<(u32, Vec<ReplicaId>)>,
     /// With these members or earlier ones this disk never begins (again).
     pub barred: u32,
-    pub birth: Option<Birth>,
+    pub bootstrap: Option<Bootstrap>,
     /// A copy that was given to this front before it became a member: of which log, up to which entry.
     pub learned: Option<(u32, u64, State)>,
     pub repair: Option<Repair>,
@@ -153,7 +153,7 @@
         for (shard, kept) in kept {
             ledger.reopen(shard, kept)?;
         }
-        ledger.conceive();
+        ledger.start_bootstraps();
         ledger.settle(at);
         Ok(ledger)
     }
@@ -162,9 +162,9 @@
     fn reopen(&mut self, shard: u16, kept: records::Kept) -> Result<(), Error> {
         let own = self.own;
         let place = self.places.get_mut(usize::from(shard)).ok_or(Error::Fleet)?;
-        place.birth = (!kept.birth.is_empty()).then(|| Birth::new(kept.birth));
+        place.bootstrap = (!kept.bootstrap.is_empty()).then(|| Bootstrap::new(kept.bootstrap));
         let Some(Meta { config, members, is_member, .. }) = kept.meta else { return Ok(()) };
-        place.birth = None;
+        place.bootstrap = None;
         place.barred = config;
         if is_member {
             let first = place.first(&members) == Some(own.front);
@@ -300,7 +300,7 @@
 
     /// When `tick` is next due, on the steady clock.
     pub fn due(&self) -> Micros {
-        let keeps = self.places.iter().any(|place| place.replica.is_some() || place.birth.is_some());
+        let keeps = self.places.iter().any(|place| place.replica.is_some() || place.bootstrap.is_some());
         let tick = if keeps { self.tick_at } else { Micros::MAX };
         tick.min(self.asks.due()).min(self.transport.due()).min(self.hands_on_at())
     }
@@ -328,7 +328,7 @@
         self.transport.disk = 0;
         self.own.disk = 0;
         for place in &mut self.places {
-            (place.replica, place.birth, place.learned) = (None, None, None);
+            (place.replica, place.bootstrap, place.learned) = (None, None, None);
             (place.barred, place.leads, place.repair) = (u32::MAX, None, None);
         }
         self.records.clear();
@@ -351,7 +351,7 @@
         self.kept_form = OLDEST;
         self.records.push(records::mark(OLDEST, self.transport.fleet, disk));
         self.places.iter_mut().for_each(|place| place.barred = 0);
-        self.conceive();
+        self.start_bootstraps();
         self.settle(at);
     }
 
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -11,7 +11,7 @@
 
 mod asks;
 mod balance;
-mod birth;
+mod bootstrap;
 mod error;
 mod forms;
 mod handover;
--- a/crates/ledger/src/messages.rs
+++ b/crates/ledger/src/messages.rs
@@ -28,7 +28,7 @@
     NotLeader { shard: u16, incarnation: u64, number: u64, owner: Option<FrontId> },
     /// The sender can hold a replica of the shard: the configuration it last knew (0: none), and the members with which
     /// it has agreed to start the shard.
-    Available { shard: u16, config: u32, with: Vec<Born> },
+    Available { shard: u16, config: u32, agreed: Vec<ReplicaIncarnation> },
     /// The shard's present configuration and its members.
     Membership { shard: u16, config: u32, members: Vec<ReplicaId> },
     /// Asks whether the receiver can hold a replica of the shard; it answers with `Available`.
@@ -51,9 +51,9 @@
     KeyFree { incarnation: u64, number: u64 },
 }
 
-/// A front that has yet to begin a shard.
+/// A replica's identity, and the incarnation of its front that speaks for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Born {
+pub(crate) struct ReplicaIncarnation {
     pub id: ReplicaId,
     pub incarnation: u64,
 }
--- a/crates/ledger/src/records.rs
+++ b/crates/ledger/src/records.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::forms::{FORM, FORMED, OLDEST};
-use crate::messages::{self, Born};
+use crate::messages::{self, ReplicaIncarnation};
 use crate::state::{Batch, Folded, ReplicaId};
 use crate::{Error, Record, Saved, Setup};
 
@@ -43,7 +43,7 @@
 const META: u8 = b's';
 const LOG: u8 = b'l';
 const SNAPSHOT: u8 = b'n';
-const BIRTH: u8 = b'b';
+const BOOTSTRAP: u8 = b'b';
 
 fn name(kind: u8, shard: u16, rest: &[u8]) -> Vec<u8> {
     [&[kind], &shard.to_be_bytes()[..], rest].concat()
@@ -117,12 +117,12 @@
     Record { name: name(SNAPSHOT, shard, &[]), bytes: None }
 }
 
-pub(crate) fn birth(shard: u16, with: &[Born]) -> Record {
-    record(OLDEST, name(BIRTH, shard, &[]), &with.to_vec())
+pub(crate) fn bootstrap(shard: u16, agreed: &[ReplicaIncarnation]) -> Record {
+    record(OLDEST, name(BOOTSTRAP, shard, &[]), &agreed.to_vec())
 }
 
-pub(crate) fn no_birth(shard: u16) -> Record {
-    Record { name: name(BIRTH, shard, &[]), bytes: None }
+pub(crate) fn no_bootstrap(shard: u16) -> Record {
+    Record { name: name(BOOTSTRAP, shard, &[]), bytes: None }
 }
 
 /// A shard, as it was kept.
@@ -130,7 +130,7 @@
 pub(crate) struct Kept {
     pub meta: Option<Meta>,
     pub held: LogState<Batch>,
-    pub birth: Vec<Born>,
+    pub bootstrap: Vec<ReplicaIncarnation>,
 }
 
 /// Reads what was saved in an earlier life, with the latest form that it is of.
@@ -163,7 +163,7 @@
         match (*kind, rest) {
             (META, []) => of.meta = Some(open(name, bytes)?),
             (SNAPSHOT, []) => of.held.snapshot = Some(open(name, bytes)?),
-            (BIRTH, []) => of.birth = open(name, bytes)?,
+            (BOOTSTRAP, []) => of.bootstrap = open(name, bytes)?,
             (LOG, index) => {
                 let index = index.try_into().map(u64::from_be_bytes).map_err(|_| damaged())?;
                 logs.entry(shard).or_default().insert(index, open(name, bytes)?);
--- a/crates/ledger/src/shards.rs
+++ b/crates/ledger/src/shards.rs
@@ -1,10 +1,10 @@
 //! What comes in of shards, and how their members change.
 
-use crate::birth::Birth;
+use crate::bootstrap::Bootstrap;
 use crate::forms::OLDEST;
 use crate::ledger::Ledger;
 use crate::log::Heard;
-use crate::messages::{self, Base, Born, LedgerMessage};
+use crate::messages::{self, Base, LedgerMessage, ReplicaIncarnation};
 use crate::records::{self, Meta};
 use crate::repair::Peer;
 use crate::replica::{Replica, FIRST};
@@ -34,12 +34,12 @@
         self.away.returned(at.steady, &self.setup.members, from);
         self.peers.insert(from, Peer { at: at.steady, incarnation, disk, wall_ms });
         for message in messages {
-            self.handle(at, Born { id: ReplicaId { front: from, disk }, incarnation }, message);
+            self.handle(at, ReplicaIncarnation { id: ReplicaId { front: from, disk }, incarnation }, message);
         }
         self.settle(at);
     }
 
-    fn handle(&mut self, at: Moment, sender: Born, message: LedgerMessage) {
+    fn handle(&mut self, at: Moment, sender: ReplicaIncarnation, message: LedgerMessage) {
         let from = sender.id.front;
         match message {
             LedgerMessage::Log { shard, config, number, message } => {
@@ -70,7 +70,9 @@
                 self.elsewhere(at, from, number, owner);
             }
             LedgerMessage::Reply { .. } | LedgerMessage::NotLeader { .. } => {}
-            LedgerMessage::Available { shard, config, with } => self.here(at, sender, shard, config, &with),
+            LedgerMessage::Available { shard, config, agreed } => {
+                self.here(at, sender, shard, config, &agreed)
+            }
             LedgerMessage::Membership { shard, config, members } => {
                 self.learn(at, from, shard, config, members)
             }
@@ -115,12 +117,12 @@
     fn logged(
         &mut self,
         at: Moment,
-        sender: Born,
+        sender: ReplicaIncarnation,
         shard: u16,
         config: u32,
         (number, message): (u64, omnipaxos::messages::Message<crate::state::Batch>),
     ) {
-        let Born { id: sender, incarnation } = sender;
+        let ReplicaIncarnation { id: sender, incarnation } = sender;
         let behind = |replica: &Replica| replica.config < config;
         let replica = self.places.get(usize::from(shard)).and_then(|place| place.replica.as_ref());
         if replica.is_some_and(behind) && self.touched.contains(&shard) {
@@ -147,7 +149,7 @@
             Some(replica) if replica.config > config => self.bring_on(at, sender, shard),
             _ => {
                 // Members speak of it: it has begun.
-                place.birth.iter_mut().for_each(Birth::has_begun);
+                place.bootstrap.iter_mut().for_each(Bootstrap::set_started);
                 self.is_here(at, sender.front, shard);
             }
         }
@@ -161,19 +163,27 @@
             return;
         }
         place.told.insert(to, at.steady);
-        let with = place.birth.as_ref().map(|birth| birth.agreed().to_vec()).unwrap_or_default();
+        let agreed =
+            place.bootstrap.as_ref().map(|bootstrap| bootstrap.agreed().to_vec()).unwrap_or_default();
         let config = place.replica.as_ref().map_or(0, |replica| replica.config);
-        self.transport.send(at, to, &LedgerMessage::Available { shard, config, with }, Pace::Fast);
+        self.transport.send(at, to, &LedgerMessage::Available { shard, config, agreed }, Pace::Fast);
     }
 
-    fn here(&mut self, at: Moment, sender: Born, shard: u16, config: u32, with: &[Born]) {
+    fn here(
+        &mut self,
+        at: Moment,
+        sender: ReplicaIncarnation,
+        shard: u16,
+        config: u32,
+        agreed: &[ReplicaIncarnation],
+    ) {
         let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        if let Some(birth) = &mut place.birth {
-            birth.heard(sender, with);
+        if let Some(bootstrap) = &mut place.bootstrap {
+            bootstrap.record_offer(sender, agreed);
             if config > 0 {
-                birth.has_begun();
+                bootstrap.set_started();
             }
-            self.born(at, shard);
+            self.advance_bootstrap(at, shard);
         } else if config < place.config() {
             self.bring_on(at, sender.id, shard);
         }
@@ -211,7 +221,7 @@
         }
         let mine = members.contains(&own);
         place.known = Some((config, members));
-        place.birth.iter_mut().for_each(Birth::has_begun);
+        place.bootstrap.iter_mut().for_each(Bootstrap::set_started);
         if mine {
             self.is_here(at, from, shard);
         } else {
@@ -260,8 +270,8 @@
         if let Some(before) = place.replica.take() {
             before.forgotten(&mut self.records);
         }
-        if place.birth.take().is_some() {
-            self.records.push(records::no_birth(shard));
+        if place.bootstrap.take().is_some() {
+            self.records.push(records::no_bootstrap(shard));
         }
         if first {
             replica.takes_over();
--- a/crates/ledger/src/upkeep.rs
+++ b/crates/ledger/src/upkeep.rs
@@ -1,8 +1,8 @@
 //! What is done without a message of others: shards begin, and missing copies are made again.
 
-use crate::birth::{Birth, Next};
+use crate::bootstrap::{Bootstrap, Step};
 use crate::ledger::Ledger;
-use crate::messages::{self, Born, LedgerMessage};
+use crate::messages::{self, LedgerMessage, ReplicaIncarnation};
 use crate::records;
 use crate::repair::{missing, spare, Peer, Repair};
 use crate::replica::{Replica, FIRST};
@@ -16,40 +16,40 @@
 
 impl Ledger {
     /// Shards that this front is to keep, and knows nothing of: they have yet to begin, or it has lost its disk.
-    pub(crate) fn conceive(&mut self) {
+    pub(crate) fn start_bootstraps(&mut self) {
         let (own, copies) = (self.own.front, self.setup.copies);
         for place in &mut self.places {
             let placed = place.ranked.iter().take(copies).any(|front| *front == own);
-            if placed && place.replica.is_none() && place.barred == 0 && place.birth.is_none() {
-                place.birth = Some(Birth::default());
+            if placed && place.replica.is_none() && place.barred == 0 && place.bootstrap.is_none() {
+                place.bootstrap = Some(Bootstrap::default());
             }
         }
     }
 
-    pub(crate) fn born(&mut self, at: Moment, shard: u16) {
-        let own = Born { id: self.own, incarnation: self.transport.incarnation };
+    pub(crate) fn advance_bootstrap(&mut self, at: Moment, shard: u16) {
+        let own = ReplicaIncarnation { id: self.own, incarnation: self.transport.incarnation };
         let copies = self.setup.copies;
         let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
         let placed: Vec<FrontId> = place.ranked.iter().take(copies).copied().collect();
-        let Some(birth) = &mut place.birth else { return };
-        match birth.next(own, &placed, &place.ranked) {
-            Next::Waits => {}
-            Next::Agree(with) => {
-                self.records.push(records::birth(shard, &with));
+        let Some(bootstrap) = &mut place.bootstrap else { return };
+        match bootstrap.next_step(own, &placed, &place.ranked) {
+            Step::Wait => {}
+            Step::Agree(agreed) => {
+                self.records.push(records::bootstrap(shard, &agreed));
                 place.told.clear();
                 placed.iter().filter(|front| **front != own.id.front).for_each(|to| {
-                    let message = LedgerMessage::Available { shard, config: 0, with: with.clone() };
+                    let message = LedgerMessage::Available { shard, config: 0, agreed: agreed.clone() };
                     self.transport.send(at, *to, &message, Pace::Fast);
                 });
                 if placed.len() == 1 {
-                    self.born(at, shard);
+                    self.advance_bootstrap(at, shard);
                 }
             }
-            Next::Begin(members) => {
+            Step::Start(members) => {
                 // The others begin once they hear that this one has agreed, which it says once more.
-                let with = birth.agreed().to_vec();
+                let agreed = bootstrap.agreed().to_vec();
                 for to in placed.iter().filter(|front| **front != own.id.front) {
-                    let message = LedgerMessage::Available { shard, config: 0, with: with.clone() };
+                    let message = LedgerMessage::Available { shard, config: 0, agreed: agreed.clone() };
                     self.transport.send(at, *to, &message, Pace::Fast);
                 }
                 let state = State::new(Limits::of(&self.setup));
@@ -70,19 +70,19 @@
         self.form = self.setup.keeps.min(self.transport.all_read(others));
         for shard in 0..self.setup.shards {
             let Some(place) = self.places.get(usize::from(shard)) else { continue };
-            if place.birth.is_some() {
+            if place.bootstrap.is_some() {
                 let placed = place.ranked.iter().take(self.setup.copies).copied();
                 let members = place.members().iter().map(|member| member.front);
                 let others: Vec<FrontId> = placed.chain(members).filter(|to| *to != self.own.front).collect();
-                let unheard = place.birth.as_ref().filter(|_| place.config() == 0);
-                let unheard = unheard.map(|birth| birth.unheard(self.own.front, &place.ranked));
+                let unheard = place.bootstrap.as_ref().filter(|_| place.config() == 0);
+                let unheard = unheard.map(|bootstrap| bootstrap.unheard(self.own.front, &place.ranked));
                 let turn = (at.steady / LOOK) as usize * ASKED;
                 let unheard = unheard.unwrap_or_default();
                 for n in 0..unheard.len().min(ASKED) {
                     self.offer(at, unheard[(turn + n) % unheard.len()], shard);
                 }
                 others.into_iter().for_each(|to| self.is_here(at, to, shard));
-                self.born(at, shard);
+                self.advance_bootstrap(at, shard);
             } else if place.replica.as_ref().is_some_and(Replica::leads) {
                 self.mend(at, shard);
                 self.scrub(at, shard);
