--- a/crates/ledger/src/asks.rs
+++ b/crates/ledger/src/asks.rs
@@ -75,20 +75,20 @@
     }
 }
 
-/// Whom to ask: who is said to own the shard, else its members and then all that could be, one after the other.
+/// Whom to ask: who is said to lead the shard, else its members and then all that could be, one after the other.
 pub(crate) fn whom(
-    owner: Option<FrontId>,
+    leader: Option<FrontId>,
     others: &[FrontId],
     own: FrontId,
     tries: usize,
 ) -> Option<FrontId> {
     // One that is silent is not asked every time.
-    if let Some(owner) = owner.filter(|owner| *owner != own && tries.is_multiple_of(2)) {
-        return Some(owner);
+    if let Some(leader) = leader.filter(|leader| *leader != own && tries.is_multiple_of(2)) {
+        return Some(leader);
     }
     // Whoever should know better is another than the one that did not answer.
     let others: Vec<FrontId> =
-        others.iter().copied().filter(|front| *front != own && Some(*front) != owner).collect();
-    let turn = if owner.is_some() { tries / 2 } else { tries };
+        others.iter().copied().filter(|front| *front != own && Some(*front) != leader).collect();
+    let turn = if leader.is_some() { tries / 2 } else { tries };
     others.get(turn % others.len().max(1)).copied()
 }
--- a/crates/ledger/src/forms_tests.rs
+++ b/crates/ledger/src/forms_tests.rs
@@ -52,7 +52,7 @@
         told(Outcome::Absent),
         told(Outcome::Unreachable),
         told(Outcome::Full),
-        LedgerMessage::NotLeader { shard: 1, incarnation: 2, number: 3, owner: Some(4) },
+        LedgerMessage::NotLeader { shard: 1, incarnation: 2, number: 3, leader: Some(4) },
         LedgerMessage::Available { shard: 1, config: 2, agreed },
         LedgerMessage::Membership { shard: 1, config: 2, members: members.clone() },
         LedgerMessage::Probe { shard: 1 },
--- a/crates/ledger/src/handover.rs
+++ b/crates/ledger/src/handover.rs
@@ -1,4 +1,4 @@
-//! A front that leaves hands over what it owns before it goes: it names an heir, which takes over the log at once with
+//! A front that leaves hands over what it leads before it goes: it names an heir, which takes over the log at once with
 //! a ballot of its own, as after an election but without the wait for one. What waits here is asked again there.
 
 use std::collections::BTreeSet;
@@ -15,7 +15,7 @@
 const AGAIN: Micros = 150_000; // microseconds until another is named: some round trips and a sync
 const FRESH: Micros = 1_000_000; // microseconds since a member was heard for it to be an heir: three heartbeats
 
-const STAYS: u64 = 2_000_000; // microseconds that a front is there, and a shard has one owner, before that one yields
+const STAYS: u64 = 2_000_000; // microseconds that a front is there, and a shard has one leader, before that one yields
 const APART: Micros = 500_000; // microseconds between shards that a front yields
 
 impl Peer {
@@ -32,7 +32,7 @@
 }
 
 impl Ledger {
-    /// This front is to end: it owns nothing from now on that another can own.
+    /// This front is to end: it leads nothing from now on that another can own.
     pub fn goes(&mut self, at: Moment) {
         if self.leaving.is_none() {
             self.leaving = Some(Leaving { look_at: at.steady, turn: 0 });
@@ -41,11 +41,11 @@
         }
     }
 
-    /// Whether it still owns what others could own.
+    /// Whether it still leads what others could own.
     pub fn hands_over(&self) -> bool {
         let more = |place: &&crate::ledger::Place| place.members().len() > 1;
         let owned = self.places.iter().filter_map(|place| place.replica.as_ref().zip(Some(place)));
-        owned.filter(|(_, place)| more(place)).any(|(replica, _)| replica.leads())
+        owned.filter(|(_, place)| more(place)).any(|(replica, _)| replica.is_leader())
     }
 
     pub(crate) fn hand_on(&mut self, at: Moment) {
@@ -55,7 +55,9 @@
         let turn = leaving.turn;
         leaving.turn += 1;
         for place in &self.places {
-            let Some(replica) = place.replica.as_ref().filter(|replica| replica.leads()) else { continue };
+            let Some(replica) = place.replica.as_ref().filter(|replica| replica.is_leader()) else {
+                continue;
+            };
             let fresh = |peer: &Peer| peer.disk != 0 && now - peer.at < FRESH;
             let here = |front: &FrontId| self.peers.get(front).is_some_and(fresh);
             let others = replica.members.iter().map(|member| member.front);
@@ -70,9 +72,9 @@
                 .collect();
             // Who is wanted most first; the next where that one does not take it, as it may leave itself.
             let wanted = |front: &FrontId| place.wanted.iter().position(|wanted| wanted == front);
-            // One that has just come may not know yet who owns the shard.
+            // One that has just come may not know yet who leads the shard.
             let young = |front: &FrontId| self.peers.get(front).is_none_or(|peer| !peer.stays(at));
-            heirs.sort_by_key(|front| (young(front), place.owner != Some(*front), wanted(front)));
+            heirs.sort_by_key(|front| (young(front), place.preferred_leader != Some(*front), wanted(front)));
             let Some(heir) = heirs.get(turn % heirs.len().max(1)) else { continue };
             let message = LedgerMessage::TransferLeadership { shard: replica.shard, config: replica.config };
             self.transport.send(at, *heir, &message, Pace::Fast);
@@ -91,14 +93,16 @@
         self.leavers.get(&front).is_some_and(|life| Some(*life) == peer)
     }
 
-    /// Leaves a shard to the member that is to own it, once that one has been there for a while: a front that ended and
+    /// Leaves a shard to the member that is to lead it, once that one has been there for a while: a front that ended and
     /// came back gets its part again.
     pub(crate) fn yields(&mut self, at: Moment, shard: u16) {
         let (now, own) = (at.steady, self.own.front);
         let Some(place) = self.places.get(usize::from(shard)) else { return };
-        let Some((replica, since)) = place.replica.as_ref().zip(place.leads) else { return };
+        let Some((replica, since)) = place.replica.as_ref().zip(place.leader_since) else { return };
         let busy = place.repair.is_some() || self.leaving.is_some() || now < self.yields_at;
-        let Some(to) = place.first(&replica.members).filter(|to| *to != own && !busy) else { return };
+        let Some(to) = place.preferred_among(&replica.members).filter(|to| *to != own && !busy) else {
+            return;
+        };
         let there = |peer: &Peer| {
             let member = ReplicaId { front: to, disk: peer.disk };
             peer.stays(at) && now - peer.at < FRESH && replica.members.contains(&member)
@@ -128,15 +132,15 @@
         self.places.iter().filter_map(|place| place.replica.as_ref()).any(needed)
     }
 
-    /// The owner of a shard leaves it to this front.
+    /// The leader of a shard leaves it to this front.
     pub(crate) fn inherits(&mut self, from: FrontId, shard: u16, config: u32) {
         if self.leaving.is_some() {
             return;
         }
         let place = self.places.get_mut(usize::from(shard));
         let replica = place.and_then(|place| place.replica.as_mut());
-        if let Some(replica) = replica.filter(|r| r.config == config && r.owner() == Some(from)) {
-            replica.takes_over();
+        if let Some(replica) = replica.filter(|r| r.config == config && r.leader() == Some(from)) {
+            replica.campaign();
             self.tallies.inherited += 1;
             self.touched.insert(shard);
         }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -31,8 +31,8 @@
     pub ranked: Vec<FrontId>,
     /// Who is to keep it, in the order in which they are wanted; empty where shards do not move.
     pub wanted: Vec<FrontId>,
-    /// Who of them is to own it.
-    pub owner: Option<FrontId>,
+    /// Which of them is to lead it.
+    pub preferred_leader: Option<FrontId>,
     pub replica: Option<Replica>,
     /// Who keeps it, by the latest that was heard.
     pub known: Option<(u32, Vec<ReplicaId>)>,
@@ -43,10 +43,10 @@
     pub learned: Option<(u32, u64, State)>,
     pub repair: Option<Repair>,
     pub scrub: Scrub,
-    /// Since when this front owns it.
-    pub leads: Option<Micros>,
-    /// Who owns it, as was heard last.
-    pub hint: Option<FrontId>,
+    /// Since when this front leads it.
+    pub leader_since: Option<Micros>,
+    /// The front that leads it, as was heard last.
+    pub leader_hint: Option<FrontId>,
     /// When members that are behind were last told so, and when others were last told that this front is here.
     pub told: BTreeMap<FrontId, Micros>,
 }
@@ -56,9 +56,9 @@
         self.known.as_ref().map_or(&[], |(_, members)| members)
     }
 
-    /// Which of its members is to own it.
-    pub fn first(&self, members: &[ReplicaId]) -> Option<FrontId> {
-        let mut order = self.owner.iter().chain(&self.wanted).chain(&self.ranked);
+    /// Which of these members is to lead it.
+    pub fn preferred_among(&self, members: &[ReplicaId]) -> Option<FrontId> {
+        let mut order = self.preferred_leader.iter().chain(&self.wanted).chain(&self.ranked);
         order.find(|front| members.iter().any(|member| member.front == **front)).copied()
     }
 
@@ -167,8 +167,8 @@
         place.bootstrap = None;
         place.barred = config;
         if is_member {
-            let first = place.first(&members) == Some(own.front);
-            let replica = Replica::open(shard, config, &members, own, first, kept.held);
+            let preferred = place.preferred_among(&members) == Some(own.front);
+            let replica = Replica::open(shard, config, &members, own, preferred, kept.held);
             let damaged = || Error::Damaged { record: format!("members of shard {shard}") };
             place.replica = Some(replica.ok_or_else(damaged)?);
         }
@@ -205,43 +205,43 @@
         self.settle(at);
     }
 
-    /// Asks whoever owns the shard, as far as that is known.
+    /// Passes a request on to the shard's leader, as far as that is known.
     fn route(&mut self, at: Moment, number: u64) {
         let Some((waiting, tries)) = self.asks.tries(at.steady, number) else { return };
         let Some(place) = self.places.get_mut(usize::from(waiting.shard)) else { return };
         let shard = waiting.shard;
-        if let Some(replica) = place.replica.as_mut().filter(|replica| replica.leads()) {
+        if let Some(replica) = place.replica.as_mut().filter(|replica| replica.is_leader()) {
             replica.ask(waiting.command.clone(), at.steady, waiting.ends);
             self.touched.insert(shard);
             return;
         }
-        let owner = place.replica.as_ref().and_then(Replica::owner).or(place.hint);
+        let leader = place.replica.as_ref().and_then(Replica::leader).or(place.leader_hint);
         let members: Vec<FrontId> = place.members().iter().map(|member| member.front).collect();
         let rest = place.ranked.iter().filter(|front| !members.contains(front)).copied();
         let others: Vec<FrontId> = members.iter().copied().chain(rest).collect();
-        if let Some(to) = asks::whom(owner, &others, self.own.front, tries) {
+        if let Some(to) = asks::whom(leader, &others, self.own.front, tries) {
             let message = LedgerMessage::Request { shard, command: waiting.command.clone() };
             self.transport.send(at, to, &message, Pace::Fast);
         }
     }
 
-    /// Another says who owns the shard of an ask.
-    pub(crate) fn elsewhere(&mut self, at: Moment, from: FrontId, number: u64, owner: Option<FrontId>) {
+    /// Another says who leads the shard of an ask.
+    pub(crate) fn elsewhere(&mut self, at: Moment, from: FrontId, number: u64, leader: Option<FrontId>) {
         let Some(shard) = self.asks.shard(number) else { return };
         let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let owner = owner.filter(|owner| *owner != from);
-        let new = owner.is_some() && owner != place.hint;
-        place.hint = owner.or(place.hint.filter(|hint| *hint != from));
+        let leader = leader.filter(|leader| *leader != from);
+        let new = leader.is_some() && leader != place.leader_hint;
+        place.leader_hint = leader.or(place.leader_hint.filter(|hint| *hint != from));
         if new {
             self.route(at, number);
         }
     }
 
     /// The answer to an ask of this front, to be told once what it rests on is lasting here.
-    pub(crate) fn answered(&mut self, owner: Option<FrontId>, number: u64, outcome: Outcome) {
+    pub(crate) fn answered(&mut self, leader: Option<FrontId>, number: u64, outcome: Outcome) {
         let Some(shard) = self.asks.answered(number) else { return };
         if let Some(place) = self.places.get_mut(usize::from(shard)) {
-            place.hint = owner.or(place.hint);
+            place.leader_hint = leader.or(place.leader_hint);
         }
         self.tallies.answered += 1;
         self.done.push(Done { number, outcome });
@@ -256,18 +256,18 @@
         let (incarnation, number) = (command.owner.incarnation, command.number);
         let ends = at.steady + self.setup.patience;
         let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let owner = match &mut place.replica {
-            Some(replica) if replica.leads() => {
+        let leader = match &mut place.replica {
+            Some(replica) if replica.is_leader() => {
                 if !replica.ask(command, at.steady, ends) {
                     self.refuse("too many asks");
                 }
                 return;
             }
-            Some(replica) => replica.owner(),
-            None => place.hint,
+            Some(replica) => replica.leader(),
+            None => place.leader_hint,
         };
         let (config, members) = (place.config(), place.members().to_vec());
-        let message = LedgerMessage::NotLeader { shard, incarnation, number, owner };
+        let message = LedgerMessage::NotLeader { shard, incarnation, number, leader };
         self.transport.send(at, from, &message, Pace::Fast);
         if place.replica.is_none() && config > 0 {
             let message = LedgerMessage::Membership { shard, config, members };
@@ -329,7 +329,7 @@
         self.own.disk = 0;
         for place in &mut self.places {
             (place.replica, place.bootstrap, place.learned) = (None, None, None);
-            (place.barred, place.leads, place.repair) = (u32::MAX, None, None);
+            (place.barred, place.leader_since, place.repair) = (u32::MAX, None, None);
         }
         self.records.clear();
         // What rests on a save that failed may stand or not.
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -15,12 +15,13 @@
 mod error;
 mod forms;
 mod handover;
+mod leader_placement;
 mod ledger;
 mod lines;
 mod log;
 mod messages;
 mod moves;
-mod owners;
+
 mod pacer;
 mod placement;
 mod reassembly;
--- a/crates/ledger/src/lines.rs
+++ b/crates/ledger/src/lines.rs
@@ -1,6 +1,6 @@
-//! Fronts that wait for a key that another has, as the shard's owner keeps them: in the order in which they came. Who is
+//! Fronts that wait for a key that another has, as the shard's leader keeps them: in the order in which they came. Who is
 //! next is told once the key is free, and for a while nobody else's ask for it goes before. Nothing rests on it: a line
-//! is lost with its owner, and those that wait ask again by themselves.
+//! is lost with its leader, and those that wait ask again by themselves.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/ledger/src/log.rs
+++ b/crates/ledger/src/log.rs
@@ -40,12 +40,12 @@
 }
 
 impl Log {
-    /// `first` leads where nobody does yet. None where this front is not among the members.
+    /// `preferred` leads where nobody does yet. None where this front is not among the members.
     pub fn new(
         config: u32,
         members: &[ReplicaId],
         own: ReplicaId,
-        first: bool,
+        preferred: bool,
         store: LogStore<Batch>,
     ) -> Option<Log> {
         let place = members.iter().position(|member| *member == own)?;
@@ -61,7 +61,7 @@
                 pid: place as u64 + 1,
                 election_tick_timeout: ELECTION_TICKS,
                 resend_message_tick_timeout: RESEND_TICKS,
-                leader_priority: u32::from(first),
+                leader_priority: u32::from(preferred),
                 ..ServerConfig::default()
             };
             let config = OmniPaxosConfig { cluster_config, server_config };
@@ -75,8 +75,8 @@
         self.members.get(place).map(|member| member.front)
     }
 
-    /// Who owns the shard as far as this member knows, and whether that one is ready for asks.
-    pub fn owner(&self) -> Option<(FrontId, bool)> {
+    /// Who leads the shard as far as this member knows, and whether that one is ready for asks.
+    pub fn leader(&self) -> Option<(FrontId, bool)> {
         match &self.kind {
             Kind::One => Some((self.own, true)),
             Kind::Many(log) => {
@@ -86,13 +86,13 @@
         }
     }
 
-    pub fn leads(&self) -> bool {
-        self.owner() == Some((self.own, true))
+    pub fn is_leader(&self) -> bool {
+        self.leader() == Some((self.own, true))
     }
 
     /// A turn of the log's clock; whether others should ask for what they may have missed.
     pub fn tick(&mut self) -> bool {
-        let under_way = self.leads() && self.is_under_way();
+        let under_way = self.is_leader() && self.is_under_way();
         let Kind::Many(log) = &mut self.kind else { return false };
         log.tick();
         let decided = log.get_decided_idx();
@@ -106,16 +106,16 @@
         self.stuck.1.is_multiple_of(RESEND_TICKS)
     }
 
-    /// The owner's connection counts as made anew: what was missed is asked for.
-    pub fn asks_again(&mut self, owner: FrontId) {
-        let place = self.members.iter().position(|member| member.front == owner);
+    /// The leader's connection counts as made anew: what was missed is asked for.
+    pub fn resync(&mut self, leader: FrontId) {
+        let place = self.members.iter().position(|member| member.front == leader);
         if let (Kind::Many(log), Some(place)) = (&mut self.kind, place) {
             log.reconnected(place as u64 + 1);
         }
     }
 
-    /// Tries to own the shard now, rather than once an owner is missed.
-    pub fn takes_over(&mut self) {
+    /// Tries to lead the shard now, rather than once an leader is missed.
+    pub fn campaign(&mut self) {
         if let Kind::Many(log) = &mut self.kind {
             log.try_become_leader();
         }
--- a/crates/ledger/src/messages.rs
+++ b/crates/ledger/src/messages.rs
@@ -25,7 +25,7 @@
     /// The answer to a request, known by its asker's incarnation and number.
     Reply { incarnation: u64, number: u64, outcome: Outcome },
     /// The answer to a request for a shard that the sender does not lead; the front that leads it, if it is known.
-    NotLeader { shard: u16, incarnation: u64, number: u64, owner: Option<FrontId> },
+    NotLeader { shard: u16, incarnation: u64, number: u64, leader: Option<FrontId> },
     /// The sender can hold a replica of the shard: the configuration it last knew (0: none), and the members with which
     /// it has agreed to start the shard.
     Available { shard: u16, config: u32, agreed: Vec<ReplicaIncarnation> },
--- a/crates/ledger/src/moves.rs
+++ b/crates/ledger/src/moves.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::balance::placed;
+use crate::leader_placement::preferred_leaders;
 use crate::ledger::{check, Ledger, Place};
-use crate::owners::owners;
 use crate::placement::ranked;
 use crate::repair::{Repair, HEARD, PATIENCE};
 use crate::state::ReplicaId;
@@ -63,7 +63,7 @@
 /// What of a shard's members is to change next: who goes, and who comes in its place.
 fn next(wanted: &[FrontId], members: &[ReplicaId], own: FrontId) -> Option<(ReplicaId, FrontId)> {
     let into = wanted.iter().find(|front| members.iter().all(|member| member.front != **front))?;
-    // The owner goes last: it is the one that sees to the others.
+    // The leader goes last: it is the one that sees to the others.
     let mut out: Vec<&ReplicaId> = members.iter().filter(|member| !wanted.contains(&member.front)).collect();
     out.sort_by_key(|member| (member.front == own, member.front));
     Some((**out.first()?, *into))
@@ -125,9 +125,9 @@
             true => placed(&here, self.setup.copies, self.setup.shards),
             false => self.places.iter().map(first).collect(),
         };
-        let owners = owners(&placed, here.len());
-        for (place, (wanted, owner)) in self.places.iter_mut().zip(placed.into_iter().zip(owners)) {
-            place.owner = owner;
+        let leaders = preferred_leaders(&placed, here.len());
+        for (place, (wanted, leader)) in self.places.iter_mut().zip(placed.into_iter().zip(leaders)) {
+            place.preferred_leader = leader;
             place.wanted = if moves { wanted } else { Vec::new() };
         }
         self.away.gone = gone;
@@ -145,7 +145,7 @@
         self.place(now);
     }
 
-    /// Moves a copy of a shard that this front owns, and of which none is missing, once it is the shard's turn.
+    /// Moves a copy of a shard that this front leads, and of which none is missing, once it is the shard's turn.
     pub(crate) fn shift(&mut self, at: Moment, shard: u16) -> Option<(ReplicaId, ReplicaId, Micros)> {
         let now = at.steady;
         let place = self.places.get(usize::from(shard))?;
--- a/crates/ledger/src/replica.rs
+++ b/crates/ledger/src/replica.rs
@@ -1,4 +1,4 @@
-//! A shard as one of its members keeps it: the entries as far as they are decided, and, where it owns the shard, what
+//! A shard as one of its members keeps it: the entries as far as they are decided, and, where it leads the shard, what
 //! was asked and waits for the next round.
 
 use std::collections::BTreeSet;
@@ -41,7 +41,7 @@
     queue: Vec<Waiting>,
     /// Of the asks that wait or are under way here.
     known: BTreeSet<(Owner, u64)>,
-    /// Who waits for keys that others have, where it owns the shard.
+    /// Who waits for keys that others have, where it leads the shard.
     pub lines: Lines,
     changes: Changes,
     dirty: bool,
@@ -71,7 +71,7 @@
         config: u32,
         members: &[ReplicaId],
         own: ReplicaId,
-        first: bool,
+        preferred: bool,
         (index, state): (u64, State),
     ) -> Option<Replica> {
         let index = usize::try_from(index).ok()?;
@@ -81,7 +81,7 @@
             snapshot: Some(Folded::of(state)),
             ..LogState::default()
         };
-        let mut replica = Replica::open(shard, config, members, own, first, held)?;
+        let mut replica = Replica::open(shard, config, members, own, preferred, held)?;
         replica.changes = Changes { must_persist: true, log_from: None, snapshot: true };
         replica.dirty = true;
         Some(replica)
@@ -93,12 +93,12 @@
         config: u32,
         members: &[ReplicaId],
         own: ReplicaId,
-        first: bool,
+        preferred: bool,
         held: LogState<Batch>,
     ) -> Option<Replica> {
         let kept = (held.compacted, held.end());
         let store = LogStore::new(held);
-        let log = Log::new(config, members, own, first, store.clone())?;
+        let log = Log::new(config, members, own, preferred, store.clone())?;
         let mut replica = Replica {
             shard,
             config,
@@ -129,26 +129,26 @@
         others.filter(|_| told).collect()
     }
 
-    /// Tries to own the shard.
-    pub fn takes_over(&mut self) {
-        if !self.leads() {
-            self.log.takes_over();
+    /// Tries to lead the shard.
+    pub fn campaign(&mut self) {
+        if !self.is_leader() {
+            self.log.campaign();
         }
     }
 
-    /// The owner says that something may have been missed.
-    pub fn missed(&mut self, owner: FrontId) {
-        if self.owner() == Some(owner) {
-            self.log.asks_again(owner);
+    /// The leader says that something may have been missed.
+    pub fn resync(&mut self, leader: FrontId) {
+        if self.leader() == Some(leader) {
+            self.log.resync(leader);
         }
     }
 
-    pub fn leads(&self) -> bool {
-        self.log.leads()
+    pub fn is_leader(&self) -> bool {
+        self.log.is_leader()
     }
 
-    pub fn owner(&self) -> Option<FrontId> {
-        self.log.owner().map(|(owner, _)| owner)
+    pub fn leader(&self) -> Option<FrontId> {
+        self.log.leader().map(|(leader, _)| leader)
     }
 
     /// How many entries it has applied.
@@ -164,7 +164,7 @@
         self.log.heard(from.0, message)
     }
 
-    /// An ask of the owner; false where it can't wait here.
+    /// An ask of the leader; false where it can't wait here.
     pub fn ask(&mut self, command: Command, came: Micros, ends: Micros) -> bool {
         if self.queue.len() >= MOST_QUEUED {
             return false;
@@ -177,7 +177,7 @@
 
     /// Proposes other members, after the round that is under way: rounds back to back would keep it waiting for good.
     pub fn change(&mut self, now: Micros, next: Vec<ReplicaId>) {
-        if !self.changing && self.leads() {
+        if !self.changing && self.is_leader() {
             self.to_change = Some((next, now + CHANGE_WAITS));
         }
     }
@@ -194,8 +194,8 @@
     /// Proposes what waits, once the round before has ended; takes in what is decided.
     pub fn settle(&mut self, now: Micros, wall_ms: u64) -> Settled {
         let mut settled = Settled { told: self.apply(), rounds: 0 };
-        if !self.leads() {
-            // Whoever owns it now is asked again.
+        if !self.is_leader() {
+            // Whoever leads it now is asked again.
             self.queue.clear();
             self.known.clear();
             self.lines.clear();
@@ -239,7 +239,7 @@
         if decided <= self.applied {
             return told;
         }
-        let leads = self.leads();
+        let is_leader = self.is_leader();
         let (state, batches) = self.log.since(self.applied);
         if let Some(state) = state {
             self.state = state;
@@ -248,13 +248,13 @@
             let outcomes = self.state.apply(&batch);
             for (command, outcome) in batch.commands.into_iter().zip(outcomes) {
                 self.known.remove(&(command.owner, command.number));
-                if leads {
+                if is_leader {
                     told.push((command, outcome));
                 }
             }
         }
         self.applied = decided;
-        if !leads {
+        if !is_leader {
             self.log.fold();
         }
         told
--- a/crates/ledger/src/scrub.rs
+++ b/crates/ledger/src/scrub.rs
@@ -1,4 +1,4 @@
-//! Copies are compared in the background: the owner tells the hashes of its entries, leaf by leaf, as of one entry of the
+//! Copies are compared in the background: the leader tells the hashes of its entries, leaf by leaf, as of one entry of the
 //! log, and members that have applied just as much tell theirs. One that differs from the majority has lost a write or
 //! read a bit wrong: it is given the majority's state, paced as copies are that are made again.
 
@@ -22,7 +22,7 @@
     next: Micros,
     index: u64,
     sums: BTreeMap<FrontId, Vec<u64>>,
-    /// A member is behind or busy: what the owner has told it waits for the entry that it is of.
+    /// A member is behind or busy: what the leader has told it waits for the entry that it is of.
     pub told: Option<(FrontId, u64)>,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl Ledger {
-    /// Begins a comparison of a shard that this front owns where one is due, and ends the one before.
+    /// Begins a comparison of a shard that this front leads where one is due, and ends the one before.
     pub(crate) fn scrub(&mut self, at: Moment, shard: u16) {
         self.compared(at, shard);
         let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
@@ -95,7 +95,7 @@
         self.tallies.differed += wrong.len() as u64;
         let config = replica.config;
         if wrong.contains(&own) {
-            // One of the majority owns it from now on, and mends this front's copy.
+            // One of the majority leads it from now on, and mends this front's copy.
             let heir = sums.iter().find(|(_, of)| **of == right).map(|(front, _)| *front);
             let message = LedgerMessage::TransferLeadership { shard, config };
             heir.into_iter().for_each(|heir| self.transport.send(at, heir, &message, Pace::Fast));
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Another member tells its hashes: the owner, or one that answers it.
+    /// Another member tells its hashes: the leader, or one that answers it.
     pub(crate) fn summed(
         &mut self,
         at: Moment,
@@ -125,7 +125,7 @@
     ) {
         let Some(place) = self.of_member(from, shard, config) else { return };
         let Some(replica) = &place.replica else { return };
-        if replica.leads() {
+        if replica.is_leader() {
             if place.scrub.index == index && !place.scrub.sums.is_empty() {
                 place.scrub.sums.insert(from.front, sums);
             }
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Answers the owner's hashes once this copy has applied as much, and no more.
+    /// Answers the leader's hashes once this copy has applied as much, and no more.
     pub(crate) fn answers_sums(&mut self, at: Moment, shard: u16) {
         let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
         let Some((replica, (to, index))) = place.replica.as_ref().zip(place.scrub.told) else { return };
@@ -149,12 +149,12 @@
         }
     }
 
-    /// The owner has found this copy to differ.
+    /// The leader has found this copy to differ.
     pub(crate) fn mended(&mut self, from: ReplicaId, (shard, config): (u16, u32), index: u64, state: &[u8]) {
         let state = messages::decode::<State>(state);
         let Some(place) = self.of_member(from, shard, config) else { return };
         let Some((replica, state)) = place.replica.as_mut().zip(state) else { return };
-        if replica.owner() == Some(from.front) && replica.mend(index, state) {
+        if replica.leader() == Some(from.front) && replica.mend(index, state) {
             self.tallies.mended += 1;
             self.touched.insert(shard);
         }
--- a/crates/ledger/src/shards.rs
+++ b/crates/ledger/src/shards.rs
@@ -51,7 +51,7 @@
                 if let Some(replica) =
                     replica.filter(|r| r.config == config && r.members.contains(&sender.id))
                 {
-                    replica.missed(from);
+                    replica.resync(from);
                     self.touched.insert(shard);
                 }
             }
@@ -64,10 +64,10 @@
             {
                 self.answered(Some(from), number, outcome);
             }
-            LedgerMessage::NotLeader { incarnation, number, owner, .. }
+            LedgerMessage::NotLeader { incarnation, number, leader, .. }
                 if incarnation == self.setup.incarnation =>
             {
-                self.elsewhere(at, from, number, owner);
+                self.elsewhere(at, from, number, leader);
             }
             LedgerMessage::Reply { .. } | LedgerMessage::NotLeader { .. } => {}
             LedgerMessage::Available { shard, config, agreed } => {
@@ -235,7 +235,7 @@
         let Some(replica) = place.replica.take() else { return };
         let Some((config, members)) = place.known.clone() else { return };
         place.barred = config;
-        (place.leads, place.repair) = (None, None);
+        (place.leader_since, place.repair) = (None, None);
         replica.forgotten(&mut self.records);
         self.records.push(records::meta(OLDEST, shard, &gone(config, members)));
         self.records.push(records::no_snapshot(shard));
@@ -265,21 +265,23 @@
     ) {
         let own = self.own;
         let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let first = place.first(&members) == Some(own.front);
-        let Some(mut replica) = Replica::begin(shard, config, &members, own, first, begun) else { return };
+        let preferred = place.preferred_among(&members) == Some(own.front);
+        let Some(mut replica) = Replica::begin(shard, config, &members, own, preferred, begun) else {
+            return;
+        };
         if let Some(before) = place.replica.take() {
             before.forgotten(&mut self.records);
         }
         if place.bootstrap.take().is_some() {
             self.records.push(records::no_bootstrap(shard));
         }
-        if first {
-            replica.takes_over();
+        if preferred {
+            replica.campaign();
         }
         replica.must_save();
         place.replica = Some(replica);
         (place.barred, place.known) = (config, Some((config, members)));
-        (place.leads, place.repair, place.learned) = (None, None, None);
+        (place.leader_since, place.repair, place.learned) = (None, None, None);
         self.tick_at = self.tick_at.min(at.steady + crate::ledger::TICK);
         self.touched.insert(shard);
     }
@@ -298,8 +300,8 @@
             }
         }
         let turns = replica.turns(at.steady, wall_ms);
-        place.leads = if replica.leads() { place.leads.or(Some(at.steady)) } else { None };
-        if place.leads.is_none() {
+        place.leader_since = if replica.is_leader() { place.leader_since.or(Some(at.steady)) } else { None };
+        if place.leader_since.is_none() {
             place.repair = None;
         }
         let messages = replica.messages();
@@ -346,11 +348,11 @@
         let Some(replica) = &place.replica else { return };
         let Some(next) = replica.state.next().map(<[ReplicaId]>::to_vec) else { return };
         let config = replica.config + 1;
-        let (leads, before) = (replica.leads(), replica.members.clone());
+        let (is_leader, before) = (replica.is_leader(), replica.members.clone());
         let moves = place.repair.is_some_and(|repair| repair.moves);
         let caught = place.repair.and_then(|repair| Some((repair.into, repair.caught?)));
         let state = replica.state.handed_over();
-        if leads {
+        if is_leader {
             for to in next.iter().filter(|member| **member != own && !before.contains(member)) {
                 let index = caught.filter(|(into, _)| into == to).map_or(0, |(_, index)| index);
                 let base = replica.base_after(index);
@@ -370,11 +372,11 @@
         place.known = Some((config, next.clone()));
         if next.contains(&own) {
             self.open(at, shard, config, next, (FIRST, state));
-            if leads {
+            if is_leader {
                 // Until who is wanted most takes over: asks wait for a round trip, and no election is needed.
                 let replica =
                     self.places.get_mut(usize::from(shard)).and_then(|place| place.replica.as_mut());
-                replica.into_iter().for_each(Replica::takes_over);
+                replica.into_iter().for_each(Replica::campaign);
             }
         } else {
             self.leave(shard);
--- a/crates/ledger/src/tallies.rs
+++ b/crates/ledger/src/tallies.rs
@@ -12,7 +12,7 @@
             tallies.copies += 1;
             tallies.entries += replica.state.len();
             tallies.bytes += replica.state.bytes();
-            if place.leads.is_some() {
+            if place.leader_since.is_some() {
                 tallies.owned += 1;
                 tallies.missing += usize::from(place.repair.is_some_and(|repair| !repair.moves));
                 tallies.moving += usize::from(place.repair.is_some_and(|repair| repair.moves));
@@ -26,9 +26,9 @@
         (self.tallies.differed, self.tallies.mended)
     }
 
-    /// The shards that this front keeps, each with the number of its members' change and whether this front owns it.
+    /// The shards that this front keeps, each with the number of its members' change and whether this front leads it.
     pub fn kept(&self) -> impl Iterator<Item = (u16, u32, bool)> + '_ {
         let replicas = self.places.iter().filter_map(|place| place.replica.as_ref());
-        replicas.map(|replica| (replica.shard, replica.config, replica.leads()))
+        replicas.map(|replica| (replica.shard, replica.config, replica.is_leader()))
     }
 }
--- a/crates/ledger/src/upkeep.rs
+++ b/crates/ledger/src/upkeep.rs
@@ -83,7 +83,7 @@
                 }
                 others.into_iter().for_each(|to| self.is_here(at, to, shard));
                 self.advance_bootstrap(at, shard);
-            } else if place.replica.as_ref().is_some_and(Replica::leads) {
+            } else if place.replica.as_ref().is_some_and(Replica::is_leader) {
                 self.mend(at, shard);
                 self.scrub(at, shard);
                 self.yields(at, shard);
@@ -91,11 +91,11 @@
         }
     }
 
-    /// Sees to a missing copy of a shard that this front owns.
+    /// Sees to a missing copy of a shard that this front leads.
     fn mend(&mut self, at: Moment, shard: u16) {
         let now = at.steady;
         let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let (Some(replica), Some(since)) = (&mut place.replica, place.leads) else { return };
+        let (Some(replica), Some(since)) = (&mut place.replica, place.leader_since) else { return };
         let peer = |front: FrontId| self.peers.get(&front).copied();
         let (config, own) = (replica.config, self.own.front);
         if let Some(repair) = place.repair {
