--- a/crates/ledger/src/handover.rs
+++ b/crates/ledger/src/handover.rs
@@ -43,9 +43,9 @@
 
     /// Whether it still leads what others could own.
     pub fn hands_over(&self) -> bool {
-        let more = |place: &&crate::ledger::Place| place.members().len() > 1;
-        let owned = self.places.iter().filter_map(|place| place.replica.as_ref().zip(Some(place)));
-        owned.filter(|(_, place)| more(place)).any(|(replica, _)| replica.is_leader())
+        let more = |view: &&crate::ledger::ShardView| view.members().len() > 1;
+        let owned = self.shards.iter().filter_map(|view| view.replica.as_ref().zip(Some(view)));
+        owned.filter(|(_, view)| more(view)).any(|(replica, _)| replica.is_leader())
     }
 
     pub(crate) fn hand_on(&mut self, at: Moment) {
@@ -54,8 +54,8 @@
         leaving.look_at = now + AGAIN;
         let turn = leaving.turn;
         leaving.turn += 1;
-        for place in &self.places {
-            let Some(replica) = place.replica.as_ref().filter(|replica| replica.is_leader()) else {
+        for view in &self.shards {
+            let Some(replica) = view.replica.as_ref().filter(|replica| replica.is_leader()) else {
                 continue;
             };
             let fresh = |peer: &Peer| peer.disk != 0 && now - peer.at < FRESH;
@@ -71,15 +71,15 @@
                 .filter(|front| self.transport.reads(*front) >= 2)
                 .collect();
             // Who is wanted most first; the next where that one does not take it, as it may leave itself.
-            let wanted = |front: &FrontId| place.wanted.iter().position(|wanted| wanted == front);
+            let wanted = |front: &FrontId| view.wanted.iter().position(|wanted| wanted == front);
             // One that has just come may not know yet who leads the shard.
             let young = |front: &FrontId| self.peers.get(front).is_none_or(|peer| !peer.stays(at));
-            heirs.sort_by_key(|front| (young(front), place.preferred_leader != Some(*front), wanted(front)));
+            heirs.sort_by_key(|front| (young(front), view.preferred_leader != Some(*front), wanted(front)));
             let Some(heir) = heirs.get(turn % heirs.len().max(1)) else { continue };
             let message = LedgerMessage::TransferLeadership { shard: replica.shard, config: replica.config };
             self.transport.send(at, *heir, &message, Pace::Fast);
         }
-        let members = self.places.iter().filter_map(|place| place.replica.as_ref());
+        let members = self.shards.iter().filter_map(|view| view.replica.as_ref());
         let members = members.flat_map(|replica| replica.members.iter().map(|member| member.front));
         let members: BTreeSet<FrontId> = members.filter(|front| *front != self.own.front).collect();
         for to in members.into_iter().filter(|to| self.transport.reads(*to) >= FORMED).collect::<Vec<_>>() {
@@ -97,10 +97,10 @@
     /// came back gets its part again.
     pub(crate) fn yields(&mut self, at: Moment, shard: u16) {
         let (now, own) = (at.steady, self.own.front);
-        let Some(place) = self.places.get(usize::from(shard)) else { return };
-        let Some((replica, since)) = place.replica.as_ref().zip(place.leader_since) else { return };
-        let busy = place.repair.is_some() || self.leaving.is_some() || now < self.yields_at;
-        let Some(to) = place.preferred_among(&replica.members).filter(|to| *to != own && !busy) else {
+        let Some(view) = self.shards.get(usize::from(shard)) else { return };
+        let Some((replica, since)) = view.replica.as_ref().zip(view.leader_since) else { return };
+        let busy = view.repair.is_some() || self.leaving.is_some() || now < self.yields_at;
+        let Some(to) = view.preferred_among(&replica.members).filter(|to| *to != own && !busy) else {
             return;
         };
         let there = |peer: &Peer| {
@@ -129,7 +129,7 @@
                 replica.members.iter().filter(|member| member.front != self.own.front && here(member));
             majority <= others && there.count() < majority
         };
-        self.places.iter().filter_map(|place| place.replica.as_ref()).any(needed)
+        self.shards.iter().filter_map(|view| view.replica.as_ref()).any(needed)
     }
 
     /// The leader of a shard leaves it to this front.
@@ -137,8 +137,8 @@
         if self.leaving.is_some() {
             return;
         }
-        let place = self.places.get_mut(usize::from(shard));
-        let replica = place.and_then(|place| place.replica.as_mut());
+        let view = self.shards.get_mut(usize::from(shard));
+        let replica = view.and_then(|view| view.replica.as_mut());
         if let Some(replica) = replica.filter(|r| r.config == config && r.leader() == Some(from)) {
             replica.campaign();
             self.tallies.inherited += 1;
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -26,7 +26,7 @@
 
 /// What a front knows of one shard.
 #[derive(Default)]
-pub(crate) struct Place {
+pub(crate) struct ShardView {
     /// All that could keep it, in the order in which they are wanted.
     pub ranked: Vec<FrontId>,
     /// Who is to keep it, in the order in which they are wanted; empty where shards do not move.
@@ -51,7 +51,7 @@
     pub told: BTreeMap<FrontId, Micros>,
 }
 
-impl Place {
+impl ShardView {
     pub fn members(&self) -> &[ReplicaId] {
         self.known.as_ref().map_or(&[], |(_, members)| members)
     }
@@ -71,7 +71,7 @@
 pub struct Ledger {
     pub(crate) setup: Setup,
     pub(crate) own: ReplicaId,
-    pub(crate) places: Vec<Place>,
+    pub(crate) shards: Vec<ShardView>,
     pub(crate) peers: BTreeMap<FrontId, Peer>,
     pub(crate) away: Away,
     pub(crate) leaving: Option<Leaving>,
@@ -122,10 +122,10 @@
         let own = ReplicaId { front: setup.own, disk: setup.disk };
         let none = Ok((OLDEST, BTreeMap::new()));
         let (kept_form, kept) = saved.as_ref().map_or(none, |saved| records::read(&setup, fleet, saved))?;
-        let place = |shard| Place { ranked: ranked(&setup.members, shard), ..Place::default() };
+        let new_view = |shard| ShardView { ranked: ranked(&setup.members, shard), ..ShardView::default() };
         let mut ledger = Ledger {
             own,
-            places: (0..setup.shards).map(place).collect(),
+            shards: (0..setup.shards).map(new_view).collect(),
             peers: BTreeMap::new(),
             away: Away::default(),
             leaving: None,
@@ -149,7 +149,7 @@
         if kept.is_empty() {
             ledger.records.push(records::mark(OLDEST, fleet, own.disk));
         }
-        ledger.place_first(at.steady);
+        ledger.place_initially(at.steady);
         for (shard, kept) in kept {
             ledger.reopen(shard, kept)?;
         }
@@ -161,18 +161,18 @@
     /// Goes on with a shard from what was kept of it.
     fn reopen(&mut self, shard: u16, kept: records::Kept) -> Result<(), Error> {
         let own = self.own;
-        let place = self.places.get_mut(usize::from(shard)).ok_or(Error::Fleet)?;
-        place.bootstrap = (!kept.bootstrap.is_empty()).then(|| Bootstrap::new(kept.bootstrap));
+        let view = self.shards.get_mut(usize::from(shard)).ok_or(Error::Fleet)?;
+        view.bootstrap = (!kept.bootstrap.is_empty()).then(|| Bootstrap::new(kept.bootstrap));
         let Some(Meta { config, members, is_member, .. }) = kept.meta else { return Ok(()) };
-        place.bootstrap = None;
-        place.barred = config;
+        view.bootstrap = None;
+        view.barred = config;
         if is_member {
-            let preferred = place.preferred_among(&members) == Some(own.front);
+            let preferred = view.preferred_among(&members) == Some(own.front);
             let replica = Replica::open(shard, config, &members, own, preferred, kept.held);
             let damaged = || Error::Damaged { record: format!("members of shard {shard}") };
-            place.replica = Some(replica.ok_or_else(damaged)?);
+            view.replica = Some(replica.ok_or_else(damaged)?);
         }
-        place.known = Some((config, members));
+        view.known = Some((config, members));
         Ok(())
     }
 
@@ -208,16 +208,16 @@
     /// Passes a request on to the shard's leader, as far as that is known.
     fn route(&mut self, at: Moment, number: u64) {
         let Some((waiting, tries)) = self.asks.tries(at.steady, number) else { return };
-        let Some(place) = self.places.get_mut(usize::from(waiting.shard)) else { return };
+        let Some(view) = self.shards.get_mut(usize::from(waiting.shard)) else { return };
         let shard = waiting.shard;
-        if let Some(replica) = place.replica.as_mut().filter(|replica| replica.is_leader()) {
+        if let Some(replica) = view.replica.as_mut().filter(|replica| replica.is_leader()) {
             replica.ask(waiting.command.clone(), at.steady, waiting.ends);
             self.touched.insert(shard);
             return;
         }
-        let leader = place.replica.as_ref().and_then(Replica::leader).or(place.leader_hint);
-        let members: Vec<FrontId> = place.members().iter().map(|member| member.front).collect();
-        let rest = place.ranked.iter().filter(|front| !members.contains(front)).copied();
+        let leader = view.replica.as_ref().and_then(Replica::leader).or(view.leader_hint);
+        let members: Vec<FrontId> = view.members().iter().map(|member| member.front).collect();
+        let rest = view.ranked.iter().filter(|front| !members.contains(front)).copied();
         let others: Vec<FrontId> = members.iter().copied().chain(rest).collect();
         if let Some(to) = asks::whom(leader, &others, self.own.front, tries) {
             let message = LedgerMessage::Request { shard, command: waiting.command.clone() };
@@ -228,10 +228,10 @@
     /// Another says who leads the shard of an ask.
     pub(crate) fn elsewhere(&mut self, at: Moment, from: FrontId, number: u64, leader: Option<FrontId>) {
         let Some(shard) = self.asks.shard(number) else { return };
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
         let leader = leader.filter(|leader| *leader != from);
-        let new = leader.is_some() && leader != place.leader_hint;
-        place.leader_hint = leader.or(place.leader_hint.filter(|hint| *hint != from));
+        let new = leader.is_some() && leader != view.leader_hint;
+        view.leader_hint = leader.or(view.leader_hint.filter(|hint| *hint != from));
         if new {
             self.route(at, number);
         }
@@ -240,8 +240,8 @@
     /// The answer to an ask of this front, to be told once what it rests on is lasting here.
     pub(crate) fn answered(&mut self, leader: Option<FrontId>, number: u64, outcome: Outcome) {
         let Some(shard) = self.asks.answered(number) else { return };
-        if let Some(place) = self.places.get_mut(usize::from(shard)) {
-            place.leader_hint = leader.or(place.leader_hint);
+        if let Some(view) = self.shards.get_mut(usize::from(shard)) {
+            view.leader_hint = leader.or(view.leader_hint);
         }
         self.tallies.answered += 1;
         self.done.push(Done { number, outcome });
@@ -255,8 +255,8 @@
         }
         let (incarnation, number) = (command.owner.incarnation, command.number);
         let ends = at.steady + self.setup.patience;
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let leader = match &mut place.replica {
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let leader = match &mut view.replica {
             Some(replica) if replica.is_leader() => {
                 if !replica.ask(command, at.steady, ends) {
                     self.refuse("too many asks");
@@ -264,12 +264,12 @@
                 return;
             }
             Some(replica) => replica.leader(),
-            None => place.leader_hint,
+            None => view.leader_hint,
         };
-        let (config, members) = (place.config(), place.members().to_vec());
+        let (config, members) = (view.config(), view.members().to_vec());
         let message = LedgerMessage::NotLeader { shard, incarnation, number, leader };
         self.transport.send(at, from, &message, Pace::Fast);
-        if place.replica.is_none() && config > 0 {
+        if view.replica.is_none() && config > 0 {
             let message = LedgerMessage::Membership { shard, config, members };
             self.transport.send(at, from, &message, Pace::Fast);
         }
@@ -283,8 +283,8 @@
         if self.tick_at <= at.steady {
             // One that stood still does not catch up: the logs' clocks count turns they had.
             self.tick_at = at.steady + TICK;
-            for (shard, place) in (0..).zip(&mut self.places) {
-                if let Some(replica) = &mut place.replica {
+            for (shard, view) in (0..).zip(&mut self.shards) {
+                if let Some(replica) = &mut view.replica {
                     let config = replica.config;
                     for to in replica.tick().into_iter().filter(|to| *to != self.own.front) {
                         self.transport.send(at, to, &LedgerMessage::Resync { shard, config }, Pace::Fast);
@@ -300,7 +300,7 @@
 
     /// When `tick` is next due, on the steady clock.
     pub fn due(&self) -> Micros {
-        let keeps = self.places.iter().any(|place| place.replica.is_some() || place.bootstrap.is_some());
+        let keeps = self.shards.iter().any(|view| view.replica.is_some() || view.bootstrap.is_some());
         let tick = if keeps { self.tick_at } else { Micros::MAX };
         tick.min(self.asks.due()).min(self.transport.due()).min(self.hands_on_at())
     }
@@ -327,9 +327,9 @@
         self.tallies.failed = true;
         self.transport.disk = 0;
         self.own.disk = 0;
-        for place in &mut self.places {
-            (place.replica, place.bootstrap, place.learned) = (None, None, None);
-            (place.barred, place.leader_since, place.repair) = (u32::MAX, None, None);
+        for view in &mut self.shards {
+            (view.replica, view.bootstrap, view.learned) = (None, None, None);
+            (view.barred, view.leader_since, view.repair) = (u32::MAX, None, None);
         }
         self.records.clear();
         // What rests on a save that failed may stand or not.
@@ -350,7 +350,7 @@
         self.transport.incarnation = at.wall_ms.max(self.transport.incarnation + 1);
         self.kept_form = OLDEST;
         self.records.push(records::mark(OLDEST, self.transport.fleet, disk));
-        self.places.iter_mut().for_each(|place| place.barred = 0);
+        self.shards.iter_mut().for_each(|view| view.barred = 0);
         self.start_bootstraps();
         self.settle(at);
     }
@@ -362,13 +362,13 @@
         }
         let packets = self.transport.packets(at);
         let mut must = !self.records.is_empty();
-        for place in &mut self.places {
-            must |= place.replica.as_mut().is_some_and(Replica::must_save);
+        for view in &mut self.shards {
+            must |= view.replica.as_mut().is_some_and(Replica::must_save);
         }
         let done = std::mem::take(&mut self.done);
         if must {
             let (mut records, mut form) = (std::mem::take(&mut self.records), self.kept_form);
-            for replica in self.places.iter_mut().filter_map(|place| place.replica.as_mut()) {
+            for replica in self.shards.iter_mut().filter_map(|view| view.replica.as_mut()) {
                 form = form.max(replica.records(&mut records));
             }
             if form > self.kept_form {
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -21,7 +21,6 @@
 mod log;
 mod messages;
 mod moves;
-
 mod pacer;
 mod placement;
 mod reassembly;
--- a/crates/ledger/src/moves.rs
+++ b/crates/ledger/src/moves.rs
@@ -7,7 +7,7 @@
 
 use crate::balance::placed;
 use crate::leader_placement::preferred_leaders;
-use crate::ledger::{check, Ledger, Place};
+use crate::ledger::{check, Ledger, ShardView};
 use crate::placement::ranked;
 use crate::repair::{Repair, HEARD, PATIENCE};
 use crate::state::ReplicaId;
@@ -94,8 +94,8 @@
             return Ok(());
         }
         self.setup = setup;
-        for (shard, place) in (0..).zip(&mut self.places) {
-            place.ranked = ranked(&self.setup.members, shard);
+        for (shard, view) in (0..).zip(&mut self.shards) {
+            view.ranked = ranked(&self.setup.members, shard);
         }
         self.away.stale = true;
         self.look_at = at.steady;
@@ -109,7 +109,7 @@
     }
 
     /// Places all shards anew where that has to be: on all that are there or waited for.
-    pub(crate) fn place(&mut self, now: Micros) {
+    pub(crate) fn update_placement(&mut self, now: Micros) {
         let moves = self.setup.moves_percent > 0;
         let due =
             |front: &FrontId, since: &Micros| moves && self.away.waits(&self.setup, *front, *since) <= now;
@@ -120,43 +120,43 @@
         }
         let here = self.setup.members.iter().filter(|member| !gone.contains(&member.front));
         let here: Vec<Member> = here.cloned().collect();
-        let first = |place: &Place| place.ranked.iter().take(self.setup.copies).copied().collect();
+        let first = |view: &ShardView| view.ranked.iter().take(self.setup.copies).copied().collect();
         let placed = match moves {
             true => placed(&here, self.setup.copies, self.setup.shards),
-            false => self.places.iter().map(first).collect(),
+            false => self.shards.iter().map(first).collect(),
         };
         let leaders = preferred_leaders(&placed, here.len());
-        for (place, (wanted, leader)) in self.places.iter_mut().zip(placed.into_iter().zip(leaders)) {
-            place.preferred_leader = leader;
-            place.wanted = if moves { wanted } else { Vec::new() };
+        for (view, (wanted, leader)) in self.shards.iter_mut().zip(placed.into_iter().zip(leaders)) {
+            view.preferred_leader = leader;
+            view.wanted = if moves { wanted } else { Vec::new() };
         }
         self.away.gone = gone;
     }
 
-    pub(crate) fn place_first(&mut self, now: Micros) {
+    pub(crate) fn place_initially(&mut self, now: Micros) {
         self.away.stale = true;
-        self.place(now);
+        self.update_placement(now);
     }
 
     /// One that keeps a copy is silent for longer than it is waited for: it counts as gone, whatever others say.
     pub(crate) fn is_gone(&mut self, now: Micros, front: FrontId) {
         let ago = self.setup.zone_after.max(self.setup.repair_after);
         self.away.since.insert(front, now.saturating_sub(ago));
-        self.place(now);
+        self.update_placement(now);
     }
 
     /// Moves a copy of a shard that this front leads, and of which none is missing, once it is the shard's turn.
     pub(crate) fn shift(&mut self, at: Moment, shard: u16) -> Option<(ReplicaId, ReplicaId, Micros)> {
         let now = at.steady;
-        let place = self.places.get(usize::from(shard))?;
-        let replica = place.replica.as_ref()?;
-        if self.setup.moves_percent == 0 || place.wanted.len() < self.setup.copies {
+        let view = self.shards.get(usize::from(shard))?;
+        let replica = view.replica.as_ref()?;
+        if self.setup.moves_percent == 0 || view.wanted.len() < self.setup.copies {
             return None;
         }
-        let (out, into) = next(&place.wanted, &replica.members, self.own.front)?;
+        let (out, into) = next(&view.wanted, &replica.members, self.own.front)?;
         let left = turn(&self.setup, shard, self.wall_ms(at, shard))?;
         let takes = PATIENCE + Repair::takes(replica.state.bytes(), self.setup.repair_bytes);
-        let busy = self.places.iter().any(|place| place.repair.is_some());
+        let busy = self.shards.iter().any(|view| view.repair.is_some());
         if left < takes || busy || self.away.is_away(into) {
             return None;
         }
--- a/crates/ledger/src/scrub.rs
+++ b/crates/ledger/src/scrub.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::ledger::{Ledger, Place};
+use crate::ledger::{Ledger, ShardView};
 use crate::messages::{self, LedgerMessage};
 use crate::placement::hash;
 use crate::state::{ReplicaId, State};
@@ -48,20 +48,20 @@
     /// Begins a comparison of a shard that this front leads where one is due, and ends the one before.
     pub(crate) fn scrub(&mut self, at: Moment, shard: u16) {
         self.compared(at, shard);
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let Some(replica) = &place.replica else { return };
-        if at.steady < place.scrub.next || replica.members.len() < 2 || place.repair.is_some() {
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(replica) = &view.replica else { return };
+        if at.steady < view.scrub.next || replica.members.len() < 2 || view.repair.is_some() {
             return;
         }
-        if place.scrub.next == 0 {
+        if view.scrub.next == 0 {
             // Shards are not compared all at once.
-            place.scrub.next = at.steady + EVERY / 16 * Micros::from(shard % 16 + 1);
+            view.scrub.next = at.steady + EVERY / 16 * Micros::from(shard % 16 + 1);
             return;
         }
-        place.scrub.next = at.steady + HEARD;
-        place.scrub.index = replica.applied();
+        view.scrub.next = at.steady + HEARD;
+        view.scrub.index = replica.applied();
         let sums = sums(&replica.state);
-        place.scrub.sums = BTreeMap::from([(self.own.front, sums.clone())]);
+        view.scrub.sums = BTreeMap::from([(self.own.front, sums.clone())]);
         let (config, index) = (replica.config, replica.applied());
         let others = replica.members.iter().map(|member| member.front);
         let read = |front: &FrontId| *front != self.own.front && self.transport.reads(*front) >= 2;
@@ -79,19 +79,19 @@
     /// Looks at what was answered, once that was waited for.
     fn compared(&mut self, at: Moment, shard: u16) {
         let own = self.own.front;
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let Some(replica) = place.replica.as_ref().filter(|_| at.steady >= place.scrub.next) else { return };
-        let sums = std::mem::take(&mut place.scrub.sums);
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(replica) = view.replica.as_ref().filter(|_| at.steady >= view.scrub.next) else { return };
+        let sums = std::mem::take(&mut view.scrub.sums);
         if sums.is_empty() {
             return;
         }
-        place.scrub.next = at.steady + EVERY;
+        view.scrub.next = at.steady + EVERY;
         let Some(right) = majority(&sums, replica.members.len()) else { return };
         let wrong: Vec<FrontId> = sums.iter().filter(|(_, of)| **of != right).map(|(f, _)| *f).collect();
         if wrong.is_empty() {
             return;
         }
-        place.scrub.next = at.steady + AGAIN;
+        view.scrub.next = at.steady + AGAIN;
         self.tallies.differed += wrong.len() as u64;
         let config = replica.config;
         if wrong.contains(&own) {
@@ -123,26 +123,26 @@
         (shard, config): (u16, u32),
         (index, sums): (u64, Vec<u64>),
     ) {
-        let Some(place) = self.of_member(from, shard, config) else { return };
-        let Some(replica) = &place.replica else { return };
+        let Some(view) = self.of_member(from, shard, config) else { return };
+        let Some(replica) = &view.replica else { return };
         if replica.is_leader() {
-            if place.scrub.index == index && !place.scrub.sums.is_empty() {
-                place.scrub.sums.insert(from.front, sums);
+            if view.scrub.index == index && !view.scrub.sums.is_empty() {
+                view.scrub.sums.insert(from.front, sums);
             }
         } else {
-            place.scrub.told = Some((from.front, index));
+            view.scrub.told = Some((from.front, index));
             self.answers_sums(at, shard);
         }
     }
 
     /// Answers the leader's hashes once this copy has applied as much, and no more.
     pub(crate) fn answers_sums(&mut self, at: Moment, shard: u16) {
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let Some((replica, (to, index))) = place.replica.as_ref().zip(place.scrub.told) else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some((replica, (to, index))) = view.replica.as_ref().zip(view.scrub.told) else { return };
         if replica.applied() < index {
             return;
         }
-        place.scrub.told = None;
+        view.scrub.told = None;
         if replica.applied() == index {
             let (config, sums) = (replica.config, sums(&replica.state));
             self.transport.send(at, to, &LedgerMessage::Hashes { shard, config, index, sums }, Pace::Fast);
@@ -152,17 +152,17 @@
     /// The leader has found this copy to differ.
     pub(crate) fn mended(&mut self, from: ReplicaId, (shard, config): (u16, u32), index: u64, state: &[u8]) {
         let state = messages::decode::<State>(state);
-        let Some(place) = self.of_member(from, shard, config) else { return };
-        let Some((replica, state)) = place.replica.as_mut().zip(state) else { return };
+        let Some(view) = self.of_member(from, shard, config) else { return };
+        let Some((replica, state)) = view.replica.as_mut().zip(state) else { return };
         if replica.leader() == Some(from.front) && replica.mend(index, state) {
             self.tallies.mended += 1;
             self.touched.insert(shard);
         }
     }
 
-    fn of_member(&mut self, from: ReplicaId, shard: u16, config: u32) -> Option<&mut Place> {
-        let place = self.places.get_mut(usize::from(shard))?;
-        let replica = place.replica.as_ref()?;
-        (replica.config == config && replica.members.contains(&from)).then_some(place)
+    fn of_member(&mut self, from: ReplicaId, shard: u16, config: u32) -> Option<&mut ShardView> {
+        let view = self.shards.get_mut(usize::from(shard))?;
+        let replica = view.replica.as_ref()?;
+        (replica.config == config && replica.members.contains(&from)).then_some(view)
     }
 }
--- a/crates/ledger/src/shards.rs
+++ b/crates/ledger/src/shards.rs
@@ -46,8 +46,8 @@
                 self.logged(at, sender, shard, config, (number, *message));
             }
             LedgerMessage::Resync { shard, config } => {
-                let place = self.places.get_mut(usize::from(shard));
-                let replica = place.and_then(|place| place.replica.as_mut());
+                let view = self.shards.get_mut(usize::from(shard));
+                let replica = view.and_then(|view| view.replica.as_mut());
                 if let Some(replica) =
                     replica.filter(|r| r.config == config && r.members.contains(&sender.id))
                 {
@@ -78,10 +78,10 @@
             }
             LedgerMessage::Probe { shard } => self.is_here(at, from, shard),
             LedgerMessage::Snapshot { shard, config, index, state } => {
-                let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
+                let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
                 let Some(state) = messages::decode::<State>(&state) else { return self.refuse("form") };
-                if place.replica.is_none() && self.own.disk != 0 {
-                    place.learned = Some((config, index, state));
+                if view.replica.is_none() && self.own.disk != 0 {
+                    view.learned = Some((config, index, state));
                     self.transport.send(
                         at,
                         from,
@@ -91,8 +91,8 @@
                 }
             }
             LedgerMessage::CaughtUp { shard, config, index } => {
-                let place = self.places.get_mut(usize::from(shard));
-                let repair = place.and_then(|place| place.repair.as_mut());
+                let view = self.shards.get_mut(usize::from(shard));
+                let repair = view.and_then(|view| view.repair.as_mut());
                 if let Some(repair) = repair.filter(|r| r.into == sender.id && r.config == config) {
                     repair.caught = Some(index);
                 }
@@ -124,13 +124,13 @@
     ) {
         let ReplicaIncarnation { id: sender, incarnation } = sender;
         let behind = |replica: &Replica| replica.config < config;
-        let replica = self.places.get(usize::from(shard)).and_then(|place| place.replica.as_ref());
+        let replica = self.shards.get(usize::from(shard)).and_then(|view| view.replica.as_ref());
         if replica.is_some_and(behind) && self.touched.contains(&shard) {
             // What came with it may have decided on the members that it is from.
             self.settle_shard(at, shard);
         }
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        match &mut place.replica {
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        match &mut view.replica {
             Some(replica) if replica.config == config => {
                 // One that came back with another disk does not speak for the member that it was.
                 if !replica.members.contains(&sender) {
@@ -149,7 +149,7 @@
             Some(replica) if replica.config > config => self.bring_on(at, sender, shard),
             _ => {
                 // Members speak of it: it has begun.
-                place.bootstrap.iter_mut().for_each(Bootstrap::set_started);
+                view.bootstrap.iter_mut().for_each(Bootstrap::set_started);
                 self.is_here(at, sender.front, shard);
             }
         }
@@ -157,15 +157,14 @@
 
     /// This front does not keep the shard as the receiver does: it says what it knows, with the disk that it has.
     pub(crate) fn is_here(&mut self, at: Moment, to: FrontId, shard: u16) {
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let told = place.told.get(&to).copied().unwrap_or(Micros::MIN);
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let told = view.told.get(&to).copied().unwrap_or(Micros::MIN);
         if self.own.disk == 0 || at.steady.saturating_sub(told) < LOOK {
             return;
         }
-        place.told.insert(to, at.steady);
-        let agreed =
-            place.bootstrap.as_ref().map(|bootstrap| bootstrap.agreed().to_vec()).unwrap_or_default();
-        let config = place.replica.as_ref().map_or(0, |replica| replica.config);
+        view.told.insert(to, at.steady);
+        let agreed = view.bootstrap.as_ref().map(|bootstrap| bootstrap.agreed().to_vec()).unwrap_or_default();
+        let config = view.replica.as_ref().map_or(0, |replica| replica.config);
         self.transport.send(at, to, &LedgerMessage::Available { shard, config, agreed }, Pace::Fast);
     }
 
@@ -177,28 +176,28 @@
         config: u32,
         agreed: &[ReplicaIncarnation],
     ) {
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        if let Some(bootstrap) = &mut place.bootstrap {
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        if let Some(bootstrap) = &mut view.bootstrap {
             bootstrap.record_offer(sender, agreed);
             if config > 0 {
                 bootstrap.set_started();
             }
             self.advance_bootstrap(at, shard);
-        } else if config < place.config() {
+        } else if config < view.config() {
             self.bring_on(at, sender.id, shard);
         }
     }
 
     /// Another is behind: it is told who the members are, and what to begin with where it is one of them.
     fn bring_on(&mut self, at: Moment, sender: ReplicaId, shard: u16) {
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let told = place.told.get(&sender.front).copied().unwrap_or(Micros::MIN);
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let told = view.told.get(&sender.front).copied().unwrap_or(Micros::MIN);
         if at.steady.saturating_sub(told) < TOLD_AGAIN {
             return;
         }
-        place.told.insert(sender.front, at.steady);
-        let Some((config, members)) = place.known.clone() else { return };
-        let message = match &place.replica {
+        view.told.insert(sender.front, at.steady);
+        let Some((config, members)) = view.known.clone() else { return };
+        let message = match &view.replica {
             Some(replica) if members.contains(&sender) && replica.config == config => {
                 if self.transport.is_busy(sender.front, Pace::Fast) {
                     return;
@@ -215,13 +214,13 @@
     /// Another says who keeps the shard.
     fn learn(&mut self, at: Moment, from: FrontId, shard: u16, config: u32, members: Vec<ReplicaId>) {
         let own = self.own;
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        if config <= place.config() {
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        if config <= view.config() {
             return;
         }
         let mine = members.contains(&own);
-        place.known = Some((config, members));
-        place.bootstrap.iter_mut().for_each(Bootstrap::set_started);
+        view.known = Some((config, members));
+        view.bootstrap.iter_mut().for_each(Bootstrap::set_started);
         if mine {
             self.is_here(at, from, shard);
         } else {
@@ -231,11 +230,11 @@
 
     /// This front is no member any more, whatever it hears later of earlier ones.
     fn leave(&mut self, shard: u16) {
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let Some(replica) = place.replica.take() else { return };
-        let Some((config, members)) = place.known.clone() else { return };
-        place.barred = config;
-        (place.leader_since, place.repair) = (None, None);
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(replica) = view.replica.take() else { return };
+        let Some((config, members)) = view.known.clone() else { return };
+        view.barred = config;
+        (view.leader_since, view.repair) = (None, None);
         replica.forgotten(&mut self.records);
         self.records.push(records::meta(OLDEST, shard, &gone(config, members)));
         self.records.push(records::no_snapshot(shard));
@@ -243,12 +242,12 @@
 
     fn begin(&mut self, at: Moment, shard: u16, config: u32, members: Vec<ReplicaId>, base: &Base) {
         let own = self.own;
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        if config <= place.barred || config < place.config() || !members.contains(&own) {
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        if config <= view.barred || config < view.config() || !members.contains(&own) {
             return;
         }
-        let Some(begun) = state_of(base, place.learned.take(), config) else {
-            place.known = Some((config, members));
+        let Some(begun) = state_of(base, view.learned.take(), config) else {
+            view.known = Some((config, members));
             return; // it says that it is here, and is given the whole
         };
         self.open(at, shard, config, members, begun);
@@ -264,24 +263,24 @@
         begun: (u64, State),
     ) {
         let own = self.own;
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let preferred = place.preferred_among(&members) == Some(own.front);
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let preferred = view.preferred_among(&members) == Some(own.front);
         let Some(mut replica) = Replica::begin(shard, config, &members, own, preferred, begun) else {
             return;
         };
-        if let Some(before) = place.replica.take() {
+        if let Some(before) = view.replica.take() {
             before.forgotten(&mut self.records);
         }
-        if place.bootstrap.take().is_some() {
+        if view.bootstrap.take().is_some() {
             self.records.push(records::no_bootstrap(shard));
         }
         if preferred {
             replica.campaign();
         }
         replica.must_save();
-        place.replica = Some(replica);
-        (place.barred, place.known) = (config, Some((config, members)));
-        (place.leader_since, place.repair, place.learned) = (None, None, None);
+        view.replica = Some(replica);
+        (view.barred, view.known) = (config, Some((config, members)));
+        (view.leader_since, view.repair, view.learned) = (None, None, None);
         self.tick_at = self.tick_at.min(at.steady + crate::ledger::TICK);
         self.touched.insert(shard);
     }
@@ -289,8 +288,8 @@
     /// Takes in what a shard's log has decided, and says what its members say.
     pub(crate) fn settle_shard(&mut self, at: Moment, shard: u16) {
         let wall_ms = self.wall_ms(at, shard);
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let Some(replica) = &mut place.replica else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(replica) = &mut view.replica else { return };
         replica.form = self.form;
         let settled = replica.settle(at.steady, wall_ms);
         for (command, outcome) in &settled.told {
@@ -300,9 +299,9 @@
             }
         }
         let turns = replica.turns(at.steady, wall_ms);
-        place.leader_since = if replica.is_leader() { place.leader_since.or(Some(at.steady)) } else { None };
-        if place.leader_since.is_none() {
-            place.repair = None;
+        view.leader_since = if replica.is_leader() { view.leader_since.or(Some(at.steady)) } else { None };
+        if view.leader_since.is_none() {
+            view.repair = None;
         }
         let messages = replica.messages();
         self.tallies.rounds += settled.rounds;
@@ -344,13 +343,13 @@
     /// Goes on under the next members, once the log has decided on them.
     fn hand_over(&mut self, at: Moment, shard: u16) {
         let own = self.own;
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let Some(replica) = &place.replica else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(replica) = &view.replica else { return };
         let Some(next) = replica.state.next().map(<[ReplicaId]>::to_vec) else { return };
         let config = replica.config + 1;
         let (is_leader, before) = (replica.is_leader(), replica.members.clone());
-        let moves = place.repair.is_some_and(|repair| repair.moves);
-        let caught = place.repair.and_then(|repair| Some((repair.into, repair.caught?)));
+        let moves = view.repair.is_some_and(|repair| repair.moves);
+        let caught = view.repair.and_then(|repair| Some((repair.into, repair.caught?)));
         let state = replica.state.handed_over();
         if is_leader {
             for to in next.iter().filter(|member| **member != own && !before.contains(member)) {
@@ -362,20 +361,19 @@
                 self.tallies.moved += u64::from(moves);
             }
             let stay = |front: &FrontId| next.iter().any(|member| member.front == *front);
-            let told = place.ranked.iter().take(self.setup.copies).copied();
+            let told = view.ranked.iter().take(self.setup.copies).copied();
             let told = told.chain(before.iter().map(|member| member.front)).filter(|front| !stay(front));
             for to in told.filter(|to| *to != own.front) {
                 let message = LedgerMessage::Membership { shard, config, members: next.clone() };
                 self.transport.send(at, to, &message, Pace::Fast);
             }
         }
-        place.known = Some((config, next.clone()));
+        view.known = Some((config, next.clone()));
         if next.contains(&own) {
             self.open(at, shard, config, next, (FIRST, state));
             if is_leader {
                 // Until who is wanted most takes over: asks wait for a round trip, and no election is needed.
-                let replica =
-                    self.places.get_mut(usize::from(shard)).and_then(|place| place.replica.as_mut());
+                let replica = self.shards.get_mut(usize::from(shard)).and_then(|view| view.replica.as_mut());
                 replica.into_iter().for_each(Replica::campaign);
             }
         } else {
--- a/crates/ledger/src/tallies.rs
+++ b/crates/ledger/src/tallies.rs
@@ -7,15 +7,15 @@
     /// What it has counted, and what it keeps now.
     pub fn tallies(&self) -> Tallies {
         let mut tallies = self.tallies.clone();
-        for place in &self.places {
-            let Some(replica) = &place.replica else { continue };
+        for view in &self.shards {
+            let Some(replica) = &view.replica else { continue };
             tallies.copies += 1;
             tallies.entries += replica.state.len();
             tallies.bytes += replica.state.bytes();
-            if place.leader_since.is_some() {
+            if view.leader_since.is_some() {
                 tallies.owned += 1;
-                tallies.missing += usize::from(place.repair.is_some_and(|repair| !repair.moves));
-                tallies.moving += usize::from(place.repair.is_some_and(|repair| repair.moves));
+                tallies.missing += usize::from(view.repair.is_some_and(|repair| !repair.moves));
+                tallies.moving += usize::from(view.repair.is_some_and(|repair| repair.moves));
             }
         }
         tallies
@@ -28,7 +28,7 @@
 
     /// The shards that this front keeps, each with the number of its members' change and whether this front leads it.
     pub fn kept(&self) -> impl Iterator<Item = (u16, u32, bool)> + '_ {
-        let replicas = self.places.iter().filter_map(|place| place.replica.as_ref());
+        let replicas = self.shards.iter().filter_map(|view| view.replica.as_ref());
         replicas.map(|replica| (replica.shard, replica.config, replica.is_leader()))
     }
 }
--- a/crates/ledger/src/upkeep.rs
+++ b/crates/ledger/src/upkeep.rs
@@ -18,10 +18,10 @@
     /// Shards that this front is to keep, and knows nothing of: they have yet to begin, or it has lost its disk.
     pub(crate) fn start_bootstraps(&mut self) {
         let (own, copies) = (self.own.front, self.setup.copies);
-        for place in &mut self.places {
-            let placed = place.ranked.iter().take(copies).any(|front| *front == own);
-            if placed && place.replica.is_none() && place.barred == 0 && place.bootstrap.is_none() {
-                place.bootstrap = Some(Bootstrap::default());
+        for view in &mut self.shards {
+            let placed = view.ranked.iter().take(copies).any(|front| *front == own);
+            if placed && view.replica.is_none() && view.barred == 0 && view.bootstrap.is_none() {
+                view.bootstrap = Some(Bootstrap::default());
             }
         }
     }
@@ -29,14 +29,14 @@
     pub(crate) fn advance_bootstrap(&mut self, at: Moment, shard: u16) {
         let own = ReplicaIncarnation { id: self.own, incarnation: self.transport.incarnation };
         let copies = self.setup.copies;
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let placed: Vec<FrontId> = place.ranked.iter().take(copies).copied().collect();
-        let Some(bootstrap) = &mut place.bootstrap else { return };
-        match bootstrap.next_step(own, &placed, &place.ranked) {
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let placed: Vec<FrontId> = view.ranked.iter().take(copies).copied().collect();
+        let Some(bootstrap) = &mut view.bootstrap else { return };
+        match bootstrap.next_step(own, &placed, &view.ranked) {
             Step::Wait => {}
             Step::Agree(agreed) => {
                 self.records.push(records::bootstrap(shard, &agreed));
-                place.told.clear();
+                view.told.clear();
                 placed.iter().filter(|front| **front != own.id.front).for_each(|to| {
                     let message = LedgerMessage::Available { shard, config: 0, agreed: agreed.clone() };
                     self.transport.send(at, *to, &message, Pace::Fast);
@@ -64,18 +64,18 @@
             return;
         }
         self.look_at = at.steady + LOOK;
-        self.place(at.steady);
+        self.update_placement(at.steady);
         // Whoever is on the list may have to read what is kept, and may be a build back by then.
         let others = self.setup.members.iter().map(|member| member.front).filter(|f| *f != self.own.front);
         self.form = self.setup.keeps.min(self.transport.all_read(others));
         for shard in 0..self.setup.shards {
-            let Some(place) = self.places.get(usize::from(shard)) else { continue };
-            if place.bootstrap.is_some() {
-                let placed = place.ranked.iter().take(self.setup.copies).copied();
-                let members = place.members().iter().map(|member| member.front);
+            let Some(view) = self.shards.get(usize::from(shard)) else { continue };
+            if view.bootstrap.is_some() {
+                let placed = view.ranked.iter().take(self.setup.copies).copied();
+                let members = view.members().iter().map(|member| member.front);
                 let others: Vec<FrontId> = placed.chain(members).filter(|to| *to != self.own.front).collect();
-                let unheard = place.bootstrap.as_ref().filter(|_| place.config() == 0);
-                let unheard = unheard.map(|bootstrap| bootstrap.unheard(self.own.front, &place.ranked));
+                let unheard = view.bootstrap.as_ref().filter(|_| view.config() == 0);
+                let unheard = unheard.map(|bootstrap| bootstrap.unheard(self.own.front, &view.ranked));
                 let turn = (at.steady / LOOK) as usize * ASKED;
                 let unheard = unheard.unwrap_or_default();
                 for n in 0..unheard.len().min(ASKED) {
@@ -83,7 +83,7 @@
                 }
                 others.into_iter().for_each(|to| self.is_here(at, to, shard));
                 self.advance_bootstrap(at, shard);
-            } else if place.replica.as_ref().is_some_and(Replica::is_leader) {
+            } else if view.replica.as_ref().is_some_and(Replica::is_leader) {
                 self.mend(at, shard);
                 self.scrub(at, shard);
                 self.yields(at, shard);
@@ -94,14 +94,14 @@
     /// Sees to a missing copy of a shard that this front leads.
     fn mend(&mut self, at: Moment, shard: u16) {
         let now = at.steady;
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let (Some(replica), Some(since)) = (&mut place.replica, place.leader_since) else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let (Some(replica), Some(since)) = (&mut view.replica, view.leader_since) else { return };
         let peer = |front: FrontId| self.peers.get(&front).copied();
         let (config, own) = (replica.config, self.own.front);
-        if let Some(repair) = place.repair {
+        if let Some(repair) = view.repair {
             let into = peer(repair.into.front);
             if repair.is_over(now, config, into.as_ref()) {
-                place.repair = None;
+                view.repair = None;
             } else if repair.caught.is_some() {
                 replica.change(now, repair.next(&replica.members));
                 self.touched.insert(shard);
@@ -119,15 +119,15 @@
         if back.is_none() {
             self.is_gone(now, out.front);
         }
-        let Some(place) = self.places.get(usize::from(shard)) else { return };
-        let Some(replica) = &place.replica else { return };
+        let Some(view) = self.shards.get(usize::from(shard)) else { return };
+        let Some(replica) = &view.replica else { return };
         let peer = |front: FrontId| self.peers.get(&front).copied();
-        let order: Vec<FrontId> = place.wanted.iter().chain(&place.ranked).copied().collect();
+        let order: Vec<FrontId> = view.wanted.iter().chain(&view.ranked).copied().collect();
         let into = back.or_else(|| spare(now, &order, &replica.members, peer));
         let Some(into) = into else {
             // Who could take its place says so, if it is there.
             let kept = |front: &FrontId| replica.members.iter().any(|member| member.front == *front);
-            let free: Vec<FrontId> = place.ranked.iter().filter(|front| !kept(front)).copied().collect();
+            let free: Vec<FrontId> = view.ranked.iter().filter(|front| !kept(front)).copied().collect();
             let turn = (now / LOOK) as usize;
             for to in (0..free.len().min(2)).filter_map(|n| free.get((turn * 2 + n) % free.len())) {
                 self.offer(at, *to, shard);
@@ -144,14 +144,14 @@
 
     /// Gives a copy to the one that is to take another's place; until when, where it only moves.
     fn copy(&mut self, at: Moment, shard: u16, out: ReplicaId, into: ReplicaId, moves: Option<Micros>) {
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let Some(replica) = &place.replica else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(replica) = &view.replica else { return };
         let config = replica.config;
         let (index, bytes) = (replica.applied(), replica.state.bytes());
         let state = messages::encode(&replica.state);
         let mut repair = Repair::new(at.steady, out, into, config, bytes, self.setup.repair_bytes);
         (repair.moves, repair.ends) = (moves.is_some(), moves.unwrap_or(repair.ends));
-        place.repair = Some(repair);
+        view.repair = Some(repair);
         self.transport.send(
             at,
             into.front,
@@ -163,7 +163,7 @@
     /// The time that goes with a round: the middle one of the members' Unix clocks, so that one that is far off ends
     /// no entry of others.
     pub(crate) fn wall_ms(&self, at: Moment, shard: u16) -> u64 {
-        let members = self.places.get(usize::from(shard)).map_or(&[][..], |place| place.members());
+        let members = self.shards.get(usize::from(shard)).map_or(&[][..], |view| view.members());
         let others = members.iter().filter(|member| member.front != self.own.front);
         let now = |peer: &Peer| peer.wall_ms + ((at.steady - peer.at).max(0) / 1_000) as u64;
         let mut walls: Vec<u64> = others.filter_map(|k| self.peers.get(&k.front)).map(now).collect();
