--- /dev/null
+++ b/crates/ledger/src/durability.rs
@@ -0,0 +1,92 @@
+//! Gathers what has to go out, behind the saves that it rests on: nothing is told before what it promises is durable.
+
+use crate::forms::OLDEST;
+use crate::ledger::Ledger;
+use crate::records;
+use crate::replica::Replica;
+use crate::{Done, FrontId, Moment, Outcome, Record, Save};
+
+impl Ledger {
+    /// Takes in what has happened, and gathers what is to go out.
+    pub(crate) fn settle(&mut self, at: Moment) {
+        while let Some(shard) = self.touched.pop_first() {
+            self.settle_shard(at, shard);
+        }
+        let packets = self.transport.packets(at);
+        let mut must = !self.records.is_empty();
+        for view in &mut self.shards {
+            must |= view.replica.as_mut().is_some_and(Replica::must_save);
+        }
+        let done = std::mem::take(&mut self.done);
+        if must {
+            let (mut records, mut form) = (std::mem::take(&mut self.records), self.kept_form);
+            for replica in self.shards.iter_mut().filter_map(|view| view.replica.as_mut()) {
+                form = form.max(replica.records(&mut records));
+            }
+            if form > self.kept_form {
+                // With the first of them, so that a build that can't read them finds that said.
+                self.kept_form = form;
+                records.push(records::mark(form, self.transport.fleet, self.own.disk));
+            }
+            return self.save(records, packets, done);
+        }
+        if self.unsaved.is_empty() {
+            self.out.packets.extend(packets);
+            self.out.done.extend(done);
+        } else if !packets.is_empty() || !done.is_empty() {
+            self.save(Vec::new(), packets, done);
+        }
+    }
+
+    fn save(&mut self, records: Vec<Record>, packets: Vec<(FrontId, Vec<u8>)>, done: Vec<Done>) {
+        let number = self.next_save;
+        self.next_save += 1;
+        self.unsaved.push_back((number, done));
+        self.out.saves.push(Save { number, records, packets });
+    }
+
+    /// A save is lasting, with those before it, or has failed.
+    pub fn saved(&mut self, at: Moment, number: u64, ok: bool) {
+        if !ok {
+            self.fail();
+        }
+        while self.unsaved.front().is_some_and(|(first, _)| *first <= number) {
+            let done = self.unsaved.pop_front().map(|(_, done)| done).unwrap_or_default();
+            self.out.done.extend(done);
+        }
+        self.settle(at);
+    }
+
+    /// Nothing can be kept any more: this front is a member of nothing in this life, and says so.
+    pub(crate) fn fail(&mut self) {
+        self.tallies.failed = true;
+        self.transport.disk = 0;
+        self.own.disk = 0;
+        for view in &mut self.shards {
+            (view.replica, view.bootstrap, view.learned) = (None, None, None);
+            (view.barred, view.leader_since, view.repair) = (u32::MAX, None, None);
+        }
+        self.records.clear();
+        // What rests on a save that failed may stand or not.
+        for (_, done) in &mut self.unsaved {
+            done.iter_mut().for_each(|done| done.outcome = Outcome::Unreachable);
+        }
+        let unsaved = std::mem::take(&mut self.unsaved);
+        self.out.done.extend(unsaved.into_iter().flat_map(|(_, done)| done));
+    }
+
+    /// Begins anew with another disk, or with none but memory: as a front that remembers nothing.
+    pub fn start_over(&mut self, at: Moment, disk: u64) {
+        self.fail();
+        self.tallies.failed = false;
+        self.setup.disk = disk;
+        self.own.disk = disk;
+        self.transport.disk = disk;
+        self.transport.incarnation = at.wall_ms.max(self.transport.incarnation + 1);
+        self.kept_form = OLDEST;
+        self.records.push(records::mark(OLDEST, self.transport.fleet, disk));
+        self.shards.iter_mut().for_each(|view| view.barred = 0);
+        self.start_bootstraps();
+        self.settle(at);
+    }
+}
--- a/crates/ledger/src/handover.rs
+++ b/crates/ledger/src/handover.rs
@@ -43,7 +43,7 @@
 
     /// Whether it still leads what others could own.
     pub fn hands_over(&self) -> bool {
-        let more = |view: &&crate::ledger::ShardView| view.members().len() > 1;
+        let more = |view: &&crate::shard_view::ShardView| view.members().len() > 1;
         let owned = self.shards.iter().filter_map(|view| view.replica.as_ref().zip(Some(view)));
         owned.filter(|(_, view)| more(view)).any(|(replica, _)| replica.is_leader())
     }
--- /dev/null
+++ b/crates/ledger/src/incoming.rs
@@ -0,0 +1,152 @@
+//! Takes in packets of other fronts, and passes each message on to the part that it is for.
+
+use crate::bootstrap::Bootstrap;
+use crate::ledger::Ledger;
+use crate::log::Heard;
+use crate::messages::{self, LedgerMessage, ReplicaIncarnation};
+use crate::repair::Peer;
+use crate::replica::Replica;
+use crate::state::{ReplicaId, State};
+use crate::transport::Pace;
+use crate::{FrontId, Moment, Owner};
+
+impl Ledger {
+    /// A packet of a front has come, whose signature holds.
+    pub fn heard(&mut self, at: Moment, from: FrontId, bytes: &[u8]) {
+        if from == self.own.front {
+            return self.refuse("own");
+        }
+        let (packet, messages) = match self.transport.receive(at, from, bytes) {
+            Ok(heard) => heard,
+            Err(why) => return self.refuse(why),
+        };
+        let silent = |peer: &Peer| at.steady - peer.at >= self.setup.repair_after;
+        let before = self.peers.get(&from).filter(|peer| !silent(peer));
+        if before.is_some_and(|peer| peer.incarnation > packet.incarnation) {
+            return self.refuse("earlier life");
+        }
+        let (incarnation, disk, wall_ms) = (packet.incarnation, packet.disk, packet.wall_ms);
+        self.away.returned(at.steady, &self.setup.members, from);
+        self.peers.insert(from, Peer { at: at.steady, incarnation, disk, wall_ms });
+        for message in messages {
+            self.handle(at, ReplicaIncarnation { id: ReplicaId { front: from, disk }, incarnation }, message);
+        }
+        self.settle(at);
+    }
+
+    fn handle(&mut self, at: Moment, sender: ReplicaIncarnation, message: LedgerMessage) {
+        let from = sender.id.front;
+        match message {
+            LedgerMessage::Log { shard, config, number, message } => {
+                self.logged(at, sender, shard, config, (number, *message));
+            }
+            LedgerMessage::Resync { shard, config } => {
+                let view = self.shards.get_mut(usize::from(shard));
+                let replica = view.and_then(|view| view.replica.as_mut());
+                if let Some(replica) =
+                    replica.filter(|r| r.config == config && r.members.contains(&sender.id))
+                {
+                    replica.resync(from);
+                    self.touched.insert(shard);
+                }
+            }
+            LedgerMessage::Request { shard, command } => {
+                self.touched.insert(shard);
+                self.asked(at, from, shard, command);
+            }
+            LedgerMessage::Reply { incarnation, number, outcome }
+                if incarnation == self.setup.incarnation =>
+            {
+                self.answered(Some(from), number, outcome);
+            }
+            LedgerMessage::NotLeader { incarnation, number, leader, .. }
+                if incarnation == self.setup.incarnation =>
+            {
+                self.elsewhere(at, from, number, leader);
+            }
+            LedgerMessage::Reply { .. } | LedgerMessage::NotLeader { .. } => {}
+            LedgerMessage::Available { shard, config, agreed } => {
+                self.here(at, sender, shard, config, &agreed)
+            }
+            LedgerMessage::Membership { shard, config, members } => {
+                self.learn(at, from, shard, config, members)
+            }
+            LedgerMessage::Probe { shard } => self.is_here(at, from, shard),
+            LedgerMessage::Snapshot { shard, config, index, state } => {
+                let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+                let Some(state) = messages::decode::<State>(&state) else { return self.refuse("form") };
+                if view.replica.is_none() && self.own.disk != 0 {
+                    view.learned = Some((config, index, state));
+                    self.transport.send(
+                        at,
+                        from,
+                        &LedgerMessage::CaughtUp { shard, config, index },
+                        Pace::Fast,
+                    );
+                }
+            }
+            LedgerMessage::CaughtUp { shard, config, index } => {
+                let view = self.shards.get_mut(usize::from(shard));
+                let repair = view.and_then(|view| view.repair.as_mut());
+                if let Some(repair) = repair.filter(|r| r.into == sender.id && r.config == config) {
+                    repair.caught = Some(index);
+                }
+            }
+            LedgerMessage::Hashes { shard, config, index, sums } => {
+                self.summed(at, sender.id, (shard, config), (index, sums));
+            }
+            LedgerMessage::RepairReplica { shard, config, index, state } => {
+                self.mended(sender.id, (shard, config), index, &state);
+            }
+            LedgerMessage::ShuttingDown => _ = self.leavers.insert(from, sender.incarnation),
+            LedgerMessage::KeyFree { incarnation, number } => {
+                self.turn(Owner { front: self.own.front, incarnation }, number);
+            }
+            LedgerMessage::TransferLeadership { shard, config } => self.inherits(from, shard, config),
+            LedgerMessage::Join { shard, config, members, base } => {
+                self.begin(at, shard, config, members, &base)
+            }
+        }
+    }
+
+    fn logged(
+        &mut self,
+        at: Moment,
+        sender: ReplicaIncarnation,
+        shard: u16,
+        config: u32,
+        (number, message): (u64, omnipaxos::messages::Message<crate::state::Batch>),
+    ) {
+        let ReplicaIncarnation { id: sender, incarnation } = sender;
+        let behind = |replica: &Replica| replica.config < config;
+        let replica = self.shards.get(usize::from(shard)).and_then(|view| view.replica.as_ref());
+        if replica.is_some_and(behind) && self.touched.contains(&shard) {
+            // What came with it may have decided on the members that it is from.
+            self.settle_shard(at, shard);
+        }
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        match &mut view.replica {
+            Some(replica) if replica.config == config => {
+                // One that came back with another disk does not speak for the member that it was.
+                if !replica.members.contains(&sender) {
+                    return self.refuse("no member");
+                }
+                match replica.heard((sender.front, incarnation), number, message) {
+                    Heard::Taken => _ = self.touched.insert(shard),
+                    Heard::Overtaken => self.refuse("overtaken"),
+                    Heard::NoMember => self.refuse("no member"),
+                    Heard::Absurd => {
+                        self.refuse("contradicts what is decided");
+                        self.fail();
+                    }
+                }
+            }
+            Some(replica) if replica.config > config => self.bring_on(at, sender, shard),
+            _ => {
+                // Members speak of it: it has begun.
+                view.bootstrap.iter_mut().for_each(Bootstrap::set_started);
+                self.is_here(at, sender.front, shard);
+            }
+        }
+    }
+}
--- a/crates/ledger/src/moves.rs
+++ b/crates/ledger/src/moves.rs
@@ -7,9 +7,10 @@
 
 use crate::balance::placed;
 use crate::leader_placement::preferred_leaders;
-use crate::ledger::{check, Ledger, ShardView};
+use crate::ledger::{check, Ledger};
 use crate::placement::ranked;
 use crate::repair::{Repair, HEARD, PATIENCE};
+use crate::shard_view::ShardView;
 use crate::state::ReplicaId;
 use crate::{Error, FrontId, Member, Micros, Moment, Setup};
 
--- /dev/null
+++ b/crates/ledger/src/requests.rs
@@ -0,0 +1,113 @@
+//! Requests for entries: this front's own, passed on to whoever leads the shard, and those of other fronts.
+
+use crate::asks;
+use crate::ledger::Ledger;
+use crate::messages::LedgerMessage;
+use crate::replica::{size, Replica};
+use crate::state::Command;
+use crate::transport::Pace;
+use crate::{shard_of, Act, Ask, Done, FrontId, Moment, Outcome, Owner};
+
+const LONGEST_NAME: usize = 1_024; // bytes of a key's name
+const LONGEST_VALUE: usize = 32 * 1_024; // bytes of a value
+
+impl Ledger {
+    /// Asks for an act; one answer follows.
+    pub fn ask(&mut self, at: Moment, ask: Ask) {
+        let Ask { number, key, act } = ask;
+        let long = match &act {
+            Act::Claim { value, .. } | Act::Put { value, .. } => value.len() > LONGEST_VALUE,
+            Act::Free | Act::Read => false,
+        };
+        if self.asks.is_waiting(number) {
+            return;
+        }
+        if self.tallies.failed {
+            // Only what needs no promise goes on here, until it starts over.
+            return self.out.done.push(Done { number, outcome: Outcome::Unreachable });
+        }
+        if long || key.name.len() > LONGEST_NAME {
+            self.refuse("too long");
+            return self.out.done.push(Done { number, outcome: Outcome::Full });
+        }
+        let shard = shard_of(&key, self.setup.shards);
+        let owner = Owner { front: self.own.front, incarnation: self.setup.incarnation };
+        let asked_ms = self.asks.first(number, at.wall_ms);
+        let command = Command { owner, number, asked_ms, key, act };
+        if !self.asks.wait(command, shard, at.steady + self.setup.patience) {
+            return self.out.done.push(Done { number, outcome: Outcome::Unreachable });
+        }
+        self.route(at, number);
+        self.settle(at);
+    }
+
+    /// Passes a request on to the shard's leader, as far as that is known.
+    pub(crate) fn route(&mut self, at: Moment, number: u64) {
+        let Some((waiting, tries)) = self.asks.tries(at.steady, number) else { return };
+        let Some(view) = self.shards.get_mut(usize::from(waiting.shard)) else { return };
+        let shard = waiting.shard;
+        if let Some(replica) = view.replica.as_mut().filter(|replica| replica.is_leader()) {
+            replica.ask(waiting.command.clone(), at.steady, waiting.ends);
+            self.touched.insert(shard);
+            return;
+        }
+        let leader = view.replica.as_ref().and_then(Replica::leader).or(view.leader_hint);
+        let members: Vec<FrontId> = view.members().iter().map(|member| member.front).collect();
+        let rest = view.ranked.iter().filter(|front| !members.contains(front)).copied();
+        let others: Vec<FrontId> = members.iter().copied().chain(rest).collect();
+        if let Some(to) = asks::whom(leader, &others, self.own.front, tries) {
+            let message = LedgerMessage::Request { shard, command: waiting.command.clone() };
+            self.transport.send(at, to, &message, Pace::Fast);
+        }
+    }
+
+    /// Another says who leads the shard of an ask.
+    pub(crate) fn elsewhere(&mut self, at: Moment, from: FrontId, number: u64, leader: Option<FrontId>) {
+        let Some(shard) = self.asks.shard(number) else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let leader = leader.filter(|leader| *leader != from);
+        let new = leader.is_some() && leader != view.leader_hint;
+        view.leader_hint = leader.or(view.leader_hint.filter(|hint| *hint != from));
+        if new {
+            self.route(at, number);
+        }
+    }
+
+    /// The answer to an ask of this front, to be told once what it rests on is lasting here.
+    pub(crate) fn answered(&mut self, leader: Option<FrontId>, number: u64, outcome: Outcome) {
+        let Some(shard) = self.asks.answered(number) else { return };
+        if let Some(view) = self.shards.get_mut(usize::from(shard)) {
+            view.leader_hint = leader.or(view.leader_hint);
+        }
+        self.tallies.answered += 1;
+        self.done.push(Done { number, outcome });
+    }
+
+    /// An ask of another front has come.
+    pub(crate) fn asked(&mut self, at: Moment, from: FrontId, shard: u16, command: Command) {
+        let fits = command.owner.front == from && shard_of(&command.key, self.setup.shards) == shard;
+        if !fits || size(&command) > LONGEST_NAME + LONGEST_VALUE {
+            return self.refuse("another's ask");
+        }
+        let (incarnation, number) = (command.owner.incarnation, command.number);
+        let ends = at.steady + self.setup.patience;
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let leader = match &mut view.replica {
+            Some(replica) if replica.is_leader() => {
+                if !replica.ask(command, at.steady, ends) {
+                    self.refuse("too many asks");
+                }
+                return;
+            }
+            Some(replica) => replica.leader(),
+            None => view.leader_hint,
+        };
+        let (config, members) = (view.config(), view.members().to_vec());
+        let message = LedgerMessage::NotLeader { shard, incarnation, number, leader };
+        self.transport.send(at, from, &message, Pace::Fast);
+        if view.replica.is_none() && config > 0 {
+            let message = LedgerMessage::Membership { shard, config, members };
+            self.transport.send(at, from, &message, Pace::Fast);
+        }
+    }
+}
--- /dev/null
+++ b/crates/ledger/src/rounds.rs
@@ -0,0 +1,63 @@
+//! Takes in what the log of a shard has decided, and answers what was asked.
+
+use crate::ledger::Ledger;
+use crate::messages::LedgerMessage;
+use crate::transport::Pace;
+use crate::{Done, Moment, Outcome, Owner};
+
+impl Ledger {
+    /// Takes in what a shard's log has decided, and says what its members say.
+    pub(crate) fn settle_shard(&mut self, at: Moment, shard: u16) {
+        let wall_ms = self.wall_ms(at, shard);
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(replica) = &mut view.replica else { return };
+        replica.form = self.form;
+        let settled = replica.settle(at.steady, wall_ms);
+        for (command, outcome) in &settled.told {
+            let front = command.owner.front;
+            if front == self.own.front || self.transport.reads(front) >= crate::forms::TURNS {
+                replica.lines.heard(at.steady, command, outcome);
+            }
+        }
+        let turns = replica.turns(at.steady, wall_ms);
+        view.leader_since = if replica.is_leader() { view.leader_since.or(Some(at.steady)) } else { None };
+        if view.leader_since.is_none() {
+            view.repair = None;
+        }
+        let messages = replica.messages();
+        self.tallies.rounds += settled.rounds;
+        for (to, message) in messages {
+            // What would overtake a long one counts as lost instead: it is sent again once that has come.
+            let ordered = matches!(message, LedgerMessage::Log { number, .. } if number > 0);
+            if !ordered || !self.transport.is_busy(to, Pace::Log(shard)) {
+                self.transport.send(at, to, &message, if ordered { Pace::Log(shard) } else { Pace::Fast });
+            }
+        }
+        for (command, outcome) in settled.told {
+            let (owner, number) = (command.owner, command.number);
+            if owner.front != self.own.front {
+                let message = LedgerMessage::Reply { incarnation: owner.incarnation, number, outcome };
+                self.transport.send(at, owner.front, &message, Pace::Fast);
+            } else if owner.incarnation == self.setup.incarnation {
+                self.answered(None, number, outcome);
+            }
+        }
+        for (owner, number) in turns {
+            if owner.front == self.own.front {
+                self.turn(owner, number);
+            } else {
+                let message = LedgerMessage::KeyFree { incarnation: owner.incarnation, number };
+                self.transport.send(at, owner.front, &message, Pace::Fast);
+            }
+        }
+        self.answers_sums(at, shard);
+        self.hand_over(at, shard);
+    }
+
+    /// A key that this front asked for is free, and it is its turn.
+    pub(crate) fn turn(&mut self, owner: Owner, number: u64) {
+        if owner.incarnation == self.setup.incarnation && !self.asks.is_waiting(number) {
+            self.done.push(Done { number, outcome: Outcome::Absent });
+        }
+    }
+}
--- a/crates/ledger/src/scrub.rs
+++ b/crates/ledger/src/scrub.rs
@@ -4,9 +4,10 @@
 
 use std::collections::BTreeMap;
 
-use crate::ledger::{Ledger, ShardView};
+use crate::ledger::Ledger;
 use crate::messages::{self, LedgerMessage};
 use crate::placement::hash;
+use crate::shard_view::ShardView;
 use crate::state::{ReplicaId, State};
 use crate::transport::Pace;
 use crate::{FrontId, Micros, Moment};
