--- a/crates/ledger/src/incoming.rs
+++ b/crates/ledger/src/incoming.rs
@@ -6,6 +6,7 @@
 use crate::messages::{self, LedgerMessage, ReplicaIncarnation};
 use crate::repair::Peer;
 use crate::replica::Replica;
+use crate::shard_view::{Learned, StateAt};
 use crate::state::{ReplicaId, State};
 use crate::transport::Pace;
 use crate::{FrontId, Moment, Owner};
@@ -76,7 +77,7 @@
                 let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
                 let Some(state) = messages::decode::<State>(&state) else { return self.refuse("form") };
                 if view.replica.is_none() && self.own.disk != 0 {
-                    view.learned = Some((config, index, state));
+                    view.learned = Some(Learned { config, at: StateAt { index, state } });
                     self.transport.send(
                         at,
                         from,
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -12,7 +12,7 @@
 use crate::records::{self, Meta};
 use crate::repair::Peer;
 use crate::replica::Replica;
-use crate::shard_view::ShardView;
+use crate::shard_view::{Configuration, ShardView};
 use crate::state::ReplicaId;
 use crate::transport::{Pace, Transport};
 use crate::{Done, Error, FrontId, Micros, Moment, Out, Record, Saved, Setup, Tallies};
@@ -117,13 +117,14 @@
         let Some(Meta { config, members, is_member, .. }) = kept.meta else { return Ok(()) };
         view.bootstrap = None;
         view.barred = config;
+        let configuration = Configuration { config, members };
         if is_member {
-            let preferred = view.preferred_among(&members) == Some(own.front);
-            let replica = Replica::open(shard, config, &members, own, preferred, kept.held);
+            let preferred = view.preferred_among(&configuration.members) == Some(own.front);
+            let replica = Replica::open(shard, &configuration, own, preferred, kept.held);
             let damaged = || Error::Damaged { record: format!("members of shard {shard}") };
             view.replica = Some(replica.ok_or_else(damaged)?);
         }
-        view.known = Some((config, members));
+        view.known = Some(configuration);
         Ok(())
     }
 
--- a/crates/ledger/src/membership.rs
+++ b/crates/ledger/src/membership.rs
@@ -6,7 +6,8 @@
 use crate::messages::{self, Base, LedgerMessage, ReplicaIncarnation};
 use crate::records::{self, Meta};
 use crate::replica::{Replica, FIRST};
-use crate::state::{ReplicaId, State};
+use crate::shard_view::{Configuration, Learned, StateAt};
+use crate::state::ReplicaId;
 use crate::transport::Pace;
 use crate::upkeep::LOOK;
 use crate::{FrontId, Micros, Moment};
@@ -55,7 +56,7 @@
             return;
         }
         view.told.insert(sender.front, at.steady);
-        let Some((config, members)) = view.known.clone() else { return };
+        let Some(Configuration { config, members }) = view.known.clone() else { return };
         let message = match &view.replica {
             Some(replica) if members.contains(&sender) && replica.config == config => {
                 if self.transport.is_busy(sender.front, Pace::Fast) {
@@ -85,7 +86,7 @@
             return;
         }
         let mine = members.contains(&own);
-        view.known = Some((config, members));
+        view.known = Some(Configuration { config, members });
         view.bootstrap.iter_mut().for_each(Bootstrap::set_started);
         if mine {
             self.is_here(at, from, shard);
@@ -98,7 +99,7 @@
     fn leave(&mut self, shard: u16) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
         let Some(replica) = view.replica.take() else { return };
-        let Some((config, members)) = view.known.clone() else { return };
+        let Some(Configuration { config, members }) = view.known.clone() else { return };
         view.barred = config;
         (view.leader_since, view.repair) = (None, None);
         replica.forgotten(&mut self.records);
@@ -119,26 +120,19 @@
         if config <= view.barred || config < view.config() || !members.contains(&own) {
             return;
         }
-        let Some(begun) = state_of(base, view.learned.take(), config) else {
-            view.known = Some((config, members));
+        let Some(base) = state_of(base, view.learned.take(), config) else {
+            view.known = Some(Configuration { config, members });
             return; // it says that it is here, and is given the whole
         };
-        self.open(at, shard, config, members, begun);
+        self.open(at, shard, Configuration { config, members }, base);
     }
 
     /// Becomes a member, with what the members have decided; lasting before anything is told of it.
-    pub(crate) fn open(
-        &mut self,
-        at: Moment,
-        shard: u16,
-        config: u32,
-        members: Vec<ReplicaId>,
-        begun: (u64, State),
-    ) {
+    pub(crate) fn open(&mut self, at: Moment, shard: u16, configuration: Configuration, base: StateAt) {
         let own = self.own;
         let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
-        let preferred = view.preferred_among(&members) == Some(own.front);
-        let Some(mut replica) = Replica::begin(shard, config, &members, own, preferred, begun) else {
+        let preferred = view.preferred_among(&configuration.members) == Some(own.front);
+        let Some(mut replica) = Replica::begin(shard, &configuration, own, preferred, base) else {
             return;
         };
         if let Some(before) = view.replica.take() {
@@ -152,7 +146,7 @@
         }
         replica.must_save();
         view.replica = Some(replica);
-        (view.barred, view.known) = (config, Some((config, members)));
+        (view.barred, view.known) = (configuration.config, Some(configuration));
         (view.leader_since, view.repair, view.learned) = (None, None, None);
         self.tick_at = self.tick_at.min(at.steady + crate::ledger::TICK);
         self.touched.insert(shard);
@@ -186,9 +180,10 @@
                 self.transport.send(at, to, &message, Pace::Fast);
             }
         }
-        view.known = Some((config, next.clone()));
+        view.known = Some(Configuration { config, members: next.clone() });
         if next.contains(&own) {
-            self.open(at, shard, config, next, (FIRST, state));
+            let next = Configuration { config, members: next };
+            self.open(at, shard, next, StateAt { index: FIRST, state });
             if is_leader {
                 // Until who is wanted most takes over: asks wait for a round trip, and no election is needed.
                 let replica = self.shards.get_mut(usize::from(shard)).and_then(|view| view.replica.as_mut());
@@ -200,7 +195,7 @@
     }
 }
 
-/// A record that says that this front is no member.
+/// The record of a shard of which this front is no member.
 fn gone(config: u32, members: Vec<ReplicaId>) -> Meta {
     Meta {
         config,
@@ -214,17 +209,17 @@
     }
 }
 
-/// The state that a base tells, where the copy that this front has been given bears it.
-fn state_of(base: &Base, learned: Option<(u32, u64, State)>, config: u32) -> Option<(u64, State)> {
+/// The state that a base stands for; none where it continues a state that this front has not been sent.
+fn state_of(base: &Base, learned: Option<Learned>, config: u32) -> Option<StateAt> {
     match base {
-        Base::Snapshot { index, state } => Some((*index, messages::decode(state)?)),
+        Base::Snapshot { index, state } => Some(StateAt { index: *index, state: messages::decode(state)? }),
         Base::Suffix { index, batches } => {
-            let (of, at, mut state) = learned?;
-            if (of.checked_add(1), at) != (Some(config), *index) {
+            let Learned { config: before, at: StateAt { index: at, mut state } } = learned?;
+            if (before.checked_add(1), at) != (Some(config), *index) {
                 return None;
             }
             batches.iter().for_each(|batch| _ = state.apply(batch));
-            state.next().is_some().then(|| (FIRST, state.handed_over()))
+            state.next().is_some().then(|| StateAt { index: FIRST, state: state.handed_over() })
         }
     }
 }
--- a/crates/ledger/src/replica.rs
+++ b/crates/ledger/src/replica.rs
@@ -11,6 +11,7 @@
 use crate::log::{Heard, Log};
 use crate::messages::{Base, LedgerMessage};
 use crate::records::{self, Meta};
+use crate::shard_view::{Configuration, StateAt};
 use crate::state::{Batch, Command, Folded, ReplicaId, State};
 use crate::tail::Tail;
 use crate::{FrontId, Micros, Outcome, Owner, Record};
@@ -68,20 +69,19 @@
     /// Begins with what the members have decided; it becomes lasting with the next save.
     pub fn begin(
         shard: u16,
-        config: u32,
-        members: &[ReplicaId],
+        configuration: &Configuration,
         own: ReplicaId,
         preferred: bool,
-        (index, state): (u64, State),
+        base: StateAt,
     ) -> Option<Replica> {
-        let index = usize::try_from(index).ok()?;
+        let index = usize::try_from(base.index).ok()?;
         let held = LogState {
             decided: index,
             compacted: index,
-            snapshot: Some(Folded::of(state)),
+            snapshot: Some(Folded::of(base.state)),
             ..LogState::default()
         };
-        let mut replica = Replica::open(shard, config, members, own, preferred, held)?;
+        let mut replica = Replica::open(shard, configuration, own, preferred, held)?;
         replica.changes = Changes { must_persist: true, log_from: None, snapshot: true };
         replica.dirty = true;
         Some(replica)
@@ -90,19 +90,19 @@
     /// Goes on from what was kept.
     pub fn open(
         shard: u16,
-        config: u32,
-        members: &[ReplicaId],
+        configuration: &Configuration,
         own: ReplicaId,
         preferred: bool,
         held: LogState<Batch>,
     ) -> Option<Replica> {
+        let Configuration { config, members } = configuration;
         let kept = (held.compacted, held.end());
         let store = LogStore::new(held);
-        let log = Log::new(config, members, own, preferred, store.clone())?;
+        let log = Log::new(*config, members, own, preferred, store.clone())?;
         let mut replica = Replica {
             shard,
-            config,
-            members: members.to_vec(),
+            config: *config,
+            members: members.clone(),
             log,
             store,
             state: State::default(),
--- a/crates/ledger/src/shard_view.rs
+++ b/crates/ledger/src/shard_view.rs
@@ -9,24 +9,47 @@
 use crate::state::{ReplicaId, State};
 use crate::{FrontId, Micros};
 
+/// A configuration of a shard: its number, which grows with each change of members, and its members.
+#[derive(Clone, Debug)]
+pub(crate) struct Configuration {
+    pub config: u32,
+    pub members: Vec<ReplicaId>,
+}
+
+/// A state of a shard, after so many entries of the log.
+pub(crate) struct StateAt {
+    pub index: u64,
+    pub state: State,
+}
+
+/// What a front has learned of a shard before it becomes a member: a state of the log of this configuration.
+pub(crate) struct Learned {
+    pub config: u32,
+    pub at: StateAt,
+}
+
 /// What a front knows of one shard.
 #[derive(Default)]
 pub(crate) struct ShardView {
-    /// All that could keep it, in the order in which they are wanted.
+    /// All fronts that could hold it, in the order in which they are preferred.
     pub ranked: Vec<FrontId>,
-    /// Who is to keep it, in the order in which they are wanted; empty where shards do not move.
+    /// The fronts that are to hold it, in the order in which they are preferred; empty where shards do not move.
     pub wanted: Vec<FrontId>,
     /// Which of them is to lead it.
     pub preferred_leader: Option<FrontId>,
+    /// This front's replica of it.
     pub replica: Option<Replica>,
-    /// Who keeps it, by the latest that was heard.
-    pub known: Option<(u32, Vec<ReplicaId>)>,
-    /// With these members or earlier ones this disk never begins (again).
+    /// Its latest configuration that was heard of.
+    pub known: Option<Configuration>,
+    /// This disk never joins a configuration with this number or a lower one (again).
     pub barred: u32,
+    /// What this front does to start it, where it has yet to start.
     pub bootstrap: Option<Bootstrap>,
-    /// A copy that was given to this front before it became a member: of which log, up to which entry.
-    pub learned: Option<(u32, u64, State)>,
+    /// A state that was sent to this front before it became a member.
+    pub learned: Option<Learned>,
+    /// The change of members that is under way, where this front leads it.
     pub repair: Option<Repair>,
+    /// The comparison of its replicas.
     pub scrub: Scrub,
     /// Since when this front leads it.
     pub leader_since: Option<Micros>,
@@ -37,8 +60,9 @@
 }
 
 impl ShardView {
+    /// Its members, as far as is known.
     pub fn members(&self) -> &[ReplicaId] {
-        self.known.as_ref().map_or(&[], |(_, members)| members)
+        self.known.as_ref().map_or(&[], |known| &known.members)
     }
 
     /// Which of these members is to lead it.
@@ -47,7 +71,8 @@
         order.find(|front| members.iter().any(|member| member.front == **front)).copied()
     }
 
+    /// The number of its latest configuration; 0: none is known.
     pub fn config(&self) -> u32 {
-        self.known.as_ref().map_or(0, |(config, _)| *config)
+        self.known.as_ref().map_or(0, |known| known.config)
     }
 }
--- a/crates/ledger/src/upkeep.rs
+++ b/crates/ledger/src/upkeep.rs
@@ -6,6 +6,7 @@
 use crate::records;
 use crate::repair::{missing, spare, Peer, Repair};
 use crate::replica::{Replica, FIRST};
+use crate::shard_view::{Configuration, StateAt};
 use crate::state::{Limits, ReplicaId, State};
 use crate::transport::Pace;
 use crate::{FrontId, Micros, Moment};
@@ -53,7 +54,7 @@
                     self.transport.send(at, *to, &message, Pace::Fast);
                 }
                 let state = State::new(Limits::of(&self.setup));
-                self.open(at, shard, 1, members, (FIRST, state));
+                self.open(at, shard, Configuration { config: 1, members }, StateAt { index: FIRST, state });
             }
         }
     }
