--- a/crates/ledger/src/durability.rs
+++ b/crates/ledger/src/durability.rs
@@ -26,7 +26,7 @@
             if form > self.kept_form {
                 // With the first of them, so that a build that can't read them finds that said.
                 self.kept_form = form;
-                records.push(records::mark(form, self.transport.fleet, self.own.disk));
+                records.push(records::header(form, self.transport.fleet, self.own.disk));
             }
             return self.save(records, packets, done);
         }
@@ -84,7 +84,7 @@
         self.transport.disk = disk;
         self.transport.incarnation = at.wall_ms.max(self.transport.incarnation + 1);
         self.kept_form = OLDEST;
-        self.records.push(records::mark(OLDEST, self.transport.fleet, disk));
+        self.records.push(records::header(OLDEST, self.transport.fleet, disk));
         self.shards.iter_mut().for_each(|view| view.barred = 0);
         self.start_bootstraps();
         self.settle(at);
--- a/crates/ledger/src/forms_tests.rs
+++ b/crates/ledger/src/forms_tests.rs
@@ -76,7 +76,7 @@
     all.extend(packets.iter().map(|packet| ("letter", messages::encode(packet))));
     all.push(("batch", messages::encode(&batch())));
     all.push(("state", messages::encode(&state)));
-    all.push(("mark", record(records::mark(1, 7, 8))));
+    all.push(("mark", record(records::header(1, 7, 8))));
     all.push(("entry", record(records::entry(3, 4, &batch()))));
     all
 }
@@ -128,7 +128,7 @@
     let mut state = State::new(Limits { entries: 10, bytes: 1_000, apart_ms: 500 });
     state.apply(&formed(3, None));
     let record = |record: crate::Record| record.bytes.unwrap_or_default();
-    let folded = crate::state::Folded::of(state.clone());
+    let snapshot = crate::state::LogSnapshot::of(state.clone());
     let messages = [
         LedgerMessage::TransferLeadership { shard: 1, config: 2 },
         LedgerMessage::Hashes { shard: 1, config: 2, index: 3, sums: vec![4, u64::MAX] },
@@ -138,9 +138,9 @@
     let mut all: Vec<_> = messages.iter().map(|message| ("word", messages::encode(message))).collect();
     all.push(("batch", messages::encode(&formed(3, Some(vec![member()])))));
     all.push(("state", messages::encode(&state)));
-    all.push(("mark", record(records::mark(3, 7, 8))));
+    all.push(("mark", record(records::header(3, 7, 8))));
     all.push(("entry", record(records::entry(3, 4, &formed(3, None)))));
-    all.push(("snapshot", record(records::snapshot(3, &folded))));
+    all.push(("snapshot", record(records::snapshot(3, &snapshot))));
     all
 }
 
@@ -184,7 +184,7 @@
     }
     let setup = crate::Setup::new("f", 300, 1, 8, Vec::new());
     let found = |form: u8, records: Vec<crate::Record>| {
-        let all = records.into_iter().chain([records::mark(form, 7, 8)]);
+        let all = records.into_iter().chain([records::header(form, 7, 8)]);
         let saved = all.map(|record| (record.name, record.bytes.unwrap_or_default())).collect();
         records::read(&setup, 7, &crate::Saved(saved)).map(|(form, kept)| (form, kept.len()))
     };
--- a/crates/ledger/src/incoming.rs
+++ b/crates/ledger/src/incoming.rs
@@ -2,7 +2,7 @@
 
 use crate::bootstrap::Bootstrap;
 use crate::ledger::Ledger;
-use crate::log::Heard;
+use crate::log::Received;
 use crate::messages::{self, LedgerMessage, ReplicaIncarnation};
 use crate::repair::Peer;
 use crate::replica::Replica;
@@ -133,10 +133,10 @@
                     return self.refuse("no member");
                 }
                 match replica.heard((sender.front, incarnation), number, message) {
-                    Heard::Taken => _ = self.touched.insert(shard),
-                    Heard::Overtaken => self.refuse("overtaken"),
-                    Heard::NoMember => self.refuse("no member"),
-                    Heard::Absurd => {
+                    Received::Accepted => _ = self.touched.insert(shard),
+                    Received::OutOfOrder => self.refuse("overtaken"),
+                    Received::NotMember => self.refuse("no member"),
+                    Received::Contradiction => {
                         self.refuse("contradicts what is decided");
                         self.fail();
                     }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -98,7 +98,7 @@
             setup,
         };
         if kept.is_empty() {
-            ledger.records.push(records::mark(OLDEST, fleet, own.disk));
+            ledger.records.push(records::header(OLDEST, fleet, own.disk));
         }
         ledger.place_initially(at.steady);
         for (shard, kept) in kept {
@@ -110,7 +110,7 @@
     }
 
     /// Goes on with a shard from what was kept of it.
-    fn reopen(&mut self, shard: u16, kept: records::Kept) -> Result<(), Error> {
+    fn reopen(&mut self, shard: u16, kept: records::SavedShard) -> Result<(), Error> {
         let own = self.own;
         let view = self.shards.get_mut(usize::from(shard)).ok_or(Error::Fleet)?;
         view.bootstrap = (!kept.bootstrap.is_empty()).then(|| Bootstrap::new(kept.bootstrap));
@@ -120,7 +120,7 @@
         let configuration = Configuration { config, members };
         if is_member {
             let preferred = view.preferred_among(&configuration.members) == Some(own.front);
-            let replica = Replica::open(shard, &configuration, own, preferred, kept.held);
+            let replica = Replica::open(shard, &configuration, own, preferred, kept.log_state);
             let damaged = || Error::Damaged { record: format!("members of shard {shard}") };
             view.replica = Some(replica.ok_or_else(damaged)?);
         }
--- a/crates/ledger/src/membership.rs
+++ b/crates/ledger/src/membership.rs
@@ -102,7 +102,7 @@
         let Some(Configuration { config, members }) = view.known.clone() else { return };
         view.barred = config;
         (view.leader_since, view.repair) = (None, None);
-        replica.forgotten(&mut self.records);
+        replica.remove_records(&mut self.records);
         self.records.push(records::meta(OLDEST, shard, &gone(config, members)));
         self.records.push(records::no_snapshot(shard));
     }
@@ -136,7 +136,7 @@
             return;
         };
         if let Some(before) = view.replica.take() {
-            before.forgotten(&mut self.records);
+            before.remove_records(&mut self.records);
         }
         if view.bootstrap.take().is_some() {
             self.records.push(records::no_bootstrap(shard));
@@ -162,7 +162,7 @@
         let (is_leader, before) = (replica.is_leader(), replica.members.clone());
         let moves = view.repair.is_some_and(|repair| repair.moves);
         let caught = view.repair.and_then(|repair| Some((repair.into, repair.caught?)));
-        let state = replica.state.handed_over();
+        let state = replica.state.for_next_configuration();
         if is_leader {
             for to in next.iter().filter(|member| **member != own && !before.contains(member)) {
                 let index = caught.filter(|(into, _)| into == to).map_or(0, |(_, index)| index);
@@ -219,7 +219,7 @@
                 return None;
             }
             batches.iter().for_each(|batch| _ = state.apply(batch));
-            state.next().is_some().then(|| StateAt { index: FIRST, state: state.handed_over() })
+            state.next().is_some().then(|| StateAt { index: FIRST, state: state.for_next_configuration() })
         }
     }
 }
--- a/crates/ledger/src/replica.rs
+++ b/crates/ledger/src/replica.rs
@@ -1,4 +1,4 @@
-//! A shard as one of its members keeps it: the entries as far as they are decided, and, where it leads the shard, what
+//! A replica of a shard: the entries as far as they are decided, and, where it leads the shard, what
 //! was asked and waits for the next round.
 
 use std::collections::BTreeSet;
@@ -8,16 +8,16 @@
 
 use crate::forms::OLDEST;
 use crate::lines::Lines;
-use crate::log::{Heard, Log};
+use crate::log::{Log, Received};
 use crate::messages::{Base, LedgerMessage};
 use crate::records::{self, Meta};
 use crate::shard_view::{Configuration, StateAt};
-use crate::state::{Batch, Command, Folded, ReplicaId, State};
+use crate::state::{Batch, Command, LogSnapshot, ReplicaId, State};
 use crate::tail::Tail;
 use crate::{FrontId, Micros, Outcome, Owner, Record};
 
-const MOST_QUEUED: usize = 4_096; // asks that wait for a round
-const MOST_BATCH: usize = 8_192; // bytes of asks in a round: some datagrams to each member
+const MAX_QUEUED: usize = 4_096; // asks that wait for a round
+const BATCH_BYTES: usize = 8_192; // bytes of asks in a round: some datagrams to each member
 const CHANGE_WAITS: Micros = 250_000; // microseconds for which a change of members goes before the next round
 const ASK_OVERHEAD: usize = 48; // bytes that an ask counts beside its name and value
 
@@ -31,6 +31,7 @@
     ends: Micros,
 }
 
+/// A replica of a shard in one configuration.
 pub(crate) struct Replica {
     pub shard: u16,
     pub config: u32,
@@ -40,33 +41,33 @@
     pub state: State,
     applied: usize,
     queue: Vec<Waiting>,
-    /// Of the asks that wait or are under way here.
+    /// The asks that wait or are proposed here.
     known: BTreeSet<(Owner, u64)>,
     /// Who waits for keys that others have, where it leads the shard.
     pub lines: Lines,
     changes: Changes,
     dirty: bool,
-    /// Log records that are kept, by the numbers of the first and of the next after the last.
-    kept: (usize, usize),
-    /// What comes out of order counts as lost.
+    /// Log records that are saved: the numbers of the first, and of the next after the last.
+    saved: (usize, usize),
+    /// By which messages that come out of order count as lost.
     order: MessageOrder,
     /// Members are to change: nothing more is proposed here.
     changing: bool,
     /// The form of what it proposes.
     pub form: u8,
-    /// Who they are to be once the round under way has ended, and until when that goes before the next round.
-    to_change: Option<(Vec<ReplicaId>, Micros)>,
+    /// The members to propose once the round under way has ended, and until when that goes before the next round.
+    pending_change: Option<(Vec<ReplicaId>, Micros)>,
 }
 
-/// What has become of asks since it was last looked at.
+/// The asks that were decided, and the rounds that were proposed, since the last call.
 #[derive(Default)]
 pub(crate) struct Settled {
-    pub told: Vec<(Command, Outcome)>,
+    pub answers: Vec<(Command, Outcome)>,
     pub rounds: u64,
 }
 
 impl Replica {
-    /// Begins with what the members have decided; it becomes lasting with the next save.
+    /// Starts a configuration from the state that its members agree on; it becomes durable with the next save.
     pub fn begin(
         shard: u16,
         configuration: &Configuration,
@@ -75,29 +76,29 @@
         base: StateAt,
     ) -> Option<Replica> {
         let index = usize::try_from(base.index).ok()?;
-        let held = LogState {
+        let log_state = LogState {
             decided: index,
             compacted: index,
-            snapshot: Some(Folded::of(base.state)),
+            snapshot: Some(LogSnapshot::of(base.state)),
             ..LogState::default()
         };
-        let mut replica = Replica::open(shard, configuration, own, preferred, held)?;
+        let mut replica = Replica::open(shard, configuration, own, preferred, log_state)?;
         replica.changes = Changes { must_persist: true, log_from: None, snapshot: true };
         replica.dirty = true;
         Some(replica)
     }
 
-    /// Goes on from what was kept.
+    /// Goes on from what was saved.
     pub fn open(
         shard: u16,
         configuration: &Configuration,
         own: ReplicaId,
         preferred: bool,
-        held: LogState<Batch>,
+        log_state: LogState<Batch>,
     ) -> Option<Replica> {
         let Configuration { config, members } = configuration;
-        let kept = (held.compacted, held.end());
-        let store = LogStore::new(held);
+        let saved = (log_state.compacted, log_state.end());
+        let store = LogStore::new(log_state);
         let log = Log::new(*config, members, own, preferred, store.clone())?;
         let mut replica = Replica {
             shard,
@@ -112,24 +113,24 @@
             lines: Lines::default(),
             changes: Changes::default(),
             dirty: false,
-            kept,
+            saved,
             order: MessageOrder::default(),
             changing: false,
             form: OLDEST,
-            to_change: None,
+            pending_change: None,
         };
         replica.apply();
         Some(replica)
     }
 
-    /// A turn of the log's clock; whom to tell that they may have missed something.
+    /// One tick of the log's clock; the members that are to ask for what they may have missed.
     pub fn tick(&mut self) -> Vec<FrontId> {
-        let told = self.log.tick();
+        let resync = self.log.tick();
         let others = self.members.iter().map(|member| member.front);
-        others.filter(|_| told).collect()
+        others.filter(|_| resync).collect()
     }
 
-    /// Tries to lead the shard.
+    /// Tries to become the leader.
     pub fn campaign(&mut self) {
         if !self.is_leader() {
             self.log.campaign();
@@ -151,22 +152,22 @@
         self.log.leader().map(|(leader, _)| leader)
     }
 
-    /// How many entries it has applied.
+    /// The applied index: the number of entries that it has applied.
     pub fn applied(&self) -> u64 {
         self.applied as u64
     }
 
     /// A message of a member in one of its lives.
-    pub fn heard(&mut self, from: (FrontId, u64), number: u64, message: Message<Batch>) -> Heard {
+    pub fn heard(&mut self, from: (FrontId, u64), number: u64, message: Message<Batch>) -> Received {
         if !self.order.accepts(from.0, from.1, number) {
-            return Heard::Overtaken;
+            return Received::OutOfOrder;
         }
         self.log.heard(from.0, message)
     }
 
     /// An ask of the leader; false where it can't wait here.
     pub fn ask(&mut self, command: Command, came: Micros, ends: Micros) -> bool {
-        if self.queue.len() >= MOST_QUEUED {
+        if self.queue.len() >= MAX_QUEUED {
             return false;
         }
         if self.known.insert((command.owner, command.number)) {
@@ -176,58 +177,58 @@
     }
 
     /// Proposes other members, after the round that is under way: rounds back to back would keep it waiting for good.
-    pub fn change(&mut self, now: Micros, next: Vec<ReplicaId>) {
+    pub fn propose_members(&mut self, now: Micros, next: Vec<ReplicaId>) {
         if !self.changing && self.is_leader() {
-            self.to_change = Some((next, now + CHANGE_WAITS));
+            self.pending_change = Some((next, now + CHANGE_WAITS));
         }
     }
 
-    fn changes(&mut self, now: Micros, wall_ms: u64) {
-        if self.log.is_under_way() {
+    fn propose_change(&mut self, now: Micros, wall_ms: u64) {
+        if self.log.has_pending() {
             return;
         }
-        if let Some((next, _)) = self.to_change.take().filter(|(_, until)| now < *until) {
+        if let Some((next, _)) = self.pending_change.take().filter(|(_, until)| now < *until) {
             self.changing = self.log.append(Batch::change(self.form, wall_ms, next));
         }
     }
 
     /// Proposes what waits, once the round before has ended; takes in what is decided.
     pub fn settle(&mut self, now: Micros, wall_ms: u64) -> Settled {
-        let mut settled = Settled { told: self.apply(), rounds: 0 };
+        let mut settled = Settled { answers: self.apply(), rounds: 0 };
         if !self.is_leader() {
             // Whoever leads it now is asked again.
             self.queue.clear();
             self.known.clear();
             self.lines.clear();
-            (self.changing, self.to_change) = (false, None);
+            (self.changing, self.pending_change) = (false, None);
             return settled;
         }
-        self.changes(now, wall_ms);
-        if !self.queue.is_empty() && !self.log.is_under_way() && !self.changing {
-            let (mut commands, mut bytes) = (Vec::new(), 0);
-            let waiting = std::mem::take(&mut self.queue);
-            for waiting in waiting {
-                let command = &waiting.command;
-                if waiting.ends <= now {
-                    self.known.remove(&(command.owner, command.number));
-                } else if bytes < MOST_BATCH && !self.lines.defers(now, command, waiting.came) {
-                    bytes += size(command);
-                    commands.push(waiting.command);
-                } else {
-                    self.queue.push(waiting);
-                }
-            }
-            if !commands.is_empty()
-                && self.log.append(Batch { wall_ms, commands, tail: Tail::of(self.form, None) })
-            {
-                settled.rounds = 1;
-            }
-            settled.told.extend(self.apply());
+        self.propose_change(now, wall_ms);
+        if !self.queue.is_empty() && !self.log.has_pending() && !self.changing {
+            settled.rounds = u64::from(self.propose_batch(now, wall_ms));
+            settled.answers.extend(self.apply());
         }
-        self.log.fold();
+        self.log.compact();
         settled
     }
 
+    /// Proposes the asks that wait, as far as a round holds them; false where none is proposed.
+    fn propose_batch(&mut self, now: Micros, wall_ms: u64) -> bool {
+        let (mut commands, mut bytes) = (Vec::new(), 0);
+        for waiting in std::mem::take(&mut self.queue) {
+            let command = &waiting.command;
+            if waiting.ends <= now {
+                self.known.remove(&(command.owner, command.number));
+            } else if bytes < BATCH_BYTES && !self.lines.defers(now, command, waiting.came) {
+                bytes += size(command);
+                commands.push(waiting.command);
+            } else {
+                self.queue.push(waiting);
+            }
+        }
+        !commands.is_empty() && self.log.append(Batch { wall_ms, commands, tail: Tail::of(self.form, None) })
+    }
+
     /// Who is to be told that a key is free.
     pub fn turns(&mut self, now: Micros, wall_ms: u64) -> Vec<(Owner, u64)> {
         self.lines.turns(now, |key| self.state.is_free(key, wall_ms))
@@ -235,9 +236,9 @@
 
     fn apply(&mut self) -> Vec<(Command, Outcome)> {
         let decided = self.log.decided();
-        let mut told = Vec::new();
+        let mut answers = Vec::new();
         if decided <= self.applied {
-            return told;
+            return answers;
         }
         let is_leader = self.is_leader();
         let (state, batches) = self.log.since(self.applied);
@@ -249,15 +250,15 @@
             for (command, outcome) in batch.commands.into_iter().zip(outcomes) {
                 self.known.remove(&(command.owner, command.number));
                 if is_leader {
-                    told.push((command, outcome));
+                    answers.push((command, outcome));
                 }
             }
         }
         self.applied = decided;
         if !is_leader {
-            self.log.fold();
+            self.log.compact();
         }
-        told
+        answers
     }
 
     pub fn messages(&mut self) -> Vec<(FrontId, LedgerMessage)> {
@@ -270,19 +271,19 @@
         self.log.messages().into_iter().map(wrap).collect()
     }
 
-    /// What one that has the entries up to this index of this log begins the next one with.
+    /// What a new member starts the next configuration from that has this log's entries up to this index.
     pub fn base_after(&self, index: u64) -> Base {
         let from = usize::try_from(index).unwrap_or_default();
         match self.log.since(from) {
             (None, batches) if from >= self.log.compacted() => Base::Suffix { index, batches },
             _ => {
-                let state = crate::messages::encode(&self.state.handed_over());
+                let state = crate::messages::encode(&self.state.for_next_configuration());
                 Base::Snapshot { index: FIRST, state }
             }
         }
     }
 
-    /// Whether something must be lasting before anything that follows from it is told.
+    /// Whether something must be durable before anything that follows from it is sent.
     pub fn must_save(&mut self) -> bool {
         if let Some(changes) = self.store.take_changes() {
             self.changes.must_persist |= changes.must_persist;
@@ -293,23 +294,23 @@
         self.changes.must_persist
     }
 
-    /// Goes on with another state as of an entry, with what its own log has since; false where that can't be.
-    pub fn mend(&mut self, index: u64, mut state: State) -> bool {
+    /// Replaces the state as of an entry by another, and applies what its own log has since; false where that can't be.
+    pub fn replace_state(&mut self, index: u64, mut state: State) -> bool {
         let from = usize::try_from(index).unwrap_or(usize::MAX);
         if from < self.log.compacted() || from > self.applied || self.log.decided() != self.applied {
             return false;
         }
-        let (folded, batches) = self.log.since(from);
-        if folded.is_some() || batches.len() != self.applied - from {
+        let (snapshot, batches) = self.log.since(from);
+        if snapshot.is_some() || batches.len() != self.applied - from {
             return false;
         }
-        self.log.fold_all();
+        self.log.compact_all();
         if self.log.compacted() != self.applied {
             return false;
         }
         batches.iter().for_each(|batch| _ = state.apply(batch));
         self.state = state.clone();
-        omnipaxos::storage::Storage::set_snapshot(&mut self.store, Some(Folded::of(state))).is_ok()
+        omnipaxos::storage::Storage::set_snapshot(&mut self.store, Some(LogSnapshot::of(state))).is_ok()
     }
 
     /// What has changed since it was last saved, as records; the latest form that they are of.
@@ -319,19 +320,20 @@
             return form;
         }
         let changes = std::mem::take(&mut self.changes);
-        let (shard, config, members, before) = (self.shard, self.config, self.members.clone(), self.kept);
-        self.kept = self.store.read(|held| {
-            let (compacted, end) = (held.compacted, held.end());
-            let (promise, accepted_round, decided) = (held.promise, held.accepted_round, held.decided);
+        let (shard, config, members, before) = (self.shard, self.config, self.members.clone(), self.saved);
+        self.saved = self.store.read(|log_state| {
+            let (compacted, end) = (log_state.compacted, log_state.end());
+            let (promise, accepted_round, decided) =
+                (log_state.promise, log_state.accepted_round, log_state.decided);
             let meta =
                 Meta { config, members, is_member: true, promise, accepted_round, decided, compacted, end };
             records.push(records::meta(form, shard, &meta));
-            if let Some(snapshot) = held.snapshot.as_ref().filter(|_| changes.snapshot) {
+            if let Some(snapshot) = log_state.snapshot.as_ref().filter(|_| changes.snapshot) {
                 form = form.max(snapshot.form());
                 records.push(records::snapshot(shard, snapshot));
             }
             let from = changes.log_from.unwrap_or(end).max(compacted);
-            for (index, batch) in (compacted..end).zip(&held.log).skip(from - compacted) {
+            for (index, batch) in (compacted..end).zip(&log_state.log).skip(from - compacted) {
                 form = form.max(batch.tail.form());
                 records.push(records::entry(shard, index, batch));
             }
@@ -342,9 +344,9 @@
         form
     }
 
-    /// Nothing is kept of its log any more; what follows says what is.
-    pub fn forgotten(&self, records: &mut Vec<Record>) {
-        records.extend((self.kept.0..self.kept.1).map(|index| records::no_entry(self.shard, index)));
+    /// Records that remove its log from what is saved.
+    pub fn remove_records(&self, records: &mut Vec<Record>) {
+        records.extend((self.saved.0..self.saved.1).map(|index| records::no_entry(self.shard, index)));
     }
 }
 
--- a/crates/ledger/src/rounds.rs
+++ b/crates/ledger/src/rounds.rs
@@ -13,7 +13,7 @@
         let Some(replica) = &mut view.replica else { return };
         replica.form = self.form;
         let settled = replica.settle(at.steady, wall_ms);
-        for (command, outcome) in &settled.told {
+        for (command, outcome) in &settled.answers {
             let front = command.owner.front;
             if front == self.own.front || self.transport.reads(front) >= crate::forms::TURNS {
                 replica.lines.heard(at.steady, command, outcome);
@@ -33,7 +33,7 @@
                 self.transport.send(at, to, &message, if ordered { Pace::Log(shard) } else { Pace::Fast });
             }
         }
-        for (command, outcome) in settled.told {
+        for (command, outcome) in settled.answers {
             let (owner, number) = (command.owner, command.number);
             if owner.front != self.own.front {
                 let message = LedgerMessage::Reply { incarnation: owner.incarnation, number, outcome };
--- a/crates/ledger/src/scrub.rs
+++ b/crates/ledger/src/scrub.rs
@@ -155,7 +155,7 @@
         let state = messages::decode::<State>(state);
         let Some(view) = self.of_member(from, shard, config) else { return };
         let Some((replica, state)) = view.replica.as_mut().zip(state) else { return };
-        if replica.leader() == Some(from.front) && replica.mend(index, state) {
+        if replica.leader() == Some(from.front) && replica.replace_state(index, state) {
             self.tallies.mended += 1;
             self.touched.insert(shard);
         }
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -1,5 +1,5 @@
-//! What the log of a shard tells: every copy that applies the same batches knows the same. Time goes by what the
-//! batches say, which is their proposer's Unix clock, and never runs back.
+//! The state machine of a shard: every replica that applies the same batches comes to the same state. Its time is that of
+//! the batches, which is their proposer's Unix clock, and never runs back.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,8 +9,8 @@
 use crate::tail::Tail;
 use crate::{Act, DiskId, Entry, FrontId, Key, Outcome, Owner, Setup, REMEMBERED_MS};
 
-const OVERHEAD: usize = 64; // bytes that an entry counts beside its name and value
-const MOST_REMEMBERED: usize = 8_192; // answers: some 30 bytes each in a snapshot
+const ENTRY_OVERHEAD: usize = 64; // bytes that an entry counts beside its name and value
+const MAX_ANSWERS: usize = 8_192; // answers remembered: some 30 bytes each in a snapshot
 
 /// The identity of a replica: its front and the disk that holds it. A front that comes back with another disk has
 /// forgotten what it promised, so it is another member.
@@ -20,7 +20,7 @@
     pub disk: DiskId,
 }
 
-/// An ask as it goes into the log.
+/// An ask as a command of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Command {
     pub owner: Owner,
@@ -31,25 +31,26 @@
     pub act: Act,
 }
 
-/// One entry of the log: all that was asked while the round before was under way.
+/// One entry of the log: all that was asked while the entry before was being decided.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Batch {
     pub wall_ms: u64,
     pub commands: Vec<Command>,
-    /// Who keeps the shard from here on: nothing that follows in this log counts. Behind the batch's form, if it says one.
+    /// The members of the next configuration, if the batch changes them: nothing that follows in this log counts. Behind
+    /// the batch's form, if it names one.
     pub tail: Tail,
 }
 
 impl Batch {
-    /// One that names who keeps the shard from here on.
+    /// One that changes the members.
     pub fn change(form: u8, wall_ms: u64, next: Vec<ReplicaId>) -> Batch {
         Batch { wall_ms, commands: Vec::new(), tail: Tail::of(form, Some(next)) }
     }
 }
 
-/// What was answered, without what the ask itself says.
+/// An outcome that is remembered, without what the ask itself says.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-enum Told {
+enum StoredOutcome {
     Stands { version: u64 },
     Held { owner: Owner, version: u64, ends_ms: u64 },
     Absent,
@@ -57,12 +58,12 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Remembered {
+struct StoredAnswer {
     asked_ms: u64,
-    told: Told,
+    stored: StoredOutcome,
 }
 
-/// What a shard may hold, and how long it keeps what has ended: part of the state, so that all copies go by the same.
+/// What a shard may hold, and how long it keeps what has ended: part of the state, so that all replicas go by the same.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Limits {
     pub entries: usize,
@@ -86,10 +87,10 @@
     /// Each with the number of the ask that set it.
     entries: BTreeMap<Key, (Entry, u64)>,
     bytes: usize,
-    answers: BTreeMap<(Owner, u64), Remembered>,
-    /// Who keeps the shard after this log, once that is decided, behind the latest form of its batches.
+    answers: BTreeMap<(Owner, u64), StoredAnswer>,
+    /// The members of the next configuration, once they are decided, behind the latest form of the batches.
     tail: Tail,
-    /// What ends and is forgotten when; made anew from the rest where it is not there.
+    /// What ends and is forgotten when; rebuilt from the rest where it is missing.
     #[serde(skip)]
     index: Option<Index>,
 }
@@ -113,7 +114,7 @@
         self.bytes
     }
 
-    /// Each entry, and all else that copies agree on, as bytes.
+    /// Each entry, and all else that replicas agree on, as bytes: for their comparison.
     pub fn parts(&self) -> (impl Iterator<Item = (&Key, Vec<u8>)>, Vec<u8>) {
         let entries = self.entries.iter().map(|(key, entry)| (key, crate::messages::encode(entry)));
         let State { limits, now_ms, last, bytes, answers, tail, .. } = self;
@@ -139,19 +140,19 @@
         self.tail.form()
     }
 
-    /// The same entries under the log of the next members.
-    pub fn handed_over(&self) -> State {
+    /// The state that the next configuration starts from: the same entries.
+    pub fn for_next_configuration(&self) -> State {
         State { tail: Tail::of(self.form(), None), ..self.clone() }
     }
 
-    /// Applies a batch; what each of its commands comes to. Empty where the shard has been handed over: nobody may
-    /// be told anything of what came after.
+    /// Applies a batch; the outcome of each of its commands. Empty once the members have changed: what follows in this
+    /// log does not count, and nobody may be answered by it.
     pub fn apply(&mut self, batch: &Batch) -> Vec<Outcome> {
         if self.next().is_some() {
             return Vec::new();
         }
         self.now_ms = self.now_ms.max(batch.wall_ms);
-        self.end();
+        self.expire();
         let outcomes = batch.commands.iter().map(|command| self.command(command)).collect();
         let next = batch.tail.next().map(<[ReplicaId]>::to_vec);
         self.tail = Tail::of(self.form().max(batch.tail.form()), next);
@@ -164,29 +165,29 @@
         }
         let id = (command.owner, command.number);
         if let Some(before) = self.answers.get(&id) {
-            return command.again(&before.told, self.of(&command.key));
+            return command.repeat_answer(&before.stored, self.of(&command.key));
         }
         // An answer to one asked as long ago, or in the future, could be forgotten before a copy of it comes.
-        let apart = self.now_ms.abs_diff(command.asked_ms);
-        if apart >= REMEMBERED_MS || self.answers.len() >= MOST_REMEMBERED {
+        let age = self.now_ms.abs_diff(command.asked_ms);
+        if age >= REMEMBERED_MS || self.answers.len() >= MAX_ANSWERS {
             return Outcome::Unreachable;
         }
-        let (outcome, told) = self.act(command);
-        self.answers.insert(id, Remembered { asked_ms: command.asked_ms, told });
+        let (outcome, stored) = self.act(command);
+        self.answers.insert(id, StoredAnswer { asked_ms: command.asked_ms, stored });
         self.index().forgotten.insert((command.asked_ms, command.owner, command.number));
         outcome
     }
 
-    fn act(&mut self, command: &Command) -> (Outcome, Told) {
+    fn act(&mut self, command: &Command) -> (Outcome, StoredOutcome) {
         let current = self.of(&command.key).cloned();
         let mine = current.as_ref().is_none_or(|entry| entry.owner == command.owner);
         // An ask that comes late undoes nothing that the same front asked for after it.
         let late = mine && self.entries.get(&command.key).is_some_and(|(_, number)| *number > command.number);
         match (&command.act, &current) {
             (Act::Claim { .. }, Some(entry)) if late => {
-                return (Outcome::Stands(entry.clone()), Told::Stands { version: entry.version });
+                return (Outcome::Stands(entry.clone()), StoredOutcome::Stands { version: entry.version });
             }
-            (Act::Free, _) if late => return (Outcome::Absent, Told::Absent),
+            (Act::Free, _) if late => return (Outcome::Absent, StoredOutcome::Absent),
             _ => {}
         }
         let (ends_ms, value, fits) = match &command.act {
@@ -197,25 +198,29 @@
             }
             Act::Free | Act::Read if mine => {
                 self.remove(&command.key);
-                return (Outcome::Absent, Told::Absent);
+                return (Outcome::Absent, StoredOutcome::Absent);
             }
             Act::Free | Act::Read => (0, &Vec::new(), false),
         };
         match current {
             Some(entry) if !fits => {
-                let told = Told::Held { owner: entry.owner, version: entry.version, ends_ms: entry.ends_ms };
-                (Outcome::Held(entry), told)
+                let stored = StoredOutcome::Held {
+                    owner: entry.owner,
+                    version: entry.version,
+                    ends_ms: entry.ends_ms,
+                };
+                (Outcome::Held(entry), stored)
             }
-            None if !fits => (Outcome::Absent, Told::Absent),
+            None if !fits => (Outcome::Absent, StoredOutcome::Absent),
             current => {
-                let size = |value: &[u8]| command.key.name.len() + value.len() + OVERHEAD;
+                let size = |value: &[u8]| command.key.name.len() + value.len() + ENTRY_OVERHEAD;
                 let before = current.as_ref().map_or(0, |entry| size(&entry.value));
                 let more = usize::from(current.is_none());
                 let grows = size(value) > before;
                 if self.entries.len() + more > self.limits.entries
                     || grows && self.bytes - before + size(value) > self.limits.bytes
                 {
-                    return (Outcome::Full, Told::Full);
+                    return (Outcome::Full, StoredOutcome::Full);
                 }
                 self.remove(&command.key);
                 self.last += 1;
@@ -231,23 +236,23 @@
                     self.index().ends.insert((ends_ms, entry.key.clone()));
                 }
                 self.entries.insert(entry.key.clone(), (entry.clone(), command.number));
-                (Outcome::Stands(entry), Told::Stands { version: self.last })
+                (Outcome::Stands(entry), StoredOutcome::Stands { version: self.last })
             }
         }
     }
 
     fn remove(&mut self, key: &Key) {
         if let Some((entry, _)) = self.entries.remove(key) {
-            self.bytes -= (key.name.len() + entry.value.len() + OVERHEAD).min(self.bytes);
+            self.bytes -= (key.name.len() + entry.value.len() + ENTRY_OVERHEAD).min(self.bytes);
             self.index().ends.remove(&(entry.ends_ms, entry.key));
         }
     }
 
     /// Removes what has ended on every front's clock, and forgets answers that nobody can ask for any more.
-    fn end(&mut self) {
-        let (now, apart) = (self.now_ms, self.limits.apart_ms);
+    fn expire(&mut self) {
+        let (now, skew) = (self.now_ms, self.limits.apart_ms);
         while let Some((_, key)) =
-            self.index().ends.first().filter(|(ends, _)| ends.saturating_add(apart) <= now).cloned()
+            self.index().ends.first().filter(|(ends, _)| ends.saturating_add(skew) <= now).cloned()
         {
             self.remove(&key);
         }
@@ -272,45 +277,45 @@
                 .filter(|(e, _)| e.ends_ms > 0)
                 .map(|(e, _)| (e.ends_ms, e.key.clone()))
                 .collect(),
-            forgotten: answers.iter().map(|((owner, n), told)| (told.asked_ms, *owner, *n)).collect(),
+            forgotten: answers.iter().map(|((owner, n), stored)| (stored.asked_ms, *owner, *n)).collect(),
         })
     }
 }
 
 impl Command {
-    /// What it was answered before. A claim that was granted and is gone since is not told as if it stood.
-    fn again(&self, told: &Told, current: Option<&Entry>) -> Outcome {
+    /// The answer to a repeat. A claim that was granted and is gone since is not answered as if it stood.
+    fn repeat_answer(&self, stored: &StoredOutcome, current: Option<&Entry>) -> Outcome {
         let entry =
             |owner, version, ends_ms, value| Entry { key: self.key.clone(), owner, version, ends_ms, value };
-        match (told, &self.act) {
-            (Told::Stands { .. }, Act::Claim { .. }) => match current {
+        match (stored, &self.act) {
+            (StoredOutcome::Stands { .. }, Act::Claim { .. }) => match current {
                 Some(entry) if entry.owner == self.owner => Outcome::Stands(entry.clone()),
                 Some(entry) => Outcome::Held(entry.clone()),
                 None => Outcome::Absent,
             },
-            (Told::Stands { version }, Act::Put { ends_ms, value, .. }) => {
+            (StoredOutcome::Stands { version }, Act::Put { ends_ms, value, .. }) => {
                 Outcome::Stands(entry(self.owner, *version, *ends_ms, value.clone()))
             }
-            (Told::Held { owner, version, ends_ms }, _) => {
+            (StoredOutcome::Held { owner, version, ends_ms }, _) => {
                 Outcome::Held(entry(*owner, *version, *ends_ms, Vec::new()))
             }
-            (Told::Full, _) => Outcome::Full,
-            (Told::Absent | Told::Stands { .. }, _) => Outcome::Absent,
+            (StoredOutcome::Full, _) => Outcome::Full,
+            (StoredOutcome::Absent | StoredOutcome::Stands { .. }, _) => Outcome::Absent,
         }
     }
 }
 
 /// A snapshot of the log: the state up to some entry, and the batches since that have yet to be applied to it. The
-/// log's library makes one of some entries alone, and then merges it into what was there before.
+/// consensus library makes one of some entries alone, and then merges it into the one before.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Folded {
+pub(crate) struct LogSnapshot {
     base: State,
     since: Vec<Batch>,
 }
 
-impl Folded {
-    pub fn of(base: State) -> Folded {
-        Folded { base, since: Vec::new() }
+impl LogSnapshot {
+    pub fn of(base: State) -> LogSnapshot {
+        LogSnapshot { base, since: Vec::new() }
     }
 
     /// The latest form of what it holds.
@@ -325,12 +330,12 @@
     }
 }
 
-impl Snapshot<Batch> for Folded {
-    fn create(entries: &[Batch]) -> Folded {
-        Folded { base: State::default(), since: entries.to_vec() }
+impl Snapshot<Batch> for LogSnapshot {
+    fn create(entries: &[Batch]) -> LogSnapshot {
+        LogSnapshot { base: State::default(), since: entries.to_vec() }
     }
 
-    fn merge(&mut self, later: Folded) {
+    fn merge(&mut self, later: LogSnapshot) {
         let since = std::mem::take(&mut self.since);
         since.iter().chain(&later.since).for_each(|batch| _ = self.base.apply(batch));
     }
@@ -341,7 +346,7 @@
 }
 
 impl Logged for Batch {
-    type Snapshot = Folded;
+    type Snapshot = LogSnapshot;
 }
 
 #[cfg(test)]
--- a/crates/ledger/src/state_tests.rs
+++ b/crates/ledger/src/state_tests.rs
@@ -98,7 +98,7 @@
     assert!(matches!(once(&mut state, 1_000, command(1, 13, "more", claim(0))), Outcome::Stands(_)));
     // What has ended leaves its room.
     once(&mut state, 2_000, command(1, 14, "x", Act::Read));
-    assert_eq!((state.len(), state.bytes()), (1, "more".len() + 1 + OVERHEAD));
+    assert_eq!((state.len(), state.bytes()), (1, "more".len() + 1 + ENTRY_OVERHEAD));
 }
 
 #[test]
@@ -110,7 +110,7 @@
     state.apply(&change);
     assert_eq!(state.apply(&at(1_000, command(1, 2, "a", Act::Free))), Vec::new());
     assert_eq!(state.next(), Some(&next[..]));
-    let mut after = state.handed_over();
+    let mut after = state.for_next_configuration();
     assert_eq!(once(&mut after, 1_000, command(1, 2, "a", Act::Free)), Outcome::Absent);
 }
 
@@ -127,12 +127,12 @@
     log.iter().for_each(|batch| _ = whole.apply(batch));
     for first in 0..=log.len() {
         for second in first..=log.len() {
-            let mut folded = Folded::of(State::new(LIMITS));
+            let mut snapshot = LogSnapshot::of(State::new(LIMITS));
             for piece in [&log[..first], &log[first..second], &log[second..]] {
-                folded.merge(Folded::create(piece));
-                folded = postcard::from_bytes(&postcard::to_stdvec(&folded).unwrap()).unwrap();
+                snapshot.merge(LogSnapshot::create(piece));
+                snapshot = postcard::from_bytes(&postcard::to_stdvec(&snapshot).unwrap()).unwrap();
             }
-            assert_eq!(bytes(&folded.state()), bytes(&whole), "{first} {second}");
+            assert_eq!(bytes(&snapshot.state()), bytes(&whole), "{first} {second}");
         }
     }
 }
--- a/crates/ledger/src/upkeep.rs
+++ b/crates/ledger/src/upkeep.rs
@@ -104,7 +104,7 @@
             if repair.is_over(now, config, into.as_ref()) {
                 view.repair = None;
             } else if repair.caught.is_some() {
-                replica.change(now, repair.next(&replica.members));
+                replica.propose_members(now, repair.next(&replica.members));
                 self.touched.insert(shard);
             }
             return;
