--- a/crates/ledger/src/durability.rs
+++ b/crates/ledger/src/durability.rs
@@ -1,6 +1,6 @@
 //! Gathers what has to go out, behind the saves that it rests on: nothing is told before what it promises is durable.
 
-use crate::forms::OLDEST;
+use crate::formats::OLDEST_FORMAT;
 use crate::ledger::Ledger;
 use crate::records;
 use crate::replica::Replica;
@@ -19,14 +19,14 @@
         }
         let done = std::mem::take(&mut self.done);
         if must {
-            let (mut records, mut form) = (std::mem::take(&mut self.records), self.kept_form);
+            let (mut records, mut format) = (std::mem::take(&mut self.records), self.latest_saved_format);
             for replica in self.shards.iter_mut().filter_map(|view| view.replica.as_mut()) {
-                form = form.max(replica.records(&mut records));
+                format = format.max(replica.records(&mut records));
             }
-            if form > self.kept_form {
+            if format > self.latest_saved_format {
                 // With the first of them, so that a build that can't read them finds that said.
-                self.kept_form = form;
-                records.push(records::header(form, self.transport.fleet, self.own.disk));
+                self.latest_saved_format = format;
+                records.push(records::header(format, self.transport.fleet, self.own.disk));
             }
             return self.save(records, packets, done);
         }
@@ -83,8 +83,8 @@
         self.own.disk = disk;
         self.transport.disk = disk;
         self.transport.incarnation = at.wall_ms.max(self.transport.incarnation + 1);
-        self.kept_form = OLDEST;
-        self.records.push(records::header(OLDEST, self.transport.fleet, disk));
+        self.latest_saved_format = OLDEST_FORMAT;
+        self.records.push(records::header(OLDEST_FORMAT, self.transport.fleet, disk));
         self.shards.iter_mut().for_each(|view| view.barred = 0);
         self.start_bootstraps();
         self.settle(at);
--- a/crates/ledger/src/forms_tests.rs
+++ b/crates/ledger/src/formats_tests.rs
@@ -30,8 +30,8 @@
     ReplicaId { front: 300, disk: 5 }
 }
 
-/// Every message of the first form, and what is kept, byte by byte as the first build writes it.
-fn first_form() -> Vec<(&'static str, Vec<u8>)> {
+/// Every message of the first format, and what is kept, byte by byte as the first build writes it.
+fn first_format() -> Vec<(&'static str, Vec<u8>)> {
     let agreed = vec![ReplicaIncarnation { id: member(), incarnation: 9 }];
     let entry = Entry {
         key: Key { kind: Kind::Mark, name: "m".to_string() },
@@ -61,7 +61,7 @@
         LedgerMessage::Join { shard: 1, config: 2, members: members.clone(), base: whole },
         LedgerMessage::Join { shard: 1, config: 2, members, base: after },
     ];
-    let packet = |payload| Packet { form: 1, fleet: 2, disk: 3, incarnation: 4, wall_ms: 5, payload };
+    let packet = |payload| Packet { format: 1, fleet: 2, disk: 3, incarnation: 4, wall_ms: 5, payload };
     let packets = [
         packet(Payload::Messages(vec![vec![1, 2], vec![3]])),
         packet(Payload::Fragment { id: 1, index: 2, count: 3, bytes: vec![4] }),
@@ -83,15 +83,15 @@
 
 #[test]
 fn what_the_first_build_writes_and_reads_stays_as_it_is() {
-    let golden: Vec<&str> = include_str!("form1.txt").lines().collect();
+    let golden: Vec<&str> = include_str!("format1.txt").lines().collect();
     let now: Vec<String> =
-        first_form().iter().map(|(what, bytes)| format!("{what} {}", hex(bytes))).collect();
+        first_format().iter().map(|(what, bytes)| format!("{what} {}", hex(bytes))).collect();
     if std::env::var_os("PRINT").is_some() {
         println!("{}", now.join("\n"));
     }
     assert_eq!(now, golden);
     // And is read again as what it was.
-    for (what, bytes) in first_form() {
+    for (what, bytes) in first_format() {
         let again = match what {
             "word" => messages::decode::<LedgerMessage>(&bytes).map(|message| messages::encode(&message)),
             "letter" => messages::decode::<Packet>(&bytes).map(|packet| messages::encode(&packet)),
@@ -105,28 +105,28 @@
 
 #[test]
 fn a_later_form_is_written_once_its_reader_has_shown_it_and_not_to_its_next_life() {
-    let mut forms = Forms::default();
-    assert_eq!(forms.of(2, 7), 1);
-    let message = forms.introduces(0, 2, 7).unwrap();
-    assert!(message.introduced() == Some(2) && forms.introduces(1, 2, 7).is_none());
-    forms.heard(7, 5, 1);
-    assert_eq!(forms.of(2, 7), 1);
-    forms.heard(7, 5, 2);
-    assert!(forms.of(2, 7) == 2 && forms.introduces(2 * AGAIN, 2, 7).is_none());
+    let mut formats = PeerFormats::default();
+    assert_eq!(formats.of(2, 7), 1);
+    let message = formats.introduction(0, 2, 7).unwrap();
+    assert!(message.introduced_format() == Some(2) && formats.introduction(1, 2, 7).is_none());
+    formats.heard(7, 5, 1);
+    assert_eq!(formats.of(2, 7), 1);
+    formats.heard(7, 5, 2);
+    assert!(formats.of(2, 7) == 2 && formats.introduction(2 * AGAIN, 2, 7).is_none());
     // A packet of it that was under way changes nothing; a life of an earlier build does.
-    forms.heard(7, 5, 1);
-    assert_eq!(forms.of(2, 7), 2);
-    forms.heard(7, 6, 1);
-    assert!(forms.of(2, 7) == 1 && forms.introduces(2 * AGAIN, 2, 7).is_some());
-    forms.heard(7, 5, 2);
-    assert_eq!(forms.of(2, 7), 1);
+    formats.heard(7, 5, 1);
+    assert_eq!(formats.of(2, 7), 2);
+    formats.heard(7, 6, 1);
+    assert!(formats.of(2, 7) == 1 && formats.introduction(2 * AGAIN, 2, 7).is_some());
+    formats.heard(7, 5, 2);
+    assert_eq!(formats.of(2, 7), 1);
 }
 
-/// What the third form says: the same, each with its form before it.
-fn third_form() -> Vec<(&'static str, Vec<u8>)> {
-    let formed = |form, next| Batch { tail: Tail::Formed { form, next }, ..batch() };
+/// What the third format says: the same, each with its format before it.
+fn third_format() -> Vec<(&'static str, Vec<u8>)> {
+    let explicit = |format, next| Batch { tail: Tail::Explicit { format, next }, ..batch() };
     let mut state = State::new(Limits { entries: 10, bytes: 1_000, apart_ms: 500 });
-    state.apply(&formed(3, None));
+    state.apply(&explicit(3, None));
     let record = |record: crate::Record| record.bytes.unwrap_or_default();
     let snapshot = crate::state::LogSnapshot::of(state.clone());
     let messages = [
@@ -136,33 +136,33 @@
         LedgerMessage::ShuttingDown,
     ];
     let mut all: Vec<_> = messages.iter().map(|message| ("word", messages::encode(message))).collect();
-    all.push(("batch", messages::encode(&formed(3, Some(vec![member()])))));
+    all.push(("batch", messages::encode(&explicit(3, Some(vec![member()])))));
     all.push(("state", messages::encode(&state)));
     all.push(("mark", record(records::header(3, 7, 8))));
-    all.push(("entry", record(records::entry(3, 4, &formed(3, None)))));
+    all.push(("entry", record(records::entry(3, 4, &explicit(3, None)))));
     all.push(("snapshot", record(records::snapshot(3, &snapshot))));
     all
 }
 
 #[test]
 fn what_later_forms_say_stays_as_it_is_and_what_is_later_still_is_refused_with_its_form() {
-    let golden: Vec<&str> = include_str!("form3.txt").lines().collect();
+    let golden: Vec<&str> = include_str!("format3.txt").lines().collect();
     let now: Vec<String> =
-        third_form().iter().map(|(what, bytes)| format!("{what} {}", hex(bytes))).collect();
+        third_format().iter().map(|(what, bytes)| format!("{what} {}", hex(bytes))).collect();
     if std::env::var_os("PRINT").is_some() {
         println!("{}", now.join("\n"));
     }
     assert_eq!(now, golden);
-    for (what, mut bytes) in third_form() {
+    for (what, mut bytes) in third_format() {
         let later = match what {
             "batch" => {
                 assert_eq!(
                     messages::decode::<Batch>(&bytes).map(|batch| messages::encode(&batch)),
                     Some(bytes.clone())
                 );
-                // The form stands before the one member that comes next.
+                // The format stands before the one member that comes next.
                 let at = bytes.len() - 6;
-                bytes[at] = FORM + 1;
+                bytes[at] = FORMAT + 1;
                 messages::decode::<Batch>(&bytes).is_none()
             }
             "state" => {
@@ -171,7 +171,7 @@
                     Some(bytes.clone())
                 );
                 let at = bytes.len() - 2;
-                bytes[at] = FORM + 1;
+                bytes[at] = FORMAT + 1;
                 messages::decode::<State>(&bytes).is_none()
             }
             "word" => {
@@ -183,18 +183,19 @@
         assert!(later, "{what}");
     }
     let setup = crate::Setup::new("f", 300, 1, 8, Vec::new());
-    let found = |form: u8, records: Vec<crate::Record>| {
-        let all = records.into_iter().chain([records::header(form, 7, 8)]);
+    let found = |format: u8, records: Vec<crate::Record>| {
+        let all = records.into_iter().chain([records::header(format, 7, 8)]);
         let saved = all.map(|record| (record.name, record.bytes.unwrap_or_default())).collect();
-        records::read(&setup, 7, &crate::Saved(saved)).map(|(form, kept)| (form, kept.len()))
+        records::read(&setup, 7, &crate::Saved(saved)).map(|(format, kept)| (format, kept.len()))
     };
-    let formed = |form| records::entry(3, 4, &Batch { tail: Tail::Formed { form, next: None }, ..batch() });
-    assert_eq!(found(3, vec![formed(3)]), Ok((3, 1)));
-    let version = Err(crate::Error::Version { found: FORM + 1, reads: FORM });
-    assert_eq!(found(FORM + 1, vec![]), version);
-    assert_eq!(found(3, vec![formed(FORM + 1)]), version);
-    // A bit that has flipped is damage, whatever form it says.
-    let mut flipped = formed(FORM + 1);
+    let explicit =
+        |format| records::entry(3, 4, &Batch { tail: Tail::Explicit { format, next: None }, ..batch() });
+    assert_eq!(found(3, vec![explicit(3)]), Ok((3, 1)));
+    let version = Err(crate::Error::Version { found: FORMAT + 1, reads: FORMAT });
+    assert_eq!(found(FORMAT + 1, vec![]), version);
+    assert_eq!(found(3, vec![explicit(FORMAT + 1)]), version);
+    // A bit that has flipped is damage, whatever format it says.
+    let mut flipped = explicit(FORMAT + 1);
     flipped.bytes.iter_mut().for_each(|bytes| bytes[9] ^= 4);
     assert!(matches!(found(3, vec![flipped]), Err(crate::Error::Damaged { .. })));
 }
--- a/crates/ledger/src/handover.rs
+++ b/crates/ledger/src/handover.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::forms::FORMED;
+use crate::formats::FIRST_EXPLICIT_FORMAT;
 use crate::ledger::Ledger;
 use crate::messages::LedgerMessage;
 use crate::repair::Peer;
@@ -68,7 +68,7 @@
                         && !self.away.is_away(*front)
                         && !self.is_leaving(*front)
                 })
-                .filter(|front| self.transport.reads(*front) >= 2)
+                .filter(|front| self.transport.common_format(*front) >= 2)
                 .collect();
             // Who is wanted most first; the next where that one does not take it, as it may leave itself.
             let wanted = |front: &FrontId| view.wanted.iter().position(|wanted| wanted == front);
@@ -82,7 +82,11 @@
         let members = self.shards.iter().filter_map(|view| view.replica.as_ref());
         let members = members.flat_map(|replica| replica.members.iter().map(|member| member.front));
         let members: BTreeSet<FrontId> = members.filter(|front| *front != self.own.front).collect();
-        for to in members.into_iter().filter(|to| self.transport.reads(*to) >= FORMED).collect::<Vec<_>>() {
+        for to in members
+            .into_iter()
+            .filter(|to| self.transport.common_format(*to) >= FIRST_EXPLICIT_FORMAT)
+            .collect::<Vec<_>>()
+        {
             self.transport.send(at, to, &LedgerMessage::ShuttingDown, Pace::Fast);
         }
     }
@@ -108,7 +112,7 @@
             peer.stays(at) && now - peer.at < FRESH && replica.members.contains(&member)
         };
         let there = self.peers.get(&to).is_some_and(there) && !self.away.is_away(to) && !self.is_leaving(to);
-        if there && now - since >= STAYS as Micros && self.transport.reads(to) >= 2 {
+        if there && now - since >= STAYS as Micros && self.transport.common_format(to) >= 2 {
             self.yields_at = now + APART;
             let message = LedgerMessage::TransferLeadership { shard, config: replica.config };
             self.transport.send(at, to, &message, Pace::Fast);
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -4,7 +4,7 @@
 
 use crate::asks::Asks;
 use crate::bootstrap::Bootstrap;
-use crate::forms::OLDEST;
+use crate::formats::OLDEST_FORMAT;
 use crate::handover::Leaving;
 use crate::messages::{fingerprint, LedgerMessage};
 use crate::moves::Away;
@@ -44,9 +44,9 @@
     /// Shards in which something may have happened.
     pub(crate) touched: BTreeSet<u16>,
     pub(crate) tallies: Tallies,
-    /// The latest form of what is kept, and the form in which more is proposed.
-    pub(crate) kept_form: u8,
-    pub(crate) form: u8,
+    /// The latest format of what is kept, and the format in which more is proposed.
+    pub(crate) latest_saved_format: u8,
+    pub(crate) format: u8,
 }
 
 pub(crate) fn check(setup: &Setup) -> Result<(), Error> {
@@ -71,8 +71,9 @@
         check(&setup)?;
         let fleet = fingerprint(&setup.fleet, setup.shards);
         let own = ReplicaId { front: setup.own, disk: setup.disk };
-        let none = Ok((OLDEST, BTreeMap::new()));
-        let (kept_form, kept) = saved.as_ref().map_or(none, |saved| records::read(&setup, fleet, saved))?;
+        let none = Ok((OLDEST_FORMAT, BTreeMap::new()));
+        let (latest_saved_format, kept) =
+            saved.as_ref().map_or(none, |saved| records::read(&setup, fleet, saved))?;
         let new_view = |shard| ShardView { ranked: ranked(&setup.members, shard), ..ShardView::default() };
         let mut ledger = Ledger {
             own,
@@ -93,12 +94,12 @@
             look_at: at.steady,
             touched: BTreeSet::new(),
             tallies: Tallies::default(),
-            kept_form,
-            form: OLDEST,
+            latest_saved_format,
+            format: OLDEST_FORMAT,
             setup,
         };
         if kept.is_empty() {
-            ledger.records.push(records::header(OLDEST, fleet, own.disk));
+            ledger.records.push(records::header(OLDEST_FORMAT, fleet, own.disk));
         }
         ledger.place_initially(at.steady);
         for (shard, kept) in kept {
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -14,7 +14,7 @@
 mod bootstrap;
 mod durability;
 mod error;
-mod forms;
+mod formats;
 mod handover;
 mod incoming;
 mod leader_placement;
@@ -43,7 +43,7 @@
 use serde::{Deserialize, Serialize};
 
 pub use error::Error;
-pub use forms::{FORM, KEEPS, OLDEST};
+pub use formats::{FORMAT, OLDEST_FORMAT, SAVED_FORMAT};
 pub use ledger::Ledger;
 pub use placement::shard_of;
 
@@ -260,10 +260,10 @@
     pub moves_percent: u8,
     /// Microseconds that a zone is waited for that is away as a whole; never less than `repair_after`.
     pub zone_after: Micros,
-    /// The latest message format that it reads and writes, see [`FORM`]; an earlier one is for tests of mixed fleets.
-    pub form: u8,
-    /// The latest format in which it saves entries and records, once all members read it, see [`KEEPS`].
-    pub keeps: u8,
+    /// The latest message format that it reads and writes, see [`FORMAT`]; an earlier one is for tests of mixed fleets.
+    pub format: u8,
+    /// The latest format in which it saves entries and records, once all members read it, see [`SAVED_FORMAT`].
+    pub saved_format: u8,
     /// Most milliseconds that fronts' Unix clocks differ by: an ended entry is withheld from others for so much longer.
     pub apart_ms: u64,
 }
@@ -286,8 +286,8 @@
             repair_bytes: 16_384,
             moves_percent: 0,
             zone_after: 600_000_000,
-            form: FORM,
-            keeps: KEEPS,
+            format: FORMAT,
+            saved_format: SAVED_FORMAT,
             apart_ms: 500,
         }
     }
--- a/crates/ledger/src/membership.rs
+++ b/crates/ledger/src/membership.rs
@@ -1,7 +1,7 @@
 //! Who the members of a shard are, as fronts tell each other, and how a shard goes on under the next members.
 
 use crate::bootstrap::Bootstrap;
-use crate::forms::OLDEST;
+use crate::formats::OLDEST_FORMAT;
 use crate::ledger::Ledger;
 use crate::messages::{self, Base, LedgerMessage, ReplicaIncarnation};
 use crate::records::{self, Meta};
@@ -103,7 +103,7 @@
         view.barred = config;
         (view.leader_since, view.repair) = (None, None);
         replica.remove_records(&mut self.records);
-        self.records.push(records::meta(OLDEST, shard, &gone(config, members)));
+        self.records.push(records::meta(OLDEST_FORMAT, shard, &gone(config, members)));
         self.records.push(records::no_snapshot(shard));
     }
 
--- a/crates/ledger/src/messages.rs
+++ b/crates/ledger/src/messages.rs
@@ -39,15 +39,15 @@
     CaughtUp { shard: u16, config: u32, index: u64 },
     /// The receiver is a member of this configuration, and starts from what the members before it have decided.
     Join { shard: u16, config: u32, members: Vec<ReplicaId>, base: Base },
-    /// The leader asks the receiver to take over the shard. Of form 2.
+    /// The leader asks the receiver to take over the shard. Of format 2.
     TransferLeadership { shard: u16, config: u32 },
-    /// The hashes of a replica as of an entry: the leader sends its own, and members answer with theirs. Of form 2.
+    /// The hashes of a replica as of an entry: the leader sends its own, and members answer with theirs. Of format 2.
     Hashes { shard: u16, config: u32, index: u64, sums: Vec<u64> },
-    /// The majority's state as of an entry, for a replica whose hashes differ. Of form 2.
+    /// The majority's state as of an entry, for a replica whose hashes differ. Of format 2.
     RepairReplica { shard: u16, config: u32, index: u64, state: Vec<u8> },
-    /// The sender is shutting down. Of form 3.
+    /// The sender is shutting down. Of format 3.
     ShuttingDown,
-    /// The key that the receiver asked for by this number is free, and the receiver is the first in its queue. Of form 3.
+    /// The key that the receiver asked for by this number is free, and the receiver is the first in its queue. Of format 3.
     KeyFree { incarnation: u64, number: u64 },
 }
 
@@ -70,7 +70,7 @@
 /// A datagram's content.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Packet {
-    pub form: u8,
+    pub format: u8,
     pub fleet: u64,
     pub disk: DiskId,
     pub incarnation: u64,
--- a/crates/ledger/src/records.rs
+++ b/crates/ledger/src/records.rs
@@ -6,20 +6,20 @@
 use omnipaxos::ballot_leader_election::Ballot;
 use serde::{Deserialize, Serialize};
 
-use crate::forms::{FORM, FORMED, OLDEST};
+use crate::formats::{FIRST_EXPLICIT_FORMAT, FORMAT, OLDEST_FORMAT};
 use crate::messages::{self, ReplicaIncarnation};
 use crate::state::{Batch, LogSnapshot, ReplicaId};
 use crate::{Error, Record, Saved, Setup};
 
-/// Goes into the checksum of records that name their form: those of the first form name none.
+/// Goes into the checksum of records that name their format: those of the first format name none.
 const FORMAT_FLAG: u32 = 0x464f_524d;
 const CHECKSUM_BYTES: usize = 4; // bytes of the checksum before a record
 
-/// The record that names the fleet and the disk of all records, and the latest form of any of them. It is itself of the
-/// first form.
+/// The record that names the fleet and the disk of all records, and the latest format of any of them. It is itself of the
+/// first format.
 #[derive(Serialize, Deserialize)]
 struct Header {
-    form: u8,
+    format: u8,
     fleet: u64,
     disk: u64,
 }
@@ -51,12 +51,12 @@
     [&[kind], &shard.to_be_bytes()[..], rest].concat()
 }
 
-/// A record in a form.
-fn record<T: Serialize>(form: u8, name: Vec<u8>, value: &T) -> Record {
+/// A record in a format.
+fn record<T: Serialize>(format: u8, name: Vec<u8>, value: &T) -> Record {
     let mut body = messages::encode(value);
     let mut flag = 0;
-    if form >= FORMED {
-        body.insert(0, form);
+    if format >= FIRST_EXPLICIT_FORMAT {
+        body.insert(0, format);
         flag = FORMAT_FLAG;
     }
     let checksum = (checksum(&name, &body) ^ flag).to_be_bytes();
@@ -85,8 +85,8 @@
         return Err(damaged(name));
     }
     match body.split_first() {
-        Some((FORMED..=FORM, body)) => Ok(body),
-        Some((form, _)) => Err(Error::Version { found: *form, reads: FORM }),
+        Some((FIRST_EXPLICIT_FORMAT..=FORMAT, body)) => Ok(body),
+        Some((format, _)) => Err(Error::Version { found: *format, reads: FORMAT }),
         None => Err(damaged(name)),
     }
 }
@@ -95,16 +95,16 @@
     messages::decode(checked(name, bytes)?).ok_or_else(|| damaged(name))
 }
 
-pub(crate) fn header(form: u8, fleet: u64, disk: u64) -> Record {
-    record(OLDEST, vec![HEADER], &Header { form, fleet, disk })
+pub(crate) fn header(format: u8, fleet: u64, disk: u64) -> Record {
+    record(OLDEST_FORMAT, vec![HEADER], &Header { format, fleet, disk })
 }
 
-pub(crate) fn meta(form: u8, shard: u16, meta: &Meta) -> Record {
-    record(form, name(META, shard, &[]), meta)
+pub(crate) fn meta(format: u8, shard: u16, meta: &Meta) -> Record {
+    record(format, name(META, shard, &[]), meta)
 }
 
 pub(crate) fn entry(shard: u16, index: usize, batch: &Batch) -> Record {
-    record(batch.tail.form(), name(LOG, shard, &(index as u64).to_be_bytes()), batch)
+    record(batch.tail.format(), name(LOG, shard, &(index as u64).to_be_bytes()), batch)
 }
 
 pub(crate) fn no_entry(shard: u16, index: usize) -> Record {
@@ -112,7 +112,7 @@
 }
 
 pub(crate) fn snapshot(shard: u16, snapshot: &LogSnapshot) -> Record {
-    record(snapshot.form(), name(SNAPSHOT, shard, &[]), snapshot)
+    record(snapshot.format(), name(SNAPSHOT, shard, &[]), snapshot)
 }
 
 pub(crate) fn no_snapshot(shard: u16) -> Record {
@@ -120,7 +120,7 @@
 }
 
 pub(crate) fn bootstrap(shard: u16, agreed: &[ReplicaIncarnation]) -> Record {
-    record(OLDEST, name(BOOTSTRAP, shard, &[]), &agreed.to_vec())
+    record(OLDEST_FORMAT, name(BOOTSTRAP, shard, &[]), &agreed.to_vec())
 }
 
 pub(crate) fn no_bootstrap(shard: u16) -> Record {
@@ -135,7 +135,7 @@
     pub bootstrap: Vec<ReplicaIncarnation>,
 }
 
-/// Reads what was saved in an earlier life, with the latest form that it is of.
+/// Reads what was saved in an earlier life, with the latest format that it is of.
 pub(crate) fn read(
     setup: &Setup,
     fleet: u64,
@@ -145,12 +145,12 @@
         saved.0.iter().map(|(name, bytes)| (name.as_slice(), bytes.as_slice())).collect();
     let mut shards: BTreeMap<u16, SavedShard> = BTreeMap::new();
     let Some(bytes) = records.get(&[HEADER][..]) else {
-        return records.keys().next().map_or(Ok((OLDEST, shards)), |name| Err(damaged(name)));
+        return records.keys().next().map_or(Ok((OLDEST_FORMAT, shards)), |name| Err(damaged(name)));
     };
-    // The form goes first in every version: an unknown one may have anything behind it.
-    let form = checked(&[HEADER], bytes)?.first().copied().unwrap_or_default();
-    if !(OLDEST..=setup.form).contains(&form) {
-        return Err(Error::Version { found: form, reads: setup.form });
+    // The format goes first in every version: an unknown one may have anything behind it.
+    let format = checked(&[HEADER], bytes)?.first().copied().unwrap_or_default();
+    if !(OLDEST_FORMAT..=setup.format).contains(&format) {
+        return Err(Error::Version { found: format, reads: setup.format });
     }
     let header: Header = open(&[HEADER], bytes)?;
     if header.fleet != fleet {
@@ -191,5 +191,5 @@
             saved_shard.log_state.log = log.into_values().collect();
         }
     }
-    Ok((form, shards))
+    Ok((format, shards))
 }
--- a/crates/ledger/src/replica.rs
+++ b/crates/ledger/src/replica.rs
@@ -6,7 +6,7 @@
 use hallmux_replica::{Changes, LogState, LogStore, MessageOrder};
 use omnipaxos::messages::Message;
 
-use crate::forms::OLDEST;
+use crate::formats::OLDEST_FORMAT;
 use crate::lines::Lines;
 use crate::log::{Log, Received};
 use crate::messages::{Base, LedgerMessage};
@@ -53,8 +53,8 @@
     order: MessageOrder,
     /// Members are to change: nothing more is proposed here.
     changing: bool,
-    /// The form of what it proposes.
-    pub form: u8,
+    /// The format of what it proposes.
+    pub format: u8,
     /// The members to propose once the round under way has ended, and until when that goes before the next round.
     pending_change: Option<(Vec<ReplicaId>, Micros)>,
 }
@@ -116,7 +116,7 @@
             saved,
             order: MessageOrder::default(),
             changing: false,
-            form: OLDEST,
+            format: OLDEST_FORMAT,
             pending_change: None,
         };
         replica.apply();
@@ -188,7 +188,7 @@
             return;
         }
         if let Some((next, _)) = self.pending_change.take().filter(|(_, until)| now < *until) {
-            self.changing = self.log.append(Batch::change(self.form, wall_ms, next));
+            self.changing = self.log.append(Batch::change(self.format, wall_ms, next));
         }
     }
 
@@ -226,7 +226,8 @@
                 self.queue.push(waiting);
             }
         }
-        !commands.is_empty() && self.log.append(Batch { wall_ms, commands, tail: Tail::of(self.form, None) })
+        !commands.is_empty()
+            && self.log.append(Batch { wall_ms, commands, tail: Tail::of(self.format, None) })
     }
 
     /// Who is to be told that a key is free.
@@ -313,11 +314,11 @@
         omnipaxos::storage::Storage::set_snapshot(&mut self.store, Some(LogSnapshot::of(state))).is_ok()
     }
 
-    /// What has changed since it was last saved, as records; the latest form that they are of.
+    /// What has changed since it was last saved, as records; the latest format that they are of.
     pub fn records(&mut self, records: &mut Vec<Record>) -> u8 {
-        let mut form = self.state.form();
+        let mut format = self.state.format();
         if !std::mem::take(&mut self.dirty) {
-            return form;
+            return format;
         }
         let changes = std::mem::take(&mut self.changes);
         let (shard, config, members, before) = (self.shard, self.config, self.members.clone(), self.saved);
@@ -327,21 +328,21 @@
                 (log_state.promise, log_state.accepted_round, log_state.decided);
             let meta =
                 Meta { config, members, is_member: true, promise, accepted_round, decided, compacted, end };
-            records.push(records::meta(form, shard, &meta));
+            records.push(records::meta(format, shard, &meta));
             if let Some(snapshot) = log_state.snapshot.as_ref().filter(|_| changes.snapshot) {
-                form = form.max(snapshot.form());
+                format = format.max(snapshot.format());
                 records.push(records::snapshot(shard, snapshot));
             }
             let from = changes.log_from.unwrap_or(end).max(compacted);
             for (index, batch) in (compacted..end).zip(&log_state.log).skip(from - compacted) {
-                form = form.max(batch.tail.form());
+                format = format.max(batch.tail.format());
                 records.push(records::entry(shard, index, batch));
             }
             let gone = (before.0..compacted.min(before.1)).chain(end.max(before.0)..before.1);
             records.extend(gone.map(|index| records::no_entry(shard, index)));
             (compacted, end)
         });
-        form
+        format
     }
 
     /// Records that remove its log from what is saved.
--- a/crates/ledger/src/rounds.rs
+++ b/crates/ledger/src/rounds.rs
@@ -11,11 +11,13 @@
         let wall_ms = self.wall_ms(at, shard);
         let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
         let Some(replica) = &mut view.replica else { return };
-        replica.form = self.form;
+        replica.format = self.format;
         let settled = replica.settle(at.steady, wall_ms);
         for (command, outcome) in &settled.answers {
             let front = command.owner.front;
-            if front == self.own.front || self.transport.reads(front) >= crate::forms::TURNS {
+            if front == self.own.front
+                || self.transport.common_format(front) >= crate::formats::KEY_QUEUE_FORMAT
+            {
                 replica.lines.heard(at.steady, command, outcome);
             }
         }
--- a/crates/ledger/src/scrub.rs
+++ b/crates/ledger/src/scrub.rs
@@ -65,7 +65,7 @@
         view.scrub.sums = BTreeMap::from([(self.own.front, sums.clone())]);
         let (config, index) = (replica.config, replica.applied());
         let others = replica.members.iter().map(|member| member.front);
-        let read = |front: &FrontId| *front != self.own.front && self.transport.reads(*front) >= 2;
+        let read = |front: &FrontId| *front != self.own.front && self.transport.common_format(*front) >= 2;
         let others: Vec<FrontId> = others.filter(read).collect();
         for to in others {
             self.transport.send(
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -37,14 +37,14 @@
     pub wall_ms: u64,
     pub commands: Vec<Command>,
     /// The members of the next configuration, if the batch changes them: nothing that follows in this log counts. Behind
-    /// the batch's form, if it names one.
+    /// the batch's format, if it names one.
     pub tail: Tail,
 }
 
 impl Batch {
     /// One that changes the members.
-    pub fn change(form: u8, wall_ms: u64, next: Vec<ReplicaId>) -> Batch {
-        Batch { wall_ms, commands: Vec::new(), tail: Tail::of(form, Some(next)) }
+    pub fn change(format: u8, wall_ms: u64, next: Vec<ReplicaId>) -> Batch {
+        Batch { wall_ms, commands: Vec::new(), tail: Tail::of(format, Some(next)) }
     }
 }
 
@@ -88,7 +88,7 @@
     entries: BTreeMap<Key, (Entry, u64)>,
     bytes: usize,
     answers: BTreeMap<(Owner, u64), StoredAnswer>,
-    /// The members of the next configuration, once they are decided, behind the latest form of the batches.
+    /// The members of the next configuration, once they are decided, behind the latest format of the batches.
     tail: Tail,
     /// What ends and is forgotten when; rebuilt from the rest where it is missing.
     #[serde(skip)]
@@ -135,14 +135,14 @@
         self.tail.next()
     }
 
-    /// The latest form of the batches that it came from.
-    pub fn form(&self) -> u8 {
-        self.tail.form()
+    /// The latest format of the batches that it came from.
+    pub fn format(&self) -> u8 {
+        self.tail.format()
     }
 
     /// The state that the next configuration starts from: the same entries.
     pub fn for_next_configuration(&self) -> State {
-        State { tail: Tail::of(self.form(), None), ..self.clone() }
+        State { tail: Tail::of(self.format(), None), ..self.clone() }
     }
 
     /// Applies a batch; the outcome of each of its commands. Empty once the members have changed: what follows in this
@@ -155,7 +155,7 @@
         self.expire();
         let outcomes = batch.commands.iter().map(|command| self.command(command)).collect();
         let next = batch.tail.next().map(<[ReplicaId]>::to_vec);
-        self.tail = Tail::of(self.form().max(batch.tail.form()), next);
+        self.tail = Tail::of(self.format().max(batch.tail.format()), next);
         outcomes
     }
 
@@ -318,9 +318,9 @@
         LogSnapshot { base, since: Vec::new() }
     }
 
-    /// The latest form of what it holds.
-    pub fn form(&self) -> u8 {
-        self.since.iter().map(|batch| batch.tail.form()).fold(self.base.form(), u8::max)
+    /// The latest format of what it holds.
+    pub fn format(&self) -> u8 {
+        self.since.iter().map(|batch| batch.tail.format()).fold(self.base.format(), u8::max)
     }
 
     pub fn state(&self) -> State {
--- a/crates/ledger/src/transport.rs
+++ b/crates/ledger/src/transport.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::forms::{Forms, OLDEST};
+use crate::formats::{PeerFormats, OLDEST_FORMAT};
 use crate::messages::{self, LedgerMessage, Packet, Payload};
 use crate::pacer::Pacer;
 use crate::reassembly::{Added, Fragment, MessageId, Reassembly};
@@ -83,8 +83,8 @@
     pub fleet: u64,
     pub disk: DiskId,
     pub incarnation: u64,
-    form: u8,
-    forms: Forms,
+    format: u8,
+    formats: PeerFormats,
     /// Encoded messages that share packets, by receiver.
     small: BTreeMap<FrontId, Vec<Vec<u8>>>,
     /// By the number that this front has given them.
@@ -104,8 +104,8 @@
             fleet,
             disk,
             incarnation,
-            form: setup.form,
-            forms: Forms::default(),
+            format: setup.format,
+            formats: PeerFormats::default(),
             small: BTreeMap::new(),
             long: BTreeMap::new(),
             next_long: incarnation << 20, // an earlier life's are not this one's
@@ -116,14 +116,14 @@
         }
     }
 
-    /// The latest form that a front and this one read.
-    pub fn reads(&self, front: FrontId) -> u8 {
-        self.forms.of(self.form, front)
+    /// The latest format that a front and this one read.
+    pub fn common_format(&self, front: FrontId) -> u8 {
+        self.formats.of(self.format, front)
     }
 
-    /// The latest form that all of them and this one read.
-    pub fn all_read(&self, fronts: impl Iterator<Item = FrontId>) -> u8 {
-        self.forms.of_all(self.form, fronts)
+    /// The latest format that all of them and this one read.
+    pub fn common_format_of_all(&self, fronts: impl Iterator<Item = FrontId>) -> u8 {
+        self.formats.of_all(self.format, fronts)
     }
 
     /// Puts a message into the next packets to this front.
@@ -156,7 +156,7 @@
         bytes: &[u8],
     ) -> Result<(Packet, Vec<LedgerMessage>), &'static str> {
         let mut packet: Packet = messages::decode(bytes).ok_or("form")?;
-        if !(OLDEST..=self.form).contains(&packet.form) {
+        if !(OLDEST_FORMAT..=self.format).contains(&packet.format) {
             return Err("version");
         }
         if packet.fleet != self.fleet {
@@ -189,15 +189,15 @@
                 Vec::new()
             }
         };
-        self.forms.heard(from, packet.incarnation, packet.form);
+        self.formats.heard(from, packet.incarnation, packet.format);
         let messages: Option<Vec<LedgerMessage>> =
             whole.iter().map(|message| messages::decode(message)).collect();
         let mut messages =
-            messages.filter(|messages| messages.iter().all(|w| w.form() <= self.form)).ok_or("form")?;
+            messages.filter(|messages| messages.iter().all(|w| w.format() <= self.format)).ok_or("form")?;
         messages.retain(|message| {
-            let form = message.introduced();
-            form.into_iter().for_each(|form| self.forms.heard(from, packet.incarnation, form));
-            form.is_none()
+            let format = message.introduced_format();
+            format.into_iter().for_each(|format| self.formats.heard(from, packet.incarnation, format));
+            format.is_none()
         });
         Ok((packet, messages))
     }
@@ -224,7 +224,7 @@
         self.remind_receivers(at.steady);
         let mut payloads = std::mem::take(&mut self.payloads);
         for (to, mut messages) in std::mem::take(&mut self.small) {
-            let first = self.forms.introduces(at.steady, self.form, to);
+            let first = self.formats.introduction(at.steady, self.format, to);
             first.into_iter().for_each(|message| messages.insert(0, messages::encode(&message)));
             let (mut payload, mut used) = (Vec::new(), 0);
             for message in messages {
@@ -239,9 +239,10 @@
         }
         self.send_fragments(at.steady, &mut payloads);
         let (fleet, disk, incarnation, wall_ms) = (self.fleet, self.disk, self.incarnation, at.wall_ms);
-        let packet =
-            |form, payload| messages::encode(&Packet { form, fleet, disk, incarnation, wall_ms, payload });
-        payloads.into_iter().map(|(to, payload)| (to, packet(self.reads(to), payload))).collect()
+        let packet = |format, payload| {
+            messages::encode(&Packet { format, fleet, disk, incarnation, wall_ms, payload })
+        };
+        payloads.into_iter().map(|(to, payload)| (to, packet(self.common_format(to), payload))).collect()
     }
 
     fn send_fragments(&mut self, now: Micros, payloads: &mut Vec<(FrontId, Payload)>) {
--- a/crates/ledger/src/transport_tests.rs
+++ b/crates/ledger/src/transport_tests.rs
@@ -110,7 +110,7 @@
             for cut in 0..packet.len() {
                 assert!(transport(2).receive(at(0), 1, &packet[..cut]).is_err(), "{cut}");
             }
-            let newer = [&[crate::FORM + 1], &packet[1..]].concat();
+            let newer = [&[crate::FORMAT + 1], &packet[1..]].concat();
             assert_eq!(transport(2).receive(at(0), 1, &newer).err(), Some("version"));
             for place in 0..packet.len() {
                 let mut spoilt = packet.clone();
--- a/crates/ledger/src/upkeep.rs
+++ b/crates/ledger/src/upkeep.rs
@@ -68,7 +68,7 @@
         self.update_placement(at.steady);
         // Whoever is on the list may have to read what is kept, and may be a build back by then.
         let others = self.setup.members.iter().map(|member| member.front).filter(|f| *f != self.own.front);
-        self.form = self.setup.keeps.min(self.transport.all_read(others));
+        self.format = self.setup.saved_format.min(self.transport.common_format_of_all(others));
         for shard in 0..self.setup.shards {
             let Some(view) = self.shards.get(usize::from(shard)) else { continue };
             if view.bootstrap.is_some() {
--- a/crates/ledger/tests/lines.rs
+++ b/crates/ledger/tests/lines.rs
@@ -25,10 +25,10 @@
     waits: Vec<Micros>,
 }
 
-/// How long each of five fronts waited for the key, each time; `form` 2 knows no word that it is free.
-fn play(form: u8, seconds: i64) -> Vec<Vec<Micros>> {
+/// How long each of five fronts waited for the key, each time; `format` 2 knows no word that it is free.
+fn play(format: u8, seconds: i64) -> Vec<Vec<Micros>> {
     let mut fleet = Fleet::new(5, 3, 1, 7);
-    fleet.fronts.iter_mut().for_each(|front| front.form = form);
+    fleet.fronts.iter_mut().for_each(|front| front.format = format);
     fleet.start_anew(5);
     assert!(fleet.run_until(10 * SECOND, Fleet::is_whole));
     let claim = |fleet: &mut Fleet, n: usize| {
@@ -84,7 +84,7 @@
 
 #[test]
 fn who_waits_for_a_key_is_told_in_the_order_of_arrival_and_no_front_starves() {
-    let (polled, told) = (tally(&play(2, 30)), tally(&play(hallmux_ledger::FORM, 30)));
+    let (polled, told) = (tally(&play(2, 30)), tally(&play(hallmux_ledger::FORMAT, 30)));
     println!(
         "asking again: {polled:?}, told: {told:?} (times, middle and longest wait in us, least and most)"
     );
--- a/crates/ledger/tests/roll.rs
+++ b/crates/ledger/tests/roll.rs
@@ -11,11 +11,11 @@
     Act::Put { expects: None, ends_ms: 0, value: value.to_be_bytes().to_vec() }
 }
 
-fn begun(forms: impl Fn(usize) -> u8, seed: u64) -> Fleet {
+fn begun(formats: impl Fn(usize) -> u8, seed: u64) -> Fleet {
     let mut fleet = Fleet::new(FRONTS, 3, 16, seed);
     fleet.setup.repair_after = 30 * SECOND;
     for n in 0..FRONTS {
-        fleet.fronts[n].form = forms(n);
+        fleet.fronts[n].format = formats(n);
     }
     fleet.start_anew(FRONTS);
     assert!(fleet.run_until(20 * SECOND, Fleet::is_whole));
@@ -90,7 +90,7 @@
     let mut longest = [0; 2];
     for seed in 1..=2 {
         for hands_over in [true, false] {
-            let mut fleet = begun(|_| hallmux_ledger::FORM, seed);
+            let mut fleet = begun(|_| hallmux_ledger::FORMAT, seed);
             let since = fleet.now;
             roll(&mut fleet, hands_over, |_, _| {});
             let (wait, unreachable) = waits(&fleet, since);
@@ -112,11 +112,11 @@
         ledgers.map(|ledger: &Ledger| ledger.tallies().inherited).sum()
     };
     // Up, then all the way back, under load.
-    for (form, hands) in [(2, true), (1, false)] {
-        roll(&mut fleet, true, |fleet, n| fleet.fronts[n].form = form);
+    for (format, hands) in [(2, true), (1, false)] {
+        roll(&mut fleet, true, |fleet, n| fleet.fronts[n].format = format);
         sound(&fleet);
-        println!("to form {form}: {} letters not read", unread(&fleet));
-        assert_eq!(inherited(&fleet) > 0, hands, "form {form}");
+        println!("to format {format}: {} packets not read", unread(&fleet));
+        assert_eq!(inherited(&fleet) > 0, hands, "format {format}");
     }
     for k in 0..64 {
         assert!(matches!(fleet.surely(k % FRONTS, &format!("r{k}"), Act::Read), Outcome::Stands(_)));
@@ -124,7 +124,7 @@
     sound(&fleet);
 }
 
-/// The latest form of what any front keeps: behind the checksum of its mark.
+/// The latest format of what any front keeps: behind the checksum of its mark.
 fn kept(fleet: &Fleet) -> u8 {
     let mark = |disk: &std::collections::BTreeMap<Vec<u8>, Vec<u8>>| disk.get(&b"m"[..]).map(|mark| mark[4]);
     fleet.fronts.iter().filter_map(|front| mark(&front.disk)).max().unwrap_or(0)
@@ -132,15 +132,15 @@
 
 #[test]
 fn what_is_kept_takes_a_later_form_with_the_next_build_and_going_back_one_loses_nothing() {
-    // The build before this one, this one, and the next: the form that each reads, and the one in which it keeps.
-    let builds = [(2, 1), (hallmux_ledger::FORM, hallmux_ledger::KEEPS), (3, 3)];
+    // The build before this one, this one, and the next: the format that each reads, and the one in which it keeps.
+    let builds = [(2, 1), (hallmux_ledger::FORMAT, hallmux_ledger::SAVED_FORMAT), (3, 3)];
     let mut fleet = begun(|_| 2, 4);
-    for (build, form) in [(1, 1), (0, 1), (1, 1), (2, 3), (1, 3)] {
-        fleet.setup.keeps = builds[build].1;
-        roll(&mut fleet, true, |fleet, n| fleet.fronts[n].form = builds[build].0);
+    for (build, format) in [(1, 1), (0, 1), (1, 1), (2, 3), (1, 3)] {
+        fleet.setup.saved_format = builds[build].1;
+        roll(&mut fleet, true, |fleet, n| fleet.fronts[n].format = builds[build].0);
         sound(&fleet);
         println!("to build {build}: {} letters not read", unread(&fleet));
-        assert_eq!(kept(&fleet), form, "to build {build}");
+        assert_eq!(kept(&fleet), format, "to build {build}");
     }
     for k in 0..64 {
         assert!(matches!(fleet.surely(k % FRONTS, &format!("r{k}"), Act::Read), Outcome::Stands(_)));
@@ -150,8 +150,8 @@
 #[test]
 fn one_front_that_reads_no_later_form_holds_it_up_and_what_it_can_not_read_it_leaves_as_it_is() {
     let mut fleet = Fleet::new(FRONTS, 3, 16, 5);
-    fleet.setup.keeps = 3;
-    fleet.fronts[7].form = 2;
+    fleet.setup.saved_format = 3;
+    fleet.fronts[7].format = 2;
     fleet.start_anew(FRONTS);
     assert!(fleet.run_until(20 * SECOND, Fleet::is_whole));
     load(&mut fleet, 12 * SECOND, &[]);
@@ -159,13 +159,13 @@
     fleet.kill(7);
     load(&mut fleet, SECOND, &[7]);
     assert_eq!(kept(&fleet), 1);
-    fleet.fronts[7].form = 3;
+    fleet.fronts[7].format = 3;
     fleet.start(7);
     load(&mut fleet, 12 * SECOND, &[]);
     assert_eq!(kept(&fleet), 3);
     sound(&fleet);
     fleet.kill(7);
-    let setup = Setup { own: id(7), disk: fleet.fronts[7].disk_id, form: 2, ..fleet.setup.clone() };
+    let setup = Setup { own: id(7), disk: fleet.fronts[7].disk_id, format: 2, ..fleet.setup.clone() };
     let disk = &fleet.fronts[7].disk;
     let saved = Saved(disk.clone().into_iter().collect());
     let found = Ledger::new(fleet.at(7), setup, Some(saved)).err();
--- a/crates/ledger/tests/sim/mod.rs
+++ b/crates/ledger/tests/sim/mod.rs
@@ -30,8 +30,8 @@
     /// Saves take up to so long; one of so many fails.
     pub slow: Micros,
     pub fails: bool,
-    /// The form of packets of its build.
-    pub form: u8,
+    /// The format of packets of its build.
+    pub format: u8,
 }
 
 pub struct Fleet {
@@ -93,7 +93,7 @@
                 next: 1,
                 slow: 4_000,
                 fails: false,
-                form: hallmux_ledger::FORM,
+                format: hallmux_ledger::FORMAT,
             });
             fleet.start(n);
         }
@@ -142,7 +142,7 @@
         let front = &mut self.fronts[n];
         front.incarnation = at.wall_ms;
         (setup.own, setup.incarnation, setup.disk) = (id(n), at.wall_ms, front.disk_id);
-        setup.form = front.form;
+        setup.format = front.format;
         let saved = Saved(front.disk.clone().into_iter().collect());
         let saved = (!saved.0.is_empty()).then_some(saved);
         front.ledger = Some(Ledger::new(at, setup, saved).expect("what was saved is whole"));
