--- a/crates/ledger/src/replica.rs
+++ b/crates/ledger/src/replica.rs
@@ -7,7 +7,7 @@
 use omnipaxos::messages::Message;
 
 use crate::formats::OLDEST_FORMAT;
-use crate::lines::Lines;
+use crate::key_queues::KeyQueues;
 use crate::log::{Log, Received};
 use crate::messages::{Base, LedgerMessage};
 use crate::records::{self, Meta};
@@ -43,8 +43,8 @@
     queue: Vec<Waiting>,
     /// The asks that wait or are proposed here.
     known: BTreeSet<(Owner, u64)>,
-    /// Who waits for keys that others have, where it leads the shard.
-    pub lines: Lines,
+    /// The fronts that wait for keys that others have, where this front leads the shard.
+    pub key_queues: KeyQueues,
     changes: Changes,
     dirty: bool,
     /// Log records that are saved: the numbers of the first, and of the next after the last.
@@ -110,7 +110,7 @@
             applied: 0,
             queue: Vec::new(),
             known: BTreeSet::new(),
-            lines: Lines::default(),
+            key_queues: KeyQueues::default(),
             changes: Changes::default(),
             dirty: false,
             saved,
@@ -199,7 +199,7 @@
             // Whoever leads it now is asked again.
             self.queue.clear();
             self.known.clear();
-            self.lines.clear();
+            self.key_queues.clear();
             (self.changing, self.pending_change) = (false, None);
             return settled;
         }
@@ -219,7 +219,9 @@
             let command = &waiting.command;
             if waiting.ends <= now {
                 self.known.remove(&(command.owner, command.number));
-            } else if bytes < BATCH_BYTES && !self.lines.defers(now, command, waiting.came) {
+            } else if bytes < BATCH_BYTES
+                && !self.key_queues.is_reserved_for_another(now, command, waiting.came)
+            {
                 bytes += size(command);
                 commands.push(waiting.command);
             } else {
@@ -230,9 +232,9 @@
             && self.log.append(Batch { wall_ms, commands, tail: Tail::of(self.format, None) })
     }
 
-    /// Who is to be told that a key is free.
-    pub fn turns(&mut self, now: Micros, wall_ms: u64) -> Vec<(Owner, u64)> {
-        self.lines.turns(now, |key| self.state.is_free(key, wall_ms))
+    /// The fronts to be told that a key is free, with the numbers of their latest asks.
+    pub fn freed_keys(&mut self, now: Micros, wall_ms: u64) -> Vec<(Owner, u64)> {
+        self.key_queues.freed_keys(now, |key| self.state.is_free(key, wall_ms))
     }
 
     fn apply(&mut self) -> Vec<(Command, Outcome)> {
--- a/crates/ledger/src/rounds.rs
+++ b/crates/ledger/src/rounds.rs
@@ -18,10 +18,10 @@
             if front == self.own.front
                 || self.transport.common_format(front) >= crate::formats::KEY_QUEUE_FORMAT
             {
-                replica.lines.heard(at.steady, command, outcome);
+                replica.key_queues.record(at.steady, command, outcome);
             }
         }
-        let turns = replica.turns(at.steady, wall_ms);
+        let freed = replica.freed_keys(at.steady, wall_ms);
         view.leader_since = if replica.is_leader() { view.leader_since.or(Some(at.steady)) } else { None };
         if view.leader_since.is_none() {
             view.repair = None;
@@ -44,7 +44,7 @@
                 self.answered(None, number, outcome);
             }
         }
-        for (owner, number) in turns {
+        for (owner, number) in freed {
             if owner.front == self.own.front {
                 self.turn(owner, number);
             } else {
