--- a/crates/ledger/src/formats.rs
+++ b/crates/ledger/src/formats.rs
@@ -19,6 +19,8 @@
 /// The latest format in which this build saves or proposes anything: one that the build before it reads. The next build's
 /// is 3.
 pub const SAVED_FORMAT: u8 = 1;
+/// The first format with messages for leader transfer and for comparing replicas.
+pub(crate) const TRANSFER_FORMAT: u8 = 2;
 /// The first format whose entries, states and records name it.
 pub(crate) const FIRST_EXPLICIT_FORMAT: u8 = 3;
 /// The first format that tells fronts that a key is free.
@@ -79,7 +81,7 @@
             LedgerMessage::KeyFree { .. } => KEY_QUEUE_FORMAT,
             LedgerMessage::TransferLeadership { .. }
             | LedgerMessage::Hashes { .. }
-            | LedgerMessage::RepairReplica { .. } => 2,
+            | LedgerMessage::RepairReplica { .. } => TRANSFER_FORMAT,
             _ => OLDEST_FORMAT,
         }
     }
--- a/crates/ledger/src/incoming.rs
+++ b/crates/ledger/src/incoming.rs
@@ -99,11 +99,13 @@
             LedgerMessage::RepairReplica { shard, config, index, state } => {
                 self.mended(sender.id, (shard, config), index, &state);
             }
-            LedgerMessage::ShuttingDown => _ = self.leavers.insert(from, sender.incarnation),
+            LedgerMessage::ShuttingDown => _ = self.shutting_down.insert(from, sender.incarnation),
             LedgerMessage::KeyFree { incarnation, number } => {
                 self.turn(Owner { front: self.own.front, incarnation }, number);
             }
-            LedgerMessage::TransferLeadership { shard, config } => self.inherits(from, shard, config),
+            LedgerMessage::TransferLeadership { shard, config } => {
+                self.accept_leadership(from, shard, config)
+            }
             LedgerMessage::Join { shard, config, members, base } => {
                 self.begin(at, shard, config, members, &base)
             }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -5,10 +5,10 @@
 use crate::asks::Asks;
 use crate::bootstrap::Bootstrap;
 use crate::formats::OLDEST_FORMAT;
-use crate::handover::Leaving;
+use crate::leader_transfer::Shutdown;
 use crate::messages::{fingerprint, LedgerMessage};
-use crate::moves::Away;
 use crate::placement::ranked;
+use crate::rebalance::Away;
 use crate::records::{self, Meta};
 use crate::repair::Peer;
 use crate::replica::Replica;
@@ -26,11 +26,11 @@
     pub(crate) shards: Vec<ShardView>,
     pub(crate) peers: BTreeMap<FrontId, Peer>,
     pub(crate) away: Away,
-    pub(crate) leaving: Option<Leaving>,
+    pub(crate) shutdown: Option<Shutdown>,
     /// Others that are to end, in which of their lives.
-    pub(crate) leavers: BTreeMap<FrontId, u64>,
+    pub(crate) shutting_down: BTreeMap<FrontId, u64>,
     /// When this front may next leave a shard to the one that is to own it.
-    pub(crate) yields_at: Micros,
+    pub(crate) yield_at: Micros,
     pub(crate) asks: Asks,
     pub(crate) transport: Transport,
     /// What must be lasting before anything more is told, beside the logs.
@@ -80,9 +80,9 @@
             shards: (0..setup.shards).map(new_view).collect(),
             peers: BTreeMap::new(),
             away: Away::default(),
-            leaving: None,
-            leavers: BTreeMap::new(),
-            yields_at: at.steady,
+            shutdown: None,
+            shutting_down: BTreeMap::new(),
+            yield_at: at.steady,
             asks: Asks::default(),
             transport: Transport::new(&setup, fleet),
             records: Vec::new(),
@@ -148,7 +148,7 @@
             }
             self.look(at);
         }
-        self.hand_on(at);
+        self.transfer_leadership(at);
         self.settle(at);
     }
 
@@ -156,7 +156,7 @@
     pub fn due(&self) -> Micros {
         let keeps = self.shards.iter().any(|view| view.replica.is_some() || view.bootstrap.is_some());
         let tick = if keeps { self.tick_at } else { Micros::MAX };
-        tick.min(self.asks.due()).min(self.transport.due()).min(self.hands_on_at())
+        tick.min(self.asks.due()).min(self.transport.due()).min(self.transfer_due())
     }
 
     /// What is to be done for it since it was last asked. What `packets` holds may leave at once.
--- a/crates/ledger/src/moves.rs
+++ b/crates/ledger/src/rebalance.rs
@@ -1,6 +1,6 @@
-//! Shards follow the fleet: as fronts join and are lost, copies move to where all members, by the same list, want them.
-//! A move is a change of a shard's members like any other: the shard answers on. Moves wait for their turn, so that
-//! only a stated share of shards is under way at once, and for the budget; a zone that is away as a whole is waited
+//! Moves replicas as fronts join and are lost, to the fronts that all members, by the same list, prefer for each shard. A move
+//! is a change of a shard's members like any other: the shard answers on. Shards move in turns, so that only a stated
+//! share of them is under way at once, and at the rate for rebuilding replicas. A zone that is away as a whole is waited
 //! for longer, as it may come back at once.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,12 +14,12 @@
 use crate::state::ReplicaId;
 use crate::{Error, FrontId, Member, Micros, Moment, Setup};
 
-/// Who is away, since when, and who of them is no longer waited for.
+/// The fronts that are away, since when, and which of them are no longer waited for.
 #[derive(Default)]
 pub(crate) struct Away {
     since: BTreeMap<FrontId, Micros>,
     /// When a zone that was away as a whole began to come back.
-    back: BTreeMap<String, Micros>,
+    returned_at: BTreeMap<String, Micros>,
     gone: BTreeSet<FrontId>,
     /// Members have changed since they were last placed.
     stale: bool,
@@ -30,39 +30,42 @@
         self.since.contains_key(&front)
     }
 
-    fn whole(&self, members: &[Member], zone: &str) -> bool {
+    fn is_zone_away(&self, members: &[Member], zone: &str) -> bool {
         let mut there = members.iter().filter(|member| member.zone == zone);
         let all = there.clone().all(|member| self.is_away(member.front));
         all && there.nth(1).is_some() && members.iter().any(|member| member.zone != zone)
     }
 
-    /// A front is there (again).
+    /// A front is up (again).
     pub fn returned(&mut self, now: Micros, members: &[Member], front: FrontId) {
         if !self.is_away(front) {
             return;
         }
         let zone = members.iter().find(|member| member.front == front).map(|member| member.zone.clone());
-        if let Some(zone) = zone.filter(|zone| self.whole(members, zone)) {
-            self.back.insert(zone, now);
+        if let Some(zone) = zone.filter(|zone| self.is_zone_away(members, zone)) {
+            self.returned_at.insert(zone, now);
         }
         self.since.remove(&front);
     }
 
     /// Until when a front that was last heard then is waited for.
-    pub fn waits(&self, setup: &Setup, front: FrontId, since: Micros) -> Micros {
+    pub fn wait_until(&self, setup: &Setup, front: FrontId, since: Micros) -> Micros {
         let zone = setup.members.iter().find(|member| member.front == front).map(|m| m.zone.as_str());
         match zone {
-            Some(zone) if self.whole(&setup.members, zone) => {
+            Some(zone) if self.is_zone_away(&setup.members, zone) => {
                 since + setup.zone_after.max(setup.repair_after)
             }
-            Some(zone) => self.back.get(zone).map_or(since, |back| since.max(*back)) + setup.repair_after,
+            Some(zone) => {
+                self.returned_at.get(zone).map_or(since, |returned_at| since.max(*returned_at))
+                    + setup.repair_after
+            }
             None => since + setup.repair_after,
         }
     }
 }
 
-/// What of a shard's members is to change next: who goes, and who comes in its place.
-fn next(wanted: &[FrontId], members: &[ReplicaId], own: FrontId) -> Option<(ReplicaId, FrontId)> {
+/// The next change of a shard's members: who is removed, and who is added.
+fn next_change(wanted: &[FrontId], members: &[ReplicaId], own: FrontId) -> Option<(ReplicaId, FrontId)> {
     let into = wanted.iter().find(|front| members.iter().all(|member| member.front != **front))?;
     // The leader goes last: it is the one that sees to the others.
     let mut out: Vec<&ReplicaId> = members.iter().filter(|member| !wanted.contains(&member.front)).collect();
@@ -70,10 +73,10 @@
     Some((**out.first()?, *into))
 }
 
-/// The turn of a shard, by the Unix clock: how long it still lasts, if it is on.
-fn turn(setup: &Setup, shard: u16, wall_ms: u64) -> Option<Micros> {
+/// How long a shard may still move, by the Unix clock; none where it is the turn of others.
+fn move_window(setup: &Setup, shard: u16, wall_ms: u64) -> Option<Micros> {
     let groups = 100_u64.div_ceil(u64::from(setup.moves_percent.clamp(1, 100)));
-    let length = (length(setup) / 1_000).max(1) as u64;
+    let length = (window_length(setup) / 1_000).max(1) as u64;
     let (number, into) = (wall_ms / length, wall_ms % length);
     // Clocks are apart by so much: the turns of two groups do not meet.
     let on = number % groups == u64::from(shard) % groups && into >= setup.apart_ms;
@@ -81,7 +84,7 @@
 }
 
 /// Microseconds of a turn: for the largest shard to be copied.
-fn length(setup: &Setup) -> Micros {
+fn window_length(setup: &Setup) -> Micros {
     let apart = 2_000 * setup.apart_ms as Micros;
     apart + PATIENCE + Repair::takes(setup.most_bytes, setup.repair_bytes)
 }
@@ -112,8 +115,9 @@
     /// Places all shards anew where that has to be: on all that are there or waited for.
     pub(crate) fn update_placement(&mut self, now: Micros) {
         let moves = self.setup.moves_percent > 0;
-        let due =
-            |front: &FrontId, since: &Micros| moves && self.away.waits(&self.setup, *front, *since) <= now;
+        let due = |front: &FrontId, since: &Micros| {
+            moves && self.away.wait_until(&self.setup, *front, *since) <= now
+        };
         let since = self.away.since.iter();
         let gone: BTreeSet<FrontId> = since.filter(|(front, at)| due(front, at)).map(|(f, _)| *f).collect();
         if gone == self.away.gone && !std::mem::take(&mut self.away.stale) {
@@ -140,22 +144,22 @@
     }
 
     /// One that keeps a copy is silent for longer than it is waited for: it counts as gone, whatever others say.
-    pub(crate) fn is_gone(&mut self, now: Micros, front: FrontId) {
+    pub(crate) fn declare_gone(&mut self, now: Micros, front: FrontId) {
         let ago = self.setup.zone_after.max(self.setup.repair_after);
         self.away.since.insert(front, now.saturating_sub(ago));
         self.update_placement(now);
     }
 
     /// Moves a copy of a shard that this front leads, and of which none is missing, once it is the shard's turn.
-    pub(crate) fn shift(&mut self, at: Moment, shard: u16) -> Option<(ReplicaId, ReplicaId, Micros)> {
+    pub(crate) fn next_move(&mut self, at: Moment, shard: u16) -> Option<(ReplicaId, ReplicaId, Micros)> {
         let now = at.steady;
         let view = self.shards.get(usize::from(shard))?;
         let replica = view.replica.as_ref()?;
         if self.setup.moves_percent == 0 || view.wanted.len() < self.setup.copies {
             return None;
         }
-        let (out, into) = next(&view.wanted, &replica.members, self.own.front)?;
-        let left = turn(&self.setup, shard, self.wall_ms(at, shard))?;
+        let (out, into) = next_change(&view.wanted, &replica.members, self.own.front)?;
+        let left = move_window(&self.setup, shard, self.wall_ms(at, shard))?;
         let takes = PATIENCE + Repair::takes(replica.state.bytes(), self.setup.repair_bytes);
         let busy = self.shards.iter().any(|view| view.repair.is_some());
         if left < takes || busy || self.away.is_away(into) {
@@ -171,5 +175,5 @@
 }
 
 #[cfg(test)]
-#[path = "moves_tests.rs"]
+#[path = "rebalance_tests.rs"]
 mod tests;
--- a/crates/ledger/src/scrub.rs
+++ b/crates/ledger/src/scrub.rs
@@ -4,6 +4,7 @@
 
 use std::collections::BTreeMap;
 
+use crate::formats::TRANSFER_FORMAT;
 use crate::ledger::Ledger;
 use crate::messages::{self, LedgerMessage};
 use crate::placement::hash;
@@ -65,7 +66,9 @@
         view.scrub.sums = BTreeMap::from([(self.own.front, sums.clone())]);
         let (config, index) = (replica.config, replica.applied());
         let others = replica.members.iter().map(|member| member.front);
-        let read = |front: &FrontId| *front != self.own.front && self.transport.common_format(*front) >= 2;
+        let read = |front: &FrontId| {
+            *front != self.own.front && self.transport.common_format(*front) >= TRANSFER_FORMAT
+        };
         let others: Vec<FrontId> = others.filter(read).collect();
         for to in others {
             self.transport.send(
@@ -97,9 +100,11 @@
         let config = replica.config;
         if wrong.contains(&own) {
             // One of the majority leads it from now on, and mends this front's copy.
-            let heir = sums.iter().find(|(_, of)| **of == right).map(|(front, _)| *front);
+            let candidate = sums.iter().find(|(_, of)| **of == right).map(|(front, _)| *front);
             let message = LedgerMessage::TransferLeadership { shard, config };
-            heir.into_iter().for_each(|heir| self.transport.send(at, heir, &message, Pace::Fast));
+            candidate
+                .into_iter()
+                .for_each(|candidate| self.transport.send(at, candidate, &message, Pace::Fast));
             return;
         }
         let (index, state) = (replica.applied(), messages::encode(&replica.state));
--- a/crates/ledger/src/upkeep.rs
+++ b/crates/ledger/src/upkeep.rs
@@ -87,7 +87,7 @@
             } else if view.replica.as_ref().is_some_and(Replica::is_leader) {
                 self.mend(at, shard);
                 self.scrub(at, shard);
-                self.yields(at, shard);
+                self.yield_leadership(at, shard);
             }
         }
     }
@@ -109,16 +109,16 @@
             }
             return;
         }
-        let waits = |front, since| self.away.waits(&self.setup, front, since);
+        let waits = |front, since| self.away.wait_until(&self.setup, front, since);
         let missed = missing(now, since, waits, &replica.members, own, peer);
         let Some((out, back)) = missed else {
-            if let Some((out, into, ends)) = self.shift(at, shard) {
+            if let Some((out, into, ends)) = self.next_move(at, shard) {
                 self.copy(at, shard, out, into, Some(ends));
             }
             return;
         };
         if back.is_none() {
-            self.is_gone(now, out.front);
+            self.declare_gone(now, out.front);
         }
         let Some(view) = self.shards.get(usize::from(shard)) else { return };
         let Some(replica) = &view.replica else { return };
