--- /dev/null
+++ b/crates/ledger/src/anti_entropy.rs
@@ -0,0 +1,184 @@
+//! Anti-entropy: replicas are compared in the background. The leader sends the hashes of its entries, leaf by leaf, as of one
+//! entry of the log, and members that have applied just as much answer with theirs. A replica that differs from the
+//! majority has lost a write or read a bit wrong: it is sent the majority's state, at the rate for rebuilding replicas.
+
+use std::collections::BTreeMap;
+
+use crate::formats::TRANSFER_FORMAT;
+use crate::ledger::Ledger;
+use crate::messages::{self, LedgerMessage};
+use crate::placement::hash;
+use crate::shard_view::ShardView;
+use crate::state::{ReplicaId, State};
+use crate::transport::Pace;
+use crate::{FrontId, Micros, Moment};
+
+const INTERVAL: Micros = 60_000_000; // microseconds between comparisons of a shard: hashing 512 KB takes about one in 1,000
+const RECHECK: Micros = 2_000_000; // microseconds until a shard is compared again whose replicas differed
+const ANSWER_TIMEOUT: Micros = 1_000_000; // microseconds that answers are waited for
+pub(crate) const LEAVES: usize = 16; // of the tree; one more for what is no entry
+
+/// A comparison under way, and when the next is due.
+#[derive(Default)]
+pub(crate) struct Comparison {
+    next: Micros,
+    index: u64,
+    hashes: BTreeMap<FrontId, Vec<u64>>,
+    /// On a member: the leader that waits for hashes, and the entry that they are to be as of.
+    pub pending_answer: Option<(FrontId, u64)>,
+}
+
+/// The hash that most copies have, where more than half of all have it.
+fn majority(hashes: &BTreeMap<FrontId, Vec<u64>>, copies: usize) -> Option<Vec<u64>> {
+    let count = |of: &Vec<u64>| hashes.values().filter(|hashes| *hashes == of).count();
+    hashes.values().find(|of| 2 * count(of) > copies).cloned()
+}
+
+/// The hashes of a state by leaves.
+pub(crate) fn hashes(state: &State) -> Vec<u64> {
+    let mut hashes = vec![0_u64; LEAVES];
+    let (entries, rest) = state.parts();
+    for (key, bytes) in entries {
+        let leaf = hash(key.name.bytes()) % LEAVES as u64;
+        hashes[leaf as usize] ^= hash(bytes.into_iter());
+    }
+    hashes.push(hash(rest.into_iter()));
+    hashes
+}
+
+impl Ledger {
+    /// Begins a comparison of a shard that this front leads where one is due, and ends the one before.
+    pub(crate) fn compare_replicas(&mut self, at: Moment, shard: u16) {
+        self.conclude_comparison(at, shard);
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(replica) = &view.replica else { return };
+        if at.steady < view.comparison.next || replica.members.len() < 2 || view.repair.is_some() {
+            return;
+        }
+        if view.comparison.next == 0 {
+            // Shards are not compared all at once.
+            view.comparison.next = at.steady + INTERVAL / 16 * Micros::from(shard % 16 + 1);
+            return;
+        }
+        view.comparison.next = at.steady + ANSWER_TIMEOUT;
+        view.comparison.index = replica.applied();
+        let hashes = hashes(&replica.state);
+        view.comparison.hashes = BTreeMap::from([(self.own.front, hashes.clone())]);
+        let (config, index) = (replica.config, replica.applied());
+        let others = replica.members.iter().map(|member| member.front);
+        let read = |front: &FrontId| {
+            *front != self.own.front && self.transport.common_format(*front) >= TRANSFER_FORMAT
+        };
+        let others: Vec<FrontId> = others.filter(read).collect();
+        for to in others {
+            self.transport.send(
+                at,
+                to,
+                &LedgerMessage::Hashes { shard, config, index, hashes: hashes.clone() },
+                Pace::Fast,
+            );
+        }
+    }
+
+    /// Ends a comparison once its answers were waited for, and repairs what differs.
+    fn conclude_comparison(&mut self, at: Moment, shard: u16) {
+        let own = self.own.front;
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(replica) = view.replica.as_ref().filter(|_| at.steady >= view.comparison.next) else {
+            return;
+        };
+        let hashes = std::mem::take(&mut view.comparison.hashes);
+        if hashes.is_empty() {
+            return;
+        }
+        view.comparison.next = at.steady + INTERVAL;
+        let Some(right) = majority(&hashes, replica.members.len()) else { return };
+        let wrong: Vec<FrontId> = hashes.iter().filter(|(_, of)| **of != right).map(|(f, _)| *f).collect();
+        if wrong.is_empty() {
+            return;
+        }
+        view.comparison.next = at.steady + RECHECK;
+        self.tallies.differed += wrong.len() as u64;
+        let config = replica.config;
+        if wrong.contains(&own) {
+            // One of the majority leads the shard from now on, and repairs this front's replica.
+            let candidate = hashes.iter().find(|(_, of)| **of == right).map(|(front, _)| *front);
+            let message = LedgerMessage::TransferLeadership { shard, config };
+            candidate
+                .into_iter()
+                .for_each(|candidate| self.transport.send(at, candidate, &message, Pace::Fast));
+            return;
+        }
+        let (index, state) = (replica.applied(), messages::encode(&replica.state));
+        for to in wrong {
+            if self.transport.is_busy(to, Pace::Repair) {
+                continue;
+            }
+            self.transport.send(
+                at,
+                to,
+                &LedgerMessage::RepairReplica { shard, config, index, state: state.clone() },
+                Pace::Repair,
+            );
+        }
+    }
+
+    /// The hashes of another member: of the leader, or of one that answers it.
+    pub(crate) fn receive_hashes(
+        &mut self,
+        at: Moment,
+        from: ReplicaId,
+        (shard, config): (u16, u32),
+        (index, hashes): (u64, Vec<u64>),
+    ) {
+        let Some(view) = self.view_for(from, shard, config) else { return };
+        let Some(replica) = &view.replica else { return };
+        if replica.is_leader() {
+            if view.comparison.index == index && !view.comparison.hashes.is_empty() {
+                view.comparison.hashes.insert(from.front, hashes);
+            }
+        } else {
+            view.comparison.pending_answer = Some((from.front, index));
+            self.answer_hashes(at, shard);
+        }
+    }
+
+    /// Answers the leader's hashes once this replica has applied as much, and no more.
+    pub(crate) fn answer_hashes(&mut self, at: Moment, shard: u16) {
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some((replica, (to, index))) = view.replica.as_ref().zip(view.comparison.pending_answer) else {
+            return;
+        };
+        if replica.applied() < index {
+            return;
+        }
+        view.comparison.pending_answer = None;
+        if replica.applied() == index {
+            let (config, hashes) = (replica.config, hashes(&replica.state));
+            self.transport.send(at, to, &LedgerMessage::Hashes { shard, config, index, hashes }, Pace::Fast);
+        }
+    }
+
+    /// The leader has found this replica to differ.
+    pub(crate) fn receive_repair(
+        &mut self,
+        from: ReplicaId,
+        (shard, config): (u16, u32),
+        index: u64,
+        state: &[u8],
+    ) {
+        let state = messages::decode::<State>(state);
+        let Some(view) = self.view_for(from, shard, config) else { return };
+        let Some((replica, state)) = view.replica.as_mut().zip(state) else { return };
+        if replica.leader() == Some(from.front) && replica.replace_state(index, state) {
+            self.tallies.mended += 1;
+            self.touched.insert(shard);
+        }
+    }
+
+    fn view_for(&mut self, from: ReplicaId, shard: u16, config: u32) -> Option<&mut ShardView> {
+        let view = self.shards.get_mut(usize::from(shard))?;
+        let replica = view.replica.as_ref()?;
+        (replica.config == config && replica.members.contains(&from)).then_some(view)
+    }
+}
--- a/crates/ledger/src/formats_tests.rs
+++ b/crates/ledger/src/formats_tests.rs
@@ -131,7 +131,7 @@
     let snapshot = crate::state::LogSnapshot::of(state.clone());
     let messages = [
         LedgerMessage::TransferLeadership { shard: 1, config: 2 },
-        LedgerMessage::Hashes { shard: 1, config: 2, index: 3, sums: vec![4, u64::MAX] },
+        LedgerMessage::Hashes { shard: 1, config: 2, index: 3, hashes: vec![4, u64::MAX] },
         LedgerMessage::RepairReplica { shard: 1, config: 2, index: 3, state: vec![5] },
         LedgerMessage::ShuttingDown,
     ];
--- a/crates/ledger/src/incoming.rs
+++ b/crates/ledger/src/incoming.rs
@@ -39,7 +39,7 @@
         let from = sender.id.front;
         match message {
             LedgerMessage::Log { shard, config, number, message } => {
-                self.logged(at, sender, shard, config, (number, *message));
+                self.receive_log_message(at, sender, shard, config, (number, *message));
             }
             LedgerMessage::Resync { shard, config } => {
                 let view = self.shards.get_mut(usize::from(shard));
@@ -53,26 +53,26 @@
             }
             LedgerMessage::Request { shard, command } => {
                 self.touched.insert(shard);
-                self.asked(at, from, shard, command);
+                self.receive_ask(at, from, shard, command);
             }
             LedgerMessage::Reply { incarnation, number, outcome }
                 if incarnation == self.setup.incarnation =>
             {
-                self.answered(Some(from), number, outcome);
+                self.record_answer(Some(from), number, outcome);
             }
             LedgerMessage::NotLeader { incarnation, number, leader, .. }
                 if incarnation == self.setup.incarnation =>
             {
-                self.elsewhere(at, from, number, leader);
+                self.redirect(at, from, number, leader);
             }
             LedgerMessage::Reply { .. } | LedgerMessage::NotLeader { .. } => {}
             LedgerMessage::Available { shard, config, agreed } => {
-                self.here(at, sender, shard, config, &agreed)
+                self.receive_availability(at, sender, shard, config, &agreed)
             }
             LedgerMessage::Membership { shard, config, members } => {
-                self.learn(at, from, shard, config, members)
+                self.receive_membership(at, from, shard, config, members)
             }
-            LedgerMessage::Probe { shard } => self.is_here(at, from, shard),
+            LedgerMessage::Probe { shard } => self.announce(at, from, shard),
             LedgerMessage::Snapshot { shard, config, index, state } => {
                 let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
                 let Some(state) = messages::decode::<State>(&state) else { return self.refuse("form") };
@@ -93,26 +93,26 @@
                     repair.caught = Some(index);
                 }
             }
-            LedgerMessage::Hashes { shard, config, index, sums } => {
-                self.summed(at, sender.id, (shard, config), (index, sums));
+            LedgerMessage::Hashes { shard, config, index, hashes } => {
+                self.receive_hashes(at, sender.id, (shard, config), (index, hashes));
             }
             LedgerMessage::RepairReplica { shard, config, index, state } => {
-                self.mended(sender.id, (shard, config), index, &state);
+                self.receive_repair(sender.id, (shard, config), index, &state);
             }
             LedgerMessage::ShuttingDown => _ = self.shutting_down.insert(from, sender.incarnation),
             LedgerMessage::KeyFree { incarnation, number } => {
-                self.turn(Owner { front: self.own.front, incarnation }, number);
+                self.key_is_free(Owner { front: self.own.front, incarnation }, number);
             }
             LedgerMessage::TransferLeadership { shard, config } => {
                 self.accept_leadership(from, shard, config)
             }
             LedgerMessage::Join { shard, config, members, base } => {
-                self.begin(at, shard, config, members, &base)
+                self.join(at, shard, config, members, &base)
             }
         }
     }
 
-    fn logged(
+    fn receive_log_message(
         &mut self,
         at: Moment,
         sender: ReplicaIncarnation,
@@ -144,11 +144,11 @@
                     }
                 }
             }
-            Some(replica) if replica.config > config => self.bring_on(at, sender, shard),
+            Some(replica) if replica.config > config => self.send_membership(at, sender, shard),
             _ => {
                 // Members speak of it: it has begun.
                 view.bootstrap.iter_mut().for_each(Bootstrap::set_started);
-                self.is_here(at, sender.front, shard);
+                self.announce(at, sender.front, shard);
             }
         }
     }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -40,7 +40,7 @@
     pub(crate) done: Vec<Done>,
     pub(crate) out: Out,
     pub(crate) tick_at: Micros,
-    pub(crate) look_at: Micros,
+    pub(crate) maintain_at: Micros,
     /// Shards in which something may have happened.
     pub(crate) touched: BTreeSet<u16>,
     pub(crate) tallies: Tallies,
@@ -91,7 +91,7 @@
             done: Vec::new(),
             out: Out::default(),
             tick_at: at.steady,
-            look_at: at.steady,
+            maintain_at: at.steady,
             touched: BTreeSet::new(),
             tallies: Tallies::default(),
             latest_saved_format,
@@ -133,7 +133,7 @@
     pub fn tick(&mut self, at: Moment) {
         let (again, ended) = self.asks.due_now(at);
         self.out.done.extend(ended.into_iter().map(|(number, outcome)| Done { number, outcome }));
-        again.into_iter().for_each(|number| self.route(at, number));
+        again.into_iter().for_each(|number| self.send_ask(at, number));
         if self.tick_at <= at.steady {
             // One that stood still does not catch up: the logs' clocks count turns they had.
             self.tick_at = at.steady + TICK;
@@ -146,7 +146,7 @@
                     self.touched.insert(shard);
                 }
             }
-            self.look(at);
+            self.maintain(at);
         }
         self.transfer_leadership(at);
         self.settle(at);
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -9,6 +9,7 @@
 
 #![warn(missing_docs)]
 
+mod anti_entropy;
 mod asks;
 mod balance;
 mod bootstrap;
@@ -21,6 +22,7 @@
 mod leader_transfer;
 mod ledger;
 mod log;
+mod maintenance;
 mod membership;
 mod messages;
 mod pacer;
@@ -32,13 +34,11 @@
 mod replica;
 mod requests;
 mod rounds;
-mod scrub;
 mod shard_view;
 mod state;
 mod tail;
 mod tallies;
 mod transport;
-mod upkeep;
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/ledger/src/upkeep.rs
+++ b/crates/ledger/src/maintenance.rs
@@ -1,4 +1,4 @@
-//! What is done without a message of others: shards begin, and missing copies are made again.
+//! What is due at intervals: shards that have yet to start are bootstrapped, and missing replicas are replaced.
 
 use crate::bootstrap::{Bootstrap, Step};
 use crate::ledger::Ledger;
@@ -11,12 +11,13 @@
 use crate::transport::Pace;
 use crate::{FrontId, Micros, Moment};
 
-/// Microseconds between looks at who is missing, and between messages of one that waits.
-pub(crate) const LOOK: Micros = 250_000;
-const ASKED: usize = 8; // fronts that are asked at once whether a shard has begun
+/// Microseconds between two runs of `maintain`, and between announcements of a front to another.
+pub(crate) const MAINTENANCE_INTERVAL: Micros = 250_000;
+const PROBES_AT_ONCE: usize = 8; // fronts that are asked at once whether a shard has started
 
 impl Ledger {
-    /// Shards that this front is to keep, and knows nothing of: they have yet to begin, or it has lost its disk.
+    /// Begins to bootstrap the shards that are placed on this front and that it knows nothing of: they have yet to start,
+    /// or it has lost its disk.
     pub(crate) fn start_bootstraps(&mut self) {
         let (own, copies) = (self.own.front, self.setup.copies);
         for view in &mut self.shards {
@@ -27,6 +28,7 @@
         }
     }
 
+    /// Takes the next step of a shard that has yet to start.
     pub(crate) fn advance_bootstrap(&mut self, at: Moment, shard: u16) {
         let own = ReplicaIncarnation { id: self.own, incarnation: self.transport.incarnation };
         let copies = self.setup.copies;
@@ -37,63 +39,76 @@
             Step::Wait => {}
             Step::Agree(agreed) => {
                 self.records.push(records::bootstrap(shard, &agreed));
-                view.told.clear();
-                placed.iter().filter(|front| **front != own.id.front).for_each(|to| {
-                    let message = LedgerMessage::Available { shard, config: 0, agreed: agreed.clone() };
-                    self.transport.send(at, *to, &message, Pace::Fast);
-                });
+                view.announced.clear();
+                self.send_agreed(at, shard, &placed, &agreed);
                 if placed.len() == 1 {
                     self.advance_bootstrap(at, shard);
                 }
             }
             Step::Start(members) => {
-                // The others begin once they hear that this one has agreed, which it says once more.
+                // The others start once they hear that this one has agreed, which it tells once more.
                 let agreed = bootstrap.agreed().to_vec();
-                for to in placed.iter().filter(|front| **front != own.id.front) {
-                    let message = LedgerMessage::Available { shard, config: 0, agreed: agreed.clone() };
-                    self.transport.send(at, *to, &message, Pace::Fast);
-                }
+                self.send_agreed(at, shard, &placed, &agreed);
                 let state = State::new(Limits::of(&self.setup));
-                self.open(at, shard, Configuration { config: 1, members }, StateAt { index: FIRST, state });
+                self.open_replica(
+                    at,
+                    shard,
+                    Configuration { config: 1, members },
+                    StateAt { index: FIRST, state },
+                );
             }
         }
     }
 
-    /// Looks at what has to be done without a message of others.
-    pub(crate) fn look(&mut self, at: Moment) {
-        if at.steady < self.look_at {
+    /// Tells the fronts that a shard is placed on with whom this one has agreed to start it.
+    fn send_agreed(&mut self, at: Moment, shard: u16, placed: &[FrontId], agreed: &[ReplicaIncarnation]) {
+        for to in placed.iter().filter(|front| **front != self.own.front) {
+            let message = LedgerMessage::Available { shard, config: 0, agreed: agreed.to_vec() };
+            self.transport.send(at, *to, &message, Pace::Fast);
+        }
+    }
+
+    /// Asks and tells the fronts that a shard that has yet to start depends on.
+    fn drive_bootstrap(&mut self, at: Moment, shard: u16) {
+        let Some(view) = self.shards.get(usize::from(shard)) else { return };
+        let placed = view.ranked.iter().take(self.setup.copies).copied();
+        let members = view.members().iter().map(|member| member.front);
+        let others: Vec<FrontId> = placed.chain(members).filter(|to| *to != self.own.front).collect();
+        let unheard = view.bootstrap.as_ref().filter(|_| view.config() == 0);
+        let unheard = unheard.map(|bootstrap| bootstrap.unheard(self.own.front, &view.ranked));
+        let turn = (at.steady / MAINTENANCE_INTERVAL) as usize * PROBES_AT_ONCE;
+        let unheard = unheard.unwrap_or_default();
+        for n in 0..unheard.len().min(PROBES_AT_ONCE) {
+            self.probe(at, unheard[(turn + n) % unheard.len()], shard);
+        }
+        others.into_iter().for_each(|to| self.announce(at, to, shard));
+        self.advance_bootstrap(at, shard);
+    }
+
+    /// Does what is due at intervals.
+    pub(crate) fn maintain(&mut self, at: Moment) {
+        if at.steady < self.maintain_at {
             return;
         }
-        self.look_at = at.steady + LOOK;
+        self.maintain_at = at.steady + MAINTENANCE_INTERVAL;
         self.update_placement(at.steady);
-        // Whoever is on the list may have to read what is kept, and may be a build back by then.
+        // Whoever is on the list may have to read what is saved, and may be a build back by then.
         let others = self.setup.members.iter().map(|member| member.front).filter(|f| *f != self.own.front);
         self.format = self.setup.saved_format.min(self.transport.common_format_of_all(others));
         for shard in 0..self.setup.shards {
             let Some(view) = self.shards.get(usize::from(shard)) else { continue };
             if view.bootstrap.is_some() {
-                let placed = view.ranked.iter().take(self.setup.copies).copied();
-                let members = view.members().iter().map(|member| member.front);
-                let others: Vec<FrontId> = placed.chain(members).filter(|to| *to != self.own.front).collect();
-                let unheard = view.bootstrap.as_ref().filter(|_| view.config() == 0);
-                let unheard = unheard.map(|bootstrap| bootstrap.unheard(self.own.front, &view.ranked));
-                let turn = (at.steady / LOOK) as usize * ASKED;
-                let unheard = unheard.unwrap_or_default();
-                for n in 0..unheard.len().min(ASKED) {
-                    self.offer(at, unheard[(turn + n) % unheard.len()], shard);
-                }
-                others.into_iter().for_each(|to| self.is_here(at, to, shard));
-                self.advance_bootstrap(at, shard);
+                self.drive_bootstrap(at, shard);
             } else if view.replica.as_ref().is_some_and(Replica::is_leader) {
-                self.mend(at, shard);
-                self.scrub(at, shard);
+                self.replace_missing(at, shard);
+                self.compare_replicas(at, shard);
                 self.yield_leadership(at, shard);
             }
         }
     }
 
-    /// Sees to a missing copy of a shard that this front leads.
-    fn mend(&mut self, at: Moment, shard: u16) {
+    /// Replaces a missing replica of a shard that this front leads, or moves one.
+    fn replace_missing(&mut self, at: Moment, shard: u16) {
         let now = at.steady;
         let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
         let (Some(replica), Some(since)) = (&mut view.replica, view.leader_since) else { return };
@@ -113,7 +128,7 @@
         let missed = missing(now, since, waits, &replica.members, own, peer);
         let Some((out, back)) = missed else {
             if let Some((out, into, ends)) = self.next_move(at, shard) {
-                self.copy(at, shard, out, into, Some(ends));
+                self.start_replacement(at, shard, out, into, Some(ends));
             }
             return;
         };
@@ -126,25 +141,38 @@
         let order: Vec<FrontId> = view.wanted.iter().chain(&view.ranked).copied().collect();
         let into = back.or_else(|| spare(now, &order, &replica.members, peer));
         let Some(into) = into else {
-            // Who could take its place says so, if it is there.
-            let kept = |front: &FrontId| replica.members.iter().any(|member| member.front == *front);
-            let free: Vec<FrontId> = view.ranked.iter().filter(|front| !kept(front)).copied().collect();
-            let turn = (now / LOOK) as usize;
-            for to in (0..free.len().min(2)).filter_map(|n| free.get((turn * 2 + n) % free.len())) {
-                self.offer(at, *to, shard);
-            }
+            self.probe_spares(at, shard);
             return;
         };
-        self.copy(at, shard, out, into, None);
+        self.start_replacement(at, shard, out, into, None);
+    }
+
+    /// Asks fronts that hold no replica of a shard whether they can, two at a time.
+    fn probe_spares(&mut self, at: Moment, shard: u16) {
+        let Some(view) = self.shards.get(usize::from(shard)) else { return };
+        let Some(replica) = &view.replica else { return };
+        let is_member = |front: &FrontId| replica.members.iter().any(|member| member.front == *front);
+        let free: Vec<FrontId> = view.ranked.iter().filter(|front| !is_member(front)).copied().collect();
+        let turn = (at.steady / MAINTENANCE_INTERVAL) as usize;
+        for to in (0..free.len().min(2)).filter_map(|n| free.get((turn * 2 + n) % free.len())) {
+            self.probe(at, *to, shard);
+        }
     }
 
-    /// Asks a front whether it could keep a copy.
-    pub(crate) fn offer(&mut self, at: Moment, to: FrontId, shard: u16) {
+    /// Asks a front whether it can hold a replica.
+    pub(crate) fn probe(&mut self, at: Moment, to: FrontId, shard: u16) {
         self.transport.send(at, to, &LedgerMessage::Probe { shard }, Pace::Fast);
     }
 
-    /// Gives a copy to the one that is to take another's place; until when, where it only moves.
-    fn copy(&mut self, at: Moment, shard: u16, out: ReplicaId, into: ReplicaId, moves: Option<Micros>) {
+    /// Sends the state to the replica that is to replace another; `moves`: until when, where none is missing.
+    fn start_replacement(
+        &mut self,
+        at: Moment,
+        shard: u16,
+        out: ReplicaId,
+        into: ReplicaId,
+        moves: Option<Micros>,
+    ) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
         let Some(replica) = &view.replica else { return };
         let config = replica.config;
@@ -161,8 +189,8 @@
         );
     }
 
-    /// The time that goes with a round: the middle one of the members' Unix clocks, so that one that is far off ends
-    /// no entry of others.
+    /// The time that goes with a round: the median of the members' Unix clocks, so that one that is far off ends no entry
+    /// of others.
     pub(crate) fn wall_ms(&self, at: Moment, shard: u16) -> u64 {
         let members = self.shards.get(usize::from(shard)).map_or(&[][..], |view| view.members());
         let others = members.iter().filter(|member| member.front != self.own.front);
--- a/crates/ledger/src/membership.rs
+++ b/crates/ledger/src/membership.rs
@@ -1,34 +1,35 @@
-//! Who the members of a shard are, as fronts tell each other, and how a shard goes on under the next members.
+//! Membership of shards: what fronts tell each other of it, and how a shard goes on under the next configuration.
 
 use crate::bootstrap::Bootstrap;
 use crate::formats::OLDEST_FORMAT;
 use crate::ledger::Ledger;
+use crate::maintenance::MAINTENANCE_INTERVAL;
 use crate::messages::{self, Base, LedgerMessage, ReplicaIncarnation};
 use crate::records::{self, Meta};
 use crate::replica::{Replica, FIRST};
 use crate::shard_view::{Configuration, Learned, StateAt};
 use crate::state::ReplicaId;
 use crate::transport::Pace;
-use crate::upkeep::LOOK;
 use crate::{FrontId, Micros, Moment};
 
-const TOLD_AGAIN: Micros = 500_000; // microseconds until a member that is behind is told again
+const MEMBERSHIP_INTERVAL: Micros = 500_000; // microseconds until a front that is behind is sent the members again
 
 impl Ledger {
-    /// This front does not keep the shard as the receiver does: it says what it knows, with the disk that it has.
-    pub(crate) fn is_here(&mut self, at: Moment, to: FrontId, shard: u16) {
+    /// Tells a front that this one can hold a replica of the shard, what it knows of it, and on which disk.
+    pub(crate) fn announce(&mut self, at: Moment, to: FrontId, shard: u16) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
-        let told = view.told.get(&to).copied().unwrap_or(Micros::MIN);
-        if self.own.disk == 0 || at.steady.saturating_sub(told) < LOOK {
+        let last = view.announced.get(&to).copied().unwrap_or(Micros::MIN);
+        if self.own.disk == 0 || at.steady.saturating_sub(last) < MAINTENANCE_INTERVAL {
             return;
         }
-        view.told.insert(to, at.steady);
+        view.announced.insert(to, at.steady);
         let agreed = view.bootstrap.as_ref().map(|bootstrap| bootstrap.agreed().to_vec()).unwrap_or_default();
         let config = view.replica.as_ref().map_or(0, |replica| replica.config);
         self.transport.send(at, to, &LedgerMessage::Available { shard, config, agreed }, Pace::Fast);
     }
 
-    pub(crate) fn here(
+    /// Another front can hold a replica of the shard: it is heard as one to start the shard with, or is brought up to date.
+    pub(crate) fn receive_availability(
         &mut self,
         at: Moment,
         sender: ReplicaIncarnation,
@@ -44,18 +45,18 @@
             }
             self.advance_bootstrap(at, shard);
         } else if config < view.config() {
-            self.bring_on(at, sender.id, shard);
+            self.send_membership(at, sender.id, shard);
         }
     }
 
-    /// Another is behind: it is told who the members are, and what to begin with where it is one of them.
-    pub(crate) fn bring_on(&mut self, at: Moment, sender: ReplicaId, shard: u16) {
+    /// Tells a front that is behind who the members are, and the state to start from where it is one of them.
+    pub(crate) fn send_membership(&mut self, at: Moment, sender: ReplicaId, shard: u16) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
-        let told = view.told.get(&sender.front).copied().unwrap_or(Micros::MIN);
-        if at.steady.saturating_sub(told) < TOLD_AGAIN {
+        let last = view.announced.get(&sender.front).copied().unwrap_or(Micros::MIN);
+        if at.steady.saturating_sub(last) < MEMBERSHIP_INTERVAL {
             return;
         }
-        view.told.insert(sender.front, at.steady);
+        view.announced.insert(sender.front, at.steady);
         let Some(Configuration { config, members }) = view.known.clone() else { return };
         let message = match &view.replica {
             Some(replica) if members.contains(&sender) && replica.config == config => {
@@ -71,8 +72,8 @@
         self.transport.send(at, sender.front, &message, Pace::Fast);
     }
 
-    /// Another says who keeps the shard.
-    pub(crate) fn learn(
+    /// Another front tells the members of a later configuration.
+    pub(crate) fn receive_membership(
         &mut self,
         at: Moment,
         from: FrontId,
@@ -89,46 +90,46 @@
         view.known = Some(Configuration { config, members });
         view.bootstrap.iter_mut().for_each(Bootstrap::set_started);
         if mine {
-            self.is_here(at, from, shard);
+            self.announce(at, from, shard);
         } else {
-            self.leave(shard);
+            self.drop_replica(shard);
         }
     }
 
-    /// This front is no member any more, whatever it hears later of earlier ones.
-    fn leave(&mut self, shard: u16) {
+    /// This front is no member any more, whatever it hears later of earlier configurations.
+    fn drop_replica(&mut self, shard: u16) {
         let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
         let Some(replica) = view.replica.take() else { return };
         let Some(Configuration { config, members }) = view.known.clone() else { return };
         view.barred = config;
         (view.leader_since, view.repair) = (None, None);
         replica.remove_records(&mut self.records);
-        self.records.push(records::meta(OLDEST_FORMAT, shard, &gone(config, members)));
+        self.records.push(records::meta(OLDEST_FORMAT, shard, &no_member(config, members)));
         self.records.push(records::no_snapshot(shard));
     }
 
-    pub(crate) fn begin(
-        &mut self,
-        at: Moment,
-        shard: u16,
-        config: u32,
-        members: Vec<ReplicaId>,
-        base: &Base,
-    ) {
+    /// This front is a member of a configuration, and is given what to start from.
+    pub(crate) fn join(&mut self, at: Moment, shard: u16, config: u32, members: Vec<ReplicaId>, base: &Base) {
         let own = self.own;
         let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
         if config <= view.barred || config < view.config() || !members.contains(&own) {
             return;
         }
-        let Some(base) = state_of(base, view.learned.take(), config) else {
+        let Some(base) = base_state(base, view.learned.take(), config) else {
             view.known = Some(Configuration { config, members });
-            return; // it says that it is here, and is given the whole
+            return; // it announces itself, and is sent the whole state
         };
-        self.open(at, shard, Configuration { config, members }, base);
+        self.open_replica(at, shard, Configuration { config, members }, base);
     }
 
-    /// Becomes a member, with what the members have decided; lasting before anything is told of it.
-    pub(crate) fn open(&mut self, at: Moment, shard: u16, configuration: Configuration, base: StateAt) {
+    /// Starts a replica of a configuration from what its members agree on; it is durable before anything is sent of it.
+    pub(crate) fn open_replica(
+        &mut self,
+        at: Moment,
+        shard: u16,
+        configuration: Configuration,
+        base: StateAt,
+    ) {
         let own = self.own;
         let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
         let preferred = view.preferred_among(&configuration.members) == Some(own.front);
@@ -152,8 +153,8 @@
         self.touched.insert(shard);
     }
 
-    /// Goes on under the next members, once the log has decided on them.
-    pub(crate) fn hand_over(&mut self, at: Moment, shard: u16) {
+    /// Goes on under the next configuration, once the log has decided on its members.
+    pub(crate) fn adopt_next_members(&mut self, at: Moment, shard: u16) {
         let own = self.own;
         let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
         let Some(replica) = &view.replica else { return };
@@ -173,9 +174,9 @@
                 self.tallies.moved += u64::from(moves);
             }
             let stay = |front: &FrontId| next.iter().any(|member| member.front == *front);
-            let told = view.ranked.iter().take(self.setup.copies).copied();
-            let told = told.chain(before.iter().map(|member| member.front)).filter(|front| !stay(front));
-            for to in told.filter(|to| *to != own.front) {
+            let placed = view.ranked.iter().take(self.setup.copies).copied();
+            let others = placed.chain(before.iter().map(|member| member.front)).filter(|front| !stay(front));
+            for to in others.filter(|to| *to != own.front) {
                 let message = LedgerMessage::Membership { shard, config, members: next.clone() };
                 self.transport.send(at, to, &message, Pace::Fast);
             }
@@ -183,20 +184,20 @@
         view.known = Some(Configuration { config, members: next.clone() });
         if next.contains(&own) {
             let next = Configuration { config, members: next };
-            self.open(at, shard, next, StateAt { index: FIRST, state });
+            self.open_replica(at, shard, next, StateAt { index: FIRST, state });
             if is_leader {
-                // Until who is wanted most takes over: asks wait for a round trip, and no election is needed.
+                // Until the preferred leader takes over: asks wait for a round trip, and no election is needed.
                 let replica = self.shards.get_mut(usize::from(shard)).and_then(|view| view.replica.as_mut());
                 replica.into_iter().for_each(Replica::campaign);
             }
         } else {
-            self.leave(shard);
+            self.drop_replica(shard);
         }
     }
 }
 
 /// The record of a shard of which this front is no member.
-fn gone(config: u32, members: Vec<ReplicaId>) -> Meta {
+fn no_member(config: u32, members: Vec<ReplicaId>) -> Meta {
     Meta {
         config,
         members,
@@ -210,7 +211,7 @@
 }
 
 /// The state that a base stands for; none where it continues a state that this front has not been sent.
-fn state_of(base: &Base, learned: Option<Learned>, config: u32) -> Option<StateAt> {
+fn base_state(base: &Base, learned: Option<Learned>, config: u32) -> Option<StateAt> {
     match base {
         Base::Snapshot { index, state } => Some(StateAt { index: *index, state: messages::decode(state)? }),
         Base::Suffix { index, batches } => {
--- a/crates/ledger/src/messages.rs
+++ b/crates/ledger/src/messages.rs
@@ -42,7 +42,7 @@
     /// The leader asks the receiver to take over the shard. Of format 2.
     TransferLeadership { shard: u16, config: u32 },
     /// The hashes of a replica as of an entry: the leader sends its own, and members answer with theirs. Of format 2.
-    Hashes { shard: u16, config: u32, index: u64, sums: Vec<u64> },
+    Hashes { shard: u16, config: u32, index: u64, hashes: Vec<u64> },
     /// The majority's state as of an entry, for a replica whose hashes differ. Of format 2.
     RepairReplica { shard: u16, config: u32, index: u64, state: Vec<u8> },
     /// The sender is shutting down. Of format 3.
--- a/crates/ledger/src/rebalance.rs
+++ b/crates/ledger/src/rebalance.rs
@@ -102,7 +102,7 @@
             view.ranked = ranked(&self.setup.members, shard);
         }
         self.away.stale = true;
-        self.look_at = at.steady;
+        self.maintain_at = at.steady;
         Ok(())
     }
 
@@ -167,7 +167,7 @@
         }
         let peer = self.peers.get(&into).filter(|peer| peer.disk != 0 && now - peer.at < HEARD);
         let Some(peer) = peer else {
-            self.offer(at, into, shard);
+            self.probe(at, into, shard);
             return None;
         };
         Some((out, ReplicaId { front: into, disk: peer.disk }, now + takes))
--- a/crates/ledger/src/requests.rs
+++ b/crates/ledger/src/requests.rs
@@ -37,12 +37,12 @@
         if !self.asks.wait(command, shard, at.steady + self.setup.patience) {
             return self.out.done.push(Done { number, outcome: Outcome::Unreachable });
         }
-        self.route(at, number);
+        self.send_ask(at, number);
         self.settle(at);
     }
 
     /// Passes a request on to the shard's leader, as far as that is known.
-    pub(crate) fn route(&mut self, at: Moment, number: u64) {
+    pub(crate) fn send_ask(&mut self, at: Moment, number: u64) {
         let Some((waiting, tries)) = self.asks.tries(at.steady, number) else { return };
         let Some(view) = self.shards.get_mut(usize::from(waiting.shard)) else { return };
         let shard = waiting.shard;
@@ -61,20 +61,20 @@
         }
     }
 
-    /// Another says who leads the shard of an ask.
-    pub(crate) fn elsewhere(&mut self, at: Moment, from: FrontId, number: u64, leader: Option<FrontId>) {
+    /// Another front does not lead the shard of an ask, and says which one does.
+    pub(crate) fn redirect(&mut self, at: Moment, from: FrontId, number: u64, leader: Option<FrontId>) {
         let Some(shard) = self.asks.shard(number) else { return };
         let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
         let leader = leader.filter(|leader| *leader != from);
         let new = leader.is_some() && leader != view.leader_hint;
         view.leader_hint = leader.or(view.leader_hint.filter(|hint| *hint != from));
         if new {
-            self.route(at, number);
+            self.send_ask(at, number);
         }
     }
 
-    /// The answer to an ask of this front, to be told once what it rests on is lasting here.
-    pub(crate) fn answered(&mut self, leader: Option<FrontId>, number: u64, outcome: Outcome) {
+    /// The answer to an ask of this front, to be given once what it rests on is durable here.
+    pub(crate) fn record_answer(&mut self, leader: Option<FrontId>, number: u64, outcome: Outcome) {
         let Some(shard) = self.asks.answered(number) else { return };
         if let Some(view) = self.shards.get_mut(usize::from(shard)) {
             view.leader_hint = leader.or(view.leader_hint);
@@ -84,7 +84,7 @@
     }
 
     /// An ask of another front has come.
-    pub(crate) fn asked(&mut self, at: Moment, from: FrontId, shard: u16, command: Command) {
+    pub(crate) fn receive_ask(&mut self, at: Moment, from: FrontId, shard: u16, command: Command) {
         let fits = command.owner.front == from && shard_of(&command.key, self.setup.shards) == shard;
         if !fits || size(&command) > LONGEST_NAME + LONGEST_VALUE {
             return self.refuse("another's ask");
--- a/crates/ledger/src/rounds.rs
+++ b/crates/ledger/src/rounds.rs
@@ -6,7 +6,7 @@
 use crate::{Done, Moment, Outcome, Owner};
 
 impl Ledger {
-    /// Takes in what a shard's log has decided, and says what its members say.
+    /// Takes in what a shard's log has decided, answers the asks, and sends the log's messages.
     pub(crate) fn settle_shard(&mut self, at: Moment, shard: u16) {
         let wall_ms = self.wall_ms(at, shard);
         let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
@@ -41,23 +41,23 @@
                 let message = LedgerMessage::Reply { incarnation: owner.incarnation, number, outcome };
                 self.transport.send(at, owner.front, &message, Pace::Fast);
             } else if owner.incarnation == self.setup.incarnation {
-                self.answered(None, number, outcome);
+                self.record_answer(None, number, outcome);
             }
         }
         for (owner, number) in freed {
             if owner.front == self.own.front {
-                self.turn(owner, number);
+                self.key_is_free(owner, number);
             } else {
                 let message = LedgerMessage::KeyFree { incarnation: owner.incarnation, number };
                 self.transport.send(at, owner.front, &message, Pace::Fast);
             }
         }
-        self.answers_sums(at, shard);
-        self.hand_over(at, shard);
+        self.answer_hashes(at, shard);
+        self.adopt_next_members(at, shard);
     }
 
-    /// A key that this front asked for is free, and it is its turn.
-    pub(crate) fn turn(&mut self, owner: Owner, number: u64) {
+    /// A key that this front asked for is free, and this front is the first in its queue.
+    pub(crate) fn key_is_free(&mut self, owner: Owner, number: u64) {
         if owner.incarnation == self.setup.incarnation && !self.asks.is_waiting(number) {
             self.done.push(Done { number, outcome: Outcome::Absent });
         }
--- a/crates/ledger/src/shard_view.rs
+++ b/crates/ledger/src/shard_view.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
+use crate::anti_entropy::Comparison;
 use crate::bootstrap::Bootstrap;
 use crate::repair::Repair;
 use crate::replica::Replica;
-use crate::scrub::Scrub;
 use crate::state::{ReplicaId, State};
 use crate::{FrontId, Micros};
 
@@ -50,13 +50,13 @@
     /// The change of members that is under way, where this front leads it.
     pub repair: Option<Repair>,
     /// The comparison of its replicas.
-    pub scrub: Scrub,
+    pub comparison: Comparison,
     /// Since when this front leads it.
     pub leader_since: Option<Micros>,
     /// The front that leads it, as was heard last.
     pub leader_hint: Option<FrontId>,
-    /// When members that are behind were last told so, and when others were last told that this front is here.
-    pub told: BTreeMap<FrontId, Micros>,
+    /// When this front was last announced to each other one, or sent it the members.
+    pub announced: BTreeMap<FrontId, Micros>,
 }
 
 impl ShardView {
