--- a/crates/fleet/src/exchange/ledger.rs
+++ b/crates/fleet/src/exchange/ledger.rs
@@ -68,14 +68,14 @@
         self.ledger.as_ref().is_some_and(|ledger| ledger.is_needed(at))
     }
 
-    /// Replicas that this front found to differ from the majority, and those repaired here.
-    pub fn differed(&self) -> (u64, u64) {
-        self.ledger.as_ref().map_or((0, 0), LedgerNode::differed)
+    /// Replicas that were found to differ from their majority, so far.
+    pub fn differences(&self) -> ledger::Differences {
+        self.ledger.as_ref().map(LedgerNode::differences).unwrap_or_default()
     }
 
     /// The ledger's counters, where it is enabled.
-    pub fn ledger_tallies(&self) -> Option<ledger::Tallies> {
-        self.ledger.as_ref().map(LedgerNode::tallies)
+    pub fn ledger_counters(&self) -> Option<ledger::Counters> {
+        self.ledger.as_ref().map(LedgerNode::counters)
     }
 
     pub(super) fn tick_ledger(&mut self, at: Moment, out: &mut Output) {
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -61,7 +61,7 @@
 
     /// Takes in a message on the ledger channel.
     pub fn receive(&mut self, at: Moment, from: PeerId, bytes: &[u8]) {
-        self.ledger.heard(moment(at), from, bytes);
+        self.ledger.receive(moment(at), from, bytes);
     }
 
     /// The operator's list has changed.
@@ -71,14 +71,14 @@
         members: Vec<Member>,
         addresses: BTreeMap<PeerId, SocketAddr>,
     ) -> Result<(), Error> {
-        self.ledger.members(moment(at), members)?;
+        self.ledger.set_members(moment(at), members)?;
         self.addresses = addresses;
         Ok(())
     }
 
     /// This front is to end.
     pub fn hand_over(&mut self, at: Moment) {
-        self.ledger.goes(moment(at));
+        self.ledger.begin_shutdown(moment(at));
     }
 
     pub fn hands_over(&self) -> bool {
@@ -98,7 +98,7 @@
             all.filter(|front| of(front).is_some_and(|health| healths.contains(&health))).collect()
         };
         let (up, away) = (which([Health::Alive; 2]), which([Health::Dead, Health::Left]));
-        self.ledger.health(moment(at), &up, &away);
+        self.ledger.set_health(moment(at), &up, &away);
     }
 
     pub fn tick(&mut self, at: Moment, node: &Node) {
@@ -125,17 +125,17 @@
         self.ledger.start_over(moment(at), disk);
     }
 
-    pub fn differed(&self) -> (u64, u64) {
-        self.ledger.differed()
+    pub fn differences(&self) -> hallmux_ledger::Differences {
+        self.ledger.differences()
     }
 
-    pub fn tallies(&self) -> hallmux_ledger::Tallies {
-        self.ledger.tallies()
+    pub fn counters(&self) -> hallmux_ledger::Counters {
+        self.ledger.counters()
     }
 
     /// Puts what there is to send into datagrams: behind the saves that they rest on.
     pub fn send(&mut self, at: Moment, node: &mut Node, out: &mut Output) {
-        let hallmux_ledger::Out { packets, saves, done } = self.ledger.take();
+        let hallmux_ledger::Output { packets, saves, done } = self.ledger.take_output();
         self.answers.extend(done);
         let mut seal =
             |packets: Vec<(PeerId, Vec<u8>)>| -> Vec<Datagram> {
--- a/crates/front/src/fleet/members.rs
+++ b/crates/front/src/fleet/members.rs
@@ -28,12 +28,12 @@
         shards,
         most_entries: ledger.most_entries,
         most_bytes: ledger.most_bytes,
-        patience: ledger.patience,
+        ask_timeout: ledger.patience,
         repair_after: ledger.repair_after,
         repair_bytes: ledger.repair_bytes,
         moves_percent: ledger.moves_percent,
         zone_after: ledger.zone_after,
-        apart_ms: ledger.clocks_apart_ms,
+        clock_skew_ms: ledger.clocks_apart_ms,
         ..Setup::new(&ledger.fleet, own, life, disk, members)
     };
     (setup, addresses)
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -20,7 +20,7 @@
 use hallmux_gossip::node::{Datagram, NodeConfig};
 use hallmux_gossip::seal::{peer_id, Keys, Refused};
 use hallmux_gossip::PeerId;
-use hallmux_ledger::{Ask, Done};
+use hallmux_ledger::{Ask, Differences, Done};
 
 use super::copies::{random_disk_id, Copies, Write};
 use super::errors::PeersError;
@@ -51,8 +51,8 @@
     memory_on_disk_failure: bool,
     ownership: Option<OwnedLease>,
     refused_acts: BTreeMap<&'static str, u64>,
-    /// Copies of promises that differed, and that were mended here.
-    differed: (u64, u64),
+    /// Replicas of the ledger that were found to differ, as was logged last.
+    differences: Differences,
     messages: BTreeMap<Channel, Vec<(PeerId, Vec<u8>)>>,
     /// Answers of the ledger that their part of this front has not taken yet.
     done: Vec<Done>,
@@ -127,7 +127,7 @@
             memory_on_disk_failure,
             ownership: None,
             refused_acts: BTreeMap::new(),
-            differed: (0, 0),
+            differences: Differences::default(),
             done: Vec::new(),
             has_ledger: gossip.ledger.is_some(),
             messages: BTreeMap::new(),
@@ -308,10 +308,10 @@
             self.refused_acts = self.exchange.refused_acts();
             log::warn!("words on the fleet's work that count for nothing so far: {:?}", self.refused_acts);
         }
-        let differed = self.exchange.differed();
-        if differed != self.differed {
-            self.differed = differed;
-            let (others, here) = differed;
+        let differences = self.exchange.differences();
+        if differences != self.differences {
+            self.differences = differences;
+            let Differences { found: others, repaired_here: here } = differences;
             log::warn!(
                 "ledger: {others} copies differed from the majority so far, {here} mended here; look at the disks"
             );
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -301,11 +301,11 @@
                 Some(ledger) => {
                     out.asks.into_iter().for_each(|ask| ledger.ask(at, ask));
                     ledger.tick(at);
-                    let told = ledger.take();
+                    let told = ledger.take_output();
                     // Nothing is kept, and nobody else hears: what it saves is lasting as far as it goes.
                     told.saves.iter().for_each(|save| ledger.saved(at, save.number, true));
                     done.extend(told.done);
-                    done.extend(ledger.take().done);
+                    done.extend(ledger.take_output().done);
                 }
                 None => {
                     let Some(peers) = &mut peers else { break };
--- a/crates/lab/src/simulated/grows.rs
+++ b/crates/lab/src/simulated/grows.rs
@@ -56,14 +56,14 @@
         let mut most = (0, None);
         for (n, member) in self.members.iter().enumerate() {
             let exchange = member.life.as_ref().and_then(|life| life.exchange.as_ref());
-            let tallies = exchange.and_then(|exchange| exchange.ledger_tallies()).unwrap_or_default();
+            let counters = exchange.and_then(|exchange| exchange.ledger_counters()).unwrap_or_default();
             let disk: usize = member.disk.records.iter().map(|(name, bytes)| name.len() + bytes.len()).sum();
-            held.entries = held.entries.max(tallies.entries as i64);
-            held.ledger_bytes = held.ledger_bytes.max(tallies.bytes as i64);
+            held.entries = held.entries.max(counters.entries as i64);
+            held.ledger_bytes = held.ledger_bytes.max(counters.bytes as i64);
             held.disk_bytes = held.disk_bytes.max(disk as i64);
             held.records = held.records.max(member.disk.records.len() as i64);
-            if tallies.copies > most.0 {
-                most = (tallies.copies, Some(n));
+            if counters.copies > most.0 {
+                most = (counters.copies, Some(n));
             }
         }
         self.grows.looks.push(held);
@@ -84,9 +84,9 @@
         let Some((since, copies)) = self.grows.lost.zip(self.scenario.fleet.copies) else { return };
         let (mut owned, mut kept, mut missing) = (0, 0, 0);
         let exchanges = self.members.iter().filter_map(|m| m.life.as_ref()?.exchange.as_ref());
-        for tallies in exchanges.filter_map(|exchange| exchange.ledger_tallies()) {
-            (owned, kept) = (owned + tallies.owned, kept + tallies.copies);
-            missing += tallies.missing;
+        for counters in exchanges.filter_map(|exchange| exchange.ledger_counters()) {
+            (owned, kept) = (owned + counters.led, kept + counters.copies);
+            missing += counters.missing;
         }
         let shards = usize::from(self.shards);
         if owned >= shards && kept >= shards * copies && missing == 0 {
--- a/crates/ledger/src/anti_entropy.rs
+++ b/crates/ledger/src/anti_entropy.rs
@@ -98,7 +98,7 @@
             return;
         }
         view.comparison.next = at.steady + RECHECK;
-        self.tallies.differed += wrong.len() as u64;
+        self.counters.differed += wrong.len() as u64;
         let config = replica.config;
         if wrong.contains(&own) {
             // One of the majority leads the shard from now on, and repairs this front's replica.
@@ -171,7 +171,7 @@
         let Some(view) = self.view_for(from, shard, config) else { return };
         let Some((replica, state)) = view.replica.as_mut().zip(state) else { return };
         if replica.leader() == Some(from.front) && replica.replace_state(index, state) {
-            self.tallies.mended += 1;
+            self.counters.mended += 1;
             self.touched.insert(shard);
         }
     }
--- a/crates/ledger/src/durability.rs
+++ b/crates/ledger/src/durability.rs
@@ -59,7 +59,7 @@
 
     /// Nothing can be kept any more: this front is a member of nothing in this life, and says so.
     pub(crate) fn fail(&mut self) {
-        self.tallies.failed = true;
+        self.counters.failed = true;
         self.transport.disk = 0;
         self.own.disk = 0;
         for view in &mut self.shards {
@@ -78,7 +78,7 @@
     /// Begins anew with another disk, or with none but memory: as a front that remembers nothing.
     pub fn start_over(&mut self, at: Moment, disk: u64) {
         self.fail();
-        self.tallies.failed = false;
+        self.counters.failed = false;
         self.setup.disk = disk;
         self.own.disk = disk;
         self.transport.disk = disk;
--- a/crates/ledger/src/formats_tests.rs
+++ b/crates/ledger/src/formats_tests.rs
@@ -68,7 +68,7 @@
         packet(Payload::Resend { id: 1, missing: vec![2] }),
         packet(Payload::Received { id: 1 }),
     ];
-    let mut state = State::new(Limits { entries: 10, bytes: 1_000, apart_ms: 500 });
+    let mut state = State::new(Limits { entries: 10, bytes: 1_000, clock_skew_ms: 500 });
     state.apply(&Batch { tail: Tail::None, ..batch() });
     let record = |record: crate::Record| record.bytes.unwrap_or_default();
     let mut all: Vec<(&'static str, Vec<u8>)> =
@@ -125,7 +125,7 @@
 /// What the third format says: the same, each with its format before it.
 fn third_format() -> Vec<(&'static str, Vec<u8>)> {
     let explicit = |format, next| Batch { tail: Tail::Explicit { format, next }, ..batch() };
-    let mut state = State::new(Limits { entries: 10, bytes: 1_000, apart_ms: 500 });
+    let mut state = State::new(Limits { entries: 10, bytes: 1_000, clock_skew_ms: 500 });
     state.apply(&explicit(3, None));
     let record = |record: crate::Record| record.bytes.unwrap_or_default();
     let snapshot = crate::state::LogSnapshot::of(state.clone());
--- a/crates/ledger/src/incoming.rs
+++ b/crates/ledger/src/incoming.rs
@@ -13,7 +13,7 @@
 
 impl Ledger {
     /// A packet of a front has come, whose signature holds.
-    pub fn heard(&mut self, at: Moment, from: FrontId, bytes: &[u8]) {
+    pub fn receive(&mut self, at: Moment, from: FrontId, bytes: &[u8]) {
         if from == self.own.front {
             return self.refuse("own");
         }
--- a/crates/ledger/src/leader_transfer.rs
+++ b/crates/ledger/src/leader_transfer.rs
@@ -34,7 +34,7 @@
 
 impl Ledger {
     /// This front is shutting down: from now on it leads nothing that another front can lead.
-    pub fn goes(&mut self, at: Moment) {
+    pub fn begin_shutdown(&mut self, at: Moment) {
         if self.shutdown.is_none() {
             self.shutdown = Some(Shutdown { retry_at: at.steady, attempts: 0 });
             self.transfer_leadership(at);
@@ -160,7 +160,7 @@
         let replica = view.and_then(|view| view.replica.as_mut());
         if let Some(replica) = replica.filter(|r| r.config == config && r.leader() == Some(from)) {
             replica.campaign();
-            self.tallies.inherited += 1;
+            self.counters.taken_over += 1;
             self.touched.insert(shard);
         }
     }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -15,7 +15,7 @@
 use crate::shard_view::{Configuration, ShardView};
 use crate::state::ReplicaId;
 use crate::transport::{Pace, Transport};
-use crate::{Done, Error, FrontId, Micros, Moment, Out, Record, Saved, Setup, Tallies};
+use crate::{Counters, Done, Error, FrontId, Micros, Moment, Output, Record, Saved, Setup};
 
 pub(crate) const TICK: Micros = 50_000; // microseconds between turns of the logs' clocks
 
@@ -38,12 +38,12 @@
     pub(crate) next_save: u64,
     pub(crate) unsaved: VecDeque<(u64, Vec<Done>)>,
     pub(crate) done: Vec<Done>,
-    pub(crate) out: Out,
+    pub(crate) out: Output,
     pub(crate) tick_at: Micros,
     pub(crate) maintain_at: Micros,
     /// Shards in which something may have happened.
     pub(crate) touched: BTreeSet<u16>,
-    pub(crate) tallies: Tallies,
+    pub(crate) counters: Counters,
     /// The latest format of what is kept, and the format in which more is proposed.
     pub(crate) latest_saved_format: u8,
     pub(crate) format: u8,
@@ -89,11 +89,11 @@
             next_save: 1,
             unsaved: VecDeque::new(),
             done: Vec::new(),
-            out: Out::default(),
+            out: Output::default(),
             tick_at: at.steady,
             maintain_at: at.steady,
             touched: BTreeSet::new(),
-            tallies: Tallies::default(),
+            counters: Counters::default(),
             latest_saved_format,
             format: OLDEST_FORMAT,
             setup,
@@ -160,11 +160,11 @@
     }
 
     /// What is to be done for it since it was last asked. What `packets` holds may leave at once.
-    pub fn take(&mut self) -> Out {
+    pub fn take_output(&mut self) -> Output {
         std::mem::take(&mut self.out)
     }
 
     pub(crate) fn refuse(&mut self, why: &'static str) {
-        *self.tallies.refused.entry(why).or_default() += 1;
+        *self.counters.refused.entry(why).or_default() += 1;
     }
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -13,6 +13,7 @@
 mod asks;
 mod balance;
 mod bootstrap;
+mod counters;
 mod durability;
 mod error;
 mod formats;
@@ -37,7 +38,6 @@
 mod shard_view;
 mod state;
 mod tail;
-mod tallies;
 mod transport;
 
 use serde::{Deserialize, Serialize};
@@ -210,7 +210,7 @@
 
 /// What is to be sent, saved and answered.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Out {
+pub struct Output {
     /// Encoded messages that may leave at once, each with its receiver.
     pub packets: Vec<(FrontId, Vec<u8>)>,
     /// In order of their numbers.
@@ -251,7 +251,7 @@
     /// Most bytes of a shard's entries.
     pub most_bytes: usize,
     /// Microseconds until an ask that no quorum has answered is [`Outcome::Unreachable`].
-    pub patience: Micros,
+    pub ask_timeout: Micros,
     /// Microseconds without a sign of a member until its replicas are rebuilt elsewhere.
     pub repair_after: Micros,
     /// Bytes a second that rebuilding replicas may take.
@@ -265,7 +265,7 @@
     /// The latest format in which it saves entries and records, once all members read it, see [`SAVED_FORMAT`].
     pub saved_format: u8,
     /// Most milliseconds that fronts' Unix clocks differ by: an ended entry is withheld from others for so much longer.
-    pub apart_ms: u64,
+    pub clock_skew_ms: u64,
 }
 
 impl Setup {
@@ -281,28 +281,48 @@
             shards: 16,
             most_entries: 4_096,
             most_bytes: 512 * 1_024,
-            patience: 500_000,
+            ask_timeout: 500_000,
             repair_after: 30_000_000,
             repair_bytes: 16_384,
             moves_percent: 0,
             zone_after: 600_000_000,
             format: FORMAT,
             saved_format: SAVED_FORMAT,
-            apart_ms: 500,
+            clock_skew_ms: 500,
         }
     }
 }
 
+/// A replica that a front holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ReplicaStatus {
+    /// The shard.
+    pub shard: u16,
+    /// The number of the shard's configuration: grows with each change of its members.
+    pub config: u32,
+    /// This front leads the shard.
+    pub is_leader: bool,
+}
+
+/// Replicas that differed from the majority of their shard when they were compared, so far.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Differences {
+    /// Found by this front.
+    pub found: u64,
+    /// Replicas of this front that were repaired.
+    pub repaired_here: u64,
+}
+
 /// The ledger's counters and its present state on this front.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tallies {
+pub struct Counters {
     /// Messages, records and asks that were refused, by reason.
     pub refused: std::collections::BTreeMap<&'static str, u64>,
     /// Shards of which this front holds a replica.
     pub copies: usize,
-    /// Shards that it owns now.
-    pub owned: usize,
-    /// Of the shards it owns: replicas that are missing, by members that are silent or have yet to catch up.
+    /// Shards that it leads now.
+    pub led: usize,
+    /// Of the shards it leads: replicas that are missing, by members that are silent or have yet to catch up.
     pub missing: usize,
     /// Entries in its replicas.
     pub entries: usize,
@@ -322,8 +342,8 @@
     pub differed: u64,
     /// Replicas of this front that were repaired after such a comparison.
     pub mended: u64,
-    /// Shards whose ownership others handed over to it.
-    pub inherited: u64,
+    /// Shards that other leaders transferred to it.
+    pub taken_over: u64,
     /// A save has failed: this front holds no replicas until it starts again.
     pub failed: bool,
 }
--- a/crates/ledger/src/membership.rs
+++ b/crates/ledger/src/membership.rs
@@ -170,8 +170,8 @@
                 let base = replica.base_after(index);
                 let message = LedgerMessage::Join { shard, config, members: next.clone(), base };
                 self.transport.send(at, to.front, &message, Pace::Fast);
-                self.tallies.repaired += 1;
-                self.tallies.moved += u64::from(moves);
+                self.counters.repaired += 1;
+                self.counters.moved += u64::from(moves);
             }
             let stay = |front: &FrontId| next.iter().any(|member| member.front == *front);
             let placed = view.ranked.iter().take(self.setup.copies).copied();
--- a/crates/ledger/src/rebalance.rs
+++ b/crates/ledger/src/rebalance.rs
@@ -79,19 +79,19 @@
     let length = (window_length(setup) / 1_000).max(1) as u64;
     let (number, into) = (wall_ms / length, wall_ms % length);
     // Clocks are apart by so much: the turns of two groups do not meet.
-    let on = number % groups == u64::from(shard) % groups && into >= setup.apart_ms;
-    on.then(|| (length - into).saturating_sub(setup.apart_ms) as Micros * 1_000)
+    let on = number % groups == u64::from(shard) % groups && into >= setup.clock_skew_ms;
+    on.then(|| (length - into).saturating_sub(setup.clock_skew_ms) as Micros * 1_000)
 }
 
 /// Microseconds of a turn: for the largest shard to be copied.
 fn window_length(setup: &Setup) -> Micros {
-    let apart = 2_000 * setup.apart_ms as Micros;
+    let apart = 2_000 * setup.clock_skew_ms as Micros;
     apart + PATIENCE + Repair::takes(setup.most_bytes, setup.repair_bytes)
 }
 
 impl Ledger {
     /// The operator's list has changed. A front that has yet to begin its shards goes on as the list said then.
-    pub fn members(&mut self, at: Moment, members: Vec<Member>) -> Result<(), Error> {
+    pub fn set_members(&mut self, at: Moment, members: Vec<Member>) -> Result<(), Error> {
         let setup = Setup { members, ..self.setup.clone() };
         check(&setup)?;
         if setup.members == self.setup.members {
@@ -107,7 +107,7 @@
     }
 
     /// Who is up and who is not, as far as the caller knows; of others nothing is said.
-    pub fn health(&mut self, at: Moment, up: &[FrontId], away: &[FrontId]) {
+    pub fn set_health(&mut self, at: Moment, up: &[FrontId], away: &[FrontId]) {
         up.iter().for_each(|front| self.away.returned(at.steady, &self.setup.members, *front));
         away.iter().for_each(|front| _ = self.away.since.entry(*front).or_insert(at.steady));
     }
--- a/crates/ledger/src/requests.rs
+++ b/crates/ledger/src/requests.rs
@@ -22,7 +22,7 @@
         if self.asks.is_waiting(number) {
             return;
         }
-        if self.tallies.failed {
+        if self.counters.failed {
             // Only what needs no promise goes on here, until it starts over.
             return self.out.done.push(Done { number, outcome: Outcome::Unreachable });
         }
@@ -34,7 +34,7 @@
         let owner = Owner { front: self.own.front, incarnation: self.setup.incarnation };
         let asked_ms = self.asks.first(number, at.wall_ms);
         let command = Command { owner, number, asked_ms, key, act };
-        if !self.asks.wait(command, shard, at.steady + self.setup.patience) {
+        if !self.asks.wait(command, shard, at.steady + self.setup.ask_timeout) {
             return self.out.done.push(Done { number, outcome: Outcome::Unreachable });
         }
         self.send_ask(at, number);
@@ -79,7 +79,7 @@
         if let Some(view) = self.shards.get_mut(usize::from(shard)) {
             view.leader_hint = leader.or(view.leader_hint);
         }
-        self.tallies.answered += 1;
+        self.counters.answered += 1;
         self.done.push(Done { number, outcome });
     }
 
@@ -90,7 +90,7 @@
             return self.refuse("another's ask");
         }
         let (incarnation, number) = (command.owner.incarnation, command.number);
-        let ends = at.steady + self.setup.patience;
+        let ends = at.steady + self.setup.ask_timeout;
         let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
         let leader = match &mut view.replica {
             Some(replica) if replica.is_leader() => {
--- a/crates/ledger/src/rounds.rs
+++ b/crates/ledger/src/rounds.rs
@@ -27,7 +27,7 @@
             view.repair = None;
         }
         let messages = replica.messages();
-        self.tallies.rounds += settled.rounds;
+        self.counters.rounds += settled.rounds;
         for (to, message) in messages {
             // What would overtake a long one counts as lost instead: it is sent again once that has come.
             let ordered = matches!(message, LedgerMessage::Log { number, .. } if number > 0);
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -68,12 +68,12 @@
 pub(crate) struct Limits {
     pub entries: usize,
     pub bytes: usize,
-    pub apart_ms: u64,
+    pub clock_skew_ms: u64,
 }
 
 impl Limits {
     pub fn of(setup: &Setup) -> Limits {
-        Limits { entries: setup.most_entries, bytes: setup.most_bytes, apart_ms: setup.apart_ms }
+        Limits { entries: setup.most_entries, bytes: setup.most_bytes, clock_skew_ms: setup.clock_skew_ms }
     }
 }
 
@@ -127,7 +127,7 @@
 
     /// Whether nobody has it any more, at that time.
     pub fn is_free(&self, key: &Key, wall_ms: u64) -> bool {
-        let ends = |entry: &Entry| entry.ends_ms.saturating_add(self.limits.apart_ms);
+        let ends = |entry: &Entry| entry.ends_ms.saturating_add(self.limits.clock_skew_ms);
         self.of(key).is_none_or(|entry| entry.ends_ms > 0 && ends(entry) <= wall_ms)
     }
 
@@ -250,7 +250,7 @@
 
     /// Removes what has ended on every front's clock, and forgets answers that nobody can ask for any more.
     fn expire(&mut self) {
-        let (now, skew) = (self.now_ms, self.limits.apart_ms);
+        let (now, skew) = (self.now_ms, self.limits.clock_skew_ms);
         while let Some((_, key)) =
             self.index().ends.first().filter(|(ends, _)| ends.saturating_add(skew) <= now).cloned()
         {
--- a/crates/ledger/src/state_tests.rs
+++ b/crates/ledger/src/state_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::Kind;
 
-const LIMITS: Limits = Limits { entries: 4, bytes: 2_000, apart_ms: 100 };
+const LIMITS: Limits = Limits { entries: 4, bytes: 2_000, clock_skew_ms: 100 };
 
 fn key(name: &str) -> Key {
     Key { kind: Kind::Order, name: name.to_string() }
--- a/crates/ledger/tests/drawn.rs
+++ b/crates/ledger/tests/drawn.rs
@@ -174,7 +174,7 @@
         }
     }
     let ledgers = fleet.fronts.iter().filter_map(|front| front.ledger.as_ref());
-    played.moved = ledgers.map(|ledger| ledger.tallies().moved).sum();
+    played.moved = ledgers.map(|ledger| ledger.counters().moved).sum();
     for op in &fleet.record.ops {
         match op.done {
             Some((_, Outcome::Unreachable)) => played.unreachable += 1,
--- a/crates/ledger/tests/ends.rs
+++ b/crates/ledger/tests/ends.rs
@@ -68,7 +68,7 @@
 
 /// Shards that each front owns.
 fn owned(fleet: &Fleet) -> Vec<usize> {
-    let owned = |ledger: &Ledger| ledger.kept().filter(|(.., leads)| *leads).count();
+    let owned = |ledger: &Ledger| ledger.replicas().filter(|replica| replica.is_leader).count();
     fleet.fronts.iter().map(|front| front.ledger.as_ref().map_or(0, owned)).collect()
 }
 
--- a/crates/ledger/tests/follow.rs
+++ b/crates/ledger/tests/follow.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hallmux_ledger::{Act, Ledger, Outcome};
+use hallmux_ledger::{Act, Ledger, Outcome, ReplicaStatus};
 use sim::{Fleet, SECOND};
 
 fn put(value: u64) -> Act {
@@ -15,7 +15,7 @@
 fn keepers(fleet: &Fleet) -> BTreeMap<u16, BTreeSet<usize>> {
     let mut latest: BTreeMap<u16, (u32, BTreeSet<usize>)> = BTreeMap::new();
     for n in (0..fleet.fronts.len()).filter(|n| fleet.is_up(*n)) {
-        for (shard, config, _) in fleet.fronts[n].ledger.iter().flat_map(Ledger::kept) {
+        for ReplicaStatus { shard, config, .. } in fleet.fronts[n].ledger.iter().flat_map(Ledger::replicas) {
             let of = latest.entry(shard).or_default();
             if of.0 < config {
                 *of = (config, BTreeSet::new());
@@ -38,7 +38,7 @@
     fleet.setup.members.truncate(members);
     (fleet.setup.moves_percent, fleet.setup.zone_after) = (50, 40 * SECOND);
     (fleet.setup.repair_bytes, fleet.setup.most_bytes) = (65_536, 32_768);
-    fleet.setup.apart_ms = 200;
+    fleet.setup.clock_skew_ms = 200;
     fleet.start_anew(members);
     assert!(fleet.run_until(10 * SECOND, Fleet::is_whole));
     fleet
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/ledger/tests/ledger.rs
@@ -143,12 +143,12 @@
 fn asks_that_arrive_together_share_rounds() {
     let mut fleet = whole(3, 3, 1, 7);
     let owner = fleet.owner("r").unwrap();
-    let before = fleet.fronts[owner].ledger.as_ref().unwrap().tallies();
+    let before = fleet.fronts[owner].ledger.as_ref().unwrap().counters();
     for n in 0..200 {
         fleet.ask(n % 3, &format!("r{n}"), put(n as u64));
     }
     fleet.run(fleet.now + SECOND);
-    let after = fleet.fronts[owner].ledger.as_ref().unwrap().tallies();
+    let after = fleet.fronts[owner].ledger.as_ref().unwrap().counters();
     assert_eq!(after.entries, 200);
     assert!(after.rounds - before.rounds <= 20, "{} rounds", after.rounds - before.rounds);
     sound(&fleet);
@@ -233,7 +233,7 @@
     assert!(fleet.run_until(10 * SECOND, Fleet::is_whole));
     let owner = fleet.owner("k").expect("one owns the only shard");
     let keeps =
-        |fleet: &Fleet, n: usize| fleet.fronts[n].ledger.as_ref().is_some_and(|l| l.kept().count() > 0);
+        |fleet: &Fleet, n: usize| fleet.fronts[n].ledger.as_ref().is_some_and(|l| l.replicas().count() > 0);
     let lost = (0..4).find(|n| *n != owner && keeps(&fleet, *n)).expect("others keep copies");
     fleet.lose(lost);
     fleet.start(lost);
--- a/crates/ledger/tests/roll.rs
+++ b/crates/ledger/tests/roll.rs
@@ -81,7 +81,7 @@
 /// Letters that another build could not read.
 fn unread(fleet: &Fleet) -> u64 {
     let ledgers = fleet.fronts.iter().filter_map(|front| front.ledger.as_ref());
-    let of = |ledger: &Ledger, why| ledger.tallies().refused.get(why).copied().unwrap_or(0);
+    let of = |ledger: &Ledger, why| ledger.counters().refused.get(why).copied().unwrap_or(0);
     ledgers.map(|ledger| of(ledger, "form") + of(ledger, "version")).sum()
 }
 
@@ -109,7 +109,7 @@
     let mut fleet = begun(|n| 1 + (n % 2) as u8, 3);
     let inherited = |fleet: &Fleet| -> u64 {
         let ledgers = fleet.fronts.iter().filter_map(|front| front.ledger.as_ref());
-        ledgers.map(|ledger: &Ledger| ledger.tallies().inherited).sum()
+        ledgers.map(|ledger: &Ledger| ledger.counters().taken_over).sum()
     };
     // Up, then all the way back, under load.
     for (format, hands) in [(2, true), (1, false)] {
--- a/crates/ledger/tests/scrub.rs
+++ b/crates/ledger/tests/scrub.rs
@@ -18,7 +18,7 @@
 
 fn told(fleet: &Fleet) -> (u64, u64) {
     let ledgers = fleet.fronts.iter().filter_map(|front| front.ledger.as_ref());
-    ledgers.map(|l| l.tallies()).fold((0, 0), |all, t| (all.0 + t.differed, all.1 + t.mended))
+    ledgers.map(|l| l.counters()).fold((0, 0), |all, t| (all.0 + t.differed, all.1 + t.mended))
 }
 
 #[test]
--- a/crates/ledger/tests/sim/mod.rs
+++ b/crates/ledger/tests/sim/mod.rs
@@ -7,7 +7,8 @@
 
 use check::{Op, Record};
 use hallmux_ledger::{
-    shard_of, Act, Ask, FrontId, Key, Kind, Ledger, Member, Micros, Moment, Out, Outcome, Save, Saved, Setup,
+    shard_of, Act, Ask, FrontId, Key, Kind, Ledger, Member, Micros, Moment, Outcome, Output, Save, Saved,
+    Setup,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -110,7 +111,7 @@
         for n in 0..self.fronts.len() {
             let at = self.at(n);
             let ledger = self.fronts[n].ledger.as_mut();
-            ledger.into_iter().for_each(|ledger| ledger.members(at, members.clone()).unwrap());
+            ledger.into_iter().for_each(|ledger| ledger.set_members(at, members.clone()).unwrap());
         }
     }
 
@@ -120,14 +121,14 @@
         for n in 0..self.fronts.len() {
             let at = self.at(n);
             let ledger = self.fronts[n].ledger.as_mut();
-            ledger.into_iter().for_each(|ledger| ledger.health(at, &ids(up), &ids(away)));
+            ledger.into_iter().for_each(|ledger| ledger.set_health(at, &ids(up), &ids(away)));
         }
     }
 
     /// Shards that move now.
     pub fn moving(&self) -> usize {
         let ledgers = self.fronts.iter().filter_map(|front| front.ledger.as_ref());
-        ledgers.map(|ledger| ledger.tallies().moving).sum()
+        ledgers.map(|ledger| ledger.counters().moving).sum()
     }
 
     pub fn at(&self, n: usize) -> Moment {
@@ -161,7 +162,7 @@
     /// The front is told to end: it hands over what it owns.
     pub fn goes(&mut self, n: usize) {
         let at = self.at(n);
-        self.fronts[n].ledger.iter_mut().for_each(|ledger| ledger.goes(at));
+        self.fronts[n].ledger.iter_mut().for_each(|ledger| ledger.begin_shutdown(at));
         self.drain(n);
     }
 
@@ -228,7 +229,7 @@
 
     fn drain(&mut self, n: usize) {
         let Some(ledger) = &mut self.fronts[n].ledger else { return };
-        let Out { packets, saves, done } = ledger.take();
+        let Output { packets, saves, done } = ledger.take_output();
         for done in done {
             self.record.answered(n, self.fronts[n].incarnation, done, self.now);
         }
@@ -249,7 +250,7 @@
             self.fronts[n].saves.push_back((after.max(self.now + takes), save));
         }
         if self.hasty {
-            let more = self.fronts[n].ledger.as_mut().map(Ledger::take).unwrap_or_default();
+            let more = self.fronts[n].ledger.as_mut().map(Ledger::take_output).unwrap_or_default();
             more.done.into_iter().for_each(|done| {
                 self.record.answered(n, self.fronts[n].incarnation, done, self.now);
             });
@@ -292,7 +293,7 @@
             let moment = self.at(to);
             if self.is_up(to) {
                 if let Some(ledger) = &mut self.fronts[to].ledger {
-                    ledger.heard(moment, id(from), &bytes);
+                    ledger.receive(moment, id(from), &bytes);
                 }
                 self.drain(to);
             }
@@ -372,7 +373,7 @@
     pub fn copies(&self, shard: u16) -> usize {
         let kept = self.fronts.iter().filter_map(|front| front.ledger.as_ref());
         let configs: Vec<u32> = kept
-            .flat_map(|ledger| ledger.kept().filter(|(of, ..)| *of == shard).map(|(_, c, _)| c))
+            .flat_map(|ledger| ledger.replicas().filter(|of| of.shard == shard).map(|of| of.config))
             .collect();
         let latest = configs.iter().max();
         configs.iter().filter(|config| Some(*config) == latest).count()
@@ -381,7 +382,7 @@
     pub fn is_whole(&self) -> bool {
         let owned = |shard| {
             let fronts = self.fronts.iter().filter_map(|front| front.ledger.as_ref());
-            fronts.flat_map(Ledger::kept).any(|(of, _, leads)| of == shard && leads)
+            fronts.flat_map(Ledger::replicas).any(|of| of.shard == shard && of.is_leader)
         };
         (0..self.setup.shards).all(|shard| self.copies(shard) == self.setup.copies && owned(shard))
     }
@@ -389,7 +390,7 @@
     pub fn owner(&self, key: &str) -> Option<usize> {
         let shard = shard_of(&Key { kind: Kind::Order, name: key.to_string() }, self.setup.shards);
         let leads = |ledger: &Ledger| {
-            ledger.kept().filter(|(of, _, leads)| *of == shard && *leads).map(|k| k.1).max()
+            ledger.replicas().filter(|of| of.shard == shard && of.is_leader).map(|of| of.config).max()
         };
         (0..self.fronts.len())
             .filter(|n| self.is_up(*n))
