--- a/crates/ledger/src/formats_tests.rs
+++ b/crates/ledger/src/formats_tests.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn what_the_first_build_writes_and_reads_stays_as_it_is() {
+fn the_encoding_of_the_first_format_is_unchanged() {
     let golden: Vec<&str> = include_str!("format1.txt").lines().collect();
     let now: Vec<String> =
         first_format().iter().map(|(what, bytes)| format!("{what} {}", hex(bytes))).collect();
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_later_form_is_written_once_its_reader_has_shown_it_and_not_to_its_next_life() {
+fn a_later_format_is_used_once_its_reader_has_shown_it_and_not_to_its_next_incarnation() {
     let mut formats = PeerFormats::default();
     assert_eq!(formats.of(2, 7), 1);
     let message = formats.introduction(0, 2, 7).unwrap();
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn what_later_forms_say_stays_as_it_is_and_what_is_later_still_is_refused_with_its_form() {
+fn the_encoding_of_later_formats_is_unchanged_and_unknown_formats_are_refused_by_number() {
     let golden: Vec<&str> = include_str!("format3.txt").lines().collect();
     let now: Vec<String> =
         third_format().iter().map(|(what, bytes)| format!("{what} {}", hex(bytes))).collect();
--- a/crates/ledger/src/placement_tests.rs
+++ b/crates/ledger/src/placement_tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn copies_lie_in_different_zones_and_shards_are_spread() {
+fn replicas_lie_in_different_zones_and_shards_are_spread() {
     let members = members(40, 4);
     let mut held = std::collections::BTreeMap::new();
     for shard in 0..256 {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_front_less_moves_only_its_own_copies() {
+fn removing_a_front_moves_only_its_own_replicas() {
     let all = members(12, 1);
     for shard in 0..64 {
         let before = ranked(&all, shard);
--- a/crates/ledger/src/state_tests.rs
+++ b/crates/ledger/src/state_tests.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn nothing_counts_after_the_shard_was_handed_over() {
+fn nothing_counts_after_the_members_have_changed() {
     let mut state = State::new(LIMITS);
     once(&mut state, 1_000, command(1, 1, "a", claim(0)));
     let next = vec![ReplicaId { front: 1, disk: 5 }];
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn snapshots_made_piece_by_piece_tell_what_the_whole_log_tells() {
+fn snapshots_merged_piece_by_piece_hold_what_the_whole_log_holds() {
     let log: Vec<Batch> = (0..12u64)
         .map(|n| {
             let act = [claim(1_000 + 100 * n), put(None), Act::Free][n as usize % 3].clone();
--- a/crates/ledger/tests/scrub.rs
+++ b/crates/ledger/tests/anti_entropy.rs
@@ -22,20 +22,20 @@
 }
 
 #[test]
-fn a_copy_that_lost_a_write_is_found_and_mended_whoever_owns_the_shard_and_all_others_are_left_alone() {
+fn a_replica_that_lost_a_write_is_found_and_repaired_whoever_leads_and_all_others_are_left_alone() {
     for of_owner in [false, true] {
         let mut fleet = Fleet::new(3, 3, 1, 5);
         assert!(fleet.run_until(10 * SECOND, Fleet::is_whole));
         for k in 0..100 {
-            fleet.surely(k % 3, &format!("r{}", k % 10), put(k as u64));
+            fleet.get_until_answered(k % 3, &format!("r{}", k % 10), put(k as u64));
         }
         fleet.run(fleet.now + 200 * SECOND);
         assert_eq!(told(&fleet), (0, 0), "copies that are alike were found to differ");
-        let owner = fleet.owner("r0").unwrap();
+        let owner = fleet.leader("r0").unwrap();
         let n = if of_owner { owner } else { (owner + 1) % 3 };
         let before = snapshot(&fleet, n);
         for k in 100..300 {
-            fleet.surely(k % 3, &format!("r{}", k % 10), put(k as u64));
+            fleet.get_until_answered(k % 3, &format!("r{}", k % 10), put(k as u64));
         }
         fleet.run(fleet.now + SECOND);
         assert_ne!(snapshot(&fleet, n), before);
@@ -47,14 +47,14 @@
             // It owns the shard again before anybody has compared.
             let others: Vec<usize> = (0..3).filter(|k| *k != n).collect();
             assert!(fleet.run_until(5 * SECOND, Fleet::is_whole));
-            others.iter().for_each(|k| fleet.goes(*k));
-            assert!(fleet.run_until(5 * SECOND, |fleet| fleet.owner("r0") == Some(n)));
+            others.iter().for_each(|k| fleet.begin_shutdown(*k));
+            assert!(fleet.run_until(5 * SECOND, |fleet| fleet.leader("r0") == Some(n)));
             for k in others {
                 fleet.kill(k);
                 fleet.start(k);
                 fleet.run(fleet.now + SECOND);
             }
-            assert_eq!(fleet.owner("r0"), Some(n));
+            assert_eq!(fleet.leader("r0"), Some(n));
         }
         assert!(fleet.run_until(120 * SECOND, |fleet| told(fleet).1 > 0), "{:?}", told(&fleet));
         fleet.run(fleet.now + 200 * SECOND);
@@ -67,7 +67,9 @@
         fleet.run(fleet.now + 2 * SECOND);
         fleet.kill((n + 1) % 3);
         for k in 0..10 {
-            let Outcome::Stands(entry) = fleet.surely(n, &format!("r{k}"), Act::Read) else { panic!("r{k}") };
+            let Outcome::Stands(entry) = fleet.get_until_answered(n, &format!("r{k}"), Act::Read) else {
+                panic!("r{k}")
+            };
             assert_eq!(entry.value, (290 + k as u64).to_be_bytes());
         }
         let faults = fleet.record.faults();
--- a/crates/ledger/tests/drawn.rs
+++ b/crates/ledger/tests/drawn.rs
@@ -9,55 +9,17 @@
 
 const WALL: u64 = 1_800_000_000_000;
 
-/// A client at each front, that claims, frees, reads and writes.
-fn act(fleet: &mut Fleet, unique: &mut u64, unreached: &mut Vec<(usize, u64, Ask, Micros)>) {
-    let fronts = fleet.fronts.len();
-    let n = fleet.chance.random_range(0..fronts);
-    if !fleet.is_up(n) {
-        return;
-    }
-    let (key, register) = (fleet.chance.random_range(0..4), fleet.chance.random_range(0..4));
-    let wall = (WALL as i64 + fleet.now / 1_000 + fleet.fronts[n].ahead) as u64;
-    *unique += 1;
-    let value = unique.to_be_bytes().to_vec();
-    let (name, act) = match fleet.chance.random_range(0..6) {
-        0 | 1 => {
-            let ends_ms = wall + fleet.chance.random_range(200..3_000);
-            (format!("claim {key}"), Act::Claim { ends_ms, value })
-        }
-        2 => (format!("claim {key}"), Act::Free),
-        3 | 4 => (format!("r{register}"), Act::Put { expects: None, ends_ms: 0, value }),
-        _ => (format!("r{register}"), Act::Read),
-    };
-    // A front asks one thing of a key at a time.
-    let same = |(of, _, ask, _): &(usize, u64, Ask, Micros)| *of == n && ask.key.name == name;
-    if act != Act::Read && unreached.iter().any(same) {
-        return;
-    }
-    let number = fleet.ask(n, &name, act.clone());
-    let ask = Ask { number, key: Key { kind: Kind::Order, name }, act };
-    unreached.push((n, fleet.fronts[n].incarnation, ask, fleet.now));
-}
-
-/// Asks again what nobody answered: under the same number, it counts once.
-fn again(fleet: &mut Fleet, unreached: &mut Vec<(usize, u64, Ask, Micros)>) {
-    let waiting = std::mem::take(unreached);
-    for (n, incarnation, ask, asked) in waiting {
-        let same = fleet.is_up(n) && fleet.fronts[n].incarnation == incarnation;
-        match fleet.record.outcome(n, incarnation, ask.number) {
-            Some(Outcome::Unreachable) if same && fleet.now - asked < 8 * SECOND => {
-                fleet.again(n, ask.clone());
-                unreached.push((n, incarnation, ask, asked));
-            }
-            None if same => unreached.push((n, incarnation, ask, asked)),
-            _ => {}
-        }
-    }
+/// An ask that was made and not answered yet, or only as unreachable.
+struct Unanswered {
+    front: usize,
+    incarnation: u64,
+    ask: Ask,
+    asked: Micros,
 }
 
-/// What was played, and what came of it.
+/// What was drawn, and what came of it.
 #[derive(Debug, Default)]
-struct Played {
+struct Totals {
     lost_disks: usize,
     killed: usize,
     stopped: usize,
@@ -69,102 +31,190 @@
     unreachable: usize,
 }
 
-fn play(seed: u64, seconds: i64, same_disk: bool) -> (Fleet, Played) {
-    let (fronts, copies, shards) = [(3, 3, 1), (4, 3, 2), (5, 3, 3), (5, 5, 1)][seed as usize % 4];
-    let mut fleet = Fleet::new(fronts, copies, shards, seed);
-    fleet.same_disk = same_disk;
-    fleet.setup.repair_after = 4 * SECOND;
-    // Copies move for balance too, all at once.
-    (fleet.setup.moves_percent, fleet.setup.zone_after) = (100, 8 * SECOND);
-    (fleet.setup.most_bytes, fleet.setup.repair_bytes) = (8_192, 65_536);
-    fleet.start_anew(fronts);
-    fleet.run_until(10 * SECOND, Fleet::is_whole);
-    let (mut played, mut unique, mut unreached) = (Played::default(), 0, Vec::new());
-    let mut mend = fleet.now;
-    let mut lost: Option<usize> = None;
-    let end = fleet.now + seconds * SECOND;
-    while fleet.now < end {
-        fleet.run(fleet.now + 20_000);
-        for _ in 0..fleet.chance.random_range(0..3) {
-            act(&mut fleet, &mut unique, &mut unreached);
+/// A fleet under drawn asks and faults.
+struct Run {
+    fleet: Fleet,
+    totals: Totals,
+    /// The value written last: each is another.
+    unique: u64,
+    unanswered: Vec<Unanswered>,
+    next_fault: Micros,
+    /// The front that has lost its disk, until all replicas stand again.
+    lost: Option<usize>,
+    copies: usize,
+}
+
+impl Run {
+    fn new(seed: u64, same_disk: bool) -> Run {
+        let (fronts, copies, shards) = [(3, 3, 1), (4, 3, 2), (5, 3, 3), (5, 5, 1)][seed as usize % 4];
+        let mut fleet = Fleet::new(fronts, copies, shards, seed);
+        fleet.same_disk = same_disk;
+        fleet.setup.repair_after = 4 * SECOND;
+        // Replicas move for balance too, all at once.
+        (fleet.setup.moves_percent, fleet.setup.zone_after) = (100, 8 * SECOND);
+        (fleet.setup.most_bytes, fleet.setup.repair_bytes) = (8_192, 65_536);
+        fleet.start_anew(fronts);
+        fleet.run_until(10 * SECOND, Fleet::is_whole);
+        let next_fault = fleet.now;
+        let (totals, unanswered) = (Totals::default(), Vec::new());
+        Run { fleet, totals, unique: 0, unanswered, next_fault, lost: None, copies }
+    }
+
+    /// A client at a drawn front claims, frees, reads or writes.
+    fn ask(&mut self) {
+        let fleet = &mut self.fleet;
+        let n = fleet.chance.random_range(0..fleet.fronts.len());
+        if !fleet.is_up(n) {
+            return;
+        }
+        let (key, register) = (fleet.chance.random_range(0..4), fleet.chance.random_range(0..4));
+        let wall = (WALL as i64 + fleet.now / 1_000 + fleet.fronts[n].ahead) as u64;
+        self.unique += 1;
+        let value = self.unique.to_be_bytes().to_vec();
+        let (name, act) = match fleet.chance.random_range(0..6) {
+            0 | 1 => {
+                let ends_ms = wall + fleet.chance.random_range(200..3_000);
+                (format!("claim {key}"), Act::Claim { ends_ms, value })
+            }
+            2 => (format!("claim {key}"), Act::Free),
+            3 | 4 => (format!("r{register}"), Act::Put { expects: None, ends_ms: 0, value }),
+            _ => (format!("r{register}"), Act::Read),
+        };
+        // A front asks one thing of a key at a time.
+        let same = |other: &Unanswered| other.front == n && other.ask.key.name == name;
+        if act != Act::Read && self.unanswered.iter().any(same) {
+            return;
+        }
+        let number = fleet.ask(n, &name, act.clone());
+        let ask = Ask { number, key: Key { kind: Kind::Order, name }, act };
+        let incarnation = fleet.fronts[n].incarnation;
+        self.unanswered.push(Unanswered { front: n, incarnation, ask, asked: fleet.now });
+    }
+
+    /// Asks again what nobody answered: under the same number, it counts once.
+    fn repeat_unreachable(&mut self) {
+        let fleet = &mut self.fleet;
+        for waiting in std::mem::take(&mut self.unanswered) {
+            let Unanswered { front, incarnation, ref ask, asked } = waiting;
+            let same = fleet.is_up(front) && fleet.fronts[front].incarnation == incarnation;
+            match fleet.record.outcome(front, incarnation, ask.number) {
+                Some(Outcome::Unreachable) if same && fleet.now - asked < 8 * SECOND => {
+                    fleet.repeat(front, ask.clone());
+                    self.unanswered.push(waiting);
+                }
+                None if same => self.unanswered.push(waiting),
+                _ => {}
+            }
+        }
+    }
+
+    /// A while with asks, and with a fault where one is due.
+    fn step(&mut self) {
+        self.fleet.run(self.fleet.now + 20_000);
+        for _ in 0..self.fleet.chance.random_range(0..3) {
+            self.ask();
         }
-        if fleet.chance.random_bool(0.1) {
-            again(&mut fleet, &mut unreached);
+        if self.fleet.chance.random_bool(0.1) {
+            self.repeat_unreachable();
         }
         // A change under way may yet take in the disk that was lost.
+        let fleet = &self.fleet;
         let settled = fleet.cut.is_empty() && fleet.moving() == 0 && fleet.is_whole();
-        if lost.is_some() && settled && (0..fronts).all(|n| fleet.is_up(n) && !fleet.fronts[n].fails) {
-            lost = None;
+        let all_up = || (0..fleet.fronts.len()).all(|n| fleet.is_up(n) && !fleet.fronts[n].fails);
+        if self.lost.is_some() && settled && all_up() {
+            self.lost = None;
         }
-        if fleet.now < mend {
-            continue;
+        if self.fleet.now >= self.next_fault {
+            self.next_fault = self.fleet.now + self.fleet.chance.random_range(200_000..2 * SECOND);
+            self.inject_fault();
         }
-        mend = fleet.now + fleet.chance.random_range(200_000..2 * SECOND);
+    }
+
+    fn inject_fault(&mut self) {
+        let Run { fleet, totals, lost, copies, .. } = self;
+        let fronts = fleet.fronts.len();
         let n = fleet.chance.random_range(0..fronts);
         match fleet.chance.random_range(0..12) {
             0 if fleet.fronts[n].ledger.is_some() => {
                 fleet.kill(n);
-                played.killed += 1;
+                totals.killed += 1;
             }
-            // One disk at a time: the copies are made again before the next.
+            // One disk at a time: the replicas are rebuilt before the next.
             1 | 2 if lost.is_none() => {
                 fleet.lose(n);
-                (lost, played.lost_disks) = (Some(n), played.lost_disks + 1);
+                (*lost, totals.lost_disks) = (Some(n), totals.lost_disks + 1);
             }
             3 if fleet.is_up(n) => {
                 fleet.fronts[n].stopped = true;
-                played.stopped += 1;
+                totals.stopped += 1;
             }
             4 => {
-                let many = fleet.chance.random_range(1..fronts);
-                let side: Vec<usize> = (0..many).map(|k| (n + k) % fronts).collect();
-                fleet.cut_off(&side);
-                if fleet.chance.random_bool(0.3) {
-                    fleet.cut_off(&[(n + many) % fronts]); // in three
-                }
-                played.cut += 1;
+                partition(fleet, n);
+                totals.cut += 1;
             }
             5 => {
                 let other = (n + 1) % fronts;
                 fleet.cut.push((n, other)); // one way only
-                played.cut += 1;
+                totals.cut += 1;
             }
             6 => fleet.fronts[n].slow = 2 * SECOND,
             7 if lost.is_none() && fleet.is_up(n) => {
                 fleet.fronts[n].fails = true;
-                // It keeps nothing any more: as good as lost, until it comes back.
-                (lost, played.failed) = (Some(n), played.failed + 1);
+                // It saves nothing any more: as good as lost, until it comes back.
+                (*lost, totals.failed) = (Some(n), totals.failed + 1);
             }
-            // The operator's list loses a front, or has it again; one that is out of it still keeps what it has to.
-            8 if lost.is_none() && fronts > copies => {
-                listed(&mut fleet, copies);
-                played.listed += 1;
+            // The operator's list loses a front, or has it again; one that is out of it still holds what it has to.
+            8 if lost.is_none() && fronts > *copies => {
+                change_list(fleet, *copies);
+                totals.listed += 1;
             }
             // What gossip says, right or wrong.
             9 => {
                 let (up, away): (Vec<usize>, Vec<usize>) =
                     (0..fronts).partition(|k| fleet.is_up(*k) != (*k == n));
-                fleet.health(&up, &away);
+                fleet.set_health(&up, &away);
             }
             _ => {
                 fleet.cut.clear();
                 fleet.lost = fleet.chance.random_range(0.0..0.1);
                 fleet.doubled = fleet.chance.random_range(0.0..0.1);
-                for n in 0..fronts {
-                    (fleet.fronts[n].slow, fleet.fronts[n].stopped) = (4_000, false);
-                    if fleet.fronts[n].fails {
-                        fleet.lose(n);
-                    }
-                    if fleet.fronts[n].ledger.is_none() {
-                        fleet.start(n);
-                    }
-                }
+                heal_fronts(fleet);
+            }
+        }
+    }
+
+    /// Heals everything; the fleet, and what came of the run.
+    fn finish(self) -> (Fleet, Totals) {
+        let Run { mut fleet, mut totals, .. } = self;
+        (fleet.cut, fleet.lost, fleet.doubled) = (Vec::new(), 0.0, 0.0);
+        heal_fronts(&mut fleet);
+        let ledgers = fleet.fronts.iter().filter_map(|front| front.ledger.as_ref());
+        totals.moved = ledgers.map(|ledger| ledger.counters().moved).sum();
+        for op in &fleet.record.ops {
+            match op.done {
+                Some((_, Outcome::Unreachable)) => totals.unreachable += 1,
+                Some((_, Outcome::Stands(_))) => totals.stood += 1,
+                _ => {}
             }
         }
+        (fleet, totals)
+    }
+}
+
+/// Cuts some fronts off from the others, and now and then one more from both sides.
+fn partition(fleet: &mut Fleet, first: usize) {
+    let fronts = fleet.fronts.len();
+    let many = fleet.chance.random_range(1..fronts);
+    let side: Vec<usize> = (0..many).map(|k| (first + k) % fronts).collect();
+    fleet.cut_off(&side);
+    if fleet.chance.random_bool(0.3) {
+        fleet.cut_off(&[(first + many) % fronts]); // in three
     }
-    // All well again: everything stands once more.
-    (fleet.cut, fleet.lost, fleet.doubled) = (Vec::new(), 0.0, 0.0);
-    for n in 0..fronts {
+}
+
+/// All fronts run again at their usual speed; one whose disk fails gets another.
+fn heal_fronts(fleet: &mut Fleet) {
+    for n in 0..fleet.fronts.len() {
         (fleet.fronts[n].slow, fleet.fronts[n].stopped) = (4_000, false);
         if fleet.fronts[n].fails {
             fleet.lose(n);
@@ -173,38 +223,37 @@
             fleet.start(n);
         }
     }
-    let ledgers = fleet.fronts.iter().filter_map(|front| front.ledger.as_ref());
-    played.moved = ledgers.map(|ledger| ledger.counters().moved).sum();
-    for op in &fleet.record.ops {
-        match op.done {
-            Some((_, Outcome::Unreachable)) => played.unreachable += 1,
-            Some((_, Outcome::Stands(_))) => played.stood += 1,
-            _ => {}
-        }
+}
+
+fn run(seed: u64, seconds: i64, same_disk: bool) -> (Fleet, Totals) {
+    let mut run = Run::new(seed, same_disk);
+    let end = run.fleet.now + seconds * SECOND;
+    while run.fleet.now < end {
+        run.step();
     }
-    (fleet, played)
+    run.finish()
 }
 
 /// Changes the list for all that run; others read it as they start.
-fn listed(fleet: &mut Fleet, copies: usize) {
+fn change_list(fleet: &mut Fleet, copies: usize) {
     let mut members = Fleet::members(fleet.fronts.len());
     if fleet.setup.members.len() == members.len() && members.len() > copies {
         members.remove(fleet.chance.random_range(0..members.len()));
     }
-    fleet.list(members);
+    fleet.set_members(members);
 }
 
 #[test]
 fn drawn_faults_lose_nothing_and_give_nothing_twice() {
     let first: u64 = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(1);
     let seeds: u64 = std::env::var("SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(16);
-    let mut all = Played::default();
+    let mut all = Totals::default();
     for seed in first..first + seeds {
-        let (mut fleet, played) = play(seed, 40, false);
+        let (mut fleet, totals) = run(seed, 40, false);
         let whole = fleet.run_until(60 * SECOND, Fleet::is_whole);
         for r in 0..4 {
             if whole {
-                fleet.surely(r % fleet.fronts.len(), &format!("r{r}"), Act::Read);
+                fleet.get_until_answered(r % fleet.fronts.len(), &format!("r{r}"), Act::Read);
             }
         }
         let faults = fleet.record.faults();
@@ -214,17 +263,17 @@
             faults.len(),
             &faults[..faults.len().min(3)]
         );
-        assert!(whole, "seed {seed}: not all copies stand again: {played:?}");
-        assert!(played.stood > 100, "seed {seed}: {played:?}");
-        all.lost_disks += played.lost_disks;
-        all.killed += played.killed;
-        all.stopped += played.stopped;
-        all.cut += played.cut;
-        all.failed += played.failed;
-        all.listed += played.listed;
-        all.moved += played.moved;
-        all.stood += played.stood;
-        all.unreachable += played.unreachable;
+        assert!(whole, "seed {seed}: not all copies stand again: {totals:?}");
+        assert!(totals.stood > 100, "seed {seed}: {totals:?}");
+        all.lost_disks += totals.lost_disks;
+        all.killed += totals.killed;
+        all.stopped += totals.stopped;
+        all.cut += totals.cut;
+        all.failed += totals.failed;
+        all.listed += totals.listed;
+        all.moved += totals.moved;
+        all.stood += totals.stood;
+        all.unreachable += totals.unreachable;
     }
     println!("{seeds} seeds: {all:?}");
     let least = seeds as usize;
@@ -237,6 +286,6 @@
 /// Without a safety rule the same faults do harm: at least one of so many seeds shows it.
 #[test]
 fn a_disk_that_comes_back_empty_under_its_old_identity_does_harm() {
-    let harmed = |seed| !play(seed, 40, true).0.record.faults().is_empty();
+    let harmed = |seed| !run(seed, 40, true).0.record.faults().is_empty();
     assert!((1..=24).any(harmed));
 }
--- a/crates/ledger/tests/lines.rs
+++ b/crates/ledger/tests/key_queues.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn who_waits_for_a_key_is_told_in_the_order_of_arrival_and_no_front_starves() {
+fn fronts_that_wait_for_a_key_get_it_in_order_of_arrival_and_none_starves() {
     let (polled, told) = (tally(&play(2, 30)), tally(&play(hallmux_ledger::FORMAT, 30)));
     println!(
         "asking again: {polled:?}, told: {told:?} (times, middle and longest wait in us, least and most)"
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/ledger/tests/ledger.rs
@@ -22,14 +22,17 @@
 }
 
 #[test]
-fn a_fleet_begins_and_any_front_is_answered() {
+fn a_fleet_starts_and_any_front_is_answered() {
     for (fronts, copies) in [(1, 1), (3, 1), (3, 3), (2, 2), (5, 5), (7, 3)] {
         let mut fleet = whole(fronts, copies, 4, 1);
         for n in 0..fronts {
             let key = format!("r{n}");
-            assert!(matches!(fleet.surely(n, &key, put(7)), Outcome::Stands(_)), "{fronts} {copies} {n}");
+            assert!(
+                matches!(fleet.get_until_answered(n, &key, put(7)), Outcome::Stands(_)),
+                "{fronts} {copies} {n}"
+            );
             let other = (n + 1) % fronts;
-            assert!(matches!(fleet.surely(other, &key, Act::Read), Outcome::Stands(_)));
+            assert!(matches!(fleet.get_until_answered(other, &key, Act::Read), Outcome::Stands(_)));
         }
         sound(&fleet);
     }
@@ -39,7 +42,7 @@
 fn a_front_that_lost_its_disk_is_taken_in_as_a_new_member() {
     let mut fleet = whole(4, 3, 4, 2);
     for n in 0..40 {
-        fleet.surely(n % 4, &format!("r{n}"), put(n as u64));
+        fleet.get_until_answered(n % 4, &format!("r{n}"), put(n as u64));
     }
     for n in 0..4 {
         fleet.lose(n);
@@ -49,7 +52,7 @@
         assert!(fleet.run_until(20 * SECOND, Fleet::is_whole), "front {n}");
         println!("front {n}: whole after {} ms", (fleet.now - began) / 1_000);
         for k in 0..40 {
-            let outcome = fleet.surely(k % 4, &format!("r{k}"), Act::Read);
+            let outcome = fleet.get_until_answered(k % 4, &format!("r{k}"), Act::Read);
             assert!(matches!(&outcome, Outcome::Stands(_)), "{outcome:?}");
         }
     }
@@ -57,9 +60,9 @@
 }
 
 /// All lose their power at once, with whatever was not lasting: of disks that take 2 s.
-fn power_lost(hasty: bool) -> Vec<String> {
+fn power_lost(answers_before_saves: bool) -> Vec<String> {
     let mut fleet = whole(3, 3, 1, 3);
-    fleet.hasty = hasty;
+    fleet.answers_before_saves = answers_before_saves;
     fleet.fronts.iter_mut().for_each(|front| front.slow = 2 * SECOND);
     for value in 0..20 {
         let number = fleet.ask(value % 3, "r", put(value as u64));
@@ -74,35 +77,35 @@
         fleet.start(n);
     }
     assert!(fleet.run_until(20 * SECOND, Fleet::is_whole));
-    fleet.surely(0, "r", Act::Read);
+    fleet.get_until_answered(0, "r", Act::Read);
     fleet.record.faults()
 }
 
 #[test]
-fn what_was_told_is_lasting_though_all_lose_their_power_and_told_earlier_it_is_lost() {
+fn answers_survive_a_power_loss_of_all_fronts_and_those_given_before_the_save_do_not() {
     assert!(power_lost(false).is_empty());
     assert!(!power_lost(true).is_empty());
 }
 
 #[test]
-fn an_owner_that_was_stopped_wakes_and_serves_nothing_stale() {
+fn a_leader_that_was_suspended_serves_nothing_stale() {
     let mut fleet = whole(3, 3, 1, 4);
-    fleet.surely(0, "r", put(1));
-    let owner = fleet.owner("r").unwrap();
+    fleet.get_until_answered(0, "r", put(1));
+    let owner = fleet.leader("r").unwrap();
     let others: Vec<usize> = (0..3).filter(|n| *n != owner).collect();
     fleet.fronts[owner].stopped = true;
-    fleet.surely(others[0], "r", put(2));
+    fleet.get_until_answered(others[0], "r", put(2));
     // It wakes and is asked at once, before it has heard of anything.
     fleet.fronts[owner].stopped = false;
-    let Outcome::Stands(entry) = fleet.surely(owner, "r", Act::Read) else { panic!() };
+    let Outcome::Stands(entry) = fleet.get_until_answered(owner, "r", Act::Read) else { panic!() };
     assert_eq!(entry.value, 2u64.to_be_bytes());
     sound(&fleet);
 }
 
 #[test]
-fn without_a_majority_the_answer_is_unreachable_within_its_time_and_asked_again_it_counts_once() {
+fn without_a_quorum_the_answer_is_unreachable_in_time_and_a_repeat_counts_once() {
     let mut fleet = whole(3, 3, 1, 5);
-    let cut: Vec<usize> = (0..3).filter(|n| Some(*n) != fleet.owner("r")).collect();
+    let cut: Vec<usize> = (0..3).filter(|n| Some(*n) != fleet.leader("r")).collect();
     fleet.cut_off(&cut[..1]);
     fleet.run(fleet.now + SECOND);
     let asked = fleet.now;
@@ -110,22 +113,22 @@
     assert!(fleet.run_until(SECOND, |fleet| fleet.outcome(cut[0], number) == Some(&Outcome::Unreachable)));
     assert!(fleet.now - asked <= 510_000, "{}", fleet.now - asked);
     // The other side goes on; the ask asked again after the cut stands once, and the later write after it.
-    fleet.surely(cut[1], "r", put(2));
+    fleet.get_until_answered(cut[1], "r", put(2));
     fleet.cut.clear();
     let key = hallmux_ledger::Key { kind: hallmux_ledger::Kind::Order, name: "r".to_string() };
-    fleet.again(cut[0], hallmux_ledger::Ask { number, key, act: put(1) });
+    fleet.repeat(cut[0], hallmux_ledger::Ask { number, key, act: put(1) });
     fleet.run(fleet.now + SECOND);
     assert!(matches!(fleet.outcome(cut[0], number), Some(Outcome::Stands(_))));
     sound(&fleet);
 }
 
 #[test]
-fn a_member_that_is_gone_for_good_is_replaced_after_the_patience_and_its_return_changes_nothing() {
+fn a_lost_member_is_replaced_after_the_repair_delay_and_its_return_changes_nothing() {
     let mut fleet = whole(5, 3, 2, 6);
     for n in 0..30 {
-        fleet.surely(n % 5, &format!("r{n}"), put(n as u64));
+        fleet.get_until_answered(n % 5, &format!("r{n}"), put(n as u64));
     }
-    let gone = fleet.owner("r1").unwrap();
+    let gone = fleet.leader("r1").unwrap();
     fleet.kill(gone);
     let since = fleet.now;
     assert!(fleet.run_until(30 * SECOND, Fleet::is_whole));
@@ -134,7 +137,7 @@
     fleet.start(gone);
     fleet.run(fleet.now + 5 * SECOND);
     for n in 0..30 {
-        assert!(matches!(fleet.surely(gone, &format!("r{n}"), Act::Read), Outcome::Stands(_)));
+        assert!(matches!(fleet.get_until_answered(gone, &format!("r{n}"), Act::Read), Outcome::Stands(_)));
     }
     sound(&fleet);
 }
@@ -142,7 +145,7 @@
 #[test]
 fn asks_that_arrive_together_share_rounds() {
     let mut fleet = whole(3, 3, 1, 7);
-    let owner = fleet.owner("r").unwrap();
+    let owner = fleet.leader("r").unwrap();
     let before = fleet.fronts[owner].ledger.as_ref().unwrap().counters();
     for n in 0..200 {
         fleet.ask(n % 3, &format!("r{n}"), put(n as u64));
@@ -155,16 +158,20 @@
 }
 
 #[test]
-fn a_large_shard_is_copied_again_at_its_budget_though_letters_are_lost() {
+fn a_large_shard_is_rebuilt_at_its_rate_though_packets_are_lost() {
     let mut fleet = Fleet::new(3, 3, 1, 8);
     fleet.setup.repair_bytes = 65_536;
     (0..3).for_each(|n| fleet.start(n));
     assert!(fleet.run_until(10 * SECOND, Fleet::is_whole));
     for n in 0..250u64 {
         let value = n.to_be_bytes().repeat(128);
-        fleet.surely(n as usize % 3, &format!("r{n}"), Act::Put { expects: None, ends_ms: 0, value });
+        fleet.get_until_answered(
+            n as usize % 3,
+            &format!("r{n}"),
+            Act::Put { expects: None, ends_ms: 0, value },
+        );
     }
-    let lost = (0..3).find(|n| Some(*n) != fleet.owner("r0")).unwrap();
+    let lost = (0..3).find(|n| Some(*n) != fleet.leader("r0")).unwrap();
     fleet.lose(lost);
     fleet.run(fleet.now + SECOND);
     (fleet.lost, fleet.doubled) = (0.05, 0.05);
@@ -177,12 +184,12 @@
     // Cut off for long, a member is brought on by its log alone.
     fleet.cut_off(&[lost]);
     for n in 0..150u64 {
-        fleet.surely((lost + 1) % 3, &format!("r{n}"), put(n));
+        fleet.get_until_answered((lost + 1) % 3, &format!("r{n}"), put(n));
     }
     fleet.cut.clear();
     fleet.run(fleet.now + 3 * SECOND);
     for n in 0..250 {
-        assert!(matches!(fleet.surely(lost, &format!("r{n}"), Act::Read), Outcome::Stands(_)));
+        assert!(matches!(fleet.get_until_answered(lost, &format!("r{n}"), Act::Read), Outcome::Stands(_)));
     }
     sound(&fleet);
 }
@@ -193,7 +200,7 @@
     for seed in 20..60 {
         let mut fleet = whole(4, 3, 1, seed);
         fleet.late = late;
-        let owner = fleet.owner("r").unwrap();
+        let owner = fleet.leader("r").unwrap();
         let others: Vec<usize> = (0..4).filter(|n| *n != owner).collect();
         for n in &others {
             fleet.lose(*n);
@@ -213,7 +220,7 @@
 }
 
 #[test]
-fn a_change_of_members_holds_up_no_ask_for_an_election() {
+fn a_membership_change_delays_no_ask_by_an_election() {
     // An election takes 300 ms without a word of an owner and some round trips.
     let longest = asks_during_changes(0.0);
     assert!(
@@ -228,10 +235,10 @@
 }
 
 #[test]
-fn a_missing_copy_is_made_again_among_rounds_back_to_back() {
+fn a_missing_replica_is_rebuilt_among_rounds_back_to_back() {
     let mut fleet = Fleet::new(4, 3, 1, 3);
     assert!(fleet.run_until(10 * SECOND, Fleet::is_whole));
-    let owner = fleet.owner("k").expect("one owns the only shard");
+    let owner = fleet.leader("k").expect("one owns the only shard");
     let keeps =
         |fleet: &Fleet, n: usize| fleet.fronts[n].ledger.as_ref().is_some_and(|l| l.replicas().count() > 0);
     let lost = (0..4).find(|n| *n != owner && keeps(&fleet, *n)).expect("others keep copies");
--- a/crates/ledger/tests/follow.rs
+++ b/crates/ledger/tests/rebalance.rs
@@ -47,7 +47,7 @@
 /// What gossip would say to each front.
 fn health(fleet: &mut Fleet) {
     let (up, away): (Vec<usize>, Vec<usize>) = (0..fleet.fronts.len()).partition(|n| fleet.is_up(*n));
-    fleet.health(&up, &away);
+    fleet.set_health(&up, &away);
 }
 
 /// Writes and reads all the time; the count of asks that nobody answered.
@@ -76,24 +76,24 @@
 fn sound(fleet: &mut Fleet) {
     for k in 0..40 {
         let n = (0..fleet.fronts.len()).find(|n| fleet.is_up(*n)).unwrap();
-        fleet.surely(n, &format!("r{k}"), Act::Read);
+        fleet.get_until_answered(n, &format!("r{k}"), Act::Read);
     }
     let faults = fleet.record.faults();
     assert!(faults.is_empty(), "{faults:#?}");
 }
 
 #[test]
-fn fronts_that_join_take_their_part_while_asks_are_answered_and_no_shard_begins_anew() {
+fn fronts_that_join_take_their_part_while_asks_are_answered_and_no_shard_is_started_twice() {
     let mut fleet = begun(9, 4, 16, 1);
     for k in 0..40 {
-        fleet.surely(0, &format!("r{k}"), put(k));
+        fleet.get_until_answered(0, &format!("r{k}"), put(k));
     }
     // The list names five more; each front hears so in its own time, the new ones first.
     fleet.setup.members = Fleet::members(9);
     (4..9).for_each(|n| fleet.start(n));
     fleet.run(fleet.now + 5 * SECOND);
     assert!(keepers(&fleet).values().all(|of| of.iter().all(|n| *n < 4)));
-    fleet.list(Fleet::members(9));
+    fleet.set_members(Fleet::members(9));
     let mut at_once = 0;
     let (unreachable, asked) = busy(&mut fleet, 150, |fleet| {
         at_once = at_once.max(fleet.moving());
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_zone_that_comes_back_costs_no_copies_and_one_that_stays_away_is_replaced_after_the_patience() {
+fn a_zone_that_returns_costs_no_rebuild_and_one_that_stays_away_is_replaced_after_its_delay() {
     let mut fleet = begun(8, 8, 12, 2);
     busy(&mut fleet, 80, |_| {});
     let settled = keepers(&fleet);
--- a/crates/ledger/tests/roll.rs
+++ b/crates/ledger/tests/rolling_restart.rs
@@ -46,7 +46,7 @@
     order.sort_by_key(|n| n % 3);
     for out in order.chunks(2) {
         if hands_over {
-            out.iter().for_each(|n| fleet.goes(*n));
+            out.iter().for_each(|n| fleet.begin_shutdown(*n));
         }
         load(fleet, SECOND / 2, if hands_over { &[] } else { out });
         load(fleet, SECOND / 2, out);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_roll_of_the_fleet_refuses_nothing_and_keeps_asks_waiting_within_their_patience() {
+fn a_rolling_restart_refuses_nothing_and_delays_asks_within_their_timeout() {
     let mut longest = [0; 2];
     for seed in 1..=2 {
         for hands_over in [true, false] {
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_fleet_of_two_builds_works_and_going_back_loses_nothing() {
+fn a_fleet_of_two_builds_works_and_a_rollback_loses_nothing() {
     let mut fleet = begun(|n| 1 + (n % 2) as u8, 3);
     let inherited = |fleet: &Fleet| -> u64 {
         let ledgers = fleet.fronts.iter().filter_map(|front| front.ledger.as_ref());
@@ -119,7 +119,10 @@
         assert_eq!(inherited(&fleet) > 0, hands, "format {format}");
     }
     for k in 0..64 {
-        assert!(matches!(fleet.surely(k % FRONTS, &format!("r{k}"), Act::Read), Outcome::Stands(_)));
+        assert!(matches!(
+            fleet.get_until_answered(k % FRONTS, &format!("r{k}"), Act::Read),
+            Outcome::Stands(_)
+        ));
     }
     sound(&fleet);
 }
@@ -131,7 +134,7 @@
 }
 
 #[test]
-fn what_is_kept_takes_a_later_form_with_the_next_build_and_going_back_one_loses_nothing() {
+fn saved_records_take_a_later_format_with_the_next_build_and_a_rollback_loses_nothing() {
     // The build before this one, this one, and the next: the format that each reads, and the one in which it keeps.
     let builds = [(2, 1), (hallmux_ledger::FORMAT, hallmux_ledger::SAVED_FORMAT), (3, 3)];
     let mut fleet = begun(|_| 2, 4);
@@ -143,12 +146,15 @@
         assert_eq!(kept(&fleet), format, "to build {build}");
     }
     for k in 0..64 {
-        assert!(matches!(fleet.surely(k % FRONTS, &format!("r{k}"), Act::Read), Outcome::Stands(_)));
+        assert!(matches!(
+            fleet.get_until_answered(k % FRONTS, &format!("r{k}"), Act::Read),
+            Outcome::Stands(_)
+        ));
     }
 }
 
 #[test]
-fn one_front_that_reads_no_later_form_holds_it_up_and_what_it_can_not_read_it_leaves_as_it_is() {
+fn one_front_of_an_older_build_holds_a_later_format_up_and_leaves_unreadable_records_as_they_are() {
     let mut fleet = Fleet::new(FRONTS, 3, 16, 5);
     fleet.setup.saved_format = 3;
     fleet.fronts[7].format = 2;
--- a/crates/ledger/tests/ends.rs
+++ b/crates/ledger/tests/shutdown.rs
@@ -16,7 +16,7 @@
 /// nobody answered, and how long the later end took.
 fn two_end(fleet: &mut Fleet, two: [usize; 2], waits: bool) -> (usize, i64) {
     let (since, first) = (fleet.now, fleet.record.ops.len());
-    two.iter().for_each(|n| fleet.goes(*n));
+    two.iter().for_each(|n| fleet.begin_shutdown(*n));
     let (mut back, mut took) = ([i64::MAX; 2], 0);
     while back.iter().any(|at| *at > fleet.now) {
         let value = fleet.record.ops.len() as u64;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_end_waits_while_a_shard_would_have_no_majority_without_it() {
+fn a_shutdown_waits_while_a_shard_would_have_no_quorum_without_it() {
     let mut refused = [0; 2];
     for seed in 1..=3 {
         for waits in [false, true] {
@@ -78,7 +78,7 @@
     fleet.start_anew(fronts);
     assert!(fleet.run_until(20 * SECOND, Fleet::is_whole));
     for n in 0..ended {
-        fleet.goes(n);
+        fleet.begin_shutdown(n);
         fleet.run(fleet.now + SECOND);
         fleet.kill(n);
         fleet.run(fleet.now + SECOND);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn no_front_owns_over_its_fair_part_and_a_quarter_again_once_fronts_have_ended_and_come_back() {
+fn no_front_leads_over_its_fair_part_and_a_quarter_once_restarted_fronts_are_back() {
     spread(5, 16, 5);
     spread(5, 64, 5);
     spread(40, 128, 8);
--- a/crates/ledger/tests/sim/mod.rs
+++ b/crates/ledger/tests/sim/mod.rs
@@ -3,12 +3,12 @@
 #![allow(dead_code)]
 
 pub mod check;
+mod queries;
 use std::collections::{BTreeMap, VecDeque};
 
 use check::{Op, Record};
 use hallmux_ledger::{
-    shard_of, Act, Ask, FrontId, Key, Kind, Ledger, Member, Micros, Moment, Outcome, Output, Save, Saved,
-    Setup,
+    Act, Ask, FrontId, Key, Kind, Ledger, Member, Micros, Moment, Output, Save, Saved, Setup,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -51,7 +51,7 @@
     pub bytes: u64,
     next_disk: u64,
     /// Takes a safety rule out: packets and answers leave before what they rest on is lasting.
-    pub hasty: bool,
+    pub answers_before_saves: bool,
     /// Takes a safety rule out: an emptied disk keeps its identity.
     pub same_disk: bool,
 }
@@ -78,7 +78,7 @@
             record: Record::default(),
             bytes: 0,
             next_disk: 1,
-            hasty: false,
+            answers_before_saves: false,
             same_disk: false,
         };
         for n in 0..fronts {
@@ -106,7 +106,7 @@
     }
 
     /// The operator's list, as all that run hear it now and others as they start.
-    pub fn list(&mut self, members: Vec<Member>) {
+    pub fn set_members(&mut self, members: Vec<Member>) {
         self.setup.members.clone_from(&members);
         for n in 0..self.fronts.len() {
             let at = self.at(n);
@@ -116,7 +116,7 @@
     }
 
     /// What gossip says to each.
-    pub fn health(&mut self, up: &[usize], away: &[usize]) {
+    pub fn set_health(&mut self, up: &[usize], away: &[usize]) {
         let ids = |of: &[usize]| -> Vec<FrontId> { of.iter().map(|n| id(*n)).collect() };
         for n in 0..self.fronts.len() {
             let at = self.at(n);
@@ -160,7 +160,7 @@
     }
 
     /// The front is told to end: it hands over what it owns.
-    pub fn goes(&mut self, n: usize) {
+    pub fn begin_shutdown(&mut self, n: usize) {
         let at = self.at(n);
         self.fronts[n].ledger.iter_mut().for_each(|ledger| ledger.begin_shutdown(at));
         self.drain(n);
@@ -215,11 +215,11 @@
             ahead,
             done: None,
         });
-        self.again(n, Ask { number, key, act });
+        self.repeat(n, Ask { number, key, act });
         number
     }
 
-    pub fn again(&mut self, n: usize, ask: Ask) {
+    pub fn repeat(&mut self, n: usize, ask: Ask) {
         let at = self.at(n);
         if let Some(ledger) = &mut self.fronts[n].ledger {
             ledger.ask(at, ask);
@@ -235,7 +235,7 @@
         }
         self.deliver(n, packets);
         for mut save in saves {
-            if self.hasty {
+            if self.answers_before_saves {
                 let packets = std::mem::take(&mut save.packets);
                 self.deliver(n, packets);
                 let at = self.at(n);
@@ -249,7 +249,7 @@
             // Saves that wait are made lasting together.
             self.fronts[n].saves.push_back((after.max(self.now + takes), save));
         }
-        if self.hasty {
+        if self.answers_before_saves {
             let more = self.fronts[n].ledger.as_mut().map(Ledger::take_output).unwrap_or_default();
             more.done.into_iter().for_each(|done| {
                 self.record.answered(n, self.fronts[n].incarnation, done, self.now);
@@ -304,7 +304,7 @@
             }
             while self.fronts[n].saves.front().is_some_and(|(at, _)| *at <= self.now) {
                 let Some((_, save)) = self.fronts[n].saves.pop_front() else { break };
-                self.lasting(n, save);
+                self.complete_save(n, save);
             }
             let at = self.at(n);
             if let Some(ledger) = self.fronts[n].ledger.as_mut().filter(|ledger| ledger.due() <= at.steady) {
@@ -314,7 +314,7 @@
         }
     }
 
-    fn lasting(&mut self, n: usize, save: Save) {
+    fn complete_save(&mut self, n: usize, save: Save) {
         let ok = !self.fronts[n].fails;
         if ok {
             for record in save.records {
@@ -326,7 +326,7 @@
             self.deliver(n, save.packets);
         }
         let at = self.at(n);
-        if let Some(ledger) = self.fronts[n].ledger.as_mut().filter(|_| !self.hasty) {
+        if let Some(ledger) = self.fronts[n].ledger.as_mut().filter(|_| !self.answers_before_saves) {
             ledger.saved(at, save.number, ok);
         }
         self.drain(n);
@@ -346,56 +346,4 @@
         }
         holds(self)
     }
-
-    pub fn outcome(&self, n: usize, number: u64) -> Option<&Outcome> {
-        self.record.outcome(n, self.fronts[n].incarnation, number)
-    }
-
-    /// Asks and waits for the answer.
-    pub fn get(&mut self, n: usize, key: &str, act: Act) -> Outcome {
-        let number = self.ask(n, key, act);
-        self.run_until(2 * SECOND, |fleet| fleet.outcome(n, number).is_some());
-        self.outcome(n, number).cloned().expect("every ask is answered")
-    }
-
-    /// The same, asked under new numbers until a majority answers.
-    pub fn surely(&mut self, n: usize, key: &str, act: Act) -> Outcome {
-        for _ in 0..20 {
-            match self.get(n, key, act.clone()) {
-                Outcome::Unreachable => {}
-                outcome => return outcome,
-            }
-        }
-        panic!("{key} stays unreachable at {}", self.now)
-    }
-
-    /// Copies of a shard under its latest members.
-    pub fn copies(&self, shard: u16) -> usize {
-        let kept = self.fronts.iter().filter_map(|front| front.ledger.as_ref());
-        let configs: Vec<u32> = kept
-            .flat_map(|ledger| ledger.replicas().filter(|of| of.shard == shard).map(|of| of.config))
-            .collect();
-        let latest = configs.iter().max();
-        configs.iter().filter(|config| Some(*config) == latest).count()
-    }
-
-    pub fn is_whole(&self) -> bool {
-        let owned = |shard| {
-            let fronts = self.fronts.iter().filter_map(|front| front.ledger.as_ref());
-            fronts.flat_map(Ledger::replicas).any(|of| of.shard == shard && of.is_leader)
-        };
-        (0..self.setup.shards).all(|shard| self.copies(shard) == self.setup.copies && owned(shard))
-    }
-
-    pub fn owner(&self, key: &str) -> Option<usize> {
-        let shard = shard_of(&Key { kind: Kind::Order, name: key.to_string() }, self.setup.shards);
-        let leads = |ledger: &Ledger| {
-            ledger.replicas().filter(|of| of.shard == shard && of.is_leader).map(|of| of.config).max()
-        };
-        (0..self.fronts.len())
-            .filter(|n| self.is_up(*n))
-            .filter_map(|n| Some((leads(self.fronts[n].ledger.as_ref()?)?, n)))
-            .max()
-            .map(|(_, n)| n)
-    }
 }
