--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -13,7 +13,7 @@
 use hallmux_dispatcher::{Micros, Place, PromiseEvent, Site, StatementArrived, StatementOver, Terms, Ticket};
 use hallmux_ledger::{self as ledger, Done, Key, Kind};
 
-pub use guard::{Guard, LedgerClient};
+pub use guard::{Guard, LedgerClient, OrderedExecution};
 use hold::{Claim, Hold, Verdict};
 use requirements::{EntryMark, Requirement, Requirements};
 
--- a/crates/fleet/src/gate/guard.rs
+++ b/crates/fleet/src/gate/guard.rs
@@ -20,6 +20,19 @@
     fn answers(&mut self, part: u64) -> Vec<Done>;
 }
 
+/// An execution as the dispatcher has ordered it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct OrderedExecution {
+    /// Its statement.
+    pub ticket: Ticket,
+    /// Its number among the statement's executions.
+    pub execution: usize,
+    /// The engine that it goes to.
+    pub place: Place,
+    /// Its deadline and priority.
+    pub terms: Terms,
+}
+
 /// A gate with what its front's dispatcher has to be told.
 pub struct Guard {
     gate: Gate,
@@ -51,12 +64,8 @@
     }
 
     /// The dispatcher has ordered an execution. True if it is held for now.
-    pub fn hold(
-        &mut self,
-        now: Micros,
-        dispatcher: &mut Dispatcher,
-        ((ticket, execution), place, terms): ((Ticket, usize), Place, Terms),
-    ) -> bool {
+    pub fn hold(&mut self, now: Micros, dispatcher: &mut Dispatcher, ordered: OrderedExecution) -> bool {
+        let OrderedExecution { ticket, execution, place, terms } = ordered;
         if !self.gate.holds_back(ticket) {
             return false;
         }
@@ -72,7 +81,7 @@
     }
 
     /// Withdraws an execution. True if it was held: it has never left.
-    pub fn cancel(&mut self, now: Micros, (ticket, execution): (Ticket, usize)) -> bool {
+    pub fn cancel(&mut self, now: Micros, ticket: Ticket, execution: usize) -> bool {
         self.gate.cancel(now, ticket, execution)
     }
 
@@ -85,8 +94,8 @@
         ledger: &mut impl LedgerClient,
         id: impl Fn(Ticket) -> Option<String>,
     ) -> Vec<Ruling> {
-        for word in dispatcher.promise_events() {
-            self.gate.observe(now, word, &id);
+        for event in dispatcher.promise_events() {
+            self.gate.observe(now, event, &id);
         }
         self.gate.tick(now);
         loop {
--- a/crates/front/src/fleet/gate.rs
+++ b/crates/front/src/fleet/gate.rs
@@ -5,7 +5,7 @@
 
 use hallmux_agreement::Settings;
 use hallmux_dispatcher::{Dispatcher, Micros, Ticket};
-use hallmux_fleet::gate::{self, LedgerClient, Ruling};
+use hallmux_fleet::gate::{self, LedgerClient, OrderedExecution, Ruling};
 use hallmux_ledger::{Ask, Done};
 
 use super::rules::Ordered;
@@ -50,7 +50,7 @@
     /// An execution is ordered. True if it is held for now.
     pub fn hold(&mut self, now: Micros, dispatcher: &mut Dispatcher, ordered: &Ordered) -> bool {
         let Ordered { ticket, execution, place, terms, .. } = *ordered;
-        self.guard.hold(now, dispatcher, ((ticket, execution), place, terms))
+        self.guard.hold(now, dispatcher, OrderedExecution { ticket, execution, place, terms })
     }
 
     pub fn set_priority(&mut self, ticket: Ticket, priority: u8) {
@@ -59,7 +59,7 @@
 
     /// Gives an execution up. True if it was held.
     pub fn cancel(&mut self, now: Micros, sent: ExecutionId) -> bool {
-        self.guard.cancel(now, (sent.ticket, sent.number))
+        self.guard.cancel(now, sent.ticket, sent.number)
     }
 
     /// Passes on what statements have come to and what the ledger says; what becomes of what was held. `id` names a
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use hallmux_dispatcher::{Dispatcher, Ending, Listing, Mode, Order, Protocol};
-use hallmux_fleet::gate::Guard;
+use hallmux_fleet::gate::{Guard, OrderedExecution};
 use hallmux_fleet::{Exchange, OwnershipConfig};
 use hallmux_gossip::node::NodeConfig;
 use hallmux_gossip::seal::{peer_id, Identity};
@@ -109,7 +109,8 @@
                 let own = self.own(n);
                 let Some(life) = &mut self.members[n].life else { return };
                 let (sent, dispatcher) = ((ticket, execution), &mut life.dispatcher);
-                let held = life.guard.as_mut().is_some_and(|g| g.hold(own, dispatcher, (sent, place, terms)));
+                let ordered = OrderedExecution { ticket, execution, place, terms };
+                let held = life.guard.as_mut().is_some_and(|guard| guard.hold(own, dispatcher, ordered));
                 if !held || self.spoil.acts_first {
                     self.leaves(n, sent, place);
                 }
@@ -141,7 +142,7 @@
             Order::Stop { ticket, execution, ending } => {
                 let own = self.own(n);
                 let Some(life) = &mut self.members[n].life else { return };
-                let held = life.guard.as_mut().is_some_and(|guard| guard.cancel(own, (ticket, execution)));
+                let held = life.guard.as_mut().is_some_and(|guard| guard.cancel(own, ticket, execution));
                 let ending = if held { Ending::Withdrawn } else { ending };
                 life.connections.ended((ticket, execution), ending);
                 life.dispatcher.report(own, ticket, execution, ending, None);
