--- a/crates/ledger/src/balance.rs
+++ b/crates/ledger/src/balance.rs
@@ -1,4 +1,4 @@
-//! On which fronts the copies of all shards are to lie: rendezvous hashing with bounded loads (after Mirrokni, Thorup
+//! On which fronts the replicas of all shards are placed: rendezvous hashing with bounded loads (after Mirrokni, Thorup
 //! and Zadimoghaddam's consistent hashing with bounded loads). Follows from the list of members alone, in whatever
 //! order it is given: all that have the same list come to the same.
 
@@ -8,15 +8,16 @@
 use crate::placement::hash;
 use crate::{FrontId, Member};
 
-/// Hundredths of a front's fair part that it holds at most, where that is a whole copy more than the part.
-const MOST: u64 = 125;
-const FINE: u64 = 1 << 20; // parts of a copy that levels are found to
+/// Hundredths of a front's fair part that it holds at most, where that is a whole replica more than the part.
+const MAX_SHARE_PERCENT: u64 = 125;
+const LEVEL_STEPS: u64 = 1 << 20; // parts of a replica that levels are found to
 
-/// Of the zones, those with fronts that are to hold copies.
+/// The zones of the members.
 struct Zones<'a> {
     names: Vec<&'a str>,
+    /// Fronts in each zone.
     fronts: Vec<u64>,
-    /// Copies of a shard that a zone may hold at most.
+    /// Replicas of a shard that a zone may hold at most.
     most: u64,
 }
 
@@ -29,18 +30,18 @@
     Zones { names: counts.into_keys().collect(), fronts, most }
 }
 
-/// How many copies each zone is to hold: as even for its fronts as different zones for a shard's copies permit.
+/// How many replicas each zone is to hold: as even for its fronts as different zones for a shard's replicas permit.
 fn parts(zones: &Zones, copies: u64, shards: u64) -> Vec<u64> {
     let base: Vec<u64> = zones.fronts.iter().map(|fronts| shards * (*fronts).min(zones.most - 1)).collect();
     let left = (shards * copies).saturating_sub(base.iter().sum());
     let at = |level: u64| -> Vec<u64> {
         let part = |(fronts, base): (&u64, &u64)| {
             let room = if *fronts >= zones.most { shards } else { 0 };
-            (level * fronts / FINE).saturating_sub(*base).min(room)
+            (level * fronts / LEVEL_STEPS).saturating_sub(*base).min(room)
         };
         zones.fronts.iter().zip(&base).map(part).collect()
     };
-    let (mut low, mut high) = (0, (shards * copies + 1) * FINE);
+    let (mut low, mut high) = (0, (shards * copies + 1) * LEVEL_STEPS);
     while low < high {
         let middle = (low + high) / 2;
         if at(middle).iter().sum::<u64>() >= left {
@@ -55,16 +56,17 @@
 /// A placement under way.
 struct Placing<'a> {
     members: &'a [Member],
-    /// The zone of each member, and how many more copies it may hold.
+    /// The zone of each member, and how many more replicas it may hold.
     zone: Vec<usize>,
     room: Vec<u64>,
     /// The members that hold each shard.
     held: Vec<Vec<usize>>,
-    /// Copies of a shard that a zone may hold for now.
+    /// Replicas of a shard that a zone may hold for now.
     level: usize,
 }
 
 impl Placing<'_> {
+    /// Whether a member may hold a replica of the shard, were `without`'s not there.
     fn fits(&self, shard: usize, without: Option<usize>, n: usize) -> bool {
         let of = self.held[shard].iter().filter(|held| Some(**held) != without);
         let (mut there, mut same) = (0, false);
@@ -75,7 +77,7 @@
         !same && there < self.level
     }
 
-    /// A shard whose zones that are left have no room: another shard's copy there moves to where there is some.
+    /// For a shard whose remaining zones have no room: moves another shard's replica from there to where there is room.
     fn swap(&mut self, shard: usize) -> bool {
         let roomy: Vec<usize> = (0..self.members.len()).filter(|n| self.room[*n] > 0).collect();
         for n in (0..self.members.len()).filter(|n| self.fits(shard, None, *n)) {
@@ -91,9 +93,52 @@
         }
         false
     }
+
+    /// Places replicas, in the order of the pairs, until each shard has `wanted`: within the bounds as far as that goes.
+    fn fill(&mut self, pairs: &[Pair], wanted: usize) {
+        for bounded in [true, false] {
+            for Pair { shard, member, .. } in pairs {
+                let has_room = self.room[*member] > 0 || !bounded;
+                if has_room && self.held[*shard].len() < wanted && self.fits(*shard, None, *member) {
+                    self.held[*shard].push(*member);
+                    self.room[*member] = self.room[*member].saturating_sub(1);
+                }
+            }
+            if bounded {
+                for shard in 0..self.held.len() {
+                    while self.held[shard].len() < wanted && self.swap(shard) {}
+                }
+            }
+        }
+    }
+}
+
+/// The rendezvous weight of a front for a shard: the least is the best.
+type Weight = (Reverse<u64>, FrontId);
+
+fn weight(shard: usize, front: FrontId) -> Weight {
+    (Reverse(hash(front.to_be_bytes().into_iter().chain((shard as u16).to_be_bytes()))), front)
+}
+
+/// A shard and a member that could hold it; ordered by weight.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Pair {
+    weight: Weight,
+    shard: usize,
+    member: usize,
+}
+
+/// All shards with all members, the best pair first.
+fn ordered_pairs(members: &[Member], shards: u16) -> Vec<Pair> {
+    let pair = |shard, member: usize| Pair { weight: weight(shard, members[member].front), shard, member };
+    let shards = 0..usize::from(shards);
+    let mut pairs: Vec<Pair> =
+        shards.flat_map(|shard| (0..members.len()).map(move |member| pair(shard, member))).collect();
+    pairs.sort_unstable();
+    pairs
 }
 
-/// The fronts that are to keep each shard, the one that is wanted most first; fewer where there are fewer.
+/// The fronts that are to hold each shard, the most preferred first; fewer where there are fewer.
 pub(crate) fn placed(members: &[Member], copies: usize, shards: u16) -> Vec<Vec<FrontId>> {
     let (count, all) = (copies.min(members.len()), u64::from(shards));
     if count == 0 {
@@ -101,45 +146,25 @@
     }
     let zones = zones(members, count as u64);
     let parts = parts(&zones, count as u64, all);
-    let place = |member: &Member| zones.names.binary_search(&member.zone.as_str()).unwrap_or_default();
-    let zone: Vec<usize> = members.iter().map(place).collect();
-    // A front's part is that of its zone, shared; whole copies lie on it.
+    let zone_of = |member: &Member| zones.names.binary_search(&member.zone.as_str()).unwrap_or_default();
+    let zone: Vec<usize> = members.iter().map(zone_of).collect();
+    // A front's part is that of its zone, shared; whole replicas lie on it.
     let most = |zone: &usize| {
         let (part, fronts) = (parts[*zone], zones.fronts[*zone]);
-        (part * MOST / (100 * fronts)).max(part.div_ceil(fronts))
+        (part * MAX_SHARE_PERCENT / (100 * fronts)).max(part.div_ceil(fronts))
     };
     let room = zone.iter().map(most).collect();
-    let weigh = |shard: usize, n: usize| {
-        let front = members[n].front;
-        (Reverse(hash(front.to_be_bytes().into_iter().chain((shard as u16).to_be_bytes()))), front)
-    };
-    let pairs = (0..usize::from(shards)).flat_map(|shard| (0..members.len()).map(move |n| (shard, n)));
-    let mut pairs: Vec<_> = pairs.map(|(shard, n)| (weigh(shard, n), shard, n)).collect();
-    pairs.sort_unstable();
+    let pairs = ordered_pairs(members, shards);
     let mut placing = Placing { members, zone, room, held: vec![Vec::new(); usize::from(shards)], level: 0 };
     for level in 1..=zones.most {
         placing.level = level as usize;
-        // Another copy in a zone only once each zone that can has as many.
+        // Another replica in a zone only once each zone that can has as many.
         let wanted = zones.fronts.iter().map(|fronts| (*fronts).min(level)).sum::<u64>() as usize;
-        let wanted = wanted.min(count);
-        for bounded in [true, false] {
-            for (_, shard, n) in &pairs {
-                let room = placing.room[*n] > 0 || !bounded;
-                if room && placing.held[*shard].len() < wanted && placing.fits(*shard, None, *n) {
-                    placing.held[*shard].push(*n);
-                    placing.room[*n] = placing.room[*n].saturating_sub(1);
-                }
-            }
-            if bounded {
-                for shard in 0..usize::from(shards) {
-                    while placing.held[shard].len() < wanted && placing.swap(shard) {}
-                }
-            }
-        }
+        placing.fill(&pairs, wanted.min(count));
     }
     let ordered = |(shard, mut held): (usize, Vec<usize>)| {
-        held.sort_by_key(|n| weigh(shard, *n));
-        held.into_iter().map(|n| members[n].front).collect()
+        held.sort_by_key(|member| weight(shard, members[*member].front));
+        held.into_iter().map(|member| members[member].front).collect()
     };
     placing.held.into_iter().enumerate().map(ordered).collect()
 }
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -121,6 +121,7 @@
         (entries, crate::messages::encode(&(limits, now_ms, last, bytes, answers, tail)))
     }
 
+    /// The entry of a key.
     fn of(&self, key: &Key) -> Option<&Entry> {
         self.entries.get(key).map(|(entry, _)| entry)
     }
@@ -178,6 +179,7 @@
         outcome
     }
 
+    /// Carries a command out; its outcome, and what is remembered of that.
     fn act(&mut self, command: &Command) -> (Outcome, StoredOutcome) {
         let current = self.of(&command.key).cloned();
         let mine = current.as_ref().is_none_or(|entry| entry.owner == command.owner);
@@ -212,33 +214,37 @@
                 (Outcome::Held(entry), stored)
             }
             None if !fits => (Outcome::Absent, StoredOutcome::Absent),
-            current => {
-                let size = |value: &[u8]| command.key.name.len() + value.len() + ENTRY_OVERHEAD;
-                let before = current.as_ref().map_or(0, |entry| size(&entry.value));
-                let more = usize::from(current.is_none());
-                let grows = size(value) > before;
-                if self.entries.len() + more > self.limits.entries
-                    || grows && self.bytes - before + size(value) > self.limits.bytes
-                {
-                    return (Outcome::Full, StoredOutcome::Full);
-                }
-                self.remove(&command.key);
-                self.last += 1;
-                let entry = Entry {
-                    key: command.key.clone(),
-                    owner: command.owner,
-                    version: self.last,
-                    ends_ms,
-                    value: value.clone(),
-                };
-                self.bytes += size(value);
-                if ends_ms > 0 {
-                    self.index().ends.insert((ends_ms, entry.key.clone()));
-                }
-                self.entries.insert(entry.key.clone(), (entry.clone(), command.number));
-                (Outcome::Stands(entry), StoredOutcome::Stands { version: self.last })
-            }
+            current => self.write(command, current, ends_ms, value),
+        }
+    }
+
+    /// Writes an entry in place of the current one, if the shard's limits allow it.
+    fn write(
+        &mut self,
+        command: &Command,
+        current: Option<Entry>,
+        ends_ms: u64,
+        value: &[u8],
+    ) -> (Outcome, StoredOutcome) {
+        let size = |value: &[u8]| command.key.name.len() + value.len() + ENTRY_OVERHEAD;
+        let before = current.as_ref().map_or(0, |entry| size(&entry.value));
+        let more = usize::from(current.is_none());
+        let grows = size(value) > before;
+        if self.entries.len() + more > self.limits.entries
+            || grows && self.bytes - before + size(value) > self.limits.bytes
+        {
+            return (Outcome::Full, StoredOutcome::Full);
+        }
+        self.remove(&command.key);
+        self.last += 1;
+        let (key, value) = (command.key.clone(), value.to_vec());
+        let entry = Entry { key, owner: command.owner, version: self.last, ends_ms, value };
+        self.bytes += size(&entry.value);
+        if ends_ms > 0 {
+            self.index().ends.insert((ends_ms, entry.key.clone()));
         }
+        self.entries.insert(entry.key.clone(), (entry.clone(), command.number));
+        (Outcome::Stands(entry), StoredOutcome::Stands { version: self.last })
     }
 
     fn remove(&mut self, key: &Key) {
