--- a/crates/ledger/src/asks.rs
+++ b/crates/ledger/src/asks.rs
@@ -6,8 +6,9 @@
 use crate::{FrontId, Micros, Moment, Outcome, REMEMBERED_MS};
 
 const RETRY: Micros = 100_000; // microseconds until an ask is asked again elsewhere: a round trip and two syncs
-const MOST_WAITING: usize = 16_384; // asks that wait at once
+const MAX_WAITING: usize = 16_384; // asks that wait at once
 
+/// An ask that has no answer yet.
 pub(crate) struct Waiting {
     pub command: Command,
     pub shard: u16,
@@ -16,14 +17,15 @@
     tries: usize,
 }
 
+/// This front's asks that have no answer yet.
 #[derive(Default)]
-pub(crate) struct Asks {
+pub(crate) struct PendingAsks {
     waiting: BTreeMap<u64, Waiting>,
     /// When each was first asked, on the Unix clock: a retry says the same.
     first: BTreeMap<u64, u64>,
 }
 
-impl Asks {
+impl PendingAsks {
     /// When this number was first asked.
     pub fn first(&mut self, number: u64, wall_ms: u64) -> u64 {
         *self.first.entry(number).or_insert(wall_ms)
@@ -35,15 +37,15 @@
 
     /// False where too many wait.
     pub fn wait(&mut self, command: Command, shard: u16, ends: Micros) -> bool {
-        if self.waiting.len() >= MOST_WAITING {
+        if self.waiting.len() >= MAX_WAITING {
             return false;
         }
         self.waiting.insert(command.number, Waiting { command, shard, ends, retry: 0, tries: 0 });
         true
     }
 
-    /// The next try of an ask: the command, and the count of tries before.
-    pub fn tries(&mut self, now: Micros, number: u64) -> Option<(&Waiting, usize)> {
+    /// Counts another attempt of an ask: the ask, and the number of attempts before.
+    pub fn next_attempt(&mut self, now: Micros, number: u64) -> Option<(&Waiting, usize)> {
         let waiting = self.waiting.get_mut(&number)?;
         let before = waiting.tries;
         (waiting.tries, waiting.retry) = (before + 1, now + RETRY);
@@ -70,13 +72,15 @@
         (again, ended.into_iter().map(|number| (number, Outcome::Unreachable)).collect())
     }
 
+    /// When an ask is next to be repeated, or ends.
     pub fn due(&self) -> Micros {
         self.waiting.values().map(|w| w.ends.min(w.retry)).min().unwrap_or(Micros::MAX)
     }
 }
 
-/// Whom to ask: who is said to lead the shard, else its members and then all that could be, one after the other.
-pub(crate) fn whom(
+/// The front to ask next: the one that is said to lead the shard, else its members and then all fronts that could be,
+/// one after the other.
+pub(crate) fn next_receiver(
     leader: Option<FrontId>,
     others: &[FrontId],
     own: FrontId,
--- a/crates/ledger/src/incoming.rs
+++ b/crates/ledger/src/incoming.rs
@@ -21,14 +21,14 @@
             Ok(heard) => heard,
             Err(why) => return self.refuse(why),
         };
-        let silent = |peer: &Peer| at.steady - peer.at >= self.setup.repair_after;
+        let silent = |peer: &Peer| at.steady - peer.heard_at >= self.setup.repair_after;
         let before = self.peers.get(&from).filter(|peer| !silent(peer));
         if before.is_some_and(|peer| peer.incarnation > packet.incarnation) {
             return self.refuse("earlier life");
         }
         let (incarnation, disk, wall_ms) = (packet.incarnation, packet.disk, packet.wall_ms);
         self.away.returned(at.steady, &self.setup.members, from);
-        self.peers.insert(from, Peer { at: at.steady, incarnation, disk, wall_ms });
+        self.peers.insert(from, Peer { heard_at: at.steady, incarnation, disk, wall_ms });
         for message in messages {
             self.handle(at, ReplicaIncarnation { id: ReplicaId { front: from, disk }, incarnation }, message);
         }
@@ -90,7 +90,7 @@
                 let view = self.shards.get_mut(usize::from(shard));
                 let repair = view.and_then(|view| view.repair.as_mut());
                 if let Some(repair) = repair.filter(|r| r.into == sender.id && r.config == config) {
-                    repair.caught = Some(index);
+                    repair.caught_up = Some(index);
                 }
             }
             LedgerMessage::Hashes { shard, config, index, hashes } => {
--- a/crates/ledger/src/leader_transfer.rs
+++ b/crates/ledger/src/leader_transfer.rs
@@ -71,7 +71,7 @@
     /// The members that can lead a shard instead of this front, the best first; the next one is asked where one does not
     /// take it, as it may be shutting down itself.
     fn transfer_candidates(&self, at: Moment, view: &ShardView, replica: &Replica) -> Vec<FrontId> {
-        let heard_lately = |peer: &Peer| peer.disk != 0 && at.steady - peer.at < HEARD_WITHIN;
+        let heard_lately = |peer: &Peer| peer.disk != 0 && at.steady - peer.heard_at < HEARD_WITHIN;
         let is_candidate = |front: &FrontId| {
             *front != self.own.front
                 && self.peers.get(front).is_some_and(heard_lately)
@@ -119,7 +119,7 @@
         };
         let available = |peer: &Peer| {
             let member = ReplicaId { front: to, disk: peer.disk };
-            peer.is_settled(at) && now - peer.at < HEARD_WITHIN && replica.members.contains(&member)
+            peer.is_settled(at) && now - peer.heard_at < HEARD_WITHIN && replica.members.contains(&member)
         };
         let available = self.peers.get(&to).is_some_and(available)
             && !self.away.is_away(to)
@@ -139,7 +139,7 @@
     pub fn is_needed(&self, at: Moment) -> bool {
         let here = |member: &ReplicaId| {
             let peer = self.peers.get(&member.front).filter(|peer| peer.disk == member.disk);
-            let heard_lately = peer.is_some_and(|peer| at.steady - peer.at < HEARD_WITHIN);
+            let heard_lately = peer.is_some_and(|peer| at.steady - peer.heard_at < HEARD_WITHIN);
             heard_lately && (!self.is_shutting_down(member.front) || member.front > self.own.front)
         };
         let needed = |replica: &Replica| {
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::asks::Asks;
+use crate::asks::PendingAsks;
 use crate::bootstrap::Bootstrap;
 use crate::formats::OLDEST_FORMAT;
 use crate::leader_transfer::Shutdown;
@@ -31,7 +31,7 @@
     pub(crate) shutting_down: BTreeMap<FrontId, u64>,
     /// When this front may next leave a shard to the one that is to own it.
     pub(crate) yield_at: Micros,
-    pub(crate) asks: Asks,
+    pub(crate) asks: PendingAsks,
     pub(crate) transport: Transport,
     /// What must be lasting before anything more is told, beside the logs.
     pub(crate) records: Vec<Record>,
@@ -83,7 +83,7 @@
             shutdown: None,
             shutting_down: BTreeMap::new(),
             yield_at: at.steady,
-            asks: Asks::default(),
+            asks: PendingAsks::default(),
             transport: Transport::new(&setup, fleet),
             records: Vec::new(),
             next_save: 1,
--- a/crates/ledger/src/maintenance.rs
+++ b/crates/ledger/src/maintenance.rs
@@ -4,7 +4,7 @@
 use crate::ledger::Ledger;
 use crate::messages::{self, LedgerMessage, ReplicaIncarnation};
 use crate::records;
-use crate::repair::{missing, spare, Peer, Repair};
+use crate::repair::{missing_member, spare_front, Peer, Repair};
 use crate::replica::{Replica, FIRST};
 use crate::shard_view::{Configuration, StateAt};
 use crate::state::{Limits, ReplicaId, State};
@@ -118,14 +118,14 @@
             let into = peer(repair.into.front);
             if repair.is_over(now, config, into.as_ref()) {
                 view.repair = None;
-            } else if repair.caught.is_some() {
+            } else if repair.caught_up.is_some() {
                 replica.propose_members(now, repair.next(&replica.members));
                 self.touched.insert(shard);
             }
             return;
         }
         let waits = |front, since| self.away.wait_until(&self.setup, front, since);
-        let missed = missing(now, since, waits, &replica.members, own, peer);
+        let missed = missing_member(now, since, waits, &replica.members, own, peer);
         let Some((out, back)) = missed else {
             if let Some((out, into, ends)) = self.next_move(at, shard) {
                 self.start_replacement(at, shard, out, into, Some(ends));
@@ -139,7 +139,7 @@
         let Some(replica) = &view.replica else { return };
         let peer = |front: FrontId| self.peers.get(&front).copied();
         let order: Vec<FrontId> = view.wanted.iter().chain(&view.ranked).copied().collect();
-        let into = back.or_else(|| spare(now, &order, &replica.members, peer));
+        let into = back.or_else(|| spare_front(now, &order, &replica.members, peer));
         let Some(into) = into else {
             self.probe_spares(at, shard);
             return;
@@ -194,7 +194,7 @@
     pub(crate) fn wall_ms(&self, at: Moment, shard: u16) -> u64 {
         let members = self.shards.get(usize::from(shard)).map_or(&[][..], |view| view.members());
         let others = members.iter().filter(|member| member.front != self.own.front);
-        let now = |peer: &Peer| peer.wall_ms + ((at.steady - peer.at).max(0) / 1_000) as u64;
+        let now = |peer: &Peer| peer.wall_ms + ((at.steady - peer.heard_at).max(0) / 1_000) as u64;
         let mut walls: Vec<u64> = others.filter_map(|k| self.peers.get(&k.front)).map(now).collect();
         walls.push(at.wall_ms);
         walls.sort_unstable();
--- a/crates/ledger/src/membership.rs
+++ b/crates/ledger/src/membership.rs
@@ -162,11 +162,11 @@
         let config = replica.config + 1;
         let (is_leader, before) = (replica.is_leader(), replica.members.clone());
         let moves = view.repair.is_some_and(|repair| repair.moves);
-        let caught = view.repair.and_then(|repair| Some((repair.into, repair.caught?)));
+        let caught_up = view.repair.and_then(|repair| Some((repair.into, repair.caught_up?)));
         let state = replica.state.for_next_configuration();
         if is_leader {
             for to in next.iter().filter(|member| **member != own && !before.contains(member)) {
-                let index = caught.filter(|(into, _)| into == to).map_or(0, |(_, index)| index);
+                let index = caught_up.filter(|(into, _)| into == to).map_or(0, |(_, index)| index);
                 let base = replica.base_after(index);
                 let message = LedgerMessage::Join { shard, config, members: next.clone(), base };
                 self.transport.send(at, to.front, &message, Pace::Fast);
--- a/crates/ledger/src/rebalance.rs
+++ b/crates/ledger/src/rebalance.rs
@@ -9,7 +9,7 @@
 use crate::leader_placement::preferred_leaders;
 use crate::ledger::{check, Ledger};
 use crate::placement::ranked;
-use crate::repair::{Repair, HEARD, PATIENCE};
+use crate::repair::{Repair, HEARD_WITHIN, REPLACEMENT_TIMEOUT};
 use crate::shard_view::ShardView;
 use crate::state::ReplicaId;
 use crate::{Error, FrontId, Member, Micros, Moment, Setup};
@@ -86,7 +86,7 @@
 /// Microseconds of a turn: for the largest shard to be copied.
 fn window_length(setup: &Setup) -> Micros {
     let apart = 2_000 * setup.clock_skew_ms as Micros;
-    apart + PATIENCE + Repair::takes(setup.most_bytes, setup.repair_bytes)
+    apart + REPLACEMENT_TIMEOUT + Repair::duration(setup.most_bytes, setup.repair_bytes)
 }
 
 impl Ledger {
@@ -160,12 +160,12 @@
         }
         let (out, into) = next_change(&view.wanted, &replica.members, self.own.front)?;
         let left = move_window(&self.setup, shard, self.wall_ms(at, shard))?;
-        let takes = PATIENCE + Repair::takes(replica.state.bytes(), self.setup.repair_bytes);
+        let takes = REPLACEMENT_TIMEOUT + Repair::duration(replica.state.bytes(), self.setup.repair_bytes);
         let busy = self.shards.iter().any(|view| view.repair.is_some());
         if left < takes || busy || self.away.is_away(into) {
             return None;
         }
-        let peer = self.peers.get(&into).filter(|peer| peer.disk != 0 && now - peer.at < HEARD);
+        let peer = self.peers.get(&into).filter(|peer| peer.disk != 0 && now - peer.heard_at < HEARD_WITHIN);
         let Some(peer) = peer else {
             self.probe(at, into, shard);
             return None;
--- a/crates/ledger/src/requests.rs
+++ b/crates/ledger/src/requests.rs
@@ -43,7 +43,7 @@
 
     /// Passes a request on to the shard's leader, as far as that is known.
     pub(crate) fn send_ask(&mut self, at: Moment, number: u64) {
-        let Some((waiting, tries)) = self.asks.tries(at.steady, number) else { return };
+        let Some((waiting, tries)) = self.asks.next_attempt(at.steady, number) else { return };
         let Some(view) = self.shards.get_mut(usize::from(waiting.shard)) else { return };
         let shard = waiting.shard;
         if let Some(replica) = view.replica.as_mut().filter(|replica| replica.is_leader()) {
@@ -55,7 +55,7 @@
         let members: Vec<FrontId> = view.members().iter().map(|member| member.front).collect();
         let rest = view.ranked.iter().filter(|front| !members.contains(front)).copied();
         let others: Vec<FrontId> = members.iter().copied().chain(rest).collect();
-        if let Some(to) = asks::whom(leader, &others, self.own.front, tries) {
+        if let Some(to) = asks::next_receiver(leader, &others, self.own.front, tries) {
             let message = LedgerMessage::Request { shard, command: waiting.command.clone() };
             self.transport.send(at, to, &message, Pace::Fast);
         }
