--- a/crates/ledger/src/counters.rs
+++ b/crates/ledger/src/counters.rs
@@ -1,7 +1,61 @@
 //! The ledger's counters on this front, and the replicas that it holds.
 
 use crate::ledger::Ledger;
-use crate::{Counters, Differences, ReplicaStatus};
+
+/// A replica that a front holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ReplicaStatus {
+    /// The shard.
+    pub shard: u16,
+    /// The number of the shard's configuration: grows with each change of its members.
+    pub config: u32,
+    /// This front leads the shard.
+    pub is_leader: bool,
+}
+
+/// Replicas that differed from the majority of their shard when they were compared, so far.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Differences {
+    /// Found by this front.
+    pub found: u64,
+    /// Replicas of this front that were repaired.
+    pub repaired_here: u64,
+}
+
+/// The ledger's counters and its present state on this front.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Counters {
+    /// Messages, records and asks that were refused, by reason.
+    pub refused: std::collections::BTreeMap<&'static str, u64>,
+    /// Shards of which this front holds a replica.
+    pub copies: usize,
+    /// Shards that it leads now.
+    pub led: usize,
+    /// Of the shards it leads: replicas that are missing, by members that are silent or have yet to catch up.
+    pub missing: usize,
+    /// Entries in its replicas.
+    pub entries: usize,
+    /// Bytes of those entries.
+    pub bytes: usize,
+    /// Asks answered.
+    pub answered: u64,
+    /// Rounds of the log that the answers took.
+    pub rounds: u64,
+    /// Replicas rebuilt.
+    pub repaired: u64,
+    /// Of them, those that moved though none was missing.
+    pub moved: u64,
+    /// Moves under way now.
+    pub moving: usize,
+    /// Replicas that differed from the majority when this front compared them.
+    pub differed: u64,
+    /// Replicas of this front that were repaired after such a comparison.
+    pub mended: u64,
+    /// Shards that other leaders transferred to it.
+    pub taken_over: u64,
+    /// A save has failed: this front holds no replicas until it starts again.
+    pub failed: bool,
+}
 
 impl Ledger {
     /// The counters, and the present state of this front's replicas.
--- /dev/null
+++ b/crates/ledger/src/setup.rs
@@ -0,0 +1,77 @@
+//! How a front takes part in the ledger.
+
+use crate::formats::{FORMAT, SAVED_FORMAT};
+use crate::{DiskId, FrontId, Micros};
+
+/// A front that holds replicas.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Member {
+    /// The front.
+    pub front: FrontId,
+    /// Where it is; the replicas of a shard are in different zones where there are.
+    pub zone: String,
+}
+
+/// How a front takes part.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Setup {
+    /// The fleet's name: messages and records of another are refused.
+    pub fleet: String,
+    /// This front.
+    pub own: FrontId,
+    /// When this front started, in Unix milliseconds; has to grow with each start.
+    pub incarnation: u64,
+    /// Drawn anew whenever the directory is made new, and at every start without one; never 0.
+    pub disk: DiskId,
+    /// All fronts that hold replicas, the same list on every front; this front need not be one.
+    pub members: Vec<Member>,
+    /// Replicas of a shard in all.
+    pub copies: usize,
+    /// Number of shards; the same on every front, and never changed.
+    pub shards: u16,
+    /// Most entries of a shard.
+    pub most_entries: usize,
+    /// Most bytes of a shard's entries.
+    pub most_bytes: usize,
+    /// Microseconds until an ask that no quorum has answered is [`crate::Outcome::Unreachable`].
+    pub ask_timeout: Micros,
+    /// Microseconds without a sign of a member until its replicas are rebuilt elsewhere.
+    pub repair_after: Micros,
+    /// Bytes a second that rebuilding replicas may take.
+    pub repair_bytes: u32,
+    /// Hundredths of the shards that may move at once for balance, or as members change; 0: none moves.
+    pub moves_percent: u8,
+    /// Microseconds that a zone is waited for that is away as a whole; never less than `repair_after`.
+    pub zone_after: Micros,
+    /// The latest message format that it reads and writes, see [`FORMAT`]; an earlier one is for tests of mixed fleets.
+    pub format: u8,
+    /// The latest format in which it saves entries and records, once all members read it, see [`SAVED_FORMAT`].
+    pub saved_format: u8,
+    /// Most milliseconds that fronts' Unix clocks differ by: an ended entry is withheld from others for so much longer.
+    pub clock_skew_ms: u64,
+}
+
+impl Setup {
+    /// The operator file's defaults.
+    pub fn new(fleet: &str, own: FrontId, incarnation: u64, disk: DiskId, members: Vec<Member>) -> Setup {
+        Setup {
+            fleet: fleet.to_string(),
+            own,
+            incarnation,
+            disk,
+            members,
+            copies: 3,
+            shards: 16,
+            most_entries: 4_096,
+            most_bytes: 512 * 1_024,
+            ask_timeout: 500_000,
+            repair_after: 30_000_000,
+            repair_bytes: 16_384,
+            moves_percent: 0,
+            zone_after: 600_000_000,
+            format: FORMAT,
+            saved_format: SAVED_FORMAT,
+            clock_skew_ms: 500,
+        }
+    }
+}
