--- a/crates/lab/src/record/promises.rs
+++ b/crates/lab/src/record/promises.rs
@@ -84,8 +84,8 @@
 /// How long an order key is kept after a statement that may be running on: as agreed, and for the fronts' clocks.
 fn rests(scenario: &Scenario) -> i64 {
     let agreed = settings(scenario)["rules"]["turnGapMs"].as_i64().unwrap_or(0);
-    let apart = Setup::new("lab", 0, 0, 1, Vec::new()).apart_ms as i64;
-    (agreed + apart) * 1000
+    let skew = Setup::new("lab", 0, 0, 1, Vec::new()).clock_skew_ms as i64;
+    (agreed + skew) * 1000
 }
 
 pub fn check(scenario: &Scenario, account: &Account, tallies: &mut Tallies) -> Violations {
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -2,99 +2,51 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::asks::{self, Asks};
-use crate::birth::Birth;
-use crate::forms::OLDEST;
-use crate::handover::Leaving;
-use crate::moves::Away;
+use crate::asks::PendingAsks;
+use crate::bootstrap::Bootstrap;
+use crate::formats::OLDEST_FORMAT;
+use crate::leader_transfer::Shutdown;
+use crate::messages::{fingerprint, LedgerMessage};
 use crate::placement::ranked;
-use crate::post::{Pace, Post};
+use crate::rebalance::Away;
 use crate::records::{self, Meta};
-use crate::repair::{Peer, Repair};
-use crate::replica::{size, Replica};
-use crate::scrub::Scrub;
-use crate::state::{Command, Keeper, State};
-use crate::words::{fingerprint, Word};
-use crate::{
-    shard_of, Act, Ask, Done, Error, FrontId, Micros, Moment, Out, Outcome, Owner, Record, Save, Saved,
-};
-use crate::{Setup, Tallies};
+use crate::repair::Peer;
+use crate::replica::Replica;
+use crate::shard_view::{Configuration, ShardView};
+use crate::state::ReplicaId;
+use crate::transport::{Pace, Transport};
+use crate::{Counters, Done, Error, FrontId, Micros, Moment, Output, Record, Saved, Setup};
 
 pub(crate) const TICK: Micros = 50_000; // microseconds between turns of the logs' clocks
-const LONGEST_NAME: usize = 1_024; // bytes of a key's name
-const LONGEST_VALUE: usize = 32 * 1_024; // bytes of a value
-
-/// What a front knows of one shard.
-#[derive(Default)]
-pub(crate) struct Place {
-    /// All that could keep it, in the order in which they are wanted.
-    pub ranked: Vec<FrontId>,
-    /// Who is to keep it, in the order in which they are wanted; empty where shards do not move.
-    pub wanted: Vec<FrontId>,
-    /// Who of them is to own it.
-    pub owner: Option<FrontId>,
-    pub replica: Option<Replica>,
-    /// Who keeps it, by the latest that was heard.
-    pub known: Option<(u32, Vec<Keeper>)>,
-    /// With these members or earlier ones this disk never begins (again).
-    pub barred: u32,
-    pub birth: Option<Birth>,
-    /// A copy that was given to this front before it became a member: of which log, up to which entry.
-    pub learned: Option<(u32, u64, State)>,
-    pub repair: Option<Repair>,
-    pub scrub: Scrub,
-    /// Since when this front owns it.
-    pub leads: Option<Micros>,
-    /// Who owns it, as was heard last.
-    pub hint: Option<FrontId>,
-    /// When members that are behind were last told so, and when others were last told that this front is here.
-    pub told: BTreeMap<FrontId, Micros>,
-}
-
-impl Place {
-    pub fn keepers(&self) -> &[Keeper] {
-        self.known.as_ref().map_or(&[], |(_, keepers)| keepers)
-    }
-
-    /// Which of its members is to own it.
-    pub fn first(&self, keepers: &[Keeper]) -> Option<FrontId> {
-        let mut order = self.owner.iter().chain(&self.wanted).chain(&self.ranked);
-        order.find(|front| keepers.iter().any(|keeper| keeper.front == **front)).copied()
-    }
-
-    pub fn config(&self) -> u32 {
-        self.known.as_ref().map_or(0, |(config, _)| *config)
-    }
-}
 
 /// A front's part in the ledger: its own asks, and the replicas that it holds.
 pub struct Ledger {
     pub(crate) setup: Setup,
-    pub(crate) own: Keeper,
-    pub(crate) places: Vec<Place>,
+    pub(crate) own: ReplicaId,
+    pub(crate) shards: Vec<ShardView>,
     pub(crate) peers: BTreeMap<FrontId, Peer>,
     pub(crate) away: Away,
-    pub(crate) leaving: Option<Leaving>,
+    pub(crate) shutdown: Option<Shutdown>,
     /// Others that are to end, in which of their lives.
-    pub(crate) leavers: BTreeMap<FrontId, u64>,
+    pub(crate) shutting_down: BTreeMap<FrontId, u64>,
     /// When this front may next leave a shard to the one that is to own it.
-    pub(crate) yields_at: Micros,
-    pub(crate) asks: Asks,
-    pub(crate) post: Post,
+    pub(crate) yield_at: Micros,
+    pub(crate) asks: PendingAsks,
+    pub(crate) transport: Transport,
     /// What must be lasting before anything more is told, beside the logs.
     pub(crate) records: Vec<Record>,
-    next_save: u64,
-    unsaved: VecDeque<(u64, Vec<Done>)>,
+    pub(crate) next_save: u64,
+    pub(crate) unsaved: VecDeque<(u64, Vec<Done>)>,
     pub(crate) done: Vec<Done>,
-    out: Out,
+    pub(crate) out: Output,
     pub(crate) tick_at: Micros,
-    pub(crate) look_at: Micros,
+    pub(crate) maintain_at: Micros,
     /// Shards in which something may have happened.
     pub(crate) touched: BTreeSet<u16>,
-    pub(crate) tallies: Tallies,
-    /// The latest form of what is kept, and the form in which more is proposed.
-    kept_form: u8,
-    pub(crate) form: u8,
+    pub(crate) counters: Counters,
+    /// The latest format of what is kept, and the format in which more is proposed.
+    pub(crate) latest_saved_format: u8,
+    pub(crate) format: u8,
 }
 
 pub(crate) fn check(setup: &Setup) -> Result<(), Error> {
@@ -113,287 +65,106 @@
         shards => Err(Error::Shards(shards)),
     }
 }
-
 impl Ledger {
     /// `saved` is what an earlier life on the same disk gave out to be kept; None only where there was none.
     pub fn new(at: Moment, setup: Setup, saved: Option<Saved>) -> Result<Ledger, Error> {
         check(&setup)?;
         let fleet = fingerprint(&setup.fleet, setup.shards);
-        let own = Keeper { front: setup.own, disk: setup.disk };
-        let none = Ok((OLDEST, BTreeMap::new()));
-        let (kept_form, kept) = saved.as_ref().map_or(none, |saved| records::read(&setup, fleet, saved))?;
-        let place = |shard| Place { ranked: ranked(&setup.members, shard), ..Place::default() };
+        let own = ReplicaId { front: setup.own, disk: setup.disk };
+        let none = Ok((OLDEST_FORMAT, BTreeMap::new()));
+        let (latest_saved_format, kept) =
+            saved.as_ref().map_or(none, |saved| records::read(&setup, fleet, saved))?;
+        let new_view = |shard| ShardView { ranked: ranked(&setup.members, shard), ..ShardView::default() };
         let mut ledger = Ledger {
             own,
-            places: (0..setup.shards).map(place).collect(),
+            shards: (0..setup.shards).map(new_view).collect(),
             peers: BTreeMap::new(),
             away: Away::default(),
-            leaving: None,
-            leavers: BTreeMap::new(),
-            yields_at: at.steady,
-            asks: Asks::default(),
-            post: Post::new(&setup, fleet),
+            shutdown: None,
+            shutting_down: BTreeMap::new(),
+            yield_at: at.steady,
+            asks: PendingAsks::default(),
+            transport: Transport::new(&setup, fleet),
             records: Vec::new(),
             next_save: 1,
             unsaved: VecDeque::new(),
             done: Vec::new(),
-            out: Out::default(),
+            out: Output::default(),
             tick_at: at.steady,
-            look_at: at.steady,
+            maintain_at: at.steady,
             touched: BTreeSet::new(),
-            tallies: Tallies::default(),
-            kept_form,
-            form: OLDEST,
+            counters: Counters::default(),
+            latest_saved_format,
+            format: OLDEST_FORMAT,
             setup,
         };
         if kept.is_empty() {
-            ledger.records.push(records::mark(OLDEST, fleet, own.disk));
+            ledger.records.push(records::header(OLDEST_FORMAT, fleet, own.disk));
         }
-        ledger.place_first(at.steady);
+        ledger.place_initially(at.steady);
         for (shard, kept) in kept {
             ledger.reopen(shard, kept)?;
         }
-        ledger.conceive();
+        ledger.start_bootstraps();
         ledger.settle(at);
         Ok(ledger)
     }
 
     /// Goes on with a shard from what was kept of it.
-    fn reopen(&mut self, shard: u16, kept: records::Kept) -> Result<(), Error> {
+    fn reopen(&mut self, shard: u16, kept: records::SavedShard) -> Result<(), Error> {
         let own = self.own;
-        let place = self.places.get_mut(usize::from(shard)).ok_or(Error::Fleet)?;
-        place.birth = (!kept.birth.is_empty()).then(|| Birth::new(kept.birth));
-        let Some(Meta { config, keepers, mine, .. }) = kept.meta else { return Ok(()) };
-        place.birth = None;
-        place.barred = config;
-        if mine {
-            let first = place.first(&keepers) == Some(own.front);
-            let replica = Replica::open(shard, config, &keepers, own, first, kept.held);
+        let view = self.shards.get_mut(usize::from(shard)).ok_or(Error::Fleet)?;
+        view.bootstrap = (!kept.bootstrap.is_empty()).then(|| Bootstrap::new(kept.bootstrap));
+        let Some(Meta { config, members, is_member, .. }) = kept.meta else { return Ok(()) };
+        view.bootstrap = None;
+        view.barred = config;
+        let configuration = Configuration { config, members };
+        if is_member {
+            let preferred = view.preferred_among(&configuration.members) == Some(own.front);
+            let replica = Replica::open(shard, &configuration, own, preferred, kept.log_state);
             let damaged = || Error::Damaged { record: format!("members of shard {shard}") };
-            place.replica = Some(replica.ok_or_else(damaged)?);
+            view.replica = Some(replica.ok_or_else(damaged)?);
         }
-        place.known = Some((config, keepers));
+        view.known = Some(configuration);
         Ok(())
     }
 
-    /// Asks for an act; one answer follows.
-    pub fn ask(&mut self, at: Moment, ask: Ask) {
-        let Ask { number, key, act } = ask;
-        let long = match &act {
-            Act::Claim { value, .. } | Act::Put { value, .. } => value.len() > LONGEST_VALUE,
-            Act::Free | Act::Read => false,
-        };
-        if self.asks.is_waiting(number) {
-            return;
-        }
-        if self.tallies.failed {
-            // Only what needs no promise goes on here, until it starts over.
-            return self.out.done.push(Done { number, outcome: Outcome::Unreachable });
-        }
-        if long || key.name.len() > LONGEST_NAME {
-            self.refuse("too long");
-            return self.out.done.push(Done { number, outcome: Outcome::Full });
-        }
-        let shard = shard_of(&key, self.setup.shards);
-        let owner = Owner { front: self.own.front, incarnation: self.setup.incarnation };
-        let asked_ms = self.asks.first(number, at.wall_ms);
-        let command = Command { owner, number, asked_ms, key, act };
-        if !self.asks.wait(command, shard, at.steady + self.setup.patience) {
-            return self.out.done.push(Done { number, outcome: Outcome::Unreachable });
-        }
-        self.route(at, number);
-        self.settle(at);
-    }
-
-    /// Asks whoever owns the shard, as far as that is known.
-    fn route(&mut self, at: Moment, number: u64) {
-        let Some((waiting, tries)) = self.asks.tries(at.steady, number) else { return };
-        let Some(place) = self.places.get_mut(usize::from(waiting.shard)) else { return };
-        let shard = waiting.shard;
-        if let Some(replica) = place.replica.as_mut().filter(|replica| replica.leads()) {
-            replica.ask(waiting.command.clone(), at.steady, waiting.ends);
-            self.touched.insert(shard);
-            return;
-        }
-        let owner = place.replica.as_ref().and_then(Replica::owner).or(place.hint);
-        let keepers: Vec<FrontId> = place.keepers().iter().map(|keeper| keeper.front).collect();
-        let rest = place.ranked.iter().filter(|front| !keepers.contains(front)).copied();
-        let others: Vec<FrontId> = keepers.iter().copied().chain(rest).collect();
-        if let Some(to) = asks::whom(owner, &others, self.own.front, tries) {
-            let word = Word::Ask { shard, command: waiting.command.clone() };
-            self.post.say(at, to, &word, Pace::Quick);
-        }
-    }
-
-    /// Another says who owns the shard of an ask.
-    pub(crate) fn elsewhere(&mut self, at: Moment, from: FrontId, number: u64, owner: Option<FrontId>) {
-        let Some(shard) = self.asks.shard(number) else { return };
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let owner = owner.filter(|owner| *owner != from);
-        let new = owner.is_some() && owner != place.hint;
-        place.hint = owner.or(place.hint.filter(|hint| *hint != from));
-        if new {
-            self.route(at, number);
-        }
-    }
-
-    /// The answer to an ask of this front, to be told once what it rests on is lasting here.
-    pub(crate) fn answered(&mut self, owner: Option<FrontId>, number: u64, outcome: Outcome) {
-        let Some(shard) = self.asks.answered(number) else { return };
-        if let Some(place) = self.places.get_mut(usize::from(shard)) {
-            place.hint = owner.or(place.hint);
-        }
-        self.tallies.answered += 1;
-        self.done.push(Done { number, outcome });
-    }
-
-    /// An ask of another front has come.
-    pub(crate) fn asked(&mut self, at: Moment, from: FrontId, shard: u16, command: Command) {
-        let fits = command.owner.front == from && shard_of(&command.key, self.setup.shards) == shard;
-        if !fits || size(&command) > LONGEST_NAME + LONGEST_VALUE {
-            return self.refuse("another's ask");
-        }
-        let (incarnation, number) = (command.owner.incarnation, command.number);
-        let ends = at.steady + self.setup.patience;
-        let Some(place) = self.places.get_mut(usize::from(shard)) else { return };
-        let owner = match &mut place.replica {
-            Some(replica) if replica.leads() => {
-                if !replica.ask(command, at.steady, ends) {
-                    self.refuse("too many asks");
-                }
-                return;
-            }
-            Some(replica) => replica.owner(),
-            None => place.hint,
-        };
-        let members = (place.config(), place.keepers().to_vec());
-        let word = Word::Elsewhere { shard, incarnation, number, owner };
-        self.post.say(at, from, &word, Pace::Quick);
-        if place.replica.is_none() && members.0 > 0 {
-            let word = Word::Members { shard, config: members.0, keepers: members.1 };
-            self.post.say(at, from, &word, Pace::Quick);
-        }
-    }
-
     /// Does what is due.
     pub fn tick(&mut self, at: Moment) {
         let (again, ended) = self.asks.due_now(at);
         self.out.done.extend(ended.into_iter().map(|(number, outcome)| Done { number, outcome }));
-        again.into_iter().for_each(|number| self.route(at, number));
+        again.into_iter().for_each(|number| self.send_ask(at, number));
         if self.tick_at <= at.steady {
             // One that stood still does not catch up: the logs' clocks count turns they had.
             self.tick_at = at.steady + TICK;
-            for (shard, place) in (0..).zip(&mut self.places) {
-                if let Some(replica) = &mut place.replica {
+            for (shard, view) in (0..).zip(&mut self.shards) {
+                if let Some(replica) = &mut view.replica {
                     let config = replica.config;
                     for to in replica.tick().into_iter().filter(|to| *to != self.own.front) {
-                        self.post.say(at, to, &Word::Missed { shard, config }, Pace::Quick);
+                        self.transport.send(at, to, &LedgerMessage::Resync { shard, config }, Pace::Fast);
                     }
                     self.touched.insert(shard);
                 }
             }
-            self.look(at);
+            self.maintain(at);
         }
-        self.hand_on(at);
+        self.transfer_leadership(at);
         self.settle(at);
     }
 
     /// When `tick` is next due, on the steady clock.
     pub fn due(&self) -> Micros {
-        let keeps = self.places.iter().any(|place| place.replica.is_some() || place.birth.is_some());
+        let keeps = self.shards.iter().any(|view| view.replica.is_some() || view.bootstrap.is_some());
         let tick = if keeps { self.tick_at } else { Micros::MAX };
-        tick.min(self.asks.due()).min(self.post.due()).min(self.hands_on_at())
+        tick.min(self.asks.due()).min(self.transport.due()).min(self.transfer_due())
     }
 
-    /// What is to be done for it since it was last asked. What `letters` holds may leave at once.
-    pub fn take(&mut self) -> Out {
+    /// What is to be done for it since it was last asked. What `packets` holds may leave at once.
+    pub fn take_output(&mut self) -> Output {
         std::mem::take(&mut self.out)
     }
 
-    /// A save is lasting, with those before it, or has failed.
-    pub fn saved(&mut self, at: Moment, number: u64, ok: bool) {
-        if !ok {
-            self.fail();
-        }
-        while self.unsaved.front().is_some_and(|(first, _)| *first <= number) {
-            let done = self.unsaved.pop_front().map(|(_, done)| done).unwrap_or_default();
-            self.out.done.extend(done);
-        }
-        self.settle(at);
-    }
-
-    /// Nothing can be kept any more: this front is a member of nothing in this life, and says so.
-    pub(crate) fn fail(&mut self) {
-        self.tallies.failed = true;
-        self.post.disk = 0;
-        self.own.disk = 0;
-        for place in &mut self.places {
-            (place.replica, place.birth, place.learned) = (None, None, None);
-            (place.barred, place.leads, place.repair) = (u32::MAX, None, None);
-        }
-        self.records.clear();
-        // What rests on a save that failed may stand or not.
-        for (_, done) in &mut self.unsaved {
-            done.iter_mut().for_each(|done| done.outcome = Outcome::Unreachable);
-        }
-        let unsaved = std::mem::take(&mut self.unsaved);
-        self.out.done.extend(unsaved.into_iter().flat_map(|(_, done)| done));
-    }
-
-    /// Begins anew with another disk, or with none but memory: as a front that remembers nothing.
-    pub fn start_over(&mut self, at: Moment, disk: u64) {
-        self.fail();
-        self.tallies.failed = false;
-        self.setup.disk = disk;
-        self.own.disk = disk;
-        self.post.disk = disk;
-        self.post.incarnation = at.wall_ms.max(self.post.incarnation + 1);
-        self.kept_form = OLDEST;
-        self.records.push(records::mark(OLDEST, self.post.fleet, disk));
-        self.places.iter_mut().for_each(|place| place.barred = 0);
-        self.conceive();
-        self.settle(at);
-    }
-
-    /// Takes in what has happened, and gathers what is to go out.
-    pub(crate) fn settle(&mut self, at: Moment) {
-        while let Some(shard) = self.touched.pop_first() {
-            self.settle_shard(at, shard);
-        }
-        let letters = self.post.letters(at);
-        let mut must = !self.records.is_empty();
-        for place in &mut self.places {
-            must |= place.replica.as_mut().is_some_and(Replica::must_save);
-        }
-        let done = std::mem::take(&mut self.done);
-        if must {
-            let (mut records, mut form) = (std::mem::take(&mut self.records), self.kept_form);
-            for replica in self.places.iter_mut().filter_map(|place| place.replica.as_mut()) {
-                form = form.max(replica.records(&mut records));
-            }
-            if form > self.kept_form {
-                // With the first of them, so that a build that can't read them finds that said.
-                self.kept_form = form;
-                records.push(records::mark(form, self.post.fleet, self.own.disk));
-            }
-            return self.save(records, letters, done);
-        }
-        if self.unsaved.is_empty() {
-            self.out.letters.extend(letters);
-            self.out.done.extend(done);
-        } else if !letters.is_empty() || !done.is_empty() {
-            self.save(Vec::new(), letters, done);
-        }
-    }
-
-    fn save(&mut self, records: Vec<Record>, letters: Vec<(FrontId, Vec<u8>)>, done: Vec<Done>) {
-        let number = self.next_save;
-        self.next_save += 1;
-        self.unsaved.push_back((number, done));
-        self.out.saves.push(Save { number, records, letters });
-    }
-
     pub(crate) fn refuse(&mut self, why: &'static str) {
-        *self.tallies.refused.entry(why).or_default() += 1;
+        *self.counters.refused.entry(why).or_default() += 1;
     }
 }
--- a/crates/ledger/tests/sim/mod.rs
+++ b/crates/ledger/tests/sim/mod.rs
@@ -3,11 +3,12 @@
 #![allow(dead_code)]
 
 pub mod check;
+mod queries;
 use std::collections::{BTreeMap, VecDeque};
 
 use check::{Op, Record};
 use hallmux_ledger::{
-    shard_of, Act, Ask, FrontId, Key, Kind, Ledger, Member, Micros, Moment, Out, Outcome, Save, Saved, Setup,
+    Act, Ask, FrontId, Key, Kind, Ledger, Member, Micros, Moment, Output, Save, Saved, Setup,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -30,8 +31,8 @@
     /// Saves take up to so long; one of so many fails.
     pub slow: Micros,
     pub fails: bool,
-    /// The form of letters of its build.
-    pub form: u8,
+    /// The format of packets of its build.
+    pub format: u8,
 }
 
 pub struct Fleet {
@@ -49,8 +50,8 @@
     pub record: Record,
     pub bytes: u64,
     next_disk: u64,
-    /// Takes a safety rule out: letters and answers leave before what they rest on is lasting.
-    pub hasty: bool,
+    /// Takes a safety rule out: packets and answers leave before what they rest on is lasting.
+    pub answers_before_saves: bool,
     /// Takes a safety rule out: an emptied disk keeps its identity.
     pub same_disk: bool,
 }
@@ -77,7 +78,7 @@
             record: Record::default(),
             bytes: 0,
             next_disk: 1,
-            hasty: false,
+            answers_before_saves: false,
             same_disk: false,
         };
         for n in 0..fronts {
@@ -93,7 +94,7 @@
                 next: 1,
                 slow: 4_000,
                 fails: false,
-                form: hallmux_ledger::FORM,
+                format: hallmux_ledger::FORMAT,
             });
             fleet.start(n);
         }
@@ -105,29 +106,29 @@
     }
 
     /// The operator's list, as all that run hear it now and others as they start.
-    pub fn list(&mut self, members: Vec<Member>) {
+    pub fn set_members(&mut self, members: Vec<Member>) {
         self.setup.members.clone_from(&members);
         for n in 0..self.fronts.len() {
             let at = self.at(n);
             let ledger = self.fronts[n].ledger.as_mut();
-            ledger.into_iter().for_each(|ledger| ledger.members(at, members.clone()).unwrap());
+            ledger.into_iter().for_each(|ledger| ledger.set_members(at, members.clone()).unwrap());
         }
     }
 
     /// What gossip says to each.
-    pub fn health(&mut self, up: &[usize], away: &[usize]) {
+    pub fn set_health(&mut self, up: &[usize], away: &[usize]) {
         let ids = |of: &[usize]| -> Vec<FrontId> { of.iter().map(|n| id(*n)).collect() };
         for n in 0..self.fronts.len() {
             let at = self.at(n);
             let ledger = self.fronts[n].ledger.as_mut();
-            ledger.into_iter().for_each(|ledger| ledger.health(at, &ids(up), &ids(away)));
+            ledger.into_iter().for_each(|ledger| ledger.set_health(at, &ids(up), &ids(away)));
         }
     }
 
     /// Shards that move now.
     pub fn moving(&self) -> usize {
         let ledgers = self.fronts.iter().filter_map(|front| front.ledger.as_ref());
-        ledgers.map(|ledger| ledger.tallies().moving).sum()
+        ledgers.map(|ledger| ledger.counters().moving).sum()
     }
 
     pub fn at(&self, n: usize) -> Moment {
@@ -142,7 +143,7 @@
         let front = &mut self.fronts[n];
         front.incarnation = at.wall_ms;
         (setup.own, setup.incarnation, setup.disk) = (id(n), at.wall_ms, front.disk_id);
-        setup.form = front.form;
+        setup.format = front.format;
         let saved = Saved(front.disk.clone().into_iter().collect());
         let saved = (!saved.0.is_empty()).then_some(saved);
         front.ledger = Some(Ledger::new(at, setup, saved).expect("what was saved is whole"));
@@ -159,9 +160,9 @@
     }
 
     /// The front is told to end: it hands over what it owns.
-    pub fn goes(&mut self, n: usize) {
+    pub fn begin_shutdown(&mut self, n: usize) {
         let at = self.at(n);
-        self.fronts[n].ledger.iter_mut().for_each(|ledger| ledger.goes(at));
+        self.fronts[n].ledger.iter_mut().for_each(|ledger| ledger.begin_shutdown(at));
         self.drain(n);
     }
 
@@ -214,11 +215,11 @@
             ahead,
             done: None,
         });
-        self.again(n, Ask { number, key, act });
+        self.repeat(n, Ask { number, key, act });
         number
     }
 
-    pub fn again(&mut self, n: usize, ask: Ask) {
+    pub fn repeat(&mut self, n: usize, ask: Ask) {
         let at = self.at(n);
         if let Some(ledger) = &mut self.fronts[n].ledger {
             ledger.ask(at, ask);
@@ -228,15 +229,15 @@
 
     fn drain(&mut self, n: usize) {
         let Some(ledger) = &mut self.fronts[n].ledger else { return };
-        let Out { letters, saves, done } = ledger.take();
+        let Output { packets, saves, done } = ledger.take_output();
         for done in done {
             self.record.answered(n, self.fronts[n].incarnation, done, self.now);
         }
-        self.post(n, letters);
+        self.deliver(n, packets);
         for mut save in saves {
-            if self.hasty {
-                let letters = std::mem::take(&mut save.letters);
-                self.post(n, letters);
+            if self.answers_before_saves {
+                let packets = std::mem::take(&mut save.packets);
+                self.deliver(n, packets);
                 let at = self.at(n);
                 let number = save.number;
                 let ledger = self.fronts[n].ledger.as_mut();
@@ -248,25 +249,25 @@
             // Saves that wait are made lasting together.
             self.fronts[n].saves.push_back((after.max(self.now + takes), save));
         }
-        if self.hasty {
-            let more = self.fronts[n].ledger.as_mut().map(Ledger::take).unwrap_or_default();
+        if self.answers_before_saves {
+            let more = self.fronts[n].ledger.as_mut().map(Ledger::take_output).unwrap_or_default();
             more.done.into_iter().for_each(|done| {
                 self.record.answered(n, self.fronts[n].incarnation, done, self.now);
             });
-            self.post(n, more.letters);
+            self.deliver(n, more.packets);
             for save in more.saves {
-                self.post(n, save.letters.clone());
+                self.deliver(n, save.packets.clone());
                 let after = self.fronts[n].saves.back().map_or(self.now, |(at, _)| *at);
                 let slow = self.fronts[n].slow;
                 self.fronts[n]
                     .saves
-                    .push_back((after.max(self.now + slow), Save { letters: Vec::new(), ..save }));
+                    .push_back((after.max(self.now + slow), Save { packets: Vec::new(), ..save }));
             }
         }
     }
 
-    fn post(&mut self, from: usize, letters: Vec<(FrontId, Vec<u8>)>) {
-        for (to, bytes) in letters {
+    fn deliver(&mut self, from: usize, packets: Vec<(FrontId, Vec<u8>)>) {
+        for (to, bytes) in packets {
             let to = (to - 100) as usize;
             assert!(bytes.len() <= 1_040);
             self.bytes += bytes.len() as u64;
@@ -292,7 +293,7 @@
             let moment = self.at(to);
             if self.is_up(to) {
                 if let Some(ledger) = &mut self.fronts[to].ledger {
-                    ledger.heard(moment, id(from), &bytes);
+                    ledger.receive(moment, id(from), &bytes);
                 }
                 self.drain(to);
             }
@@ -303,7 +304,7 @@
             }
             while self.fronts[n].saves.front().is_some_and(|(at, _)| *at <= self.now) {
                 let Some((_, save)) = self.fronts[n].saves.pop_front() else { break };
-                self.lasting(n, save);
+                self.complete_save(n, save);
             }
             let at = self.at(n);
             if let Some(ledger) = self.fronts[n].ledger.as_mut().filter(|ledger| ledger.due() <= at.steady) {
@@ -313,7 +314,7 @@
         }
     }
 
-    fn lasting(&mut self, n: usize, save: Save) {
+    fn complete_save(&mut self, n: usize, save: Save) {
         let ok = !self.fronts[n].fails;
         if ok {
             for record in save.records {
@@ -322,10 +323,10 @@
                     None => self.fronts[n].disk.remove(&record.name),
                 };
             }
-            self.post(n, save.letters);
+            self.deliver(n, save.packets);
         }
         let at = self.at(n);
-        if let Some(ledger) = self.fronts[n].ledger.as_mut().filter(|_| !self.hasty) {
+        if let Some(ledger) = self.fronts[n].ledger.as_mut().filter(|_| !self.answers_before_saves) {
             ledger.saved(at, save.number, ok);
         }
         self.drain(n);
@@ -345,56 +346,4 @@
         }
         holds(self)
     }
-
-    pub fn outcome(&self, n: usize, number: u64) -> Option<&Outcome> {
-        self.record.outcome(n, self.fronts[n].incarnation, number)
-    }
-
-    /// Asks and waits for the answer.
-    pub fn get(&mut self, n: usize, key: &str, act: Act) -> Outcome {
-        let number = self.ask(n, key, act);
-        self.run_until(2 * SECOND, |fleet| fleet.outcome(n, number).is_some());
-        self.outcome(n, number).cloned().expect("every ask is answered")
-    }
-
-    /// The same, asked under new numbers until a majority answers.
-    pub fn surely(&mut self, n: usize, key: &str, act: Act) -> Outcome {
-        for _ in 0..20 {
-            match self.get(n, key, act.clone()) {
-                Outcome::Unreachable => {}
-                outcome => return outcome,
-            }
-        }
-        panic!("{key} stays unreachable at {}", self.now)
-    }
-
-    /// Copies of a shard under its latest members.
-    pub fn copies(&self, shard: u16) -> usize {
-        let kept = self.fronts.iter().filter_map(|front| front.ledger.as_ref());
-        let configs: Vec<u32> = kept
-            .flat_map(|ledger| ledger.kept().filter(|(of, ..)| *of == shard).map(|(_, c, _)| c))
-            .collect();
-        let latest = configs.iter().max();
-        configs.iter().filter(|config| Some(*config) == latest).count()
-    }
-
-    pub fn is_whole(&self) -> bool {
-        let owned = |shard| {
-            let fronts = self.fronts.iter().filter_map(|front| front.ledger.as_ref());
-            fronts.flat_map(Ledger::kept).any(|(of, _, leads)| of == shard && leads)
-        };
-        (0..self.setup.shards).all(|shard| self.copies(shard) == self.setup.copies && owned(shard))
-    }
-
-    pub fn owner(&self, key: &str) -> Option<usize> {
-        let shard = shard_of(&Key { kind: Kind::Order, name: key.to_string() }, self.setup.shards);
-        let leads = |ledger: &Ledger| {
-            ledger.kept().filter(|(of, _, leads)| *of == shard && *leads).map(|k| k.1).max()
-        };
-        (0..self.fronts.len())
-            .filter(|n| self.is_up(*n))
-            .filter_map(|n| Some((leads(self.fronts[n].ledger.as_ref()?)?, n)))
-            .max()
-            .map(|(_, n)| n)
-    }
 }
