--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -17,13 +17,17 @@
 use crate::versions::{Said, Versions};
 use crate::{FrontId, Micros, Moment};
 
+/// How one front's part in the rules is configured.
 pub struct Setup {
+    /// This front, and the incarnation in which it runs.
     pub own: Owner,
     /// All whose counts make the fleet's, this front too.
     pub fronts: Vec<FrontId>,
     /// Where this front stands, as rules may name it.
     pub region: String,
+    /// The names that rules may use.
     pub known: Known,
+    /// How long a lease on the rules and on shares of limits lasts, and by how much clocks may drift.
     pub terms: Terms,
     /// How long what was asked is remembered, by kind; 0: not at all.
     pub remembers: Micros,
@@ -34,12 +38,15 @@
 /// What a statement asks for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Asked {
+    /// Whose statement it is; matched exactly.
     pub customer: String,
+    /// The workload that the statement belongs to, as the settings name it.
     pub workload: String,
     /// The groups of tables that it reads; None where they cannot be told.
     pub groups: Option<Vec<u32>>,
 }
 
+/// What the rules in force say of a statement as it arrives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Judged {
     /// No rule can be about its customer.
@@ -48,10 +55,18 @@
     Closed,
     /// Judged under this number, until `over`. One that `waits` goes on once its number is `counted`: to its engine,
     /// or, where it is denied, to its final answer.
-    Taken { statement: u64, verdict: Verdict, waits: bool },
+    Taken {
+        /// The statement's number in this front's life.
+        statement: u64,
+        /// What the rules say of it.
+        verdict: Verdict,
+        /// Whether it has to wait until its count stands in the ledger.
+        waits: bool,
+    },
 }
 
 impl Judged {
+    /// Whether a rule or the default denies the statement.
     pub fn is_denied(&self) -> bool {
         matches!(self, Judged::Taken { verdict, .. } if verdict.denied.is_some())
     }
@@ -60,7 +75,9 @@
 /// What is to be done.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Out {
+    /// Requests to the ledger; each is answered through [`Access::done`] under its number.
     pub asks: Vec<Ask>,
+    /// Events for the log, in the order in which they happened.
     pub said: Vec<Said>,
     /// Statements whose hits stand.
     pub counted: Vec<u64>,
@@ -84,6 +101,8 @@
     hits: Vec<Hit>,
 }
 
+/// One front's part in the access rules. It does no input or output: the caller passes in the time and the
+/// ledger's answers, and carries out what [`Access::take`] returns.
 pub struct Access {
     region: String,
     versions: Versions,
@@ -121,6 +140,8 @@
 }
 
 impl Access {
+    /// A front that has not read the rules yet: until it has, it answers [`Judged::Closed`] for every
+    /// customer that rules can be about.
     pub fn new(setup: Setup) -> Access {
         let Setup { own, fronts, region, known, terms, remembers, first_number } = setup;
         let shares = Shares::new(own, terms, fronts.len());
@@ -140,6 +161,7 @@
         }
     }
 
+    /// The names that rules may use, as configured.
     pub fn known(&self) -> &Known {
         self.versions.known()
     }
@@ -259,10 +281,14 @@
         self.shares.over(statement);
     }
 
+    /// The time on the steady clock, in microseconds, at which [`Access::tick`] is next due; `Micros::MAX` if
+    /// nothing is.
     pub fn due(&self, steady: Micros) -> Micros {
         self.versions.due().min(self.hits.due()).min(self.shares.due(steady))
     }
 
+    /// Does what is due: renews the lease, reads and changes the version, writes counts, and moves shares of
+    /// limits. To be called at [`Access::due`]; a call before that does no harm.
     pub fn tick(&mut self, at: Moment) {
         self.versions.tick(at);
         self.shares.tick(at, &mut || self.versions.number());
@@ -321,6 +347,7 @@
         }
     }
 
+    /// What is to be done since the last call. Each item is returned once.
     pub fn take(&mut self) -> Out {
         let mut asks = std::mem::take(&mut self.versions.asks);
         asks.append(&mut self.hits.asks);
--- a/crates/access/src/fault.rs
+++ b/crates/access/src/fault.rs
@@ -9,66 +9,152 @@
 /// What is wrong with a rule or a set.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum What {
+    /// The file is not JSON5; holds the parser's message.
     #[error("{0}; write the file as JSON5")]
     Form(String),
+    /// An unknown key.
     #[error("is not known; the keys here are {known}")]
-    Key { known: &'static str },
+    Key {
+        /// The keys that are allowed at this path.
+        known: &'static str,
+    },
+    /// A required key is missing.
     #[error("is missing; give {needs}")]
-    Missing { needs: &'static str },
+    Missing {
+        /// What has to be given.
+        needs: &'static str,
+    },
+    /// A value of the wrong type or out of range.
     #[error("is no {needs}; give one")]
-    Kind { needs: &'static str },
+    Kind {
+        /// The type and range that are expected.
+        needs: &'static str,
+    },
+    /// A name that the settings or the operator's file do not list.
     #[error("'{name}' is not among the {list}: {known}; name one of them")]
-    Name { name: String, list: &'static str, known: String },
+    Name {
+        /// The name as the file gives it.
+        name: String,
+        /// Which list it was looked for in.
+        list: &'static str,
+        /// The names on that list, separated by commas.
+        known: String,
+    },
+    /// A rule about a customer whose statements a front without the rules would let through.
     #[error(
         "rule `{rule}` is about customer '{customer}', which `rules.customers` of the operator's file does not name: a \
          front that is cut off would let it through; add it there at every front first"
     )]
-    NotCovered { rule: String, customer: String },
+    NotCovered {
+        /// The rule's name.
+        rule: String,
+        /// The customer that the operator's file has to list first.
+        customer: String,
+    },
+    /// Two rules with one name.
     #[error("rule `{rule}` has the name of the rule on line {line}; give each rule a name of its own")]
-    Twice { rule: String, line: usize },
+    Twice {
+        /// The name.
+        rule: String,
+        /// The line of the first rule with it.
+        line: usize,
+    },
+    /// Keys of one rule that do not go together.
     #[error("rule `{rule}` {why}; {remedy}")]
-    Shape { rule: String, why: &'static str, remedy: &'static str },
+    Shape {
+        /// The rule's name.
+        rule: String,
+        /// What is wrong with the combination.
+        why: &'static str,
+        /// What the author of the file can do.
+        remedy: &'static str,
+    },
+    /// A rule that can never decide a statement, as another always goes before it.
     #[error(
         "rule `{rule}` can never match: rule `{by}` on line {line} goes before it wherever it would; take it out, or \
          give it a higher priority"
     )]
-    Shadowed { rule: String, by: String, line: usize },
+    Shadowed {
+        /// The rule's name.
+        rule: String,
+        /// The rule that goes before it.
+        by: String,
+        /// The line of that rule.
+        line: usize,
+    },
+    /// Two rules that match some statements in common, have the same precedence and disagree.
     #[error(
         "rule `{rule}` contradicts rule `{other}` on line {line}: both match some statements at the same height and \
          say different things of them; give one a priority, or fields that tell them apart"
     )]
-    Contradicts { rule: String, other: String, line: usize },
+    Contradicts {
+        /// The rule's name.
+        rule: String,
+        /// The rule that it disagrees with.
+        other: String,
+        /// The line of that rule.
+        line: usize,
+    },
+    /// A rule that allows none of the locations that a workload is bound to.
     #[error(
         "rule `{rule}` bars every region that workload `{workload}` is bound to; name one of {bound}, or give the \
          rule a workload"
     )]
-    NoEngine { rule: String, workload: String, bound: String },
+    NoEngine {
+        /// The rule's name.
+        rule: String,
+        /// The workload that could run nowhere.
+        workload: String,
+        /// The locations that the workload is bound to, separated by commas.
+        bound: String,
+    },
+    /// A rule that denies a workload to everybody.
     #[error(
         "rule `{rule}` leaves workload `{workload}` with no engine for anybody; give the rule a customer, tables or a \
          front, or add a rule before it that allows"
     )]
-    AllDenied { rule: String, workload: String },
+    AllDenied {
+        /// The rule's name.
+        rule: String,
+        /// The workload.
+        workload: String,
+    },
+    /// A default that denies a workload which no rule allows.
     #[error(
         "the default 'deny' leaves workload `{workload}` with no engine, as no rule allows it; add one that does, or \
          state the default 'allow'"
     )]
-    NothingAllowed { workload: String },
+    NothingAllowed {
+        /// The workload.
+        workload: String,
+    },
+    /// More rules than a file may hold.
     #[error("holds {count} rules, more than {most}; give fewer")]
-    TooMany { count: usize, most: usize },
+    TooMany {
+        /// How many the file holds.
+        count: usize,
+        /// How many it may hold.
+        most: usize,
+    },
 }
 
 /// One fault, with the path and the line of what it is about.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
+    /// Where in the file, as in `rules[2].name`; empty for the file as a whole.
     pub path: String,
+    /// The line on which that path begins, if it is known; the first line is 1.
     pub line: Option<usize>,
+    /// What is wrong there.
     pub what: What,
 }
 
 /// All faults of a file at once.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub struct Faults {
+    /// The file's name, as the operator gave it.
     pub file: String,
+    /// The problems found, ordered by line.
     pub faults: Vec<Fault>,
 }
 
@@ -92,21 +178,63 @@
 /// Why a set that is well in itself does not become the fleet's.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Refused {
+    /// The version stated is lower than the one in force.
     #[error(
         "{file}: version {stated} is not above the fleet's {has}, which stays; state {next} to change it"
     )]
-    Old { file: String, stated: u64, has: u64, next: u64 },
+    Old {
+        /// The file's name.
+        file: String,
+        /// The version that the file states.
+        stated: u64,
+        /// The fleet's version.
+        has: u64,
+        /// The version to state instead.
+        next: u64,
+    },
+    /// The version stated is in force already, with another text.
     #[error(
         "{file}: version {stated} is the fleet's already, with other contents, which stay; state {next} to change them"
     )]
-    Other { file: String, stated: u64, next: u64 },
+    Other {
+        /// The file's name.
+        file: String,
+        /// The version that the file states.
+        stated: u64,
+        /// The version to state instead.
+        next: u64,
+    },
+    /// Another front's change to the same version won the compare and swap.
     #[error(
         "{file}: version {stated} lost to another front's change in the same moment, which stays; read it, and state \
          {next}"
     )]
-    Lost { file: String, stated: u64, next: u64 },
+    Lost {
+        /// The file's name.
+        file: String,
+        /// The version that the file states.
+        stated: u64,
+        /// The version to state instead.
+        next: u64,
+    },
+    /// A roll-back to a version that is kept no longer.
     #[error("{file}: `roll_back_to` names version {to}, which is not among the last ones kept ({kept}); name one of them")]
-    NotKept { file: String, to: u64, kept: String },
+    NotKept {
+        /// The file's name.
+        file: String,
+        /// The version to roll back to.
+        to: u64,
+        /// The versions that are kept, separated by commas.
+        kept: String,
+    },
+    /// A text that is too long for the ledger.
     #[error("{file}: holds {bytes} bytes, more than {most}; give fewer rules or shorter ones")]
-    TooLong { file: String, bytes: usize, most: usize },
+    TooLong {
+        /// The file's name.
+        file: String,
+        /// The length of the text in bytes.
+        bytes: usize,
+        /// The length allowed, in bytes.
+        most: usize,
+    },
 }
--- a/crates/access/src/head.rs
+++ b/crates/access/src/head.rs
@@ -15,14 +15,20 @@
 /// A version and the text that goes with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kept {
+    /// The version's number; grows with each change.
     pub version: u64,
+    /// The SHA-256 of its text.
     pub hash: Hash,
+    /// The length of its text in bytes.
     pub bytes: u32,
 }
 
+/// The entry in the ledger that names the fleet's version. Changed by compare and swap only.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
+    /// The format of this entry; an entry of another format is not read.
     pub format: u8,
+    /// The version that holds now.
     pub now: Kept,
     /// No front judges by an earlier version any more.
     pub in_force: bool,
@@ -35,6 +41,7 @@
 }
 
 impl Kept {
+    /// The entry for a text.
     pub fn of(version: u64, text: &str) -> Kept {
         Kept { version, hash: hash(text), bytes: text.len() as u32 }
     }
@@ -51,6 +58,7 @@
         (Head { format: FORMAT, now, in_force, before: kept }, gone)
     }
 
+    /// The bytes to keep in the ledger.
     pub fn bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
@@ -71,6 +79,7 @@
     }
 }
 
+/// The ledger's key of the head.
 pub fn head_key() -> Key {
     Key { kind: Kind::Rules, name: "head".to_string() }
 }
@@ -82,6 +91,7 @@
     (0..parts).map(move |n| Key { kind: Kind::Rules, name: format!("text {name} {n}") })
 }
 
+/// The text cut into the parts that the ledger keeps.
 pub fn parts(text: &str) -> Vec<Vec<u8>> {
     match text.is_empty() {
         true => vec![Vec::new()],
--- a/crates/access/src/hits.rs
+++ b/crates/access/src/hits.rs
@@ -24,17 +24,21 @@
 /// What is counted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Hit {
+    /// The name of the rule that decided or counted the statement.
     pub rule: String,
+    /// The statement's customer.
     pub customer: String,
     /// The region of the front that was asked.
     pub region: String,
 }
 
+/// How many statements each rule decided or counted, by customer and region.
 pub type Counts = BTreeMap<Hit, u64>;
 
 /// The fleet's count, as of a moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fleet {
+    /// The counts of all fronts together.
     pub counts: Counts,
     /// On the steady clock of the front that was asked: hits acknowledged before it are in the counts.
     pub as_of: Option<Micros>,
@@ -82,6 +86,7 @@
 /// A life of a front and how many pages it has.
 type Lives = (u8, Vec<(u64, u32)>);
 
+/// One front's counts and its view of the fleet's.
 pub struct Hits {
     own: Owner,
     fronts: Vec<FrontId>,
@@ -106,10 +111,13 @@
     folded: BTreeMap<usize, (Folded, u64)>,
     known: BTreeMap<Owner, Counts>,
     fleet: Fleet,
+    /// Requests to the ledger that have yet to be sent.
     pub asks: Vec<Ask>,
+    /// Statements whose counts the ledger has confirmed since the caller took them last.
     pub counted: Vec<u64>,
     /// The fleet's count is there, as it was asked for.
     pub swept: bool,
+    /// The ledger has refused a page for lack of space.
     pub full: bool,
 }
 
@@ -228,6 +236,7 @@
         }
     }
 
+    /// When `tick` is next due, on the steady clock; `Micros::MAX` if nothing is.
     pub fn due(&self) -> Micros {
         if self.try_again > self.ticked {
             self.try_again
@@ -236,6 +245,7 @@
         }
     }
 
+    /// Queues the requests that are due. `number` gives each request a number of its own.
     pub fn tick(&mut self, at: Moment, number: &mut impl FnMut() -> u64) {
         self.ticked = at.steady;
         if at.steady < self.try_again {
--- a/crates/access/src/index.rs
+++ b/crates/access/src/index.rs
@@ -29,6 +29,8 @@
 }
 
 impl Verdict {
+    /// Whether the statement may be read at a location. `None` stands for a location that is not known, which is
+    /// allowed only where all are.
     pub fn lets(&self, place: Option<u16>) -> bool {
         let named = |all: &Vec<u16>| place.is_some_and(|place| all.binary_search(&place).is_ok());
         self.denied.is_none() && self.allowed.as_ref().is_none_or(named)
@@ -57,8 +59,10 @@
     masks: Vec<u8>,
 }
 
+/// A rule set compiled for look-up.
 #[derive(Clone, Debug)]
 pub struct Index {
+    /// The rules it was compiled from.
     pub set: Set,
     names: [HashMap<String, u32>; 3],
     decide: Table,
@@ -66,6 +70,8 @@
 }
 
 impl Index {
+    /// Compiles a set. Rules of one customer, workload and front whose table ranges overlap are listed once for
+    /// each stretch of groups that they cover.
     pub fn new(set: Set) -> Index {
         let mut names: [HashMap<String, u32>; 3] = std::default::Default::default();
         let mut cells: [HashMap<Who, Vec<u32>>; 2] = std::default::Default::default();
--- a/crates/access/src/known.rs
+++ b/crates/access/src/known.rs
@@ -5,14 +5,18 @@
 /// A workload and the locations that it may run at; None: all.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bound {
+    /// The workload's name.
     pub name: String,
+    /// The locations that its statements may run at; `None`: all.
     pub locations: Option<Vec<String>>,
 }
 
+/// The names that rules may use; a rule with another name is refused.
 #[derive(Clone, Debug, PartialEq, Eq, std::default::Default)]
 pub struct Known {
     /// Empty where the settings name none: then any may be named.
     pub customers: Vec<String>,
+    /// The workloads of the settings and where each may run.
     pub workloads: Vec<Bound>,
     /// Locations of engines.
     pub locations: Vec<String>,
@@ -24,6 +28,7 @@
 }
 
 impl Known {
+    /// Whether rules may be about a customer.
     pub fn covers(&self, customer: &str) -> bool {
         self.covered.as_ref().is_none_or(|all| all.iter().any(|name| name == customer))
     }
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -5,6 +5,8 @@
 //!
 //! A rule narrows where the decision module may send; the module still chooses among what is left.
 
+#![warn(missing_docs)]
+
 mod access;
 mod check;
 mod fault;
--- a/crates/access/src/read.rs
+++ b/crates/access/src/read.rs
@@ -19,17 +19,21 @@
 /// What a file asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Wish {
+    /// This set is to hold for the fleet.
     Set(Set),
     /// What this set would decide otherwise is to be told; nothing changes.
     WhatIf(Set),
     /// The set of an earlier version is to hold again, under a new one.
     RollBack {
+        /// The version under which the earlier set is to hold.
         version: u64,
+        /// The version of the earlier set.
         to: u64,
     },
 }
 
 impl Wish {
+    /// The version that the file states.
     pub fn version(&self) -> u64 {
         match self {
             Wish::Set(set) | Wish::WhatIf(set) => set.version,
--- a/crates/access/src/record.rs
+++ b/crates/access/src/record.rs
@@ -14,10 +14,13 @@
 /// What a set says of a statement.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Decided {
+    /// Turned away by a rule or by the default.
     Denied,
     /// At these locations (None: all), within these limits.
     Let {
+        /// The locations at which it may be read; `None`: all.
         at: Option<Vec<String>>,
+        /// The limits that it counts against.
         limits: Vec<Limit>,
     },
 }
@@ -25,9 +28,13 @@
 /// Statements that two sets decide differently.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Change {
+    /// Whose statements they are.
     pub customer: String,
+    /// The workload of the statements.
     pub workload: String,
+    /// What the set in force says of them.
     pub is: Decided,
+    /// What the other set would say of them.
     pub would: Decided,
 }
 
@@ -36,15 +43,19 @@
 pub struct WhatIf {
     /// The version that holds, and the one that was asked about.
     pub held: u64,
+    /// The version that was asked about.
     pub version: u64,
     /// How far the record goes back.
     pub back: Micros,
+    /// Statements that the record holds.
     pub statements: u64,
     /// Statements for whose kinds the record had no room.
     pub unknown: u64,
+    /// The statements that would be decided differently, and how many there were of each kind.
     pub changes: BTreeMap<Change, u64>,
 }
 
+/// What was asked of one front over a sliding window of time, counted by kind.
 pub struct Record {
     part: Micros,
     begun: Option<Micros>,
@@ -80,6 +91,7 @@
         part.rem_euclid(PARTS as Micros) as usize
     }
 
+    /// Counts one statement.
     pub fn add(&mut self, now: Micros, asked: &Asked) {
         if self.part <= 0 {
             return;
--- a/crates/access/src/rule.rs
+++ b/crates/access/src/rule.rs
@@ -7,11 +7,14 @@
 /// Groups of tables, both ends within.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Tables {
+    /// The first group of the range.
     pub first: u32,
+    /// The last group of the range; not below the first.
     pub last: u32,
 }
 
 impl Tables {
+    /// Whether the range includes a group.
     pub fn holds(&self, group: u32) -> bool {
         (self.first..=self.last).contains(&group)
     }
@@ -24,11 +27,14 @@
 /// What a rule says of the statements it matches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Then {
+    /// The statement is not run.
     Deny {
+        /// What the client and the log are told.
         reason: String,
     },
     /// Places (indices of `Known::locations`) where it may be read, ascending; None: anywhere.
     Allow {
+        /// Indices of `Known::locations` where it may be read, ascending; `None`: anywhere.
         places: Option<Vec<u16>>,
     },
     /// Counted beside whatever decides.
@@ -51,21 +57,28 @@
     }
 }
 
+/// One rule: which statements it matches, and what it says of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rule {
+    /// The rule's name, unique within its set; the log and the counts use it.
     pub name: String,
     /// Whose statements; what is None matches all.
     pub customer: Option<String>,
+    /// The workload that it is about; `None`: all.
     pub workload: Option<String>,
+    /// The table groups that it is about; `None`: all statements, also those that read no table.
     pub tables: Option<Tables>,
     /// The region of the front that was asked.
     pub front: Option<String>,
+    /// What it says of the statements that it matches.
     pub then: Then,
     /// At most so many statements that it lets through begin in any window of so many microseconds, in the fleet.
     pub limit: Option<(u32, Micros)>,
+    /// Rules with a higher priority go first.
     pub priority: i32,
     /// Unix milliseconds: from the first on, before the second.
     pub from_ms: u64,
+    /// When it ends, exclusive; `u64::MAX`: never.
     pub until_ms: u64,
     /// A time of a move: a statement goes by the time at which it was judged first, at every try.
     pub moves: bool,
@@ -76,19 +89,24 @@
 /// What holds for a statement that no rule decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Default {
+    /// Statements that no rule decides may run anywhere.
     Allow,
+    /// Statements that no rule decides are not run.
     Deny,
 }
 
 /// Who asks for what.
 #[derive(Clone, Copy, Debug)]
 pub struct Asking<'a> {
+    /// The statement's customer.
     pub customer: &'a str,
+    /// The statement's workload.
     pub workload: &'a str,
     /// A group of tables that it reads.
     pub group: Option<u32>,
     /// Without a group: it surely reads none.
     pub told: bool,
+    /// The region of the front that was asked.
     pub front: &'a str,
     /// When it was judged first, where that was before.
     pub asked_ms: Option<u64>,
@@ -162,7 +180,9 @@
 pub struct Set {
     /// As its file states it.
     pub version: u64,
+    /// What holds for statements that no rule decides.
     pub default: Default,
+    /// The rules, the one that goes first at index 0.
     pub rules: Vec<Rule>,
 }
 
@@ -172,6 +192,8 @@
         Set { version: 0, default: Default::Allow, rules: Vec::new() }
     }
 
+    /// Sorts the rules into the order in which they decide: by height, then the stricter first, then by the
+    /// time from which they hold and by name.
     pub fn new(version: u64, default: Default, mut rules: Vec<Rule>) -> Set {
         rules.sort_by(|a, b| {
             let key = |r: &Rule| (r.height(), r.then.severity(), r.from_ms);
--- a/crates/access/src/shares.rs
+++ b/crates/access/src/shares.rs
@@ -24,14 +24,17 @@
     began: bool,
 }
 
+/// One front's shares of all limits that it has traffic for.
 pub struct Shares {
     terrain: Terrain,
     shares: BTreeMap<Limit, Share>,
     statements: BTreeMap<u64, Taking>,
     asked: HashMap<u64, (Limit, Micros)>,
+    /// Requests to the ledger that have yet to be sent.
     pub asks: Vec<Ask>,
     /// Statements that have waited for their shares and have them now, or have none.
     pub ready: Vec<u64>,
+    /// Statements that were refused for want of a share since the caller took them last.
     pub refused: Vec<u64>,
     /// Statements refused by each rule's limit, so far.
     pub limited: BTreeMap<String, u64>,
@@ -92,6 +95,8 @@
         self.statements.get(&statement).is_some_and(|taking| taking.lacks > 0)
     }
 
+    /// A statement has ended or is abandoned: it waits for no share any more. What it spent stays spent for
+    /// the limit's window.
     pub fn over(&mut self, statement: u64) {
         let Some(taking) = self.statements.remove(&statement) else { return };
         for limit in &taking.limits {
@@ -99,10 +104,13 @@
         }
     }
 
+    /// When `tick` is next due, on the steady clock; `Micros::MAX` if nothing is.
     pub fn due(&self, now: Micros) -> Micros {
         self.shares.values().map(|share| share.due(now)).min().unwrap_or(Micros::MAX)
     }
 
+    /// Queues the requests that are due and serves the statements that wait. `number` gives each request a
+    /// number of its own.
     pub fn tick(&mut self, at: Moment, number: &mut impl FnMut() -> u64) {
         for (limit, share) in &mut self.shares {
             if let Some(act) = share.tick(at.steady) {
--- a/crates/access/src/shares/table.rs
+++ b/crates/access/src/shares/table.rs
@@ -11,15 +11,20 @@
 /// At most so many statements that a rule lets through begin in any window of this length.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Limit {
+    /// The name of the rule that sets the limit.
     pub rule: String,
+    /// How many statements may begin in a window.
     pub most: u32,
+    /// The length of the window in microseconds.
     pub window: Micros,
 }
 
 /// A front's share.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
+    /// The front and its incarnation.
     pub owner: Owner,
+    /// How many statements it may have begun in any window; its tokens.
     pub held: u32,
     /// What it lacks: others give to it.
     pub wants: u32,
@@ -30,16 +35,22 @@
 /// Taken back from a front that may have spent it until just now: free again after a rest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resting {
+    /// Distinguishes it from others at rest in the same table.
     pub id: u64,
+    /// How many tokens rest.
     pub held: u32,
 }
 
+/// All tokens of one limit. What is free, held and at rest adds up to the limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
     format: u8,
     most: u32,
+    /// Tokens that no front holds.
     pub free: u32,
+    /// The fronts that hold or want tokens.
     pub rows: Vec<Row>,
+    /// Tokens taken back from fronts that were lost.
     pub resting: Vec<Resting>,
     /// Grows whenever a front wants more than is free.
     pub round: u64,
@@ -47,17 +58,20 @@
 }
 
 impl Limit {
+    /// The ledger's key of the limit's table. A changed limit is another one, with another key.
     pub fn key(&self) -> Key {
         Key { kind: Kind::Shares, name: format!("{} in {} {}", self.most, self.window, self.rule) }
     }
 }
 
 impl Table {
+    /// A table of which everything is free.
     pub fn new(limit: &Limit) -> Table {
         let most = limit.most;
         Table { format: FORMAT, most, free: most, rows: Vec::new(), resting: Vec::new(), round: 0, next: 0 }
     }
 
+    /// The bytes to keep in the ledger.
     pub fn bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
@@ -74,10 +88,12 @@
         (table.format == FORMAT && table.most == limit.most && all == u64::from(limit.most)).then_some(table)
     }
 
+    /// A front's row, if it has one.
     pub fn row(&self, owner: Owner) -> Option<&Row> {
         self.rows.iter().find(|row| row.owner == owner)
     }
 
+    /// How many tokens a front holds.
     pub fn held(&self, owner: Owner) -> u32 {
         self.row(owner).map_or(0, |row| row.held)
     }
@@ -126,6 +142,7 @@
         self.free += done.iter().map(|r| r.held).sum::<u32>();
     }
 
+    /// Removes rows that neither hold nor want anything.
     pub fn tidy(&mut self) {
         self.rows.retain(|row| row.held > 0 || row.wants > 0);
     }
--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -24,32 +24,42 @@
 pub enum Said {
     /// This front judges by another version.
     Adopted {
+        /// The version adopted.
         version: u64,
+        /// The number of rules in it.
         rules: usize,
+        /// Whether all fronts judge by it already.
         in_force: bool,
     },
     /// No front judges by an earlier version any more.
     InForce {
+        /// The version in force.
         version: u64,
     },
     /// This front's file is the fleet's.
     Accepted {
+        /// The version that the file states.
         version: u64,
     },
+    /// This front's file was not accepted, and why.
     Refused(Refused),
     /// This front cannot know what holds: statements of customers with rules are turned away.
     Closed,
+    /// This front can judge by the rules again.
     Open {
+        /// The version that it judges by.
         version: u64,
     },
     /// A later life of this front counts hits: this one does not any more.
     Over,
     /// The ledger holds what this build cannot read.
     Unreadable {
+        /// Which entry of the ledger it is.
         what: &'static str,
     },
     /// The ledger is full: what is said of it could not be kept.
     Full {
+        /// What could not be kept.
         what: &'static str,
     },
 }
@@ -81,6 +91,7 @@
     parts: Vec<Option<Vec<u8>>>,
 }
 
+/// One front's view of the fleet's version, and its lease on it.
 pub struct Versions {
     known: Known,
     terms: Terms,
@@ -107,11 +118,14 @@
     try_again: Micros,
     ticked: Micros,
     unread: Option<&'static str>,
+    /// Requests to the ledger that have yet to be sent.
     pub asks: Vec<Ask>,
+    /// Events for the log since the caller took them last.
     pub said: Vec<Said>,
 }
 
 impl Versions {
+    /// A front that has read nothing yet. Requests are numbered from above `first_number`.
     pub fn new(known: Known, terms: Terms, first_number: u64) -> Versions {
         Versions {
             known,
@@ -138,6 +152,7 @@
         }
     }
 
+    /// The names that rules may use.
     pub fn known(&self) -> &Known {
         &self.known
     }
@@ -152,6 +167,7 @@
         &self.held
     }
 
+    /// A number for the next request to the ledger; each is given out once.
     pub fn number(&mut self) -> u64 {
         self.next_number += 1;
         self.next_number
@@ -187,6 +203,7 @@
         self.asks.push(Ask { number, key, act });
     }
 
+    /// Queues the requests that are due, and says whether this front may judge.
     pub fn tick(&mut self, at: Moment) {
         self.ticked = at.steady;
         let open = at.steady < self.until;
