--- a/crates/scatter/src/exchange.rs
+++ b/crates/scatter/src/exchange.rs
@@ -2,15 +2,22 @@
 //! it piece by piece. A version that is new at a front is told on at once. What leaves a second is bounded,
 //! whatever the number of fronts and sites.
 
+mod message;
+mod pieces;
+
 use std::collections::{BTreeMap, BTreeSet};
 
-use serde::{Deserialize, Serialize};
+pub use message::FalseSummary;
+pub use pieces::PieceRequest;
 
-use crate::layers::{self, Detail};
+use crate::layers::Detail;
 use crate::store::SummaryStore;
-use crate::summary::{Refused, MOST_BYTES};
+use crate::summary::Refused;
 use crate::Micros;
 
+use message::{list, Message};
+use pieces::{Download, Piece, PIECE_TIMEOUT};
+
 /// Another front, by the first bytes of its public key.
 pub type FrontId = u64;
 
@@ -18,62 +25,12 @@
 const ROUND_FANOUT: usize = 2; // fronts that a round is told to
 const NEW_VERSION_FANOUT: usize = 3; // fronts that a new version is told to, each of which tells it on
 const WINDOW: usize = 32; // names and versions of a round: some 600 bytes
-const PIECE: usize = 800; // bytes: with what seals it, it fits a datagram
 const BYTES_A_SECOND: f64 = 12_000.0; // of messages, answers included: a whole summary in some six seconds
 const MAX_DOWNLOADS: usize = 8; // summaries that come in at once
-const PIECE_TIMEOUT: Micros = 1_500_000; // microseconds for a piece, then another front may be asked
 const FALSE_REPORT_TTL: Micros = 60_000_000; // microseconds for which a false word is told, each round to two
 const MAX_FALSE_REPORTS: usize = 1_024; // sites and groups whose false reports are known
 const MAX_REFUSED: usize = 256; // reports of others that were refused and are not asked for again
 
-#[derive(Debug, PartialEq, Serialize, Deserialize)]
-enum Message {
-    Versions(Vec<(u64, u64)>),
-    Request {
-        name: u64,
-        version: u64,
-        piece: u16,
-    },
-    Piece {
-        name: u64,
-        version: u64,
-        piece: u16,
-        pieces: u16,
-        bytes: Vec<u8>,
-    },
-    /// The same as `Have`, with how fine it is: between fronts that hold parts of summaries.
-    DetailedVersions(Vec<(u64, u64, Detail)>),
-    /// False reports of sites that fronts have found lately.
-    FalseSummaries(Vec<FalseSummary>),
-}
-
-/// A site's summary of a group said that it has no row for a statement, and it had.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct FalseSummary {
-    pub site: String,
-    pub group: u32,
-    pub version: u64,
-}
-
-/// A piece of a summary that has come.
-struct Piece {
-    name: u64,
-    version: u64,
-    /// Which of its pieces it is, counted from 0, and how many there are.
-    piece: u16,
-    pieces: u16,
-    bytes: Vec<u8>,
-}
-
-struct Download {
-    version: u64,
-    wanted: Detail,
-    from: FrontId,
-    bytes: Vec<u8>,
-    next: u16,
-    asked: Micros,
-}
-
 pub struct Exchange {
     due: Micros,
     /// Where the next window begins.
@@ -92,15 +49,6 @@
     pub local: BTreeMap<u64, u64>,
 }
 
-/// A piece that another front wants of what lies at home and is not held.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PieceRequest {
-    pub to: FrontId,
-    pub name: u64,
-    pub version: u64,
-    piece: u16,
-}
-
 /// What is to leave, and what became of whole summaries that came.
 #[derive(Default)]
 pub struct Output {
@@ -272,112 +220,6 @@
         out
     }
 
-    fn compare(
-        &mut self,
-        now: Micros,
-        from: FrontId,
-        all: &[(u64, u64, Detail)],
-        summaries: &SummaryStore,
-        out: &mut Output,
-    ) {
-        let known: BTreeMap<u64, (u64, Detail)> = self
-            .available(summaries)
-            .into_iter()
-            .map(|(name, version, fineness)| (name, (version, fineness)))
-            .collect();
-        let held: BTreeMap<u64, (u64, Detail)> =
-            summaries.versions().map(|(name, version, fineness)| (name, (version, fineness))).collect();
-        let mut newer = Vec::new();
-        for &(name, version, finest) in all.iter().take(WINDOW) {
-            let here = known.get(&name).copied();
-            newer.extend(here.filter(|(held, _)| *held > version).map(|(v, f)| (name, v, f)));
-            let Some(wanted) = summaries.wanted_detail(name).map(|wanted| wanted.min(finest)) else {
-                continue;
-            };
-            let lacks = held.get(&name).is_none_or(|held| *held < (version, wanted));
-            let waits = self
-                .downloads
-                .get(&name)
-                .is_some_and(|c| now - c.asked < PIECE_TIMEOUT && c.version >= version);
-            let has_capacity = self.downloads.len() < MAX_DOWNLOADS || self.downloads.contains_key(&name);
-            if lacks
-                && version > 0
-                && !waits
-                && has_capacity
-                && !self.refused.contains(&(name, version, from))
-            {
-                // What is held of it already need not come again.
-                let bytes = summaries.bytes(name).filter(|(held, _)| *held == version);
-                let mut bytes = bytes.map_or(Vec::new(), |(_, bytes)| bytes.to_vec());
-                bytes.truncate(bytes.len() / PIECE * PIECE);
-                let next = (bytes.len() / PIECE) as u16;
-                self.downloads.insert(name, Download { version, wanted, from, bytes, next, asked: now });
-                self.send(now, from, &Message::Request { name, version, piece: next }, out);
-            }
-        }
-        if !newer.is_empty() {
-            self.send(now, from, &list(newer, summaries), out);
-        }
-    }
-
-    fn serve_piece(
-        &mut self,
-        now: Micros,
-        to: FrontId,
-        wanted: (u64, u64, u16),
-        summaries: &SummaryStore,
-        out: &mut Output,
-    ) {
-        let (name, version, piece) = wanted;
-        let held = summaries.bytes(name).filter(|(held, _)| *held == version);
-        let request = PieceRequest { to, name, version, piece };
-        match held {
-            // Where there is more at home, a piece that is not whole comes from there.
-            Some((_, bytes)) if (usize::from(piece) + 1) * PIECE <= bytes.len() => {
-                self.send_piece(now, request, &bytes, out);
-            }
-            _ if summaries.retention.is_some() && self.local.get(&name) == Some(&version) => {
-                out.local_reads.push(request)
-            }
-            Some((_, bytes)) => self.send_piece(now, request, &bytes, out),
-            None => {}
-        }
-    }
-
-    /// Gives a piece of what was read at home.
-    pub fn send_piece(&mut self, now: Micros, request: PieceRequest, bytes: &[u8], out: &mut Output) {
-        let PieceRequest { to, name, version, piece } = request;
-        let Some(part) = bytes.chunks(PIECE).nth(usize::from(piece)) else { return };
-        let pieces = bytes.len().div_ceil(PIECE) as u16;
-        let message = Message::Piece { name, version, piece, pieces, bytes: part.to_vec() };
-        self.send(now, to, &message, out);
-    }
-
-    /// Puts a piece behind those that have come; the whole, with the last one.
-    fn add_piece(&mut self, now: Micros, from: FrontId, piece: &Piece, out: &mut Output) -> Option<Vec<u8>> {
-        let Piece { name, version, piece, pieces, ref bytes } = *piece;
-        let download = self.downloads.get_mut(&name)?;
-        let expected = (download.version, download.from, download.next) == (version, from, piece);
-        if !expected || piece >= pieces || download.bytes.len() + bytes.len() > MOST_BYTES {
-            return None;
-        }
-        download.bytes.extend_from_slice(bytes);
-        download.next += 1;
-        download.asked = now;
-        let ends = layers::layer_ends(&download.bytes);
-        let end = ends.and_then(|ends| ends.get(download.wanted as usize).copied());
-        if let Some(end) = end.filter(|end| *end <= download.bytes.len()) {
-            download.bytes.truncate(end);
-            return self.downloads.remove(&name).map(|download| download.bytes);
-        }
-        if download.next == pieces {
-            return self.downloads.remove(&name).map(|download| download.bytes);
-        }
-        let next = download.next;
-        self.send(now, from, &Message::Request { name, version, piece: next }, out);
-        None
-    }
-
     fn send(&mut self, now: Micros, to: FrontId, message: &Message, out: &mut Output) {
         let Ok(bytes) = postcard::to_stdvec(message) else { return };
         let fills = (now - self.refilled_at).max(0) as f64 / 1e6 * BYTES_A_SECOND;
@@ -390,11 +232,3 @@
         }
     }
 }
-
-/// What a front tells that it has; to fronts that take all of a summary, as they know it.
-fn list(all: Vec<(u64, u64, Detail)>, summaries: &SummaryStore) -> Message {
-    match summaries.retention {
-        Some(_) => Message::DetailedVersions(all),
-        None => Message::Versions(all.into_iter().map(|(name, version, _)| (name, version)).collect()),
-    }
-}
--- /dev/null
+++ b/crates/scatter/src/exchange/message.rs
@@ -0,0 +1,44 @@
+//! What fronts send each other about summaries, as `postcard` writes it. Variants are numbered by their order: new ones
+//! go to the end.
+
+use serde::{Deserialize, Serialize};
+
+use crate::layers::Detail;
+use crate::store::SummaryStore;
+
+#[derive(Debug, PartialEq, Serialize, Deserialize)]
+pub(super) enum Message {
+    Versions(Vec<(u64, u64)>),
+    Request {
+        name: u64,
+        version: u64,
+        piece: u16,
+    },
+    Piece {
+        name: u64,
+        version: u64,
+        piece: u16,
+        pieces: u16,
+        bytes: Vec<u8>,
+    },
+    /// The same as `Have`, with how fine it is: between fronts that hold parts of summaries.
+    DetailedVersions(Vec<(u64, u64, Detail)>),
+    /// False reports of sites that fronts have found lately.
+    FalseSummaries(Vec<FalseSummary>),
+}
+
+/// A site's summary of a group said that it has no row for a statement, and it had.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct FalseSummary {
+    pub site: String,
+    pub group: u32,
+    pub version: u64,
+}
+
+/// What a front tells that it has; to fronts that take all of a summary, as they know it.
+pub(super) fn list(all: Vec<(u64, u64, Detail)>, summaries: &SummaryStore) -> Message {
+    match summaries.retention {
+        Some(_) => Message::DetailedVersions(all),
+        None => Message::Versions(all.into_iter().map(|(name, version, _)| (name, version)).collect()),
+    }
+}
--- /dev/null
+++ b/crates/scatter/src/exchange/pieces.rs
@@ -0,0 +1,155 @@
+//! How a version that a front lacks gets to it: asked for piece by piece, of one front at a time.
+
+use std::collections::BTreeMap;
+
+use super::message::{list, Message};
+use super::{Exchange, FrontId, Output, MAX_DOWNLOADS, WINDOW};
+use crate::layers::{self, Detail};
+use crate::store::SummaryStore;
+use crate::summary::MOST_BYTES;
+use crate::Micros;
+
+const PIECE: usize = 800; // bytes: with what seals it, it fits a datagram
+pub(super) const PIECE_TIMEOUT: Micros = 1_500_000; // microseconds for a piece, then another front may be asked
+
+/// A piece of a summary that has come.
+pub(super) struct Piece {
+    pub(super) name: u64,
+    pub(super) version: u64,
+    /// Which of its pieces it is, counted from 0, and how many there are.
+    pub(super) piece: u16,
+    pub(super) pieces: u16,
+    pub(super) bytes: Vec<u8>,
+}
+
+pub(super) struct Download {
+    version: u64,
+    wanted: Detail,
+    from: FrontId,
+    bytes: Vec<u8>,
+    next: u16,
+    pub(super) asked: Micros,
+}
+
+/// A piece that another front wants of what lies at home and is not held.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PieceRequest {
+    pub to: FrontId,
+    pub name: u64,
+    pub version: u64,
+    piece: u16,
+}
+
+impl Exchange {
+    pub(super) fn compare(
+        &mut self,
+        now: Micros,
+        from: FrontId,
+        all: &[(u64, u64, Detail)],
+        summaries: &SummaryStore,
+        out: &mut Output,
+    ) {
+        let known: BTreeMap<u64, (u64, Detail)> = self
+            .available(summaries)
+            .into_iter()
+            .map(|(name, version, fineness)| (name, (version, fineness)))
+            .collect();
+        let held: BTreeMap<u64, (u64, Detail)> =
+            summaries.versions().map(|(name, version, fineness)| (name, (version, fineness))).collect();
+        let mut newer = Vec::new();
+        for &(name, version, finest) in all.iter().take(WINDOW) {
+            let here = known.get(&name).copied();
+            newer.extend(here.filter(|(held, _)| *held > version).map(|(v, f)| (name, v, f)));
+            let Some(wanted) = summaries.wanted_detail(name).map(|wanted| wanted.min(finest)) else {
+                continue;
+            };
+            let lacks = held.get(&name).is_none_or(|held| *held < (version, wanted));
+            let waits = self
+                .downloads
+                .get(&name)
+                .is_some_and(|c| now - c.asked < PIECE_TIMEOUT && c.version >= version);
+            let has_capacity = self.downloads.len() < MAX_DOWNLOADS || self.downloads.contains_key(&name);
+            if lacks
+                && version > 0
+                && !waits
+                && has_capacity
+                && !self.refused.contains(&(name, version, from))
+            {
+                // What is held of it already need not come again.
+                let bytes = summaries.bytes(name).filter(|(held, _)| *held == version);
+                let mut bytes = bytes.map_or(Vec::new(), |(_, bytes)| bytes.to_vec());
+                bytes.truncate(bytes.len() / PIECE * PIECE);
+                let next = (bytes.len() / PIECE) as u16;
+                self.downloads.insert(name, Download { version, wanted, from, bytes, next, asked: now });
+                self.send(now, from, &Message::Request { name, version, piece: next }, out);
+            }
+        }
+        if !newer.is_empty() {
+            self.send(now, from, &list(newer, summaries), out);
+        }
+    }
+
+    pub(super) fn serve_piece(
+        &mut self,
+        now: Micros,
+        to: FrontId,
+        wanted: (u64, u64, u16),
+        summaries: &SummaryStore,
+        out: &mut Output,
+    ) {
+        let (name, version, piece) = wanted;
+        let held = summaries.bytes(name).filter(|(held, _)| *held == version);
+        let request = PieceRequest { to, name, version, piece };
+        match held {
+            // Where there is more at home, a piece that is not whole comes from there.
+            Some((_, bytes)) if (usize::from(piece) + 1) * PIECE <= bytes.len() => {
+                self.send_piece(now, request, &bytes, out);
+            }
+            _ if summaries.retention.is_some() && self.local.get(&name) == Some(&version) => {
+                out.local_reads.push(request)
+            }
+            Some((_, bytes)) => self.send_piece(now, request, &bytes, out),
+            None => {}
+        }
+    }
+
+    /// Gives a piece of what was read at home.
+    pub fn send_piece(&mut self, now: Micros, request: PieceRequest, bytes: &[u8], out: &mut Output) {
+        let PieceRequest { to, name, version, piece } = request;
+        let Some(part) = bytes.chunks(PIECE).nth(usize::from(piece)) else { return };
+        let pieces = bytes.len().div_ceil(PIECE) as u16;
+        let message = Message::Piece { name, version, piece, pieces, bytes: part.to_vec() };
+        self.send(now, to, &message, out);
+    }
+
+    /// Puts a piece behind those that have come; the whole, with the last one.
+    pub(super) fn add_piece(
+        &mut self,
+        now: Micros,
+        from: FrontId,
+        piece: &Piece,
+        out: &mut Output,
+    ) -> Option<Vec<u8>> {
+        let Piece { name, version, piece, pieces, ref bytes } = *piece;
+        let download = self.downloads.get_mut(&name)?;
+        let expected = (download.version, download.from, download.next) == (version, from, piece);
+        if !expected || piece >= pieces || download.bytes.len() + bytes.len() > MOST_BYTES {
+            return None;
+        }
+        download.bytes.extend_from_slice(bytes);
+        download.next += 1;
+        download.asked = now;
+        let ends = layers::layer_ends(&download.bytes);
+        let end = ends.and_then(|ends| ends.get(download.wanted as usize).copied());
+        if let Some(end) = end.filter(|end| *end <= download.bytes.len()) {
+            download.bytes.truncate(end);
+            return self.downloads.remove(&name).map(|download| download.bytes);
+        }
+        if download.next == pieces {
+            return self.downloads.remove(&name).map(|download| download.bytes);
+        }
+        let next = download.next;
+        self.send(now, from, &Message::Request { name, version, piece: next }, out);
+        None
+    }
+}
