--- a/crates/scatter/src/audit.rs
+++ b/crates/scatter/src/audit.rs
@@ -41,6 +41,7 @@
     Unsure,
 }
 
+/// What audits have found since the front started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AuditCounts {
     /// Sites asked that their summaries rule out.
@@ -51,16 +52,19 @@
     pub rows: u64,
 }
 
+/// The audits of one front: when one is due, and which sites are suspected.
 pub struct Audits {
     terms: AuditSettings,
     /// What may be spent, as of when.
     budget: f64,
     refilled_at: Option<Micros>,
     sites: BTreeMap<String, Site>,
+    /// What audits have found; the caller reads it for its log and counters.
     pub counts: AuditCounts,
 }
 
 impl Audits {
+    /// No site is suspected yet, and one audit may be made at once.
     pub fn new(terms: AuditSettings) -> Audits {
         Audits {
             terms,
@@ -71,6 +75,7 @@
         }
     }
 
+    /// Changes the settings; what is known of the sites stays.
     pub fn reconfigure(&mut self, terms: AuditSettings) {
         self.terms = terms;
     }
--- a/crates/scatter/src/build.rs
+++ b/crates/scatter/src/build.rs
@@ -17,11 +17,17 @@
 /// What holds for a whole summary.
 #[derive(Clone, Debug)]
 pub struct SummaryHeader {
+    /// The site that signs it.
     pub site: String,
+    /// The table group that it is about.
     pub group: u32,
+    /// The version of the tables' schema, as the operator counts it.
     pub schema: u32,
+    /// The summary's version; has to grow with each summary of this site and group.
     pub version: u64,
+    /// Unix milliseconds by the site's clock.
     pub made_ms: u64,
+    /// The marked loads whose rows are in it.
     pub loads: Loads,
 }
 
--- a/crates/scatter/src/combine.rs
+++ b/crates/scatter/src/combine.rs
@@ -12,17 +12,23 @@
 const NULLS: [&str; 4] = ["", "\\N", "NULL", "null"]; // as engines write that there is no value
 const LONGEST: usize = 1_000; // characters of a number
 
+/// The aggregates that can be put together from those of the sites.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AggregateKind {
+    /// `count(*)` or `count(column)`; the parts are added.
     Count,
+    /// `sum(column)`; the parts are added.
     Sum,
+    /// `min(column)`; the least of the parts.
     Min,
+    /// `max(column)`; the greatest of the parts.
     Max,
 }
 
 /// One column of the answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Aggregate {
+    /// How the parts are put together.
     pub kind: AggregateKind,
     /// Of which column; None: of rows.
     pub column: Option<String>,
--- a/crates/scatter/src/condition.rs
+++ b/crates/scatter/src/condition.rs
@@ -9,40 +9,61 @@
 use crate::summary::{Column, Table};
 use crate::value::{less, Collation, Kind, Literal, Value};
 
+/// A condition over the columns of one table, in three-valued logic as in SQL.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Condition {
+    /// All of them hold (`AND`).
     All(Vec<Condition>),
+    /// One of them holds (`OR`).
     Any(Vec<Condition>),
+    /// It is FALSE; NULL stays NULL (`NOT`).
     Not(Box<Condition>),
+    /// A column compared with a constant; NULL for a null.
     Compare {
+        /// The column's name, in lower case.
         column: String,
+        /// How they are compared, the column on the left.
         by: Comparison,
+        /// The constant.
         literal: Literal,
     },
+    /// A column is null; never NULL itself.
     Null {
+        /// The column's name, in lower case.
         column: String,
     },
     /// LIKE with this beginning, and anything behind it.
     StartsWith {
+        /// The column's name, in lower case.
         column: String,
+        /// The beginning, up to the first wildcard of the pattern.
         prefix: String,
     },
     /// A column of truth values by itself.
     IsTrue {
+        /// The column's name, in lower case.
         column: String,
     },
+    /// TRUE or FALSE for all rows.
     Constant(bool),
     /// Not understood.
     Other,
 }
 
+/// How a column's value is compared with a constant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Comparison {
+    /// `=`
     Equal,
+    /// `<>`
     Unequal,
+    /// `<`
     Less,
+    /// `<=`
     AtMost,
+    /// `>`
     Greater,
+    /// `>=`
     AtLeast,
 }
 
--- a/crates/scatter/src/exchange.rs
+++ b/crates/scatter/src/exchange.rs
@@ -31,6 +31,8 @@
 const MAX_FALSE_REPORTS: usize = 1_024; // sites and groups whose false reports are known
 const MAX_REFUSED: usize = 256; // reports of others that were refused and are not asked for again
 
+/// One front's part in the exchange of summaries. It sends nothing itself: messages come in and go out as
+/// bytes.
 pub struct Exchange {
     due: Micros,
     /// Where the next window begins.
@@ -52,7 +54,10 @@
 /// What is to leave, and what became of whole summaries that came.
 #[derive(Default)]
 pub struct Output {
+    /// Messages to other fronts, as bytes.
     pub messages: Vec<(FrontId, Vec<u8>)>,
+    /// Whether each summary that came in whole was new, or why it was refused; a message that can't be read counts as
+    /// one of the wrong form.
     pub accepted: Vec<Result<bool, Refused>>,
     /// What is to be read at home and handed to `send_piece`.
     pub local_reads: Vec<PieceRequest>,
@@ -61,7 +66,7 @@
 }
 
 impl Exchange {
-    /// `turn` is where among the others it begins; fronts should differ.
+    /// `next_peer` is where among the others it begins; fronts should differ.
     pub fn new(next_peer: usize) -> Exchange {
         Exchange {
             due: 0,
@@ -77,6 +82,7 @@
         }
     }
 
+    /// When [`Exchange::tick`] is next due, in microseconds on the front's clock; 0: at once.
     pub fn due(&self) -> Micros {
         if self.fresh.is_empty() {
             self.due
--- a/crates/scatter/src/exchange/message.rs
+++ b/crates/scatter/src/exchange/message.rs
@@ -6,22 +6,16 @@
 use crate::layers::Detail;
 use crate::store::SummaryStore;
 
+/// A message about summaries.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(super) enum Message {
+    /// Summaries that the sender can serve, by id and version.
     Versions(Vec<(u64, u64)>),
-    Request {
-        name: u64,
-        version: u64,
-        piece: u16,
-    },
-    Piece {
-        name: u64,
-        version: u64,
-        piece: u16,
-        pieces: u16,
-        bytes: Vec<u8>,
-    },
-    /// The same as `Have`, with how fine it is: between fronts that hold parts of summaries.
+    /// The sender lacks this piece.
+    Request { name: u64, version: u64, piece: u16 },
+    /// The answer to `Request`: the bytes of one of so many pieces.
+    Piece { name: u64, version: u64, piece: u16, pieces: u16, bytes: Vec<u8> },
+    /// The same as `Versions`, with the detail of each: between fronts that hold parts of summaries.
     DetailedVersions(Vec<(u64, u64, Detail)>),
     /// False reports of sites that fronts have found lately.
     FalseSummaries(Vec<FalseSummary>),
@@ -30,8 +24,11 @@
 /// A site's summary of a group said that it has no row for a statement, and it had.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FalseSummary {
+    /// The site whose summary was wrong.
     pub site: String,
+    /// The table group of the summary.
     pub group: u32,
+    /// The version of the summary.
     pub version: u64,
 }
 
--- a/crates/scatter/src/exchange/pieces.rs
+++ b/crates/scatter/src/exchange/pieces.rs
@@ -34,8 +34,11 @@
 /// A piece that another front wants of what lies at home and is not held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PieceRequest {
+    /// The front that asked.
     pub to: FrontId,
+    /// Which summary, as [`crate::store::summary_id`] numbers them.
     pub name: u64,
+    /// The version asked for.
     pub version: u64,
     piece: u16,
 }
--- a/crates/scatter/src/filter.rs
+++ b/crates/scatter/src/filter.rs
@@ -7,12 +7,22 @@
 const HEAD: usize = 20; // bytes: a seed of eight, three figures of four
 const FEW: usize = 32; // hashes: below that a filter's segments take more than they do
 
+/// The hashes of a column's values, exactly or as a filter with false positives and no false negatives.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Members {
     /// Their hashes, in order.
     All(Vec<u64>),
     /// A binary fuse filter: its seed, its segments and its fingerprints.
-    Fuse { seed: u64, segment: u32, segments: u32, fingerprints: Vec<u8> },
+    Fuse {
+        /// The seed of the hash function that the filter was built with.
+        seed: u64,
+        /// The length of a segment, a power of two.
+        segment: u32,
+        /// The length of all segments but the last two, a multiple of one segment's.
+        segments: u32,
+        /// One byte for each place of the filter.
+        fingerprints: Vec<u8>,
+    },
     /// Four bits a value, of which each sets two: one in six of the others is found too.
     Bits(Vec<u8>),
 }
--- a/crates/scatter/src/gather.rs
+++ b/crates/scatter/src/gather.rs
@@ -15,20 +15,28 @@
     Answer(Answer),
 }
 
+/// The final answer to a statement over several sites.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// `missing`: the sites whose rows are not in it; only where the customer takes such answers.
     Rows {
+        /// The rows, each ended by a line feed.
         bytes: Vec<u8>,
+        /// The sites whose rows are missing because their parts failed.
         missing: Vec<String>,
+        /// The sites whose rows are missing because access rules do not allow them to be asked.
         barred: Vec<String>,
     },
     /// Trying again is harmless.
     Rejected {
+        /// Microseconds after which a retry has a chance, where the site said so.
         retry_after: Option<Micros>,
+        /// The site that rejected its part.
         site: String,
     },
+    /// Nothing is promised: a part may have run or not.
     Aborted {
+        /// The site whose part was aborted.
         site: String,
     },
     /// Sites that could have rows may not be asked.
@@ -37,13 +45,16 @@
     TooLong,
     /// So many distinct values, and by which part of them that may be wrong at two standard deviations.
     Estimate {
+        /// The estimated number of distinct values.
         distinct: u64,
+        /// The relative error: 0.033 means that the number may be off by 3.3 %.
         error: f64,
     },
     /// Sketches do not tell it now as well as its customer wants it.
     NotEstimated,
     /// A site's answer can't be joined with the others: it is of another form.
     Mismatch {
+        /// The site of the first such answer.
         site: String,
     },
 }
@@ -51,9 +62,12 @@
 /// How a part failed for good.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartFailure {
+    /// A retry is harmless.
     Rejected {
+        /// Microseconds after which a retry has a chance, where the site said so.
         retry_after: Option<Micros>,
     },
+    /// Nothing is promised: it may have run or not.
     Aborted,
     /// It may not be asked there.
     Barred,
@@ -62,6 +76,7 @@
 /// What holds for the gather.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatherRules {
+    /// The statement's LIMIT: an answer needs no more rows.
     pub limit: Option<u64>,
     /// The customer takes an answer that says which sites are missing.
     pub partial: bool,
@@ -114,6 +129,7 @@
         (gather, actions)
     }
 
+    /// The site of the part at an index of the plan.
     pub fn site(&self, place: usize) -> Option<&str> {
         self.parts.get(place).map(|(part, _)| part.site.as_str())
     }
@@ -138,6 +154,7 @@
         self.advance()
     }
 
+    /// Whether the final answer has been given.
     pub fn is_done(&self) -> bool {
         self.done
     }
--- a/crates/scatter/src/join.rs
+++ b/crates/scatter/src/join.rs
@@ -20,7 +20,9 @@
 /// The other table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Join {
+    /// The table group of the other table.
     pub group: u32,
+    /// The name of the other table, without its schema.
     pub table: String,
     /// What is asked of its rows.
     pub condition: Condition,
--- a/crates/scatter/src/lib.rs
+++ b/crates/scatter/src/lib.rs
@@ -1,6 +1,8 @@
 //! Which sites could have rows that a statement asks for: sites' own signed summaries, what a condition proves by them,
 //! marks of loads that they do not speak of yet, and one answer from the parts. No sockets, no clock, no chance.
 
+#![warn(missing_docs)]
+
 pub mod audit;
 pub mod build;
 pub mod combine;
--- a/crates/scatter/src/marker.rs
+++ b/crates/scatter/src/marker.rs
@@ -17,17 +17,24 @@
 /// What is to be requested of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LedgerRequest {
+    /// Identifies the request; the reply comes under the same number.
     pub number: u64,
+    /// The table group whose marks are read or changed.
     pub group: u32,
+    /// What is to be done.
     pub what: Operation,
 }
 
+/// What the ledger is to do with a group's marks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
+    /// Return the marks as they stand, in one order with all changes.
     Read,
     /// 0: there is none yet.
     Put {
+        /// The version that the entry has to have for the put to be done.
         expects: u64,
+        /// The marks, as [`crate::marks::Marks::bytes`] writes them.
         value: Vec<u8>,
     },
 }
@@ -35,14 +42,21 @@
 /// What the ledger answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LedgerReply {
+    /// The entry as read, or as a put has left it.
     Stands {
+        /// The entry's version.
         version: u64,
+        /// The entry's bytes.
         value: Vec<u8>,
     },
+    /// A put was not done: the entry has another version than expected.
     Held {
+        /// The entry's version.
         version: u64,
+        /// The entry's bytes.
         value: Vec<u8>,
     },
+    /// There is no entry.
     Absent,
     /// It may stand or not, or there is no room.
     Unreachable,
@@ -52,11 +66,26 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// A load's marks stand: it leaves with these numbers.
-    Send { load: Waiter, numbers: Vec<(u32, u64)> },
+    Send {
+        /// The load.
+        load: Waiter,
+        /// For each group that it touches the number under which it is marked.
+        numbers: Vec<(u32, u64)>,
+    },
     /// A load can't be marked: it must not leave.
-    Reject { load: Waiter },
+    Reject {
+        /// The load.
+        load: Waiter,
+    },
     /// The word on a group, for scatters. None: there is none to have.
-    Marks { group: u32, scatters: Vec<u64>, marks: Option<Marks> },
+    Marks {
+        /// The table group that was asked about.
+        group: u32,
+        /// The scatters that waited, by the tickets given to [`Marker::await_marks`].
+        scatters: Vec<u64>,
+        /// The marks as the ledger has them after all these scatters came.
+        marks: Option<Marks>,
+    },
 }
 
 struct Load {
@@ -109,6 +138,7 @@
         self.loads.remove(&load).is_some()
     }
 
+    /// The loads that have yet to be marked.
     pub fn waiting(&self) -> impl Iterator<Item = Waiter> + '_ {
         self.loads.keys().copied()
     }
--- a/crates/scatter/src/marks.rs
+++ b/crates/scatter/src/marks.rs
@@ -24,14 +24,24 @@
     /// Anything in the group.
     Anything,
     /// These rows came to this table, nothing else changed.
-    Rows { table: String, columns: Vec<String>, rows: Vec<Vec<Cell>> },
+    Rows {
+        /// The table's name, without its schema.
+        table: String,
+        /// The columns that are known of the rows.
+        columns: Vec<String>,
+        /// The rows, with one cell for each of these columns.
+        rows: Vec<Vec<Cell>>,
+    },
 }
 
 /// A value that a load names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Cell {
+    /// It is null.
     Null,
+    /// It is this constant.
     Is(Literal),
+    /// An expression that is not evaluated here.
     Unknown,
 }
 
@@ -40,11 +50,13 @@
 pub struct Mark {
     /// Their numbers, from the first to the last.
     pub from: u64,
+    /// The highest number, inclusive.
     pub to: u64,
     /// Unix milliseconds from which none of them can be running.
     pub ends_ms: u64,
     /// Once that moment has passed: the next load's number. A summary with that one or a later one speaks beyond these.
     pub ended_before: Option<u64>,
+    /// What these loads may have changed.
     pub touched: Affected,
 }
 
@@ -170,6 +182,7 @@
         self.sites.values().map(|site| site.marks.len()).sum()
     }
 
+    /// Whether no mark stands for any site.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -181,6 +194,7 @@
 /// What a front holds of a site's word on loads.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReportedLoads<'a> {
+    /// The newest version held, if it may count.
     pub newest: Version<'a>,
     /// The newest that has been here long enough for other fronts to hold it too.
     pub settled: Version<'a>,
--- a/crates/scatter/src/plan.rs
+++ b/crates/scatter/src/plan.rs
@@ -36,6 +36,7 @@
 pub enum Reason {
     /// Nothing that may count is held of it: none came, or it is too old, or of another schema.
     NoSummary,
+    /// Its summary does not name the table.
     NoTable,
     /// The ledger gives no word on loads.
     LoadsUnknown,
@@ -49,9 +50,11 @@
     NotSummarized,
     /// Its summary does not rule it out: an equality by its filter, anything else by its bounds and runs.
     Filter,
+    /// Its bounds and runs do not rule it out.
     Bounds,
     /// Its word counts for nothing for now.
     Suspected,
+    /// Its summary is checked: it is asked though it should have no rows.
     Audit,
     /// One is asked that says in the engines' own way that there is nothing.
     OneForAll,
@@ -80,6 +83,7 @@
 /// A site to ask.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Part {
+    /// The site's name.
     pub site: String,
     /// Rows to expect, by a guess that only orders the sites; infinitely many where nothing is known.
     pub rows: f64,
@@ -87,9 +91,11 @@
     pub ruled_out: bool,
     /// The whole does not hang on it.
     pub audit: bool,
+    /// Why the site is asked.
     pub reason: Reason,
 }
 
+/// The sites of a statement: those to ask, those that access rules bar, and those that are left out.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     /// In the order in which their rows are joined.
--- a/crates/scatter/src/retention.rs
+++ b/crates/scatter/src/retention.rs
@@ -100,6 +100,7 @@
     to: Detail,
 }
 
+/// What is known of each summary's use, and the detail that each is to be held in.
 pub struct Retention {
     budget: Budget,
     items: BTreeMap<u64, Entry>,
@@ -118,6 +119,7 @@
 }
 
 impl Retention {
+    /// Nothing is known yet.
     pub fn new(budget: Budget) -> Retention {
         Retention { budget, items: BTreeMap::new(), filter_hits: (1.0, 0.0), bounds_share: (1.0, 1.0) }
     }
@@ -144,12 +146,14 @@
         true
     }
 
+    /// What was learned, for [`Retention::restore`] after a restart.
     pub fn to_bytes(&self) -> Vec<u8> {
         let (items, filter_hits, bounds_share) = (self.items.clone(), self.filter_hits, self.bounds_share);
         postcard::to_stdvec(&SavedState { format: FORMAT, items, filter_hits, bounds_share })
             .unwrap_or_default()
     }
 
+    /// Changes the budget; it takes effect with the next [`Retention::choose`].
     pub fn set_budget(&mut self, budget: Budget) {
         self.budget = budget;
     }
@@ -263,6 +267,7 @@
         self.items.len()
     }
 
+    /// Whether nothing is known of any summary.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
--- a/crates/scatter/src/runs.rs
+++ b/crates/scatter/src/runs.rs
@@ -5,6 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
+/// The most runs that a column may have.
 pub const MOST: usize = 256; // runs of a column: some 1,500 bytes
 pub(crate) const FEWER: usize = 64; // of a column that is told in sheets, where all fronts hold them
 const GROWING: usize = 4_096; // runs of a column as its rows come
@@ -21,6 +22,7 @@
 }
 
 impl EncodedRuns {
+    /// `None`: there are no runs.
     pub fn of(runs: &[(i128, i128)]) -> Option<EncodedRuns> {
         let first = runs.first()?.0;
         let mut end = first;
@@ -70,6 +72,7 @@
 pub(crate) struct RunsBuilder(BTreeMap<i128, i128>);
 
 impl RunsBuilder {
+    /// Takes in one value.
     pub fn add_value(&mut self, value: i128) {
         let before = self.0.range(..=value).next_back().map(|(from, end)| (*from, *end));
         if before.is_some_and(|(_, end)| value <= end) {
@@ -88,6 +91,7 @@
         }
     }
 
+    /// The runs, joined where there are more than [`MOST`].
     pub fn runs(self) -> Runs {
         coarser(self.0.into_iter().collect(), MOST)
     }
--- a/crates/scatter/src/sketch.rs
+++ b/crates/scatter/src/sketch.rs
@@ -16,14 +16,17 @@
 pub(crate) struct SketchBuilder(HllSketch);
 
 impl SketchBuilder {
+    /// `None`: engines may take unequal values of this kind for equal, so that they cannot be counted here.
     pub fn new(kind: Kind) -> Option<SketchBuilder> {
         HllSketch::new(LG_K, HllType::Hll4).ok().filter(|_| kind.is_equal_by_value()).map(SketchBuilder)
     }
 
+    /// Takes in one value.
     pub fn add_value(&mut self, value: &Value) {
         self.0.update(value.hash());
     }
 
+    /// The bytes that go into a summary.
     pub fn bytes(&self) -> Vec<u8> {
         self.0.serialize()
     }
@@ -41,7 +44,9 @@
 /// Distinct values, and by which part of them that may be wrong at two standard deviations.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
+    /// The estimated number of distinct values.
     pub distinct: u64,
+    /// The relative error: 0.033 means that the number may be off by 3.3 %.
     pub error: f64,
 }
 
--- a/crates/scatter/src/sql.rs
+++ b/crates/scatter/src/sql.rs
@@ -20,9 +20,13 @@
 /// A statement whose rows can be put together from those of its sites.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Query {
+    /// The table group, from the number in the schema's name.
     pub group: u32,
+    /// The table's name, without its schema; in lower case unless it is quoted.
     pub table: String,
+    /// What the statement asks of the rows of this table.
     pub condition: Condition,
+    /// The statement's LIMIT, if it has one.
     pub limit: Option<u64>,
     /// Its answer is one row of aggregates, put together from those of the parts.
     pub combine: Option<Vec<Aggregate>>,
@@ -35,21 +39,27 @@
 /// Why the rows of a statement can't be put together from parts.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unsupported {
+    /// Too long to be parsed; holds its length in bytes.
     #[error("a statement of {0} bytes, over {LONGEST}: shorten it, or name a scatter.whole_site for it")]
     Long(usize),
+    /// Text that dialects read in different ways; holds what makes it so.
     #[error(
         "text that dialects read in different ways ({0}): write it without, or name a scatter.whole_site"
     )]
     Ambiguous(&'static str),
+    /// Not parsed, or several statements; holds the parser's message.
     #[error("not understood ({0}): write it plainer, or name a scatter.whole_site")]
     Syntax(String),
+    /// A clause that can't be computed from the sites' answers; holds its name.
     #[error("{0} can't be put together from the sites' parts: leave it out, or name a scatter.whole_site")]
     NotDivisible(String),
+    /// A join of two table groups that may lie at different sites; holds their numbers.
     #[error(
         "a join of groups {0} and {1}, which scatter.together does not name: name them where equal keys lie \
          at one site, or name a scatter.whole_site"
     )]
     NotColocated(u32, u32),
+    /// A table whose name does not tell its group.
     #[error("names no table as SCHEMA_NUMBER.TABLE: name the group's schema, or name a scatter.whole_site")]
     NoGroup,
 }
@@ -339,6 +349,7 @@
 }
 
 impl ColumnScope {
+    /// The column that an expression names; `None`: it names none, or dialects differ on it.
     pub fn column(&self, e: &Expr) -> Option<String> {
         let name = match e {
             Expr::Identifier(name) if !self.qualified => name,
--- a/crates/scatter/src/store.rs
+++ b/crates/scatter/src/store.rs
@@ -21,6 +21,7 @@
     pub sites: BTreeMap<String, VerifyingKey>,
     /// The schema that a group's summaries must be of, where it is stated.
     pub schemas: BTreeMap<u32, u32>,
+    /// The age in milliseconds beyond which a summary does not count.
     pub oldest_ms: u64,
     /// How far a site's clock may be ahead of this front's.
     pub ahead_ms: u64,
@@ -65,6 +66,7 @@
     versions_seen
 }
 
+/// The summaries that one front holds, checked and by site and group.
 pub struct SummaryStore {
     terms: StoreSettings,
     held: BTreeMap<(String, u32), HeldSummary>,
@@ -80,6 +82,7 @@
 }
 
 impl SummaryStore {
+    /// An empty store that holds summaries whole.
     pub fn new(terms: StoreSettings) -> SummaryStore {
         SummaryStore { terms, held: BTreeMap::new(), retention: None, refused: BTreeMap::new() }
     }
@@ -213,6 +216,7 @@
         Some((summary_id(&summary.site, summary.group), summary.version))
     }
 
+    /// Whether the operator names this site.
     pub fn has_site(&self, site: &str) -> bool {
         self.terms.sites.contains_key(site)
     }
@@ -279,10 +283,12 @@
         }
     }
 
+    /// How many summaries are held.
     pub fn len(&self) -> usize {
         self.held.len()
     }
 
+    /// Whether no summary is held.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
--- a/crates/scatter/src/summary.rs
+++ b/crates/scatter/src/summary.rs
@@ -13,21 +13,29 @@
 use crate::sketch;
 use crate::value::{less, Kind, Value, MOST_SCALE};
 
+/// The longest summary that is read or made.
 pub const MOST_BYTES: usize = 64 << 10; // bytes of a summary: 50,000 values in filters, and 60 pieces on their way
 const FORMAT: u16 = 1;
 const EXTENDED: u16 = 3; // 2 and 4 are in sheets
 const RUN_BYTES: usize = 6; // bytes of a run, about
 const SIGNING_CONTEXT: &[u8] = b"hallmux summary\0"; // what is signed says what it is: no other word passes for it
+/// The most tables that a summary may have.
 pub const MOST_TABLES: usize = 64; // of a group
+/// The most columns that a table may have.
 pub const MOST_COLUMNS: usize = 256; // of a table
+/// The longest name of a table or column.
 pub const MOST_NAME: usize = 128; // bytes of a name
+/// The most runs that [`Loads`] may have.
 pub const MOST_RUNS: usize = 64; // of load numbers
 
 /// A site's data of one table group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
+    /// The format of the bytes; [`Summary::read`] refuses formats that it does not know.
     pub format: u16,
+    /// The site that signs it.
     pub site: String,
+    /// The table group that it is about.
     pub group: u32,
     /// Which shape of the tables it is of, as the operator counts them.
     pub schema: u32,
@@ -35,7 +43,9 @@
     pub version: u64,
     /// Unix milliseconds by the site's clock.
     pub made_ms: u64,
+    /// The marked loads whose rows are in it.
     pub loads: Loads,
+    /// The group's tables, at most [`MOST_TABLES`]; their names differ.
     pub tables: Vec<Table>,
     /// How much of what its site says is here.
     #[serde(skip)]
@@ -84,18 +94,25 @@
     }
 }
 
+/// One table's statistics.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Table {
     /// Without its schema, in lower case as unquoted names are.
     pub name: String,
+    /// The number of rows.
     pub rows: u64,
+    /// The columns that are told of, at most [`MOST_COLUMNS`]; their names differ.
     pub columns: Vec<Column>,
 }
 
+/// One column's statistics.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Column {
+    /// The column's name, in lower case.
     pub name: String,
+    /// What the column holds.
     pub kind: Kind,
+    /// The number of rows in which it is null.
     pub nulls: u64,
     /// Distinct values that are not null.
     pub distinct: u64,
@@ -109,6 +126,7 @@
     /// Of its distinct values, where the site was told to make one.
     #[serde(skip)]
     pub sketch: Option<Vec<u8>>,
+    /// The hashes of its values. `None`: nothing is told.
     pub members: Option<Members>,
 }
 
@@ -129,6 +147,7 @@
 }
 
 impl Summary {
+    /// A summary without tables, in full detail and of version 1.
     pub fn empty(site: &str, group: u32) -> Summary {
         Summary {
             format: FORMAT,
@@ -233,6 +252,7 @@
         }
     }
 
+    /// The table of a name, if the summary has it.
     pub fn table(&self, name: &str) -> Option<&Table> {
         self.tables.iter().find(|t| t.name == name)
     }
--- a/crates/scatter/src/summary/refused.rs
+++ b/crates/scatter/src/summary/refused.rs
@@ -5,34 +5,93 @@
 /// Why a summary counts for nothing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refused {
+    /// Longer than [`MOST_BYTES`]; holds its length in bytes.
     #[error("a summary of {0} bytes, over {MOST_BYTES}: make it coarser at its site")]
     Long(usize),
+    /// The bytes are no summary, or end too early.
     #[error("a summary that is cut short or no summary: let the site write it again")]
     Form,
+    /// A format that this build does not read; holds its number.
     #[error(
         "a summary of format {0}, this front reads {FORMAT}: site and front must be of versions that agree"
     )]
     Format(u16),
+    /// A site that the operator does not name; holds its name.
     #[error("a summary of site '{0}', which scatter.sites does not name: add the site with its key, or take the file away")]
     Unknown(String),
+    /// The signature does not fit the site's key; holds the site's name.
     #[error("a summary of site '{0}' whose signature does not hold: compare the key in scatter.sites with the site's own")]
     Forged(String),
+    /// The signature is good, but the content can't be so.
     #[error("site '{site}', group {group}: a summary that contradicts itself in {what}: the site makes it wrongly")]
-    Content { site: String, group: u32, what: &'static str },
+    Content {
+        /// The site that signed it.
+        site: String,
+        /// Its table group.
+        group: u32,
+        /// What contradicts the rest.
+        what: &'static str,
+    },
+    /// Not of the schema that the operator states.
     #[error(
         "site '{site}', group {group}: schema {schema}, scatter.schemas says {stated}: bring the two in line"
     )]
-    Schema { site: String, group: u32, schema: u32, stated: u32 },
+    Schema {
+        /// The site that signed it.
+        site: String,
+        /// Its table group.
+        group: u32,
+        /// The schema that the summary names.
+        schema: u32,
+        /// The schema that the operator states.
+        stated: u32,
+    },
+    /// Not newer than what is held.
     #[error("site '{site}', group {group}: version {version} after {held}: a site's versions must grow")]
-    Version { site: String, group: u32, version: u64, held: u64 },
+    Version {
+        /// The site that signed it.
+        site: String,
+        /// Its table group.
+        group: u32,
+        /// Its version.
+        version: u64,
+        /// The version held.
+        held: u64,
+    },
+    /// Older than the operator allows.
     #[error("site '{site}', group {group}: made {age_ms} ms ago, scatter.oldest_ms is {most_ms}: the site must write more often")]
-    Old { site: String, group: u32, age_ms: u64, most_ms: u64 },
+    Old {
+        /// The site that signed it.
+        site: String,
+        /// Its table group.
+        group: u32,
+        /// Its age in milliseconds.
+        age_ms: u64,
+        /// The age allowed, in milliseconds.
+        most_ms: u64,
+    },
+    /// Made in the future, by this front's clock.
     #[error(
         "site '{site}', group {group}: made {ahead_ms} ms ahead of this front's clock: set the clocks right"
     )]
-    Ahead { site: String, group: u32, ahead_ms: u64 },
+    Ahead {
+        /// The site that signed it.
+        site: String,
+        /// Its table group.
+        group: u32,
+        /// By how many milliseconds.
+        ahead_ms: u64,
+    },
+    /// There is no room for another site or group.
     #[error("site '{site}', group {group}: {held} summaries are held, as many as scatter.most allows: raise it or name fewer sites")]
-    Full { site: String, group: u32, held: usize },
+    Full {
+        /// The site that signed it.
+        site: String,
+        /// Its table group.
+        group: u32,
+        /// How many summaries are held.
+        held: usize,
+    },
 }
 
 impl Refused {
--- a/crates/scatter/src/value.rs
+++ b/crates/scatter/src/value.rs
@@ -4,6 +4,7 @@
 use hallmux_hash::fnv1a;
 use serde::{Deserialize, Serialize};
 
+/// The most digits behind the point that a column of numbers may have.
 pub const MOST_SCALE: u8 = 18; // digits behind the point: with 18 before it they fit 128 bits by far
 const MOST_DIGITS: usize = 30; // of a literal; longer ones are not understood
 const SLACK: f64 = 1e-6; // of a float: an engine may round a literal to four bytes, which is off by a tenth of that
@@ -13,10 +14,14 @@
 pub enum Kind {
     /// Whole numbers and decimals, in units of the last digit behind the point.
     Number {
+        /// How many digits there are behind the point, at most [`MOST_SCALE`].
         scale: u8,
     },
+    /// Binary floating-point numbers of either size.
     Float,
+    /// Text, compared by this collation.
     Text(Collation),
+    /// Truth values.
     Bool,
     /// Anything else: only nulls are told.
     Other,
@@ -43,15 +48,20 @@
 /// A value that is not null.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Value {
+    /// A number in units of the last digit behind the point, as the column's scale says.
     Number(i128),
+    /// A binary floating-point number.
     Float(f64),
+    /// Text, as the engine gives it.
     Text(String),
+    /// A truth value.
     Bool(bool),
     /// Of a column whose kind tells nothing.
     Other,
 }
 
 impl Value {
+    /// Whether a column of this kind can hold the value.
     pub fn fits(&self, kind: Kind) -> bool {
         matches!(
             (self, kind),
@@ -80,17 +90,23 @@
 pub enum Literal {
     /// Digits with at most one point; negative or not.
     Number {
+        /// Whether a minus stands before it.
         negative: bool,
+        /// The digits, with at most one point among them.
         digits: String,
     },
+    /// Text between single quotes.
     Text(String),
+    /// TRUE or FALSE.
     Bool(bool),
 }
 
 /// The values of a column between which a literal lies: the same where it is one of them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Point {
+    /// The literal is at or above this value, however an engine rounds it.
     pub below: Value,
+    /// The literal is at or below this value, however an engine rounds it.
     pub above: Value,
     /// It is a value of the column for every engine.
     pub exact: bool,
