--- a/crates/access/src/hits.rs
+++ b/crates/access/src/hits.rs
@@ -66,7 +66,7 @@
     putting: bool,
 }
 
-enum Asked {
+enum Pending {
     Put {
         page: usize,
         added: u64,
@@ -98,7 +98,7 @@
     listed: usize,
     lives: Option<(Vec<(u64, u32)>, u64)>,
     listing: bool,
-    asked: HashMap<u64, Asked>,
+    asked: HashMap<u64, Pending>,
     try_again: Micros,
     ticked: Micros,
     /// An earlier life of this front that is taken into the fleet's table.
@@ -259,7 +259,7 @@
         self.read_on(number);
     }
 
-    fn ask(&mut self, number: &mut impl FnMut() -> u64, asked: Asked, key: Key, act: Act) {
+    fn ask(&mut self, number: &mut impl FnMut() -> u64, asked: Pending, key: Key, act: Act) {
         let number = number();
         self.asked.insert(number, asked);
         self.asks.push(Ask { number, key, act });
@@ -273,14 +273,14 @@
         }
         self.listing = true;
         let Some((lives, version)) = self.lives.as_ref().filter(|_| !std::mem::take(&mut self.reread)) else {
-            return self.ask(number, Asked::Lives, lives_key(self.own.front), Act::Read);
+            return self.ask(number, Pending::Lives, lives_key(self.own.front), Act::Read);
         };
         let mut lives: Vec<(u64, u32)> = lives.clone();
         lives.retain(|(life, _)| *life != self.own.incarnation);
         lives.push((self.own.incarnation, self.pages.len() as u32));
         let value = bytes::<Lives>(&(FORMAT, lives));
         let act = Act::Put { expects: Some(*version), ends_ms: 0, value };
-        self.ask(number, Asked::Lives, lives_key(self.own.front), act);
+        self.ask(number, Pending::Lives, lives_key(self.own.front), act);
     }
 
     fn put(&mut self, at: usize, number: &mut impl FnMut() -> u64) {
@@ -290,7 +290,7 @@
         page.putting = true;
         // Compare and swap: one that was held up on its way can't set the page back.
         let act = Act::Put { expects: Some(page.version), ends_ms: 0, value: bytes(&(FORMAT, &page.counts)) };
-        let asked = Asked::Put { page: at, added: page.added };
+        let asked = Pending::Put { page: at, added: page.added };
         self.ask(number, asked, page_key(self.own.front, self.own.incarnation, at), act);
     }
 
@@ -306,9 +306,9 @@
         let failed = matches!(outcome, Outcome::Unreachable | Outcome::Full);
         self.full |= outcome == Outcome::Full;
         match asked {
-            Asked::Put { page, added } => self.put_done(page, added, outcome),
-            Asked::Lives => self.listed_done(outcome),
-            Asked::LivesOf(_) | Asked::PageOf(_) | Asked::Folded(_) => self.swept_on(asked, outcome),
+            Pending::Put { page, added } => self.put_done(page, added, outcome),
+            Pending::Lives => self.listed_done(outcome),
+            Pending::LivesOf(_) | Pending::PageOf(_) | Pending::Folded(_) => self.swept_on(asked, outcome),
             step => self.folded_on(&step, outcome),
         }
         if failed {
--- a/crates/access/src/hits/fold.rs
+++ b/crates/access/src/hits/fold.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    bytes, counts, lives_key, page_key, whole, Asked, Counts, Hit, Hits, Lives, ANY, CLOSED, FORMAT,
+    bytes, counts, lives_key, page_key, whole, Counts, Hit, Hits, Lives, Pending, ANY, CLOSED, FORMAT,
 };
 use crate::FrontId;
 
@@ -115,7 +115,7 @@
                 None => Act::Read,
                 Some((counts, version)) => put(Some(*version), 0, closed(counts)),
             };
-            (Asked::Closing, key(page), act)
+            (Pending::Closing, key(page), act)
         } else if let Some((place, rows)) = left.and_then(|left| left.first_key_value()) {
             let act = match &fold.part {
                 None => Act::Read,
@@ -125,14 +125,14 @@
                     put(Some(*version), 0, bytes(&(FORMAT, folded)))
                 }
             };
-            (Asked::Adding, folded_key(*place), act)
+            (Pending::Adding, folded_key(*place), act)
         } else if fold.blanked < fold.count {
             let act = put(None, wall_ms.saturating_add(LINGERS_MS), closed(&Counts::new()));
-            (Asked::Blanking, key(fold.blanked), act)
+            (Pending::Blanking, key(fold.blanked), act)
         } else if !self.listing {
             let lives: Vec<(u64, u32)> =
                 lives.into_iter().filter(|(life, _)| *life != fold.owner.incarnation).collect();
-            (Asked::Dropping, lives_key(own.front), put(Some(version), 0, bytes::<Lives>(&(FORMAT, lives))))
+            (Pending::Dropping, lives_key(own.front), put(Some(version), 0, bytes::<Lives>(&(FORMAT, lives))))
         } else {
             return;
         };
@@ -141,12 +141,12 @@
     }
 
     /// The ledger has answered a step.
-    pub(super) fn folded_on(&mut self, asked: &Asked, outcome: Outcome) {
+    pub(super) fn folded_on(&mut self, asked: &Pending, outcome: Outcome) {
         let Some(fold) = &mut self.fold else { return };
         fold.asking = false;
         match (asked, outcome) {
             (_, Outcome::Unreachable | Outcome::Full) => {}
-            (Asked::Closing, Outcome::Stands(entry)) => match counts(&entry.value) {
+            (Pending::Closing, Outcome::Stands(entry)) => match counts(&entry.value) {
                 Some(counts) if entry.value.first() == Some(&CLOSED) => {
                     fold.pages.push(counts);
                     fold.open = None;
@@ -155,9 +155,9 @@
                 None => fold.stuck = true,
             },
             // Listed, and never written: it may not be any more.
-            (Asked::Closing, Outcome::Absent) => fold.open = Some((Counts::new(), 0)),
-            (Asked::Closing, Outcome::Held(_)) => fold.open = None,
-            (Asked::Adding, Outcome::Stands(entry)) => match Folded::read(&entry.value) {
+            (Pending::Closing, Outcome::Absent) => fold.open = Some((Counts::new(), 0)),
+            (Pending::Closing, Outcome::Held(_)) => fold.open = None,
+            (Pending::Adding, Outcome::Stands(entry)) => match Folded::read(&entry.value) {
                 Some(folded) if folded.has(fold.owner) => {
                     fold.left.iter_mut().for_each(|left| _ = left.pop_first());
                     fold.part = None;
@@ -165,18 +165,18 @@
                 Some(folded) => fold.part = Some((folded, entry.version)),
                 None => fold.stuck = true,
             },
-            (Asked::Adding, Outcome::Absent) if fold.part.is_none() => {
+            (Pending::Adding, Outcome::Absent) if fold.part.is_none() => {
                 fold.part = Some((Folded::default(), 0));
             }
-            (Asked::Adding, _) => fold.part = None,
-            (Asked::Blanking, _) => fold.blanked += 1,
-            (Asked::Dropping, Outcome::Stands(entry)) => {
+            (Pending::Adding, _) => fold.part = None,
+            (Pending::Blanking, _) => fold.blanked += 1,
+            (Pending::Dropping, Outcome::Stands(entry)) => {
                 self.lives = whole::<Vec<(u64, u32)>>(&entry.value).map(|lives| (lives, entry.version));
                 self.fold = None;
                 return;
             }
             // The list has moved on: it is read anew, and what was folded is known by the parts.
-            (Asked::Dropping, _) => {
+            (Pending::Dropping, _) => {
                 self.fold = None;
                 return self.reread = true;
             }
--- a/crates/access/src/hits/sweep.rs
+++ b/crates/access/src/hits/sweep.rs
@@ -5,7 +5,7 @@
 use hallmux_ledger::{Act, Outcome, Owner};
 
 use super::fold::{folded_key, place_of, Folded, PLACES};
-use super::{counts, lives_key, merge, page_key, whole, Asked, Counts, Fleet, Hits};
+use super::{counts, lives_key, merge, page_key, whole, Counts, Fleet, Hits, Pending};
 use crate::{FrontId, Micros};
 
 const AT_ONCE: usize = 32; // pages read at once for the fleet's count
@@ -47,11 +47,11 @@
             };
             sweep.out += 1;
             let (asked, key) = match read {
-                Read::Lives(front) => (Asked::LivesOf(front), lives_key(front)),
+                Read::Lives(front) => (Pending::LivesOf(front), lives_key(front)),
                 Read::Page(owner, page) => {
-                    (Asked::PageOf(owner), page_key(owner.front, owner.incarnation, page as usize))
+                    (Pending::PageOf(owner), page_key(owner.front, owner.incarnation, page as usize))
                 }
-                Read::Folded(place) => (Asked::Folded(place), folded_key(place)),
+                Read::Folded(place) => (Pending::Folded(place), folded_key(place)),
             };
             self.ask(number, asked, key, Act::Read);
         }
@@ -82,12 +82,13 @@
         counts
     }
 
-    pub(super) fn swept_on(&mut self, asked: Asked, outcome: Outcome) {
+    pub(super) fn swept_on(&mut self, asked: Pending, outcome: Outcome) {
         let Some(sweep) = &mut self.sweep else { return };
         sweep.out -= 1;
         match (asked, outcome) {
             (_, Outcome::Absent) => {}
-            (Asked::LivesOf(front), Outcome::Stands(entry)) => match whole::<Vec<(u64, u32)>>(&entry.value) {
+            (Pending::LivesOf(front), Outcome::Stands(entry)) => match whole::<Vec<(u64, u32)>>(&entry.value)
+            {
                 Some(lives) => {
                     for (incarnation, pages) in lives {
                         let owner = Owner { front, incarnation };
@@ -96,11 +97,11 @@
                 }
                 None => _ = sweep.missing.insert(front),
             },
-            (Asked::PageOf(owner), Outcome::Stands(entry)) => match counts(&entry.value) {
+            (Pending::PageOf(owner), Outcome::Stands(entry)) => match counts(&entry.value) {
                 Some(counts) => merge(self.known.entry(owner).or_default(), &counts),
                 None => _ = sweep.missing.insert(owner.front),
             },
-            (Asked::Folded(place), Outcome::Stands(entry)) => match Folded::read(&entry.value) {
+            (Pending::Folded(place), Outcome::Stands(entry)) => match Folded::read(&entry.value) {
                 Some(folded) => {
                     let known = self.folded.get(&place).map_or(0, |(_, version)| *version);
                     if entry.version >= known {
@@ -109,11 +110,11 @@
                 }
                 None => sweep.missing.extend(&self.fronts),
             },
-            (Asked::LivesOf(front) | Asked::PageOf(Owner { front, .. }), _) => {
+            (Pending::LivesOf(front) | Pending::PageOf(Owner { front, .. }), _) => {
                 _ = sweep.missing.insert(front)
             }
             // Of any front something may be there.
-            (Asked::Folded(_), _) => sweep.missing.extend(&self.fronts),
+            (Pending::Folded(_), _) => sweep.missing.extend(&self.fronts),
             _ => {}
         }
     }
--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -76,7 +76,7 @@
     wanted: Option<Kept>,
 }
 
-enum Asked {
+enum Pending {
     Head,
     Part { of: Kept, number: usize },
     Keeps,
@@ -112,7 +112,7 @@
     was_open: bool,
     fetch: Option<Fetch>,
     offer: Option<Offer>,
-    asked: HashMap<u64, (Asked, Micros)>,
+    asked: HashMap<u64, (Pending, Micros)>,
     next_number: u64,
     look: Micros,
     try_again: Micros,
@@ -178,13 +178,13 @@
         let runs_out = if self.was_open { self.until } else { Micros::MAX };
         let settles = if self.unsettled() { self.settles().max(self.try_again) } else { Micros::MAX };
         let retries = if self.try_again > self.ticked { self.try_again } else { Micros::MAX };
-        let look = if self.waits(|a| matches!(a, Asked::Head)) { Micros::MAX } else { self.look };
+        let look = if self.waits(|a| matches!(a, Pending::Head)) { Micros::MAX } else { self.look };
         look.min(runs_out).min(settles).min(retries)
     }
 
     fn unsettled(&self) -> bool {
         self.head.as_ref().is_some_and(|(head, _)| !head.in_force)
-            && !self.waits(|a| matches!(a, Asked::Settle))
+            && !self.waits(|a| matches!(a, Pending::Settle))
     }
 
     /// When every lease on an earlier version has surely ended.
@@ -193,11 +193,11 @@
         self.since.saturating_add(self.terms.rests_for() + ON_THE_WAY + others)
     }
 
-    fn waits(&self, what: impl Fn(&Asked) -> bool) -> bool {
+    fn waits(&self, what: impl Fn(&Pending) -> bool) -> bool {
         self.asked.values().any(|(asked, _)| what(asked))
     }
 
-    fn ask(&mut self, at: Moment, asked: Asked, key: Key, act: Act) {
+    fn ask(&mut self, at: Moment, asked: Pending, key: Key, act: Act) {
         let number = self.number();
         self.asked.insert(number, (asked, at.steady));
         self.asks.push(Ask { number, key, act });
@@ -212,9 +212,9 @@
             let version = self.held.set.version;
             self.said.push(if open { Said::Open { version } } else { Said::Closed });
         }
-        if at.steady >= self.look && !self.waits(|a| matches!(a, Asked::Head)) {
+        if at.steady >= self.look && !self.waits(|a| matches!(a, Pending::Head)) {
             self.look = at.steady + self.terms.acts_for() / 3;
-            self.ask(at, Asked::Head, head_key(), Act::Read);
+            self.ask(at, Pending::Head, head_key(), Act::Read);
         }
         if at.steady < self.try_again {
             return;
@@ -238,41 +238,45 @@
         true
     }
 
-    fn failed(&mut self, at: Moment, asked: Asked, outcome: Outcome) {
+    fn failed(&mut self, at: Moment, asked: Pending, outcome: Outcome) {
         self.try_again = at.steady + AGAIN;
         match asked {
-            Asked::Head => self.look = at.steady + AGAIN,
+            Pending::Head => self.look = at.steady + AGAIN,
             // It may stand or not: the head will tell.
-            Asked::Swap { .. } => {
+            Pending::Swap { .. } => {
                 self.look = at.steady;
                 self.offer.iter_mut().for_each(|offer| offer.swapping = false);
             }
-            Asked::Part { .. } => self.fetch = None,
+            Pending::Part { .. } => self.fetch = None,
             _ => {}
         }
-        if outcome == Outcome::Full && !matches!(asked, Asked::Lets) {
+        if outcome == Outcome::Full && !matches!(asked, Pending::Lets) {
             self.offer = None;
             self.said.push(Said::Full { what: "a set of rules" });
         }
     }
 
-    fn answered(&mut self, at: Moment, asked: Asked, asked_at: Micros, outcome: Outcome) {
+    fn answered(&mut self, at: Moment, asked: Pending, asked_at: Micros, outcome: Outcome) {
         match (asked, outcome) {
-            (Asked::Head, Outcome::Stands(entry)) => self.seen(at, asked_at, Some(entry)),
-            (Asked::Head, _) => self.seen(at, asked_at, None),
-            (Asked::Part { of, number }, Outcome::Stands(entry)) => self.part(at, of, number, entry.value),
+            (Pending::Head, Outcome::Stands(entry)) => self.seen(at, asked_at, Some(entry)),
+            (Pending::Head, _) => self.seen(at, asked_at, None),
+            (Pending::Part { of, number }, Outcome::Stands(entry)) => self.part(at, of, number, entry.value),
             // Not there (yet): the head is looked at again.
-            (Asked::Part { .. }, _) => (self.fetch, self.try_again) = (None, at.steady + AGAIN),
-            (Asked::Keeps, Outcome::Stands(_)) => self.offer.iter_mut().for_each(|offer| offer.standing += 1),
-            (Asked::Keeps, _) => self.offer.iter_mut().for_each(|offer| offer.swapping = false),
-            (Asked::Swap { to, gone }, Outcome::Stands(entry)) => self.swapped(at, asked_at, to, gone, entry),
-            (Asked::Swap { .. }, _) => {
+            (Pending::Part { .. }, _) => (self.fetch, self.try_again) = (None, at.steady + AGAIN),
+            (Pending::Keeps, Outcome::Stands(_)) => {
+                self.offer.iter_mut().for_each(|offer| offer.standing += 1)
+            }
+            (Pending::Keeps, _) => self.offer.iter_mut().for_each(|offer| offer.swapping = false),
+            (Pending::Swap { to, gone }, Outcome::Stands(entry)) => {
+                self.swapped(at, asked_at, to, gone, entry)
+            }
+            (Pending::Swap { .. }, _) => {
                 self.look = at.steady;
                 self.offer.iter_mut().for_each(|offer| offer.swapping = false);
             }
-            (Asked::Settle, Outcome::Stands(entry)) => self.seen(at, asked_at, Some(entry)),
-            (Asked::Settle, _) => self.look = at.steady,
-            (Asked::Lets, _) => {}
+            (Pending::Settle, Outcome::Stands(entry)) => self.seen(at, asked_at, Some(entry)),
+            (Pending::Settle, _) => self.look = at.steady,
+            (Pending::Lets, _) => {}
         }
     }
 
@@ -324,7 +328,7 @@
         let keys: Vec<Key> = part_keys(now).collect();
         self.fetch = Some(Fetch { of: now, parts: vec![None; keys.len()] });
         for (number, key) in keys.into_iter().enumerate() {
-            self.ask(at, Asked::Part { of: now, number }, key, Act::Read);
+            self.ask(at, Pending::Part { of: now, number }, key, Act::Read);
         }
     }
 
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -2,7 +2,7 @@
 
 use hallmux_ledger::{Act, Entry, Key};
 
-use super::{Asked, Offer, Said, Versions};
+use super::{Offer, Pending, Said, Versions};
 use crate::fault::Refused;
 use crate::head::{head_key, part_keys, parts, Head, Kept, LINGERS_MS, MOST_TEXT};
 use crate::index::Index;
@@ -65,7 +65,7 @@
         // One that is not above the head is never swapped in, however the head was read.
         self.fate();
         let Some(offer) = self.offer.as_ref().filter(|offer| self.heard && !offer.swapping) else { return };
-        if self.waits(|a| matches!(a, Asked::Keeps | Asked::Swap { .. })) {
+        if self.waits(|a| matches!(a, Pending::Keeps | Pending::Swap { .. })) {
             return;
         }
         let wanted = match self.wanted(offer) {
@@ -81,7 +81,7 @@
             let parts = parts(&offer.text);
             self.offer.iter_mut().for_each(|offer| offer.standing = 0);
             for (key, value) in keys.into_iter().zip(parts) {
-                self.ask(at, Asked::Keeps, key, Act::Put { expects: None, ends_ms: 0, value });
+                self.ask(at, Pending::Keeps, key, Act::Put { expects: None, ends_ms: 0, value });
             }
             return;
         }
@@ -92,7 +92,7 @@
         };
         let (next, gone) = Head::after(head, wanted, in_force);
         let act = Act::Put { expects: Some(version), ends_ms: 0, value: next.bytes() };
-        self.ask(at, Asked::Swap { to: wanted, gone }, head_key(), act);
+        self.ask(at, Pending::Swap { to: wanted, gone }, head_key(), act);
         self.offer.iter_mut().for_each(|offer| (offer.swapping, offer.wanted) = (true, Some(wanted)));
     }
 
@@ -119,7 +119,7 @@
         // Parts that nothing names any more end after a while.
         for key in gone.into_iter().flat_map(part_keys) {
             let act = Act::Put { expects: None, ends_ms: at.wall_ms + LINGERS_MS, value: Vec::new() };
-            self.ask(at, Asked::Lets, key, act);
+            self.ask(at, Pending::Lets, key, act);
         }
     }
 
@@ -128,6 +128,6 @@
         let Some((head, version)) = &self.head else { return };
         let settled = Head { in_force: true, ..head.clone() };
         let act = Act::Put { expects: Some(*version), ends_ms: 0, value: settled.bytes() };
-        self.ask(at, Asked::Settle, head_key(), act);
+        self.ask(at, Pending::Settle, head_key(), act);
     }
 }
