--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -37,7 +37,7 @@
 
 /// What a statement asks for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Asked {
+pub struct Request {
     /// Whose statement it is; matched exactly.
     pub customer: String,
     /// The workload that the statement belongs to, as the settings name it.
@@ -90,13 +90,13 @@
 }
 
 struct Open {
-    asked: Asked,
+    request: Request,
     verdict: Verdict,
     /// Where its executions are, by the caller's number.
     out: BTreeMap<u64, Option<u16>>,
     ending: bool,
     /// When it was judged: rules that move go by that at every try.
-    asked_ms: u64,
+    first_judged_ms: u64,
     /// What it counts for, while it waits for its share of a limit.
     hits: Vec<Hit>,
 }
@@ -124,19 +124,19 @@
 pub(crate) fn judge(
     index: &Index,
     region: &str,
-    asked: &Asked,
+    request: &Request,
     wall_ms: u64,
-    asked_ms: Option<u64>,
+    first_judged_ms: Option<u64>,
 ) -> Verdict {
     let asking = Asking {
-        asked_ms,
-        customer: &asked.customer,
-        workload: &asked.workload,
+        first_judged_ms,
+        customer: &request.customer,
+        workload: &request.workload,
         group: None,
         told: false,
         front: region,
     };
-    index.judge(&asking, asked.groups.as_deref(), wall_ms)
+    index.judge(&asking, request.groups.as_deref(), wall_ms)
 }
 
 impl Access {
@@ -205,16 +205,16 @@
     }
 
     /// Judges a statement, once for all its tries.
-    pub fn judge(&mut self, at: Moment, asked: Asked) -> Judged {
-        if !self.known().covers(&asked.customer) {
+    pub fn judge(&mut self, at: Moment, request: Request) -> Judged {
+        if !self.known().covers(&request.customer) {
             return Judged::Free;
         }
         let Some(index) = self.versions.lease(at.steady) else { return Judged::Closed };
-        let verdict = judge(index, &self.region, &asked, at.wall_ms, None);
-        self.record.add(at.steady, &asked);
+        let verdict = judge(index, &self.region, &request, at.wall_ms, None);
+        self.record.add(at.steady, &request);
         let hit = |rule: usize| Hit {
             rule: index.name(rule).to_string(),
-            customer: asked.customer.clone(),
+            customer: request.customer.clone(),
             region: self.region.clone(),
         };
         let hits: Vec<Hit> = verdict.rule.into_iter().chain(verdict.counts).map(hit).collect();
@@ -230,12 +230,12 @@
             _ => hits,
         };
         let open = Open {
-            asked,
+            request,
             verdict: verdict.clone(),
             out: BTreeMap::new(),
             ending: false,
             hits,
-            asked_ms: at.wall_ms,
+            first_judged_ms: at.wall_ms,
         };
         self.open.insert(statement, open);
         Judged::Taken { statement, verdict, waits }
@@ -248,7 +248,7 @@
         let Some(index) = self.versions.lease(at.steady) else { return false };
         let Some(open) = self.open.get_mut(&statement) else { return false };
         let still = open.verdict.version == index.set.version
-            || judge(index, &self.region, &open.asked, at.wall_ms, Some(open.asked_ms)).lets(place);
+            || judge(index, &self.region, &open.request, at.wall_ms, Some(open.first_judged_ms)).lets(place);
         let may =
             still && !open.ending && open.verdict.lets(place) && self.shares.begins(at.steady, statement);
         if may {
@@ -338,7 +338,7 @@
         self.looked = index.set.version;
         for (statement, open) in self.open.iter_mut().filter(|(_, open)| !open.out.is_empty() && !open.ending)
         {
-            let verdict = judge(index, &self.region, &open.asked, at.wall_ms, Some(open.asked_ms));
+            let verdict = judge(index, &self.region, &open.request, at.wall_ms, Some(open.first_judged_ms));
             if !open.out.values().all(|place| verdict.lets(*place)) {
                 open.ending = true;
                 self.ended += 1;
--- a/crates/access/src/index.rs
+++ b/crates/access/src/index.rs
@@ -217,8 +217,14 @@
         for customer in &customers {
             for workload in &workloads {
                 for front in &fronts {
-                    let kind =
-                        |group| Asking { customer, workload, group, told: false, front, asked_ms: None };
+                    let kind = |group| Asking {
+                        customer,
+                        workload,
+                        group,
+                        told: false,
+                        front,
+                        first_judged_ms: None,
+                    };
                     let less = |group: &Option<u32>| {
                         times.iter().any(|at| {
                             let (new, limits) = lets(self, &kind(*group), *at);
--- a/crates/access/src/record.rs
+++ b/crates/access/src/record.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::access::{judge, Asked};
+use crate::access::{judge, Request};
 use crate::index::Index;
 use crate::shares::Limit;
 use crate::{Micros, Moment};
@@ -61,7 +61,7 @@
     begun: Option<Micros>,
     /// The part that is being filled, since the clock began.
     at: Micros,
-    kinds: HashMap<Asked, [u32; PARTS]>,
+    kinds: HashMap<Request, [u32; PARTS]>,
     unknown: [u64; PARTS],
 }
 
@@ -92,19 +92,19 @@
     }
 
     /// Counts one statement.
-    pub fn add(&mut self, now: Micros, asked: &Asked) {
+    pub fn add(&mut self, now: Micros, request: &Request) {
         if self.part <= 0 {
             return;
         }
         let place = self.turn(now);
-        if !self.kinds.contains_key(asked) {
+        if !self.kinds.contains_key(request) {
             if self.kinds.len() >= MOST_KINDS {
                 self.unknown.iter_mut().skip(place).take(1).for_each(|count| *count += 1);
                 return;
             }
-            self.kinds.insert(asked.clone(), [0; PARTS]);
+            self.kinds.insert(request.clone(), [0; PARTS]);
         }
-        let counts = self.kinds.get_mut(asked).into_iter().flatten();
+        let counts = self.kinds.get_mut(request).into_iter().flatten();
         counts.skip(place).take(1).for_each(|count| *count = count.saturating_add(1));
     }
 
@@ -125,13 +125,13 @@
         let back = self.begun.map_or(0, |begun| at.steady - begun);
         found.back = back.min(self.part * PARTS as Micros);
         found.unknown = self.unknown.iter().sum();
-        for (asked, counts) in &self.kinds {
+        for (request, counts) in &self.kinds {
             let count = counts.iter().map(|count| u64::from(*count)).sum::<u64>();
             found.statements += count;
-            let by = |index: &Index| decided(index, known, region, asked, at.wall_ms);
+            let by = |index: &Index| decided(index, known, region, request, at.wall_ms);
             let (is, would) = (by(held), by(other));
             if is != would {
-                let (customer, workload) = (asked.customer.clone(), asked.workload.clone());
+                let (customer, workload) = (request.customer.clone(), request.workload.clone());
                 *found.changes.entry(Change { customer, workload, is, would }).or_default() += count;
             }
         }
@@ -139,8 +139,8 @@
     }
 }
 
-fn decided(index: &Index, known: &crate::Known, region: &str, asked: &Asked, wall_ms: u64) -> Decided {
-    let verdict = judge(index, region, asked, wall_ms, None);
+fn decided(index: &Index, known: &crate::Known, region: &str, request: &Request, wall_ms: u64) -> Decided {
+    let verdict = judge(index, region, request, wall_ms, None);
     if verdict.denied.is_some() {
         return Decided::Denied;
     }
--- a/crates/access/src/record_tests.rs
+++ b/crates/access/src/record_tests.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn a_record_is_bounded_and_what_is_too_old_is_forgotten() {
-    let asked = |n: usize| Asked { customer: n.to_string(), workload: "w".to_string(), groups: None };
+    let request = |n: usize| Request { customer: n.to_string(), workload: "w".to_string(), groups: None };
     let mut record = Record::new(24_000_000);
     let index = Index::new(Set::empty());
     let counts = |record: &mut Record, now: Micros| {
@@ -13,13 +13,13 @@
         let found = record.play(at, "eu", &index, &index, &Known::default());
         (found.statements, found.unknown, found.back)
     };
-    (0..MOST_KINDS + 10).for_each(|n| record.add(500_000, &asked(n)));
-    record.add(20_000_000, &asked(0));
+    (0..MOST_KINDS + 10).for_each(|n| record.add(500_000, &request(n)));
+    record.add(20_000_000, &request(0));
     assert_eq!(counts(&mut record, 20_000_000), (MOST_KINDS as u64 + 1, 10, 19_500_000));
     assert_eq!(counts(&mut record, 24_100_000), (1, 0, 23_600_000));
     assert_eq!(record.kinds.len(), 1);
     assert_eq!(counts(&mut record, 90_000_000), (0, 0, 24_000_000));
     let mut off = Record::new(0);
-    off.add(1, &asked(0));
+    off.add(1, &request(0));
     assert_eq!(counts(&mut off, 5), (0, 0, 0));
 }
--- a/crates/access/src/rule.rs
+++ b/crates/access/src/rule.rs
@@ -109,13 +109,13 @@
     /// The region of the front that was asked.
     pub front: &'a str,
     /// When it was judged first, where that was before.
-    pub asked_ms: Option<u64>,
+    pub first_judged_ms: Option<u64>,
 }
 
 impl Rule {
     /// Whether it holds for a statement now.
     pub fn holds(&self, asking: &Asking, wall_ms: u64) -> bool {
-        self.active(asking.asked_ms.filter(|_| self.moves).unwrap_or(wall_ms))
+        self.active(asking.first_judged_ms.filter(|_| self.moves).unwrap_or(wall_ms))
     }
 
     /// Whether it holds at a time.
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use hallmux_access::{
-    read, Access, Act, Asked, Bound, Change, Decided, Done, Entry, Fleet, Judged, Key, Known, Moment,
-    Outcome, Owner, Said, Setup, Terms, Wish,
+    read, Access, Act, Bound, Change, Decided, Done, Entry, Fleet, Judged, Key, Known, Moment, Outcome,
+    Owner, Request, Said, Setup, Terms, Wish,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -113,7 +113,7 @@
     }
 
     /// What is decided of a statement, and its number.
-    fn ask(&mut self, asked: &Asked) -> (Decided, u64) {
+    fn ask(&mut self, asked: &Request) -> (Decided, u64) {
         let Judged::Taken { statement, verdict, .. } = self.access.judge(self.at(), asked.clone()) else {
             panic!("judged")
         };
@@ -135,7 +135,7 @@
 
 #[test]
 fn an_earlier_life_that_goes_on_beside_a_later_one_counts_nothing_any_more() {
-    let asked = Asked { customer: "acme".to_string(), workload: "lookup".to_string(), groups: None };
+    let asked = Request { customer: "acme".to_string(), workload: "lookup".to_string(), groups: None };
     let mut one = One::new();
     one.holds("{ version: 1, default: 'allow', rules: [ { name: 'a', then: 'count' }, { name: 'b', regions: ['eu'] } ] }");
     let counts = |one: &mut One| {
@@ -198,7 +198,7 @@
             continue;
         }
         runs += 1;
-        let drawn = |rng: &mut Pcg64| Asked {
+        let drawn = |rng: &mut Pcg64| Request {
             customer: ["acme", "brisk"][rng.random_range(0..2)].to_string(),
             workload: ["lookup", "report"][rng.random_range(0..2)].to_string(),
             groups: [
@@ -209,7 +209,7 @@
             ][rng.random_range(0..4)]
             .clone(),
         };
-        let traffic: Vec<Asked> = (0..200).map(|_| drawn(&mut rng)).collect();
+        let traffic: Vec<Request> = (0..200).map(|_| drawn(&mut rng)).collect();
         let mut one = One::new();
         one.holds(&before);
         let was: Vec<Decided> = traffic.iter().map(|asked| one.ask(asked).0).collect();
@@ -225,7 +225,7 @@
         let mut happened: BTreeMap<Change, u64> = BTreeMap::new();
         for (asked, is) in traffic.iter().zip(was) {
             let would = one.ask(asked).0;
-            let Asked { customer, workload, .. } = asked.clone();
+            let Request { customer, workload, .. } = asked.clone();
             if is != would {
                 *happened.entry(Change { customer, workload, is, would }).or_default() += 1;
             }
@@ -246,7 +246,7 @@
              moves: {{ from: 'eu', to: 'us', at: '{at}', overlap_ms: 60000 }} }}{more} ] }}"
         )
     };
-    let asked = |group| Asked {
+    let asked = |group| Request {
         customer: "acme".to_string(),
         workload: "lookup".to_string(),
         groups: Some(vec![group]),
--- a/crates/access/tests/fleet/record.rs
+++ b/crates/access/tests/fleet/record.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_access::{Asked, Asking, Fleet, Index, Judged};
+use hallmux_access::{Asking, Fleet, Index, Judged, Request};
 
 use super::{set, Sent, Sim, FRONTS, STEP};
 
@@ -15,8 +15,9 @@
         for Sent { at, front, asked, place } in &self.sent {
             let held = self.in_force.iter().filter(|(_, since)| *since < at).map(|(v, _)| *v).max();
             let Some(held) = held else { continue };
-            let Asked { customer, workload, groups } = asked;
-            let asking = Asking { customer, workload, group: None, told: false, front: "eu", asked_ms: None };
+            let Request { customer, workload, groups } = asked;
+            let asking =
+                Asking { customer, workload, group: None, told: false, front: "eu", first_judged_ms: None };
             let mut may = indices.range(held..).filter(|(_, (since, _))| since <= at);
             if !may.any(|(_, (_, index))| index.judge(&asking, groups.as_deref(), 0).lets(Some(*place))) {
                 found.push(format!("{at}: front {front} sent {asked:?} to {place} under version {held}"));
@@ -58,7 +59,7 @@
     pub fn lets(&mut self, front: usize, customer: &str) -> Option<Vec<u16>> {
         let at = self.moment(front);
         let asked =
-            Asked { customer: customer.to_string(), workload: "lookup".to_string(), groups: Some(vec![1]) };
+            Request { customer: customer.to_string(), workload: "lookup".to_string(), groups: Some(vec![1]) };
         match self.fronts[front].access.judge(at, asked) {
             Judged::Taken { verdict, .. } => verdict.allowed,
             _ => None,
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hallmux_access::{
-    read, Access, Act, Ask, Asked, Bound, Done, Entry, Fleet, Head, Hit, Judged, Kept, Key, Known, Moment,
-    Outcome, Owner, Said, Set, Setup, Terms, Wish,
+    read, Access, Act, Ask, Bound, Done, Entry, Fleet, Head, Hit, Judged, Kept, Key, Known, Moment, Outcome,
+    Owner, Request, Said, Set, Setup, Terms, Wish,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -30,16 +30,16 @@
     stalled: i64,
     file: Option<String>,
     /// Statements that wait for their count, and their hits.
-    waiting: BTreeMap<u64, (Asked, hallmux_access::Verdict, Vec<Hit>)>,
+    waiting: BTreeMap<u64, (Request, hallmux_access::Verdict, Vec<Hit>)>,
     /// Statements to be sent, when.
-    queued: Vec<(i64, u64, Asked, hallmux_access::Verdict)>,
+    queued: Vec<(i64, u64, Request, hallmux_access::Verdict)>,
     running: BTreeMap<u64, i64>,
 }
 
 struct Sent {
     at: i64,
     front: usize,
-    asked: Asked,
+    asked: Request,
     place: u16,
 }
 
@@ -287,7 +287,7 @@
     fn statement(&mut self, front: usize, at: Moment) {
         let customer = ["acme", "brisk", "free"][self.rng.random_range(0..3)].to_string();
         let workload = ["lookup", "report"][self.rng.random_range(0..2)].to_string();
-        let asked = Asked { customer, workload, groups: Some(vec![self.rng.random_range(0..4)]) };
+        let asked = Request { customer, workload, groups: Some(vec![self.rng.random_range(0..4)]) };
         let f = &mut self.fronts[front];
         let judged = f.access.judge(at, asked.clone());
         let free = asked.customer == "free";
@@ -322,7 +322,7 @@
         let (due, later) =
             std::mem::take(&mut f.queued).into_iter().partition(|(when, ..)| *when <= self.now);
         f.queued = later;
-        let due: Vec<(i64, u64, Asked, hallmux_access::Verdict)> = due;
+        let due: Vec<(i64, u64, Request, hallmux_access::Verdict)> = due;
         for (_, statement, asked, verdict) in due {
             let allowed = verdict.allowed.unwrap_or_else(|| vec![0, 1, 2]);
             let place = allowed[self.rng.random_range(0..allowed.len())];
--- a/crates/access/tests/rules.rs
+++ b/crates/access/tests/rules.rs
@@ -200,7 +200,7 @@
     let index = Index::new(set);
     let judge = |customer, workload, groups: Option<&[u32]>| {
         let v = index.judge(
-            &Asking { customer, workload, group: None, told: false, front: "eu", asked_ms: None },
+            &Asking { customer, workload, group: None, told: false, front: "eu", first_judged_ms: None },
             groups,
             0,
         );
@@ -296,7 +296,7 @@
         now in 0u64..9,
     ) {
         let set = Set::new(1, Default::Allow, rules);
-        let asking = Asking { customer, workload, group, told, front, asked_ms: None };
+        let asking = Asking { customer, workload, group, told, front, first_judged_ms: None };
         let walked = set.walk(&asking, now);
         prop_assert_eq!(Index::new(set).first(&asking, now), walked);
     }
@@ -311,7 +311,7 @@
         for customer in ["a", "b", "c", "z"] {
             for workload in ["x", "y", "z"] {
                 for front in ["eu", "us", "ap"] {
-                    let (decides, counts) = index.first(&Asking { customer, workload, group: Some(group), told: true, front, asked_ms: None }, now);
+                    let (decides, counts) = index.first(&Asking { customer, workload, group: Some(group), told: true, front, first_judged_ms: None }, now);
                     for at in decides.into_iter().chain(counts) {
                         prop_assert_eq!(index.shadow(at), None);
                     }
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use hallmux_access::{self as access, Access, Asked, Fleet, Judged, Owner, Setup, Wish};
+use hallmux_access::{self as access, Access, Fleet, Judged, Owner, Request, Setup, Wish};
 use hallmux_agreement::Settings;
 use hallmux_codec::tables;
 use hallmux_dispatcher::{Dispatcher, Ending, Micros, Place, Terms, Ticket};
@@ -153,8 +153,8 @@
     pub fn judge(&mut self, now: Micros, customer: &str, workload: &str, text: &[u8]) -> Judged {
         let groups = Some(tables::groups(text, MOST_GROUPS)).filter(|all| !all.is_empty());
         let groups = groups.or_else(|| session_control::reads_no_table(text).then(Vec::new));
-        let asked = Asked { customer: customer.to_string(), workload: workload.to_string(), groups };
-        let judged = self.access.judge(self.moment(now), asked);
+        let request = Request { customer: customer.to_string(), workload: workload.to_string(), groups };
+        let judged = self.access.judge(self.moment(now), request);
         if let Judged::Taken { verdict, .. } = &judged {
             if let Some(why) = &verdict.denied {
                 let rule = self.access.rule(verdict).unwrap_or("the default");
--- a/crates/lab/src/measure/promises.rs
+++ b/crates/lab/src/measure/promises.rs
@@ -125,7 +125,7 @@
             .collect();
         let one = |n: usize| {
             let (customer, workload, group) = &asking[n % asking.len()];
-            Asking { customer, workload, group: Some(*group), front: "z0", told: true, asked_ms: None }
+            Asking { customer, workload, group: Some(*group), front: "z0", told: true, first_judged_ms: None }
         };
         let (mut indexed, mut walked, mut ratios) = (Vec::new(), Vec::new(), Vec::new());
         for _ in 0..ROUNDS {
