--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -48,14 +48,14 @@
 
 /// What the rules in force say of a statement as it arrives.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Judged {
+pub enum Decision {
     /// No rule can be about its customer.
-    Free,
+    Unrestricted,
     /// This front cannot know what holds for its customer.
-    Closed,
-    /// Judged under this number, until `over`. One that `waits` goes on once its number is `counted`: to its engine,
+    RulesUnknown,
+    /// Decided under this number, until `over`. One that `waits` goes on once its number is `counted`: to its engine,
     /// or, where it is denied, to its final answer.
-    Taken {
+    Decided {
         /// The statement's number in this front's life.
         statement: u64,
         /// What the rules say of it.
@@ -65,10 +65,10 @@
     },
 }
 
-impl Judged {
+impl Decision {
     /// Whether a rule or the default denies the statement.
     pub fn is_denied(&self) -> bool {
-        matches!(self, Judged::Taken { verdict, .. } if verdict.denied.is_some())
+        matches!(self, Decision::Decided { verdict, .. } if verdict.denied.is_some())
     }
 }
 
@@ -140,7 +140,7 @@
 }
 
 impl Access {
-    /// A front that has not read the rules yet: until it has, it answers [`Judged::Closed`] for every
+    /// A front that has not read the rules yet: until it has, it answers [`Decision::RulesUnknown`] for every
     /// customer that rules can be about.
     pub fn new(setup: Setup) -> Access {
         let Setup { own, fronts, region, known, terms, remembers, first_number } = setup;
@@ -205,11 +205,11 @@
     }
 
     /// Judges a statement, once for all its tries.
-    pub fn judge(&mut self, at: Moment, request: Request) -> Judged {
+    pub fn judge(&mut self, at: Moment, request: Request) -> Decision {
         if !self.known().covers(&request.customer) {
-            return Judged::Free;
+            return Decision::Unrestricted;
         }
-        let Some(index) = self.versions.lease(at.steady) else { return Judged::Closed };
+        let Some(index) = self.versions.lease(at.steady) else { return Decision::RulesUnknown };
         let verdict = judge(index, &self.region, &request, at.wall_ms, None);
         self.record.add(at.steady, &request);
         let hit = |rule: usize| Hit {
@@ -238,7 +238,7 @@
             first_judged_ms: at.wall_ms,
         };
         self.open.insert(statement, open);
-        Judged::Taken { statement, verdict, waits }
+        Decision::Decided { statement, verdict, waits }
     }
 
     /// Whether an execution may leave for a location now: by the version that the statement was judged by, by the one
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use hallmux_access::{
-    read, Access, Act, Bound, Change, Decided, Done, Entry, Fleet, Judged, Key, Known, Moment, Outcome,
+    read, Access, Act, Bound, Change, Decided, Decision, Done, Entry, Fleet, Key, Known, Moment, Outcome,
     Owner, Request, Said, Setup, Terms, Wish,
 };
 use rand::{Rng, SeedableRng};
@@ -114,7 +114,7 @@
 
     /// What is decided of a statement, and its number.
     fn ask(&mut self, asked: &Request) -> (Decided, u64) {
-        let Judged::Taken { statement, verdict, .. } = self.access.judge(self.at(), asked.clone()) else {
+        let Decision::Decided { statement, verdict, .. } = self.access.judge(self.at(), asked.clone()) else {
             panic!("judged")
         };
         if verdict.denied.is_some() {
--- a/crates/access/tests/fleet/record.rs
+++ b/crates/access/tests/fleet/record.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_access::{Asking, Fleet, Index, Judged, Request};
+use hallmux_access::{Asking, Decision, Fleet, Index, Request};
 
 use super::{set, Sent, Sim, FRONTS, STEP};
 
@@ -61,7 +61,7 @@
         let asked =
             Request { customer: customer.to_string(), workload: "lookup".to_string(), groups: Some(vec![1]) };
         match self.fronts[front].access.judge(at, asked) {
-            Judged::Taken { verdict, .. } => verdict.allowed,
+            Decision::Decided { verdict, .. } => verdict.allowed,
             _ => None,
         }
     }
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hallmux_access::{
-    read, Access, Act, Ask, Bound, Done, Entry, Fleet, Head, Hit, Judged, Kept, Key, Known, Moment, Outcome,
-    Owner, Request, Said, Set, Setup, Terms, Wish,
+    read, Access, Act, Ask, Bound, Decision, Done, Entry, Fleet, Head, Hit, Kept, Key, Known, Moment,
+    Outcome, Owner, Request, Said, Set, Setup, Terms, Wish,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -292,11 +292,11 @@
         let judged = f.access.judge(at, asked.clone());
         let free = asked.customer == "free";
         self.tallies.free += u64::from(free);
-        self.tallies.free_refused += u64::from(free && judged != Judged::Free);
+        self.tallies.free_refused += u64::from(free && judged != Decision::Unrestricted);
         match judged {
-            Judged::Free => {}
-            Judged::Closed => self.tallies.closed += 1,
-            Judged::Taken { statement, verdict, waits } => {
+            Decision::Unrestricted => {}
+            Decision::RulesUnknown => self.tallies.closed += 1,
+            Decision::Decided { statement, verdict, waits } => {
                 let name = |rule: usize, f: &Front| {
                     let v = hallmux_access::Verdict { rule: Some(rule), ..verdict.clone() };
                     f.access.rule(&v).unwrap_or_default().to_string()
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use hallmux_access::{self as access, Access, Fleet, Judged, Owner, Request, Setup, Wish};
+use hallmux_access::{self as access, Access, Decision, Fleet, Owner, Request, Setup, Wish};
 use hallmux_agreement::Settings;
 use hallmux_codec::tables;
 use hallmux_dispatcher::{Dispatcher, Ending, Micros, Place, Terms, Ticket};
@@ -150,12 +150,12 @@
     }
 
     /// Judges a statement, once for all its tries.
-    pub fn judge(&mut self, now: Micros, customer: &str, workload: &str, text: &[u8]) -> Judged {
+    pub fn judge(&mut self, now: Micros, customer: &str, workload: &str, text: &[u8]) -> Decision {
         let groups = Some(tables::groups(text, MOST_GROUPS)).filter(|all| !all.is_empty());
         let groups = groups.or_else(|| session_control::reads_no_table(text).then(Vec::new));
         let request = Request { customer: customer.to_string(), workload: workload.to_string(), groups };
         let judged = self.access.judge(self.moment(now), request);
-        if let Judged::Taken { verdict, .. } = &judged {
+        if let Decision::Decided { verdict, .. } = &judged {
             if let Some(why) = &verdict.denied {
                 let rule = self.access.rule(verdict).unwrap_or("the default");
                 log::info!(
@@ -168,23 +168,28 @@
     }
 
     /// The locations that are allowed to it; None: all. Of one that is denied nothing ever leaves.
-    pub fn allowed(&self, judged: &Judged) -> Option<Vec<String>> {
+    pub fn allowed(&self, judged: &Decision) -> Option<Vec<String>> {
         match judged {
-            Judged::Taken { verdict, .. } if verdict.denied.is_none() => self.access.locations(verdict),
+            Decision::Decided { verdict, .. } if verdict.denied.is_none() => self.access.locations(verdict),
             _ => None,
         }
     }
 
     /// A statement that was judged is taken under a ticket, and its end is told by `gone`; or it was not taken.
-    pub fn statement_picked(&mut self, dispatcher: &mut Dispatcher, judged: &Judged, ticket: Option<Ticket>) {
+    pub fn statement_picked(
+        &mut self,
+        dispatcher: &mut Dispatcher,
+        judged: &Decision,
+        ticket: Option<Ticket>,
+    ) {
         match ticket {
             Some(ticket) => self.opened(dispatcher, ticket, judged),
             None => self.dropped(judged),
         }
     }
 
-    fn opened(&mut self, dispatcher: &mut Dispatcher, ticket: Ticket, judged: &Judged) {
-        if let Judged::Taken { statement, verdict, waits } = judged {
+    fn opened(&mut self, dispatcher: &mut Dispatcher, ticket: Ticket, judged: &Decision) {
+        if let Decision::Decided { statement, verdict, waits } = judged {
             dispatcher.follow(ticket);
             let denied = verdict.denied.is_some();
             self.statements.insert(
@@ -198,8 +203,8 @@
         }
     }
 
-    fn dropped(&mut self, judged: &Judged) {
-        if let Judged::Taken { statement, .. } = judged {
+    fn dropped(&mut self, judged: &Decision) {
+        if let Decision::Decided { statement, .. } = judged {
             self.access.over(*statement);
         }
     }
--- a/crates/front/src/front/admission.rs
+++ b/crates/front/src/front/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: statements of clients are checked and handed to the dispatcher, and clients that leave are reported to it.
 
-use hallmux_access::Judged;
+use hallmux_access::Decision;
 use hallmux_codec::statement::{self, Call, Reply};
 use hallmux_codec::tables;
 use hallmux_dispatcher::{Ask, Micros, Protocol, Ticket, Unfit};
@@ -78,8 +78,8 @@
         let judged = self.rules.as_ref().map(|rules| {
             rules.borrow_mut().judge(self.clock.now, &call.customer, &call.workload, &call.statement)
         });
-        let judged = judged.unwrap_or(Judged::Free);
-        if judged == Judged::Closed {
+        let judged = judged.unwrap_or(Decision::Unrestricted);
+        if judged == Decision::RulesUnknown {
             return self.clients.reject(client, number);
         }
         let allowed = self.rules.as_ref().and_then(|rules| rules.borrow().allowed(&judged));
@@ -118,7 +118,7 @@
         call: Call,
         time_left: Micros,
         allowed: Option<Vec<String>>,
-        judged: &Judged,
+        judged: &Decision,
     ) {
         let allowed: Option<Vec<&str>> =
             allowed.as_ref().map(|names| names.iter().map(String::as_str).collect());
--- a/crates/front/src/front/scatter.rs
+++ b/crates/front/src/front/scatter.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use hallmux_access::Judged;
+use hallmux_access::Decision;
 use hallmux_codec::statement::{self, Call, Reply};
 use hallmux_dispatcher::{Micros, Order, Ticket, Unfit};
 use hallmux_gossip::channels::Channel;
@@ -25,7 +25,7 @@
         call: Call,
         time_left: Micros,
         allowed: Option<Vec<String>>,
-        judged: &Judged,
+        judged: &Decision,
     ) -> Option<(Call, Option<String>)> {
         let Some(scatter) = self.scatter.as_mut().filter(|scatter| scatter.is_scattered(&call.workload))
         else {
--- a/crates/front/src/postgres/gateway/admission.rs
+++ b/crates/front/src/postgres/gateway/admission.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use hallmux_access::Judged;
+use hallmux_access::Decision;
 use hallmux_agreement::User;
 use hallmux_codec::tables;
 use hallmux_dispatcher::{Ask, Dispatcher, Micros, Protocol, Ticket, Unfit};
@@ -43,8 +43,8 @@
                     .rules
                     .as_ref()
                     .map(|rules| rules.borrow_mut().judge(now, terms.member, terms.workload, part.text()));
-                let judged = judged.unwrap_or(Judged::Free);
-                if judged == Judged::Closed {
+                let judged = judged.unwrap_or(Decision::Unrestricted);
+                if judged == Decision::RulesUnknown {
                     let why = ClientError::Rejected { retry_after_ms: self.retry_after_ms };
                     return self.sessions.answer_unusable(id, part, &why);
                 }
