--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -18,7 +18,7 @@
 use crate::{FrontId, Micros, Moment};
 
 /// How one front's part in the rules is configured.
-pub struct Setup {
+pub struct AccessConfig {
     /// This front, and the incarnation in which it runs.
     pub own: Owner,
     /// All whose counts make the fleet's, this front too.
@@ -74,19 +74,19 @@
 
 /// What is to be done.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Out {
+pub struct Output {
     /// Requests to the ledger; each is answered through [`Access::done`] under its number.
-    pub asks: Vec<Ask>,
+    pub ledger_requests: Vec<Ask>,
     /// Events for the log, in the order in which they happened.
-    pub said: Vec<Said>,
+    pub events: Vec<Said>,
     /// Statements whose hits stand.
     pub counted: Vec<u64>,
     /// Statements for which there is no room within a limit: nothing of them has left, and later there may be.
-    pub limited: Vec<u64>,
+    pub over_limit: Vec<u64>,
     /// Statements that run where the version adopted bars: they are to be ended, where the platform can.
-    pub ends: Vec<u64>,
+    pub revoked: Vec<u64>,
     /// The fleet's count, as it was asked for.
-    pub fleet: Option<Fleet>,
+    pub fleet_hits: Option<Fleet>,
 }
 
 struct Open {
@@ -115,7 +115,7 @@
     looked: u64,
     /// Statements that a new version has ended.
     pub ended: u64,
-    ends: Vec<u64>,
+    revoked: Vec<u64>,
     over: bool,
     /// Said of the shares already.
     told: Option<Said>,
@@ -142,8 +142,8 @@
 impl Access {
     /// A front that has not read the rules yet: until it has, it answers [`Decision::RulesUnknown`] for every
     /// customer that rules can be about.
-    pub fn new(setup: Setup) -> Access {
-        let Setup { own, fronts, region, known, terms, remembers, first_number } = setup;
+    pub fn new(setup: AccessConfig) -> Access {
+        let AccessConfig { own, fronts, region, known, terms, remembers, first_number } = setup;
         let shares = Shares::new(own, terms, fronts.len());
         Access {
             region,
@@ -155,7 +155,7 @@
             next: 0,
             looked: 0,
             ended: 0,
-            ends: Vec::new(),
+            revoked: Vec::new(),
             over: false,
             told: None,
         }
@@ -318,7 +318,7 @@
         ours
     }
 
-    /// Asks for the fleet's count; it comes with `Out`.
+    /// Asks for the fleet's count; it comes with `Output`.
     pub fn sweep(&mut self, at: Moment) {
         self.hits.sweep(at);
     }
@@ -342,16 +342,16 @@
             if !open.out.values().all(|place| verdict.lets(*place)) {
                 open.ending = true;
                 self.ended += 1;
-                self.ends.push(*statement);
+                self.revoked.push(*statement);
             }
         }
     }
 
     /// What is to be done since the last call. Each item is returned once.
-    pub fn take(&mut self) -> Out {
-        let mut asks = std::mem::take(&mut self.versions.asks);
-        asks.append(&mut self.hits.asks);
-        asks.append(&mut self.shares.asks);
+    pub fn take(&mut self) -> Output {
+        let mut ledger_requests = std::mem::take(&mut self.versions.asks);
+        ledger_requests.append(&mut self.hits.asks);
+        ledger_requests.append(&mut self.shares.asks);
         let mut said = std::mem::take(&mut self.versions.said);
         if std::mem::take(&mut self.hits.full) {
             said.push(Said::Full { what: "hits" });
@@ -365,13 +365,13 @@
             self.told = trouble;
         }
         let swept = std::mem::take(&mut self.hits.swept);
-        Out {
-            asks,
-            said,
+        Output {
+            ledger_requests,
+            events: said,
             counted: std::mem::take(&mut self.hits.counted),
-            limited: std::mem::take(&mut self.shares.refused),
-            ends: std::mem::take(&mut self.ends),
-            fleet: swept.then(|| self.hits.fleet().clone()),
+            over_limit: std::mem::take(&mut self.shares.refused),
+            revoked: std::mem::take(&mut self.revoked),
+            fleet_hits: swept.then(|| self.hits.fleet().clone()),
         }
     }
 }
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -21,7 +21,7 @@
 mod shares;
 mod versions;
 
-pub use access::{Access, Decision, Out, Request, Setup};
+pub use access::{Access, AccessConfig, Decision, Output, Request};
 pub use fault::{Fault, Faults, Refused, What};
 pub use hallmux_lease::Terms;
 pub use hallmux_ledger::{Act, Ask, Done, Entry, FrontId, Key, Kind, Micros, Moment, Outcome, Owner};
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use hallmux_access::{
-    read, Access, Act, Bound, Change, Decided, Decision, Done, Entry, Fleet, Key, Known, Moment, Outcome,
-    Owner, Request, Said, Setup, Terms, Wish,
+    read, Access, AccessConfig, Act, Bound, Change, Decided, Decision, Done, Entry, Fleet, Key, Known,
+    Moment, Outcome, Owner, Request, Said, Terms, Wish,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -41,7 +41,7 @@
 }
 
 fn access(incarnation: u64) -> Access {
-    Access::new(Setup {
+    Access::new(AccessConfig {
         own: Owner { front: 1, incarnation },
         fronts: vec![1],
         region: "eu".to_string(),
@@ -77,12 +77,12 @@
             loop {
                 let out = self.access.take();
                 self.counted.extend(out.counted);
-                self.said.extend(out.said);
-                self.fleet = out.fleet.or(self.fleet.take());
-                if out.asks.is_empty() {
+                self.said.extend(out.events);
+                self.fleet = out.fleet_hits.or(self.fleet.take());
+                if out.ledger_requests.is_empty() {
                     break;
                 }
-                for ask in out.asks {
+                for ask in out.ledger_requests {
                     let outcome = self.act(&ask.key, ask.act);
                     self.access.done(self.at(), Done { number: ask.number, outcome });
                 }
--- a/crates/access/tests/fleet/record.rs
+++ b/crates/access/tests/fleet/record.rs
@@ -37,8 +37,10 @@
             self.fronts[front].access.tick(at);
             let out = self.fronts[front].access.take();
             let life = self.fronts[front].life;
-            out.asks.into_iter().for_each(|ask| self.asks.push((self.now, front, life, ask, true)));
-            if let Some(fleet) = out.fleet {
+            out.ledger_requests
+                .into_iter()
+                .for_each(|ask| self.asks.push((self.now, front, life, ask, true)));
+            if let Some(fleet) = out.fleet_hits {
                 return fleet;
             }
         }
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hallmux_access::{
-    read, Access, Act, Ask, Bound, Decision, Done, Entry, Fleet, Head, Hit, Kept, Key, Known, Moment,
-    Outcome, Owner, Request, Said, Set, Setup, Terms, Wish,
+    read, Access, AccessConfig, Act, Ask, Bound, Decision, Done, Entry, Fleet, Head, Hit, Kept, Key, Known,
+    Moment, Outcome, Owner, Request, Said, Set, Terms, Wish,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -228,7 +228,7 @@
         let f = &mut self.fronts[front];
         f.access.tick(at);
         let out = f.access.take();
-        for ask in out.asks {
+        for ask in out.ledger_requests {
             let (there, cut) =
                 (self.now + self.rng.random_range(500..15_000), self.fronts[front].cut > self.now);
             // Cut off: lost on its way there, or on its way back.
@@ -243,7 +243,7 @@
                 self.asks.push((there, front, life, ask, !cut));
             }
         }
-        for said in out.said {
+        for said in out.events {
             match &said {
                 Said::InForce { version } => {
                     self.in_force.entry(*version).or_insert(self.now);
@@ -258,7 +258,7 @@
             }
             self.said.push((self.now, front, said));
         }
-        out.fleet.into_iter().for_each(|fleet| _ = self.counts.insert(front, fleet));
+        out.fleet_hits.into_iter().for_each(|fleet| _ = self.counts.insert(front, fleet));
         let f = &mut self.fronts[front];
         for statement in out.counted {
             let Some((asked, verdict, hits)) = f.waiting.remove(&statement) else { continue };
@@ -271,12 +271,12 @@
                 f.queued.push((self.now + self.rng.random_range(0..wait), statement, asked, verdict));
             }
         }
-        for statement in out.limited {
+        for statement in out.over_limit {
             self.tallies.limited += 1;
             f.waiting.remove(&statement);
             f.access.over(statement);
         }
-        for statement in out.ends {
+        for statement in out.revoked {
             self.tallies.ended += 1;
             f.running.remove(&statement);
             f.access.over(statement);
@@ -345,7 +345,7 @@
 }
 
 fn access(front: usize, life: u64) -> Access {
-    Access::new(Setup {
+    Access::new(AccessConfig {
         own: Owner { front: front as u64 + 1, incarnation: life },
         fronts: (1..=FRONTS as u64).collect(),
         region: "eu".to_string(),
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use hallmux_access::{self as access, Access, Decision, Fleet, Owner, Request, Setup, Wish};
+use hallmux_access::{self as access, Access, AccessConfig, Decision, Fleet, Owner, Request, Wish};
 use hallmux_agreement::Settings;
 use hallmux_codec::tables;
 use hallmux_dispatcher::{Dispatcher, Ending, Micros, Place, Terms, Ticket};
@@ -95,7 +95,7 @@
         if matches!(wish, Wish::WhatIf(_)) {
             return Err(RulesError::Question(rules.file.clone()));
         }
-        let setup = Setup {
+        let setup = AccessConfig {
             own,
             fronts,
             region: rules.region.clone(),
@@ -304,7 +304,7 @@
             let mut done = Vec::new();
             match &mut self.alone {
                 Some(ledger) => {
-                    out.asks.into_iter().for_each(|ask| ledger.ask(at, ask));
+                    out.ledger_requests.into_iter().for_each(|ask| ledger.ask(at, ask));
                     ledger.tick(at);
                     let told = ledger.take();
                     // Nothing is kept, and nobody else hears: what it saves is lasting as far as it goes.
@@ -314,7 +314,7 @@
                 }
                 None => {
                     let Some(peers) = &mut peers else { break };
-                    out.asks.into_iter().for_each(|ask| peers.ask(now, ask));
+                    out.ledger_requests.into_iter().for_each(|ask| peers.ask(now, ask));
                     done.extend(peers.ledger_answers(ASK_NUMBERS));
                 }
             }
@@ -342,8 +342,8 @@
         self.access.done(self.moment(now), done)
     }
 
-    fn take(&mut self, at: Moment, out: &access::Out) {
-        out.said.iter().for_each(log_lines::log_event);
+    fn take(&mut self, at: Moment, out: &access::Output) {
+        out.events.iter().for_each(log_lines::log_event);
         for number in &out.counted {
             let Some(s) = self.statements.get_mut(number) else { continue };
             s.waits = false;
@@ -352,11 +352,11 @@
                 false => self.rulings.extend(s.held.drain(..).map(Ruling::Go)),
             }
         }
-        for number in &out.limited {
+        for number in &out.over_limit {
             let Some(s) = self.statements.get(number) else { continue };
             self.rulings.push(Ruling::End { ticket: s.ticket, ran: false, again: true });
         }
-        for number in &out.ends {
+        for number in &out.revoked {
             let Some(s) = self.statements.get(number) else { continue };
             self.rulings.push(Ruling::End { ticket: s.ticket, ran: true, again: false });
         }
@@ -368,7 +368,7 @@
             );
             self.ended = self.access.ended;
         }
-        if let Some(fleet) = &out.fleet {
+        if let Some(fleet) = &out.fleet_hits {
             self.log_hits(at, fleet);
         }
     }
