--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -6,6 +6,7 @@
 use hallmux_lease::Terms;
 use hallmux_ledger::{Ask, Done, Owner};
 
+use crate::event::Event;
 use crate::hits::{Fleet, Hit, Hits};
 use crate::index::{Index, Verdict};
 use crate::known::Known;
@@ -14,7 +15,7 @@
 use crate::rule::Asking;
 use crate::rule::Set;
 use crate::shares::{Limit, Shares};
-use crate::versions::{Said, Versions};
+use crate::versions::Versions;
 use crate::{FrontId, Micros, Moment};
 
 /// How one front's part in the rules is configured.
@@ -78,7 +79,7 @@
     /// Requests to the ledger; each is answered through [`Access::done`] under its number.
     pub ledger_requests: Vec<Ask>,
     /// Events for the log, in the order in which they happened.
-    pub events: Vec<Said>,
+    pub events: Vec<Event>,
     /// Statements whose hits stand.
     pub counted: Vec<u64>,
     /// Statements for which there is no room within a limit: nothing of them has left, and later there may be.
@@ -117,8 +118,8 @@
     pub ended: u64,
     revoked: Vec<u64>,
     over: bool,
-    /// Said of the shares already.
-    told: Option<Said>,
+    /// What the shares lacked when the caller was told last.
+    shares_trouble: Option<Event>,
 }
 
 pub(crate) fn judge(
@@ -157,7 +158,7 @@
             ended: 0,
             revoked: Vec::new(),
             over: false,
-            told: None,
+            shares_trouble: None,
         }
     }
 
@@ -352,22 +353,22 @@
         let mut ledger_requests = std::mem::take(&mut self.versions.asks);
         ledger_requests.append(&mut self.hits.asks);
         ledger_requests.append(&mut self.shares.asks);
-        let mut said = std::mem::take(&mut self.versions.said);
+        let mut events = std::mem::take(&mut self.versions.events);
         if std::mem::take(&mut self.hits.full) {
-            said.push(Said::Full { what: "hits" });
+            events.push(Event::LedgerFull { what: "hits" });
         }
         if self.hits.over && !std::mem::replace(&mut self.over, true) {
-            said.push(Said::Over);
+            events.push(Event::Superseded);
         }
         let trouble = self.shares.trouble();
-        if trouble != self.told {
-            said.extend(trouble.clone());
-            self.told = trouble;
+        if trouble != self.shares_trouble {
+            events.extend(trouble.clone());
+            self.shares_trouble = trouble;
         }
         let swept = std::mem::take(&mut self.hits.swept);
         Output {
             ledger_requests,
-            events: said,
+            events,
             counted: std::mem::take(&mut self.hits.counted),
             over_limit: std::mem::take(&mut self.shares.refused),
             revoked: std::mem::take(&mut self.revoked),
--- /dev/null
+++ b/crates/access/src/event.rs
@@ -0,0 +1,48 @@
+//! What happens to the rules at one front, for its log.
+
+use crate::fault::Refused;
+
+/// What an operator should know of; the caller logs it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Event {
+    /// This front judges by another version.
+    Adopted {
+        /// The version adopted.
+        version: u64,
+        /// The number of rules in it.
+        rules: usize,
+        /// Whether all fronts judge by it already.
+        in_force: bool,
+    },
+    /// No front judges by an earlier version any more.
+    InForce {
+        /// The version in force.
+        version: u64,
+    },
+    /// This front's file is the fleet's.
+    Accepted {
+        /// The version that the file states.
+        version: u64,
+    },
+    /// This front's file was not accepted, and why.
+    Refused(Refused),
+    /// This front cannot know what holds: statements of customers with rules are turned away.
+    RulesUnknown,
+    /// This front can judge by the rules again.
+    RulesKnown {
+        /// The version that it judges by.
+        version: u64,
+    },
+    /// A later life of this front counts hits: this one does not any more.
+    Superseded,
+    /// The ledger holds what this build cannot read.
+    Unreadable {
+        /// Which entry of the ledger it is.
+        what: &'static str,
+    },
+    /// The ledger is full: what is said of it could not be kept.
+    LedgerFull {
+        /// What could not be kept.
+        what: &'static str,
+    },
+}
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -9,6 +9,7 @@
 
 mod access;
 mod check;
+mod event;
 mod fault;
 mod head;
 mod hits;
@@ -22,6 +23,7 @@
 mod versions;
 
 pub use access::{Access, AccessConfig, Decision, Output, Request};
+pub use event::Event;
 pub use fault::{Fault, Faults, Refused, What};
 pub use hallmux_lease::Terms;
 pub use hallmux_ledger::{Act, Ask, Done, Entry, FrontId, Key, Kind, Micros, Moment, Outcome, Owner};
@@ -33,4 +35,3 @@
 pub use record::{Change, Decided, WhatIf};
 pub use rule::{Asking, Default, Rule, Set, Tables, Then};
 pub use shares::{Limit, Shares};
-pub use versions::Said;
--- a/crates/access/src/shares.rs
+++ b/crates/access/src/shares.rs
@@ -11,7 +11,7 @@
 
 use hallmux_ledger::{Ask, Outcome, Owner};
 
-use crate::versions::Said;
+use crate::event::Event;
 use crate::{Micros, Moment};
 
 use share::{Share, Terrain};
@@ -140,12 +140,12 @@
     }
 
     /// What keeps shares from being spent, if anything that a person should know of.
-    pub fn trouble(&self) -> Option<Said> {
+    pub fn trouble(&self) -> Option<Event> {
         let unreadable = self.shares.values().any(|share| share.unreadable);
         let full = self.shares.values().any(|share| share.full);
         match (unreadable, full) {
-            (true, _) => Some(Said::Unreadable { what: "shares of a limit" }),
-            (_, true) => Some(Said::Full { what: "shares of a limit" }),
+            (true, _) => Some(Event::Unreadable { what: "shares of a limit" }),
+            (_, true) => Some(Event::LedgerFull { what: "shares of a limit" }),
             _ => None,
         }
     }
--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -7,7 +7,7 @@
 use hallmux_lease::Terms;
 use hallmux_ledger::{Act, Ask, Entry, Key, Outcome};
 
-use crate::fault::Refused;
+use crate::event::Event;
 use crate::head::{head_key, joined, part_keys, Head, Kept};
 use crate::index::Index;
 use crate::known::Known;
@@ -19,51 +19,6 @@
 const AGAIN: Micros = 250_000; // microseconds until what the ledger could not do is asked again
 const OTHERS: Micros = 1_000_000; // microseconds after which another front says what the one that changed it did not
 
-/// What a person should know of.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Said {
-    /// This front judges by another version.
-    Adopted {
-        /// The version adopted.
-        version: u64,
-        /// The number of rules in it.
-        rules: usize,
-        /// Whether all fronts judge by it already.
-        in_force: bool,
-    },
-    /// No front judges by an earlier version any more.
-    InForce {
-        /// The version in force.
-        version: u64,
-    },
-    /// This front's file is the fleet's.
-    Accepted {
-        /// The version that the file states.
-        version: u64,
-    },
-    /// This front's file was not accepted, and why.
-    Refused(Refused),
-    /// This front cannot know what holds: statements of customers with rules are turned away.
-    Closed,
-    /// This front can judge by the rules again.
-    Open {
-        /// The version that it judges by.
-        version: u64,
-    },
-    /// A later life of this front counts hits: this one does not any more.
-    Over,
-    /// The ledger holds what this build cannot read.
-    Unreadable {
-        /// Which entry of the ledger it is.
-        what: &'static str,
-    },
-    /// The ledger is full: what is said of it could not be kept.
-    Full {
-        /// What could not be kept.
-        what: &'static str,
-    },
-}
-
 /// A file that this front wants to be the fleet's.
 struct Offer {
     file: String,
@@ -121,7 +76,7 @@
     /// Requests to the ledger that have yet to be sent.
     pub asks: Vec<Ask>,
     /// Events for the log since the caller took them last.
-    pub said: Vec<Said>,
+    pub events: Vec<Event>,
 }
 
 impl Versions {
@@ -148,7 +103,7 @@
             ticked: Micros::MIN,
             unread: None,
             asks: Vec::new(),
-            said: Vec::new(),
+            events: Vec::new(),
         }
     }
 
@@ -210,7 +165,7 @@
         if open != self.was_open {
             self.was_open = open;
             let version = self.held.set.version;
-            self.said.push(if open { Said::Open { version } } else { Said::Closed });
+            self.events.push(if open { Event::RulesKnown { version } } else { Event::RulesUnknown });
         }
         if at.steady >= self.look && !self.waits(|a| matches!(a, Pending::Head)) {
             self.look = at.steady + self.terms.acts_for() / 3;
@@ -252,7 +207,7 @@
         }
         if outcome == Outcome::Full && !matches!(asked, Pending::Lets) {
             self.offer = None;
-            self.said.push(Said::Full { what: "a set of rules" });
+            self.events.push(Event::LedgerFull { what: "a set of rules" });
         }
     }
 
@@ -299,7 +254,7 @@
                 (self.since, self.changed_here) = (at.steady, false);
             }
             if head.in_force && !(same && before.is_some_and(|(before, _)| before.in_force)) {
-                self.said.push(Said::InForce { version: head.now.version });
+                self.events.push(Event::InForce { version: head.now.version });
             }
             self.head = Some((head, stands));
             self.offer.iter_mut().for_each(|offer| offer.swapping = false);
@@ -315,7 +270,7 @@
 
     fn unreadable(&mut self, what: &'static str) {
         if self.unread.replace(what) != Some(what) {
-            self.said.push(Said::Unreadable { what });
+            self.events.push(Event::Unreadable { what });
         }
     }
 
@@ -364,7 +319,7 @@
                 let held = self.will_hold.take().map(|asked_at| asked_at + self.terms.acts_for());
                 self.until = held.unwrap_or(Micros::MIN);
                 let rules = self.held.set.rules.len();
-                self.said.push(Said::Adopted { version: of.version, rules, in_force });
+                self.events.push(Event::Adopted { version: of.version, rules, in_force });
                 self.look = self.look.min(at.steady + AGAIN);
             }
             // What another front has checked and this one can't read: its settings differ.
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -2,7 +2,7 @@
 
 use hallmux_ledger::{Act, Entry, Key};
 
-use super::{Offer, Pending, Said, Versions};
+use super::{Event, Offer, Pending, Versions};
 use crate::fault::Refused;
 use crate::head::{head_key, part_keys, parts, Head, Kept, LINGERS_MS, MOST_TEXT};
 use crate::index::Index;
@@ -18,7 +18,11 @@
         }
         if text.len() > MOST_TEXT {
             let (bytes, most) = (text.len(), MOST_TEXT);
-            return self.said.push(Said::Refused(Refused::TooLong { file: file.to_string(), bytes, most }));
+            return self.events.push(Event::Refused(Refused::TooLong {
+                file: file.to_string(),
+                bytes,
+                most,
+            }));
         }
         let (file, text) = (file.to_string(), text.to_string());
         self.offer = Some(Offer { file, wish, text, standing: 0, swapping: false, wanted: None });
@@ -50,14 +54,14 @@
             return;
         }
         let same = offer.wanted == Some(has) || self.wanted(offer).is_ok_and(|wanted| wanted == has);
-        let said = match (stated == has.version, same) {
-            (true, true) => Said::Accepted { version: stated },
-            (true, false) if offer.standing > 0 => Said::Refused(Refused::Lost { file, stated, next }),
-            (true, false) => Said::Refused(Refused::Other { file, stated, next }),
-            (false, _) => Said::Refused(Refused::Old { file, stated, has: has.version, next }),
+        let event = match (stated == has.version, same) {
+            (true, true) => Event::Accepted { version: stated },
+            (true, false) if offer.standing > 0 => Event::Refused(Refused::Lost { file, stated, next }),
+            (true, false) => Event::Refused(Refused::Other { file, stated, next }),
+            (false, _) => Event::Refused(Refused::Old { file, stated, has: has.version, next }),
         };
         self.offer = None;
-        self.said.push(said);
+        self.events.push(event);
     }
 
     /// Brings an offer one step on: its parts, then the head.
@@ -72,7 +76,7 @@
             Ok(wanted) => wanted,
             Err(why) => {
                 self.offer = None;
-                return self.said.push(Said::Refused(why));
+                return self.events.push(Event::Refused(why));
             }
         };
         let is_set = matches!(offer.wish, Wish::Set(_));
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use hallmux_access::{
-    read, Access, AccessConfig, Act, Bound, Change, Decided, Decision, Done, Entry, Fleet, Key, Known,
-    Moment, Outcome, Owner, Request, Said, Terms, Wish,
+    read, Access, AccessConfig, Act, Bound, Change, Decided, Decision, Done, Entry, Event, Fleet, Key, Known,
+    Moment, Outcome, Owner, Request, Terms, Wish,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -17,7 +17,7 @@
     /// An earlier life of the same front that goes on all the same.
     earlier: Option<Access>,
     counted: Vec<u64>,
-    said: Vec<Said>,
+    said: Vec<Event>,
     fleet: Option<Fleet>,
     now: i64,
     ledger: BTreeMap<Key, Entry>,
@@ -153,7 +153,7 @@
     one.swaps();
     assert!(counts(&mut one) && counts(&mut one));
     one.swaps();
-    assert!(!counts(&mut one) && !counts(&mut one) && one.said.contains(&Said::Over));
+    assert!(!counts(&mut one) && !counts(&mut one) && one.said.contains(&Event::Superseded));
     one.swaps();
     one.access.sweep(one.at());
     one.passes(4_000);
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hallmux_access::{
-    read, Access, AccessConfig, Act, Ask, Bound, Decision, Done, Entry, Fleet, Head, Hit, Kept, Key, Known,
-    Moment, Outcome, Owner, Request, Said, Set, Terms, Wish,
+    read, Access, AccessConfig, Act, Ask, Bound, Decision, Done, Entry, Event, Fleet, Head, Hit, Kept, Key,
+    Known, Moment, Outcome, Owner, Request, Set, Terms, Wish,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -59,7 +59,7 @@
     /// When the ledger took a version, and when a front first said that it is in force.
     accepted: BTreeMap<u64, (i64, String)>,
     in_force: BTreeMap<u64, i64>,
-    pub said: Vec<(i64, usize, Said)>,
+    pub said: Vec<(i64, usize, Event)>,
     pub judged: BTreeMap<Hit, u64>,
     pub acked: BTreeMap<Hit, u64>,
     counts: BTreeMap<usize, Fleet>,
@@ -245,15 +245,15 @@
         }
         for said in out.events {
             match &said {
-                Said::InForce { version } => {
+                Event::InForce { version } => {
                     self.in_force.entry(*version).or_insert(self.now);
                     self.tallies.in_force += 1;
                 }
-                Said::Refused(why) => match why.to_string().contains("not above") {
+                Event::Refused(why) => match why.to_string().contains("not above") {
                     true => self.tallies.old += 1,
                     false => self.tallies.lost += 1,
                 },
-                Said::Unreadable { what } => panic!("{what}"),
+                Event::Unreadable { what } => panic!("{what}"),
                 _ => {}
             }
             self.said.push((self.now, front, said));
--- a/crates/front/src/fleet/rules/log_lines.rs
+++ b/crates/front/src/fleet/rules/log_lines.rs
@@ -1,6 +1,6 @@
 //! Lines of the log on rules, with what an operator can do.
 
-use hallmux_access::{Decided, Fleet, Said, WhatIf};
+use hallmux_access::{Decided, Event, Fleet, WhatIf};
 use hallmux_ledger::Moment;
 
 use super::Rules;
@@ -70,26 +70,31 @@
     format!("let through {at}{}", limits.iter().map(limit).collect::<String>())
 }
 
-pub fn log_event(said: &Said) {
-    match said {
-        Said::Adopted { version, rules, in_force } => {
+/// One line for each event.
+pub fn log_event(event: &Event) {
+    match event {
+        Event::Adopted { version, rules, in_force } => {
             let yet = if *in_force { "" } else { ", not yet in force" };
             log::info!("judges by version {version} of the rules, {rules} of them{yet}")
         }
-        Said::InForce { version } => log::info!("version {version} of the rules is in force"),
-        Said::Accepted { version } => log::info!("this front's file is the fleet's: version {version} of the rules"),
-        Said::Refused(why) => log::error!("the rules are left as they were: {why}"),
-        Said::Closed => {
+        Event::InForce { version } => log::info!("version {version} of the rules is in force"),
+        Event::Accepted { version } => {
+            log::info!("this front's file is the fleet's: version {version} of the rules")
+        }
+        Event::Refused(why) => log::error!("the rules are left as they were: {why}"),
+        Event::RulesUnknown => {
             log::warn!("cannot know which rules hold; statements of customers that they can be about are rejected")
         }
-        Said::Open { version } => log::info!("knows which rules hold: version {version}"),
-        Said::Over => log::error!(
+        Event::RulesKnown { version } => log::info!("knows which rules hold: version {version}"),
+        Event::Superseded => log::error!(
             "the ledger knows a later life of this front: what hits count is held here; end this process, or set its \
              clock right and start it anew"
         ),
-        Said::Unreadable { what } => log::error!(
+        Event::Unreadable { what } => log::error!(
             "the fleet's rules can't be read here ({what}); give this front the settings and the build of the others"
         ),
-        Said::Full { what } => log::error!("the ledger is full for {what}; raise its bounds, or use fewer rules"),
+        Event::LedgerFull { what } => {
+            log::error!("the ledger is full for {what}; raise its bounds, or use fewer rules")
+        }
     }
 }
