--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -12,8 +12,8 @@
 use crate::known::Known;
 use crate::read::Wish;
 use crate::record::{Record, WhatIf};
-use crate::rule::Asking;
-use crate::rule::Set;
+use crate::rule::Attributes;
+use crate::rule::RuleSet;
 use crate::shares::{Limit, Shares};
 use crate::versions::Versions;
 use crate::{FrontId, Micros, Moment};
@@ -129,15 +129,15 @@
     wall_ms: u64,
     first_judged_ms: Option<u64>,
 ) -> Verdict {
-    let asking = Asking {
+    let attributes = Attributes {
         first_judged_ms,
         customer: &request.customer,
         workload: &request.workload,
         group: None,
-        told: false,
+        tables_known: false,
         front: region,
     };
-    index.judge(&asking, request.groups.as_deref(), wall_ms)
+    index.judge(&attributes, request.groups.as_deref(), wall_ms)
 }
 
 impl Access {
@@ -200,7 +200,7 @@
     }
 
     /// What a set would decide otherwise of what was asked here, before it is put in force.
-    pub fn what_if(&mut self, at: Moment, set: Set) -> WhatIf {
+    pub fn what_if(&mut self, at: Moment, set: RuleSet) -> WhatIf {
         let (held, known) = (self.versions.held(), self.versions.known());
         self.record.play(at, &self.region, held, &Index::new(set), known)
     }
--- a/crates/access/src/check.rs
+++ b/crates/access/src/check.rs
@@ -8,13 +8,13 @@
 use crate::index::Index;
 use crate::known::{Bound, Known};
 use crate::read::Lines;
-use crate::rule::{Default, Rule, Set, Tables, Then};
+use crate::rule::{DefaultEffect, Rule, RuleEffect, RuleSet, TableRange};
 
 /// Customer, workload and front, and how high: rules of one group could each decide the same statement.
 type Level<'a> = ([Option<&'a str>; 3], (Reverse<i32>, Reverse<u32>, Reverse<u8>, u32));
 
 /// All that is wrong with a set, each with the path of what it is about.
-pub fn check(set: &Set, known: &Known, lines: Lines) -> Vec<(String, What)> {
+pub fn check(set: &RuleSet, known: &Known, lines: Lines) -> Vec<(String, What)> {
     let mut faults = names(set, lines);
     let index = Index::new(set.clone());
     for (at, rule) in set.rules.iter().enumerate() {
@@ -38,7 +38,7 @@
     lines(&format!("rules[{place}]")).unwrap_or(0)
 }
 
-fn names(set: &Set, lines: Lines) -> Vec<(String, What)> {
+fn names(set: &RuleSet, lines: Lines) -> Vec<(String, What)> {
     let mut rules: Vec<&Rule> = set.rules.iter().collect();
     rules.sort_by_key(|r| r.place);
     let mut seen = HashMap::new();
@@ -58,7 +58,7 @@
 
 /// A rule that allows a workload nowhere that it may run.
 fn barred(rule: &Rule, known: &Known) -> Option<(String, What)> {
-    let Then::Allow { places: Some(places) } = &rule.then else { return None };
+    let RuleEffect::Allow { places: Some(places) } = &rule.effect else { return None };
     let about = |w: &&Bound| rule.workload.as_ref().is_none_or(|name| *name == w.name);
     let none = |w: &&Bound| {
         let bound = known.bound(w);
@@ -72,15 +72,15 @@
 }
 
 /// Deny goes before allow at the same height; two that allow different places have no order.
-fn contradictions(set: &Set, lines: Lines) -> Vec<(String, What)> {
+fn contradictions(set: &RuleSet, lines: Lines) -> Vec<(String, What)> {
     let mut levels: BTreeMap<Level, Vec<&Rule>> = BTreeMap::new();
-    for rule in set.rules.iter().filter(|r| matches!(r.then, Then::Allow { .. })) {
+    for rule in set.rules.iter().filter(|r| matches!(r.effect, RuleEffect::Allow { .. })) {
         let who = [&rule.customer, &rule.workload, &rule.front].map(|name| name.as_deref());
         levels.entry((who, rule.height())).or_default().push(rule);
     }
     let mut faults = Vec::new();
     for level in levels.values_mut() {
-        let tables = |r: &Rule| r.tables.unwrap_or(Tables { first: 0, last: u32::MAX });
+        let tables = |r: &Rule| r.tables.unwrap_or(TableRange { first: 0, last: u32::MAX });
         level.sort_by_key(|r| (tables(r), r.place));
         for (at, rule) in level.iter().enumerate() {
             let mut behind = level.iter().skip(at + 1);
@@ -99,7 +99,7 @@
 }
 
 /// A workload that no customer may run any more.
-fn left_with_none(set: &Set, known: &Known, workload: &Bound) -> Option<(String, What)> {
+fn left_with_none(set: &RuleSet, known: &Known, workload: &Bound) -> Option<(String, What)> {
     if known.covered.is_some() {
         return None; // the customers that no rule can be about may run it
     }
@@ -107,14 +107,14 @@
     let name = workload.name.clone();
     for rule in set.rules.iter().filter(about) {
         let all = rule.customer.is_none() && rule.tables.is_none() && rule.front.is_none() && rule.always();
-        match &rule.then {
-            Then::Allow { .. } => return None,
-            Then::Deny { .. } if all => {
+        match &rule.effect {
+            RuleEffect::Allow { .. } => return None,
+            RuleEffect::Deny { .. } if all => {
                 return Some((path(rule), What::AllDenied { rule: rule.name.clone(), workload: name }))
             }
             _ => {}
         }
     }
-    let denies = set.default == Default::Deny;
+    let denies = set.default == DefaultEffect::Deny;
     denies.then_some(("default".to_string(), What::NothingAllowed { workload: name }))
 }
--- a/crates/access/src/index.rs
+++ b/crates/access/src/index.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 
 use crate::known::Known;
-use crate::rule::{Asking, Default, Rule, Set, Then};
+use crate::rule::{Attributes, DefaultEffect, Rule, RuleEffect, RuleSet};
 use crate::shares::Limit;
 
 const MOST_GROUPS: usize = 16; // groups of tables of one statement; more are as if they could not be told
@@ -38,7 +38,7 @@
 }
 
 /// Rules of one entry, in order; a list ends with the first rule that always holds, as none behind it ever decides.
-#[derive(Clone, Debug, std::default::Default)]
+#[derive(Clone, Debug, Default)]
 struct Cell {
     /// Those that name no tables.
     any: Vec<u32>,
@@ -52,7 +52,7 @@
 /// Customer, workload and front by number; 0 where a rule names none.
 type Who = [u32; 3];
 
-#[derive(Clone, Debug, std::default::Default)]
+#[derive(Clone, Debug, Default)]
 struct Table {
     cells: HashMap<Who, Cell>,
     /// Which fields some entry names, a bit for each.
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug)]
 pub struct Index {
     /// The rules it was compiled from.
-    pub set: Set,
+    pub set: RuleSet,
     names: [HashMap<String, u32>; 3],
     decide: Table,
     count: Table,
@@ -72,9 +72,9 @@
 impl Index {
     /// Compiles a set. Rules of one customer, workload and front whose table ranges overlap are listed once for
     /// each stretch of groups that they cover.
-    pub fn new(set: Set) -> Index {
-        let mut names: [HashMap<String, u32>; 3] = std::default::Default::default();
-        let mut cells: [HashMap<Who, Vec<u32>>; 2] = std::default::Default::default();
+    pub fn new(set: RuleSet) -> Index {
+        let mut names: [HashMap<String, u32>; 3] = Default::default();
+        let mut cells: [HashMap<Who, Vec<u32>>; 2] = Default::default();
         for (at, rule) in set.rules.iter().enumerate() {
             let mut who = [0; 3];
             for (field, name) in [&rule.customer, &rule.workload, &rule.front].into_iter().enumerate() {
@@ -83,21 +83,28 @@
                     who[field] = *names.entry(name.clone()).or_insert(next);
                 }
             }
-            cells[usize::from(rule.then == Then::Count)].entry(who).or_default().push(at as u32);
+            cells[usize::from(rule.effect == RuleEffect::Count)].entry(who).or_default().push(at as u32);
         }
         let [decide, count] = cells.map(|cells| table(&set, cells));
         Index { names, decide, count, set }
     }
 
     /// The rule that decides a statement and the one that only counts it.
-    pub fn first(&self, asking: &Asking, wall_ms: u64) -> (Option<usize>, Option<usize>) {
+    pub fn first(&self, attributes: &Attributes, wall_ms: u64) -> (Option<usize>, Option<usize>) {
         let number = |field: usize, name: &str| self.names[field].get(name).copied();
-        let who = [number(0, asking.customer), number(1, asking.workload), number(2, asking.front)];
-        let first = |table: &Table| self.find(table, who, asking, wall_ms).map(|at| at as usize);
+        let who =
+            [number(0, attributes.customer), number(1, attributes.workload), number(2, attributes.front)];
+        let first = |table: &Table| self.find(table, who, attributes, wall_ms).map(|at| at as usize);
         (first(&self.decide), first(&self.count))
     }
 
-    fn find(&self, table: &Table, who: [Option<u32>; 3], asking: &Asking, wall_ms: u64) -> Option<u32> {
+    fn find(
+        &self,
+        table: &Table,
+        who: [Option<u32>; 3],
+        attributes: &Attributes,
+        wall_ms: u64,
+    ) -> Option<u32> {
         let mut least = None::<u32>;
         for mask in &table.masks {
             let mut key = [0; 3];
@@ -110,16 +117,17 @@
                 None => false,
             });
             let Some(cell) = table.cells.get(&key).filter(|_| known) else { continue };
-            let about = match asking.group {
+            let about = match attributes.group {
                 Some(group) => {
                     let at = cell.starts.partition_point(|start| *start <= group);
                     at.checked_sub(1).and_then(|at| cell.stretches.get(at))
                 }
-                None => Some(&cell.narrowing).filter(|_| !asking.told),
+                None => Some(&cell.narrowing).filter(|_| !attributes.tables_known),
             };
             for list in [Some(&cell.any), about].into_iter().flatten() {
-                let holds =
-                    |at: &&u32| self.set.rules.get(**at as usize).is_some_and(|r| r.holds(asking, wall_ms));
+                let holds = |at: &&u32| {
+                    self.set.rules.get(**at as usize).is_some_and(|r| r.holds(attributes, wall_ms))
+                };
                 let found = list.iter().take_while(|at| least.is_none_or(|least| **at < least)).find(holds);
                 least = found.copied().or(least);
             }
@@ -129,31 +137,34 @@
 
     /// Judges a statement by all groups of tables that it reads: barred for one is barred for all.
     /// None: they cannot be told.
-    pub fn judge(&self, asking: &Asking, groups: Option<&[u32]>, wall_ms: u64) -> Verdict {
+    pub fn judge(&self, attributes: &Attributes, groups: Option<&[u32]>, wall_ms: u64) -> Verdict {
         let mut verdict: Option<Verdict> = None;
         let untold = groups.is_none_or(|groups| groups.len() > MOST_GROUPS);
         let groups = groups.unwrap_or_default();
         let each = groups.iter().copied().map(Some).take(if untold { 0 } else { MOST_GROUPS });
         for group in each.chain(untold.then_some(None)) {
-            let one = self.judge_one(&Asking { group, told: group.is_some(), ..*asking }, wall_ms);
+            let one =
+                self.judge_one(&Attributes { group, tables_known: group.is_some(), ..*attributes }, wall_ms);
             verdict = Some(match verdict {
                 None => one,
                 Some(before) => both(before, one),
             });
         }
-        verdict.unwrap_or_else(|| self.judge_one(&Asking { group: None, told: true, ..*asking }, wall_ms))
+        verdict.unwrap_or_else(|| {
+            self.judge_one(&Attributes { group: None, tables_known: true, ..*attributes }, wall_ms)
+        })
     }
 
-    fn judge_one(&self, asking: &Asking, wall_ms: u64) -> Verdict {
-        let (rule, counts) = self.first(asking, wall_ms);
+    fn judge_one(&self, attributes: &Attributes, wall_ms: u64) -> Verdict {
+        let (rule, counts) = self.first(attributes, wall_ms);
         let decides = rule.and_then(|at| self.set.rules.get(at));
-        let untold = asking.group.is_none() && decides.is_some_and(|r| r.tables.is_some());
-        let (denied, allowed) = match decides.map(|r| &r.then) {
+        let untold = attributes.group.is_none() && decides.is_some_and(|r| r.tables.is_some());
+        let (denied, allowed) = match decides.map(|r| &r.effect) {
             _ if untold => (Some(UNTOLD.to_string()), None),
-            Some(Then::Deny { reason }) => (Some(reason.clone()), None),
-            Some(Then::Allow { places }) => (None, places.clone()),
-            Some(Then::Count) => (None, None),
-            None if self.set.default == Default::Deny => (Some("no rule allows it".to_string()), None),
+            Some(RuleEffect::Deny { reason }) => (Some(reason.clone()), None),
+            Some(RuleEffect::Allow { places }) => (None, places.clone()),
+            Some(RuleEffect::Count) => (None, None),
+            None if self.set.default == DefaultEffect::Deny => (Some("no rule allows it".to_string()), None),
             None => (None, None),
         };
         let limits = rule.into_iter().filter(|_| decides.is_some_and(|r| r.limit.is_some()));
@@ -189,7 +200,7 @@
         let workloads = names(|r| r.workload.as_ref());
         let fronts = names(|r| r.front.as_ref());
         let rules = || sets.iter().flat_map(|set| &set.rules);
-        let ends = |t: &crate::rule::Tables| [Some(t.first), t.last.checked_add(1)];
+        let ends = |t: &crate::rule::TableRange| [Some(t.first), t.last.checked_add(1)];
         let mut groups: Vec<Option<u32>> =
             rules().filter_map(|r| r.tables.as_ref()).flat_map(ends).flatten().map(Some).collect();
         groups.extend([None, Some(0)]);
@@ -206,8 +217,8 @@
         }
         // One place more stands for those that are not known here.
         let all: Vec<u16> = (0..=known.locations.len() as u16).collect();
-        let lets = |index: &Index, asking: &Asking, at: u64| {
-            let verdict = index.judge_one(asking, at);
+        let lets = |index: &Index, attributes: &Attributes, at: u64| {
+            let verdict = index.judge_one(attributes, at);
             let limits = index.limits(&verdict);
             let allowed =
                 verdict.denied.map_or_else(|| verdict.allowed.unwrap_or_else(|| all.clone()), |_| Vec::new());
@@ -217,11 +228,11 @@
         for customer in &customers {
             for workload in &workloads {
                 for front in &fronts {
-                    let kind = |group| Asking {
+                    let kind = |group| Attributes {
                         customer,
                         workload,
                         group,
-                        told: false,
+                        tables_known: false,
                         front,
                         first_judged_ms: None,
                     };
@@ -245,7 +256,7 @@
     /// A rule that goes before another wherever and whenever that would match.
     pub fn shadow(&self, at: usize) -> Option<usize> {
         let rule = self.set.rules.get(at)?;
-        let table = if rule.then == Then::Count { &self.count } else { &self.decide };
+        let table = if rule.effect == RuleEffect::Count { &self.count } else { &self.decide };
         let mut who = [0; 3];
         for (field, name) in [&rule.customer, &rule.workload, &rule.front].into_iter().enumerate() {
             who[field] = name.as_ref().and_then(|name| self.names[field].get(name).copied()).unwrap_or(0);
@@ -304,7 +315,7 @@
     one
 }
 
-fn table(set: &Set, cells: HashMap<Who, Vec<u32>>) -> Table {
+fn table(set: &RuleSet, cells: HashMap<Who, Vec<u32>>) -> Table {
     let mask = |who: &Who| (0..3).fold(0, |mask, field| mask | u8::from(who[field] > 0) << field);
     let mut masks: Vec<u8> = cells.keys().map(mask).collect();
     masks.sort_unstable();
@@ -313,7 +324,7 @@
 }
 
 /// Rules come in order.
-fn cell(set: &Set, rules: &[u32]) -> Cell {
+fn cell(set: &RuleSet, rules: &[u32]) -> Cell {
     let rule = |at: &u32| set.rules.get(*at as usize);
     let mut made = Cell::default();
     let mut edges: Vec<(u32, bool, u32)> = Vec::new(); // where, begins, which
@@ -349,7 +360,7 @@
 }
 
 /// Up to the first that always holds.
-fn cut(set: &Set, rules: impl Iterator<Item = u32>) -> Vec<u32> {
+fn cut(set: &RuleSet, rules: impl Iterator<Item = u32>) -> Vec<u32> {
     let mut list = Vec::new();
     for at in rules {
         list.push(at);
--- a/crates/access/src/known.rs
+++ b/crates/access/src/known.rs
@@ -12,7 +12,7 @@
 }
 
 /// The names that rules may use; a rule with another name is refused.
-#[derive(Clone, Debug, PartialEq, Eq, std::default::Default)]
+#[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct Known {
     /// Empty where the settings name none: then any may be named.
     pub customers: Vec<String>,
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -33,5 +33,5 @@
 pub use known::{Bound, Known};
 pub use read::{read, Lines, Wish};
 pub use record::{Change, Decided, WhatIf};
-pub use rule::{Asking, Default, Rule, Set, Tables, Then};
+pub use rule::{Attributes, DefaultEffect, Rule, RuleEffect, RuleSet, TableRange};
 pub use shares::{Limit, Shares};
--- a/crates/access/src/moves.rs
+++ b/crates/access/src/moves.rs
@@ -5,7 +5,7 @@
 
 use crate::fault::What;
 use crate::read::{whole, Reader};
-use crate::rule::{Rule, Then};
+use crate::rule::{Rule, RuleEffect};
 
 const KEYS: &str = "from, to, at, overlap_ms";
 const MOST_OVERLAP_MS: u64 = 366 * 86_400_000; // milliseconds; a year
@@ -25,8 +25,8 @@
         both.dedup();
         let ends = self.at_ms.saturating_add(self.overlap_ms);
         let phase = |places: &Vec<u16>, from_ms, until_ms| {
-            let then = Then::Allow { places: Some(places.clone()) };
-            Rule { then, from_ms, until_ms, moves: true, ..rule.clone() }
+            let effect = RuleEffect::Allow { places: Some(places.clone()) };
+            Rule { effect, from_ms, until_ms, moves: true, ..rule.clone() }
         };
         vec![
             phase(&self.from, 0, self.at_ms),
--- a/crates/access/src/read.rs
+++ b/crates/access/src/read.rs
@@ -5,7 +5,7 @@
 use crate::check;
 use crate::fault::{Fault, Faults, What};
 use crate::known::Known;
-use crate::rule::{Default, Rule, Set, Tables, Then};
+use crate::rule::{DefaultEffect, Rule, RuleEffect, RuleSet, TableRange};
 use crate::Micros;
 
 const MOST_RULES: usize = 200_000; // rules; twice what the cost of a decision was measured with
@@ -20,9 +20,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Wish {
     /// This set is to hold for the fleet.
-    Set(Set),
+    Set(RuleSet),
     /// What this set would decide otherwise is to be told; nothing changes.
-    WhatIf(Set),
+    WhatIf(RuleSet),
     /// The set of an earlier version is to hold again, under a new one.
     RollBack {
         /// The version under which the earlier set is to hold.
@@ -106,8 +106,8 @@
             return Some(Wish::RollBack { version: version?, to });
         }
         let default = match file.get("default").map(Value::as_str) {
-            Some(Some("allow")) => Some(Default::Allow),
-            Some(Some("deny")) => Some(Default::Deny),
+            Some(Some("allow")) => Some(DefaultEffect::Allow),
+            Some(Some("deny")) => Some(DefaultEffect::Deny),
             None => self.fault("default", What::Missing { needs: "'allow' or 'deny'" }),
             _ => self.fault("default", What::Kind { needs: "'allow' or 'deny'" }),
         };
@@ -128,7 +128,7 @@
         };
         let read: Vec<Option<Vec<Rule>>> = rules.iter().enumerate().map(|(at, r)| self.rule(at, r)).collect();
         let read: Option<Vec<Vec<Rule>>> = read.into_iter().collect();
-        let set = Set::new(version?, default?, read?.concat());
+        let set = RuleSet::new(version?, default?, read?.concat());
         Some(if asks? { Wish::WhatIf(set) } else { Wish::Set(set) })
     }
 
@@ -198,12 +198,14 @@
             self.faults.push((format!("{path}.until"), what));
         }
         let moved = r.contains_key("moves").then(|| self.moves(path, r, &name));
-        let then = match &moved {
-            Some(_) => Some(Then::Allow { places: None }),
-            None => self.then(path, r, &name),
+        let effect = match &moved {
+            Some(_) => Some(RuleEffect::Allow { places: None }),
+            None => self.effect(path, r, &name),
         };
         let limit = self.limit(path, r, &name);
-        if limit.is_some() && then.as_ref().is_some_and(|then| !matches!(then, Then::Allow { .. })) {
+        if limit.is_some()
+            && effect.as_ref().is_some_and(|effect| !matches!(effect, RuleEffect::Allow { .. }))
+        {
             let what = What::Shape {
                 rule: name.clone(),
                 why: "has a limit though it does not allow",
@@ -211,10 +213,10 @@
             };
             self.faults.push((format!("{path}.at_most"), what));
         }
-        let (then, moves) = (then?, false);
+        let (effect, moves) = (effect?, false);
         #[rustfmt::skip]
         let rule = Rule {
-            name, customer, workload, tables, front, then, limit, priority, from_ms, until_ms, moves, place,
+            name, customer, workload, tables, front, effect, limit, priority, from_ms, until_ms, moves, place,
         };
         let rules = match moved {
             Some(moved) => moved?.phases(&rule),
@@ -223,7 +225,7 @@
         (self.faults.len() == before).then_some(rules)
     }
 
-    fn tables(&mut self, path: &str, value: &Value) -> Option<Tables> {
+    fn tables(&mut self, path: &str, value: &Value) -> Option<TableRange> {
         let group = |v: &Value| whole(v).and_then(|v| u32::try_from(v).ok());
         let tables = match value {
             Value::Array(ends) => match ends.as_slice() {
@@ -233,7 +235,7 @@
             one => group(one).map(|one| (one, one)),
         };
         match tables {
-            Some((first, last)) => Some(Tables { first, last }),
+            Some((first, last)) => Some(TableRange { first, last }),
             None => {
                 let needs = "number of a group of tables, nor [first, last]";
                 self.fault(&format!("{path}.tables"), What::Kind { needs })
@@ -272,7 +274,7 @@
         time.or_else(|| self.fault(&format!("{path}.{key}"), What::Kind { needs }))
     }
 
-    fn then(&mut self, path: &str, r: &Map<String, Value>, name: &str) -> Option<Then> {
+    fn effect(&mut self, path: &str, r: &Map<String, Value>, name: &str) -> Option<RuleEffect> {
         let reason = self.text(path, r, "reason");
         let named = self.regions(path, r, "regions");
         let barred = self.regions(path, r, "barred");
@@ -293,20 +295,20 @@
                 self.fault(path, shape(why, "take out `regions` and `barred`, or say then: 'allow'"))
             }
             "deny" => match reason {
-                Some(reason) => Some(Then::Deny { reason }),
+                Some(reason) => Some(RuleEffect::Deny { reason }),
                 None => self.fault(path, shape("denies without a reason", "give it `reason`, for the log")),
             },
-            "count" => Some(Then::Count),
+            "count" => Some(RuleEffect::Count),
             "allow" if r.contains_key("regions") && r.contains_key("barred") => {
                 self.fault(path, shape("has both `regions` and `barred`", "give one of them"))
             }
-            "allow" if r.contains_key("regions") => Some(Then::Allow { places: Some(named?) }),
+            "allow" if r.contains_key("regions") => Some(RuleEffect::Allow { places: Some(named?) }),
             "allow" if r.contains_key("barred") => {
                 let barred = barred?;
                 let left = (0..self.known.locations.len() as u16).filter(|at| !barred.contains(at)).collect();
-                Some(Then::Allow { places: Some(left) })
+                Some(RuleEffect::Allow { places: Some(left) })
             }
-            "allow" => Some(Then::Allow { places: None }),
+            "allow" => Some(RuleEffect::Allow { places: None }),
             _ => self.fault(&format!("{path}.then"), What::Kind { needs: "'allow', 'deny' or 'count'" }),
         }
     }
--- a/crates/access/src/record_tests.rs
+++ b/crates/access/src/record_tests.rs
@@ -1,13 +1,13 @@
 //! Unit tests of the `record` module.
 
 use super::*;
-use crate::{Known, Set};
+use crate::{Known, RuleSet};
 
 #[test]
 fn a_record_is_bounded_and_what_is_too_old_is_forgotten() {
     let request = |n: usize| Request { customer: n.to_string(), workload: "w".to_string(), groups: None };
     let mut record = Record::new(24_000_000);
-    let index = Index::new(Set::empty());
+    let index = Index::new(RuleSet::empty());
     let counts = |record: &mut Record, now: Micros| {
         let at = Moment { steady: now, wall_ms: 0 };
         let found = record.play(at, "eu", &index, &index, &Known::default());
--- a/crates/access/src/rule.rs
+++ b/crates/access/src/rule.rs
@@ -6,14 +6,14 @@
 
 /// Groups of tables, both ends within.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Tables {
+pub struct TableRange {
     /// The first group of the range.
     pub first: u32,
     /// The last group of the range; not below the first.
     pub last: u32,
 }
 
-impl Tables {
+impl TableRange {
     /// Whether the range includes a group.
     pub fn holds(&self, group: u32) -> bool {
         (self.first..=self.last).contains(&group)
@@ -26,7 +26,7 @@
 
 /// What a rule says of the statements it matches.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Then {
+pub enum RuleEffect {
     /// The statement is not run.
     Deny {
         /// What the client and the log are told.
@@ -41,18 +41,18 @@
     Count,
 }
 
-impl Then {
+impl RuleEffect {
     fn narrows(&self) -> bool {
-        !matches!(self, Then::Allow { places: None } | Then::Count)
+        !matches!(self, RuleEffect::Allow { places: None } | RuleEffect::Count)
     }
 
     /// Of two rules at the same height, the one that lets less through goes first.
     fn severity(&self) -> u8 {
         match self {
-            Then::Deny { .. } => 0,
-            Then::Allow { places: Some(_) } => 1,
-            Then::Allow { places: None } => 2,
-            Then::Count => 3,
+            RuleEffect::Deny { .. } => 0,
+            RuleEffect::Allow { places: Some(_) } => 1,
+            RuleEffect::Allow { places: None } => 2,
+            RuleEffect::Count => 3,
         }
     }
 }
@@ -67,11 +67,11 @@
     /// The workload that it is about; `None`: all.
     pub workload: Option<String>,
     /// The table groups that it is about; `None`: all statements, also those that read no table.
-    pub tables: Option<Tables>,
+    pub tables: Option<TableRange>,
     /// The region of the front that was asked.
     pub front: Option<String>,
     /// What it says of the statements that it matches.
-    pub then: Then,
+    pub effect: RuleEffect,
     /// At most so many statements that it lets through begin in any window of so many microseconds, in the fleet.
     pub limit: Option<(u32, Micros)>,
     /// Rules with a higher priority go first.
@@ -88,7 +88,7 @@
 
 /// What holds for a statement that no rule decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Default {
+pub enum DefaultEffect {
     /// Statements that no rule decides may run anywhere.
     Allow,
     /// Statements that no rule decides are not run.
@@ -97,15 +97,15 @@
 
 /// Who asks for what.
 #[derive(Clone, Copy, Debug)]
-pub struct Asking<'a> {
+pub struct Attributes<'a> {
     /// The statement's customer.
     pub customer: &'a str,
     /// The statement's workload.
     pub workload: &'a str,
     /// A group of tables that it reads.
     pub group: Option<u32>,
-    /// Without a group: it surely reads none.
-    pub told: bool,
+    /// Whether the groups are known: without a group it then surely reads none.
+    pub tables_known: bool,
     /// The region of the front that was asked.
     pub front: &'a str,
     /// When it was judged first, where that was before.
@@ -114,8 +114,8 @@
 
 impl Rule {
     /// Whether it holds for a statement now.
-    pub fn holds(&self, asking: &Asking, wall_ms: u64) -> bool {
-        self.active(asking.first_judged_ms.filter(|_| self.moves).unwrap_or(wall_ms))
+    pub fn holds(&self, attributes: &Attributes, wall_ms: u64) -> bool {
+        self.active(attributes.first_judged_ms.filter(|_| self.moves).unwrap_or(wall_ms))
     }
 
     /// Whether it holds at a time.
@@ -130,7 +130,7 @@
 
     /// Whether it lets less through than if it were not there.
     pub fn narrows(&self) -> bool {
-        self.then.narrows() || self.limit.is_some()
+        self.effect.narrows() || self.limit.is_some()
     }
 
     /// Whether it holds whenever the other does.
@@ -140,14 +140,14 @@
 
     /// Whether it is about a statement. Where the groups of tables cannot be told, a rule about tables that lets
     /// less through is about it, and one that lets more through is not.
-    pub fn matches(&self, asking: &Asking) -> bool {
+    pub fn matches(&self, attributes: &Attributes) -> bool {
         let named = |field: &Option<String>, asked: &str| field.as_ref().is_none_or(|name| name == asked);
-        named(&self.customer, asking.customer)
-            && named(&self.workload, asking.workload)
-            && named(&self.front, asking.front)
-            && self.tables.is_none_or(|t| match asking.group {
+        named(&self.customer, attributes.customer)
+            && named(&self.workload, attributes.workload)
+            && named(&self.front, attributes.front)
+            && self.tables.is_none_or(|t| match attributes.group {
                 Some(group) => t.holds(group),
-                None => !asking.told && self.narrows(),
+                None => !attributes.tables_known && self.narrows(),
             })
     }
 
@@ -168,8 +168,8 @@
 
     /// Whether both say the same of what they match.
     pub fn agrees(&self, other: &Rule) -> bool {
-        match (&self.then, &other.then) {
-            (Then::Deny { .. }, Then::Deny { .. }) => true,
+        match (&self.effect, &other.effect) {
+            (RuleEffect::Deny { .. }, RuleEffect::Deny { .. }) => true,
             (ours, theirs) => ours == theirs && self.limit == other.limit,
         }
     }
@@ -177,36 +177,39 @@
 
 /// A set of rules, in the order in which they decide.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Set {
+pub struct RuleSet {
     /// As its file states it.
     pub version: u64,
     /// What holds for statements that no rule decides.
-    pub default: Default,
+    pub default: DefaultEffect,
     /// The rules, the one that goes first at index 0.
     pub rules: Vec<Rule>,
 }
 
-impl Set {
+impl RuleSet {
     /// The set of a fleet that was never given one.
-    pub fn empty() -> Set {
-        Set { version: 0, default: Default::Allow, rules: Vec::new() }
+    pub fn empty() -> RuleSet {
+        RuleSet { version: 0, default: DefaultEffect::Allow, rules: Vec::new() }
     }
 
     /// Sorts the rules into the order in which they decide: by height, then the stricter first, then by the
     /// time from which they hold and by name.
-    pub fn new(version: u64, default: Default, mut rules: Vec<Rule>) -> Set {
+    pub fn new(version: u64, default: DefaultEffect, mut rules: Vec<Rule>) -> RuleSet {
         rules.sort_by(|a, b| {
-            let key = |r: &Rule| (r.height(), r.then.severity(), r.from_ms);
+            let key = |r: &Rule| (r.height(), r.effect.severity(), r.from_ms);
             key(a).cmp(&key(b)).then_with(|| a.name.cmp(&b.name))
         });
-        Set { version, default, rules }
+        RuleSet { version, default, rules }
     }
 
     /// The rule that decides and the one that only counts, by going through all in order: what the index must equal.
-    pub fn walk(&self, asking: &Asking, wall_ms: u64) -> (Option<usize>, Option<usize>) {
+    pub fn walk(&self, attributes: &Attributes, wall_ms: u64) -> (Option<usize>, Option<usize>) {
         let first = |counts: bool| {
-            let fits =
-                |r: &Rule| (r.then == Then::Count) == counts && r.holds(asking, wall_ms) && r.matches(asking);
+            let fits = |r: &Rule| {
+                (r.effect == RuleEffect::Count) == counts
+                    && r.holds(attributes, wall_ms)
+                    && r.matches(attributes)
+            };
             self.rules.iter().position(fits)
         };
         (first(false), first(true))
--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -12,7 +12,7 @@
 use crate::index::Index;
 use crate::known::Known;
 use crate::read::{read, Wish};
-use crate::rule::Set;
+use crate::rule::RuleSet;
 use crate::{Micros, Moment};
 
 const ON_THE_WAY: Micros = 200_000; // microseconds; what left under a lease that has ended may still be under way
@@ -85,7 +85,7 @@
         Versions {
             known,
             terms,
-            held: Index::new(Set::empty()),
+            held: Index::new(RuleSet::empty()),
             held_from: None,
             head: None,
             heard: false,
@@ -313,7 +313,7 @@
         let in_force = head.in_force;
         match read("the fleet's rules", text, &self.known, &|_| None) {
             Ok(Wish::Set(set)) => {
-                self.held = Index::new(Set { version: of.version, ..set });
+                self.held = Index::new(RuleSet { version: of.version, ..set });
                 self.held_from = Some(of);
                 self.unread = None;
                 let held = self.will_hold.take().map(|asked_at| asked_at + self.terms.acts_for());
--- a/crates/access/tests/fleet/record.rs
+++ b/crates/access/tests/fleet/record.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_access::{Asking, Decision, Fleet, Index, Request};
+use hallmux_access::{Attributes, Decision, Fleet, Index, Request};
 
 use super::{set, Sent, Sim, FRONTS, STEP};
 
@@ -16,10 +16,16 @@
             let held = self.in_force.iter().filter(|(_, since)| *since < at).map(|(v, _)| *v).max();
             let Some(held) = held else { continue };
             let Request { customer, workload, groups } = asked;
-            let asking =
-                Asking { customer, workload, group: None, told: false, front: "eu", first_judged_ms: None };
+            let attributes = Attributes {
+                customer,
+                workload,
+                group: None,
+                tables_known: false,
+                front: "eu",
+                first_judged_ms: None,
+            };
             let mut may = indices.range(held..).filter(|(_, (since, _))| since <= at);
-            if !may.any(|(_, (_, index))| index.judge(&asking, groups.as_deref(), 0).lets(Some(*place))) {
+            if !may.any(|(_, (_, index))| index.judge(&attributes, groups.as_deref(), 0).lets(Some(*place))) {
                 found.push(format!("{at}: front {front} sent {asked:?} to {place} under version {held}"));
             }
         }
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -4,7 +4,7 @@
 
 use hallmux_access::{
     read, Access, AccessConfig, Act, Ask, Bound, Decision, Done, Entry, Event, Fleet, Head, Hit, Kept, Key,
-    Known, Moment, Outcome, Owner, Request, Set, Terms, Wish,
+    Known, Moment, Outcome, Owner, Request, RuleSet, Terms, Wish,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -80,9 +80,9 @@
     }
 }
 
-fn set(version: u64, text: &str) -> Set {
+fn set(version: u64, text: &str) -> RuleSet {
     match read("rules.json5", text, &known(), &|_| None) {
-        Ok(Wish::Set(set)) => Set { version, ..set },
+        Ok(Wish::Set(set)) => RuleSet { version, ..set },
         other => panic!("{other:?}: {text}"),
     }
 }
--- a/crates/access/tests/rules.rs
+++ b/crates/access/tests/rules.rs
@@ -1,6 +1,8 @@
 //! Files of rules as a person writes them: what is refused, in which words; and the index beside the plain walk.
 
-use hallmux_access::{read, Asking, Bound, Default, Faults, Index, Known, Rule, Set, Tables, Then, Wish};
+use hallmux_access::{
+    read, Attributes, Bound, DefaultEffect, Faults, Index, Known, Rule, RuleEffect, RuleSet, TableRange, Wish,
+};
 use proptest::prelude::*;
 
 fn known() -> Known {
@@ -39,7 +41,7 @@
     format!("{{\n version: 7,\n default: 'allow',\n rules: [\n{}\n ],\n}}", rules.join(",\n"))
 }
 
-fn set(rules: &[&str]) -> Set {
+fn set(rules: &[&str]) -> RuleSet {
     let text = file(rules);
     let wish = read("rules.json5", &text, &known(), &lines(&text));
     match wish {
@@ -200,7 +202,14 @@
     let index = Index::new(set);
     let judge = |customer, workload, groups: Option<&[u32]>| {
         let v = index.judge(
-            &Asking { customer, workload, group: None, told: false, front: "eu", first_judged_ms: None },
+            &Attributes {
+                customer,
+                workload,
+                group: None,
+                tables_known: false,
+                front: "eu",
+                first_judged_ms: None,
+            },
             groups,
             0,
         );
@@ -250,27 +259,27 @@
         prop::option::of(prop::sample::select(all)).prop_map(|n| n.map(str::to_string))
     };
     let tables = prop::option::of((0u32..12, 0u32..6))
-        .prop_map(|t| t.map(|(first, more)| Tables { first, last: first + more }));
-    let then = prop_oneof![
-        Just(Then::Deny { reason: "x".to_string() }),
-        Just(Then::Allow { places: None }),
-        Just(Then::Count),
+        .prop_map(|t| t.map(|(first, more)| TableRange { first, last: first + more }));
+    let effect = prop_oneof![
+        Just(RuleEffect::Deny { reason: "x".to_string() }),
+        Just(RuleEffect::Allow { places: None }),
+        Just(RuleEffect::Count),
         prop::collection::btree_set(0u16..3, 1..3)
-            .prop_map(|p| Then::Allow { places: Some(p.into_iter().collect()) }),
+            .prop_map(|p| RuleEffect::Allow { places: Some(p.into_iter().collect()) }),
     ];
     let time = prop_oneof![3 => Just((0, u64::MAX)), 1 => (0u64..4, 4u64..8)];
     let who = (name(&["a", "b", "c"]), name(&["x", "y"]), name(&["eu", "us"]));
-    (who, tables, then, 0i32..3, time).prop_map(
-        |((customer, workload, front), tables, then, priority, (from_ms, until_ms))| {
+    (who, tables, effect, 0i32..3, time).prop_map(
+        |((customer, workload, front), tables, effect, priority, (from_ms, until_ms))| {
             let name =
-                format!("{customer:?}{workload:?}{front:?}{tables:?}{then:?}{priority}{from_ms}{until_ms}");
+                format!("{customer:?}{workload:?}{front:?}{tables:?}{effect:?}{priority}{from_ms}{until_ms}");
             Rule {
                 name,
                 customer,
                 workload,
                 tables,
                 front,
-                then,
+                effect,
                 limit: None,
                 priority,
                 from_ms,
@@ -292,13 +301,13 @@
         workload in prop::sample::select(&["x", "y", "z"][..]),
         front in prop::sample::select(&["eu", "us", "ap"][..]),
         group in prop::option::of(0u32..20),
-        told in any::<bool>(),
+        tables_known in any::<bool>(),
         now in 0u64..9,
     ) {
-        let set = Set::new(1, Default::Allow, rules);
-        let asking = Asking { customer, workload, group, told, front, first_judged_ms: None };
-        let walked = set.walk(&asking, now);
-        prop_assert_eq!(Index::new(set).first(&asking, now), walked);
+        let set = RuleSet::new(1, DefaultEffect::Allow, rules);
+        let attributes = Attributes { customer, workload, group, tables_known, front, first_judged_ms: None };
+        let walked = set.walk(&attributes, now);
+        prop_assert_eq!(Index::new(set).first(&attributes, now), walked);
     }
 
     #[test]
@@ -307,11 +316,14 @@
         group in 0u32..20,
         now in 0u64..9,
     ) {
-        let index = Index::new(Set::new(1, Default::Allow, rules));
+        let index = Index::new(RuleSet::new(1, DefaultEffect::Allow, rules));
         for customer in ["a", "b", "c", "z"] {
             for workload in ["x", "y", "z"] {
                 for front in ["eu", "us", "ap"] {
-                    let (decides, counts) = index.first(&Asking { customer, workload, group: Some(group), told: true, front, first_judged_ms: None }, now);
+                    let group = Some(group);
+                    let attributes =
+                        Attributes { customer, workload, group, tables_known: true, front, first_judged_ms: None };
+                    let (decides, counts) = index.first(&attributes, now);
                     for at in decides.into_iter().chain(counts) {
                         prop_assert_eq!(index.shadow(at), None);
                     }
--- a/crates/lab/src/measure/promises.rs
+++ b/crates/lab/src/measure/promises.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use hallmux_access::{Asking, Default as Otherwise, Index, Rule, Set, Tables, Then};
+use hallmux_access::{Attributes, DefaultEffect, Index, Rule, RuleEffect, RuleSet, TableRange};
 
 use super::{spread, Spread};
 use crate::engine::lines;
@@ -91,16 +91,16 @@
 }
 
 /// So many rules about customers, workloads and groups of tables.
-fn set(count: usize) -> Set {
+fn set(count: usize) -> RuleSet {
     let rule = |n: usize| Rule {
         name: format!("r{n}"),
         customer: (!n.is_multiple_of(3)).then(|| format!("c{}", n % 2_000)),
         workload: n.is_multiple_of(2).then(|| format!("w{}", n % 7)),
-        tables: Some(Tables { first: n as u32, last: n as u32 + 3 }),
+        tables: Some(TableRange { first: n as u32, last: n as u32 + 3 }),
         front: None,
-        then: match n % 4 {
-            0 => Then::Deny { reason: "barred".into() },
-            _ => Then::Allow { places: Some(vec![(n % 3) as u16]) },
+        effect: match n % 4 {
+            0 => RuleEffect::Deny { reason: "barred".into() },
+            _ => RuleEffect::Allow { places: Some(vec![(n % 3) as u16]) },
         },
         limit: None,
         priority: (n % 3) as i32,
@@ -109,7 +109,7 @@
         moves: false,
         place: n,
     };
-    Set::new(1, Otherwise::Allow, (0..count).map(rule).collect())
+    RuleSet::new(1, DefaultEffect::Allow, (0..count).map(rule).collect())
 }
 
 fn rules() {
@@ -117,15 +117,22 @@
     println!("| --- | --- | --- | --- |");
     for count in RULES {
         let (walk, index) = (set(count), Index::new(set(count)));
-        let asking: Vec<(String, String, u32)> = (0..1_000usize)
+        let attributes: Vec<(String, String, u32)> = (0..1_000usize)
             .map(|n| {
                 let at = n.wrapping_mul(7_919) % count;
                 (format!("c{}", at % 2_000), format!("w{}", n % 7), at as u32)
             })
             .collect();
         let one = |n: usize| {
-            let (customer, workload, group) = &asking[n % asking.len()];
-            Asking { customer, workload, group: Some(*group), front: "z0", told: true, first_judged_ms: None }
+            let (customer, workload, group) = &attributes[n % attributes.len()];
+            Attributes {
+                customer,
+                workload,
+                group: Some(*group),
+                front: "z0",
+                tables_known: true,
+                first_judged_ms: None,
+            }
         };
         let (mut indexed, mut walked, mut ratios) = (Vec::new(), Vec::new(), Vec::new());
         for _ in 0..ROUNDS {
