--- a/crates/access/src/check.rs
+++ b/crates/access/src/check.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
 
-use crate::fault::What;
+use crate::error::Problem;
 use crate::index::Index;
 use crate::known::{Bound, Known};
 use crate::read::Lines;
@@ -14,20 +14,23 @@
 type Level<'a> = ([Option<&'a str>; 3], (Reverse<i32>, Reverse<u32>, Reverse<u8>, u32));
 
 /// All that is wrong with a set, each with the path of what it is about.
-pub fn check(set: &RuleSet, known: &Known, lines: Lines) -> Vec<(String, What)> {
-    let mut faults = names(set, lines);
+pub fn check(set: &RuleSet, known: &Known, lines: Lines) -> Vec<(String, Problem)> {
+    let mut errors = names(set, lines);
     let index = Index::new(set.clone());
     for (at, rule) in set.rules.iter().enumerate() {
         if let Some(by) = index.shadow(at).and_then(|by| set.rules.get(by)) {
-            let what =
-                What::Shadowed { rule: rule.name.clone(), by: by.name.clone(), line: line(lines, by.place) };
-            faults.push((path(rule), what));
+            let what = Problem::Shadowed {
+                rule: rule.name.clone(),
+                by: by.name.clone(),
+                line: line(lines, by.place),
+            };
+            errors.push((path(rule), what));
         }
-        faults.extend(barred(rule, known));
+        errors.extend(barred(rule, known));
     }
-    faults.extend(contradictions(set, lines));
-    faults.extend(known.workloads.iter().filter_map(|workload| left_with_none(set, known, workload)));
-    faults
+    errors.extend(contradictions(set, lines));
+    errors.extend(known.workloads.iter().filter_map(|workload| left_with_none(set, known, workload)));
+    errors
 }
 
 fn path(rule: &Rule) -> String {
@@ -38,26 +41,26 @@
     lines(&format!("rules[{place}]")).unwrap_or(0)
 }
 
-fn names(set: &RuleSet, lines: Lines) -> Vec<(String, What)> {
+fn names(set: &RuleSet, lines: Lines) -> Vec<(String, Problem)> {
     let mut rules: Vec<&Rule> = set.rules.iter().collect();
     rules.sort_by_key(|r| r.place);
     let mut seen = HashMap::new();
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for rule in rules {
         // A rule that moves is read as three.
         let first = seen.get(rule.name.as_str()).filter(|first| **first != rule.place);
         if let Some(first) = first {
-            let what = What::Twice { rule: rule.name.clone(), line: line(lines, *first) };
-            faults.push((format!("{}.name", path(rule)), what));
+            let what = Problem::Twice { rule: rule.name.clone(), line: line(lines, *first) };
+            errors.push((format!("{}.name", path(rule)), what));
         } else {
             seen.insert(rule.name.as_str(), rule.place);
         }
     }
-    faults
+    errors
 }
 
 /// A rule that allows a workload nowhere that it may run.
-fn barred(rule: &Rule, known: &Known) -> Option<(String, What)> {
+fn barred(rule: &Rule, known: &Known) -> Option<(String, Problem)> {
     let RuleEffect::Allow { places: Some(places) } = &rule.effect else { return None };
     let about = |w: &&Bound| rule.workload.as_ref().is_none_or(|name| *name == w.name);
     let none = |w: &&Bound| {
@@ -68,17 +71,17 @@
     let named = |place: u16| known.locations.get(place as usize).cloned();
     let bound: Vec<String> = known.bound(workload).into_iter().filter_map(named).collect();
     let (rule_name, bound) = (rule.name.clone(), bound.join(", "));
-    Some((path(rule), What::NoEngine { rule: rule_name, workload: workload.name.clone(), bound }))
+    Some((path(rule), Problem::NoEngine { rule: rule_name, workload: workload.name.clone(), bound }))
 }
 
 /// Deny goes before allow at the same height; two that allow different places have no order.
-fn contradictions(set: &RuleSet, lines: Lines) -> Vec<(String, What)> {
+fn contradictions(set: &RuleSet, lines: Lines) -> Vec<(String, Problem)> {
     let mut levels: BTreeMap<Level, Vec<&Rule>> = BTreeMap::new();
     for rule in set.rules.iter().filter(|r| matches!(r.effect, RuleEffect::Allow { .. })) {
         let who = [&rule.customer, &rule.workload, &rule.front].map(|name| name.as_deref());
         levels.entry((who, rule.height())).or_default().push(rule);
     }
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for level in levels.values_mut() {
         let tables = |r: &Rule| r.tables.unwrap_or(TableRange { first: 0, last: u32::MAX });
         level.sort_by_key(|r| (tables(r), r.place));
@@ -90,16 +93,16 @@
             if let Some(other) = other {
                 let (rule, other) = if other.place < rule.place { (*rule, *other) } else { (*other, *rule) };
                 let line = line(lines, other.place);
-                let what = What::Contradicts { rule: rule.name.clone(), other: other.name.clone(), line };
-                faults.push((path(rule), what));
+                let what = Problem::Contradicts { rule: rule.name.clone(), other: other.name.clone(), line };
+                errors.push((path(rule), what));
             }
         }
     }
-    faults
+    errors
 }
 
 /// A workload that no customer may run any more.
-fn left_with_none(set: &RuleSet, known: &Known, workload: &Bound) -> Option<(String, What)> {
+fn left_with_none(set: &RuleSet, known: &Known, workload: &Bound) -> Option<(String, Problem)> {
     if known.covered.is_some() {
         return None; // the customers that no rule can be about may run it
     }
@@ -110,11 +113,11 @@
         match &rule.effect {
             RuleEffect::Allow { .. } => return None,
             RuleEffect::Deny { .. } if all => {
-                return Some((path(rule), What::AllDenied { rule: rule.name.clone(), workload: name }))
+                return Some((path(rule), Problem::AllDenied { rule: rule.name.clone(), workload: name }))
             }
             _ => {}
         }
     }
     let denies = set.default == DefaultEffect::Deny;
-    denies.then_some(("default".to_string(), What::NothingAllowed { workload: name }))
+    denies.then_some(("default".to_string(), Problem::NothingAllowed { workload: name }))
 }
--- a/crates/access/src/fault.rs
+++ b/crates/access/src/error.rs
@@ -1,14 +1,14 @@
-//! What can be wrong with a file of rules or with its time, in words that say what to do about it.
+//! What can be wrong with a file of rules, or why its version is refused, in words that say what to do about it.
 
 use std::fmt;
 
 use thiserror::Error;
 
-const MOST_SHOWN: usize = 100; // faults that are shown; one wrong name may stand in each of many rules
+const MOST_SHOWN: usize = 100; // errors that are shown; one wrong name may stand in each of many rules
 
 /// What is wrong with a rule or a set.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum What {
+pub enum Problem {
     /// The file is not JSON5; holds the parser's message.
     #[error("{0}; write the file as JSON5")]
     Form(String),
@@ -138,29 +138,29 @@
     },
 }
 
-/// One fault, with the path and the line of what it is about.
+/// One error, with the path and the line of what it is about.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct FileError {
     /// Where in the file, as in `rules[2].name`; empty for the file as a whole.
     pub path: String,
     /// The line on which that path begins, if it is known; the first line is 1.
     pub line: Option<usize>,
     /// What is wrong there.
-    pub what: What,
+    pub what: Problem,
 }
 
-/// All faults of a file at once.
+/// All errors of a file at once.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub struct Faults {
+pub struct FileErrors {
     /// The file's name, as the operator gave it.
     pub file: String,
-    /// The problems found, ordered by line.
-    pub faults: Vec<Fault>,
+    /// The errors found, ordered by line.
+    pub errors: Vec<FileError>,
 }
 
-impl fmt::Display for Faults {
+impl fmt::Display for FileErrors {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        for (at, Fault { path, line, what }) in self.faults.iter().take(MOST_SHOWN).enumerate() {
+        for (at, FileError { path, line, what }) in self.errors.iter().take(MOST_SHOWN).enumerate() {
             let lead = if at == 0 { "" } else { "\n" };
             let line = line.map_or(String::new(), |line| format!("{line}:"));
             // What names its rule needs no path beside it.
@@ -168,7 +168,7 @@
             let path = if path.is_empty() { String::new() } else { format!(" {path}:") };
             write!(out, "{lead}{}:{line}{path} {what}", self.file)?;
         }
-        match self.faults.len().saturating_sub(MOST_SHOWN) {
+        match self.errors.len().saturating_sub(MOST_SHOWN) {
             0 => Ok(()),
             more => write!(out, "\nand {more} more faults"),
         }
--- a/crates/access/src/event.rs
+++ b/crates/access/src/event.rs
@@ -1,6 +1,6 @@
 //! What happens to the rules at one front, for its log.
 
-use crate::fault::Refused;
+use crate::error::Refused;
 
 /// What an operator should know of; the caller logs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -9,8 +9,8 @@
 
 mod access;
 mod check;
+mod error;
 mod event;
-mod fault;
 mod head;
 mod hits;
 mod index;
@@ -23,8 +23,8 @@
 mod versions;
 
 pub use access::{Access, AccessConfig, Decision, Output, Request};
+pub use error::{FileError, FileErrors, Problem, Refused};
 pub use event::Event;
-pub use fault::{Fault, Faults, Refused, What};
 pub use hallmux_lease::Terms;
 pub use hallmux_ledger::{Act, Ask, Done, Entry, FrontId, Key, Kind, Micros, Moment, Outcome, Owner};
 pub use head::{Head, Kept};
--- a/crates/access/src/moves.rs
+++ b/crates/access/src/moves.rs
@@ -3,7 +3,7 @@
 
 use serde_json::{Map, Value};
 
-use crate::fault::What;
+use crate::error::Problem;
 use crate::read::{whole, Reader};
 use crate::rule::{Rule, RuleEffect};
 
@@ -39,25 +39,25 @@
 impl Reader<'_> {
     /// None where it is faulty.
     pub(crate) fn moves(&mut self, path: &str, r: &Map<String, Value>, name: &str) -> Option<Move> {
-        let shape = |why, remedy| What::Shape { rule: name.to_string(), why, remedy };
+        let shape = |why, remedy| Problem::Shape { rule: name.to_string(), why, remedy };
         let says = ["regions", "barred", "then", "reason", "from", "until"];
         if says.iter().any(|key| r.contains_key(*key)) {
             let why = "moves, and says otherwise where or when too";
             let remedy = "take out `regions`, `barred`, `then`, `reason`, `from` and `until`";
-            return self.fault(path, shape(why, remedy));
+            return self.problem(path, shape(why, remedy));
         }
         if !r.contains_key("tables") {
             let why = "moves, but names no tables";
-            return self.fault(path, shape(why, "name the group of tables that moves"));
+            return self.problem(path, shape(why, "name the group of tables that moves"));
         }
         let path = &format!("{path}.moves");
         let Some(Value::Object(moves)) = r.get("moves") else {
-            return self.fault(path, What::Kind { needs: "object of from, to, at and overlap_ms" });
+            return self.problem(path, Problem::Kind { needs: "object of from, to, at and overlap_ms" });
         };
         self.keys(path, moves, KEYS);
         if let Some(missing) = KEYS.split(", ").find(|key| !moves.contains_key(*key)) {
             let needs = "from which region to which, when, and for how many milliseconds it lies at both";
-            return self.fault(&format!("{path}.{missing}"), What::Missing { needs });
+            return self.problem(&format!("{path}.{missing}"), Problem::Missing { needs });
         }
         let (from, to) = (self.region(path, moves, "from"), self.region(path, moves, "to"));
         let at_ms = self.time(path, moves, "at");
@@ -66,12 +66,12 @@
             Some(ms) => ms,
             None => {
                 let needs = "whole number of milliseconds from 1 to 31622400000";
-                return self.fault(&format!("{path}.overlap_ms"), What::Kind { needs });
+                return self.problem(&format!("{path}.overlap_ms"), Problem::Kind { needs });
             }
         };
         let (from, to, at_ms) = (from?, to?, at_ms?);
         if at_ms == 0 {
-            return self.fault(&format!("{path}.at"), What::Kind { needs: "time after 1970" });
+            return self.problem(&format!("{path}.at"), Problem::Kind { needs: "time after 1970" });
         }
         Some(Move { from, to, at_ms, overlap_ms })
     }
@@ -82,7 +82,8 @@
             Some(places) => places,
             None => {
                 let known = self.known().region_names().join(", ");
-                return self.fault(&format!("{path}.{key}"), What::Name { name, list: "regions", known });
+                return self
+                    .problem(&format!("{path}.{key}"), Problem::Name { name, list: "regions", known });
             }
         };
         places.sort_unstable();
--- a/crates/access/src/read.rs
+++ b/crates/access/src/read.rs
@@ -1,9 +1,9 @@
-//! A file of rules read as a whole: JSON5, every fault at once with its path and line.
+//! A file of rules read as a whole: JSON5, every error at once with its path and line.
 
 use serde_json::{Map, Value};
 
 use crate::check;
-use crate::fault::{Fault, Faults, What};
+use crate::error::{FileError, FileErrors, Problem};
 use crate::known::Known;
 use crate::rule::{DefaultEffect, Rule, RuleEffect, RuleSet, TableRange};
 use crate::Micros;
@@ -45,29 +45,29 @@
 /// The line on which the value at a path like `rules[2].name` begins.
 pub type Lines<'a> = &'a dyn Fn(&str) -> Option<usize>;
 
-/// Reads a file's text and checks it against what is known. `file` names it in the faults.
-pub fn read(file: &str, text: &str, known: &Known, lines: Lines) -> Result<Wish, Faults> {
-    let mut reader = Reader { known, faults: Vec::new() };
+/// Reads a file's text and checks it against what is known. `file` names it in the errors.
+pub fn read(file: &str, text: &str, known: &Known, lines: Lines) -> Result<Wish, FileErrors> {
+    let mut reader = Reader { known, errors: Vec::new() };
     let wish = reader.file(text);
-    let mut faults = reader.faults;
-    if let (Some(Wish::Set(set) | Wish::WhatIf(set)), true) = (&wish, faults.is_empty()) {
-        faults = check::check(set, known, lines);
+    let mut errors = reader.errors;
+    if let (Some(Wish::Set(set) | Wish::WhatIf(set)), true) = (&wish, errors.is_empty()) {
+        errors = check::check(set, known, lines);
     }
     match wish {
-        Some(wish) if faults.is_empty() => Ok(wish),
+        Some(wish) if errors.is_empty() => Ok(wish),
         _ => {
-            let at = |(path, what): (String, What)| Fault { line: lines(&path), path, what };
-            let mut faults: Vec<Fault> = faults.into_iter().map(at).collect();
-            faults.sort_by_key(|f| f.line);
-            faults.dedup(); // a rule that moves is read as three
-            Err(Faults { file: file.to_string(), faults })
+            let at = |(path, what): (String, Problem)| FileError { line: lines(&path), path, what };
+            let mut errors: Vec<FileError> = errors.into_iter().map(at).collect();
+            errors.sort_by_key(|f| f.line);
+            errors.dedup(); // a rule that moves is read as three
+            Err(FileErrors { file: file.to_string(), errors })
         }
     }
 }
 
 pub(crate) struct Reader<'a> {
     known: &'a Known,
-    faults: Vec<(String, What)>,
+    errors: Vec<(String, Problem)>,
 }
 
 impl Reader<'_> {
@@ -75,56 +75,57 @@
         self.known
     }
 
-    pub(crate) fn fault<T>(&mut self, path: &str, what: What) -> Option<T> {
-        self.faults.push((path.to_string(), what));
+    pub(crate) fn problem<T>(&mut self, path: &str, what: Problem) -> Option<T> {
+        self.errors.push((path.to_string(), what));
         None
     }
 
     fn file(&mut self, text: &str) -> Option<Wish> {
         let value: Value = match json5::from_str(text) {
             Ok(value) => value,
-            Err(e) => return self.fault("", What::Form(e.to_string())),
+            Err(e) => return self.problem("", Problem::Form(e.to_string())),
         };
         let Value::Object(file) = value else {
-            return self.fault("", What::Kind { needs: "object of version and rules" });
+            return self.problem("", Problem::Kind { needs: "object of version and rules" });
         };
         self.keys("", &file, KEYS);
         let version = match file.get("version") {
-            None => {
-                self.fault("version", What::Missing { needs: "a whole number that grows with each change" })
-            }
+            None => self
+                .problem("version", Problem::Missing { needs: "a whole number that grows with each change" }),
             Some(v) => match whole(v).filter(|v| *v > 0) {
                 Some(version) => Some(version),
-                None => self.fault("version", What::Kind { needs: "whole number from 1" }),
+                None => self.problem("version", Problem::Kind { needs: "whole number from 1" }),
             },
         };
         if let Some(to) = file.get("roll_back_to") {
             for key in ["rules", "default", "what_if"].into_iter().filter(|key| file.contains_key(*key)) {
-                self.faults.push((key.to_string(), What::Key { known: "version, roll_back_to" }));
+                self.errors.push((key.to_string(), Problem::Key { known: "version, roll_back_to" }));
             }
-            let to = whole(to).or_else(|| self.fault("roll_back_to", What::Kind { needs: "version" }))?;
+            let to =
+                whole(to).or_else(|| self.problem("roll_back_to", Problem::Kind { needs: "version" }))?;
             return Some(Wish::RollBack { version: version?, to });
         }
         let default = match file.get("default").map(Value::as_str) {
             Some(Some("allow")) => Some(DefaultEffect::Allow),
             Some(Some("deny")) => Some(DefaultEffect::Deny),
-            None => self.fault("default", What::Missing { needs: "'allow' or 'deny'" }),
-            _ => self.fault("default", What::Kind { needs: "'allow' or 'deny'" }),
+            None => self.problem("default", Problem::Missing { needs: "'allow' or 'deny'" }),
+            _ => self.problem("default", Problem::Kind { needs: "'allow' or 'deny'" }),
         };
         let rules = match file.get("rules") {
             Some(Value::Array(rules)) => rules.as_slice(),
             None => {
-                return self.fault("rules", What::Missing { needs: "a list of rules, which may be empty" })
+                return self
+                    .problem("rules", Problem::Missing { needs: "a list of rules, which may be empty" })
             }
-            _ => return self.fault("rules", What::Kind { needs: "list of rules" }),
+            _ => return self.problem("rules", Problem::Kind { needs: "list of rules" }),
         };
         if rules.len() > MOST_RULES {
-            return self.fault("rules", What::TooMany { count: rules.len(), most: MOST_RULES });
+            return self.problem("rules", Problem::TooMany { count: rules.len(), most: MOST_RULES });
         }
         let asks = match file.get("what_if").map(Value::as_bool) {
             None => Some(false),
             Some(Some(asks)) => Some(asks),
-            Some(None) => self.fault("what_if", What::Kind { needs: "true or false" }),
+            Some(None) => self.problem("what_if", Problem::Kind { needs: "true or false" }),
         };
         let read: Vec<Option<Vec<Rule>>> = rules.iter().enumerate().map(|(at, r)| self.rule(at, r)).collect();
         let read: Option<Vec<Vec<Rule>>> = read.into_iter().collect();
@@ -135,14 +136,14 @@
     pub(crate) fn keys(&mut self, path: &str, object: &Map<String, Value>, known: &'static str) {
         for key in object.keys().filter(|key| !known.split(", ").any(|k| k == *key)) {
             let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
-            self.faults.push((path, What::Key { known }));
+            self.errors.push((path, Problem::Key { known }));
         }
     }
 
     pub(crate) fn text(&mut self, path: &str, object: &Map<String, Value>, key: &str) -> Option<String> {
         match object.get(key)? {
             Value::String(text) if !text.is_empty() => Some(text.clone()),
-            _ => self.fault(&format!("{path}.{key}"), What::Kind { needs: "text" }),
+            _ => self.problem(&format!("{path}.{key}"), Problem::Kind { needs: "text" }),
         }
     }
 
@@ -159,24 +160,24 @@
         if known.is_empty() || known.contains(&name) {
             return Some(name);
         }
-        self.fault(&format!("{path}.{key}"), What::Name { name, list, known: known.join(", ") })
+        self.problem(&format!("{path}.{key}"), Problem::Name { name, list, known: known.join(", ") })
     }
 
     fn rule(&mut self, place: usize, value: &Value) -> Option<Vec<Rule>> {
         let path = &format!("rules[{place}]");
-        let Value::Object(r) = value else { return self.fault(path, What::Kind { needs: "rule" }) };
-        let before = self.faults.len();
+        let Value::Object(r) = value else { return self.problem(path, Problem::Kind { needs: "rule" }) };
+        let before = self.errors.len();
         self.keys(path, r, RULE_KEYS);
         let needs = "a name that the log and the counts can give it";
         let name = match r.contains_key("name") {
             true => self.text(path, r, "name").unwrap_or_default(),
-            false => self.fault(path, What::Missing { needs }).unwrap_or_default(),
+            false => self.problem(path, Problem::Missing { needs }).unwrap_or_default(),
         };
         let known = self.known;
         let customer = self.name(path, r, "customer", "settings' customers", known.customers.clone());
         if let Some(customer) = customer.as_ref().filter(|customer| !known.covers(customer)) {
-            let what = What::NotCovered { rule: name.clone(), customer: customer.clone() };
-            self.faults.push((format!("{path}.customer"), what));
+            let what = Problem::NotCovered { rule: name.clone(), customer: customer.clone() };
+            self.errors.push((format!("{path}.customer"), what));
         }
         let workloads = known.workloads.iter().map(|w| w.name.clone()).collect();
         let workload = self.name(path, r, "workload", "settings' workloads", workloads);
@@ -186,16 +187,16 @@
             None => 0,
             Some(Some(priority)) => priority,
             Some(None) => {
-                let what = What::Kind { needs: "whole number" };
-                self.fault(&format!("{path}.priority"), what).unwrap_or_default()
+                let what = Problem::Kind { needs: "whole number" };
+                self.problem(&format!("{path}.priority"), what).unwrap_or_default()
             }
         };
         let from_ms = self.time(path, r, "from").unwrap_or(0);
         let until_ms = self.time(path, r, "until").unwrap_or(u64::MAX);
-        let shape = |why, remedy| What::Shape { rule: name.clone(), why, remedy };
+        let shape = |why, remedy| Problem::Shape { rule: name.clone(), why, remedy };
         if from_ms >= until_ms {
             let what = shape("ends before it begins", "give `until` a time after `from`");
-            self.faults.push((format!("{path}.until"), what));
+            self.errors.push((format!("{path}.until"), what));
         }
         let moved = r.contains_key("moves").then(|| self.moves(path, r, &name));
         let effect = match &moved {
@@ -206,12 +207,12 @@
         if limit.is_some()
             && effect.as_ref().is_some_and(|effect| !matches!(effect, RuleEffect::Allow { .. }))
         {
-            let what = What::Shape {
+            let what = Problem::Shape {
                 rule: name.clone(),
                 why: "has a limit though it does not allow",
                 remedy: "take out `at_most` and `in_ms`, or say then: 'allow'",
             };
-            self.faults.push((format!("{path}.at_most"), what));
+            self.errors.push((format!("{path}.at_most"), what));
         }
         let (effect, moves) = (effect?, false);
         #[rustfmt::skip]
@@ -222,7 +223,7 @@
             Some(moved) => moved?.phases(&rule),
             None => vec![rule],
         };
-        (self.faults.len() == before).then_some(rules)
+        (self.errors.len() == before).then_some(rules)
     }
 
     fn tables(&mut self, path: &str, value: &Value) -> Option<TableRange> {
@@ -238,7 +239,7 @@
             Some((first, last)) => Some(TableRange { first, last }),
             None => {
                 let needs = "number of a group of tables, nor [first, last]";
-                self.fault(&format!("{path}.tables"), What::Kind { needs })
+                self.problem(&format!("{path}.tables"), Problem::Kind { needs })
             }
         }
     }
@@ -246,23 +247,23 @@
     fn limit(&mut self, path: &str, r: &Map<String, Value>, name: &str) -> Option<(u32, Micros)> {
         let (most, window) = (r.get("at_most"), r.get("in_ms"));
         if most.is_some() != window.is_some() {
-            let what = What::Shape {
+            let what = Problem::Shape {
                 rule: name.to_string(),
                 why: "has one of `at_most` and `in_ms`",
                 remedy: "give both: so many statements, in a window of so many milliseconds",
             };
-            return self.fault(path, what);
+            return self.problem(path, what);
         }
         let needs = "whole number from 1 to 100000";
         let most = match whole(most?).filter(|most| (1..=MOST_AT_ONCE).contains(most)) {
             Some(most) => most,
-            None => return self.fault(&format!("{path}.at_most"), What::Kind { needs }),
+            None => return self.problem(&format!("{path}.at_most"), Problem::Kind { needs }),
         };
         match whole(window?).filter(|ms| (WINDOW_MS.0..=WINDOW_MS.1).contains(ms)) {
             Some(ms) => Some((most as u32, ms as Micros * 1000)),
             None => {
                 let needs = "whole number of milliseconds from 1000 to 86400000";
-                self.fault(&format!("{path}.in_ms"), What::Kind { needs })
+                self.problem(&format!("{path}.in_ms"), Problem::Kind { needs })
             }
         }
     }
@@ -271,14 +272,14 @@
         let text = self.text(path, object, key)?;
         let time = text.parse::<jiff::Timestamp>().ok().and_then(|t| u64::try_from(t.as_millisecond()).ok());
         let needs = "time by RFC 3339, such as '2026-12-01T06:00:00Z'";
-        time.or_else(|| self.fault(&format!("{path}.{key}"), What::Kind { needs }))
+        time.or_else(|| self.problem(&format!("{path}.{key}"), Problem::Kind { needs }))
     }
 
     fn effect(&mut self, path: &str, r: &Map<String, Value>, name: &str) -> Option<RuleEffect> {
         let reason = self.text(path, r, "reason");
         let named = self.regions(path, r, "regions");
         let barred = self.regions(path, r, "barred");
-        let shape = |why, remedy| What::Shape { rule: name.to_string(), why, remedy };
+        let shape = |why, remedy| Problem::Shape { rule: name.to_string(), why, remedy };
         let says_where = r.contains_key("regions") || r.contains_key("barred");
         let word = match r.get("then") {
             None => "allow",
@@ -287,20 +288,20 @@
         if reason.is_some() && word != "deny" {
             let what =
                 shape("gives a reason though it does not deny", "take out `reason`, or say then: 'deny'");
-            self.faults.push((format!("{path}.reason"), what));
+            self.errors.push((format!("{path}.reason"), what));
         }
         match word {
             "deny" | "count" if says_where => {
                 let why = "names regions though it does not allow";
-                self.fault(path, shape(why, "take out `regions` and `barred`, or say then: 'allow'"))
+                self.problem(path, shape(why, "take out `regions` and `barred`, or say then: 'allow'"))
             }
             "deny" => match reason {
                 Some(reason) => Some(RuleEffect::Deny { reason }),
-                None => self.fault(path, shape("denies without a reason", "give it `reason`, for the log")),
+                None => self.problem(path, shape("denies without a reason", "give it `reason`, for the log")),
             },
             "count" => Some(RuleEffect::Count),
             "allow" if r.contains_key("regions") && r.contains_key("barred") => {
-                self.fault(path, shape("has both `regions` and `barred`", "give one of them"))
+                self.problem(path, shape("has both `regions` and `barred`", "give one of them"))
             }
             "allow" if r.contains_key("regions") => Some(RuleEffect::Allow { places: Some(named?) }),
             "allow" if r.contains_key("barred") => {
@@ -309,13 +310,13 @@
                 Some(RuleEffect::Allow { places: Some(left) })
             }
             "allow" => Some(RuleEffect::Allow { places: None }),
-            _ => self.fault(&format!("{path}.then"), What::Kind { needs: "'allow', 'deny' or 'count'" }),
+            _ => self.problem(&format!("{path}.then"), Problem::Kind { needs: "'allow', 'deny' or 'count'" }),
         }
     }
 
     pub(crate) fn regions(&mut self, path: &str, r: &Map<String, Value>, key: &str) -> Option<Vec<u16>> {
         let Value::Array(names) = r.get(key)? else {
-            return self.fault(&format!("{path}.{key}"), What::Kind { needs: "list of regions" });
+            return self.problem(&format!("{path}.{key}"), Problem::Kind { needs: "list of regions" });
         };
         let mut places = Vec::new();
         for (at, name) in names.iter().enumerate() {
@@ -325,8 +326,8 @@
                 Some(named) => places.extend(named),
                 None => {
                     let known = self.known.region_names().join(", ");
-                    let what = What::Name { name: name.to_string(), list: "regions", known };
-                    self.faults.push((path, what));
+                    let what = Problem::Name { name: name.to_string(), list: "regions", known };
+                    self.errors.push((path, what));
                 }
             }
         }
--- a/crates/access/src/rule.rs
+++ b/crates/access/src/rule.rs
@@ -82,7 +82,7 @@
     pub until_ms: u64,
     /// A time of a move: a statement goes by the time at which it was judged first, at every try.
     pub moves: bool,
-    /// Its place in the file, for faults.
+    /// Its index in the file, for errors.
     pub place: usize,
 }
 
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -3,7 +3,7 @@
 use hallmux_ledger::{Act, Entry, Key};
 
 use super::{Event, Offer, Pending, Versions};
-use crate::fault::Refused;
+use crate::error::Refused;
 use crate::head::{head_key, part_keys, parts, Head, Kept, LINGERS_MS, MOST_TEXT};
 use crate::index::Index;
 use crate::read::Wish;
--- a/crates/access/tests/rules.rs
+++ b/crates/access/tests/rules.rs
@@ -1,7 +1,8 @@
 //! Files of rules as a person writes them: what is refused, in which words; and the index beside the plain walk.
 
 use hallmux_access::{
-    read, Attributes, Bound, DefaultEffect, Faults, Index, Known, Rule, RuleEffect, RuleSet, TableRange, Wish,
+    read, Attributes, Bound, DefaultEffect, FileErrors, Index, Known, Rule, RuleEffect, RuleSet, TableRange,
+    Wish,
 };
 use proptest::prelude::*;
 
@@ -174,7 +175,7 @@
 #[test]
 fn a_set_leaves_every_workload_an_engine_for_somebody() {
     let all = Known { covered: None, ..known() };
-    let faults = |text: &str| read("r", text, &all, &lines(text)).map_err(|e: Faults| e.to_string());
+    let faults = |text: &str| read("r", text, &all, &lines(text)).map_err(|e: FileErrors| e.to_string());
     let denied = file(&["{ name: 'no', workload: 'report', then: 'deny', reason: 'x' }"]);
     assert!(faults(&denied)
         .unwrap_err()
--- a/crates/front/src/fleet/errors.rs
+++ b/crates/front/src/fleet/errors.rs
@@ -52,7 +52,7 @@
     #[error("rules.file: {file}: {why}; name a file that can be read")]
     File { file: String, why: std::io::Error },
     #[error(transparent)]
-    Wrong(#[from] hallmux_access::Faults),
+    Wrong(#[from] hallmux_access::FileErrors),
     #[error("{0}: what_if: asks a question, and gives no rules to begin with; take it out")]
     Question(String),
     #[error("rules: this front has others, but no `gossip.ledger` that keeps rules; name its members")]
