--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -10,7 +10,7 @@
 use crate::hits::{Fleet, Hit, Hits};
 use crate::index::{Index, Verdict};
 use crate::known::Known;
-use crate::read::Wish;
+use crate::read::RulesCommand;
 use crate::record::{Record, WhatIf};
 use crate::rule::Attributes;
 use crate::rule::RuleSet;
@@ -195,8 +195,8 @@
     }
 
     /// A file was read: it is to be the fleet's.
-    pub fn offer(&mut self, file: &str, text: &str, wish: Wish) {
-        self.versions.offer(file, text, wish);
+    pub fn offer(&mut self, file: &str, text: &str, command: RulesCommand) {
+        self.versions.offer(file, text, command);
     }
 
     /// What a set would decide otherwise of what was asked here, before it is put in force.
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -31,7 +31,7 @@
 pub use hits::{merge, Counts, Fleet, Hit};
 pub use index::{Index, Verdict};
 pub use known::{Bound, Known};
-pub use read::{read, Lines, Wish};
+pub use read::{read, Lines, RulesCommand};
 pub use record::{Change, Decided, WhatIf};
 pub use rule::{Attributes, DefaultEffect, Rule, RuleEffect, RuleSet, TableRange};
 pub use shares::{Limit, Shares};
--- a/crates/access/src/read.rs
+++ b/crates/access/src/read.rs
@@ -18,9 +18,9 @@
 
 /// What a file asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wish {
+pub enum RulesCommand {
     /// This set is to hold for the fleet.
-    Set(RuleSet),
+    Replace(RuleSet),
     /// What this set would decide otherwise is to be told; nothing changes.
     WhatIf(RuleSet),
     /// The set of an earlier version is to hold again, under a new one.
@@ -32,12 +32,12 @@
     },
 }
 
-impl Wish {
+impl RulesCommand {
     /// The version that the file states.
     pub fn version(&self) -> u64 {
         match self {
-            Wish::Set(set) | Wish::WhatIf(set) => set.version,
-            Wish::RollBack { version, .. } => *version,
+            RulesCommand::Replace(set) | RulesCommand::WhatIf(set) => set.version,
+            RulesCommand::RollBack { version, .. } => *version,
         }
     }
 }
@@ -46,15 +46,17 @@
 pub type Lines<'a> = &'a dyn Fn(&str) -> Option<usize>;
 
 /// Reads a file's text and checks it against what is known. `file` names it in the errors.
-pub fn read(file: &str, text: &str, known: &Known, lines: Lines) -> Result<Wish, FileErrors> {
+pub fn read(file: &str, text: &str, known: &Known, lines: Lines) -> Result<RulesCommand, FileErrors> {
     let mut reader = Reader { known, errors: Vec::new() };
-    let wish = reader.file(text);
+    let command = reader.file(text);
     let mut errors = reader.errors;
-    if let (Some(Wish::Set(set) | Wish::WhatIf(set)), true) = (&wish, errors.is_empty()) {
+    if let (Some(RulesCommand::Replace(set) | RulesCommand::WhatIf(set)), true) =
+        (&command, errors.is_empty())
+    {
         errors = check::check(set, known, lines);
     }
-    match wish {
-        Some(wish) if errors.is_empty() => Ok(wish),
+    match command {
+        Some(command) if errors.is_empty() => Ok(command),
         _ => {
             let at = |(path, what): (String, Problem)| FileError { line: lines(&path), path, what };
             let mut errors: Vec<FileError> = errors.into_iter().map(at).collect();
@@ -80,7 +82,7 @@
         None
     }
 
-    fn file(&mut self, text: &str) -> Option<Wish> {
+    fn file(&mut self, text: &str) -> Option<RulesCommand> {
         let value: Value = match json5::from_str(text) {
             Ok(value) => value,
             Err(e) => return self.problem("", Problem::Form(e.to_string())),
@@ -103,7 +105,7 @@
             }
             let to =
                 whole(to).or_else(|| self.problem("roll_back_to", Problem::Kind { needs: "version" }))?;
-            return Some(Wish::RollBack { version: version?, to });
+            return Some(RulesCommand::RollBack { version: version?, to });
         }
         let default = match file.get("default").map(Value::as_str) {
             Some(Some("allow")) => Some(DefaultEffect::Allow),
@@ -130,7 +132,7 @@
         let read: Vec<Option<Vec<Rule>>> = rules.iter().enumerate().map(|(at, r)| self.rule(at, r)).collect();
         let read: Option<Vec<Vec<Rule>>> = read.into_iter().collect();
         let set = RuleSet::new(version?, default?, read?.concat());
-        Some(if asks? { Wish::WhatIf(set) } else { Wish::Set(set) })
+        Some(if asks? { RulesCommand::WhatIf(set) } else { RulesCommand::Replace(set) })
     }
 
     pub(crate) fn keys(&mut self, path: &str, object: &Map<String, Value>, known: &'static str) {
--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -11,7 +11,7 @@
 use crate::head::{head_key, joined, part_keys, Head, Kept};
 use crate::index::Index;
 use crate::known::Known;
-use crate::read::{read, Wish};
+use crate::read::{read, RulesCommand};
 use crate::rule::RuleSet;
 use crate::{Micros, Moment};
 
@@ -22,7 +22,7 @@
 /// A file that this front wants to be the fleet's.
 struct Offer {
     file: String,
-    wish: Wish,
+    command: RulesCommand,
     text: String,
     /// Parts that stand; the head follows once all do.
     standing: usize,
@@ -312,7 +312,7 @@
         };
         let in_force = head.in_force;
         match read("the fleet's rules", text, &self.known, &|_| None) {
-            Ok(Wish::Set(set)) => {
+            Ok(RulesCommand::Replace(set)) => {
                 self.held = Index::new(RuleSet { version: of.version, ..set });
                 self.held_from = Some(of);
                 self.unread = None;
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -6,14 +6,14 @@
 use crate::error::Refused;
 use crate::head::{head_key, part_keys, parts, Head, Kept, LINGERS_MS, MOST_TEXT};
 use crate::index::Index;
-use crate::read::Wish;
+use crate::read::RulesCommand;
 use crate::{Micros, Moment};
 
 impl Versions {
     /// A file was read: it is to be the fleet's.
-    pub fn offer(&mut self, file: &str, text: &str, wish: Wish) {
+    pub fn offer(&mut self, file: &str, text: &str, command: RulesCommand) {
         self.offer = None;
-        if matches!(wish, Wish::WhatIf(_)) {
+        if matches!(command, RulesCommand::WhatIf(_)) {
             return; // a question changes nothing
         }
         if text.len() > MOST_TEXT {
@@ -25,14 +25,14 @@
             }));
         }
         let (file, text) = (file.to_string(), text.to_string());
-        self.offer = Some(Offer { file, wish, text, standing: 0, swapping: false, wanted: None });
+        self.offer = Some(Offer { file, command, text, standing: 0, swapping: false, wanted: None });
         (self.look, self.try_again) = (Micros::MIN, Micros::MIN);
     }
 
     /// The kept version that an offer wants, or why not.
     pub(super) fn wanted(&self, offer: &Offer) -> Result<Kept, Refused> {
-        let Wish::RollBack { version, to } = offer.wish else {
-            return Ok(Kept::of(offer.wish.version(), &offer.text));
+        let RulesCommand::RollBack { version, to } = offer.command else {
+            return Ok(Kept::of(offer.command.version(), &offer.text));
         };
         let head = self.head.as_ref().map(|(head, _)| head);
         match head.and_then(|head| head.find(to)) {
@@ -49,7 +49,7 @@
     pub(super) fn fate(&mut self) {
         let Some(offer) = self.offer.as_ref() else { return };
         let Some(has) = self.head.as_ref().map(|(head, _)| head.now) else { return };
-        let (file, stated, next) = (offer.file.clone(), offer.wish.version(), has.version + 1);
+        let (file, stated, next) = (offer.file.clone(), offer.command.version(), has.version + 1);
         if stated > has.version {
             return;
         }
@@ -79,7 +79,7 @@
                 return self.events.push(Event::Refused(why));
             }
         };
-        let is_set = matches!(offer.wish, Wish::Set(_));
+        let is_set = matches!(offer.command, RulesCommand::Replace(_));
         let keys: Vec<Key> = if is_set { part_keys(wanted).collect() } else { Vec::new() };
         if offer.standing < keys.len() {
             let parts = parts(&offer.text);
@@ -102,7 +102,7 @@
 
     /// Nothing is barred by it that the set in force lets through: it holds with its swap.
     pub(super) fn at_once(&self, offer: &Offer, at: Moment) -> bool {
-        let Wish::Set(set) = &offer.wish else { return false };
+        let RulesCommand::Replace(set) = &offer.command else { return false };
         let from = self.head.as_ref().map(|(head, _)| head.now);
         let in_force = self.head.as_ref().is_none_or(|(head, _)| head.in_force);
         in_force
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -4,7 +4,7 @@
 
 use hallmux_access::{
     read, Access, AccessConfig, Act, Bound, Change, Decided, Decision, Done, Entry, Event, Fleet, Key, Known,
-    Moment, Outcome, Owner, Request, Terms, Wish,
+    Moment, Outcome, Owner, Request, RulesCommand, Terms,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -36,7 +36,7 @@
     }
 }
 
-fn wish(text: &str) -> Wish {
+fn command(text: &str) -> RulesCommand {
     read("rules.json5", text, &known(), &|_| None).unwrap_or_else(|e| panic!("{e}: {text}"))
 }
 
@@ -107,9 +107,9 @@
 
     /// Puts a set in force.
     fn holds(&mut self, text: &str) {
-        self.access.offer("rules.json5", text, wish(text));
+        self.access.offer("rules.json5", text, command(text));
         self.passes(6_000);
-        assert_eq!(self.access.version(self.now), (wish(text).version(), true));
+        assert_eq!(self.access.version(self.now), (command(text).version(), true));
     }
 
     /// What is decided of a statement, and its number.
@@ -213,11 +213,11 @@
         let mut one = One::new();
         one.holds(&before);
         let was: Vec<Decided> = traffic.iter().map(|asked| one.ask(asked).0).collect();
-        let Wish::WhatIf(set) = wish(&after) else { panic!("a question") };
+        let RulesCommand::WhatIf(set) = command(&after) else { panic!("a question") };
         let told = one.access.what_if(one.at(), set);
         assert_eq!((told.statements, told.unknown), (200, 0));
         // The question changes nothing, also where it is offered.
-        one.access.offer("rules.json5", &after, wish(&after));
+        one.access.offer("rules.json5", &after, command(&after));
         one.passes(1_000);
         assert_eq!(one.access.version(one.now), (1, true));
         after = after.replace("what_if: true", "what_if: false");
@@ -299,7 +299,7 @@
         let text = format!("{{ version: 1, default: 'allow', rules: [ {} ] }}", good.replace(from, to));
         let said = match read("f", &text, &known(), &|_| None) {
             Err(faults) => faults.to_string(),
-            Ok(wish) => format!("{wish:?}"),
+            Ok(command) => format!("{command:?}"),
         };
         assert!(said.starts_with(&format!("f: {says}")), "{to}: {said}");
     }
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -4,7 +4,7 @@
 
 use hallmux_access::{
     read, Access, AccessConfig, Act, Ask, Bound, Decision, Done, Entry, Event, Fleet, Head, Hit, Kept, Key,
-    Known, Moment, Outcome, Owner, Request, RuleSet, Terms, Wish,
+    Known, Moment, Outcome, Owner, Request, RuleSet, RulesCommand, Terms,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -82,7 +82,7 @@
 
 fn set(version: u64, text: &str) -> RuleSet {
     match read("rules.json5", text, &known(), &|_| None) {
-        Ok(Wish::Set(set)) => RuleSet { version, ..set },
+        Ok(RulesCommand::Replace(set)) => RuleSet { version, ..set },
         other => panic!("{other:?}: {text}"),
     }
 }
@@ -162,9 +162,9 @@
     }
 
     pub fn offer(&mut self, front: usize, text: &str) {
-        let wish = read("rules.json5", text, &known(), &|_| None).expect("a good file");
+        let command = read("rules.json5", text, &known(), &|_| None).expect("a good file");
         self.texts.insert(Kept::of(1, text).hash, text.to_string());
-        self.fronts[front].access.offer("rules.json5", text, wish);
+        self.fronts[front].access.offer("rules.json5", text, command);
     }
 
     /// Asks and answers on their way.
--- a/crates/access/tests/rules.rs
+++ b/crates/access/tests/rules.rs
@@ -1,8 +1,8 @@
 //! Files of rules as a person writes them: what is refused, in which words; and the index beside the plain walk.
 
 use hallmux_access::{
-    read, Attributes, Bound, DefaultEffect, FileErrors, Index, Known, Rule, RuleEffect, RuleSet, TableRange,
-    Wish,
+    read, Attributes, Bound, DefaultEffect, FileErrors, Index, Known, Rule, RuleEffect, RuleSet,
+    RulesCommand, TableRange,
 };
 use proptest::prelude::*;
 
@@ -34,7 +34,7 @@
 fn faults(text: &str) -> String {
     match read("rules.json5", text, &known(), &lines(text)) {
         Err(faults) => faults.to_string(),
-        Ok(wish) => format!("{wish:?}"),
+        Ok(command) => format!("{command:?}"),
     }
 }
 
@@ -44,9 +44,9 @@
 
 fn set(rules: &[&str]) -> RuleSet {
     let text = file(rules);
-    let wish = read("rules.json5", &text, &known(), &lines(&text));
-    match wish {
-        Ok(Wish::Set(set)) => set,
+    let command = read("rules.json5", &text, &known(), &lines(&text));
+    match command {
+        Ok(RulesCommand::Replace(set)) => set,
         other => panic!("{other:?}"),
     }
 }
@@ -346,5 +346,5 @@
         ..Known::default()
     };
     let read = read("rules.example.json5", text, &known, &|_| None);
-    assert!(matches!(&read, Ok(Wish::Set(set)) if set.rules.len() > 4), "{read:?}");
+    assert!(matches!(&read, Ok(RulesCommand::Replace(set)) if set.rules.len() > 4), "{read:?}");
 }
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use hallmux_access::{self as access, Access, AccessConfig, Decision, Fleet, Owner, Request, Wish};
+use hallmux_access::{self as access, Access, AccessConfig, Decision, Fleet, Owner, Request, RulesCommand};
 use hallmux_agreement::Settings;
 use hallmux_codec::tables;
 use hallmux_dispatcher::{Dispatcher, Ending, Micros, Place, Terms, Ticket};
@@ -91,8 +91,8 @@
         alone: bool,
     ) -> Result<Rules, RulesError> {
         let known = known(rules, settings);
-        let (text, wish) = read(&rules.file, &known)?;
-        if matches!(wish, Wish::WhatIf(_)) {
+        let (text, command) = read(&rules.file, &known)?;
+        if matches!(command, RulesCommand::WhatIf(_)) {
             return Err(RulesError::Question(rules.file.clone()));
         }
         let setup = AccessConfig {
@@ -113,7 +113,7 @@
         let at = Moment { steady: 0, wall_ms: own.incarnation };
         let alone = alone.then(|| Ledger::new(at, setup_alone, None)).transpose()?;
         let mut access = Access::new(setup);
-        access.offer(&rules.file, &text, wish);
+        access.offer(&rules.file, &text, command);
         log::info!("rules of customers hold; this front stands in {}", rules.region);
         Ok(Rules {
             access,
@@ -134,11 +134,11 @@
     /// SIGHUP: the file is read again. One that can't be used changes nothing.
     pub fn reload(&mut self, now: Micros, rules: &hallmux_agreement::Rules) {
         match read(&rules.file, self.access.known()) {
-            Ok((_, Wish::WhatIf(set))) => {
+            Ok((_, RulesCommand::WhatIf(set))) => {
                 let found = self.access.what_if(self.moment(now), set);
                 log_lines::what_if(&found);
             }
-            Ok((text, wish)) => self.access.offer(&rules.file, &text, wish),
+            Ok((text, command)) => self.access.offer(&rules.file, &text, command),
             Err(why) => log::error!("the rules are left as they were: {why}"),
         }
         self.logged_hits = None;
--- a/crates/front/src/fleet/rules/file.rs
+++ b/crates/front/src/fleet/rules/file.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use hallmux_access::{self as access, Known, Owner, Wish};
+use hallmux_access::{self as access, Known, Owner, RulesCommand};
 use hallmux_agreement::{line_of, NodeConfig, Settings};
 use hallmux_dispatcher::Micros;
 
@@ -26,11 +26,11 @@
 }
 
 /// Reads the file of rules; all its faults at once.
-pub(super) fn read(file: &str, known: &Known) -> Result<(String, Wish), RulesError> {
+pub(super) fn read(file: &str, known: &Known) -> Result<(String, RulesCommand), RulesError> {
     let text = std::fs::read_to_string(file);
     let text = text.map_err(|why| RulesError::File { file: file.to_string(), why })?;
-    let wish = access::read(file, &text, known, &|path| line_of(&text, path))?;
-    Ok((text, wish))
+    let command = access::read(file, &text, known, &|path| line_of(&text, path))?;
+    Ok((text, command))
 }
 
 /// Switched on by the operator's file.
