--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -9,7 +9,7 @@
 use crate::event::Event;
 use crate::hits::{Fleet, Hit, Hits};
 use crate::index::{Index, Verdict};
-use crate::known::Known;
+use crate::known::KnownNames;
 use crate::read::RulesCommand;
 use crate::record::{Record, WhatIf};
 use crate::rule::Attributes;
@@ -27,7 +27,7 @@
     /// Where this front stands, as rules may name it.
     pub region: String,
     /// The names that rules may use.
-    pub known: Known,
+    pub known: KnownNames,
     /// How long a lease on the rules and on shares of limits lasts, and by how much clocks may drift.
     pub terms: Terms,
     /// How long what was asked is remembered, by kind; 0: not at all.
@@ -163,7 +163,7 @@
     }
 
     /// The names that rules may use, as configured.
-    pub fn known(&self) -> &Known {
+    pub fn known(&self) -> &KnownNames {
         self.versions.known()
     }
 
--- a/crates/access/src/check.rs
+++ b/crates/access/src/check.rs
@@ -6,15 +6,15 @@
 
 use crate::error::Problem;
 use crate::index::Index;
-use crate::known::{Bound, Known};
-use crate::read::Lines;
+use crate::known::{KnownNames, WorkloadLocations};
+use crate::read::LineLookup;
 use crate::rule::{DefaultEffect, Rule, RuleEffect, RuleSet, TableRange};
 
 /// Customer, workload and front, and how high: rules of one group could each decide the same statement.
 type Level<'a> = ([Option<&'a str>; 3], (Reverse<i32>, Reverse<u32>, Reverse<u8>, u32));
 
 /// All that is wrong with a set, each with the path of what it is about.
-pub fn check(set: &RuleSet, known: &Known, lines: Lines) -> Vec<(String, Problem)> {
+pub fn check(set: &RuleSet, known: &KnownNames, lines: LineLookup) -> Vec<(String, Problem)> {
     let mut errors = names(set, lines);
     let index = Index::new(set.clone());
     for (at, rule) in set.rules.iter().enumerate() {
@@ -37,11 +37,11 @@
     format!("rules[{}]", rule.place)
 }
 
-fn line(lines: Lines, place: usize) -> usize {
+fn line(lines: LineLookup, place: usize) -> usize {
     lines(&format!("rules[{place}]")).unwrap_or(0)
 }
 
-fn names(set: &RuleSet, lines: Lines) -> Vec<(String, Problem)> {
+fn names(set: &RuleSet, lines: LineLookup) -> Vec<(String, Problem)> {
     let mut rules: Vec<&Rule> = set.rules.iter().collect();
     rules.sort_by_key(|r| r.place);
     let mut seen = HashMap::new();
@@ -60,10 +60,10 @@
 }
 
 /// A rule that allows a workload nowhere that it may run.
-fn barred(rule: &Rule, known: &Known) -> Option<(String, Problem)> {
+fn barred(rule: &Rule, known: &KnownNames) -> Option<(String, Problem)> {
     let RuleEffect::Allow { places: Some(places) } = &rule.effect else { return None };
-    let about = |w: &&Bound| rule.workload.as_ref().is_none_or(|name| *name == w.name);
-    let none = |w: &&Bound| {
+    let about = |w: &&WorkloadLocations| rule.workload.as_ref().is_none_or(|name| *name == w.name);
+    let none = |w: &&WorkloadLocations| {
         let bound = known.bound(w);
         !bound.is_empty() && !bound.iter().any(|place| places.contains(place))
     };
@@ -75,7 +75,7 @@
 }
 
 /// Deny goes before allow at the same height; two that allow different places have no order.
-fn contradictions(set: &RuleSet, lines: Lines) -> Vec<(String, Problem)> {
+fn contradictions(set: &RuleSet, lines: LineLookup) -> Vec<(String, Problem)> {
     let mut levels: BTreeMap<Level, Vec<&Rule>> = BTreeMap::new();
     for rule in set.rules.iter().filter(|r| matches!(r.effect, RuleEffect::Allow { .. })) {
         let who = [&rule.customer, &rule.workload, &rule.front].map(|name| name.as_deref());
@@ -102,7 +102,11 @@
 }
 
 /// A workload that no customer may run any more.
-fn left_with_none(set: &RuleSet, known: &Known, workload: &Bound) -> Option<(String, Problem)> {
+fn left_with_none(
+    set: &RuleSet,
+    known: &KnownNames,
+    workload: &WorkloadLocations,
+) -> Option<(String, Problem)> {
     if known.covered.is_some() {
         return None; // the customers that no rule can be about may run it
     }
--- a/crates/access/src/index.rs
+++ b/crates/access/src/index.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use crate::known::Known;
+use crate::known::KnownNames;
 use crate::rule::{Attributes, DefaultEffect, Rule, RuleEffect, RuleSet};
 use crate::shares::Limit;
 
@@ -185,7 +185,7 @@
 
     /// Whether, for some statement, this set lets less through than an earlier one at any time from now on. Exact where
     /// the kinds of statements that the two tell apart are few; beyond that it says yes.
-    pub fn tightens(&self, before: &Index, known: &Known, now_ms: u64) -> bool {
+    pub fn tightens(&self, before: &Index, known: &KnownNames, now_ms: u64) -> bool {
         const MOST_LOOKED_AT: usize = 200_000; // kinds of statements; some 100 ms
         let sets = [&self.set, &before.set];
         let names = |field: fn(&Rule) -> Option<&String>| {
--- a/crates/access/src/known.rs
+++ b/crates/access/src/known.rs
@@ -4,7 +4,7 @@
 
 /// A workload and the locations that it may run at; None: all.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Bound {
+pub struct WorkloadLocations {
     /// The workload's name.
     pub name: String,
     /// The locations that its statements may run at; `None`: all.
@@ -13,11 +13,11 @@
 
 /// The names that rules may use; a rule with another name is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
-pub struct Known {
+pub struct KnownNames {
     /// Empty where the settings name none: then any may be named.
     pub customers: Vec<String>,
     /// The workloads of the settings and where each may run.
-    pub workloads: Vec<Bound>,
+    pub workloads: Vec<WorkloadLocations>,
     /// Locations of engines.
     pub locations: Vec<String>,
     /// Names for some locations together; a location is a region of its own name where nothing else is said.
@@ -27,7 +27,7 @@
     pub covered: Option<Vec<String>>,
 }
 
-impl Known {
+impl KnownNames {
     /// Whether rules may be about a customer.
     pub fn covers(&self, customer: &str) -> bool {
         self.covered.as_ref().is_none_or(|all| all.iter().any(|name| name == customer))
@@ -54,7 +54,7 @@
     }
 
     /// The places that a workload may run at.
-    pub fn bound(&self, workload: &Bound) -> Vec<u16> {
+    pub fn bound(&self, workload: &WorkloadLocations) -> Vec<u16> {
         let within = |name: &String| workload.locations.as_ref().is_none_or(|all| all.contains(name));
         (0..self.locations.len()).filter(|at| within(&self.locations[*at])).map(|at| at as u16).collect()
     }
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -30,8 +30,8 @@
 pub use head::{Head, Kept};
 pub use hits::{merge, Counts, Fleet, Hit};
 pub use index::{Index, Verdict};
-pub use known::{Bound, Known};
-pub use read::{read, Lines, RulesCommand};
+pub use known::{KnownNames, WorkloadLocations};
+pub use read::{read, LineLookup, RulesCommand};
 pub use record::{Change, Decided, WhatIf};
 pub use rule::{Attributes, DefaultEffect, Rule, RuleEffect, RuleSet, TableRange};
 pub use shares::{Limit, Shares};
--- a/crates/access/src/read.rs
+++ b/crates/access/src/read.rs
@@ -4,7 +4,7 @@
 
 use crate::check;
 use crate::error::{FileError, FileErrors, Problem};
-use crate::known::Known;
+use crate::known::KnownNames;
 use crate::rule::{DefaultEffect, Rule, RuleEffect, RuleSet, TableRange};
 use crate::Micros;
 
@@ -43,10 +43,15 @@
 }
 
 /// The line on which the value at a path like `rules[2].name` begins.
-pub type Lines<'a> = &'a dyn Fn(&str) -> Option<usize>;
+pub type LineLookup<'a> = &'a dyn Fn(&str) -> Option<usize>;
 
 /// Reads a file's text and checks it against what is known. `file` names it in the errors.
-pub fn read(file: &str, text: &str, known: &Known, lines: Lines) -> Result<RulesCommand, FileErrors> {
+pub fn read(
+    file: &str,
+    text: &str,
+    known: &KnownNames,
+    lines: LineLookup,
+) -> Result<RulesCommand, FileErrors> {
     let mut reader = Reader { known, errors: Vec::new() };
     let command = reader.file(text);
     let mut errors = reader.errors;
@@ -68,12 +73,12 @@
 }
 
 pub(crate) struct Reader<'a> {
-    known: &'a Known,
+    known: &'a KnownNames,
     errors: Vec<(String, Problem)>,
 }
 
 impl Reader<'_> {
-    pub(crate) fn known(&self) -> &Known {
+    pub(crate) fn known(&self) -> &KnownNames {
         self.known
     }
 
--- a/crates/access/src/record.rs
+++ b/crates/access/src/record.rs
@@ -115,7 +115,7 @@
         region: &str,
         held: &Index,
         other: &Index,
-        known: &crate::Known,
+        known: &crate::KnownNames,
     ) -> WhatIf {
         let mut found = WhatIf { held: held.set.version, version: other.set.version, ..WhatIf::default() };
         if self.part <= 0 {
@@ -139,7 +139,13 @@
     }
 }
 
-fn decided(index: &Index, known: &crate::Known, region: &str, request: &Request, wall_ms: u64) -> Decided {
+fn decided(
+    index: &Index,
+    known: &crate::KnownNames,
+    region: &str,
+    request: &Request,
+    wall_ms: u64,
+) -> Decided {
     let verdict = judge(index, region, request, wall_ms, None);
     if verdict.denied.is_some() {
         return Decided::Denied;
--- a/crates/access/src/rule.rs
+++ b/crates/access/src/rule.rs
@@ -32,9 +32,9 @@
         /// What the client and the log are told.
         reason: String,
     },
-    /// Places (indices of `Known::locations`) where it may be read, ascending; None: anywhere.
+    /// Places (indices of `KnownNames::locations`) where it may be read, ascending; None: anywhere.
     Allow {
-        /// Indices of `Known::locations` where it may be read, ascending; `None`: anywhere.
+        /// Indices of `KnownNames::locations` where it may be read, ascending; `None`: anywhere.
         places: Option<Vec<u16>>,
     },
     /// Counted beside whatever decides.
--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -10,7 +10,7 @@
 use crate::event::Event;
 use crate::head::{head_key, joined, part_keys, Head, Kept};
 use crate::index::Index;
-use crate::known::Known;
+use crate::known::KnownNames;
 use crate::read::{read, RulesCommand};
 use crate::rule::RuleSet;
 use crate::{Micros, Moment};
@@ -48,7 +48,7 @@
 
 /// One front's view of the fleet's version, and its lease on it.
 pub struct Versions {
-    known: Known,
+    known: KnownNames,
     terms: Terms,
     held: Index,
     /// What the set held was read from; None: the empty set that holds before there is any.
@@ -81,7 +81,7 @@
 
 impl Versions {
     /// A front that has read nothing yet. Requests are numbered from above `first_number`.
-    pub fn new(known: Known, terms: Terms, first_number: u64) -> Versions {
+    pub fn new(known: KnownNames, terms: Terms, first_number: u64) -> Versions {
         Versions {
             known,
             terms,
@@ -108,7 +108,7 @@
     }
 
     /// The names that rules may use.
-    pub fn known(&self) -> &Known {
+    pub fn known(&self) -> &KnownNames {
         &self.known
     }
 
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use hallmux_access::{
-    read, Access, AccessConfig, Act, Bound, Change, Decided, Decision, Done, Entry, Event, Fleet, Key, Known,
-    Moment, Outcome, Owner, Request, RulesCommand, Terms,
+    read, Access, AccessConfig, Act, Change, Decided, Decision, Done, Entry, Event, Fleet, Key, KnownNames,
+    Moment, Outcome, Owner, Request, RulesCommand, Terms, WorkloadLocations,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -24,10 +24,10 @@
     last: u64,
 }
 
-fn known() -> Known {
+fn known() -> KnownNames {
     let names = |all: &[&str]| all.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-    let bound = |name: &str| Bound { name: name.to_string(), locations: None };
-    Known {
+    let bound = |name: &str| WorkloadLocations { name: name.to_string(), locations: None };
+    KnownNames {
         customers: names(&["acme", "brisk"]),
         workloads: vec![bound("lookup"), bound("report")],
         locations: names(&PLACES),
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hallmux_access::{
-    read, Access, AccessConfig, Act, Ask, Bound, Decision, Done, Entry, Event, Fleet, Head, Hit, Kept, Key,
-    Known, Moment, Outcome, Owner, Request, RuleSet, RulesCommand, Terms,
+    read, Access, AccessConfig, Act, Ask, Decision, Done, Entry, Event, Fleet, Head, Hit, Kept, Key,
+    KnownNames, Moment, Outcome, Owner, Request, RuleSet, RulesCommand, Terms, WorkloadLocations,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -68,10 +68,10 @@
     pub tallies: Tallies,
 }
 
-fn known() -> Known {
+fn known() -> KnownNames {
     let names = |all: &[&str]| all.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-    let bound = |name: &str| Bound { name: name.to_string(), locations: None };
-    Known {
+    let bound = |name: &str| WorkloadLocations { name: name.to_string(), locations: None };
+    KnownNames {
         customers: names(&["acme", "brisk", "free"]),
         workloads: vec![bound("lookup"), bound("report")],
         locations: names(&PLACES),
--- a/crates/access/tests/rules.rs
+++ b/crates/access/tests/rules.rs
@@ -1,15 +1,18 @@
 //! Files of rules as a person writes them: what is refused, in which words; and the index beside the plain walk.
 
 use hallmux_access::{
-    read, Attributes, Bound, DefaultEffect, FileErrors, Index, Known, Rule, RuleEffect, RuleSet,
-    RulesCommand, TableRange,
+    read, Attributes, DefaultEffect, FileErrors, Index, KnownNames, Rule, RuleEffect, RuleSet, RulesCommand,
+    TableRange, WorkloadLocations,
 };
 use proptest::prelude::*;
 
-fn known() -> Known {
+fn known() -> KnownNames {
     let names = |all: &[&str]| all.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-    let bound = |name: &str, at: Option<&[&str]>| Bound { name: name.to_string(), locations: at.map(names) };
-    Known {
+    let bound = |name: &str, at: Option<&[&str]>| WorkloadLocations {
+        name: name.to_string(),
+        locations: at.map(names),
+    };
+    KnownNames {
         customers: names(&["acme", "brisk", "corvid"]),
         workloads: vec![bound("lookup", None), bound("report", Some(&["std-eu", "std-us"]))],
         locations: names(&["std-eu", "std-us", "std-ap"]),
@@ -174,7 +177,7 @@
 
 #[test]
 fn a_set_leaves_every_workload_an_engine_for_somebody() {
-    let all = Known { covered: None, ..known() };
+    let all = KnownNames { covered: None, ..known() };
     let faults = |text: &str| read("r", text, &all, &lines(text)).map_err(|e: FileErrors| e.to_string());
     let denied = file(&["{ name: 'no', workload: 'report', then: 'deny', reason: 'x' }"]);
     assert!(faults(&denied)
@@ -338,12 +341,12 @@
 fn the_example_is_read() {
     let text = include_str!("../../../deploy/rules.example.json5");
     let names = |all: &[&str]| all.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-    let bound = |name: &&str| Bound { name: name.to_string(), locations: None };
-    let known = Known {
+    let bound = |name: &&str| WorkloadLocations { name: name.to_string(), locations: None };
+    let known = KnownNames {
         customers: names(&["acme"]),
         workloads: ["lookup", "report", "load"].iter().map(bound).collect(),
         locations: names(&["eu", "us", "ap"]),
-        ..Known::default()
+        ..KnownNames::default()
     };
     let read = read("rules.example.json5", text, &known, &|_| None);
     assert!(matches!(&read, Ok(RulesCommand::Replace(set)) if set.rules.len() > 4), "{read:?}");
--- a/crates/front/src/fleet/rules/file.rs
+++ b/crates/front/src/fleet/rules/file.rs
@@ -3,20 +3,20 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use hallmux_access::{self as access, Known, Owner, RulesCommand};
+use hallmux_access::{self as access, KnownNames, Owner, RulesCommand};
 use hallmux_agreement::{line_of, NodeConfig, Settings};
 use hallmux_dispatcher::Micros;
 
 use super::{Peers, Rules, RulesError, Shared};
 
-pub(super) fn known(rules: &hallmux_agreement::Rules, settings: &Settings) -> Known {
+pub(super) fn known(rules: &hallmux_agreement::Rules, settings: &Settings) -> KnownNames {
     let names = &settings.names;
     let workloads = names.workloads.iter().zip(&settings.agreement.workloads).map(|(name, w)| {
         let named =
             |all: &Vec<usize>| all.iter().filter_map(|at| names.locations.get(*at).cloned()).collect();
-        access::Bound { name: name.clone(), locations: w.locations.as_ref().map(named) }
+        access::WorkloadLocations { name: name.clone(), locations: w.locations.as_ref().map(named) }
     });
-    Known {
+    KnownNames {
         customers: names.customers.clone(),
         workloads: workloads.collect(),
         locations: names.locations.clone(),
@@ -26,7 +26,7 @@
 }
 
 /// Reads the file of rules; all its faults at once.
-pub(super) fn read(file: &str, known: &Known) -> Result<(String, RulesCommand), RulesError> {
+pub(super) fn read(file: &str, known: &KnownNames) -> Result<(String, RulesCommand), RulesError> {
     let text = std::fs::read_to_string(file);
     let text = text.map_err(|why| RulesError::File { file: file.to_string(), why })?;
     let command = access::read(file, &text, known, &|path| line_of(&text, path))?;
