--- a/crates/access/src/head.rs
+++ b/crates/access/src/head.rs
@@ -7,14 +7,14 @@
 const FORMAT: u8 = 1; // of what is kept; one that a build does not know counts for nothing
 pub const MOST_TEXT: usize = 256 << 10; // bytes of a file; a shard of the ledger holds 512 KiB
 const PART: usize = 8 << 10; // bytes of a part: a few datagrams
-pub const BEFORE: usize = 8; // versions kept behind the one that holds
+pub const MOST_PREVIOUS: usize = 8; // versions kept behind the one that holds
 pub const LINGERS_MS: u64 = 600_000; // milliseconds for which the parts of one that is kept no longer stay
 
 pub type Hash = [u8; 32];
 
 /// A version and the text that goes with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct StoredVersion {
     /// The version's number; grows with each change.
     pub version: u64,
     /// The SHA-256 of its text.
@@ -29,33 +29,37 @@
     /// The format of this entry; an entry of another format is not read.
     pub format: u8,
     /// The version that holds now.
-    pub now: Kept,
+    pub current: StoredVersion,
     /// No front judges by an earlier version any more.
     pub in_force: bool,
     /// The versions before, the latest first.
-    pub before: Vec<Kept>,
+    pub previous: Vec<StoredVersion>,
 }
 
 pub fn hash(text: &str) -> Hash {
     Sha256::digest(text).into()
 }
 
-impl Kept {
+impl StoredVersion {
     /// The entry for a text.
-    pub fn of(version: u64, text: &str) -> Kept {
-        Kept { version, hash: hash(text), bytes: text.len() as u32 }
+    pub fn of(version: u64, text: &str) -> StoredVersion {
+        StoredVersion { version, hash: hash(text), bytes: text.len() as u32 }
     }
 }
 
 impl Head {
     /// The head that follows, and the version that it keeps no longer.
-    pub fn after(before: Option<&Head>, now: Kept, in_force: bool) -> (Head, Option<Kept>) {
-        let mut kept: Vec<Kept> = before.iter().map(|head| head.now).collect();
-        kept.extend(before.iter().flat_map(|head| head.before.iter().copied()));
-        let gone = (kept.len() > BEFORE).then(|| kept.pop()).flatten();
+    pub fn after(
+        before: Option<&Head>,
+        current: StoredVersion,
+        in_force: bool,
+    ) -> (Head, Option<StoredVersion>) {
+        let mut kept: Vec<StoredVersion> = before.iter().map(|head| head.current).collect();
+        kept.extend(before.iter().flat_map(|head| head.previous.iter().copied()));
+        let gone = (kept.len() > MOST_PREVIOUS).then(|| kept.pop()).flatten();
         // The same text may be kept under another version.
-        let gone = gone.filter(|g| g.hash != now.hash && kept.iter().all(|k| k.hash != g.hash));
-        (Head { format: FORMAT, now, in_force, before: kept }, gone)
+        let gone = gone.filter(|g| g.hash != current.hash && kept.iter().all(|k| k.hash != g.hash));
+        (Head { format: FORMAT, current, in_force, previous: kept }, gone)
     }
 
     /// The bytes to keep in the ledger.
@@ -69,13 +73,13 @@
             Ok((head, [])) => head,
             _ => return None,
         };
-        let fits = head.format == FORMAT && head.before.len() <= BEFORE;
-        (fits && head.now.bytes as usize <= MOST_TEXT).then_some(head)
+        let fits = head.format == FORMAT && head.previous.len() <= MOST_PREVIOUS;
+        (fits && head.current.bytes as usize <= MOST_TEXT).then_some(head)
     }
 
     /// A version that is kept.
-    pub fn find(&self, version: u64) -> Option<Kept> {
-        [self.now].into_iter().chain(self.before.iter().copied()).find(|kept| kept.version == version)
+    pub fn find(&self, version: u64) -> Option<StoredVersion> {
+        [self.current].into_iter().chain(self.previous.iter().copied()).find(|kept| kept.version == version)
     }
 }
 
@@ -85,7 +89,7 @@
 }
 
 /// The keys of a text's parts.
-pub fn part_keys(kept: Kept) -> impl Iterator<Item = Key> {
+pub fn part_keys(kept: StoredVersion) -> impl Iterator<Item = Key> {
     let name: String = kept.hash.iter().take(8).map(|byte| format!("{byte:02x}")).collect();
     let parts = (kept.bytes as usize).div_ceil(PART).max(1);
     (0..parts).map(move |n| Key { kind: Kind::Rules, name: format!("text {name} {n}") })
@@ -100,7 +104,7 @@
 }
 
 /// The text, if the parts are all of it and nothing else.
-pub fn joined(kept: Kept, parts: Vec<Vec<u8>>) -> Option<String> {
+pub fn joined(kept: StoredVersion, parts: Vec<Vec<u8>>) -> Option<String> {
     let text = String::from_utf8(parts.concat()).ok()?;
     (text.len() == kept.bytes as usize && hash(&text) == kept.hash).then_some(text)
 }
--- a/crates/access/src/head_tests.rs
+++ b/crates/access/src/head_tests.rs
@@ -5,16 +5,16 @@
 #[test]
 fn what_is_damaged_or_of_another_format_is_no_head_and_no_text() {
     let text = "x".repeat(PART + 1);
-    let (mut head, _) = Head::after(None, Kept::of(3, &text), true);
+    let (mut head, _) = Head::after(None, StoredVersion::of(3, &text), true);
     let bytes = head.bytes();
     assert_eq!(Head::read(&bytes), Some(head.clone()));
     assert_eq!(Head::read(&[&bytes[..], b"x"].concat()), None);
     assert!((0..bytes.len()).all(|len| Head::read(&bytes[..len]).is_none()));
     let mut split = parts(&text);
-    assert_eq!((split.len(), part_keys(head.now).count()), (2, 2));
-    assert_eq!(joined(head.now, split.clone()), Some(text.clone()));
+    assert_eq!((split.len(), part_keys(head.current).count()), (2, 2));
+    assert_eq!(joined(head.current, split.clone()), Some(text.clone()));
     split[1][0] = b'y';
-    assert_eq!(joined(head.now, split), None);
+    assert_eq!(joined(head.current, split), None);
     head.format = FORMAT + 1;
     assert_eq!(Head::read(&head.bytes()), None);
 }
@@ -23,9 +23,9 @@
 fn the_last_versions_are_kept_and_a_text_goes_with_its_last_version() {
     let mut head = None;
     let mut gone = None;
-    for version in 1..=BEFORE as u64 + 2 {
+    for version in 1..=MOST_PREVIOUS as u64 + 2 {
         let text = if version == 9 { "1".to_string() } else { version.to_string() };
-        let (next, left) = Head::after(head.as_ref(), Kept::of(version, &text), true);
+        let (next, left) = Head::after(head.as_ref(), StoredVersion::of(version, &text), true);
         (head, gone) = (Some(next), left);
     }
     let head = head.unwrap();
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -27,7 +27,7 @@
 pub use event::Event;
 pub use hallmux_lease::Terms;
 pub use hallmux_ledger::{Act, Ask, Done, Entry, FrontId, Key, Kind, Micros, Moment, Outcome, Owner};
-pub use head::{Head, Kept};
+pub use head::{Head, StoredVersion};
 pub use hits::{merge, Counts, Fleet, Hit};
 pub use index::{Index, Verdict};
 pub use known::{KnownNames, WorkloadLocations};
--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -8,7 +8,7 @@
 use hallmux_ledger::{Act, Ask, Entry, Key, Outcome};
 
 use crate::event::Event;
-use crate::head::{head_key, joined, part_keys, Head, Kept};
+use crate::head::{head_key, joined, part_keys, Head, StoredVersion};
 use crate::index::Index;
 use crate::known::KnownNames;
 use crate::read::{read, RulesCommand};
@@ -28,21 +28,21 @@
     standing: usize,
     swapping: bool,
     /// What the head is to name.
-    wanted: Option<Kept>,
+    wanted: Option<StoredVersion>,
 }
 
 enum Pending {
     Head,
-    Part { of: Kept, number: usize },
+    Part { of: StoredVersion, number: usize },
     Keeps,
-    Swap { to: Kept, gone: Option<Kept> },
+    Swap { to: StoredVersion, gone: Option<StoredVersion> },
     Settle,
     Lets,
 }
 
 /// The text of a version, as its parts come.
 struct Fetch {
-    of: Kept,
+    of: StoredVersion,
     parts: Vec<Option<Vec<u8>>>,
 }
 
@@ -52,7 +52,7 @@
     terms: Terms,
     held: Index,
     /// What the set held was read from; None: the empty set that holds before there is any.
-    held_from: Option<Kept>,
+    held_from: Option<StoredVersion>,
     /// The head read last and its version in the ledger; None where there is none yet.
     head: Option<(Head, u64)>,
     /// The ledger has answered in this life.
@@ -249,17 +249,17 @@
             };
             // A set that is said to be in force after it was only changed is the same set.
             let before = self.head.take();
-            let same = before.as_ref().is_some_and(|(before, _)| before.now == head.now);
+            let same = before.as_ref().is_some_and(|(before, _)| before.current == head.current);
             if !same {
                 (self.since, self.changed_here) = (at.steady, false);
             }
             if head.in_force && !(same && before.is_some_and(|(before, _)| before.in_force)) {
-                self.events.push(Event::InForce { version: head.now.version });
+                self.events.push(Event::InForce { version: head.current.version });
             }
             self.head = Some((head, stands));
             self.offer.iter_mut().for_each(|offer| offer.swapping = false);
         }
-        if self.head.as_ref().map(|(head, _)| head.now) == self.held_from {
+        if self.head.as_ref().map(|(head, _)| head.current) == self.held_from {
             self.until = self.until.max(asked_at + self.terms.acts_for());
             self.will_hold = None;
         } else {
@@ -276,7 +276,7 @@
 
     /// Fetches the set that the head names, where it is not the one held.
     fn fetch(&mut self, at: Moment) {
-        let Some(now) = self.head.as_ref().map(|(head, _)| head.now) else { return };
+        let Some(now) = self.head.as_ref().map(|(head, _)| head.current) else { return };
         if self.held_from == Some(now) || self.fetch.as_ref().is_some_and(|fetch| fetch.of == now) {
             return;
         }
@@ -287,7 +287,7 @@
         }
     }
 
-    fn part(&mut self, at: Moment, of: Kept, number: usize, bytes: Vec<u8>) {
+    fn part(&mut self, at: Moment, of: StoredVersion, number: usize, bytes: Vec<u8>) {
         let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.of == of) else { return };
         if let Some(part) = fetch.parts.get_mut(number) {
             *part = Some(bytes);
@@ -306,8 +306,8 @@
     }
 
     /// Judges by a set from now on, if it is still the head's.
-    fn adopt(&mut self, at: Moment, of: Kept, text: &str) {
-        let Some(head) = self.head.as_ref().map(|(head, _)| head).filter(|head| head.now == of) else {
+    fn adopt(&mut self, at: Moment, of: StoredVersion, text: &str) {
+        let Some(head) = self.head.as_ref().map(|(head, _)| head).filter(|head| head.current == of) else {
             return;
         };
         let in_force = head.in_force;
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -4,7 +4,7 @@
 
 use super::{Event, Offer, Pending, Versions};
 use crate::error::Refused;
-use crate::head::{head_key, part_keys, parts, Head, Kept, LINGERS_MS, MOST_TEXT};
+use crate::head::{head_key, part_keys, parts, Head, StoredVersion, LINGERS_MS, MOST_TEXT};
 use crate::index::Index;
 use crate::read::RulesCommand;
 use crate::{Micros, Moment};
@@ -30,15 +30,15 @@
     }
 
     /// The kept version that an offer wants, or why not.
-    pub(super) fn wanted(&self, offer: &Offer) -> Result<Kept, Refused> {
+    pub(super) fn wanted(&self, offer: &Offer) -> Result<StoredVersion, Refused> {
         let RulesCommand::RollBack { version, to } = offer.command else {
-            return Ok(Kept::of(offer.command.version(), &offer.text));
+            return Ok(StoredVersion::of(offer.command.version(), &offer.text));
         };
         let head = self.head.as_ref().map(|(head, _)| head);
         match head.and_then(|head| head.find(to)) {
-            Some(kept) => Ok(Kept { version, ..kept }),
+            Some(kept) => Ok(StoredVersion { version, ..kept }),
             None => {
-                let kept = head.iter().flat_map(|head| &head.before).map(|kept| kept.version.to_string());
+                let kept = head.iter().flat_map(|head| &head.previous).map(|kept| kept.version.to_string());
                 let kept = kept.collect::<Vec<_>>().join(", ");
                 Err(Refused::NotKept { file: offer.file.clone(), to, kept })
             }
@@ -48,7 +48,7 @@
     /// What has become of an offer, by the head.
     pub(super) fn fate(&mut self) {
         let Some(offer) = self.offer.as_ref() else { return };
-        let Some(has) = self.head.as_ref().map(|(head, _)| head.now) else { return };
+        let Some(has) = self.head.as_ref().map(|(head, _)| head.current) else { return };
         let (file, stated, next) = (offer.file.clone(), offer.command.version(), has.version + 1);
         if stated > has.version {
             return;
@@ -103,7 +103,7 @@
     /// Nothing is barred by it that the set in force lets through: it holds with its swap.
     pub(super) fn at_once(&self, offer: &Offer, at: Moment) -> bool {
         let RulesCommand::Replace(set) = &offer.command else { return false };
-        let from = self.head.as_ref().map(|(head, _)| head.now);
+        let from = self.head.as_ref().map(|(head, _)| head.current);
         let in_force = self.head.as_ref().is_none_or(|(head, _)| head.in_force);
         in_force
             && from == self.held_from
@@ -114,12 +114,12 @@
         &mut self,
         at: Moment,
         asked_at: Micros,
-        to: Kept,
-        gone: Option<Kept>,
+        to: StoredVersion,
+        gone: Option<StoredVersion>,
         entry: Entry,
     ) {
         self.seen(at, asked_at, Some(entry));
-        self.changed_here = self.head.as_ref().is_some_and(|(head, _)| head.now == to);
+        self.changed_here = self.head.as_ref().is_some_and(|(head, _)| head.current == to);
         // Parts that nothing names any more end after a while.
         for key in gone.into_iter().flat_map(part_keys) {
             let act = Act::Put { expects: None, ends_ms: at.wall_ms + LINGERS_MS, value: Vec::new() };
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hallmux_access::{
-    read, Access, AccessConfig, Act, Ask, Decision, Done, Entry, Event, Fleet, Head, Hit, Kept, Key,
-    KnownNames, Moment, Outcome, Owner, Request, RuleSet, RulesCommand, Terms, WorkloadLocations,
+    read, Access, AccessConfig, Act, Ask, Decision, Done, Entry, Event, Fleet, Head, Hit, Key, KnownNames,
+    Moment, Outcome, Owner, Request, RuleSet, RulesCommand, StoredVersion, Terms, WorkloadLocations,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -163,7 +163,7 @@
 
     pub fn offer(&mut self, front: usize, text: &str) {
         let command = read("rules.json5", text, &known(), &|_| None).expect("a good file");
-        self.texts.insert(Kept::of(1, text).hash, text.to_string());
+        self.texts.insert(StoredVersion::of(1, text).hash, text.to_string());
         self.fronts[front].access.offer("rules.json5", text, command);
     }
 
@@ -213,8 +213,8 @@
         };
         if ask.key.name == "head" {
             let head = Head::read(value).expect("a head");
-            let text = self.texts[&head.now.hash].clone();
-            self.accepted.entry(head.now.version).or_insert((self.now, text));
+            let text = self.texts[&head.current.hash].clone();
+            self.accepted.entry(head.current.version).or_insert((self.now, text));
         }
         self.ledger.insert(ask.key.clone(), entry.clone());
         Outcome::Stands(entry)
