--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -7,7 +7,7 @@
 use hallmux_ledger::{Ask, Done, Owner};
 
 use crate::event::Event;
-use crate::hits::{Fleet, Hit, Hits};
+use crate::hits::{FleetHits, Hit, Hits};
 use crate::index::{Index, Verdict};
 use crate::known::KnownNames;
 use crate::read::RulesCommand;
@@ -87,7 +87,7 @@
     /// Statements that run where the version adopted bars: they are to be ended, where the platform can.
     pub revoked: Vec<u64>,
     /// The fleet's count, as it was asked for.
-    pub fleet_hits: Option<Fleet>,
+    pub fleet_hits: Option<FleetHits>,
 }
 
 struct Open {
@@ -325,7 +325,7 @@
     }
 
     /// The fleet's count as it was asked for last, and how old it is at most.
-    pub fn fleet(&self, steady: Micros) -> (&Fleet, Option<Micros>) {
+    pub fn fleet(&self, steady: Micros) -> (&FleetHits, Option<Micros>) {
         let fleet = self.hits.fleet();
         (fleet, fleet.as_of.map(|at| steady - at))
     }
--- a/crates/access/src/hits.rs
+++ b/crates/access/src/hits.rs
@@ -33,13 +33,13 @@
 }
 
 /// How many statements each rule decided or counted, by customer and region.
-pub type Counts = BTreeMap<Hit, u64>;
+pub type HitCounts = BTreeMap<Hit, u64>;
 
 /// The fleet's count, as of a moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Fleet {
+pub struct FleetHits {
     /// The counts of all fronts together.
-    pub counts: Counts,
+    pub counts: HitCounts,
     /// On the steady clock of the front that was asked: hits acknowledged before it are in the counts.
     pub as_of: Option<Micros>,
     /// Fronts whose counts are missing, or older than that.
@@ -47,7 +47,7 @@
 }
 
 /// Takes in a table of a life: of two counts of a row the greater is the later.
-pub fn merge(into: &mut Counts, from: &Counts) {
+pub fn merge_counts(into: &mut HitCounts, from: &HitCounts) {
     for (hit, count) in from {
         let known = into.entry(hit.clone()).or_default();
         *known = (*known).max(*count);
@@ -56,7 +56,7 @@
 
 #[derive(Default)]
 struct Page {
-    counts: Counts,
+    counts: HitCounts,
     /// Hits added so far, and how many of them stand.
     added: u64,
     standing: u64,
@@ -109,8 +109,8 @@
     pub over: bool,
     sweep: Option<Sweep>,
     folded: BTreeMap<usize, (Folded, u64)>,
-    known: BTreeMap<Owner, Counts>,
-    fleet: Fleet,
+    known: BTreeMap<Owner, HitCounts>,
+    fleet: FleetHits,
     /// Requests to the ledger that have yet to be sent.
     pub asks: Vec<Ask>,
     /// Statements whose counts the ledger has confirmed since the caller took them last.
@@ -145,8 +145,8 @@
 }
 
 /// The counts of a page, whether it is closed or not.
-fn counts(bytes: &[u8]) -> Option<Counts> {
-    match postcard::take_from_bytes::<(u8, Counts)>(bytes) {
+fn counts(bytes: &[u8]) -> Option<HitCounts> {
+    match postcard::take_from_bytes::<(u8, HitCounts)>(bytes) {
         Ok(((FORMAT | CLOSED, counts), [])) => Some(counts),
         _ => None,
     }
@@ -173,7 +173,7 @@
             sweep: None,
             folded: BTreeMap::new(),
             known: BTreeMap::new(),
-            fleet: Fleet::default(),
+            fleet: FleetHits::default(),
             asks: Vec::new(),
             counted: Vec::new(),
             swept: false,
@@ -224,7 +224,7 @@
     }
 
     /// The fleet's count as it was asked for last.
-    pub fn fleet(&self) -> &Fleet {
+    pub fn fleet(&self) -> &FleetHits {
         &self.fleet
     }
 
--- a/crates/access/src/hits/fold.rs
+++ b/crates/access/src/hits/fold.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    bytes, counts, lives_key, page_key, whole, Counts, Hit, Hits, Lives, Pending, ANY, CLOSED, FORMAT,
+    bytes, counts, lives_key, page_key, whole, Hit, HitCounts, Hits, Lives, Pending, ANY, CLOSED, FORMAT,
 };
 use crate::FrontId;
 
@@ -24,7 +24,7 @@
 /// A part of the fleet's table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Folded {
-    pub counts: Counts,
+    pub counts: HitCounts,
     /// Of each front the last life that is in it.
     lives: BTreeMap<FrontId, u64>,
 }
@@ -39,7 +39,7 @@
         self.lives.get(&owner.front).is_some_and(|last| *last >= owner.incarnation)
     }
 
-    fn add(&mut self, owner: Owner, rows: &Counts) {
+    fn add(&mut self, owner: Owner, rows: &HitCounts) {
         if self.has(owner) {
             return;
         }
@@ -69,12 +69,12 @@
 pub(super) struct Fold {
     owner: Owner,
     /// A page as it was read, to be closed on its version.
-    open: Option<(Counts, u64)>,
+    open: Option<(HitCounts, u64)>,
     /// Its pages as they were closed.
-    pages: Vec<Counts>,
+    pages: Vec<HitCounts>,
     count: usize,
     /// What has yet to be added, by part; None until all pages are closed.
-    left: Option<BTreeMap<usize, Counts>>,
+    left: Option<BTreeMap<usize, HitCounts>>,
     part: Option<(Folded, u64)>,
     blanked: usize,
     asking: bool,
@@ -107,7 +107,7 @@
         let Some(fold) = self.fold.as_mut().filter(|fold| !fold.asking && !fold.stuck) else { return };
         let key = |page| page_key(own.front, fold.owner.incarnation, page);
         let put = |expects, ends_ms, value| Act::Put { expects, ends_ms, value };
-        let closed = |counts: &Counts| bytes(&(CLOSED, counts));
+        let closed = |counts: &HitCounts| bytes(&(CLOSED, counts));
         let left = fold.left.as_ref();
         let (asked, key, act) = if fold.pages.len() < fold.count {
             let page = fold.pages.len();
@@ -127,7 +127,7 @@
             };
             (Pending::Adding, folded_key(*place), act)
         } else if fold.blanked < fold.count {
-            let act = put(None, wall_ms.saturating_add(LINGERS_MS), closed(&Counts::new()));
+            let act = put(None, wall_ms.saturating_add(LINGERS_MS), closed(&HitCounts::new()));
             (Pending::Blanking, key(fold.blanked), act)
         } else if !self.listing {
             let lives: Vec<(u64, u32)> =
@@ -155,7 +155,7 @@
                 None => fold.stuck = true,
             },
             // Listed, and never written: it may not be any more.
-            (Pending::Closing, Outcome::Absent) => fold.open = Some((Counts::new(), 0)),
+            (Pending::Closing, Outcome::Absent) => fold.open = Some((HitCounts::new(), 0)),
             (Pending::Closing, Outcome::Held(_)) => fold.open = None,
             (Pending::Adding, Outcome::Stands(entry)) => match Folded::read(&entry.value) {
                 Some(folded) if folded.has(fold.owner) => {
@@ -183,7 +183,7 @@
             _ => {}
         }
         if fold.left.is_none() && fold.pages.len() == fold.count {
-            let mut left: BTreeMap<usize, Counts> = BTreeMap::new();
+            let mut left: BTreeMap<usize, HitCounts> = BTreeMap::new();
             for (hit, count) in fold.pages.iter().flatten() {
                 *left.entry(place_of(hit)).or_default().entry(hit.clone()).or_default() += count;
             }
--- a/crates/access/src/hits/sweep.rs
+++ b/crates/access/src/hits/sweep.rs
@@ -5,7 +5,7 @@
 use hallmux_ledger::{Act, Outcome, Owner};
 
 use super::fold::{folded_key, place_of, Folded, PLACES};
-use super::{counts, lives_key, merge, page_key, whole, Counts, Fleet, Hits, Pending};
+use super::{counts, lives_key, merge_counts, page_key, whole, FleetHits, HitCounts, Hits, Pending};
 use crate::{FrontId, Micros};
 
 const AT_ONCE: usize = 32; // pages read at once for the fleet's count
@@ -57,14 +57,14 @@
         }
         if let Some(sweep) = self.sweep.take_if(|sweep| sweep.out == 0) {
             let counts = self.sum();
-            self.fleet = Fleet { counts, as_of: Some(sweep.begun), missing: sweep.missing };
+            self.fleet = FleetHits { counts, as_of: Some(sweep.begun), missing: sweep.missing };
             self.swept = true;
         }
     }
 
     /// What is in the fleet's table, and of each life what is not.
-    fn sum(&mut self) -> Counts {
-        let mut counts = Counts::new();
+    fn sum(&mut self) -> HitCounts {
+        let mut counts = HitCounts::new();
         for (hit, count) in self.folded.values().flat_map(|(folded, _)| &folded.counts) {
             *counts.entry(hit.clone()).or_default() += count;
         }
@@ -98,7 +98,7 @@
                 None => _ = sweep.missing.insert(front),
             },
             (Pending::PageOf(owner), Outcome::Stands(entry)) => match counts(&entry.value) {
-                Some(counts) => merge(self.known.entry(owner).or_default(), &counts),
+                Some(counts) => merge_counts(self.known.entry(owner).or_default(), &counts),
                 None => _ = sweep.missing.insert(owner.front),
             },
             (Pending::Folded(place), Outcome::Stands(entry)) => match Folded::read(&entry.value) {
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -28,7 +28,7 @@
 pub use hallmux_lease::Terms;
 pub use hallmux_ledger::{Act, Ask, Done, Entry, FrontId, Key, Kind, Micros, Moment, Outcome, Owner};
 pub use head::{Head, StoredVersion};
-pub use hits::{merge, Counts, Fleet, Hit};
+pub use hits::{merge_counts, FleetHits, Hit, HitCounts};
 pub use index::{Index, Verdict};
 pub use known::{KnownNames, WorkloadLocations};
 pub use read::{read, LineLookup, RulesCommand};
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use hallmux_access::{
-    read, Access, AccessConfig, Act, Change, Decided, Decision, Done, Entry, Event, Fleet, Key, KnownNames,
-    Moment, Outcome, Owner, Request, RulesCommand, Terms, WorkloadLocations,
+    read, Access, AccessConfig, Act, Change, Decided, Decision, Done, Entry, Event, FleetHits, Key,
+    KnownNames, Moment, Outcome, Owner, Request, RulesCommand, Terms, WorkloadLocations,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -18,7 +18,7 @@
     earlier: Option<Access>,
     counted: Vec<u64>,
     said: Vec<Event>,
-    fleet: Option<Fleet>,
+    fleet: Option<FleetHits>,
     now: i64,
     ledger: BTreeMap<Key, Entry>,
     last: u64,
--- a/crates/access/tests/fleet.rs
+++ b/crates/access/tests/fleet.rs
@@ -119,12 +119,12 @@
 
 #[test]
 fn tables_of_counts_merge_in_any_order_and_twice_without_harm() {
-    use hallmux_access::{merge, Counts, Hit};
+    use hallmux_access::{merge_counts, Hit, HitCounts};
     let hit = |n: u8| Hit { rule: n.to_string(), customer: "a".to_string(), region: "eu".to_string() };
-    let (one, later): (Counts, Counts) = ([(hit(1), 3)].into(), [(hit(1), 5), (hit(2), 1)].into());
-    let merged = |order: &[&Counts]| {
-        let mut into = Counts::new();
-        order.iter().for_each(|table| merge(&mut into, table));
+    let (one, later): (HitCounts, HitCounts) = ([(hit(1), 3)].into(), [(hit(1), 5), (hit(2), 1)].into());
+    let merged = |order: &[&HitCounts]| {
+        let mut into = HitCounts::new();
+        order.iter().for_each(|table| merge_counts(&mut into, table));
         into
     };
     assert_eq!(merged(&[&one, &later]), later);
--- a/crates/access/tests/fleet/record.rs
+++ b/crates/access/tests/fleet/record.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_access::{Attributes, Decision, Fleet, Index, Request};
+use hallmux_access::{Attributes, Decision, FleetHits, Index, Request};
 
 use super::{set, Sent, Sim, FRONTS, STEP};
 
@@ -32,7 +32,7 @@
         found
     }
 
-    pub fn fleet_count(&mut self, front: usize) -> Fleet {
+    pub fn fleet_count(&mut self, front: usize) -> FleetHits {
         let at = self.moment(front);
         self.fronts[front].access.sweep(at);
         self.counts.remove(&front);
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -3,8 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hallmux_access::{
-    read, Access, AccessConfig, Act, Ask, Decision, Done, Entry, Event, Fleet, Head, Hit, Key, KnownNames,
-    Moment, Outcome, Owner, Request, RuleSet, RulesCommand, StoredVersion, Terms, WorkloadLocations,
+    read, Access, AccessConfig, Act, Ask, Decision, Done, Entry, Event, FleetHits, Head, Hit, Key,
+    KnownNames, Moment, Outcome, Owner, Request, RuleSet, RulesCommand, StoredVersion, Terms,
+    WorkloadLocations,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -62,7 +63,7 @@
     pub said: Vec<(i64, usize, Event)>,
     pub judged: BTreeMap<Hit, u64>,
     pub acked: BTreeMap<Hit, u64>,
-    counts: BTreeMap<usize, Fleet>,
+    counts: BTreeMap<usize, FleetHits>,
     /// No statements come.
     pub quiet: bool,
     pub tallies: Tallies,
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -11,7 +11,9 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use hallmux_access::{self as access, Access, AccessConfig, Decision, Fleet, Owner, Request, RulesCommand};
+use hallmux_access::{
+    self as access, Access, AccessConfig, Decision, FleetHits, Owner, Request, RulesCommand,
+};
 use hallmux_agreement::Settings;
 use hallmux_codec::tables;
 use hallmux_dispatcher::{Dispatcher, Ending, Micros, Place, Terms, Ticket};
@@ -77,7 +79,7 @@
     next_log: Micros,
     log_every: Micros,
     ended: u64,
-    logged_hits: Option<Fleet>,
+    logged_hits: Option<FleetHits>,
     logged_limits: BTreeMap<String, u64>,
 }
 
--- a/crates/front/src/fleet/rules/log_lines.rs
+++ b/crates/front/src/fleet/rules/log_lines.rs
@@ -1,13 +1,13 @@
 //! Lines of the log on rules, with what an operator can do.
 
-use hallmux_access::{Decided, Event, Fleet, WhatIf};
+use hallmux_access::{Decided, Event, FleetHits, WhatIf};
 use hallmux_ledger::Moment;
 
 use super::Rules;
 
 impl Rules {
     /// A line for each row of the fleet's count, where it has changed.
-    pub(super) fn log_hits(&mut self, at: Moment, fleet: &Fleet) {
+    pub(super) fn log_hits(&mut self, at: Moment, fleet: &FleetHits) {
         let same =
             self.logged_hits.as_ref().is_some_and(|t| t.counts == fleet.counts && t.missing == fleet.missing);
         if same || fleet.counts.is_empty() && fleet.missing.is_empty() {
