--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -11,7 +11,7 @@
 use crate::index::{Index, Verdict};
 use crate::known::KnownNames;
 use crate::read::RulesCommand;
-use crate::record::{Record, WhatIf};
+use crate::record::{Record, WhatIfReport};
 use crate::rule::Attributes;
 use crate::rule::RuleSet;
 use crate::shares::{Limit, Shares};
@@ -200,9 +200,9 @@
     }
 
     /// What a set would decide otherwise of what was asked here, before it is put in force.
-    pub fn what_if(&mut self, at: Moment, set: RuleSet) -> WhatIf {
+    pub fn what_if(&mut self, at: Moment, set: RuleSet) -> WhatIfReport {
         let (held, known) = (self.versions.held(), self.versions.known());
-        self.record.play(at, &self.region, held, &Index::new(set), known)
+        self.record.compare(at, &self.region, held, &Index::new(set), known)
     }
 
     /// Judges a statement, once for all its tries.
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -32,6 +32,6 @@
 pub use index::{Index, Verdict};
 pub use known::{KnownNames, WorkloadLocations};
 pub use read::{read, LineLookup, RulesCommand};
-pub use record::{Change, Decided, WhatIf};
+pub use record::{ChangedDecision, Permission, WhatIfReport};
 pub use rule::{Attributes, DefaultEffect, Rule, RuleEffect, RuleSet, TableRange};
 pub use shares::{Limit, Shares};
--- a/crates/access/src/record.rs
+++ b/crates/access/src/record.rs
@@ -13,13 +13,13 @@
 
 /// What a set says of a statement.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Decided {
+pub enum Permission {
     /// Turned away by a rule or by the default.
     Denied,
     /// At these locations (None: all), within these limits.
-    Let {
+    Allowed {
         /// The locations at which it may be read; `None`: all.
-        at: Option<Vec<String>>,
+        locations: Option<Vec<String>>,
         /// The limits that it counts against.
         limits: Vec<Limit>,
     },
@@ -27,20 +27,20 @@
 
 /// Statements that two sets decide differently.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Change {
+pub struct ChangedDecision {
     /// Whose statements they are.
     pub customer: String,
     /// The workload of the statements.
     pub workload: String,
     /// What the set in force says of them.
-    pub is: Decided,
+    pub current: Permission,
     /// What the other set would say of them.
-    pub would: Decided,
+    pub proposed: Permission,
 }
 
 /// What a set would change, were it to hold now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct WhatIf {
+pub struct WhatIfReport {
     /// The version that holds, and the one that was asked about.
     pub held: u64,
     /// The version that was asked about.
@@ -52,7 +52,7 @@
     /// Statements for whose kinds the record had no room.
     pub unknown: u64,
     /// The statements that would be decided differently, and how many there were of each kind.
-    pub changes: BTreeMap<Change, u64>,
+    pub changes: BTreeMap<ChangedDecision, u64>,
 }
 
 /// What was asked of one front over a sliding window of time, counted by kind.
@@ -73,7 +73,7 @@
     }
 
     /// Goes on to a time: what is older than the record goes back is forgotten.
-    fn turn(&mut self, now: Micros) -> usize {
+    fn advance(&mut self, now: Micros) -> usize {
         let part = now.div_euclid(self.part);
         let passed = if self.begun.is_none() { 0 } else { (part - self.at).clamp(0, PARTS as Micros) };
         for gone in 0..passed {
@@ -96,7 +96,7 @@
         if self.part <= 0 {
             return;
         }
-        let place = self.turn(now);
+        let place = self.advance(now);
         if !self.kinds.contains_key(request) {
             if self.kinds.len() >= MOST_KINDS {
                 self.unknown.iter_mut().skip(place).take(1).for_each(|count| *count += 1);
@@ -109,19 +109,20 @@
     }
 
     /// What a set would decide otherwise than the one held, of what was asked, were it asked now.
-    pub fn play(
+    pub fn compare(
         &mut self,
         at: Moment,
         region: &str,
         held: &Index,
         other: &Index,
         known: &crate::KnownNames,
-    ) -> WhatIf {
-        let mut found = WhatIf { held: held.set.version, version: other.set.version, ..WhatIf::default() };
+    ) -> WhatIfReport {
+        let mut found =
+            WhatIfReport { held: held.set.version, version: other.set.version, ..WhatIfReport::default() };
         if self.part <= 0 {
             return found;
         }
-        self.turn(at.steady);
+        self.advance(at.steady);
         let back = self.begun.map_or(0, |begun| at.steady - begun);
         found.back = back.min(self.part * PARTS as Micros);
         found.unknown = self.unknown.iter().sum();
@@ -129,10 +130,13 @@
             let count = counts.iter().map(|count| u64::from(*count)).sum::<u64>();
             found.statements += count;
             let by = |index: &Index| decided(index, known, region, request, at.wall_ms);
-            let (is, would) = (by(held), by(other));
-            if is != would {
+            let (current, proposed) = (by(held), by(other));
+            if current != proposed {
                 let (customer, workload) = (request.customer.clone(), request.workload.clone());
-                *found.changes.entry(Change { customer, workload, is, would }).or_default() += count;
+                *found
+                    .changes
+                    .entry(ChangedDecision { customer, workload, current, proposed })
+                    .or_default() += count;
             }
         }
         found
@@ -145,14 +149,14 @@
     region: &str,
     request: &Request,
     wall_ms: u64,
-) -> Decided {
+) -> Permission {
     let verdict = judge(index, region, request, wall_ms, None);
     if verdict.denied.is_some() {
-        return Decided::Denied;
+        return Permission::Denied;
     }
     let name = |place: &u16| known.locations.get(*place as usize).cloned();
-    let at = verdict.allowed.as_ref().map(|places| places.iter().filter_map(name).collect());
-    Decided::Let { at, limits: index.limits(&verdict) }
+    let locations = verdict.allowed.as_ref().map(|places| places.iter().filter_map(name).collect());
+    Permission::Allowed { locations, limits: index.limits(&verdict) }
 }
 
 #[cfg(test)]
--- a/crates/access/src/record_tests.rs
+++ b/crates/access/src/record_tests.rs
@@ -10,7 +10,7 @@
     let index = Index::new(RuleSet::empty());
     let counts = |record: &mut Record, now: Micros| {
         let at = Moment { steady: now, wall_ms: 0 };
-        let found = record.play(at, "eu", &index, &index, &KnownNames::default());
+        let found = record.compare(at, "eu", &index, &index, &KnownNames::default());
         (found.statements, found.unknown, found.back)
     };
     (0..MOST_KINDS + 10).for_each(|n| record.add(500_000, &request(n)));
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use hallmux_access::{
-    read, Access, AccessConfig, Act, Change, Decided, Decision, Done, Entry, Event, FleetHits, Key,
-    KnownNames, Moment, Outcome, Owner, Request, RulesCommand, Terms, WorkloadLocations,
+    read, Access, AccessConfig, Act, ChangedDecision, Decision, Done, Entry, Event, FleetHits, Key,
+    KnownNames, Moment, Outcome, Owner, Permission, Request, RulesCommand, Terms, WorkloadLocations,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -113,15 +113,18 @@
     }
 
     /// What is decided of a statement, and its number.
-    fn ask(&mut self, asked: &Request) -> (Decided, u64) {
+    fn ask(&mut self, asked: &Request) -> (Permission, u64) {
         let Decision::Decided { statement, verdict, .. } = self.access.judge(self.at(), asked.clone()) else {
             panic!("judged")
         };
         if verdict.denied.is_some() {
-            return (Decided::Denied, statement);
+            return (Permission::Denied, statement);
         }
         (
-            Decided::Let { at: self.access.locations(&verdict), limits: self.access.limits(&verdict) },
+            Permission::Allowed {
+                locations: self.access.locations(&verdict),
+                limits: self.access.limits(&verdict),
+            },
             statement,
         )
     }
@@ -212,7 +215,7 @@
         let traffic: Vec<Request> = (0..200).map(|_| drawn(&mut rng)).collect();
         let mut one = One::new();
         one.holds(&before);
-        let was: Vec<Decided> = traffic.iter().map(|asked| one.ask(asked).0).collect();
+        let was: Vec<Permission> = traffic.iter().map(|asked| one.ask(asked).0).collect();
         let RulesCommand::WhatIf(set) = command(&after) else { panic!("a question") };
         let told = one.access.what_if(one.at(), set);
         assert_eq!((told.statements, told.unknown), (200, 0));
@@ -222,12 +225,12 @@
         assert_eq!(one.access.version(one.now), (1, true));
         after = after.replace("what_if: true", "what_if: false");
         one.holds(&after);
-        let mut happened: BTreeMap<Change, u64> = BTreeMap::new();
-        for (asked, is) in traffic.iter().zip(was) {
-            let would = one.ask(asked).0;
+        let mut happened: BTreeMap<ChangedDecision, u64> = BTreeMap::new();
+        for (asked, current) in traffic.iter().zip(was) {
+            let proposed = one.ask(asked).0;
             let Request { customer, workload, .. } = asked.clone();
-            if is != would {
-                *happened.entry(Change { customer, workload, is, would }).or_default() += 1;
+            if current != proposed {
+                *happened.entry(ChangedDecision { customer, workload, current, proposed }).or_default() += 1;
             }
         }
         assert_eq!(told.changes, happened, "seed {seed}: {before} {after}");
--- a/crates/front/src/fleet/rules/log_lines.rs
+++ b/crates/front/src/fleet/rules/log_lines.rs
@@ -1,6 +1,6 @@
 //! Lines of the log on rules, with what an operator can do.
 
-use hallmux_access::{Decided, Event, FleetHits, WhatIf};
+use hallmux_access::{Event, FleetHits, Permission, WhatIfReport};
 use hallmux_ledger::Moment;
 
 use super::Rules;
@@ -38,8 +38,8 @@
 const MOST_SHOWN: usize = 100; // lines on what a set would change
 
 /// What a set would decide otherwise than the one that holds.
-pub fn what_if(found: &WhatIf) {
-    let WhatIf { held, version, back, statements, unknown, changes } = found;
+pub fn what_if(found: &WhatIfReport) {
+    let WhatIfReport { held, version, back, statements, unknown, changes } = found;
     let otherwise: u64 = changes.values().sum();
     let minutes = back / 60_000_000;
     log::info!(
@@ -51,8 +51,8 @@
             "what if version {version} held: customer {}, {}: {count} would be {} instead of {}",
             change.customer,
             change.workload,
-            decided(&change.would),
-            decided(&change.is)
+            permission_text(&change.proposed),
+            permission_text(&change.current)
         );
     }
     if changes.len() > MOST_SHOWN {
@@ -63,9 +63,9 @@
     }
 }
 
-fn decided(decided: &Decided) -> String {
-    let Decided::Let { at, limits } = decided else { return "denied".to_string() };
-    let at = at.as_ref().map_or("anywhere".to_string(), |at| format!("at {}", at.join(", ")));
+fn permission_text(permission: &Permission) -> String {
+    let Permission::Allowed { locations, limits } = permission else { return "denied".to_string() };
+    let at = locations.as_ref().map_or("anywhere".to_string(), |at| format!("at {}", at.join(", ")));
     let limit = |l: &hallmux_access::Limit| format!(", at most {} in {} ms", l.most, l.window / 1000);
     format!("let through {at}{}", limits.iter().map(limit).collect::<String>())
 }
