--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -15,9 +15,9 @@
 use crate::rule::RuleSet;
 use crate::{Micros, Moment};
 
-const ON_THE_WAY: Micros = 200_000; // microseconds; what left under a lease that has ended may still be under way
-const AGAIN: Micros = 250_000; // microseconds until what the ledger could not do is asked again
-const OTHERS: Micros = 1_000_000; // microseconds after which another front says what the one that changed it did not
+const IN_FLIGHT: Micros = 200_000; // microseconds; what left under a lease that has ended may still be under way
+const RETRY_INTERVAL: Micros = 250_000; // microseconds until a request that the ledger failed is repeated
+const OTHERS_DELAY: Micros = 1_000_000; // microseconds; the front that changed the head confirms it first
 
 /// A file that this front wants to be the fleet's.
 struct Offer {
@@ -25,7 +25,7 @@
     command: RulesCommand,
     text: String,
     /// Parts that stand; the head follows once all do.
-    standing: usize,
+    parts_stored: usize,
     swapping: bool,
     /// What the head is to name.
     wanted: Option<StoredVersion>,
@@ -34,10 +34,10 @@
 enum Pending {
     Head,
     Part { of: StoredVersion, number: usize },
-    Keeps,
+    PutPart,
     Swap { to: StoredVersion, gone: Option<StoredVersion> },
-    Settle,
-    Lets,
+    ConfirmInForce,
+    ExpirePart,
 }
 
 /// The text of a version, as its parts come.
@@ -56,23 +56,23 @@
     /// The head read last and its version in the ledger; None where there is none yet.
     head: Option<(Head, u64)>,
     /// The ledger has answered in this life.
-    heard: bool,
+    ledger_has_answered: bool,
     /// When this head was first read.
-    since: Micros,
+    head_since: Micros,
     changed_here: bool,
     /// It may be judged by the set held before this.
-    until: Micros,
+    lease_until: Micros,
     /// When a head was asked for whose set is still being fetched.
-    will_hold: Option<Micros>,
+    lease_once_adopted: Option<Micros>,
     was_open: bool,
     fetch: Option<Fetch>,
     offer: Option<Offer>,
     asked: HashMap<u64, (Pending, Micros)>,
     next_number: u64,
-    look: Micros,
-    try_again: Micros,
+    next_head_read: Micros,
+    retry_at: Micros,
     ticked: Micros,
-    unread: Option<&'static str>,
+    reported_unreadable: Option<&'static str>,
     /// Requests to the ledger that have yet to be sent.
     pub asks: Vec<Ask>,
     /// Events for the log since the caller took them last.
@@ -88,20 +88,20 @@
             held: Index::new(RuleSet::empty()),
             held_from: None,
             head: None,
-            heard: false,
-            since: 0,
+            ledger_has_answered: false,
+            head_since: 0,
             changed_here: false,
-            until: Micros::MIN,
-            will_hold: None,
+            lease_until: Micros::MIN,
+            lease_once_adopted: None,
             was_open: false,
             fetch: None,
             offer: None,
             asked: HashMap::new(),
             next_number: first_number,
-            look: Micros::MIN,
-            try_again: Micros::MIN,
+            next_head_read: Micros::MIN,
+            retry_at: Micros::MIN,
             ticked: Micros::MIN,
-            unread: None,
+            reported_unreadable: None,
             asks: Vec::new(),
             events: Vec::new(),
         }
@@ -114,7 +114,7 @@
 
     /// The set to judge by, while this front may.
     pub fn lease(&self, steady: Micros) -> Option<&Index> {
-        (steady < self.until).then_some(&self.held)
+        (steady < self.lease_until).then_some(&self.held)
     }
 
     /// The set held, whether it may be judged by or not.
@@ -130,25 +130,27 @@
 
     /// When `tick` is next due.
     pub fn due(&self) -> Micros {
-        let runs_out = if self.was_open { self.until } else { Micros::MAX };
-        let settles = if self.unsettled() { self.settles().max(self.try_again) } else { Micros::MAX };
-        let retries = if self.try_again > self.ticked { self.try_again } else { Micros::MAX };
-        let look = if self.waits(|a| matches!(a, Pending::Head)) { Micros::MAX } else { self.look };
+        let runs_out = if self.was_open { self.lease_until } else { Micros::MAX };
+        let settles =
+            if self.awaits_confirmation() { self.in_force_at().max(self.retry_at) } else { Micros::MAX };
+        let retries = if self.retry_at > self.ticked { self.retry_at } else { Micros::MAX };
+        let look =
+            if self.is_pending(|a| matches!(a, Pending::Head)) { Micros::MAX } else { self.next_head_read };
         look.min(runs_out).min(settles).min(retries)
     }
 
-    fn unsettled(&self) -> bool {
+    fn awaits_confirmation(&self) -> bool {
         self.head.as_ref().is_some_and(|(head, _)| !head.in_force)
-            && !self.waits(|a| matches!(a, Pending::Settle))
+            && !self.is_pending(|a| matches!(a, Pending::ConfirmInForce))
     }
 
     /// When every lease on an earlier version has surely ended.
-    fn settles(&self) -> Micros {
-        let others = if self.changed_here { 0 } else { OTHERS };
-        self.since.saturating_add(self.terms.rests_for() + ON_THE_WAY + others)
+    fn in_force_at(&self) -> Micros {
+        let others = if self.changed_here { 0 } else { OTHERS_DELAY };
+        self.head_since.saturating_add(self.terms.rests_for() + IN_FLIGHT + others)
     }
 
-    fn waits(&self, what: impl Fn(&Pending) -> bool) -> bool {
+    fn is_pending(&self, what: impl Fn(&Pending) -> bool) -> bool {
         self.asked.values().any(|(asked, _)| what(asked))
     }
 
@@ -161,23 +163,23 @@
     /// Queues the requests that are due, and says whether this front may judge.
     pub fn tick(&mut self, at: Moment) {
         self.ticked = at.steady;
-        let open = at.steady < self.until;
+        let open = at.steady < self.lease_until;
         if open != self.was_open {
             self.was_open = open;
             let version = self.held.set.version;
             self.events.push(if open { Event::RulesKnown { version } } else { Event::RulesUnknown });
         }
-        if at.steady >= self.look && !self.waits(|a| matches!(a, Pending::Head)) {
-            self.look = at.steady + self.terms.acts_for() / 3;
+        if at.steady >= self.next_head_read && !self.is_pending(|a| matches!(a, Pending::Head)) {
+            self.next_head_read = at.steady + self.terms.acts_for() / 3;
             self.ask(at, Pending::Head, head_key(), Act::Read);
         }
-        if at.steady < self.try_again {
+        if at.steady < self.retry_at {
             return;
         }
         self.fetch(at);
         self.propose(at);
-        if self.unsettled() && at.steady >= self.settles() {
-            self.settle(at);
+        if self.awaits_confirmation() && at.steady >= self.in_force_at() {
+            self.confirm_in_force(at);
         }
     }
 
@@ -185,64 +187,66 @@
     pub fn done(&mut self, at: Moment, number: u64, outcome: Outcome) -> bool {
         let Some((asked, asked_at)) = self.asked.remove(&number) else { return false };
         if matches!(outcome, Outcome::Unreachable | Outcome::Full) {
-            self.failed(at, asked, outcome);
+            self.on_failure(at, asked, outcome);
         } else {
-            self.answered(at, asked, asked_at, outcome);
+            self.on_answer(at, asked, asked_at, outcome);
         }
         self.tick(at);
         true
     }
 
-    fn failed(&mut self, at: Moment, asked: Pending, outcome: Outcome) {
-        self.try_again = at.steady + AGAIN;
+    fn on_failure(&mut self, at: Moment, asked: Pending, outcome: Outcome) {
+        self.retry_at = at.steady + RETRY_INTERVAL;
         match asked {
-            Pending::Head => self.look = at.steady + AGAIN,
+            Pending::Head => self.next_head_read = at.steady + RETRY_INTERVAL,
             // It may stand or not: the head will tell.
             Pending::Swap { .. } => {
-                self.look = at.steady;
+                self.next_head_read = at.steady;
                 self.offer.iter_mut().for_each(|offer| offer.swapping = false);
             }
             Pending::Part { .. } => self.fetch = None,
             _ => {}
         }
-        if outcome == Outcome::Full && !matches!(asked, Pending::Lets) {
+        if outcome == Outcome::Full && !matches!(asked, Pending::ExpirePart) {
             self.offer = None;
             self.events.push(Event::LedgerFull { what: "a set of rules" });
         }
     }
 
-    fn answered(&mut self, at: Moment, asked: Pending, asked_at: Micros, outcome: Outcome) {
+    fn on_answer(&mut self, at: Moment, asked: Pending, asked_at: Micros, outcome: Outcome) {
         match (asked, outcome) {
-            (Pending::Head, Outcome::Stands(entry)) => self.seen(at, asked_at, Some(entry)),
-            (Pending::Head, _) => self.seen(at, asked_at, None),
-            (Pending::Part { of, number }, Outcome::Stands(entry)) => self.part(at, of, number, entry.value),
+            (Pending::Head, Outcome::Stands(entry)) => self.on_head(at, asked_at, Some(entry)),
+            (Pending::Head, _) => self.on_head(at, asked_at, None),
+            (Pending::Part { of, number }, Outcome::Stands(entry)) => {
+                self.on_part(at, of, number, entry.value)
+            }
             // Not there (yet): the head is looked at again.
-            (Pending::Part { .. }, _) => (self.fetch, self.try_again) = (None, at.steady + AGAIN),
-            (Pending::Keeps, Outcome::Stands(_)) => {
-                self.offer.iter_mut().for_each(|offer| offer.standing += 1)
+            (Pending::Part { .. }, _) => (self.fetch, self.retry_at) = (None, at.steady + RETRY_INTERVAL),
+            (Pending::PutPart, Outcome::Stands(_)) => {
+                self.offer.iter_mut().for_each(|offer| offer.parts_stored += 1)
             }
-            (Pending::Keeps, _) => self.offer.iter_mut().for_each(|offer| offer.swapping = false),
+            (Pending::PutPart, _) => self.offer.iter_mut().for_each(|offer| offer.swapping = false),
             (Pending::Swap { to, gone }, Outcome::Stands(entry)) => {
-                self.swapped(at, asked_at, to, gone, entry)
+                self.on_swapped(at, asked_at, to, gone, entry)
             }
             (Pending::Swap { .. }, _) => {
-                self.look = at.steady;
+                self.next_head_read = at.steady;
                 self.offer.iter_mut().for_each(|offer| offer.swapping = false);
             }
-            (Pending::Settle, Outcome::Stands(entry)) => self.seen(at, asked_at, Some(entry)),
-            (Pending::Settle, _) => self.look = at.steady,
-            (Pending::Lets, _) => {}
+            (Pending::ConfirmInForce, Outcome::Stands(entry)) => self.on_head(at, asked_at, Some(entry)),
+            (Pending::ConfirmInForce, _) => self.next_head_read = at.steady,
+            (Pending::ExpirePart, _) => {}
         }
     }
 
     /// What stands at the head, as of some moment after it was asked for.
-    fn seen(&mut self, at: Moment, asked_at: Micros, entry: Option<Entry>) {
+    fn on_head(&mut self, at: Moment, asked_at: Micros, entry: Option<Entry>) {
         let stands = entry.as_ref().map_or(0, |entry| entry.version);
         let known = self.head.as_ref().map_or(0, |(_, version)| *version);
         if stands < known {
             return; // an answer that was overtaken
         }
-        self.heard = true;
+        self.ledger_has_answered = true;
         if stands > known {
             let Some(head) = entry.as_ref().and_then(|entry| Head::read(&entry.value)) else {
                 return self.unreadable("head");
@@ -251,7 +255,7 @@
             let before = self.head.take();
             let same = before.as_ref().is_some_and(|(before, _)| before.current == head.current);
             if !same {
-                (self.since, self.changed_here) = (at.steady, false);
+                (self.head_since, self.changed_here) = (at.steady, false);
             }
             if head.in_force && !(same && before.is_some_and(|(before, _)| before.in_force)) {
                 self.events.push(Event::InForce { version: head.current.version });
@@ -260,16 +264,16 @@
             self.offer.iter_mut().for_each(|offer| offer.swapping = false);
         }
         if self.head.as_ref().map(|(head, _)| head.current) == self.held_from {
-            self.until = self.until.max(asked_at + self.terms.acts_for());
-            self.will_hold = None;
+            self.lease_until = self.lease_until.max(asked_at + self.terms.acts_for());
+            self.lease_once_adopted = None;
         } else {
-            self.will_hold = Some(asked_at);
+            self.lease_once_adopted = Some(asked_at);
         }
-        self.fate();
+        self.resolve_offer();
     }
 
     fn unreadable(&mut self, what: &'static str) {
-        if self.unread.replace(what) != Some(what) {
+        if self.reported_unreadable.replace(what) != Some(what) {
             self.events.push(Event::Unreadable { what });
         }
     }
@@ -287,7 +291,7 @@
         }
     }
 
-    fn part(&mut self, at: Moment, of: StoredVersion, number: usize, bytes: Vec<u8>) {
+    fn on_part(&mut self, at: Moment, of: StoredVersion, number: usize, bytes: Vec<u8>) {
         let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.of == of) else { return };
         if let Some(part) = fetch.parts.get_mut(number) {
             *part = Some(bytes);
@@ -298,7 +302,7 @@
             match joined(of, parts) {
                 Some(text) => self.adopt(at, of, &text),
                 None => {
-                    self.try_again = at.steady + AGAIN;
+                    self.retry_at = at.steady + RETRY_INTERVAL;
                     self.unreadable("text");
                 }
             }
@@ -315,17 +319,17 @@
             Ok(RulesCommand::Replace(set)) => {
                 self.held = Index::new(RuleSet { version: of.version, ..set });
                 self.held_from = Some(of);
-                self.unread = None;
-                let held = self.will_hold.take().map(|asked_at| asked_at + self.terms.acts_for());
-                self.until = held.unwrap_or(Micros::MIN);
+                self.reported_unreadable = None;
+                let held = self.lease_once_adopted.take().map(|asked_at| asked_at + self.terms.acts_for());
+                self.lease_until = held.unwrap_or(Micros::MIN);
                 let rules = self.held.set.rules.len();
                 self.events.push(Event::Adopted { version: of.version, rules, in_force });
-                self.look = self.look.min(at.steady + AGAIN);
+                self.next_head_read = self.next_head_read.min(at.steady + RETRY_INTERVAL);
             }
             // What another front has checked and this one can't read: its settings differ.
             _ => {
-                self.until = Micros::MIN;
-                self.try_again = at.steady + 20 * AGAIN;
+                self.lease_until = Micros::MIN;
+                self.retry_at = at.steady + 20 * RETRY_INTERVAL;
                 self.unreadable("set by this front's settings");
             }
         }
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -25,8 +25,8 @@
             }));
         }
         let (file, text) = (file.to_string(), text.to_string());
-        self.offer = Some(Offer { file, command, text, standing: 0, swapping: false, wanted: None });
-        (self.look, self.try_again) = (Micros::MIN, Micros::MIN);
+        self.offer = Some(Offer { file, command, text, parts_stored: 0, swapping: false, wanted: None });
+        (self.next_head_read, self.retry_at) = (Micros::MIN, Micros::MIN);
     }
 
     /// The kept version that an offer wants, or why not.
@@ -46,7 +46,7 @@
     }
 
     /// What has become of an offer, by the head.
-    pub(super) fn fate(&mut self) {
+    pub(super) fn resolve_offer(&mut self) {
         let Some(offer) = self.offer.as_ref() else { return };
         let Some(has) = self.head.as_ref().map(|(head, _)| head.current) else { return };
         let (file, stated, next) = (offer.file.clone(), offer.command.version(), has.version + 1);
@@ -56,7 +56,7 @@
         let same = offer.wanted == Some(has) || self.wanted(offer).is_ok_and(|wanted| wanted == has);
         let event = match (stated == has.version, same) {
             (true, true) => Event::Accepted { version: stated },
-            (true, false) if offer.standing > 0 => Event::Refused(Refused::Lost { file, stated, next }),
+            (true, false) if offer.parts_stored > 0 => Event::Refused(Refused::Lost { file, stated, next }),
             (true, false) => Event::Refused(Refused::Other { file, stated, next }),
             (false, _) => Event::Refused(Refused::Old { file, stated, has: has.version, next }),
         };
@@ -67,9 +67,12 @@
     /// Brings an offer one step on: its parts, then the head.
     pub(super) fn propose(&mut self, at: Moment) {
         // One that is not above the head is never swapped in, however the head was read.
-        self.fate();
-        let Some(offer) = self.offer.as_ref().filter(|offer| self.heard && !offer.swapping) else { return };
-        if self.waits(|a| matches!(a, Pending::Keeps | Pending::Swap { .. })) {
+        self.resolve_offer();
+        let Some(offer) = self.offer.as_ref().filter(|offer| self.ledger_has_answered && !offer.swapping)
+        else {
+            return;
+        };
+        if self.is_pending(|a| matches!(a, Pending::PutPart | Pending::Swap { .. })) {
             return;
         }
         let wanted = match self.wanted(offer) {
@@ -81,15 +84,15 @@
         };
         let is_set = matches!(offer.command, RulesCommand::Replace(_));
         let keys: Vec<Key> = if is_set { part_keys(wanted).collect() } else { Vec::new() };
-        if offer.standing < keys.len() {
+        if offer.parts_stored < keys.len() {
             let parts = parts(&offer.text);
-            self.offer.iter_mut().for_each(|offer| offer.standing = 0);
+            self.offer.iter_mut().for_each(|offer| offer.parts_stored = 0);
             for (key, value) in keys.into_iter().zip(parts) {
-                self.ask(at, Pending::Keeps, key, Act::Put { expects: None, ends_ms: 0, value });
+                self.ask(at, Pending::PutPart, key, Act::Put { expects: None, ends_ms: 0, value });
             }
             return;
         }
-        let in_force = self.at_once(offer, at);
+        let in_force = self.holds_at_once(offer, at);
         let (head, version) = match &self.head {
             Some((head, version)) => (Some(head), *version),
             None => (None, 0),
@@ -101,7 +104,7 @@
     }
 
     /// Nothing is barred by it that the set in force lets through: it holds with its swap.
-    pub(super) fn at_once(&self, offer: &Offer, at: Moment) -> bool {
+    pub(super) fn holds_at_once(&self, offer: &Offer, at: Moment) -> bool {
         let RulesCommand::Replace(set) = &offer.command else { return false };
         let from = self.head.as_ref().map(|(head, _)| head.current);
         let in_force = self.head.as_ref().is_none_or(|(head, _)| head.in_force);
@@ -110,7 +113,7 @@
             && !Index::new(set.clone()).tightens(&self.held, &self.known, at.wall_ms)
     }
 
-    pub(super) fn swapped(
+    pub(super) fn on_swapped(
         &mut self,
         at: Moment,
         asked_at: Micros,
@@ -118,20 +121,20 @@
         gone: Option<StoredVersion>,
         entry: Entry,
     ) {
-        self.seen(at, asked_at, Some(entry));
+        self.on_head(at, asked_at, Some(entry));
         self.changed_here = self.head.as_ref().is_some_and(|(head, _)| head.current == to);
         // Parts that nothing names any more end after a while.
         for key in gone.into_iter().flat_map(part_keys) {
             let act = Act::Put { expects: None, ends_ms: at.wall_ms + LINGERS_MS, value: Vec::new() };
-            self.ask(at, Pending::Lets, key, act);
+            self.ask(at, Pending::ExpirePart, key, act);
         }
     }
 
     /// Says that the head is in force.
-    pub(super) fn settle(&mut self, at: Moment) {
+    pub(super) fn confirm_in_force(&mut self, at: Moment) {
         let Some((head, version)) = &self.head else { return };
         let settled = Head { in_force: true, ..head.clone() };
         let act = Act::Put { expects: Some(*version), ends_ms: 0, value: settled.bytes() };
-        self.ask(at, Pending::Settle, head_key(), act);
+        self.ask(at, Pending::ConfirmInForce, head_key(), act);
     }
 }
