--- a/crates/access/src/shares.rs
+++ b/crates/access/src/shares.rs
@@ -14,7 +14,7 @@
 use crate::event::Event;
 use crate::{Micros, Moment};
 
-use share::{Share, Terrain};
+use share::{Share, ShareContext};
 pub use table::Limit;
 
 /// A statement, and the limits that it has yet to take from.
@@ -26,7 +26,7 @@
 
 /// One front's shares of all limits that it has traffic for.
 pub struct Shares {
-    terrain: Terrain,
+    context: ShareContext,
     shares: BTreeMap<Limit, Share>,
     statements: BTreeMap<u64, Taking>,
     asked: HashMap<u64, (Limit, Micros)>,
@@ -44,7 +44,7 @@
     /// A share is spent under a lease by `terms`; `fronts` is how many share.
     pub fn new(own: Owner, terms: hallmux_lease::Terms, fronts: usize) -> Shares {
         Shares {
-            terrain: Terrain { own, terms, fronts },
+            context: ShareContext { own, terms, fronts },
             shares: BTreeMap::new(),
             statements: BTreeMap::new(),
             asked: HashMap::new(),
@@ -57,15 +57,15 @@
 
     /// Whether a statement may go on at once; else it waits, and is among `ready` or `refused` later.
     pub fn take(&mut self, now: Micros, statement: u64, limits: Vec<Limit>) -> bool {
-        let terrain = self.terrain;
+        let context = self.context;
         let takes = |limit: &&Limit| {
             let share =
-                self.shares.entry((*limit).clone()).or_insert_with(|| Share::new((*limit).clone(), terrain));
+                self.shares.entry((*limit).clone()).or_insert_with(|| Share::new((*limit).clone(), context));
             !share.take(now, statement)
         };
         let lacks = limits.iter().filter(takes).count();
         self.statements.insert(statement, Taking { limits, lacks, began: false });
-        self.hear();
+        self.collect();
         lacks == 0
     }
 
@@ -119,7 +119,7 @@
                 self.asks.push(Ask { number, key: limit.key(), act });
             }
         }
-        self.hear();
+        self.collect();
         self.shares.retain(|_, share| !share.is_idle());
     }
 
@@ -133,7 +133,7 @@
     ) -> bool {
         let Some((limit, asked_at)) = self.asked.remove(&asked) else { return false };
         if let Some(share) = self.shares.get_mut(&limit) {
-            share.done(at.steady, asked_at, outcome);
+            share.on_answer(at.steady, asked_at, outcome);
         }
         self.tick(at, number);
         true
@@ -150,7 +150,7 @@
         }
     }
 
-    fn hear(&mut self) {
+    fn collect(&mut self) {
         let mut refused = Vec::new();
         for share in self.shares.values_mut() {
             for statement in share.ready.drain(..) {
--- a/crates/access/src/shares/share.rs
+++ b/crates/access/src/shares/share.rs
@@ -13,14 +13,14 @@
 use super::table::{Limit, Row, Table};
 use crate::Micros;
 
-const ON_THE_WAY: Micros = 200_000; // microseconds; what left may still be under way to an engine
-const AGAIN: Micros = 250_000; // microseconds until what the ledger could not do is asked again
-const LOOK_AGAIN: Micros = 50_000; // microseconds between looks at what could be done while it lacks some
+const IN_FLIGHT: Micros = 200_000; // microseconds; what left may still be under way to an engine
+const RETRY_INTERVAL: Micros = 250_000; // microseconds until what the ledger could not do is asked again
+const REPLAN_INTERVAL: Micros = 50_000; // microseconds between looks at what could be done while it lacks some
 const MOST_WAITING: usize = 1_024; // statements that wait for a share
 
 /// What a front goes by.
 #[derive(Clone, Copy, Debug)]
-pub struct Terrain {
+pub struct ShareContext {
     pub own: Owner,
     pub terms: Terms,
     pub fronts: usize,
@@ -34,10 +34,10 @@
 
 pub struct Share {
     pub limit: Limit,
-    terrain: Terrain,
+    context: ShareContext,
     /// As read last, with its version in the ledger; 0 where there is none yet.
     table: Option<(Table, u64)>,
-    until: Micros,
+    lease_until: Micros,
     /// When each that was spent may be spent again, the first first.
     cooling: VecDeque<Micros>,
     /// Statements that have a token and have not begun.
@@ -46,20 +46,20 @@
     owes: u32,
     pending: Option<Pending>,
     asking: bool,
-    look: Micros,
-    try_again: Micros,
+    next_read: Micros,
+    retry_at: Micros,
     demand: Demand,
     /// When what rests was first seen.
-    seen: BTreeMap<u64, Micros>,
+    resting_since: BTreeMap<u64, Micros>,
     /// Fronts that have yet to look at a round of wants: where they are, and since when.
-    behind: BTreeMap<Owner, (u64, Micros)>,
+    unanswered_since: BTreeMap<Owner, (u64, Micros)>,
     /// No round of wants of its own before this, and how long it then waits.
     next_round: Micros,
-    patience: Micros,
+    round_backoff: Micros,
     low_since: Option<Micros>,
     /// The table was read and nothing was done about it yet; else not before.
-    fresh: bool,
-    plan_again: Micros,
+    unplanned: bool,
+    replan_at: Micros,
     pub unreadable: bool,
     pub full: bool,
     pub ready: Vec<u64>,
@@ -67,29 +67,29 @@
 }
 
 impl Share {
-    pub fn new(limit: Limit, terrain: Terrain) -> Share {
+    pub fn new(limit: Limit, context: ShareContext) -> Share {
         let demand = Demand::new(limit.window);
         Share {
             limit,
-            terrain,
+            context,
             table: None,
-            until: Micros::MIN,
+            lease_until: Micros::MIN,
             cooling: VecDeque::new(),
             taken: BTreeSet::new(),
             waiting: VecDeque::new(),
             owes: 0,
             pending: None,
             asking: false,
-            look: Micros::MIN,
-            try_again: Micros::MIN,
+            next_read: Micros::MIN,
+            retry_at: Micros::MIN,
             demand,
-            seen: BTreeMap::new(),
-            behind: BTreeMap::new(),
+            resting_since: BTreeMap::new(),
+            unanswered_since: BTreeMap::new(),
             next_round: Micros::MIN,
-            patience: 0,
+            round_backoff: 0,
             low_since: None,
-            fresh: false,
-            plan_again: Micros::MIN,
+            unplanned: false,
+            replan_at: Micros::MIN,
             unreadable: false,
             full: false,
             ready: Vec::new(),
@@ -98,19 +98,19 @@
     }
 
     /// How long what was spent cools.
-    fn cools(&self) -> Micros {
-        let window = Terms { length: self.limit.window, drift_ppm: self.terrain.terms.drift_ppm };
-        window.rests_for() + ON_THE_WAY
+    fn cooldown(&self) -> Micros {
+        let window = Terms { length: self.limit.window, drift_ppm: self.context.terms.drift_ppm };
+        window.rests_for() + IN_FLIGHT
     }
 
     /// How long a statement waits for a share, at most: two looks of every other front.
-    fn waits(&self) -> Micros {
-        self.terrain.terms.length / 2
+    fn max_wait(&self) -> Micros {
+        self.context.terms.length / 2
     }
 
     /// What this front surely has: a put that may yet stand can take away from it.
     fn held(&self) -> u32 {
-        let own = self.terrain.own;
+        let own = self.context.own;
         let held = self.table.as_ref().map_or(0, |(table, _)| table.held(own));
         self.pending.as_ref().map_or(held, |pending| held.min(pending.next.held(own)))
     }
@@ -124,12 +124,12 @@
     }
 
     fn batch(&self) -> u32 {
-        (self.limit.most / (4 * self.terrain.fronts.max(1) as u32)).max(1)
+        (self.limit.most / (4 * self.context.fronts.max(1) as u32)).max(1)
     }
 
     /// How much it wants to have in all.
     fn goal(&self, now: Micros) -> u32 {
-        let lead = self.cools() + self.terrain.terms.length / 2;
+        let lead = self.cooldown() + self.context.terms.length / 2;
         let needs = self.demand.expects(now, lead);
         if needs == 0 && self.waiting.is_empty() {
             return 0;
@@ -141,7 +141,7 @@
     /// What it is to ask for, before it runs out.
     fn lacks(&self, now: Micros) -> u32 {
         let (goal, held) = (self.goal(now), self.held());
-        let soon = self.demand.expects(now, self.terrain.terms.length / 2) + self.batch() / 4;
+        let soon = self.demand.expects(now, self.context.terms.length / 2) + self.batch() / 4;
         match goal > held && (self.spare() < soon || !self.waiting.is_empty()) {
             true => (goal - held).max(held / 2).min(self.limit.most - held),
             false => 0,
@@ -152,17 +152,17 @@
     pub fn take(&mut self, now: Micros, statement: u64) -> bool {
         self.demand.add(now);
         self.cool(now);
-        if self.waiting.is_empty() && now < self.until && self.spare() > 0 {
+        if self.waiting.is_empty() && now < self.lease_until && self.spare() > 0 {
             self.taken.insert(statement);
             return true;
         }
         // All of it is spent here, and none of it comes back in time.
         let first = self.cooling.front().copied().unwrap_or(now);
-        let hopeless = self.held() == self.limit.most && self.spare() == 0 && first > now + self.waits();
+        let hopeless = self.held() == self.limit.most && self.spare() == 0 && first > now + self.max_wait();
         if hopeless || self.waiting.len() >= MOST_WAITING {
             self.refused.push(statement);
         } else {
-            self.waiting.push_back((statement, now + self.waits()));
+            self.waiting.push_back((statement, now + self.max_wait()));
         }
         false
     }
@@ -170,11 +170,11 @@
     /// Whether a statement that took from it may begin now.
     pub fn begins(&mut self, now: Micros, statement: u64) -> bool {
         self.cool(now);
-        let may = now < self.until && self.in_use() <= self.held();
+        let may = now < self.lease_until && self.in_use() <= self.held();
         if !self.taken.remove(&statement) || !may {
             return false;
         }
-        self.cooling.push_back(now + self.cools());
+        self.cooling.push_back(now + self.cooldown());
         true
     }
 
@@ -186,7 +186,7 @@
 
     /// Nothing here is known or wanted any more.
     pub fn is_idle(&self) -> bool {
-        let held = self.table.as_ref().map_or(0, |(table, _)| table.held(self.terrain.own));
+        let held = self.table.as_ref().map_or(0, |(table, _)| table.held(self.context.own));
         held == 0
             && self.pending.is_none()
             && !self.asking
@@ -204,13 +204,13 @@
     pub fn due(&self, now: Micros) -> Micros {
         let waits = self.waiting.front().map_or(Micros::MAX, |(_, ends)| *ends);
         let cools = self.cooling.front().copied().filter(|_| !self.waiting.is_empty());
-        let plans = if self.waiting.is_empty() { Micros::MAX } else { self.plan_again };
-        let looks = if self.pending.is_some() { Micros::MIN } else { self.look.min(plans) };
-        let asks = if self.asking || !self.interested(now) { Micros::MAX } else { looks };
-        waits.min(cools.unwrap_or(Micros::MAX)).min(asks.max(self.try_again))
+        let plans = if self.waiting.is_empty() { Micros::MAX } else { self.replan_at };
+        let looks = if self.pending.is_some() { Micros::MIN } else { self.next_read.min(plans) };
+        let asks = if self.asking || !self.is_needed(now) { Micros::MAX } else { looks };
+        waits.min(cools.unwrap_or(Micros::MAX)).min(asks.max(self.retry_at))
     }
 
-    fn interested(&self, now: Micros) -> bool {
+    fn is_needed(&self, now: Micros) -> bool {
         self.pending.is_some() || self.held() > 0 || !self.waiting.is_empty() || self.lacks(now) > 0
     }
 
@@ -218,10 +218,10 @@
     pub fn tick(&mut self, now: Micros) -> Option<Act> {
         self.cool(now);
         self.serve(now);
-        if self.asking || now < self.try_again || !self.interested(now) {
+        if self.asking || now < self.retry_at || !self.is_needed(now) {
             return None;
         }
-        let act = self.acts(now)?;
+        let act = self.next_act(now)?;
         self.asking = true;
         Some(act)
     }
@@ -229,7 +229,7 @@
     /// Those that wait, in order.
     fn serve(&mut self, now: Micros) {
         while let Some((statement, ends)) = self.waiting.front().copied() {
-            if now < self.until && self.spare() > 0 {
+            if now < self.lease_until && self.spare() > 0 {
                 self.taken.insert(statement);
                 self.ready.push(statement);
             } else if ends <= now {
@@ -241,14 +241,14 @@
         }
     }
 
-    fn acts(&mut self, now: Micros) -> Option<Act> {
+    fn next_act(&mut self, now: Micros) -> Option<Act> {
         if self.table.is_none() {
             return Some(Act::Read);
         }
         // The same again: of two that stand for the same version only one does.
-        let looks = self.fresh || now >= self.look || now >= self.plan_again && self.lacks(now) > 0;
+        let looks = self.unplanned || now >= self.next_read || now >= self.replan_at && self.lacks(now) > 0;
         if self.pending.is_none() && looks {
-            (self.fresh, self.plan_again) = (false, now + LOOK_AGAIN);
+            (self.unplanned, self.replan_at) = (false, now + REPLAN_INTERVAL);
             if let Some((next, expects)) = self.plan(now) {
                 self.pending = Some(Pending { expects, next });
             }
@@ -256,26 +256,26 @@
         if let Some(Pending { expects, next }) = &self.pending {
             return Some(Act::Put { expects: Some(*expects), ends_ms: 0, value: next.bytes() });
         }
-        (now >= self.look).then_some(Act::Read)
+        (now >= self.next_read).then_some(Act::Read)
     }
 
     /// The table as it is to be, where that is not as it is.
     fn plan(&mut self, now: Micros) -> Option<(Table, u64)> {
-        let own = self.terrain.own;
+        let own = self.context.own;
         let (mut next, version) = self.table.clone()?;
         let before = next.clone();
         // An earlier life of this front spends nothing any more, and one that is silent will not for much longer.
-        let silent = self.terrain.terms.length;
+        let silent = self.context.terms.length;
         let lost = |row: &&Row| {
             let earlier = row.owner.front == own.front && row.owner.incarnation < own.incarnation;
-            let behind = self.behind.get(&row.owner).filter(|(at, _)| *at == row.answered);
+            let behind = self.unanswered_since.get(&row.owner).filter(|(at, _)| *at == row.answered);
             earlier || behind.is_some_and(|(_, since)| now >= since + silent)
         };
         let lost: Vec<Owner> = before.rows.iter().filter(lost).map(|row| row.owner).collect();
         lost.into_iter().for_each(|owner| next.take_back(owner));
         // Its lease has ended on its own clock by then, and what it had spent until then has cooled.
-        let rest = self.terrain.terms.rests_for() + ON_THE_WAY + self.cools();
-        next.rested(|id| self.seen.get(&id).is_some_and(|since| now >= since + rest));
+        let rest = self.context.terms.rests_for() + IN_FLIGHT + self.cooldown();
+        next.rested(|id| self.resting_since.get(&id).is_some_and(|since| now >= since + rest));
         let lacks = self.lacks(now);
         let gets = lacks.min(next.free);
         let others = next.rows.iter().any(|row| row.owner != own && row.held > 0);
@@ -289,10 +289,10 @@
         if asks {
             next.round += 1;
             // Others that are served at the same time are not asked again and again.
-            self.patience = (self.patience * 2).clamp(silent / 3, self.limit.window.max(silent));
-            self.next_round = now + self.patience;
+            self.round_backoff = (self.round_backoff * 2).clamp(silent / 3, self.limit.window.max(silent));
+            self.next_round = now + self.round_backoff;
         }
-        self.gives(now, &mut next, lacks);
+        self.plan_transfers(now, &mut next, lacks);
         if let Some(row) = next.rows.iter_mut().find(|row| row.owner == own) {
             row.wants = if lacks == gets { 0 } else { row.wants };
             row.answered = if row.held > 0 { next.round } else { row.answered };
@@ -302,8 +302,8 @@
     }
 
     /// What it gives to others that want it, or lets go of as it needs it no longer.
-    fn gives(&mut self, now: Micros, next: &mut Table, lacks: u32) {
-        let (own, goal, held) = (self.terrain.own, self.goal(now), self.held());
+    fn plan_transfers(&mut self, now: Micros, next: &mut Table, lacks: u32) {
+        let (own, goal, held) = (self.context.own, self.goal(now), self.held());
         let sharing = next.rows.iter().filter(|row| row.held > 0 || row.wants > 0).count().max(1);
         let fair = (self.limit.most / sharing as u32).max(1);
         let wanted = next.wanted_of(own).saturating_sub(next.free);
@@ -314,7 +314,7 @@
         match (low, self.low_since) {
             (false, _) => self.low_since = None,
             (true, None) => self.low_since = Some(now),
-            (true, Some(since)) if now >= since + self.terrain.terms.length => {
+            (true, Some(since)) if now >= since + self.context.terms.length => {
                 gives = gives.max(rested.min(held - goal));
             }
             _ => {}
@@ -326,59 +326,59 @@
     }
 
     /// The ledger has answered what was asked at a time.
-    pub fn done(&mut self, now: Micros, asked_at: Micros, outcome: Outcome) {
+    pub fn on_answer(&mut self, now: Micros, asked_at: Micros, outcome: Outcome) {
         (self.asking, self.full) = (false, outcome == Outcome::Full);
         match outcome {
-            Outcome::Stands(entry) => self.sees(now, asked_at, &entry.value, entry.version),
+            Outcome::Stands(entry) => self.on_table(now, asked_at, &entry.value, entry.version),
             // An answer that is told again comes without what stands.
-            Outcome::Held(entry) if entry.value.is_empty() => self.look = now,
-            Outcome::Held(entry) => self.sees(now, asked_at, &entry.value, entry.version),
+            Outcome::Held(entry) if entry.value.is_empty() => self.next_read = now,
+            Outcome::Held(entry) => self.on_table(now, asked_at, &entry.value, entry.version),
             Outcome::Absent if self.table.as_ref().is_none_or(|(_, version)| *version == 0) => {
                 self.table = Some((Table::new(&self.limit), 0));
             }
             // It was there: what this means nobody can say.
-            Outcome::Absent => self.unread(now),
-            Outcome::Unreachable | Outcome::Full => self.try_again = now + AGAIN,
+            Outcome::Absent => self.on_unreadable(now),
+            Outcome::Unreachable | Outcome::Full => self.retry_at = now + RETRY_INTERVAL,
         }
         self.serve(now);
     }
 
-    fn unread(&mut self, now: Micros) {
-        (self.unreadable, self.until, self.try_again) = (true, Micros::MIN, now + 20 * AGAIN);
+    fn on_unreadable(&mut self, now: Micros) {
+        (self.unreadable, self.lease_until, self.retry_at) = (true, Micros::MIN, now + 20 * RETRY_INTERVAL);
     }
 
-    fn sees(&mut self, now: Micros, asked_at: Micros, value: &[u8], version: u64) {
+    fn on_table(&mut self, now: Micros, asked_at: Micros, value: &[u8], version: u64) {
         if self.table.as_ref().is_some_and(|(_, known)| version < *known) {
             return; // an answer that was overtaken
         }
-        let Some(table) = Table::read(value, &self.limit) else { return self.unread(now) };
+        let Some(table) = Table::read(value, &self.limit) else { return self.on_unreadable(now) };
         self.unreadable = false;
         if self.pending.as_ref().is_some_and(|pending| version > pending.expects) {
             self.pending = None; // it stands, or never will
         }
-        let own = self.terrain.own;
+        let own = self.context.own;
         let before = self.held();
-        self.until = self.until.max(asked_at + self.terrain.terms.acts_for());
-        self.look = self.look.max(asked_at + self.every(&table));
-        self.seen.retain(|id, _| table.resting.iter().any(|r| r.id == *id));
-        table.resting.iter().for_each(|r| _ = self.seen.entry(r.id).or_insert(now));
+        self.lease_until = self.lease_until.max(asked_at + self.context.terms.acts_for());
+        self.next_read = self.next_read.max(asked_at + self.read_interval(&table));
+        self.resting_since.retain(|id, _| table.resting.iter().any(|r| r.id == *id));
+        table.resting.iter().for_each(|r| _ = self.resting_since.entry(r.id).or_insert(now));
         let asked = |row: &&Row| row.owner != own && row.held > 0 && row.answered < table.round;
-        self.behind.retain(|owner, _| table.row(*owner).as_ref().is_some_and(asked));
+        self.unanswered_since.retain(|owner, _| table.row(*owner).as_ref().is_some_and(asked));
         for row in table.rows.iter().filter(asked) {
-            let since = self.behind.entry(row.owner).or_insert((row.answered, now));
+            let since = self.unanswered_since.entry(row.owner).or_insert((row.answered, now));
             if since.0 != row.answered {
                 *since = (row.answered, now);
             }
         }
-        (self.table, self.fresh) = (Some((table, version)), true);
+        (self.table, self.unplanned) = (Some((table, version)), true);
         if self.held() > before {
-            (self.patience, self.next_round) = (0, Micros::MIN);
+            (self.round_backoff, self.next_round) = (0, Micros::MIN);
         }
     }
 
     /// How often it looks at the table: often while others are to give to it.
-    fn every(&self, table: &Table) -> Micros {
-        let waits = table.row(self.terrain.own).is_some_and(|row| row.wants > 0);
-        self.terrain.terms.acts_for() / if waits && !self.waiting.is_empty() { 12 } else { 3 }
+    fn read_interval(&self, table: &Table) -> Micros {
+        let waits = table.row(self.context.own).is_some_and(|row| row.wants > 0);
+        self.context.terms.acts_for() / if waits && !self.waiting.is_empty() { 12 } else { 3 }
     }
 }
