--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -117,7 +117,7 @@
     /// Statements that a new version has ended.
     pub ended: u64,
     revoked: Vec<u64>,
-    over: bool,
+    superseded_reported: bool,
     /// What the shares lacked when the caller was told last.
     shares_trouble: Option<Event>,
 }
@@ -157,7 +157,7 @@
             looked: 0,
             ended: 0,
             revoked: Vec::new(),
-            over: false,
+            superseded_reported: false,
             shares_trouble: None,
         }
     }
@@ -354,10 +354,10 @@
         ledger_requests.append(&mut self.hits.asks);
         ledger_requests.append(&mut self.shares.asks);
         let mut events = std::mem::take(&mut self.versions.events);
-        if std::mem::take(&mut self.hits.full) {
+        if std::mem::take(&mut self.hits.ledger_full) {
             events.push(Event::LedgerFull { what: "hits" });
         }
-        if self.hits.over && !std::mem::replace(&mut self.over, true) {
+        if self.hits.superseded && !std::mem::replace(&mut self.superseded_reported, true) {
             events.push(Event::Superseded);
         }
         let trouble = self.shares.trouble();
--- a/crates/access/src/hits.rs
+++ b/crates/access/src/hits.rs
@@ -16,10 +16,10 @@
 
 const PAGE: usize = 64; // rows of a page; some 3 KB
 const MOST_PAGES: usize = 64; // of a life; rows beyond are counted under any customer
-const AGAIN: Micros = 250_000; // microseconds until what the ledger could not do is asked again
+const RETRY_INTERVAL: Micros = 250_000; // microseconds until what the ledger could not do is asked again
 const FORMAT: u8 = 1; // of a page and of the list of lives
 const CLOSED: u8 = 2; // of a page that is written no more
-const ANY: &str = "*"; // the customer, or the rule, of rows for which there is no room
+const OTHERS: &str = "*"; // the customer, or the rule, of rows for which there is no room
 
 /// What is counted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -99,14 +99,14 @@
     lives: Option<(Vec<(u64, u32)>, u64)>,
     listing: bool,
     asked: HashMap<u64, Pending>,
-    try_again: Micros,
+    retry_at: Micros,
     ticked: Micros,
     /// An earlier life of this front that is taken into the fleet's table.
     fold: Option<Fold>,
     /// The list of lives has changed since it was read.
-    reread: bool,
+    list_is_stale: bool,
     /// A later life of this front counts: this one may no more.
-    pub over: bool,
+    pub superseded: bool,
     sweep: Option<Sweep>,
     folded: BTreeMap<usize, (Folded, u64)>,
     known: BTreeMap<Owner, HitCounts>,
@@ -118,7 +118,7 @@
     /// The fleet's count is there, as it was asked for.
     pub swept: bool,
     /// The ledger has refused a page for lack of space.
-    pub full: bool,
+    pub ledger_full: bool,
 }
 
 fn lives_key(front: FrontId) -> Key {
@@ -165,11 +165,11 @@
             lives: None,
             listing: false,
             asked: HashMap::new(),
-            try_again: Micros::MIN,
+            retry_at: Micros::MIN,
             ticked: Micros::MIN,
             fold: None,
-            reread: false,
-            over: false,
+            list_is_stale: false,
+            superseded: false,
             sweep: None,
             folded: BTreeMap::new(),
             known: BTreeMap::new(),
@@ -177,7 +177,7 @@
             asks: Vec::new(),
             counted: Vec::new(),
             swept: false,
-            full: false,
+            ledger_full: false,
         }
     }
 
@@ -203,9 +203,9 @@
         let room = |rows: usize, spare: usize| rows + spare < PAGE * MOST_PAGES;
         let hit = match (room(self.rows.len(), 512), room(self.rows.len(), 1)) {
             (true, _) => hit,
-            (false, true) => Hit { customer: ANY.to_string(), ..hit },
+            (false, true) => Hit { customer: OTHERS.to_string(), ..hit },
             (false, false) => {
-                Hit { rule: ANY.to_string(), customer: ANY.to_string(), region: ANY.to_string() }
+                Hit { rule: OTHERS.to_string(), customer: OTHERS.to_string(), region: OTHERS.to_string() }
             }
         };
         if !self.rows.contains_key(&hit) {
@@ -232,14 +232,14 @@
     pub fn sweep(&mut self, at: Moment) {
         if self.sweep.is_none() {
             self.sweep = Some(Sweep::new(at.steady, &self.fronts));
-            self.try_again = self.try_again.min(at.steady);
+            self.retry_at = self.retry_at.min(at.steady);
         }
     }
 
     /// When `tick` is next due, on the steady clock; `Micros::MAX` if nothing is.
     pub fn due(&self) -> Micros {
-        if self.try_again > self.ticked {
-            self.try_again
+        if self.retry_at > self.ticked {
+            self.retry_at
         } else {
             Micros::MAX
         }
@@ -248,15 +248,15 @@
     /// Queues the requests that are due. `number` gives each request a number of its own.
     pub fn tick(&mut self, at: Moment, number: &mut impl FnMut() -> u64) {
         self.ticked = at.steady;
-        if at.steady < self.try_again {
+        if at.steady < self.retry_at {
             return;
         }
-        self.list(number);
-        if !self.over {
-            (0..self.listed).for_each(|page| self.put(page, number));
-            self.fold_on(at.wall_ms, number);
+        self.list_pages(number);
+        if !self.superseded {
+            (0..self.listed).for_each(|page| self.put_page(page, number));
+            self.advance_fold(at.wall_ms, number);
         }
-        self.read_on(number);
+        self.advance_sweep(number);
     }
 
     fn ask(&mut self, number: &mut impl FnMut() -> u64, asked: Pending, key: Key, act: Act) {
@@ -266,13 +266,14 @@
     }
 
     /// Names this life and its pages in the list of lives, before anything is counted there.
-    fn list(&mut self, number: &mut impl FnMut() -> u64) {
-        let lists = self.reread || self.listed < self.pages.len();
-        if self.over || !lists || self.listing {
+    fn list_pages(&mut self, number: &mut impl FnMut() -> u64) {
+        let lists = self.list_is_stale || self.listed < self.pages.len();
+        if self.superseded || !lists || self.listing {
             return;
         }
         self.listing = true;
-        let Some((lives, version)) = self.lives.as_ref().filter(|_| !std::mem::take(&mut self.reread)) else {
+        let Some((lives, version)) = self.lives.as_ref().filter(|_| !std::mem::take(&mut self.list_is_stale))
+        else {
             return self.ask(number, Pending::Lives, lives_key(self.own.front), Act::Read);
         };
         let mut lives: Vec<(u64, u32)> = lives.clone();
@@ -283,7 +284,7 @@
         self.ask(number, Pending::Lives, lives_key(self.own.front), act);
     }
 
-    fn put(&mut self, at: usize, number: &mut impl FnMut() -> u64) {
+    fn put_page(&mut self, at: usize, number: &mut impl FnMut() -> u64) {
         let Some(page) = self.pages.get_mut(at).filter(|p| !p.putting && p.standing < p.added) else {
             return;
         };
@@ -304,21 +305,23 @@
     ) -> bool {
         let Some(asked) = self.asked.remove(&asked) else { return false };
         let failed = matches!(outcome, Outcome::Unreachable | Outcome::Full);
-        self.full |= outcome == Outcome::Full;
+        self.ledger_full |= outcome == Outcome::Full;
         match asked {
-            Pending::Put { page, added } => self.put_done(page, added, outcome),
-            Pending::Lives => self.listed_done(outcome),
-            Pending::LivesOf(_) | Pending::PageOf(_) | Pending::Folded(_) => self.swept_on(asked, outcome),
-            step => self.folded_on(&step, outcome),
+            Pending::Put { page, added } => self.on_put_answer(page, added, outcome),
+            Pending::Lives => self.on_list_answer(outcome),
+            Pending::LivesOf(_) | Pending::PageOf(_) | Pending::Folded(_) => {
+                self.on_sweep_answer(asked, outcome)
+            }
+            step => self.on_fold_answer(&step, outcome),
         }
         if failed {
-            self.try_again = at.steady + AGAIN;
+            self.retry_at = at.steady + RETRY_INTERVAL;
         }
         self.tick(at, number);
         true
     }
 
-    fn put_done(&mut self, at: usize, added: u64, outcome: Outcome) {
+    fn on_put_answer(&mut self, at: usize, added: u64, outcome: Outcome) {
         let Some(page) = self.pages.get_mut(at) else { return };
         page.putting = false;
         match outcome {
@@ -328,7 +331,7 @@
             // An earlier put of this life that was thought lost has stood.
             Outcome::Held(entry) => {
                 // Only a later life of this front closes its pages.
-                self.over |= is_closed(&entry.value);
+                self.superseded |= is_closed(&entry.value);
                 page.version = entry.version;
             }
             _ => {}
@@ -341,7 +344,7 @@
         self.counted.extend(counted);
     }
 
-    fn listed_done(&mut self, outcome: Outcome) {
+    fn on_list_answer(&mut self, outcome: Outcome) {
         self.listing = false;
         let entry = match outcome {
             Outcome::Stands(entry) | Outcome::Held(entry) => entry,
@@ -351,11 +354,11 @@
         // An answer told again comes without what stands: it is read anew.
         let Some(lives) = whole::<Vec<(u64, u32)>>(&entry.value) else {
             // One of a format that this build does not know stays as it is.
-            let known = if entry.value.is_empty() { 0 } else { 20 * AGAIN };
-            self.try_again = self.try_again.max(self.ticked + known);
+            let known = if entry.value.is_empty() { 0 } else { 20 * RETRY_INTERVAL };
+            self.retry_at = self.retry_at.max(self.ticked + known);
             return self.lives = None;
         };
-        self.over |= lives.iter().any(|(life, _)| *life > self.own.incarnation);
+        self.superseded |= lives.iter().any(|(life, _)| *life > self.own.incarnation);
         if let Some((_, pages)) = lives.iter().find(|(life, _)| *life == self.own.incarnation) {
             self.listed = self.listed.max(*pages as usize).min(self.pages.len());
         }
--- a/crates/access/src/hits/fold.rs
+++ b/crates/access/src/hits/fold.rs
@@ -13,11 +13,11 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    bytes, counts, lives_key, page_key, whole, Hit, HitCounts, Hits, Lives, Pending, ANY, CLOSED, FORMAT,
+    bytes, counts, lives_key, page_key, whole, Hit, HitCounts, Hits, Lives, Pending, CLOSED, FORMAT, OTHERS,
 };
 use crate::FrontId;
 
-pub(super) const PLACES: usize = 16; // parts of the fleet's table
+pub(super) const FOLDED_PARTS: usize = 16; // parts of the fleet's table
 const MOST_ROWS: usize = 256; // of a part; rows beyond are counted under any customer
 const LINGERS_MS: u64 = 7 * 86_400_000; // milliseconds for which the page of a folded life stays closed, without its counts
 
@@ -47,7 +47,7 @@
         for (hit, count) in rows {
             let hit = match self.counts.contains_key(hit) || self.counts.len() < MOST_ROWS {
                 true => hit.clone(),
-                false => Hit { customer: ANY.to_string(), region: ANY.to_string(), ..hit.clone() },
+                false => Hit { customer: OTHERS.to_string(), region: OTHERS.to_string(), ..hit.clone() },
             };
             *self.counts.entry(hit).or_default() += count;
         }
@@ -55,10 +55,10 @@
 }
 
 /// The part that a row belongs to; the same in every build.
-pub(super) fn place_of(hit: &Hit) -> usize {
+pub(super) fn part_of(hit: &Hit) -> usize {
     let texts = [&hit.rule, &hit.customer, &hit.region];
     let hash = fnv1a(texts.into_iter().flat_map(|text| text.bytes().chain([0])));
-    ((hash ^ (hash >> 32)) % PLACES as u64) as usize
+    ((hash ^ (hash >> 32)) % FOLDED_PARTS as u64) as usize
 }
 
 pub(super) fn folded_key(place: usize) -> Key {
@@ -84,7 +84,7 @@
 
 impl Hits {
     /// Brings the earliest life one step on; one after the other, so that what was folded is all up to a life.
-    pub(super) fn fold_on(&mut self, wall_ms: u64, number: &mut impl FnMut() -> u64) {
+    pub(super) fn advance_fold(&mut self, wall_ms: u64, number: &mut impl FnMut() -> u64) {
         let own = self.own;
         let Some((lives, version)) = self.lives.clone() else { return };
         if self.fold.is_none() {
@@ -141,7 +141,7 @@
     }
 
     /// The ledger has answered a step.
-    pub(super) fn folded_on(&mut self, asked: &Pending, outcome: Outcome) {
+    pub(super) fn on_fold_answer(&mut self, asked: &Pending, outcome: Outcome) {
         let Some(fold) = &mut self.fold else { return };
         fold.asking = false;
         match (asked, outcome) {
@@ -178,14 +178,14 @@
             // The list has moved on: it is read anew, and what was folded is known by the parts.
             (Pending::Dropping, _) => {
                 self.fold = None;
-                return self.reread = true;
+                return self.list_is_stale = true;
             }
             _ => {}
         }
         if fold.left.is_none() && fold.pages.len() == fold.count {
             let mut left: BTreeMap<usize, HitCounts> = BTreeMap::new();
             for (hit, count) in fold.pages.iter().flatten() {
-                *left.entry(place_of(hit)).or_default().entry(hit.clone()).or_default() += count;
+                *left.entry(part_of(hit)).or_default().entry(hit.clone()).or_default() += count;
             }
             fold.left = Some(left);
         }
--- a/crates/access/src/hits/fold_tests.rs
+++ b/crates/access/src/hits/fold_tests.rs
@@ -11,6 +11,6 @@
 fn a_rows_part_is_the_same_in_every_build() {
     for (rule, customer, region, part) in PARTS {
         let [rule, customer, region] = [rule, customer, region].map(str::to_string);
-        assert_eq!(place_of(&Hit { rule, customer, region }), part);
+        assert_eq!(part_of(&Hit { rule, customer, region }), part);
     }
 }
--- a/crates/access/src/hits/sweep.rs
+++ b/crates/access/src/hits/sweep.rs
@@ -4,7 +4,7 @@
 
 use hallmux_ledger::{Act, Outcome, Owner};
 
-use super::fold::{folded_key, place_of, Folded, PLACES};
+use super::fold::{folded_key, part_of, Folded, FOLDED_PARTS};
 use super::{counts, lives_key, merge_counts, page_key, whole, FleetHits, HitCounts, Hits, Pending};
 use crate::{FrontId, Micros};
 
@@ -34,7 +34,7 @@
 
 impl Hits {
     /// Reads on for the fleet's count.
-    pub(super) fn read_on(&mut self, number: &mut impl FnMut() -> u64) {
+    pub(super) fn advance_sweep(&mut self, number: &mut impl FnMut() -> u64) {
         loop {
             let Some(sweep) = self.sweep.as_mut().filter(|sweep| sweep.out < AT_ONCE) else { return };
             let Some(read) = sweep.reads.pop() else {
@@ -42,7 +42,7 @@
                     break;
                 }
                 sweep.last = true;
-                sweep.reads.extend((0..PLACES).map(Read::Folded));
+                sweep.reads.extend((0..FOLDED_PARTS).map(Read::Folded));
                 continue;
             };
             sweep.out += 1;
@@ -70,7 +70,7 @@
         }
         let folded = &self.folded;
         let has = |hit: &super::Hit, owner: &Owner| {
-            folded.get(&place_of(hit)).is_some_and(|(folded, _)| folded.has(*owner))
+            folded.get(&part_of(hit)).is_some_and(|(folded, _)| folded.has(*owner))
         };
         for (owner, table) in &mut self.known {
             table.retain(|hit, _| !has(hit, owner));
@@ -82,7 +82,7 @@
         counts
     }
 
-    pub(super) fn swept_on(&mut self, asked: Pending, outcome: Outcome) {
+    pub(super) fn on_sweep_answer(&mut self, asked: Pending, outcome: Outcome) {
         let Some(sweep) = &mut self.sweep else { return };
         sweep.out -= 1;
         match (asked, outcome) {
