--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -76,7 +76,7 @@
 /// What is to be done.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Output {
-    /// Requests to the ledger; each is answered through [`Access::done`] under its number.
+    /// Requests to the ledger; each is answered through [`Access::on_ledger_answer`] under its number.
     pub ledger_requests: Vec<Ask>,
     /// Events for the log, in the order in which they happened.
     pub events: Vec<Event>,
@@ -113,9 +113,9 @@
     open: BTreeMap<u64, Open>,
     next: u64,
     /// The version that open statements were last held against.
-    looked: u64,
+    checked_version: u64,
     /// Statements that a new version has ended.
-    pub ended: u64,
+    pub revoked_count: u64,
     revoked: Vec<u64>,
     superseded_reported: bool,
     /// What the shares lacked when the caller was told last.
@@ -154,8 +154,8 @@
             hits: Hits::new(own, fronts),
             open: BTreeMap::new(),
             next: 0,
-            looked: 0,
-            ended: 0,
+            checked_version: 0,
+            revoked_count: 0,
             revoked: Vec::new(),
             superseded_reported: false,
             shares_trouble: None,
@@ -249,9 +249,10 @@
         let Some(index) = self.versions.lease(at.steady) else { return false };
         let Some(open) = self.open.get_mut(&statement) else { return false };
         let still = open.verdict.version == index.set.version
-            || judge(index, &self.region, &open.request, at.wall_ms, Some(open.first_judged_ms)).lets(place);
+            || judge(index, &self.region, &open.request, at.wall_ms, Some(open.first_judged_ms))
+                .allows(place);
         let may =
-            still && !open.ending && open.verdict.lets(place) && self.shares.begins(at.steady, statement);
+            still && !open.ending && open.verdict.allows(place) && self.shares.begins(at.steady, statement);
         if may {
             open.out.insert(execution, place);
         }
@@ -276,7 +277,7 @@
     }
 
     /// A statement has its final answer, or nobody waits for it.
-    pub fn over(&mut self, statement: u64) {
+    pub fn statement_over(&mut self, statement: u64) {
         self.open.remove(&statement);
         self.hits.forget(statement);
         self.shares.over(statement);
@@ -293,13 +294,13 @@
     pub fn tick(&mut self, at: Moment) {
         self.versions.tick(at);
         self.shares.tick(at, &mut || self.versions.number());
-        self.have_shares();
+        self.count_those_with_shares();
         self.hits.tick(at, &mut || self.versions.number());
-        self.look(at);
+        self.revoke_barred(at);
     }
 
     /// Those that have their shares now wait for their count.
-    fn have_shares(&mut self) {
+    fn count_those_with_shares(&mut self) {
         for statement in std::mem::take(&mut self.shares.ready) {
             if let Some(open) = self.open.get_mut(&statement) {
                 self.hits.count(statement, std::mem::take(&mut open.hits));
@@ -308,41 +309,41 @@
     }
 
     /// The ledger has answered. False if it was not asked here.
-    pub fn done(&mut self, at: Moment, done: Done) -> bool {
+    pub fn on_ledger_answer(&mut self, at: Moment, done: Done) -> bool {
         let Done { number, outcome } = done;
         let ours = self.versions.done(at, number, outcome.clone())
             || self.hits.done(at, number, outcome.clone(), &mut || self.versions.number())
             || self.shares.done(at, number, outcome, &mut || self.versions.number());
-        self.have_shares();
+        self.count_those_with_shares();
         self.hits.tick(at, &mut || self.versions.number());
-        self.look(at);
+        self.revoke_barred(at);
         ours
     }
 
     /// Asks for the fleet's count; it comes with `Output`.
-    pub fn sweep(&mut self, at: Moment) {
+    pub fn request_fleet_hits(&mut self, at: Moment) {
         self.hits.sweep(at);
     }
 
     /// The fleet's count as it was asked for last, and how old it is at most.
-    pub fn fleet(&self, steady: Micros) -> (&FleetHits, Option<Micros>) {
+    pub fn fleet_hits(&self, steady: Micros) -> (&FleetHits, Option<Micros>) {
         let fleet = self.hits.fleet();
         (fleet, fleet.as_of.map(|at| steady - at))
     }
 
     /// Holds what runs against a version that was adopted.
-    fn look(&mut self, at: Moment) {
+    fn revoke_barred(&mut self, at: Moment) {
         let index = self.versions.held();
-        if index.set.version == self.looked {
+        if index.set.version == self.checked_version {
             return;
         }
-        self.looked = index.set.version;
+        self.checked_version = index.set.version;
         for (statement, open) in self.open.iter_mut().filter(|(_, open)| !open.out.is_empty() && !open.ending)
         {
             let verdict = judge(index, &self.region, &open.request, at.wall_ms, Some(open.first_judged_ms));
-            if !open.out.values().all(|place| verdict.lets(*place)) {
+            if !open.out.values().all(|place| verdict.allows(*place)) {
                 open.ending = true;
-                self.ended += 1;
+                self.revoked_count += 1;
                 self.revoked.push(*statement);
             }
         }
--- a/crates/access/src/index.rs
+++ b/crates/access/src/index.rs
@@ -31,7 +31,7 @@
 impl Verdict {
     /// Whether the statement may be read at a location. `None` stands for a location that is not known, which is
     /// allowed only where all are.
-    pub fn lets(&self, place: Option<u16>) -> bool {
+    pub fn allows(&self, place: Option<u16>) -> bool {
         let named = |all: &Vec<u16>| place.is_some_and(|place| all.binary_search(&place).is_ok());
         self.denied.is_none() && self.allowed.as_ref().is_none_or(named)
     }
@@ -217,7 +217,7 @@
         }
         // One place more stands for those that are not known here.
         let all: Vec<u16> = (0..=known.locations.len() as u16).collect();
-        let lets = |index: &Index, attributes: &Attributes, at: u64| {
+        let allows = |index: &Index, attributes: &Attributes, at: u64| {
             let verdict = index.judge_one(attributes, at);
             let limits = index.limits(&verdict);
             let allowed =
@@ -238,8 +238,8 @@
                     };
                     let less = |group: &Option<u32>| {
                         times.iter().any(|at| {
-                            let (new, limits) = lets(self, &kind(*group), *at);
-                            let (old, before) = lets(before, &kind(*group), *at);
+                            let (new, limits) = allows(self, &kind(*group), *at);
+                            let (old, before) = allows(before, &kind(*group), *at);
                             let limited = limits.iter().any(|limit| !before.contains(limit));
                             limited || old.iter().any(|place| new.binary_search(place).is_err())
                         })
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -84,7 +84,7 @@
                 }
                 for ask in out.ledger_requests {
                     let outcome = self.act(&ask.key, ask.act);
-                    self.access.done(self.at(), Done { number: ask.number, outcome });
+                    self.access.on_ledger_answer(self.at(), Done { number: ask.number, outcome });
                 }
             }
         }
@@ -158,7 +158,7 @@
     one.swaps();
     assert!(!counts(&mut one) && !counts(&mut one) && one.said.contains(&Event::Superseded));
     one.swaps();
-    one.access.sweep(one.at());
+    one.access.request_fleet_hits(one.at());
     one.passes(4_000);
     let fleet = one.fleet.clone().unwrap();
     assert_eq!((fleet.missing.len(), fleet.counts.into_values().collect::<Vec<_>>()), (0, vec![4, 4]));
--- a/crates/access/tests/fleet.rs
+++ b/crates/access/tests/fleet.rs
@@ -157,7 +157,7 @@
     sim.offer_text(2, 3, "{ version: 3, roll_back_to: 1 }");
     sim.run(8_000_000);
     assert_eq!(sim.versions(), vec![(3, true); sim.len()]);
-    assert_eq!(sim.lets(0, "acme"), Some(vec![0]));
+    assert_eq!(sim.allows(0, "acme"), Some(vec![0]));
     sim.offer_text(2, 4, "{ version: 4, roll_back_to: 77 }");
     sim.run(2_000_000);
     let last = sim.said.iter().rev().find_map(|(_, _, said)| match said {
@@ -192,11 +192,11 @@
         sim.run(10_000_000);
         let now = sim.versions();
         assert_eq!((&now[..4], now[4].1), (&[(11, true); 4][..], false), "to {to}");
-        assert_eq!(sim.lets(0, "acme"), Some(regions(*to)), "to {to}");
+        assert_eq!(sim.allows(0, "acme"), Some(regions(*to)), "to {to}");
         assert!(sim.took(11).is_some_and(|took| took < 4_000_000), "to {to}: {:?}", sim.took(11));
         sim.run(4_000_000);
         assert_eq!(sim.versions(), vec![(11, true); sim.len()], "to {to}");
-        assert_eq!(sim.lets(4, "acme"), Some(regions(*to)), "to {to}");
+        assert_eq!(sim.allows(4, "acme"), Some(regions(*to)), "to {to}");
         assert_eq!(sim.barred(), Vec::<String>::new(), "to {to}");
     }
 }
--- a/crates/access/tests/fleet/record.rs
+++ b/crates/access/tests/fleet/record.rs
@@ -25,7 +25,8 @@
                 first_judged_ms: None,
             };
             let mut may = indices.range(held..).filter(|(_, (since, _))| since <= at);
-            if !may.any(|(_, (_, index))| index.judge(&attributes, groups.as_deref(), 0).lets(Some(*place))) {
+            if !may.any(|(_, (_, index))| index.judge(&attributes, groups.as_deref(), 0).allows(Some(*place)))
+            {
                 found.push(format!("{at}: front {front} sent {asked:?} to {place} under version {held}"));
             }
         }
@@ -34,7 +35,7 @@
 
     pub fn fleet_count(&mut self, front: usize) -> FleetHits {
         let at = self.moment(front);
-        self.fronts[front].access.sweep(at);
+        self.fronts[front].access.request_fleet_hits(at);
         self.counts.remove(&front);
         for _ in 0..2_000 {
             self.carry();
@@ -64,7 +65,7 @@
     }
 
     /// Where a customer's lookups may be read, as a front judges them.
-    pub fn lets(&mut self, front: usize, customer: &str) -> Option<Vec<u16>> {
+    pub fn allows(&mut self, front: usize, customer: &str) -> Option<Vec<u16>> {
         let at = self.moment(front);
         let asked =
             Request { customer: customer.to_string(), workload: "lookup".to_string(), groups: Some(vec![1]) };
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -190,7 +190,7 @@
                 self.answers.push((at, front, life, done)); // it lies in its socket until it wakes
             } else if self.fronts[front].life == life {
                 let moment = self.moment(front);
-                self.fronts[front].access.done(moment, done);
+                self.fronts[front].access.on_ledger_answer(moment, done);
             }
         }
     }
@@ -266,7 +266,7 @@
             hits.into_iter().for_each(|hit| *self.acked.entry(hit).or_default() += 1);
             if verdict.denied.is_some() {
                 self.tallies.denied += 1;
-                f.access.over(statement);
+                f.access.statement_over(statement);
             } else {
                 let wait = if self.rng.random_bool(0.2) { 8_000_000 } else { 50_000 };
                 f.queued.push((self.now + self.rng.random_range(0..wait), statement, asked, verdict));
@@ -275,12 +275,12 @@
         for statement in out.over_limit {
             self.tallies.limited += 1;
             f.waiting.remove(&statement);
-            f.access.over(statement);
+            f.access.statement_over(statement);
         }
         for statement in out.revoked {
             self.tallies.ended += 1;
             f.running.remove(&statement);
-            f.access.over(statement);
+            f.access.statement_over(statement);
         }
         self.send(front, at);
     }
@@ -332,7 +332,7 @@
                 self.tallies.sent += 1;
                 f.running.insert(statement, self.now + self.rng.random_range(10_000..2_000_000));
             } else {
-                f.access.over(statement);
+                f.access.statement_over(statement);
             }
         }
         let over: Vec<u64> =
@@ -340,7 +340,7 @@
         for statement in over {
             f.running.remove(&statement);
             f.access.execution_ended(statement, 0);
-            f.access.over(statement);
+            f.access.statement_over(statement);
         }
     }
 }
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -144,7 +144,7 @@
             Err(why) => log::error!("the rules are left as they were: {why}"),
         }
         self.logged_hits = None;
-        self.access.sweep(self.moment(now));
+        self.access.request_fleet_hits(self.moment(now));
     }
 
     fn moment(&self, now: Micros) -> Moment {
@@ -207,7 +207,7 @@
 
     fn dropped(&mut self, judged: &Decision) {
         if let Decision::Decided { statement, .. } = judged {
-            self.access.over(*statement);
+            self.access.statement_over(*statement);
         }
     }
 
@@ -215,7 +215,7 @@
     pub fn statement_over(&mut self, ticket: Ticket) {
         if let Some(statement) = self.tickets.remove(&ticket) {
             self.statements.remove(&statement);
-            self.access.over(statement);
+            self.access.statement_over(statement);
         }
     }
 
@@ -296,7 +296,7 @@
         let at = self.moment(now);
         if at.steady >= self.next_log {
             self.next_log = at.steady + self.log_every;
-            self.access.sweep(at);
+            self.access.request_fleet_hits(at);
             self.log_limits();
         }
         self.access.tick(at);
@@ -341,7 +341,7 @@
     }
 
     fn done(&mut self, now: Micros, done: ledger::Done) -> bool {
-        self.access.done(self.moment(now), done)
+        self.access.on_ledger_answer(self.moment(now), done)
     }
 
     fn take(&mut self, at: Moment, out: &access::Output) {
@@ -362,13 +362,13 @@
             let Some(s) = self.statements.get(number) else { continue };
             self.rulings.push(Ruling::End { ticket: s.ticket, ran: true, again: false });
         }
-        if self.ended != self.access.ended {
-            let more = self.access.ended - self.ended;
+        if self.ended != self.access.revoked_count {
+            let more = self.access.revoked_count - self.ended;
             log::warn!(
                 "{more} statements ran where the rules bar from now on, and are ended; {} so far",
-                self.access.ended
+                self.access.revoked_count
             );
-            self.ended = self.access.ended;
+            self.ended = self.access.revoked_count;
         }
         if let Some(fleet) = &out.fleet_hits {
             self.log_hits(at, fleet);
