--- a/crates/access/src/index.rs
+++ b/crates/access/src/index.rs
@@ -1,9 +1,10 @@
 //! A set compiled, so that the cost of a decision hardly grows with its rules: a table by the fields that rules name,
 //! and within each entry the tables' groups cut into stretches with the rules of each in order.
 
+mod compare;
+
 use std::collections::HashMap;
 
-use crate::known::KnownNames;
 use crate::rule::{Attributes, DefaultEffect, Rule, RuleEffect, RuleSet};
 use crate::shares::Limit;
 
@@ -182,74 +183,6 @@
     pub fn name(&self, rule: usize) -> &str {
         self.set.rules.get(rule).map_or("", |r| &r.name)
     }
-
-    /// Whether, for some statement, this set lets less through than an earlier one at any time from now on. Exact where
-    /// the kinds of statements that the two tell apart are few; beyond that it says yes.
-    pub fn tightens(&self, before: &Index, known: &KnownNames, now_ms: u64) -> bool {
-        const MOST_LOOKED_AT: usize = 200_000; // kinds of statements; some 100 ms
-        let sets = [&self.set, &before.set];
-        let names = |field: fn(&Rule) -> Option<&String>| {
-            // What no rule names stands for all that none names.
-            let named = sets.iter().flat_map(|set| &set.rules).filter_map(field).map(String::as_str);
-            let mut names: Vec<&str> = named.chain([""]).collect();
-            names.sort_unstable();
-            names.dedup();
-            names
-        };
-        let customers = names(|r| r.customer.as_ref());
-        let workloads = names(|r| r.workload.as_ref());
-        let fronts = names(|r| r.front.as_ref());
-        let rules = || sets.iter().flat_map(|set| &set.rules);
-        let ends = |t: &crate::rule::TableRange| [Some(t.first), t.last.checked_add(1)];
-        let mut groups: Vec<Option<u32>> =
-            rules().filter_map(|r| r.tables.as_ref()).flat_map(ends).flatten().map(Some).collect();
-        groups.extend([None, Some(0)]);
-        groups.sort_unstable();
-        groups.dedup();
-        let mut times: Vec<u64> = rules().flat_map(|r| [r.from_ms, r.until_ms]).collect();
-        times.retain(|at| *at > now_ms && *at < u64::MAX);
-        times.push(now_ms);
-        times.sort_unstable();
-        times.dedup();
-        let kinds = [customers.len(), workloads.len(), fronts.len(), groups.len(), times.len()];
-        if kinds.iter().try_fold(1usize, |all, n| all.checked_mul(*n)).is_none_or(|n| n > MOST_LOOKED_AT) {
-            return true;
-        }
-        // One place more stands for those that are not known here.
-        let all: Vec<u16> = (0..=known.locations.len() as u16).collect();
-        let allows = |index: &Index, attributes: &Attributes, at: u64| {
-            let verdict = index.judge_one(attributes, at);
-            let limits = index.limits(&verdict);
-            let allowed =
-                verdict.denied.map_or_else(|| verdict.allowed.unwrap_or_else(|| all.clone()), |_| Vec::new());
-            (allowed, limits)
-        };
-        let mut tightens = false;
-        for customer in &customers {
-            for workload in &workloads {
-                for front in &fronts {
-                    let kind = |group| Attributes {
-                        customer,
-                        workload,
-                        group,
-                        tables_known: false,
-                        front,
-                        first_judged_ms: None,
-                    };
-                    let less = |group: &Option<u32>| {
-                        times.iter().any(|at| {
-                            let (new, limits) = allows(self, &kind(*group), *at);
-                            let (old, before) = allows(before, &kind(*group), *at);
-                            let limited = limits.iter().any(|limit| !before.contains(limit));
-                            limited || old.iter().any(|place| new.binary_search(place).is_err())
-                        })
-                    };
-                    tightens |= groups.iter().any(less);
-                }
-            }
-        }
-        tightens
-    }
 }
 
 impl Index {
