--- a/crates/access/tests/fleet.rs
+++ b/crates/access/tests/fleet.rs
@@ -1,6 +1,8 @@
 //! Fronts with rules in simulated time, under drawn faults: cuts, stalls, restarts with an empty memory, clocks that
 //! run apart, two files at once. What left and when is recorded apart from what fronts say of themselves.
 
+#[path = "common/faults.rs"]
+mod faults;
 #[path = "fleet/sim.rs"]
 mod sim;
 
--- a/crates/access/tests/fleet/played.rs
+++ b/crates/access/tests/fleet/played.rs
@@ -3,6 +3,7 @@
 use rand::Rng;
 
 use super::{access, Sim, FRONTS, PLACES};
+use crate::faults::{self, Fault};
 
 #[derive(Clone, Copy)]
 pub struct Faults {
@@ -64,18 +65,18 @@
 
 impl Sim {
     pub fn draw_faults(&mut self) {
-        let front = self.rng.random_range(0..FRONTS);
-        match self.rng.random_range(0..2_000) {
-            0..4 => {
-                self.fronts[front].cut = self.now + self.rng.random_range(200_000..9_000_000);
+        let (front, fault) = faults::draw(&mut self.rng, FRONTS);
+        match fault {
+            Fault::Cut(time) => {
+                self.cut(front, time);
                 self.tallies.cuts += 1;
             }
-            4..7 => {
-                self.fronts[front].stalled = self.now + self.rng.random_range(100_000..6_000_000);
+            Fault::Stall(time) => {
+                self.fronts[front].stalled = self.now + time;
                 self.tallies.stalls += 1;
             }
-            7..9 => self.restart(front),
-            9..13 => {
+            Fault::Restart => self.restart(front),
+            Fault::None(9..13) => {
                 let version = self.next_version;
                 self.next_version += 1;
                 let text = match version > 2 && self.rng.random_bool(0.25) {
@@ -94,13 +95,13 @@
                     self.offer_text(other, version, &text);
                 }
             }
-            13..15 => {
+            Fault::None(13..15) => {
                 // SIGHUP at a front whose file is as it was.
                 if let Some(file) = self.fronts[front].file.clone() {
                     self.offer(front, &file);
                 }
             }
-            _ => {}
+            Fault::None(_) => {}
         }
     }
 
--- a/crates/access/tests/shares.rs
+++ b/crates/access/tests/shares.rs
@@ -1,6 +1,8 @@
 //! Limits over the whole fleet: never more than N in any window of T, whatever happens to fronts and messages; and what
 //! a limit costs where all its traffic is at one front.
 
+#[path = "common/faults.rs"]
+mod faults;
 #[path = "shares/sim.rs"]
 mod sim;
 
--- a/crates/access/tests/shares/sim.rs
+++ b/crates/access/tests/shares/sim.rs
@@ -7,6 +7,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
+use crate::faults::{self, Fault};
+
 const STEP: i64 = 5_000; // microseconds of true time between looks at everything
 const PATIENCE: i64 = 500_000; // microseconds until the ledger says that it cannot be reached
 pub const DRIFT_PPM: u32 = 10_000;
@@ -126,17 +128,17 @@
     }
 
     fn draw_faults(&mut self) {
-        let front = self.rng.random_range(0..self.fronts.len());
-        match self.rng.random_range(0..2_000) {
-            0..4 => {
-                self.fronts[front].cut = self.now + self.rng.random_range(200_000..9_000_000);
+        let (front, fault) = faults::draw(&mut self.rng, self.fronts.len());
+        match fault {
+            Fault::Cut(time) => {
+                self.fronts[front].cut = self.now + time;
                 self.tallies.cuts += 1;
             }
-            4..7 => {
-                self.fronts[front].stalled = self.now + self.rng.random_range(100_000..6_000_000);
+            Fault::Stall(time) => {
+                self.fronts[front].stalled = self.now + time;
                 self.tallies.stalls += 1;
             }
-            7..9 => {
+            Fault::Restart => {
                 let life = self.fronts[front].life + 1;
                 let shares = self.shares(front, life, self.fronts.len());
                 let f = &mut self.fronts[front];
@@ -145,12 +147,12 @@
                 f.running.clear();
                 self.tallies.restarts += 1;
             }
-            9..15 => {
+            Fault::None(9..15) => {
                 let most = f64::from(self.limit.most) / (self.limit.window as f64 / 1e6);
                 let busy = self.rng.random_bool(0.4);
                 self.fronts[front].asked = if busy { self.rng.random_range(0.0..2.0) * most } else { 0.0 };
             }
-            _ => {}
+            Fault::None(_) => {}
         }
     }
 
