--- a/crates/access/src/index.rs
+++ b/crates/access/src/index.rs
@@ -5,7 +5,7 @@
 
 use std::collections::HashMap;
 
-use crate::rule::{Attributes, DefaultEffect, Rule, RuleEffect, RuleSet};
+use crate::rule::{Attributes, DefaultEffect, MatchedRules, RateLimit, Rule, RuleEffect, RuleSet};
 use crate::shares::Limit;
 
 const MOST_GROUPS: usize = 16; // groups of tables of one statement; more are as if they could not be told
@@ -90,16 +90,16 @@
         Index { names, decide, count, set }
     }
 
-    /// The rule that decides a statement and the one that only counts it.
-    pub fn first(&self, attributes: &Attributes, wall_ms: u64) -> (Option<usize>, Option<usize>) {
+    /// The rules about a statement.
+    pub fn find(&self, attributes: &Attributes, wall_ms: u64) -> MatchedRules {
         let number = |field: usize, name: &str| self.names[field].get(name).copied();
         let who =
             [number(0, attributes.customer), number(1, attributes.workload), number(2, attributes.front)];
-        let first = |table: &Table| self.find(table, who, attributes, wall_ms).map(|at| at as usize);
-        (first(&self.decide), first(&self.count))
+        let first = |table: &Table| self.first_in(table, who, attributes, wall_ms).map(|at| at as usize);
+        MatchedRules { deciding: first(&self.decide), counting: first(&self.count) }
     }
 
-    fn find(
+    fn first_in(
         &self,
         table: &Table,
         who: [Option<u32>; 3],
@@ -157,7 +157,7 @@
     }
 
     fn judge_one(&self, attributes: &Attributes, wall_ms: u64) -> Verdict {
-        let (rule, counts) = self.first(attributes, wall_ms);
+        let MatchedRules { deciding: rule, counting: counts } = self.find(attributes, wall_ms);
         let decides = rule.and_then(|at| self.set.rules.get(at));
         let untold = attributes.group.is_none() && decides.is_some_and(|r| r.tables.is_some());
         let (denied, allowed) = match decides.map(|r| &r.effect) {
@@ -175,7 +175,8 @@
     /// The limits that a verdict holds a statement to.
     pub fn limits(&self, verdict: &Verdict) -> Vec<Limit> {
         let rules = verdict.limits.iter().filter_map(|at| self.set.rules.get(*at));
-        let limit = |r: &Rule| r.limit.map(|(most, window)| Limit { rule: r.name.clone(), most, window });
+        let limit =
+            |r: &Rule| r.limit.map(|RateLimit { most, window }| Limit { rule: r.name.clone(), most, window });
         rules.filter_map(limit).collect()
     }
 
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -33,5 +33,5 @@
 pub use known::{KnownNames, WorkloadLocations};
 pub use read::{read, LineLookup, RulesCommand};
 pub use record::{ChangedDecision, Permission, WhatIfReport};
-pub use rule::{Attributes, DefaultEffect, Rule, RuleEffect, RuleSet, TableRange};
+pub use rule::{Attributes, DefaultEffect, MatchedRules, RateLimit, Rule, RuleEffect, RuleSet, TableRange};
 pub use shares::{Limit, Shares};
--- a/crates/access/src/read/rule.rs
+++ b/crates/access/src/read/rule.rs
@@ -4,7 +4,7 @@
 
 use super::{number, whole, Reader};
 use crate::error::Problem;
-use crate::rule::{Rule, RuleEffect, TableRange};
+use crate::rule::{RateLimit, Rule, RuleEffect, TableRange};
 use crate::Micros;
 
 const RULE_KEYS: &str =
@@ -98,7 +98,7 @@
         r: &Map<String, Value>,
         rule: &str,
         effect: Option<&RuleEffect>,
-    ) -> Option<(u32, Micros)> {
+    ) -> Option<RateLimit> {
         let limit = self.limit(path, r, rule);
         let allows = effect.is_none_or(|effect| matches!(effect, RuleEffect::Allow { .. }));
         if limit.is_some() && !allows {
@@ -130,7 +130,7 @@
         }
     }
 
-    fn limit(&mut self, path: &str, r: &Map<String, Value>, name: &str) -> Option<(u32, Micros)> {
+    fn limit(&mut self, path: &str, r: &Map<String, Value>, name: &str) -> Option<RateLimit> {
         let (most, window) = (r.get("at_most"), r.get("in_ms"));
         if most.is_some() != window.is_some() {
             let what = Problem::Shape {
@@ -146,7 +146,7 @@
             None => return self.problem(&format!("{path}.at_most"), Problem::Kind { needs }),
         };
         match whole(window?).filter(|ms| (WINDOW_MS.0..=WINDOW_MS.1).contains(ms)) {
-            Some(ms) => Some((most as u32, ms as Micros * 1000)),
+            Some(ms) => Some(RateLimit { most: most as u32, window: ms as Micros * 1000 }),
             None => {
                 let needs = "whole number of milliseconds from 1000 to 86400000";
                 self.problem(&format!("{path}.in_ms"), Problem::Kind { needs })
--- a/crates/access/src/rule.rs
+++ b/crates/access/src/rule.rs
@@ -72,8 +72,8 @@
     pub front: Option<String>,
     /// What it says of the statements that it matches.
     pub effect: RuleEffect,
-    /// At most so many statements that it lets through begin in any window of so many microseconds, in the fleet.
-    pub limit: Option<(u32, Micros)>,
+    /// How many of the statements that it lets through may begin in a time; `None`: any number.
+    pub limit: Option<RateLimit>,
     /// Rules with a higher priority go first.
     pub priority: i32,
     /// Unix milliseconds: from the first on, before the second.
@@ -86,6 +86,15 @@
     pub place: usize,
 }
 
+/// A bound on the statements that a rule lets through, over the whole fleet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RateLimit {
+    /// How many may begin in any window.
+    pub most: u32,
+    /// The length of a window in microseconds.
+    pub window: Micros,
+}
+
 /// What holds for a statement that no rule decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DefaultEffect {
@@ -175,6 +184,15 @@
     }
 }
 
+/// The rules about a statement, by their indices in the set's order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MatchedRules {
+    /// The rule that decides it; `None`: the default does.
+    pub deciding: Option<usize>,
+    /// The rule that only counts it.
+    pub counting: Option<usize>,
+}
+
 /// A set of rules, in the order in which they decide.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RuleSet {
@@ -202,8 +220,8 @@
         RuleSet { version, default, rules }
     }
 
-    /// The rule that decides and the one that only counts, by going through all in order: what the index must equal.
-    pub fn walk(&self, attributes: &Attributes, wall_ms: u64) -> (Option<usize>, Option<usize>) {
+    /// The rules about a statement, by going through all in order: what the index must equal.
+    pub fn walk(&self, attributes: &Attributes, wall_ms: u64) -> MatchedRules {
         let first = |counts: bool| {
             let fits = |r: &Rule| {
                 (r.effect == RuleEffect::Count) == counts
@@ -212,6 +230,6 @@
             };
             self.rules.iter().position(fits)
         };
-        (first(false), first(true))
+        MatchedRules { deciding: first(false), counting: first(true) }
     }
 }
--- a/crates/access/tests/rules.rs
+++ b/crates/access/tests/rules.rs
@@ -311,7 +311,7 @@
         let set = RuleSet::new(1, DefaultEffect::Allow, rules);
         let attributes = Attributes { customer, workload, group, tables_known, front, first_judged_ms: None };
         let walked = set.walk(&attributes, now);
-        prop_assert_eq!(Index::new(set).first(&attributes, now), walked);
+        prop_assert_eq!(Index::new(set).find(&attributes, now), walked);
     }
 
     #[test]
@@ -327,8 +327,8 @@
                     let group = Some(group);
                     let attributes =
                         Attributes { customer, workload, group, tables_known: true, front, first_judged_ms: None };
-                    let (decides, counts) = index.first(&attributes, now);
-                    for at in decides.into_iter().chain(counts) {
+                    let found = index.find(&attributes, now);
+                    for at in found.deciding.into_iter().chain(found.counting) {
                         prop_assert_eq!(index.shadow(at), None);
                     }
                 }
--- a/crates/lab/src/measure/promises.rs
+++ b/crates/lab/src/measure/promises.rs
@@ -141,7 +141,7 @@
                 (0..decisions).for_each(decide);
                 since.elapsed().as_nanos() as f64 / decisions as f64
             };
-            let fast = per(DECIDED, &|n| _ = std::hint::black_box(index.first(&one(n), 1)));
+            let fast = per(DECIDED, &|n| _ = std::hint::black_box(index.find(&one(n), 1)));
             let slow = per((DECIDED * 10 / count).clamp(50, DECIDED), &|n| {
                 _ = std::hint::black_box(walk.walk(&one(n), 1))
             });
