--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -1,7 +1,8 @@
 //! Regional access rules of customers: who may read what where. A set of rules is read and checked as a whole
 //! (`read`, `check`), compiled to an index (`index`), kept as one version for the whole fleet in the ledger of
-//! promises (`head`, `versions`), counted exactly (`hits`), and held to limits over the whole fleet (`shares`). `Access` joins them for one front. No sockets, no
-//! files, no clock, no chance: events and the time come in, asks to the ledger and words for the front go out.
+//! promises (`head`, `versions`), counted exactly (`hits`), and held to limits over the whole fleet (`shares`).
+//! `Access` joins them for one front. No sockets, no files, no clock, no randomness: statements, the ledger's answers
+//! and the time come in, requests to the ledger, decisions and events go out.
 //!
 //! A rule narrows where the decision module may send; the module still chooses among what is left.
 
--- a/crates/scatter/src/lib.rs
+++ b/crates/scatter/src/lib.rs
@@ -1,5 +1,5 @@
 //! Which sites could have rows that a statement asks for: sites' own signed summaries, what a condition proves by them,
-//! marks of loads that they do not speak of yet, and one answer from the parts. No sockets, no clock, no chance.
+//! marks of loads that they do not speak of yet, and one answer from the parts. No sockets, no clock, no randomness.
 
 #![warn(missing_docs)]
 
