--- a/crates/access/tests/rules.rs
+++ b/crates/access/tests/rules.rs
@@ -92,7 +92,7 @@
         ),
         ("{ default: 'allow', rules: [] }", "rules.json5: version: is missing; give a whole number"),
         ("{ version: 1, rules: [] }", "rules.json5: default: is missing; give 'allow' or 'deny'"),
-        ("{ version: 1, default: 'deny', rules: [], }", "Set"),
+        ("{ version: 1, default: 'deny', rules: [], }", "Replace(RuleSet "),
         (
             "{ version: 2, roll_back_to: 1, rules: [] }",
             "rules.json5:1: rules: is not known; the keys here are version",
