--- a/crates/scatter/src/from_sql.rs
+++ b/crates/scatter/src/from_sql.rs
@@ -29,61 +29,15 @@
         Expr::BinaryOp { op: BinaryOperator::Or, .. } => {
             Condition::Any(chain(e, &BinaryOperator::Or).into_iter().map(deeper).collect())
         }
-        Expr::BinaryOp { left, op, right } => {
-            let by = match op {
-                BinaryOperator::Eq => Comparison::Equal,
-                BinaryOperator::NotEq => Comparison::Unequal,
-                BinaryOperator::Lt => Comparison::Less,
-                BinaryOperator::LtEq => Comparison::AtMost,
-                BinaryOperator::Gt => Comparison::Greater,
-                BinaryOperator::GtEq => Comparison::AtLeast,
-                _ => return Condition::Other,
-            };
-            match (names.column(left), literal(right), literal(left), names.column(right)) {
-                (Some(column), Some(literal), ..) => Condition::Compare { column, by, literal },
-                (_, _, Some(literal), Some(column)) => {
-                    Condition::Compare { column, by: by.flipped(), literal }
-                }
-                _ => Condition::Other,
-            }
-        }
-        Expr::Between { expr, negated, low, high } => {
-            let (Some(column), Some(low), Some(high)) = (names.column(expr), literal(low), literal(high))
-            else {
-                return Condition::Other;
-            };
-            let side = |by, literal| Condition::Compare { column: column.clone(), by, literal };
-            not(
-                *negated,
-                Condition::All(vec![side(Comparison::AtLeast, low), side(Comparison::AtMost, high)]),
-            )
-        }
+        Expr::BinaryOp { left, op, right } => comparison(left, op, right, names),
+        Expr::Between { expr, negated, low, high } => not(*negated, between(expr, low, high, names)),
         Expr::In { expr, target: InTarget::List(list), negated, global: false } => {
-            let (Some(column), true) = (names.column(expr), list.len() <= MOST_LISTED) else {
-                return Condition::Other;
-            };
-            let equal = |e: &Expr| {
-                let (column, by) = (column.clone(), Comparison::Equal);
-                literal(e).map_or(Condition::Other, |literal| Condition::Compare { column, by, literal })
-            };
-            not(*negated, Condition::Any(list.iter().map(equal).collect()))
+            not(*negated, one_of(expr, list, names))
         }
         Expr::IsNull(inner) => null(inner, false, names),
         Expr::IsNotNull(inner) => null(inner, true, names),
         Expr::Like { negated, any: false, expr, pattern, escape_char } => {
-            let (Some(column), Some(Literal::Text(pattern))) = (names.column(expr), literal(pattern)) else {
-                return Condition::Other;
-            };
-            let escape = match escape_char.as_deref() {
-                None => None,
-                Some(e) => match literal(e) {
-                    Some(Literal::Text(text)) if text.chars().count() == 1 => text.chars().next(),
-                    _ => return Condition::Other,
-                },
-            };
-            let end = pattern.find(|c| matches!(c, '%' | '_' | '[') || Some(c) == escape);
-            let prefix = pattern[..end.unwrap_or(pattern.len())].to_string();
-            not(*negated, Condition::StartsWith { column, prefix })
+            not(*negated, like(expr, pattern, escape_char.as_deref(), names))
         }
         Expr::Value(value) => match value.value {
             Word::Boolean(b) => Condition::Constant(b),
@@ -93,11 +47,66 @@
     }
 }
 
+/// A column beside a constant, on either side.
+fn comparison(left: &Expr, op: &BinaryOperator, right: &Expr, names: &ColumnScope) -> Condition {
+    let by = match op {
+        BinaryOperator::Eq => Comparison::Equal,
+        BinaryOperator::NotEq => Comparison::Unequal,
+        BinaryOperator::Lt => Comparison::Less,
+        BinaryOperator::LtEq => Comparison::AtMost,
+        BinaryOperator::Gt => Comparison::Greater,
+        BinaryOperator::GtEq => Comparison::AtLeast,
+        _ => return Condition::Other,
+    };
+    match (names.column(left), literal(right), literal(left), names.column(right)) {
+        (Some(column), Some(literal), ..) => Condition::Compare { column, by, literal },
+        (_, _, Some(literal), Some(column)) => Condition::Compare { column, by: by.flipped(), literal },
+        _ => Condition::Other,
+    }
+}
+
+fn between(e: &Expr, low: &Expr, high: &Expr, names: &ColumnScope) -> Condition {
+    let (Some(column), Some(low), Some(high)) = (names.column(e), literal(low), literal(high)) else {
+        return Condition::Other;
+    };
+    let side = |by, literal| Condition::Compare { column: column.clone(), by, literal };
+    Condition::All(vec![side(Comparison::AtLeast, low), side(Comparison::AtMost, high)])
+}
+
+fn one_of(e: &Expr, list: &[Expr], names: &ColumnScope) -> Condition {
+    let (Some(column), true) = (names.column(e), list.len() <= MOST_LISTED) else {
+        return Condition::Other;
+    };
+    let equal = |e: &Expr| {
+        let (column, by) = (column.clone(), Comparison::Equal);
+        literal(e).map_or(Condition::Other, |literal| Condition::Compare { column, by, literal })
+    };
+    Condition::Any(list.iter().map(equal).collect())
+}
+
+/// A pattern by what stands before its first wildcard.
+fn like(e: &Expr, pattern: &Expr, escape: Option<&Expr>, names: &ColumnScope) -> Condition {
+    let (Some(column), Some(Literal::Text(pattern))) = (names.column(e), literal(pattern)) else {
+        return Condition::Other;
+    };
+    let escape = match escape {
+        None => None,
+        Some(e) => match literal(e) {
+            Some(Literal::Text(text)) if text.chars().count() == 1 => text.chars().next(),
+            _ => return Condition::Other,
+        },
+    };
+    let end = pattern.find(|c| matches!(c, '%' | '_' | '[') || Some(c) == escape);
+    let prefix = pattern[..end.unwrap_or(pattern.len())].to_string();
+    Condition::StartsWith { column, prefix }
+}
+
+/// What is not understood stays so, negated or not.
 fn not(negated: bool, condition: Condition) -> Condition {
-    if negated {
-        Condition::Not(Box::new(condition))
-    } else {
-        condition
+    match condition {
+        Condition::Other => Condition::Other,
+        condition if negated => Condition::Not(Box::new(condition)),
+        condition => condition,
     }
 }
 
