--- a/crates/scatter/src/sql.rs
+++ b/crates/scatter/src/sql.rs
@@ -1,22 +1,26 @@
 //! What a statement asks for, taken from it by `sqlparser`: one table, a condition, a bound on rows. Dialects read some text
 //! in two ways; such text is not understood here, so that no reading of an engine's is missed.
 
+mod names;
+
 use sqlparser::ast::{
     Distinct, DuplicateTreatment, Expr, FunctionArguments, GroupByExpr, Ident, LimitClause, ObjectName,
-    Query as Parsed, Select, SelectFlavor, SelectItem, SetExpr, Statement, TableFactor, UnaryOperator,
-    Value as Word,
+    Query as Parsed, Select, SelectFlavor, SelectItem, SetExpr, Statement, TableWithJoins, Value as Word,
 };
 use sqlparser::dialect::GenericDialect;
 use sqlparser::parser::Parser;
 
+pub(crate) use names::{literal, plain_name, table, table_reference, ColumnScope, TableReference};
+
 use crate::combine::{self, Aggregate};
 use crate::condition::Condition;
 use crate::join::{self, Join};
 use crate::row::{beyond_one_row, is_of_one_reading, selects_beyond_one_row};
-use crate::value::Literal;
+
+use names::alias_of;
 
 const LONGEST: usize = 16 << 10; // bytes of a statement that is looked at; conditions nest by its length
-const SCRATCH: &str = "staging"; // the schema that is no group's
+
 /// A statement whose rows can be put together from those of its sites.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Query {
@@ -112,24 +116,6 @@
     }
 }
 
-/// The group and the table that a name of two parts stands for.
-pub(crate) fn table(name: &ObjectName) -> Option<(u32, String)> {
-    let parts: Option<Vec<&Ident>> = name.0.iter().map(|part| part.as_ident()).collect();
-    let [schema, table] = parts?[..] else { return None };
-    let (area, number) = schema.value.rsplit_once('_')?;
-    let plain = !number.is_empty() && number.bytes().all(|c| c.is_ascii_digit());
-    let group = number.parse().ok().filter(|_| plain && !area.eq_ignore_ascii_case(SCRATCH))?;
-    Some((group, plain_name(table)))
-}
-
-/// A name as it is kept: quoted ones as they are.
-pub(crate) fn plain_name(name: &Ident) -> String {
-    match name.quote_style {
-        None => name.value.to_ascii_lowercase(),
-        Some(_) => name.value.clone(),
-    }
-}
-
 /// Takes a statement apart, if its rows can be put together from parts.
 pub fn read(statement: &[u8]) -> Result<Query, Unsupported> {
     of(parse(statement)?)
@@ -261,25 +247,35 @@
             return not_divisible(what);
         }
     }
-    let [from] = &from[..] else { return not_divisible("a list of tables") };
+    of_tables(&from, &projection, selection.as_ref(), limit)
+}
+
+/// The query of a SELECT without other clauses.
+fn of_tables(
+    from: &[TableWithJoins],
+    projection: &[SelectItem],
+    selection: Option<&Expr>,
+    limit: Option<u64>,
+) -> Result<Query, Unsupported> {
+    let [from] = from else { return not_divisible("a list of tables") };
     let TableReference { group, table, alias } = table_reference(&from.relation)?;
     let aliases: Vec<String> = projection.iter().filter_map(alias_of).collect();
     let (first, other) =
         (ColumnScope { table: alias, aliases, qualified: !from.joins.is_empty() }, &from.joins[..]);
     let (names, joined) = match other {
         [] => (first, None),
-        [other] => join::read(other, first, selection.as_ref()).map(|(names, join)| (names, Some(join)))?,
+        [other] => join::read(other, first, selection).map(|(names, join)| (names, Some(join)))?,
         _ => return not_divisible("a join of more than two tables"),
     };
-    let combine = combine::read(&projection, &names)?;
+    let combine = combine::read(projection, &names)?;
     if combine.is_some() && limit.is_some() {
         return not_divisible("LIMIT beside aggregates");
     }
     let beyond = projection.iter().filter(|_| combine.is_none()).find_map(selects_beyond_one_row);
-    if let Some(what) = beyond.or_else(|| selection.as_ref().and_then(beyond_one_row)) {
+    if let Some(what) = beyond.or_else(|| selection.and_then(beyond_one_row)) {
         return not_divisible(what);
     }
-    let condition = condition(selection.as_ref(), &names);
+    let condition = condition(selection, &names);
     let (condition, join) = match joined {
         None => (condition, None),
         Some((on, join)) => (Condition::All(vec![condition, on]), Some(join)),
@@ -296,90 +292,3 @@
         Some(e) => crate::from_sql::condition(e, names),
     }
 }
-
-/// A table as a statement names it.
-pub(crate) struct TableReference {
-    pub group: u32,
-    pub table: String,
-    /// What its columns are named by.
-    pub alias: String,
-}
-
-pub(crate) fn table_reference(relation: &TableFactor) -> Result<TableReference, Unsupported> {
-    let TableFactor::Table {
-        name,
-        alias,
-        args: None,
-        with_hints,
-        version: None,
-        with_ordinality: false,
-        partitions,
-        json_path: None,
-        sample: None,
-        index_directives,
-        inheritance: None,
-    } = relation
-    else {
-        return not_divisible("anything but a table");
-    };
-    let aliased = alias.as_ref().is_some_and(|a| !a.columns.is_empty());
-    if !with_hints.is_empty() || !partitions.is_empty() || !index_directives.is_empty() || aliased {
-        return not_divisible("a table with hints, partitions or other names");
-    }
-    let (group, table) = table(name).ok_or(Unsupported::NoGroup)?;
-    let alias = alias.as_ref().map_or_else(|| table.clone(), |a| plain_name(&a.name));
-    Ok(TableReference { group, table, alias })
-}
-
-fn alias_of(item: &SelectItem) -> Option<String> {
-    match item {
-        SelectItem::ExprWithAlias { alias, .. } => Some(alias.value.to_ascii_lowercase()),
-        _ => None,
-    }
-}
-
-/// Which names stand for columns of the table.
-#[derive(Clone)]
-pub(crate) struct ColumnScope {
-    pub table: String,
-    /// Given to what is selected: dialects differ in what they stand for in a condition.
-    pub aliases: Vec<String>,
-    /// Beside another table: a name by itself may be a column of either.
-    pub qualified: bool,
-}
-
-impl ColumnScope {
-    /// The column that an expression names; `None`: it names none, or dialects differ on it.
-    pub fn column(&self, e: &Expr) -> Option<String> {
-        let name = match e {
-            Expr::Identifier(name) if !self.qualified => name,
-            Expr::CompoundIdentifier(parts) => match &parts[..] {
-                [table, name] if plain_name(table) == self.table => name,
-                _ => return None,
-            },
-            Expr::Nested(inner) => return self.column(inner),
-            _ => return None,
-        };
-        // What is quoted is a name in one dialect and text in another.
-        let plain = name.quote_style.is_none().then(|| name.value.to_ascii_lowercase())?;
-        (!self.aliases.contains(&plain)).then_some(plain)
-    }
-}
-
-/// A constant that is not null.
-pub(crate) fn literal(e: &Expr) -> Option<Literal> {
-    match e {
-        Expr::Nested(inner) => literal(inner),
-        Expr::Value(value) => match &value.value {
-            Word::Number(digits, false) => Some(Literal::Number { negative: false, digits: digits.clone() }),
-            Word::SingleQuotedString(text) => Some(Literal::Text(text.clone())),
-            Word::Boolean(b) => Some(Literal::Bool(*b)),
-            _ => None,
-        },
-        Expr::UnaryOp { op: UnaryOperator::Minus, expr } => match literal(expr)? {
-            Literal::Number { negative: false, digits } => Some(Literal::Number { negative: true, digits }),
-            _ => None,
-        },
-        _ => None,
-    }
-}
