--- a/crates/front/src/scatter/summaries.rs
+++ b/crates/front/src/scatter/summaries.rs
@@ -182,7 +182,7 @@
         }
         self.chosen = now;
         self.book.choose((now / 1000) as u64);
-        let held: BTreeMap<u64, Detail> = self.book.versions().map(|(n, _, fine)| (n, fine)).collect();
+        let held: BTreeMap<u64, Detail> = self.book.versions().map(|held| (held.name, held.detail)).collect();
         for (name, path) in &self.local_files {
             // A summary that is in a local file need not come from others.
             if held.get(name).copied() < self.book.wanted_detail(*name) {
--- a/crates/scatter/src/exchange.rs
+++ b/crates/scatter/src/exchange.rs
@@ -11,7 +11,7 @@
 pub use pieces::PieceRequest;
 
 use crate::layers::Detail;
-use crate::store::SummaryStore;
+use crate::store::{HeldVersion, SummaryStore};
 use crate::summary::Refused;
 use crate::Micros;
 
@@ -144,10 +144,10 @@
             return out;
         }
         all.sort_unstable();
-        let first = all.partition_point(|(name, ..)| *name <= self.after);
+        let first = all.partition_point(|held| held.name <= self.after);
         all.rotate_left(first);
         all.truncate(WINDOW);
-        self.after = all.last().map_or(0, |(name, ..)| *name);
+        self.after = all.last().map_or(0, |held| held.name);
         for _ in 0..ROUND_FANOUT.min(others.len()) {
             self.next_peer = self.next_peer.wrapping_add(1);
             let to = others.get(self.next_peer % others.len()).copied().unwrap_or_default();
@@ -162,7 +162,7 @@
             return;
         }
         let all: Vec<_> =
-            self.available(summaries).into_iter().filter(|(name, ..)| fresh.contains(name)).collect();
+            self.available(summaries).into_iter().filter(|held| fresh.contains(&held.name)).collect();
         for window in all.chunks(WINDOW) {
             for _ in 0..NEW_VERSION_FANOUT.min(others.len()) {
                 self.next_peer = self.next_peer.wrapping_add(1);
@@ -173,14 +173,14 @@
     }
 
     /// What can be had here: what is held, and what lies at home.
-    fn available(&self, summaries: &SummaryStore) -> Vec<(u64, u64, Detail)> {
+    fn available(&self, summaries: &SummaryStore) -> Vec<HeldVersion> {
         let mut all: BTreeMap<u64, (u64, Detail)> =
-            summaries.versions().map(|(name, version, fineness)| (name, (version, fineness))).collect();
+            summaries.versions().map(|held| (held.name, (held.version, held.detail))).collect();
         for (&name, &version) in self.local.iter().filter(|_| summaries.retention.is_some()) {
             let known = all.entry(name).or_insert((version, Detail::Full));
             *known = (*known).max((version, Detail::Full));
         }
-        all.into_iter().map(|(name, (version, fineness))| (name, version, fineness)).collect()
+        all.into_iter().map(|(name, (version, detail))| HeldVersion { name, version, detail }).collect()
     }
 
     /// A message has come. One that can't be read counts for nothing.
@@ -195,12 +195,14 @@
         let mut out = Output::default();
         match postcard::take_from_bytes(bytes) {
             Ok((Message::Versions(all), [])) => {
-                let all: Vec<_> = all.into_iter().map(|(n, v)| (n, v, Detail::Full)).collect();
+                let whole = |(name, version)| HeldVersion { name, version, detail: Detail::Full };
+                let all: Vec<_> = all.into_iter().map(whole).collect();
                 self.compare(now, from, &all, summaries, &mut out);
             }
             Ok((Message::DetailedVersions(all), [])) => self.compare(now, from, &all, summaries, &mut out),
             Ok((Message::Request { name, version, piece }, [])) => {
-                self.serve_piece(now, from, (name, version, piece), summaries, &mut out);
+                let request = PieceRequest { to: from, name, version, piece };
+                self.serve_piece(now, request, summaries, &mut out);
             }
             Ok((Message::Piece { name, version, piece, pieces, bytes }, [])) => {
                 let piece = Piece { name, version, piece, pieces, bytes };
--- a/crates/scatter/src/exchange/message.rs
+++ b/crates/scatter/src/exchange/message.rs
@@ -3,8 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::layers::Detail;
-use crate::store::SummaryStore;
+use crate::store::{HeldVersion, SummaryStore};
 
 /// A message about summaries.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
@@ -16,7 +15,7 @@
     /// The answer to `Request`: the bytes of one of so many pieces.
     Piece { name: u64, version: u64, piece: u16, pieces: u16, bytes: Vec<u8> },
     /// The same as `Versions`, with the detail of each: between fronts that hold parts of summaries.
-    DetailedVersions(Vec<(u64, u64, Detail)>),
+    DetailedVersions(Vec<HeldVersion>),
     /// False reports of sites that fronts have found lately.
     FalseSummaries(Vec<FalseSummary>),
 }
@@ -33,9 +32,13 @@
 }
 
 /// What a front tells that it has; to fronts that take all of a summary, as they know it.
-pub(super) fn list(all: Vec<(u64, u64, Detail)>, summaries: &SummaryStore) -> Message {
+pub(super) fn list(all: Vec<HeldVersion>, summaries: &SummaryStore) -> Message {
     match summaries.retention {
         Some(_) => Message::DetailedVersions(all),
-        None => Message::Versions(all.into_iter().map(|(name, version, _)| (name, version)).collect()),
+        None => Message::Versions(all.into_iter().map(|held| (held.name, held.version)).collect()),
     }
 }
+
+#[cfg(test)]
+#[path = "message_tests.rs"]
+mod tests;
--- a/crates/scatter/src/exchange/pieces.rs
+++ b/crates/scatter/src/exchange/pieces.rs
@@ -5,7 +5,7 @@
 use super::message::{list, Message};
 use super::{Exchange, FrontId, Output, MAX_DOWNLOADS, WINDOW};
 use crate::layers::{self, Detail};
-use crate::store::SummaryStore;
+use crate::store::{HeldVersion, SummaryStore};
 use crate::summary::MOST_BYTES;
 use crate::Micros;
 
@@ -40,7 +40,7 @@
     pub name: u64,
     /// The version asked for.
     pub version: u64,
-    piece: u16,
+    pub(super) piece: u16,
 }
 
 impl Exchange {
@@ -48,21 +48,25 @@
         &mut self,
         now: Micros,
         from: FrontId,
-        all: &[(u64, u64, Detail)],
+        all: &[HeldVersion],
         summaries: &SummaryStore,
         out: &mut Output,
     ) {
         let known: BTreeMap<u64, (u64, Detail)> = self
             .available(summaries)
             .into_iter()
-            .map(|(name, version, fineness)| (name, (version, fineness)))
+            .map(|held| (held.name, (held.version, held.detail)))
             .collect();
         let held: BTreeMap<u64, (u64, Detail)> =
-            summaries.versions().map(|(name, version, fineness)| (name, (version, fineness))).collect();
+            summaries.versions().map(|held| (held.name, (held.version, held.detail))).collect();
         let mut newer = Vec::new();
-        for &(name, version, finest) in all.iter().take(WINDOW) {
+        for &HeldVersion { name, version, detail: finest } in all.iter().take(WINDOW) {
             let here = known.get(&name).copied();
-            newer.extend(here.filter(|(held, _)| *held > version).map(|(v, f)| (name, v, f)));
+            newer.extend(here.filter(|(held, _)| *held > version).map(|(version, detail)| HeldVersion {
+                name,
+                version,
+                detail,
+            }));
             let Some(wanted) = summaries.wanted_detail(name).map(|wanted| wanted.min(finest)) else {
                 continue;
             };
@@ -95,14 +99,12 @@
     pub(super) fn serve_piece(
         &mut self,
         now: Micros,
-        to: FrontId,
-        wanted: (u64, u64, u16),
+        request: PieceRequest,
         summaries: &SummaryStore,
         out: &mut Output,
     ) {
-        let (name, version, piece) = wanted;
+        let PieceRequest { name, version, piece, .. } = request;
         let held = summaries.bytes(name).filter(|(held, _)| *held == version);
-        let request = PieceRequest { to, name, version, piece };
         match held {
             // Where there is more at home, a piece that is not whole comes from there.
             Some((_, bytes)) if (usize::from(piece) + 1) * PIECE <= bytes.len() => {
--- a/crates/scatter/src/store.rs
+++ b/crates/scatter/src/store.rs
@@ -5,6 +5,7 @@
 
 use ed25519_dalek::VerifyingKey;
 use hallmux_hash::fnv1a;
+use serde::{Deserialize, Serialize};
 
 use crate::layers::{self, Detail};
 use crate::marks::ReportedLoads;
@@ -39,6 +40,17 @@
     loads: Loads,
 }
 
+/// A version of a summary, and how much of it there is. Between fronts it is written as these three, in this order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct HeldVersion {
+    /// Which summary, as [`summary_id`] numbers them.
+    pub name: u64,
+    /// Its version.
+    pub version: u64,
+    /// How much of it there is.
+    pub detail: Detail,
+}
+
 struct HeldSummary {
     summary: Summary,
     bytes: Rc<[u8]>,
@@ -293,10 +305,12 @@
         self.held.is_empty()
     }
 
-    /// Names, versions and detailes of all that is held.
-    pub fn versions(&self) -> impl Iterator<Item = (u64, u64, Detail)> + '_ {
-        let of = |((site, group), held): (&(String, u32), &HeldSummary)| {
-            (summary_id(site, *group), held.summary.version, held.summary.detail)
+    /// All that is held.
+    pub fn versions(&self) -> impl Iterator<Item = HeldVersion> + '_ {
+        let of = |((site, group), held): (&(String, u32), &HeldSummary)| HeldVersion {
+            name: summary_id(site, *group),
+            version: held.summary.version,
+            detail: held.summary.detail,
         };
         self.held.iter().map(of)
     }
--- a/crates/scatter/tests/retention.rs
+++ b/crates/scatter/tests/retention.rs
@@ -130,7 +130,7 @@
             // Some ten seconds apart where there is load; what is wanted and lacks comes from other fronts.
             chosen = at_ms + 60_000;
             book.choose(*at_ms);
-            let held: BTreeMap<u64, Detail> = book.versions().map(|(name, _, f)| (name, f)).collect();
+            let held: BTreeMap<u64, Detail> = book.versions().map(|held| (held.name, held.detail)).collect();
             for ((group, at), bytes) in &world.bytes {
                 let of = summary_id(&site(*at), *group as u32);
                 let wanted = book.wanted_detail(of);
