--- a/crates/scatter/src/join.rs
+++ b/crates/scatter/src/join.rs
@@ -86,9 +86,9 @@
     };
     let (first, second) = (side(query.group, &query.table), side(join.group, &join.table));
     let (of_first, of_second) = basis.loads.sides();
-    let why = |side: Side, condition: &Condition, word: &LoadInfo| match side {
+    let why = |side: Side, condition: &Condition, loads: &LoadInfo| match side {
         None => Some(Reason::NoSummary),
-        Some((summary, table)) => reason_to_ask(condition, summary, table, word),
+        Some((summary, table)) => reason_to_ask(condition, summary, table, loads),
     };
     let by_first = why(first, &query.condition, &of_first)?;
     why(second, &join.condition, &of_second)?;
@@ -104,10 +104,10 @@
 }
 
 /// No load that the summary does not speak of has touched the table.
-fn untouched((summary, table): (&Summary, &Table), word: &LoadInfo) -> bool {
+fn untouched((summary, table): (&Summary, &Table), loads: &LoadInfo) -> bool {
     let elsewhere =
         |touched: &Affected| matches!(touched, Affected::Rows { table: of, .. } if *of != table.name);
-    match word {
+    match loads {
         LoadInfo::Marks(marks) => {
             marks.uncovered(summary).is_some_and(|open| open.into_iter().all(elsewhere))
         }
--- a/crates/scatter/src/plan.rs
+++ b/crates/scatter/src/plan.rs
@@ -162,7 +162,7 @@
     condition: &Condition,
     summary: &Summary,
     table: &Table,
-    word: &LoadInfo,
+    loads: &LoadInfo,
 ) -> Option<Reason> {
     if !condition.never_true(table) {
         return Some(match () {
@@ -171,7 +171,7 @@
             () => Reason::Bounds,
         });
     }
-    match word {
+    match loads {
         LoadInfo::Marks(marks) => marks.reason_to_ask(summary, table, condition),
         LoadInfo::NoLoads => None,
         LoadInfo::MarksOfJoin(..) | LoadInfo::Unknown => Some(Reason::LoadsUnknown),
--- a/crates/scatter/src/retention.rs
+++ b/crates/scatter/src/retention.rs
@@ -77,8 +77,8 @@
     }
 
     /// Sites spared by a fineness, of which `hit` of the chances of a filter come true.
-    fn benefit(&self, fineness: Option<Detail>, hit: f64) -> f64 {
-        match fineness {
+    fn benefit(&self, detail: Option<Detail>, hit: f64) -> f64 {
+        match detail {
             None => 0.0,
             Some(Detail::Bounds) => self.bounds,
             Some(Detail::Small) => self.bounds + self.filter * hit * FINDS[0],
@@ -86,8 +86,8 @@
         }
     }
 
-    fn cost(&self, fineness: Option<Detail>) -> (f64, f64) {
-        let bytes = fineness.and_then(|f| self.bytes.get(f as usize)).copied().unwrap_or(0);
+    fn cost(&self, detail: Option<Detail>) -> (f64, f64) {
+        let bytes = detail.and_then(|f| self.bytes.get(f as usize)).copied().unwrap_or(0);
         (f64::from(bytes) * TWICE, f64::from(bytes) / (self.interval / 1e6).max(1.0))
     }
 }
