--- a/crates/scatter/src/exchange.rs
+++ b/crates/scatter/src/exchange.rs
@@ -135,8 +135,7 @@
         let found = self.false_to_report(now);
         for _ in 0..ROUND_FANOUT.min(others.len()) {
             let Some(message) = &found else { break };
-            self.next_peer = self.next_peer.wrapping_add(1);
-            let to = others.get(self.next_peer % others.len()).copied().unwrap_or_default();
+            let to = self.choose_peer(others);
             self.send(now, to, message, &mut out);
         }
         let mut all = self.available(summaries);
@@ -149,13 +148,18 @@
         all.truncate(WINDOW);
         self.after = all.last().map_or(0, |held| held.name);
         for _ in 0..ROUND_FANOUT.min(others.len()) {
-            self.next_peer = self.next_peer.wrapping_add(1);
-            let to = others.get(self.next_peer % others.len()).copied().unwrap_or_default();
+            let to = self.choose_peer(others);
             self.send(now, to, &list(all.clone(), summaries), &mut out);
         }
         out
     }
 
+    /// The next of the others in turn; there has to be one.
+    fn choose_peer(&mut self, others: &[FrontId]) -> FrontId {
+        self.next_peer = self.next_peer.wrapping_add(1);
+        others.get(self.next_peer % others.len()).copied().unwrap_or_default()
+    }
+
     fn announce_new(&mut self, now: Micros, others: &[FrontId], summaries: &SummaryStore, out: &mut Output) {
         let fresh = std::mem::take(&mut self.fresh);
         if fresh.is_empty() || others.is_empty() {
@@ -165,8 +169,7 @@
             self.available(summaries).into_iter().filter(|held| fresh.contains(&held.name)).collect();
         for window in all.chunks(WINDOW) {
             for _ in 0..NEW_VERSION_FANOUT.min(others.len()) {
-                self.next_peer = self.next_peer.wrapping_add(1);
-                let to = others.get(self.next_peer % others.len()).copied().unwrap_or_default();
+                let to = self.choose_peer(others);
                 self.send(now, to, &list(window.to_vec(), summaries), out);
             }
         }
