--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -12,12 +12,12 @@
 const PLACES: [&str; 3] = ["eu", "us", "ap"];
 const START_MS: u64 = 1_800_000_000_000; // 2027-01-15T08:00:00Z
 
-struct One {
+struct SingleFront {
     access: Access,
     /// An earlier life of the same front that goes on all the same.
     earlier: Option<Access>,
     counted: Vec<u64>,
-    said: Vec<Event>,
+    events: Vec<Event>,
     fleet: Option<FleetHits>,
     now: i64,
     ledger: BTreeMap<Key, Entry>,
@@ -52,24 +52,33 @@
     })
 }
 
-impl One {
-    fn new() -> One {
-        let (ledger, counted, said) = (BTreeMap::new(), Vec::new(), Vec::new());
-        One { access: access(1), earlier: None, counted, said, fleet: None, now: 0, ledger, last: 0 }
+impl SingleFront {
+    fn new() -> SingleFront {
+        let (ledger, counted, events) = (BTreeMap::new(), Vec::new(), Vec::new());
+        SingleFront {
+            access: access(1),
+            earlier: None,
+            counted,
+            events,
+            fleet: None,
+            now: 0,
+            ledger,
+            last: 0,
+        }
     }
 
     /// Changes places with the earlier life.
-    fn swaps(&mut self) {
+    fn swap_with_earlier(&mut self) {
         let other = self.earlier.take().unwrap_or_else(|| access(2));
         self.earlier = Some(std::mem::replace(&mut self.access, other));
-        self.passes(4_000);
+        self.advance(4_000);
     }
 
     fn at(&self) -> Moment {
         Moment { steady: self.now, wall_ms: START_MS + self.now as u64 / 1000 }
     }
 
-    fn passes(&mut self, ms: i64) {
+    fn advance(&mut self, ms: i64) {
         let end = self.now + ms * 1000;
         while self.now < end {
             self.now = (self.now + 500_000).min(end);
@@ -77,7 +86,7 @@
             loop {
                 let out = self.access.take();
                 self.counted.extend(out.counted);
-                self.said.extend(out.events);
+                self.events.extend(out.events);
                 self.fleet = out.fleet_hits.or(self.fleet.take());
                 if out.ledger_requests.is_empty() {
                     break;
@@ -108,7 +117,7 @@
     /// Puts a set in force.
     fn holds(&mut self, text: &str) {
         self.access.offer("rules.json5", text, command(text));
-        self.passes(6_000);
+        self.advance(6_000);
         assert_eq!(self.access.version(self.now), (command(text).version(), true));
     }
 
@@ -139,27 +148,27 @@
 #[test]
 fn an_earlier_life_that_goes_on_beside_a_later_one_counts_nothing_any_more() {
     let asked = Request { customer: "acme".to_string(), workload: "lookup".to_string(), groups: None };
-    let mut one = One::new();
+    let mut one = SingleFront::new();
     one.holds("{ version: 1, default: 'allow', rules: [ { name: 'a', then: 'count' }, { name: 'b', regions: ['eu'] } ] }");
-    let counts = |one: &mut One| {
+    let counts = |one: &mut SingleFront| {
         one.counted.clear();
         let statement = one.ask(&asked).1;
-        one.passes(4_000);
+        one.advance(4_000);
         one.counted == [statement]
     };
     assert!(counts(&mut one));
     // The later life has counted nothing yet: both may go on.
-    one.swaps();
-    one.swaps();
+    one.swap_with_earlier();
+    one.swap_with_earlier();
     assert!(counts(&mut one));
     // Now it has, and takes in what the earlier one had counted.
-    one.swaps();
+    one.swap_with_earlier();
     assert!(counts(&mut one) && counts(&mut one));
-    one.swaps();
-    assert!(!counts(&mut one) && !counts(&mut one) && one.said.contains(&Event::Superseded));
-    one.swaps();
+    one.swap_with_earlier();
+    assert!(!counts(&mut one) && !counts(&mut one) && one.events.contains(&Event::Superseded));
+    one.swap_with_earlier();
     one.access.request_fleet_hits(one.at());
-    one.passes(4_000);
+    one.advance(4_000);
     let fleet = one.fleet.clone().unwrap();
     assert_eq!((fleet.missing.len(), fleet.counts.into_values().collect::<Vec<_>>()), (0, vec![4, 4]));
 }
@@ -213,7 +222,7 @@
             .clone(),
         };
         let traffic: Vec<Request> = (0..200).map(|_| drawn(&mut rng)).collect();
-        let mut one = One::new();
+        let mut one = SingleFront::new();
         one.holds(&before);
         let was: Vec<Permission> = traffic.iter().map(|asked| one.ask(asked).0).collect();
         let RulesCommand::WhatIf(set) = command(&after) else { panic!("a question") };
@@ -221,7 +230,7 @@
         assert_eq!((told.statements, told.unknown), (200, 0));
         // The question changes nothing, also where it is offered.
         one.access.offer("rules.json5", &after, command(&after));
-        one.passes(1_000);
+        one.advance(1_000);
         assert_eq!(one.access.version(one.now), (1, true));
         after = after.replace("what_if: true", "what_if: false");
         one.holds(&after);
@@ -254,17 +263,18 @@
         workload: "lookup".to_string(),
         groups: Some(vec![group]),
     };
-    let mut one = One::new();
+    let mut one = SingleFront::new();
     one.holds(&moves(1, ""));
     let (before, other) = (one.ask(&asked(7)).1, one.ask(&asked(4)).1);
     assert_eq!(one.may_send(before, 1), ["eu"]);
-    one.passes(600_000);
+    one.advance(600_000);
     // In the overlap: what is judged now may go to both; what was judged before goes where it was to go.
     let within = one.ask(&asked(7)).1;
     assert_eq!((one.may_send(within, 1), one.may_send(before, 2)), (vec!["eu", "us"], vec!["eu"]));
-    one.passes(60_000);
+    one.advance(60_000);
     let after = one.ask(&asked(7)).1;
-    let tries = |one: &mut One, n| (one.may_send(before, n), one.may_send(within, n), one.may_send(after, n));
+    let tries =
+        |one: &mut SingleFront, n| (one.may_send(before, n), one.may_send(within, n), one.may_send(after, n));
     assert_eq!(tries(&mut one, 3), (vec!["eu"], vec!["eu", "us"], vec!["us"]));
     // Another version with the same move is no reason to judge them by another time; one that bars them is.
     one.holds(&moves(2, ", { name: 'x', tables: 3, regions: ['ap'] }"));
--- a/crates/access/tests/fleet.rs
+++ b/crates/access/tests/fleet.rs
@@ -154,7 +154,7 @@
         "{ version: 1, default: 'allow', rules: [{ name: 'a', customer: 'acme', regions: ['eu'] }] }",
     );
     sim.run(2_000_000);
-    let said = sim.said.iter().map(|(_, _, said)| format!("{said:?}")).collect::<Vec<_>>();
+    let said = sim.events.iter().map(|(_, _, said)| format!("{said:?}")).collect::<Vec<_>>();
     assert!(said.iter().any(|s| s.contains("Old") && s.contains("stated: 1, has: 2, next: 3")), "{said:#?}");
     sim.offer_text(2, 3, "{ version: 3, roll_back_to: 1 }");
     sim.run(8_000_000);
@@ -162,7 +162,7 @@
     assert_eq!(sim.allows(0, "acme"), Some(vec![0]));
     sim.offer_text(2, 4, "{ version: 4, roll_back_to: 77 }");
     sim.run(2_000_000);
-    let last = sim.said.iter().rev().find_map(|(_, _, said)| match said {
+    let last = sim.events.iter().rev().find_map(|(_, _, said)| match said {
         hallmux_access::Event::Refused(why) => Some(why.to_string()),
         _ => None,
     });
--- a/crates/access/tests/fleet/record.rs
+++ b/crates/access/tests/fleet/record.rs
@@ -38,7 +38,7 @@
         self.fronts[front].access.request_fleet_hits(at);
         self.counts.remove(&front);
         for _ in 0..2_000 {
-            self.carry();
+            self.deliver();
             self.now += STEP;
             let at = self.moment(front);
             self.fronts[front].access.tick(at);
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -10,12 +10,12 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-#[path = "played.rs"]
-mod played;
+#[path = "faults_drawn.rs"]
+mod faults_drawn;
 #[path = "record.rs"]
 mod record;
 
-pub use played::{Faults, Tallies};
+pub use faults_drawn::{Faults, Tallies};
 
 const FRONTS: usize = 5;
 const STEP: i64 = 5_000; // microseconds of true time between looks at everything
@@ -60,7 +60,7 @@
     /// When the ledger took a version, and when a front first said that it is in force.
     accepted: BTreeMap<u64, (i64, String)>,
     in_force: BTreeMap<u64, i64>,
-    pub said: Vec<(i64, usize, Event)>,
+    pub events: Vec<(i64, usize, Event)>,
     pub judged: BTreeMap<Hit, u64>,
     pub acked: BTreeMap<Hit, u64>,
     counts: BTreeMap<usize, FleetHits>,
@@ -118,7 +118,7 @@
             sent: Vec::new(),
             accepted: BTreeMap::new(),
             in_force: BTreeMap::new(),
-            said: Vec::new(),
+            events: Vec::new(),
             judged: BTreeMap::new(),
             acked: BTreeMap::new(),
             counts: BTreeMap::new(),
@@ -143,10 +143,10 @@
             if self.faults.on {
                 self.draw_faults();
             }
-            self.carry();
+            self.deliver();
             for front in 0..FRONTS {
                 if self.fronts[front].stalled <= self.now {
-                    self.turn(front);
+                    self.run_front(front);
                 }
             }
         }
@@ -169,13 +169,13 @@
     }
 
     /// Asks and answers on their way.
-    fn carry(&mut self) {
+    fn deliver(&mut self) {
         let (due, later) = std::mem::take(&mut self.asks).into_iter().partition(|(at, ..)| *at <= self.now);
         self.asks = later;
         let due: Vec<(i64, usize, u64, Ask, bool)> = due;
         for (_, front, life, ask, answered) in due {
             let owner = Owner { front: front as u64 + 1, incarnation: life };
-            let outcome = self.act(owner, &ask);
+            let outcome = self.ledger_act(owner, &ask);
             if answered {
                 let back = self.now + self.rng.random_range(500..15_000);
                 self.answers.push((back, front, life, Done { number: ask.number, outcome }));
@@ -195,7 +195,7 @@
         }
     }
 
-    fn act(&mut self, owner: Owner, ask: &Ask) -> Outcome {
+    fn ledger_act(&mut self, owner: Owner, ask: &Ask) -> Outcome {
         let current = self.ledger.get(&ask.key).cloned();
         let Act::Put { expects, ends_ms, value } = &ask.act else {
             return current.map_or(Outcome::Absent, Outcome::Stands);
@@ -221,7 +221,7 @@
         Outcome::Stands(entry)
     }
 
-    fn turn(&mut self, front: usize) {
+    fn run_front(&mut self, front: usize) {
         let at = self.moment(front);
         if self.rng.random_bool(0.2) && !self.quiet {
             self.statement(front, at);
@@ -244,8 +244,8 @@
                 self.asks.push((there, front, life, ask, !cut));
             }
         }
-        for said in out.events {
-            match &said {
+        for event in out.events {
+            match &event {
                 Event::InForce { version } => {
                     self.in_force.entry(*version).or_insert(self.now);
                     self.tallies.in_force += 1;
@@ -257,7 +257,7 @@
                 Event::Unreadable { what } => panic!("{what}"),
                 _ => {}
             }
-            self.said.push((self.now, front, said));
+            self.events.push((self.now, front, event));
         }
         out.fleet_hits.into_iter().for_each(|fleet| _ = self.counts.insert(front, fleet));
         let f = &mut self.fronts[front];
--- a/crates/access/tests/shares/sim.rs
+++ b/crates/access/tests/shares/sim.rs
@@ -113,10 +113,10 @@
             if self.faults {
                 self.draw_faults();
             }
-            self.carry();
+            self.deliver();
             for front in 0..self.fronts.len() {
                 if self.fronts[front].stalled <= self.now {
-                    self.turn(front);
+                    self.run_front(front);
                 }
             }
         }
@@ -157,12 +157,12 @@
     }
 
     /// Asks and answers on their way.
-    fn carry(&mut self) {
+    fn deliver(&mut self) {
         let (due, later) = std::mem::take(&mut self.asks).into_iter().partition(|(at, ..)| *at <= self.now);
         self.asks = later;
         let due: Vec<(i64, usize, u64, Ask, bool)> = due;
         for (_, front, life, ask, answered) in due {
-            let outcome = self.act(front, life, &ask);
+            let outcome = self.ledger_act(front, life, &ask);
             if answered {
                 let back = self.now + self.rng.random_range(500..15_000);
                 self.answers.push((back, front, life, ask.number, outcome));
@@ -187,7 +187,7 @@
         }
     }
 
-    fn act(&mut self, front: usize, life: u64, ask: &Ask) -> Outcome {
+    fn ledger_act(&mut self, front: usize, life: u64, ask: &Ask) -> Outcome {
         let current = self.ledger.get(&ask.key).cloned();
         let Act::Put { expects, ends_ms, value } = &ask.act else {
             return current.map_or(Outcome::Absent, Outcome::Stands);
@@ -203,7 +203,7 @@
         Outcome::Stands(entry)
     }
 
-    fn turn(&mut self, front: usize) {
+    fn run_front(&mut self, front: usize) {
         let at = self.moment(front);
         let expected = self.fronts[front].asked * STEP as f64 / 1e6;
         let mut arrive = expected as u64;
