--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -6,24 +6,29 @@
 use hallmux_lease::Terms;
 use hallmux_ledger::{Ask, Done, Owner};
 
-use crate::hits::{Fleet, Hit, Hits};
+use crate::event::Event;
+use crate::hits::{FleetHits, Hit, Hits};
 use crate::index::{Index, Verdict};
-use crate::known::Known;
-use crate::read::Wish;
-use crate::record::{Record, WhatIf};
-use crate::rule::Asking;
-use crate::rule::Set;
+use crate::known::KnownNames;
+use crate::read::RulesCommand;
+use crate::record::{Record, WhatIfReport};
+use crate::rule::Attributes;
+use crate::rule::RuleSet;
 use crate::shares::{Limit, Shares};
-use crate::versions::{Said, Versions};
+use crate::versions::Versions;
 use crate::{FrontId, Micros, Moment};
 
-pub struct Setup {
+/// How one front's part in the rules is configured.
+pub struct AccessConfig {
+    /// This front, and the incarnation in which it runs.
     pub own: Owner,
     /// All whose counts make the fleet's, this front too.
     pub fronts: Vec<FrontId>,
     /// Where this front stands, as rules may name it.
     pub region: String,
-    pub known: Known,
+    /// The names that rules may use.
+    pub known: KnownNames,
+    /// How long a lease on the rules and on shares of limits lasts, and by how much clocks may drift.
     pub terms: Terms,
     /// How long what was asked is remembered, by kind; 0: not at all.
     pub remembers: Micros,
@@ -33,57 +38,72 @@
 
 /// What a statement asks for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Asked {
+pub struct Request {
+    /// Whose statement it is; matched exactly.
     pub customer: String,
+    /// The workload that the statement belongs to, as the settings name it.
     pub workload: String,
     /// The groups of tables that it reads; None where they cannot be told.
     pub groups: Option<Vec<u32>>,
 }
 
+/// What the rules in force say of a statement as it arrives.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Judged {
+pub enum Decision {
     /// No rule can be about its customer.
-    Free,
+    Unrestricted,
     /// This front cannot know what holds for its customer.
-    Closed,
-    /// Judged under this number, until `over`. One that `waits` goes on once its number is `counted`: to its engine,
+    RulesUnknown,
+    /// Decided under this number, until `over`. One that `waits` goes on once its number is `counted`: to its engine,
     /// or, where it is denied, to its final answer.
-    Taken { statement: u64, verdict: Verdict, waits: bool },
+    Decided {
+        /// The statement's number in this front's life.
+        statement: u64,
+        /// What the rules say of it.
+        verdict: Verdict,
+        /// Whether it has to wait until its count stands in the ledger.
+        waits: bool,
+    },
 }
 
-impl Judged {
+impl Decision {
+    /// Whether a rule or the default denies the statement.
     pub fn is_denied(&self) -> bool {
-        matches!(self, Judged::Taken { verdict, .. } if verdict.denied.is_some())
+        matches!(self, Decision::Decided { verdict, .. } if verdict.denied.is_some())
     }
 }
 
 /// What is to be done.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Out {
-    pub asks: Vec<Ask>,
-    pub said: Vec<Said>,
+pub struct Output {
+    /// Requests to the ledger; each is answered through [`Access::on_ledger_answer`] under its number.
+    pub ledger_requests: Vec<Ask>,
+    /// Events for the log, in the order in which they happened.
+    pub events: Vec<Event>,
     /// Statements whose hits stand.
     pub counted: Vec<u64>,
     /// Statements for which there is no room within a limit: nothing of them has left, and later there may be.
-    pub limited: Vec<u64>,
+    pub over_limit: Vec<u64>,
     /// Statements that run where the version adopted bars: they are to be ended, where the platform can.
-    pub ends: Vec<u64>,
+    pub revoked: Vec<u64>,
     /// The fleet's count, as it was asked for.
-    pub fleet: Option<Fleet>,
+    pub fleet_hits: Option<FleetHits>,
 }
 
 struct Open {
-    asked: Asked,
+    request: Request,
     verdict: Verdict,
     /// Where its executions are, by the caller's number.
     out: BTreeMap<u64, Option<u16>>,
     ending: bool,
     /// When it was judged: rules that move go by that at every try.
-    asked_ms: u64,
+    first_judged_ms: u64,
     /// What it counts for, while it waits for its share of a limit.
     hits: Vec<Hit>,
 }
 
+/// One front's part in the access rules. It does no input or output: the caller passes in the time and the
+/// ledger's answers, and carries out what [`Access::take`] returns.
 pub struct Access {
     region: String,
     versions: Versions,
@@ -93,36 +113,38 @@
     open: BTreeMap<u64, Open>,
     next: u64,
     /// The version that open statements were last held against.
-    looked: u64,
+    checked_version: u64,
     /// Statements that a new version has ended.
-    pub ended: u64,
-    ends: Vec<u64>,
-    over: bool,
-    /// Said of the shares already.
-    told: Option<Said>,
+    pub revoked_count: u64,
+    revoked: Vec<u64>,
+    superseded_reported: bool,
+    /// What the shares lacked when the caller was told last.
+    shares_trouble: Option<Event>,
 }
 
 pub(crate) fn judge(
     index: &Index,
     region: &str,
-    asked: &Asked,
+    request: &Request,
     wall_ms: u64,
-    asked_ms: Option<u64>,
+    first_judged_ms: Option<u64>,
 ) -> Verdict {
-    let asking = Asking {
-        asked_ms,
-        customer: &asked.customer,
-        workload: &asked.workload,
+    let attributes = Attributes {
+        first_judged_ms,
+        customer: &request.customer,
+        workload: &request.workload,
         group: None,
-        told: false,
+        tables_known: false,
         front: region,
     };
-    index.judge(&asking, asked.groups.as_deref(), wall_ms)
+    index.judge(&attributes, request.groups.as_deref(), wall_ms)
 }
 
 impl Access {
-    pub fn new(setup: Setup) -> Access {
-        let Setup { own, fronts, region, known, terms, remembers, first_number } = setup;
+    /// A front that has not read the rules yet: until it has, it answers [`Decision::RulesUnknown`] for every
+    /// customer that rules can be about.
+    pub fn new(setup: AccessConfig) -> Access {
+        let AccessConfig { own, fronts, region, known, terms, remembers, first_number } = setup;
         let shares = Shares::new(own, terms, fronts.len());
         Access {
             region,
@@ -132,15 +154,16 @@
             hits: Hits::new(own, fronts),
             open: BTreeMap::new(),
             next: 0,
-            looked: 0,
-            ended: 0,
-            ends: Vec::new(),
-            over: false,
-            told: None,
+            checked_version: 0,
+            revoked_count: 0,
+            revoked: Vec::new(),
+            superseded_reported: false,
+            shares_trouble: None,
         }
     }
 
-    pub fn known(&self) -> &Known {
+    /// The names that rules may use, as configured.
+    pub fn known(&self) -> &KnownNames {
         self.versions.known()
     }
 
@@ -172,27 +195,27 @@
     }
 
     /// A file was read: it is to be the fleet's.
-    pub fn offer(&mut self, file: &str, text: &str, wish: Wish) {
-        self.versions.offer(file, text, wish);
+    pub fn offer(&mut self, file: &str, text: &str, command: RulesCommand) {
+        self.versions.offer(file, text, command);
     }
 
     /// What a set would decide otherwise of what was asked here, before it is put in force.
-    pub fn what_if(&mut self, at: Moment, set: Set) -> WhatIf {
+    pub fn what_if(&mut self, at: Moment, set: RuleSet) -> WhatIfReport {
         let (held, known) = (self.versions.held(), self.versions.known());
-        self.record.play(at, &self.region, held, &Index::new(set), known)
+        self.record.compare(at, &self.region, held, &Index::new(set), known)
     }
 
     /// Judges a statement, once for all its tries.
-    pub fn judge(&mut self, at: Moment, asked: Asked) -> Judged {
-        if !self.known().covers(&asked.customer) {
-            return Judged::Free;
+    pub fn judge(&mut self, at: Moment, request: Request) -> Decision {
+        if !self.known().covers(&request.customer) {
+            return Decision::Unrestricted;
         }
-        let Some(index) = self.versions.lease(at.steady) else { return Judged::Closed };
-        let verdict = judge(index, &self.region, &asked, at.wall_ms, None);
-        self.record.add(at.steady, &asked);
+        let Some(index) = self.versions.lease(at.steady) else { return Decision::RulesUnknown };
+        let verdict = judge(index, &self.region, &request, at.wall_ms, None);
+        self.record.add(at.steady, &request);
         let hit = |rule: usize| Hit {
             rule: index.name(rule).to_string(),
-            customer: asked.customer.clone(),
+            customer: request.customer.clone(),
             region: self.region.clone(),
         };
         let hits: Vec<Hit> = verdict.rule.into_iter().chain(verdict.counts).map(hit).collect();
@@ -208,15 +231,15 @@
             _ => hits,
         };
         let open = Open {
-            asked,
+            request,
             verdict: verdict.clone(),
             out: BTreeMap::new(),
             ending: false,
             hits,
-            asked_ms: at.wall_ms,
+            first_judged_ms: at.wall_ms,
         };
         self.open.insert(statement, open);
-        Judged::Taken { statement, verdict, waits }
+        Decision::Decided { statement, verdict, waits }
     }
 
     /// Whether an execution may leave for a location now: by the version that the statement was judged by, by the one
@@ -226,9 +249,10 @@
         let Some(index) = self.versions.lease(at.steady) else { return false };
         let Some(open) = self.open.get_mut(&statement) else { return false };
         let still = open.verdict.version == index.set.version
-            || judge(index, &self.region, &open.asked, at.wall_ms, Some(open.asked_ms)).lets(place);
+            || judge(index, &self.region, &open.request, at.wall_ms, Some(open.first_judged_ms))
+                .allows(place);
         let may =
-            still && !open.ending && open.verdict.lets(place) && self.shares.begins(at.steady, statement);
+            still && !open.ending && open.verdict.allows(place) && self.shares.begins(at.steady, statement);
         if may {
             open.out.insert(execution, place);
         }
@@ -253,26 +277,30 @@
     }
 
     /// A statement has its final answer, or nobody waits for it.
-    pub fn over(&mut self, statement: u64) {
+    pub fn statement_over(&mut self, statement: u64) {
         self.open.remove(&statement);
         self.hits.forget(statement);
         self.shares.over(statement);
     }
 
+    /// The time on the steady clock, in microseconds, at which [`Access::tick`] is next due; `Micros::MAX` if
+    /// nothing is.
     pub fn due(&self, steady: Micros) -> Micros {
         self.versions.due().min(self.hits.due()).min(self.shares.due(steady))
     }
 
+    /// Does what is due: renews the lease, reads and changes the version, writes counts, and moves shares of
+    /// limits. To be called at [`Access::due`]; a call before that does no harm.
     pub fn tick(&mut self, at: Moment) {
         self.versions.tick(at);
         self.shares.tick(at, &mut || self.versions.number());
-        self.have_shares();
+        self.count_those_with_shares();
         self.hits.tick(at, &mut || self.versions.number());
-        self.look(at);
+        self.revoke_barred(at);
     }
 
     /// Those that have their shares now wait for their count.
-    fn have_shares(&mut self) {
+    fn count_those_with_shares(&mut self) {
         for statement in std::mem::take(&mut self.shares.ready) {
             if let Some(open) = self.open.get_mut(&statement) {
                 self.hits.count(statement, std::mem::take(&mut open.hits));
@@ -281,70 +309,71 @@
     }
 
     /// The ledger has answered. False if it was not asked here.
-    pub fn done(&mut self, at: Moment, done: Done) -> bool {
+    pub fn on_ledger_answer(&mut self, at: Moment, done: Done) -> bool {
         let Done { number, outcome } = done;
         let ours = self.versions.done(at, number, outcome.clone())
             || self.hits.done(at, number, outcome.clone(), &mut || self.versions.number())
             || self.shares.done(at, number, outcome, &mut || self.versions.number());
-        self.have_shares();
+        self.count_those_with_shares();
         self.hits.tick(at, &mut || self.versions.number());
-        self.look(at);
+        self.revoke_barred(at);
         ours
     }
 
-    /// Asks for the fleet's count; it comes with `Out`.
-    pub fn sweep(&mut self, at: Moment) {
+    /// Asks for the fleet's count; it comes with `Output`.
+    pub fn request_fleet_hits(&mut self, at: Moment) {
         self.hits.sweep(at);
     }
 
     /// The fleet's count as it was asked for last, and how old it is at most.
-    pub fn fleet(&self, steady: Micros) -> (&Fleet, Option<Micros>) {
+    pub fn fleet_hits(&self, steady: Micros) -> (&FleetHits, Option<Micros>) {
         let fleet = self.hits.fleet();
         (fleet, fleet.as_of.map(|at| steady - at))
     }
 
     /// Holds what runs against a version that was adopted.
-    fn look(&mut self, at: Moment) {
+    fn revoke_barred(&mut self, at: Moment) {
         let index = self.versions.held();
-        if index.set.version == self.looked {
+        if index.set.version == self.checked_version {
             return;
         }
-        self.looked = index.set.version;
+        self.checked_version = index.set.version;
         for (statement, open) in self.open.iter_mut().filter(|(_, open)| !open.out.is_empty() && !open.ending)
         {
-            let verdict = judge(index, &self.region, &open.asked, at.wall_ms, Some(open.asked_ms));
-            if !open.out.values().all(|place| verdict.lets(*place)) {
+            let verdict = judge(index, &self.region, &open.request, at.wall_ms, Some(open.first_judged_ms));
+            if !open.out.values().all(|place| verdict.allows(*place)) {
                 open.ending = true;
-                self.ended += 1;
-                self.ends.push(*statement);
+                self.revoked_count += 1;
+                self.revoked.push(*statement);
             }
         }
     }
 
-    pub fn take(&mut self) -> Out {
-        let mut asks = std::mem::take(&mut self.versions.asks);
-        asks.append(&mut self.hits.asks);
-        asks.append(&mut self.shares.asks);
-        let mut said = std::mem::take(&mut self.versions.said);
-        if std::mem::take(&mut self.hits.full) {
-            said.push(Said::Full { what: "hits" });
+    /// What is to be done since the last call. Each item is returned once.
+    pub fn take(&mut self) -> Output {
+        let mut ledger_requests = std::mem::take(&mut self.versions.asks);
+        ledger_requests.append(&mut self.hits.asks);
+        ledger_requests.append(&mut self.shares.asks);
+        let mut events = std::mem::take(&mut self.versions.events);
+        if std::mem::take(&mut self.hits.ledger_full) {
+            events.push(Event::LedgerFull { what: "hits" });
         }
-        if self.hits.over && !std::mem::replace(&mut self.over, true) {
-            said.push(Said::Over);
+        if self.hits.superseded && !std::mem::replace(&mut self.superseded_reported, true) {
+            events.push(Event::Superseded);
         }
         let trouble = self.shares.trouble();
-        if trouble != self.told {
-            said.extend(trouble.clone());
-            self.told = trouble;
+        if trouble != self.shares_trouble {
+            events.extend(trouble.clone());
+            self.shares_trouble = trouble;
         }
         let swept = std::mem::take(&mut self.hits.swept);
-        Out {
-            asks,
-            said,
+        Output {
+            ledger_requests,
+            events,
             counted: std::mem::take(&mut self.hits.counted),
-            limited: std::mem::take(&mut self.shares.refused),
-            ends: std::mem::take(&mut self.ends),
-            fleet: swept.then(|| self.hits.fleet().clone()),
+            over_limit: std::mem::take(&mut self.shares.refused),
+            revoked: std::mem::take(&mut self.revoked),
+            fleet_hits: swept.then(|| self.hits.fleet().clone()),
         }
     }
 }
--- a/crates/access/src/hits.rs
+++ b/crates/access/src/hits.rs
@@ -16,26 +16,30 @@
 
 const PAGE: usize = 64; // rows of a page; some 3 KB
 const MOST_PAGES: usize = 64; // of a life; rows beyond are counted under any customer
-const AGAIN: Micros = 250_000; // microseconds until what the ledger could not do is asked again
+const RETRY_INTERVAL: Micros = 250_000; // microseconds until what the ledger could not do is asked again
 const FORMAT: u8 = 1; // of a page and of the list of lives
 const CLOSED: u8 = 2; // of a page that is written no more
-const ANY: &str = "*"; // the customer, or the rule, of rows for which there is no room
+const OTHERS: &str = "*"; // the customer, or the rule, of rows for which there is no room
 
 /// What is counted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Hit {
+    /// The name of the rule that decided or counted the statement.
     pub rule: String,
+    /// The statement's customer.
     pub customer: String,
     /// The region of the front that was asked.
     pub region: String,
 }
 
-pub type Counts = BTreeMap<Hit, u64>;
+/// How many statements each rule decided or counted, by customer and region.
+pub type HitCounts = BTreeMap<Hit, u64>;
 
 /// The fleet's count, as of a moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Fleet {
-    pub counts: Counts,
+pub struct FleetHits {
+    /// The counts of all fronts together.
+    pub counts: HitCounts,
     /// On the steady clock of the front that was asked: hits acknowledged before it are in the counts.
     pub as_of: Option<Micros>,
     /// Fronts whose counts are missing, or older than that.
@@ -43,7 +47,7 @@
 }
 
 /// Takes in a table of a life: of two counts of a row the greater is the later.
-pub fn merge(into: &mut Counts, from: &Counts) {
+pub fn merge_counts(into: &mut HitCounts, from: &HitCounts) {
     for (hit, count) in from {
         let known = into.entry(hit.clone()).or_default();
         *known = (*known).max(*count);
@@ -52,7 +56,7 @@
 
 #[derive(Default)]
 struct Page {
-    counts: Counts,
+    counts: HitCounts,
     /// Hits added so far, and how many of them stand.
     added: u64,
     standing: u64,
@@ -62,7 +66,7 @@
     putting: bool,
 }
 
-enum Asked {
+enum Pending {
     Put {
         page: usize,
         added: u64,
@@ -82,6 +86,7 @@
 /// A life of a front and how many pages it has.
 type Lives = (u8, Vec<(u64, u32)>);
 
+/// One front's counts and its view of the fleet's.
 pub struct Hits {
     own: Owner,
     fronts: Vec<FrontId>,
@@ -93,24 +98,27 @@
     listed: usize,
     lives: Option<(Vec<(u64, u32)>, u64)>,
     listing: bool,
-    asked: HashMap<u64, Asked>,
-    try_again: Micros,
+    asked: HashMap<u64, Pending>,
+    retry_at: Micros,
     ticked: Micros,
     /// An earlier life of this front that is taken into the fleet's table.
     fold: Option<Fold>,
     /// The list of lives has changed since it was read.
-    reread: bool,
+    list_is_stale: bool,
     /// A later life of this front counts: this one may no more.
-    pub over: bool,
+    pub superseded: bool,
     sweep: Option<Sweep>,
     folded: BTreeMap<usize, (Folded, u64)>,
-    known: BTreeMap<Owner, Counts>,
-    fleet: Fleet,
+    known: BTreeMap<Owner, HitCounts>,
+    fleet: FleetHits,
+    /// Requests to the ledger that have yet to be sent.
     pub asks: Vec<Ask>,
+    /// Statements whose counts the ledger has confirmed since the caller took them last.
     pub counted: Vec<u64>,
     /// The fleet's count is there, as it was asked for.
     pub swept: bool,
-    pub full: bool,
+    /// The ledger has refused a page for lack of space.
+    pub ledger_full: bool,
 }
 
 fn lives_key(front: FrontId) -> Key {
@@ -137,8 +145,8 @@
 }
 
 /// The counts of a page, whether it is closed or not.
-fn counts(bytes: &[u8]) -> Option<Counts> {
-    match postcard::take_from_bytes::<(u8, Counts)>(bytes) {
+fn counts(bytes: &[u8]) -> Option<HitCounts> {
+    match postcard::take_from_bytes::<(u8, HitCounts)>(bytes) {
         Ok(((FORMAT | CLOSED, counts), [])) => Some(counts),
         _ => None,
     }
@@ -157,19 +165,19 @@
             lives: None,
             listing: false,
             asked: HashMap::new(),
-            try_again: Micros::MIN,
+            retry_at: Micros::MIN,
             ticked: Micros::MIN,
             fold: None,
-            reread: false,
-            over: false,
+            list_is_stale: false,
+            superseded: false,
             sweep: None,
             folded: BTreeMap::new(),
             known: BTreeMap::new(),
-            fleet: Fleet::default(),
+            fleet: FleetHits::default(),
             asks: Vec::new(),
             counted: Vec::new(),
             swept: false,
-            full: false,
+            ledger_full: false,
         }
     }
 
@@ -195,9 +203,9 @@
         let room = |rows: usize, spare: usize| rows + spare < PAGE * MOST_PAGES;
         let hit = match (room(self.rows.len(), 512), room(self.rows.len(), 1)) {
             (true, _) => hit,
-            (false, true) => Hit { customer: ANY.to_string(), ..hit },
+            (false, true) => Hit { customer: OTHERS.to_string(), ..hit },
             (false, false) => {
-                Hit { rule: ANY.to_string(), customer: ANY.to_string(), region: ANY.to_string() }
+                Hit { rule: OTHERS.to_string(), customer: OTHERS.to_string(), region: OTHERS.to_string() }
             }
         };
         if !self.rows.contains_key(&hit) {
@@ -216,7 +224,7 @@
     }
 
     /// The fleet's count as it was asked for last.
-    pub fn fleet(&self) -> &Fleet {
+    pub fn fleet(&self) -> &FleetHits {
         &self.fleet
     }
 
@@ -224,63 +232,66 @@
     pub fn sweep(&mut self, at: Moment) {
         if self.sweep.is_none() {
             self.sweep = Some(Sweep::new(at.steady, &self.fronts));
-            self.try_again = self.try_again.min(at.steady);
+            self.retry_at = self.retry_at.min(at.steady);
         }
     }
 
+    /// When `tick` is next due, on the steady clock; `Micros::MAX` if nothing is.
     pub fn due(&self) -> Micros {
-        if self.try_again > self.ticked {
-            self.try_again
+        if self.retry_at > self.ticked {
+            self.retry_at
         } else {
             Micros::MAX
         }
     }
 
+    /// Queues the requests that are due. `number` gives each request a number of its own.
     pub fn tick(&mut self, at: Moment, number: &mut impl FnMut() -> u64) {
         self.ticked = at.steady;
-        if at.steady < self.try_again {
+        if at.steady < self.retry_at {
             return;
         }
-        self.list(number);
-        if !self.over {
-            (0..self.listed).for_each(|page| self.put(page, number));
-            self.fold_on(at.wall_ms, number);
+        self.list_pages(number);
+        if !self.superseded {
+            (0..self.listed).for_each(|page| self.put_page(page, number));
+            self.advance_fold(at.wall_ms, number);
         }
-        self.read_on(number);
+        self.advance_sweep(number);
     }
 
-    fn ask(&mut self, number: &mut impl FnMut() -> u64, asked: Asked, key: Key, act: Act) {
+    fn ask(&mut self, number: &mut impl FnMut() -> u64, asked: Pending, key: Key, act: Act) {
         let number = number();
         self.asked.insert(number, asked);
         self.asks.push(Ask { number, key, act });
     }
 
     /// Names this life and its pages in the list of lives, before anything is counted there.
-    fn list(&mut self, number: &mut impl FnMut() -> u64) {
-        let lists = self.reread || self.listed < self.pages.len();
-        if self.over || !lists || self.listing {
+    fn list_pages(&mut self, number: &mut impl FnMut() -> u64) {
+        let lists = self.list_is_stale || self.listed < self.pages.len();
+        if self.superseded || !lists || self.listing {
             return;
         }
         self.listing = true;
-        let Some((lives, version)) = self.lives.as_ref().filter(|_| !std::mem::take(&mut self.reread)) else {
-            return self.ask(number, Asked::Lives, lives_key(self.own.front), Act::Read);
+        let Some((lives, version)) = self.lives.as_ref().filter(|_| !std::mem::take(&mut self.list_is_stale))
+        else {
+            return self.ask(number, Pending::Lives, lives_key(self.own.front), Act::Read);
         };
         let mut lives: Vec<(u64, u32)> = lives.clone();
         lives.retain(|(life, _)| *life != self.own.incarnation);
         lives.push((self.own.incarnation, self.pages.len() as u32));
         let value = bytes::<Lives>(&(FORMAT, lives));
         let act = Act::Put { expects: Some(*version), ends_ms: 0, value };
-        self.ask(number, Asked::Lives, lives_key(self.own.front), act);
+        self.ask(number, Pending::Lives, lives_key(self.own.front), act);
     }
 
-    fn put(&mut self, at: usize, number: &mut impl FnMut() -> u64) {
+    fn put_page(&mut self, at: usize, number: &mut impl FnMut() -> u64) {
         let Some(page) = self.pages.get_mut(at).filter(|p| !p.putting && p.standing < p.added) else {
             return;
         };
         page.putting = true;
         // Compare and swap: one that was held up on its way can't set the page back.
         let act = Act::Put { expects: Some(page.version), ends_ms: 0, value: bytes(&(FORMAT, &page.counts)) };
-        let asked = Asked::Put { page: at, added: page.added };
+        let asked = Pending::Put { page: at, added: page.added };
         self.ask(number, asked, page_key(self.own.front, self.own.incarnation, at), act);
     }
 
@@ -294,21 +305,23 @@
     ) -> bool {
         let Some(asked) = self.asked.remove(&asked) else { return false };
         let failed = matches!(outcome, Outcome::Unreachable | Outcome::Full);
-        self.full |= outcome == Outcome::Full;
+        self.ledger_full |= outcome == Outcome::Full;
         match asked {
-            Asked::Put { page, added } => self.put_done(page, added, outcome),
-            Asked::Lives => self.listed_done(outcome),
-            Asked::LivesOf(_) | Asked::PageOf(_) | Asked::Folded(_) => self.swept_on(asked, outcome),
-            step => self.folded_on(&step, outcome),
+            Pending::Put { page, added } => self.on_put_answer(page, added, outcome),
+            Pending::Lives => self.on_list_answer(outcome),
+            Pending::LivesOf(_) | Pending::PageOf(_) | Pending::Folded(_) => {
+                self.on_sweep_answer(asked, outcome)
+            }
+            step => self.on_fold_answer(&step, outcome),
         }
         if failed {
-            self.try_again = at.steady + AGAIN;
+            self.retry_at = at.steady + RETRY_INTERVAL;
         }
         self.tick(at, number);
         true
     }
 
-    fn put_done(&mut self, at: usize, added: u64, outcome: Outcome) {
+    fn on_put_answer(&mut self, at: usize, added: u64, outcome: Outcome) {
         let Some(page) = self.pages.get_mut(at) else { return };
         page.putting = false;
         match outcome {
@@ -318,7 +331,7 @@
             // An earlier put of this life that was thought lost has stood.
             Outcome::Held(entry) => {
                 // Only a later life of this front closes its pages.
-                self.over |= is_closed(&entry.value);
+                self.superseded |= is_closed(&entry.value);
                 page.version = entry.version;
             }
             _ => {}
@@ -331,7 +344,7 @@
         self.counted.extend(counted);
     }
 
-    fn listed_done(&mut self, outcome: Outcome) {
+    fn on_list_answer(&mut self, outcome: Outcome) {
         self.listing = false;
         let entry = match outcome {
             Outcome::Stands(entry) | Outcome::Held(entry) => entry,
@@ -341,11 +354,11 @@
         // An answer told again comes without what stands: it is read anew.
         let Some(lives) = whole::<Vec<(u64, u32)>>(&entry.value) else {
             // One of a format that this build does not know stays as it is.
-            let known = if entry.value.is_empty() { 0 } else { 20 * AGAIN };
-            self.try_again = self.try_again.max(self.ticked + known);
+            let known = if entry.value.is_empty() { 0 } else { 20 * RETRY_INTERVAL };
+            self.retry_at = self.retry_at.max(self.ticked + known);
             return self.lives = None;
         };
-        self.over |= lives.iter().any(|(life, _)| *life > self.own.incarnation);
+        self.superseded |= lives.iter().any(|(life, _)| *life > self.own.incarnation);
         if let Some((_, pages)) = lives.iter().find(|(life, _)| *life == self.own.incarnation) {
             self.listed = self.listed.max(*pages as usize).min(self.pages.len());
         }
--- a/crates/access/src/hits/fold.rs
+++ b/crates/access/src/hits/fold.rs
@@ -13,18 +13,18 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    bytes, counts, lives_key, page_key, whole, Asked, Counts, Hit, Hits, Lives, ANY, CLOSED, FORMAT,
+    bytes, counts, lives_key, page_key, whole, Hit, HitCounts, Hits, Lives, Pending, CLOSED, FORMAT, OTHERS,
 };
 use crate::FrontId;
 
-pub(super) const PLACES: usize = 16; // parts of the fleet's table
+pub(super) const FOLDED_PARTS: usize = 16; // parts of the fleet's table
 const MOST_ROWS: usize = 256; // of a part; rows beyond are counted under any customer
 const LINGERS_MS: u64 = 7 * 86_400_000; // milliseconds for which the page of a folded life stays closed, without its counts
 
 /// A part of the fleet's table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Folded {
-    pub counts: Counts,
+    pub counts: HitCounts,
     /// Of each front the last life that is in it.
     lives: BTreeMap<FrontId, u64>,
 }
@@ -39,7 +39,7 @@
         self.lives.get(&owner.front).is_some_and(|last| *last >= owner.incarnation)
     }
 
-    fn add(&mut self, owner: Owner, rows: &Counts) {
+    fn add(&mut self, owner: Owner, rows: &HitCounts) {
         if self.has(owner) {
             return;
         }
@@ -47,7 +47,7 @@
         for (hit, count) in rows {
             let hit = match self.counts.contains_key(hit) || self.counts.len() < MOST_ROWS {
                 true => hit.clone(),
-                false => Hit { customer: ANY.to_string(), region: ANY.to_string(), ..hit.clone() },
+                false => Hit { customer: OTHERS.to_string(), region: OTHERS.to_string(), ..hit.clone() },
             };
             *self.counts.entry(hit).or_default() += count;
         }
@@ -55,10 +55,10 @@
 }
 
 /// The part that a row belongs to; the same in every build.
-pub(super) fn place_of(hit: &Hit) -> usize {
+pub(super) fn part_of(hit: &Hit) -> usize {
     let texts = [&hit.rule, &hit.customer, &hit.region];
     let hash = fnv1a(texts.into_iter().flat_map(|text| text.bytes().chain([0])));
-    ((hash ^ (hash >> 32)) % PLACES as u64) as usize
+    ((hash ^ (hash >> 32)) % FOLDED_PARTS as u64) as usize
 }
 
 pub(super) fn folded_key(place: usize) -> Key {
@@ -69,12 +69,12 @@
 pub(super) struct Fold {
     owner: Owner,
     /// A page as it was read, to be closed on its version.
-    open: Option<(Counts, u64)>,
+    open: Option<(HitCounts, u64)>,
     /// Its pages as they were closed.
-    pages: Vec<Counts>,
+    pages: Vec<HitCounts>,
     count: usize,
     /// What has yet to be added, by part; None until all pages are closed.
-    left: Option<BTreeMap<usize, Counts>>,
+    left: Option<BTreeMap<usize, HitCounts>>,
     part: Option<(Folded, u64)>,
     blanked: usize,
     asking: bool,
@@ -84,7 +84,7 @@
 
 impl Hits {
     /// Brings the earliest life one step on; one after the other, so that what was folded is all up to a life.
-    pub(super) fn fold_on(&mut self, wall_ms: u64, number: &mut impl FnMut() -> u64) {
+    pub(super) fn advance_fold(&mut self, wall_ms: u64, number: &mut impl FnMut() -> u64) {
         let own = self.own;
         let Some((lives, version)) = self.lives.clone() else { return };
         if self.fold.is_none() {
@@ -107,7 +107,7 @@
         let Some(fold) = self.fold.as_mut().filter(|fold| !fold.asking && !fold.stuck) else { return };
         let key = |page| page_key(own.front, fold.owner.incarnation, page);
         let put = |expects, ends_ms, value| Act::Put { expects, ends_ms, value };
-        let closed = |counts: &Counts| bytes(&(CLOSED, counts));
+        let closed = |counts: &HitCounts| bytes(&(CLOSED, counts));
         let left = fold.left.as_ref();
         let (asked, key, act) = if fold.pages.len() < fold.count {
             let page = fold.pages.len();
@@ -115,7 +115,7 @@
                 None => Act::Read,
                 Some((counts, version)) => put(Some(*version), 0, closed(counts)),
             };
-            (Asked::Closing, key(page), act)
+            (Pending::Closing, key(page), act)
         } else if let Some((place, rows)) = left.and_then(|left| left.first_key_value()) {
             let act = match &fold.part {
                 None => Act::Read,
@@ -125,14 +125,14 @@
                     put(Some(*version), 0, bytes(&(FORMAT, folded)))
                 }
             };
-            (Asked::Adding, folded_key(*place), act)
+            (Pending::Adding, folded_key(*place), act)
         } else if fold.blanked < fold.count {
-            let act = put(None, wall_ms.saturating_add(LINGERS_MS), closed(&Counts::new()));
-            (Asked::Blanking, key(fold.blanked), act)
+            let act = put(None, wall_ms.saturating_add(LINGERS_MS), closed(&HitCounts::new()));
+            (Pending::Blanking, key(fold.blanked), act)
         } else if !self.listing {
             let lives: Vec<(u64, u32)> =
                 lives.into_iter().filter(|(life, _)| *life != fold.owner.incarnation).collect();
-            (Asked::Dropping, lives_key(own.front), put(Some(version), 0, bytes::<Lives>(&(FORMAT, lives))))
+            (Pending::Dropping, lives_key(own.front), put(Some(version), 0, bytes::<Lives>(&(FORMAT, lives))))
         } else {
             return;
         };
@@ -141,12 +141,12 @@
     }
 
     /// The ledger has answered a step.
-    pub(super) fn folded_on(&mut self, asked: &Asked, outcome: Outcome) {
+    pub(super) fn on_fold_answer(&mut self, asked: &Pending, outcome: Outcome) {
         let Some(fold) = &mut self.fold else { return };
         fold.asking = false;
         match (asked, outcome) {
             (_, Outcome::Unreachable | Outcome::Full) => {}
-            (Asked::Closing, Outcome::Stands(entry)) => match counts(&entry.value) {
+            (Pending::Closing, Outcome::Stands(entry)) => match counts(&entry.value) {
                 Some(counts) if entry.value.first() == Some(&CLOSED) => {
                     fold.pages.push(counts);
                     fold.open = None;
@@ -155,9 +155,9 @@
                 None => fold.stuck = true,
             },
             // Listed, and never written: it may not be any more.
-            (Asked::Closing, Outcome::Absent) => fold.open = Some((Counts::new(), 0)),
-            (Asked::Closing, Outcome::Held(_)) => fold.open = None,
-            (Asked::Adding, Outcome::Stands(entry)) => match Folded::read(&entry.value) {
+            (Pending::Closing, Outcome::Absent) => fold.open = Some((HitCounts::new(), 0)),
+            (Pending::Closing, Outcome::Held(_)) => fold.open = None,
+            (Pending::Adding, Outcome::Stands(entry)) => match Folded::read(&entry.value) {
                 Some(folded) if folded.has(fold.owner) => {
                     fold.left.iter_mut().for_each(|left| _ = left.pop_first());
                     fold.part = None;
@@ -165,27 +165,27 @@
                 Some(folded) => fold.part = Some((folded, entry.version)),
                 None => fold.stuck = true,
             },
-            (Asked::Adding, Outcome::Absent) if fold.part.is_none() => {
+            (Pending::Adding, Outcome::Absent) if fold.part.is_none() => {
                 fold.part = Some((Folded::default(), 0));
             }
-            (Asked::Adding, _) => fold.part = None,
-            (Asked::Blanking, _) => fold.blanked += 1,
-            (Asked::Dropping, Outcome::Stands(entry)) => {
+            (Pending::Adding, _) => fold.part = None,
+            (Pending::Blanking, _) => fold.blanked += 1,
+            (Pending::Dropping, Outcome::Stands(entry)) => {
                 self.lives = whole::<Vec<(u64, u32)>>(&entry.value).map(|lives| (lives, entry.version));
                 self.fold = None;
                 return;
             }
             // The list has moved on: it is read anew, and what was folded is known by the parts.
-            (Asked::Dropping, _) => {
+            (Pending::Dropping, _) => {
                 self.fold = None;
-                return self.reread = true;
+                return self.list_is_stale = true;
             }
             _ => {}
         }
         if fold.left.is_none() && fold.pages.len() == fold.count {
-            let mut left: BTreeMap<usize, Counts> = BTreeMap::new();
+            let mut left: BTreeMap<usize, HitCounts> = BTreeMap::new();
             for (hit, count) in fold.pages.iter().flatten() {
-                *left.entry(place_of(hit)).or_default().entry(hit.clone()).or_default() += count;
+                *left.entry(part_of(hit)).or_default().entry(hit.clone()).or_default() += count;
             }
             fold.left = Some(left);
         }
--- a/crates/access/src/hits/sweep.rs
+++ b/crates/access/src/hits/sweep.rs
@@ -4,8 +4,8 @@
 
 use hallmux_ledger::{Act, Outcome, Owner};
 
-use super::fold::{folded_key, place_of, Folded, PLACES};
-use super::{counts, lives_key, merge, page_key, whole, Asked, Counts, Fleet, Hits};
+use super::fold::{folded_key, part_of, Folded, FOLDED_PARTS};
+use super::{counts, lives_key, merge_counts, page_key, whole, FleetHits, HitCounts, Hits, Pending};
 use crate::{FrontId, Micros};
 
 const AT_ONCE: usize = 32; // pages read at once for the fleet's count
@@ -34,7 +34,7 @@
 
 impl Hits {
     /// Reads on for the fleet's count.
-    pub(super) fn read_on(&mut self, number: &mut impl FnMut() -> u64) {
+    pub(super) fn advance_sweep(&mut self, number: &mut impl FnMut() -> u64) {
         loop {
             let Some(sweep) = self.sweep.as_mut().filter(|sweep| sweep.out < AT_ONCE) else { return };
             let Some(read) = sweep.reads.pop() else {
@@ -42,35 +42,35 @@
                     break;
                 }
                 sweep.last = true;
-                sweep.reads.extend((0..PLACES).map(Read::Folded));
+                sweep.reads.extend((0..FOLDED_PARTS).map(Read::Folded));
                 continue;
             };
             sweep.out += 1;
             let (asked, key) = match read {
-                Read::Lives(front) => (Asked::LivesOf(front), lives_key(front)),
+                Read::Lives(front) => (Pending::LivesOf(front), lives_key(front)),
                 Read::Page(owner, page) => {
-                    (Asked::PageOf(owner), page_key(owner.front, owner.incarnation, page as usize))
+                    (Pending::PageOf(owner), page_key(owner.front, owner.incarnation, page as usize))
                 }
-                Read::Folded(place) => (Asked::Folded(place), folded_key(place)),
+                Read::Folded(place) => (Pending::Folded(place), folded_key(place)),
             };
             self.ask(number, asked, key, Act::Read);
         }
         if let Some(sweep) = self.sweep.take_if(|sweep| sweep.out == 0) {
             let counts = self.sum();
-            self.fleet = Fleet { counts, as_of: Some(sweep.begun), missing: sweep.missing };
+            self.fleet = FleetHits { counts, as_of: Some(sweep.begun), missing: sweep.missing };
             self.swept = true;
         }
     }
 
     /// What is in the fleet's table, and of each life what is not.
-    fn sum(&mut self) -> Counts {
-        let mut counts = Counts::new();
+    fn sum(&mut self) -> HitCounts {
+        let mut counts = HitCounts::new();
         for (hit, count) in self.folded.values().flat_map(|(folded, _)| &folded.counts) {
             *counts.entry(hit.clone()).or_default() += count;
         }
         let folded = &self.folded;
         let has = |hit: &super::Hit, owner: &Owner| {
-            folded.get(&place_of(hit)).is_some_and(|(folded, _)| folded.has(*owner))
+            folded.get(&part_of(hit)).is_some_and(|(folded, _)| folded.has(*owner))
         };
         for (owner, table) in &mut self.known {
             table.retain(|hit, _| !has(hit, owner));
@@ -82,12 +82,13 @@
         counts
     }
 
-    pub(super) fn swept_on(&mut self, asked: Asked, outcome: Outcome) {
+    pub(super) fn on_sweep_answer(&mut self, asked: Pending, outcome: Outcome) {
         let Some(sweep) = &mut self.sweep else { return };
         sweep.out -= 1;
         match (asked, outcome) {
             (_, Outcome::Absent) => {}
-            (Asked::LivesOf(front), Outcome::Stands(entry)) => match whole::<Vec<(u64, u32)>>(&entry.value) {
+            (Pending::LivesOf(front), Outcome::Stands(entry)) => match whole::<Vec<(u64, u32)>>(&entry.value)
+            {
                 Some(lives) => {
                     for (incarnation, pages) in lives {
                         let owner = Owner { front, incarnation };
@@ -96,11 +97,11 @@
                 }
                 None => _ = sweep.missing.insert(front),
             },
-            (Asked::PageOf(owner), Outcome::Stands(entry)) => match counts(&entry.value) {
-                Some(counts) => merge(self.known.entry(owner).or_default(), &counts),
+            (Pending::PageOf(owner), Outcome::Stands(entry)) => match counts(&entry.value) {
+                Some(counts) => merge_counts(self.known.entry(owner).or_default(), &counts),
                 None => _ = sweep.missing.insert(owner.front),
             },
-            (Asked::Folded(place), Outcome::Stands(entry)) => match Folded::read(&entry.value) {
+            (Pending::Folded(place), Outcome::Stands(entry)) => match Folded::read(&entry.value) {
                 Some(folded) => {
                     let known = self.folded.get(&place).map_or(0, |(_, version)| *version);
                     if entry.version >= known {
@@ -109,11 +110,11 @@
                 }
                 None => sweep.missing.extend(&self.fronts),
             },
-            (Asked::LivesOf(front) | Asked::PageOf(Owner { front, .. }), _) => {
+            (Pending::LivesOf(front) | Pending::PageOf(Owner { front, .. }), _) => {
                 _ = sweep.missing.insert(front)
             }
             // Of any front something may be there.
-            (Asked::Folded(_), _) => sweep.missing.extend(&self.fronts),
+            (Pending::Folded(_), _) => sweep.missing.extend(&self.fronts),
             _ => {}
         }
     }
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -1,13 +1,17 @@
 //! Regional access rules of customers: who may read what where. A set of rules is read and checked as a whole
 //! (`read`, `check`), compiled to an index (`index`), kept as one version for the whole fleet in the ledger of
-//! promises (`head`, `versions`), counted exactly (`hits`), and held to limits over the whole fleet (`shares`). `Access` joins them for one front. No sockets, no
-//! files, no clock, no chance: events and the time come in, asks to the ledger and words for the front go out.
+//! promises (`head`, `versions`), counted exactly (`hits`), and held to limits over the whole fleet (`shares`).
+//! `Access` joins them for one front. No sockets, no files, no clock, no randomness: statements, the ledger's answers
+//! and the time come in, requests to the ledger, decisions and events go out.
 //!
 //! A rule narrows where the decision module may send; the module still chooses among what is left.
 
+#![warn(missing_docs)]
+
 mod access;
 mod check;
-mod fault;
+mod error;
+mod event;
 mod head;
 mod hits;
 mod index;
@@ -19,16 +23,16 @@
 mod shares;
 mod versions;
 
-pub use access::{Access, Asked, Judged, Out, Setup};
-pub use fault::{Fault, Faults, Refused, What};
+pub use access::{Access, AccessConfig, Decision, Output, Request};
+pub use error::{FileError, FileErrors, Problem, Refused};
+pub use event::Event;
 pub use hallmux_lease::Terms;
 pub use hallmux_ledger::{Act, Ask, Done, Entry, FrontId, Key, Kind, Micros, Moment, Outcome, Owner};
-pub use head::{Head, Kept};
-pub use hits::{merge, Counts, Fleet, Hit};
+pub use head::{Head, StoredVersion};
+pub use hits::{merge_counts, FleetHits, Hit, HitCounts};
 pub use index::{Index, Verdict};
-pub use known::{Bound, Known};
-pub use read::{read, Lines, Wish};
-pub use record::{Change, Decided, WhatIf};
-pub use rule::{Asking, Default, Rule, Set, Tables, Then};
+pub use known::{KnownNames, WorkloadLocations};
+pub use read::{read, LineLookup, RulesCommand};
+pub use record::{ChangedDecision, Permission, WhatIfReport};
+pub use rule::{Attributes, DefaultEffect, MatchedRules, RateLimit, Rule, RuleEffect, RuleSet, TableRange};
 pub use shares::{Limit, Shares};
-pub use versions::Said;
--- a/crates/access/src/record.rs
+++ b/crates/access/src/record.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::access::{judge, Asked};
+use crate::access::{judge, Request};
 use crate::index::Index;
 use crate::shares::Limit;
 use crate::{Micros, Moment};
@@ -13,44 +13,55 @@
 
 /// What a set says of a statement.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Decided {
+pub enum Permission {
+    /// Turned away by a rule or by the default.
     Denied,
     /// At these locations (None: all), within these limits.
-    Let {
-        at: Option<Vec<String>>,
+    Allowed {
+        /// The locations at which it may be read; `None`: all.
+        locations: Option<Vec<String>>,
+        /// The limits that it counts against.
         limits: Vec<Limit>,
     },
 }
 
 /// Statements that two sets decide differently.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Change {
+pub struct ChangedDecision {
+    /// Whose statements they are.
     pub customer: String,
+    /// The workload of the statements.
     pub workload: String,
-    pub is: Decided,
-    pub would: Decided,
+    /// What the set in force says of them.
+    pub current: Permission,
+    /// What the other set would say of them.
+    pub proposed: Permission,
 }
 
 /// What a set would change, were it to hold now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct WhatIf {
+pub struct WhatIfReport {
     /// The version that holds, and the one that was asked about.
     pub held: u64,
+    /// The version that was asked about.
     pub version: u64,
     /// How far the record goes back.
     pub back: Micros,
+    /// Statements that the record holds.
     pub statements: u64,
     /// Statements for whose kinds the record had no room.
     pub unknown: u64,
-    pub changes: BTreeMap<Change, u64>,
+    /// The statements that would be decided differently, and how many there were of each kind.
+    pub changes: BTreeMap<ChangedDecision, u64>,
 }
 
+/// What was asked of one front over a sliding window of time, counted by kind.
 pub struct Record {
     part: Micros,
     begun: Option<Micros>,
     /// The part that is being filled, since the clock began.
     at: Micros,
-    kinds: HashMap<Asked, [u32; PARTS]>,
+    kinds: HashMap<Request, [u32; PARTS]>,
     unknown: [u64; PARTS],
 }
 
@@ -62,7 +73,7 @@
     }
 
     /// Goes on to a time: what is older than the record goes back is forgotten.
-    fn turn(&mut self, now: Micros) -> usize {
+    fn advance(&mut self, now: Micros) -> usize {
         let part = now.div_euclid(self.part);
         let passed = if self.begun.is_none() { 0 } else { (part - self.at).clamp(0, PARTS as Micros) };
         for gone in 0..passed {
@@ -80,61 +91,72 @@
         part.rem_euclid(PARTS as Micros) as usize
     }
 
-    pub fn add(&mut self, now: Micros, asked: &Asked) {
+    /// Counts one statement.
+    pub fn add(&mut self, now: Micros, request: &Request) {
         if self.part <= 0 {
             return;
         }
-        let place = self.turn(now);
-        if !self.kinds.contains_key(asked) {
+        let place = self.advance(now);
+        if !self.kinds.contains_key(request) {
             if self.kinds.len() >= MOST_KINDS {
                 self.unknown.iter_mut().skip(place).take(1).for_each(|count| *count += 1);
                 return;
             }
-            self.kinds.insert(asked.clone(), [0; PARTS]);
+            self.kinds.insert(request.clone(), [0; PARTS]);
         }
-        let counts = self.kinds.get_mut(asked).into_iter().flatten();
+        let counts = self.kinds.get_mut(request).into_iter().flatten();
         counts.skip(place).take(1).for_each(|count| *count = count.saturating_add(1));
     }
 
     /// What a set would decide otherwise than the one held, of what was asked, were it asked now.
-    pub fn play(
+    pub fn compare(
         &mut self,
         at: Moment,
         region: &str,
         held: &Index,
         other: &Index,
-        known: &crate::Known,
-    ) -> WhatIf {
-        let mut found = WhatIf { held: held.set.version, version: other.set.version, ..WhatIf::default() };
+        known: &crate::KnownNames,
+    ) -> WhatIfReport {
+        let mut found =
+            WhatIfReport { held: held.set.version, version: other.set.version, ..WhatIfReport::default() };
         if self.part <= 0 {
             return found;
         }
-        self.turn(at.steady);
+        self.advance(at.steady);
         let back = self.begun.map_or(0, |begun| at.steady - begun);
         found.back = back.min(self.part * PARTS as Micros);
         found.unknown = self.unknown.iter().sum();
-        for (asked, counts) in &self.kinds {
+        for (request, counts) in &self.kinds {
             let count = counts.iter().map(|count| u64::from(*count)).sum::<u64>();
             found.statements += count;
-            let by = |index: &Index| decided(index, known, region, asked, at.wall_ms);
-            let (is, would) = (by(held), by(other));
-            if is != would {
-                let (customer, workload) = (asked.customer.clone(), asked.workload.clone());
-                *found.changes.entry(Change { customer, workload, is, would }).or_default() += count;
+            let by = |index: &Index| decided(index, known, region, request, at.wall_ms);
+            let (current, proposed) = (by(held), by(other));
+            if current != proposed {
+                let (customer, workload) = (request.customer.clone(), request.workload.clone());
+                *found
+                    .changes
+                    .entry(ChangedDecision { customer, workload, current, proposed })
+                    .or_default() += count;
             }
         }
         found
     }
 }
 
-fn decided(index: &Index, known: &crate::Known, region: &str, asked: &Asked, wall_ms: u64) -> Decided {
-    let verdict = judge(index, region, asked, wall_ms, None);
+fn decided(
+    index: &Index,
+    known: &crate::KnownNames,
+    region: &str,
+    request: &Request,
+    wall_ms: u64,
+) -> Permission {
+    let verdict = judge(index, region, request, wall_ms, None);
     if verdict.denied.is_some() {
-        return Decided::Denied;
+        return Permission::Denied;
     }
     let name = |place: &u16| known.locations.get(*place as usize).cloned();
-    let at = verdict.allowed.as_ref().map(|places| places.iter().filter_map(name).collect());
-    Decided::Let { at, limits: index.limits(&verdict) }
+    let locations = verdict.allowed.as_ref().map(|places| places.iter().filter_map(name).collect());
+    Permission::Allowed { locations, limits: index.limits(&verdict) }
 }
 
 #[cfg(test)]
--- a/crates/access/src/shares.rs
+++ b/crates/access/src/shares.rs
@@ -11,10 +11,10 @@
 
 use hallmux_ledger::{Ask, Outcome, Owner};
 
-use crate::versions::Said;
+use crate::event::Event;
 use crate::{Micros, Moment};
 
-use share::{Share, Terrain};
+use share::{Share, ShareContext};
 pub use table::Limit;
 
 /// A statement, and the limits that it has yet to take from.
@@ -24,14 +24,17 @@
     began: bool,
 }
 
+/// One front's shares of all limits that it has traffic for.
 pub struct Shares {
-    terrain: Terrain,
+    context: ShareContext,
     shares: BTreeMap<Limit, Share>,
     statements: BTreeMap<u64, Taking>,
     asked: HashMap<u64, (Limit, Micros)>,
+    /// Requests to the ledger that have yet to be sent.
     pub asks: Vec<Ask>,
     /// Statements that have waited for their shares and have them now, or have none.
     pub ready: Vec<u64>,
+    /// Statements that were refused for want of a share since the caller took them last.
     pub refused: Vec<u64>,
     /// Statements refused by each rule's limit, so far.
     pub limited: BTreeMap<String, u64>,
@@ -41,7 +44,7 @@
     /// A share is spent under a lease by `terms`; `fronts` is how many share.
     pub fn new(own: Owner, terms: hallmux_lease::Terms, fronts: usize) -> Shares {
         Shares {
-            terrain: Terrain { own, terms, fronts },
+            context: ShareContext { own, terms, fronts },
             shares: BTreeMap::new(),
             statements: BTreeMap::new(),
             asked: HashMap::new(),
@@ -54,15 +57,15 @@
 
     /// Whether a statement may go on at once; else it waits, and is among `ready` or `refused` later.
     pub fn take(&mut self, now: Micros, statement: u64, limits: Vec<Limit>) -> bool {
-        let terrain = self.terrain;
+        let context = self.context;
         let takes = |limit: &&Limit| {
             let share =
-                self.shares.entry((*limit).clone()).or_insert_with(|| Share::new((*limit).clone(), terrain));
+                self.shares.entry((*limit).clone()).or_insert_with(|| Share::new((*limit).clone(), context));
             !share.take(now, statement)
         };
         let lacks = limits.iter().filter(takes).count();
         self.statements.insert(statement, Taking { limits, lacks, began: false });
-        self.hear();
+        self.collect();
         lacks == 0
     }
 
@@ -92,6 +95,8 @@
         self.statements.get(&statement).is_some_and(|taking| taking.lacks > 0)
     }
 
+    /// A statement has ended or is abandoned: it waits for no share any more. What it spent stays spent for
+    /// the limit's window.
     pub fn over(&mut self, statement: u64) {
         let Some(taking) = self.statements.remove(&statement) else { return };
         for limit in &taking.limits {
@@ -99,10 +104,13 @@
         }
     }
 
+    /// When `tick` is next due, on the steady clock; `Micros::MAX` if nothing is.
     pub fn due(&self, now: Micros) -> Micros {
         self.shares.values().map(|share| share.due(now)).min().unwrap_or(Micros::MAX)
     }
 
+    /// Queues the requests that are due and serves the statements that wait. `number` gives each request a
+    /// number of its own.
     pub fn tick(&mut self, at: Moment, number: &mut impl FnMut() -> u64) {
         for (limit, share) in &mut self.shares {
             if let Some(act) = share.tick(at.steady) {
@@ -111,7 +119,7 @@
                 self.asks.push(Ask { number, key: limit.key(), act });
             }
         }
-        self.hear();
+        self.collect();
         self.shares.retain(|_, share| !share.is_idle());
     }
 
@@ -125,24 +133,24 @@
     ) -> bool {
         let Some((limit, asked_at)) = self.asked.remove(&asked) else { return false };
         if let Some(share) = self.shares.get_mut(&limit) {
-            share.done(at.steady, asked_at, outcome);
+            share.on_answer(at.steady, asked_at, outcome);
         }
         self.tick(at, number);
         true
     }
 
     /// What keeps shares from being spent, if anything that a person should know of.
-    pub fn trouble(&self) -> Option<Said> {
+    pub fn trouble(&self) -> Option<Event> {
         let unreadable = self.shares.values().any(|share| share.unreadable);
         let full = self.shares.values().any(|share| share.full);
         match (unreadable, full) {
-            (true, _) => Some(Said::Unreadable { what: "shares of a limit" }),
-            (_, true) => Some(Said::Full { what: "shares of a limit" }),
+            (true, _) => Some(Event::Unreadable { what: "shares of a limit" }),
+            (_, true) => Some(Event::LedgerFull { what: "shares of a limit" }),
             _ => None,
         }
     }
 
-    fn hear(&mut self) {
+    fn collect(&mut self) {
         let mut refused = Vec::new();
         for share in self.shares.values_mut() {
             for statement in share.ready.drain(..) {
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use hallmux_access::{
-    read, Access, Act, Asked, Bound, Change, Decided, Done, Entry, Fleet, Judged, Key, Known, Moment,
-    Outcome, Owner, Said, Setup, Terms, Wish,
+    read, Access, AccessConfig, Act, ChangedDecision, Decision, Done, Entry, Event, FleetHits, Key,
+    KnownNames, Moment, Outcome, Owner, Permission, Request, RulesCommand, Terms, WorkloadLocations,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -12,22 +12,22 @@
 const PLACES: [&str; 3] = ["eu", "us", "ap"];
 const START_MS: u64 = 1_800_000_000_000; // 2027-01-15T08:00:00Z
 
-struct One {
+struct SingleFront {
     access: Access,
     /// An earlier life of the same front that goes on all the same.
     earlier: Option<Access>,
     counted: Vec<u64>,
-    said: Vec<Said>,
-    fleet: Option<Fleet>,
+    events: Vec<Event>,
+    fleet: Option<FleetHits>,
     now: i64,
     ledger: BTreeMap<Key, Entry>,
     last: u64,
 }
 
-fn known() -> Known {
+fn known() -> KnownNames {
     let names = |all: &[&str]| all.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-    let bound = |name: &str| Bound { name: name.to_string(), locations: None };
-    Known {
+    let bound = |name: &str| WorkloadLocations { name: name.to_string(), locations: None };
+    KnownNames {
         customers: names(&["acme", "brisk"]),
         workloads: vec![bound("lookup"), bound("report")],
         locations: names(&PLACES),
@@ -36,12 +36,12 @@
     }
 }
 
-fn wish(text: &str) -> Wish {
+fn command(text: &str) -> RulesCommand {
     read("rules.json5", text, &known(), &|_| None).unwrap_or_else(|e| panic!("{e}: {text}"))
 }
 
 fn access(incarnation: u64) -> Access {
-    Access::new(Setup {
+    Access::new(AccessConfig {
         own: Owner { front: 1, incarnation },
         fronts: vec![1],
         region: "eu".to_string(),
@@ -52,24 +52,33 @@
     })
 }
 
-impl One {
-    fn new() -> One {
-        let (ledger, counted, said) = (BTreeMap::new(), Vec::new(), Vec::new());
-        One { access: access(1), earlier: None, counted, said, fleet: None, now: 0, ledger, last: 0 }
+impl SingleFront {
+    fn new() -> SingleFront {
+        let (ledger, counted, events) = (BTreeMap::new(), Vec::new(), Vec::new());
+        SingleFront {
+            access: access(1),
+            earlier: None,
+            counted,
+            events,
+            fleet: None,
+            now: 0,
+            ledger,
+            last: 0,
+        }
     }
 
     /// Changes places with the earlier life.
-    fn swaps(&mut self) {
+    fn swap_with_earlier(&mut self) {
         let other = self.earlier.take().unwrap_or_else(|| access(2));
         self.earlier = Some(std::mem::replace(&mut self.access, other));
-        self.passes(4_000);
+        self.advance(4_000);
     }
 
     fn at(&self) -> Moment {
         Moment { steady: self.now, wall_ms: START_MS + self.now as u64 / 1000 }
     }
 
-    fn passes(&mut self, ms: i64) {
+    fn advance(&mut self, ms: i64) {
         let end = self.now + ms * 1000;
         while self.now < end {
             self.now = (self.now + 500_000).min(end);
@@ -77,14 +86,14 @@
             loop {
                 let out = self.access.take();
                 self.counted.extend(out.counted);
-                self.said.extend(out.said);
-                self.fleet = out.fleet.or(self.fleet.take());
-                if out.asks.is_empty() {
+                self.events.extend(out.events);
+                self.fleet = out.fleet_hits.or(self.fleet.take());
+                if out.ledger_requests.is_empty() {
                     break;
                 }
-                for ask in out.asks {
+                for ask in out.ledger_requests {
                     let outcome = self.act(&ask.key, ask.act);
-                    self.access.done(self.at(), Done { number: ask.number, outcome });
+                    self.access.on_ledger_answer(self.at(), Done { number: ask.number, outcome });
                 }
             }
         }
@@ -107,21 +116,24 @@
 
     /// Puts a set in force.
     fn holds(&mut self, text: &str) {
-        self.access.offer("rules.json5", text, wish(text));
-        self.passes(6_000);
-        assert_eq!(self.access.version(self.now), (wish(text).version(), true));
+        self.access.offer("rules.json5", text, command(text));
+        self.advance(6_000);
+        assert_eq!(self.access.version(self.now), (command(text).version(), true));
     }
 
     /// What is decided of a statement, and its number.
-    fn ask(&mut self, asked: &Asked) -> (Decided, u64) {
-        let Judged::Taken { statement, verdict, .. } = self.access.judge(self.at(), asked.clone()) else {
+    fn ask(&mut self, asked: &Request) -> (Permission, u64) {
+        let Decision::Decided { statement, verdict, .. } = self.access.judge(self.at(), asked.clone()) else {
             panic!("judged")
         };
         if verdict.denied.is_some() {
-            return (Decided::Denied, statement);
+            return (Permission::Denied, statement);
         }
         (
-            Decided::Let { at: self.access.locations(&verdict), limits: self.access.limits(&verdict) },
+            Permission::Allowed {
+                locations: self.access.locations(&verdict),
+                limits: self.access.limits(&verdict),
+            },
             statement,
         )
     }
@@ -135,28 +147,28 @@
 
 #[test]
 fn an_earlier_life_that_goes_on_beside_a_later_one_counts_nothing_any_more() {
-    let asked = Asked { customer: "acme".to_string(), workload: "lookup".to_string(), groups: None };
-    let mut one = One::new();
+    let asked = Request { customer: "acme".to_string(), workload: "lookup".to_string(), groups: None };
+    let mut one = SingleFront::new();
     one.holds("{ version: 1, default: 'allow', rules: [ { name: 'a', then: 'count' }, { name: 'b', regions: ['eu'] } ] }");
-    let counts = |one: &mut One| {
+    let counts = |one: &mut SingleFront| {
         one.counted.clear();
         let statement = one.ask(&asked).1;
-        one.passes(4_000);
+        one.advance(4_000);
         one.counted == [statement]
     };
     assert!(counts(&mut one));
     // The later life has counted nothing yet: both may go on.
-    one.swaps();
-    one.swaps();
+    one.swap_with_earlier();
+    one.swap_with_earlier();
     assert!(counts(&mut one));
     // Now it has, and takes in what the earlier one had counted.
-    one.swaps();
+    one.swap_with_earlier();
     assert!(counts(&mut one) && counts(&mut one));
-    one.swaps();
-    assert!(!counts(&mut one) && !counts(&mut one) && one.said.contains(&Said::Over));
-    one.swaps();
-    one.access.sweep(one.at());
-    one.passes(4_000);
+    one.swap_with_earlier();
+    assert!(!counts(&mut one) && !counts(&mut one) && one.events.contains(&Event::Superseded));
+    one.swap_with_earlier();
+    one.access.request_fleet_hits(one.at());
+    one.advance(4_000);
     let fleet = one.fleet.clone().unwrap();
     assert_eq!((fleet.missing.len(), fleet.counts.into_values().collect::<Vec<_>>()), (0, vec![4, 4]));
 }
@@ -198,7 +210,7 @@
             continue;
         }
         runs += 1;
-        let drawn = |rng: &mut Pcg64| Asked {
+        let drawn = |rng: &mut Pcg64| Request {
             customer: ["acme", "brisk"][rng.random_range(0..2)].to_string(),
             workload: ["lookup", "report"][rng.random_range(0..2)].to_string(),
             groups: [
@@ -209,25 +221,25 @@
             ][rng.random_range(0..4)]
             .clone(),
         };
-        let traffic: Vec<Asked> = (0..200).map(|_| drawn(&mut rng)).collect();
-        let mut one = One::new();
+        let traffic: Vec<Request> = (0..200).map(|_| drawn(&mut rng)).collect();
+        let mut one = SingleFront::new();
         one.holds(&before);
-        let was: Vec<Decided> = traffic.iter().map(|asked| one.ask(asked).0).collect();
-        let Wish::WhatIf(set) = wish(&after) else { panic!("a question") };
+        let was: Vec<Permission> = traffic.iter().map(|asked| one.ask(asked).0).collect();
+        let RulesCommand::WhatIf(set) = command(&after) else { panic!("a question") };
         let told = one.access.what_if(one.at(), set);
         assert_eq!((told.statements, told.unknown), (200, 0));
         // The question changes nothing, also where it is offered.
-        one.access.offer("rules.json5", &after, wish(&after));
-        one.passes(1_000);
+        one.access.offer("rules.json5", &after, command(&after));
+        one.advance(1_000);
         assert_eq!(one.access.version(one.now), (1, true));
         after = after.replace("what_if: true", "what_if: false");
         one.holds(&after);
-        let mut happened: BTreeMap<Change, u64> = BTreeMap::new();
-        for (asked, is) in traffic.iter().zip(was) {
-            let would = one.ask(asked).0;
-            let Asked { customer, workload, .. } = asked.clone();
-            if is != would {
-                *happened.entry(Change { customer, workload, is, would }).or_default() += 1;
+        let mut happened: BTreeMap<ChangedDecision, u64> = BTreeMap::new();
+        for (asked, current) in traffic.iter().zip(was) {
+            let proposed = one.ask(asked).0;
+            let Request { customer, workload, .. } = asked.clone();
+            if current != proposed {
+                *happened.entry(ChangedDecision { customer, workload, current, proposed }).or_default() += 1;
             }
         }
         assert_eq!(told.changes, happened, "seed {seed}: {before} {after}");
@@ -246,22 +258,23 @@
              moves: {{ from: 'eu', to: 'us', at: '{at}', overlap_ms: 60000 }} }}{more} ] }}"
         )
     };
-    let asked = |group| Asked {
+    let asked = |group| Request {
         customer: "acme".to_string(),
         workload: "lookup".to_string(),
         groups: Some(vec![group]),
     };
-    let mut one = One::new();
+    let mut one = SingleFront::new();
     one.holds(&moves(1, ""));
     let (before, other) = (one.ask(&asked(7)).1, one.ask(&asked(4)).1);
     assert_eq!(one.may_send(before, 1), ["eu"]);
-    one.passes(600_000);
+    one.advance(600_000);
     // In the overlap: what is judged now may go to both; what was judged before goes where it was to go.
     let within = one.ask(&asked(7)).1;
     assert_eq!((one.may_send(within, 1), one.may_send(before, 2)), (vec!["eu", "us"], vec!["eu"]));
-    one.passes(60_000);
+    one.advance(60_000);
     let after = one.ask(&asked(7)).1;
-    let tries = |one: &mut One, n| (one.may_send(before, n), one.may_send(within, n), one.may_send(after, n));
+    let tries =
+        |one: &mut SingleFront, n| (one.may_send(before, n), one.may_send(within, n), one.may_send(after, n));
     assert_eq!(tries(&mut one, 3), (vec!["eu"], vec!["eu", "us"], vec!["us"]));
     // Another version with the same move is no reason to judge them by another time; one that bars them is.
     one.holds(&moves(2, ", { name: 'x', tables: 3, regions: ['ap'] }"));
@@ -299,7 +312,7 @@
         let text = format!("{{ version: 1, default: 'allow', rules: [ {} ] }}", good.replace(from, to));
         let said = match read("f", &text, &known(), &|_| None) {
             Err(faults) => faults.to_string(),
-            Ok(wish) => format!("{wish:?}"),
+            Ok(command) => format!("{command:?}"),
         };
         assert!(said.starts_with(&format!("f: {says}")), "{to}: {said}");
     }
--- a/crates/access/tests/fleet.rs
+++ b/crates/access/tests/fleet.rs
@@ -1,6 +1,8 @@
 //! Fronts with rules in simulated time, under drawn faults: cuts, stalls, restarts with an empty memory, clocks that
 //! run apart, two files at once. What left and when is recorded apart from what fronts say of themselves.
 
+#[path = "common/faults.rs"]
+mod faults;
 #[path = "fleet/sim.rs"]
 mod sim;
 
@@ -119,12 +121,12 @@
 
 #[test]
 fn tables_of_counts_merge_in_any_order_and_twice_without_harm() {
-    use hallmux_access::{merge, Counts, Hit};
+    use hallmux_access::{merge_counts, Hit, HitCounts};
     let hit = |n: u8| Hit { rule: n.to_string(), customer: "a".to_string(), region: "eu".to_string() };
-    let (one, later): (Counts, Counts) = ([(hit(1), 3)].into(), [(hit(1), 5), (hit(2), 1)].into());
-    let merged = |order: &[&Counts]| {
-        let mut into = Counts::new();
-        order.iter().for_each(|table| merge(&mut into, table));
+    let (one, later): (HitCounts, HitCounts) = ([(hit(1), 3)].into(), [(hit(1), 5), (hit(2), 1)].into());
+    let merged = |order: &[&HitCounts]| {
+        let mut into = HitCounts::new();
+        order.iter().for_each(|table| merge_counts(&mut into, table));
         into
     };
     assert_eq!(merged(&[&one, &later]), later);
@@ -152,16 +154,16 @@
         "{ version: 1, default: 'allow', rules: [{ name: 'a', customer: 'acme', regions: ['eu'] }] }",
     );
     sim.run(2_000_000);
-    let said = sim.said.iter().map(|(_, _, said)| format!("{said:?}")).collect::<Vec<_>>();
+    let said = sim.events.iter().map(|(_, _, said)| format!("{said:?}")).collect::<Vec<_>>();
     assert!(said.iter().any(|s| s.contains("Old") && s.contains("stated: 1, has: 2, next: 3")), "{said:#?}");
     sim.offer_text(2, 3, "{ version: 3, roll_back_to: 1 }");
     sim.run(8_000_000);
     assert_eq!(sim.versions(), vec![(3, true); sim.len()]);
-    assert_eq!(sim.lets(0, "acme"), Some(vec![0]));
+    assert_eq!(sim.allows(0, "acme"), Some(vec![0]));
     sim.offer_text(2, 4, "{ version: 4, roll_back_to: 77 }");
     sim.run(2_000_000);
-    let last = sim.said.iter().rev().find_map(|(_, _, said)| match said {
-        hallmux_access::Said::Refused(why) => Some(why.to_string()),
+    let last = sim.events.iter().rev().find_map(|(_, _, said)| match said {
+        hallmux_access::Event::Refused(why) => Some(why.to_string()),
         _ => None,
     });
     let says = "rules.json5: `roll_back_to` names version 77, which is not among the last ones kept (2, 1); name one of them";
@@ -192,11 +194,11 @@
         sim.run(10_000_000);
         let now = sim.versions();
         assert_eq!((&now[..4], now[4].1), (&[(11, true); 4][..], false), "to {to}");
-        assert_eq!(sim.lets(0, "acme"), Some(regions(*to)), "to {to}");
+        assert_eq!(sim.allows(0, "acme"), Some(regions(*to)), "to {to}");
         assert!(sim.took(11).is_some_and(|took| took < 4_000_000), "to {to}: {:?}", sim.took(11));
         sim.run(4_000_000);
         assert_eq!(sim.versions(), vec![(11, true); sim.len()], "to {to}");
-        assert_eq!(sim.lets(4, "acme"), Some(regions(*to)), "to {to}");
+        assert_eq!(sim.allows(4, "acme"), Some(regions(*to)), "to {to}");
         assert_eq!(sim.barred(), Vec::<String>::new(), "to {to}");
     }
 }
--- a/crates/access/tests/fleet/record.rs
+++ b/crates/access/tests/fleet/record.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_access::{Asked, Asking, Fleet, Index, Judged};
+use hallmux_access::{Attributes, Decision, FleetHits, Index, Request};
 
 use super::{set, Sent, Sim, FRONTS, STEP};
 
@@ -15,29 +15,39 @@
         for Sent { at, front, asked, place } in &self.sent {
             let held = self.in_force.iter().filter(|(_, since)| *since < at).map(|(v, _)| *v).max();
             let Some(held) = held else { continue };
-            let Asked { customer, workload, groups } = asked;
-            let asking = Asking { customer, workload, group: None, told: false, front: "eu", asked_ms: None };
+            let Request { customer, workload, groups } = asked;
+            let attributes = Attributes {
+                customer,
+                workload,
+                group: None,
+                tables_known: false,
+                front: "eu",
+                first_judged_ms: None,
+            };
             let mut may = indices.range(held..).filter(|(_, (since, _))| since <= at);
-            if !may.any(|(_, (_, index))| index.judge(&asking, groups.as_deref(), 0).lets(Some(*place))) {
+            if !may.any(|(_, (_, index))| index.judge(&attributes, groups.as_deref(), 0).allows(Some(*place)))
+            {
                 found.push(format!("{at}: front {front} sent {asked:?} to {place} under version {held}"));
             }
         }
         found
     }
 
-    pub fn fleet_count(&mut self, front: usize) -> Fleet {
+    pub fn fleet_count(&mut self, front: usize) -> FleetHits {
         let at = self.moment(front);
-        self.fronts[front].access.sweep(at);
+        self.fronts[front].access.request_fleet_hits(at);
         self.counts.remove(&front);
         for _ in 0..2_000 {
-            self.carry();
+            self.deliver();
             self.now += STEP;
             let at = self.moment(front);
             self.fronts[front].access.tick(at);
             let out = self.fronts[front].access.take();
             let life = self.fronts[front].life;
-            out.asks.into_iter().for_each(|ask| self.asks.push((self.now, front, life, ask, true)));
-            if let Some(fleet) = out.fleet {
+            out.ledger_requests
+                .into_iter()
+                .for_each(|ask| self.asks.push((self.now, front, life, ask, true)));
+            if let Some(fleet) = out.fleet_hits {
                 return fleet;
             }
         }
@@ -55,12 +65,12 @@
     }
 
     /// Where a customer's lookups may be read, as a front judges them.
-    pub fn lets(&mut self, front: usize, customer: &str) -> Option<Vec<u16>> {
+    pub fn allows(&mut self, front: usize, customer: &str) -> Option<Vec<u16>> {
         let at = self.moment(front);
         let asked =
-            Asked { customer: customer.to_string(), workload: "lookup".to_string(), groups: Some(vec![1]) };
+            Request { customer: customer.to_string(), workload: "lookup".to_string(), groups: Some(vec![1]) };
         match self.fronts[front].access.judge(at, asked) {
-            Judged::Taken { verdict, .. } => verdict.allowed,
+            Decision::Decided { verdict, .. } => verdict.allowed,
             _ => None,
         }
     }
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -3,18 +3,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hallmux_access::{
-    read, Access, Act, Ask, Asked, Bound, Done, Entry, Fleet, Head, Hit, Judged, Kept, Key, Known, Moment,
-    Outcome, Owner, Said, Set, Setup, Terms, Wish,
+    read, Access, AccessConfig, Act, Ask, Decision, Done, Entry, Event, FleetHits, Head, Hit, Key,
+    KnownNames, Moment, Outcome, Owner, Request, RuleSet, RulesCommand, StoredVersion, Terms,
+    WorkloadLocations,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-#[path = "played.rs"]
-mod played;
+#[path = "faults_drawn.rs"]
+mod faults_drawn;
 #[path = "record.rs"]
 mod record;
 
-pub use played::{Faults, Tallies};
+pub use faults_drawn::{Faults, Tallies};
 
 const FRONTS: usize = 5;
 const STEP: i64 = 5_000; // microseconds of true time between looks at everything
@@ -30,16 +31,16 @@
     stalled: i64,
     file: Option<String>,
     /// Statements that wait for their count, and their hits.
-    waiting: BTreeMap<u64, (Asked, hallmux_access::Verdict, Vec<Hit>)>,
+    waiting: BTreeMap<u64, (Request, hallmux_access::Verdict, Vec<Hit>)>,
     /// Statements to be sent, when.
-    queued: Vec<(i64, u64, Asked, hallmux_access::Verdict)>,
+    queued: Vec<(i64, u64, Request, hallmux_access::Verdict)>,
     running: BTreeMap<u64, i64>,
 }
 
 struct Sent {
     at: i64,
     front: usize,
-    asked: Asked,
+    asked: Request,
     place: u16,
 }
 
@@ -59,19 +60,19 @@
     /// When the ledger took a version, and when a front first said that it is in force.
     accepted: BTreeMap<u64, (i64, String)>,
     in_force: BTreeMap<u64, i64>,
-    pub said: Vec<(i64, usize, Said)>,
+    pub events: Vec<(i64, usize, Event)>,
     pub judged: BTreeMap<Hit, u64>,
     pub acked: BTreeMap<Hit, u64>,
-    counts: BTreeMap<usize, Fleet>,
+    counts: BTreeMap<usize, FleetHits>,
     /// No statements come.
     pub quiet: bool,
     pub tallies: Tallies,
 }
 
-fn known() -> Known {
+fn known() -> KnownNames {
     let names = |all: &[&str]| all.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-    let bound = |name: &str| Bound { name: name.to_string(), locations: None };
-    Known {
+    let bound = |name: &str| WorkloadLocations { name: name.to_string(), locations: None };
+    KnownNames {
         customers: names(&["acme", "brisk", "free"]),
         workloads: vec![bound("lookup"), bound("report")],
         locations: names(&PLACES),
@@ -80,9 +81,9 @@
     }
 }
 
-fn set(version: u64, text: &str) -> Set {
+fn set(version: u64, text: &str) -> RuleSet {
     match read("rules.json5", text, &known(), &|_| None) {
-        Ok(Wish::Set(set)) => Set { version, ..set },
+        Ok(RulesCommand::Replace(set)) => RuleSet { version, ..set },
         other => panic!("{other:?}: {text}"),
     }
 }
@@ -117,7 +118,7 @@
             sent: Vec::new(),
             accepted: BTreeMap::new(),
             in_force: BTreeMap::new(),
-            said: Vec::new(),
+            events: Vec::new(),
             judged: BTreeMap::new(),
             acked: BTreeMap::new(),
             counts: BTreeMap::new(),
@@ -142,10 +143,10 @@
             if self.faults.on {
                 self.draw_faults();
             }
-            self.carry();
+            self.deliver();
             for front in 0..FRONTS {
                 if self.fronts[front].stalled <= self.now {
-                    self.turn(front);
+                    self.run_front(front);
                 }
             }
         }
@@ -162,19 +163,19 @@
     }
 
     pub fn offer(&mut self, front: usize, text: &str) {
-        let wish = read("rules.json5", text, &known(), &|_| None).expect("a good file");
-        self.texts.insert(Kept::of(1, text).hash, text.to_string());
-        self.fronts[front].access.offer("rules.json5", text, wish);
+        let command = read("rules.json5", text, &known(), &|_| None).expect("a good file");
+        self.texts.insert(StoredVersion::of(1, text).hash, text.to_string());
+        self.fronts[front].access.offer("rules.json5", text, command);
     }
 
     /// Asks and answers on their way.
-    fn carry(&mut self) {
+    fn deliver(&mut self) {
         let (due, later) = std::mem::take(&mut self.asks).into_iter().partition(|(at, ..)| *at <= self.now);
         self.asks = later;
         let due: Vec<(i64, usize, u64, Ask, bool)> = due;
         for (_, front, life, ask, answered) in due {
             let owner = Owner { front: front as u64 + 1, incarnation: life };
-            let outcome = self.act(owner, &ask);
+            let outcome = self.ledger_act(owner, &ask);
             if answered {
                 let back = self.now + self.rng.random_range(500..15_000);
                 self.answers.push((back, front, life, Done { number: ask.number, outcome }));
@@ -189,12 +190,12 @@
                 self.answers.push((at, front, life, done)); // it lies in its socket until it wakes
             } else if self.fronts[front].life == life {
                 let moment = self.moment(front);
-                self.fronts[front].access.done(moment, done);
+                self.fronts[front].access.on_ledger_answer(moment, done);
             }
         }
     }
 
-    fn act(&mut self, owner: Owner, ask: &Ask) -> Outcome {
+    fn ledger_act(&mut self, owner: Owner, ask: &Ask) -> Outcome {
         let current = self.ledger.get(&ask.key).cloned();
         let Act::Put { expects, ends_ms, value } = &ask.act else {
             return current.map_or(Outcome::Absent, Outcome::Stands);
@@ -213,14 +214,14 @@
         };
         if ask.key.name == "head" {
             let head = Head::read(value).expect("a head");
-            let text = self.texts[&head.now.hash].clone();
-            self.accepted.entry(head.now.version).or_insert((self.now, text));
+            let text = self.texts[&head.current.hash].clone();
+            self.accepted.entry(head.current.version).or_insert((self.now, text));
         }
         self.ledger.insert(ask.key.clone(), entry.clone());
         Outcome::Stands(entry)
     }
 
-    fn turn(&mut self, front: usize) {
+    fn run_front(&mut self, front: usize) {
         let at = self.moment(front);
         if self.rng.random_bool(0.2) && !self.quiet {
             self.statement(front, at);
@@ -228,7 +229,7 @@
         let f = &mut self.fronts[front];
         f.access.tick(at);
         let out = f.access.take();
-        for ask in out.asks {
+        for ask in out.ledger_requests {
             let (there, cut) =
                 (self.now + self.rng.random_range(500..15_000), self.fronts[front].cut > self.now);
             // Cut off: lost on its way there, or on its way back.
@@ -243,43 +244,43 @@
                 self.asks.push((there, front, life, ask, !cut));
             }
         }
-        for said in out.said {
-            match &said {
-                Said::InForce { version } => {
+        for event in out.events {
+            match &event {
+                Event::InForce { version } => {
                     self.in_force.entry(*version).or_insert(self.now);
                     self.tallies.in_force += 1;
                 }
-                Said::Refused(why) => match why.to_string().contains("not above") {
+                Event::Refused(why) => match why.to_string().contains("not above") {
                     true => self.tallies.old += 1,
                     false => self.tallies.lost += 1,
                 },
-                Said::Unreadable { what } => panic!("{what}"),
+                Event::Unreadable { what } => panic!("{what}"),
                 _ => {}
             }
-            self.said.push((self.now, front, said));
+            self.events.push((self.now, front, event));
         }
-        out.fleet.into_iter().for_each(|fleet| _ = self.counts.insert(front, fleet));
+        out.fleet_hits.into_iter().for_each(|fleet| _ = self.counts.insert(front, fleet));
         let f = &mut self.fronts[front];
         for statement in out.counted {
             let Some((asked, verdict, hits)) = f.waiting.remove(&statement) else { continue };
             hits.into_iter().for_each(|hit| *self.acked.entry(hit).or_default() += 1);
             if verdict.denied.is_some() {
                 self.tallies.denied += 1;
-                f.access.over(statement);
+                f.access.statement_over(statement);
             } else {
                 let wait = if self.rng.random_bool(0.2) { 8_000_000 } else { 50_000 };
                 f.queued.push((self.now + self.rng.random_range(0..wait), statement, asked, verdict));
             }
         }
-        for statement in out.limited {
+        for statement in out.over_limit {
             self.tallies.limited += 1;
             f.waiting.remove(&statement);
-            f.access.over(statement);
+            f.access.statement_over(statement);
         }
-        for statement in out.ends {
+        for statement in out.revoked {
             self.tallies.ended += 1;
             f.running.remove(&statement);
-            f.access.over(statement);
+            f.access.statement_over(statement);
         }
         self.send(front, at);
     }
@@ -287,16 +288,16 @@
     fn statement(&mut self, front: usize, at: Moment) {
         let customer = ["acme", "brisk", "free"][self.rng.random_range(0..3)].to_string();
         let workload = ["lookup", "report"][self.rng.random_range(0..2)].to_string();
-        let asked = Asked { customer, workload, groups: Some(vec![self.rng.random_range(0..4)]) };
+        let asked = Request { customer, workload, groups: Some(vec![self.rng.random_range(0..4)]) };
         let f = &mut self.fronts[front];
         let judged = f.access.judge(at, asked.clone());
         let free = asked.customer == "free";
         self.tallies.free += u64::from(free);
-        self.tallies.free_refused += u64::from(free && judged != Judged::Free);
+        self.tallies.free_refused += u64::from(free && judged != Decision::Unrestricted);
         match judged {
-            Judged::Free => {}
-            Judged::Closed => self.tallies.closed += 1,
-            Judged::Taken { statement, verdict, waits } => {
+            Decision::Unrestricted => {}
+            Decision::RulesUnknown => self.tallies.closed += 1,
+            Decision::Decided { statement, verdict, waits } => {
                 let name = |rule: usize, f: &Front| {
                     let v = hallmux_access::Verdict { rule: Some(rule), ..verdict.clone() };
                     f.access.rule(&v).unwrap_or_default().to_string()
@@ -322,7 +323,7 @@
         let (due, later) =
             std::mem::take(&mut f.queued).into_iter().partition(|(when, ..)| *when <= self.now);
         f.queued = later;
-        let due: Vec<(i64, u64, Asked, hallmux_access::Verdict)> = due;
+        let due: Vec<(i64, u64, Request, hallmux_access::Verdict)> = due;
         for (_, statement, asked, verdict) in due {
             let allowed = verdict.allowed.unwrap_or_else(|| vec![0, 1, 2]);
             let place = allowed[self.rng.random_range(0..allowed.len())];
@@ -331,7 +332,7 @@
                 self.tallies.sent += 1;
                 f.running.insert(statement, self.now + self.rng.random_range(10_000..2_000_000));
             } else {
-                f.access.over(statement);
+                f.access.statement_over(statement);
             }
         }
         let over: Vec<u64> =
@@ -339,13 +340,13 @@
         for statement in over {
             f.running.remove(&statement);
             f.access.execution_ended(statement, 0);
-            f.access.over(statement);
+            f.access.statement_over(statement);
         }
     }
 }
 
 fn access(front: usize, life: u64) -> Access {
-    Access::new(Setup {
+    Access::new(AccessConfig {
         own: Owner { front: front as u64 + 1, incarnation: life },
         fronts: (1..=FRONTS as u64).collect(),
         region: "eu".to_string(),
--- a/crates/access/tests/rules.rs
+++ b/crates/access/tests/rules.rs
@@ -1,12 +1,18 @@
 //! Files of rules as a person writes them: what is refused, in which words; and the index beside the plain walk.
 
-use hallmux_access::{read, Asking, Bound, Default, Faults, Index, Known, Rule, Set, Tables, Then, Wish};
+use hallmux_access::{
+    read, Attributes, DefaultEffect, FileErrors, Index, KnownNames, Rule, RuleEffect, RuleSet, RulesCommand,
+    TableRange, WorkloadLocations,
+};
 use proptest::prelude::*;
 
-fn known() -> Known {
+fn known() -> KnownNames {
     let names = |all: &[&str]| all.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-    let bound = |name: &str, at: Option<&[&str]>| Bound { name: name.to_string(), locations: at.map(names) };
-    Known {
+    let bound = |name: &str, at: Option<&[&str]>| WorkloadLocations {
+        name: name.to_string(),
+        locations: at.map(names),
+    };
+    KnownNames {
         customers: names(&["acme", "brisk", "corvid"]),
         workloads: vec![bound("lookup", None), bound("report", Some(&["std-eu", "std-us"]))],
         locations: names(&["std-eu", "std-us", "std-ap"]),
@@ -31,7 +37,7 @@
 fn faults(text: &str) -> String {
     match read("rules.json5", text, &known(), &lines(text)) {
         Err(faults) => faults.to_string(),
-        Ok(wish) => format!("{wish:?}"),
+        Ok(command) => format!("{command:?}"),
     }
 }
 
@@ -39,11 +45,11 @@
     format!("{{\n version: 7,\n default: 'allow',\n rules: [\n{}\n ],\n}}", rules.join(",\n"))
 }
 
-fn set(rules: &[&str]) -> Set {
+fn set(rules: &[&str]) -> RuleSet {
     let text = file(rules);
-    let wish = read("rules.json5", &text, &known(), &lines(&text));
-    match wish {
-        Ok(Wish::Set(set)) => set,
+    let command = read("rules.json5", &text, &known(), &lines(&text));
+    match command {
+        Ok(RulesCommand::Replace(set)) => set,
         other => panic!("{other:?}"),
     }
 }
@@ -86,7 +92,7 @@
         ),
         ("{ default: 'allow', rules: [] }", "rules.json5: version: is missing; give a whole number"),
         ("{ version: 1, rules: [] }", "rules.json5: default: is missing; give 'allow' or 'deny'"),
-        ("{ version: 1, default: 'deny', rules: [], }", "Set"),
+        ("{ version: 1, default: 'deny', rules: [], }", "Replace(RuleSet "),
         (
             "{ version: 2, roll_back_to: 1, rules: [] }",
             "rules.json5:1: rules: is not known; the keys here are version",
@@ -171,8 +177,8 @@
 
 #[test]
 fn a_set_leaves_every_workload_an_engine_for_somebody() {
-    let all = Known { covered: None, ..known() };
-    let faults = |text: &str| read("r", text, &all, &lines(text)).map_err(|e: Faults| e.to_string());
+    let all = KnownNames { covered: None, ..known() };
+    let faults = |text: &str| read("r", text, &all, &lines(text)).map_err(|e: FileErrors| e.to_string());
     let denied = file(&["{ name: 'no', workload: 'report', then: 'deny', reason: 'x' }"]);
     assert!(faults(&denied)
         .unwrap_err()
@@ -200,7 +206,14 @@
     let index = Index::new(set);
     let judge = |customer, workload, groups: Option<&[u32]>| {
         let v = index.judge(
-            &Asking { customer, workload, group: None, told: false, front: "eu", asked_ms: None },
+            &Attributes {
+                customer,
+                workload,
+                group: None,
+                tables_known: false,
+                front: "eu",
+                first_judged_ms: None,
+            },
             groups,
             0,
         );
@@ -250,27 +263,27 @@
         prop::option::of(prop::sample::select(all)).prop_map(|n| n.map(str::to_string))
     };
     let tables = prop::option::of((0u32..12, 0u32..6))
-        .prop_map(|t| t.map(|(first, more)| Tables { first, last: first + more }));
-    let then = prop_oneof![
-        Just(Then::Deny { reason: "x".to_string() }),
-        Just(Then::Allow { places: None }),
-        Just(Then::Count),
+        .prop_map(|t| t.map(|(first, more)| TableRange { first, last: first + more }));
+    let effect = prop_oneof![
+        Just(RuleEffect::Deny { reason: "x".to_string() }),
+        Just(RuleEffect::Allow { places: None }),
+        Just(RuleEffect::Count),
         prop::collection::btree_set(0u16..3, 1..3)
-            .prop_map(|p| Then::Allow { places: Some(p.into_iter().collect()) }),
+            .prop_map(|p| RuleEffect::Allow { places: Some(p.into_iter().collect()) }),
     ];
     let time = prop_oneof![3 => Just((0, u64::MAX)), 1 => (0u64..4, 4u64..8)];
     let who = (name(&["a", "b", "c"]), name(&["x", "y"]), name(&["eu", "us"]));
-    (who, tables, then, 0i32..3, time).prop_map(
-        |((customer, workload, front), tables, then, priority, (from_ms, until_ms))| {
+    (who, tables, effect, 0i32..3, time).prop_map(
+        |((customer, workload, front), tables, effect, priority, (from_ms, until_ms))| {
             let name =
-                format!("{customer:?}{workload:?}{front:?}{tables:?}{then:?}{priority}{from_ms}{until_ms}");
+                format!("{customer:?}{workload:?}{front:?}{tables:?}{effect:?}{priority}{from_ms}{until_ms}");
             Rule {
                 name,
                 customer,
                 workload,
                 tables,
                 front,
-                then,
+                effect,
                 limit: None,
                 priority,
                 from_ms,
@@ -292,13 +305,13 @@
         workload in prop::sample::select(&["x", "y", "z"][..]),
         front in prop::sample::select(&["eu", "us", "ap"][..]),
         group in prop::option::of(0u32..20),
-        told in any::<bool>(),
+        tables_known in any::<bool>(),
         now in 0u64..9,
     ) {
-        let set = Set::new(1, Default::Allow, rules);
-        let asking = Asking { customer, workload, group, told, front, asked_ms: None };
-        let walked = set.walk(&asking, now);
-        prop_assert_eq!(Index::new(set).first(&asking, now), walked);
+        let set = RuleSet::new(1, DefaultEffect::Allow, rules);
+        let attributes = Attributes { customer, workload, group, tables_known, front, first_judged_ms: None };
+        let walked = set.walk(&attributes, now);
+        prop_assert_eq!(Index::new(set).find(&attributes, now), walked);
     }
 
     #[test]
@@ -307,12 +320,15 @@
         group in 0u32..20,
         now in 0u64..9,
     ) {
-        let index = Index::new(Set::new(1, Default::Allow, rules));
+        let index = Index::new(RuleSet::new(1, DefaultEffect::Allow, rules));
         for customer in ["a", "b", "c", "z"] {
             for workload in ["x", "y", "z"] {
                 for front in ["eu", "us", "ap"] {
-                    let (decides, counts) = index.first(&Asking { customer, workload, group: Some(group), told: true, front, asked_ms: None }, now);
-                    for at in decides.into_iter().chain(counts) {
+                    let group = Some(group);
+                    let attributes =
+                        Attributes { customer, workload, group, tables_known: true, front, first_judged_ms: None };
+                    let found = index.find(&attributes, now);
+                    for at in found.deciding.into_iter().chain(found.counting) {
                         prop_assert_eq!(index.shadow(at), None);
                     }
                 }
@@ -325,13 +341,13 @@
 fn the_example_is_read() {
     let text = include_str!("../../../deploy/rules.example.json5");
     let names = |all: &[&str]| all.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-    let bound = |name: &&str| Bound { name: name.to_string(), locations: None };
-    let known = Known {
+    let bound = |name: &&str| WorkloadLocations { name: name.to_string(), locations: None };
+    let known = KnownNames {
         customers: names(&["acme"]),
         workloads: ["lookup", "report", "load"].iter().map(bound).collect(),
         locations: names(&["eu", "us", "ap"]),
-        ..Known::default()
+        ..KnownNames::default()
     };
     let read = read("rules.example.json5", text, &known, &|_| None);
-    assert!(matches!(&read, Ok(Wish::Set(set)) if set.rules.len() > 4), "{read:?}");
+    assert!(matches!(&read, Ok(RulesCommand::Replace(set)) if set.rules.len() > 4), "{read:?}");
 }
--- a/crates/access/tests/shares/sim.rs
+++ b/crates/access/tests/shares/sim.rs
@@ -7,6 +7,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
+use crate::faults::{self, Fault};
+
 const STEP: i64 = 5_000; // microseconds of true time between looks at everything
 const PATIENCE: i64 = 500_000; // microseconds until the ledger says that it cannot be reached
 pub const DRIFT_PPM: u32 = 10_000;
@@ -111,10 +113,10 @@
             if self.faults {
                 self.draw_faults();
             }
-            self.carry();
+            self.deliver();
             for front in 0..self.fronts.len() {
                 if self.fronts[front].stalled <= self.now {
-                    self.turn(front);
+                    self.run_front(front);
                 }
             }
         }
@@ -126,17 +128,17 @@
     }
 
     fn draw_faults(&mut self) {
-        let front = self.rng.random_range(0..self.fronts.len());
-        match self.rng.random_range(0..2_000) {
-            0..4 => {
-                self.fronts[front].cut = self.now + self.rng.random_range(200_000..9_000_000);
+        let (front, fault) = faults::draw(&mut self.rng, self.fronts.len());
+        match fault {
+            Fault::Cut(time) => {
+                self.fronts[front].cut = self.now + time;
                 self.tallies.cuts += 1;
             }
-            4..7 => {
-                self.fronts[front].stalled = self.now + self.rng.random_range(100_000..6_000_000);
+            Fault::Stall(time) => {
+                self.fronts[front].stalled = self.now + time;
                 self.tallies.stalls += 1;
             }
-            7..9 => {
+            Fault::Restart => {
                 let life = self.fronts[front].life + 1;
                 let shares = self.shares(front, life, self.fronts.len());
                 let f = &mut self.fronts[front];
@@ -145,22 +147,22 @@
                 f.running.clear();
                 self.tallies.restarts += 1;
             }
-            9..15 => {
+            Fault::None(9..15) => {
                 let most = f64::from(self.limit.most) / (self.limit.window as f64 / 1e6);
                 let busy = self.rng.random_bool(0.4);
                 self.fronts[front].asked = if busy { self.rng.random_range(0.0..2.0) * most } else { 0.0 };
             }
-            _ => {}
+            Fault::None(_) => {}
         }
     }
 
     /// Asks and answers on their way.
-    fn carry(&mut self) {
+    fn deliver(&mut self) {
         let (due, later) = std::mem::take(&mut self.asks).into_iter().partition(|(at, ..)| *at <= self.now);
         self.asks = later;
         let due: Vec<(i64, usize, u64, Ask, bool)> = due;
         for (_, front, life, ask, answered) in due {
-            let outcome = self.act(front, life, &ask);
+            let outcome = self.ledger_act(front, life, &ask);
             if answered {
                 let back = self.now + self.rng.random_range(500..15_000);
                 self.answers.push((back, front, life, ask.number, outcome));
@@ -185,7 +187,7 @@
         }
     }
 
-    fn act(&mut self, front: usize, life: u64, ask: &Ask) -> Outcome {
+    fn ledger_act(&mut self, front: usize, life: u64, ask: &Ask) -> Outcome {
         let current = self.ledger.get(&ask.key).cloned();
         let Act::Put { expects, ends_ms, value } = &ask.act else {
             return current.map_or(Outcome::Absent, Outcome::Stands);
@@ -201,7 +203,7 @@
         Outcome::Stands(entry)
     }
 
-    fn turn(&mut self, front: usize) {
+    fn run_front(&mut self, front: usize) {
         let at = self.moment(front);
         let expected = self.fronts[front].asked * STEP as f64 / 1e6;
         let mut arrive = expected as u64;
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -11,7 +11,9 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use hallmux_access::{self as access, Access, Asked, Fleet, Judged, Owner, Setup, Wish};
+use hallmux_access::{
+    self as access, Access, AccessConfig, Decision, FleetHits, Owner, Request, RulesCommand,
+};
 use hallmux_agreement::Settings;
 use hallmux_codec::tables;
 use hallmux_dispatcher::{Dispatcher, Ending, Micros, Place, Terms, Ticket};
@@ -77,7 +79,7 @@
     next_log: Micros,
     log_every: Micros,
     ended: u64,
-    logged_hits: Option<Fleet>,
+    logged_hits: Option<FleetHits>,
     logged_limits: BTreeMap<String, u64>,
 }
 
@@ -91,11 +93,11 @@
         alone: bool,
     ) -> Result<Rules, RulesError> {
         let known = known(rules, settings);
-        let (text, wish) = read(&rules.file, &known)?;
-        if matches!(wish, Wish::WhatIf(_)) {
+        let (text, command) = read(&rules.file, &known)?;
+        if matches!(command, RulesCommand::WhatIf(_)) {
             return Err(RulesError::Question(rules.file.clone()));
         }
-        let setup = Setup {
+        let setup = AccessConfig {
             own,
             fronts,
             region: rules.region.clone(),
@@ -113,7 +115,7 @@
         let at = Moment { steady: 0, wall_ms: own.incarnation };
         let alone = alone.then(|| Ledger::new(at, setup_alone, None)).transpose()?;
         let mut access = Access::new(setup);
-        access.offer(&rules.file, &text, wish);
+        access.offer(&rules.file, &text, command);
         log::info!("rules of customers hold; this front stands in {}", rules.region);
         Ok(Rules {
             access,
@@ -134,15 +136,15 @@
     /// SIGHUP: the file is read again. One that can't be used changes nothing.
     pub fn reload(&mut self, now: Micros, rules: &hallmux_agreement::Rules) {
         match read(&rules.file, self.access.known()) {
-            Ok((_, Wish::WhatIf(set))) => {
+            Ok((_, RulesCommand::WhatIf(set))) => {
                 let found = self.access.what_if(self.moment(now), set);
                 log_lines::what_if(&found);
             }
-            Ok((text, wish)) => self.access.offer(&rules.file, &text, wish),
+            Ok((text, command)) => self.access.offer(&rules.file, &text, command),
             Err(why) => log::error!("the rules are left as they were: {why}"),
         }
         self.logged_hits = None;
-        self.access.sweep(self.moment(now));
+        self.access.request_fleet_hits(self.moment(now));
     }
 
     fn moment(&self, now: Micros) -> Moment {
@@ -150,12 +152,12 @@
     }
 
     /// Judges a statement, once for all its tries.
-    pub fn judge(&mut self, now: Micros, customer: &str, workload: &str, text: &[u8]) -> Judged {
+    pub fn judge(&mut self, now: Micros, customer: &str, workload: &str, text: &[u8]) -> Decision {
         let groups = Some(tables::groups(text, MOST_GROUPS)).filter(|all| !all.is_empty());
         let groups = groups.or_else(|| session_control::reads_no_table(text).then(Vec::new));
-        let asked = Asked { customer: customer.to_string(), workload: workload.to_string(), groups };
-        let judged = self.access.judge(self.moment(now), asked);
-        if let Judged::Taken { verdict, .. } = &judged {
+        let request = Request { customer: customer.to_string(), workload: workload.to_string(), groups };
+        let judged = self.access.judge(self.moment(now), request);
+        if let Decision::Decided { verdict, .. } = &judged {
             if let Some(why) = &verdict.denied {
                 let rule = self.access.rule(verdict).unwrap_or("the default");
                 log::info!(
@@ -168,23 +170,28 @@
     }
 
     /// The locations that are allowed to it; None: all. Of one that is denied nothing ever leaves.
-    pub fn allowed(&self, judged: &Judged) -> Option<Vec<String>> {
+    pub fn allowed(&self, judged: &Decision) -> Option<Vec<String>> {
         match judged {
-            Judged::Taken { verdict, .. } if verdict.denied.is_none() => self.access.locations(verdict),
+            Decision::Decided { verdict, .. } if verdict.denied.is_none() => self.access.locations(verdict),
             _ => None,
         }
     }
 
     /// A statement that was judged is taken under a ticket, and its end is told by `gone`; or it was not taken.
-    pub fn statement_picked(&mut self, dispatcher: &mut Dispatcher, judged: &Judged, ticket: Option<Ticket>) {
+    pub fn statement_picked(
+        &mut self,
+        dispatcher: &mut Dispatcher,
+        judged: &Decision,
+        ticket: Option<Ticket>,
+    ) {
         match ticket {
             Some(ticket) => self.opened(dispatcher, ticket, judged),
             None => self.dropped(judged),
         }
     }
 
-    fn opened(&mut self, dispatcher: &mut Dispatcher, ticket: Ticket, judged: &Judged) {
-        if let Judged::Taken { statement, verdict, waits } = judged {
+    fn opened(&mut self, dispatcher: &mut Dispatcher, ticket: Ticket, judged: &Decision) {
+        if let Decision::Decided { statement, verdict, waits } = judged {
             dispatcher.follow(ticket);
             let denied = verdict.denied.is_some();
             self.statements.insert(
@@ -198,9 +205,9 @@
         }
     }
 
-    fn dropped(&mut self, judged: &Judged) {
-        if let Judged::Taken { statement, .. } = judged {
-            self.access.over(*statement);
+    fn dropped(&mut self, judged: &Decision) {
+        if let Decision::Decided { statement, .. } = judged {
+            self.access.statement_over(*statement);
         }
     }
 
@@ -208,7 +215,7 @@
     pub fn statement_over(&mut self, ticket: Ticket) {
         if let Some(statement) = self.tickets.remove(&ticket) {
             self.statements.remove(&statement);
-            self.access.over(statement);
+            self.access.statement_over(statement);
         }
     }
 
@@ -289,7 +296,7 @@
         let at = self.moment(now);
         if at.steady >= self.next_log {
             self.next_log = at.steady + self.log_every;
-            self.access.sweep(at);
+            self.access.request_fleet_hits(at);
             self.log_limits();
         }
         self.access.tick(at);
@@ -299,7 +306,7 @@
             let mut done = Vec::new();
             match &mut self.alone {
                 Some(ledger) => {
-                    out.asks.into_iter().for_each(|ask| ledger.ask(at, ask));
+                    out.ledger_requests.into_iter().for_each(|ask| ledger.ask(at, ask));
                     ledger.tick(at);
                     let told = ledger.take_output();
                     // Nothing is kept, and nobody else hears: what it saves is lasting as far as it goes.
@@ -309,7 +316,7 @@
                 }
                 None => {
                     let Some(peers) = &mut peers else { break };
-                    out.asks.into_iter().for_each(|ask| peers.ask(now, ask));
+                    out.ledger_requests.into_iter().for_each(|ask| peers.ask(now, ask));
                     done.extend(peers.ledger_answers(ASK_NUMBERS));
                 }
             }
@@ -334,11 +341,11 @@
     }
 
     fn done(&mut self, now: Micros, done: ledger::Done) -> bool {
-        self.access.done(self.moment(now), done)
+        self.access.on_ledger_answer(self.moment(now), done)
     }
 
-    fn take(&mut self, at: Moment, out: &access::Out) {
-        out.said.iter().for_each(log_lines::log_event);
+    fn take(&mut self, at: Moment, out: &access::Output) {
+        out.events.iter().for_each(log_lines::log_event);
         for number in &out.counted {
             let Some(s) = self.statements.get_mut(number) else { continue };
             s.waits = false;
@@ -347,23 +354,23 @@
                 false => self.rulings.extend(s.held.drain(..).map(Ruling::Go)),
             }
         }
-        for number in &out.limited {
+        for number in &out.over_limit {
             let Some(s) = self.statements.get(number) else { continue };
             self.rulings.push(Ruling::End { ticket: s.ticket, ran: false, again: true });
         }
-        for number in &out.ends {
+        for number in &out.revoked {
             let Some(s) = self.statements.get(number) else { continue };
             self.rulings.push(Ruling::End { ticket: s.ticket, ran: true, again: false });
         }
-        if self.ended != self.access.ended {
-            let more = self.access.ended - self.ended;
+        if self.ended != self.access.revoked_count {
+            let more = self.access.revoked_count - self.ended;
             log::warn!(
                 "{more} statements ran where the rules bar from now on, and are ended; {} so far",
-                self.access.ended
+                self.access.revoked_count
             );
-            self.ended = self.access.ended;
+            self.ended = self.access.revoked_count;
         }
-        if let Some(fleet) = &out.fleet {
+        if let Some(fleet) = &out.fleet_hits {
             self.log_hits(at, fleet);
         }
     }
--- a/crates/front/src/fleet/rules/log_lines.rs
+++ b/crates/front/src/fleet/rules/log_lines.rs
@@ -1,13 +1,13 @@
 //! Lines of the log on rules, with what an operator can do.
 
-use hallmux_access::{Decided, Fleet, Said, WhatIf};
+use hallmux_access::{Event, FleetHits, Permission, WhatIfReport};
 use hallmux_ledger::Moment;
 
 use super::Rules;
 
 impl Rules {
     /// A line for each row of the fleet's count, where it has changed.
-    pub(super) fn log_hits(&mut self, at: Moment, fleet: &Fleet) {
+    pub(super) fn log_hits(&mut self, at: Moment, fleet: &FleetHits) {
         let same =
             self.logged_hits.as_ref().is_some_and(|t| t.counts == fleet.counts && t.missing == fleet.missing);
         if same || fleet.counts.is_empty() && fleet.missing.is_empty() {
@@ -38,8 +38,8 @@
 const MOST_SHOWN: usize = 100; // lines on what a set would change
 
 /// What a set would decide otherwise than the one that holds.
-pub fn what_if(found: &WhatIf) {
-    let WhatIf { held, version, back, statements, unknown, changes } = found;
+pub fn what_if(found: &WhatIfReport) {
+    let WhatIfReport { held, version, back, statements, unknown, changes } = found;
     let otherwise: u64 = changes.values().sum();
     let minutes = back / 60_000_000;
     log::info!(
@@ -51,8 +51,8 @@
             "what if version {version} held: customer {}, {}: {count} would be {} instead of {}",
             change.customer,
             change.workload,
-            decided(&change.would),
-            decided(&change.is)
+            permission_text(&change.proposed),
+            permission_text(&change.current)
         );
     }
     if changes.len() > MOST_SHOWN {
@@ -63,33 +63,38 @@
     }
 }
 
-fn decided(decided: &Decided) -> String {
-    let Decided::Let { at, limits } = decided else { return "denied".to_string() };
-    let at = at.as_ref().map_or("anywhere".to_string(), |at| format!("at {}", at.join(", ")));
+fn permission_text(permission: &Permission) -> String {
+    let Permission::Allowed { locations, limits } = permission else { return "denied".to_string() };
+    let at = locations.as_ref().map_or("anywhere".to_string(), |at| format!("at {}", at.join(", ")));
     let limit = |l: &hallmux_access::Limit| format!(", at most {} in {} ms", l.most, l.window / 1000);
     format!("let through {at}{}", limits.iter().map(limit).collect::<String>())
 }
 
-pub fn log_event(said: &Said) {
-    match said {
-        Said::Adopted { version, rules, in_force } => {
+/// One line for each event.
+pub fn log_event(event: &Event) {
+    match event {
+        Event::Adopted { version, rules, in_force } => {
             let yet = if *in_force { "" } else { ", not yet in force" };
             log::info!("judges by version {version} of the rules, {rules} of them{yet}")
         }
-        Said::InForce { version } => log::info!("version {version} of the rules is in force"),
-        Said::Accepted { version } => log::info!("this front's file is the fleet's: version {version} of the rules"),
-        Said::Refused(why) => log::error!("the rules are left as they were: {why}"),
-        Said::Closed => {
+        Event::InForce { version } => log::info!("version {version} of the rules is in force"),
+        Event::Accepted { version } => {
+            log::info!("this front's file is the fleet's: version {version} of the rules")
+        }
+        Event::Refused(why) => log::error!("the rules are left as they were: {why}"),
+        Event::RulesUnknown => {
             log::warn!("cannot know which rules hold; statements of customers that they can be about are rejected")
         }
-        Said::Open { version } => log::info!("knows which rules hold: version {version}"),
-        Said::Over => log::error!(
+        Event::RulesKnown { version } => log::info!("knows which rules hold: version {version}"),
+        Event::Superseded => log::error!(
             "the ledger knows a later life of this front: what hits count is held here; end this process, or set its \
              clock right and start it anew"
         ),
-        Said::Unreadable { what } => log::error!(
+        Event::Unreadable { what } => log::error!(
             "the fleet's rules can't be read here ({what}); give this front the settings and the build of the others"
         ),
-        Said::Full { what } => log::error!("the ledger is full for {what}; raise its bounds, or use fewer rules"),
+        Event::LedgerFull { what } => {
+            log::error!("the ledger is full for {what}; raise its bounds, or use fewer rules")
+        }
     }
 }
--- a/crates/front/src/held_tests.rs
+++ b/crates/front/src/held_tests.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use ed25519_dalek::SigningKey;
-use hallmux_access::Judged;
+use hallmux_access::Decision;
 use serde_json::json;
 
 use super::tests::{listener, Driven};
@@ -159,7 +159,7 @@
             let Some(rules) = front.rules.clone() else { return Some(()) };
             let judged = rules.borrow_mut().judge(front.clock.now, "acme", "lookup", SELECT.as_bytes());
             rules.borrow_mut().statement_picked(&mut front.dispatcher, &judged, None);
-            matches!(judged, Judged::Taken { waits: true, .. }).then_some(())
+            matches!(judged, Decision::Decided { waits: true, .. }).then_some(())
         });
     }
 }
--- a/crates/scatter/src/store.rs
+++ b/crates/scatter/src/store.rs
@@ -5,6 +5,7 @@
 
 use ed25519_dalek::VerifyingKey;
 use hallmux_hash::fnv1a;
+use serde::{Deserialize, Serialize};
 
 use crate::layers::{self, Detail};
 use crate::marks::ReportedLoads;
@@ -21,6 +22,7 @@
     pub sites: BTreeMap<String, VerifyingKey>,
     /// The schema that a group's summaries must be of, where it is stated.
     pub schemas: BTreeMap<u32, u32>,
+    /// The age in milliseconds beyond which a summary does not count.
     pub oldest_ms: u64,
     /// How far a site's clock may be ahead of this front's.
     pub ahead_ms: u64,
@@ -38,6 +40,17 @@
     loads: Loads,
 }
 
+/// A version of a summary, and how much of it there is. Between fronts it is written as these three, in this order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct HeldVersion {
+    /// Which summary, as [`summary_id`] numbers them.
+    pub name: u64,
+    /// Its version.
+    pub version: u64,
+    /// How much of it there is.
+    pub detail: Detail,
+}
+
 struct HeldSummary {
     summary: Summary,
     bytes: Rc<[u8]>,
@@ -65,6 +78,7 @@
     versions_seen
 }
 
+/// The summaries that one front holds, checked and by site and group.
 pub struct SummaryStore {
     terms: StoreSettings,
     held: BTreeMap<(String, u32), HeldSummary>,
@@ -80,6 +94,7 @@
 }
 
 impl SummaryStore {
+    /// An empty store that holds summaries whole.
     pub fn new(terms: StoreSettings) -> SummaryStore {
         SummaryStore { terms, held: BTreeMap::new(), retention: None, refused: BTreeMap::new() }
     }
@@ -213,6 +228,7 @@
         Some((summary_id(&summary.site, summary.group), summary.version))
     }
 
+    /// Whether the operator names this site.
     pub fn has_site(&self, site: &str) -> bool {
         self.terms.sites.contains_key(site)
     }
@@ -279,18 +295,22 @@
         }
     }
 
+    /// How many summaries are held.
     pub fn len(&self) -> usize {
         self.held.len()
     }
 
+    /// Whether no summary is held.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
 
-    /// Names, versions and detailes of all that is held.
-    pub fn versions(&self) -> impl Iterator<Item = (u64, u64, Detail)> + '_ {
-        let of = |((site, group), held): (&(String, u32), &HeldSummary)| {
-            (summary_id(site, *group), held.summary.version, held.summary.detail)
+    /// All that is held.
+    pub fn versions(&self) -> impl Iterator<Item = HeldVersion> + '_ {
+        let of = |((site, group), held): (&(String, u32), &HeldSummary)| HeldVersion {
+            name: summary_id(site, *group),
+            version: held.summary.version,
+            detail: held.summary.detail,
         };
         self.held.iter().map(of)
     }
