--- a/crates/agreement/src/node.rs
+++ b/crates/agreement/src/node.rs
@@ -15,8 +15,8 @@
 
 const MEMORY_MB: u64 = 192; // MB, where the file is silent; the least that the operators grant
 const SOCKETS: usize = 1024; // descriptors, where the file is silent; the least that the operators grant
-const LEAST_MEMORY_MB: u64 = 16; // MB; held statements get a quarter of it, unread answers another
-const LEAST_SOCKETS: usize = 16; // descriptors; some ten are the front's own, and half are for clients
+const LEAST_MEMORY_MB: u64 = 1; // MB; with none no statement could be held
+const LEAST_SOCKETS: usize = 2; // descriptors; half are for clients, the rest for engines, and each needs one
 const NOTHING_KNOWN: &str = r#"{"index":0,"updates":[]}"#; // the coordinator tells all that has been since
 const LEVEL: &str = "info"; // log level; one line for each change worth waking for
 
