--- a/crates/agreement/tests/random_faults/main.rs
+++ b/crates/config/tests/random_faults/main.rs
@@ -7,7 +7,7 @@
 
 use std::collections::HashMap;
 
-use hallmux_agreement::NodeConfig;
+use hallmux_config::NodeConfig;
 use proptest::prelude::*;
 
 /// Texts that are values of some type, within and beyond bounds.
--- a/crates/agreement/tests/random_faults/operators.rs
+++ b/crates/config/tests/random_faults/operators.rs
@@ -1,6 +1,6 @@
 //! The operator's own file: every key of the example, written as JSON, which is JSON5.
 
-use hallmux_agreement::{Operator, Settings};
+use hallmux_config::{Operator, Settings};
 use proptest::prelude::*;
 use serde_json::Value;
 
--- a/crates/agreement/tests/random_faults/settings.rs
+++ b/crates/config/tests/random_faults/settings.rs
@@ -1,6 +1,6 @@
 //! The settings object, in the configuration of a front.
 
-use hallmux_agreement::NodeConfig;
+use hallmux_config::NodeConfig;
 use hallmux_dispatcher::{Ask, Dispatcher, Listing, Mode, Protocol};
 use proptest::prelude::*;
 use serde_json::{json, Value};
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -23,7 +23,7 @@
 
 use hallmux::interface::{Event, KeyId, StatementId, Workload};
 use hallmux::Front;
-use hallmux_agreement::{Names, Settings};
+use hallmux_config::{Names, Settings};
 
 use demand::DemandCounts;
 use engines::Engine;
--- a/crates/dispatcher/src/test_support.rs
+++ b/crates/dispatcher/src/test_support.rs
@@ -14,7 +14,7 @@
     "rules": {"turnGapMs": 50}}"#;
 
 pub fn dispatcher() -> Dispatcher {
-    Dispatcher::new(&hallmux_agreement::Settings::parse(SETTINGS).unwrap(), 7)
+    Dispatcher::new(&hallmux_config::Settings::parse(SETTINGS).unwrap(), 7)
 }
 
 pub fn listing(id: &str, mode: Mode, started: Option<Micros>) -> Listing<'_> {
--- a/crates/dispatcher/tests/repeat_window.rs
+++ b/crates/dispatcher/tests/repeat_window.rs
@@ -15,7 +15,7 @@
 const WINDOW: Micros = 900_000;
 
 fn dispatcher() -> Dispatcher {
-    let mut dispatcher = Dispatcher::new(&hallmux_agreement::Settings::parse(SETTINGS).unwrap(), 7);
+    let mut dispatcher = Dispatcher::new(&hallmux_config::Settings::parse(SETTINGS).unwrap(), 7);
     let engine = |id| Listing {
         id,
         location: "here",
--- a/crates/dispatcher/tests/slow_start/fleet.rs
+++ b/crates/dispatcher/tests/slow_start/fleet.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use hallmux_agreement::Settings;
+use hallmux_config::Settings;
 use hallmux_dispatcher::{Ask, Dispatcher, Ending, Listing, Micros, Mode, Order, Protocol, Ticket};
 
 use crate::shape::{Arrives, Chance, Deed, Demand, Shape, SECOND, START};
--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use hallmux_agreement::Settings;
+use hallmux_config::Settings;
 use hallmux_dispatcher::{Micros, Place, PromiseEvent, Site, StatementArrived, StatementOver, Terms, Ticket};
 use hallmux_ledger::{self as ledger, Done, Key, Kind};
 
--- a/crates/fleet/src/gate/guard.rs
+++ b/crates/fleet/src/gate/guard.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_agreement::Settings;
+use hallmux_config::Settings;
 use hallmux_dispatcher::{Dispatcher, Micros, Place, Terms, Ticket};
 use hallmux_ledger::{Ask, Done};
 
--- a/crates/fleet/src/gate/requirements.rs
+++ b/crates/fleet/src/gate/requirements.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use hallmux_agreement::Settings;
+use hallmux_config::Settings;
 use hallmux_dispatcher::{Micros, Site, StatementArrived};
 use hallmux_ledger::{Key, Kind};
 use serde::{Deserialize, Serialize};
--- a/crates/fleet/src/gate/tests.rs
+++ b/crates/fleet/src/gate/tests.rs
@@ -26,7 +26,7 @@
 }
 
 fn new_gate(life: u64) -> Gate {
-    Gate::new(&hallmux_agreement::Settings::parse(SETTINGS).unwrap(), life, 4)
+    Gate::new(&hallmux_config::Settings::parse(SETTINGS).unwrap(), life, 4)
 }
 
 /// Takes a statement: whether it depends on anything.
--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
 
-use hallmux_codec::statement::{self, Call, Message, Reply, Request};
-use hallmux_codec::Decoded;
 use hallmux_dispatcher::{Micros, Ticket};
+use hallmux_native_codec::statement::{self, Call, Message, Reply, Request};
+use hallmux_native_codec::Decoded;
 
 use crate::lingering::Lingering;
 use crate::link::Link;
--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 
 use calloop::LoopHandle;
-use hallmux_codec::coordinator::{self as codec, Events};
-use hallmux_codec::Decoded;
 use hallmux_dispatcher::Micros;
+use hallmux_native_codec::coordinator::{self as codec, Events};
+use hallmux_native_codec::Decoded;
 
 use crate::events::{LoopEvents, SocketKind};
 use crate::link::Link;
--- a/crates/front/src/engines/mod.rs
+++ b/crates/front/src/engines/mod.rs
@@ -13,10 +13,10 @@
 use std::rc::Rc;
 
 use calloop::LoopHandle;
-use hallmux_agreement::{Names, NetworkSettings};
-use hallmux_codec::engine::{self, Command, ExecutionRequest, Reply, ReplyKind};
-use hallmux_codec::statement::Call;
+use hallmux_config::{Names, NetworkSettings};
 use hallmux_dispatcher::{ConnectionPacer, Ending, Micros, Note, Place, Terms, Ticket};
+use hallmux_native_codec::engine::{self, Command, ExecutionRequest, Reply, ReplyKind};
+use hallmux_native_codec::statement::Call;
 
 use crate::events::{LoopEvents, SocketKind};
 use crate::execution::ExecutionId;
--- a/crates/front/src/engines/replies.rs
+++ b/crates/front/src/engines/replies.rs
@@ -1,6 +1,6 @@
 //! Replies of engines: results put together from their pages, progress notes, probes.
 
-use hallmux_codec::Decoded;
+use hallmux_native_codec::Decoded;
 
 use super::*;
 
--- a/crates/front/src/fleet/gate.rs
+++ b/crates/front/src/fleet/gate.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_agreement::Settings;
+use hallmux_config::Settings;
 use hallmux_dispatcher::{Dispatcher, Micros, Ticket};
 use hallmux_fleet::gate::{self, LedgerClient, OrderedExecution, Ruling};
 use hallmux_ledger::{Ask, Done};
--- a/crates/front/src/fleet/join.rs
+++ b/crates/front/src/fleet/join.rs
@@ -3,7 +3,7 @@
 use std::net::UdpSocket;
 
 use calloop::LoopHandle;
-use hallmux_agreement::{self as agreement, OnDiskFailure};
+use hallmux_config::{self as agreement, OnDiskFailure};
 use hallmux_dispatcher::Micros;
 use hallmux_fleet::{Exchange, Moment, OwnershipConfig};
 use hallmux_gossip::seal::peer_id;
--- a/crates/front/src/fleet/members.rs
+++ b/crates/front/src/fleet/members.rs
@@ -4,15 +4,14 @@
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
 
-use hallmux_agreement::Ledger;
+use hallmux_config::Ledger;
 use hallmux_gossip::seal::peer_id;
 use hallmux_gossip::PeerId;
 use hallmux_ledger::{Member, Setup};
 
 /// The members that keep copies, and their addresses.
 pub fn members(ledger: &Ledger) -> (Vec<Member>, BTreeMap<PeerId, SocketAddr>) {
-    let member =
-        |m: &hallmux_agreement::LedgerMember| Member { front: peer_id(&m.key), zone: m.zone.clone() };
+    let member = |m: &hallmux_config::LedgerMember| Member { front: peer_id(&m.key), zone: m.zone.clone() };
     let addresses = ledger.members.iter().map(|m| (peer_id(&m.key), m.at)).collect();
     (ledger.members.iter().map(member).collect(), addresses)
 }
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -10,7 +10,7 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction};
-use hallmux_agreement::{parse_key, Gossip, OnDiskFailure};
+use hallmux_config::{parse_key, Gossip, OnDiskFailure};
 use hallmux_dispatcher::{Dispatcher, Micros};
 use hallmux_fleet::{Exchange, LedgerSave, Moment, Output, OwnedLease};
 use hallmux_gossip::channels::Channel;
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -14,10 +14,10 @@
 use hallmux_access::{
     self as access, Access, AccessConfig, Decision, FleetHits, Owner, Request, RulesCommand,
 };
-use hallmux_agreement::Settings;
-use hallmux_codec::tables;
+use hallmux_config::Settings;
 use hallmux_dispatcher::{Dispatcher, Ending, Micros, Place, Terms, Ticket};
 use hallmux_ledger::{self as ledger, Ledger, Member, Moment};
+use hallmux_native_codec::tables;
 
 use super::{Peers, RulesError};
 use crate::execution::ExecutionId;
@@ -86,7 +86,7 @@
 impl Rules {
     /// `own` and `fronts` are by the keys of gossip. Without other fronts this one is the fleet.
     pub fn new(
-        rules: &hallmux_agreement::Rules,
+        rules: &hallmux_config::Rules,
         settings: &Settings,
         own: Owner,
         fronts: Vec<u64>,
@@ -134,7 +134,7 @@
     }
 
     /// SIGHUP: the file is read again. One that can't be used changes nothing.
-    pub fn reload(&mut self, now: Micros, rules: &hallmux_agreement::Rules) {
+    pub fn reload(&mut self, now: Micros, rules: &hallmux_config::Rules) {
         match read(&rules.file, self.access.known()) {
             Ok((_, RulesCommand::WhatIf(set))) => {
                 let found = self.access.what_if(self.moment(now), set);
--- a/crates/front/src/fleet/rules/file.rs
+++ b/crates/front/src/fleet/rules/file.rs
@@ -4,12 +4,12 @@
 use std::rc::Rc;
 
 use hallmux_access::{self as access, KnownNames, Owner, RulesCommand};
-use hallmux_agreement::{line_of, NodeConfig, Settings};
+use hallmux_config::{line_of, NodeConfig, Settings};
 use hallmux_dispatcher::Micros;
 
 use super::{Peers, Rules, RulesError, Shared};
 
-pub(super) fn known(rules: &hallmux_agreement::Rules, settings: &Settings) -> KnownNames {
+pub(super) fn known(rules: &hallmux_config::Rules, settings: &Settings) -> KnownNames {
     let names = &settings.names;
     let workloads = names.workloads.iter().zip(&settings.agreement.workloads).map(|(name, w)| {
         let named =
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 use calloop::LoopHandle;
-use hallmux_agreement::{NodeConfig, Settings};
-use hallmux_codec::coordinator::Events as EngineListEvents;
+use hallmux_config::{NodeConfig, Settings};
 use hallmux_dispatcher::{Dispatcher, Micros, SendCapacity};
+use hallmux_native_codec::coordinator::Events as EngineListEvents;
 
 use crate::clients::Clients;
 use crate::clock::Clock;
--- a/crates/front/src/front/admission.rs
+++ b/crates/front/src/front/admission.rs
@@ -1,9 +1,9 @@
 //! Admission: statements of clients are checked and handed to the dispatcher, and clients that leave are reported to it.
 
 use hallmux_access::Decision;
-use hallmux_codec::statement::{self, Call, Reply};
-use hallmux_codec::tables;
 use hallmux_dispatcher::{Ask, Ending, Micros, Protocol, Ticket, Unfit};
+use hallmux_native_codec::statement::{self, Call, Reply};
+use hallmux_native_codec::tables;
 
 use super::Front;
 use crate::clients::{self, ClientId};
--- a/crates/front/src/front/configuration.rs
+++ b/crates/front/src/front/configuration.rs
@@ -1,6 +1,6 @@
 //! What of the configuration may change while a front runs, and the limits of memory and descriptors.
 
-use hallmux_agreement::{NodeConfig, NodeLimits};
+use hallmux_config::{NodeConfig, NodeLimits};
 
 use super::Front;
 
@@ -12,7 +12,7 @@
 impl Front {
     /// The configuration was read again: what may change while a front runs holds from now on. One that
     /// can't be used changes nothing.
-    pub fn reload(&mut self, read: Result<NodeConfig, hallmux_agreement::Error>) {
+    pub fn reload(&mut self, read: Result<NodeConfig, hallmux_config::Error>) {
         self.clock.refresh();
         match read {
             Ok(config) => {
--- a/crates/front/src/front/dial_capacity.rs
+++ b/crates/front/src/front/dial_capacity.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use hallmux_agreement::NodeConfig;
+use hallmux_config::NodeConfig;
 use hallmux_dispatcher::{ConnectionPacer, Micros};
 
 use super::Front;
--- a/crates/front/src/front/dispatch.rs
+++ b/crates/front/src/front/dispatch.rs
@@ -3,9 +3,9 @@
 
 use std::rc::Rc;
 
-use hallmux_codec::statement::{Call, Reply};
 use hallmux_dispatcher::{Ending, Micros, Order, Ticket};
 use hallmux_fleet::gate;
+use hallmux_native_codec::statement::{Call, Reply};
 use hallmux_scatter::gather::PartFailure;
 
 use super::Front;
--- a/crates/front/src/front/engine_list.rs
+++ b/crates/front/src/front/engine_list.rs
@@ -3,8 +3,8 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-use hallmux_codec::coordinator::{Engine, EngineList, EngineState, Events};
 use hallmux_dispatcher::{Listing, Micros, Mode as EngineMode, Protocol};
+use hallmux_native_codec::coordinator::{Engine, EngineList, EngineState, Events};
 
 use super::Front;
 use crate::engine_starts::ListMoment;
@@ -13,7 +13,7 @@
     /// Takes in what a new configuration knows of the coordinator's events: a drain among them counts,
     /// whether the coordinator that the configuration names answers or not.
     pub(super) fn apply_known_list(&mut self, known: &str) {
-        match hallmux_codec::coordinator::events(known.as_bytes()) {
+        match hallmux_native_codec::coordinator::events(known.as_bytes()) {
             Ok(known) => {
                 let before = self.coordinator.last_index;
                 self.coordinator.last_index = before.max(known.index);
--- a/crates/front/src/front/scatter.rs
+++ b/crates/front/src/front/scatter.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 
 use hallmux_access::Decision;
-use hallmux_codec::statement::{self, Call, Reply};
 use hallmux_dispatcher::{Micros, Order, Ticket, Unfit};
 use hallmux_gossip::channels::Channel;
+use hallmux_native_codec::statement::{self, Call, Reply};
 use hallmux_scatter::gather::{Answer, PartFailure};
 use hallmux_scatter::marker::Effect;
 
--- a/crates/front/src/front_tests.rs
+++ b/crates/front/src/front_tests.rs
@@ -84,7 +84,7 @@
             "bounds": bounds, "requestClasses": workloads}});
         write_clock(&files[0], START);
         let config = NodeConfig::parse(&variables, &text.to_string()).unwrap();
-        let known = hallmux_codec::coordinator::events(config.known_events.as_bytes()).unwrap();
+        let known = hallmux_native_codec::coordinator::events(config.known_events.as_bytes()).unwrap();
         let events = EventLoop::try_new().unwrap();
         let listener = TcpListener::bind(config.listen).unwrap();
         let listens = listener.local_addr().unwrap();
--- a/crates/front/src/logger.rs
+++ b/crates/front/src/logger.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::time::{Duration, SystemTime};
 
-use hallmux_agreement::OneLine;
+use hallmux_config::OneLine;
 use log::{LevelFilter, Log, Metadata, Record};
 
 struct Logger {
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -29,7 +29,7 @@
 
 use calloop::signals::{Event, Signal, Signals};
 use calloop::EventLoop;
-use hallmux_agreement::{NodeConfig, OneLine};
+use hallmux_config::{NodeConfig, OneLine};
 
 use events::LoopEvents;
 use front::Front;
@@ -58,7 +58,7 @@
     if let Some(path) = &config.clock_file {
         log::warn!("HALLMUX_CLOCK: the time is a drill's, from {}", path.display());
     }
-    let known = hallmux_codec::coordinator::events(config.known_events.as_bytes());
+    let known = hallmux_native_codec::coordinator::events(config.known_events.as_bytes());
     let known = known.map_err(|what| StartError::known(&variables, &what.to_string()))?;
     let polls = StartError::system("polling");
     let event_loop = transient::retry(|| Ok(EventLoop::try_new()?));
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 use calloop::LoopHandle;
-use hallmux_agreement::{Postgres, Settings};
+use hallmux_config::{Postgres, Settings};
 use hallmux_dispatcher::{Dispatcher, Ending, Micros, Note, Place, Ticket};
 use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::session::Transaction;
@@ -120,7 +120,7 @@
 
     /// Where an engine of a kind takes sessions: at a port of its own beside lines, or in their place.
     pub fn port(&self, kind: &str) -> Option<Option<u16>> {
-        let speaks = |e: &&hallmux_agreement::PostgresEngines| e.kinds.iter().any(|k| k == kind);
+        let speaks = |e: &&hallmux_config::PostgresEngines| e.kinds.iter().any(|k| k == kind);
         self.allowed.engines.iter().find(speaks).map(|e| e.port)
     }
 
--- a/crates/front/src/postgres/gateway/admission.rs
+++ b/crates/front/src/postgres/gateway/admission.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 
 use hallmux_access::Decision;
-use hallmux_agreement::User;
-use hallmux_codec::tables;
+use hallmux_config::User;
 use hallmux_dispatcher::{Ask, Dispatcher, Micros, Protocol, Ticket, Unfit};
+use hallmux_native_codec::tables;
 use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::session::{Transaction, UnitPart};
 use hallmux_postgres::sql::Label;
--- a/crates/front/src/postgres/gateway/loads.rs
+++ b/crates/front/src/postgres/gateway/loads.rs
@@ -1,8 +1,8 @@
 //! What a unit may write, for the marks on loads. Rows that a transaction writes are seen from its end on, which may come with
 //! any of its units: each is marked for all that the transaction may have touched so far, before it leaves.
 
-use hallmux_codec::tables;
 use hallmux_dispatcher::Ticket;
+use hallmux_native_codec::tables;
 use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::session::{Transaction, UnitPart};
 use hallmux_scatter::marks::numbers;
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 use calloop::LoopHandle;
-use hallmux_agreement::{NetworkSettings, SessionLimits};
+use hallmux_config::{NetworkSettings, SessionLimits};
 use hallmux_dispatcher::{ConnectionPacer, Ending, Micros, Place};
 use hallmux_postgres::engine::{Account, EngineConnection, UnitOutcome};
 use hallmux_postgres::pool::{self, Pools};
--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
-use hallmux_agreement::User;
+use hallmux_config::User;
 use hallmux_dispatcher::{Micros, Ticket};
 use hallmux_postgres::pool::AccountId;
 use hallmux_postgres::prepared::Catalogue;
@@ -129,7 +129,7 @@
 }
 
 impl Sessions {
-    pub fn new(limits: &hallmux_agreement::SessionLimits) -> Self {
+    pub fn new(limits: &hallmux_config::SessionLimits) -> Self {
         let bounds = Bounds {
             statements: limits.statements,
             portals: limits.portals,
--- a/crates/front/src/postgres/sessions/input.rs
+++ b/crates/front/src/postgres/sessions/input.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use hallmux_agreement::User;
+use hallmux_config::User;
 use hallmux_dispatcher::Micros;
 use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::engine;
--- a/crates/front/src/scatter/audits.rs
+++ b/crates/front/src/scatter/audits.rs
@@ -36,17 +36,17 @@
     pub fronts: usize,
 }
 
-fn terms(settings: hallmux_agreement::Audits) -> AuditSettings {
+fn terms(settings: hallmux_config::Audits) -> AuditSettings {
     AuditSettings { one_in: settings.one_in, per_second: settings.a_minute as f64 / 60.0 }
 }
 
 impl SiteAudits {
-    pub fn new(settings: hallmux_agreement::Audits) -> SiteAudits {
+    pub fn new(settings: hallmux_config::Audits) -> SiteAudits {
         let (checks, random) = (HashMap::new(), RandomState::new());
         SiteAudits { audits: Audits::new(terms(settings)), checks, random, found: Vec::new(), fronts: 1 }
     }
 
-    pub fn set_terms(&mut self, settings: hallmux_agreement::Audits) {
+    pub fn set_terms(&mut self, settings: hallmux_config::Audits) {
         self.audits.reconfigure(terms(settings));
     }
 
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -3,10 +3,10 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use hallmux_codec::statement::Call;
-use hallmux_codec::tables;
 use hallmux_dispatcher::{Dispatcher, Micros, Terms};
 use hallmux_ledger::{Act, Ask, Done, Key, Kind, Outcome};
+use hallmux_native_codec::statement::Call;
+use hallmux_native_codec::tables;
 use hallmux_scatter::marker::{self, Effect, LedgerReply, Marker, Operation};
 use hallmux_scatter::marks::{key, numbered, Affected};
 use hallmux_scatter::sql;
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -6,10 +6,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
-use hallmux_agreement::{Scatter, Settings};
-use hallmux_codec::statement::Call;
+use hallmux_config::{Scatter, Settings};
 use hallmux_dispatcher::{Ask, Dispatcher, Micros, Protocol, Ticket, Unfit};
 use hallmux_gossip::PeerId;
+use hallmux_native_codec::statement::Call;
 use hallmux_scatter::gather::{Action, Answer, Gather, GatherRules, PartFailure};
 use hallmux_scatter::marks::{numbers, Marks};
 use hallmux_scatter::plan::{plan, Basis, LoadInfo, Plan, Reason};
--- a/crates/front/src/scatter/statements/sketches.rs
+++ b/crates/front/src/scatter/statements/sketches.rs
@@ -1,7 +1,7 @@
 //! Answers without asking a site: numbers of distinct values by sketches; and the log lines on sites asked.
 
-use hallmux_codec::statement::Call;
 use hallmux_dispatcher::{Dispatcher, Micros, Ticket};
+use hallmux_native_codec::statement::Call;
 use hallmux_scatter::gather::Answer;
 use hallmux_scatter::join::Join;
 use hallmux_scatter::marks::Marks;
--- a/crates/front/src/scatter/summaries.rs
+++ b/crates/front/src/scatter/summaries.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 
 use ed25519_dalek::VerifyingKey;
-use hallmux_agreement::Scatter;
+use hallmux_config::Scatter;
 use hallmux_dispatcher::Micros;
 use hallmux_gossip::PeerId;
 use hallmux_scatter::exchange::{Exchange, FalseSummary, Output};
@@ -33,7 +33,7 @@
     saved: Micros,
 }
 
-fn budget(keep: &hallmux_agreement::SummaryBudget) -> Budget {
+fn budget(keep: &hallmux_config::SummaryBudget) -> Budget {
     Budget { memory: keep.memory_bytes as f64, traffic: keep.bytes_a_second as f64 }
 }
 
--- a/crates/front/src/start_error.rs
+++ b/crates/front/src/start_error.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     #[error(transparent)]
-    Configuration(#[from] hallmux_agreement::Error),
+    Configuration(#[from] hallmux_config::Error),
     #[error("{key}: {why}; give the coordinator's events as it words them, or leave the key out")]
     Known { key: String, why: String },
     #[error("{key}: {at}: {why}; give the address of a free port of this machine")]
--- a/crates/front/src/start_error_tests.rs
+++ b/crates/front/src/start_error_tests.rs
@@ -8,7 +8,7 @@
     let other = |text: &str| std::io::Error::other(text.to_string());
     let file = |name: &str| HashMap::from([(name.to_string(), "front.json".to_string())]);
     let (in_file, in_variable) = (file("NODE_CONFIG"), file("NODE_LISTEN"));
-    let missing = hallmux_agreement::Error::Unset { variable: "NODE_CONFIG", expected: "a path" };
+    let missing = hallmux_config::Error::Unset { variable: "NODE_CONFIG", expected: "a path" };
     for (fault, place) in [
         (StartError::from(missing), "NODE_CONFIG: "),
         (StartError::known(&in_file, "invalid type at line 1 column 9"), "NODE_CONFIG: front.json: known: "),
--- a/crates/lab/src/rig/scenario.rs
+++ b/crates/lab/src/rig/scenario.rs
@@ -1,7 +1,7 @@
 //! A fleet scenario: the fleet's shape, its load, its engines' warmth and a schedule of faults, from one TOML
 //! file. What is unknown or out of range is refused naming its key and line.
 
-use hallmux_agreement::Overload;
+use hallmux_config::Overload;
 use serde::Deserialize;
 
 pub use super::class::{Class, Effect};
--- a/crates/lab/src/simulated/run.rs
+++ b/crates/lab/src/simulated/run.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-use hallmux_agreement::Settings;
+use hallmux_config::Settings;
 use hallmux_gossip::seal::{Identity, Keys};
 use hallmux_ledger::DiskId;
 use rand::{Rng, SeedableRng};
--- a/crates/lab/src/simulated/simulation.rs
+++ b/crates/lab/src/simulated/simulation.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::net::SocketAddr;
 
-use hallmux_agreement::Settings;
+use hallmux_config::Settings;
 use hallmux_dispatcher::{Dispatcher, Ending, Place, Ticket};
 use hallmux_fleet::gate::Guard;
 use hallmux_fleet::{Exchange, Moment};
--- a/crates/drill/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -29,7 +29,7 @@
                 "Gone" => Mode::Gone,
                 other => return Err(format!("mode: unknown word '{other}'")),
             },
-            started: (started > 0.0).then(|| hallmux_agreement::micros(started)),
+            started: (started > 0.0).then(|| hallmux_config::micros(started)),
             protocols: 1,
             sends_progress: true,
         };
--- a/crates/drill/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -49,7 +49,7 @@
                 self.filling = (entries > 0).then_some((list, entries));
             }
             "ATTACH" => {
-                let agreement = hallmux_agreement::Settings::parse(line.text("options")?)?.agreement;
+                let agreement = hallmux_config::Settings::parse(line.text("options")?)?.agreement;
                 let fresh = Instance::new(agreement, line.field("randomSeed")?);
                 self.instances.insert(line.field("who")?, fresh);
             }
--- a/crates/drill/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -5,7 +5,7 @@
 
 use hallmux::interface::{Action, Micros, Report};
 
-use hallmux_agreement::micros;
+use hallmux_config::micros;
 
 /// One line, taken apart into its message and its fields.
 pub struct Line<'a> {
