--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -144,7 +144,15 @@
     /// A front that has not read the rules yet: until it has, it answers [`Decision::RulesUnknown`] for every
     /// customer that rules can be about.
     pub fn new(setup: AccessConfig) -> Access {
-        let AccessConfig { own, fronts, region, known, terms, remembers, first_number } = setup;
+        let AccessConfig {
+            own,
+            fronts,
+            region,
+            known,
+            terms,
+            remembers,
+            first_number,
+        } = setup;
         let shares = Shares::new(own, terms, fronts.len());
         Access {
             region,
@@ -169,19 +177,28 @@
 
     /// The version held, and whether this front may judge by it now.
     pub fn version(&self, steady: Micros) -> (u64, bool) {
-        (self.versions.held().set.version, self.versions.lease(steady).is_some())
+        (
+            self.versions.held().set.version,
+            self.versions.lease(steady).is_some(),
+        )
     }
 
     /// The name of the rule that decided.
     pub fn rule(&self, verdict: &Verdict) -> Option<&str> {
         let held = self.versions.held();
-        verdict.rule.filter(|_| held.set.version == verdict.version).map(|rule| held.name(rule))
+        verdict
+            .rule
+            .filter(|_| held.set.version == verdict.version)
+            .map(|rule| held.name(rule))
     }
 
     /// The locations that a verdict lets a statement be read at; None: all.
     pub fn locations(&self, verdict: &Verdict) -> Option<Vec<String>> {
         let named = |place: &u16| self.known().locations.get(*place as usize).cloned();
-        verdict.allowed.as_ref().map(|places| places.iter().filter_map(named).collect())
+        verdict
+            .allowed
+            .as_ref()
+            .map(|places| places.iter().filter_map(named).collect())
     }
 
     /// The limits that a verdict of the version held lets a statement through within.
@@ -202,7 +219,8 @@
     /// What a set would decide otherwise of what was asked here, before it is put in force.
     pub fn what_if(&mut self, at: Moment, set: RuleSet) -> WhatIfReport {
         let (held, known) = (self.versions.held(), self.versions.known());
-        self.record.compare(at, &self.region, held, &Index::new(set), known)
+        self.record
+            .compare(at, &self.region, held, &Index::new(set), known)
     }
 
     /// Judges a statement, once for all its tries.
@@ -210,7 +228,9 @@
         if !self.known().covers(&request.customer) {
             return Decision::Unrestricted;
         }
-        let Some(index) = self.versions.lease(at.steady) else { return Decision::RulesUnknown };
+        let Some(index) = self.versions.lease(at.steady) else {
+            return Decision::RulesUnknown;
+        };
         let verdict = judge(index, &self.region, &request, at.wall_ms, None);
         self.record.add(at.steady, &request);
         let hit = |rule: usize| Hit {
@@ -218,10 +238,19 @@
             customer: request.customer.clone(),
             region: self.region.clone(),
         };
-        let hits: Vec<Hit> = verdict.rule.into_iter().chain(verdict.counts).map(hit).collect();
+        let hits: Vec<Hit> = verdict
+            .rule
+            .into_iter()
+            .chain(verdict.counts)
+            .map(hit)
+            .collect();
         self.next += 1;
         let (statement, waits) = (self.next, !hits.is_empty());
-        let limits = if verdict.denied.is_none() { index.limits(&verdict) } else { Vec::new() };
+        let limits = if verdict.denied.is_none() {
+            index.limits(&verdict)
+        } else {
+            Vec::new()
+        };
         let goes = limits.is_empty() || self.shares.take(at.steady, statement, limits);
         let hits = match goes {
             true if waits => {
@@ -239,20 +268,41 @@
             first_judged_ms: at.wall_ms,
         };
         self.open.insert(statement, open);
-        Decision::Decided { statement, verdict, waits }
+        Decision::Decided {
+            statement,
+            verdict,
+            waits,
+        }
     }
 
     /// Whether an execution may leave for a location now: by the version that the statement was judged by, by the one
     /// that holds, and under a lease. One that may not never will; its statement is to end.
     pub fn may_send(&mut self, at: Moment, statement: u64, execution: u64, location: &str) -> bool {
-        let place = self.known().locations.iter().position(|name| name == location).map(|at| at as u16);
-        let Some(index) = self.versions.lease(at.steady) else { return false };
-        let Some(open) = self.open.get_mut(&statement) else { return false };
+        let place = self
+            .known()
+            .locations
+            .iter()
+            .position(|name| name == location)
+            .map(|at| at as u16);
+        let Some(index) = self.versions.lease(at.steady) else {
+            return false;
+        };
+        let Some(open) = self.open.get_mut(&statement) else {
+            return false;
+        };
         let still = open.verdict.version == index.set.version
-            || judge(index, &self.region, &open.request, at.wall_ms, Some(open.first_judged_ms))
-                .allows(place);
-        let may =
-            still && !open.ending && open.verdict.allows(place) && self.shares.begins(at.steady, statement);
+            || judge(
+                index,
+                &self.region,
+                &open.request,
+                at.wall_ms,
+                Some(open.first_judged_ms),
+            )
+            .allows(place);
+        let may = still
+            && !open.ending
+            && open.verdict.allows(place)
+            && self.shares.begins(at.steady, statement);
         if may {
             open.out.insert(execution, place);
         }
@@ -286,7 +336,10 @@
     /// The time on the steady clock, in microseconds, at which [`Access::tick`] is next due; `Micros::MAX` if
     /// nothing is.
     pub fn due(&self, steady: Micros) -> Micros {
-        self.versions.due().min(self.hits.due()).min(self.shares.due(steady))
+        self.versions
+            .due()
+            .min(self.hits.due())
+            .min(self.shares.due(steady))
     }
 
     /// Does what is due: renews the lease, reads and changes the version, writes counts, and moves shares of
@@ -312,8 +365,12 @@
     pub fn on_ledger_answer(&mut self, at: Moment, done: Done) -> bool {
         let Done { number, outcome } = done;
         let ours = self.versions.done(at, number, outcome.clone())
-            || self.hits.done(at, number, outcome.clone(), &mut || self.versions.number())
-            || self.shares.done(at, number, outcome, &mut || self.versions.number());
+            || self
+                .hits
+                .done(at, number, outcome.clone(), &mut || self.versions.number())
+            || self
+                .shares
+                .done(at, number, outcome, &mut || self.versions.number());
         self.count_those_with_shares();
         self.hits.tick(at, &mut || self.versions.number());
         self.revoke_barred(at);
@@ -338,9 +395,18 @@
             return;
         }
         self.checked_version = index.set.version;
-        for (statement, open) in self.open.iter_mut().filter(|(_, open)| !open.out.is_empty() && !open.ending)
+        for (statement, open) in self
+            .open
+            .iter_mut()
+            .filter(|(_, open)| !open.out.is_empty() && !open.ending)
         {
-            let verdict = judge(index, &self.region, &open.request, at.wall_ms, Some(open.first_judged_ms));
+            let verdict = judge(
+                index,
+                &self.region,
+                &open.request,
+                at.wall_ms,
+                Some(open.first_judged_ms),
+            );
             if !open.out.values().all(|place| verdict.allows(*place)) {
                 open.ending = true;
                 self.revoked_count += 1;
--- a/crates/access/src/error.rs
+++ b/crates/access/src/error.rs
@@ -52,7 +52,9 @@
         customer: String,
     },
     /// Two rules with one name.
-    #[error("rule `{rule}` has the name of the rule on line {line}; give each rule a name of its own")]
+    #[error(
+        "rule `{rule}` has the name of the rule on line {line}; give each rule a name of its own"
+    )]
     Twice {
         /// The name.
         rule: String,
@@ -160,12 +162,21 @@
 
 impl fmt::Display for FileErrors {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        for (at, FileError { path, line, what }) in self.errors.iter().take(MOST_SHOWN).enumerate() {
+        for (at, FileError { path, line, what }) in self.errors.iter().take(MOST_SHOWN).enumerate()
+        {
             let lead = if at == 0 { "" } else { "\n" };
             let line = line.map_or(String::new(), |line| format!("{line}:"));
             // What names its rule needs no path beside it.
-            let path = if what.to_string().starts_with("rule `") { "" } else { path };
-            let path = if path.is_empty() { String::new() } else { format!(" {path}:") };
+            let path = if what.to_string().starts_with("rule `") {
+                ""
+            } else {
+                path
+            };
+            let path = if path.is_empty() {
+                String::new()
+            } else {
+                format!(" {path}:")
+            };
             write!(out, "{lead}{}:{line}{path} {what}", self.file)?;
         }
         match self.errors.len().saturating_sub(MOST_SHOWN) {
--- a/crates/access/src/head.rs
+++ b/crates/access/src/head.rs
@@ -43,7 +43,11 @@
 impl StoredVersion {
     /// The entry for a text.
     pub fn of(version: u64, text: &str) -> StoredVersion {
-        StoredVersion { version, hash: hash(text), bytes: text.len() as u32 }
+        StoredVersion {
+            version,
+            hash: hash(text),
+            bytes: text.len() as u32,
+        }
     }
 }
 
@@ -59,7 +63,15 @@
         let gone = (kept.len() > MOST_PREVIOUS).then(|| kept.pop()).flatten();
         // The same text may be kept under another version.
         let gone = gone.filter(|g| g.hash != current.hash && kept.iter().all(|k| k.hash != g.hash));
-        (Head { format: FORMAT, current, in_force, previous: kept }, gone)
+        (
+            Head {
+                format: FORMAT,
+                current,
+                in_force,
+                previous: kept,
+            },
+            gone,
+        )
     }
 
     /// The bytes to keep in the ledger.
@@ -79,20 +91,34 @@
 
     /// A version that is kept.
     pub fn find(&self, version: u64) -> Option<StoredVersion> {
-        [self.current].into_iter().chain(self.previous.iter().copied()).find(|kept| kept.version == version)
+        [self.current]
+            .into_iter()
+            .chain(self.previous.iter().copied())
+            .find(|kept| kept.version == version)
     }
 }
 
 /// The ledger's key of the head.
 pub fn head_key() -> Key {
-    Key { kind: Kind::Rules, name: "head".to_string() }
+    Key {
+        kind: Kind::Rules,
+        name: "head".to_string(),
+    }
 }
 
 /// The keys of a text's parts.
 pub fn part_keys(kept: StoredVersion) -> impl Iterator<Item = Key> {
-    let name: String = kept.hash.iter().take(8).map(|byte| format!("{byte:02x}")).collect();
+    let name: String = kept
+        .hash
+        .iter()
+        .take(8)
+        .map(|byte| format!("{byte:02x}"))
+        .collect();
     let parts = (kept.bytes as usize).div_ceil(PART).max(1);
-    (0..parts).map(move |n| Key { kind: Kind::Rules, name: format!("text {name} {n}") })
+    (0..parts).map(move |n| Key {
+        kind: Kind::Rules,
+        name: format!("text {name} {n}"),
+    })
 }
 
 /// The text cut into the parts that the ledger keeps.
--- a/crates/access/src/head_tests.rs
+++ b/crates/access/src/head_tests.rs
@@ -24,7 +24,11 @@
     let mut head = None;
     let mut gone = None;
     for version in 1..=MOST_PREVIOUS as u64 + 2 {
-        let text = if version == 9 { "1".to_string() } else { version.to_string() };
+        let text = if version == 9 {
+            "1".to_string()
+        } else {
+            version.to_string()
+        };
         let (next, left) = Head::after(head.as_ref(), StoredVersion::of(version, &text), true);
         (head, gone) = (Some(next), left);
     }
--- a/crates/access/src/hits.rs
+++ b/crates/access/src/hits.rs
@@ -122,11 +122,17 @@
 }
 
 fn lives_key(front: FrontId) -> Key {
-    Key { kind: Kind::Hits, name: format!("lives {front:016x}") }
+    Key {
+        kind: Kind::Hits,
+        name: format!("lives {front:016x}"),
+    }
 }
 
 fn page_key(front: FrontId, life: u64, page: usize) -> Key {
-    Key { kind: Kind::Hits, name: format!("hits {front:016x} {life} {page}") }
+    Key {
+        kind: Kind::Hits,
+        name: format!("hits {front:016x} {life} {page}"),
+    }
 }
 
 fn bytes<T: Serialize>(what: &T) -> Vec<u8> {
@@ -186,7 +192,9 @@
         let waits = hits.into_iter().map(|hit| {
             let row = self.row(hit);
             let page = self.rows.get(&row).copied().unwrap_or_default();
-            let Some(kept) = self.pages.get_mut(page) else { return (page, 0) };
+            let Some(kept) = self.pages.get_mut(page) else {
+                return (page, 0);
+            };
             *kept.counts.entry(row).or_default() += 1;
             kept.added += 1;
             (page, kept.added)
@@ -203,17 +211,23 @@
         let room = |rows: usize, spare: usize| rows + spare < PAGE * MOST_PAGES;
         let hit = match (room(self.rows.len(), 512), room(self.rows.len(), 1)) {
             (true, _) => hit,
-            (false, true) => Hit { customer: OTHERS.to_string(), ..hit },
-            (false, false) => {
-                Hit { rule: OTHERS.to_string(), customer: OTHERS.to_string(), region: OTHERS.to_string() }
-            }
+            (false, true) => Hit {
+                customer: OTHERS.to_string(),
+                ..hit
+            },
+            (false, false) => Hit {
+                rule: OTHERS.to_string(),
+                customer: OTHERS.to_string(),
+                region: OTHERS.to_string(),
+            },
         };
         if !self.rows.contains_key(&hit) {
             let page = self.rows.len() / PAGE;
             if self.pages.len() <= page {
                 self.pages.push(Page::default());
             }
-            self.rows.insert(hit.clone(), page.min(self.pages.len().saturating_sub(1)));
+            self.rows
+                .insert(hit.clone(), page.min(self.pages.len().saturating_sub(1)));
         }
         hit
     }
@@ -272,7 +286,10 @@
             return;
         }
         self.listing = true;
-        let Some((lives, version)) = self.lives.as_ref().filter(|_| !std::mem::take(&mut self.list_is_stale))
+        let Some((lives, version)) = self
+            .lives
+            .as_ref()
+            .filter(|_| !std::mem::take(&mut self.list_is_stale))
         else {
             return self.ask(number, Pending::Lives, lives_key(self.own.front), Act::Read);
         };
@@ -280,19 +297,39 @@
         lives.retain(|(life, _)| *life != self.own.incarnation);
         lives.push((self.own.incarnation, self.pages.len() as u32));
         let value = bytes::<Lives>(&(FORMAT, lives));
-        let act = Act::Put { expects: Some(*version), ends_ms: 0, value };
+        let act = Act::Put {
+            expects: Some(*version),
+            ends_ms: 0,
+            value,
+        };
         self.ask(number, Pending::Lives, lives_key(self.own.front), act);
     }
 
     fn put_page(&mut self, at: usize, number: &mut impl FnMut() -> u64) {
-        let Some(page) = self.pages.get_mut(at).filter(|p| !p.putting && p.standing < p.added) else {
+        let Some(page) = self
+            .pages
+            .get_mut(at)
+            .filter(|p| !p.putting && p.standing < p.added)
+        else {
             return;
         };
         page.putting = true;
         // Compare and swap: one that was held up on its way can't set the page back.
-        let act = Act::Put { expects: Some(page.version), ends_ms: 0, value: bytes(&(FORMAT, &page.counts)) };
-        let asked = Pending::Put { page: at, added: page.added };
-        self.ask(number, asked, page_key(self.own.front, self.own.incarnation, at), act);
+        let act = Act::Put {
+            expects: Some(page.version),
+            ends_ms: 0,
+            value: bytes(&(FORMAT, &page.counts)),
+        };
+        let asked = Pending::Put {
+            page: at,
+            added: page.added,
+        };
+        self.ask(
+            number,
+            asked,
+            page_key(self.own.front, self.own.incarnation, at),
+            act,
+        );
     }
 
     /// The ledger has answered. False if it was not asked here.
@@ -303,7 +340,9 @@
         outcome: Outcome,
         number: &mut impl FnMut() -> u64,
     ) -> bool {
-        let Some(asked) = self.asked.remove(&asked) else { return false };
+        let Some(asked) = self.asked.remove(&asked) else {
+            return false;
+        };
         let failed = matches!(outcome, Outcome::Unreachable | Outcome::Full);
         self.ledger_full |= outcome == Outcome::Full;
         match asked {
@@ -322,7 +361,9 @@
     }
 
     fn on_put_answer(&mut self, at: usize, added: u64, outcome: Outcome) {
-        let Some(page) = self.pages.get_mut(at) else { return };
+        let Some(page) = self.pages.get_mut(at) else {
+            return;
+        };
         page.putting = false;
         match outcome {
             Outcome::Stands(entry) => {
@@ -337,10 +378,16 @@
             _ => {}
         }
         let pages = &self.pages;
-        let stands = |(page, hit): &(usize, u64)| pages.get(*page).is_none_or(|p| p.standing >= *hit);
-        let counted = self.waiting.iter().filter(|(_, waits)| waits.iter().all(stands));
+        let stands =
+            |(page, hit): &(usize, u64)| pages.get(*page).is_none_or(|p| p.standing >= *hit);
+        let counted = self
+            .waiting
+            .iter()
+            .filter(|(_, waits)| waits.iter().all(stands));
         let counted: Vec<u64> = counted.map(|(statement, _)| *statement).collect();
-        counted.iter().for_each(|statement| _ = self.waiting.remove(statement));
+        counted
+            .iter()
+            .for_each(|statement| _ = self.waiting.remove(statement));
         self.counted.extend(counted);
     }
 
@@ -354,7 +401,11 @@
         // An answer told again comes without what stands: it is read anew.
         let Some(lives) = whole::<Vec<(u64, u32)>>(&entry.value) else {
             // One of a format that this build does not know stays as it is.
-            let known = if entry.value.is_empty() { 0 } else { 20 * RETRY_INTERVAL };
+            let known = if entry.value.is_empty() {
+                0
+            } else {
+                20 * RETRY_INTERVAL
+            };
             self.retry_at = self.retry_at.max(self.ticked + known);
             return self.lives = None;
         };
--- a/crates/access/src/hits/fold.rs
+++ b/crates/access/src/hits/fold.rs
@@ -13,7 +13,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    bytes, counts, lives_key, page_key, whole, Hit, HitCounts, Hits, Lives, Pending, CLOSED, FORMAT, OTHERS,
+    bytes, counts, lives_key, page_key, whole, Hit, HitCounts, Hits, Lives, Pending, CLOSED,
+    FORMAT, OTHERS,
 };
 use crate::FrontId;
 
@@ -36,7 +37,9 @@
 
     /// Lives are folded in their order.
     pub fn has(&self, owner: Owner) -> bool {
-        self.lives.get(&owner.front).is_some_and(|last| *last >= owner.incarnation)
+        self.lives
+            .get(&owner.front)
+            .is_some_and(|last| *last >= owner.incarnation)
     }
 
     fn add(&mut self, owner: Owner, rows: &HitCounts) {
@@ -47,7 +50,11 @@
         for (hit, count) in rows {
             let hit = match self.counts.contains_key(hit) || self.counts.len() < MOST_ROWS {
                 true => hit.clone(),
-                false => Hit { customer: OTHERS.to_string(), region: OTHERS.to_string(), ..hit.clone() },
+                false => Hit {
+                    customer: OTHERS.to_string(),
+                    region: OTHERS.to_string(),
+                    ..hit.clone()
+                },
             };
             *self.counts.entry(hit).or_default() += count;
         }
@@ -62,7 +69,10 @@
 }
 
 pub(super) fn folded_key(place: usize) -> Key {
-    Key { kind: Kind::Hits, name: format!("folded {place}") }
+    Key {
+        kind: Kind::Hits,
+        name: format!("folded {place}"),
+    }
 }
 
 /// An earlier life on its way into the fleet's table.
@@ -86,14 +96,24 @@
     /// Brings the earliest life one step on; one after the other, so that what was folded is all up to a life.
     pub(super) fn advance_fold(&mut self, wall_ms: u64, number: &mut impl FnMut() -> u64) {
         let own = self.own;
-        let Some((lives, version)) = self.lives.clone() else { return };
+        let Some((lives, version)) = self.lives.clone() else {
+            return;
+        };
         if self.fold.is_none() {
             // Only once this life is listed can an earlier one write no more.
             let listed = lives.iter().any(|(life, _)| *life == own.incarnation);
-            let earliest = lives.iter().filter(|(life, _)| listed && *life < own.incarnation).min();
-            let Some((life, pages)) = earliest else { return };
+            let earliest = lives
+                .iter()
+                .filter(|(life, _)| listed && *life < own.incarnation)
+                .min();
+            let Some((life, pages)) = earliest else {
+                return;
+            };
             self.fold = Some(Fold {
-                owner: Owner { front: own.front, incarnation: *life },
+                owner: Owner {
+                    front: own.front,
+                    incarnation: *life,
+                },
                 open: None,
                 pages: Vec::new(),
                 count: *pages as usize,
@@ -104,9 +124,19 @@
                 stuck: false,
             });
         }
-        let Some(fold) = self.fold.as_mut().filter(|fold| !fold.asking && !fold.stuck) else { return };
+        let Some(fold) = self
+            .fold
+            .as_mut()
+            .filter(|fold| !fold.asking && !fold.stuck)
+        else {
+            return;
+        };
         let key = |page| page_key(own.front, fold.owner.incarnation, page);
-        let put = |expects, ends_ms, value| Act::Put { expects, ends_ms, value };
+        let put = |expects, ends_ms, value| Act::Put {
+            expects,
+            ends_ms,
+            value,
+        };
         let closed = |counts: &HitCounts| bytes(&(CLOSED, counts));
         let left = fold.left.as_ref();
         let (asked, key, act) = if fold.pages.len() < fold.count {
@@ -127,12 +157,22 @@
             };
             (Pending::Adding, folded_key(*place), act)
         } else if fold.blanked < fold.count {
-            let act = put(None, wall_ms.saturating_add(LINGERS_MS), closed(&HitCounts::new()));
+            let act = put(
+                None,
+                wall_ms.saturating_add(LINGERS_MS),
+                closed(&HitCounts::new()),
+            );
             (Pending::Blanking, key(fold.blanked), act)
         } else if !self.listing {
-            let lives: Vec<(u64, u32)> =
-                lives.into_iter().filter(|(life, _)| *life != fold.owner.incarnation).collect();
-            (Pending::Dropping, lives_key(own.front), put(Some(version), 0, bytes::<Lives>(&(FORMAT, lives))))
+            let lives: Vec<(u64, u32)> = lives
+                .into_iter()
+                .filter(|(life, _)| *life != fold.owner.incarnation)
+                .collect();
+            (
+                Pending::Dropping,
+                lives_key(own.front),
+                put(Some(version), 0, bytes::<Lives>(&(FORMAT, lives))),
+            )
         } else {
             return;
         };
@@ -171,7 +211,8 @@
             (Pending::Adding, _) => fold.part = None,
             (Pending::Blanking, _) => fold.blanked += 1,
             (Pending::Dropping, Outcome::Stands(entry)) => {
-                self.lives = whole::<Vec<(u64, u32)>>(&entry.value).map(|lives| (lives, entry.version));
+                self.lives =
+                    whole::<Vec<(u64, u32)>>(&entry.value).map(|lives| (lives, entry.version));
                 self.fold = None;
                 return;
             }
@@ -185,7 +226,11 @@
         if fold.left.is_none() && fold.pages.len() == fold.count {
             let mut left: BTreeMap<usize, HitCounts> = BTreeMap::new();
             for (hit, count) in fold.pages.iter().flatten() {
-                *left.entry(part_of(hit)).or_default().entry(hit.clone()).or_default() += count;
+                *left
+                    .entry(part_of(hit))
+                    .or_default()
+                    .entry(hit.clone())
+                    .or_default() += count;
             }
             fold.left = Some(left);
         }
--- a/crates/access/src/hits/sweep.rs
+++ b/crates/access/src/hits/sweep.rs
@@ -5,7 +5,9 @@
 use hallmux_ledger::{Act, Outcome, Owner};
 
 use super::fold::{folded_key, part_of, Folded, FOLDED_PARTS};
-use super::{counts, lives_key, merge_counts, page_key, whole, FleetHits, HitCounts, Hits, Pending};
+use super::{
+    counts, lives_key, merge_counts, page_key, whole, FleetHits, HitCounts, Hits, Pending,
+};
 use crate::{FrontId, Micros};
 
 const AT_ONCE: usize = 32; // pages read at once for the fleet's count
@@ -28,7 +30,13 @@
 impl Sweep {
     pub fn new(begun: Micros, fronts: &[FrontId]) -> Sweep {
         let reads = fronts.iter().map(|front| Read::Lives(*front)).collect();
-        Sweep { begun, reads, out: 0, missing: BTreeSet::new(), last: false }
+        Sweep {
+            begun,
+            reads,
+            out: 0,
+            missing: BTreeSet::new(),
+            last: false,
+        }
     }
 }
 
@@ -36,7 +44,9 @@
     /// Reads on for the fleet's count.
     pub(super) fn advance_sweep(&mut self, number: &mut impl FnMut() -> u64) {
         loop {
-            let Some(sweep) = self.sweep.as_mut().filter(|sweep| sweep.out < AT_ONCE) else { return };
+            let Some(sweep) = self.sweep.as_mut().filter(|sweep| sweep.out < AT_ONCE) else {
+                return;
+            };
             let Some(read) = sweep.reads.pop() else {
                 if sweep.out > 0 || sweep.last {
                     break;
@@ -48,16 +58,21 @@
             sweep.out += 1;
             let (asked, key) = match read {
                 Read::Lives(front) => (Pending::LivesOf(front), lives_key(front)),
-                Read::Page(owner, page) => {
-                    (Pending::PageOf(owner), page_key(owner.front, owner.incarnation, page as usize))
-                }
+                Read::Page(owner, page) => (
+                    Pending::PageOf(owner),
+                    page_key(owner.front, owner.incarnation, page as usize),
+                ),
                 Read::Folded(place) => (Pending::Folded(place), folded_key(place)),
             };
             self.ask(number, asked, key, Act::Read);
         }
         if let Some(sweep) = self.sweep.take_if(|sweep| sweep.out == 0) {
             let counts = self.sum();
-            self.fleet = FleetHits { counts, as_of: Some(sweep.begun), missing: sweep.missing };
+            self.fleet = FleetHits {
+                counts,
+                as_of: Some(sweep.begun),
+                missing: sweep.missing,
+            };
             self.swept = true;
         }
     }
@@ -70,7 +85,9 @@
         }
         let folded = &self.folded;
         let has = |hit: &super::Hit, owner: &Owner| {
-            folded.get(&part_of(hit)).is_some_and(|(folded, _)| folded.has(*owner))
+            folded
+                .get(&part_of(hit))
+                .is_some_and(|(folded, _)| folded.has(*owner))
         };
         for (owner, table) in &mut self.known {
             table.retain(|hit, _| !has(hit, owner));
@@ -87,16 +104,19 @@
         sweep.out -= 1;
         match (asked, outcome) {
             (_, Outcome::Absent) => {}
-            (Pending::LivesOf(front), Outcome::Stands(entry)) => match whole::<Vec<(u64, u32)>>(&entry.value)
-            {
-                Some(lives) => {
-                    for (incarnation, pages) in lives {
-                        let owner = Owner { front, incarnation };
-                        sweep.reads.extend((0..pages).map(|page| Read::Page(owner, page)));
+            (Pending::LivesOf(front), Outcome::Stands(entry)) => {
+                match whole::<Vec<(u64, u32)>>(&entry.value) {
+                    Some(lives) => {
+                        for (incarnation, pages) in lives {
+                            let owner = Owner { front, incarnation };
+                            sweep
+                                .reads
+                                .extend((0..pages).map(|page| Read::Page(owner, page)));
+                        }
                     }
+                    None => _ = sweep.missing.insert(front),
                 }
-                None => _ = sweep.missing.insert(front),
-            },
+            }
             (Pending::PageOf(owner), Outcome::Stands(entry)) => match counts(&entry.value) {
                 Some(counts) => merge_counts(self.known.entry(owner).or_default(), &counts),
                 None => _ = sweep.missing.insert(owner.front),
--- a/crates/access/src/index.rs
+++ b/crates/access/src/index.rs
@@ -78,25 +78,45 @@
         let mut cells: [HashMap<Who, Vec<u32>>; 2] = Default::default();
         for (at, rule) in set.rules.iter().enumerate() {
             let mut who = [0; 3];
-            for (field, name) in [&rule.customer, &rule.workload, &rule.front].into_iter().enumerate() {
+            for (field, name) in [&rule.customer, &rule.workload, &rule.front]
+                .into_iter()
+                .enumerate()
+            {
                 if let (Some(name), Some(names)) = (name, names.get_mut(field)) {
                     let next = names.len() as u32 + 1;
                     who[field] = *names.entry(name.clone()).or_insert(next);
                 }
             }
-            cells[usize::from(rule.effect == RuleEffect::Count)].entry(who).or_default().push(at as u32);
+            cells[usize::from(rule.effect == RuleEffect::Count)]
+                .entry(who)
+                .or_default()
+                .push(at as u32);
         }
         let [decide, count] = cells.map(|cells| table(&set, cells));
-        Index { names, decide, count, set }
+        Index {
+            names,
+            decide,
+            count,
+            set,
+        }
     }
 
     /// The rules about a statement.
     pub fn find(&self, attributes: &Attributes, wall_ms: u64) -> MatchedRules {
         let number = |field: usize, name: &str| self.names[field].get(name).copied();
-        let who =
-            [number(0, attributes.customer), number(1, attributes.workload), number(2, attributes.front)];
-        let first = |table: &Table| self.first_in(table, who, attributes, wall_ms).map(|at| at as usize);
-        MatchedRules { deciding: first(&self.decide), counting: first(&self.count) }
+        let who = [
+            number(0, attributes.customer),
+            number(1, attributes.workload),
+            number(2, attributes.front),
+        ];
+        let first = |table: &Table| {
+            self.first_in(table, who, attributes, wall_ms)
+                .map(|at| at as usize)
+        };
+        MatchedRules {
+            deciding: first(&self.decide),
+            counting: first(&self.count),
+        }
     }
 
     fn first_in(
@@ -117,7 +137,9 @@
                 }
                 None => false,
             });
-            let Some(cell) = table.cells.get(&key).filter(|_| known) else { continue };
+            let Some(cell) = table.cells.get(&key).filter(|_| known) else {
+                continue;
+            };
             let about = match attributes.group {
                 Some(group) => {
                     let at = cell.starts.partition_point(|start| *start <= group);
@@ -127,9 +149,15 @@
             };
             for list in [Some(&cell.any), about].into_iter().flatten() {
                 let holds = |at: &&u32| {
-                    self.set.rules.get(**at as usize).is_some_and(|r| r.holds(attributes, wall_ms))
+                    self.set
+                        .rules
+                        .get(**at as usize)
+                        .is_some_and(|r| r.holds(attributes, wall_ms))
                 };
-                let found = list.iter().take_while(|at| least.is_none_or(|least| **at < least)).find(holds);
+                let found = list
+                    .iter()
+                    .take_while(|at| least.is_none_or(|least| **at < least))
+                    .find(holds);
                 least = found.copied().or(least);
             }
         }
@@ -142,22 +170,42 @@
         let mut verdict: Option<Verdict> = None;
         let untold = groups.is_none_or(|groups| groups.len() > MOST_GROUPS);
         let groups = groups.unwrap_or_default();
-        let each = groups.iter().copied().map(Some).take(if untold { 0 } else { MOST_GROUPS });
+        let each = groups
+            .iter()
+            .copied()
+            .map(Some)
+            .take(if untold { 0 } else { MOST_GROUPS });
         for group in each.chain(untold.then_some(None)) {
-            let one =
-                self.judge_one(&Attributes { group, tables_known: group.is_some(), ..*attributes }, wall_ms);
+            let one = self.judge_one(
+                &Attributes {
+                    group,
+                    tables_known: group.is_some(),
+                    ..*attributes
+                },
+                wall_ms,
+            );
             verdict = Some(match verdict {
                 None => one,
                 Some(before) => both(before, one),
             });
         }
         verdict.unwrap_or_else(|| {
-            self.judge_one(&Attributes { group: None, tables_known: true, ..*attributes }, wall_ms)
+            self.judge_one(
+                &Attributes {
+                    group: None,
+                    tables_known: true,
+                    ..*attributes
+                },
+                wall_ms,
+            )
         })
     }
 
     fn judge_one(&self, attributes: &Attributes, wall_ms: u64) -> Verdict {
-        let MatchedRules { deciding: rule, counting: counts } = self.find(attributes, wall_ms);
+        let MatchedRules {
+            deciding: rule,
+            counting: counts,
+        } = self.find(attributes, wall_ms);
         let decides = rule.and_then(|at| self.set.rules.get(at));
         let untold = attributes.group.is_none() && decides.is_some_and(|r| r.tables.is_some());
         let (denied, allowed) = match decides.map(|r| &r.effect) {
@@ -165,18 +213,37 @@
             Some(RuleEffect::Deny { reason }) => (Some(reason.clone()), None),
             Some(RuleEffect::Allow { places }) => (None, places.clone()),
             Some(RuleEffect::Count) => (None, None),
-            None if self.set.default == DefaultEffect::Deny => (Some("no rule allows it".to_string()), None),
+            None if self.set.default == DefaultEffect::Deny => {
+                (Some("no rule allows it".to_string()), None)
+            }
             None => (None, None),
         };
-        let limits = rule.into_iter().filter(|_| decides.is_some_and(|r| r.limit.is_some()));
-        Verdict { version: self.set.version, rule, counts, limits: limits.collect(), denied, allowed }
+        let limits = rule
+            .into_iter()
+            .filter(|_| decides.is_some_and(|r| r.limit.is_some()));
+        Verdict {
+            version: self.set.version,
+            rule,
+            counts,
+            limits: limits.collect(),
+            denied,
+            allowed,
+        }
     }
 
     /// The limits that a verdict holds a statement to.
     pub fn limits(&self, verdict: &Verdict) -> Vec<Limit> {
-        let rules = verdict.limits.iter().filter_map(|at| self.set.rules.get(*at));
-        let limit =
-            |r: &Rule| r.limit.map(|RateLimit { most, window }| Limit { rule: r.name.clone(), most, window });
+        let rules = verdict
+            .limits
+            .iter()
+            .filter_map(|at| self.set.rules.get(*at));
+        let limit = |r: &Rule| {
+            r.limit.map(|RateLimit { most, window }| Limit {
+                rule: r.name.clone(),
+                most,
+                window,
+            })
+        };
         rules.filter_map(limit).collect()
     }
 
@@ -190,18 +257,40 @@
     /// A rule that goes before another wherever and whenever that would match.
     pub fn shadow(&self, at: usize) -> Option<usize> {
         let rule = self.set.rules.get(at)?;
-        let table = if rule.effect == RuleEffect::Count { &self.count } else { &self.decide };
+        let table = if rule.effect == RuleEffect::Count {
+            &self.count
+        } else {
+            &self.decide
+        };
         let mut who = [0; 3];
-        for (field, name) in [&rule.customer, &rule.workload, &rule.front].into_iter().enumerate() {
-            who[field] = name.as_ref().and_then(|name| self.names[field].get(name).copied()).unwrap_or(0);
+        for (field, name) in [&rule.customer, &rule.workload, &rule.front]
+            .into_iter()
+            .enumerate()
+        {
+            who[field] = name
+                .as_ref()
+                .and_then(|name| self.names[field].get(name).copied())
+                .unwrap_or(0);
         }
         let own = (0..3).fold(0, |mask, field| mask | u8::from(who[field] > 0) << field);
         let wider = table.masks.iter().filter(|mask| **mask & !own == 0);
-        let key = |mask: &u8| [0, 1, 2].map(|field| if mask >> field & 1 == 1 { who[field] } else { 0 });
-        let cells: Vec<&Cell> = wider.filter_map(|mask| table.cells.get(&key(mask))).collect();
+        let key = |mask: &u8| {
+            [0, 1, 2].map(|field| {
+                if mask >> field & 1 == 1 {
+                    who[field]
+                } else {
+                    0
+                }
+            })
+        };
+        let cells: Vec<&Cell> = wider
+            .filter_map(|mask| table.cells.get(&key(mask)))
+            .collect();
         let covers = |list: &[u32]| {
             let before = list.iter().map(|by| *by as usize).take_while(|by| *by < at);
-            before.into_iter().find(|by| self.set.rules.get(*by).is_some_and(|by| by.spans(rule)))
+            before
+                .into_iter()
+                .find(|by| self.set.rules.get(*by).is_some_and(|by| by.spans(rule)))
         };
         if let Some(by) = cells.iter().find_map(|cell| covers(&cell.any)) {
             return Some(by);
@@ -211,15 +300,27 @@
         let mut starts = vec![tables.first];
         for cell in &cells {
             let from = cell.starts.partition_point(|start| *start <= tables.first);
-            starts.extend(cell.starts.iter().skip(from).take_while(|start| **start <= tables.last));
+            starts.extend(
+                cell.starts
+                    .iter()
+                    .skip(from)
+                    .take_while(|start| **start <= tables.last),
+            );
         }
         let over = |start: u32| {
             cells.iter().find_map(|cell| {
-                let at = cell.starts.partition_point(|s| *s <= start).checked_sub(1)?;
+                let at = cell
+                    .starts
+                    .partition_point(|s| *s <= start)
+                    .checked_sub(1)?;
                 covers(cell.stretches.get(at)?)
             })
         };
-        starts.into_iter().map(over).reduce(|one, other| one.and(other)).flatten()
+        starts
+            .into_iter()
+            .map(over)
+            .reduce(|one, other| one.and(other))
+            .flatten()
     }
 }
 
@@ -240,7 +341,11 @@
         return one;
     }
     one.allowed = match (one.allowed, other.allowed) {
-        (Some(one), Some(other)) => Some(one.into_iter().filter(|place| other.contains(place)).collect()),
+        (Some(one), Some(other)) => Some(
+            one.into_iter()
+                .filter(|place| other.contains(place))
+                .collect(),
+        ),
         (one, other) => one.or(other),
     };
     if one.allowed.as_ref().is_some_and(Vec::is_empty) {
@@ -254,7 +359,13 @@
     let mut masks: Vec<u8> = cells.keys().map(mask).collect();
     masks.sort_unstable();
     masks.dedup();
-    Table { cells: cells.into_iter().map(|(who, rules)| (who, cell(set, &rules))).collect(), masks }
+    Table {
+        cells: cells
+            .into_iter()
+            .map(|(who, rules)| (who, cell(set, &rules)))
+            .collect(),
+        masks,
+    }
 }
 
 /// Rules come in order.
--- a/crates/access/src/index/compare.rs
+++ b/crates/access/src/index/compare.rs
@@ -26,7 +26,10 @@
             sorted(rules().filter_map(field).map(String::as_str).chain([""]))
         };
         let ranges = rules().filter_map(|r| r.tables.as_ref());
-        let edges = ranges.flat_map(|t| [Some(t.first), t.last.checked_add(1)]).flatten().map(Some);
+        let edges = ranges
+            .flat_map(|t| [Some(t.first), t.last.checked_add(1)])
+            .flatten()
+            .map(Some);
         let changes = rules().flat_map(|r| [r.from_ms, r.until_ms]);
         let later = changes.filter(|at| *at > now_ms && *at < u64::MAX);
         Kinds {
@@ -53,9 +56,11 @@
     /// All of them, each with the time at which it is looked at.
     fn all(&self) -> impl Iterator<Item = (Attributes<'a>, u64)> + '_ {
         let who = self.customers.iter().flat_map(move |customer| {
-            self.workloads
-                .iter()
-                .flat_map(move |workload| self.fronts.iter().map(move |front| (*customer, *workload, *front)))
+            self.workloads.iter().flat_map(move |workload| {
+                self.fronts
+                    .iter()
+                    .map(move |front| (*customer, *workload, *front))
+            })
         });
         who.flat_map(move |(customer, workload, front)| {
             self.groups.iter().flat_map(move |group| {
--- a/crates/access/src/known.rs
+++ b/crates/access/src/known.rs
@@ -30,32 +30,59 @@
 impl KnownNames {
     /// Whether rules may be about a customer.
     pub fn covers(&self, customer: &str) -> bool {
-        self.covered.as_ref().is_none_or(|all| all.iter().any(|name| name == customer))
+        self.covered
+            .as_ref()
+            .is_none_or(|all| all.iter().any(|name| name == customer))
     }
 
     /// The places of a region, by its name or a location's.
     pub fn places(&self, region: &str) -> Option<Vec<u16>> {
-        let place = |name: &String| self.locations.iter().position(|l| l == name).map(|at| at as u16);
+        let place = |name: &String| {
+            self.locations
+                .iter()
+                .position(|l| l == name)
+                .map(|at| at as u16)
+        };
         match self.regions.get(region) {
             Some(locations) => Some(locations.iter().filter_map(place).collect()),
-            None => self.locations.iter().position(|l| l == region).map(|at| vec![at as u16]),
+            None => self
+                .locations
+                .iter()
+                .position(|l| l == region)
+                .map(|at| vec![at as u16]),
         }
     }
 
     /// All names that a rule may give a region.
     pub fn region_names(&self) -> Vec<String> {
-        self.regions.keys().chain(&self.locations).cloned().collect()
+        self.regions
+            .keys()
+            .chain(&self.locations)
+            .cloned()
+            .collect()
     }
 
     /// The region of a place for counts: the first that holds it by name, or the location itself.
     pub fn region_of(&self, location: &str) -> String {
         let holds = |(_, all): &(&String, &Vec<String>)| all.iter().any(|l| l == location);
-        self.regions.iter().find(holds).map_or(location, |(name, _)| name).to_string()
+        self.regions
+            .iter()
+            .find(holds)
+            .map_or(location, |(name, _)| name)
+            .to_string()
     }
 
     /// The places that a workload may run at.
     pub fn bound(&self, workload: &WorkloadLocations) -> Vec<u16> {
-        let within = |name: &String| workload.locations.as_ref().is_none_or(|all| all.contains(name));
-        (0..self.locations.len()).filter(|at| within(&self.locations[*at])).map(|at| at as u16).collect()
+        let within = |name: &String| {
+            workload
+                .locations
+                .as_ref()
+                .is_none_or(|all| all.contains(name))
+        };
+        (0..self.locations.len())
+            .filter(|at| within(&self.locations[*at]))
+            .map(|at| at as u16)
+            .collect()
     }
 }
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -27,12 +27,16 @@
 pub use error::{FileError, FileErrors, Problem, Refused};
 pub use event::Event;
 pub use hallmux_lease::Terms;
-pub use hallmux_ledger::{Act, Ask, Done, Entry, FrontId, Key, Kind, Micros, Moment, Outcome, Owner};
+pub use hallmux_ledger::{
+    Act, Ask, Done, Entry, FrontId, Key, Kind, Micros, Moment, Outcome, Owner,
+};
 pub use head::{Head, StoredVersion};
 pub use hits::{merge_counts, FleetHits, Hit, HitCounts};
 pub use index::{Index, Verdict};
 pub use known::{KnownNames, WorkloadLocations};
 pub use read::{read, LineLookup, RulesCommand};
 pub use record::{ChangedDecision, Permission, WhatIfReport};
-pub use rule::{Attributes, DefaultEffect, MatchedRules, RateLimit, Rule, RuleEffect, RuleSet, TableRange};
+pub use rule::{
+    Attributes, DefaultEffect, MatchedRules, RateLimit, Rule, RuleEffect, RuleSet, TableRange,
+};
 pub use shares::{Limit, Shares};
--- a/crates/access/src/moves.rs
+++ b/crates/access/src/moves.rs
@@ -25,8 +25,16 @@
         both.dedup();
         let ends = self.at_ms.saturating_add(self.overlap_ms);
         let phase = |places: &Vec<u16>, from_ms, until_ms| {
-            let effect = RuleEffect::Allow { places: Some(places.clone()) };
-            Rule { effect, from_ms, until_ms, moves: true, ..rule.clone() }
+            let effect = RuleEffect::Allow {
+                places: Some(places.clone()),
+            };
+            Rule {
+                effect,
+                from_ms,
+                until_ms,
+                moves: true,
+                ..rule.clone()
+            }
         };
         vec![
             phase(&self.from, 0, self.at_ms),
@@ -39,7 +47,11 @@
 impl Reader<'_> {
     /// None where it is faulty.
     pub(crate) fn moves(&mut self, path: &str, r: &Map<String, Value>, name: &str) -> Option<Move> {
-        let shape = |why, remedy| Problem::Shape { rule: name.to_string(), why, remedy };
+        let shape = |why, remedy| Problem::Shape {
+            rule: name.to_string(),
+            why,
+            remedy,
+        };
         let says = ["regions", "barred", "then", "reason", "from", "until"];
         if says.iter().any(|key| r.contains_key(*key)) {
             let why = "moves, and says otherwise where or when too";
@@ -52,14 +64,23 @@
         }
         let path = &format!("{path}.moves");
         let Some(Value::Object(moves)) = r.get("moves") else {
-            return self.problem(path, Problem::Kind { needs: "object of from, to, at and overlap_ms" });
+            return self.problem(
+                path,
+                Problem::Kind {
+                    needs: "object of from, to, at and overlap_ms",
+                },
+            );
         };
         self.keys(path, moves, KEYS);
         if let Some(missing) = KEYS.split(", ").find(|key| !moves.contains_key(*key)) {
-            let needs = "from which region to which, when, and for how many milliseconds it lies at both";
+            let needs =
+                "from which region to which, when, and for how many milliseconds it lies at both";
             return self.problem(&format!("{path}.{missing}"), Problem::Missing { needs });
         }
-        let (from, to) = (self.region(path, moves, "from"), self.region(path, moves, "to"));
+        let (from, to) = (
+            self.region(path, moves, "from"),
+            self.region(path, moves, "to"),
+        );
         let at_ms = self.time(path, moves, "at");
         let overlap = moves.get("overlap_ms").and_then(whole);
         let overlap_ms = match overlap.filter(|ms| (1..=MOST_OVERLAP_MS).contains(ms)) {
@@ -71,9 +92,19 @@
         };
         let (from, to, at_ms) = (from?, to?, at_ms?);
         if at_ms == 0 {
-            return self.problem(&format!("{path}.at"), Problem::Kind { needs: "time after 1970" });
+            return self.problem(
+                &format!("{path}.at"),
+                Problem::Kind {
+                    needs: "time after 1970",
+                },
+            );
         }
-        Some(Move { from, to, at_ms, overlap_ms })
+        Some(Move {
+            from,
+            to,
+            at_ms,
+            overlap_ms,
+        })
     }
 
     fn region(&mut self, path: &str, moves: &Map<String, Value>, key: &str) -> Option<Vec<u16>> {
@@ -82,8 +113,14 @@
             Some(places) => places,
             None => {
                 let known = self.known().region_names().join(", ");
-                return self
-                    .problem(&format!("{path}.{key}"), Problem::Name { name, list: "regions", known });
+                return self.problem(
+                    &format!("{path}.{key}"),
+                    Problem::Name {
+                        name,
+                        list: "regions",
+                        known,
+                    },
+                );
             }
         };
         places.sort_unstable();
--- a/crates/access/src/read.rs
+++ b/crates/access/src/read.rs
@@ -48,7 +48,10 @@
     known: &KnownNames,
     lines: LineLookup,
 ) -> Result<RulesCommand, FileErrors> {
-    let mut reader = Reader { known, errors: Vec::new() };
+    let mut reader = Reader {
+        known,
+        errors: Vec::new(),
+    };
     let command = reader.file(text);
     let mut errors = reader.errors;
     if let (Some(RulesCommand::Replace(set) | RulesCommand::WhatIf(set)), true) =
@@ -59,11 +62,18 @@
     match command {
         Some(command) if errors.is_empty() => Ok(command),
         _ => {
-            let at = |(path, what): (String, Problem)| FileError { line: lines(&path), path, what };
+            let at = |(path, what): (String, Problem)| FileError {
+                line: lines(&path),
+                path,
+                what,
+            };
             let mut errors: Vec<FileError> = errors.into_iter().map(at).collect();
             errors.sort_by_key(|f| f.line);
             errors.dedup(); // a rule that moves is read as three
-            Err(FileErrors { file: file.to_string(), errors })
+            Err(FileErrors {
+                file: file.to_string(),
+                errors,
+            })
         }
     }
 }
@@ -89,61 +99,138 @@
             Err(e) => return self.problem("", Problem::Form(e.to_string())),
         };
         let Value::Object(file) = value else {
-            return self.problem("", Problem::Kind { needs: "object of version and rules" });
+            return self.problem(
+                "",
+                Problem::Kind {
+                    needs: "object of version and rules",
+                },
+            );
         };
         self.keys("", &file, KEYS);
         let version = match file.get("version") {
-            None => self
-                .problem("version", Problem::Missing { needs: "a whole number that grows with each change" }),
+            None => self.problem(
+                "version",
+                Problem::Missing {
+                    needs: "a whole number that grows with each change",
+                },
+            ),
             Some(v) => match whole(v).filter(|v| *v > 0) {
                 Some(version) => Some(version),
-                None => self.problem("version", Problem::Kind { needs: "whole number from 1" }),
+                None => self.problem(
+                    "version",
+                    Problem::Kind {
+                        needs: "whole number from 1",
+                    },
+                ),
             },
         };
         if let Some(to) = file.get("roll_back_to") {
-            for key in ["rules", "default", "what_if"].into_iter().filter(|key| file.contains_key(*key)) {
-                self.errors.push((key.to_string(), Problem::Key { known: "version, roll_back_to" }));
+            for key in ["rules", "default", "what_if"]
+                .into_iter()
+                .filter(|key| file.contains_key(*key))
+            {
+                self.errors.push((
+                    key.to_string(),
+                    Problem::Key {
+                        known: "version, roll_back_to",
+                    },
+                ));
             }
-            let to =
-                whole(to).or_else(|| self.problem("roll_back_to", Problem::Kind { needs: "version" }))?;
-            return Some(RulesCommand::RollBack { version: version?, to });
+            let to = whole(to)
+                .or_else(|| self.problem("roll_back_to", Problem::Kind { needs: "version" }))?;
+            return Some(RulesCommand::RollBack {
+                version: version?,
+                to,
+            });
         }
         let default = match file.get("default").map(Value::as_str) {
             Some(Some("allow")) => Some(DefaultEffect::Allow),
             Some(Some("deny")) => Some(DefaultEffect::Deny),
-            None => self.problem("default", Problem::Missing { needs: "'allow' or 'deny'" }),
-            _ => self.problem("default", Problem::Kind { needs: "'allow' or 'deny'" }),
+            None => self.problem(
+                "default",
+                Problem::Missing {
+                    needs: "'allow' or 'deny'",
+                },
+            ),
+            _ => self.problem(
+                "default",
+                Problem::Kind {
+                    needs: "'allow' or 'deny'",
+                },
+            ),
         };
         let rules = match file.get("rules") {
             Some(Value::Array(rules)) => rules.as_slice(),
             None => {
-                return self
-                    .problem("rules", Problem::Missing { needs: "a list of rules, which may be empty" })
+                return self.problem(
+                    "rules",
+                    Problem::Missing {
+                        needs: "a list of rules, which may be empty",
+                    },
+                )
+            }
+            _ => {
+                return self.problem(
+                    "rules",
+                    Problem::Kind {
+                        needs: "list of rules",
+                    },
+                )
             }
-            _ => return self.problem("rules", Problem::Kind { needs: "list of rules" }),
         };
         if rules.len() > MOST_RULES {
-            return self.problem("rules", Problem::TooMany { count: rules.len(), most: MOST_RULES });
+            return self.problem(
+                "rules",
+                Problem::TooMany {
+                    count: rules.len(),
+                    most: MOST_RULES,
+                },
+            );
         }
         let asks = match file.get("what_if").map(Value::as_bool) {
             None => Some(false),
             Some(Some(asks)) => Some(asks),
-            Some(None) => self.problem("what_if", Problem::Kind { needs: "true or false" }),
+            Some(None) => self.problem(
+                "what_if",
+                Problem::Kind {
+                    needs: "true or false",
+                },
+            ),
         };
-        let read: Vec<Option<Vec<Rule>>> = rules.iter().enumerate().map(|(at, r)| self.rule(at, r)).collect();
+        let read: Vec<Option<Vec<Rule>>> = rules
+            .iter()
+            .enumerate()
+            .map(|(at, r)| self.rule(at, r))
+            .collect();
         let read: Option<Vec<Vec<Rule>>> = read.into_iter().collect();
         let set = RuleSet::new(version?, default?, read?.concat());
-        Some(if asks? { RulesCommand::WhatIf(set) } else { RulesCommand::Replace(set) })
+        Some(if asks? {
+            RulesCommand::WhatIf(set)
+        } else {
+            RulesCommand::Replace(set)
+        })
     }
 
     pub(crate) fn keys(&mut self, path: &str, object: &Map<String, Value>, known: &'static str) {
-        for key in object.keys().filter(|key| !known.split(", ").any(|k| k == *key)) {
-            let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
+        for key in object
+            .keys()
+            .filter(|key| !known.split(", ").any(|k| k == *key))
+        {
+            let path = if path.is_empty() {
+                key.clone()
+            } else {
+                format!("{path}.{key}")
+            };
             self.errors.push((path, Problem::Key { known }));
         }
     }
 
-    pub(crate) fn text(&mut self, path: &str, object: &Map<String, Value>, key: &str) -> Option<String> {
+    pub(crate) fn text(
+        &mut self,
+        path: &str,
+        object: &Map<String, Value>,
+        key: &str,
+    ) -> Option<String> {
         match object.get(key)? {
             Value::String(text) if !text.is_empty() => Some(text.clone()),
             _ => self.problem(&format!("{path}.{key}"), Problem::Kind { needs: "text" }),
@@ -163,14 +250,23 @@
         if known.is_empty() || known.contains(&name) {
             return Some(name);
         }
-        self.problem(&format!("{path}.{key}"), Problem::Name { name, list, known: known.join(", ") })
+        self.problem(
+            &format!("{path}.{key}"),
+            Problem::Name {
+                name,
+                list,
+                known: known.join(", "),
+            },
+        )
     }
 }
 
 /// JSON5 has one kind of number; whole ones may be written with a point.
 fn number(value: &Value) -> Option<i64> {
     let fits = |f: &f64| f.fract() == 0.0 && f.abs() < 9e15;
-    value.as_i64().or_else(|| value.as_f64().filter(fits).map(|f| f as i64))
+    value
+        .as_i64()
+        .or_else(|| value.as_f64().filter(fits).map(|f| f as i64))
 }
 
 pub(crate) fn whole(value: &Value) -> Option<u64> {
--- a/crates/access/src/read/rule.rs
+++ b/crates/access/src/read/rule.rs
@@ -17,7 +17,9 @@
     /// The rules that an entry of the list stands for: one, or three for one that moves. `None` where it is faulty.
     pub(super) fn rule(&mut self, place: usize, value: &Value) -> Option<Vec<Rule>> {
         let path = &format!("rules[{place}]");
-        let Value::Object(r) = value else { return self.problem(path, Problem::Kind { needs: "rule" }) };
+        let Value::Object(r) = value else {
+            return self.problem(path, Problem::Kind { needs: "rule" });
+        };
         let before = self.errors.len();
         self.keys(path, r, RULE_KEYS);
         let name = self.rule_name(path, r);
@@ -51,27 +53,44 @@
         let needs = "a name that the log and the counts can give it";
         match r.contains_key("name") {
             true => self.text(path, r, "name").unwrap_or_default(),
-            false => self.problem(path, Problem::Missing { needs }).unwrap_or_default(),
+            false => self
+                .problem(path, Problem::Missing { needs })
+                .unwrap_or_default(),
         }
     }
 
     fn customer(&mut self, path: &str, r: &Map<String, Value>, rule: &str) -> Option<String> {
         let known = self.known;
-        let customer = self.name(path, r, "customer", "settings' customers", known.customers.clone());
+        let customer = self.name(
+            path,
+            r,
+            "customer",
+            "settings' customers",
+            known.customers.clone(),
+        );
         if let Some(customer) = customer.as_ref().filter(|customer| !known.covers(customer)) {
-            let what = Problem::NotCovered { rule: rule.to_string(), customer: customer.clone() };
+            let what = Problem::NotCovered {
+                rule: rule.to_string(),
+                customer: customer.clone(),
+            };
             self.errors.push((format!("{path}.customer"), what));
         }
         customer
     }
 
     fn priority(&mut self, path: &str, r: &Map<String, Value>) -> i32 {
-        match r.get("priority").map(|p| number(p).and_then(|p| i32::try_from(p).ok())) {
+        match r
+            .get("priority")
+            .map(|p| number(p).and_then(|p| i32::try_from(p).ok()))
+        {
             None => 0,
             Some(Some(priority)) => priority,
             Some(None) => {
-                let what = Problem::Kind { needs: "whole number" };
-                self.problem(&format!("{path}.priority"), what).unwrap_or_default()
+                let what = Problem::Kind {
+                    needs: "whole number",
+                };
+                self.problem(&format!("{path}.priority"), what)
+                    .unwrap_or_default()
             }
         }
     }
@@ -116,7 +135,9 @@
         let group = |v: &Value| whole(v).and_then(|v| u32::try_from(v).ok());
         let tables = match value {
             Value::Array(ends) => match ends.as_slice() {
-                [first, last] => group(first).zip(group(last)).filter(|(first, last)| first <= last),
+                [first, last] => group(first)
+                    .zip(group(last))
+                    .filter(|(first, last)| first <= last),
                 _ => None,
             },
             one => group(one).map(|one| (one, one)),
@@ -146,7 +167,10 @@
             None => return self.problem(&format!("{path}.at_most"), Problem::Kind { needs }),
         };
         match whole(window?).filter(|ms| (WINDOW_MS.0..=WINDOW_MS.1).contains(ms)) {
-            Some(ms) => Some(RateLimit { most: most as u32, window: ms as Micros * 1000 }),
+            Some(ms) => Some(RateLimit {
+                most: most as u32,
+                window: ms as Micros * 1000,
+            }),
             None => {
                 let needs = "whole number of milliseconds from 1000 to 86400000";
                 self.problem(&format!("{path}.in_ms"), Problem::Kind { needs })
@@ -154,9 +178,17 @@
         }
     }
 
-    pub(crate) fn time(&mut self, path: &str, object: &Map<String, Value>, key: &str) -> Option<u64> {
+    pub(crate) fn time(
+        &mut self,
+        path: &str,
+        object: &Map<String, Value>,
+        key: &str,
+    ) -> Option<u64> {
         let text = self.text(path, object, key)?;
-        let time = text.parse::<jiff::Timestamp>().ok().and_then(|t| u64::try_from(t.as_millisecond()).ok());
+        let time = text
+            .parse::<jiff::Timestamp>()
+            .ok()
+            .and_then(|t| u64::try_from(t.as_millisecond()).ok());
         let needs = "time by RFC 3339, such as '2026-12-01T06:00:00Z'";
         time.or_else(|| self.problem(&format!("{path}.{key}"), Problem::Kind { needs }))
     }
@@ -165,44 +197,76 @@
         let reason = self.text(path, r, "reason");
         let named = self.regions(path, r, "regions");
         let barred = self.regions(path, r, "barred");
-        let shape = |why, remedy| Problem::Shape { rule: name.to_string(), why, remedy };
+        let shape = |why, remedy| Problem::Shape {
+            rule: name.to_string(),
+            why,
+            remedy,
+        };
         let says_where = r.contains_key("regions") || r.contains_key("barred");
         let word = match r.get("then") {
             None => "allow",
             Some(word) => word.as_str().unwrap_or_default(),
         };
         if reason.is_some() && word != "deny" {
-            let what =
-                shape("gives a reason though it does not deny", "take out `reason`, or say then: 'deny'");
+            let what = shape(
+                "gives a reason though it does not deny",
+                "take out `reason`, or say then: 'deny'",
+            );
             self.errors.push((format!("{path}.reason"), what));
         }
         match word {
             "deny" | "count" if says_where => {
                 let why = "names regions though it does not allow";
-                self.problem(path, shape(why, "take out `regions` and `barred`, or say then: 'allow'"))
+                self.problem(
+                    path,
+                    shape(why, "take out `regions` and `barred`, or say then: 'allow'"),
+                )
             }
             "deny" => match reason {
                 Some(reason) => Some(RuleEffect::Deny { reason }),
-                None => self.problem(path, shape("denies without a reason", "give it `reason`, for the log")),
+                None => self.problem(
+                    path,
+                    shape("denies without a reason", "give it `reason`, for the log"),
+                ),
             },
             "count" => Some(RuleEffect::Count),
-            "allow" if r.contains_key("regions") && r.contains_key("barred") => {
-                self.problem(path, shape("has both `regions` and `barred`", "give one of them"))
-            }
-            "allow" if r.contains_key("regions") => Some(RuleEffect::Allow { places: Some(named?) }),
+            "allow" if r.contains_key("regions") && r.contains_key("barred") => self.problem(
+                path,
+                shape("has both `regions` and `barred`", "give one of them"),
+            ),
+            "allow" if r.contains_key("regions") => Some(RuleEffect::Allow {
+                places: Some(named?),
+            }),
             "allow" if r.contains_key("barred") => {
                 let barred = barred?;
-                let left = (0..self.known.locations.len() as u16).filter(|at| !barred.contains(at)).collect();
+                let left = (0..self.known.locations.len() as u16)
+                    .filter(|at| !barred.contains(at))
+                    .collect();
                 Some(RuleEffect::Allow { places: Some(left) })
             }
             "allow" => Some(RuleEffect::Allow { places: None }),
-            _ => self.problem(&format!("{path}.then"), Problem::Kind { needs: "'allow', 'deny' or 'count'" }),
+            _ => self.problem(
+                &format!("{path}.then"),
+                Problem::Kind {
+                    needs: "'allow', 'deny' or 'count'",
+                },
+            ),
         }
     }
 
-    pub(crate) fn regions(&mut self, path: &str, r: &Map<String, Value>, key: &str) -> Option<Vec<u16>> {
+    pub(crate) fn regions(
+        &mut self,
+        path: &str,
+        r: &Map<String, Value>,
+        key: &str,
+    ) -> Option<Vec<u16>> {
         let Value::Array(names) = r.get(key)? else {
-            return self.problem(&format!("{path}.{key}"), Problem::Kind { needs: "list of regions" });
+            return self.problem(
+                &format!("{path}.{key}"),
+                Problem::Kind {
+                    needs: "list of regions",
+                },
+            );
         };
         let mut places = Vec::new();
         for (at, name) in names.iter().enumerate() {
@@ -212,7 +276,11 @@
                 Some(named) => places.extend(named),
                 None => {
                     let known = self.known.region_names().join(", ");
-                    let what = Problem::Name { name: name.to_string(), list: "regions", known };
+                    let what = Problem::Name {
+                        name: name.to_string(),
+                        list: "regions",
+                        known,
+                    };
                     self.errors.push((path, what));
                 }
             }
--- a/crates/access/src/record.rs
+++ b/crates/access/src/record.rs
@@ -69,22 +69,37 @@
     /// Of the last so many microseconds; 0: of nothing.
     pub fn new(back: Micros) -> Record {
         let part = back / PARTS as Micros;
-        Record { part, begun: None, at: 0, kinds: HashMap::new(), unknown: [0; PARTS] }
+        Record {
+            part,
+            begun: None,
+            at: 0,
+            kinds: HashMap::new(),
+            unknown: [0; PARTS],
+        }
     }
 
     /// Goes on to a time: what is older than the record goes back is forgotten.
     fn advance(&mut self, now: Micros) -> usize {
         let part = now.div_euclid(self.part);
-        let passed = if self.begun.is_none() { 0 } else { (part - self.at).clamp(0, PARTS as Micros) };
+        let passed = if self.begun.is_none() {
+            0
+        } else {
+            (part - self.at).clamp(0, PARTS as Micros)
+        };
         for gone in 0..passed {
             let place = (part - gone).rem_euclid(PARTS as Micros) as usize;
             self.kinds
                 .values_mut()
                 .for_each(|counts| counts.iter_mut().skip(place).take(1).for_each(|c| *c = 0));
-            self.unknown.iter_mut().skip(place).take(1).for_each(|count| *count = 0);
+            self.unknown
+                .iter_mut()
+                .skip(place)
+                .take(1)
+                .for_each(|count| *count = 0);
         }
         if passed > 0 {
-            self.kinds.retain(|_, counts| counts.iter().any(|count| *count > 0));
+            self.kinds
+                .retain(|_, counts| counts.iter().any(|count| *count > 0));
         }
         self.at = self.at.max(part);
         self.begun.get_or_insert(now);
@@ -99,13 +114,20 @@
         let place = self.advance(now);
         if !self.kinds.contains_key(request) {
             if self.kinds.len() >= MOST_KINDS {
-                self.unknown.iter_mut().skip(place).take(1).for_each(|count| *count += 1);
+                self.unknown
+                    .iter_mut()
+                    .skip(place)
+                    .take(1)
+                    .for_each(|count| *count += 1);
                 return;
             }
             self.kinds.insert(request.clone(), [0; PARTS]);
         }
         let counts = self.kinds.get_mut(request).into_iter().flatten();
-        counts.skip(place).take(1).for_each(|count| *count = count.saturating_add(1));
+        counts
+            .skip(place)
+            .take(1)
+            .for_each(|count| *count = count.saturating_add(1));
     }
 
     /// What a set would decide otherwise than the one held, of what was asked, were it asked now.
@@ -117,8 +139,11 @@
         other: &Index,
         known: &crate::KnownNames,
     ) -> WhatIfReport {
-        let mut found =
-            WhatIfReport { held: held.set.version, version: other.set.version, ..WhatIfReport::default() };
+        let mut found = WhatIfReport {
+            held: held.set.version,
+            version: other.set.version,
+            ..WhatIfReport::default()
+        };
         if self.part <= 0 {
             return found;
         }
@@ -135,7 +160,12 @@
                 let (customer, workload) = (request.customer.clone(), request.workload.clone());
                 *found
                     .changes
-                    .entry(ChangedDecision { customer, workload, current, proposed })
+                    .entry(ChangedDecision {
+                        customer,
+                        workload,
+                        current,
+                        proposed,
+                    })
                     .or_default() += count;
             }
         }
@@ -155,8 +185,14 @@
         return Permission::Denied;
     }
     let name = |place: &u16| known.locations.get(*place as usize).cloned();
-    let locations = verdict.allowed.as_ref().map(|places| places.iter().filter_map(name).collect());
-    Permission::Allowed { locations, limits: index.limits(&verdict) }
+    let locations = verdict
+        .allowed
+        .as_ref()
+        .map(|places| places.iter().filter_map(name).collect());
+    Permission::Allowed {
+        locations,
+        limits: index.limits(&verdict),
+    }
 }
 
 #[cfg(test)]
--- a/crates/access/src/rule.rs
+++ b/crates/access/src/rule.rs
@@ -124,7 +124,12 @@
 impl Rule {
     /// Whether it holds for a statement now.
     pub fn holds(&self, attributes: &Attributes, wall_ms: u64) -> bool {
-        self.active(attributes.first_judged_ms.filter(|_| self.moves).unwrap_or(wall_ms))
+        self.active(
+            attributes
+                .first_judged_ms
+                .filter(|_| self.moves)
+                .unwrap_or(wall_ms),
+        )
     }
 
     /// Whether it holds at a time.
@@ -150,7 +155,8 @@
     /// Whether it is about a statement. Where the groups of tables cannot be told, a rule about tables that lets
     /// less through is about it, and one that lets more through is not.
     pub fn matches(&self, attributes: &Attributes) -> bool {
-        let named = |field: &Option<String>, asked: &str| field.as_ref().is_none_or(|name| name == asked);
+        let named =
+            |field: &Option<String>, asked: &str| field.as_ref().is_none_or(|name| name == asked);
         named(&self.customer, attributes.customer)
             && named(&self.workload, attributes.workload)
             && named(&self.front, attributes.front)
@@ -172,7 +178,12 @@
     /// tables before workload before front; fewer tables).
     pub fn height(&self) -> (Reverse<i32>, Reverse<u32>, Reverse<u8>, u32) {
         let width = self.tables.map_or(u32::MAX, |t| t.width());
-        (Reverse(self.priority), Reverse(self.mask().count_ones()), Reverse(self.mask()), width)
+        (
+            Reverse(self.priority),
+            Reverse(self.mask().count_ones()),
+            Reverse(self.mask()),
+            width,
+        )
     }
 
     /// Whether both say the same of what they match.
@@ -207,7 +218,11 @@
 impl RuleSet {
     /// The set of a fleet that was never given one.
     pub fn empty() -> RuleSet {
-        RuleSet { version: 0, default: DefaultEffect::Allow, rules: Vec::new() }
+        RuleSet {
+            version: 0,
+            default: DefaultEffect::Allow,
+            rules: Vec::new(),
+        }
     }
 
     /// Sorts the rules into the order in which they decide: by height, then the stricter first, then by the
@@ -217,7 +232,11 @@
             let key = |r: &Rule| (r.height(), r.effect.severity(), r.from_ms);
             key(a).cmp(&key(b)).then_with(|| a.name.cmp(&b.name))
         });
-        RuleSet { version, default, rules }
+        RuleSet {
+            version,
+            default,
+            rules,
+        }
     }
 
     /// The rules about a statement, by going through all in order: what the index must equal.
@@ -230,6 +249,9 @@
             };
             self.rules.iter().position(fits)
         };
-        MatchedRules { deciding: first(false), counting: first(true) }
+        MatchedRules {
+            deciding: first(false),
+            counting: first(true),
+        }
     }
 }
--- a/crates/access/src/shares.rs
+++ b/crates/access/src/shares.rs
@@ -59,19 +59,30 @@
     pub fn take(&mut self, now: Micros, statement: u64, limits: Vec<Limit>) -> bool {
         let context = self.context;
         let takes = |limit: &&Limit| {
-            let share =
-                self.shares.entry((*limit).clone()).or_insert_with(|| Share::new((*limit).clone(), context));
+            let share = self
+                .shares
+                .entry((*limit).clone())
+                .or_insert_with(|| Share::new((*limit).clone(), context));
             !share.take(now, statement)
         };
         let lacks = limits.iter().filter(takes).count();
-        self.statements.insert(statement, Taking { limits, lacks, began: false });
+        self.statements.insert(
+            statement,
+            Taking {
+                limits,
+                lacks,
+                began: false,
+            },
+        );
         self.collect();
         lacks == 0
     }
 
     /// Whether a statement's execution may leave now; the first is its beginning.
     pub fn begins(&mut self, now: Micros, statement: u64) -> bool {
-        let Some(taking) = self.statements.get_mut(&statement) else { return true };
+        let Some(taking) = self.statements.get_mut(&statement) else {
+            return true;
+        };
         if taking.began {
             return true;
         }
@@ -81,7 +92,10 @@
         taking.began = true;
         let mut may = true;
         for limit in &taking.limits {
-            may &= self.shares.get_mut(limit).is_some_and(|share| share.begins(now, statement));
+            may &= self
+                .shares
+                .get_mut(limit)
+                .is_some_and(|share| share.begins(now, statement));
         }
         if !may {
             taking.lacks = 1;
@@ -92,21 +106,32 @@
 
     /// A statement may not begin for want of a share.
     pub fn lacks(&self, statement: u64) -> bool {
-        self.statements.get(&statement).is_some_and(|taking| taking.lacks > 0)
+        self.statements
+            .get(&statement)
+            .is_some_and(|taking| taking.lacks > 0)
     }
 
     /// A statement has ended or is abandoned: it waits for no share any more. What it spent stays spent for
     /// the limit's window.
     pub fn over(&mut self, statement: u64) {
-        let Some(taking) = self.statements.remove(&statement) else { return };
+        let Some(taking) = self.statements.remove(&statement) else {
+            return;
+        };
         for limit in &taking.limits {
-            self.shares.get_mut(limit).into_iter().for_each(|share| share.over(statement));
+            self.shares
+                .get_mut(limit)
+                .into_iter()
+                .for_each(|share| share.over(statement));
         }
     }
 
     /// When `tick` is next due, on the steady clock; `Micros::MAX` if nothing is.
     pub fn due(&self, now: Micros) -> Micros {
-        self.shares.values().map(|share| share.due(now)).min().unwrap_or(Micros::MAX)
+        self.shares
+            .values()
+            .map(|share| share.due(now))
+            .min()
+            .unwrap_or(Micros::MAX)
     }
 
     /// Queues the requests that are due and serves the statements that wait. `number` gives each request a
@@ -116,7 +141,11 @@
             if let Some(act) = share.tick(at.steady) {
                 let number = number();
                 self.asked.insert(number, (limit.clone(), at.steady));
-                self.asks.push(Ask { number, key: limit.key(), act });
+                self.asks.push(Ask {
+                    number,
+                    key: limit.key(),
+                    act,
+                });
             }
         }
         self.collect();
@@ -131,7 +160,9 @@
         outcome: Outcome,
         number: &mut impl FnMut() -> u64,
     ) -> bool {
-        let Some((limit, asked_at)) = self.asked.remove(&asked) else { return false };
+        let Some((limit, asked_at)) = self.asked.remove(&asked) else {
+            return false;
+        };
         if let Some(share) = self.shares.get_mut(&limit) {
             share.on_answer(at.steady, asked_at, outcome);
         }
@@ -144,8 +175,12 @@
         let unreadable = self.shares.values().any(|share| share.unreadable);
         let full = self.shares.values().any(|share| share.full);
         match (unreadable, full) {
-            (true, _) => Some(Event::Unreadable { what: "shares of a limit" }),
-            (_, true) => Some(Event::LedgerFull { what: "shares of a limit" }),
+            (true, _) => Some(Event::Unreadable {
+                what: "shares of a limit",
+            }),
+            (_, true) => Some(Event::LedgerFull {
+                what: "shares of a limit",
+            }),
             _ => None,
         }
     }
@@ -154,7 +189,9 @@
         let mut refused = Vec::new();
         for share in self.shares.values_mut() {
             for statement in share.ready.drain(..) {
-                let Some(taking) = self.statements.get_mut(&statement) else { continue };
+                let Some(taking) = self.statements.get_mut(&statement) else {
+                    continue;
+                };
                 taking.lacks -= taking.lacks.min(1);
                 if taking.lacks == 0 {
                     self.ready.push(statement);
--- a/crates/access/src/shares/demand.rs
+++ b/crates/access/src/shares/demand.rs
@@ -15,7 +15,11 @@
 impl Demand {
     pub fn new(window: Micros) -> Demand {
         let part = window.min(LONGEST) / PARTS as Micros;
-        Demand { counts: [0; PARTS + 1], part: part.max(1), at: 0 }
+        Demand {
+            counts: [0; PARTS + 1],
+            part: part.max(1),
+            at: 0,
+        }
     }
 
     fn passed(&self, now: Micros) -> Micros {
@@ -27,7 +31,10 @@
         if passed > 0 {
             self.counts.rotate_left(passed.min(PARTS));
             let from = (PARTS + 1).saturating_sub(passed);
-            self.counts.iter_mut().skip(from).for_each(|count| *count = 0);
+            self.counts
+                .iter_mut()
+                .skip(from)
+                .for_each(|count| *count = 0);
             self.at = now.div_euclid(self.part);
         }
         if let Some(last) = self.counts.last_mut() {
@@ -38,8 +45,14 @@
     /// How much will be asked for in a time, going by the last parts.
     pub fn expects(&self, now: Micros, time: Micros) -> u32 {
         let passed = self.passed(now).clamp(0, PARTS as Micros + 1) as usize;
-        let recent = self.counts.iter().skip(passed).fold(0u32, |all, count| all.saturating_add(*count));
+        let recent = self
+            .counts
+            .iter()
+            .skip(passed)
+            .fold(0u32, |all, count| all.saturating_add(*count));
         let looked = self.part * PARTS as Micros;
-        (i128::from(recent) * i128::from(time) / i128::from(looked)).try_into().unwrap_or(u32::MAX)
+        (i128::from(recent) * i128::from(time) / i128::from(looked))
+            .try_into()
+            .unwrap_or(u32::MAX)
     }
 }
--- a/crates/access/src/shares/share.rs
+++ b/crates/access/src/shares/share.rs
@@ -99,7 +99,10 @@
 
     /// How long what was spent cools.
     fn cooldown(&self) -> Micros {
-        let window = Terms { length: self.limit.window, drift_ppm: self.context.terms.drift_ppm };
+        let window = Terms {
+            length: self.limit.window,
+            drift_ppm: self.context.terms.drift_ppm,
+        };
         window.rests_for() + IN_FLIGHT
     }
 
@@ -112,7 +115,9 @@
     fn held(&self) -> u32 {
         let own = self.context.own;
         let held = self.table.as_ref().map_or(0, |(table, _)| table.held(own));
-        self.pending.as_ref().map_or(held, |pending| held.min(pending.next.held(own)))
+        self.pending
+            .as_ref()
+            .map_or(held, |pending| held.min(pending.next.held(own)))
     }
 
     fn in_use(&self) -> u32 {
@@ -120,7 +125,9 @@
     }
 
     fn spare(&self) -> u32 {
-        self.held().saturating_sub(self.owes).saturating_sub(self.in_use())
+        self.held()
+            .saturating_sub(self.owes)
+            .saturating_sub(self.in_use())
     }
 
     fn batch(&self) -> u32 {
@@ -135,7 +142,10 @@
             return 0;
         }
         let now = self.in_use() + self.waiting.len() as u32;
-        (needs + needs / 4).max(now).saturating_add(self.batch()).min(self.limit.most)
+        (needs + needs / 4)
+            .max(now)
+            .saturating_add(self.batch())
+            .min(self.limit.most)
     }
 
     /// What it is to ask for, before it runs out.
@@ -158,7 +168,8 @@
         }
         // All of it is spent here, and none of it comes back in time.
         let first = self.cooling.front().copied().unwrap_or(now);
-        let hopeless = self.held() == self.limit.most && self.spare() == 0 && first > now + self.max_wait();
+        let hopeless =
+            self.held() == self.limit.most && self.spare() == 0 && first > now + self.max_wait();
         if hopeless || self.waiting.len() >= MOST_WAITING {
             self.refused.push(statement);
         } else {
@@ -186,7 +197,10 @@
 
     /// Nothing here is known or wanted any more.
     pub fn is_idle(&self) -> bool {
-        let held = self.table.as_ref().map_or(0, |(table, _)| table.held(self.context.own));
+        let held = self
+            .table
+            .as_ref()
+            .map_or(0, |(table, _)| table.held(self.context.own));
         held == 0
             && self.pending.is_none()
             && !self.asking
@@ -203,11 +217,29 @@
 
     pub fn due(&self, now: Micros) -> Micros {
         let waits = self.waiting.front().map_or(Micros::MAX, |(_, ends)| *ends);
-        let cools = self.cooling.front().copied().filter(|_| !self.waiting.is_empty());
-        let plans = if self.waiting.is_empty() { Micros::MAX } else { self.replan_at };
-        let looks = if self.pending.is_some() { Micros::MIN } else { self.next_read.min(plans) };
-        let asks = if self.asking || !self.is_needed(now) { Micros::MAX } else { looks };
-        waits.min(cools.unwrap_or(Micros::MAX)).min(asks.max(self.retry_at))
+        let cools = self
+            .cooling
+            .front()
+            .copied()
+            .filter(|_| !self.waiting.is_empty());
+        let plans = if self.waiting.is_empty() {
+            Micros::MAX
+        } else {
+            self.replan_at
+        };
+        let looks = if self.pending.is_some() {
+            Micros::MIN
+        } else {
+            self.next_read.min(plans)
+        };
+        let asks = if self.asking || !self.is_needed(now) {
+            Micros::MAX
+        } else {
+            looks
+        };
+        waits
+            .min(cools.unwrap_or(Micros::MAX))
+            .min(asks.max(self.retry_at))
     }
 
     fn is_needed(&self, now: Micros) -> bool {
@@ -246,7 +278,8 @@
             return Some(Act::Read);
         }
         // The same again: of two that stand for the same version only one does.
-        let looks = self.unplanned || now >= self.next_read || now >= self.replan_at && self.lacks(now) > 0;
+        let looks =
+            self.unplanned || now >= self.next_read || now >= self.replan_at && self.lacks(now) > 0;
         if self.pending.is_none() && looks {
             (self.unplanned, self.replan_at) = (false, now + REPLAN_INTERVAL);
             if let Some((next, expects)) = self.plan(now) {
@@ -254,7 +287,11 @@
             }
         }
         if let Some(Pending { expects, next }) = &self.pending {
-            return Some(Act::Put { expects: Some(*expects), ends_ms: 0, value: next.bytes() });
+            return Some(Act::Put {
+                expects: Some(*expects),
+                ends_ms: 0,
+                value: next.bytes(),
+            });
         }
         (now >= self.next_read).then_some(Act::Read)
     }
@@ -268,14 +305,26 @@
         let silent = self.context.terms.length;
         let lost = |row: &&Row| {
             let earlier = row.owner.front == own.front && row.owner.incarnation < own.incarnation;
-            let behind = self.unanswered_since.get(&row.owner).filter(|(at, _)| *at == row.answered);
+            let behind = self
+                .unanswered_since
+                .get(&row.owner)
+                .filter(|(at, _)| *at == row.answered);
             earlier || behind.is_some_and(|(_, since)| now >= since + silent)
         };
-        let lost: Vec<Owner> = before.rows.iter().filter(lost).map(|row| row.owner).collect();
+        let lost: Vec<Owner> = before
+            .rows
+            .iter()
+            .filter(lost)
+            .map(|row| row.owner)
+            .collect();
         lost.into_iter().for_each(|owner| next.take_back(owner));
         // Its lease has ended on its own clock by then, and what it had spent until then has cooled.
         let rest = self.context.terms.rests_for() + IN_FLIGHT + self.cooldown();
-        next.rested(|id| self.resting_since.get(&id).is_some_and(|since| now >= since + rest));
+        next.rested(|id| {
+            self.resting_since
+                .get(&id)
+                .is_some_and(|since| now >= since + rest)
+        });
         let lacks = self.lacks(now);
         let gets = lacks.min(next.free);
         let others = next.rows.iter().any(|row| row.owner != own && row.held > 0);
@@ -289,13 +338,18 @@
         if asks {
             next.round += 1;
             // Others that are served at the same time are not asked again and again.
-            self.round_backoff = (self.round_backoff * 2).clamp(silent / 3, self.limit.window.max(silent));
+            self.round_backoff =
+                (self.round_backoff * 2).clamp(silent / 3, self.limit.window.max(silent));
             self.next_round = now + self.round_backoff;
         }
         self.plan_transfers(now, &mut next, lacks);
         if let Some(row) = next.rows.iter_mut().find(|row| row.owner == own) {
             row.wants = if lacks == gets { 0 } else { row.wants };
-            row.answered = if row.held > 0 { next.round } else { row.answered };
+            row.answered = if row.held > 0 {
+                next.round
+            } else {
+                row.answered
+            };
         }
         next.tidy();
         (next != before || version == 0 && lacks > 0).then_some((next, version))
@@ -304,13 +358,22 @@
     /// What it gives to others that want it, or lets go of as it needs it no longer.
     fn plan_transfers(&mut self, now: Micros, next: &mut Table, lacks: u32) {
         let (own, goal, held) = (self.context.own, self.goal(now), self.held());
-        let sharing = next.rows.iter().filter(|row| row.held > 0 || row.wants > 0).count().max(1);
+        let sharing = next
+            .rows
+            .iter()
+            .filter(|row| row.held > 0 || row.wants > 0)
+            .count()
+            .max(1);
         let fair = (self.limit.most / sharing as u32).max(1);
         let wanted = next.wanted_of(own).saturating_sub(next.free);
         self.owes = held.saturating_sub(goal.min(fair)).min(wanted);
         let rested = held.saturating_sub(self.in_use());
         let mut gives = self.owes.min(rested);
-        let low = lacks == 0 && held > goal.saturating_add(goal / 2).saturating_add(self.batch() / 2);
+        let low = lacks == 0
+            && held
+                > goal
+                    .saturating_add(goal / 2)
+                    .saturating_add(self.batch() / 2);
         match (low, self.low_since) {
             (false, _) => self.low_since = None,
             (true, None) => self.low_since = Some(now),
@@ -344,28 +407,49 @@
     }
 
     fn on_unreadable(&mut self, now: Micros) {
-        (self.unreadable, self.lease_until, self.retry_at) = (true, Micros::MIN, now + 20 * RETRY_INTERVAL);
+        (self.unreadable, self.lease_until, self.retry_at) =
+            (true, Micros::MIN, now + 20 * RETRY_INTERVAL);
     }
 
     fn on_table(&mut self, now: Micros, asked_at: Micros, value: &[u8], version: u64) {
-        if self.table.as_ref().is_some_and(|(_, known)| version < *known) {
+        if self
+            .table
+            .as_ref()
+            .is_some_and(|(_, known)| version < *known)
+        {
             return; // an answer that was overtaken
         }
-        let Some(table) = Table::read(value, &self.limit) else { return self.on_unreadable(now) };
+        let Some(table) = Table::read(value, &self.limit) else {
+            return self.on_unreadable(now);
+        };
         self.unreadable = false;
-        if self.pending.as_ref().is_some_and(|pending| version > pending.expects) {
+        if self
+            .pending
+            .as_ref()
+            .is_some_and(|pending| version > pending.expects)
+        {
             self.pending = None; // it stands, or never will
         }
         let own = self.context.own;
         let before = self.held();
-        self.lease_until = self.lease_until.max(asked_at + self.context.terms.acts_for());
+        self.lease_until = self
+            .lease_until
+            .max(asked_at + self.context.terms.acts_for());
         self.next_read = self.next_read.max(asked_at + self.read_interval(&table));
-        self.resting_since.retain(|id, _| table.resting.iter().any(|r| r.id == *id));
-        table.resting.iter().for_each(|r| _ = self.resting_since.entry(r.id).or_insert(now));
+        self.resting_since
+            .retain(|id, _| table.resting.iter().any(|r| r.id == *id));
+        table
+            .resting
+            .iter()
+            .for_each(|r| _ = self.resting_since.entry(r.id).or_insert(now));
         let asked = |row: &&Row| row.owner != own && row.held > 0 && row.answered < table.round;
-        self.unanswered_since.retain(|owner, _| table.row(*owner).as_ref().is_some_and(asked));
+        self.unanswered_since
+            .retain(|owner, _| table.row(*owner).as_ref().is_some_and(asked));
         for row in table.rows.iter().filter(asked) {
-            let since = self.unanswered_since.entry(row.owner).or_insert((row.answered, now));
+            let since = self
+                .unanswered_since
+                .entry(row.owner)
+                .or_insert((row.answered, now));
             if since.0 != row.answered {
                 *since = (row.answered, now);
             }
@@ -379,6 +463,11 @@
     /// How often it looks at the table: often while others are to give to it.
     fn read_interval(&self, table: &Table) -> Micros {
         let waits = table.row(self.context.own).is_some_and(|row| row.wants > 0);
-        self.context.terms.acts_for() / if waits && !self.waiting.is_empty() { 12 } else { 3 }
+        self.context.terms.acts_for()
+            / if waits && !self.waiting.is_empty() {
+                12
+            } else {
+                3
+            }
     }
 }
--- a/crates/access/src/shares/table.rs
+++ b/crates/access/src/shares/table.rs
@@ -60,7 +60,10 @@
 impl Limit {
     /// The ledger's key of the limit's table. A changed limit is another one, with another key.
     pub fn key(&self) -> Key {
-        Key { kind: Kind::Shares, name: format!("{} in {} {}", self.most, self.window, self.rule) }
+        Key {
+            kind: Kind::Shares,
+            name: format!("{} in {} {}", self.most, self.window, self.rule),
+        }
     }
 }
 
@@ -68,7 +71,15 @@
     /// A table of which everything is free.
     pub fn new(limit: &Limit) -> Table {
         let most = limit.most;
-        Table { format: FORMAT, most, free: most, rows: Vec::new(), resting: Vec::new(), round: 0, next: 0 }
+        Table {
+            format: FORMAT,
+            most,
+            free: most,
+            rows: Vec::new(),
+            resting: Vec::new(),
+            round: 0,
+            next: 0,
+        }
     }
 
     /// The bytes to keep in the ledger.
@@ -83,9 +94,12 @@
             _ => return None,
         };
         let held = table.rows.iter().map(|row| u64::from(row.held));
-        let all: u64 =
-            held.chain(table.resting.iter().map(|r| u64::from(r.held))).sum::<u64>() + u64::from(table.free);
-        (table.format == FORMAT && table.most == limit.most && all == u64::from(limit.most)).then_some(table)
+        let all: u64 = held
+            .chain(table.resting.iter().map(|r| u64::from(r.held)))
+            .sum::<u64>()
+            + u64::from(table.free);
+        (table.format == FORMAT && table.most == limit.most && all == u64::from(limit.most))
+            .then_some(table)
     }
 
     /// A front's row, if it has one.
@@ -101,7 +115,12 @@
     /// The row of an owner, made where there is none.
     pub fn row_mut(&mut self, owner: Owner) -> Option<&mut Row> {
         if self.row(owner).is_none() {
-            self.rows.push(Row { owner, held: 0, wants: 0, answered: self.round });
+            self.rows.push(Row {
+                owner,
+                held: 0,
+                wants: 0,
+                answered: self.round,
+            });
         }
         self.rows.iter_mut().find(|row| row.owner == owner)
     }
@@ -114,12 +133,21 @@
 
     /// Gives a front's tokens to those that want them, the least served first; what nobody wants is free.
     pub fn give(&mut self, from: Owner, mut tokens: u32) {
-        self.rows.iter_mut().filter(|row| row.owner == from).for_each(|row| row.held -= tokens.min(row.held));
+        self.rows
+            .iter_mut()
+            .filter(|row| row.owner == from)
+            .for_each(|row| row.held -= tokens.min(row.held));
         while tokens > 0 {
-            let wanting = self.rows.iter_mut().filter(|row| row.owner != from && row.wants > 0);
-            let Some(least) = wanting.min_by_key(|row| row.held) else { break };
+            let wanting = self
+                .rows
+                .iter_mut()
+                .filter(|row| row.owner != from && row.wants > 0);
+            let Some(least) = wanting.min_by_key(|row| row.held) else {
+                break;
+            };
             let part = least.wants.min(tokens.div_ceil(2));
-            (least.held, least.wants, tokens) = (least.held + part, least.wants - part, tokens - part);
+            (least.held, least.wants, tokens) =
+                (least.held + part, least.wants - part, tokens - part);
         }
         self.free += tokens;
     }
@@ -130,13 +158,18 @@
         self.rows.retain(|row| row.owner != owner);
         if held > 0 {
             self.next += 1;
-            self.resting.push(Resting { id: self.next, held });
+            self.resting.push(Resting {
+                id: self.next,
+                held,
+            });
         }
     }
 
     /// What has rested is free.
     pub fn rested(&mut self, done: impl Fn(u64) -> bool) {
-        let (done, rest) = std::mem::take(&mut self.resting).into_iter().partition(|r| done(r.id));
+        let (done, rest) = std::mem::take(&mut self.resting)
+            .into_iter()
+            .partition(|r| done(r.id));
         self.resting = rest;
         let done: Vec<Resting> = done;
         self.free += done.iter().map(|r| r.held).sum::<u32>();
--- a/crates/access/src/shares/table_tests.rs
+++ b/crates/access/src/shares/table_tests.rs
@@ -4,8 +4,16 @@
 
 #[test]
 fn what_is_damaged_or_of_another_limit_lets_nothing_through() {
-    let limit = Limit { rule: "a".to_string(), most: 10, window: 1_000_000 };
-    let (one, other) = ([1, 2].map(|front| Owner { front, incarnation: 1 })).into();
+    let limit = Limit {
+        rule: "a".to_string(),
+        most: 10,
+        window: 1_000_000,
+    };
+    let (one, other) = ([1, 2].map(|front| Owner {
+        front,
+        incarnation: 1,
+    }))
+    .into();
     let mut table = Table::new(&limit);
     table.row_mut(one).unwrap().held = 10;
     table.free = 0;
@@ -16,8 +24,17 @@
     assert_eq!(Table::read(&table.bytes(), &limit), Some(table.clone()));
     table.rested(|_| true);
     assert_eq!(table.free, 7);
-    let more = Table { free: 8, ..table.clone() };
+    let more = Table {
+        free: 8,
+        ..table.clone()
+    };
     assert_eq!(Table::read(&more.bytes(), &limit), None);
-    assert_eq!(Table::read(&[&table.bytes()[..], b"x"].concat(), &limit), None);
-    assert_eq!(Table::read(&table.bytes(), &Limit { most: 11, ..limit }), None);
+    assert_eq!(
+        Table::read(&[&table.bytes()[..], b"x"].concat(), &limit),
+        None
+    );
+    assert_eq!(
+        Table::read(&table.bytes(), &Limit { most: 11, ..limit }),
+        None
+    );
 }
--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -33,9 +33,15 @@
 
 enum Pending {
     Head,
-    Part { of: StoredVersion, number: usize },
+    Part {
+        of: StoredVersion,
+        number: usize,
+    },
     PutPart,
-    Swap { to: StoredVersion, gone: Option<StoredVersion> },
+    Swap {
+        to: StoredVersion,
+        gone: Option<StoredVersion>,
+    },
     ConfirmInForce,
     ExpirePart,
 }
@@ -130,12 +136,26 @@
 
     /// When `tick` is next due.
     pub fn due(&self) -> Micros {
-        let runs_out = if self.was_open { self.lease_until } else { Micros::MAX };
-        let settles =
-            if self.awaits_confirmation() { self.in_force_at().max(self.retry_at) } else { Micros::MAX };
-        let retries = if self.retry_at > self.ticked { self.retry_at } else { Micros::MAX };
-        let look =
-            if self.is_pending(|a| matches!(a, Pending::Head)) { Micros::MAX } else { self.next_head_read };
+        let runs_out = if self.was_open {
+            self.lease_until
+        } else {
+            Micros::MAX
+        };
+        let settles = if self.awaits_confirmation() {
+            self.in_force_at().max(self.retry_at)
+        } else {
+            Micros::MAX
+        };
+        let retries = if self.retry_at > self.ticked {
+            self.retry_at
+        } else {
+            Micros::MAX
+        };
+        let look = if self.is_pending(|a| matches!(a, Pending::Head)) {
+            Micros::MAX
+        } else {
+            self.next_head_read
+        };
         look.min(runs_out).min(settles).min(retries)
     }
 
@@ -147,7 +167,8 @@
     /// When every lease on an earlier version has surely ended.
     fn in_force_at(&self) -> Micros {
         let others = if self.changed_here { 0 } else { OTHERS_DELAY };
-        self.head_since.saturating_add(self.terms.rests_for() + IN_FLIGHT + others)
+        self.head_since
+            .saturating_add(self.terms.rests_for() + IN_FLIGHT + others)
     }
 
     fn is_pending(&self, what: impl Fn(&Pending) -> bool) -> bool {
@@ -167,7 +188,11 @@
         if open != self.was_open {
             self.was_open = open;
             let version = self.held.set.version;
-            self.events.push(if open { Event::RulesKnown { version } } else { Event::RulesUnknown });
+            self.events.push(if open {
+                Event::RulesKnown { version }
+            } else {
+                Event::RulesUnknown
+            });
         }
         if at.steady >= self.next_head_read && !self.is_pending(|a| matches!(a, Pending::Head)) {
             self.next_head_read = at.steady + self.terms.acts_for() / 3;
@@ -185,7 +210,9 @@
 
     /// The ledger has answered. False if it was not asked here.
     pub fn done(&mut self, at: Moment, number: u64, outcome: Outcome) -> bool {
-        let Some((asked, asked_at)) = self.asked.remove(&number) else { return false };
+        let Some((asked, asked_at)) = self.asked.remove(&number) else {
+            return false;
+        };
         if matches!(outcome, Outcome::Unreachable | Outcome::Full) {
             self.on_failure(at, asked, outcome);
         } else {
@@ -202,14 +229,18 @@
             // It may stand or not: the head will tell.
             Pending::Swap { .. } => {
                 self.next_head_read = at.steady;
-                self.offer.iter_mut().for_each(|offer| offer.swapping = false);
+                self.offer
+                    .iter_mut()
+                    .for_each(|offer| offer.swapping = false);
             }
             Pending::Part { .. } => self.fetch = None,
             _ => {}
         }
         if outcome == Outcome::Full && !matches!(asked, Pending::ExpirePart) {
             self.offer = None;
-            self.events.push(Event::LedgerFull { what: "a set of rules" });
+            self.events.push(Event::LedgerFull {
+                what: "a set of rules",
+            });
         }
     }
 
@@ -221,19 +252,29 @@
                 self.on_part(at, of, number, entry.value)
             }
             // Not there (yet): the head is looked at again.
-            (Pending::Part { .. }, _) => (self.fetch, self.retry_at) = (None, at.steady + RETRY_INTERVAL),
-            (Pending::PutPart, Outcome::Stands(_)) => {
-                self.offer.iter_mut().for_each(|offer| offer.parts_stored += 1)
+            (Pending::Part { .. }, _) => {
+                (self.fetch, self.retry_at) = (None, at.steady + RETRY_INTERVAL)
             }
-            (Pending::PutPart, _) => self.offer.iter_mut().for_each(|offer| offer.swapping = false),
+            (Pending::PutPart, Outcome::Stands(_)) => self
+                .offer
+                .iter_mut()
+                .for_each(|offer| offer.parts_stored += 1),
+            (Pending::PutPart, _) => self
+                .offer
+                .iter_mut()
+                .for_each(|offer| offer.swapping = false),
             (Pending::Swap { to, gone }, Outcome::Stands(entry)) => {
                 self.on_swapped(at, asked_at, to, gone, entry)
             }
             (Pending::Swap { .. }, _) => {
                 self.next_head_read = at.steady;
-                self.offer.iter_mut().for_each(|offer| offer.swapping = false);
+                self.offer
+                    .iter_mut()
+                    .for_each(|offer| offer.swapping = false);
+            }
+            (Pending::ConfirmInForce, Outcome::Stands(entry)) => {
+                self.on_head(at, asked_at, Some(entry))
             }
-            (Pending::ConfirmInForce, Outcome::Stands(entry)) => self.on_head(at, asked_at, Some(entry)),
             (Pending::ConfirmInForce, _) => self.next_head_read = at.steady,
             (Pending::ExpirePart, _) => {}
         }
@@ -253,15 +294,21 @@
             };
             // A set that is said to be in force after it was only changed is the same set.
             let before = self.head.take();
-            let same = before.as_ref().is_some_and(|(before, _)| before.current == head.current);
+            let same = before
+                .as_ref()
+                .is_some_and(|(before, _)| before.current == head.current);
             if !same {
                 (self.head_since, self.changed_here) = (at.steady, false);
             }
             if head.in_force && !(same && before.is_some_and(|(before, _)| before.in_force)) {
-                self.events.push(Event::InForce { version: head.current.version });
+                self.events.push(Event::InForce {
+                    version: head.current.version,
+                });
             }
             self.head = Some((head, stands));
-            self.offer.iter_mut().for_each(|offer| offer.swapping = false);
+            self.offer
+                .iter_mut()
+                .for_each(|offer| offer.swapping = false);
         }
         if self.head.as_ref().map(|(head, _)| head.current) == self.held_from {
             self.lease_until = self.lease_until.max(asked_at + self.terms.acts_for());
@@ -280,19 +327,26 @@
 
     /// Fetches the set that the head names, where it is not the one held.
     fn fetch(&mut self, at: Moment) {
-        let Some(now) = self.head.as_ref().map(|(head, _)| head.current) else { return };
+        let Some(now) = self.head.as_ref().map(|(head, _)| head.current) else {
+            return;
+        };
         if self.held_from == Some(now) || self.fetch.as_ref().is_some_and(|fetch| fetch.of == now) {
             return;
         }
         let keys: Vec<Key> = part_keys(now).collect();
-        self.fetch = Some(Fetch { of: now, parts: vec![None; keys.len()] });
+        self.fetch = Some(Fetch {
+            of: now,
+            parts: vec![None; keys.len()],
+        });
         for (number, key) in keys.into_iter().enumerate() {
             self.ask(at, Pending::Part { of: now, number }, key, Act::Read);
         }
     }
 
     fn on_part(&mut self, at: Moment, of: StoredVersion, number: usize, bytes: Vec<u8>) {
-        let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.of == of) else { return };
+        let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.of == of) else {
+            return;
+        };
         if let Some(part) = fetch.parts.get_mut(number) {
             *part = Some(bytes);
         }
@@ -311,19 +365,34 @@
 
     /// Judges by a set from now on, if it is still the head's.
     fn adopt(&mut self, at: Moment, of: StoredVersion, text: &str) {
-        let Some(head) = self.head.as_ref().map(|(head, _)| head).filter(|head| head.current == of) else {
+        let Some(head) = self
+            .head
+            .as_ref()
+            .map(|(head, _)| head)
+            .filter(|head| head.current == of)
+        else {
             return;
         };
         let in_force = head.in_force;
         match read("the fleet's rules", text, &self.known, &|_| None) {
             Ok(RulesCommand::Replace(set)) => {
-                self.held = Index::new(RuleSet { version: of.version, ..set });
+                self.held = Index::new(RuleSet {
+                    version: of.version,
+                    ..set
+                });
                 self.held_from = Some(of);
                 self.reported_unreadable = None;
-                let held = self.lease_once_adopted.take().map(|asked_at| asked_at + self.terms.acts_for());
+                let held = self
+                    .lease_once_adopted
+                    .take()
+                    .map(|asked_at| asked_at + self.terms.acts_for());
                 self.lease_until = held.unwrap_or(Micros::MIN);
                 let rules = self.held.set.rules.len();
-                self.events.push(Event::Adopted { version: of.version, rules, in_force });
+                self.events.push(Event::Adopted {
+                    version: of.version,
+                    rules,
+                    in_force,
+                });
                 self.next_head_read = self.next_head_read.min(at.steady + RETRY_INTERVAL);
             }
             // What another front has checked and this one can't read: its settings differ.
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -25,7 +25,14 @@
             }));
         }
         let (file, text) = (file.to_string(), text.to_string());
-        self.offer = Some(Offer { file, command, text, parts_stored: 0, swapping: false, wanted: None });
+        self.offer = Some(Offer {
+            file,
+            command,
+            text,
+            parts_stored: 0,
+            swapping: false,
+            wanted: None,
+        });
         (self.next_head_read, self.retry_at) = (Micros::MIN, Micros::MIN);
     }
 
@@ -38,27 +45,46 @@
         match head.and_then(|head| head.find(to)) {
             Some(kept) => Ok(StoredVersion { version, ..kept }),
             None => {
-                let kept = head.iter().flat_map(|head| &head.previous).map(|kept| kept.version.to_string());
+                let kept = head
+                    .iter()
+                    .flat_map(|head| &head.previous)
+                    .map(|kept| kept.version.to_string());
                 let kept = kept.collect::<Vec<_>>().join(", ");
-                Err(Refused::NotKept { file: offer.file.clone(), to, kept })
+                Err(Refused::NotKept {
+                    file: offer.file.clone(),
+                    to,
+                    kept,
+                })
             }
         }
     }
 
     /// What has become of an offer, by the head.
     pub(super) fn resolve_offer(&mut self) {
-        let Some(offer) = self.offer.as_ref() else { return };
-        let Some(has) = self.head.as_ref().map(|(head, _)| head.current) else { return };
+        let Some(offer) = self.offer.as_ref() else {
+            return;
+        };
+        let Some(has) = self.head.as_ref().map(|(head, _)| head.current) else {
+            return;
+        };
         let (file, stated, next) = (offer.file.clone(), offer.command.version(), has.version + 1);
         if stated > has.version {
             return;
         }
-        let same = offer.wanted == Some(has) || self.wanted(offer).is_ok_and(|wanted| wanted == has);
+        let same =
+            offer.wanted == Some(has) || self.wanted(offer).is_ok_and(|wanted| wanted == has);
         let event = match (stated == has.version, same) {
             (true, true) => Event::Accepted { version: stated },
-            (true, false) if offer.parts_stored > 0 => Event::Refused(Refused::Lost { file, stated, next }),
+            (true, false) if offer.parts_stored > 0 => {
+                Event::Refused(Refused::Lost { file, stated, next })
+            }
             (true, false) => Event::Refused(Refused::Other { file, stated, next }),
-            (false, _) => Event::Refused(Refused::Old { file, stated, has: has.version, next }),
+            (false, _) => Event::Refused(Refused::Old {
+                file,
+                stated,
+                has: has.version,
+                next,
+            }),
         };
         self.offer = None;
         self.events.push(event);
@@ -68,7 +94,10 @@
     pub(super) fn propose(&mut self, at: Moment) {
         // One that is not above the head is never swapped in, however the head was read.
         self.resolve_offer();
-        let Some(offer) = self.offer.as_ref().filter(|offer| self.ledger_has_answered && !offer.swapping)
+        let Some(offer) = self
+            .offer
+            .as_ref()
+            .filter(|offer| self.ledger_has_answered && !offer.swapping)
         else {
             return;
         };
@@ -83,12 +112,27 @@
             }
         };
         let is_set = matches!(offer.command, RulesCommand::Replace(_));
-        let keys: Vec<Key> = if is_set { part_keys(wanted).collect() } else { Vec::new() };
+        let keys: Vec<Key> = if is_set {
+            part_keys(wanted).collect()
+        } else {
+            Vec::new()
+        };
         if offer.parts_stored < keys.len() {
             let parts = parts(&offer.text);
-            self.offer.iter_mut().for_each(|offer| offer.parts_stored = 0);
+            self.offer
+                .iter_mut()
+                .for_each(|offer| offer.parts_stored = 0);
             for (key, value) in keys.into_iter().zip(parts) {
-                self.ask(at, Pending::PutPart, key, Act::Put { expects: None, ends_ms: 0, value });
+                self.ask(
+                    at,
+                    Pending::PutPart,
+                    key,
+                    Act::Put {
+                        expects: None,
+                        ends_ms: 0,
+                        value,
+                    },
+                );
             }
             return;
         }
@@ -98,14 +142,22 @@
             None => (None, 0),
         };
         let (next, gone) = Head::after(head, wanted, in_force);
-        let act = Act::Put { expects: Some(version), ends_ms: 0, value: next.bytes() };
+        let act = Act::Put {
+            expects: Some(version),
+            ends_ms: 0,
+            value: next.bytes(),
+        };
         self.ask(at, Pending::Swap { to: wanted, gone }, head_key(), act);
-        self.offer.iter_mut().for_each(|offer| (offer.swapping, offer.wanted) = (true, Some(wanted)));
+        self.offer
+            .iter_mut()
+            .for_each(|offer| (offer.swapping, offer.wanted) = (true, Some(wanted)));
     }
 
     /// Nothing is barred by it that the set in force lets through: it holds with its swap.
     pub(super) fn holds_at_once(&self, offer: &Offer, at: Moment) -> bool {
-        let RulesCommand::Replace(set) = &offer.command else { return false };
+        let RulesCommand::Replace(set) = &offer.command else {
+            return false;
+        };
         let from = self.head.as_ref().map(|(head, _)| head.current);
         let in_force = self.head.as_ref().is_none_or(|(head, _)| head.in_force);
         in_force
@@ -122,19 +174,35 @@
         entry: Entry,
     ) {
         self.on_head(at, asked_at, Some(entry));
-        self.changed_here = self.head.as_ref().is_some_and(|(head, _)| head.current == to);
+        self.changed_here = self
+            .head
+            .as_ref()
+            .is_some_and(|(head, _)| head.current == to);
         // Parts that nothing names any more end after a while.
         for key in gone.into_iter().flat_map(part_keys) {
-            let act = Act::Put { expects: None, ends_ms: at.wall_ms + LINGERS_MS, value: Vec::new() };
+            let act = Act::Put {
+                expects: None,
+                ends_ms: at.wall_ms + LINGERS_MS,
+                value: Vec::new(),
+            };
             self.ask(at, Pending::ExpirePart, key, act);
         }
     }
 
     /// Says that the head is in force.
     pub(super) fn confirm_in_force(&mut self, at: Moment) {
-        let Some((head, version)) = &self.head else { return };
-        let settled = Head { in_force: true, ..head.clone() };
-        let act = Act::Put { expects: Some(*version), ends_ms: 0, value: settled.bytes() };
+        let Some((head, version)) = &self.head else {
+            return;
+        };
+        let settled = Head {
+            in_force: true,
+            ..head.clone()
+        };
+        let act = Act::Put {
+            expects: Some(*version),
+            ends_ms: 0,
+            value: settled.bytes(),
+        };
         self.ask(at, Pending::ConfirmInForce, head_key(), act);
     }
 }
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -4,7 +4,8 @@
 
 use hallmux_access::{
     read, Access, AccessConfig, Act, ChangedDecision, Decision, Done, Entry, Event, FleetHits, Key,
-    KnownNames, Moment, Outcome, Owner, Permission, Request, RulesCommand, Terms, WorkloadLocations,
+    KnownNames, Moment, Outcome, Owner, Permission, Request, RulesCommand, Terms,
+    WorkloadLocations,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -26,7 +27,10 @@
 
 fn known() -> KnownNames {
     let names = |all: &[&str]| all.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-    let bound = |name: &str| WorkloadLocations { name: name.to_string(), locations: None };
+    let bound = |name: &str| WorkloadLocations {
+        name: name.to_string(),
+        locations: None,
+    };
     KnownNames {
         customers: names(&["acme", "brisk"]),
         workloads: vec![bound("lookup"), bound("report")],
@@ -42,11 +46,17 @@
 
 fn access(incarnation: u64) -> Access {
     Access::new(AccessConfig {
-        own: Owner { front: 1, incarnation },
+        own: Owner {
+            front: 1,
+            incarnation,
+        },
         fronts: vec![1],
         region: "eu".to_string(),
         known: known(),
-        terms: Terms { length: 3_000_000, drift_ppm: 10_000 },
+        terms: Terms {
+            length: 3_000_000,
+            drift_ppm: 10_000,
+        },
         remembers: 6 * 3_600_000_000,
         first_number: 1 << 40,
     })
@@ -75,7 +85,10 @@
     }
 
     fn at(&self) -> Moment {
-        Moment { steady: self.now, wall_ms: START_MS + self.now as u64 / 1000 }
+        Moment {
+            steady: self.now,
+            wall_ms: START_MS + self.now as u64 / 1000,
+        }
     }
 
     fn advance(&mut self, ms: i64) {
@@ -93,7 +106,13 @@
                 }
                 for ask in out.ledger_requests {
                     let outcome = self.act(&ask.key, ask.act);
-                    self.access.on_ledger_answer(self.at(), Done { number: ask.number, outcome });
+                    self.access.on_ledger_answer(
+                        self.at(),
+                        Done {
+                            number: ask.number,
+                            outcome,
+                        },
+                    );
                 }
             }
         }
@@ -101,15 +120,29 @@
 
     fn act(&mut self, key: &Key, act: Act) -> Outcome {
         let current = self.ledger.get(key).cloned();
-        let Act::Put { expects, ends_ms, value } = act else {
+        let Act::Put {
+            expects,
+            ends_ms,
+            value,
+        } = act
+        else {
             return current.map_or(Outcome::Absent, Outcome::Stands);
         };
         if expects.is_some_and(|expects| expects != current.as_ref().map_or(0, |e| e.version)) {
             return current.map_or(Outcome::Absent, Outcome::Held);
         }
         self.last += 1;
-        let owner = Owner { front: 1, incarnation: 1 };
-        let entry = Entry { key: key.clone(), owner, version: self.last, ends_ms, value };
+        let owner = Owner {
+            front: 1,
+            incarnation: 1,
+        };
+        let entry = Entry {
+            key: key.clone(),
+            owner,
+            version: self.last,
+            ends_ms,
+            value,
+        };
         self.ledger.insert(key.clone(), entry.clone());
         Outcome::Stands(entry)
     }
@@ -118,12 +151,18 @@
     fn holds(&mut self, text: &str) {
         self.access.offer("rules.json5", text, command(text));
         self.advance(6_000);
-        assert_eq!(self.access.version(self.now), (command(text).version(), true));
+        assert_eq!(
+            self.access.version(self.now),
+            (command(text).version(), true)
+        );
     }
 
     /// What is decided of a statement, and its number.
     fn ask(&mut self, asked: &Request) -> (Permission, u64) {
-        let Decision::Decided { statement, verdict, .. } = self.access.judge(self.at(), asked.clone()) else {
+        let Decision::Decided {
+            statement, verdict, ..
+        } = self.access.judge(self.at(), asked.clone())
+        else {
             panic!("judged")
         };
         if verdict.denied.is_some() {
@@ -147,7 +186,11 @@
 
 #[test]
 fn an_earlier_life_that_goes_on_beside_a_later_one_counts_nothing_any_more() {
-    let asked = Request { customer: "acme".to_string(), workload: "lookup".to_string(), groups: None };
+    let asked = Request {
+        customer: "acme".to_string(),
+        workload: "lookup".to_string(),
+        groups: None,
+    };
     let mut one = SingleFront::new();
     one.holds("{ version: 1, default: 'allow', rules: [ { name: 'a', then: 'count' }, { name: 'b', regions: ['eu'] } ] }");
     let counts = |one: &mut SingleFront| {
@@ -170,14 +213,23 @@
     one.access.request_fleet_hits(one.at());
     one.advance(4_000);
     let fleet = one.fleet.clone().unwrap();
-    assert_eq!((fleet.missing.len(), fleet.counts.into_values().collect::<Vec<_>>()), (0, vec![4, 4]));
+    assert_eq!(
+        (
+            fleet.missing.len(),
+            fleet.counts.into_values().collect::<Vec<_>>()
+        ),
+        (0, vec![4, 4])
+    );
 }
 
 fn drawn_rules(rng: &mut Pcg64, version: u64, what_if: bool) -> String {
     let mut rules = Vec::new();
     for n in 0..rng.random_range(1..8) {
         let mut rule = format!("name: 'r{n}', priority: {n}");
-        for (key, names) in [("customer", ["acme", "brisk"]), ("workload", ["lookup", "report"])] {
+        for (key, names) in [
+            ("customer", ["acme", "brisk"]),
+            ("workload", ["lookup", "report"]),
+        ] {
             if rng.random_bool(0.5) {
                 rule += &format!(", {key}: '{}'", names[rng.random_range(0..2)]);
             }
@@ -189,14 +241,20 @@
         let place = PLACES[rng.random_range(0..3)];
         rule += &match rng.random_range(0..5) {
             0 => ", then: 'deny', reason: 'drawn'".to_string(),
-            1 => format!(", regions: ['{place}'], at_most: {}, in_ms: 60000", rng.random_range(1..3)),
+            1 => format!(
+                ", regions: ['{place}'], at_most: {}, in_ms: 60000",
+                rng.random_range(1..3)
+            ),
             2 => format!(", barred: ['{place}'], from: '2027-01-15T07:00:00Z'"),
             3 => format!(", barred: ['{place}'], until: '2027-01-15T07:00:00Z'"),
             _ => format!(", regions: ['{place}']"),
         };
         rules.push(format!("{{ {rule} }}"));
     }
-    format!("{{ version: {version}, what_if: {what_if}, default: 'allow', rules: [{}] }}", rules.join(", "))
+    format!(
+        "{{ version: {version}, what_if: {what_if}, default: 'allow', rules: [{}] }}",
+        rules.join(", ")
+    )
 }
 
 #[test]
@@ -204,9 +262,15 @@
     let (mut runs, mut changed) = (0, 0);
     for seed in 0..400 {
         let mut rng = Pcg64::seed_from_u64(seed);
-        let (before, mut after) = (drawn_rules(&mut rng, 1, false), drawn_rules(&mut rng, 2, true));
+        let (before, mut after) = (
+            drawn_rules(&mut rng, 1, false),
+            drawn_rules(&mut rng, 2, true),
+        );
         // Sets whose rules shadow each other are no files.
-        if [&before, &after].iter().any(|text| read("x", text, &known(), &|_| None).is_err()) {
+        if [&before, &after]
+            .iter()
+            .any(|text| read("x", text, &known(), &|_| None).is_err())
+        {
             continue;
         }
         runs += 1;
@@ -225,7 +289,9 @@
         let mut one = SingleFront::new();
         one.holds(&before);
         let was: Vec<Permission> = traffic.iter().map(|asked| one.ask(asked).0).collect();
-        let RulesCommand::WhatIf(set) = command(&after) else { panic!("a question") };
+        let RulesCommand::WhatIf(set) = command(&after) else {
+            panic!("a question")
+        };
         let told = one.access.what_if(one.at(), set);
         assert_eq!((told.statements, told.unknown), (200, 0));
         // The question changes nothing, also where it is offered.
@@ -237,9 +303,18 @@
         let mut happened: BTreeMap<ChangedDecision, u64> = BTreeMap::new();
         for (asked, current) in traffic.iter().zip(was) {
             let proposed = one.ask(asked).0;
-            let Request { customer, workload, .. } = asked.clone();
+            let Request {
+                customer, workload, ..
+            } = asked.clone();
             if current != proposed {
-                *happened.entry(ChangedDecision { customer, workload, current, proposed }).or_default() += 1;
+                *happened
+                    .entry(ChangedDecision {
+                        customer,
+                        workload,
+                        current,
+                        proposed,
+                    })
+                    .or_default() += 1;
             }
         }
         assert_eq!(told.changes, happened, "seed {seed}: {before} {after}");
@@ -270,16 +345,33 @@
     one.advance(600_000);
     // In the overlap: what is judged now may go to both; what was judged before goes where it was to go.
     let within = one.ask(&asked(7)).1;
-    assert_eq!((one.may_send(within, 1), one.may_send(before, 2)), (vec!["eu", "us"], vec!["eu"]));
+    assert_eq!(
+        (one.may_send(within, 1), one.may_send(before, 2)),
+        (vec!["eu", "us"], vec!["eu"])
+    );
     one.advance(60_000);
     let after = one.ask(&asked(7)).1;
-    let tries =
-        |one: &mut SingleFront, n| (one.may_send(before, n), one.may_send(within, n), one.may_send(after, n));
-    assert_eq!(tries(&mut one, 3), (vec!["eu"], vec!["eu", "us"], vec!["us"]));
+    let tries = |one: &mut SingleFront, n| {
+        (
+            one.may_send(before, n),
+            one.may_send(within, n),
+            one.may_send(after, n),
+        )
+    };
+    assert_eq!(
+        tries(&mut one, 3),
+        (vec!["eu"], vec!["eu", "us"], vec!["us"])
+    );
     // Another version with the same move is no reason to judge them by another time; one that bars them is.
     one.holds(&moves(2, ", { name: 'x', tables: 3, regions: ['ap'] }"));
-    assert_eq!(tries(&mut one, 4), (vec!["eu"], vec!["eu", "us"], vec!["us"]));
-    one.holds(&moves(3, ", { name: 'x', tables: [6, 8], then: 'deny', reason: 'x' }"));
+    assert_eq!(
+        tries(&mut one, 4),
+        (vec!["eu"], vec!["eu", "us"], vec!["us"])
+    );
+    one.holds(&moves(
+        3,
+        ", { name: 'x', tables: [6, 8], then: 'deny', reason: 'x' }",
+    ));
     assert_eq!(tries(&mut one, 5), (vec![], vec![], vec![]));
     assert_eq!(one.may_send(other, 1), PLACES);
 }
@@ -288,20 +380,36 @@
 fn a_move_that_makes_no_sense_is_refused() {
     let good = "{ name: 'm', tables: 5, moves: { from: 'eu', to: 'us', at: '2027-01-15T08:00:00Z', overlap_ms: 1 } }";
     for (from, to, says) in [
-        ("tables: 5, ", "", "rule `m` moves, but names no tables; name"),
+        (
+            "tables: 5, ",
+            "",
+            "rule `m` moves, but names no tables; name",
+        ),
         (
             "tables: 5, ",
             "tables: 5, regions: ['eu'], ",
             "rule `m` moves, and says otherwise where or when too; take",
         ),
-        ("to: 'us', ", "", "rules[0].moves.to: is missing; give from which region"),
-        ("'us'", "'mars'", "rules[0].moves.to: 'mars' is not among the regions: eu, us, ap; name"),
+        (
+            "to: 'us', ",
+            "",
+            "rules[0].moves.to: is missing; give from which region",
+        ),
+        (
+            "'us'",
+            "'mars'",
+            "rules[0].moves.to: 'mars' is not among the regions: eu, us, ap; name",
+        ),
         (
             "overlap_ms: 1",
             "overlap_ms: 0",
             "rules[0].moves.overlap_ms: is no whole number of milliseconds from 1",
         ),
-        ("at: '2027-01-15T08:00:00Z'", "at: 'noon'", "rules[0].moves.at: is no time by RFC 3339"),
+        (
+            "at: '2027-01-15T08:00:00Z'",
+            "at: 'noon'",
+            "rules[0].moves.at: is no time by RFC 3339",
+        ),
         (
             "overlap_ms: 1",
             "overlap_ms: 1, via: 'ap'",
@@ -309,7 +417,10 @@
         ),
         ("moves: {", "moves: 5, x: {", "rules[0].x: is not known"),
     ] {
-        let text = format!("{{ version: 1, default: 'allow', rules: [ {} ] }}", good.replace(from, to));
+        let text = format!(
+            "{{ version: 1, default: 'allow', rules: [ {} ] }}",
+            good.replace(from, to)
+        );
         let said = match read("f", &text, &known(), &|_| None) {
             Err(faults) => faults.to_string(),
             Ok(command) => format!("{command:?}"),
--- a/crates/access/tests/fleet.rs
+++ b/crates/access/tests/fleet.rs
@@ -49,13 +49,20 @@
         let mut sim = Sim::new(seed, Faults::default());
         sim.run(30_000_000);
         assert_eq!(sim.tallies.free_refused, 0, "seed {seed}");
-        assert!(sim.tallies.free > 100 && sim.tallies.closed > 0, "seed {seed}: {:?}", sim.tallies);
+        assert!(
+            sim.tallies.free > 100 && sim.tallies.closed > 0,
+            "seed {seed}: {:?}",
+            sim.tallies
+        );
     }
 }
 
 #[test]
 fn a_clock_beyond_the_bound_lets_through_what_is_barred_and_the_check_sees_it() {
-    let faults = Faults { clock: -0.7, ..Faults::default() };
+    let faults = Faults {
+        clock: -0.7,
+        ..Faults::default()
+    };
     let found = (0..10).map(|seed| {
         let mut sim = Sim::new(seed, faults);
         sim.run(60_000_000);
@@ -77,14 +84,19 @@
         assert_eq!(here.counts, there.counts, "seed {seed}");
         assert!(here.counts.values().sum::<u64>() > 50, "seed {seed}");
         for (hit, judged) in &sim.judged {
-            let (count, acked) =
-                (here.counts.get(hit).copied().unwrap_or(0), sim.acked.get(hit).copied().unwrap_or(0));
+            let (count, acked) = (
+                here.counts.get(hit).copied().unwrap_or(0),
+                sim.acked.get(hit).copied().unwrap_or(0),
+            );
             assert!(
                 acked <= count && count <= *judged,
                 "seed {seed}: {hit:?}: {acked} <= {count} <= {judged}"
             );
         }
-        assert!(here.counts.keys().all(|hit| sim.judged.contains_key(hit)), "seed {seed}");
+        assert!(
+            here.counts.keys().all(|hit| sim.judged.contains_key(hit)),
+            "seed {seed}"
+        );
     }
 }
 
@@ -92,8 +104,13 @@
 fn pages_of_lives_that_are_over_are_folded_once_wherever_a_front_is_lost() {
     for seed in 0..16 {
         let mut sim = Sim::new(seed, Faults::none());
-        let rules = "{ name: 'a', customer: 'acme', regions: ['eu'] }, { name: 'b', then: 'count' }";
-        sim.offer_text(0, 1, &format!("{{ version: 1, default: 'allow', rules: [{rules}] }}"));
+        let rules =
+            "{ name: 'a', customer: 'acme', regions: ['eu'] }, { name: 'b', then: 'count' }";
+        sim.offer_text(
+            0,
+            1,
+            &format!("{{ version: 1, default: 'allow', rules: [{rules}] }}"),
+        );
         sim.run(6_000_000);
         // Each life is lost at some step of taking in the one before.
         for life in 0..8 {
@@ -105,7 +122,11 @@
         sim.quiet = true;
         sim.run(2_000_000);
         let (here, there) = (sim.fleet_count(0), sim.fleet_count(1));
-        assert_eq!((here.missing.len(), &here.counts), (0, &there.counts), "seed {seed}");
+        assert_eq!(
+            (here.missing.len(), &here.counts),
+            (0, &there.counts),
+            "seed {seed}"
+        );
         for (hit, judged) in &sim.judged {
             let count = here.counts.get(hit).copied().unwrap_or(0);
             let acked = sim.acked.get(hit).copied().unwrap_or(0);
@@ -122,11 +143,18 @@
 #[test]
 fn tables_of_counts_merge_in_any_order_and_twice_without_harm() {
     use hallmux_access::{merge_counts, Hit, HitCounts};
-    let hit = |n: u8| Hit { rule: n.to_string(), customer: "a".to_string(), region: "eu".to_string() };
-    let (one, later): (HitCounts, HitCounts) = ([(hit(1), 3)].into(), [(hit(1), 5), (hit(2), 1)].into());
+    let hit = |n: u8| Hit {
+        rule: n.to_string(),
+        customer: "a".to_string(),
+        region: "eu".to_string(),
+    };
+    let (one, later): (HitCounts, HitCounts) =
+        ([(hit(1), 3)].into(), [(hit(1), 5), (hit(2), 1)].into());
     let merged = |order: &[&HitCounts]| {
         let mut into = HitCounts::new();
-        order.iter().for_each(|table| merge_counts(&mut into, table));
+        order
+            .iter()
+            .for_each(|table| merge_counts(&mut into, table));
         into
     };
     assert_eq!(merged(&[&one, &later]), later);
@@ -154,8 +182,16 @@
         "{ version: 1, default: 'allow', rules: [{ name: 'a', customer: 'acme', regions: ['eu'] }] }",
     );
     sim.run(2_000_000);
-    let said = sim.events.iter().map(|(_, _, said)| format!("{said:?}")).collect::<Vec<_>>();
-    assert!(said.iter().any(|s| s.contains("Old") && s.contains("stated: 1, has: 2, next: 3")), "{said:#?}");
+    let said = sim
+        .events
+        .iter()
+        .map(|(_, _, said)| format!("{said:?}"))
+        .collect::<Vec<_>>();
+    assert!(
+        said.iter()
+            .any(|s| s.contains("Old") && s.contains("stated: 1, has: 2, next: 3")),
+        "{said:#?}"
+    );
     sim.offer_text(2, 3, "{ version: 3, roll_back_to: 1 }");
     sim.run(8_000_000);
     assert_eq!(sim.versions(), vec![(3, true); sim.len()]);
@@ -173,11 +209,17 @@
 #[test]
 fn any_version_kept_is_in_force_again_with_one_act_though_a_front_is_cut_off() {
     let places = ["eu", "us", "ap"];
-    let regions = |version: usize| -> Vec<u16> { (0..3).filter(|at| version >> at & 1 == 1).collect() };
+    let regions =
+        |version: usize| -> Vec<u16> { (0..3).filter(|at| version >> at & 1 == 1).collect() };
     let text = |version: usize| {
-        let named: Vec<String> =
-            regions(version).iter().map(|at| format!("'{}'", places[*at as usize])).collect();
-        let rule = format!("{{ name: 'a', customer: 'acme', regions: [{}] }}", named.join(", "));
+        let named: Vec<String> = regions(version)
+            .iter()
+            .map(|at| format!("'{}'", places[*at as usize]))
+            .collect();
+        let rule = format!(
+            "{{ name: 'a', customer: 'acme', regions: [{}] }}",
+            named.join(", ")
+        );
         format!("{{ version: {version}, default: 'allow', rules: [{rule}] }}")
     };
     // The last eight are kept behind the one that holds; version 8 has no regions, and is left out.
@@ -193,9 +235,17 @@
         sim.offer_text(2, 11, &format!("{{ version: 11, roll_back_to: {to} }}"));
         sim.run(10_000_000);
         let now = sim.versions();
-        assert_eq!((&now[..4], now[4].1), (&[(11, true); 4][..], false), "to {to}");
+        assert_eq!(
+            (&now[..4], now[4].1),
+            (&[(11, true); 4][..], false),
+            "to {to}"
+        );
         assert_eq!(sim.allows(0, "acme"), Some(regions(*to)), "to {to}");
-        assert!(sim.took(11).is_some_and(|took| took < 4_000_000), "to {to}: {:?}", sim.took(11));
+        assert!(
+            sim.took(11).is_some_and(|took| took < 4_000_000),
+            "to {to}: {:?}",
+            sim.took(11)
+        );
         sim.run(4_000_000);
         assert_eq!(sim.versions(), vec![(11, true); sim.len()], "to {to}");
         assert_eq!(sim.allows(4, "acme"), Some(regions(*to)), "to {to}");
--- a/crates/access/tests/fleet/faults_drawn.rs
+++ b/crates/access/tests/fleet/faults_drawn.rs
@@ -14,13 +14,19 @@
 
 impl Default for Faults {
     fn default() -> Faults {
-        Faults { on: true, clock: 0.0 }
+        Faults {
+            on: true,
+            clock: 0.0,
+        }
     }
 }
 
 impl Faults {
     pub fn none() -> Faults {
-        Faults { on: false, clock: 0.0 }
+        Faults {
+            on: false,
+            clock: 0.0,
+        }
     }
 }
 
@@ -82,7 +88,9 @@
                 let text = match version > 2 && self.rng.random_bool(0.25) {
                     true => {
                         self.tallies.rolls += 1;
-                        let to = self.rng.random_range(version.saturating_sub(6).max(1)..version);
+                        let to = self
+                            .rng
+                            .random_range(version.saturating_sub(6).max(1)..version);
                         format!("{{ version: {version}, roll_back_to: {to} }}")
                     }
                     false => self.draw_rules(version),
@@ -125,8 +133,11 @@
         let mut rules = Vec::new();
         for customer in ["acme", "brisk"] {
             for workload in ["", ", workload: 'report'"] {
-                let regions: Vec<String> =
-                    PLACES.iter().filter(|_| self.rng.random_bool(0.5)).map(|p| format!("'{p}'")).collect();
+                let regions: Vec<String> = PLACES
+                    .iter()
+                    .filter(|_| self.rng.random_bool(0.5))
+                    .map(|p| format!("'{p}'"))
+                    .collect();
                 let then = match regions.is_empty() {
                     true => "then: 'deny', reason: 'drawn'".to_string(),
                     false => format!("regions: [{}]", regions.join(", ")),
@@ -144,6 +155,9 @@
             }
         }
         rules.push("{ name: 'seen', workload: 'report', then: 'count' }".to_string());
-        format!("{{ version: {version}, default: 'allow', rules: [{}] }}", rules.join(", "))
+        format!(
+            "{{ version: {version}, default: 'allow', rules: [{}] }}",
+            rules.join(", ")
+        )
     }
 }
--- a/crates/access/tests/fleet/record.rs
+++ b/crates/access/tests/fleet/record.rs
@@ -9,13 +9,31 @@
 impl Sim {
     /// What left though the version in force barred it, and none after it was there to let it through.
     pub fn barred(&self) -> Vec<String> {
-        let indices: BTreeMap<u64, (i64, Index)> =
-            self.accepted.iter().map(|(v, (at, text))| (*v, (*at, Index::new(set(*v, text))))).collect();
+        let indices: BTreeMap<u64, (i64, Index)> = self
+            .accepted
+            .iter()
+            .map(|(v, (at, text))| (*v, (*at, Index::new(set(*v, text)))))
+            .collect();
         let mut found = Vec::new();
-        for Sent { at, front, asked, place } in &self.sent {
-            let held = self.in_force.iter().filter(|(_, since)| *since < at).map(|(v, _)| *v).max();
+        for Sent {
+            at,
+            front,
+            asked,
+            place,
+        } in &self.sent
+        {
+            let held = self
+                .in_force
+                .iter()
+                .filter(|(_, since)| *since < at)
+                .map(|(v, _)| *v)
+                .max();
             let Some(held) = held else { continue };
-            let Request { customer, workload, groups } = asked;
+            let Request {
+                customer,
+                workload,
+                groups,
+            } = asked;
             let attributes = Attributes {
                 customer,
                 workload,
@@ -25,9 +43,14 @@
                 first_judged_ms: None,
             };
             let mut may = indices.range(held..).filter(|(_, (since, _))| since <= at);
-            if !may.any(|(_, (_, index))| index.judge(&attributes, groups.as_deref(), 0).allows(Some(*place)))
-            {
-                found.push(format!("{at}: front {front} sent {asked:?} to {place} under version {held}"));
+            if !may.any(|(_, (_, index))| {
+                index
+                    .judge(&attributes, groups.as_deref(), 0)
+                    .allows(Some(*place))
+            }) {
+                found.push(format!(
+                    "{at}: front {front} sent {asked:?} to {place} under version {held}"
+                ));
             }
         }
         found
@@ -61,14 +84,19 @@
     }
 
     pub fn versions(&self) -> Vec<(u64, bool)> {
-        (0..FRONTS).map(|n| self.fronts[n].access.version(self.moment(n).steady)).collect()
+        (0..FRONTS)
+            .map(|n| self.fronts[n].access.version(self.moment(n).steady))
+            .collect()
     }
 
     /// Where a customer's lookups may be read, as a front judges them.
     pub fn allows(&mut self, front: usize, customer: &str) -> Option<Vec<u16>> {
         let at = self.moment(front);
-        let asked =
-            Request { customer: customer.to_string(), workload: "lookup".to_string(), groups: Some(vec![1]) };
+        let asked = Request {
+            customer: customer.to_string(),
+            workload: "lookup".to_string(),
+            groups: Some(vec![1]),
+        };
         match self.fronts[front].access.judge(at, asked) {
             Decision::Decided { verdict, .. } => verdict.allowed,
             _ => None,
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -71,7 +71,10 @@
 
 fn known() -> KnownNames {
     let names = |all: &[&str]| all.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-    let bound = |name: &str| WorkloadLocations { name: name.to_string(), locations: None };
+    let bound = |name: &str| WorkloadLocations {
+        name: name.to_string(),
+        locations: None,
+    };
     KnownNames {
         customers: names(&["acme", "brisk", "free"]),
         workloads: vec![bound("lookup"), bound("report")],
@@ -133,7 +136,10 @@
 
     fn moment(&self, front: usize) -> Moment {
         let steady = (self.now as f64 * self.fronts[front].rate) as i64 + front as i64 * 77_000;
-        Moment { steady, wall_ms: 1_700_000_000_000 + self.now as u64 / 1000 }
+        Moment {
+            steady,
+            wall_ms: 1_700_000_000_000 + self.now as u64 / 1000,
+        }
     }
 
     pub fn run(&mut self, time: i64) {
@@ -154,7 +160,9 @@
 
     pub fn heal(&mut self) {
         self.faults.on = false;
-        self.fronts.iter_mut().for_each(|f| (f.cut, f.stalled) = (0, 0));
+        self.fronts
+            .iter_mut()
+            .for_each(|f| (f.cut, f.stalled) = (0, 0));
     }
 
     pub fn offer_text(&mut self, front: usize, _version: u64, text: &str) {
@@ -164,25 +172,42 @@
 
     pub fn offer(&mut self, front: usize, text: &str) {
         let command = read("rules.json5", text, &known(), &|_| None).expect("a good file");
-        self.texts.insert(StoredVersion::of(1, text).hash, text.to_string());
-        self.fronts[front].access.offer("rules.json5", text, command);
+        self.texts
+            .insert(StoredVersion::of(1, text).hash, text.to_string());
+        self.fronts[front]
+            .access
+            .offer("rules.json5", text, command);
     }
 
     /// Asks and answers on their way.
     fn deliver(&mut self) {
-        let (due, later) = std::mem::take(&mut self.asks).into_iter().partition(|(at, ..)| *at <= self.now);
+        let (due, later) = std::mem::take(&mut self.asks)
+            .into_iter()
+            .partition(|(at, ..)| *at <= self.now);
         self.asks = later;
         let due: Vec<(i64, usize, u64, Ask, bool)> = due;
         for (_, front, life, ask, answered) in due {
-            let owner = Owner { front: front as u64 + 1, incarnation: life };
+            let owner = Owner {
+                front: front as u64 + 1,
+                incarnation: life,
+            };
             let outcome = self.ledger_act(owner, &ask);
             if answered {
                 let back = self.now + self.rng.random_range(500..15_000);
-                self.answers.push((back, front, life, Done { number: ask.number, outcome }));
+                self.answers.push((
+                    back,
+                    front,
+                    life,
+                    Done {
+                        number: ask.number,
+                        outcome,
+                    },
+                ));
             }
         }
-        let (due, later) =
-            std::mem::take(&mut self.answers).into_iter().partition(|(at, ..)| *at <= self.now);
+        let (due, later) = std::mem::take(&mut self.answers)
+            .into_iter()
+            .partition(|(at, ..)| *at <= self.now);
         self.answers = later;
         let due: Vec<(i64, usize, u64, Done)> = due;
         for (at, front, life, done) in due {
@@ -197,7 +222,12 @@
 
     fn ledger_act(&mut self, owner: Owner, ask: &Ask) -> Outcome {
         let current = self.ledger.get(&ask.key).cloned();
-        let Act::Put { expects, ends_ms, value } = &ask.act else {
+        let Act::Put {
+            expects,
+            ends_ms,
+            value,
+        } = &ask.act
+        else {
             return current.map_or(Outcome::Absent, Outcome::Stands);
         };
         let version = current.as_ref().map_or(0, |e| e.version);
@@ -215,7 +245,9 @@
         if ask.key.name == "head" {
             let head = Head::read(value).expect("a head");
             let text = self.texts[&head.current.hash].clone();
-            self.accepted.entry(head.current.version).or_insert((self.now, text));
+            self.accepted
+                .entry(head.current.version)
+                .or_insert((self.now, text));
         }
         self.ledger.insert(ask.key.clone(), entry.clone());
         Outcome::Stands(entry)
@@ -230,17 +262,26 @@
         f.access.tick(at);
         let out = f.access.take();
         for ask in out.ledger_requests {
-            let (there, cut) =
-                (self.now + self.rng.random_range(500..15_000), self.fronts[front].cut > self.now);
+            let (there, cut) = (
+                self.now + self.rng.random_range(500..15_000),
+                self.fronts[front].cut > self.now,
+            );
             // Cut off: lost on its way there, or on its way back.
             let arrives = !cut || self.rng.random_bool(0.3);
             let life = self.fronts[front].life;
             if cut {
-                let done = Done { number: ask.number, outcome: Outcome::Unreachable };
+                let done = Done {
+                    number: ask.number,
+                    outcome: Outcome::Unreachable,
+                };
                 self.answers.push((self.now + PATIENCE, front, life, done));
             }
             if arrives {
-                let there = if cut { there + self.rng.random_range(0..3_000_000) } else { there };
+                let there = if cut {
+                    there + self.rng.random_range(0..3_000_000)
+                } else {
+                    there
+                };
                 self.asks.push((there, front, life, ask, !cut));
             }
         }
@@ -259,17 +300,31 @@
             }
             self.events.push((self.now, front, event));
         }
-        out.fleet_hits.into_iter().for_each(|fleet| _ = self.counts.insert(front, fleet));
+        out.fleet_hits
+            .into_iter()
+            .for_each(|fleet| _ = self.counts.insert(front, fleet));
         let f = &mut self.fronts[front];
         for statement in out.counted {
-            let Some((asked, verdict, hits)) = f.waiting.remove(&statement) else { continue };
-            hits.into_iter().for_each(|hit| *self.acked.entry(hit).or_default() += 1);
+            let Some((asked, verdict, hits)) = f.waiting.remove(&statement) else {
+                continue;
+            };
+            hits.into_iter()
+                .for_each(|hit| *self.acked.entry(hit).or_default() += 1);
             if verdict.denied.is_some() {
                 self.tallies.denied += 1;
                 f.access.statement_over(statement);
             } else {
-                let wait = if self.rng.random_bool(0.2) { 8_000_000 } else { 50_000 };
-                f.queued.push((self.now + self.rng.random_range(0..wait), statement, asked, verdict));
+                let wait = if self.rng.random_bool(0.2) {
+                    8_000_000
+                } else {
+                    50_000
+                };
+                f.queued.push((
+                    self.now + self.rng.random_range(0..wait),
+                    statement,
+                    asked,
+                    verdict,
+                ));
             }
         }
         for statement in out.over_limit {
@@ -288,7 +343,11 @@
     fn statement(&mut self, front: usize, at: Moment) {
         let customer = ["acme", "brisk", "free"][self.rng.random_range(0..3)].to_string();
         let workload = ["lookup", "report"][self.rng.random_range(0..2)].to_string();
-        let asked = Request { customer, workload, groups: Some(vec![self.rng.random_range(0..4)]) };
+        let asked = Request {
+            customer,
+            workload,
+            groups: Some(vec![self.rng.random_range(0..4)]),
+        };
         let f = &mut self.fronts[front];
         let judged = f.access.judge(at, asked.clone());
         let free = asked.customer == "free";
@@ -297,19 +356,28 @@
         match judged {
             Decision::Unrestricted => {}
             Decision::RulesUnknown => self.tallies.closed += 1,
-            Decision::Decided { statement, verdict, waits } => {
+            Decision::Decided {
+                statement,
+                verdict,
+                waits,
+            } => {
                 let name = |rule: usize, f: &Front| {
-                    let v = hallmux_access::Verdict { rule: Some(rule), ..verdict.clone() };
+                    let v = hallmux_access::Verdict {
+                        rule: Some(rule),
+                        ..verdict.clone()
+                    };
                     f.access.rule(&v).unwrap_or_default().to_string()
                 };
-                let rules: BTreeSet<usize> = verdict.rule.into_iter().chain(verdict.counts).collect();
+                let rules: BTreeSet<usize> =
+                    verdict.rule.into_iter().chain(verdict.counts).collect();
                 let hit = |rule| Hit {
                     rule: name(rule, f),
                     customer: asked.customer.clone(),
                     region: "eu".to_string(),
                 };
                 let hits: Vec<Hit> = rules.into_iter().map(hit).collect();
-                hits.iter().for_each(|hit| *self.judged.entry(hit.clone()).or_default() += 1);
+                hits.iter()
+                    .for_each(|hit| *self.judged.entry(hit.clone()).or_default() += 1);
                 match waits {
                     true => _ = f.waiting.insert(statement, (asked, verdict, hits)),
                     false => f.queued.push((self.now, statement, asked, verdict)),
@@ -320,23 +388,36 @@
 
     fn send(&mut self, front: usize, at: Moment) {
         let f = &mut self.fronts[front];
-        let (due, later) =
-            std::mem::take(&mut f.queued).into_iter().partition(|(when, ..)| *when <= self.now);
+        let (due, later) = std::mem::take(&mut f.queued)
+            .into_iter()
+            .partition(|(when, ..)| *when <= self.now);
         f.queued = later;
         let due: Vec<(i64, u64, Request, hallmux_access::Verdict)> = due;
         for (_, statement, asked, verdict) in due {
             let allowed = verdict.allowed.unwrap_or_else(|| vec![0, 1, 2]);
             let place = allowed[self.rng.random_range(0..allowed.len())];
             if f.access.may_send(at, statement, 0, PLACES[place as usize]) {
-                self.sent.push(Sent { at: self.now, front, asked, place });
+                self.sent.push(Sent {
+                    at: self.now,
+                    front,
+                    asked,
+                    place,
+                });
                 self.tallies.sent += 1;
-                f.running.insert(statement, self.now + self.rng.random_range(10_000..2_000_000));
+                f.running.insert(
+                    statement,
+                    self.now + self.rng.random_range(10_000..2_000_000),
+                );
             } else {
                 f.access.statement_over(statement);
             }
         }
-        let over: Vec<u64> =
-            f.running.iter().filter(|(_, ends)| **ends <= self.now).map(|(s, _)| *s).collect();
+        let over: Vec<u64> = f
+            .running
+            .iter()
+            .filter(|(_, ends)| **ends <= self.now)
+            .map(|(s, _)| *s)
+            .collect();
         for statement in over {
             f.running.remove(&statement);
             f.access.execution_ended(statement, 0);
@@ -347,11 +428,17 @@
 
 fn access(front: usize, life: u64) -> Access {
     Access::new(AccessConfig {
-        own: Owner { front: front as u64 + 1, incarnation: life },
+        own: Owner {
+            front: front as u64 + 1,
+            incarnation: life,
+        },
         fronts: (1..=FRONTS as u64).collect(),
         region: "eu".to_string(),
         known: known(),
-        terms: Terms { length: 3_000_000, drift_ppm: DRIFT_PPM },
+        terms: Terms {
+            length: 3_000_000,
+            drift_ppm: DRIFT_PPM,
+        },
         remembers: 0,
         first_number: 1 << 40,
     })
--- a/crates/access/tests/rules.rs
+++ b/crates/access/tests/rules.rs
@@ -1,8 +1,8 @@
 //! Files of rules as a person writes them: what is refused, in which words; and the index beside the plain walk.
 
 use hallmux_access::{
-    read, Attributes, DefaultEffect, FileErrors, Index, KnownNames, Rule, RuleEffect, RuleSet, RulesCommand,
-    TableRange, WorkloadLocations,
+    read, Attributes, DefaultEffect, FileErrors, Index, KnownNames, Rule, RuleEffect, RuleSet,
+    RulesCommand, TableRange, WorkloadLocations,
 };
 use proptest::prelude::*;
 
@@ -14,10 +14,16 @@
     };
     KnownNames {
         customers: names(&["acme", "brisk", "corvid"]),
-        workloads: vec![bound("lookup", None), bound("report", Some(&["std-eu", "std-us"]))],
+        workloads: vec![
+            bound("lookup", None),
+            bound("report", Some(&["std-eu", "std-us"])),
+        ],
         locations: names(&["std-eu", "std-us", "std-ap"]),
-        regions: [("eu".to_string(), names(&["std-eu"])), ("west".to_string(), names(&["std-eu", "std-us"]))]
-            .into(),
+        regions: [
+            ("eu".to_string(), names(&["std-eu"])),
+            ("west".to_string(), names(&["std-eu", "std-us"])),
+        ]
+        .into(),
         covered: Some(names(&["acme", "brisk"])),
     }
 }
@@ -25,11 +31,21 @@
 /// Lines by the key's text: each rule of these files stands on a line of its own.
 fn lines(text: &str) -> impl Fn(&str) -> Option<usize> + '_ {
     move |path| {
-        let place = path.strip_prefix("rules[").and_then(|p| p.split(']').next()?.parse::<usize>().ok());
+        let place = path
+            .strip_prefix("rules[")
+            .and_then(|p| p.split(']').next()?.parse::<usize>().ok());
         let of_rule = |(_, line): &(usize, &str)| line.trim_start().starts_with("{ ");
         match place {
-            Some(place) => text.lines().enumerate().filter(of_rule).nth(place).map(|(at, _)| at + 1),
-            None => text.lines().position(|line| line.contains(path)).map(|at| at + 1),
+            Some(place) => text
+                .lines()
+                .enumerate()
+                .filter(of_rule)
+                .nth(place)
+                .map(|(at, _)| at + 1),
+            None => text
+                .lines()
+                .position(|line| line.contains(path))
+                .map(|at| at + 1),
         }
     }
 }
@@ -42,7 +58,10 @@
 }
 
 fn file(rules: &[&str]) -> String {
-    format!("{{\n version: 7,\n default: 'allow',\n rules: [\n{}\n ],\n}}", rules.join(",\n"))
+    format!(
+        "{{\n version: 7,\n default: 'allow',\n rules: [\n{}\n ],\n}}",
+        rules.join(",\n")
+    )
 }
 
 fn set(rules: &[&str]) -> RuleSet {
@@ -90,15 +109,27 @@
             "{ version: 0, default: 'allow', rules: [] }",
             "rules.json5:1: version: is no whole number from 1; give one",
         ),
-        ("{ default: 'allow', rules: [] }", "rules.json5: version: is missing; give a whole number"),
-        ("{ version: 1, rules: [] }", "rules.json5: default: is missing; give 'allow' or 'deny'"),
-        ("{ version: 1, default: 'deny', rules: [], }", "Replace(RuleSet "),
+        (
+            "{ default: 'allow', rules: [] }",
+            "rules.json5: version: is missing; give a whole number",
+        ),
+        (
+            "{ version: 1, rules: [] }",
+            "rules.json5: default: is missing; give 'allow' or 'deny'",
+        ),
+        (
+            "{ version: 1, default: 'deny', rules: [], }",
+            "Replace(RuleSet ",
+        ),
         (
             "{ version: 2, roll_back_to: 1, rules: [] }",
             "rules.json5:1: rules: is not known; the keys here are version",
         ),
         ("{ version: ", "rules.json5:"),
-        ("[]", "rules.json5:1: is no object of version and rules; give one"),
+        (
+            "[]",
+            "rules.json5:1: is no object of version and rules; give one",
+        ),
     ] {
         let said = faults(text);
         assert!(said.starts_with(says), "{text}: {said}");
@@ -107,11 +138,17 @@
 
 #[test]
 fn all_faults_come_at_once_in_the_order_of_lines() {
-    let text =
-        file(&["{ name: 'a', then: 'permit' }", "{ name: 'b', workload: 'x' }", "{ name: 'c', frm: 1 }"]);
+    let text = file(&[
+        "{ name: 'a', then: 'permit' }",
+        "{ name: 'b', workload: 'x' }",
+        "{ name: 'c', frm: 1 }",
+    ]);
     let said = faults(&text);
     let lines: Vec<&str> = said.lines().map(|l| l.split(' ').next().unwrap()).collect();
-    assert_eq!(lines, ["rules.json5:5:", "rules.json5:6:", "rules.json5:7:"]);
+    assert_eq!(
+        lines,
+        ["rules.json5:5:", "rules.json5:6:", "rules.json5:7:"]
+    );
 }
 
 #[test]
@@ -177,8 +214,12 @@
 
 #[test]
 fn a_set_leaves_every_workload_an_engine_for_somebody() {
-    let all = KnownNames { covered: None, ..known() };
-    let faults = |text: &str| read("r", text, &all, &lines(text)).map_err(|e: FileErrors| e.to_string());
+    let all = KnownNames {
+        covered: None,
+        ..known()
+    };
+    let faults =
+        |text: &str| read("r", text, &all, &lines(text)).map_err(|e: FileErrors| e.to_string());
     let denied = file(&["{ name: 'no', workload: 'report', then: 'deny', reason: 'x' }"]);
     assert!(faults(&denied)
         .unwrap_err()
@@ -191,7 +232,10 @@
     let default = "{ version: 1, default: 'deny',\n rules: [\n{ name: 'a', workload: 'lookup' }] }";
     let said = faults(default).unwrap_err();
     assert_eq!(said.lines().count(), 1);
-    assert!(said.contains("default: the default 'deny' leaves workload `report` with no engine"), "{said}");
+    assert!(
+        said.contains("default: the default 'deny' leaves workload `report` with no engine"),
+        "{said}"
+    );
 }
 
 #[test]
@@ -217,25 +261,58 @@
             groups,
             0,
         );
-        (v.rule.map_or("", |at| index.name(at)).to_string(), v.denied, v.allowed, v.counts.is_some())
+        (
+            v.rule.map_or("", |at| index.name(at)).to_string(),
+            v.denied,
+            v.allowed,
+            v.counts.is_some(),
+        )
     };
     let is = |rule: &str, denied: Option<&str>, allowed: Option<Vec<u16>>, counts| {
-        (rule.to_string(), denied.map(str::to_string), allowed, counts)
+        (
+            rule.to_string(),
+            denied.map(str::to_string),
+            allowed,
+            counts,
+        )
     };
-    assert_eq!(judge("acme", "lookup", Some(&[30])), is("acme", None, Some(vec![0, 1]), false));
-    assert_eq!(judge("acme", "lookup", Some(&[15])), is("acme-tables", None, Some(vec![1]), false));
-    assert_eq!(judge("acme", "lookup", Some(&[12])), is("acme-one", Some("moved"), None, false));
-    assert_eq!(judge("brisk", "report", Some(&[])), is("report", None, Some(vec![0]), true));
+    assert_eq!(
+        judge("acme", "lookup", Some(&[30])),
+        is("acme", None, Some(vec![0, 1]), false)
+    );
+    assert_eq!(
+        judge("acme", "lookup", Some(&[15])),
+        is("acme-tables", None, Some(vec![1]), false)
+    );
+    assert_eq!(
+        judge("acme", "lookup", Some(&[12])),
+        is("acme-one", Some("moved"), None, false)
+    );
+    assert_eq!(
+        judge("brisk", "report", Some(&[])),
+        is("report", None, Some(vec![0]), true)
+    );
     assert_eq!(judge("brisk", "lookup", None), is("", None, None, false));
     // Several groups: where all of them may be read; one that is denied denies the whole.
-    assert_eq!(judge("acme", "lookup", Some(&[30, 15])), is("acme-tables", None, Some(vec![1]), false));
-    assert_eq!(judge("acme", "lookup", Some(&[30, 15, 12])), is("acme-one", Some("moved"), None, false));
+    assert_eq!(
+        judge("acme", "lookup", Some(&[30, 15])),
+        is("acme-tables", None, Some(vec![1]), false)
+    );
+    assert_eq!(
+        judge("acme", "lookup", Some(&[30, 15, 12])),
+        is("acme-one", Some("moved"), None, false)
+    );
     // One that reads none is about none.
-    assert_eq!(judge("acme", "lookup", Some(&[])), is("acme", None, Some(vec![0, 1]), false));
+    assert_eq!(
+        judge("acme", "lookup", Some(&[])),
+        is("acme", None, Some(vec![0, 1]), false)
+    );
     // What cannot be told could be any of them.
     let (rule, denied, ..) = judge("acme", "lookup", None);
     assert_eq!(rule, "acme-one");
-    assert!(denied.unwrap().starts_with("the groups of tables that it reads cannot be told"));
+    assert!(denied
+        .unwrap()
+        .starts_with("the groups of tables that it reads cannot be told"));
 }
 
 #[test]
@@ -244,7 +321,8 @@
     let eu = index(&["{ name: 'a', customer: 'acme', regions: ['eu'] }"]);
     let west = index(&["{ name: 'a', customer: 'acme', regions: ['west'] }"]);
     let none = index(&[]);
-    let later = index(&["{ name: 'a', customer: 'acme', regions: ['eu'], from: '2026-12-01T06:00:00Z' }"]);
+    let later =
+        index(&["{ name: 'a', customer: 'acme', regions: ['eu'], from: '2026-12-01T06:00:00Z' }"]);
     let tables = index(&["{ name: 'a', tables: 7, then: 'deny', reason: 'x' }"]);
     let tightens = |new: &Index, old: &Index| new.tightens(old, &known(), 0);
     assert!(tightens(&eu, &west) && !tightens(&west, &eu));
@@ -262,17 +340,28 @@
     let name = |all: &'static [&'static str]| {
         prop::option::of(prop::sample::select(all)).prop_map(|n| n.map(str::to_string))
     };
-    let tables = prop::option::of((0u32..12, 0u32..6))
-        .prop_map(|t| t.map(|(first, more)| TableRange { first, last: first + more }));
+    let tables = prop::option::of((0u32..12, 0u32..6)).prop_map(|t| {
+        t.map(|(first, more)| TableRange {
+            first,
+            last: first + more,
+        })
+    });
     let effect = prop_oneof![
-        Just(RuleEffect::Deny { reason: "x".to_string() }),
+        Just(RuleEffect::Deny {
+            reason: "x".to_string()
+        }),
         Just(RuleEffect::Allow { places: None }),
         Just(RuleEffect::Count),
-        prop::collection::btree_set(0u16..3, 1..3)
-            .prop_map(|p| RuleEffect::Allow { places: Some(p.into_iter().collect()) }),
+        prop::collection::btree_set(0u16..3, 1..3).prop_map(|p| RuleEffect::Allow {
+            places: Some(p.into_iter().collect())
+        }),
     ];
     let time = prop_oneof![3 => Just((0, u64::MAX)), 1 => (0u64..4, 4u64..8)];
-    let who = (name(&["a", "b", "c"]), name(&["x", "y"]), name(&["eu", "us"]));
+    let who = (
+        name(&["a", "b", "c"]),
+        name(&["x", "y"]),
+        name(&["eu", "us"]),
+    );
     (who, tables, effect, 0i32..3, time).prop_map(
         |((customer, workload, front), tables, effect, priority, (from_ms, until_ms))| {
             let name =
@@ -341,7 +430,10 @@
 fn the_example_is_read() {
     let text = include_str!("../../../deploy/rules.example.json5");
     let names = |all: &[&str]| all.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-    let bound = |name: &&str| WorkloadLocations { name: name.to_string(), locations: None };
+    let bound = |name: &&str| WorkloadLocations {
+        name: name.to_string(),
+        locations: None,
+    };
     let known = KnownNames {
         customers: names(&["acme"]),
         workloads: ["lookup", "report", "load"].iter().map(bound).collect(),
@@ -349,5 +441,8 @@
         ..KnownNames::default()
     };
     let read = read("rules.example.json5", text, &known, &|_| None);
-    assert!(matches!(&read, Ok(RulesCommand::Replace(set)) if set.rules.len() > 4), "{read:?}");
+    assert!(
+        matches!(&read, Ok(RulesCommand::Replace(set)) if set.rules.len() > 4),
+        "{read:?}"
+    );
 }
--- a/crates/access/tests/shares.rs
+++ b/crates/access/tests/shares.rs
@@ -10,7 +10,12 @@
 use sim::{terms, Sim, Tallies, DRIFT_PPM};
 
 const RUNS: u64 = 40; // drawn runs of 90 s
-const LIMITS: [(u32, i64); 4] = [(20, 2_000_000), (100, 10_000_000), (3, 5_000_000), (50, 1_000_000)];
+const LIMITS: [(u32, i64); 4] = [
+    (20, 2_000_000),
+    (100, 10_000_000),
+    (3, 5_000_000),
+    (50, 1_000_000),
+];
 
 fn drawn(seed: u64, odd: Option<(usize, Terms)>) -> Sim {
     let (most, window) = LIMITS[seed as usize % LIMITS.len()];
@@ -27,7 +32,10 @@
         let sim = drawn(seed, None);
         let (most, at) = sim.most();
         let (limit, tallies) = (&sim.limit, &sim.tallies);
-        assert!(most <= limit.most as usize, "seed {seed}: {most} from {at} on, of {limit:?}");
+        assert!(
+            most <= limit.most as usize,
+            "seed {seed}: {most} from {at} on, of {limit:?}"
+        );
         for (to, from) in [
             (&mut all.cuts, tallies.cuts),
             (&mut all.stalls, tallies.stalls),
@@ -39,13 +47,19 @@
         }
     }
     println!("{all:?}");
-    assert!(all.cuts > RUNS && all.stalls > RUNS && all.restarts > RUNS && all.refused > RUNS, "{all:?}");
+    assert!(
+        all.cuts > RUNS && all.stalls > RUNS && all.restarts > RUNS && all.refused > RUNS,
+        "{all:?}"
+    );
     assert!(all.began > 100 * RUNS, "{all:?}");
 }
 
 #[test]
 fn a_share_taken_back_before_its_lease_has_ended_breaks_the_limit_and_the_check_sees_it() {
-    let early = Terms { length: 200_000, drift_ppm: DRIFT_PPM };
+    let early = Terms {
+        length: 200_000,
+        drift_ppm: DRIFT_PPM,
+    };
     let broken = (0..RUNS).filter(|seed| {
         let sim = drawn(*seed, Some((0, early)));
         sim.most().0 > sim.limit.most as usize
@@ -112,6 +126,10 @@
     sim.run(2 * fleet.length + fleet.rests_for() + 6_000_000 + 2_000_000);
     let before = sim.began.len();
     sim.run(40_000_000);
-    assert!(sim.began.len() - before >= 650, "{} since {lost}", sim.began.len() - before);
+    assert!(
+        sim.began.len() - before >= 650,
+        "{} since {lost}",
+        sim.began.len() - before
+    );
     assert!(sim.most().0 <= 100);
 }
--- a/crates/access/tests/shares/sim.rs
+++ b/crates/access/tests/shares/sim.rs
@@ -57,17 +57,30 @@
 }
 
 pub fn terms() -> Terms {
-    Terms { length: 3_000_000, drift_ppm: DRIFT_PPM }
+    Terms {
+        length: 3_000_000,
+        drift_ppm: DRIFT_PPM,
+    }
 }
 
 impl Sim {
-    pub fn new(seed: u64, fronts: usize, most: u32, window: i64, odd: Option<(usize, Terms)>) -> Sim {
+    pub fn new(
+        seed: u64,
+        fronts: usize,
+        most: u32,
+        window: i64,
+        odd: Option<(usize, Terms)>,
+    ) -> Sim {
         let mut rng = Pcg64::seed_from_u64(seed);
         let drift = f64::from(DRIFT_PPM) / 1e6;
         let mut sim = Sim {
             fronts: Vec::new(),
             now: 0,
-            limit: Limit { rule: "a".to_string(), most, window },
+            limit: Limit {
+                rule: "a".to_string(),
+                most,
+                window,
+            },
             odd,
             faults: false,
             ledger: BTreeMap::new(),
@@ -97,13 +110,26 @@
     }
 
     fn shares(&self, front: usize, life: u64, fronts: usize) -> Shares {
-        let terms = self.odd.filter(|(odd, _)| *odd == front).map_or(terms(), |(_, terms)| terms);
-        Shares::new(Owner { front: front as u64 + 1, incarnation: life }, terms, fronts)
+        let terms = self
+            .odd
+            .filter(|(odd, _)| *odd == front)
+            .map_or(terms(), |(_, terms)| terms);
+        Shares::new(
+            Owner {
+                front: front as u64 + 1,
+                incarnation: life,
+            },
+            terms,
+            fronts,
+        )
     }
 
     fn moment(&self, front: usize) -> Moment {
         let steady = (self.now as f64 * self.fronts[front].rate) as i64 + front as i64 * 77_000;
-        Moment { steady, wall_ms: 1_700_000_000_000 + self.now as u64 / 1000 }
+        Moment {
+            steady,
+            wall_ms: 1_700_000_000_000 + self.now as u64 / 1000,
+        }
     }
 
     pub fn run(&mut self, time: i64) {
@@ -150,7 +176,11 @@
             Fault::None(9..15) => {
                 let most = f64::from(self.limit.most) / (self.limit.window as f64 / 1e6);
                 let busy = self.rng.random_bool(0.4);
-                self.fronts[front].asked = if busy { self.rng.random_range(0.0..2.0) * most } else { 0.0 };
+                self.fronts[front].asked = if busy {
+                    self.rng.random_range(0.0..2.0) * most
+                } else {
+                    0.0
+                };
             }
             Fault::None(_) => {}
         }
@@ -158,7 +188,9 @@
 
     /// Asks and answers on their way.
     fn deliver(&mut self) {
-        let (due, later) = std::mem::take(&mut self.asks).into_iter().partition(|(at, ..)| *at <= self.now);
+        let (due, later) = std::mem::take(&mut self.asks)
+            .into_iter()
+            .partition(|(at, ..)| *at <= self.now);
         self.asks = later;
         let due: Vec<(i64, usize, u64, Ask, bool)> = due;
         for (_, front, life, ask, answered) in due {
@@ -168,8 +200,9 @@
                 self.answers.push((back, front, life, ask.number, outcome));
             }
         }
-        let (due, later) =
-            std::mem::take(&mut self.answers).into_iter().partition(|(at, ..)| *at <= self.now);
+        let (due, later) = std::mem::take(&mut self.answers)
+            .into_iter()
+            .partition(|(at, ..)| *at <= self.now);
         self.answers = later;
         let due: Vec<(i64, usize, u64, u64, Outcome)> = due;
         for (at, front, life, number, outcome) in due {
@@ -189,16 +222,30 @@
 
     fn ledger_act(&mut self, front: usize, life: u64, ask: &Ask) -> Outcome {
         let current = self.ledger.get(&ask.key).cloned();
-        let Act::Put { expects, ends_ms, value } = &ask.act else {
+        let Act::Put {
+            expects,
+            ends_ms,
+            value,
+        } = &ask.act
+        else {
             return current.map_or(Outcome::Absent, Outcome::Stands);
         };
         if expects.is_some_and(|expects| expects != current.as_ref().map_or(0, |e| e.version)) {
             return current.map_or(Outcome::Absent, Outcome::Held);
         }
         self.last += 1;
-        let owner = Owner { front: front as u64 + 1, incarnation: life };
+        let owner = Owner {
+            front: front as u64 + 1,
+            incarnation: life,
+        };
         let (key, ends_ms, value) = (ask.key.clone(), *ends_ms, value.clone());
-        let entry = Entry { key, owner, version: self.last, ends_ms, value };
+        let entry = Entry {
+            key,
+            owner,
+            version: self.last,
+            ends_ms,
+            value,
+        };
         self.ledger.insert(ask.key.clone(), entry.clone());
         Outcome::Stands(entry)
     }
@@ -207,7 +254,10 @@
         let at = self.moment(front);
         let expected = self.fronts[front].asked * STEP as f64 / 1e6;
         let mut arrive = expected as u64;
-        arrive += u64::from(self.rng.random_bool((expected - arrive as f64).clamp(0.0, 1.0)));
+        arrive += u64::from(
+            self.rng
+                .random_bool((expected - arrive as f64).clamp(0.0, 1.0)),
+        );
         for _ in 0..arrive {
             self.tallies.asked += 1;
             let f = &mut self.fronts[front];
@@ -223,12 +273,22 @@
             *next += 1;
             *next
         });
-        let (ready, refused) = (std::mem::take(&mut f.shares.ready), std::mem::take(&mut f.shares.refused));
+        let (ready, refused) = (
+            std::mem::take(&mut f.shares.ready),
+            std::mem::take(&mut f.shares.refused),
+        );
         let asks = std::mem::take(&mut f.shares.asks);
-        ready.into_iter().for_each(|statement| self.queue(front, statement));
+        ready
+            .into_iter()
+            .for_each(|statement| self.queue(front, statement));
         if !refused.is_empty() {
             let since = self.now - self.limit.window;
-            let began = self.began.iter().rev().take_while(|at| **at > since).count();
+            let began = self
+                .began
+                .iter()
+                .rev()
+                .take_while(|at| **at > since)
+                .count();
             self.tallies.refused += refused.len() as u64;
             let room = began < self.limit.most as usize;
             self.tallies.not_needed += if room { refused.len() as u64 } else { 0 };
@@ -238,11 +298,21 @@
             let cut = self.fronts[front].cut > self.now;
             let life = self.fronts[front].life;
             if cut {
-                let answer = (self.now + PATIENCE, front, life, ask.number, Outcome::Unreachable);
+                let answer = (
+                    self.now + PATIENCE,
+                    front,
+                    life,
+                    ask.number,
+                    Outcome::Unreachable,
+                );
                 self.answers.push(answer);
             }
             // Cut off: lost on its way there, or on its way back. Some come twice, the second late.
-            let late = if cut { self.rng.random_range(0..3_000_000) } else { 0 };
+            let late = if cut {
+                self.rng.random_range(0..3_000_000)
+            } else {
+                0
+            };
             let there = self.now + self.rng.random_range(500..15_000) + late;
             if self.faults && self.rng.random_bool(0.05) {
                 let again = there + self.rng.random_range(0..2_000_000);
@@ -256,8 +326,16 @@
     }
 
     fn queue(&mut self, front: usize, statement: u64) {
-        let wait = if self.rng.random_bool(0.05) { 4_000_000 } else { 20_000 };
-        let wait = if self.faults { self.rng.random_range(0..wait) } else { 0 };
+        let wait = if self.rng.random_bool(0.05) {
+            4_000_000
+        } else {
+            20_000
+        };
+        let wait = if self.faults {
+            self.rng.random_range(0..wait)
+        } else {
+            0
+        };
         self.fronts[front].queued.push((self.now + wait, statement));
     }
 
@@ -275,18 +353,25 @@
                 f.shares.over(statement);
             }
         }
-        let (over, running): (Vec<_>, Vec<_>) = f.running.drain(..).partition(|(ends, _)| *ends <= now);
+        let (over, running): (Vec<_>, Vec<_>) =
+            f.running.drain(..).partition(|(ends, _)| *ends <= now);
         f.running = running;
-        over.into_iter().for_each(|(_, statement)| f.shares.over(statement));
+        over.into_iter()
+            .for_each(|(_, statement)| f.shares.over(statement));
     }
 
     /// The most that began in any window, and where.
     pub fn most(&self) -> (usize, i64) {
         let window = self.limit.window;
         let in_window = |from: usize| {
-            let end = self.began.partition_point(|at| *at < self.began[from] + window);
+            let end = self
+                .began
+                .partition_point(|at| *at < self.began[from] + window);
             (end - from, self.began[from])
         };
-        (0..self.began.len()).map(in_window).max().unwrap_or_default()
+        (0..self.began.len())
+            .map(in_window)
+            .max()
+            .unwrap_or_default()
     }
 }
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -29,7 +29,15 @@
             return Ok(());
         }
         // A key may be any text.
-        write!(f, "{between}{}", OneLine(if self.path.is_empty() { "the text" } else { &self.path }))
+        write!(
+            f,
+            "{between}{}",
+            OneLine(if self.path.is_empty() {
+                "the text"
+            } else {
+                &self.path
+            })
+        )
     }
 }
 
@@ -209,31 +217,46 @@
 impl KeyProblem {
     /// A number that is not from `least` to `most`.
     pub fn out_of_range(least: impl fmt::Display, most: impl fmt::Display) -> KeyProblem {
-        KeyProblem::OutOfRange { least: least.to_string(), most: most.to_string() }
+        KeyProblem::OutOfRange {
+            least: least.to_string(),
+            most: most.to_string(),
+        }
     }
 
     /// A number under `least`.
     pub fn below_minimum(least: impl fmt::Display) -> KeyProblem {
-        KeyProblem::BelowMinimum { least: least.to_string() }
+        KeyProblem::BelowMinimum {
+            least: least.to_string(),
+        }
     }
 
     /// A number over `most`.
     pub fn above_maximum(most: impl fmt::Display) -> KeyProblem {
-        KeyProblem::AboveMaximum { most: most.to_string() }
+        KeyProblem::AboveMaximum {
+            most: most.to_string(),
+        }
     }
 
     /// A name that is not among those of `whose`, which are `known`.
     pub fn unknown_name(name: &str, whose: &'static str, known: &[String]) -> KeyProblem {
-        KeyProblem::UnknownName { name: name.to_string(), whose, known: known.to_vec() }
+        KeyProblem::UnknownName {
+            name: name.to_string(),
+            whose,
+            known: known.to_vec(),
+        }
     }
 }
 
 /// From "what is wrong; what to do".
 impl From<&str> for KeyProblem {
     fn from(text: &str) -> KeyProblem {
-        let (problem, remedy) =
-            text.split_once("; ").unwrap_or((text, "deploy/operator.example.json5 shows it"));
-        KeyProblem::Other { problem: problem.to_string(), remedy: remedy.to_string() }
+        let (problem, remedy) = text
+            .split_once("; ")
+            .unwrap_or((text, "deploy/operator.example.json5 shows it"));
+        KeyProblem::Other {
+            problem: problem.to_string(),
+            remedy: remedy.to_string(),
+        }
     }
 }
 
@@ -254,9 +277,14 @@
     /// The same as an error of the file that a variable names, where it is one of a text.
     pub(crate) fn in_file(self, variable: &'static str, path: &str) -> Error {
         match self {
-            Error::NotUtf8 { .. } | Error::Malformed { .. } | Error::TooDeep { .. } | Error::Key { .. } => {
-                Error::InFile { variable, path: path.to_string(), error: Box::new(self) }
-            }
+            Error::NotUtf8 { .. }
+            | Error::Malformed { .. }
+            | Error::TooDeep { .. }
+            | Error::Key { .. } => Error::InFile {
+                variable,
+                path: path.to_string(),
+                error: Box::new(self),
+            },
             other => other,
         }
     }
--- a/crates/config/src/error_tests.rs
+++ b/crates/config/src/error_tests.rs
@@ -5,14 +5,25 @@
 use super::*;
 
 fn position(line: usize, path: &str) -> Position {
-    Position { line: Some(line), column: None, path: path.into() }
+    Position {
+        line: Some(line),
+        column: None,
+        path: path.into(),
+    }
 }
 
 /// Where, what is wrong, what to do: each is there, in this order and in one line.
 fn has_shape(text: &str, place: &str) {
-    let Some((before, remedy)) = text.rsplit_once("; ") else { panic!("no remedy: {text}") };
-    let problem = before.strip_prefix(place).and_then(|rest| rest.strip_prefix(": "));
-    assert!(problem.is_some_and(|problem| problem.len() > 4), "no place and what is wrong: {text}");
+    let Some((before, remedy)) = text.rsplit_once("; ") else {
+        panic!("no remedy: {text}")
+    };
+    let problem = before
+        .strip_prefix(place)
+        .and_then(|rest| rest.strip_prefix(": "));
+    assert!(
+        problem.is_some_and(|problem| problem.len() > 4),
+        "no place and what is wrong: {text}"
+    );
     assert!(remedy.len() >= 8 && !text.contains('\n'), "{text}");
 }
 
@@ -20,14 +31,22 @@
 fn every_kind_of_key_says_what_is_wrong_and_what_to_do() {
     let kinds = [
         KeyProblem::Missing,
-        KeyProblem::MissingWithVariable { variable: "NODE_NAME" },
-        KeyProblem::Rejected { reason: "unknown field `sesions`".into(), hint: "the example shows each key" },
+        KeyProblem::MissingWithVariable {
+            variable: "NODE_NAME",
+        },
+        KeyProblem::Rejected {
+            reason: "unknown field `sesions`".into(),
+            hint: "the example shows each key",
+        },
         KeyProblem::InvalidValue {
             value: "x".into(),
             reason: "no address".into(),
             remedy: "give an address",
         },
-        KeyProblem::UnknownWord { word: "x".into(), known: vec!["all", "zone"] },
+        KeyProblem::UnknownWord {
+            word: "x".into(),
+            known: vec!["all", "zone"],
+        },
         KeyProblem::unknown_name("x", "the settings' kinds", &["std".into(), "big".into()]),
         KeyProblem::unknown_name("x", "the settings' kinds", &[]),
         KeyProblem::out_of_range(1, 9),
@@ -50,24 +69,46 @@
             | KeyProblem::UnknownName { .. }
             | KeyProblem::OutOfRange { .. }
             | KeyProblem::BelowMinimum { .. } => {}
-            KeyProblem::AboveMaximum { .. } | KeyProblem::InvalidPublicKey | KeyProblem::Other { .. } => {}
+            KeyProblem::AboveMaximum { .. }
+            | KeyProblem::InvalidPublicKey
+            | KeyProblem::Other { .. } => {}
         }
-        let text =
-            Error::Key { position: position(7, "gossip.peers.n1"), problem: Box::new(problem) }.to_string();
+        let text = Error::Key {
+            position: position(7, "gossip.peers.n1"),
+            problem: Box::new(problem),
+        }
+        .to_string();
         has_shape(&text, "line 7: gossip.peers.n1");
     }
     assert_eq!(seen.len(), 11, "a kind is left out");
     let many: Vec<String> = (0..18).map(|n| format!("k{n}")).collect();
     let text = KeyProblem::unknown_name("x", "the settings' kinds", &many).to_string();
-    assert!(text.contains("k15 and 2 more") && !text.contains("k16"), "{text}");
+    assert!(
+        text.contains("k15 and 2 more") && !text.contains("k16"),
+        "{text}"
+    );
 }
 
 #[test]
 fn every_error_says_where_what_and_what_to_do() {
-    let key = Error::Key { position: position(7, "seed"), problem: Box::new(KeyProblem::Missing) };
-    let deep = Error::TooDeep { position: position(3, ""), most: 64 };
-    let not_text = Error::NotUtf8 { position: Position { column: Some(4), ..position(2, "") } };
-    let malformed = Error::Malformed { position: position(3, "settings"), reason: "expected colon".into() };
+    let key = Error::Key {
+        position: position(7, "seed"),
+        problem: Box::new(KeyProblem::Missing),
+    };
+    let deep = Error::TooDeep {
+        position: position(3, ""),
+        most: 64,
+    };
+    let not_text = Error::NotUtf8 {
+        position: Position {
+            column: Some(4),
+            ..position(2, "")
+        },
+    };
+    let malformed = Error::Malformed {
+        position: position(3, "settings"),
+        reason: "expected colon".into(),
+    };
     let unreadable = Error::UnreadableFile {
         variable: "NODE_CONFIG",
         path: "a.json".into(),
@@ -82,7 +123,13 @@
     let in_file = |error: &Error| error.clone().in_file("HALLMUX_OPERATOR", "op.json5");
     let mut seen = HashSet::new();
     for (error, place) in [
-        (Error::Unset { variable: "NODE_CONFIG", expected: "a path" }, "NODE_CONFIG"),
+        (
+            Error::Unset {
+                variable: "NODE_CONFIG",
+                expected: "a path",
+            },
+            "NODE_CONFIG",
+        ),
         (variable.clone(), "NODE_LISTEN"),
         (unreadable.clone(), "NODE_CONFIG: a.json"),
         (not_text.clone(), "line 2, column 4"),
@@ -91,8 +138,14 @@
         (key.clone(), "line 7: seed"),
         (in_file(&key), "HALLMUX_OPERATOR: op.json5: line 7: seed"),
         (in_file(&deep), "HALLMUX_OPERATOR: op.json5: line 3"),
-        (in_file(&not_text), "HALLMUX_OPERATOR: op.json5: line 2, column 4"),
-        (in_file(&malformed), "HALLMUX_OPERATOR: op.json5: line 3: settings"),
+        (
+            in_file(&not_text),
+            "HALLMUX_OPERATOR: op.json5: line 2, column 4",
+        ),
+        (
+            in_file(&malformed),
+            "HALLMUX_OPERATOR: op.json5: line 3: settings",
+        ),
         // What is not of the file is not said to be.
         (in_file(&variable), "NODE_LISTEN"),
         (in_file(&unreadable), "NODE_CONFIG: a.json"),
@@ -114,10 +167,24 @@
 #[test]
 fn an_error_that_quotes_a_line_break_stays_on_one_line() {
     let breaking = || BREAKING.to_string();
-    let at = |path: &str| Position { line: Some(7), column: None, path: path.into() };
-    let problem = |problem| Error::Key { position: at("settings.x"), problem: Box::new(problem) };
-    let key = Error::Key { position: at(BREAKING), problem: Box::new(KeyProblem::Missing) };
-    let unreadable = Error::UnreadableFile { variable: "NODE_CONFIG", path: breaking(), reason: breaking() };
+    let at = |path: &str| Position {
+        line: Some(7),
+        column: None,
+        path: path.into(),
+    };
+    let problem = |problem| Error::Key {
+        position: at("settings.x"),
+        problem: Box::new(problem),
+    };
+    let key = Error::Key {
+        position: at(BREAKING),
+        problem: Box::new(KeyProblem::Missing),
+    };
+    let unreadable = Error::UnreadableFile {
+        variable: "NODE_CONFIG",
+        path: breaking(),
+        reason: breaking(),
+    };
     let variable = Error::Variable {
         variable: "NODE_LISTEN",
         value: breaking(),
@@ -129,16 +196,41 @@
         key.in_file("HALLMUX_OPERATOR", BREAKING),
         unreadable,
         variable,
-        Error::Malformed { position: at(BREAKING), reason: breaking() },
-        problem(KeyProblem::Rejected { reason: breaking(), hint: "the example shows each key" }),
-        problem(KeyProblem::InvalidValue { value: breaking(), reason: breaking(), remedy: "give another" }),
-        problem(KeyProblem::UnknownWord { word: breaking(), known: vec!["all", "zone"] }),
-        problem(KeyProblem::unknown_name(BREAKING, "the settings' kinds", &[breaking()])),
-        problem(KeyProblem::from(format!("{BREAKING} can't be used; give another"))),
+        Error::Malformed {
+            position: at(BREAKING),
+            reason: breaking(),
+        },
+        problem(KeyProblem::Rejected {
+            reason: breaking(),
+            hint: "the example shows each key",
+        }),
+        problem(KeyProblem::InvalidValue {
+            value: breaking(),
+            reason: breaking(),
+            remedy: "give another",
+        }),
+        problem(KeyProblem::UnknownWord {
+            word: breaking(),
+            known: vec!["all", "zone"],
+        }),
+        problem(KeyProblem::unknown_name(
+            BREAKING,
+            "the settings' kinds",
+            &[breaking()],
+        )),
+        problem(KeyProblem::from(format!(
+            "{BREAKING} can't be used; give another"
+        ))),
     ];
     for error in errors {
         let text = error.to_string();
-        assert!(!text.contains(|c: char| c.is_control() || "\u{2028}\u{2029}".contains(c)), "{text:?}");
-        assert!(text.contains(r"a\nb\rc\u{85}d\u{2028}e\u{2029}f\u{1b}[2J\u{0}"), "{text}");
+        assert!(
+            !text.contains(|c: char| c.is_control() || "\u{2028}\u{2029}".contains(c)),
+            "{text:?}"
+        );
+        assert!(
+            text.contains(r"a\nb\rc\u{85}d\u{2028}e\u{2029}f\u{1b}[2J\u{0}"),
+            "{text}"
+        );
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -20,7 +20,8 @@
 pub use node::{NodeConfig, NodeLimits};
 pub use one_line::OneLine;
 pub use operator::{
-    line_of, parse_key, Audits, Gossip, Ledger, LedgerMember, LoadSignal, OnDiskFailure, Operator, Overload,
-    Ownership, Postgres, PostgresEngines, Rules, Scatter, SessionLimits, SummaryBudget, User,
+    line_of, parse_key, Audits, Gossip, Ledger, LedgerMember, LoadSignal, OnDiskFailure, Operator,
+    Overload, Ownership, Postgres, PostgresEngines, Rules, Scatter, SessionLimits, SummaryBudget,
+    User,
 };
 pub use settings::{micros, Names, NetworkSettings, Settings};
--- a/crates/config/src/node.rs
+++ b/crates/config/src/node.rs
@@ -43,7 +43,10 @@
 
 impl Default for FileLimits {
     fn default() -> Self {
-        FileLimits { memory_mb: MEMORY_MB, sockets: SOCKETS }
+        FileLimits {
+            memory_mb: MEMORY_MB,
+            sockets: SOCKETS,
+        }
     }
 }
 
@@ -85,7 +88,10 @@
     /// Reads the environment variables given and the files that they name: `NODE_CONFIG`, which has to be
     /// there, and `HALLMUX_OPERATOR`.
     pub fn read(variables: &HashMap<String, String>) -> Result<NodeConfig, Error> {
-        let unset = Error::Unset { variable: "NODE_CONFIG", expected: "the path of this front's JSON file" };
+        let unset = Error::Unset {
+            variable: "NODE_CONFIG",
+            expected: "the path of this front's JSON file",
+        };
         let path = variables.get("NODE_CONFIG").ok_or(unset)?;
         let text = text::file("NODE_CONFIG", path)?;
         NodeConfig::parse(variables, &text).map_err(|e| e.in_file("NODE_CONFIG", path))
@@ -93,15 +99,26 @@
 
     /// Reads the text of the file that `NODE_CONFIG` names. Variables go before its keys.
     pub fn parse(variables: &HashMap<String, String>, text: &str) -> Result<NodeConfig, Error> {
-        let sources = Sources { variables, file: Section { name: "", text, lines: 0 } };
+        let sources = Sources {
+            variables,
+            file: Section {
+                name: "",
+                text,
+                lines: 0,
+            },
+        };
         let file: File = sources.file.read()?;
         let seed = file.seed.ok_or_else(|| missing("seed"))?;
-        let limits = file.limits.map_or(Ok(FileLimits::default()), |limits| sources.limits(limits))?;
+        let limits = file
+            .limits
+            .map_or(Ok(FileLimits::default()), |limits| sources.limits(limits))?;
         let settings = file.settings.ok_or_else(|| missing("settings"))?;
         let mut settings = settings_of(&sources.section("settings", settings))?;
         let operator = sources.operator(&settings)?;
         operator.apply(&mut settings.agreement);
-        let coordinator = file.coordinator.map(|at| sources.parsed("coordinator", &at, at.parse(), ADDRESS));
+        let coordinator = file
+            .coordinator
+            .map(|at| sources.parsed("coordinator", &at, at.parse(), ADDRESS));
         let level = variables.get("HALLMUX_LOG").map_or(LEVEL, String::as_str);
         Ok(NodeConfig {
             name: sources.text("NODE_NAME", "name", file.name)?,
@@ -112,7 +129,9 @@
                 sockets: limits.sockets,
             },
             coordinator: coordinator.transpose()?,
-            known_events: file.known.map_or_else(|| NOTHING_KNOWN.to_string(), |raw| raw.get().to_string()),
+            known_events: file
+                .known
+                .map_or_else(|| NOTHING_KNOWN.to_string(), |raw| raw.get().to_string()),
             settings,
             operator,
             log_level: from_variable("HALLMUX_LOG", level, LEVELS)?,
@@ -131,7 +150,11 @@
 impl<'a> Sources<'a> {
     /// An object of the file that is read by itself.
     fn section(&self, name: &'a str, raw: &'a RawValue) -> Section<'a> {
-        Section { name, text: raw.get(), lines: text::lines_before(self.file.text, raw.get()) }
+        Section {
+            name,
+            text: raw.get(),
+            lines: text::lines_before(self.file.text, raw.get()),
+        }
     }
 
     /// What the machine grants. Guards against limits under which a front would start and serve nobody.
@@ -148,9 +171,17 @@
     }
 
     /// The value of a variable, or else of a key.
-    fn text(&self, variable: &'static str, key: &str, in_file: Option<String>) -> Result<String, Error> {
+    fn text(
+        &self,
+        variable: &'static str,
+        key: &str,
+        in_file: Option<String>,
+    ) -> Result<String, Error> {
         let value = self.variables.get(variable).cloned().or(in_file);
-        value.ok_or_else(|| self.file.error(key, KeyProblem::MissingWithVariable { variable }))
+        value.ok_or_else(|| {
+            self.file
+                .error(key, KeyProblem::MissingWithVariable { variable })
+        })
     }
 
     fn address(
@@ -176,21 +207,36 @@
     ) -> Result<T, Error> {
         read.map_err(|e| {
             let (value, reason) = (value.to_string(), e.to_string());
-            self.file.error(key, KeyProblem::InvalidValue { value, reason, remedy })
+            self.file.error(
+                key,
+                KeyProblem::InvalidValue {
+                    value,
+                    reason,
+                    remedy,
+                },
+            )
         })
     }
 
     /// The operator's own file, if a variable names one.
     fn operator(&self, settings: &Settings) -> Result<Operator, Error> {
-        let Some(path) = self.variables.get(OPERATOR) else { return Ok(Operator::default()) };
+        let Some(path) = self.variables.get(OPERATOR) else {
+            return Ok(Operator::default());
+        };
         let text = text::file(OPERATOR, path)?;
         Operator::parse(&text, settings).map_err(|e| e.in_file(OPERATOR, path))
     }
 }
 
 fn missing(key: &str) -> Error {
-    let position = Position { path: key.to_string(), ..Position::default() };
-    Error::Key { position, problem: Box::new(KeyProblem::Missing) }
+    let position = Position {
+        path: key.to_string(),
+        ..Position::default()
+    };
+    Error::Key {
+        position,
+        problem: Box::new(KeyProblem::Missing),
+    }
 }
 
 const OPERATOR: &str = "HALLMUX_OPERATOR";
@@ -202,7 +248,11 @@
 where
     T: FromStr<Err: std::fmt::Display>,
 {
-    let invalid =
-        |e: T::Err| Error::Variable { variable, value: value.into(), reason: e.to_string(), remedy };
+    let invalid = |e: T::Err| Error::Variable {
+        variable,
+        value: value.into(),
+        reason: e.to_string(),
+        remedy,
+    };
     value.parse().map_err(invalid)
 }
--- a/crates/config/src/operator/file.rs
+++ b/crates/config/src/operator/file.rs
@@ -86,16 +86,25 @@
         let mut reader = json5::Deserializer::from_str(text);
         let file: File = serde_path_to_error::deserialize(&mut reader)
             .map_err(|e| rejected(text, &e.path().to_string(), e.inner()))?;
-        let postgres = file.postgres.map(|p| postgres(text, p, settings)).transpose()?;
+        let postgres = file
+            .postgres
+            .map(|p| postgres(text, p, settings))
+            .transpose()?;
         let gossip = file.gossip.map(|g| gossip(text, g)).transpose()?;
         let rules = file.rules.map(|r| rules(text, r, settings)).transpose()?;
-        let scatter = file.scatter.map(|s| scatter(text, s, settings)).transpose()?;
+        let scatter = file
+            .scatter
+            .map(|s| scatter(text, s, settings))
+            .transpose()?;
         let marked = scatter.as_ref().is_some_and(|scatter| scatter.marked);
         if marked && gossip.as_ref().is_none_or(|gossip| gossip.ledger.is_none()) {
             let problem = "'marked' needs gossip.ledger, where marks stand; add it, or say 'none' where no load goes through fronts";
             return Err(key_error(text, "scatter.loads", problem));
         }
-        let load_signal = file.load_signal.map(|l| load_signal(text, &l, settings)).transpose()?;
+        let load_signal = file
+            .load_signal
+            .map(|l| load_signal(text, &l, settings))
+            .transpose()?;
         let ahead = file.clock_ahead_ms;
         if !ahead.is_finite() || ahead.abs() > MOST_AHEAD_MS {
             return Err(key_error(
@@ -104,7 +113,14 @@
                 KeyProblem::out_of_range(-MOST_AHEAD_MS, MOST_AHEAD_MS),
             ));
         }
-        Ok(Operator { postgres, gossip, rules, scatter, load_signal, clock_offset: micros(ahead) })
+        Ok(Operator {
+            postgres,
+            gossip,
+            rules,
+            scatter,
+            load_signal,
+            clock_offset: micros(ahead),
+        })
     }
 }
 
