--- a/crates/config/src/operator/file_tests.rs
+++ b/crates/config/src/operator/file_tests.rs
@@ -8,7 +8,10 @@
 
 /// Reads a text against settings that name one workload, customer, location and two kinds.
 pub fn read(text: &str) -> Result<Operator, String> {
-    Ok(Operator::parse(text, &crate::Settings::parse(SETTINGS).unwrap())?)
+    Ok(Operator::parse(
+        text,
+        &crate::Settings::parse(SETTINGS).unwrap(),
+    )?)
 }
 
 #[test]
@@ -17,7 +20,8 @@
     let more = SETTINGS.replace(r#"["here"]"#, r#"["here", "std-eu", "std-us", "std-ap"]"#);
     let settings = crate::Settings::parse(&more).unwrap();
     // These settings have no reports.
-    let example = Operator::parse(&text.replace("load_signal: 'in_flight',", ""), &settings).unwrap();
+    let example =
+        Operator::parse(&text.replace("load_signal: 'in_flight',", ""), &settings).unwrap();
     assert!(example.postgres.is_some() && example.gossip.is_some() && example.scatter.is_some());
     assert!(example.rules.is_some());
 }
@@ -30,26 +34,46 @@
 fn the_load_signal_follows_the_reports_unless_chosen_and_a_mix_is_refused() {
     let settings = crate::Settings::parse(REPORTING).unwrap();
     let places = &settings.agreement.report;
-    assert_eq!((places.active, places.busy, places.waiting), (None, Some(0), Some(1)));
+    assert_eq!(
+        (places.active, places.busy, places.waiting),
+        (None, Some(0), Some(1))
+    );
     // Where the file is silent, nothing changes: the settings alone choose the shape.
     let silent = Operator::parse("{}", &settings).unwrap();
     assert_eq!(silent.load_signal, None);
     let chosen = Operator::parse("{ load_signal: 'utilization' }", &settings).unwrap();
     assert_eq!(chosen.load_signal, Some(LoadSignal::Utilization));
     // The earlier shape with reports of the later one: refused, with the key and its line.
-    let mixed = Operator::parse("{\n  load_signal: 'in_flight',\n}", &settings).unwrap_err().to_string();
-    assert!(mixed.starts_with("line 2: load_signal: 'in_flight' needs 'active'"), "{mixed}");
-    let unknown = Operator::parse("{ load_signal: 'rough' }", &settings).unwrap_err().to_string();
-    assert!(unknown.starts_with("line 1: load_signal: 'rough' is neither"), "{unknown}");
+    let mixed = Operator::parse("{\n  load_signal: 'in_flight',\n}", &settings)
+        .unwrap_err()
+        .to_string();
+    assert!(
+        mixed.starts_with("line 2: load_signal: 'in_flight' needs 'active'"),
+        "{mixed}"
+    );
+    let unknown = Operator::parse("{ load_signal: 'rough' }", &settings)
+        .unwrap_err()
+        .to_string();
+    assert!(
+        unknown.starts_with("line 1: load_signal: 'rough' is neither"),
+        "{unknown}"
+    );
 }
 
 #[test]
 fn a_chosen_load_signal_leaves_the_other_figure_unread() {
     let both = REPORTING.replace(r#"["cpu", "waiting"]"#, r#"["active", "cpu"]"#);
     let settings = crate::Settings::parse(&both).unwrap();
-    let (mut earlier, mut later) = (settings.agreement.report.clone(), settings.agreement.report.clone());
-    Operator::parse("{ load_signal: 'in_flight' }", &settings).unwrap().apply_load_signal(&mut earlier);
-    Operator::parse("{ load_signal: 'utilization' }", &settings).unwrap().apply_load_signal(&mut later);
+    let (mut earlier, mut later) = (
+        settings.agreement.report.clone(),
+        settings.agreement.report.clone(),
+    );
+    Operator::parse("{ load_signal: 'in_flight' }", &settings)
+        .unwrap()
+        .apply_load_signal(&mut earlier);
+    Operator::parse("{ load_signal: 'utilization' }", &settings)
+        .unwrap()
+        .apply_load_signal(&mut later);
     assert_eq!((earlier.active, earlier.busy), (Some(0), None));
     assert_eq!((later.active, later.busy), (None, Some(1)));
 }
--- a/crates/config/src/operator/gossip.rs
+++ b/crates/config/src/operator/gossip.rs
@@ -73,14 +73,37 @@
         }
     }
     if file.zone_quorum > MOST_QUORUM {
-        return Err(key_error(text, "gossip.zone_quorum", KeyProblem::above_maximum(MOST_QUORUM)));
+        return Err(key_error(
+            text,
+            "gossip.zone_quorum",
+            KeyProblem::above_maximum(MOST_QUORUM),
+        ));
     }
     let shed = file.overload.take();
-    let GossipFile { listen, advertise, secret_file, seeds, zone_quorum, ownership, ledger: kept, .. } = file;
+    let GossipFile {
+        listen,
+        advertise,
+        secret_file,
+        seeds,
+        zone_quorum,
+        ownership,
+        ledger: kept,
+        ..
+    } = file;
     let ownership = ownership.map(|o| owned(text, o, &peers)).transpose()?;
     let overload = shed.map(|o| overload(text, o)).transpose()?;
     let ledger = kept.map(|l| ledger(text, l, &peers)).transpose()?;
-    Ok(Gossip { listen, advertise, secret_file, peers, seeds, zone_quorum, ownership, ledger, overload })
+    Ok(Gossip {
+        listen,
+        advertise,
+        secret_file,
+        peers,
+        seeds,
+        zone_quorum,
+        ownership,
+        ledger,
+        overload,
+    })
 }
 
 /// Thirty-two bytes of a key, from 64 hexadecimal digits with white space around; None for any other text.
--- a/crates/config/src/operator/gossip_tests.rs
+++ b/crates/config/src/operator/gossip_tests.rs
@@ -5,14 +5,24 @@
 #[test]
 fn keys_and_the_quorum_are_read_and_checked() {
     let key = "0f".repeat(32);
-    let gossip =
-        format!("{{ gossip: {{ listen: '127.0.0.1:0', secret_file: 's', peers: {{ a: '{key}' }} }} }}");
-    assert_eq!(read(&gossip).unwrap().gossip.unwrap().peers, [("a".to_string(), [15; 32])]);
+    let gossip = format!(
+        "{{ gossip: {{ listen: '127.0.0.1:0', secret_file: 's', peers: {{ a: '{key}' }} }} }}"
+    );
+    assert_eq!(
+        read(&gossip).unwrap().gossip.unwrap().peers,
+        [("a".to_string(), [15; 32])]
+    );
     let why = read(&gossip.replace(&key, &key[1..])).unwrap_err();
-    assert!(why.starts_with("line 1: gossip.peers.a: is no key"), "{why}");
+    assert!(
+        why.starts_with("line 1: gossip.peers.a: is no key"),
+        "{why}"
+    );
     assert_eq!(read(&gossip).unwrap().gossip.unwrap().zone_quorum, 2);
     let off = gossip.replace("peers:", "zone_quorum: 0, peers:");
     assert_eq!(read(&off).unwrap().gossip.unwrap().zone_quorum, 0);
     let why = read(&gossip.replace("peers:", "\nzone_quorum: 65, peers:")).unwrap_err();
-    assert!(why.starts_with("line 2: gossip.zone_quorum: is over 64"), "{why}");
+    assert!(
+        why.starts_with("line 2: gossip.zone_quorum: is over 64"),
+        "{why}"
+    );
 }
--- a/crates/config/src/operator/ledger.rs
+++ b/crates/config/src/operator/ledger.rs
@@ -165,19 +165,33 @@
 
 /// Checks the section; `peers` are the fronts known by name.
 pub fn ledger(text: &str, file: LedgerFile, peers: &[(String, [u8; 32])]) -> Result<Ledger, Error> {
-    let check = Checker { text, section: "gossip.ledger" };
+    let check = Checker {
+        text,
+        section: "gossip.ledger",
+    };
     let copies = copies(&check, &file)?;
     check_ranges(&check, &file)?;
     if file.directory.as_ref().is_some_and(String::is_empty) {
-        return check.refuse("directory", "names none; leave the key out to keep copies in memory alone");
+        return check.refuse(
+            "directory",
+            "names none; leave the key out to keep copies in memory alone",
+        );
     }
     if file.drill.is_some() && file.directory.is_none() {
-        return check.refuse("drill", "needs gossip.ledger.directory; name one, or leave the drill out");
+        return check.refuse(
+            "drill",
+            "needs gossip.ledger.directory; name one, or leave the drill out",
+        );
     }
     let on_disk_failure = match file.on_disk_failure.as_str() {
         "refuse" => OnDiskFailure::Refuse,
         "memory" => OnDiskFailure::Memory,
-        _ => return check.refuse("on_disk_failure", "is neither 'refuse' nor 'memory'; give one of them"),
+        _ => {
+            return check.refuse(
+                "on_disk_failure",
+                "is neither 'refuse' nor 'memory'; give one of them",
+            )
+        }
     };
     let members = members(&check, file.members, peers)?;
     Ok(Ledger {
@@ -231,7 +245,12 @@
         return check.refuse("repair_bytes", problem);
     }
     check.range("moves_percent", file.moves_percent, 0, 100)?;
-    check.range("zone_after_ms", file.zone_after_ms, file.repair_after_ms, DAY_MS)?;
+    check.range(
+        "zone_after_ms",
+        file.zone_after_ms,
+        file.repair_after_ms,
+        DAY_MS,
+    )?;
     if file.clocks_apart_ms > 60_000 {
         return check.refuse("clocks_apart_ms", "is over 60000; set the clocks instead");
     }
@@ -248,7 +267,11 @@
     for (name, MemberFile { at, zone }) in named {
         let key = format!("members.{name}");
         match peers.iter().find(|(peer, _)| *peer == name) {
-            Some((_, key)) if seen.insert(*key) => members.push(LedgerMember { key: *key, at, zone }),
+            Some((_, key)) if seen.insert(*key) => members.push(LedgerMember {
+                key: *key,
+                at,
+                zone,
+            }),
             Some(_) => {
                 let problem = "has the key of another member; give each front a key of its own";
                 return check.refuse(&key, problem);
--- a/crates/config/src/operator/overload.rs
+++ b/crates/config/src/operator/overload.rs
@@ -60,12 +60,21 @@
 /// Checks the section.
 pub fn overload(text: &str, file: OverloadFile) -> Result<Overload, Error> {
     if file.further_percent > 100 {
-        return Err(key_error(text, "gossip.overload.further_percent", KeyProblem::above_maximum(100)));
+        return Err(key_error(
+            text,
+            "gossip.overload.further_percent",
+            KeyProblem::above_maximum(100),
+        ));
     }
-    let OverloadFile { further_percent, connections_per_second, probes_per_second } = file;
-    for (key, value) in
-        [("connections_per_second", connections_per_second), ("probes_per_second", probes_per_second)]
-    {
+    let OverloadFile {
+        further_percent,
+        connections_per_second,
+        probes_per_second,
+    } = file;
+    for (key, value) in [
+        ("connections_per_second", connections_per_second),
+        ("probes_per_second", probes_per_second),
+    ] {
         if value > MOST_PER_SECOND {
             return Err(key_error(
                 text,
@@ -74,25 +83,44 @@
             ));
         }
     }
-    Ok(Overload { further_percent, connections_per_second, probes_per_second })
+    Ok(Overload {
+        further_percent,
+        connections_per_second,
+        probes_per_second,
+    })
 }
 
 impl Overload {
     /// Each front's part of the fleet's budget: its own first executions count, and what the settings leave
     /// to spare is divided by the fronts, so that one that has just started has little.
     pub fn apply(&self, agreement: &mut Agreement) {
-        let agreed =
-            agreement.further.unwrap_or(FurtherBudget { spare: 0.0, ratio: f64::INFINITY, window: WINDOW });
+        let agreed = agreement.further.unwrap_or(FurtherBudget {
+            spare: 0.0,
+            ratio: f64::INFINITY,
+            window: WINDOW,
+        });
         let spare = agreed.spare / agreement.fronts.max(1.0);
         agreement.further = Some(FurtherBudget {
             spare,
             ratio: agreed.ratio.min(f64::from(self.further_percent) / 100.0),
             ..agreed
         });
-        let most = |a_second: u32| if a_second > 0 { f64::from(a_second) } else { f64::INFINITY };
-        let (connections, probes) = (most(self.connections_per_second), most(self.probes_per_second));
+        let most = |a_second: u32| {
+            if a_second > 0 {
+                f64::from(a_second)
+            } else {
+                f64::INFINITY
+            }
+        };
+        let (connections, probes) = (
+            most(self.connections_per_second),
+            most(self.probes_per_second),
+        );
         let bounded = connections.is_finite() || probes.is_finite();
-        agreement.budgets = bounded.then_some(EngineBudgets { connections, probes });
+        agreement.budgets = bounded.then_some(EngineBudgets {
+            connections,
+            probes,
+        });
     }
 }
 
--- a/crates/config/src/operator/overload_tests.rs
+++ b/crates/config/src/operator/overload_tests.rs
@@ -11,27 +11,62 @@
     };
     let overload = |inner: &str| read(&gossip(inner)).map(|read| read.gossip.unwrap().overload);
     assert_eq!(overload("").unwrap(), None);
-    assert_eq!(overload(", overload: {}").unwrap(), Some(Overload::default()));
+    assert_eq!(
+        overload(", overload: {}").unwrap(),
+        Some(Overload::default())
+    );
     let why = overload(",\n overload: { further_percent: 101 }").unwrap_err();
-    assert!(why.to_string().starts_with("line 2: gossip.overload.further_percent"), "{why}");
+    assert!(
+        why.to_string()
+            .starts_with("line 2: gossip.overload.further_percent"),
+        "{why}"
+    );
     assert!(overload(", overload: { furthest: 1 }").is_err());
-    for (key, value) in [("connections_per_second", "-1"), ("probes_per_second", "1000001")] {
+    for (key, value) in [
+        ("connections_per_second", "-1"),
+        ("probes_per_second", "1000001"),
+    ] {
         let why = overload(&format!(",\n overload: {{ {key}: {value} }}")).unwrap_err();
-        assert!(why.starts_with(&format!("line 2: gossip.overload.{key}: ")), "{why}");
+        assert!(
+            why.starts_with(&format!("line 2: gossip.overload.{key}: ")),
+            "{why}"
+        );
     }
-    let few = overload(", overload: { connections_per_second: 30, probes_per_second: 0 }").unwrap().unwrap();
+    let few = overload(", overload: { connections_per_second: 30, probes_per_second: 0 }")
+        .unwrap()
+        .unwrap();
     let mut bound = Agreement::default();
     few.apply(&mut bound);
-    let budgets = EngineBudgets { connections: 30.0, probes: f64::INFINITY };
+    let budgets = EngineBudgets {
+        connections: 30.0,
+        probes: f64::INFINITY,
+    };
     assert_eq!(bound.budgets, Some(budgets));
-    Overload { connections_per_second: 0, ..few }.apply(&mut bound);
+    Overload {
+        connections_per_second: 0,
+        ..few
+    }
+    .apply(&mut bound);
     assert_eq!(bound.budgets, None);
-    let mut agreed = Agreement { fronts: 20.0, ..Agreement::default() };
-    agreed.further = Some(FurtherBudget { spare: 10.0, ratio: 0.05, window: 1 });
+    let mut agreed = Agreement {
+        fronts: 20.0,
+        ..Agreement::default()
+    };
+    agreed.further = Some(FurtherBudget {
+        spare: 10.0,
+        ratio: 0.05,
+        window: 1,
+    });
     Overload::default().apply(&mut agreed);
     let further = agreed.further.unwrap();
-    assert_eq!((further.spare, further.ratio, further.window), (0.5, 0.05, 1));
+    assert_eq!(
+        (further.spare, further.ratio, further.window),
+        (0.5, 0.05, 1)
+    );
     agreed.further = None;
     Overload::default().apply(&mut agreed);
-    assert_eq!(agreed.further.map(|f| (f.spare, f.ratio)), Some((0.0, 0.08)));
+    assert_eq!(
+        agreed.further.map(|f| (f.spare, f.ratio)),
+        Some((0.0, 0.08))
+    );
 }
--- a/crates/config/src/operator/ownership.rs
+++ b/crates/config/src/operator/ownership.rs
@@ -52,10 +52,20 @@
 }
 
 /// Checks the section; `peers` are the fronts known by name.
-pub fn owned(text: &str, file: OwnershipFile, peers: &[(String, [u8; 32])]) -> Result<Ownership, Error> {
-    let check = Checker { text, section: "gossip.ownership" };
+pub fn owned(
+    text: &str,
+    file: OwnershipFile,
+    peers: &[(String, [u8; 32])],
+) -> Result<Ownership, Error> {
+    let check = Checker {
+        text,
+        section: "gossip.ownership",
+    };
     if !matches!(file.voters.len(), 3 | 5) {
-        return check.refuse("voters", "names neither 3 nor 5 fronts; name as many of gossip.peers");
+        return check.refuse(
+            "voters",
+            "names neither 3 nor 5 fronts; name as many of gossip.peers",
+        );
     }
     check.range("lease_ms", file.lease_ms, 500.0, 60_000.0)?;
     if file.drift_ppm > MOST_DRIFT_PPM {
@@ -74,7 +84,13 @@
         }
     }
     let (fleet, directory, drift_ppm) = (file.fleet, file.directory, file.drift_ppm);
-    Ok(Ownership { fleet, voters, directory, lease: micros(file.lease_ms), drift_ppm })
+    Ok(Ownership {
+        fleet,
+        voters,
+        directory,
+        lease: micros(file.lease_ms),
+        drift_ppm,
+    })
 }
 
 #[cfg(test)]
--- a/crates/config/src/operator/ownership_tests.rs
+++ b/crates/config/src/operator/ownership_tests.rs
@@ -13,18 +13,45 @@
         ))
     };
     let voters = "voters: { f1: '127.0.0.1:1', f2: '127.0.0.1:2', f3: '127.0.0.1:3' }";
-    let good = with(&format!("fleet: 'campus', {voters}, directory: '/var/lib/hallmux'")).unwrap();
+    let good = with(&format!(
+        "fleet: 'campus', {voters}, directory: '/var/lib/hallmux'"
+    ))
+    .unwrap();
     let owned = good.gossip.unwrap().ownership.unwrap();
-    assert_eq!((owned.voters.len(), owned.lease, owned.drift_ppm), (3, 3_000_000, 10_000));
+    assert_eq!(
+        (owned.voters.len(), owned.lease, owned.drift_ppm),
+        (3, 3_000_000, 10_000)
+    );
     assert_eq!(owned.voters[1], ([2; 32], "127.0.0.1:2".parse().unwrap()));
     for (from, to, why) in [
-        (", f3: '127.0.0.1:3'", "", "gossip.ownership.voters: names neither 3 nor 5 fronts"),
-        ("f3:", "f9:", "gossip.ownership.voters.f9: is not among gossip.peers"),
-        ("fleet:", "lease_ms: 499, fleet:", "gossip.ownership.lease_ms: is not from 500 to 60000"),
-        ("fleet:", "drift_ppm: 200001, fleet:", "gossip.ownership.drift_ppm: is over 200000"),
-        ("'/var/lib/hallmux'", "''", "gossip.ownership.directory: names none"),
+        (
+            ", f3: '127.0.0.1:3'",
+            "",
+            "gossip.ownership.voters: names neither 3 nor 5 fronts",
+        ),
+        (
+            "f3:",
+            "f9:",
+            "gossip.ownership.voters.f9: is not among gossip.peers",
+        ),
+        (
+            "fleet:",
+            "lease_ms: 499, fleet:",
+            "gossip.ownership.lease_ms: is not from 500 to 60000",
+        ),
+        (
+            "fleet:",
+            "drift_ppm: 200001, fleet:",
+            "gossip.ownership.drift_ppm: is over 200000",
+        ),
+        (
+            "'/var/lib/hallmux'",
+            "''",
+            "gossip.ownership.directory: names none",
+        ),
     ] {
-        let text = format!("fleet: 'campus', {voters}, directory: '/var/lib/hallmux'").replace(from, to);
+        let text =
+            format!("fleet: 'campus', {voters}, directory: '/var/lib/hallmux'").replace(from, to);
         let refused = with(&text).unwrap_err();
         assert!(refused.starts_with(&format!("line 2: {why}")), "{refused}");
     }
--- a/crates/config/src/operator/position.rs
+++ b/crates/config/src/operator/position.rs
@@ -9,8 +9,15 @@
 
 /// The error of the key at a path like `a.b[2].c`.
 pub fn key_error(text: &str, path: &str, problem: impl Into<KeyProblem>) -> Error {
-    let position = Position { line: line_of(text, path), column: None, path: path.to_string() };
-    Error::Key { position, problem: Box::new(problem.into()) }
+    let position = Position {
+        line: line_of(text, path),
+        column: None,
+        path: path.to_string(),
+    };
+    Error::Key {
+        position,
+        problem: Box::new(problem.into()),
+    }
 }
 
 /// Checks keys of one section of the operator's file; an error names line and key.
@@ -24,7 +31,11 @@
 impl Checker<'_> {
     /// The error of a key of the section.
     pub fn refuse<T>(&self, key: &str, problem: impl Into<KeyProblem>) -> Result<T, Error> {
-        Err(key_error(self.text, &format!("{}.{key}", self.section), problem))
+        Err(key_error(
+            self.text,
+            &format!("{}.{key}", self.section),
+            problem,
+        ))
     }
 
     /// Refuses a number that is not from `least` to `most`.
@@ -42,7 +53,13 @@
     }
 
     /// Refuses a name that is not among those of another part of the configuration, which `whose` names.
-    pub fn known(&self, key: &str, name: &str, whose: &'static str, known: &[String]) -> Result<(), Error> {
+    pub fn known(
+        &self,
+        key: &str,
+        name: &str,
+        whose: &'static str,
+        known: &[String],
+    ) -> Result<(), Error> {
         match known.iter().any(|other| other == name) {
             true => Ok(()),
             false => self.refuse(key, KeyProblem::unknown_name(name, whose, known)),
@@ -54,18 +71,37 @@
 pub fn malformed(error: &json5::Error) -> Error {
     let at = error.position();
     let (line, column) = (at.map(|at| at.line + 1), at.map(|at| at.column + 1));
-    Error::Malformed { position: Position { line, column, path: String::new() }, reason: reason(error) }
+    Error::Malformed {
+        position: Position {
+            line,
+            column,
+            path: String::new(),
+        },
+        reason: reason(error),
+    }
 }
 
 /// The error of a key that the library rejects, in a text that is JSON5.
 pub fn rejected(text: &str, path: &str, error: &json5::Error) -> Error {
     let hint = "deploy/operator.example.json5 shows each key";
-    key_error(text, path, KeyProblem::Rejected { reason: reason(error), hint })
+    key_error(
+        text,
+        path,
+        KeyProblem::Rejected {
+            reason: reason(error),
+            hint,
+        },
+    )
 }
 
 /// The library's text without the position, which is that of the value's end.
 fn reason(error: &json5::Error) -> String {
-    error.to_string().split(" at line ").next().unwrap_or_default().to_string()
+    error
+        .to_string()
+        .split(" at line ")
+        .next()
+        .unwrap_or_default()
+        .to_string()
 }
 
 /// The line on which the value at a path like `a.b[2].c` begins, or that of its nearest parent that is there.
@@ -78,7 +114,9 @@
     }
     let marks = marks(text);
     loop {
-        let found = marks.iter().find(|(at, _)| at.iter().map(String::as_str).eq(wanted.iter().copied()));
+        let found = marks
+            .iter()
+            .find(|(at, _)| at.iter().map(String::as_str).eq(wanted.iter().copied()));
         if let Some((_, line)) = found {
             return Some(*line);
         }
--- a/crates/config/src/operator/postgres.rs
+++ b/crates/config/src/operator/postgres.rs
@@ -160,7 +160,10 @@
 
 /// Checks the section against the settings.
 pub fn postgres(text: &str, file: PostgresFile, settings: &Settings) -> Result<Postgres, Error> {
-    let check = Checker { text, section: "postgres" };
+    let check = Checker {
+        text,
+        section: "postgres",
+    };
     if file.engines.is_empty() {
         let problem = "names no engines; name kinds that speak PostgreSQL, or leave 'postgres' out";
         return check.refuse("engines", problem);
@@ -176,16 +179,31 @@
         let user = user(&check, &name, read, settings)?;
         users.insert(name, user);
     }
-    let engines = file.engines.into_iter().map(|e| PostgresEngines { kinds: e.kinds, port: e.port });
+    let engines = file.engines.into_iter().map(|e| PostgresEngines {
+        kinds: e.kinds,
+        port: e.port,
+    });
     let limits = limits(&check, file.limits)?;
-    Ok(Postgres { listen: file.listen, engines: engines.collect(), users, limits })
+    Ok(Postgres {
+        listen: file.listen,
+        engines: engines.collect(),
+        users,
+        limits,
+    })
 }
 
 fn user(check: &Checker, name: &str, file: UserFile, settings: &Settings) -> Result<User, Error> {
     let path = format!("users.{name}");
     match (&file.verifier, file.trust) {
-        (None, false) => return check.refuse(&path, "needs 'verifier', or 'trust: true'; give one of them"),
-        (Some(_), true) => return check.refuse(&path, "has both 'verifier' and 'trust'; leave one out"),
+        (None, false) => {
+            return check.refuse(
+                &path,
+                "needs 'verifier', or 'trust: true'; give one of them",
+            )
+        }
+        (Some(_), true) => {
+            return check.refuse(&path, "has both 'verifier' and 'trust'; leave one out")
+        }
         (Some(verifier), false) if !is_verifier(verifier) => {
             let form = "SCRAM-SHA-256$ITERATIONS:SALT$STORED_KEY:SERVER_KEY";
             let problem = format!("is not of the form {form}; copy it from pg_authid");
@@ -195,10 +213,20 @@
     }
     let names = &settings.names;
     if let Some(member) = &file.member {
-        check.known(&format!("{path}.member"), member, "the settings' customers", &names.customers)?;
+        check.known(
+            &format!("{path}.member"),
+            member,
+            "the settings' customers",
+            &names.customers,
+        )?;
     }
     if let Some(workload) = &file.workload {
-        check.known(&format!("{path}.workload"), workload, "the settings' workloads", &names.workloads)?;
+        check.known(
+            &format!("{path}.workload"),
+            workload,
+            "the settings' workloads",
+            &names.workloads,
+        )?;
     }
     Ok(User {
         verifier: file.verifier,
@@ -249,11 +277,18 @@
 
 /// The form alone; the protocol's own module reads what it holds.
 fn is_verifier(text: &str) -> bool {
-    let Some((head, keys)) = text.strip_prefix("SCRAM-SHA-256$").and_then(|rest| rest.split_once('$')) else {
+    let Some((head, keys)) = text
+        .strip_prefix("SCRAM-SHA-256$")
+        .and_then(|rest| rest.split_once('$'))
+    else {
+        return false;
+    };
+    let Some((iterations, salt)) = head.split_once(':') else {
+        return false;
+    };
+    let Some((stored, server)) = keys.split_once(':') else {
         return false;
     };
-    let Some((iterations, salt)) = head.split_once(':') else { return false };
-    let Some((stored, server)) = keys.split_once(':') else { return false };
     let base64 = |c: char| c.is_ascii_alphanumeric() || "+/=".contains(c);
     let key = |text: &str| text.len() == 44 && text.chars().all(base64);
     let number = iterations.parse::<u32>().is_ok_and(|n| n > 0);
--- a/crates/config/src/operator/postgres_tests.rs
+++ b/crates/config/src/operator/postgres_tests.rs
@@ -22,7 +22,10 @@
 fn a_whole_file_is_read_and_the_rest_defaulted() {
     let postgres = read(GOOD).unwrap().postgres.unwrap();
     assert_eq!(postgres.users["portal"].engine_user, "portal");
-    assert_eq!((postgres.limits.sessions, postgres.limits.statements), (10, MOST_STATEMENTS));
+    assert_eq!(
+        (postgres.limits.sessions, postgres.limits.statements),
+        (10, MOST_STATEMENTS)
+    );
     assert_eq!(postgres.engines[1].port, Some(5433));
     assert!(read("{}").unwrap().postgres.is_none());
 }
@@ -30,17 +33,57 @@
 #[test]
 fn what_is_unknown_or_wrong_is_named_with_its_path_and_line() {
     for (from, to, says) in [
-        ("sessions: 10", "sesions: 10", "line 12: postgres.limits.sesions: unknown field"),
-        ("sessions: 10", "sessions: 0", "line 12: postgres.limits.sessions: is under 1"),
-        ("sessions: 10", "sessions: 'x'", "line 12: postgres.limits.sessions: "),
-        ("port: 5433", "port: 70000", "line 7: postgres.engines[1].port: "),
-        ("['pg']", "['pq']", "line 6: postgres.engines[0].kinds[0]: 'pq' is not among"),
-        ("member: 'acme'", "member: 'acne'", "line 10: postgres.users.portal.member: 'acne'"),
-        ("workload: 'lookup'", "workload: 'x'", "line 10: postgres.users.portal.workload: 'x'"),
-        ("trust: true, ", "", "line 10: postgres.users.portal: needs 'verifier'"),
-        ("trust: true", "verifier: 'md5'", "line 10: postgres.users.portal.verifier: is not of"),
+        (
+            "sessions: 10",
+            "sesions: 10",
+            "line 12: postgres.limits.sesions: unknown field",
+        ),
+        (
+            "sessions: 10",
+            "sessions: 0",
+            "line 12: postgres.limits.sessions: is under 1",
+        ),
+        (
+            "sessions: 10",
+            "sessions: 'x'",
+            "line 12: postgres.limits.sessions: ",
+        ),
+        (
+            "port: 5433",
+            "port: 70000",
+            "line 7: postgres.engines[1].port: ",
+        ),
+        (
+            "['pg']",
+            "['pq']",
+            "line 6: postgres.engines[0].kinds[0]: 'pq' is not among",
+        ),
+        (
+            "member: 'acme'",
+            "member: 'acne'",
+            "line 10: postgres.users.portal.member: 'acne'",
+        ),
+        (
+            "workload: 'lookup'",
+            "workload: 'x'",
+            "line 10: postgres.users.portal.workload: 'x'",
+        ),
+        (
+            "trust: true, ",
+            "",
+            "line 10: postgres.users.portal: needs 'verifier'",
+        ),
+        (
+            "trust: true",
+            "verifier: 'md5'",
+            "line 10: postgres.users.portal.verifier: is not of",
+        ),
         ("'127.0.0.1:5432'", "'here'", "line 4: postgres.listen: "),
-        ("limits:", "limit:", "line 12: postgres.limit: unknown field"),
+        (
+            "limits:",
+            "limit:",
+            "line 12: postgres.limit: unknown field",
+        ),
     ] {
         let text = GOOD.replace(from, to);
         let why = read(&text).unwrap_err();
--- a/crates/config/src/operator/rules.rs
+++ b/crates/config/src/operator/rules.rs
@@ -74,7 +74,10 @@
 
 /// Checks the section against the settings.
 pub fn rules(text: &str, file: RulesFile, settings: &Settings) -> Result<Rules, Error> {
-    let check = Checker { text, section: "rules" };
+    let check = Checker {
+        text,
+        section: "rules",
+    };
     let names = &settings.names;
     if file.file.is_empty() {
         return check.refuse("file", "names none; give the path of the file of rules");
@@ -88,7 +91,12 @@
             return check.refuse(&format!("regions.{region}"), "holds no location; name one");
         }
     }
-    let regions: Vec<String> = file.regions.keys().chain(&names.locations).cloned().collect();
+    let regions: Vec<String> = file
+        .regions
+        .keys()
+        .chain(&names.locations)
+        .cloned()
+        .collect();
     check.known("region", &file.region, "the regions", &regions)?;
     for (at, customer) in file.customers.iter().flatten().enumerate() {
         if !names.customers.is_empty() {
@@ -118,7 +126,16 @@
     } = file;
     let (lease, tell_every) = (micros(lease_ms), micros(tell_every_ms));
     let remembers = micros(what_if_hours * 3_600_000.0);
-    Ok(Rules { file: path, region, regions, customers, lease, drift_ppm, tell_every, remembers })
+    Ok(Rules {
+        file: path,
+        region,
+        regions,
+        customers,
+        lease,
+        drift_ppm,
+        tell_every,
+        remembers,
+    })
 }
 
 #[cfg(test)]
--- a/crates/config/src/operator/rules_tests.rs
+++ b/crates/config/src/operator/rules_tests.rs
@@ -6,10 +6,17 @@
 fn rules_speak_of_what_the_settings_name() {
     let good = "{ rules: { file: 'rules.json5', region: 'eu',\n regions: { eu: ['here'] },\n customers: ['acme'] } }";
     let rules = read(good).unwrap().rules.unwrap();
-    assert_eq!((rules.lease, rules.drift_ppm, rules.tell_every), (3_000_000, 10_000, 60_000_000));
+    assert_eq!(
+        (rules.lease, rules.drift_ppm, rules.tell_every),
+        (3_000_000, 10_000, 60_000_000)
+    );
     assert_eq!(rules.customers, Some(vec!["acme".to_string()]));
     for (from, to, says) in [
-        ("'rules.json5'", "''", "line 1: rules.file: names none; give"),
+        (
+            "'rules.json5'",
+            "''",
+            "line 1: rules.file: names none; give",
+        ),
         (
             "region: 'eu'",
             "region: 'us'",
@@ -20,13 +27,41 @@
             "['there']",
             "line 2: rules.regions.eu[0]: 'there' is not among the settings' locations",
         ),
-        ("['here']", "[]", "line 2: rules.regions.eu: holds no location; name one"),
-        ("['acme']", "['acne']", "line 3: rules.customers[0]: 'acne' is not among the settings' customers"),
-        ("file:", "lease_ms: 1, file:", "line 1: rules.lease_ms: is not from 500 to 60000"),
-        ("file:", "drift_ppm: 300000, file:", "line 1: rules.drift_ppm: is over 200000"),
-        ("file:", "tell_every_ms: 5, file:", "line 1: rules.tell_every_ms: is not from"),
-        ("file:", "what_if_hours: 169, file:", "line 1: rules.what_if_hours: is not from 0 to 168"),
-        ("file:", "fiel: 1, file:", "line 1: rules.fiel: unknown field"),
+        (
+            "['here']",
+            "[]",
+            "line 2: rules.regions.eu: holds no location; name one",
+        ),
+        (
+            "['acme']",
+            "['acne']",
+            "line 3: rules.customers[0]: 'acne' is not among the settings' customers",
+        ),
+        (
+            "file:",
+            "lease_ms: 1, file:",
+            "line 1: rules.lease_ms: is not from 500 to 60000",
+        ),
+        (
+            "file:",
+            "drift_ppm: 300000, file:",
+            "line 1: rules.drift_ppm: is over 200000",
+        ),
+        (
+            "file:",
+            "tell_every_ms: 5, file:",
+            "line 1: rules.tell_every_ms: is not from",
+        ),
+        (
+            "file:",
+            "what_if_hours: 169, file:",
+            "line 1: rules.what_if_hours: is not from 0 to 168",
+        ),
+        (
+            "file:",
+            "fiel: 1, file:",
+            "line 1: rules.fiel: unknown field",
+        ),
     ] {
         let why = read(&good.replace(from, to)).unwrap_err();
         assert!(why.starts_with(says), "{to}: {why}");
--- a/crates/config/src/operator/scatter.rs
+++ b/crates/config/src/operator/scatter.rs
@@ -149,17 +149,30 @@
 
 /// Checks the section against the settings.
 pub fn scatter(text: &str, file: ScatterFile, settings: &Settings) -> Result<Scatter, Error> {
-    let check = Checker { text, section: "scatter" };
+    let check = Checker {
+        text,
+        section: "scatter",
+    };
     let names = &settings.names;
     check_workloads(&check, &file, settings)?;
     let sites = sites(&check, &file, settings)?;
     let schemas = schemas(&check, &file)?;
     if let Some(site) = &file.whole_site {
-        check.known("whole_site", site, "scatter.sites", &sites.keys().cloned().collect::<Vec<_>>())?;
+        check.known(
+            "whole_site",
+            site,
+            "scatter.sites",
+            &sites.keys().cloned().collect::<Vec<_>>(),
+        )?;
     }
     check_customers(&check, &file, settings)?;
     for (n, name) in file.writes.iter().enumerate() {
-        check.known(&format!("writes[{n}]"), name, "the settings' workloads", &names.workloads)?;
+        check.known(
+            &format!("writes[{n}]"),
+            name,
+            "the settings' workloads",
+            &names.workloads,
+        )?;
     }
     let marked = match file.loads.as_deref() {
         None | Some("marked") => true,
@@ -172,15 +185,32 @@
     check_ranges(&check, &file)?;
     let millionths = |(name, error): (&String, &f64)| (name.clone(), (error * 1e6) as u32);
     let distinct_error = file.distinct_error.iter().map(millionths).collect();
-    let keep = file.keep.map(|SummaryBudgetFile { memory_kb, bytes_a_second, file }| SummaryBudget {
-        memory_bytes: memory_kb * 1024,
-        bytes_a_second,
-        file,
-    });
-    let audits = file.audits.map(|AuditsFile { one_in, a_minute }| Audits { one_in, a_minute });
-    let ScatterFile { workloads, directory, whole_site, partial, writes, together, .. } = file;
+    let keep = file.keep.map(
+        |SummaryBudgetFile {
+             memory_kb,
+             bytes_a_second,
+             file,
+         }| SummaryBudget {
+            memory_bytes: memory_kb * 1024,
+            bytes_a_second,
+            file,
+        },
+    );
+    let audits = file
+        .audits
+        .map(|AuditsFile { one_in, a_minute }| Audits { one_in, a_minute });
+    let ScatterFile {
+        workloads,
+        directory,
+        whole_site,
+        partial,
+        writes,
+        together,
+        ..
+    } = file;
     let effects = names.workloads.iter().zip(&settings.agreement.workloads);
-    let may_write = effects.filter(|(name, w)| w.effect != Effect::Idempotent || writes.contains(name));
+    let may_write =
+        effects.filter(|(name, w)| w.effect != Effect::Idempotent || writes.contains(name));
     let writes = may_write.map(|(name, _)| name.clone()).collect();
     let (oldest_ms, ahead_ms) = (file.oldest_ms, file.ahead_ms);
     let (most, at_once, answer_bytes) = (file.most, file.at_once, file.answer_bytes);
@@ -212,7 +242,9 @@
         let key = format!("workloads[{n}]");
         check.known(&key, name, "the settings' workloads", known)?;
         let at = known.iter().position(|other| other == name);
-        let effect = at.and_then(|at| settings.agreement.workloads.get(at)).map(|w| w.effect);
+        let effect = at
+            .and_then(|at| settings.agreement.workloads.get(at))
+            .map(|w| w.effect);
         if effect != Some(Effect::Idempotent) {
             let problem = format!("'{name}' is not idempotent; name workloads that only read");
             return check.refuse(&key, problem);
@@ -230,14 +262,22 @@
     let mut sites = BTreeMap::new();
     for (name, key) in &file.sites {
         let path = format!("sites.{name}");
-        check.known(&path, name, "the settings' areas", &settings.names.locations)?;
+        check.known(
+            &path,
+            name,
+            "the settings' areas",
+            &settings.names.locations,
+        )?;
         match parse_key(key) {
             Some(key) => _ = sites.insert(name.clone(), key),
             None => return check.refuse(&path, KeyProblem::InvalidPublicKey),
         }
     }
     if file.workloads.is_empty() || sites.is_empty() {
-        return check.refuse("sites", "names none, or no workloads; leave 'scatter' out to switch it off");
+        return check.refuse(
+            "sites",
+            "names none, or no workloads; leave 'scatter' out to switch it off",
+        );
     }
     Ok(sites)
 }
@@ -260,13 +300,21 @@
 fn check_customers(check: &Checker, file: &ScatterFile, settings: &Settings) -> Result<(), Error> {
     let known = &settings.names.customers;
     for (n, name) in file.partial.iter().enumerate() {
-        check.known(&format!("partial[{n}]"), name, "the settings' customers", known)?;
+        check.known(
+            &format!("partial[{n}]"),
+            name,
+            "the settings' customers",
+            known,
+        )?;
     }
     for (name, error) in &file.distinct_error {
         let key = format!("distinct_error.{name}");
         check.known(&key, name, "the settings' customers", known)?;
         if !(0.0..=MOST_ERROR).contains(error) {
-            return check.refuse(&key, format!("is not from 0 to {MOST_ERROR}, a part of the number"));
+            return check.refuse(
+                &key,
+                format!("is not from 0 to {MOST_ERROR}, a part of the number"),
+            );
         }
     }
     Ok(())
--- a/crates/config/src/operator/scatter_tests.rs
+++ b/crates/config/src/operator/scatter_tests.rs
@@ -9,18 +9,49 @@
         "0f".repeat(32)
     );
     let scatter = read(&good).unwrap().scatter.unwrap();
-    assert_eq!((scatter.schemas.get(&17), scatter.marked), (Some(&3), false));
+    assert_eq!(
+        (scatter.schemas.get(&17), scatter.marked),
+        (Some(&3), false)
+    );
     for (from, to, why) in [
-        ("'lookup'", "'pay'", "line 2: scatter.workloads[0]: 'pay' is not among"),
-        ("here:", "there:", "line 3: scatter.sites.there: 'there' is not among"),
+        (
+            "'lookup'",
+            "'pay'",
+            "line 2: scatter.workloads[0]: 'pay' is not among",
+        ),
+        (
+            "here:",
+            "there:",
+            "line 3: scatter.sites.there: 'there' is not among",
+        ),
         ("'0f", "'0", "line 3: scatter.sites.here: is no key"),
         ("'17'", "'x'", "line 4: scatter.schemas.x: is no number"),
-        ("schemas:", "whole_site: 'x', schemas:", "line 4: scatter.whole_site: 'x' is not among"),
+        (
+            "schemas:",
+            "whole_site: 'x', schemas:",
+            "line 4: scatter.whole_site: 'x' is not among",
+        ),
         ("'none'", "'x'", "line 2: scatter.loads: 'x' is neither"),
-        ("'none'", "'marked'", "line 2: scatter.loads: 'marked' needs gossip.ledger"),
-        ("schemas:", "writes: ['x'], schemas:", "line 4: scatter.writes[0]: 'x' is not among"),
-        ("schemas:", "oldest_ms: 1, schemas:", "line 4: scatter.oldest_ms: is not from"),
-        ("schemas:", "partial: ['x'], schemas:", "line 4: scatter.partial[0]: 'x' is not among"),
+        (
+            "'none'",
+            "'marked'",
+            "line 2: scatter.loads: 'marked' needs gossip.ledger",
+        ),
+        (
+            "schemas:",
+            "writes: ['x'], schemas:",
+            "line 4: scatter.writes[0]: 'x' is not among",
+        ),
+        (
+            "schemas:",
+            "oldest_ms: 1, schemas:",
+            "line 4: scatter.oldest_ms: is not from",
+        ),
+        (
+            "schemas:",
+            "partial: ['x'], schemas:",
+            "line 4: scatter.partial[0]: 'x' is not among",
+        ),
         (
             "schemas:",
             "keep: { memory_kb: 1, bytes_a_second: 1000 }, schemas:",
@@ -31,8 +62,16 @@
             "keep: { memory_kb: 16, bytes_a_second: 1 }, schemas:",
             "line 4: scatter.keep.bytes_a_second: is",
         ),
-        ("schemas:", "audits: { one_in: 0, a_minute: 6 }, schemas:", "line 4: scatter.audits.one_in: is not"),
-        ("schemas:", "audits: { one_in: 9, a_minute: 0 }, schemas:", "line 4: scatter.audits.a_minute: is"),
+        (
+            "schemas:",
+            "audits: { one_in: 0, a_minute: 6 }, schemas:",
+            "line 4: scatter.audits.one_in: is not",
+        ),
+        (
+            "schemas:",
+            "audits: { one_in: 9, a_minute: 0 }, schemas:",
+            "line 4: scatter.audits.a_minute: is",
+        ),
         ("'lookup'", "", "line 3: scatter.sites: names none"),
     ] {
         let refused = read(&good.replace(from, to)).unwrap_err();
--- a/crates/config/src/scanner.rs
+++ b/crates/config/src/scanner.rs
@@ -21,7 +21,10 @@
 
 impl<'a> Scanner<'a> {
     pub fn new(text: &'a str) -> Scanner<'a> {
-        Scanner { rest: text.chars().peekable(), line: 1 }
+        Scanner {
+            rest: text.chars().peekable(),
+            line: 1,
+        }
     }
 
     fn advance(&mut self) -> Option<char> {
--- a/crates/config/src/scanner_tests.rs
+++ b/crates/config/src/scanner_tests.rs
@@ -7,17 +7,31 @@
         Token::Punctuation(c) => c.to_string(),
         Token::Word(word) => format!("<{word}>"),
     };
-    Scanner::new(text).map(|(token, line)| (shown(token), line)).collect()
+    Scanner::new(text)
+        .map(|(token, line)| (shown(token), line))
+        .collect()
 }
 
 fn expected(tokens: &[(&str, usize)]) -> Vec<(String, usize)> {
-    tokens.iter().map(|(token, line)| (token.to_string(), *line)).collect()
+    tokens
+        .iter()
+        .map(|(token, line)| (token.to_string(), *line))
+        .collect()
 }
 
 #[test]
 fn each_token_comes_with_the_line_on_which_it_begins() {
     let text = "{ // a: 1\n a: 1.5e3, /* b:\n 2 */ 'c d'\n:[ \"e\\\"f\",true/**/]}";
-    let found = [("{", 1), ("<a>", 2), (":", 2), ("<1.5e3>", 2), (",", 2), ("<c d>", 3), (":", 4), ("[", 4)];
+    let found = [
+        ("{", 1),
+        ("<a>", 2),
+        (":", 2),
+        ("<1.5e3>", 2),
+        (",", 2),
+        ("<c d>", 3),
+        (":", 4),
+        ("[", 4),
+    ];
     let more = [("<e\"f>", 4), (",", 4), ("<true>", 4), ("]", 4), ("}", 4)];
     assert_eq!(tokens(text), expected(&[&found[..], &more].concat()));
 }
@@ -34,9 +48,13 @@
 
 #[test]
 fn what_is_not_closed_ends_with_the_text() {
-    for (text, found) in
-        [("'a", "<a>"), ("a /* b", "<a>"), ("a // b", "<a>"), ("'a\\", "<a>"), ("a /", "<a>")]
-    {
+    for (text, found) in [
+        ("'a", "<a>"),
+        ("a /* b", "<a>"),
+        ("a // b", "<a>"),
+        ("'a\\", "<a>"),
+        ("a /", "<a>"),
+    ] {
         assert_eq!(tokens(text)[0], (found.to_string(), 1), "{text}");
     }
     assert!(tokens("").is_empty());
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -70,7 +70,11 @@
 impl Settings {
     /// Reads the settings' JSON text. Keys that are not known are ignored.
     pub fn parse(text: &str) -> Result<Settings, Error> {
-        settings_of(&Section { name: "options", text, lines: 0 })
+        settings_of(&Section {
+            name: "options",
+            text,
+            lines: 0,
+        })
     }
 }
 
@@ -78,15 +82,24 @@
 pub(crate) fn settings_of(section: &Section) -> Result<Settings, Error> {
     let options: Options = section.read()?;
     check(section, &options)?;
-    let workloads = (0..options.request_classes.len()).map(|place| workload(section, &options, place));
+    let workloads =
+        (0..options.request_classes.len()).map(|place| workload(section, &options, place));
     let workloads = workloads.collect::<Result<_, _>>()?;
     let (names, network) = (names(&options), network(&options));
-    Ok(Settings { agreement: agreement(options, workloads), names, network })
+    Ok(Settings {
+        agreement: agreement(options, workloads),
+        names,
+        network,
+    })
 }
 
 fn names(options: &Options) -> Names {
     Names {
-        workloads: options.request_classes.iter().map(|c| c.name.clone()).collect(),
+        workloads: options
+            .request_classes
+            .iter()
+            .map(|c| c.name.clone())
+            .collect(),
         customers: options.customers.iter().map(|c| c.name.clone()).collect(),
         locations: options.areas.clone(),
         kinds: options.kinds.clone(),
@@ -133,7 +146,8 @@
 /// Which figures a load report holds. `x0` and `x1` are the site's own: a text says what each means.
 fn report_layout(report: &Report, extra: &Extra) -> ReportLayout {
     let place = |name: &str| report.names.iter().position(|n| n == name);
-    let tells_memory = |text: &Option<String>| text.as_deref().is_some_and(|t| t.contains("memory"));
+    let tells_memory =
+        |text: &Option<String>| text.as_deref().is_some_and(|t| t.contains("memory"));
     let x0 = place("x0").filter(|_| tells_memory(&extra.report_x0));
     let x1 = place("x1").filter(|_| tells_memory(&extra.report_x1));
     ReportLayout {
@@ -146,7 +160,11 @@
 
 fn further_budget(rules: &Rules) -> Option<FurtherBudget> {
     let (ratio, window_ms) = rules.further_ratio.zip(rules.budget_span_ms)?;
-    Some(FurtherBudget { spare: rules.spare_attempts, ratio, window: micros(window_ms) })
+    Some(FurtherBudget {
+        spare: rules.spare_attempts,
+        ratio,
+        window: micros(window_ms),
+    })
 }
 
 fn agreement(options: Options, workloads: Vec<Workload>) -> Agreement {
@@ -156,7 +174,11 @@
         budgets: None,
         zone_quorum: ZONE_QUORUM,
         workloads,
-        customers: options.customers.iter().map(|c| c.allowance_per_s.unwrap_or(f64::INFINITY)).collect(),
+        customers: options
+            .customers
+            .iter()
+            .map(|c| c.allowance_per_s.unwrap_or(f64::INFINITY))
+            .collect(),
         over_share: options.over_share_worth,
         fronts: options.instances.max(1.0),
         report: report_layout(&options.report, &options.extra),
--- a/crates/config/src/settings/check.rs
+++ b/crates/config/src/settings/check.rs
@@ -9,10 +9,16 @@
 
 const MOST: f64 = 1e12; // of any figure: some thirty years of milliseconds, and sums of many stay whole numbers
 
-pub const EFFECTS: [(&str, Effect); 3] =
-    [("repeatable", Effect::Idempotent), ("by_key", Effect::Deduplicated), ("once", Effect::NonIdempotent)];
-pub const GROUPS: [(&str, DedupGroup); 3] =
-    [("all", DedupGroup::All), ("zone", DedupGroup::Location), ("cell", DedupGroup::Cell)];
+pub const EFFECTS: [(&str, Effect); 3] = [
+    ("repeatable", Effect::Idempotent),
+    ("by_key", Effect::Deduplicated),
+    ("once", Effect::NonIdempotent),
+];
+pub const GROUPS: [(&str, DedupGroup); 3] = [
+    ("all", DedupGroup::All),
+    ("zone", DedupGroup::Location),
+    ("cell", DedupGroup::Cell),
+];
 
 pub fn word<T: Copy>(
     section: &Section,
@@ -20,10 +26,19 @@
     value: &str,
     known: &[(&'static str, T)],
 ) -> Result<T, Error> {
-    let found = known.iter().find(|(name, _)| *name == value).map(|(_, meaning)| *meaning);
+    let found = known
+        .iter()
+        .find(|(name, _)| *name == value)
+        .map(|(_, meaning)| *meaning);
     let unknown = || {
         let known = known.iter().map(|(name, _)| *name).collect();
-        section.error(path, KeyProblem::UnknownWord { word: value.to_string(), known })
+        section.error(
+            path,
+            KeyProblem::UnknownWord {
+                word: value.to_string(),
+                known,
+            },
+        )
     };
     found.ok_or_else(unknown)
 }
@@ -34,7 +49,8 @@
         true => Ok(()),
         false => Err(section.error(path, KeyProblem::out_of_range(0, MOST))),
     };
-    let perhaps = |path: &str, value: Option<f64>| value.map_or(Ok(()), |value| figure(path, value));
+    let perhaps =
+        |path: &str, value: Option<f64>| value.map_or(Ok(()), |value| figure(path, value));
     let each = |path: &str, values: &[f64]| {
         let mut values = values.iter().enumerate();
         values.try_for_each(|(i, value)| figure(&format!("{path}[{i}]"), *value))
@@ -54,15 +70,27 @@
         }
     }
     for (i, customer) in read.customers.iter().enumerate() {
-        perhaps(&format!("customers[{i}].allowancePerS"), customer.allowance_per_s)?;
+        perhaps(
+            &format!("customers[{i}].allowancePerS"),
+            customer.allowance_per_s,
+        )?;
     }
     let (bounds, extra, rules) = (&read.bounds, &read.extra, &read.rules);
     perhaps("bounds.dialTimeoutMs", bounds.dial_timeout_ms)?;
     perhaps("bounds.keepaliveMs", bounds.keepalive_ms)?;
     perhaps("bounds.maxRetryAfterMs", bounds.max_retry_after_ms)?;
-    perhaps("bounds.streamsPerConn", bounds.streams_per_conn.map(|count| count as f64))?;
-    perhaps("bounds.mostHeld", bounds.most_held.map(|count| count as f64))?;
-    perhaps("bounds.mostTries", bounds.most_tries.map(|count| count as f64))?;
+    perhaps(
+        "bounds.streamsPerConn",
+        bounds.streams_per_conn.map(|count| count as f64),
+    )?;
+    perhaps(
+        "bounds.mostHeld",
+        bounds.most_held.map(|count| count as f64),
+    )?;
+    perhaps(
+        "bounds.mostTries",
+        bounds.most_tries.map(|count| count as f64),
+    )?;
     each("extra.parallelism", &extra.parallelism)?;
     each("extra.memoryByKindMb", &extra.memory_by_kind_mb)?;
     each("extra.sizeCores", &extra.size_cores)?;
--- a/crates/config/src/text.rs
+++ b/crates/config/src/text.rs
@@ -10,8 +10,11 @@
 
 /// Reads the file that a variable names.
 pub fn file(variable: &'static str, path: &str) -> Result<String, Error> {
-    let unreadable =
-        |e: std::io::Error| Error::UnreadableFile { variable, path: path.to_string(), reason: e.to_string() };
+    let unreadable = |e: std::io::Error| Error::UnreadableFile {
+        variable,
+        path: path.to_string(),
+        reason: e.to_string(),
+    };
     text(std::fs::read(path).map_err(unreadable)?).map_err(|e| e.in_file(variable, path))
 }
 
@@ -19,7 +22,13 @@
     String::from_utf8(bytes).map_err(|e| {
         let good = &e.as_bytes()[..e.utf8_error().valid_up_to()];
         let (line, column) = position(&String::from_utf8_lossy(good));
-        Error::NotUtf8 { position: Position { line: Some(line), column: Some(column), path: String::new() } }
+        Error::NotUtf8 {
+            position: Position {
+                line: Some(line),
+                column: Some(column),
+                path: String::new(),
+            },
+        }
     })
 }
 
@@ -39,8 +48,14 @@
             _ => {}
         }
         if open > MOST_DEEP {
-            let position = Position { line: Some(line), ..Position::default() };
-            return Err(Error::TooDeep { position, most: MOST_DEEP });
+            let position = Position {
+                line: Some(line),
+                ..Position::default()
+            };
+            return Err(Error::TooDeep {
+                position,
+                most: MOST_DEEP,
+            });
         }
     }
     Ok(())
@@ -58,12 +73,19 @@
     /// Where a key of it is; the path is of this section alone.
     pub fn position(&self, path: &str) -> Position {
         let line = Some(line_of(self.text, path).unwrap_or(1) + self.lines);
-        Position { line, column: None, path: joined(self.name, path) }
+        Position {
+            line,
+            column: None,
+            path: joined(self.name, path),
+        }
     }
 
     /// The error of a key of it.
     pub fn error(&self, path: &str, problem: impl Into<KeyProblem>) -> Error {
-        Error::Key { position: self.position(path), problem: Box::new(problem.into()) }
+        Error::Key {
+            position: self.position(path),
+            problem: Box::new(problem.into()),
+        }
     }
 
     /// Reads it as JSON, passing over keys that are not known.
@@ -77,7 +99,10 @@
 
     fn rejected(&self, path: &str, error: &serde_json::Error) -> Error {
         let text = error.to_string();
-        let reason = text.rsplit_once(" at line ").map_or(text.as_str(), |(reason, _)| reason).to_string();
+        let reason = text
+            .rsplit_once(" at line ")
+            .map_or(text.as_str(), |(reason, _)| reason)
+            .to_string();
         let there = Position {
             line: Some(error.line() + self.lines),
             // A column of the first line counts from where this section begins.
@@ -85,14 +110,23 @@
             path: joined(self.name, path),
         };
         if !error.is_data() {
-            return Error::Malformed { position: there, reason };
+            return Error::Malformed {
+                position: there,
+                reason,
+            };
         }
         let mut position = self.position(path);
         if position.line == there.line {
             position.column = there.column;
         }
-        let problem = KeyProblem::Rejected { reason, hint: "docs/configuration.md says what is meant" };
-        Error::Key { position, problem: Box::new(problem) }
+        let problem = KeyProblem::Rejected {
+            reason,
+            hint: "docs/configuration.md says what is meant",
+        };
+        Error::Key {
+            position,
+            problem: Box::new(problem),
+        }
     }
 }
 
--- a/crates/config/tests/random_faults/layout.rs
+++ b/crates/config/tests/random_faults/layout.rs
@@ -25,11 +25,18 @@
 
 /// Paths of all values, as errors word them.
 pub fn paths(value: &Value) -> Vec<String> {
-    layout(value, "", &Change::None).lines.into_keys().filter(|path| !path.is_empty()).collect()
+    layout(value, "", &Change::None)
+        .lines
+        .into_keys()
+        .filter(|path| !path.is_empty())
+        .collect()
 }
 
 pub fn layout(value: &Value, at: &str, change: &Change) -> Layout {
-    let mut out = Layout { text: String::new(), lines: BTreeMap::from([(String::new(), 1)]) };
+    let mut out = Layout {
+        text: String::new(),
+        lines: BTreeMap::from([(String::new(), 1)]),
+    };
     out.write(value, "", at, change);
     out.text.push('\n');
     out
@@ -40,20 +47,31 @@
         let entries: Vec<(String, String, &Value)> = match value {
             Value::Object(map) => {
                 let key = |key: &String| format!("{}: ", Value::from(key.as_str()));
-                let below =
-                    |key: &String| if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
-                map.iter().map(|(k, value)| (below(k), key(k), value)).collect()
+                let below = |key: &String| {
+                    if path.is_empty() {
+                        key.clone()
+                    } else {
+                        format!("{path}.{key}")
+                    }
+                };
+                map.iter()
+                    .map(|(k, value)| (below(k), key(k), value))
+                    .collect()
             }
             Value::Array(list) => {
                 let below = |n: usize| format!("{path}[{n}]");
-                list.iter().enumerate().map(|(n, value)| (below(n), String::new(), value)).collect()
+                list.iter()
+                    .enumerate()
+                    .map(|(n, value)| (below(n), String::new(), value))
+                    .collect()
             }
             _ => return self.text.push_str(&value.to_string()),
         };
         self.text.push(if value.is_object() { '{' } else { '[' });
         let mut first = true;
         let next = |out: &mut Layout, first: &mut bool| {
-            out.text.push_str(if std::mem::take(first) { "\n" } else { ",\n" });
+            out.text
+                .push_str(if std::mem::take(first) { "\n" } else { ",\n" });
         };
         for (below, key, value) in entries {
             let times = match change {
@@ -75,9 +93,18 @@
         if let (Change::Insert(key, text), true) = (change, path == at && value.is_object()) {
             next(self, &mut first);
             let line = 1 + self.text.matches('\n').count();
-            self.lines.insert(if path.is_empty() { key.clone() } else { format!("{path}.{key}") }, line);
-            self.text.push_str(&format!("{}: {text}", Value::from(key.as_str())));
+            self.lines.insert(
+                if path.is_empty() {
+                    key.clone()
+                } else {
+                    format!("{path}.{key}")
+                },
+                line,
+            );
+            self.text
+                .push_str(&format!("{}: {text}", Value::from(key.as_str())));
         }
-        self.text.push_str(if value.is_object() { "\n}" } else { "\n]" });
+        self.text
+            .push_str(if value.is_object() { "\n}" } else { "\n]" });
     }
 }
--- a/crates/config/tests/random_faults/main.rs
+++ b/crates/config/tests/random_faults/main.rs
@@ -37,14 +37,24 @@
 
 /// Asserts that an error is one line that says what is wrong and what to do. Returns the line it names, if any.
 pub fn assert_shape(said: &str) -> Option<usize> {
-    assert!(!said.contains('\n') && said.contains(": ") && said.contains("; "), "{said}");
+    assert!(
+        !said.contains('\n') && said.contains(": ") && said.contains("; "),
+        "{said}"
+    );
     let rest = &said[said.find("line ")? + 5..];
-    rest[..rest.find(|c: char| !c.is_ascii_digit())?].parse().ok()
+    rest[..rest.find(|c: char| !c.is_ascii_digit())?]
+        .parse()
+        .ok()
 }
 
 /// A corruption such as a disk or an editor may cause: cut short, bytes gone, bytes changed.
 pub fn corruption() -> impl Strategy<Value = (prop::sample::Index, prop::sample::Index, u8, u8)> {
-    (any::<prop::sample::Index>(), any::<prop::sample::Index>(), 0..4u8, any::<u8>())
+    (
+        any::<prop::sample::Index>(),
+        any::<prop::sample::Index>(),
+        0..4u8,
+        any::<u8>(),
+    )
 }
 
 pub fn corrupt(
@@ -64,10 +74,21 @@
 
 #[test]
 fn brackets_without_end_are_refused() {
-    for text in ["[".repeat(200_000), "{\"a\":".repeat(100_000), String::new(), "\u{0}".repeat(9)] {
+    for text in [
+        "[".repeat(200_000),
+        "{\"a\":".repeat(100_000),
+        String::new(),
+        "\u{0}".repeat(9),
+    ] {
         assert_shape(&read(&text).unwrap_err());
     }
     // Under a key that is not known they are passed over, as any value is.
-    let deep = format!("{{\"seed\": \"1\", \"more\": {}{}}}", "[".repeat(100_000), "]".repeat(100_000));
-    assert!(read(&deep).unwrap_err().contains("settings: missing in NODE_CONFIG"));
+    let deep = format!(
+        "{{\"seed\": \"1\", \"more\": {}{}}}",
+        "[".repeat(100_000),
+        "]".repeat(100_000)
+    );
+    assert!(read(&deep)
+        .unwrap_err()
+        .contains("settings: missing in NODE_CONFIG"));
 }
--- a/crates/config/tests/random_faults/operators.rs
+++ b/crates/config/tests/random_faults/operators.rs
@@ -13,7 +13,9 @@
 const EXAMPLE: &str = include_str!("../../../../deploy/operator.example.json5");
 
 /// Objects whose keys are names that the operator gives.
-const NAMING: [&str; 7] = ["peers", "voters", "members", "users", "regions", "sites", "schemas"];
+const NAMING: [&str; 7] = [
+    "peers", "voters", "members", "users", "regions", "sites", "schemas",
+];
 
 fn agreed() -> Settings {
     Settings::parse(SETTINGS).unwrap()
@@ -24,7 +26,9 @@
 }
 
 fn read(text: &str, agreed: &Settings) -> Result<(), String> {
-    Operator::parse(text, agreed).map(|_| ()).map_err(|e| e.to_string())
+    Operator::parse(text, agreed)
+        .map(|_| ())
+        .map_err(|e| e.to_string())
 }
 
 /// Which of the types of JSON it is.
--- a/crates/config/tests/random_faults/settings.rs
+++ b/crates/config/tests/random_faults/settings.rs
@@ -66,9 +66,13 @@
 
 /// What a key is, and whether null stands for none.
 fn kind(path: &str, value: Option<&Value>) -> (Kind, bool) {
-    let Some(path) = path.strip_prefix("settings.") else { return (Kind::Unknown, true) };
+    let Some(path) = path.strip_prefix("settings.") else {
+        return (Kind::Unknown, true);
+    };
     let plain: String = path.chars().filter(|c| !c.is_ascii_digit()).collect();
-    let plain = plain.strip_prefix("extra.reportX").map_or(plain.clone(), |_| "extra.reportX".to_string());
+    let plain = plain
+        .strip_prefix("extra.reportX")
+        .map_or(plain.clone(), |_| "extra.reportX".to_string());
     let (parent, key) = plain.rsplit_once('.').unwrap_or(("", &plain));
     match (parent, key) {
         ("requestClasses[]", "repeat") => (Kind::Effect, false),
@@ -77,7 +81,9 @@
         ("requestClasses[]", "kindsAllowed" | "areasOnly") => (Kind::Holder, true),
         ("requestClasses[]", "stream") | ("rules", "askWithinMs") => (Kind::Unknown, true),
         ("customers[]", "share") | ("extra", "notes") => (Kind::Unknown, true),
-        ("" | "goal", key) if key.starts_with("tiers") || plain.starts_with("goal") => (Kind::Unknown, true),
+        ("" | "goal", key) if key.starts_with("tiers") || plain.starts_with("goal") => {
+            (Kind::Unknown, true)
+        }
         ("bounds", "streamsPerConn" | "mostHeld" | "mostTries") => (Kind::Count, true),
         ("bounds", "dialTimeoutMs" | "keepaliveMs" | "maxRetryAfterMs") => (Kind::Figure, true),
         ("extra", "largestShare") | ("customers[]", "allowancePerS") => (Kind::Figure, true),
@@ -139,8 +145,14 @@
     for (n, workload) in names.workloads.iter().enumerate() {
         let customer = names.customers.first().map_or("", String::as_str);
         let key = Some("k").filter(|_| n % 2 == 0);
-        let ask =
-            Ask { workload, customer, key, dedup_key: Some("u"), time_left: 4_000_000, ..Ask::default() };
+        let ask = Ask {
+            workload,
+            customer,
+            key,
+            dedup_key: Some("u"),
+            time_left: 4_000_000,
+            ..Ask::default()
+        };
         let _ = dispatcher.pick(1_000_000, &ask);
     }
     for now in [1_000_000, 1_000_500, 2_000_000, 60_000_000] {
--- a/crates/dispatcher/src/completion.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -16,8 +16,12 @@
         ending: Ending,
         report: Option<Report>,
     ) -> bool {
-        let Some(s) = self.statements.get_mut(&ticket) else { return false };
-        let Some(x) = s.executions.get_mut(execution).filter(|x| x.out) else { return false };
+        let Some(s) = self.statements.get_mut(&ticket) else {
+            return false;
+        };
+        let Some(x) = s.executions.get_mut(execution).filter(|x| x.out) else {
+            return false;
+        };
         (x.out, x.ending) = (false, Some(ending));
         let engine = &mut self.engines[x.place];
         engine.out -= 1;
@@ -27,7 +31,12 @@
         s.over |= answers;
         let took = now - x.sent;
         let holds = answers && s.keeps && ending == Ending::Answered;
-        if let Some(key) = s.key.as_ref().filter(|_| holds).and_then(|name| self.keys.get_mut(name)) {
+        if let Some(key) = s
+            .key
+            .as_ref()
+            .filter(|_| holds)
+            .and_then(|name| self.keys.get_mut(name))
+        {
             key.statements += 1;
         }
         if let Some(key) = s.key.as_ref().filter(|_| holds && s.promised) {
@@ -52,14 +61,25 @@
 
     /// Something is learned of an execution that is still out.
     pub fn note(&mut self, ticket: Ticket, execution: usize, note: Note) {
-        let Some(s) = self.statements.get(&ticket) else { return };
-        let Some(x) = s.executions.get(execution).filter(|x| x.out) else { return };
-        self.events.push(Event::Noted { statement: ticket, execution, engine: x.place, note });
+        let Some(s) = self.statements.get(&ticket) else {
+            return;
+        };
+        let Some(x) = s.executions.get(execution).filter(|x| x.out) else {
+            return;
+        };
+        self.events.push(Event::Noted {
+            statement: ticket,
+            execution,
+            engine: x.place,
+            note,
+        });
     }
 
     /// The client no longer waits.
     pub fn left(&mut self, now: Micros, ticket: Ticket) {
-        let Some(s) = self.statements.get_mut(&ticket).filter(|s| !s.over) else { return };
+        let Some(s) = self.statements.get_mut(&ticket).filter(|s| !s.over) else {
+            return;
+        };
         s.over = true;
         // What was withdrawn before it was decided on counts for nothing: the module never hears of it.
         let unheard = |e: &Event| matches!(e, Event::Arrived(a) if a.statement == ticket);
@@ -72,14 +92,23 @@
 
     /// A transaction that kept an order key is over; the key rests where the transaction may still run.
     pub fn freed(&mut self, now: Micros, name: &str, rests: bool) {
-        let Some(key) = self.keys.get_mut(name) else { return };
-        self.events.push(Event::OrderKeyFreed { key: key.id, pauses: rests });
+        let Some(key) = self.keys.get_mut(name) else {
+            return;
+        };
+        self.events.push(Event::OrderKeyFreed {
+            key: key.id,
+            pauses: rests,
+        });
         if self.watches_promises {
-            self.promise_events.push(PromiseEvent::KeyFreed { key: name.to_string(), rests });
+            self.promise_events.push(PromiseEvent::KeyFreed {
+                key: name.to_string(),
+                rests,
+            });
         }
         key.statements -= 1;
         if key.statements == 0 {
-            self.resting.insert((now + self.order_gap, name.to_string()));
+            self.resting
+                .insert((now + self.order_gap, name.to_string()));
         }
     }
 
@@ -92,17 +121,25 @@
 
     /// Lets go of a statement that is over with nothing out; its key rests as long as was agreed.
     pub(crate) fn forget(&mut self, now: Micros, ticket: Ticket) {
-        let Some(s) = self.statements.get(&ticket) else { return };
+        let Some(s) = self.statements.get(&ticket) else {
+            return;
+        };
         if !s.over || s.out().next().is_some() {
             return;
         }
         self.ends.remove(&(s.terms.ends, ticket));
-        let Some(s) = self.statements.remove(&ticket) else { return };
+        let Some(s) = self.statements.remove(&ticket) else {
+            return;
+        };
         if s.promised {
-            self.promise_events.push(PromiseEvent::Over(StatementOver::of(ticket, &s)));
+            self.promise_events
+                .push(PromiseEvent::Over(StatementOver::of(ticket, &s)));
         }
         self.followed.extend(s.followed.then_some(ticket));
-        let Some((name, key)) = s.key.and_then(|name| self.keys.get_mut(&name).map(|key| (name, key))) else {
+        let Some((name, key)) = s
+            .key
+            .and_then(|name| self.keys.get_mut(&name).map(|key| (name, key)))
+        else {
             return;
         };
         key.statements -= 1;
@@ -119,7 +156,8 @@
                 return;
             }
             if self.keys.get(&name).is_some_and(|key| key.statements == 0) {
-                self.free_keys.extend(self.keys.remove(&name).map(|key| key.id));
+                self.free_keys
+                    .extend(self.keys.remove(&name).map(|key| key.id));
             }
         }
     }
--- a/crates/dispatcher/src/completion_tests.rs
+++ b/crates/dispatcher/src/completion_tests.rs
@@ -22,7 +22,13 @@
         (Ending::GivenUp, false),
     ] {
         let mut d = dispatcher();
-        d.list(true, &[listing("a", Mode::Ready, None), listing("b", Mode::Ready, None)]);
+        d.list(
+            true,
+            &[
+                listing("a", Mode::Ready, None),
+                listing("b", Mode::Ready, None),
+            ],
+        );
         let ticket = d.pick(1_000_000, &ask("pay", None)).unwrap();
         assert_eq!(sent(&d.tick(1_000_000)), [(ticket, 0)]);
         assert!(!d.report(1_010_000, ticket, 0, ending, None));
@@ -30,19 +36,31 @@
         // An engine that could not be reached rests for a while.
         next.extend(d.tick(2_200_000));
         assert_eq!(sent(&next) == [(ticket, 1)], again, "{ending:?}: {next:?}");
-        assert_eq!(next.contains(&Order::Abort { ticket }), !again, "{ending:?}: {next:?}");
+        assert_eq!(
+            next.contains(&Order::Abort { ticket }),
+            !again,
+            "{ending:?}: {next:?}"
+        );
     }
 }
 
 #[test]
 fn what_ends_for_want_of_descriptors_or_by_a_new_connection_is_not_held_against_the_engine() {
-    for (ending, goes_on) in [(Ending::NoMeans, true), (Ending::BrokenNew, true), (Ending::Refused, false)] {
+    for (ending, goes_on) in [
+        (Ending::NoMeans, true),
+        (Ending::BrokenNew, true),
+        (Ending::Refused, false),
+    ] {
         let mut d = dispatcher();
         d.list(true, &[listing("a", Mode::Ready, None)]);
         let ticket = d.pick(0, &ask("lookup", None)).unwrap();
         d.tick(0);
         assert!(!d.report(1_000, ticket, 0, ending, None));
-        assert_eq!(sent(&d.tick(1_000)), if goes_on { vec![(ticket, 1)] } else { vec![] }, "{ending:?}");
+        assert_eq!(
+            sent(&d.tick(1_000)),
+            if goes_on { vec![(ticket, 1)] } else { vec![] },
+            "{ending:?}"
+        );
     }
 }
 
@@ -58,7 +76,11 @@
     let other = d.pick(6_000, &ask("lookup", None)).unwrap();
     d.tick(6_000);
     d.left(7_000, other);
-    let stop = Order::Stop { ticket: other, execution: 0, ending: Ending::GivenUp };
+    let stop = Order::Stop {
+        ticket: other,
+        execution: 0,
+        ending: Ending::GivenUp,
+    };
     assert_eq!(d.tick(7_000), [stop]);
     assert!(!d.report(7_000, other, 0, Ending::Answered, None));
     assert_eq!((d.tick(7_000), d.held()), (vec![], 0));
@@ -78,8 +100,18 @@
         d.list(false, &[listing(&id, Mode::Gone, Some(now - 60_000_000))]);
         d.tick(now + 10_000);
     }
-    let kept = (d.held(), d.ends.len(), d.keys.len(), d.free_keys.len(), d.resting.len(), d.engines.len());
-    assert!(kept.0 == 0 && kept.1 == 0 && kept.2 <= 2 && kept.3 <= 2 && kept.4 <= 2, "{kept:?}");
+    let kept = (
+        d.held(),
+        d.ends.len(),
+        d.keys.len(),
+        d.free_keys.len(),
+        d.resting.len(),
+        d.engines.len(),
+    );
+    assert!(
+        kept.0 == 0 && kept.1 == 0 && kept.2 <= 2 && kept.3 <= 2 && kept.4 <= 2,
+        "{kept:?}"
+    );
     assert_eq!(kept.5, 1);
 }
 
--- a/crates/dispatcher/src/connection_pacer.rs
+++ b/crates/dispatcher/src/connection_pacer.rs
@@ -31,7 +31,13 @@
     /// everything else. The seed is the front's own: it spreads the slots of fronts that start together.
     pub fn new(paced: bool, now: Micros, seed: u64) -> ConnectionPacer {
         let first = seed as f64 / u64::MAX as f64;
-        ConnectionPacer { rate: paced.then_some(0.0), slots: 0.0, at: now, first, used: BTreeMap::new() }
+        ConnectionPacer {
+            rate: paced.then_some(0.0),
+            slots: 0.0,
+            at: now,
+            first,
+            used: BTreeMap::new(),
+        }
     }
 
     /// Whether connections are paced at all.
@@ -43,7 +49,11 @@
     pub fn pace(&mut self, now: Micros, connections: f64) {
         (self.slots, self.at) = (self.passed(now), now);
         // No number is no pace.
-        self.rate = Some(if connections > 0.0 { connections.min(FAR) } else { 0.0 });
+        self.rate = Some(if connections > 0.0 {
+            connections.min(FAR)
+        } else {
+            0.0
+        });
     }
 
     fn passed(&self, now: Micros) -> f64 {
--- a/crates/dispatcher/src/connection_pacer_tests.rs
+++ b/crates/dispatcher/src/connection_pacer_tests.rs
@@ -7,7 +7,12 @@
 /// Connections begun in each tenth of a second of fronts that all want to at every moment.
 fn dialled(fronts: &mut [ConnectionPacer], from: Micros, tenths: usize) -> Vec<usize> {
     let moment = |n: usize| from + n as Micros * SECOND / 10;
-    let each = |n: usize| fronts.iter_mut().map(|f| usize::from(f.take(moment(n), 0))).sum();
+    let each = |n: usize| {
+        fronts
+            .iter_mut()
+            .map(|f| usize::from(f.take(moment(n), 0)))
+            .sum()
+    };
     (0..tenths).map(each).collect()
 }
 
@@ -27,7 +32,10 @@
     let each = dialled(&mut all, 0, 200);
     // Thirty a second: three in a tenth, give or take.
     assert!(each.iter().all(|n| *n <= 9), "{each:?}");
-    assert!((570..=630).contains(&each.iter().sum::<usize>()), "{each:?}");
+    assert!(
+        (570..=630).contains(&each.iter().sum::<usize>()),
+        "{each:?}"
+    );
 }
 
 #[test]
--- a/crates/dispatcher/src/demand.rs
+++ b/crates/dispatcher/src/demand.rs
@@ -28,8 +28,12 @@
 impl DemandCounts {
     fn fade(&mut self, now: Micros) {
         let left = 0.5f64.powf((now - self.at) as f64 / HALF_LIFE as f64);
-        (self.asked, self.ended, self.timely, self.at) =
-            (self.asked * left, self.ended * left, self.timely * left, now);
+        (self.asked, self.ended, self.timely, self.at) = (
+            self.asked * left,
+            self.ended * left,
+            self.timely * left,
+            now,
+        );
     }
 
     pub(crate) fn record_arrival(&mut self, now: Micros) {
@@ -52,15 +56,29 @@
     /// The demand on this front over the last seconds, by the names of workloads.
     pub fn workload_demand(&mut self, now: Micros) -> impl Iterator<Item = (&str, &DemandCounts)> {
         self.workload_demand.iter_mut().for_each(|o| o.fade(now));
-        self.names.workloads.iter().map(String::as_str).zip(&self.workload_demand)
+        self.names
+            .workloads
+            .iter()
+            .map(String::as_str)
+            .zip(&self.workload_demand)
     }
 
     /// The same by the names of customers; nothing where none has an agreed share, None for one without.
-    pub fn customer_demand(&mut self, now: Micros) -> impl Iterator<Item = (&str, Option<&DemandCounts>)> {
-        self.customer_demand.iter_mut().for_each(|(_, o)| o.fade(now));
+    pub fn customer_demand(
+        &mut self,
+        now: Micros,
+    ) -> impl Iterator<Item = (&str, Option<&DemandCounts>)> {
+        self.customer_demand
+            .iter_mut()
+            .for_each(|(_, o)| o.fade(now));
         let any = self.customer_demand.iter().any(|(shared, _)| *shared);
-        let all =
-            self.names.customers.iter().map(String::as_str).zip(&self.customer_demand).filter(move |_| any);
+        let all = self
+            .names
+            .customers
+            .iter()
+            .map(String::as_str)
+            .zip(&self.customer_demand)
+            .filter(move |_| any);
         all.map(|(name, (shared, asked))| (name, Some(asked).filter(|_| *shared)))
     }
 
@@ -71,8 +89,12 @@
 
     /// An execution has answered its statement.
     pub(crate) fn count_answer(&mut self, now: Micros, ticket: Ticket, took: Micros) {
-        let Some(s) = self.statements.get(&ticket) else { return };
-        let Some(demand) = self.workload_demand.get_mut(s.workload) else { return };
+        let Some(s) = self.statements.get(&ticket) else {
+            return;
+        };
+        let Some(demand) = self.workload_demand.get_mut(s.workload) else {
+            return;
+        };
         demand.record_end(now, now <= s.in_time_until);
         demand.record_work(took as f64 * self.workloads.get(s.workload).map_or(1.0, |w| w.threads));
     }
@@ -80,9 +102,15 @@
     /// Rejected or aborted; one that the module did not let in, as it ended when it came, counts as asked
     /// alone.
     pub(crate) fn count_shed(&mut self, now: Micros, ticket: Ticket, first_new: Option<Ticket>) {
-        let admitted = |s: &&Statement| !s.executions.is_empty() || first_new.is_none_or(|new| ticket < new);
-        let Some(s) = self.statements.get(&ticket).filter(admitted) else { return };
-        self.workload_demand.get_mut(s.workload).into_iter().for_each(|o| o.record_end(now, false));
+        let admitted =
+            |s: &&Statement| !s.executions.is_empty() || first_new.is_none_or(|new| ticket < new);
+        let Some(s) = self.statements.get(&ticket).filter(admitted) else {
+            return;
+        };
+        self.workload_demand
+            .get_mut(s.workload)
+            .into_iter()
+            .for_each(|o| o.record_end(now, false));
     }
 }
 
--- a/crates/dispatcher/src/ending.rs
+++ b/crates/dispatcher/src/ending.rs
@@ -46,7 +46,10 @@
 impl Ending {
     /// Whether the statement may have run; false only where this ending proves that it has not.
     pub fn may_have_run(self) -> bool {
-        !matches!(self.outcome(), Outcome::NoCapacity | Outcome::Unreachable | Outcome::NotSent)
+        !matches!(
+            self.outcome(),
+            Outcome::NoCapacity | Outcome::Unreachable | Outcome::NotSent
+        )
     }
 
     /// What the ending means to the module: the one table of what it proves. `NoCapacity`, `Unreachable` and
@@ -59,7 +62,9 @@
             Ending::Refused | Ending::NeverUp => Outcome::Unreachable,
             Ending::NoMeans | Ending::Stale | Ending::Withdrawn => Outcome::NotSent,
             Ending::BrokenNew | Ending::HalfWritten => Outcome::NotSent,
-            Ending::Reset | Ending::Closed | Ending::Unreadable | Ending::ClosedHere => Outcome::Reset,
+            Ending::Reset | Ending::Closed | Ending::Unreadable | Ending::ClosedHere => {
+                Outcome::Reset
+            }
             Ending::TimeUp => Outcome::TimedOut,
             Ending::GivenUp => Outcome::Cancelled,
         }
--- a/crates/dispatcher/src/engines.rs
+++ b/crates/dispatcher/src/engines.rs
@@ -53,19 +53,33 @@
                 cell: listing.cell,
                 mode: listing.mode,
                 started: listing.started,
-                protocols: listing.protocols.iter().fold(0, |all, protocol| all | *protocol as u8),
+                protocols: listing
+                    .protocols
+                    .iter()
+                    .fold(0, |all, protocol| all | *protocol as u8),
                 // Only the protocol of lines has notes.
                 sends_progress: listing.protocols.contains(&Protocol::Lines),
             };
             entry.engine = self.place(listing.id, &entry);
             let stats = EngineStats::default();
-            let engine = Engine { id: listing.id.to_string(), entry: entry.clone(), out: 0, held: 0, stats };
+            let engine = Engine {
+                id: listing.id.to_string(),
+                entry: entry.clone(),
+                out: 0,
+                held: 0,
+                stats,
+            };
             match self.engines.get_mut(entry.engine) {
                 Some(known) => {
                     // What was seen of another, or of an earlier start, says nothing of this one.
                     let same = known.id == engine.id && known.entry.started == engine.entry.started;
                     let stats = if same { known.stats } else { stats };
-                    *known = Engine { out: known.out, held: known.held, stats, ..engine };
+                    *known = Engine {
+                        out: known.out,
+                        held: known.held,
+                        stats,
+                        ..engine
+                    };
                 }
                 None => self.engines.push(engine),
             }
@@ -85,17 +99,23 @@
         };
         let follows = entry.started.is_some();
         let own = self.engines.iter().position(|e| e.id == id);
-        own.or_else(|| self.engines.iter().position(|e| follows && like(e))).unwrap_or(self.engines.len())
+        own.or_else(|| self.engines.iter().position(|e| follows && like(e)))
+            .unwrap_or(self.engines.len())
     }
 
     /// All engines that statements may be sent to.
     pub(crate) fn places(&self) -> Vec<Place> {
-        (0..self.engines.len()).filter(|e| self.engines[*e].entry.mode == Mode::Ready).collect()
+        (0..self.engines.len())
+            .filter(|e| self.engines[*e].entry.mode == Mode::Ready)
+            .collect()
     }
 
     /// How many executions can leave for an engine now, over connections that are there or may be made.
     pub(crate) fn set_send_capacity(&mut self, place: Place, executions: usize) {
-        self.events.push(Event::SendCapacity { engine: place, executions });
+        self.events.push(Event::SendCapacity {
+            engine: place,
+            executions,
+        });
     }
 
     /// A probe ended: whether the engine answered, and the load report that it answered with.
@@ -104,6 +124,10 @@
             engine.stats.fade(now);
             engine.stats.record_answer(now);
         }
-        self.events.push(Event::Probed { engine: place, alive, report });
+        self.events.push(Event::Probed {
+            engine: place,
+            alive,
+            report,
+        });
     }
 }
--- a/crates/dispatcher/src/observations.rs
+++ b/crates/dispatcher/src/observations.rs
@@ -66,7 +66,11 @@
     pub fn record_answer(&mut self, now: Micros) {
         (self.heard_at, self.ended_silence) = (now, None);
         self.answered += 1.0;
-        if self.troubled_at.take().is_some_and(|at| now - at < TROUBLE_REMEMBERED_FOR) {
+        if self
+            .troubled_at
+            .take()
+            .is_some_and(|at| now - at < TROUBLE_REMEMBERED_FOR)
+        {
             self.recovered_at = Some(now);
             self.recovered_since.get_or_insert(now);
         }
@@ -100,15 +104,27 @@
                 .ended_silence
                 .filter(|(at, _)| now - at < SILENCE_REPORTED_FOR)
                 .map_or(0, |(_, silent)| silent);
-            let now_silent = if e.out == e.held { 0 } else { now - e.stats.heard_at.max(e.stats.busy_since) };
-            Some(now_silent.max(ended_silence)).filter(|silent| *silent >= SILENT).unwrap_or(0)
+            let now_silent = if e.out == e.held {
+                0
+            } else {
+                now - e.stats.heard_at.max(e.stats.busy_since)
+            };
+            Some(now_silent.max(ended_silence))
+                .filter(|silent| *silent >= SILENT)
+                .unwrap_or(0)
         };
         for e in &mut self.engines {
             if e.stats.failed >= 1.0 || silent(e) > 0 {
-                (e.stats.troubled_at, e.stats.recovered_at, e.stats.recovered_since) =
-                    (Some(now), None, None);
+                (
+                    e.stats.troubled_at,
+                    e.stats.recovered_at,
+                    e.stats.recovered_since,
+                ) = (Some(now), None, None);
             }
-            e.stats.recovered_at = e.stats.recovered_at.filter(|at| now - at < RECOVERY_REPORTED_FOR);
+            e.stats.recovered_at = e
+                .stats
+                .recovered_at
+                .filter(|at| now - at < RECOVERY_REPORTED_FOR);
         }
         let answered = |e: &Engine| {
             if e.stats.recovered_at.is_some() {
@@ -129,7 +145,10 @@
         let worth = |(s, recovered): &(EngineObservation, bool)| {
             s.failed >= 1.0 || s.silent > 0 || s.draining || *recovered
         };
-        all.zip(has_recovered).filter(worth).map(|(s, _)| s).collect()
+        all.zip(has_recovered)
+            .filter(worth)
+            .map(|(s, _)| s)
+            .collect()
     }
 
     /// Another front reports on an engine, which `is` knows by its id; `reporter` is its index among the
@@ -142,12 +161,26 @@
         observed: &EngineObservation,
         age: Micros,
     ) {
-        let Some(engine) = self.engines.iter().position(|e| is(&e.id)) else { return };
+        let Some(engine) = self.engines.iter().position(|e| is(&e.id)) else {
+            return;
+        };
         if observed.failed >= 1.0 || observed.silent > 0 {
             self.engines[engine].stats.troubled_at = Some(now);
         }
-        let EngineObservation { failed, answered, silent, .. } = *observed;
-        let report = PeerReport { reporter, engine, failed, answered, silent, age };
+        let EngineObservation {
+            failed,
+            answered,
+            silent,
+            ..
+        } = *observed;
+        let report = PeerReport {
+            reporter,
+            engine,
+            failed,
+            answered,
+            silent,
+            age,
+        };
         if report.answers() {
             self.engines[engine].stats.ended_silence = None; // the engine has answered since
         }
@@ -158,22 +191,36 @@
     /// of. `probers` are those that share the probes into what the fleet has left: infinitely many where it
     /// is another's work.
     pub fn fleet(&mut self, known: usize, probers: f64) {
-        self.events.push(Event::Fleet { known: known as f64, up: probers.max(1.0) });
+        self.events.push(Event::Fleet {
+            known: known as f64,
+            up: probers.max(1.0),
+        });
     }
 
     /// Engines that were in trouble and have answered again, and since when, while they may be cold for it.
     pub fn recovered(&self, now: Micros) -> Vec<(&str, Micros)> {
         let lately = |since: &Micros| now - since < self.warm_within.max(RECOVERY_REPORTED_FOR);
-        let recovered = self.engines.iter().filter_map(|e| Some((e.id.as_str(), e.stats.recovered_since?)));
+        let recovered = self
+            .engines
+            .iter()
+            .filter_map(|e| Some((e.id.as_str(), e.stats.recovered_since?)));
         recovered.filter(|(_, since)| lately(since)).collect()
     }
 
     /// The owner of that work says that an engine has answered again since then: as if it had started.
     pub fn set_recovered_since(&mut self, is: impl Fn(&str) -> bool, since: Micros) {
-        let Some(engine) = self.engines.iter_mut().find(|e| is(&e.id)) else { return };
+        let Some(engine) = self.engines.iter_mut().find(|e| is(&e.id)) else {
+            return;
+        };
         (engine.stats.recovered_since, engine.stats.ended_silence) = (Some(since), None);
-        let entry = EngineEntry { started: Some(since), ..engine.entry.clone() };
-        self.events.push(Event::Engines { whole: false, entries: vec![entry] });
+        let entry = EngineEntry {
+            started: Some(since),
+            ..engine.entry.clone()
+        };
+        self.events.push(Event::Engines {
+            whole: false,
+            entries: vec![entry],
+        });
     }
 }
 
--- a/crates/dispatcher/src/observations_tests.rs
+++ b/crates/dispatcher/src/observations_tests.rs
@@ -12,12 +12,20 @@
     d.tick(0);
     assert!(d.observations(900_000).is_empty());
     d.report(1_400_000, ticket, 0, Ending::GivenUp, None);
-    let told: Vec<_> = d.observations(1_500_000).iter().map(|s| (s.id.to_string(), s.silent)).collect();
+    let told: Vec<_> = d
+        .observations(1_500_000)
+        .iter()
+        .map(|s| (s.id.to_string(), s.silent))
+        .collect();
     assert_eq!(told, [("a".to_string(), 1_400_000)]);
     assert!(d.observations(1_400_000 + SILENCE_REPORTED_FOR).is_empty());
     // It answers a probe: for a while that is told, then nothing.
     d.probed(5_000_000, 0, true, None);
-    let well: Vec<_> = d.observations(5_100_000).iter().map(|s| (s.silent, s.answered >= 1.0)).collect();
+    let well: Vec<_> = d
+        .observations(5_100_000)
+        .iter()
+        .map(|s| (s.silent, s.answered >= 1.0))
+        .collect();
     assert_eq!(well, [(0, true)]);
     assert!(d.observations(5_000_000 + RECOVERY_REPORTED_FOR).is_empty());
 }
--- a/crates/dispatcher/src/orders.rs
+++ b/crates/dispatcher/src/orders.rs
@@ -82,7 +82,9 @@
         if !self.events.is_empty() {
             return 0;
         }
-        self.ends.first().map_or(self.wake, |(ends, _)| self.wake.min(*ends))
+        self.ends
+            .first()
+            .map_or(self.wake, |(ends, _)| self.wake.min(*ends))
     }
 
     /// Decides on all that happened since the last call; the orders are to be carried out in this order.
@@ -90,9 +92,15 @@
         let mut orders = Vec::new();
         while let Some(&(ends, ticket)) = self.ends.first().filter(|(ends, _)| *ends <= now) {
             self.ends.remove(&(ends, ticket));
-            let Some(s) = self.statements.get(&ticket) else { continue };
+            let Some(s) = self.statements.get(&ticket) else {
+                continue;
+            };
             let ending = Ending::TimeUp;
-            orders.extend(s.out().map(|execution| Order::Stop { ticket, execution, ending }));
+            orders.extend(s.out().map(|execution| Order::Stop {
+                ticket,
+                execution,
+                ending,
+            }));
         }
         if self.events.is_empty() && now < self.wake {
             return orders;
@@ -106,7 +114,10 @@
             if let Event::Arrived(arrival) = event {
                 first_new.get_or_insert(arrival.statement);
                 // Guards against a stop between taking a statement and deciding: its time has run on.
-                let ends = self.statements.get(&arrival.statement).map_or(now, |s| s.terms.ends);
+                let ends = self
+                    .statements
+                    .get(&arrival.statement)
+                    .map_or(now, |s| s.terms.ends);
                 arrival.time_left = ends - now;
             }
         }
@@ -122,40 +133,96 @@
 
     fn order(&mut self, now: Micros, action: Action, orders: &mut Vec<Order>) {
         match action {
-            Action::Terms { statement: ticket, grant_mb, priority } => {
-                let Some(s) = self.statements.get_mut(&ticket) else { return };
-                s.terms = Terms { grant_mb, priority, ..s.terms };
-                orders.extend(s.out().map(|execution| Order::Hurry { ticket, execution, priority }));
+            Action::Terms {
+                statement: ticket,
+                grant_mb,
+                priority,
+            } => {
+                let Some(s) = self.statements.get_mut(&ticket) else {
+                    return;
+                };
+                s.terms = Terms {
+                    grant_mb,
+                    priority,
+                    ..s.terms
+                };
+                orders.extend(s.out().map(|execution| Order::Hurry {
+                    ticket,
+                    execution,
+                    priority,
+                }));
             }
-            Action::Execute { statement: ticket, engine: place } => {
-                let Some(s) = self.statements.get_mut(&ticket) else { return };
+            Action::Execute {
+                statement: ticket,
+                engine: place,
+            } => {
+                let Some(s) = self.statements.get_mut(&ticket) else {
+                    return;
+                };
                 let window = repeat_window(&self.workloads[s.workload]);
-                let terms = Terms { leave_by: s.repeats_until(window), ..s.terms };
+                let terms = Terms {
+                    leave_by: s.repeats_until(window),
+                    ..s.terms
+                };
                 let execution = s.executions.len();
-                s.executions.push(Execution { place, sent: now, out: true, held: false, ending: None });
+                s.executions.push(Execution {
+                    place,
+                    sent: now,
+                    out: true,
+                    held: false,
+                    ending: None,
+                });
                 let engine = &mut self.engines[place];
                 if engine.out == 0 {
                     engine.stats.busy_since = now;
                 }
                 engine.out += 1;
-                orders.push(Order::Send { ticket, execution, place, terms });
+                orders.push(Order::Send {
+                    ticket,
+                    execution,
+                    place,
+                    terms,
+                });
             }
-            Action::Cancel { statement: ticket, execution } => {
+            Action::Cancel {
+                statement: ticket,
+                execution,
+            } => {
                 // What has begun to answer can't be tried elsewhere: it is only stopped with its statement.
-                if self.statements.get(&ticket).is_some_and(|s| s.over || !s.begun) {
-                    orders.push(Order::Stop { ticket, execution, ending: Ending::GivenUp });
+                if self
+                    .statements
+                    .get(&ticket)
+                    .is_some_and(|s| s.over || !s.begun)
+                {
+                    orders.push(Order::Stop {
+                        ticket,
+                        execution,
+                        ending: Ending::GivenUp,
+                    });
                 }
             }
-            Action::Reject { statement: ticket, retry_after } => {
-                orders.push(Order::Reject { ticket, retry_after });
+            Action::Reject {
+                statement: ticket,
+                retry_after,
+            } => {
+                orders.push(Order::Reject {
+                    ticket,
+                    retry_after,
+                });
                 self.over(now, ticket);
             }
             Action::Abort { statement: ticket } => {
                 orders.push(Order::Abort { ticket });
                 self.over(now, ticket);
             }
-            Action::Probe { engine: place } => orders.push(Order::Probe { place, for_fleet: false }),
-            Action::ProbeEvacuated { engine: place } => orders.push(Order::Probe { place, for_fleet: true }),
+            Action::Probe { engine: place } => orders.push(Order::Probe {
+                place,
+                for_fleet: false,
+            }),
+            Action::ProbeEvacuated { engine: place } => orders.push(Order::Probe {
+                place,
+                for_fleet: true,
+            }),
             Action::Pace { connections } => orders.push(Order::Pace { connections }),
             Action::Wake { at } => self.wake = at,
             // The coordinator is followed all the time, asked for or not.
--- a/crates/dispatcher/src/orders_tests.rs
+++ b/crates/dispatcher/src/orders_tests.rs
@@ -10,7 +10,11 @@
     d.list(true, &[listing("a", Mode::Ready, None)]);
     let ticket = d.pick(0, &ask("pay", None)).unwrap();
     d.tick(0);
-    let stop = Order::Stop { ticket, execution: 0, ending: Ending::TimeUp };
+    let stop = Order::Stop {
+        ticket,
+        execution: 0,
+        ending: Ending::TimeUp,
+    };
     assert!(d.tick(4_000_000).contains(&stop));
     d.report(4_000_000, ticket, 0, Ending::TimeUp, None);
     assert_eq!(d.tick(4_000_000), [Order::Abort { ticket }]);
--- a/crates/dispatcher/src/promises.rs
+++ b/crates/dispatcher/src/promises.rs
@@ -53,9 +53,17 @@
 impl StatementOver {
     pub(crate) fn of(ticket: Ticket, s: &Statement) -> StatementOver {
         let endings = || s.executions.iter().filter_map(|x| x.ending);
-        let runs_on =
-            |e: Ending| matches!(e.outcome(), Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
-        StatementOver { ticket, ran: endings().any(Ending::may_have_run), rests: endings().any(runs_on) }
+        let runs_on = |e: Ending| {
+            matches!(
+                e.outcome(),
+                Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
+            )
+        };
+        StatementOver {
+            ticket,
+            ran: endings().any(Ending::may_have_run),
+            rests: endings().any(runs_on),
+        }
     }
 }
 
@@ -81,7 +89,10 @@
 
     /// The end of a statement is to be told by `followed`.
     pub fn follow(&mut self, ticket: Ticket) {
-        self.statements.get_mut(&ticket).into_iter().for_each(|s| s.followed = true);
+        self.statements
+            .get_mut(&ticket)
+            .into_iter()
+            .for_each(|s| s.followed = true);
     }
 
     /// Statements that are followed and over with nothing out for them, since the last call.
@@ -91,17 +102,19 @@
 
     /// Tells of a statement that was taken, if it depends on promises: whether it does.
     pub(crate) fn announce_arrival(&mut self, ticket: Ticket, ask: &Ask, workload: usize) -> bool {
-        let depends = |w: &Workload| w.effect != Effect::Idempotent || w.in_order && ask.key.is_some();
+        let depends =
+            |w: &Workload| w.effect != Effect::Idempotent || w.in_order && ask.key.is_some();
         let promised = self.watches_promises && self.workloads.get(workload).is_some_and(depends);
         if promised {
             let text = |text: Option<&str>| text.map(str::to_string);
-            self.promise_events.push(PromiseEvent::Arrived(StatementArrived {
-                ticket,
-                workload: ask.workload.to_string(),
-                customer: ask.customer.to_string(),
-                key: text(ask.key),
-                dedup_key: text(ask.dedup_key),
-            }));
+            self.promise_events
+                .push(PromiseEvent::Arrived(StatementArrived {
+                    ticket,
+                    workload: ask.workload.to_string(),
+                    customer: ask.customer.to_string(),
+                    key: text(ask.key),
+                    dedup_key: text(ask.dedup_key),
+                }));
         }
         promised
     }
@@ -109,7 +122,12 @@
     /// Where an engine is; the default where there is no such engine.
     pub fn site(&self, place: Place) -> Site {
         let entry = self.engines.get(place).map(|e| &e.entry);
-        entry.map(|e| Site { location: e.location, cell: e.cell }).unwrap_or_default()
+        entry
+            .map(|e| Site {
+                location: e.location,
+                cell: e.cell,
+            })
+            .unwrap_or_default()
     }
 
     /// An execution that was ordered waits in this front; to be said again while it does, or it is taken for
@@ -124,8 +142,12 @@
     }
 
     fn holds(&mut self, now: Micros, ticket: Ticket, execution: usize, held: bool) {
-        let Some(s) = self.statements.get_mut(&ticket) else { return };
-        let Some(x) = s.executions.get_mut(execution).filter(|x| x.out) else { return };
+        let Some(s) = self.statements.get_mut(&ticket) else {
+            return;
+        };
+        let Some(x) = s.executions.get_mut(execution).filter(|x| x.out) else {
+            return;
+        };
         let engine = &mut self.engines[x.place];
         engine.held -= usize::from(x.held);
         if !held && engine.out - engine.held == 1 {
@@ -134,7 +156,12 @@
         engine.held += usize::from(held);
         (x.held, x.sent) = (held, now);
         let note = Note::NotSentYet;
-        self.events.push(Event::Noted { statement: ticket, execution, engine: x.place, note });
+        self.events.push(Event::Noted {
+            statement: ticket,
+            execution,
+            engine: x.place,
+            note,
+        });
     }
 
     /// Ends a statement that can't have its promise: nothing of it is out but what is held here. When its
@@ -153,7 +180,8 @@
         }
         // The golden ratio's multiples lie evenly whatever the tickets are.
         let spread = (f64::from(ticket) * 0.618_033_988_749_895).fract();
-        self.longest_retry_after.map(|most| (most as f64 * (0.5 + spread / 2.0)) as Micros)
+        self.longest_retry_after
+            .map(|most| (most as f64 * (0.5 + spread / 2.0)) as Micros)
     }
 }
 
--- a/crates/dispatcher/src/promises_tests.rs
+++ b/crates/dispatcher/src/promises_tests.rs
@@ -14,12 +14,20 @@
     while now < 3_000_000 {
         d.waits(now, ticket, 0);
         now += 100_000;
-        assert_eq!((d.tick(now), d.observations(now).len()), (vec![], 0), "{now}");
+        assert_eq!(
+            (d.tick(now), d.observations(now).len()),
+            (vec![], 0),
+            "{now}"
+        );
     }
     d.leaves(now, ticket, 0);
     d.tick(now);
     assert!(d.observations(now + 900_000).is_empty());
-    let silent: Vec<_> = d.observations(now + 999_000 + 1_000).iter().map(|s| s.silent).collect();
+    let silent: Vec<_> = d
+        .observations(now + 999_000 + 1_000)
+        .iter()
+        .map(|s| s.silent)
+        .collect();
     assert_eq!(silent, [1_000_000]);
     assert!(d.report(now + 1_000_000, ticket, 0, Ending::Answered, None));
     assert_eq!(d.engines[0].held, 0);
@@ -42,7 +50,11 @@
         assert_eq!(d.turn_away(n, ticket), None);
         assert_eq!(
             d.promise_events(),
-            [PromiseEvent::Over(StatementOver { ticket, ran: false, rests: false })]
+            [PromiseEvent::Over(StatementOver {
+                ticket,
+                ran: false,
+                rests: false
+            })]
         );
         assert_eq!((d.tick(n), d.held(), d.engines[0].held), (vec![], 0, 0));
     }
@@ -70,7 +82,11 @@
         assert_eq!(d.promise_events().len(), 1);
         d.tick(0);
         d.left(1, ticket);
-        let stop = Order::Stop { ticket, execution: 0, ending: Ending::GivenUp };
+        let stop = Order::Stop {
+            ticket,
+            execution: 0,
+            ending: Ending::GivenUp,
+        };
         assert_eq!((d.promise_events(), d.tick(1)), (vec![], vec![stop]));
         d.report(2, ticket, 0, ending, None);
         assert_eq!(
--- a/crates/dispatcher/src/statements.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -90,13 +90,24 @@
 
 impl Statement {
     /// One that arrives now and has not been executed.
-    fn arrived(now: Micros, ask: &Ask, place: usize, workload: &Workload, promised: bool) -> Statement {
+    fn arrived(
+        now: Micros,
+        ask: &Ask,
+        place: usize,
+        workload: &Workload,
+        promised: bool,
+    ) -> Statement {
         let stretch = workload.slo_stretch / workload.threads * ask.work;
         let ends = now + ask.time_left;
         Statement {
             workload: place,
             in_time_until: now + workload.slo_time + stretch as Micros,
-            terms: Terms { ends, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 },
+            terms: Terms {
+                ends,
+                leave_by: Micros::MAX,
+                grant_mb: 0.0,
+                priority: 1,
+            },
             over: false,
             begun: false,
             keeps: false,
@@ -111,8 +122,15 @@
     /// first execution that may have run. The decision is made within it, but a connection may come up late.
     pub fn repeats_until(&self, window: Option<Micros>) -> Micros {
         let may_have_run = |x: &&Execution| x.ending.is_none_or(Ending::may_have_run);
-        let first = self.executions.iter().filter(may_have_run).map(|x| x.sent).min();
-        first.zip(window).map_or(Micros::MAX, |(sent, window)| sent + window)
+        let first = self
+            .executions
+            .iter()
+            .filter(may_have_run)
+            .map(|x| x.sent)
+            .min();
+        first
+            .zip(window)
+            .map_or(Micros::MAX, |(sent, window)| sent + window)
     }
 
     /// The numbers of its executions that are out.
@@ -137,14 +155,19 @@
 
     /// The numbers of a statement's executions that were ordered and have not ended.
     pub fn executions_out(&self, ticket: Ticket) -> Vec<usize> {
-        self.statements.get(&ticket).map_or(Vec::new(), |s| s.out().collect())
+        self.statements
+            .get(&ticket)
+            .map_or(Vec::new(), |s| s.out().collect())
     }
 
     /// Takes a statement that arrives now and asks for an engine; the answer comes with a later
     /// [`Dispatcher::tick`]. An error says why it was not taken: then nothing is kept of it.
     pub fn pick(&mut self, now: Micros, ask: &Ask) -> Result<Ticket, Unfit> {
         let (workload, customer) = self.agreed_places(ask)?;
-        let allowed = ask.allowed.map(|names| self.allowed(workload, ask.pinned, names)).transpose()?;
+        let allowed = ask
+            .allowed
+            .map(|names| self.allowed(workload, ask.pinned, names))
+            .transpose()?;
         let ticket = self.number();
         let promised = self.announce_arrival(ticket, ask, workload);
         let key = ask.key.map(|key| self.key(key));
@@ -162,7 +185,10 @@
             allowed,
         }));
         self.workload_demand[workload].record_arrival(now);
-        self.customer_demand.get_mut(customer).into_iter().for_each(|(_, asked)| asked.record_arrival(now));
+        self.customer_demand
+            .get_mut(customer)
+            .into_iter()
+            .for_each(|(_, asked)| asked.record_arrival(now));
         let statement = Statement::arrived(now, ask, workload, &self.workloads[workload], promised);
         self.ends.insert((statement.terms.ends, ticket));
         self.statements.insert(ticket, statement);
@@ -176,7 +202,8 @@
             None if !self.names.customers.is_empty() => return Err(Unfit::Customer),
             found => found.unwrap_or(0),
         };
-        let marked = ask.dedup_key.is_some() || self.workloads[workload].effect != Effect::Deduplicated;
+        let marked =
+            ask.dedup_key.is_some() || self.workloads[workload].effect != Effect::Deduplicated;
         if marked {
             Ok((workload, customer))
         } else {
@@ -186,11 +213,21 @@
 
     /// The places of the locations allowed. An error where nothing is left to send to: as it would be at any
     /// try.
-    fn allowed(&self, workload: usize, pinned: Option<Place>, names: &[&str]) -> Result<Vec<usize>, Unfit> {
+    fn allowed(
+        &self,
+        workload: usize,
+        pinned: Option<Place>,
+        names: &[&str],
+    ) -> Result<Vec<usize>, Unfit> {
         // A name that the settings do not have allows nothing: no engine is told apart by it.
-        let mut allowed: Vec<usize> =
-            names.iter().filter_map(|name| position(&self.names.locations, name)).collect();
-        let bound = self.workloads.get(workload).and_then(|w| w.locations.as_ref());
+        let mut allowed: Vec<usize> = names
+            .iter()
+            .filter_map(|name| position(&self.names.locations, name))
+            .collect();
+        let bound = self
+            .workloads
+            .get(workload)
+            .and_then(|w| w.locations.as_ref());
         allowed.retain(|location| bound.is_none_or(|bound| bound.contains(location)));
         let there = |place: Place| self.engines.get(place).map(|e| e.entry.location);
         match pinned.and_then(there) {
@@ -203,10 +240,10 @@
     fn key(&mut self, name: &str) -> KeyId {
         let next = self.keys.len() as KeyId;
         let free = &mut self.free_keys;
-        let key = self
-            .keys
-            .entry(name.to_string())
-            .or_insert_with(|| Key { id: free.pop().unwrap_or(next), statements: 0 });
+        let key = self.keys.entry(name.to_string()).or_insert_with(|| Key {
+            id: free.pop().unwrap_or(next),
+            statements: 0,
+        });
         key.statements += 1;
         key.id
     }
@@ -222,7 +259,11 @@
     /// the transaction keeps the turn of an order key from then on, until `freed`.
     pub fn keeps(&mut self, ticket: Ticket) -> bool {
         let workload_keeps = |s: &Statement| s.key.is_some() && !s.over;
-        match self.statements.get_mut(&ticket).filter(|s| workload_keeps(s)) {
+        match self
+            .statements
+            .get_mut(&ticket)
+            .filter(|s| workload_keeps(s))
+        {
             Some(s) => {
                 s.keeps = true;
                 true
--- a/crates/dispatcher/src/statements_tests.rs
+++ b/crates/dispatcher/src/statements_tests.rs
@@ -8,8 +8,26 @@
 fn unknown_names_and_a_missing_dedup_key_are_unfit() {
     let mut d = dispatcher();
     assert_eq!(d.pick(0, &ask("unheard", None)), Err(Unfit::Workload));
-    assert_eq!(d.pick(0, &Ask { customer: "unheard", ..ask("pay", None) }), Err(Unfit::Customer));
-    assert_eq!(d.pick(0, &Ask { dedup_key: None, ..ask("load", None) }), Err(Unfit::DedupKey));
+    assert_eq!(
+        d.pick(
+            0,
+            &Ask {
+                customer: "unheard",
+                ..ask("pay", None)
+            }
+        ),
+        Err(Unfit::Customer)
+    );
+    assert_eq!(
+        d.pick(
+            0,
+            &Ask {
+                dedup_key: None,
+                ..ask("load", None)
+            }
+        ),
+        Err(Unfit::DedupKey)
+    );
     assert_eq!(d.held(), 0);
 }
 
@@ -18,10 +36,20 @@
     let mut d = dispatcher();
     d.list(
         true,
-        &[listing("a", Mode::Ready, None), Listing { location: "there", ..listing("b", Mode::Ready, None) }],
+        &[
+            listing("a", Mode::Ready, None),
+            Listing {
+                location: "there",
+                ..listing("b", Mode::Ready, None)
+            },
+        ],
     );
     let barred = |d: &mut Dispatcher, names: &[&str], pinned| {
-        let asked = Ask { allowed: Some(names), pinned, ..ask("lookup", None) };
+        let asked = Ask {
+            allowed: Some(names),
+            pinned,
+            ..ask("lookup", None)
+        };
         d.pick(0, &asked) == Err(Unfit::Barred)
     };
     assert!(barred(&mut d, &[], None) && barred(&mut d, &["moon"], None));
--- a/crates/dispatcher/src/test_support.rs
+++ b/crates/dispatcher/src/test_support.rs
@@ -19,16 +19,33 @@
 
 pub fn listing(id: &str, mode: Mode, started: Option<Micros>) -> Listing<'_> {
     let protocols = &[Protocol::Lines];
-    Listing { id, location: "here", kind: "std", cell: 0, mode, started, protocols }
+    Listing {
+        id,
+        location: "here",
+        kind: "std",
+        cell: 0,
+        mode,
+        started,
+        protocols,
+    }
 }
 
 pub fn ask<'a>(workload: &'a str, key: Option<&'a str>) -> Ask<'a> {
-    Ask { workload, customer: "acme", key, dedup_key: Some("u"), time_left: 4_000_000, ..Ask::default() }
+    Ask {
+        workload,
+        customer: "acme",
+        key,
+        dedup_key: Some("u"),
+        time_left: 4_000_000,
+        ..Ask::default()
+    }
 }
 
 pub fn sent(orders: &[Order]) -> Vec<(Ticket, usize)> {
     let send = |o: &Order| match o {
-        Order::Send { ticket, execution, .. } => Some((*ticket, *execution)),
+        Order::Send {
+            ticket, execution, ..
+        } => Some((*ticket, *execution)),
         _ => None,
     };
     orders.iter().filter_map(send).collect()
--- a/crates/dispatcher/tests/repeat_window.rs
+++ b/crates/dispatcher/tests/repeat_window.rs
@@ -30,7 +30,12 @@
 }
 
 fn ask(workload: &str) -> Ask<'_> {
-    Ask { workload, dedup_key: Some("u"), time_left: 4_000_000, ..Ask::default() }
+    Ask {
+        workload,
+        dedup_key: Some("u"),
+        time_left: 4_000_000,
+        ..Ask::default()
+    }
 }
 
 /// Until when the attempts that were ordered may leave.
--- a/crates/dispatcher/tests/slow_start/fleet.rs
+++ b/crates/dispatcher/tests/slow_start/fleet.rs
@@ -113,7 +113,8 @@
         let end = START + self.shape.warm;
         loop {
             let wakes = self.processes.iter().enumerate();
-            let wakes = wakes.filter_map(|(p, of)| Some((of.dispatcher.as_ref()?.wake().max(self.now), p)));
+            let wakes =
+                wakes.filter_map(|(p, of)| Some((of.dispatcher.as_ref()?.wake().max(self.now), p)));
             let wake = wakes.min().unwrap_or((end, 0));
             let next = self.events.peek().map_or(end, |Reverse((at, ..))| *at);
             self.now = wake.0.min(next);
@@ -122,7 +123,11 @@
             }
             match wake.0 <= next {
                 true => self.settles(wake.1),
-                false => self.events.pop().into_iter().for_each(|Reverse((.., event))| self.happens(event)),
+                false => self
+                    .events
+                    .pop()
+                    .into_iter()
+                    .for_each(|Reverse((.., event))| self.happens(event)),
             }
         }
     }
@@ -174,7 +179,12 @@
     }
 
     fn tells(&mut self, p: usize, whole: bool) {
-        let learned = START + if whole && self.shape.old_list { self.shape.told[p] } else { 0 };
+        let learned = START
+            + if whole && self.shape.old_list {
+                self.shape.told[p]
+            } else {
+                0
+            };
         let started = self.now >= learned;
         let mode = match self.shape.arrives {
             _ if started => Some(Mode::Ready),
@@ -197,9 +207,13 @@
         let lines: Vec<_> = warm.chain(cold).collect();
         let listings: Vec<_> = lines.iter().map(|(e, mode)| line(*e, *mode)).collect();
         let process = &mut self.processes[p];
-        let Some(dispatcher) = &mut process.dispatcher else { return };
+        let Some(dispatcher) = &mut process.dispatcher else {
+            return;
+        };
         let places = dispatcher.list(whole, &listings);
-        process.at.extend(places.into_iter().zip(lines.iter().map(|(e, _)| *e)));
+        process
+            .at
+            .extend(places.into_iter().zip(lines.iter().map(|(e, _)| *e)));
         process.told = started;
         self.settles(p);
     }
@@ -211,26 +225,42 @@
             Demand::Burst(_) => 0.02,
         };
         let count = self.engines.len() as f64;
-        let gap = self.chance.gap(self.shape.rate() * share * count / self.shape.processes as f64);
+        let gap = self
+            .chance
+            .gap(self.shape.rate() * share * count / self.shape.processes as f64);
         // What comes in a burst does not wait for the gaps of before.
         let next = match self.shape.demand {
             Demand::Burst(after) if self.now < START + after => {
-                let first = self.chance.gap(self.shape.rate() * 3.0 * count / self.shape.processes as f64);
+                let first = self
+                    .chance
+                    .gap(self.shape.rate() * 3.0 * count / self.shape.processes as f64);
                 (self.now + gap).min(START + after + first)
             }
             _ => self.now + gap,
         };
         self.at(next.max(self.now + 1), Event::Asks(p));
-        let varies = if self.shape.varied { 0.5 + self.chance.share() } else { 1.0 };
+        let varies = if self.shape.varied {
+            0.5 + self.chance.share()
+        } else {
+            1.0
+        };
         let long = self.chance.share() < self.shape.long;
         let work = self.shape.mean_work(long) * varies;
         let guess = work * (0.7 + 0.6 * self.chance.share());
         let told = if self.shape.told_work { guess } else { 0.0 };
         let time_left = self.shape.time_left();
         let workload = if long { "report" } else { "lookup" };
-        let ask = Ask { workload, customer: "acme", time_left, work: told, ..Ask::default() };
+        let ask = Ask {
+            workload,
+            customer: "acme",
+            time_left,
+            work: told,
+            ..Ask::default()
+        };
         let process = &mut self.processes[p];
-        let Some(dispatcher) = &mut process.dispatcher else { return };
+        let Some(dispatcher) = &mut process.dispatcher else {
+            return;
+        };
         let ticket = dispatcher.pick(self.now, &ask).unwrap();
         process.works.insert(ticket, work);
         self.settles(p);
@@ -238,13 +268,26 @@
 
     fn settles(&mut self, p: usize) {
         loop {
-            let Some(dispatcher) = &mut self.processes[p].dispatcher else { return };
+            let Some(dispatcher) = &mut self.processes[p].dispatcher else {
+                return;
+            };
             let orders = dispatcher.tick(self.now);
             for order in orders {
                 match order {
-                    Order::Send { ticket, execution, place, .. } => self.sends(p, ticket, execution, place),
-                    Order::Stop { ticket, execution, ending } => {
-                        let Some(dispatcher) = &mut self.processes[p].dispatcher else { return };
+                    Order::Send {
+                        ticket,
+                        execution,
+                        place,
+                        ..
+                    } => self.sends(p, ticket, execution, place),
+                    Order::Stop {
+                        ticket,
+                        execution,
+                        ending,
+                    } => {
+                        let Some(dispatcher) = &mut self.processes[p].dispatcher else {
+                            return;
+                        };
                         dispatcher.report(self.now, ticket, execution, ending, None);
                     }
                     Order::Reject { ticket, .. } | Order::Abort { ticket } => {
@@ -253,7 +296,11 @@
                     _ => {}
                 }
             }
-            if self.processes[p].dispatcher.as_ref().is_none_or(|d| d.wake() > self.now) {
+            if self.processes[p]
+                .dispatcher
+                .as_ref()
+                .is_none_or(|d| d.wake() > self.now)
+            {
                 return;
             }
         }
@@ -267,7 +314,11 @@
         let since = self.now - START;
         let cold = e >= WARM && since >= 0;
         if cold {
-            self.pushes[e - WARM].push(Push { at: self.now, calls: work / shape.work, told });
+            self.pushes[e - WARM].push(Push {
+                at: self.now,
+                calls: work / shape.work,
+                told,
+            });
         }
         let ends = |how| Event::Ends(p, life, ticket, execution, e, how);
         let down = e >= WARM && shape.arrives != Arrives::New && (-3 * SECOND..0).contains(&since);
@@ -281,12 +332,20 @@
         engine.running += 1;
         let cores = shape.cores * if cold { shape.warmth(self.now) } else { 1.0 };
         let jam = (engine.running as f64 * shape.threads / cores).max(1.0);
-        let silent = if cold && shape.deed == Deed::Silent { (4 * SECOND - since).max(0) } else { 0 };
+        let silent = if cold && shape.deed == Deed::Silent {
+            (4 * SECOND - since).max(0)
+        } else {
+            0
+        };
         let over = self.now + WAY + silent + (work / shape.threads * jam) as Micros;
         // What it runs as it goes down ends there and then.
         let falls = START - 3 * SECOND;
         let cut = e >= WARM && shape.arrives != Arrives::New && self.now < falls && over >= falls;
-        let (over, how) = if cut { (falls, How::Reset) } else { (over, How::Answered) };
+        let (over, how) = if cut {
+            (falls, How::Reset)
+        } else {
+            (over, How::Answered)
+        };
         let in_life = engine.life;
         self.at(over, Event::Ran(e, in_life));
         self.at(over + WAY, ends(how));
@@ -301,8 +360,11 @@
         };
         let tells = self.shape.reports && matches!(how, How::Answered | How::TurnedAway);
         let report = tells.then(|| vec![self.engines[e].running as f64]);
-        let Some(dispatcher) = &mut self.processes[p].dispatcher else { return };
-        self.answered += usize::from(dispatcher.report(self.now, ticket, execution, ending, report));
+        let Some(dispatcher) = &mut self.processes[p].dispatcher else {
+            return;
+        };
+        self.answered +=
+            usize::from(dispatcher.report(self.now, ticket, execution, ending, report));
         self.settles(p);
     }
 }
--- a/crates/dispatcher/tests/slow_start/main.rs
+++ b/crates/dispatcher/tests/slow_start/main.rs
@@ -26,7 +26,11 @@
         }
         let allowed = shape.calls((push.at - shape.fall).max(START));
         let share = inside / bound(allowed);
-        worst = if share > worst.0 { (share, inside, allowed) } else { worst };
+        worst = if share > worst.0 {
+            (share, inside, allowed)
+        } else {
+            worst
+        };
     }
     worst
 }
@@ -37,7 +41,9 @@
     for processes in FLEETS {
         let (mut worst, mut used, mut answered) = ((0.0, 0.0, 0.0), 0.0, 0);
         for seed in 0..seeds {
-            let named = name.bytes().fold(0, |all: u64, byte| all.wrapping_mul(31) + u64::from(byte));
+            let named = name
+                .bytes()
+                .fold(0, |all: u64, byte| all.wrapping_mul(31) + u64::from(byte));
             let mut chance = Chance::new((named % 1_000_000 + seed) * 100 + processes as u64);
             let mut shape = Shape::draw(&mut chance, processes, seed % 3 > 0);
             change(&mut shape, &mut chance);
@@ -46,13 +52,15 @@
             for pushes in &pushed {
                 let found = fullest(&shape, pushes);
                 worst = if found.0 > worst.0 { found } else { worst };
-                used +=
-                    pushes.iter().map(|p| p.calls).sum::<f64>() / shape.calls_in_all() / pushed.len() as f64;
+                used += pushes.iter().map(|p| p.calls).sum::<f64>()
+                    / shape.calls_in_all()
+                    / pushed.len() as f64;
                 if found.0 > 1.0 {
                     let untold = pushes.iter().filter(|p| !p.told).count();
                     let (calls, allowed) = (found.1, found.2);
-                    broken
-                        .push(format!("seed {seed}, {calls:.1} of {allowed:.1}, {untold} untold: {shape:?}"));
+                    broken.push(format!(
+                        "seed {seed}, {calls:.1} of {allowed:.1}, {untold} untold: {shape:?}"
+                    ));
                 }
             }
         }
@@ -63,12 +71,20 @@
         );
         assert!(answered > 0, "{name}: nothing was answered");
     }
-    assert!(broken.is_empty(), "{name}: {} broken\n{}", broken.len(), broken.join("\n"));
+    assert!(
+        broken.is_empty(),
+        "{name}: {} broken\n{}",
+        broken.len(),
+        broken.join("\n")
+    );
 }
 
 /// Each process learns of the start some time within so many seconds.
 fn told_within(shape: &mut Shape, chance: &mut Chance, seconds: i64) {
-    shape.told.iter_mut().for_each(|told| *told = chance.within(seconds * SECOND));
+    shape
+        .told
+        .iter_mut()
+        .for_each(|told| *told = chance.within(seconds * SECOND));
 }
 
 /// All restart once or twice: at one time, or one after another.
@@ -76,7 +92,11 @@
     let first = START + chance.one_of(&[10_000, 200_000, SECOND, shape.warm / 3]);
     let gap = chance.one_of(&[200_000, SECOND, shape.fall]);
     for p in 0..shape.processes {
-        let after = if together { 0 } else { chance.within(2 * SECOND) };
+        let after = if together {
+            0
+        } else {
+            chance.within(2 * SECOND)
+        };
         let away = chance.one_of(&[0, 50_000, 300_000]);
         shape.restarts.push((p, first + after, away));
         if chance.share() < 0.5 {
@@ -92,12 +112,16 @@
 
 #[test]
 fn a_new_engine_that_each_learns_of_at_a_time_of_its_own() {
-    holds("told apart", SEEDS, |shape, chance| told_within(shape, chance, 7));
+    holds("told apart", SEEDS, |shape, chance| {
+        told_within(shape, chance, 7)
+    });
 }
 
 #[test]
 fn a_burst_that_begins_with_the_start() {
-    holds("burst", SEEDS, |shape, chance| shape.demand = Demand::Burst(chance.one_of(&[0, 100_000, SECOND])));
+    holds("burst", SEEDS, |shape, chance| {
+        shape.demand = Demand::Burst(chance.one_of(&[0, 100_000, SECOND]))
+    });
 }
 
 #[test]
@@ -109,7 +133,9 @@
 
 #[test]
 fn all_processes_restart_at_once() {
-    holds("restart at once", SEEDS, |shape, chance| restarts(shape, chance, true));
+    holds("restart at once", SEEDS, |shape, chance| {
+        restarts(shape, chance, true)
+    });
 }
 
 #[test]
@@ -123,7 +149,9 @@
 
 #[test]
 fn processes_restart_one_after_another() {
-    holds("restart apart", SEEDS, |shape, chance| restarts(shape, chance, false));
+    holds("restart apart", SEEDS, |shape, chance| {
+        restarts(shape, chance, false)
+    });
 }
 
 #[test]
@@ -134,7 +162,11 @@
         let life = shape.fall / CRASHES;
         for p in 0..shape.processes {
             let after = chance.within(life / 4);
-            (0..2 * CRASHES).for_each(|n| shape.restarts.push((p, first + after + n * life, life / 20)));
+            (0..2 * CRASHES).for_each(|n| {
+                shape
+                    .restarts
+                    .push((p, first + after + n * life, life / 20))
+            });
         }
     });
 }
@@ -175,7 +207,8 @@
 fn long_statements_among_short_ones() {
     holds("long and short", MANY, |shape, chance| {
         shape.long = 0.15;
-        shape.demand = chance.one_of(&[Demand::Steady, Demand::Burst(0), Demand::Burst(3 * SECOND)]);
+        shape.demand =
+            chance.one_of(&[Demand::Steady, Demand::Burst(0), Demand::Burst(3 * SECOND)]);
     });
 }
 
@@ -203,7 +236,8 @@
         shape.told_work = chance.share() < 0.7;
         shape.arrives = chance.one_of(&[Arrives::New, Arrives::Again]);
         shape.deed = chance.one_of(&[Deed::Answers, Deed::TurnsAway, Deed::Silent, Deed::Refuses]);
-        shape.demand = chance.one_of(&[Demand::Steady, Demand::Burst(0), Demand::Burst(3 * SECOND)]);
+        shape.demand =
+            chance.one_of(&[Demand::Steady, Demand::Burst(0), Demand::Burst(3 * SECOND)]);
         told_within(shape, chance, 7);
         shape.old_list = chance.share() < 0.5;
         let together = chance.share() < 0.5;
--- a/crates/dispatcher/tests/slow_start/shape.rs
+++ b/crates/dispatcher/tests/slow_start/shape.rs
@@ -105,7 +105,15 @@
     /// Draws the settings; narrow ones allow a few calls, fewer than there are processes.
     pub fn draw(chance: &mut Chance, processes: usize, narrow: bool) -> Shape {
         let short = [(100, 2), (100, 4), (200, 8), (500, 8), (500, 24)].as_slice();
-        let long = [(1500, 8), (1500, 16), (1500, 32), (5000, 16), (5000, 32), (5000, 64)].as_slice();
+        let long = [
+            (1500, 8),
+            (1500, 16),
+            (1500, 32),
+            (5000, 16),
+            (5000, 32),
+            (5000, 64),
+        ]
+        .as_slice();
         let sizes = if narrow { long } else { short };
         loop {
             let (work_ms, cores) = chance.one_of(sizes);
@@ -166,8 +174,11 @@
 
     pub fn settings(&self) -> String {
         let aim_ms = |long| self.aim * self.mean_work(long) / self.threads / 1e3 + 500.0;
-        let reports =
-            if self.reports { r#""report": {"names": ["active"], "source": "inline"},"# } else { "" };
+        let reports = if self.reports {
+            r#""report": {"names": ["active"], "source": "inline"},"#
+        } else {
+            ""
+        };
         format!(
             r#"{{"instances": {}, "areas": ["here"], "kinds": ["std"], {reports}
             "customers": [{{"name": "acme", "allowancePerS": 100000}}],
--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -54,8 +54,8 @@
         engine: engine_hash(seen.id),
         failed: seen.failed.min(255.0) as u8,
         answered: seen.answered.min(255.0) as u8,
-        silent_ms: (seen.silent / 1000 / SILENCE_STEP_MS * SILENCE_STEP_MS).min(Micros::from(u16::MAX))
-            as u16,
+        silent_ms: (seen.silent / 1000 / SILENCE_STEP_MS * SILENCE_STEP_MS)
+            .min(Micros::from(u16::MAX)) as u16,
         drains: seen.draining,
         started_s: seen.started.map_or(0, |at| (at / 1_000_000) as u32),
     }
@@ -98,17 +98,24 @@
 
     /// The lease under which this front owns the fleet's work now.
     pub fn owned_lease(&self, steady: Micros) -> Option<OwnedLease> {
-        self.ownership.as_ref().and_then(|ownership| ownership.owned_lease(steady))
+        self.ownership
+            .as_ref()
+            .and_then(|ownership| ownership.owned_lease(steady))
     }
 
     /// Whether a probe on behalf of the fleet may leave now: where such work has an owner, only the owner's.
     pub fn may_probe(&self, steady: Micros) -> bool {
-        self.ownership.as_ref().is_none_or(|ownership| ownership.owned_lease(steady).is_some())
+        self.ownership
+            .as_ref()
+            .is_none_or(|ownership| ownership.owned_lease(steady).is_some())
     }
 
     /// Acts and messages of owners and voters that were refused, by reason.
     pub fn refused_acts(&self) -> BTreeMap<&'static str, u64> {
-        self.ownership.as_ref().map(|ownership| ownership.refused.clone()).unwrap_or_default()
+        self.ownership
+            .as_ref()
+            .map(|ownership| ownership.refused.clone())
+            .unwrap_or_default()
     }
 
     /// The public half of this front's key pair.
@@ -133,29 +140,53 @@
 
     /// When `tick` is next due, on the dispatcher's clock.
     pub fn due(&self, at: Moment) -> Micros {
-        let ledger = self.ledger.as_ref().map_or(Micros::MAX, |l| at.now.saturating_add(l.due(at.steady)));
+        let ledger = self
+            .ledger
+            .as_ref()
+            .map_or(Micros::MAX, |l| at.now.saturating_add(l.due(at.steady)));
         if self.left {
             ledger
         } else {
             let ownership = self.ownership.as_ref().map_or(Micros::MAX, Ownership::due);
             let load = self.load.as_ref().map_or(Micros::MAX, Load::due);
-            self.node.due().min(self.next_look).min(ownership).min(ledger).min(load)
+            self.node
+                .due()
+                .min(self.next_look)
+                .min(ownership)
+                .min(ledger)
+                .min(load)
         }
     }
 
     /// Takes in a datagram from the address `from`; gives what is to be sent in answer.
     pub fn receive(&mut self, at: Moment, from: SocketAddr, bytes: &[u8]) -> Output {
         let datagrams = self.node.receive(at.now, at.wall_ms, from, bytes);
-        let mut out = Output { datagrams, ..Output::default() };
-        for ChannelMessage { from, at: address, channel, bytes } in self.node.received() {
+        let mut out = Output {
+            datagrams,
+            ..Output::default()
+        };
+        for ChannelMessage {
+            from,
+            at: address,
+            channel,
+            bytes,
+        } in self.node.received()
+        {
             match (channel, &mut self.ownership) {
                 (Channel::Lease, Some(ownership)) => ownership.receive(at, from, address, &bytes),
                 (Channel::Lease, None) => {}
                 (Channel::Ledger, _) => {
-                    self.ledger.iter_mut().for_each(|ledger| ledger.receive(at, from, &bytes));
+                    self.ledger
+                        .iter_mut()
+                        .for_each(|ledger| ledger.receive(at, from, &bytes));
                 }
                 _ if self.received.len() >= MAX_RECEIVED => {}
-                _ => self.received.push(ChannelMessage { from, at: address, channel, bytes }),
+                _ => self.received.push(ChannelMessage {
+                    from,
+                    at: address,
+                    channel,
+                    bytes,
+                }),
             }
         }
         if let Some(ownership) = &mut self.ownership {
@@ -180,7 +211,8 @@
         bytes: &[u8],
     ) -> Option<Datagram> {
         let to = self.node.address(to)?;
-        self.node.channel_datagram(at.now, at.wall_ms, to, channel, bytes)
+        self.node
+            .channel_datagram(at.now, at.wall_ms, to, channel, bytes)
     }
 
     /// Does what is due; gives what is to go out, and the reports of other fronts on engines that they had
@@ -214,17 +246,32 @@
             load.tick(at, &mut self.node, dispatcher);
         }
         self.announce_fleet(at, dispatcher);
-        out.datagrams.extend(self.node.tick(at.now, at.wall_ms, random));
+        out.datagrams
+            .extend(self.node.tick(at.now, at.wall_ms, random));
         (out, new)
     }
 
     /// Reports what this front observes of engines, worst first, and of ownership; takes in others' ownership
     /// reports.
     fn report(&mut self, at: Moment, dispatcher: &mut Dispatcher) {
-        let mut seen: Vec<Sighting> = dispatcher.observations(at.now).iter().map(sighting).collect();
-        seen.sort_by_key(|s| (std::cmp::Reverse(s.silent_ms), std::cmp::Reverse(s.failed), s.engine));
-        let ownership = self.ownership.as_ref().map(|ownership| ownership.report(at, dispatcher));
-        self.node.report(at.now, at.wall_ms, seen, ownership.unwrap_or_default());
+        let mut seen: Vec<Sighting> = dispatcher
+            .observations(at.now)
+            .iter()
+            .map(sighting)
+            .collect();
+        seen.sort_by_key(|s| {
+            (
+                std::cmp::Reverse(s.silent_ms),
+                std::cmp::Reverse(s.failed),
+                s.engine,
+            )
+        });
+        let ownership = self
+            .ownership
+            .as_ref()
+            .map(|ownership| ownership.report(at, dispatcher));
+        self.node
+            .report(at.now, at.wall_ms, seen, ownership.unwrap_or_default());
         if let Some(ownership) = &mut self.ownership {
             ownership.admit(at, &self.node, dispatcher);
         }
@@ -233,7 +280,10 @@
     /// Passes the fleet's size, and who of it probes for the fleet, to the dispatcher where it has changed.
     fn announce_fleet(&mut self, at: Moment, dispatcher: &mut Dispatcher) {
         let fleet = self.node.fleet_size();
-        let probes = self.ownership.as_ref().map(|ownership| ownership.owned_lease(at.steady).is_some());
+        let probes = self
+            .ownership
+            .as_ref()
+            .map(|ownership| ownership.owned_lease(at.steady).is_some());
         if (fleet, probes) != (self.fleet, self.probes) {
             (self.fleet, self.probes) = (fleet, probes);
             let probers = match probes {
@@ -246,7 +296,12 @@
     }
 
     /// This front ends: some peers learn so, and pass it on.
-    pub fn leave(&mut self, now: Micros, wall_ms: u64, random: &mut impl RandomSource) -> Vec<Datagram> {
+    pub fn leave(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        random: &mut impl RandomSource,
+    ) -> Vec<Datagram> {
         if std::mem::replace(&mut self.left, true) {
             return Vec::new();
         }
@@ -257,8 +312,10 @@
     /// reported before.
     fn take_reports(&mut self, now: Micros, dispatcher: &mut Dispatcher) -> Vec<PeerReport> {
         let reports = self.node.peer_reports(now);
-        let known: BTreeMap<(PeerId, u64), Sighting> =
-            reports.iter().map(|r| ((r.reporter, r.sighting.engine), r.sighting)).collect();
+        let known: BTreeMap<(PeerId, u64), Sighting> = reports
+            .iter()
+            .map(|r| ((r.reporter, r.sighting.engine), r.sighting))
+            .collect();
         for report in &reports {
             let s = report.sighting;
             // Guards against reporters without end, as keys come and go.
@@ -277,9 +334,18 @@
                 draining: s.drains,
                 started: None,
             };
-            dispatcher.peer_report(now, reporter, |id| engine_hash(id) == s.engine, &seen, report.age);
+            dispatcher.peer_report(
+                now,
+                reporter,
+                |id| engine_hash(id) == s.engine,
+                &seen,
+                report.age,
+            );
         }
         let before = std::mem::replace(&mut self.known, known);
-        reports.into_iter().filter(|r| !before.contains_key(&(r.reporter, r.sighting.engine))).collect()
+        reports
+            .into_iter()
+            .filter(|r| !before.contains_key(&(r.reporter, r.sighting.engine)))
+            .collect()
     }
 }
--- a/crates/fleet/src/exchange/ledger.rs
+++ b/crates/fleet/src/exchange/ledger.rs
@@ -29,7 +29,9 @@
         members: Vec<ledger::Member>,
         addresses: BTreeMap<PeerId, SocketAddr>,
     ) -> Result<(), ledger::Error> {
-        self.ledger.as_mut().map_or(Ok(()), |ledger| ledger.set_members(at, members, addresses))
+        self.ledger
+            .as_mut()
+            .map_or(Ok(()), |ledger| ledger.set_members(at, members, addresses))
     }
 
     /// Asks the ledger; the answer comes with [`Exchange::ledger_answers`], maybe at once.
@@ -39,7 +41,10 @@
 
     /// Takes the ledger's answers since the last call.
     pub fn ledger_answers(&mut self) -> Vec<ledger::Done> {
-        self.ledger.as_mut().map(LedgerNode::answers).unwrap_or_default()
+        self.ledger
+            .as_mut()
+            .map(LedgerNode::answers)
+            .unwrap_or_default()
     }
 
     /// The save of this number is durable, or has failed where `ok` is false.
@@ -65,12 +70,17 @@
 
     /// Whether a shard would lose its quorum without this front, as other replicas are away.
     pub fn is_needed(&self, at: Moment) -> bool {
-        self.ledger.as_ref().is_some_and(|ledger| ledger.is_needed(at))
+        self.ledger
+            .as_ref()
+            .is_some_and(|ledger| ledger.is_needed(at))
     }
 
     /// Replicas that were found to differ from their majority, so far.
     pub fn differences(&self) -> ledger::Differences {
-        self.ledger.as_ref().map(LedgerNode::differences).unwrap_or_default()
+        self.ledger
+            .as_ref()
+            .map(LedgerNode::differences)
+            .unwrap_or_default()
     }
 
     /// The ledger's counters, where it is enabled.
@@ -80,7 +90,9 @@
 
     pub(super) fn tick_ledger(&mut self, at: Moment, out: &mut Output) {
         let node = &self.node;
-        self.ledger.iter_mut().for_each(|ledger| ledger.tick(at, node));
+        self.ledger
+            .iter_mut()
+            .for_each(|ledger| ledger.tick(at, node));
         self.send_ledger(at, out);
     }
 
--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -10,7 +10,9 @@
 use std::collections::{BTreeMap, HashMap};
 
 use hallmux_config::Settings;
-use hallmux_dispatcher::{Micros, Place, PromiseEvent, Site, StatementArrived, StatementOver, Terms, Ticket};
+use hallmux_dispatcher::{
+    Micros, Place, PromiseEvent, Site, StatementArrived, StatementOver, Terms, Ticket,
+};
 use hallmux_ledger::{self as ledger, Done, Key, Kind};
 
 pub use guard::{Guard, LedgerClient, OrderedExecution};
@@ -99,7 +101,12 @@
 
     /// Takes in what the dispatcher reports of statements that require entries. `id` gives the name that such
     /// a statement has on whichever front it is retried, if it has one.
-    pub fn observe(&mut self, now: Micros, word: PromiseEvent, id: impl Fn(Ticket) -> Option<String>) {
+    pub fn observe(
+        &mut self,
+        now: Micros,
+        word: PromiseEvent,
+        id: impl Fn(Ticket) -> Option<String>,
+    ) {
         match word {
             PromiseEvent::Arrived(taken) => {
                 let id = id(taken.ticket);
@@ -117,7 +124,14 @@
         let own = || format!("{}-{}", self.started_ms, taken.ticket);
         let requirements = self.requirements.of(taken, &id.unwrap_or_else(own));
         if !requirements.is_empty() {
-            self.statements.insert(taken.ticket, Statement { requirements, held: None, wait_until: 0 });
+            self.statements.insert(
+                taken.ticket,
+                Statement {
+                    requirements,
+                    held: None,
+                    wait_until: 0,
+                },
+            );
         }
     }
 
@@ -128,7 +142,9 @@
 
     /// The dispatcher has ordered an execution of such a statement: it is held until a ruling.
     pub fn hold(&mut self, now: Micros, pending: PendingExecution) {
-        let Some(s) = self.statements.get_mut(&pending.ticket) else { return };
+        let Some(s) = self.statements.get_mut(&pending.ticket) else {
+            return;
+        };
         s.held = Some(pending);
         s.wait_until = now + MAX_FIRST_WAIT.min((pending.terms.ends - now) / 2);
         self.claim(now, pending.ticket);
@@ -136,19 +152,32 @@
 
     /// The priority of an execution has changed while it is held.
     pub fn set_priority(&mut self, ticket: Ticket, priority: u8) {
-        if let Some(held) = self.statements.get_mut(&ticket).and_then(|s| s.held.as_mut()) {
+        if let Some(held) = self
+            .statements
+            .get_mut(&ticket)
+            .and_then(|s| s.held.as_mut())
+        {
             held.terms.priority = priority;
         }
     }
 
     /// Withdraws an execution. True if it was held: it has never left.
     pub fn cancel(&mut self, now: Micros, ticket: Ticket, execution: usize) -> bool {
-        let Some(s) = self.statements.get_mut(&ticket) else { return false };
+        let Some(s) = self.statements.get_mut(&ticket) else {
+            return false;
+        };
         if s.held.take_if(|held| held.execution == execution).is_none() {
             return false;
         }
-        for key in s.requirements.iter().map(|requirement| requirement.key.clone()).collect::<Vec<_>>() {
-            self.holds.get_mut(&key).map(|hold| hold.waiting.remove(&ticket));
+        for key in s
+            .requirements
+            .iter()
+            .map(|requirement| requirement.key.clone())
+            .collect::<Vec<_>>()
+        {
+            self.holds
+                .get_mut(&key)
+                .map(|hold| hold.waiting.remove(&ticket));
             self.advance(now, &key);
         }
         true
@@ -156,35 +185,53 @@
 
     /// A statement has ended, and no execution of it is out.
     fn end(&mut self, now: Micros, gone: StatementOver) {
-        let Some(s) = self.statements.remove(&gone.ticket) else { return };
+        let Some(s) = self.statements.remove(&gone.ticket) else {
+            return;
+        };
         for Requirement { key, .. } in s.requirements {
-            self.holds.get_mut(&key).into_iter().for_each(|hold| hold.end(now, gone));
+            self.holds
+                .get_mut(&key)
+                .into_iter()
+                .for_each(|hold| hold.end(now, gone));
             self.advance(now, &key);
         }
     }
 
     /// A transaction holds the order key of one of its statements until `release_key`.
     fn retain_key(&mut self, name: &str) {
-        let key = Key { kind: Kind::Order, name: name.to_string() };
+        let key = Key {
+            kind: Kind::Order,
+            name: name.to_string(),
+        };
         self.holds.get_mut(&key).into_iter().for_each(Hold::retain);
     }
 
     fn release_key(&mut self, now: Micros, name: &str, rests: bool) {
-        let key = Key { kind: Kind::Order, name: name.to_string() };
-        self.holds.get_mut(&key).into_iter().for_each(|hold| hold.release(now, rests));
+        let key = Key {
+            kind: Kind::Order,
+            name: name.to_string(),
+        };
+        self.holds
+            .get_mut(&key)
+            .into_iter()
+            .for_each(|hold| hold.release(now, rests));
         self.advance(now, &key);
     }
 
     /// The ledger has answered an ask, or notifies that a key is available.
     pub fn answered(&mut self, now: Micros, done: Done) {
-        let Some(key) = self.asked.remove(&done.number) else { return self.key_available(now, done.number) };
+        let Some(key) = self.asked.remove(&done.number) else {
+            return self.key_available(now, done.number);
+        };
         let shard = usize::from(ledger::shard_of(&key, self.shards_heard.len() as u16));
         let heard = self.shards_heard.get_mut(shard).is_none_or(|heard| {
             *heard |= done.outcome != ledger::Outcome::Unreachable;
             *heard
         });
         let first = !heard && now < self.started_ms as Micros * 1_000 + SHARDS_START;
-        let Some(hold) = self.holds.get_mut(&key) else { return };
+        let Some(hold) = self.holds.get_mut(&key) else {
+            return;
+        };
         let verdict = hold.answered(now, done.outcome, first);
         self.apply_verdict(now, &key, verdict);
     }
@@ -205,9 +252,19 @@
             return;
         }
         let due = |(_, hold): &(&Key, &Hold)| hold.due() <= now;
-        let due: Vec<Key> = self.holds.iter().filter(due).map(|(key, _)| key.clone()).collect();
+        let due: Vec<Key> = self
+            .holds
+            .iter()
+            .filter(due)
+            .map(|(key, _)| key.clone())
+            .collect();
         due.iter().for_each(|key| self.advance(now, key));
-        self.due = self.holds.values().map(Hold::due).min().unwrap_or(Micros::MAX);
+        self.due = self
+            .holds
+            .values()
+            .map(Hold::due)
+            .min()
+            .unwrap_or(Micros::MAX);
     }
 
     /// When `tick` is next due, or 0 where asks or rulings wait to be taken.
@@ -225,7 +282,9 @@
 
     /// The executions that are held, by ticket and number.
     pub fn held(&self) -> impl Iterator<Item = (Ticket, usize)> + '_ {
-        self.statements.values().filter_map(|s| s.held.map(|held| (held.ticket, held.execution)))
+        self.statements
+            .values()
+            .filter_map(|s| s.held.map(|held| (held.ticket, held.execution)))
     }
 
     /// Takes the asks that are to be passed to the ledger.
@@ -241,15 +300,22 @@
     /// A held execution claims its entries in order: none behind one that another front holds, so that fronts
     /// that claim the same ones do not wait for each other.
     fn claim(&mut self, now: Micros, ticket: Ticket) {
-        let Some(s) = self.statements.get(&ticket) else { return };
-        let (Some(held), wait_until) = (s.held, s.wait_until) else { return };
+        let Some(s) = self.statements.get(&ticket) else {
+            return;
+        };
+        let (Some(held), wait_until) = (s.held, s.wait_until) else {
+            return;
+        };
         let mut behind = false;
         for requirement in s.requirements.clone() {
             let hold = self
                 .holds
                 .entry(requirement.key.clone())
                 .or_insert_with(|| Hold::new(requirement.key.kind, requirement.after_end));
-            let claim = Claim { wait_until, ..claim_on(&requirement, &held) };
+            let claim = Claim {
+                wait_until,
+                ..claim_on(&requirement, &held)
+            };
             let verdict = match behind {
                 true => {
                     hold.waiting.remove(&ticket);
@@ -262,7 +328,12 @@
                 return self.apply_verdict(now, &requirement.key, verdict);
             }
         }
-        for requirement in self.statements.get(&ticket).map(|s| s.requirements.clone()).unwrap_or_default() {
+        for requirement in self
+            .statements
+            .get(&ticket)
+            .map(|s| s.requirements.clone())
+            .unwrap_or_default()
+        {
             self.advance(now, &requirement.key);
         }
     }
@@ -276,38 +347,73 @@
         };
         for ticket in tickets {
             *self.refused.entry(why).or_default() += 1;
-            let Some(s) = self.statements.get_mut(&ticket) else { continue };
+            let Some(s) = self.statements.get_mut(&ticket) else {
+                continue;
+            };
             s.held = None;
-            for other in s.requirements.iter().map(|requirement| requirement.key.clone()).collect::<Vec<_>>()
+            for other in s
+                .requirements
+                .iter()
+                .map(|requirement| requirement.key.clone())
+                .collect::<Vec<_>>()
             {
-                self.holds.get_mut(&other).map(|hold| hold.waiting.remove(&ticket));
+                self.holds
+                    .get_mut(&other)
+                    .map(|hold| hold.waiting.remove(&ticket));
                 self.advance(now, &other);
             }
-            self.rulings.push(if why == "begun" { Ruling::Abort(ticket) } else { Ruling::Reject(ticket) });
+            self.rulings.push(if why == "begun" {
+                Ruling::Abort(ticket)
+            } else {
+                Ruling::Reject(ticket)
+            });
         }
         // Executions that go on waiting may claim their other entries now.
-        let waiting = self.holds.get(key).map(|hold| hold.waiting.keys().copied().collect::<Vec<_>>());
-        waiting.unwrap_or_default().into_iter().for_each(|ticket| self.claim(now, ticket));
+        let waiting = self
+            .holds
+            .get(key)
+            .map(|hold| hold.waiting.keys().copied().collect::<Vec<_>>());
+        waiting
+            .unwrap_or_default()
+            .into_iter()
+            .for_each(|ticket| self.claim(now, ticket));
         self.advance(now, key);
     }
 
     /// Releases executions that may leave, and makes the ask that is due of a key.
     fn advance(&mut self, now: Micros, key: &Key) {
-        let forgotten = self.holds.get_mut(key).map(|hold| hold.take_forgotten(now)).unwrap_or_default();
+        let forgotten = self
+            .holds
+            .get_mut(key)
+            .map(|hold| hold.take_forgotten(now))
+            .unwrap_or_default();
         if !forgotten.is_empty() {
             return self.apply_verdict(now, key, Verdict::Begun(forgotten));
         }
-        let waiting = self.holds.get(key).map(|hold| hold.waiting.keys().copied().collect::<Vec<_>>());
+        let waiting = self
+            .holds
+            .get(key)
+            .map(|hold| hold.waiting.keys().copied().collect::<Vec<_>>());
         for ticket in waiting.unwrap_or_default() {
             self.release(now, ticket);
         }
-        let Some(hold) = self.holds.get_mut(key) else { return };
-        if let Some(act) =
-            hold.next_ask(now, EntryMark { started_ms: self.started_ms, number: self.last_number + 1 })
-        {
+        let Some(hold) = self.holds.get_mut(key) else {
+            return;
+        };
+        if let Some(act) = hold.next_ask(
+            now,
+            EntryMark {
+                started_ms: self.started_ms,
+                number: self.last_number + 1,
+            },
+        ) {
             self.last_number += 1;
             self.asked.insert(self.last_number, key.clone());
-            self.asks.push(ledger::Ask { number: self.last_number, key: key.clone(), act });
+            self.asks.push(ledger::Ask {
+                number: self.last_number,
+                key: key.clone(),
+                act,
+            });
         }
         self.due = self.due.min(hold.due());
         if hold.is_over(now) {
@@ -317,8 +423,12 @@
 
     /// Releases a held execution once all its entries are held.
     fn release(&mut self, now: Micros, ticket: Ticket) {
-        let Some(s) = self.statements.get_mut(&ticket) else { return };
-        let Some(held) = s.held.filter(|held| now < held.terms.ends) else { return };
+        let Some(s) = self.statements.get_mut(&ticket) else {
+            return;
+        };
+        let Some(held) = s.held.filter(|held| now < held.terms.ends) else {
+            return;
+        };
         let is_held = |requirement: &Requirement| {
             self.holds
                 .get(&requirement.key)
@@ -326,7 +436,10 @@
         };
         if s.requirements.iter().all(is_held) {
             s.requirements.iter().for_each(|requirement| {
-                self.holds.get_mut(&requirement.key).into_iter().for_each(|hold| hold.start(now, ticket));
+                self.holds
+                    .get_mut(&requirement.key)
+                    .into_iter()
+                    .for_each(|hold| hold.start(now, ticket));
             });
             s.held = None;
             self.rulings.push(Ruling::Release(held));
@@ -337,7 +450,12 @@
 fn claim_on(requirement: &Requirement, held: &PendingExecution) -> Claim {
     let ends = held.terms.ends;
     let (until_ms, runs_until_ms) = (requirement.until(ends), requirement.runs_until(ends));
-    Claim { until_ms, runs_until_ms, group: requirement.group(held.site), wait_until: 0 }
+    Claim {
+        until_ms,
+        runs_until_ms,
+        group: requirement.group(held.site),
+        wait_until: 0,
+    }
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/gate/guard.rs
+++ b/crates/fleet/src/gate/guard.rs
@@ -41,15 +41,26 @@
 
 impl Guard {
     /// For a front with a ledger, which starts at `now`: Unix time in microseconds.
-    pub fn new(contract: &Settings, now: Micros, shards: u16, dispatcher: &mut Dispatcher) -> Guard {
+    pub fn new(
+        contract: &Settings,
+        now: Micros,
+        shards: u16,
+        dispatcher: &mut Dispatcher,
+    ) -> Guard {
         dispatcher.watch_promises();
-        Guard { gate: Gate::new(contract, (now / 1000) as u64, shards), last_note: 0 }
+        Guard {
+            gate: Gate::new(contract, (now / 1000) as u64, shards),
+            last_note: 0,
+        }
     }
 
     /// When `advance` is next due, on the dispatcher's clock, if nothing happens before.
     pub fn due(&self) -> Micros {
-        let last_note =
-            if self.gate.held().next().is_some() { self.last_note + NOTE_EVERY } else { Micros::MAX };
+        let last_note = if self.gate.held().next().is_some() {
+            self.last_note + NOTE_EVERY
+        } else {
+            Micros::MAX
+        };
         self.gate.due().min(last_note)
     }
 
@@ -64,14 +75,33 @@
     }
 
     /// The dispatcher has ordered an execution. True if it is held for now.
-    pub fn hold(&mut self, now: Micros, dispatcher: &mut Dispatcher, ordered: OrderedExecution) -> bool {
-        let OrderedExecution { ticket, execution, place, terms } = ordered;
+    pub fn hold(
+        &mut self,
+        now: Micros,
+        dispatcher: &mut Dispatcher,
+        ordered: OrderedExecution,
+    ) -> bool {
+        let OrderedExecution {
+            ticket,
+            execution,
+            place,
+            terms,
+        } = ordered;
         if !self.gate.holds_back(ticket) {
             return false;
         }
         let site = dispatcher.site(place);
         dispatcher.waits(now, ticket, execution);
-        self.gate.hold(now, PendingExecution { ticket, execution, place, terms, site });
+        self.gate.hold(
+            now,
+            PendingExecution {
+                ticket,
+                execution,
+                place,
+                terms,
+                site,
+            },
+        );
         true
     }
 
@@ -103,12 +133,15 @@
             if done.is_empty() && asks.is_empty() {
                 break;
             }
-            done.into_iter().for_each(|done| self.gate.answered(now, done));
+            done.into_iter()
+                .for_each(|done| self.gate.answered(now, done));
             asks.into_iter().for_each(|ask| ledger.ask(now, ask));
         }
         if self.last_note + NOTE_EVERY <= now {
             self.last_note = now;
-            self.gate.held().for_each(|(ticket, execution)| dispatcher.waits(now, ticket, execution));
+            self.gate
+                .held()
+                .for_each(|(ticket, execution)| dispatcher.waits(now, ticket, execution));
         }
         self.gate.rulings()
     }
--- a/crates/fleet/src/gate/hold.rs
+++ b/crates/fleet/src/gate/hold.rs
@@ -164,20 +164,28 @@
             return None;
         }
         let other = self.first.is_some_and(|first| first != ticket);
-        self.inherited_until_ms.or(other.then_some(self.dropped_until_ms))
+        self.inherited_until_ms
+            .or(other.then_some(self.dropped_until_ms))
     }
 
     /// Whether the engines may have forgotten what this statement repeats: they would run it a second time.
     fn is_forgotten(&self, now: Micros, ticket: Ticket) -> bool {
-        self.repeats_until_ms(ticket).is_some_and(|until_ms| until_ms <= ms(now))
+        self.repeats_until_ms(ticket)
+            .is_some_and(|until_ms| until_ms <= ms(now))
     }
 
     /// Takes out the statements that wait and must not leave any more, as engines may have forgotten what they
     /// repeat.
     pub fn take_forgotten(&mut self, now: Micros) -> Vec<Ticket> {
-        let forgotten: Vec<Ticket> =
-            self.waiting.keys().copied().filter(|ticket| self.is_forgotten(now, *ticket)).collect();
-        forgotten.iter().for_each(|ticket| _ = self.waiting.remove(ticket));
+        let forgotten: Vec<Ticket> = self
+            .waiting
+            .keys()
+            .copied()
+            .filter(|ticket| self.is_forgotten(now, *ticket))
+            .collect();
+        forgotten
+            .iter()
+            .for_each(|ticket| _ = self.waiting.remove(ticket));
         forgotten
     }
 
@@ -189,8 +197,9 @@
 
     /// Adds an execution's claim; a claim that can't succeed is rejected at once.
     pub fn claim(&mut self, now: Micros, ticket: Ticket, claim: Claim) -> Verdict {
-        let leaves =
-            |(other, claim): (&Ticket, &Claim)| *other != ticket && self.permits(now, *other, *claim);
+        let leaves = |(other, claim): (&Ticket, &Claim)| {
+            *other != ticket && self.permits(now, *other, *claim)
+        };
         let others = self.executing.iter().any(|other| *other != ticket)
             || self.reserved_until > now
             || self.waiting.iter().any(leaves);
@@ -219,7 +228,11 @@
     /// A statement is over.
     pub fn end(&mut self, now: Micros, gone: StatementOver) {
         self.waiting.remove(&gone.ticket);
-        let rests = if self.kind == Kind::Order { gone.rests } else { gone.ran };
+        let rests = if self.kind == Kind::Order {
+            gone.rests
+        } else {
+            gone.ran
+        };
         if self.executing.remove(&gone.ticket) && rests {
             self.reserved_until = self.reserved_until.max(now + self.after_end);
             self.may_run_on |= gone.rests;
@@ -246,15 +259,27 @@
         }
         if !self.waiting.is_empty() {
             // Those that have it wait for another key: for them it is due when it expires.
-            let lacks = self.waiting.iter().any(|(ticket, claim)| !self.permits(0, *ticket, *claim));
-            let forgotten_ms = self.waiting.keys().filter_map(|ticket| self.repeats_until_ms(*ticket)).min();
-            let due = if lacks { self.retry_at } else { self.holds_until_ms as Micros * 1000 };
+            let lacks = self
+                .waiting
+                .iter()
+                .any(|(ticket, claim)| !self.permits(0, *ticket, *claim));
+            let forgotten_ms = self
+                .waiting
+                .keys()
+                .filter_map(|ticket| self.repeats_until_ms(*ticket))
+                .min();
+            let due = if lacks {
+                self.retry_at
+            } else {
+                self.holds_until_ms as Micros * 1000
+            };
             return forgotten_ms.map_or(due, |until_ms| due.min(until_ms as Micros * 1000));
         }
         match (self.transactions, self.is_unused()) {
             (0, false) => Micros::MAX,
             (0, true) => self.retry_free_at,
-            _ => ((self.holds_until_ms as Micros - TRANSACTION_MS as Micros / 2) * 1000).max(self.retry_at),
+            _ => ((self.holds_until_ms as Micros - TRANSACTION_MS as Micros / 2) * 1000)
+                .max(self.retry_at),
         }
     }
 
@@ -273,9 +298,15 @@
         if self.asked.is_some() {
             return None;
         }
-        let claim = self.waiting.iter().find(|(ticket, claim)| !self.permits(now, **ticket, **claim));
+        let claim = self
+            .waiting
+            .iter()
+            .find(|(ticket, claim)| !self.permits(now, **ticket, **claim));
         if let Some((_, claim)) = claim.filter(|_| self.retry_at <= now) {
-            let until_ms = claim.until_ms.max(self.holds_until_ms).max(ms(self.reserved_until));
+            let until_ms = claim
+                .until_ms
+                .max(self.holds_until_ms)
+                .max(ms(self.reserved_until));
             if !self.unconfirmed && self.version == 0 {
                 self.mark = mark;
                 if self.first.is_none() {
@@ -284,7 +315,11 @@
             }
             (self.asked, self.number) = (Some(Purpose::Hold(until_ms, claim.group)), mark.number);
             self.may_hold_until_ms = self.may_hold_until_ms.max(until_ms);
-            return Some(self.act(until_ms, claim.group, claim.runs_until_ms.max(self.runs_until_ms)));
+            return Some(self.act(
+                until_ms,
+                claim.group,
+                claim.runs_until_ms.max(self.runs_until_ms),
+            ));
         }
         if !self.waiting.is_empty() || !self.executing.is_empty() {
             return None;
@@ -295,7 +330,10 @@
             return renews.then(|| {
                 self.asked = Some(Purpose::Hold(until_ms, self.group));
                 self.may_hold_until_ms = self.may_hold_until_ms.max(until_ms);
-                Act::Claim { ends_ms: until_ms, value: Vec::new() }
+                Act::Claim {
+                    ends_ms: until_ms,
+                    value: Vec::new(),
+                }
             });
         }
         if self.may_hold_until_ms <= ms(now) || self.retry_free_at > now {
@@ -315,7 +353,11 @@
         if self.reserved_until > now {
             let until_ms = ms(self.reserved_until);
             self.asked = Some(Purpose::Reserve);
-            let runs_until_ms = if self.may_run_on { self.runs_until_ms } else { ms(now) };
+            let runs_until_ms = if self.may_run_on {
+                self.runs_until_ms
+            } else {
+                ms(now)
+            };
             return Some(self.act(until_ms, self.group, runs_until_ms));
         }
         self.asked = Some(Purpose::Free);
@@ -324,13 +366,26 @@
 
     fn act(&self, ends_ms: u64, group: Group, runs_until_ms: u64) -> Act {
         match self.kind {
-            Kind::Order => Act::Claim { ends_ms, value: Vec::new() },
+            Kind::Order => Act::Claim {
+                ends_ms,
+                value: Vec::new(),
+            },
             // An entry already there is not replaced, though it be this front's: a repeat is one whoever
             // sends it.
             _ => {
                 let dropped_until_ms = self.inherited_until_ms.unwrap_or(self.dropped_until_ms);
-                let value = EntryValue { mark: self.mark, group, runs_until_ms, dropped_until_ms }.bytes();
-                Act::Put { expects: Some(self.version), ends_ms, value }
+                let value = EntryValue {
+                    mark: self.mark,
+                    group,
+                    runs_until_ms,
+                    dropped_until_ms,
+                }
+                .bytes();
+                Act::Put {
+                    expects: Some(self.version),
+                    ends_ms,
+                    value,
+                }
             }
         }
     }
--- a/crates/fleet/src/gate/hold/answers.rs
+++ b/crates/fleet/src/gate/hold/answers.rs
@@ -4,16 +4,21 @@
 use hallmux_ledger::{Entry, Kind, Outcome};
 
 use super::super::requirements::{EntryValue, Group};
-use super::{ms, Claim, Hold, Purpose, Verdict, ASK_TIMEOUT, FIRST_RETRY, FREE_RETRY, MAX_RETRY, RETRY};
+use super::{
+    ms, Claim, Hold, Purpose, Verdict, ASK_TIMEOUT, FIRST_RETRY, FREE_RETRY, MAX_RETRY, RETRY,
+};
 
 impl Hold {
     /// The ledger has answered. `first`: this front has just started, and the key's shard has not answered it
     /// yet.
     pub fn answered(&mut self, now: Micros, outcome: Outcome, first: bool) -> Verdict {
-        let Some(purpose) = self.asked.take() else { return Verdict::Recheck };
+        let Some(purpose) = self.asked.take() else {
+            return Verdict::Recheck;
+        };
         match (purpose, outcome) {
             (Purpose::Hold(_, group), Outcome::Stands(entry)) => {
-                (self.holds_until_ms, self.group, self.version) = (entry.ends_ms, group, entry.version);
+                (self.holds_until_ms, self.group, self.version) =
+                    (entry.ends_ms, group, entry.version);
                 self.unconfirmed = false;
                 self.may_hold_until_ms = self.may_hold_until_ms.max(entry.ends_ms);
                 (self.tries, self.blocked, self.retry_at) = (0, false, 0);
@@ -29,16 +34,28 @@
                 let waits = first && why == Outcome::Unreachable;
                 (self.retry_at, self.retry_free_at) = (now, now + FREE_RETRY);
                 // The entry to be replaced is there as it was, or as this front's: either is respected.
-                self.may_hold_until_ms =
-                    if self.version == 0 { self.may_hold_until_ms } else { self.holds_until_ms };
+                self.may_hold_until_ms = if self.version == 0 {
+                    self.may_hold_until_ms
+                } else {
+                    self.holds_until_ms
+                };
                 self.unconfirmed |= self.kind != Kind::Order && self.version == 0;
-                let why = if why == Outcome::Full { "full" } else { "unreachable" };
+                let why = if why == Outcome::Full {
+                    "full"
+                } else {
+                    "unreachable"
+                };
                 if !waits {
                     return Verdict::Reject(self.take_waiting(), why);
                 }
                 self.retry_at = now + FIRST_RETRY;
-                let late = |_: &Ticket, claim: &mut Claim| claim.wait_until < self.retry_at + ASK_TIMEOUT;
-                let late = self.waiting.extract_if(.., late).map(|(ticket, _)| ticket).collect();
+                let late =
+                    |_: &Ticket, claim: &mut Claim| claim.wait_until < self.retry_at + ASK_TIMEOUT;
+                let late = self
+                    .waiting
+                    .extract_if(.., late)
+                    .map(|(ticket, _)| ticket)
+                    .collect();
                 Verdict::Reject(late, why)
             }
             (Purpose::Read, Outcome::Stands(entry)) if self.is_own(&entry) => {
@@ -59,12 +76,14 @@
     }
 
     fn is_own(&self, entry: &Entry) -> bool {
-        self.unconfirmed && EntryValue::read(&entry.value).is_some_and(|value| value.mark == self.mark)
+        self.unconfirmed
+            && EntryValue::read(&entry.value).is_some_and(|value| value.mark == self.mark)
     }
 
     /// The entry was made after all.
     fn adopt(&mut self, entry: &Entry) {
-        (self.holds_until_ms, self.version, self.unconfirmed) = (entry.ends_ms, entry.version, false);
+        (self.holds_until_ms, self.version, self.unconfirmed) =
+            (entry.ends_ms, entry.version, false);
         self.group = EntryValue::read(&entry.value).map_or(self.group, |value| value.group);
     }
 
@@ -115,8 +134,11 @@
     fn restrict_to(&mut self, group: Option<Group>) -> Verdict {
         let others = |(_, claim): (&Ticket, &mut Claim)| Some(claim.group) != group;
         let dedup = self.kind == Kind::Dedup;
-        let away: Vec<Ticket> =
-            self.waiting.extract_if(.., |t, w| dedup && others((t, w))).map(|(ticket, _)| ticket).collect();
+        let away: Vec<Ticket> = self
+            .waiting
+            .extract_if(.., |t, w| dedup && others((t, w)))
+            .map(|(ticket, _)| ticket)
+            .collect();
         if away.is_empty() {
             Verdict::Recheck
         } else {
--- a/crates/fleet/src/gate/requirements.rs
+++ b/crates/fleet/src/gate/requirements.rs
@@ -90,7 +90,11 @@
 impl Requirements {
     pub fn new(contract: &Settings) -> Requirements {
         use hallmux_dispatcher::{DedupGroup, Effect};
-        let agreed = contract.names.workloads.iter().zip(&contract.agreement.workloads);
+        let agreed = contract
+            .names
+            .workloads
+            .iter()
+            .zip(&contract.agreement.workloads);
         let workloads = agreed.map(|(name, w)| {
             let grouping = match w.dedup_group {
                 DedupGroup::All => Grouping::All,
@@ -99,25 +103,35 @@
             };
             let workload = Workload {
                 in_order: w.in_order,
-                dedup: (w.effect == Effect::Deduplicated)
-                    .then_some(Deduplication { window: w.dedup_window, grouping }),
+                dedup: (w.effect == Effect::Deduplicated).then_some(Deduplication {
+                    window: w.dedup_window,
+                    grouping,
+                }),
                 non_idempotent: w.effect == Effect::NonIdempotent,
             };
             (name.clone(), workload)
         });
-        Requirements { workloads: workloads.collect(), order_gap: contract.agreement.order_gap }
+        Requirements {
+            workloads: workloads.collect(),
+            order_gap: contract.agreement.order_gap,
+        }
     }
 
     /// Those of one statement, in the order in which they are claimed: the same on every front, so that no
     /// two statements wait for each other. `id` names it on whichever front it is retried.
     pub fn of(&self, taken: &StatementArrived, id: &str) -> Vec<Requirement> {
-        let Some(workload) = self.workloads.get(&taken.workload) else { return Vec::new() };
+        let Some(workload) = self.workloads.get(&taken.workload) else {
+            return Vec::new();
+        };
         let mut requirements = Vec::new();
         let gap = self.order_gap;
         if let Some((Deduplication { window, grouping }, dedup)) =
             workload.dedup.zip(taken.dedup_key.as_ref())
         {
-            let key = Key { kind: Kind::Dedup, name: format!("{}/{dedup}", taken.workload) };
+            let key = Key {
+                kind: Kind::Dedup,
+                name: format!("{}/{dedup}", taken.workload),
+            };
             requirements.push(Requirement {
                 key,
                 after_deadline: window.max(gap),
@@ -127,7 +141,10 @@
             });
         }
         if workload.non_idempotent {
-            let key = Key { kind: Kind::Begun, name: format!("{}/{id}", taken.customer) };
+            let key = Key {
+                kind: Kind::Begun,
+                name: format!("{}/{id}", taken.customer),
+            };
             requirements.push(Requirement {
                 key,
                 after_deadline: BEGUN_RETENTION,
@@ -140,7 +157,10 @@
         // own.
         if let Some(key) = taken.key.as_ref().filter(|_| workload.in_order) {
             // As in one front, the order of a key is the same for all workloads.
-            let key = Key { kind: Kind::Order, name: key.clone() };
+            let key = Key {
+                kind: Kind::Order,
+                name: key.clone(),
+            };
             requirements.push(Requirement {
                 key,
                 after_deadline: gap,
@@ -193,8 +213,17 @@
     /// None where it can't be read: it counts as running in an unknown group.
     pub fn read(bytes: &[u8]) -> Option<EntryValue> {
         let earlier = || {
-            let EarlierValue { mark, group, runs_until_ms } = postcard::from_bytes(bytes).ok()?;
-            Some(EntryValue { mark, group, runs_until_ms, dropped_until_ms: 0 })
+            let EarlierValue {
+                mark,
+                group,
+                runs_until_ms,
+            } = postcard::from_bytes(bytes).ok()?;
+            Some(EntryValue {
+                mark,
+                group,
+                runs_until_ms,
+                dropped_until_ms: 0,
+            })
         };
         postcard::from_bytes(bytes).ok().or_else(earlier)
     }
--- a/crates/fleet/src/gate/tests.rs
+++ b/crates/fleet/src/gate/tests.rs
@@ -38,14 +38,31 @@
 ) -> bool {
     let (key, dedup_key) = (key.map(str::to_string), dedup_key.map(str::to_string));
     let (workload, customer) = (workload.to_string(), "acme".to_string());
-    let taken = StatementArrived { ticket, workload, customer, key, dedup_key };
+    let taken = StatementArrived {
+        ticket,
+        workload,
+        customer,
+        key,
+        dedup_key,
+    };
     gate.observe(0, PromiseEvent::Arrived(taken), |_| id.map(str::to_string));
     gate.holds_back(ticket)
 }
 
 fn pending(ticket: Ticket, execution: usize, now: Micros, location: usize) -> PendingExecution {
-    let terms = Terms { ends: now + 4_000 * MS, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 };
-    PendingExecution { ticket, execution, place: location, terms, site: Site { location, cell: 0 } }
+    let terms = Terms {
+        ends: now + 4_000 * MS,
+        leave_by: Micros::MAX,
+        grant_mb: 0.0,
+        priority: 1,
+    };
+    PendingExecution {
+        ticket,
+        execution,
+        place: location,
+        terms,
+        site: Site { location, cell: 0 },
+    }
 }
 
 /// The ledger as every front sees it.
@@ -63,12 +80,20 @@
         let free = there.as_ref().is_none_or(|e| e.owner == owner);
         let (may, ends_ms, value) = match &ask.act {
             Act::Claim { ends_ms, value } => (free, *ends_ms, value),
-            Act::Put { expects, ends_ms, value } => {
+            Act::Put {
+                expects,
+                ends_ms,
+                value,
+            } => {
                 if there.is_none() && expects.is_some_and(|v| v != 0) {
                     return Outcome::Absent;
                 }
                 let version = there.as_ref().map_or(0, |e| e.version);
-                (expects.is_none_or(|expects| expects == version), *ends_ms, value)
+                (
+                    expects.is_none_or(|expects| expects == version),
+                    *ends_ms,
+                    value,
+                )
             }
             Act::Free if free => {
                 self.entries.remove(&ask.key);
@@ -82,7 +107,13 @@
             _ => {
                 self.last += 1;
                 let key = ask.key.clone();
-                let entry = Entry { key, owner, version: self.last, ends_ms, value: value.clone() };
+                let entry = Entry {
+                    key,
+                    owner,
+                    version: self.last,
+                    ends_ms,
+                    value: value.clone(),
+                };
                 self.entries.insert(ask.key.clone(), entry.clone());
                 Outcome::Stands(entry)
             }
@@ -101,8 +132,21 @@
             return rulings;
         }
         for ask in asks {
-            let outcome = book.apply(now, Owner { front, incarnation: 1 }, &ask);
-            gate.answered(now, Done { number: ask.number, outcome });
+            let outcome = book.apply(
+                now,
+                Owner {
+                    front,
+                    incarnation: 1,
+                },
+                &ask,
+            );
+            gate.answered(
+                now,
+                Done {
+                    number: ask.number,
+                    outcome,
+                },
+            );
         }
     }
 }
@@ -119,9 +163,18 @@
     gate.hold(0, pending(2, 0, 0, 0));
     assert!(gate.rulings().is_empty() && !gate.holds_back(1) && gate.holds_back(2));
     let mut book = Book::default();
-    assert_eq!(settle(&mut gate, &mut book, 0, 1), [Ruling::Release(pending(2, 0, 0, 0))]);
+    assert_eq!(
+        settle(&mut gate, &mut book, 0, 1),
+        [Ruling::Release(pending(2, 0, 0, 0))]
+    );
     // Its next execution needs no other word.
-    gate.hold(MS, PendingExecution { execution: 1, ..pending(2, 0, 0, 1) });
+    gate.hold(
+        MS,
+        PendingExecution {
+            execution: 1,
+            ..pending(2, 0, 0, 1)
+        },
+    );
     assert_eq!(gate.rulings().len(), 1);
     gate.end(2 * MS, over(2, true, false));
     settle(&mut gate, &mut book, 2 * MS, 1);
@@ -156,14 +209,31 @@
     let asks = gate.asks();
     for ask in &asks {
         // It stands, but nobody heard so.
-        book.apply(0, Owner { front: 1, incarnation: 1 }, ask);
-        gate.answered(0, Done { number: ask.number, outcome: Outcome::Unreachable });
+        book.apply(
+            0,
+            Owner {
+                front: 1,
+                incarnation: 1,
+            },
+            ask,
+        );
+        gate.answered(
+            0,
+            Done {
+                number: ask.number,
+                outcome: Outcome::Unreachable,
+            },
+        );
     }
     assert_eq!((asks.len(), gate.rulings()), (2, vec![Ruling::Reject(1)]));
     gate.end(0, over(1, false, false));
     assert_eq!(book.entries.len(), 2);
     settle(&mut gate, &mut book, 1_100 * MS, 1);
-    assert!(book.entries.is_empty() && gate.holds.is_empty(), "{:?}", book.entries);
+    assert!(
+        book.entries.is_empty() && gate.holds.is_empty(),
+        "{:?}",
+        book.entries
+    );
     assert_eq!(gate.refused, BTreeMap::from([("unreachable", 1)]));
 }
 
@@ -178,15 +248,32 @@
             for ask in gate.asks() {
                 let outcome = match at < speaks_at {
                     true => Outcome::Unreachable,
-                    false => book.apply(at, Owner { front: 1, incarnation: 1 }, &ask),
+                    false => book.apply(
+                        at,
+                        Owner {
+                            front: 1,
+                            incarnation: 1,
+                        },
+                        &ask,
+                    ),
                 };
-                gate.answered(at, Done { number: ask.number, outcome });
+                gate.answered(
+                    at,
+                    Done {
+                        number: ask.number,
+                        outcome,
+                    },
+                );
             }
             (ruled, at) = (gate.rulings(), at + 50 * MS);
             gate.tick(at);
             assert!(at < 2_000 * MS, "held to the half of its time and longer");
         }
-        assert_eq!(matches!(ruled[..], [Ruling::Release(_)]), goes, "{ruled:?} at {at}");
+        assert_eq!(
+            matches!(ruled[..], [Ruling::Release(_)]),
+            goes,
+            "{ruled:?} at {at}"
+        );
         assert!((1_000 * MS..2_000 * MS).contains(&at), "{at}");
     }
     // Later in its life, or once the shard has spoken, it is turned away at once.
@@ -194,7 +281,13 @@
         open(&mut gate, 1, ("pay", None, None), None);
         gate.hold(now, pending(1, 0, now, 0));
         for ask in gate.asks() {
-            gate.answered(now, Done { number: ask.number, outcome: Outcome::Unreachable });
+            gate.answered(
+                now,
+                Done {
+                    number: ask.number,
+                    outcome: Outcome::Unreachable,
+                },
+            );
         }
         assert_eq!(gate.rulings(), [Ruling::Reject(1)]);
     }
@@ -214,7 +307,11 @@
             open(gate, 2, ("pay", None, None), Some("txn-1"));
             gate.hold(2 * MS, pending(2, 0, 2 * MS, 0));
             let ruled = settle(gate, &mut book, 2 * MS, front);
-            assert_eq!(matches!(ruled[..], [Ruling::Release(_)]), again, "{ruled:?}");
+            assert_eq!(
+                matches!(ruled[..], [Ruling::Release(_)]),
+                again,
+                "{ruled:?}"
+            );
             assert_eq!(ruled == [Ruling::Abort(2)], !again, "{ruled:?}");
             gate.end(3 * MS, over(2, false, false));
             settle(gate, &mut book, 3 * MS, front);
@@ -239,8 +336,14 @@
     for at in 3..700 {
         ruled.extend(settle(&mut other, &mut book, at * MS, 2));
     }
-    assert!(ruled.contains(&Ruling::Reject(1)) && ruled.len() == 2, "{ruled:?}");
-    assert!(ruled.contains(&Ruling::Release(pending(2, 0, MS, 0))), "{ruled:?}");
+    assert!(
+        ruled.contains(&Ruling::Reject(1)) && ruled.len() == 2,
+        "{ruled:?}"
+    );
+    assert!(
+        ruled.contains(&Ruling::Release(pending(2, 0, MS, 0))),
+        "{ruled:?}"
+    );
 }
 
 #[test]
@@ -253,7 +356,11 @@
     open(&mut other, 1, ("load", Some("k"), Some("d")), None);
     other.hold(MS, pending(1, 0, MS, 0));
     assert_eq!(settle(&mut other, &mut book, MS, 2), []);
-    assert!(book.entries.keys().all(|key| key.kind != Kind::Order), "{:?}", book.entries);
+    assert!(
+        book.entries.keys().all(|key| key.kind != Kind::Order),
+        "{:?}",
+        book.entries
+    );
     open(&mut third, 1, ("load", Some("k"), Some("e")), None);
     third.hold(2 * MS, pending(1, 0, 2 * MS, 0));
     assert_eq!(settle(&mut third, &mut book, 2 * MS, 3).len(), 1);
@@ -262,7 +369,9 @@
     // Once nothing runs any more, the repeat has both.
     one.end(3 * MS, over(1, true, false));
     settle(&mut one, &mut book, 3 * MS, 1);
-    let ruled = (4..700).map(|at| settle(&mut other, &mut book, at * MS, 2)).find(|ruled| !ruled.is_empty());
+    let ruled = (4..700)
+        .map(|at| settle(&mut other, &mut book, at * MS, 2))
+        .find(|ruled| !ruled.is_empty());
     assert_eq!(ruled, Some(vec![Ruling::Release(pending(1, 0, MS, 0))]));
 }
 
@@ -290,13 +399,33 @@
 #[test]
 fn a_key_that_stands_while_another_is_asked_for_is_no_cause_to_wake() {
     let (mut gate, mut book) = (gate(1), Book::default());
-    assert!(open(&mut gate, 1, ("load", Some("k"), Some("d")), Some("a")));
+    assert!(open(
+        &mut gate,
+        1,
+        ("load", Some("k"), Some("d")),
+        Some("a")
+    ));
     gate.hold(MS, pending(1, 0, MS, 0));
-    let (first, second): (Vec<_>, Vec<_>) =
-        gate.asks().into_iter().partition(|ask| ask.key.kind == Kind::Order);
+    let (first, second): (Vec<_>, Vec<_>) = gate
+        .asks()
+        .into_iter()
+        .partition(|ask| ask.key.kind == Kind::Order);
     let mut answer = |gate: &mut Gate, ask: &ledger::Ask| {
-        let outcome = book.apply(2 * MS, Owner { front: 1, incarnation: 1 }, ask);
-        gate.answered(2 * MS, Done { number: ask.number, outcome });
+        let outcome = book.apply(
+            2 * MS,
+            Owner {
+                front: 1,
+                incarnation: 1,
+            },
+            ask,
+        );
+        gate.answered(
+            2 * MS,
+            Done {
+                number: ask.number,
+                outcome,
+            },
+        );
     };
     answer(&mut gate, &first[0]);
     gate.tick(2 * MS);
--- a/crates/fleet/src/gate/tests/drawn.rs
+++ b/crates/fleet/src/gate/tests/drawn.rs
@@ -99,31 +99,56 @@
 impl Stage {
     fn new() -> Stage {
         let gates = (0..FRONTS as u64).map(|front| (gate(front), 1)).collect();
-        Stage { gates, lines: vec![VecDeque::new(); FRONTS], next: 1, ..Stage::default() }
+        Stage {
+            gates,
+            lines: vec![VecDeque::new(); FRONTS],
+            next: 1,
+            ..Stage::default()
+        }
     }
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Arrives { front, what, key, name, location } => {
+            Step::Arrives {
+                front,
+                what,
+                key,
+                name,
+                location,
+            } => {
                 let (workload, key) = match what {
                     0 => ("lookup", Some(KEYS[key])),
                     1 => ("load", Some(KEYS[key])),
                     2 => ("load", None),
                     _ => ("pay", None),
                 };
-                let of = Of { workload, key, name: NAMES[name] };
+                let of = Of {
+                    workload,
+                    key,
+                    name: NAMES[name],
+                };
                 self.lines[front].push_back((self.next, of, location));
                 self.next += 1;
             }
             Step::Served { which, lost } if !self.asks.is_empty() => {
                 let (front, life, ask) = self.asks.remove(which % self.asks.len());
-                let owner = Owner { front: front as u64, incarnation: life };
+                let owner = Owner {
+                    front: front as u64,
+                    incarnation: life,
+                };
                 let mut outcome = Outcome::Unreachable;
                 if lost < 2 {
                     let well = self.book.apply(self.now, owner, &ask);
                     outcome = if lost == 0 { well } else { outcome };
                 }
-                self.answers.push((front, life, Done { number: ask.number, outcome }));
+                self.answers.push((
+                    front,
+                    life,
+                    Done {
+                        number: ask.number,
+                        outcome,
+                    },
+                ));
             }
             Step::Answered { which } if !self.answers.is_empty() => {
                 let (front, life, done) = self.answers.remove(which % self.answers.len());
@@ -139,12 +164,17 @@
             }
             Step::Leaves { front } => {
                 let held = self.gates[front].0.held().min();
-                held.into_iter().for_each(|(ticket, _)| self.withdraw(front, ticket));
+                held.into_iter()
+                    .for_each(|(ticket, _)| self.withdraw(front, ticket));
             }
             Step::Dies { front } => {
                 let life = self.gates[front].1 + 1;
                 // Every other life begins before its shards have spoken.
-                let new = if life.is_multiple_of(2) { new_gate } else { gate };
+                let new = if life.is_multiple_of(2) {
+                    new_gate
+                } else {
+                    gate
+                };
                 self.gates[front] = (new(life * 10 + front as u64), life);
                 self.lines[front].clear();
                 self.open.retain(|(f, _), _| *f != front);
@@ -162,25 +192,36 @@
     fn ends(&mut self, n: usize, how: u8) {
         let run = self.running.remove(n);
         if how == 1 {
-            self.ran.retain(|(name, _)| run.of.workload != "pay" || *name != run.of.name);
+            self.ran
+                .retain(|(name, _)| run.of.workload != "pay" || *name != run.of.name);
             // The record of what was sent is of what may have run.
-            let at =
-                self.sent.iter().rposition(|(name, ..)| run.of.workload == "load" && *name == run.of.name);
+            let at = self
+                .sent
+                .iter()
+                .rposition(|(name, ..)| run.of.workload == "load" && *name == run.of.name);
             at.into_iter().for_each(|at| _ = self.sent.remove(at));
         }
         self.open.remove(&(run.front, run.ticket));
         let now = self.now;
         if how == 2 {
             // It may be running on for a while.
-            self.running.push(Run { life: 0, ends: (now + GAP).min(run.ends), ..run });
+            self.running.push(Run {
+                life: 0,
+                ends: (now + GAP).min(run.ends),
+                ..run
+            });
         }
-        self.gates[run.front].0.end(now, over(run.ticket, how != 1, how == 2));
+        self.gates[run.front]
+            .0
+            .end(now, over(run.ticket, how != 1, how == 2));
     }
 
     fn withdraw(&mut self, front: usize, ticket: Ticket) {
         self.open.remove(&(front, ticket));
         self.gates[front].0.cancel(self.now, ticket, 0);
-        self.gates[front].0.end(self.now, over(ticket, false, false));
+        self.gates[front]
+            .0
+            .end(self.now, over(ticket, false, false));
     }
 
     /// Times that are up, then all that the fronts do of themselves.
@@ -194,24 +235,44 @@
         }
         self.running.retain(|run| run.ends > now);
         for front in 0..FRONTS {
-            let late: Vec<Ticket> = self.gates[front].0.held().map(|(ticket, _)| ticket).collect();
+            let late: Vec<Ticket> = self.gates[front]
+                .0
+                .held()
+                .map(|(ticket, _)| ticket)
+                .collect();
             for ticket in late {
-                if self.open.get(&(front, ticket)).is_some_and(|(_, ends)| *ends <= now) {
+                if self
+                    .open
+                    .get(&(front, ticket))
+                    .is_some_and(|(_, ends)| *ends <= now)
+                {
                     self.withdraw(front, ticket);
                 }
             }
             // The module: one of an order key at a time.
             while let Some((ticket, of, location)) = self.lines[front].pop_front() {
                 // What may be running on keeps its turn for the gap.
-                let taken = self.open.range((front, 0)..(front + 1, 0)).map(|(_, (of, _))| of.key);
-                let out = self.running.iter().filter(|run| run.front == front).map(|run| run.of.key);
+                let taken = self
+                    .open
+                    .range((front, 0)..(front + 1, 0))
+                    .map(|(_, (of, _))| of.key);
+                let out = self
+                    .running
+                    .iter()
+                    .filter(|run| run.front == front)
+                    .map(|run| run.of.key);
                 if of.key.is_some() && taken.chain(out).any(|key| key == of.key) {
                     self.lines[front].push_front((ticket, of, location));
                     break;
                 }
                 let gate = &mut self.gates[front].0;
                 let dedup = (of.workload == "load").then_some(of.name);
-                assert!(open(gate, ticket, (of.workload, of.key, dedup), Some(of.name)));
+                assert!(open(
+                    gate,
+                    ticket,
+                    (of.workload, of.key, dedup),
+                    Some(of.name)
+                ));
                 gate.hold(now, pending(ticket, 0, now, location));
                 self.open.insert((front, ticket), (of, now + 4_000 * MS));
             }
@@ -221,10 +282,18 @@
                 if rulings.is_empty() {
                     break;
                 }
-                rulings.into_iter().for_each(|ruling| self.obey(front, ruling));
+                rulings
+                    .into_iter()
+                    .for_each(|ruling| self.obey(front, ruling));
             }
             let life = self.gates[front].1;
-            self.asks.extend(self.gates[front].0.asks().into_iter().map(|ask| (front, life, ask)));
+            self.asks.extend(
+                self.gates[front]
+                    .0
+                    .asks()
+                    .into_iter()
+                    .map(|ask| (front, life, ask)),
+            );
         }
     }
 
@@ -241,7 +310,11 @@
         let (of, _) = self.open[&(front, held.ticket)];
         if let Some(key) = of.key {
             let other = self.running.iter().find(|run| run.of.key == Some(key));
-            assert!(other.is_none(), "two of {key} at once: front {front} beside {}", other.unwrap().front);
+            assert!(
+                other.is_none(),
+                "two of {key} at once: front {front} beside {}",
+                other.unwrap().front
+            );
         }
         let location = held.site.location;
         match of.workload {
@@ -260,7 +333,14 @@
             _ => {}
         }
         let ends = held.terms.ends + GAP;
-        self.running.push(Run { front, life, ticket: held.ticket, of, location, ends });
+        self.running.push(Run {
+            front,
+            life,
+            ticket: held.ticket,
+            of,
+            location,
+            ends,
+        });
         assert_eq!(self.running.last().map(|run| run.location), Some(location));
     }
 
@@ -278,10 +358,22 @@
             self.step(Step::Passes { ms: 100 });
         }
         for (front, (gate, life)) in self.gates.iter().enumerate() {
-            assert!(gate.holds.is_empty() && gate.statements.is_empty() && gate.is_idle(), "front {front}");
-            let owner = Owner { front: front as u64, incarnation: *life };
+            assert!(
+                gate.holds.is_empty() && gate.statements.is_empty() && gate.is_idle(),
+                "front {front}"
+            );
+            let owner = Owner {
+                front: front as u64,
+                incarnation: *life,
+            };
             let own = |e: &&Entry| e.owner == owner && e.ends_ms > (self.now / MS) as u64;
-            let left: Vec<_> = self.book.entries.values().filter(own).map(|e| e.key.kind).collect();
+            let left: Vec<_> = self
+                .book
+                .entries
+                .values()
+                .filter(own)
+                .map(|e| e.key.kind)
+                .collect();
             assert!(left.iter().all(|kind| *kind == Kind::Begun), "{left:?}");
         }
         assert!(self.open.is_empty() && self.lines.iter().all(VecDeque::is_empty));
@@ -303,7 +395,13 @@
 fn the_drawn_orders_let_executions_go() {
     let mut stage = Stage::new();
     for n in 0..40 {
-        stage.step(Step::Arrives { front: n % 3, what: n % 4, key: n % 2, name: n % 2, location: 0 });
+        stage.step(Step::Arrives {
+            front: n % 3,
+            what: n % 4,
+            key: n % 2,
+            name: n % 2,
+            location: 0,
+        });
         stage.calm();
     }
     assert!(stage.went > 25, "{}", stage.went);
