--- a/crates/fleet/src/gate/tests/window.rs
+++ b/crates/fleet/src/gate/tests/window.rs
@@ -12,12 +12,24 @@
     let mut gate = gate(1);
     open(&mut gate, 1, ("load", None, Some("d")), None);
     gate.hold(0, pending(1, 0, 0, 0));
-    assert_eq!(settle(&mut gate, book, 0, 1), [Ruling::Release(pending(1, 0, 0, 0))]);
+    assert_eq!(
+        settle(&mut gate, book, 0, 1),
+        [Ruling::Release(pending(1, 0, 0, 0))]
+    );
 }
 
 /// All that a front rules from `from` to `to`, in milliseconds, and when.
-fn ruled(gate: &mut Gate, book: &mut Book, (from, to): (i64, i64), front: u64) -> Vec<(i64, Ruling)> {
-    let at = |ms: i64| settle(gate, book, ms * MS, front).into_iter().map(move |ruling| (ms, ruling));
+fn ruled(
+    gate: &mut Gate,
+    book: &mut Book,
+    (from, to): (i64, i64),
+    front: u64,
+) -> Vec<(i64, Ruling)> {
+    let at = |ms: i64| {
+        settle(gate, book, ms * MS, front)
+            .into_iter()
+            .map(move |ruling| (ms, ruling))
+    };
     (from..to).flat_map(at).collect()
 }
 
@@ -38,7 +50,10 @@
         settle(&mut keyed, &mut book, freed_ms * MS, 2);
         all.extend(ruled(&mut other, &mut book, (freed_ms, 9_400), 3));
         match leaves {
-            true => assert!(matches!(all[..], [(_, Ruling::Release(held))] if held == asked), "{all:?}"),
+            true => assert!(
+                matches!(all[..], [(_, Ruling::Release(held))] if held == asked),
+                "{all:?}"
+            ),
             false => assert_eq!(all, [(DROPPED_MS, Ruling::Abort(1))]),
         }
     }
@@ -53,20 +68,51 @@
     open(&mut between, 1, ("load", None, Some("d")), None);
     between.hold(5_000 * MS, pending(1, 0, 5_000 * MS, 0));
     let asks = between.asks();
-    let outcome = book.apply(5_000 * MS, Owner { front: 2, incarnation: 1 }, &asks[0]);
-    between.answered(5_000 * MS, Done { number: asks[0].number, outcome });
+    let outcome = book.apply(
+        5_000 * MS,
+        Owner {
+            front: 2,
+            incarnation: 1,
+        },
+        &asks[0],
+    );
+    between.answered(
+        5_000 * MS,
+        Done {
+            number: asks[0].number,
+            outcome,
+        },
+    );
     let takes = between.asks();
-    book.apply(5_000 * MS, Owner { front: 2, incarnation: 1 }, &takes[0]);
+    book.apply(
+        5_000 * MS,
+        Owner {
+            front: 2,
+            incarnation: 1,
+        },
+        &takes[0],
+    );
     between.cancel(5_001 * MS, 1, 0);
     between.end(5_001 * MS, over(1, false, false));
-    between.answered(5_002 * MS, Done { number: takes[0].number, outcome: Outcome::Unreachable });
+    between.answered(
+        5_002 * MS,
+        Done {
+            number: takes[0].number,
+            outcome: Outcome::Unreachable,
+        },
+    );
     settle(&mut between, &mut book, 6_100 * MS, 2);
     // A third one, and the one between itself, are asked again once engines may have forgotten.
-    for (gate, front, from) in [(&mut gate(3), 3, DROPPED_MS), (&mut between, 2, DROPPED_MS + 100)] {
+    for (gate, front, from) in [
+        (&mut gate(3), 3, DROPPED_MS),
+        (&mut between, 2, DROPPED_MS + 100),
+    ] {
         open(gate, 2, ("load", None, Some("d")), None);
         gate.hold(from * MS, pending(2, 0, from * MS, 0));
-        let ruled: Vec<Ruling> =
-            ruled(gate, &mut book, (from, from + 3_000), front).into_iter().map(|(_, r)| r).collect();
+        let ruled: Vec<Ruling> = ruled(gate, &mut book, (from, from + 3_000), front)
+            .into_iter()
+            .map(|(_, r)| r)
+            .collect();
         assert_eq!(ruled, [Ruling::Abort(2)], "front {front}");
         gate.end((from + 3_000) * MS, over(2, false, false));
     }
@@ -74,11 +120,20 @@
 
 #[test]
 fn an_entry_of_an_earlier_build_counts_as_forgotten_and_it_reads_the_later_ones() {
-    let mark = EntryMark { started_ms: 7, number: 9 };
+    let mark = EntryMark {
+        started_ms: 7,
+        number: 9,
+    };
     let earlier = postcard::to_stdvec(&(mark, Group::Location(2), 5_000u64)).unwrap();
     let value = EntryValue::read(&earlier).unwrap();
-    assert_eq!((value.mark, value.runs_until_ms, value.dropped_until_ms), (mark, 5_000, 0));
-    let later = EntryValue { dropped_until_ms: 8_500, ..value };
+    assert_eq!(
+        (value.mark, value.runs_until_ms, value.dropped_until_ms),
+        (mark, 5_000, 0)
+    );
+    let later = EntryValue {
+        dropped_until_ms: 8_500,
+        ..value
+    };
     let read: (EntryMark, Group, u64) = postcard::from_bytes(&later.bytes()).unwrap();
     assert_eq!(read, (mark, Group::Location(2), 5_000));
     assert_eq!(EntryValue::read(&later.bytes()), Some(later));
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -95,9 +95,13 @@
         let of = |front: &PeerId| node.members().health(*front);
         let which = |healths: [Health; 2]| -> Vec<PeerId> {
             let all = self.addresses.keys().copied();
-            all.filter(|front| of(front).is_some_and(|health| healths.contains(&health))).collect()
+            all.filter(|front| of(front).is_some_and(|health| healths.contains(&health)))
+                .collect()
         };
-        let (up, away) = (which([Health::Alive; 2]), which([Health::Dead, Health::Left]));
+        let (up, away) = (
+            which([Health::Alive; 2]),
+            which([Health::Dead, Health::Left]),
+        );
         self.ledger.set_health(moment(at), &up, &away);
     }
 
@@ -135,28 +139,42 @@
 
     /// Puts what there is to send into datagrams: behind the saves that they rest on.
     pub fn send(&mut self, at: Moment, node: &mut Node, out: &mut Output) {
-        let hallmux_ledger::Output { packets, saves, done } = self.ledger.take_output();
+        let hallmux_ledger::Output {
+            packets,
+            saves,
+            done,
+        } = self.ledger.take_output();
         self.answers.extend(done);
-        let mut seal =
-            |packets: Vec<(PeerId, Vec<u8>)>| -> Vec<Datagram> {
-                let mut datagrams = Vec::new();
-                for (to, message) in packets {
-                    // A message that can't be sent counts as lost on the way.
-                    let address = self.addresses.get(&to).copied().or_else(|| node.address(to));
-                    datagrams.extend(address.and_then(|to| {
-                        node.channel_datagram(at.now, at.wall_ms, to, Channel::Ledger, &message)
-                    }));
-                }
-                datagrams
-            };
+        let mut seal = |packets: Vec<(PeerId, Vec<u8>)>| -> Vec<Datagram> {
+            let mut datagrams = Vec::new();
+            for (to, message) in packets {
+                // A message that can't be sent counts as lost on the way.
+                let address = self
+                    .addresses
+                    .get(&to)
+                    .copied()
+                    .or_else(|| node.address(to));
+                datagrams.extend(address.and_then(|to| {
+                    node.channel_datagram(at.now, at.wall_ms, to, Channel::Ledger, &message)
+                }));
+            }
+            datagrams
+        };
         out.datagrams.extend(seal(packets));
         for save in saves {
             let datagrams = seal(save.packets);
-            out.ledger_saves.push(LedgerSave { number: save.number, records: save.records, datagrams });
+            out.ledger_saves.push(LedgerSave {
+                number: save.number,
+                records: save.records,
+                datagrams,
+            });
         }
     }
 }
 
 fn moment(at: Moment) -> hallmux_ledger::Moment {
-    hallmux_ledger::Moment { steady: at.steady, wall_ms: at.wall_ms }
+    hallmux_ledger::Moment {
+        steady: at.steady,
+        wall_ms: at.wall_ms,
+    }
 }
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -54,18 +54,30 @@
             return;
         }
         self.merging = true;
-        let names: Vec<u32> = dispatcher.workload_demand(at.now).map(|(name, _)| workload(name)).collect();
+        let names: Vec<u32> = dispatcher
+            .workload_demand(at.now)
+            .map(|(name, _)| workload(name))
+            .collect();
         let (missed, offers) = merged(&reports, &names);
-        let own =
-            dispatcher.workload_demand(at.now).zip(&offers).map(|((_, own), offer)| own.asked * offer.work);
+        let own = dispatcher
+            .workload_demand(at.now)
+            .zip(&offers)
+            .map(|((_, own), offer)| own.asked * offer.work);
         let part = part_of(own.sum(), &offers, reports.len());
         let shared = dispatcher.customer_demand(at.now);
-        let shared: Vec<Option<u32>> = shared.map(|(name, asked)| asked.map(|_| customer(name))).collect();
+        let shared: Vec<Option<u32>> = shared
+            .map(|(name, asked)| asked.map(|_| customer(name)))
+            .collect();
         // Some fronts report; the others that are up are taken to be offered the same.
         let each = node.fleet_size().up as f64 / reports.len() as f64 / DEMAND_SECONDS;
-        let rate = |of: &Option<u32>| of.map_or(0.0, |of| sum_of(&reports, of, |o| o.requested) * each);
+        let rate =
+            |of: &Option<u32>| of.map_or(0.0, |of| sum_of(&reports, of, |o| o.requested) * each);
         let customers_per_s = shared.iter().map(rate).collect();
-        let part = if node.has_peer_load(at.now) { part } else { 0.0 };
+        let part = if node.has_peer_load(at.now) {
+            part
+        } else {
+            0.0
+        };
         dispatcher.fleet_demand(FleetDemand {
             late_share: missed,
             relative: part,
@@ -78,16 +90,20 @@
 /// What this front reports: its heaviest workloads, and the customers that request most.
 fn own_loads(now: Micros, dispatcher: &mut Dispatcher) -> Vec<OfferedLoad> {
     let counts = |x: f64| (x * UNIT).round().clamp(0.0, f64::from(u32::MAX)) as u32;
-    let all = dispatcher.workload_demand(now).map(|(name, o)| OfferedLoad {
-        workload: workload(name),
-        requested: counts(o.asked),
-        completed: counts(o.ended),
-        on_time: counts(o.timely),
-        service_us: o.work.clamp(0.0, f64::from(u32::MAX)) as u32,
-    });
+    let all = dispatcher
+        .workload_demand(now)
+        .map(|(name, o)| OfferedLoad {
+            workload: workload(name),
+            requested: counts(o.asked),
+            completed: counts(o.ended),
+            on_time: counts(o.timely),
+            service_us: o.work.clamp(0.0, f64::from(u32::MAX)) as u32,
+        });
     let mut all: Vec<OfferedLoad> = all.filter(|o| o.requested > 0 || o.completed > 0).collect();
     all.sort_by_key(|o| std::cmp::Reverse(u64::from(o.requested) * u64::from(o.service_us.max(1))));
-    let shared = dispatcher.customer_demand(now).filter_map(|(name, asked)| Some((name, asked?)));
+    let shared = dispatcher
+        .customer_demand(now)
+        .filter_map(|(name, asked)| Some((name, asked?)));
     let shared = shared.map(|(name, o)| OfferedLoad {
         workload: customer(name),
         requested: counts(o.asked),
@@ -116,7 +132,10 @@
 /// reports.
 fn sum_of(reports: &[&[OfferedLoad]], name: u32, field: fn(&OfferedLoad) -> u32) -> f64 {
     let of = |all: &&[OfferedLoad]| all.iter().find(|o| o.workload == name).map_or(0, field);
-    let counts: Vec<f64> = reports.iter().map(|all| f64::from(of(all)) / UNIT).collect();
+    let counts: Vec<f64> = reports
+        .iter()
+        .map(|all| f64::from(of(all)) / UNIT)
+        .collect();
     let most = MAX_OF_MEDIAN * median(counts.clone()).max(1.0);
     counts.into_iter().map(|count| count.min(most)).sum()
 }
@@ -129,18 +148,36 @@
 /// The load offered to all fronts by the workloads named, and the median over fronts of the part that was
 /// late.
 fn merged(reports: &[&[OfferedLoad]], names: &[u32]) -> (f64, Vec<Demand>) {
-    let of: Vec<BTreeMap<u32, OfferedLoad>> =
-        reports.iter().map(|all| all.iter().map(|o| (o.workload, *o)).collect()).collect();
+    let of: Vec<BTreeMap<u32, OfferedLoad>> = reports
+        .iter()
+        .map(|all| all.iter().map(|o| (o.workload, *o)).collect())
+        .collect();
     let offers = names.iter().map(|name| {
-        let all: Vec<OfferedLoad> = of.iter().map(|all| all.get(name).copied().unwrap_or_default()).collect();
+        let all: Vec<OfferedLoad> = of
+            .iter()
+            .map(|all| all.get(name).copied().unwrap_or_default())
+            .collect();
         let sum = |field: fn(&OfferedLoad) -> u32| sum_of(reports, *name, field);
-        let work = median(all.iter().filter(|o| o.service_us > 0).map(|o| f64::from(o.service_us)).collect());
+        let work = median(
+            all.iter()
+                .filter(|o| o.service_us > 0)
+                .map(|o| f64::from(o.service_us))
+                .collect(),
+        );
         let (requested, completed) = (sum(|o| o.requested), sum(|o| o.completed));
-        Demand { asked: requested, ended: completed, timely: sum(|o| o.on_time).min(completed), work }
+        Demand {
+            asked: requested,
+            ended: completed,
+            timely: sum(|o| o.on_time).min(completed),
+            work,
+        }
     });
     let missed = of.iter().filter_map(|all| {
-        let sum =
-            |field: fn(&OfferedLoad) -> u32| all.values().map(|o| f64::from(field(o)) / UNIT).sum::<f64>();
+        let sum = |field: fn(&OfferedLoad) -> u32| {
+            all.values()
+                .map(|o| f64::from(field(o)) / UNIT)
+                .sum::<f64>()
+        };
         let (completed, on_time) = (sum(|o| o.completed), sum(|o| o.on_time));
         (completed >= MIN_COMPLETED).then(|| ((completed - on_time) / completed).clamp(0.0, 1.0))
     });
--- a/crates/fleet/src/load_tests.rs
+++ b/crates/fleet/src/load_tests.rs
@@ -14,10 +14,24 @@
 
 #[test]
 fn counts_add_up_in_any_order_and_the_median_front_gives_what_was_missed() {
-    let (a, b, c) = ([of(1, 4, 4, 4)], [of(1, 8, 4, 2), of(2, 3, 3, 3)], [of(2, 5, 4, 3)]);
+    let (a, b, c) = (
+        [of(1, 4, 4, 4)],
+        [of(1, 8, 4, 2), of(2, 3, 3, 3)],
+        [of(2, 5, 4, 3)],
+    );
     let (missed, offers) = merged(&[&a, &b, &c], &[1, 2, 3]);
-    let rows: Vec<_> = offers.iter().map(|o| (o.asked, o.ended, o.timely, o.work)).collect();
-    assert_eq!(rows, [(12.0, 8.0, 6.0, 100.0), (8.0, 7.0, 6.0, 100.0), (0.0, 0.0, 0.0, 0.0)]);
+    let rows: Vec<_> = offers
+        .iter()
+        .map(|o| (o.asked, o.ended, o.timely, o.work))
+        .collect();
+    assert_eq!(
+        rows,
+        [
+            (12.0, 8.0, 6.0, 100.0),
+            (8.0, 7.0, 6.0, 100.0),
+            (0.0, 0.0, 0.0, 0.0)
+        ]
+    );
     assert_eq!(missed, 0.25);
     assert_eq!(merged(&[&c, &a, &b], &[1, 2, 3]), (missed, offers));
 }
@@ -27,9 +41,15 @@
     let (a, b) = ([of(1, 10, 0, 0)], [of(1, 30, 0, 0)]);
     let (_, offers) = merged(&[&a, &b], &[1]);
     assert_eq!(part_of(10.0 * 100.0, &offers, 2), 0.5);
-    assert_eq!((part_of(5.0, &[], 0), part_of(5.0, &offers[..0], 3)), (0.0, 0.0));
+    assert_eq!(
+        (part_of(5.0, &[], 0), part_of(5.0, &offers[..0], 3)),
+        (0.0, 0.0)
+    );
     // Absurd load of one front makes nobody's part small: it counts for four times the middle at most.
-    let liar = [OfferedLoad { requested: u32::MAX, ..of(1, 0, 0, 0) }];
+    let liar = [OfferedLoad {
+        requested: u32::MAX,
+        ..of(1, 0, 0, 0)
+    }];
     let sane: Vec<[OfferedLoad; 1]> = (0..9).map(|_| [of(1, 10, 10, 10)]).collect();
     let reports: Vec<&[OfferedLoad]> = sane.iter().map(|o| &o[..]).chain([&liar[..]]).collect();
     let (_, offers) = merged(&reports, &[1]);
@@ -39,11 +59,19 @@
 #[test]
 fn absurd_load_of_one_front_moves_little() {
     let sane: Vec<[OfferedLoad; 1]> = (0..9).map(|_| [of(1, 10, 10, 10)]).collect();
-    let liar = [OfferedLoad { requested: u32::MAX, completed: u32::MAX, on_time: 0, ..of(1, 0, 0, 0) }];
+    let liar = [OfferedLoad {
+        requested: u32::MAX,
+        completed: u32::MAX,
+        on_time: 0,
+        ..of(1, 0, 0, 0)
+    }];
     let mut reports: Vec<&[OfferedLoad]> = sane.iter().map(|o| &o[..]).collect();
     reports.push(&liar);
     let (missed, offers) = merged(&reports, &[1]);
-    assert_eq!((missed, offers[0].asked, offers[0].timely), (0.0, 130.0, 90.0));
+    assert_eq!(
+        (missed, offers[0].asked, offers[0].timely),
+        (0.0, 130.0, 90.0)
+    );
     // More in time than ended, and a workload that nobody knows.
     let odd = [of(9, 5, 5, 5), of(1, 1, 1, 7)];
     assert_eq!(merged(&[&odd], &[1]).1[0].timely, 1.0);
--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -80,11 +80,23 @@
 impl Ownership {
     /// An error says why the saved state can't be used.
     pub fn new(at: Moment, own: PeerId, config: OwnershipConfig) -> Result<Ownership, StateError> {
-        let OwnershipConfig { fleet, voters, terms, saved } = config;
+        let OwnershipConfig {
+            fleet,
+            voters,
+            terms,
+            saved,
+        } = config;
         let ids: Vec<PeerId> = voters.iter().map(|(id, _)| *id).collect();
         let fleet = fingerprint(&fleet, &ids);
         let voter = match ids.contains(&own) {
-            true => Some(Voter::new(at.steady, fleet, own, &ids, terms, saved.as_deref())?),
+            true => Some(Voter::new(
+                at.steady,
+                fleet,
+                own,
+                &ids,
+                terms,
+                saved.as_deref(),
+            )?),
             false => None,
         };
         Ok(Ownership {
@@ -109,7 +121,10 @@
     /// The lease that this front holds now, unless a later owner was seen.
     pub fn owned_lease(&self, steady: Micros) -> Option<OwnedLease> {
         let token = self.holder.token(steady)?;
-        let later = self.fence.highest(TASK).is_some_and(|highest| highest.token > token);
+        let later = self
+            .fence
+            .highest(TASK)
+            .is_some_and(|highest| highest.token > token);
         (!later).then_some(OwnedLease { token })
     }
 
@@ -120,16 +135,27 @@
 
     /// Takes in a message on the lease channel.
     pub fn receive(&mut self, at: Moment, from: PeerId, address: SocketAddr, bytes: &[u8]) {
-        let Some(envelope) = hallmux_lease::read(bytes) else { return self.refuse("form") };
+        let Some(envelope) = hallmux_lease::read(bytes) else {
+            return self.refuse("form");
+        };
         if envelope.fleet != self.fleet {
             return self.refuse("fleet");
         }
         self.addresses.insert(from, address);
         match (envelope.message, &mut self.voter) {
-            (LeaseMessage::Reply(reply), _) if self.voters.contains_key(&from) => self.holder.receive(&reply),
+            (LeaseMessage::Reply(reply), _) if self.voters.contains_key(&from) => {
+                self.holder.receive(&reply)
+            }
             (LeaseMessage::Reply(_), _) => self.refuse("no voter"),
             (message, Some(voter)) => {
-                let out = voter.receive(at.steady, from, Envelope { fleet: self.fleet, message });
+                let out = voter.receive(
+                    at.steady,
+                    from,
+                    Envelope {
+                        fleet: self.fleet,
+                        message,
+                    },
+                );
                 self.voter_outbox.push(out);
             }
             (_, None) => self.refuse("no voter here"),
@@ -144,7 +170,11 @@
         dispatcher: &mut Dispatcher,
         random: &mut impl RandomSource,
     ) {
-        let wait = if self.voter.is_some() { CHECK_EVERY / VOTER_TICKS } else { CHECK_EVERY };
+        let wait = if self.voter.is_some() {
+            CHECK_EVERY / VOTER_TICKS
+        } else {
+            CHECK_EVERY
+        };
         self.next_check = at.now + wait;
         if let Some(voter) = &mut self.voter {
             let out = voter.tick(at.steady);
@@ -155,12 +185,19 @@
         let share = REQUESTS_A_SECOND * wait as f64 / 1e6 / up.max(1) as f64;
         self.claims = at.steady - self.owner_seen > OWNER_SEEN && (self.claims || draw < share);
         let progress = self.progress(at, dispatcher);
-        if let Some((voter, request)) = self.holder.next_request(at.steady, self.claims, &progress) {
-            self.requests
-                .push((voter, Envelope { fleet: self.fleet, message: LeaseMessage::Request(request) }));
+        if let Some((voter, request)) = self.holder.next_request(at.steady, self.claims, &progress)
+        {
+            self.requests.push((
+                voter,
+                Envelope {
+                    fleet: self.fleet,
+                    message: LeaseMessage::Request(request),
+                },
+            ));
         }
         if let Some(progress) = self.holder.inherited() {
-            let recovered: Vec<RecoveredEngine> = postcard::from_bytes(&progress).unwrap_or_default();
+            let recovered: Vec<RecoveredEngine> =
+                postcard::from_bytes(&progress).unwrap_or_default();
             let token = self.holder.token(at.steady).unwrap_or_default();
             self.announce(at, token, &recovered, 0, dispatcher);
         }
@@ -168,11 +205,15 @@
 
     /// Engines that answer again, and for how long.
     fn recovered(&self, at: Moment, dispatcher: &Dispatcher) -> Vec<RecoveredEngine> {
-        let since_ms = |since: Micros| ((at.now - since).max(0) / 1000).min(Micros::from(u32::MAX)) as u32;
+        let since_ms =
+            |since: Micros| ((at.now - since).max(0) / 1000).min(Micros::from(u32::MAX)) as u32;
         let back = dispatcher.recovered(at.now).into_iter();
-        back.map(|(id, since)| RecoveredEngine { engine: engine_hash(id), since_ms: since_ms(since) })
-            .take(MAX_RECOVERED)
-            .collect()
+        back.map(|(id, since)| RecoveredEngine {
+            engine: engine_hash(id),
+            since_ms: since_ms(since),
+        })
+        .take(MAX_RECOVERED)
+        .collect()
     }
 
     fn progress(&self, at: Moment, dispatcher: &Dispatcher) -> Vec<u8> {
@@ -181,18 +222,27 @@
 
     /// What this front reports of the fleet's work.
     pub fn report(&self, at: Moment, dispatcher: &Dispatcher) -> OwnershipReport {
-        let lease = self.voter.as_ref().and_then(|voter| voter.leases().of(TASK));
-        let act = self
-            .owned_lease(at.steady)
-            .map(|owned| OwnerAct { token: owned.token, recovered: self.recovered(at, dispatcher) });
-        let lease = lease.map(|lease| ReportedLease { token: lease.token, owner: lease.owner });
+        let lease = self
+            .voter
+            .as_ref()
+            .and_then(|voter| voter.leases().of(TASK));
+        let act = self.owned_lease(at.steady).map(|owned| OwnerAct {
+            token: owned.token,
+            recovered: self.recovered(at, dispatcher),
+        });
+        let lease = lease.map(|lease| ReportedLease {
+            token: lease.token,
+            owner: lease.owner,
+        });
         OwnershipReport { lease, act }
     }
 
     /// Takes in what other fronts report: the owner that a majority of voters names, and what that owner has
     /// done.
     pub fn admit(&mut self, at: Moment, node: &Node, dispatcher: &mut Dispatcher) {
-        let voters = node.ownership_reports(at.now).filter(|peer| self.voters.contains_key(&peer.reporter));
+        let voters = node
+            .ownership_reports(at.now)
+            .filter(|peer| self.voters.contains_key(&peer.reporter));
         let leases: BTreeMap<PeerId, TokenOwner> = voters
             .filter_map(|peer| {
                 let ReportedLease { token, owner } = peer.ownership.lease?;
@@ -207,7 +257,13 @@
             .filter_map(|peer| Some((peer.reporter, peer.ownership.act.clone()?, peer.age)))
             .collect();
         for (reporter, act, age) in acts {
-            match self.fence.admit(TASK, TokenOwner { token: act.token, owner: reporter }) {
+            match self.fence.admit(
+                TASK,
+                TokenOwner {
+                    token: act.token,
+                    owner: reporter,
+                },
+            ) {
                 Ok(()) => {
                     self.owner_seen = self.owner_seen.max(at.steady - age);
                     if reporter != self.own {
@@ -230,34 +286,50 @@
         age: Micros,
         dispatcher: &mut Dispatcher,
     ) {
-        let known: Vec<u64> =
-            dispatcher.recovered(at.now).into_iter().map(|(id, _)| engine_hash(id)).collect();
+        let known: Vec<u64> = dispatcher
+            .recovered(at.now)
+            .into_iter()
+            .map(|(id, _)| engine_hash(id))
+            .collect();
         for RecoveredEngine { engine, since_ms } in recovered.iter().take(MAX_RECOVERED) {
             if !known.contains(engine) && self.announced.insert(*engine, token) != Some(token) {
                 let since = at.now - age - Micros::from(*since_ms) * 1000;
                 dispatcher.set_recovered_since(|id| engine_hash(id) == *engine, since);
             }
         }
-        self.announced
-            .retain(|engine, _| known.contains(engine) || recovered.iter().any(|r| r.engine == *engine));
+        self.announced.retain(|engine, _| {
+            known.contains(engine) || recovered.iter().any(|r| r.engine == *engine)
+        });
     }
 
     /// Puts what there is to send into datagrams: a voter's behind what it has to save.
     pub fn send(&mut self, at: Moment, node: &mut Node, out: &mut Output) {
         let seal = |node: &mut Node, to, envelope: &Envelope| {
-            node.channel_datagram(at.now, at.wall_ms, to, Channel::Lease, &hallmux_lease::bytes(envelope))
+            node.channel_datagram(
+                at.now,
+                at.wall_ms,
+                to,
+                Channel::Lease,
+                &hallmux_lease::bytes(envelope),
+            )
         };
         let mut requests = std::mem::take(&mut self.requests);
         // What this front asks itself as a voter stays here.
-        let own: Vec<Envelope> =
-            requests.extract_if(.., |(to, _)| *to == self.own).map(|(_, envelope)| envelope).collect();
+        let own: Vec<Envelope> = requests
+            .extract_if(.., |(to, _)| *to == self.own)
+            .map(|(_, envelope)| envelope)
+            .collect();
         for envelope in own {
-            let answer = self.voter.as_mut().map(|voter| voter.receive(at.steady, self.own, envelope));
+            let answer = self
+                .voter
+                .as_mut()
+                .map(|voter| voter.receive(at.steady, self.own, envelope));
             self.voter_outbox.extend(answer);
         }
         for (to, envelope) in requests {
             let to = self.voters.get(&to).copied();
-            out.datagrams.extend(to.and_then(|to| seal(node, to, &envelope)));
+            out.datagrams
+                .extend(to.and_then(|to| seal(node, to, &envelope)));
         }
         for voted in std::mem::take(&mut self.voter_outbox) {
             let mut datagrams = Vec::new();
@@ -271,7 +343,10 @@
                 }
             }
             if voted.save.is_some() || !datagrams.is_empty() {
-                out.voter_saves.push(VoterSave { bytes: voted.save, datagrams });
+                out.voter_saves.push(VoterSave {
+                    bytes: voted.save,
+                    datagrams,
+                });
             }
         }
     }
--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -97,7 +97,11 @@
 impl Clients {
     pub fn new(retry_after: Option<Micros>, longest_timeout: Micros) -> Self {
         let retry_after_ms = retry_after.map(|time| time / 1000);
-        Clients { retry_after_ms, longest_timeout, ..Clients::default() }
+        Clients {
+            retry_after_ms,
+            longest_timeout,
+            ..Clients::default()
+        }
     }
 
     pub fn next_id(&mut self) -> ClientId {
@@ -133,7 +137,9 @@
         if let Some(more) = self.lingering.read(id) {
             return more;
         }
-        let Some(client) = self.clients.get_mut(&id) else { return false };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return false;
+        };
         self.changed.insert(id);
         client.last_active = now;
         if client.link.unsent() > MOST_UNSENT {
@@ -157,15 +163,21 @@
                 Err(what) => break Some(what),
                 Ok(Some(Decoded { len, message })) => {
                     at += len;
-                    let Message { sequence_number: number, request } = message;
-                    let mut answer = |reply: Reply| statement::write(client.link.output(), number, &reply);
+                    let Message {
+                        sequence_number: number,
+                        request,
+                    } = message;
+                    let mut answer =
+                        |reply: Reply| statement::write(client.link.output(), number, &reply);
                     match request {
                         Request::HealthCheck => answer(Reply::Health(well)),
                         Request::UnknownMethod(name) => {
                             answer(Reply::UnknownMethod(&name));
                             client.unusable_statements += 1;
                         }
-                        Request::Cancel(number) => events.push(Event::Cancelled { client: id, number }),
+                        Request::Cancel(number) => {
+                            events.push(Event::Cancelled { client: id, number })
+                        }
                         Request::Execute(call) => {
                             events.push(Event::Statement {
                                 client: id,
@@ -200,7 +212,9 @@
     /// Guards against one that sends what can't be used without end: after some such statements its connection is closed.
     fn close_if_faulty(&mut self, id: ClientId) {
         let faulty = |c: &&mut Client| c.unusable_statements >= MOST_UNUSABLE && !c.refused;
-        let Some(client) = self.clients.get_mut(&id).filter(faulty) else { return };
+        let Some(client) = self.clients.get_mut(&id).filter(faulty) else {
+            return;
+        };
         log::info!(
             "client {id}: {} statements that can't be used; its connection is closed",
             client.unusable_statements
@@ -250,8 +264,16 @@
     /// Whether a statement can be taken from a connection; if not, it has its answer or its end. Guards
     /// against answers that could be to either of two statements, and executions that engines could not tell
     /// apart: one that is open goes on, and another under its number or id is none.
-    pub fn admits(&mut self, id: ClientId, number: i32, call: &Call, events: &mut Vec<Event>) -> bool {
-        let Some(client) = self.clients.get(&id) else { return false };
+    pub fn admits(
+        &mut self,
+        id: ClientId,
+        number: i32,
+        call: &Call,
+        events: &mut Vec<Event>,
+    ) -> bool {
+        let Some(client) = self.clients.get(&id) else {
+            return false;
+        };
         if client.unusable_statements >= MOST_UNUSABLE {
             self.reject(id, number);
         } else if client.open.contains_key(&number) {
@@ -260,7 +282,9 @@
             self.answer_unusable(id, number, statement::ID);
         } else if client.open.len() >= MOST_OPEN {
             // Guards against floods: of what came at once nothing has left for an engine yet, nor will it.
-            log::info!("client {id}: more statements at once than agreed; its connection is closed");
+            log::info!(
+                "client {id}: more statements at once than agreed; its connection is closed"
+            );
             self.disconnect(id, events);
         } else {
             return true;
@@ -270,7 +294,13 @@
 
     /// Rejects a statement that was not taken, for want of capacity.
     pub fn reject(&mut self, id: ClientId, number: i32) {
-        self.reply(id, number, &Reply::Rejected { retry_after_ms: self.retry_after_ms });
+        self.reply(
+            id,
+            number,
+            &Reply::Rejected {
+                retry_after_ms: self.retry_after_ms,
+            },
+        );
     }
 
     /// The client no longer waits for a statement.
@@ -295,7 +325,10 @@
     /// Bytes of the answers that clients have not taken yet, and the client that has left most.
     pub fn unsent(&self) -> (usize, Option<ClientId>) {
         let unsent = |id: &ClientId| self.clients.get(id).map_or(0, |c| c.link.unsent());
-        (self.with_unsent.iter().map(unsent).sum(), self.with_unsent.iter().copied().max_by_key(unsent))
+        (
+            self.with_unsent.iter().map(unsent).sum(),
+            self.with_unsent.iter().copied().max_by_key(unsent),
+        )
     }
 
     /// A statement is taken under a ticket.
@@ -304,7 +337,14 @@
             c.open.insert(number, ticket);
             self.held_bytes += call.size();
             self.ids.insert(call.id.clone());
-            self.open.insert(ticket, Open { client, number, call: Rc::new(call) });
+            self.open.insert(
+                ticket,
+                Open {
+                    client,
+                    number,
+                    call: Rc::new(call),
+                },
+            );
         }
     }
 
@@ -322,7 +362,9 @@
 
     /// Says that a statement that was taken can't be used after all.
     pub fn answer_taken_unusable(&mut self, ticket: Ticket, field: &str) {
-        let Some(open) = self.remove_open(ticket) else { return };
+        let Some(open) = self.remove_open(ticket) else {
+            return;
+        };
         if let Some(client) = self.clients.get_mut(&open.client) {
             client.open.remove(&open.number);
         }
@@ -331,7 +373,9 @@
 
     /// Gives a statement its final answer.
     pub fn answer(&mut self, now: Micros, ticket: Ticket, reply: &Reply) {
-        let Some(open) = self.remove_open(ticket) else { return };
+        let Some(open) = self.remove_open(ticket) else {
+            return;
+        };
         if let Some(client) = self.clients.get_mut(&open.client) {
             client.open.remove(&open.number);
             client.last_active = now;
@@ -342,12 +386,18 @@
     /// Sends what is to leave.
     pub fn flush(&mut self, now: Micros, events: &mut Vec<Event>) {
         for id in std::mem::take(&mut self.changed) {
-            let Some(client) = self.clients.get_mut(&id) else { continue };
+            let Some(client) = self.clients.get_mut(&id) else {
+                continue;
+            };
             let before = client.link.unsent();
             match client.link.flush() {
                 Err(_) => self.disconnect(id, events),
                 Ok(()) if client.link.unsent() > 0 => {
-                    client.last_active = if client.link.unsent() < before { now } else { client.last_active };
+                    client.last_active = if client.link.unsent() < before {
+                        now
+                    } else {
+                        client.last_active
+                    };
                     self.with_unsent.insert(id);
                 }
                 Ok(()) => {
@@ -362,9 +412,14 @@
 
     /// Connections that are to be read again: they have taken their answers, or a last look found something.
     pub fn readable_again(&mut self) -> Vec<ClientId> {
-        let with_unsent = |id: &ClientId| self.clients.get(id).is_some_and(|c| c.link.unsent() > MOST_UNSENT);
-        let (paused, mut ready): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.paused).into_iter().partition(with_unsent);
+        let with_unsent = |id: &ClientId| {
+            self.clients
+                .get(id)
+                .is_some_and(|c| c.link.unsent() > MOST_UNSENT)
+        };
+        let (paused, mut ready): (Vec<_>, Vec<_>) = std::mem::take(&mut self.paused)
+            .into_iter()
+            .partition(with_unsent);
         self.paused.extend(paused);
         ready.extend(std::mem::take(&mut self.found_unread));
         ready.extend(self.lingering.take_unread());
--- a/crates/front/src/clients/idle.rs
+++ b/crates/front/src/clients/idle.rs
@@ -35,11 +35,17 @@
         // Guards against those that have gone without closing: nobody waits for an answer any more.
         let abandoned = |(id, c): (&ClientId, &Client)| {
             let takes_none = c.open.is_empty() && c.link.unsent() > 0;
-            let patience = if c.refused { MESSAGE_TIMEOUT } else { self.longest_timeout.max(IDLE_TIMEOUT) };
+            let patience = if c.refused {
+                MESSAGE_TIMEOUT
+            } else {
+                self.longest_timeout.max(IDLE_TIMEOUT)
+            };
             (takes_none && c.last_active + patience <= now).then_some(*id)
         };
         let abandoned: Vec<ClientId> = self.clients.iter().filter_map(abandoned).collect();
-        abandoned.into_iter().for_each(|id| self.disconnect(id, events));
+        abandoned
+            .into_iter()
+            .for_each(|id| self.disconnect(id, events));
     }
 
     /// Closes an idle connection to make way for a new one: the one that has been silent longest goes, before all one that is being closed or
@@ -48,11 +54,19 @@
         if self.lingering.drop_oldest() {
             return true;
         }
-        let silent =
-            self.clients.iter().filter(|(_, c)| c.open.is_empty() && (!c.has_sent_message || c.is_idle()));
-        let mut silent: Vec<_> = silent.map(|(id, c)| (c.has_sent_message, c.last_active, *id)).collect();
+        let silent = self
+            .clients
+            .iter()
+            .filter(|(_, c)| c.open.is_empty() && (!c.has_sent_message || c.is_idle()));
+        let mut silent: Vec<_> = silent
+            .map(|(id, c)| (c.has_sent_message, c.last_active, *id))
+            .collect();
         silent.sort_unstable();
-        let Some(id) = silent.into_iter().map(|(.., id)| id).find(|id| self.has_nothing_unread(*id)) else {
+        let Some(id) = silent
+            .into_iter()
+            .map(|(.., id)| id)
+            .find(|id| self.has_nothing_unread(*id))
+        else {
             return false;
         };
         self.disconnect(id, &mut Vec::new());
@@ -61,8 +75,12 @@
 
     /// Closes the connections that have nothing open and nothing on the way.
     pub fn close_idle(&mut self, now: Micros) {
-        let idle: Vec<ClientId> =
-            self.clients.iter().filter(|(_, c)| c.is_idle()).map(|(id, _)| *id).collect();
+        let idle: Vec<ClientId> = self
+            .clients
+            .iter()
+            .filter(|(_, c)| c.is_idle())
+            .map(|(id, _)| *id)
+            .collect();
         for id in idle {
             if self.has_nothing_unread(id) {
                 self.close(now, id, &mut Vec::new());
@@ -73,7 +91,9 @@
     /// Whether a connection that is to be closed as idle brings nothing just now. Guards against a request that came
     /// since it was last read: it is served then, and its connection stays.
     fn has_nothing_unread(&mut self, id: ClientId) -> bool {
-        let Some(client) = self.clients.get_mut(&id) else { return true };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return true;
+        };
         let before = client.link.input.len();
         let (more, _) = client.link.read_some(READ_SIZE);
         let nothing = !more && client.link.input.len() == before;
--- a/crates/front/src/clients_tests.rs
+++ b/crates/front/src/clients_tests.rs
@@ -26,7 +26,12 @@
     text(&mut message, "serve");
     message.extend(number.to_be_bytes());
     let id = format!("{number:0>16}");
-    let fields = [("txn", id.as_str()), ("verb", "lookup"), ("limit", "15000"), ("team", "acme")];
+    let fields = [
+        ("txn", id.as_str()),
+        ("verb", "lookup"),
+        ("limit", "15000"),
+        ("team", "acme"),
+    ];
     message.extend([13, 0, 1, 11, 11, 0, 0, 0, fields.len() as u8]);
     for (name, value) in fields {
         text(&mut message, name);
@@ -44,7 +49,9 @@
 fn a_statement_that_several_reads_take_has_waited_since_the_first() {
     let events: EventLoop<'static, LoopEvents> = EventLoop::try_new().unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    SockRef::from(&listener).set_recv_buffer_size(BUFFER).unwrap();
+    SockRef::from(&listener)
+        .set_recv_buffer_size(BUFFER)
+        .unwrap();
     let mut peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (stream, _) = listener.accept().unwrap();
     let frames = [frame(1, &"x".repeat(SHORT)), frame(2, &"x".repeat(LONG))].concat();
@@ -52,16 +59,24 @@
     // All of it lies there before the first read.
     let (begun, mut there) = (Instant::now(), vec![0; frames.len()]);
     while stream.peek(&mut there).unwrap() < frames.len() {
-        assert!(begun.elapsed() < PATIENCE, "a receive buffer that holds {} bytes", frames.len());
+        assert!(
+            begun.elapsed() < PATIENCE,
+            "a receive buffer that holds {} bytes",
+            frames.len()
+        );
     }
     let mut clients = Clients::new(None, SECOND);
-    clients.accept(0, 1, Link::new(stream, &events.handle(), SocketKind::Client.id(1)).unwrap(), 0);
+    clients.accept(
+        0,
+        1,
+        Link::new(stream, &events.handle(), SocketKind::Client.id(1)).unwrap(),
+        0,
+    );
     let (mut now, mut reported) = (SECOND, Vec::new());
     while clients.read(now, 1, true, &mut reported) && reported.len() < 2 {
         now += SECOND;
     }
-    let has_waited =
-        |event: &Event| matches!(event, Event::Statement { unread_for, .. } if *unread_for == now - SECOND);
+    let has_waited = |event: &Event| matches!(event, Event::Statement { unread_for, .. } if *unread_for == now - SECOND);
     assert_eq!(now, 3 * SECOND, "reads that it takes");
     assert!(reported.len() == 2 && has_waited(&reported[1]));
 }
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -40,7 +40,11 @@
     /// `test_clock` names the file of a test's clock, in place of the machine's.
     pub fn new(offset: Micros, test_clock: Option<&Path>) -> std::io::Result<Clock> {
         let test_clock = test_clock.map(TestClock::open).transpose()?;
-        Ok(Clock { offset, test_clock, ..Clock::default() })
+        Ok(Clock {
+            offset,
+            test_clock,
+            ..Clock::default()
+        })
     }
 
     /// Reads the time.
@@ -81,7 +85,11 @@
             log::warn!("a turn took {} ms", (self.now - self.woke_at) / 1000);
         }
         // After a late iteration it reads its sockets again at once: what it finds then had waited as well.
-        let until = if self.late { self.now } else { until.max(self.now) };
+        let until = if self.late {
+            self.now
+        } else {
+            until.max(self.now)
+        };
         (self.slept_at, self.sleep_until, self.waiting_since) = (self.now, until, None);
         match &mut self.test_clock {
             Some(test_clock) => test_clock.sleep(until.saturating_sub(self.offset)),
@@ -92,7 +100,11 @@
     /// All that was found in this iteration is decided on. Guards against a front that is stopped at work: what
     /// came after it had read its sockets is not found yet, and had come by no later time than that.
     pub fn decide(&mut self) {
-        self.decided = Some(if self.late { self.slept_at } else { self.woke_at });
+        self.decided = Some(if self.late {
+            self.slept_at
+        } else {
+            self.woke_at
+        });
     }
 
     /// An iteration begins; the first call in it counts.
--- a/crates/front/src/clock_tests.rs
+++ b/crates/front/src/clock_tests.rs
@@ -24,8 +24,14 @@
 
 #[test]
 fn what_is_found_late_may_have_waited_since_the_last_decision() {
-    assert_eq!(waited(1_000_000, 1_001_000, 1_026_000, 4_000_000), 3_000_000);
-    assert_eq!(waited(1_000_000, 3_000_000, 3_025_000, 3_000_500), 2_000_500);
+    assert_eq!(
+        waited(1_000_000, 1_001_000, 1_026_000, 4_000_000),
+        3_000_000
+    );
+    assert_eq!(
+        waited(1_000_000, 3_000_000, 3_025_000, 3_000_500),
+        2_000_500
+    );
 }
 
 #[test]
--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -27,7 +27,11 @@
 }
 
 impl Coordinator {
-    pub fn new(handle: LoopHandle<'static, LoopEvents>, at: Option<SocketAddr>, last_index: u64) -> Self {
+    pub fn new(
+        handle: LoopHandle<'static, LoopEvents>,
+        at: Option<SocketAddr>,
+        last_index: u64,
+    ) -> Self {
         Coordinator {
             handle,
             at,
@@ -58,7 +62,9 @@
 
     /// Tries again, or drops a connection that has been silent.
     pub fn expire(&mut self, now: Micros) {
-        let Some(at) = self.at.filter(|_| self.due <= now) else { return };
+        let Some(at) = self.at.filter(|_| self.due <= now) else {
+            return;
+        };
         if self.link.is_some() {
             return self.failed(now, "silent");
         }
@@ -74,7 +80,11 @@
 
     fn failed(&mut self, now: Micros, why: &str) {
         // One that breaks off or stops is asked again at once, from then on every now and then.
-        let again = if std::mem::replace(&mut self.failing, true) { now + RETRY_INTERVAL } else { now };
+        let again = if std::mem::replace(&mut self.failing, true) {
+            now + RETRY_INTERVAL
+        } else {
+            now
+        };
         if again == now {
             log::warn!("coordinator: {why}; the engine list stands still until it answers");
         }
@@ -109,7 +119,10 @@
                 break broken;
             }
         };
-        let Decoded { len, message: answer } = match codec::read(&link.input, broken.is_some()) {
+        let Decoded {
+            len,
+            message: answer,
+        } = match codec::read(&link.input, broken.is_some()) {
             Ok(Some(answer)) => answer,
             Ok(None) if broken.is_some() => {
                 self.failed(now, "connection over");
@@ -140,8 +153,8 @@
                 }
                 self.last_index = self.last_index.max(stream.index);
                 // Guards against one that answers at once with nothing: it is not asked without end.
-                let idle =
-                    stream.updates.is_empty() && self.asked_at.is_some_and(|at| now < at + RETRY_INTERVAL);
+                let idle = stream.updates.is_empty()
+                    && self.asked_at.is_some_and(|at| now < at + RETRY_INTERVAL);
                 if idle {
                     (self.link, self.due) = (None, now + RETRY_INTERVAL);
                 } else if answer.keep_alive && broken.is_none() {
--- a/crates/front/src/engine_starts.rs
+++ b/crates/front/src/engine_starts.rs
@@ -57,7 +57,11 @@
 /// counts that is not to come yet.
 fn front_time(unix: Micros, moment: ListMoment) -> Micros {
     let readings = [unix, unix - moment.wall_lead];
-    readings.into_iter().filter(|at| *at <= moment.now).max().unwrap_or(moment.now)
+    readings
+        .into_iter()
+        .filter(|at| *at <= moment.now)
+        .max()
+        .unwrap_or(moment.now)
 }
 
 #[cfg(test)]
--- a/crates/front/src/engine_starts_tests.rs
+++ b/crates/front/src/engine_starts_tests.rs
@@ -7,13 +7,18 @@
 const NOW: i64 = 1_800_000_000 * SECOND;
 
 fn moment(wall_lead: i64) -> ListMoment {
-    ListMoment { now: NOW, wall_lead }
+    ListMoment {
+        now: NOW,
+        wall_lead,
+    }
 }
 
 /// The age of an engine whose start is told as that of so long ago by the front's clock.
 fn age(told: i64, moment: ListMoment) -> i64 {
     let told_ms = ((NOW - told) / 1000) as f64;
-    NOW - EngineStarts::default().listed("a", told_ms, moment).unwrap()
+    NOW - EngineStarts::default()
+        .listed("a", told_ms, moment)
+        .unwrap()
 }
 
 #[test]
@@ -27,7 +32,11 @@
 fn a_start_has_its_age_once_a_wall_clock_that_was_wrong_at_the_fronts_start_is_set_right() {
     // The front's time stays as far off as the wall clock was; the step back to what is right tells how far.
     for wrong in [HOUR, -HOUR, 20 * SECOND, -20 * SECOND] {
-        assert_eq!(age(3 * SECOND + wrong, moment(-wrong)), 3 * SECOND, "{wrong}");
+        assert_eq!(
+            age(3 * SECOND + wrong, moment(-wrong)),
+            3 * SECOND,
+            "{wrong}"
+        );
     }
 }
 
@@ -50,7 +59,9 @@
 #[test]
 fn starts_of_engines_that_are_gone_are_forgotten() {
     let mut starts = EngineStarts::default();
-    ["a", "b", "c"].iter().for_each(|id| _ = starts.listed(id, 1.0, moment(0)));
+    ["a", "b", "c"]
+        .iter()
+        .for_each(|id| _ = starts.listed(id, 1.0, moment(0)));
     starts.whole_list(|id| id != "a");
     starts.gone("b");
     assert_eq!(starts.starts.keys().collect::<Vec<_>>(), ["c"]);
--- a/crates/front/src/engines/cancels.rs
+++ b/crates/front/src/engines/cancels.rs
@@ -14,7 +14,11 @@
 enum CancelState {
     /// A command on a connection, which ends there in the output and has not left whole; from `close_by` on
     /// its connection is closed, once a flush has found that the network does not take it.
-    Unsent { link: LinkId, end: usize, close_by: Option<Micros> },
+    Unsent {
+        link: LinkId,
+        end: usize,
+        close_by: Option<Micros>,
+    },
     /// The connection was closed: this goes out with the next flush.
     Closed,
     /// It has left: its engine has surely read it by then.
@@ -32,7 +36,10 @@
         ending: Ending,
         command: Option<(LinkId, usize)>,
     ) {
-        if !matches!(ending, Ending::GivenUp | Ending::Unreadable | Ending::ClosedHere) {
+        if !matches!(
+            ending,
+            Ending::GivenUp | Ending::Unreadable | Ending::ClosedHere
+        ) {
             return self.report_end(sent, ending);
         }
         self.executions.remove(&sent);
@@ -41,14 +48,19 @@
             end,
             close_by: None,
         });
-        self.awaiting_cancel.push(AwaitingCancel { sent, ending, state });
+        self.awaiting_cancel.push(AwaitingCancel {
+            sent,
+            ending,
+            state,
+        });
     }
 
     /// An execution that is cancelled is to end at once if its client's time is up, read or not. Guards
     /// against a final answer that waits for an engine that reads nothing.
     pub(super) fn end_awaited(&mut self, sent: ExecutionId, ending: Ending) {
         let before = self.awaiting_cancel.len();
-        self.awaiting_cancel.retain(|awaited| ending != Ending::TimeUp || awaited.sent != sent);
+        self.awaiting_cancel
+            .retain(|awaited| ending != Ending::TimeUp || awaited.sent != sent);
         if self.awaiting_cancel.len() < before {
             self.report_end(sent, ending);
         }
@@ -61,15 +73,25 @@
         let timeout = self.allowance.dial_timeout;
         for awaited in &mut self.awaiting_cancel {
             awaited.state = match awaited.state {
-                CancelState::Unsent { link, end, close_by }
-                    if self.links.get(&link).is_some_and(|l| !l.link.has_sent_up_to(end)) =>
+                CancelState::Unsent {
+                    link,
+                    end,
+                    close_by,
+                } if self
+                    .links
+                    .get(&link)
+                    .is_some_and(|l| !l.link.has_sent_up_to(end)) =>
                 {
                     let close_by = close_by.or(Some(now.saturating_add(timeout)));
-                    CancelState::Unsent { link, end, close_by }
-                }
-                CancelState::Unsent { .. } | CancelState::Closed => {
-                    CancelState::Left { read_by: now + CANCEL_LAG }
+                    CancelState::Unsent {
+                        link,
+                        end,
+                        close_by,
+                    }
                 }
+                CancelState::Unsent { .. } | CancelState::Closed => CancelState::Left {
+                    read_by: now + CANCEL_LAG,
+                },
                 left @ CancelState::Left { .. } => left,
             };
         }
@@ -82,7 +104,11 @@
             CancelState::Left { read_by } => Some(read_by),
             CancelState::Closed => None,
         };
-        self.awaiting_cancel.iter().filter_map(due).min().unwrap_or(Micros::MAX)
+        self.awaiting_cancel
+            .iter()
+            .filter_map(due)
+            .min()
+            .unwrap_or(Micros::MAX)
     }
 
     /// Reports the ends that their engines have surely read by now.
@@ -92,19 +118,30 @@
             _ => false,
         };
         let read: Vec<AwaitingCancel> = self.awaiting_cancel.extract_if(.., is_read).collect();
-        read.into_iter().for_each(|awaited| self.report_end(awaited.sent, awaited.ending));
+        read.into_iter()
+            .for_each(|awaited| self.report_end(awaited.sent, awaited.ending));
     }
 
     /// Whether a connection has not taken a command that ends an execution for as long as one has to come up.
     /// Closing it gives up what is open on it, which is all that is left to tell its engine.
     pub(super) fn is_cancel_overdue(&self, now: Micros, id: LinkId) -> bool {
-        let Some(link) = self.links.get(&id) else { return false };
-        self.awaiting_cancel.iter().any(|awaited| match awaited.state {
-            CancelState::Unsent { link: on, end, close_by } => {
-                on == id && close_by.is_some_and(|by| by <= now) && !link.link.has_sent_up_to(end)
-            }
-            _ => false,
-        })
+        let Some(link) = self.links.get(&id) else {
+            return false;
+        };
+        self.awaiting_cancel
+            .iter()
+            .any(|awaited| match awaited.state {
+                CancelState::Unsent {
+                    link: on,
+                    end,
+                    close_by,
+                } => {
+                    on == id
+                        && close_by.is_some_and(|by| by <= now)
+                        && !link.link.has_sent_up_to(end)
+                }
+                _ => false,
+            })
     }
 
     /// A connection is over: what was cancelled on it, but not told, ends as what was still out there.
--- a/crates/front/src/engines/capacity.rs
+++ b/crates/front/src/engines/capacity.rs
@@ -5,11 +5,17 @@
 impl Engines {
     /// Executions that the connections to an engine take, and one more connection where it may be made now.
     pub fn capacity(&self, now: Micros, place: Place) -> usize {
-        let Some(engine) = self.engines.get(&place).filter(|e| e.available) else { return 0 };
+        let Some(engine) = self.engines.get(&place).filter(|e| e.available) else {
+            return 0;
+        };
         let each = self.allowance.executions_per_connection;
         let links = engine.links.iter().filter_map(|id| self.links.get(id));
         let takes = links.filter(|l| l.takes_executions()).map(|l| {
-            let runs_on = if self.allowance.cancel { 0 } else { l.cancelled.len() };
+            let runs_on = if self.allowance.cancel {
+                0
+            } else {
+                l.cancelled.len()
+            };
             each.saturating_sub(l.open.len() + l.probes.len() + runs_on)
         });
         let dials = self.may_dial(engine) && self.dials.borrow().next(now, place) <= now;
--- a/crates/front/src/engines/capacity_tests.rs
+++ b/crates/front/src/engines/capacity_tests.rs
@@ -7,10 +7,14 @@
 
 #[test]
 fn connections_are_made_at_their_pace_and_those_that_are_there_are_used_at_any_time() {
-    let event_loop: calloop::EventLoop<'static, LoopEvents> = calloop::EventLoop::try_new().unwrap();
+    let event_loop: calloop::EventLoop<'static, LoopEvents> =
+        calloop::EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let allowance =
-        NetworkSettings { cancel: true, executions_per_connection: 2, ..NetworkSettings::default() };
+    let allowance = NetworkSettings {
+        cancel: true,
+        executions_per_connection: 2,
+        ..NetworkSettings::default()
+    };
     let mut engines = Engines::new(event_loop.handle(), allowance, &Names::default());
     engines.limit(256);
     let mut dials = ConnectionPacer::new(true, 0, 0);
@@ -18,30 +22,52 @@
     engines.dials.replace(dials);
     engines.list(0, "a", listener.local_addr().unwrap(), 0.0, true);
     let send = |engines: &mut Engines, now: Micros, ticket: Ticket| {
-        let call = Rc::new(Call { id: ticket.to_string(), workload: "lookup".into(), ..Call::default() });
+        let call = Rc::new(Call {
+            id: ticket.to_string(),
+            workload: "lookup".into(),
+            ..Call::default()
+        });
         engines.send(
             now,
             ExecutionId::new(ticket, 0),
             0,
             call,
-            Terms { ends: 1 << 40, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 },
+            Terms {
+                ends: 1 << 40,
+                leave_by: Micros::MAX,
+                grant_mb: 0.0,
+                priority: 1,
+            },
         );
     };
     // The first connection may be made a second after the start.
     assert_eq!(engines.capacity(SECOND - 1, 0), 0);
     send(&mut engines, SECOND - 1, 1);
-    let withdrawn =
-        |event: Option<Event>| matches!(event, Some(Event::Ended { ending: Ending::Withdrawn, .. }));
+    let withdrawn = |event: Option<Event>| {
+        matches!(
+            event,
+            Some(Event::Ended {
+                ending: Ending::Withdrawn,
+                ..
+            })
+        )
+    };
     assert!(withdrawn(engines.events.pop()) && engines.links.is_empty());
     assert_eq!(engines.capacity(SECOND, 0), 2);
     send(&mut engines, SECOND, 2);
     assert_eq!((engines.capacity(SECOND, 0), engines.links.len()), (1, 1));
     // The connection takes another at once; a probe does not wait until a connection may be made: it is not sent then.
     send(&mut engines, SECOND + 1, 3);
-    assert_eq!((engines.capacity(SECOND + 1, 0), engines.links.len()), (0, 1));
+    assert_eq!(
+        (engines.capacity(SECOND + 1, 0), engines.links.len()),
+        (0, 1)
+    );
     engines.probe(SECOND + 1, 0);
     assert!(engines.events.is_empty() && engines.links.len() == 1);
     send(&mut engines, 2 * SECOND, 4);
-    assert_eq!((engines.capacity(2 * SECOND, 0), engines.links.len()), (1, 2));
+    assert_eq!(
+        (engines.capacity(2 * SECOND, 0), engines.links.len()),
+        (1, 2)
+    );
     assert_eq!(engines.executions.len(), 3);
 }
--- a/crates/front/src/engines/engines_tests.rs
+++ b/crates/front/src/engines/engines_tests.rs
@@ -13,19 +13,32 @@
 
 #[test]
 fn what_is_given_up_ends_once_its_engine_has_read_so() {
-    let event_loop: calloop::EventLoop<'static, LoopEvents> = calloop::EventLoop::try_new().unwrap();
+    let event_loop: calloop::EventLoop<'static, LoopEvents> =
+        calloop::EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let allowance =
-        NetworkSettings { cancel: true, executions_per_connection: 32, ..NetworkSettings::default() };
+    let allowance = NetworkSettings {
+        cancel: true,
+        executions_per_connection: 32,
+        ..NetworkSettings::default()
+    };
     let mut engines = Engines::new(event_loop.handle(), allowance, &Names::default());
     engines.list(0, "a", listener.local_addr().unwrap(), 0.0, true);
-    let call = Rc::new(Call { id: "1".into(), workload: "lookup".into(), ..Call::default() });
+    let call = Rc::new(Call {
+        id: "1".into(),
+        workload: "lookup".into(),
+        ..Call::default()
+    });
     engines.send(
         0,
         ExecutionId::new(1, 0),
         0,
         call,
-        Terms { ends: 1_000_000, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 },
+        Terms {
+            ends: 1_000_000,
+            leave_by: Micros::MAX,
+            grant_mb: 0.0,
+            priority: 1,
+        },
     );
     let mut peer = BufReader::new(listener.accept().unwrap().0);
     while engines.executions[&ExecutionId::new(1, 0)].stage != Stage::Out {
@@ -43,20 +56,36 @@
     engines.expire(CANCEL_LAG - 1);
     assert!(engines.events.is_empty() && engines.due() == CANCEL_LAG);
     // A time that is up is: its client is owed the answer now.
-    let call = Rc::new(Call { id: "2".into(), workload: "lookup".into(), ..Call::default() });
+    let call = Rc::new(Call {
+        id: "2".into(),
+        workload: "lookup".into(),
+        ..Call::default()
+    });
     engines.send(
         0,
         ExecutionId::new(2, 0),
         0,
         call,
-        Terms { ends: 1_000_000, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 },
+        Terms {
+            ends: 1_000_000,
+            leave_by: Micros::MAX,
+            grant_mb: 0.0,
+            priority: 1,
+        },
     );
     engines.flush(0);
     engines.cancel(0, ExecutionId::new(2, 0), Ending::TimeUp);
     let ended = |event: &Event| {
         matches!(
             event,
-            Event::Ended { sent: ExecutionId { ticket: 2, number: 0 }, ending: Ending::TimeUp, .. }
+            Event::Ended {
+                sent: ExecutionId {
+                    ticket: 2,
+                    number: 0
+                },
+                ending: Ending::TimeUp,
+                ..
+            }
         )
     };
     assert!(engines.events.pop().is_some_and(|event| ended(&event)));
@@ -64,7 +93,14 @@
     let over = |event: &Event| {
         matches!(
             event,
-            Event::Ended { sent: ExecutionId { ticket: 1, number: 0 }, ending: Ending::GivenUp, .. }
+            Event::Ended {
+                sent: ExecutionId {
+                    ticket: 1,
+                    number: 0
+                },
+                ending: Ending::GivenUp,
+                ..
+            }
         )
     };
     assert!(engines.events.len() == 1 && over(&engines.events[0]));
@@ -72,7 +108,8 @@
 
 #[test]
 fn a_connection_that_came_up_while_the_front_stood_still_is_not_given_up() {
-    let event_loop: calloop::EventLoop<'static, LoopEvents> = calloop::EventLoop::try_new().unwrap();
+    let event_loop: calloop::EventLoop<'static, LoopEvents> =
+        calloop::EventLoop::try_new().unwrap();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let allowance = NetworkSettings {
         dial_timeout: 250_000,
@@ -81,13 +118,22 @@
     };
     let mut engines = Engines::new(event_loop.handle(), allowance, &Names::default());
     engines.list(0, "a", listener.local_addr().unwrap(), 0.0, true);
-    let call = Rc::new(Call { id: "1".into(), workload: "lookup".into(), ..Call::default() });
+    let call = Rc::new(Call {
+        id: "1".into(),
+        workload: "lookup".into(),
+        ..Call::default()
+    });
     engines.send(
         0,
         ExecutionId::new(1, 0),
         0,
         call,
-        Terms { ends: 5_000_000, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 },
+        Terms {
+            ends: 5_000_000,
+            leave_by: Micros::MAX,
+            grant_mb: 0.0,
+            priority: 1,
+        },
     );
     let mut peer = BufReader::new(listener.accept().unwrap().0);
     // It was not looked at for a second: what has come up is not reported as never up.
@@ -108,17 +154,30 @@
 }
 
 fn sends(engines: &mut Engines, ticket: Ticket, statement: Vec<u8>) {
-    let call = Call { id: ticket.to_string(), workload: "lookup".into(), statement, ..Call::default() };
-    let terms = Terms { ends: 5_000_000, leave_by: Micros::MAX, grant_mb: 0.0, priority: 1 };
+    let call = Call {
+        id: ticket.to_string(),
+        workload: "lookup".into(),
+        statement,
+        ..Call::default()
+    };
+    let terms = Terms {
+        ends: 5_000_000,
+        leave_by: Micros::MAX,
+        grant_mb: 0.0,
+        priority: 1,
+    };
     engines.send(0, ExecutionId::new(ticket, 0), 0, Rc::new(call), terms);
 }
 
 impl Deaf {
     /// With statement 1 out there.
     fn new() -> Deaf {
-        let events: calloop::EventLoop<'static, LoopEvents> = calloop::EventLoop::try_new().unwrap();
+        let events: calloop::EventLoop<'static, LoopEvents> =
+            calloop::EventLoop::try_new().unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        SockRef::from(&listener).set_recv_buffer_size(RECEIVE_BUFFER).unwrap();
+        SockRef::from(&listener)
+            .set_recv_buffer_size(RECEIVE_BUFFER)
+            .unwrap();
         let allowance = NetworkSettings {
             cancel: true,
             dial_timeout: DIAL_TIMEOUT,
@@ -135,7 +194,11 @@
             engines.read(0, 1);
             engines.flush(0);
         }
-        Deaf { _events: events, engines, peer }
+        Deaf {
+            _events: events,
+            engines,
+            peer,
+        }
     }
 
     /// Gives statement 1 up behind so many small commands that the socket is full, and flushes at the time
@@ -147,7 +210,8 @@
             (0..1_000).for_each(|_| self.engines.set_priority(ExecutionId::new(1, 0), 2));
             self.engines.flush(now);
         }
-        self.engines.cancel(now, ExecutionId::new(1, 0), Ending::GivenUp);
+        self.engines
+            .cancel(now, ExecutionId::new(1, 0), Ending::GivenUp);
         self.engines.flush(now);
         assert!(self.engines.links[&1].link.unsent() > 0 && self.engines.events.is_empty());
     }
@@ -174,7 +238,10 @@
             Event::Ended { sent, ending, .. } => Some((sent.ticket, ending)),
             _ => None,
         };
-        std::mem::take(&mut self.engines.events).into_iter().filter_map(ended).collect()
+        std::mem::take(&mut self.engines.events)
+            .into_iter()
+            .filter_map(ended)
+            .collect()
     }
 }
 
@@ -222,7 +289,11 @@
     deaf.gives_up_into_a_full_socket(0);
     // The engine leaves with much unread: whether that is found as a reset or as the end depends on who looks
     // first.
-    let Deaf { engines, peer, _events } = deaf;
+    let Deaf {
+        engines,
+        peer,
+        _events,
+    } = deaf;
     drop(peer);
     let (begun, mut engines) = (Instant::now(), engines);
     while !engines.links.is_empty() {
@@ -230,7 +301,9 @@
         engines.flush(1);
     }
     let lost = |event: &Event| {
-        let Event::Ended { sent, ending, .. } = event else { return false };
+        let Event::Ended { sent, ending, .. } = event else {
+            return false;
+        };
         *sent == ExecutionId::new(1, 0) && matches!(ending, Ending::Reset | Ending::Closed)
     };
     assert!(engines.events.len() == 1 && lost(&engines.events[0]));
@@ -242,9 +315,11 @@
 fn a_time_that_is_up_does_not_wait_for_an_engine_to_take_the_command() {
     let mut deaf = Deaf::new();
     deaf.gives_up_into_a_full_socket(0);
-    deaf.engines.cancel(1, ExecutionId::new(1, 0), Ending::GivenUp);
+    deaf.engines
+        .cancel(1, ExecutionId::new(1, 0), Ending::GivenUp);
     assert_eq!(deaf.ended(), [], "given up once more it is still out");
-    deaf.engines.cancel(2, ExecutionId::new(1, 0), Ending::TimeUp);
+    deaf.engines
+        .cancel(2, ExecutionId::new(1, 0), Ending::TimeUp);
     assert_eq!(deaf.ended(), [(1, Ending::TimeUp)]);
     deaf.reads_all(3);
     deaf.engines.expire(3 + CANCEL_LAG);
@@ -256,7 +331,10 @@
     let mut deaf = Deaf::new();
     sends(&mut deaf.engines, 2, vec![b'x'; MOST_UNSENT - 1_000]);
     deaf.engines.flush(0);
-    assert!(deaf.engines.links[&1].link.unsent() > 0, "its end has not left");
+    assert!(
+        deaf.engines.links[&1].link.unsent() > 0,
+        "its end has not left"
+    );
     // The engine reads as fast as it can; each look at the timeouts sends on, until its end has left.
     deaf.peer.set_nonblocking(true).unwrap();
     let (begun, mut chunk) = (Instant::now(), vec![0; 64 << 10]);
@@ -265,7 +343,8 @@
         let _ = deaf.peer.read(&mut chunk);
         deaf.engines.expire(1);
     }
-    deaf.engines.cancel(2, ExecutionId::new(2, 0), Ending::TimeUp);
+    deaf.engines
+        .cancel(2, ExecutionId::new(2, 0), Ending::TimeUp);
     assert_eq!(deaf.ended(), [(2, Ending::TimeUp)]);
     assert_eq!(deaf.engines.links.len(), 1, "others go on there");
 }
@@ -279,7 +358,11 @@
         (0..20_000).for_each(|_| deaf.engines.set_priority(ExecutionId::new(1, 0), 2));
         deaf.engines.flush(0);
     }
-    assert_eq!(deaf.ended(), [], "its engine has yet to read that the connection is closed");
+    assert_eq!(
+        deaf.ended(),
+        [],
+        "its engine has yet to read that the connection is closed"
+    );
     deaf.engines.expire(CANCEL_LAG);
     assert_eq!(deaf.ended(), [(1, Ending::ClosedHere)]);
 }
--- a/crates/front/src/engines/mod.rs
+++ b/crates/front/src/engines/mod.rs
@@ -41,9 +41,21 @@
 
 /// What engines have answered, and how executions have ended.
 pub enum Event {
-    Ended { sent: ExecutionId, ending: Ending, report: Option<Vec<f64>>, result: Vec<u8> },
-    Noted { sent: ExecutionId, note: Note },
-    Probed { place: Place, alive: bool, report: Option<Vec<f64>> },
+    Ended {
+        sent: ExecutionId,
+        ending: Ending,
+        report: Option<Vec<f64>>,
+        result: Vec<u8>,
+    },
+    Noted {
+        sent: ExecutionId,
+        note: Note,
+    },
+    Probed {
+        place: Place,
+        alive: bool,
+        report: Option<Vec<f64>>,
+    },
 }
 
 struct Engine {
@@ -130,7 +142,11 @@
 }
 
 impl Engines {
-    pub fn new(handle: LoopHandle<'static, LoopEvents>, allowance: NetworkSettings, names: &Names) -> Self {
+    pub fn new(
+        handle: LoopHandle<'static, LoopEvents>,
+        allowance: NetworkSettings,
+        names: &Names,
+    ) -> Self {
         Engines {
             handle,
             reuse: Reuse::new((allowance.keepalive - IDLE_MARGIN).max(IDLE_MARGIN)),
@@ -153,9 +169,18 @@
     }
 
     fn report_end(&mut self, sent: ExecutionId, ending: Ending) {
-        log::debug!("statement {}: execution {} ended: {ending:?}", sent.ticket, sent.number);
+        log::debug!(
+            "statement {}: execution {} ended: {ending:?}",
+            sent.ticket,
+            sent.number
+        );
         self.executions.remove(&sent);
-        self.events.push(Event::Ended { sent, ending, report: None, result: Vec::new() });
+        self.events.push(Event::Ended {
+            sent,
+            ending,
+            report: None,
+            result: Vec::new(),
+        });
     }
 
     /// An engine of the list: where it is, and whether anything may still be sent to it.
@@ -166,23 +191,46 @@
         if !same || !up {
             self.retire(place);
         }
-        let links = self.engines.remove(&place).map(|e| e.links).unwrap_or_default();
+        let links = self
+            .engines
+            .remove(&place)
+            .map(|e| e.links)
+            .unwrap_or_default();
         let id = id.to_string();
-        self.engines.insert(place, Engine { id, at, started, available: up, links, failing });
+        self.engines.insert(
+            place,
+            Engine {
+                id,
+                at,
+                started,
+                available: up,
+                links,
+                failing,
+            },
+        );
     }
 
     /// A whole list has come: engines that it does not name are gone.
     pub fn retire_others(&mut self, listed: &[Place]) {
-        let places: Vec<Place> = self.engines.keys().copied().filter(|p| !listed.contains(p)).collect();
+        let places: Vec<Place> = self
+            .engines
+            .keys()
+            .copied()
+            .filter(|p| !listed.contains(p))
+            .collect();
         places.into_iter().for_each(|place| self.retire(place));
     }
 
     /// What has not left for an engine stays here; what is out may still be answered.
     pub fn retire(&mut self, place: Place) {
-        let Some(engine) = self.engines.get_mut(&place) else { return };
+        let Some(engine) = self.engines.get_mut(&place) else {
+            return;
+        };
         engine.available = false;
         for id in engine.links.clone() {
-            let Some(link) = self.links.get_mut(&id) else { continue };
+            let Some(link) = self.links.get_mut(&id) else {
+                continue;
+            };
             link.retired = true;
             for sent in std::mem::take(&mut link.queue) {
                 self.withdraw(id, sent);
@@ -199,8 +247,9 @@
 
     /// Nobody waits for a statement any more: what has not left for an engine never will.
     pub fn abandon(&mut self, ticket: Ticket) {
-        let of_ticket =
-            self.executions.range(ExecutionId::new(ticket, 0)..=ExecutionId::new(ticket, usize::MAX));
+        let of_ticket = self
+            .executions
+            .range(ExecutionId::new(ticket, 0)..=ExecutionId::new(ticket, usize::MAX));
         let queued = of_ticket.filter(|(_, x)| x.stage == Stage::Queued);
         let queued: Vec<(ExecutionId, LinkId)> = queued.map(|(sent, x)| (*sent, x.link)).collect();
         for (sent, id) in queued {
@@ -212,7 +261,10 @@
     }
 
     fn engine_name(&self, link: LinkId) -> &str {
-        let engine = self.links.get(&link).and_then(|l| self.engines.get(&l.place));
+        let engine = self
+            .links
+            .get(&link)
+            .and_then(|l| self.engines.get(&l.place));
         engine.map_or("?", |e| &e.id)
     }
 }
--- a/crates/front/src/engines/replies.rs
+++ b/crates/front/src/engines/replies.rs
@@ -7,7 +7,9 @@
 impl Engines {
     /// A connection has changed; true if there is more for another iteration.
     pub fn read(&mut self, now: Micros, id: LinkId) -> bool {
-        let Some(link) = self.links.get_mut(&id) else { return false };
+        let Some(link) = self.links.get_mut(&id) else {
+            return false;
+        };
         if !link.up {
             match link.link.is_up() {
                 Ok(false) => return false,
@@ -50,7 +52,10 @@
             }
         };
         if let Some(what) = unreadable {
-            log::warn!("engine {}: {what}; its connection is closed", self.engine_name(id));
+            log::warn!(
+                "engine {}: {what}; its connection is closed",
+                self.engine_name(id)
+            );
             self.close(now, id, Ending::Unreadable);
         } else if let Some(link) = self.links.get_mut(&id) {
             link.link.input = input;
@@ -66,11 +71,17 @@
     }
 
     pub(super) fn take_line(&mut self, now: Micros, id: LinkId, line: Reply) {
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         link.last_reply = now;
         if let ReplyKind::ProbeAnswer { healthy } = line.kind {
             if link.probes.remove(line.id).is_some() {
-                self.events.push(Event::Probed { place: link.place, alive: healthy, report: line.report });
+                self.events.push(Event::Probed {
+                    place: link.place,
+                    alive: healthy,
+                    report: line.report,
+                });
             }
             return;
         }
@@ -78,7 +89,10 @@
         let Some(&sent) = link.open.get(line.id) else {
             let over = matches!(
                 line.kind,
-                ReplyKind::FirstPage { .. } | ReplyKind::Rejected | ReplyKind::Failed | ReplyKind::Stale
+                ReplyKind::FirstPage { .. }
+                    | ReplyKind::Rejected
+                    | ReplyKind::Failed
+                    | ReplyKind::Stale
             );
             if over && !self.allowance.cancel && link.cancelled.remove(line.id) {
                 link.idle_since = now;
@@ -86,20 +100,36 @@
             }
             return;
         };
-        let Some(x) = self.executions.get_mut(&sent).filter(|x| x.stage == Stage::Out) else { return };
+        let Some(x) = self
+            .executions
+            .get_mut(&sent)
+            .filter(|x| x.stage == Stage::Out)
+        else {
+            return;
+        };
         x.last_reply = now;
         let ending = match line.kind {
             ReplyKind::FirstPage { pages } if x.pages.is_none() && pages <= MOST_PAGES => {
                 let report = line.report.clone();
-                let mut first = Pages { missing: pages, report, last_page: now, ..Pages::default() };
+                let mut first = Pages {
+                    missing: pages,
+                    report,
+                    last_page: now,
+                    ..Pages::default()
+                };
                 first.bytes.resize(pages, None);
                 x.pages = Some(first);
                 for page in 1..pages {
-                    engine::write(link.link.output(), &Command::FetchPage { id: line.id, page });
+                    engine::write(
+                        link.link.output(),
+                        &Command::FetchPage { id: line.id, page },
+                    );
                 }
                 x.take_page(now, 0, line.bytes)
             }
-            ReplyKind::FirstPage { pages } if x.pages.as_ref().is_some_and(|p| p.bytes.len() == pages) => {
+            ReplyKind::FirstPage { pages }
+                if x.pages.as_ref().is_some_and(|p| p.bytes.len() == pages) =>
+            {
                 x.take_page(now, 0, line.bytes)
             }
             ReplyKind::FirstPage { .. } => Some(Ending::Unreadable),
@@ -116,29 +146,49 @@
         };
         let Some(ending) = ending else { return };
         if ending == Ending::Unreadable {
-            log::warn!("engine {}: a spoilt result; its connection is closed", self.engine_name(id));
+            log::warn!(
+                "engine {}: a spoilt result; its connection is closed",
+                self.engine_name(id)
+            );
             return self.close(now, id, ending);
         }
         link.open.remove(line.id);
         link.idle_since = now;
-        let pages = self.executions.remove(&sent).and_then(|x| x.pages).unwrap_or_default();
+        let pages = self
+            .executions
+            .remove(&sent)
+            .and_then(|x| x.pages)
+            .unwrap_or_default();
         if ending == Ending::PageLost {
             engine::write(link.link.output(), &Command::ReleaseResult { id: line.id });
         }
         if ending != Ending::Answered {
-            let over = if self.allowance.cancel { &mut link.cancelled } else { &mut link.finished };
+            let over = if self.allowance.cancel {
+                &mut link.cancelled
+            } else {
+                &mut link.finished
+            };
             over.insert(line.id.to_string());
         }
         if ending == Ending::Answered {
             self.reuse.answered();
         }
-        log::debug!("statement {}: execution {} ended: {ending:?}", sent.ticket, sent.number);
+        log::debug!(
+            "statement {}: execution {} ended: {ending:?}",
+            sent.ticket,
+            sent.number
+        );
         let report = line.report.or(pages.report);
         let result = match ending {
             Ending::Answered => pages.bytes.into_iter().flatten().flatten().collect(),
             _ => Vec::new(),
         };
-        self.events.push(Event::Ended { sent, ending, report, result });
+        self.events.push(Event::Ended {
+            sent,
+            ending,
+            report,
+            result,
+        });
     }
 
     pub(super) fn note(&mut self, sent: ExecutionId, note: Note) {
@@ -163,7 +213,9 @@
         let pages = self.pages.as_mut()?; // else nobody asked for it
         match pages.bytes.get_mut(number) {
             Some(Some(known)) if known == bytes => return None,
-            Some(page @ None) if engine::are_rows(bytes) && pages.held + bytes.len() <= LONGEST_RESULT => {
+            Some(page @ None)
+                if engine::are_rows(bytes) && pages.held + bytes.len() <= LONGEST_RESULT =>
+            {
                 *page = Some(bytes.to_vec());
             }
             _ => return Some(Ending::Unreadable),
--- a/crates/front/src/engines/send.rs
+++ b/crates/front/src/engines/send.rs
@@ -11,27 +11,54 @@
 
 impl Engines {
     /// Sends an execution over a connection that has room for it, a new one if need be.
-    pub fn send(&mut self, now: Micros, sent: ExecutionId, place: Place, call: Rc<Call>, terms: Terms) {
+    pub fn send(
+        &mut self,
+        now: Micros,
+        sent: ExecutionId,
+        place: Place,
+        call: Rc<Call>,
+        terms: Terms,
+    ) {
         let id = match self.choose_link(now, place, &call.id) {
             Ok(id) => id,
             Err(ending) => return self.report_end(sent, ending),
         };
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         link.open.insert(call.id.clone(), sent);
         link.queue.push_back(sent);
         let stage = Stage::Queued;
-        let x = Execution { link: id, call, terms, stage, sent: now, last_reply: now, pages: None };
+        let x = Execution {
+            link: id,
+            call,
+            terms,
+            stage,
+            sent: now,
+            last_reply: now,
+            pages: None,
+        };
         self.executions.insert(sent, x);
     }
 
-    pub(super) fn choose_link(&mut self, now: Micros, place: Place, id: &str) -> Result<LinkId, Ending> {
+    pub(super) fn choose_link(
+        &mut self,
+        now: Micros,
+        place: Place,
+        id: &str,
+    ) -> Result<LinkId, Ending> {
         let most = self.allowance.executions_per_connection;
         let engine = self.engines.get(&place).ok_or(Ending::Withdrawn)?;
         let fits = |link: &&LinkId| {
             self.links.get(link).is_some_and(|l| {
-                let known = l.open.contains_key(id) || l.cancelled.contains(id) || l.finished.contains(id);
+                let known =
+                    l.open.contains_key(id) || l.cancelled.contains(id) || l.finished.contains(id);
                 // Where cancelling is not allowed, what was given up runs on there.
-                let runs_on = if self.allowance.cancel { 0 } else { l.cancelled.len() };
+                let runs_on = if self.allowance.cancel {
+                    0
+                } else {
+                    l.cancelled.len()
+                };
                 let room = l.open.len() + l.probes.len() + runs_on < most;
                 l.takes_executions() && !known && room
             })
@@ -40,13 +67,28 @@
         // and those that have some come first, so that the others may end as idle.
         let rank = |link: &&LinkId| {
             let l = &self.links[link];
-            (l.up && l.link.unsent() == 0, l.open.len() + l.probes.len(), l.idle_since)
+            (
+                l.up && l.link.unsent() == 0,
+                l.open.len() + l.probes.len(),
+                l.idle_since,
+            )
         };
         let few = |link: &&LinkId| rank(link).1 < MOST_SHARED;
-        if let Some(link) = engine.links.iter().filter(fits).filter(few).max_by_key(rank) {
+        if let Some(link) = engine
+            .links
+            .iter()
+            .filter(fits)
+            .filter(few)
+            .max_by_key(rank)
+        {
             return Ok(*link);
         }
-        let least = engine.links.iter().filter(fits).min_by_key(|link| rank(link).1).copied();
+        let least = engine
+            .links
+            .iter()
+            .filter(fits)
+            .min_by_key(|link| rank(link).1)
+            .copied();
         match least {
             Some(link) if !self.may_dial(engine) => Ok(link),
             // No new connection may be made now: what is there is used, else it stays here.
@@ -94,22 +136,35 @@
     }
 
     pub fn set_priority(&mut self, sent: ExecutionId, priority: u8) {
-        let Some(x) = self.executions.get_mut(&sent) else { return };
+        let Some(x) = self.executions.get_mut(&sent) else {
+            return;
+        };
         x.terms.priority = priority;
         if x.stage != Stage::Queued && x.pages.is_none() {
             if let Some(link) = self.links.get_mut(&x.link) {
-                engine::write(link.link.output(), &Command::SetPriority { id: &x.call.id, priority });
+                engine::write(
+                    link.link.output(),
+                    &Command::SetPriority {
+                        id: &x.call.id,
+                        priority,
+                    },
+                );
             }
         }
     }
 
     /// Cancels an execution. It ends with the ending given, or as withdrawn where nothing of it has left.
     pub fn cancel(&mut self, now: Micros, sent: ExecutionId, ending: Ending) {
-        let Some(x) = self.executions.get(&sent) else { return self.end_awaited(sent, ending) };
+        let Some(x) = self.executions.get(&sent) else {
+            return self.end_awaited(sent, ending);
+        };
         let (id, name) = (x.link, x.call.id.clone());
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         // A connection silent since then, longer than one takes to come up, may be to a machine that is gone.
-        link.retired |= link.up && link.last_reply < x.sent && now - x.sent > self.allowance.dial_timeout;
+        link.retired |=
+            link.up && link.last_reply < x.sent && now - x.sent > self.allowance.dial_timeout;
         // Nor is one of use on which the answer never came.
         link.retired |= x.stage == Stage::Out && now - x.last_reply > SILENCE_TIMEOUT;
         match x.stage {
@@ -121,7 +176,9 @@
             Stage::Writing => self.close(now, id, Ending::ClosedHere),
             Stage::Out => {
                 match x.pages {
-                    Some(_) => engine::write(link.link.output(), &Command::ReleaseResult { id: &name }),
+                    Some(_) => {
+                        engine::write(link.link.output(), &Command::ReleaseResult { id: &name })
+                    }
                     None if self.allowance.cancel => {
                         engine::write(link.link.output(), &Command::Cancel { id: &name })
                     }
@@ -144,7 +201,11 @@
             other => other.ok().and_then(|id| self.links.get_mut(&id)),
         };
         let Some(link) = link else {
-            return self.events.push(Event::Probed { place, alive: false, report: None });
+            return self.events.push(Event::Probed {
+                place,
+                alive: false,
+                report: None,
+            });
         };
         if link.up {
             engine::write(link.link.output(), &Command::Probe { tag: &tag });
--- a/crates/front/src/engines/timeouts.rs
+++ b/crates/front/src/engines/timeouts.rs
@@ -8,20 +8,42 @@
         let due = |link: &EngineLink| {
             let dial = if link.up { Micros::MAX } else { link.dial_by };
             let probe = link.probes.values().copied().min().unwrap_or(Micros::MAX);
-            let partial = link.partial_line_since.map_or(Micros::MAX, |since| since + READ_TIMEOUT);
-            let leaving = self.writing_since(link).map_or(Micros::MAX, |since| since + WRITE_TIMEOUT);
-            dial.min(probe).min(partial).min(leaving).min(self.idle_until(link).unwrap_or(Micros::MAX))
+            let partial = link
+                .partial_line_since
+                .map_or(Micros::MAX, |since| since + READ_TIMEOUT);
+            let leaving = self
+                .writing_since(link)
+                .map_or(Micros::MAX, |since| since + WRITE_TIMEOUT);
+            dial.min(probe)
+                .min(partial)
+                .min(leaving)
+                .min(self.idle_until(link).unwrap_or(Micros::MAX))
         };
-        self.links.values().map(due).min().unwrap_or(Micros::MAX).min(self.cancels_due())
+        self.links
+            .values()
+            .map(due)
+            .min()
+            .unwrap_or(Micros::MAX)
+            .min(self.cancels_due())
     }
 
     pub(super) fn idle_until(&self, link: &EngineLink) -> Option<Micros> {
-        let (rests, unsent) = (link.open.is_empty() && link.probes.is_empty(), link.link.unsent() > 0);
+        let (rests, unsent) = (
+            link.open.is_empty() && link.probes.is_empty(),
+            link.link.unsent() > 0,
+        );
         // Closing it would give up what runs on there.
         let runs_on = !self.allowance.cancel && !link.cancelled.is_empty();
         if link.retired && rests && !runs_on {
             // What is still to leave has as long as a connection has to come up.
-            return Some(link.idle_since + if unsent { self.allowance.dial_timeout } else { 0 });
+            return Some(
+                link.idle_since
+                    + if unsent {
+                        self.allowance.dial_timeout
+                    } else {
+                        0
+                    },
+            );
         }
         (link.up && rests && !unsent).then_some(link.idle_since + self.reuse.max_idle())
     }
@@ -31,7 +53,9 @@
         self.end_cancelled(now);
         let ids: Vec<LinkId> = self.links.keys().copied().collect();
         for id in ids {
-            let Some(link) = self.links.get_mut(&id) else { continue };
+            let Some(link) = self.links.get_mut(&id) else {
+                continue;
+            };
             if !link.up && link.dial_by <= now {
                 // Guards against a front that stood still between its look at the connections and this one: one that
                 // has come up meanwhile is found as up in the next iteration.
@@ -44,7 +68,10 @@
             // written anew, and what has not left whole has not run.
             let _ = self.flush_link(id);
             let link = &self.links[&id];
-            if self.writing_since(link).is_some_and(|since| since + WRITE_TIMEOUT <= now) {
+            if self
+                .writing_since(link)
+                .is_some_and(|since| since + WRITE_TIMEOUT <= now)
+            {
                 log::warn!(
                     "engine {}: takes no more of a statement; its connection is closed",
                     self.engine_name(id)
@@ -72,15 +99,25 @@
                 );
                 self.close(now, id, Ending::Unreadable);
             }
-            let Some(link) = self.links.get_mut(&id) else { continue };
+            let Some(link) = self.links.get_mut(&id) else {
+                continue;
+            };
             let place = link.place;
             let before = link.probes.len();
             link.probes.retain(|_, due| *due > now);
-            link.retired |= link.probes.len() < before && link.last_reply < now - self.allowance.dial_timeout;
+            link.retired |=
+                link.probes.len() < before && link.last_reply < now - self.allowance.dial_timeout;
             for _ in link.probes.len()..before {
-                self.events.push(Event::Probed { place, alive: false, report: None });
+                self.events.push(Event::Probed {
+                    place,
+                    alive: false,
+                    report: None,
+                });
             }
-            if self.idle_until(&self.links[&id]).is_some_and(|until| until <= now) {
+            if self
+                .idle_until(&self.links[&id])
+                .is_some_and(|until| until <= now)
+            {
                 self.close(now, id, Ending::Withdrawn);
             }
         }
@@ -88,7 +125,10 @@
 
     /// Since when a statement has begun to leave over a connection and has not left whole.
     fn writing_since(&self, link: &EngineLink) -> Option<Micros> {
-        let (sent, _) = link.writing.as_ref().filter(|(_, end)| !link.link.has_sent_up_to(*end))?;
+        let (sent, _) = link
+            .writing
+            .as_ref()
+            .filter(|(_, end)| !link.link.has_sent_up_to(*end))?;
         self.executions.get(sent).map(|x| x.sent)
     }
 
@@ -99,7 +139,10 @@
             let pages = self.executions.get(sent).and_then(|x| x.pages.as_ref());
             pages.is_some_and(|pages| pages.last_page + READ_TIMEOUT <= now)
         };
-        if link.partial_line_since.is_some_and(|since| since + READ_TIMEOUT <= now) {
+        if link
+            .partial_line_since
+            .is_some_and(|since| since + READ_TIMEOUT <= now)
+        {
             return Some("a line");
         }
         link.open.values().any(page).then_some("a page")
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -5,8 +5,11 @@
 impl Engines {
     /// A connection is over: each execution on it ends by how much of it has left.
     pub(super) fn close(&mut self, now: Micros, id: LinkId, ending: Ending) {
-        let Some(link) = self.links.remove(&id) else { return };
-        let lost = matches!(ending, Ending::Reset | Ending::Closed) && link.up && !link.open.is_empty();
+        let Some(link) = self.links.remove(&id) else {
+            return;
+        };
+        let lost =
+            matches!(ending, Ending::Reset | Ending::Closed) && link.up && !link.open.is_empty();
         if lost && link.last_reply < link.resumed_at {
             self.reuse.lost(link.idle_before, now - link.resumed_at);
         }
@@ -18,7 +21,10 @@
                 log::warn!("engine {}: can't be reached: {ending:?}", engine.id);
             } else if link.up && !link.open.is_empty() {
                 let count = link.open.len();
-                log::warn!("engine {}: connection lost with {count} executions: {ending:?}", engine.id);
+                log::warn!(
+                    "engine {}: connection lost with {count} executions: {ending:?}",
+                    engine.id
+                );
             }
         }
         let mut open: Vec<ExecutionId> = link.open.into_values().collect();
@@ -33,7 +39,11 @@
             self.end_execution(sent, ending, None);
         }
         for _ in link.probes {
-            self.events.push(Event::Probed { place: link.place, alive: false, report: None });
+            self.events.push(Event::Probed {
+                place: link.place,
+                alive: false,
+                report: None,
+            });
         }
         self.settle_unsent_cancels(id, ending);
     }
@@ -55,10 +65,17 @@
     /// has left, whatever becomes of the commands behind it. Guards against one that has left and passes for
     /// half written: that would prove that it has not run.
     pub(super) fn flush_link(&mut self, id: LinkId) -> Result<(), Broken> {
-        let Some(link) = self.links.get_mut(&id).filter(|l| l.up) else { return Ok(()) };
+        let Some(link) = self.links.get_mut(&id).filter(|l| l.up) else {
+            return Ok(());
+        };
         let flushed = link.link.flush();
-        if let Some((sent, _)) = link.writing.take_if(|(_, end)| link.link.has_sent_up_to(*end)) {
-            self.executions.entry(sent).and_modify(|x| x.stage = Stage::Out);
+        if let Some((sent, _)) = link
+            .writing
+            .take_if(|(_, end)| link.link.has_sent_up_to(*end))
+        {
+            self.executions
+                .entry(sent)
+                .and_modify(|x| x.stage = Stage::Out);
         }
         flushed
     }
@@ -67,15 +84,21 @@
     pub(super) fn write_queue(&mut self, now: Micros, id: LinkId) -> Result<(), Ending> {
         loop {
             self.flush_link(id).map_err(replies::ending_of)?;
-            let Some(link) = self.links.get_mut(&id).filter(|l| l.up) else { return Ok(()) };
+            let Some(link) = self.links.get_mut(&id).filter(|l| l.up) else {
+                return Ok(());
+            };
             if link.link.unsent() > MOST_UNSENT {
                 // Closed from here: its engine has yet to read so, as of anything that is given up.
                 return Err(Ending::ClosedHere);
             } else if link.link.unsent() > 0 {
                 return Ok(());
             }
-            let Some(sent) = link.queue.pop_front() else { return Ok(()) };
-            let Some(x) = self.executions.get_mut(&sent) else { continue };
+            let Some(sent) = link.queue.pop_front() else {
+                return Ok(());
+            };
+            let Some(x) = self.executions.get_mut(&sent) else {
+                continue;
+            };
             let engine = self.engines.get(&link.place);
             if let Some(why) = withheld_because(now, engine, &x.terms) {
                 log::debug!("statement {}: its execution stays here: {why}", x.call.id);
@@ -93,7 +116,11 @@
             };
             if link.open.len() == 1 {
                 let dialled = link.dial_by - self.allowance.dial_timeout;
-                let idle_before = if link.idle_since > dialled { now - link.idle_since } else { 0 };
+                let idle_before = if link.idle_since > dialled {
+                    now - link.idle_since
+                } else {
+                    0
+                };
                 (link.idle_before, link.resumed_at) = (idle_before, now);
             }
             engine::write(link.link.output(), &Command::Execute(request));
@@ -107,7 +134,10 @@
 fn withheld_because(now: Micros, engine: Option<&Engine>, terms: &Terms) -> Option<&'static str> {
     let Some(_) = engine.filter(|engine| engine.available) else {
         // It is withdrawn as soon as the list says so; if it is found here, a drain would not have been kept.
-        log::error!("engine {}: an execution was still queued for it", engine.map_or("?", |e| &e.id));
+        log::error!(
+            "engine {}: an execution was still queued for it",
+            engine.map_or("?", |e| &e.id)
+        );
         return Some("its engine drains or is gone");
     };
     if now >= terms.ends {
--- a/crates/front/src/fleet/copies.rs
+++ b/crates/front/src/fleet/copies.rs
@@ -26,7 +26,11 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CopiesError {
     #[error("ledger.directory {directory}: {what}: {error}; give the front a directory that it may write, with room")]
-    Disk { directory: String, what: &'static str, error: String },
+    Disk {
+        directory: String,
+        what: &'static str,
+        error: String,
+    },
     #[error("ledger.directory {0}: another front has it; give each front one of its own")]
     Taken(String),
     #[error(
@@ -79,13 +83,16 @@
         };
         std::fs::create_dir_all(path).map_err(|e| unfit("can't be made", e))?;
         let lock = File::create(path.join("lock")).map_err(|e| unfit("can't be written", e))?;
-        lock.try_lock().map_err(|_| CopiesError::Taken(directory.to_string()))?;
+        lock.try_lock()
+            .map_err(|_| CopiesError::Taken(directory.to_string()))?;
         let file = path.join(FILE);
         let found = opened(directory, || {
             let mut builder = Database::builder();
             builder.set_cache_size(CACHE);
             match fault_file {
-                Some(fault_file) => builder.create_with_backend(super::faulty_disk::open(&file, fault_file)?),
+                Some(fault_file) => {
+                    builder.create_with_backend(super::faulty_disk::open(&file, fault_file)?)
+                }
                 None => builder.create(&file),
             }
         })?;
@@ -111,7 +118,15 @@
         let thread = std::thread::Builder::new().name("copies".to_string());
         let run = move || write_all(&name, &database, &to_write, &socket, &sender, wake);
         thread.spawn(run).map_err(unfit)?;
-        Ok((Copies { writes, durable, results, _lock: None }, found))
+        Ok((
+            Copies {
+                writes,
+                durable,
+                results,
+                _lock: None,
+            },
+            found,
+        ))
     }
 
     /// Queues a write; its datagrams are sent once it is durable.
@@ -131,7 +146,9 @@
 
 /// What does not go out is as if it were lost on the way.
 fn send(socket: &UdpSocket, datagrams: &[Datagram]) {
-    datagrams.iter().for_each(|d| _ = socket.send_to(&d.bytes, d.to));
+    datagrams
+        .iter()
+        .for_each(|d| _ = socket.send_to(&d.bytes, d.to));
 }
 
 /// A database with what it holds, if it is whole. The store may panic where a file was altered from outside.
@@ -139,19 +156,26 @@
     directory: &str,
     open: impl FnOnce() -> Result<Database, redb::DatabaseError>,
 ) -> Result<(Database, Found), CopiesError> {
-    let damaged = |error: String| CopiesError::Damaged { directory: directory.to_string(), error };
+    let damaged = |error: String| CopiesError::Damaged {
+        directory: directory.to_string(),
+        error,
+    };
     let all = std::panic::AssertUnwindSafe(|| -> Result<(Database, Found), CopiesError> {
         let mut database = open().map_err(|e| match e {
             redb::DatabaseError::DatabaseAlreadyOpen => CopiesError::Taken(directory.to_string()),
             e => damaged(e.to_string()),
         })?;
-        if !database.check_integrity().map_err(|e| damaged(e.to_string()))? {
+        if !database
+            .check_integrity()
+            .map_err(|e| damaged(e.to_string()))?
+        {
             log::warn!("ledger.directory {directory}: was not closed cleanly, and is mended");
         }
         let found = read(&database).map_err(|e| damaged(e.to_string()))?;
         Ok((database, found))
     });
-    std::panic::catch_unwind(all).unwrap_or_else(|_| Err(damaged("its file was altered".to_string())))
+    std::panic::catch_unwind(all)
+        .unwrap_or_else(|_| Err(damaged("its file was altered".to_string())))
 }
 
 /// The identity and the records; where there is none, one is drawn and made durable.
@@ -160,11 +184,18 @@
     let transaction = database.begin_write().map_err(|e| boxed(e.into()))?;
     let mut records = Vec::new();
     let (disk, new) = {
-        let mut identity = transaction.open_table(IDENTITY).map_err(|e| boxed(e.into()))?;
-        let known = identity.get(0).map_err(|e| boxed(e.into()))?.map(|disk| disk.value());
+        let mut identity = transaction
+            .open_table(IDENTITY)
+            .map_err(|e| boxed(e.into()))?;
+        let known = identity
+            .get(0)
+            .map_err(|e| boxed(e.into()))?
+            .map(|disk| disk.value());
         let disk = known.unwrap_or_else(random_disk_id);
         identity.insert(0, disk).map_err(|e| boxed(e.into()))?;
-        let table = transaction.open_table(RECORDS).map_err(|e| boxed(e.into()))?;
+        let table = transaction
+            .open_table(RECORDS)
+            .map_err(|e| boxed(e.into()))?;
         for record in table.iter().map_err(|e| boxed(e.into()))? {
             let (name, bytes) = record.map_err(|e| boxed(e.into()))?;
             records.push((name.value().to_vec(), bytes.value().to_vec()));
@@ -173,7 +204,10 @@
     };
     transaction.commit().map_err(|e| boxed(e.into()))?;
     let _ = database.begin_read().map_err(|e| boxed(e.into()))?;
-    Ok(Found { disk, saved: (!new && !records.is_empty()).then_some(Saved(records)) })
+    Ok(Found {
+        disk,
+        saved: (!new && !records.is_empty()).then_some(Saved(records)),
+    })
 }
 
 fn write_all(
@@ -196,7 +230,9 @@
             );
             let _ = results.send((last, false));
             wake();
-            to_write.iter().for_each(|write| _ = results.send((write.number, false)));
+            to_write
+                .iter()
+                .for_each(|write| _ = results.send((write.number, false)));
             return;
         }
         if began.elapsed() >= SLOW_COMMIT && !std::mem::replace(&mut slow, true) {
@@ -205,7 +241,9 @@
                 "ledger.directory {directory}: a commit took {ms} ms; promises of this front wait for it"
             );
         }
-        writes.iter().for_each(|write| send(socket, &write.datagrams));
+        writes
+            .iter()
+            .for_each(|write| send(socket, &write.datagrams));
         let _ = results.send((last, true));
         wake();
     }
@@ -219,7 +257,9 @@
     let boxed = |e: redb::Error| Box::new(e);
     let transaction = database.begin_write().map_err(|e| boxed(e.into()))?;
     {
-        let mut table = transaction.open_table(RECORDS).map_err(|e| boxed(e.into()))?;
+        let mut table = transaction
+            .open_table(RECORDS)
+            .map_err(|e| boxed(e.into()))?;
         for Record { name, bytes } in writes.iter().flat_map(|write| &write.records) {
             match bytes {
                 Some(bytes) => table.insert(name.as_slice(), bytes.as_slice()).map(drop),
--- a/crates/front/src/fleet/copies_tests.rs
+++ b/crates/front/src/fleet/copies_tests.rs
@@ -9,7 +9,8 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let folder = std::env::temp_dir().join(format!("hallmux-copies-{name}-{}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("hallmux-copies-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         Folder(folder)
     }
@@ -27,14 +28,26 @@
 
 fn socket() -> UdpSocket {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    socket.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+    socket
+        .set_read_timeout(Some(Duration::from_secs(10)))
+        .unwrap();
     socket
 }
 
 fn write(number: u64, name: &str, value: Option<&[u8]>, to: &UdpSocket) -> Write {
-    let records = vec![Record { name: name.into(), bytes: value.map(<[u8]>::to_vec) }];
-    let datagrams = vec![Datagram { to: to.local_addr().unwrap(), bytes: vec![number as u8] }];
-    Write { number, records, datagrams }
+    let records = vec![Record {
+        name: name.into(),
+        bytes: value.map(<[u8]>::to_vec),
+    }];
+    let datagrams = vec![Datagram {
+        to: to.local_addr().unwrap(),
+        bytes: vec![number as u8],
+    }];
+    Write {
+        number,
+        records,
+        datagrams,
+    }
 }
 
 fn open(folder: &Folder) -> Result<(Copies, Found), CopiesError> {
@@ -43,7 +56,10 @@
 
 /// The next word on a save.
 fn said(copies: &Copies) -> (u64, bool) {
-    copies.durable.recv_timeout(Duration::from_secs(10)).unwrap()
+    copies
+        .durable
+        .recv_timeout(Duration::from_secs(10))
+        .unwrap()
 }
 
 #[test]
@@ -68,7 +84,13 @@
             Err(e) => panic!("{e}"),
         }
     };
-    assert_eq!((again.disk, again.saved), (found.disk, Some(Saved(vec![(b"b".to_vec(), b"two".to_vec())]))));
+    assert_eq!(
+        (again.disk, again.saved),
+        (
+            found.disk,
+            Some(Saved(vec![(b"b".to_vec(), b"two".to_vec())]))
+        )
+    );
     let other = open(&Folder::new("other")).unwrap().1;
     assert_ne!(other.disk, found.disk);
 }
@@ -132,7 +154,10 @@
     let found = opened("test", || Database::builder().create_with_backend(backend)).unwrap();
     let (mut copies, _) = Copies::with("test", found, socket(), || {}).unwrap();
     copies.save(write(1, "a", Some(b"one"), &hears));
-    assert_eq!((hears.recv(&mut byte).unwrap(), said(&copies)), (1, (1, true)));
+    assert_eq!(
+        (hears.recv(&mut byte).unwrap(), said(&copies)),
+        (1, (1, true))
+    );
     fails.store(true, Ordering::SeqCst);
     copies.save(write(2, "a", Some(b"two"), &hears));
     assert_eq!(said(&copies), (2, false));
@@ -147,13 +172,29 @@
     let directory = || "/data".to_string();
     for (unfit, advice) in [
         (
-            CopiesError::Disk { directory: directory(), what: "can't be made", error: "full".into() },
+            CopiesError::Disk {
+                directory: directory(),
+                what: "can't be made",
+                error: "full".into(),
+            },
             "with room",
         ),
-        (CopiesError::Taken(directory()), "give each front one of its own"),
-        (CopiesError::Damaged { directory: directory(), error: "cut".into() }, "move it away"),
+        (
+            CopiesError::Taken(directory()),
+            "give each front one of its own",
+        ),
+        (
+            CopiesError::Damaged {
+                directory: directory(),
+                error: "cut".into(),
+            },
+            "move it away",
+        ),
     ] {
         let text = unfit.to_string();
-        assert!(text.starts_with("ledger.directory /data: ") && text.contains(advice), "{text}");
+        assert!(
+            text.starts_with("ledger.directory /data: ") && text.contains(advice),
+            "{text}"
+        );
     }
 }
--- a/crates/front/src/fleet/errors.rs
+++ b/crates/front/src/fleet/errors.rs
@@ -7,7 +7,9 @@
 pub enum PeersError {
     #[error("gossip: secret_file: {file}: {why}; name a file that this front may read")]
     SecretFile { file: String, why: std::io::Error },
-    #[error("gossip: secret_file: {0}: holds no 64 hexadecimal digits; write this front's secret there")]
+    #[error(
+        "gossip: secret_file: {0}: holds no 64 hexadecimal digits; write this front's secret there"
+    )]
     Secret(String),
     #[error("gossip: listen: {at}: {why}; give the address of a free UDP port of this machine")]
     Listen { at: SocketAddr, why: std::io::Error },
@@ -35,14 +37,23 @@
     #[error(
         "directory: {directory}: {what}: {why}; give the front a directory that it may write, with room"
     )]
-    Disk { directory: String, what: &'static str, why: std::io::Error },
+    Disk {
+        directory: String,
+        what: &'static str,
+        why: std::io::Error,
+    },
     #[error("directory: {0}: another front has it; give each front one of its own")]
     Taken(String),
     #[error(
         "directory: {directory}: can't be locked: {why}; give the front a directory on a disk of its own"
     )]
-    Unlocked { directory: String, why: std::io::Error },
-    #[error("a thread for votes can't be started: {0}; see how many this user may have (ulimit -u)")]
+    Unlocked {
+        directory: String,
+        why: std::io::Error,
+    },
+    #[error(
+        "a thread for votes can't be started: {0}; see how many this user may have (ulimit -u)"
+    )]
     Thread(std::io::Error),
 }
 
@@ -55,7 +66,9 @@
     Wrong(#[from] hallmux_access::FileErrors),
     #[error("{0}: what_if: asks a question, and gives no rules to begin with; take it out")]
     Question(String),
-    #[error("rules: this front has others, but no `gossip.ledger` that keeps rules; name its members")]
+    #[error(
+        "rules: this front has others, but no `gossip.ledger` that keeps rules; name its members"
+    )]
     NoLedger,
     #[error("rules: {0}")]
     Ledger(#[from] hallmux_ledger::Error),
--- a/crates/front/src/fleet/errors_tests.rs
+++ b/crates/front/src/fleet/errors_tests.rs
@@ -9,23 +9,73 @@
     let at = SocketAddr::from(([127, 0, 0, 1], 9));
     let taken = || VotesError::Taken(directory());
     let texts = [
-        (PeersError::SecretFile { file: file(), why: io() }.to_string(), "gossip: secret_file: /f: "),
-        (PeersError::Secret(file()).to_string(), "gossip: secret_file: /f: "),
-        (PeersError::Listen { at, why: io() }.to_string(), "gossip: listen: 127.0.0.1:9: "),
-        (PeersError::system("too many").to_string(), "gossip: too many"),
-        (PeersError::from(taken()).to_string(), "gossip: ownership.directory: /d: "),
-        (PeersError::from(hallmux_ledger::Error::NoMembers).to_string(), "gossip: ledger: "),
-        (VotesError::Disk { directory: directory(), what: "w", why: io() }.to_string(), "directory: /d: w: "),
-        (VotesError::Unlocked { directory: directory(), why: io() }.to_string(), "directory: /d: "),
+        (
+            PeersError::SecretFile {
+                file: file(),
+                why: io(),
+            }
+            .to_string(),
+            "gossip: secret_file: /f: ",
+        ),
+        (
+            PeersError::Secret(file()).to_string(),
+            "gossip: secret_file: /f: ",
+        ),
+        (
+            PeersError::Listen { at, why: io() }.to_string(),
+            "gossip: listen: 127.0.0.1:9: ",
+        ),
+        (
+            PeersError::system("too many").to_string(),
+            "gossip: too many",
+        ),
+        (
+            PeersError::from(taken()).to_string(),
+            "gossip: ownership.directory: /d: ",
+        ),
+        (
+            PeersError::from(hallmux_ledger::Error::NoMembers).to_string(),
+            "gossip: ledger: ",
+        ),
+        (
+            VotesError::Disk {
+                directory: directory(),
+                what: "w",
+                why: io(),
+            }
+            .to_string(),
+            "directory: /d: w: ",
+        ),
+        (
+            VotesError::Unlocked {
+                directory: directory(),
+                why: io(),
+            }
+            .to_string(),
+            "directory: /d: ",
+        ),
         (VotesError::Thread(io()).to_string(), "a thread for votes "),
-        (RulesError::File { file: file(), why: io() }.to_string(), "rules.file: /f: "),
+        (
+            RulesError::File {
+                file: file(),
+                why: io(),
+            }
+            .to_string(),
+            "rules.file: /f: ",
+        ),
         (RulesError::Question(file()).to_string(), "/f: what_if: "),
         (RulesError::NoLedger.to_string(), "rules: "),
     ];
     for (text, place) in texts {
         let (wrong, remedy) = text.rsplit_once("; ").unwrap();
-        assert!(wrong.starts_with(place) && wrong.len() >= place.len() && remedy.len() > 8, "{text}");
-        assert!(text.matches("; ").count() == 1 && !text.contains('\n'), "{text}");
+        assert!(
+            wrong.starts_with(place) && wrong.len() >= place.len() && remedy.len() > 8,
+            "{text}"
+        );
+        assert!(
+            text.matches("; ").count() == 1 && !text.contains('\n'),
+            "{text}"
+        );
     }
 }
 
--- a/crates/front/src/fleet/faulty_disk.rs
+++ b/crates/front/src/fleet/faulty_disk.rs
@@ -14,10 +14,17 @@
 
 /// Opens the store's file, with the faults that `fault_file` names.
 pub fn open(file: &std::path::Path, fault_file: &str) -> Result<FaultyDisk, redb::DatabaseError> {
-    let opened =
-        std::fs::OpenOptions::new().read(true).write(true).create(true).truncate(false).open(file)?;
+    let opened = std::fs::OpenOptions::new()
+        .read(true)
+        .write(true)
+        .create(true)
+        .truncate(false)
+        .open(file)?;
     log::warn!("ledger.drill: what befalls the disk of copies is a drill's, from {fault_file}");
-    Ok(FaultyDisk { file: FileBackend::new(opened)?, fault_file: PathBuf::from(fault_file) })
+    Ok(FaultyDisk {
+        file: FileBackend::new(opened)?,
+        fault_file: PathBuf::from(fault_file),
+    })
 }
 
 #[derive(Debug)]
@@ -43,7 +50,10 @@
 
 /// Milliseconds that a sync takes longer, by an instruction of the file.
 fn slow_ms(instruction: &str) -> u64 {
-    let ms = instruction.trim().strip_prefix("slow ").and_then(|ms| ms.parse().ok());
+    let ms = instruction
+        .trim()
+        .strip_prefix("slow ")
+        .and_then(|ms| ms.parse().ok());
     ms.unwrap_or(0).min(MOST_MS)
 }
 
@@ -67,7 +77,8 @@
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> Io<()> {
-        self.check_space().and_then(|()| self.file.write(offset, data))
+        self.check_space()
+            .and_then(|()| self.file.write(offset, data))
     }
 
     fn close(&self) -> Io<()> {
--- a/crates/front/src/fleet/gate.rs
+++ b/crates/front/src/fleet/gate.rs
@@ -32,9 +32,18 @@
 
 impl Guard {
     /// Where there is a ledger; `now` is the Unix clock: this life's name.
-    pub fn new(settings: &Settings, now: Micros, shards: u16, dispatcher: &mut Dispatcher) -> Guard {
+    pub fn new(
+        settings: &Settings,
+        now: Micros,
+        shards: u16,
+        dispatcher: &mut Dispatcher,
+    ) -> Guard {
         let guard = gate::Guard::new(settings, now, shards, dispatcher);
-        Guard { guard, last_log: 0, refused: BTreeMap::new() }
+        Guard {
+            guard,
+            last_log: 0,
+            refused: BTreeMap::new(),
+        }
     }
 
     /// When something is due though nothing happens.
@@ -49,8 +58,23 @@
 
     /// An execution is ordered. True if it is held for now.
     pub fn hold(&mut self, now: Micros, dispatcher: &mut Dispatcher, ordered: &Ordered) -> bool {
-        let Ordered { ticket, execution, place, terms, .. } = *ordered;
-        self.guard.hold(now, dispatcher, OrderedExecution { ticket, execution, place, terms })
+        let Ordered {
+            ticket,
+            execution,
+            place,
+            terms,
+            ..
+        } = *ordered;
+        self.guard.hold(
+            now,
+            dispatcher,
+            OrderedExecution {
+                ticket,
+                execution,
+                place,
+                terms,
+            },
+        )
     }
 
     pub fn set_priority(&mut self, ticket: Ticket, priority: u8) {
@@ -74,7 +98,10 @@
         let rulings = self.guard.advance(now, dispatcher, peers, id);
         if self.guard.refused() != &self.refused && self.last_log + LOG_INTERVAL <= now {
             (self.last_log, self.refused) = (now, self.guard.refused().clone());
-            log::warn!("statements ended for want of a promise so far: {:?}", self.refused);
+            log::warn!(
+                "statements ended for want of a promise so far: {:?}",
+                self.refused
+            );
         }
         rulings
     }
--- a/crates/front/src/fleet/join.rs
+++ b/crates/front/src/fleet/join.rs
@@ -23,7 +23,11 @@
     socket: &UdpSocket,
 ) -> Result<Option<Votes>, PeersError> {
     let mut votes = None;
-    let voters: Vec<_> = ownership.voters.iter().map(|(key, at)| (peer_id(key), *at)).collect();
+    let voters: Vec<_> = ownership
+        .voters
+        .iter()
+        .map(|(key, at)| (peer_id(key), *at))
+        .collect();
     let own = peer_id(&exchange.public_key());
     let mut saved = None;
     if voters.iter().any(|(voter, _)| *voter == own) {
@@ -31,9 +35,21 @@
         let (opened, kept) = Votes::open(&ownership.directory, socket)?;
         (votes, saved) = (Some(opened), kept);
     }
-    let terms = Terms { length: ownership.lease, drift_ppm: ownership.drift_ppm };
-    let ownership = OwnershipConfig { fleet: ownership.fleet.clone(), voters, terms, saved };
-    let moment = Moment { now, steady: 0, wall_ms: (now / 1000) as u64 };
+    let terms = Terms {
+        length: ownership.lease,
+        drift_ppm: ownership.drift_ppm,
+    };
+    let ownership = OwnershipConfig {
+        fleet: ownership.fleet.clone(),
+        voters,
+        terms,
+        saved,
+    };
+    let moment = Moment {
+        now,
+        steady: 0,
+        wall_ms: (now / 1000) as u64,
+    };
     exchange.enable_ownership(moment, ownership)?;
     log::info!(
         "takes part in ownership of the fleet's work{}",
@@ -53,9 +69,16 @@
     let memory_on_disk_failure = ledger.on_disk_failure == OnDiskFailure::Memory;
     let mut copies = None;
     let own = peer_id(&exchange.public_key());
-    let moment = Moment { now, steady: 0, wall_ms: (now / 1000) as u64 };
+    let moment = Moment {
+        now,
+        steady: 0,
+        wall_ms: (now / 1000) as u64,
+    };
     let (mut setup, members) = setup(ledger, own, (now / 1000) as u64);
-    let keeps = ledger.members.iter().any(|member| peer_id(&member.key) == own);
+    let keeps = ledger
+        .members
+        .iter()
+        .any(|member| peer_id(&member.key) == own);
     let mut saved = None;
     if let Some(directory) = ledger.directory.as_ref().filter(|_| keeps) {
         let drill = ledger.disk_fault_file.as_deref();
@@ -87,7 +110,9 @@
 }
 
 /// What wakes the loop from the thread that writes copies.
-fn loop_waker(handle: &LoopHandle<'static, LoopEvents>) -> std::io::Result<impl Fn() + Send + 'static> {
+fn loop_waker(
+    handle: &LoopHandle<'static, LoopEvents>,
+) -> std::io::Result<impl Fn() + Send + 'static> {
     let (ping, source) = calloop::ping::make_ping()?;
     let told = handle.insert_source(source, |(), _, events: &mut LoopEvents| {
         events.ready.push(SocketKind::Peers.id(0));
--- a/crates/front/src/fleet/members.rs
+++ b/crates/front/src/fleet/members.rs
@@ -11,8 +11,15 @@
 
 /// The members that keep copies, and their addresses.
 pub fn members(ledger: &Ledger) -> (Vec<Member>, BTreeMap<PeerId, SocketAddr>) {
-    let member = |m: &hallmux_config::LedgerMember| Member { front: peer_id(&m.key), zone: m.zone.clone() };
-    let addresses = ledger.members.iter().map(|m| (peer_id(&m.key), m.at)).collect();
+    let member = |m: &hallmux_config::LedgerMember| Member {
+        front: peer_id(&m.key),
+        zone: m.zone.clone(),
+    };
+    let addresses = ledger
+        .members
+        .iter()
+        .map(|m| (peer_id(&m.key), m.at))
+        .collect();
     (ledger.members.iter().map(member).collect(), addresses)
 }
 
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -66,7 +66,11 @@
 }
 
 fn names(gossip: &Gossip) -> BTreeMap<PeerId, String> {
-    gossip.peers.iter().map(|(name, key)| (peer_id(key), name.clone())).collect()
+    gossip
+        .peers
+        .iter()
+        .map(|(name, key)| (peer_id(key), name.clone()))
+        .collect()
 }
 
 impl Peers {
@@ -80,7 +84,10 @@
         let secret = std::fs::read_to_string(&gossip.secret_file);
         let secret = secret.map_err(|why| PeersError::SecretFile { file: file(), why })?;
         let secret = parse_key(&secret).ok_or_else(|| PeersError::Secret(file()))?;
-        let unheard = |why| PeersError::Listen { at: gossip.listen, why };
+        let unheard = |why| PeersError::Listen {
+            at: gossip.listen,
+            why,
+        };
         let socket = transient::retry(|| UdpSocket::bind(gossip.listen)).map_err(unheard)?;
         socket.set_nonblocking(true).map_err(unheard)?;
         let socket = Rc::new(socket);
@@ -92,7 +99,12 @@
         });
         told.map_err(|e| PeersError::system(e.error))?;
         let told = gossip.advertise.unwrap_or(at);
-        let start = NodeConfig { secret, keys: keys(gossip), address: told, seeds: gossip.seeds.clone() };
+        let start = NodeConfig {
+            secret,
+            keys: keys(gossip),
+            address: told,
+            seeds: gossip.seeds.clone(),
+        };
         let mut exchange = Exchange::new(start, (now / 1000) as u64);
         if gossip.overload.is_some() {
             exchange.enable_load_reports();
@@ -107,9 +119,15 @@
             Some(ledger) => join_ledger(&mut exchange, ledger, now, &socket, handle)?,
             None => None,
         };
-        let memory_on_disk_failure =
-            gossip.ledger.as_ref().is_some_and(|l| l.on_disk_failure == OnDiskFailure::Memory);
-        let public: String = exchange.public_key().iter().map(|byte| format!("{byte:02x}")).collect();
+        let memory_on_disk_failure = gossip
+            .ledger
+            .as_ref()
+            .is_some_and(|l| l.on_disk_failure == OnDiskFailure::Memory);
+        let public: String = exchange
+            .public_key()
+            .iter()
+            .map(|byte| format!("{byte:02x}"))
+            .collect();
         log::info!(
             "talks with other fronts, {} keys count; its own is {public}, its address {at}",
             gossip.peers.len()
@@ -141,7 +159,10 @@
         self.exchange.set_keys(keys(gossip));
         if let Some(ledger) = gossip.ledger.as_ref().filter(|_| self.has_ledger) {
             let (members, addresses) = members(ledger);
-            if let Err(e) = self.exchange.set_ledger_members(self.moment(now), members, addresses) {
+            if let Err(e) = self
+                .exchange
+                .set_ledger_members(self.moment(now), members, addresses)
+            {
                 log::error!("gossip.ledger.members is left as it was: {e}");
             }
         }
@@ -172,7 +193,11 @@
 
     fn moment(&self, now: Micros) -> Moment {
         let steady = self.started.elapsed().as_micros() as Micros;
-        Moment { now, steady, wall_ms: (now / 1000) as u64 }
+        Moment {
+            now,
+            steady,
+            wall_ms: (now / 1000) as u64,
+        }
     }
 
     /// Messages that have come on a channel beside gossip; of a channel that nobody reads so many are kept.
@@ -189,14 +214,28 @@
     /// Sends such a message; what does not go out is as if it were lost on the way.
     pub fn send_message(&mut self, now: Micros, to: PeerId, channel: Channel, bytes: &[u8]) {
         let at = self.moment(now);
-        let datagrams = self.exchange.channel_datagram(at, to, channel, bytes).into_iter().collect();
-        self.send(now, Output { datagrams, ..Output::default() });
+        let datagrams = self
+            .exchange
+            .channel_datagram(at, to, channel, bytes)
+            .into_iter()
+            .collect();
+        self.send(
+            now,
+            Output {
+                datagrams,
+                ..Output::default()
+            },
+        );
     }
 
     /// The other fronts whose messages count.
     pub fn others(&self) -> Vec<PeerId> {
         let own = peer_id(&self.exchange.public_key());
-        self.names.keys().copied().filter(|peer| *peer != own).collect()
+        self.names
+            .keys()
+            .copied()
+            .filter(|peer| *peer != own)
+            .collect()
     }
 
     /// A number of this front's own, so that not all fronts begin with the same peer in what they send by turns.
@@ -206,7 +245,8 @@
 
     /// Whether a probe on behalf of the fleet may leave now.
     pub fn may_probe(&self) -> bool {
-        self.exchange.may_probe(self.started.elapsed().as_micros() as Micros)
+        self.exchange
+            .may_probe(self.started.elapsed().as_micros() as Micros)
     }
 
     /// What does not go out is as if it were lost on the way.
@@ -215,11 +255,22 @@
             let _ = self.socket.send_to(&bytes, to);
         }
         if let Some(votes) = &mut self.votes {
-            out.voter_saves.into_iter().for_each(|saved| votes.save(saved));
+            out.voter_saves
+                .into_iter()
+                .for_each(|saved| votes.save(saved));
         }
-        for LedgerSave { number, records, datagrams } in out.ledger_saves {
+        for LedgerSave {
+            number,
+            records,
+            datagrams,
+        } in out.ledger_saves
+        {
             if let Some(copies) = &mut self.copies {
-                copies.save(Write { number, records, datagrams });
+                copies.save(Write {
+                    number,
+                    records,
+                    datagrams,
+                });
                 continue;
             }
             // In memory alone a copy is as lasting as it gets.
@@ -233,7 +284,11 @@
 
     /// Applies writes of copies that have become durable, or have failed.
     fn apply_durable(&mut self, now: Micros) {
-        let durable = self.copies.as_ref().map(Copies::durable).unwrap_or_default();
+        let durable = self
+            .copies
+            .as_ref()
+            .map(Copies::durable)
+            .unwrap_or_default();
         for (number, ok) in durable {
             let at = self.moment(now);
             let out = self.exchange.ledger_saved(at, number, ok);
@@ -267,7 +322,8 @@
     /// Where a ledger is kept, this front by its key, and all fronts whose keys count.
     pub fn fleet(&self) -> Option<(PeerId, Vec<PeerId>)> {
         let own = peer_id(&self.exchange.public_key());
-        self.has_ledger.then(|| (own, self.names.keys().copied().collect()))
+        self.has_ledger
+            .then(|| (own, self.names.keys().copied().collect()))
     }
 
     /// Does what is due; the log says what is new, and what was refused.
@@ -275,14 +331,22 @@
         self.apply_durable(now);
         let before = self.exchange.fleet_size();
         let at = self.moment(now);
-        let (out, news) =
-            self.exchange.tick(at, dispatcher, &mut random_numbers(&self.random, &mut self.draws_made));
+        let (out, news) = self.exchange.tick(
+            at,
+            dispatcher,
+            &mut random_numbers(&self.random, &mut self.draws_made),
+        );
         self.send(now, out);
         let FleetSize { known, up } = self.exchange.fleet_size();
         if (FleetSize { known, up }) != before {
             log::debug!("{known} fronts are known, {up} of them up");
         }
-        for PeerReport { reporter, sighting: s, age } in news {
+        for PeerReport {
+            reporter,
+            sighting: s,
+            age,
+        } in news
+        {
             let name = self.names.get(&reporter).map_or("?", String::as_str);
             log::info!(
                 "front {name} says of engine {:016x}: {} failed, {} answered, silent for {} ms{}; {} ms ago",
@@ -305,14 +369,21 @@
             _ => {}
         }
         self.ownership = owns;
-        if self.exchange.refused_acts() != self.refused_acts && self.last_log + LOG_INTERVAL <= now {
+        if self.exchange.refused_acts() != self.refused_acts && self.last_log + LOG_INTERVAL <= now
+        {
             self.refused_acts = self.exchange.refused_acts();
-            log::warn!("words on the fleet's work that count for nothing so far: {:?}", self.refused_acts);
+            log::warn!(
+                "words on the fleet's work that count for nothing so far: {:?}",
+                self.refused_acts
+            );
         }
         let differences = self.exchange.differences();
         if differences != self.differences {
             self.differences = differences;
-            let Differences { found: others, repaired_here: here } = differences;
+            let Differences {
+                found: others,
+                repaired_here: here,
+            } = differences;
             log::warn!(
                 "ledger: {others} copies differed from the majority so far, {here} mended here; look at the disks"
             );
@@ -329,7 +400,10 @@
 
     /// What of the ledger depends on this front.
     pub fn ledger_duty(&self, now: Micros) -> LedgerDuty {
-        LedgerDuty::of(self.exchange.is_needed(self.moment(now)), self.exchange.hands_over())
+        LedgerDuty::of(
+            self.exchange.is_needed(self.moment(now)),
+            self.exchange.hands_over(),
+        )
     }
 
     /// This front ends: what it owns of the ledger is handed over, and some peers are notified, which notify the others.
@@ -337,14 +411,26 @@
         let out = self.exchange.hand_over(self.moment(now));
         self.send(now, out);
         let wall = (now / 1000) as u64;
-        let datagrams =
-            self.exchange.leave(now, wall, &mut random_numbers(&self.random, &mut self.draws_made));
-        self.send(now, Output { datagrams, ..Output::default() });
+        let datagrams = self.exchange.leave(
+            now,
+            wall,
+            &mut random_numbers(&self.random, &mut self.draws_made),
+        );
+        self.send(
+            now,
+            Output {
+                datagrams,
+                ..Output::default()
+            },
+        );
     }
 }
 
 /// Numbers that nobody can predict.
-fn random_numbers<'a>(random: &'a RandomState, draws_made: &'a mut u64) -> impl FnMut() -> u64 + 'a {
+fn random_numbers<'a>(
+    random: &'a RandomState,
+    draws_made: &'a mut u64,
+) -> impl FnMut() -> u64 + 'a {
     move || {
         *draws_made += 1;
         random.hash_one(*draws_made)
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -56,7 +56,11 @@
     /// Denied, and its hit stands: final, and it would be denied again.
     Deny(Ticket),
     /// It runs where the version adopted bars, or may not leave any more: final. `ran`: nothing is promised.
-    End { ticket: Ticket, ran: bool, again: bool },
+    End {
+        ticket: Ticket,
+        ran: bool,
+        again: bool,
+    },
 }
 
 struct Statement {
@@ -102,21 +106,41 @@
             fronts,
             region: rules.region.clone(),
             known,
-            terms: access::Terms { length: rules.lease, drift_ppm: rules.drift_ppm },
+            terms: access::Terms {
+                length: rules.lease,
+                drift_ppm: rules.drift_ppm,
+            },
             remembers: rules.remembers,
             first_number: ASK_NUMBERS,
         };
-        let member = Member { front: own.front, zone: String::new() };
+        let member = Member {
+            front: own.front,
+            zone: String::new(),
+        };
         let setup_alone = ledger::Setup {
             copies: 1,
             shards: 1,
-            ..ledger::Setup::new("alone", own.front, own.incarnation, own.incarnation | 1, vec![member])
+            ..ledger::Setup::new(
+                "alone",
+                own.front,
+                own.incarnation,
+                own.incarnation | 1,
+                vec![member],
+            )
+        };
+        let at = Moment {
+            steady: 0,
+            wall_ms: own.incarnation,
         };
-        let at = Moment { steady: 0, wall_ms: own.incarnation };
-        let alone = alone.then(|| Ledger::new(at, setup_alone, None)).transpose()?;
+        let alone = alone
+            .then(|| Ledger::new(at, setup_alone, None))
+            .transpose()?;
         let mut access = Access::new(setup);
         access.offer(&rules.file, &text, command);
-        log::info!("rules of customers hold; this front stands in {}", rules.region);
+        log::info!(
+            "rules of customers hold; this front stands in {}",
+            rules.region
+        );
         Ok(Rules {
             access,
             alone,
@@ -148,14 +172,21 @@
     }
 
     fn moment(&self, now: Micros) -> Moment {
-        Moment { steady: self.steady.elapsed().as_micros() as Micros, wall_ms: (now / 1000) as u64 }
+        Moment {
+            steady: self.steady.elapsed().as_micros() as Micros,
+            wall_ms: (now / 1000) as u64,
+        }
     }
 
     /// Judges a statement, once for all its tries.
     pub fn judge(&mut self, now: Micros, customer: &str, workload: &str, text: &[u8]) -> Decision {
         let groups = Some(tables::groups(text, MOST_GROUPS)).filter(|all| !all.is_empty());
         let groups = groups.or_else(|| session_control::reads_no_table(text).then(Vec::new));
-        let request = Request { customer: customer.to_string(), workload: workload.to_string(), groups };
+        let request = Request {
+            customer: customer.to_string(),
+            workload: workload.to_string(),
+            groups,
+        };
         let judged = self.access.judge(self.moment(now), request);
         if let Decision::Decided { verdict, .. } = &judged {
             if let Some(why) = &verdict.denied {
@@ -172,7 +203,9 @@
     /// The locations that are allowed to it; None: all. Of one that is denied nothing ever leaves.
     pub fn allowed(&self, judged: &Decision) -> Option<Vec<String>> {
         match judged {
-            Decision::Decided { verdict, .. } if verdict.denied.is_none() => self.access.locations(verdict),
+            Decision::Decided { verdict, .. } if verdict.denied.is_none() => {
+                self.access.locations(verdict)
+            }
             _ => None,
         }
     }
@@ -191,12 +224,23 @@
     }
 
     fn opened(&mut self, dispatcher: &mut Dispatcher, ticket: Ticket, judged: &Decision) {
-        if let Decision::Decided { statement, verdict, waits } = judged {
+        if let Decision::Decided {
+            statement,
+            verdict,
+            waits,
+        } = judged
+        {
             dispatcher.follow(ticket);
             let denied = verdict.denied.is_some();
             self.statements.insert(
                 *statement,
-                Statement { ticket, waits: *waits, denied, ran: false, held: Vec::new() },
+                Statement {
+                    ticket,
+                    waits: *waits,
+                    denied,
+                    ran: false,
+                    held: Vec::new(),
+                },
             );
             self.tickets.insert(ticket, *statement);
             if denied && !waits {
@@ -220,9 +264,18 @@
     }
 
     /// An execution is ordered. False if it waits here; then a ruling follows.
-    pub fn hold_or_pass(&mut self, now: Micros, dispatcher: &mut Dispatcher, ordered: Ordered) -> bool {
-        let Some(number) = self.tickets.get(&ordered.of).copied() else { return true };
-        let Some(s) = self.statements.get_mut(&number) else { return true };
+    pub fn hold_or_pass(
+        &mut self,
+        now: Micros,
+        dispatcher: &mut Dispatcher,
+        ordered: Ordered,
+    ) -> bool {
+        let Some(number) = self.tickets.get(&ordered.of).copied() else {
+            return true;
+        };
+        let Some(s) = self.statements.get_mut(&number) else {
+            return true;
+        };
         if s.waits || s.denied {
             s.held.push(ordered);
             dispatcher.waits(now, ordered.ticket, ordered.execution);
@@ -232,15 +285,32 @@
     }
 
     /// The last look before its first byte leaves. False if it may not: then its statement ends by a ruling.
-    pub fn check_leaving(&mut self, now: Micros, dispatcher: &mut Dispatcher, ordered: Ordered) -> bool {
-        let Some(number) = self.tickets.get(&ordered.of).copied() else { return true };
+    pub fn check_leaving(
+        &mut self,
+        now: Micros,
+        dispatcher: &mut Dispatcher,
+        ordered: Ordered,
+    ) -> bool {
+        let Some(number) = self.tickets.get(&ordered.of).copied() else {
+            return true;
+        };
         let at = self.moment(now);
         let location = dispatcher.site(ordered.place).location;
-        let location = self.access.known().locations.get(location).cloned().unwrap_or_default();
-        let may = self.access.may_send(at, number, place_of(ordered.id()), &location);
+        let location = self
+            .access
+            .known()
+            .locations
+            .get(location)
+            .cloned()
+            .unwrap_or_default();
+        let may = self
+            .access
+            .may_send(at, number, place_of(ordered.id()), &location);
         let closed = !self.access.version(at.steady).1;
         let limited = self.access.is_limited(number);
-        let Some(s) = self.statements.get_mut(&number) else { return true };
+        let Some(s) = self.statements.get_mut(&number) else {
+            return true;
+        };
         if may {
             s.ran = true;
             return true;
@@ -254,15 +324,27 @@
                 _ => "by the version that holds",
             }
         );
-        dispatcher.report(now, ordered.ticket, ordered.execution, Ending::Withdrawn, None);
-        self.rulings.push(Ruling::End { ticket: s.ticket, ran: s.ran, again: closed || limited });
+        dispatcher.report(
+            now,
+            ordered.ticket,
+            ordered.execution,
+            Ending::Withdrawn,
+            None,
+        );
+        self.rulings.push(Ruling::End {
+            ticket: s.ticket,
+            ran: s.ran,
+            again: closed || limited,
+        });
         false
     }
 
     /// Gives an execution up. True if it was held here: nothing of it has left.
     pub fn cancel(&mut self, of: Ticket, sent: ExecutionId) -> bool {
         let number = self.tickets.get(&of);
-        let Some(s) = number.and_then(|number| self.statements.get_mut(number)) else { return false };
+        let Some(s) = number.and_then(|number| self.statements.get_mut(number)) else {
+            return false;
+        };
         let before = s.held.len();
         s.held.retain(|held| held.id() != sent);
         s.held.len() < before
@@ -279,11 +361,22 @@
     pub fn due(&self, now: Micros) -> Micros {
         let steady = self.steady.elapsed().as_micros() as Micros;
         let ledger = self.alone.as_ref().map_or(Micros::MAX, Ledger::due);
-        let next = self.access.due(steady).min(ledger).min(self.next_log).max(steady);
+        let next = self
+            .access
+            .due(steady)
+            .min(ledger)
+            .min(self.next_log)
+            .max(steady);
         let holds = self.statements.values().any(|s| !s.held.is_empty());
         let holds = if holds { self.next_report } else { Micros::MAX };
-        let rulings = if self.rulings.is_empty() { Micros::MAX } else { now };
-        now.saturating_add(next.saturating_sub(steady)).min(holds).min(rulings)
+        let rulings = if self.rulings.is_empty() {
+            Micros::MAX
+        } else {
+            now
+        };
+        now.saturating_add(next.saturating_sub(steady))
+            .min(holds)
+            .min(rulings)
     }
 
     /// Does what is due: what becomes of statements.
@@ -306,17 +399,23 @@
             let mut done = Vec::new();
             match &mut self.alone {
                 Some(ledger) => {
-                    out.ledger_requests.into_iter().for_each(|ask| ledger.ask(at, ask));
+                    out.ledger_requests
+                        .into_iter()
+                        .for_each(|ask| ledger.ask(at, ask));
                     ledger.tick(at);
                     let told = ledger.take_output();
                     // Nothing is kept, and nobody else hears: what it saves is lasting as far as it goes.
-                    told.saves.iter().for_each(|save| ledger.saved(at, save.number, true));
+                    told.saves
+                        .iter()
+                        .for_each(|save| ledger.saved(at, save.number, true));
                     done.extend(told.done);
                     done.extend(ledger.take_output().done);
                 }
                 None => {
                     let Some(peers) = &mut peers else { break };
-                    out.ledger_requests.into_iter().for_each(|ask| peers.ask(now, ask));
+                    out.ledger_requests
+                        .into_iter()
+                        .for_each(|ask| peers.ask(now, ask));
                     done.extend(peers.ledger_answers(ASK_NUMBERS));
                 }
             }
@@ -347,7 +446,9 @@
     fn take(&mut self, at: Moment, out: &access::Output) {
         out.events.iter().for_each(log_lines::log_event);
         for number in &out.counted {
-            let Some(s) = self.statements.get_mut(number) else { continue };
+            let Some(s) = self.statements.get_mut(number) else {
+                continue;
+            };
             s.waits = false;
             match s.denied {
                 true => self.rulings.push(Ruling::Deny(s.ticket)),
@@ -355,12 +456,24 @@
             }
         }
         for number in &out.over_limit {
-            let Some(s) = self.statements.get(number) else { continue };
-            self.rulings.push(Ruling::End { ticket: s.ticket, ran: false, again: true });
+            let Some(s) = self.statements.get(number) else {
+                continue;
+            };
+            self.rulings.push(Ruling::End {
+                ticket: s.ticket,
+                ran: false,
+                again: true,
+            });
         }
         for number in &out.revoked {
-            let Some(s) = self.statements.get(number) else { continue };
-            self.rulings.push(Ruling::End { ticket: s.ticket, ran: true, again: false });
+            let Some(s) = self.statements.get(number) else {
+                continue;
+            };
+            self.rulings.push(Ruling::End {
+                ticket: s.ticket,
+                ran: true,
+                again: false,
+            });
         }
         if self.ended != self.access.revoked_count {
             let more = self.access.revoked_count - self.ended;
--- a/crates/front/src/fleet/rules/file.rs
+++ b/crates/front/src/fleet/rules/file.rs
@@ -11,11 +11,21 @@
 
 pub(super) fn known(rules: &hallmux_config::Rules, settings: &Settings) -> KnownNames {
     let names = &settings.names;
-    let workloads = names.workloads.iter().zip(&settings.agreement.workloads).map(|(name, w)| {
-        let named =
-            |all: &Vec<usize>| all.iter().filter_map(|at| names.locations.get(*at).cloned()).collect();
-        access::WorkloadLocations { name: name.clone(), locations: w.locations.as_ref().map(named) }
-    });
+    let workloads = names
+        .workloads
+        .iter()
+        .zip(&settings.agreement.workloads)
+        .map(|(name, w)| {
+            let named = |all: &Vec<usize>| {
+                all.iter()
+                    .filter_map(|at| names.locations.get(*at).cloned())
+                    .collect()
+            };
+            access::WorkloadLocations {
+                name: name.clone(),
+                locations: w.locations.as_ref().map(named),
+            }
+        });
     KnownNames {
         customers: names.customers.clone(),
         workloads: workloads.collect(),
@@ -28,14 +38,23 @@
 /// Reads the file of rules; all its faults at once.
 pub(super) fn read(file: &str, known: &KnownNames) -> Result<(String, RulesCommand), RulesError> {
     let text = std::fs::read_to_string(file);
-    let text = text.map_err(|why| RulesError::File { file: file.to_string(), why })?;
+    let text = text.map_err(|why| RulesError::File {
+        file: file.to_string(),
+        why,
+    })?;
     let command = access::read(file, &text, known, &|path| line_of(&text, path))?;
     Ok((text, command))
 }
 
 /// Switched on by the operator's file.
-pub fn start(config: &NodeConfig, now: Micros, peers: Option<&Peers>) -> Result<Option<Shared>, RulesError> {
-    let Some(rules) = &config.operator.rules else { return Ok(None) };
+pub fn start(
+    config: &NodeConfig,
+    now: Micros,
+    peers: Option<&Peers>,
+) -> Result<Option<Shared>, RulesError> {
+    let Some(rules) = &config.operator.rules else {
+        return Ok(None);
+    };
     let incarnation = (now / 1000) as u64;
     let (front, fronts) = match peers.map(Peers::fleet) {
         None => (1, vec![1]),
--- a/crates/front/src/fleet/rules/log_lines.rs
+++ b/crates/front/src/fleet/rules/log_lines.rs
@@ -8,17 +8,32 @@
 impl Rules {
     /// A line for each row of the fleet's count, where it has changed.
     pub(super) fn log_hits(&mut self, at: Moment, fleet: &FleetHits) {
-        let same =
-            self.logged_hits.as_ref().is_some_and(|t| t.counts == fleet.counts && t.missing == fleet.missing);
+        let same = self
+            .logged_hits
+            .as_ref()
+            .is_some_and(|t| t.counts == fleet.counts && t.missing == fleet.missing);
         if same || fleet.counts.is_empty() && fleet.missing.is_empty() {
             return;
         }
         let old = fleet.as_of.map_or(0, |as_of| (at.steady - as_of) / 1000);
-        let missing: Vec<String> = fleet.missing.iter().map(|front| format!("{front:016x}")).collect();
-        let missing = if missing.is_empty() { "none".to_string() } else { missing.join(", ") };
+        let missing: Vec<String> = fleet
+            .missing
+            .iter()
+            .map(|front| format!("{front:016x}"))
+            .collect();
+        let missing = if missing.is_empty() {
+            "none".to_string()
+        } else {
+            missing.join(", ")
+        };
         log::info!("the fleet's hits, at most {old} ms old; fronts that are missing: {missing}");
         for (hit, count) in &fleet.counts {
-            log::info!("hits of rule {} by customer {} in {}: {count}", hit.rule, hit.customer, hit.region);
+            log::info!(
+                "hits of rule {} by customer {} in {}: {count}",
+                hit.rule,
+                hit.customer,
+                hit.region
+            );
         }
         self.logged_hits = Some(fleet.clone());
     }
@@ -28,7 +43,9 @@
         let limited = self.access.limited().clone();
         for (rule, count) in &limited {
             if self.logged_limits.get(rule) != Some(count) {
-                log::info!("statements beyond the limit of rule {rule} at this front so far: {count}");
+                log::info!(
+                    "statements beyond the limit of rule {rule} at this front so far: {count}"
+                );
             }
         }
         self.logged_limits = limited;
@@ -39,7 +56,14 @@
 
 /// What a set would decide otherwise than the one that holds.
 pub fn what_if(found: &WhatIfReport) {
-    let WhatIfReport { held, version, back, statements, unknown, changes } = found;
+    let WhatIfReport {
+        held,
+        version,
+        back,
+        statements,
+        unknown,
+        changes,
+    } = found;
     let otherwise: u64 = changes.values().sum();
     let minutes = back / 60_000_000;
     log::info!(
@@ -56,7 +80,10 @@
         );
     }
     if changes.len() > MOST_SHOWN {
-        log::info!("what if version {version} held: {} more kinds of change", changes.len() - MOST_SHOWN);
+        log::info!(
+            "what if version {version} held: {} more kinds of change",
+            changes.len() - MOST_SHOWN
+        );
     }
     if *unknown > 0 {
         log::warn!("of {unknown} more statements the kinds were not recorded: there are too many kinds of statements");
@@ -64,10 +91,18 @@
 }
 
 fn permission_text(permission: &Permission) -> String {
-    let Permission::Allowed { locations, limits } = permission else { return "denied".to_string() };
-    let at = locations.as_ref().map_or("anywhere".to_string(), |at| format!("at {}", at.join(", ")));
-    let limit = |l: &hallmux_access::Limit| format!(", at most {} in {} ms", l.most, l.window / 1000);
-    format!("let through {at}{}", limits.iter().map(limit).collect::<String>())
+    let Permission::Allowed { locations, limits } = permission else {
+        return "denied".to_string();
+    };
+    let at = locations
+        .as_ref()
+        .map_or("anywhere".to_string(), |at| format!("at {}", at.join(", ")));
+    let limit =
+        |l: &hallmux_access::Limit| format!(", at most {} in {} ms", l.most, l.window / 1000);
+    format!(
+        "let through {at}{}",
+        limits.iter().map(limit).collect::<String>()
+    )
 }
 
 /// One line for each event.
--- a/crates/front/src/fleet/votes.rs
+++ b/crates/front/src/fleet/votes.rs
@@ -24,18 +24,28 @@
 
 impl Votes {
     /// Opens the directory: what was saved there, if anything.
-    pub fn open(directory: &str, socket: UdpSocket) -> Result<(Votes, Option<Vec<u8>>), VotesError> {
+    pub fn open(
+        directory: &str,
+        socket: UdpSocket,
+    ) -> Result<(Votes, Option<Vec<u8>>), VotesError> {
         let name = directory.to_string();
         let directory = PathBuf::from(directory);
         let disk_error = |what| {
             let directory = name.clone();
-            move |why| VotesError::Disk { directory, what, why }
+            move |why| VotesError::Disk {
+                directory,
+                what,
+                why,
+            }
         };
         std::fs::create_dir_all(&directory).map_err(disk_error("can't be made"))?;
         let lock = File::create(directory.join("lock")).map_err(disk_error("can't be written"))?;
         lock.try_lock().map_err(|why| match why {
             TryLockError::WouldBlock => VotesError::Taken(name.clone()),
-            TryLockError::Error(why) => VotesError::Unlocked { directory: name.clone(), why },
+            TryLockError::Error(why) => VotesError::Unlocked {
+                directory: name.clone(),
+                why,
+            },
         })?;
         let saved = match std::fs::read(directory.join(FILE)) {
             Ok(saved) => Some(saved),
@@ -48,15 +58,27 @@
             .spawn(move || {
                 for VoterSave { bytes, datagrams } in to_write {
                     if let Err(e) = bytes.map_or(Ok(()), |bytes| write(&directory, &bytes)) {
-                        log::error!("{}: {e}; this front votes no more in this life", directory.display());
+                        log::error!(
+                            "{}: {e}; this front votes no more in this life",
+                            directory.display()
+                        );
                         return;
                     }
                     // What does not go out is as if it were lost on the way.
-                    datagrams.iter().for_each(|d| _ = socket.send_to(&d.bytes, d.to));
+                    datagrams
+                        .iter()
+                        .for_each(|d| _ = socket.send_to(&d.bytes, d.to));
                 }
             })
             .map_err(VotesError::Thread)?;
-        Ok((Votes { writes, silent: false, _lock: lock }, saved))
+        Ok((
+            Votes {
+                writes,
+                silent: false,
+                _lock: lock,
+            },
+            saved,
+        ))
     }
 
     /// Queues a write; its datagrams are sent once it is durable.
@@ -67,7 +89,9 @@
         if let Err(e) = self.writes.try_send(saved) {
             self.silent = true;
             if matches!(e, TrySendError::Full(_)) {
-                log::error!("the disk is too slow for votes; this front votes no more in this life");
+                log::error!(
+                    "the disk is too slow for votes; this front votes no more in this life"
+                );
             }
         }
     }
--- a/crates/front/src/fleet/votes_tests.rs
+++ b/crates/front/src/fleet/votes_tests.rs
@@ -9,13 +9,24 @@
     let directory = folder.display().to_string();
     let socket = || UdpSocket::bind("127.0.0.1:0").unwrap();
     let hears = socket();
-    hears.set_read_timeout(Some(std::time::Duration::from_secs(10))).unwrap();
+    hears
+        .set_read_timeout(Some(std::time::Duration::from_secs(10)))
+        .unwrap();
     let (mut votes, before) = Votes::open(&directory, socket()).unwrap();
     assert_eq!(before, None);
     let second = Votes::open(&directory, socket()).err().unwrap();
-    assert!(matches!(&second, VotesError::Taken(at) if *at == directory), "{second}");
-    let datagrams = vec![Datagram { to: hears.local_addr().unwrap(), bytes: b"word".to_vec() }];
-    votes.save(VoterSave { bytes: Some(b"state".to_vec()), datagrams });
+    assert!(
+        matches!(&second, VotesError::Taken(at) if *at == directory),
+        "{second}"
+    );
+    let datagrams = vec![Datagram {
+        to: hears.local_addr().unwrap(),
+        bytes: b"word".to_vec(),
+    }];
+    votes.save(VoterSave {
+        bytes: Some(b"state".to_vec()),
+        datagrams,
+    });
     let mut word = [0; 8];
     assert_eq!(hears.recv(&mut word).unwrap(), 4);
     assert_eq!(std::fs::read(folder.join(FILE)).unwrap(), b"state");
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -69,7 +69,13 @@
 
 /// No client waits longer than that for an answer.
 fn longest_timeout(settings: &Settings) -> Micros {
-    settings.agreement.workloads.iter().map(|workload| workload.statement_timeout).max().unwrap_or(0)
+    settings
+        .agreement
+        .workloads
+        .iter()
+        .map(|workload| workload.statement_timeout)
+        .max()
+        .unwrap_or(0)
 }
 
 impl Front {
@@ -86,17 +92,22 @@
         let mut clock = clock.map_err(part)?;
         clock.refresh();
         let gossip = config.operator.gossip.as_ref();
-        let peers = gossip.map(|gossip| Peers::new(gossip, clock.now, &handle)).transpose()?;
+        let peers = gossip
+            .map(|gossip| Peers::new(gossip, clock.now, &handle))
+            .transpose()?;
         let rules = rules::start(config, clock.now, peers.as_ref())?;
         let open = |postgres| Gateway::new(postgres, settings, handle.clone(), rules.clone());
         let mut gateway = gateway.map(open).transpose().map_err(part)?;
         let spread_offset = peers.as_ref().map_or(0, Peers::spread_offset);
         let scatter = config.operator.scatter.as_ref();
-        if let Some((gateway, scatter)) = gateway.as_mut().zip(scatter.filter(|scatter| scatter.marked)) {
+        if let Some((gateway, scatter)) = gateway
+            .as_mut()
+            .zip(scatter.filter(|scatter| scatter.marked))
+        {
             gateway.writes = scatter.writes.clone();
         }
-        let scatter =
-            scatter.map(|scatter| ScatteredStatements::new(scatter, clock.now, spread_offset, settings));
+        let scatter = scatter
+            .map(|scatter| ScatteredStatements::new(scatter, clock.now, spread_offset, settings));
         let scatter = scatter.transpose().map_err(part)?;
         let mut front = Front {
             listener: Listener::new(listener, &handle, SocketKind::Listener.id(0)).map_err(part)?,
@@ -106,7 +117,10 @@
             max_bytes: 0,
             max_clients: 0,
             memory_full: false,
-            clients: Clients::new(settings.agreement.longest_retry_after, longest_timeout(settings)),
+            clients: Clients::new(
+                settings.agreement.longest_retry_after,
+                longest_timeout(settings),
+            ),
             engines: Engines::new(handle.clone(), settings.network.clone(), &settings.names),
             engine_starts: EngineStarts::default(),
             coordinator: Coordinator::new(handle.clone(), config.coordinator, known.index),
@@ -126,9 +140,19 @@
         if let Some(gateway) = &mut front.gateway {
             gateway.servers().dials = front.engines.dials.clone();
         }
-        if let Some(ledger) = config.operator.gossip.as_ref().and_then(|gossip| gossip.ledger.as_ref()) {
+        if let Some(ledger) = config
+            .operator
+            .gossip
+            .as_ref()
+            .and_then(|gossip| gossip.ledger.as_ref())
+        {
             let now = front.clock.now;
-            front.guard = Some(Guard::new(settings, now, ledger.shards, &mut front.dispatcher));
+            front.guard = Some(Guard::new(
+                settings,
+                now,
+                ledger.shards,
+                &mut front.dispatcher,
+            ));
         }
         front.limit(&config.limits);
         front.apply_list(known, 0);
@@ -139,19 +163,30 @@
     pub fn idle(&mut self) -> Duration {
         self.clock.refresh();
         let due = [
-            if self.unfinished.is_empty() && !self.stale { Micros::MAX } else { 0 },
+            if self.unfinished.is_empty() && !self.stale {
+                Micros::MAX
+            } else {
+                0
+            },
             self.dispatcher.wake(),
             self.engines.due(),
             self.coordinator.due(),
             self.listener.due(),
             self.shutdown.due(self.clock.now),
             self.gateway.as_ref().map_or(Micros::MAX, Gateway::due),
-            self.peers.as_ref().map_or(Micros::MAX, |peers| peers.due(self.clock.now)),
+            self.peers
+                .as_ref()
+                .map_or(Micros::MAX, |peers| peers.due(self.clock.now)),
             self.guard.as_ref().map_or(Micros::MAX, Guard::due),
-            self.rules.as_ref().map_or(Micros::MAX, |rules| rules.borrow().due(self.clock.now)),
-            self.scatter.as_ref().map_or(Micros::MAX, |scatter| scatter.due(self.peers.is_some())),
+            self.rules
+                .as_ref()
+                .map_or(Micros::MAX, |rules| rules.borrow().due(self.clock.now)),
+            self.scatter
+                .as_ref()
+                .map_or(Micros::MAX, |scatter| scatter.due(self.peers.is_some())),
         ];
-        self.clock.sleep(due.into_iter().min().unwrap_or(self.clock.now))
+        self.clock
+            .sleep(due.into_iter().min().unwrap_or(self.clock.now))
     }
 
     /// A connection has changed: takes what is there.
@@ -175,11 +210,19 @@
                 }
                 false
             }
-            SocketKind::Peers => self.peers.as_mut().is_some_and(|peers| peers.read(self.clock.now)),
-            SocketKind::SessionListener | SocketKind::Session | SocketKind::Server | SocketKind::Cancel => {
+            SocketKind::Peers => self
+                .peers
+                .as_mut()
+                .is_some_and(|peers| peers.read(self.clock.now)),
+            SocketKind::SessionListener
+            | SocketKind::Session
+            | SocketKind::Server
+            | SocketKind::Cancel => {
                 let (now, room) = (self.clock.now, self.room());
                 let gateway = self.gateway.as_mut();
-                gateway.is_some_and(|gateway| gateway.socket_ready(now, socket, room, &mut self.dispatcher))
+                gateway.is_some_and(|gateway| {
+                    gateway.socket_ready(now, socket, room, &mut self.dispatcher)
+                })
             }
         };
         if more {
@@ -209,7 +252,9 @@
         self.accept();
         let room = self.room();
         if let Some(gateway) = &mut self.gateway {
-            let room_left = self.max_clients.saturating_sub(self.clients.len() + gateway.len());
+            let room_left = self
+                .max_clients
+                .saturating_sub(self.clients.len() + gateway.len());
             gateway.accept(self.clock.now, room_left);
             gateway.take(self.clock.now, room, &mut self.dispatcher);
             gateway.expire(self.clock.now, room, &mut self.dispatcher);
@@ -285,12 +330,17 @@
                 return;
             }
             if self.listener.close() {
-                log::info!("no more connections are taken; {} clients are connected", self.clients.len());
+                log::info!(
+                    "no more connections are taken; {} clients are connected",
+                    self.clients.len()
+                );
             }
             self.clients.close_idle(self.clock.now);
             let room = self.room();
             if let Some(gateway) = &mut self.gateway {
-                let sessions_left = self.max_clients.saturating_sub(self.clients.len() + gateway.len());
+                let sessions_left = self
+                    .max_clients
+                    .saturating_sub(self.clients.len() + gateway.len());
                 gateway.close(self.clock.now, room, sessions_left, &mut self.dispatcher);
             }
         }
@@ -317,15 +367,21 @@
 
     fn send_out(&mut self) {
         self.engines.flush(self.clock.now);
-        self.gateway.iter_mut().for_each(|gateway| gateway.flush_servers(self.clock.now));
+        self.gateway
+            .iter_mut()
+            .for_each(|gateway| gateway.flush_servers(self.clock.now));
     }
 
     /// The end was asked for.
     pub fn shut_down(&mut self) {
         self.clock.refresh();
         self.shutdown.request(self.clock.now);
-        self.peers.iter_mut().for_each(|peers| peers.leave(self.clock.now));
-        self.scatter.iter().for_each(|scatter| scatter.summaries.save());
+        self.peers
+            .iter_mut()
+            .for_each(|peers| peers.leave(self.clock.now));
+        self.scatter
+            .iter()
+            .for_each(|scatter| scatter.summaries.save());
     }
 
     /// Whether all is answered after the end was asked for.
@@ -346,15 +402,20 @@
                 let free = clients.len() + sessions < most
                     || gateway.as_mut().is_some_and(Gateway::drop_lingering)
                     || clients.evict_idle()
-                    || gateway.as_mut().is_some_and(|gateway| gateway.evict_idle(now));
+                    || gateway
+                        .as_mut()
+                        .is_some_and(|gateway| gateway.evict_idle(now));
                 free.then_some(())
                     .ok_or_else(|| format!("{} clients are connected", clients.len() + sessions))
             };
-            let Some(stream) = self.listener.accept(now, reserve) else { return };
+            let Some(stream) = self.listener.accept(now, reserve) else {
+                return;
+            };
             let id = self.clients.next_id();
             match Link::new(stream, &self.handle, SocketKind::Client.id(id)) {
                 Ok(link) => {
-                    self.clients.accept(now, id, link, self.listener.waited(now));
+                    self.clients
+                        .accept(now, id, link, self.listener.waited(now));
                     self.ready(SocketKind::Client.id(id));
                 }
                 Err(e) => log::warn!("a client's connection can't be served: {e}"),
--- a/crates/front/src/front/admission.rs
+++ b/crates/front/src/front/admission.rs
@@ -12,7 +12,12 @@
 impl Front {
     pub(super) fn read_client(&mut self, id: ClientId) -> bool {
         let mut events = Vec::new();
-        let more = self.clients.read(self.clock.now, id, !self.shutdown.is_requested(), &mut events);
+        let more = self.clients.read(
+            self.clock.now,
+            id,
+            !self.shutdown.is_requested(),
+            &mut events,
+        );
         self.handle_client_events(events);
         more
     }
@@ -20,7 +25,12 @@
     pub(super) fn handle_client_events(&mut self, events: Vec<clients::Event>) {
         for event in events {
             match event {
-                clients::Event::Statement { client, number, call, unread_for } => {
+                clients::Event::Statement {
+                    client,
+                    number,
+                    call,
+                    unread_for,
+                } => {
                     let mut ended = Vec::new();
                     self.admit(client, number, *call, unread_for, &mut ended);
                     self.handle_client_events(ended);
@@ -36,19 +46,32 @@
 
     /// Nobody waits for a statement any more: its executions are cancelled.
     pub(super) fn abandon(&mut self, ticket: Ticket) {
-        let mut tickets = self.scatter.as_ref().map_or(Vec::new(), |scatter| scatter.parts_of(ticket));
+        let mut tickets = self
+            .scatter
+            .as_ref()
+            .map_or(Vec::new(), |scatter| scatter.parts_of(ticket));
         tickets.push(ticket);
         // What waits for a connection is not sent any more, also where cancelling is not allowed.
-        tickets.iter().for_each(|ticket| self.engines.abandon(*ticket));
+        tickets
+            .iter()
+            .for_each(|ticket| self.engines.abandon(*ticket));
         let withdrawn = self.withdraw_all_held(&tickets);
         let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
-        match self.scatter.as_mut().is_some_and(|scatter| scatter.abandon(now, ticket, dispatcher)) {
-            true => self.rules.iter().for_each(|rules| rules.borrow_mut().statement_over(ticket)),
+        match self
+            .scatter
+            .as_mut()
+            .is_some_and(|scatter| scatter.abandon(now, ticket, dispatcher))
+        {
+            true => self
+                .rules
+                .iter()
+                .for_each(|rules| rules.borrow_mut().statement_over(ticket)),
             false => self.dispatcher.left(now, ticket),
         }
         // The statement is over first: else it could be tried anew.
         for sent in withdrawn {
-            self.dispatcher.report(now, sent.ticket, sent.number, Ending::Withdrawn, None);
+            self.dispatcher
+                .report(now, sent.ticket, sent.number, Ending::Withdrawn, None);
         }
     }
 
@@ -87,9 +110,15 @@
         if self.shutdown.rejects() {
             return self.clients.reject(client, number);
         }
-        if self.scatter.as_ref().is_some_and(|scatter| scatter.passes_for_numbered(&call)) {
+        if self
+            .scatter
+            .as_ref()
+            .is_some_and(|scatter| scatter.passes_for_numbered(&call))
+        {
             let why = "its text begins as fronts number loads: leave that comment out";
-            return self.clients.reply(client, number, &Reply::Refused(&[("reason", why)]));
+            return self
+                .clients
+                .reply(client, number, &Reply::Refused(&[("reason", why)]));
         }
         if self.is_full() {
             return self.clients.reject(client, number);
@@ -100,22 +129,40 @@
         // Guards against a deadline beyond the client's: its time has run on while the statement lay unread.
         let time_left = time_left - self.clock.waited().max(unread_for);
         let judged = self.rules.as_ref().map(|rules| {
-            rules.borrow_mut().judge(self.clock.now, &call.customer, &call.workload, &call.statement)
+            rules.borrow_mut().judge(
+                self.clock.now,
+                &call.customer,
+                &call.workload,
+                &call.statement,
+            )
         });
         let judged = judged.unwrap_or(Decision::Unrestricted);
         if judged == Decision::RulesUnknown {
             return self.clients.reject(client, number);
         }
-        let allowed = self.rules.as_ref().and_then(|rules| rules.borrow().allowed(&judged));
+        let allowed = self
+            .rules
+            .as_ref()
+            .and_then(|rules| rules.borrow().allowed(&judged));
         // What is denied is never asked of anybody.
         let scattered = match judged.is_denied() {
             true => Some((call, None)),
             false => self.scatter(client, number, call, time_left, allowed.clone(), &judged),
         };
-        let Some((call, whole_site)) = scattered else { return };
-        let within = |site: &String| allowed.as_ref().is_none_or(|allowed| allowed.contains(site));
+        let Some((call, whole_site)) = scattered else {
+            return;
+        };
+        let within = |site: &String| {
+            allowed
+                .as_ref()
+                .is_none_or(|allowed| allowed.contains(site))
+        };
         let allowed = match whole_site {
-            Some(site) => Some(if within(&site) { vec![site] } else { Vec::new() }),
+            Some(site) => Some(if within(&site) {
+                vec![site]
+            } else {
+                Vec::new()
+            }),
             None => allowed,
         };
         self.pick(client, number, call, time_left, allowed, &judged);
@@ -128,7 +175,11 @@
             log::warn!(
                 "statements held take {} bytes; {}",
                 self.clients.held_bytes(),
-                if full { "more are rejected" } else { "taken again" }
+                if full {
+                    "more are rejected"
+                } else {
+                    "taken again"
+                }
             );
         }
         full || self.dispatcher.held() >= self.max_statements
@@ -144,8 +195,9 @@
         allowed: Option<Vec<String>>,
         judged: &Decision,
     ) {
-        let allowed: Option<Vec<&str>> =
-            allowed.as_ref().map(|names| names.iter().map(String::as_str).collect());
+        let allowed: Option<Vec<&str>> = allowed
+            .as_ref()
+            .map(|names| names.iter().map(String::as_str).collect());
         let ask = Ask {
             workload: &call.workload,
             customer: &call.customer,
@@ -161,16 +213,33 @@
         };
         let picked = self.dispatcher.pick(self.clock.now, &ask);
         if let Some(rules) = &self.rules {
-            rules.borrow_mut().statement_picked(&mut self.dispatcher, judged, picked.ok());
+            rules
+                .borrow_mut()
+                .statement_picked(&mut self.dispatcher, judged, picked.ok());
         }
         match picked {
             Ok(ticket) => self.clients.open(client, number, ticket, call),
             Err(Unfit::Barred) => {
-                self.clients.reply(client, number, &Reply::Rejected { retry_after_ms: None });
+                self.clients.reply(
+                    client,
+                    number,
+                    &Reply::Rejected {
+                        retry_after_ms: None,
+                    },
+                );
+            }
+            Err(Unfit::Workload) => {
+                self.clients
+                    .answer_unusable(client, number, statement::WORKLOAD)
+            }
+            Err(Unfit::DedupKey) => {
+                self.clients
+                    .answer_unusable(client, number, statement::DEDUP_KEY)
+            }
+            Err(Unfit::Customer) => {
+                self.clients
+                    .answer_unusable(client, number, statement::CUSTOMER)
             }
-            Err(Unfit::Workload) => self.clients.answer_unusable(client, number, statement::WORKLOAD),
-            Err(Unfit::DedupKey) => self.clients.answer_unusable(client, number, statement::DEDUP_KEY),
-            Err(Unfit::Customer) => self.clients.answer_unusable(client, number, statement::CUSTOMER),
         }
     }
 }
--- a/crates/front/src/front/configuration.rs
+++ b/crates/front/src/front/configuration.rs
@@ -17,19 +17,26 @@
         match read {
             Ok(config) => {
                 self.limit(&config.limits);
-                if let Some((peers, gossip)) = self.peers.as_mut().zip(config.operator.gossip.as_ref()) {
+                if let Some((peers, gossip)) =
+                    self.peers.as_mut().zip(config.operator.gossip.as_ref())
+                {
                     peers.reload(self.clock.now, gossip);
                 }
-                if let Some((rules, read)) = self.rules.as_ref().zip(config.operator.rules.as_ref()) {
+                if let Some((rules, read)) = self.rules.as_ref().zip(config.operator.rules.as_ref())
+                {
                     rules.borrow_mut().reload(self.clock.now, read);
                 }
-                if let Some((scatter, settings)) = self.scatter.as_mut().zip(config.operator.scatter.as_ref())
+                if let Some((scatter, settings)) =
+                    self.scatter.as_mut().zip(config.operator.scatter.as_ref())
                 {
                     scatter.reload(settings, self.clock.now);
                 }
                 self.apply_known_list(&config.known_events);
-                self.coordinator.set_address(self.clock.now, config.coordinator);
-                let at = config.coordinator.map_or("none".to_string(), |at| at.to_string());
+                self.coordinator
+                    .set_address(self.clock.now, config.coordinator);
+                let at = config
+                    .coordinator
+                    .map_or("none".to_string(), |at| at.to_string());
                 log::info!("the configuration was read again; coordinator: {at}");
             }
             Err(why) => log::error!("the configuration is left as it was: {why}"),
--- a/crates/front/src/front/dial_capacity.rs
+++ b/crates/front/src/front/dial_capacity.rs
@@ -24,7 +24,9 @@
         }
         let (now, engines, gateway) = (self.clock.now, &self.engines, &mut self.gateway);
         self.rooms.report(now, &mut self.dispatcher, |place| {
-            let sessions = gateway.as_mut().map_or(0, |gateway| gateway.servers().capacity(now, place));
+            let sessions = gateway
+                .as_mut()
+                .map_or(0, |gateway| gateway.servers().capacity(now, place));
             engines.capacity(now, place) + sessions
         });
     }
--- a/crates/front/src/front/dispatch.rs
+++ b/crates/front/src/front/dispatch.rs
@@ -22,7 +22,11 @@
         for event in std::mem::take(&mut self.engines.events) {
             match event {
                 engines::Event::Ended {
-                    sent: ExecutionId { ticket, number: execution },
+                    sent:
+                        ExecutionId {
+                            ticket,
+                            number: execution,
+                        },
                     ending,
                     report,
 
@@ -30,18 +34,34 @@
                 } => {
                     let of = self.statement_for_rules(ticket);
                     self.rules.iter().for_each(|rules| {
-                        rules.borrow_mut().execution_ended(of, ExecutionId::new(ticket, execution))
+                        rules
+                            .borrow_mut()
+                            .execution_ended(of, ExecutionId::new(ticket, execution))
                     });
-                    if self.dispatcher.report(self.clock.now, ticket, execution, ending, report)
+                    if self
+                        .dispatcher
+                        .report(self.clock.now, ticket, execution, ending, report)
                         && !self.end_part(ticket, Ok(&result))
                     {
-                        self.clients.answer(self.clock.now, ticket, &Reply::Completed(&result));
+                        self.clients
+                            .answer(self.clock.now, ticket, &Reply::Completed(&result));
                     }
                 }
-                engines::Event::Noted { sent: ExecutionId { ticket, number: execution }, note } => {
+                engines::Event::Noted {
+                    sent:
+                        ExecutionId {
+                            ticket,
+                            number: execution,
+                        },
+                    note,
+                } => {
                     self.dispatcher.note(ticket, execution, note);
                 }
-                engines::Event::Probed { place, alive, report } => {
+                engines::Event::Probed {
+                    place,
+                    alive,
+                    report,
+                } => {
                     self.dispatcher.probed(self.clock.now, place, alive, report);
                 }
             }
@@ -56,25 +76,39 @@
     pub(super) fn room(&self) -> AdmissionState {
         let held = self.clients.held_bytes() + self.gateway.as_ref().map_or(0, Gateway::held_bytes);
         let full = held > self.max_bytes || self.dispatcher.held() >= self.max_statements;
-        AdmissionState { waited: self.clock.waited(), full }
+        AdmissionState {
+            waited: self.clock.waited(),
+            full,
+        }
     }
 
     /// A statement is a session's.
     pub(super) fn is_of_session(&self, ticket: Ticket) -> bool {
-        self.gateway.as_ref().is_some_and(|gateway| gateway.owns(ticket))
+        self.gateway
+            .as_ref()
+            .is_some_and(|gateway| gateway.owns(ticket))
     }
 
     /// An execution is one of a session's.
     pub(super) fn is_execution_of_session(&self, sent: ExecutionId) -> bool {
-        self.gateway.as_ref().is_some_and(|gateway| gateway.has(sent))
+        self.gateway
+            .as_ref()
+            .is_some_and(|gateway| gateway.has(sent))
     }
 
     /// Carries out rulings of the access rules: executions that were held go on, or statements end.
     pub(super) fn apply_rulings(&mut self) {
-        let Some(rules) = self.rules.clone() else { return };
+        let Some(rules) = self.rules.clone() else {
+            return;
+        };
         let now = self.clock.now;
-        self.dispatcher.followed().iter().for_each(|ticket| rules.borrow_mut().statement_over(*ticket));
-        let rulings = rules.borrow_mut().tick(now, &mut self.dispatcher, self.peers.as_mut());
+        self.dispatcher
+            .followed()
+            .iter()
+            .for_each(|ticket| rules.borrow_mut().statement_over(*ticket));
+        let rulings = rules
+            .borrow_mut()
+            .tick(now, &mut self.dispatcher, self.peers.as_mut());
         for ruling in rulings {
             match ruling {
                 Ruling::Go(ordered) => self.await_promises(ordered),
@@ -82,11 +116,17 @@
                     self.answer_without_result(ticket, true, None);
                     self.dispatcher.turn_away(now, ticket);
                 }
-                Ruling::End { ticket, ran: true, .. } => {
+                Ruling::End {
+                    ticket, ran: true, ..
+                } => {
                     self.answer_without_result(ticket, false, None);
                     self.abandon(ticket);
                 }
-                Ruling::End { ticket, ran: false, again } => {
+                Ruling::End {
+                    ticket,
+                    ran: false,
+                    again,
+                } => {
                     let retry_after = self.dispatcher.turn_away(now, ticket).filter(|_| again);
                     self.answer_without_result(ticket, true, retry_after);
                     self.abandon(ticket);
@@ -97,14 +137,22 @@
 
     /// Carries out rulings of the ledger: executions that were held for promises go on, or statements end.
     pub(super) fn apply_promises(&mut self) {
-        let Some((guard, peers)) = self.guard.as_mut().zip(self.peers.as_mut()) else { return };
+        let Some((guard, peers)) = self.guard.as_mut().zip(self.peers.as_mut()) else {
+            return;
+        };
         let clients = &self.clients;
         let id = |ticket| clients.call(ticket).map(|call| call.id.clone());
         self.clock.refresh();
         let now = self.clock.now;
         for ruling in guard.tick(now, &mut self.dispatcher, peers, id) {
             match ruling {
-                gate::Ruling::Release(gate::PendingExecution { ticket, execution, place, terms, .. }) => {
+                gate::Ruling::Release(gate::PendingExecution {
+                    ticket,
+                    execution,
+                    place,
+                    terms,
+                    ..
+                }) => {
                     self.dispatcher.leaves(now, ticket, execution);
                     self.await_mark(Ordered {
                         of: self.statement_for_rules(ticket),
@@ -116,7 +164,10 @@
                 }
                 gate::Ruling::Reject(ticket) => {
                     let retry_after = self.dispatcher.turn_away(now, ticket);
-                    self.carry_out(Order::Reject { ticket, retry_after });
+                    self.carry_out(Order::Reject {
+                        ticket,
+                        retry_after,
+                    });
                 }
                 gate::Ruling::Abort(ticket) => {
                     self.dispatcher.turn_away(now, ticket);
@@ -127,14 +178,25 @@
     }
 
     /// A statement's final answer without a result.
-    fn answer_without_result(&mut self, ticket: Ticket, rejects: bool, retry_after: Option<Micros>) {
+    fn answer_without_result(
+        &mut self,
+        ticket: Ticket,
+        rejects: bool,
+        retry_after: Option<Micros>,
+    ) {
         let now = self.clock.now;
-        log::debug!("statement {ticket}: {}", if rejects { "rejected" } else { "aborted" });
+        log::debug!(
+            "statement {ticket}: {}",
+            if rejects { "rejected" } else { "aborted" }
+        );
         if self.is_of_session(ticket) {
-            self.gateway.iter_mut().for_each(|gateway| gateway.refuse(now, ticket, rejects, retry_after));
+            self.gateway
+                .iter_mut()
+                .for_each(|gateway| gateway.refuse(now, ticket, rejects, retry_after));
         } else if rejects {
             let retry_after_ms = retry_after.map(|time| time / 1000);
-            self.clients.answer(now, ticket, &Reply::Rejected { retry_after_ms });
+            self.clients
+                .answer(now, ticket, &Reply::Rejected { retry_after_ms });
         } else {
             self.clients.answer(now, ticket, &Reply::Aborted);
         }
@@ -152,9 +214,15 @@
     fn await_mark(&mut self, ordered: Ordered) {
         let now = self.clock.now;
         let load = self.load(ordered.ticket);
-        let loads = self.scatter.as_mut().and_then(|scatter| scatter.loads.as_mut());
+        let loads = self
+            .scatter
+            .as_mut()
+            .and_then(|scatter| scatter.loads.as_mut());
         let dispatcher = &mut self.dispatcher;
-        if !loads.zip(load).is_some_and(|(loads, load)| loads.hold(now, dispatcher, &ordered, load)) {
+        if !loads
+            .zip(load)
+            .is_some_and(|(loads, load)| loads.hold(now, dispatcher, &ordered, load))
+        {
             self.send(ordered);
         }
     }
@@ -180,18 +248,34 @@
         if !self.may_leave(ordered) {
             return;
         }
-        let Ordered { ticket, execution, place, terms, .. } = ordered;
+        let Ordered {
+            ticket,
+            execution,
+            place,
+            terms,
+            ..
+        } = ordered;
         let (now, sent) = (self.clock.now, ExecutionId::new(ticket, execution));
         self.rooms.sent(place);
         if self.is_of_session(ticket) {
-            return self.gateway.iter_mut().for_each(|gateway| gateway.send(now, sent, place, None));
+            return self
+                .gateway
+                .iter_mut()
+                .for_each(|gateway| gateway.send(now, sent, place, None));
         }
         match self.call(ticket) {
             Some(call) => {
-                log::debug!("statement {ticket}: execution {execution} of id {} is sent", call.id);
+                log::debug!(
+                    "statement {ticket}: execution {execution} of id {} is sent",
+                    call.id
+                );
                 self.engines.send(now, sent, place, call, terms)
             }
-            None => _ = self.dispatcher.report(now, ticket, execution, Ending::Withdrawn, None),
+            None => {
+                _ = self
+                    .dispatcher
+                    .report(now, ticket, execution, Ending::Withdrawn, None)
+            }
         }
     }
 
@@ -200,10 +284,15 @@
         let now = self.clock.now;
         if self.withdraw_held(now, sent) {
             // Its session is to know why, though nothing of it has left.
-            self.gateway.iter_mut().for_each(|gateway| gateway.stop(now, sent, ending));
-            self.dispatcher.report(now, sent.ticket, sent.number, Ending::Withdrawn, None);
+            self.gateway
+                .iter_mut()
+                .for_each(|gateway| gateway.stop(now, sent, ending));
+            self.dispatcher
+                .report(now, sent.ticket, sent.number, Ending::Withdrawn, None);
         } else if self.is_execution_of_session(sent) {
-            self.gateway.iter_mut().for_each(|gateway| gateway.stop(now, sent, ending));
+            self.gateway
+                .iter_mut()
+                .for_each(|gateway| gateway.stop(now, sent, ending));
         } else {
             self.engines.cancel(now, sent, ending);
         }
@@ -212,48 +301,90 @@
     /// Lets go of an execution that waits for rules, promises or a mark: nothing of it has left. False if it does not.
     pub(super) fn withdraw_held(&mut self, now: Micros, sent: ExecutionId) -> bool {
         let of = self.statement_for_rules(sent.ticket);
-        let loads = self.scatter.as_mut().and_then(|scatter| scatter.loads.as_mut());
-        self.rules.as_ref().is_some_and(|rules| rules.borrow_mut().cancel(of, sent))
-            || self.guard.as_mut().is_some_and(|guard| guard.cancel(now, sent))
+        let loads = self
+            .scatter
+            .as_mut()
+            .and_then(|scatter| scatter.loads.as_mut());
+        self.rules
+            .as_ref()
+            .is_some_and(|rules| rules.borrow_mut().cancel(of, sent))
+            || self
+                .guard
+                .as_mut()
+                .is_some_and(|guard| guard.cancel(now, sent))
             || loads.is_some_and(|loads| loads.cancel(sent))
     }
 
     /// The statement that rules know: of a part the whole.
     pub(super) fn statement_for_rules(&self, ticket: Ticket) -> Ticket {
-        self.scatter.as_ref().and_then(|scatter| scatter.whole_of(ticket)).unwrap_or(ticket)
+        self.scatter
+            .as_ref()
+            .and_then(|scatter| scatter.whole_of(ticket))
+            .unwrap_or(ticket)
     }
 
     fn call(&self, ticket: Ticket) -> Option<Rc<Call>> {
-        let part = || self.scatter.as_ref().and_then(|scatter| scatter.call(ticket));
+        let part = || {
+            self.scatter
+                .as_ref()
+                .and_then(|scatter| scatter.call(ticket))
+        };
         self.clients.call(ticket).or_else(part)
     }
 
     pub(super) fn carry_out(&mut self, order: Order) {
         let now = self.clock.now;
         match order {
-            Order::Send { ticket, execution, place, terms } => {
-                let ordered =
-                    Ordered { of: self.statement_for_rules(ticket), ticket, execution, place, terms };
+            Order::Send {
+                ticket,
+                execution,
+                place,
+                terms,
+            } => {
+                let ordered = Ordered {
+                    of: self.statement_for_rules(ticket),
+                    ticket,
+                    execution,
+                    place,
+                    terms,
+                };
                 let dispatcher = &mut self.dispatcher;
-                let goes = |rules: &Shared| rules.borrow_mut().hold_or_pass(now, dispatcher, ordered);
+                let goes =
+                    |rules: &Shared| rules.borrow_mut().hold_or_pass(now, dispatcher, ordered);
                 if self.rules.as_ref().is_none_or(goes) {
                     self.await_promises(ordered);
                 }
             }
-            Order::Stop { ticket, execution, ending } => {
-                self.stop(ExecutionId::new(ticket, execution), ending)
-            }
-            Order::Hurry { ticket, execution, priority } => {
-                self.guard.iter_mut().for_each(|guard| guard.set_priority(ticket, priority));
-                self.engines.set_priority(ExecutionId::new(ticket, execution), priority);
+            Order::Stop {
+                ticket,
+                execution,
+                ending,
+            } => self.stop(ExecutionId::new(ticket, execution), ending),
+            Order::Hurry {
+                ticket,
+                execution,
+                priority,
+            } => {
+                self.guard
+                    .iter_mut()
+                    .for_each(|guard| guard.set_priority(ticket, priority));
+                self.engines
+                    .set_priority(ExecutionId::new(ticket, execution), priority);
             }
-            Order::Reject { ticket, retry_after }
-                if self.end_part(ticket, Err(PartFailure::Rejected { retry_after })) => {}
+            Order::Reject {
+                ticket,
+                retry_after,
+            } if self.end_part(ticket, Err(PartFailure::Rejected { retry_after })) => {}
             Order::Abort { ticket } if self.end_part(ticket, Err(PartFailure::Aborted)) => {}
-            Order::Reject { ticket, retry_after } => self.answer_without_result(ticket, true, retry_after),
+            Order::Reject {
+                ticket,
+                retry_after,
+            } => self.answer_without_result(ticket, true, retry_after),
             Order::Abort { ticket } => self.answer_without_result(ticket, false, None),
             // Between the decision and now the work may have become another's: then the probe stays here.
-            Order::Probe { for_fleet: true, .. } if !self.peers.as_ref().is_none_or(Peers::may_probe) => {}
+            Order::Probe {
+                for_fleet: true, ..
+            } if !self.peers.as_ref().is_none_or(Peers::may_probe) => {}
             Order::Pace { connections } => self.engines.dials.borrow_mut().pace(now, connections),
             Order::Probe { place, .. } => self.engines.probe(self.clock.now, place),
         }
--- a/crates/front/src/front/engine_list.rs
+++ b/crates/front/src/front/engine_list.rs
@@ -19,29 +19,45 @@
                 self.coordinator.last_index = before.max(known.index);
                 self.apply_list(&known, before);
             }
-            Err(what) => log::error!("NODE_CONFIG: known: {what}; the engine list is left as it was"),
+            Err(what) => {
+                log::error!("NODE_CONFIG: known: {what}; the engine list is left as it was")
+            }
         }
     }
 
     /// Takes in the coordinator's events that come after the one given.
     pub(super) fn apply_list(&mut self, stream: &Events, after: u64) {
-        let moment = ListMoment { now: self.clock.now, wall_lead: self.clock.wall_lead() };
+        let moment = ListMoment {
+            now: self.clock.now,
+            wall_lead: self.clock.wall_lead(),
+        };
         for update in stream.updates.iter().filter(|u| u.index > after) {
             let Some(list) = &update.list else { continue };
             let starts = self.starts(list, moment);
             let gateway = self.gateway.as_ref();
             let speaks = |e: &Engine| gateway.and_then(|gateway| gateway.port(&e.kind));
             let started = list.engines.iter().zip(&starts);
-            let listings: Vec<Listing> = started.map(|(e, start)| listing(e, speaks(e), *start)).collect();
+            let listings: Vec<Listing> = started
+                .map(|(e, start)| listing(e, speaks(e), *start))
+                .collect();
             let places = self.dispatcher.list(list.is_full, &listings);
             if list.is_full {
                 self.engines.retire_others(&places);
-                self.gateway.iter_mut().for_each(|gateway| gateway.servers().retire_others(&places));
+                self.gateway
+                    .iter_mut()
+                    .for_each(|gateway| gateway.servers().retire_others(&places));
             }
             for ((engine, place), start) in list.engines.iter().zip(places).zip(starts) {
-                let Engine { id, address, kind, state, .. } = engine;
-                let age = start
-                    .map_or(String::new(), |at| format!(", started {} ms ago", (moment.now - at) / 1000));
+                let Engine {
+                    id,
+                    address,
+                    kind,
+                    state,
+                    ..
+                } = engine;
+                let age = start.map_or(String::new(), |at| {
+                    format!(", started {} ms ago", (moment.now - at) / 1000)
+                });
                 log::info!("engine {id}: {state:?} at {address} ({kind}){age}");
                 let sessions = self.gateway.as_ref().and_then(|gateway| gateway.port(kind));
                 let up = *state == EngineState::Up;
@@ -58,7 +74,13 @@
                     continue;
                 }
                 match address.parse() {
-                    Ok(at) => self.engines.list(place, id, at, engine.started_ms, *state == EngineState::Up),
+                    Ok(at) => self.engines.list(
+                        place,
+                        id,
+                        at,
+                        engine.started_ms,
+                        *state == EngineState::Up,
+                    ),
                     Err(_) if *state != EngineState::Up => self.engines.retire(place),
                     Err(e) => log::error!("engine {id}: address '{address}': {e}"),
                 }
