--- a/crates/front/src/front/scatter.rs
+++ b/crates/front/src/front/scatter.rs
@@ -27,7 +27,10 @@
         allowed: Option<Vec<String>>,
         judged: &Decision,
     ) -> Option<(Call, Option<String>)> {
-        let Some(scatter) = self.scatter.as_mut().filter(|scatter| scatter.is_scattered(&call.workload))
+        let Some(scatter) = self
+            .scatter
+            .as_mut()
+            .filter(|scatter| scatter.is_scattered(&call.workload))
         else {
             return Some((call, None));
         };
@@ -39,7 +42,9 @@
                 let call: Rc<Call> = self.clients.call(ticket)?;
                 let whole = (call, query, ends);
                 if let Some(rules) = &self.rules {
-                    rules.borrow_mut().statement_picked(&mut self.dispatcher, judged, Some(ticket));
+                    rules
+                        .borrow_mut()
+                        .statement_picked(&mut self.dispatcher, judged, Some(ticket));
                 }
                 scatter.begin(self.clock.now, ticket, whole, allowed, &mut self.dispatcher);
                 None
@@ -49,10 +54,16 @@
                 Some((call, site))
             }
             Err(why) => {
-                log::debug!("client {client}: statement {} of several sites: {why}", call.id);
-                self.clients.reply(client, number, &Reply::Refused(&[("reason", &why)]));
+                log::debug!(
+                    "client {client}: statement {} of several sites: {why}",
+                    call.id
+                );
+                self.clients
+                    .reply(client, number, &Reply::Refused(&[("reason", &why)]));
                 if let Some(rules) = &self.rules {
-                    rules.borrow_mut().statement_picked(&mut self.dispatcher, judged, None);
+                    rules
+                        .borrow_mut()
+                        .statement_picked(&mut self.dispatcher, judged, None);
                 }
                 None
             }
@@ -62,7 +73,9 @@
     /// A part is answered; false if the statement is none.
     pub(super) fn end_part(&mut self, part: Ticket, ended: Result<&[u8], PartFailure>) -> bool {
         let now = self.clock.now;
-        let Some(scatter) = self.scatter.as_mut().filter(|scatter| scatter.owns(part)) else { return false };
+        let Some(scatter) = self.scatter.as_mut().filter(|scatter| scatter.owns(part)) else {
+            return false;
+        };
         scatter.ended(now, part, ended.map(<[u8]>::to_vec), &mut self.dispatcher);
         true
     }
@@ -70,7 +83,9 @@
     /// Does what is due of scatters: messages to other fronts, marks on loads, and the answers there are.
     pub(super) fn tick_scatter(&mut self) {
         let now = self.clock.now;
-        let Some(scatter) = &mut self.scatter else { return };
+        let Some(scatter) = &mut self.scatter else {
+            return;
+        };
         scatter.summaries.choose(now);
         scatter.finish_audits(now, &mut self.dispatcher);
         if let Some(peers) = &mut self.peers {
@@ -78,7 +93,9 @@
             for (from, bytes) in peers.take_messages(Channel::Summaries) {
                 messages.extend(scatter.summaries.receive(now, from, &bytes));
             }
-            messages.iter().for_each(|(to, bytes)| peers.send_message(now, *to, Channel::Summaries, bytes));
+            messages
+                .iter()
+                .for_each(|(to, bytes)| peers.send_message(now, *to, Channel::Summaries, bytes));
         }
         if let Some(loads) = &mut scatter.loads {
             loads.report_held(now, &mut self.dispatcher);
@@ -91,10 +108,17 @@
     pub(super) fn apply_marks(&mut self) {
         loop {
             let now = self.clock.now;
-            let Some((scatter, peers)) = self.scatter.as_mut().zip(self.peers.as_mut()) else { return };
-            let Some(loads) = &mut scatter.loads else { return };
-            let mut outcomes: Vec<LoadOutcome> =
-                peers.ledger_answers(ASK_NUMBERS).into_iter().flat_map(|done| loads.done(done)).collect();
+            let Some((scatter, peers)) = self.scatter.as_mut().zip(self.peers.as_mut()) else {
+                return;
+            };
+            let Some(loads) = &mut scatter.loads else {
+                return;
+            };
+            let mut outcomes: Vec<LoadOutcome> = peers
+                .ledger_answers(ASK_NUMBERS)
+                .into_iter()
+                .flat_map(|done| loads.done(done))
+                .collect();
             let (asks, more) = loads.asks(now, &scatter.summaries.book);
             outcomes.extend(more);
             if outcomes.is_empty() && asks.is_empty() {
@@ -104,30 +128,57 @@
             for outcome in outcomes {
                 match outcome {
                     LoadOutcome::Send {
-                        sent: ExecutionId { ticket, number: execution },
+                        sent:
+                            ExecutionId {
+                                ticket,
+                                number: execution,
+                            },
                         place,
                         terms,
                         outgoing,
                     } => {
                         self.dispatcher.leaves(now, ticket, execution);
                         let of = self.statement_for_rules(ticket);
-                        if self.may_leave(Ordered { of, ticket, execution, place, terms }) {
+                        if self.may_leave(Ordered {
+                            of,
+                            ticket,
+                            execution,
+                            place,
+                            terms,
+                        }) {
                             let sent = ExecutionId::new(ticket, execution);
                             match (outgoing, &mut self.gateway) {
-                                (Outgoing::Call(call), _) => self.engines.send(now, sent, place, call, terms),
-                                (Outgoing::Unit(text), Some(gateway)) => gateway.send(now, sent, place, text),
+                                (Outgoing::Call(call), _) => {
+                                    self.engines.send(now, sent, place, call, terms)
+                                }
+                                (Outgoing::Unit(text), Some(gateway)) => {
+                                    gateway.send(now, sent, place, text)
+                                }
                                 (Outgoing::Unit(_), None) => {}
                             }
                         }
                     }
                     LoadOutcome::TurnAway(ExecutionId { ticket, .. }) => {
                         let retry_after = self.dispatcher.turn_away(now, ticket);
-                        self.carry_out(Order::Reject { ticket, retry_after });
+                        self.carry_out(Order::Reject {
+                            ticket,
+                            retry_after,
+                        });
                     }
-                    LoadOutcome::Other(Effect::Marks { group, scatters, marks }) => {
-                        let waiting: Vec<Ticket> = scatters.iter().map(|ticket| *ticket as Ticket).collect();
+                    LoadOutcome::Other(Effect::Marks {
+                        group,
+                        scatters,
+                        marks,
+                    }) => {
+                        let waiting: Vec<Ticket> =
+                            scatters.iter().map(|ticket| *ticket as Ticket).collect();
                         if let Some(scatter) = &mut self.scatter {
-                            scatter.marks(now, (group, &waiting), marks.as_ref(), &mut self.dispatcher);
+                            scatter.marks(
+                                now,
+                                (group, &waiting),
+                                marks.as_ref(),
+                                &mut self.dispatcher,
+                            );
                         }
                     }
                     LoadOutcome::Other(_) => {}
@@ -137,10 +188,15 @@
     }
 
     pub(super) fn answer_scattered(&mut self) {
-        for (ticket, reply) in
-            self.scatter.as_mut().map(ScatteredStatements::take_replies).unwrap_or_default()
+        for (ticket, reply) in self
+            .scatter
+            .as_mut()
+            .map(ScatteredStatements::take_replies)
+            .unwrap_or_default()
         {
-            self.rules.iter().for_each(|rules| rules.borrow_mut().statement_over(ticket));
+            self.rules
+                .iter()
+                .for_each(|rules| rules.borrow_mut().statement_over(ticket));
             match reply {
                 FinalReply::Answer(answer) => self.answer_scattered_statement(ticket, &answer),
                 FinalReply::Unfit(unfit) => {
@@ -158,47 +214,77 @@
     fn answer_scattered_statement(&mut self, ticket: Ticket, answer: &Answer) {
         let now = self.clock.now;
         match answer {
-            Answer::Rows { bytes, missing, barred } if missing.is_empty() && barred.is_empty() => {
+            Answer::Rows {
+                bytes,
+                missing,
+                barred,
+            } if missing.is_empty() && barred.is_empty() => {
                 self.clients.answer(now, ticket, &Reply::Completed(bytes));
             }
-            Answer::Rows { bytes, missing, barred } => {
+            Answer::Rows {
+                bytes,
+                missing,
+                barred,
+            } => {
                 let (missing, barred) = (missing.join(","), barred.join(","));
                 let fields = [("missing", missing.as_str()), ("barred", barred.as_str())];
-                let fields: Vec<_> = fields.into_iter().filter(|(_, sites)| !sites.is_empty()).collect();
-                self.clients.answer(now, ticket, &Reply::Partial { body: bytes, fields: &fields });
+                let fields: Vec<_> = fields
+                    .into_iter()
+                    .filter(|(_, sites)| !sites.is_empty())
+                    .collect();
+                self.clients.answer(
+                    now,
+                    ticket,
+                    &Reply::Partial {
+                        body: bytes,
+                        fields: &fields,
+                    },
+                );
             }
             Answer::Rejected { retry_after, site } => {
                 log::debug!("a statement of several sites is rejected for its part at {site}");
                 let retry_after_ms = retry_after.map(|time| time / 1000);
-                self.clients.answer(now, ticket, &Reply::Rejected { retry_after_ms });
+                self.clients
+                    .answer(now, ticket, &Reply::Rejected { retry_after_ms });
             }
             Answer::Aborted { site } => {
                 log::debug!("a statement of several sites is aborted for its part at {site}");
                 self.clients.answer(now, ticket, &Reply::Aborted);
             }
             Answer::Barred(sites) => {
-                self.clients.answer(now, ticket, &Reply::Refused(&[("barred", &sites.join(","))]));
+                self.clients.answer(
+                    now,
+                    ticket,
+                    &Reply::Refused(&[("barred", &sites.join(","))]),
+                );
             }
             Answer::Estimate { distinct, error } => {
                 // Engines' rows have three columns.
                 let (row, error) = (format!("{distinct}\t\t\n"), format!("{error:.4}"));
-                let reply = Reply::Partial { body: row.as_bytes(), fields: &[("error", &error)] };
+                let reply = Reply::Partial {
+                    body: row.as_bytes(),
+                    fields: &[("error", &error)],
+                };
                 self.clients.answer(now, ticket, &reply);
             }
             Answer::NotEstimated => {
                 let why =
                     "sites' summaries do not tell distinct values now as scatter.distinct_error has it: \
                            ask later, or name a scatter.whole_site";
-                self.clients.answer(now, ticket, &Reply::Refused(&[("reason", why)]));
+                self.clients
+                    .answer(now, ticket, &Reply::Refused(&[("reason", why)]));
             }
             Answer::Mismatch { site } => {
-                let why =
-                    format!("site '{site}' answers aggregates in another form: name a scatter.whole_site");
-                self.clients.answer(now, ticket, &Reply::Refused(&[("reason", &why)]));
+                let why = format!(
+                    "site '{site}' answers aggregates in another form: name a scatter.whole_site"
+                );
+                self.clients
+                    .answer(now, ticket, &Reply::Refused(&[("reason", &why)]));
             }
             Answer::TooLong => {
                 let why = "more bytes than scatter.answer_bytes: ask for fewer rows, or raise it";
-                self.clients.answer(now, ticket, &Reply::Refused(&[("reason", why)]));
+                self.clients
+                    .answer(now, ticket, &Reply::Refused(&[("reason", why)]));
             }
         }
     }
--- a/crates/front/src/front_tests.rs
+++ b/crates/front/src/front_tests.rs
@@ -37,7 +37,9 @@
 
 impl Drop for Driven {
     fn drop(&mut self) {
-        self.files.iter().for_each(|path| _ = std::fs::remove_file(path));
+        self.files
+            .iter()
+            .for_each(|path| _ = std::fs::remove_file(path));
     }
 }
 
@@ -65,13 +67,19 @@
         operator: &str,
         (bounds, workloads): (Value, Value),
     ) -> Result<Driven, StartError> {
-        let file =
-            |kind: &str| std::env::temp_dir().join(format!("hallmux-{name}-{}.{kind}", std::process::id()));
+        let file = |kind: &str| {
+            std::env::temp_dir().join(format!("hallmux-{name}-{}.{kind}", std::process::id()))
+        };
         let files = [file("clock"), file("json5")];
         std::fs::write(&files[1], operator).unwrap();
-        let variables = [("HALLMUX_CLOCK", &files[0]), ("HALLMUX_OPERATOR", &files[1])];
-        let variables: HashMap<String, String> =
-            variables.iter().map(|(name, path)| (name.to_string(), path.display().to_string())).collect();
+        let variables = [
+            ("HALLMUX_CLOCK", &files[0]),
+            ("HALLMUX_OPERATOR", &files[1]),
+        ];
+        let variables: HashMap<String, String> = variables
+            .iter()
+            .map(|(name, path)| (name.to_string(), path.display().to_string()))
+            .collect();
         let server = |(n, engine): (usize, &SocketAddr)| {
             json!({"id": format!("e{n}"), "addr": engine.to_string(), "zone": "here", "kind": "std",
                 "cell": 0, "state": "up", "weight": 1, "started_ms": 0})
@@ -84,13 +92,24 @@
             "bounds": bounds, "requestClasses": workloads}});
         write_clock(&files[0], START);
         let config = NodeConfig::parse(&variables, &text.to_string()).unwrap();
-        let known = hallmux_native_codec::coordinator::events(config.known_events.as_bytes()).unwrap();
+        let known =
+            hallmux_native_codec::coordinator::events(config.known_events.as_bytes()).unwrap();
         let events = EventLoop::try_new().unwrap();
         let listener = TcpListener::bind(config.listen).unwrap();
         let listens = listener.local_addr().unwrap();
         let front = Front::new(&config, &known, listener, events.handle())?;
-        let sessions = front.gateway.as_ref().and_then(Gateway::address).unwrap_or(listens);
-        Ok(Driven { front, events, listens, sessions, files })
+        let sessions = front
+            .gateway
+            .as_ref()
+            .and_then(Gateway::address)
+            .unwrap_or(listens);
+        Ok(Driven {
+            front,
+            events,
+            listens,
+            sessions,
+            files,
+        })
     }
 
     /// Up to the iteration in which it closes its listeners.
@@ -105,7 +124,10 @@
     fn finds(&mut self) -> Vec<SocketKind> {
         let mut changes = self.has_something_to_tell();
         let found = changes.ready.iter().map(|socket| socket.kind).collect();
-        changes.ready.drain(..).for_each(|socket| self.front.ready(socket));
+        changes
+            .ready
+            .drain(..)
+            .for_each(|socket| self.front.ready(socket));
         found
     }
 
@@ -113,7 +135,10 @@
     pub(super) fn goes_on(&mut self) {
         let mut changes = LoopEvents::default();
         self.events.dispatch(Duration::ZERO, &mut changes).unwrap();
-        changes.ready.drain(..).for_each(|socket| self.front.ready(socket));
+        changes
+            .ready
+            .drain(..)
+            .for_each(|socket| self.front.ready(socket));
         self.front.iterate();
     }
 
@@ -157,7 +182,10 @@
         let mut all = String::new();
         while !all.contains(text) {
             let heard = self.hears(peer);
-            assert!(!heard.is_empty(), "{text} did not come, but the end behind {all:?}");
+            assert!(
+                !heard.is_empty(),
+                "{text} did not come, but the end behind {all:?}"
+            );
             all += &String::from_utf8_lossy(&heard);
         }
         all
@@ -208,7 +236,13 @@
 fn lets_in(engine: &mut TcpStream) {
     let mut out = Vec::new();
     wire::write(&mut out, b'R', |out| out.extend_from_slice(&[0; 4]));
-    wire::write_key(&mut out, wire::CancelKey { process: 1, secret: 1 });
+    wire::write_key(
+        &mut out,
+        wire::CancelKey {
+            process: 1,
+            secret: 1,
+        },
+    );
     wire::write_ready(&mut out, b'I');
     engine.write_all(&out).unwrap();
 }
@@ -242,8 +276,16 @@
     assert!(!driven.front.listener.is_open());
     let heard = driven.hears(&mut client);
     // A reply to number 7, whose second field is there: rejected.
-    let reply = [&[0x80, 1, 0, 2, 0, 0, 0, 5][..], b"serve", &[0, 0, 0, 7, 12, 0, 1]].concat();
-    assert!(heard.len() > 4 && heard[4..].starts_with(&reply), "{heard:?}");
+    let reply = [
+        &[0x80, 1, 0, 2, 0, 0, 0, 5][..],
+        b"serve",
+        &[0, 0, 0, 7, 12, 0, 1],
+    ]
+    .concat();
+    assert!(
+        heard.len() > 4 && heard[4..].starts_with(&reply),
+        "{heard:?}"
+    );
     // And the end, in order.
     assert!(driven.hears(&mut client).is_empty());
 }
@@ -262,10 +304,21 @@
     let mut changes = driven.has_something_to_tell();
     driven.front.iterate();
     assert!(!driven.front.listener.is_open());
-    changes.ready.drain(..).for_each(|socket| driven.front.ready(socket));
+    changes
+        .ready
+        .drain(..)
+        .for_each(|socket| driven.front.ready(socket));
     let heard = driven.hears(&mut client);
-    let reply = [&[0x80, 1, 0, 2, 0, 0, 0, 5][..], b"serve", &[0, 0, 0, 7, 12, 0, 1]].concat();
-    assert!(heard.len() > 4 && heard[4..].starts_with(&reply), "{heard:?}");
+    let reply = [
+        &[0x80, 1, 0, 2, 0, 0, 0, 5][..],
+        b"serve",
+        &[0, 0, 0, 7, 12, 0, 1],
+    ]
+    .concat();
+    assert!(
+        heard.len() > 4 && heard[4..].starts_with(&reply),
+        "{heard:?}"
+    );
     assert!(driven.hears(&mut client).is_empty());
 }
 
@@ -277,7 +330,10 @@
     let mut session = TcpStream::connect(driven.sessions).unwrap();
     driven.front.iterate();
     let heard = driven.hears(&mut session);
-    assert!(heard.starts_with(b"E") && heard.windows(5).any(|code| code == b"57P01"), "{heard:?}");
+    assert!(
+        heard.starts_with(b"E") && heard.windows(5).any(|code| code == b"57P01"),
+        "{heard:?}"
+    );
     assert!(driven.hears(&mut session).is_empty());
 }
 
@@ -303,12 +359,17 @@
     asks(&mut first, "select 1");
     let mut link = driven.dials(&engine);
     drop(first);
-    driven.until("its end is known", |front| (front.gateway.as_ref()?.len() == 0).then_some(()));
+    driven.until("its end is known", |front| {
+        (front.gateway.as_ref()?.len() == 0).then_some(())
+    });
     lets_in(&mut link);
     let mut second = driven.enters();
     asks(&mut second, "select 2");
     let heard = driven.hears_text(&mut link, "select");
-    assert!(heard.contains("select 2") && !heard.contains("select 1"), "{heard:?}");
+    assert!(
+        heard.contains("select 2") && !heard.contains("select 1"),
+        "{heard:?}"
+    );
 }
 
 #[test]
@@ -356,14 +417,19 @@
     let mut driven = Driven::new("half-unit", at, true);
     let mut session = driven.enters();
     session.write_all(b"Q\0\0\0\x20select").unwrap();
-    driven.until("it is read", |front| (front.gateway.as_ref()?.held_bytes() > 0).then_some(()));
+    driven.until("it is read", |front| {
+        (front.gateway.as_ref()?.held_bytes() > 0).then_some(())
+    });
     driven.is_about_to_close();
     driven.front.iterate();
     write_clock(&driven.files[0], LATER + 2_500_000);
     driven.hears_text(&mut session, "57P01");
     // Its client does not close: that holds the end up as long as the connection may linger, and no longer.
     assert!(driven.hears(&mut session).is_empty());
-    write_clock(&driven.files[0], LATER + 2_500_000 + session_close::LINGERS_AT_END);
+    write_clock(
+        &driven.files[0],
+        LATER + 2_500_000 + session_close::LINGERS_AT_END,
+    );
     driven.goes_on();
     assert!(driven.front.is_done());
 }
--- a/crates/front/src/held_tests.rs
+++ b/crates/front/src/held_tests.rs
@@ -25,8 +25,10 @@
 const RULES: &str = "{ version: 1, default: 'allow', rules: [\
     { name: 'here', workload: 'lookup', regions: ['here'] } ] }";
 const BY_RULES: &str = "rules: { file: 'RULES', region: 'here', lease_ms: 600 }";
-const MARKED: &str = "scatter: { workloads: ['report'], sites: { here: 'SITE' }, writes: ['lookup'] }";
-const SCATTERED: &str = "scatter: { workloads: ['lookup'], sites: { here: 'SITE' }, loads: 'none' }";
+const MARKED: &str =
+    "scatter: { workloads: ['report'], sites: { here: 'SITE' }, writes: ['lookup'] }";
+const SCATTERED: &str =
+    "scatter: { workloads: ['lookup'], sites: { here: 'SITE' }, loads: 'none' }";
 
 /// Two fronts that keep a ledger together, which stands still as long as the other is not driven; and an
 /// engine that speaks lines.
@@ -54,18 +56,25 @@
 }
 
 fn public(front: usize) -> String {
-    hexadecimal(SigningKey::from_bytes(&secret(front)).verifying_key().as_bytes())
+    hexadecimal(
+        SigningKey::from_bytes(&secret(front))
+            .verifying_key()
+            .as_bytes(),
+    )
 }
 
 impl Fleet {
     /// `more` is the rest of the operator's file; `RULES` in it is the path of a file of rules, `SITE` a key.
     /// `effect` is that of `lookup`, the workload of all statements.
     fn new(name: &str, effect: &str, more: &str) -> Fleet {
-        let folder = std::env::temp_dir().join(format!("hallmux-held-{name}-{}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("hallmux-held-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let rules = folder.join("rules.json5");
         std::fs::write(&rules, RULES).unwrap();
-        let more = more.replace("RULES", &rules.display().to_string()).replace("SITE", &public(0));
+        let more = more
+            .replace("RULES", &rules.display().to_string())
+            .replace("SITE", &public(0));
         let (engine, engine_at) = listener();
         engine.set_nonblocking(true).unwrap();
         let workloads = json!([
@@ -81,7 +90,12 @@
                 at[front], key.display(), at[1 - front], public(0), public(1), at[0], at[1]
             );
             let agreed = (json!({"cancelling": false}), workloads.clone());
-            Driven::start(&format!("held-{name}-{front}"), &[engine_at], &operator, agreed)
+            Driven::start(
+                &format!("held-{name}-{front}"),
+                &[engine_at],
+                &operator,
+                agreed,
+            )
         };
         let (driven, other) = again_if_ports_are_taken(|| {
             // Ports that are free: they are let go of just before the fronts take them.
@@ -89,7 +103,13 @@
             let at = sockets.map(|socket| socket.local_addr().unwrap());
             Ok((start(0, at)?, start(1, at)?))
         });
-        Fleet { driven, other, engine, folder, kept: 0 }
+        Fleet {
+            driven,
+            other,
+            engine,
+            folder,
+            kept: 0,
+        }
     }
 
     fn asks(&mut self, number: u32, statement: &str) -> TcpStream {
@@ -113,10 +133,18 @@
 
     /// A client asks while the ledger stands still, and leaves once its statement is held. Then the ledger
     /// answers, and another client asks: what the engine hears until that one's statement has come.
-    fn hears_after_one_has_left(&mut self, statement: &str, held: impl Fn(&Front) -> bool) -> String {
+    fn hears_after_one_has_left(
+        &mut self,
+        statement: &str,
+        held: impl Fn(&Front) -> bool,
+    ) -> String {
         let client = self.asks(1, statement);
-        self.driven.until("it is held", |front| held(front).then_some(()));
-        assert!(self.engine.accept().is_err(), "something is on its way to the engine");
+        self.driven
+            .until("it is held", |front| held(front).then_some(()));
+        assert!(
+            self.engine.accept().is_err(),
+            "something is on its way to the engine"
+        );
         self.leaves(client);
         self.knows_its_rules();
         self.hears_the_second(statement)
@@ -124,7 +152,9 @@
 
     fn leaves(&mut self, client: TcpStream) {
         drop(client);
-        self.driven.until("its end is known", |front| (front.clients.len() == 0).then_some(()));
+        self.driven.until("its end is known", |front| {
+            (front.clients.len() == 0).then_some(())
+        });
         self.kept = self.driven.front.dispatcher.held();
     }
 
@@ -148,7 +178,10 @@
     /// Nothing was sent for the client that left; nor was anything kept, as its turn of an order key, while
     /// the ledger stood still.
     fn has_let_go(&self, heard: &str) {
-        assert!(!heard.contains(FIRST), "sent though its client had left: {heard}");
+        assert!(
+            !heard.contains(FIRST),
+            "sent though its client had left: {heard}"
+        );
         assert_eq!(self.kept, 0, "statements that nobody waits for");
     }
 
@@ -156,9 +189,16 @@
     fn knows_its_rules(&mut self) {
         self.until("rules in force", |fleet| {
             let front = &mut fleet.driven.front;
-            let Some(rules) = front.rules.clone() else { return Some(()) };
-            let judged = rules.borrow_mut().judge(front.clock.now, "acme", "lookup", SELECT.as_bytes());
-            rules.borrow_mut().statement_picked(&mut front.dispatcher, &judged, None);
+            let Some(rules) = front.rules.clone() else {
+                return Some(());
+            };
+            let judged =
+                rules
+                    .borrow_mut()
+                    .judge(front.clock.now, "acme", "lookup", SELECT.as_bytes());
+            rules
+                .borrow_mut()
+                .statement_picked(&mut front.dispatcher, &judged, None);
             matches!(judged, Decision::Decided { waits: true, .. }).then_some(())
         });
     }
@@ -177,7 +217,10 @@
 
 /// Something waits for a mark.
 fn waits_for_a_mark(front: &Front) -> bool {
-    let loads = front.scatter.as_ref().and_then(|scatter| scatter.loads.as_ref());
+    let loads = front
+        .scatter
+        .as_ref()
+        .and_then(|scatter| scatter.loads.as_ref());
     loads.is_some_and(|loads| loads.due() < Micros::MAX)
 }
 
@@ -208,9 +251,13 @@
 fn a_load_that_waits_for_its_mark_is_not_sent_once_its_client_has_cancelled_it() {
     let mut fleet = Fleet::new("cancelled", "repeatable", MARKED);
     let mut client = fleet.asks(1, LOAD);
-    fleet.driven.until("it is held", |front| waits_for_a_mark(front).then_some(()));
+    fleet
+        .driven
+        .until("it is held", |front| waits_for_a_mark(front).then_some(()));
     client.write_all(&forget(1)).unwrap();
-    fleet.driven.until("it is let go", |front| (front.dispatcher.held() == 0).then_some(()));
+    fleet.driven.until("it is let go", |front| {
+        (front.dispatcher.held() == 0).then_some(())
+    });
     let heard = fleet.hears_the_second(LOAD);
     fleet.has_let_go(&heard);
 }
@@ -242,7 +289,9 @@
 fn a_part_that_waits_for_its_connection_is_not_sent_once_the_client_of_its_whole_has_left() {
     let mut fleet = Fleet::new("dialled", "repeatable", SCATTERED);
     let client = fleet.asks(1, SELECT);
-    fleet.driven.until("it is ordered", |front| is_ordered(front).then_some(()));
+    fleet
+        .driven
+        .until("it is ordered", |front| is_ordered(front).then_some(()));
     fleet.leaves(client);
     let heard = fleet.hears_the_second(SELECT);
     fleet.has_let_go(&heard);
--- a/crates/front/src/lingering.rs
+++ b/crates/front/src/lingering.rs
@@ -34,7 +34,14 @@
     /// Shuts the write side of a connection that has sent all it owes.
     pub fn close(&mut self, now: Micros, id: u64, link: Link) {
         if link.shut_writes().is_ok() {
-            self.connections.insert(id, Closing { link, until: now + LINGER_TIMEOUT, dropped: 0 });
+            self.connections.insert(
+                id,
+                Closing {
+                    link,
+                    until: now + LINGER_TIMEOUT,
+                    dropped: 0,
+                },
+            );
             if self.read(id) == Some(true) {
                 self.unread.push(id);
             }
@@ -68,12 +75,19 @@
 
     /// When `expire` is next due.
     pub fn due(&self) -> Micros {
-        self.connections.values().map(|closing| closing.until).min().unwrap_or(Micros::MAX)
+        self.connections
+            .values()
+            .map(|closing| closing.until)
+            .min()
+            .unwrap_or(Micros::MAX)
     }
 
     /// Drops the one that has lingered longest; false if there is none.
     pub fn drop_oldest(&mut self) -> bool {
-        let oldest = self.connections.iter().min_by_key(|(id, closing)| (closing.until, **id));
+        let oldest = self
+            .connections
+            .iter()
+            .min_by_key(|(id, closing)| (closing.until, **id));
         let oldest = oldest.map(|(id, _)| *id);
         oldest.is_some_and(|id| self.connections.remove(&id).is_some())
     }
--- a/crates/front/src/lingering_tests.rs
+++ b/crates/front/src/lingering_tests.rs
@@ -17,10 +17,17 @@
 /// A client, and the front's side of its connection, over which nothing was read yet.
 fn connection(events: &EventLoop<'static, LoopEvents>) -> (TcpStream, TcpStream, Link) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    SockRef::from(&listener).set_recv_buffer_size(BUFFER).unwrap();
+    SockRef::from(&listener)
+        .set_recv_buffer_size(BUFFER)
+        .unwrap();
     let peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (stream, _) = listener.accept().unwrap();
-    let link = Link::new(stream.try_clone().unwrap(), &events.handle(), SocketKind::Session.id(1)).unwrap();
+    let link = Link::new(
+        stream.try_clone().unwrap(),
+        &events.handle(),
+        SocketKind::Session.id(1),
+    )
+    .unwrap();
     (peer, stream, link)
 }
 
@@ -33,7 +40,10 @@
     // All of it lies there before the close, and no event tells of it later.
     let (begun, mut there) = (Instant::now(), vec![0; MUCH]);
     while stream.peek(&mut there).unwrap() < MUCH {
-        assert!(begun.elapsed() < PATIENCE, "a receive buffer that holds {MUCH} bytes");
+        assert!(
+            begun.elapsed() < PATIENCE,
+            "a receive buffer that holds {MUCH} bytes"
+        );
     }
     stream.set_nonblocking(true).unwrap();
     let mut lingering = Lingering::default();
@@ -41,7 +51,10 @@
     assert_eq!(lingering.take_unread(), [1]);
     assert!(lingering.take_unread().is_empty());
     while lingering.read(1) == Some(true) {}
-    assert_eq!(stream.peek(&mut there).unwrap_err().kind(), ErrorKind::WouldBlock);
+    assert_eq!(
+        stream.peek(&mut there).unwrap_err().kind(),
+        ErrorKind::WouldBlock
+    );
     assert_eq!(peer.read(&mut [0]).unwrap(), 0);
     drop(peer);
     let begun = Instant::now();
@@ -55,7 +68,11 @@
 #[test]
 fn the_one_that_has_lingered_longest_is_dropped_and_each_at_its_bound() {
     let events = EventLoop::try_new().unwrap();
-    let connections = [connection(&events), connection(&events), connection(&events)];
+    let connections = [
+        connection(&events),
+        connection(&events),
+        connection(&events),
+    ];
     let mut lingering = Lingering::default();
     let mut peers = Vec::new();
     // The numbers do not tell which came first.
@@ -65,7 +82,10 @@
     }
     assert_eq!(lingering.due(), LINGER_TIMEOUT);
     assert!(lingering.drop_oldest());
-    assert_eq!([1, 2, 3].map(|id| lingering.read(id)), [Some(false), Some(false), None]);
+    assert_eq!(
+        [1, 2, 3].map(|id| lingering.read(id)),
+        [Some(false), Some(false), None]
+    );
     assert_eq!(lingering.due(), 1 + LINGER_TIMEOUT);
     lingering.expire(1 + LINGER_TIMEOUT);
     assert_eq!([1, 2].map(|id| lingering.read(id)), [None, Some(false)]);
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -71,7 +71,15 @@
             .map_err(|e| std::io::Error::other(e.error.to_string()))?;
         let handle = handle.clone();
         let (input, output) = (Vec::new(), Vec::new());
-        Ok(Link { stream, token, handle, input, output, sent_bytes: 0, cleared_bytes: 0 })
+        Ok(Link {
+            stream,
+            token,
+            handle,
+            input,
+            output,
+            sent_bytes: 0,
+            cleared_bytes: 0,
+        })
     }
 
     /// Begins a connection.
@@ -84,7 +92,11 @@
         socket.set_nonblocking(true)?;
         socket.set_send_buffer_size(SEND_BUFFER)?;
         match socket.connect(&to.into()) {
-            Err(e) if e.raw_os_error() != Some(IN_PROGRESS) && e.kind() != ErrorKind::WouldBlock => Err(e),
+            Err(e)
+                if e.raw_os_error() != Some(IN_PROGRESS) && e.kind() != ErrorKind::WouldBlock =>
+            {
+                Err(e)
+            }
             _ => Link::new(socket.into(), handle, id),
         }
     }
--- a/crates/front/src/listener.rs
+++ b/crates/front/src/listener.rs
@@ -78,7 +78,9 @@
     /// Where it listens, for tests that let the system give the port.
     #[cfg(test)]
     pub fn address(&self) -> Option<std::net::SocketAddr> {
-        self.socket.as_ref().and_then(|(listener, _)| listener.local_addr().ok())
+        self.socket
+            .as_ref()
+            .and_then(|(listener, _)| listener.local_addr().ok())
     }
 
     /// Stops listening. True if it was open till now.
@@ -115,7 +117,11 @@
         self.failed = false;
         let mut errors = 0;
         loop {
-            match self.accepted.take().map_or_else(|| listener.accept().map(|(stream, _)| stream), Ok) {
+            match self
+                .accepted
+                .take()
+                .map_or_else(|| listener.accept().map(|(stream, _)| stream), Ok)
+            {
                 Ok(stream) => match reserve() {
                     Ok(()) => {
                         self.backoff = 0;
--- a/crates/front/src/logger.rs
+++ b/crates/front/src/logger.rs
@@ -12,7 +12,9 @@
 
 /// Sends all records up to a level to standard error from now on.
 pub fn start(name: &str, level: LevelFilter) {
-    let logger = Box::new(Logger { name: name.to_string() });
+    let logger = Box::new(Logger {
+        name: name.to_string(),
+    });
     if log::set_boxed_logger(logger).is_ok() {
         log::set_max_level(level);
     }
@@ -28,9 +30,15 @@
         if !self.enabled(record.metadata()) {
             return;
         }
-        let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+        let since = SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or_default();
         // A log that nobody takes is no reason to stop.
-        let _ = writeln!(std::io::stderr().lock(), "{}", line(since, &self.name, record));
+        let _ = writeln!(
+            std::io::stderr().lock(),
+            "{}",
+            line(since, &self.name, record)
+        );
     }
 
     fn flush(&self) {}
@@ -41,7 +49,11 @@
 fn line(since_epoch: Duration, name: &str, record: &Record) -> String {
     let (seconds, milliseconds) = (since_epoch.as_secs(), since_epoch.subsec_millis());
     let level = record.level().as_str().to_ascii_lowercase();
-    format!("{seconds}.{milliseconds:03} {} {level}: {}", OneLine(name), OneLine(record.args()))
+    format!(
+        "{seconds}.{milliseconds:03} {} {level}: {}",
+        OneLine(name),
+        OneLine(record.args())
+    )
 }
 
 #[cfg(test)]
--- a/crates/front/src/logger_tests.rs
+++ b/crates/front/src/logger_tests.rs
@@ -11,7 +11,10 @@
         line(
             Duration::from_millis(12_034),
             name,
-            &Record::builder().level(Level::Warn).args(format_args!("{text}")).build(),
+            &Record::builder()
+                .level(Level::Warn)
+                .args(format_args!("{text}"))
+                .build(),
         )
     };
     let said = r"warn: workload 'look\n0.000 n1 error: all is lost\u{1b}[2J'";
--- a/crates/front/src/machine_clock.rs
+++ b/crates/front/src/machine_clock.rs
@@ -17,13 +17,19 @@
 
 impl Default for MachineClock {
     fn default() -> MachineClock {
-        MachineClock { started: Instant::now(), unix_at_start: wall_clock(), wall_lead: 0 }
+        MachineClock {
+            started: Instant::now(),
+            unix_at_start: wall_clock(),
+            wall_lead: 0,
+        }
     }
 }
 
 /// The Unix time of the machine's wall clock, in microseconds.
 fn wall_clock() -> Micros {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let since = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default();
     since.as_micros() as Micros
 }
 
@@ -43,7 +49,9 @@
         let now = self.now();
         let wall = wall_clock();
         // Guards against a front that is stopped between the two readings: the next call compares.
-        (self.now() - now < LEAST_STEP).then(|| self.step_to(wall - now)).flatten()
+        (self.now() - now < LEAST_STEP)
+            .then(|| self.step_to(wall - now))
+            .flatten()
     }
 
     fn step_to(&mut self, wall_lead: Micros) -> Option<Micros> {
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -48,7 +48,9 @@
 /// The environment. Guards against a variable, whichever it is, that is no UTF-8: to ask for text would panic.
 fn environment() -> HashMap<String, String> {
     let text = |bytes: OsString| bytes.to_string_lossy().into_owned();
-    std::env::vars_os().map(|(name, value)| (text(name), text(value))).collect()
+    std::env::vars_os()
+        .map(|(name, value)| (text(name), text(value)))
+        .collect()
 }
 
 fn run() -> Result<(), StartError> {
@@ -56,17 +58,24 @@
     let config = NodeConfig::read(&variables)?;
     logger::start(&config.name, config.log_level);
     if let Some(path) = &config.clock_file {
-        log::warn!("HALLMUX_CLOCK: the time is a drill's, from {}", path.display());
+        log::warn!(
+            "HALLMUX_CLOCK: the time is a drill's, from {}",
+            path.display()
+        );
     }
     let known = hallmux_native_codec::coordinator::events(config.known_events.as_bytes());
     let known = known.map_err(|what| StartError::known(&variables, &what.to_string()))?;
     let polls = StartError::system("polling");
     let event_loop = transient::retry(|| Ok(EventLoop::try_new()?));
     let mut event_loop: EventLoop<'static, LoopEvents> = event_loop.map_err(&polls)?;
-    let signals =
-        transient::retry(|| Ok(Signals::new(&[Signal::SIGTERM, Signal::SIGHUP])?)).map_err(&polls)?;
-    let queue = |event: Event, _: &mut (), events: &mut LoopEvents| events.signals.push(event.signal());
-    event_loop.handle().insert_source(signals, queue).map_err(|e| polls(e.error.into()))?;
+    let signals = transient::retry(|| Ok(Signals::new(&[Signal::SIGTERM, Signal::SIGHUP])?))
+        .map_err(&polls)?;
+    let queue =
+        |event: Event, _: &mut (), events: &mut LoopEvents| events.signals.push(event.signal());
+    event_loop
+        .handle()
+        .insert_source(signals, queue)
+        .map_err(|e| polls(e.error.into()))?;
     let unfit = |why| StartError::listen(&variables, config.listen, why);
     let listener = transient::retry(|| TcpListener::bind(config.listen)).map_err(unfit)?;
     let address = listener.local_addr().map_err(unfit)?;
@@ -75,14 +84,19 @@
     let mut events = LoopEvents::default();
     while !front.is_done() {
         let idle = front.idle();
-        event_loop.dispatch(idle, &mut events).map_err(|e| polls(e.into()))?;
+        event_loop
+            .dispatch(idle, &mut events)
+            .map_err(|e| polls(e.into()))?;
         for signal in events.signals.drain(..) {
             match signal {
                 Signal::SIGHUP => front.reload(NodeConfig::read(&variables)),
                 _ => front.shut_down(),
             }
         }
-        events.ready.drain(..).for_each(|socket| front.ready(socket));
+        events
+            .ready
+            .drain(..)
+            .for_each(|socket| front.ready(socket));
         front.iterate();
     }
     log::info!("all is answered");
--- a/crates/front/src/postgres/cancel_endings_tests.rs
+++ b/crates/front/src/postgres/cancel_endings_tests.rs
@@ -17,7 +17,10 @@
         let (silent, mut link) = self.dials_one(engines);
         lets_in(&mut link);
         self.hears_text(&mut link, "select 1");
-        let request = cancel_request(wire::CancelKey { process: 1, secret: 1 });
+        let request = cancel_request(wire::CancelKey {
+            process: 1,
+            secret: 1,
+        });
         let (mut peers, mut heard, mut time) = (Vec::new(), Vec::new(), START);
         while heard != request {
             time += STEP;
@@ -35,7 +38,15 @@
     fn has_no_connection(&mut self) {
         let begun = Instant::now();
         // It may make one.
-        while self.front.gateway.as_mut().unwrap().servers().capacity(START, 0) > 1 {
+        while self
+            .front
+            .gateway
+            .as_mut()
+            .unwrap()
+            .servers()
+            .capacity(START, 0)
+            > 1
+        {
             assert!(begun.elapsed() < PATIENCE);
             self.goes_on();
         }
@@ -62,7 +73,10 @@
     asks(&mut session, "select 1");
     let mut link = driven.dials(&engine);
     let mut canceller = TcpStream::connect(driven.sessions).unwrap();
-    let key = wire::CancelKey { process: number(5), secret: number(9) };
+    let key = wire::CancelKey {
+        process: number(5),
+        secret: number(9),
+    };
     canceller.write_all(&cancel_request(key)).unwrap();
     driven.hears_error(&mut session, "57014");
     lets_in(&mut link);
@@ -89,10 +103,15 @@
     driven.hears_error(&mut session, "57014");
     assert!(driven.hears_to_the_end(&mut link).is_empty());
     // It is pinged by a login as well: it had been silent.
-    let request = cancel_request(wire::CancelKey { process: 1, secret: 1 });
+    let request = cancel_request(wire::CancelKey {
+        process: 1,
+        secret: 1,
+    });
     let mut heard = Vec::new();
     while heard != request {
-        let mut peer = driven.until("a request to cancel", |_| engines[silent].accept().ok()).0;
+        let mut peer = driven
+            .until("a request to cancel", |_| engines[silent].accept().ok())
+            .0;
         heard = driven.hears(&mut peer);
     }
     asks(&mut session, "select 2");
@@ -174,7 +193,10 @@
     driven.set_time(START + 1_000_000);
     driven.hears_error(&mut session, "57014");
     let heard = driven.hears_to_the_end(&mut link);
-    assert!(!String::from_utf8_lossy(&heard).contains("insert"), "{heard:?}");
+    assert!(
+        !String::from_utf8_lossy(&heard).contains("insert"),
+        "{heard:?}"
+    );
 }
 
 #[test]
@@ -184,7 +206,9 @@
     let mut driven = Driven::new("left-with-settings", at, false);
     let (session, mut link) = waits_for_settings(&mut driven, &engine);
     drop(session);
-    driven.until("its end is known", |front| (front.gateway.as_ref()?.len() == 0).then_some(()));
+    driven.until("its end is known", |front| {
+        (front.gateway.as_ref()?.len() == 0).then_some(())
+    });
     answers(&mut link, "SET");
     // Its connection goes with it.
     let heard = driven.hears(&mut link);
--- a/crates/front/src/postgres/engine_endings_tests.rs
+++ b/crates/front/src/postgres/engine_endings_tests.rs
@@ -34,10 +34,15 @@
 
     /// The front's next connection to one of the engines, which waits for its login, and the engine's number.
     fn dials_one(&mut self, engines: &[&TcpListener]) -> (usize, TcpStream) {
-        engines.iter().for_each(|engine| engine.set_nonblocking(true).unwrap());
+        engines
+            .iter()
+            .for_each(|engine| engine.set_nonblocking(true).unwrap());
         let accept = |engine: &&TcpListener| engine.accept().ok();
         let (number, mut stream) = self.until("a dial", |_| {
-            engines.iter().enumerate().find_map(|(n, engine)| Some((n, accept(engine)?.0)))
+            engines
+                .iter()
+                .enumerate()
+                .find_map(|(n, engine)| Some((n, accept(engine)?.0)))
         });
         self.hears_text(&mut stream, "user");
         (number, stream)
@@ -69,12 +74,19 @@
         asks(session, "select 'further'");
         self.hears_text(link, "further");
         answers(link, "FURTHER");
-        assert_eq!(self.hears_unit(session), [b'C', b'Z'], "one answer, and no other before it");
+        assert_eq!(
+            self.hears_unit(session),
+            [b'C', b'Z'],
+            "one answer, and no other before it"
+        );
     }
 
     /// The kinds of the messages that a client hears up to ReadyForQuery.
     fn hears_unit(&mut self, session: &mut TcpStream) -> Vec<u8> {
-        self.hears_messages(session).into_iter().map(|message| message[0]).collect()
+        self.hears_messages(session)
+            .into_iter()
+            .map(|message| message[0])
+            .collect()
     }
 
     /// The messages that a client hears up to ReadyForQuery.
@@ -86,7 +98,11 @@
                 return messages;
             }
             let more = self.hears(session);
-            assert!(!more.is_empty(), "the end behind {:?}", String::from_utf8_lossy(&heard));
+            assert!(
+                !more.is_empty(),
+                "the end behind {:?}",
+                String::from_utf8_lossy(&heard)
+            );
             heard.extend(more);
         }
     }
@@ -105,7 +121,10 @@
 fn whole_messages(bytes: &[u8]) -> Vec<Vec<u8>> {
     let mut rest = bytes;
     let mut messages = Vec::new();
-    while let Some(header) = wire::header(rest).unwrap().filter(|header| header.len <= rest.len()) {
+    while let Some(header) = wire::header(rest)
+        .unwrap()
+        .filter(|header| header.len <= rest.len())
+    {
         messages.push(rest[..header.len].to_vec());
         rest = &rest[header.len..];
     }
@@ -123,7 +142,12 @@
 fn fails(engine: &mut TcpStream, severity: &str, code: &str, ready: bool) {
     let mut out = Vec::new();
     wire::write(&mut out, b'E', |out| {
-        for (kind, value) in [(b'S', severity), (b'V', severity), (b'C', code), (b'M', "no")] {
+        for (kind, value) in [
+            (b'S', severity),
+            (b'V', severity),
+            (b'C', code),
+            (b'M', "no"),
+        ] {
             out.push(kind);
             wire::write_string(out, value.as_bytes());
         }
@@ -193,7 +217,11 @@
     // Too many connections; it starts up.
     for code in ["53300", "57P03"] {
         let ((one, at_one), (other, at_other)) = (listener(), listener());
-        let mut driven = Driven::with_two(&format!("refused-{code}"), [at_one, at_other], DIAL_TIMEOUT_MS);
+        let mut driven = Driven::with_two(
+            &format!("refused-{code}"),
+            [at_one, at_other],
+            DIAL_TIMEOUT_MS,
+        );
         let mut session = driven.enters();
         asks(&mut session, "select 1");
         let (refusing, mut link) = driven.dials_one(&[&one, &other]);
@@ -241,7 +269,10 @@
     driven.hears_error(&mut session, "42704");
     // The connection ends: what is set there is not known.
     let heard = driven.hears_to_the_end(&mut link);
-    assert!(!String::from_utf8_lossy(&heard).contains("select 1"), "{heard:?}");
+    assert!(
+        !String::from_utf8_lossy(&heard).contains("select 1"),
+        "{heard:?}"
+    );
     asks(&mut session, "select 2");
     let mut link = driven.dials(&engine);
     lets_in(&mut link);
@@ -265,8 +296,14 @@
     drop(link);
     heard.extend(driven.hears_to_the_end(&mut session));
     // What came of it, and nothing that would pass for a part of it.
-    assert!(!heard.is_empty() && result.starts_with(&heard), "{} bytes", heard.len());
-    driven.until("its session is over", |front| (front.gateway.as_ref()?.len() == 0).then_some(()));
+    assert!(
+        !heard.is_empty() && result.starts_with(&heard),
+        "{} bytes",
+        heard.len()
+    );
+    driven.until("its session is over", |front| {
+        (front.gateway.as_ref()?.len() == 0).then_some(())
+    });
 }
 
 #[test]
--- a/crates/front/src/postgres/error_tests.rs
+++ b/crates/front/src/postgres/error_tests.rs
@@ -9,7 +9,13 @@
     let why = std::net::TcpListener::bind(at).unwrap_err();
     let told = std::io::Error::from(ListenError::Listen { at, why });
     assert_eq!(told.kind(), std::io::ErrorKind::AddrInUse);
-    let (wrong, remedy) =
-        told.to_string().split_once("; ").map(|(a, b)| (a.to_string(), b.to_string())).unwrap();
-    assert!(wrong.starts_with(&format!("postgres.listen: {at}: ")) && remedy.starts_with("give "), "{wrong}");
+    let (wrong, remedy) = told
+        .to_string()
+        .split_once("; ")
+        .map(|(a, b)| (a.to_string(), b.to_string()))
+        .unwrap();
+    assert!(
+        wrong.starts_with(&format!("postgres.listen: {at}: ")) && remedy.starts_with("give "),
+        "{wrong}"
+    );
 }
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -59,19 +59,36 @@
         handle: LoopHandle<'static, LoopEvents>,
         rules: Option<Shared>,
     ) -> std::io::Result<Gateway> {
-        let listener = transient::retry(|| TcpListener::bind(postgres.listen))
-            .map_err(|why| ListenError::Listen { at: postgres.listen, why })?;
+        let listener = transient::retry(|| TcpListener::bind(postgres.listen)).map_err(|why| {
+            ListenError::Listen {
+                at: postgres.listen,
+                why,
+            }
+        })?;
         let address = listener.local_addr()?;
-        let workloads = settings.names.workloads.iter().zip(&settings.agreement.workloads);
+        let workloads = settings
+            .names
+            .workloads
+            .iter()
+            .zip(&settings.agreement.workloads);
         let gateway = Gateway {
             listener: Listener::new(listener, &handle, SocketKind::SessionListener.id(0))?,
             sessions: Sessions::new(&postgres.limits),
-            servers: Servers::new(handle.clone(), settings.network.clone(), postgres.limits.clone()),
+            servers: Servers::new(
+                handle.clone(),
+                settings.network.clone(),
+                postgres.limits.clone(),
+            ),
             users: Users::new(&postgres.users),
             allowed: postgres.clone(),
             answer_slack: settings.network.answer_slack,
-            timeouts: workloads.map(|(name, w)| (name.clone(), w.statement_timeout)).collect(),
-            retry_after_ms: settings.agreement.longest_retry_after.map(|time| time / 1000),
+            timeouts: workloads
+                .map(|(name, w)| (name.clone(), w.statement_timeout))
+                .collect(),
+            retry_after_ms: settings
+                .agreement
+                .longest_retry_after
+                .map(|time| time / 1000),
             shut: None,
             rules,
             writes: Vec::new(),
@@ -132,7 +149,11 @@
         let more = !self.servers.events.is_empty() || !self.sessions.ready.is_empty();
         let more = more || !self.unfinished.is_empty();
         let ready = if more { 0 } else { Micros::MAX };
-        self.listener.due().min(self.servers.due()).min(self.sessions.due()).min(ready)
+        self.listener
+            .due()
+            .min(self.servers.due())
+            .min(self.sessions.due())
+            .min(ready)
     }
 
     /// A connection has changed: takes what is there. True if there is more for another iteration.
@@ -182,34 +203,52 @@
 
     fn take_units(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
         for id in std::mem::take(&mut self.sessions.ready) {
-            self.sessions.advance(now, id, &self.users, &mut self.servers);
+            self.sessions
+                .advance(now, id, &self.users, &mut self.servers);
             self.handle_session_events(now, room, dispatcher);
         }
     }
 
     /// Carries out what sessions have come to.
-    fn handle_session_events(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
+    fn handle_session_events(
+        &mut self,
+        now: Micros,
+        room: AdmissionState,
+        dispatcher: &mut Dispatcher,
+    ) {
         while !self.sessions.events.is_empty() {
             for event in std::mem::take(&mut self.sessions.events) {
                 match event {
-                    sessions::Event::Unit { session, part, since } => {
+                    sessions::Event::Unit {
+                        session,
+                        part,
+                        since,
+                    } => {
                         self.admit(now, room, dispatcher, session, part, since);
                     }
                     sessions::Event::UnitPart { ticket, part }
                         if self.names_unmarked_groups(ticket, &part) =>
                     {
-                        self.sessions.fail(now, ticket, &loads::UNMARKED_GROUPS, None);
+                        self.sessions
+                            .fail(now, ticket, &loads::UNMARKED_GROUPS, None);
                         self.left(now, dispatcher, ticket);
                     }
                     sessions::Event::UnitPart { ticket, part } => {
                         let sent = self.sessions.by_ticket(ticket);
                         let sent = sent.and_then(|(_, i)| i.running.as_ref()?.sent);
-                        sent.into_iter().for_each(|sent| self.servers.more(sent, part.clone()));
+                        sent.into_iter()
+                            .for_each(|sent| self.servers.more(sent, part.clone()));
                     }
                     sessions::Event::Abandoned(ticket) => self.left(now, dispatcher, ticket),
-                    sessions::Event::TransactionOver { pin, keys, may_go_on } => {
-                        pin.into_iter().for_each(|pin| self.servers.release(now, pin));
-                        keys.iter().for_each(|key| dispatcher.freed(now, key, may_go_on));
+                    sessions::Event::TransactionOver {
+                        pin,
+                        keys,
+                        may_go_on,
+                    } => {
+                        pin.into_iter()
+                            .for_each(|pin| self.servers.release(now, pin));
+                        keys.iter()
+                            .for_each(|key| dispatcher.freed(now, key, may_go_on));
                     }
                     sessions::Event::Cancel(session) => self.cancel(now, dispatcher, session),
                 }
@@ -220,12 +259,17 @@
     /// An execution leaves; with other text where it is a simple query that is to have it.
     pub fn send(&mut self, now: Micros, sent: ExecutionId, place: Place, text: Option<Vec<u8>>) {
         let Some((session, open_session)) = self.sessions.by_ticket(sent.ticket) else {
-            return self.servers.events.push(servers::Event::Ended { sent, ending: Ending::Withdrawn });
+            return self.servers.events.push(servers::Event::Ended {
+                sent,
+                ending: Ending::Withdrawn,
+            });
         };
         let (settings, account) = (open_session.session.settings.clone(), open_session.account);
         let pin = open_session.pin.map(|(_, link)| link);
         let lost = open_session.session.transaction == Transaction::Lost;
-        let Some(running) = &mut open_session.running else { return };
+        let Some(running) = &mut open_session.running else {
+            return;
+        };
         running.sent = Some(sent);
         let (mut parts, once) = (running.parts.clone(), running.commits);
         if let (Some(text), [part]) = (text, &mut parts[..]) {
@@ -233,27 +277,59 @@
         }
         if lost {
             // Its transaction went while it waited.
-            return self.servers.events.push(servers::Event::Ended { sent, ending: Ending::Withdrawn });
+            return self.servers.events.push(servers::Event::Ended {
+                sent,
+                ending: Ending::Withdrawn,
+            });
         }
-        self.servers.send(now, sent, place, Unit { session, parts, settings, account, pin, once });
+        self.servers.send(
+            now,
+            sent,
+            place,
+            Unit {
+                session,
+                parts,
+                settings,
+                account,
+                pin,
+                once,
+            },
+        );
     }
 
     pub fn stop(&mut self, now: Micros, sent: ExecutionId, ending: Ending) {
-        let running =
-            self.sessions.by_ticket(sent.ticket).and_then(|(_, open_session)| open_session.running.as_mut());
-        running.into_iter().for_each(|r| r.time_up |= ending == Ending::TimeUp);
+        let running = self
+            .sessions
+            .by_ticket(sent.ticket)
+            .and_then(|(_, open_session)| open_session.running.as_mut());
+        running
+            .into_iter()
+            .for_each(|r| r.time_up |= ending == Ending::TimeUp);
         self.servers.cancel_execution(now, sent, ending);
     }
 
     /// The module turns a statement away, or ends it.
-    pub fn refuse(&mut self, now: Micros, ticket: Ticket, rejects: bool, retry_after: Option<Micros>) {
-        let Some((_, open_session)) = self.sessions.by_ticket(ticket) else { return };
+    pub fn refuse(
+        &mut self,
+        now: Micros,
+        ticket: Ticket,
+        rejects: bool,
+        retry_after: Option<Micros>,
+    ) {
+        let Some((_, open_session)) = self.sessions.by_ticket(ticket) else {
+            return;
+        };
         let why = final_answer(open_session, rejects, retry_after);
         self.sessions.fail(now, ticket, &why, None);
     }
 
     /// Reports replies of engines, and how executions have ended, to sessions and to the dispatcher.
-    pub fn handle_server_events(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
+    pub fn handle_server_events(
+        &mut self,
+        now: Micros,
+        room: AdmissionState,
+        dispatcher: &mut Dispatcher,
+    ) {
         loop {
             let events = std::mem::take(&mut self.servers.events);
             if events.is_empty() {
@@ -267,21 +343,35 @@
         self.take(now, room, dispatcher);
     }
 
-    fn handle_server_event(&mut self, now: Micros, dispatcher: &mut Dispatcher, event: servers::Event) {
+    fn handle_server_event(
+        &mut self,
+        now: Micros,
+        dispatcher: &mut Dispatcher,
+        event: servers::Event,
+    ) {
         match event {
             servers::Event::Irrevocable(ExecutionId { ticket, .. }) => dispatcher.begun(ticket),
             servers::Event::PartialAnswer {
-                sent: ExecutionId { ticket, number: execution },
+                sent:
+                    ExecutionId {
+                        ticket,
+                        number: execution,
+                    },
                 bytes,
                 whole,
             } => {
                 dispatcher.begun(ticket);
                 if self.sessions.pass(ticket, &bytes, whole) {
-                    self.servers.pause(ExecutionId::new(ticket, execution), true);
+                    self.servers
+                        .pause(ExecutionId::new(ticket, execution), true);
                 }
             }
             servers::Event::Answered {
-                sent: ExecutionId { ticket, number: execution },
+                sent:
+                    ExecutionId {
+                        ticket,
+                        number: execution,
+                    },
                 bytes,
                 done,
                 held,
@@ -291,10 +381,18 @@
                 let ending = Ending::Answered;
                 if !dispatcher.report(now, ticket, execution, ending, None) {
                     // It had its answer before; a transaction that it opened is nobody's.
-                    return held.into_iter().for_each(|link| self.servers.release(now, link));
+                    return held
+                        .into_iter()
+                        .for_each(|link| self.servers.release(now, link));
                 }
-                let Some((_, open_session)) = self.sessions.by_ticket(ticket) else { return };
-                if let Some(key) = open_session.running.as_mut().and_then(|r| r.key.take()).filter(|_| keeps)
+                let Some((_, open_session)) = self.sessions.by_ticket(ticket) else {
+                    return;
+                };
+                if let Some(key) = open_session
+                    .running
+                    .as_mut()
+                    .and_then(|r| r.key.take())
+                    .filter(|_| keeps)
                 {
                     open_session.held_keys.push(key);
                 }
@@ -302,13 +400,28 @@
                 let pin = place.zip(held);
                 self.sessions.answer(now, ticket, &bytes, &done, pin);
             }
-            servers::Event::Refused { sent: ExecutionId { ticket, number: execution }, error } => {
+            servers::Event::Refused {
+                sent:
+                    ExecutionId {
+                        ticket,
+                        number: execution,
+                    },
+                error,
+            } => {
                 dispatcher.begun(ticket);
                 if dispatcher.report(now, ticket, execution, Ending::Stale, None) {
-                    self.sessions.fail(now, ticket, &ClientError::ResultLost, Some(&error));
+                    self.sessions
+                        .fail(now, ticket, &ClientError::ResultLost, Some(&error));
                 }
             }
-            servers::Event::Ended { sent: ExecutionId { ticket, number: execution }, ending } => {
+            servers::Event::Ended {
+                sent:
+                    ExecutionId {
+                        ticket,
+                        number: execution,
+                    },
+                ending,
+            } => {
                 let mut cancelled = false;
                 if let Some((_, open_session)) = self.sessions.by_ticket(ticket) {
                     if let Some(running) = &mut open_session.running {
@@ -324,9 +437,10 @@
                     dispatcher.left(now, ticket);
                 }
             }
-            servers::Event::Alive(ExecutionId { ticket, number: execution }) => {
-                dispatcher.note(ticket, execution, Note::Alive)
-            }
+            servers::Event::Alive(ExecutionId {
+                ticket,
+                number: execution,
+            }) => dispatcher.note(ticket, execution, Note::Alive),
             servers::Event::TransactionLost { session } => self.sessions.transaction_lost(session),
         }
     }
@@ -337,7 +451,13 @@
     }
 
     /// Sends what is to leave to clients; ends the one that takes least where all leave too much.
-    pub fn flush(&mut self, now: Micros, room: AdmissionState, most: usize, dispatcher: &mut Dispatcher) {
+    pub fn flush(
+        &mut self,
+        now: Micros,
+        room: AdmissionState,
+        most: usize,
+        dispatcher: &mut Dispatcher,
+    ) {
         for sent in self.sessions.flush(now) {
             if let Some(link) = self.servers.pause(sent, false) {
                 self.read_on(now, SocketKind::Server.id(link));
@@ -358,7 +478,8 @@
     pub fn expire(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
         self.sessions.expire(now, self.shut);
         let unfinished = self.servers.expire(now);
-        self.unfinished.extend(unfinished.into_iter().map(|id| SocketKind::Server.id(id)));
+        self.unfinished
+            .extend(unfinished.into_iter().map(|id| SocketKind::Server.id(id)));
         self.handle_session_events(now, room, dispatcher);
     }
 
--- a/crates/front/src/postgres/gateway/accept.rs
+++ b/crates/front/src/postgres/gateway/accept.rs
@@ -24,9 +24,12 @@
             let reserve = || {
                 let has_descriptor = room > 0 || sessions.drop_lingering();
                 let free = has_descriptor && sessions.open_len() < most || sessions.evict_idle(now);
-                free.then_some(()).ok_or_else(|| format!("{} sessions are connected", sessions.len()))
+                free.then_some(())
+                    .ok_or_else(|| format!("{} sessions are connected", sessions.len()))
+            };
+            let Some(stream) = self.listener.accept(now, reserve) else {
+                return;
             };
-            let Some(stream) = self.listener.accept(now, reserve) else { return };
             let id = self.sessions.next_id();
             room = room.saturating_sub(1);
             match Link::new(stream, &self.handle, SocketKind::Session.id(id)) {
--- a/crates/front/src/postgres/gateway/admission.rs
+++ b/crates/front/src/postgres/gateway/admission.rs
@@ -27,30 +27,44 @@
         part: Rc<UnitPart>,
         since: Micros,
     ) {
-        let Some(open_session) = self.sessions.open_session(id) else { return };
+        let Some(open_session) = self.sessions.open_session(id) else {
+            return;
+        };
         let label = open_session.session.label(&part);
         let why = match terms(&label, &open_session.user, &self.timeouts) {
             Err(why) => why,
             Ok(_) if loads::passes_for_numbered(&self.writes, &part) => loads::NUMBERED,
-            Ok(_) if room.full => ClientError::Rejected { retry_after_ms: self.retry_after_ms },
+            Ok(_) if room.full => ClientError::Rejected {
+                retry_after_ms: self.retry_after_ms,
+            },
             Ok(terms) => {
-                let own = open_session.session.statement_timeout(&label).unwrap_or(Micros::MAX);
+                let own = open_session
+                    .session
+                    .statement_timeout(&label)
+                    .unwrap_or(Micros::MAX);
                 let waited = (now - since).max(room.waited);
                 let time_left = terms.timeout.min(own) - self.answer_slack - waited;
                 let key = label.key.as_deref();
                 let kept = key.is_some_and(|key| open_session.held_keys.iter().any(|k| k == key));
-                let judged = self
-                    .rules
-                    .as_ref()
-                    .map(|rules| rules.borrow_mut().judge(now, terms.member, terms.workload, part.text()));
+                let judged = self.rules.as_ref().map(|rules| {
+                    rules
+                        .borrow_mut()
+                        .judge(now, terms.member, terms.workload, part.text())
+                });
                 let judged = judged.unwrap_or(Decision::Unrestricted);
                 if judged == Decision::RulesUnknown {
-                    let why = ClientError::Rejected { retry_after_ms: self.retry_after_ms };
+                    let why = ClientError::Rejected {
+                        retry_after_ms: self.retry_after_ms,
+                    };
                     return self.sessions.answer_unusable(id, part, &why);
                 }
-                let allowed = self.rules.as_ref().and_then(|rules| rules.borrow().allowed(&judged));
-                let allowed: Option<Vec<&str>> =
-                    allowed.as_ref().map(|names| names.iter().map(String::as_str).collect());
+                let allowed = self
+                    .rules
+                    .as_ref()
+                    .and_then(|rules| rules.borrow().allowed(&judged));
+                let allowed: Option<Vec<&str>> = allowed
+                    .as_ref()
+                    .map(|names| names.iter().map(String::as_str).collect());
                 let ask = Ask {
                     workload: terms.workload,
                     customer: terms.member,
@@ -67,14 +81,20 @@
                 let picked = dispatcher.pick(now, &ask);
                 let key = ask.key.map(str::to_string);
                 if let Some(rules) = &self.rules {
-                    rules.borrow_mut().statement_picked(dispatcher, &judged, picked.ok());
+                    rules
+                        .borrow_mut()
+                        .statement_picked(dispatcher, &judged, picked.ok());
                 }
                 match picked {
                     Ok(ticket) => {
                         return self.sessions.open_unit(id, ticket, part, key);
                     }
-                    Err(Unfit::Barred) => ClientError::Rejected { retry_after_ms: None },
-                    Err(Unfit::Workload) => unfit("hallmux.workload", "no such workload was agreed"),
+                    Err(Unfit::Barred) => ClientError::Rejected {
+                        retry_after_ms: None,
+                    },
+                    Err(Unfit::Workload) => {
+                        unfit("hallmux.workload", "no such workload was agreed")
+                    }
                     Err(Unfit::Customer) => unfit("hallmux.member", "no such member is known"),
                     Err(Unfit::DedupKey) => unfit("hallmux.dedup_key", "this workload needs one"),
                 }
@@ -92,14 +112,21 @@
 
     /// A client asks for the end of what its session has out.
     pub(super) fn cancel(&mut self, now: Micros, dispatcher: &mut Dispatcher, id: SessionId) {
-        let Some(running) = self.sessions.open_session(id).and_then(|i| i.running.as_mut()) else { return };
+        let Some(running) = self
+            .sessions
+            .open_session(id)
+            .and_then(|i| i.running.as_mut())
+        else {
+            return;
+        };
         if std::mem::replace(&mut running.cancelled, true) {
             return;
         }
         let (ticket, sent) = (running.ticket, running.sent);
         // What is out is the engine's to end; what is held here, or can't be ended there, ends here.
         if !sent.is_some_and(|sent| self.servers.cancel(now, sent)) {
-            self.sessions.fail(now, ticket, &ClientError::Cancelled, None);
+            self.sessions
+                .fail(now, ticket, &ClientError::Cancelled, None);
             self.left(now, dispatcher, ticket);
         }
     }
@@ -128,14 +155,21 @@
     let workload =
         workload.ok_or_else(|| unfit("hallmux.workload", "is not set, and there is no default"))?;
     let timeout = timeouts.iter().find(|(name, _)| name == workload);
-    let timeout = timeout.ok_or_else(|| unfit("hallmux.workload", "no such workload was agreed"))?.1;
+    let timeout = timeout
+        .ok_or_else(|| unfit("hallmux.workload", "no such workload was agreed"))?
+        .1;
     // Whom a user belongs to is the operator's word where it is given.
-    let member = user.customer.as_deref().or(label.customer.as_deref()).unwrap_or_default();
-    let number = |field: &'static str, text: &Option<String>| match text.as_deref().map(str::parse::<f64>) {
-        None => Ok(0.0),
-        Some(Ok(value)) if (0.0..=MOST_FIGURE).contains(&value) => Ok(value),
-        Some(_) => Err(unfit(field, "is no number that can be used")),
-    };
+    let member = user
+        .customer
+        .as_deref()
+        .or(label.customer.as_deref())
+        .unwrap_or_default();
+    let number =
+        |field: &'static str, text: &Option<String>| match text.as_deref().map(str::parse::<f64>) {
+            None => Ok(0.0),
+            Some(Ok(value)) if (0.0..=MOST_FIGURE).contains(&value) => Ok(value),
+            Some(_) => Err(unfit(field, "is no number that can be used")),
+        };
     let long = |field: &'static str, text: &Option<String>| match text {
         Some(text) if text.len() > 256 => Err(unfit(field, "is longer than 256 bytes")),
         _ => Ok(()),
@@ -157,7 +191,9 @@
     rejects: bool,
     retry_after: Option<Micros>,
 ) -> ClientError {
-    let Some(running) = &open_session.running else { return ClientError::ResultLost };
+    let Some(running) = &open_session.running else {
+        return ClientError::ResultLost;
+    };
     let held = open_session.session.transaction != Transaction::None;
     if running.commits && running.ran {
         return ClientError::Unresolved;
@@ -169,13 +205,19 @@
         return ClientError::StatementTimeout;
     }
     match (held, rejects) {
-        (true, true) if open_session.pin.is_some() => {
-            ClientError::RolledBack { why: "its statement was turned away" }
-        }
-        (true, _) => ClientError::RolledBack { why: "its engine drains or was lost" },
-        (false, true) => ClientError::Rejected { retry_after_ms: retry_after.map(|time| time / 1000) },
+        (true, true) if open_session.pin.is_some() => ClientError::RolledBack {
+            why: "its statement was turned away",
+        },
+        (true, _) => ClientError::RolledBack {
+            why: "its engine drains or was lost",
+        },
+        (false, true) => ClientError::Rejected {
+            retry_after_ms: retry_after.map(|time| time / 1000),
+        },
         (false, false) if running.begun => ClientError::ResultLost,
         (false, false) if running.ran => ClientError::Unresolved,
-        (false, false) => ClientError::Rejected { retry_after_ms: None },
+        (false, false) => ClientError::Rejected {
+            retry_after_ms: None,
+        },
     }
 }
--- a/crates/front/src/postgres/gateway/loads.rs
+++ b/crates/front/src/postgres/gateway/loads.rs
@@ -34,7 +34,10 @@
             open_session.touched.clear();
         }
         let parts = open_session.running.as_ref()?.parts.clone();
-        if parts.first().is_some_and(|part| writes(&self.writes, open_session, part)) {
+        if parts
+            .first()
+            .is_some_and(|part| writes(&self.writes, open_session, part))
+        {
             let named = parts.iter().flat_map(|part| part.texts()).flat_map(groups);
             open_session.touched.extend(named);
         }
@@ -50,15 +53,28 @@
         if self.writes.is_empty() {
             return false;
         }
-        let Some((_, open_session)) = self.sessions.by_ticket(ticket) else { return false };
-        let Some(running) = &open_session.running else { return false };
-        let Some(first) = running.parts.first() else { return false };
+        let Some((_, open_session)) = self.sessions.by_ticket(ticket) else {
+            return false;
+        };
+        let Some(running) = &open_session.running else {
+            return false;
+        };
+        let Some(first) = running.parts.first() else {
+            return false;
+        };
         if !writes(&self.writes, open_session, first) && !writes(&self.writes, open_session, part) {
             return false;
         }
         // The last part is this one.
-        let before = running.parts.split_last().map_or(&[][..], |(_, before)| before);
-        let named: Vec<u32> = before.iter().flat_map(|part| part.texts()).flat_map(groups).collect();
+        let before = running
+            .parts
+            .split_last()
+            .map_or(&[][..], |(_, before)| before);
+        let named: Vec<u32> = before
+            .iter()
+            .flat_map(|part| part.texts())
+            .flat_map(groups)
+            .collect();
         let known = |group: &u32| named.contains(group) || open_session.touched.contains(group);
         part.texts().flat_map(groups).any(|group| !known(&group))
     }
@@ -71,7 +87,10 @@
 
 fn writes(workloads: &[String], open_session: &OpenSession, part: &UnitPart) -> bool {
     let label = open_session.session.label(part);
-    let workload = label.workload.as_ref().or(open_session.user.workload.as_ref());
+    let workload = label
+        .workload
+        .as_ref()
+        .or(open_session.user.workload.as_ref());
     workload.is_some_and(|workload| workloads.contains(workload))
 }
 
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -195,7 +195,8 @@
     /// Units that can leave for an engine over connections at rest or on their way, or one that may be made now.
     pub fn capacity(&self, now: Micros, place: Place) -> usize {
         let dials = self.pools.has_capacity(place) && self.dials.borrow().next(now, place) <= now;
-        self.pools.available(place) + usize::from(dials && self.engines.get(&place).is_some_and(|e| e.up))
+        self.pools.available(place)
+            + usize::from(dials && self.engines.get(&place).is_some_and(|e| e.up))
     }
 
     /// The number of an account at the engines.
@@ -225,17 +226,35 @@
         let known = self.engines.get(&place);
         let same = known.is_some_and(|e| e.id == id && e.at == at && e.started == started);
         let failing = same && known.is_some_and(|e| e.failing);
-        let (last_reply, last_ping) = known.filter(|_| same).map_or((0, 0), |e| (e.last_reply, e.last_ping));
+        let (last_reply, last_ping) = known
+            .filter(|_| same)
+            .map_or((0, 0), |e| (e.last_reply, e.last_ping));
         if known.is_some() && (!same || !up) {
             self.retire(place);
         }
         let id = id.to_string();
-        self.engines.insert(place, EngineEntry { id, at, started, up, failing, last_reply, last_ping });
+        self.engines.insert(
+            place,
+            EngineEntry {
+                id,
+                at,
+                started,
+                up,
+                failing,
+                last_reply,
+                last_ping,
+            },
+        );
     }
 
     /// A whole list has come: engines that it does not name are gone.
     pub fn retire_others(&mut self, listed: &[Place]) {
-        let places: Vec<Place> = self.engines.keys().copied().filter(|p| !listed.contains(p)).collect();
+        let places: Vec<Place> = self
+            .engines
+            .keys()
+            .copied()
+            .filter(|p| !listed.contains(p))
+            .collect();
         places.into_iter().for_each(|place| self.retire(place));
     }
 
@@ -246,16 +265,21 @@
             engine.up = false;
         }
         let (waited, resting) = self.pools.retire_engine(place);
-        waited.into_iter().for_each(|sent| self.report_end(sent, Ending::Withdrawn));
+        waited
+            .into_iter()
+            .for_each(|sent| self.report_end(sent, Ending::Withdrawn));
         resting.into_iter().for_each(|id| self.close(id));
         // What waits for its settings there has not left either.
         let setting = |(id, l): (&ServerId, &Server)| {
             (l.place == place && l.engine.is_setting()).then_some((*id, l.serves))
         };
-        let setting: Vec<(ServerId, Option<ExecutionId>)> = self.links.iter().filter_map(setting).collect();
+        let setting: Vec<(ServerId, Option<ExecutionId>)> =
+            self.links.iter().filter_map(setting).collect();
         for (id, waits) in setting {
             self.close(id);
-            waits.into_iter().for_each(|sent| self.report_end(sent, Ending::Withdrawn));
+            waits
+                .into_iter()
+                .for_each(|sent| self.report_end(sent, Ending::Withdrawn));
         }
         let held = |(id, l): (&ServerId, &Server)| {
             let idle = match l.serves.and_then(|sent| self.executions.get(&sent)) {
@@ -269,8 +293,11 @@
             let link = self.links.get(&id);
             let (session, waits) = link.map_or((None, None), |l| (l.holds, l.serves));
             self.close(id);
-            waits.into_iter().for_each(|sent| self.report_end(sent, Ending::Withdrawn));
-            self.events.extend(session.map(|session| Event::TransactionLost { session }));
+            waits
+                .into_iter()
+                .for_each(|sent| self.report_end(sent, Ending::Withdrawn));
+            self.events
+                .extend(session.map(|session| Event::TransactionLost { session }));
         }
     }
 
@@ -281,14 +308,30 @@
 
     fn engine_name(&self, id: ServerId) -> &str {
         let place = self.links.get(&id).map(|l| l.place);
-        place.and_then(|place| self.engines.get(&place)).map_or("?", |e| &e.id)
+        place
+            .and_then(|place| self.engines.get(&place))
+            .map_or("?", |e| &e.id)
     }
 
     /// When `expire` is next due.
     pub fn due(&self) -> Micros {
-        let connecting = self.connecting.values().copied().min().unwrap_or(Micros::MAX);
-        let cancels = self.cancels.values().map(|c| c.by).min().unwrap_or(Micros::MAX);
-        let next_check = if self.pools.is_empty() { Micros::MAX } else { self.next_check };
+        let connecting = self
+            .connecting
+            .values()
+            .copied()
+            .min()
+            .unwrap_or(Micros::MAX);
+        let cancels = self
+            .cancels
+            .values()
+            .map(|c| c.by)
+            .min()
+            .unwrap_or(Micros::MAX);
+        let next_check = if self.pools.is_empty() {
+            Micros::MAX
+        } else {
+            self.next_check
+        };
         connecting.min(cancels).min(next_check)
     }
 
@@ -296,8 +339,14 @@
     /// connections have more to read than one iteration takes.
     pub fn expire(&mut self, now: Micros) -> Vec<ServerId> {
         let unfinished = self.expire_connecting(now);
-        let late: Vec<u64> = self.cancels.iter().filter(|(_, c)| c.by <= now).map(|(n, _)| *n).collect();
-        late.into_iter().for_each(|number| self.cancel_overdue(now, number));
+        let late: Vec<u64> = self
+            .cancels
+            .iter()
+            .filter(|(_, c)| c.by <= now)
+            .map(|(n, _)| *n)
+            .collect();
+        late.into_iter()
+            .for_each(|number| self.cancel_overdue(now, number));
         if self.next_check <= now {
             self.next_check = now + CHECK_INTERVAL;
             self.ping_silent(now);
@@ -316,8 +365,12 @@
     /// Ends connections that did not come up, or did not let the front in, in time. Says which of those that
     /// stay have more to read.
     fn expire_connecting(&mut self, now: Micros) -> Vec<ServerId> {
-        let late: Vec<ServerId> =
-            self.connecting.iter().filter(|(_, by)| **by <= now).map(|(id, _)| *id).collect();
+        let late: Vec<ServerId> = self
+            .connecting
+            .iter()
+            .filter(|(_, by)| **by <= now)
+            .map(|(id, _)| *id)
+            .collect();
         let mut unfinished = Vec::new();
         for id in late {
             // Guards against a front that stood still between its look at the connections and this one: what has
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -12,7 +12,9 @@
 impl Servers {
     /// Cancels an execution. It ends with the ending given, or as withdrawn where nothing of it has left.
     pub fn cancel_execution(&mut self, now: Micros, sent: ExecutionId, ending: Ending) {
-        let Some(x) = self.executions.get(&sent) else { return self.end_before_cancelled(sent, ending) };
+        let Some(x) = self.executions.get(&sent) else {
+            return self.end_before_cancelled(sent, ending);
+        };
         let (place, link) = (x.place, x.link);
         let Some(id) = link else {
             self.pools.withdraw(place, sent);
@@ -32,7 +34,11 @@
         // Its client is owed its answer now; else it ends when the engine has taken the request.
         let at_once = ending == Ending::TimeUp;
         // Time that a client spent on taking its answer is not the engine's.
-        let ending = if ending == Ending::TimeUp && x.paused { Ending::GivenUp } else { ending };
+        let ending = if ending == Ending::TimeUp && x.paused {
+            Ending::GivenUp
+        } else {
+            ending
+        };
         self.executions.remove(&sent);
         let held = self.links.get(&id).is_some_and(|l| l.holds.is_some());
         if self.allowance.cancel || held {
@@ -65,8 +71,12 @@
 
     /// Nobody waits for a statement any more: what has not left for an engine never will.
     pub fn abandon(&mut self, now: Micros, ticket: Ticket) {
-        let of_ticket = self.executions.iter().filter(|(sent, _)| sent.ticket == ticket);
-        let here: Vec<(ExecutionId, Option<ServerId>)> = of_ticket.map(|(sent, x)| (*sent, x.link)).collect();
+        let of_ticket = self
+            .executions
+            .iter()
+            .filter(|(sent, _)| sent.ticket == ticket);
+        let here: Vec<(ExecutionId, Option<ServerId>)> =
+            of_ticket.map(|(sent, x)| (*sent, x.link)).collect();
         for (sent, link) in here {
             let Some(id) = link else {
                 self.cancel_execution(now, sent, Ending::Withdrawn);
@@ -74,7 +84,10 @@
             };
             // What is written and has yet to leave goes with its connection, also what waits for its settings.
             let stays = |l: &Server| !l.link.has_sent(1) || l.engine.is_setting();
-            let unsent = self.links.get(&id).is_some_and(|l| l.serves == Some(sent) && stays(l));
+            let unsent = self
+                .links
+                .get(&id)
+                .is_some_and(|l| l.serves == Some(sent) && stays(l));
             if let Some(place) = self.place(id).filter(|_| unsent) {
                 self.report_end(sent, Ending::Withdrawn);
                 self.close_and_refill(now, id, place);
@@ -84,8 +97,16 @@
 
     /// A client asks for the end of what is out. False if nothing can be done about it.
     pub fn cancel(&mut self, now: Micros, sent: ExecutionId) -> bool {
-        let Some(x) = self.executions.get(&sent).filter(|x| x.stage != Stage::Waiting) else { return false };
-        let Some(id) = x.link.filter(|_| self.allowance.cancel) else { return false };
+        let Some(x) = self
+            .executions
+            .get(&sent)
+            .filter(|x| x.stage != Stage::Waiting)
+        else {
+            return false;
+        };
+        let Some(id) = x.link.filter(|_| self.allowance.cancel) else {
+            return false;
+        };
         if let Some(link) = self.links.get_mut(&id) {
             link.closes_after_unit = true;
         }
@@ -93,26 +114,44 @@
     }
 
     /// Sends a request to cancel over a connection of its own.
-    fn ask_to_cancel(&mut self, now: Micros, id: ServerId, ends: Option<(ExecutionId, Ending)>) -> bool {
-        let Some(server) = self.links.get_mut(&id) else { return false };
+    fn ask_to_cancel(
+        &mut self,
+        now: Micros,
+        id: ServerId,
+        ends: Option<(ExecutionId, Ending)>,
+    ) -> bool {
+        let Some(server) = self.links.get_mut(&id) else {
+            return false;
+        };
         let Some((key, engine)) = server.engine.key.zip(self.engines.get(&server.place)) else {
             return false;
         };
         let number = self.next + 1;
-        let Ok(mut link) = Link::dial(engine.at, &self.handle, SocketKind::Cancel.id(number)) else {
+        let Ok(mut link) = Link::dial(engine.at, &self.handle, SocketKind::Cancel.id(number))
+        else {
             return false;
         };
         self.next = number;
         wire::write_cancel(link.output(), key);
         server.cancels += 1;
         let by = now + 2 * self.allowance.dial_timeout;
-        self.cancels.insert(number, Cancel { link, server: id, by, ends });
+        self.cancels.insert(
+            number,
+            Cancel {
+                link,
+                server: id,
+                by,
+                ends,
+            },
+        );
         true
     }
 
     /// A connection that carries a request to cancel has changed.
     pub fn read_cancel(&mut self, number: u64) {
-        let Some(cancel) = self.cancels.get_mut(&number) else { return };
+        let Some(cancel) = self.cancels.get_mut(&number) else {
+            return;
+        };
         match cancel.link.is_up() {
             Ok(false) => return,
             Ok(true) => {}
@@ -129,7 +168,10 @@
     /// connection has come up meanwhile leaves now, and has some time more, as it must not end what comes
     /// after.
     pub(super) fn cancel_overdue(&mut self, now: Micros, number: u64) {
-        let was_unsent = self.cancels.get(&number).is_some_and(|c| c.link.unsent() > 0);
+        let was_unsent = self
+            .cancels
+            .get(&number)
+            .is_some_and(|c| c.link.unsent() > 0);
         self.read_cancel(number);
         match self.cancels.get_mut(&number) {
             Some(cancel) if was_unsent && cancel.link.unsent() == 0 => {
@@ -141,14 +183,19 @@
 
     /// The engine has taken the request, or never will.
     pub(super) fn cancelled(&mut self, number: u64) {
-        let Some(cancel) = self.cancels.remove(&number) else { return };
+        let Some(cancel) = self.cancels.remove(&number) else {
+            return;
+        };
         if let Some((sent, ending)) = cancel.ends {
             self.events.push(Event::Ended { sent, ending });
         }
         if let Some(link) = self.links.get_mut(&cancel.server) {
             link.cancels -= 1;
-            let waits =
-                |sent: &ExecutionId| self.executions.get(sent).is_some_and(|x| x.stage == Stage::Waiting);
+            let waits = |sent: &ExecutionId| {
+                self.executions
+                    .get(sent)
+                    .is_some_and(|x| x.stage == Stage::Waiting)
+            };
             if let Some(sent) = link.serves.filter(waits).filter(|_| link.cancels == 0) {
                 self.start(sent, cancel.server);
             }
@@ -188,7 +235,9 @@
 
     /// A connection is free: for the next unit, or to be closed.
     pub(super) fn release_idle(&mut self, now: Micros, id: ServerId) {
-        let Some(server) = self.links.get_mut(&id) else { return };
+        let Some(server) = self.links.get_mut(&id) else {
+            return;
+        };
         let place = server.place;
         if server.closes_after_unit || server.cancels > 0 {
             return self.close_and_refill(now, id, place);
@@ -202,22 +251,34 @@
 
     /// A connection is over: its execution ends by how much of it has left.
     pub(super) fn connection_lost(&mut self, now: Micros, id: ServerId, ending: Ending) {
-        let Some(server) = self.links.remove(&id) else { return };
+        let Some(server) = self.links.remove(&id) else {
+            return;
+        };
         let waited = self.forget(id);
         let place = server.place;
         if let Some(engine) = self.engines.get_mut(&place) {
             if !server.engine.is_up() {
                 if !std::mem::replace(&mut engine.failing, true) {
-                    log::warn!("engine {}: can't be reached for sessions: {ending:?}", engine.id);
+                    log::warn!(
+                        "engine {}: can't be reached for sessions: {ending:?}",
+                        engine.id
+                    );
                 }
             } else if server.serves.is_some() {
-                log::warn!("engine {}: connection lost with a unit: {ending:?}", engine.id);
+                log::warn!(
+                    "engine {}: connection lost with a unit: {ending:?}",
+                    engine.id
+                );
             }
         }
         for sent in waited {
             self.report_end(
                 sent,
-                if server.up && ending == Ending::Unreadable { Ending::Refused } else { ending },
+                if server.up && ending == Ending::Unreadable {
+                    Ending::Refused
+                } else {
+                    ending
+                },
             );
         }
         if let Some(sent) = server.serves {
@@ -228,12 +289,18 @@
                 // It waits here for its settings.
                 Some(_) if server.engine.is_setting() => Ending::HalfWritten,
                 // Without its Sync nothing that it does is kept, but for a commit of its own.
-                Some(Stage::Writing) if !whole && !x.is_some_and(|x| x.unit.once) => Ending::HalfWritten,
+                Some(Stage::Writing) if !whole && !x.is_some_and(|x| x.unit.once) => {
+                    Ending::HalfWritten
+                }
                 _ => ending,
             };
             self.report_end(sent, ending);
         }
-        self.events.extend(server.holds.map(|session| Event::TransactionLost { session }));
+        self.events.extend(
+            server
+                .holds
+                .map(|session| Event::TransactionLost { session }),
+        );
         let step = self.pools.next_action(place);
         self.step(now, place, step);
     }
--- a/crates/front/src/postgres/servers/replies.rs
+++ b/crates/front/src/postgres/servers/replies.rs
@@ -19,7 +19,9 @@
 impl Servers {
     /// Hands on what has come of an answer, if it is due: too much to hold, or a client that waits for it.
     pub(super) fn pass(&mut self, sent: ExecutionId, caught: bool) {
-        let Some(x) = self.executions.get_mut(&sent) else { return };
+        let Some(x) = self.executions.get_mut(&sent) else {
+            return;
+        };
         let flushed = x.unit.parts.last().is_some_and(|part| !part.ends);
         let due = x.begun || flushed || x.unsent_answer.len() > self.limits.buffer_bytes || caught;
         if due && !x.unsent_answer.is_empty() {
@@ -27,7 +29,8 @@
             let bytes = std::mem::take(&mut x.unsent_answer);
             let link = x.link.and_then(|id| self.links.get(&id));
             let whole = link.is_some_and(|l| l.engine.is_between_messages());
-            self.events.push(Event::PartialAnswer { sent, bytes, whole });
+            self.events
+                .push(Event::PartialAnswer { sent, bytes, whole });
         }
     }
 
@@ -41,14 +44,17 @@
 
     /// A connection has changed; true if there is more for another iteration.
     pub fn read(&mut self, now: Micros, id: ServerId) -> bool {
-        let Some(server) = self.links.get_mut(&id) else { return false };
+        let Some(server) = self.links.get_mut(&id) else {
+            return false;
+        };
         if !server.up {
             match server.link.is_up() {
                 Ok(false) => return false,
                 Ok(true) => {
                     server.up = true;
                     self.connecting.insert(id, now + LOGIN_TIMEOUT);
-                    if let Some(engine) = self.engines.get_mut(&server.place).filter(|e| e.failing) {
+                    if let Some(engine) = self.engines.get_mut(&server.place).filter(|e| e.failing)
+                    {
                         engine.failing = false;
                         log::info!("engine {}: reached again", engine.id);
                     }
@@ -63,7 +69,9 @@
         if let Some(engine) = self.engines.get_mut(&server.place) {
             engine.last_reply = now;
         }
-        let execution = server.serves.and_then(|sent| self.executions.get_mut(&sent));
+        let execution = server
+            .serves
+            .and_then(|sent| self.executions.get_mut(&sent));
         if execution.as_ref().is_some_and(|x| x.paused) {
             return false;
         }
@@ -71,14 +79,18 @@
         let mut input = std::mem::take(&mut server.link.input);
         let mut at = 0;
         let ended = loop {
-            let Some(server) = self.links.get_mut(&id) else { return false };
+            let Some(server) = self.links.get_mut(&id) else {
+                return false;
+            };
             let sent = server.serves;
             let execution = sent.and_then(|sent| self.executions.get_mut(&sent));
             let mut dropped = Vec::new();
             let unsent_answer = execution.map_or(&mut dropped, |x| &mut x.unsent_answer);
             let room = self.limits.buffer_bytes;
             let was_setting = server.engine.is_setting();
-            let read = server.engine.read(&input[at..], server.link.output(), unsent_answer, room);
+            let read = server
+                .engine
+                .read(&input[at..], server.link.output(), unsent_answer, room);
             if was_setting && !server.engine.is_setting() {
                 // What waited for the settings leaves now.
                 server.write_end = server.link.output().len();
@@ -102,9 +114,20 @@
         };
         if let Some(what) = ended {
             if broken.is_none() {
-                log::info!("engine {}: {what}; its connection is closed", self.engine_name(id));
+                log::info!(
+                    "engine {}: {what}; its connection is closed",
+                    self.engine_name(id)
+                );
             }
-            self.connection_lost(now, id, if broken.is_some() { Ending::Closed } else { Ending::Unreadable });
+            self.connection_lost(
+                now,
+                id,
+                if broken.is_some() {
+                    Ending::Closed
+                } else {
+                    Ending::Unreadable
+                },
+            );
             return false;
         }
         if let Some(server) = self.links.get_mut(&id) {
@@ -120,7 +143,9 @@
     }
 
     fn handle_reply(&mut self, now: Micros, id: ServerId, reply: EngineEvent) {
-        let Some(server) = self.links.get_mut(&id) else { return };
+        let Some(server) = self.links.get_mut(&id) else {
+            return;
+        };
         let place = server.place;
         match reply {
             EngineEvent::PingAnswered => self.report_alive(place),
@@ -139,7 +164,9 @@
                 for sent in lost {
                     match code.as_str() {
                         "53300" => self.report_end(sent, Ending::TurnedAway),
-                        code if is_engine_fault(code.as_bytes()) => self.report_end(sent, Ending::Refused),
+                        code if is_engine_fault(code.as_bytes()) => {
+                            self.report_end(sent, Ending::Refused)
+                        }
                         _ => self.refused(sent, error.clone()),
                     }
                 }
@@ -149,7 +176,8 @@
             EngineEvent::SettingsRefused { error } => {
                 let sent = server.serves.take();
                 self.close(id);
-                sent.into_iter().for_each(|sent| self.refused(sent, error.clone()));
+                sent.into_iter()
+                    .for_each(|sent| self.refused(sent, error.clone()));
                 let step = self.pools.next_action(place);
                 self.step(now, place, step);
             }
@@ -160,7 +188,12 @@
     /// An engine has answered: what is out there is not held up by its silence.
     fn report_alive(&mut self, place: Place) {
         let out = |x: &Execution| x.place == place && x.stage != Stage::Waiting;
-        let one = self.executions.iter().filter(|(_, x)| out(x)).map(|(sent, _)| *sent).min();
+        let one = self
+            .executions
+            .iter()
+            .filter(|(_, x)| out(x))
+            .map(|(sent, _)| *sent)
+            .min();
         self.events.extend(one.map(Event::Alive));
     }
 
@@ -172,7 +205,11 @@
             let link = x.link.and_then(|id| self.links.get(&id));
             link.is_some_and(|l| l.engine.is_setting())
         };
-        for x in self.executions.values().filter(|x| x.stage == Stage::Out || setting(x)) {
+        for x in self
+            .executions
+            .values()
+            .filter(|x| x.stage == Stage::Out || setting(x))
+        {
             let engine = self.engines.get(&x.place);
             if engine.is_some_and(|e| e.up && now - e.last_reply.max(e.last_ping) >= PING_AFTER) {
                 quiet.entry(x.place).or_insert(x.unit.account);
@@ -204,7 +241,9 @@
     }
 
     fn unit_done(&mut self, now: Micros, id: ServerId, done: UnitOutcome) {
-        let Some(server) = self.links.get_mut(&id) else { return };
+        let Some(server) = self.links.get_mut(&id) else {
+            return;
+        };
         let (place, sent, session) = (server.place, server.serves.take(), server.holds.take());
         server.discards = false;
         let open = done.status != b'I';
@@ -212,15 +251,31 @@
         let x = sent.and_then(|sent| self.executions.remove(&sent));
         let Some((sent, x)) = sent.zip(x) else {
             // Of one that was given up, or of none: a transaction that it left open is nobody's.
-            return if open { self.close_and_refill(now, id, place) } else { self.release_idle(now, id) };
+            return if open {
+                self.close_and_refill(now, id, place)
+            } else {
+                self.release_idle(now, id)
+            };
         };
         if done.fault && !x.begun && x.unit.pin.is_none() {
-            self.events.push(Event::Ended { sent, ending: Ending::EngineFailed });
-            return if open { self.close_and_refill(now, id, place) } else { self.release_idle(now, id) };
+            self.events.push(Event::Ended {
+                sent,
+                ending: Ending::EngineFailed,
+            });
+            return if open {
+                self.close_and_refill(now, id, place)
+            } else {
+                self.release_idle(now, id)
+            };
         }
         let (holder, keeps) = (x.unit.session, open && listed);
         let held = keeps.then_some(id);
-        self.events.push(Event::Answered { sent, bytes: x.unsent_answer, done, held });
+        self.events.push(Event::Answered {
+            sent,
+            bytes: x.unsent_answer,
+            done,
+            held,
+        });
         if keeps {
             if let Some(server) = self.links.get_mut(&id) {
                 server.holds = session.or(Some(holder));
--- a/crates/front/src/postgres/servers/send.rs
+++ b/crates/front/src/postgres/servers/send.rs
@@ -19,7 +19,10 @@
     /// Sends a unit over the connection that holds its transaction, else over one that its pool gives.
     pub fn send(&mut self, now: Micros, sent: ExecutionId, place: Place, unit: Unit) {
         if !self.engines.get(&place).is_some_and(|e| e.up) {
-            return self.events.push(Event::Ended { sent, ending: Ending::Withdrawn });
+            return self.events.push(Event::Ended {
+                sent,
+                ending: Ending::Withdrawn,
+            });
         }
         let (pin, account, settings) = (unit.pin, unit.account, unit.settings.clone());
         let x = Execution {
@@ -32,7 +35,11 @@
             paused: false,
         };
         match pin {
-            Some(id) => match self.links.get_mut(&id).filter(|l| l.place == place && l.holds.is_some()) {
+            Some(id) => match self
+                .links
+                .get_mut(&id)
+                .filter(|l| l.place == place && l.holds.is_some())
+            {
                 Some(link) => {
                     self.executions.insert(sent, x);
                     link.serves = Some(sent);
@@ -40,11 +47,18 @@
                         self.start(sent, id);
                     }
                 }
-                None => self.events.push(Event::Ended { sent, ending: Ending::Withdrawn }),
+                None => self.events.push(Event::Ended {
+                    sent,
+                    ending: Ending::Withdrawn,
+                }),
             },
             None => {
                 self.executions.insert(sent, x);
-                let suits = |id: u64| self.links.get(&id).map_or(0, |l| u32::from(l.engine.suits(&settings)));
+                let suits = |id: u64| {
+                    self.links
+                        .get(&id)
+                        .map_or(0, |l| u32::from(l.engine.suits(&settings)))
+                };
                 let step = self.pools.submit(place, account, sent, suits);
                 self.step(now, place, step);
             }
@@ -52,14 +66,22 @@
     }
 
     /// Does what the pools have decided, and what follows from that.
-    pub(super) fn step(&mut self, now: Micros, place: Place, step: Option<PoolAction<ExecutionId>>) {
+    pub(super) fn step(
+        &mut self,
+        now: Micros,
+        place: Place,
+        step: Option<PoolAction<ExecutionId>>,
+    ) {
         let mut step = step;
         while let Some(next) = step.take() {
             match next {
                 PoolAction::Use { unit, connection } => self.start(unit, connection),
                 // What waits is served as connections come free, or at the next look when a connection may be made.
                 PoolAction::Dial { .. } if !self.dials.borrow_mut().take(now, place) => return,
-                PoolAction::Dial { account, instead_of } => {
+                PoolAction::Dial {
+                    account,
+                    instead_of,
+                } => {
                     instead_of.into_iter().for_each(|id| self.close(id));
                     if self.links.len() + self.cancels.len() >= self.max_links {
                         match self.pools.oldest_idle() {
@@ -85,17 +107,33 @@
 
     fn waiting(&self, place: Place, account: pool::AccountId) -> Vec<ExecutionId> {
         let waits = |x: &Execution| {
-            x.place == place && x.link.is_none() && x.unit.pin.is_none() && x.unit.account == account
+            x.place == place
+                && x.link.is_none()
+                && x.unit.pin.is_none()
+                && x.unit.account == account
         };
-        let mut all: Vec<ExecutionId> =
-            self.executions.iter().filter(|(_, x)| waits(x)).map(|(s, _)| *s).collect();
+        let mut all: Vec<ExecutionId> = self
+            .executions
+            .iter()
+            .filter(|(_, x)| waits(x))
+            .map(|(s, _)| *s)
+            .collect();
         all.sort_unstable();
         all
     }
 
-    pub(super) fn dial(&mut self, now: Micros, place: Place, account: pool::AccountId) -> Result<(), Ending> {
+    pub(super) fn dial(
+        &mut self,
+        now: Micros,
+        place: Place,
+        account: pool::AccountId,
+    ) -> Result<(), Ending> {
         let engine = self.engines.get(&place).ok_or(Ending::Withdrawn)?;
-        let who = self.accounts.get(account).cloned().ok_or(Ending::Withdrawn)?;
+        let who = self
+            .accounts
+            .get(account)
+            .cloned()
+            .ok_or(Ending::Withdrawn)?;
         self.next += 1;
         let id = self.next;
         let mut link = match Link::dial(engine.at, &self.handle, SocketKind::Server.id(id)) {
@@ -127,12 +165,21 @@
 
     /// Puts a unit on its way.
     pub(super) fn start(&mut self, sent: ExecutionId, id: ServerId) {
-        let (Some(x), Some(link)) = (self.executions.get_mut(&sent), self.links.get_mut(&id)) else { return };
+        let (Some(x), Some(link)) = (self.executions.get_mut(&sent), self.links.get_mut(&id))
+        else {
+            return;
+        };
         link.serves = Some(sent);
         (x.link, x.stage) = (Some(id), Stage::Writing);
         let own = x.unit.pin.is_some();
         for (n, part) in x.unit.parts.iter().enumerate() {
-            link.engine.send(part, &x.unit.settings, own || n > 0, link.link.output(), &mut x.unsent_answer);
+            link.engine.send(
+                part,
+                &x.unit.settings,
+                own || n > 0,
+                link.link.output(),
+                &mut x.unsent_answer,
+            );
         }
         link.write_end = link.link.output().len();
         self.changed.insert(id);
@@ -140,11 +187,21 @@
 
     /// More of a unit that is out has come.
     pub fn more(&mut self, sent: ExecutionId, part: Rc<UnitPart>) {
-        let Some(x) = self.executions.get_mut(&sent) else { return };
+        let Some(x) = self.executions.get_mut(&sent) else {
+            return;
+        };
         x.unit.parts.push(part.clone());
         let Some(id) = x.link else { return };
-        let Some(link) = self.links.get_mut(&id) else { return };
-        link.engine.send(&part, &x.unit.settings, true, link.link.output(), &mut x.unsent_answer);
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
+        link.engine.send(
+            &part,
+            &x.unit.settings,
+            true,
+            link.link.output(),
+            &mut x.unsent_answer,
+        );
         link.write_end = link.link.output().len();
         x.stage = Stage::Writing;
         self.changed.insert(id);
@@ -154,7 +211,9 @@
     /// Sends what is to leave.
     pub fn flush(&mut self, now: Micros) {
         for id in std::mem::take(&mut self.changed) {
-            let Some(server) = self.links.get_mut(&id).filter(|l| l.up) else { continue };
+            let Some(server) = self.links.get_mut(&id).filter(|l| l.up) else {
+                continue;
+            };
             let flushed = server.link.flush();
             let left = server.link.has_sent(server.write_end);
             let sent = server.serves;
@@ -165,7 +224,8 @@
                 if left && x.stage == Stage::Writing && !server.engine.is_setting() {
                     x.stage = Stage::Out;
                     let once = x.unit.once || x.unit.pin.is_some();
-                    self.events.extend(sent.filter(|_| once).map(Event::Irrevocable));
+                    self.events
+                        .extend(sent.filter(|_| once).map(Event::Irrevocable));
                 }
             }
             if flushed.is_err() {
@@ -182,7 +242,9 @@
         ErrorKind::ConnectionRefused => Ending::Refused,
         // Whoever resets a connection is there.
         ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => Ending::BrokenNew,
-        ErrorKind::HostUnreachable | ErrorKind::NetworkUnreachable | ErrorKind::TimedOut => Ending::NeverUp,
+        ErrorKind::HostUnreachable | ErrorKind::NetworkUnreachable | ErrorKind::TimedOut => {
+            Ending::NeverUp
+        }
         _ => Ending::NoMeans,
     }
 }
--- a/crates/front/src/postgres/servers_cancel_tests.rs
+++ b/crates/front/src/postgres/servers_cancel_tests.rs
@@ -3,8 +3,14 @@
 use super::*;
 
 const CANCEL_TIMEOUT: Micros = 2 * DIAL_TIMEOUT; // microseconds for a request to cancel
-const SECOND: ExecutionId = ExecutionId { ticket: 2, number: 0 };
-const THIRD: ExecutionId = ExecutionId { ticket: 3, number: 0 };
+const SECOND: ExecutionId = ExecutionId {
+    ticket: 2,
+    number: 0,
+};
+const THIRD: ExecutionId = ExecutionId {
+    ticket: 3,
+    number: 0,
+};
 
 fn answers(engine: &mut TcpStream, tag: &str, status: u8) {
     let mut out = Vec::new();
@@ -104,13 +110,19 @@
         driven.servers.pause(FIRST, paused);
         driven.servers.cancel_execution(0, FIRST, Ending::TimeUp);
         // What a client did not take is not charged to the engine.
-        let ending = if paused { Ending::GivenUp } else { Ending::TimeUp };
+        let ending = if paused {
+            Ending::GivenUp
+        } else {
+            Ending::TimeUp
+        };
         assert_eq!(driven.ended(), [(FIRST, ending)], "paused: {paused}");
         let mut cancel = engine.accept().unwrap().0;
         driven.hears(0, &mut cancel, &cancel_request());
         assert!(driven.hears(0, &mut link, b"").is_empty());
         drop(cancel);
-        driven.until(0, "the request is taken", |servers| servers.cancels.is_empty().then_some(()));
+        driven.until(0, "the request is taken", |servers| {
+            servers.cancels.is_empty().then_some(())
+        });
         driven.servers.expire(CANCEL_TIMEOUT);
         assert_eq!(driven.ended(), []);
     }
--- a/crates/front/src/postgres/servers_tests.rs
+++ b/crates/front/src/postgres/servers_tests.rs
@@ -19,7 +19,10 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 const DIAL_TIMEOUT: Micros = 250_000; // microseconds
 const PLACE: Place = 0;
-const KEY: wire::CancelKey = wire::CancelKey { process: 7, secret: 8 };
+const KEY: wire::CancelKey = wire::CancelKey {
+    process: 7,
+    secret: 8,
+};
 
 /// Connections to one engine that no front drives, with a time that the test gives.
 struct Driven {
@@ -30,8 +33,11 @@
 impl Driven {
     fn new(engine: SocketAddr) -> Driven {
         let events = EventLoop::try_new().unwrap();
-        let allowance =
-            NetworkSettings { dial_timeout: DIAL_TIMEOUT, cancel: true, ..NetworkSettings::default() };
+        let allowance = NetworkSettings {
+            dial_timeout: DIAL_TIMEOUT,
+            cancel: true,
+            ..NetworkSettings::default()
+        };
         let limits = SessionLimits {
             sessions: 10,
             start_up: 5_000_000,
@@ -55,12 +61,24 @@
     fn sends(&mut self, now: Micros, sent: ExecutionId, text: &str, pin: Option<ServerId>) {
         let account = self.servers.account(Account::default()).unwrap();
         let (settings, parts) = (Rc::default(), vec![query(text)]);
-        let unit = Unit { session: 1, parts, settings, account, pin, once: false };
+        let unit = Unit {
+            session: 1,
+            parts,
+            settings,
+            account,
+            pin,
+            once: false,
+        };
         self.servers.send(now, sent, PLACE, unit);
     }
 
     /// Takes what the loop reports, and sends what is to leave, until there is what is waited for.
-    fn until<T>(&mut self, now: Micros, what: &str, mut there: impl FnMut(&mut Servers) -> Option<T>) -> T {
+    fn until<T>(
+        &mut self,
+        now: Micros,
+        what: &str,
+        mut there: impl FnMut(&mut Servers) -> Option<T>,
+    ) -> T {
         let begun = Instant::now();
         loop {
             self.takes_what_is_reported(now);
@@ -103,7 +121,11 @@
             let mut heard = [0; 4096];
             match engine.read(&mut heard) {
                 Ok(0) => {
-                    assert!(text.is_empty(), "the end behind {:?}", String::from_utf8_lossy(&all));
+                    assert!(
+                        text.is_empty(),
+                        "the end behind {:?}",
+                        String::from_utf8_lossy(&all)
+                    );
                     return Some(());
                 }
                 Ok(len) => all.extend_from_slice(&heard[..len]),
@@ -137,7 +159,10 @@
             Event::Ended { sent, ending } => Some((sent, ending)),
             _ => None,
         };
-        std::mem::take(&mut self.servers.events).into_iter().filter_map(ended).collect()
+        std::mem::take(&mut self.servers.events)
+            .into_iter()
+            .filter_map(ended)
+            .collect()
     }
 }
 
@@ -166,7 +191,9 @@
 /// A port at which nobody listens, and nobody else can: dials are refused.
 fn bound() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     let at = socket.local_addr().unwrap().as_socket().unwrap();
     (socket, at)
 }
@@ -179,7 +206,10 @@
     (socket, first, at)
 }
 
-const FIRST: ExecutionId = ExecutionId { ticket: 1, number: 0 };
+const FIRST: ExecutionId = ExecutionId {
+    ticket: 1,
+    number: 0,
+};
 
 #[test]
 fn a_connection_that_came_up_while_the_front_stood_still_is_not_given_up() {
@@ -253,17 +283,30 @@
     assert_eq!(driven.ended(), []);
     // Nothing of it has left.
     let heard = driven.hears(LOGIN_TIMEOUT, &mut link, b"");
-    assert!(!String::from_utf8_lossy(&heard).contains("select"), "{heard:?}");
+    assert!(
+        !String::from_utf8_lossy(&heard).contains("select"),
+        "{heard:?}"
+    );
 }
 
 #[test]
 fn a_unit_whose_settings_are_still_brought_over_is_withdrawn_once_its_engine_drains() {
     let (engine, at) = listener();
     let mut driven = Driven::new(at);
-    let set = BTreeMap::from([("search_path".to_string(), "SET search_path = 'own'".to_string())]);
+    let set = BTreeMap::from([(
+        "search_path".to_string(),
+        "SET search_path = 'own'".to_string(),
+    )]);
     let (settings, parts) = (Rc::new(SessionSettings(set)), vec![query("select 1")]);
     let account = driven.servers.account(Account::default()).unwrap();
-    let unit = Unit { session: 1, parts, settings, account, pin: None, once: true };
+    let unit = Unit {
+        session: 1,
+        parts,
+        settings,
+        account,
+        pin: None,
+        once: true,
+    };
     driven.servers.send(0, FIRST, PLACE, unit);
     let mut link = engine.accept().unwrap().0;
     driven.hears(0, &mut link, b"user");
@@ -274,5 +317,8 @@
     driven.servers.list(PLACE, "a", at, 0.0, false);
     assert_eq!(driven.ended(), [(FIRST, Ending::Withdrawn)]);
     let heard = driven.hears(0, &mut link, b"");
-    assert!(!String::from_utf8_lossy(&heard).contains("select 1"), "{heard:?}");
+    assert!(
+        !String::from_utf8_lossy(&heard).contains("select 1"),
+        "{heard:?}"
+    );
 }
--- a/crates/front/src/postgres/session_close_tests.rs
+++ b/crates/front/src/postgres/session_close_tests.rs
@@ -60,11 +60,16 @@
     driven.front.iterate();
     for session in [&mut session, &mut stays] {
         let heard = driven.hears_end(session);
-        assert!(heard.starts_with('E') && heard.contains("57P01"), "{heard:?}");
+        assert!(
+            heard.starts_with('E') && heard.contains("57P01"),
+            "{heard:?}"
+        );
     }
     // The front's end waits for the clients' own, but not for ever.
     drop(session);
-    driven.until("one to be closed", |front| (!front.gateway.as_ref()?.is_done()).then_some(()));
+    driven.until("one to be closed", |front| {
+        (!front.gateway.as_ref()?.is_done()).then_some(())
+    });
     write_clock(&driven.files[0], LATER + LINGERS_AT_END - 1);
     driven.goes_on();
     assert!(!driven.front.is_done());
@@ -102,7 +107,10 @@
     // The loop has not told of that.
     driven.front.iterate();
     let heard = driven.hears_end(&mut session);
-    assert!(heard.starts_with('E') && heard.contains("25P03"), "{heard:?}");
+    assert!(
+        heard.starts_with('E') && heard.contains("25P03"),
+        "{heard:?}"
+    );
 }
 
 #[test]
@@ -110,7 +118,9 @@
     let (_engine, at) = listener();
     let mut driven = Driven::with_limits("crossed-login", at, true, "start_up_ms: 400");
     let mut session = TcpStream::connect(driven.sessions).unwrap();
-    driven.until("it is connected", |front| (front.gateway.as_ref()?.len() == 1).then_some(()));
+    driven.until("it is connected", |front| {
+        (front.gateway.as_ref()?.len() == 1).then_some(())
+    });
     driven.goes_on();
     write_clock(&driven.files[0], START + 500_000);
     starts_up(&mut session, "portal");
@@ -119,7 +129,14 @@
     // Its client does not close: the loop wakes as the bound is over, and drops it.
     let bound = START + 500_000 + LINGERS;
     let (done, open) = ((true, Micros::MAX), (false, bound));
-    let gateway = |driven: &Driven| driven.front.gateway.as_ref().map(|g| (g.is_done(), g.due())).unwrap();
+    let gateway = |driven: &Driven| {
+        driven
+            .front
+            .gateway
+            .as_ref()
+            .map(|g| (g.is_done(), g.due()))
+            .unwrap()
+    };
     assert_eq!(gateway(&driven), open);
     write_clock(&driven.files[0], bound - 1);
     driven.goes_on();
@@ -140,7 +157,10 @@
     assert_eq!(driven.sessions(), 1);
     asks(&mut session, "select 1");
     let heard = driven.hears_end(&mut session);
-    assert!(heard.starts_with('E') && heard.contains("57P01"), "{heard:?}");
+    assert!(
+        heard.starts_with('E') && heard.contains("57P01"),
+        "{heard:?}"
+    );
 }
 
 #[test]
@@ -164,7 +184,9 @@
     session.write_all(wire::TERMINATE).unwrap();
     assert_eq!(driven.hears_end(&mut session), "");
     let _client = TcpStream::connect(driven.listens).unwrap();
-    driven.until("it is taken", |front| (front.clients.len() == 1).then_some(()));
+    driven.until("it is taken", |front| {
+        (front.clients.len() == 1).then_some(())
+    });
     assert_eq!(driven.sessions(), 1);
 }
 
@@ -176,7 +198,11 @@
     driven.has_room(1, 0);
     write_clock(&driven.files[0], START + 2_000_000);
     let _newcomer = driven.enters();
-    assert!(driven.front.gateway.as_mut().is_some_and(|gateway| !gateway.drop_lingering()));
+    assert!(driven
+        .front
+        .gateway
+        .as_mut()
+        .is_some_and(|gateway| !gateway.drop_lingering()));
     assert_eq!(driven.sessions(), 1);
     let heard = driven.hears_end(&mut session);
     assert!(heard.contains("57P01"), "{heard:?}");
@@ -211,7 +237,10 @@
         Err(e) if e.kind() == ErrorKind::WouldBlock => None,
         Err(e) => Some(e.kind()),
     });
-    assert!(matches!(ended, ErrorKind::ConnectionReset | ErrorKind::BrokenPipe), "{ended}");
+    assert!(
+        matches!(ended, ErrorKind::ConnectionReset | ErrorKind::BrokenPipe),
+        "{ended}"
+    );
     assert!(driven.front.gateway.as_ref().unwrap().is_done());
 }
 
@@ -231,7 +260,12 @@
     });
     session.write_all(&out).unwrap();
     let challenge = driven.hears_text(&mut session, ",i=");
-    let nonce = challenge.split("r=").nth(1).and_then(|rest| rest.split(',').next()).unwrap().to_string();
+    let nonce = challenge
+        .split("r=")
+        .nth(1)
+        .and_then(|rest| rest.split(',').next())
+        .unwrap()
+        .to_string();
     // A proof of the right length.
     let proof = format!("c=biws,r={nonce},p={}=", "A".repeat(43));
     out.clear();
@@ -241,7 +275,10 @@
     asks(&mut session, "select 1");
     driven.front.iterate();
     let heard = driven.hears_end(&mut session);
-    assert!(heard.starts_with('E') && heard.contains("28P01"), "{heard:?}");
+    assert!(
+        heard.starts_with('E') && heard.contains("28P01"),
+        "{heard:?}"
+    );
 }
 
 #[test]
--- a/crates/front/src/postgres/session_units_tests.rs
+++ b/crates/front/src/postgres/session_units_tests.rs
@@ -19,7 +19,10 @@
     while let Ok(Some(message)) = wire::message(greeting, greeting.len()) {
         let word = |at: usize| u32::from_be_bytes(message.body[at..at + 4].try_into().unwrap());
         if message.tag == b'K' {
-            return CancelKey { process: word(0), secret: word(4) };
+            return CancelKey {
+                process: word(0),
+                secret: word(4),
+            };
         }
         greeting = &greeting[message.len..];
     }
@@ -88,14 +91,20 @@
         driven.cancels(key);
         driven.cancels(key);
         let heard = driven.hears_text(&mut session, "Z\0\0\0\x05I");
-        assert!(heard.starts_with('E') && heard.matches("C57014").count() == 1, "{heard:?}");
+        assert!(
+            heard.starts_with('E') && heard.matches("C57014").count() == 1,
+            "{heard:?}"
+        );
         lets_in(&mut link);
         asks(&mut session, "select 2");
         let heard = driven.hears_text(&mut link, "select 2");
         assert!(!heard.contains("select 1"), "{heard:?}");
         answers(&mut link, "SELECT 2", b'I');
         let heard = driven.hears_text(&mut session, "Z\0\0\0\x05I");
-        assert!(heard.starts_with('C') && heard.contains("SELECT 2"), "{heard:?}");
+        assert!(
+            heard.starts_with('C') && heard.contains("SELECT 2"),
+            "{heard:?}"
+        );
         // Nothing was asked of the engine beside that.
         driven.goes_on();
         assert_eq!(engine.accept().unwrap_err().kind(), ErrorKind::WouldBlock);
@@ -130,12 +139,20 @@
         });
         driven.goes_on();
         session.set_nonblocking(true).unwrap();
-        assert_eq!(session.read(&mut [0]).unwrap_err().kind(), ErrorKind::WouldBlock);
+        assert_eq!(
+            session.read(&mut [0]).unwrap_err().kind(),
+            ErrorKind::WouldBlock
+        );
         answers(&mut link, "SELECT 1", b'I');
         let heard = driven.hears_end(&mut session);
-        let error = heard.strip_prefix("C\0\0\0\x0dSELECT 1\0Z\0\0\0\x05I").unwrap_or(&heard);
+        let error = heard
+            .strip_prefix("C\0\0\0\x0dSELECT 1\0Z\0\0\0\x05I")
+            .unwrap_or(&heard);
         let errors = error.matches("SFATAL").count();
-        assert!(error.starts_with('E') && error.contains("C08P01") && errors == 1, "{heard:?}");
+        assert!(
+            error.starts_with('E') && error.contains("C08P01") && errors == 1,
+            "{heard:?}"
+        );
         drop(session);
         // The engine is not asked to give up what it has answered, and its connection serves on.
         let mut next = driven.enters();
@@ -176,10 +193,16 @@
         rows += 1;
         driven.goes_on();
     }
-    assert!(unsent(&driven) < MOST_UNTAKEN / 2, "{} bytes", unsent(&driven));
+    assert!(
+        unsent(&driven) < MOST_UNTAKEN / 2,
+        "{} bytes",
+        unsent(&driven)
+    );
     let tag = format!("SELECT {rows}");
     answers(&mut link_of_little, &tag, b'I');
-    driven.until("its answer", |front| (front.gateway.as_ref()?.held_bytes() == most_holds()).then_some(()));
+    driven.until("its answer", |front| {
+        (front.gateway.as_ref()?.held_bytes() == most_holds()).then_some(())
+    });
     // The other's answer has no end: rows come until the front does not want them any more.
     link_of_most.set_nonblocking(true).unwrap();
     let mut at = 0;
@@ -209,7 +232,12 @@
     let mut whole = row.repeat(rows);
     wire::write_complete(&mut whole, &tag);
     whole.extend(READY);
-    assert!(heard == whole, "{} bytes in place of {}", heard.len(), whole.len());
+    assert!(
+        heard == whole,
+        "{} bytes in place of {}",
+        heard.len(),
+        whole.len()
+    );
     asks(&mut little, "SET hallmux.workload = 'lookup'");
     let heard = driven.hears_text(&mut little, "Z\0\0\0\x05I");
     assert!(heard.starts_with("C\0\0\0\x08SET\0"), "{heard:?}");
--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -24,13 +24,21 @@
 /// What sessions have come to that needs the dispatcher or an engine.
 pub enum Event {
     /// A unit is to be taken; its last byte came at the time given.
-    Unit { session: SessionId, part: Rc<UnitPart>, since: Micros },
+    Unit {
+        session: SessionId,
+        part: Rc<UnitPart>,
+        since: Micros,
+    },
     /// More of the unit that is out.
     UnitPart { ticket: Ticket, part: Rc<UnitPart> },
     /// The client no longer waits.
     Abandoned(Ticket),
     /// A transaction is over: a connection that goes, the order keys that it kept.
-    TransactionOver { pin: Option<ServerId>, keys: Vec<String>, may_go_on: bool },
+    TransactionOver {
+        pin: Option<ServerId>,
+        keys: Vec<String>,
+        may_go_on: bool,
+    },
     /// A client asks for the end of what this session has out.
     Cancel(SessionId),
 }
@@ -122,8 +130,9 @@
             None => Some(Authentication::Trust),
             Some(text) => hallmux_postgres::scram::Verifier::read(text).map(Authentication::Scram),
         };
-        let known =
-            |(name, user): (&String, &User)| Some((name.clone(), (Rc::new(user.clone()), access(user)?)));
+        let known = |(name, user): (&String, &User)| {
+            Some((name.clone(), (Rc::new(user.clone()), access(user)?)))
+        };
         Users(users.iter().filter_map(known).collect())
     }
 }
@@ -229,7 +238,10 @@
     /// Bytes of the answers that clients have not taken yet, and the session that has left most.
     pub fn unsent(&self) -> (usize, Option<SessionId>) {
         let unsent = |id: &SessionId| self.connections.get(id).map_or(0, |p| p.link.unsent());
-        (self.with_unsent.iter().map(unsent).sum(), self.with_unsent.iter().copied().max_by_key(unsent))
+        (
+            self.with_unsent.iter().map(unsent).sum(),
+            self.with_unsent.iter().copied().max_by_key(unsent),
+        )
     }
 
     /// A connection has changed: takes what is there. True if there is more for another iteration.
@@ -238,7 +250,9 @@
             return more;
         }
         let most = self.bounds.bytes;
-        let Some(connection) = self.connections.get_mut(&id) else { return false };
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return false;
+        };
         self.changed.insert(id);
         // Guards against input without end while a unit is out: the rest waits with the network.
         if connection.link.input.len() > most || connection.closing {
@@ -268,7 +282,9 @@
     pub fn flush(&mut self, now: Micros) -> Vec<ExecutionId> {
         let mut caught_up = Vec::new();
         for id in std::mem::take(&mut self.changed) {
-            let Some(connection) = self.connections.get_mut(&id) else { continue };
+            let Some(connection) = self.connections.get_mut(&id) else {
+                continue;
+            };
             let flushed = connection.link.flush();
             let unsent = connection.link.unsent();
             if flushed.is_err() {
@@ -295,11 +311,18 @@
 
     /// Sessions whose input waits with the network, and may be read again.
     pub fn unstalled(&mut self) -> Vec<SessionId> {
-        let full =
-            |id: &SessionId| self.connections.get(id).is_some_and(|p| p.link.input.len() > self.bounds.bytes);
-        let (full, ready): (BTreeSet<_>, BTreeSet<_>) =
-            std::mem::take(&mut self.stalled).into_iter().partition(full);
+        let full = |id: &SessionId| {
+            self.connections
+                .get(id)
+                .is_some_and(|p| p.link.input.len() > self.bounds.bytes)
+        };
+        let (full, ready): (BTreeSet<_>, BTreeSet<_>) = std::mem::take(&mut self.stalled)
+            .into_iter()
+            .partition(full);
         self.stalled = full;
-        ready.into_iter().chain(self.lingering.take_unread()).collect()
+        ready
+            .into_iter()
+            .chain(self.lingering.take_unread())
+            .collect()
     }
 }
--- a/crates/front/src/postgres/sessions/close.rs
+++ b/crates/front/src/postgres/sessions/close.rs
@@ -15,7 +15,9 @@
 impl Sessions {
     /// A session has no more to ask: what it holds is let go; its connection ends once all has left.
     pub(super) fn abandon(&mut self, id: SessionId) {
-        let Some(open_session) = self.open_session(id) else { return };
+        let Some(open_session) = self.open_session(id) else {
+            return;
+        };
         let ticket = open_session.running.as_ref().map(|r| r.ticket);
         let ran = open_session.running.as_ref().is_some_and(|r| r.ran);
         if let Some(ticket) = ticket {
@@ -33,7 +35,10 @@
     /// Closes a connection in order. Guards against a reset that destroys its last answer on the way: what
     /// comes between the last read and the close is read and dropped.
     pub(super) fn close(&mut self, now: Micros, id: SessionId) {
-        if let Some(connection) = self.remove(id).filter(|connection| connection.link.unsent() == 0) {
+        if let Some(connection) = self
+            .remove(id)
+            .filter(|connection| connection.link.unsent() == 0)
+        {
             self.lingering.close(now, id, connection.link);
         }
     }
@@ -72,7 +77,8 @@
 
     /// Ends what has stood still too long. `shut` is since when the front ends.
     pub fn expire(&mut self, now: Micros, shut: Option<Micros>) {
-        self.lingering.expire(now + shut.map_or(0, |_| SHORTER_AT_END));
+        self.lingering
+            .expire(now + shut.map_or(0, |_| SHORTER_AT_END));
         if now < self.next_check {
             return;
         }
@@ -125,7 +131,10 @@
         };
         let mut ranked: Vec<_> = self.connections.iter().filter_map(rank).collect();
         ranked.sort_unstable();
-        let found = ranked.into_iter().map(|(.., id)| id).find(|id| self.brings_nothing(now, *id));
+        let found = ranked
+            .into_iter()
+            .map(|(.., id)| id)
+            .find(|id| self.brings_nothing(now, *id));
         let Some(id) = found else { return false };
         self.dismiss(id, &ClientError::ShuttingDown);
         if let Some(connection) = self.connections.get_mut(&id) {
@@ -145,7 +154,8 @@
                 let may_go_on = open_session.running.is_none()
                     && !open_session.session.transaction.is_held()
                     && !p.closing;
-                (may_go_on && !open_session.session.is_in_unit() && p.link.input.is_empty()).then_some(*id)
+                (may_go_on && !open_session.session.is_in_unit() && p.link.input.is_empty())
+                    .then_some(*id)
             }
         };
         let idle: Vec<SessionId> = self.connections.iter().filter_map(idle).collect();
@@ -159,7 +169,12 @@
     /// Whether a session that is to be closed as idle brings nothing just now. Guards against a unit that came
     /// since it was last read: it is taken then, and its session stays.
     fn brings_nothing(&mut self, now: Micros, id: SessionId) -> bool {
-        let held = |sessions: &Sessions| sessions.connections.get(&id).map_or(0, |c| c.link.input.len());
+        let held = |sessions: &Sessions| {
+            sessions
+                .connections
+                .get(&id)
+                .map_or(0, |c| c.link.input.len())
+        };
         let before = held(self);
         if self.read(now, id) {
             // The loop does not tell of the rest again.
--- a/crates/front/src/postgres/sessions/input.rs
+++ b/crates/front/src/postgres/sessions/input.rs
@@ -20,14 +20,18 @@
     /// Takes the units that have come, as far as they can be taken now.
     pub fn advance(&mut self, now: Micros, id: SessionId, users: &Users, servers: &mut Servers) {
         for _ in 0..UNITS_PER_ITERATION {
-            let Some(connection) = self.connections.get_mut(&id) else { return };
+            let Some(connection) = self.connections.get_mut(&id) else {
+                return;
+            };
             if connection.closing {
                 return;
             }
             let input = std::mem::take(&mut connection.link.input);
             let (used, goes_on) = self.consume(now, id, &input, users, servers);
             self.changed.insert(id);
-            let Some(connection) = self.connections.get_mut(&id) else { return };
+            let Some(connection) = self.connections.get_mut(&id) else {
+                return;
+            };
             connection.link.input = input;
             connection.link.consume(used);
             self.held_bytes -= used;
@@ -59,24 +63,28 @@
         users: &Users,
         servers: &mut Servers,
     ) -> (usize, bool) {
-        let Some(connection) = self.connections.get_mut(&id) else { return (0, false) };
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return (0, false);
+        };
         match &mut connection.stage {
             Stage::LoggingIn(_) if input.is_empty() => (0, false),
             Stage::LoggingIn(_) => self.log_in(now, id, input, users, servers),
-            Stage::Open(open_session) if open_session.skipping => match open_session.session.skip(input) {
-                Err(why) => {
-                    why.write(connection.link.output(), true);
-                    connection.closing = true;
-                    (0, false)
-                }
-                Ok((used, over)) => {
-                    open_session.skipping = !over;
-                    if over {
-                        open_session.session.ready(connection.link.output());
+            Stage::Open(open_session) if open_session.skipping => {
+                match open_session.session.skip(input) {
+                    Err(why) => {
+                        why.write(connection.link.output(), true);
+                        connection.closing = true;
+                        (0, false)
+                    }
+                    Ok((used, over)) => {
+                        open_session.skipping = !over;
+                        if over {
+                            open_session.session.ready(connection.link.output());
+                        }
+                        (used, over)
                     }
-                    (used, over)
                 }
-            },
+            }
             // One unit after the other: each may hang on how the last one ended.
             Stage::Open(open_session)
                 if open_session.running.is_some() && !open_session.session.is_in_unit() =>
@@ -99,8 +107,12 @@
         let (first, second) = (self.secret("nonce", id), self.secret("the rest of it", id));
         let nonce = format!("{first:016x}{second:016x}");
         let hidden = self.chance_bytes();
-        let Some(connection) = self.connections.get_mut(&id) else { return (0, false) };
-        let Stage::LoggingIn(entry) = &mut connection.stage else { return (0, false) };
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return (0, false);
+        };
+        let Stage::LoggingIn(entry) = &mut connection.stage else {
+            return (0, false);
+        };
         let access = |user: &str| users.0.get(user).map(|(_, access)| access.clone());
         let out = connection.link.output();
         match entry.read(input, access, &hidden, &nonce, out) {
@@ -117,18 +129,27 @@
             Ok((used, StartupStep::Cancel(CancelKey { process, secret }))) => {
                 connection.closing = true;
                 let meant = SessionId::from(process);
-                if self.connections.get(&meant).is_some_and(|p| p.secret == secret) {
+                if self
+                    .connections
+                    .get(&meant)
+                    .is_some_and(|p| p.secret == secret)
+                {
                     self.events.push(Event::Cancel(meant));
                 }
                 (used, false)
             }
             Ok((used, StartupStep::Accepted(welcome))) => {
                 let user = users.0.get(&welcome.user).map(|(user, _)| user.clone());
-                let account = user.as_ref().and_then(|user| account(servers, user, &welcome));
+                let account = user
+                    .as_ref()
+                    .and_then(|user| account(servers, user, &welcome));
                 match user.zip(account) {
                     Some((user, account)) => {
                         let session = Session::new(&welcome, &mut self.catalogue);
-                        let key = CancelKey { process: id as u32, secret: connection.secret };
+                        let key = CancelKey {
+                            process: id as u32,
+                            secret: connection.secret,
+                        };
                         greet(connection.link.output(), &welcome, &servers.parameters, key);
                         connection.last_active = now;
                         connection.stage = Stage::Open(Box::new(OpenSession {
@@ -155,9 +176,16 @@
 
     /// Reads a unit, or more of one that is out. Returns as `consume`.
     fn read_unit(&mut self, now: Micros, id: SessionId, input: &[u8]) -> (usize, bool) {
-        let Some(connection) = self.connections.get_mut(&id) else { return (0, false) };
-        let Stage::Open(open_session) = &mut connection.stage else { return (0, false) };
-        match open_session.session.read(input, &mut self.catalogue, &self.bounds) {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return (0, false);
+        };
+        let Stage::Open(open_session) = &mut connection.stage else {
+            return (0, false);
+        };
+        match open_session
+            .session
+            .read(input, &mut self.catalogue, &self.bounds)
+        {
             Err(why) => {
                 log::info!("session {id}: {}; its connection is closed", why.code());
                 why.write(connection.link.output(), true);
@@ -175,20 +203,30 @@
                     Some(running) => {
                         running.parts.push(part.clone());
                         running.commits |= part.commits;
-                        self.events.push(Event::UnitPart { ticket: running.ticket, part });
+                        self.events.push(Event::UnitPart {
+                            ticket: running.ticket,
+                            part,
+                        });
                         (used, true)
                     }
                     None => {
                         let out = connection.link.output();
                         let was = open_session.session.transaction;
-                        if open_session.session.answers(&part, &mut self.catalogue, out) {
+                        if open_session
+                            .session
+                            .answers(&part, &mut self.catalogue, out)
+                        {
                             (used, true)
                         } else if was == Transaction::Lost {
                             ClientError::InFailedTransaction.write(out, false);
                             open_session.skipping = true;
                             (used, true)
                         } else {
-                            self.events.push(Event::Unit { session: id, part, since });
+                            self.events.push(Event::Unit {
+                                session: id,
+                                part,
+                                since,
+                            });
                             (used, false)
                         }
                     }
--- a/crates/front/src/reuse.rs
+++ b/crates/front/src/reuse.rs
@@ -17,7 +17,10 @@
 impl Reuse {
     /// Engines have agreed to keep idle connections for so long.
     pub fn new(agreed: Micros) -> Self {
-        Reuse { agreed, trusted: agreed }
+        Reuse {
+            agreed,
+            trusted: agreed,
+        }
     }
 
     /// The longest idle time after which a connection is used again.
@@ -33,7 +36,10 @@
     pub fn lost(&mut self, idle: Micros, after: Micros) {
         if after < LOSS_WINDOW && idle > MIN_IDLE {
             self.trusted = (idle / 2).max(MIN_IDLE).min(self.trusted);
-            log::debug!("resting connections are used again within {} ms", self.trusted / 1000);
+            log::debug!(
+                "resting connections are used again within {} ms",
+                self.trusted / 1000
+            );
         }
     }
 }
--- a/crates/front/src/scatter/audits.rs
+++ b/crates/front/src/scatter/audits.rs
@@ -37,13 +37,22 @@
 }
 
 fn terms(settings: hallmux_config::Audits) -> AuditSettings {
-    AuditSettings { one_in: settings.one_in, per_second: settings.a_minute as f64 / 60.0 }
+    AuditSettings {
+        one_in: settings.one_in,
+        per_second: settings.a_minute as f64 / 60.0,
+    }
 }
 
 impl SiteAudits {
     pub fn new(settings: hallmux_config::Audits) -> SiteAudits {
         let (checks, random) = (HashMap::new(), RandomState::new());
-        SiteAudits { audits: Audits::new(terms(settings)), checks, random, found: Vec::new(), fronts: 1 }
+        SiteAudits {
+            audits: Audits::new(terms(settings)),
+            checks,
+            random,
+            found: Vec::new(),
+            fronts: 1,
+        }
     }
 
     pub fn set_terms(&mut self, settings: hallmux_config::Audits) {
@@ -52,7 +61,11 @@
 
     /// Another front reports a false summary.
     pub fn receive_report(&mut self, word: &FalseSummary) {
-        let FalseSummary { site, group, version } = word;
+        let FalseSummary {
+            site,
+            group,
+            version,
+        } = word;
         log::warn!(
             "site '{site}': another front has found its summary of group {group}, version {version}, false; \
              it is asked always until its answers bear it out"
@@ -74,7 +87,10 @@
         allowed: Option<&[&str]>,
     ) {
         let drawn = self.random.hash_one(ticket);
-        if let Some(at) = self.audits.pick(now, drawn, self.fronts as f64, &plan.pruned) {
+        if let Some(at) = self
+            .audits
+            .pick(now, drawn, self.fronts as f64, &plan.pruned)
+        {
             plan.audit(at, sites, allowed);
         }
     }
@@ -85,14 +101,31 @@
             self.conclude(&of, 0, true);
             return false;
         }
-        self.checks.insert(check, PendingCheck { of, query: query.clone(), rows });
+        self.checks.insert(
+            check,
+            PendingCheck {
+                of,
+                query: query.clone(),
+                rows,
+            },
+        );
         true
     }
 
     /// The marks on loads for an answer. False: it is none of these.
-    pub fn apply_marks(&mut self, wall_ms: u64, check: Ticket, word: &LoadInfo, book: &SummaryStore) -> bool {
-        let Some(PendingCheck { of, query, rows }) = self.checks.remove(&check) else { return false };
-        let summary = book.current(wall_ms, &of.site, query.group).filter(|s| s.version == of.version);
+    pub fn apply_marks(
+        &mut self,
+        wall_ms: u64,
+        check: Ticket,
+        word: &LoadInfo,
+        book: &SummaryStore,
+    ) -> bool {
+        let Some(PendingCheck { of, query, rows }) = self.checks.remove(&check) else {
+            return false;
+        };
+        let summary = book
+            .current(wall_ms, &of.site, query.group)
+            .filter(|s| s.version == of.version);
         let table = summary.and_then(|summary| Some((summary, summary.table(&query.table)?)));
         let sure = table.is_some_and(|(summary, table)| match word {
             LoadInfo::Marks(marks) => marks.prove_absent(summary, table, &query.condition),
@@ -104,11 +137,19 @@
     }
 
     fn conclude(&mut self, of: &RuledOut, rows: u64, sure: bool) {
-        let RuledOut { site, group, version } = of;
+        let RuledOut {
+            site,
+            group,
+            version,
+        } = of;
         match self.audits.answered(site, rows, sure) {
             Verdict::False => {
                 let counts = self.audits.counts;
-                self.found.push(FalseSummary { site: site.clone(), group: *group, version: *version });
+                self.found.push(FalseSummary {
+                    site: site.clone(),
+                    group: *group,
+                    version: *version,
+                });
                 log::error!(
                     "site '{site}': its summary, version {version}, says that it has no row for a statement, and it has \
                      {rows}; it is asked always until its answers bear it out. Mend what makes its summaries. {} false \
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -98,7 +98,13 @@
     }
 
     /// Holds an execution of what may write to groups of tables until it is marked. False: it needs no mark.
-    pub fn hold(&mut self, now: Micros, dispatcher: &mut Dispatcher, ordered: &Ordered, load: Load) -> bool {
+    pub fn hold(
+        &mut self,
+        now: Micros,
+        dispatcher: &mut Dispatcher,
+        ordered: &Ordered,
+        load: Load,
+    ) -> bool {
         let Ordered { place, terms, .. } = *ordered;
         let sent = ordered.id();
         if matches!(&load, Load::Call(call) if !self.writes.contains(&call.workload)) {
@@ -114,17 +120,29 @@
         if groups.is_empty() || load.text().is_some_and(|text| sql::read(text).is_ok()) {
             return false;
         }
-        let by = |group| load.text().map_or(Affected::Anything, |text| Affected::of_statement(text, group));
+        let by = |group| {
+            load.text().map_or(Affected::Anything, |text| {
+                Affected::of_statement(text, group)
+            })
+        };
         let of = |group| (group, by(group));
         let only = |touched: &Affected| matches!(touched, Affected::Rows { .. });
-        let mut touched: std::collections::BTreeMap<u32, Affected> = groups.iter().map(|g| of(*g)).collect();
+        let mut touched: std::collections::BTreeMap<u32, Affected> =
+            groups.iter().map(|g| of(*g)).collect();
         // Rows for one table alone are rows for no other group.
         if touched.values().any(only) {
             touched.retain(|_, touched| only(touched));
         }
-        let Some(site) = self.locations.get(dispatcher.site(place).location) else { return false };
+        let Some(site) = self.locations.get(dispatcher.site(place).location) else {
+            return false;
+        };
         let ends_ms = ((terms.ends + RUN_ON).max(0) / 1000) as u64;
-        self.marker.add_load((u64::from(sent.ticket), sent.number), site, ends_ms, touched);
+        self.marker.add_load(
+            (u64::from(sent.ticket), sent.number),
+            site,
+            ends_ms,
+            touched,
+        );
         self.held.insert(sent, Held { place, terms, load });
         dispatcher.waits(now, sent.ticket, sent.number);
         true
@@ -155,15 +173,18 @@
     pub fn report_held(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
         if self.last_report + REPORT_INTERVAL <= now {
             self.last_report = now;
-            self.held.keys().for_each(|sent| dispatcher.waits(now, sent.ticket, sent.number));
+            self.held
+                .keys()
+                .for_each(|sent| dispatcher.waits(now, sent.ticket, sent.number));
         }
     }
 
     /// What is to be asked of the ledger now.
     pub fn asks(&mut self, now: Micros, book: &SummaryStore) -> (Vec<Ask>, Vec<LoadOutcome>) {
         let wall_ms = (now / 1000) as u64;
-        let (asks, follows) =
-            self.marker.requests(wall_ms, |site, group| book.reported_loads(wall_ms, site, group));
+        let (asks, follows) = self.marker.requests(wall_ms, |site, group| {
+            book.reported_loads(wall_ms, site, group)
+        });
         let mut outcomes: Vec<LoadOutcome> = follows.into_iter().map(|f| self.outcome(f)).collect();
         outcomes.extend(self.unmarked.drain(..).map(LoadOutcome::TurnAway));
         (asks.into_iter().map(ask).collect(), outcomes)
@@ -172,27 +193,47 @@
     /// What follows from an answer of the ledger.
     pub fn done(&mut self, done: Done) -> Vec<LoadOutcome> {
         let said = match done.outcome {
-            Outcome::Stands(entry) => LedgerReply::Stands { version: entry.version, value: entry.value },
-            Outcome::Held(entry) => LedgerReply::Held { version: entry.version, value: entry.value },
+            Outcome::Stands(entry) => LedgerReply::Stands {
+                version: entry.version,
+                value: entry.value,
+            },
+            Outcome::Held(entry) => LedgerReply::Held {
+                version: entry.version,
+                value: entry.value,
+            },
             Outcome::Absent => LedgerReply::Absent,
             Outcome::Unreachable | Outcome::Full => LedgerReply::Unreachable,
         };
-        self.marker.on_reply(done.number, said).into_iter().map(|f| self.outcome(f)).collect()
+        self.marker
+            .on_reply(done.number, said)
+            .into_iter()
+            .map(|f| self.outcome(f))
+            .collect()
     }
 
     fn outcome(&mut self, follows: Effect) -> LoadOutcome {
         let sent = |(ticket, number): marker::Waiter| ExecutionId::new(ticket as u32, number);
         match follows {
             Effect::Send { load, numbers } => match self.held.remove(&sent(load)) {
-                Some(Held { place, terms, load: held }) => {
+                Some(Held {
+                    place,
+                    terms,
+                    load: held,
+                }) => {
                     let text = held.text().map(|text| numbered(&numbers, text));
                     let outgoing = match (held, text) {
-                        (Load::Call(call), Some(statement)) => {
-                            Outgoing::Call(Rc::new(Call { statement, ..Call::clone(&call) }))
-                        }
+                        (Load::Call(call), Some(statement)) => Outgoing::Call(Rc::new(Call {
+                            statement,
+                            ..Call::clone(&call)
+                        })),
                         (_, text) => Outgoing::Unit(text),
                     };
-                    LoadOutcome::Send { sent: sent(load), place, terms, outgoing }
+                    LoadOutcome::Send {
+                        sent: sent(load),
+                        place,
+                        terms,
+                        outgoing,
+                    }
                 }
                 None => LoadOutcome::TurnAway(sent(load)),
             },
@@ -209,7 +250,18 @@
     let act = match ask.what {
         Operation::Read => Act::Read,
         // It never ends: what it says of versions holds for good.
-        Operation::Put { expects, value } => Act::Put { expects: Some(expects), ends_ms: 0, value },
+        Operation::Put { expects, value } => Act::Put {
+            expects: Some(expects),
+            ends_ms: 0,
+            value,
+        },
     };
-    Ask { number: ask.number, key: Key { kind: Kind::Mark, name: key(ask.group) }, act }
+    Ask {
+        number: ask.number,
+        key: Key {
+            kind: Kind::Mark,
+            name: key(ask.group),
+        },
+        act,
+    }
 }
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -75,8 +75,14 @@
         contract: &Settings,
     ) -> std::io::Result<ScatteredStatements> {
         let locations = contract.names.locations.clone();
-        let loads = settings.marked.then(|| Loads::new(settings.writes.clone(), locations));
-        log::info!("statements of {:?} are asked of sites {:?}", settings.workloads, settings.sites.keys());
+        let loads = settings
+            .marked
+            .then(|| Loads::new(settings.writes.clone(), locations));
+        log::info!(
+            "statements of {:?} are asked of sites {:?}",
+            settings.workloads,
+            settings.sites.keys()
+        );
         Ok(ScatteredStatements {
             sites: settings.sites.keys().cloned().collect(),
             summaries: Summaries::new(settings, now, spread_offset)?,
@@ -134,11 +140,21 @@
         let mut groups = BTreeSet::from([query.group]);
         groups.extend(query.join.as_ref().map(|join| join.group));
         let (group_marks, tickets, ruled_out) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
-        let statement =
-            Statement { call, query, ends, allowed, group_marks, whole: None, tickets, ruled_out };
+        let statement = Statement {
+            call,
+            query,
+            ends,
+            allowed,
+            group_marks,
+            whole: None,
+            tickets,
+            ruled_out,
+        };
         self.open.insert(ticket, statement);
         match &mut self.loads {
-            Some(loads) => groups.into_iter().for_each(|group| loads.scatter(ticket, group)),
+            Some(loads) => groups
+                .into_iter()
+                .for_each(|group| loads.scatter(ticket, group)),
             None => self.ask_sites(now, ticket, &LoadInfo::NoLoads, dispatcher),
         }
     }
@@ -153,18 +169,32 @@
     ) {
         let word = marks.map_or(LoadInfo::Unknown, LoadInfo::Marks);
         for ticket in waiting {
-            if self.open.get(ticket).is_some_and(|statement| statement.query.join.is_some()) {
+            if self
+                .open
+                .get(ticket)
+                .is_some_and(|statement| statement.query.join.is_some())
+            {
                 self.marks_of_join(now, *ticket, (group, marks), dispatcher);
                 continue;
             }
             let (wall_ms, book) = ((now / 1000) as u64, &self.summaries.book);
-            if !self.audits.as_mut().is_some_and(|audits| audits.apply_marks(wall_ms, *ticket, &word, book)) {
+            if !self
+                .audits
+                .as_mut()
+                .is_some_and(|audits| audits.apply_marks(wall_ms, *ticket, &word, book))
+            {
                 self.ask_sites(now, *ticket, &word, dispatcher);
             }
         }
     }
 
-    fn ask_sites(&mut self, now: Micros, ticket: Ticket, word: &LoadInfo, dispatcher: &mut Dispatcher) {
+    fn ask_sites(
+        &mut self,
+        now: Micros,
+        ticket: Ticket,
+        word: &LoadInfo,
+        dispatcher: &mut Dispatcher,
+    ) {
         if self.last_log + LOG_INTERVAL <= now {
             self.last_log = now;
             if matches!(word, LoadInfo::Unknown) {
@@ -172,17 +202,28 @@
             }
             self.log_counts();
         }
-        let Some(statement) = self.open.get(&ticket).filter(|statement| statement.whole.is_none()) else {
+        let Some(statement) = self
+            .open
+            .get(&ticket)
+            .filter(|statement| statement.whole.is_none())
+        else {
             return;
         };
         let distinct = statement.query.distinct.is_some();
-        if let Some(answer) = distinct.then(|| self.by_sketch(now, statement, word)).flatten() {
+        if let Some(answer) = distinct
+            .then(|| self.by_sketch(now, statement, word))
+            .flatten()
+        {
             self.open.remove(&ticket);
             return self.replies.push((ticket, FinalReply::Answer(answer)));
         }
-        let Some(statement) = self.open.get_mut(&ticket) else { return };
-        let allowed: Option<Vec<&str>> =
-            statement.allowed.as_ref().map(|names| names.iter().map(String::as_str).collect());
+        let Some(statement) = self.open.get_mut(&ticket) else {
+            return;
+        };
+        let allowed: Option<Vec<&str>> = statement
+            .allowed
+            .as_ref()
+            .map(|names| names.iter().map(String::as_str).collect());
         let wall_ms = (now / 1000) as u64;
         let book = &self.summaries.book;
         let audits = self.audits.as_ref();
@@ -192,20 +233,36 @@
             Some(site) => Plan::single_site(site, allowed),
             None => plan(
                 &statement.query,
-                &Basis { sites, allowed, summaries: book, wall_ms, loads: word, suspected: &is_suspect },
+                &Basis {
+                    sites,
+                    allowed,
+                    summaries: book,
+                    wall_ms,
+                    loads: word,
+                    suspected: &is_suspect,
+                },
             ),
         };
         if distinct {
             // The one site has all rows.
         } else if statement.query.combine.is_some() {
             plan.ensure_one(sites, allowed);
-        } else if let Some(audits) = self.audits.as_mut().filter(|_| statement.query.join.is_none()) {
+        } else if let Some(audits) = self
+            .audits
+            .as_mut()
+            .filter(|_| statement.query.join.is_none())
+        {
             // A join may be ruled out by either side, which no audit tells apart.
             audits.audit(now, ticket, &mut plan, sites, allowed);
         }
-        let version =
-            |site: &str| book.current(wall_ms, site, statement.query.group).map_or(0, |s| s.version);
-        let asked = plan.parts.iter().filter(|part| part.ruled_out && statement.query.join.is_none());
+        let version = |site: &str| {
+            book.current(wall_ms, site, statement.query.group)
+                .map_or(0, |s| s.version)
+        };
+        let asked = plan
+            .parts
+            .iter()
+            .filter(|part| part.ruled_out && statement.query.join.is_none());
         statement.ruled_out = asked
             .map(|p| RuledOut {
                 site: p.site.clone(),
@@ -214,7 +271,10 @@
             })
             .collect();
         let book = &mut self.summaries.book;
-        let left_out = plan.pruned.iter().filter(|_| statement.query.join.is_none());
+        let left_out = plan
+            .pruned
+            .iter()
+            .filter(|_| statement.query.join.is_none());
         left_out.for_each(|site| book.record_outcome(wall_ms, &statement.query, site, false));
         self.counts.0 += plan.parts.len() as u64;
         self.counts.1 += plan.pruned.len() as u64;
@@ -233,7 +293,10 @@
 
     /// Notes a whole that waits for audits alone.
     fn note_audit_wait(&mut self, now: Micros, ticket: Ticket) {
-        let whole = self.open.get(&ticket).and_then(|statement| statement.whole.as_ref());
+        let whole = self
+            .open
+            .get(&ticket)
+            .and_then(|statement| statement.whole.as_ref());
         if whole.is_some_and(Gather::only_audits_pending) {
             self.audit_waits.push_back((now + AUDIT_TIMEOUT, ticket));
         }
@@ -242,7 +305,10 @@
     /// Answers those that have waited long enough for audits alone.
     pub fn finish_audits(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
         while let Some((_, ticket)) = self.audit_waits.pop_front_if(|(until, _)| *until <= now) {
-            let whole = self.open.get_mut(&ticket).and_then(|statement| statement.whole.as_mut());
+            let whole = self
+                .open
+                .get_mut(&ticket)
+                .and_then(|statement| statement.whole.as_mut());
             let acts = whole.map_or(Vec::new(), Gather::skip_audits);
             self.act(now, ticket, acts, dispatcher);
         }
@@ -251,11 +317,16 @@
     fn act(&mut self, now: Micros, ticket: Ticket, acts: Vec<Action>, dispatcher: &mut Dispatcher) {
         let mut acts = std::collections::VecDeque::from(acts);
         while let Some(act) = acts.pop_front() {
-            let Some(statement) = self.open.get_mut(&ticket) else { return };
+            let Some(statement) = self.open.get_mut(&ticket) else {
+                return;
+            };
             match act {
                 Action::Start(place) => {
-                    let site =
-                        statement.whole.as_ref().and_then(|whole| whole.site(place)).unwrap_or_default();
+                    let site = statement
+                        .whole
+                        .as_ref()
+                        .and_then(|whole| whole.site(place))
+                        .unwrap_or_default();
                     let ask = Ask {
                         workload: &statement.call.workload,
                         customer: &statement.call.customer,
@@ -314,10 +385,16 @@
         ended: Result<Vec<u8>, PartFailure>,
         dispatcher: &mut Dispatcher,
     ) {
-        let Some((ticket, place)) = self.parts.remove(&part) else { return };
-        let Some(statement) = self.open.get_mut(&ticket) else { return };
+        let Some((ticket, place)) = self.parts.remove(&part) else {
+            return;
+        };
+        let Some(statement) = self.open.get_mut(&ticket) else {
+            return;
+        };
         statement.tickets.remove(&place);
-        let Some(whole) = &mut statement.whole else { return };
+        let Some(whole) = &mut statement.whole else {
+            return;
+        };
         let acts = match ended {
             Ok(rows) => {
                 let site = whole.site(place).unwrap_or_default();
@@ -325,11 +402,23 @@
                     if let Some(part) = whole.part(place) {
                         *self.asked_without_rows.entry(part.reason).or_default() += 1;
                     }
-                    self.summaries.book.record_outcome((now / 1000) as u64, &statement.query, site, true);
+                    self.summaries.book.record_outcome(
+                        (now / 1000) as u64,
+                        &statement.query,
+                        site,
+                        true,
+                    );
                 }
-                let of = statement.ruled_out.iter().find(|of| of.site == site).cloned();
+                let of = statement
+                    .ruled_out
+                    .iter()
+                    .find(|of| of.site == site)
+                    .cloned();
                 if let Some((audits, of)) = self.audits.as_mut().zip(of) {
-                    let (check, lines) = (dispatcher.number(), rows.iter().filter(|c| **c == b'\n').count());
+                    let (check, lines) = (
+                        dispatcher.number(),
+                        rows.iter().filter(|c| **c == b'\n').count(),
+                    );
                     if audits.answered(check, of, &statement.query, lines as u64) {
                         match &mut self.loads {
                             Some(loads) => loads.scatter(check, statement.query.group),
@@ -350,7 +439,9 @@
 
     /// Nobody waits for a whole statement any more. False if it is none of these.
     pub fn abandon(&mut self, now: Micros, ticket: Ticket, dispatcher: &mut Dispatcher) -> bool {
-        let Some(statement) = self.open.remove(&ticket) else { return false };
+        let Some(statement) = self.open.remove(&ticket) else {
+            return false;
+        };
         for part in statement.tickets.into_values() {
             self.parts.remove(&part);
             dispatcher.left(now, part);
@@ -361,7 +452,10 @@
     /// When `tick` is next due; without other fronts there is nothing to spread.
     pub fn due(&self, has_peers: bool) -> Micros {
         let loads = self.loads.as_ref().map_or(Micros::MAX, Loads::due);
-        let hurry = self.audit_waits.front().map_or(Micros::MAX, |(until, _)| *until);
+        let hurry = self
+            .audit_waits
+            .front()
+            .map_or(Micros::MAX, |(until, _)| *until);
         let chosen = self.summaries.choose_due().min(hurry);
         match (self.replies.is_empty(), has_peers) {
             (true, true) => self.summaries.due().min(loads).min(hurry),
@@ -375,7 +469,10 @@
         if let Some(audits) = &mut self.audits {
             audits.fronts = others.len() + 1;
             heard.iter().for_each(|word| audits.receive_report(word));
-            audits.found.drain(..).for_each(|word| self.summaries.report_false_word(now, &word));
+            audits
+                .found
+                .drain(..)
+                .for_each(|word| self.summaries.report_false_word(now, &word));
         }
         self.summaries.tick(now, others)
     }
--- a/crates/front/src/scatter/statements/parts.rs
+++ b/crates/front/src/scatter/statements/parts.rs
@@ -15,11 +15,15 @@
 
     pub fn call(&self, part: Ticket) -> Option<Rc<Call>> {
         let (ticket, _) = self.parts.get(&part)?;
-        self.open.get(ticket).map(|statement| statement.call.clone())
+        self.open
+            .get(ticket)
+            .map(|statement| statement.call.clone())
     }
 
     /// The parts of a whole statement that are out.
     pub fn parts_of(&self, whole: Ticket) -> Vec<Ticket> {
-        self.open.get(&whole).map_or(Vec::new(), |statement| statement.tickets.values().copied().collect())
+        self.open.get(&whole).map_or(Vec::new(), |statement| {
+            statement.tickets.values().copied().collect()
+        })
     }
 }
--- a/crates/front/src/scatter/statements/sketches.rs
+++ b/crates/front/src/scatter/statements/sketches.rs
@@ -23,7 +23,11 @@
         let read = sql::read(&call.statement).and_then(|mut query| {
             let (group, table) = (query.group, &query.table);
             let kind = |column: &str| self.summaries.book.column_kind(group, table, column);
-            query.combine.iter_mut().flatten().try_for_each(|aggregate| aggregate.check(kind))?;
+            query
+                .combine
+                .iter_mut()
+                .flatten()
+                .try_for_each(|aggregate| aggregate.check(kind))?;
             let of = |join: &Join| [group, join.group];
             let there = |both: [u32; 2]| {
                 let together = |groups: &Vec<u32>| both.iter().all(|group| groups.contains(group));
@@ -49,33 +53,72 @@
         (group, marks): (u32, Option<&Marks>),
         dispatcher: &mut Dispatcher,
     ) {
-        let Some(statement) = self.open.get_mut(&ticket) else { return };
+        let Some(statement) = self.open.get_mut(&ticket) else {
+            return;
+        };
         statement.group_marks.insert(group, marks.cloned());
-        let second = statement.query.join.as_ref().map_or(statement.query.group, |join| join.group);
-        let (Some(a), Some(b)) =
-            (statement.group_marks.get(&statement.query.group), statement.group_marks.get(&second))
-        else {
+        let second = statement
+            .query
+            .join
+            .as_ref()
+            .map_or(statement.query.group, |join| join.group);
+        let (Some(a), Some(b)) = (
+            statement.group_marks.get(&statement.query.group),
+            statement.group_marks.get(&second),
+        ) else {
             return;
         };
         let both = a.clone().zip(b.clone());
-        let word = both.as_ref().map_or(LoadInfo::Unknown, |(a, b)| LoadInfo::MarksOfJoin(a, b));
+        let word = both
+            .as_ref()
+            .map_or(LoadInfo::Unknown, |(a, b)| LoadInfo::MarksOfJoin(a, b));
         self.ask_sites(now, ticket, &word, dispatcher);
     }
 
     /// The answer to a statement for distinct values, where sketches tell it as well as its customer wants
     /// it, or where there is no other way to one. None: the site that has all rows is asked.
-    pub(super) fn by_sketch(&self, now: Micros, statement: &Statement, word: &LoadInfo) -> Option<Answer> {
-        let accepted = self.settings.distinct_error.get(&statement.call.customer).copied().unwrap_or(0);
-        let allowed: Option<Vec<&str>> =
-            statement.allowed.as_ref().map(|names| names.iter().map(String::as_str).collect());
-        let is_suspect = |site: &str| self.audits.as_ref().is_some_and(|audits| audits.is_suspect(site));
+    pub(super) fn by_sketch(
+        &self,
+        now: Micros,
+        statement: &Statement,
+        word: &LoadInfo,
+    ) -> Option<Answer> {
+        let accepted = self
+            .settings
+            .distinct_error
+            .get(&statement.call.customer)
+            .copied()
+            .unwrap_or(0);
+        let allowed: Option<Vec<&str>> = statement
+            .allowed
+            .as_ref()
+            .map(|names| names.iter().map(String::as_str).collect());
+        let is_suspect = |site: &str| {
+            self.audits
+                .as_ref()
+                .is_some_and(|audits| audits.is_suspect(site))
+        };
         let (book, wall_ms) = (&self.summaries.book, (now / 1000) as u64);
         let (sites, allowed) = (&self.sites, allowed.as_deref());
-        let basis = Basis { sites, allowed, summaries: book, wall_ms, loads: word, suspected: &is_suspect };
+        let basis = Basis {
+            sites,
+            allowed,
+            summaries: book,
+            wall_ms,
+            loads: word,
+            suspected: &is_suspect,
+        };
         let estimate = sketch::distinct(&statement.query, &basis);
         match estimate.filter(|estimate| estimate.error * 1e6 <= f64::from(accepted)) {
-            Some(estimate) => Some(Answer::Estimate { distinct: estimate.distinct, error: estimate.error }),
-            None => self.settings.whole_site.is_none().then_some(Answer::NotEstimated),
+            Some(estimate) => Some(Answer::Estimate {
+                distinct: estimate.distinct,
+                error: estimate.error,
+            }),
+            None => self
+                .settings
+                .whole_site
+                .is_none()
+                .then_some(Answer::NotEstimated),
         }
     }
 
--- a/crates/front/src/scatter/summaries.rs
+++ b/crates/front/src/scatter/summaries.rs
@@ -34,16 +34,25 @@
 }
 
 fn budget(keep: &hallmux_config::SummaryBudget) -> Budget {
-    Budget { memory: keep.memory_bytes as f64, traffic: keep.bytes_a_second as f64 }
+    Budget {
+        memory: keep.memory_bytes as f64,
+        traffic: keep.bytes_a_second as f64,
+    }
 }
 
 fn terms(settings: &Scatter) -> std::io::Result<StoreSettings> {
     let key = |(name, key): (&String, &[u8; 32])| match VerifyingKey::from_bytes(key) {
         Ok(key) => Ok((name.clone(), key)),
-        Err(_) => Err(std::io::Error::other(format!("scatter.sites.{name}: is no public key of ed25519"))),
+        Err(_) => Err(std::io::Error::other(format!(
+            "scatter.sites.{name}: is no public key of ed25519"
+        ))),
     };
     Ok(StoreSettings {
-        sites: settings.sites.iter().map(key).collect::<std::io::Result<BTreeMap<_, _>>>()?,
+        sites: settings
+            .sites
+            .iter()
+            .map(key)
+            .collect::<std::io::Result<BTreeMap<_, _>>>()?,
         schemas: settings.schemas.clone(),
         oldest_ms: settings.oldest_ms,
         ahead_ms: settings.ahead_ms,
@@ -53,7 +62,11 @@
 
 impl Summaries {
     /// `spread_offset`: with which of its peers this front begins to spread what it holds.
-    pub fn new(settings: &Scatter, now: Micros, spread_offset: usize) -> std::io::Result<Summaries> {
+    pub fn new(
+        settings: &Scatter,
+        now: Micros,
+        spread_offset: usize,
+    ) -> std::io::Result<Summaries> {
         let mut summaries = Summaries {
             book: SummaryStore::new(terms(settings)?),
             spread: Exchange::new(spread_offset),
@@ -98,7 +111,10 @@
                     file.display()
                 ),
                 Err(e) if e.kind() == ErrorKind::NotFound => {}
-                Err(e) => log::warn!("scatter.keep.file {}: {e}; it is learned anew", file.display()),
+                Err(e) => log::warn!(
+                    "scatter.keep.file {}: {e}; it is learned anew",
+                    file.display()
+                ),
             }
         }
         keep.choose(now);
@@ -107,35 +123,53 @@
 
     /// Writes what was learned, beside and then in place of what was there.
     pub fn save(&self) {
-        let Some((file, keep)) = self.file.as_ref().zip(self.book.retention.as_ref()) else { return };
+        let Some((file, keep)) = self.file.as_ref().zip(self.book.retention.as_ref()) else {
+            return;
+        };
         let beside = file.with_extension("new");
-        let written = std::fs::write(&beside, keep.to_bytes()).and_then(|()| std::fs::rename(&beside, file));
+        let written =
+            std::fs::write(&beside, keep.to_bytes()).and_then(|()| std::fs::rename(&beside, file));
         if let Err(e) = written {
-            log::warn!("scatter.keep.file {}: {e}; what is learned is lost at a restart", file.display());
+            log::warn!(
+                "scatter.keep.file {}: {e}; what is learned is lost at a restart",
+                file.display()
+            );
         }
     }
 
     /// Takes in what lies in the directory. A file that can't be used is named with its reason, the others count.
     fn read(&mut self, settings: &Scatter, now: Micros) {
-        let Some(directory) = &settings.directory else { return };
+        let Some(directory) = &settings.directory else {
+            return;
+        };
         let files = match std::fs::read_dir(directory) {
             Ok(files) => files,
             Err(e) => {
-                return log::error!("scatter.directory: {directory}: {e}; no summaries are read from it")
+                return log::error!(
+                    "scatter.directory: {directory}: {e}; no summaries are read from it"
+                )
             }
         };
         let mut new = 0;
         self.local_files.clear();
         self.spread.local.clear();
-        for path in files.flatten().map(|file| file.path()).filter(|path| path.is_file()) {
+        for path in files
+            .flatten()
+            .map(|file| file.path())
+            .filter(|path| path.is_file())
+        {
             // One byte more than counts: what is longer is refused for its length.
             let mut bytes = Vec::new();
-            let read = File::open(&path)
-                .and_then(|file| file.take(MOST_BYTES as u64 + 1).read_to_end(&mut bytes).map(|_| ()));
-            match read
-                .map_err(|e| e.to_string())
-                .and_then(|()| self.book.accept((now / 1000) as u64, &bytes).map_err(|why| why.to_string()))
-            {
+            let read = File::open(&path).and_then(|file| {
+                file.take(MOST_BYTES as u64 + 1)
+                    .read_to_end(&mut bytes)
+                    .map(|_| ())
+            });
+            match read.map_err(|e| e.to_string()).and_then(|()| {
+                self.book
+                    .accept((now / 1000) as u64, &bytes)
+                    .map_err(|why| why.to_string())
+            }) {
                 Ok(taken) => {
                     new += usize::from(taken);
                     if let Some((name, version)) = self.book.id_and_version(&bytes) {
@@ -166,13 +200,18 @@
 
     /// A message of another front; returns what is to be sent back.
     pub fn receive(&mut self, now: Micros, from: PeerId, bytes: &[u8]) -> Vec<(PeerId, Vec<u8>)> {
-        let out = self.spread.on_message(now, (now / 1000) as u64, from, bytes, &mut self.book);
+        let out = self
+            .spread
+            .on_message(now, (now / 1000) as u64, from, bytes, &mut self.book);
         self.take(now, out)
     }
 
     /// When `choose` is next due.
     pub fn choose_due(&self) -> Micros {
-        self.book.retention.as_ref().map_or(Micros::MAX, |_| self.chosen + CHOOSE_INTERVAL)
+        self.book
+            .retention
+            .as_ref()
+            .map_or(Micros::MAX, |_| self.chosen + CHOOSE_INTERVAL)
     }
 
     /// Chooses anew what is held, where it is time, and saves what was learned.
@@ -182,12 +221,19 @@
         }
         self.chosen = now;
         self.book.choose((now / 1000) as u64);
-        let held: BTreeMap<u64, Detail> = self.book.versions().map(|held| (held.name, held.detail)).collect();
+        let held: BTreeMap<u64, Detail> = self
+            .book
+            .versions()
+            .map(|held| (held.name, held.detail))
+            .collect();
         for (name, path) in &self.local_files {
             // A summary that is in a local file need not come from others.
             if held.get(name).copied() < self.book.wanted_detail(*name) {
-                let read = std::fs::read(path).ok().filter(|bytes| bytes.len() <= MOST_BYTES);
-                read.into_iter().for_each(|bytes| _ = self.book.accept((now / 1000) as u64, &bytes));
+                let read = std::fs::read(path)
+                    .ok()
+                    .filter(|bytes| bytes.len() <= MOST_BYTES);
+                read.into_iter()
+                    .for_each(|bytes| _ = self.book.accept((now / 1000) as u64, &bytes));
             }
         }
         if now >= self.saved + SAVE_INTERVAL {
@@ -199,8 +245,13 @@
     /// What others want of local files that are not held whole.
     fn lend(&mut self, now: Micros, out: &mut Output) {
         for loan in std::mem::take(&mut out.local_reads) {
-            let bytes = self.local_files.get(&loan.name).and_then(|path| std::fs::read(path).ok());
-            let of = |bytes: &Vec<u8>| self.book.id_and_version(bytes) == Some((loan.name, loan.version));
+            let bytes = self
+                .local_files
+                .get(&loan.name)
+                .and_then(|path| std::fs::read(path).ok());
+            let of = |bytes: &Vec<u8>| {
+                self.book.id_and_version(bytes) == Some((loan.name, loan.version))
+            };
             if let Some(bytes) = bytes.filter(of) {
                 self.spread.send_piece(now, loan, &bytes, out);
             }
@@ -216,9 +267,15 @@
         self.found.append(&mut out.false_summaries);
         self.lend(now, &mut out);
         let refused: Vec<Refused> = out.accepted.into_iter().filter_map(Result::err).collect();
-        if let Some(why) = refused.first().filter(|_| self.last_log + LOG_INTERVAL <= now) {
+        if let Some(why) = refused
+            .first()
+            .filter(|_| self.last_log + LOG_INTERVAL <= now)
+        {
             self.last_log = now;
-            log::warn!("from another front: {why}; refused so far: {:?}", self.book.refused);
+            log::warn!(
+                "from another front: {why}; refused so far: {:?}",
+                self.book.refused
+            );
         }
         out.messages
     }
--- a/crates/front/src/shutdown.rs
+++ b/crates/front/src/shutdown.rs
@@ -79,7 +79,8 @@
 
     /// Whether the listener may stay open for connections that the system has not given yet.
     pub fn may_wait(&self, now: Micros) -> bool {
-        self.since.is_some_and(|since| now < since + CLOSE_AFTER + ACCEPT_PATIENCE)
+        self.since
+            .is_some_and(|since| now < since + CLOSE_AFTER + ACCEPT_PATIENCE)
     }
 
     /// Whether statements that come by now are rejected at once.
@@ -89,7 +90,9 @@
 
     /// When the next check whether all is answered is due.
     pub fn due(&self, now: Micros) -> Micros {
-        self.since.map_or(Micros::MAX, |since| (since + CLOSE_AFTER).max(now + CHECK_INTERVAL))
+        self.since.map_or(Micros::MAX, |since| {
+            (since + CLOSE_AFTER).max(now + CHECK_INTERVAL)
+        })
     }
 }
 
--- a/crates/front/src/start_error.rs
+++ b/crates/front/src/start_error.rs
@@ -10,7 +10,11 @@
     #[error("{key}: {why}; give the coordinator's events as it words them, or leave the key out")]
     Known { key: String, why: String },
     #[error("{key}: {at}: {why}; give the address of a free port of this machine")]
-    Listen { key: String, at: SocketAddr, why: std::io::Error },
+    Listen {
+        key: String,
+        at: SocketAddr,
+        why: std::io::Error,
+    },
     #[error(transparent)]
     Peers(#[from] crate::fleet::PeersError),
     #[error(transparent)]
@@ -35,15 +39,31 @@
     /// The coordinator's events in the file can't be used.
     pub fn known(variables: &HashMap<String, String>, what: &str) -> StartError {
         // Its line counts from where the key's value begins, which is no line of the file.
-        let why = what.rsplit_once(" at line ").map_or(what, |(why, _)| why).to_string();
-        StartError::Known { key: key_in_file(variables, "known"), why }
+        let why = what
+            .rsplit_once(" at line ")
+            .map_or(what, |(why, _)| why)
+            .to_string();
+        StartError::Known {
+            key: key_in_file(variables, "known"),
+            why,
+        }
     }
 
     /// The address, which a variable or the file has given, can't be listened on.
-    pub fn listen(variables: &HashMap<String, String>, at: SocketAddr, why: std::io::Error) -> StartError {
+    pub fn listen(
+        variables: &HashMap<String, String>,
+        at: SocketAddr,
+        why: std::io::Error,
+    ) -> StartError {
         const VARIABLE: &str = "NODE_LISTEN";
-        let set = variables.contains_key(VARIABLE).then(|| VARIABLE.to_string());
-        StartError::Listen { key: set.unwrap_or_else(|| key_in_file(variables, "listen")), at, why }
+        let set = variables
+            .contains_key(VARIABLE)
+            .then(|| VARIABLE.to_string());
+        StartError::Listen {
+            key: set.unwrap_or_else(|| key_in_file(variables, "listen")),
+            at,
+            why,
+        }
     }
 
     /// Of a part that may have said itself what can be done.
@@ -56,7 +76,10 @@
     }
 
     pub fn system(what: &'static str) -> impl Fn(std::io::Error) -> StartError {
-        move |why| StartError::System { what, why: why.to_string() }
+        move |why| StartError::System {
+            what,
+            why: why.to_string(),
+        }
     }
 }
 
--- a/crates/front/src/start_error_tests.rs
+++ b/crates/front/src/start_error_tests.rs
@@ -8,29 +8,54 @@
     let other = |text: &str| std::io::Error::other(text.to_string());
     let file = |name: &str| HashMap::from([(name.to_string(), "front.json".to_string())]);
     let (in_file, in_variable) = (file("NODE_CONFIG"), file("NODE_LISTEN"));
-    let missing = hallmux_config::Error::Unset { variable: "NODE_CONFIG", expected: "a path" };
+    let missing = hallmux_config::Error::Unset {
+        variable: "NODE_CONFIG",
+        expected: "a path",
+    };
     for (fault, place) in [
         (StartError::from(missing), "NODE_CONFIG: "),
-        (StartError::known(&in_file, "invalid type at line 1 column 9"), "NODE_CONFIG: front.json: known: "),
+        (
+            StartError::known(&in_file, "invalid type at line 1 column 9"),
+            "NODE_CONFIG: front.json: known: ",
+        ),
         (
             StartError::listen(&in_file, at, other("in use")),
             "NODE_CONFIG: front.json: listen: 127.0.0.1:9090: ",
         ),
-        (StartError::listen(&in_variable, at, other("in use")), "NODE_LISTEN: 127.0.0.1:9090: "),
-        (StartError::part(&other("gossip: secret_file: s: gone")), "gossip: secret_file: s: "),
-        (StartError::part(&other("rules.file: r: gone; name another")), "rules.file: r: "),
-        (StartError::system("signals")(other("too many")), "signals: "),
+        (
+            StartError::listen(&in_variable, at, other("in use")),
+            "NODE_LISTEN: 127.0.0.1:9090: ",
+        ),
+        (
+            StartError::part(&other("gossip: secret_file: s: gone")),
+            "gossip: secret_file: s: ",
+        ),
+        (
+            StartError::part(&other("rules.file: r: gone; name another")),
+            "rules.file: r: ",
+        ),
+        (
+            StartError::system("signals")(other("too many")),
+            "signals: ",
+        ),
     ] {
         match &fault {
-            StartError::Configuration(_) | StartError::Known { .. } | StartError::Listen { .. } => {}
+            StartError::Configuration(_) | StartError::Known { .. } | StartError::Listen { .. } => {
+            }
             // Each has a test of its own.
             StartError::Peers(_) | StartError::Rules(_) => {}
             StartError::Part(_) | StartError::PartWithRemedy(_) | StartError::System { .. } => {}
         }
         let text = fault.to_string();
         let (wrong, remedy) = text.rsplit_once("; ").unwrap();
-        assert!(wrong.starts_with(place) && wrong.len() > place.len() && remedy.len() > 8, "{text}");
-        assert!(text.matches("; ").count() == 1 && !text.contains('\n'), "{text}");
+        assert!(
+            wrong.starts_with(place) && wrong.len() > place.len() && remedy.len() > 8,
+            "{text}"
+        );
+        assert!(
+            text.matches("; ").count() == 1 && !text.contains('\n'),
+            "{text}"
+        );
     }
     let known = StartError::known(&in_file, "invalid type at line 1 column 9").to_string();
     assert!(known.contains("known: invalid type; "), "{known}");
--- a/crates/front/src/test_clock.rs
+++ b/crates/front/src/test_clock.rs
@@ -30,8 +30,16 @@
     /// Opens the file that `HALLMUX_CLOCK` names; an error names the variable.
     pub fn open(path: &Path) -> std::io::Result<TestClock> {
         let why = |e: std::io::Error| std::io::Error::new(e.kind(), format!("HALLMUX_CLOCK: {e}"));
-        let file = OpenOptions::new().read(true).write(true).open(path).map_err(why)?;
-        let mut clock = TestClock { file, time: 0, question: 0 };
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .open(path)
+            .map_err(why)?;
+        let mut clock = TestClock {
+            file,
+            time: 0,
+            question: 0,
+        };
         clock.time = clock.number(TIME).map_err(why)?;
         Ok(clock)
     }
@@ -53,7 +61,10 @@
     pub fn sleep(&mut self, due: Micros) -> Duration {
         // The time first: whoever sees the answer to a question sees what it was.
         let written = self.file.write_all_at(&due.to_le_bytes(), DUE);
-        let written = written.and_then(|()| self.file.write_all_at(&self.question.to_le_bytes(), ANSWERED));
+        let written = written.and_then(|()| {
+            self.file
+                .write_all_at(&self.question.to_le_bytes(), ANSWERED)
+        });
         match written.and_then(|()| self.number(QUESTION)) {
             Ok(question) => self.question = question,
             Err(e) => log::error!("the drill's clock: {e}"),
--- a/crates/front/src/transient.rs
+++ b/crates/front/src/transient.rs
@@ -14,8 +14,15 @@
 
 /// Whether the system had no descriptor, buffer or memory for the call.
 pub fn is_shortage(error: &Error) -> bool {
-    let shortages = [OUT_OF_MEMORY, SYSTEM_DESCRIPTORS, OWN_DESCRIPTORS, NO_BUFFERS];
-    error.raw_os_error().is_some_and(|number| shortages.contains(&number))
+    let shortages = [
+        OUT_OF_MEMORY,
+        SYSTEM_DESCRIPTORS,
+        OWN_DESCRIPTORS,
+        NO_BUFFERS,
+    ];
+    error
+        .raw_os_error()
+        .is_some_and(|number| shortages.contains(&number))
 }
 
 /// Whether the same call may succeed a moment later.
--- a/crates/front/tests/refused/main.rs
+++ b/crates/front/tests/refused/main.rs
@@ -71,8 +71,17 @@
 /// The same, with some variables set.
 fn refused_with(config: &Path, variables: &[(&str, &OsStr)]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hallmux-front"));
-    command.env_clear().env("NODE_CONFIG", config).envs(variables.iter().copied());
-    let output = ended(command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap());
+    command
+        .env_clear()
+        .env("NODE_CONFIG", config)
+        .envs(variables.iter().copied());
+    let output = ended(
+        command
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap(),
+    );
     let said = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(1), "{said}");
     assert_eq!(said.matches('\n').count(), 1, "one line: {said}");
@@ -82,7 +91,8 @@
 
 #[test]
 fn a_configuration_that_cannot_be_used_ends_the_start_with_its_line_and_key() {
-    let folder = Folder(std::env::temp_dir().join(format!("hallmux-refused-{}", std::process::id())));
+    let folder =
+        Folder(std::env::temp_dir().join(format!("hallmux-refused-{}", std::process::id())));
     std::fs::create_dir_all(&folder.0).unwrap();
     for (from, to, says) in [
         (
@@ -136,7 +146,10 @@
     let mut bytes = GOOD.as_bytes().to_vec();
     bytes[40] = 0xff;
     let said = refused(&folder.file("front.json", &bytes), None);
-    assert!(said.contains("front.json: line 3, column 23: not UTF-8; "), "{said}");
+    assert!(
+        said.contains("front.json: line 3, column 23: not UTF-8; "),
+        "{said}"
+    );
     let said = refused(&folder.file("front.json", b""), None);
     assert!(said.contains("front.json: line 1, column 0: EOF"), "{said}");
     let said = refused(&folder.0.join("gone.json"), None);
@@ -147,20 +160,33 @@
             OPERATOR.to_string(),
             "line 3: load_signal: 'utilization' needs 'cpu' among the settings' report.names",
         ),
-        (OPERATOR.replace("load_signal", "lode_signal"), "line 3: lode_signal: unknown field `lode_signal`"),
-        (OPERATOR.replace("'utilization'", "{}"), "line 3: load_signal: expected string; "),
-        (OPERATOR.replace(":\n", "\n"), "line 4, column 5: expected colon"),
+        (
+            OPERATOR.replace("load_signal", "lode_signal"),
+            "line 3: lode_signal: unknown field `lode_signal`",
+        ),
+        (
+            OPERATOR.replace("'utilization'", "{}"),
+            "line 3: load_signal: expected string; ",
+        ),
+        (
+            OPERATOR.replace(":\n", "\n"),
+            "line 4, column 5: expected colon",
+        ),
         ("[".repeat(100_000), "line 1: brackets stand open 64 deep"),
     ] {
         let operator = folder.file("operator.json5", text.as_bytes());
         let said = refused(&config, Some(&operator));
-        let begins = format!("hallmux-front: HALLMUX_OPERATOR: {}: {says}", operator.display());
+        let begins = format!(
+            "hallmux-front: HALLMUX_OPERATOR: {}: {says}",
+            operator.display()
+        );
         assert!(said.starts_with(&begins), "{said}\nis not\n{begins}");
     }
 }
 
 fn folder(name: &str) -> Folder {
-    let folder = Folder(std::env::temp_dir().join(format!("hallmux-{name}-{}", std::process::id())));
+    let folder =
+        Folder(std::env::temp_dir().join(format!("hallmux-{name}-{}", std::process::id())));
     std::fs::create_dir_all(&folder.0).unwrap();
     folder
 }
@@ -173,28 +199,55 @@
     let name = folder.0.join("front.json");
     for (from, to, says) in [
         ("127.0.0.1:0", at.as_str(), format!("listen: {at}: ")),
-        ("{\"index\": 0,", "{\"index\": \"none\",", "known: invalid type: string \"none\"".to_string()),
-        ("\"updates\": []", "\"updates\": [7]", "known: invalid type: integer `7`".to_string()),
-        ("\"updates\": []", "\"updates\": 7", "known: invalid type: integer `7`".to_string()),
+        (
+            "{\"index\": 0,",
+            "{\"index\": \"none\",",
+            "known: invalid type: string \"none\"".to_string(),
+        ),
+        (
+            "\"updates\": []",
+            "\"updates\": [7]",
+            "known: invalid type: integer `7`".to_string(),
+        ),
+        (
+            "\"updates\": []",
+            "\"updates\": 7",
+            "known: invalid type: integer `7`".to_string(),
+        ),
     ] {
         assert!(GOOD.contains(from), "{from}");
-        let said = refused(&folder.file("front.json", GOOD.replacen(from, to, 1).as_bytes()), None);
+        let said = refused(
+            &folder.file("front.json", GOOD.replacen(from, to, 1).as_bytes()),
+            None,
+        );
         let begins = format!("hallmux-front: NODE_CONFIG: {}: {says}", name.display());
-        assert!(said.starts_with(&begins) && !said.contains("line 1"), "{said}\nis not\n{begins}");
+        assert!(
+            said.starts_with(&begins) && !said.contains("line 1"),
+            "{said}\nis not\n{begins}"
+        );
     }
     let config = folder.file("front.json", GOOD.as_bytes());
     let said = refused_with(&config, &[("NODE_LISTEN", OsStr::new(&at))]);
-    assert!(said.starts_with(&format!("hallmux-front: NODE_LISTEN: {at}: ")), "{said}");
+    assert!(
+        said.starts_with(&format!("hallmux-front: NODE_LISTEN: {at}: ")),
+        "{said}"
+    );
 }
 
 #[test]
 fn a_variable_that_is_no_text_ends_no_start_but_its_own() {
     let folder = folder("refused-variables");
-    let config = folder.file("front.json", GOOD.replacen("\"once\"", "\"twice\"", 1).as_bytes());
+    let config = folder.file(
+        "front.json",
+        GOOD.replacen("\"once\"", "\"twice\"", 1).as_bytes(),
+    );
     let no_text = OsStr::from_bytes(b"x\xff");
     // One that is none of the front's changes nothing: the file is read.
     let said = refused_with(&config, &[("LABEL", no_text)]);
-    assert!(said.contains("line 16: settings.requestClasses[1].repeat: unknown word 'twice'"), "{said}");
+    assert!(
+        said.contains("line 16: settings.requestClasses[1].repeat: unknown word 'twice'"),
+        "{said}"
+    );
     let config = folder.file("front.json", GOOD.as_bytes());
     for (variable, says) in [
         ("NODE_CONFIG", "can't be read: "),
@@ -203,6 +256,9 @@
         ("HALLMUX_LOG", "give one of off, error,"),
     ] {
         let said = refused_with(&config, &[(variable, no_text)]);
-        assert!(said.contains(&format!("{variable}: ")) && said.contains(says), "{said}");
+        assert!(
+            said.contains(&format!("{variable}: ")) && said.contains(says),
+            "{said}"
+        );
     }
 }
