--- a/crates/front/tests/scatter/portal.rs
+++ b/crates/front/tests/scatter/portal.rs
@@ -35,10 +35,18 @@
 fn session(mut stream: TcpStream, held: &std::sync::Mutex<Held>) -> Option<()> {
     let mut len = [0; 4];
     stream.read_exact(&mut len).ok()?;
-    stream.read_exact(&mut vec![0; u32::from_be_bytes(len) as usize - 4]).ok()?;
+    stream
+        .read_exact(&mut vec![0; u32::from_be_bytes(len) as usize - 4])
+        .ok()?;
     let mut out = Vec::new();
     wire::write(&mut out, b'R', |out| out.extend_from_slice(&[0; 4]));
-    wire::write_key(&mut out, wire::CancelKey { process: 1, secret: 1 });
+    wire::write_key(
+        &mut out,
+        wire::CancelKey {
+            process: 1,
+            secret: 1,
+        },
+    );
     wire::write_ready(&mut out, b'I');
     stream.write_all(&out).ok()?;
     let (mut open, mut pending) = (false, Vec::new());
@@ -57,12 +65,18 @@
                     held.lock().unwrap().load("", std::mem::take(&mut pending));
                 }
                 other => {
-                    let values = other.split_once("values (").map_or("", |(_, values)| values);
-                    let row: Option<i64> =
-                        values.split([',', ')']).next().and_then(|id| id.trim().parse().ok());
+                    let values = other
+                        .split_once("values (")
+                        .map_or("", |(_, values)| values);
+                    let row: Option<i64> = values
+                        .split([',', ')'])
+                        .next()
+                        .and_then(|id| id.trim().parse().ok());
                     pending.extend(row);
                     if !open {
-                        held.lock().unwrap().load(&text, std::mem::take(&mut pending));
+                        held.lock()
+                            .unwrap()
+                            .load(&text, std::mem::take(&mut pending));
                     }
                 }
             }
--- a/crates/front/tests/scatter/process.rs
+++ b/crates/front/tests/scatter/process.rs
@@ -41,8 +41,10 @@
 
 /// The operator's file: the sites, what is set otherwise, and the part for other fronts, where there are any.
 pub fn operator(sites: &[Site], directory: &Path, more: &str, gossip: &str) -> String {
-    let keys: Vec<String> =
-        sites.iter().map(|s| format!("{}: '{}'", s.name, hexadecimal(s.public().as_bytes()))).collect();
+    let keys: Vec<String> = sites
+        .iter()
+        .map(|s| format!("{}: '{}'", s.name, hexadecimal(s.public().as_bytes())))
+        .collect();
     format!(
         "{{ scatter: {{ workloads: ['lookup'], sites: {{ {} }}, directory: '{}', {more} }}, {gossip} }}",
         keys.join(", "),
@@ -67,7 +69,10 @@
             json!({"id": id, "addr": at.to_string(), "zone": zone, "kind": kind, "cell": 0, "state": "up",
                    "weight": 1, "started_ms": 0})
         };
-        let mut servers: Vec<_> = sites.iter().map(|s| server(s.name, s.at, s.name, "std")).collect();
+        let mut servers: Vec<_> = sites
+            .iter()
+            .map(|s| server(s.name, s.at, s.name, "std"))
+            .collect();
         servers.extend(portal.map(|at| server("pg", at, sites[sites.len() - 1].name, "pg")));
         let areas: Vec<&str> = sites.iter().map(|s| s.name).collect();
         let settings = json!({"instances": sites.len(), "areas": areas, "kinds": ["std", "pg"], "rules": {},
@@ -78,14 +83,22 @@
                 {"name": "pay", "aimMs": 10000.0, "deadlineMs": 15000.0, "repeat": "once"}]});
         let config = json!({"name": name, "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "settings": settings,
             "known": {"index": 1, "updates": [{"index": 1, "endpoints": {"version": 1, "full": true, "servers": servers}}]}});
-        let (station, file) = (folder.join(format!("{name}.json")), folder.join(format!("{name}.json5")));
+        let (station, file) = (
+            folder.join(format!("{name}.json")),
+            folder.join(format!("{name}.json5")),
+        );
         std::fs::write(&station, config.to_string()).unwrap();
         std::fs::write(&file, operator).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_hallmux-front"));
-        command.env("NODE_CONFIG", station).env("HALLMUX_OPERATOR", file).env("HALLMUX_LOG", "debug");
+        command
+            .env("NODE_CONFIG", station)
+            .env("HALLMUX_OPERATOR", file)
+            .env("HALLMUX_LOG", "debug");
         let mut process = command.stderr(Stdio::piped()).spawn().unwrap();
         let (says, log) = channel();
-        let lines = BufReader::new(process.stderr.take().unwrap()).lines().map_while(Result::ok);
+        let lines = BufReader::new(process.stderr.take().unwrap())
+            .lines()
+            .map_while(Result::ok);
         std::thread::spawn(move || {
             lines.for_each(|line| {
                 println!("{line}");
@@ -93,7 +106,13 @@
             })
         });
         let none: SocketAddr = ([127, 0, 0, 1], 0).into();
-        let mut front = Front { process, at: none, sessions: none, log, asked: 0 };
+        let mut front = Front {
+            process,
+            at: none,
+            sessions: none,
+            log,
+            asked: 0,
+        };
         if portal.is_some() {
             let line = front.logs("takes PostgreSQL sessions at ");
             front.sessions = line.rsplit(' ').next().unwrap().parse().unwrap();
@@ -137,10 +156,21 @@
         self.says("pay", "5000", "acme", statement)
     }
 
-    pub fn says(&mut self, workload: &str, limit: &str, customer: &str, statement: &str) -> Vec<u8> {
+    pub fn says(
+        &mut self,
+        workload: &str,
+        limit: &str,
+        customer: &str,
+        statement: &str,
+    ) -> Vec<u8> {
         self.asked += 1;
         let txn = format!("{:016x}", self.asked + self.process.id() * 1000);
-        let fields = [("txn", txn.as_str()), ("verb", workload), ("limit", limit), ("team", customer)];
+        let fields = [
+            ("txn", txn.as_str()),
+            ("verb", workload),
+            ("limit", limit),
+            ("team", customer),
+        ];
         let mut message = vec![0x80, 1, 0, 1, 0, 0, 0, 5];
         message.extend(b"serve\0\0\0\x01\x0d\0\x01\x0b\x0b");
         message.extend((fields.len() as u32).to_be_bytes());
@@ -148,13 +178,18 @@
             message.extend((text.len() as u32).to_be_bytes());
             message.extend(text.as_bytes());
         };
-        fields.iter().flat_map(|(name, value)| [name, value]).for_each(|word| text(&mut message, word));
+        fields
+            .iter()
+            .flat_map(|(name, value)| [name, value])
+            .for_each(|word| text(&mut message, word));
         message.extend([11, 0, 2]);
         text(&mut message, statement);
         message.push(0);
         let mut stream = TcpStream::connect(self.at).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        stream.write_all(&[&(message.len() as u32).to_be_bytes()[..], &message].concat()).unwrap();
+        stream
+            .write_all(&[&(message.len() as u32).to_be_bytes()[..], &message].concat())
+            .unwrap();
         let mut prefix = [0; 4];
         stream.read_exact(&mut prefix).unwrap();
         let mut frame = vec![0; u32::from_be_bytes(prefix) as usize];
@@ -165,9 +200,15 @@
     /// The rows that a statement is answered with, as their first columns.
     pub fn rows(&mut self, customer: &str, statement: &str) -> Vec<i64> {
         let held = self.asks(customer, statement);
-        assert!(held.starts_with(&[12, 0, 0]), "{statement}: {:?}", String::from_utf8_lossy(&held));
+        assert!(
+            held.starts_with(&[12, 0, 0]),
+            "{statement}: {:?}",
+            String::from_utf8_lossy(&held)
+        );
         let len = u32::from_be_bytes(held[6..10].try_into().unwrap()) as usize;
         let text = String::from_utf8(held[10..10 + len].to_vec()).unwrap();
-        text.lines().map(|row| row.split('\t').next().unwrap().parse().unwrap()).collect()
+        text.lines()
+            .map(|row| row.split('\t').next().unwrap().parse().unwrap())
+            .collect()
     }
 }
--- a/crates/front/tests/scatter/site.rs
+++ b/crates/front/tests/scatter/site.rs
@@ -31,7 +31,10 @@
     pub fn new(name: &'static str, rows: &[i64]) -> Site {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = listener.local_addr().unwrap();
-        let held = Arc::new(Mutex::new(Held { rows: rows.to_vec(), ..Held::default() }));
+        let held = Arc::new(Mutex::new(Held {
+            rows: rows.to_vec(),
+            ..Held::default()
+        }));
         let shared = held.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
@@ -39,7 +42,12 @@
                 std::thread::spawn(move || serve(stream, &held));
             }
         });
-        Site { name, at, key: name.as_bytes()[0], held }
+        Site {
+            name,
+            at,
+            key: name.as_bytes()[0],
+            held,
+        }
     }
 
     /// Under another key than its own.
@@ -73,25 +81,46 @@
     /// Writes a summary of what it holds into a directory.
     pub fn writes(&self, directory: &Path, version: u64) {
         let (about, table) = self.summed(version);
-        let bytes = summary(about, vec![table], MOST_BYTES).sign(&SigningKey::from_bytes(&[self.key; 32]));
+        let bytes =
+            summary(about, vec![table], MOST_BYTES).sign(&SigningKey::from_bytes(&[self.key; 32]));
         std::fs::write(directory.join(self.name), bytes).unwrap();
     }
 
     /// The same in sheets, of which fronts may hold a part.
     pub fn writes_in_sheets(&self, directory: &Path, version: u64) {
         let (about, table) = self.summed(version);
-        let bytes = layered(about, vec![table], MOST_BYTES, &SigningKey::from_bytes(&[self.key; 32]));
+        let bytes = layered(
+            about,
+            vec![table],
+            MOST_BYTES,
+            &SigningKey::from_bytes(&[self.key; 32]),
+        );
         std::fs::write(directory.join(self.name), bytes).unwrap();
     }
 
     fn summed(&self, version: u64) -> (SummaryHeader, TableBuilder) {
         let held = self.held.lock().unwrap();
-        let mut table =
-            TableBuilder::new("orders", &[("id", Kind::Number { scale: 0 })]).with_sketches(&["id"]);
-        held.rows.iter().for_each(|id| table.add_row(&[Some(Value::Number(i128::from(*id)))]));
-        let made_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
+        let mut table = TableBuilder::new("orders", &[("id", Kind::Number { scale: 0 })])
+            .with_sketches(&["id"]);
+        held.rows
+            .iter()
+            .for_each(|id| table.add_row(&[Some(Value::Number(i128::from(*id)))]));
+        let made_ms = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap()
+            .as_millis() as u64;
         let (site, loads) = (self.name.to_string(), held.loads.clone());
-        (SummaryHeader { site, group: 17, schema: 1, version, made_ms, loads }, table)
+        (
+            SummaryHeader {
+                site,
+                group: 17,
+                schema: 1,
+                version,
+                made_ms,
+                loads,
+            },
+            table,
+        )
     }
 }
 
@@ -109,7 +138,9 @@
                 let text = String::from_utf8(body[..body.len() - 2].to_vec()).ok()?;
                 let answer = held.lock().unwrap().answers(&text);
                 match answer {
-                    Some(rows) => write!(output, "{id} ACK batches=1 {}\r\n{rows}\r\n", rows.len()).ok()?,
+                    Some(rows) => {
+                        write!(output, "{id} ACK batches=1 {}\r\n{rows}\r\n", rows.len()).ok()?
+                    }
                     None => write!(output, "{id} EIO -\r\n").ok()?,
                 }
             }
@@ -123,7 +154,9 @@
     /// Rows come, by a text that may carry its numbers.
     pub fn load(&mut self, text: &str, rows: Vec<i64>) {
         self.rows.extend(rows);
-        numbers(text.as_bytes()).iter().for_each(|(_, n)| self.loads.insert(*n));
+        numbers(text.as_bytes())
+            .iter()
+            .for_each(|(_, n)| self.loads.insert(*n));
     }
 
     fn answers(&mut self, text: &str) -> Option<String> {
@@ -137,8 +170,13 @@
         }
         self.asked += 1;
         let (text, limit) = text.split_once(" limit ").unwrap_or((text, "1000"));
-        let condition = text.split_once(" where ").map_or("", |(_, condition)| condition);
-        let rows = self.rows.iter().filter(|id| condition.split(" and id ").all(|part| holds(part, **id)));
+        let condition = text
+            .split_once(" where ")
+            .map_or("", |(_, condition)| condition);
+        let rows = self
+            .rows
+            .iter()
+            .filter(|id| condition.split(" and id ").all(|part| holds(part, **id)));
         if text.contains("count(*)") {
             let rows: Vec<i64> = rows.copied().collect();
             let say = |value: Option<i64>| value.map_or(String::new(), |value| value.to_string());
@@ -146,15 +184,20 @@
             let greatest = rows.iter().max().copied();
             return Some(format!("{}\t{}\t{}\n", rows.len(), say(sum), say(greatest)));
         }
-        let rows: Vec<String> = rows.take(limit.parse().ok()?).map(|id| format!("{id}\ta\tb\n")).collect();
+        let rows: Vec<String> = rows
+            .take(limit.parse().ok()?)
+            .map(|id| format!("{id}\ta\tb\n"))
+            .collect();
         Some(rows.concat())
     }
 }
 
 /// One comparison of `id`, in the few forms that these tests use.
 fn holds(part: &str, id: i64) -> bool {
-    let numbers: Vec<i64> =
-        part.split(|c: char| !c.is_ascii_digit()).filter_map(|n| n.parse().ok()).collect();
+    let numbers: Vec<i64> = part
+        .split(|c: char| !c.is_ascii_digit())
+        .filter_map(|n| n.parse().ok())
+        .collect();
     match (part, &numbers[..]) {
         ("", _) => true,
         (p, [low, high]) if p.contains("between") => (*low..=*high).contains(&id),
--- a/crates/front/tests/scripted/busy.rs
+++ b/crates/front/tests/scripted/busy.rs
@@ -24,7 +24,9 @@
         let mut busy = Vec::new();
         for _ in 0..BUSY {
             let stream = TcpStream::connect(&self.listens).unwrap();
-            (&stream).write_all(&[&question[..], &question[..HALF]].concat()).unwrap();
+            (&stream)
+                .write_all(&[&question[..], &question[..HALF]].concat())
+                .unwrap();
             busy.push(stream);
         }
         self.settles();
@@ -43,7 +45,12 @@
         if !by.is_empty() {
             self.line(by);
         }
-        let questions = [&question[HALF..], &question.repeat(QUESTIONS), &question[..HALF]].concat();
+        let questions = [
+            &question[HALF..],
+            &question.repeat(QUESTIONS),
+            &question[..HALF],
+        ]
+        .concat();
         for stream in &busy {
             (&*stream).write_all(&questions).unwrap();
         }
@@ -65,7 +72,10 @@
     fn unread_bytes(&self, streams: &[TcpStream]) -> u64 {
         let port = |address: &str| u16::from_str_radix(address.rsplit_once(':')?.1, 16).ok();
         let front: u16 = self.listens.rsplit_once(':').unwrap().1.parse().unwrap();
-        let peers: Vec<u16> = streams.iter().map(|stream| stream.local_addr().unwrap().port()).collect();
+        let peers: Vec<u16> = streams
+            .iter()
+            .map(|stream| stream.local_addr().unwrap().port())
+            .collect();
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
         let unread = |line: &str| {
             let words: Vec<&str> = line.split_whitespace().collect();
--- a/crates/front/tests/scripted/client.rs
+++ b/crates/front/tests/scripted/client.rs
@@ -9,7 +9,12 @@
 impl Scenario {
     pub fn frame(&self, number: &str, fields: &[&str], statement: &str) -> Vec<u8> {
         let txn = id(number);
-        let mut map = vec![("txn", txn.as_str()), ("verb", "lookup"), ("limit", "15000"), ("team", "acme")];
+        let mut map = vec![
+            ("txn", txn.as_str()),
+            ("verb", "lookup"),
+            ("limit", "15000"),
+            ("team", "acme"),
+        ];
         for field in fields {
             match field.split_once('=') {
                 Some((name, value)) => {
@@ -50,7 +55,10 @@
 
     /// The next reply: its kind, method, number and what it holds.
     pub fn reply(&mut self, client: &str) -> Option<(u8, String, String, Vec<u8>)> {
-        let stream = self.clients.get_mut(client).expect("a client that is connected");
+        let stream = self
+            .clients
+            .get_mut(client)
+            .expect("a client that is connected");
         let mut prefix = [0; 4];
         stream.read_exact(&mut prefix).ok()?;
         let mut frame = vec![0; u32::from_be_bytes(prefix) as usize];
@@ -65,20 +73,31 @@
     /// What a client was told and no line has named.
     pub fn unread(&mut self, client: &str) -> (String, Vec<(String, String)>) {
         let stream = &self.clients[client];
-        stream.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_millis(1)))
+            .unwrap();
         let replies = std::iter::from_fn(|| self.reply(client));
         (
             client.to_string(),
-            replies.map(|(_, _, n, held)| (n, String::from_utf8_lossy(&held).into_owned())).collect(),
+            replies
+                .map(|(_, _, n, held)| (n, String::from_utf8_lossy(&held).into_owned()))
+                .collect(),
         )
     }
 
     pub fn well(&mut self, client: &str, expected: bool) {
         let asks = self.message(1, "isWell", "900", &[2, 0, 1, 0]);
-        self.clients.get_mut(client).unwrap().write_all(&asks).unwrap();
+        self.clients
+            .get_mut(client)
+            .unwrap()
+            .write_all(&asks)
+            .unwrap();
         let (_, name, _, held) = self.reply(client).expect("an answer");
         assert_eq!(name, "isWell", "nothing else was to come");
-        assert!(held.ends_with(&[2, 0, 3, u8::from(expected), 0, 0]), "{held:?}");
+        assert!(
+            held.ends_with(&[2, 0, 3, u8::from(expected), 0, 0]),
+            "{held:?}"
+        );
     }
 
     pub fn hears(&mut self, client: &str, number: &str, kind: &str, text: &str) {
@@ -94,7 +113,10 @@
             }
             "rejected" => {
                 let later = held.windows(5).any(|w| w == b"later");
-                assert!(message == 2 && field(1) && (later || text.is_empty()), "{name} {held:?}");
+                assert!(
+                    message == 2 && field(1) && (later || text.is_empty()),
+                    "{name} {held:?}"
+                );
             }
             "aborted" => assert!(message == 2 && field(2), "{name} {held:?}"),
             "exception" => {
@@ -109,10 +131,19 @@
         let mut early = 0;
         for i in 1..=count {
             let number = i.to_string();
-            self.statements.insert(number.clone(), format!("select {i} from s_{i}.t"));
+            self.statements
+                .insert(number.clone(), format!("select {i} from s_{i}.t"));
             let (key, unique) = (format!("item=k{i}"), format!("unique=u{i}"));
-            let frame = self.frame(&number, &["verb=load", &key, &unique], &self.statements[&number]);
-            self.clients.get_mut(client).unwrap().write_all(&frame).unwrap();
+            let frame = self.frame(
+                &number,
+                &["verb=load", &key, &unique],
+                &self.statements[&number],
+            );
+            self.clients
+                .get_mut(client)
+                .unwrap()
+                .write_all(&frame)
+                .unwrap();
             self.engine_hears(engine, "want", &[&number], &[]);
             self.says(engine, &number, "ACK", "batches=1", "x");
             self.hears(client, &number, "completed", "x");
@@ -126,14 +157,19 @@
             }
         }
         let late = self.memory_kb();
-        assert!(late <= early + early / 10, "{early} kB after a quarter, {late} kB at the end");
+        assert!(
+            late <= early + early / 10,
+            "{early} kB after a quarter, {late} kB at the end"
+        );
     }
 
     pub fn flood(&mut self, client: &str) {
         // A method that is unknown: its long name is in the answer, twice.
         let frame = self.message(1, &"x".repeat(BIG / 2), "1", &[]);
         let stream = self.clients.get_mut(client).unwrap();
-        stream.set_write_timeout(Some(Duration::from_millis(500))).unwrap();
+        stream
+            .set_write_timeout(Some(Duration::from_millis(500)))
+            .unwrap();
         let read_no_more = (0..2000).any(|_| stream.write_all(&frame).is_err());
         assert!(read_no_more, "200 MB of answers that nobody takes");
         let memory_kb = self.memory_kb();
--- a/crates/front/tests/scripted/clock.rs
+++ b/crates/front/tests/scripted/clock.rs
@@ -19,14 +19,28 @@
 
 impl Clock {
     pub fn new(path: &Path) -> Clock {
-        let file = OpenOptions::new().read(true).write(true).create_new(true).open(path).unwrap();
-        let clock = Clock { file, time: START, asked: 0 };
-        [clock.time, clock.asked, i64::MAX, 0].iter().zip(0..).for_each(|(n, at)| clock.write(at, *n));
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create_new(true)
+            .open(path)
+            .unwrap();
+        let clock = Clock {
+            file,
+            time: START,
+            asked: 0,
+        };
+        [clock.time, clock.asked, i64::MAX, 0]
+            .iter()
+            .zip(0..)
+            .for_each(|(n, at)| clock.write(at, *n));
         clock
     }
 
     fn write(&self, at: u64, number: i64) {
-        self.file.write_all_at(&number.to_le_bytes(), at * 8).unwrap();
+        self.file
+            .write_all_at(&number.to_le_bytes(), at * 8)
+            .unwrap();
     }
 
     fn read(&self, at: u64) -> i64 {
@@ -42,7 +56,10 @@
         self.write(1, self.asked);
         let begun = Instant::now();
         while self.read(3) < self.asked {
-            if front.as_mut().is_some_and(|front| front.try_wait().unwrap().is_some()) {
+            if front
+                .as_mut()
+                .is_some_and(|front| front.try_wait().unwrap().is_some())
+            {
                 return i64::MAX;
             }
             assert!(begun.elapsed() < PATIENCE, "a front that goes to sleep");
--- a/crates/front/tests/scripted/coordinator.rs
+++ b/crates/front/tests/scripted/coordinator.rs
@@ -54,13 +54,18 @@
                     loop {
                         let mut line = String::new();
                         input.read_line(&mut line).ok().filter(|n| *n > 0)?;
-                        let Some(at) = line.find("follow=") else { continue };
-                        let digits: String =
-                            line[at + 7..].chars().take_while(|c| c.is_ascii_digit()).collect();
+                        let Some(at) = line.find("follow=") else {
+                            continue;
+                        };
+                        let digits: String = line[at + 7..]
+                            .chars()
+                            .take_while(|c| c.is_ascii_digit())
+                            .collect();
                         let follow: usize = digits.parse().ok()?;
                         sender.send(follow).ok()?;
-                        let waits =
-                            |t: &mut CoordinatorState| t.updates.len() <= follow && t.answers.is_empty();
+                        let waits = |t: &mut CoordinatorState| {
+                            t.updates.len() <= follow && t.answers.is_empty()
+                        };
                         let guard = state.0.lock().unwrap();
                         let mut held = state.1.wait_while(guard, waits).unwrap();
                         while held.moves > moves || number <= held.silent {
@@ -73,8 +78,10 @@
                             continue;
                         }
                         let later = held.updates.get(follow..).unwrap_or_default();
-                        let body = json!({"index": held.updates.len(), "updates": later}).to_string();
-                        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
+                        let body =
+                            json!({"index": held.updates.len(), "updates": later}).to_string();
+                        let head =
+                            format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
                         (&stream).write_all((head + &body).as_bytes()).ok()?;
                         held.sent = held.updates.len();
                         state.1.notify_all();
@@ -102,7 +109,11 @@
         self.update_coordinator(|state| state.answers.push_back(answer));
         let waits = |state: &mut CoordinatorState| state.answered == before;
         let guard = self.coordinator_state.0.lock().unwrap();
-        let (held, wait) = self.coordinator_state.1.wait_timeout_while(guard, PATIENCE, waits).unwrap();
+        let (held, wait) = self
+            .coordinator_state
+            .1
+            .wait_timeout_while(guard, PATIENCE, waits)
+            .unwrap();
         assert!(!wait.timed_out(), "no question for {:?}", held.answers);
     }
 
@@ -122,7 +133,10 @@
         self.update_coordinator(|state| {
             let listener = state.listener.take().unwrap();
             SockRef::from(&listener).shutdown(Shutdown::Both).unwrap();
-            state.open.drain(..).for_each(|stream| _ = stream.shutdown(Shutdown::Both));
+            state
+                .open
+                .drain(..)
+                .for_each(|stream| _ = stream.shutdown(Shutdown::Both));
         });
         let (at, begun) = (self.coordinator.unwrap(), Instant::now());
         while TcpStream::connect(at).is_ok() {
--- a/crates/front/tests/scripted/dials.rs
+++ b/crates/front/tests/scripted/dials.rs
@@ -47,7 +47,10 @@
 
     fn holds_a_dial(&self) -> bool {
         let guard = self.state.lock().unwrap();
-        let (state, _) = self.changed.wait_timeout_while(guard, PATIENCE, |state| !state.waits).unwrap();
+        let (state, _) = self
+            .changed
+            .wait_timeout_while(guard, PATIENCE, |state| !state.waits)
+            .unwrap();
         state.waits
     }
 }
@@ -57,7 +60,9 @@
     pub fn accepts_nothing(&mut self, name: &str) {
         let engine = &self.engines[name];
         engine.dial_gate.shut(true);
-        SockRef::from(engine.listener.as_ref().unwrap()).listen(0).unwrap();
+        SockRef::from(engine.listener.as_ref().unwrap())
+            .listen(0)
+            .unwrap();
         // One is accepted and held at the gate, the next fills the queue.
         let first = TcpStream::connect(engine.at).unwrap();
         assert!(engine.dial_gate.holds_a_dial());
@@ -68,7 +73,9 @@
     pub fn accepts_again(&mut self, name: &str) {
         self.fillers.remove(name);
         let engine = &self.engines[name];
-        SockRef::from(engine.listener.as_ref().unwrap()).listen(QUEUE).unwrap();
+        SockRef::from(engine.listener.as_ref().unwrap())
+            .listen(QUEUE)
+            .unwrap();
         engine.dial_gate.shut(false);
     }
 
@@ -76,7 +83,11 @@
     pub fn is_dialled(&mut self, name: &str, pending: bool) {
         let (at, begun) = (self.engines[name].at, Instant::now());
         while is_pending(at) != pending {
-            assert!(begun.elapsed() < PATIENCE, "a dial to {name} that is pending: {}", !pending);
+            assert!(
+                begun.elapsed() < PATIENCE,
+                "a dial to {name} that is pending: {}",
+                !pending
+            );
             std::thread::sleep(LOOK);
         }
         self.settles();
--- a/crates/front/tests/scripted/engine.rs
+++ b/crates/front/tests/scripted/engine.rs
@@ -32,7 +32,11 @@
 
 impl Read for Ear {
     fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
-        drop(self.listens.1.wait_while(self.listens.0.lock().unwrap(), |listens| !*listens));
+        drop(
+            self.listens
+                .1
+                .wait_while(self.listens.0.lock().unwrap(), |listens| !*listens),
+        );
         (&*self.stream).read(buffer)
     }
 }
@@ -57,13 +61,21 @@
     pub fn new(deaf: bool, narrow: bool) -> Engine {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         if narrow {
-            SockRef::from(&listener).set_recv_buffer_size(NARROW).unwrap();
+            SockRef::from(&listener)
+                .set_recv_buffer_size(NARROW)
+                .unwrap();
         }
         let at = listener.local_addr().unwrap();
         let (sender, heard) = channel();
-        let (listens, dial_gate) =
-            (Arc::new((Mutex::new(!deaf), Condvar::new())), Arc::new(DialGate::default()));
-        let (ears, accepts, passes) = (listens.clone(), listener.try_clone().unwrap(), dial_gate.clone());
+        let (listens, dial_gate) = (
+            Arc::new((Mutex::new(!deaf), Condvar::new())),
+            Arc::new(DialGate::default()),
+        );
+        let (ears, accepts, passes) = (
+            listens.clone(),
+            listener.try_clone().unwrap(),
+            dial_gate.clone(),
+        );
         std::thread::spawn(move || {
             for stream in accepts.incoming().map_while(Result::ok) {
                 passes.pass();
@@ -91,7 +103,12 @@
             for heard in self.heard.iter().filter(|heard| heard.words[0] == "want") {
                 let (id, body) = (heard.words[1].clone(), rows("x"));
                 let line = format!("{id} ACK batches=1 {}\r\n{body}\r\n", body.len());
-                notes.lock().unwrap().entry(id).or_default().push(Instant::now());
+                notes
+                    .lock()
+                    .unwrap()
+                    .entry(id)
+                    .or_default()
+                    .push(Instant::now());
                 let _ = (&*heard.from).write_all(line.as_bytes());
             }
         });
@@ -101,7 +118,10 @@
         // Two small writes in a row: the second would wait for the first one's receipt, some 40 ms of the machine's
         // time, in which the scenario's own may pass by any length.
         stream.set_nodelay(true).ok()?;
-        let mut input = BufReader::new(Ear { stream: stream.clone(), listens });
+        let mut input = BufReader::new(Ear {
+            stream: stream.clone(),
+            listens,
+        });
         loop {
             let mut line = String::new();
             input.read_line(&mut line).ok().filter(|n| *n > 0)?;
@@ -112,7 +132,13 @@
                 input.read_exact(&mut body).ok()?;
                 body.truncate(body.len() - 2);
             }
-            heard.send(Heard { words, body, from: stream.clone() }).ok()?;
+            heard
+                .send(Heard {
+                    words,
+                    body,
+                    from: stream.clone(),
+                })
+                .ok()?;
         }
     }
 
@@ -122,7 +148,11 @@
         let counts = |heard: &&Heard| heard.words[0] != "hurry";
         (0..self.waiting.len()).filter(move |at| {
             let (before, heard) = (&self.waiting[..*at], &self.waiting[*at]);
-            counts(&heard) && !before.iter().filter(counts).any(|other| by(other) == by(heard))
+            counts(&heard)
+                && !before
+                    .iter()
+                    .filter(counts)
+                    .any(|other| by(other) == by(heard))
         })
     }
 }
@@ -130,11 +160,18 @@
 impl Scenario {
     /// The next command that is one of those named, by its word (`want|turn` for either) and its statement. Connections are read side by side, so the order is that of
     /// each: what comes by another connection may come sooner or later.
-    pub fn engine_hears(&mut self, name: &str, command: &str, numbers: &[&str], words: &[&str]) -> String {
+    pub fn engine_hears(
+        &mut self,
+        name: &str,
+        command: &str,
+        numbers: &[&str],
+        words: &[&str],
+    ) -> String {
         let engine = self.engines.get_mut(name).unwrap();
         let ids: Vec<String> = numbers.iter().map(|n| id(n)).collect();
         let fits = |h: &Heard| {
-            command.split('|').any(|c| h.words[0] == c) && (ids.is_empty() || ids.contains(&h.words[1]))
+            command.split('|').any(|c| h.words[0] == c)
+                && (ids.is_empty() || ids.contains(&h.words[1]))
         };
         let heard = loop {
             let at = engine.first_of_each().find(|at| fits(&engine.waiting[*at]));
@@ -144,10 +181,13 @@
             match engine.heard.recv_timeout(PATIENCE) {
                 Ok(heard) => engine.waiting.push(heard),
                 Err(_) => {
-                    let waiting: Vec<String> = engine.waiting.iter().map(|h| h.words.join(" ")).collect();
+                    let waiting: Vec<String> =
+                        engine.waiting.iter().map(|h| h.words.join(" ")).collect();
                     let heard: Vec<_> = self.clients.keys().cloned().collect();
                     let heard = heard.iter().map(|c| self.unread(c)).collect::<Vec<_>>();
-                    panic!("{command} {numbers:?} did not come, but {waiting:?}; clients: {heard:?}");
+                    panic!(
+                        "{command} {numbers:?} did not come, but {waiting:?}; clients: {heard:?}"
+                    );
                 }
             }
         };
@@ -159,11 +199,19 @@
         let engine = self.engines.get_mut(name).unwrap();
         if heard.words[0] == "want" {
             let number = number.as_str();
-            assert_eq!(String::from_utf8(heard.body).unwrap(), self.statements[number]);
+            assert_eq!(
+                String::from_utf8(heard.body).unwrap(),
+                self.statements[number]
+            );
             let before = engine.asked.insert(number.to_string(), heard.from.clone());
-            before.into_iter().for_each(|from| _ = engine.asked_before.insert(number.to_string(), from));
+            before
+                .into_iter()
+                .for_each(|from| _ = engine.asked_before.insert(number.to_string(), from));
         }
-        engine.before = engine.latest.as_ref().and_then(|latest| latest.peer_addr().ok());
+        engine.before = engine
+            .latest
+            .as_ref()
+            .and_then(|latest| latest.peer_addr().ok());
         engine.latest = Some(heard.from);
         number
     }
@@ -184,11 +232,16 @@
         let is_other = |other: &Arc<TcpStream>| !Arc::ptr_eq(other, &latest);
         engine.asked.retain(|_, from| is_other(from));
         engine.asked_before.retain(|_, from| is_other(from));
-        SockRef::from(&*latest).set_linger(Some(Duration::ZERO)).unwrap();
+        SockRef::from(&*latest)
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
         latest.shutdown(Shutdown::Read).unwrap();
         let begun = Instant::now();
         while Arc::strong_count(&latest) > 1 {
-            assert!(begun.elapsed() < PATIENCE, "a command of this connection was not named");
+            assert!(
+                begun.elapsed() < PATIENCE,
+                "a command of this connection was not named"
+            );
             std::thread::yield_now();
         }
     }
@@ -208,9 +261,20 @@
         self.says_on(&asked, number, word, fields, text);
     }
 
-    pub fn says_on(&mut self, mut link: &TcpStream, number: &str, word: &str, fields: &str, text: &str) {
+    pub fn says_on(
+        &mut self,
+        mut link: &TcpStream,
+        number: &str,
+        word: &str,
+        fields: &str,
+        text: &str,
+    ) {
         let body = rows(text);
-        let line = format!("{} {word} {fields} {}\r\n{body}\r\n", id(number), body.len());
+        let line = format!(
+            "{} {word} {fields} {}\r\n{body}\r\n",
+            id(number),
+            body.len()
+        );
         link.write_all(line.as_bytes()).unwrap();
     }
 }
--- a/crates/front/tests/scripted/fronts.rs
+++ b/crates/front/tests/scripted/fronts.rs
@@ -16,19 +16,29 @@
 /// Fronts that gossip, and keep promises on all of them.
 pub fn fleet(rules: &str) -> Vec<Scenario> {
     let secrets: Vec<[u8; 32]> = (1..=FRONTS as u8).map(|n| [n; 32]).collect();
-    let key = |secret: &[u8; 32]| hexadecimal(&SigningKey::from_bytes(secret).verifying_key().to_bytes());
+    let key =
+        |secret: &[u8; 32]| hexadecimal(&SigningKey::from_bytes(secret).verifying_key().to_bytes());
     // All are free at once; each is let go of just before its front takes it.
-    let free: Vec<UdpSocket> = secrets.iter().map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
-    let at: Vec<String> = free.iter().map(|socket| socket.local_addr().unwrap().to_string()).collect();
-    let each = |line: &dyn Fn(usize) -> String| (0..FRONTS).map(line).collect::<Vec<_>>().join(", ");
+    let free: Vec<UdpSocket> = secrets
+        .iter()
+        .map(|_| UdpSocket::bind("127.0.0.1:0").unwrap())
+        .collect();
+    let at: Vec<String> = free
+        .iter()
+        .map(|socket| socket.local_addr().unwrap().to_string())
+        .collect();
+    let each =
+        |line: &dyn Fn(usize) -> String| (0..FRONTS).map(line).collect::<Vec<_>>().join(", ");
     let peers = each(&|n| format!("f{n}: '{}'", key(&secrets[n])));
     let members = each(&|n| format!("f{n}: {{ at: '{}', zone: 'z{n}' }}", at[n]));
     let seeds = each(&|n| format!("'{}'", at[n]));
     drop(free);
     let start = |n: usize| {
         let number = AtomicUsize::fetch_add(&FILES, 1, Ordering::SeqCst);
-        let secret =
-            std::env::temp_dir().join(format!("hallmux-play-{}-{number}.secret", std::process::id()));
+        let secret = std::env::temp_dir().join(format!(
+            "hallmux-play-{}-{number}.secret",
+            std::process::id()
+        ));
         std::fs::write(&secret, hexadecimal(&secrets[n])).unwrap();
         let mut scenario = Scenario::default();
         scenario.settings = usual_settings();
@@ -56,8 +66,11 @@
         format!("{{ version: {version}, default: 'allow', rules: [ {{ name: 'only', regions: ['{region}'] }} ] }}")
     };
     let mut fleet = fleet(&rules(1, "there"));
-    fleet.iter_mut().for_each(|front| front.line("logs version 1 of the rules is in force"));
-    let lines = |front: &mut Scenario, lines: &[&str]| lines.iter().for_each(|line| front.line(line));
+    fleet
+        .iter_mut()
+        .for_each(|front| front.line("logs version 1 of the rules is in force"));
+    let lines =
+        |front: &mut Scenario, lines: &[&str]| lines.iter().for_each(|line| front.line(line));
     lines(
         &mut fleet[2],
         &[
@@ -74,7 +87,11 @@
     fleet[0].line(&format!("rules {}", rules(2, "here")));
     lines(
         &mut fleet[0],
-        &["reloads", "logs the fleet's: version 2 of the rules", "logs version 2 of the rules is in force"],
+        &[
+            "reloads",
+            "logs the fleet's: version 2 of the rules",
+            "logs version 2 of the rules is in force",
+        ],
     );
     // Its lease ended long ago: what it knew counts for nothing, and the next statement goes where it may.
     lines(
@@ -91,7 +108,13 @@
         ],
     );
     // Its old file brings nothing back; any front tells the hits of all.
-    lines(&mut fleet[2], &["reloads", "logs version 1 is not above the fleet's 2, which stays; state 3"]);
+    lines(
+        &mut fleet[2],
+        &[
+            "reloads",
+            "logs version 1 is not above the fleet's 2, which stays; state 3",
+        ],
+    );
     lines(
         &mut fleet[1],
         &[
--- a/crates/front/tests/scripted/garbage.rs
+++ b/crates/front/tests/scripted/garbage.rs
@@ -18,7 +18,9 @@
 fn drawn(seed: usize, count: usize) -> Vec<u8> {
     let mut state = seed as u64 ^ 0x9e37_79b9_7f4a_7c15;
     let mut next = || {
-        state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        state = state
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (state >> 33) as u8
     };
     (0..count).map(|_| next()).collect()
@@ -28,7 +30,11 @@
     /// What no client that knows the protocol sends. None of it is a statement that could be executed.
     fn client_garbage(&self, n: usize) -> Vec<u8> {
         let draw = drawn(n, 300);
-        let whole = self.frame(&(20_000 + n).to_string(), &["verb=unheard"], "select 'garbage'");
+        let whole = self.frame(
+            &(20_000 + n).to_string(),
+            &["verb=unheard"],
+            "select 'garbage'",
+        );
         match n % FORMS {
             0 => draw,
             1 => [[0x7f, 0xff, 0xff, 0xff], [0xff; 4], [0, 2, 0, 1]][n / FORMS % 3].to_vec(),
@@ -68,8 +74,11 @@
             5 => begins(CANCEL, &draw[..8]),
             6 => [begins(TLS, b""), draw].concat(),
             // A message that no client sends, of a length that none has, right behind the start.
-            _ => [begins(VERSION_3, b"user\0portal\0database\0x\0\0"), vec![b'~', 0x7f, 0xff, 0xff, 0xff]]
-                .concat(),
+            _ => [
+                begins(VERSION_3, b"user\0portal\0database\0x\0\0"),
+                vec![b'~', 0x7f, 0xff, 0xff, 0xff],
+            ]
+            .concat(),
         }
     }
 
@@ -96,7 +105,9 @@
             let _ = stream.write_all(&bytes);
             match n / FORMS % 3 {
                 0 => drop(stream),
-                1 => SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap(),
+                1 => SockRef::from(&stream)
+                    .set_linger(Some(Duration::ZERO))
+                    .unwrap(),
                 _ => waiting.push(stream),
             }
         }
@@ -109,8 +120,13 @@
         for mut stream in self.fillers.remove(NAME).unwrap() {
             stream.set_read_timeout(Some(PATIENCE)).unwrap();
             let end = std::io::copy(&mut stream, &mut std::io::sink());
-            let open = |e: &std::io::Error| matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
-            assert!(!end.is_err_and(|e| open(&e)), "a connection that brought garbage is open");
+            let open = |e: &std::io::Error| {
+                matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
+            };
+            assert!(
+                !end.is_err_and(|e| open(&e)),
+                "a connection that brought garbage is open"
+            );
         }
     }
 
@@ -135,7 +151,9 @@
         self.line(&format!("{client} asks {spoilt} verb=pay select 1"));
         self.hears_in_time(engine, &spoilt);
         let garbage = self.engine_garbage(&spoilt, n);
-        (&*self.engines[engine].asked[&spoilt]).write_all(&garbage).unwrap();
+        (&*self.engines[engine].asked[&spoilt])
+            .write_all(&garbage)
+            .unwrap();
         self.passes(OVER_MS);
         self.line(&format!("{client} hears {spoilt} aborted"));
         self.line(&format!("{client} asks {good} verb=pay select 2"));
--- a/crates/front/tests/scripted/limits.rs
+++ b/crates/front/tests/scripted/limits.rs
@@ -27,7 +27,12 @@
     let number = number.to_string();
     let frame = front.frame(&number, &[], &format!("select {number}"));
     let sent = Instant::now();
-    front.clients.get_mut("c").unwrap().write_all(&frame).unwrap();
+    front
+        .clients
+        .get_mut("c")
+        .unwrap()
+        .write_all(&frame)
+        .unwrap();
     sent
 }
 
@@ -43,11 +48,20 @@
         front.line("logs version 1 of the rules is in force");
         front.line("c connects");
         let engines = std::mem::take(&mut front.engines);
-        engines.into_values().for_each(|engine| engine.answers(heard.clone()));
+        engines
+            .into_values()
+            .for_each(|engine| engine.answers(heard.clone()));
     }
     let mut sent = HashMap::new();
     let began = Instant::now();
-    let by = |front: u32| heard.lock().unwrap().keys().filter(|id| of(id) == front).count();
+    let by = |front: u32| {
+        heard
+            .lock()
+            .unwrap()
+            .keys()
+            .filter(|id| of(id) == front)
+            .count()
+    };
     let (mut n, mut halted, mut goes_on) = (0, false, None);
     while goes_on.is_none_or(|since| n < since + AFTER) {
         let turn = Instant::now();
@@ -61,8 +75,15 @@
             fleet[2].line("goes on");
             goes_on = Some(n);
         }
-        assert!(began.elapsed() < PATIENCE, "what a stopped front holds was not taken back");
-        for (at, front) in fleet.iter_mut().enumerate().filter(|(at, _)| *at == 2 || halted) {
+        assert!(
+            began.elapsed() < PATIENCE,
+            "what a stopped front holds was not taken back"
+        );
+        for (at, front) in fleet
+            .iter_mut()
+            .enumerate()
+            .filter(|(at, _)| *at == 2 || halted)
+        {
             let number = 1_000 * (at as u32 + 1) + n;
             sent.insert(id(&number.to_string()), ask(front, number));
         }
@@ -71,12 +92,19 @@
     let by = [by(1), by(2), by(3)];
     // Each left between its asking and its being heard: those that surely all left within one window.
     let heard = heard.lock().unwrap().clone();
-    let left: Vec<(Instant, Instant)> =
-        heard.iter().flat_map(|(id, all)| all.iter().map(|at| (sent[id], *at))).collect();
-    let most = left
+    let left: Vec<(Instant, Instant)> = heard
         .iter()
-        .map(|(from, _)| left.iter().filter(|(sent, heard)| sent >= from && *heard < *from + WINDOW).count());
+        .flat_map(|(id, all)| all.iter().map(|at| (sent[id], *at)))
+        .collect();
+    let most = left.iter().map(|(from, _)| {
+        left.iter()
+            .filter(|(sent, heard)| sent >= from && *heard < *from + WINDOW)
+            .count()
+    });
     let most = most.max().unwrap_or(0);
-    println!("{} executions, {by:?} by front, {most} at most in a window", left.len());
+    println!(
+        "{} executions, {by:?} by front, {most} at most in a window",
+        left.len()
+    );
     assert!(most <= MOST, "{most} executions in one window");
 }
--- a/crates/front/tests/scripted/line.rs
+++ b/crates/front/tests/scripted/line.rs
@@ -37,15 +37,20 @@
                     std::sync::atomic::Ordering::SeqCst,
                 );
                 let name = format!("hallmux-play-{}-{number}-rules.json5", std::process::id());
-                let path = self.rules.get_or_insert_with(|| std::env::temp_dir().join(name)).clone();
+                let path = self
+                    .rules
+                    .get_or_insert_with(|| std::env::temp_dir().join(name))
+                    .clone();
                 std::fs::write(&path, unescaped(&rest(1))).unwrap();
                 self.files.insert(0, path); // the last is the configuration
             }
             ["told", key, ..] => {
-                self.configuration_overrides.push((key.to_string(), serde_json::from_str(&rest(2)).unwrap()));
+                self.configuration_overrides
+                    .push((key.to_string(), serde_json::from_str(&rest(2)).unwrap()));
             }
             ["engine", name, ..] => {
-                let mut engine = Engine::new(words[2..].contains(&"deaf"), words[2..].contains(&"narrow"));
+                let mut engine =
+                    Engine::new(words[2..].contains(&"deaf"), words[2..].contains(&"narrow"));
                 if words.get(2) == Some(&"gone") {
                     let free = TcpListener::bind("127.0.0.1:0").unwrap();
                     (engine.at, engine.listener) = (free.local_addr().unwrap(), None);
@@ -56,7 +61,10 @@
             ["fails", ..] => {
                 let output = self.spawn().wait_with_output().unwrap();
                 let said = String::from_utf8_lossy(&output.stderr).into_owned();
-                assert!(!output.status.success() && said.contains(&rest(1)), "{said}");
+                assert!(
+                    !output.status.success() && said.contains(&rest(1)),
+                    "{said}"
+                );
                 self.configuration_overrides.clear();
             }
             ["coordinator", "answers", ..] => self.answers(unescaped(&rest(2))),
@@ -73,7 +81,11 @@
             }
             ["logs", ..] => {
                 let log = self.log.as_ref().unwrap();
-                while !log.recv_timeout(PATIENCE).expect("a line of the log").contains(&rest(1)) {}
+                while !log
+                    .recv_timeout(PATIENCE)
+                    .expect("a line of the log")
+                    .contains(&rest(1))
+                {}
             }
             ["stop"] => self.signal("-TERM"),
             ["halt"] => {
@@ -101,8 +113,9 @@
             [client, "is", "unwell"] => self.well(client, false),
             [client, "is", "closed"] => {
                 let end = self.clients.get_mut(client).unwrap().read(&mut [0; 1]);
-                let open =
-                    |e: &std::io::Error| matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
+                let open = |e: &std::io::Error| {
+                    matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
+                };
                 assert!(!matches!(&end, Ok(1)) && !end.is_err_and(|e| open(&e)));
             }
             [client, "asks", "at", "once", which, ..] => {
@@ -115,7 +128,11 @@
                     }
                     self.takes_note(number.trim_start_matches('!'), &[], statement.clone());
                 }
-                self.clients.get_mut(client).unwrap().write_all(&bytes).unwrap();
+                self.clients
+                    .get_mut(client)
+                    .unwrap()
+                    .write_all(&bytes)
+                    .unwrap();
             }
             [client, "asks", number, ..] => {
                 let is_field = |w: &&&str| w.contains('=') || w.starts_with('-');
@@ -123,17 +140,29 @@
                 let statement = rest(3 + fields.len());
                 let frame = self.frame(number, &fields, &statement);
                 self.takes_note(number, &fields, statement);
-                self.clients.get_mut(client).unwrap().write_all(&frame).unwrap();
+                self.clients
+                    .get_mut(client)
+                    .unwrap()
+                    .write_all(&frame)
+                    .unwrap();
             }
             [client, "forgets", number] => {
                 let frame = self.forget(number);
-                self.clients.get_mut(client).unwrap().write_all(&frame).unwrap();
+                self.clients
+                    .get_mut(client)
+                    .unwrap()
+                    .write_all(&frame)
+                    .unwrap();
             }
             [client, "floods"] => self.flood(client),
             [client, "sends", hex] => {
                 let byte = |i| u8::from_str_radix(&hex[i..i + 2], 16).unwrap();
                 let bytes: Vec<u8> = (0..hex.len()).step_by(2).map(byte).collect();
-                self.clients.get_mut(client).unwrap().write_all(&bytes).unwrap();
+                self.clients
+                    .get_mut(client)
+                    .unwrap()
+                    .write_all(&bytes)
+                    .unwrap();
             }
             [client, "hears", number, kind, ..] if self.clients.contains_key(client) => {
                 self.hears(client, number, kind, &rest(4));
@@ -152,17 +181,30 @@
             [engine, "utters", ..] => {
                 let bytes = unescaped(&rest(2));
                 let latest = self.engines[engine].latest.as_ref().unwrap();
-                (&**latest).write_all(bytes.replace("BIG", &"x".repeat(BIG)).as_bytes()).unwrap();
+                (&**latest)
+                    .write_all(bytes.replace("BIG", &"x".repeat(BIG)).as_bytes())
+                    .unwrap();
+            }
+            [engine, "says", number, word, fields, ..] => {
+                self.says(engine, number, word, fields, &rest(5))
             }
-            [engine, "says", number, word, fields, ..] => self.says(engine, number, word, fields, &rest(5)),
             [engine, "is", "reached", "anew"] => {
                 let engine = &self.engines[engine];
                 let latest = engine.latest.as_ref().unwrap().peer_addr().unwrap();
                 assert!(engine.before.is_some_and(|before| before != latest));
             }
             [engine, "is", "reached", "by", count] => {
-                let links = self.engines[engine].asked.values().map(|link| link.peer_addr().unwrap());
-                assert_eq!(links.collect::<std::collections::HashSet<_>>().len().to_string(), count);
+                let links = self.engines[engine]
+                    .asked
+                    .values()
+                    .map(|link| link.peer_addr().unwrap());
+                assert_eq!(
+                    links
+                        .collect::<std::collections::HashSet<_>>()
+                        .len()
+                        .to_string(),
+                    count
+                );
             }
             [engine, "listens"] => {
                 *self.engines[engine].listens.0.lock().unwrap() = true;
@@ -173,7 +215,9 @@
                 latest.shutdown(std::net::Shutdown::Both).unwrap();
             }
             _ => assert!(
-                self.engine_list_line(&words) || self.ordered_line(&words) || self.resources_line(&words),
+                self.engine_list_line(&words)
+                    || self.ordered_line(&words)
+                    || self.resources_line(&words),
                 "a line that means nothing"
             ),
         }
--- a/crates/front/tests/scripted/machine.rs
+++ b/crates/front/tests/scripted/machine.rs
@@ -34,7 +34,10 @@
 #[test]
 fn a_front_starts_though_its_first_sockets_are_refused_for_want_of_descriptors_or_buffers() {
     let mut scenario = Scenario::under_machine_faults();
-    scenario.machine_faults().fail(Call::Socket, MOSTLY).unwrap();
+    scenario
+        .machine_faults()
+        .fail(Call::Socket, MOSTLY)
+        .unwrap();
     scenario.line("engine a");
     scenario.line("start");
     assert!(scenario.machine_faults().played(Call::Socket).unwrap() > 0);
@@ -43,8 +46,13 @@
 #[test]
 fn clients_are_served_while_accepting_them_mostly_fails() {
     let mut scenario = Scenario::under_machine_faults();
-    ["engine a", "start"].iter().for_each(|line| scenario.line(line));
-    scenario.machine_faults().fail(Call::Accept, MOSTLY).unwrap();
+    ["engine a", "start"]
+        .iter()
+        .for_each(|line| scenario.line(line));
+    scenario
+        .machine_faults()
+        .fail(Call::Accept, MOSTLY)
+        .unwrap();
     for client in 0..CLIENTS {
         scenario.line(&format!("c{client} connects"));
         scenario.line(&format!("c{client} is well"));
@@ -55,25 +63,43 @@
 #[test]
 fn a_statement_that_lay_unaccepted_has_so_much_less_time_at_its_engine() {
     let mut scenario = Scenario::under_machine_faults();
-    ["engine a", "start"].iter().for_each(|line| scenario.line(line));
-    scenario.machine_faults().fail(Call::Accept, ALWAYS).unwrap();
+    ["engine a", "start"]
+        .iter()
+        .for_each(|line| scenario.line(line));
+    scenario
+        .machine_faults()
+        .fail(Call::Accept, ALWAYS)
+        .unwrap();
     scenario.line("b connects");
     // The front knows by now that it can't accept: what comes from here on waits.
     scenario.line("logs no connection can be taken for now");
-    ["c connects", "c asks 1 limit=3000 select 1"].iter().for_each(|line| scenario.line(line));
-    std::thread::sleep(UNACCEPTED);
-    scenario.machine_faults().fail(Call::Accept, 0).unwrap();
-    ["a hears want 1 wait<2501", "a says 1 ACK batches=1 x", "c hears 1 completed x"]
+    ["c connects", "c asks 1 limit=3000 select 1"]
         .iter()
         .for_each(|line| scenario.line(line));
+    std::thread::sleep(UNACCEPTED);
+    scenario.machine_faults().fail(Call::Accept, 0).unwrap();
+    [
+        "a hears want 1 wait<2501",
+        "a says 1 ACK batches=1 x",
+        "c hears 1 completed x",
+    ]
+    .iter()
+    .for_each(|line| scenario.line(line));
 }
 
 /// A connection that the system gives late, as the front ends, is served; whether this was played in time.
 fn is_served_at_the_end() -> bool {
     let mut scenario = Scenario::under_machine_faults();
-    ["engine a", "start"].iter().for_each(|line| scenario.line(line));
-    scenario.machine_faults().fail(Call::Accept, ALWAYS).unwrap();
-    ["c connects", "c asks 1 select 1", "stop"].iter().for_each(|line| scenario.line(line));
+    ["engine a", "start"]
+        .iter()
+        .for_each(|line| scenario.line(line));
+    scenario
+        .machine_faults()
+        .fail(Call::Accept, ALWAYS)
+        .unwrap();
+    ["c connects", "c asks 1 select 1", "stop"]
+        .iter()
+        .for_each(|line| scenario.line(line));
     let asked = Instant::now();
     std::thread::sleep(PAST_CLOSE);
     scenario.machine_faults().fail(Call::Accept, 0).unwrap();
@@ -86,6 +112,10 @@
 }
 
 #[test]
-fn who_waits_to_be_accepted_as_the_front_ends_is_answered_once_the_system_gives_connections_again() {
-    assert!((0..MAX_RUNS).any(|_| is_served_at_the_end()), "the machine was too busy in each run");
+fn who_waits_to_be_accepted_as_the_front_ends_is_answered_once_the_system_gives_connections_again()
+{
+    assert!(
+        (0..MAX_RUNS).any(|_| is_served_at_the_end()),
+        "the machine was too busy in each run"
+    );
 }
--- a/crates/front/tests/scripted/main.rs
+++ b/crates/front/tests/scripted/main.rs
@@ -156,13 +156,19 @@
 }
 
 fn unescaped(text: &str) -> String {
-    text.replace("\\t", "\t").replace("\\r", "\r").replace("\\n", "\n")
+    text.replace("\\t", "\t")
+        .replace("\\r", "\r")
+        .replace("\\n", "\n")
 }
 
 /// A word alone stands for a row that begins with it.
 fn rows(text: &str) -> String {
     let word = !text.is_empty() && !text.contains('\\');
-    unescaped(&if word { format!("{text}\\t-\\t-\\n") } else { text.to_string() })
+    unescaped(&if word {
+        format!("{text}\\t-\\t-\\n")
+    } else {
+        text.to_string()
+    })
 }
 
 static FILES: AtomicUsize = AtomicUsize::new(0);
@@ -199,7 +205,10 @@
 #[test]
 fn scenarios() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/scenarios");
-    let mut paths: Vec<_> = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()).collect();
+    let mut paths: Vec<_> = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|entry| entry.unwrap().path())
+        .collect();
     paths.sort();
     if let Ok(only) = std::env::var("SCENARIO") {
         paths.retain(|path| path.file_stem().is_some_and(|name| name == &*only));
--- a/crates/front/tests/scripted/ordering.rs
+++ b/crates/front/tests/scripted/ordering.rs
@@ -32,7 +32,8 @@
                 front.wait().unwrap();
             }
             ["starts", "anew"] => {
-                self.configuration_overrides.push(("listen".to_string(), self.listens.as_str().into()));
+                self.configuration_overrides
+                    .push(("listen".to_string(), self.listens.as_str().into()));
                 self.start();
             }
             [client, "connects", "narrowly"] => {
@@ -52,17 +53,25 @@
             }
             [client, "finishes", "at", "once"] => {
                 let bytes = self.unsent.remove(client).unwrap();
-                self.clients.get_mut(client).unwrap().write_all(&bytes).unwrap();
+                self.clients
+                    .get_mut(client)
+                    .unwrap()
+                    .write_all(&bytes)
+                    .unwrap();
             }
             [client, "floods", count, "and", "leaves"] => {
                 self.floods_and_leaves(client, count.parse().unwrap())
             }
             [client, "is", "closed", "well"] => self.is_closed_well(client),
-            [client, "is", "served", number, "by", engine] => self.is_served(client, number, engine, false),
+            [client, "is", "served", number, "by", engine] => {
+                self.is_served(client, number, engine, false)
+            }
             [client, "is", "served", number, "by", engine, "or", "ends"] => {
                 self.is_served(client, number, engine, true);
             }
-            [client, "is", "answered", which, "completed", text] => self.is_answered(client, which, text),
+            [client, "is", "answered", which, "completed", text] => {
+                self.is_answered(client, which, text)
+            }
             [client, "is", "well", "past", number] => self.is_well_past(client, number),
             [engine, "answers", which, text] => self.answers_all(engine, which, text),
             [engine, "repeats", number, word, fields, ..] => {
@@ -78,7 +87,9 @@
                 let latest = engine.latest.as_ref().unwrap().peer_addr().unwrap();
                 assert_eq!(engine.before, Some(latest));
             }
-            [engine, "stops", "listening"] => *self.engines[engine].listens.0.lock().unwrap() = false,
+            [engine, "stops", "listening"] => {
+                *self.engines[engine].listens.0.lock().unwrap() = false
+            }
             [engine, "resets"] => self.resets(engine),
             _ => return false,
         }
@@ -101,9 +112,12 @@
 
     /// Notes when a statement is asked for, and how long its client waits.
     pub fn takes_note(&mut self, number: &str, fields: &[&str], statement: String) {
-        let limit = fields.iter().find_map(|field| field.strip_prefix("limit=")?.parse().ok());
+        let limit = fields
+            .iter()
+            .find_map(|field| field.strip_prefix("limit=")?.parse().ok());
         let now = self.clock.as_ref().map_or(0, |clock| clock.now());
-        self.limits.insert(number.to_string(), now / 1000 + limit.unwrap_or(15_000));
+        self.limits
+            .insert(number.to_string(), now / 1000 + limit.unwrap_or(15_000));
         self.statements.insert(number.to_string(), statement);
     }
 
@@ -111,7 +125,9 @@
     /// no longer than the client does.
     pub fn holds(&self, fields: &str, number: &str, word: &str) -> bool {
         let figure = |name: &str| {
-            let named = fields.split(',').find_map(|field| field.strip_prefix(name)?.strip_prefix('='));
+            let named = fields
+                .split(',')
+                .find_map(|field| field.strip_prefix(name)?.strip_prefix('='));
             named.and_then(|text| text.parse::<i64>().ok()).unwrap()
         };
         if word == "in-time" {
@@ -136,7 +152,11 @@
     /// Each byte is read by the front before the next one is written.
     fn trickles(&mut self, client: &str, bytes: &[u8]) {
         for byte in bytes {
-            self.clients.get_mut(client).unwrap().write_all(&[*byte]).unwrap();
+            self.clients
+                .get_mut(client)
+                .unwrap()
+                .write_all(&[*byte])
+                .unwrap();
             self.settles();
         }
     }
@@ -145,8 +165,12 @@
     fn floods_and_leaves(&mut self, client: &str, count: usize) {
         let stream = self.clients.remove(client).unwrap();
         stream.set_nonblocking(true).unwrap();
-        let frame = |n: usize| self.frame(&(10_000 + n).to_string(), &["verb=pay"], "select 'flood'");
-        let written = (0..count).map(frame).take_while(|frame| (&stream).write_all(frame).is_ok()).count();
+        let frame =
+            |n: usize| self.frame(&(10_000 + n).to_string(), &["verb=pay"], "select 'flood'");
+        let written = (0..count)
+            .map(frame)
+            .take_while(|frame| (&stream).write_all(frame).is_ok())
+            .count();
         assert!(written >= LEAST_FLOOD, "{written}");
     }
 }
@@ -156,6 +180,8 @@
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(NARROW).unwrap();
     let at: std::net::SocketAddr = to.parse().unwrap();
-    socket.connect_timeout(&SockAddr::from(at), Duration::from_secs(5)).unwrap();
+    socket
+        .connect_timeout(&SockAddr::from(at), Duration::from_secs(5))
+        .unwrap();
     socket.into()
 }
--- a/crates/front/tests/scripted/outcomes.rs
+++ b/crates/front/tests/scripted/outcomes.rs
@@ -27,9 +27,9 @@
 /// `3,7` or `1-20`.
 pub fn numbers(text: &str) -> Vec<String> {
     match text.split_once('-') {
-        Some((first, last)) => {
-            (first.parse::<u32>().unwrap()..=last.parse().unwrap()).map(|n| n.to_string()).collect()
-        }
+        Some((first, last)) => (first.parse::<u32>().unwrap()..=last.parse().unwrap())
+            .map(|n| n.to_string())
+            .collect(),
         None => text.split(',').map(str::to_string).collect(),
     }
 }
@@ -41,7 +41,8 @@
         let named: Vec<&str> = awaited.iter().map(String::as_str).collect();
         let mut answered = HashSet::new();
         for _ in 0..named.len() * if big { PAGES } else { 1 } {
-            let number = self.engine_hears(engine, if big { "want|turn" } else { "want" }, &named, &[]);
+            let number =
+                self.engine_hears(engine, if big { "want|turn" } else { "want" }, &named, &[]);
             match answered.insert(number.clone()) {
                 true if big => self.says_big(engine, &number),
                 true => self.says(engine, &number, "ACK", "batches=1", text),
@@ -57,7 +58,9 @@
         for n in 1..PAGES {
             text += &format!("{id} BLOCK batch={n} {PAGE}\r\n{page}\r\n");
         }
-        (&*self.engines[engine].asked[number]).write_all(text.as_bytes()).unwrap();
+        (&*self.engines[engine].asked[number])
+            .write_all(text.as_bytes())
+            .unwrap();
     }
 
     /// A client has its answers to the statements named, in any order.
@@ -66,11 +69,20 @@
         while !awaited.is_empty() {
             let (kind, _, number, held) = self.reply(client).expect("an answer");
             let len = u32::from_be_bytes(held[6..10].try_into().unwrap()) as usize;
-            assert!(kind == 2 && held.starts_with(&[12, 0, 0]), "{number}: {held:?}");
-            assert!(held[10..10 + len] == *result(text).as_bytes(), "{number}: {len} bytes");
+            assert!(
+                kind == 2 && held.starts_with(&[12, 0, 0]),
+                "{number}: {held:?}"
+            );
+            assert!(
+                held[10..10 + len] == *result(text).as_bytes(),
+                "{number}: {len} bytes"
+            );
             let before = awaited.len();
             awaited.retain(|n| *n != number);
-            assert!(awaited.len() < before, "{number} was answered twice, or not asked");
+            assert!(
+                awaited.len() < before,
+                "{number} was answered twice, or not asked"
+            );
         }
     }
 
@@ -91,7 +103,10 @@
     pub fn is_served(&mut self, client: &str, number: &str, engine: &str, may_end: bool) {
         let (mut ran, begun) = (false, Instant::now());
         let found = loop {
-            assert!(begun.elapsed() < PATIENCE, "no answer to {number} and no end");
+            assert!(
+                begun.elapsed() < PATIENCE,
+                "no answer to {number} and no end"
+            );
             if !ran && self.heard_by_now(engine, number) {
                 self.says(engine, number, "ACK", "batches=1", "x");
                 ran = true;
@@ -106,7 +121,10 @@
         let (kind, _, heard, held) = self.reply(client).expect("an answer");
         let completed = ran && held.starts_with(&[12, 0, 0]);
         assert_eq!(heard, number);
-        assert!(kind == 2 && (completed || !ran && held.starts_with(&[12, 0, 1])), "{held:?}");
+        assert!(
+            kind == 2 && (completed || !ran && held.starts_with(&[12, 0, 1])),
+            "{held:?}"
+        );
     }
 
     /// A client's connection ends in order: the end of the stream, and no reset.
@@ -118,7 +136,11 @@
     /// A client's connection is of use, and it may have been told of a statement once, but not twice.
     pub fn is_well_past(&mut self, client: &str, number: &str) {
         let asks = self.message(1, "isWell", "900", &[2, 0, 1, 0]);
-        self.clients.get_mut(client).unwrap().write_all(&asks).unwrap();
+        self.clients
+            .get_mut(client)
+            .unwrap()
+            .write_all(&asks)
+            .unwrap();
         let mut answers = 0;
         while let Some((_, name, heard, _)) = self.reply(client) {
             if name == "isWell" {
--- a/crates/front/tests/scripted/process.rs
+++ b/crates/front/tests/scripted/process.rs
@@ -32,9 +32,13 @@
     }
 
     pub fn spawn(&mut self) -> Child {
-        let servers: Vec<Value> =
-            self.engines.iter().map(|(name, e)| self.server(name, "up", e.at, false)).collect();
-        let known = json!({"index": 1, "endpoints": {"version": 1, "full": true, "servers": servers}});
+        let servers: Vec<Value> = self
+            .engines
+            .iter()
+            .map(|(name, e)| self.server(name, "up", e.at, false))
+            .collect();
+        let known =
+            json!({"index": 1, "endpoints": {"version": 1, "full": true, "servers": servers}});
         self.coordinator_state.0.lock().unwrap().updates.push(known);
         self.serve_list();
         self.config = self.file("json");
@@ -44,8 +48,13 @@
             self.clock = Some(Clock::new(&self.time));
         }
         let mut command = self.command();
-        command.env("NODE_CONFIG", &self.config).env_remove("NODE_LISTEN").env_remove("NODE_NAME");
-        command.env_remove("HALLMUX_OPERATOR").env_remove("HALLMUX_CLOCK");
+        command
+            .env("NODE_CONFIG", &self.config)
+            .env_remove("NODE_LISTEN")
+            .env_remove("NODE_NAME");
+        command
+            .env_remove("HALLMUX_OPERATOR")
+            .env_remove("HALLMUX_CLOCK");
         if !self.resources.real_time {
             command.env("HALLMUX_CLOCK", &self.time);
         }
@@ -61,7 +70,9 @@
     /// The front's program; where it has its own limit of descriptors, by a shell whose process it takes over.
     fn command(&self) -> Command {
         const FRONT: &str = env!("CARGO_BIN_EXE_hallmux-front");
-        let Some(most) = self.resources.granted_descriptors else { return Command::new(FRONT) };
+        let Some(most) = self.resources.granted_descriptors else {
+            return Command::new(FRONT);
+        };
         let mut shell = Command::new("sh");
         shell.args(["-c", &format!("ulimit -n {most} && exec \"$0\""), FRONT]);
         shell
@@ -83,7 +94,11 @@
 
     pub fn signal(&self, which: &str) {
         let pid = self.front.as_ref().unwrap().id().to_string();
-        assert!(Command::new("kill").args([which, &pid]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args([which, &pid])
+            .status()
+            .unwrap()
+            .success());
     }
 
     /// Waits until the front has ended well. Time passes meanwhile, as connections that it has closed are kept for
@@ -105,16 +120,23 @@
     pub fn memory_kb(&self) -> usize {
         let pid = self.front.as_ref().unwrap().id();
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
-        let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap();
+        let line = status
+            .lines()
+            .find_map(|l| l.strip_prefix("VmRSS:"))
+            .unwrap();
         line.trim().trim_end_matches(" kB").parse().unwrap()
     }
 
     pub fn start(&mut self) {
         let mut front = self.spawn();
         let ((sender, ready), (says, said)) = (channel(), channel());
-        let mut log = BufReader::new(front.stderr.take().unwrap()).lines().map_while(Result::ok);
+        let mut log = BufReader::new(front.stderr.take().unwrap())
+            .lines()
+            .map_while(Result::ok);
         std::thread::spawn(move || {
-            let found = log.by_ref().find_map(|l| Some(l.split_once("takes statements at ")?.1.to_string()));
+            let found = log
+                .by_ref()
+                .find_map(|l| Some(l.split_once("takes statements at ")?.1.to_string()));
             let _ = sender.send(found);
             log.for_each(|line| {
                 println!("{line}");
@@ -122,6 +144,9 @@
             });
         });
         (self.front, self.log) = (Some(front), Some(said));
-        self.listens = ready.recv_timeout(PATIENCE).unwrap().expect("a front that starts");
+        self.listens = ready
+            .recv_timeout(PATIENCE)
+            .unwrap()
+            .expect("a front that starts");
     }
 }
--- a/crates/front/tests/scripted/resources.rs
+++ b/crates/front/tests/scripted/resources.rs
@@ -42,7 +42,9 @@
                 (0..count.parse().unwrap()).for_each(|_| self.is_ready_again());
             }
             ["garbage", "from", count] => self.garbage_from(count.parse().unwrap()),
-            ["garbage", "from", count, "sessions"] => self.garbage_from_sessions(count.parse().unwrap()),
+            ["garbage", "from", count, "sessions"] => {
+                self.garbage_from_sessions(count.parse().unwrap())
+            }
             ["garbage", "is", "gone"] => self.garbage_is_gone(),
             [engine, "spoils", count, "answers", "to", client] => {
                 (0..count.parse().unwrap()).for_each(|n| self.spoils_an_answer(engine, client, n));
@@ -59,14 +61,19 @@
         if !text.contains(NAME) {
             return text.to_string();
         }
-        let at = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        let at = TcpListener::bind("127.0.0.1:0")
+            .unwrap()
+            .local_addr()
+            .unwrap();
         self.resources.sessions = Some(at);
         text.replace(NAME, &at.to_string())
     }
 
     fn descriptors(&self) -> usize {
         let pid = self.front.as_ref().unwrap().id();
-        std::fs::read_dir(format!("/proc/{pid}/fd")).unwrap().count()
+        std::fs::read_dir(format!("/proc/{pid}/fd"))
+            .unwrap()
+            .count()
     }
 
     /// Waits until the front holds no more descriptors than noted, nor fewer. Time passes meanwhile.
@@ -74,7 +81,10 @@
         let (noted, begun) = (self.resources.noted_descriptors, Instant::now());
         while self.descriptors() != noted {
             let held = self.descriptors();
-            assert!(begun.elapsed() < PATIENCE, "{held} descriptors are held, not {noted}");
+            assert!(
+                begun.elapsed() < PATIENCE,
+                "{held} descriptors are held, not {noted}"
+            );
             self.passes(STEP_MS);
         }
     }
@@ -84,20 +94,30 @@
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
         let (_, fields) = stat.rsplit_once(") ").unwrap();
         // In user mode and in the kernel: the 14th field and the next.
-        let ticks = fields.split(' ').skip(11).take(2).map(|ticks| ticks.parse::<u32>().unwrap());
+        let ticks = fields
+            .split(' ')
+            .skip(11)
+            .take(2)
+            .map(|ticks| ticks.parse::<u32>().unwrap());
         TICK * ticks.sum::<u32>()
     }
 
     /// A front that has next to nothing to do takes next to no CPU time, whatever its sockets report.
     fn rests(&self) {
-        assert!(self.resources.real_time, "with a drill's clock it looks at that all the time");
+        assert!(
+            self.resources.real_time,
+            "with a drill's clock it looks at that all the time"
+        );
         let (begun, before) = (Instant::now(), self.cpu_time());
         while begun.elapsed() < WATCHED {
             std::thread::sleep(LOOK);
         }
         let (taken, watched) = (self.cpu_time() - before, begun.elapsed());
         println!("{taken:?} of CPU time in {watched:?}");
-        assert!(taken < watched / REST, "{taken:?} of CPU time in {watched:?}");
+        assert!(
+            taken < watched / REST,
+            "{taken:?} of CPU time in {watched:?}"
+        );
     }
 
     /// Killed and started: it takes statements in time, with no time of its own passing meanwhile.
--- a/crates/front/tests/scripted/wall_clock.rs
+++ b/crates/front/tests/scripted/wall_clock.rs
@@ -22,13 +22,17 @@
     fn with_stepped_clock(budget: &[&str]) -> Scenario {
         let mut scenario = Scenario::under_machine_faults();
         budget.iter().for_each(|line| scenario.line(line));
-        ["engine a", "start"].iter().for_each(|line| scenario.line(line));
+        ["engine a", "start"]
+            .iter()
+            .for_each(|line| scenario.line(line));
         scenario
     }
 
     /// Steps the front's wall clock to so far from the machine's, and waits until the front has had a turn by it.
     fn steps_wall_clock(&mut self, ms: i64) {
-        self.machine_faults().set_wall_clock_ahead(ms * 1000).unwrap();
+        self.machine_faults()
+            .set_wall_clock_ahead(ms * 1000)
+            .unwrap();
         self.line("logs the wall clock was stepped by");
     }
 
@@ -91,21 +95,35 @@
     scenario.earns_credit();
     std::thread::sleep(SHORT_WINDOW);
     // Of those statements none is in the window any more: one statement alone earns no further execution.
-    scenario.lines(&["c asks 9 select 9", "a hears want 9", "a says 9 EIO - ", "c hears 9 rejected"]);
+    scenario.lines(&[
+        "c asks 9 select 9",
+        "a hears want 9",
+        "a says 9 EIO - ",
+        "c hears 9 rejected",
+    ]);
     scenario.nothing_else_came();
 }
 
 #[test]
 fn a_statement_ends_with_its_time_and_is_not_repeated_beyond_its_window_after_a_step_back() {
-    let mut scenario = Scenario::with_stepped_clock(&["agreed requestClasses.1.dedupWindowMs 1000"]);
+    let mut scenario =
+        Scenario::with_stepped_clock(&["agreed requestClasses.1.dedupWindowMs 1000"]);
     scenario.steps_wall_clock(-HOUR_MS);
     scenario.earns_credit();
     scenario.lines(&["c asks 9 verb=load unique=u9 insert 9", "a hears want 9"]);
     std::thread::sleep(SHORT_WINDOW);
     scenario.lines(&["a says 9 EIO - ", "c hears 9 rejected"]);
     let asked = Instant::now();
-    scenario.lines(&["c asks 10 limit=1500 select 10", "a hears want 10 wait<1501", "c hears 10 rejected"]);
-    assert!(asked.elapsed() < Duration::from_millis(1500) + SLACK, "{:?}", asked.elapsed());
+    scenario.lines(&[
+        "c asks 10 limit=1500 select 10",
+        "a hears want 10 wait<1501",
+        "c hears 10 rejected",
+    ]);
+    assert!(
+        asked.elapsed() < Duration::from_millis(1500) + SLACK,
+        "{:?}",
+        asked.elapsed()
+    );
     scenario.line("a hears never_mind 10");
     scenario.nothing_else_came();
 }
--- a/crates/gossip/src/channels.rs
+++ b/crates/gossip/src/channels.rs
@@ -63,12 +63,17 @@
 
 impl Mailbox {
     pub fn new() -> Mailbox {
-        Mailbox { tokens: CHANNELS.map(|(_, rate)| TokenBucket::new(rate)), inbox: Vec::new() }
+        Mailbox {
+            tokens: CHANNELS.map(|(_, rate)| TokenBucket::new(rate)),
+            inbox: Vec::new(),
+        }
     }
 
     /// Takes `bytes` from the channel's budget. False, and nothing taken, if they exceed it.
     pub fn may_send(&mut self, now: Micros, channel: Channel, bytes: usize) -> bool {
-        self.tokens.get_mut(channel as usize).is_some_and(|tokens| tokens.take(now, bytes as f64))
+        self.tokens
+            .get_mut(channel as usize)
+            .is_some_and(|tokens| tokens.take(now, bytes as f64))
     }
 
     /// Stores the payload of a received datagram. False if it names a channel unknown here; an empty one is
@@ -77,9 +82,16 @@
         if payload.is_empty() {
             return true;
         }
-        let Some((channel, _)) = CHANNELS.get(usize::from(payload.remove(0))) else { return false };
+        let Some((channel, _)) = CHANNELS.get(usize::from(payload.remove(0))) else {
+            return false;
+        };
         if self.inbox.len() < MAX_WAITING {
-            self.inbox.push(ChannelMessage { from, at, channel: *channel, bytes: payload });
+            self.inbox.push(ChannelMessage {
+                from,
+                at,
+                channel: *channel,
+                bytes: payload,
+            });
         }
         true
     }
--- a/crates/gossip/src/channels_tests.rs
+++ b/crates/gossip/src/channels_tests.rs
@@ -14,7 +14,14 @@
         );
         assert!(mailbox.deliver(7, at, vec![place as u8, 5]));
     }
-    assert!(!mailbox.deliver(7, at, vec![CHANNELS.len() as u8, 5]) && mailbox.deliver(7, at, Vec::new()));
-    let came: Vec<_> = mailbox.take().into_iter().map(|l| (l.channel, l.bytes)).collect();
+    assert!(
+        !mailbox.deliver(7, at, vec![CHANNELS.len() as u8, 5])
+            && mailbox.deliver(7, at, Vec::new())
+    );
+    let came: Vec<_> = mailbox
+        .take()
+        .into_iter()
+        .map(|l| (l.channel, l.bytes))
+        .collect();
     assert_eq!(came, CHANNELS.map(|(channel, _)| (channel, vec![5])));
 }
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -64,24 +64,54 @@
     /// Whether a report is later than the one held of its reporter. Cheap: to be asked before its signature
     /// is checked.
     pub fn is_later(&self, reporter: PeerId, started_ms: u64, version: u32) -> bool {
-        self.held.get(&reporter).is_none_or(|held| (started_ms, version) > (held.started_ms, held.version))
+        self.held
+            .get(&reporter)
+            .is_none_or(|held| (started_ms, version) > (held.started_ms, held.version))
     }
 
     /// Stores a report that is `age` microseconds old; false if it is not later, too long or expired.
     pub fn merge(&mut self, now: Micros, report: Report, signed: Signed, age: Micros) -> bool {
-        let recovered = report.ownership.act.as_ref().map_or(0, |act| act.recovered.len());
-        let fits = report.sightings.len() <= MAX_SIGHTINGS && recovered <= MAX_SIGHTINGS && age < EXPIRY;
+        let recovered = report
+            .ownership
+            .act
+            .as_ref()
+            .map_or(0, |act| act.recovered.len());
+        let fits =
+            report.sightings.len() <= MAX_SIGHTINGS && recovered <= MAX_SIGHTINGS && age < EXPIRY;
         if !fits || !self.is_later(report.reporter, report.started_ms, report.version) {
             return false;
         }
         if self.held.len() >= MAX_REPORTERS && !self.held.contains_key(&report.reporter) {
-            let oldest = self.held.iter().min_by_key(|(_, held)| held.created).map(|(reporter, _)| *reporter);
-            oldest.into_iter().for_each(|reporter| _ = self.held.remove(&reporter));
+            let oldest = self
+                .held
+                .iter()
+                .min_by_key(|(_, held)| held.created)
+                .map(|(reporter, _)| *reporter);
+            oldest
+                .into_iter()
+                .for_each(|reporter| _ = self.held.remove(&reporter));
         }
-        let Report { reporter, started_ms, version, sightings, ownership, .. } = report;
+        let Report {
+            reporter,
+            started_ms,
+            version,
+            sightings,
+            ownership,
+            ..
+        } = report;
         let created = now - age;
-        self.held
-            .insert(reporter, Held { started_ms, version, created, sightings, ownership, signed, sent: 0 });
+        self.held.insert(
+            reporter,
+            Held {
+                started_ms,
+                version,
+                created,
+                sightings,
+                ownership,
+                signed,
+                sent: 0,
+            },
+        );
         true
     }
 
@@ -92,15 +122,20 @@
 
     /// All sightings that have not expired, but for those that `own` has reported.
     pub fn peer_reports(&self, now: Micros, own: PeerId) -> Vec<PeerReport> {
-        let counts = |(reporter, held): &(&PeerId, &Held)| **reporter != own && held.is_current(now);
-        let all = self.held.iter().filter(counts).flat_map(|(reporter, held)| {
-            let age = now - held.created;
-            held.sightings.iter().map(move |sighting| PeerReport {
-                reporter: *reporter,
-                sighting: *sighting,
-                age,
-            })
-        });
+        let counts =
+            |(reporter, held): &(&PeerId, &Held)| **reporter != own && held.is_current(now);
+        let all = self
+            .held
+            .iter()
+            .filter(counts)
+            .flat_map(|(reporter, held)| {
+                let age = now - held.created;
+                held.sightings.iter().map(move |sighting| PeerReport {
+                    reporter: *reporter,
+                    sighting: *sighting,
+                    age,
+                })
+            });
         all.collect()
     }
 
@@ -120,29 +155,48 @@
     /// not crowd out the few on another; then those passed on least, and of them the latest. Reports without
     /// content come last: what they take back expires by itself.
     pub fn pass_on(&mut self, now: Micros, most_sent: u32, mut budget: usize) -> Vec<Signed> {
-        let subject = |s: &Sighting| (s.engine, s.answered > 0 && s.silent_ms == 0 && s.failed == 0);
+        let subject = |s: &Sighting| {
+            (
+                s.engine,
+                s.answered > 0 && s.silent_ms == 0 && s.failed == 0,
+            )
+        };
         let mut passed_on: BTreeMap<(u64, bool), u32> = BTreeMap::new();
         for held in self.held.values().filter(|held| held.is_current(now)) {
-            held.sightings.iter().for_each(|s| *passed_on.entry(subject(s)).or_default() += held.sent);
+            held.sightings
+                .iter()
+                .for_each(|s| *passed_on.entry(subject(s)).or_default() += held.sent);
         }
-        let mut all: Vec<&mut Held> =
-            self.held.values_mut().filter(|held| held.is_current(now) && held.sent < most_sent).collect();
+        let mut all: Vec<&mut Held> = self
+            .held
+            .values_mut()
+            .filter(|held| held.is_current(now) && held.sent < most_sent)
+            .collect();
         let mut picked = Vec::new();
         loop {
             let least = |held: &Held| {
-                let subjects =
-                    held.sightings.iter().map(|s| passed_on.get(&subject(s)).copied().unwrap_or(0));
-                subjects.min().unwrap_or(if held.ownership.is_empty() { u32::MAX } else { held.sent })
+                let subjects = held
+                    .sightings
+                    .iter()
+                    .map(|s| passed_on.get(&subject(s)).copied().unwrap_or(0));
+                subjects.min().unwrap_or(if held.ownership.is_empty() {
+                    u32::MAX
+                } else {
+                    held.sent
+                })
             };
             let fits = (0..all.len()).filter(|n| all[*n].signed.encoded_len() <= budget);
-            let Some(next) = fits.min_by_key(|n| (least(all[*n]), all[*n].sent, now - all[*n].created))
+            let Some(next) =
+                fits.min_by_key(|n| (least(all[*n]), all[*n].sent, now - all[*n].created))
             else {
                 return picked;
             };
             let held = all.swap_remove(next);
             budget -= held.signed.encoded_len();
             held.sent += 1;
-            held.sightings.iter().for_each(|s| *passed_on.entry(subject(s)).or_default() += 1);
+            held.sightings
+                .iter()
+                .for_each(|s| *passed_on.entry(subject(s)).or_default() += 1);
             picked.push(held.signed.clone());
         }
     }
--- a/crates/gossip/src/evidence_tests.rs
+++ b/crates/gossip/src/evidence_tests.rs
@@ -3,24 +3,49 @@
 use super::*;
 
 fn report(reporter: PeerId, started_ms: u64, version: u32, failed: u8) -> Report {
-    let sightings = vec![Sighting { engine: 1, failed, ..Sighting::default() }];
-    Report { reporter, started_ms, version, created_ms: 0, sightings, ownership: OwnershipReport::default() }
+    let sightings = vec![Sighting {
+        engine: 1,
+        failed,
+        ..Sighting::default()
+    }];
+    Report {
+        reporter,
+        started_ms,
+        version,
+        created_ms: 0,
+        sightings,
+        ownership: OwnershipReport::default(),
+    }
 }
 
 fn signed() -> Signed {
-    Signed { report: vec![0; 40], signature: vec![0; 64] }
+    Signed {
+        report: vec![0; 40],
+        signature: vec![0; 64],
+    }
 }
 
 /// What is known after reports came in this order.
 fn known(order: &[Report]) -> Vec<(PeerId, u8)> {
     let mut evidence = Evidence::default();
-    order.iter().for_each(|r| _ = evidence.merge(0, r.clone(), signed(), 0));
-    evidence.peer_reports(1, 99).into_iter().map(|n| (n.reporter, n.sighting.failed)).collect()
+    order
+        .iter()
+        .for_each(|r| _ = evidence.merge(0, r.clone(), signed(), 0));
+    evidence
+        .peer_reports(1, 99)
+        .into_iter()
+        .map(|n| (n.reporter, n.sighting.failed))
+        .collect()
 }
 
 #[test]
 fn any_order_repeats_and_losses_before_the_latest_come_to_the_same() {
-    let all = [report(1, 5, 1, 1), report(1, 5, 2, 2), report(1, 6, 1, 3), report(2, 1, 9, 4)];
+    let all = [
+        report(1, 5, 1, 1),
+        report(1, 5, 2, 2),
+        report(1, 6, 1, 3),
+        report(2, 1, 9, 4),
+    ];
     let expected = [(1, 3), (2, 4)];
     // Every order of the four, with each of them repeated at the end.
     let mut orders = vec![vec![]];
@@ -42,8 +67,10 @@
         reports.extend(reports.clone());
         assert_eq!(known(&reports), expected);
         // Without what was made before the latest of each.
-        let latest: Vec<Report> =
-            reports.into_iter().filter(|r| r.started_ms > 5 || r.reporter == 2).collect();
+        let latest: Vec<Report> = reports
+            .into_iter()
+            .filter(|r| r.started_ms > 5 || r.reporter == 2)
+            .collect();
         assert_eq!(known(&latest), expected);
     }
 }
@@ -54,8 +81,14 @@
     assert!(evidence.merge(0, report(1, 1, 2, 1), signed(), 3_000_000));
     assert_eq!(evidence.peer_reports(EXPIRY - 3_000_001, 9).len(), 1);
     assert_eq!(evidence.peer_reports(EXPIRY - 3_000_000, 9).len(), 0);
-    assert!(!evidence.merge(EXPIRY, report(1, 1, 1, 1), signed(), 0), "an earlier version");
-    assert!(!evidence.merge(EXPIRY, report(2, 1, 1, 1), signed(), EXPIRY), "older than it lasts");
+    assert!(
+        !evidence.merge(EXPIRY, report(1, 1, 1, 1), signed(), 0),
+        "an earlier version"
+    );
+    assert!(
+        !evidence.merge(EXPIRY, report(2, 1, 1, 1), signed(), EXPIRY),
+        "older than it lasts"
+    );
     evidence.expire(3 * EXPIRY);
     assert!(evidence.is_empty());
 }
@@ -63,9 +96,17 @@
 #[test]
 fn one_voice_on_an_engine_is_passed_on_before_the_many_on_another() {
     let mut evidence = Evidence::default();
-    let signed = |reporter: u64| Signed { report: vec![reporter as u8; 40], signature: vec![0; 64] };
+    let signed = |reporter: u64| Signed {
+        report: vec![reporter as u8; 40],
+        signature: vec![0; 64],
+    };
     for reporter in 0..100 {
-        evidence.merge(reporter as Micros, report(reporter, 1, 1, 1), signed(reporter), 0);
+        evidence.merge(
+            reporter as Micros,
+            report(reporter, 1, 1, 1),
+            signed(reporter),
+            0,
+        );
     }
     let mut other = report(200, 1, 1, 1);
     other.sightings[0].engine = 2;
@@ -76,7 +117,10 @@
         firsts.extend(evidence.pass_on(1_000, 9, 216).iter().map(|s| s.report[0]));
     }
     assert!(firsts[..2].contains(&200), "{firsts:?}");
-    assert!(firsts.iter().filter(|reporter| **reporter == 200).count() >= 2, "{firsts:?}");
+    assert!(
+        firsts.iter().filter(|reporter| **reporter == 200).count() >= 2,
+        "{firsts:?}"
+    );
 }
 
 #[test]
--- a/crates/gossip/src/load_reports.rs
+++ b/crates/gossip/src/load_reports.rs
@@ -73,19 +73,40 @@
             Some(held) => (started_ms, version) > (held.started_ms, held.version),
             None => {
                 self.held.len() < MAX_REPORTERS
-                    || self.held.last_key_value().is_some_and(|(k, _)| reporter < *k)
+                    || self
+                        .held
+                        .last_key_value()
+                        .is_some_and(|(k, _)| reporter < *k)
             }
         }
     }
 
     /// Stores a report that is `age` microseconds old; false if it is not later, too long or expired.
     pub fn merge(&mut self, now: Micros, report: LoadReport, signed: Signed, age: Micros) -> bool {
-        let LoadReport { reporter, started_ms, version, offered, .. } = report;
-        if offered.len() > MAX_LOADS || age >= EXPIRY || !self.is_later(reporter, started_ms, version) {
+        let LoadReport {
+            reporter,
+            started_ms,
+            version,
+            offered,
+            ..
+        } = report;
+        if offered.len() > MAX_LOADS
+            || age >= EXPIRY
+            || !self.is_later(reporter, started_ms, version)
+        {
             return false;
         }
-        self.held
-            .insert(reporter, Held { started_ms, version, created: now - age, offered, signed, sent: 0 });
+        self.held.insert(
+            reporter,
+            Held {
+                started_ms,
+                version,
+                created: now - age,
+                offered,
+                signed,
+                sent: 0,
+            },
+        );
         if self.held.len() > MAX_REPORTERS {
             self.held.pop_last();
         }
@@ -99,12 +120,18 @@
 
     /// The loads of each reporter that have not expired.
     pub fn current(&self, now: Micros) -> impl Iterator<Item = &[OfferedLoad]> {
-        self.held.values().filter(move |held| now - held.created < EXPIRY).map(|held| &held.offered[..])
+        self.held
+            .values()
+            .filter(move |held| now - held.created < EXPIRY)
+            .map(|held| &held.offered[..])
     }
 
     /// The fronts whose reports have not expired.
     pub fn reporters(&self, now: Micros) -> impl Iterator<Item = PeerId> + '_ {
-        self.held.iter().filter(move |(_, held)| now - held.created < EXPIRY).map(|(reporter, _)| *reporter)
+        self.held
+            .iter()
+            .filter(move |(_, held)| now - held.created < EXPIRY)
+            .map(|(reporter, _)| *reporter)
     }
 
     /// Reports to be passed on within so many bytes: those passed on least, of them the latest.
--- a/crates/gossip/src/load_reports_tests.rs
+++ b/crates/gossip/src/load_reports_tests.rs
@@ -3,29 +3,49 @@
 use super::*;
 
 fn report(reporter: PeerId, version: u32, requested: u32) -> LoadReport {
-    let offered = vec![OfferedLoad { workload: 1, requested, ..OfferedLoad::default() }];
-    LoadReport { reporter, started_ms: 1, version, created_ms: 0, offered }
+    let offered = vec![OfferedLoad {
+        workload: 1,
+        requested,
+        ..OfferedLoad::default()
+    }];
+    LoadReport {
+        reporter,
+        started_ms: 1,
+        version,
+        created_ms: 0,
+        offered,
+    }
 }
 
 fn signed() -> Signed {
-    Signed { report: vec![0; 40], signature: vec![0; 64] }
+    Signed {
+        report: vec![0; 40],
+        signature: vec![0; 64],
+    }
 }
 
 fn requested(reports: &LoadReports, now: Micros) -> Vec<u32> {
-    reports.current(now).map(|offered| offered[0].requested).collect()
+    reports
+        .current(now)
+        .map(|offered| offered[0].requested)
+        .collect()
 }
 
 #[test]
 fn the_lowest_reporters_count_in_any_order_and_the_latest_of_each() {
-    let mut all: Vec<LoadReport> =
-        (0..40).flat_map(|n| [report(n, 1, 1), report(n, 2, 100 + n as u32)]).collect();
+    let mut all: Vec<LoadReport> = (0..40)
+        .flat_map(|n| [report(n, 1, 1), report(n, 2, 100 + n as u32)])
+        .collect();
     for rotation in 0..5 {
         let mut reports = LoadReports::default();
         all.rotate_left(17 * rotation);
         for s in all.iter().chain(all.clone().iter()) {
             reports.merge(0, s.clone(), signed(), 0);
         }
-        assert_eq!(requested(&reports, 1), (100..100 + MAX_REPORTERS as u32).collect::<Vec<_>>());
+        assert_eq!(
+            requested(&reports, 1),
+            (100..100 + MAX_REPORTERS as u32).collect::<Vec<_>>()
+        );
     }
 }
 
@@ -33,11 +53,17 @@
 fn a_report_that_is_not_renewed_expires_and_makes_place_for_others() {
     let mut reports = LoadReports::default();
     (0..MAX_REPORTERS as u64).for_each(|n| _ = reports.merge(0, report(n, 1, 1), signed(), 0));
-    assert!(!reports.merge(0, report(99, 1, 7), signed(), 0), "others have lower ids");
+    assert!(
+        !reports.merge(0, report(99, 1, 7), signed(), 0),
+        "others have lower ids"
+    );
     reports.expire(EXPIRY);
     assert!(reports.merge(EXPIRY, report(99, 1, 7), signed(), 0));
     assert_eq!(requested(&reports, EXPIRY), [7]);
-    assert!(!reports.merge(EXPIRY, report(98, 1, 7), signed(), EXPIRY), "older than it lasts");
+    assert!(
+        !reports.merge(EXPIRY, report(98, 1, 7), signed(), EXPIRY),
+        "older than it lasts"
+    );
 }
 
 #[test]
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -44,7 +44,12 @@
     }
 
     fn rumour(&self, member: PeerId, health: Health) -> Rumour {
-        Rumour { member, address: self.address, incarnation: self.incarnation, health }
+        Rumour {
+            member,
+            address: self.address,
+            incarnation: self.incarnation,
+            health,
+        }
     }
 }
 
@@ -90,7 +95,12 @@
 impl Members {
     /// `incarnation` has to grow with each start of this front: Unix milliseconds do, where the clock is
     /// right.
-    pub fn new(own: PeerId, address: SocketAddr, incarnation: u64, seeds: Vec<SocketAddr>) -> Members {
+    pub fn new(
+        own: PeerId,
+        address: SocketAddr,
+        incarnation: u64,
+        seeds: Vec<SocketAddr>,
+    ) -> Members {
         Members {
             own,
             address,
@@ -111,13 +121,25 @@
 
     /// The rumour on this front itself; it goes with every datagram.
     pub fn own_rumour(&self) -> Rumour {
-        let health = if self.left { Health::Left } else { Health::Alive };
-        Rumour { member: self.own, address: self.address, incarnation: self.incarnation, health }
+        let health = if self.left {
+            Health::Left
+        } else {
+            Health::Alive
+        };
+        Rumour {
+            member: self.own,
+            address: self.address,
+            incarnation: self.incarnation,
+            health,
+        }
     }
 
     /// Members that are alive or only suspected, with their addresses.
     pub fn up(&self) -> impl Iterator<Item = (PeerId, SocketAddr)> + '_ {
-        self.members.iter().filter(|(_, m)| m.is_up()).map(|(id, m)| (*id, m.address))
+        self.members
+            .iter()
+            .filter(|(_, m)| m.is_up())
+            .map(|(id, m)| (*id, m.address))
     }
 
     /// The health of a member; None if it is not in the view.
@@ -127,8 +149,15 @@
 
     /// The size of the view, without this front.
     pub fn size(&self) -> FleetSize {
-        let known = self.members.values().filter(|m| m.health != Health::Left).count();
-        FleetSize { known, up: self.up().count() }
+        let known = self
+            .members
+            .values()
+            .filter(|m| m.health != Health::Left)
+            .count();
+        FleetSize {
+            known,
+            up: self.up().count(),
+        }
     }
 
     /// Whether the view is as large as it grows: there may be more members than it holds.
@@ -162,15 +191,18 @@
     /// Declares expired suspects dead, and forgets those that have been dead or gone for long.
     fn expire(&mut self, now: Micros) {
         let over = |m: &Member| {
-            m.health == Health::Suspect && now - m.since >= self.suspicion_timeout(m.confirmed.len())
+            m.health == Health::Suspect
+                && now - m.since >= self.suspicion_timeout(m.confirmed.len())
         };
         let over: Vec<Rumour> = (self.members.iter())
             .filter(|(_, m)| over(m))
             .map(|(id, m)| m.rumour(*id, Health::Dead))
             .collect();
-        over.into_iter().for_each(|rumour| self.apply(now, self.own, rumour));
-        let reclaimed =
-            |m: &Member| matches!(m.health, Health::Dead | Health::Left) && now - m.since >= RECLAIM_AFTER;
+        over.into_iter()
+            .for_each(|rumour| self.apply(now, self.own, rumour));
+        let reclaimed = |m: &Member| {
+            matches!(m.health, Health::Dead | Health::Left) && now - m.since >= RECLAIM_AFTER
+        };
         self.members.retain(|_, m| !reclaimed(m));
     }
 
@@ -180,14 +212,28 @@
         if rumour.member == self.own {
             return self.refute(rumour);
         }
-        let Rumour { member: id, address, incarnation, health } = rumour;
+        let Rumour {
+            member: id,
+            address,
+            incarnation,
+            health,
+        } = rumour;
         let confirmed = BTreeSet::new();
         match self.members.get_mut(&id) {
             None if health == Health::Alive => {
                 if self.members.len() >= MAX_MEMBERS && !self.displaces(id) {
                     return;
                 }
-                self.members.insert(id, Member { address, incarnation, health, since: now, confirmed });
+                self.members.insert(
+                    id,
+                    Member {
+                        address,
+                        incarnation,
+                        health,
+                        since: now,
+                        confirmed,
+                    },
+                );
                 let place = (id % (self.probe_order.len() as u64 + 1)) as usize;
                 self.probe_order.insert(place, id);
             }
@@ -197,8 +243,8 @@
                     return;
                 }
                 // A restart after a death known here is announced by the restarted front itself.
-                let supersedes =
-                    incarnation > m.incarnation || incarnation == m.incarnation && health > m.health;
+                let supersedes = incarnation > m.incarnation
+                    || incarnation == m.incarnation && health > m.health;
                 if !supersedes {
                     if incarnation == m.incarnation
                         && health == Health::Suspect
@@ -215,7 +261,8 @@
                 if health == Health::Alive {
                     m.address = address;
                 }
-                (m.incarnation, m.health, m.since, m.confirmed) = (incarnation, health, now, confirmed);
+                (m.incarnation, m.health, m.since, m.confirmed) =
+                    (incarnation, health, now, confirmed);
             }
         }
         self.rumours.spread(rumour);
@@ -224,7 +271,12 @@
     /// Answers a rumour on this front itself: whatever differs from its own is refuted under a higher
     /// incarnation.
     fn refute(&mut self, rumour: Rumour) {
-        let Rumour { address, incarnation, health, .. } = rumour;
+        let Rumour {
+            address,
+            incarnation,
+            health,
+            ..
+        } = rumour;
         let wrong = health != Health::Alive || address != self.address;
         let leap = incarnation.saturating_sub(self.incarnation);
         if !self.left
@@ -246,9 +298,13 @@
         if !(mixed as usize).is_multiple_of(DISPLACE_ONE_IN) {
             return false;
         }
-        let displaced =
-            self.members.iter().max_by_key(|(other, _)| (**other ^ id).wrapping_mul(HASH_MULTIPLIER));
-        let Some(displaced) = displaced.map(|(id, _)| *id) else { return false };
+        let displaced = self
+            .members
+            .iter()
+            .max_by_key(|(other, _)| (**other ^ id).wrapping_mul(HASH_MULTIPLIER));
+        let Some(displaced) = displaced.map(|(id, _)| *id) else {
+            return false;
+        };
         self.members.remove(&displaced);
         self.probe_order.retain(|other| *other != displaced);
         self.rumours.forget(displaced);
@@ -266,8 +322,13 @@
         // The remaining places repeat members one after another (anti-entropy): it makes good what rumours
         // missed.
         for _ in picked.len()..most.min(self.members.len()) {
-            let after = self.members.range(self.last_repeated.wrapping_add(1)..).next();
-            let Some((id, m)) = after.or_else(|| self.members.iter().next()) else { break };
+            let after = self
+                .members
+                .range(self.last_repeated.wrapping_add(1)..)
+                .next();
+            let Some((id, m)) = after.or_else(|| self.members.iter().next()) else {
+                break;
+            };
             self.last_repeated = *id;
             if !picked.iter().any(|r| r.member == *id) {
                 picked.push(m.rumour(*id, m.health));
--- a/crates/gossip/src/members/probing.rs
+++ b/crates/gossip/src/members/probing.rs
@@ -39,8 +39,17 @@
 impl Members {
     /// When `tick` is next due, in microseconds on the caller's clock.
     pub fn due(&self) -> Micros {
-        let indirect = self.probing.as_ref().and_then(|p| p.indirect_at).unwrap_or(Micros::MAX);
-        let relays = self.relays.values().map(|r| r.nack_at.unwrap_or(r.ends)).min().unwrap_or(Micros::MAX);
+        let indirect = self
+            .probing
+            .as_ref()
+            .and_then(|p| p.indirect_at)
+            .unwrap_or(Micros::MAX);
+        let relays = self
+            .relays
+            .values()
+            .map(|r| r.nack_at.unwrap_or(r.ends))
+            .min()
+            .unwrap_or(Micros::MAX);
         self.period_ends.min(indirect).min(relays)
     }
 
@@ -56,17 +65,34 @@
             self.probe(now, random, out);
         }
         let mut nacks = Vec::new();
-        for relay in self.relays.values_mut().filter(|r| r.nack_at.is_some_and(|at| at <= now)) {
+        for relay in self
+            .relays
+            .values_mut()
+            .filter(|r| r.nack_at.is_some_and(|at| at <= now))
+        {
             relay.nack_at = None;
-            nacks.push(Outgoing { to: relay.requester, probe: Probe::Nack { number: relay.number } });
+            nacks.push(Outgoing {
+                to: relay.requester,
+                probe: Probe::Nack {
+                    number: relay.number,
+                },
+            });
         }
         self.relays.retain(|_, r| r.ends > now);
         out.extend(nacks);
     }
 
     /// Asks others to probe a member that has not answered in time.
-    fn probe_indirectly(&mut self, now: Micros, random: &mut impl RandomSource, out: &mut Vec<Outgoing>) {
-        let Some(probing) = self.probing.as_mut().filter(|p| p.indirect_at.is_some_and(|at| at <= now))
+    fn probe_indirectly(
+        &mut self,
+        now: Micros,
+        random: &mut impl RandomSource,
+        out: &mut Vec<Outgoing>,
+    ) {
+        let Some(probing) = self
+            .probing
+            .as_mut()
+            .filter(|p| p.indirect_at.is_some_and(|at| at <= now))
         else {
             return;
         };
@@ -83,22 +109,39 @@
             .collect();
         for _ in 0..INDIRECT_PROBES.min(others.len()) {
             let to = others.swap_remove(random.below(others.len()));
-            out.push(Outgoing { to, probe: Probe::PingRequest { number, member, address } });
+            out.push(Outgoing {
+                to,
+                probe: Probe::PingRequest {
+                    number,
+                    member,
+                    address,
+                },
+            });
             probing.missing_nacks += 1;
         }
     }
 
     /// The period of a probe is over: an unanswered one makes its member a suspect.
     fn conclude_probe(&mut self, now: Micros) {
-        let Some(probing) = self.probing.take() else { return };
+        let Some(probing) = self.probing.take() else {
+            return;
+        };
         if probing.acked {
             self.local_health = self.local_health.saturating_sub(1);
             return;
         }
         // Fronts that did not even answer with a nack: the fault may be here.
-        let missing = if probing.missing_nacks > 0 { probing.missing_nacks as u32 } else { 1 };
+        let missing = if probing.missing_nacks > 0 {
+            probing.missing_nacks as u32
+        } else {
+            1
+        };
         self.local_health = (self.local_health + missing).min(MAX_LOCAL_HEALTH);
-        if let Some(member) = self.members.get(&probing.member).filter(|m| m.health == Health::Alive) {
+        if let Some(member) = self
+            .members
+            .get(&probing.member)
+            .filter(|m| m.health == Health::Alive)
+        {
             let rumour = member.rumour(probing.member, Health::Suspect);
             self.apply(now, self.own, rumour);
         }
@@ -120,12 +163,23 @@
                 }
                 continue;
             };
-            let Some(member) = self.members.get(&id).filter(|m| m.is_up()) else { continue };
+            let Some(member) = self.members.get(&id).filter(|m| m.is_up()) else {
+                continue;
+            };
             let indirect_at = Some(now + ACK_TIMEOUT * Micros::from(self.local_health + 1));
             let address = member.address;
-            self.probing =
-                Some(Probing { member: id, address, number, acked: false, indirect_at, missing_nacks: 0 });
-            out.push(Outgoing { to: address, probe: Probe::Ping { number } });
+            self.probing = Some(Probing {
+                member: id,
+                address,
+                number,
+                acked: false,
+                indirect_at,
+                missing_nacks: 0,
+            });
+            out.push(Outgoing {
+                to: address,
+                probe: Probe::Ping { number },
+            });
             break;
         }
         self.probe_seeds(number, random, out);
@@ -133,16 +187,31 @@
 
     /// Alone, probes all seeds; else one now and then, so that two parts of a fleet that lost each other meet
     /// again.
-    fn probe_seeds(&mut self, number: u32, random: &mut impl RandomSource, out: &mut Vec<Outgoing>) {
+    fn probe_seeds(
+        &mut self,
+        number: u32,
+        random: &mut impl RandomSource,
+        out: &mut Vec<Outgoing>,
+    ) {
         if self.members.is_empty() {
-            let others = self.seeds.iter().filter(|to| **to != self.address).collect::<BTreeSet<_>>();
-            out.extend(others.into_iter().map(|to| Outgoing { to: *to, probe: Probe::Ping { number } }));
+            let others = self
+                .seeds
+                .iter()
+                .filter(|to| **to != self.address)
+                .collect::<BTreeSet<_>>();
+            out.extend(others.into_iter().map(|to| Outgoing {
+                to: *to,
+                probe: Probe::Ping { number },
+            }));
         } else if !self.seeds.is_empty()
             && (self.probing.is_none() || number.is_multiple_of(SEED_PROBE_EVERY))
         {
             let to = self.seeds[random.below(self.seeds.len())];
             if to != self.address {
-                out.push(Outgoing { to, probe: Probe::Ping { number } });
+                out.push(Outgoing {
+                    to,
+                    probe: Probe::Ping { number },
+                });
             }
         }
     }
@@ -158,10 +227,20 @@
     ) {
         match probe {
             Probe::None => {}
-            Probe::Ping { number } => out.push(Outgoing { to: address, probe: Probe::Ack { number } }),
-            Probe::PingRequest { number, member, address: target } => {
+            Probe::Ping { number } => out.push(Outgoing {
+                to: address,
+                probe: Probe::Ack { number },
+            }),
+            Probe::PingRequest {
+                number,
+                member,
+                address: target,
+            } => {
                 // Guards against being used to flood others: only members are probed, and few at a time.
-                if self.members.get(&member).is_none_or(|m| m.address != target)
+                if self
+                    .members
+                    .get(&member)
+                    .is_none_or(|m| m.address != target)
                     || self.relays.len() >= MAX_RELAYS
                 {
                     return;
@@ -169,18 +248,38 @@
                 self.next_number = self.next_number.wrapping_add(1);
                 let own = self.next_number;
                 let (nack_at, ends) = (Some(now + ACK_TIMEOUT), now + 2 * PROBE_PERIOD);
-                self.relays.insert(own, Relay { requester: address, number, nack_at, ends });
-                out.push(Outgoing { to: target, probe: Probe::Ping { number: own } });
+                self.relays.insert(
+                    own,
+                    Relay {
+                        requester: address,
+                        number,
+                        nack_at,
+                        ends,
+                    },
+                );
+                out.push(Outgoing {
+                    to: target,
+                    probe: Probe::Ping { number: own },
+                });
             }
             Probe::Ack { number } => {
                 if let Some(relay) = self.relays.remove(&number) {
-                    out.push(Outgoing { to: relay.requester, probe: Probe::Ack { number: relay.number } });
+                    out.push(Outgoing {
+                        to: relay.requester,
+                        probe: Probe::Ack {
+                            number: relay.number,
+                        },
+                    });
                 } else if let Some(p) = self.probing.as_mut().filter(|p| p.number == number) {
                     p.acked = true;
                 }
             }
             Probe::Nack { number } => {
-                if let Some(p) = self.probing.as_mut().filter(|p| p.number == number && p.member != from) {
+                if let Some(p) = self
+                    .probing
+                    .as_mut()
+                    .filter(|p| p.number == number && p.member != from)
+                {
                     p.missing_nacks = p.missing_nacks.saturating_sub(1);
                 }
             }
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -119,7 +119,12 @@
     pub fn is_equivalent(&self, other: &OwnershipReport) -> bool {
         let engines = |ownership: &OwnershipReport| {
             let act = ownership.act.as_ref();
-            act.map(|act| (act.token, act.recovered.iter().map(|r| r.engine).collect::<Vec<_>>()))
+            act.map(|act| {
+                (
+                    act.token,
+                    act.recovered.iter().map(|r| r.engine).collect::<Vec<_>>(),
+                )
+            })
         };
         self.lease == other.lease && engines(self) == engines(other)
     }
--- a/crates/gossip/src/message_tests.rs
+++ b/crates/gossip/src/message_tests.rs
@@ -4,11 +4,22 @@
 
 #[test]
 fn any_bytes_are_read_or_refused() {
-    let rumour =
-        Rumour { member: 7, address: ([127, 0, 0, 1], 9).into(), incarnation: 3, health: Health::Suspect };
-    let signed = Signed { report: vec![1, 2], signature: vec![3; 64] };
+    let rumour = Rumour {
+        member: 7,
+        address: ([127, 0, 0, 1], 9).into(),
+        incarnation: 3,
+        health: Health::Suspect,
+    };
+    let signed = Signed {
+        report: vec![1, 2],
+        signature: vec![3; 64],
+    };
     let message = Message {
-        probe: Probe::PingRequest { number: 1, member: 2, address: rumour.address },
+        probe: Probe::PingRequest {
+            number: 1,
+            member: 2,
+            address: rumour.address,
+        },
         rumours: vec![rumour],
         reports: vec![signed],
         payload: vec![5; 3],
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -8,7 +8,9 @@
 use crate::evidence::{Evidence, PeerOwnership, PeerReport, MAX_SIGHTINGS};
 use crate::load_reports::LoadReports;
 use crate::members::{FleetSize, Members, Outgoing};
-use crate::message::{self, Message, OwnershipReport, Probe, Report, Sighting, Signed, MAX_DATAGRAM};
+use crate::message::{
+    self, Message, OwnershipReport, Probe, Report, Sighting, Signed, MAX_DATAGRAM,
+};
 use crate::seal::{Identity, Keys, Peers, Refused, TokenBucket, SEAL_BYTES};
 use crate::{Micros, PeerId, RandomSource};
 
@@ -121,10 +123,16 @@
     pub fn fleet_size(&self) -> FleetSize {
         let FleetSize { known, up } = self.members.size();
         if !self.members.is_full() {
-            return FleetSize { known: known + 1, up: up + 1 };
+            return FleetSize {
+                known: known + 1,
+                up: up + 1,
+            };
         }
         let known = self.peers.len().max(known + 1);
-        FleetSize { known, up: (up + 1) * known / (self.members.len() + 1) }
+        FleetSize {
+            known,
+            up: (up + 1) * known / (self.members.len() + 1),
+        }
     }
 
     /// Other public keys count from now on.
@@ -189,7 +197,12 @@
     ) -> Option<Datagram> {
         let rumours = vec![self.members.own_rumour()];
         let payload = [&[channel as u8], payload].concat();
-        let message = Message { probe: Probe::None, rumours, reports: Vec::new(), payload };
+        let message = Message {
+            probe: Probe::None,
+            rumours,
+            reports: Vec::new(),
+            payload,
+        };
         let content = message::bytes(&message);
         let len = content.len() + SEAL_BYTES;
         if len > MAX_DATAGRAM || !self.mailbox.may_send(now, channel, len) {
@@ -197,7 +210,10 @@
             return None;
         }
         self.sent += len as u64;
-        Some(Datagram { to, bytes: self.own.seal(wall_ms, &content) })
+        Some(Datagram {
+            to,
+            bytes: self.own.seal(wall_ms, &content),
+        })
     }
 
     /// Takes the channel messages received since the last call.
@@ -207,7 +223,10 @@
 
     /// Where a front that is up listens, as far as it is known.
     pub fn address(&self, front: PeerId) -> Option<SocketAddr> {
-        self.members.up().find(|(id, _)| *id == front).map(|(_, at)| at)
+        self.members
+            .up()
+            .find(|(id, _)| *id == front)
+            .map(|(_, at)| at)
     }
 
     /// When `tick` is next due, in microseconds on the caller's clock.
@@ -216,7 +235,12 @@
     }
 
     /// Does what is due and returns what is to be sent.
-    pub fn tick(&mut self, now: Micros, wall_ms: u64, random: &mut impl RandomSource) -> Vec<Datagram> {
+    pub fn tick(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        random: &mut impl RandomSource,
+    ) -> Vec<Datagram> {
         let (mut sends, mut out) = (Vec::new(), Vec::new());
         self.members.tick(now, random, &mut sends);
         if self.next_round <= now {
@@ -225,7 +249,10 @@
             let mut targets: Vec<SocketAddr> = self.members.up().map(|(_, at)| at).collect();
             for _ in 0..FANOUT.min(targets.len()) {
                 let to = targets.swap_remove(random.below(targets.len()));
-                sends.push(Outgoing { to, probe: Probe::None });
+                sends.push(Outgoing {
+                    to,
+                    probe: Probe::None,
+                });
                 out.extend(self.pass_load_reports(now, wall_ms, to));
             }
         }
@@ -236,18 +263,37 @@
     }
 
     /// Announces to some members that this front leaves; they pass it on.
-    pub fn leave(&mut self, now: Micros, wall_ms: u64, random: &mut impl RandomSource) -> Vec<Datagram> {
+    pub fn leave(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        random: &mut impl RandomSource,
+    ) -> Vec<Datagram> {
         self.members.leave();
         let mut targets: Vec<SocketAddr> = self.members.up().map(|(_, at)| at).collect();
         let mut out = Vec::new();
         for _ in 0..(2 * FANOUT).min(targets.len()) {
             let to = targets.swap_remove(random.below(targets.len()));
-            out.extend(self.send(now, wall_ms, Outgoing { to, probe: Probe::None }, Purpose::Gossip));
+            out.extend(self.send(
+                now,
+                wall_ms,
+                Outgoing {
+                    to,
+                    probe: Probe::None,
+                },
+                Purpose::Gossip,
+            ));
         }
         out
     }
 
-    fn send(&mut self, now: Micros, wall_ms: u64, outgoing: Outgoing, purpose: Purpose) -> Option<Datagram> {
+    fn send(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        outgoing: Outgoing,
+        purpose: Purpose,
+    ) -> Option<Datagram> {
         let mut rumours = vec![self.members.own_rumour()];
         let answers = purpose == Purpose::Answer;
         let most = match purpose {
@@ -258,8 +304,12 @@
         };
         rumours.extend(self.members.pass_on(outgoing.to, most));
         let most_sent = (RETRANSMIT_FACTOR * ((self.peers.len() + 2) as f64).log2()).ceil() as u32;
-        let mut message =
-            Message { probe: outgoing.probe, rumours, reports: Vec::new(), payload: Vec::new() };
+        let mut message = Message {
+            probe: outgoing.probe,
+            rumours,
+            reports: Vec::new(),
+            payload: Vec::new(),
+        };
         let used = SEAL_BYTES + message::bytes(&message).len() + 2;
         let budget = if purpose == Purpose::Gossip {
             REPORT_DATAGRAM.min(MAX_DATAGRAM).saturating_sub(used)
@@ -269,19 +319,36 @@
         message.reports = self.evidence.pass_on(now, most_sent, budget);
         let content = message::bytes(&message);
         let len = content.len() + SEAL_BYTES;
-        let tokens = if answers { &mut self.answer_tokens } else { &mut self.gossip_tokens };
-        let reserve = if outgoing.probe == Probe::None { PROBE_RESERVE } else { 0.0 };
+        let tokens = if answers {
+            &mut self.answer_tokens
+        } else {
+            &mut self.gossip_tokens
+        };
+        let reserve = if outgoing.probe == Probe::None {
+            PROBE_RESERVE
+        } else {
+            0.0
+        };
         if len > MAX_DATAGRAM || !tokens.take_leaving(now, len as f64, reserve) {
             self.held_back += 1;
             return None;
         }
         self.sent += len as u64;
-        Some(Datagram { to: outgoing.to, bytes: self.own.seal(wall_ms, &content) })
+        Some(Datagram {
+            to: outgoing.to,
+            bytes: self.own.seal(wall_ms, &content),
+        })
     }
 
     /// Takes in a datagram from the address `from` and returns what is to be sent in answer. What is refused
     /// is counted.
-    pub fn receive(&mut self, now: Micros, wall_ms: u64, from: SocketAddr, bytes: &[u8]) -> Vec<Datagram> {
+    pub fn receive(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        from: SocketAddr,
+        bytes: &[u8],
+    ) -> Vec<Datagram> {
         match self.open(now, wall_ms, from, bytes) {
             Ok((sends, newcomer)) => {
                 let mut out: Vec<Datagram> = sends
@@ -289,8 +356,13 @@
                     .filter_map(|send| self.send(now, wall_ms, send, Purpose::Answer))
                     .collect();
                 // A newcomer learns of others at once: else it would meet them one by one.
-                let welcome = newcomer.map(|to| Outgoing { to, probe: Probe::None });
-                out.extend(welcome.and_then(|send| self.send(now, wall_ms, send, Purpose::Welcome)));
+                let welcome = newcomer.map(|to| Outgoing {
+                    to,
+                    probe: Probe::None,
+                });
+                out.extend(
+                    welcome.and_then(|send| self.send(now, wall_ms, send, Purpose::Welcome)),
+                );
                 out
             }
             Err(why) => {
@@ -315,9 +387,16 @@
             return Err(Refused::Replay); // this front's own, come back
         }
         // Answers go where the sender says that it listens, which need not be where it sends from.
-        let own = message.rumours.iter().find(|rumour| rumour.member == sender);
+        let own = message
+            .rumours
+            .iter()
+            .find(|rumour| rumour.member == sender);
         let from_address = own.map_or(from, |rumour| rumour.address);
-        let newcomer = self.members.health(sender).is_none().then_some(from_address);
+        let newcomer = self
+            .members
+            .health(sender)
+            .is_none()
+            .then_some(from_address);
         for rumour in message.rumours {
             // Only fronts with a known key count: they could refute the rumour.
             if self.peers.knows(rumour.member) {
@@ -325,7 +404,8 @@
             }
         }
         let mut sends = Vec::new();
-        self.members.receive(now, sender, from_address, message.probe, &mut sends);
+        self.members
+            .receive(now, sender, from_address, message.probe, &mut sends);
         if message.payload.first() == Some(&(Channel::Load as u8)) {
             self.receive_load_reports(now, wall_ms, from.ip(), &message.payload[1..]);
         } else if !self.mailbox.deliver(sender, from_address, message.payload) {
@@ -337,10 +417,14 @@
 
     fn merge_reports(&mut self, now: Micros, wall_ms: u64, from: SocketAddr, reports: Vec<Signed>) {
         for signed in reports {
-            let Some(report) = message::read::<Report>(&signed.report) else { continue };
+            let Some(report) = message::read::<Report>(&signed.report) else {
+                continue;
+            };
             // Guards against the cost of what is known already, which is most of what comes.
             if report.reporter == self.own.id
-                || !self.evidence.is_later(report.reporter, report.started_ms, report.version)
+                || !self
+                    .evidence
+                    .is_later(report.reporter, report.started_ms, report.version)
             {
                 continue;
             }
--- a/crates/gossip/src/node/load.rs
+++ b/crates/gossip/src/node/load.rs
@@ -16,9 +16,16 @@
 
     /// Reports the load offered to this front, where a report is due and would count. `offered` is called
     /// only then.
-    pub fn report_load(&mut self, now: Micros, wall_ms: u64, offered: impl FnOnce() -> Vec<OfferedLoad>) {
-        let Some(reports) =
-            self.load_reports.as_mut().filter(|_| now - self.load_reported_at >= REPORT_EVERY)
+    pub fn report_load(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        offered: impl FnOnce() -> Vec<OfferedLoad>,
+    ) {
+        let Some(reports) = self
+            .load_reports
+            .as_mut()
+            .filter(|_| now - self.load_reported_at >= REPORT_EVERY)
         else {
             return;
         };
@@ -29,14 +36,22 @@
         }
         (self.load_reported_at, self.load_version) = (now, version);
         let (reporter, started_ms) = (self.own.id, self.own.started_ms);
-        let report = LoadReport { reporter, started_ms, version, created_ms: wall_ms, offered: offered() };
+        let report = LoadReport {
+            reporter,
+            started_ms,
+            version,
+            created_ms: wall_ms,
+            offered: offered(),
+        };
         let signed = self.own.sign_load_report(&report);
         reports.merge(now, report, signed, 0);
     }
 
     /// The loads offered to the fronts whose reports count, one slice a front; this front's own too.
     pub fn offered_loads(&self, now: Micros) -> impl Iterator<Item = &[OfferedLoad]> {
-        self.load_reports.iter().flat_map(move |reports| reports.current(now))
+        self.load_reports
+            .iter()
+            .flat_map(move |reports| reports.current(now))
     }
 
     /// Whether a load report of any other front is held.
@@ -60,8 +75,16 @@
             .and_then(|payload| self.channel_datagram(now, wall_ms, to, Channel::Load, &payload))
     }
 
-    pub(super) fn receive_load_reports(&mut self, now: Micros, wall_ms: u64, from: IpAddr, payload: &[u8]) {
-        let Some(reports) = &mut self.load_reports else { return };
+    pub(super) fn receive_load_reports(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        from: IpAddr,
+        payload: &[u8],
+    ) {
+        let Some(reports) = &mut self.load_reports else {
+            return;
+        };
         let Some(all) = message::read::<Vec<Signed>>(payload) else {
             *self.refused.entry(Refused::Form).or_default() += 1;
             return;
@@ -77,11 +100,15 @@
             {
                 continue;
             }
-            match self.peers.verify_load_report(now, from, report.reporter, &signed) {
+            match self
+                .peers
+                .verify_load_report(now, from, report.reporter, &signed)
+            {
                 Ok(()) => {
                     let age = self.peers.age(report.reporter, wall_ms, report.created_ms);
-                    age.into_iter()
-                        .for_each(|age| _ = reports.merge(now, report.clone(), signed.clone(), age));
+                    age.into_iter().for_each(|age| {
+                        _ = reports.merge(now, report.clone(), signed.clone(), age)
+                    });
                 }
                 Err(why) => *self.refused.entry(why).or_default() += 1,
             }
--- a/crates/gossip/src/seal.rs
+++ b/crates/gossip/src/seal.rs
@@ -49,7 +49,12 @@
     pub fn new(secret: &[u8; 32], started_ms: u64) -> Identity {
         let key = SigningKey::from_bytes(secret);
         let id = peer_id(key.verifying_key().as_bytes());
-        Identity { key, id, started_ms, sent: 0 }
+        Identity {
+            key,
+            id,
+            started_ms,
+            sent: 0,
+        }
     }
 
     /// The public half of the key pair.
@@ -83,7 +88,11 @@
 
     fn sign_as(&self, context: &[u8], report: Vec<u8>) -> Signed {
         // Guards against a report that passes for a datagram: the signed context says which it is.
-        let signature = self.key.sign(&[context, &report].concat()).to_bytes().to_vec();
+        let signature = self
+            .key
+            .sign(&[context, &report].concat())
+            .to_bytes()
+            .to_vec();
         Signed { report, signature }
     }
 }
@@ -116,7 +125,8 @@
 impl Keys {
     /// Bytes that are no Ed25519 key are left out.
     pub fn new(keys: &[[u8; 32]]) -> Rc<Keys> {
-        let known = |bytes: &[u8; 32]| Some((peer_id(bytes), VerifyingKey::from_bytes(bytes).ok()?));
+        let known =
+            |bytes: &[u8; 32]| Some((peer_id(bytes), VerifyingKey::from_bytes(bytes).ok()?));
         Rc::new(Keys(keys.iter().filter_map(known).collect()))
     }
 }
@@ -159,7 +169,8 @@
 
     /// These keys count from now on; the replay protection of those that stay goes on.
     pub fn set_keys(&mut self, keys: Rc<Keys>) {
-        self.peers.retain(|id, _| keys.0.get(id) == self.keys.0.get(id));
+        self.peers
+            .retain(|id, _| keys.0.get(id) == self.keys.0.get(id));
         self.keys = keys;
     }
 
@@ -201,18 +212,33 @@
         let key = *self.keys.0.get(&sender).ok_or(Refused::Stranger)?;
         // The cheap checks first, so that a flood of what can't be costs no signatures.
         let delay = (wall_ms as i64).wrapping_sub(sent_ms as i64);
-        self.peers.get(&sender).unwrap_or(&Peer::UNKNOWN).check(now, started_ms, number, delay)?;
+        self.peers
+            .get(&sender)
+            .unwrap_or(&Peer::UNKNOWN)
+            .check(now, started_ms, number, delay)?;
         self.may_verify(now, from)?;
         let (signed, signature) = datagram.split_at(datagram.len() - SIGNATURE_BYTES);
         let signature = Signature::from_slice(signature).map_err(|_| Refused::Form)?;
-        key.verify_strict(signed, &signature).map_err(|_| Refused::Forged)?;
+        key.verify_strict(signed, &signature)
+            .map_err(|_| Refused::Forged)?;
         self.count_valid(now, from)?;
-        self.peers.entry(sender).or_insert(Peer::UNKNOWN).record(now, started_ms, number, delay);
-        Ok(Opened { sender, content: &signed[HEADER_BYTES..] })
+        self.peers
+            .entry(sender)
+            .or_insert(Peer::UNKNOWN)
+            .record(now, started_ms, number, delay);
+        Ok(Opened {
+            sender,
+            content: &signed[HEADER_BYTES..],
+        })
     }
 
     /// Decodes a report that came with a datagram from `from`, if its reporter's signature holds.
-    pub fn verify_report(&mut self, now: Micros, from: IpAddr, signed: &Signed) -> Result<Report, Refused> {
+    pub fn verify_report(
+        &mut self,
+        now: Micros,
+        from: IpAddr,
+        signed: &Signed,
+    ) -> Result<Report, Refused> {
         let report: Report = message::read(&signed.report).ok_or(Refused::Form)?;
         self.verify(now, from, report.reporter, REPORT_CONTEXT, signed)?;
         Ok(report)
@@ -240,14 +266,18 @@
         let key = *self.keys.0.get(&reporter).ok_or(Refused::Stranger)?;
         self.may_verify(now, from)?;
         let signature = Signature::from_slice(&signed.signature).map_err(|_| Refused::Form)?;
-        key.verify_strict(&[context, &signed.report].concat(), &signature).map_err(|_| Refused::Forged)
+        key.verify_strict(&[context, &signed.report].concat(), &signature)
+            .map_err(|_| Refused::Forged)
     }
 
     /// Takes the tokens of a check that may fail.
     fn may_verify(&mut self, now: Micros, from: IpAddr) -> Result<(), Refused> {
         let known = self.sources.contains_key(&from) || self.sources.len() < MAX_SOURCES;
         let source = match known {
-            true => self.sources.entry(from).or_insert_with(|| TokenBucket::new(VERIFICATIONS_A_SOURCE)),
+            true => self
+                .sources
+                .entry(from)
+                .or_insert_with(|| TokenBucket::new(VERIFICATIONS_A_SOURCE)),
             false => &mut self.others,
         };
         let may = source.take(now, 1.0) && self.all.take(now, 1.0);
@@ -259,7 +289,10 @@
         let source = self.sources.get_mut(&from).unwrap_or(&mut self.others);
         source.refund(1.0);
         self.all.refund(1.0);
-        self.valid.take(now, 1.0).then_some(()).ok_or(Refused::Flood)
+        self.valid
+            .take(now, 1.0)
+            .then_some(())
+            .ok_or(Refused::Flood)
     }
 
     /// Microseconds since a reporter made a report, by the least delay seen of it. None where it can't be
@@ -268,7 +301,9 @@
         let least = self.peers.get(&reporter).map_or(i64::MAX, Peer::least);
         // Of a front that was never heard itself nothing is known: the clocks are taken to agree.
         let least = if least == i64::MAX { 0 } else { least };
-        let delay = (wall_ms as i64).checked_sub(created_ms as i64)?.checked_sub(least)?;
+        let delay = (wall_ms as i64)
+            .checked_sub(created_ms as i64)?
+            .checked_sub(least)?;
         delay.max(0).checked_mul(1000)
     }
 }
--- a/crates/gossip/src/seal/peer.rs
+++ b/crates/gossip/src/seal/peer.rs
@@ -40,7 +40,13 @@
 
     /// Whether a datagram can be new, before its signature is checked; `delay` is its apparent delay in
     /// milliseconds.
-    pub(super) fn check(&self, now: Micros, started_ms: u64, number: u32, delay: i64) -> Result<(), Refused> {
+    pub(super) fn check(
+        &self,
+        now: Micros,
+        started_ms: u64,
+        number: u32,
+        delay: i64,
+    ) -> Result<(), Refused> {
         let forgotten = now - self.heard > TIME_WINDOW;
         if started_ms < self.started_ms && !forgotten {
             return Err(Refused::Replay);
@@ -68,7 +74,8 @@
     /// Takes note of a datagram whose signature holds.
     pub(super) fn record(&mut self, now: Micros, started_ms: u64, number: u32, delay: i64) {
         if started_ms != self.started_ms {
-            (self.started_ms, self.highest, self.received) = (started_ms, number, Default::default());
+            (self.started_ms, self.highest, self.received) =
+                (started_ms, number, Default::default());
             self.received[0] = 1;
             (self.least, self.window_began) = ([i64::MAX; 2], now);
         } else if number > self.highest {
@@ -94,7 +101,11 @@
             let from = |n: usize| before.get(n).copied().unwrap_or(0);
             let low = n.checked_sub(words).map_or(0, from);
             let lower = n.checked_sub(words + 1).map_or(0, from);
-            self.received[n] = if bits == 0 { low } else { low << bits | lower >> (64 - bits) };
+            self.received[n] = if bits == 0 {
+                low
+            } else {
+                low << bits | lower >> (64 - bits)
+            };
         }
     }
 }
--- a/crates/gossip/src/seal/token_bucket.rs
+++ b/crates/gossip/src/seal/token_bucket.rs
@@ -13,7 +13,11 @@
 impl TokenBucket {
     /// A full bucket that gains `rate` tokens a second.
     pub fn new(rate: f64) -> TokenBucket {
-        TokenBucket { left: rate, rate, at: 0 }
+        TokenBucket {
+            left: rate,
+            rate,
+            at: 0,
+        }
     }
 
     /// Takes `count` tokens. False, and nothing taken, if there are fewer.
--- a/crates/gossip/src/seal_tests.rs
+++ b/crates/gossip/src/seal_tests.rs
@@ -19,14 +19,25 @@
     for at in 0..sealed.len() {
         let mut spoilt = sealed.clone();
         spoilt[at] ^= 1;
-        assert!(peers.open(at as Micros * 20_000, WALL, FROM, &spoilt).is_err(), "{at}");
+        assert!(
+            peers
+                .open(at as Micros * 20_000, WALL, FROM, &spoilt)
+                .is_err(),
+            "{at}"
+        );
     }
     let now = 60_000_000;
     let opened = peers.open(now, WALL, FROM, &sealed).unwrap();
     assert_eq!((opened.sender, opened.content), (own.id, &b"news"[..]));
     assert_eq!(peers.open(now, WALL, FROM, &sealed), Err(Refused::Replay));
-    assert_eq!(peers.open(now, WALL, FROM, &sealed[..SEAL_BYTES - 1]), Err(Refused::Form));
-    assert_eq!(Peers::new(Keys::new(&[])).open(now, WALL, FROM, &sealed), Err(Refused::Stranger));
+    assert_eq!(
+        peers.open(now, WALL, FROM, &sealed[..SEAL_BYTES - 1]),
+        Err(Refused::Form)
+    );
+    assert_eq!(
+        Peers::new(Keys::new(&[])).open(now, WALL, FROM, &sealed),
+        Err(Refused::Stranger)
+    );
 }
 
 #[test]
@@ -67,7 +78,10 @@
         for n in 0..20u64 {
             let sealed = own.seal(theirs + n * 100, b"x");
             let now = n as Micros * 100_000;
-            assert!(peers.open(now, WALL + n * 100 + 3, FROM, &sealed).is_ok(), "{apart}");
+            assert!(
+                peers.open(now, WALL + n * 100 + 3, FROM, &sealed).is_ok(),
+                "{apart}"
+            );
         }
         let age = peers.age(own.id, WALL + 5_000, theirs + 2_000).unwrap();
         assert_eq!(age, 2_997_000, "{apart}");
@@ -79,13 +93,23 @@
     let (mut own, mut peers) = pair();
     assert!(peers.open(0, WALL, FROM, &own.seal(WALL, b"x")).is_ok());
     let mut older = Identity::new(&[7; 32], WALL - 500_000);
-    assert_eq!(peers.open(1_000_000, WALL, FROM, &older.seal(WALL, b"x")), Err(Refused::Replay));
+    assert_eq!(
+        peers.open(1_000_000, WALL, FROM, &older.seal(WALL, b"x")),
+        Err(Refused::Replay)
+    );
     let mut newer = Identity::new(&[7; 32], WALL);
-    assert!(peers.open(2_000_000, WALL, FROM, &newer.seal(WALL, b"x")).is_ok());
-    assert_eq!(peers.open(3_000_000, WALL, FROM, &own.seal(WALL, b"x")), Err(Refused::Replay));
+    assert!(peers
+        .open(2_000_000, WALL, FROM, &newer.seal(WALL, b"x"))
+        .is_ok());
+    assert_eq!(
+        peers.open(3_000_000, WALL, FROM, &own.seal(WALL, b"x")),
+        Err(Refused::Replay)
+    );
     let silent = 2_000_000 + TIME_WINDOW + 1;
     let wall = WALL + 13_000;
-    assert!(peers.open(silent, wall, FROM, &older.seal(wall, b"x")).is_ok());
+    assert!(peers
+        .open(silent, wall, FROM, &older.seal(wall, b"x"))
+        .is_ok());
 }
 
 #[test]
@@ -99,10 +123,15 @@
         let why = peers.open(now, WALL, FROM, &forged).unwrap_err();
         *refused.entry(why).or_default() += 1;
     }
-    assert!(refused[&Refused::Forged] <= 2 * VERIFICATIONS_A_SOURCE as usize, "{refused:?}");
+    assert!(
+        refused[&Refused::Forged] <= 2 * VERIFICATIONS_A_SOURCE as usize,
+        "{refused:?}"
+    );
     // Those of others still count meanwhile.
     let other = IpAddr::V4(std::net::Ipv4Addr::new(127, 0, 0, 2));
-    assert!(peers.open(1_000_000, WALL, other, &own.seal(WALL, b"x")).is_ok());
+    assert!(peers
+        .open(1_000_000, WALL, other, &own.seal(WALL, b"x"))
+        .is_ok());
 }
 
 #[test]
@@ -111,13 +140,18 @@
     let mut opened = 0;
     for n in 0..6_000u32 {
         let sealed = own.seal(WALL, b"x");
-        opened += usize::from(peers.open(Micros::from(n) * 10, WALL, FROM, &sealed).is_ok());
+        opened += usize::from(
+            peers
+                .open(Micros::from(n) * 10, WALL, FROM, &sealed)
+                .is_ok(),
+        );
     }
     let most = VALID_A_SECOND as usize;
     assert!((most..most + most / 10).contains(&opened), "{opened}");
     let mut forged = own.seal(WALL, b"x");
     forged[HEADER_BYTES] ^= 1;
-    let looked = (0..1_000).filter(|_| peers.open(60_000, WALL, FROM, &forged) == Err(Refused::Forged));
+    let looked =
+        (0..1_000).filter(|_| peers.open(60_000, WALL, FROM, &forged) == Err(Refused::Forged));
     assert!(looked.count() <= VERIFICATIONS_A_SOURCE as usize);
 }
 
@@ -137,7 +171,10 @@
     let other = Identity::new(&[8; 32], 1);
     // A liar whose key is good can't speak for another.
     let mut both = Peers::new(Keys::new(&[own.public_key(), other.public_key()]));
-    assert_eq!(both.verify_report(0, FROM, &other.sign(&report)), Err(Refused::Forged));
+    assert_eq!(
+        both.verify_report(0, FROM, &other.sign(&report)),
+        Err(Refused::Forged)
+    );
     let mut spoilt = signed.clone();
     spoilt.report[9] ^= 1;
     assert!(peers.verify_report(0, FROM, &spoilt).is_err());
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -13,7 +13,12 @@
 use sim::{at, draw, secret, Fleet, SECOND, WALL};
 
 fn sullen(engine: u64) -> Vec<Sighting> {
-    vec![Sighting { engine, failed: 9, silent_ms: 3000, ..Sighting::default() }]
+    vec![Sighting {
+        engine,
+        failed: 9,
+        silent_ms: 3000,
+        ..Sighting::default()
+    }]
 }
 
 #[test]
@@ -23,7 +28,11 @@
     fleet.run(10 * SECOND);
     // With one datagram in ten lost some are under suspicion at any time; nobody is given up for it.
     for n in 0..20 {
-        assert_eq!(fleet.health(n, Health::Alive) + fleet.health(n, Health::Suspect), 19, "{n}");
+        assert_eq!(
+            fleet.health(n, Health::Alive) + fleet.health(n, Health::Suspect),
+            19,
+            "{n}"
+        );
     }
     fleet.report_sightings(7, sullen(77));
     fleet.run(13 * SECOND);
@@ -39,7 +48,11 @@
     let mut fleet = Fleet::with_seeds(12, 11, 3);
     fleet.run(3 * SECOND);
     for n in 0..12 {
-        assert_eq!(fleet.nodes[n].as_ref().unwrap().fleet_size(), FleetSize { known: 12, up: 12 }, "{n}");
+        assert_eq!(
+            fleet.nodes[n].as_ref().unwrap().fleet_size(),
+            FleetSize { known: 12, up: 12 },
+            "{n}"
+        );
     }
 }
 
@@ -90,7 +103,10 @@
     let mut fleet = Fleet::new(10, 4);
     fleet.run(8 * SECOND);
     let (now, wall, mut seed) = (fleet.now, fleet.wall(3), 9);
-    let out = fleet.nodes[3].as_mut().unwrap().leave(now, wall, &mut || draw(&mut seed));
+    let out = fleet.nodes[3]
+        .as_mut()
+        .unwrap()
+        .leave(now, wall, &mut || draw(&mut seed));
     fleet.send(3, out);
     fleet.nodes[3] = None;
     fleet.run(11 * SECOND);
@@ -123,16 +139,22 @@
 fn a_stranger_changes_nothing_and_a_liar_speaks_for_itself_alone() {
     let mut fleet = Fleet::new(6, 5);
     fleet.run(8 * SECOND);
-    let before: Vec<_> = (0..6).map(|n| fleet.nodes[n].as_ref().unwrap().peer_reports(fleet.now)).collect();
-    let (mut stranger, mut liar) =
-        (Identity::new(&secret(999), WALL), Identity::new(&secret(4), WALL + 8_001));
+    let before: Vec<_> = (0..6)
+        .map(|n| fleet.nodes[n].as_ref().unwrap().peer_reports(fleet.now))
+        .collect();
+    let (mut stranger, mut liar) = (
+        Identity::new(&secret(999), WALL),
+        Identity::new(&secret(4), WALL + 8_001),
+    );
     let wall = fleet.wall(0);
     for to in 0..6 {
         let forged = lie(&mut stranger, fleet.peer_id(2), wall, 8);
         fleet.deliver(5, to, 1, forged);
     }
     fleet.run(9 * SECOND);
-    let after: Vec<_> = (0..6).map(|n| fleet.nodes[n].as_ref().unwrap().peer_reports(fleet.now)).collect();
+    let after: Vec<_> = (0..6)
+        .map(|n| fleet.nodes[n].as_ref().unwrap().peer_reports(fleet.now))
+        .collect();
     assert_eq!(before, after);
     assert!((0..6).all(|n| fleet.nodes[n].as_ref().unwrap().refused[&Refused::Stranger] == 1));
     // A good key: in another's name it is refused, in its own it counts as one voice.
@@ -144,7 +166,10 @@
     fleet.deliver(4, 0, 2, told);
     fleet.run(12 * SECOND);
     assert_eq!(fleet.heard_of(8).len(), 0);
-    assert!(fleet.heard_of(9).iter().all(|(_, reporters)| *reporters == BTreeSet::from([own])));
+    assert!(fleet
+        .heard_of(9)
+        .iter()
+        .all(|(_, reporters)| *reporters == BTreeSet::from([own])));
     assert!(!fleet.heard_of(9).is_empty());
 }
 
@@ -187,8 +212,15 @@
         assert_eq!(heard.len(), 5, "of {n}");
         for (to, _) in heard {
             let news = fleet.nodes[to].as_ref().unwrap().peer_reports(fleet.now);
-            let age = news.iter().find(|x| x.sighting.engine == n as u64).unwrap().age;
-            assert!((age - (fleet.now - created)).abs() < 100_000, "{to} of {n}: {age}");
+            let age = news
+                .iter()
+                .find(|x| x.sighting.engine == n as u64)
+                .unwrap()
+                .age;
+            assert!(
+                (age - (fleet.now - created)).abs() < 100_000,
+                "{to} of {n}: {age}"
+            );
         }
         fleet.report_sightings(n, Vec::new());
     }
@@ -200,7 +232,12 @@
     fleet.run(8 * SECOND);
     let calm = fleet.sent();
     fleet.run(18 * SECOND);
-    let each: Vec<u64> = fleet.sent().iter().zip(&calm).map(|(after, before)| after - before).collect();
+    let each: Vec<u64> = fleet
+        .sent()
+        .iter()
+        .zip(&calm)
+        .map(|(after, before)| after - before)
+        .collect();
     let mut loud = Identity::new(&secret(7), WALL + 20_000);
     fleet.nodes[7] = None;
     let before = fleet.sent();
@@ -219,8 +256,16 @@
     fleet.run(21 * SECOND);
     assert_eq!(fleet.heard_of(2).len(), 6);
     fleet.run(28 * SECOND);
-    let flooded: Vec<u64> = fleet.sent().iter().zip(&before).map(|(after, before)| after - before).collect();
-    assert!(flooded.iter().all(|sent| *sent < 10 * 3_800 + 3_800), "{flooded:?} after {each:?}");
+    let flooded: Vec<u64> = fleet
+        .sent()
+        .iter()
+        .zip(&before)
+        .map(|(after, before)| after - before)
+        .collect();
+    assert!(
+        flooded.iter().all(|sent| *sent < 10 * 3_800 + 3_800),
+        "{flooded:?} after {each:?}"
+    );
 }
 
 #[test]
@@ -231,7 +276,12 @@
     let wall = fleet.wall(0);
     let victim = fleet.peer_id(2);
     for incarnation in [WALL + 1, WALL + 1_000_000, u64::MAX] {
-        let rumour = Rumour { member: victim, address: at(2), incarnation, health: Health::Dead };
+        let rumour = Rumour {
+            member: victim,
+            address: at(2),
+            incarnation,
+            health: Health::Dead,
+        };
         let message = message::Message {
             probe: Probe::None,
             rumours: vec![rumour],
@@ -262,7 +312,8 @@
     let rates: Vec<f64> = [5, 10, 20, 40].map(rate).to_vec();
     assert!(rates.iter().all(|rate| *rate < 4096.0), "{rates:?}");
     // Within a tenth of each other.
-    let (least, most) =
-        rates.iter().fold((f64::MAX, 0.0f64), |(least, most), r| (least.min(*r), most.max(*r)));
+    let (least, most) = rates.iter().fold((f64::MAX, 0.0f64), |(least, most), r| {
+        (least.min(*r), most.max(*r))
+    });
     assert!(most < 1.1 * least, "{rates:?}");
 }
--- a/crates/gossip/tests/fleet/sim.rs
+++ b/crates/gossip/tests/fleet/sim.rs
@@ -51,11 +51,17 @@
 }
 
 pub fn keys(count: usize) -> Rc<Keys> {
-    Keys::new(&(0..count).map(|n| Identity::new(&secret(n), 0).public_key()).collect::<Vec<_>>())
+    Keys::new(
+        &(0..count)
+            .map(|n| Identity::new(&secret(n), 0).public_key())
+            .collect::<Vec<_>>(),
+    )
 }
 
 pub fn draw(seed: &mut u64) -> u64 {
-    *seed = seed.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+    *seed = seed
+        .wrapping_mul(6364136223846793005)
+        .wrapping_add(1442695040888963407);
     (*seed >> 11) ^ (*seed >> 43)
 }
 
@@ -93,10 +99,20 @@
 
     /// Starts a front whose clock reads so many milliseconds less at its start than it should.
     pub fn start(&mut self, n: usize, count: usize, behind: u64) {
-        let drawn: Vec<SocketAddr> =
-            (0..self.seeds).map(|_| at((draw(&mut self.seed) % count as u64) as usize)).collect();
-        let seeds = if drawn.is_empty() { vec![at(0), at(1)] } else { drawn };
-        let start = NodeConfig { secret: secret(n), keys: self.keys.clone(), address: at(n), seeds };
+        let drawn: Vec<SocketAddr> = (0..self.seeds)
+            .map(|_| at((draw(&mut self.seed) % count as u64) as usize))
+            .collect();
+        let seeds = if drawn.is_empty() {
+            vec![at(0), at(1)]
+        } else {
+            drawn
+        };
+        let start = NodeConfig {
+            secret: secret(n),
+            keys: self.keys.clone(),
+            address: at(n),
+            seeds,
+        };
         self.nodes[n] = Some(Node::new(start, self.wall(n) - behind));
     }
 
@@ -118,12 +134,19 @@
     pub fn deliver(&mut self, from: usize, to: usize, way: Micros, bytes: Vec<u8>) {
         self.sequence += 1;
         self.bytes.push(bytes);
-        self.in_flight.push(Reverse((self.now + way, self.sequence - 1, from, to)));
+        self.in_flight
+            .push(Reverse((self.now + way, self.sequence - 1, from, to)));
     }
 
     pub fn run(&mut self, until: Micros) {
         while self.now < until {
-            let due = self.nodes.iter().flatten().map(Node::due).min().unwrap_or(until);
+            let due = self
+                .nodes
+                .iter()
+                .flatten()
+                .map(Node::due)
+                .min()
+                .unwrap_or(until);
             let in_flight = self.in_flight.peek().map_or(until, |Reverse((at, ..))| *at);
             self.now = due.min(in_flight).max(self.now).min(until);
             while let Some(Reverse((when, number, from, to))) = self.in_flight.peek().copied() {
@@ -140,7 +163,9 @@
             }
             for n in 0..self.nodes.len() {
                 let (now, wall) = (self.now, self.wall(n));
-                let Some(node) = self.nodes[n].as_mut().filter(|node| node.due() <= now) else { continue };
+                let Some(node) = self.nodes[n].as_mut().filter(|node| node.due() <= now) else {
+                    continue;
+                };
                 let mut seed = self.seed;
                 let out = node.tick(now, wall, &mut || draw(&mut seed));
                 self.seed = seed;
@@ -155,23 +180,37 @@
 
     pub fn report_sightings(&mut self, n: usize, sightings: Vec<Sighting>) {
         let (now, wall) = (self.now, self.wall(n));
-        self.nodes[n].as_mut().unwrap().report_sightings(now, wall, sightings);
+        self.nodes[n]
+            .as_mut()
+            .unwrap()
+            .report_sightings(now, wall, sightings);
     }
 
     /// Who has heard of this engine, and from whom.
     pub fn heard_of(&self, engine: u64) -> Vec<(usize, BTreeSet<PeerId>)> {
         let reporters = |node: &Node| -> BTreeSet<PeerId> {
             let news = node.peer_reports(self.now);
-            news.into_iter().filter(|n| n.sighting.engine == engine).map(|n| n.reporter).collect()
+            news.into_iter()
+                .filter(|n| n.sighting.engine == engine)
+                .map(|n| n.reporter)
+                .collect()
         };
-        let all = self.nodes.iter().enumerate().filter_map(|(n, node)| Some((n, reporters(node.as_ref()?))));
+        let all = self
+            .nodes
+            .iter()
+            .enumerate()
+            .filter_map(|(n, node)| Some((n, reporters(node.as_ref()?))));
         all.filter(|(_, reporters)| !reporters.is_empty()).collect()
     }
 
     /// How many of those that run take this one to be so.
     pub fn health(&self, of: usize, health: Health) -> usize {
         let id = self.peer_id(of);
-        self.nodes.iter().flatten().filter(|node| node.members().health(id) == Some(health)).count()
+        self.nodes
+            .iter()
+            .flatten()
+            .filter(|node| node.members().health(id) == Some(health))
+            .count()
     }
 
     pub fn sent(&self) -> Vec<u64> {
--- a/crates/gossip/tests/load_reports.rs
+++ b/crates/gossip/tests/load_reports.rs
@@ -13,30 +13,67 @@
 use sim::{at, keys, secret, SECOND, WALL};
 
 fn report(reporter: u64, version: u32, requested: u32) -> LoadReport {
-    let offered = vec![OfferedLoad { workload: 1, requested, service_us: 100, ..OfferedLoad::default() }];
-    LoadReport { reporter, started_ms: WALL, version, created_ms: WALL, offered }
+    let offered = vec![OfferedLoad {
+        workload: 1,
+        requested,
+        service_us: 100,
+        ..OfferedLoad::default()
+    }];
+    LoadReport {
+        reporter,
+        started_ms: WALL,
+        version,
+        created_ms: WALL,
+        offered,
+    }
 }
 
 /// A datagram of `own` that holds these reports.
 fn datagram_with(own: &mut Identity, reports: &[Signed]) -> Vec<u8> {
-    let payload = [&[Channel::Load as u8][..], &message::bytes(&reports.to_vec())].concat();
-    let message = Message { probe: Probe::None, rumours: Vec::new(), reports: Vec::new(), payload };
+    let payload = [
+        &[Channel::Load as u8][..],
+        &message::bytes(&reports.to_vec()),
+    ]
+    .concat();
+    let message = Message {
+        probe: Probe::None,
+        rumours: Vec::new(),
+        reports: Vec::new(),
+        payload,
+    };
     own.seal(WALL, &message::bytes(&message))
 }
 
 fn requested(node: &Node, now: Micros) -> Vec<u32> {
-    node.offered_loads(now).map(|offered| offered[0].requested).collect()
+    node.offered_loads(now)
+        .map(|offered| offered[0].requested)
+        .collect()
 }
 
 #[test]
 fn a_flood_of_forged_load_reports_changes_nothing() {
-    let start = NodeConfig { secret: secret(0), keys: keys(4), address: at(0), seeds: Vec::new() };
+    let start = NodeConfig {
+        secret: secret(0),
+        keys: keys(4),
+        address: at(0),
+        seeds: Vec::new(),
+    };
     let mut node = Node::new(start, WALL);
     node.enable_load_reports();
-    let (mut liar, honest) = (Identity::new(&secret(1), WALL), Identity::new(&secret(2), WALL));
-    let passed_on = datagram_with(&mut liar, &[honest.sign_load_report(&report(honest.id, 1, 7))]);
+    let (mut liar, honest) = (
+        Identity::new(&secret(1), WALL),
+        Identity::new(&secret(2), WALL),
+    );
+    let passed_on = datagram_with(
+        &mut liar,
+        &[honest.sign_load_report(&report(honest.id, 1, 7))],
+    );
     node.receive(0, WALL, at(1), &passed_on);
-    assert_eq!(requested(&node, 1), [7], "whoever passes it on, the report is its reporter's");
+    assert_eq!(
+        requested(&node, 1),
+        [7],
+        "whoever passes it on, the report is its reporter's"
+    );
     assert!(node.has_peer_load(1));
     // Under another's name, of fronts that nobody knows, cut short, with more workloads than count.
     let stranger = Identity::new(&secret(9), WALL);
@@ -45,7 +82,10 @@
         let strange = stranger.sign_load_report(&report(stranger.id, version, u32::MAX));
         let mut short = honest.sign_load_report(&report(honest.id, version, 9));
         short.report.pop();
-        let many = LoadReport { offered: vec![OfferedLoad::default(); 25], ..report(liar.id, version, 0) };
+        let many = LoadReport {
+            offered: vec![OfferedLoad::default(); 25],
+            ..report(liar.id, version, 0)
+        };
         for reports in [[forged, strange], [short, liar.sign_load_report(&many)]] {
             let datagram = datagram_with(&mut liar, &reports);
             node.receive(Micros::from(version), WALL, at(1), &datagram);
@@ -57,7 +97,12 @@
     for version in 1..400 {
         let own = liar.sign_load_report(&report(liar.id, version, u32::MAX - version));
         let datagram = datagram_with(&mut liar, &[own]);
-        node.receive(SECOND + Micros::from(version) * 10_000, WALL + 1_000, at(1), &datagram);
+        node.receive(
+            SECOND + Micros::from(version) * 10_000,
+            WALL + 1_000,
+            at(1),
+            &datagram,
+        );
     }
     let now = 4 * SECOND;
     assert!(
--- a/crates/hash/src/lib_tests.rs
+++ b/crates/hash/src/lib_tests.rs
@@ -23,5 +23,8 @@
 
 #[test]
 fn chained_fields_hash_as_their_concatenation() {
-    assert_eq!(fnv1a("foo".bytes().chain("bar".bytes())), fnv1a("foobar".bytes()));
+    assert_eq!(
+        fnv1a("foo".bytes().chain("bar".bytes())),
+        fnv1a("foobar".bytes())
+    );
 }
--- a/crates/lab/src/check.rs
+++ b/crates/lab/src/check.rs
@@ -158,13 +158,20 @@
         match &event.kind {
             Kind::Began { id, key } => {
                 let (engine, link, from, key) = (event.engine, event.link, event.at, key.clone());
-                let execution = Execution { engine, link, from, to: i64::MAX, key };
+                let execution = Execution {
+                    engine,
+                    link,
+                    from,
+                    to: i64::MAX,
+                    key,
+                };
                 all.entry(id.clone()).or_default().push(execution);
             }
             Kind::Ended { id } => {
                 let out = all.get_mut(id).into_iter().flatten();
-                let own =
-                    |x: &&mut Execution| x.engine == event.engine && x.link == event.link && x.to == i64::MAX;
+                let own = |x: &&mut Execution| {
+                    x.engine == event.engine && x.link == event.link && x.to == i64::MAX
+                };
                 out.filter(own).for_each(|x| x.to = event.at);
             }
             _ => {}
--- a/crates/lab/src/check/answers.rs
+++ b/crates/lab/src/check/answers.rs
@@ -19,10 +19,16 @@
             Outcome::Spoilt => add(wrong, "answers", format!("{}: another's rows", a.id)),
             Outcome::Lost if !a.may_be_lost => add(wrong, "answers", format!("{}: lost", a.id)),
             Outcome::Completed { rows } if *rows != a.rows || a.fails.is_some() => {
-                add(wrong, "answers", format!("{}: {rows} rows of {}", a.id, a.rows));
+                add(
+                    wrong,
+                    "answers",
+                    format!("{}: {rows} rows of {}", a.id, a.rows),
+                );
             }
             Outcome::Error(code) => {
-                let known = ["53000", "57014", "08007", "08006", "40001", "25P02", "25P03", "57P01"];
+                let known = [
+                    "53000", "57014", "08007", "08006", "40001", "25P02", "25P03", "57P01",
+                ];
                 let own = [a.fails, a.may_fail].contains(&Some(code.as_str()));
                 if !own && !known.contains(&code.as_str()) {
                     add(wrong, "answers", format!("{}: {code}", a.id));
@@ -59,12 +65,21 @@
     executions: &HashMap<String, Vec<Execution>>,
     kept: &HashMap<String, usize>,
 ) {
-    for a in asked.iter().filter(|a| a.transaction.is_none() && !a.control) {
-        let (ran, lasting) =
-            (executions.get(&a.id).map_or(0, Vec::len), kept.get(&a.id).copied().unwrap_or(0));
+    for a in asked
+        .iter()
+        .filter(|a| a.transaction.is_none() && !a.control)
+    {
+        let (ran, lasting) = (
+            executions.get(&a.id).map_or(0, Vec::len),
+            kept.get(&a.id).copied().unwrap_or(0),
+        );
         let completed = matches!(a.outcome, Outcome::Completed { .. });
         if completed && lasting == 0 {
-            add(wrong, "effects", format!("{}: completed, but nothing has come of it", a.id));
+            add(
+                wrong,
+                "effects",
+                format!("{}: completed, but nothing has come of it", a.id),
+            );
         }
         let rejected = matches!(&a.outcome, Outcome::Error(code) if code == "53000");
         if rejected && a.repeat == Repeat::NonIdempotent && ran > 0 {
@@ -72,20 +87,36 @@
         }
     }
     for (n, t) in transactions.iter().enumerate() {
-        let lasting = t.statements.iter().filter(|id| kept.contains_key(*id)).count();
+        let lasting = t
+            .statements
+            .iter()
+            .filter(|id| kept.contains_key(*id))
+            .count();
         let whole = t.statements.len();
         match &t.commit {
             Some(Outcome::Completed { .. }) if lasting < whole => {
-                add(wrong, "effects", format!("transaction {n}: committed, {lasting} of {whole} kept"));
+                add(
+                    wrong,
+                    "effects",
+                    format!("transaction {n}: committed, {lasting} of {whole} kept"),
+                );
             }
             Some(Outcome::Error(code)) if code == "08007" && lasting != 0 && lasting != whole => {
-                add(wrong, "effects", format!("transaction {n}: {lasting} of {whole} kept"));
+                add(
+                    wrong,
+                    "effects",
+                    format!("transaction {n}: {lasting} of {whole} kept"),
+                );
             }
             Some(Outcome::Error(code)) if code == "08007" => {}
             Some(Outcome::Lost | Outcome::Nothing) => {}
             Some(Outcome::Completed { .. }) => {}
             _ if lasting > 0 => {
-                add(wrong, "effects", format!("transaction {n}: {:?}, but {lasting} kept", t.commit));
+                add(
+                    wrong,
+                    "effects",
+                    format!("transaction {n}: {:?}, but {lasting} kept", t.commit),
+                );
             }
             _ => {}
         }
--- a/crates/lab/src/check/turns.rs
+++ b/crates/lab/src/check/turns.rs
@@ -14,9 +14,15 @@
 ) {
     let mut further = Vec::new();
     for a in asked {
-        let Some(ran) = executions.get(&a.id) else { continue };
+        let Some(ran) = executions.get(&a.id) else {
+            continue;
+        };
         if ran.len() > 1 && (a.repeat == Repeat::NonIdempotent || a.transaction.is_some()) {
-            add(wrong, "repeats", format!("{}: ran {} times", a.id, ran.len()));
+            add(
+                wrong,
+                "repeats",
+                format!("{}: ran {} times", a.id, ran.len()),
+            );
         }
         for (n, x) in ran.iter().enumerate() {
             if ran[..n].iter().any(|y| y.from < x.to && x.from < y.to) {
@@ -25,7 +31,9 @@
         }
         further.extend(ran.iter().skip(1).map(|x| x.from));
     }
-    let Some((spare, share, window)) = agreed.further else { return };
+    let Some((spare, share, window)) = agreed.further else {
+        return;
+    };
     further.sort_unstable();
     let mut sent: Vec<i64> = asked.iter().map(|a| a.sent).collect();
     sent.sort_unstable();
@@ -35,7 +43,11 @@
         let taken = sent.partition_point(|t| t <= at) - sent.partition_point(|t| *t <= since);
         // What was taken and when is seen from outside: by 15 in 100 and one execution looser.
         if within > (spare + share * taken as f64) * 1.15 + 1.0 {
-            add(wrong, "budget", format!("{within} further executions of {taken} statements at {at}"));
+            add(
+                wrong,
+                "budget",
+                format!("{within} further executions of {taken} statements at {at}"),
+            );
         }
     }
 }
@@ -44,11 +56,16 @@
 pub(super) fn drains(wrong: &mut Violations, engine_events: &[EngineEvent], agreed: &Agreed) {
     for event in engine_events {
         let new = matches!(event.kind, Kind::Began { .. } | Kind::Control { .. });
-        let drain =
-            |d: &&Drain| d.engine == event.engine && event.at > d.from + agreed.grace && event.at < d.to;
+        let drain = |d: &&Drain| {
+            d.engine == event.engine && event.at > d.from + agreed.grace && event.at < d.to
+        };
         if let Some(drain) = agreed.drains.iter().find(drain).filter(|_| new) {
             let ms = (event.at - drain.from) / 1000;
-            add(wrong, "drains", format!("engine {}: {:?} after {ms} ms", event.engine, event.kind));
+            add(
+                wrong,
+                "drains",
+                format!("engine {}: {:?} after {ms} ms", event.engine, event.kind),
+            );
         }
     }
 }
@@ -68,21 +85,33 @@
     // Between these the front took a statement, whatever the machine gave each of the processes to run.
     let within = |a: &StatementRecord| {
         let answered = matches!(a.outcome, Outcome::Completed { .. } | Outcome::Error(_));
-        (a.sent, a.taken.or(answered.then_some(a.answered)).unwrap_or(i64::MAX))
+        (
+            a.sent,
+            a.taken
+                .or(answered.then_some(a.answered))
+                .unwrap_or(i64::MAX),
+        )
     };
-    let took: HashMap<&str, (i64, i64)> = asked.iter().map(|a| (a.id.as_str(), within(a))).collect();
+    let took: HashMap<&str, (i64, i64)> =
+        asked.iter().map(|a| (a.id.as_str(), within(a))).collect();
     for (key, mut ran) in by_key {
         ran.sort_unstable();
         for pair in ran.windows(2) {
             let ((_, to, first), (from, _, second)) = (pair[0], pair[1]);
             if first != second && from < to {
-                add(wrong, "order", format!("{key}: {second} began while {first} ran"));
+                add(
+                    wrong,
+                    "order",
+                    format!("{key}: {second} began while {first} ran"),
+                );
             }
         }
         // The one that was sent last of those that have run.
         let mut last: Option<(i64, &str)> = None;
         for (_, _, id) in ran {
-            let Some((sent, taken)) = took.get(id).copied() else { continue };
+            let Some((sent, taken)) = took.get(id).copied() else {
+                continue;
+            };
             if let Some((_, other)) = last.filter(|(at, _)| taken < *at) {
                 add(
                     wrong,
@@ -104,7 +133,11 @@
     for a in asked.iter().filter(|a| a.bound) {
         for x in executions.get(&a.id).into_iter().flatten() {
             if !agreed.bound_to.contains(&x.engine) {
-                add(wrong, "placement", format!("{}: ran on engine {}", a.id, x.engine));
+                add(
+                    wrong,
+                    "placement",
+                    format!("{}: ran on engine {}", a.id, x.engine),
+                );
             }
         }
     }
--- a/crates/lab/src/check/waits.rs
+++ b/crates/lab/src/check/waits.rs
@@ -13,9 +13,17 @@
 impl ProcessorWaits {
     /// How long at most somebody waited between two moments: from the last look before to the first one after.
     pub fn between(&self, from: i64, to: i64) -> i64 {
-        let before = self.samples.partition_point(|(at, _)| *at <= from).saturating_sub(1);
+        let before = self
+            .samples
+            .partition_point(|(at, _)| *at <= from)
+            .saturating_sub(1);
         let after = self.samples.partition_point(|(at, _)| *at < to);
-        let at = |n: usize| self.samples.get(n).or(self.samples.last()).map_or(0, |(_, waited)| *waited);
+        let at = |n: usize| {
+            self.samples
+                .get(n)
+                .or(self.samples.last())
+                .map_or(0, |(_, waited)| *waited)
+        };
         (at(after) - at(before)).clamp(0, MOST)
     }
 }
--- a/crates/lab/src/engine/conversation.rs
+++ b/crates/lab/src/engine/conversation.rs
@@ -94,7 +94,9 @@
 
     fn note(&self, kind: Kind) {
         if self.engine.notes {
-            self.engine.records.note(self.engine.number, self.number, kind);
+            self.engine
+                .records
+                .note(self.engine.number, self.number, kind);
         }
     }
 
@@ -124,9 +126,12 @@
 
     fn fail(&mut self, code: &str) {
         wire::write(&mut self.out, b'E', |out| {
-            for (kind, value) in
-                [(b'S', "ERROR"), (b'V', "ERROR"), (b'C', code), (b'M', "as the statement asked")]
-            {
+            for (kind, value) in [
+                (b'S', "ERROR"),
+                (b'V', "ERROR"),
+                (b'C', code),
+                (b'M', "as the statement asked"),
+            ] {
                 out.push(kind);
                 wire::write_string(out, value.as_bytes());
             }
@@ -145,9 +150,19 @@
         match message {
             ClientMessage::Query(text) => self.query(&String::from_utf8_lossy(text)),
             ClientMessage::Parse { name, text, .. } => self.parse(name, text),
-            ClientMessage::Bind { portal, statement, rest } => self.bind(portal, statement, rest),
-            ClientMessage::Describe { statement: true, name } => self.describe_statement(name),
-            ClientMessage::Describe { statement: false, name } => self.describe_portal(name),
+            ClientMessage::Bind {
+                portal,
+                statement,
+                rest,
+            } => self.bind(portal, statement, rest),
+            ClientMessage::Describe {
+                statement: true,
+                name,
+            } => self.describe_statement(name),
+            ClientMessage::Describe {
+                statement: false,
+                name,
+            } => self.describe_portal(name),
             ClientMessage::Execute { portal, rows } => self.execute_portal(portal, rows as usize),
             ClientMessage::Close { statement, name } => {
                 match statement {
@@ -168,13 +183,21 @@
 
     /// A simple query: its statements one after the other, until one fails.
     fn query(&mut self, text: &str) -> Result<(), Interruption> {
-        let ended = text.split(';').filter(|part| !part.trim().is_empty()).try_for_each(|part| {
-            let mut portal = Portal { task: task(part), text: part.into(), sent: 0, begun: false };
-            if portal.task.is_some() {
-                self.describe_row();
-            }
-            self.execute(&mut portal, usize::MAX).map(|_| ())
-        });
+        let ended = text
+            .split(';')
+            .filter(|part| !part.trim().is_empty())
+            .try_for_each(|part| {
+                let mut portal = Portal {
+                    task: task(part),
+                    text: part.into(),
+                    sent: 0,
+                    begun: false,
+                };
+                if portal.task.is_some() {
+                    self.describe_row();
+                }
+                self.execute(&mut portal, usize::MAX).map(|_| ())
+            });
         if text.trim().is_empty() {
             self.out.extend_from_slice(wire::EMPTY_QUERY);
         }
@@ -188,13 +211,18 @@
     }
 
     fn parse(&mut self, name: &[u8], text: &[u8]) -> Result<(), Interruption> {
-        if self.engine.faults.strikes(&self.engine.faults.refused_parses) {
+        if self
+            .engine
+            .faults
+            .strikes(&self.engine.faults.refused_parses)
+        {
             return Err(Interruption::Error("42P01".into()));
         }
         if !name.is_empty() && self.statements.contains_key(name) {
             return Err(Interruption::Error("42P05".into()));
         }
-        self.statements.insert(name.to_vec(), String::from_utf8_lossy(text).into_owned());
+        self.statements
+            .insert(name.to_vec(), String::from_utf8_lossy(text).into_owned());
         self.out.extend_from_slice(wire::PARSE_COMPLETE);
         Ok(())
     }
@@ -203,14 +231,30 @@
         let text = self.statements.get(statement).cloned();
         let text = text.ok_or_else(|| Interruption::Error("26000".into()))?;
         let value = parameter(rest).map(|value| task_of_fields(&String::from_utf8_lossy(value)));
-        let task = if text.contains("$1") { value } else { task(&text) };
-        self.portals.insert(portal.to_vec(), Portal { text, task, sent: 0, begun: false });
+        let task = if text.contains("$1") {
+            value
+        } else {
+            task(&text)
+        };
+        self.portals.insert(
+            portal.to_vec(),
+            Portal {
+                text,
+                task,
+                sent: 0,
+                begun: false,
+            },
+        );
         self.out.extend_from_slice(wire::BIND_COMPLETE);
         Ok(())
     }
 
     fn describe_statement(&mut self, name: &[u8]) -> Result<(), Interruption> {
-        let text = self.statements.get(name).cloned().ok_or_else(|| Interruption::Error("26000".into()))?;
+        let text = self
+            .statements
+            .get(name)
+            .cloned()
+            .ok_or_else(|| Interruption::Error("26000".into()))?;
         let parameters = u16::from(text.contains("$1"));
         wire::write(&mut self.out, b't', |out| {
             out.extend_from_slice(&parameters.to_be_bytes());
--- a/crates/lab/src/engine/conversation/statements.rs
+++ b/crates/lab/src/engine/conversation/statements.rs
@@ -15,10 +15,19 @@
 
 impl Conversation {
     /// Runs a statement, or goes on with one; true if rows are left when the limit is reached.
-    pub(super) fn execute(&mut self, portal: &mut Portal, limit: usize) -> Result<bool, Interruption> {
-        let first = portal.text.trim_start().split(|c: char| !c.is_ascii_alphabetic()).next();
+    pub(super) fn execute(
+        &mut self,
+        portal: &mut Portal,
+        limit: usize,
+    ) -> Result<bool, Interruption> {
+        let first = portal
+            .text
+            .trim_start()
+            .split(|c: char| !c.is_ascii_alphabetic())
+            .next();
         let first = first.unwrap_or_default().to_ascii_uppercase();
-        if self.status == b'E' && !matches!(first.as_str(), "ROLLBACK" | "COMMIT" | "ABORT" | "END") {
+        if self.status == b'E' && !matches!(first.as_str(), "ROLLBACK" | "COMMIT" | "ABORT" | "END")
+        {
             return Err(Interruption::Error("25P02".into()));
         }
         let Some(task) = portal.task.clone() else {
@@ -57,7 +66,9 @@
             _ => "SET",
         };
         wire::write_complete(&mut self.out, tag);
-        self.note(Kind::Control { text: text.trim().to_string() });
+        self.note(Kind::Control {
+            text: text.trim().to_string(),
+        });
         Ok(())
     }
 
@@ -82,7 +93,12 @@
     }
 
     /// Sends the next rows of a portal, `limit` at most; a fault may lose the rest with the connection.
-    fn send_rows(&mut self, portal: &mut Portal, task: &Task, limit: usize) -> Result<(), Interruption> {
+    fn send_rows(
+        &mut self,
+        portal: &mut Portal,
+        task: &Task,
+        limit: usize,
+    ) -> Result<(), Interruption> {
         let until = task.rows.min(portal.sent.saturating_add(limit));
         let row = vec![b'x'; task.bytes.max(1)];
         while portal.sent < until {
@@ -116,16 +132,27 @@
         let faults = &self.engine.faults;
         let takes = Duration::from_micros(task.ms * 1000 + faults.slower.load(SeqCst));
         let reset = || Interruption::Connection(ErrorKind::ConnectionReset.into());
-        let Some(link) = self.link.clone() else { return Ok(()) };
-        let Ok(mut running) = link.running.lock() else { return Ok(()) };
+        let Some(link) = self.link.clone() else {
+            return Ok(());
+        };
+        let Ok(mut running) = link.running.lock() else {
+            return Ok(());
+        };
         // What was reset begins nothing any more.
         if running.2 {
             return Err(reset());
         }
-        self.note(Kind::Began { id: task.id.clone(), key: task.key.clone() });
+        self.note(Kind::Began {
+            id: task.id.clone(),
+            key: task.key.clone(),
+        });
         (running.0, running.1) = (Some(task.id.clone()), false);
-        let waits = link.changed.wait_timeout_while(running, takes, |r| !r.1 && !r.2);
-        let Ok((mut running, _)) = waits else { return Ok(()) };
+        let waits = link
+            .changed
+            .wait_timeout_while(running, takes, |r| !r.1 && !r.2);
+        let Ok((mut running, _)) = waits else {
+            return Ok(());
+        };
         let mut interruption = match (running.1, running.2) {
             (_, true) => Some(reset()),
             (true, _) => Some(Interruption::Error("57014".into())),
--- a/crates/lab/src/engine/lines.rs
+++ b/crates/lab/src/engine/lines.rs
@@ -18,7 +18,12 @@
 
 /// Starts an engine that speaks lines and is always warm; statements are `id=..,key=..,ms=..`.
 pub fn engine(number: usize, records: Arc<Records>) -> std::io::Result<SocketAddr> {
-    let warmth = Warmth { cold: usize::MAX, warm: usize::MAX, warm_us: 0, memory: usize::MAX };
+    let warmth = Warmth {
+        cold: usize::MAX,
+        warm: usize::MAX,
+        warm_us: 0,
+        memory: usize::MAX,
+    };
     Ok(Engine::start(number, records, warmth)?.at)
 }
 
@@ -35,7 +40,12 @@
 impl Warmth {
     /// What is borne at once so many microseconds after a start.
     pub fn bears(self, since: i64) -> usize {
-        let Warmth { cold, warm, warm_us, memory } = self;
+        let Warmth {
+            cold,
+            warm,
+            warm_us,
+            memory,
+        } = self;
         if since >= warm_us || warm <= cold {
             return warm.min(memory);
         }
@@ -73,7 +83,11 @@
 }
 
 impl Engine {
-    pub fn start(number: usize, records: Arc<Records>, warmth: Warmth) -> std::io::Result<Arc<Engine>> {
+    pub fn start(
+        number: usize,
+        records: Arc<Records>,
+        warmth: Warmth,
+    ) -> std::io::Result<Arc<Engine>> {
         Engine::holding(number, records, warmth, None)
     }
 
@@ -88,7 +102,8 @@
         let at = listener.local_addr()?;
         // Warm from the first: only a start anew is cold.
         let started = AtomicI64::new(records.now() - warmth.warm_us);
-        let (running, turned_away, peak) = (AtomicUsize::new(0), AtomicUsize::new(0), Mutex::new(0.0));
+        let (running, turned_away, peak) =
+            (AtomicUsize::new(0), AtomicUsize::new(0), Mutex::new(0.0));
         let peak_since_start = Mutex::new(0.0);
         let engine = Arc::new(Engine {
             number,
@@ -123,7 +138,8 @@
 
     /// What it bears at once now.
     pub fn bears(&self) -> usize {
-        self.warmth.bears(self.records.now() - self.started.load(SeqCst))
+        self.warmth
+            .bears(self.records.now() - self.started.load(SeqCst))
     }
 
     /// The most asked of it at once against what it bore then.
@@ -138,7 +154,12 @@
 
     fn note(&self, link: u32, kind: Kind) {
         if let Ok(mut engine_events) = self.records.deeds.lock() {
-            engine_events.push(EngineEvent { at: self.records.now(), engine: self.number, link, kind });
+            engine_events.push(EngineEvent {
+                at: self.records.now(),
+                engine: self.number,
+                link,
+                kind,
+            });
         }
     }
 
@@ -170,16 +191,26 @@
             }
             let words: Vec<&str> = line.split_whitespace().collect();
             if let ["busy" | "there", tag] = words[..] {
-                write!(&*stream, "{tag} READY stats=inflight:{} 0\r\n\r\n", self.running.load(SeqCst))?;
+                write!(
+                    &*stream,
+                    "{tag} READY stats=inflight:{} 0\r\n\r\n",
+                    self.running.load(SeqCst)
+                )?;
             }
-            let ["want", id, _, len] = words[..] else { continue };
+            let ["want", id, _, len] = words[..] else {
+                continue;
+            };
             let mut body = vec![0; len.parse::<usize>().unwrap_or(0).min(MOST_BODY) + 2];
             reader.read_exact(&mut body)?;
             let statement = String::from_utf8_lossy(&body).trim().to_string();
             if self.admits() {
                 self.begin(Statement::read(statement), id, (peer, &stream), runs);
             } else {
-                write!(&*stream, "{id} AGAIN stats=inflight:{} 0\r\n\r\n", self.running.load(SeqCst))?;
+                write!(
+                    &*stream,
+                    "{id} AGAIN stats=inflight:{} 0\r\n\r\n",
+                    self.running.load(SeqCst)
+                )?;
             }
         }
     }
@@ -214,15 +245,27 @@
             sent_by.insert((self.number, link), front);
         }
         self.records.runs(self.number, link, (peer, id));
-        self.note(link, Kind::Began { id: statement.id.clone(), key: statement.key.clone() });
+        self.note(
+            link,
+            Kind::Began {
+                id: statement.id.clone(),
+                key: statement.key.clone(),
+            },
+        );
         let promised_at = front.filter(|_| statement.promised);
         if let Some(front) = promised_at {
             self.records.reached(Step::Began, front);
         }
         if let Ok(mut runs) = runs.lock().map(|runs| (!statement.goes_on).then_some(runs)) {
-            runs.iter_mut().for_each(|runs| _ = runs.insert(id.to_string(), (statement.id.clone(), link)));
+            runs.iter_mut()
+                .for_each(|runs| _ = runs.insert(id.to_string(), (statement.id.clone(), link)));
         }
-        let execution = Execution { id: id.to_string(), link, promised_at, statement };
+        let execution = Execution {
+            id: id.to_string(),
+            link,
+            promised_at,
+            statement,
+        };
         let (engine, stream, runs) = (self.clone(), stream.clone(), runs.clone());
         std::thread::spawn(move || {
             std::thread::sleep(Duration::from_millis(execution.statement.ms));
@@ -232,15 +275,30 @@
 
     /// Ends an execution whose work is done, and answers it, unless it was stopped with its connection.
     fn finish(&self, execution: Execution, stream: &TcpStream, runs: &Runs) {
-        let Execution { id, link, promised_at, statement } = execution;
+        let Execution {
+            id,
+            link,
+            promised_at,
+            statement,
+        } = execution;
         // Noted under the lock: once `serve` has it, every end that its close could tell of is on the record.
         if let Ok(mut runs) = runs.lock() {
             if runs.remove(&id).is_none() && !statement.goes_on {
                 return; // stopped with its connection
             }
-            self.note(link, Kind::Ended { id: statement.id.clone() });
+            self.note(
+                link,
+                Kind::Ended {
+                    id: statement.id.clone(),
+                },
+            );
         }
-        self.note(link, Kind::Kept { id: statement.id.clone() });
+        self.note(
+            link,
+            Kind::Kept {
+                id: statement.id.clone(),
+            },
+        );
         if let Some(front) = promised_at {
             self.records.reached(Step::Kept, front);
         }
@@ -251,7 +309,10 @@
         };
         let active = self.running.load(SeqCst);
         let len = row.len();
-        let _ = write!(&*stream, "{id} ACK batches=1,stats=inflight:{active} {len}\r\n{row}\r\n");
+        let _ = write!(
+            &*stream,
+            "{id} ACK batches=1,stats=inflight:{active} {len}\r\n{row}\r\n"
+        );
     }
 }
 
@@ -273,12 +334,21 @@
         let fields = text.find("id=").map_or("", |at| &text[at..]);
         let fields = fields.split(' ').next().unwrap_or_default();
         let field = |name: &str| {
-            let found = fields.split(',').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
+            let found = fields
+                .split(',')
+                .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
             found.unwrap_or_default().to_string()
         };
         let (id, key, ms) = (field("id"), field("key"), field("ms").parse().unwrap_or(0));
         let (goes_on, promised) = (field("on") == "1", field("promised") == "1");
-        Statement { text, id, key, ms, goes_on, promised }
+        Statement {
+            text,
+            id,
+            key,
+            ms,
+            goes_on,
+            promised,
+        }
     }
 }
 
--- a/crates/lab/src/engine/lines/client.rs
+++ b/crates/lab/src/engine/lines/client.rs
@@ -12,9 +12,18 @@
 }
 
 /// The same, with whether a refusal names a time to come back.
-pub fn ask_told(front: SocketAddr, number: u64, fields: &[(&str, &str)], statement: &str) -> (Outcome, bool) {
-    let Ok(mut client) = Client::open(front) else { return (Outcome::Lost, false) };
-    let outcome = client.send(number, fields, statement).map_or(Outcome::Lost, |()| client.answer());
+pub fn ask_told(
+    front: SocketAddr,
+    number: u64,
+    fields: &[(&str, &str)],
+    statement: &str,
+) -> (Outcome, bool) {
+    let Ok(mut client) = Client::open(front) else {
+        return (Outcome::Lost, false);
+    };
+    let outcome = client
+        .send(number, fields, statement)
+        .map_or(Outcome::Lost, |()| client.answer());
     (outcome, client.later)
 }
 
@@ -29,7 +38,9 @@
     client.send(number, fields, statement)?;
     let reply = client.raw()?;
     // Behind the head: the field of a result, and in it that of its body, with the body's length.
-    let Some([12, 0, 0, 11, 0, 1, a, b, c, d, rest @ ..]) = reply.get(HEAD..) else { return Ok(None) };
+    let Some([12, 0, 0, 11, 0, 1, a, b, c, d, rest @ ..]) = reply.get(HEAD..) else {
+        return Ok(None);
+    };
     let len = u32::from_be_bytes([*a, *b, *c, *d]) as usize;
     Ok(rest.get(..len).map(<[u8]>::to_vec))
 }
@@ -51,13 +62,26 @@
         let stream = TcpStream::connect(front)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(Duration::from_secs(20)))?;
-        Ok(Client { stream, own: String::new(), later: false })
+        Ok(Client {
+            stream,
+            own: String::new(),
+            later: false,
+        })
     }
 
     /// Asks; all of it has left when this returns.
-    pub fn send(&mut self, number: u64, fields: &[(&str, &str)], statement: &str) -> std::io::Result<()> {
+    pub fn send(
+        &mut self,
+        number: u64,
+        fields: &[(&str, &str)],
+        statement: &str,
+    ) -> std::io::Result<()> {
         let id = format!("{number:016x}");
-        let all: Vec<(&str, &str)> = fields.iter().copied().chain([("txn", id.as_str())]).collect();
+        let all: Vec<(&str, &str)> = fields
+            .iter()
+            .copied()
+            .chain([("txn", id.as_str())])
+            .collect();
         let text = |out: &mut Vec<u8>, text: &str| {
             out.extend((text.len() as u32).to_be_bytes());
             out.extend(text.as_bytes());
@@ -76,7 +100,10 @@
         message.push(0);
         let mut frame = (message.len() as u32).to_be_bytes().to_vec();
         frame.extend(message);
-        let own = statement.split(',').next().and_then(|pair| pair.strip_prefix("id="));
+        let own = statement
+            .split(',')
+            .next()
+            .and_then(|pair| pair.strip_prefix("id="));
         self.own = own.unwrap_or_default().to_string();
         self.stream.write_all(&frame)
     }
@@ -98,7 +125,9 @@
         let reply = self.raw()?;
         self.later = reply.windows(5).any(|part| part == b"later");
         // Behind the head, the name and the number stands the field that tells which kind of answer it is.
-        let holds = reply.windows(self.own.len().max(1)).any(|part| part == self.own.as_bytes());
+        let holds = reply
+            .windows(self.own.len().max(1))
+            .any(|part| part == self.own.as_bytes());
         Ok(match reply.get(HEAD..) {
             Some([_, 0, 0, ..]) if holds => Outcome::Completed { rows: 1 },
             Some([_, 0, 0, ..]) => Outcome::Spoilt,
--- a/crates/lab/src/engine/lines_tests.rs
+++ b/crates/lab/src/engine/lines_tests.rs
@@ -4,16 +4,29 @@
 
 #[test]
 fn a_cold_engine_turns_away_what_it_does_not_bear_yet() {
-    let warmth = Warmth { cold: 1, warm: 8, warm_us: 600_000_000, memory: usize::MAX };
+    let warmth = Warmth {
+        cold: 1,
+        warm: 8,
+        warm_us: 600_000_000,
+        memory: usize::MAX,
+    };
     let engine = Engine::start(0, Records::new(), warmth).unwrap();
     assert_eq!(engine.bears(), 8);
     engine.restart();
     assert_eq!(engine.bears(), 1);
     // Memory runs out before its slots do.
-    assert_eq!((Warmth { memory: 5, ..warmth }).bears(600_000_000), 5);
+    assert_eq!(
+        (Warmth {
+            memory: 5,
+            ..warmth
+        })
+        .bears(600_000_000),
+        5
+    );
     let mut s = TcpStream::connect(engine.at).unwrap();
     s.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
-    s.write_all(b"want 1 - 15\r\nid=a,key=,ms=300\r\nwant 2 - 15\r\nid=b,key=,ms=300\r\n").unwrap();
+    s.write_all(b"want 1 - 15\r\nid=a,key=,ms=300\r\nwant 2 - 15\r\nid=b,key=,ms=300\r\n")
+        .unwrap();
     let mut reader = BufReader::new(s);
     let mut line = String::new();
     reader.read_line(&mut line).unwrap();
--- a/crates/lab/src/engine/portal.rs
+++ b/crates/lab/src/engine/portal.rs
@@ -68,7 +68,11 @@
 
 impl Engine {
     /// Starts to listen on a port of the system's.
-    pub fn start(number: usize, records: Arc<Records>, notes: bool) -> std::io::Result<Arc<Engine>> {
+    pub fn start(
+        number: usize,
+        records: Arc<Records>,
+        notes: bool,
+    ) -> std::io::Result<Arc<Engine>> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let engine = Arc::new(Engine {
             number,
@@ -130,8 +134,12 @@
         let mut at_door = Conversation::new(self.clone(), stream.try_clone()?, 0);
         loop {
             at_door.fill()?;
-            let Ok(opening) = wire::initial_message(&at_door.input) else { return Ok(()) };
-            let Some((len, opening)) = opening else { continue };
+            let Ok(opening) = wire::initial_message(&at_door.input) else {
+                return Ok(());
+            };
+            let Some((len, opening)) = opening else {
+                continue;
+            };
             let comes_in = match opening {
                 InitialMessage::EncryptionRequest => {
                     at_door.out.push(b'N');
@@ -153,7 +161,12 @@
         let number = self.next.fetch_add(1, SeqCst);
         let secret = number.wrapping_mul(0x9e37_79b9) ^ 0x5bd1_e995;
         let running = Mutex::new((None, false, false));
-        let link = Arc::new(Link { stream, running, changed: Condvar::new(), secret });
+        let link = Arc::new(Link {
+            stream,
+            running,
+            changed: Condvar::new(),
+            secret,
+        });
         if let Ok(mut links) = self.links.lock() {
             links.insert(number, link.clone());
         }
@@ -163,7 +176,13 @@
         wire::write(out, b'R', |out| out.extend_from_slice(&[0; 4]));
         wire::write_parameter(out, "server_version", "15.4");
         wire::write_parameter(out, "client_encoding", "UTF8");
-        wire::write_key(out, CancelKey { process: number, secret });
+        wire::write_key(
+            out,
+            CancelKey {
+                process: number,
+                secret,
+            },
+        );
         wire::write_ready(out, b'I');
         let ended = at_door.flush().and_then(|()| at_door.talk());
         if let Ok(mut links) = self.links.lock() {
@@ -173,11 +192,25 @@
     }
 
     fn cancel(&self, process: u32, secret: u32) {
-        let link = self.links.lock().ok().and_then(|links| links.get(&process).cloned());
-        let Some(link) = link.filter(|link| link.secret == secret) else { return };
-        let Ok(mut running) = link.running.lock() else { return };
+        let link = self
+            .links
+            .lock()
+            .ok()
+            .and_then(|links| links.get(&process).cloned());
+        let Some(link) = link.filter(|link| link.secret == secret) else {
+            return;
+        };
+        let Ok(mut running) = link.running.lock() else {
+            return;
+        };
         running.1 = running.0.is_some();
-        self.records.note(self.number, process, Kind::Cancelled { id: running.0.clone() });
+        self.records.note(
+            self.number,
+            process,
+            Kind::Cancelled {
+                id: running.0.clone(),
+            },
+        );
         self.over(process, &mut running.0);
         link.changed.notify_all();
     }
--- a/crates/lab/src/engine/portal_tests.rs
+++ b/crates/lab/src/engine/portal_tests.rs
@@ -9,13 +9,27 @@
 #[test]
 fn what_is_reset_or_cancelled_is_over_in_the_record_before_anyone_hears_of_it() {
     let engine = Engine::start(0, Records::new(), true).unwrap();
-    let noted = |kind: Kind| engine.records.deeds.lock().unwrap().iter().any(|d| d.kind == kind);
+    let noted = |kind: Kind| {
+        engine
+            .records
+            .deeds
+            .lock()
+            .unwrap()
+            .iter()
+            .any(|d| d.kind == kind)
+    };
     for (n, resets) in [true, false].into_iter().cycle().take(20).enumerate() {
         let id = format!("a{n}");
         let mut s = Session::open(engine.at, "portal", false).unwrap();
         s.query(&format!("select run('id={id},rows=1,ms=20000')"));
         s.send().unwrap();
-        let (began, since) = (Kind::Began { id: id.clone(), key: String::new() }, Instant::now());
+        let (began, since) = (
+            Kind::Began {
+                id: id.clone(),
+                key: String::new(),
+            },
+            Instant::now(),
+        );
         while !noted(began.clone()) && since.elapsed() < PATIENCE {
             std::thread::yield_now();
         }
--- a/crates/lab/src/engine/record.rs
+++ b/crates/lab/src/engine/record.rs
@@ -80,8 +80,15 @@
     /// What a front sends towards an engine. One that is cut between two chunks counts as an attempt alone.
     pub fn sends(&self, front: usize, chunk: &[u8]) {
         const WORD: &[u8] = b"want ";
-        let Ok(mut firsts) = self.firsts.lock() else { return };
-        for at in chunk.windows(WORD.len()).enumerate().filter(|(_, w)| *w == WORD).map(|(at, _)| at) {
+        let Ok(mut firsts) = self.firsts.lock() else {
+            return;
+        };
+        for at in chunk
+            .windows(WORD.len())
+            .enumerate()
+            .filter(|(_, w)| *w == WORD)
+            .map(|(at, _)| at)
+        {
             let rest = &chunk[at + WORD.len()..];
             if let Some(end) = rest.iter().position(|byte| *byte == b' ') {
                 firsts.insert((front, rest[..end].to_vec()));
@@ -137,8 +144,12 @@
 
     /// A step of a promise is reached at a front: true if it has just died of that.
     pub fn reached(&self, step: Step, front: usize) -> bool {
-        let Ok(mut now) = self.armed.lock() else { return false };
-        let Some(armed) = now.as_mut() else { return false };
+        let Ok(mut now) = self.armed.lock() else {
+            return false;
+        };
+        let Some(armed) = now.as_mut() else {
+            return false;
+        };
         if !armed.death.is_reached(step, front) {
             return false;
         }
@@ -153,7 +164,12 @@
     }
 
     pub(super) fn note(&self, engine: usize, link: u32, kind: Kind) {
-        let event = EngineEvent { at: self.now(), engine, link, kind };
+        let event = EngineEvent {
+            at: self.now(),
+            engine,
+            link,
+            kind,
+        };
         if let Ok(mut engine_events) = self.deeds.lock() {
             engine_events.push(event);
         }
