--- a/crates/lab/src/engine/record_tests.rs
+++ b/crates/lab/src/engine/record_tests.rs
@@ -4,18 +4,32 @@
 
 #[test]
 fn two_connections_from_one_port_to_two_engines_are_of_their_own_fronts() {
-    let (records, at) = (Records::new(), |port: u16| SocketAddr::from(([127, 0, 0, 1], port)));
+    let (records, at) = (Records::new(), |port: u16| {
+        SocketAddr::from(([127, 0, 0, 1], port))
+    });
     records.opened(at(9), at(1), 3);
     records.opened(at(9), at(2), 4);
     assert_eq!(records.front_of(at(9), at(1)), Some(3));
-    assert_eq!((records.front_of(at(9), at(2)), records.front_of(at(9), at(3))), (Some(4), None));
+    assert_eq!(
+        (
+            records.front_of(at(9), at(2)),
+            records.front_of(at(9), at(3))
+        ),
+        (Some(4), None)
+    );
 }
 
 #[test]
 fn a_front_dies_at_its_own_step_of_a_statement_that_came_since() {
     let records = Records::new();
-    let mut child = std::process::Command::new("sleep").arg("60").spawn().unwrap();
-    let armed = |draw| Armed { death: DeathStep::new(Step::Copying, 1, draw), pid: child.id() };
+    let mut child = std::process::Command::new("sleep")
+        .arg("60")
+        .spawn()
+        .unwrap();
+    let armed = |draw| Armed {
+        death: DeathStep::new(Step::Copying, 1, draw),
+        pid: child.id(),
+    };
     records.arm(Some(armed(1)));
     assert!(!records.reached(Step::Copying, 1), "nothing was asked yet");
     assert!(!records.reached(Step::Taken, 0) && !records.reached(Step::Taken, 1));
--- a/crates/lab/src/engine/task.rs
+++ b/crates/lab/src/engine/task.rs
@@ -35,9 +35,14 @@
 
 /// The first parameter of a Bind, as text.
 pub(super) fn parameter(rest: &[u8]) -> Option<&[u8]> {
-    let short = |at: usize| rest.get(at..at + 2).map(|n| u16::from_be_bytes([n[0], n[1]]) as usize);
+    let short = |at: usize| {
+        rest.get(at..at + 2)
+            .map(|n| u16::from_be_bytes([n[0], n[1]]) as usize)
+    };
     let at = 2 + 2 * short(0)?;
     (short(at)? > 0).then_some(())?;
-    let len = rest.get(at + 2..at + 6).map(|n| u32::from_be_bytes([n[0], n[1], n[2], n[3]]) as usize)?;
+    let len = rest
+        .get(at + 2..at + 6)
+        .map(|n| u32::from_be_bytes([n[0], n[1], n[2], n[3]]) as usize)?;
     rest.get(at + 6..at + 6 + len)
 }
--- a/crates/lab/src/engine/wire_events.rs
+++ b/crates/lab/src/engine/wire_events.rs
@@ -50,8 +50,14 @@
             let mut words = line.split_whitespace();
             let (first, second) = words.next().zip(words.next())?;
             // A front names the word first, an engine the id.
-            let (word, id) = if WORDS.contains(&first) { (first, second) } else { (second, first) };
-            WORDS.contains(&word).then(|| (word.to_string(), id.to_string()))
+            let (word, id) = if WORDS.contains(&first) {
+                (first, second)
+            } else {
+                (second, first)
+            };
+            WORDS
+                .contains(&word)
+                .then(|| (word.to_string(), id.to_string()))
         };
         text.lines().filter_map(word).collect()
     }
--- a/crates/lab/src/engine/wire_events_tests.rs
+++ b/crates/lab/src/engine/wire_events_tests.rs
@@ -4,16 +4,23 @@
 
 fn taken(chunks: &[&str]) -> Vec<(String, String)> {
     let mut lines = Lines::default();
-    chunks.iter().flat_map(|chunk| lines.take(chunk.as_bytes())).collect()
+    chunks
+        .iter()
+        .flat_map(|chunk| lines.take(chunk.as_bytes()))
+        .collect()
 }
 
 fn verbs(pairs: &[(&str, &str)]) -> Vec<(String, String)> {
-    pairs.iter().map(|(verb, id)| (verb.to_string(), id.to_string())).collect()
+    pairs
+        .iter()
+        .map(|(verb, id)| (verb.to_string(), id.to_string()))
+        .collect()
 }
 
 #[test]
 fn verbs_are_found_wherever_the_bytes_are_cut() {
-    let said = "want 1a class=x,wait=5 9\r\nid=s1,ms=1\r\nhurry 1a 2\r\nnever_mind 1a\r\nbusy p1\r\n";
+    let said =
+        "want 1a class=x,wait=5 9\r\nid=s1,ms=1\r\nhurry 1a 2\r\nnever_mind 1a\r\nbusy p1\r\n";
     let all = verbs(&[("want", "1a"), ("never_mind", "1a")]);
     assert_eq!(taken(&[said]), all);
     for cut in 0..said.len() {
--- a/crates/lab/src/hard/engines.rs
+++ b/crates/lab/src/hard/engines.rs
@@ -20,14 +20,19 @@
         assert_eq!(heard(&mut s), ("12DDsZ".into(), String::new(), 'T'));
         let holder = stage.holder("p");
         stage.tell(holder, "draining");
-        until("the engine is let go of", || stage.engines[holder].connections() == 0);
+        until("the engine is let go of", || {
+            stage.engines[holder].connections() == 0
+        });
         let before = stage.deeds().len();
         if first == "fetch" {
             s.execute("c", 2);
             s.sync();
             s.send().unwrap();
             assert_eq!(heard(&mut s), ("EZ".into(), "40001".into(), 'E'));
-            assert_eq!(ask(&mut s, &run("x", "")), ("EZ".into(), "25P02".into(), 'E'));
+            assert_eq!(
+                ask(&mut s, &run("x", "")),
+                ("EZ".into(), "25P02".into(), 'E')
+            );
             assert_eq!(ask(&mut s, "COMMIT"), ("CZ".into(), String::new(), 'I'));
         } else if first == "COMMIT" {
             // It has not come to pass, and is not to seem so.
@@ -53,7 +58,11 @@
         stage.engines[0].faults.lost_commits.store(lost, SeqCst);
         assert_eq!(ask(&mut s, "COMMIT"), ("EZ".into(), "08007".into(), 'I'));
         assert_eq!((stage.kept("a"), stage.began("a").len()), (kept, 1));
-        assert_eq!(stage.engines[0].faults.played.load(SeqCst), 1, "asked for once");
+        assert_eq!(
+            stage.engines[0].faults.played.load(SeqCst),
+            1,
+            "asked for once"
+        );
         stage.engines[0].faults.lost_commits.store(0, SeqCst);
         assert_eq!(ask(&mut s, &run("b", "")).0, "TDCZ");
     }
@@ -67,7 +76,9 @@
     s.ask("s", "id=a,rows=1").unwrap();
     let (holder, other) = (stage.holder("a"), 1 - stage.holder("a"));
     stage.tell(holder, "draining");
-    until("the engine is let go of", || stage.engines[holder].connections() == 0);
+    until("the engine is let go of", || {
+        stage.engines[holder].connections() == 0
+    });
     stage.engines[other].faults.refused_parses.store(1, SeqCst);
     s.bind("", "s", "id=b,rows=1");
     s.execute("", 0);
@@ -88,12 +99,18 @@
     assert_eq!(stage.began("long").len(), 1);
     ask(&mut s, &run("quick", ""));
     let hung = &stage.engines[stage.holder("quick")];
-    hung.faults.stalled_until.store((stage.records.now() + 30_000_000) as u64, SeqCst);
+    hung.faults
+        .stalled_until
+        .store((stage.records.now() + 30_000_000) as u64, SeqCst);
     // Some of these land there; each is tried elsewhere, long before its time is up.
     for n in 0..6 {
         let since = Instant::now();
         assert_eq!(ask(&mut s, &run(&format!("h{n}"), "")).0, "TDCZ");
-        assert!(since.elapsed() < Duration::from_secs(6), "{:?}", since.elapsed());
+        assert!(
+            since.elapsed() < Duration::from_secs(6),
+            "{:?}",
+            since.elapsed()
+        );
     }
 }
 
@@ -102,7 +119,8 @@
     let stage = stage(1, "prepared: 2, engine_connections: 1");
     let mut s = stage.open();
     for n in 0..5 {
-        s.prepare(&format!("s{n}"), &format!("select run($1) /* {n} */")).unwrap();
+        s.prepare(&format!("s{n}"), &format!("select run($1) /* {n} */"))
+            .unwrap();
     }
     for n in (0..20).map(|n| n * 3 % 5) {
         s.ask(&format!("s{n}"), &format!("id=x{n},rows=1")).unwrap();
@@ -145,18 +163,27 @@
         .skip(1)
         .collect();
     let (set, reset) = ("SET search_path = one", "RESET ALL");
-    assert_eq!(told, [reset, set, "a0", reset, "b0", reset, set, "a1", reset, "b1"]);
+    assert_eq!(
+        told,
+        [reset, set, "a0", reset, "b0", reset, set, "a1", reset, "b1"]
+    );
 }
 
 #[test]
 fn fronts_tell_each_other_of_an_engine_that_dies_and_believe_no_stranger() {
     let folder = std::env::temp_dir().join(format!("hallmux-lab-keys-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
+    let hex = |bytes: &[u8]| {
+        bytes
+            .iter()
+            .map(|byte| format!("{byte:02x}"))
+            .collect::<String>()
+    };
     let secret = |n: usize| [n as u8 + 1; 32];
     // Two that know each other, and a third that both do not know.
-    let keys: Vec<String> =
-        (0..2).map(|n| hex(&hallmux_gossip::seal::Identity::new(&secret(n), 0).public_key())).collect();
+    let keys: Vec<String> = (0..2)
+        .map(|n| hex(&hallmux_gossip::seal::Identity::new(&secret(n), 0).public_key()))
+        .collect();
     let known = format!("peers: {{ one: '{}', two: '{}' }}", keys[0], keys[1]);
     let mut seeds = String::new();
     let mut stages = Vec::new();
@@ -179,9 +206,17 @@
             ask(&mut s, &run(&format!("{n}x{m}"), ""));
         }
     }
-    until("the second hears of it", || stages[1].front.logged("front one says of engine").is_some());
-    until("the first hears of it", || stages[0].front.logged("front two says of engine").is_some());
-    until("a stranger is refused", || stages[1].front.logged("Stranger").is_some());
-    assert!(stages.iter().all(|stage| stage.front.logged("front ? says").is_none()));
+    until("the second hears of it", || {
+        stages[1].front.logged("front one says of engine").is_some()
+    });
+    until("the first hears of it", || {
+        stages[0].front.logged("front two says of engine").is_some()
+    });
+    until("a stranger is refused", || {
+        stages[1].front.logged("Stranger").is_some()
+    });
+    assert!(stages
+        .iter()
+        .all(|stage| stage.front.logged("front ? says").is_none()));
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/lab/src/hard/keys.rs
+++ b/crates/lab/src/hard/keys.rs
@@ -12,15 +12,30 @@
 fn the_same_key_from_both_protocols() {
     let stage = stage(1, LIMITS);
     let label = "/*hallmux.workload='load',hallmux.key='k',hallmux.dedup_key='u2'*/ ";
-    let fields = [("verb", "load"), ("team", "acme"), ("limit", "8000"), ("item", "k"), ("unique", "u1")];
+    let fields = [
+        ("verb", "load"),
+        ("team", "acme"),
+        ("limit", "8000"),
+        ("item", "k"),
+        ("unique", "u1"),
+    ];
     let lines_at = stage.front.lines;
     let first = std::thread::spawn(move || lines::ask(lines_at, 1, &fields, "id=a,key=k,ms=400"));
     until("the first runs", || !stage.began("a").is_empty());
     let mut s = stage.open();
-    assert_eq!(ask(&mut s, &format!("{label}{}", run("b", ",key=k"))).0, "TDCZ");
+    assert_eq!(
+        ask(&mut s, &format!("{label}{}", run("b", ",key=k"))).0,
+        "TDCZ"
+    );
     let order: Vec<_> = stage.deeds().into_iter().map(|d| d.2).collect();
     let at = |kind: Kind| order.iter().position(|k| *k == kind).unwrap();
-    assert!(at(Kind::Ended { id: "a".into() }) < at(Kind::Began { id: "b".into(), key: "k".into() }));
+    assert!(
+        at(Kind::Ended { id: "a".into() })
+            < at(Kind::Began {
+                id: "b".into(),
+                key: "k".into()
+            })
+    );
     first.join().unwrap();
 }
 
@@ -28,16 +43,23 @@
 fn a_transaction_keeps_the_turn_of_its_key_until_it_ends() {
     for end in ["COMMIT", "ROLLBACK", ""] {
         let stage = stage(2, LIMITS);
-        let load =
-            |n: usize| format!("/*hallmux.workload='load',hallmux.key='k',hallmux.dedup_key='u{n}'*/ ");
+        let load = |n: usize| {
+            format!("/*hallmux.workload='load',hallmux.key='k',hallmux.dedup_key='u{n}'*/ ")
+        };
         let mut s = stage.open();
         ask(&mut s, "BEGIN");
-        assert_eq!(ask(&mut s, &format!("{}{}", load(1), run("a", ",key=k"))).2, 'T');
+        assert_eq!(
+            ask(&mut s, &format!("{}{}", load(1), run("a", ",key=k"))).2,
+            'T'
+        );
         let mut other = stage.open();
         other.query(&format!("{}{}", load(2), run("b", ",key=k")));
         other.send().unwrap();
         // Its own further statement goes ahead of the one that waits.
-        assert_eq!(ask(&mut s, &format!("{}{}", load(3), run("c", ",key=k,ms=50"))).0, "TDCZ");
+        assert_eq!(
+            ask(&mut s, &format!("{}{}", load(3), run("c", ",key=k,ms=50"))).0,
+            "TDCZ"
+        );
         assert!(stage.began("b").is_empty());
         match end {
             "" => drop(s),
@@ -45,7 +67,11 @@
         }
         assert_eq!(heard(&mut other).0, "TDCZ");
         let kept = end == "COMMIT";
-        assert_eq!((stage.kept("a"), stage.kept("c"), stage.kept("b")), (kept, kept, true), "{end}");
+        assert_eq!(
+            (stage.kept("a"), stage.kept("c"), stage.kept("b")),
+            (kept, kept, true),
+            "{end}"
+        );
     }
 }
 
@@ -61,18 +87,31 @@
         let mut client = (!new).then(|| lines::Client::open(stage.front.lines).unwrap());
         let mut sessions: Vec<Session> = (0..2).map(|_| stage.open()).collect();
         // Served before, so that none of them is new to the front.
-        sessions.iter_mut().for_each(|s| assert_eq!(ask(s, &run("before", "")).0, "TDCZ"));
+        sessions
+            .iter_mut()
+            .for_each(|s| assert_eq!(ask(s, &run("before", "")).0, "TDCZ"));
         stage.front.signal(Signal::SIGSTOP);
         until("it stands still", || stands_still(&stage.front));
         let ids = [0, 1, 2].map(|n| format!("{round}x{n}"));
         for (n, id) in ids.iter().enumerate() {
             if n == if lines_first { 0 } else { 1 } {
                 let dedup = format!("d{id}");
-                let fields = [("verb", "load"), ("team", "acme"), ("limit", "8000"), ("item", "k")];
+                let fields = [
+                    ("verb", "load"),
+                    ("team", "acme"),
+                    ("limit", "8000"),
+                    ("item", "k"),
+                ];
                 let fields = [&fields[..], &[("unique", dedup.as_str())]].concat();
-                let mut own =
-                    client.take().unwrap_or_else(|| lines::Client::open(stage.front.lines).unwrap());
-                own.send(round as u64 * 10 + n as u64, &fields, &format!("id={id},key=k,ms=1")).unwrap();
+                let mut own = client
+                    .take()
+                    .unwrap_or_else(|| lines::Client::open(stage.front.lines).unwrap());
+                own.send(
+                    round as u64 * 10 + n as u64,
+                    &fields,
+                    &format!("id={id},key=k,ms=1"),
+                )
+                .unwrap();
                 client = Some(own);
             } else {
                 let s = &mut sessions[if n == 2 { 1 } else { 0 }];
@@ -82,7 +121,9 @@
         }
         stage.front.signal(Signal::SIGCONT);
         assert_eq!(client.unwrap().answer(), Outcome::Completed { rows: 1 });
-        sessions.iter_mut().for_each(|s| assert_eq!(heard(s).0, "TDCZ"));
+        sessions
+            .iter_mut()
+            .for_each(|s| assert_eq!(heard(s).0, "TDCZ"));
         let ran: Vec<String> = stage
             .deeds()
             .into_iter()
--- a/crates/lab/src/hard/sessions.rs
+++ b/crates/lab/src/hard/sessions.rs
@@ -30,8 +30,14 @@
         }
         assert_eq!(ask(&mut s, &run("d", ",ms=30")).0, "TDCZ");
     }
-    let hit: Vec<_> = stage.deeds().into_iter().filter(|d| matches!(d.2, Kind::Cancelled { .. })).collect();
-    let ids = ["cfalse", "ctrue"].map(|id| Kind::Cancelled { id: Some(id.into()) });
+    let hit: Vec<_> = stage
+        .deeds()
+        .into_iter()
+        .filter(|d| matches!(d.2, Kind::Cancelled { .. }))
+        .collect();
+    let ids = ["cfalse", "ctrue"].map(|id| Kind::Cancelled {
+        id: Some(id.into()),
+    });
     assert_eq!(hit.into_iter().map(|d| d.2).collect::<Vec<_>>(), ids);
 }
 
@@ -49,10 +55,24 @@
         s.sync();
     }
     s.send().unwrap();
-    let heard: Vec<_> = (0..4).map(|_| heard(&mut s)).map(|(tags, code, _)| (tags, code)).collect();
-    let expected = [("1Z", ""), ("2DC2DCZ", ""), ("2EZ", "23505"), ("2DC2DCZ", "")];
-    assert_eq!(heard, expected.map(|(tags, code)| (tags.to_string(), code.to_string())));
-    assert_eq!((stage.began("then-b").len(), stage.began("then-c").len()), (0, 1));
+    let heard: Vec<_> = (0..4)
+        .map(|_| heard(&mut s))
+        .map(|(tags, code, _)| (tags, code))
+        .collect();
+    let expected = [
+        ("1Z", ""),
+        ("2DC2DCZ", ""),
+        ("2EZ", "23505"),
+        ("2DC2DCZ", ""),
+    ];
+    assert_eq!(
+        heard,
+        expected.map(|(tags, code)| (tags.to_string(), code.to_string()))
+    );
+    assert_eq!(
+        (stage.began("then-b").len(), stage.began("then-c").len()),
+        (0, 1)
+    );
 }
 
 #[test]
@@ -119,7 +139,11 @@
     until("it runs", || !stage.began("b").is_empty());
     drop(leaves);
     until("its end was asked for", || {
-        stage.deeds().iter().any(|d| d.2 == Kind::Cancelled { id: Some("b".into()) })
+        stage.deeds().iter().any(|d| {
+            d.2 == Kind::Cancelled {
+                id: Some("b".into()),
+            }
+        })
     });
     assert!(!stage.kept("a"));
 }
@@ -127,16 +151,27 @@
 #[test]
 fn a_password_opens_a_session_and_a_wrong_one_does_not() {
     let stage = stage(1, LIMITS);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     runtime.block_on(async {
         let at = |password: &str, user: &str| {
             let port = stage.front.sessions.port();
             format!("host=127.0.0.1 port={port} user={user} dbname=x password={password}")
         };
-        let connect = |at: String| async move { tokio_postgres::connect(&at, tokio_postgres::NoTls).await };
+        let connect =
+            |at: String| async move { tokio_postgres::connect(&at, tokio_postgres::NoTls).await };
         let (client, connection) = connect(at("example", "locked")).await.unwrap();
         tokio::spawn(connection);
-        assert_eq!(client.query("select run($1)", &[&"id=a,rows=2"]).await.unwrap().len(), 2);
+        assert_eq!(
+            client
+                .query("select run($1)", &[&"id=a,rows=2"])
+                .await
+                .unwrap()
+                .len(),
+            2
+        );
         for (password, user) in [("wrong", "locked"), ("example", "stranger")] {
             let refused = connect(at(password, user)).await.err().unwrap();
             assert_eq!(refused.code().unwrap().code(), "28P01");
@@ -146,10 +181,15 @@
 
 #[test]
 fn the_silent_go_first_when_descriptors_are_short_and_what_a_session_holds_is_bounded() {
-    let stage = stage_with(1, "start_up_ms: 400, statements: 2, portals: 2, message_bytes: 4096", 64);
+    let stage = stage_with(
+        1,
+        "start_up_ms: 400, statements: 2, portals: 2, message_bytes: 4096",
+        64,
+    );
     // Half of the descriptors are clients'. These say nothing, and are closed.
-    let silent: Vec<_> =
-        (0..32).map(|_| std::net::TcpStream::connect(stage.front.sessions).unwrap()).collect();
+    let silent: Vec<_> = (0..32)
+        .map(|_| std::net::TcpStream::connect(stage.front.sessions).unwrap())
+        .collect();
     let mut first = stage.open();
     drop(silent);
     assert_eq!(ask(&mut first, &run("a", "")).0, "TDCZ");
--- a/crates/lab/src/hard/stage.rs
+++ b/crates/lab/src/hard/stage.rs
@@ -20,11 +20,18 @@
 
     pub(super) fn tell(&self, engine: usize, state: &str) {
         let e = &self.engines[engine];
-        self.coordinator.tell(false, &[(format!("e{engine}"), e.at, "pg", state)]);
+        self.coordinator
+            .tell(false, &[(format!("e{engine}"), e.at, "pg", state)]);
     }
 
     pub(super) fn deeds(&self) -> Vec<(usize, u32, Kind)> {
-        self.records.deeds.lock().unwrap().iter().map(|d| (d.engine, d.link, d.kind.clone())).collect()
+        self.records
+            .deeds
+            .lock()
+            .unwrap()
+            .iter()
+            .map(|d| (d.engine, d.link, d.kind.clone()))
+            .collect()
     }
 
     /// Where a statement began, in order.
@@ -37,7 +44,9 @@
     }
 
     pub(super) fn kept(&self, wanted: &str) -> bool {
-        self.deeds().iter().any(|(_, _, kind)| *kind == Kind::Kept { id: wanted.into() })
+        self.deeds()
+            .iter()
+            .any(|(_, _, kind)| *kind == Kind::Kept { id: wanted.into() })
     }
 
     /// The engine that has the only transaction that is open.
@@ -65,16 +74,21 @@
 /// The same with a further part of the operator's file.
 pub(super) fn stage_among(count: usize, limits: &str, sockets: usize, part: &str) -> Stage {
     let records = Records::new();
-    let engines: Vec<_> = (0..count).map(|n| Engine::start(n, records.clone(), true).unwrap()).collect();
+    let engines: Vec<_> = (0..count)
+        .map(|n| Engine::start(n, records.clone(), true).unwrap())
+        .collect();
     let lines_at = lines::engine(count, records.clone()).unwrap();
     let coordinator = Coordinator::start().unwrap();
-    let mut list: Vec<_> = engines.iter().map(|e| (format!("e{}", e.number), e.at, "pg", "up")).collect();
+    let mut list: Vec<_> = engines
+        .iter()
+        .map(|e| (format!("e{}", e.number), e.at, "pg", "up"))
+        .collect();
     list.push(("lines".to_string(), lines_at, "lines", "up"));
     coordinator.tell(true, &list);
-    let class =
-        |name: &str, repeat: &str| json!({"name": name, "aimMs": 2000, "deadlineMs": 8000, "repeat": repeat});
+    let class = |name: &str, repeat: &str| json!({"name": name, "aimMs": 2000, "deadlineMs": 8000, "repeat": repeat});
     let mut load = class("load", "by_key");
-    (load["group"], load["dedupWindowMs"], load["inTurn"]) = (json!("all"), json!(9000), json!(true));
+    (load["group"], load["dedupWindowMs"], load["inTurn"]) =
+        (json!("all"), json!(9000), json!(true));
     let settings = json!({"instances": 1, "areas": ["here"], "kinds": ["pg", "lines"],
         "rules": {"turnGapMs": 50}, "customers": [{"name": "acme"}],
         "bounds": {"cancelling": true, "mostTries": 3, "retryAfter": true},
@@ -89,7 +103,12 @@
         limits: {{ {limits} }} }} }}"
     );
     let front = Front::start(&settings, &operator, &coordinator, sockets).unwrap();
-    Stage { records, engines, coordinator, front }
+    Stage {
+        records,
+        engines,
+        coordinator,
+        front,
+    }
 }
 
 pub(super) fn until(what: &str, mut holds: impl FnMut() -> bool) {
@@ -109,8 +128,16 @@
 
 pub(super) fn heard(s: &mut Session) -> (String, String, char) {
     let unit = s.unit().unwrap();
-    let error = unit.iter().find(|m| m.0 == b'E').map(code).unwrap_or_default();
-    (tags(&unit), error, unit.last().map_or(' ', |m| m.1[0] as char))
+    let error = unit
+        .iter()
+        .find(|m| m.0 == b'E')
+        .map(code)
+        .unwrap_or_default();
+    (
+        tags(&unit),
+        error,
+        unit.last().map_or(' ', |m| m.1[0] as char),
+    )
 }
 
 pub(super) fn run(id: &str, more: &str) -> String {
@@ -120,5 +147,7 @@
 /// Whether its process is stopped, as the system has it.
 pub(super) fn stands_still(front: &Front) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", front.pid())).unwrap_or_default();
-    stat.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T'))
+    stat.rsplit(") ")
+        .next()
+        .is_some_and(|rest| rest.starts_with('T'))
 }
--- a/crates/lab/src/load/offer.rs
+++ b/crates/lab/src/load/offer.rs
@@ -37,7 +37,10 @@
         let client = Client {
             number,
             class,
-            key: scenario.classes[class].keys.checked_sub(1).map(|most| chance.random_range(0..=most)),
+            key: scenario.classes[class]
+                .keys
+                .checked_sub(1)
+                .map(|most| chance.random_range(0..=most)),
             seed: chance.random(),
             scenario: scenario.clone(),
         };
@@ -69,8 +72,14 @@
             let here: Vec<&Arc<Member>> = (members.iter())
                 .filter(|m| m.takes(record.records.now()) && !before.contains(&m.number))
                 .collect();
-            let Some(member) = here.get(chance.random_range(0..here.len().max(1))) else { return };
-            let address = member.front.lock().ok().and_then(|f| f.as_ref().map(|f| f.lines));
+            let Some(member) = here.get(chance.random_range(0..here.len().max(1))) else {
+                return;
+            };
+            let address = member
+                .front
+                .lock()
+                .ok()
+                .and_then(|f| f.as_ref().map(|f| f.lines));
             let Some(address) = address else { return };
             let outcome = self.ask(member, address, record, !before.is_empty());
             // A lost or aborted one may have run: again only as its workload allows.
@@ -92,13 +101,24 @@
         let id = format!("s{}", self.number);
         let timeout_ms = class.timeout_ms.unwrap_or(load.timeout_ms);
         let work_ms = class.work_ms.unwrap_or(load.work_ms);
-        let owner =
-            if self.scenario.fleet.keys_by_front { format!("-f{}", member.number) } else { String::new() };
-        let key = self.key.map(|key| format!("{}-{key}{owner}", class.name)).unwrap_or_default();
+        let owner = if self.scenario.fleet.keys_by_front {
+            format!("-f{}", member.number)
+        } else {
+            String::new()
+        };
+        let key = self
+            .key
+            .map(|key| format!("{}-{key}{owner}", class.name))
+            .unwrap_or_default();
         let now = || record.records.now();
-        let mut asked = StatementRecord::new(id.clone(), now(), timeout_ms as i64 * 1000, class.repeat());
+        let mut asked =
+            StatementRecord::new(id.clone(), now(), timeout_ms as i64 * 1000, class.repeat());
         (asked.rows, asked.key) = (1, key.clone());
-        let (limit, work, memory) = (timeout_ms.to_string(), work_ms.to_string(), load.memory_mb.to_string());
+        let (limit, work, memory) = (
+            timeout_ms.to_string(),
+            work_ms.to_string(),
+            load.memory_mb.to_string(),
+        );
         let unique = format!("u{}", self.number);
         let mut fields = vec![
             ("verb", class.name.as_str()),
@@ -135,7 +155,14 @@
         let barred = !later && soon && matches!(&outcome, Outcome::Error(code) if code == "53000");
         let (front, class) = (member.number, self.class);
         if let Ok(mut all) = record.asked.lock() {
-            all.push(Offered { front, class, asked, barred, again, starved });
+            all.push(Offered {
+                front,
+                class,
+                asked,
+                barred,
+                again,
+                starved,
+            });
         }
         outcome
     }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -116,9 +116,18 @@
     fn spoils(self) -> Spoil {
         let whole = Spoil::default();
         match self {
-            Without::Act => Spoil { acts_first: true, ..whole },
-            Without::Identity => Spoil { keeps_identity: true, ..whole },
-            Without::Save => Spoil { sends_first: true, ..whole },
+            Without::Act => Spoil {
+                acts_first: true,
+                ..whole
+            },
+            Without::Identity => Spoil {
+                keeps_identity: true,
+                ..whole
+            },
+            Without::Save => Spoil {
+                sends_first: true,
+                ..whole
+            },
         }
     }
 }
@@ -156,17 +165,44 @@
 
 fn main() -> ExitCode {
     let (seed, units, rounds) = match Lab::parse().what {
-        What::Prove { subject: Subject::Soak, seed, other, .. } => {
+        What::Prove {
+            subject: Subject::Soak,
+            seed,
+            other,
+            ..
+        } => {
             let seed = seed.unwrap_or_else(|| u64::from(rand::random::<u32>()));
             return proof_result("soak", seed, prove::soak::run(seed, other.as_deref()));
         }
-        What::Prove { subject: Subject::Postgres, seed, units, rounds, .. } => (seed, units, rounds),
         What::Prove {
-            seed, small, simulated, fronts, copies, only, long, minutes, other, without, ..
+            subject: Subject::Postgres,
+            seed,
+            units,
+            rounds,
+            ..
+        } => (seed, units, rounds),
+        What::Prove {
+            seed,
+            small,
+            simulated,
+            fronts,
+            copies,
+            only,
+            long,
+            minutes,
+            other,
+            without,
+            ..
         } => {
             let seed = seed.unwrap_or_else(|| u64::from(rand::random::<u32>()));
             let spoil = without.map(Without::spoils).unwrap_or_default();
-            let way = prove::promises::Way { small, simulated, fronts, copies, spoil };
+            let way = prove::promises::Way {
+                small,
+                simulated,
+                fronts,
+                copies,
+                spoil,
+            };
             if let Some(only) = only {
                 let played = match only {
                     Only::Disks => prove::disks::run(seed, small),
@@ -182,8 +218,19 @@
             }
             return proof_result("promises", seed, prove::promises::run(seed, way));
         }
-        What::Fleet { scenario, seed, beside_quorum, simulated, fronts } => {
-            let options = FleetOptions { seed, beside_quorum, simulated, fronts };
+        What::Fleet {
+            scenario,
+            seed,
+            beside_quorum,
+            simulated,
+            fronts,
+        } => {
+            let options = FleetOptions {
+                seed,
+                beside_quorum,
+                simulated,
+                fronts,
+            };
             return fleet_run(&scenario, options);
         }
         What::Measure { subject } => {
@@ -206,7 +253,15 @@
         }
     };
     let seed = seed.unwrap_or_else(|| u64::from(rand::random::<u32>()));
-    proof_result("postgres", seed, prove::postgres::run(prove::postgres::Size { seed, units, rounds }))
+    proof_result(
+        "postgres",
+        seed,
+        prove::postgres::run(prove::postgres::Size {
+            seed,
+            units,
+            rounds,
+        }),
+    )
 }
 
 /// Prints the last line of a proof.
@@ -228,7 +283,12 @@
 }
 
 fn fleet_run(path: &std::path::Path, options: FleetOptions) -> ExitCode {
-    let FleetOptions { seed, beside_quorum, simulated, fronts } = options;
+    let FleetOptions {
+        seed,
+        beside_quorum,
+        simulated,
+        fronts,
+    } = options;
     let read = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()));
     let scenario = match read.and_then(|text| scenario::Scenario::parse(&text, simulated, fronts)) {
         Ok(scenario) => scenario,
@@ -238,11 +298,24 @@
         }
     };
     let seed = fleet::seed(&scenario, seed);
-    let name = path.file_stem().map(|s| s.to_string_lossy().to_string()).unwrap_or_default();
-    let name = if simulated { format!("{name} (simulated, {} fronts)", scenario.fleet.fronts) } else { name };
-    let play = if simulated { simulated::run } else { fleet::run };
+    let name = path
+        .file_stem()
+        .map(|s| s.to_string_lossy().to_string())
+        .unwrap_or_default();
+    let name = if simulated {
+        format!("{name} (simulated, {} fronts)", scenario.fleet.fronts)
+    } else {
+        name
+    };
+    let play = if simulated {
+        simulated::run
+    } else {
+        fleet::run
+    };
     let passed = match beside_quorum {
-        Some(quorum) => fleet_beside(&scenario, &format!("{name} seed {seed}"), quorum, &|s| play(s, seed)),
+        Some(quorum) => fleet_beside(&scenario, &format!("{name} seed {seed}"), quorum, &|s| {
+            play(s, seed)
+        }),
         None => fleet_result(&format!("{name} seed {seed}"), play(&scenario, seed)),
     };
     exit_code(passed)
@@ -258,13 +331,18 @@
     let mut other = scenario.clone();
     other.fleet.zone_quorum = Some(quorum);
     let mut all_passed = true;
-    for (label, played) in
-        [(format!("zone_quorum {quorum}"), &other), ("as the file says".to_string(), scenario)]
-    {
+    for (label, played) in [
+        (format!("zone_quorum {quorum}"), &other),
+        ("as the file says".to_string(), scenario),
+    ] {
         match play(played) {
             Ok(run) => {
                 all_passed &= run.passed();
-                println!("fleet {name} ({label}): {} {}", verdict(run.passed()), run.line())
+                println!(
+                    "fleet {name} ({label}): {} {}",
+                    verdict(run.passed()),
+                    run.line()
+                )
             }
             Err(why) => {
                 all_passed = false;
@@ -286,7 +364,10 @@
     };
     print!("{}", run.table);
     for (rule, seen) in &run.violations {
-        println!("violation {rule}: {}", seen.iter().take(5).cloned().collect::<Vec<_>>().join("; "));
+        println!(
+            "violation {rule}: {}",
+            seen.iter().take(5).cloned().collect::<Vec<_>>().join("; ")
+        );
     }
     let pids: Vec<String> = run.pids.iter().map(u32::to_string).collect();
     println!("pids {}", pids.join(","));
--- a/crates/lab/src/measure/fleet.rs
+++ b/crates/lab/src/measure/fleet.rs
@@ -49,7 +49,10 @@
             row(&scenario, ("owner-stall", &way), &OWNED)?;
         }
     }
-    println!("| day | fronts | the fleet's word | {} |", FIGURES.join(" | "));
+    println!(
+        "| day | fronts | the fleet's word | {} |",
+        FIGURES.join(" | ")
+    );
     println!("| --- | --- | --- |{}", " --- |".repeat(FIGURES.len()));
     for (day, text) in [("zone-return", RETURN), ("zone-away", AWAY)] {
         for size in SIZES {
@@ -66,10 +69,14 @@
 /// Plays a scenario on each seed at once; an error where a rule is broken.
 pub fn runs(scenario: &Scenario, what: &str) -> Result<Vec<Run>, String> {
     let runs: Vec<Result<Run, String>> = std::thread::scope(|scope| {
-        let started: Vec<_> =
-            SEEDS.iter().map(|seed| scope.spawn(move || simulated::run(scenario, *seed))).collect();
+        let started: Vec<_> = SEEDS
+            .iter()
+            .map(|seed| scope.spawn(move || simulated::run(scenario, *seed)))
+            .collect();
         let ended = started.into_iter().map(|run| run.join());
-        ended.map(|run| run.unwrap_or_else(|_| Err("a run panicked".to_string()))).collect()
+        ended
+            .map(|run| run.unwrap_or_else(|_| Err("a run panicked".to_string())))
+            .collect()
     });
     let runs: Vec<Run> = runs.into_iter().collect::<Result<_, _>>()?;
     match runs.iter().find(|run| !run.passed()) {
@@ -83,7 +90,10 @@
     let size = scenario.fleet.fronts;
     let runs = runs(scenario, &format!("{day}, {size} fronts, {way}"))?;
     let cell = |figure: &&str| {
-        let values: Vec<i64> = runs.iter().filter_map(|run| run.tallies.get(*figure).copied()).collect();
+        let values: Vec<i64> = runs
+            .iter()
+            .filter_map(|run| run.tallies.get(*figure).copied())
+            .collect();
         match (values.iter().min(), values.iter().max()) {
             (Some(least), Some(most)) => format!("{} ({least}-{most})", median(values.clone())),
             _ => "-".to_string(),
--- a/crates/lab/src/measure/gossip.rs
+++ b/crates/lab/src/measure/gossip.rs
@@ -33,7 +33,12 @@
             let at = fleet.now;
             fleet.report_sightings(
                 reporter,
-                vec![Sighting { engine, failed: 9, silent_ms: 3000, ..Sighting::default() }],
+                vec![Sighting {
+                    engine,
+                    failed: 9,
+                    silent_ms: 3000,
+                    ..Sighting::default()
+                }],
             );
             let mut heard = 0;
             while heard < size - 1 && fleet.now < at + 8 * SECOND {
@@ -51,7 +56,10 @@
         }
         let seconds = (fleet.now - since) as f64 / 1e6;
         let sent = fleet.sent();
-        let most = sent.iter().zip(&before).map(|(after, before)| (after - before) as f64 / seconds);
+        let most = sent
+            .iter()
+            .zip(&before)
+            .map(|(after, before)| (after - before) as f64 / seconds);
         let most = most.fold(0.0, f64::max);
         let wall = began.elapsed().as_secs_f64();
         println!("| {size} | {loss} | {nine:?} | {all:?} | {most:.0} | {wall:.0} |");
--- a/crates/lab/src/measure/grown.rs
+++ b/crates/lab/src/measure/grown.rs
@@ -30,12 +30,22 @@
 }
 
 fn day(fronts: usize, copies: usize, faults: Vec<Fault>) -> Scenario {
-    let way = Way { small: true, simulated: true, fronts: Some(fronts), copies, ..Way::default() };
+    let way = Way {
+        small: true,
+        simulated: true,
+        fronts: Some(fronts),
+        copies,
+        ..Way::default()
+    };
     let mut scenario = draw(SEED, way);
     (scenario.faults, scenario.seconds) = (faults, SECONDS);
     scenario.load.per_second = PER_FRONT * fronts as u64;
     // As many keys for each front: whoever waits for another's key measures that.
-    scenario.classes.iter_mut().filter(|c| c.keys > 0).for_each(|c| c.keys = fronts * 20);
+    scenario
+        .classes
+        .iter_mut()
+        .filter(|c| c.keys > 0)
+        .for_each(|c| c.keys = fronts * 20);
     scenario
 }
 
@@ -47,7 +57,9 @@
     };
     let mut took: Vec<f64> = (run.asked.iter().filter(own))
         .map(|o| {
-            let work = scenario.classes[o.class].work_ms.unwrap_or(scenario.load.work_ms);
+            let work = scenario.classes[o.class]
+                .work_ms
+                .unwrap_or(scenario.load.work_ms);
             (o.asked.answered - o.asked.sent) as f64 / 1000.0 - work as f64
         })
         .collect();
@@ -61,11 +73,17 @@
     let cpu_ms = began.elapsed().as_secs_f64() * 1000.0 / (fronts as f64 * SECONDS as f64);
     let tally = |run: &Run, key: &str| run.tallies.get(key).copied().unwrap_or(0);
     let bytes = tally(&run, "gossip_bytes_per_front_s") as f64;
-    let (promise_ms, plain_ms) = (beyond_work(&quiet, &run, true), beyond_work(&quiet, &run, false));
+    let (promise_ms, plain_ms) = (
+        beyond_work(&quiet, &run, true),
+        beyond_work(&quiet, &run, false),
+    );
     let (mut again_ms, mut late, mut refused) = (f64::NAN, 0, 0);
     if copies > 0 {
         let most = tally(&run, "keeps_most") as usize;
-        let lost = Fault { front: most, ..fault(What::LoseDisk, LOST_MS, GONE_MS) };
+        let lost = Fault {
+            front: most,
+            ..fault(What::LoseDisk, LOST_MS, GONE_MS)
+        };
         let day = day(fronts, copies, vec![lost]);
         let run = simulated::run(&day, SEED)?;
         if tally(&run, "copies_made_again") > 0 {
@@ -76,17 +94,33 @@
         let slo = |o: &Offered| day.classes[o.class].slo_ms as i64 * 1000;
         let came = |o: &Offered| matches!(o.asked.outcome, Outcome::Completed { .. });
         let others = || run.asked.iter().filter(after);
-        late = others().filter(|o| came(o) && o.asked.answered - o.asked.sent > slo(o)).count();
-        refused = others().filter(|o| matches!(o.asked.outcome, Outcome::Error(_))).count();
+        late = others()
+            .filter(|o| came(o) && o.asked.answered - o.asked.sent > slo(o))
+            .count();
+        refused = others()
+            .filter(|o| matches!(o.asked.outcome, Outcome::Error(_)))
+            .count();
     }
-    Ok(Row { fronts, bytes, cpu_ms, promise_ms, plain_ms, again_ms, late, refused })
+    Ok(Row {
+        fronts,
+        bytes,
+        cpu_ms,
+        promise_ms,
+        plain_ms,
+        again_ms,
+        late,
+        refused,
+    })
 }
 
 /// The slope of the logarithms by least squares.
 fn exponent(rows: &[Row], of: impl Fn(&Row) -> f64) -> f64 {
-    let points: Vec<(f64, f64)> =
-        rows.iter().map(|r| ((r.fronts as f64).ln(), of(r).max(1e-9).ln())).collect();
-    let mean = |of: &dyn Fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / points.len() as f64;
+    let points: Vec<(f64, f64)> = rows
+        .iter()
+        .map(|r| ((r.fronts as f64).ln(), of(r).max(1e-9).ln()))
+        .collect();
+    let mean =
+        |of: &dyn Fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / points.len() as f64;
     let (x, y) = (mean(&|p| p.0), mean(&|p| p.1));
     let above: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
     above / points.iter().map(|p| (p.0 - x).powi(2)).sum::<f64>()
@@ -101,7 +135,16 @@
     for fronts in SIZES {
         for copies in [0, 3] {
             let row = row(fronts, copies)?;
-            let Row { bytes, cpu_ms, promise_ms, plain_ms, again_ms, late, refused, .. } = row;
+            let Row {
+                bytes,
+                cpu_ms,
+                promise_ms,
+                plain_ms,
+                again_ms,
+                late,
+                refused,
+                ..
+            } = row;
             println!("| {fronts} | {copies} | {bytes:.0} | {cpu_ms:.2} | {promise_ms:.1} | {plain_ms:.1} | {again_ms:.0} | {late} | {refused} |");
             if copies > 0 {
                 rows.push(row);
--- a/crates/lab/src/measure/overload.rs
+++ b/crates/lab/src/measure/overload.rs
@@ -23,13 +23,20 @@
     "refused",
     "unanswered",
 ];
-const RELEASED: [&str; 4] =
-    ["released_connections_most_s", "released_probes_most_s", "released_connections", "released_in_time_pct"];
+const RELEASED: [&str; 4] = [
+    "released_connections_most_s",
+    "released_probes_most_s",
+    "released_connections",
+    "released_in_time_pct",
+];
 const BAR: i64 = 20; // statements a second that one sign of the plot stands for
 
 /// The middle, least and most of a figure over the runs.
 fn cell(runs: &[Run], figure: &str) -> (i64, String) {
-    let values: Vec<i64> = runs.iter().filter_map(|run| run.tallies.get(figure).copied()).collect();
+    let values: Vec<i64> = runs
+        .iter()
+        .filter_map(|run| run.tallies.get(figure).copied())
+        .collect();
     match (values.iter().min(), values.iter().max()) {
         (Some(least), Some(most)) => {
             let middle = median(values.clone());
@@ -46,12 +53,18 @@
 
 fn heads(first: &str, figures: &[&str]) {
     println!("| {first} | {} |", figures.join(" | "));
-    println!("|{}", " --- |".repeat(first.split('|').count() + figures.len()));
+    println!(
+        "|{}",
+        " --- |".repeat(first.split('|').count() + figures.len())
+    );
 }
 
 /// Prints the tables and the plot.
 pub fn measure() -> Result<(), String> {
-    heads("offered, % of what is borne | fronts | the fleet as one", &SHED);
+    heads(
+        "offered, % of what is borne | fronts | the fleet as one",
+        &SHED,
+    );
     let mut plot = Vec::new();
     let mut held = Vec::new();
     for size in SIZES {
@@ -68,7 +81,10 @@
         }
         for ((way, _), goodput) in WAYS.iter().zip(&goodput) {
             let peak = goodput.iter().max().copied().unwrap_or(0).max(1);
-            held.push(format!("| {size} | {way} | {} |", goodput.last().unwrap_or(&0) * 100 / peak));
+            held.push(format!(
+                "| {size} | {way} | {} |",
+                goodput.last().unwrap_or(&0) * 100 / peak
+            ));
             let bars = OFFERED.iter().zip(goodput).map(|(percent, good)| {
                 let bar = "#".repeat((good / BAR) as usize);
                 format!("{size:>4} {way:>4} {percent:>4} %  {bar} {good}")
@@ -93,9 +109,16 @@
     for size in SIZES.into_iter().chain([12]) {
         for most in [0, 10, 100] {
             let mut scenario = Scenario::parse(RELEASE, true, Some(size))?;
-            scenario.fleet.budgets = Budgets { connections_per_second: most, probes_per_second: most };
+            scenario.fleet.budgets = Budgets {
+                connections_per_second: most,
+                probes_per_second: most,
+            };
             let runs = runs(&scenario, &format!("release, {size} fronts, {most}"))?;
-            let way = if most == 0 { "off".to_string() } else { most.to_string() };
+            let way = if most == 0 {
+                "off".to_string()
+            } else {
+                most.to_string()
+            };
             row(&format!("{size} | {way}"), &runs, &RELEASED);
         }
     }
@@ -112,7 +135,11 @@
             scenario.fleet.sheds_as_one = as_one;
             let runs = runs(&scenario, &format!("customers, {size} fronts, {way}"))?;
             for (n, class) in scenario.classes.iter().enumerate() {
-                let asked: Vec<_> = runs.iter().flat_map(|run| &run.asked).filter(|o| o.class == n).collect();
+                let asked: Vec<_> = runs
+                    .iter()
+                    .flat_map(|run| &run.asked)
+                    .filter(|o| o.class == n)
+                    .collect();
                 let slo = class.slo_ms as i64 * 1000;
                 let in_time = asked.iter().filter(|o| {
                     let took = o.asked.answered.saturating_sub(o.asked.sent);
@@ -120,7 +147,10 @@
                 });
                 let share = in_time.count() * 100 / asked.len().max(1);
                 let (customer, workload) = (&class.customer, &class.name);
-                println!("| {size} | {way} | {customer}, {workload} | {} | {share} |", asked.len());
+                println!(
+                    "| {size} | {way} | {customer}, {workload} | {} | {share} |",
+                    asked.len()
+                );
             }
         }
     }
--- a/crates/lab/src/measure/portal.rs
+++ b/crates/lab/src/measure/portal.rs
@@ -21,7 +21,11 @@
 /// The median and how far the rounds lie apart.
 fn spread(values: &mut [f64]) -> (f64, f64, f64) {
     values.sort_by(f64::total_cmp);
-    (values[values.len() / 2], values[0], values[values.len() - 1])
+    (
+        values[values.len() / 2],
+        values[0],
+        values[values.len() - 1],
+    )
 }
 
 struct Target {
@@ -36,7 +40,11 @@
     let (client, connection) = tokio_postgres::connect(&at, NoTls).await.map_err(why)?;
     tokio::spawn(connection);
     let statement = client.prepare("select run($1)").await.map_err(why)?;
-    Ok(Target { port, client, statement })
+    Ok(Target {
+        port,
+        client,
+        statement,
+    })
 }
 
 /// Microseconds of one warm extended query after the other: median and 99th percentile.
@@ -45,12 +53,17 @@
     let began = Instant::now();
     while began.elapsed() < WARM + ROUND {
         let since = Instant::now();
-        let rows = target.client.query(&target.statement, &[&"id=1,rows=1,bytes=20"]).await;
+        let rows = target
+            .client
+            .query(&target.statement, &[&"id=1,rows=1,bytes=20"])
+            .await;
         if rows.map_err(|e| e.to_string())?.len() != 1 {
             return Err("not one row".into());
         }
         if began.elapsed() > WARM {
-            times.record(since.elapsed().as_nanos() as u64).map_err(|e| e.to_string())?;
+            times
+                .record(since.elapsed().as_nanos() as u64)
+                .map_err(|e| e.to_string())?;
         }
     }
     let at = |q| times.value_at_quantile(q) as f64 / 1000.0;
@@ -60,7 +73,10 @@
 /// Units a second from as many sessions at once as given, each with one on its way; scripted, so that the
 /// client's own work stays small.
 fn throughput(port: u16, sessions: usize) -> Result<f64, String> {
-    let (stop, count) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
+    let (stop, count) = (
+        Arc::new(AtomicBool::new(false)),
+        Arc::new(AtomicU64::new(0)),
+    );
     let mut threads = Vec::new();
     for _ in 0..sessions {
         let (stop, count) = (stop.clone(), count.clone());
@@ -81,7 +97,10 @@
     let rate = (count.load(SeqCst) - before) as f64 / since.elapsed().as_secs_f64();
     stop.store(true, SeqCst);
     for thread in threads {
-        thread.join().map_err(|_| "a client")?.map_err(|e| e.to_string())?;
+        thread
+            .join()
+            .map_err(|_| "a client")?
+            .map_err(|e| e.to_string())?;
     }
     Ok(rate)
 }
@@ -100,14 +119,24 @@
     let operator = "{ postgres: { listen: '127.0.0.1:0', engines: [{ kinds: ['pg'] }],
         users: { portal: { trust: true, workload: 'lookup' } }, limits: { sessions: 6000 } } }";
     let front = Front::start(&settings, operator, &coordinator, 16_000)?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(why)?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(why)?;
     let (mut direct, mut through) = ((Vec::new(), Vec::new()), (Vec::new(), Vec::new()));
     let (mut direct_rate, mut through_rate, mut cpu) = (Vec::new(), Vec::new(), Vec::new());
     let targets = runtime.block_on(async {
-        Ok::<_, String>((target(engine.at.port()).await?, target(front.sessions.port()).await?))
+        Ok::<_, String>((
+            target(engine.at.port()).await?,
+            target(front.sessions.port()).await?,
+        ))
     })?;
     let added = |all: &mut Vec<f64>, without: &[f64], with: &[f64]| {
-        all.extend(with.iter().zip(without).map(|(with, without)| with - without));
+        all.extend(
+            with.iter()
+                .zip(without)
+                .map(|(with, without)| with - without),
+        );
     };
     for _ in 0..ROUNDS {
         for (target, into) in [(&targets.0, &mut direct), (&targets.1, &mut through)] {
@@ -131,7 +160,9 @@
     let at = front.sessions;
     drop(Session::open(at, "portal", false).map_err(why)?);
     let before = front.memory_kb();
-    let idle: Result<Vec<Session>, _> = (0..IDLE).map(|_| Session::open(at, "portal", false)).collect();
+    let idle: Result<Vec<Session>, _> = (0..IDLE)
+        .map(|_| Session::open(at, "portal", false))
+        .collect();
     let idle = idle.map_err(why)?;
     std::thread::sleep(Duration::from_millis(2_500)); // until buffers at rest are let go of
     let each = (front.memory_kb() - before) as f64 * 1024.0 / idle.len() as f64;
@@ -146,11 +177,29 @@
     let (m, m0, m1) = spread(&mut medians);
     let (t, t0, t1) = spread(&mut tails);
     let last = format!("+{m:.0} ({m0:.0} to {m1:.0})");
-    row("warm extended query, median, us", &mut direct.0, &mut through.0, last, "+60");
+    row(
+        "warm extended query, median, us",
+        &mut direct.0,
+        &mut through.0,
+        last,
+        "+60",
+    );
     let last = format!("+{t:.0} ({t0:.0} to {t1:.0})");
-    row("the same, 99th percentile, us", &mut direct.1, &mut through.1, last, "-");
+    row(
+        "the same, 99th percentile, us",
+        &mut direct.1,
+        &mut through.1,
+        last,
+        "-",
+    );
     let ratio = spread(&mut through_rate).0 / spread(&mut direct_rate).0;
-    row("units a second, 32 sessions", &mut direct_rate, &mut through_rate, format!("{ratio:.2}"), "30,000");
+    row(
+        "units a second, 32 sessions",
+        &mut direct_rate,
+        &mut through_rate,
+        format!("{ratio:.2}"),
+        "30,000",
+    );
     let (c, c0, c1) = spread(&mut cpu);
     println!("| of one core, at that rate | - | {c:.2} ({c0:.2} to {c1:.2}) | - | 1 |");
     println!("| bytes for each of {IDLE} idle sessions | - | {each:.0} | - | 8,192 |");
--- a/crates/lab/src/measure/promises.rs
+++ b/crates/lab/src/measure/promises.rs
@@ -28,8 +28,16 @@
 
 /// The same fleet with as many copies, no faults, and statements that take no time on an engine.
 fn quiet(copies: usize) -> Scenario {
-    let mut scenario =
-        draw(7, Way { small: true, simulated: false, fronts: Some(FRONTS), copies, ..Way::default() });
+    let mut scenario = draw(
+        7,
+        Way {
+            small: true,
+            simulated: false,
+            fronts: Some(FRONTS),
+            copies,
+            ..Way::default()
+        },
+    );
     scenario.faults.clear();
     scenario.fleet.clocks_apart_ms = 0;
     scenario
@@ -40,12 +48,19 @@
     let mut times = Vec::new();
     for number in first..first + ASKED {
         let member = &fleet.members[(number % FRONTS as u64) as usize];
-        let at = member.front.lock().ok().and_then(|front| front.as_ref().map(|front| front.lines));
+        let at = member
+            .front
+            .lock()
+            .ok()
+            .and_then(|front| front.as_ref().map(|front| front.lines));
         let at = at.ok_or("a front is away")?;
         let (key, unique) = (format!("k{number}"), format!("u{number}"));
         let own = [("item", key.as_str()), ("unique", unique.as_str())];
-        let all: Vec<(&str, &str)> =
-            fields.iter().copied().chain(own.into_iter().filter(|_| keyed)).collect();
+        let all: Vec<(&str, &str)> = fields
+            .iter()
+            .copied()
+            .chain(own.into_iter().filter(|_| keyed))
+            .collect();
         let since = Instant::now();
         let outcome = lines::ask(at, number, &all, &format!("id=s{number},key=,ms=0"));
         times.push(since.elapsed().as_nanos() as f64 / 1000.0);
@@ -73,7 +88,9 @@
     let mut times = vec![(Vec::new(), Vec::new()); WAYS.len()];
     for _ in 0..ROUNDS {
         for (fleet, times) in fleets.iter().zip(&mut times) {
-            for (fields, keyed, into) in [(&plain, false, &mut times.0), (&load, true, &mut times.1)] {
+            for (fields, keyed, into) in
+                [(&plain, false, &mut times.0), (&load, true, &mut times.1)]
+            {
                 into.push(asked(fleet, first, fields, keyed)?);
                 first += ASKED;
             }
@@ -81,11 +98,27 @@
     }
     println!("| copies, {FRONTS} fronts, {ROUNDS} rounds in turn | unkeyed, us | keyed, us | keyed beside none, us |");
     println!("| --- | --- | --- | --- |");
-    let none = times.first().map(|(_, keyed)| keyed.clone()).unwrap_or_default();
+    let none = times
+        .first()
+        .map(|(_, keyed)| keyed.clone())
+        .unwrap_or_default();
     for (copies, (unkeyed, keyed)) in WAYS.iter().zip(&mut times) {
-        let mut more: Vec<f64> = keyed.iter().zip(&none).map(|(with, without)| with - without).collect();
-        let way = if *copies == 0 { "none".to_string() } else { copies.to_string() };
-        println!("| {way} | {} | {} | {} |", spread(unkeyed), spread(keyed), spread(&mut more));
+        let mut more: Vec<f64> = keyed
+            .iter()
+            .zip(&none)
+            .map(|(with, without)| with - without)
+            .collect();
+        let way = if *copies == 0 {
+            "none".to_string()
+        } else {
+            copies.to_string()
+        };
+        println!(
+            "| {way} | {} | {} | {} |",
+            spread(unkeyed),
+            spread(keyed),
+            spread(&mut more)
+        );
     }
     Ok(())
 }
@@ -96,11 +129,18 @@
         name: format!("r{n}"),
         customer: (!n.is_multiple_of(3)).then(|| format!("c{}", n % 2_000)),
         workload: n.is_multiple_of(2).then(|| format!("w{}", n % 7)),
-        tables: Some(TableRange { first: n as u32, last: n as u32 + 3 }),
+        tables: Some(TableRange {
+            first: n as u32,
+            last: n as u32 + 3,
+        }),
         front: None,
         effect: match n % 4 {
-            0 => RuleEffect::Deny { reason: "barred".into() },
-            _ => RuleEffect::Allow { places: Some(vec![(n % 3) as u16]) },
+            0 => RuleEffect::Deny {
+                reason: "barred".into(),
+            },
+            _ => RuleEffect::Allow {
+                places: Some(vec![(n % 3) as u16]),
+            },
         },
         limit: None,
         priority: (n % 3) as i32,
@@ -141,7 +181,9 @@
                 (0..decisions).for_each(decide);
                 since.elapsed().as_nanos() as f64 / decisions as f64
             };
-            let fast = per(DECIDED, &|n| _ = std::hint::black_box(index.find(&one(n), 1)));
+            let fast = per(DECIDED, &|n| {
+                _ = std::hint::black_box(index.find(&one(n), 1))
+            });
             let slow = per((DECIDED * 10 / count).clamp(50, DECIDED), &|n| {
                 _ = std::hint::black_box(walk.walk(&one(n), 1))
             });
@@ -150,8 +192,16 @@
             ratios.push(slow / fast);
         }
         let ratio = spread(&mut ratios);
-        let Spread { median, least, most } = ratio;
+        let Spread {
+            median,
+            least,
+            most,
+        } = ratio;
         let ratio = format!("{median:.1} ({least:.1} to {most:.1})");
-        println!("| {count} | {} | {} | {ratio} |", spread(&mut indexed), spread(&mut walked));
+        println!(
+            "| {count} | {} | {} | {ratio} |",
+            spread(&mut indexed),
+            spread(&mut walked)
+        );
     }
 }
--- a/crates/lab/src/measure/sites.rs
+++ b/crates/lab/src/measure/sites.rs
@@ -15,11 +15,25 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     let mut lost = 0;
     for (rate, seed) in RATES.into_iter().zip(1..) {
-        let SitesAsked { scatters, loads, all, asked, with_rows, missing, needless } =
-            measured(seed, rate, SECONDS)?;
+        let SitesAsked {
+            scatters,
+            loads,
+            all,
+            asked,
+            with_rows,
+            missing,
+            needless,
+        } = measured(seed, rate, SECONDS)?;
         let ratio = asked as f64 / with_rows.max(1) as f64;
-        let why: Vec<String> = needless.iter().map(|(why, count)| format!("{why} {count}")).collect();
-        let why = if why.is_empty() { "none".to_string() } else { why.join(", ") };
+        let why: Vec<String> = needless
+            .iter()
+            .map(|(why, count)| format!("{why} {count}"))
+            .collect();
+        let why = if why.is_empty() {
+            "none".to_string()
+        } else {
+            why.join(", ")
+        };
         let counts = format!("{scatters} | {loads} | {all} | {asked} | {with_rows}");
         println!("| {rate} | {counts} | {ratio:.2} | {missing} | {why} |");
         lost += missing;
--- a/crates/lab/src/measure/spread.rs
+++ b/crates/lab/src/measure/spread.rs
@@ -11,12 +11,20 @@
 pub fn spread(values: &mut [f64]) -> Spread {
     values.sort_by(f64::total_cmp);
     let at = |place: usize| values.get(place).copied().unwrap_or(f64::NAN);
-    Spread { median: at(values.len() / 2), least: at(0), most: at(values.len().saturating_sub(1)) }
+    Spread {
+        median: at(values.len() / 2),
+        least: at(0),
+        most: at(values.len().saturating_sub(1)),
+    }
 }
 
 impl std::fmt::Display for Spread {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "{:.0} ({:.0} to {:.0})", self.median, self.least, self.most)
+        write!(
+            f,
+            "{:.0} ({:.0} to {:.0})",
+            self.median, self.least, self.most
+        )
     }
 }
 
--- a/crates/lab/src/prove/deaths.rs
+++ b/crates/lab/src/prove/deaths.rs
@@ -31,18 +31,33 @@
     SecondLoss,
 }
 
-const ROUNDS: [Round; 4] = [Round::SlowDisks, Round::SecondLoss, Round::SlowDisks, Round::SecondLoss];
+const ROUNDS: [Round; 4] = [
+    Round::SlowDisks,
+    Round::SecondLoss,
+    Round::SlowDisks,
+    Round::SecondLoss,
+];
 
 /// All disks are slow from `at`; a while later all fronts but one die, and return once the disks are well again.
 fn slow_disks(chance: &mut Pcg64Mcg, at: u64, fronts: usize) -> Vec<Fault> {
     let delay_ms = chance.random_range(1_000..=2_000);
     let deaths_at = at + chance.random_range(1_000..2_500);
     let survivor = chance.random_range(0..fronts);
-    let slow = Fault { delay_ms, ..fault(What::DiskSlow, at, deaths_at - at + 200) };
-    let slow = (0..fronts).map(|front| Fault { front, ..slow.clone() });
+    let slow = Fault {
+        delay_ms,
+        ..fault(What::DiskSlow, at, deaths_at - at + 200)
+    };
+    let slow = (0..fronts).map(|front| Fault {
+        front,
+        ..slow.clone()
+    });
     let killed = fault(What::Kill, deaths_at, chance.random_range(300..1_000));
-    let killed =
-        (0..fronts).filter(|front| *front != survivor).map(|front| Fault { front, ..killed.clone() });
+    let killed = (0..fronts)
+        .filter(|front| *front != survivor)
+        .map(|front| Fault {
+            front,
+            ..killed.clone()
+        });
     slow.chain(killed).collect()
 }
 
@@ -50,13 +65,24 @@
 fn second_loss(chance: &mut Pcg64Mcg, at: u64, fronts: usize) -> Vec<Fault> {
     let mut order: Vec<usize> = (0..fronts).collect();
     order.shuffle(chance);
-    let [missed, emptied, killed, ..] = order[..] else { return Vec::new() };
+    let [missed, emptied, killed, ..] = order[..] else {
+        return Vec::new();
+    };
     let away = chance.random_range(1_200..2_000);
     let (lost_at, gone) = (at + away - 60, chance.random_range(70..120));
     vec![
-        Fault { front: missed, ..fault(What::Kill, at, away) },
-        Fault { front: emptied, ..fault(What::LoseDisk, lost_at, gone) },
-        Fault { front: killed, ..fault(What::Kill, lost_at + 30, chance.random_range(3_000..4_000)) },
+        Fault {
+            front: missed,
+            ..fault(What::Kill, at, away)
+        },
+        Fault {
+            front: emptied,
+            ..fault(What::LoseDisk, lost_at, gone)
+        },
+        Fault {
+            front: killed,
+            ..fault(What::Kill, lost_at + 30, chance.random_range(3_000..4_000))
+        },
     ]
 }
 
@@ -77,9 +103,19 @@
             Round::SecondLoss => second_loss(&mut chance, at, fronts),
         });
     }
-    let (keys, work_ms) = (chance.random_range(45..55), chance.random_range(2_400..3_000));
-    let keyed = Class { share: 4.0, asks_again: 2, ..shape::keyed(keys, work_ms) };
-    let once = Class { asks_again: 2, ..shape::once(chance.random_range(30..90)) };
+    let (keys, work_ms) = (
+        chance.random_range(45..55),
+        chance.random_range(2_400..3_000),
+    );
+    let keyed = Class {
+        share: 4.0,
+        asks_again: 2,
+        ..shape::keyed(keys, work_ms)
+    };
+    let once = Class {
+        asks_again: 2,
+        ..shape::once(chance.random_range(30..90))
+    };
     Scenario {
         seed: Some(seed),
         seconds: (FIRST_MS + rounds.len() as u64 * SLOT_MS + AFTER_MS) / 1000,
@@ -88,7 +124,12 @@
             copies: (way.copies > 0).then_some(way.copies),
             ..shape::fleet(fronts)
         },
-        load: Load { per_second: 20, work_ms: 10, timeout_ms: 4_000, memory_mb: 0 },
+        load: Load {
+            per_second: 20,
+            work_ms: 10,
+            timeout_ms: 4_000,
+            memory_mb: 0,
+        },
         engine: shape::engines(),
         faults,
         classes: vec![Class::plain("lookup", 500), keyed, once],
@@ -101,13 +142,19 @@
     let scenario = draw(seed, way);
     let mut run = run_with(&scenario, seed, way.spoil)?;
     let tally = |key: &str| run.tallies.get(key).copied().unwrap_or(0);
-    let (promised, ran) = (tally("promised") - tally("asked_again"), tally("promised_runs"));
+    let (promised, ran) = (
+        tally("promised") - tally("asked_again"),
+        tally("promised_runs"),
+    );
     if promised < scenario.seconds as i64 * 5 || ran * 100 < promised * LEAST_RUN_PERCENT {
         let said = format!("{ran} of {promised} that need a promise ran");
         run.violations.entry("run").or_default().push(said);
     }
     let (fronts, seconds) = (scenario.fleet.fronts, began.elapsed().as_secs());
-    Ok(end(&run, &format!("fronts={fronts} wall_seconds={seconds}")))
+    Ok(end(
+        &run,
+        &format!("fronts={fronts} wall_seconds={seconds}"),
+    ))
 }
 
 #[cfg(test)]
--- a/crates/lab/src/prove/disks.rs
+++ b/crates/lab/src/prove/disks.rs
@@ -35,14 +35,22 @@
 
 impl FleetHooks for Disks {
     fn turn(&mut self, fleet: &Fleet, since: i64) -> Vec<Fault> {
-        let due = self.owners.first().is_some_and(|f| f.at_ms as i64 * 1000 <= since);
+        let due = self
+            .owners
+            .first()
+            .is_some_and(|f| f.at_ms as i64 * 1000 <= since);
         if !due {
             return Vec::new();
         }
         // One whose disk was slow may keep no copies any more: others took its place.
         let before: Vec<usize> = self.played.iter().map(|fault| fault.front).collect();
-        let Some(front) = fleet.busiest(&before) else { return Vec::new() };
-        let fault = Fault { front, ..self.owners.remove(0) };
+        let Some(front) = fleet.busiest(&before) else {
+            return Vec::new();
+        };
+        let fault = Fault {
+            front,
+            ..self.owners.remove(0)
+        };
         self.played.push(fault.clone());
         vec![fault]
     }
@@ -53,7 +61,8 @@
                 What::DiskFull => "keeps no copies there any more",
                 _ => "a commit took",
             };
-            self.said.push((fault.what, fleet.members[fault.front].said(text).len()));
+            self.said
+                .push((fault.what, fleet.members[fault.front].said(text).len()));
         }
     }
 }
@@ -73,25 +82,58 @@
     let mut faults = Vec::new();
     for (step, front) in steps.iter().zip(others) {
         // Away for less than the repair waits, or for more.
-        let gone = fault(What::LoseDisk, at + chance.random_range(0..300), chance.random_range(500..2_500));
-        faults.push(Fault { front, step: Some(*step), ..gone });
+        let gone = fault(
+            What::LoseDisk,
+            at + chance.random_range(0..300),
+            chance.random_range(500..2_500),
+        );
+        faults.push(Fault {
+            front,
+            step: Some(*step),
+            ..gone
+        });
         at += SLOT_MS;
     }
-    let slow = Fault { delay_ms: SLOW_MS, ..fault(What::DiskSlow, at, 4_500) };
+    let slow = Fault {
+        delay_ms: SLOW_MS,
+        ..fault(What::DiskSlow, at, 4_500)
+    };
     let full = fault(What::DiskFull, at + SLOT_MS, 2_500);
     let owners = vec![slow, full];
     let end_ms = at + 2 * SLOT_MS + AFTER_MS;
     let (keys, work_ms) = (chance.random_range(20..30), chance.random_range(60..140));
-    let keyed = Class { share: 2.0, asks_again: 2, ..shape::keyed(keys, work_ms) };
-    let once = Class { asks_again: 2, ..shape::once(chance.random_range(30..90)) };
+    let keyed = Class {
+        share: 2.0,
+        asks_again: 2,
+        ..shape::keyed(keys, work_ms)
+    };
+    let once = Class {
+        asks_again: 2,
+        ..shape::once(chance.random_range(30..90))
+    };
     let scenario = Scenario {
         seed: Some(seed),
         seconds: end_ms.div_ceil(1_000),
-        fleet: Shape { clocks_apart_ms: 400, ..shape::fleet(fronts) },
-        load: Load { per_second: 50, work_ms: 10, timeout_ms: 4_000, memory_mb: 0 },
+        fleet: Shape {
+            clocks_apart_ms: 400,
+            ..shape::fleet(fronts)
+        },
+        load: Load {
+            per_second: 50,
+            work_ms: 10,
+            timeout_ms: 4_000,
+            memory_mb: 0,
+        },
         engine: shape::engines(),
         faults,
-        classes: vec![Class { share: 3.0, ..Class::plain("lookup", 500) }, keyed, once],
+        classes: vec![
+            Class {
+                share: 3.0,
+                ..Class::plain("lookup", 500)
+            },
+            keyed,
+            once,
+        ],
     };
     (scenario, owners)
 }
@@ -114,12 +156,23 @@
     std::fs::create_dir_all(&folder.0).map_err(|e| e.to_string())?;
     let beside = (0..scenario.fleet.fronts).map(|front| {
         let drill = folder.0.join(format!("drill{front}"));
-        let ledger = format!(", shards: 4, repair_after_ms: {REPAIR_AFTER_MS}, drill: '{}'", drill.display());
-        MemberOptions { ledger, drill: Some(drill), ..MemberOptions::default() }
+        let ledger = format!(
+            ", shards: 4, repair_after_ms: {REPAIR_AFTER_MS}, drill: '{}'",
+            drill.display()
+        );
+        MemberOptions {
+            ledger,
+            drill: Some(drill),
+            ..MemberOptions::default()
+        }
     });
     let fleet = Fleet::start_with(&scenario, seed, beside.collect(), None)?;
     let planned = owners.len();
-    let mut disks = Disks { owners, played: Vec::new(), said: Vec::new() };
+    let mut disks = Disks {
+        owners,
+        played: Vec::new(),
+        said: Vec::new(),
+    };
     let (account, pids) = play(fleet, &scenario, seed, &mut disks)?;
     let steps = scenario.faults.len() as i64;
     scenario.faults.extend(disks.played.clone());
@@ -127,25 +180,39 @@
     was_played(&mut run, &disks, (planned, steps), &scenario);
     let seconds = began.elapsed().as_secs();
     if seconds >= MOST_SECONDS {
-        run.violations.entry("run").or_default().push(format!("took {seconds} s"));
+        run.violations
+            .entry("run")
+            .or_default()
+            .push(format!("took {seconds} s"));
     }
-    Ok(end(&run, &format!("fronts={} seconds={seconds}", scenario.fleet.fronts)))
+    Ok(end(
+        &run,
+        &format!("fronts={} seconds={seconds}", scenario.fleet.fronts),
+    ))
 }
 
 /// A run in which too little happened proves nothing.
 fn was_played(run: &mut Run, disks: &Disks, (planned, steps): (usize, i64), scenario: &Scenario) {
     let tally = |key: &str| run.tallies.get(key).copied().unwrap_or(0);
-    let (promised, ran) = (tally("promised") - tally("asked_again"), tally("promised_runs"));
+    let (promised, ran) = (
+        tally("promised") - tally("asked_again"),
+        tally("promised_runs"),
+    );
     let played = tally("steps_played");
     let mut add = |what: String| run.violations.entry("run").or_default().push(what);
     if played < steps {
         add(format!("{played} of {steps} fronts died at their step"));
     }
     if disks.played.len() < planned {
-        add(format!("{} of {planned} disks were slow or full", disks.played.len()));
+        add(format!(
+            "{} of {planned} disks were slow or full",
+            disks.played.len()
+        ));
     }
     for (what, said) in disks.said.iter().filter(|(_, said)| *said == 0) {
-        add(format!("{what:?}: the front has not met it ({said} lines of its log)"));
+        add(format!(
+            "{what:?}: the front has not met it ({said} lines of its log)"
+        ));
     }
     if promised < scenario.seconds as i64 * 5 || ran * 100 < promised * LEAST_RUN_PERCENT {
         add(format!("{ran} of {promised} that need a promise ran"));
--- a/crates/lab/src/prove/long.rs
+++ b/crates/lab/src/prove/long.rs
@@ -42,26 +42,49 @@
 /// What may be played once at a time, as one undoes the other.
 fn is_alike(a: &Fault, b: &Fault) -> bool {
     let cut = |f: &Fault| matches!(f.what, What::FrontsSplit | What::FrontsSplitOut);
-    let away = |f: &Fault| matches!(f.what, What::Stall | What::Kill | What::Term | What::LoseDisk);
+    let away = |f: &Fault| {
+        matches!(
+            f.what,
+            What::Stall | What::Kill | What::Term | What::LoseDisk
+        )
+    };
     let link = |f: &Fault| matches!(f.what, What::LinkCut | What::LinkCutBack);
-    a.what == b.what || cut(a) && cut(b) || away(a) && away(b) && a.front == b.front || link(a) && link(b)
+    a.what == b.what
+        || cut(a) && cut(b)
+        || away(a) && away(b) && a.front == b.front
+        || link(a) && link(b)
 }
 
 /// The day of a seed.
 pub fn draw(seed: u64, minutes: u64, way: Way) -> Scenario {
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x6c6f_6e67);
-    let short = promises::draw(seed, Way { small: false, simulated: true, ..way });
+    let short = promises::draw(
+        seed,
+        Way {
+            small: false,
+            simulated: true,
+            ..way
+        },
+    );
     let (fronts, zones) = (short.fleet.fronts, short.fleet.zones);
     let seconds = (minutes * 60).max(SLOT_MS / 1000);
     let mut faults: Vec<Fault> = Vec::new();
     for slot in 0..seconds * 1000 / SLOT_MS {
         let begins = slot * SLOT_MS;
-        let step = chance.random_bool(0.7).then(|| STEPS[chance.random_range(0..STEPS.len())]);
+        let step = chance
+            .random_bool(0.7)
+            .then(|| STEPS[chance.random_range(0..STEPS.len())]);
         let at = begins + chance.random_range(1_000..5_000);
         let gone = fault(What::LoseDisk, at, chance.random_range(500..8_000));
-        faults.push(Fault { front: chance.random_range(0..fronts), step, ..gone });
+        faults.push(Fault {
+            front: chance.random_range(0..fronts),
+            step,
+            ..gone
+        });
         for _ in 0..chance.random_range(LEAST..=MOST) {
-            let Some(what) = OTHERS.choose(&mut chance) else { continue };
+            let Some(what) = OTHERS.choose(&mut chance) else {
+                continue;
+            };
             let for_ms = chance.random_range(300..6_000);
             let at = begins + chance.random_range(1_000..SLOT_MS - QUIET_MS - for_ms);
             let (delay_ms, percent) = (chance.random_range(5..120), chance.random_range(5..40));
@@ -77,23 +100,33 @@
             };
             let second = (*what == What::FrontsSplit && chance.random_bool(0.4))
                 .then(|| chance.random_range(drawn.front + 1..fronts));
-            let meets = |f: &&Fault| f.at_ms <= at + for_ms + 2_000 && at <= f.at_ms + f.for_ms + 2_000;
+            let meets =
+                |f: &&Fault| f.at_ms <= at + for_ms + 2_000 && at <= f.at_ms + f.for_ms + 2_000;
             if !faults.iter().filter(meets).any(|f| is_alike(f, &drawn)) {
                 faults.push(Fault { second, ..drawn });
             }
         }
     }
     faults.sort_by_key(|f| f.at_ms);
-    let load = Load { per_second: PER_SECOND, ..short.load };
-    Scenario { seconds, faults, load, ..short }
+    let load = Load {
+        per_second: PER_SECOND,
+        ..short.load
+    };
+    Scenario {
+        seconds,
+        faults,
+        load,
+        ..short
+    }
 }
 
 /// What grows without end is a fault of its own.
 fn grown(run: &mut Run) {
     let tally = |key: &str| run.tallies.get(key).copied().unwrap_or(0);
-    for (early, late) in
-        [("disk_bytes_early", "disk_bytes_late"), ("ledger_bytes_early", "ledger_bytes_late")]
-    {
+    for (early, late) in [
+        ("disk_bytes_early", "disk_bytes_late"),
+        ("ledger_bytes_early", "ledger_bytes_late"),
+    ] {
         let (early, at_last) = (tally(early), tally(late));
         if at_last > early * GROWN / 2 + GROWN_BYTES {
             let said = format!("{late}: {at_last} after {early}");
@@ -114,12 +147,18 @@
     let scenario = draw(seed, minutes, way);
     let run = play(&scenario, seed, way)?;
     for (rule, found) in &run.violations {
-        found.iter().take(8).for_each(|what| eprintln!("{rule}: {what}"));
+        found
+            .iter()
+            .take(8)
+            .for_each(|what| eprintln!("{rule}: {what}"));
     }
     let seconds = began.elapsed().as_secs();
     let violations: usize = run.violations.values().map(Vec::len).sum();
     let (fronts, passed) = (scenario.fleet.fronts, run.passed());
-    let line = format!("{} fronts={fronts} wall_seconds={seconds} violations={violations}", run.line());
+    let line = format!(
+        "{} fronts={fronts} wall_seconds={seconds} violations={violations}",
+        run.line()
+    );
     if !passed {
         cut_down(&scenario, seed, way, &run);
     }
@@ -130,7 +169,9 @@
 fn cut_down(scenario: &Scenario, seed: u64, way: Way, run: &Run) {
     let broken: Vec<&str> = run.violations.keys().copied().collect();
     let fails = |tried: &Scenario| {
-        let found = play(tried, seed, way).map(|run| run.violations).unwrap_or_default();
+        let found = play(tried, seed, way)
+            .map(|run| run.violations)
+            .unwrap_or_default();
         broken.iter().any(|rule| found.contains_key(rule))
     };
     let (least, plays) = smallest(scenario, CUTS_DOWN, fails);
--- a/crates/lab/src/prove/played.rs
+++ b/crates/lab/src/prove/played.rs
@@ -8,7 +8,18 @@
 /// A fault with nothing drawn yet but its kind and its time.
 pub fn fault(what: What, at_ms: u64, for_ms: u64) -> Fault {
     let (zone, front, delay_ms, percent) = (0, 0, 0, 0);
-    Fault { what, at_ms, for_ms, zone, front, second: None, step: None, delay_ms, percent, told: true }
+    Fault {
+        what,
+        at_ms,
+        for_ms,
+        zone,
+        front,
+        second: None,
+        step: None,
+        delay_ms,
+        percent,
+        told: true,
+    }
 }
 
 /// Prints what was found; whether it passed, and the tallies of its line.
@@ -35,5 +46,8 @@
     let pids: Vec<String> = run.pids.iter().map(u32::to_string).collect();
     println!("pids {}", pids.join(","));
     let violations: usize = run.violations.values().map(Vec::len).sum();
-    (run.passed(), format!("{} {more} violations={violations}", run.line()))
+    (
+        run.passed(),
+        format!("{} {more} violations={violations}", run.line()),
+    )
 }
--- a/crates/lab/src/prove/postgres.rs
+++ b/crates/lab/src/prove/postgres.rs
@@ -51,14 +51,22 @@
     let memory = wait_until_enough(size, began, &mut setup);
     let mut wrong = Violations::new();
     if !setup.front.is_up() {
-        add(&mut wrong, "front", format!("it ended: {:?}", setup.front.last()));
+        add(
+            &mut wrong,
+            "front",
+            format!("it ended: {:?}", setup.front.last()),
+        );
     }
     // The planned end comes while clients ask and transactions are open.
     let open = scripted::open_transactions(setup.front.sessions, &setup.notes, OPEN_AT_END);
     let ended_at = setup.notes.records.now();
     end_front(&mut setup.front, &setup.notes, &mut wrong);
     load.clients_ended();
-    let told_of_end = open.into_iter().map(scripted::Open::was_told).filter(|told| *told).count();
+    let told_of_end = open
+        .into_iter()
+        .map(scripted::Open::was_told)
+        .filter(|told| *told)
+        .count();
     let played = load.ended()?;
     let seen = Seen::of(&setup.notes, ended_at)?;
     check_seen(&seen, &setup.notes, &played, &mut wrong)?;
@@ -72,7 +80,15 @@
         ("told_at_end", told_of_end),
         ("memory_kb", memory.late_kb as usize),
         ("settled_kb", memory.early_kb as usize),
-        ("stood_ms", (played.waited.samples.last().map_or(0, |(_, waited)| *waited) / 1000) as usize),
+        (
+            "stood_ms",
+            (played
+                .waited
+                .samples
+                .last()
+                .map_or(0, |(_, waited)| *waited)
+                / 1000) as usize,
+        ),
         ("seconds", began.elapsed().as_secs() as usize),
     ] {
         *tallies.entry(key.into()).or_default() += value;
@@ -122,17 +138,40 @@
         // Where the front has ended, what came late was no longer its to answer.
         let asked: Vec<StatementRecord> = asked
             .into_iter()
-            .map(|a| StatementRecord { may_be_lost: a.may_be_lost || a.answered > ended_at - 1, ..a })
-            .filter(|a| !(a.sent > ended_at && matches!(a.outcome, Outcome::Lost | Outcome::Nothing)))
+            .map(|a| StatementRecord {
+                may_be_lost: a.may_be_lost || a.answered > ended_at - 1,
+                ..a
+            })
+            .filter(|a| {
+                !(a.sent > ended_at && matches!(a.outcome, Outcome::Lost | Outcome::Nothing))
+            })
             .collect();
-        let transactions = notes.transactions.lock().map_err(|e| e.to_string())?.clone();
-        Ok(Seen { asked, transactions, accepted: notes.count.load(SeqCst) })
+        let transactions = notes
+            .transactions
+            .lock()
+            .map_err(|e| e.to_string())?
+            .clone();
+        Ok(Seen {
+            asked,
+            transactions,
+            accepted: notes.count.load(SeqCst),
+        })
     }
 }
 
 /// Checks all rules on what clients and engines wrote down.
-fn check_seen(seen: &Seen, notes: &Notes, played: &Played, wrong: &mut Violations) -> Result<(), String> {
-    let engine_events = notes.records.deeds.lock().map_err(|e| e.to_string())?.clone();
+fn check_seen(
+    seen: &Seen,
+    notes: &Notes,
+    played: &Played,
+    wrong: &mut Violations,
+) -> Result<(), String> {
+    let engine_events = notes
+        .records
+        .deeds
+        .lock()
+        .map_err(|e| e.to_string())?
+        .clone();
     let agreed = Agreed {
         grace: GRACE,
         slack: SLACK,
@@ -163,16 +202,30 @@
 }
 
 /// A run in which too little happened proves nothing.
-fn check_enough(size: Size, seen: &Seen, tallies: &BTreeMap<String, usize>, wrong: &mut Violations) {
+fn check_enough(
+    size: Size,
+    seen: &Seen,
+    tallies: &BTreeMap<String, usize>,
+    wrong: &mut Violations,
+) {
     let accepted = seen.accepted;
     if accepted < size.units {
         add(wrong, "run", format!("{accepted} of {} units", size.units));
     }
-    let ended_by = |a: &StatementRecord, code: &str| matches!(&a.outcome, Outcome::Error(own) if own == code);
+    let ended_by =
+        |a: &StatementRecord, code: &str| matches!(&a.outcome, Outcome::Error(own) if own == code);
     // Faults are short: what runs into its time limit without having been asked to stands still somewhere.
-    let timed_out = seen.asked.iter().filter(|a| !a.cancels && ended_by(a, "57014")).count();
+    let timed_out = seen
+        .asked
+        .iter()
+        .filter(|a| !a.cancels && ended_by(a, "57014"))
+        .count();
     if timed_out * LEAST_PER_TIMEOUT > accepted {
-        add(wrong, "run", format!("{timed_out} ran into their time limit"));
+        add(
+            wrong,
+            "run",
+            format!("{timed_out} ran into their time limit"),
+        );
     }
     // Nor are engines so short that much is turned away.
     let turned_away = seen.asked.iter().filter(|a| ended_by(a, "53000")).count();
@@ -181,7 +234,11 @@
     }
     for fault in FAULTS.into_iter().chain(["drains"]) {
         if tallies.get(fault).copied().unwrap_or(0) < size.rounds {
-            add(wrong, "run", format!("{fault} were not played {} times", size.rounds));
+            add(
+                wrong,
+                "run",
+                format!("{fault} were not played {} times", size.rounds),
+            );
         }
     }
 }
@@ -195,7 +252,10 @@
     }
     let count: usize = wrong.values().map(Vec::len).sum();
     tallies.insert("violations".into(), count);
-    let line: Vec<String> = tallies.iter().map(|(key, value)| format!("{key}={value}")).collect();
+    let line: Vec<String> = tallies
+        .iter()
+        .map(|(key, value)| format!("{key}={value}"))
+        .collect();
     (count == 0, line.join(" "))
 }
 
--- a/crates/lab/src/prove/postgres/faults.rs
+++ b/crates/lab/src/prove/postgres/faults.rs
@@ -36,7 +36,9 @@
 ) -> Vec<Drain> {
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0xd4a1);
     let mut drains = Vec::new();
-    let tell = |e: &Engine, state| coordinator.tell(false, &[(name(e.number), e.at, kind(e.number), state)]);
+    let tell = |e: &Engine, state| {
+        coordinator.tell(false, &[(name(e.number), e.at, kind(e.number), state)])
+    };
     std::thread::sleep(Duration::from_millis(chance.random_range(200..600)));
     while !notes.over() {
         let e = &engines[chance.random_range(0..engines.len())];
@@ -44,7 +46,11 @@
         let from = notes.records.now();
         // Longer than the grace, so that what comes late shows.
         std::thread::sleep(Duration::from_millis(chance.random_range(2_100..2_600)));
-        drains.push(Drain { engine: e.number, from, to: notes.records.now() });
+        drains.push(Drain {
+            engine: e.number,
+            from,
+            to: notes.records.now(),
+        });
         notes.drains.store(drains.len(), SeqCst);
         tell(e, "up");
         std::thread::sleep(Duration::from_millis(chance.random_range(100..400)));
@@ -78,16 +84,33 @@
                 sleep(200);
             }
             "slowed" => {
-                e.faults.slower.store(chance.random_range(20_000..120_000), SeqCst);
+                e.faults
+                    .slower
+                    .store(chance.random_range(20_000..120_000), SeqCst);
                 sleep(chance.random_range(100..600));
                 e.faults.slower.store(0, SeqCst);
             }
-            "lost_commits" => e.faults.lost_commits.store(chance.random_range(1..5), SeqCst),
-            "lost_results" => e.faults.lost_results.store(chance.random_range(2..6), SeqCst),
-            "lost_statements" => e.faults.lost_statements.store(chance.random_range(1..4), SeqCst),
-            _ => e.faults.refused_parses.store(chance.random_range(1..3), SeqCst),
+            "lost_commits" => e
+                .faults
+                .lost_commits
+                .store(chance.random_range(1..5), SeqCst),
+            "lost_results" => e
+                .faults
+                .lost_results
+                .store(chance.random_range(2..6), SeqCst),
+            "lost_statements" => e
+                .faults
+                .lost_statements
+                .store(chance.random_range(1..4), SeqCst),
+            _ => e
+                .faults
+                .refused_parses
+                .store(chance.random_range(1..3), SeqCst),
         }
-        let least = FAULTS.iter().map(|fault| played.get(fault).copied().unwrap_or(0)).min();
+        let least = FAULTS
+            .iter()
+            .map(|fault| played.get(fault).copied().unwrap_or(0))
+            .min();
         notes.rounds.store(least.unwrap_or(0), SeqCst);
         sleep(chance.random_range(50..250));
     }
--- a/crates/lab/src/prove/postgres/keys.rs
+++ b/crates/lab/src/prove/postgres/keys.rs
@@ -13,14 +13,23 @@
 use crate::scripted::session;
 
 /// The same order keys from both protocols, each statement sent once the front is known to have taken the last.
-pub(super) fn both_protocols(seed: u64, lines: SocketAddr, sessions: SocketAddr, notes: &Arc<Notes>) {
+pub(super) fn both_protocols(
+    seed: u64,
+    lines: SocketAddr,
+    sessions: SocketAddr,
+    notes: &Arc<Notes>,
+) {
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0xb07);
     let mut number = 1;
     while !notes.over() {
         let key = format!("both{}", chance.random_range(0..3));
         let mut waits = Vec::new();
         for _ in 0..4 {
-            let asked = StatementRecord { key: key.clone(), rows: 1, ..notes.fresh(Repeat::Deduplicated) };
+            let asked = StatementRecord {
+                key: key.clone(),
+                rows: 1,
+                ..notes.fresh(Repeat::Deduplicated)
+            };
             let answer = match chance.random_bool(0.5) {
                 true => ask_in_lines(lines, number, &asked),
                 false => ask_in_session(sessions, &asked),
@@ -30,12 +39,23 @@
             let wait = std::thread::spawn(move || {
                 let outcome = answer.map_or(Outcome::Lost, |answer| answer());
                 // What a Thrift client calls aborted may or may not have run.
-                StatementRecord { outcome, answered: records.now(), ..asked }
+                StatementRecord {
+                    outcome,
+                    answered: records.now(),
+                    ..asked
+                }
             });
-            waits.push((wait, session::round_trip(sessions).ok().map(|()| notes.records.now())));
+            waits.push((
+                wait,
+                session::round_trip(sessions)
+                    .ok()
+                    .map(|()| notes.records.now()),
+            ));
         }
         for (wait, taken) in waits {
-            wait.join().into_iter().for_each(|asked| notes.note(StatementRecord { taken, ..asked }));
+            wait.join()
+                .into_iter()
+                .for_each(|asked| notes.note(StatementRecord { taken, ..asked }));
         }
     }
 }
--- a/crates/lab/src/prove/postgres/load.rs
+++ b/crates/lab/src/prove/postgres/load.rs
@@ -68,18 +68,35 @@
             std::thread::spawn(move || scripted::play(seed ^ (n << 32), sessions, &notes))
         };
         let scripts = (0..SCRIPTS).map(script).collect();
-        let runtime =
-            tokio::runtime::Builder::new_multi_thread().worker_threads(CLIENT_THREADS).enable_all().build();
+        let runtime = tokio::runtime::Builder::new_multi_thread()
+            .worker_threads(CLIENT_THREADS)
+            .enable_all()
+            .build();
         let runtime = runtime.map_err(|e| e.to_string())?;
         let port = sessions.port();
         let clients = (0..CLIENTS)
-            .map(|n| runtime.spawn(client(seed.wrapping_add(n as u64 * 7919), port, notes.clone())))
+            .map(|n| {
+                runtime.spawn(client(
+                    seed.wrapping_add(n as u64 * 7919),
+                    port,
+                    notes.clone(),
+                ))
+            })
             .collect();
         let sampler = {
             let notes = notes.clone();
             std::thread::spawn(move || sample_waits(front, &notes))
         };
-        Ok(Load { notes: notes.clone(), drains, faults, keys, scripts, runtime, clients, sampler })
+        Ok(Load {
+            notes: notes.clone(),
+            drains,
+            faults,
+            keys,
+            scripts,
+            runtime,
+            clients,
+            sampler,
+        })
     }
 
     /// Waits until clients and scripted sessions have ended, which they do once the notes say so.
@@ -103,6 +120,10 @@
         self.notes.done.store(true, SeqCst);
         let waited = self.sampler.join().map_err(|_| "sampling of waits")?;
         self.runtime.shutdown_timeout(RUNTIME_ENDS);
-        Ok(Played { faults, drains, waited })
+        Ok(Played {
+            faults,
+            drains,
+            waited,
+        })
     }
 }
--- a/crates/lab/src/prove/postgres/sampling.rs
+++ b/crates/lab/src/prove/postgres/sampling.rs
@@ -31,7 +31,12 @@
     /// What is wrong with it. A run too short to settle says nothing.
     pub fn wrong(&self) -> Option<String> {
         let grown = self.early_kb > 0 && self.late_kb > self.early_kb * 12 / 10 + MORE;
-        grown.then(|| format!("{} kB after {SETTLED} units, then {} kB", self.early_kb, self.late_kb))
+        grown.then(|| {
+            format!(
+                "{} kB after {SETTLED} units, then {} kB",
+                self.early_kb, self.late_kb
+            )
+        })
     }
 }
 
@@ -55,7 +60,10 @@
 /// Microseconds for which the front's one thread could run and had no processor, as the kernel counts them.
 fn waited(front: u32) -> i64 {
     let text = std::fs::read_to_string(format!("/proc/{front}/schedstat")).unwrap_or_default();
-    text.split_whitespace().nth(1).and_then(|ns| ns.parse::<i64>().ok()).map_or(0, |ns| ns / 1_000)
+    text.split_whitespace()
+        .nth(1)
+        .and_then(|ns| ns.parse::<i64>().ok())
+        .map_or(0, |ns| ns / 1_000)
 }
 
 #[cfg(test)]
--- a/crates/lab/src/prove/postgres/setup.rs
+++ b/crates/lab/src/prove/postgres/setup.rs
@@ -36,11 +36,19 @@
         let engines: Vec<Arc<Engine>> = engines.collect::<Result<_, _>>().map_err(why)?;
         let lines_at = lines::engine(ENGINES, records.clone()).map_err(why)?;
         let coordinator = Arc::new(Coordinator::start().map_err(why)?);
-        let mut list: Vec<_> = engines.iter().map(|e| (name(e.number), e.at, kind(e.number), "up")).collect();
+        let mut list: Vec<_> = engines
+            .iter()
+            .map(|e| (name(e.number), e.at, kind(e.number), "up"))
+            .collect();
         list.push((name(ENGINES), lines_at, "lines", "up"));
         coordinator.tell(true, &list);
         let front = Front::start(&settings(), OPERATOR, &coordinator, SOCKETS)?;
-        Ok(Setup { engines, coordinator, front, notes: Arc::new(Notes::new(records)) })
+        Ok(Setup {
+            engines,
+            coordinator,
+            front,
+            notes: Arc::new(Notes::new(records)),
+        })
     }
 }
 
@@ -71,7 +79,12 @@
     load["group"] = json!("all");
     load["dedupWindowMs"] = json!(9000);
     load["inTurn"] = json!(true);
-    let classes = json!([class("lookup", "repeatable"), report, load, class("pay", "once")]);
+    let classes = json!([
+        class("lookup", "repeatable"),
+        report,
+        load,
+        class("pay", "once")
+    ]);
     json!({"instances": 1, "areas": ["here"], "kinds": ["std", "big", "lines"],
         "rules": {"turnGapMs": 100, "furtherRatio": 0.2, "spareAttempts": 10, "budgetSpanMs": 10000,
             "answerSlackMs": 20},
--- a/crates/lab/src/prove/postgres_tests.rs
+++ b/crates/lab/src/prove/postgres_tests.rs
@@ -5,7 +5,12 @@
 #[test]
 fn sessions_keep_the_rules_among_faults() {
     for seed in [1, 2] {
-        let (passed, tallies) = run(Size { seed, units: 3_000, rounds: 1 }).unwrap();
+        let (passed, tallies) = run(Size {
+            seed,
+            units: 3_000,
+            rounds: 1,
+        })
+        .unwrap();
         assert!(passed, "seed {seed}: {tallies}");
     }
 }
--- a/crates/lab/src/prove/promises.rs
+++ b/crates/lab/src/prove/promises.rs
@@ -39,7 +39,15 @@
 }
 
 /// The kinds of trouble that a run takes its turn of; each of them comes in a whole run.
-const KINDS: [&str; 7] = ["loss", "loss_again", "cut_two", "cut_three", "stall", "bad_links", "end"];
+const KINDS: [&str; 7] = [
+    "loss",
+    "loss_again",
+    "cut_two",
+    "cut_three",
+    "stall",
+    "bad_links",
+    "end",
+];
 const SMALL: usize = 3; // kinds in a small run
 
 /// The run of a seed.
@@ -52,12 +60,23 @@
     for (slot, kind) in kinds.iter().enumerate() {
         let at = FIRST_MS + slot as u64 * SLOT_MS + chance.random_range(0..500);
         let drawn = draw_faults(&mut chance, kind, at, fronts, lost);
-        lost = drawn.iter().find(|fault| fault.what == What::LoseDisk).map(|fault| fault.front).or(lost);
+        lost = drawn
+            .iter()
+            .find(|fault| fault.what == What::LoseDisk)
+            .map(|fault| fault.front)
+            .or(lost);
         faults.extend(drawn);
     }
     let (keys, work_ms) = (chance.random_range(12..20), chance.random_range(60..160));
-    let keyed = Class { share: 2.0, asks_again: 2, ..shape::keyed(keys, work_ms) };
-    let once = Class { asks_again: 2, ..shape::once(chance.random_range(30..90)) };
+    let keyed = Class {
+        share: 2.0,
+        asks_again: 2,
+        ..shape::keyed(keys, work_ms)
+    };
+    let once = Class {
+        asks_again: 2,
+        ..shape::once(chance.random_range(30..90))
+    };
     Scenario {
         seed: Some(seed),
         seconds: (FIRST_MS + kinds.len() as u64 * SLOT_MS + AFTER_MS) / 1000,
@@ -66,15 +85,33 @@
             copies: (way.copies > 0).then_some(way.copies),
             ..shape::fleet(fronts)
         },
-        load: Load { per_second: 60, work_ms: 10, timeout_ms: 4_000, memory_mb: 0 },
+        load: Load {
+            per_second: 60,
+            work_ms: 10,
+            timeout_ms: 4_000,
+            memory_mb: 0,
+        },
         engine: shape::engines(),
         faults,
-        classes: vec![Class { share: 4.0, ..Class::plain("lookup", 500) }, keyed, once],
+        classes: vec![
+            Class {
+                share: 4.0,
+                ..Class::plain("lookup", 500)
+            },
+            keyed,
+            once,
+        ],
     }
 }
 
 /// The faults of a slot that begins at `at`; `lost` is the front whose disk was lost before.
-fn draw_faults(chance: &mut Pcg64Mcg, kind: &str, at: u64, fronts: usize, lost: Option<usize>) -> Vec<Fault> {
+fn draw_faults(
+    chance: &mut Pcg64Mcg,
+    kind: &str,
+    at: u64,
+    fronts: usize,
+    lost: Option<usize>,
+) -> Vec<Fault> {
     let mut front = chance.random_range(0..fronts);
     let split = chance.random_range(1..fronts - 1);
     match kind {
@@ -85,22 +122,36 @@
             }
             let step = Some(STEPS[chance.random_range(0..STEPS.len())]);
             let gone = fault(What::LoseDisk, at, chance.random_range(500..1_500));
-            vec![Fault { front, step, ..gone }]
+            vec![Fault {
+                front,
+                step,
+                ..gone
+            }]
         }
         "cut_two" => {
             let cut = fault(What::FrontsSplit, at, chance.random_range(2_000..4_000));
-            vec![Fault { front: split, ..cut }]
+            vec![Fault {
+                front: split,
+                ..cut
+            }]
         }
         "cut_three" => {
             let cut = fault(What::FrontsSplit, at, chance.random_range(2_000..3_500));
-            vec![Fault { front: split, second: Some(chance.random_range(split + 1..fronts)), ..cut }]
+            vec![Fault {
+                front: split,
+                second: Some(chance.random_range(split + 1..fronts)),
+                ..cut
+            }]
         }
         "stall" => {
             let stall = fault(What::Stall, at, chance.random_range(3_000..4_500));
             vec![Fault { front, ..stall }]
         }
         // Asked to end: it hands over what it owns, and nothing that it was asked is excused.
-        "end" => vec![Fault { front, ..fault(What::Term, at, chance.random_range(500..2_000)) }],
+        "end" => vec![Fault {
+            front,
+            ..fault(What::Term, at, chance.random_range(500..2_000))
+        }],
         _ => draw_bad_links(chance, at, split),
     }
 }
@@ -111,10 +162,22 @@
     let delay_ms = chance.random_range(5..60);
     let percent = chance.random_range(5..30);
     vec![
-        Fault { percent, ..fault(What::PostLossy, at, for_ms) },
-        Fault { delay_ms, ..fault(What::PostDoubled, at, for_ms) },
-        Fault { delay_ms, ..fault(What::PostShuffled, at, for_ms) },
-        Fault { front: split, ..fault(What::FrontsSplitOut, at + for_ms / 2, for_ms / 3) },
+        Fault {
+            percent,
+            ..fault(What::PostLossy, at, for_ms)
+        },
+        Fault {
+            delay_ms,
+            ..fault(What::PostDoubled, at, for_ms)
+        },
+        Fault {
+            delay_ms,
+            ..fault(What::PostShuffled, at, for_ms)
+        },
+        Fault {
+            front: split,
+            ..fault(What::FrontsSplitOut, at + for_ms / 2, for_ms / 3)
+        },
     ]
 }
 
@@ -129,9 +192,13 @@
     check_enough(&mut run, &scenario);
     let seconds = began.elapsed().as_secs();
     // Starting so many processes takes what the machine gives.
-    let own = (seconds as i64 - run.tallies.get("start_seconds").copied().unwrap_or(0)).max(0) as u64;
+    let own =
+        (seconds as i64 - run.tallies.get("start_seconds").copied().unwrap_or(0)).max(0) as u64;
     if !way.simulated && own >= MOST_SECONDS {
-        run.violations.entry("run").or_default().push(format!("took {seconds} s"));
+        run.violations
+            .entry("run")
+            .or_default()
+            .push(format!("took {seconds} s"));
     }
     print_found(&run);
     print_late_and_refused(&run);
@@ -140,7 +207,10 @@
         eprintln!("played {fault:?}");
     }
     let fronts = scenario.fleet.fronts;
-    Ok(last_line(&run, &format!("fronts={fronts} seconds={seconds}")))
+    Ok(last_line(
+        &run,
+        &format!("fronts={fronts} seconds={seconds}"),
+    ))
 }
 
 /// A run in which too little happened proves nothing.
@@ -149,13 +219,22 @@
     let tally = |key: &str| run.tallies.get(key).copied().unwrap_or(0);
     let steps = scenario.faults.iter().filter(|f| f.step.is_some()).count() as i64;
     if tally("steps_played") < steps {
-        add(format!("{} of {steps} fronts died at their step", tally("steps_played")));
+        add(format!(
+            "{} of {steps} fronts died at their step",
+            tally("steps_played")
+        ));
     }
-    let cut = scenario.faults.iter().any(|f| matches!(f.what, What::FrontsSplit | What::PostLossy));
+    let cut = scenario
+        .faults
+        .iter()
+        .any(|f| matches!(f.what, What::FrontsSplit | What::PostLossy));
     if cut && tally("gossip_lost") == 0 {
         add("no word between fronts was lost".to_string());
     }
-    let (promised, ran) = (tally("promised") - tally("asked_again"), tally("promised_runs"));
+    let (promised, ran) = (
+        tally("promised") - tally("asked_again"),
+        tally("promised_runs"),
+    );
     if promised < scenario.seconds as i64 * 10 || ran * 100 < promised * LEAST_RUN_PERCENT {
         add(format!("{ran} of {promised} that need a promise ran"));
     }
@@ -163,10 +242,15 @@
 
 /// Prints statements answered long after their timeout, and those refused.
 fn print_late_and_refused(run: &Run) {
-    for o in run.asked.iter().filter(|o| o.asked.answered - o.asked.sent > o.asked.timeout + LATE) {
+    for o in run
+        .asked
+        .iter()
+        .filter(|o| o.asked.answered - o.asked.sent > o.asked.timeout + LATE)
+    {
         eprintln!("late: {o:?}");
     }
-    let refused = |o: &&Offered| matches!(&o.asked.outcome, Outcome::Error(code) if code == "53000");
+    let refused =
+        |o: &&Offered| matches!(&o.asked.outcome, Outcome::Error(code) if code == "53000");
     for o in run.asked.iter().filter(refused) {
         let (id, key, sent) = (&o.asked.id, &o.asked.key, o.asked.sent / 1000);
         eprintln!(
--- a/crates/lab/src/prove/roll.rs
+++ b/crates/lab/src/prove/roll.rs
@@ -24,7 +24,10 @@
 const AFTER: i64 = 2_000_000; // microseconds of load after the last start
 const LOOK_MS: u64 = 400; // milliseconds from a SIGTERM until its front is looked for: its door is open till then
 const MOST_SECONDS: u64 = 90; // within which a run ends by itself
-const TERMS: Terms = Terms { most_wait: 1_000_000, most_end: 8_000_000 };
+const TERMS: Terms = Terms {
+    most_wait: 1_000_000,
+    most_end: 8_000_000,
+};
 
 /// Fronts that end together, and whether each starts anew as the other build; and for how long all are there before.
 #[derive(Clone, Debug, PartialEq)]
@@ -41,13 +44,30 @@
     let groups: Vec<Vec<usize>> = match across {
         true => order.chunks(tenth).map(<[usize]>::to_vec).collect(),
         false => {
-            let zone =
-                |zone: usize| order.iter().copied().filter(|n| n % zones == zone).collect::<Vec<usize>>();
+            let zone = |zone: usize| {
+                order
+                    .iter()
+                    .copied()
+                    .filter(|n| n % zones == zone)
+                    .collect::<Vec<usize>>()
+            };
             let each = (0..zones).map(zone);
-            each.flat_map(|zone| zone.chunks(tenth).map(<[usize]>::to_vec).collect::<Vec<_>>()).collect()
+            each.flat_map(|zone| {
+                zone.chunks(tenth)
+                    .map(<[usize]>::to_vec)
+                    .collect::<Vec<_>>()
+            })
+            .collect()
         }
     };
-    groups.into_iter().map(|fronts| Step { fronts, other, pause: PAUSE }).collect()
+    groups
+        .into_iter()
+        .map(|fronts| Step {
+            fronts,
+            other,
+            pause: PAUSE,
+        })
+        .collect()
 }
 
 struct Roll {
@@ -63,14 +83,18 @@
         if !fleet.is_whole() {
             self.since = since;
         }
-        let due = self
-            .steps
-            .front()
-            .is_some_and(|step| since >= FIRST && since - self.since >= step.pause && fleet.is_whole());
-        let Some(step) = due.then(|| self.steps.pop_front()).flatten() else { return Vec::new() };
+        let due = self.steps.front().is_some_and(|step| {
+            since >= FIRST && since - self.since >= step.pause && fleet.is_whole()
+        });
+        let Some(step) = due.then(|| self.steps.pop_front()).flatten() else {
+            return Vec::new();
+        };
         let ends = step.fronts.iter().map(|front| {
             fleet.members[*front].becomes(self.other.clone().filter(|_| step.other));
-            Fault { front: *front, ..fault(What::Term, since as u64 / 1000, LOOK_MS) }
+            Fault {
+                front: *front,
+                ..fault(What::Term, since as u64 / 1000, LOOK_MS)
+            }
         });
         let ends: Vec<Fault> = ends.collect();
         self.played.extend(ends.clone());
@@ -85,7 +109,11 @@
 /// The run of a seed: its fleet, and who ends when.
 fn draw(seed: u64, small: bool, mixed: bool) -> (Scenario, Vec<Step>) {
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x726f_6c6c);
-    let fronts = if small { 6 } else { chance.random_range(6..=if mixed { 8 } else { 12 }) };
+    let fronts = if small {
+        6
+    } else {
+        chance.random_range(6..=if mixed { 8 } else { 12 })
+    };
     let fleet = shape::fleet(fronts);
     let mut order: Vec<usize> = (0..fronts).collect();
     order.shuffle(&mut chance);
@@ -94,7 +122,9 @@
         order.shuffle(&mut chance);
         let own: Vec<usize> = order.iter().copied().filter(|n| which(*n)).collect();
         let mut all = steps(&own, fleet.zones, across, other);
-        all.first_mut().into_iter().for_each(|step| step.pause = MIXED);
+        all.first_mut()
+            .into_iter()
+            .for_each(|step| step.pause = MIXED);
         all
     };
     let plan = match mixed {
@@ -107,15 +137,26 @@
         }
     };
     let classes = vec![
-        Class { share: 3.0, ..Class::plain("lookup", 500) },
-        Class { share: 2.0, ..shape::keyed(chance.random_range(30..50), chance.random_range(60..140)) },
+        Class {
+            share: 3.0,
+            ..Class::plain("lookup", 500)
+        },
+        Class {
+            share: 2.0,
+            ..shape::keyed(chance.random_range(30..50), chance.random_range(60..140))
+        },
         shape::once(chance.random_range(30..90)),
     ];
     let scenario = Scenario {
         seed: Some(seed),
         seconds: MOST_SECONDS,
         fleet,
-        load: Load { per_second: 60, work_ms: 10, timeout_ms: 4_000, memory_mb: 0 },
+        load: Load {
+            per_second: 60,
+            work_ms: 10,
+            timeout_ms: 4_000,
+            memory_mb: 0,
+        },
         engine: shape::engines(),
         faults: Vec::new(),
         classes,
@@ -134,20 +175,36 @@
     let (mut scenario, plan) = draw(seed, small, other.is_some());
     let fronts = scenario.fleet.fronts;
     let first = |front: usize| other.map(Path::to_path_buf).filter(|_| is_other(front));
-    let beside = (0..fronts).map(|front| MemberOptions { program: first(front), ..MemberOptions::default() });
+    let beside = (0..fronts).map(|front| MemberOptions {
+        program: first(front),
+        ..MemberOptions::default()
+    });
     let fleet = Fleet::start_with(&scenario, seed, beside.collect(), None)?;
     let planned = plan.iter().map(|step| step.fronts.len()).sum::<usize>();
     let other = other.map(Path::to_path_buf);
-    let mut roll = Roll { steps: plan.into(), other, since: 0, played: Vec::new() };
+    let mut roll = Roll {
+        steps: plan.into(),
+        other,
+        since: 0,
+        played: Vec::new(),
+    };
     let (account, pids) = play(fleet, &scenario, seed, &mut roll)?;
-    let last = account.asked.iter().map(|o| o.asked.sent).max().unwrap_or(account.began);
+    let last = account
+        .asked
+        .iter()
+        .map(|o| o.asked.sent)
+        .max()
+        .unwrap_or(account.began);
     scenario.seconds = ((last - account.began) as u64).div_ceil(1_000_000).max(1);
     scenario.faults = roll.played;
     let mut run = judge(&scenario, &account, pids);
     rolled::check(&mut run.violations, &account, TERMS, &mut run.tallies);
     was_played(&mut run, planned, &scenario);
     let seconds = began.elapsed().as_secs();
-    Ok(end(&run, &format!("fronts={fronts} planned={planned} seconds={seconds}")))
+    Ok(end(
+        &run,
+        &format!("fronts={fronts} planned={planned} seconds={seconds}"),
+    ))
 }
 
 /// A run in which too little happened proves nothing.
@@ -160,15 +217,23 @@
         add(format!("{ends} of {planned} ends were played"));
     }
     if out * 4 < ends || during < ends {
-        add(format!("promises were out at {out} of {ends} ends, {during} began during them"));
+        add(format!(
+            "promises were out at {out} of {ends} ends, {during} began during them"
+        ));
     }
     if promised < scenario.seconds as i64 * 10 {
-        add(format!("{promised} that need a promise ran in {} s", scenario.seconds));
+        add(format!(
+            "{promised} that need a promise ran in {} s",
+            scenario.seconds
+        ));
     }
 }
 
 fn tally_of(played: &[(Fault, i64, i64)]) -> usize {
-    played.iter().filter(|(fault, ..)| fault.what == What::Term).count()
+    played
+        .iter()
+        .filter(|(fault, ..)| fault.what == What::Term)
+        .count()
 }
 
 #[cfg(test)]
--- a/crates/lab/src/prove/roll_tests.rs
+++ b/crates/lab/src/prove/roll_tests.rs
@@ -12,8 +12,12 @@
         all.sort_unstable();
         assert_eq!(all, (0..fronts).collect::<Vec<_>>());
         assert!((6..=12).contains(&fronts));
-        assert!(plan.iter().all(|step| step.fronts.len() <= fronts.div_ceil(10)));
-        across |= plan.iter().any(|step| step.fronts.iter().any(|n| n % 3 != step.fronts[0] % 3));
+        assert!(plan
+            .iter()
+            .all(|step| step.fronts.len() <= fronts.div_ceil(10)));
+        across |= plan
+            .iter()
+            .any(|step| step.fronts.iter().any(|n| n % 3 != step.fronts[0] % 3));
     }
     assert!(across);
 }
--- a/crates/lab/src/prove/rules.rs
+++ b/crates/lab/src/prove/rules.rs
@@ -59,7 +59,10 @@
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x7275_6c65);
     let (fronts, zones) = (5, 3);
     let kinds = shape::draw_kinds(&mut chance, &KINDS, small.then_some((SMALL, "cut")));
-    let mut set = Set { version: 1, barred: BTreeSet::from([chance.random_range(0..zones)]) };
+    let mut set = Set {
+        version: 1,
+        barred: BTreeSet::from([chance.random_range(0..zones)]),
+    };
     let first = set.clone();
     let (mut faults, mut changes, mut old) = (Vec::new(), Vec::new(), Vec::new());
     for (slot, kind) in kinds.iter().enumerate() {
@@ -77,51 +80,111 @@
             }
             "stalled" => {
                 let away = fault(What::Stall, at, chance.random_range(4_000..5_000));
-                (vec![(others[0], now.clone())], Some(Fault { front: others[1], ..away }))
+                (
+                    vec![(others[0], now.clone())],
+                    Some(Fault {
+                        front: others[1],
+                        ..away
+                    }),
+                )
             }
             "cut" => {
                 let below = chance.random_range(1..fronts);
-                let cut = Fault { front: below, ..fault(What::FrontsSplit, at, 5_500) };
+                let cut = Fault {
+                    front: below,
+                    ..fault(What::FrontsSplit, at, 5_500)
+                };
                 // On either side: one of them has the majority of whoever keeps the rules.
-                let sides = [chance.random_range(0..below), chance.random_range(below..fronts)];
+                let sides = [
+                    chance.random_range(0..below),
+                    chance.random_range(below..fronts),
+                ];
                 (sides.map(|front| (front, now.clone())).to_vec(), Some(cut))
             }
             _ => {
                 // It comes back with the file that it had, by then an old one.
                 let gone = fault(What::Kill, at, chance.random_range(3_000..4_000));
                 old.push((at + 5_500, others[2]));
-                (vec![(others[0], now.clone())], Some(Fault { front: others[1], ..gone }))
+                (
+                    vec![(others[0], now.clone())],
+                    Some(Fault {
+                        front: others[1],
+                        ..gone
+                    }),
+                )
             }
         };
         faults.extend(fault);
-        changes.push(Change { at_ms: at + 1_000, files, kind });
+        changes.push(Change {
+            at_ms: at + 1_000,
+            files,
+            kind,
+        });
         set = now;
     }
     let scenario = scenario(seed, &kinds, (fronts, zones), faults);
-    Plan { scenario, first, changes, old }
+    Plan {
+        scenario,
+        first,
+        changes,
+        old,
+    }
 }
 
 /// The next version: a zone more is barred than before, or another: always something that was allowed.
 fn draw_next(set: &Set, zones: usize, chance: &mut Pcg64Mcg) -> Set {
-    let open: Vec<usize> = (0..zones).filter(|zone| !set.barred.contains(zone)).collect();
+    let open: Vec<usize> = (0..zones)
+        .filter(|zone| !set.barred.contains(zone))
+        .collect();
     let mut barred = BTreeSet::from([open[chance.random_range(0..open.len())]]);
     if chance.random_bool(0.5) {
         barred.insert(chance.random_range(0..zones));
     }
-    Set { version: set.version + 1, barred }
+    Set {
+        version: set.version + 1,
+        barred,
+    }
 }
 
-fn scenario(seed: u64, kinds: &[&str], (fronts, zones): (usize, usize), faults: Vec<Fault>) -> Scenario {
-    let report = Class { customer: RULED.into(), share: 3.0, ..Class::plain("report", 1_000) };
-    let audit = Class { customer: RULED.into(), share: 1.0, ..Class::plain(DENIED, 1_000) };
+fn scenario(
+    seed: u64,
+    kinds: &[&str],
+    (fronts, zones): (usize, usize),
+    faults: Vec<Fault>,
+) -> Scenario {
+    let report = Class {
+        customer: RULED.into(),
+        share: 3.0,
+        ..Class::plain("report", 1_000)
+    };
+    let audit = Class {
+        customer: RULED.into(),
+        share: 1.0,
+        ..Class::plain(DENIED, 1_000)
+    };
     Scenario {
         seed: Some(seed),
         seconds: (FIRST_MS + kinds.len() as u64 * SLOT_MS + AFTER_MS) / 1000,
-        fleet: Shape { zones, ..shape::fleet(fronts) },
-        load: Load { per_second: 60, work_ms: 20, timeout_ms: 4_000, memory_mb: 0 },
+        fleet: Shape {
+            zones,
+            ..shape::fleet(fronts)
+        },
+        load: Load {
+            per_second: 60,
+            work_ms: 20,
+            timeout_ms: 4_000,
+            memory_mb: 0,
+        },
         engine: shape::engines(),
         faults,
-        classes: vec![Class { share: 2.0, ..Class::plain("lookup", 1_000) }, report, audit],
+        classes: vec![
+            Class {
+                share: 2.0,
+                ..Class::plain("lookup", 1_000)
+            },
+            report,
+            audit,
+        ],
     }
 }
 
@@ -148,9 +211,17 @@
     /// The sets that were the fleet's, in order, each with when it was first offered.
     fn lived(&self) -> Vec<(i64, Set)> {
         let own = |(at, front, set): &(i64, usize, Set)| {
-            let rivals = || self.offered.iter().filter(|(_, _, other)| other.version == set.version);
+            let rivals = || {
+                self.offered
+                    .iter()
+                    .filter(|(_, _, other)| other.version == set.version)
+            };
             let alone = rivals().all(|(_, _, other)| other == set);
-            let won = self.logs.accepted.get(&set.version).is_some_and(|by| by.contains(front));
+            let won = self
+                .logs
+                .accepted
+                .get(&set.version)
+                .is_some_and(|by| by.contains(front));
             let judged = self.logs.judged.contains_key(&set.version);
             (judged && (alone || won)).then(|| (*at, set.clone()))
         };
@@ -163,12 +234,21 @@
     fn bars(&self, end: i64) -> Vec<Bar> {
         let (lived, mut bars) = (self.lived(), Vec::new());
         for (n, (_, set)) in lived.iter().enumerate() {
-            let Some(in_force) = self.logs.in_force.get(&set.version) else { continue };
+            let Some(in_force) = self.logs.in_force.get(&set.version) else {
+                continue;
+            };
             for zone in &set.barred {
-                let ends = lived[n + 1..].iter().find(|(_, later)| !later.barred.contains(zone));
+                let ends = lived[n + 1..]
+                    .iter()
+                    .find(|(_, later)| !later.barred.contains(zone));
                 let until = ends.map_or(end, |(at, _)| *at);
                 let in_force = in_force + ON_ITS_WAY;
-                bars.push(Bar { class: Some(REPORT), zone: *zone, in_force, until });
+                bars.push(Bar {
+                    class: Some(REPORT),
+                    zone: *zone,
+                    in_force,
+                    until,
+                });
             }
         }
         bars
@@ -180,22 +260,40 @@
         let until = Instant::now() + READY;
         while Instant::now() < until {
             let judges = |m: &std::sync::Arc<crate::rig::member::Member>| {
-                !m.said("knows which rules hold").is_empty() || !m.said("judges by version 1 ").is_empty()
+                !m.said("knows which rules hold").is_empty()
+                    || !m.said("judges by version 1 ").is_empty()
             };
-            if fleet.members.iter().all(judges) && rules::read_logs(fleet).in_force.contains_key(&1) {
+            if fleet.members.iter().all(judges) && rules::read_logs(fleet).in_force.contains_key(&1)
+            {
                 return Ok(());
             }
             std::thread::sleep(Duration::from_millis(20));
         }
-        Err(format!("the first rules were not in force after {} s", READY.as_secs()))
+        Err(format!(
+            "the first rules were not in force after {} s",
+            READY.as_secs()
+        ))
     }
 
     fn turn(&mut self, fleet: &Fleet, since: i64) -> Vec<Fault> {
-        while let Some(change) = self.changes.first().filter(|c| c.at_ms as i64 * 1000 <= since).cloned() {
+        while let Some(change) = self
+            .changes
+            .first()
+            .filter(|c| c.at_ms as i64 * 1000 <= since)
+            .cloned()
+        {
             self.changes.remove(0);
-            change.files.iter().for_each(|(front, set)| self.offer(fleet, *front, set));
+            change
+                .files
+                .iter()
+                .for_each(|(front, set)| self.offer(fleet, *front, set));
         }
-        while let Some((_, front)) = self.old.first().filter(|(at, _)| *at as i64 * 1000 <= since).copied() {
+        while let Some((_, front)) = self
+            .old
+            .first()
+            .filter(|(at, _)| *at as i64 * 1000 <= since)
+            .copied()
+        {
             self.old.remove(0);
             fleet.members[front].signal(Signal::SIGHUP);
         }
@@ -203,7 +301,12 @@
     }
 
     fn over(&mut self, fleet: &Fleet) {
-        let last = self.offered.iter().map(|(_, _, set)| set.version).max().unwrap_or(1);
+        let last = self
+            .offered
+            .iter()
+            .map(|(_, _, set)| set.version)
+            .max()
+            .unwrap_or(1);
         let until = Instant::now() + LAST;
         self.logs = rules::read_logs(fleet);
         while !self.logs.in_force.contains_key(&last) && Instant::now() < until {
@@ -217,26 +320,47 @@
 /// Plays the run of a seed: whether it passed, and the tallies of its line.
 pub fn run(seed: u64, small: bool) -> Result<(bool, String), String> {
     let began = Instant::now();
-    let Plan { scenario, first, changes, old } = draw(seed, small);
+    let Plan {
+        scenario,
+        first,
+        changes,
+        old,
+    } = draw(seed, small);
     let (fronts, zones) = (scenario.fleet.fronts, scenario.fleet.zones);
     let files = Files::new(fronts, seed, &first).map_err(|e| e.to_string())?;
     let fleet = Fleet::start_with(&scenario, seed, files.beside(fronts, zones), None)?;
     let offered = vec![(0, 0, first)];
     let asked_front = (seed % fronts as u64) as usize;
     let planned = changes.clone();
-    let mut rules =
-        Rules { files, changes, old, offered, asked_front, logs: RuleLogs::default(), hits: None };
+    let mut rules = Rules {
+        files,
+        changes,
+        old,
+        offered,
+        asked_front,
+        logs: RuleLogs::default(),
+        hits: None,
+    };
     let (account, pids) = play(fleet, &scenario, seed, &mut rules)?;
     let mut run = judge(&scenario, &account, pids);
     checked(&mut run, &rules, &planned, &scenario, &account);
     let seconds = began.elapsed().as_secs();
     if seconds >= MOST_SECONDS {
-        run.violations.entry("run").or_default().push(format!("took {seconds} s"));
+        run.violations
+            .entry("run")
+            .or_default()
+            .push(format!("took {seconds} s"));
     }
     Ok(end(&run, &format!("fronts={fronts} seconds={seconds}")))
 }
 
-fn checked(run: &mut Run, rules: &Rules, planned: &[Change], scenario: &Scenario, account: &Account) {
+fn checked(
+    run: &mut Run,
+    rules: &Rules,
+    planned: &[Change],
+    scenario: &Scenario,
+    account: &Account,
+) {
     let wrong = &mut run.violations;
     let ran = executions(&account.engine_events, &account.sent_by);
     let end = i64::MAX;
@@ -244,10 +368,17 @@
     let zone = |engine: usize| engine / scenario.fleet.engines_per_zone;
     barred::check(wrong, &ran, &account.asked, (&bars, &zone));
     denied(wrong, account);
-    let class = |id: &str| account.asked.iter().find(|o| o.asked.id == id).map(|o| o.class);
+    let class = |id: &str| {
+        account
+            .asked
+            .iter()
+            .find(|o| o.asked.id == id)
+            .map(|o| o.class)
+    };
     let ruled = ran.iter().filter(|x| class(&x.id) == Some(REPORT)).count() as i64;
     run.tallies.insert("ruled_runs", ruled);
-    run.tallies.insert("versions_in_force", rules.logs.in_force.len() as i64);
+    run.tallies
+        .insert("versions_in_force", rules.logs.in_force.len() as i64);
     run.tallies.insert("bars", bars.len() as i64);
     let mut add = |rule: &'static str, what: String| wrong.entry(rule).or_default().push(what);
     if ruled < LEAST_RUN {
@@ -257,13 +388,25 @@
     for change in planned {
         let version = change.files[0].1.version;
         if !lived.contains(&version) || !rules.logs.in_force.contains_key(&version) {
-            add("run", format!("version {version} ({}) did not come to be in force", change.kind));
+            add(
+                "run",
+                format!(
+                    "version {version} ({}) did not come to be in force",
+                    change.kind
+                ),
+            );
         }
         if change.kind == "two" && rules.logs.accepted.get(&version).map_or(0, Vec::len) > 1 {
-            add("two_in_force", format!("two files of version {version} became the fleet's"));
+            add(
+                "two_in_force",
+                format!("two files of version {version} became the fleet's"),
+            );
         }
         if let (true, Some(at)) = (change.kind == "cut", rules.logs.in_force.get(&version)) {
-            let cuts = account.played.iter().filter(|(fault, ..)| fault.what == What::FrontsSplit);
+            let cuts = account
+                .played
+                .iter()
+                .filter(|(fault, ..)| fault.what == What::FrontsSplit);
             let inside = cuts.filter(|(_, from, to)| from <= at && at < to).count() as i64;
             run.tallies.insert("in_force_during_a_cut", inside);
         }
@@ -287,17 +430,33 @@
             _ => None,
         })
         .collect();
-    for o in account.asked.iter().filter(|o| o.class == AUDIT && began.contains(o.asked.id.as_str())) {
-        wrong.entry("barred_read").or_default().push(format!("{}: ran, but is denied", o.asked.id));
+    for o in account
+        .asked
+        .iter()
+        .filter(|o| o.class == AUDIT && began.contains(o.asked.id.as_str()))
+    {
+        wrong
+            .entry("barred_read")
+            .or_default()
+            .push(format!("{}: ran, but is denied", o.asked.id));
     }
-    let closed = account.asked.iter().filter(|o| o.class == REPORT && refused(o) && !o.barred);
+    let closed = account
+        .asked
+        .iter()
+        .filter(|o| o.class == REPORT && refused(o) && !o.barred);
     let closed: BTreeSet<(usize, i64)> = closed.map(second).collect();
-    let others: Vec<&Offered> =
-        account.asked.iter().filter(|o| o.class == LOOKUP && closed.contains(&second(o))).collect();
+    let others: Vec<&Offered> = account
+        .asked
+        .iter()
+        .filter(|o| o.class == LOOKUP && closed.contains(&second(o)))
+        .collect();
     let away = others.iter().filter(|o| refused(o)).count();
     // A busy machine's fronts turn some away by themselves.
     if others.len() >= LEAST_OTHERS && away * 2 > others.len() {
-        let said = format!("{away} of {} of customers without rules, while fronts were closed", others.len());
+        let said = format!(
+            "{away} of {} of customers without rules, while fronts were closed",
+            others.len()
+        );
         wrong.entry("groundless_refusal").or_default().push(said);
     }
 }
@@ -323,14 +482,22 @@
         })
         .collect();
     run.tallies.insert("hits", fleet_hits.values().sum());
-    run.tallies.insert("hits_sure", asked.iter().filter(|o| sure(o)).count() as i64);
-    run.tallies.insert("hits_unsure", asked.iter().filter(|o| !sure(o)).count() as i64);
+    run.tallies
+        .insert("hits_sure", asked.iter().filter(|o| sure(o)).count() as i64);
+    run.tallies.insert(
+        "hits_unsure",
+        asked.iter().filter(|o| !sure(o)).count() as i64,
+    );
     let of = |o: &Offered, rule: &str| Some(format!("{rule} r{}", o.front));
     let decided = |o: &Offered| of(o, if o.class == AUDIT { "denied" } else { "bound" });
     let counts = |o: &Offered| of(o, "counted").filter(|_| o.class == REPORT);
     let split = |counting: bool| {
         let holds = |rule: &str| rule.starts_with("counted") == counting;
-        fleet_hits.iter().filter(|(rule, _)| holds(rule)).map(|(rule, n)| (rule.clone(), *n)).collect()
+        fleet_hits
+            .iter()
+            .filter(|(rule, _)| holds(rule))
+            .map(|(rule, n)| (rule.clone(), *n))
+            .collect()
     };
     hits::check(&mut run.violations, &asked, &split(false), &decided);
     hits::check(&mut run.violations, &asked, &split(true), &counts);
--- a/crates/lab/src/prove/rules_tests.rs
+++ b/crates/lab/src/prove/rules_tests.rs
@@ -8,7 +8,11 @@
         let plan = draw(seed, false);
         assert_eq!((plan.changes.len(), plan.scenario.faults.len()), (4, 3));
         let last = plan.scenario.seconds * 1000;
-        assert!(plan.scenario.faults.iter().all(|f| f.at_ms + f.for_ms < last));
+        assert!(plan
+            .scenario
+            .faults
+            .iter()
+            .all(|f| f.at_ms + f.for_ms < last));
         let mut before = plan.first.clone();
         for change in &plan.changes {
             for (_, set) in &change.files {
@@ -17,6 +21,9 @@
             }
             before = change.files[0].1.clone();
         }
-        assert!(draw(seed, true).changes.iter().any(|change| change.kind == "cut"));
+        assert!(draw(seed, true)
+            .changes
+            .iter()
+            .any(|change| change.kind == "cut"));
     }
 }
--- a/crates/lab/src/prove/shape.rs
+++ b/crates/lab/src/prove/shape.rs
@@ -44,19 +44,35 @@
 
 /// Engines that bear all that such a run asks of them.
 pub(super) fn engines() -> Warm {
-    Warm { slots: 64, cold_slots: 64, ..Warm::default() }
+    Warm {
+        slots: 64,
+        cold_slots: 64,
+        ..Warm::default()
+    }
 }
 
 /// Statements with an order key and a dedup key each.
 pub(super) fn keyed(keys: usize, work_ms: u64) -> Class {
-    Class { effect: Effect::Deduplicated, keys, ..promised("log-load", work_ms) }
+    Class {
+        effect: Effect::Deduplicated,
+        keys,
+        ..promised("log-load", work_ms)
+    }
 }
 
 /// Statements without a key that may run once alone.
 pub(super) fn once(work_ms: u64) -> Class {
-    Class { effect: Effect::NonIdempotent, ..promised("pay", work_ms) }
+    Class {
+        effect: Effect::NonIdempotent,
+        ..promised("pay", work_ms)
+    }
 }
 
 fn promised(name: &str, work_ms: u64) -> Class {
-    Class { importance: 8.0, work_ms: Some(work_ms), goes_on: true, ..Class::plain(name, 2_000) }
+    Class {
+        importance: 8.0,
+        work_ms: Some(work_ms),
+        goes_on: true,
+        ..Class::plain(name, 2_000)
+    }
 }
--- a/crates/lab/src/prove/sites.rs
+++ b/crates/lab/src/prove/sites.rs
@@ -64,17 +64,33 @@
     seen: &Arc<Seen>,
     stop: &AtomicBool,
 ) {
-    let (gap, loads) = (Duration::from_secs_f64(1.0 / (SCATTERS + loads)), loads / (SCATTERS + loads));
+    let (gap, loads) = (
+        Duration::from_secs_f64(1.0 / (SCATTERS + loads)),
+        loads / (SCATTERS + loads),
+    );
     let (mut chance, mut number, mut waits) = (Pcg64Mcg::seed_from_u64(seed), NUMBERS, Vec::new());
     while !stop.load(SeqCst) {
         std::thread::sleep(gap);
         number += 1;
         let here: Vec<&Arc<Member>> = members.iter().filter(|m| !m.away.load(SeqCst)).collect();
-        let Some(member) = here.get(chance.random_range(0..here.len().max(1))) else { continue };
-        let Some(at) = member.front.lock().ok().and_then(|f| f.as_ref().map(|f| f.lines)) else { continue };
+        let Some(member) = here.get(chance.random_range(0..here.len().max(1))) else {
+            continue;
+        };
+        let Some(at) = member
+            .front
+            .lock()
+            .ok()
+            .and_then(|f| f.as_ref().map(|f| f.lines))
+        else {
+            continue;
+        };
         let (front, loads) = (member.number, chance.random_bool(loads));
         let from = chance.random_range(0..SITES as i64 * RANGE);
-        let to = if chance.random_bool(0.6) { from } else { from + chance.random_range(0..RANGE / 4) };
+        let to = if chance.random_bool(0.6) {
+            from
+        } else {
+            from + chance.random_range(0..RANGE / 4)
+        };
         let (records, seen) = (records.clone(), seen.clone());
         waits.push(std::thread::spawn(move || {
             let id = format!("{}{}", if loads { "l" } else { "q" }, number - NUMBERS);
@@ -117,12 +133,18 @@
         }
         if self.spoils {
             let (what, _) = BAD[self.turns % BAD.len()];
-            let (site, front) = (self.chance.random_range(0..SITES), self.chance.random_range(0..fronts));
+            let (site, front) = (
+                self.chance.random_range(0..SITES),
+                self.chance.random_range(0..fronts),
+            );
             self.sites.tell_badly(site, front, what);
             fronts_told.insert(front);
             self.turns += 1;
         }
-        let here = fronts_told.iter().map(|front| &fleet.members[*front]).filter(|m| !m.away.load(SeqCst));
+        let here = fronts_told
+            .iter()
+            .map(|front| &fleet.members[*front])
+            .filter(|m| !m.away.load(SeqCst));
         here.for_each(|member| member.signal(Signal::SIGHUP));
     }
 }
@@ -130,10 +152,15 @@
 impl FleetHooks for Plan {
     fn ready(&mut self, fleet: &Fleet) -> Result<(), String> {
         self.tell(fleet);
-        let (seed, members, records) =
-            ((self.seed, self.loads), fleet.members.clone(), fleet.records.clone());
+        let (seed, members, records) = (
+            (self.seed, self.loads),
+            fleet.members.clone(),
+            fleet.records.clone(),
+        );
         let (seen, stop) = (self.seen.clone(), self.stop.clone());
-        self.clients = Some(std::thread::spawn(move || clients(seed, &members, &records, &seen, &stop)));
+        self.clients = Some(std::thread::spawn(move || {
+            clients(seed, &members, &records, &seen, &stop)
+        }));
         Ok(())
     }
 
@@ -147,13 +174,17 @@
 
     fn over(&mut self, fleet: &Fleet) {
         self.stop.store(true, SeqCst);
-        self.clients.take().into_iter().for_each(|clients| _ = clients.join());
+        self.clients
+            .take()
+            .into_iter()
+            .for_each(|clients| _ = clients.join());
         for (what, text) in BAD {
             let said = |m: &Arc<Member>| {
                 let lines = m.said("/bad: ");
                 lines.iter().filter(|(_, line)| line.contains(text)).count()
             };
-            self.refused.insert(what, fleet.members.iter().map(said).sum());
+            self.refused
+                .insert(what, fleet.members.iter().map(said).sum());
         }
         for member in &fleet.members {
             let before = member.said(NEEDLESS).len();
@@ -162,7 +193,8 @@
             while member.said(NEEDLESS).len() == before && since.elapsed() < TELL {
                 std::thread::sleep(Duration::from_millis(10));
             }
-            self.needless.extend(member.said(NEEDLESS).pop().map(|(_, line)| line));
+            self.needless
+                .extend(member.said(NEEDLESS).pop().map(|(_, line)| line));
         }
     }
 }
@@ -171,24 +203,55 @@
 fn draw(seed: u64, small: bool) -> Scenario {
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x7369_7465);
     let fronts = 5;
-    let cut = fault(What::FrontsSplit, 6_000 + chance.random_range(0..500), 5_000);
-    let mut faults = vec![Fault { front: chance.random_range(1..fronts), ..cut }];
+    let cut = fault(
+        What::FrontsSplit,
+        6_000 + chance.random_range(0..500),
+        5_000,
+    );
+    let mut faults = vec![Fault {
+        front: chance.random_range(1..fronts),
+        ..cut
+    }];
     if !small {
-        let gone = fault(What::Kill, 15_000 + chance.random_range(0..500), chance.random_range(500..2_000));
-        faults.push(Fault { front: chance.random_range(0..fronts), ..gone });
+        let gone = fault(
+            What::Kill,
+            15_000 + chance.random_range(0..500),
+            chance.random_range(500..2_000),
+        );
+        faults.push(Fault {
+            front: chance.random_range(0..fronts),
+            ..gone
+        });
     }
-    let load =
-        Class { share: 0.0, effect: Effect::NonIdempotent, goes_on: true, ..Class::plain("load", 2_000) };
+    let load = Class {
+        share: 0.0,
+        effect: Effect::NonIdempotent,
+        goes_on: true,
+        ..Class::plain("load", 2_000)
+    };
     Scenario {
         seed: Some(seed),
         seconds: if small { 14 } else { 25 },
-        fleet: Shape { zones: SITES, engines_per_zone: 1, clocks_apart_ms: 400, ..shape::fleet(fronts) },
-        load: Load { per_second: 5, work_ms: 10, timeout_ms: 4_000, memory_mb: 0 },
+        fleet: Shape {
+            zones: SITES,
+            engines_per_zone: 1,
+            clocks_apart_ms: 400,
+            ..shape::fleet(fronts)
+        },
+        load: Load {
+            per_second: 5,
+            work_ms: 10,
+            timeout_ms: 4_000,
+            memory_mb: 0,
+        },
         engine: shape::engines(),
         faults,
         classes: vec![
             Class::plain("plain", 1_000),
-            Class { share: 0.0, ..Class::plain("lookup", 1_000) },
+            Class {
+                share: 0.0,
+                ..Class::plain("lookup", 1_000)
+            },
             load,
         ],
     }
@@ -198,7 +261,9 @@
 fn first(seed: u64) -> Vec<Vec<i64>> {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let mut values = |site: i64| -> Vec<i64> {
-        (0..FIRST_ROWS).map(|_| site * RANGE + chance.random_range(0..RANGE)).collect()
+        (0..FIRST_ROWS)
+            .map(|_| site * RANGE + chance.random_range(0..RANGE))
+            .collect()
     };
     (0..SITES as i64).map(&mut values).collect()
 }
@@ -254,17 +319,38 @@
     let (held, mut violations) = held((&plan.sites, &plan.seen), &first(seed));
     let lock = |_| "a client's thread broke".to_string();
     let scatters = plan.seen.scatters.lock().map_err(|e| lock(e.to_string()))?;
-    let loads = plan.seen.loads.lock().map_err(|e| lock(e.to_string()))?.len();
-    let began = scatters.iter().map(|(_, scatter)| scatter.sent).min().unwrap_or(0);
-    let all: Vec<Scatter> = scatters.iter().map(|(_, scatter)| scatter.clone()).collect();
+    let loads = plan
+        .seen
+        .loads
+        .lock()
+        .map_err(|e| lock(e.to_string()))?
+        .len();
+    let began = scatters
+        .iter()
+        .map(|(_, scatter)| scatter.sent)
+        .min()
+        .unwrap_or(0);
+    let all: Vec<Scatter> = scatters
+        .iter()
+        .map(|(_, scatter)| scatter.clone())
+        .collect();
     rows::check(&mut violations, &all, &held);
-    let whole: Vec<&Scatter> =
-        (all.iter()).filter(|scatter| scatter.rows.is_some() && scatter.sent > began + WARM_US).collect();
+    let whole: Vec<&Scatter> = (all.iter())
+        .filter(|scatter| scatter.rows.is_some() && scatter.sent > began + WARM_US)
+        .collect();
     let (asked, with_rows) = asked(&whole, &held, &account);
     let needless = counted(&plan.needless);
     let missing = violations.values().map(Vec::len).sum();
     let all = (whole.len() * SITES) as i64;
-    Ok(SitesAsked { scatters: whole.len(), loads, all, asked, with_rows, missing, needless })
+    Ok(SitesAsked {
+        scatters: whole.len(),
+        loads,
+        all,
+        asked,
+        with_rows,
+        missing,
+        needless,
+    })
 }
 
 /// Plays the run of a seed: whether it passed, and the tallies of its line.
@@ -277,9 +363,15 @@
     checked(&mut run, &plan, first, &account);
     let seconds = began.elapsed().as_secs();
     if seconds >= MOST_SECONDS {
-        run.violations.entry("run").or_default().push(format!("took {seconds} s"));
+        run.violations
+            .entry("run")
+            .or_default()
+            .push(format!("took {seconds} s"));
     }
-    Ok(end(&run, &format!("fronts={} seconds={seconds}", scenario.fleet.fronts)))
+    Ok(end(
+        &run,
+        &format!("fronts={} seconds={seconds}", scenario.fleet.fronts),
+    ))
 }
 
 fn checked(run: &mut Run, plan: &Plan, first: &[Vec<i64>], account: &Account) {
@@ -290,27 +382,50 @@
     let (Ok(scatters), Ok(loads)) = (plan.seen.scatters.lock(), plan.seen.loads.lock()) else {
         return;
     };
-    let all: Vec<Scatter> = scatters.iter().map(|(_, scatter)| scatter.clone()).collect();
+    let all: Vec<Scatter> = scatters
+        .iter()
+        .map(|(_, scatter)| scatter.clone())
+        .collect();
     rows::check(&mut run.violations, &all, &held);
-    let whole = scatters.iter().filter(|(_, scatter)| scatter.rows.is_some());
+    let whole = scatters
+        .iter()
+        .filter(|(_, scatter)| scatter.rows.is_some());
     let whole: Vec<&(usize, Scatter)> = whole.collect();
     let answered: Vec<&Scatter> = whole.iter().map(|(_, scatter)| scatter).collect();
     let (of, least) = asked(&answered, &held, account);
     // Loads acknowledged on one side of a cut, and scatters asked on the other after that while it lasted.
     let mut across = 0;
-    for (fault, from, to) in account.played.iter().filter(|(fault, ..)| fault.what == What::FrontsSplit) {
+    for (fault, from, to) in account
+        .played
+        .iter()
+        .filter(|(fault, ..)| fault.what == What::FrontsSplit)
+    {
         let side = |front: usize| fault.split().group(front);
         let inside = |at: i64| *from <= at && at < *to;
-        let done: Vec<&Loaded> =
-            loads.iter().filter(|load| inside(load.sent) && inside(load.acknowledged)).collect();
+        let done: Vec<&Loaded> = loads
+            .iter()
+            .filter(|load| inside(load.sent) && inside(load.acknowledged))
+            .collect();
         let other = |front: usize, scatter: &Scatter| {
             inside(scatter.answered)
-                && done.iter().any(|l| side(l.front) != side(front) && l.acknowledged < scatter.sent)
+                && done
+                    .iter()
+                    .any(|l| side(l.front) != side(front) && l.acknowledged < scatter.sent)
         };
-        across += whole.iter().filter(|(front, scatter)| other(*front, scatter)).count() as i64;
+        across += whole
+            .iter()
+            .filter(|(front, scatter)| other(*front, scatter))
+            .count() as i64;
     }
-    let rows = whole.iter().flat_map(|(_, scatter)| &scatter.rows).map(Vec::len).sum::<usize>() as i64;
-    let acknowledged = loads.iter().filter(|load| load.acknowledged < i64::MAX).count() as i64;
+    let rows = whole
+        .iter()
+        .flat_map(|(_, scatter)| &scatter.rows)
+        .map(Vec::len)
+        .sum::<usize>() as i64;
+    let acknowledged = loads
+        .iter()
+        .filter(|load| load.acknowledged < i64::MAX)
+        .count() as i64;
     let needless = counted(&plan.needless);
     let without = |why: &str| needless.get(why).map_or(0, |count| *count as i64);
     for (key, value) in [
@@ -327,13 +442,19 @@
         ("sites_true", least),
         ("rows", rows),
         ("across_a_cut", across),
-        ("summaries_refused", plan.refused.values().sum::<usize>() as i64),
+        (
+            "summaries_refused",
+            plan.refused.values().sum::<usize>() as i64,
+        ),
     ] {
         run.tallies.insert(key, value);
     }
     let mut add = |what: String| run.violations.entry("run").or_default().push(what);
     if whole.len() < LEAST_WHOLE || acknowledged < 10 || rows < LEAST_ROWS {
-        add(format!("{} scatters in whole, {rows} rows, {acknowledged} loads acknowledged", whole.len()));
+        add(format!(
+            "{} scatters in whole, {rows} rows, {acknowledged} loads acknowledged",
+            whole.len()
+        ));
     }
     if across == 0 {
         add("no scatter came on one side of a cut after a load on the other".to_string());
--- a/crates/lab/src/prove/sites/seen.rs
+++ b/crates/lab/src/prove/sites/seen.rs
@@ -37,7 +37,12 @@
 /// The rows at each site in the end, and loads acknowledged whose rows are nowhere.
 pub(super) fn held((sites, seen): (&Sites, &Seen), first: &[Vec<i64>]) -> (Vec<Row>, Violations) {
     let there = |site: usize| {
-        first[site].iter().map(move |value| Row { site, value: *value, asked: 0, acknowledged: 0 })
+        first[site].iter().map(move |value| Row {
+            site,
+            value: *value,
+            asked: 0,
+            acknowledged: 0,
+        })
     };
     let mut held: Vec<Row> = (0..first.len()).flat_map(there).collect();
     let mut violations = Violations::new();
@@ -47,7 +52,12 @@
     for load in loads.iter() {
         let (value, asked, acknowledged) = (load.value, load.sent, load.acknowledged);
         match landed.get(&load.id) {
-            Some(site) => held.push(Row { site: *site, value, asked, acknowledged }),
+            Some(site) => held.push(Row {
+                site: *site,
+                value,
+                asked,
+                acknowledged,
+            }),
             None if acknowledged < i64::MAX => {
                 let said = format!("{}: acknowledged, and its row is nowhere", load.id);
                 violations.entry("row_missing").or_default().push(said);
@@ -70,9 +80,15 @@
     for scatter in whole {
         of += asked.get(scatter.id.as_str()).map_or(0, BTreeSet::len) as i64;
         let matches = |row: &&Row| {
-            (scatter.between.0..=scatter.between.1).contains(&row.value) && row.acknowledged < scatter.sent
+            (scatter.between.0..=scatter.between.1).contains(&row.value)
+                && row.acknowledged < scatter.sent
         };
-        least += held.iter().filter(matches).map(|row| row.site).collect::<BTreeSet<_>>().len() as i64;
+        least += held
+            .iter()
+            .filter(matches)
+            .map(|row| row.site)
+            .collect::<BTreeSet<_>>()
+            .len() as i64;
     }
     (of, least)
 }
--- a/crates/lab/src/prove/soak.rs
+++ b/crates/lab/src/prove/soak.rs
@@ -49,7 +49,10 @@
     let slots = chance.random_range(2..=6);
     let work_ms = chance.random_range(20..=100);
     let classes = vec![
-        Class { share: 6.0, ..Class::plain("lookup", 500) },
+        Class {
+            share: 6.0,
+            ..Class::plain("lookup", 500)
+        },
         Class {
             share: 2.0,
             importance: 8.0,
@@ -80,7 +83,10 @@
         zone_quorum: None,
         sheds_as_one: false,
         budgets: Default::default(),
-        further: Further { spare: chance.random_range(1..=4), share: chance.random_range(0.05..0.2) },
+        further: Further {
+            spare: chance.random_range(1..=4),
+            share: chance.random_range(0.05..0.2),
+        },
     };
     // From what the engines bear easily to what they turn away, so that there is much to try again.
     let bear = (fleet.zones * fleet.engines_per_zone * slots) as u64 * 1000 / work_ms;
@@ -89,7 +95,12 @@
     Scenario {
         seed: Some(seed),
         seconds: SECONDS,
-        load: Load { per_second, work_ms, timeout_ms: chance.random_range(1_000..=2_500), memory_mb: 0 },
+        load: Load {
+            per_second,
+            work_ms,
+            timeout_ms: chance.random_range(1_000..=2_500),
+            memory_mb: 0,
+        },
         engine: Warm {
             slots,
             cold_slots: slots.div_ceil(2),
@@ -114,7 +125,10 @@
         if at + for_ms + FIRST_MS > SECONDS * 1000 {
             break;
         }
-        let (front, zone) = (chance.random_range(0..fleet.fronts), chance.random_range(0..fleet.zones));
+        let (front, zone) = (
+            chance.random_range(0..fleet.fronts),
+            chance.random_range(0..fleet.zones),
+        );
         if at < busy_until[front] {
             at = busy_until[front];
             continue;
@@ -122,13 +136,20 @@
         if what == What::Term {
             busy_until[front] = at + for_ms + LONGEST_END_MS;
         }
-        faults.push(Fault { front, zone, ..fault(what, at, for_ms) });
+        faults.push(Fault {
+            front,
+            zone,
+            ..fault(what, at, for_ms)
+        });
         at += for_ms + chance.random_range(500..2_500);
     }
     let mut at = FIRST_MS;
     while at < SECONDS * 1000 {
         let zone = chance.random_range(0..fleet.zones);
-        faults.push(Fault { zone, ..fault(What::ZoneReset, at, 0) });
+        faults.push(Fault {
+            zone,
+            ..fault(What::ZoneReset, at, 0)
+        });
         at += chance.random_range(RESETS_MS);
     }
     faults
@@ -152,12 +173,16 @@
     let tally = |key: &str| run.tallies.get(key).copied().unwrap_or(0);
     let (completed, steps) = (tally("completed"), tally("clock_steps"));
     if completed < LEAST_COMPLETED || steps == 0 {
-        let said = format!("{completed} statements were completed, {steps} steps of clocks were played");
+        let said =
+            format!("{completed} statements were completed, {steps} steps of clocks were played");
         run.violations.entry("run").or_default().push(said);
     }
     machines.print();
     let fronts = scenario.fleet.fronts;
-    Ok(end(&run, &format!("fronts={fronts} seconds={}", began.elapsed().as_secs())))
+    Ok(end(
+        &run,
+        &format!("fronts={fronts} seconds={}", began.elapsed().as_secs()),
+    ))
 }
 
 fn check_budget(wrong: &mut crate::check::Violations, scenario: &Scenario, account: &Account) {
--- a/crates/lab/src/prove/soak/machine.rs
+++ b/crates/lab/src/prove/soak/machine.rs
@@ -35,8 +35,14 @@
 const BROKEN_RATES: [u16; 2] = [5, 30];
 const CROWDED: f64 = 0.25; // share of runs in which idle clients hold all the descriptors that clients may
 const CROWD: usize = SOCKETS / 2; // connections to each front: so many are clients' share
-const TALLIES: [&str; Call::ALL.len()] =
-    ["failed_accepts", "failed_sockets", "failed_connects", "short_reads", "short_writes", "broken_reads"];
+const TALLIES: [&str; Call::ALL.len()] = [
+    "failed_accepts",
+    "failed_sockets",
+    "failed_connects",
+    "short_reads",
+    "short_writes",
+    "broken_reads",
+];
 
 /// Calls of one front that fail until then.
 struct Shortage {
@@ -62,7 +68,8 @@
 
 impl Machines {
     pub(super) fn new(seed: u64, fronts: usize) -> Result<Machines> {
-        let folder = std::env::temp_dir().join(format!("hallmux-soak-{}-{seed}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("hallmux-soak-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let library = Library::compile(&folder.join("machine_faults.so"))?;
         let faults = (0..fronts).map(|front| {
@@ -89,7 +96,9 @@
     pub(super) fn options(&self, program: Option<&Path>) -> Vec<MemberOptions> {
         let environment = |faults: &MachineFaults| {
             let variables = faults.environment().into_iter();
-            variables.map(|(name, path)| (name.to_string(), path.display().to_string())).collect()
+            variables
+                .map(|(name, path)| (name.to_string(), path.display().to_string()))
+                .collect()
         };
         let options = |faults| MemberOptions {
             environment: environment(faults),
@@ -104,14 +113,21 @@
         let ahead = *AHEAD.choose(&mut self.chance).unwrap_or(&0);
         self.faults[front].set_wall_clock_ahead(ahead)?;
         self.steps += 1;
-        self.played.push((since, format!("front {front}: its wall clock is {} ms ahead", ahead / 1000)));
+        self.played.push((
+            since,
+            format!("front {front}: its wall clock is {} ms ahead", ahead / 1000),
+        ));
         Ok(())
     }
 
     fn begin_shortage(&mut self, since: i64) -> Result<()> {
         let front = self.chance.random_range(0..self.faults.len());
         let call = *Call::ALL.choose(&mut self.chance).unwrap_or(&Call::Accept);
-        let rates: &[u16] = if call == Call::BrokenRead { &BROKEN_RATES } else { &RATES };
+        let rates: &[u16] = if call == Call::BrokenRead {
+            &BROKEN_RATES
+        } else {
+            &RATES
+        };
         let rate = *rates.choose(&mut self.chance).unwrap_or(&0);
         let until = since + self.chance.random_range(SHORTAGE);
         let most = self.chance.random_range(MOST_FAILURES);
@@ -126,7 +142,9 @@
     }
 
     fn end_shortages(&mut self, since: i64) -> Result<()> {
-        let (over, lasting) = std::mem::take(&mut self.shortages).into_iter().partition(|s| s.until <= since);
+        let (over, lasting) = std::mem::take(&mut self.shortages)
+            .into_iter()
+            .partition(|s| s.until <= since);
         self.shortages = lasting;
         let over: Vec<Shortage> = over;
         for Shortage { front, call, .. } in over {
@@ -139,7 +157,11 @@
     /// Idle clients connect to each front, as many as it may hold.
     fn gather_crowd(&mut self, fleet: &Fleet) -> Result<()> {
         for member in &fleet.members {
-            let address = member.front.lock().ok().and_then(|front| front.as_ref().map(|front| front.lines));
+            let address = member
+                .front
+                .lock()
+                .ok()
+                .and_then(|front| front.as_ref().map(|front| front.lines));
             for address in std::iter::repeat_n(address, CROWD).flatten() {
                 self.crowd.push(TcpStream::connect(address)?);
             }
@@ -162,7 +184,10 @@
 
     /// How often each was played, over all fronts.
     pub(super) fn played(&self) -> Result<Vec<(&'static str, i64)>> {
-        let mut all = vec![("clock_steps", self.steps), ("crowd", self.crowd.len() as i64)];
+        let mut all = vec![
+            ("clock_steps", self.steps),
+            ("crowd", self.crowd.len() as i64),
+        ];
         for (call, name) in Call::ALL.into_iter().zip(TALLIES) {
             let counts = self.faults.iter().map(|faults| faults.played(call));
             all.push((name, counts.sum::<Result<i64>>()?));
@@ -172,7 +197,9 @@
 
     /// Prints what was played, in the order of time.
     pub(super) fn print(&self) {
-        self.played.iter().for_each(|(at, what)| eprintln!("played at {at}: {what}"));
+        self.played
+            .iter()
+            .for_each(|(at, what)| eprintln!("played at {at}: {what}"));
     }
 }
 
--- a/crates/lab/src/prove/soak_tests.rs
+++ b/crates/lab/src/prove/soak_tests.rs
@@ -11,11 +11,18 @@
         for fault in scenario.faults.iter().filter(|fault| fault.for_ms > 0) {
             assert!(fault.at_ms >= free && fault.front < scenario.fleet.fronts);
             free = fault.at_ms + fault.for_ms;
-            assert!(fault.at_ms >= ends[fault.front], "{seed}: front {} is still ending", fault.front);
+            assert!(
+                fault.at_ms >= ends[fault.front],
+                "{seed}: front {} is still ending",
+                fault.front
+            );
             if fault.what == What::Term {
                 ends[fault.front] = free + LONGEST_END_MS;
             }
         }
-        assert!(scenario.faults.len() > 3 && free <= SECONDS * 1000, "{seed}");
+        assert!(
+            scenario.faults.len() > 3 && free <= SECONDS * 1000,
+            "{seed}"
+        );
     }
 }
--- a/crates/lab/src/record/account_tests.rs
+++ b/crates/lab/src/record/account_tests.rs
@@ -10,13 +10,26 @@
 #[test]
 fn the_order_that_fronts_shed_in_is_held_against_the_fleets() {
     assert_eq!(ranks(&[0.5, 0.1, 0.5, 0.9]), [1.5, 0.0, 1.5, 3.0]);
-    let (one, same, turned) = (ranks(&[0.1, 0.2, 0.3]), ranks(&[1.0, 5.0, 9.0]), ranks(&[3.0, 2.0, 1.0]));
+    let (one, same, turned) = (
+        ranks(&[0.1, 0.2, 0.3]),
+        ranks(&[1.0, 5.0, 9.0]),
+        ranks(&[3.0, 2.0, 1.0]),
+    );
     assert!((correlation(&one, &same) - 1.0).abs() < 1e-9);
     assert!((correlation(&one, &turned) + 1.0).abs() < 1e-9);
 }
 
 fn sent(at: i64, statements: usize, passed: bool) -> Relayed {
-    Relayed { at, front: 0, engine: 2, zone: 1, statements, probes: 0, opened: 0, passed }
+    Relayed {
+        at,
+        front: 0,
+        engine: 2,
+        zone: 1,
+        statements,
+        probes: 0,
+        opened: 0,
+        passed,
+    }
 }
 
 #[test]
@@ -26,7 +39,10 @@
     let first = borne(&scenario, 0, SECOND);
     assert!((59.0..61.0).contains(&first), "{first}");
     let fault = scenario.faults[0].clone();
-    let mut account = Account { played: vec![(fault, SECOND, 2 * SECOND)], ..Account::default() };
+    let mut account = Account {
+        played: vec![(fault, SECOND, 2 * SECOND)],
+        ..Account::default()
+    };
     account.relayed = vec![
         sent(SECOND + 700_000, 1, false),
         sent(2 * SECOND + 1, 30, true),
@@ -35,6 +51,9 @@
     let run = judge(&scenario, &account, Vec::new());
     assert_eq!(run.tallies["zone_lost_last_sent_ms"], 700);
     assert_eq!(run.tallies["returned_sent"], 90);
-    assert_eq!(run.tallies["return_load_over_bound_pct"], (9000.0 / first).round() as i64);
+    assert_eq!(
+        run.tallies["return_load_over_bound_pct"],
+        (9000.0 / first).round() as i64
+    );
     assert!(run.tallies["return_load_over_bound_pct"] > 100);
 }
--- a/crates/lab/src/record/attempts.rs
+++ b/crates/lab/src/record/attempts.rs
@@ -31,8 +31,18 @@
     for offered in account.asked.iter().filter(|o| o.asked.id == id) {
         let (a, front) = (&offered.asked, offered.front);
         fronts.insert(front);
-        seen.push((a.sent, format!("asked of front {front}, {:?}, {} ms", a.repeat, a.timeout / 1000)));
-        seen.push((a.answered, format!("front {front} answered {:?}", a.outcome)));
+        seen.push((
+            a.sent,
+            format!(
+                "asked of front {front}, {:?}, {} ms",
+                a.repeat,
+                a.timeout / 1000
+            ),
+        ));
+        seen.push((
+            a.answered,
+            format!("front {front} answered {:?}", a.outcome),
+        ));
     }
     // The connections that it came over, and the ids that it had there.
     let (mut ports, mut ids) = (HashSet::new(), HashSet::new());
@@ -52,18 +62,31 @@
             ids.insert(id.as_str());
         }
         let over = came.map_or(String::new(), |(port, _)| format!(" over {port}"));
-        seen.push((event.at, format!("engine {} run {}{over}: {what}", event.engine, event.link)));
+        seen.push((
+            event.at,
+            format!("engine {} run {}{over}: {what}", event.engine, event.link),
+        ));
     }
     let mut events = Vec::new();
     for event in &account.wire_events {
         if let WireEventKind::Line { verb, id, passed } = &event.kind {
             if ids.contains(id.as_str()) {
                 ports.insert((event.engine, event.port));
-                events.push((event, if *passed { verb.clone() } else { format!("{verb}, lost on the way") }));
+                events.push((
+                    event,
+                    if *passed {
+                        verb.clone()
+                    } else {
+                        format!("{verb}, lost on the way")
+                    },
+                ));
             }
         }
     }
-    let (first, last) = (seen.iter().map(|s| s.0).min(), seen.iter().map(|s| s.0).max());
+    let (first, last) = (
+        seen.iter().map(|s| s.0).min(),
+        seen.iter().map(|s| s.0).max(),
+    );
     let (first, last) = (first.unwrap_or(0), last.unwrap_or(0));
     let around = |at: i64| at >= first - AROUND && at <= last + AROUND;
     let own = |w: &&WireEvent| ports.contains(&(w.engine, w.port)) && around(w.at);
@@ -75,12 +98,26 @@
         }
     }
     seen.extend(events.into_iter().map(|(w, what)| {
-        let WireEvent { at, front, engine, port, .. } = w;
-        (*at, format!("relay {port} between front {front} and engine {engine}: {what}"))
+        let WireEvent {
+            at,
+            front,
+            engine,
+            port,
+            ..
+        } = w;
+        (
+            *at,
+            format!("relay {port} between front {front} and engine {engine}: {what}"),
+        )
     }));
-    let warned = account.warned.iter().filter(|(front, at, _)| fronts.contains(front) && around(*at));
+    let warned = account
+        .warned
+        .iter()
+        .filter(|(front, at, _)| fronts.contains(front) && around(*at));
     seen.extend(
-        warned.take(MOST_WARNINGS).map(|(front, at, line)| (*at, format!("front {front} says: {line}"))),
+        warned
+            .take(MOST_WARNINGS)
+            .map(|(front, at, line)| (*at, format!("front {front} says: {line}"))),
     );
     seen.sort_by_key(|(at, _)| *at);
     let first = seen.first().map_or(0, |(at, _)| *at);
--- a/crates/lab/src/record/attempts_tests.rs
+++ b/crates/lab/src/record/attempts_tests.rs
@@ -11,21 +11,45 @@
     [engine]\nslots = 8\ncold_slots = 8\n";
 
 pub fn line(at: i64, (engine, port): (usize, u16), (verb, id): (&str, &str)) -> WireEvent {
-    let kind = WireEventKind::Line { verb: verb.into(), id: id.into(), passed: true };
-    WireEvent { at, front: 3, engine, port, kind }
+    let kind = WireEventKind::Line {
+        verb: verb.into(),
+        id: id.into(),
+        passed: true,
+    };
+    WireEvent {
+        at,
+        front: 3,
+        engine,
+        port,
+        kind,
+    }
 }
 
 /// Sent to engine 1, given up by closing its connection, and sent to engine 2 before engine 1 has read so.
 pub fn account() -> Account {
-    let event = |at, engine, link, kind| EngineEvent { at, engine, link, kind };
+    let event = |at, engine, link, kind| EngineEvent {
+        at,
+        engine,
+        link,
+        kind,
+    };
     let (began, ended, kept) = (
-        || Kind::Began { id: "s7".into(), key: String::new() },
+        || Kind::Began {
+            id: "s7".into(),
+            key: String::new(),
+        },
         || Kind::Ended { id: "s7".into() },
         || Kind::Kept { id: "s7".into() },
     );
     let mut own = offered("s7", 3, 1_000);
     own.asked.answered = 160_000;
-    let closed = WireEvent { at: 41_000, front: 3, engine: 1, port: 501, kind: WireEventKind::FrontClosed };
+    let closed = WireEvent {
+        at: 41_000,
+        front: 3,
+        engine: 1,
+        port: 501,
+        kind: WireEventKind::FrontClosed,
+    };
     Account {
         asked: vec![own],
         engine_events: vec![
@@ -36,7 +60,10 @@
             event(140_000, 2, 11, kept()),
         ],
         sent_by: HashMap::from([((1, 10), 3), ((2, 11), 3)]),
-        came: HashMap::from([((1, 10), (501, "0007".into())), ((2, 11), (502, "0007".into()))]),
+        came: HashMap::from([
+            ((1, 10), (501, "0007".into())),
+            ((2, 11), (502, "0007".into())),
+        ]),
         wire_events: vec![
             line(2_000, (1, 501), ("want", "0007")),
             line(2_500, (1, 501), ("want", "0008")),
@@ -44,8 +71,20 @@
             closed,
             line(150_000, (2, 502), ("ACK", "0007")),
             // Another connection's end, and the same one's long after.
-            WireEvent { at: 60_000, front: 3, engine: 1, port: 509, kind: WireEventKind::FrontClosed },
-            WireEvent { at: 9_000_000, front: 3, engine: 2, port: 502, kind: WireEventKind::FrontClosed },
+            WireEvent {
+                at: 60_000,
+                front: 3,
+                engine: 1,
+                port: 509,
+                kind: WireEventKind::FrontClosed,
+            },
+            WireEvent {
+                at: 9_000_000,
+                front: 3,
+                engine: 2,
+                port: 502,
+                kind: WireEventKind::FrontClosed,
+            },
         ],
         warned: vec![
             (3, 27_000, "f3 warn: engine e1: a line of 5 words".into()),
@@ -61,8 +100,16 @@
 fn a_statement_that_ran_twice_at_once_is_named_with_each_attempt_in_the_order_of_time() {
     let scenario = Scenario::parse(TEXT, false, None).unwrap();
     let run = judge(&scenario, &account(), Vec::new());
-    let rules: Vec<_> = run.violations.iter().map(|(rule, found)| (*rule, found.len())).collect();
-    assert_eq!(rules, [("repeats", 1)], "the story adds no finding and takes none away");
+    let rules: Vec<_> = run
+        .violations
+        .iter()
+        .map(|(rule, found)| (*rule, found.len()))
+        .collect();
+    assert_eq!(
+        rules,
+        [("repeats", 1)],
+        "the story adds no finding and takes none away"
+    );
     let expected = "s7 at front 3: ran twice at once [\
         0.000 ms asked of front 3, Idempotent, 1000 ms; \
         1.000 ms relay 501 between front 3 and engine 1: want; \
@@ -82,7 +129,9 @@
 #[test]
 fn what_was_lost_on_the_way_is_told_as_lost() {
     let mut account = account();
-    let WireEventKind::Line { passed, .. } = &mut account.wire_events[0].kind else { panic!() };
+    let WireEventKind::Line { passed, .. } = &mut account.wire_events[0].kind else {
+        panic!()
+    };
     *passed = false;
     let scenario = Scenario::parse(TEXT, false, None).unwrap();
     let run = judge(&scenario, &account, Vec::new());
--- a/crates/lab/src/record/barred.rs
+++ b/crates/lab/src/record/barred.rs
@@ -25,15 +25,19 @@
 ) {
     let known: HashMap<&str, &Offered> = asked.iter().map(|o| (o.asked.id.as_str(), o)).collect();
     for x in ran {
-        let Some(offered) = known.get(x.id.as_str()) else { continue };
+        let Some(offered) = known.get(x.id.as_str()) else {
+            continue;
+        };
         let holds = |bar: &&Bar| {
             let for_it = bar.class.is_none_or(|class| class == offered.class);
             for_it && bar.zone == zone(x.engine) && bar.in_force < x.from && x.from < bar.until
         };
         if let Some(bar) = bars.iter().find(holds) {
             let ms = (x.from - bar.in_force) / 1000;
-            let said =
-                format!("{}: read in zone {} {ms} ms after in force, front {}", x.id, bar.zone, x.front);
+            let said = format!(
+                "{}: read in zone {} {ms} ms after in force, front {}",
+                x.id, bar.zone, x.front
+            );
             wrong.entry("barred_read").or_default().push(said);
         }
     }
--- a/crates/lab/src/record/budget.rs
+++ b/crates/lab/src/record/budget.rs
@@ -34,19 +34,30 @@
 ) {
     let mut further: BTreeMap<usize, Vec<i64>> = BTreeMap::new();
     let mut known = HashSet::new();
-    for x in ran.iter().filter(|x| !known.insert((x.front, x.id.as_str()))) {
+    for x in ran
+        .iter()
+        .filter(|x| !known.insert((x.front, x.id.as_str())))
+    {
         further.entry(x.front).or_default().push(x.from);
     }
     for (front, further) in further {
         for (n, at) in further.iter().enumerate() {
-            let own = starts.iter().filter(|(started, when)| *started == front && when <= at);
-            let since = own.map(|(_, when)| *when).max().unwrap_or(i64::MIN).max(at - budget.window);
+            let own = starts
+                .iter()
+                .filter(|(started, when)| *started == front && when <= at);
+            let since = own
+                .map(|(_, when)| *when)
+                .max()
+                .unwrap_or(i64::MIN)
+                .max(at - budget.window);
             let within = further[..=n].iter().filter(|from| **from > since).count();
-            let is_in_window = |o: &&Offered| o.front == front && o.asked.sent > since && o.asked.sent <= *at;
+            let is_in_window =
+                |o: &&Offered| o.front == front && o.asked.sent > since && o.asked.sent <= *at;
             let taken = asked.iter().filter(is_in_window).count();
             if within as f64 > budget.allows(taken) {
-                let said =
-                    format!("front {front}: {within} further executions of {taken} statements at {at}");
+                let said = format!(
+                    "front {front}: {within} further executions of {taken} statements at {at}"
+                );
                 wrong.entry("budget").or_default().push(said);
             }
         }
--- a/crates/lab/src/record/budget_tests.rs
+++ b/crates/lab/src/record/budget_tests.rs
@@ -4,13 +4,20 @@
 use crate::record::account::offered;
 use crate::record::executions::ran;
 
-const BUDGET: Budget = Budget { spare: 1.0, share: 0.1, window: 10_000_000 };
+const BUDGET: Budget = Budget {
+    spare: 1.0,
+    share: 0.1,
+    window: 10_000_000,
+};
 
 /// Whether so many further executions of as many statements, one each 100 ms, are found at a front.
 fn is_found(count: i64, starts: &[(usize, i64)]) -> bool {
     let ids: Vec<String> = (0..count).map(|n| format!("s{n}")).collect();
-    let asked: Vec<Offered> =
-        ids.iter().zip(0..).map(|(id, n): (_, i64)| offered(id, 0, n * 100_000)).collect();
+    let asked: Vec<Offered> = ids
+        .iter()
+        .zip(0..)
+        .map(|(id, n): (_, i64)| offered(id, 0, n * 100_000))
+        .collect();
     let mut all = Vec::new();
     for (id, n) in ids.iter().zip(0..) {
         let from = n * 100_000 + 1_000;
--- a/crates/lab/src/record/cuts.rs
+++ b/crates/lab/src/record/cuts.rs
@@ -27,26 +27,58 @@
     pub fn least_heard(&self, front: usize, (from, to): (i64, i64)) -> usize {
         let heard = |at: i64| {
             let own = |groups: &[usize], n: usize| groups.get(n) == groups.get(front);
-            let cuts: Vec<&Cut> = self.cuts.iter().filter(|c| c.from <= at && at < c.to).collect();
-            let away = |n: usize| self.away.iter().any(|(f, from, to)| *f == n && *from <= at && at < *to);
-            (0..self.fronts).filter(|n| !away(*n) && cuts.iter().all(|cut| own(&cut.groups, *n))).count()
+            let cuts: Vec<&Cut> = self
+                .cuts
+                .iter()
+                .filter(|c| c.from <= at && at < c.to)
+                .collect();
+            let away = |n: usize| {
+                self.away
+                    .iter()
+                    .any(|(f, from, to)| *f == n && *from <= at && at < *to)
+            };
+            (0..self.fronts)
+                .filter(|n| !away(*n) && cuts.iter().all(|cut| own(&cut.groups, *n)))
+                .count()
         };
         let inside = |at: &i64| from <= *at && *at <= to;
-        let starts = self.cuts.iter().map(|c| c.from).chain(self.away.iter().map(|a| a.1)).filter(inside);
-        starts.chain([from, to]).map(heard).min().unwrap_or(self.fronts)
+        let starts = self
+            .cuts
+            .iter()
+            .map(|c| c.from)
+            .chain(self.away.iter().map(|a| a.1))
+            .filter(inside);
+        starts
+            .chain([from, to])
+            .map(heard)
+            .min()
+            .unwrap_or(self.fronts)
     }
 
     /// The most that it heard.
     pub fn most_heard(&self, front: usize, (from, to): (i64, i64)) -> usize {
-        let ends = self.cuts.iter().map(|c| c.to).chain(self.away.iter().map(|a| a.2));
+        let ends = self
+            .cuts
+            .iter()
+            .map(|c| c.to)
+            .chain(self.away.iter().map(|a| a.2));
         let inside = ends.filter(|at| from <= *at && *at <= to);
-        inside.chain([from, to]).map(|at| self.least_heard(front, (at, at))).max().unwrap_or(0)
+        inside
+            .chain([from, to])
+            .map(|at| self.least_heard(front, (at, at)))
+            .max()
+            .unwrap_or(0)
     }
 
     /// Whether a front was itself away or without a CPU in a span.
     pub fn is_amiss(&self, front: usize, (from, to): (i64, i64)) -> bool {
-        let away = self.away.iter().filter(|(own, ..)| *own == front).map(|(_, f, t)| (*f, *t));
-        away.chain(self.starved.iter().copied()).any(|(f, t)| f <= to && from <= t)
+        let away = self
+            .away
+            .iter()
+            .filter(|(own, ..)| *own == front)
+            .map(|(_, f, t)| (*f, *t));
+        away.chain(self.starved.iter().copied())
+            .any(|(f, t)| f <= to && from <= t)
     }
 
     /// Whether anything between fronts was troubled in a span.
--- a/crates/lab/src/record/executions.rs
+++ b/crates/lab/src/record/executions.rs
@@ -26,23 +26,39 @@
 }
 
 /// All executions in the order of their starts; `sent_by` says which front an engine's link number stands for.
-pub fn executions(engine_events: &[EngineEvent], sent_by: &HashMap<(usize, u32), usize>) -> Vec<Execution> {
+pub fn executions(
+    engine_events: &[EngineEvent],
+    sent_by: &HashMap<(usize, u32), usize>,
+) -> Vec<Execution> {
     let mut all: Vec<Execution> = Vec::new();
     let mut at: HashMap<(usize, u32, &str), usize> = HashMap::new();
     for event in engine_events {
         let (id, ended, kept) = match &event.kind {
             Kind::Began { id, key } => {
                 at.insert((event.engine, event.link, id), all.len());
-                let front = sent_by.get(&(event.engine, event.link)).copied().unwrap_or(usize::MAX);
+                let front = sent_by
+                    .get(&(event.engine, event.link))
+                    .copied()
+                    .unwrap_or(usize::MAX);
                 let (id, key, engine, from) = (id.clone(), key.clone(), event.engine, event.at);
-                all.push(Execution { id, key, engine, front, from, to: i64::MAX, kept: false });
+                all.push(Execution {
+                    id,
+                    key,
+                    engine,
+                    front,
+                    from,
+                    to: i64::MAX,
+                    kept: false,
+                });
                 continue;
             }
             Kind::Ended { id } => (id, true, false),
             Kind::Kept { id } => (id, false, true),
             _ => continue,
         };
-        let own = at.get(&(event.engine, event.link, id.as_str())).and_then(|at| all.get_mut(*at));
+        let own = at
+            .get(&(event.engine, event.link, id.as_str()))
+            .and_then(|at| all.get_mut(*at));
         if let Some(own) = own {
             own.kept |= kept;
             own.to = if ended { own.to.min(event.at) } else { own.to };
@@ -54,8 +70,21 @@
 
 /// For the checks' own tests: an execution from its name, key, front and span.
 #[cfg(test)]
-pub fn ran(id: &str, key: &str, (engine, front): (usize, usize), (from, to): (i64, i64)) -> Execution {
-    Execution { id: id.into(), key: key.into(), engine, front, from, to, kept: true }
+pub fn ran(
+    id: &str,
+    key: &str,
+    (engine, front): (usize, usize),
+    (from, to): (i64, i64),
+) -> Execution {
+    Execution {
+        id: id.into(),
+        key: key.into(),
+        engine,
+        front,
+        from,
+        to,
+        kept: true,
+    }
 }
 
 #[cfg(test)]
--- a/crates/lab/src/record/executions_tests.rs
+++ b/crates/lab/src/record/executions_tests.rs
@@ -4,13 +4,30 @@
 
 #[test]
 fn a_start_and_its_end_are_one_execution_also_where_the_statement_ran_twice() {
-    let event = |at, link, kind| EngineEvent { at, engine: 3, link, kind };
-    let (began, ended) =
-        (|id: &str| Kind::Began { id: id.into(), key: "k".into() }, |id: &str| Kind::Ended { id: id.into() });
+    let event = |at, link, kind| EngineEvent {
+        at,
+        engine: 3,
+        link,
+        kind,
+    };
+    let (began, ended) = (
+        |id: &str| Kind::Began {
+            id: id.into(),
+            key: "k".into(),
+        },
+        |id: &str| Kind::Ended { id: id.into() },
+    );
     let kept = Kind::Kept { id: "a".into() };
-    let engine_events =
-        [event(1, 1, began("a")), event(2, 2, began("a")), event(5, 2, ended("a")), event(5, 2, kept)];
+    let engine_events = [
+        event(1, 1, began("a")),
+        event(2, 2, began("a")),
+        event(5, 2, ended("a")),
+        event(5, 2, kept),
+    ];
     let found = executions(&engine_events, &HashMap::from([((3, 1), 0), ((3, 2), 4)]));
-    let told: Vec<_> = found.iter().map(|x| (x.front, x.from, x.to, x.kept)).collect();
+    let told: Vec<_> = found
+        .iter()
+        .map(|x| (x.front, x.from, x.to, x.kept))
+        .collect();
     assert_eq!(told, [(0, 1, i64::MAX, false), (4, 2, 5, true)]);
 }
--- a/crates/lab/src/record/given_up.rs
+++ b/crates/lab/src/record/given_up.rs
@@ -18,10 +18,15 @@
 pub fn ended(scenario: &Scenario, account: &Account) -> Vec<EngineEvent> {
     let mut engine_events = account.engine_events.clone();
     let repeated = |o: &&super::account::Offered| {
-        o.asked.repeat == Repeat::Idempotent && !scenario.classes.get(o.class).is_some_and(|c| c.goes_on)
+        o.asked.repeat == Repeat::Idempotent
+            && !scenario.classes.get(o.class).is_some_and(|c| c.goes_on)
     };
-    let mut runs: HashMap<&str, Vec<&EngineEvent>> =
-        account.asked.iter().filter(repeated).map(|o| (o.asked.id.as_str(), Vec::new())).collect();
+    let mut runs: HashMap<&str, Vec<&EngineEvent>> = account
+        .asked
+        .iter()
+        .filter(repeated)
+        .map(|o| (o.asked.id.as_str(), Vec::new()))
+        .collect();
     for event in &account.engine_events {
         if let Kind::Began { id, .. } = &event.kind {
             runs.entry(id).and_modify(|runs| runs.push(event));
@@ -32,8 +37,13 @@
             match given_up(account, run) {
                 Some(at) if at < run.at => engine_events.retain(|event| event != run),
                 at => {
-                    let ended =
-                        |at| EngineEvent { at, kind: Kind::Ended { id: own.to_string() }, ..run.clone() };
+                    let ended = |at| EngineEvent {
+                        at,
+                        kind: Kind::Ended {
+                            id: own.to_string(),
+                        },
+                        ..run.clone()
+                    };
                     engine_events.extend(at.map(ended));
                 }
             }
@@ -48,16 +58,30 @@
 fn given_up(account: &Account, run: &EngineEvent) -> Option<i64> {
     let (port, id) = account.came.get(&(run.engine, run.link))?;
     let is_want = |w: &&WireEvent| match &w.kind {
-        WireEventKind::Line { verb, id: other, .. } => verb == "want" && other == id,
+        WireEventKind::Line {
+            verb, id: other, ..
+        } => verb == "want" && other == id,
         _ => false,
     };
     let is_here = |w: &&WireEvent| (w.engine, w.port) == (run.engine, *port);
     let since = account.wire_events.iter().filter(is_here).find(is_want)?.at;
-    let here = || account.wire_events.iter().filter(is_here).filter(|w| w.at >= since);
+    let here = || {
+        account
+            .wire_events
+            .iter()
+            .filter(is_here)
+            .filter(|w| w.at >= since)
+    };
     // A relay closes both sides: the front's is its own doing only where the engine's was open.
-    let lost = here().find(|w| w.kind == WireEventKind::EngineClosed).map_or(i64::MAX, |w| w.at);
+    let lost = here()
+        .find(|w| w.kind == WireEventKind::EngineClosed)
+        .map_or(i64::MAX, |w| w.at);
     let ends = |w: &&WireEvent| match &w.kind {
-        WireEventKind::Line { verb, id: other, passed } => *passed && verb == "never_mind" && other == id,
+        WireEventKind::Line {
+            verb,
+            id: other,
+            passed,
+        } => *passed && verb == "never_mind" && other == id,
         WireEventKind::FrontClosed => w.at < lost,
         WireEventKind::EngineClosed => false,
     };
@@ -67,6 +91,12 @@
         return late(run.at).then_some(at);
     }
     let elsewhere = |w: &&WireEvent| w.at > run.at && !is_here(w);
-    let next = account.wire_events.iter().filter(is_want).filter(elsewhere).map(|w| w.at).min()?;
+    let next = account
+        .wire_events
+        .iter()
+        .filter(is_want)
+        .filter(elsewhere)
+        .map(|w| w.at)
+        .min()?;
     (next >= at + APART || next >= at && late(next)).then_some(at)
 }
--- a/crates/lab/src/record/given_up_tests.rs
+++ b/crates/lab/src/record/given_up_tests.rs
@@ -14,7 +14,11 @@
     account.engine_events.sort_by_key(|event| event.at);
     account.wire_events[3].at = 30_000;
     change(&mut account);
-    let run = judge(&Scenario::parse(TEXT, false, None).unwrap(), &account, Vec::new());
+    let run = judge(
+        &Scenario::parse(TEXT, false, None).unwrap(),
+        &account,
+        Vec::new(),
+    );
     run.violations.contains_key("repeats")
 }
 
@@ -25,28 +29,62 @@
 #[test]
 fn what_was_given_up_before_the_next_was_sent_is_out_no_more() {
     assert!(!broken(|_| {}), "its connection was closed");
-    assert!(!broken(|a| a.wire_events[3] = line(30_000, (1, 501), ("never_mind", "0007"))));
+    assert!(!broken(
+        |a| a.wire_events[3] = line(30_000, (1, 501), ("never_mind", "0007"))
+    ));
 }
 
 #[test]
 fn what_was_not_given_up_or_only_later_is_found_whatever_the_machine() {
-    assert!(broken(|a| _ = a.wire_events.remove(3)), "nothing was given up");
+    assert!(
+        broken(|a| _ = a.wire_events.remove(3)),
+        "nothing was given up"
+    );
     assert!(broken(|a| (_ = a.wire_events.remove(3), starved(a)).1));
-    assert!(broken(|a| (a.wire_events[3].at = 39_001, starved(a)).1), "after the next was sent");
-    assert!(broken(|a| a.wire_events[3] = line(30_000, (1, 501), ("never_mind", "0008"))), "another's end");
-    assert!(broken(|a| a.wire_events[3].port = 509), "another connection's");
-    let lost = WireEventKind::Line { verb: "never_mind".into(), id: "0007".into(), passed: false };
-    assert!(broken(|a| a.wire_events[3].kind = lost), "its engine was not told");
-    let closed = |at| WireEvent { at, front: 3, engine: 1, port: 501, kind: WireEventKind::EngineClosed };
-    assert!(broken(|a| a.wire_events.insert(0, closed(29_000))), "the front only lost its connection");
-    assert!(broken(|a| a.asked[0].asked.repeat = Repeat::Deduplicated), "that may not be repeated anywhere");
+    assert!(
+        broken(|a| (a.wire_events[3].at = 39_001, starved(a)).1),
+        "after the next was sent"
+    );
+    assert!(
+        broken(|a| a.wire_events[3] = line(30_000, (1, 501), ("never_mind", "0008"))),
+        "another's end"
+    );
+    assert!(
+        broken(|a| a.wire_events[3].port = 509),
+        "another connection's"
+    );
+    let lost = WireEventKind::Line {
+        verb: "never_mind".into(),
+        id: "0007".into(),
+        passed: false,
+    };
+    assert!(
+        broken(|a| a.wire_events[3].kind = lost),
+        "its engine was not told"
+    );
+    let closed = |at| WireEvent {
+        at,
+        front: 3,
+        engine: 1,
+        port: 501,
+        kind: WireEventKind::EngineClosed,
+    };
+    assert!(
+        broken(|a| a.wire_events.insert(0, closed(29_000))),
+        "the front only lost its connection"
+    );
+    assert!(
+        broken(|a| a.asked[0].asked.repeat = Repeat::Deduplicated),
+        "that may not be repeated anywhere"
+    );
 }
 
 #[test]
 fn a_front_that_sends_the_next_at_once_is_excused_by_nothing_but_a_rig_without_a_cpu() {
     assert!(broken(|a| a.wire_events[3].at = 38_000));
     assert!(!broken(|a| (a.wire_events[3].at = 38_000, starved(a)).1));
-    let long_before = |a: &mut Account| a.starved = Starved::of_rig((-3_000_000, -2_000_000), 25_000);
+    let long_before =
+        |a: &mut Account| a.starved = Starved::of_rig((-3_000_000, -2_000_000), 25_000);
     assert!(broken(|a| (a.wire_events[3].at = 38_000, long_before(a)).1));
 }
 
@@ -55,13 +93,23 @@
     // The relay reads the statement and its end together, once the next already runs elsewhere.
     let stuck = |a: &mut Account| {
         let run = |event: &&mut crate::engine::EngineEvent| event.link == 10;
-        a.engine_events.iter_mut().filter(run).zip([50_000, 50_100]).for_each(|(event, at)| event.at = at);
+        a.engine_events
+            .iter_mut()
+            .filter(run)
+            .zip([50_000, 50_100])
+            .for_each(|(event, at)| event.at = at);
         a.engine_events.sort_by_key(|event| event.at);
         a.wire_events[0].at = 41_500;
         a.wire_events[3].at = 41_600;
     };
     assert!(!broken(|a| (stuck(a), starved(a)).1));
     assert!(broken(stuck), "the machine let nobody wait");
-    assert!(broken(|a| (stuck(a), starved(a), _ = a.wire_events.remove(3)).2), "nothing was given up");
-    assert!(broken(|a| (stuck(a), starved(a), a.wire_events[3].at = 50_050).2), "only once it ran");
+    assert!(
+        broken(|a| (stuck(a), starved(a), _ = a.wire_events.remove(3)).2),
+        "nothing was given up"
+    );
+    assert!(
+        broken(|a| (stuck(a), starved(a), a.wire_events[3].at = 50_050).2),
+        "only once it ran"
+    );
 }
--- a/crates/lab/src/record/herd.rs
+++ b/crates/lab/src/record/herd.rs
@@ -10,25 +10,43 @@
 const AFTER: i64 = 6 * SECOND; // microseconds of a start that count: budgets are handed out anew within some seconds
 
 /// `from`: when the fronts were killed.
-pub fn released(scenario: &Scenario, account: &Account, (fault, from): (&Fault, i64), tallies: &mut Tallies) {
+pub fn released(
+    scenario: &Scenario,
+    account: &Account,
+    (fault, from): (&Fault, i64),
+    tallies: &mut Tallies,
+) {
     let back = from + fault.for_ms as i64 * 1000;
     let engines = scenario.fleet.zones * scenario.fleet.engines_per_zone;
     let after = |at: i64| (back..back + AFTER).contains(&at);
     let most = |count: fn(&Relayed) -> usize| {
         let each = (0..engines).map(|e| {
-            let own = account.relayed.iter().filter(|r| r.engine == e && after(r.at));
+            let own = account
+                .relayed
+                .iter()
+                .filter(|r| r.engine == e && after(r.at));
             most_in_a_second(own.flat_map(|r| vec![r.at; count(r)]).collect())
         });
         each.max().unwrap_or(0) as i64
     };
     tallies.insert("released_connections_most_s", most(|r| r.opened));
     tallies.insert("released_probes_most_s", most(|r| r.probes));
-    let made = account.relayed.iter().filter(|r| after(r.at)).map(|r| r.opened as i64).sum();
+    let made = account
+        .relayed
+        .iter()
+        .filter(|r| after(r.at))
+        .map(|r| r.opened as i64)
+        .sum();
     tallies.insert("released_connections", made);
-    let asked: Vec<_> = account.asked.iter().filter(|o| after(o.asked.sent)).collect();
+    let asked: Vec<_> = account
+        .asked
+        .iter()
+        .filter(|o| after(o.asked.sent))
+        .collect();
     let in_time = asked.iter().filter(|o| {
         let slo = scenario.classes[o.class].slo_ms as i64 * 1000;
-        matches!(o.asked.outcome, Outcome::Completed { .. }) && o.asked.answered - o.asked.sent <= slo
+        matches!(o.asked.outcome, Outcome::Completed { .. })
+            && o.asked.answered - o.asked.sent <= slo
     });
     let share = in_time.count() * 100 / asked.len().max(1);
     tallies.insert("released_in_time_pct", share as i64);
--- a/crates/lab/src/record/hits.rs
+++ b/crates/lab/src/record/hits.rs
@@ -17,20 +17,34 @@
     for offered in asked {
         let Some(rule) = rule(offered) else { continue };
         let count = counts.entry(rule).or_default();
-        let answered = matches!(offered.asked.outcome, Outcome::Completed { .. } | Outcome::Error(_));
+        let answered = matches!(
+            offered.asked.outcome,
+            Outcome::Completed { .. } | Outcome::Error(_)
+        );
         count.0 += i64::from(answered);
         count.1 += 1;
     }
-    for rule in counted.keys().filter(|rule| !counts.contains_key(*rule)).cloned().collect::<Vec<_>>() {
+    for rule in counted
+        .keys()
+        .filter(|rule| !counts.contains_key(*rule))
+        .cloned()
+        .collect::<Vec<_>>()
+    {
         counts.insert(rule, (0, 0));
     }
     for (rule, (least, most)) in counts {
         let counted = counted.get(&rule).copied().unwrap_or(0);
         if counted < least {
-            wrong.entry("hit_lost").or_default().push(format!("{rule}: {counted} told, {least} answered"));
+            wrong
+                .entry("hit_lost")
+                .or_default()
+                .push(format!("{rule}: {counted} told, {least} answered"));
         }
         if counted > most {
-            wrong.entry("hit_doubled").or_default().push(format!("{rule}: {counted} told, {most} asked"));
+            wrong
+                .entry("hit_doubled")
+                .or_default()
+                .push(format!("{rule}: {counted} told, {most} asked"));
         }
     }
 }
--- a/crates/lab/src/record/hits_tests.rs
+++ b/crates/lab/src/record/hits_tests.rs
@@ -9,12 +9,25 @@
     all[2].asked.outcome = Outcome::Lost;
     let found = |told: i64| {
         let mut wrong = Violations::new();
-        check(&mut wrong, &all, &BTreeMap::from([("r".to_string(), told)]), &|_| Some("r".into()));
+        check(
+            &mut wrong,
+            &all,
+            &BTreeMap::from([("r".to_string(), told)]),
+            &|_| Some("r".into()),
+        );
         wrong.into_keys().collect::<Vec<_>>()
     };
     assert!(found(2).is_empty() && found(3).is_empty());
-    assert_eq!((found(1), found(4)), (vec!["hit_lost"], vec!["hit_doubled"]));
+    assert_eq!(
+        (found(1), found(4)),
+        (vec!["hit_lost"], vec!["hit_doubled"])
+    );
     let mut wrong = Violations::new();
-    check(&mut wrong, &all, &BTreeMap::from([("never".to_string(), 1)]), &|_| None);
+    check(
+        &mut wrong,
+        &all,
+        &BTreeMap::from([("never".to_string(), 1)]),
+        &|_| None,
+    );
     assert!(wrong.contains_key("hit_doubled"));
 }
--- a/crates/lab/src/record/offered.rs
+++ b/crates/lab/src/record/offered.rs
@@ -24,7 +24,9 @@
     /// and by the CPU that the front and the client wanted and were not given.
     pub fn excuse(&mut self, troubled: &[(i64, i64)], starved: &Starved) {
         let StatementRecord { sent, answered, .. } = self.asked;
-        self.asked.may_be_lost = troubled.iter().any(|(from, to)| sent <= *to && answered >= *from);
+        self.asked.may_be_lost = troubled
+            .iter()
+            .any(|(from, to)| sent <= *to && answered >= *from);
         if self.asked.may_be_lost {
             self.asked.timeout += EXCUSED;
         }
@@ -37,8 +39,20 @@
 pub fn offered(id: &str, front: usize, sent: i64) -> Offered {
     let asked = StatementRecord::new(id.into(), sent, 1_000_000, crate::check::Repeat::Idempotent);
     let outcome = crate::check::Outcome::Completed { rows: 1 };
-    let asked = StatementRecord { answered: sent + 1_000, outcome, rows: 1, ..asked };
-    Offered { front, class: 0, asked, barred: false, again: false, starved: 0 }
+    let asked = StatementRecord {
+        answered: sent + 1_000,
+        outcome,
+        rows: 1,
+        ..asked
+    };
+    Offered {
+        front,
+        class: 0,
+        asked,
+        barred: false,
+        again: false,
+        starved: 0,
+    }
 }
 
 #[cfg(test)]
--- a/crates/lab/src/record/offered_tests.rs
+++ b/crates/lab/src/record/offered_tests.rs
@@ -9,15 +9,26 @@
         let mut own = offered("a", 1, 0);
         (own.asked.answered, own.asked.outcome) = (answered, outcome);
         own.excuse(troubled, starved);
-        let agreed = Agreed { slack: 400_000, ..Agreed::default() };
+        let agreed = Agreed {
+            slack: 400_000,
+            ..Agreed::default()
+        };
         check::check(&[own.asked], &[], &[], &agreed).contains_key("answers")
     };
     let done = || Outcome::Completed { rows: 1 };
-    let (none, busy) = (Starved::default(), Starved::of(1, (200_000, 900_000), 300_000));
+    let (none, busy) = (
+        Starved::default(),
+        Starved::of(1, (200_000, 900_000), 300_000),
+    );
     assert!(late(1_500_000, done(), &[], &none) && !late(1_300_000, done(), &[], &none));
     assert!(!late(1_500_000, done(), &[], &busy) && late(1_800_000, done(), &[], &busy));
     // Another's trouble, or trouble at another time, excuses nothing.
-    assert!(late(1_500_000, done(), &[], &Starved::of(0, (200_000, 900_000), 300_000)));
+    assert!(late(
+        1_500_000,
+        done(),
+        &[],
+        &Starved::of(0, (200_000, 900_000), 300_000)
+    ));
     assert!(late(1_500_000, done(), &[(1_600_000, i64::MAX)], &none));
     assert!(
         late(400_000, Outcome::Lost, &[], &busy)
--- a/crates/lab/src/record/order.rs
+++ b/crates/lab/src/record/order.rs
@@ -13,15 +13,19 @@
 /// `lost`: fronts whose process ended without warning, and when.
 pub fn check(wrong: &mut Violations, ran: &[Execution], asked: &[Offered], lost: &[(usize, i64)]) {
     let mut by_key: BTreeMap<&str, Vec<&Execution>> = BTreeMap::new();
-    ran.iter().filter(|x| !x.key.is_empty()).for_each(|x| by_key.entry(&x.key).or_default().push(x));
-    let sent: HashMap<(&str, usize), (i64, i64)> =
-        asked.iter().map(|o| ((o.asked.id.as_str(), o.front), (o.asked.sent, o.starved))).collect();
+    ran.iter()
+        .filter(|x| !x.key.is_empty())
+        .for_each(|x| by_key.entry(&x.key).or_default().push(x));
+    let sent: HashMap<(&str, usize), (i64, i64)> = asked
+        .iter()
+        .map(|o| ((o.asked.id.as_str(), o.front), (o.asked.sent, o.starved)))
+        .collect();
     for (key, ran) in by_key {
         for (n, later) in ran.iter().enumerate() {
             for earlier in ran[..n].iter().filter(|x| x.overlaps(later)) {
-                let forgot = lost
-                    .iter()
-                    .any(|(front, at)| *front == earlier.front && (earlier.from..=later.from).contains(at));
+                let forgot = lost.iter().any(|(front, at)| {
+                    *front == earlier.front && (earlier.from..=later.from).contains(at)
+                });
                 let rule = if forgot { "promise_lost" } else { "order" };
                 let said = format!(
                     "{key}: {} began at front {} while {} of front {} ran, by {} ms",
@@ -34,15 +38,20 @@
                 wrong.entry(rule).or_default().push(said);
             }
             // Of one front, with nothing between: a lost one's order went with its clients.
-            let earlier = ran[..n].iter().rev().find(|x| x.front == later.front && x.id != later.id);
+            let earlier = ran[..n]
+                .iter()
+                .rev()
+                .find(|x| x.front == later.front && x.id != later.id);
             let Some(earlier) = earlier else { continue };
             let at = |x: &Execution| sent.get(&(x.id.as_str(), x.front)).copied();
             if let (Some((first, _)), Some((second, starved))) = (at(earlier), at(later)) {
                 let first_run = !ran[..n].iter().any(|x| x.id == later.id);
                 // A client that had no CPU sent it so much later than it meant to.
                 if second + APART + starved < first && first_run {
-                    let said =
-                        format!("{key}: {} was sent before {}, but ran after it", later.id, earlier.id);
+                    let said = format!(
+                        "{key}: {} was sent before {}, but ran after it",
+                        later.id, earlier.id
+                    );
                     wrong.entry("order").or_default().push(said);
                 }
             }
--- a/crates/lab/src/record/order_tests.rs
+++ b/crates/lab/src/record/order_tests.rs
@@ -13,7 +13,11 @@
 #[test]
 fn two_fronts_with_one_key_at_once_are_found_and_one_after_the_other_are_not() {
     let first = ran("a", "k", (0, 0), (0, 100));
-    let clean = [first.clone(), ran("b", "k", (1, 1), (100, 200)), ran("c", "l", (1, 1), (50, 80))];
+    let clean = [
+        first.clone(),
+        ran("b", "k", (1, 1), (100, 200)),
+        ran("c", "l", (1, 1), (50, 80)),
+    ];
     assert!(found(&clean, &[], &[]).is_empty());
     let both = [first.clone(), ran("b", "k", (1, 1), (99, 200))];
     assert_eq!(found(&both, &[], &[]), ["order"]);
@@ -21,16 +25,25 @@
     // Lost before it began anything, or after: no excuse.
     assert_eq!(found(&both, &[], &[(0, 150)]), ["order"]);
     // A third that runs into the first, past one that has ended.
-    let far = [ran("a", "k", (0, 0), (0, 900)), ran("b", "k", (1, 1), (950, 960))];
+    let far = [
+        ran("a", "k", (0, 0), (0, 900)),
+        ran("b", "k", (1, 1), (950, 960)),
+    ];
     assert!(found(&far, &[], &[]).is_empty());
-    let long =
-        [ran("a", "k", (0, 0), (0, 900)), ran("b", "l", (1, 1), (1, 2)), ran("c", "k", (1, 1), (800, 810))];
+    let long = [
+        ran("a", "k", (0, 0), (0, 900)),
+        ran("b", "l", (1, 1), (1, 2)),
+        ran("c", "k", (1, 1), (800, 810)),
+    ];
     assert_eq!(found(&long, &[], &[]), ["order"]);
 }
 
 #[test]
 fn what_one_front_took_in_order_runs_in_order() {
-    let all = [ran("b", "k", (0, 0), (300_000, 400_000)), ran("a", "k", (0, 0), (500_000, 600_000))];
+    let all = [
+        ran("b", "k", (0, 0), (300_000, 400_000)),
+        ran("a", "k", (0, 0), (500_000, 600_000)),
+    ];
     let asked = [offered("a", 0, 0), offered("b", 0, 200_000)];
     assert_eq!(found(&all, &asked, &[]), ["order"]);
     let elsewhere = [offered("a", 1, 0), offered("b", 0, 200_000)];
