--- a/crates/lab/src/record/promises.rs
+++ b/crates/lab/src/record/promises.rs
@@ -29,7 +29,11 @@
 /// The event as one of the front that sent it, without its order key.
 pub fn by_its_front(event: &EngineEvent, account: &Account) -> EngineEvent {
     let mut event = event.clone();
-    let front = account.sent_by.get(&(event.engine, event.link)).copied().unwrap_or_default();
+    let front = account
+        .sent_by
+        .get(&(event.engine, event.link))
+        .copied()
+        .unwrap_or_default();
     match &mut event.kind {
         Kind::Began { id, key } => {
             key.clear();
@@ -45,13 +49,21 @@
 pub fn ways(scenario: &Scenario, account: &Account) -> Ways {
     let fronts = scenario.fleet.fronts;
     // Until the load began, shards had no owners yet.
-    let mut ways = Ways { fronts, troubled: vec![(0, account.began)], ..Ways::default() };
+    let mut ways = Ways {
+        fronts,
+        troubled: vec![(0, account.began)],
+        ..Ways::default()
+    };
     for (fault, from, to) in &account.played {
         let (from, to) = (*from, *to);
         match fault.what {
             What::FrontsSplit => {
                 let split = fault.split();
-                ways.cuts.push(Cut { from, to, groups: (0..fronts).map(|n| split.group(n)).collect() });
+                ways.cuts.push(Cut {
+                    from,
+                    to,
+                    groups: (0..fronts).map(|n| split.group(n)).collect(),
+                });
                 ways.troubled.extend([(from, from), (to, to)]);
             }
             What::Stall | What::Kill | What::Term | What::LoseDisk => {
@@ -68,22 +80,39 @@
 /// How long after the end of a cut the last statement was sent that needed a promise and was refused for want of it,
 /// in milliseconds: soon, so not for having waited for its key, and before the next fault began.
 fn after_cuts(account: &Account) -> i64 {
-    let cuts = account.played.iter().filter(|(fault, ..)| fault.what == What::FrontsSplit);
+    let cuts = account
+        .played
+        .iter()
+        .filter(|(fault, ..)| fault.what == What::FrontsSplit);
     let last = |end: i64| {
-        let next = account.played.iter().map(|(_, from, _)| *from).filter(|from| *from > end).min();
+        let next = account
+            .played
+            .iter()
+            .map(|(_, from, _)| *from)
+            .filter(|from| *from > end)
+            .min();
         let soon = |o: &&Offered| o.asked.answered - o.asked.sent < WANT;
-        let refused = account.asked.iter().filter(|o| unpromised::needs(o) && soon(o) && !o.barred);
-        let refused = refused.filter(|o| matches!(&o.asked.outcome, Outcome::Error(code) if code == "53000"));
+        let refused = account
+            .asked
+            .iter()
+            .filter(|o| unpromised::needs(o) && soon(o) && !o.barred);
+        let refused =
+            refused.filter(|o| matches!(&o.asked.outcome, Outcome::Error(code) if code == "53000"));
         let next = next.unwrap_or(i64::MAX);
         let after = refused.filter(|o| o.asked.sent >= end && o.asked.answered < next);
-        after.map(|o| o.asked.sent).max().map_or(0, |sent| (sent - end) / 1000)
+        after
+            .map(|o| o.asked.sent)
+            .max()
+            .map_or(0, |sent| (sent - end) / 1000)
     };
     cuts.map(|(.., end)| last(*end)).max().unwrap_or(0)
 }
 
 /// How long an order key is kept after a statement that may be running on: as agreed, and for the fronts' clocks.
 fn rests(scenario: &Scenario) -> i64 {
-    let agreed = settings(scenario)["rules"]["turnGapMs"].as_i64().unwrap_or(0);
+    let agreed = settings(scenario)["rules"]["turnGapMs"]
+        .as_i64()
+        .unwrap_or(0);
     let skew = Setup::new("lab", 0, 0, 1, Vec::new()).clock_skew_ms as i64;
     (agreed + skew) * 1000
 }
@@ -97,7 +126,10 @@
         .chain(account.steps.iter().map(|(_, front, at)| (*front, *at)))
         .collect();
     let agreed: Vec<Repeats> = (scenario.classes.iter())
-        .map(|class| Repeats { window: class.window_ms as i64 * 1000, all: true })
+        .map(|class| Repeats {
+            window: class.window_ms as i64 * 1000,
+            all: true,
+        })
         .collect();
     let zone = |engine: usize| engine / scenario.fleet.engines_per_zone;
     order::check(&mut wrong, &ran, &account.asked, &lost);
@@ -110,14 +142,28 @@
     tallies.insert("promised_runs", keyed().filter(runs).count() as i64);
     let ran_keyed = ran.iter().filter(|x| !x.key.is_empty()).count() as i64;
     // What needs no promise is never to be delayed by those that others wait for.
-    let plain = account.asked.iter().filter(|o| !unpromised::needs(o) && !o.asked.may_be_lost);
-    let mut took: Vec<i64> = plain.map(|o| (o.asked.answered - o.asked.sent) / 1000).collect();
+    let plain = account
+        .asked
+        .iter()
+        .filter(|o| !unpromised::needs(o) && !o.asked.may_be_lost);
+    let mut took: Vec<i64> = plain
+        .map(|o| (o.asked.answered - o.asked.sent) / 1000)
+        .collect();
     took.sort_unstable();
-    tallies.insert("plain_median_ms", took.get(took.len() / 2).copied().unwrap_or(0));
-    tallies.insert("plain_p99_ms", took.get(took.len() * 99 / 100).copied().unwrap_or(0));
+    tallies.insert(
+        "plain_median_ms",
+        took.get(took.len() / 2).copied().unwrap_or(0),
+    );
+    tallies.insert(
+        "plain_p99_ms",
+        took.get(took.len() * 99 / 100).copied().unwrap_or(0),
+    );
     tallies.insert("promised", keyed().count() as i64);
     tallies.insert("keyed_runs", ran_keyed);
-    tallies.insert("asked_again", account.asked.iter().filter(|o| o.again).count() as i64);
+    tallies.insert(
+        "asked_again",
+        account.asked.iter().filter(|o| o.again).count() as i64,
+    );
     tallies.insert("steps_played", account.steps.len() as i64);
     if let Some(copies) = scenario.fleet.copies {
         let ways = ways(scenario, account);
@@ -125,9 +171,19 @@
         let majority = copies / 2 + 1;
         // Enough of the fleet for every shard's copies to have a majority, whichever fronts they lie on.
         let enough = scenario.fleet.fronts - (copies - majority);
-        unpromised::check(&mut wrong, &ran, (&account.asked, &account.starved), (&ways, majority));
+        unpromised::check(
+            &mut wrong,
+            &ran,
+            (&account.asked, &account.starved),
+            (&ways, majority),
+        );
         let rests = rests(scenario);
-        let terms = Terms { majority: enough, settles: SETTLES, rests, spare: SPARE };
+        let terms = Terms {
+            majority: enough,
+            settles: SETTLES,
+            rests,
+            spare: SPARE,
+        };
         refused::check(&mut wrong, &account.asked, (&ways, terms));
     }
     wrong
--- a/crates/lab/src/record/refused.rs
+++ b/crates/lab/src/record/refused.rs
@@ -26,8 +26,11 @@
 
 pub fn check(wrong: &mut Violations, asked: &[Offered], (ways, terms): (&Ways, Terms)) {
     let mut by_key: HashMap<&str, Vec<&Offered>> = HashMap::new();
-    asked.iter().for_each(|o| by_key.entry(&o.asked.key).or_default().push(o));
-    let refused = |o: &&Offered| matches!(&o.asked.outcome, Outcome::Error(code) if code == "53000");
+    asked
+        .iter()
+        .for_each(|o| by_key.entry(&o.asked.key).or_default().push(o));
+    let refused =
+        |o: &&Offered| matches!(&o.asked.outcome, Outcome::Error(code) if code == "53000");
     let groundless = asked.iter().filter(refused).filter(|o| {
         let span = (o.asked.sent - terms.settles, o.asked.answered);
         let sound = ways.least_heard(o.front, span) >= terms.majority && !ways.is_troubled(span);
@@ -40,16 +43,22 @@
             !own && p.asked.sent < o.asked.answered && o.asked.sent < until
         };
         let alone = o.asked.key.is_empty()
-            || !by_key.get(o.asked.key.as_str()).is_some_and(|all| all.iter().any(waits));
+            || !by_key
+                .get(o.asked.key.as_str())
+                .is_some_and(|all| all.iter().any(waits));
         // A front that wakes, or had no CPU, turns away by what it holds of its engines, not for want of a promise.
-        let plain = !needs(o) && !ways.is_amiss(o.front, (o.asked.sent - WAKES, o.asked.answered + WAKES));
+        let plain =
+            !needs(o) && !ways.is_amiss(o.front, (o.asked.sent - WAKES, o.asked.answered + WAKES));
         !o.barred && (plain || needs(o) && sound && alone)
     });
     let said: Vec<String> = groundless
         .map(|o| {
             let (id, key) = (&o.asked.id, &o.asked.key);
             let (from, to) = (o.asked.sent / 1000, o.asked.answered / 1000);
-            format!("{id} {key}: refused at front {}, sent at {from} ms, answered at {to} ms", o.front)
+            format!(
+                "{id} {key}: refused at front {}, sent at {from} ms, answered at {to} ms",
+                o.front
+            )
         })
         .collect();
     if said.len() > terms.spare {
--- a/crates/lab/src/record/refused_tests.rs
+++ b/crates/lab/src/record/refused_tests.rs
@@ -6,9 +6,22 @@
 
 #[test]
 fn a_refusal_without_an_excuse_is_found() {
-    let cut = Cut { from: 5_000_000, to: 9_000_000, groups: vec![1, 0, 0] };
-    let ways = Ways { fronts: 3, cuts: vec![cut], ..Ways::default() };
-    let terms = Terms { majority: 2, settles: 3_000_000, rests: 1_000_000, spare: 0 };
+    let cut = Cut {
+        from: 5_000_000,
+        to: 9_000_000,
+        groups: vec![1, 0, 0],
+    };
+    let ways = Ways {
+        fronts: 3,
+        cuts: vec![cut],
+        ..Ways::default()
+    };
+    let terms = Terms {
+        majority: 2,
+        settles: 3_000_000,
+        rests: 1_000_000,
+        spare: 0,
+    };
     let found = |key: &str, front: usize, sent: i64| {
         let mut own = offered("a", front, sent);
         (own.asked.key, own.asked.outcome) = (key.into(), Outcome::Error("53000".into()));
@@ -17,8 +30,16 @@
         !wrong.is_empty()
     };
     // What needs no promise is refused at a front that was stopped, and without an excuse elsewhere.
-    let stopped = Ways { fronts: 3, away: vec![(0, 5_000_000, 6_000_000)], ..Ways::default() };
-    for (front, sent, groundless) in [(0, 5_500_000, false), (1, 5_500_000, true), (0, 8_000_000, true)] {
+    let stopped = Ways {
+        fronts: 3,
+        away: vec![(0, 5_000_000, 6_000_000)],
+        ..Ways::default()
+    };
+    for (front, sent, groundless) in [
+        (0, 5_500_000, false),
+        (1, 5_500_000, true),
+        (0, 8_000_000, true),
+    ] {
         let mut own = offered("a", front, sent);
         own.asked.outcome = Outcome::Error("53000".into());
         let mut wrong = Violations::new();
@@ -26,7 +47,10 @@
         assert_eq!(!wrong.is_empty(), groundless, "{front} {sent}");
     }
     // Two of one key at once: either may have had to wait for the other.
-    let both: Vec<Offered> = ["a", "b"].map(|id| offered(id, 1, 6_000_000)).into_iter().collect();
+    let both: Vec<Offered> = ["a", "b"]
+        .map(|id| offered(id, 1, 6_000_000))
+        .into_iter()
+        .collect();
     let both = both.into_iter().map(|mut own| {
         (own.asked.key, own.asked.outcome) = ("k".into(), Outcome::Error("53000".into()));
         own
@@ -40,17 +64,31 @@
 
 #[test]
 fn a_key_rests_after_a_statement_that_did_not_complete_and_not_after_one_that_did() {
-    let ways = Ways { fronts: 3, ..Ways::default() };
-    let terms = Terms { majority: 2, settles: 3_000_000, rests: 1_000_000, spare: 0 };
+    let ways = Ways {
+        fronts: 3,
+        ..Ways::default()
+    };
+    let terms = Terms {
+        majority: 2,
+        settles: 3_000_000,
+        rests: 1_000_000,
+        spare: 0,
+    };
     let found = |key: &str, outcome: Outcome, sent: i64| {
         let mut before = offered("before", 0, 6_000_000);
-        (before.asked.key, before.asked.outcome, before.asked.answered) = (key.into(), outcome, 8_000_000);
+        (
+            before.asked.key,
+            before.asked.outcome,
+            before.asked.answered,
+        ) = (key.into(), outcome, 8_000_000);
         let mut own = offered("own", 1, sent);
         (own.asked.key, own.asked.outcome) = ("k".into(), Outcome::Error("53000".into()));
         own.asked.answered = sent + 500_000;
         let mut wrong = Violations::new();
         check(&mut wrong, &[before, own], (&ways, terms));
-        wrong.get("groundless_refusal").is_some_and(|all| all.iter().any(|said| said.starts_with("own")))
+        wrong
+            .get("groundless_refusal")
+            .is_some_and(|all| all.iter().any(|said| said.starts_with("own")))
     };
     let failed = || Outcome::Error("53000".into());
     assert!(!found("k", failed(), 8_500_000) && !found("k", Outcome::Lost, 8_999_999));
--- a/crates/lab/src/record/repeats.rs
+++ b/crates/lab/src/record/repeats.rs
@@ -30,24 +30,37 @@
             firsts.insert(&x.id, x);
             continue;
         };
-        let Some(offered) = known.get(x.id.as_str()) else { continue };
+        let Some(offered) = known.get(x.id.as_str()) else {
+            continue;
+        };
         let after = x.from - first.from;
         let why = match offered.asked.repeat {
             Repeat::Idempotent => continue,
             Repeat::NonIdempotent => format!("non-idempotent, ran again after {} ms", after / 1000),
             Repeat::Deduplicated => {
-                let Some(agreed) = agreed.get(offered.class) else { continue };
+                let Some(agreed) = agreed.get(offered.class) else {
+                    continue;
+                };
                 if after >= agreed.window {
-                    format!("deduplicated, ran again after {} ms of {}", after / 1000, agreed.window / 1000)
+                    format!(
+                        "deduplicated, ran again after {} ms of {}",
+                        after / 1000,
+                        agreed.window / 1000
+                    )
                 } else if !agreed.all && zone(first.engine) != zone(x.engine) {
-                    format!("deduplicated, ran in zones {} and {}", zone(first.engine), zone(x.engine))
+                    format!(
+                        "deduplicated, ran in zones {} and {}",
+                        zone(first.engine),
+                        zone(x.engine)
+                    )
                 } else {
                     continue;
                 }
             }
         };
-        let forgot =
-            lost.iter().any(|(front, at)| *front == first.front && (first.from..=x.from).contains(at));
+        let forgot = lost
+            .iter()
+            .any(|(front, at)| *front == first.front && (first.from..=x.from).contains(at));
         let rule = if forgot { "promise_lost" } else { "second_run" };
         let said = format!("{}: {why}, at front {} then {}", x.id, first.front, x.front);
         wrong.entry(rule).or_default().push(said);
--- a/crates/lab/src/record/rolled.rs
+++ b/crates/lab/src/record/rolled.rs
@@ -22,9 +22,12 @@
 /// How long each statement that needs a promise waited, and until when: for its front and the ledger, not for its key.
 fn waits<'a>(asked: &'a [Offered], ran: &[Execution]) -> Vec<(&'a Offered, i64, i64)> {
     let mut by_key: BTreeMap<&str, Vec<&Execution>> = BTreeMap::new();
-    ran.iter().filter(|x| !x.key.is_empty()).for_each(|x| by_key.entry(&x.key).or_default().push(x));
+    ran.iter()
+        .filter(|x| !x.key.is_empty())
+        .for_each(|x| by_key.entry(&x.key).or_default().push(x));
     let mut first: HashMap<(&str, usize), &Execution> = HashMap::new();
-    ran.iter().for_each(|x| _ = first.entry((x.id.as_str(), x.front)).or_insert(x));
+    ran.iter()
+        .for_each(|x| _ = first.entry((x.id.as_str(), x.front)).or_insert(x));
     let wait = |o: &'a Offered| {
         let own = first.get(&(o.asked.id.as_str(), o.front))?;
         let others = by_key.get(own.key.as_str()).into_iter().flatten();
@@ -36,11 +39,19 @@
 }
 
 pub fn check(wrong: &mut Violations, account: &Account, terms: Terms, tallies: &mut Tallies) {
-    let Account { asked, shutdowns, starved, .. } = account;
+    let Account {
+        asked,
+        shutdowns,
+        starved,
+        ..
+    } = account;
     let busy = starved.spans();
     let is_busy = |from: i64, to: i64| busy.iter().any(|(f, t)| *f <= to && from <= *t);
     let mut add = |rule: &'static str, what: String| wrong.entry(rule).or_default().push(what);
-    for o in asked.iter().filter(|o| !matches!(o.asked.outcome, Outcome::Completed { .. })) {
+    for o in asked
+        .iter()
+        .filter(|o| !matches!(o.asked.outcome, Outcome::Completed { .. }))
+    {
         let (sent, answered) = (o.asked.sent, o.asked.answered);
         let late_client = o.starved >= STILL && matches!(o.asked.outcome, Outcome::Lost);
         if late_client || is_busy(sent, answered) {
@@ -53,44 +64,90 @@
         };
         let ms = |at: i64| (at - account.began) / 1000;
         let said = format!("{} {} at front {}", o.asked.id, o.asked.key, o.front);
-        add(rule, format!("{said}, sent at {} ms, answered at {} ms", ms(sent), ms(answered)));
+        add(
+            rule,
+            format!(
+                "{said}, sent at {} ms, answered at {} ms",
+                ms(sent),
+                ms(answered)
+            ),
+        );
     }
     let ran = executions(&account.engine_events, &account.sent_by);
     let waited = waits(asked, &ran);
     let mut all: Vec<i64> = waited.iter().map(|(_, wait, _)| *wait / 1000).collect();
     all.sort_unstable();
-    let near = |at: i64| shutdowns.iter().any(|end| end.asked <= at && at <= end.gone + terms.most_wait);
-    let ended: Vec<i64> =
-        waited.iter().filter(|(.., at)| near(*at)).map(|(_, wait, _)| *wait / 1000).collect();
+    let near = |at: i64| {
+        shutdowns
+            .iter()
+            .any(|end| end.asked <= at && at <= end.gone + terms.most_wait)
+    };
+    let ended: Vec<i64> = waited
+        .iter()
+        .filter(|(.., at)| near(*at))
+        .map(|(_, wait, _)| *wait / 1000)
+        .collect();
     for (o, wait, at) in &waited {
         if *wait > terms.most_wait && !is_busy(o.asked.sent, *at) {
             let (id, ms) = (&o.asked.id, wait / 1000);
-            add("long_wait", format!("{id} {} at front {}: {ms} ms", o.asked.key, o.front));
+            add(
+                "long_wait",
+                format!("{id} {} at front {}: {ms} ms", o.asked.key, o.front),
+            );
         }
     }
     for end in shutdowns {
         let took = end.gone.saturating_sub(end.asked);
         if !end.well || took > terms.most_end && !is_busy(end.asked, end.gone) {
             let how = if end.well { "well" } else { "with an error" };
-            add("end", format!("front {} ended {how} after {} ms", end.front, took / 1000));
+            add(
+                "end",
+                format!("front {} ended {how} after {} ms", end.front, took / 1000),
+            );
         }
     }
     // Statements that needed a promise and were out at a front when it was asked to end.
     let out = |end: &&crate::rig::member::Shutdown| {
         let out = |o: &Offered| {
-            o.front == end.front && needs(o) && o.asked.sent < end.asked && end.asked < o.asked.answered
+            o.front == end.front
+                && needs(o)
+                && o.asked.sent < end.asked
+                && end.asked < o.asked.answered
         };
         asked.iter().any(out)
     };
     for (key, value) in [
-        ("wait_median_ms", all.get(all.len() / 2).copied().unwrap_or(0)),
-        ("wait_p99_ms", all.get(all.len() * 99 / 100).copied().unwrap_or(0)),
+        (
+            "wait_median_ms",
+            all.get(all.len() / 2).copied().unwrap_or(0),
+        ),
+        (
+            "wait_p99_ms",
+            all.get(all.len() * 99 / 100).copied().unwrap_or(0),
+        ),
         ("wait_most_ms", all.last().copied().unwrap_or(0)),
         ("waited_during_ends", ended.len() as i64),
-        ("wait_most_during_ends_ms", ended.into_iter().max().unwrap_or(0)),
-        ("ends", shutdowns.iter().filter(|end| end.well).count() as i64),
-        ("ends_with_promises_out", shutdowns.iter().filter(out).count() as i64),
-        ("end_most_ms", shutdowns.iter().map(|e| e.gone.saturating_sub(e.asked)).max().unwrap_or(0) / 1000),
+        (
+            "wait_most_during_ends_ms",
+            ended.into_iter().max().unwrap_or(0),
+        ),
+        (
+            "ends",
+            shutdowns.iter().filter(|end| end.well).count() as i64,
+        ),
+        (
+            "ends_with_promises_out",
+            shutdowns.iter().filter(out).count() as i64,
+        ),
+        (
+            "end_most_ms",
+            shutdowns
+                .iter()
+                .map(|e| e.gone.saturating_sub(e.asked))
+                .max()
+                .unwrap_or(0)
+                / 1000,
+        ),
     ] {
         tallies.insert(key, value);
     }
--- a/crates/lab/src/record/rows.rs
+++ b/crates/lab/src/record/rows.rs
@@ -33,7 +33,8 @@
     for scatter in scatters {
         let Some(rows) = &scatter.rows else { continue };
         let matches = |row: &&Row| {
-            (scatter.between.0..=scatter.between.1).contains(&row.value) && row.asked <= scatter.answered
+            (scatter.between.0..=scatter.between.1).contains(&row.value)
+                && row.asked <= scatter.answered
         };
         let (mut least, mut most) = (BTreeMap::<_, usize>::new(), BTreeMap::<_, usize>::new());
         for row in held.iter().filter(matches) {
@@ -42,7 +43,8 @@
             *least.entry((row.site, row.value)).or_default() += usize::from(due);
         }
         let mut received = BTreeMap::<_, usize>::new();
-        rows.iter().for_each(|row| *received.entry(*row).or_default() += 1);
+        rows.iter()
+            .for_each(|row| *received.entry(*row).or_default() += 1);
         for (row, least) in least {
             let received = received.get(&row).copied().unwrap_or(0);
             if received < least {
--- a/crates/lab/src/record/rows_tests.rs
+++ b/crates/lab/src/record/rows_tests.rs
@@ -4,8 +4,18 @@
 
 #[test]
 fn a_row_missing_and_a_row_that_is_none_are_found() {
-    let row = |site, value, asked, acknowledged| Row { site, value, asked, acknowledged };
-    let held = [row(0, 5, 0, 0), row(1, 7, 0, 0), row(1, 8, 50, i64::MAX), row(0, 99, 0, 0)];
+    let row = |site, value, asked, acknowledged| Row {
+        site,
+        value,
+        asked,
+        acknowledged,
+    };
+    let held = [
+        row(0, 5, 0, 0),
+        row(1, 7, 0, 0),
+        row(1, 8, 50, i64::MAX),
+        row(0, 99, 0, 0),
+    ];
     let found = |rows: &[(usize, i64)], sent: i64, without: &[usize]| {
         let scatter = Scatter {
             id: "q".into(),
@@ -26,5 +36,8 @@
     assert_eq!(found(&[(0, 5), (1, 7), (1, 7)], 100, &[]), ["row_too_many"]);
     // Before the load was asked at all, its row can't be there; one of another range never.
     assert_eq!(found(&[(0, 5), (1, 7), (1, 8)], 20, &[]), ["row_too_many"]);
-    assert_eq!(found(&[(0, 5), (1, 7), (0, 99)], 100, &[]), ["row_too_many"]);
+    assert_eq!(
+        found(&[(0, 5), (1, 7), (0, 99)], 100, &[]),
+        ["row_too_many"]
+    );
 }
--- a/crates/lab/src/record/unpromised.rs
+++ b/crates/lab/src/record/unpromised.rs
@@ -23,17 +23,25 @@
     (asked, starved): (&[Offered], &Starved),
     (ways, stands_on): (&Ways, usize),
 ) {
-    let known: HashMap<(&str, usize), &Offered> =
-        asked.iter().filter(|o| needs(o)).map(|o| ((o.asked.id.as_str(), o.front), o)).collect();
+    let known: HashMap<(&str, usize), &Offered> = asked
+        .iter()
+        .filter(|o| needs(o))
+        .map(|o| ((o.asked.id.as_str(), o.front), o))
+        .collect();
     for x in ran {
-        let Some(offered) = known.get(&(x.id.as_str(), x.front)) else { continue };
+        let Some(offered) = known.get(&(x.id.as_str(), x.front)) else {
+            continue;
+        };
         // All the time from its being taken, or from well before it began, it heard too few.
         let busy = (x.from - ON_ITS_WAY, x.from);
         let way = ON_ITS_WAY + starved.front(x.front, busy) + starved.rig(busy);
         let since = offered.asked.sent.max(x.from - way);
         let heard = ways.most_heard(x.front, (since, x.from));
         if heard < stands_on && offered.asked.sent <= x.from {
-            let said = format!("{}: began at front {}, which heard {heard} of {stands_on}", x.id, x.front);
+            let said = format!(
+                "{}: began at front {}, which heard {heard} of {stands_on}",
+                x.id, x.front
+            );
             wrong.entry("without_promise").or_default().push(said);
         }
     }
--- a/crates/lab/src/record/unpromised_tests.rs
+++ b/crates/lab/src/record/unpromised_tests.rs
@@ -7,8 +7,16 @@
 
 #[test]
 fn a_keyed_start_on_a_minority_side_is_found_and_a_plain_one_is_not() {
-    let cut = Cut { from: 1_000_000, to: 9_000_000, groups: vec![1, 0, 0] };
-    let ways = Ways { fronts: 3, cuts: vec![cut], ..Ways::default() };
+    let cut = Cut {
+        from: 1_000_000,
+        to: 9_000_000,
+        groups: vec![1, 0, 0],
+    };
+    let ways = Ways {
+        fronts: 3,
+        cuts: vec![cut],
+        ..Ways::default()
+    };
     let found = |key: &str, front: usize, sent: i64| {
         let mut own = offered("a", front, sent);
         own.asked.key = key.into();
--- a/crates/lab/src/rig/agreed.rs
+++ b/crates/lab/src/rig/agreed.rs
@@ -17,21 +17,45 @@
             "worth": c.importance, "repeat": repeat, "lateShare": 0.5, "group": "all",
             "dedupWindowMs": c.window_ms, "inTurn": c.keys > 0})
     };
-    let customers: std::collections::BTreeSet<&str> =
-        scenario.classes.iter().map(|c| c.customer.as_str()).collect();
+    let customers: std::collections::BTreeSet<&str> = scenario
+        .classes
+        .iter()
+        .map(|c| c.customer.as_str())
+        .collect();
     let share = |name: &str| {
-        scenario.classes.iter().filter(|c| c.customer == name).find_map(|c| c.customer_per_second)
+        scenario
+            .classes
+            .iter()
+            .filter(|c| c.customer == name)
+            .find_map(|c| c.customer_per_second)
     };
-    let customers: Vec<_> =
-        customers.into_iter().map(|name| json!({"name": name, "allowancePerS": share(name)})).collect();
+    let customers: Vec<_> = customers
+        .into_iter()
+        .map(|name| json!({"name": name, "allowancePerS": share(name)}))
+        .collect();
     // Classes of one name are one workload, which several customers ask for.
-    let first = |(n, c): &(usize, &Class)| !scenario.classes[..*n].iter().any(|before| before.name == c.name);
-    let classes: Vec<serde_json::Value> =
-        scenario.classes.iter().enumerate().filter(first).map(|(_, c)| class(c)).collect();
-    let source = if scenario.engine.load_on_probe { "on_probe" } else { "inline" };
+    let first = |(n, c): &(usize, &Class)| {
+        !scenario.classes[..*n]
+            .iter()
+            .any(|before| before.name == c.name)
+    };
+    let classes: Vec<serde_json::Value> = scenario
+        .classes
+        .iter()
+        .enumerate()
+        .filter(first)
+        .map(|(_, c)| class(c))
+        .collect();
+    let source = if scenario.engine.load_on_probe {
+        "on_probe"
+    } else {
+        "inline"
+    };
     // What goes on though its connection ended is over within its own time, and some for a busy machine.
     let goes_on = scenario.classes.iter().filter(|c| c.goes_on);
-    let longest = goes_on.map(|c| c.work_ms.unwrap_or(scenario.load.work_ms)).max();
+    let longest = goes_on
+        .map(|c| c.work_ms.unwrap_or(scenario.load.work_ms))
+        .max();
     let rest_ms = longest.map_or(100, |work| work + 400);
     json!({"instances": scenario.fleet.fronts, "areas": zones, "kinds": ["lines"],
         "rules": {"turnGapMs": rest_ms, "furtherRatio": scenario.fleet.further.share,
--- a/crates/lab/src/rig/coordinator.rs
+++ b/crates/lab/src/rig/coordinator.rs
@@ -32,8 +32,10 @@
 
     /// Tells of engines: their names, addresses, kinds and states.
     pub fn tell(&self, whole: bool, engines: &[(String, SocketAddr, &str, &str)]) {
-        let zoned: Vec<_> =
-            engines.iter().map(|(id, at, kind, state)| (id.clone(), *at, *kind, *state, "here")).collect();
+        let zoned: Vec<_> = engines
+            .iter()
+            .map(|(id, at, kind, state)| (id.clone(), *at, *kind, *state, "here"))
+            .collect();
         self.tell_zoned(whole, &zoned);
     }
 
@@ -47,8 +49,15 @@
         self.tell_all(false, engines, wall_ms);
     }
 
-    fn tell_all(&self, whole: bool, engines: &[(String, SocketAddr, &str, &str, &str)], started_ms: f64) {
-        let Ok(mut events) = self.events.0.lock() else { return };
+    fn tell_all(
+        &self,
+        whole: bool,
+        engines: &[(String, SocketAddr, &str, &str, &str)],
+        started_ms: f64,
+    ) {
+        let Ok(mut events) = self.events.0.lock() else {
+            return;
+        };
         let entry = |(id, at, kind, state, zone): &(String, SocketAddr, &str, &str, &str)| json!({"id": id, "addr": at.to_string(), "zone": zone, "kind": kind, "cell": 0, "state": state, "started_ms": started_ms});
         let servers: Vec<Value> = engines.iter().map(entry).collect();
         let index = events.len() + 1;
@@ -76,18 +85,30 @@
         }
         let figure = |name: &str| {
             let rest = first.split(name).nth(1).unwrap_or_default();
-            let end = rest.find(|c: char| !c.is_ascii_digit()).unwrap_or(rest.len());
+            let end = rest
+                .find(|c: char| !c.is_ascii_digit())
+                .unwrap_or(rest.len());
             rest[..end].parse::<usize>().unwrap_or(0)
         };
         let (follow, wait) = (figure("follow="), figure("wait_ms="));
-        let Ok(events) = shared.0.lock() else { return Ok(()) };
+        let Ok(events) = shared.0.lock() else {
+            return Ok(());
+        };
         let wait = Duration::from_millis(wait as u64);
-        let Ok((events, _)) = shared.1.wait_timeout_while(events, wait, |e| e.len() <= follow) else {
+        let Ok((events, _)) = shared
+            .1
+            .wait_timeout_while(events, wait, |e| e.len() <= follow)
+        else {
             return Ok(());
         };
         let body =
-            json!({"index": events.len(), "updates": events.get(follow..).unwrap_or_default()}).to_string();
+            json!({"index": events.len(), "updates": events.get(follow..).unwrap_or_default()})
+                .to_string();
         drop(events);
-        write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
+        write!(
+            stream,
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )?;
     }
 }
--- a/crates/lab/src/rig/datagrams.rs
+++ b/crates/lab/src/rig/datagrams.rs
@@ -34,7 +34,8 @@
 
 impl Split {
     pub fn group(&self, front: usize) -> usize {
-        usize::from(front >= self.below) + usize::from(self.second.is_some_and(|second| front >= second))
+        usize::from(front >= self.below)
+            + usize::from(self.second.is_some_and(|second| front >= second))
     }
 }
 
@@ -96,7 +97,9 @@
 
     /// A front has started and speaks and listens at this address.
     pub fn front(&self, number: usize, at: SocketAddr) {
-        if let (Ok(mut fronts), Ok(mut listens)) = (self.shared.fronts.lock(), self.shared.listens.lock()) {
+        if let (Ok(mut fronts), Ok(mut listens)) =
+            (self.shared.fronts.lock(), self.shared.listens.lock())
+        {
             fronts.retain(|_, n| *n != number);
             fronts.insert(at, number);
             listens.insert(number, at);
@@ -110,7 +113,11 @@
     }
 
     pub fn datagrams(&self) -> Vec<RelayedDatagram> {
-        self.shared.datagrams.lock().map(|p| p.clone()).unwrap_or_default()
+        self.shared
+            .datagrams
+            .lock()
+            .map(|p| p.clone())
+            .unwrap_or_default()
     }
 }
 
@@ -123,17 +130,31 @@
 ) {
     let mut bytes = [0; LONGEST];
     loop {
-        let Ok((len, source)) = socket.recv_from(&mut bytes) else { continue };
-        let from = shared.fronts.lock().ok().and_then(|f| f.get(&source).copied());
+        let Ok((len, source)) = socket.recv_from(&mut bytes) else {
+            continue;
+        };
+        let from = shared
+            .fronts
+            .lock()
+            .ok()
+            .and_then(|f| f.get(&source).copied());
         let target = shared.listens.lock().ok().and_then(|l| l.get(&to).copied());
-        let (Some(from), Some(target), Ok(state)) = (from, target, shared.state.lock()) else { continue };
+        let (Some(from), Some(target), Ok(state)) = (from, target, shared.state.lock()) else {
+            continue;
+        };
         let state = state.clone();
         let passed = state.passes(from, to, rand::random_range(0..100));
         if left(from) {
             continue; // it died of this one
         }
         if let Ok(mut datagrams) = shared.datagrams.lock() {
-            datagrams.push(RelayedDatagram { at: now(), from, to, bytes: len, passed });
+            datagrams.push(RelayedDatagram {
+                at: now(),
+                from,
+                to,
+                bytes: len,
+                passed,
+            });
         }
         if !passed {
             continue;
--- a/crates/lab/src/rig/datagrams_tests.rs
+++ b/crates/lab/src/rig/datagrams_tests.rs
@@ -4,26 +4,51 @@
 
 #[test]
 fn a_split_cuts_both_ways_or_one() {
-    let split = |below, second, one_way| Some(Split { below, second, one_way });
-    let both = DatagramFaults { split: split(2, None, false), ..DatagramFaults::default() };
+    let split = |below, second, one_way| {
+        Some(Split {
+            below,
+            second,
+            one_way,
+        })
+    };
+    let both = DatagramFaults {
+        split: split(2, None, false),
+        ..DatagramFaults::default()
+    };
     assert!(
-        !both.passes(0, 2, 50) && !both.passes(2, 0, 50) && both.passes(0, 1, 50) && both.passes(2, 3, 50)
+        !both.passes(0, 2, 50)
+            && !both.passes(2, 0, 50)
+            && both.passes(0, 1, 50)
+            && both.passes(2, 3, 50)
     );
-    let three = DatagramFaults { split: split(1, Some(3), false), ..DatagramFaults::default() };
+    let three = DatagramFaults {
+        split: split(1, Some(3), false),
+        ..DatagramFaults::default()
+    };
     assert!(three.passes(1, 2, 50) && !three.passes(0, 1, 50) && !three.passes(4, 2, 50));
-    let one = DatagramFaults { split: split(2, None, true), ..DatagramFaults::default() };
+    let one = DatagramFaults {
+        split: split(2, None, true),
+        ..DatagramFaults::default()
+    };
     assert!(!one.passes(0, 2, 50) && one.passes(2, 0, 50) && one.passes(0, 1, 50));
-    let lossy = DatagramFaults { lost_percent: 30, ..DatagramFaults::default() };
+    let lossy = DatagramFaults {
+        lost_percent: 30,
+        ..DatagramFaults::default()
+    };
     assert!(!lossy.passes(0, 1, 29) && lossy.passes(0, 1, 30));
 }
 
 #[test]
 fn what_is_doubled_comes_twice_and_what_is_cut_not_at_all() {
     let relay = DatagramRelay::start(2, || 0, |_| false).unwrap();
-    let fronts: Vec<UdpSocket> = (0..2).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
+    let fronts: Vec<UdpSocket> = (0..2)
+        .map(|_| UdpSocket::bind("127.0.0.1:0").unwrap())
+        .collect();
     for (n, front) in fronts.iter().enumerate() {
         relay.front(n, front.local_addr().unwrap());
-        front.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+        front
+            .set_read_timeout(Some(Duration::from_secs(5)))
+            .unwrap();
     }
     relay.set(|s| s.doubled_ms = Some(1));
     fronts[0].send_to(b"word", relay.at[1]).unwrap();
@@ -32,8 +57,17 @@
         let (len, from) = fronts[1].recv_from(&mut bytes).unwrap();
         assert_eq!((&bytes[..len], from), (&b"word"[..], relay.at[1]));
     }
-    let split = Some(Split { below: 1, second: None, one_way: false });
-    relay.set(|s| *s = DatagramFaults { split, ..DatagramFaults::default() });
+    let split = Some(Split {
+        below: 1,
+        second: None,
+        one_way: false,
+    });
+    relay.set(|s| {
+        *s = DatagramFaults {
+            split,
+            ..DatagramFaults::default()
+        }
+    });
     fronts[0].send_to(b"cut", relay.at[1]).unwrap();
     fronts[1].send_to(b"cut", relay.at[0]).unwrap();
     // Nothing comes: the record tells when both were dealt with.
--- a/crates/lab/src/rig/death.rs
+++ b/crates/lab/src/rig/death.rs
@@ -18,8 +18,17 @@
 impl DeathStep {
     /// Among several copies on their way `draw` chooses the one, so that each loss is between others.
     pub fn new(step: Step, front: usize, draw: u64) -> DeathStep {
-        let passes_left = if step == Step::Copying { draw % COPIES_APART } else { 0 };
-        DeathStep { step, front, passes_left, asked: false }
+        let passes_left = if step == Step::Copying {
+            draw % COPIES_APART
+        } else {
+            0
+        };
+        DeathStep {
+            step,
+            front,
+            passes_left,
+            asked: false,
+        }
     }
 
     /// Takes note of a step that a front has come to; true if this front dies of it now.
--- a/crates/lab/src/rig/fault.rs
+++ b/crates/lab/src/rig/fault.rs
@@ -102,7 +102,11 @@
 
     pub fn split(&self) -> Split {
         let one_way = self.what == What::FrontsSplitOut;
-        Split { below: self.front, second: self.second, one_way }
+        Split {
+            below: self.front,
+            second: self.second,
+            one_way,
+        }
     }
 
     /// The fault as it is played: on the front that owns the fleet's work, where it is meant for that.
@@ -112,6 +116,10 @@
             What::KillOwner => What::Kill,
             _ => return self.clone(),
         };
-        Fault { what, front: owner.unwrap_or(self.front), ..self.clone() }
+        Fault {
+            what,
+            front: owner.unwrap_or(self.front),
+            ..self.clone()
+        }
     }
 }
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -53,7 +53,10 @@
     ) -> Result<Fleet, String> {
         let why = |e: std::io::Error| e.to_string();
         let records = Records::new();
-        let record = Arc::new(Record { records: records.clone(), asked: Mutex::default() });
+        let record = Arc::new(Record {
+            records: records.clone(),
+            asked: Mutex::default(),
+        });
         let relayed: Arc<Mutex<Vec<Relayed>>> = Arc::default();
         let shape = &scenario.fleet;
         let engines: Vec<Arc<Engine>> = (0..shape.zones * shape.engines_per_zone)
@@ -61,7 +64,12 @@
             .collect::<Result<_, _>>()
             .map_err(why)?;
         let gossip = start_gossip(shape, seed, &records).map_err(why)?;
-        let config = FleetConfig { seed, settings: settings(scenario), beside, gossip };
+        let config = FleetConfig {
+            seed,
+            settings: settings(scenario),
+            beside,
+            gossip,
+        };
         let (mut links, mut members, mut pids) = (Vec::new(), Vec::new(), Vec::new());
         let mut clocks = Pcg64Mcg::seed_from_u64(seed ^ 0x636c_6f63);
         let apart = shape.clocks_apart_ms as i64;
@@ -70,19 +78,36 @@
                 .iter()
                 .map(|e| {
                     let zone = e.number / shape.engines_per_zone;
-                    Link::start((front, e.number, zone), e.at, records.clone(), relayed.clone())
+                    Link::start(
+                        (front, e.number, zone),
+                        e.at,
+                        records.clone(),
+                        relayed.clone(),
+                    )
                 })
                 .collect::<Result<_, _>>()
                 .map_err(why)?;
             let coordinator = start_coordinator(&own).map_err(why)?;
             links.push(own);
             let ahead_ms = clocks.random_range(-apart..=apart);
-            let program = config.beside.get(front).and_then(|beside| beside.program.clone());
+            let program = config
+                .beside
+                .get(front)
+                .and_then(|beside| beside.program.clone());
             let member = Arc::new(Member::new(front, coordinator, ahead_ms, program));
             pids.push(member.start(&config)?);
             members.push(member);
         }
-        Ok(Fleet { records, record, relayed, engines, links, members, config, pids })
+        Ok(Fleet {
+            records,
+            record,
+            relayed,
+            engines,
+            links,
+            members,
+            config,
+            pids,
+        })
     }
 
     /// The front that sent most bytes to others lately, of those that run and are not `but`: it owns shards of the
@@ -91,8 +116,13 @@
         let since = self.records.now() - LATELY_US;
         let (_, relay) = self.config.gossip.as_ref()?;
         let mut bytes = vec![0; self.members.len()];
-        relay.datagrams().iter().filter(|p| p.at >= since).for_each(|p| bytes[p.from] += p.bytes);
-        let here = (0..bytes.len()).filter(|n| !but.contains(n) && !self.members[*n].away.load(SeqCst));
+        relay
+            .datagrams()
+            .iter()
+            .filter(|p| p.at >= since)
+            .for_each(|p| bytes[p.from] += p.bytes);
+        let here =
+            (0..bytes.len()).filter(|n| !but.contains(n) && !self.members[*n].away.load(SeqCst));
         here.max_by_key(|n| bytes[*n])
     }
 
@@ -102,45 +132,104 @@
     }
 
     fn stage(&self) -> Stage<'_> {
-        let Fleet { records, links, members, engines, config, .. } = self;
-        Stage { records, links, members, engines, config }
+        let Fleet {
+            records,
+            links,
+            members,
+            engines,
+            config,
+            ..
+        } = self;
+        Stage {
+            records,
+            links,
+            members,
+            engines,
+            config,
+        }
     }
 
     /// Ends all fronts, and gives what was seen of them.
     fn account(&self, began: i64, played: Vec<(Fault, i64, i64)>, starved: Starved) -> Account {
         let (mut read_again, mut warned) = (0, Vec::new());
-        let mut asked = self.record.asked.lock().map(|a| a.clone()).unwrap_or_default();
+        let mut asked = self
+            .record
+            .asked
+            .lock()
+            .map(|a| a.clone())
+            .unwrap_or_default();
         for offered in &mut asked {
-            let troubled = self.members[offered.front].troubled.lock().map(|t| t.clone());
+            let troubled = self.members[offered.front]
+                .troubled
+                .lock()
+                .map(|t| t.clone());
             offered.excuse(&troubled.unwrap_or_default(), &starved);
         }
         for member in &self.members {
-            let when = |at: Instant| at.saturating_duration_since(self.records.since).as_micros() as i64;
+            let when =
+                |at: Instant| at.saturating_duration_since(self.records.since).as_micros() as i64;
             let said = member.said(" warn: ").into_iter();
             warned.extend(said.map(|(at, line)| (member.number, when(at), line)));
             if let Ok(mut front) = member.front.lock() {
-                read_again += front.iter().filter(|f| f.logged("was read again").is_some()).count() as i64;
+                read_again += front
+                    .iter()
+                    .filter(|f| f.logged("was read again").is_some())
+                    .count() as i64;
                 front.take(); // ends the process and waits for it
             }
         }
         Account {
             began,
             asked,
-            sent_by: self.records.sent_by.lock().map(|s| s.clone()).unwrap_or_default(),
-            came: self.records.came.lock().map(|c| c.clone()).unwrap_or_default(),
-            wire_events: self.records.wire_events.lock().map(|w| w.clone()).unwrap_or_default(),
+            sent_by: self
+                .records
+                .sent_by
+                .lock()
+                .map(|s| s.clone())
+                .unwrap_or_default(),
+            came: self
+                .records
+                .came
+                .lock()
+                .map(|c| c.clone())
+                .unwrap_or_default(),
+            wire_events: self
+                .records
+                .wire_events
+                .lock()
+                .map(|w| w.clone())
+                .unwrap_or_default(),
             warned,
-            steps: self.records.steps.lock().map(|s| s.clone()).unwrap_or_default(),
-            engine_events: self.records.deeds.lock().map(|d| d.clone()).unwrap_or_default(),
+            steps: self
+                .records
+                .steps
+                .lock()
+                .map(|s| s.clone())
+                .unwrap_or_default(),
+            engine_events: self
+                .records
+                .deeds
+                .lock()
+                .map(|d| d.clone())
+                .unwrap_or_default(),
             relayed: self.relayed.lock().map(|r| r.clone()).unwrap_or_default(),
-            datagrams: self.config.gossip.as_ref().map(|(_, relay)| relay.datagrams()).unwrap_or_default(),
+            datagrams: self
+                .config
+                .gossip
+                .as_ref()
+                .map(|(_, relay)| relay.datagrams())
+                .unwrap_or_default(),
             played,
             shutdowns: self
                 .members
                 .iter()
                 .flat_map(|m| m.shutdowns.lock().map(|e| e.clone()).unwrap_or_default())
                 .collect(),
-            turned_away: self.engines.iter().map(|e| e.turned_away.load(SeqCst) as i64).sum(),
+            turned_away: self
+                .engines
+                .iter()
+                .map(|e| e.turned_away.load(SeqCst) as i64)
+                .sum(),
             peak: self.engines.iter().map(|e| e.peak()).fold(0.0, f64::max),
             peaks_since_start: self.engines.iter().map(|e| e.peak_since_start()).collect(),
             read_again,
@@ -258,7 +347,10 @@
             played.push((fault, from, fleet.records.now()));
         }
         for fault in beside.turn(&fleet, now) {
-            let fault = Fault { at_ms: now as u64 / 1000, ..fault };
+            let fault = Fault {
+                at_ms: now as u64 / 1000,
+                ..fault
+            };
             stage.begin(&fault);
             playing.push((now + fault.for_ms as i64 * 1000, fleet.records.now(), fault));
         }
@@ -274,5 +366,7 @@
 
 /// A seed drawn where none is given.
 pub fn seed(scenario: &Scenario, given: Option<u64>) -> u64 {
-    given.or(scenario.seed).unwrap_or_else(|| u64::from(rand::random::<u32>()))
+    given
+        .or(scenario.seed)
+        .unwrap_or_else(|| u64::from(rand::random::<u32>()))
 }
--- a/crates/lab/src/rig/front.rs
+++ b/crates/lab/src/rig/front.rs
@@ -39,9 +39,15 @@
 /// The front's program: beside this one.
 fn program() -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
-    let mut beside = own.ancestors().skip(1).take(2).map(|folder| folder.join("hallmux-front"));
+    let mut beside = own
+        .ancestors()
+        .skip(1)
+        .take(2)
+        .map(|folder| folder.join("hallmux-front"));
     let found = beside.find(|path| path.exists());
-    found.ok_or_else(|| "hallmux-front is not built beside this program: cargo build --release".to_string())
+    found.ok_or_else(|| {
+        "hallmux-front is not built beside this program: cargo build --release".to_string()
+    })
 }
 
 impl Front {
@@ -52,7 +58,13 @@
         coordinator: &Coordinator,
         sockets: usize,
     ) -> Result<Front, String> {
-        Front::named(("f1", 0x8c1f_30d2_7a5b_e964), settings, (operator, &[]), coordinator, (sockets, None))
+        Front::named(
+            ("f1", 0x8c1f_30d2_7a5b_e964),
+            settings,
+            (operator, &[]),
+            coordinator,
+            (sockets, None),
+        )
     }
 
     /// The same, under a name and a seed of its own among many fronts (with one seed they would draw in step), and
@@ -65,13 +77,15 @@
         (sockets, other): (usize, Option<PathBuf>),
     ) -> Result<Front, String> {
         let number = FOLDERS.fetch_add(1, SeqCst);
-        let folder = std::env::temp_dir().join(format!("hallmux-lab-{}-{number}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("hallmux-lab-{}-{number}", std::process::id()));
         let why = |e: std::io::Error| e.to_string();
         std::fs::create_dir_all(&folder).map_err(why)?;
         let config = json!({"name": name, "listen": "127.0.0.1:0", "seed": format!("{seed:016x}"),
             "limits": {"memory_mb": 512, "sockets": sockets}, "coordinator": coordinator.at.to_string(),
             "known": coordinator.known(), "settings": settings});
-        let (config_path, operator_path) = (folder.join("config.json"), folder.join("operator.json5"));
+        let (config_path, operator_path) =
+            (folder.join("config.json"), folder.join("operator.json5"));
         std::fs::write(&config_path, config.to_string()).map_err(why)?;
         std::fs::write(&operator_path, operator).map_err(why)?;
         let program = other.map_or_else(program, Ok)?;
@@ -107,12 +121,25 @@
         });
         let all = found.0.lock().map_err(|e| e.to_string())?;
         // Lines are taken on the port that it names last; sessions, where it takes them, on the one before.
-        let waits = found.1.wait_timeout_while(all, PATIENCE, |all| !all.iter().any(|(lines, _)| *lines));
+        let waits = found
+            .1
+            .wait_timeout_while(all, PATIENCE, |all| !all.iter().any(|(lines, _)| *lines));
         let (all, _) = waits.map_err(|e| e.to_string())?;
         let lines = all.iter().find(|(lines, _)| *lines).map(|(_, at)| *at);
-        let sessions = all.iter().find(|(lines, _)| !*lines).map(|(_, at)| *at).or(lines);
+        let sessions = all
+            .iter()
+            .find(|(lines, _)| !*lines)
+            .map(|(_, at)| *at)
+            .or(lines);
         match (sessions, lines) {
-            (Some(sessions), Some(lines)) => Ok(Front { child, lines, sessions, folder, config, log: kept }),
+            (Some(sessions), Some(lines)) => Ok(Front {
+                child,
+                lines,
+                sessions,
+                folder,
+                config,
+                log: kept,
+            }),
             _ => {
                 let _ = child.kill();
                 Err("the front did not start".to_string())
@@ -137,7 +164,9 @@
     /// The first line of its log that holds the text.
     pub fn logged(&self, text: &str) -> Option<String> {
         let log = self.log.lock().ok()?;
-        log.iter().find(|(_, line)| line.contains(text)).map(|(_, line)| line.clone())
+        log.iter()
+            .find(|(_, line)| line.contains(text))
+            .map(|(_, line)| line.clone())
     }
 
     /// Its log, which grows as long as it runs and stays when it is gone.
@@ -151,16 +180,29 @@
     }
 
     fn status(&self, name: &str) -> u64 {
-        let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap_or_default();
-        let line = text.lines().find(|line| line.starts_with(name)).unwrap_or_default();
-        line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).unwrap_or(0)
+        let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
+            .unwrap_or_default();
+        let line = text
+            .lines()
+            .find(|line| line.starts_with(name))
+            .unwrap_or_default();
+        line.split_whitespace()
+            .nth(1)
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(0)
     }
 
     /// Microseconds of CPU that it has used.
     pub fn cpu_micros(&self) -> u64 {
-        let text = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
+        let text =
+            std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
         let rest = text.rsplit(") ").next().unwrap_or_default();
-        let ticks: u64 = rest.split(' ').skip(11).take(2).filter_map(|n| n.parse::<u64>().ok()).sum();
+        let ticks: u64 = rest
+            .split(' ')
+            .skip(11)
+            .take(2)
+            .filter_map(|n| n.parse::<u64>().ok())
+            .sum();
         ticks * 10_000 // a tick is a hundredth of a second on Linux
     }
 
--- a/crates/lab/src/rig/member.rs
+++ b/crates/lab/src/rig/member.rs
@@ -93,13 +93,22 @@
     pub(crate) fn asked_to_end(&self, now: i64) {
         self.until.store(now + STILL_COME, SeqCst);
         if let Ok(mut shutdowns) = self.shutdowns.lock() {
-            shutdowns.push(Shutdown { front: self.number, asked: now, gone: i64::MAX, well: false });
+            shutdowns.push(Shutdown {
+                front: self.number,
+                asked: now,
+                gone: i64::MAX,
+                well: false,
+            });
         }
     }
 
     /// When its end that was asked for last should long be over.
     pub(crate) fn ends_by(&self) -> i64 {
-        let asked = self.shutdowns.lock().ok().and_then(|shutdowns| shutdowns.last().map(|end| end.asked));
+        let asked = self
+            .shutdowns
+            .lock()
+            .ok()
+            .and_then(|shutdowns| shutdowns.last().map(|end| end.asked));
         asked.map_or(0, |asked| asked + LONGEST_END)
     }
 
@@ -122,8 +131,11 @@
                 let seed = |_| format!("'{}'", relay.at[chance.random_range(0..relay.at.len())]);
                 let seeds: Vec<String> = (0..MOST_SEEDS).map(seed).collect();
                 let file = keys.folder.join(format!("secret{}", self.number));
-                let voters =
-                    |count: usize| (0..count).map(|n| format!("f{n}: '{}'", relay.at[n])).collect::<Vec<_>>();
+                let voters = |count: usize| {
+                    (0..count)
+                        .map(|n| format!("f{n}: '{}'", relay.at[n]))
+                        .collect::<Vec<_>>()
+                };
                 let ownership = keys.voters.map(|(count, lease_ms)| {
                     let directory = keys.folder.join(format!("votes{}", self.number));
                     format!(
@@ -135,7 +147,10 @@
                 let ownership = ownership.unwrap_or_default()
                     + &keys.ledger(self.number, &relay.at, &beside.ledger)
                     + &keys.overload;
-                let quorum = keys.zone_quorum.map(|q| format!("zone_quorum: {q}, ")).unwrap_or_default();
+                let quorum = keys
+                    .zone_quorum
+                    .map(|q| format!("zone_quorum: {q}, "))
+                    .unwrap_or_default();
                 format!(
                     "{{ {ahead}, gossip: {{ listen: '127.0.0.1:0', advertise: '{}', secret_file: '{}', {quorum}peers: {{ {} }}, \
                      seeds: [{}]{ownership} }} }}",
@@ -150,8 +165,13 @@
         let seed = Pcg64Mcg::seed_from_u64(config.seed ^ (self.number as u64) << 32).random();
         let own = (operator.as_str(), beside.environment.as_slice());
         let program = self.program.lock().ok().and_then(|program| program.clone());
-        let started =
-            Front::named((&name, seed), &config.settings, own, &self.coordinator, (SOCKETS, program))?;
+        let started = Front::named(
+            (&name, seed),
+            &config.settings,
+            own,
+            &self.coordinator,
+            (SOCKETS, program),
+        )?;
         if let Ok(mut logs) = self.logs.lock() {
             logs.push(started.log());
         }
@@ -178,17 +198,26 @@
     /// It takes statements again.
     pub(crate) fn is_back(&self, at: i64) {
         if let Ok(mut troubled) = self.troubled.lock() {
-            troubled.iter_mut().filter(|(_, to)| *to == i64::MAX).for_each(|(_, to)| *to = at);
+            troubled
+                .iter_mut()
+                .filter(|(_, to)| *to == i64::MAX)
+                .for_each(|(_, to)| *to = at);
         }
         self.away.store(false, SeqCst);
     }
 
     /// Lines of its log that hold the text, of all its lives, each with when it was read.
     pub(crate) fn said(&self, text: &str) -> Vec<(Instant, String)> {
-        let logs = self.logs.lock().map(|logs| logs.clone()).unwrap_or_default();
+        let logs = self
+            .logs
+            .lock()
+            .map(|logs| logs.clone())
+            .unwrap_or_default();
         let holds = |log: Log| {
             let log = log.lock().map(|log| log.clone()).unwrap_or_default();
-            log.into_iter().filter(|(_, line)| line.contains(text)).collect::<Vec<_>>()
+            log.into_iter()
+                .filter(|(_, line)| line.contains(text))
+                .collect::<Vec<_>>()
         };
         logs.into_iter().flat_map(holds).collect()
     }
@@ -240,9 +269,15 @@
 
 impl Keys {
     pub(crate) fn new(shape: &Shape, seed: u64) -> std::io::Result<Keys> {
-        let folder = std::env::temp_dir().join(format!("hallmux-fleet-{}-{seed}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("hallmux-fleet-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
+        let hex = |bytes: &[u8]| {
+            bytes
+                .iter()
+                .map(|byte| format!("{byte:02x}"))
+                .collect::<String>()
+        };
         let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x6b65_7973);
         let mut peers = Vec::new();
         for n in 0..shape.fronts {
@@ -257,9 +292,18 @@
             ", overload: {{ connections_per_second: {}, probes_per_second: {} }}",
             o.connections_per_second, o.probes_per_second
         );
-        let overload = Some(overload).filter(|_| shape.sheds_as_one).unwrap_or_default();
+        let overload = Some(overload)
+            .filter(|_| shape.sheds_as_one)
+            .unwrap_or_default();
         let voters = shape.voters.map(|voters| (voters, shape.lease_ms));
-        Ok(Keys { folder, peers: peers.join(", "), zone_quorum: shape.zone_quorum, copies, voters, overload })
+        Ok(Keys {
+            folder,
+            peers: peers.join(", "),
+            zone_quorum: shape.zone_quorum,
+            copies,
+            voters,
+            overload,
+        })
     }
 }
 
@@ -270,9 +314,14 @@
 
     /// The ledger's part of the operator's file of a front.
     fn ledger(&self, front: usize, at: &[std::net::SocketAddr], more: &str) -> String {
-        let Some((copies, zones)) = self.copies else { return String::new() };
+        let Some((copies, zones)) = self.copies else {
+            return String::new();
+        };
         let member = |(n, at): (usize, &std::net::SocketAddr)| {
-            format!("f{n}: {{ at: '{at}', zone: '{}' }}", super::agreed::zone_name(n % zones))
+            format!(
+                "f{n}: {{ at: '{at}', zone: '{}' }}",
+                super::agreed::zone_name(n % zones)
+            )
         };
         let members: Vec<String> = at.iter().enumerate().map(member).collect();
         format!(
@@ -293,7 +342,11 @@
 
     /// Says what befalls the disk of a front's copies from now on.
     pub(crate) fn drill(&self, front: usize, what: &str) {
-        if let Some(drill) = self.beside.get(front).and_then(|beside| beside.drill.as_ref()) {
+        if let Some(drill) = self
+            .beside
+            .get(front)
+            .and_then(|beside| beside.drill.as_ref())
+        {
             let _ = std::fs::write(drill, what);
         }
     }
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab/src/rig/relay.rs
@@ -75,7 +75,16 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
         let (state, open) = (Mutex::default(), Mutex::default());
-        let link = Arc::new(Link { front, engine, zone, at, state, open, records, relayed });
+        let link = Arc::new(Link {
+            front,
+            engine,
+            zone,
+            at,
+            state,
+            open,
+            records,
+            relayed,
+        });
         let takes = link.clone();
         std::thread::spawn(move || {
             for near in listener.incoming().flatten() {
@@ -91,14 +100,21 @@
                 let is_reset = Arc::new(AtomicBool::new(false));
                 if let (Ok(engine_side), Ok(mut open)) = (far.try_clone(), takes.open.lock()) {
                     open.retain(|connection| connection.engine_side.peer_addr().is_ok());
-                    open.push(Connection { engine_side, is_reset: is_reset.clone() });
+                    open.push(Connection {
+                        engine_side,
+                        is_reset: is_reset.clone(),
+                    });
                 }
                 let (out, back) = (takes.clone(), takes.clone());
                 let (near_r, far_r) = match (near.try_clone(), far.try_clone()) {
                     (Ok(n), Ok(f)) => (n, f),
                     _ => continue,
                 };
-                let ways = [true, false].map(|out| Way { out, port, is_reset: is_reset.clone() });
+                let ways = [true, false].map(|out| Way {
+                    out,
+                    port,
+                    is_reset: is_reset.clone(),
+                });
                 let [way_out, way_back] = ways;
                 std::thread::spawn(move || out.pass(near_r, far, &way_out));
                 std::thread::spawn(move || back.pass(far_r, near, &way_back));
@@ -131,9 +147,23 @@
     }
 
     fn notes(&self, (statements, probes, opened): (usize, usize, usize), passed: bool) {
-        let Link { front, engine, zone, .. } = *self;
+        let Link {
+            front,
+            engine,
+            zone,
+            ..
+        } = *self;
         let at = self.records.now();
-        let relayed = Relayed { at, front, engine, zone, statements, probes, opened, passed };
+        let relayed = Relayed {
+            at,
+            front,
+            engine,
+            zone,
+            statements,
+            probes,
+            opened,
+            passed,
+        };
         if let (true, Ok(mut all)) = (statements + probes + opened > 0, self.relayed.lock()) {
             all.push(relayed);
         }
@@ -141,7 +171,13 @@
 
     fn note_wire_event(&self, port: u16, kind: WireEventKind) {
         let Link { front, engine, .. } = *self;
-        self.records.note_wire_event(WireEvent { at: self.records.now(), front, engine, port, kind });
+        self.records.note_wire_event(WireEvent {
+            at: self.records.now(),
+            front,
+            engine,
+            port,
+            kind,
+        });
     }
 
     fn pass(&self, mut from: TcpStream, mut to: TcpStream, way: &Way) {
@@ -153,7 +189,11 @@
                 Ok(read) => read,
             };
             let state = self.state();
-            let cut = if way.out { state.out_lost } else { state.back_lost };
+            let cut = if way.out {
+                state.out_lost
+            } else {
+                state.back_lost
+            };
             let lost = cut || way.is_reset.load(SeqCst);
             if way.out {
                 let count = |word: &[u8]| chunk[..read].windows(5).filter(|w| *w == word).count();
@@ -161,7 +201,14 @@
                 self.records.sends(self.front, &chunk[..read]);
             }
             for (verb, id) in lines.take(&chunk[..read]) {
-                self.note_wire_event(way.port, WireEventKind::Line { verb, id, passed: !lost });
+                self.note_wire_event(
+                    way.port,
+                    WireEventKind::Line {
+                        verb,
+                        id,
+                        passed: !lost,
+                    },
+                );
             }
             if lost {
                 continue;
@@ -176,7 +223,11 @@
         }
         self.note_wire_event(
             way.port,
-            if way.out { WireEventKind::FrontClosed } else { WireEventKind::EngineClosed },
+            if way.out {
+                WireEventKind::FrontClosed
+            } else {
+                WireEventKind::EngineClosed
+            },
         );
         let _ = (from.shutdown(Shutdown::Both), to.shutdown(Shutdown::Both));
     }
--- a/crates/lab/src/rig/relay_tests.rs
+++ b/crates/lab/src/rig/relay_tests.rs
@@ -24,16 +24,22 @@
     let relayed = Arc::default();
     let link = Link::start((0, 1, 2), echo(), Records::new(), Arc::clone(&relayed)).unwrap();
     let mut s = TcpStream::connect(link.at).unwrap();
-    s.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
+    s.set_read_timeout(Some(Duration::from_millis(300)))
+        .unwrap();
     let mut b = [0; 16];
     s.write_all(b"want a\r\n").unwrap();
     assert_eq!(s.read(&mut b).unwrap(), 8);
     link.set(|s| s.out_lost = true);
     s.write_all(b"want b\r\n").unwrap();
-    assert!(s.read(&mut b).is_err(), "nothing may come back through a lost link");
+    assert!(
+        s.read(&mut b).is_err(),
+        "nothing may come back through a lost link"
+    );
     let all = relayed.lock().unwrap().clone();
     assert_eq!(
-        all.iter().map(|r| (r.opened, r.statements, r.passed, r.zone)).collect::<Vec<_>>(),
+        all.iter()
+            .map(|r| (r.opened, r.statements, r.passed, r.zone))
+            .collect::<Vec<_>>(),
         [(1, 0, true, 2), (0, 1, true, 2), (0, 1, false, 2)]
     );
     link.reset();
@@ -57,7 +63,9 @@
     });
     let link = Link::start((0, 0, 0), at, Records::new(), Arc::default()).unwrap();
     let mut front = TcpStream::connect(link.at).unwrap();
-    front.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+    front
+        .set_read_timeout(Some(Duration::from_secs(10)))
+        .unwrap();
     front.write_all(b"want a\r\n").unwrap();
     while link.open.lock().unwrap().is_empty() {
         std::thread::yield_now();
@@ -66,6 +74,12 @@
     // Bytes that cross the reset end nothing.
     front.write_all(b"want b\r\n").unwrap();
     let heard = front.read(&mut [0; 16]).map_err(|e| e.kind());
-    assert!(matches!(heard, Ok(0) | Err(ErrorKind::ConnectionReset)), "{heard:?}");
-    assert!(stopped.load(SeqCst), "the front was told while the engine still ran");
+    assert!(
+        matches!(heard, Ok(0) | Err(ErrorKind::ConnectionReset)),
+        "{heard:?}"
+    );
+    assert!(
+        stopped.load(SeqCst),
+        "the front was told while the engine still ran"
+    );
 }
--- a/crates/lab/src/rig/rules.rs
+++ b/crates/lab/src/rig/rules.rs
@@ -25,7 +25,11 @@
 impl Set {
     /// Its file: one rule decides for all that the customer asks, but for the workload that is denied; one only counts.
     pub fn text(&self) -> String {
-        let barred: Vec<String> = self.barred.iter().map(|zone| format!("'{}'", zone_name(*zone))).collect();
+        let barred: Vec<String> = self
+            .barred
+            .iter()
+            .map(|zone| format!("'{}'", zone_name(*zone)))
+            .collect();
         format!(
             "{{ version: {}, default: 'allow', rules: [\n  {{ name: 'bound', customer: '{RULED}', barred: [{}] }},\n  \
              {{ name: 'denied', customer: '{RULED}', workload: '{DENIED}', then: 'deny', reason: 'closed' }},\n  \
@@ -43,7 +47,8 @@
 
 impl Files {
     pub fn new(fronts: usize, seed: u64, first: &Set) -> std::io::Result<Files> {
-        let folder = std::env::temp_dir().join(format!("hallmux-rules-{}-{seed}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("hallmux-rules-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let files = Files { folder };
         (0..fronts).try_for_each(|front| files.write(front, first))?;
@@ -63,8 +68,9 @@
 
     /// Each front's part of the operator's file; each stands in a region of its own.
     pub fn beside(&self, fronts: usize, zones: usize) -> Vec<MemberOptions> {
-        let regions: Vec<String> =
-            (0..fronts).map(|n| format!("r{n}: ['{}']", zone_name(n % zones))).collect();
+        let regions: Vec<String> = (0..fronts)
+            .map(|n| format!("r{n}: ['{}']", zone_name(n % zones)))
+            .collect();
         let part = |front: usize, path: &Path| {
             format!(
                 ", rules: {{ file: '{}', region: 'r{front}', regions: {{ {} }}, customers: ['{RULED}'], \
@@ -73,8 +79,10 @@
                 regions.join(", ")
             )
         };
-        let each = (0..fronts)
-            .map(|n| MemberOptions { operator: part(n, &self.path(n)), ..MemberOptions::default() });
+        let each = (0..fronts).map(|n| MemberOptions {
+            operator: part(n, &self.path(n)),
+            ..MemberOptions::default()
+        });
         each.collect()
     }
 }
@@ -98,7 +106,9 @@
 /// The number behind a text in a line.
 fn number(line: &str, before: &str) -> Option<u64> {
     let rest = &line[line.find(before)? + before.len()..];
-    let end = rest.find(|c: char| !c.is_ascii_digit()).unwrap_or(rest.len());
+    let end = rest
+        .find(|c: char| !c.is_ascii_digit())
+        .unwrap_or(rest.len());
     rest[..end].parse().ok()
 }
 
@@ -115,9 +125,14 @@
             if let Some(version) = number(&line, "judges by version ") {
                 first(&mut logs.judged, version);
             } else if let Some(version) = number(&line, "the fleet's: version ") {
-                logs.accepted.entry(version).or_default().push(member.number);
+                logs.accepted
+                    .entry(version)
+                    .or_default()
+                    .push(member.number);
             } else if line.contains(" is in force") {
-                number(&line, "version ").into_iter().for_each(|version| first(&mut logs.in_force, version));
+                number(&line, "version ")
+                    .into_iter()
+                    .for_each(|version| first(&mut logs.in_force, version));
             } else if line.contains("is not above the fleet's") {
                 *logs.old.entry(member.number).or_default() += 1;
             }
@@ -127,7 +142,11 @@
 }
 
 /// Asks a front for the fleet's hits: by rule and region. None while it says that fronts are missing from them.
-pub fn hits(fleet: &Fleet, front: usize, within: std::time::Duration) -> Option<BTreeMap<String, i64>> {
+pub fn hits(
+    fleet: &Fleet,
+    front: usize,
+    within: std::time::Duration,
+) -> Option<BTreeMap<String, i64>> {
     let member = &fleet.members[front];
     let until = std::time::Instant::now() + within;
     while std::time::Instant::now() < until {
@@ -139,11 +158,16 @@
             let whole = |(at, line): &(std::time::Instant, String)| {
                 *at >= asked && line.contains("the fleet's hits") && line.ends_with("missing: none")
             };
-            let Some(from) = said.iter().position(whole) else { continue };
+            let Some(from) = said.iter().position(whole) else {
+                continue;
+            };
             // Its lines are written at once; what is read of them so far may still lack some.
             std::thread::sleep(std::time::Duration::from_millis(300));
             let lines = member.said("hits");
-            let rows = lines.iter().skip(from + 1).filter_map(|(_, line)| row(line));
+            let rows = lines
+                .iter()
+                .skip(from + 1)
+                .filter_map(|(_, line)| row(line));
             return Some(rows.collect());
         }
     }
--- a/crates/lab/src/rig/scenario.rs
+++ b/crates/lab/src/rig/scenario.rs
@@ -76,7 +76,10 @@
 
 impl Default for Further {
     fn default() -> Further {
-        Further { spare: 10, share: 0.2 }
+        Further {
+            spare: 10,
+            share: 0.2,
+        }
     }
 }
 
@@ -89,16 +92,30 @@
 
 impl Default for Budgets {
     fn default() -> Budgets {
-        let Overload { connections_per_second, probes_per_second, .. } = Overload::default();
-        Budgets { connections_per_second, probes_per_second }
+        let Overload {
+            connections_per_second,
+            probes_per_second,
+            ..
+        } = Overload::default();
+        Budgets {
+            connections_per_second,
+            probes_per_second,
+        }
     }
 }
 
 impl Shape {
     /// That part of the operator's file.
     pub fn overload(&self) -> Overload {
-        let Budgets { connections_per_second, probes_per_second } = self.budgets;
-        Overload { connections_per_second, probes_per_second, ..Overload::default() }
+        let Budgets {
+            connections_per_second,
+            probes_per_second,
+        } = self.budgets;
+        Overload {
+            connections_per_second,
+            probes_per_second,
+            ..Overload::default()
+        }
     }
 }
 
@@ -175,7 +192,9 @@
     /// `count` goes before the file's count of fronts.
     pub fn parse(text: &str, simulated: bool, count: Option<usize>) -> Result<Scenario, String> {
         let mut scenario: Scenario = toml::from_str(text).map_err(|e| {
-            let line = e.span().map(|span| 1 + text[..span.start.min(text.len())].matches('\n').count());
+            let line = e
+                .span()
+                .map(|span| 1 + text[..span.start.min(text.len())].matches('\n').count());
             format!("line {}: {}", line.unwrap_or(0), e.message())
         })?;
         scenario.fleet.fronts = count.unwrap_or(scenario.fleet.fronts);
@@ -237,9 +256,15 @@
             return place.refuse("zone", &format!("names a zone of {zones}, counted from 0"));
         }
         if fault.front >= fronts {
-            return place.refuse("front", &format!("names a front of {fronts}, counted from 0"));
+            return place.refuse(
+                "front",
+                &format!("names a front of {fronts}, counted from 0"),
+            );
         }
-        if fault.second.is_some_and(|second| second <= fault.front || second >= fronts) {
+        if fault
+            .second
+            .is_some_and(|second| second <= fault.front || second >= fronts)
+        {
             return place.refuse("second", "must be over `front` and a front");
         }
         if fault.step.is_some() && fault.what != What::LoseDisk {
@@ -251,7 +276,11 @@
         if fault.delay_ms > MOST_DELAY_MS {
             return place.refuse("delay_ms", &format!("is over {MOST_DELAY_MS}"));
         }
-        if fault.at_ms.checked_add(fault.for_ms).is_none_or(|ends| ends > self.seconds * 1000) {
+        if fault
+            .at_ms
+            .checked_add(fault.for_ms)
+            .is_none_or(|ends| ends > self.seconds * 1000)
+        {
             return place.refuse("at_ms", "and for_ms must end within the seconds of load");
         }
         Ok(())
@@ -263,14 +292,25 @@
     if classes.len() <= MOST_CLASSES && classes.iter().all(is_valid) {
         return Ok(());
     }
-    let why = format!("and importance and slo_ms of a class must be over 0, {MOST_CLASSES} classes at most");
+    let why = format!(
+        "and importance and slo_ms of a class must be over 0, {MOST_CLASSES} classes at most"
+    );
     place.refuse("share", &why)
 }
 
 impl Shape {
     fn check(&self, simulated: bool, place: Place) -> Result<(), String> {
-        let Shape { fronts, zones, engines_per_zone, .. } = *self;
-        let most = if simulated { MOST_SIMULATED } else { MOST_FRONTS };
+        let Shape {
+            fronts,
+            zones,
+            engines_per_zone,
+            ..
+        } = *self;
+        let most = if simulated {
+            MOST_SIMULATED
+        } else {
+            MOST_FRONTS
+        };
         if !(1..=most).contains(&fronts) {
             return place.refuse("fronts", &format!("must be from 1 to {most}"));
         }
@@ -278,7 +318,8 @@
             return place.refuse("clocks_apart_ms", &format!("is over {MOST_APART_MS}"));
         }
         if zones == 0 || engines_per_zone == 0 || zones * engines_per_zone > MOST_ENGINES {
-            let why = format!("and engines_per_zone must be 1 or more, {MOST_ENGINES} engines at most");
+            let why =
+                format!("and engines_per_zone must be 1 or more, {MOST_ENGINES} engines at most");
             return place.refuse("zones", &why);
         }
         match self.voters {
@@ -336,8 +377,15 @@
 impl Place<'_> {
     /// The `n`-th table of that name, counted from 0: it begins at its header.
     fn table(self, header: &str, n: usize) -> Self {
-        let headers = self.text.lines().enumerate().filter(|(_, line)| line.trim() == header);
-        Place { after: headers.map(|(at, _)| at).nth(n).unwrap_or(0), ..self }
+        let headers = self
+            .text
+            .lines()
+            .enumerate()
+            .filter(|(_, line)| line.trim() == header);
+        Place {
+            after: headers.map(|(at, _)| at).nth(n).unwrap_or(0),
+            ..self
+        }
     }
 
     fn refuse(self, key: &str, why: &str) -> Result<(), String> {
@@ -347,10 +395,14 @@
     /// The line, counted from 1, that sets `key` first from here on; 0 where none does.
     fn line_of(self, key: &str) -> usize {
         let sets = |line: &str| {
-            line.trim_start().strip_prefix(key).is_some_and(|rest| rest.trim_start().starts_with('='))
+            line.trim_start()
+                .strip_prefix(key)
+                .is_some_and(|rest| rest.trim_start().starts_with('='))
         };
         let mut lines = self.text.lines().enumerate().skip(self.after);
-        lines.find(|(_, line)| sets(line)).map_or(0, |(at, _)| at + 1)
+        lines
+            .find(|(_, line)| sets(line))
+            .map_or(0, |(at, _)| at + 1)
     }
 }
 
--- a/crates/lab/src/rig/sites.rs
+++ b/crates/lab/src/rig/sites.rs
@@ -45,7 +45,9 @@
 /// The number behind a text.
 fn number(statement: &str, before: &str) -> Option<i64> {
     let rest = statement[statement.find(before)? + before.len()..].trim_start();
-    let end = rest.find(|c: char| !c.is_ascii_digit()).unwrap_or(rest.len());
+    let end = rest
+        .find(|c: char| !c.is_ascii_digit())
+        .unwrap_or(rest.len());
     rest[..end].parse().ok()
 }
 
@@ -54,9 +56,13 @@
         let own = statement.find("id=").map_or("", |at| &statement[at + 3..]);
         let own = own.split([',', ' ']).next().unwrap_or_default();
         let at = engine / self.engines_per_zone;
-        let Ok(mut site) = self.sites[at].lock() else { return String::new() };
+        let Ok(mut site) = self.sites[at].lock() else {
+            return String::new();
+        };
         if statement.contains("insert into") {
-            if let (Some(value), Ok(mut landed)) = (number(statement, "values ("), self.landed.lock()) {
+            if let (Some(value), Ok(mut landed)) =
+                (number(statement, "values ("), self.landed.lock())
+            {
                 site.values.push(value);
                 landed.insert(own.to_string(), at);
             }
@@ -65,10 +71,14 @@
             }
             return format!("{own}\t-\t-\n");
         }
-        let (Some(from), Some(to)) = (number(statement, "between "), number(statement, " and ")) else {
+        let (Some(from), Some(to)) = (number(statement, "between "), number(statement, " and "))
+        else {
             return format!("{own}\t-\t-\n");
         };
-        let found = site.values.iter().filter(|value| (from..=to).contains(*value));
+        let found = site
+            .values
+            .iter()
+            .filter(|value| (from..=to).contains(*value));
         found.map(|value| format!("{at}\t{value}\t-\n")).collect()
     }
 }
@@ -80,17 +90,36 @@
         fronts: usize,
         seed: u64,
     ) -> std::io::Result<Sites> {
-        let folder = std::env::temp_dir().join(format!("hallmux-sites-{}-{seed}", std::process::id()));
-        (0..fronts).try_for_each(|front| std::fs::create_dir_all(folder.join(format!("f{front}"))))?;
-        let keys = (0..first.len()).map(|n| SigningKey::from_bytes(&[n as u8 + 1; 32])).collect();
-        let site = |values| Mutex::new(Site { values, ..Site::default() });
+        let folder =
+            std::env::temp_dir().join(format!("hallmux-sites-{}-{seed}", std::process::id()));
+        (0..fronts)
+            .try_for_each(|front| std::fs::create_dir_all(folder.join(format!("f{front}"))))?;
+        let keys = (0..first.len())
+            .map(|n| SigningKey::from_bytes(&[n as u8 + 1; 32]))
+            .collect();
+        let site = |values| {
+            Mutex::new(Site {
+                values,
+                ..Site::default()
+            })
+        };
         let sites = first.into_iter().map(site).collect();
-        Ok(Sites { sites, engines_per_zone, keys, folder, landed: Mutex::default() })
+        Ok(Sites {
+            sites,
+            engines_per_zone,
+            keys,
+            folder,
+            landed: Mutex::default(),
+        })
     }
 
     pub fn beside(&self, fronts: usize) -> Vec<MemberOptions> {
         let hex = |key: &SigningKey| -> String {
-            key.verifying_key().to_bytes().iter().map(|byte| format!("{byte:02x}")).collect()
+            key.verifying_key()
+                .to_bytes()
+                .iter()
+                .map(|byte| format!("{byte:02x}"))
+                .collect()
         };
         let sites: Vec<String> = self
             .keys
@@ -105,7 +134,12 @@
                 self.folder.join(format!("f{front}")).display()
             )
         };
-        (0..fronts).map(|n| MemberOptions { operator: part(n), ..MemberOptions::default() }).collect()
+        (0..fronts)
+            .map(|n| MemberOptions {
+                operator: part(n),
+                ..MemberOptions::default()
+            })
+            .collect()
     }
 
     /// The summary of what a site holds now, under its next version.
@@ -113,10 +147,18 @@
         let mut site = self.sites[at].lock().ok()?;
         site.version += 1;
         let mut table = TableBuilder::new("t", &[("v", Kind::Number { scale: 0 })]);
-        site.values.iter().for_each(|value| table.add_row(&[Some(Value::Number(i128::from(*value)))]));
+        site.values
+            .iter()
+            .for_each(|value| table.add_row(&[Some(Value::Number(i128::from(*value)))]));
         let (site_name, loads, version) = (zone_name(at), site.loads.clone(), site.version);
-        let about =
-            SummaryHeader { site: site_name, group: GROUP, schema: 1, version, made_ms: now_ms(), loads };
+        let about = SummaryHeader {
+            site: site_name,
+            group: GROUP,
+            schema: 1,
+            version,
+            made_ms: now_ms(),
+            loads,
+        };
         Some(summary(about, vec![table], MOST_BYTES))
     }
 
@@ -137,7 +179,10 @@
     /// Puts one there that must count for nothing: it says that the site has no rows, or is no summary at all.
     pub fn tell_badly(&self, at: usize, front: usize, what: &str) {
         let Some(whole) = self.summed(at) else { return };
-        let empty = Summary { tables: vec![none()], ..whole.clone() };
+        let empty = Summary {
+            tables: vec![none()],
+            ..whole.clone()
+        };
         let bytes = match what {
             "forged" => empty.sign(&SigningKey::from_bytes(&[99; 32])),
             "altered" => {
@@ -150,7 +195,11 @@
                 let bytes = whole.sign(&self.keys[at]);
                 bytes[..bytes.len() * 2 / 3].to_vec()
             }
-            _ => Summary { made_ms: now_ms() - DAY_MS, ..empty }.sign(&self.keys[at]),
+            _ => Summary {
+                made_ms: now_ms() - DAY_MS,
+                ..empty
+            }
+            .sign(&self.keys[at]),
         };
         self.write(front, "bad", &bytes);
     }
@@ -169,11 +218,17 @@
         sketch: None,
         members: None,
     };
-    Table { name: "t".to_string(), rows: 0, columns: vec![column] }
+    Table {
+        name: "t".to_string(),
+        rows: 0,
+        columns: vec![column],
+    }
 }
 
 fn now_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_millis() as u64)
 }
 
 impl Drop for Sites {
--- a/crates/lab/src/rig/stage.rs
+++ b/crates/lab/src/rig/stage.rs
@@ -32,7 +32,9 @@
     /// The links of one front into the zone.
     fn own(&self, fault: &Fault) -> impl Iterator<Item = &Arc<Link>> {
         let zone = fault.zone;
-        self.links[fault.front].iter().filter(move |l| l.zone == zone)
+        self.links[fault.front]
+            .iter()
+            .filter(move |l| l.zone == zone)
     }
 
     fn set_datagram_faults(&self, change: impl FnOnce(&mut super::datagrams::DatagramFaults)) {
@@ -43,17 +45,27 @@
 
     /// Waits until the front has died at the step of the fault, if it names one; when it did.
     fn dies_at(&self, fault: &Fault, member: &Member) -> Option<i64> {
-        let pid = member.front.lock().ok().and_then(|front| front.as_ref().map(|f| f.pid()));
+        let pid = member
+            .front
+            .lock()
+            .ok()
+            .and_then(|front| front.as_ref().map(|f| f.pid()));
         let (step, pid) = fault.step.zip(pid)?;
         let since = self.records.now();
-        self.records.arm(Some(Armed { death: DeathStep::new(step, fault.front, fault.at_ms), pid }));
+        self.records.arm(Some(Armed {
+            death: DeathStep::new(step, fault.front, fault.at_ms),
+            pid,
+        }));
         let until = std::time::Instant::now() + STEP_WITHIN;
         while self.records.is_armed() && std::time::Instant::now() < until {
             std::thread::sleep(std::time::Duration::from_millis(1));
         }
         self.records.arm(None);
         let steps = self.records.steps.lock().ok()?;
-        steps.iter().rfind(|(_, front, at)| *front == fault.front && *at >= since).map(|(.., at)| *at)
+        steps
+            .iter()
+            .rfind(|(_, front, at)| *front == fault.front && *at >= since)
+            .map(|(.., at)| *at)
     }
 
     /// Starts a fault.
@@ -63,13 +75,13 @@
             What::ZoneLost => self.zone_links(fault.zone).for_each(|l| {
                 l.set(|s| (s.out_lost, s.back_lost) = (true, true));
             }),
-            What::LinkCut => {
-                self.own(fault).for_each(|l| l.set(|s| (s.out_lost, s.back_lost) = (true, true)))
-            }
+            What::LinkCut => self
+                .own(fault)
+                .for_each(|l| l.set(|s| (s.out_lost, s.back_lost) = (true, true))),
             What::LinkCutBack => self.own(fault).for_each(|l| l.set(|s| s.back_lost = true)),
-            What::ZoneSlow => {
-                self.zone_links(fault.zone).for_each(|l| l.set(|s| s.delay_ms = fault.delay_ms))
-            }
+            What::ZoneSlow => self
+                .zone_links(fault.zone)
+                .for_each(|l| l.set(|s| s.delay_ms = fault.delay_ms)),
             What::ZoneReset => self.zone_links(fault.zone).for_each(|l| l.reset()),
             What::FrontsSplit => self.set_datagram_faults(|s| s.split = Some(fault.split())),
             What::FrontsSplitOut => self.set_datagram_faults(|s| s.split = Some(fault.split())),
@@ -88,7 +100,9 @@
                 member.signal(Signal::SIGKILL);
             }),
             What::DiskFull => self.config.drill(fault.front, "full"),
-            What::DiskSlow => self.config.drill(fault.front, &format!("slow {}", fault.delay_ms)),
+            What::DiskSlow => self
+                .config
+                .drill(fault.front, &format!("slow {}", fault.delay_ms)),
             What::Term => {
                 member.asked_to_end(self.records.now());
                 member.away.store(true, SeqCst);
@@ -98,7 +112,11 @@
                 let died = self.dies_at(fault, member);
                 // What it had out is lost from its death on, however late this hears of it.
                 member.goes_away(died.unwrap_or_else(|| self.records.now()));
-                member.signal(if fault.what == What::Stall { Signal::SIGSTOP } else { Signal::SIGKILL });
+                member.signal(if fault.what == What::Stall {
+                    Signal::SIGSTOP
+                } else {
+                    Signal::SIGKILL
+                });
             }
         }
     }
@@ -114,7 +132,10 @@
                 let member = member.clone();
                 scope.spawn(move || {
                     let old = member.front.lock().map(|mut f| f.take());
-                    old.ok().flatten().into_iter().for_each(|mut old| _ = old.ended());
+                    old.ok()
+                        .flatten()
+                        .into_iter()
+                        .for_each(|mut old| _ = old.ended());
                     let pid = member.start(self.config)?;
                     member.is_back(self.records.now());
                     Ok(pid)
@@ -122,14 +143,22 @@
             };
             let started: Vec<_> = self.released(fault).map(start).collect();
             let failed = |_| Err("a start panicked".to_string());
-            started.into_iter().map(|start| start.join().unwrap_or_else(failed)).collect()
+            started
+                .into_iter()
+                .map(|start| start.join().unwrap_or_else(failed))
+                .collect()
         })
     }
 
     /// Whether the front of a fault was asked to end and has yet to.
     pub(super) fn still_ends(&self, fault: &Fault) -> bool {
         let member = &self.members[fault.front];
-        let runs = || member.front.lock().is_ok_and(|mut front| front.as_mut().is_some_and(|f| f.is_up()));
+        let runs = || {
+            member
+                .front
+                .lock()
+                .is_ok_and(|mut front| front.as_mut().is_some_and(|f| f.is_up()))
+        };
         fault.what == What::Term && self.records.now() < member.ends_by() && runs()
     }
 
@@ -140,7 +169,10 @@
         match fault.what {
             What::ZoneLost => {
                 // The zone comes back cold; discovery tells each front of the engines' new start, or does not.
-                let back = self.engines.iter().filter(|e| self.links[0][e.number].zone == fault.zone);
+                let back = self
+                    .engines
+                    .iter()
+                    .filter(|e| self.links[0][e.number].zone == fault.zone);
                 back.for_each(|e| e.restart());
                 if fault.told {
                     self.tell_started(fault.zone);
@@ -151,11 +183,16 @@
             }
             What::LinkCut | What::LinkCutBack => {
                 self.own(fault).for_each(|l| l.reset());
-                self.own(fault).for_each(|l| l.set(|s| (s.out_lost, s.back_lost) = (false, false)));
+                self.own(fault)
+                    .for_each(|l| l.set(|s| (s.out_lost, s.back_lost) = (false, false)));
             }
-            What::ZoneSlow => self.zone_links(fault.zone).for_each(|l| l.set(|s| s.delay_ms = 0)),
+            What::ZoneSlow => self
+                .zone_links(fault.zone)
+                .for_each(|l| l.set(|s| s.delay_ms = 0)),
             What::ZoneReset | What::Hup | What::StallOwner | What::KillOwner => {}
-            What::FrontsSplit | What::FrontsSplitOut => self.set_datagram_faults(|s| s.split = None),
+            What::FrontsSplit | What::FrontsSplitOut => {
+                self.set_datagram_faults(|s| s.split = None)
+            }
             What::PostLossy => self.set_datagram_faults(|s| s.lost_percent = 0),
             What::PostDoubled => self.set_datagram_faults(|s| s.doubled_ms = None),
             What::PostSlow => self.set_datagram_faults(|s| s.delay_ms = 0),
@@ -171,7 +208,11 @@
             What::Kill | What::Term | What::LoseDisk | What::DiskFull => {
                 if fault.what == What::DiskFull {
                     self.config.drill(fault.front, "");
-                    self.begin(&Fault { what: What::Kill, step: None, ..fault.clone() });
+                    self.begin(&Fault {
+                        what: What::Kill,
+                        step: None,
+                        ..fault.clone()
+                    });
                 }
                 let front = member.front.lock().map(|mut f| f.take());
                 if let Ok(Some(mut old)) = front {
@@ -191,13 +232,15 @@
 
     /// Tells every front that the zone's engines have started now.
     fn tell_started(&self, zone: usize) {
-        let wall_ms =
-            std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).map_or(0, |d| d.as_millis());
+        let wall_ms = std::time::SystemTime::now()
+            .duration_since(std::time::UNIX_EPOCH)
+            .map_or(0, |d| d.as_millis());
         let name = zone_name(zone);
         for (own, member) in self.links.iter().zip(self.members) {
             let back = own.iter().filter(|l| l.zone == zone);
-            let list: Vec<_> =
-                back.map(|l| (format!("e{}", l.engine), l.at, "lines", "up", name.as_str())).collect();
+            let list: Vec<_> = back
+                .map(|l| (format!("e{}", l.engine), l.at, "lines", "up", name.as_str()))
+                .collect();
             member.coordinator.tell_started(&list, wall_ms as f64);
         }
     }
--- a/crates/lab/src/rig/starved.rs
+++ b/crates/lab/src/rig/starved.rs
@@ -30,7 +30,10 @@
     }
 
     fn waited(&self, who: Option<usize>, (from, to): (i64, i64)) -> i64 {
-        let own = self.0.iter().filter(|(own, (f, t), _)| *own == who && *f < to && from < *t);
+        let own = self
+            .0
+            .iter()
+            .filter(|(own, (f, t), _)| *own == who && *f < to && from < *t);
         own.map(|(.., waited)| waited).sum()
     }
 
@@ -53,7 +56,10 @@
         much.retain(|_, waited| *waited >= MUCH);
         let mut spans: Vec<i64> = much.into_keys().map(|(span, _)| span).collect();
         spans.dedup();
-        spans.into_iter().map(|span| ((span - 1) * SPAN, (span + 1) * SPAN)).collect()
+        spans
+            .into_iter()
+            .map(|span| ((span - 1) * SPAN, (span + 1) * SPAN))
+            .collect()
     }
 }
 
@@ -78,7 +84,10 @@
     pub(super) fn start(members: &[Arc<Member>], records: &Arc<Records>) -> Watch {
         let stop = Arc::new(AtomicBool::new(false));
         let (members, records, over) = (members.to_vec(), records.clone(), stop.clone());
-        Watch { stop, thread: std::thread::spawn(move || look(&members, &records, &over)) }
+        Watch {
+            stop,
+            thread: std::thread::spawn(move || look(&members, &records, &over)),
+        }
     }
 
     pub fn end(self) -> Starved {
@@ -99,12 +108,21 @@
             seen.0.push((None, (before, now), late));
         }
         for (front, member) in members.iter().enumerate() {
-            let pid = member.front.lock().ok().and_then(|front| front.as_ref().map(|f| f.pid()));
-            let Some((pid, all)) = pid.and_then(|pid| Some((pid, waited(&pid.to_string())?))) else {
+            let pid = member
+                .front
+                .lock()
+                .ok()
+                .and_then(|front| front.as_ref().map(|f| f.pid()));
+            let Some((pid, all)) = pid.and_then(|pid| Some((pid, waited(&pid.to_string())?)))
+            else {
                 continue;
             };
             // Of another process nothing was seen before, and its start is its own affair.
-            let since = if last[front].0 == pid { last[front].1 } else { all };
+            let since = if last[front].0 == pid {
+                last[front].1
+            } else {
+                all
+            };
             last[front] = (pid, all);
             if all > since {
                 seen.0.push((Some(front), (before, now), all - since));
--- a/crates/lab/src/scripted.rs
+++ b/crates/lab/src/scripted.rs
@@ -29,20 +29,44 @@
 
 type Script = fn(SocketAddr, &mut Pcg64Mcg, &Arc<Notes>) -> std::io::Result<()>;
 
-const SCRIPTS: [Script; 9] =
-    [bound_twice, leaves, cancels, pipeline, slow, flushed, cancels, refused, nonsense];
+const SCRIPTS: [Script; 9] = [
+    bound_twice,
+    leaves,
+    cancels,
+    pipeline,
+    slow,
+    flushed,
+    cancels,
+    refused,
+    nonsense,
+];
 
 fn fresh(notes: &Notes, rows: usize) -> StatementRecord {
-    StatementRecord { rows, may_fail: Some("42P01"), ..notes.fresh(Repeat::Idempotent) }
+    StatementRecord {
+        rows,
+        may_fail: Some("42P01"),
+        ..notes.fresh(Repeat::Idempotent)
+    }
 }
 
 fn note(notes: &Notes, asked: StatementRecord, outcome: Outcome) {
-    notes.note(StatementRecord { outcome, answered: notes.records.now(), ..asked });
+    notes.note(StatementRecord {
+        outcome,
+        answered: notes.records.now(),
+        ..asked
+    });
 }
 
 /// Says that what came was not what had to come.
 fn spoilt(notes: &Notes, asked: StatementRecord, what: &str) {
-    note(notes, StatementRecord { id: format!("{} {what}", asked.id), ..asked }, Outcome::Spoilt);
+    note(
+        notes,
+        StatementRecord {
+            id: format!("{} {what}", asked.id),
+            ..asked
+        },
+        Outcome::Spoilt,
+    );
 }
 
 /// Prepares, binds twice, closes the first in the middle of its rows, and has the second whole.
@@ -93,12 +117,18 @@
         }
     }
     let id = notes.id();
-    s.query(&format!("select run('id={id},rows=2000,bytes=100,ms={}')", chance.random_range(0..40)));
+    s.query(&format!(
+        "select run('id={id},rows=2000,bytes=100,ms={}')",
+        chance.random_range(0..40)
+    ));
     s.send()?;
     std::thread::sleep(Duration::from_millis(chance.random_range(0..30)));
     let statements = if within { vec![id] } else { Vec::new() };
     if let Ok(mut all) = notes.transactions.lock() {
-        all.push(Transaction { statements, commit: None });
+        all.push(Transaction {
+            statements,
+            commit: None,
+        });
     }
     s.stream.shutdown(Shutdown::Both)
 }
@@ -114,7 +144,10 @@
             s.send()?;
             s.unit()?;
         }
-        let asked = StatementRecord { cancels: true, ..fresh(notes, 1) };
+        let asked = StatementRecord {
+            cancels: true,
+            ..fresh(notes, 1)
+        };
         let ms = chance.random_range(0..20);
         s.query(&format!("select run('id={},rows=1,ms={ms}')", asked.id));
         s.send()?;
@@ -123,14 +156,32 @@
         let next = fresh(notes, 1);
         s.query(&format!("select run('id={},rows=1,ms=5')", next.id));
         s.send()?;
-        let first = s.unit().map_or_else(|e| lost(&e), |unit| come_to(&unit, &asked.id));
+        let first = s
+            .unit()
+            .map_or_else(|e| lost(&e), |unit| come_to(&unit, &asked.id));
         let failed = !matches!(first, Outcome::Completed { .. });
         // What is rolled back is not to last.
         let transaction = within.then_some(usize::MAX);
-        note(notes, StatementRecord { transaction, ..asked }, first);
-        let second = s.unit().map_or_else(|e| lost(&e), |unit| come_to(&unit, &next.id));
+        note(
+            notes,
+            StatementRecord {
+                transaction,
+                ..asked
+            },
+            first,
+        );
+        let second = s
+            .unit()
+            .map_or_else(|e| lost(&e), |unit| come_to(&unit, &next.id));
         if !(within && failed) {
-            note(notes, StatementRecord { transaction, ..next }, second);
+            note(
+                notes,
+                StatementRecord {
+                    transaction,
+                    ..next
+                },
+                second,
+            );
         }
         if within {
             s.query("ROLLBACK");
@@ -151,11 +202,21 @@
         return Ok(());
     }
     for _ in 0..5 {
-        let fails = StatementRecord { fails: Some("23505"), ..fresh(notes, 0) };
+        let fails = StatementRecord {
+            fails: Some("23505"),
+            ..fresh(notes, 0)
+        };
         let units = [fresh(notes, 2), fails, fresh(notes, 1)];
         for unit in &units {
-            let fail = unit.fails.filter(|code| *code == "23505").unwrap_or_default();
-            s.bind("", "s", &format!("id={},rows={},ms=1,fail={fail}", unit.id, unit.rows));
+            let fail = unit
+                .fails
+                .filter(|code| *code == "23505")
+                .unwrap_or_default();
+            s.bind(
+                "",
+                "s",
+                &format!("id={},rows={},ms=1,fail={fail}", unit.id, unit.rows),
+            );
             s.execute("", 0);
             // Behind the failing step nothing of its unit runs.
             if !fail.is_empty() {
@@ -186,8 +247,14 @@
     let mut s = Session::open(at, "portal", false)?;
     let rows = 3000;
     // Within a row nothing can be said: an engine that ends there ends the connection.
-    let asked = StatementRecord { may_be_lost: true, ..fresh(notes, rows) };
-    s.query(&format!("select run('id={},rows={rows},bytes=1000')", asked.id));
+    let asked = StatementRecord {
+        may_be_lost: true,
+        ..fresh(notes, rows)
+    };
+    s.query(&format!(
+        "select run('id={},rows={rows},bytes=1000')",
+        asked.id
+    ));
     s.send()?;
     let mut seen = Vec::new();
     loop {
@@ -253,7 +320,8 @@
 /// What can't be done here is refused before anything runs, and the session lives on.
 fn refused(at: SocketAddr, _: &mut Pcg64Mcg, notes: &Arc<Notes>) -> std::io::Result<()> {
     let mut s = Session::open(at, "portal", false)?;
-    let call = |s: &mut Session| wire::write(&mut s.out, b'F', |out| out.extend_from_slice(&[0; 10]));
+    let call =
+        |s: &mut Session| wire::write(&mut s.out, b'F', |out| out.extend_from_slice(&[0; 10]));
     for (text, wanted) in [
         ("copy t from stdin", "0A000"),
         ("listen x", "0A000"),
@@ -282,7 +350,11 @@
     let unit = s.unit()?;
     // Where no engine can be had the answer is another one.
     if tags(&unit) != "EZ" || !["26000", "53000"].contains(&code(&unit[0]).as_str()) {
-        spoilt(notes, fresh(notes, 0), &format!("unknown statement: {}", tags(&unit)));
+        spoilt(
+            notes,
+            fresh(notes, 0),
+            &format!("unknown statement: {}", tags(&unit)),
+        );
     }
     let mut nobody = Session::open(at, "nobody", false)?;
     nobody.query("select 1");
@@ -356,7 +428,10 @@
         if !open {
             return None;
         }
-        notes.transactions.lock().ok()?.push(Transaction { statements: vec![id], commit: None });
+        notes.transactions.lock().ok()?.push(Transaction {
+            statements: vec![id],
+            commit: None,
+        });
         Some(Open(s))
     };
     (0..count).filter_map(open).collect()
--- a/crates/lab/src/scripted/session.rs
+++ b/crates/lab/src/scripted/session.rs
@@ -15,7 +15,12 @@
         let stream = TcpStream::connect(at)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(PATIENCE))?;
-        let mut session = Session { stream, input: Vec::new(), out: Vec::new(), key: [0; 8] };
+        let mut session = Session {
+            stream,
+            input: Vec::new(),
+            out: Vec::new(),
+            key: [0; 8],
+        };
         if asks_first {
             refused_encryption(&mut session.stream)?;
         }
@@ -133,7 +138,10 @@
         let mut cancel = TcpStream::connect(at)?;
         cancel.set_read_timeout(Some(PATIENCE))?;
         let [a, b, c, d, e, f, g, h] = self.key;
-        let (process, secret) = (u32::from_be_bytes([a, b, c, d]), u32::from_be_bytes([e, f, g, h]));
+        let (process, secret) = (
+            u32::from_be_bytes([a, b, c, d]),
+            u32::from_be_bytes([e, f, g, h]),
+        );
         let mut packet = Vec::new();
         wire::write_cancel(&mut packet, wire::CancelKey { process, secret });
         cancel.write_all(&packet)?;
@@ -169,7 +177,10 @@
 /// Whether a row is the statement's own, the one that is due.
 fn is_row(message: &Message, id: &str, n: usize) -> bool {
     let mark = format!("{id}:{n}:");
-    message.1.get(6..).is_some_and(|text| text.starts_with(mark.as_bytes()))
+    message
+        .1
+        .get(6..)
+        .is_some_and(|text| text.starts_with(mark.as_bytes()))
 }
 
 /// What the messages of one statement come to.
@@ -201,7 +212,9 @@
 
 /// What the simple query that is on its way comes to.
 pub fn answer(session: &mut Session, asked: &StatementRecord) -> Outcome {
-    session.unit().map_or_else(|e| lost(&e), |messages| come_to(&messages, &asked.id))
+    session
+        .unit()
+        .map_or_else(|e| lost(&e), |messages| come_to(&messages, &asked.id))
 }
 
 /// A round trip with the front: it has taken all that had left for it before, as it takes what it finds in the order
--- a/crates/lab/src/simulated/clients.rs
+++ b/crates/lab/src/simulated/clients.rs
@@ -30,11 +30,22 @@
         if elapsed >= self.scenario.seconds as i64 * 1_000_000 {
             return;
         }
-        self.at(self.now + 1_000_000 / load.per_second as i64, Event::Offered);
+        self.at(
+            self.now + 1_000_000 / load.per_second as i64,
+            Event::Offered,
+        );
         let class = self.scenario.draw_class(self.chance.random());
-        let key = classes[class].keys.checked_sub(1).map(|most| self.chance.random_range(0..=most));
+        let key = classes[class]
+            .keys
+            .checked_sub(1)
+            .map(|most| self.chance.random_range(0..=most));
         self.statements += 1;
-        let client = Client { number: self.statements, class, key, before: Vec::new() };
+        let client = Client {
+            number: self.statements,
+            class,
+            key,
+            before: Vec::new(),
+        };
         self.asks(client);
     }
 
@@ -50,13 +61,18 @@
         // A front that is to die at a step of a promise is given one: among hundreds it would wait for long.
         let armed = self.armed.as_ref().map(|armed| armed.death.front);
         let armed = armed.filter(|front| class.needs_promise() && here.contains(front));
-        let drawn = here.get(self.chance.random_range(0..here.len().max(1))).copied();
+        let drawn = here
+            .get(self.chance.random_range(0..here.len().max(1)))
+            .copied();
         let Some(front) = armed.or(drawn) else { return };
         let timeout_ms = class.timeout_ms.unwrap_or(scenario.load.timeout_ms);
         let (id, timeout) = (format!("s{}", client.number), timeout_ms as i64 * 1000);
         let mut asked = StatementRecord::new(id, now, timeout, class.repeat());
         asked.rows = 1;
-        asked.key = client.key.map(|key| format!("{}-{key}", class.name)).unwrap_or_default();
+        asked.key = client
+            .key
+            .map(|key| format!("{}-{key}", class.name))
+            .unwrap_or_default();
         (asked.outcome, asked.answered) = (Outcome::Nothing, i64::MAX);
         let unique = format!("u{}", client.number);
         let ask = Ask {
@@ -72,13 +88,24 @@
         let (own, lives) = (self.own(front), self.members[front].lives);
         if let Some(life) = &mut self.members[front].life {
             if let Ok(ticket) = life.dispatcher.pick(own, &ask) {
-                self.named.insert((front, lives, ticket), self.account.asked.len());
+                self.named
+                    .insert((front, lives, ticket), self.account.asked.len());
             }
         }
         let again = !client.before.is_empty();
         let place = client.class;
-        self.account.asked.push(Offered { front, class: place, asked, barred: false, again, starved: 0 });
-        self.clients.push(Client { before: [client.before, vec![front]].concat(), ..client });
+        self.account.asked.push(Offered {
+            front,
+            class: place,
+            asked,
+            barred: false,
+            again,
+            starved: 0,
+        });
+        self.clients.push(Client {
+            before: [client.before, vec![front]].concat(),
+            ..client
+        });
         if class.needs_promise() && self.armed.is_some() {
             let at = now + self.chance.random_range(TAKEN);
             self.at(at, Event::Reached(Step::Taken, front));
@@ -96,7 +123,9 @@
     /// What a client has come to; it asks again as its workload allows.
     pub(super) fn settle(&mut self, number: usize, outcome: Outcome) {
         let now = self.now;
-        let Some(Offered { asked, class, .. }) = self.account.asked.get_mut(number) else { return };
+        let Some(Offered { asked, class, .. }) = self.account.asked.get_mut(number) else {
+            return;
+        };
         if asked.answered != i64::MAX {
             asked.outcome = Outcome::Spoilt; // a second final answer
             return;
@@ -108,8 +137,10 @@
             Outcome::Error(_) | Outcome::Lost => asked.repeat != Repeat::NonIdempotent,
             _ => false,
         };
-        let client =
-            self.clients.get(number).filter(|client| again && client.before.len() <= class.asks_again);
+        let client = self
+            .clients
+            .get(number)
+            .filter(|client| again && client.before.len() <= class.asks_again);
         if let Some(client) = client.cloned() {
             let at = now + self.chance.random_range(AGAIN);
             self.at(at, Event::Again(client));
--- a/crates/lab/src/simulated/connections.rs
+++ b/crates/lab/src/simulated/connections.rs
@@ -17,7 +17,12 @@
 impl Connections {
     pub(super) fn new(paced: bool, now: i64, seed: u64) -> Connections {
         let (idle, busy, capacity) = (BTreeMap::new(), HashMap::new(), SendCapacity::default());
-        Connections { pacer: ConnectionPacer::new(paced, now, seed), idle, busy, capacity }
+        Connections {
+            pacer: ConnectionPacer::new(paced, now, seed),
+            idle,
+            busy,
+            capacity,
+        }
     }
 
     /// Tells the module how many executions can leave for each engine, as it changes.
@@ -26,7 +31,8 @@
             return;
         }
         self.capacity.report(now, dispatcher, |place| {
-            self.idle.get(&place).copied().unwrap_or(0) + usize::from(self.pacer.next(now, place) <= now)
+            self.idle.get(&place).copied().unwrap_or(0)
+                + usize::from(self.pacer.next(now, place) <= now)
         });
     }
 
@@ -48,7 +54,9 @@
     /// Whether an execution, or a probe, has a connection to its engine, which may be made for it.
     pub(super) fn reaches(&mut self, n: usize, place: Place, sent: Option<Sent>) -> bool {
         let own = self.own(n);
-        let Some(life) = &mut self.members[n].life else { return false };
+        let Some(life) = &mut self.members[n].life else {
+            return false;
+        };
         let connections = &mut life.connections;
         connections.capacity.sent(place);
         let idle = connections.idle.entry(place).or_default();
--- a/crates/lab/src/simulated/datagrams.rs
+++ b/crates/lab/src/simulated/datagrams.rs
@@ -23,7 +23,9 @@
 
     pub(super) fn send_datagrams(&mut self, from: usize, datagrams: Vec<Datagram>) {
         for Datagram { to, bytes } in datagrams {
-            let Some(to) = front_at(to).filter(|to| *to < self.members.len()) else { continue };
+            let Some(to) = front_at(to).filter(|to| *to < self.members.len()) else {
+                continue;
+            };
             let drawn = self.chance.random_range(0..100);
             let passed = self.datagram_faults.passes(from, to, drawn);
             if self.reached(Step::Copying, from) {
@@ -45,7 +47,10 @@
             };
             let at = self.now + self.way() + self.datagram_faults.delay_ms as i64 * 1000 + shuffled;
             if let Some(ms) = self.datagram_faults.doubled_ms {
-                self.at(at + ms as i64 * 1000, Event::Datagram(from, to, bytes.clone()));
+                self.at(
+                    at + ms as i64 * 1000,
+                    Event::Datagram(from, to, bytes.clone()),
+                );
             }
             self.at(at, Event::Datagram(from, to, bytes));
         }
--- a/crates/lab/src/simulated/disk.rs
+++ b/crates/lab/src/simulated/disk.rs
@@ -36,12 +36,20 @@
 
     /// All that it held is lost; another takes its place.
     pub(super) fn lose(&mut self, identity: DiskId) {
-        *self = Disk { identity, ..Disk::default() };
+        *self = Disk {
+            identity,
+            ..Disk::default()
+        };
     }
 
     /// What a new life of its front finds.
     pub(super) fn found(&self) -> Option<Saved> {
-        let records = || self.records.iter().map(|(name, bytes)| (name.clone(), bytes.clone())).collect();
+        let records = || {
+            self.records
+                .iter()
+                .map(|(name, bytes)| (name.clone(), bytes.clone()))
+                .collect()
+        };
         (!self.records.is_empty()).then(|| Saved(records()))
     }
 
@@ -90,7 +98,9 @@
     pub(super) fn lasting(&mut self, n: usize) {
         let disk = &mut self.members[n].disk;
         let writing = std::mem::take(&mut disk.writing);
-        let Some(last) = writing.last().map(|kept| kept.number) else { return };
+        let Some(last) = writing.last().map(|kept| kept.number) else {
+            return;
+        };
         let ok = !disk.full || writing.iter().all(|kept| kept.records.is_empty());
         if ok {
             disk.write(&writing);
@@ -99,8 +109,13 @@
             }
         }
         let at = self.moment(n);
-        let exchange = self.members[n].life.as_mut().and_then(|life| life.exchange.as_mut());
-        let Some(out) = exchange.map(|exchange| exchange.ledger_saved(at, last, ok)) else { return };
+        let exchange = self.members[n]
+            .life
+            .as_mut()
+            .and_then(|life| life.exchange.as_mut());
+        let Some(out) = exchange.map(|exchange| exchange.ledger_saved(at, last, ok)) else {
+            return;
+        };
         self.send_output(n, out);
         self.start_sync(n);
         self.promised(n);
--- a/crates/lab/src/simulated/engines.rs
+++ b/crates/lab/src/simulated/engines.rs
@@ -17,11 +17,24 @@
     ) {
         let (at, zone) = (self.now, self.engines[engine].zone);
         let passed = self.passes(front, engine, true);
-        self.account.relayed.push(Relayed { at, front, engine, zone, statements, probes, opened, passed });
+        self.account.relayed.push(Relayed {
+            at,
+            front,
+            engine,
+            zone,
+            statements,
+            probes,
+            opened,
+            passed,
+        });
     }
 
     pub(super) fn link(&self, front: usize, engine: usize) -> LinkState {
-        self.members[front].links.get(&engine).copied().unwrap_or_default()
+        self.members[front]
+            .links
+            .get(&engine)
+            .copied()
+            .unwrap_or_default()
     }
 
     pub(super) fn passes(&self, front: usize, engine: usize, out: bool) -> bool {
@@ -37,7 +50,8 @@
         let engine = &mut self.engines[e];
         let bears = self.warmth.bears(self.now - engine.started);
         let load = (engine.running + 1) as f64 / bears.max(1) as f64;
-        (engine.peak, engine.peak_since_start) = (engine.peak.max(load), engine.peak_since_start.max(load));
+        (engine.peak, engine.peak_since_start) =
+            (engine.peak.max(load), engine.peak_since_start.max(load));
         if engine.running >= bears {
             engine.turned_away += 1;
             return self.goes_back(front, life, sent, e, Ending::TurnedAway);
@@ -56,13 +70,28 @@
         if let Some(number) = self.named.get(&(front, life, sent.0)).copied() {
             let Offered { asked, class, .. } = &self.account.asked[number];
             work_ms = self.scenario.classes[*class].work_ms.unwrap_or(work_ms);
-            let kind = Kind::Began { id: asked.id.clone(), key: asked.key.clone() };
+            let kind = Kind::Began {
+                id: asked.id.clone(),
+                key: asked.key.clone(),
+            };
             self.account.sent_by.insert((e, link), front);
-            self.account.engine_events.push(EngineEvent { at: self.now, engine: e, link, kind });
+            self.account.engine_events.push(EngineEvent {
+                at: self.now,
+                engine: e,
+                link,
+                kind,
+            });
         }
         self.at(
             self.now + work_ms as i64 * 1000,
-            Event::Ran(Ran { front, life, sent, engine: e, resets, link }),
+            Event::Ran(Ran {
+                front,
+                life,
+                sent,
+                engine: e,
+                resets,
+                link,
+            }),
         );
         if self.promised_of(front, life, sent) {
             self.reached(Step::Began, front);
@@ -72,7 +101,8 @@
     /// Until when the first of a deduplicated statement runs, where this is the same front's repeat in its window; else
     /// notes it as the first. All engines are one group here.
     fn drops(&mut self, front: usize, life: u32, sent: Sent) -> Option<i64> {
-        let Offered { asked, class, .. } = &self.account.asked[*self.named.get(&(front, life, sent.0))?];
+        let Offered { asked, class, .. } =
+            &self.account.asked[*self.named.get(&(front, life, sent.0))?];
         let class = &self.scenario.classes[*class];
         if class.repeat() != Repeat::Deduplicated {
             return None;
@@ -81,7 +111,8 @@
         match self.firsts.get(&(front, asked.id.clone())) {
             Some((began, ends)) if self.now < began + class.window_ms as i64 * 1000 => Some(*ends),
             _ => {
-                self.firsts.insert((front, asked.id.clone()), (self.now, ends));
+                self.firsts
+                    .insert((front, asked.id.clone()), (self.now, ends));
                 None
             }
         }
@@ -94,13 +125,25 @@
     }
 
     pub(super) fn ran(&mut self, ran: Ran) {
-        let Ran { front, life, sent, engine: e, resets, link } = ran;
+        let Ran {
+            front,
+            life,
+            sent,
+            engine: e,
+            resets,
+            link,
+        } = ran;
         self.engines[e].running = self.engines[e].running.saturating_sub(1);
         let number = self.named.get(&(front, life, sent.0)).copied();
         if let Some(number) = number {
             let id = self.account.asked[number].asked.id.clone();
             for kind in [Kind::Ended { id: id.clone() }, Kind::Kept { id }] {
-                self.account.engine_events.push(EngineEvent { at: self.now, engine: e, link, kind });
+                self.account.engine_events.push(EngineEvent {
+                    at: self.now,
+                    engine: e,
+                    link,
+                    kind,
+                });
             }
         }
         if self.promised_of(front, life, sent) && self.reached(Step::Kept, front) {
@@ -111,7 +154,14 @@
         }
     }
 
-    pub(super) fn goes_back(&mut self, front: usize, life: u32, sent: Sent, e: usize, ending: Ending) {
+    pub(super) fn goes_back(
+        &mut self,
+        front: usize,
+        life: u32,
+        sent: Sent,
+        e: usize,
+        ending: Ending,
+    ) {
         if let Some(out) = self.out.get_mut(&e) {
             out.retain(|(f, l, s)| (*f, *l, *s) != (front, life, sent));
         }
--- a/crates/lab/src/simulated/faults.rs
+++ b/crates/lab/src/simulated/faults.rs
@@ -12,11 +12,13 @@
 impl Simulation<'_> {
     /// The links that a fault is played on: of all fronts, or of one, into the zone.
     pub(super) fn links(&mut self, fault: &Fault, all: bool, change: impl Fn(&mut LinkState)) {
-        let own: Vec<usize> =
-            (0..self.engines.len()).filter(|e| self.engines[*e].zone == fault.zone).collect();
+        let own: Vec<usize> = (0..self.engines.len())
+            .filter(|e| self.engines[*e].zone == fault.zone)
+            .collect();
         let members = self.members.iter_mut().enumerate();
         for (_, member) in members.filter(|(n, _)| all || *n == fault.front) {
-            own.iter().for_each(|e| change(member.links.entry(*e).or_default()));
+            own.iter()
+                .for_each(|e| change(member.links.entry(*e).or_default()));
         }
     }
 
@@ -27,15 +29,26 @@
                 continue;
             }
             let out = std::mem::take(self.out.entry(e).or_default());
-            let (ended, kept) = out.into_iter().partition::<Vec<_>, _>(|(n, ..)| all || *n == fault.front);
+            let (ended, kept) = out
+                .into_iter()
+                .partition::<Vec<_>, _>(|(n, ..)| all || *n == fault.front);
             self.out.insert(e, kept);
             if all {
                 self.engines[e].resets += 1;
             }
-            let lives = self.members.iter_mut().enumerate().filter(|(n, _)| all || *n == fault.front);
-            lives.filter_map(|(_, m)| m.life.as_mut()).for_each(|life| life.connections.lost(e));
+            let lives = self
+                .members
+                .iter_mut()
+                .enumerate()
+                .filter(|(n, _)| all || *n == fault.front);
+            lives
+                .filter_map(|(_, m)| m.life.as_mut())
+                .for_each(|life| life.connections.lost(e));
             for (front, life, sent) in ended {
-                self.at(self.now, Event::Answers(front, life, sent, Ending::Reset, None));
+                self.at(
+                    self.now,
+                    Event::Answers(front, life, sent, Ending::Reset, None),
+                );
             }
         }
     }
@@ -100,7 +113,9 @@
             What::Release => {
                 for n in 0..fault.released(self.members.len()) {
                     let troubled = self.members[n].troubled.iter_mut();
-                    troubled.filter(|(_, to)| *to == i64::MAX).for_each(|(_, to)| *to = now);
+                    troubled
+                        .filter(|(_, to)| *to == i64::MAX)
+                        .for_each(|(_, to)| *to = now);
                     if self.members[n].life.is_none() {
                         self.start(n);
                     }
@@ -108,7 +123,11 @@
             }
             What::Stall | What::Kill | What::Term | What::LoseDisk => {
                 let member = &mut self.members[fault.front];
-                member.troubled.iter_mut().filter(|(_, to)| *to == i64::MAX).for_each(|(_, to)| *to = now);
+                member
+                    .troubled
+                    .iter_mut()
+                    .filter(|(_, to)| *to == i64::MAX)
+                    .for_each(|(_, to)| *to = now);
                 if fault.what == What::Stall {
                     member.stopped = false;
                     let waits = std::mem::take(&mut member.waits);
@@ -136,7 +155,10 @@
             .filter(|e| self.engines[*e].zone == zone)
             .map(|e| format!("e{e}"))
             .collect();
-        let list: Vec<Listing> = back.iter().map(|id| listing(id, &name, Some(self.now))).collect();
+        let list: Vec<Listing> = back
+            .iter()
+            .map(|id| listing(id, &name, Some(self.now)))
+            .collect();
         for n in 0..self.members.len() {
             if let Some(life) = &mut self.members[n].life {
                 life.dispatcher.list(false, &list);
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -24,20 +24,40 @@
         let at = self.moment(n);
         let exchange = self.scenario.fleet.gossip.then(|| {
             let fronts = self.scenario.fleet.fronts;
-            let seeds = (0..MOST_SEEDS).map(|_| address(self.chance.random_range(0..fronts))).collect();
-            let start = NodeConfig { secret: secret(n), keys: self.keys.clone(), address: address(n), seeds };
+            let seeds = (0..MOST_SEEDS)
+                .map(|_| address(self.chance.random_range(0..fronts)))
+                .collect();
+            let start = NodeConfig {
+                secret: secret(n),
+                keys: self.keys.clone(),
+                address: address(n),
+                seeds,
+            };
             let mut exchange = Exchange::new(start, at.wall_ms);
             if self.scenario.fleet.sheds_as_one {
                 exchange.enable_load_reports();
             }
             if let Some(voters) = self.scenario.fleet.voters {
                 let voters = (0..voters)
-                    .map(|n| (peer_id(&Identity::new(&secret(n), 0).public_key()), address(n)))
+                    .map(|n| {
+                        (
+                            peer_id(&Identity::new(&secret(n), 0).public_key()),
+                            address(n),
+                        )
+                    })
                     .collect();
                 let scenario = &self.scenario.fleet;
-                let terms = Terms { length: scenario.lease_ms as i64 * 1000, drift_ppm: DRIFT_PPM };
+                let terms = Terms {
+                    length: scenario.lease_ms as i64 * 1000,
+                    drift_ppm: DRIFT_PPM,
+                };
                 let saved = self.members[n].saved.clone();
-                let ownership = OwnershipConfig { fleet: "lab".to_string(), voters, terms, saved };
+                let ownership = OwnershipConfig {
+                    fleet: "lab".to_string(),
+                    voters,
+                    terms,
+                    saved,
+                };
                 let owns = exchange.enable_ownership(at, ownership);
                 debug_assert!(owns.is_ok(), "what was saved is whole");
             }
@@ -51,16 +71,26 @@
         let connections = Connections::new(paced, self.own(n), seed);
         let zones: Vec<String> = (0..self.scenario.fleet.zones).map(zone_name).collect();
         let ids: Vec<String> = (0..self.engines.len()).map(|e| format!("e{e}")).collect();
-        let list: Vec<Listing> =
-            self.engines.iter().zip(&ids).map(|(e, id)| listing(id, &zones[e.zone], None)).collect();
+        let list: Vec<Listing> = self
+            .engines
+            .iter()
+            .zip(&ids)
+            .map(|(e, id)| listing(id, &zones[e.zone], None))
+            .collect();
         dispatcher.list(true, &list);
         let own = self.own(n);
         let guards = self.scenario.fleet.copies.is_some();
         let guard = guards.then(|| Guard::new(&self.settings, own, self.shards, &mut dispatcher));
         let member = &mut self.members[n];
         member.lives += 1;
-        member.life =
-            Some(Life { dispatcher, exchange, guard, done: Vec::new(), probes: HashMap::new(), connections });
+        member.life = Some(Life {
+            dispatcher,
+            exchange,
+            guard,
+            done: Vec::new(),
+            probes: HashMap::new(),
+            connections,
+        });
         self.turn(n);
     }
 
@@ -68,7 +98,9 @@
     pub(super) fn turn(&mut self, n: usize) {
         let (own, at) = (self.own(n), self.moment(n));
         let member = &mut self.members[n];
-        let Some(life) = member.life.as_mut().filter(|_| !member.stopped) else { return };
+        let Some(life) = member.life.as_mut().filter(|_| !member.stopped) else {
+            return;
+        };
         let lives = member.lives;
         if let Some(exchange) = &mut life.exchange {
             let chance = &mut self.chance;
@@ -77,13 +109,16 @@
         }
         for _ in 0..ROUNDS {
             self.guarded(n);
-            let Some(life) = &mut self.members[n].life else { return };
+            let Some(life) = &mut self.members[n].life else {
+                return;
+            };
             life.connections.tell(own, &mut life.dispatcher);
             let next = life.dispatcher.tick(own);
             if next.is_empty() {
                 break;
             }
-            next.into_iter().for_each(|order| self.obey(n, lives, order));
+            next.into_iter()
+                .for_each(|order| self.obey(n, lives, order));
         }
         self.wakes(n);
     }
@@ -92,11 +127,21 @@
     pub(super) fn wakes(&mut self, n: usize) {
         let at = self.moment(n);
         let member = &mut self.members[n];
-        let Some(life) = member.life.as_ref().filter(|_| !member.stopped) else { return };
-        let exchange = life.exchange.as_ref().map_or(i64::MAX, |exchange| exchange.due(at));
+        let Some(life) = member.life.as_ref().filter(|_| !member.stopped) else {
+            return;
+        };
+        let exchange = life
+            .exchange
+            .as_ref()
+            .map_or(i64::MAX, |exchange| exchange.due(at));
         let guard = life.guard.as_ref().map_or(i64::MAX, Guard::due);
-        let due =
-            life.dispatcher.wake().min(exchange).min(guard).saturating_sub(member.ahead).max(self.now + 1);
+        let due = life
+            .dispatcher
+            .wake()
+            .min(exchange)
+            .min(guard)
+            .saturating_sub(member.ahead)
+            .max(self.now + 1);
         if due < member.due || member.due <= self.now {
             member.due = due;
             self.at(due, Event::Due(n));
@@ -105,19 +150,37 @@
 
     pub(super) fn obey(&mut self, n: usize, lives: u32, order: Order) {
         match order {
-            Order::Send { ticket, execution, place, terms } => {
+            Order::Send {
+                ticket,
+                execution,
+                place,
+                terms,
+            } => {
                 let own = self.own(n);
-                let Some(life) = &mut self.members[n].life else { return };
+                let Some(life) = &mut self.members[n].life else {
+                    return;
+                };
                 let (sent, dispatcher) = ((ticket, execution), &mut life.dispatcher);
-                let ordered = OrderedExecution { ticket, execution, place, terms };
-                let held = life.guard.as_mut().is_some_and(|guard| guard.hold(own, dispatcher, ordered));
+                let ordered = OrderedExecution {
+                    ticket,
+                    execution,
+                    place,
+                    terms,
+                };
+                let held = life
+                    .guard
+                    .as_mut()
+                    .is_some_and(|guard| guard.hold(own, dispatcher, ordered));
                 if !held || self.spoil.acts_first {
                     self.leaves(n, sent, place);
                 }
             }
             Order::Probe { place, for_fleet } => {
                 let steady = self.now;
-                let exchange = self.members[n].life.as_ref().and_then(|life| life.exchange.as_ref());
+                let exchange = self.members[n]
+                    .life
+                    .as_ref()
+                    .and_then(|life| life.exchange.as_ref());
                 if for_fleet && exchange.is_some_and(|x| !x.may_probe(steady)) {
                     return;
                 }
@@ -134,15 +197,27 @@
                     let at = self.now + self.way() + self.delay(n, place);
                     self.at(at, Event::ProbeArrives(n, lives, place, probe));
                 }
-                self.at(self.now + PROBED_WITHIN, Event::ProbeAnswers(n, lives, place, probe, None));
+                self.at(
+                    self.now + PROBED_WITHIN,
+                    Event::ProbeAnswers(n, lives, place, probe, None),
+                );
             }
             Order::Reject { ticket, .. } => self.answer(n, ticket, Outcome::Error("53000".into())),
             Order::Abort { ticket } => self.answer(n, ticket, Outcome::Error("08007".into())),
             // What is given up is reported at once, as the front's network code does.
-            Order::Stop { ticket, execution, ending } => {
+            Order::Stop {
+                ticket,
+                execution,
+                ending,
+            } => {
                 let own = self.own(n);
-                let Some(life) = &mut self.members[n].life else { return };
-                let held = life.guard.as_mut().is_some_and(|guard| guard.cancel(own, ticket, execution));
+                let Some(life) = &mut self.members[n].life else {
+                    return;
+                };
+                let held = life
+                    .guard
+                    .as_mut()
+                    .is_some_and(|guard| guard.cancel(own, ticket, execution));
                 let ending = if held { Ending::Withdrawn } else { ending };
                 life.connections.ended((ticket, execution), ending);
                 life.dispatcher.report(own, ticket, execution, ending, None);
@@ -162,8 +237,11 @@
         let before = self.account.relayed.len();
         if !self.reaches(n, place, Some(sent)) {
             let own = self.own(n);
-            let Some(life) = &mut self.members[n].life else { return };
-            life.dispatcher.report(own, sent.0, sent.1, Ending::Withdrawn, None);
+            let Some(life) = &mut self.members[n].life else {
+                return;
+            };
+            life.dispatcher
+                .report(own, sent.0, sent.1, Ending::Withdrawn, None);
             return;
         }
         let opened = self.account.relayed.len() > before;
@@ -180,12 +258,17 @@
     /// An engine's answer has come to a front.
     pub(super) fn receive_answer(&mut self, n: usize, event: Event) {
         let now = self.own(n);
-        let Some(life) = &mut self.members[n].life else { return };
+        let Some(life) = &mut self.members[n].life else {
+            return;
+        };
         if let Event::Answers(_, _, (ticket, execution), ending, active) = event {
             life.connections.ended((ticket, execution), ending);
             let inline = !self.scenario.engine.load_on_probe;
             let report = active.filter(|_| inline).map(|active| vec![active as f64]);
-            if life.dispatcher.report(now, ticket, execution, ending, report) {
+            if life
+                .dispatcher
+                .report(now, ticket, execution, ending, report)
+            {
                 self.answer(n, ticket, Outcome::Completed { rows: 1 });
             }
         } else if let Event::ProbeAnswers(_, _, place, probe, active) = event {
--- a/crates/lab/src/simulated/growth.rs
+++ b/crates/lab/src/simulated/growth.rs
@@ -31,8 +31,12 @@
 impl Growth {
     pub(super) fn tell(&self, tallies: &mut BTreeMap<&'static str, i64>) {
         let quarter = self.samples.len().div_ceil(4);
-        let most = |samples: &[Held], of: fn(&Held) -> i64| samples.iter().map(of).max().unwrap_or(0);
-        let (early, late) = (&self.samples[..quarter], &self.samples[self.samples.len() - quarter..]);
+        let most =
+            |samples: &[Held], of: fn(&Held) -> i64| samples.iter().map(of).max().unwrap_or(0);
+        let (early, late) = (
+            &self.samples[..quarter],
+            &self.samples[self.samples.len() - quarter..],
+        );
         tallies.insert("disk_bytes_early", most(early, |h| h.disk_bytes));
         tallies.insert("disk_bytes_late", most(late, |h| h.disk_bytes));
         tallies.insert("disk_records_late", most(late, |h| h.records));
@@ -56,8 +60,15 @@
         let mut most = (0, None);
         for (n, member) in self.members.iter().enumerate() {
             let exchange = member.life.as_ref().and_then(|life| life.exchange.as_ref());
-            let counters = exchange.and_then(|exchange| exchange.ledger_counters()).unwrap_or_default();
-            let disk: usize = member.disk.records.iter().map(|(name, bytes)| name.len() + bytes.len()).sum();
+            let counters = exchange
+                .and_then(|exchange| exchange.ledger_counters())
+                .unwrap_or_default();
+            let disk: usize = member
+                .disk
+                .records
+                .iter()
+                .map(|(name, bytes)| name.len() + bytes.len())
+                .sum();
             held.entries = held.entries.max(counters.entries as i64);
             held.ledger_bytes = held.ledger_bytes.max(counters.bytes as i64);
             held.disk_bytes = held.disk_bytes.max(disk as i64);
@@ -81,9 +92,14 @@
 
     /// Whether every shard has an owner and all its copies, on fronts that run.
     pub(super) fn copies(&mut self) {
-        let Some((since, copies)) = self.growth.lost.zip(self.scenario.fleet.copies) else { return };
+        let Some((since, copies)) = self.growth.lost.zip(self.scenario.fleet.copies) else {
+            return;
+        };
         let (mut owned, mut kept, mut missing) = (0, 0, 0);
-        let exchanges = self.members.iter().filter_map(|m| m.life.as_ref()?.exchange.as_ref());
+        let exchanges = self
+            .members
+            .iter()
+            .filter_map(|m| m.life.as_ref()?.exchange.as_ref());
         for counters in exchanges.filter_map(|exchange| exchange.ledger_counters()) {
             (owned, kept) = (owned + counters.led, kept + counters.copies);
             missing += counters.missing;
--- a/crates/lab/src/simulated/least.rs
+++ b/crates/lab/src/simulated/least.rs
@@ -40,8 +40,16 @@
         many = many.div_ceil(2);
     }
     // The day need not go on for long after the last of them.
-    let last = least.faults.iter().map(|f| f.at_ms + f.for_ms).max().unwrap_or(0);
-    let short = Scenario { seconds: (last + AFTER_MS).div_ceil(1000), ..least.clone() };
+    let last = least
+        .faults
+        .iter()
+        .map(|f| f.at_ms + f.for_ms)
+        .max()
+        .unwrap_or(0);
+    let short = Scenario {
+        seconds: (last + AFTER_MS).div_ceil(1000),
+        ..least.clone()
+    };
     if short.seconds < least.seconds && began.elapsed() < within && tries(&short) {
         least = short;
     }
--- a/crates/lab/src/simulated/ledger.rs
+++ b/crates/lab/src/simulated/ledger.rs
@@ -30,7 +30,10 @@
 
     fn answers(&mut self, part: u64) -> Vec<Done> {
         self.done.extend(self.exchange.ledger_answers());
-        let (told, others) = self.done.drain(..).partition(|done| done.number >> PART == part >> PART);
+        let (told, others) = self
+            .done
+            .drain(..)
+            .partition(|done| done.number >> PART == part >> PART);
         *self.done = others;
         told
     }
@@ -39,37 +42,65 @@
 /// The fronts that keep copies, by their keys, and where each is heard.
 pub(super) fn members(fronts: usize, zones: usize) -> (Vec<Member>, BTreeMap<PeerId, SocketAddr>) {
     let keeper = |n| peer_id(&Identity::new(&secret(n), 0).public_key());
-    let member = |n| Member { front: keeper(n), zone: zone_name(n % zones) };
-    ((0..fronts).map(member).collect(), (0..fronts).map(|n| (keeper(n), address(n))).collect())
+    let member = |n| Member {
+        front: keeper(n),
+        zone: zone_name(n % zones),
+    };
+    (
+        (0..fronts).map(member).collect(),
+        (0..fronts).map(|n| (keeper(n), address(n))).collect(),
+    )
 }
 
 impl Simulation<'_> {
     /// Switches on the ledger of a front that starts, on the disk that it has.
     pub(super) fn promises(&self, n: usize, exchange: &mut Exchange) -> Result<(), String> {
-        let Some(copies) = self.scenario.fleet.copies else { return Ok(()) };
+        let Some(copies) = self.scenario.fleet.copies else {
+            return Ok(());
+        };
         let (members, heard) = &self.ledger_members;
         let at = self.moment(n);
         let disk = &self.members[n].disk;
         let own = peer_id(&exchange.public_key());
-        let setup = Setup { copies, ..Setup::new("lab", own, at.wall_ms, disk.identity, members.clone()) };
+        let setup = Setup {
+            copies,
+            ..Setup::new("lab", own, at.wall_ms, disk.identity, members.clone())
+        };
         let found = disk.found();
-        exchange.enable_ledger(at, setup, heard.clone(), found).map_err(|e| e.to_string())
+        exchange
+            .enable_ledger(at, setup, heard.clone(), found)
+            .map_err(|e| e.to_string())
     }
 
     /// What promises let go of, or can't be had for.
     pub(super) fn guarded(&mut self, n: usize) {
         let (own, at) = (self.own(n), self.moment(n));
         let lives = self.members[n].lives;
-        let Some(life) = &mut self.members[n].life else { return };
-        let Some((guard, exchange)) = life.guard.as_mut().zip(life.exchange.as_mut()) else { return };
-        let mut way = Way { exchange, at, done: &mut life.done, outs: Vec::new() };
+        let Some(life) = &mut self.members[n].life else {
+            return;
+        };
+        let Some((guard, exchange)) = life.guard.as_mut().zip(life.exchange.as_mut()) else {
+            return;
+        };
+        let mut way = Way {
+            exchange,
+            at,
+            done: &mut life.done,
+            outs: Vec::new(),
+        };
         let (named, asked) = (&self.named, &self.account.asked);
-        let id = |ticket| named.get(&(n, lives, ticket)).map(|number| asked[*number].asked.id.clone());
+        let id = |ticket| {
+            named
+                .get(&(n, lives, ticket))
+                .map(|number| asked[*number].asked.id.clone())
+        };
         let rulings = guard.advance(own, &mut life.dispatcher, &mut way, id);
         let outs = way.outs;
         outs.into_iter().for_each(|out| self.send_output(n, out));
         for ruling in rulings {
-            let Some(life) = &mut self.members[n].life else { return };
+            let Some(life) = &mut self.members[n].life else {
+                return;
+            };
             match ruling {
                 Ruling::Release(go) => {
                     life.dispatcher.leaves(own, go.ticket, go.execution);
@@ -89,7 +120,9 @@
 
     /// Whatever a front's exchange was just told: it decides if the ledger has answered, else it is looked at when due.
     pub(super) fn promised(&mut self, n: usize) {
-        let Some(life) = &mut self.members[n].life else { return };
+        let Some(life) = &mut self.members[n].life else {
+            return;
+        };
         if let Some(exchange) = &mut life.exchange {
             life.done.extend(exchange.ledger_answers());
         }
--- a/crates/lab/src/simulated/run.rs
+++ b/crates/lab/src/simulated/run.rs
@@ -10,7 +10,9 @@
 
 use super::disk::Disk;
 use super::growth::Growth;
-use super::simulation::{secret, Engine, Event, Member, Simulation, Spoil, AFTER, SETTLES, SLACK, WALL};
+use super::simulation::{
+    secret, Engine, Event, Member, Simulation, Spoil, AFTER, SETTLES, SLACK, WALL,
+};
 use crate::record::account::{judge, warmth, Account, Offered, Run};
 use crate::rig::agreed;
 use crate::rig::datagrams::DatagramFaults;
@@ -78,7 +80,10 @@
             ahead,
             links: BTreeMap::new(),
             saved: None,
-            disk: Disk { identity, ..Disk::default() },
+            disk: Disk {
+                identity,
+                ..Disk::default()
+            },
             troubled: Vec::new(),
         }
     }
@@ -88,7 +93,9 @@
     fn new(scenario: &Scenario, seed: u64, spoil: Spoil) -> Result<Simulation<'_>, String> {
         let (fronts, zones) = (scenario.fleet.fronts, scenario.fleet.zones);
         let per_zone = scenario.fleet.engines_per_zone;
-        let keys: Vec<[u8; 32]> = (0..fronts).map(|n| Identity::new(&secret(n), 0).public_key()).collect();
+        let keys: Vec<[u8; 32]> = (0..fronts)
+            .map(|n| Identity::new(&secret(n), 0).public_key())
+            .collect();
         Ok(Simulation {
             scenario,
             settings: settings_of(scenario)?,
@@ -100,10 +107,16 @@
             number: 0,
             chance: Pcg64Mcg::seed_from_u64(seed),
             members: Vec::new(),
-            engines: (0..zones * per_zone).map(|n| Engine::new(n / per_zone)).collect(),
+            engines: (0..zones * per_zone)
+                .map(|n| Engine::new(n / per_zone))
+                .collect(),
             keys: Keys::new(&keys),
             datagram_faults: DatagramFaults::default(),
-            account: Account { began: WALL + SETTLES, slack: SLACK, ..Account::default() },
+            account: Account {
+                began: WALL + SETTLES,
+                slack: SLACK,
+                ..Account::default()
+            },
             out: BTreeMap::new(),
             statements: 0,
             named: HashMap::new(),
@@ -139,19 +152,30 @@
         }
         for (n, fault) in scenario.faults.iter().enumerate() {
             self.at(began + fault.at_ms as i64 * 1000, Event::Begins(n));
-            self.at(began + (fault.at_ms + fault.for_ms) as i64 * 1000, Event::Ends(n));
+            self.at(
+                began + (fault.at_ms + fault.for_ms) as i64 * 1000,
+                Event::Ends(n),
+            );
         }
     }
 
     /// What was seen of the run; statements at fronts that were in trouble meanwhile are excused.
     fn account(self) -> (Account, Growth) {
-        let Simulation { engines, mut account, members, growth, .. } = self;
+        let Simulation {
+            engines,
+            mut account,
+            members,
+            growth,
+            ..
+        } = self;
         account.turned_away = engines.iter().map(|e| e.turned_away).sum();
         account.peak = engines.iter().map(|e| e.peak).fold(0.0, f64::max);
         account.peaks_since_start = engines.iter().map(|e| e.peak_since_start).collect();
         for Offered { front, asked, .. } in &mut account.asked {
             let troubled = &members[*front].troubled;
-            let excused = troubled.iter().any(|(from, to)| asked.sent <= *to && asked.answered >= *from);
+            let excused = troubled
+                .iter()
+                .any(|(from, to)| asked.sent <= *to && asked.answered >= *from);
             if excused {
                 (asked.may_be_lost, asked.timeout) = (true, asked.timeout + EXCUSED);
             }
--- a/crates/lab/src/simulated/shutdown.rs
+++ b/crates/lab/src/simulated/shutdown.rs
@@ -16,7 +16,9 @@
     pub(super) fn asked_to_end(&mut self, n: usize) {
         let at = self.moment(n);
         let member = &mut self.members[n];
-        let Some(life) = member.life.as_mut().filter(|_| member.ending.is_none()) else { return };
+        let Some(life) = member.life.as_mut().filter(|_| member.ending.is_none()) else {
+            return;
+        };
         member.ending = Some(self.now);
         let lives = member.lives;
         if let Some(exchange) = &mut life.exchange {
@@ -33,7 +35,11 @@
     /// Its listener closes once all is handed over, and it is gone once all is answered.
     pub(super) fn closes(&mut self, n: usize, life: u32) {
         let member = &self.members[n];
-        let Some((runs, asked)) = member.life.as_ref().zip(member.ending).filter(|_| member.lives == life)
+        let Some((runs, asked)) = member
+            .life
+            .as_ref()
+            .zip(member.ending)
+            .filter(|_| member.lives == life)
         else {
             return;
         };
@@ -54,7 +60,12 @@
 
     /// Until when the end of this fault has to wait, as its front has yet to end.
     pub(super) fn still_ends(&self, fault: usize) -> Option<i64> {
-        let fault = self.playing.get(&fault).filter(|fault| fault.what == What::Term)?;
-        self.members[fault.front].ending.map(|_| self.now + INTERVAL)
+        let fault = self
+            .playing
+            .get(&fault)
+            .filter(|fault| fault.what == What::Term)?;
+        self.members[fault.front]
+            .ending
+            .map(|_| self.now + INTERVAL)
     }
 }
--- a/crates/lab/src/simulated/simulation.rs
+++ b/crates/lab/src/simulated/simulation.rs
@@ -158,7 +158,10 @@
     /// When the first of each deduplicated statement of a front began and ends.
     pub(super) firsts: HashMap<(usize, String), (i64, i64)>,
     /// The fronts that keep copies, and where each is heard.
-    pub(super) ledger_members: (Vec<hallmux_ledger::Member>, BTreeMap<hallmux_gossip::PeerId, SocketAddr>),
+    pub(super) ledger_members: (
+        Vec<hallmux_ledger::Member>,
+        BTreeMap<hallmux_gossip::PeerId, SocketAddr>,
+    ),
     pub(super) armed: Option<Armed>,
     pub(super) spoil: Spoil,
     pub(super) growth: Growth,
@@ -196,10 +199,13 @@
     }
 
     pub(super) fn run_until(&mut self, over: i64) {
-        while let Some(Reverse((when, number))) = self.queue.pop().filter(|Reverse((when, _))| *when <= over)
+        while let Some(Reverse((when, number))) =
+            self.queue.pop().filter(|Reverse((when, _))| *when <= over)
         {
             self.now = when;
-            let Some(event) = self.events.remove(&number) else { continue };
+            let Some(event) = self.events.remove(&number) else {
+                continue;
+            };
             self.handle(event);
         }
     }
@@ -211,7 +217,9 @@
             Event::Due(_) => {}
             Event::Arrives(front, life, sent, engine) => self.arrives(front, life, sent, engine),
             Event::Ran(ran) => self.ran(ran),
-            Event::Dropped(front, life, sent, e) => self.goes_back(front, life, sent, e, Ending::Answered),
+            Event::Dropped(front, life, sent, e) => {
+                self.goes_back(front, life, sent, e, Ending::Answered)
+            }
             Event::Again(client) => self.asks(client),
             Event::Reached(step, front) => _ = self.reached(step, front),
             Event::Unarmed(fault) => self.unarmed(fault),
@@ -227,7 +235,10 @@
                 if self.passes(front, engine, false) {
                     let at = self.now + self.way();
                     let active = self.engines[engine].running;
-                    self.at(at, Event::ProbeAnswers(front, life, engine, probe, Some(active)));
+                    self.at(
+                        at,
+                        Event::ProbeAnswers(front, life, engine, probe, Some(active)),
+                    );
                 }
             }
             Event::Answers(front, life, ..) | Event::ProbeAnswers(front, life, ..) => {
@@ -259,7 +270,8 @@
         let member = &mut self.members[to];
         if member.stopped {
             member.waits.push(Event::Datagram(from, to, bytes));
-        } else if let Some(exchange) = member.life.as_mut().and_then(|life| life.exchange.as_mut()) {
+        } else if let Some(exchange) = member.life.as_mut().and_then(|life| life.exchange.as_mut())
+        {
             let out = exchange.receive(moment, address(from), &bytes);
             self.send_output(to, out);
             self.promised(to);
@@ -268,7 +280,13 @@
 
     /// A fault of the scenario begins.
     fn fault_begins(&mut self, n: usize) {
-        let probed = self.account.relayed.iter().rev().find(|r| r.probes > 0).map(|r| r.front);
+        let probed = self
+            .account
+            .relayed
+            .iter()
+            .rev()
+            .find(|r| r.probes > 0)
+            .map(|r| r.front);
         let fault = self.scenario.faults[n].on(probed);
         self.playing.insert(n, fault.clone());
         self.begin(n, &fault);
@@ -279,7 +297,9 @@
         if let Some(later) = self.is_armed(n).or_else(|| self.still_ends(n)) {
             return self.at(later, Event::Ends(n));
         }
-        let Some(fault) = self.playing.remove(&n) else { return };
+        let Some(fault) = self.playing.remove(&n) else {
+            return;
+        };
         self.end(&fault);
         let from = self.began + fault.at_ms as i64 * 1000;
         self.account.played.push((fault, from, self.now));
@@ -292,6 +312,10 @@
 
     pub(super) fn moment(&self, n: usize) -> Moment {
         let own = self.own(n);
-        Moment { now: own, steady: self.now, wall_ms: (own / 1000) as u64 }
+        Moment {
+            now: own,
+            steady: self.now,
+            wall_ms: (own / 1000) as u64,
+        }
     }
 }
--- a/crates/lab/src/simulated/steps.rs
+++ b/crates/lab/src/simulated/steps.rs
@@ -20,8 +20,13 @@
 impl Simulation<'_> {
     /// The front of a fault is to die: at once, or at its step.
     pub(super) fn dooms(&mut self, place: usize, front: usize, step: Option<Step>, draw: u64) {
-        let Some(step) = step else { return self.dies(front) };
-        self.armed = Some(Armed { death: DeathStep::new(step, front, draw), fault: place });
+        let Some(step) = step else {
+            return self.dies(front);
+        };
+        self.armed = Some(Armed {
+            death: DeathStep::new(step, front, draw),
+            fault: place,
+        });
         self.at(self.now + WITHIN, Event::Unarmed(place));
     }
 
@@ -34,12 +39,19 @@
 
     /// Until when the end of this fault has to wait, as its front has yet to die.
     pub(super) fn is_armed(&self, fault: usize) -> Option<i64> {
-        self.armed.as_ref().filter(|armed| armed.fault == fault).map(|_| self.now + GONE)
+        self.armed
+            .as_ref()
+            .filter(|armed| armed.fault == fault)
+            .map(|_| self.now + GONE)
     }
 
     /// A step of a promise is reached at a front: true if it has just died of that.
     pub(super) fn reached(&mut self, step: Step, front: usize) -> bool {
-        if !self.armed.as_mut().is_some_and(|armed| armed.death.is_reached(step, front)) {
+        if !self
+            .armed
+            .as_mut()
+            .is_some_and(|armed| armed.death.is_reached(step, front))
+        {
             return false;
         }
         self.armed = None;
@@ -66,7 +78,15 @@
         let out = |(_, o): &(usize, &crate::record::account::Offered)| {
             o.front == front && o.asked.answered == i64::MAX
         };
-        let out: Vec<usize> = self.account.asked.iter().enumerate().filter(out).map(|(n, _)| n).collect();
-        out.into_iter().for_each(|number| self.settle(number, Outcome::Lost));
+        let out: Vec<usize> = self
+            .account
+            .asked
+            .iter()
+            .enumerate()
+            .filter(out)
+            .map(|(n, _)| n)
+            .collect();
+        out.into_iter()
+            .for_each(|number| self.settle(number, Outcome::Lost));
     }
 }
--- a/crates/lab/src/simulated/tests.rs
+++ b/crates/lab/src/simulated/tests.rs
@@ -13,13 +13,21 @@
 /// How many of some drawn days break a rule.
 fn broken(copies: usize, spoil: Spoil) -> usize {
     let day = |seed: &u64| {
-        let way = Way { small: true, simulated: true, fronts: Some(5), copies, spoil };
+        let way = Way {
+            small: true,
+            simulated: true,
+            fronts: Some(5),
+            copies,
+            spoil,
+        };
         let mut scenario = draw(*seed, way);
         // The first loss is of the front that has most to lose by now.
         scenario.load.per_second = 40;
         let run = run_with(&scenario, *seed, spoil).unwrap();
         let promises = ["order", "promise_lost", "second_run", "without_promise"];
-        promises.iter().any(|rule| run.violations.contains_key(rule))
+        promises
+            .iter()
+            .any(|rule| run.violations.contains_key(rule))
     };
     SEEDS.iter().filter(|seed| day(seed)).count()
 }
@@ -29,13 +37,26 @@
     let whole = Spoil::default();
     assert_eq!(broken(3, whole), 0);
     assert_eq!(broken(0, whole), SEEDS.len(), "no ledger at all");
-    let acts_first = Spoil { acts_first: true, ..whole };
-    assert_eq!(broken(3, acts_first), SEEDS.len(), "the act before its promise");
+    let acts_first = Spoil {
+        acts_first: true,
+        ..whole
+    };
+    assert_eq!(
+        broken(3, acts_first),
+        SEEDS.len(),
+        "the act before its promise"
+    );
 }
 
 /// The rules that the drawn deaths of a seed break.
 fn broken_by_deaths((seed, small): (u64, bool), spoil: Spoil) -> Vec<&'static str> {
-    let way = Way { simulated: true, small, copies: 3, spoil, ..Way::default() };
+    let way = Way {
+        simulated: true,
+        small,
+        copies: 3,
+        spoil,
+        ..Way::default()
+    };
     let run = run_with(&deaths::draw(seed, way), seed, spoil).unwrap();
     run.violations.into_keys().collect()
 }
@@ -44,11 +65,26 @@
 fn drawn_deaths_lose_a_promise_only_where_a_rule_is_taken_out() {
     let whole = Spoil::default();
     for (day, spoil) in [
-        (SLOW_DISKS, Spoil { sends_first: true, ..whole }),
-        (SECOND_LOSS, Spoil { keeps_identity: true, ..whole }),
+        (
+            SLOW_DISKS,
+            Spoil {
+                sends_first: true,
+                ..whole
+            },
+        ),
+        (
+            SECOND_LOSS,
+            Spoil {
+                keeps_identity: true,
+                ..whole
+            },
+        ),
     ] {
         assert_eq!(broken_by_deaths(day, whole), Vec::<&str>::new());
         let found = broken_by_deaths(day, spoil);
-        assert!(found.contains(&"order") || found.contains(&"promise_lost"), "{spoil:?}: {found:?}");
+        assert!(
+            found.contains(&"order") || found.contains(&"promise_lost"),
+            "{spoil:?}: {found:?}"
+        );
     }
 }
--- a/crates/lab/tests/faults.rs
+++ b/crates/lab/tests/faults.rs
@@ -21,23 +21,47 @@
 /// be busy with others.
 fn play(only: &str, seed: u64) -> impl Fn(&str) -> i64 {
     let out = Command::new(env!("CARGO_BIN_EXE_hallmux-lab"))
-        .args(["prove", "promises", "--small", "--only", only, "--seed", &seed.to_string()])
+        .args([
+            "prove",
+            "promises",
+            "--small",
+            "--only",
+            only,
+            "--seed",
+            &seed.to_string(),
+        ])
         .output()
         .expect("the lab runs");
     let text = String::from_utf8_lossy(&out.stdout).to_string();
     let last = text.lines().last().unwrap_or_default().to_string();
     let said = String::from_utf8_lossy(&out.stderr).to_string();
     let tally = move |key: &str| {
-        let found = last.split(' ').find_map(|word| word.strip_prefix(key)?.strip_prefix('=')?.parse().ok());
+        let found = last
+            .split(' ')
+            .find_map(|word| word.strip_prefix(key)?.strip_prefix('=')?.parse().ok());
         found.unwrap_or(0)
     };
     for rule in BROKEN {
-        assert_eq!(tally(&format!("violations_{rule}")), 0, "{only} {seed} {rule}: {text}\n{said}");
+        assert_eq!(
+            tally(&format!("violations_{rule}")),
+            0,
+            "{only} {seed} {rule}: {text}\n{said}"
+        );
     }
-    assert!(tally("statements") > 50 && tally("completed") > 30, "{only} {seed}: {text}\n{said}");
-    for pid in text.lines().filter_map(|l| l.strip_prefix("pids ")).flat_map(|pids| pids.split(',')) {
+    assert!(
+        tally("statements") > 50 && tally("completed") > 30,
+        "{only} {seed}: {text}\n{said}"
+    );
+    for pid in text
+        .lines()
+        .filter_map(|l| l.strip_prefix("pids "))
+        .flat_map(|pids| pids.split(','))
+    {
         let program = std::fs::read(format!("/proc/{pid}/cmdline")).unwrap_or_default();
-        assert!(!String::from_utf8_lossy(&program).contains("hallmux-front"), "front {pid} was left behind");
+        assert!(
+            !String::from_utf8_lossy(&program).contains("hallmux-front"),
+            "front {pid} was left behind"
+        );
     }
     tally
 }
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -16,7 +16,10 @@
 fn a_lost_zone_is_left_and_every_statement_gets_its_final_answer() {
     let t = play("zone-lost", 1);
     assert_eq!((t["unanswered"], t["faults_played"]), (0, 1));
-    assert!(t["zone_lost_sent"] > 0, "the loss was played while statements went there: {t:?}");
+    assert!(
+        t["zone_lost_sent"] > 0,
+        "the loss was played while statements went there: {t:?}"
+    );
     // Each front leaves alone today, by its own time-outs: within the loss of three seconds.
     assert!(t["zone_lost_last_sent_ms"] < 3_000, "{t:?}");
 }
@@ -41,7 +44,10 @@
 fn fronts_that_gossip_leave_a_lost_zone_and_answer_everything() {
     let t = play("zone-lost-gossip", 4);
     assert_eq!((t["unanswered"], t["faults_played"]), (0, 1));
-    assert!(t["zone_lost_sent"] > 0 && t["zone_lost_last_sent_ms"] < 3_000, "{t:?}");
+    assert!(
+        t["zone_lost_sent"] > 0 && t["zone_lost_last_sent_ms"] < 3_000,
+        "{t:?}"
+    );
 }
 
 #[test]
@@ -68,7 +74,11 @@
     assert!(t["link_cut_sent"] > 0 && sent_by_others(&t) >= 240, "{t:?}");
     for seed in 1..=8 {
         let t = simulated("two-vantages", seed, 6);
-        assert_eq!((t["unanswered"], t["faults_played"]), (0, 2), "{seed}: {t:?}");
+        assert_eq!(
+            (t["unanswered"], t["faults_played"]),
+            (0, 2),
+            "{seed}: {t:?}"
+        );
         // 324 to 494; 138 to 186 where a zone is never found well.
         assert!(sent_by_others(&t) >= 250, "{seed}: {t:?}");
     }
@@ -77,7 +87,10 @@
 #[test]
 fn a_fleet_cut_in_two_takes_no_more_of_a_returning_zone_than_one() {
     let t = play("split-return", 7);
-    assert_eq!((t["unanswered"], t["faults_played"], t["read_again"]), (0, 6, 1));
+    assert_eq!(
+        (t["unanswered"], t["faults_played"], t["read_again"]),
+        (0, 6, 1)
+    );
     assert!(t["gossip_lost"] > 0 && t["returned_sent"] > 0, "{t:?}");
     assert!(t["return_load_over_bound_pct"] <= 100, "{t:?}");
 }
@@ -85,16 +98,26 @@
 #[test]
 fn an_owner_stopped_past_its_lease_probes_nothing_when_it_goes_on() {
     let t = play("owner-stall", 10);
-    assert_eq!((t["faults_played"], t["owners"], t["owner_passed_on"]), (2, 2, 1), "{t:?}");
+    assert_eq!(
+        (t["faults_played"], t["owners"], t["owner_passed_on"]),
+        (2, 2, 1),
+        "{t:?}"
+    );
     assert_eq!(t["probes_of_earlier_owners"], 0, "{t:?}");
-    assert!(t["unanswered"] <= t["excused"] && t["without_owner_ms"] < 6_000, "{t:?}");
+    assert!(
+        t["unanswered"] <= t["excused"] && t["without_owner_ms"] < 6_000,
+        "{t:?}"
+    );
 }
 
 #[test]
 fn an_owner_killed_while_a_zone_warms_up_leaves_its_load_within_the_bound() {
     let t = play("owner-kill", 11);
     assert_eq!(t["faults_played"], 2);
-    assert!(t["returned_sent"] > 0 && t["return_load_over_bound_pct"] <= 100, "{t:?}");
+    assert!(
+        t["returned_sent"] > 0 && t["return_load_over_bound_pct"] <= 100,
+        "{t:?}"
+    );
     assert!(t["unanswered"] <= t["excused"], "{t:?}");
 }
 
@@ -113,7 +136,11 @@
     for seed in 1..=4 {
         for name in ["owner-stall", "voters-cut", "voters-cut-five"] {
             let t = simulated(name, seed, 9);
-            assert_eq!((t["faults_played"], t["probes_of_earlier_owners"]), (2, 0), "{name} {seed}: {t:?}");
+            assert_eq!(
+                (t["faults_played"], t["probes_of_earlier_owners"]),
+                (2, 0),
+                "{name} {seed}: {t:?}"
+            );
             assert!(t["owners"] >= 1, "{name} {seed}: {t:?}");
         }
     }
@@ -122,7 +149,11 @@
 #[test]
 fn five_voters_among_forty_fronts_have_an_owner_again_within_seconds_of_a_stall() {
     let t = simulated("owner-stall-five", 2, 40);
-    assert_eq!((t["owners"], t["probes_of_earlier_owners"]), (2, 0), "{t:?}");
+    assert_eq!(
+        (t["owners"], t["probes_of_earlier_owners"]),
+        (2, 0),
+        "{t:?}"
+    );
     // With 8,000 bytes of messages a second for each they went 18 s without an owner.
     assert!(t["without_owner_ms"] < 6_000, "{t:?}");
 }
@@ -143,7 +174,10 @@
         let t = simulated("zone-away", 8, fronts);
         assert_eq!((t["unanswered"], t["faults_played"]), (0, 1));
         // Four a second over the fleet, drawn by chance: some 190 in 47 s.
-        assert!((300..500).contains(&t["probes_per_100s"]), "{fronts}: {t:?}");
+        assert!(
+            (300..500).contains(&t["probes_per_100s"]),
+            "{fronts}: {t:?}"
+        );
     }
 }
 
@@ -151,8 +185,14 @@
 fn a_hundred_fronts_leave_a_lost_zone_as_one_and_share_its_return() {
     let t = simulated("zone-return", 9, 100);
     assert_eq!((t["unanswered"], t["faults_played"]), (0, 1));
-    assert!(t["zone_lost_sent"] > 0 && t["zone_lost_last_sent_ms"] < 3_500, "{t:?}");
-    assert!(t["returned_sent"] > 0 && t["return_load_over_bound_pct"] <= 100, "{t:?}");
+    assert!(
+        t["zone_lost_sent"] > 0 && t["zone_lost_last_sent_ms"] < 3_500,
+        "{t:?}"
+    );
+    assert!(
+        t["returned_sent"] > 0 && t["return_load_over_bound_pct"] <= 100,
+        "{t:?}"
+    );
 }
 
 #[test]
@@ -179,7 +219,10 @@
         as_one["attempts_over_first_pct"] <= 115 && by_itself["attempts_over_first_pct"] > 120,
         "{as_one:?}"
     );
-    assert!(as_one["worth_per_s"] > by_itself["worth_per_s"], "{by_itself:?}\n{as_one:?}");
+    assert!(
+        as_one["worth_per_s"] > by_itself["worth_per_s"],
+        "{by_itself:?}\n{as_one:?}"
+    );
     assert_eq!(as_one["unanswered"], 0);
 }
 
--- a/crates/lab/tests/played/mod.rs
+++ b/crates/lab/tests/played/mod.rs
@@ -16,7 +16,10 @@
     fn take() -> Place {
         let played = PLAYED.0.lock().unwrap_or_else(PoisonError::into_inner);
         let full = |played: &mut usize| *played >= AT_ONCE;
-        *PLAYED.1.wait_while(played, full).unwrap_or_else(PoisonError::into_inner) += 1;
+        *PLAYED
+            .1
+            .wait_while(played, full)
+            .unwrap_or_else(PoisonError::into_inner) += 1;
         Place
     }
 }
@@ -36,11 +39,26 @@
 }
 
 /// The same with so many fronts in simulated time.
-pub fn simulated(name: &str, seed: u64, change: &[(&str, &str)], fronts: usize) -> HashMap<String, i64> {
-    play_with(name, seed, change, &["--simulated", "--fronts", &fronts.to_string()])
+pub fn simulated(
+    name: &str,
+    seed: u64,
+    change: &[(&str, &str)],
+    fronts: usize,
+) -> HashMap<String, i64> {
+    play_with(
+        name,
+        seed,
+        change,
+        &["--simulated", "--fronts", &fronts.to_string()],
+    )
 }
 
-fn play_with(name: &str, seed: u64, change: &[(&str, &str)], more: &[&str]) -> HashMap<String, i64> {
+fn play_with(
+    name: &str,
+    seed: u64,
+    change: &[(&str, &str)],
+    more: &[&str],
+) -> HashMap<String, i64> {
     let path = format!("{}/fleet/{name}.toml", env!("CARGO_MANIFEST_DIR"));
     let mut scenario = std::fs::read_to_string(path).expect("the scenario");
     for (from, to) in change {
@@ -49,10 +67,18 @@
     }
     static FILES: AtomicUsize = AtomicUsize::new(0);
     let number = FILES.fetch_add(1, Relaxed);
-    let file = std::env::temp_dir().join(format!("hallmux-{}-{number}-{name}.toml", std::process::id()));
+    let file = std::env::temp_dir().join(format!(
+        "hallmux-{}-{number}-{name}.toml",
+        std::process::id()
+    ));
     std::fs::write(&file, scenario).expect("a file");
     let out = Command::new(env!("CARGO_BIN_EXE_hallmux-lab"))
-        .args(["fleet", &file.to_string_lossy(), "--seed", &seed.to_string()])
+        .args([
+            "fleet",
+            &file.to_string_lossy(),
+            "--seed",
+            &seed.to_string(),
+        ])
         .args(more)
         .output()
         .expect("the lab runs");
@@ -64,7 +90,10 @@
         "{name}: {text}\n{}",
         String::from_utf8_lossy(&out.stderr)
     );
-    let pids = text.lines().find_map(|l| l.strip_prefix("pids ")).expect("the fronts' ids are told");
+    let pids = text
+        .lines()
+        .find_map(|l| l.strip_prefix("pids "))
+        .expect("the fronts' ids are told");
     for pid in pids.split(',').filter(|pid| !pid.is_empty()) {
         let program = std::fs::read(format!("/proc/{pid}/cmdline")).unwrap_or_default();
         assert!(
@@ -73,5 +102,7 @@
         );
     }
     let pairs = last.split(' ').filter_map(|word| word.split_once('='));
-    pairs.map(|(k, v)| (k.to_string(), v.parse().unwrap_or(-1))).collect()
+    pairs
+        .map(|(k, v)| (k.to_string(), v.parse().unwrap_or(-1)))
+        .collect()
 }
--- a/crates/lease/src/disk.rs
+++ b/crates/lease/src/disk.rs
@@ -51,13 +51,23 @@
 impl Disk {
     /// An empty state, for a voter that never ran in this fleet.
     pub fn new(fleet: u64) -> Disk {
-        Disk { fleet, incarnation: 0, started: false, store: LogStore::new(LogState::default()) }
+        Disk {
+            fleet,
+            incarnation: 0,
+            started: false,
+            store: LogStore::new(LogState::default()),
+        }
     }
 
     /// Decodes the state that an earlier run of the voter saved.
     pub fn read(fleet: u64, saved: &[u8]) -> Result<Disk, StateError> {
-        let (head, body) = saved.split_at_checked(MAGIC.len() + CHECKSUM_BYTES).ok_or(StateError::Corrupt)?;
-        let sum = head[MAGIC.len()..].try_into().map(u32::from_be_bytes).map_err(|_| StateError::Corrupt)?;
+        let (head, body) = saved
+            .split_at_checked(MAGIC.len() + CHECKSUM_BYTES)
+            .ok_or(StateError::Corrupt)?;
+        let sum = head[MAGIC.len()..]
+            .try_into()
+            .map(u32::from_be_bytes)
+            .map_err(|_| StateError::Corrupt)?;
         if crc32fast::hash(body) != sum {
             return Err(StateError::Corrupt);
         }
--- a/crates/lease/src/disk_tests.rs
+++ b/crates/lease/src/disk_tests.rs
@@ -6,9 +6,15 @@
 
 #[test]
 fn each_error_names_the_remedy() {
-    for error in [StateError::Corrupt, StateError::OtherFleet, StateError::Voters] {
+    for error in [
+        StateError::Corrupt,
+        StateError::OtherFleet,
+        StateError::Voters,
+    ] {
         let text = error.to_string();
-        assert!(text.split_once("; ").is_some_and(|(wrong, remedy)| wrong.len() > 8 && remedy.len() > 8));
+        assert!(text
+            .split_once("; ")
+            .is_some_and(|(wrong, remedy)| wrong.len() > 8 && remedy.len() > 8));
     }
 }
 
@@ -17,29 +23,61 @@
     let mut disk = Disk::new(7);
     let mut store = disk.store.clone();
     assert_eq!(disk.unsaved(), None);
-    store.append_entry(Change::Grant { task: Task::Zones, after: 0, owner: 3, number: 1 }).unwrap();
+    store
+        .append_entry(Change::Grant {
+            task: Task::Zones,
+            after: 0,
+            owner: 3,
+            number: 1,
+        })
+        .unwrap();
     store.set_decided_idx(1).unwrap();
     let saved = disk.unsaved().unwrap();
     assert_eq!(disk.unsaved(), None);
     let again = Disk::read(7, &saved).unwrap();
-    assert_eq!((again.store.get_decided_idx().unwrap(), again.store.get_log_len().unwrap()), (1, 1));
+    assert_eq!(
+        (
+            again.store.get_decided_idx().unwrap(),
+            again.store.get_log_len().unwrap()
+        ),
+        (1, 1)
+    );
     assert_eq!(Disk::read(8, &saved).unwrap_err(), StateError::OtherFleet);
     // Each incarnation has the next number, and is saved though nothing else has changed.
     let mut again = again;
     again.start();
     let later = Disk::read(7, &again.unsaved().unwrap()).unwrap();
-    assert_eq!((again.incarnation, later.incarnation, again.unsaved()), (1, 1, None));
+    assert_eq!(
+        (again.incarnation, later.incarnation, again.unsaved()),
+        (1, 1, None)
+    );
     // What builds wrote that did not count them is read.
     let body = &saved[MAGIC.len() + CHECKSUM_BYTES..saved.len() - 1];
-    let before = [&MAGIC_BEFORE[..], &crc32fast::hash(body).to_be_bytes(), body].concat();
+    let before = [
+        &MAGIC_BEFORE[..],
+        &crc32fast::hash(body).to_be_bytes(),
+        body,
+    ]
+    .concat();
     let before = Disk::read(7, &before).unwrap();
-    assert_eq!((before.incarnation, before.store.get_decided_idx().unwrap()), (0, 1));
+    assert_eq!(
+        (before.incarnation, before.store.get_decided_idx().unwrap()),
+        (0, 1)
+    );
     for cut in 0..saved.len() {
-        assert_eq!(Disk::read(7, &saved[..cut]).unwrap_err(), StateError::Corrupt, "{cut}");
+        assert_eq!(
+            Disk::read(7, &saved[..cut]).unwrap_err(),
+            StateError::Corrupt,
+            "{cut}"
+        );
     }
     for at in 0..saved.len() {
         let mut altered = saved.clone();
         altered[at] ^= 0x40;
-        assert_eq!(Disk::read(7, &altered).unwrap_err(), StateError::Corrupt, "{at}");
+        assert_eq!(
+            Disk::read(7, &altered).unwrap_err(),
+            StateError::Corrupt,
+            "{at}"
+        );
     }
 }
--- a/crates/lease/src/fence_tests.rs
+++ b/crates/lease/src/fence_tests.rs
@@ -13,7 +13,10 @@
     fence.observe(Task::Zones, lease(5, 1));
     assert_eq!(fence.admit(Task::Zones, lease(5, 1)), Ok(()));
     // A token from the future, and another's token, are known of nobody yet.
-    assert_eq!(fence.admit(Task::Zones, lease(900, 1)), Err(Refused::Unknown));
+    assert_eq!(
+        fence.admit(Task::Zones, lease(900, 1)),
+        Err(Refused::Unknown)
+    );
     assert_eq!(fence.admit(Task::Zones, lease(5, 2)), Err(Refused::Unknown));
     fence.observe(Task::Zones, lease(7, 2));
     fence.observe(Task::Zones, lease(5, 1)); // late
@@ -25,6 +28,12 @@
 fn one_voter_alone_makes_up_no_token() {
     let reported = BTreeMap::from([(1, lease(4, 9)), (2, lease(4, 9)), (3, lease(1_000_000, 3))]);
     assert_eq!(majority(&reported, 3), Some(lease(4, 9)));
-    assert_eq!(majority(&BTreeMap::from([(1, lease(4, 9)), (2, lease(5, 8))]), 3), None);
-    assert_eq!(majority(&BTreeMap::from([(1, lease(4, 9)), (2, lease(4, 9))]), 5), None);
+    assert_eq!(
+        majority(&BTreeMap::from([(1, lease(4, 9)), (2, lease(5, 8))]), 3),
+        None
+    );
+    assert_eq!(
+        majority(&BTreeMap::from([(1, lease(4, 9)), (2, lease(4, 9))]), 5),
+        None
+    );
 }
--- a/crates/lease/src/holder.rs
+++ b/crates/lease/src/holder.rs
@@ -52,7 +52,9 @@
 
     /// The token under which it may act now.
     pub fn token(&self, now: Micros) -> Option<Token> {
-        self.held.filter(|held| now < held.until).map(|held| held.token)
+        self.held
+            .filter(|held| now < held.until)
+            .map(|held| held.token)
     }
 
     /// Until when it may act, in the past where the lease has run out; None where it never held one.
@@ -67,39 +69,76 @@
 
     /// The request that is due, and the voter to send it to: for a renewal, or for the lease where `wants` is
     /// set. None while a reply is awaited or nothing is due. `progress` goes with a renewal.
-    pub fn next_request(&mut self, now: Micros, wants: bool, progress: &[u8]) -> Option<(FrontId, Request)> {
-        let waits = self.pending.as_ref().is_some_and(|pending| now - pending.at < REPLY_TIMEOUT);
+    pub fn next_request(
+        &mut self,
+        now: Micros,
+        wants: bool,
+        progress: &[u8],
+    ) -> Option<(FrontId, Request)> {
+        let waits = self
+            .pending
+            .as_ref()
+            .is_some_and(|pending| now - pending.at < REPLY_TIMEOUT);
         // Renewed from a third of its time on: two more tries fit in.
         let due = match self.token(now) {
-            Some(_) => self.until().is_some_and(|until| until - now < self.terms.acts_for() * 2 / 3),
+            Some(_) => self
+                .until()
+                .is_some_and(|until| until - now < self.terms.acts_for() * 2 / 3),
             None => wants,
         };
         if waits || !due || self.voters.is_empty() {
             return None;
         }
-        if self.pending.as_ref().is_some_and(|pending| pending.voter == self.voter) {
+        if self
+            .pending
+            .as_ref()
+            .is_some_and(|pending| pending.voter == self.voter)
+        {
             self.voter = (self.voter + 1) % self.voters.len(); // that one is silent
         }
         let number = self.next_number;
         self.next_number += 1;
-        self.pending = Some(Pending { number, at: now, voter: self.voter });
+        self.pending = Some(Pending {
+            number,
+            at: now,
+            voter: self.voter,
+        });
         let token = self.token(now);
-        let progress = if token.is_some() { progress.to_vec() } else { Vec::new() };
-        Some((self.voters[self.voter], Request { task: self.task, number, token, progress }))
+        let progress = if token.is_some() {
+            progress.to_vec()
+        } else {
+            Vec::new()
+        };
+        Some((
+            self.voters[self.voter],
+            Request {
+                task: self.task,
+                number,
+                token,
+                progress,
+            },
+        ))
     }
 
     /// Takes in a voter's reply. One that is not to the latest request is ignored.
     pub fn receive(&mut self, reply: &Reply) {
         let number = match reply {
-            Reply::Granted { number, .. } | Reply::Denied { number } | Reply::NotLeader { number, .. } => {
-                number
-            }
+            Reply::Granted { number, .. }
+            | Reply::Denied { number }
+            | Reply::NotLeader { number, .. } => number,
+        };
+        let Some(pending) = self.pending.take_if(|pending| pending.number == *number) else {
+            return;
         };
-        let Some(pending) = self.pending.take_if(|pending| pending.number == *number) else { return };
         match reply {
-            Reply::Granted { token, progress, .. } => {
+            Reply::Granted {
+                token, progress, ..
+            } => {
                 // Counted from the request: however long the reply took, the voters count from later.
-                let held = Held { token: *token, until: pending.at + self.terms.acts_for() };
+                let held = Held {
+                    token: *token,
+                    until: pending.at + self.terms.acts_for(),
+                };
                 if self.held.is_none_or(|before| before.token != *token) {
                     self.progress = Some(progress.clone());
                 }
--- a/crates/lease/src/holder_tests.rs
+++ b/crates/lease/src/holder_tests.rs
@@ -2,14 +2,21 @@
 
 use super::*;
 
-const TERMS: Terms = Terms { length: 3_000_000, drift_ppm: 100_000 };
+const TERMS: Terms = Terms {
+    length: 3_000_000,
+    drift_ppm: 100_000,
+};
 
 fn holder() -> Holder {
     Holder::new(Task::Zones, TERMS, vec![10, 20, 30], 1)
 }
 
 fn yours(number: u64, token: Token) -> Reply {
-    Reply::Granted { number, token, progress: vec![7] }
+    Reply::Granted {
+        number,
+        token,
+        progress: vec![7],
+    }
 }
 
 #[test]
@@ -36,8 +43,14 @@
     assert_eq!(to, 20); // the first voter was silent
     h.receive(&yours(first.number, 4));
     assert_eq!(h.token(300_000), None);
-    h.receive(&Reply::NotLeader { number: second.number, leader: 30 });
-    assert_eq!(h.next_request(300_001, true, &[]).map(|(to, _)| to), Some(30));
+    h.receive(&Reply::NotLeader {
+        number: second.number,
+        leader: 30,
+    });
+    assert_eq!(
+        h.next_request(300_001, true, &[]).map(|(to, _)| to),
+        Some(30)
+    );
 }
 
 #[test]
@@ -46,6 +59,8 @@
     let (_, ask) = h.next_request(0, true, &[]).unwrap();
     h.receive(&yours(ask.number, 4));
     let (_, keep) = h.next_request(1_500_000, true, &[]).unwrap();
-    h.receive(&Reply::Denied { number: keep.number });
+    h.receive(&Reply::Denied {
+        number: keep.number,
+    });
     assert_eq!(h.token(1_500_001), None);
 }
--- a/crates/lease/src/leases.rs
+++ b/crates/lease/src/leases.rs
@@ -69,18 +69,35 @@
     /// Applies a change; false if it had no effect.
     pub fn apply(&mut self, change: &Change) -> bool {
         match change {
-            Change::Grant { task, after, owner, number } => {
+            Change::Grant {
+                task,
+                after,
+                owner,
+                number,
+            } => {
                 let before = self.held.get(task);
                 if before.map_or(0, |lease| lease.token) != *after {
                     return false;
                 }
-                let progress = before.map(|lease| lease.progress.clone()).unwrap_or_default();
+                let progress = before
+                    .map(|lease| lease.progress.clone())
+                    .unwrap_or_default();
                 self.last += 1;
-                let lease = Lease { token: self.last, owner: *owner, number: *number, progress };
+                let lease = Lease {
+                    token: self.last,
+                    owner: *owner,
+                    number: *number,
+                    progress,
+                };
                 self.held.insert(*task, lease);
                 true
             }
-            Change::Renew { task, token, number, progress } => match self.held.get_mut(task) {
+            Change::Renew {
+                task,
+                token,
+                number,
+                progress,
+            } => match self.held.get_mut(task) {
                 Some(lease) if lease.token == *token => {
                     (lease.number, lease.progress) = (*number, progress.clone());
                     true
@@ -103,20 +120,28 @@
     /// The leases with all changes applied.
     pub fn leases(&self) -> Leases {
         let mut leases = self.base.clone();
-        self.since.iter().for_each(|change| _ = leases.apply(change));
+        self.since
+            .iter()
+            .for_each(|change| _ = leases.apply(change));
         leases
     }
 }
 
 impl Snapshot<Change> for LeaseSnapshot {
     fn create(entries: &[Change]) -> LeaseSnapshot {
-        LeaseSnapshot { base: Leases::default(), since: entries.to_vec() }
+        LeaseSnapshot {
+            base: Leases::default(),
+            since: entries.to_vec(),
+        }
     }
 
     fn merge(&mut self, later: LeaseSnapshot) {
         self.base = self.leases();
         self.since.clear();
-        later.since.iter().for_each(|change| _ = self.base.apply(change));
+        later
+            .since
+            .iter()
+            .for_each(|change| _ = self.base.apply(change));
     }
 
     fn use_snapshots() -> bool {
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -153,7 +153,11 @@
 pub fn fingerprint(name: &str, voters: &[FrontId]) -> u64 {
     let mut voters = voters.to_vec();
     voters.sort_unstable();
-    fnv1a(name.bytes().chain([0]).chain(voters.into_iter().flat_map(u64::to_be_bytes)))
+    fnv1a(
+        name.bytes()
+            .chain([0])
+            .chain(voters.into_iter().flat_map(u64::to_be_bytes)),
+    )
 }
 
 #[cfg(test)]
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -81,7 +81,12 @@
             None => Disk::new(fleet),
         };
         disk.start();
-        let number = |front: FrontId| voters.iter().position(|v| *v == front).map(|n| n as u64 + 1);
+        let number = |front: FrontId| {
+            voters
+                .iter()
+                .position(|v| *v == front)
+                .map(|n| n as u64 + 1)
+        };
         let cluster_config = ClusterConfig {
             configuration_id: 1,
             nodes: (1..=voters.len() as u64).collect(),
@@ -93,9 +98,12 @@
             resend_message_tick_timeout: RESEND_TICKS,
             ..ServerConfig::default()
         };
-        let log = OmniPaxosConfig { cluster_config, server_config }
-            .build(disk.store.clone())
-            .map_err(|_| StateError::Voters)?;
+        let log = OmniPaxosConfig {
+            cluster_config,
+            server_config,
+        }
+        .build(disk.store.clone())
+        .map_err(|_| StateError::Voters)?;
         let mut voter = Voter {
             fleet,
             own,
@@ -154,7 +162,11 @@
             return Output::default();
         }
         match envelope.message {
-            LeaseMessage::Log { incarnation, number, message } if self.is_from(&message, from) => {
+            LeaseMessage::Log {
+                incarnation,
+                number,
+                message,
+            } if self.is_from(&message, from) => {
                 if self.order.accepts(from, incarnation, number) {
                     self.log.handle_incoming(*message);
                 }
@@ -167,7 +179,12 @@
 
     /// Whether a log message names its true sender and this voter: the library uses its numbers as places.
     fn is_from(&self, message: &LogMessage<Change>, from: FrontId) -> bool {
-        let voter = |number: u64| number.checked_sub(1).and_then(|n| self.voters.get(n as usize)).copied();
+        let voter = |number: u64| {
+            number
+                .checked_sub(1)
+                .and_then(|n| self.voters.get(n as usize))
+                .copied()
+        };
         voter(message.get_sender()) == Some(from) && voter(message.get_receiver()) == Some(self.own)
     }
 
@@ -186,17 +203,31 @@
         let lease = self.leases.of(request.task);
         let change = match (request.token, lease) {
             (Some(token), Some(lease)) if lease.token == token && lease.owner == requester => {
-                Change::Renew { task: request.task, token, number, progress: request.progress.clone() }
+                Change::Renew {
+                    task: request.task,
+                    token,
+                    number,
+                    progress: request.progress.clone(),
+                }
             }
             (Some(_), _) => return self.reply(requester, Reply::Denied { number }),
             (None, lease) if self.is_free(now, request.task) => {
                 let after = lease.map_or(0, |lease| lease.token);
-                Change::Grant { task: request.task, after, owner: requester, number }
+                Change::Grant {
+                    task: request.task,
+                    after,
+                    owner: requester,
+                    number,
+                }
             }
             (None, _) => return self.reply(requester, Reply::Denied { number }),
         };
         if self.log.append(change).is_ok() {
-            self.waiting.push(Waiting { requester, request, ends: now + self.terms.length });
+            self.waiting.push(Waiting {
+                requester,
+                request,
+                ends: now + self.terms.length,
+            });
         }
     }
 
@@ -205,32 +236,57 @@
     fn is_free(&self, now: Micros, task: Task) -> bool {
         let rested = |since: Micros| now >= since + self.terms.rests_for();
         let since_leading = self.leading_since.is_some_and(rested);
-        since_leading && self.confirmed.get(&task).is_none_or(|at| rested(*at)) && rested(self.started)
+        since_leading
+            && self.confirmed.get(&task).is_none_or(|at| rested(*at))
+            && rested(self.started)
     }
 
     fn leader(&self) -> Option<FrontId> {
         let (number, _) = self.log.get_current_leader()?;
-        number.checked_sub(1).and_then(|n| self.voters.get(n as usize)).copied()
+        number
+            .checked_sub(1)
+            .and_then(|n| self.voters.get(n as usize))
+            .copied()
     }
 
     fn reply(&mut self, to: FrontId, reply: Reply) {
-        self.messages.push((to, Envelope { fleet: self.fleet, message: LeaseMessage::Reply(reply) }));
+        self.messages.push((
+            to,
+            Envelope {
+                fleet: self.fleet,
+                message: LeaseMessage::Reply(reply),
+            },
+        ));
     }
 
     /// Applies what the log has decided, replies to requests that waited for it, and gathers what is to go
     /// out.
     fn settle(&mut self, now: Micros) -> Output {
         self.apply(now);
-        let leads =
-            self.log.get_current_leader().is_some_and(|(_, ready)| ready) && self.leader() == Some(self.own);
-        self.leading_since = if leads { self.leading_since.or(Some(now)) } else { None };
+        let leads = self
+            .log
+            .get_current_leader()
+            .is_some_and(|(_, ready)| ready)
+            && self.leader() == Some(self.own);
+        self.leading_since = if leads {
+            self.leading_since.or(Some(now))
+        } else {
+            None
+        };
         let waiting = std::mem::take(&mut self.waiting);
         for w in waiting {
             let lease = self.leases.of(w.request.task);
             let granted = lease.filter(|l| l.owner == w.requester && l.number == w.request.number);
             match granted.map(|l| (l.token, l.progress.clone())) {
                 Some((token, progress)) => {
-                    self.reply(w.requester, Reply::Granted { number: w.request.number, token, progress });
+                    self.reply(
+                        w.requester,
+                        Reply::Granted {
+                            number: w.request.number,
+                            token,
+                            progress,
+                        },
+                    );
                 }
                 None if now < w.ends => self.waiting.push(w),
                 None => {} // the log has not decided in time: no reply
@@ -239,14 +295,30 @@
         let mut messages = Vec::new();
         self.log.take_outgoing_messages(&mut messages);
         for message in messages {
-            let place = message.get_receiver().checked_sub(1).and_then(|n| self.voters.get(n as usize));
+            let place = message
+                .get_receiver()
+                .checked_sub(1)
+                .and_then(|n| self.voters.get(n as usize));
             if let Some(to) = place.copied().filter(|to| *to != self.own) {
                 let (incarnation, number) = (self.disk.incarnation, self.order.number(&message));
-                let message = LeaseMessage::Log { incarnation, number, message: Box::new(message) };
-                self.messages.push((to, Envelope { fleet: self.fleet, message }));
+                let message = LeaseMessage::Log {
+                    incarnation,
+                    number,
+                    message: Box::new(message),
+                };
+                self.messages.push((
+                    to,
+                    Envelope {
+                        fleet: self.fleet,
+                        message,
+                    },
+                ));
             }
         }
-        Output { save: self.disk.unsaved(), messages: std::mem::take(&mut self.messages) }
+        Output {
+            save: self.disk.unsaved(),
+            messages: std::mem::take(&mut self.messages),
+        }
     }
 
     fn apply(&mut self, now: Micros) {
@@ -254,7 +326,11 @@
         if decided <= self.applied {
             return;
         }
-        for entry in self.log.read_decided_suffix(self.applied).unwrap_or_default() {
+        for entry in self
+            .log
+            .read_decided_suffix(self.applied)
+            .unwrap_or_default()
+        {
             match entry {
                 LogEntry::Decided(change) => {
                     self.leases.apply(&change);
@@ -264,7 +340,9 @@
                 LogEntry::Snapshotted(snapshotted) => {
                     self.leases = snapshotted.snapshot.leases();
                     let tasks: Vec<Task> = self.leases.all().map(|(task, _)| task).collect();
-                    tasks.into_iter().for_each(|task| _ = self.confirmed.insert(task, now));
+                    tasks
+                        .into_iter()
+                        .for_each(|task| _ = self.confirmed.insert(task, now));
                 }
                 LogEntry::Undecided(_) | LogEntry::Trimmed(_) | LogEntry::StopSign(..) => {}
             }
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -14,7 +14,10 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const TICK: Micros = 1_000_000; // microseconds of a step of time
-const TERMS: Terms = Terms { length: 2 * TICK, drift_ppm: 250_000 };
+const TERMS: Terms = Terms {
+    length: 2 * TICK,
+    drift_ppm: 250_000,
+};
 const MOST_TICKS: Micros = 6;
 const MOST_QUESTIONS: u64 = 2; // of each owner in each life
 const DEPTH: usize = 14; // steps
@@ -92,7 +95,11 @@
     fn actions(&self, s: &State, steps: &mut Vec<Step>) {
         if s.now < MOST_TICKS {
             steps.push(Step::Tick(None));
-            steps.extend((0..2).filter(|n| !s.lost_tick[*n]).map(|n| Step::Tick(Some(n))));
+            steps.extend(
+                (0..2)
+                    .filter(|n| !s.lost_tick[*n])
+                    .map(|n| Step::Tick(Some(n))),
+            );
         }
         for n in 0..2 {
             steps.extend([Step::Ask(n), Step::Act(n)]);
@@ -120,7 +127,8 @@
                 if ask.number % 100 >= MOST_QUESTIONS {
                     return None;
                 }
-                s.way.insert(InFlight::Asks(n, ask.token.unwrap_or(0), ask.number));
+                s.way
+                    .insert(InFlight::Asks(n, ask.token.unwrap_or(0), ask.number));
             }
             Step::Act(n) => {
                 let token = s.holders[n].token(s.clocks[n] * TICK)?;
@@ -137,11 +145,15 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no act is accepted under a lower token after a higher one", |_, s: &State| {
-                !s.broken
-            }),
+            Property::always(
+                "no act is accepted under a lower token after a higher one",
+                |_, s: &State| !s.broken,
+            ),
             Property::always("at most one front may act at any time", |_, s: &State| {
-                (0..2).filter(|n| s.holders[*n].token(s.clocks[*n] * TICK).is_some()).count() <= 1
+                (0..2)
+                    .filter(|n| s.holders[*n].token(s.clocks[*n] * TICK).is_some())
+                    .count()
+                    <= 1
             }),
             Property::sometimes("a second owner acts", |_, s: &State| s.highest >= 2),
         ]
@@ -160,13 +172,21 @@
             };
             let change = match ask.token {
                 Some(token) if lease.token == token && lease.owner == id(n) => {
-                    Some(Change::Renew { task: Task::Zones, token, number, progress: Vec::new() })
+                    Some(Change::Renew {
+                        task: Task::Zones,
+                        token,
+                        number,
+                        progress: Vec::new(),
+                    })
                 }
                 Some(_) => None,
                 // As `Voter::is_free`: nobody else until whoever had it last has surely stopped.
-                None if s.now * TICK >= s.confirmed + TERMS.rests_for() => {
-                    Some(Change::Grant { task: Task::Zones, after: lease.token, owner: id(n), number })
-                }
+                None if s.now * TICK >= s.confirmed + TERMS.rests_for() => Some(Change::Grant {
+                    task: Task::Zones,
+                    after: lease.token,
+                    owner: id(n),
+                    number,
+                }),
                 None => None,
             };
             // Refused: for the asker no worse than an answer that is lost, which it must bear as well.
@@ -178,12 +198,26 @@
             }
         }
         InFlight::Grants(n, token, number) => {
-            s.holders[n].receive(&Reply::Granted { number, token, progress: Vec::new() });
+            s.holders[n].receive(&Reply::Granted {
+                number,
+                token,
+                progress: Vec::new(),
+            });
             s.holders[n].inherited();
         }
         InFlight::Names(token, owner) => s.fence.observe(Task::Zones, TokenOwner { token, owner }),
         InFlight::Acts(n, token) => {
-            if !checks_tokens || s.fence.admit(Task::Zones, TokenOwner { token, owner: id(n) }).is_ok() {
+            if !checks_tokens
+                || s.fence
+                    .admit(
+                        Task::Zones,
+                        TokenOwner {
+                            token,
+                            owner: id(n),
+                        },
+                    )
+                    .is_ok()
+            {
                 s.broken |= token < s.highest;
                 s.highest = s.highest.max(token);
             }
@@ -193,15 +227,29 @@
 
 #[test]
 fn no_late_owner_does_harm_to_the_depth_stated() {
-    let checked =
-        Fleet { checks_tokens: true }.checker().threads(1).target_max_depth(DEPTH).spawn_bfs().join();
+    let checked = Fleet {
+        checks_tokens: true,
+    }
+    .checker()
+    .threads(1)
+    .target_max_depth(DEPTH)
+    .spawn_bfs()
+    .join();
     checked.assert_properties();
-    println!("{} states to depth {}", checked.unique_state_count(), checked.max_depth());
+    println!(
+        "{} states to depth {}",
+        checked.unique_state_count(),
+        checked.max_depth()
+    );
 }
 
 #[test]
 fn a_build_that_drops_the_check_of_tokens_fails() {
-    let model = Fleet { checks_tokens: false }.checker().finish_when(HasDiscoveries::AnyFailures);
+    let model = Fleet {
+        checks_tokens: false,
+    }
+    .checker()
+    .finish_when(HasDiscoveries::AnyFailures);
     // A step more than the sound one is checked to: the late act itself.
     let checked = model.target_max_depth(DEPTH + 1).spawn_bfs().join();
     checked.assert_any_discovery("no act is accepted under a lower token after a higher one");
