--- a/crates/lease/tests/voters.rs
+++ b/crates/lease/tests/voters.rs
@@ -12,17 +12,36 @@
 
 /// Every act was under a token no lower than any before it, and never two fronts could act at once.
 fn sound(fleet: &Fleet) {
-    assert!(fleet.most_at_once <= 1, "{} could act at once", fleet.most_at_once);
+    assert!(
+        fleet.most_at_once <= 1,
+        "{} could act at once",
+        fleet.most_at_once
+    );
     let mut highest = 0;
     for (at, who, token) in &fleet.acts {
-        assert!(*token >= highest, "front {who} acted under {token} after {highest} at {at}");
+        assert!(
+            *token >= highest,
+            "front {who} acted under {token} after {highest} at {at}"
+        );
         highest = *token;
     }
     // Voters that have decided as much know the same.
-    let voters: Vec<&Voter> = fleet.fronts.iter().filter_map(|front| front.voter.as_ref()).collect();
+    let voters: Vec<&Voter> = fleet
+        .fronts
+        .iter()
+        .filter_map(|front| front.voter.as_ref())
+        .collect();
     for (n, one) in voters.iter().enumerate() {
-        for other in voters[..n].iter().filter(|other| other.decided() == one.decided()) {
-            assert_eq!(one.leases(), other.leases(), "after {} entries", one.decided());
+        for other in voters[..n]
+            .iter()
+            .filter(|other| other.decided() == one.decided())
+        {
+            assert_eq!(
+                one.leases(),
+                other.leases(),
+                "after {} entries",
+                one.decided()
+            );
         }
     }
 }
@@ -32,7 +51,12 @@
     let mut fleet = Fleet::new(6, 3, 1);
     fleet.run(20 * SECOND, &[0, 1, 2, 3, 4, 5]);
     sound(&fleet);
-    assert_eq!((fleet.owners().len(), fleet.leaders()), (1, 1), "{:?}", fleet.owners());
+    assert_eq!(
+        (fleet.owners().len(), fleet.leaders()),
+        (1, 1),
+        "{:?}",
+        fleet.owners()
+    );
 }
 
 #[test]
@@ -49,7 +73,11 @@
     assert_eq!(owners.len(), 2, "{owners:?}");
     // What the first had done a moment before its end, not nothing.
     let (token, progress) = fleet.inherited.last().unwrap();
-    assert!(*token == owners[1].1 && progress[0] > 4, "{:?}", fleet.inherited);
+    assert!(
+        *token == owners[1].1 && progress[0] > 4,
+        "{:?}",
+        fleet.inherited
+    );
 }
 
 #[test]
@@ -62,7 +90,11 @@
     let before = fleet.acts.len();
     fleet.run(24 * SECOND, &[4, 5]);
     sound(&fleet);
-    assert!(fleet.acts[before..].iter().all(|(_, who, _)| *who == 5), "{:?}", fleet.owners());
+    assert!(
+        fleet.acts[before..].iter().all(|(_, who, _)| *who == 5),
+        "{:?}",
+        fleet.owners()
+    );
 }
 
 #[test]
@@ -131,7 +163,10 @@
         }
         owned += usize::from(!fleet.acts.is_empty());
     }
-    assert!(owned >= 30, "of forty runs with faults only {owned} ever had an owner");
+    assert!(
+        owned >= 30,
+        "of forty runs with faults only {owned} ever had an owner"
+    );
 }
 
 #[test]
@@ -167,9 +202,17 @@
     fleet.run(250 * SECOND, &[3]);
     sound(&fleet);
     assert_eq!(fleet.owners().len(), 1, "{:?}", fleet.owners());
-    let voters: Vec<_> = (0..3).filter_map(|n| fleet.fronts[n].voter.as_ref()).collect();
-    let tokens: Vec<_> = voters.iter().map(|v| v.leases().of(Task::Zones).map(|l| l.token)).collect();
-    assert!(tokens.iter().all(|t| *t == tokens[0] && t.is_some()), "{tokens:?}");
+    let voters: Vec<_> = (0..3)
+        .filter_map(|n| fleet.fronts[n].voter.as_ref())
+        .collect();
+    let tokens: Vec<_> = voters
+        .iter()
+        .map(|v| v.leases().of(Task::Zones).map(|l| l.token))
+        .collect();
+    assert!(
+        tokens.iter().all(|t| *t == tokens[0] && t.is_some()),
+        "{tokens:?}"
+    );
 }
 
 #[test]
@@ -198,7 +241,13 @@
     for (to, envelope) in said {
         for from in [100, 102, 7, 0, u64::MAX] {
             let before = voter.leases().clone();
-            assert!(voter.receive(2_000_001, from, envelope.clone()).save.is_none(), "{from} to {to}");
+            assert!(
+                voter
+                    .receive(2_000_001, from, envelope.clone())
+                    .save
+                    .is_none(),
+                "{from} to {to}"
+            );
             assert_eq!(*voter.leases(), before);
         }
     }
--- a/crates/lease/tests/voters/sim.rs
+++ b/crates/lease/tests/voters/sim.rs
@@ -6,12 +6,17 @@
 
 use hallmux_lease::holder::Holder;
 use hallmux_lease::voter::{Output, Voter};
-use hallmux_lease::{fingerprint, Envelope, FrontId, LeaseMessage, Micros, Reply, Task, Terms, Token};
+use hallmux_lease::{
+    fingerprint, Envelope, FrontId, LeaseMessage, Micros, Reply, Task, Terms, Token,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 pub const SECOND: Micros = 1_000_000;
-pub const TERMS: Terms = Terms { length: 2 * SECOND, drift_ppm: 50_000 };
+pub const TERMS: Terms = Terms {
+    length: 2 * SECOND,
+    drift_ppm: 50_000,
+};
 const STEP: Micros = 5_000; // microseconds of true time between looks
 
 pub struct Front {
@@ -78,7 +83,8 @@
             next_number: 0,
         };
         for n in 0..fronts {
-            let rate = 1.0 + f64::from(TERMS.drift_ppm) / 1e6 * fleet.chance.random_range(-1.0..=1.0);
+            let rate =
+                1.0 + f64::from(TERMS.drift_ppm) / 1e6 * fleet.chance.random_range(-1.0..=1.0);
             let offset = fleet.chance.random_range(0..1_000 * SECOND);
             let holder = Holder::new(Task::Zones, TERMS, fleet.voters.clone(), 0);
             let front = Front {
@@ -133,7 +139,10 @@
             let way = self.chance.random_range(500..self.way);
             if self.side[from] == self.side[to] && !self.chance.random_bool(self.lost) {
                 self.sequence += 1;
-                self.in_flight.insert((self.now + way, self.sequence), (to, from, envelope.clone()));
+                self.in_flight.insert(
+                    (self.now + way, self.sequence),
+                    (to, from, envelope.clone()),
+                );
             }
         }
     }
@@ -147,7 +156,14 @@
             // What a voter answers itself stays on its machine.
             match (envelope.message, to == id(n)) {
                 (LeaseMessage::Reply(reply), true) => self.fronts[n].holder.receive(&reply),
-                (message, _) => self.send(n, to, Envelope { message, ..envelope }),
+                (message, _) => self.send(
+                    n,
+                    to,
+                    Envelope {
+                        message,
+                        ..envelope
+                    },
+                ),
             }
         }
     }
@@ -158,7 +174,10 @@
         if let LeaseMessage::Reply(reply) = &envelope.message {
             front.holder.receive(reply);
         }
-        let out = front.voter.as_mut().map(|voter| voter.receive(now, id(from), envelope));
+        let out = front
+            .voter
+            .as_mut()
+            .map(|voter| voter.receive(now, id(from), envelope));
         self.does(to, out.unwrap_or_default());
     }
 
@@ -175,7 +194,8 @@
                 if front.up && front.stopped {
                     // It waits in the socket until the front goes on.
                     self.sequence += 1;
-                    self.in_flight.insert((self.now + STEP, self.sequence), (to, from, envelope));
+                    self.in_flight
+                        .insert((self.now + STEP, self.sequence), (to, from, envelope));
                     if self.in_flight.keys().all(|(at, _)| *at > self.now) {
                         break;
                     }
@@ -189,7 +209,9 @@
                 }
             }
             let able: Vec<usize> = (0..self.fronts.len())
-                .filter(|n| self.fronts[*n].up && self.fronts[*n].holder.token(self.clock(*n)).is_some())
+                .filter(|n| {
+                    self.fronts[*n].up && self.fronts[*n].holder.token(self.clock(*n)).is_some()
+                })
                 .collect();
             self.most_at_once = self.most_at_once.max(able.len());
             self.without += usize::from(able.is_empty());
@@ -198,7 +220,11 @@
 
     fn turn(&mut self, n: usize, wants: bool) {
         let now = self.clock(n);
-        let out = self.fronts[n].voter.as_mut().filter(|v| v.due() <= now).map(|v| v.tick(now));
+        let out = self.fronts[n]
+            .voter
+            .as_mut()
+            .filter(|v| v.due() <= now)
+            .map(|v| v.tick(now));
         self.does(n, out.unwrap_or_default());
         let front = &mut self.fronts[n];
         if let Some(progress) = front.holder.inherited() {
@@ -209,14 +235,23 @@
         let front = &mut self.fronts[n];
         if let Some(token) = front.holder.token(now) {
             self.acts.push((self.now, n, token));
-            front.progress = front.progress.saturating_add(u8::from(self.now % (SECOND / 4) == 0));
+            front.progress = front
+                .progress
+                .saturating_add(u8::from(self.now % (SECOND / 4) == 0));
         }
         let progress = [front.progress];
-        let Some((voter, ask)) = front.holder.next_request(now, wants, &progress) else { return };
-        let envelope =
-            Envelope { fleet: fingerprint("tests", &self.voters), message: LeaseMessage::Request(ask) };
+        let Some((voter, ask)) = front.holder.next_request(now, wants, &progress) else {
+            return;
+        };
+        let envelope = Envelope {
+            fleet: fingerprint("tests", &self.voters),
+            message: LeaseMessage::Request(ask),
+        };
         if voter == id(n) {
-            let out = self.fronts[n].voter.as_mut().map(|voter| voter.receive(now, id(n), envelope));
+            let out = self.fronts[n]
+                .voter
+                .as_mut()
+                .map(|voter| voter.receive(now, id(n), envelope));
             self.does(n, out.unwrap_or_default());
         } else {
             self.send(n, voter, envelope);
@@ -225,18 +260,26 @@
 
     /// Who owned the lease, in the order of their acts.
     pub fn owners(&self) -> Vec<(usize, Token)> {
-        let mut owners: Vec<(usize, Token)> = self.acts.iter().map(|(_, n, token)| (*n, *token)).collect();
+        let mut owners: Vec<(usize, Token)> =
+            self.acts.iter().map(|(_, n, token)| (*n, *token)).collect();
         owners.dedup();
         owners
     }
 
     pub fn leaders(&self) -> usize {
-        self.fronts.iter().filter(|f| f.up && f.voter.as_ref().is_some_and(Voter::is_leader)).count()
+        self.fronts
+            .iter()
+            .filter(|f| f.up && f.voter.as_ref().is_some_and(Voter::is_leader))
+            .count()
     }
 }
 
 /// An reply as some voter might make it up.
 #[allow(dead_code)] // one of the tests uses it
 pub fn forged(number: u64) -> Reply {
-    Reply::Granted { number, token: 1_000_000, progress: Vec::new() }
+    Reply::Granted {
+        number,
+        token: 1_000_000,
+        progress: Vec::new(),
+    }
 }
--- a/crates/ledger/src/anti_entropy.rs
+++ b/crates/ledger/src/anti_entropy.rs
@@ -50,7 +50,9 @@
     /// Begins a comparison of a shard that this front leads where one is due, and ends the one before.
     pub(crate) fn compare_replicas(&mut self, at: Moment, shard: u16) {
         self.conclude_comparison(at, shard);
-        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+            return;
+        };
         let Some(replica) = &view.replica else { return };
         if at.steady < view.comparison.next || replica.members.len() < 2 || view.repair.is_some() {
             return;
@@ -74,7 +76,12 @@
             self.transport.send(
                 at,
                 to,
-                &LedgerMessage::Hashes { shard, config, index, hashes: hashes.clone() },
+                &LedgerMessage::Hashes {
+                    shard,
+                    config,
+                    index,
+                    hashes: hashes.clone(),
+                },
                 Pace::Fast,
             );
         }
@@ -83,8 +90,14 @@
     /// Ends a comparison once its answers were waited for, and repairs what differs.
     fn conclude_comparison(&mut self, at: Moment, shard: u16) {
         let own = self.own.front;
-        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
-        let Some(replica) = view.replica.as_ref().filter(|_| at.steady >= view.comparison.next) else {
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+            return;
+        };
+        let Some(replica) = view
+            .replica
+            .as_ref()
+            .filter(|_| at.steady >= view.comparison.next)
+        else {
             return;
         };
         let hashes = std::mem::take(&mut view.comparison.hashes);
@@ -92,8 +105,14 @@
             return;
         }
         view.comparison.next = at.steady + INTERVAL;
-        let Some(right) = majority(&hashes, replica.members.len()) else { return };
-        let wrong: Vec<FrontId> = hashes.iter().filter(|(_, of)| **of != right).map(|(f, _)| *f).collect();
+        let Some(right) = majority(&hashes, replica.members.len()) else {
+            return;
+        };
+        let wrong: Vec<FrontId> = hashes
+            .iter()
+            .filter(|(_, of)| **of != right)
+            .map(|(f, _)| *f)
+            .collect();
         if wrong.is_empty() {
             return;
         }
@@ -102,7 +121,10 @@
         let config = replica.config;
         if wrong.contains(&own) {
             // One of the majority leads the shard from now on, and repairs this front's replica.
-            let candidate = hashes.iter().find(|(_, of)| **of == right).map(|(front, _)| *front);
+            let candidate = hashes
+                .iter()
+                .find(|(_, of)| **of == right)
+                .map(|(front, _)| *front);
             let message = LedgerMessage::TransferLeadership { shard, config };
             candidate
                 .into_iter()
@@ -117,7 +139,12 @@
             self.transport.send(
                 at,
                 to,
-                &LedgerMessage::RepairReplica { shard, config, index, state: state.clone() },
+                &LedgerMessage::RepairReplica {
+                    shard,
+                    config,
+                    index,
+                    state: state.clone(),
+                },
                 Pace::Repair,
             );
         }
@@ -131,7 +158,9 @@
         (shard, config): (u16, u32),
         (index, hashes): (u64, Vec<u64>),
     ) {
-        let Some(view) = self.view_for(from, shard, config) else { return };
+        let Some(view) = self.view_for(from, shard, config) else {
+            return;
+        };
         let Some(replica) = &view.replica else { return };
         if replica.is_leader() {
             if view.comparison.index == index && !view.comparison.hashes.is_empty() {
@@ -145,8 +174,12 @@
 
     /// Answers the leader's hashes once this replica has applied as much, and no more.
     pub(crate) fn answer_hashes(&mut self, at: Moment, shard: u16) {
-        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
-        let Some((replica, (to, index))) = view.replica.as_ref().zip(view.comparison.pending_answer) else {
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+            return;
+        };
+        let Some((replica, (to, index))) =
+            view.replica.as_ref().zip(view.comparison.pending_answer)
+        else {
             return;
         };
         if replica.applied() < index {
@@ -155,7 +188,17 @@
         view.comparison.pending_answer = None;
         if replica.applied() == index {
             let (config, hashes) = (replica.config, hashes(&replica.state));
-            self.transport.send(at, to, &LedgerMessage::Hashes { shard, config, index, hashes }, Pace::Fast);
+            self.transport.send(
+                at,
+                to,
+                &LedgerMessage::Hashes {
+                    shard,
+                    config,
+                    index,
+                    hashes,
+                },
+                Pace::Fast,
+            );
         }
     }
 
@@ -168,8 +211,12 @@
         state: &[u8],
     ) {
         let state = messages::decode::<State>(state);
-        let Some(view) = self.view_for(from, shard, config) else { return };
-        let Some((replica, state)) = view.replica.as_mut().zip(state) else { return };
+        let Some(view) = self.view_for(from, shard, config) else {
+            return;
+        };
+        let Some((replica, state)) = view.replica.as_mut().zip(state) else {
+            return;
+        };
         if replica.leader() == Some(from.front) && replica.replace_state(index, state) {
             self.counters.mended += 1;
             self.touched.insert(shard);
--- a/crates/ledger/src/asks.rs
+++ b/crates/ledger/src/asks.rs
@@ -40,7 +40,16 @@
         if self.waiting.len() >= MAX_WAITING {
             return false;
         }
-        self.waiting.insert(command.number, Waiting { command, shard, ends, retry: 0, tries: 0 });
+        self.waiting.insert(
+            command.number,
+            Waiting {
+                command,
+                shard,
+                ends,
+                retry: 0,
+                tries: 0,
+            },
+        );
         true
     }
 
@@ -63,18 +72,39 @@
 
     /// What has to be tried again, and what nobody has answered in time.
     pub fn due_now(&mut self, at: Moment) -> (Vec<u64>, Vec<(u64, Outcome)>) {
-        let ended: Vec<u64> =
-            self.waiting.iter().filter(|(_, w)| w.ends <= at.steady).map(|(number, _)| *number).collect();
-        ended.iter().for_each(|number| _ = self.waiting.remove(number));
-        let again = self.waiting.iter().filter(|(_, w)| w.retry <= at.steady).map(|(number, _)| *number);
+        let ended: Vec<u64> = self
+            .waiting
+            .iter()
+            .filter(|(_, w)| w.ends <= at.steady)
+            .map(|(number, _)| *number)
+            .collect();
+        ended
+            .iter()
+            .for_each(|number| _ = self.waiting.remove(number));
+        let again = self
+            .waiting
+            .iter()
+            .filter(|(_, w)| w.retry <= at.steady)
+            .map(|(number, _)| *number);
         let again = again.collect();
-        self.first.retain(|_, first| first.saturating_add(2 * REMEMBERED_MS) > at.wall_ms);
-        (again, ended.into_iter().map(|number| (number, Outcome::Unreachable)).collect())
+        self.first
+            .retain(|_, first| first.saturating_add(2 * REMEMBERED_MS) > at.wall_ms);
+        (
+            again,
+            ended
+                .into_iter()
+                .map(|number| (number, Outcome::Unreachable))
+                .collect(),
+        )
     }
 
     /// When an ask is next to be repeated, or ends.
     pub fn due(&self) -> Micros {
-        self.waiting.values().map(|w| w.ends.min(w.retry)).min().unwrap_or(Micros::MAX)
+        self.waiting
+            .values()
+            .map(|w| w.ends.min(w.retry))
+            .min()
+            .unwrap_or(Micros::MAX)
     }
 }
 
@@ -91,8 +121,11 @@
         return Some(leader);
     }
     // Whoever should know better is another than the one that did not answer.
-    let others: Vec<FrontId> =
-        others.iter().copied().filter(|front| *front != own && Some(*front) != leader).collect();
+    let others: Vec<FrontId> = others
+        .iter()
+        .copied()
+        .filter(|front| *front != own && Some(*front) != leader)
+        .collect();
     let turn = if leader.is_some() { tries / 2 } else { tries };
     others.get(turn % others.len().max(1)).copied()
 }
--- a/crates/ledger/src/balance.rs
+++ b/crates/ledger/src/balance.rs
@@ -23,21 +23,35 @@
 
 fn zones(members: &[Member], copies: u64) -> Zones<'_> {
     let mut counts: BTreeMap<&str, u64> = BTreeMap::new();
-    members.iter().for_each(|member| *counts.entry(member.zone.as_str()).or_default() += 1);
+    members
+        .iter()
+        .for_each(|member| *counts.entry(member.zone.as_str()).or_default() += 1);
     let fronts: Vec<u64> = counts.values().copied().collect();
     let room = |most: u64| fronts.iter().map(|fronts| (*fronts).min(most)).sum::<u64>();
-    let most = (1..=copies).find(|most| room(*most) >= copies).unwrap_or(copies);
-    Zones { names: counts.into_keys().collect(), fronts, most }
+    let most = (1..=copies)
+        .find(|most| room(*most) >= copies)
+        .unwrap_or(copies);
+    Zones {
+        names: counts.into_keys().collect(),
+        fronts,
+        most,
+    }
 }
 
 /// How many replicas each zone is to hold: as even for its fronts as different zones for a shard's replicas permit.
 fn parts(zones: &Zones, copies: u64, shards: u64) -> Vec<u64> {
-    let base: Vec<u64> = zones.fronts.iter().map(|fronts| shards * (*fronts).min(zones.most - 1)).collect();
+    let base: Vec<u64> = zones
+        .fronts
+        .iter()
+        .map(|fronts| shards * (*fronts).min(zones.most - 1))
+        .collect();
     let left = (shards * copies).saturating_sub(base.iter().sum());
     let at = |level: u64| -> Vec<u64> {
         let part = |(fronts, base): (&u64, &u64)| {
             let room = if *fronts >= zones.most { shards } else { 0 };
-            (level * fronts / LEVEL_STEPS).saturating_sub(*base).min(room)
+            (level * fronts / LEVEL_STEPS)
+                .saturating_sub(*base)
+                .min(room)
         };
         zones.fronts.iter().zip(&base).map(part).collect()
     };
@@ -50,7 +64,11 @@
             low = middle + 1;
         }
     }
-    at(low).iter().zip(&base).map(|(part, base)| part + base).collect()
+    at(low)
+        .iter()
+        .zip(&base)
+        .map(|(part, base)| part + base)
+        .collect()
 }
 
 /// A placement under way.
@@ -68,7 +86,9 @@
 impl Placing<'_> {
     /// Whether a member may hold a replica of the shard, were `without`'s not there.
     fn fits(&self, shard: usize, without: Option<usize>, n: usize) -> bool {
-        let of = self.held[shard].iter().filter(|held| Some(**held) != without);
+        let of = self.held[shard]
+            .iter()
+            .filter(|held| Some(**held) != without);
         let (mut there, mut same) = (0, false);
         for held in of {
             there += usize::from(self.zone[*held] == self.zone[n]);
@@ -79,10 +99,14 @@
 
     /// For a shard whose remaining zones have no room: moves another shard's replica from there to where there is room.
     fn swap(&mut self, shard: usize) -> bool {
-        let roomy: Vec<usize> = (0..self.members.len()).filter(|n| self.room[*n] > 0).collect();
+        let roomy: Vec<usize> = (0..self.members.len())
+            .filter(|n| self.room[*n] > 0)
+            .collect();
         for n in (0..self.members.len()).filter(|n| self.fits(shard, None, *n)) {
             for other in 0..self.held.len() {
-                let Some(place) = self.held[other].iter().position(|held| *held == n) else { continue };
+                let Some(place) = self.held[other].iter().position(|held| *held == n) else {
+                    continue;
+                };
                 if let Some(to) = roomy.iter().find(|to| self.fits(other, Some(n), **to)) {
                     self.held[other][place] = *to;
                     self.room[*to] -= 1;
@@ -99,7 +123,8 @@
         for bounded in [true, false] {
             for Pair { shard, member, .. } in pairs {
                 let has_room = self.room[*member] > 0 || !bounded;
-                if has_room && self.held[*shard].len() < wanted && self.fits(*shard, None, *member) {
+                if has_room && self.held[*shard].len() < wanted && self.fits(*shard, None, *member)
+                {
                     self.held[*shard].push(*member);
                     self.room[*member] = self.room[*member].saturating_sub(1);
                 }
@@ -117,7 +142,15 @@
 type Weight = (Reverse<u64>, FrontId);
 
 fn weight(shard: usize, front: FrontId) -> Weight {
-    (Reverse(hash(front.to_be_bytes().into_iter().chain((shard as u16).to_be_bytes()))), front)
+    (
+        Reverse(hash(
+            front
+                .to_be_bytes()
+                .into_iter()
+                .chain((shard as u16).to_be_bytes()),
+        )),
+        front,
+    )
 }
 
 /// A shard and a member that could hold it; ordered by weight.
@@ -130,10 +163,15 @@
 
 /// All shards with all members, the best pair first.
 fn ordered_pairs(members: &[Member], shards: u16) -> Vec<Pair> {
-    let pair = |shard, member: usize| Pair { weight: weight(shard, members[member].front), shard, member };
+    let pair = |shard, member: usize| Pair {
+        weight: weight(shard, members[member].front),
+        shard,
+        member,
+    };
     let shards = 0..usize::from(shards);
-    let mut pairs: Vec<Pair> =
-        shards.flat_map(|shard| (0..members.len()).map(move |member| pair(shard, member))).collect();
+    let mut pairs: Vec<Pair> = shards
+        .flat_map(|shard| (0..members.len()).map(move |member| pair(shard, member)))
+        .collect();
     pairs.sort_unstable();
     pairs
 }
@@ -146,7 +184,12 @@
     }
     let zones = zones(members, count as u64);
     let parts = parts(&zones, count as u64, all);
-    let zone_of = |member: &Member| zones.names.binary_search(&member.zone.as_str()).unwrap_or_default();
+    let zone_of = |member: &Member| {
+        zones
+            .names
+            .binary_search(&member.zone.as_str())
+            .unwrap_or_default()
+    };
     let zone: Vec<usize> = members.iter().map(zone_of).collect();
     // A front's part is that of its zone, shared; whole replicas lie on it.
     let most = |zone: &usize| {
@@ -155,16 +198,28 @@
     };
     let room = zone.iter().map(most).collect();
     let pairs = ordered_pairs(members, shards);
-    let mut placing = Placing { members, zone, room, held: vec![Vec::new(); usize::from(shards)], level: 0 };
+    let mut placing = Placing {
+        members,
+        zone,
+        room,
+        held: vec![Vec::new(); usize::from(shards)],
+        level: 0,
+    };
     for level in 1..=zones.most {
         placing.level = level as usize;
         // Another replica in a zone only once each zone that can has as many.
-        let wanted = zones.fronts.iter().map(|fronts| (*fronts).min(level)).sum::<u64>() as usize;
+        let wanted = zones
+            .fronts
+            .iter()
+            .map(|fronts| (*fronts).min(level))
+            .sum::<u64>() as usize;
         placing.fill(&pairs, wanted.min(count));
     }
     let ordered = |(shard, mut held): (usize, Vec<usize>)| {
         held.sort_by_key(|member| weight(shard, members[*member].front));
-        held.into_iter().map(|member| members[member].front).collect()
+        held.into_iter()
+            .map(|member| members[member].front)
+            .collect()
     };
     placing.held.into_iter().enumerate().map(ordered).collect()
 }
--- a/crates/ledger/src/balance_tests.rs
+++ b/crates/ledger/src/balance_tests.rs
@@ -4,55 +4,93 @@
 
 fn members(n: u64, zones: u64) -> Vec<Member> {
     (1..=n)
-        .map(|n| Member { front: hash(n.to_be_bytes().into_iter()), zone: format!("z{}", n % zones) })
+        .map(|n| Member {
+            front: hash(n.to_be_bytes().into_iter()),
+            zone: format!("z{}", n % zones),
+        })
         .collect()
 }
 
 /// Copies of each front, none left out.
 fn loads(members: &[Member], placed: &[Vec<FrontId>]) -> BTreeMap<FrontId, usize> {
-    let mut loads: BTreeMap<FrontId, usize> = members.iter().map(|member| (member.front, 0)).collect();
-    placed.iter().flatten().for_each(|front| *loads.get_mut(front).unwrap() += 1);
+    let mut loads: BTreeMap<FrontId, usize> =
+        members.iter().map(|member| (member.front, 0)).collect();
+    placed
+        .iter()
+        .flatten()
+        .for_each(|front| *loads.get_mut(front).unwrap() += 1);
     loads
 }
 
 /// Copies that lie elsewhere.
 fn moved(before: &[Vec<FrontId>], after: &[Vec<FrontId>]) -> usize {
-    let new = |(a, b): (&Vec<FrontId>, &Vec<FrontId>)| b.iter().filter(|front| !a.contains(front)).count();
+    let new = |(a, b): (&Vec<FrontId>, &Vec<FrontId>)| {
+        b.iter().filter(|front| !a.contains(front)).count()
+    };
     before.iter().zip(after).map(new).sum()
 }
 
 /// The worst load over the fair part, where zones are alike, and of copies whose shard has another in their zone.
 fn worst(members: &[Member], placed: &[Vec<FrontId>], shards: usize) -> (f64, usize) {
     let fair = (shards * 3) as f64 / members.len() as f64;
-    let most = loads(members, placed).into_values().max().unwrap_or_default();
-    let zone: BTreeMap<FrontId, &str> = members.iter().map(|m| (m.front, m.zone.as_str())).collect();
-    let together = |of: &Vec<FrontId>| 3 - of.iter().map(|front| zone[front]).collect::<BTreeSet<_>>().len();
+    let most = loads(members, placed)
+        .into_values()
+        .max()
+        .unwrap_or_default();
+    let zone: BTreeMap<FrontId, &str> =
+        members.iter().map(|m| (m.front, m.zone.as_str())).collect();
+    let together = |of: &Vec<FrontId>| {
+        3 - of
+            .iter()
+            .map(|front| zone[front])
+            .collect::<BTreeSet<_>>()
+            .len()
+    };
     (most as f64 / fair, placed.iter().map(together).sum())
 }
 
 #[test]
 fn no_front_holds_over_its_bound_and_little_more_moves_than_has_to() {
     println!("| members | shards | worst load | joins: moved / least | leaves: moved / least |");
-    for (n, shards) in [(5, 64), (9, 64), (20, 128), (40, 256), (100, 512), (300, 1_024)] {
+    for (n, shards) in [
+        (5, 64),
+        (9, 64),
+        (20, 128),
+        (40, 256),
+        (100, 512),
+        (300, 1_024),
+    ] {
         let all = members(n, 4);
         let placed_all = placed(&all, 3, shards);
         let (load, together) = worst(&all, &placed_all, shards.into());
         let fair = f64::from(shards) * 3.0 / n as f64;
         // Of whole copies; a zone that is a front larger than another leaves its fronts a little less.
-        assert!(load <= 1.25 || (load * fair).round() <= fair.ceil() + 1.0, "{n}: {load}");
+        assert!(
+            load <= 1.25 || (load * fair).round() <= fair.ceil() + 1.0,
+            "{n}: {load}"
+        );
         assert_eq!(together, 0, "{n} members");
-        assert!(placed_all.iter().all(|of| of.iter().collect::<BTreeSet<_>>().len() == 3));
+        assert!(placed_all
+            .iter()
+            .all(|of| of.iter().collect::<BTreeSet<_>>().len() == 3));
         // Each of some joins and, the other way round, leaves.
         let (mut joined, mut left, mut least) = (0, 0, 0);
         for out in all.iter().take(8) {
-            let fewer: Vec<Member> = all.iter().filter(|m| m.front != out.front).cloned().collect();
+            let fewer: Vec<Member> = all
+                .iter()
+                .filter(|m| m.front != out.front)
+                .cloned()
+                .collect();
             let placed_fewer = placed(&fewer, 3, shards);
             joined += moved(&placed_fewer, &placed_all);
             left += moved(&placed_all, &placed_fewer);
             least += loads(&all, &placed_all)[&out.front];
         }
         println!("| {n} | {shards} | {load:.2} | {joined} / {least} | {left} / {least} |");
-        assert!(joined < 3 * least && left < 3 * least, "{n}: {joined}, {left} of {least}");
+        assert!(
+            joined < 3 * least && left < 3 * least,
+            "{n}: {joined}, {left} of {least}"
+        );
     }
 }
 
@@ -61,24 +99,50 @@
     let all = members(30, 3);
     let turned: Vec<Member> = all.iter().rev().cloned().collect();
     assert_eq!(placed(&all, 3, 128), placed(&turned, 3, 128));
-    for sizes in [&[1, 1, 10][..], &[1, 9], &[12], &[2, 2, 2, 1], &[1, 1, 1, 1, 1], &[3, 20]] {
+    for sizes in [
+        &[1, 1, 10][..],
+        &[1, 9],
+        &[12],
+        &[2, 2, 2, 1],
+        &[1, 1, 1, 1, 1],
+        &[3, 20],
+    ] {
         let zone = |(z, n): (usize, &u64)| -> Vec<Member> {
-            (0..*n).map(|k| Member { front: (z as u64 + 1) << 8 | k, zone: format!("z{z}") }).collect()
+            (0..*n)
+                .map(|k| Member {
+                    front: (z as u64 + 1) << 8 | k,
+                    zone: format!("z{z}"),
+                })
+                .collect()
         };
         let all: Vec<Member> = sizes.iter().enumerate().flat_map(zone).collect();
         for copies in 1..=5.min(all.len()) {
             let placed = placed(&all, copies, 64);
-            let in_zones = |of: &Vec<FrontId>| of.iter().map(|f| f >> 8).collect::<BTreeSet<_>>().len();
-            assert!(placed.iter().all(|of| of.len() == copies), "{sizes:?} {copies}");
+            let in_zones =
+                |of: &Vec<FrontId>| of.iter().map(|f| f >> 8).collect::<BTreeSet<_>>().len();
+            assert!(
+                placed.iter().all(|of| of.len() == copies),
+                "{sizes:?} {copies}"
+            );
             let apart = copies.min(sizes.len());
-            assert!(placed.iter().all(|of| in_zones(of) == apart), "{sizes:?} {copies}");
+            assert!(
+                placed.iter().all(|of| in_zones(of) == apart),
+                "{sizes:?} {copies}"
+            );
             // Within a zone the load is even.
             let loads = loads(&all, &placed);
             for z in 1..=sizes.len() as u64 {
-                let of: Vec<usize> = loads.iter().filter(|(f, _)| **f >> 8 == z).map(|(_, n)| *n).collect();
+                let of: Vec<usize> = loads
+                    .iter()
+                    .filter(|(f, _)| **f >> 8 == z)
+                    .map(|(_, n)| *n)
+                    .collect();
                 let fair = of.iter().sum::<usize>() as f64 / of.len() as f64;
                 let most = *of.iter().max().unwrap_or(&0) as f64;
-                assert!(most <= (fair * 1.25).max(fair.ceil() + 1.0), "{sizes:?} {copies}: {of:?}");
+                assert!(
+                    most <= (fair * 1.25).max(fair.ceil() + 1.0),
+                    "{sizes:?} {copies}: {of:?}"
+                );
             }
         }
     }
--- a/crates/ledger/src/bootstrap.rs
+++ b/crates/ledger/src/bootstrap.rs
@@ -42,7 +42,10 @@
 impl Bootstrap {
     /// Goes on from what this front has agreed to in an earlier incarnation.
     pub fn new(agreed: Vec<ReplicaIncarnation>) -> Bootstrap {
-        Bootstrap { agreed, ..Bootstrap::default() }
+        Bootstrap {
+            agreed,
+            ..Bootstrap::default()
+        }
     }
 
     pub fn agreed(&self) -> &[ReplicaIncarnation] {
@@ -55,7 +58,13 @@
         let own = self.agreed.iter().find(|before| before.id.front == front);
         let before = self.offers.get(&front).map(|offer| &offer.from).or(own);
         if before.is_none_or(|before| before.incarnation <= from.incarnation) {
-            self.offers.insert(front, Offer { from, agreed: ids(agreed) });
+            self.offers.insert(
+                front,
+                Offer {
+                    from,
+                    agreed: ids(agreed),
+                },
+            );
         }
     }
 
@@ -67,12 +76,19 @@
     /// Of all fronts that may hold shards, those that have said nothing of this one yet. A front that joins the list
     /// later may be placed only with others like it: so each has to say that it knows of no start.
     pub fn unheard(&self, own: FrontId, members: &[FrontId]) -> Vec<FrontId> {
-        let others = members.iter().filter(|front| **front != own && !self.offers.contains_key(front));
+        let others = members
+            .iter()
+            .filter(|front| **front != own && !self.offers.contains_key(front));
         others.copied().collect()
     }
 
     /// What to do now for a shard that is placed on the fronts `placed`, of all `members` that may hold shards.
-    pub fn next_step(&mut self, own: ReplicaIncarnation, placed: &[FrontId], members: &[FrontId]) -> Step {
+    pub fn next_step(
+        &mut self,
+        own: ReplicaIncarnation,
+        placed: &[FrontId],
+        members: &[FrontId],
+    ) -> Step {
         if self.started || !self.unheard(own.id.front, members).is_empty() {
             return Step::Wait;
         }
@@ -92,7 +108,11 @@
             return Step::Agree(replicas);
         }
         let mut others = placed.iter().filter(|front| **front != own.id.front);
-        let all = others.all(|front| self.offers.get(front).is_some_and(|offer| offer.agreed == wanted));
+        let all = others.all(|front| {
+            self.offers
+                .get(front)
+                .is_some_and(|offer| offer.agreed == wanted)
+        });
         if all {
             Step::Start(wanted)
         } else {
--- a/crates/ledger/src/counters.rs
+++ b/crates/ledger/src/counters.rs
@@ -62,7 +62,9 @@
     pub fn counters(&self) -> Counters {
         let mut counters = self.counters.clone();
         for view in &self.shards {
-            let Some(replica) = &view.replica else { continue };
+            let Some(replica) = &view.replica else {
+                continue;
+            };
             counters.copies += 1;
             counters.entries += replica.state.len();
             counters.bytes += replica.state.bytes();
@@ -77,7 +79,10 @@
 
     /// Replicas that were found to differ from their majority, so far.
     pub fn differences(&self) -> Differences {
-        Differences { found: self.counters.differed, repaired_here: self.counters.mended }
+        Differences {
+            found: self.counters.differed,
+            repaired_here: self.counters.mended,
+        }
     }
 
     /// The replicas that this front holds.
--- a/crates/ledger/src/durability.rs
+++ b/crates/ledger/src/durability.rs
@@ -19,8 +19,13 @@
         }
         let done = std::mem::take(&mut self.done);
         if must {
-            let (mut records, mut format) = (std::mem::take(&mut self.records), self.latest_saved_format);
-            for replica in self.shards.iter_mut().filter_map(|view| view.replica.as_mut()) {
+            let (mut records, mut format) =
+                (std::mem::take(&mut self.records), self.latest_saved_format);
+            for replica in self
+                .shards
+                .iter_mut()
+                .filter_map(|view| view.replica.as_mut())
+            {
                 format = format.max(replica.records(&mut records));
             }
             if format > self.latest_saved_format {
@@ -42,7 +47,11 @@
         let number = self.next_save;
         self.next_save += 1;
         self.unsaved.push_back((number, done));
-        self.out.saves.push(Save { number, records, packets });
+        self.out.saves.push(Save {
+            number,
+            records,
+            packets,
+        });
     }
 
     /// A save is lasting, with those before it, or has failed.
@@ -50,8 +59,16 @@
         if !ok {
             self.fail();
         }
-        while self.unsaved.front().is_some_and(|(first, _)| *first <= number) {
-            let done = self.unsaved.pop_front().map(|(_, done)| done).unwrap_or_default();
+        while self
+            .unsaved
+            .front()
+            .is_some_and(|(first, _)| *first <= number)
+        {
+            let done = self
+                .unsaved
+                .pop_front()
+                .map(|(_, done)| done)
+                .unwrap_or_default();
             self.out.done.extend(done);
         }
         self.settle(at);
@@ -69,10 +86,13 @@
         self.records.clear();
         // What rests on a save that failed may stand or not.
         for (_, done) in &mut self.unsaved {
-            done.iter_mut().for_each(|done| done.outcome = Outcome::Unreachable);
+            done.iter_mut()
+                .for_each(|done| done.outcome = Outcome::Unreachable);
         }
         let unsaved = std::mem::take(&mut self.unsaved);
-        self.out.done.extend(unsaved.into_iter().flat_map(|(_, done)| done));
+        self.out
+            .done
+            .extend(unsaved.into_iter().flat_map(|(_, done)| done));
     }
 
     /// Begins anew with another disk, or with none but memory: as a front that remembers nothing.
@@ -84,7 +104,8 @@
         self.transport.disk = disk;
         self.transport.incarnation = at.wall_ms.max(self.transport.incarnation + 1);
         self.latest_saved_format = OLDEST_FORMAT;
-        self.records.push(records::header(OLDEST_FORMAT, self.transport.fleet, disk));
+        self.records
+            .push(records::header(OLDEST_FORMAT, self.transport.fleet, disk));
         self.shards.iter_mut().for_each(|view| view.barred = 0);
         self.start_bootstraps();
         self.settle(at);
--- a/crates/ledger/src/error.rs
+++ b/crates/ledger/src/error.rs
@@ -6,7 +6,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The list of members is empty.
-    #[error("ledger: no members are named; name the fronts that keep copies, or leave the ledger out")]
+    #[error(
+        "ledger: no members are named; name the fronts that keep copies, or leave the ledger out"
+    )]
     NoMembers,
     /// The list of members names this front twice.
     #[error("ledger: front {0:016x} is named twice among the members; name each front once")]
--- a/crates/ledger/src/formats.rs
+++ b/crates/ledger/src/formats.rs
@@ -43,7 +43,9 @@
 impl PeerFormats {
     /// The latest format that both read, as far as is known.
     pub fn of(&self, own: u8, front: FrontId) -> u8 {
-        self.known.get(&front).map_or(OLDEST_FORMAT, |(_, format)| own.min(*format))
+        self.known
+            .get(&front)
+            .map_or(OLDEST_FORMAT, |(_, format)| own.min(*format))
     }
 
     /// The latest format that all of them read, in which entries and records may be saved.
@@ -69,7 +71,11 @@
             return None;
         }
         self.told.insert(front, now);
-        Some(LedgerMessage::Available { shard: NO_SHARD, config: own.into(), agreed: Vec::new() })
+        Some(LedgerMessage::Available {
+            shard: NO_SHARD,
+            config: own.into(),
+            agreed: Vec::new(),
+        })
     }
 }
 
@@ -89,7 +95,11 @@
     /// The format that its sender says it reads.
     pub fn introduced_format(&self) -> Option<u8> {
         match self {
-            LedgerMessage::Available { shard: NO_SHARD, config, .. } => u8::try_from(*config).ok(),
+            LedgerMessage::Available {
+                shard: NO_SHARD,
+                config,
+                ..
+            } => u8::try_from(*config).ok(),
             _ => None,
         }
     }
--- a/crates/ledger/src/formats_tests.rs
+++ b/crates/ledger/src/formats_tests.rs
@@ -11,69 +11,182 @@
 
 fn batch() -> Batch {
     let command = |number, act| Command {
-        owner: Owner { front: 300, incarnation: 1_800_000_000_000 },
+        owner: Owner {
+            front: 300,
+            incarnation: 1_800_000_000_000,
+        },
         number,
         asked_ms: 1_800_000_000_123,
-        key: Key { kind: Kind::Dedup, name: "k".to_string() },
+        key: Key {
+            kind: Kind::Dedup,
+            name: "k".to_string(),
+        },
         act,
     };
     let commands = vec![
-        command(1, Act::Claim { ends_ms: 7, value: vec![1, 2] }),
-        command(2, Act::Put { expects: Some(1), ends_ms: 0, value: vec![3] }),
+        command(
+            1,
+            Act::Claim {
+                ends_ms: 7,
+                value: vec![1, 2],
+            },
+        ),
+        command(
+            2,
+            Act::Put {
+                expects: Some(1),
+                ends_ms: 0,
+                value: vec![3],
+            },
+        ),
         command(3, Act::Free),
         command(4, Act::Read),
     ];
-    Batch { wall_ms: 1_800_000_000_200, commands, tail: Tail::Next(vec![member()]) }
+    Batch {
+        wall_ms: 1_800_000_000_200,
+        commands,
+        tail: Tail::Next(vec![member()]),
+    }
 }
 
 fn member() -> ReplicaId {
-    ReplicaId { front: 300, disk: 5 }
+    ReplicaId {
+        front: 300,
+        disk: 5,
+    }
 }
 
 /// Every message of the first format, and what is kept, byte by byte as the first build writes it.
 fn first_format() -> Vec<(&'static str, Vec<u8>)> {
-    let agreed = vec![ReplicaIncarnation { id: member(), incarnation: 9 }];
+    let agreed = vec![ReplicaIncarnation {
+        id: member(),
+        incarnation: 9,
+    }];
     let entry = Entry {
-        key: Key { kind: Kind::Mark, name: "m".to_string() },
-        owner: Owner { front: 1, incarnation: 2 },
+        key: Key {
+            kind: Kind::Mark,
+            name: "m".to_string(),
+        },
+        owner: Owner {
+            front: 1,
+            incarnation: 2,
+        },
         version: 3,
         ends_ms: 0,
         value: vec![8],
     };
     let members = vec![member()];
-    let told = |outcome| LedgerMessage::Reply { incarnation: 1, number: 2, outcome };
-    let (whole, after) =
-        (Base::Snapshot { index: 1, state: vec![7] }, Base::Suffix { index: 2, batches: vec![batch()] });
+    let told = |outcome| LedgerMessage::Reply {
+        incarnation: 1,
+        number: 2,
+        outcome,
+    };
+    let (whole, after) = (
+        Base::Snapshot {
+            index: 1,
+            state: vec![7],
+        },
+        Base::Suffix {
+            index: 2,
+            batches: vec![batch()],
+        },
+    );
     let of = vec![
-        LedgerMessage::Resync { shard: 1, config: 2 },
-        LedgerMessage::Request { shard: 1, command: batch().commands[0].clone() },
+        LedgerMessage::Resync {
+            shard: 1,
+            config: 2,
+        },
+        LedgerMessage::Request {
+            shard: 1,
+            command: batch().commands[0].clone(),
+        },
         told(Outcome::Stands(entry.clone())),
         told(Outcome::Held(entry)),
         told(Outcome::Absent),
         told(Outcome::Unreachable),
         told(Outcome::Full),
-        LedgerMessage::NotLeader { shard: 1, incarnation: 2, number: 3, leader: Some(4) },
-        LedgerMessage::Available { shard: 1, config: 2, agreed },
-        LedgerMessage::Membership { shard: 1, config: 2, members: members.clone() },
+        LedgerMessage::NotLeader {
+            shard: 1,
+            incarnation: 2,
+            number: 3,
+            leader: Some(4),
+        },
+        LedgerMessage::Available {
+            shard: 1,
+            config: 2,
+            agreed,
+        },
+        LedgerMessage::Membership {
+            shard: 1,
+            config: 2,
+            members: members.clone(),
+        },
         LedgerMessage::Probe { shard: 1 },
-        LedgerMessage::Snapshot { shard: 1, config: 2, index: 3, state: vec![4] },
-        LedgerMessage::CaughtUp { shard: 1, config: 2, index: 3 },
-        LedgerMessage::Join { shard: 1, config: 2, members: members.clone(), base: whole },
-        LedgerMessage::Join { shard: 1, config: 2, members, base: after },
+        LedgerMessage::Snapshot {
+            shard: 1,
+            config: 2,
+            index: 3,
+            state: vec![4],
+        },
+        LedgerMessage::CaughtUp {
+            shard: 1,
+            config: 2,
+            index: 3,
+        },
+        LedgerMessage::Join {
+            shard: 1,
+            config: 2,
+            members: members.clone(),
+            base: whole,
+        },
+        LedgerMessage::Join {
+            shard: 1,
+            config: 2,
+            members,
+            base: after,
+        },
     ];
-    let packet = |payload| Packet { format: 1, fleet: 2, disk: 3, incarnation: 4, wall_ms: 5, payload };
+    let packet = |payload| Packet {
+        format: 1,
+        fleet: 2,
+        disk: 3,
+        incarnation: 4,
+        wall_ms: 5,
+        payload,
+    };
     let packets = [
         packet(Payload::Messages(vec![vec![1, 2], vec![3]])),
-        packet(Payload::Fragment { id: 1, index: 2, count: 3, bytes: vec![4] }),
-        packet(Payload::Resend { id: 1, missing: vec![2] }),
+        packet(Payload::Fragment {
+            id: 1,
+            index: 2,
+            count: 3,
+            bytes: vec![4],
+        }),
+        packet(Payload::Resend {
+            id: 1,
+            missing: vec![2],
+        }),
         packet(Payload::Received { id: 1 }),
     ];
-    let mut state = State::new(Limits { entries: 10, bytes: 1_000, clock_skew_ms: 500 });
-    state.apply(&Batch { tail: Tail::None, ..batch() });
+    let mut state = State::new(Limits {
+        entries: 10,
+        bytes: 1_000,
+        clock_skew_ms: 500,
+    });
+    state.apply(&Batch {
+        tail: Tail::None,
+        ..batch()
+    });
     let record = |record: crate::Record| record.bytes.unwrap_or_default();
-    let mut all: Vec<(&'static str, Vec<u8>)> =
-        of.iter().map(|message| ("word", messages::encode(message))).collect();
-    all.extend(packets.iter().map(|packet| ("letter", messages::encode(packet))));
+    let mut all: Vec<(&'static str, Vec<u8>)> = of
+        .iter()
+        .map(|message| ("word", messages::encode(message)))
+        .collect();
+    all.extend(
+        packets
+            .iter()
+            .map(|packet| ("letter", messages::encode(packet))),
+    );
     all.push(("batch", messages::encode(&batch())));
     all.push(("state", messages::encode(&state)));
     all.push(("mark", record(records::header(1, 7, 8))));
@@ -84,8 +197,10 @@
 #[test]
 fn the_encoding_of_the_first_format_is_unchanged() {
     let golden: Vec<&str> = include_str!("format1.txt").lines().collect();
-    let now: Vec<String> =
-        first_format().iter().map(|(what, bytes)| format!("{what} {}", hex(bytes))).collect();
+    let now: Vec<String> = first_format()
+        .iter()
+        .map(|(what, bytes)| format!("{what} {}", hex(bytes)))
+        .collect();
     if std::env::var_os("PRINT").is_some() {
         println!("{}", now.join("\n"));
     }
@@ -93,7 +208,9 @@
     // And is read again as what it was.
     for (what, bytes) in first_format() {
         let again = match what {
-            "word" => messages::decode::<LedgerMessage>(&bytes).map(|message| messages::encode(&message)),
+            "word" => {
+                messages::decode::<LedgerMessage>(&bytes).map(|message| messages::encode(&message))
+            }
             "letter" => messages::decode::<Packet>(&bytes).map(|packet| messages::encode(&packet)),
             "batch" => messages::decode::<Batch>(&bytes).map(|batch| messages::encode(&batch)),
             "state" => messages::decode::<State>(&bytes).map(|state| messages::encode(&state)),
@@ -124,19 +241,45 @@
 
 /// What the third format says: the same, each with its format before it.
 fn third_format() -> Vec<(&'static str, Vec<u8>)> {
-    let explicit = |format, next| Batch { tail: Tail::Explicit { format, next }, ..batch() };
-    let mut state = State::new(Limits { entries: 10, bytes: 1_000, clock_skew_ms: 500 });
+    let explicit = |format, next| Batch {
+        tail: Tail::Explicit { format, next },
+        ..batch()
+    };
+    let mut state = State::new(Limits {
+        entries: 10,
+        bytes: 1_000,
+        clock_skew_ms: 500,
+    });
     state.apply(&explicit(3, None));
     let record = |record: crate::Record| record.bytes.unwrap_or_default();
     let snapshot = crate::state::LogSnapshot::of(state.clone());
     let messages = [
-        LedgerMessage::TransferLeadership { shard: 1, config: 2 },
-        LedgerMessage::Hashes { shard: 1, config: 2, index: 3, hashes: vec![4, u64::MAX] },
-        LedgerMessage::RepairReplica { shard: 1, config: 2, index: 3, state: vec![5] },
+        LedgerMessage::TransferLeadership {
+            shard: 1,
+            config: 2,
+        },
+        LedgerMessage::Hashes {
+            shard: 1,
+            config: 2,
+            index: 3,
+            hashes: vec![4, u64::MAX],
+        },
+        LedgerMessage::RepairReplica {
+            shard: 1,
+            config: 2,
+            index: 3,
+            state: vec![5],
+        },
         LedgerMessage::ShuttingDown,
     ];
-    let mut all: Vec<_> = messages.iter().map(|message| ("word", messages::encode(message))).collect();
-    all.push(("batch", messages::encode(&explicit(3, Some(vec![member()])))));
+    let mut all: Vec<_> = messages
+        .iter()
+        .map(|message| ("word", messages::encode(message)))
+        .collect();
+    all.push((
+        "batch",
+        messages::encode(&explicit(3, Some(vec![member()]))),
+    ));
     all.push(("state", messages::encode(&state)));
     all.push(("mark", record(records::header(3, 7, 8))));
     all.push(("entry", record(records::entry(3, 4, &explicit(3, None)))));
@@ -147,8 +290,10 @@
 #[test]
 fn the_encoding_of_later_formats_is_unchanged_and_unknown_formats_are_refused_by_number() {
     let golden: Vec<&str> = include_str!("format3.txt").lines().collect();
-    let now: Vec<String> =
-        third_format().iter().map(|(what, bytes)| format!("{what} {}", hex(bytes))).collect();
+    let now: Vec<String> = third_format()
+        .iter()
+        .map(|(what, bytes)| format!("{what} {}", hex(bytes)))
+        .collect();
     if std::env::var_os("PRINT").is_some() {
         println!("{}", now.join("\n"));
     }
@@ -185,17 +330,33 @@
     let setup = crate::Setup::new("f", 300, 1, 8, Vec::new());
     let found = |format: u8, records: Vec<crate::Record>| {
         let all = records.into_iter().chain([records::header(format, 7, 8)]);
-        let saved = all.map(|record| (record.name, record.bytes.unwrap_or_default())).collect();
+        let saved = all
+            .map(|record| (record.name, record.bytes.unwrap_or_default()))
+            .collect();
         records::read(&setup, 7, &crate::Saved(saved)).map(|(format, kept)| (format, kept.len()))
     };
-    let explicit =
-        |format| records::entry(3, 4, &Batch { tail: Tail::Explicit { format, next: None }, ..batch() });
+    let explicit = |format| {
+        records::entry(
+            3,
+            4,
+            &Batch {
+                tail: Tail::Explicit { format, next: None },
+                ..batch()
+            },
+        )
+    };
     assert_eq!(found(3, vec![explicit(3)]), Ok((3, 1)));
-    let version = Err(crate::Error::Version { found: FORMAT + 1, reads: FORMAT });
+    let version = Err(crate::Error::Version {
+        found: FORMAT + 1,
+        reads: FORMAT,
+    });
     assert_eq!(found(FORMAT + 1, vec![]), version);
     assert_eq!(found(3, vec![explicit(FORMAT + 1)]), version);
     // A bit that has flipped is damage, whatever format it says.
     let mut flipped = explicit(FORMAT + 1);
     flipped.bytes.iter_mut().for_each(|bytes| bytes[9] ^= 4);
-    assert!(matches!(found(3, vec![flipped]), Err(crate::Error::Damaged { .. })));
+    assert!(matches!(
+        found(3, vec![flipped]),
+        Err(crate::Error::Damaged { .. })
+    ));
 }
--- a/crates/ledger/src/incoming.rs
+++ b/crates/ledger/src/incoming.rs
@@ -28,9 +28,24 @@
         }
         let (incarnation, disk, wall_ms) = (packet.incarnation, packet.disk, packet.wall_ms);
         self.away.returned(at.steady, &self.setup.members, from);
-        self.peers.insert(from, Peer { heard_at: at.steady, incarnation, disk, wall_ms });
+        self.peers.insert(
+            from,
+            Peer {
+                heard_at: at.steady,
+                incarnation,
+                disk,
+                wall_ms,
+            },
+        );
         for message in messages {
-            self.handle(at, ReplicaIncarnation { id: ReplicaId { front: from, disk }, incarnation }, message);
+            self.handle(
+                at,
+                ReplicaIncarnation {
+                    id: ReplicaId { front: from, disk },
+                    incarnation,
+                },
+                message,
+            );
         }
         self.settle(at);
     }
@@ -38,7 +53,12 @@
     fn handle(&mut self, at: Moment, sender: ReplicaIncarnation, message: LedgerMessage) {
         let from = sender.id.front;
         match message {
-            LedgerMessage::Log { shard, config, number, message } => {
+            LedgerMessage::Log {
+                shard,
+                config,
+                number,
+                message,
+            } => {
                 self.receive_log_message(at, sender, shard, config, (number, *message));
             }
             LedgerMessage::Resync { shard, config } => {
@@ -55,60 +75,111 @@
                 self.touched.insert(shard);
                 self.receive_ask(at, from, shard, command);
             }
-            LedgerMessage::Reply { incarnation, number, outcome }
-                if incarnation == self.setup.incarnation =>
-            {
+            LedgerMessage::Reply {
+                incarnation,
+                number,
+                outcome,
+            } if incarnation == self.setup.incarnation => {
                 self.record_answer(Some(from), number, outcome);
             }
-            LedgerMessage::NotLeader { incarnation, number, leader, .. }
-                if incarnation == self.setup.incarnation =>
-            {
+            LedgerMessage::NotLeader {
+                incarnation,
+                number,
+                leader,
+                ..
+            } if incarnation == self.setup.incarnation => {
                 self.redirect(at, from, number, leader);
             }
             LedgerMessage::Reply { .. } | LedgerMessage::NotLeader { .. } => {}
-            LedgerMessage::Available { shard, config, agreed } => {
-                self.receive_availability(at, sender, shard, config, &agreed)
-            }
-            LedgerMessage::Membership { shard, config, members } => {
-                self.receive_membership(at, from, shard, config, members)
-            }
+            LedgerMessage::Available {
+                shard,
+                config,
+                agreed,
+            } => self.receive_availability(at, sender, shard, config, &agreed),
+            LedgerMessage::Membership {
+                shard,
+                config,
+                members,
+            } => self.receive_membership(at, from, shard, config, members),
             LedgerMessage::Probe { shard } => self.announce(at, from, shard),
-            LedgerMessage::Snapshot { shard, config, index, state } => {
-                let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
-                let Some(state) = messages::decode::<State>(&state) else { return self.refuse("form") };
+            LedgerMessage::Snapshot {
+                shard,
+                config,
+                index,
+                state,
+            } => {
+                let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+                    return;
+                };
+                let Some(state) = messages::decode::<State>(&state) else {
+                    return self.refuse("form");
+                };
                 if view.replica.is_none() && self.own.disk != 0 {
-                    view.learned = Some(Learned { config, at: StateAt { index, state } });
+                    view.learned = Some(Learned {
+                        config,
+                        at: StateAt { index, state },
+                    });
                     self.transport.send(
                         at,
                         from,
-                        &LedgerMessage::CaughtUp { shard, config, index },
+                        &LedgerMessage::CaughtUp {
+                            shard,
+                            config,
+                            index,
+                        },
                         Pace::Fast,
                     );
                 }
             }
-            LedgerMessage::CaughtUp { shard, config, index } => {
+            LedgerMessage::CaughtUp {
+                shard,
+                config,
+                index,
+            } => {
                 let view = self.shards.get_mut(usize::from(shard));
                 let repair = view.and_then(|view| view.repair.as_mut());
                 if let Some(repair) = repair.filter(|r| r.into == sender.id && r.config == config) {
                     repair.caught_up = Some(index);
                 }
             }
-            LedgerMessage::Hashes { shard, config, index, hashes } => {
+            LedgerMessage::Hashes {
+                shard,
+                config,
+                index,
+                hashes,
+            } => {
                 self.receive_hashes(at, sender.id, (shard, config), (index, hashes));
             }
-            LedgerMessage::RepairReplica { shard, config, index, state } => {
+            LedgerMessage::RepairReplica {
+                shard,
+                config,
+                index,
+                state,
+            } => {
                 self.receive_repair(sender.id, (shard, config), index, &state);
             }
             LedgerMessage::ShuttingDown => _ = self.shutting_down.insert(from, sender.incarnation),
-            LedgerMessage::KeyFree { incarnation, number } => {
-                self.key_is_free(Owner { front: self.own.front, incarnation }, number);
+            LedgerMessage::KeyFree {
+                incarnation,
+                number,
+            } => {
+                self.key_is_free(
+                    Owner {
+                        front: self.own.front,
+                        incarnation,
+                    },
+                    number,
+                );
             }
             LedgerMessage::TransferLeadership { shard, config } => {
                 self.accept_leadership(from, shard, config)
             }
-            LedgerMessage::Join { shard, config, members, base } => {
-                self.join(at, shard, config, members, &base)
-            }
+            LedgerMessage::Join {
+                shard,
+                config,
+                members,
+                base,
+            } => self.join(at, shard, config, members, &base),
         }
     }
 
@@ -120,14 +191,22 @@
         config: u32,
         (number, message): (u64, omnipaxos::messages::Message<crate::state::Batch>),
     ) {
-        let ReplicaIncarnation { id: sender, incarnation } = sender;
+        let ReplicaIncarnation {
+            id: sender,
+            incarnation,
+        } = sender;
         let behind = |replica: &Replica| replica.config < config;
-        let replica = self.shards.get(usize::from(shard)).and_then(|view| view.replica.as_ref());
+        let replica = self
+            .shards
+            .get(usize::from(shard))
+            .and_then(|view| view.replica.as_ref());
         if replica.is_some_and(behind) && self.touched.contains(&shard) {
             // What came with it may have decided on the members that it is from.
             self.settle_shard(at, shard);
         }
-        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+            return;
+        };
         match &mut view.replica {
             Some(replica) if replica.config == config => {
                 // One that came back with another disk does not speak for the member that it was.
--- a/crates/ledger/src/key_queues.rs
+++ b/crates/ledger/src/key_queues.rs
@@ -34,7 +34,14 @@
 /// Whether it asks for a key that only one front can have at a time.
 fn claims(command: &Command) -> bool {
     let kind = matches!(command.key.kind, Kind::Order | Kind::Dedup);
-    kind && matches!(command.act, Act::Claim { .. } | Act::Put { expects: Some(0), .. })
+    kind && matches!(
+        command.act,
+        Act::Claim { .. }
+            | Act::Put {
+                expects: Some(0),
+                ..
+            }
+    )
 }
 
 impl KeyQueues {
@@ -51,7 +58,9 @@
             Outcome::Held(_) => self.enqueue(now, command),
             Outcome::Stands(_) => {
                 if let Some(queue) = self.0.get_mut(&command.key) {
-                    queue.waiting.retain(|waiting| waiting.owner != command.owner);
+                    queue
+                        .waiting
+                        .retain(|waiting| waiting.owner != command.owner);
                     queue.reserved_until = None;
                 }
             }
@@ -65,15 +74,27 @@
         }
         let queue = self.0.entry(command.key.clone()).or_default();
         let (owner, number, ends) = (command.owner, command.number, now + WAITER_TIMEOUT);
-        match queue.waiting.iter().position(|waiting| waiting.owner == owner) {
+        match queue
+            .waiting
+            .iter()
+            .position(|waiting| waiting.owner == owner)
+        {
             Some(position) => {
-                queue.waiting[position] = Waiting { owner, number, ends };
+                queue.waiting[position] = Waiting {
+                    owner,
+                    number,
+                    ends,
+                };
                 if position == 0 {
                     queue.reserved_until = None; // another was before it after all
                 }
             }
             None if queue.waiting.len() < MAX_WAITING => {
-                queue.waiting.push_back(Waiting { owner, number, ends });
+                queue.waiting.push_back(Waiting {
+                    owner,
+                    number,
+                    ends,
+                });
             }
             None => {}
         }
@@ -81,8 +102,10 @@
 
     /// Whether an ask that came then is put off, as the key is reserved for another front.
     pub fn is_reserved_for_another(&self, now: Micros, command: &Command, came: Micros) -> bool {
-        let queue =
-            self.0.get(&command.key).filter(|queue| queue.reserved_until.is_some_and(|until| now < until));
+        let queue = self
+            .0
+            .get(&command.key)
+            .filter(|queue| queue.reserved_until.is_some_and(|until| now < until));
         let first = queue.and_then(|queue| queue.waiting.front());
         first.is_some_and(|first| first.owner != command.owner)
             && claims(command)
@@ -94,11 +117,18 @@
         let mut freed = Vec::new();
         self.0.retain(|key, queue| {
             let first = queue.waiting.front().map(|first| first.owner);
-            if queue.reserved_until.take_if(|until| *until <= now).is_some() && queue.waiting.len() > 1 {
+            if queue
+                .reserved_until
+                .take_if(|until| *until <= now)
+                .is_some()
+                && queue.waiting.len() > 1
+            {
                 queue.waiting.swap(0, 1); // it has not come: the next goes before it, once
             }
             queue.waiting.retain(|waiting| waiting.ends > now);
-            let Some(next) = queue.waiting.front() else { return false };
+            let Some(next) = queue.waiting.front() else {
+                return false;
+            };
             if Some(next.owner) != first {
                 queue.reserved_until = None;
             }
--- a/crates/ledger/src/key_queues_tests.rs
+++ b/crates/ledger/src/key_queues_tests.rs
@@ -1,18 +1,42 @@
 use super::*;
 
 fn ask(front: u64, number: u64) -> Command {
-    let owner = Owner { front, incarnation: 1 };
-    let key = Key { kind: Kind::Order, name: "k".to_string() };
-    Command { owner, number, asked_ms: 1, key, act: Act::Claim { ends_ms: 9, value: Vec::new() } }
+    let owner = Owner {
+        front,
+        incarnation: 1,
+    };
+    let key = Key {
+        kind: Kind::Order,
+        name: "k".to_string(),
+    };
+    Command {
+        owner,
+        number,
+        asked_ms: 1,
+        key,
+        act: Act::Claim {
+            ends_ms: 9,
+            value: Vec::new(),
+        },
+    }
 }
 
 fn entry(front: u64) -> crate::Entry {
     let command = ask(front, 1);
-    crate::Entry { key: command.key, owner: command.owner, version: 1, ends_ms: 9, value: Vec::new() }
+    crate::Entry {
+        key: command.key,
+        owner: command.owner,
+        version: 1,
+        ends_ms: 9,
+        value: Vec::new(),
+    }
 }
 
 fn fronts(freed: Vec<(Owner, u64)>) -> Vec<(u64, u64)> {
-    freed.into_iter().map(|(owner, number)| (owner.front, number)).collect()
+    freed
+        .into_iter()
+        .map(|(owner, number)| (owner.front, number))
+        .collect()
 }
 
 #[test]
@@ -38,10 +62,19 @@
     assert_eq!(fronts(queues.freed_keys(6, |_| true)), [(3, 20)]);
     // One that does not come lets the next go before, and one that no longer asks loses its place.
     queues.record(7, &ask(4, 30), &held);
-    assert_eq!(fronts(queues.freed_keys(6 + RESERVED_FOR, |_| true)), [(4, 30)]);
+    assert_eq!(
+        fronts(queues.freed_keys(6 + RESERVED_FOR, |_| true)),
+        [(4, 30)]
+    );
     queues.record(8 + RESERVED_FOR, &ask(5, 40), &held);
-    assert_eq!(fronts(queues.freed_keys(7 + WAITER_TIMEOUT, |_| true)), [(5, 40)]);
-    assert_eq!(fronts(queues.freed_keys(8 + RESERVED_FOR + WAITER_TIMEOUT, |_| true)), []);
+    assert_eq!(
+        fronts(queues.freed_keys(7 + WAITER_TIMEOUT, |_| true)),
+        [(5, 40)]
+    );
+    assert_eq!(
+        fronts(queues.freed_keys(8 + RESERVED_FOR + WAITER_TIMEOUT, |_| true)),
+        []
+    );
     assert!(queues.0.is_empty());
 }
 
@@ -54,5 +87,11 @@
         queues.record(0, &one, &Outcome::Held(entry(1)));
         queues.record(0, &ask(n, n), &Outcome::Held(entry(1)));
     }
-    assert!(queues.0.len() <= MAX_KEYS && queues.0.values().all(|queue| queue.waiting.len() <= MAX_WAITING));
+    assert!(
+        queues.0.len() <= MAX_KEYS
+            && queues
+                .0
+                .values()
+                .all(|queue| queue.waiting.len() <= MAX_WAITING)
+    );
 }
--- a/crates/ledger/src/leader_placement.rs
+++ b/crates/ledger/src/leader_placement.rs
@@ -27,7 +27,9 @@
         let placed = self.placed;
         let members = &placed[shard];
         let has_room = |front: &&FrontId| self.led.get(*front).map_or(0, Vec::len) < self.bound;
-        let free = members.iter().find(|front| has_room(front) && !asked.contains(front));
+        let free = members
+            .iter()
+            .find(|front| has_room(front) && !asked.contains(front));
         if let Some(front) = free {
             self.assign(*front, shard);
             return true;
@@ -55,7 +57,10 @@
     }
 
     fn unassign(&mut self, front: FrontId, shard: usize) {
-        self.led.entry(front).or_default().retain(|led| *led != shard);
+        self.led
+            .entry(front)
+            .or_default()
+            .retain(|led| *led != shard);
     }
 }
 
@@ -63,7 +68,12 @@
 pub(crate) fn preferred_leaders(placed: &[Vec<FrontId>], fronts: usize) -> Vec<Option<FrontId>> {
     let (shards, fronts) = (placed.len(), fronts.max(1));
     let bound = (shards * MAX_SHARE_PERCENT / 100 / fronts).max(shards.div_ceil(fronts));
-    let mut assignment = Assignment { placed, leaders: vec![None; shards], led: BTreeMap::new(), bound };
+    let mut assignment = Assignment {
+        placed,
+        leaders: vec![None; shards],
+        led: BTreeMap::new(),
+        bound,
+    };
     for (shard, members) in placed.iter().enumerate() {
         // Where too few fronts hold them, some lead more.
         while !members.is_empty() && !assignment.find_leader(shard, &mut Vec::new()) {
--- a/crates/ledger/src/leader_placement_tests.rs
+++ b/crates/ledger/src/leader_placement_tests.rs
@@ -7,10 +7,24 @@
 
 #[test]
 fn no_front_leads_over_its_part_and_a_quarter_however_replicas_are_placed() {
-    for (fronts, shards) in [(3, 16), (5, 16), (5, 64), (9, 64), (40, 256), (300, 1_024), (300, 64)] {
-        let members: Vec<Member> =
-            (1..=fronts as u64).map(|front| Member { front, zone: format!("z{}", front % 3) }).collect();
-        let unbounded: Vec<_> = (0..shards).map(|n| ranked(&members, n)[..3].to_vec()).collect();
+    for (fronts, shards) in [
+        (3, 16),
+        (5, 16),
+        (5, 64),
+        (9, 64),
+        (40, 256),
+        (300, 1_024),
+        (300, 64),
+    ] {
+        let members: Vec<Member> = (1..=fronts as u64)
+            .map(|front| Member {
+                front,
+                zone: format!("z{}", front % 3),
+            })
+            .collect();
+        let unbounded: Vec<_> = (0..shards)
+            .map(|n| ranked(&members, n)[..3].to_vec())
+            .collect();
         for placed in [unbounded, placed(&members, 3, shards)] {
             let leaders = preferred_leaders(&placed, fronts);
             let mut led = BTreeMap::<FrontId, usize>::new();
@@ -23,12 +37,18 @@
             let shards = usize::from(shards);
             let bound = (shards * MAX_SHARE_PERCENT / 100 / fronts).max(shards.div_ceil(fronts));
             println!("{fronts} fronts, {shards} shards: at most {most}, bound {bound}");
-            assert!(most <= bound, "{fronts} fronts, {shards} shards: {most} over {bound}");
+            assert!(
+                most <= bound,
+                "{fronts} fronts, {shards} shards: {most} over {bound}"
+            );
         }
     }
 }
 
 #[test]
 fn where_one_front_holds_all_shards_it_leads_all() {
-    assert_eq!(preferred_leaders(&[vec![7], vec![7], vec![]], 3), [Some(7), Some(7), None]);
+    assert_eq!(
+        preferred_leaders(&[vec![7], vec![7], vec![]], 3),
+        [Some(7), Some(7), None]
+    );
 }
--- a/crates/ledger/src/leader_transfer.rs
+++ b/crates/ledger/src/leader_transfer.rs
@@ -36,7 +36,10 @@
     /// This front is shutting down: from now on it leads nothing that another front can lead.
     pub fn begin_shutdown(&mut self, at: Moment) {
         if self.shutdown.is_none() {
-            self.shutdown = Some(Shutdown { retry_at: at.steady, attempts: 0 });
+            self.shutdown = Some(Shutdown {
+                retry_at: at.steady,
+                attempts: 0,
+            });
             self.transfer_leadership(at);
             self.settle(at);
         }
@@ -45,24 +48,37 @@
     /// Whether it still leads a shard that another front could lead.
     pub fn hands_over(&self) -> bool {
         let others = self.shards.iter().filter(|view| view.members().len() > 1);
-        others.filter_map(|view| view.replica.as_ref()).any(Replica::is_leader)
+        others
+            .filter_map(|view| view.replica.as_ref())
+            .any(Replica::is_leader)
     }
 
     /// Asks candidates to take over the shards that this front leads, where that is due, and tells all members that it is
     /// shutting down.
     pub(crate) fn transfer_leadership(&mut self, at: Moment) {
         let now = at.steady;
-        let Some(shutdown) = self.shutdown.as_mut().filter(|shutdown| shutdown.retry_at <= now) else {
+        let Some(shutdown) = self
+            .shutdown
+            .as_mut()
+            .filter(|shutdown| shutdown.retry_at <= now)
+        else {
             return;
         };
         shutdown.retry_at = now + RETRY;
         let attempt = shutdown.attempts;
         shutdown.attempts += 1;
         for view in &self.shards {
-            let Some(replica) = view.replica.as_ref().filter(|replica| replica.is_leader()) else { continue };
+            let Some(replica) = view.replica.as_ref().filter(|replica| replica.is_leader()) else {
+                continue;
+            };
             let candidates = self.transfer_candidates(at, view, replica);
-            let Some(candidate) = candidates.get(attempt % candidates.len().max(1)) else { continue };
-            let message = LedgerMessage::TransferLeadership { shard: replica.shard, config: replica.config };
+            let Some(candidate) = candidates.get(attempt % candidates.len().max(1)) else {
+                continue;
+            };
+            let message = LedgerMessage::TransferLeadership {
+                shard: replica.shard,
+                config: replica.config,
+            };
             self.transport.send(at, *candidate, &message, Pace::Fast);
         }
         self.announce_shutdown(at);
@@ -83,20 +99,31 @@
         let mut candidates: Vec<FrontId> = members.filter(is_candidate).collect();
         let rank = |front: &FrontId| view.wanted.iter().position(|wanted| wanted == front);
         // One that has just started may not know yet who leads the shard.
-        let unsettled = |front: &FrontId| self.peers.get(front).is_none_or(|peer| !peer.is_settled(at));
-        candidates
-            .sort_by_key(|front| (unsettled(front), view.preferred_leader != Some(*front), rank(front)));
+        let unsettled = |front: &FrontId| {
+            self.peers
+                .get(front)
+                .is_none_or(|peer| !peer.is_settled(at))
+        };
+        candidates.sort_by_key(|front| {
+            (
+                unsettled(front),
+                view.preferred_leader != Some(*front),
+                rank(front),
+            )
+        });
         candidates
     }
 
     /// Tells the other members of all shards held here that this front is shutting down.
     fn announce_shutdown(&mut self, at: Moment) {
         let replicas = self.shards.iter().filter_map(|view| view.replica.as_ref());
-        let members = replicas.flat_map(|replica| replica.members.iter().map(|member| member.front));
+        let members =
+            replicas.flat_map(|replica| replica.members.iter().map(|member| member.front));
         let others: BTreeSet<FrontId> = members.filter(|front| *front != self.own.front).collect();
         for to in others {
             if self.transport.common_format(to) >= FIRST_EXPLICIT_FORMAT {
-                self.transport.send(at, to, &LedgerMessage::ShuttingDown, Pace::Fast);
+                self.transport
+                    .send(at, to, &LedgerMessage::ShuttingDown, Pace::Fast);
             }
         }
     }
@@ -104,22 +131,36 @@
     /// Another front has said in its present incarnation that it is shutting down.
     fn is_shutting_down(&self, front: FrontId) -> bool {
         let peer = self.peers.get(&front).map(|peer| peer.incarnation);
-        self.shutting_down.get(&front).is_some_and(|incarnation| Some(*incarnation) == peer)
+        self.shutting_down
+            .get(&front)
+            .is_some_and(|incarnation| Some(*incarnation) == peer)
     }
 
     /// Transfers a shard to the member that is preferred as its leader, once that one has run for a while: a front that
     /// was restarted gets its part again.
     pub(crate) fn yield_leadership(&mut self, at: Moment, shard: u16) {
         let (now, own) = (at.steady, self.own.front);
-        let Some(view) = self.shards.get(usize::from(shard)) else { return };
-        let Some((replica, since)) = view.replica.as_ref().zip(view.leader_since) else { return };
+        let Some(view) = self.shards.get(usize::from(shard)) else {
+            return;
+        };
+        let Some((replica, since)) = view.replica.as_ref().zip(view.leader_since) else {
+            return;
+        };
         let busy = view.repair.is_some() || self.shutdown.is_some() || now < self.yield_at;
-        let Some(to) = view.preferred_among(&replica.members).filter(|to| *to != own && !busy) else {
+        let Some(to) = view
+            .preferred_among(&replica.members)
+            .filter(|to| *to != own && !busy)
+        else {
             return;
         };
         let available = |peer: &Peer| {
-            let member = ReplicaId { front: to, disk: peer.disk };
-            peer.is_settled(at) && now - peer.heard_at < HEARD_WITHIN && replica.members.contains(&member)
+            let member = ReplicaId {
+                front: to,
+                disk: peer.disk,
+            };
+            peer.is_settled(at)
+                && now - peer.heard_at < HEARD_WITHIN
+                && replica.members.contains(&member)
         };
         let available = self.peers.get(&to).is_some_and(available)
             && !self.away.is_away(to)
@@ -129,7 +170,10 @@
             && self.transport.common_format(to) >= TRANSFER_FORMAT
         {
             self.yield_at = now + YIELD_INTERVAL;
-            let message = LedgerMessage::TransferLeadership { shard, config: replica.config };
+            let message = LedgerMessage::TransferLeadership {
+                shard,
+                config: replica.config,
+            };
             self.transport.send(at, to, &message, Pace::Fast);
         }
     }
@@ -138,17 +182,25 @@
     /// end had better wait for them. Of two that leave at once the one with the lower id does not wait for the other.
     pub fn is_needed(&self, at: Moment) -> bool {
         let here = |member: &ReplicaId| {
-            let peer = self.peers.get(&member.front).filter(|peer| peer.disk == member.disk);
+            let peer = self
+                .peers
+                .get(&member.front)
+                .filter(|peer| peer.disk == member.disk);
             let heard_lately = peer.is_some_and(|peer| at.steady - peer.heard_at < HEARD_WITHIN);
             heard_lately && (!self.is_shutting_down(member.front) || member.front > self.own.front)
         };
         let needed = |replica: &Replica| {
             let (majority, others) = (replica.members.len() / 2 + 1, replica.members.len() - 1);
-            let available =
-                replica.members.iter().filter(|member| member.front != self.own.front && here(member));
+            let available = replica
+                .members
+                .iter()
+                .filter(|member| member.front != self.own.front && here(member));
             majority <= others && available.count() < majority
         };
-        self.shards.iter().filter_map(|view| view.replica.as_ref()).any(needed)
+        self.shards
+            .iter()
+            .filter_map(|view| view.replica.as_ref())
+            .any(needed)
     }
 
     /// The leader of a shard asks this front to take it over.
@@ -167,6 +219,8 @@
 
     /// When `transfer_leadership` is next due.
     pub(crate) fn transfer_due(&self) -> Micros {
-        self.shutdown.as_ref().map_or(Micros::MAX, |shutdown| shutdown.retry_at)
+        self.shutdown
+            .as_ref()
+            .map_or(Micros::MAX, |shutdown| shutdown.retry_at)
     }
 }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -54,11 +54,18 @@
     if setup.members.is_empty() {
         return Err(Error::NoMembers);
     }
-    if let Some(twice) = setup.members.iter().find(|member| !seen.insert(member.front)) {
+    if let Some(twice) = setup
+        .members
+        .iter()
+        .find(|member| !seen.insert(member.front))
+    {
         return Err(Error::Twice(twice.front));
     }
     if setup.copies == 0 || setup.copies > setup.members.len() {
-        return Err(Error::Copies { copies: setup.copies, members: setup.members.len() });
+        return Err(Error::Copies {
+            copies: setup.copies,
+            members: setup.members.len(),
+        });
     }
     match setup.shards {
         1..=1_024 => Ok(()),
@@ -70,11 +77,18 @@
     pub fn new(at: Moment, setup: Setup, saved: Option<Saved>) -> Result<Ledger, Error> {
         check(&setup)?;
         let fleet = fingerprint(&setup.fleet, setup.shards);
-        let own = ReplicaId { front: setup.own, disk: setup.disk };
+        let own = ReplicaId {
+            front: setup.own,
+            disk: setup.disk,
+        };
         let none = Ok((OLDEST_FORMAT, BTreeMap::new()));
-        let (latest_saved_format, kept) =
-            saved.as_ref().map_or(none, |saved| records::read(&setup, fleet, saved))?;
-        let new_view = |shard| ShardView { ranked: ranked(&setup.members, shard), ..ShardView::default() };
+        let (latest_saved_format, kept) = saved
+            .as_ref()
+            .map_or(none, |saved| records::read(&setup, fleet, saved))?;
+        let new_view = |shard| ShardView {
+            ranked: ranked(&setup.members, shard),
+            ..ShardView::default()
+        };
         let mut ledger = Ledger {
             own,
             shards: (0..setup.shards).map(new_view).collect(),
@@ -99,7 +113,9 @@
             setup,
         };
         if kept.is_empty() {
-            ledger.records.push(records::header(OLDEST_FORMAT, fleet, own.disk));
+            ledger
+                .records
+                .push(records::header(OLDEST_FORMAT, fleet, own.disk));
         }
         ledger.place_initially(at.steady);
         for (shard, kept) in kept {
@@ -113,16 +129,29 @@
     /// Goes on with a shard from what was kept of it.
     fn reopen(&mut self, shard: u16, kept: records::SavedShard) -> Result<(), Error> {
         let own = self.own;
-        let view = self.shards.get_mut(usize::from(shard)).ok_or(Error::Fleet)?;
+        let view = self
+            .shards
+            .get_mut(usize::from(shard))
+            .ok_or(Error::Fleet)?;
         view.bootstrap = (!kept.bootstrap.is_empty()).then(|| Bootstrap::new(kept.bootstrap));
-        let Some(Meta { config, members, is_member, .. }) = kept.meta else { return Ok(()) };
+        let Some(Meta {
+            config,
+            members,
+            is_member,
+            ..
+        }) = kept.meta
+        else {
+            return Ok(());
+        };
         view.bootstrap = None;
         view.barred = config;
         let configuration = Configuration { config, members };
         if is_member {
             let preferred = view.preferred_among(&configuration.members) == Some(own.front);
             let replica = Replica::open(shard, &configuration, own, preferred, kept.log_state);
-            let damaged = || Error::Damaged { record: format!("members of shard {shard}") };
+            let damaged = || Error::Damaged {
+                record: format!("members of shard {shard}"),
+            };
             view.replica = Some(replica.ok_or_else(damaged)?);
         }
         view.known = Some(configuration);
@@ -132,16 +161,31 @@
     /// Does what is due.
     pub fn tick(&mut self, at: Moment) {
         let (again, ended) = self.asks.due_now(at);
-        self.out.done.extend(ended.into_iter().map(|(number, outcome)| Done { number, outcome }));
-        again.into_iter().for_each(|number| self.send_ask(at, number));
+        self.out.done.extend(
+            ended
+                .into_iter()
+                .map(|(number, outcome)| Done { number, outcome }),
+        );
+        again
+            .into_iter()
+            .for_each(|number| self.send_ask(at, number));
         if self.tick_at <= at.steady {
             // One that stood still does not catch up: the logs' clocks count turns they had.
             self.tick_at = at.steady + TICK;
             for (shard, view) in (0..).zip(&mut self.shards) {
                 if let Some(replica) = &mut view.replica {
                     let config = replica.config;
-                    for to in replica.tick().into_iter().filter(|to| *to != self.own.front) {
-                        self.transport.send(at, to, &LedgerMessage::Resync { shard, config }, Pace::Fast);
+                    for to in replica
+                        .tick()
+                        .into_iter()
+                        .filter(|to| *to != self.own.front)
+                    {
+                        self.transport.send(
+                            at,
+                            to,
+                            &LedgerMessage::Resync { shard, config },
+                            Pace::Fast,
+                        );
                     }
                     self.touched.insert(shard);
                 }
@@ -154,9 +198,14 @@
 
     /// When `tick` is next due, on the steady clock.
     pub fn due(&self) -> Micros {
-        let keeps = self.shards.iter().any(|view| view.replica.is_some() || view.bootstrap.is_some());
+        let keeps = self
+            .shards
+            .iter()
+            .any(|view| view.replica.is_some() || view.bootstrap.is_some());
         let tick = if keeps { self.tick_at } else { Micros::MAX };
-        tick.min(self.asks.due()).min(self.transport.due()).min(self.transfer_due())
+        tick.min(self.asks.due())
+            .min(self.transport.due())
+            .min(self.transfer_due())
     }
 
     /// What is to be done for it since it was last asked. What `packets` holds may leave at once.
--- a/crates/ledger/src/log.rs
+++ b/crates/ledger/src/log.rs
@@ -65,10 +65,19 @@
                 leader_priority: u32::from(preferred),
                 ..ServerConfig::default()
             };
-            let config = OmniPaxosConfig { cluster_config, server_config };
+            let config = OmniPaxosConfig {
+                cluster_config,
+                server_config,
+            };
             Consensus::Replicated(Box::new(config.build(store.clone()).ok()?))
         };
-        Some(Log { consensus, store, members: members.to_vec(), own: own.front, stuck: (0, 0) })
+        Some(Log {
+            consensus,
+            store,
+            members: members.to_vec(),
+            own: own.front,
+            stuck: (0, 0),
+        })
     }
 
     fn front(&self, number: u64) -> Option<FrontId> {
@@ -94,7 +103,9 @@
     /// One tick of the log's clock; whether other members should ask for what they may have missed.
     pub fn tick(&mut self) -> bool {
         let under_way = self.is_leader() && self.has_pending();
-        let Consensus::Replicated(log) = &mut self.consensus else { return false };
+        let Consensus::Replicated(log) = &mut self.consensus else {
+            return false;
+        };
         log.tick();
         let decided = log.get_decided_idx();
         if !under_way || decided != self.stuck.0 {
@@ -109,7 +120,10 @@
 
     /// Asks the leader for what was missed, as if the connection to it were new.
     pub fn resync(&mut self, leader: FrontId) {
-        let position = self.members.iter().position(|member| member.front == leader);
+        let position = self
+            .members
+            .iter()
+            .position(|member| member.front == leader);
         if let (Consensus::Replicated(log), Some(position)) = (&mut self.consensus, position) {
             log.reconnected(position as u64 + 1);
         }
@@ -126,12 +140,16 @@
     pub fn heard(&mut self, from: FrontId, message: Message<Batch>) -> Received {
         let known = self.front(message.get_sender()) == Some(from)
             && self.front(message.get_receiver()) == Some(self.own);
-        let Consensus::Replicated(log) = &mut self.consensus else { return Received::NotMember };
+        let Consensus::Replicated(log) = &mut self.consensus else {
+            return Received::NotMember;
+        };
         if !known || from == self.own {
             return Received::NotMember;
         }
         // The library panics on what no member that keeps to the rules can say: that must not end the front.
-        let taken = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| log.handle_incoming(message)));
+        let taken = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
+            log.handle_incoming(message)
+        }));
         if taken.is_ok() {
             Received::Accepted
         } else {
@@ -144,8 +162,14 @@
         if let Consensus::Replicated(log) = &mut self.consensus {
             log.take_outgoing_messages(&mut messages);
         }
-        let to = |message: &Message<Batch>| self.front(message.get_receiver()).filter(|to| *to != self.own);
-        messages.into_iter().filter_map(|message| Some((to(&message)?, message))).collect()
+        let to = |message: &Message<Batch>| {
+            self.front(message.get_receiver())
+                .filter(|to| *to != self.own)
+        };
+        messages
+            .into_iter()
+            .filter_map(|message| Some((to(&message)?, message)))
+            .collect()
     }
 
     /// Whether something that was proposed is not decided yet.
@@ -218,7 +242,9 @@
             // What can't be compacted now is compacted next time.
             Consensus::Replicated(log) => _ = log.snapshot(Some(decided), true),
             Consensus::Single => {
-                let (snapshot, entries) = self.store.read(|held| (held.snapshot.clone(), held.log.clone()));
+                let (snapshot, entries) = self
+                    .store
+                    .read(|held| (held.snapshot.clone(), held.log.clone()));
                 let mut snapshot = snapshot.unwrap_or_default();
                 snapshot.merge(LogSnapshot::create(&entries));
                 let _ = self.store.set_snapshot(Some(snapshot));
--- a/crates/ledger/src/maintenance.rs
+++ b/crates/ledger/src/maintenance.rs
@@ -30,11 +30,18 @@
 
     /// Takes the next step of a shard that has yet to start.
     pub(crate) fn advance_bootstrap(&mut self, at: Moment, shard: u16) {
-        let own = ReplicaIncarnation { id: self.own, incarnation: self.transport.incarnation };
+        let own = ReplicaIncarnation {
+            id: self.own,
+            incarnation: self.transport.incarnation,
+        };
         let copies = self.setup.copies;
-        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+            return;
+        };
         let placed: Vec<FrontId> = view.ranked.iter().take(copies).copied().collect();
-        let Some(bootstrap) = &mut view.bootstrap else { return };
+        let Some(bootstrap) = &mut view.bootstrap else {
+            return;
+        };
         match bootstrap.next_step(own, &placed, &view.ranked) {
             Step::Wait => {}
             Step::Agree(agreed) => {
@@ -54,26 +61,44 @@
                     at,
                     shard,
                     Configuration { config: 1, members },
-                    StateAt { index: FIRST, state },
+                    StateAt {
+                        index: FIRST,
+                        state,
+                    },
                 );
             }
         }
     }
 
     /// Tells the fronts that a shard is placed on with whom this one has agreed to start it.
-    fn send_agreed(&mut self, at: Moment, shard: u16, placed: &[FrontId], agreed: &[ReplicaIncarnation]) {
+    fn send_agreed(
+        &mut self,
+        at: Moment,
+        shard: u16,
+        placed: &[FrontId],
+        agreed: &[ReplicaIncarnation],
+    ) {
         for to in placed.iter().filter(|front| **front != self.own.front) {
-            let message = LedgerMessage::Available { shard, config: 0, agreed: agreed.to_vec() };
+            let message = LedgerMessage::Available {
+                shard,
+                config: 0,
+                agreed: agreed.to_vec(),
+            };
             self.transport.send(at, *to, &message, Pace::Fast);
         }
     }
 
     /// Asks and tells the fronts that a shard that has yet to start depends on.
     fn drive_bootstrap(&mut self, at: Moment, shard: u16) {
-        let Some(view) = self.shards.get(usize::from(shard)) else { return };
+        let Some(view) = self.shards.get(usize::from(shard)) else {
+            return;
+        };
         let placed = view.ranked.iter().take(self.setup.copies).copied();
         let members = view.members().iter().map(|member| member.front);
-        let others: Vec<FrontId> = placed.chain(members).filter(|to| *to != self.own.front).collect();
+        let others: Vec<FrontId> = placed
+            .chain(members)
+            .filter(|to| *to != self.own.front)
+            .collect();
         let unheard = view.bootstrap.as_ref().filter(|_| view.config() == 0);
         let unheard = unheard.map(|bootstrap| bootstrap.unheard(self.own.front, &view.ranked));
         let turn = (at.steady / MAINTENANCE_INTERVAL) as usize * PROBES_AT_ONCE;
@@ -81,7 +106,9 @@
         for n in 0..unheard.len().min(PROBES_AT_ONCE) {
             self.probe(at, unheard[(turn + n) % unheard.len()], shard);
         }
-        others.into_iter().for_each(|to| self.announce(at, to, shard));
+        others
+            .into_iter()
+            .for_each(|to| self.announce(at, to, shard));
         self.advance_bootstrap(at, shard);
     }
 
@@ -93,10 +120,20 @@
         self.maintain_at = at.steady + MAINTENANCE_INTERVAL;
         self.update_placement(at.steady);
         // Whoever is on the list may have to read what is saved, and may be a build back by then.
-        let others = self.setup.members.iter().map(|member| member.front).filter(|f| *f != self.own.front);
-        self.format = self.setup.saved_format.min(self.transport.common_format_of_all(others));
+        let others = self
+            .setup
+            .members
+            .iter()
+            .map(|member| member.front)
+            .filter(|f| *f != self.own.front);
+        self.format = self
+            .setup
+            .saved_format
+            .min(self.transport.common_format_of_all(others));
         for shard in 0..self.setup.shards {
-            let Some(view) = self.shards.get(usize::from(shard)) else { continue };
+            let Some(view) = self.shards.get(usize::from(shard)) else {
+                continue;
+            };
             if view.bootstrap.is_some() {
                 self.drive_bootstrap(at, shard);
             } else if view.replica.as_ref().is_some_and(Replica::is_leader) {
@@ -110,8 +147,12 @@
     /// Replaces a missing replica of a shard that this front leads, or moves one.
     fn replace_missing(&mut self, at: Moment, shard: u16) {
         let now = at.steady;
-        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
-        let (Some(replica), Some(since)) = (&mut view.replica, view.leader_since) else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+            return;
+        };
+        let (Some(replica), Some(since)) = (&mut view.replica, view.leader_since) else {
+            return;
+        };
         let peer = |front: FrontId| self.peers.get(&front).copied();
         let (config, own) = (replica.config, self.own.front);
         if let Some(repair) = view.repair {
@@ -135,7 +176,9 @@
         if back.is_none() {
             self.declare_gone(now, out.front);
         }
-        let Some(view) = self.shards.get(usize::from(shard)) else { return };
+        let Some(view) = self.shards.get(usize::from(shard)) else {
+            return;
+        };
         let Some(replica) = &view.replica else { return };
         let peer = |front: FrontId| self.peers.get(&front).copied();
         let order: Vec<FrontId> = view.wanted.iter().chain(&view.ranked).copied().collect();
@@ -149,10 +192,18 @@
 
     /// Asks fronts that hold no replica of a shard whether they can, two at a time.
     fn probe_spares(&mut self, at: Moment, shard: u16) {
-        let Some(view) = self.shards.get(usize::from(shard)) else { return };
+        let Some(view) = self.shards.get(usize::from(shard)) else {
+            return;
+        };
         let Some(replica) = &view.replica else { return };
-        let is_member = |front: &FrontId| replica.members.iter().any(|member| member.front == *front);
-        let free: Vec<FrontId> = view.ranked.iter().filter(|front| !is_member(front)).copied().collect();
+        let is_member =
+            |front: &FrontId| replica.members.iter().any(|member| member.front == *front);
+        let free: Vec<FrontId> = view
+            .ranked
+            .iter()
+            .filter(|front| !is_member(front))
+            .copied()
+            .collect();
         let turn = (at.steady / MAINTENANCE_INTERVAL) as usize;
         for to in (0..free.len().min(2)).filter_map(|n| free.get((turn * 2 + n) % free.len())) {
             self.probe(at, *to, shard);
@@ -161,7 +212,8 @@
 
     /// Asks a front whether it can hold a replica.
     pub(crate) fn probe(&mut self, at: Moment, to: FrontId, shard: u16) {
-        self.transport.send(at, to, &LedgerMessage::Probe { shard }, Pace::Fast);
+        self.transport
+            .send(at, to, &LedgerMessage::Probe { shard }, Pace::Fast);
     }
 
     /// Sends the state to the replica that is to replace another; `moves`: until when, where none is missing.
@@ -173,7 +225,9 @@
         into: ReplicaId,
         moves: Option<Micros>,
     ) {
-        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+            return;
+        };
         let Some(replica) = &view.replica else { return };
         let config = replica.config;
         let (index, bytes) = (replica.applied(), replica.state.bytes());
@@ -184,7 +238,12 @@
         self.transport.send(
             at,
             into.front,
-            &LedgerMessage::Snapshot { shard, config, index, state },
+            &LedgerMessage::Snapshot {
+                shard,
+                config,
+                index,
+                state,
+            },
             Pace::Repair,
         );
     }
@@ -192,10 +251,18 @@
     /// The time that goes with a round: the median of the members' Unix clocks, so that one that is far off ends no entry
     /// of others.
     pub(crate) fn wall_ms(&self, at: Moment, shard: u16) -> u64 {
-        let members = self.shards.get(usize::from(shard)).map_or(&[][..], |view| view.members());
-        let others = members.iter().filter(|member| member.front != self.own.front);
+        let members = self
+            .shards
+            .get(usize::from(shard))
+            .map_or(&[][..], |view| view.members());
+        let others = members
+            .iter()
+            .filter(|member| member.front != self.own.front);
         let now = |peer: &Peer| peer.wall_ms + ((at.steady - peer.heard_at).max(0) / 1_000) as u64;
-        let mut walls: Vec<u64> = others.filter_map(|k| self.peers.get(&k.front)).map(now).collect();
+        let mut walls: Vec<u64> = others
+            .filter_map(|k| self.peers.get(&k.front))
+            .map(now)
+            .collect();
         walls.push(at.wall_ms);
         walls.sort_unstable();
         walls[(walls.len() - 1) / 2]
--- a/crates/ledger/src/membership.rs
+++ b/crates/ledger/src/membership.rs
@@ -17,15 +17,30 @@
 impl Ledger {
     /// Tells a front that this one can hold a replica of the shard, what it knows of it, and on which disk.
     pub(crate) fn announce(&mut self, at: Moment, to: FrontId, shard: u16) {
-        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+            return;
+        };
         let last = view.announced.get(&to).copied().unwrap_or(Micros::MIN);
         if self.own.disk == 0 || at.steady.saturating_sub(last) < MAINTENANCE_INTERVAL {
             return;
         }
         view.announced.insert(to, at.steady);
-        let agreed = view.bootstrap.as_ref().map(|bootstrap| bootstrap.agreed().to_vec()).unwrap_or_default();
+        let agreed = view
+            .bootstrap
+            .as_ref()
+            .map(|bootstrap| bootstrap.agreed().to_vec())
+            .unwrap_or_default();
         let config = view.replica.as_ref().map_or(0, |replica| replica.config);
-        self.transport.send(at, to, &LedgerMessage::Available { shard, config, agreed }, Pace::Fast);
+        self.transport.send(
+            at,
+            to,
+            &LedgerMessage::Available {
+                shard,
+                config,
+                agreed,
+            },
+            Pace::Fast,
+        );
     }
 
     /// Another front can hold a replica of the shard: it is heard as one to start the shard with, or is brought up to date.
@@ -37,7 +52,9 @@
         config: u32,
         agreed: &[ReplicaIncarnation],
     ) {
-        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+            return;
+        };
         if let Some(bootstrap) = &mut view.bootstrap {
             bootstrap.record_offer(sender, agreed);
             if config > 0 {
@@ -51,23 +68,42 @@
 
     /// Tells a front that is behind who the members are, and the state to start from where it is one of them.
     pub(crate) fn send_membership(&mut self, at: Moment, sender: ReplicaId, shard: u16) {
-        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
-        let last = view.announced.get(&sender.front).copied().unwrap_or(Micros::MIN);
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+            return;
+        };
+        let last = view
+            .announced
+            .get(&sender.front)
+            .copied()
+            .unwrap_or(Micros::MIN);
         if at.steady.saturating_sub(last) < MEMBERSHIP_INTERVAL {
             return;
         }
         view.announced.insert(sender.front, at.steady);
-        let Some(Configuration { config, members }) = view.known.clone() else { return };
+        let Some(Configuration { config, members }) = view.known.clone() else {
+            return;
+        };
         let message = match &view.replica {
             Some(replica) if members.contains(&sender) && replica.config == config => {
                 if self.transport.is_busy(sender.front, Pace::Fast) {
                     return;
                 }
-                let base =
-                    Base::Snapshot { index: replica.applied(), state: messages::encode(&replica.state) };
-                LedgerMessage::Join { shard, config, members, base }
+                let base = Base::Snapshot {
+                    index: replica.applied(),
+                    state: messages::encode(&replica.state),
+                };
+                LedgerMessage::Join {
+                    shard,
+                    config,
+                    members,
+                    base,
+                }
             }
-            _ => LedgerMessage::Membership { shard, config, members },
+            _ => LedgerMessage::Membership {
+                shard,
+                config,
+                members,
+            },
         };
         self.transport.send(at, sender.front, &message, Pace::Fast);
     }
@@ -82,7 +118,9 @@
         members: Vec<ReplicaId>,
     ) {
         let own = self.own;
-        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+            return;
+        };
         if config <= view.config() {
             return;
         }
@@ -98,20 +136,39 @@
 
     /// This front is no member any more, whatever it hears later of earlier configurations.
     fn drop_replica(&mut self, shard: u16) {
-        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
-        let Some(replica) = view.replica.take() else { return };
-        let Some(Configuration { config, members }) = view.known.clone() else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+            return;
+        };
+        let Some(replica) = view.replica.take() else {
+            return;
+        };
+        let Some(Configuration { config, members }) = view.known.clone() else {
+            return;
+        };
         view.barred = config;
         (view.leader_since, view.repair) = (None, None);
         replica.remove_records(&mut self.records);
-        self.records.push(records::meta(OLDEST_FORMAT, shard, &no_member(config, members)));
+        self.records.push(records::meta(
+            OLDEST_FORMAT,
+            shard,
+            &no_member(config, members),
+        ));
         self.records.push(records::no_snapshot(shard));
     }
 
     /// This front is a member of a configuration, and is given what to start from.
-    pub(crate) fn join(&mut self, at: Moment, shard: u16, config: u32, members: Vec<ReplicaId>, base: &Base) {
+    pub(crate) fn join(
+        &mut self,
+        at: Moment,
+        shard: u16,
+        config: u32,
+        members: Vec<ReplicaId>,
+        base: &Base,
+    ) {
         let own = self.own;
-        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+            return;
+        };
         if config <= view.barred || config < view.config() || !members.contains(&own) {
             return;
         }
@@ -131,7 +188,9 @@
         base: StateAt,
     ) {
         let own = self.own;
-        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+            return;
+        };
         let preferred = view.preferred_among(&configuration.members) == Some(own.front);
         let Some(mut replica) = Replica::begin(shard, &configuration, own, preferred, base) else {
             return;
@@ -156,38 +215,77 @@
     /// Goes on under the next configuration, once the log has decided on its members.
     pub(crate) fn adopt_next_members(&mut self, at: Moment, shard: u16) {
         let own = self.own;
-        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+            return;
+        };
         let Some(replica) = &view.replica else { return };
-        let Some(next) = replica.state.next().map(<[ReplicaId]>::to_vec) else { return };
+        let Some(next) = replica.state.next().map(<[ReplicaId]>::to_vec) else {
+            return;
+        };
         let config = replica.config + 1;
         let (is_leader, before) = (replica.is_leader(), replica.members.clone());
         let moves = view.repair.is_some_and(|repair| repair.moves);
-        let caught_up = view.repair.and_then(|repair| Some((repair.into, repair.caught_up?)));
+        let caught_up = view
+            .repair
+            .and_then(|repair| Some((repair.into, repair.caught_up?)));
         let state = replica.state.for_next_configuration();
         if is_leader {
-            for to in next.iter().filter(|member| **member != own && !before.contains(member)) {
-                let index = caught_up.filter(|(into, _)| into == to).map_or(0, |(_, index)| index);
+            for to in next
+                .iter()
+                .filter(|member| **member != own && !before.contains(member))
+            {
+                let index = caught_up
+                    .filter(|(into, _)| into == to)
+                    .map_or(0, |(_, index)| index);
                 let base = replica.base_after(index);
-                let message = LedgerMessage::Join { shard, config, members: next.clone(), base };
+                let message = LedgerMessage::Join {
+                    shard,
+                    config,
+                    members: next.clone(),
+                    base,
+                };
                 self.transport.send(at, to.front, &message, Pace::Fast);
                 self.counters.repaired += 1;
                 self.counters.moved += u64::from(moves);
             }
             let stay = |front: &FrontId| next.iter().any(|member| member.front == *front);
             let placed = view.ranked.iter().take(self.setup.copies).copied();
-            let others = placed.chain(before.iter().map(|member| member.front)).filter(|front| !stay(front));
+            let others = placed
+                .chain(before.iter().map(|member| member.front))
+                .filter(|front| !stay(front));
             for to in others.filter(|to| *to != own.front) {
-                let message = LedgerMessage::Membership { shard, config, members: next.clone() };
+                let message = LedgerMessage::Membership {
+                    shard,
+                    config,
+                    members: next.clone(),
+                };
                 self.transport.send(at, to, &message, Pace::Fast);
             }
         }
-        view.known = Some(Configuration { config, members: next.clone() });
+        view.known = Some(Configuration {
+            config,
+            members: next.clone(),
+        });
         if next.contains(&own) {
-            let next = Configuration { config, members: next };
-            self.open_replica(at, shard, next, StateAt { index: FIRST, state });
+            let next = Configuration {
+                config,
+                members: next,
+            };
+            self.open_replica(
+                at,
+                shard,
+                next,
+                StateAt {
+                    index: FIRST,
+                    state,
+                },
+            );
             if is_leader {
                 // Until the preferred leader takes over: asks wait for a round trip, and no election is needed.
-                let replica = self.shards.get_mut(usize::from(shard)).and_then(|view| view.replica.as_mut());
+                let replica = self
+                    .shards
+                    .get_mut(usize::from(shard))
+                    .and_then(|view| view.replica.as_mut());
                 replica.into_iter().for_each(Replica::campaign);
             }
         } else {
@@ -213,14 +311,27 @@
 /// The state that a base stands for; none where it continues a state that this front has not been sent.
 fn base_state(base: &Base, learned: Option<Learned>, config: u32) -> Option<StateAt> {
     match base {
-        Base::Snapshot { index, state } => Some(StateAt { index: *index, state: messages::decode(state)? }),
+        Base::Snapshot { index, state } => Some(StateAt {
+            index: *index,
+            state: messages::decode(state)?,
+        }),
         Base::Suffix { index, batches } => {
-            let Learned { config: before, at: StateAt { index: at, mut state } } = learned?;
+            let Learned {
+                config: before,
+                at:
+                    StateAt {
+                        index: at,
+                        mut state,
+                    },
+            } = learned?;
             if (before.checked_add(1), at) != (Some(config), *index) {
                 return None;
             }
             batches.iter().for_each(|batch| _ = state.apply(batch));
-            state.next().is_some().then(|| StateAt { index: FIRST, state: state.for_next_configuration() })
+            state.next().is_some().then(|| StateAt {
+                index: FIRST,
+                state: state.for_next_configuration(),
+            })
         }
     }
 }
--- a/crates/ledger/src/messages.rs
+++ b/crates/ledger/src/messages.rs
@@ -23,28 +23,65 @@
     /// A request, to the shard's leader or to a front that may know it.
     Request { shard: u16, command: Command },
     /// The answer to a request, known by its asker's incarnation and number.
-    Reply { incarnation: u64, number: u64, outcome: Outcome },
+    Reply {
+        incarnation: u64,
+        number: u64,
+        outcome: Outcome,
+    },
     /// The answer to a request for a shard that the sender does not lead; the front that leads it, if it is known.
-    NotLeader { shard: u16, incarnation: u64, number: u64, leader: Option<FrontId> },
+    NotLeader {
+        shard: u16,
+        incarnation: u64,
+        number: u64,
+        leader: Option<FrontId>,
+    },
     /// The sender can hold a replica of the shard: the configuration it last knew (0: none), and the members with which
     /// it has agreed to start the shard.
-    Available { shard: u16, config: u32, agreed: Vec<ReplicaIncarnation> },
+    Available {
+        shard: u16,
+        config: u32,
+        agreed: Vec<ReplicaIncarnation>,
+    },
     /// The shard's present configuration and its members.
-    Membership { shard: u16, config: u32, members: Vec<ReplicaId> },
+    Membership {
+        shard: u16,
+        config: u32,
+        members: Vec<ReplicaId>,
+    },
     /// Asks whether the receiver can hold a replica of the shard; it answers with `Available`.
     Probe { shard: u16 },
     /// The shard's state as of an entry of the log, for a front that is to become a member; it answers with `CaughtUp`.
-    Snapshot { shard: u16, config: u32, index: u64, state: Vec<u8> },
+    Snapshot {
+        shard: u16,
+        config: u32,
+        index: u64,
+        state: Vec<u8>,
+    },
     /// The sender has taken in the snapshot up to this entry.
     CaughtUp { shard: u16, config: u32, index: u64 },
     /// The receiver is a member of this configuration, and starts from what the members before it have decided.
-    Join { shard: u16, config: u32, members: Vec<ReplicaId>, base: Base },
+    Join {
+        shard: u16,
+        config: u32,
+        members: Vec<ReplicaId>,
+        base: Base,
+    },
     /// The leader asks the receiver to take over the shard. Of format 2.
     TransferLeadership { shard: u16, config: u32 },
     /// The hashes of a replica as of an entry: the leader sends its own, and members answer with theirs. Of format 2.
-    Hashes { shard: u16, config: u32, index: u64, hashes: Vec<u64> },
+    Hashes {
+        shard: u16,
+        config: u32,
+        index: u64,
+        hashes: Vec<u64>,
+    },
     /// The majority's state as of an entry, for a replica whose hashes differ. Of format 2.
-    RepairReplica { shard: u16, config: u32, index: u64, state: Vec<u8> },
+    RepairReplica {
+        shard: u16,
+        config: u32,
+        index: u64,
+        state: Vec<u8>,
+    },
     /// The sender is shutting down. Of format 3.
     ShuttingDown,
     /// The key that the receiver asked for by this number is free, and the receiver is the first in its queue. Of format 3.
--- a/crates/ledger/src/pacer.rs
+++ b/crates/ledger/src/pacer.rs
@@ -20,7 +20,11 @@
 
 impl Pacer {
     pub fn new(rate: f64) -> Pacer {
-        Pacer { rate, left: 0.0, at: 0 }
+        Pacer {
+            rate,
+            left: 0.0,
+            at: 0,
+        }
     }
 
     /// Adds what has accrued since the last call.
@@ -42,6 +46,8 @@
 
     /// When the next packet may leave.
     pub fn due(&self) -> Micros {
-        self.at + ((PACKET_BYTES as f64 - self.left).max(0.0) / self.rate.max(1.0) * 1e6) as Micros + 1
+        self.at
+            + ((PACKET_BYTES as f64 - self.left).max(0.0) / self.rate.max(1.0) * 1e6) as Micros
+            + 1
     }
 }
--- a/crates/ledger/src/placement.rs
+++ b/crates/ledger/src/placement.rs
@@ -25,7 +25,9 @@
     rest.sort_by_key(|member| (std::cmp::Reverse(weight(member.front)), member.front));
     let (mut ranked, mut zones) = (Vec::new(), Vec::new());
     while !rest.is_empty() {
-        let place = rest.iter().position(|member| !zones.contains(&member.zone.as_str()));
+        let place = rest
+            .iter()
+            .position(|member| !zones.contains(&member.zone.as_str()));
         match place {
             Some(place) => {
                 let member = rest.remove(place);
--- a/crates/ledger/src/placement_tests.rs
+++ b/crates/ledger/src/placement_tests.rs
@@ -4,7 +4,12 @@
 use crate::Kind;
 
 fn members(n: u64, zones: u64) -> Vec<Member> {
-    (1..=n).map(|front| Member { front, zone: format!("z{}", front % zones) }).collect()
+    (1..=n)
+        .map(|front| Member {
+            front,
+            zone: format!("z{}", front % zones),
+        })
+        .collect()
 }
 
 #[test]
@@ -14,11 +19,17 @@
     for shard in 0..256 {
         let ranked = ranked(&members, shard);
         assert_eq!(ranked.len(), 40);
-        let zones: std::collections::BTreeSet<u64> = ranked[..3].iter().map(|front| front % 4).collect();
+        let zones: std::collections::BTreeSet<u64> =
+            ranked[..3].iter().map(|front| front % 4).collect();
         assert_eq!(zones.len(), 3, "shard {shard}");
-        ranked[..3].iter().for_each(|front| *held.entry(*front).or_insert(0) += 1);
+        ranked[..3]
+            .iter()
+            .for_each(|front| *held.entry(*front).or_insert(0) += 1);
     }
-    assert!(held.len() == 40 && held.values().all(|n| (6..=40).contains(n)), "{held:?}");
+    assert!(
+        held.len() == 40 && held.values().all(|n| (6..=40).contains(n)),
+        "{held:?}"
+    );
 }
 
 #[test]
@@ -42,7 +53,13 @@
 fn keys_are_spread_over_shards_by_kind_and_name() {
     let mut held = [0; 16];
     for n in 0..1_600 {
-        held[usize::from(shard_of(&Key { kind: Kind::Order, name: format!("key {n}") }, 16))] += 1;
+        held[usize::from(shard_of(
+            &Key {
+                kind: Kind::Order,
+                name: format!("key {n}"),
+            },
+            16,
+        ))] += 1;
     }
     assert!(held.iter().all(|n| (60..=140).contains(n)), "{held:?}");
 }
--- a/crates/ledger/src/reassembly.rs
+++ b/crates/ledger/src/reassembly.rs
@@ -50,9 +50,22 @@
     /// Missing fragments that count as lost, and are not only waiting to be sent.
     fn lost(&self, now: Micros) -> Vec<u16> {
         // What follows the last that has come may only be waiting for its turn.
-        let last = self.fragments.iter().rposition(Option::is_some).unwrap_or(0);
-        let sure = if now - self.touched >= TAIL_TIMEOUT { self.fragments.len() } else { last };
-        let missing = self.fragments.iter().take(sure).enumerate().filter(|(_, fragment)| fragment.is_none());
+        let last = self
+            .fragments
+            .iter()
+            .rposition(Option::is_some)
+            .unwrap_or(0);
+        let sure = if now - self.touched >= TAIL_TIMEOUT {
+            self.fragments.len()
+        } else {
+            last
+        };
+        let missing = self
+            .fragments
+            .iter()
+            .take(sure)
+            .enumerate()
+            .filter(|(_, fragment)| fragment.is_none());
         missing.map(|(n, _)| n as u16).take(MAX_RESEND).collect()
     }
 }
@@ -69,12 +82,27 @@
 
 impl Reassembly {
     /// Takes in a fragment; why it was refused, otherwise.
-    pub fn add(&mut self, now: Micros, id: MessageId, fragment: Fragment) -> Result<Added, &'static str> {
+    pub fn add(
+        &mut self,
+        now: Micros,
+        id: MessageId,
+        fragment: Fragment,
+    ) -> Result<Added, &'static str> {
         if self.finished.contains_key(&id) {
             return Ok(Added::Repeated);
         }
-        let Fragment { index, count, bytes } = fragment;
-        let (first, last) = (MessageId { number: 0, ..id }, MessageId { number: u64::MAX, ..id });
+        let Fragment {
+            index,
+            count,
+            bytes,
+        } = fragment;
+        let (first, last) = (
+            MessageId { number: 0, ..id },
+            MessageId {
+                number: u64::MAX,
+                ..id
+            },
+        );
         let many = self.partial.range(first..=last).count() >= MAX_REASSEMBLIES;
         if index >= count || usize::from(count) > MAX_FRAGMENTS || bytes.len() > FRAGMENT_BYTES {
             return Err("form");
@@ -82,9 +110,17 @@
         if !self.partial.contains_key(&id) && many || self.buffered + bytes.len() > MAX_BUFFERED {
             return Err("too much");
         }
-        let none = || Partial { fragments: vec![None; count.into()], buffered: 0, touched: now, asked: now };
+        let none = || Partial {
+            fragments: vec![None; count.into()],
+            buffered: 0,
+            touched: now,
+            asked: now,
+        };
         let partial = self.partial.entry(id).or_insert_with(none);
-        let slot = partial.fragments.get_mut(usize::from(index)).ok_or("form")?;
+        let slot = partial
+            .fragments
+            .get_mut(usize::from(index))
+            .ok_or("form")?;
         partial.touched = now;
         if slot.is_none() {
             partial.buffered += bytes.len();
@@ -99,7 +135,9 @@
         if self.finished.len() < MAX_FINISHED {
             self.finished.insert(id, now);
         }
-        Ok(Added::Complete(partial.fragments.into_iter().flatten().flatten().collect()))
+        Ok(Added::Complete(
+            partial.fragments.into_iter().flatten().flatten().collect(),
+        ))
     }
 
     /// Forgets what its sender has abandoned; requests for fragments that count as lost, each with its receiver.
@@ -119,7 +157,13 @@
             partial.asked = now;
             let missing = partial.lost(now);
             if !missing.is_empty() {
-                requests.push((id.from, Payload::Resend { id: id.number, missing }));
+                requests.push((
+                    id.from,
+                    Payload::Resend {
+                        id: id.number,
+                        missing,
+                    },
+                ));
             }
         }
         requests
@@ -127,7 +171,10 @@
 
     /// When `request_missing` is next due; [`Micros::MAX`] if nothing is incomplete.
     pub fn due(&self) -> Micros {
-        let due = self.partial.values().map(|partial| partial.touched.max(partial.asked) + GAP_TIMEOUT);
+        let due = self
+            .partial
+            .values()
+            .map(|partial| partial.touched.max(partial.asked) + GAP_TIMEOUT);
         due.min().unwrap_or(Micros::MAX)
     }
 }
--- a/crates/ledger/src/rebalance.rs
+++ b/crates/ledger/src/rebalance.rs
@@ -41,7 +41,10 @@
         if !self.is_away(front) {
             return;
         }
-        let zone = members.iter().find(|member| member.front == front).map(|member| member.zone.clone());
+        let zone = members
+            .iter()
+            .find(|member| member.front == front)
+            .map(|member| member.zone.clone());
         if let Some(zone) = zone.filter(|zone| self.is_zone_away(members, zone)) {
             self.returned_at.insert(zone, now);
         }
@@ -50,13 +53,19 @@
 
     /// Until when a front that was last heard then is waited for.
     pub fn wait_until(&self, setup: &Setup, front: FrontId, since: Micros) -> Micros {
-        let zone = setup.members.iter().find(|member| member.front == front).map(|m| m.zone.as_str());
+        let zone = setup
+            .members
+            .iter()
+            .find(|member| member.front == front)
+            .map(|m| m.zone.as_str());
         match zone {
             Some(zone) if self.is_zone_away(&setup.members, zone) => {
                 since + setup.zone_after.max(setup.repair_after)
             }
             Some(zone) => {
-                self.returned_at.get(zone).map_or(since, |returned_at| since.max(*returned_at))
+                self.returned_at
+                    .get(zone)
+                    .map_or(since, |returned_at| since.max(*returned_at))
                     + setup.repair_after
             }
             None => since + setup.repair_after,
@@ -65,10 +74,19 @@
 }
 
 /// The next change of a shard's members: who is removed, and who is added.
-fn next_change(wanted: &[FrontId], members: &[ReplicaId], own: FrontId) -> Option<(ReplicaId, FrontId)> {
-    let into = wanted.iter().find(|front| members.iter().all(|member| member.front != **front))?;
+fn next_change(
+    wanted: &[FrontId],
+    members: &[ReplicaId],
+    own: FrontId,
+) -> Option<(ReplicaId, FrontId)> {
+    let into = wanted
+        .iter()
+        .find(|front| members.iter().all(|member| member.front != **front))?;
     // The leader goes last: it is the one that sees to the others.
-    let mut out: Vec<&ReplicaId> = members.iter().filter(|member| !wanted.contains(&member.front)).collect();
+    let mut out: Vec<&ReplicaId> = members
+        .iter()
+        .filter(|member| !wanted.contains(&member.front))
+        .collect();
     out.sort_by_key(|member| (member.front == own, member.front));
     Some((**out.first()?, *into))
 }
@@ -92,7 +110,10 @@
 impl Ledger {
     /// The operator's list has changed. A front that has yet to begin its shards goes on as the list said then.
     pub fn set_members(&mut self, at: Moment, members: Vec<Member>) -> Result<(), Error> {
-        let setup = Setup { members, ..self.setup.clone() };
+        let setup = Setup {
+            members,
+            ..self.setup.clone()
+        };
         check(&setup)?;
         if setup.members == self.setup.members {
             return Ok(());
@@ -108,8 +129,10 @@
 
     /// Who is up and who is not, as far as the caller knows; of others nothing is said.
     pub fn set_health(&mut self, at: Moment, up: &[FrontId], away: &[FrontId]) {
-        up.iter().for_each(|front| self.away.returned(at.steady, &self.setup.members, *front));
-        away.iter().for_each(|front| _ = self.away.since.entry(*front).or_insert(at.steady));
+        up.iter()
+            .for_each(|front| self.away.returned(at.steady, &self.setup.members, *front));
+        away.iter()
+            .for_each(|front| _ = self.away.since.entry(*front).or_insert(at.steady));
     }
 
     /// Places all shards anew where that has to be: on all that are there or waited for.
@@ -119,19 +142,33 @@
             moves && self.away.wait_until(&self.setup, *front, *since) <= now
         };
         let since = self.away.since.iter();
-        let gone: BTreeSet<FrontId> = since.filter(|(front, at)| due(front, at)).map(|(f, _)| *f).collect();
+        let gone: BTreeSet<FrontId> = since
+            .filter(|(front, at)| due(front, at))
+            .map(|(f, _)| *f)
+            .collect();
         if gone == self.away.gone && !std::mem::take(&mut self.away.stale) {
             return;
         }
-        let here = self.setup.members.iter().filter(|member| !gone.contains(&member.front));
+        let here = self
+            .setup
+            .members
+            .iter()
+            .filter(|member| !gone.contains(&member.front));
         let here: Vec<Member> = here.cloned().collect();
-        let first = |view: &ShardView| view.ranked.iter().take(self.setup.copies).copied().collect();
+        let first = |view: &ShardView| {
+            view.ranked
+                .iter()
+                .take(self.setup.copies)
+                .copied()
+                .collect()
+        };
         let placed = match moves {
             true => placed(&here, self.setup.copies, self.setup.shards),
             false => self.shards.iter().map(first).collect(),
         };
         let leaders = preferred_leaders(&placed, here.len());
-        for (view, (wanted, leader)) in self.shards.iter_mut().zip(placed.into_iter().zip(leaders)) {
+        for (view, (wanted, leader)) in self.shards.iter_mut().zip(placed.into_iter().zip(leaders))
+        {
             view.preferred_leader = leader;
             view.wanted = if moves { wanted } else { Vec::new() };
         }
@@ -151,7 +188,11 @@
     }
 
     /// Moves a copy of a shard that this front leads, and of which none is missing, once it is the shard's turn.
-    pub(crate) fn next_move(&mut self, at: Moment, shard: u16) -> Option<(ReplicaId, ReplicaId, Micros)> {
+    pub(crate) fn next_move(
+        &mut self,
+        at: Moment,
+        shard: u16,
+    ) -> Option<(ReplicaId, ReplicaId, Micros)> {
         let now = at.steady;
         let view = self.shards.get(usize::from(shard))?;
         let replica = view.replica.as_ref()?;
@@ -160,17 +201,28 @@
         }
         let (out, into) = next_change(&view.wanted, &replica.members, self.own.front)?;
         let left = move_window(&self.setup, shard, self.wall_ms(at, shard))?;
-        let takes = REPLACEMENT_TIMEOUT + Repair::duration(replica.state.bytes(), self.setup.repair_bytes);
+        let takes =
+            REPLACEMENT_TIMEOUT + Repair::duration(replica.state.bytes(), self.setup.repair_bytes);
         let busy = self.shards.iter().any(|view| view.repair.is_some());
         if left < takes || busy || self.away.is_away(into) {
             return None;
         }
-        let peer = self.peers.get(&into).filter(|peer| peer.disk != 0 && now - peer.heard_at < HEARD_WITHIN);
+        let peer = self
+            .peers
+            .get(&into)
+            .filter(|peer| peer.disk != 0 && now - peer.heard_at < HEARD_WITHIN);
         let Some(peer) = peer else {
             self.probe(at, into, shard);
             return None;
         };
-        Some((out, ReplicaId { front: into, disk: peer.disk }, now + takes))
+        Some((
+            out,
+            ReplicaId {
+                front: into,
+                disk: peer.disk,
+            },
+            now + takes,
+        ))
     }
 }
 
--- a/crates/ledger/src/records.rs
+++ b/crates/ledger/src/records.rs
@@ -60,7 +60,10 @@
         flag = FORMAT_FLAG;
     }
     let checksum = (checksum(&name, &body) ^ flag).to_be_bytes();
-    Record { name, bytes: Some([&checksum[..], &body].concat()) }
+    Record {
+        name,
+        bytes: Some([&checksum[..], &body].concat()),
+    }
 }
 
 fn checksum(name: &[u8], body: &[u8]) -> u32 {
@@ -71,12 +74,16 @@
 }
 
 fn damaged(name: &[u8]) -> Error {
-    Error::Damaged { record: name.escape_ascii().to_string() }
+    Error::Damaged {
+        record: name.escape_ascii().to_string(),
+    }
 }
 
 /// What a record holds, if it is what was written under its name.
 fn checked<'a>(name: &[u8], bytes: &'a [u8]) -> Result<&'a [u8], Error> {
-    let (given, body) = bytes.split_at_checked(CHECKSUM_BYTES).ok_or_else(|| damaged(name))?;
+    let (given, body) = bytes
+        .split_at_checked(CHECKSUM_BYTES)
+        .ok_or_else(|| damaged(name))?;
     let checksum = checksum(name, body);
     if given == checksum.to_be_bytes() {
         return Ok(body);
@@ -86,7 +93,10 @@
     }
     match body.split_first() {
         Some((FIRST_EXPLICIT_FORMAT..=FORMAT, body)) => Ok(body),
-        Some((format, _)) => Err(Error::Version { found: *format, reads: FORMAT }),
+        Some((format, _)) => Err(Error::Version {
+            found: *format,
+            reads: FORMAT,
+        }),
         None => Err(damaged(name)),
     }
 }
@@ -96,7 +106,15 @@
 }
 
 pub(crate) fn header(format: u8, fleet: u64, disk: u64) -> Record {
-    record(OLDEST_FORMAT, vec![HEADER], &Header { format, fleet, disk })
+    record(
+        OLDEST_FORMAT,
+        vec![HEADER],
+        &Header {
+            format,
+            fleet,
+            disk,
+        },
+    )
 }
 
 pub(crate) fn meta(format: u8, shard: u16, meta: &Meta) -> Record {
@@ -104,11 +122,18 @@
 }
 
 pub(crate) fn entry(shard: u16, index: usize, batch: &Batch) -> Record {
-    record(batch.tail.format(), name(LOG, shard, &(index as u64).to_be_bytes()), batch)
+    record(
+        batch.tail.format(),
+        name(LOG, shard, &(index as u64).to_be_bytes()),
+        batch,
+    )
 }
 
 pub(crate) fn no_entry(shard: u16, index: usize) -> Record {
-    Record { name: name(LOG, shard, &(index as u64).to_be_bytes()), bytes: None }
+    Record {
+        name: name(LOG, shard, &(index as u64).to_be_bytes()),
+        bytes: None,
+    }
 }
 
 pub(crate) fn snapshot(shard: u16, snapshot: &LogSnapshot) -> Record {
@@ -116,7 +141,10 @@
 }
 
 pub(crate) fn no_snapshot(shard: u16) -> Record {
-    Record { name: name(SNAPSHOT, shard, &[]), bytes: None }
+    Record {
+        name: name(SNAPSHOT, shard, &[]),
+        bytes: None,
+    }
 }
 
 pub(crate) fn bootstrap(shard: u16, agreed: &[ReplicaIncarnation]) -> Record {
@@ -124,7 +152,10 @@
 }
 
 pub(crate) fn no_bootstrap(shard: u16) -> Record {
-    Record { name: name(BOOTSTRAP, shard, &[]), bytes: None }
+    Record {
+        name: name(BOOTSTRAP, shard, &[]),
+        bytes: None,
+    }
 }
 
 /// What was saved of one shard.
@@ -141,28 +172,45 @@
     fleet: u64,
     saved: &Saved,
 ) -> Result<(u8, BTreeMap<u16, SavedShard>), Error> {
-    let records: BTreeMap<&[u8], &[u8]> =
-        saved.0.iter().map(|(name, bytes)| (name.as_slice(), bytes.as_slice())).collect();
+    let records: BTreeMap<&[u8], &[u8]> = saved
+        .0
+        .iter()
+        .map(|(name, bytes)| (name.as_slice(), bytes.as_slice()))
+        .collect();
     let mut shards: BTreeMap<u16, SavedShard> = BTreeMap::new();
     let Some(bytes) = records.get(&[HEADER][..]) else {
-        return records.keys().next().map_or(Ok((OLDEST_FORMAT, shards)), |name| Err(damaged(name)));
+        return records
+            .keys()
+            .next()
+            .map_or(Ok((OLDEST_FORMAT, shards)), |name| Err(damaged(name)));
     };
     // The format goes first in every version: an unknown one may have anything behind it.
-    let format = checked(&[HEADER], bytes)?.first().copied().unwrap_or_default();
+    let format = checked(&[HEADER], bytes)?
+        .first()
+        .copied()
+        .unwrap_or_default();
     if !(OLDEST_FORMAT..=setup.format).contains(&format) {
-        return Err(Error::Version { found: format, reads: setup.format });
+        return Err(Error::Version {
+            found: format,
+            reads: setup.format,
+        });
     }
     let header: Header = open(&[HEADER], bytes)?;
     if header.fleet != fleet {
         return Err(Error::Fleet);
     }
     if header.disk != setup.disk {
-        return Err(Error::Disk { found: header.disk, given: setup.disk });
+        return Err(Error::Disk {
+            found: header.disk,
+            given: setup.disk,
+        });
     }
     let mut logs: BTreeMap<u16, BTreeMap<u64, Batch>> = BTreeMap::new();
     for (name, bytes) in records {
         let damaged = || damaged(name);
-        let Some((kind, rest)) = name.split_first().filter(|(kind, _)| **kind != HEADER) else { continue };
+        let Some((kind, rest)) = name.split_first().filter(|(kind, _)| **kind != HEADER) else {
+            continue;
+        };
         let (shard, rest) = rest.split_at_checked(2).ok_or_else(damaged)?;
         let shard = u16::from_be_bytes(shard.try_into().map_err(|_| damaged())?);
         let saved_shard = shards.entry(shard).or_default();
@@ -171,8 +219,13 @@
             (SNAPSHOT, []) => saved_shard.log_state.snapshot = Some(open(name, bytes)?),
             (BOOTSTRAP, []) => saved_shard.bootstrap = open(name, bytes)?,
             (LOG, index) => {
-                let index = index.try_into().map(u64::from_be_bytes).map_err(|_| damaged())?;
-                logs.entry(shard).or_default().insert(index, open(name, bytes)?);
+                let index = index
+                    .try_into()
+                    .map(u64::from_be_bytes)
+                    .map_err(|_| damaged())?;
+                logs.entry(shard)
+                    .or_default()
+                    .insert(index, open(name, bytes)?);
             }
             _ => return Err(damaged()),
         }
@@ -181,13 +234,18 @@
         let log = logs.remove(shard).unwrap_or_default();
         if let Some(meta) = saved_shard.meta.as_ref().filter(|meta| meta.is_member) {
             let whole = (meta.compacted as u64..meta.end as u64).eq(log.keys().copied());
-            let damaged = || Error::Damaged { record: format!("log of shard {shard}") };
+            let damaged = || Error::Damaged {
+                record: format!("log of shard {shard}"),
+            };
             if !whole || saved_shard.log_state.snapshot.is_none() || meta.decided > meta.end {
                 return Err(damaged());
             }
             saved_shard.log_state.promise = meta.promise;
             saved_shard.log_state.accepted_round = meta.accepted_round;
-            (saved_shard.log_state.decided, saved_shard.log_state.compacted) = (meta.decided, meta.compacted);
+            (
+                saved_shard.log_state.decided,
+                saved_shard.log_state.compacted,
+            ) = (meta.decided, meta.compacted);
             saved_shard.log_state.log = log.into_values().collect();
         }
     }
--- a/crates/ledger/src/repair.rs
+++ b/crates/ledger/src/repair.rs
@@ -32,9 +32,23 @@
 }
 
 impl Repair {
-    pub fn new(now: Micros, out: ReplicaId, into: ReplicaId, config: u32, bytes: usize, rate: u32) -> Repair {
+    pub fn new(
+        now: Micros,
+        out: ReplicaId,
+        into: ReplicaId,
+        config: u32,
+        bytes: usize,
+        rate: u32,
+    ) -> Repair {
         let ends = now + REPLACEMENT_TIMEOUT + Repair::duration(bytes, rate);
-        Repair { out, into, config, caught_up: None, moves: false, ends }
+        Repair {
+            out,
+            into,
+            config,
+            caught_up: None,
+            moves: false,
+            ends,
+        }
     }
 
     /// Microseconds within which so many bytes are sent at the given rate, lost packets included.
@@ -50,7 +64,11 @@
 
     /// The members after it.
     pub fn next(&self, members: &[ReplicaId]) -> Vec<ReplicaId> {
-        let mut next: Vec<ReplicaId> = members.iter().copied().filter(|member| *member != self.out).collect();
+        let mut next: Vec<ReplicaId> = members
+            .iter()
+            .copied()
+            .filter(|member| *member != self.out)
+            .collect();
         next.push(self.into);
         next.sort_unstable();
         next
@@ -72,7 +90,10 @@
         match heard {
             // Back with another disk: it has forgotten its promises, and becomes a new member. Without a disk: another does.
             Some(peer) if peer.disk != member.disk => {
-                let back = ReplicaId { front: member.front, disk: peer.disk };
+                let back = ReplicaId {
+                    front: member.front,
+                    disk: peer.disk,
+                };
                 return Some((
                     *member,
                     Some(back).filter(|back| back.disk != 0 && now - peer.heard_at < HEARD_WITHIN),
@@ -96,9 +117,15 @@
     members: &[ReplicaId],
     peer: impl Fn(FrontId) -> Option<Peer>,
 ) -> Option<ReplicaId> {
-    let mut free = ranked.iter().filter(|front| members.iter().all(|member| member.front != **front));
+    let mut free = ranked
+        .iter()
+        .filter(|front| members.iter().all(|member| member.front != **front));
     free.find_map(|front| {
-        let peer = peer(*front).filter(|peer| peer.disk != 0 && now - peer.heard_at < HEARD_WITHIN)?;
-        Some(ReplicaId { front: *front, disk: peer.disk })
+        let peer =
+            peer(*front).filter(|peer| peer.disk != 0 && now - peer.heard_at < HEARD_WITHIN)?;
+        Some(ReplicaId {
+            front: *front,
+            disk: peer.disk,
+        })
     })
 }
--- a/crates/ledger/src/replica.rs
+++ b/crates/ledger/src/replica.rs
@@ -83,7 +83,11 @@
             ..LogState::default()
         };
         let mut replica = Replica::open(shard, configuration, own, preferred, log_state)?;
-        replica.changes = Changes { must_persist: true, log_from: None, snapshot: true };
+        replica.changes = Changes {
+            must_persist: true,
+            log_from: None,
+            snapshot: true,
+        };
         replica.dirty = true;
         Some(replica)
     }
@@ -158,7 +162,12 @@
     }
 
     /// A message of a member in one of its lives.
-    pub fn heard(&mut self, from: (FrontId, u64), number: u64, message: Message<Batch>) -> Received {
+    pub fn heard(
+        &mut self,
+        from: (FrontId, u64),
+        number: u64,
+        message: Message<Batch>,
+    ) -> Received {
         if !self.order.accepts(from.0, from.1, number) {
             return Received::OutOfOrder;
         }
@@ -171,7 +180,11 @@
             return false;
         }
         if self.known.insert((command.owner, command.number)) {
-            self.queue.push(Waiting { command, came, ends });
+            self.queue.push(Waiting {
+                command,
+                came,
+                ends,
+            });
         }
         true
     }
@@ -194,7 +207,10 @@
 
     /// Proposes what waits, once the round before has ended; takes in what is decided.
     pub fn settle(&mut self, now: Micros, wall_ms: u64) -> Settled {
-        let mut settled = Settled { answers: self.apply(), rounds: 0 };
+        let mut settled = Settled {
+            answers: self.apply(),
+            rounds: 0,
+        };
         if !self.is_leader() {
             // Whoever leads it now is asked again.
             self.queue.clear();
@@ -220,7 +236,9 @@
             if waiting.ends <= now {
                 self.known.remove(&(command.owner, command.number));
             } else if bytes < BATCH_BYTES
-                && !self.key_queues.is_reserved_for_another(now, command, waiting.came)
+                && !self
+                    .key_queues
+                    .is_reserved_for_another(now, command, waiting.came)
             {
                 bytes += size(command);
                 commands.push(waiting.command);
@@ -229,12 +247,17 @@
             }
         }
         !commands.is_empty()
-            && self.log.append(Batch { wall_ms, commands, tail: Tail::of(self.format, None) })
+            && self.log.append(Batch {
+                wall_ms,
+                commands,
+                tail: Tail::of(self.format, None),
+            })
     }
 
     /// The fronts to be told that a key is free, with the numbers of their latest asks.
     pub fn freed_keys(&mut self, now: Micros, wall_ms: u64) -> Vec<(Owner, u64)> {
-        self.key_queues.freed_keys(now, |key| self.state.is_free(key, wall_ms))
+        self.key_queues
+            .freed_keys(now, |key| self.state.is_free(key, wall_ms))
     }
 
     fn apply(&mut self) -> Vec<(Command, Outcome)> {
@@ -269,7 +292,15 @@
         let order = &mut self.order;
         let wrap = |(to, message)| {
             let number = order.number(&message);
-            (to, LedgerMessage::Log { shard, config, number, message: Box::new(message) })
+            (
+                to,
+                LedgerMessage::Log {
+                    shard,
+                    config,
+                    number,
+                    message: Box::new(message),
+                },
+            )
         };
         self.log.messages().into_iter().map(wrap).collect()
     }
@@ -281,7 +312,10 @@
             (None, batches) if from >= self.log.compacted() => Base::Suffix { index, batches },
             _ => {
                 let state = crate::messages::encode(&self.state.for_next_configuration());
-                Base::Snapshot { index: FIRST, state }
+                Base::Snapshot {
+                    index: FIRST,
+                    state,
+                }
             }
         }
     }
@@ -291,7 +325,12 @@
         if let Some(changes) = self.store.take_changes() {
             self.changes.must_persist |= changes.must_persist;
             self.changes.snapshot |= changes.snapshot;
-            self.changes.log_from = self.changes.log_from.into_iter().chain(changes.log_from).min();
+            self.changes.log_from = self
+                .changes
+                .log_from
+                .into_iter()
+                .chain(changes.log_from)
+                .min();
             self.dirty = true;
         }
         self.changes.must_persist
@@ -300,7 +339,8 @@
     /// Replaces the state as of an entry by another, and applies what its own log has since; false where that can't be.
     pub fn replace_state(&mut self, index: u64, mut state: State) -> bool {
         let from = usize::try_from(index).unwrap_or(usize::MAX);
-        if from < self.log.compacted() || from > self.applied || self.log.decided() != self.applied {
+        if from < self.log.compacted() || from > self.applied || self.log.decided() != self.applied
+        {
             return false;
         }
         let (snapshot, batches) = self.log.since(from);
@@ -313,7 +353,8 @@
         }
         batches.iter().for_each(|batch| _ = state.apply(batch));
         self.state = state.clone();
-        omnipaxos::storage::Storage::set_snapshot(&mut self.store, Some(LogSnapshot::of(state))).is_ok()
+        omnipaxos::storage::Storage::set_snapshot(&mut self.store, Some(LogSnapshot::of(state)))
+            .is_ok()
     }
 
     /// What has changed since it was last saved, as records; the latest format that they are of.
@@ -323,13 +364,25 @@
             return format;
         }
         let changes = std::mem::take(&mut self.changes);
-        let (shard, config, members, before) = (self.shard, self.config, self.members.clone(), self.saved);
+        let (shard, config, members, before) =
+            (self.shard, self.config, self.members.clone(), self.saved);
         self.saved = self.store.read(|log_state| {
             let (compacted, end) = (log_state.compacted, log_state.end());
-            let (promise, accepted_round, decided) =
-                (log_state.promise, log_state.accepted_round, log_state.decided);
-            let meta =
-                Meta { config, members, is_member: true, promise, accepted_round, decided, compacted, end };
+            let (promise, accepted_round, decided) = (
+                log_state.promise,
+                log_state.accepted_round,
+                log_state.decided,
+            );
+            let meta = Meta {
+                config,
+                members,
+                is_member: true,
+                promise,
+                accepted_round,
+                decided,
+                compacted,
+                end,
+            };
             records.push(records::meta(format, shard, &meta));
             if let Some(snapshot) = log_state.snapshot.as_ref().filter(|_| changes.snapshot) {
                 format = format.max(snapshot.format());
@@ -349,7 +402,8 @@
 
     /// Records that remove its log from what is saved.
     pub fn remove_records(&self, records: &mut Vec<Record>) {
-        records.extend((self.saved.0..self.saved.1).map(|index| records::no_entry(self.shard, index)));
+        records
+            .extend((self.saved.0..self.saved.1).map(|index| records::no_entry(self.shard, index)));
     }
 }
 
--- a/crates/ledger/src/requests.rs
+++ b/crates/ledger/src/requests.rs
@@ -24,18 +24,39 @@
         }
         if self.counters.failed {
             // Only what needs no promise goes on here, until it starts over.
-            return self.out.done.push(Done { number, outcome: Outcome::Unreachable });
+            return self.out.done.push(Done {
+                number,
+                outcome: Outcome::Unreachable,
+            });
         }
         if long || key.name.len() > LONGEST_NAME {
             self.refuse("too long");
-            return self.out.done.push(Done { number, outcome: Outcome::Full });
+            return self.out.done.push(Done {
+                number,
+                outcome: Outcome::Full,
+            });
         }
         let shard = shard_of(&key, self.setup.shards);
-        let owner = Owner { front: self.own.front, incarnation: self.setup.incarnation };
+        let owner = Owner {
+            front: self.own.front,
+            incarnation: self.setup.incarnation,
+        };
         let asked_ms = self.asks.first(number, at.wall_ms);
-        let command = Command { owner, number, asked_ms, key, act };
-        if !self.asks.wait(command, shard, at.steady + self.setup.ask_timeout) {
-            return self.out.done.push(Done { number, outcome: Outcome::Unreachable });
+        let command = Command {
+            owner,
+            number,
+            asked_ms,
+            key,
+            act,
+        };
+        if !self
+            .asks
+            .wait(command, shard, at.steady + self.setup.ask_timeout)
+        {
+            return self.out.done.push(Done {
+                number,
+                outcome: Outcome::Unreachable,
+            });
         }
         self.send_ask(at, number);
         self.settle(at);
@@ -43,28 +64,53 @@
 
     /// Passes a request on to the shard's leader, as far as that is known.
     pub(crate) fn send_ask(&mut self, at: Moment, number: u64) {
-        let Some((waiting, tries)) = self.asks.next_attempt(at.steady, number) else { return };
-        let Some(view) = self.shards.get_mut(usize::from(waiting.shard)) else { return };
+        let Some((waiting, tries)) = self.asks.next_attempt(at.steady, number) else {
+            return;
+        };
+        let Some(view) = self.shards.get_mut(usize::from(waiting.shard)) else {
+            return;
+        };
         let shard = waiting.shard;
         if let Some(replica) = view.replica.as_mut().filter(|replica| replica.is_leader()) {
             replica.ask(waiting.command.clone(), at.steady, waiting.ends);
             self.touched.insert(shard);
             return;
         }
-        let leader = view.replica.as_ref().and_then(Replica::leader).or(view.leader_hint);
+        let leader = view
+            .replica
+            .as_ref()
+            .and_then(Replica::leader)
+            .or(view.leader_hint);
         let members: Vec<FrontId> = view.members().iter().map(|member| member.front).collect();
-        let rest = view.ranked.iter().filter(|front| !members.contains(front)).copied();
+        let rest = view
+            .ranked
+            .iter()
+            .filter(|front| !members.contains(front))
+            .copied();
         let others: Vec<FrontId> = members.iter().copied().chain(rest).collect();
         if let Some(to) = asks::next_receiver(leader, &others, self.own.front, tries) {
-            let message = LedgerMessage::Request { shard, command: waiting.command.clone() };
+            let message = LedgerMessage::Request {
+                shard,
+                command: waiting.command.clone(),
+            };
             self.transport.send(at, to, &message, Pace::Fast);
         }
     }
 
     /// Another front does not lead the shard of an ask, and says which one does.
-    pub(crate) fn redirect(&mut self, at: Moment, from: FrontId, number: u64, leader: Option<FrontId>) {
-        let Some(shard) = self.asks.shard(number) else { return };
-        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+    pub(crate) fn redirect(
+        &mut self,
+        at: Moment,
+        from: FrontId,
+        number: u64,
+        leader: Option<FrontId>,
+    ) {
+        let Some(shard) = self.asks.shard(number) else {
+            return;
+        };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+            return;
+        };
         let leader = leader.filter(|leader| *leader != from);
         let new = leader.is_some() && leader != view.leader_hint;
         view.leader_hint = leader.or(view.leader_hint.filter(|hint| *hint != from));
@@ -75,7 +121,9 @@
 
     /// The answer to an ask of this front, to be given once what it rests on is durable here.
     pub(crate) fn record_answer(&mut self, leader: Option<FrontId>, number: u64, outcome: Outcome) {
-        let Some(shard) = self.asks.answered(number) else { return };
+        let Some(shard) = self.asks.answered(number) else {
+            return;
+        };
         if let Some(view) = self.shards.get_mut(usize::from(shard)) {
             view.leader_hint = leader.or(view.leader_hint);
         }
@@ -85,13 +133,16 @@
 
     /// An ask of another front has come.
     pub(crate) fn receive_ask(&mut self, at: Moment, from: FrontId, shard: u16, command: Command) {
-        let fits = command.owner.front == from && shard_of(&command.key, self.setup.shards) == shard;
+        let fits =
+            command.owner.front == from && shard_of(&command.key, self.setup.shards) == shard;
         if !fits || size(&command) > LONGEST_NAME + LONGEST_VALUE {
             return self.refuse("another's ask");
         }
         let (incarnation, number) = (command.owner.incarnation, command.number);
         let ends = at.steady + self.setup.ask_timeout;
-        let Some(view) = self.shards.get_mut(usize::from(shard)) else { return };
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+            return;
+        };
         let leader = match &mut view.replica {
             Some(replica) if replica.is_leader() => {
                 if !replica.ask(command, at.steady, ends) {
@@ -103,10 +154,19 @@
             None => view.leader_hint,
         };
         let (config, members) = (view.config(), view.members().to_vec());
-        let message = LedgerMessage::NotLeader { shard, incarnation, number, leader };
+        let message = LedgerMessage::NotLeader {
+            shard,
+            incarnation,
+            number,
+            leader,
+        };
         self.transport.send(at, from, &message, Pace::Fast);
         if view.replica.is_none() && config > 0 {
-            let message = LedgerMessage::Membership { shard, config, members };
+            let message = LedgerMessage::Membership {
+                shard,
+                config,
+                members,
+            };
             self.transport.send(at, from, &message, Pace::Fast);
         }
     }
--- a/crates/ledger/src/setup.rs
+++ b/crates/ledger/src/setup.rs
@@ -53,7 +53,13 @@
 
 impl Setup {
     /// The operator file's defaults.
-    pub fn new(fleet: &str, own: FrontId, incarnation: u64, disk: DiskId, members: Vec<Member>) -> Setup {
+    pub fn new(
+        fleet: &str,
+        own: FrontId,
+        incarnation: u64,
+        disk: DiskId,
+        members: Vec<Member>,
+    ) -> Setup {
         Setup {
             fleet: fleet.to_string(),
             own,
--- a/crates/ledger/src/shard_view.rs
+++ b/crates/ledger/src/shard_view.rs
@@ -67,8 +67,14 @@
 
     /// Which of these members is to lead it.
     pub fn preferred_among(&self, members: &[ReplicaId]) -> Option<FrontId> {
-        let mut order = self.preferred_leader.iter().chain(&self.wanted).chain(&self.ranked);
-        order.find(|front| members.iter().any(|member| member.front == **front)).copied()
+        let mut order = self
+            .preferred_leader
+            .iter()
+            .chain(&self.wanted)
+            .chain(&self.ranked);
+        order
+            .find(|front| members.iter().any(|member| member.front == **front))
+            .copied()
     }
 
     /// The number of its latest configuration; 0: none is known.
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -44,15 +44,25 @@
 impl Batch {
     /// One that changes the members.
     pub fn change(format: u8, wall_ms: u64, next: Vec<ReplicaId>) -> Batch {
-        Batch { wall_ms, commands: Vec::new(), tail: Tail::of(format, Some(next)) }
+        Batch {
+            wall_ms,
+            commands: Vec::new(),
+            tail: Tail::of(format, Some(next)),
+        }
     }
 }
 
 /// An outcome that is remembered, without what the ask itself says.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum StoredOutcome {
-    Stands { version: u64 },
-    Held { owner: Owner, version: u64, ends_ms: u64 },
+    Stands {
+        version: u64,
+    },
+    Held {
+        owner: Owner,
+        version: u64,
+        ends_ms: u64,
+    },
     Absent,
     Full,
 }
@@ -73,7 +83,11 @@
 
 impl Limits {
     pub fn of(setup: &Setup) -> Limits {
-        Limits { entries: setup.most_entries, bytes: setup.most_bytes, clock_skew_ms: setup.clock_skew_ms }
+        Limits {
+            entries: setup.most_entries,
+            bytes: setup.most_bytes,
+            clock_skew_ms: setup.clock_skew_ms,
+        }
     }
 }
 
@@ -103,7 +117,10 @@
 
 impl State {
     pub fn new(limits: Limits) -> State {
-        State { limits, ..State::default() }
+        State {
+            limits,
+            ..State::default()
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -116,9 +133,23 @@
 
     /// Each entry, and all else that replicas agree on, as bytes: for their comparison.
     pub fn parts(&self) -> (impl Iterator<Item = (&Key, Vec<u8>)>, Vec<u8>) {
-        let entries = self.entries.iter().map(|(key, entry)| (key, crate::messages::encode(entry)));
-        let State { limits, now_ms, last, bytes, answers, tail, .. } = self;
-        (entries, crate::messages::encode(&(limits, now_ms, last, bytes, answers, tail)))
+        let entries = self
+            .entries
+            .iter()
+            .map(|(key, entry)| (key, crate::messages::encode(entry)));
+        let State {
+            limits,
+            now_ms,
+            last,
+            bytes,
+            answers,
+            tail,
+            ..
+        } = self;
+        (
+            entries,
+            crate::messages::encode(&(limits, now_ms, last, bytes, answers, tail)),
+        )
     }
 
     /// The entry of a key.
@@ -129,7 +160,8 @@
     /// Whether nobody has it any more, at that time.
     pub fn is_free(&self, key: &Key, wall_ms: u64) -> bool {
         let ends = |entry: &Entry| entry.ends_ms.saturating_add(self.limits.clock_skew_ms);
-        self.of(key).is_none_or(|entry| entry.ends_ms > 0 && ends(entry) <= wall_ms)
+        self.of(key)
+            .is_none_or(|entry| entry.ends_ms > 0 && ends(entry) <= wall_ms)
     }
 
     pub fn next(&self) -> Option<&[ReplicaId]> {
@@ -143,7 +175,10 @@
 
     /// The state that the next configuration starts from: the same entries.
     pub fn for_next_configuration(&self) -> State {
-        State { tail: Tail::of(self.format(), None), ..self.clone() }
+        State {
+            tail: Tail::of(self.format(), None),
+            ..self.clone()
+        }
     }
 
     /// Applies a batch; the outcome of each of its commands. Empty once the members have changed: what follows in this
@@ -154,7 +189,11 @@
         }
         self.now_ms = self.now_ms.max(batch.wall_ms);
         self.expire();
-        let outcomes = batch.commands.iter().map(|command| self.command(command)).collect();
+        let outcomes = batch
+            .commands
+            .iter()
+            .map(|command| self.command(command))
+            .collect();
         let next = batch.tail.next().map(<[ReplicaId]>::to_vec);
         self.tail = Tail::of(self.format().max(batch.tail.format()), next);
         outcomes
@@ -162,7 +201,10 @@
 
     fn command(&mut self, command: &Command) -> Outcome {
         if command.act == Act::Read {
-            return self.of(&command.key).cloned().map_or(Outcome::Absent, Outcome::Stands);
+            return self
+                .of(&command.key)
+                .cloned()
+                .map_or(Outcome::Absent, Outcome::Stands);
         }
         let id = (command.owner, command.number);
         if let Some(before) = self.answers.get(&id) {
@@ -174,29 +216,56 @@
             return Outcome::Unreachable;
         }
         let (outcome, stored) = self.act(command);
-        self.answers.insert(id, StoredAnswer { asked_ms: command.asked_ms, stored });
-        self.index().forgotten.insert((command.asked_ms, command.owner, command.number));
+        self.answers.insert(
+            id,
+            StoredAnswer {
+                asked_ms: command.asked_ms,
+                stored,
+            },
+        );
+        self.index()
+            .forgotten
+            .insert((command.asked_ms, command.owner, command.number));
         outcome
     }
 
     /// Carries a command out; its outcome, and what is remembered of that.
     fn act(&mut self, command: &Command) -> (Outcome, StoredOutcome) {
         let current = self.of(&command.key).cloned();
-        let mine = current.as_ref().is_none_or(|entry| entry.owner == command.owner);
+        let mine = current
+            .as_ref()
+            .is_none_or(|entry| entry.owner == command.owner);
         // An ask that comes late undoes nothing that the same front asked for after it.
-        let late = mine && self.entries.get(&command.key).is_some_and(|(_, number)| *number > command.number);
+        let late = mine
+            && self
+                .entries
+                .get(&command.key)
+                .is_some_and(|(_, number)| *number > command.number);
         match (&command.act, &current) {
             (Act::Claim { .. }, Some(entry)) if late => {
-                return (Outcome::Stands(entry.clone()), StoredOutcome::Stands { version: entry.version });
+                return (
+                    Outcome::Stands(entry.clone()),
+                    StoredOutcome::Stands {
+                        version: entry.version,
+                    },
+                );
             }
             (Act::Free, _) if late => return (Outcome::Absent, StoredOutcome::Absent),
             _ => {}
         }
         let (ends_ms, value, fits) = match &command.act {
             Act::Claim { ends_ms, value } => (*ends_ms, value, mine),
-            Act::Put { expects, ends_ms, value } => {
+            Act::Put {
+                expects,
+                ends_ms,
+                value,
+            } => {
                 let version = current.as_ref().map_or(0, |entry| entry.version);
-                (*ends_ms, value, expects.is_none_or(|expected| expected == version))
+                (
+                    *ends_ms,
+                    value,
+                    expects.is_none_or(|expected| expected == version),
+                )
             }
             Act::Free | Act::Read if mine => {
                 self.remove(&command.key);
@@ -238,13 +307,23 @@
         self.remove(&command.key);
         self.last += 1;
         let (key, value) = (command.key.clone(), value.to_vec());
-        let entry = Entry { key, owner: command.owner, version: self.last, ends_ms, value };
+        let entry = Entry {
+            key,
+            owner: command.owner,
+            version: self.last,
+            ends_ms,
+            value,
+        };
         self.bytes += size(&entry.value);
         if ends_ms > 0 {
             self.index().ends.insert((ends_ms, entry.key.clone()));
         }
-        self.entries.insert(entry.key.clone(), (entry.clone(), command.number));
-        (Outcome::Stands(entry), StoredOutcome::Stands { version: self.last })
+        self.entries
+            .insert(entry.key.clone(), (entry.clone(), command.number));
+        (
+            Outcome::Stands(entry),
+            StoredOutcome::Stands { version: self.last },
+        )
     }
 
     fn remove(&mut self, key: &Key) {
@@ -257,8 +336,12 @@
     /// Removes what has ended on every front's clock, and forgets answers that nobody can ask for any more.
     fn expire(&mut self) {
         let (now, skew) = (self.now_ms, self.limits.clock_skew_ms);
-        while let Some((_, key)) =
-            self.index().ends.first().filter(|(ends, _)| ends.saturating_add(skew) <= now).cloned()
+        while let Some((_, key)) = self
+            .index()
+            .ends
+            .first()
+            .filter(|(ends, _)| ends.saturating_add(skew) <= now)
+            .cloned()
         {
             self.remove(&key);
         }
@@ -276,14 +359,22 @@
     }
 
     fn index(&mut self) -> &mut Index {
-        let State { index, entries, answers, .. } = self;
+        let State {
+            index,
+            entries,
+            answers,
+            ..
+        } = self;
         index.get_or_insert_with(|| Index {
             ends: entries
                 .values()
                 .filter(|(e, _)| e.ends_ms > 0)
                 .map(|(e, _)| (e.ends_ms, e.key.clone()))
                 .collect(),
-            forgotten: answers.iter().map(|((owner, n), stored)| (stored.asked_ms, *owner, *n)).collect(),
+            forgotten: answers
+                .iter()
+                .map(|((owner, n), stored)| (stored.asked_ms, *owner, *n))
+                .collect(),
         })
     }
 }
@@ -291,8 +382,13 @@
 impl Command {
     /// The answer to a repeat. A claim that was granted and is gone since is not answered as if it stood.
     fn repeat_answer(&self, stored: &StoredOutcome, current: Option<&Entry>) -> Outcome {
-        let entry =
-            |owner, version, ends_ms, value| Entry { key: self.key.clone(), owner, version, ends_ms, value };
+        let entry = |owner, version, ends_ms, value| Entry {
+            key: self.key.clone(),
+            owner,
+            version,
+            ends_ms,
+            value,
+        };
         match (stored, &self.act) {
             (StoredOutcome::Stands { .. }, Act::Claim { .. }) => match current {
                 Some(entry) if entry.owner == self.owner => Outcome::Stands(entry.clone()),
@@ -302,9 +398,14 @@
             (StoredOutcome::Stands { version }, Act::Put { ends_ms, value, .. }) => {
                 Outcome::Stands(entry(self.owner, *version, *ends_ms, value.clone()))
             }
-            (StoredOutcome::Held { owner, version, ends_ms }, _) => {
-                Outcome::Held(entry(*owner, *version, *ends_ms, Vec::new()))
-            }
+            (
+                StoredOutcome::Held {
+                    owner,
+                    version,
+                    ends_ms,
+                },
+                _,
+            ) => Outcome::Held(entry(*owner, *version, *ends_ms, Vec::new())),
             (StoredOutcome::Full, _) => Outcome::Full,
             (StoredOutcome::Absent | StoredOutcome::Stands { .. }, _) => Outcome::Absent,
         }
@@ -321,12 +422,18 @@
 
 impl LogSnapshot {
     pub fn of(base: State) -> LogSnapshot {
-        LogSnapshot { base, since: Vec::new() }
+        LogSnapshot {
+            base,
+            since: Vec::new(),
+        }
     }
 
     /// The latest format of what it holds.
     pub fn format(&self) -> u8 {
-        self.since.iter().map(|batch| batch.tail.format()).fold(self.base.format(), u8::max)
+        self.since
+            .iter()
+            .map(|batch| batch.tail.format())
+            .fold(self.base.format(), u8::max)
     }
 
     pub fn state(&self) -> State {
@@ -338,12 +445,18 @@
 
 impl Snapshot<Batch> for LogSnapshot {
     fn create(entries: &[Batch]) -> LogSnapshot {
-        LogSnapshot { base: State::default(), since: entries.to_vec() }
+        LogSnapshot {
+            base: State::default(),
+            since: entries.to_vec(),
+        }
     }
 
     fn merge(&mut self, later: LogSnapshot) {
         let since = std::mem::take(&mut self.since);
-        since.iter().chain(&later.since).for_each(|batch| _ = self.base.apply(batch));
+        since
+            .iter()
+            .chain(&later.since)
+            .for_each(|batch| _ = self.base.apply(batch));
     }
 
     fn use_snapshots() -> bool {
--- a/crates/ledger/src/state_tests.rs
+++ b/crates/ledger/src/state_tests.rs
@@ -1,26 +1,53 @@
 use super::*;
 use crate::Kind;
 
-const LIMITS: Limits = Limits { entries: 4, bytes: 2_000, clock_skew_ms: 100 };
+const LIMITS: Limits = Limits {
+    entries: 4,
+    bytes: 2_000,
+    clock_skew_ms: 100,
+};
 
 fn key(name: &str) -> Key {
-    Key { kind: Kind::Order, name: name.to_string() }
+    Key {
+        kind: Kind::Order,
+        name: name.to_string(),
+    }
 }
 
 fn command(front: FrontId, number: u64, name: &str, act: Act) -> Command {
-    Command { owner: Owner { front, incarnation: 1 }, number, asked_ms: 1_000, key: key(name), act }
+    Command {
+        owner: Owner {
+            front,
+            incarnation: 1,
+        },
+        number,
+        asked_ms: 1_000,
+        key: key(name),
+        act,
+    }
 }
 
 fn claim(ends_ms: u64) -> Act {
-    Act::Claim { ends_ms, value: vec![1] }
+    Act::Claim {
+        ends_ms,
+        value: vec![1],
+    }
 }
 
 fn put(expects: Option<u64>) -> Act {
-    Act::Put { expects, ends_ms: 0, value: vec![2] }
+    Act::Put {
+        expects,
+        ends_ms: 0,
+        value: vec![2],
+    }
 }
 
 fn at(wall_ms: u64, command: Command) -> Batch {
-    Batch { wall_ms, commands: vec![command], tail: Tail::None }
+    Batch {
+        wall_ms,
+        commands: vec![command],
+        tail: Tail::None,
+    }
 }
 
 fn once(state: &mut State, wall_ms: u64, command: Command) -> Outcome {
@@ -30,15 +57,34 @@
 #[test]
 fn a_key_is_one_fronts_until_its_end_and_a_little_longer() {
     let mut state = State::new(LIMITS);
-    let Outcome::Stands(first) = once(&mut state, 1_000, command(1, 1, "a", claim(2_000))) else { panic!() };
-    assert_eq!(once(&mut state, 1_500, command(2, 1, "a", claim(9_000))), Outcome::Held(first.clone()));
-    assert_eq!(once(&mut state, 2_099, command(2, 2, "a", claim(9_000))), Outcome::Held(first.clone()));
-    let Outcome::Stands(later) = once(&mut state, 2_100, command(2, 3, "a", claim(9_000))) else { panic!() };
+    let Outcome::Stands(first) = once(&mut state, 1_000, command(1, 1, "a", claim(2_000))) else {
+        panic!()
+    };
+    assert_eq!(
+        once(&mut state, 1_500, command(2, 1, "a", claim(9_000))),
+        Outcome::Held(first.clone())
+    );
+    assert_eq!(
+        once(&mut state, 2_099, command(2, 2, "a", claim(9_000))),
+        Outcome::Held(first.clone())
+    );
+    let Outcome::Stands(later) = once(&mut state, 2_100, command(2, 3, "a", claim(9_000))) else {
+        panic!()
+    };
     assert!(later.version > first.version && later.owner.front == 2);
     // Time never runs back, whoever proposes.
-    assert_eq!(once(&mut state, 1_000, command(1, 4, "a", Act::Free)), Outcome::Held(later));
-    assert_eq!(once(&mut state, 2_100, command(2, 5, "a", Act::Free)), Outcome::Absent);
-    assert!(matches!(once(&mut state, 2_100, command(1, 6, "a", claim(9_000))), Outcome::Stands(_)));
+    assert_eq!(
+        once(&mut state, 1_000, command(1, 4, "a", Act::Free)),
+        Outcome::Held(later)
+    );
+    assert_eq!(
+        once(&mut state, 2_100, command(2, 5, "a", Act::Free)),
+        Outcome::Absent
+    );
+    assert!(matches!(
+        once(&mut state, 2_100, command(1, 6, "a", claim(9_000))),
+        Outcome::Stands(_)
+    ));
 }
 
 #[test]
@@ -48,38 +94,80 @@
     assert_eq!(once(&mut state, 1_000, command(1, 1, "a", claim(0))), first);
     let held = once(&mut state, 1_000, command(2, 7, "a", claim(0)));
     assert!(matches!(held, Outcome::Held(_)));
-    assert_eq!(once(&mut state, 1_000, command(1, 2, "a", Act::Free)), Outcome::Absent);
+    assert_eq!(
+        once(&mut state, 1_000, command(1, 2, "a", Act::Free)),
+        Outcome::Absent
+    );
     // A late copy of the first takes nothing again, and is not told as if it stood; of what was held neither.
-    assert_eq!(once(&mut state, 1_000, command(1, 1, "a", claim(0))), Outcome::Absent);
-    assert!(matches!(once(&mut state, 1_000, command(2, 7, "a", claim(0))), Outcome::Held(_)));
-    assert_eq!(once(&mut state, 1_000, command(1, 3, "a", Act::Read)), Outcome::Absent);
+    assert_eq!(
+        once(&mut state, 1_000, command(1, 1, "a", claim(0))),
+        Outcome::Absent
+    );
+    assert!(matches!(
+        once(&mut state, 1_000, command(2, 7, "a", claim(0))),
+        Outcome::Held(_)
+    ));
+    assert_eq!(
+        once(&mut state, 1_000, command(1, 3, "a", Act::Read)),
+        Outcome::Absent
+    );
     // Once it may be forgotten, it counts for nothing.
     let end = 1_000 + REMEMBERED_MS;
-    assert_eq!(once(&mut state, end, command(1, 1, "a", claim(0))), Outcome::Unreachable);
+    assert_eq!(
+        once(&mut state, end, command(1, 1, "a", claim(0))),
+        Outcome::Unreachable
+    );
     assert_eq!((state.len(), state.answers.len()), (0, 0));
 }
 
 #[test]
 fn an_ask_that_comes_late_undoes_nothing_asked_after_it() {
     let mut state = State::new(LIMITS);
-    let Outcome::Stands(later) = once(&mut state, 1_000, command(1, 5, "a", claim(9_000))) else { panic!() };
-    assert_eq!(once(&mut state, 1_000, command(1, 4, "a", Act::Free)), Outcome::Absent);
-    assert_eq!(once(&mut state, 1_000, command(1, 3, "a", claim(2_000))), Outcome::Stands(later.clone()));
-    assert_eq!(once(&mut state, 1_000, command(2, 1, "a", Act::Read)), Outcome::Stands(later));
-    assert_eq!(once(&mut state, 1_000, command(1, 6, "a", Act::Free)), Outcome::Absent);
+    let Outcome::Stands(later) = once(&mut state, 1_000, command(1, 5, "a", claim(9_000))) else {
+        panic!()
+    };
+    assert_eq!(
+        once(&mut state, 1_000, command(1, 4, "a", Act::Free)),
+        Outcome::Absent
+    );
+    assert_eq!(
+        once(&mut state, 1_000, command(1, 3, "a", claim(2_000))),
+        Outcome::Stands(later.clone())
+    );
+    assert_eq!(
+        once(&mut state, 1_000, command(2, 1, "a", Act::Read)),
+        Outcome::Stands(later)
+    );
+    assert_eq!(
+        once(&mut state, 1_000, command(1, 6, "a", Act::Free)),
+        Outcome::Absent
+    );
     assert_eq!(state.len(), 0);
 }
 
 #[test]
 fn puts_go_by_the_version() {
     let mut state = State::new(LIMITS);
-    assert_eq!(once(&mut state, 1_000, command(1, 1, "a", put(Some(3)))), Outcome::Absent);
-    let Outcome::Stands(first) = once(&mut state, 1_000, command(1, 2, "a", put(Some(0)))) else { panic!() };
-    assert_eq!(once(&mut state, 1_000, command(2, 3, "a", put(Some(0)))), Outcome::Held(first.clone()));
+    assert_eq!(
+        once(&mut state, 1_000, command(1, 1, "a", put(Some(3)))),
+        Outcome::Absent
+    );
+    let Outcome::Stands(first) = once(&mut state, 1_000, command(1, 2, "a", put(Some(0)))) else {
+        panic!()
+    };
+    assert_eq!(
+        once(&mut state, 1_000, command(2, 3, "a", put(Some(0)))),
+        Outcome::Held(first.clone())
+    );
     let swap = command(2, 4, "a", put(Some(first.version)));
-    let Outcome::Stands(second) = once(&mut state, 1_000, swap) else { panic!() };
+    let Outcome::Stands(second) = once(&mut state, 1_000, swap) else {
+        panic!()
+    };
     assert!(second.version > first.version && second.owner.front == 2);
-    assert!(matches!(once(&mut state, 1_000, command(1, 5, "a", put(None))), Outcome::Stands(_)));
+    assert!(matches!(
+        once(&mut state, 1_000, command(1, 5, "a", put(None))),
+        Outcome::Stands(_)
+    ));
 }
 
 #[test]
@@ -87,18 +175,41 @@
     let mut state = State::new(LIMITS);
     for n in 0..4 {
         assert!(matches!(
-            once(&mut state, 1_000, command(1, n, &n.to_string(), claim(1_500))),
+            once(
+                &mut state,
+                1_000,
+                command(1, n, &n.to_string(), claim(1_500))
+            ),
             Outcome::Stands(_)
         ));
     }
-    assert_eq!(once(&mut state, 1_000, command(1, 10, "more", claim(0))), Outcome::Full);
-    let large = Act::Put { expects: None, ends_ms: 0, value: vec![0; 1_900] };
-    assert_eq!(once(&mut state, 1_000, command(1, 11, "0", large)), Outcome::Full);
-    assert_eq!(once(&mut state, 1_000, command(1, 12, "0", Act::Free)), Outcome::Absent);
-    assert!(matches!(once(&mut state, 1_000, command(1, 13, "more", claim(0))), Outcome::Stands(_)));
+    assert_eq!(
+        once(&mut state, 1_000, command(1, 10, "more", claim(0))),
+        Outcome::Full
+    );
+    let large = Act::Put {
+        expects: None,
+        ends_ms: 0,
+        value: vec![0; 1_900],
+    };
+    assert_eq!(
+        once(&mut state, 1_000, command(1, 11, "0", large)),
+        Outcome::Full
+    );
+    assert_eq!(
+        once(&mut state, 1_000, command(1, 12, "0", Act::Free)),
+        Outcome::Absent
+    );
+    assert!(matches!(
+        once(&mut state, 1_000, command(1, 13, "more", claim(0))),
+        Outcome::Stands(_)
+    ));
     // What has ended leaves its room.
     once(&mut state, 2_000, command(1, 14, "x", Act::Read));
-    assert_eq!((state.len(), state.bytes()), (1, "more".len() + 1 + ENTRY_OVERHEAD));
+    assert_eq!(
+        (state.len(), state.bytes()),
+        (1, "more".len() + 1 + ENTRY_OVERHEAD)
+    );
 }
 
 #[test]
@@ -108,10 +219,16 @@
     let next = vec![ReplicaId { front: 1, disk: 5 }];
     let change = Batch::change(1, 1_000, next.clone());
     state.apply(&change);
-    assert_eq!(state.apply(&at(1_000, command(1, 2, "a", Act::Free))), Vec::new());
+    assert_eq!(
+        state.apply(&at(1_000, command(1, 2, "a", Act::Free))),
+        Vec::new()
+    );
     assert_eq!(state.next(), Some(&next[..]));
     let mut after = state.for_next_configuration();
-    assert_eq!(once(&mut after, 1_000, command(1, 2, "a", Act::Free)), Outcome::Absent);
+    assert_eq!(
+        once(&mut after, 1_000, command(1, 2, "a", Act::Free)),
+        Outcome::Absent
+    );
 }
 
 #[test]
@@ -119,7 +236,10 @@
     let log: Vec<Batch> = (0..12u64)
         .map(|n| {
             let act = [claim(1_000 + 100 * n), put(None), Act::Free][n as usize % 3].clone();
-            at(1_000 + 50 * n, command(n % 2, n / 2, ["a", "b"][n as usize % 5 % 2], act))
+            at(
+                1_000 + 50 * n,
+                command(n % 2, n / 2, ["a", "b"][n as usize % 5 % 2], act),
+            )
         })
         .collect();
     let bytes = |state: &State| postcard::to_stdvec(state).unwrap();
--- a/crates/ledger/src/tail.rs
+++ b/crates/ledger/src/tail.rs
@@ -23,7 +23,9 @@
 fn known<'de, D: Deserializer<'de>>(reader: D) -> Result<u8, D::Error> {
     match u8::deserialize(reader)? {
         format @ FIRST_EXPLICIT_FORMAT..=FORMAT => Ok(format),
-        format => Err(D::Error::custom(format!("of form {format}, this build reads {FORMAT}"))),
+        format => Err(D::Error::custom(format!(
+            "of form {format}, this build reads {FORMAT}"
+        ))),
     }
 }
 
@@ -46,7 +48,10 @@
 
     pub fn next(&self) -> Option<&[ReplicaId]> {
         match self {
-            Tail::Next(next) | Tail::Explicit { next: Some(next), .. } => Some(next),
+            Tail::Next(next)
+            | Tail::Explicit {
+                next: Some(next), ..
+            } => Some(next),
             Tail::None | Tail::Explicit { next: None, .. } => None,
         }
     }
--- a/crates/ledger/src/transport.rs
+++ b/crates/ledger/src/transport.rs
@@ -56,13 +56,21 @@
     /// A fragment of it as it is sent; `id` is its number here.
     fn fragment(&self, id: u64, index: u16) -> Option<Payload> {
         let bytes = self.slice(index)?.to_vec();
-        Some(Payload::Fragment { id, index, count: self.count(), bytes })
+        Some(Payload::Fragment {
+            id,
+            index,
+            count: self.count(),
+            bytes,
+        })
     }
 
     /// Its receiver lacks these fragments.
     fn resend(&mut self, now: Micros, missing: Vec<u16>) {
         let count = self.count();
-        let new = missing.into_iter().rev().filter(|n| *n < count && !self.to_send.contains(n));
+        let new = missing
+            .into_iter()
+            .rev()
+            .filter(|n| *n < count && !self.to_send.contains(n));
         let new: Vec<u16> = new.collect();
         self.to_send.extend(new);
         self.touched = now;
@@ -139,13 +147,25 @@
         }
         let to_send = (0..count as u16).rev().collect();
         let (touched, reminded) = (at.steady, at.steady);
-        self.long.insert(self.next_long, LongMessage { to, pace, bytes, to_send, touched, reminded });
+        self.long.insert(
+            self.next_long,
+            LongMessage {
+                to,
+                pace,
+                bytes,
+                to_send,
+                touched,
+                reminded,
+            },
+        );
         self.next_long += 1;
     }
 
     /// Whether a long message to this front is under way at this pace.
     pub fn is_busy(&self, to: FrontId, pace: Pace) -> bool {
-        self.long.values().any(|long| long.to == to && long.pace == pace)
+        self.long
+            .values()
+            .any(|long| long.to == to && long.pace == pace)
     }
 
     /// Takes in a packet: its header, and the messages that are complete by it; why it was refused, otherwise.
@@ -165,11 +185,25 @@
         let payload = std::mem::replace(&mut packet.payload, Payload::Messages(Vec::new()));
         let whole = match payload {
             Payload::Messages(messages) => messages,
-            Payload::Fragment { id, index, count, bytes } => {
+            Payload::Fragment {
+                id,
+                index,
+                count,
+                bytes,
+            } => {
                 let id = MessageId { from, number: id };
-                let added = self.reassembly.add(at.steady, id, Fragment { index, count, bytes })?;
+                let added = self.reassembly.add(
+                    at.steady,
+                    id,
+                    Fragment {
+                        index,
+                        count,
+                        bytes,
+                    },
+                )?;
                 if !matches!(added, Added::Incomplete) {
-                    self.payloads.push((from, Payload::Received { id: id.number }));
+                    self.payloads
+                        .push((from, Payload::Received { id: id.number }));
                 }
                 match added {
                     Added::Complete(message) => vec![message],
@@ -190,13 +224,18 @@
             }
         };
         self.formats.heard(from, packet.incarnation, packet.format);
-        let messages: Option<Vec<LedgerMessage>> =
-            whole.iter().map(|message| messages::decode(message)).collect();
-        let mut messages =
-            messages.filter(|messages| messages.iter().all(|w| w.format() <= self.format)).ok_or("form")?;
+        let messages: Option<Vec<LedgerMessage>> = whole
+            .iter()
+            .map(|message| messages::decode(message))
+            .collect();
+        let mut messages = messages
+            .filter(|messages| messages.iter().all(|w| w.format() <= self.format))
+            .ok_or("form")?;
         messages.retain(|message| {
             let format = message.introduced_format();
-            format.into_iter().for_each(|format| self.formats.heard(from, packet.incarnation, format));
+            format
+                .into_iter()
+                .for_each(|format| self.formats.heard(from, packet.incarnation, format));
             format.is_none()
         });
         Ok((packet, messages))
@@ -213,19 +252,28 @@
                 Micros::MAX
             }
         };
-        let long = self.long.values().map(|long| long.ack_due().min(long.touched + ABANDON_AFTER));
+        let long = self
+            .long
+            .values()
+            .map(|long| long.ack_due().min(long.touched + ABANDON_AFTER));
         let fragments = paced(false, &self.log_pacer).min(paced(true, &self.repair_pacer));
-        long.min().unwrap_or(Micros::MAX).min(self.reassembly.due()).min(fragments)
+        long.min()
+            .unwrap_or(Micros::MAX)
+            .min(self.reassembly.due())
+            .min(fragments)
     }
 
     /// The packets that may leave now, each with its receiver.
     pub fn packets(&mut self, at: Moment) -> Vec<(FrontId, Vec<u8>)> {
-        self.payloads.extend(self.reassembly.request_missing(at.steady));
+        self.payloads
+            .extend(self.reassembly.request_missing(at.steady));
         self.remind_receivers(at.steady);
         let mut payloads = std::mem::take(&mut self.payloads);
         for (to, mut messages) in std::mem::take(&mut self.small) {
             let first = self.formats.introduction(at.steady, self.format, to);
-            first.into_iter().for_each(|message| messages.insert(0, messages::encode(&message)));
+            first
+                .into_iter()
+                .for_each(|message| messages.insert(0, messages::encode(&message)));
             let (mut payload, mut used) = (Vec::new(), 0);
             for message in messages {
                 if used + message.len() + 3 > FRAGMENT_BYTES {
@@ -238,21 +286,40 @@
             payloads.push((to, Payload::Messages(payload)));
         }
         self.send_fragments(at.steady, &mut payloads);
-        let (fleet, disk, incarnation, wall_ms) = (self.fleet, self.disk, self.incarnation, at.wall_ms);
+        let (fleet, disk, incarnation, wall_ms) =
+            (self.fleet, self.disk, self.incarnation, at.wall_ms);
         let packet = |format, payload| {
-            messages::encode(&Packet { format, fleet, disk, incarnation, wall_ms, payload })
+            messages::encode(&Packet {
+                format,
+                fleet,
+                disk,
+                incarnation,
+                wall_ms,
+                payload,
+            })
         };
-        payloads.into_iter().map(|(to, payload)| (to, packet(self.common_format(to), payload))).collect()
+        payloads
+            .into_iter()
+            .map(|(to, payload)| (to, packet(self.common_format(to), payload)))
+            .collect()
     }
 
     fn send_fragments(&mut self, now: Micros, payloads: &mut Vec<(FrontId, Payload)>) {
         self.log_pacer.refill(now);
         self.repair_pacer.refill(now);
         for (id, long) in &mut self.long {
-            let pacer = if long.pace == Pace::Repair { &mut self.repair_pacer } else { &mut self.log_pacer };
+            let pacer = if long.pace == Pace::Repair {
+                &mut self.repair_pacer
+            } else {
+                &mut self.log_pacer
+            };
             while pacer.has_packet() {
-                let Some(index) = long.to_send.pop() else { break };
-                let Some(fragment) = long.fragment(*id, index) else { continue };
+                let Some(index) = long.to_send.pop() else {
+                    break;
+                };
+                let Some(fragment) = long.fragment(*id, index) else {
+                    continue;
+                };
                 pacer.spend(long.slice(index).map_or(0, <[u8]>::len) + HEADER_BYTES);
                 long.touched = now;
                 payloads.push((long.to, fragment));
@@ -263,10 +330,18 @@
     /// Sends the last fragment of a message again that is sent and not acknowledged: until it is, nothing else of the same
     /// log goes to its receiver.
     fn remind_receivers(&mut self, now: Micros) {
-        self.long.retain(|_, long| now - long.touched < ABANDON_AFTER);
-        for (id, long) in self.long.iter_mut().filter(|(_, long)| long.ack_due() <= now) {
+        self.long
+            .retain(|_, long| now - long.touched < ABANDON_AFTER);
+        for (id, long) in self
+            .long
+            .iter_mut()
+            .filter(|(_, long)| long.ack_due() <= now)
+        {
             long.reminded = now;
-            self.payloads.extend(long.fragment(*id, long.count() - 1).map(|last| (long.to, last)));
+            self.payloads.extend(
+                long.fragment(*id, long.count() - 1)
+                    .map(|last| (long.to, last)),
+            );
         }
     }
 }
--- a/crates/ledger/src/transport_tests.rs
+++ b/crates/ledger/src/transport_tests.rs
@@ -2,12 +2,18 @@
 use crate::state::State;
 
 fn transport(front: u64) -> Transport {
-    let setup = Setup { repair_bytes: 20_000, ..Setup::new("f", front, front, front * 10, Vec::new()) };
+    let setup = Setup {
+        repair_bytes: 20_000,
+        ..Setup::new("f", front, front, front * 10, Vec::new())
+    };
     Transport::new(&setup, 7)
 }
 
 fn at(steady: Micros) -> Moment {
-    Moment { steady, wall_ms: 1_000 }
+    Moment {
+        steady,
+        wall_ms: 1_000,
+    }
 }
 
 fn long(bytes: usize) -> LedgerMessage {
@@ -28,11 +34,17 @@
     one.send(at(0), 3, &LedgerMessage::Probe { shard: 1 }, Pace::Fast);
     let packets = one.packets(at(0));
     assert!(
-        packets.len() == 3 && packets.iter().all(|(_, packet)| packet.len() <= PACKET_BYTES),
+        packets.len() == 3
+            && packets
+                .iter()
+                .all(|(_, packet)| packet.len() <= PACKET_BYTES),
         "{}",
         packets.len()
     );
-    let messages: usize = packets[..2].iter().map(|(_, l)| other.receive(at(0), 1, l).unwrap().1.len()).sum();
+    let messages: usize = packets[..2]
+        .iter()
+        .map(|(_, l)| other.receive(at(0), 1, l).unwrap().1.len())
+        .sum();
     assert_eq!(messages, 200);
 }
 
@@ -57,9 +69,14 @@
             one.receive(at(now), 2, &packet).unwrap();
         }
     }
-    let Some(LedgerMessage::Snapshot { state, .. }) = heard.first() else { panic!("{}", heard.len()) };
+    let Some(LedgerMessage::Snapshot { state, .. }) = heard.first() else {
+        panic!("{}", heard.len())
+    };
     assert_eq!(state.len(), 60_000);
-    assert!(state.iter().enumerate().all(|(n, byte)| *byte == (n % 251) as u8));
+    assert!(state
+        .iter()
+        .enumerate()
+        .all(|(n, byte)| *byte == (n % 251) as u8));
 }
 
 #[test]
@@ -68,23 +85,35 @@
         let (mut one, mut other, mut heard) = (transport(1), transport(2), 0);
         one.send(at(0), 2, &long(3_000), Pace::Log(3));
         for now in (0..80).map(|n| n * 10_000) {
-            for (_, packet) in one.packets(at(now)).into_iter().filter(|_| !(fragments_lost && now < 100_000))
+            for (_, packet) in one
+                .packets(at(now))
+                .into_iter()
+                .filter(|_| !(fragments_lost && now < 100_000))
             {
                 heard += other.receive(at(now), 1, &packet).unwrap().1.len();
             }
-            for (_, packet) in
-                other.packets(at(now)).into_iter().filter(|_| !(acknowledgement_lost && now < 100_000))
+            for (_, packet) in other
+                .packets(at(now))
+                .into_iter()
+                .filter(|_| !(acknowledgement_lost && now < 100_000))
             {
                 one.receive(at(now), 2, &packet).unwrap();
             }
         }
-        assert_eq!((heard, one.is_busy(2, Pace::Log(3))), (1, false), "{fragments_lost}");
+        assert_eq!(
+            (heard, one.is_busy(2, Pace::Log(3))),
+            (1, false),
+            "{fragments_lost}"
+        );
     }
     // One that never hears it is reminded for a while, then the message is forgotten.
     let mut one = transport(1);
     one.send(at(0), 2, &long(3_000), Pace::Log(3));
     let sent: usize = (0..1_200).map(|n| one.packets(at(n * 10_000)).len()).sum();
-    assert!((30..50).contains(&sent) && !one.is_busy(2, Pace::Log(3)), "{sent}");
+    assert!(
+        (30..50).contains(&sent) && !one.is_busy(2, Pace::Log(3)),
+        "{sent}"
+    );
 }
 
 #[test]
@@ -93,9 +122,16 @@
     one.send(at(0), 2, &long(100_000), Pace::Repair);
     let mut sent = 0;
     for now in 0..300 {
-        sent += one.packets(at(now * 10_000)).iter().map(|(_, packet)| packet.len()).sum::<usize>();
+        sent += one
+            .packets(at(now * 10_000))
+            .iter()
+            .map(|(_, packet)| packet.len())
+            .sum::<usize>();
     }
-    assert!((50_000..=63_000).contains(&sent), "{sent} bytes in 3 s at 20,000 a second");
+    assert!(
+        (50_000..=63_000).contains(&sent),
+        "{sent} bytes in 3 s at 20,000 a second"
+    );
 }
 
 #[test]
@@ -108,10 +144,16 @@
         for (_, packet) in one.packets(at(now * 100_000)) {
             assert_eq!(foreign.receive(at(0), 1, &packet).err(), Some("fleet"));
             for cut in 0..packet.len() {
-                assert!(transport(2).receive(at(0), 1, &packet[..cut]).is_err(), "{cut}");
+                assert!(
+                    transport(2).receive(at(0), 1, &packet[..cut]).is_err(),
+                    "{cut}"
+                );
             }
             let newer = [&[crate::FORMAT + 1], &packet[1..]].concat();
-            assert_eq!(transport(2).receive(at(0), 1, &newer).err(), Some("version"));
+            assert_eq!(
+                transport(2).receive(at(0), 1, &newer).err(),
+                Some("version")
+            );
             for place in 0..packet.len() {
                 let mut spoilt = packet.clone();
                 spoilt[place] ^= 0x81;
--- a/crates/ledger/tests/anti_entropy.rs
+++ b/crates/ledger/tests/anti_entropy.rs
@@ -6,19 +6,31 @@
 use sim::{Fleet, SECOND};
 
 fn put(value: u64) -> Act {
-    Act::Put { expects: None, ends_ms: 0, value: value.to_be_bytes().to_vec() }
+    Act::Put {
+        expects: None,
+        ends_ms: 0,
+        value: value.to_be_bytes().to_vec(),
+    }
 }
 
 /// What a shard's snapshot is kept as.
 fn snapshot(fleet: &Fleet, n: usize) -> (Vec<u8>, Vec<u8>) {
-    let mut records = fleet.fronts[n].disk.iter().filter(|(name, _)| name[0] == b'n');
+    let mut records = fleet.fronts[n]
+        .disk
+        .iter()
+        .filter(|(name, _)| name[0] == b'n');
     let (name, bytes) = records.next().unwrap();
     (name.clone(), bytes.clone())
 }
 
 fn told(fleet: &Fleet) -> (u64, u64) {
-    let ledgers = fleet.fronts.iter().filter_map(|front| front.ledger.as_ref());
-    ledgers.map(|l| l.counters()).fold((0, 0), |all, t| (all.0 + t.differed, all.1 + t.mended))
+    let ledgers = fleet
+        .fronts
+        .iter()
+        .filter_map(|front| front.ledger.as_ref());
+    ledgers
+        .map(|l| l.counters())
+        .fold((0, 0), |all, t| (all.0 + t.differed, all.1 + t.mended))
 }
 
 #[test]
@@ -30,7 +42,11 @@
             fleet.get_until_answered(k % 3, &format!("r{}", k % 10), put(k as u64));
         }
         fleet.run(fleet.now + 200 * SECOND);
-        assert_eq!(told(&fleet), (0, 0), "copies that are alike were found to differ");
+        assert_eq!(
+            told(&fleet),
+            (0, 0),
+            "copies that are alike were found to differ"
+        );
         let owner = fleet.leader("r0").unwrap();
         let n = if of_owner { owner } else { (owner + 1) % 3 };
         let before = snapshot(&fleet, n);
@@ -56,7 +72,11 @@
             }
             assert_eq!(fleet.leader("r0"), Some(n));
         }
-        assert!(fleet.run_until(120 * SECOND, |fleet| told(fleet).1 > 0), "{:?}", told(&fleet));
+        assert!(
+            fleet.run_until(120 * SECOND, |fleet| told(fleet).1 > 0),
+            "{:?}",
+            told(&fleet)
+        );
         fleet.run(fleet.now + 200 * SECOND);
         let (differed, mended) = told(&fleet);
         println!("of the owner: {of_owner}: differed {differed}, mended {mended}");
@@ -67,7 +87,8 @@
         fleet.run(fleet.now + 2 * SECOND);
         fleet.kill((n + 1) % 3);
         for k in 0..10 {
-            let Outcome::Stands(entry) = fleet.get_until_answered(n, &format!("r{k}"), Act::Read) else {
+            let Outcome::Stands(entry) = fleet.get_until_answered(n, &format!("r{k}"), Act::Read)
+            else {
                 panic!("r{k}")
             };
             assert_eq!(entry.value, (290 + k as u64).to_be_bytes());
