--- a/crates/ledger/tests/drawn.rs
+++ b/crates/ledger/tests/drawn.rs
@@ -46,7 +46,8 @@
 
 impl Run {
     fn new(seed: u64, same_disk: bool) -> Run {
-        let (fronts, copies, shards) = [(3, 3, 1), (4, 3, 2), (5, 3, 3), (5, 5, 1)][seed as usize % 4];
+        let (fronts, copies, shards) =
+            [(3, 3, 1), (4, 3, 2), (5, 3, 3), (5, 5, 1)][seed as usize % 4];
         let mut fleet = Fleet::new(fronts, copies, shards, seed);
         fleet.same_disk = same_disk;
         fleet.setup.repair_after = 4 * SECOND;
@@ -57,7 +58,15 @@
         fleet.run_until(10 * SECOND, Fleet::is_whole);
         let next_fault = fleet.now;
         let (totals, unanswered) = (Totals::default(), Vec::new());
-        Run { fleet, totals, unique: 0, unanswered, next_fault, lost: None, copies }
+        Run {
+            fleet,
+            totals,
+            unique: 0,
+            unanswered,
+            next_fault,
+            lost: None,
+            copies,
+        }
     }
 
     /// A client at a drawn front claims, frees, reads or writes.
@@ -67,7 +76,10 @@
         if !fleet.is_up(n) {
             return;
         }
-        let (key, register) = (fleet.chance.random_range(0..4), fleet.chance.random_range(0..4));
+        let (key, register) = (
+            fleet.chance.random_range(0..4),
+            fleet.chance.random_range(0..4),
+        );
         let wall = (WALL as i64 + fleet.now / 1_000 + fleet.fronts[n].ahead) as u64;
         self.unique += 1;
         let value = self.unique.to_be_bytes().to_vec();
@@ -77,7 +89,14 @@
                 (format!("claim {key}"), Act::Claim { ends_ms, value })
             }
             2 => (format!("claim {key}"), Act::Free),
-            3 | 4 => (format!("r{register}"), Act::Put { expects: None, ends_ms: 0, value }),
+            3 | 4 => (
+                format!("r{register}"),
+                Act::Put {
+                    expects: None,
+                    ends_ms: 0,
+                    value,
+                },
+            ),
             _ => (format!("r{register}"), Act::Read),
         };
         // A front asks one thing of a key at a time.
@@ -86,16 +105,33 @@
             return;
         }
         let number = fleet.ask(n, &name, act.clone());
-        let ask = Ask { number, key: Key { kind: Kind::Order, name }, act };
+        let ask = Ask {
+            number,
+            key: Key {
+                kind: Kind::Order,
+                name,
+            },
+            act,
+        };
         let incarnation = fleet.fronts[n].incarnation;
-        self.unanswered.push(Unanswered { front: n, incarnation, ask, asked: fleet.now });
+        self.unanswered.push(Unanswered {
+            front: n,
+            incarnation,
+            ask,
+            asked: fleet.now,
+        });
     }
 
     /// Asks again what nobody answered: under the same number, it counts once.
     fn repeat_unreachable(&mut self) {
         let fleet = &mut self.fleet;
         for waiting in std::mem::take(&mut self.unanswered) {
-            let Unanswered { front, incarnation, ref ask, asked } = waiting;
+            let Unanswered {
+                front,
+                incarnation,
+                ref ask,
+                asked,
+            } = waiting;
             let same = fleet.is_up(front) && fleet.fronts[front].incarnation == incarnation;
             match fleet.record.outcome(front, incarnation, ask.number) {
                 Some(Outcome::Unreachable) if same && fleet.now - asked < 8 * SECOND => {
@@ -131,7 +167,13 @@
     }
 
     fn inject_fault(&mut self) {
-        let Run { fleet, totals, lost, copies, .. } = self;
+        let Run {
+            fleet,
+            totals,
+            lost,
+            copies,
+            ..
+        } = self;
         let fronts = fleet.fronts.len();
         let n = fleet.chance.random_range(0..fronts);
         match fleet.chance.random_range(0..12) {
@@ -185,10 +227,17 @@
 
     /// Heals everything; the fleet, and what came of the run.
     fn finish(self) -> (Fleet, Totals) {
-        let Run { mut fleet, mut totals, .. } = self;
+        let Run {
+            mut fleet,
+            mut totals,
+            ..
+        } = self;
         (fleet.cut, fleet.lost, fleet.doubled) = (Vec::new(), 0.0, 0.0);
         heal_fronts(&mut fleet);
-        let ledgers = fleet.fronts.iter().filter_map(|front| front.ledger.as_ref());
+        let ledgers = fleet
+            .fronts
+            .iter()
+            .filter_map(|front| front.ledger.as_ref());
         totals.moved = ledgers.map(|ledger| ledger.counters().moved).sum();
         for op in &fleet.record.ops {
             match op.done {
@@ -245,8 +294,14 @@
 
 #[test]
 fn drawn_faults_lose_nothing_and_give_nothing_twice() {
-    let first: u64 = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(1);
-    let seeds: u64 = std::env::var("SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(16);
+    let first: u64 = std::env::var("SEED")
+        .ok()
+        .and_then(|seed| seed.parse().ok())
+        .unwrap_or(1);
+    let seeds: u64 = std::env::var("SEEDS")
+        .ok()
+        .and_then(|seeds| seeds.parse().ok())
+        .unwrap_or(16);
     let mut all = Totals::default();
     for seed in first..first + seeds {
         let (mut fleet, totals) = run(seed, 40, false);
@@ -278,7 +333,10 @@
     println!("{seeds} seeds: {all:?}");
     let least = seeds as usize;
     assert!(
-        all.lost_disks >= least && all.killed >= least && all.stopped >= least / 2 && all.cut >= least,
+        all.lost_disks >= least
+            && all.killed >= least
+            && all.stopped >= least / 2
+            && all.cut >= least,
         "{all:?}"
     );
 }
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/ledger/tests/ledger.rs
@@ -7,12 +7,20 @@
 use sim::{Fleet, SECOND};
 
 fn put(value: u64) -> Act {
-    Act::Put { expects: None, ends_ms: 0, value: value.to_be_bytes().to_vec() }
+    Act::Put {
+        expects: None,
+        ends_ms: 0,
+        value: value.to_be_bytes().to_vec(),
+    }
 }
 
 fn whole(fronts: usize, copies: usize, shards: u16, seed: u64) -> Fleet {
     let mut fleet = Fleet::new(fronts, copies, shards, seed);
-    assert!(fleet.run_until(10 * SECOND, Fleet::is_whole), "no copies of all shards after {}", fleet.now);
+    assert!(
+        fleet.run_until(10 * SECOND, Fleet::is_whole),
+        "no copies of all shards after {}",
+        fleet.now
+    );
     fleet
 }
 
@@ -28,11 +36,17 @@
         for n in 0..fronts {
             let key = format!("r{n}");
             assert!(
-                matches!(fleet.get_until_answered(n, &key, put(7)), Outcome::Stands(_)),
+                matches!(
+                    fleet.get_until_answered(n, &key, put(7)),
+                    Outcome::Stands(_)
+                ),
                 "{fronts} {copies} {n}"
             );
             let other = (n + 1) % fronts;
-            assert!(matches!(fleet.get_until_answered(other, &key, Act::Read), Outcome::Stands(_)));
+            assert!(matches!(
+                fleet.get_until_answered(other, &key, Act::Read),
+                Outcome::Stands(_)
+            ));
         }
         sound(&fleet);
     }
@@ -63,7 +77,10 @@
 fn power_lost(answers_before_saves: bool) -> Vec<String> {
     let mut fleet = whole(3, 3, 1, 3);
     fleet.answers_before_saves = answers_before_saves;
-    fleet.fronts.iter_mut().for_each(|front| front.slow = 2 * SECOND);
+    fleet
+        .fronts
+        .iter_mut()
+        .for_each(|front| front.slow = 2 * SECOND);
     for value in 0..20 {
         let number = fleet.ask(value % 3, "r", put(value as u64));
         fleet.run(fleet.now + SECOND / 5);
@@ -97,7 +114,9 @@
     fleet.get_until_answered(others[0], "r", put(2));
     // It wakes and is asked at once, before it has heard of anything.
     fleet.fronts[owner].stopped = false;
-    let Outcome::Stands(entry) = fleet.get_until_answered(owner, "r", Act::Read) else { panic!() };
+    let Outcome::Stands(entry) = fleet.get_until_answered(owner, "r", Act::Read) else {
+        panic!()
+    };
     assert_eq!(entry.value, 2u64.to_be_bytes());
     sound(&fleet);
 }
@@ -110,15 +129,31 @@
     fleet.run(fleet.now + SECOND);
     let asked = fleet.now;
     let number = fleet.ask(cut[0], "r", put(1));
-    assert!(fleet.run_until(SECOND, |fleet| fleet.outcome(cut[0], number) == Some(&Outcome::Unreachable)));
+    assert!(
+        fleet.run_until(SECOND, |fleet| fleet.outcome(cut[0], number)
+            == Some(&Outcome::Unreachable))
+    );
     assert!(fleet.now - asked <= 510_000, "{}", fleet.now - asked);
     // The other side goes on; the ask asked again after the cut stands once, and the later write after it.
     fleet.get_until_answered(cut[1], "r", put(2));
     fleet.cut.clear();
-    let key = hallmux_ledger::Key { kind: hallmux_ledger::Kind::Order, name: "r".to_string() };
-    fleet.repeat(cut[0], hallmux_ledger::Ask { number, key, act: put(1) });
+    let key = hallmux_ledger::Key {
+        kind: hallmux_ledger::Kind::Order,
+        name: "r".to_string(),
+    };
+    fleet.repeat(
+        cut[0],
+        hallmux_ledger::Ask {
+            number,
+            key,
+            act: put(1),
+        },
+    );
     fleet.run(fleet.now + SECOND);
-    assert!(matches!(fleet.outcome(cut[0], number), Some(Outcome::Stands(_))));
+    assert!(matches!(
+        fleet.outcome(cut[0], number),
+        Some(Outcome::Stands(_))
+    ));
     sound(&fleet);
 }
 
@@ -133,11 +168,17 @@
     let since = fleet.now;
     assert!(fleet.run_until(30 * SECOND, Fleet::is_whole));
     let took = fleet.now - since;
-    assert!(took >= fleet.setup.repair_after && took < 20 * SECOND, "{took}");
+    assert!(
+        took >= fleet.setup.repair_after && took < 20 * SECOND,
+        "{took}"
+    );
     fleet.start(gone);
     fleet.run(fleet.now + 5 * SECOND);
     for n in 0..30 {
-        assert!(matches!(fleet.get_until_answered(gone, &format!("r{n}"), Act::Read), Outcome::Stands(_)));
+        assert!(matches!(
+            fleet.get_until_answered(gone, &format!("r{n}"), Act::Read),
+            Outcome::Stands(_)
+        ));
     }
     sound(&fleet);
 }
@@ -153,7 +194,11 @@
     fleet.run(fleet.now + SECOND);
     let after = fleet.fronts[owner].ledger.as_ref().unwrap().counters();
     assert_eq!(after.entries, 200);
-    assert!(after.rounds - before.rounds <= 20, "{} rounds", after.rounds - before.rounds);
+    assert!(
+        after.rounds - before.rounds <= 20,
+        "{} rounds",
+        after.rounds - before.rounds
+    );
     sound(&fleet);
 }
 
@@ -168,7 +213,11 @@
         fleet.get_until_answered(
             n as usize % 3,
             &format!("r{n}"),
-            Act::Put { expects: None, ends_ms: 0, value },
+            Act::Put {
+                expects: None,
+                ends_ms: 0,
+                value,
+            },
         );
     }
     let lost = (0..3).find(|n| Some(*n) != fleet.leader("r0")).unwrap();
@@ -189,7 +238,10 @@
     fleet.cut.clear();
     fleet.run(fleet.now + 3 * SECOND);
     for n in 0..250 {
-        assert!(matches!(fleet.get_until_answered(lost, &format!("r{n}"), Act::Read), Outcome::Stands(_)));
+        assert!(matches!(
+            fleet.get_until_answered(lost, &format!("r{n}"), Act::Read),
+            Outcome::Stands(_)
+        ));
     }
     sound(&fleet);
 }
@@ -209,7 +261,10 @@
             while !fleet.is_whole() {
                 let asked = fleet.now;
                 let outcome = fleet.get(owner, "r", put(asked as u64));
-                assert!(matches!(outcome, Outcome::Stands(_)), "seed {seed}, front {n}: {outcome:?}");
+                assert!(
+                    matches!(outcome, Outcome::Stands(_)),
+                    "seed {seed}, front {n}: {outcome:?}"
+                );
                 longest.push((fleet.now - asked) / 1_000);
             }
         }
@@ -231,7 +286,11 @@
     // One packet in fifty comes up to 200 ms late: an ask that meets two of them takes as long without any.
     let longest = asks_during_changes(0.02);
     let over = longest.iter().filter(|ms| **ms >= 300).count();
-    assert!(over <= 1, "{:?}", longest.iter().rev().take(9).collect::<Vec<_>>());
+    assert!(
+        over <= 1,
+        "{:?}",
+        longest.iter().rev().take(9).collect::<Vec<_>>()
+    );
 }
 
 #[test]
@@ -239,9 +298,15 @@
     let mut fleet = Fleet::new(4, 3, 1, 3);
     assert!(fleet.run_until(10 * SECOND, Fleet::is_whole));
     let owner = fleet.leader("k").expect("one owns the only shard");
-    let keeps =
-        |fleet: &Fleet, n: usize| fleet.fronts[n].ledger.as_ref().is_some_and(|l| l.replicas().count() > 0);
-    let lost = (0..4).find(|n| *n != owner && keeps(&fleet, *n)).expect("others keep copies");
+    let keeps = |fleet: &Fleet, n: usize| {
+        fleet.fronts[n]
+            .ledger
+            .as_ref()
+            .is_some_and(|l| l.replicas().count() > 0)
+    };
+    let lost = (0..4)
+        .find(|n| *n != owner && keeps(&fleet, *n))
+        .expect("others keep copies");
     fleet.lose(lost);
     fleet.start(lost);
     // Somebody always asks: no round ends without the next one waiting.
--- a/crates/ledger/tests/model.rs
+++ b/crates/ledger/tests/model.rs
@@ -104,7 +104,13 @@
 };
 
 /// One fault at a time, to a greater depth.
-const ONE: Rules = Rules { kills: false, losses: false, changes: false, campaigns: 1, ..ALL };
+const ONE: Rules = Rules {
+    kills: false,
+    losses: false,
+    changes: false,
+    campaigns: 1,
+    ..ALL
+};
 
 fn members(config: u8) -> &'static [usize] {
     match config {
@@ -120,7 +126,13 @@
     }
 
     fn say(&mut self, from: usize, config: u8, ballot: u8, word: Word) {
-        self.way.insert(Packet { from, disk: self.disks[from], config, ballot, word });
+        self.way.insert(Packet {
+            from,
+            disk: self.disks[from],
+            config,
+            ballot,
+            word,
+        });
     }
 
     fn keep(&mut self, front: usize, rules: Rules, kept: Kept) {
@@ -132,10 +144,14 @@
 
     /// A majority has accepted so much under this ballot.
     fn decide(&mut self, front: usize, rules: Rules) {
-        let Some(leads) = &self.leads[front] else { return };
+        let Some(leads) = &self.leads[front] else {
+            return;
+        };
         let Some(log) = leads.log.clone() else { return };
         let has = |length: &usize| leads.accepted.values().filter(|n| *n >= length).count() >= 2;
-        let Some(length) = (1..=log.len()).rev().find(has) else { return };
+        let Some(length) = (1..=log.len()).rev().find(has) else {
+            return;
+        };
         let decided = &log[..length];
         let common = decided.len().min(self.acked.len());
         self.broken |= decided[..common] != self.acked[..common];
@@ -153,11 +169,26 @@
     fn begins(&mut self, front: usize, rules: Rules, log: Vec<u8>) {
         let config = if self.is_member(front, 2) { 2 } else { 0 };
         self.leads[front] = None;
-        self.keep(front, rules, Kept { config, promise: 0, accepted: 0, log });
+        self.keep(
+            front,
+            rules,
+            Kept {
+                config,
+                promise: 0,
+                accepted: 0,
+                log,
+            },
+        );
     }
 
     fn arrives(&mut self, to: usize, packet: Packet, rules: Rules) -> Option<()> {
-        let Packet { from, disk, config, ballot, word } = packet;
+        let Packet {
+            from,
+            disk,
+            config,
+            ballot,
+            word,
+        } = packet;
         // A member is a front with its disk: all had the first as they became one.
         if !self.is_member(to, config) || disk != 0 || self.disks[to] != 0 {
             return None;
@@ -185,10 +216,15 @@
                 self.say(to, config, ballot, Word::Promise { accepted, log });
             }
             Word::Promise { accepted, log } => {
-                let leads = self.leads[to].as_mut().filter(|l| l.ballot == ballot && l.log.is_none())?;
+                let leads = self.leads[to]
+                    .as_mut()
+                    .filter(|l| l.ballot == ballot && l.log.is_none())?;
                 leads.promises.insert(from, (accepted, log));
                 if leads.promises.len() >= 2 {
-                    let best = leads.promises.values().max_by_key(|(accepted, log)| (*accepted, log.len()));
+                    let best = leads
+                        .promises
+                        .values()
+                        .max_by_key(|(accepted, log)| (*accepted, log.len()));
                     leads.log = best.map(|(_, log)| log.clone());
                 }
             }
@@ -203,7 +239,9 @@
                 self.say(to, config, ballot, Word::Accepted { length });
             }
             Word::Accepted { length } => {
-                let leads = self.leads[to].as_mut().filter(|leads| leads.ballot == ballot)?;
+                let leads = self.leads[to]
+                    .as_mut()
+                    .filter(|leads| leads.ballot == ballot)?;
                 let most = leads.accepted.entry(from).or_default();
                 *most = length.max(*most);
                 self.decide(to, rules);
@@ -220,11 +258,21 @@
 
     /// Front 0 owns the shard, and all have promised it so.
     fn init_states(&self) -> Vec<State> {
-        let kept = |config| Kept { config, promise: u8::from(config > 0), accepted: 0, log: Vec::new() };
+        let kept = |config| Kept {
+            config,
+            promise: u8::from(config > 0),
+            accepted: 0,
+            log: Vec::new(),
+        };
         let kept: Vec<Kept> = [1, 1, 1, 0].map(kept).to_vec();
         let none = || (0, Vec::new());
         let promises = BTreeMap::from([(0, none()), (1, none())]);
-        let owner = Leads { ballot: 1, promises, log: Some(Vec::new()), accepted: BTreeMap::new() };
+        let owner = Leads {
+            ballot: 1,
+            promises,
+            log: Some(Vec::new()),
+            accepted: BTreeMap::new(),
+        };
         vec![State {
             lasting: kept.clone(),
             kept,
@@ -264,7 +312,10 @@
                 steps.push(Step::LoseDisk(n));
             }
         }
-        let packets = s.way.iter().flat_map(|packet| (0..FRONTS).map(move |to| (to, packet)));
+        let packets = s
+            .way
+            .iter()
+            .flat_map(|packet| (0..FRONTS).map(move |to| (to, packet)));
         let others = packets.filter(|(to, packet)| *to != packet.from);
         steps.extend(others.map(|(to, packet)| Step::Arrives(to, packet.clone())));
     }
@@ -279,7 +330,12 @@
                 let promises = BTreeMap::from([(n, (kept.accepted, kept.log.clone()))]);
                 kept.promise = ballot;
                 s.keep(n, *self, kept);
-                s.leads[n] = Some(Leads { ballot, promises, log: None, accepted: BTreeMap::new() });
+                s.leads[n] = Some(Leads {
+                    ballot,
+                    promises,
+                    log: None,
+                    accepted: BTreeMap::new(),
+                });
                 s.say(n, config, ballot, Word::Prepare);
             }
             Step::Propose(n, value) => {
@@ -290,7 +346,11 @@
                 log.push(value);
                 let log = log.clone();
                 leads.accepted.insert(n, log.len());
-                let kept = Kept { accepted: ballot, log: log.clone(), ..s.kept[n].clone() };
+                let kept = Kept {
+                    accepted: ballot,
+                    log: log.clone(),
+                    ..s.kept[n].clone()
+                };
                 let config = kept.config;
                 s.keep(n, *self, kept);
                 s.say(n, config, ballot, Word::Accept { log });
@@ -304,9 +364,18 @@
             Step::LoseDisk(n) => {
                 s.lost = true;
                 // Under its old identity it would be the member that it was, with nothing in it.
-                let config = if self.disk_identity { 0 } else { s.kept[n].config };
+                let config = if self.disk_identity {
+                    0
+                } else {
+                    s.kept[n].config
+                };
                 s.disks[n] += u8::from(self.disk_identity);
-                s.kept[n] = Kept { config, promise: 0, accepted: 0, log: Vec::new() };
+                s.kept[n] = Kept {
+                    config,
+                    promise: 0,
+                    accepted: 0,
+                    log: Vec::new(),
+                };
                 s.lasting[n] = s.kept[n].clone();
                 s.leads[n] = None;
             }
@@ -316,25 +385,72 @@
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always("what was acknowledged stays", |_, s: &State| !s.broken)]
+        vec![Property::always(
+            "what was acknowledged stays",
+            |_, s: &State| !s.broken,
+        )]
     }
 }
 
 fn check(rules: Rules, depth: usize) -> (bool, usize) {
-    let checker = rules.checker().threads(4).target_max_depth(depth).finish_when(HasDiscoveries::Any);
+    let checker = rules
+        .checker()
+        .threads(4)
+        .target_max_depth(depth)
+        .finish_when(HasDiscoveries::Any);
     let checker = checker.spawn_bfs().join();
-    (checker.discovery("what was acknowledged stays").is_some(), checker.unique_state_count())
+    (
+        checker.discovery("what was acknowledged stays").is_some(),
+        checker.unique_state_count(),
+    )
 }
 
 /// Each rule, the fault that needs it, and what is played without it.
 fn plays() -> [(&'static str, Rules, Rules); 4] {
-    let (losses, changes) = (Rules { losses: true, ..ONE }, Rules { changes: true, ..ONE });
+    let (losses, changes) = (
+        Rules {
+            losses: true,
+            ..ONE
+        },
+        Rules {
+            changes: true,
+            ..ONE
+        },
+    );
     let kills = Rules { kills: true, ..ONE };
     [
-        ("the disk identity", losses, Rules { disk_identity: false, ..losses }),
-        ("the token check", ONE, Rules { token_check: false, ..ONE }),
-        ("the catch-up before a vote", changes, Rules { catch_up: false, ..changes }),
-        ("the write before the act", kills, Rules { write_first: false, ..kills }),
+        (
+            "the disk identity",
+            losses,
+            Rules {
+                disk_identity: false,
+                ..losses
+            },
+        ),
+        (
+            "the token check",
+            ONE,
+            Rules {
+                token_check: false,
+                ..ONE
+            },
+        ),
+        (
+            "the catch-up before a vote",
+            changes,
+            Rules {
+                catch_up: false,
+                ..changes
+            },
+        ),
+        (
+            "the write before the act",
+            kills,
+            Rules {
+                write_first: false,
+                ..kills
+            },
+        ),
     ]
 }
 
--- a/crates/ledger/tests/rebalance.rs
+++ b/crates/ledger/tests/rebalance.rs
@@ -8,14 +8,20 @@
 use sim::{Fleet, SECOND};
 
 fn put(value: u64) -> Act {
-    Act::Put { expects: None, ends_ms: 0, value: value.to_be_bytes().to_vec() }
+    Act::Put {
+        expects: None,
+        ends_ms: 0,
+        value: value.to_be_bytes().to_vec(),
+    }
 }
 
 /// The members of each shard by the latest that any front knows, of those that are up.
 fn keepers(fleet: &Fleet) -> BTreeMap<u16, BTreeSet<usize>> {
     let mut latest: BTreeMap<u16, (u32, BTreeSet<usize>)> = BTreeMap::new();
     for n in (0..fleet.fronts.len()).filter(|n| fleet.is_up(*n)) {
-        for ReplicaStatus { shard, config, .. } in fleet.fronts[n].ledger.iter().flat_map(Ledger::replicas) {
+        for ReplicaStatus { shard, config, .. } in
+            fleet.fronts[n].ledger.iter().flat_map(Ledger::replicas)
+        {
             let of = latest.entry(shard).or_default();
             if of.0 < config {
                 *of = (config, BTreeSet::new());
@@ -25,12 +31,18 @@
             }
         }
     }
-    latest.into_iter().map(|(shard, (_, of))| (shard, of)).collect()
+    latest
+        .into_iter()
+        .map(|(shard, (_, of))| (shard, of))
+        .collect()
 }
 
 fn most(fleet: &Fleet) -> usize {
     let held = keepers(fleet);
-    (0..fleet.fronts.len()).map(|n| held.values().filter(|of| of.contains(&n)).count()).max().unwrap_or(0)
+    (0..fleet.fronts.len())
+        .map(|n| held.values().filter(|of| of.contains(&n)).count())
+        .max()
+        .unwrap_or(0)
 }
 
 fn begun(fronts: usize, members: usize, shards: u16, seed: u64) -> Fleet {
@@ -46,7 +58,8 @@
 
 /// What gossip would say to each front.
 fn health(fleet: &mut Fleet) {
-    let (up, away): (Vec<usize>, Vec<usize>) = (0..fleet.fronts.len()).partition(|n| fleet.is_up(*n));
+    let (up, away): (Vec<usize>, Vec<usize>) =
+        (0..fleet.fronts.len()).partition(|n| fleet.is_up(*n));
     fleet.set_health(&up, &away);
 }
 
@@ -59,8 +72,15 @@
         let n = k % fleet.fronts.len();
         if fleet.is_up(n) {
             // Values tell their put.
-            let (key, value) = (format!("r{}", k % 40), 1_000 + fleet.record.ops.len() as u64);
-            asked.push((n, fleet.fronts[n].incarnation, fleet.ask(n, &key, put(value))));
+            let (key, value) = (
+                format!("r{}", k % 40),
+                1_000 + fleet.record.ops.len() as u64,
+            );
+            asked.push((
+                n,
+                fleet.fronts[n].incarnation,
+                fleet.ask(n, &key, put(value)),
+            ));
         }
         fleet.run(fleet.now + 50_000);
         health(fleet);
@@ -99,9 +119,19 @@
         at_once = at_once.max(fleet.moving());
     });
     let (held, most) = (keepers(&fleet), most(&fleet));
-    println!("most {most} of fair {:.1}, {at_once} moved at once, {unreachable} of {asked}", 48.0 / 9.0);
-    assert!(held.values().all(|of| of.iter().map(|n| n % 3).collect::<BTreeSet<_>>().len() == 3), "{held:?}");
-    assert!(most <= 6 && (1..=8).contains(&at_once), "{most} {at_once} {held:?}");
+    println!(
+        "most {most} of fair {:.1}, {at_once} moved at once, {unreachable} of {asked}",
+        48.0 / 9.0
+    );
+    assert!(
+        held.values()
+            .all(|of| of.iter().map(|n| n % 3).collect::<BTreeSet<_>>().len() == 3),
+        "{held:?}"
+    );
+    assert!(
+        most <= 6 && (1..=8).contains(&at_once),
+        "{most} {at_once} {held:?}"
+    );
     assert_eq!(unreachable, 0, "of {asked}");
     sound(&mut fleet);
 }
@@ -120,7 +150,11 @@
             .iter()
             .map(|(s, of)| (*s, of.iter().filter(|n| *n % 3 != 1).copied().collect()))
             .collect();
-        assert_eq!(keepers(&fleet), without, "copies were made again though the zone may come back");
+        assert_eq!(
+            keepers(&fleet),
+            without,
+            "copies were made again though the zone may come back"
+        );
         if !stays {
             // One after the other comes back; nobody is replaced meanwhile.
             for n in &zone {
@@ -132,6 +166,10 @@
     }
     busy(&mut fleet, 60, |_| {});
     let held = keepers(&fleet);
-    assert!(held.values().all(|of| of.len() == 3 && of.iter().all(|n| n % 3 != 1)), "{held:?}");
+    assert!(
+        held.values()
+            .all(|of| of.len() == 3 && of.iter().all(|n| n % 3 != 1)),
+        "{held:?}"
+    );
     sound(&mut fleet);
 }
--- a/crates/ledger/tests/rolling_restart.rs
+++ b/crates/ledger/tests/rolling_restart.rs
@@ -8,7 +8,11 @@
 const FRONTS: usize = 18;
 
 fn put(value: u64) -> Act {
-    Act::Put { expects: None, ends_ms: 0, value: value.to_be_bytes().to_vec() }
+    Act::Put {
+        expects: None,
+        ends_ms: 0,
+        value: value.to_be_bytes().to_vec(),
+    }
 }
 
 fn begun(formats: impl Fn(usize) -> u8, seed: u64) -> Fleet {
@@ -32,7 +36,9 @@
             fleet.ask(n, &format!("r{}", value % 64), put(value));
         } else {
             // Its turn is another's.
-            let n = (0..FRONTS).find(|n| fleet.is_up(*n) && !out.contains(n)).unwrap();
+            let n = (0..FRONTS)
+                .find(|n| fleet.is_up(*n) && !out.contains(n))
+                .unwrap();
             let value = fleet.record.ops.len() as u64;
             fleet.ask(n, &format!("r{}", value % 64), put(value));
         }
@@ -64,7 +70,11 @@
 /// The longest wait in ms, and asks that nobody answered.
 fn waits(fleet: &Fleet, since: i64) -> (i64, usize) {
     let ops = fleet.record.ops.iter().filter(|op| op.asked >= since);
-    let done = ops.filter_map(|op| op.done.as_ref().map(|(at, outcome)| (*at - op.asked, outcome)));
+    let done = ops.filter_map(|op| {
+        op.done
+            .as_ref()
+            .map(|(at, outcome)| (*at - op.asked, outcome))
+    });
     let (mut longest, mut unreachable) = (0, 0);
     for (took, outcome) in done {
         longest = longest.max(took / 1_000);
@@ -80,9 +90,14 @@
 
 /// Letters that another build could not read.
 fn unread(fleet: &Fleet) -> u64 {
-    let ledgers = fleet.fronts.iter().filter_map(|front| front.ledger.as_ref());
+    let ledgers = fleet
+        .fronts
+        .iter()
+        .filter_map(|front| front.ledger.as_ref());
     let of = |ledger: &Ledger, why| ledger.counters().refused.get(why).copied().unwrap_or(0);
-    ledgers.map(|ledger| of(ledger, "form") + of(ledger, "version")).sum()
+    ledgers
+        .map(|ledger| of(ledger, "form") + of(ledger, "version"))
+        .sum()
 }
 
 #[test]
@@ -108,8 +123,13 @@
 fn a_fleet_of_two_builds_works_and_a_rollback_loses_nothing() {
     let mut fleet = begun(|n| 1 + (n % 2) as u8, 3);
     let inherited = |fleet: &Fleet| -> u64 {
-        let ledgers = fleet.fronts.iter().filter_map(|front| front.ledger.as_ref());
-        ledgers.map(|ledger: &Ledger| ledger.counters().taken_over).sum()
+        let ledgers = fleet
+            .fronts
+            .iter()
+            .filter_map(|front| front.ledger.as_ref());
+        ledgers
+            .map(|ledger: &Ledger| ledger.counters().taken_over)
+            .sum()
     };
     // Up, then all the way back, under load.
     for (format, hands) in [(2, true), (1, false)] {
@@ -129,18 +149,31 @@
 
 /// The latest format of what any front keeps: behind the checksum of its mark.
 fn kept(fleet: &Fleet) -> u8 {
-    let mark = |disk: &std::collections::BTreeMap<Vec<u8>, Vec<u8>>| disk.get(&b"m"[..]).map(|mark| mark[4]);
-    fleet.fronts.iter().filter_map(|front| mark(&front.disk)).max().unwrap_or(0)
+    let mark = |disk: &std::collections::BTreeMap<Vec<u8>, Vec<u8>>| {
+        disk.get(&b"m"[..]).map(|mark| mark[4])
+    };
+    fleet
+        .fronts
+        .iter()
+        .filter_map(|front| mark(&front.disk))
+        .max()
+        .unwrap_or(0)
 }
 
 #[test]
 fn saved_records_take_a_later_format_with_the_next_build_and_a_rollback_loses_nothing() {
     // The build before this one, this one, and the next: the format that each reads, and the one in which it keeps.
-    let builds = [(2, 1), (hallmux_ledger::FORMAT, hallmux_ledger::SAVED_FORMAT), (3, 3)];
+    let builds = [
+        (2, 1),
+        (hallmux_ledger::FORMAT, hallmux_ledger::SAVED_FORMAT),
+        (3, 3),
+    ];
     let mut fleet = begun(|_| 2, 4);
     for (build, format) in [(1, 1), (0, 1), (1, 1), (2, 3), (1, 3)] {
         fleet.setup.saved_format = builds[build].1;
-        roll(&mut fleet, true, |fleet, n| fleet.fronts[n].format = builds[build].0);
+        roll(&mut fleet, true, |fleet, n| {
+            fleet.fronts[n].format = builds[build].0
+        });
         sound(&fleet);
         println!("to build {build}: {} letters not read", unread(&fleet));
         assert_eq!(kept(&fleet), format, "to build {build}");
@@ -171,7 +204,12 @@
     assert_eq!(kept(&fleet), 3);
     sound(&fleet);
     fleet.kill(7);
-    let setup = Setup { own: id(7), disk: fleet.fronts[7].disk_id, format: 2, ..fleet.setup.clone() };
+    let setup = Setup {
+        own: id(7),
+        disk: fleet.fronts[7].disk_id,
+        format: 2,
+        ..fleet.setup.clone()
+    };
     let disk = &fleet.fronts[7].disk;
     let saved = Saved(disk.clone().into_iter().collect());
     let found = Ledger::new(fleet.at(7), setup, Some(saved)).err();
--- a/crates/ledger/tests/shutdown.rs
+++ b/crates/ledger/tests/shutdown.rs
@@ -9,7 +9,11 @@
 const DOOR: i64 = 800_000; // microseconds that a front runs on at least
 
 fn put(value: u64) -> Act {
-    Act::Put { expects: None, ends_ms: 0, value: value.to_be_bytes().to_vec() }
+    Act::Put {
+        expects: None,
+        ends_ms: 0,
+        value: value.to_be_bytes().to_vec(),
+    }
 }
 
 /// Two fronts are told to end at once, all the while asked; each comes back a second after its end. Asks that
@@ -28,7 +32,11 @@
         for (n, back) in two.into_iter().zip(&mut back) {
             let (at, ran) = (fleet.at(n), fleet.now - since);
             let needed = |ledger: &Ledger| waits && ledger.is_needed(at) && ran < MOST;
-            let ends = ran >= DOOR && fleet.fronts[n].ledger.as_ref().is_some_and(|ledger| !needed(ledger));
+            let ends = ran >= DOOR
+                && fleet.fronts[n]
+                    .ledger
+                    .as_ref()
+                    .is_some_and(|ledger| !needed(ledger));
             if *back == i64::MAX && ends {
                 (*back, took) = (fleet.now + SECOND, ran);
                 fleet.kill(n);
@@ -39,8 +47,15 @@
         }
     }
     fleet.run(fleet.now + 2 * SECOND);
-    let refused = fleet.record.ops[first..].iter().filter_map(|op| op.done.as_ref());
-    (refused.filter(|(_, outcome)| *outcome == Outcome::Unreachable).count(), took)
+    let refused = fleet.record.ops[first..]
+        .iter()
+        .filter_map(|op| op.done.as_ref());
+    (
+        refused
+            .filter(|(_, outcome)| *outcome == Outcome::Unreachable)
+            .count(),
+        took,
+    )
 }
 
 #[test]
@@ -68,8 +83,17 @@
 
 /// Shards that each front owns.
 fn owned(fleet: &Fleet) -> Vec<usize> {
-    let owned = |ledger: &Ledger| ledger.replicas().filter(|replica| replica.is_leader).count();
-    fleet.fronts.iter().map(|front| front.ledger.as_ref().map_or(0, owned)).collect()
+    let owned = |ledger: &Ledger| {
+        ledger
+            .replicas()
+            .filter(|replica| replica.is_leader)
+            .count()
+    };
+    fleet
+        .fronts
+        .iter()
+        .map(|front| front.ledger.as_ref().map_or(0, owned))
+        .collect()
 }
 
 fn spread(fronts: usize, shards: u16, ended: usize) {
@@ -89,7 +113,9 @@
     let (after, since) = (most(&fleet), fleet.now);
     // A quarter over the fair part, or the part in whole shards.
     let bound = (usize::from(shards) * 5 / 4 / fronts).max(usize::from(shards).div_ceil(fronts));
-    let whole = fleet.run_until(60 * SECOND, |fleet| fleet.is_whole() && most(fleet) <= bound);
+    let whole = fleet.run_until(60 * SECOND, |fleet| {
+        fleet.is_whole() && most(fleet) <= bound
+    });
     println!(
         "{fronts} fronts, {shards} shards, {ended} ended: at most {after} owned, then {} of {bound}, after {} ms",
         most(&fleet),
--- a/crates/ledger/tests/sim/check.rs
+++ b/crates/ledger/tests/sim/check.rs
@@ -36,10 +36,15 @@
 
     pub fn answered(&mut self, front: usize, incarnation: u64, done: Done, at: Micros) {
         let mut ops = self.ops.iter_mut().rev();
-        let op = ops.find(|op| (op.front, op.incarnation, op.number) == (front, incarnation, done.number));
+        let op = ops
+            .find(|op| (op.front, op.incarnation, op.number) == (front, incarnation, done.number));
         if let Some(op) = op {
             // An ask that was unreachable and is asked again has its latest answer.
-            if op.done.as_ref().is_none_or(|(_, before)| *before == Outcome::Unreachable) {
+            if op
+                .done
+                .as_ref()
+                .is_none_or(|(_, before)| *before == Outcome::Unreachable)
+            {
                 op.done = Some((at, done.outcome));
             } else {
                 self.turns.insert((front, done.number));
@@ -49,8 +54,10 @@
 
     pub fn outcome(&self, front: usize, incarnation: u64, number: u64) -> Option<&Outcome> {
         let mut ops = self.ops.iter().rev();
-        let op = ops.find(|op| (op.front, op.incarnation, op.number) == (front, incarnation, number));
-        op.and_then(|op| op.done.as_ref()).map(|(_, outcome)| outcome)
+        let op =
+            ops.find(|op| (op.front, op.incarnation, op.number) == (front, incarnation, number));
+        op.and_then(|op| op.done.as_ref())
+            .map(|(_, outcome)| outcome)
     }
 
     /// Everything that is wrong with it.
@@ -66,7 +73,9 @@
     fn held_twice(&self) -> Vec<String> {
         let mut holds: BTreeMap<&Key, Vec<(Micros, Micros, usize)>> = BTreeMap::new();
         for op in &self.ops {
-            let (Act::Claim { ends_ms, .. }, Some((from, Outcome::Stands(_)))) = (&op.act, &op.done) else {
+            let (Act::Claim { ends_ms, .. }, Some((from, Outcome::Stands(_)))) =
+                (&op.act, &op.done)
+            else {
                 continue;
             };
             let mine = |other: &&Op| (other.front, other.incarnation) == (op.front, op.incarnation);
@@ -76,16 +85,28 @@
                 Act::Claim { .. } => o.asked > op.asked,
                 _ => false,
             };
-            let frees = self.ops.iter().filter(mine).filter(|o| o.key == op.key).filter(later);
+            let frees = self
+                .ops
+                .iter()
+                .filter(mine)
+                .filter(|o| o.key == op.key)
+                .filter(later);
             let freed = frees.map(|o| o.asked).min().unwrap_or(Micros::MAX);
             let ends = match ends_ms {
                 0 => Micros::MAX,
                 ends => (*ends as i64 - WALL - op.ahead) * 1_000,
             };
-            let died = self.died.get(&(op.front, op.incarnation)).copied().unwrap_or(Micros::MAX);
+            let died = self
+                .died
+                .get(&(op.front, op.incarnation))
+                .copied()
+                .unwrap_or(Micros::MAX);
             let until = freed.min(ends).min(died);
             if *from < until {
-                holds.entry(&op.key).or_default().push((*from, until, op.front));
+                holds
+                    .entry(&op.key)
+                    .or_default()
+                    .push((*from, until, op.front));
             }
         }
         let mut faults = Vec::new();
@@ -94,7 +115,10 @@
             for (n, a) in holds.iter().enumerate() {
                 for b in holds[n + 1..].iter().take_while(|b| b.0 < a.1) {
                     if a.2 != b.2 {
-                        faults.push(format!("{} is held by {} and {} at {}", key.name, a.2, b.2, b.0));
+                        faults.push(format!(
+                            "{} is held by {} and {} at {}",
+                            key.name, a.2, b.2, b.0
+                        ));
                     }
                 }
             }
@@ -109,7 +133,9 @@
             .ops
             .iter()
             .filter_map(|op| match &op.done {
-                Some((at, Outcome::Stands(entry) | Outcome::Held(entry))) => Some((op, *at, entry.version)),
+                Some((at, Outcome::Stands(entry) | Outcome::Held(entry))) => {
+                    Some((op, *at, entry.version))
+                }
                 _ => None,
             })
             .collect();
@@ -118,16 +144,26 @@
             highest.entry(&op.key).or_default().push((*at, *version));
         }
         let before = |key: &Key, at: Micros| {
-            highest
-                .get(key)
-                .and_then(|told| told.iter().filter(|(done, _)| *done < at).map(|(_, v)| *v).max())
+            highest.get(key).and_then(|told| {
+                told.iter()
+                    .filter(|(done, _)| *done < at)
+                    .map(|(_, v)| *v)
+                    .max()
+            })
         };
         for op in &self.ops {
-            let Some((_, outcome)) = &op.done else { continue };
-            let Some(known) = before(&op.key, op.asked) else { continue };
+            let Some((_, outcome)) = &op.done else {
+                continue;
+            };
+            let Some(known) = before(&op.key, op.asked) else {
+                continue;
+            };
             match outcome {
                 Outcome::Stands(entry) | Outcome::Held(entry) if entry.version < known => {
-                    faults.push(format!("{} is at {} after {known}: {op:?}", op.key.name, entry.version));
+                    faults.push(format!(
+                        "{} is at {} after {known}: {op:?}",
+                        op.key.name, entry.version
+                    ));
                 }
                 Outcome::Absent if op.key.name.starts_with('r') => {
                     faults.push(format!("{} is lost after {known}: {op:?}", op.key.name));
@@ -144,13 +180,20 @@
         for op in &self.ops {
             if let Some((_, Outcome::Stands(entry))) = &op.done {
                 if entry.key.name.starts_with('r') {
-                    versions.entry((&op.key, &entry.value)).or_default().insert(entry.version);
+                    versions
+                        .entry((&op.key, &entry.value))
+                        .or_default()
+                        .insert(entry.version);
                 }
             }
         }
-        let twice = versions.into_iter().filter(|(_, versions)| versions.len() > 1);
+        let twice = versions
+            .into_iter()
+            .filter(|(_, versions)| versions.len() > 1);
         twice
-            .map(|((key, value), versions)| format!("{} {value:?} counts as {versions:?}", key.name))
+            .map(|((key, value), versions)| {
+                format!("{} {value:?} counts as {versions:?}", key.name)
+            })
             .collect()
     }
 }
@@ -160,30 +203,63 @@
     use hallmux_ledger::{Entry, Kind, Owner};
 
     fn key(name: &str) -> Key {
-        Key { kind: Kind::Order, name: name.to_string() }
+        Key {
+            kind: Kind::Order,
+            name: name.to_string(),
+        }
     }
 
     fn stands(name: &str, front: u64, version: u64, value: u8) -> Outcome {
-        let owner = Owner { front, incarnation: 1 };
-        Outcome::Stands(Entry { key: key(name), owner, version, ends_ms: 0, value: vec![value] })
+        let owner = Owner {
+            front,
+            incarnation: 1,
+        };
+        Outcome::Stands(Entry {
+            key: key(name),
+            owner,
+            version,
+            ends_ms: 0,
+            value: vec![value],
+        })
     }
 
     fn op(front: usize, name: &str, act: Act, asked: Micros, done: Outcome) -> Op {
         let number = asked as u64;
         let done = Some((asked + 10, done));
-        Op { front, incarnation: 1, number, key: key(name), act, asked, ahead: 0, done }
+        Op {
+            front,
+            incarnation: 1,
+            number,
+            key: key(name),
+            act,
+            asked,
+            ahead: 0,
+            done,
+        }
     }
 
     fn claim(ends_ms: u64) -> Act {
-        Act::Claim { ends_ms, value: vec![] }
+        Act::Claim {
+            ends_ms,
+            value: vec![],
+        }
     }
 
     fn put() -> Act {
-        Act::Put { expects: None, ends_ms: 0, value: vec![] }
+        Act::Put {
+            expects: None,
+            ends_ms: 0,
+            value: vec![],
+        }
     }
 
     fn faults(ops: Vec<Op>) -> Vec<String> {
-        Record { ops, died: BTreeMap::new(), turns: BTreeSet::new() }.faults()
+        Record {
+            ops,
+            died: BTreeMap::new(),
+            turns: BTreeSet::new(),
+        }
+        .faults()
     }
 
     #[test]
@@ -202,7 +278,9 @@
         let read = |outcome| op(2, "r", Act::Read, 100, outcome);
         assert!(faults(vec![wrote.clone(), read(stands("r", 1, 5, 1))]).is_empty());
         assert!(faults(vec![wrote.clone(), read(Outcome::Absent)])[0].contains("is lost"));
-        assert!(faults(vec![wrote.clone(), read(stands("r", 1, 4, 9))])[0].contains("is at 4 after 5"));
+        assert!(
+            faults(vec![wrote.clone(), read(stands("r", 1, 4, 9))])[0].contains("is at 4 after 5")
+        );
         assert!(faults(vec![wrote, read(stands("r", 1, 6, 1))])[0].contains("counts as"));
     }
 }
--- a/crates/ledger/tests/sim/mod.rs
+++ b/crates/ledger/tests/sim/mod.rs
@@ -102,7 +102,12 @@
     }
 
     pub fn members(fronts: usize) -> Vec<Member> {
-        (0..fronts).map(|n| Member { front: id(n), zone: format!("z{}", n % 3) }).collect()
+        (0..fronts)
+            .map(|n| Member {
+                front: id(n),
+                zone: format!("z{}", n % 3),
+            })
+            .collect()
     }
 
     /// The operator's list, as all that run hear it now and others as they start.
@@ -111,7 +116,9 @@
         for n in 0..self.fronts.len() {
             let at = self.at(n);
             let ledger = self.fronts[n].ledger.as_mut();
-            ledger.into_iter().for_each(|ledger| ledger.set_members(at, members.clone()).unwrap());
+            ledger
+                .into_iter()
+                .for_each(|ledger| ledger.set_members(at, members.clone()).unwrap());
         }
     }
 
@@ -121,7 +128,9 @@
         for n in 0..self.fronts.len() {
             let at = self.at(n);
             let ledger = self.fronts[n].ledger.as_mut();
-            ledger.into_iter().for_each(|ledger| ledger.set_health(at, &ids(up), &ids(away)));
+            ledger
+                .into_iter()
+                .for_each(|ledger| ledger.set_health(at, &ids(up), &ids(away)));
         }
     }
 
@@ -133,7 +142,10 @@
 
     pub fn at(&self, n: usize) -> Moment {
         let wall = WALL as i64 + self.now / 1_000 + self.fronts[n].ahead;
-        Moment { steady: self.now + n as Micros * 1_000 * SECOND, wall_ms: wall as u64 }
+        Moment {
+            steady: self.now + n as Micros * 1_000 * SECOND,
+            wall_ms: wall as u64,
+        }
     }
 
     /// Starts a front, anew where it ran before, with what is lasting on its disk.
@@ -162,7 +174,10 @@
     /// The front is told to end: it hands over what it owns.
     pub fn begin_shutdown(&mut self, n: usize) {
         let at = self.at(n);
-        self.fronts[n].ledger.iter_mut().for_each(|ledger| ledger.begin_shutdown(at));
+        self.fronts[n]
+            .ledger
+            .iter_mut()
+            .for_each(|ledger| ledger.begin_shutdown(at));
         self.drain(n);
     }
 
@@ -202,7 +217,10 @@
     pub fn ask(&mut self, n: usize, key: &str, act: Act) -> u64 {
         let number = self.fronts[n].next;
         self.fronts[n].next += 1;
-        let key = Key { kind: Kind::Order, name: key.to_string() };
+        let key = Key {
+            kind: Kind::Order,
+            name: key.to_string(),
+        };
         let (front, incarnation, ahead) = (n, self.fronts[n].incarnation, self.fronts[n].ahead);
         let asked = self.now;
         self.record.ops.push(Op {
@@ -228,10 +246,17 @@
     }
 
     fn drain(&mut self, n: usize) {
-        let Some(ledger) = &mut self.fronts[n].ledger else { return };
-        let Output { packets, saves, done } = ledger.take_output();
+        let Some(ledger) = &mut self.fronts[n].ledger else {
+            return;
+        };
+        let Output {
+            packets,
+            saves,
+            done,
+        } = ledger.take_output();
         for done in done {
-            self.record.answered(n, self.fronts[n].incarnation, done, self.now);
+            self.record
+                .answered(n, self.fronts[n].incarnation, done, self.now);
         }
         self.deliver(n, packets);
         for mut save in saves {
@@ -241,27 +266,40 @@
                 let at = self.at(n);
                 let number = save.number;
                 let ledger = self.fronts[n].ledger.as_mut();
-                ledger.into_iter().for_each(|ledger| ledger.saved(at, number, true));
+                ledger
+                    .into_iter()
+                    .for_each(|ledger| ledger.saved(at, number, true));
             }
             let slow = self.fronts[n].slow.max(1);
             let takes = self.chance.random_range(0..slow);
             let after = self.fronts[n].saves.back().map_or(self.now, |(at, _)| *at);
             // Saves that wait are made lasting together.
-            self.fronts[n].saves.push_back((after.max(self.now + takes), save));
+            self.fronts[n]
+                .saves
+                .push_back((after.max(self.now + takes), save));
         }
         if self.answers_before_saves {
-            let more = self.fronts[n].ledger.as_mut().map(Ledger::take_output).unwrap_or_default();
+            let more = self.fronts[n]
+                .ledger
+                .as_mut()
+                .map(Ledger::take_output)
+                .unwrap_or_default();
             more.done.into_iter().for_each(|done| {
-                self.record.answered(n, self.fronts[n].incarnation, done, self.now);
+                self.record
+                    .answered(n, self.fronts[n].incarnation, done, self.now);
             });
             self.deliver(n, more.packets);
             for save in more.saves {
                 self.deliver(n, save.packets.clone());
                 let after = self.fronts[n].saves.back().map_or(self.now, |(at, _)| *at);
                 let slow = self.fronts[n].slow;
-                self.fronts[n]
-                    .saves
-                    .push_back((after.max(self.now + slow), Save { packets: Vec::new(), ..save }));
+                self.fronts[n].saves.push_back((
+                    after.max(self.now + slow),
+                    Save {
+                        packets: Vec::new(),
+                        ..save
+                    },
+                ));
             }
         }
     }
@@ -275,10 +313,15 @@
                 if self.cut.contains(&(from, to)) || self.chance.random_bool(self.lost) {
                     continue;
                 }
-                let late = if self.chance.random_bool(self.late) { 200_000 } else { 8_000 }; // out of order
+                let late = if self.chance.random_bool(self.late) {
+                    200_000
+                } else {
+                    8_000
+                }; // out of order
                 self.posted += 1;
                 let at = self.now + self.chance.random_range(500..late);
-                self.mail.insert((at, self.posted), (from, to, bytes.clone()));
+                self.mail
+                    .insert((at, self.posted), (from, to, bytes.clone()));
             }
         }
     }
@@ -289,7 +332,9 @@
             if *at > self.now {
                 break;
             }
-            let Some((_, (from, to, bytes))) = self.mail.pop_first() else { break };
+            let Some((_, (from, to, bytes))) = self.mail.pop_first() else {
+                break;
+            };
             let moment = self.at(to);
             if self.is_up(to) {
                 if let Some(ledger) = &mut self.fronts[to].ledger {
@@ -302,12 +347,22 @@
             if !self.is_up(n) {
                 continue;
             }
-            while self.fronts[n].saves.front().is_some_and(|(at, _)| *at <= self.now) {
-                let Some((_, save)) = self.fronts[n].saves.pop_front() else { break };
+            while self.fronts[n]
+                .saves
+                .front()
+                .is_some_and(|(at, _)| *at <= self.now)
+            {
+                let Some((_, save)) = self.fronts[n].saves.pop_front() else {
+                    break;
+                };
                 self.complete_save(n, save);
             }
             let at = self.at(n);
-            if let Some(ledger) = self.fronts[n].ledger.as_mut().filter(|ledger| ledger.due() <= at.steady) {
+            if let Some(ledger) = self.fronts[n]
+                .ledger
+                .as_mut()
+                .filter(|ledger| ledger.due() <= at.steady)
+            {
                 ledger.tick(at);
             }
             self.drain(n);
@@ -326,7 +381,11 @@
             self.deliver(n, save.packets);
         }
         let at = self.at(n);
-        if let Some(ledger) = self.fronts[n].ledger.as_mut().filter(|_| !self.answers_before_saves) {
+        if let Some(ledger) = self.fronts[n]
+            .ledger
+            .as_mut()
+            .filter(|_| !self.answers_before_saves)
+        {
             ledger.saved(at, save.number, ok);
         }
         self.drain(n);
--- a/crates/ledger/tests/sim/queries.rs
+++ b/crates/ledger/tests/sim/queries.rs
@@ -14,7 +14,9 @@
     pub fn get(&mut self, n: usize, key: &str, act: Act) -> Outcome {
         let number = self.ask(n, key, act);
         self.run_until(2 * SECOND, |fleet| fleet.outcome(n, number).is_some());
-        self.outcome(n, number).cloned().expect("every ask is answered")
+        self.outcome(n, number)
+            .cloned()
+            .expect("every ask is answered")
     }
 
     /// The same, asked under new numbers until a majority answers.
@@ -32,26 +34,46 @@
     pub fn copies(&self, shard: u16) -> usize {
         let ledgers = self.fronts.iter().filter_map(|front| front.ledger.as_ref());
         let configs: Vec<u32> = ledgers
-            .flat_map(|ledger| ledger.replicas().filter(|of| of.shard == shard).map(|of| of.config))
+            .flat_map(|ledger| {
+                ledger
+                    .replicas()
+                    .filter(|of| of.shard == shard)
+                    .map(|of| of.config)
+            })
             .collect();
         let latest = configs.iter().max();
-        configs.iter().filter(|config| Some(*config) == latest).count()
+        configs
+            .iter()
+            .filter(|config| Some(*config) == latest)
+            .count()
     }
 
     /// Whether each shard has all its replicas and a leader.
     pub fn is_whole(&self) -> bool {
         let is_led = |shard| {
             let fronts = self.fronts.iter().filter_map(|front| front.ledger.as_ref());
-            fronts.flat_map(Ledger::replicas).any(|of| of.shard == shard && of.is_leader)
+            fronts
+                .flat_map(Ledger::replicas)
+                .any(|of| of.shard == shard && of.is_leader)
         };
         (0..self.setup.shards).all(|shard| self.copies(shard) == self.setup.copies && is_led(shard))
     }
 
     /// The front that leads a key's shard.
     pub fn leader(&self, key: &str) -> Option<usize> {
-        let shard = shard_of(&Key { kind: Kind::Order, name: key.to_string() }, self.setup.shards);
+        let shard = shard_of(
+            &Key {
+                kind: Kind::Order,
+                name: key.to_string(),
+            },
+            self.setup.shards,
+        );
         let leads = |ledger: &Ledger| {
-            ledger.replicas().filter(|of| of.shard == shard && of.is_leader).map(|of| of.config).max()
+            ledger
+                .replicas()
+                .filter(|of| of.shard == shard && of.is_leader)
+                .map(|of| of.config)
+                .max()
         };
         (0..self.fronts.len())
             .filter(|n| self.is_up(*n))
--- a/crates/machine-faults/src/lib.rs
+++ b/crates/machine-faults/src/lib.rs
@@ -39,8 +39,14 @@
 
 impl Call {
     /// All of them.
-    pub const ALL: [Call; 6] =
-        [Call::Accept, Call::Socket, Call::Connect, Call::ShortRead, Call::ShortWrite, Call::BrokenRead];
+    pub const ALL: [Call; 6] = [
+        Call::Accept,
+        Call::Socket,
+        Call::Connect,
+        Call::ShortRead,
+        Call::ShortWrite,
+        Call::BrokenRead,
+    ];
 
     fn place(self) -> u64 {
         self as u64
@@ -59,12 +65,19 @@
         let source = path.with_extension("c");
         std::fs::write(&source, SOURCE)?;
         let mut compiler = Command::new(std::env::var_os("CC").unwrap_or_else(|| "cc".into()));
-        compiler.args(["-shared", "-fPIC", "-O1", "-Wall", "-Werror", "-o"]).arg(path).arg(&source);
+        compiler
+            .args(["-shared", "-fPIC", "-O1", "-Wall", "-Werror", "-o"])
+            .arg(path)
+            .arg(&source);
         let compiled = compiler.status();
         std::fs::remove_file(source)?;
         match compiled?.success() {
-            true => Ok(Library { path: path.to_path_buf() }),
-            false => Err(Error::other("the C compiler does not take the library of machine faults")),
+            true => Ok(Library {
+                path: path.to_path_buf(),
+            }),
+            false => Err(Error::other(
+                "the C compiler does not take the library of machine faults",
+            )),
         }
     }
 }
@@ -80,16 +93,28 @@
 impl MachineFaults {
     /// None yet; `control` is a file of their own, and the seed draws which calls fail.
     pub fn new(library: &Library, control: &Path, seed: u64) -> Result<MachineFaults> {
-        let file = File::options().read(true).write(true).create(true).truncate(true).open(control)?;
+        let file = File::options()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(true)
+            .open(control)?;
         file.set_len(NUMBERS * NUMBER_SIZE)?;
-        let faults = MachineFaults { library: library.path.clone(), control: control.to_path_buf(), file };
+        let faults = MachineFaults {
+            library: library.path.clone(),
+            control: control.to_path_buf(),
+            file,
+        };
         faults.write(SEED, seed as i64)?;
         Ok(faults)
     }
 
     /// The variables of the environment under which a process has these faults.
     pub fn environment(&self) -> [(&'static str, &Path); 2] {
-        [("LD_PRELOAD", &self.library), ("MACHINE_FAULTS", &self.control)]
+        [
+            ("LD_PRELOAD", &self.library),
+            ("MACHINE_FAULTS", &self.control),
+        ]
     }
 
     /// Sets how many microseconds the process's wall clock is ahead of the machine's.
@@ -114,7 +139,8 @@
     }
 
     fn write(&self, place: u64, number: i64) -> Result<()> {
-        self.file.write_all_at(&number.to_le_bytes(), place * NUMBER_SIZE)
+        self.file
+            .write_all_at(&number.to_le_bytes(), place * NUMBER_SIZE)
     }
 
     fn read(&self, place: u64) -> Result<i64> {
--- a/crates/machine-faults/tests/library.rs
+++ b/crates/machine-faults/tests/library.rs
@@ -8,18 +8,30 @@
 const HOUR_S: i64 = 3_600;
 
 fn unix_s() -> i64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs() as i64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_secs() as i64
 }
 
 #[test]
 fn a_process_sees_its_wall_clock_stepped_and_others_do_not() {
-    let folder = std::env::temp_dir().join(format!("hallmux-machine-faults-{}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("hallmux-machine-faults-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let library = Library::compile(&folder.join("faults.so")).unwrap();
     let faults = MachineFaults::new(&library, &folder.join("control"), 1).unwrap();
     let date = || {
-        let output = Command::new("date").arg("+%s").envs(faults.environment()).output().unwrap();
-        String::from_utf8(output.stdout).unwrap().trim().parse::<i64>().unwrap()
+        let output = Command::new("date")
+            .arg("+%s")
+            .envs(faults.environment())
+            .output()
+            .unwrap();
+        String::from_utf8(output.stdout)
+            .unwrap()
+            .trim()
+            .parse::<i64>()
+            .unwrap()
     };
     let before = unix_s();
     assert!((before..=unix_s()).contains(&date()));
--- a/crates/native-codec/src/coordinator.rs
+++ b/crates/native-codec/src/coordinator.rs
@@ -39,11 +39,17 @@
         httparse::Status::Partial => return Ok(None),
     };
     let header = |name: &str| {
-        let found = head.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
-        found.and_then(|h| std::str::from_utf8(h.value).ok()).map(str::trim)
+        let found = head
+            .headers
+            .iter()
+            .find(|h| h.name.eq_ignore_ascii_case(name));
+        found
+            .and_then(|h| std::str::from_utf8(h.value).ok())
+            .map(str::trim)
+    };
+    let contains = |name: &str, word: &str| {
+        header(name).is_some_and(|v| v.to_ascii_lowercase().contains(word))
     };
-    let contains =
-        |name: &str, word: &str| header(name).is_some_and(|v| v.to_ascii_lowercase().contains(word));
     let status = head.code.unwrap_or(0);
     let mut keep_alive = head.version == Some(1) && !contains("connection", "close");
     let rest = &input[start..];
@@ -55,7 +61,9 @@
     } else if let Some(len) = header("content-length") {
         let len = len.parse().ok().filter(|len| *len <= LONGEST_BODY);
         let len: usize = len.ok_or_else(|| ParseError::new("a length that can't be"))?;
-        let Some(body) = rest.get(..len) else { return Ok(None) };
+        let Some(body) = rest.get(..len) else {
+            return Ok(None);
+        };
         (body.to_vec(), len)
     } else if matches!(status, 100..=199 | 204 | 304) {
         (Vec::new(), 0)
@@ -67,7 +75,14 @@
     } else {
         return Ok(None);
     };
-    Ok(Some(Decoded { len: start + used, message: Response { keep_alive, status, body } }))
+    Ok(Some(Decoded {
+        len: start + used,
+        message: Response {
+            keep_alive,
+            status,
+            body,
+        },
+    }))
 }
 
 /// The body out of its chunks, and the bytes that they took.
@@ -83,7 +98,9 @@
         if len == 0 {
             // Trailers end with an empty line.
             loop {
-                let Some(line) = input[at..].windows(2).position(|w| w == b"\r\n") else { return Ok(None) };
+                let Some(line) = input[at..].windows(2).position(|w| w == b"\r\n") else {
+                    return Ok(None);
+                };
                 at += line + 2;
                 if line == 0 {
                     return Ok(Some((body, at)));
@@ -93,7 +110,9 @@
         if body.len() as u64 + len > LONGEST_BODY as u64 {
             return Err(ParseError::new("a body longer than agreed"));
         }
-        let Some(chunk) = input.get(at..at + len as usize + 2) else { return Ok(None) };
+        let Some(chunk) = input.get(at..at + len as usize + 2) else {
+            return Ok(None);
+        };
         body.extend_from_slice(&chunk[..len as usize]);
         at += len as usize + 2;
     }
--- a/crates/native-codec/src/coordinator_tests.rs
+++ b/crates/native-codec/src/coordinator_tests.rs
@@ -10,17 +10,22 @@
          5\r\n{\"ind\r\n14\r\nex\":41,\"updates\":[]}\r\n0\r\n\r\n",
     ] {
         for len in 0..text.len() {
-            assert!(read(&text.as_bytes()[..len], false).is_ok_and(|found| found.is_none()), "{len}");
+            assert!(
+                read(&text.as_bytes()[..len], false).is_ok_and(|found| found.is_none()),
+                "{len}"
+            );
         }
         let Decoded { len, message } = read(text.as_bytes(), false).unwrap().unwrap();
-        assert_eq!((len, message.keep_alive, message.status), (text.len(), true, 200));
+        assert_eq!(
+            (len, message.keep_alive, message.status),
+            (text.len(), true, 200)
+        );
         assert_eq!(events(&message.body).unwrap().index, 41);
     }
     let till_end = b"HTTP/1.0 200 OK\r\n\r\n{}";
     assert!(read(till_end, false).is_ok_and(|found| found.is_none()));
-    assert!(read(till_end, true).is_ok_and(
-        |found| found.is_some_and(|found| { !found.message.keep_alive && found.message.body == b"{}" })
-    ));
+    assert!(read(till_end, true).is_ok_and(|found| found
+        .is_some_and(|found| { !found.message.keep_alive && found.message.body == b"{}" })));
 }
 
 #[test]
@@ -34,7 +39,13 @@
     ] {
         assert!(read(text.as_bytes(), false).is_err(), "{text}");
     }
-    for body in ["", "[]", "{}", "{\"updates\":[{}]}", "{\"updates\":[{\"index\":1,\"endpoints\":{}}]}"] {
+    for body in [
+        "",
+        "[]",
+        "{}",
+        "{\"updates\":[{}]}",
+        "{\"updates\":[{\"index\":1,\"endpoints\":{}}]}",
+    ] {
         assert!(events(body.as_bytes()).is_err(), "{body}");
     }
 }
--- a/crates/native-codec/src/engine.rs
+++ b/crates/native-codec/src/engine.rs
@@ -76,14 +76,23 @@
 }
 
 fn write_request(out: &mut Vec<u8>, request: &ExecutionRequest) -> std::io::Result<()> {
-    write!(out, "want {} class={},wait={}", request.id, request.workload, request.wait_ms)?;
+    write!(
+        out,
+        "want {} class={},wait={}",
+        request.id, request.workload, request.wait_ms
+    )?;
     if let Some(key) = request.dedup_key {
         write!(out, ",once={key}")?;
     }
     if request.grant_mb > 0.0 {
         write!(out, ",mb={:.0}", request.grant_mb.max(1.0))?;
     }
-    write!(out, ",nice={} {}\r\n", request.priority, request.statement.len())?;
+    write!(
+        out,
+        ",nice={} {}\r\n",
+        request.priority,
+        request.statement.len()
+    )?;
     out.extend_from_slice(request.statement);
     out.write_all(b"\r\n")
 }
@@ -139,11 +148,14 @@
 
 /// Whether a page holds whole rows of a result: three columns of text with a tab between, a line feed behind.
 pub fn are_rows(bytes: &[u8]) -> bool {
-    let Ok(text) = std::str::from_utf8(bytes) else { return false };
+    let Ok(text) = std::str::from_utf8(bytes) else {
+        return false;
+    };
     let row = |row: &str| {
         let columns = row.strip_suffix('\n').map(|row| row.split('\t'));
         columns.is_some_and(|c| {
-            c.clone().count() == COLUMNS && !c.into_iter().any(|c| c.contains(|c: char| c.is_control()))
+            c.clone().count() == COLUMNS
+                && !c.into_iter().any(|c| c.contains(|c: char| c.is_control()))
         })
     };
     text.split_inclusive('\n').all(row)
@@ -161,12 +173,24 @@
 
 /// Takes the next whole reply, with its page, from the start of `input`; None until all of it has come.
 /// `names` are the figures of a load report, as the settings name them.
-pub fn read<'a>(input: &'a [u8], names: &[String]) -> Result<Option<Decoded<Reply<'a>>>, ParseError> {
-    let Some(end) = input.windows(2).take(LONGEST_LINE).position(|w| w == b"\r\n") else {
+pub fn read<'a>(
+    input: &'a [u8],
+    names: &[String],
+) -> Result<Option<Decoded<Reply<'a>>>, ParseError> {
+    let Some(end) = input
+        .windows(2)
+        .take(LONGEST_LINE)
+        .position(|w| w == b"\r\n")
+    else {
         let long = input.len() > LONGEST_LINE;
-        return if long { Err(ParseError::new("a line longer than agreed")) } else { Ok(None) };
+        return if long {
+            Err(ParseError::new("a line longer than agreed"))
+        } else {
+            Ok(None)
+        };
     };
-    let text = std::str::from_utf8(&input[..end]).map_err(|_| ParseError::new("a line that is no text"))?;
+    let text = std::str::from_utf8(&input[..end])
+        .map_err(|_| ParseError::new("a line that is no text"))?;
     let words: Vec<&str> = text.split(' ').collect();
     let (id, word, fields, page_len) = match words[..] {
         [id, word] => (id, word, "-", None),
@@ -179,18 +203,32 @@
     if let Some(page_len) = page_len {
         let page_len = page_len.parse().ok().filter(|len| *len <= LONGEST_PAGE);
         let page_len: usize = page_len.ok_or_else(|| ParseError::new("a length that can't be"))?;
-        let Some(behind) = input.get(len..len + page_len + 2) else { return Ok(None) };
-        bytes = behind.strip_suffix(b"\r\n").ok_or_else(|| ParseError::new("bytes without their end"))?;
+        let Some(behind) = input.get(len..len + page_len + 2) else {
+            return Ok(None);
+        };
+        bytes = behind
+            .strip_suffix(b"\r\n")
+            .ok_or_else(|| ParseError::new("bytes without their end"))?;
         len += page_len + 2;
     }
     let kind = kind(word, fields)?;
     let report = field(fields, "stats").and_then(|text| report(text, names));
-    Ok(Some(Decoded { len, message: Reply { id, kind, report, bytes } }))
+    Ok(Some(Decoded {
+        len,
+        message: Reply {
+            id,
+            kind,
+            report,
+            bytes,
+        },
+    }))
 }
 
 /// The value of a field in `name=value,name=value`.
 fn field<'a>(fields: &'a str, name: &str) -> Option<&'a str> {
-    fields.split(',').find_map(|f| f.strip_prefix(name)?.strip_prefix('='))
+    fields
+        .split(',')
+        .find_map(|f| f.strip_prefix(name)?.strip_prefix('='))
 }
 
 /// What a reply says, by its word and fields.
@@ -198,7 +236,9 @@
     let count = |name: &str| field(fields, name).map(|v| v.parse::<usize>());
     Ok(match word {
         "ACK" => match count("batches").unwrap_or(Ok(1)) {
-            Ok(pages) => ReplyKind::FirstPage { pages: pages.max(1) },
+            Ok(pages) => ReplyKind::FirstPage {
+                pages: pages.max(1),
+            },
             Err(_) => return Err(ParseError::new("a count of pages that is none")),
         },
         "BLOCK" => match count("batch") {
@@ -224,15 +264,23 @@
 /// The figures of a load report; None where one that was asked for is missing.
 fn report(text: &str, names: &[String]) -> Option<Vec<f64>> {
     let figure_of = |name: &str| {
-        let value = |name: &str| text.split(';').find_map(|f| f.strip_prefix(name)?.strip_prefix(':'));
-        let alias = REPORT_NAMES.iter().find(|(ours, _)| *ours == name).map(|(_, theirs)| *theirs);
+        let value = |name: &str| {
+            text.split(';')
+                .find_map(|f| f.strip_prefix(name)?.strip_prefix(':'))
+        };
+        let alias = REPORT_NAMES
+            .iter()
+            .find(|(ours, _)| *ours == name)
+            .map(|(_, theirs)| *theirs);
         figure(value(name).or_else(|| value(alias?))?)
     };
     names.iter().map(|name| figure_of(name)).collect()
 }
 
 fn figure(text: &str) -> Option<f64> {
-    text.parse().ok().filter(|value| (0.0..=MOST_FIGURE).contains(value))
+    text.parse()
+        .ok()
+        .filter(|value| (0.0..=MOST_FIGURE).contains(value))
 }
 
 #[cfg(test)]
--- a/crates/native-codec/src/engine_tests.rs
+++ b/crates/native-codec/src/engine_tests.rs
@@ -8,14 +8,21 @@
 
 #[test]
 fn replies_are_read_once_they_are_whole() {
-    let text = b"9b1f ACK batches=2,stats=inflight:7;x0:0.5 5\r\na\r\nbc\r\n9b1f BLOCK batch=1 0\r\n\r\n";
+    let text =
+        b"9b1f ACK batches=2,stats=inflight:7;x0:0.5 5\r\na\r\nbc\r\n9b1f BLOCK batch=1 0\r\n\r\n";
     let first = 53;
     for len in 0..first {
         assert_eq!(read(&text[..len], &names()), Ok(None), "{len}");
     }
     let Decoded { len, message } = read(text, &names()).unwrap().unwrap();
-    assert_eq!((len, message.bytes, message.report), (first, &b"a\r\nbc"[..], Some(vec![7.0, 0.5])));
-    assert_eq!((message.id, message.kind), ("9b1f", ReplyKind::FirstPage { pages: 2 }));
+    assert_eq!(
+        (len, message.bytes, message.report),
+        (first, &b"a\r\nbc"[..], Some(vec![7.0, 0.5]))
+    );
+    assert_eq!(
+        (message.id, message.kind),
+        ("9b1f", ReplyKind::FirstPage { pages: 2 })
+    );
     let Decoded { message, .. } = read(&text[first..], &names()).unwrap().unwrap();
     assert_eq!(message.kind, ReplyKind::Page { number: 1 });
 }
@@ -26,16 +33,35 @@
         ("i AGAIN - 0\r\n\r\n", ReplyKind::Rejected),
         ("i EIO -\r\n", ReplyKind::Failed),
         ("i STALE 0\r\n\r\n", ReplyKind::Stale),
-        ("i EVENT how=so_far,num=0.25 0\r\n\r\n", ReplyKind::ShareDone(0.25)),
-        ("i EVENT how=lacking,num=64 0\r\n\r\n", ReplyKind::SpillsMb(64.0)),
-        ("i EVENT how=waiting,num=1 0\r\n\r\n", ReplyKind::WaitsForMemory),
-        ("i EVENT how=waiting,num=2 0\r\n\r\n", ReplyKind::WaitsForData),
+        (
+            "i EVENT how=so_far,num=0.25 0\r\n\r\n",
+            ReplyKind::ShareDone(0.25),
+        ),
+        (
+            "i EVENT how=lacking,num=64 0\r\n\r\n",
+            ReplyKind::SpillsMb(64.0),
+        ),
+        (
+            "i EVENT how=waiting,num=1 0\r\n\r\n",
+            ReplyKind::WaitsForMemory,
+        ),
+        (
+            "i EVENT how=waiting,num=2 0\r\n\r\n",
+            ReplyKind::WaitsForData,
+        ),
         ("i EVENT - 0\r\n\r\n", ReplyKind::OtherNote),
         ("i READY\r\n", ReplyKind::ProbeAnswer { healthy: true }),
-        ("i AILING stats=inflight:1 0\r\n\r\n", ReplyKind::ProbeAnswer { healthy: false }),
+        (
+            "i AILING stats=inflight:1 0\r\n\r\n",
+            ReplyKind::ProbeAnswer { healthy: false },
+        ),
     ] {
         let Decoded { len, message } = read(text.as_bytes(), &names()).unwrap().unwrap();
-        assert_eq!((len, message.kind, message.report), (text.len(), kind, None), "{text}");
+        assert_eq!(
+            (len, message.kind, message.report),
+            (text.len(), kind, None),
+            "{text}"
+        );
     }
 }
 
@@ -55,7 +81,11 @@
         b"\xff ACK - 0\r\n\r\n",
         &long,
     ] {
-        assert!(read(text, &names()).is_err(), "{}", String::from_utf8_lossy(text));
+        assert!(
+            read(text, &names()).is_err(),
+            "{}",
+            String::from_utf8_lossy(text)
+        );
     }
 }
 
--- a/crates/native-codec/src/statement.rs
+++ b/crates/native-codec/src/statement.rs
@@ -80,13 +80,22 @@
 
 /// Takes the next whole message from the start of `input`; None until all of it has come.
 pub fn read(input: &[u8]) -> Result<Option<Decoded<Message>>, ParseError> {
-    let Some(prefix) = input.first_chunk::<PREFIX>() else { return Ok(None) };
+    let Some(prefix) = input.first_chunk::<PREFIX>() else {
+        return Ok(None);
+    };
     let len = i32::from_be_bytes(*prefix);
-    let len = usize::try_from(len).ok().filter(|len| *len <= LONGEST_FRAME);
+    let len = usize::try_from(len)
+        .ok()
+        .filter(|len| *len <= LONGEST_FRAME);
     let len = len.ok_or_else(|| ParseError::new("a frame longer than agreed, or negative"))?;
-    let Some(frame) = input[PREFIX..].get(..len) else { return Ok(None) };
+    let Some(frame) = input[PREFIX..].get(..len) else {
+        return Ok(None);
+    };
     let message = message(frame).map_err(ParseError::new)?;
-    Ok(Some(Decoded { len: PREFIX + len, message }))
+    Ok(Some(Decoded {
+        len: PREFIX + len,
+        message,
+    }))
 }
 
 fn message(frame: &[u8]) -> thrift::Result<Message> {
@@ -118,18 +127,26 @@
     }
     let request = match (head.name.as_str(), head.message_type) {
         ("serve", TMessageType::Call) => Request::Execute(Call::new(&fields, statement)),
-        ("forget", TMessageType::OneWay | TMessageType::Call) => Request::Cancel(number.unwrap_or(0)),
+        ("forget", TMessageType::OneWay | TMessageType::Call) => {
+            Request::Cancel(number.unwrap_or(0))
+        }
         ("isWell", TMessageType::Call) => Request::HealthCheck,
         (_, TMessageType::Call | TMessageType::OneWay) => Request::UnknownMethod(head.name),
         _ => return Err("a client that answers".into()),
     };
-    Ok(Message { sequence_number: head.sequence_number, request })
+    Ok(Message {
+        sequence_number: head.sequence_number,
+        request,
+    })
 }
 
-fn read_fields(input: &mut TBinaryInputProtocol<&[u8]>) -> thrift::Result<BTreeMap<String, String>> {
+fn read_fields(
+    input: &mut TBinaryInputProtocol<&[u8]>,
+) -> thrift::Result<BTreeMap<String, String>> {
     let map = input.read_map_begin()?;
     let mut fields = BTreeMap::new();
-    if map.size > 0 && (map.key_type, map.value_type) != (Some(TType::String), Some(TType::String)) {
+    if map.size > 0 && (map.key_type, map.value_type) != (Some(TType::String), Some(TType::String))
+    {
         return Err("fields that are no text".into());
     }
     for _ in 0..map.size {
@@ -140,7 +157,10 @@
 
 /// Whether a word can stand in an engine's line as it is.
 fn is_word(text: &str) -> bool {
-    !text.is_empty() && text.bytes().all(|c| c.is_ascii_graphic() && c != b',' && c != b'=')
+    !text.is_empty()
+        && text
+            .bytes()
+            .all(|c| c.is_ascii_graphic() && c != b',' && c != b'=')
 }
 
 impl Call {
@@ -151,9 +171,14 @@
 
     fn new(fields: &BTreeMap<String, String>, statement: Option<Vec<u8>>) -> Call {
         let mut invalid_field = None;
-        let mut note = |name: &'static str, bad: bool| invalid_field = invalid_field.or(bad.then_some(name));
+        let mut note =
+            |name: &'static str, bad: bool| invalid_field = invalid_field.or(bad.then_some(name));
         let text = |name: &str| fields.get(name).cloned();
-        let number = |name: &str| fields.get(name).map(|v| v.parse::<f64>().unwrap_or(f64::NAN));
+        let number = |name: &str| {
+            fields
+                .get(name)
+                .map(|v| v.parse::<f64>().unwrap_or(f64::NAN))
+        };
         let bad = |n: f64, most: f64| !(0.0..=most).contains(&n);
         let bad_word = |word: &str| word.len() > LONGEST_WORD || !is_word(word);
         let call = Call {
@@ -168,7 +193,10 @@
             statement: statement.unwrap_or_default(),
             invalid_field: None,
         };
-        note(ID, call.id.len() != 16 || !call.id.bytes().all(|c| c.is_ascii_hexdigit()));
+        note(
+            ID,
+            call.id.len() != 16 || !call.id.bytes().all(|c| c.is_ascii_hexdigit()),
+        );
         note(WORKLOAD, bad_word(&call.workload));
         note("limit", bad(call.time_left_ms, LONGEST_LIMIT_MS));
         note("second", text("second").is_some_and(|mark| mark != "1"));
@@ -177,7 +205,10 @@
         note("cpu", bad(call.work_ms, MOST_WORK_MS));
         note("heap_mb", bad(call.memory_mb, MOST_MEMORY_MB));
         note("body", call.statement.is_empty());
-        Call { invalid_field, ..call }
+        Call {
+            invalid_field,
+            ..call
+        }
     }
 }
 
@@ -213,19 +244,32 @@
 pub fn write(output: &mut Vec<u8>, sequence_number: i32, reply: &Reply) {
     let start = output.len();
     output.extend([0; PREFIX]);
-    let written = write_message(&mut TBinaryOutputProtocol::new(&mut *output, true), sequence_number, reply);
+    let written = write_message(
+        &mut TBinaryOutputProtocol::new(&mut *output, true),
+        sequence_number,
+        reply,
+    );
     debug_assert!(written.is_ok(), "writing to memory cannot fail");
     let len = (output.len() - start - PREFIX) as u32;
     output[start..start + PREFIX].copy_from_slice(&len.to_be_bytes());
 }
 
-fn write_message(out: &mut impl TOutputProtocol, sequence_number: i32, reply: &Reply) -> thrift::Result<()> {
-    let name = if matches!(reply, Reply::Health(_)) { "isWell" } else { "serve" };
+fn write_message(
+    out: &mut impl TOutputProtocol,
+    sequence_number: i32,
+    reply: &Reply,
+) -> thrift::Result<()> {
+    let name = if matches!(reply, Reply::Health(_)) {
+        "isWell"
+    } else {
+        "serve"
+    };
     let failed = |kind, message: String| Some(ApplicationError { kind, message });
     let exception = match reply {
-        Reply::UnknownMethod(name) => {
-            failed(ApplicationErrorKind::UnknownMethod, format!("unknown method '{name}'"))
-        }
+        Reply::UnknownMethod(name) => failed(
+            ApplicationErrorKind::UnknownMethod,
+            format!("unknown method '{name}'"),
+        ),
         Reply::InvalidField(field) => failed(
             ApplicationErrorKind::ProtocolError,
             format!("field '{field}' is missing or can't be used"),
@@ -233,12 +277,24 @@
         _ => None,
     };
     if let Some(exception) = exception {
-        let name = if let Reply::UnknownMethod(name) = reply { name } else { name };
-        out.write_message_begin(&TMessageIdentifier::new(name, TMessageType::Exception, sequence_number))?;
+        let name = if let Reply::UnknownMethod(name) = reply {
+            name
+        } else {
+            name
+        };
+        out.write_message_begin(&TMessageIdentifier::new(
+            name,
+            TMessageType::Exception,
+            sequence_number,
+        ))?;
         thrift::Error::write_application_error_to_out_protocol(&exception, out)?;
         return out.write_message_end();
     }
-    out.write_message_begin(&TMessageIdentifier::new(name, TMessageType::Reply, sequence_number))?;
+    out.write_message_begin(&TMessageIdentifier::new(
+        name,
+        TMessageType::Reply,
+        sequence_number,
+    ))?;
     out.write_struct_begin(&TStructIdentifier::new("result"))?;
     match reply {
         Reply::Completed(body) => write_answer(out, body, &[], true)?,
@@ -273,7 +329,11 @@
     out.write_struct_end()
 }
 
-fn write_exception(out: &mut impl TOutputProtocol, id: i16, fields: &[(&str, &str)]) -> thrift::Result<()> {
+fn write_exception(
+    out: &mut impl TOutputProtocol,
+    id: i16,
+    fields: &[(&str, &str)],
+) -> thrift::Result<()> {
     out.write_field_begin(&TFieldIdentifier::new("exception", TType::Struct, id))?;
     out.write_struct_begin(&TStructIdentifier::new("exception"))?;
     write_fields(out, 1, fields)?;
@@ -281,9 +341,17 @@
     out.write_struct_end()
 }
 
-fn write_fields(out: &mut impl TOutputProtocol, id: i16, fields: &[(&str, &str)]) -> thrift::Result<()> {
+fn write_fields(
+    out: &mut impl TOutputProtocol,
+    id: i16,
+    fields: &[(&str, &str)],
+) -> thrift::Result<()> {
     out.write_field_begin(&TFieldIdentifier::new("fields", TType::Map, id))?;
-    out.write_map_begin(&TMapIdentifier::new(TType::String, TType::String, fields.len() as i32))?;
+    out.write_map_begin(&TMapIdentifier::new(
+        TType::String,
+        TType::String,
+        fields.len() as i32,
+    ))?;
     for (name, value) in fields {
         out.write_string(name)?;
         out.write_string(value)?;
--- a/crates/native-codec/src/statement_tests.rs
+++ b/crates/native-codec/src/statement_tests.rs
@@ -6,9 +6,11 @@
 fn frame(fields: &[(&str, &str)], statement: &[u8]) -> Vec<u8> {
     let mut frame = vec![0; PREFIX];
     let mut out = TBinaryOutputProtocol::new(&mut frame, true);
-    out.write_message_begin(&TMessageIdentifier::new("serve", TMessageType::Call, 7)).unwrap();
+    out.write_message_begin(&TMessageIdentifier::new("serve", TMessageType::Call, 7))
+        .unwrap();
     write_fields(&mut out, 1, fields).unwrap();
-    out.write_field_begin(&TFieldIdentifier::new("body", TType::String, 2)).unwrap();
+    out.write_field_begin(&TFieldIdentifier::new("body", TType::String, 2))
+        .unwrap();
     out.write_bytes(statement).unwrap();
     out.write_field_stop().unwrap();
     let len = (frame.len() - PREFIX) as u32;
@@ -16,8 +18,12 @@
     frame
 }
 
-const FIELDS: [(&str, &str); 4] =
-    [("txn", "9b1f03aa5c7e2d41"), ("verb", "report"), ("limit", "1500"), ("team", "acme")];
+const FIELDS: [(&str, &str); 4] = [
+    ("txn", "9b1f03aa5c7e2d41"),
+    ("verb", "report"),
+    ("limit", "1500"),
+    ("team", "acme"),
+];
 
 #[test]
 fn a_frame_is_read_once_it_is_whole_and_keeps_its_bytes() {
@@ -25,9 +31,20 @@
     for len in 0..frame.len() {
         assert_eq!(read(&frame[..len]), Ok(None));
     }
-    let Ok(Some(Decoded { len, message })) = read(&frame) else { panic!() };
-    let Message { sequence_number: 7, request: Request::Execute(call) } = message else { panic!() };
-    assert_eq!((len, call.invalid_field, call.time_left_ms), (frame.len(), None, 1500.0));
+    let Ok(Some(Decoded { len, message })) = read(&frame) else {
+        panic!()
+    };
+    let Message {
+        sequence_number: 7,
+        request: Request::Execute(call),
+    } = message
+    else {
+        panic!()
+    };
+    assert_eq!(
+        (len, call.invalid_field, call.time_left_ms),
+        (frame.len(), None, 1500.0)
+    );
     assert_eq!(call.statement, b"select '\xff'");
 }
 
@@ -54,7 +71,11 @@
     let len = (nested.len() - PREFIX) as u32;
     nested[..PREFIX].copy_from_slice(&len.to_be_bytes());
     assert!(read(&nested).is_err());
-    for prefix in [&[0xff, 0xff, 0xff, 0xff], &[0x7f, 0xff, 0xff, 0xff], &[0, 2, 0, 1]] {
+    for prefix in [
+        &[0xff, 0xff, 0xff, 0xff],
+        &[0x7f, 0xff, 0xff, 0xff],
+        &[0, 2, 0, 1],
+    ] {
         assert!(read(prefix).is_err());
     }
 }
@@ -77,10 +98,18 @@
         ("heap_mb", "inf"),
         ("heap_mb", "1e9"),
     ] {
-        let mut fields: Vec<_> = FIELDS.iter().copied().filter(|(known, _)| *known != name).collect();
+        let mut fields: Vec<_> = FIELDS
+            .iter()
+            .copied()
+            .filter(|(known, _)| *known != name)
+            .collect();
         fields.push((name, value));
-        let Ok(Some(Decoded { message, .. })) = read(&frame(&fields, b"")) else { panic!() };
-        let Request::Execute(call) = message.request else { panic!() };
+        let Ok(Some(Decoded { message, .. })) = read(&frame(&fields, b"")) else {
+            panic!()
+        };
+        let Request::Execute(call) = message.request else {
+            panic!()
+        };
         assert_eq!(call.invalid_field, Some(name), "{value}");
     }
 }
--- a/crates/native-codec/src/tables.rs
+++ b/crates/native-codec/src/tables.rs
@@ -58,11 +58,15 @@
 /// The number behind the last underscore of a name, if what follows makes the name a schema's.
 fn schema(name: &[u8], behind: &[u8]) -> Option<u32> {
     let dot = behind.trim_ascii_start().strip_prefix(b".")?;
-    let qualifies = dot.trim_ascii_start().first().is_some_and(|c| in_name(*c) || matches!(c, b'"' | b'`'));
+    let qualifies = dot
+        .trim_ascii_start()
+        .first()
+        .is_some_and(|c| in_name(*c) || matches!(c, b'"' | b'`'));
     let at = name.iter().rposition(|c| *c == b'_')?;
     let digits = std::str::from_utf8(&name[at + 1..]).ok()?;
     let plain = !digits.is_empty() && digits.bytes().all(|c| c.is_ascii_digit());
-    (qualifies && plain && !name[..at].eq_ignore_ascii_case(SCRATCH)).then(|| digits.parse().ok())?
+    (qualifies && plain && !name[..at].eq_ignore_ascii_case(SCRATCH))
+        .then(|| digits.parse().ok())?
 }
 
 /// The text behind the first `end` from a place on; empty where there is none.
--- a/crates/native-codec/src/tables_tests.rs
+++ b/crates/native-codec/src/tables_tests.rs
@@ -9,7 +9,10 @@
         ("select 'it''s a_1.b' from s_2.t", Some(2)),
         ("-- a_1.b\nselect 1 from x_3.y", Some(3)),
         ("/* a_1.b /* c_2.d */ e_5.f */ select 1 from x_4.y", Some(4)),
-        ("insert into staging.t select * from staging_9.u join us_er_6.v", Some(6)),
+        (
+            "insert into staging.t select * from staging_9.u join us_er_6.v",
+            Some(6),
+        ),
         ("select x from \"s_8\".\"t\"", Some(8)),
         ("select a_1, 7.5 from t", None),
         ("select 'a_1.b", None),
@@ -19,7 +22,10 @@
     ] {
         assert_eq!(group(statement.as_bytes()), found, "{statement}");
     }
-    let all = groups(b"insert into b_9.t select 'c_3.d' from a_1.u join b_9.v, \"e_4\".w -- f_5.x", 16);
+    let all = groups(
+        b"insert into b_9.t select 'c_3.d' from a_1.u join b_9.v, \"e_4\".w -- f_5.x",
+        16,
+    );
     assert_eq!(all, [9, 1, 4]);
 }
 
--- a/crates/postgres/fuzz/drive.rs
+++ b/crates/postgres/fuzz/drive.rs
@@ -9,11 +9,18 @@
 use hallmux_postgres::sql;
 use hallmux_postgres::startup::{Startup, StartupStep};
 
-const BOUNDS: Bounds = Bounds { statements: 8, portals: 4, settings: 4, bytes: 4096 };
+const BOUNDS: Bounds = Bounds {
+    statements: 8,
+    portals: 4,
+    settings: 4,
+    bytes: 4096,
+};
 
 /// The first byte says which reader; the rest is its input.
 pub fn drive(bytes: &[u8]) {
-    let Some((which, input)) = bytes.split_first() else { return };
+    let Some((which, input)) = bytes.split_first() else {
+        return;
+    };
     match which % 4 {
         0 => startup(input),
         1 => _ = session(input),
@@ -67,7 +74,10 @@
     let (mut out, mut back) = (Vec::new(), Vec::new());
     let mut engine = EngineConnection::new(Account::default(), 2, &mut out);
     let login = b"R\0\0\0\x08\0\0\0\0K\0\0\0\x0c\0\0\0\x01\0\0\0\x02Z\0\0\0\x05I";
-    assert!(matches!(engine.read(login, &mut out, &mut back, 64), Ok((_, Some(EngineEvent::Ready)))));
+    assert!(matches!(
+        engine.read(login, &mut out, &mut back, 64),
+        Ok((_, Some(EngineEvent::Ready)))
+    ));
     let settings = Rc::<SessionSettings>::default();
     for part in &parts {
         engine.send(part, &settings, false, &mut out, &mut back);
--- a/crates/postgres/src/client_error.rs
+++ b/crates/postgres/src/client_error.rs
@@ -132,7 +132,10 @@
             field(b'V', severity);
             field(b'C', self.code().as_bytes());
             field(b'M', self.to_string().as_bytes());
-            if let ClientError::Rejected { retry_after_ms: Some(ms) } = self {
+            if let ClientError::Rejected {
+                retry_after_ms: Some(ms),
+            } = self
+            {
                 field(b'D', format!("retry-after-ms={ms}").as_bytes());
                 field(b'H', format!("try again after {ms} ms").as_bytes());
             }
--- a/crates/postgres/src/client_error_tests.rs
+++ b/crates/postgres/src/client_error_tests.rs
@@ -6,15 +6,24 @@
 #[test]
 fn a_rejection_tells_its_wait_where_a_driver_reads_it() {
     let mut out = Vec::new();
-    ClientError::Rejected { retry_after_ms: Some(250) }.write(&mut out, false);
+    ClientError::Rejected {
+        retry_after_ms: Some(250),
+    }
+    .write(&mut out, false);
     let Message { tag, body, len } = message(&out, 1000).unwrap().unwrap();
     assert_eq!((tag, len), (b'E', out.len()));
     assert_eq!(field(body, b'C'), Some(&b"53000"[..]));
     assert_eq!(field(body, b'D'), Some(&b"retry-after-ms=250"[..]));
     out.clear();
-    ClientError::Rejected { retry_after_ms: None }.write(&mut out, true);
+    ClientError::Rejected {
+        retry_after_ms: None,
+    }
+    .write(&mut out, true);
     let Message { body, .. } = message(&out, 1000).unwrap().unwrap();
-    assert_eq!((field(body, b'D'), field(body, b'S')), (None, Some(&b"FATAL"[..])));
+    assert_eq!(
+        (field(body, b'D'), field(body, b'S')),
+        (None, Some(&b"FATAL"[..]))
+    );
 }
 
 #[test]
--- a/crates/postgres/src/engine.rs
+++ b/crates/postgres/src/engine.rs
@@ -131,7 +131,10 @@
     /// Begins a login: writes the start-up to `out`. No more than `most_prepared` statements stay prepared
     /// there.
     pub fn new(account: Account, most_prepared: usize, out: &mut Vec<u8>) -> EngineConnection {
-        let who = [("user", account.user.as_str()), ("database", &account.database)];
+        let who = [
+            ("user", account.user.as_str()),
+            ("database", &account.database),
+        ];
         wire::write_start_up(out, &who);
         EngineConnection {
             account,
@@ -170,7 +173,9 @@
 
     /// Whether the connection has a session's settings, so that nothing has to be set.
     pub fn suits(&self, settings: &Rc<SessionSettings>) -> bool {
-        self.settings.as_ref().is_some_and(|own| Rc::ptr_eq(own, settings) || own == settings)
+        self.settings
+            .as_ref()
+            .is_some_and(|own| Rc::ptr_eq(own, settings) || own == settings)
     }
 
     /// How many statements are prepared there.
--- a/crates/postgres/src/engine/receiving.rs
+++ b/crates/postgres/src/engine/receiving.rs
@@ -35,10 +35,15 @@
                 at += len;
                 continue;
             }
-            let Some(Header { tag, len }) = wire::header(rest)? else { break };
+            let Some(Header { tag, len }) = wire::header(rest)? else {
+                break;
+            };
             let login_or_settings = self.stage != Stage::Ready;
             // Rows and their like have no limit; they go on as they come.
-            if matches!(tag, b'D' | b'd' | b'T' | b't' | b'N') && !login_or_settings && rest.len() < len {
+            if matches!(tag, b'D' | b'd' | b'T' | b't' | b'N')
+                && !login_or_settings
+                && rest.len() < len
+            {
                 if rest.len() < LONGEST_WHOLE {
                     break;
                 }
@@ -47,9 +52,15 @@
                 continue;
             }
             if len > LONGEST_WHOLE && rest.len() < len {
-                return Err(ProtocolError::EngineTooLong { tag, bytes: len, most: LONGEST_WHOLE });
+                return Err(ProtocolError::EngineTooLong {
+                    tag,
+                    bytes: len,
+                    most: LONGEST_WHOLE,
+                });
             }
-            let Some(message) = rest.get(..len) else { break };
+            let Some(message) = rest.get(..len) else {
+                break;
+            };
             at += len;
             let heard = match self.stage {
                 Stage::Login => self.login(tag, &message[5..], message, out)?,
@@ -70,20 +81,27 @@
         message: &[u8],
         out: &mut Vec<u8>,
     ) -> Result<Option<EngineEvent>, ProtocolError> {
-        let word = |at: usize| body.get(at..at + 4).map(|n| u32::from_be_bytes([n[0], n[1], n[2], n[3]]));
+        let word = |at: usize| {
+            body.get(at..at + 4)
+                .map(|n| u32::from_be_bytes([n[0], n[1], n[2], n[3]]))
+        };
         let password = self.account.password.clone().unwrap_or_default();
         match tag {
             b'R' => match word(0) {
                 Some(0) => {}
-                Some(3) => wire::write(out, b'p', |out| wire::write_string(out, password.as_bytes())),
+                Some(3) => wire::write(out, b'p', |out| {
+                    wire::write_string(out, password.as_bytes())
+                }),
                 Some(5) => {
                     let salt = body.get(4..8).and_then(|s| s.try_into().ok());
-                    let salt = salt.ok_or(ProtocolError::Malformed("an MD5 login without its salt"))?;
+                    let salt =
+                        salt.ok_or(ProtocolError::Malformed("an MD5 login without its salt"))?;
                     let hash = md5_hash(self.account.user.as_bytes(), password.as_bytes(), salt);
                     wire::write(out, b'p', |out| wire::write_string(out, hash.as_bytes()));
                 }
                 Some(10) => {
-                    let exchange = ScramSha256::new(password.as_bytes(), ChannelBinding::unsupported());
+                    let exchange =
+                        ScramSha256::new(password.as_bytes(), ChannelBinding::unsupported());
                     wire::write(out, b'p', |out| {
                         wire::write_string(out, crate::scram::MECHANISM.as_bytes());
                         out.extend_from_slice(&(exchange.message().len() as u32).to_be_bytes());
@@ -92,10 +110,10 @@
                     self.exchange = Some(Box::new(exchange));
                 }
                 Some(step @ (11 | 12)) => {
-                    let exchange = self
-                        .exchange
-                        .as_mut()
-                        .ok_or(ProtocolError::NotDue { tag, when: "before SCRAM has begun" })?;
+                    let exchange = self.exchange.as_mut().ok_or(ProtocolError::NotDue {
+                        tag,
+                        when: "before SCRAM has begun",
+                    })?;
                     let proof = match step {
                         11 => exchange.update(&body[4..]),
                         _ => exchange.finish(&body[4..]),
@@ -111,25 +129,37 @@
             },
             b'S' => self.parameter(body),
             b'K' => {
-                self.key = word(0).zip(word(4)).map(|(process, secret)| CancelKey { process, secret });
+                self.key = word(0)
+                    .zip(word(4))
+                    .map(|(process, secret)| CancelKey { process, secret });
             }
             b'E' => {
-                let code = String::from_utf8_lossy(wire::field(body, b'C').unwrap_or(b"XX000")).into();
-                return Ok(Some(EngineEvent::LoginRefused { code, error: message.to_vec() }));
+                let code =
+                    String::from_utf8_lossy(wire::field(body, b'C').unwrap_or(b"XX000")).into();
+                return Ok(Some(EngineEvent::LoginRefused {
+                    code,
+                    error: message.to_vec(),
+                }));
             }
             b'Z' => {
                 (self.stage, self.exchange) = (Stage::Ready, None);
                 return Ok(Some(EngineEvent::Ready));
             }
             b'N' | b'v' => {}
-            other => return Err(ProtocolError::NotDue { tag: other, when: "during login" }),
+            other => {
+                return Err(ProtocolError::NotDue {
+                    tag: other,
+                    when: "during login",
+                })
+            }
         }
         Ok(None)
     }
 
     fn parameter(&mut self, body: &[u8]) {
         let mut rest = body;
-        let (Ok(name), Ok(value)) = (wire::read_string(&mut rest), wire::read_string(&mut rest)) else {
+        let (Ok(name), Ok(value)) = (wire::read_string(&mut rest), wire::read_string(&mut rest))
+        else {
             return;
         };
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
@@ -139,7 +169,13 @@
     }
 
     /// The answer to bringing settings over: none of it is a client's, but why it failed.
-    fn set(&mut self, tag: u8, message: &[u8], out: &mut Vec<u8>, back: &mut Vec<u8>) -> Option<EngineEvent> {
+    fn set(
+        &mut self,
+        tag: u8,
+        message: &[u8],
+        out: &mut Vec<u8>,
+        back: &mut Vec<u8>,
+    ) -> Option<EngineEvent> {
         match tag {
             b'E' => _ = self.set_error.get_or_insert(message.to_vec()),
             b'Z' if matches!(self.expects.front(), Some(Expected::Ping)) => {
@@ -165,13 +201,21 @@
     /// A message that goes on in pieces begins: it must be one that is due.
     fn begin(&mut self, tag: u8) -> Result<(), ProtocolError> {
         let described = matches!(self.expects.front(), Some(Expected::Described));
-        let running = matches!(self.expects.front(), Some(Expected::Executed | Expected::Query));
+        let running = matches!(
+            self.expects.front(),
+            Some(Expected::Executed | Expected::Query)
+        );
         match tag {
             b'N' => {}
             b'T' if described => _ = self.expects.pop_front(),
             b't' if described => {}
             b'T' | b'D' | b'd' if running => {}
-            other => return Err(ProtocolError::NotDue { tag: other, when: "in answer to what was asked" }),
+            other => {
+                return Err(ProtocolError::NotDue {
+                    tag: other,
+                    when: "in answer to what was asked",
+                })
+            }
         }
         Ok(())
     }
@@ -202,7 +246,9 @@
                 passes = hidden.is_none();
                 self.expects.pop_front();
             }
-            (b'2', Some(Expected::Bound)) | (b'n', Some(Expected::Described)) => _ = self.expects.pop_front(),
+            (b'2', Some(Expected::Bound)) | (b'n', Some(Expected::Described)) => {
+                _ = self.expects.pop_front()
+            }
             (b'T', Some(Expected::Described)) => _ = self.expects.pop_front(),
             (b't', Some(Expected::Described)) => {}
             (b'D' | b'H' | b'd' | b'c', Some(Expected::Executed | Expected::Query)) => {}
@@ -231,7 +277,10 @@
                 return Ok(Some(EngineEvent::UnitDone(UnitOutcome { status, ..done })));
             }
             (other, _) => {
-                return Err(ProtocolError::NotDue { tag: other, when: "in answer to what was asked" });
+                return Err(ProtocolError::NotDue {
+                    tag: other,
+                    when: "in answer to what was asked",
+                });
             }
         }
         if passes {
@@ -241,7 +290,11 @@
         Ok(None)
     }
 
-    fn error(&mut self, message: &[u8], back: &mut Vec<u8>) -> Result<Option<EngineEvent>, ProtocolError> {
+    fn error(
+        &mut self,
+        message: &[u8],
+        back: &mut Vec<u8>,
+    ) -> Result<Option<EngineEvent>, ProtocolError> {
         let code = wire::field(&message[5..], b'C').unwrap_or(b"XX000");
         let fatal = wire::field(&message[5..], b'S') == Some(b"FATAL")
             || wire::field(&message[5..], b'V') == Some(b"FATAL");
@@ -257,7 +310,9 @@
             _ => {
                 back.extend_from_slice(message);
                 self.done.fault |= is_engine_fault(code);
-                self.done.error.get_or_insert(String::from_utf8_lossy(code).into());
+                self.done
+                    .error
+                    .get_or_insert(String::from_utf8_lossy(code).into());
             }
         }
         // A simple query ends of itself; all else is passed over up to the Sync.
@@ -268,8 +323,13 @@
                         self.expects.push_front(Expected::Sync);
                         break;
                     }
-                    Some(Expected::Parsed { number: Some(number), .. }) => _ = self.coming.remove(&number),
-                    Some(Expected::Closed { hidden: Some(number) }) => _ = self.prepared.put(number, ()),
+                    Some(Expected::Parsed {
+                        number: Some(number),
+                        ..
+                    }) => _ = self.coming.remove(&number),
+                    Some(Expected::Closed {
+                        hidden: Some(number),
+                    }) => _ = self.prepared.put(number, ()),
                     Some(_) => {}
                     None => {
                         self.skipping = true;
--- a/crates/postgres/src/engine/sending.rs
+++ b/crates/postgres/src/engine/sending.rs
@@ -52,17 +52,30 @@
         }
         let message = |at: &std::ops::Range<usize>| raw.get(at.clone()).unwrap_or_default();
         match op {
-            Operation::Parse { prepared, named: true } if self.has(prepared.number) => {
+            Operation::Parse {
+                prepared,
+                named: true,
+            } if self.has(prepared.number) => {
                 self.expects.push_back(Expected::Make(wire::PARSE_COMPLETE));
             }
             Operation::Parse { prepared, named } => self.parse(prepared, *named, false, out),
-            Operation::Bind { prepared, named, portal, rest } => {
+            Operation::Bind {
+                prepared,
+                named,
+                portal,
+                rest,
+            } => {
                 self.ensure(prepared, *named, out);
                 wire::write(out, b'B', |out| {
                     wire::write_string(out, message(portal));
                     wire::write_string(
                         out,
-                        if *named { name(prepared.number) } else { String::new() }.as_bytes(),
+                        if *named {
+                            name(prepared.number)
+                        } else {
+                            String::new()
+                        }
+                        .as_bytes(),
                     );
                     out.extend_from_slice(message(rest));
                 });
@@ -74,7 +87,12 @@
                     out.push(b'S');
                     wire::write_string(
                         out,
-                        if *named { name(prepared.number) } else { String::new() }.as_bytes(),
+                        if *named {
+                            name(prepared.number)
+                        } else {
+                            String::new()
+                        }
+                        .as_bytes(),
                     );
                 });
                 self.expects.push_back(Expected::Described);
@@ -91,7 +109,9 @@
                 out.extend_from_slice(message(at));
                 self.expects.push_back(Expected::Closed { hidden: None });
             }
-            Operation::CloseStatement => self.expects.push_back(Expected::Make(wire::CLOSE_COMPLETE)),
+            Operation::CloseStatement => {
+                self.expects.push_back(Expected::Make(wire::CLOSE_COMPLETE))
+            }
             Operation::Fail(why) => {
                 // A statement of this name there never is: the engine fails what went before in the unit.
                 wire::write(out, b'B', |out| {
@@ -120,7 +140,11 @@
 
     /// Prepares a statement again, unseen, where this connection does not have it.
     fn ensure(&mut self, prepared: &Rc<Prepared>, named: bool, out: &mut Vec<u8>) {
-        let there = if named { self.has(prepared.number) } else { self.unnamed == Some(prepared.number) };
+        let there = if named {
+            self.has(prepared.number)
+        } else {
+            self.unnamed == Some(prepared.number)
+        };
         if !there {
             self.parse(prepared, named, true, out);
         }
@@ -133,11 +157,21 @@
                     out.push(b'S');
                     wire::write_string(out, name(oldest).as_bytes());
                 });
-                self.expects.push_back(Expected::Closed { hidden: Some(oldest) });
+                self.expects.push_back(Expected::Closed {
+                    hidden: Some(oldest),
+                });
             }
         }
         wire::write(out, b'P', |out| {
-            wire::write_string(out, if named { name(prepared.number) } else { String::new() }.as_bytes());
+            wire::write_string(
+                out,
+                if named {
+                    name(prepared.number)
+                } else {
+                    String::new()
+                }
+                .as_bytes(),
+            );
             out.extend_from_slice(&prepared.body);
         });
         if named {
--- a/crates/postgres/src/engine_tests.rs
+++ b/crates/postgres/src/engine_tests.rs
@@ -13,7 +13,11 @@
 }
 
 fn with(password: &str) -> EngineConnection {
-    let account = Account { user: "u".into(), database: "d".into(), password: Some(password.into()) };
+    let account = Account {
+        user: "u".into(),
+        database: "d".into(),
+        password: Some(password.into()),
+    };
     EngineConnection::new(account, 8, &mut Vec::new())
 }
 
@@ -24,7 +28,10 @@
 #[test]
 fn logins_of_every_kind_are_answered() {
     let mut plain = with("secret");
-    assert_eq!(told(&mut plain, b'R', &step(3, b"")).0, b"p\0\0\0\x0bsecret\0");
+    assert_eq!(
+        told(&mut plain, b'R', &step(3, b"")).0,
+        b"p\0\0\0\x0bsecret\0"
+    );
     let mut md5 = with("secret");
     let (out, _) = told(&mut md5, b'R', &step(5, b"salt"));
     assert!(out.starts_with(b"p") && out[5..].starts_with(b"md5") && out.len() == 5 + 36);
@@ -49,15 +56,29 @@
 
 #[test]
 fn an_engine_that_says_what_is_not_due_is_not_believed() {
-    for (tag, body) in [(b'D', &b"\0\0"[..]), (b'Z', b"I"), (b'1', b""), (b'G', b""), (b'?', b"")] {
+    for (tag, body) in [
+        (b'D', &b"\0\0"[..]),
+        (b'Z', b"I"),
+        (b'1', b""),
+        (b'G', b""),
+        (b'?', b""),
+    ] {
         let mut engine = with("");
         told(&mut engine, b'R', &step(0, b""));
         told(&mut engine, b'Z', b"I");
         let mut input = Vec::new();
         wire::write(&mut input, tag, |out| out.extend_from_slice(body));
-        assert!(engine.read(&input, &mut Vec::new(), &mut Vec::new(), 100).is_err(), "{}", tag as char);
+        assert!(
+            engine
+                .read(&input, &mut Vec::new(), &mut Vec::new(), 100)
+                .is_err(),
+            "{}",
+            tag as char
+        );
     }
     let mut engine = with("");
     let long = [&b"R\x7f\xff\xff\xff"[..], &[0; 100]].concat();
-    assert!(engine.read(&long, &mut Vec::new(), &mut Vec::new(), 100).is_err());
+    assert!(engine
+        .read(&long, &mut Vec::new(), &mut Vec::new(), 100)
+        .is_err());
 }
--- a/crates/postgres/src/pool.rs
+++ b/crates/postgres/src/pool.rs
@@ -81,7 +81,11 @@
 impl<U: Copy + PartialEq> Pools<U> {
     /// Pools without connections.
     pub fn new(bounds: Bounds) -> Self {
-        Pools { bounds, members: BTreeMap::new(), waiting: BTreeMap::new() }
+        Pools {
+            bounds,
+            members: BTreeMap::new(),
+            waiting: BTreeMap::new(),
+        }
     }
 
     /// How many connections there are, those that are being made included.
@@ -106,7 +110,10 @@
         unit: U,
         suits: impl Fn(ConnectionId) -> u32,
     ) -> Option<PoolAction<U>> {
-        let waits = self.waiting.get(&engine).is_some_and(|line| !line.is_empty());
+        let waits = self
+            .waiting
+            .get(&engine)
+            .is_some_and(|line| !line.is_empty());
         // The one used last first, so that the others may end as idle.
         let idle = |(connection, m): (&ConnectionId, &Member)| match m.state {
             State::Idle { since } if m.account == account && !m.old => {
@@ -116,10 +123,15 @@
         };
         let best = self.of(engine).filter_map(idle).max();
         if let Some((_, _, connection)) = best.filter(|_| !waits) {
-            self.members.entry(connection).and_modify(|m| m.state = State::InUse);
+            self.members
+                .entry(connection)
+                .and_modify(|m| m.state = State::InUse);
             return Some(PoolAction::Use { unit, connection });
         }
-        self.waiting.entry(engine).or_default().push_back((unit, account));
+        self.waiting
+            .entry(engine)
+            .or_default()
+            .push_back((unit, account));
         self.next_action(engine)
     }
 
@@ -127,7 +139,10 @@
     /// comes up serves the first of its account.
     fn uncovered(&self, engine: EngineIndex) -> Option<AccountId> {
         let mut coming: BTreeMap<AccountId, usize> = BTreeMap::new();
-        for (_, m) in self.of(engine).filter(|(_, m)| m.state == State::Connecting && !m.old) {
+        for (_, m) in self
+            .of(engine)
+            .filter(|(_, m)| m.state == State::Connecting && !m.old)
+        {
             *coming.entry(m.account).or_default() += 1;
         }
         let mut served = |account: &AccountId| match coming.get_mut(account) {
@@ -137,7 +152,11 @@
             }
             _ => false,
         };
-        let mut line = self.waiting.get(&engine)?.iter().map(|(_, account)| account);
+        let mut line = self
+            .waiting
+            .get(&engine)?
+            .iter()
+            .map(|(_, account)| account);
         line.find(|account| !served(account)).copied()
     }
 
@@ -145,7 +164,10 @@
     pub fn next_action(&self, engine: EngineIndex) -> Option<PoolAction<U>> {
         let account = self.uncovered(engine)?;
         if self.of(engine).count() < self.bounds.each_engine {
-            return Some(PoolAction::Dial { account, instead_of: None });
+            return Some(PoolAction::Dial {
+                account,
+                instead_of: None,
+            });
         }
         // Guards against one account that holds all connections while it rests.
         let idle = |(connection, m): (&ConnectionId, &Member)| match m.state {
@@ -153,7 +175,10 @@
             _ => None,
         };
         let (_, connection) = self.of(engine).filter_map(idle).min()?;
-        Some(PoolAction::Dial { account, instead_of: Some(connection) })
+        Some(PoolAction::Dial {
+            account,
+            instead_of: Some(connection),
+        })
     }
 
     /// A connection is being made.
@@ -164,14 +189,22 @@
         account: AccountId,
         connection: ConnectionId,
     ) {
-        let member = Member { engine, account, state: State::Connecting, born: now, old: false };
+        let member = Member {
+            engine,
+            account,
+            state: State::Connecting,
+            born: now,
+            old: false,
+        };
         self.members.insert(connection, member);
     }
 
     /// A connection has come up, or its unit and transaction are over.
     pub fn release(&mut self, now: i64, connection: ConnectionId) -> Released<U> {
         let age = self.bounds.age;
-        let Some(member) = self.members.get_mut(&connection) else { return Released::Close };
+        let Some(member) = self.members.get_mut(&connection) else {
+            return Released::Close;
+        };
         if member.old || now - member.born >= age {
             return Released::Close;
         }
@@ -182,25 +215,38 @@
         let full = self.of(engine).count() >= self.bounds.each_engine;
         if !full || first.is_none_or(|first| first == account) {
             let line = self.waiting.entry(engine).or_default();
-            let own = line.iter().position(|(_, a)| *a == account).and_then(|at| line.remove(at));
+            let own = line
+                .iter()
+                .position(|(_, a)| *a == account)
+                .and_then(|at| line.remove(at));
             if let Some((unit, _)) = own {
-                self.members.entry(connection).and_modify(|m| m.state = State::InUse);
+                self.members
+                    .entry(connection)
+                    .and_modify(|m| m.state = State::InUse);
                 return Released::Action(PoolAction::Use { unit, connection });
             }
         }
-        self.next_action(engine).map_or(Released::Idle, Released::Action)
+        self.next_action(engine)
+            .map_or(Released::Idle, Released::Action)
     }
 
     /// A connection is gone. Returns the units that waited for it alone, as there is no other of their
     /// account.
     pub fn remove(&mut self, connection: ConnectionId) -> Vec<U> {
-        let Some(member) = self.members.remove(&connection) else { return Vec::new() };
+        let Some(member) = self.members.remove(&connection) else {
+            return Vec::new();
+        };
         if member.state != State::Connecting {
             return Vec::new();
         }
-        let Some(line) = self.waiting.get_mut(&member.engine) else { return Vec::new() };
+        let Some(line) = self.waiting.get_mut(&member.engine) else {
+            return Vec::new();
+        };
         let (engine, account) = (member.engine, member.account);
-        let others = self.members.values().any(|m| m.engine == engine && m.account == account && !m.old);
+        let others = self
+            .members
+            .values()
+            .any(|m| m.engine == engine && m.account == account && !m.old);
         let mut lost = Vec::new();
         // With none left all end, else one: the others are still served.
         line.retain(|(unit, a)| {
@@ -215,7 +261,9 @@
 
     /// A unit no longer waits. True if it did.
     pub fn withdraw(&mut self, engine: EngineIndex, unit: U) -> bool {
-        let Some(line) = self.waiting.get_mut(&engine) else { return false };
+        let Some(line) = self.waiting.get_mut(&engine) else {
+            return false;
+        };
         let before = line.len();
         line.retain(|(other, _)| *other != unit);
         line.len() < before
@@ -242,7 +290,11 @@
             }
             _ => false,
         };
-        self.members.iter().filter(|(_, m)| over(m)).map(|(connection, _)| *connection).collect()
+        self.members
+            .iter()
+            .filter(|(_, m)| over(m))
+            .map(|(connection, _)| *connection)
+            .collect()
     }
 
     /// An idle connection to an engine, if there is one.
@@ -265,7 +317,10 @@
 
     /// Connections to an engine that are idle or being made, beyond those that units wait for.
     pub fn available(&self, engine: EngineIndex) -> usize {
-        let free = self.of(engine).filter(|(_, m)| m.state != State::InUse && !m.old).count();
+        let free = self
+            .of(engine)
+            .filter(|(_, m)| m.state != State::InUse && !m.old)
+            .count();
         free.saturating_sub(self.waiting.get(&engine).map_or(0, VecDeque::len))
     }
 
@@ -275,7 +330,11 @@
             State::Idle { since } => Some((since, *connection)),
             _ => None,
         };
-        self.members.iter().filter_map(idle).min().map(|(_, connection)| connection)
+        self.members
+            .iter()
+            .filter_map(idle)
+            .min()
+            .map(|(_, connection)| connection)
     }
 }
 
--- a/crates/postgres/src/pool_tests.rs
+++ b/crates/postgres/src/pool_tests.rs
@@ -2,14 +2,21 @@
 
 use super::*;
 
-const BOUNDS: Bounds = Bounds { each_engine: 2, idle: 100, age: 1000 };
+const BOUNDS: Bounds = Bounds {
+    each_engine: 2,
+    idle: 100,
+    age: 1000,
+};
 
 fn pools() -> Pools<char> {
     Pools::new(BOUNDS)
 }
 
 fn dial(account: AccountId) -> Option<PoolAction<char>> {
-    Some(PoolAction::Dial { account, instead_of: None })
+    Some(PoolAction::Dial {
+        account,
+        instead_of: None,
+    })
 }
 
 fn served(unit: char, connection: ConnectionId) -> Released<char> {
@@ -34,7 +41,10 @@
     assert_eq!(pools.release(2, 1), served('c', 1));
     assert_eq!(pools.release(3, 2), Released::Idle);
     assert_eq!(pools.release(4, 1), Released::Idle);
-    assert_eq!(pools.submit(0, 0, 'd', |connection| u32::from(connection == 2)), goes('d', 2));
+    assert_eq!(
+        pools.submit(0, 0, 'd', |connection| u32::from(connection == 2)),
+        goes('d', 2)
+    );
     assert_eq!(pools.submit(0, 0, 'e', |_| 0), goes('e', 1));
 }
 
@@ -48,7 +58,10 @@
     }
     assert_eq!(pools.submit(0, 1, 'x', |_| 0), None);
     assert_eq!(pools.submit(0, 0, 'b', |_| 0), None);
-    let instead = PoolAction::Dial { account: 1, instead_of: Some(1) };
+    let instead = PoolAction::Dial {
+        account: 1,
+        instead_of: Some(1),
+    };
     assert_eq!(pools.release(5, 1), Released::Action(instead));
     pools.remove(1);
     pools.connecting(5, 0, 1, 3);
@@ -92,5 +105,8 @@
     pools.connecting(20, 0, 0, 4);
     pools.release(20, 4);
     assert_eq!(pools.release(30, 4), Released::Idle);
-    assert_eq!((pools.expired(129), pools.expired(130), pools.oldest_idle()), (vec![], vec![4], Some(4)));
+    assert_eq!(
+        (pools.expired(129), pools.expired(130), pools.oldest_idle()),
+        (vec![], vec![4], Some(4))
+    );
 }
--- a/crates/postgres/src/prepared.rs
+++ b/crates/postgres/src/prepared.rs
@@ -71,8 +71,15 @@
         }
         self.next += 1;
         let text = &body[..memchr::memchr(0, body).unwrap_or(body.len())];
-        let fresh = Rc::new(Prepared { number: self.next, body: body.into(), scan: sql::scan(text) });
-        self.prepared.entry(hash).or_default().push(Rc::downgrade(&fresh));
+        let fresh = Rc::new(Prepared {
+            number: self.next,
+            body: body.into(),
+            scan: sql::scan(text),
+        });
+        self.prepared
+            .entry(hash)
+            .or_default()
+            .push(Rc::downgrade(&fresh));
         self.sweep();
         fresh
     }
@@ -85,7 +92,10 @@
             return found;
         }
         let fresh = Rc::new(settings);
-        self.settings.entry(hash).or_default().push(Rc::downgrade(&fresh));
+        self.settings
+            .entry(hash)
+            .or_default()
+            .push(Rc::downgrade(&fresh));
         self.sweep();
         fresh
     }
--- a/crates/postgres/src/prepared_tests.rs
+++ b/crates/postgres/src/prepared_tests.rs
@@ -7,7 +7,10 @@
     let mut catalogue = Catalogue::default();
     let first = catalogue.prepare(b"select 1\0\0\0");
     assert!(Rc::ptr_eq(&first, &catalogue.prepare(b"select 1\0\0\0")));
-    assert_ne!(first.number, catalogue.prepare(b"select 1\0\0\x01\0\0\0\x17").number);
+    assert_ne!(
+        first.number,
+        catalogue.prepare(b"select 1\0\0\x01\0\0\0\x17").number
+    );
     assert_eq!(first.text(), b"select 1");
     for i in 0..10 * SWEEP_FROM {
         catalogue.prepare(format!("select {i}\0\0\0").as_bytes());
@@ -20,8 +23,13 @@
 fn settings_follow_their_changes_and_can_be_set_again() {
     let mut settings = SessionSettings::default();
     let scan = sql::scan(b"SET a = 1; SET b = 2; SET a = 3; RESET b; SET c TO 'x'");
-    scan.changes.iter().for_each(|change| settings.change(change));
-    assert_eq!(settings.restoring_sql(), "RESET ALL; SET a = 3; SET c TO 'x'");
+    scan.changes
+        .iter()
+        .for_each(|change| settings.change(change));
+    assert_eq!(
+        settings.restoring_sql(),
+        "RESET ALL; SET a = 3; SET c TO 'x'"
+    );
     settings.change(&Change::ResetAll);
     assert_eq!(settings.restoring_sql(), "RESET ALL");
 }
--- a/crates/postgres/src/protocol_error_tests.rs
+++ b/crates/postgres/src/protocol_error_tests.rs
@@ -14,8 +14,15 @@
         Unknown(7),
         TooLong { bytes: 9, most: 8 },
         Mixed,
-        EngineTooLong { tag: b'R', bytes: 9, most: 8 },
-        NotDue { tag: b'D', when: "during login" },
+        EngineTooLong {
+            tag: b'R',
+            bytes: 9,
+            most: 8,
+        },
+        NotDue {
+            tag: b'D',
+            when: "during login",
+        },
         Login(7),
         Proof("no such user".into()),
         Gone("57P01".into()),
@@ -44,5 +51,8 @@
         assert!(verbs.iter().any(|verb| remedy.starts_with(verb)), "{text}");
         assert!(!text.ends_with('.') && text.len() < 150, "{text}");
     }
-    assert_eq!(Unknown(7).to_string().split(" is").next(), Some("a message of kind '\\x07'"));
+    assert_eq!(
+        Unknown(7).to_string().split(" is").next(),
+        Some("a message of kind '\\x07'")
+    );
 }
--- a/crates/postgres/src/scram.rs
+++ b/crates/postgres/src/scram.rs
@@ -80,14 +80,25 @@
             _ => return None,
         };
         let (name, nonce) = bare.split_once(",r=")?;
-        let printable = !nonce.is_empty() && nonce.bytes().all(|c| (0x21..0x7f).contains(&c) && c != b',');
+        let printable = !nonce.is_empty()
+            && nonce
+                .bytes()
+                .all(|c| (0x21..0x7f).contains(&c) && c != b',');
         if !name.starts_with("n=") || name.contains(',') || !printable {
             return None;
         }
         let nonce = format!("{nonce}{own}");
         let answer = format!("r={nonce},s={},i={}", verifier.salt, verifier.iterations);
         let said = format!("{bare},{answer}");
-        Some((Exchange { verifier, nonce, said, binding }, answer))
+        Some((
+            Exchange {
+                verifier,
+                nonce,
+                said,
+                binding,
+            },
+            answer,
+        ))
     }
 
     /// Takes the client's last message; the proof of this side, if the client's holds.
@@ -103,8 +114,16 @@
         let client_key: Vec<u8> = proof.iter().zip(signature).map(|(a, b)| a ^ b).collect();
         let stored: [u8; 32] = Sha256::digest(&client_key).into();
         // Compared as a whole, so that how long it takes tells nothing of where they differ.
-        let differ = stored.iter().zip(self.verifier.stored_key).fold(0, |all, (a, b)| all | (a ^ b));
-        (differ == 0).then(|| format!("v={}", STANDARD.encode(hmac(&self.verifier.server_key, &message))))
+        let differ = stored
+            .iter()
+            .zip(self.verifier.stored_key)
+            .fold(0, |all, (a, b)| all | (a ^ b));
+        (differ == 0).then(|| {
+            format!(
+                "v={}",
+                STANDARD.encode(hmac(&self.verifier.server_key, &message))
+            )
+        })
     }
 }
 
--- a/crates/postgres/src/scram_tests.rs
+++ b/crates/postgres/src/scram_tests.rs
@@ -5,7 +5,8 @@
 
 fn log_in(verifier: &Verifier, password: &[u8], spoil: bool) -> bool {
     let mut client = ScramSha256::new(password, ChannelBinding::unsupported());
-    let Some((exchange, answer)) = Exchange::begin(verifier.clone(), client.message(), "own") else {
+    let Some((exchange, answer)) = Exchange::begin(verifier.clone(), client.message(), "own")
+    else {
         return false;
     };
     client.update(answer.as_bytes()).unwrap();
@@ -26,20 +27,39 @@
     assert!(log_in(&verifier, b"secret", false));
     assert!(!log_in(&verifier, b"Secret", false));
     assert!(!log_in(&verifier, b"secret", true));
-    assert!(!log_in(&Verifier::for_unknown_user("x", b"s"), b"secret", false));
+    assert!(!log_in(
+        &Verifier::for_unknown_user("x", b"s"),
+        b"secret",
+        false
+    ));
 }
 
 #[test]
 fn what_is_no_exchange_is_refused() {
     let verifier = Verifier::for_unknown_user("x", b"s");
-    let first: [&[u8]; 7] =
-        [b"", b"n,,", b"p=tls-unique,,n=,r=abc", b"n,,n=,r=", b"n,,m=x,n=,r=a", b"n,,n=,r=a,b=c", b"\xff"];
+    let first: [&[u8]; 7] = [
+        b"",
+        b"n,,",
+        b"p=tls-unique,,n=,r=abc",
+        b"n,,n=,r=",
+        b"n,,m=x,n=,r=a",
+        b"n,,n=,r=a,b=c",
+        b"\xff",
+    ];
     for first in first {
-        assert!(Exchange::begin(verifier.clone(), first, "own").is_none(), "{first:?}");
+        assert!(
+            Exchange::begin(verifier.clone(), first, "own").is_none(),
+            "{first:?}"
+        );
     }
     let (exchange, _) = Exchange::begin(verifier, b"n,,n=,r=abc", "own").unwrap();
-    let last: [&[u8]; 5] =
-        [b"", b"c=biws,r=abcown", b"c=biws,r=abcown,p=", b"c=biws,r=abc,p=eA==", b"\xff,p="];
+    let last: [&[u8]; 5] = [
+        b"",
+        b"c=biws,r=abcown",
+        b"c=biws,r=abcown,p=",
+        b"c=biws,r=abc,p=eA==",
+        b"\xff,p=",
+    ];
     for last in last {
         assert!(exchange.finish(last).is_none(), "{last:?}");
     }
@@ -47,7 +67,12 @@
 
 #[test]
 fn verifiers_that_are_none_are_refused() {
-    for text in ["", "md5abc", "SCRAM-SHA-256$0:c2FsdA==$a:b", "SCRAM-SHA-256$4096:c2FsdA==$YQ==:YQ=="] {
+    for text in [
+        "",
+        "md5abc",
+        "SCRAM-SHA-256$0:c2FsdA==$a:b",
+        "SCRAM-SHA-256$4096:c2FsdA==$YQ==:YQ==",
+    ] {
         assert!(Verifier::read(text).is_none(), "{text}");
     }
 }
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -137,7 +137,9 @@
     /// The first text that it runs.
     pub fn text(&self) -> &[u8] {
         let query = self.query.clone().and_then(|at| self.raw.get(at));
-        query.or(self.first.as_ref().map(|p| p.text())).unwrap_or_default()
+        query
+            .or(self.first.as_ref().map(|p| p.text()))
+            .unwrap_or_default()
     }
 
     /// All texts that it runs or could: its own, and those of what it has prepared.
@@ -234,7 +236,8 @@
             match name.strip_prefix("hallmux.") {
                 Some(name) => _ = label.set(name, value),
                 None => {
-                    let statement = format!("SET {} TO '{}'", quoted(name), value.replace('\'', "''"));
+                    let statement =
+                        format!("SET {} TO '{}'", quoted(name), value.replace('\'', "''"));
                     settings.0.insert(name.clone(), statement);
                 }
             }
@@ -257,7 +260,9 @@
     /// limit.
     pub fn statement_timeout(&self, label: &Label) -> Option<i64> {
         let set = self.settings.0.get("statement_timeout");
-        let set = set.and_then(|statement| statement.rsplit(['=', ' ']).next()).and_then(sql::time);
+        let set = set
+            .and_then(|statement| statement.rsplit(['=', ' ']).next())
+            .and_then(sql::time);
         let told = label.statement_timeout.as_deref().and_then(sql::time);
         set.into_iter().chain(told).filter(|time| *time > 0).min()
     }
@@ -271,7 +276,12 @@
 impl UnitPart {
     /// Statements parsed before the first step that fails.
     fn done_before_fault(&self) -> usize {
-        let before = self.ops.iter().take_while(|op| !matches!(op, Operation::Fail(_)));
-        before.filter(|op| matches!(op, Operation::Parse { .. })).count()
+        let before = self
+            .ops
+            .iter()
+            .take_while(|op| !matches!(op, Operation::Fail(_)));
+        before
+            .filter(|op| matches!(op, Operation::Parse { .. }))
+            .count()
     }
 }
--- a/crates/postgres/src/session/answering.rs
+++ b/crates/postgres/src/session/answering.rs
@@ -12,7 +12,12 @@
 
 impl Session {
     /// Answers a unit that needs no engine, to `out`. False if it needs one; nothing is written then.
-    pub fn answers(&mut self, part: &UnitPart, catalogue: &mut Catalogue, out: &mut Vec<u8>) -> bool {
+    pub fn answers(
+        &mut self,
+        part: &UnitPart,
+        catalogue: &mut Catalogue,
+        out: &mut Vec<u8>,
+    ) -> bool {
         let lost = self.transaction == Transaction::Lost;
         let held = self.transaction.is_held();
         // Guards against a transaction whose engine would not learn that it has failed.
@@ -60,7 +65,9 @@
                 Operation::DescribePortal(_) => wire::NO_DATA,
                 Operation::Execute(_) => {
                     match &bound {
-                        Some(prepared) => failed = !self.runs(&prepared.clone().scan, catalogue, out),
+                        Some(prepared) => {
+                            failed = !self.runs(&prepared.clone().scan, catalogue, out)
+                        }
                         None => {
                             self.aborted().write(out, false);
                             failed = true;
@@ -102,12 +109,18 @@
             }
             return unreported_loss.is_none() && ends(scan);
         }
-        let Some(command) = &scan.local_command else { return true };
+        let Some(command) = &scan.local_command else {
+            return true;
+        };
         match command {
             LocalCommand::Label(name, value) => {
                 if !self.label.set(name, value) {
                     let why = "no such setting; see the page on PostgreSQL sessions";
-                    ClientError::InvalidSetting { field: "hallmux", why }.write(out, false);
+                    ClientError::InvalidSetting {
+                        field: "hallmux",
+                        why,
+                    }
+                    .write(out, false);
                     return false;
                 }
             }
@@ -157,7 +170,9 @@
             let pending_changes = std::mem::take(&mut self.pending_changes);
             if !failed && !done.rolled_back && !pending_changes.is_empty() {
                 let mut settings = (*self.settings).clone();
-                pending_changes.iter().for_each(|change| settings.change(change));
+                pending_changes
+                    .iter()
+                    .for_each(|change| settings.change(change));
                 // Guards against a session that grows without end: it keeps as many as it may.
                 while settings.0.len() > bounds.settings {
                     settings.0.pop_last();
@@ -203,7 +218,11 @@
     }
 
     fn forget_unparsed(&mut self, parts: &[UnitPart], parsed: usize) {
-        let named: Vec<Vec<u8>> = parts.iter().flat_map(|p| p.named.iter().cloned()).skip(parsed).collect();
+        let named: Vec<Vec<u8>> = parts
+            .iter()
+            .flat_map(|p| p.named.iter().cloned())
+            .skip(parsed)
+            .collect();
         named.iter().for_each(|name| self.forget(name));
     }
 }
--- a/crates/postgres/src/session/reading.rs
+++ b/crates/postgres/src/session/reading.rs
@@ -32,7 +32,9 @@
         let scan = sql::scan(text);
         match scan.unsupported {
             Some(why) => {
-                self.part.ops.push(Operation::Fail(ClientError::Unsupported { why }));
+                self.part
+                    .ops
+                    .push(Operation::Fail(ClientError::Unsupported { why }));
                 self.part.ops.push(Operation::Sync);
             }
             None => self.part.ops.push(Operation::Query(whole)),
@@ -49,18 +51,27 @@
         self.part.first = Some(prepared.clone());
         self.bound.insert(portal.to_vec());
         let (portal, rest) = (self.range(portal), self.range(rest));
-        self.part.ops.push(Operation::Bind { prepared, named: !statement.is_empty(), portal, rest });
+        self.part.ops.push(Operation::Bind {
+            prepared,
+            named: !statement.is_empty(),
+            portal,
+            rest,
+        });
     }
 
     /// What shared connections can't carry can't hide among other operations either.
     fn refuse_mixed_commands(&mut self) {
         let part = &mut self.part;
         let mixed = !part.local
-            && part.local_commands.iter().any(|command| !matches!(command, LocalCommand::Label(..)));
+            && part
+                .local_commands
+                .iter()
+                .any(|command| !matches!(command, LocalCommand::Label(..)));
         if mixed {
             let why = "DISCARD or DEALLOCATE among other statements";
             let last = part.ops.pop();
-            part.ops.push(Operation::Fail(ClientError::Unsupported { why }));
+            part.ops
+                .push(Operation::Fail(ClientError::Unsupported { why }));
             part.ops.extend(last);
         }
     }
@@ -82,12 +93,24 @@
         let Some(end) = self.end_of_part(input, bounds)? else {
             return Ok((0, SessionEvent::Incomplete));
         };
-        let part = UnitPart { raw: input[..end].to_vec(), local: true, ..UnitPart::default() };
-        let mut reading = Reading { input, catalogue, bounds, part, bound: HashSet::new() };
+        let part = UnitPart {
+            raw: input[..end].to_vec(),
+            local: true,
+            ..UnitPart::default()
+        };
+        let mut reading = Reading {
+            input,
+            catalogue,
+            bounds,
+            part,
+            bound: HashSet::new(),
+        };
         let mut at = 0;
         while at < end {
             let message = wire::message(&input[at..end], bounds.bytes).map_err(violation)?;
-            let Some(Message { tag, body, len }) = message else { break };
+            let Some(Message { tag, body, len }) = message else {
+                break;
+            };
             match wire::client_message(tag, body).map_err(violation)? {
                 ClientMessage::Terminate => return Ok((end, SessionEvent::Terminated)),
                 ClientMessage::Query(_) | ClientMessage::FunctionCall if self.in_unit || at > 0 => {
@@ -111,7 +134,9 @@
         loop {
             match wire::header(&input[at..]).map_err(violation)? {
                 Some(Header { len, .. }) if len > bounds.bytes || at + len > bounds.bytes => {
-                    return Err(ClientError::LimitExceeded { why: "the bytes of a unit" });
+                    return Err(ClientError::LimitExceeded {
+                        why: "the bytes of a unit",
+                    });
                 }
                 Some(Header { tag, len }) if at + len <= input.len() => {
                     at += len;
@@ -131,8 +156,13 @@
     fn take(&mut self, reading: &mut Reading, message: ClientMessage, whole: Range<usize>) {
         match message {
             ClientMessage::FunctionCall => {
-                let why = ClientError::Unsupported { why: "a function call" };
-                reading.part.ops.extend([Operation::Fail(why), Operation::Sync]);
+                let why = ClientError::Unsupported {
+                    why: "a function call",
+                };
+                reading
+                    .part
+                    .ops
+                    .extend([Operation::Fail(why), Operation::Sync]);
                 reading.part.ends = true;
             }
             ClientMessage::Query(text) => reading.query(text, whole),
@@ -141,18 +171,31 @@
                 let why = ClientError::LimitExceeded { why: "portals" };
                 reading.part.ops.push(Operation::Fail(why));
             }
-            ClientMessage::Bind { portal, statement, rest } => match self.known(statement) {
+            ClientMessage::Bind {
+                portal,
+                statement,
+                rest,
+            } => match self.known(statement) {
                 Some(prepared) => reading.bind(prepared, portal, statement, rest),
                 None => reading.part.ops.push(no_such(statement)),
             },
-            ClientMessage::Describe { statement: true, name } => match self.known(name) {
+            ClientMessage::Describe {
+                statement: true,
+                name,
+            } => match self.known(name) {
                 Some(prepared) => {
                     reading.part.local &= prepared.scan.local_command.is_some();
-                    reading.part.ops.push(Operation::Describe { prepared, named: !name.is_empty() });
+                    reading.part.ops.push(Operation::Describe {
+                        prepared,
+                        named: !name.is_empty(),
+                    });
                 }
                 None => reading.part.ops.push(no_such(name)),
             },
-            ClientMessage::Describe { statement: false, name } => {
+            ClientMessage::Describe {
+                statement: false,
+                name,
+            } => {
                 reading.part.local &= reading.bound.contains(name);
                 reading.part.ops.push(Operation::DescribePortal(whole));
             }
@@ -160,11 +203,17 @@
                 reading.part.local &= reading.bound.contains(portal);
                 reading.part.ops.push(Operation::Execute(whole));
             }
-            ClientMessage::Close { statement: true, name } => {
+            ClientMessage::Close {
+                statement: true,
+                name,
+            } => {
                 self.forget(name);
                 reading.part.ops.push(Operation::CloseStatement);
             }
-            ClientMessage::Close { statement: false, name } => {
+            ClientMessage::Close {
+                statement: false,
+                name,
+            } => {
                 self.portals.remove(name);
                 reading.part.ops.push(Operation::ClosePortal(whole));
             }
@@ -183,7 +232,10 @@
         let part = &mut reading.part;
         part.local &= prepared.scan.local_command.is_some();
         let fault = self.prepare(name, &prepared, reading.bounds);
-        let unsupported = prepared.scan.unsupported.map(|why| ClientError::Unsupported { why });
+        let unsupported = prepared
+            .scan
+            .unsupported
+            .map(|why| ClientError::Unsupported { why });
         let known_here = fault.is_none();
         match fault.or(unsupported) {
             Some(why) => {
@@ -195,7 +247,10 @@
             }
             None => {
                 let named = !name.is_empty();
-                part.ops.push(Operation::Parse { prepared: prepared.clone(), named });
+                part.ops.push(Operation::Parse {
+                    prepared: prepared.clone(),
+                    named,
+                });
                 part.named.push(name.to_vec());
             }
         }
@@ -203,7 +258,11 @@
     }
 
     fn known(&self, name: &[u8]) -> Option<Rc<Prepared>> {
-        let found = if name.is_empty() { self.unnamed.as_ref() } else { self.statements.get(name) };
+        let found = if name.is_empty() {
+            self.unnamed.as_ref()
+        } else {
+            self.statements.get(name)
+        };
         found.cloned()
     }
 
@@ -220,15 +279,24 @@
     }
 
     /// Takes a statement in under its name, or says why not.
-    fn prepare(&mut self, name: &[u8], prepared: &Rc<Prepared>, bounds: &Bounds) -> Option<ClientError> {
+    fn prepare(
+        &mut self,
+        name: &[u8],
+        prepared: &Rc<Prepared>,
+        bounds: &Bounds,
+    ) -> Option<ClientError> {
         if name.is_empty() {
             self.unnamed = Some(prepared.clone());
         } else if self.statements.contains_key(name) {
-            return Some(ClientError::DuplicateStatement { name: String::from_utf8_lossy(name).into() });
+            return Some(ClientError::DuplicateStatement {
+                name: String::from_utf8_lossy(name).into(),
+            });
         } else if self.statements.len() >= bounds.statements
             || self.held_bytes + name.len() + prepared.body.len() > bounds.bytes
         {
-            return Some(ClientError::LimitExceeded { why: "prepared statements" });
+            return Some(ClientError::LimitExceeded {
+                why: "prepared statements",
+            });
         } else {
             self.held_bytes += name.len() + prepared.body.len();
             self.statements.insert(name.to_vec(), prepared.clone());
@@ -263,7 +331,9 @@
 }
 
 fn no_such(name: &[u8]) -> Operation {
-    Operation::Fail(ClientError::NoSuchStatement { name: String::from_utf8_lossy(name).into() })
+    Operation::Fail(ClientError::NoSuchStatement {
+        name: String::from_utf8_lossy(name).into(),
+    })
 }
 
 /// It does nothing but end a transaction.
--- a/crates/postgres/src/sql.rs
+++ b/crates/postgres/src/sql.rs
@@ -125,7 +125,10 @@
 
 /// Scans a text of one or more statements. Whatever it does not understand counts as harmless.
 pub fn scan(text: &[u8]) -> Scan {
-    let mut scan = Scan { label: label(text), ..Scan::default() };
+    let mut scan = Scan {
+        label: label(text),
+        ..Scan::default()
+    };
     let mut head: Vec<Token> = Vec::with_capacity(HEAD);
     let mut before: Option<Token> = None;
     let mut tokens = Tokens { text, at: 0 };
@@ -183,7 +186,8 @@
         Some("a cursor WITH HOLD")
     } else if token.text.len() > 8 && token.text[..3].eq_ignore_ascii_case(b"pg_") {
         let name = token.text.to_ascii_lowercase();
-        let advisory = name.starts_with(b"pg_advisory_lock") || name.starts_with(b"pg_try_advisory_lock");
+        let advisory =
+            name.starts_with(b"pg_advisory_lock") || name.starts_with(b"pg_try_advisory_lock");
         advisory.then_some("a session's advisory lock")
     } else if token.is("set_config") {
         let call = &text[rest.at..];
@@ -217,13 +221,19 @@
         scan.rolls_back |= !head.iter().any(to);
     } else if first("prepare") {
         let two = second("transaction");
-        scan.unsupported = Some(if two { "a transaction in two phases" } else { "PREPARE as a statement" });
+        scan.unsupported = Some(if two {
+            "a transaction in two phases"
+        } else {
+            "PREPARE as a statement"
+        });
     } else if first("execute") {
         scan.unsupported = Some("EXECUTE as a statement");
     } else if first("deallocate") {
         if head[1..].iter().any(|t| t.is("all")) {
             scan.local_command = Some(LocalCommand::Deallocate);
-            scan.unsupported = scan.unsupported.or(Some("DEALLOCATE among other statements"));
+            scan.unsupported = scan
+                .unsupported
+                .or(Some("DEALLOCATE among other statements"));
         } else {
             scan.unsupported = Some("DEALLOCATE as a statement");
         }
--- a/crates/postgres/src/sql/labels.rs
+++ b/crates/postgres/src/sql/labels.rs
@@ -10,15 +10,26 @@
     let mut label = Label::default();
     let mut rest = text.trim_ascii_start();
     while let Some(inner) = rest.strip_prefix(b"/*") {
-        let Some(end) = memchr::memmem::find(inner, b"*/").filter(|end| *end <= LONGEST_LABEL) else { break };
+        let Some(end) = memchr::memmem::find(inner, b"*/").filter(|end| *end <= LONGEST_LABEL)
+        else {
+            break;
+        };
         let comment = String::from_utf8_lossy(&inner[..end]);
         for pair in comment.split(',') {
-            let Some((name, value)) = pair.split_once('=') else { continue };
-            let Some(name) = decoded(name.trim()).strip_prefix("hallmux.").map(str::to_string) else {
+            let Some((name, value)) = pair.split_once('=') else {
+                continue;
+            };
+            let Some(name) = decoded(name.trim())
+                .strip_prefix("hallmux.")
+                .map(str::to_string)
+            else {
                 continue;
             };
             let value = value.trim();
-            let value = value.strip_prefix('\'').and_then(|v| v.strip_suffix('\'')).unwrap_or(value);
+            let value = value
+                .strip_prefix('\'')
+                .and_then(|v| v.strip_suffix('\''))
+                .unwrap_or(value);
             label.set(&name, &decoded(value));
         }
         rest = inner[end + 2..].trim_ascii_start();
@@ -49,7 +60,9 @@
 /// A time as the servers' settings write it, in microseconds; plain numbers are milliseconds.
 pub fn time(text: &str) -> Option<i64> {
     let text = text.trim().trim_matches('\'').trim();
-    let at = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
+    let at = text
+        .find(|c: char| !c.is_ascii_digit() && c != '.')
+        .unwrap_or(text.len());
     let value: f64 = text[..at].parse().ok()?;
     let unit = match text[at..].trim() {
         "" | "ms" => 1e3,
--- a/crates/postgres/src/sql/settings.rs
+++ b/crates/postgres/src/sql/settings.rs
@@ -8,7 +8,10 @@
     let text = String::from_utf8_lossy(value.trim_ascii()).into_owned();
     match text.strip_prefix('\'').and_then(|t| t.strip_suffix('\'')) {
         Some(inner) => inner.replace("''", "'"),
-        None => text.strip_prefix('"').and_then(|t| t.strip_suffix('"')).map_or(text.clone(), str::to_string),
+        None => text
+            .strip_prefix('"')
+            .and_then(|t| t.strip_suffix('"'))
+            .map_or(text.clone(), str::to_string),
     }
 }
 
@@ -27,11 +30,19 @@
     }
     // A name may have two parts.
     let dotted = rest.get(1).is_some_and(|t| t.kind == Kind::Sign(b'.')) && rest.len() > 2;
-    let full = if dotted { [name.text, b".", rest[2].text].concat() } else { name.text.to_vec() };
-    let full = String::from_utf8_lossy(&full).to_ascii_lowercase().replace('"', "");
+    let full = if dotted {
+        [name.text, b".", rest[2].text].concat()
+    } else {
+        name.text.to_vec()
+    };
+    let full = String::from_utf8_lossy(&full)
+        .to_ascii_lowercase()
+        .replace('"', "");
     let rest = &rest[if dotted { 3 } else { 1 }..];
     let statement = || {
-        let value = String::from_utf8_lossy(&text[name.at..end]).trim().to_string();
+        let value = String::from_utf8_lossy(&text[name.at..end])
+            .trim()
+            .to_string();
         format!("SET {value}")
     };
     let short = full.strip_prefix("hallmux.").map(str::to_string);
@@ -51,15 +62,26 @@
     }
     let gives = |t: &Token| t.is("to") || t.kind == Kind::Sign(b'=');
     if let Some(short) = short {
-        let value = rest.first().filter(|t| gives(t)).map_or(&b""[..], |t| &text[t.at + t.text.len()..end]);
+        let value = rest
+            .first()
+            .filter(|t| gives(t))
+            .map_or(&b""[..], |t| &text[t.at + t.text.len()..end]);
         let value = plain(value);
-        let value = if value.eq_ignore_ascii_case("default") { String::new() } else { value };
+        let value = if value.eq_ignore_ascii_case("default") {
+            String::new()
+        } else {
+            value
+        };
         scan.local_command = Some(LocalCommand::Label(short, value));
         return;
     }
-    let value = rest.first().map(|t| String::from_utf8_lossy(&text[t.at + t.text.len()..end]).to_string());
+    let value = rest
+        .first()
+        .map(|t| String::from_utf8_lossy(&text[t.at + t.text.len()..end]).to_string());
     if full == "standard_conforming_strings"
-        && !value.as_ref().is_some_and(|v| matches!(plain(v.as_bytes()).as_str(), "on" | "true" | "1"))
+        && !value
+            .as_ref()
+            .is_some_and(|v| matches!(plain(v.as_bytes()).as_str(), "on" | "true" | "1"))
     {
         scan.unsupported = Some("backslashes in plain strings");
         return;
@@ -73,6 +95,9 @@
     scan.changes.push(if default {
         Change::Reset(name)
     } else {
-        Change::Set { name, statement: statement() }
+        Change::Set {
+            name,
+            statement: statement(),
+        }
     });
 }
--- a/crates/postgres/src/sql/tokens.rs
+++ b/crates/postgres/src/sql/tokens.rs
@@ -109,7 +109,9 @@
                 },
                 b';' => (Kind::End, at + 1),
                 c if c.is_ascii_digit() => {
-                    let len = self.text[at..].iter().position(|c| !in_word(*c) && *c != b'.');
+                    let len = self.text[at..]
+                        .iter()
+                        .position(|c| !in_word(*c) && *c != b'.');
                     (Kind::Number, len.map_or(self.text.len(), |len| at + len))
                 }
                 c if in_word(c) => {
@@ -119,7 +121,11 @@
                 c => (Kind::Sign(c), at + 1),
             };
             self.at = end;
-            return Some(Token { kind, text: &self.text[at..end], at });
+            return Some(Token {
+                kind,
+                text: &self.text[at..end],
+                at,
+            });
         }
     }
 }
--- a/crates/postgres/src/sql_tests.rs
+++ b/crates/postgres/src/sql_tests.rs
@@ -3,21 +3,45 @@
 use super::*;
 
 fn set(name: &str, statement: &str) -> Change {
-    Change::Set { name: name.into(), statement: statement.into() }
+    Change::Set {
+        name: name.into(),
+        statement: statement.into(),
+    }
 }
 
 #[test]
 fn what_changes_a_session_is_found_and_can_be_said_again() {
     for (text, changes) in [
-        ("SET search_path = a, b", vec![set("search_path", "SET search_path = a, b")]),
-        ("set session Work_Mem to '4MB';", vec![set("work_mem", "SET Work_Mem to '4MB'")]),
-        ("SET TIME ZONE 'UTC'", vec![set("timezone", "SET TIME ZONE 'UTC'")]),
-        ("SET NAMES 'UTF8'", vec![set("client_encoding", "SET NAMES 'UTF8'")]),
-        ("SET my.app = 'x;y'", vec![set("my.app", "SET my.app = 'x;y'")]),
+        (
+            "SET search_path = a, b",
+            vec![set("search_path", "SET search_path = a, b")],
+        ),
+        (
+            "set session Work_Mem to '4MB';",
+            vec![set("work_mem", "SET Work_Mem to '4MB'")],
+        ),
+        (
+            "SET TIME ZONE 'UTC'",
+            vec![set("timezone", "SET TIME ZONE 'UTC'")],
+        ),
+        (
+            "SET NAMES 'UTF8'",
+            vec![set("client_encoding", "SET NAMES 'UTF8'")],
+        ),
+        (
+            "SET my.app = 'x;y'",
+            vec![set("my.app", "SET my.app = 'x;y'")],
+        ),
         ("SET LOCAL work_mem = 1", vec![]),
         ("SET TRANSACTION READ ONLY", vec![]),
-        ("RESET work_mem; RESET ALL", vec![Change::Reset("work_mem".into()), Change::ResetAll]),
-        ("SET work_mem TO DEFAULT", vec![Change::Reset("work_mem".into())]),
+        (
+            "RESET work_mem; RESET ALL",
+            vec![Change::Reset("work_mem".into()), Change::ResetAll],
+        ),
+        (
+            "SET work_mem TO DEFAULT",
+            vec![Change::Reset("work_mem".into())],
+        ),
         ("select 'SET a = 1'; -- set b = 2\n/* set c = 3; */", vec![]),
     ] {
         assert_eq!(scan(text.as_bytes()).changes, changes, "{text}");
@@ -61,7 +85,11 @@
         ("select $1, $2", false),
         ("select e'it\\'s; listen x'", false),
     ] {
-        assert_eq!(scan(text.as_bytes()).unsupported.is_some(), unsupported, "{text}");
+        assert_eq!(
+            scan(text.as_bytes()).unsupported.is_some(),
+            unsupported,
+            "{text}"
+        );
     }
 }
 
@@ -72,10 +100,16 @@
         (scan.statements, scan.begins, scan.commits, scan.rolls_back)
     };
     assert_eq!(seen("BEGIN"), (1, true, false, false));
-    assert_eq!(seen("start transaction; select 1; end;"), (3, true, true, false));
+    assert_eq!(
+        seen("start transaction; select 1; end;"),
+        (3, true, true, false)
+    );
     assert_eq!(seen("ROLLBACK TO SAVEPOINT a"), (1, false, false, false));
     assert_eq!(seen("/* c */ rollback;;"), (1, false, false, true));
-    assert_eq!(seen("select case when true then 1 end"), (1, false, false, false));
+    assert_eq!(
+        seen("select case when true then 1 end"),
+        (1, false, false, false)
+    );
     assert_eq!(seen(""), (0, false, false, false));
 }
 
@@ -90,19 +124,40 @@
         local("set \"hallmux\".key to 'it''s'"),
         Some(LocalCommand::Label("key".into(), "it's".into()))
     );
-    assert_eq!(local("RESET hallmux.key"), Some(LocalCommand::Label("key".into(), String::new())));
+    assert_eq!(
+        local("RESET hallmux.key"),
+        Some(LocalCommand::Label("key".into(), String::new()))
+    );
     assert_eq!(local("SET hallmux.key = 'a'; select 1"), None);
     let label = scan(b"/*a='b'*/ /*hallmux.workload='re%20port',hallmux.key='k'*/ select 1").label;
-    assert_eq!((label.workload.as_deref(), label.key.as_deref()), (Some("re port"), Some("k")));
-    assert_eq!(scan(b"select 1 /*hallmux.workload='x'*/").label, Label::default());
+    assert_eq!(
+        (label.workload.as_deref(), label.key.as_deref()),
+        (Some("re port"), Some("k"))
+    );
+    assert_eq!(
+        scan(b"select 1 /*hallmux.workload='x'*/").label,
+        Label::default()
+    );
     assert_eq!(scan(b"/*hallmux.workload='x'").label, Label::default());
 }
 
 #[test]
 fn any_bytes_are_read_to_their_end() {
-    for text in
-        ["'", "\"", "$", "$$", "$a$", "e'\\", "/*", "--", "set", "set session", "reset", "set a", "\u{e9}$"]
-    {
+    for text in [
+        "'",
+        "\"",
+        "$",
+        "$$",
+        "$a$",
+        "e'\\",
+        "/*",
+        "--",
+        "set",
+        "set session",
+        "reset",
+        "set a",
+        "\u{e9}$",
+    ] {
         scan(text.as_bytes());
         scan(format!("set hallmux.{text}").as_bytes());
         scan(format!("select set_config{text}").as_bytes());
--- a/crates/postgres/src/startup.rs
+++ b/crates/postgres/src/startup.rs
@@ -92,7 +92,8 @@
                         return Ok((used, StartupStep::Incomplete));
                     };
                     used += len;
-                    let begun = first(body).and_then(|first| Exchange::begin(verifier, first, nonce));
+                    let begun =
+                        first(body).and_then(|first| Exchange::begin(verifier, first, nonce));
                     match begun {
                         Some((exchange, answer)) => {
                             write_authentication(out, SASL_CONTINUE, answer.as_bytes());
@@ -135,7 +136,9 @@
             InitialMessage::EncryptionRequest => {
                 self.questions += 1;
                 if self.questions > MOST_QUESTIONS {
-                    return Err(ProtocolError::Encryption { times: self.questions });
+                    return Err(ProtocolError::Encryption {
+                        times: self.questions,
+                    });
                 }
                 out.push(b'N');
                 Ok(None)
@@ -146,8 +149,11 @@
                 Ok(Some(StartupStep::Refused))
             }
             InitialMessage::StartUp { minor, parameters } => {
-                let unknown: Vec<&str> =
-                    parameters.iter().map(|p| p.0).filter(|n| n.starts_with("_pq_.")).collect();
+                let unknown: Vec<&str> = parameters
+                    .iter()
+                    .map(|p| p.0)
+                    .filter(|n| n.starts_with("_pq_."))
+                    .collect();
                 if minor > 0 || !unknown.is_empty() {
                     wire::write_version(out, &unknown);
                 }
@@ -181,7 +187,11 @@
 
 fn proof(input: &[u8]) -> Result<Option<(&[u8], usize)>, ProtocolError> {
     match wire::message(input, LONGEST_PROOF)? {
-        Some(Message { tag: b'p', body, len }) => Ok(Some((body, len))),
+        Some(Message {
+            tag: b'p',
+            body,
+            len,
+        }) => Ok(Some((body, len))),
         Some(Message { tag, .. }) => Err(ProtocolError::NoProof(tag)),
         None => match input.first() {
             Some(tag) if *tag != b'p' => Err(ProtocolError::NoProof(*tag)),
@@ -199,7 +209,10 @@
 }
 
 fn refused(client: &Client, out: &mut Vec<u8>) -> StartupStep {
-    ClientError::WrongPassword { user: client.user.clone() }.write(out, true);
+    ClientError::WrongPassword {
+        user: client.user.clone(),
+    }
+    .write(out, true);
     StartupStep::Refused
 }
 
@@ -215,11 +228,17 @@
             "replication" => {}
             "options" => options(value, &mut client.parameters),
             name if name.starts_with("_pq_.") => {}
-            name => _ = client.parameters.insert(name.to_ascii_lowercase(), value.to_string()),
+            name => {
+                _ = client
+                    .parameters
+                    .insert(name.to_ascii_lowercase(), value.to_string())
+            }
         }
     }
     if client.user.is_empty() {
-        return Err(ClientError::Protocol { why: ProtocolError::NoUser });
+        return Err(ClientError::Protocol {
+            why: ProtocolError::NoUser,
+        });
     }
     if client.database.is_empty() {
         client.database = client.user.clone();
@@ -233,15 +252,24 @@
     let mut chars = text.chars();
     while let Some(c) = chars.next() {
         match c {
-            '\\' => words.last_mut().into_iter().for_each(|word| word.extend(chars.next())),
+            '\\' => words
+                .last_mut()
+                .into_iter()
+                .for_each(|word| word.extend(chars.next())),
             c if c.is_whitespace() => words.push(String::new()),
             c => words.last_mut().into_iter().for_each(|word| word.push(c)),
         }
     }
     for word in words.iter().filter(|word| !word.is_empty()) {
-        let pair = word.strip_prefix("--").or(word.strip_prefix("-c")).unwrap_or(word);
+        let pair = word
+            .strip_prefix("--")
+            .or(word.strip_prefix("-c"))
+            .unwrap_or(word);
         if let Some((name, value)) = pair.split_once('=') {
-            parameters.insert(name.replace('-', "_").to_ascii_lowercase(), value.to_string());
+            parameters.insert(
+                name.replace('-', "_").to_ascii_lowercase(),
+                value.to_string(),
+            );
         }
     }
 }
--- a/crates/postgres/src/startup_tests.rs
+++ b/crates/postgres/src/startup_tests.rs
@@ -22,13 +22,26 @@
 fn encryption_is_declined_and_a_start_up_in_any_pieces_comes_through() {
     let mut input = b"\0\0\0\x08\x04\xd2\x16\x2f\0\0\0\x08\x04\xd2\x16\x30".to_vec();
     let options = "-c statement_timeout=5s --search-path=a\\ b";
-    input.extend(start_up(2, &[("user", "u"), ("options", options), ("Application_Name", "x")]));
+    input.extend(start_up(
+        2,
+        &[
+            ("user", "u"),
+            ("options", options),
+            ("Application_Name", "x"),
+        ],
+    ));
     for cut in 0..input.len() {
         let (mut startup, mut out) = (Startup::default(), Vec::new());
-        let (used, step) = startup.read(&input[..cut], trusted, b"", "n", &mut out).unwrap();
+        let (used, step) = startup
+            .read(&input[..cut], trusted, b"", "n", &mut out)
+            .unwrap();
         assert!(matches!(step, StartupStep::Incomplete));
-        let (_, step) = startup.read(&input[used..], trusted, b"", "n", &mut out).unwrap();
-        let StartupStep::Accepted(client) = step else { panic!("not accepted") };
+        let (_, step) = startup
+            .read(&input[used..], trusted, b"", "n", &mut out)
+            .unwrap();
+        let StartupStep::Accepted(client) = step else {
+            panic!("not accepted")
+        };
         assert_eq!((&*client.user, &*client.database), ("u", "u"));
         assert_eq!(client.parameters["statement_timeout"], "5s");
         assert_eq!(client.parameters["search_path"], "a b");
@@ -42,10 +55,16 @@
     let verifier = postgres_protocol::password::scram_sha_256(b"secret");
     let verifier = Verifier::read(&verifier).unwrap();
     let known = |user: &str| (user == "u").then(|| Authentication::Scram(verifier.clone()));
-    for (user, password, opens) in [("u", "secret", true), ("u", "x", false), ("v", "secret", false)] {
+    for (user, password, opens) in [
+        ("u", "secret", true),
+        ("u", "x", false),
+        ("v", "secret", false),
+    ] {
         let mut client = ScramSha256::new(password.as_bytes(), ChannelBinding::unsupported());
         let (mut startup, mut out) = (Startup::default(), Vec::new());
-        startup.read(&start_up(0, &[("user", user)]), known, b"s", "n", &mut out).unwrap();
+        startup
+            .read(&start_up(0, &[("user", user)]), known, b"s", "n", &mut out)
+            .unwrap();
         let mut message = Vec::new();
         wire::write(&mut message, b'p', |out| {
             wire::write_string(out, MECHANISM.as_bytes());
@@ -56,10 +75,16 @@
         startup.read(&message, known, b"s", "n", &mut out).unwrap();
         client.update(&out[9..]).unwrap();
         message.clear();
-        wire::write(&mut message, b'p', |out| out.extend_from_slice(client.message()));
+        wire::write(&mut message, b'p', |out| {
+            out.extend_from_slice(client.message())
+        });
         out.clear();
         let (_, step) = startup.read(&message, known, b"s", "n", &mut out).unwrap();
-        assert_eq!(matches!(step, StartupStep::Accepted(_)), opens, "{user} {password}");
+        assert_eq!(
+            matches!(step, StartupStep::Accepted(_)),
+            opens,
+            "{user} {password}"
+        );
         assert_eq!(out[0], if opens { b'R' } else { b'E' });
     }
 }
@@ -69,14 +94,19 @@
     let mut out = Vec::new();
     let mut refused = |input: &[u8]| {
         out.clear();
-        Startup::default().read(input, nobody, b"", "n", &mut out).map(|(_, step)| {
-            assert!(matches!(step, StartupStep::Refused));
-            let body = &out[out.iter().position(|c| *c == b'E').unwrap() + 5..];
-            String::from_utf8_lossy(wire::field(body, b'C').unwrap()).to_string()
-        })
+        Startup::default()
+            .read(input, nobody, b"", "n", &mut out)
+            .map(|(_, step)| {
+                assert!(matches!(step, StartupStep::Refused));
+                let body = &out[out.iter().position(|c| *c == b'E').unwrap() + 5..];
+                String::from_utf8_lossy(wire::field(body, b'C').unwrap()).to_string()
+            })
     };
     assert_eq!(refused(&start_up(0, &[])).unwrap(), "08P01");
-    assert_eq!(refused(&start_up(0, &[("user", "u"), ("replication", "database")])).unwrap(), "0A000");
+    assert_eq!(
+        refused(&start_up(0, &[("user", "u"), ("replication", "database")])).unwrap(),
+        "0A000"
+    );
     assert_eq!(refused(b"\0\0\0\x08\0\x02\0\0").unwrap(), "0A000");
     let questions = b"\0\0\0\x08\x04\xd2\x16\x2f".repeat(3);
     assert!(refused(&questions).is_err());
--- a/crates/postgres/src/wire.rs
+++ b/crates/postgres/src/wire.rs
@@ -44,12 +44,19 @@
 
 /// Takes the first message from the start of `input`, with its length; None until all of it has come.
 pub fn initial_message(input: &[u8]) -> Result<Option<(usize, InitialMessage<'_>)>, ProtocolError> {
-    let Some(len) = number(input) else { return Ok(None) };
+    let Some(len) = number(input) else {
+        return Ok(None);
+    };
     let len = len as usize;
     if !(8..=LONGEST_START_UP).contains(&len) {
-        return Err(ProtocolError::StartUp { bytes: len, most: LONGEST_START_UP });
+        return Err(ProtocolError::StartUp {
+            bytes: len,
+            most: LONGEST_START_UP,
+        });
     }
-    let Some(packet) = input.get(..len) else { return Ok(None) };
+    let Some(packet) = input.get(..len) else {
+        return Ok(None);
+    };
     let code = number(&packet[4..]).unwrap_or(0);
     let message = match code {
         SSL | GSS if len == 8 => InitialMessage::EncryptionRequest,
@@ -70,11 +77,18 @@
                 parameters.push((name, text(&mut rest)?));
             }
             if !rest.is_empty() {
-                return Err(ProtocolError::Malformed("a start-up with bytes behind its end"));
+                return Err(ProtocolError::Malformed(
+                    "a start-up with bytes behind its end",
+                ));
+            }
+            InitialMessage::StartUp {
+                minor: code as u16,
+                parameters,
             }
-            InitialMessage::StartUp { minor: code as u16, parameters }
         }
-        code => InitialMessage::UnsupportedVersion { major: (code >> 16) as u16 },
+        code => InitialMessage::UnsupportedVersion {
+            major: (code >> 16) as u16,
+        },
     };
     Ok(Some((len, message)))
 }
@@ -103,11 +117,16 @@
 
 /// The header of the message that `input` begins with, once it is there; nothing is allocated for it.
 pub fn header(input: &[u8]) -> Result<Option<Header>, ProtocolError> {
-    let (Some(tag), Some(len)) = (input.first(), input.get(1..).and_then(number)) else { return Ok(None) };
+    let (Some(tag), Some(len)) = (input.first(), input.get(1..).and_then(number)) else {
+        return Ok(None);
+    };
     if len < 4 || len > i32::MAX as u32 {
         return Err(ProtocolError::Malformed("a message whose length can't be"));
     }
-    Ok(Some(Header { tag: *tag, len: len as usize + 1 }))
+    Ok(Some(Header {
+        tag: *tag,
+        len: len as usize + 1,
+    }))
 }
 
 /// A message.
@@ -124,9 +143,10 @@
 /// The first message, once it is whole.
 pub fn message(input: &[u8], longest: usize) -> Result<Option<Message<'_>>, ProtocolError> {
     match header(input)? {
-        Some(Header { len, .. }) if len > longest => {
-            Err(ProtocolError::TooLong { bytes: len, most: longest })
-        }
+        Some(Header { len, .. }) if len > longest => Err(ProtocolError::TooLong {
+            bytes: len,
+            most: longest,
+        }),
         Some(Header { tag, len }) => Ok(input.get(5..len).map(|body| Message { tag, body, len })),
         None => Ok(None),
     }
@@ -208,21 +228,37 @@
             let name = read_string(&mut rest)?;
             let body = rest;
             let text = read_string(&mut rest)?;
-            let count = rest.get(..2).map(|n| u16::from_be_bytes([n[0], n[1]]) as usize);
+            let count = rest
+                .get(..2)
+                .map(|n| u16::from_be_bytes([n[0], n[1]]) as usize);
             if count.map(|count| 2 + 4 * count) != Some(rest.len()) {
-                return Err(ProtocolError::Malformed("types that do not fill their message"));
+                return Err(ProtocolError::Malformed(
+                    "types that do not fill their message",
+                ));
             }
             return Ok(ClientMessage::Parse { name, text, body });
         }
         b'B' => {
             let (portal, statement) = (read_string(&mut rest)?, read_string(&mut rest)?);
-            return Ok(ClientMessage::Bind { portal, statement, rest });
+            return Ok(ClientMessage::Bind {
+                portal,
+                statement,
+                rest,
+            });
         }
-        b'D' => ClientMessage::Describe { statement: kind(&mut rest)?, name: read_string(&mut rest)? },
-        b'C' => ClientMessage::Close { statement: kind(&mut rest)?, name: read_string(&mut rest)? },
+        b'D' => ClientMessage::Describe {
+            statement: kind(&mut rest)?,
+            name: read_string(&mut rest)?,
+        },
+        b'C' => ClientMessage::Close {
+            statement: kind(&mut rest)?,
+            name: read_string(&mut rest)?,
+        },
         b'E' => {
             let portal = read_string(&mut rest)?;
-            let rows = number(rest).ok_or(ProtocolError::Malformed("an Execute without a count of rows"))?;
+            let rows = number(rest).ok_or(ProtocolError::Malformed(
+                "an Execute without a count of rows",
+            ))?;
             rest = &rest[4..];
             ClientMessage::Execute { portal, rows }
         }
@@ -235,7 +271,9 @@
     };
     match rest.is_empty() {
         true => Ok(message),
-        false => Err(ProtocolError::Malformed("bytes behind the end of a message")),
+        false => Err(ProtocolError::Malformed(
+            "bytes behind the end of a message",
+        )),
     }
 }
 
@@ -337,7 +375,9 @@
     write(out, b'v', |out| {
         out.extend_from_slice(&0u32.to_be_bytes());
         out.extend_from_slice(&(unknown.len() as u32).to_be_bytes());
-        unknown.iter().for_each(|name| write_string(out, name.as_bytes()));
+        unknown
+            .iter()
+            .for_each(|name| write_string(out, name.as_bytes()));
     });
 }
 
--- a/crates/postgres/src/wire_tests.rs
+++ b/crates/postgres/src/wire_tests.rs
@@ -17,13 +17,31 @@
     let parameters = vec![("user", "a"), ("database", "b")];
     assert_eq!(
         initial_message(&packet),
-        Ok(Some((packet.len(), InitialMessage::StartUp { minor: 0, parameters })))
+        Ok(Some((
+            packet.len(),
+            InitialMessage::StartUp {
+                minor: 0,
+                parameters
+            }
+        )))
     );
     let mut cancel = Vec::new();
-    write_cancel(&mut cancel, CancelKey { process: 7, secret: 9 });
+    write_cancel(
+        &mut cancel,
+        CancelKey {
+            process: 7,
+            secret: 9,
+        },
+    );
     assert_eq!(
         initial_message(&cancel),
-        Ok(Some((16, InitialMessage::Cancel(CancelKey { process: 7, secret: 9 }))))
+        Ok(Some((
+            16,
+            InitialMessage::Cancel(CancelKey {
+                process: 7,
+                secret: 9
+            })
+        )))
     );
     assert_eq!(
         initial_message(b"\0\0\0\x08\x04\xd2\x16\x2f"),
@@ -58,14 +76,25 @@
         for cut in 0..whole.len() {
             assert_eq!(message(&whole[..cut], 100), Ok(None));
         }
-        assert_eq!(message(&whole, 100), Ok(Some(Message { tag, body, len: whole.len() })));
+        assert_eq!(
+            message(&whole, 100),
+            Ok(Some(Message {
+                tag,
+                body,
+                len: whole.len()
+            }))
+        );
         assert!(message(&whole, whole.len() - 1).is_err());
         if tag != b'B' {
             let longer = [body, b"x"].concat();
             assert!(client_message(tag, &longer).is_err(), "{}", tag as char);
         }
         if !body.is_empty() && tag != b'B' {
-            assert!(client_message(tag, &body[..body.len() - 1]).is_err(), "{}", tag as char);
+            assert!(
+                client_message(tag, &body[..body.len() - 1]).is_err(),
+                "{}",
+                tag as char
+            );
         }
     }
     assert!(client_message(b'p', b"secret\0").is_err());
@@ -74,7 +103,10 @@
 
 #[test]
 fn the_fields_of_an_error_are_found() {
-    assert_eq!(field(b"SERROR\0C42P01\0Mno such\0\0", b'C'), Some(&b"42P01"[..]));
+    assert_eq!(
+        field(b"SERROR\0C42P01\0Mno such\0\0", b'C'),
+        Some(&b"42P01"[..])
+    );
     assert_eq!(field(b"SERROR\0\0C1\0", b'C'), None);
     assert_eq!(field(b"SERR", b'S'), None);
 }
--- a/crates/postgres/tests/split.rs
+++ b/crates/postgres/tests/split.rs
@@ -13,7 +13,12 @@
 #[path = "../fuzz/drive.rs"]
 mod drive;
 
-const BOUNDS: Bounds = Bounds { statements: 8, portals: 4, settings: 4, bytes: 4096 };
+const BOUNDS: Bounds = Bounds {
+    statements: 8,
+    portals: 4,
+    settings: 4,
+    bytes: 4096,
+};
 
 fn message(tag: u8, body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
@@ -49,7 +54,9 @@
     let (mut parts, mut input) = (Vec::new(), Vec::new());
     for piece in pieces {
         input.extend_from_slice(piece);
-        while let (used, SessionEvent::Part(part)) = session.read(&input, &mut catalogue, &BOUNDS).unwrap() {
+        while let (used, SessionEvent::Part(part)) =
+            session.read(&input, &mut catalogue, &BOUNDS).unwrap()
+        {
             input.drain(..used);
             parts.push(part);
         }
@@ -65,7 +72,11 @@
     assert_eq!(read(&[&all]).len(), 4);
     for cut in 0..=all.len() {
         let (first, second) = all.split_at(cut);
-        assert_eq!(format!("{:?}", read(&[first, second])), whole, "cut at {cut}");
+        assert_eq!(
+            format!("{:?}", read(&[first, second])),
+            whole,
+            "cut at {cut}"
+        );
     }
     let bytes: Vec<&[u8]> = all.chunks(1).collect();
     assert_eq!(format!("{:?}", read(&bytes)), whole);
@@ -76,9 +87,18 @@
     let (mut out, mut back, mut heard) = (Vec::new(), Vec::new(), Vec::new());
     let mut engine = EngineConnection::new(Account::default(), 8, &mut out);
     let mut input = Vec::new();
-    for (n, part) in std::iter::once(None).chain(read(&[&units()]).into_iter().map(Some)).enumerate() {
+    for (n, part) in std::iter::once(None)
+        .chain(read(&[&units()]).into_iter().map(Some))
+        .enumerate()
+    {
         if let Some(part) = &part {
-            engine.send(part, &Rc::<SessionSettings>::default(), true, &mut out, &mut back);
+            engine.send(
+                part,
+                &Rc::<SessionSettings>::default(),
+                true,
+                &mut out,
+                &mut back,
+            );
         }
         if n == 0 {
             input = b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I".to_vec();
@@ -135,17 +155,29 @@
     .concat();
     let whole = answered(&[&answers], usize::MAX);
     assert_eq!(whole.1.len(), 3);
-    let EngineEvent::UnitDone(last) = &whole.1[2] else { panic!() };
-    assert_eq!((last.status, last.error.as_deref(), last.fault), (b'E', Some("22023"), false));
+    let EngineEvent::UnitDone(last) = &whole.1[2] else {
+        panic!()
+    };
+    assert_eq!(
+        (last.status, last.error.as_deref(), last.fault),
+        (b'E', Some("22023"), false)
+    );
     // A notification is nobody's; all else goes on, and the Close of a statement is answered here.
     assert!(whole.0.windows(5).any(|w| w == wire::CLOSE_COMPLETE));
     assert!(!whole.0.windows(5).any(|w| w == b"A\0\0\0\x0c"));
     for cut in 0..=answers.len() {
         let (first, second) = answers.split_at(cut);
-        assert_eq!(answered(&[first, second], usize::MAX), whole, "cut at {cut}");
+        assert_eq!(
+            answered(&[first, second], usize::MAX),
+            whole,
+            "cut at {cut}"
+        );
     }
     for room in [0, 10, 100] {
-        assert_eq!(answered(&answers.chunks(1).collect::<Vec<_>>(), room), whole);
+        assert_eq!(
+            answered(&answers.chunks(1).collect::<Vec<_>>(), room),
+            whole
+        );
     }
 }
 
@@ -153,9 +185,22 @@
 fn a_row_of_any_size_goes_on_in_pieces() {
     let (mut out, mut back) = (Vec::new(), Vec::new());
     let mut engine = EngineConnection::new(Account::default(), 8, &mut out);
-    engine.read(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I", &mut out, &mut back, 1 << 20).unwrap();
+    engine
+        .read(
+            b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I",
+            &mut out,
+            &mut back,
+            1 << 20,
+        )
+        .unwrap();
     let part = read(&[&message(b'Q', b"select 1\0")]).remove(0);
-    engine.send(&part, &Rc::<SessionSettings>::default(), false, &mut out, &mut back);
+    engine.send(
+        &part,
+        &Rc::<SessionSettings>::default(),
+        false,
+        &mut out,
+        &mut back,
+    );
     let row = message(b'D', &vec![7; 10 << 20]);
     let (mut went, mut input) = (0, Vec::new());
     for piece in row.chunks(100_000) {
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -94,7 +94,10 @@
 impl<T: Entry> LogStore<T> {
     /// Storage that starts from this state.
     pub fn new(held: LogState<T>) -> LogStore<T> {
-        LogStore(Rc::new(RefCell::new(Shared { held, changed: None })))
+        LogStore(Rc::new(RefCell::new(Shared {
+            held,
+            changed: None,
+        })))
     }
 
     /// Takes what has changed since the last call, if anything has.
@@ -121,11 +124,24 @@
     }
 
     fn persist(&self, change: impl FnOnce(&mut LogState<T>)) -> StorageResult<()> {
-        self.change(Changes { must_persist: true, ..Changes::default() }, change)
+        self.change(
+            Changes {
+                must_persist: true,
+                ..Changes::default()
+            },
+            change,
+        )
     }
 
     fn log(&self, from: usize, change: impl FnOnce(&mut LogState<T>)) -> StorageResult<()> {
-        self.change(Changes { must_persist: true, log_from: Some(from), snapshot: false }, change)
+        self.change(
+            Changes {
+                must_persist: true,
+                log_from: Some(from),
+                snapshot: false,
+            },
+            change,
+        )
     }
 
     fn get<R>(&self, of: impl FnOnce(&LogState<T>) -> R) -> StorageResult<R> {
@@ -224,7 +240,9 @@
     }
 
     fn trim(&mut self, idx: usize) -> StorageResult<()> {
-        self.change(Changes::default(), |held| _ = held.log.drain(..held.place(idx)))
+        self.change(Changes::default(), |held| {
+            _ = held.log.drain(..held.place(idx))
+        })
     }
 
     fn set_compacted_idx(&mut self, idx: usize) -> StorageResult<()> {
@@ -236,9 +254,14 @@
     }
 
     fn set_snapshot(&mut self, snapshot: Option<T::Snapshot>) -> StorageResult<()> {
-        self.change(Changes { must_persist: true, log_from: None, snapshot: true }, |held| {
-            held.snapshot = snapshot
-        })
+        self.change(
+            Changes {
+                must_persist: true,
+                log_from: None,
+                snapshot: true,
+            },
+            |held| held.snapshot = snapshot,
+        )
     }
 
     fn get_snapshot(&self) -> StorageResult<Option<T::Snapshot>> {
--- a/crates/replica/src/lib_tests.rs
+++ b/crates/replica/src/lib_tests.rs
@@ -27,11 +27,16 @@
     store.set_decided_idx(8).unwrap();
     assert_eq!(store.get_entries(5, 7).unwrap(), numbers(5..7));
     assert_eq!(store.get_suffix(9).unwrap(), numbers(9..10));
-    assert!(store.get_entries(3, 5).unwrap().is_empty() && store.get_entries(9, 11).unwrap().is_empty());
+    assert!(
+        store.get_entries(3, 5).unwrap().is_empty() && store.get_entries(9, 11).unwrap().is_empty()
+    );
     // Up to what is decided, not what was accepted, and not nothing.
     assert_eq!(store.get_entries(6, 12).unwrap(), numbers(6..8));
     store.append_on_prefix(6, numbers(99..100)).unwrap();
-    assert_eq!(store.get_suffix(4).unwrap(), [Number(4), Number(5), Number(99)]);
+    assert_eq!(
+        store.get_suffix(4).unwrap(),
+        [Number(4), Number(5), Number(99)]
+    );
 }
 
 #[test]
@@ -46,7 +51,11 @@
     store.append_entry(Number(9)).unwrap();
     assert_eq!(
         store.take_changes(),
-        Some(Changes { must_persist: true, log_from: Some(2), snapshot: false })
+        Some(Changes {
+            must_persist: true,
+            log_from: Some(2),
+            snapshot: false
+        })
     );
     assert_eq!((store.take_changes(), store.read(LogState::end)), (None, 4));
 }
--- a/crates/replica/src/order.rs
+++ b/crates/replica/src/order.rs
@@ -38,7 +38,10 @@
     /// numbers its messages anew.
     pub fn accepts(&mut self, from: u64, incarnation: u64, number: u64) -> bool {
         let latest = self.received.entry(from).or_default();
-        let message = Latest { incarnation, number };
+        let message = Latest {
+            incarnation,
+            number,
+        };
         if number > 0 && message <= *latest {
             return false;
         }
--- a/crates/replica/src/order_tests.rs
+++ b/crates/replica/src/order_tests.rs
@@ -16,6 +16,10 @@
         (1, 1, 9, false), // of an earlier life
         (1, 2, 2, true),
     ] {
-        assert_eq!(order.accepts(from, life, number), taken, "{from} {life} {number}");
+        assert_eq!(
+            order.accepts(from, life, number),
+            taken,
+            "{from} {life} {number}"
+        );
     }
 }
--- a/crates/scatter/src/audit.rs
+++ b/crates/scatter/src/audit.rs
@@ -82,14 +82,31 @@
 
     /// Which of the sites that a scatter leaves out it asks all the same: the one audited longest ago. `drawn` is chance,
     /// `fronts` how many share the fleet's budget.
-    pub fn pick(&mut self, now: Micros, drawn: u64, fronts: f64, pruned: &[String]) -> Option<usize> {
-        let since = self.refilled_at.replace(now).map_or(0, |filled| (now - filled).max(0));
-        self.budget = (self.budget + since as f64 / 1e6 * self.terms.per_second / fronts.max(1.0)).min(BURST);
+    pub fn pick(
+        &mut self,
+        now: Micros,
+        drawn: u64,
+        fronts: f64,
+        pruned: &[String],
+    ) -> Option<usize> {
+        let since = self
+            .refilled_at
+            .replace(now)
+            .map_or(0, |filled| (now - filled).max(0));
+        self.budget =
+            (self.budget + since as f64 / 1e6 * self.terms.per_second / fronts.max(1.0)).min(BURST);
         if !drawn.is_multiple_of(self.terms.one_in.max(1)) || self.budget < 1.0 {
             return None;
         }
-        let audited_at = |name: &String| self.sites.get(name).map_or(Micros::MIN, |site| site.audited_at);
-        let (at, name) = pruned.iter().enumerate().min_by_key(|(_, name)| audited_at(name))?;
+        let audited_at = |name: &String| {
+            self.sites
+                .get(name)
+                .map_or(Micros::MIN, |site| site.audited_at)
+        };
+        let (at, name) = pruned
+            .iter()
+            .enumerate()
+            .min_by_key(|(_, name)| audited_at(name))?;
         self.budget -= 1.0;
         self.counts.audits += 1;
         self.sites.entry(name.clone()).or_default().audited_at = now;
@@ -98,7 +115,9 @@
 
     /// A site's word counts for nothing for now.
     pub fn is_suspected(&self, site: &str) -> bool {
-        self.sites.get(site).is_some_and(|site| site.answers_owed > 0)
+        self.sites
+            .get(site)
+            .is_some_and(|site| site.answers_owed > 0)
     }
 
     /// Another front has found a site's word false: it loses credit here too, as much as for one that was
--- a/crates/scatter/src/build.rs
+++ b/crates/scatter/src/build.rs
@@ -72,7 +72,11 @@
 
     /// Sketches of the distinct values of these columns are made too, where their kind has them.
     pub fn with_sketches(mut self, columns: &[&str]) -> TableBuilder {
-        for column in self.columns.iter_mut().filter(|column| columns.contains(&column.name.as_str())) {
+        for column in self
+            .columns
+            .iter_mut()
+            .filter(|column| columns.contains(&column.name.as_str()))
+        {
             column.sketch = sketch::SketchBuilder::new(column.kind);
         }
         self
@@ -92,7 +96,14 @@
     /// The table with full filters, and the small ones of its columns.
     fn finish(self) -> (Table, Vec<Option<Members>>) {
         let (columns, small) = self.columns.into_iter().map(ColumnBuilder::finish).unzip();
-        (Table { name: self.name, rows: self.rows, columns }, small)
+        (
+            Table {
+                name: self.name,
+                rows: self.rows,
+                columns,
+            },
+            small,
+        )
     }
 }
 
@@ -106,7 +117,9 @@
             self.unordered = true;
             return;
         }
-        self.sketch.iter_mut().for_each(|sketch| sketch.add_value(value));
+        self.sketch
+            .iter_mut()
+            .for_each(|sketch| sketch.add_value(value));
         if let Value::Number(number) = value {
             self.runs.add_value(*number);
         }
@@ -139,14 +152,31 @@
             }
         }
         let runs = if usable { self.runs.runs() } else { Vec::new() };
-        let sketch = self.sketch.as_ref().filter(|_| usable).map(sketch::SketchBuilder::bytes);
+        let sketch = self
+            .sketch
+            .as_ref()
+            .filter(|_| usable)
+            .map(sketch::SketchBuilder::bytes);
         // Engines round floats in ways of their own: their equality proves nothing.
         let whole = self.hashes.len() < MOST_HASHES && usable && self.kind != Kind::Float;
         let hashes: Vec<u64> = self.hashes.into_iter().filter(|_| whole).collect();
         let small = whole.then(|| Members::small(hashes.clone()));
         let members = whole.then(|| Members::new(hashes)).flatten();
         let (name, kind, nulls) = (self.name, self.kind, self.nulls);
-        (Column { name, kind, nulls, distinct, bounds, tight, runs, sketch, members }, small)
+        (
+            Column {
+                name,
+                kind,
+                nulls,
+                distinct,
+                bounds,
+                tight,
+                runs,
+                sketch,
+                members,
+            },
+            small,
+        )
     }
 }
 
@@ -162,7 +192,9 @@
 pub fn above(text: &str) -> Option<String> {
     let mut chars: Vec<char> = text.chars().collect();
     while let Some(last) = chars.pop() {
-        let next = (u32::from(last) + 1..=u32::from(char::MAX)).take(0x801).find_map(char::from_u32);
+        let next = (u32::from(last) + 1..=u32::from(char::MAX))
+            .take(0x801)
+            .find_map(char::from_u32);
         if let Some(next) = next {
             chars.push(next);
             return Some(chars.into_iter().collect());
@@ -173,9 +205,23 @@
 
 /// The summary of a group's tables. Where it would be too long, the largest filters go until it is not.
 pub fn summary(about: SummaryHeader, tables: Vec<TableBuilder>, most_bytes: usize) -> Summary {
-    let SummaryHeader { site, group, schema, version, made_ms, loads } = about;
+    let SummaryHeader {
+        site,
+        group,
+        schema,
+        version,
+        made_ms,
+        loads,
+    } = about;
     let tables = tables.into_iter().map(|table| table.finish().0).collect();
-    let mut summary = Summary { schema, version, made_ms, loads, tables, ..Summary::empty(&site, group) };
+    let mut summary = Summary {
+        schema,
+        version,
+        made_ms,
+        loads,
+        tables,
+        ..Summary::empty(&site, group)
+    };
     let most = most_bytes.min(MOST_BYTES).saturating_sub(SIGNATURE_BYTES);
     while summary.size() > most {
         let columns = summary.tables.iter_mut().flat_map(|t| &mut t.columns);
@@ -195,7 +241,14 @@
     most_bytes: usize,
     key: &SigningKey,
 ) -> Vec<u8> {
-    let SummaryHeader { site, group, schema, version, made_ms, loads } = about;
+    let SummaryHeader {
+        site,
+        group,
+        schema,
+        version,
+        made_ms,
+        loads,
+    } = about;
     let (mut small, mut full) = (Vec::new(), Vec::new());
     let mut of = |(at, table): (usize, TableBuilder)| {
         let (mut table, smalls) = table.finish();
@@ -203,12 +256,23 @@
             let name = (at as u16, place as u16);
             let members = column.members.take();
             // Few values are all there already.
-            full.extend(members.filter(|m| Some(m) != few.as_ref()).map(|m| (name.0, name.1, m)));
+            full.extend(
+                members
+                    .filter(|m| Some(m) != few.as_ref())
+                    .map(|m| (name.0, name.1, m)),
+            );
             small.extend(few.map(|m| (name.0, name.1, m)));
         }
         table
     };
     let tables = tables.into_iter().enumerate().map(&mut of).collect();
-    let summary = Summary { schema, version, made_ms, loads, tables, ..Summary::empty(&site, group) };
+    let summary = Summary {
+        schema,
+        version,
+        made_ms,
+        loads,
+        tables,
+        ..Summary::empty(&site, group)
+    };
     layers::sign(summary, small, full, most_bytes, key)
 }
--- a/crates/scatter/src/combine.rs
+++ b/crates/scatter/src/combine.rs
@@ -50,9 +50,10 @@
     };
     let of = |item: &SelectItem| match item {
         SelectItem::UnnamedExpr(Expr::Function(f))
-        | SelectItem::ExprWithAlias { expr: Expr::Function(f), .. } => {
-            kind_of(f).map(|kind| (kind, f.clone()))
-        }
+        | SelectItem::ExprWithAlias {
+            expr: Expr::Function(f),
+            ..
+        } => kind_of(f).map(|kind| (kind, f.clone())),
         _ => None,
     };
     let all: Vec<(AggregateKind, Function)> = projection.iter().filter_map(of).collect();
@@ -71,24 +72,37 @@
             (AggregateKind::Sum | AggregateKind::Min | AggregateKind::Max, Some([e])) => {
                 match names.column(e) {
                     Some(column) => Some(column),
-                    None => return not_divisible("a sum, least or greatest of anything but a column"),
+                    None => {
+                        return not_divisible("a sum, least or greatest of anything but a column")
+                    }
                 }
             }
-            _ => return not_divisible("an aggregate with DISTINCT, OVER, FILTER or other arguments"),
+            _ => {
+                return not_divisible("an aggregate with DISTINCT, OVER, FILTER or other arguments")
+            }
         };
-        aggregates.push(Aggregate { kind, column, float: false });
+        aggregates.push(Aggregate {
+            kind,
+            column,
+            float: false,
+        });
     }
     Ok(Some(aggregates))
 }
 
 /// `count(*)` and nothing else.
 fn is_of_rows(f: &Function) -> bool {
-    let plain =
-        f.over.is_none() && f.filter.is_none() && f.within_group.is_empty() && f.null_treatment.is_none();
+    let plain = f.over.is_none()
+        && f.filter.is_none()
+        && f.within_group.is_empty()
+        && f.null_treatment.is_none();
     let plain = plain && matches!(f.parameters, FunctionArguments::None);
     match &f.args {
         FunctionArguments::List(list) => {
-            let one = matches!(list.args[..], [FunctionArg::Unnamed(FunctionArgExpr::Wildcard)]);
+            let one = matches!(
+                list.args[..],
+                [FunctionArg::Unnamed(FunctionArgExpr::Wildcard)]
+            );
             plain && one && list.clauses.is_empty() && list.duplicate_treatment.is_none()
         }
         _ => false,
@@ -98,7 +112,9 @@
 impl Aggregate {
     /// Whether it can be put together, by what its column holds at every site. Text depends on a collation.
     pub fn check(&mut self, column_kind: impl Fn(&str) -> Option<Kind>) -> Result<(), Unsupported> {
-        let Some(column) = &self.column else { return Ok(()) };
+        let Some(column) = &self.column else {
+            return Ok(());
+        };
         match (self.kind, column_kind(column)) {
             (AggregateKind::Count, _) | (_, Some(Kind::Number { .. })) => Ok(()),
             (_, None) => Err(Unsupported::NotDivisible(format!(
@@ -120,22 +136,27 @@
             return self.join_floats(fields, null.copied());
         }
         let values = fields.iter().filter(|field| !NULLS.contains(field));
-        let values: Vec<(BigDecimal, &str)> =
-            values.map(|field| Some((number(field)?, *field))).collect::<Option<_>>()?;
+        let values: Vec<(BigDecimal, &str)> = values
+            .map(|field| Some((number(field)?, *field)))
+            .collect::<Option<_>>()?;
         if values.is_empty() || self.kind == AggregateKind::Count && null.is_some() {
-            return null.filter(|_| self.kind != AggregateKind::Count).map(|null| (*null).to_string());
+            return null
+                .filter(|_| self.kind != AggregateKind::Count)
+                .map(|null| (*null).to_string());
         }
         match self.kind {
             AggregateKind::Count | AggregateKind::Sum => {
                 let sum: BigDecimal = values.iter().map(|(number, _)| number).sum();
                 Some(sum.to_plain_string())
             }
-            AggregateKind::Min => {
-                values.iter().min_by(|a, b| a.0.cmp(&b.0)).map(|(_, field)| (*field).to_string())
-            }
-            AggregateKind::Max => {
-                values.iter().max_by(|a, b| a.0.cmp(&b.0)).map(|(_, field)| (*field).to_string())
-            }
+            AggregateKind::Min => values
+                .iter()
+                .min_by(|a, b| a.0.cmp(&b.0))
+                .map(|(_, field)| (*field).to_string()),
+            AggregateKind::Max => values
+                .iter()
+                .max_by(|a, b| a.0.cmp(&b.0))
+                .map(|(_, field)| (*field).to_string()),
         }
     }
 
@@ -143,18 +164,21 @@
     /// greatest, as it came.
     fn join_floats(&self, fields: &[&str], null: Option<&str>) -> Option<String> {
         let values = fields.iter().filter(|field| !NULLS.contains(field));
-        let values: Vec<(f64, &str)> =
-            values.map(|field| Some((float(field)?, *field))).collect::<Option<_>>()?;
+        let values: Vec<(f64, &str)> = values
+            .map(|field| Some((float(field)?, *field)))
+            .collect::<Option<_>>()?;
         if values.is_empty() {
             return null.map(str::to_string);
         }
         match self.kind {
-            AggregateKind::Min => {
-                values.iter().min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, f)| (*f).to_string())
-            }
-            AggregateKind::Max => {
-                values.iter().max_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, f)| (*f).to_string())
-            }
+            AggregateKind::Min => values
+                .iter()
+                .min_by(|a, b| a.0.total_cmp(&b.0))
+                .map(|(_, f)| (*f).to_string()),
+            AggregateKind::Max => values
+                .iter()
+                .max_by(|a, b| a.0.total_cmp(&b.0))
+                .map(|(_, f)| (*f).to_string()),
             // One site's own sum stays as it wrote it.
             _ if values.len() == 1 => Some(values[0].1.to_string()),
             _ => Some(values.iter().map(|(number, _)| number).sum::<f64>())
@@ -168,20 +192,32 @@
 fn float(field: &str) -> Option<f64> {
     let plain = |c: u8| c.is_ascii_digit() || b"+-.eE".contains(&c);
     let short = field.len() <= LONGEST && field.bytes().all(plain);
-    field.parse().ok().filter(|number: &f64| short && number.is_finite())
+    field
+        .parse()
+        .ok()
+        .filter(|number: &f64| short && number.is_finite())
 }
 
 fn number(field: &str) -> Option<BigDecimal> {
     let plain = |c: u8| c.is_ascii_digit() || b"+-.".contains(&c);
-    field.parse().ok().filter(|_| field.len() <= LONGEST && field.bytes().all(plain))
+    field
+        .parse()
+        .ok()
+        .filter(|_| field.len() <= LONGEST && field.bytes().all(plain))
 }
 
 /// One row from one row of each part; the place of the first part that is of another form where there is one.
 pub fn join(aggregates: &[Aggregate], parts: &[&[u8]]) -> Result<Vec<u8>, usize> {
     let (mut rows, mut empty): (Vec<Vec<&str>>, usize) = (Vec::new(), 0);
     for (at, part) in parts.iter().enumerate() {
-        let text = std::str::from_utf8(part).ok().and_then(|text| text.strip_suffix('\n'));
-        let mut fields: Vec<&str> = text.filter(|text| !text.contains('\n')).ok_or(at)?.split('\t').collect();
+        let text = std::str::from_utf8(part)
+            .ok()
+            .and_then(|text| text.strip_suffix('\n'));
+        let mut fields: Vec<&str> = text
+            .filter(|text| !text.contains('\n'))
+            .ok_or(at)?
+            .split('\t')
+            .collect();
         // Engines' rows have three columns: what is not asked for is empty.
         let beyond = fields.split_off(aggregates.len().min(fields.len()));
         if fields.len() != aggregates.len() || beyond.iter().any(|field| !field.is_empty()) {
@@ -192,7 +228,10 @@
     }
     let mut joined = Vec::new();
     for (place, aggregate) in aggregates.iter().enumerate() {
-        let fields: Vec<&str> = rows.iter().filter_map(|row| row.get(place).copied()).collect();
+        let fields: Vec<&str> = rows
+            .iter()
+            .filter_map(|row| row.get(place).copied())
+            .collect();
         let Some(field) = aggregate.join(&fields) else {
             let wrong = |field: &&str| aggregate.join(&[field]).is_none();
             return Err(fields.iter().position(wrong).unwrap_or(0));
