--- a/crates/scatter/src/condition.rs
+++ b/crates/scatter/src/condition.rs
@@ -118,15 +118,24 @@
                 true => c.nulls == 0,
                 false => c.nulls == table.rows,
             }),
-            Condition::Compare { column: name, by, literal } => {
+            Condition::Compare {
+                column: name,
+                by,
+                literal,
+            } => {
                 let by = if truth { *by } else { by.complement() };
                 column(name).is_some_and(|c| c.nulls == table.rows || c.excludes(by, literal))
             }
             Condition::IsTrue { column: name } => column(name).is_some_and(|c| {
                 c.nulls == table.rows || c.excludes(Comparison::Equal, &Literal::Bool(truth))
             }),
-            Condition::StartsWith { column: name, prefix } => {
-                truth && column(name).is_some_and(|c| c.nulls == table.rows || c.never_starts_with(prefix))
+            Condition::StartsWith {
+                column: name,
+                prefix,
+            } => {
+                truth
+                    && column(name)
+                        .is_some_and(|c| c.nulls == table.rows || c.never_starts_with(prefix))
             }
             Condition::Other => false,
         }
@@ -143,7 +152,12 @@
 
     /// Whether all of it is understood, and over columns that the table's summary tells of.
     pub fn is_summarized(&self, table: &Table) -> bool {
-        let summarized = |name: &String| table.columns.iter().any(|c| c.name == *name && c.bounds.is_some());
+        let summarized = |name: &String| {
+            table
+                .columns
+                .iter()
+                .any(|c| c.name == *name && c.bounds.is_some())
+        };
         match self {
             Condition::All(all) | Condition::Any(all) => all.iter().all(|c| c.is_summarized(table)),
             Condition::Not(inner) => inner.is_summarized(table),
@@ -172,11 +186,19 @@
         match self {
             Condition::All(all) => all.iter().map(|c| c.share(table)).product(),
             Condition::Any(any) => any.iter().map(|c| c.share(table)).sum::<f64>().min(1.0),
-            Condition::Compare { column, by: Comparison::Equal, .. } => {
+            Condition::Compare {
+                column,
+                by: Comparison::Equal,
+                ..
+            } => {
                 let column = table.columns.iter().find(|c| c.name == *column);
                 column.map_or(0.1, |c| 1.0 / c.distinct.max(1) as f64)
             }
-            Condition::Compare { column, by, literal } => {
+            Condition::Compare {
+                column,
+                by,
+                literal,
+            } => {
                 let column = table.columns.iter().find(|c| c.name == *column);
                 column.and_then(|c| c.part(*by, literal)).unwrap_or(SOME)
             }
@@ -198,19 +220,42 @@
             one => std::slice::from_ref(one),
         };
         any.iter().all(|one| {
-            let Condition::Compare { column: name, by: Comparison::Equal, literal } = one else {
+            let Condition::Compare {
+                column: name,
+                by: Comparison::Equal,
+                literal,
+            } = one
+            else {
+                return false;
+            };
+            let Some(column) = table.columns.iter().find(|c| c.name == *name) else {
+                return false;
+            };
+            let Some(point) = literal.point(column.kind) else {
                 return false;
             };
-            let Some(column) = table.columns.iter().find(|c| c.name == *name) else { return false };
-            let Some(point) = literal.point(column.kind) else { return false };
             // A row of that constant alone: what else is asked of the column may rule it out.
             let bounds = Some((point.below, point.above));
             let (name, tight) = (column.name.clone(), point.exact);
             let (kind, distinct, runs) = (column.kind, 1, Vec::new());
-            let of =
-                Column { name, kind, nulls: 0, distinct, bounds, tight, runs, sketch: None, members: None };
-            let row = Table { name: String::new(), rows: 1, columns: vec![of] };
-            column.excludes(Comparison::Equal, literal) || all.iter().any(|c| c.never(&row, true, false))
+            let of = Column {
+                name,
+                kind,
+                nulls: 0,
+                distinct,
+                bounds,
+                tight,
+                runs,
+                sketch: None,
+                members: None,
+            };
+            let row = Table {
+                name: String::new(),
+                rows: 1,
+                columns: vec![of],
+            };
+            column.excludes(Comparison::Equal, literal)
+                || all.iter().any(|c| c.never(&row, true, false))
         })
     };
     all.iter().any(refuted)
@@ -220,13 +265,26 @@
 /// filter.
 fn excluded_by_range(all: &[Condition], table: &Table) -> bool {
     table.columns.iter().any(|column| {
-        let Kind::Number { .. } = column.kind else { return false };
-        let Some((Value::Number(mut low), Value::Number(mut high))) = column.bounds else { return false };
+        let Kind::Number { .. } = column.kind else {
+            return false;
+        };
+        let Some((Value::Number(mut low), Value::Number(mut high))) = column.bounds else {
+            return false;
+        };
         let mut bound = false;
         for condition in all {
-            let Condition::Compare { column: name, by, literal } = condition else { continue };
+            let Condition::Compare {
+                column: name,
+                by,
+                literal,
+            } = condition
+            else {
+                continue;
+            };
             let point = literal.point(column.kind).filter(|_| *name == column.name);
-            let Some((Value::Number(below), Value::Number(above))) = point.map(|p| (p.below, p.above)) else {
+            let Some((Value::Number(below), Value::Number(above))) =
+                point.map(|p| (p.below, p.above))
+            else {
                 continue;
             };
             match by {
@@ -240,7 +298,8 @@
             bound = true;
         }
         let few = high.checked_sub(low).is_some_and(|span| span < MOST_POINTS);
-        let none = |members: &Members| (low..=high).all(|n| !members.may_have(Value::Number(n).hash()));
+        let none =
+            |members: &Members| (low..=high).all(|n| !members.may_have(Value::Number(n).hash()));
         bound && (column.has_none(low, high) || few && column.members.as_ref().is_some_and(none))
     })
 }
@@ -271,24 +330,30 @@
 
     /// Surely no value that is not null compares so to the literal.
     fn excludes(&self, by: Comparison, literal: &Literal) -> bool {
-        let (Some(point), Some((least, greatest))) = (literal.point(self.kind), &self.bounds) else {
+        let (Some(point), Some((least, greatest))) = (literal.point(self.kind), &self.bounds)
+        else {
             return false;
         };
         let ordered = !matches!(self.kind, Kind::Text(Collation::Exact | Collation::Unknown));
-        let same = |a: &Value, b: &Value| point.exact && crate::value::order(a, b).is_some_and(|o| o.is_eq());
+        let same = |a: &Value, b: &Value| {
+            point.exact && crate::value::order(a, b).is_some_and(|o| o.is_eq())
+        };
         match by {
             Comparison::Equal => {
                 let outside = less(&point.above, least) || less(greatest, &point.below);
                 let outside = outside
                     || matches!((&point.below, &point.above),
                         (Value::Number(low), Value::Number(high)) if self.has_none(*low, *high));
-                let absent = |v: &Value| self.members.as_ref().is_some_and(|m| !m.may_have(v.hash()));
+                let absent =
+                    |v: &Value| self.members.as_ref().is_some_and(|m| !m.may_have(v.hash()));
                 outside || self.kind != Kind::Float && absent(&point.below) && absent(&point.above)
             }
             Comparison::Unequal => self.tight && same(least, greatest) && same(least, &point.below),
             Comparison::Less => ordered && (less(&point.above, least) || same(&point.above, least)),
             Comparison::AtMost => ordered && less(&point.above, least),
-            Comparison::Greater => ordered && (less(greatest, &point.below) || same(greatest, &point.below)),
+            Comparison::Greater => {
+                ordered && (less(greatest, &point.below) || same(greatest, &point.below))
+            }
             Comparison::AtLeast => ordered && less(greatest, &point.below),
         }
     }
@@ -296,7 +361,8 @@
     /// Surely no value begins so. LIKE goes by characters, so bytes tell wherever equality goes by bytes.
     fn never_starts_with(&self, prefix: &str) -> bool {
         let by_bytes = matches!(self.kind, Kind::Text(Collation::C | Collation::Exact));
-        let Some((Value::Text(least), Value::Text(greatest))) = self.bounds.as_ref().filter(|_| by_bytes)
+        let Some((Value::Text(least), Value::Text(greatest))) =
+            self.bounds.as_ref().filter(|_| by_bytes)
         else {
             return false;
         };
--- a/crates/scatter/src/exchange.rs
+++ b/crates/scatter/src/exchange.rs
@@ -99,7 +99,10 @@
     /// A site's word was found false here, or was heard to be: false where that was known already.
     pub fn report_false(&mut self, now: Micros, report: &FalseSummary) -> bool {
         let of = (report.site.clone(), report.group);
-        let known = self.false_reports.get(&of).is_some_and(|(version, _)| *version >= report.version);
+        let known = self
+            .false_reports
+            .get(&of)
+            .is_some_and(|(version, _)| *version >= report.version);
         let has_capacity =
             self.false_reports.len() < MAX_FALSE_REPORTS || self.false_reports.contains_key(&of);
         if known || !has_capacity {
@@ -111,14 +114,18 @@
 
     /// The false reports that are told in this round, those found last first.
     fn false_to_report(&self, now: Micros) -> Option<Message> {
-        let mut all: Vec<_> =
-            self.false_reports.iter().filter(|(_, (_, at))| now - at < FALSE_REPORT_TTL).collect();
+        let mut all: Vec<_> = self
+            .false_reports
+            .iter()
+            .filter(|(_, (_, at))| now - at < FALSE_REPORT_TTL)
+            .collect();
         all.sort_by_key(|(_, (_, at))| std::cmp::Reverse(*at));
-        let report = |((site, group), (version, _)): (&(String, u32), &(u64, Micros))| FalseSummary {
-            site: site.clone(),
-            group: *group,
-            version: *version,
-        };
+        let report =
+            |((site, group), (version, _)): (&(String, u32), &(u64, Micros))| FalseSummary {
+                site: site.clone(),
+                group: *group,
+                version: *version,
+            };
         let reports: Vec<FalseSummary> = all.into_iter().take(MAX_DOWNLOADS).map(report).collect();
         (!reports.is_empty()).then_some(Message::FalseSummaries(reports))
     }
@@ -131,7 +138,8 @@
             return out;
         }
         self.due = now + ROUND;
-        self.downloads.retain(|_, download| now - download.asked < PIECE_TIMEOUT);
+        self.downloads
+            .retain(|_, download| now - download.asked < PIECE_TIMEOUT);
         let found = self.false_to_report(now);
         for _ in 0..ROUND_FANOUT.min(others.len()) {
             let Some(message) = &found else { break };
@@ -157,16 +165,28 @@
     /// The next of the others in turn; there has to be one.
     fn choose_peer(&mut self, others: &[FrontId]) -> FrontId {
         self.next_peer = self.next_peer.wrapping_add(1);
-        others.get(self.next_peer % others.len()).copied().unwrap_or_default()
+        others
+            .get(self.next_peer % others.len())
+            .copied()
+            .unwrap_or_default()
     }
 
-    fn announce_new(&mut self, now: Micros, others: &[FrontId], summaries: &SummaryStore, out: &mut Output) {
+    fn announce_new(
+        &mut self,
+        now: Micros,
+        others: &[FrontId],
+        summaries: &SummaryStore,
+        out: &mut Output,
+    ) {
         let fresh = std::mem::take(&mut self.fresh);
         if fresh.is_empty() || others.is_empty() {
             return;
         }
-        let all: Vec<_> =
-            self.available(summaries).into_iter().filter(|held| fresh.contains(&held.name)).collect();
+        let all: Vec<_> = self
+            .available(summaries)
+            .into_iter()
+            .filter(|held| fresh.contains(&held.name))
+            .collect();
         for window in all.chunks(WINDOW) {
             for _ in 0..NEW_VERSION_FANOUT.min(others.len()) {
                 let to = self.choose_peer(others);
@@ -177,13 +197,21 @@
 
     /// What can be had here: what is held, and what lies at home.
     fn available(&self, summaries: &SummaryStore) -> Vec<HeldVersion> {
-        let mut all: BTreeMap<u64, (u64, Detail)> =
-            summaries.versions().map(|held| (held.name, (held.version, held.detail))).collect();
+        let mut all: BTreeMap<u64, (u64, Detail)> = summaries
+            .versions()
+            .map(|held| (held.name, (held.version, held.detail)))
+            .collect();
         for (&name, &version) in self.local.iter().filter(|_| summaries.retention.is_some()) {
             let known = all.entry(name).or_insert((version, Detail::Full));
             *known = (*known).max((version, Detail::Full));
         }
-        all.into_iter().map(|(name, (version, detail))| HeldVersion { name, version, detail }).collect()
+        all.into_iter()
+            .map(|(name, (version, detail))| HeldVersion {
+                name,
+                version,
+                detail,
+            })
+            .collect()
     }
 
     /// A message has come. One that can't be read counts for nothing.
@@ -198,17 +226,50 @@
         let mut out = Output::default();
         match postcard::take_from_bytes(bytes) {
             Ok((Message::Versions(all), [])) => {
-                let whole = |(name, version)| HeldVersion { name, version, detail: Detail::Full };
+                let whole = |(name, version)| HeldVersion {
+                    name,
+                    version,
+                    detail: Detail::Full,
+                };
                 let all: Vec<_> = all.into_iter().map(whole).collect();
                 self.compare(now, from, &all, summaries, &mut out);
             }
-            Ok((Message::DetailedVersions(all), [])) => self.compare(now, from, &all, summaries, &mut out),
-            Ok((Message::Request { name, version, piece }, [])) => {
-                let request = PieceRequest { to: from, name, version, piece };
+            Ok((Message::DetailedVersions(all), [])) => {
+                self.compare(now, from, &all, summaries, &mut out)
+            }
+            Ok((
+                Message::Request {
+                    name,
+                    version,
+                    piece,
+                },
+                [],
+            )) => {
+                let request = PieceRequest {
+                    to: from,
+                    name,
+                    version,
+                    piece,
+                };
                 self.serve_piece(now, request, summaries, &mut out);
             }
-            Ok((Message::Piece { name, version, piece, pieces, bytes }, [])) => {
-                let piece = Piece { name, version, piece, pieces, bytes };
+            Ok((
+                Message::Piece {
+                    name,
+                    version,
+                    piece,
+                    pieces,
+                    bytes,
+                },
+                [],
+            )) => {
+                let piece = Piece {
+                    name,
+                    version,
+                    piece,
+                    pieces,
+                    bytes,
+                };
                 let whole = self.add_piece(now, from, &piece, &mut out);
                 if let Some(whole) = whole {
                     let taken = summaries.accept(wall_ms, &whole);
@@ -224,7 +285,9 @@
             Ok((Message::FalseSummaries(reports), [])) => {
                 let known = |report: &FalseSummary| summaries.has_site(&report.site);
                 let reports = reports.into_iter().take(MAX_DOWNLOADS).filter(known);
-                out.false_summaries = reports.filter(|report| self.report_false(now, report)).collect();
+                out.false_summaries = reports
+                    .filter(|report| self.report_false(now, report))
+                    .collect();
             }
             _ => out.accepted.push(Err(Refused::Form)),
         }
@@ -232,7 +295,9 @@
     }
 
     fn send(&mut self, now: Micros, to: FrontId, message: &Message, out: &mut Output) {
-        let Ok(bytes) = postcard::to_stdvec(message) else { return };
+        let Ok(bytes) = postcard::to_stdvec(message) else {
+            return;
+        };
         let fills = (now - self.refilled_at).max(0) as f64 / 1e6 * BYTES_A_SECOND;
         self.byte_budget = (self.byte_budget + fills).min(BYTES_A_SECOND);
         self.refilled_at = now;
--- a/crates/scatter/src/exchange/message.rs
+++ b/crates/scatter/src/exchange/message.rs
@@ -13,7 +13,13 @@
     /// The sender lacks this piece.
     Request { name: u64, version: u64, piece: u16 },
     /// The answer to `Request`: the bytes of one of so many pieces.
-    Piece { name: u64, version: u64, piece: u16, pieces: u16, bytes: Vec<u8> },
+    Piece {
+        name: u64,
+        version: u64,
+        piece: u16,
+        pieces: u16,
+        bytes: Vec<u8>,
+    },
     /// The same as `Versions`, with the detail of each: between fronts that hold parts of summaries.
     DetailedVersions(Vec<HeldVersion>),
     /// False reports of sites that fronts have found lately.
@@ -35,7 +41,11 @@
 pub(super) fn list(all: Vec<HeldVersion>, summaries: &SummaryStore) -> Message {
     match summaries.retention {
         Some(_) => Message::DetailedVersions(all),
-        None => Message::Versions(all.into_iter().map(|held| (held.name, held.version)).collect()),
+        None => Message::Versions(
+            all.into_iter()
+                .map(|held| (held.name, held.version))
+                .collect(),
+        ),
     }
 }
 
--- a/crates/scatter/src/exchange/pieces.rs
+++ b/crates/scatter/src/exchange/pieces.rs
@@ -57,17 +57,30 @@
             .into_iter()
             .map(|held| (held.name, (held.version, held.detail)))
             .collect();
-        let held: BTreeMap<u64, (u64, Detail)> =
-            summaries.versions().map(|held| (held.name, (held.version, held.detail))).collect();
+        let held: BTreeMap<u64, (u64, Detail)> = summaries
+            .versions()
+            .map(|held| (held.name, (held.version, held.detail)))
+            .collect();
         let mut newer = Vec::new();
-        for &HeldVersion { name, version, detail: finest } in all.iter().take(WINDOW) {
+        for &HeldVersion {
+            name,
+            version,
+            detail: finest,
+        } in all.iter().take(WINDOW)
+        {
             let here = known.get(&name).copied();
-            newer.extend(here.filter(|(held, _)| *held > version).map(|(version, detail)| HeldVersion {
-                name,
-                version,
-                detail,
-            }));
-            let Some(wanted) = summaries.wanted_detail(name).map(|wanted| wanted.min(finest)) else {
+            newer.extend(
+                here.filter(|(held, _)| *held > version)
+                    .map(|(version, detail)| HeldVersion {
+                        name,
+                        version,
+                        detail,
+                    }),
+            );
+            let Some(wanted) = summaries
+                .wanted_detail(name)
+                .map(|wanted| wanted.min(finest))
+            else {
                 continue;
             };
             let lacks = held.get(&name).is_none_or(|held| *held < (version, wanted));
@@ -75,7 +88,8 @@
                 .downloads
                 .get(&name)
                 .is_some_and(|c| now - c.asked < PIECE_TIMEOUT && c.version >= version);
-            let has_capacity = self.downloads.len() < MAX_DOWNLOADS || self.downloads.contains_key(&name);
+            let has_capacity =
+                self.downloads.len() < MAX_DOWNLOADS || self.downloads.contains_key(&name);
             if lacks
                 && version > 0
                 && !waits
@@ -87,8 +101,27 @@
                 let mut bytes = bytes.map_or(Vec::new(), |(_, bytes)| bytes.to_vec());
                 bytes.truncate(bytes.len() / PIECE * PIECE);
                 let next = (bytes.len() / PIECE) as u16;
-                self.downloads.insert(name, Download { version, wanted, from, bytes, next, asked: now });
-                self.send(now, from, &Message::Request { name, version, piece: next }, out);
+                self.downloads.insert(
+                    name,
+                    Download {
+                        version,
+                        wanted,
+                        from,
+                        bytes,
+                        next,
+                        asked: now,
+                    },
+                );
+                self.send(
+                    now,
+                    from,
+                    &Message::Request {
+                        name,
+                        version,
+                        piece: next,
+                    },
+                    out,
+                );
             }
         }
         if !newer.is_empty() {
@@ -103,7 +136,12 @@
         summaries: &SummaryStore,
         out: &mut Output,
     ) {
-        let PieceRequest { name, version, piece, .. } = request;
+        let PieceRequest {
+            name,
+            version,
+            piece,
+            ..
+        } = request;
         let held = summaries.bytes(name).filter(|(held, _)| *held == version);
         match held {
             // Where there is more at home, a piece that is not whole comes from there.
@@ -119,11 +157,30 @@
     }
 
     /// Gives a piece of what was read at home.
-    pub fn send_piece(&mut self, now: Micros, request: PieceRequest, bytes: &[u8], out: &mut Output) {
-        let PieceRequest { to, name, version, piece } = request;
-        let Some(part) = bytes.chunks(PIECE).nth(usize::from(piece)) else { return };
+    pub fn send_piece(
+        &mut self,
+        now: Micros,
+        request: PieceRequest,
+        bytes: &[u8],
+        out: &mut Output,
+    ) {
+        let PieceRequest {
+            to,
+            name,
+            version,
+            piece,
+        } = request;
+        let Some(part) = bytes.chunks(PIECE).nth(usize::from(piece)) else {
+            return;
+        };
         let pieces = bytes.len().div_ceil(PIECE) as u16;
-        let message = Message::Piece { name, version, piece, pieces, bytes: part.to_vec() };
+        let message = Message::Piece {
+            name,
+            version,
+            piece,
+            pieces,
+            bytes: part.to_vec(),
+        };
         self.send(now, to, &message, out);
     }
 
@@ -135,7 +192,13 @@
         piece: &Piece,
         out: &mut Output,
     ) -> Option<Vec<u8>> {
-        let Piece { name, version, piece, pieces, ref bytes } = *piece;
+        let Piece {
+            name,
+            version,
+            piece,
+            pieces,
+            ref bytes,
+        } = *piece;
         let download = self.downloads.get_mut(&name)?;
         let expected = (download.version, download.from, download.next) == (version, from, piece);
         if !expected || piece >= pieces || download.bytes.len() + bytes.len() > MOST_BYTES {
@@ -154,7 +217,16 @@
             return self.downloads.remove(&name).map(|download| download.bytes);
         }
         let next = download.next;
-        self.send(now, from, &Message::Request { name, version, piece: next }, out);
+        self.send(
+            now,
+            from,
+            &Message::Request {
+                name,
+                version,
+                piece: next,
+            },
+            out,
+        );
         None
     }
 }
--- a/crates/scatter/src/filter.rs
+++ b/crates/scatter/src/filter.rs
@@ -43,7 +43,10 @@
         if hashes.len() < FEW {
             return Some(Members::All(hashes));
         }
-        let BinaryFuse8 { descriptor, fingerprints } = BinaryFuse8::try_from(&hashes).ok()?;
+        let BinaryFuse8 {
+            descriptor,
+            fingerprints,
+        } = BinaryFuse8::try_from(&hashes).ok()?;
         Some(Members::Fuse {
             seed: descriptor.seed,
             segment: descriptor.segment_length,
@@ -72,7 +75,12 @@
         match self {
             Members::All(hashes) => hashes.len() < FEW && hashes.windows(2).all(|w| w[0] < w[1]),
             Members::Bits(bytes) => (1..1 << 24).contains(&bytes.len()),
-            Members::Fuse { segment, segments, fingerprints, .. } => {
+            Members::Fuse {
+                segment,
+                segments,
+                fingerprints,
+                ..
+            } => {
                 let end = u64::from(*segments) + 2 * u64::from(*segment);
                 segment.is_power_of_two()
                     && *segments > 0
@@ -87,10 +95,21 @@
         match self {
             Members::All(hashes) => hashes.binary_search(&hash).is_ok(),
             Members::Bits(bytes) => {
-                let set = |bit: u64| bytes.get((bit / 8) as usize).is_none_or(|b| (b >> (bit % 8)) & 1 == 1);
-                bit_positions(hash, bytes.len() as u64 * 8).into_iter().all(set)
+                let set = |bit: u64| {
+                    bytes
+                        .get((bit / 8) as usize)
+                        .is_none_or(|b| (b >> (bit % 8)) & 1 == 1)
+                };
+                bit_positions(hash, bytes.len() as u64 * 8)
+                    .into_iter()
+                    .all(set)
             }
-            Members::Fuse { seed, segment, segments, fingerprints } => {
+            Members::Fuse {
+                seed,
+                segment,
+                segments,
+                fingerprints,
+            } => {
                 // The library takes a filter that lies elsewhere by a head of this form.
                 let mut head = Vec::with_capacity(HEAD);
                 head.extend(seed.to_le_bytes());
--- a/crates/scatter/src/filter_tests.rs
+++ b/crates/scatter/src/filter_tests.rs
@@ -5,11 +5,17 @@
 use hallmux_hash::fnv1a;
 
 fn hashes(from: i128, count: i128) -> Vec<u64> {
-    (from..from + count).map(|n| Value::Number(n).hash()).collect()
+    (from..from + count)
+        .map(|n| Value::Number(n).hash())
+        .collect()
 }
 
 fn wrong(may: impl Fn(u64) -> bool) -> f64 {
-    hashes(1_000_000_000, 200_000).into_iter().filter(|hash| may(*hash)).count() as f64 / 200_000.0
+    hashes(1_000_000_000, 200_000)
+        .into_iter()
+        .filter(|hash| may(*hash))
+        .count() as f64
+        / 200_000.0
 }
 
 #[test]
@@ -17,10 +23,17 @@
     for count in [0, 1, 31, 32, 33, 100, 5_000] {
         let members = Members::new(hashes(0, count)).unwrap();
         assert!(members.is_sound());
-        assert!(hashes(0, count).into_iter().all(|hash| members.may_have(hash)));
+        assert!(hashes(0, count)
+            .into_iter()
+            .all(|hash| members.may_have(hash)));
         assert!(wrong(|hash| members.may_have(hash)) < 0.006, "{count}");
         let small = Members::small(hashes(0, count));
-        assert!(small.is_sound() && hashes(0, count).into_iter().all(|hash| small.may_have(hash)));
+        assert!(
+            small.is_sound()
+                && hashes(0, count)
+                    .into_iter()
+                    .all(|hash| small.may_have(hash))
+        );
         assert!(wrong(|hash| small.may_have(hash)) < 0.25, "{count}");
     }
 }
@@ -34,13 +47,23 @@
     let bloom = fastbloom::BloomFilter::with_num_bits((bits * 50_000.0) as usize).seed(&7);
     let bloom = bloom.items(hashes(0, 50_000).iter());
     let bloom = wrong(|hash| bloom.contains(&hash));
-    println!("bits a value {bits:.2}: binary fuse {:.3} %, bloom {:.3} %", fuse * 100.0, bloom * 100.0);
+    println!(
+        "bits a value {bits:.2}: binary fuse {:.3} %, bloom {:.3} %",
+        fuse * 100.0,
+        bloom * 100.0
+    );
     assert!(fuse < bloom / 2.0, "{fuse} {bloom}");
 }
 
 #[test]
 fn what_would_look_beyond_its_end_is_unsound() {
-    let Some(Members::Fuse { seed, segment, segments, fingerprints }) = Members::new(hashes(0, 100)) else {
+    let Some(Members::Fuse {
+        seed,
+        segment,
+        segments,
+        fingerprints,
+    }) = Members::new(hashes(0, 100))
+    else {
         panic!()
     };
     let fuse = |segment, segments, fingerprints: &[u8]| Members::Fuse {
@@ -55,6 +78,12 @@
     assert!(!fuse(0, segments, &fingerprints).is_sound());
     assert!(!fuse(segment, 0, &fingerprints).is_sound());
     assert!(!fuse(segment, u32::MAX, &fingerprints).is_sound());
-    assert!(!Members::All(vec![fnv1a(*b"b"), fnv1a(*b"a")].into_iter().rev().collect::<Vec<_>>().repeat(2))
-        .is_sound());
+    assert!(!Members::All(
+        vec![fnv1a(*b"b"), fnv1a(*b"a")]
+            .into_iter()
+            .rev()
+            .collect::<Vec<_>>()
+            .repeat(2)
+    )
+    .is_sound());
 }
--- a/crates/scatter/src/from_sql.rs
+++ b/crates/scatter/src/from_sql.rs
@@ -12,7 +12,9 @@
 
 /// What is not understood is `Other`, which proves nothing.
 pub(crate) fn condition(e: &Expr, names: &ColumnScope) -> Condition {
-    Some(within(e, names, 0)).filter(|c| c.leaves() <= MOST_LEAVES).unwrap_or(Condition::Other)
+    Some(within(e, names, 0))
+        .filter(|c| c.leaves() <= MOST_LEAVES)
+        .unwrap_or(Condition::Other)
 }
 
 fn within(e: &Expr, names: &ColumnScope, depth: usize) -> Condition {
@@ -22,28 +24,57 @@
     let deeper = |e: &Expr| within(e, names, depth + 1);
     match e {
         Expr::Nested(inner) => deeper(inner),
-        Expr::UnaryOp { op: UnaryOperator::Not, expr } => Condition::Not(Box::new(deeper(expr))),
-        Expr::BinaryOp { op: BinaryOperator::And, .. } => {
-            Condition::All(chain(e, &BinaryOperator::And).into_iter().map(deeper).collect())
-        }
-        Expr::BinaryOp { op: BinaryOperator::Or, .. } => {
-            Condition::Any(chain(e, &BinaryOperator::Or).into_iter().map(deeper).collect())
-        }
+        Expr::UnaryOp {
+            op: UnaryOperator::Not,
+            expr,
+        } => Condition::Not(Box::new(deeper(expr))),
+        Expr::BinaryOp {
+            op: BinaryOperator::And,
+            ..
+        } => Condition::All(
+            chain(e, &BinaryOperator::And)
+                .into_iter()
+                .map(deeper)
+                .collect(),
+        ),
+        Expr::BinaryOp {
+            op: BinaryOperator::Or,
+            ..
+        } => Condition::Any(
+            chain(e, &BinaryOperator::Or)
+                .into_iter()
+                .map(deeper)
+                .collect(),
+        ),
         Expr::BinaryOp { left, op, right } => comparison(left, op, right, names),
-        Expr::Between { expr, negated, low, high } => not(*negated, between(expr, low, high, names)),
-        Expr::In { expr, target: InTarget::List(list), negated, global: false } => {
-            not(*negated, one_of(expr, list, names))
-        }
+        Expr::Between {
+            expr,
+            negated,
+            low,
+            high,
+        } => not(*negated, between(expr, low, high, names)),
+        Expr::In {
+            expr,
+            target: InTarget::List(list),
+            negated,
+            global: false,
+        } => not(*negated, one_of(expr, list, names)),
         Expr::IsNull(inner) => null(inner, false, names),
         Expr::IsNotNull(inner) => null(inner, true, names),
-        Expr::Like { negated, any: false, expr, pattern, escape_char } => {
-            not(*negated, like(expr, pattern, escape_char.as_deref(), names))
-        }
+        Expr::Like {
+            negated,
+            any: false,
+            expr,
+            pattern,
+            escape_char,
+        } => not(*negated, like(expr, pattern, escape_char.as_deref(), names)),
         Expr::Value(value) => match value.value {
             Word::Boolean(b) => Condition::Constant(b),
             _ => Condition::Other,
         },
-        _ => names.column(e).map_or(Condition::Other, |column| Condition::IsTrue { column }),
+        _ => names
+            .column(e)
+            .map_or(Condition::Other, |column| Condition::IsTrue { column }),
     }
 }
 
@@ -58,19 +89,40 @@
         BinaryOperator::GtEq => Comparison::AtLeast,
         _ => return Condition::Other,
     };
-    match (names.column(left), literal(right), literal(left), names.column(right)) {
-        (Some(column), Some(literal), ..) => Condition::Compare { column, by, literal },
-        (_, _, Some(literal), Some(column)) => Condition::Compare { column, by: by.flipped(), literal },
+    match (
+        names.column(left),
+        literal(right),
+        literal(left),
+        names.column(right),
+    ) {
+        (Some(column), Some(literal), ..) => Condition::Compare {
+            column,
+            by,
+            literal,
+        },
+        (_, _, Some(literal), Some(column)) => Condition::Compare {
+            column,
+            by: by.flipped(),
+            literal,
+        },
         _ => Condition::Other,
     }
 }
 
 fn between(e: &Expr, low: &Expr, high: &Expr, names: &ColumnScope) -> Condition {
-    let (Some(column), Some(low), Some(high)) = (names.column(e), literal(low), literal(high)) else {
+    let (Some(column), Some(low), Some(high)) = (names.column(e), literal(low), literal(high))
+    else {
         return Condition::Other;
     };
-    let side = |by, literal| Condition::Compare { column: column.clone(), by, literal };
-    Condition::All(vec![side(Comparison::AtLeast, low), side(Comparison::AtMost, high)])
+    let side = |by, literal| Condition::Compare {
+        column: column.clone(),
+        by,
+        literal,
+    };
+    Condition::All(vec![
+        side(Comparison::AtLeast, low),
+        side(Comparison::AtMost, high),
+    ])
 }
 
 fn one_of(e: &Expr, list: &[Expr], names: &ColumnScope) -> Condition {
@@ -79,7 +131,11 @@
     };
     let equal = |e: &Expr| {
         let (column, by) = (column.clone(), Comparison::Equal);
-        literal(e).map_or(Condition::Other, |literal| Condition::Compare { column, by, literal })
+        literal(e).map_or(Condition::Other, |literal| Condition::Compare {
+            column,
+            by,
+            literal,
+        })
     };
     Condition::Any(list.iter().map(equal).collect())
 }
@@ -111,7 +167,9 @@
 }
 
 fn null(inner: &Expr, negated: bool, names: &ColumnScope) -> Condition {
-    names.column(inner).map_or(Condition::Other, |column| not(negated, Condition::Null { column }))
+    names.column(inner).map_or(Condition::Other, |column| {
+        not(negated, Condition::Null { column })
+    })
 }
 
 /// The members of a chain of one operator, which may be as long as the statement.
--- a/crates/scatter/src/gather.rs
+++ b/crates/scatter/src/gather.rs
@@ -118,8 +118,18 @@
             let rows = |at: &usize| parts.get(*at).map_or(0.0, |part| part.rows);
             order.sort_by(|a, b| rows(b).total_cmp(&rows(a)));
         }
-        let parts = parts.into_iter().map(|part| (part, State::Waiting)).collect();
-        let mut gather = Gather { rules, parts, barred, order, done: false, audits_skipped: false };
+        let parts = parts
+            .into_iter()
+            .map(|part| (part, State::Waiting))
+            .collect();
+        let mut gather = Gather {
+            rules,
+            parts,
+            barred,
+            order,
+            done: false,
+            audits_skipped: false,
+        };
         if !gather.barred.is_empty() && !gather.rules.partial {
             gather.done = true;
             let barred = gather.barred.clone();
@@ -197,7 +207,9 @@
     }
 
     fn is_out(&self, place: usize) -> bool {
-        self.parts.get(place).is_some_and(|(_, state)| *state == State::Running)
+        self.parts
+            .get(place)
+            .is_some_and(|(_, state)| *state == State::Running)
     }
 
     fn set(&mut self, place: usize, state: State) {
@@ -228,13 +240,25 @@
             return self.end(answer);
         }
         let mut actions = Vec::new();
-        let mut out = self.parts.iter().filter(|(_, state)| *state == State::Running).count();
-        let most = if self.rules.limit.is_some() { self.rules.at_once.max(1) } else { usize::MAX };
+        let mut out = self
+            .parts
+            .iter()
+            .filter(|(_, state)| *state == State::Running)
+            .count();
+        let most = if self.rules.limit.is_some() {
+            self.rules.at_once.max(1)
+        } else {
+            usize::MAX
+        };
         for place in self.order.clone() {
             if out >= most {
                 break;
             }
-            if self.parts.get(place).is_some_and(|(_, state)| *state == State::Waiting) {
+            if self
+                .parts
+                .get(place)
+                .is_some_and(|(_, state)| *state == State::Waiting)
+            {
                 self.set(place, State::Running);
                 actions.push(Action::Start(place));
                 out += 1;
@@ -250,9 +274,14 @@
                 match combine::join(aggregates, &parts) {
                     Ok(row) => row,
                     Err(at) => {
-                        let answered = self.parts.iter().filter(|(_, s)| matches!(s, State::Rows(_)));
+                        let answered = self
+                            .parts
+                            .iter()
+                            .filter(|(_, s)| matches!(s, State::Rows(_)));
                         let site = answered.map(|(part, _)| part.site.clone()).nth(at);
-                        return Answer::Mismatch { site: site.unwrap_or_default() };
+                        return Answer::Mismatch {
+                            site: site.unwrap_or_default(),
+                        };
                     }
                 }
             }
@@ -262,18 +291,31 @@
             bytes.truncate(first_lines(&bytes, limit));
         }
         // What a limit has filled lacks nothing.
-        let missing = self.parts.iter().filter(|(_, state)| !enough && *state == State::Missing);
+        let missing = self
+            .parts
+            .iter()
+            .filter(|(_, state)| !enough && *state == State::Missing);
         let missing = missing.map(|(part, _)| part.site.clone()).collect();
-        let barred = if enough { Vec::new() } else { self.barred.clone() };
-        Answer::Rows { bytes, missing, barred }
+        let barred = if enough {
+            Vec::new()
+        } else {
+            self.barred.clone()
+        };
+        Answer::Rows {
+            bytes,
+            missing,
+            barred,
+        }
     }
 
     fn end(&mut self, answer: Answer) -> Vec<Action> {
         if std::mem::replace(&mut self.done, true) {
             return Vec::new();
         }
-        let mut actions: Vec<Action> =
-            (0..self.parts.len()).filter(|p| self.is_out(*p)).map(Action::End).collect();
+        let mut actions: Vec<Action> = (0..self.parts.len())
+            .filter(|p| self.is_out(*p))
+            .map(Action::End)
+            .collect();
         actions.push(Action::Answer(answer));
         actions
     }
@@ -286,8 +328,14 @@
 
 fn first_lines(rows: &[u8], most: u64) -> usize {
     let most = usize::try_from(most).unwrap_or(usize::MAX);
-    let Some(before) = most.checked_sub(1) else { return 0 };
-    let ends = rows.iter().enumerate().filter(|(_, c)| **c == b'\n').map(|(at, _)| at + 1);
+    let Some(before) = most.checked_sub(1) else {
+        return 0;
+    };
+    let ends = rows
+        .iter()
+        .enumerate()
+        .filter(|(_, c)| **c == b'\n')
+        .map(|(at, _)| at + 1);
     ends.into_iter().nth(before).unwrap_or(rows.len())
 }
 
--- a/crates/scatter/src/gather_tests.rs
+++ b/crates/scatter/src/gather_tests.rs
@@ -2,21 +2,36 @@
 
 use super::*;
 
-const RULES: GatherRules =
-    GatherRules { limit: None, partial: false, at_once: 1, most_bytes: 100, combine: None };
+const RULES: GatherRules = GatherRules {
+    limit: None,
+    partial: false,
+    at_once: 1,
+    most_bytes: 100,
+    combine: None,
+};
 
 fn parts(rows: &[f64]) -> Vec<Part> {
     rows.iter()
         .enumerate()
         .map(|(n, rows)| {
             let (site, why) = (format!("s{n}"), crate::plan::Reason::Bounds);
-            Part { site, rows: *rows, ruled_out: false, audit: false, reason: why }
+            Part {
+                site,
+                rows: *rows,
+                ruled_out: false,
+                audit: false,
+                reason: why,
+            }
         })
         .collect()
 }
 
 fn rows(bytes: &[u8]) -> Action {
-    Action::Answer(Answer::Rows { bytes: bytes.to_vec(), missing: vec![], barred: vec![] })
+    Action::Answer(Answer::Rows {
+        bytes: bytes.to_vec(),
+        missing: vec![],
+        barred: vec![],
+    })
 }
 
 #[test]
@@ -35,19 +50,33 @@
 fn a_part_that_fails_for_good_fails_the_whole_and_ends_the_others() {
     let (mut whole, _) = Gather::new(parts(&[1.0, 1.0, 1.0]), vec![], RULES);
     whole.answered(0, vec![]);
-    let rejected = Answer::Rejected { retry_after: Some(5), site: "s1".into() };
-    let failed = PartFailure::Rejected { retry_after: Some(5) };
-    assert_eq!(whole.failed(1, failed), [Action::End(2), Action::Answer(rejected)]);
+    let rejected = Answer::Rejected {
+        retry_after: Some(5),
+        site: "s1".into(),
+    };
+    let failed = PartFailure::Rejected {
+        retry_after: Some(5),
+    };
+    assert_eq!(
+        whole.failed(1, failed),
+        [Action::End(2), Action::Answer(rejected)]
+    );
     assert!(whole.is_done());
 }
 
 #[test]
 fn an_answer_that_lacks_sites_says_so_where_the_customer_takes_it() {
-    let rules = GatherRules { partial: true, ..RULES };
+    let rules = GatherRules {
+        partial: true,
+        ..RULES
+    };
     let (mut whole, _) = Gather::new(parts(&[1.0, 1.0]), vec!["far".into()], rules);
     assert_eq!(whole.failed(0, PartFailure::Aborted), []);
-    let answer =
-        Answer::Rows { bytes: b"b\n".to_vec(), missing: vec!["s0".into()], barred: vec!["far".into()] };
+    let answer = Answer::Rows {
+        bytes: b"b\n".to_vec(),
+        missing: vec!["s0".into()],
+        barred: vec!["far".into()],
+    };
     assert_eq!(whole.answered(1, b"b\n".to_vec()), [Action::Answer(answer)]);
     let (_, acts) = Gather::new(parts(&[1.0]), vec!["far".into()], RULES);
     assert_eq!(acts, [Action::Answer(Answer::Barred(vec!["far".into()]))]);
@@ -55,15 +84,27 @@
 
 #[test]
 fn a_limit_asks_the_likeliest_first_and_ends_once_it_is_filled() {
-    let rules = GatherRules { limit: Some(2), ..RULES };
+    let rules = GatherRules {
+        limit: Some(2),
+        ..RULES
+    };
     let (mut whole, acts) = Gather::new(parts(&[1.0, 9.0, 5.0]), vec![], rules.clone());
     assert_eq!(acts, [Action::Start(1)]);
     assert_eq!(whole.answered(1, b"b\n".to_vec()), [Action::Start(2)]);
     assert_eq!(whole.answered(2, b"c\nd\n".to_vec()), [rows(b"b\nc\n")]);
     // Two out at once: the other is ended.
-    let (mut whole, _) =
-        Gather::new(parts(&[1.0, 9.0, 5.0]), vec![], GatherRules { at_once: 2, ..rules.clone() });
-    assert_eq!(whole.answered(1, b"b\nx\n".to_vec()), [Action::End(2), rows(b"b\nx\n")]);
+    let (mut whole, _) = Gather::new(
+        parts(&[1.0, 9.0, 5.0]),
+        vec![],
+        GatherRules {
+            at_once: 2,
+            ..rules.clone()
+        },
+    );
+    assert_eq!(
+        whole.answered(1, b"b\nx\n".to_vec()),
+        [Action::End(2), rows(b"b\nx\n")]
+    );
 }
 
 #[test]
@@ -71,7 +112,10 @@
     let (_, acts) = Gather::new(vec![], vec![], RULES);
     assert_eq!(acts, [rows(b"")]);
     let (mut whole, _) = Gather::new(parts(&[1.0]), vec![], RULES);
-    assert_eq!(whole.answered(0, vec![b'x'; 101]), [Action::Answer(Answer::TooLong)]);
+    assert_eq!(
+        whole.answered(0, vec![b'x'; 101]),
+        [Action::Answer(Answer::TooLong)]
+    );
 }
 
 #[test]
--- a/crates/scatter/src/join.rs
+++ b/crates/scatter/src/join.rs
@@ -39,7 +39,12 @@
     first: ColumnScope,
     selection: Option<&Expr>,
 ) -> Result<Read, Unsupported> {
-    let Joined { relation, global: false, join_operator } = joined else {
+    let Joined {
+        relation,
+        global: false,
+        join_operator,
+    } = joined
+    else {
         return not_divisible("GLOBAL JOIN");
     };
     let (JoinOperator::Join(JoinConstraint::On(on)) | JoinOperator::Inner(JoinConstraint::On(on))) =
@@ -58,19 +63,42 @@
     if other.alias == first.table {
         return not_divisible("a join of two tables by one name");
     }
-    let second = ColumnScope { table: other.alias, ..first.clone() };
-    let both =
-        |names: &ColumnScope| Condition::All(vec![condition(selection, names), condition(Some(on), names)]);
+    let second = ColumnScope {
+        table: other.alias,
+        ..first.clone()
+    };
+    let both = |names: &ColumnScope| {
+        Condition::All(vec![
+            condition(selection, names),
+            condition(Some(on), names),
+        ])
+    };
     let equal = |e: &Expr| {
-        let Expr::BinaryOp { left, op: BinaryOperator::Eq, right } = e else { return None };
+        let Expr::BinaryOp {
+            left,
+            op: BinaryOperator::Eq,
+            right,
+        } = e
+        else {
+            return None;
+        };
         match (first.column(left), second.column(right)) {
             (Some(a), Some(b)) => Some((a, b)),
             _ => Some((first.column(right)?, second.column(left)?)),
         }
     };
     let all = chain(on, &BinaryOperator::And);
-    let keys = all.into_iter().filter(|_| is_of_one_reading(on)).filter_map(equal).collect();
-    let join = Join { group: other.group, table: other.table, condition: both(&second), keys };
+    let keys = all
+        .into_iter()
+        .filter(|_| is_of_one_reading(on))
+        .filter_map(equal)
+        .collect();
+    let join = Join {
+        group: other.group,
+        table: other.table,
+        condition: both(&second),
+        keys,
+    };
     let of_first = condition(Some(on), &first);
     Ok((first, (of_first, join)))
 }
@@ -79,12 +107,20 @@
 type Side<'a> = Option<(&'a Summary, &'a Table)>;
 
 /// What stands against leaving a site out of a join; None: surely no row of it is asked for.
-pub(crate) fn reason_to_ask_join(query: &Query, join: &Join, basis: &Basis, site: &str) -> Option<Reason> {
+pub(crate) fn reason_to_ask_join(
+    query: &Query,
+    join: &Join,
+    basis: &Basis,
+    site: &str,
+) -> Option<Reason> {
     let side = |group: u32, table: &str| -> Side {
         let summary = basis.summaries.current(basis.wall_ms, site, group)?;
         Some((summary, summary.table(table)?))
     };
-    let (first, second) = (side(query.group, &query.table), side(join.group, &join.table));
+    let (first, second) = (
+        side(query.group, &query.table),
+        side(join.group, &join.table),
+    );
     let (of_first, of_second) = basis.loads.sides();
     let why = |side: Side, condition: &Condition, loads: &LoadInfo| match side {
         None => Some(Reason::NoSummary),
@@ -92,12 +128,16 @@
     };
     let by_first = why(first, &query.condition, &of_first)?;
     why(second, &join.condition, &of_second)?;
-    let (Some(first), Some(second)) = (first, second) else { return Some(by_first) };
+    let (Some(first), Some(second)) = (first, second) else {
+        return Some(by_first);
+    };
     let settled = untouched(first, &of_first) && untouched(second, &of_second);
     let column = |table: &Table, name: &str| table.columns.iter().position(|c| c.name == *name);
     let apart = |(a, b): &(String, String)| {
         let (a, b) = (column(first.1, a), column(second.1, b));
-        let of = a.zip(b).and_then(|(a, b)| Some((first.1.columns.get(a)?, second.1.columns.get(b)?)));
+        let of = a
+            .zip(b)
+            .and_then(|(a, b)| Some((first.1.columns.get(a)?, second.1.columns.get(b)?)));
         of.is_some_and(|(a, b)| have_none_in_common((a, first.1.rows), (b, second.1.rows)))
     };
     (!settled || !join.keys.iter().any(apart)).then_some(by_first)
@@ -105,12 +145,11 @@
 
 /// No load that the summary does not speak of has touched the table.
 fn untouched((summary, table): (&Summary, &Table), loads: &LoadInfo) -> bool {
-    let elsewhere =
-        |touched: &Affected| matches!(touched, Affected::Rows { table: of, .. } if *of != table.name);
+    let elsewhere = |touched: &Affected| matches!(touched, Affected::Rows { table: of, .. } if *of != table.name);
     match loads {
-        LoadInfo::Marks(marks) => {
-            marks.uncovered(summary).is_some_and(|open| open.into_iter().all(elsewhere))
-        }
+        LoadInfo::Marks(marks) => marks
+            .uncovered(summary)
+            .is_some_and(|open| open.into_iter().all(elsewhere)),
         LoadInfo::NoLoads => true,
         LoadInfo::MarksOfJoin(..) | LoadInfo::Unknown => false,
     }
@@ -151,18 +190,27 @@
 
 /// None of the few values that a column can have is in the other.
 fn none_of(few: &Column, runs: Option<runs::Runs>, other: &Column) -> bool {
-    let Some(members) = &other.members else { return false };
+    let Some(members) = &other.members else {
+        return false;
+    };
     if let Some(Members::All(hashes)) = &few.members {
         return hashes.iter().all(|hash| !members.may_have(*hash));
     }
-    let (Kind::Number { .. }, Some(runs)) = (few.kind, runs) else { return false };
-    let count = runs
-        .iter()
-        .try_fold(0_i128, |sum, (from, to)| sum.checked_add(to.checked_sub(*from)?.checked_add(1)?));
-    let own = |hash: u64| few.members.as_ref().is_none_or(|members| members.may_have(hash));
+    let (Kind::Number { .. }, Some(runs)) = (few.kind, runs) else {
+        return false;
+    };
+    let count = runs.iter().try_fold(0_i128, |sum, (from, to)| {
+        sum.checked_add(to.checked_sub(*from)?.checked_add(1)?)
+    });
+    let own = |hash: u64| {
+        few.members
+            .as_ref()
+            .is_none_or(|members| members.may_have(hash))
+    };
     let in_both = |value: i128| {
         let hash = Value::Number(value).hash();
         own(hash) && members.may_have(hash)
     };
-    count.is_some_and(|count| count <= MOST_KEYS) && !runs.iter().any(|(from, to)| (*from..=*to).any(in_both))
+    count.is_some_and(|count| count <= MOST_KEYS)
+        && !runs.iter().any(|(from, to)| (*from..=*to).any(in_both))
 }
--- a/crates/scatter/src/layers.rs
+++ b/crates/scatter/src/layers.rs
@@ -39,7 +39,10 @@
 pub(crate) type Layer = Vec<(u16, u16, Members)>;
 
 fn digest(layer: &[u8]) -> LayerDigest {
-    LayerDigest { bytes: layer.len() as u32, hash: Sha256::digest(layer).into() }
+    LayerDigest {
+        bytes: layer.len() as u32,
+        hash: Sha256::digest(layer).into(),
+    }
 }
 
 /// The bytes of a summary without members whose members are on the layers; the largest go until it is not too long.
@@ -50,17 +53,37 @@
     most: usize,
     key: &SigningKey,
 ) -> Vec<u8> {
-    for column in summary.tables.iter_mut().flat_map(|table| &mut table.columns) {
+    for column in summary
+        .tables
+        .iter_mut()
+        .flat_map(|table| &mut table.columns)
+    {
         column.runs = runs::coarser(std::mem::take(&mut column.runs), runs::FEWER);
     }
     summary.cut(most.min(MOST_BYTES) / 2, LAYERED, LAYERED_EXTENDED);
-    let size = |layer: &Layer| layer.iter().map(|(_, _, members)| members.size() + 8).sum::<usize>();
+    let size = |layer: &Layer| {
+        layer
+            .iter()
+            .map(|(_, _, members)| members.size() + 8)
+            .sum::<usize>()
+    };
     let core = summary.encoded(LAYERED, LAYERED_EXTENDED);
-    let most = most.min(MOST_BYTES).saturating_sub(core.len() + SIGNATURE_BYTES);
+    let most = most
+        .min(MOST_BYTES)
+        .saturating_sub(core.len() + SIGNATURE_BYTES);
     while size(&small) + size(&full) > most {
-        let layer = if full.is_empty() { &mut small } else { &mut full };
-        let largest = layer.iter().enumerate().max_by_key(|(_, (_, _, members))| members.size());
-        let Some(at) = largest.map(|(at, _)| at) else { break };
+        let layer = if full.is_empty() {
+            &mut small
+        } else {
+            &mut full
+        };
+        let largest = layer
+            .iter()
+            .enumerate()
+            .max_by_key(|(_, (_, _, members))| members.size());
+        let Some(at) = largest.map(|(at, _)| at) else {
+            break;
+        };
         layer.remove(at);
     }
     let small = postcard::to_stdvec(&small).unwrap_or_default();
@@ -71,8 +94,14 @@
 
 /// Puts the members of what layers there are into the tables. None: what is there is none of them, or cut within one.
 pub(crate) fn apply(tables: &mut [Table], digests: &[u8], layers: &[u8]) -> Option<Detail> {
-    let ((small, full), rest) = postcard::take_from_bytes::<(LayerDigest, LayerDigest)>(digests).ok()?;
-    if !rest.is_empty() || tables.iter().flat_map(|t| &t.columns).any(|c| c.members.is_some()) {
+    let ((small, full), rest) =
+        postcard::take_from_bytes::<(LayerDigest, LayerDigest)>(digests).ok()?;
+    if !rest.is_empty()
+        || tables
+            .iter()
+            .flat_map(|t| &t.columns)
+            .any(|c| c.members.is_some())
+    {
         return None;
     }
     let (mut layers, mut present) = (layers, Detail::Bounds);
@@ -86,7 +115,10 @@
         }
         let (all, rest) = postcard::take_from_bytes::<Layer>(layer).ok()?;
         for (table, column, members) in all {
-            let column = tables.get_mut(usize::from(table))?.columns.get_mut(usize::from(column))?;
+            let column = tables
+                .get_mut(usize::from(table))?
+                .columns
+                .get_mut(usize::from(column))?;
             column.members = Some(members);
         }
         if !rest.is_empty() {
@@ -107,7 +139,8 @@
         LAYERED_EXTENDED => digests = postcard::take_from_bytes::<Extension>(digests).ok()?.1,
         _ => return None,
     }
-    let ((small, full), _) = postcard::take_from_bytes::<(LayerDigest, LayerDigest)>(digests).ok()?;
+    let ((small, full), _) =
+        postcard::take_from_bytes::<(LayerDigest, LayerDigest)>(digests).ok()?;
     let core = bytes.len() - rest.len();
     let small = core + small.bytes as usize;
     Some([core, small, small + full.bytes as usize]).filter(|ends| ends[2] <= MOST_BYTES)
--- a/crates/scatter/src/load.rs
+++ b/crates/scatter/src/load.rs
@@ -1,8 +1,8 @@
 //! What a load's text says of the rows that it brings.
 
 use sqlparser::ast::{
-    Assignment, AssignmentTarget, ConflictTarget, Expr, Ident, Insert, OnConflict, OnConflictAction,
-    OnInsert, SetExpr, Statement, TableObject, Value as Word,
+    Assignment, AssignmentTarget, ConflictTarget, Expr, Ident, Insert, OnConflict,
+    OnConflictAction, OnInsert, SetExpr, Statement, TableObject, Value as Word,
 };
 
 use crate::marks::{Affected, Cell};
@@ -13,21 +13,40 @@
 
 /// The rows of an `INSERT ... VALUES` into a table of the group that does nothing else.
 pub(crate) fn rows(statement: Statement, group: u32) -> Option<Affected> {
-    let Statement::Insert(insert) = statement else { return None };
-    let Insert { or: None, ignore: false, table, columns, overwrite: false, source, on, .. } = insert else {
+    let Statement::Insert(insert) = statement else {
         return None;
     };
-    if insert.replace_into || insert.by_name || insert.partitioned.is_some() || !insert.assignments.is_empty()
+    let Insert {
+        or: None,
+        ignore: false,
+        table,
+        columns,
+        overwrite: false,
+        source,
+        on,
+        ..
+    } = insert
+    else {
+        return None;
+    };
+    if insert.replace_into
+        || insert.by_name
+        || insert.partitioned.is_some()
+        || !insert.assignments.is_empty()
     {
         return None;
     }
     if insert.multi_table_insert_type.is_some() || columns.is_empty() {
         return None;
     }
-    let TableObject::TableName(name) = table else { return None };
+    let TableObject::TableName(name) = table else {
+        return None;
+    };
     let (_, table) = sql::table(&name).filter(|(named, _)| *named == group)?;
     let source = *source?;
-    let SetExpr::Values(values) = *source.body else { return None };
+    let SetExpr::Values(values) = *source.body else {
+        return None;
+    };
     if source.with.is_some() || source.limit_clause.is_some() || !source.pipe_operators.is_empty() {
         return None;
     }
@@ -40,7 +59,11 @@
         Expr::Value(value) if value.value == Word::Null => Cell::Null,
         e => literal(e).map_or(Cell::Unknown, Cell::Is),
     };
-    let rows: Vec<Vec<Cell>> = values.rows.iter().map(|row| row.content.iter().map(cell).collect()).collect();
+    let rows: Vec<Vec<Cell>> = values
+        .rows
+        .iter()
+        .map(|row| row.content.iter().map(cell).collect())
+        .collect();
     let kept = match on {
         None => (0..columns.len()).collect(),
         Some(on) => kept(&on, &columns)?,
@@ -51,18 +74,39 @@
 /// Which columns of the rows are surely so where they are there already: those that tell that they are, and
 /// those that are set anew. The others may stay as they were.
 fn kept(on: &OnInsert, columns: &[String]) -> Option<Vec<usize>> {
-    let OnInsert::OnConflict(OnConflict { conflict_target, action }) = on else { return None };
-    let OnConflictAction::DoUpdate(update) = action else { return Some((0..columns.len()).collect()) };
-    let place = |name: &Ident| columns.iter().position(|column| *column == plain_name(name));
-    let Some(ConflictTarget::Columns { columns: target, .. }) = conflict_target else { return None };
+    let OnInsert::OnConflict(OnConflict {
+        conflict_target,
+        action,
+    }) = on
+    else {
+        return None;
+    };
+    let OnConflictAction::DoUpdate(update) = action else {
+        return Some((0..columns.len()).collect());
+    };
+    let place = |name: &Ident| {
+        columns
+            .iter()
+            .position(|column| *column == plain_name(name))
+    };
+    let Some(ConflictTarget::Columns {
+        columns: target, ..
+    }) = conflict_target
+    else {
+        return None;
+    };
     let mut kept: Vec<usize> = target.iter().map(place).collect::<Option<_>>()?;
     for Assignment { target, value } in &update.assignments {
-        let AssignmentTarget::ColumnName(name) = target else { return None };
+        let AssignmentTarget::ColumnName(name) = target else {
+            return None;
+        };
         let [part] = &name.0[..] else { return None };
         let set = place(part.as_ident()?)?;
         match value {
             Expr::CompoundIdentifier(parts) => match &parts[..] {
-                [from, name] if plain_name(from) == "excluded" && place(name) == Some(set) => kept.push(set),
+                [from, name] if plain_name(from) == "excluded" && place(name) == Some(set) => {
+                    kept.push(set)
+                }
                 // Another value, as good as unknown.
                 _ => kept.retain(|at| *at != set),
             },
@@ -76,9 +120,15 @@
 
 /// As much of the rows as a mark keeps. Of too many the columns with the fewest values stay: a load of a
 /// day's rows is known by its day.
-fn short(table: String, columns: &[String], rows: &[Vec<Cell>], kept: Vec<usize>) -> Option<Affected> {
+fn short(
+    table: String,
+    columns: &[String],
+    rows: &[Vec<Cell>],
+    kept: Vec<usize>,
+) -> Option<Affected> {
     let of = |kept: &[usize]| {
-        let project = |row: &Vec<Cell>| kept.iter().filter_map(|at| row.get(*at).cloned()).collect();
+        let project =
+            |row: &Vec<Cell>| kept.iter().filter_map(|at| row.get(*at).cloned()).collect();
         let mut all: Vec<Vec<Cell>> = Vec::new();
         for row in rows.iter().map(project) {
             if !all.contains(&row) {
@@ -88,8 +138,15 @@
                 return None;
             }
         }
-        let columns = kept.iter().filter_map(|at| columns.get(*at).cloned()).collect();
-        let touched = Affected::Rows { table: table.clone(), columns, rows: all };
+        let columns = kept
+            .iter()
+            .filter_map(|at| columns.get(*at).cloned())
+            .collect();
+        let touched = Affected::Rows {
+            table: table.clone(),
+            columns,
+            rows: all,
+        };
         let short = postcard::to_stdvec(&touched).is_ok_and(|bytes| bytes.len() <= MOST_ROWS_BYTES);
         short.then_some(touched)
     };
--- a/crates/scatter/src/marker.rs
+++ b/crates/scatter/src/marker.rs
@@ -120,21 +120,39 @@
 impl Marker {
     /// Its requests are numbered from the number given.
     pub fn new(first: u64) -> Marker {
-        Marker { next: first, loads: BTreeMap::new(), groups: BTreeMap::new(), requested: BTreeMap::new() }
+        Marker {
+            next: first,
+            loads: BTreeMap::new(),
+            groups: BTreeMap::new(),
+            requested: BTreeMap::new(),
+        }
     }
 
     /// A load waits to leave for a site; it can't be running any more from `ends_ms` on.
-    pub fn add_load(&mut self, load: Waiter, site: &str, ends_ms: u64, touched: BTreeMap<u32, Affected>) {
+    pub fn add_load(
+        &mut self,
+        load: Waiter,
+        site: &str,
+        ends_ms: u64,
+        touched: BTreeMap<u32, Affected>,
+    ) {
         for group in touched.keys() {
             self.groups.entry(*group).or_default().queue.insert(load);
         }
-        let one = Load { site: site.to_string(), ends_ms, left: touched, numbers: Vec::new() };
+        let one = Load {
+            site: site.to_string(),
+            ends_ms,
+            left: touched,
+            numbers: Vec::new(),
+        };
         self.loads.insert(load, one);
     }
 
     /// A load waits no longer. False if it did not.
     pub fn cancel(&mut self, load: Waiter) -> bool {
-        self.groups.values_mut().for_each(|group| _ = group.queue.remove(&load));
+        self.groups
+            .values_mut()
+            .for_each(|group| _ = group.queue.remove(&load));
         self.loads.remove(&load).is_some()
     }
 
@@ -160,18 +178,28 @@
                 // Those that come from now on are for the next one: this one may be older than they are.
                 group.read = Some((self.next, std::mem::take(&mut group.readers)));
                 self.requested.insert(self.next, number);
-                requests.push(LedgerRequest { number: self.next, group: number, what: Operation::Read });
+                requests.push(LedgerRequest {
+                    number: self.next,
+                    group: number,
+                    what: Operation::Read,
+                });
                 self.next += 1;
             }
             if group.put.is_some() || group.queue.is_empty() {
                 continue;
             }
             let mut marks = group.marks.clone();
-            marks.clean_up(wall_ms.saturating_sub(APART_MS), |site| reported_loads(site, number));
+            marks.clean_up(wall_ms.saturating_sub(APART_MS), |site| {
+                reported_loads(site, number)
+            });
             let mut batch = Vec::new();
             for waiter in std::mem::take(&mut group.queue) {
-                let Some(load) = self.loads.get(&waiter) else { continue };
-                let Some(touched) = load.left.get(&number) else { continue };
+                let Some(load) = self.loads.get(&waiter) else {
+                    continue;
+                };
+                let Some(touched) = load.left.get(&number) else {
+                    continue;
+                };
                 batch.push((waiter, marks.add(&load.site, load.ends_ms, touched.clone())));
             }
             marks.shrink_to_fit(|site| reported_loads(site, number));
@@ -181,8 +209,15 @@
                 Some(value) => {
                     group.put = Some((self.next, batch, marks));
                     self.requested.insert(self.next, number);
-                    let what = Operation::Put { expects: group.version, value };
-                    requests.push(LedgerRequest { number: self.next, group: number, what });
+                    let what = Operation::Put {
+                        expects: group.version,
+                        value,
+                    };
+                    requests.push(LedgerRequest {
+                        number: self.next,
+                        group: number,
+                        what,
+                    });
                     self.next += 1;
                 }
             }
@@ -193,30 +228,54 @@
     /// The ledger has answered an ask.
     pub fn on_reply(&mut self, number: u64, reply: LedgerReply) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let Some(place) = self.requested.remove(&number) else { return effects };
-        let Some(group) = self.groups.get_mut(&place) else { return effects };
-        if group.read.as_ref().is_some_and(|(requested, _)| *requested == number) {
-            let scatters = group.read.take().map_or(Vec::new(), |(_, scatters)| scatters);
+        let Some(place) = self.requested.remove(&number) else {
+            return effects;
+        };
+        let Some(group) = self.groups.get_mut(&place) else {
+            return effects;
+        };
+        if group
+            .read
+            .as_ref()
+            .is_some_and(|(requested, _)| *requested == number)
+        {
+            let scatters = group
+                .read
+                .take()
+                .map_or(Vec::new(), |(_, scatters)| scatters);
             let marks = match reply {
-                LedgerReply::Stands { value, .. } | LedgerReply::Held { value, .. } => Marks::read(&value),
+                LedgerReply::Stands { value, .. } | LedgerReply::Held { value, .. } => {
+                    Marks::read(&value)
+                }
                 LedgerReply::Absent => Some(Marks::default()),
                 LedgerReply::Unreachable => None,
             };
-            effects.push(Effect::Marks { group: place, scatters, marks });
+            effects.push(Effect::Marks {
+                group: place,
+                scatters,
+                marks,
+            });
             return effects;
         }
-        let Some((_, batch, marks)) = group.put.take() else { return effects };
+        let Some((_, batch, marks)) = group.put.take() else {
+            return effects;
+        };
         match reply {
             LedgerReply::Stands { version, .. } => {
                 (group.version, group.marks, group.tries) = (version, marks, 0);
                 for (waiter, number) in batch {
-                    let Some(load) = self.loads.get_mut(&waiter) else { continue };
+                    let Some(load) = self.loads.get_mut(&waiter) else {
+                        continue;
+                    };
                     load.left.remove(&place);
                     load.numbers.push((place, number));
                     if load.left.is_empty() {
                         let numbers = std::mem::take(&mut load.numbers);
                         self.loads.remove(&waiter);
-                        effects.push(Effect::Send { load: waiter, numbers });
+                        effects.push(Effect::Send {
+                            load: waiter,
+                            numbers,
+                        });
                     }
                 }
             }
@@ -226,7 +285,9 @@
                 match Marks::read(&value).filter(|_| group.tries < MOST_TRIES) {
                     Some(marks) => {
                         (group.version, group.marks) = (version, marks);
-                        group.queue.extend(batch.into_iter().map(|(waiter, _)| waiter));
+                        group
+                            .queue
+                            .extend(batch.into_iter().map(|(waiter, _)| waiter));
                     }
                     None => {
                         group.tries = 0;
@@ -236,16 +297,24 @@
             }
             LedgerReply::Absent if group.version > 0 => {
                 (group.version, group.marks) = (0, Marks::default());
-                group.queue.extend(batch.into_iter().map(|(waiter, _)| waiter));
+                group
+                    .queue
+                    .extend(batch.into_iter().map(|(waiter, _)| waiter));
+            }
+            LedgerReply::Absent | LedgerReply::Unreachable => {
+                reject(&mut self.loads, batch, &mut effects)
             }
-            LedgerReply::Absent | LedgerReply::Unreachable => reject(&mut self.loads, batch, &mut effects),
         }
         effects
     }
 
     /// Whether nothing waits.
     pub fn is_idle(&self) -> bool {
-        self.requested.is_empty() && self.groups.values().all(|g| g.queue.is_empty() && g.readers.is_empty())
+        self.requested.is_empty()
+            && self
+                .groups
+                .values()
+                .all(|g| g.queue.is_empty() && g.readers.is_empty())
     }
 }
 
--- a/crates/scatter/src/marker_tests.rs
+++ b/crates/scatter/src/marker_tests.rs
@@ -3,7 +3,12 @@
 use super::*;
 
 fn load(marker: &mut Marker, ticket: u64) {
-    marker.add_load((ticket, 0), "ash", 50, BTreeMap::from([(17, Affected::Anything)]));
+    marker.add_load(
+        (ticket, 0),
+        "ash",
+        50,
+        BTreeMap::from([(17, Affected::Anything)]),
+    );
 }
 
 fn asks(marker: &mut Marker) -> Vec<LedgerRequest> {
@@ -14,20 +19,38 @@
 fn a_load_leaves_once_its_mark_stands_and_takes_its_turn_behind_other_fronts() {
     let mut marker = Marker::new(100);
     load(&mut marker, 1);
-    let [ask] = &asks(&mut marker)[..] else { panic!() };
+    let [ask] = &asks(&mut marker)[..] else {
+        panic!()
+    };
     assert!(matches!(ask.what, Operation::Put { expects: 0, .. }));
     // One change of a group at a time; what comes meanwhile waits for the next.
     load(&mut marker, 2);
     assert_eq!(asks(&mut marker), []);
     let mut others = Marks::default();
     others.add("ash", 60, Affected::Anything);
-    let held = LedgerReply::Held { version: 7, value: others.bytes().unwrap() };
+    let held = LedgerReply::Held {
+        version: 7,
+        value: others.bytes().unwrap(),
+    };
     assert_eq!(marker.on_reply(ask.number, held), []);
-    let [ask] = &asks(&mut marker)[..] else { panic!() };
-    let Operation::Put { expects: 7, value } = &ask.what else { panic!("{ask:?}") };
+    let [ask] = &asks(&mut marker)[..] else {
+        panic!()
+    };
+    let Operation::Put { expects: 7, value } = &ask.what else {
+        panic!("{ask:?}")
+    };
     assert_eq!(Marks::read(value).unwrap().len(), 3);
-    let follows = marker.on_reply(ask.number, LedgerReply::Stands { version: 8, value: value.clone() });
-    let go = |ticket, number| Effect::Send { load: (ticket, 0), numbers: vec![(17, number)] };
+    let follows = marker.on_reply(
+        ask.number,
+        LedgerReply::Stands {
+            version: 8,
+            value: value.clone(),
+        },
+    );
+    let go = |ticket, number| Effect::Send {
+        load: (ticket, 0),
+        numbers: vec![(17, number)],
+    };
     assert_eq!(follows, [go(1, 2), go(2, 3)]);
     assert!(marker.is_idle());
 }
@@ -38,15 +61,30 @@
     load(&mut marker, 1);
     marker.await_marks(9, 17);
     let asked = asks(&mut marker);
-    let follows: Vec<Effect> =
-        asked.iter().flat_map(|a| marker.on_reply(a.number, LedgerReply::Unreachable)).collect();
-    let none = Effect::Marks { group: 17, scatters: vec![9], marks: None };
+    let follows: Vec<Effect> = asked
+        .iter()
+        .flat_map(|a| marker.on_reply(a.number, LedgerReply::Unreachable))
+        .collect();
+    let none = Effect::Marks {
+        group: 17,
+        scatters: vec![9],
+        marks: None,
+    };
     assert_eq!(follows, [none, Effect::Reject { load: (1, 0) }]);
     // One that was stopped meanwhile goes nowhere.
     load(&mut marker, 2);
     let asked = asks(&mut marker);
     assert!(marker.cancel((2, 0)) && !marker.cancel((2, 0)));
-    assert_eq!(marker.on_reply(asked[0].number, LedgerReply::Stands { version: 1, value: vec![] }), []);
+    assert_eq!(
+        marker.on_reply(
+            asked[0].number,
+            LedgerReply::Stands {
+                version: 1,
+                value: vec![]
+            }
+        ),
+        []
+    );
 }
 
 #[test]
@@ -56,9 +94,26 @@
     let first = asks(&mut marker);
     marker.await_marks(2, 17);
     assert_eq!(asks(&mut marker), []);
-    let word = Effect::Marks { group: 17, scatters: vec![1], marks: Some(Marks::default()) };
-    assert_eq!(marker.on_reply(first[0].number, LedgerReply::Absent), [word]);
+    let word = Effect::Marks {
+        group: 17,
+        scatters: vec![1],
+        marks: Some(Marks::default()),
+    };
+    assert_eq!(
+        marker.on_reply(first[0].number, LedgerReply::Absent),
+        [word]
+    );
     assert_eq!(asks(&mut marker).len(), 1);
-    let damaged = LedgerReply::Stands { version: 1, value: vec![9; 3] };
-    assert_eq!(marker.on_reply(1, damaged), [Effect::Marks { group: 17, scatters: vec![2], marks: None }]);
+    let damaged = LedgerReply::Stands {
+        version: 1,
+        value: vec![9; 3],
+    };
+    assert_eq!(
+        marker.on_reply(1, damaged),
+        [Effect::Marks {
+            group: 17,
+            scatters: vec![2],
+            marks: None
+        }]
+    );
 }
--- a/crates/scatter/src/marks.rs
+++ b/crates/scatter/src/marks.rs
@@ -82,19 +82,30 @@
 
 /// A load's text as it goes to the site, which is to name the numbers in its summaries once the load is in them.
 pub fn numbered(numbers: &[(u32, u64)], statement: &[u8]) -> Vec<u8> {
-    let all: Vec<String> = numbers.iter().map(|(group, number)| format!("{group}:{number}")).collect();
-    [format!("/* load {} */ ", all.join(" ")).as_bytes(), statement].concat()
+    let all: Vec<String> = numbers
+        .iter()
+        .map(|(group, number)| format!("{group}:{number}"))
+        .collect();
+    [
+        format!("/* load {} */ ", all.join(" ")).as_bytes(),
+        statement,
+    ]
+    .concat()
 }
 
 /// The groups and numbers that a load carries.
 pub fn numbers(statement: &[u8]) -> Vec<(u32, u64)> {
     let text = String::from_utf8_lossy(statement);
-    let head = text.strip_prefix("/* load ").and_then(|rest| rest.split_once(" */"));
+    let head = text
+        .strip_prefix("/* load ")
+        .and_then(|rest| rest.split_once(" */"));
     let pair = |pair: &str| {
         let (group, number) = pair.split_once(':')?;
         Some((group.parse().ok()?, number.parse().ok()?))
     };
-    head.map_or(Vec::new(), |(numbers, _)| numbers.split(' ').filter_map(pair).collect())
+    head.map_or(Vec::new(), |(numbers, _)| {
+        numbers.split(' ').filter_map(pair).collect()
+    })
 }
 
 impl Marks {
@@ -106,14 +117,22 @@
 
     /// None: they are too many to be kept, and the load can't be marked.
     pub fn bytes(&self) -> Option<Vec<u8>> {
-        postcard::to_stdvec(self).ok().filter(|bytes| bytes.len() <= MOST_BYTES)
+        postcard::to_stdvec(self)
+            .ok()
+            .filter(|bytes| bytes.len() <= MOST_BYTES)
     }
 
     /// Marks a load at a site, which can't be running any more from `ends_ms` on. Its number.
     pub fn add(&mut self, site: &str, ends_ms: u64, touched: Affected) -> u64 {
         let site = self.sites.entry(site.to_string()).or_default();
         site.last += 1;
-        site.marks.push(Mark { from: site.last, to: site.last, ends_ms, ended_before: None, touched });
+        site.marks.push(Mark {
+            from: site.last,
+            to: site.last,
+            ends_ms,
+            ended_before: None,
+            touched,
+        });
         site.merge_oldest(MOST_MARKS);
         site.last
     }
@@ -122,7 +141,11 @@
     /// by `wall_ms`, the clock of the front less what fronts' clocks may differ by. A mark that is out asks
     /// for a summary that cleared it: until one is held everywhere, fronts without it would have to ask the
     /// site.
-    pub fn clean_up<'a>(&mut self, wall_ms: u64, reported_loads: impl Fn(&str) -> ReportedLoads<'a>) {
+    pub fn clean_up<'a>(
+        &mut self,
+        wall_ms: u64,
+        reported_loads: impl Fn(&str) -> ReportedLoads<'a>,
+    ) {
         for (name, site) in &mut self.sites {
             let next = site.last + 1;
             for mark in &mut site.marks {
@@ -150,7 +173,9 @@
                 continue;
             }
             let Some(most) = fewer.next() else { return };
-            self.sites.values_mut().for_each(|site| site.merge_oldest(*most));
+            self.sites
+                .values_mut()
+                .for_each(|site| site.merge_oldest(*most));
         }
     }
 
@@ -161,20 +186,37 @@
 
     /// What loads may have touched that a summary does not speak of. None: it is too old to say.
     pub fn uncovered(&self, summary: &Summary) -> Option<Vec<&Affected>> {
-        let Some(site) = self.sites.get(&summary.site) else { return Some(Vec::new()) };
-        let open = site.marks.iter().filter(|mark| !mark.is_covered(&summary.loads));
+        let Some(site) = self.sites.get(&summary.site) else {
+            return Some(Vec::new());
+        };
+        let open = site
+            .marks
+            .iter()
+            .filter(|mark| !mark.is_covered(&summary.loads));
         (summary.version >= site.min_version).then(|| open.map(|mark| &mark.touched).collect())
     }
 
     /// What of loads stands against that.
-    pub fn reason_to_ask(&self, summary: &Summary, table: &Table, condition: &Condition) -> Option<Reason> {
+    pub fn reason_to_ask(
+        &self,
+        summary: &Summary,
+        table: &Table,
+        condition: &Condition,
+    ) -> Option<Reason> {
         let site = self.sites.get(&summary.site)?;
         if summary.version < site.min_version {
             return Some(Reason::SummaryBehind);
         }
-        let mut open = site.marks.iter().filter(|mark| !mark.is_covered(&summary.loads));
+        let mut open = site
+            .marks
+            .iter()
+            .filter(|mark| !mark.is_covered(&summary.loads));
         let fits = open.find(|mark| !mark.touched.never_true(table, condition))?;
-        Some(if fits.touched == Affected::Anything { Reason::UnknownLoad } else { Reason::LoadedRows })
+        Some(if fits.touched == Affected::Anything {
+            Reason::UnknownLoad
+        } else {
+            Reason::LoadedRows
+        })
     }
 
     /// How many marks stand, of all sites.
@@ -204,7 +246,10 @@
     /// All that is held counts as held by others.
     pub fn at_once(summary: Option<&'a Summary>) -> ReportedLoads<'a> {
         let of = summary.map(|s| (s.version, &s.loads));
-        ReportedLoads { newest: of, settled: of }
+        ReportedLoads {
+            newest: of,
+            settled: of,
+        }
     }
 }
 
@@ -223,11 +268,16 @@
     fn merge_oldest(&mut self, most: usize) {
         while self.marks.len() > most.max(1) {
             let first = self.marks.remove(0);
-            let Some(second) = self.marks.first_mut() else { return };
+            let Some(second) = self.marks.first_mut() else {
+                return;
+            };
             second.from = first.from;
             second.ends_ms = second.ends_ms.max(first.ends_ms);
             // None where either is not over.
-            second.ended_before = second.ended_before.zip(first.ended_before).map(|(a, b)| a.max(b));
+            second.ended_before = second
+                .ended_before
+                .zip(first.ended_before)
+                .map(|(a, b)| a.max(b));
             second.touched = Affected::Anything;
         }
     }
@@ -235,7 +285,10 @@
 
 impl Mark {
     fn is_covered(&self, loads: &Loads) -> bool {
-        loads.has(self.from, self.to) || self.ended_before.is_some_and(|number| loads.last() >= number)
+        loads.has(self.from, self.to)
+            || self
+                .ended_before
+                .is_some_and(|number| loads.last() >= number)
     }
 }
 
@@ -252,9 +305,9 @@
         match self {
             Affected::Anything => false,
             Affected::Rows { table: other, .. } if *other != table.name => true,
-            Affected::Rows { columns, rows, .. } => {
-                rows.iter().all(|row| condition.never_true(&one(table, columns, row)))
-            }
+            Affected::Rows { columns, rows, .. } => rows
+                .iter()
+                .all(|row| condition.never_true(&one(table, columns, row))),
         }
     }
 }
@@ -288,5 +341,9 @@
         }
     };
     let columns = table.columns.iter().filter_map(known).collect();
-    Table { name: table.name.clone(), rows: 1, columns }
+    Table {
+        name: table.name.clone(),
+        rows: 1,
+        columns,
+    }
 }
--- a/crates/scatter/src/plan.rs
+++ b/crates/scatter/src/plan.rs
@@ -23,7 +23,9 @@
     /// What is known of each side of a join.
     pub(crate) fn sides(&self) -> (LoadInfo<'a>, LoadInfo<'a>) {
         match self {
-            LoadInfo::MarksOfJoin(first, second) => (LoadInfo::Marks(first), LoadInfo::Marks(second)),
+            LoadInfo::MarksOfJoin(first, second) => {
+                (LoadInfo::Marks(first), LoadInfo::Marks(second))
+            }
             LoadInfo::NoLoads => (LoadInfo::NoLoads, LoadInfo::NoLoads),
             // Of one group alone the other's loads are not known.
             LoadInfo::Marks(_) | LoadInfo::Unknown => (LoadInfo::Unknown, LoadInfo::Unknown),
@@ -132,7 +134,14 @@
 
 /// The sites that could have rows, in their order.
 pub fn plan(query: &Query, basis: &Basis) -> Plan {
-    let Basis { sites, summaries, wall_ms, loads, suspected, .. } = *basis;
+    let Basis {
+        sites,
+        summaries,
+        wall_ms,
+        loads,
+        suspected,
+        ..
+    } = *basis;
     let mut plan = Plan::default();
     for site in sites {
         let summary = summaries.current(wall_ms, site, query.group);
@@ -141,7 +150,9 @@
             (Some(join), ..) => reason_to_ask_join(query, join, basis, site),
             (None, None, _) => Some(Reason::NoSummary),
             (None, _, None) => Some(Reason::NoTable),
-            (None, _, Some((summary, table))) => reason_to_ask(&query.condition, summary, table, loads),
+            (None, _, Some((summary, table))) => {
+                reason_to_ask(&query.condition, summary, table, loads)
+            }
         };
         let proved = reason.is_none();
         if proved && !suspected(site) || query.limit == Some(0) {
@@ -149,9 +160,17 @@
         } else if !basis.allows(site) {
             plan.barred.push(site.clone());
         } else {
-            let rows = table.map_or(f64::INFINITY, |(_, t)| t.rows as f64 * query.condition.share(t));
+            let rows = table.map_or(f64::INFINITY, |(_, t)| {
+                t.rows as f64 * query.condition.share(t)
+            });
             let reason = reason.unwrap_or(Reason::Suspected);
-            plan.parts.push(Part { site: site.clone(), rows, ruled_out: proved, audit: false, reason });
+            plan.parts.push(Part {
+                site: site.clone(),
+                rows,
+                ruled_out: proved,
+                audit: false,
+                reason,
+            });
         }
     }
     plan
@@ -183,11 +202,22 @@
     pub fn single_site(site: &str, allowed: Option<&[&str]>) -> Plan {
         let site = site.to_string();
         if allowed.is_some_and(|allowed| !allowed.contains(&site.as_str())) {
-            return Plan { barred: vec![site], ..Plan::default() };
+            return Plan {
+                barred: vec![site],
+                ..Plan::default()
+            };
+        }
+        let part = Part {
+            site,
+            rows: f64::INFINITY,
+            ruled_out: false,
+            audit: false,
+            reason: Reason::OneForAll,
+        };
+        Plan {
+            parts: vec![part],
+            ..Plan::default()
         }
-        let part =
-            Part { site, rows: f64::INFINITY, ruled_out: false, audit: false, reason: Reason::OneForAll };
-        Plan { parts: vec![part], ..Plan::default() }
     }
 
     /// What each site answers even without rows is asked of one of them at least.
@@ -211,9 +241,19 @@
         let site = self.pruned.remove(at);
         if allowed.is_none_or(|allowed| allowed.contains(&site.as_str())) {
             let place = |name: &String| sites.iter().position(|site| site == name);
-            let at = self.parts.partition_point(|part| place(&part.site) < place(&site));
-            self.parts
-                .insert(at, Part { site, rows: 0.0, ruled_out: true, audit: true, reason: Reason::Audit });
+            let at = self
+                .parts
+                .partition_point(|part| place(&part.site) < place(&site));
+            self.parts.insert(
+                at,
+                Part {
+                    site,
+                    rows: 0.0,
+                    ruled_out: true,
+                    audit: true,
+                    reason: Reason::Audit,
+                },
+            );
         }
     }
 }
--- a/crates/scatter/src/retention.rs
+++ b/crates/scatter/src/retention.rs
@@ -87,8 +87,14 @@
     }
 
     fn cost(&self, detail: Option<Detail>) -> (f64, f64) {
-        let bytes = detail.and_then(|f| self.bytes.get(f as usize)).copied().unwrap_or(0);
-        (f64::from(bytes) * TWICE, f64::from(bytes) / (self.interval / 1e6).max(1.0))
+        let bytes = detail
+            .and_then(|f| self.bytes.get(f as usize))
+            .copied()
+            .unwrap_or(0);
+        (
+            f64::from(bytes) * TWICE,
+            f64::from(bytes) / (self.interval / 1e6).max(1.0),
+        )
     }
 }
 
@@ -121,18 +127,31 @@
 impl Retention {
     /// Nothing is known yet.
     pub fn new(budget: Budget) -> Retention {
-        Retention { budget, items: BTreeMap::new(), filter_hits: (1.0, 0.0), bounds_share: (1.0, 1.0) }
+        Retention {
+            budget,
+            items: BTreeMap::new(),
+            filter_hits: (1.0, 0.0),
+            bounds_share: (1.0, 1.0),
+        }
     }
 
     /// What was learned in an earlier life. False: it is damaged, or of another format, and nothing is taken from it.
     pub fn restore(&mut self, now: Micros, bytes: &[u8]) -> bool {
-        let Ok((SavedState { format: FORMAT, mut items, filter_hits, bounds_share }, [])) =
-            postcard::take_from_bytes::<SavedState>(bytes)
+        let Ok((
+            SavedState {
+                format: FORMAT,
+                mut items,
+                filter_hits,
+                bounds_share,
+            },
+            [],
+        )) = postcard::take_from_bytes::<SavedState>(bytes)
         else {
             return false;
         };
         let sound = |x: f64| x.is_finite() && x >= 0.0;
-        let figures = |item: &Entry| sound(item.bounds) && sound(item.filter) && item.interval >= 1.0;
+        let figures =
+            |item: &Entry| sound(item.bounds) && sound(item.filter) && item.interval >= 1.0;
         let sums = [filter_hits.0, filter_hits.1, bounds_share.0, bounds_share.1];
         if items.len() > MOST || !items.values().all(figures) || !sums.into_iter().all(sound) {
             return false;
@@ -148,9 +167,15 @@
 
     /// What was learned, for [`Retention::restore`] after a restart.
     pub fn to_bytes(&self) -> Vec<u8> {
-        let (items, filter_hits, bounds_share) = (self.items.clone(), self.filter_hits, self.bounds_share);
-        postcard::to_stdvec(&SavedState { format: FORMAT, items, filter_hits, bounds_share })
-            .unwrap_or_default()
+        let (items, filter_hits, bounds_share) =
+            (self.items.clone(), self.filter_hits, self.bounds_share);
+        postcard::to_stdvec(&SavedState {
+            format: FORMAT,
+            items,
+            filter_hits,
+            bounds_share,
+        })
+        .unwrap_or_default()
     }
 
     /// Changes the budget; it takes effect with the next [`Retention::choose`].
@@ -167,9 +192,12 @@
 
     /// A version was taken in, of so many bytes up to the end of each fineness.
     pub fn version_arrived(&mut self, now: Micros, name: u64, version: u64, bytes: [usize; 3]) {
-        let Some(item) = self.item(now, name) else { return };
+        let Some(item) = self.item(now, name) else {
+            return;
+        };
         if version > item.version && item.version > 0 {
-            item.interval = (item.interval * 0.75 + (now - item.arrived).max(0) as f64 * 0.25).max(1e6);
+            item.interval =
+                (item.interval * 0.75 + (now - item.arrived).max(0) as f64 * 0.25).max(1e6);
         }
         if version > item.version {
             (item.version, item.arrived) = (version, now);
@@ -180,7 +208,9 @@
     /// What a scatter has shown of a site without rows.
     pub fn record(&mut self, now: Micros, name: u64, shown: Outcome) {
         let by_bounds = self.bounds_share.0 / (self.bounds_share.0 + self.bounds_share.1).max(1.0);
-        let Some(item) = self.item(now, name) else { return };
+        let Some(item) = self.item(now, name) else {
+            return;
+        };
         item.decay(now);
         let (bounds, filter) = match shown {
             Outcome::ByBounds => (1.0, 0.0),
@@ -236,9 +266,16 @@
                     more / (part(item.cost(Some(to))) - part(item.cost(from))).max(1e-9)
                 };
                 let finer = ALL.into_iter().filter(|to| Some(*to) > from);
-                let Some(to) = finer.max_by(|a, b| slope(*a).total_cmp(&slope(*b))) else { break };
+                let Some(to) = finer.max_by(|a, b| slope(*a).total_cmp(&slope(*b))) else {
+                    break;
+                };
                 let held = if Some(to) <= item.detail { STAYS } else { 1.0 };
-                steps.push(Upgrade { benefit_per_cost: slope(to) * held, name, from, to });
+                steps.push(Upgrade {
+                    benefit_per_cost: slope(to) * held,
+                    name,
+                    from,
+                    to,
+                });
                 from = Some(to);
             }
             item.detail = None;
@@ -251,7 +288,11 @@
         });
         let mut left = (memory, traffic);
         for step in steps {
-            let Some(item) = self.items.get_mut(&step.name).filter(|item| item.detail == step.from) else {
+            let Some(item) = self
+                .items
+                .get_mut(&step.name)
+                .filter(|item| item.detail == step.from)
+            else {
                 continue;
             };
             let (before, after) = (item.cost(step.from), item.cost(Some(step.to)));
--- a/crates/scatter/src/row.rs
+++ b/crates/scatter/src/row.rs
@@ -4,8 +4,8 @@
 use std::ops::ControlFlow;
 
 use sqlparser::ast::{
-    BinaryOperator, Expr, Function, FunctionArg, FunctionArgExpr, FunctionArguments, InTarget, SelectItem,
-    UnaryOperator, Value as Word,
+    BinaryOperator, Expr, Function, FunctionArg, FunctionArgExpr, FunctionArguments, InTarget,
+    SelectItem, UnaryOperator, Value as Word,
 };
 
 /// Functions of one row alone. Any other may be an aggregate, or give another value at each call.
@@ -86,41 +86,110 @@
         | Expr::IsNotUnknown(e)
         | Expr::Nested(e)
         | Expr::UnaryOp { op: _, expr: e }
-        | Expr::Cast { kind: _, expr: e, data_type: _, format: _ }
-        | Expr::Extract { field: _, syntax: _, expr: e }
+        | Expr::Cast {
+            kind: _,
+            expr: e,
+            data_type: _,
+            format: _,
+        }
+        | Expr::Extract {
+            field: _,
+            syntax: _,
+            expr: e,
+        }
         | Expr::Ceil { expr: e, field: _ }
         | Expr::Floor { expr: e, field: _ }
-        | Expr::Collate { expr: e, collation: _ } => open.push(e),
+        | Expr::Collate {
+            expr: e,
+            collation: _,
+        } => open.push(e),
         Expr::IsDistinctFrom(a, b)
         | Expr::IsNotDistinctFrom(a, b)
         | Expr::Position { expr: a, r#in: b }
-        | Expr::RLike { negated: _, expr: a, pattern: b, regexp: _ }
-        | Expr::BinaryOp { left: a, op: _, right: b } => open.extend([&**a, &**b]),
-        Expr::Between { expr, negated: _, low, high } => open.extend([&**expr, &**low, &**high]),
-        Expr::Like { negated: _, any: _, expr, pattern, escape_char }
-        | Expr::ILike { negated: _, any: _, expr, pattern, escape_char }
-        | Expr::SimilarTo { negated: _, expr, pattern, escape_char } => {
+        | Expr::RLike {
+            negated: _,
+            expr: a,
+            pattern: b,
+            regexp: _,
+        }
+        | Expr::BinaryOp {
+            left: a,
+            op: _,
+            right: b,
+        } => open.extend([&**a, &**b]),
+        Expr::Between {
+            expr,
+            negated: _,
+            low,
+            high,
+        } => open.extend([&**expr, &**low, &**high]),
+        Expr::Like {
+            negated: _,
+            any: _,
+            expr,
+            pattern,
+            escape_char,
+        }
+        | Expr::ILike {
+            negated: _,
+            any: _,
+            expr,
+            pattern,
+            escape_char,
+        }
+        | Expr::SimilarTo {
+            negated: _,
+            expr,
+            pattern,
+            escape_char,
+        } => {
             open.extend([&**expr, &**pattern]);
             open.extend(escape_char.as_deref());
         }
-        Expr::In { expr, target: InTarget::List(list), negated: _, global: _ } => {
+        Expr::In {
+            expr,
+            target: InTarget::List(list),
+            negated: _,
+            global: _,
+        } => {
             open.push(expr);
             open.extend(list);
         }
         Expr::Interval(interval) => open.push(&interval.value),
-        Expr::Substring { expr, substring_from, substring_for, special: _, shorthand: _ } => {
+        Expr::Substring {
+            expr,
+            substring_from,
+            substring_for,
+            special: _,
+            shorthand: _,
+        } => {
             open.push(expr);
             open.extend(substring_from.as_deref());
             open.extend(substring_for.as_deref());
         }
-        Expr::Trim { trim_where: _, trim_what, expr, trim_characters } => {
+        Expr::Trim {
+            trim_where: _,
+            trim_what,
+            expr,
+            trim_characters,
+        } => {
             open.push(expr);
             open.extend(trim_what.as_deref());
             open.extend(trim_characters.iter().flatten());
         }
-        Expr::Case { case_token: _, end_token: _, operand, conditions, else_result } => {
+        Expr::Case {
+            case_token: _,
+            end_token: _,
+            operand,
+            conditions,
+            else_result,
+        } => {
             open.extend(operand.as_deref());
-            open.extend(conditions.iter().flat_map(|when| [&when.condition, &when.result]));
+            open.extend(
+                conditions
+                    .iter()
+                    .flat_map(|when| [&when.condition, &when.result]),
+            );
             open.extend(else_result.as_deref());
         }
         Expr::Function(f) => open.extend(arguments(f).into_iter().flatten()),
@@ -130,10 +199,14 @@
 
 /// The arguments of a plain call: `name(a, b)` and nothing else.
 pub(crate) fn arguments(f: &Function) -> Option<Vec<&Expr>> {
-    let plain =
-        f.over.is_none() && f.filter.is_none() && f.within_group.is_empty() && f.null_treatment.is_none();
+    let plain = f.over.is_none()
+        && f.filter.is_none()
+        && f.within_group.is_empty()
+        && f.null_treatment.is_none();
     let plain = plain && matches!(f.parameters, FunctionArguments::None);
-    let FunctionArguments::List(list) = &f.args else { return None };
+    let FunctionArguments::List(list) = &f.args else {
+        return None;
+    };
     let plain = plain && list.clauses.is_empty() && list.duplicate_treatment.is_none();
     let one = |arg: &FunctionArg| matches!(arg, FunctionArg::Unnamed(FunctionArgExpr::Expr(_)));
     if !plain || !list.args.iter().all(one) {
@@ -151,17 +224,25 @@
     let stop = |what: &str| ControlFlow::Break(what.to_string());
     match e {
         Expr::Identifier(name) if name.value.eq_ignore_ascii_case("rownum") => stop("ROWNUM"),
-        Expr::Identifier(_) | Expr::CompoundIdentifier(_) | Expr::TypedString(_) | Expr::Interval(_) => {
+        Expr::Identifier(_)
+        | Expr::CompoundIdentifier(_)
+        | Expr::TypedString(_)
+        | Expr::Interval(_) => ControlFlow::Continue(()),
+        Expr::IsFalse(_)
+        | Expr::IsNotFalse(_)
+        | Expr::IsTrue(_)
+        | Expr::IsNotTrue(_)
+        | Expr::IsNull(_) => ControlFlow::Continue(()),
+        Expr::IsNotNull(_) | Expr::IsUnknown(_) | Expr::IsNotUnknown(_) => {
             ControlFlow::Continue(())
         }
-        Expr::IsFalse(_) | Expr::IsNotFalse(_) | Expr::IsTrue(_) | Expr::IsNotTrue(_) | Expr::IsNull(_) => {
-            ControlFlow::Continue(())
-        }
-        Expr::IsNotNull(_) | Expr::IsUnknown(_) | Expr::IsNotUnknown(_) => ControlFlow::Continue(()),
         Expr::IsDistinctFrom(..) | Expr::IsNotDistinctFrom(..) => ControlFlow::Continue(()),
-        Expr::In { target: InTarget::List(_), .. } | Expr::Between { .. } | Expr::BinaryOp { .. } => {
-            ControlFlow::Continue(())
+        Expr::In {
+            target: InTarget::List(_),
+            ..
         }
+        | Expr::Between { .. }
+        | Expr::BinaryOp { .. } => ControlFlow::Continue(()),
         Expr::Like { .. } | Expr::ILike { .. } | Expr::SimilarTo { .. } | Expr::RLike { .. } => {
             ControlFlow::Continue(())
         }
@@ -188,16 +269,32 @@
 
 /// Whether every dialect takes the operator for the same one, with the same rank.
 fn of_one_reading(e: &Expr) -> ControlFlow<String> {
-    use BinaryOperator::{And, Divide, Eq, Gt, GtEq, Lt, LtEq, Minus, Modulo, Multiply, NotEq, Or, Plus};
+    use BinaryOperator::{
+        And, Divide, Eq, Gt, GtEq, Lt, LtEq, Minus, Modulo, Multiply, NotEq, Or, Plus,
+    };
     let known = match e {
         Expr::BinaryOp { op, .. } => {
             matches!(
                 op,
-                And | Or | Eq | NotEq | Lt | Gt | LtEq | GtEq | Plus | Minus | Multiply | Divide | Modulo
+                And | Or
+                    | Eq
+                    | NotEq
+                    | Lt
+                    | Gt
+                    | LtEq
+                    | GtEq
+                    | Plus
+                    | Minus
+                    | Multiply
+                    | Divide
+                    | Modulo
             )
         }
         Expr::UnaryOp { op, .. } => {
-            matches!(op, UnaryOperator::Not | UnaryOperator::Minus | UnaryOperator::Plus)
+            matches!(
+                op,
+                UnaryOperator::Not | UnaryOperator::Minus | UnaryOperator::Plus
+            )
         }
         _ => true,
     };
--- a/crates/scatter/src/runs.rs
+++ b/crates/scatter/src/runs.rs
@@ -31,14 +31,19 @@
             end = *to;
             step
         };
-        Some(EncodedRuns { first, steps: runs.iter().map(step).collect() })
+        Some(EncodedRuns {
+            first,
+            steps: runs.iter().map(step).collect(),
+        })
     }
 
     /// None: it is of no runs.
     pub fn runs(&self) -> Option<Runs> {
         let (mut end, mut runs) = (self.first, Runs::new());
         for (at, (gap, length)) in self.steps.iter().enumerate() {
-            let from = end.checked_add_unsigned(*gap).filter(|_| at == 0 || *gap > 0)?;
+            let from = end
+                .checked_add_unsigned(*gap)
+                .filter(|_| at == 0 || *gap > 0)?;
             end = from.checked_add_unsigned(*length)?;
             runs.push((from, end));
         }
@@ -64,7 +69,10 @@
     order.sort_unstable();
     let begins = std::iter::once(0).chain(order.iter().copied());
     let ends = order.iter().copied().chain([runs.len()]);
-    begins.zip(ends).map(|(from, to)| (runs[from].0, runs[to - 1].1)).collect()
+    begins
+        .zip(ends)
+        .map(|(from, to)| (runs[from].0, runs[to - 1].1))
+        .collect()
 }
 
 /// Runs as values come, in any order.
@@ -74,7 +82,11 @@
 impl RunsBuilder {
     /// Takes in one value.
     pub fn add_value(&mut self, value: i128) {
-        let before = self.0.range(..=value).next_back().map(|(from, end)| (*from, *end));
+        let before = self
+            .0
+            .range(..=value)
+            .next_back()
+            .map(|(from, end)| (*from, *end));
         if before.is_some_and(|(_, end)| value <= end) {
             return;
         }
@@ -83,7 +95,10 @@
             Some((from, end)) if end.checked_add(1) == Some(value) => from,
             _ => value,
         };
-        let end = value.checked_add(1).and_then(|next| self.0.remove(&next)).unwrap_or(value);
+        let end = value
+            .checked_add(1)
+            .and_then(|next| self.0.remove(&next))
+            .unwrap_or(value);
         self.0.insert(from, end);
         if self.0.len() > GROWING {
             let all = std::mem::take(&mut self.0).into_iter().collect();
--- a/crates/scatter/src/runs_tests.rs
+++ b/crates/scatter/src/runs_tests.rs
@@ -6,9 +6,21 @@
 #[test]
 fn runs_are_joined_over_the_least_gaps() {
     let mut growing = RunsBuilder::default();
-    [5, 1, 2, 9, 3, 90, 7, i128::MIN, i128::MAX].into_iter().for_each(|v| growing.add_value(v));
+    [5, 1, 2, 9, 3, 90, 7, i128::MIN, i128::MAX]
+        .into_iter()
+        .for_each(|v| growing.add_value(v));
     let runs = growing.runs();
-    assert_eq!(runs[1..7], [(1, 3), (5, 5), (7, 7), (9, 9), (90, 90), (i128::MAX, i128::MAX)]);
+    assert_eq!(
+        runs[1..7],
+        [
+            (1, 3),
+            (5, 5),
+            (7, 7),
+            (9, 9),
+            (90, 90),
+            (i128::MAX, i128::MAX)
+        ]
+    );
     assert_eq!(coarser(runs.clone(), 4)[1..3], [(1, 9), (90, 90)]);
     assert_eq!(EncodedRuns::of(&runs).unwrap().runs().unwrap(), runs);
     assert!(meet(&runs, 4, 5) && meet(&runs, 3, 4) && !meet(&runs, 4, 4) && !meet(&runs, 10, 89));
--- a/crates/scatter/src/sketch.rs
+++ b/crates/scatter/src/sketch.rs
@@ -18,7 +18,10 @@
 impl SketchBuilder {
     /// `None`: engines may take unequal values of this kind for equal, so that they cannot be counted here.
     pub fn new(kind: Kind) -> Option<SketchBuilder> {
-        HllSketch::new(LG_K, HllType::Hll4).ok().filter(|_| kind.is_equal_by_value()).map(SketchBuilder)
+        HllSketch::new(LG_K, HllType::Hll4)
+            .ok()
+            .filter(|_| kind.is_equal_by_value())
+            .map(SketchBuilder)
     }
 
     /// Takes in one value.
@@ -34,7 +37,9 @@
 
 fn read(bytes: &[u8]) -> Option<HllSketch> {
     let short = Some(bytes).filter(|bytes| bytes.len() <= LONGEST)?;
-    HllSketch::deserialize(short).ok().filter(|sketch| sketch.lg_config_k() == LG_K)
+    HllSketch::deserialize(short)
+        .ok()
+        .filter(|sketch| sketch.lg_config_k() == LG_K)
 }
 
 pub(crate) fn is_sound(bytes: &[u8]) -> bool {
@@ -53,7 +58,14 @@
 /// How many distinct values a column has at all of the sites. None: a site says nothing of it that counts, or
 /// a load may have brought values that are not known.
 pub fn distinct(query: &Query, basis: &Basis) -> Option<Estimate> {
-    let Basis { sites, summaries, wall_ms, loads, suspected, .. } = *basis;
+    let Basis {
+        sites,
+        summaries,
+        wall_ms,
+        loads,
+        suspected,
+        ..
+    } = *basis;
     let name = query.distinct.as_ref()?;
     let mut all = HllUnion::new(LG_K).ok()?;
     let mut alike = None;
@@ -62,7 +74,11 @@
             return None;
         }
         let summary = summaries.current(wall_ms, site, query.group)?;
-        let column = summary.table(&query.table)?.columns.iter().find(|column| column.name == *name)?;
+        let column = summary
+            .table(&query.table)?
+            .columns
+            .iter()
+            .find(|column| column.name == *name)?;
         // Values of two kinds may be equal and are not known to be.
         if *alike.get_or_insert(column.kind) != column.kind {
             return None;
@@ -74,7 +90,14 @@
             LoadInfo::MarksOfJoin(..) | LoadInfo::Unknown => return None,
         };
         for touched in open {
-            let Affected::Rows { table, columns, rows } = touched else { return None };
+            let Affected::Rows {
+                table,
+                columns,
+                rows,
+            } = touched
+            else {
+                return None;
+            };
             if *table != query.table {
                 continue;
             }
@@ -94,5 +117,8 @@
     let of = all.estimate();
     let wide = (all.upper_bound(NumStdDev::Two) - of).max(of - all.lower_bound(NumStdDev::Two));
     let error = if of > 0.0 { wide / of } else { 0.0 };
-    Some(Estimate { distinct: of.round().max(0.0) as u64, error })
+    Some(Estimate {
+        distinct: of.round().max(0.0) as u64,
+        error,
+    })
 }
--- a/crates/scatter/src/sql.rs
+++ b/crates/scatter/src/sql.rs
@@ -4,8 +4,9 @@
 mod names;
 
 use sqlparser::ast::{
-    Distinct, DuplicateTreatment, Expr, FunctionArguments, GroupByExpr, Ident, LimitClause, ObjectName,
-    Query as Parsed, Select, SelectFlavor, SelectItem, SetExpr, Statement, TableWithJoins, Value as Word,
+    Distinct, DuplicateTreatment, Expr, FunctionArguments, GroupByExpr, Ident, LimitClause,
+    ObjectName, Query as Parsed, Select, SelectFlavor, SelectItem, SetExpr, Statement,
+    TableWithJoins, Value as Word,
 };
 use sqlparser::dialect::GenericDialect;
 use sqlparser::parser::Parser;
@@ -44,7 +45,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unsupported {
     /// Too long to be parsed; holds its length in bytes.
-    #[error("a statement of {0} bytes, over {LONGEST}: shorten it, or name a scatter.whole_site for it")]
+    #[error(
+        "a statement of {0} bytes, over {LONGEST}: shorten it, or name a scatter.whole_site for it"
+    )]
     Long(usize),
     /// Text that dialects read in different ways; holds what makes it so.
     #[error(
@@ -74,11 +77,18 @@
 
 /// Text that begins or ends strings and comments in one dialect and not in another.
 fn ambiguous(text: &str) -> Option<&'static str> {
-    let dashes = |(at, _): (usize, &str)| text[at + 2..].chars().next().is_some_and(|c| !c.is_whitespace());
+    let dashes = |(at, _): (usize, &str)| {
+        text[at + 2..]
+            .chars()
+            .next()
+            .is_some_and(|c| !c.is_whitespace())
+    };
     let nested = || {
         let mut rest = text;
         while let Some((_, behind)) = rest.split_once("/*") {
-            let Some((comment, after)) = behind.split_once("*/") else { return true };
+            let Some((comment, after)) = behind.split_once("*/") else {
+                return true;
+            };
             if comment.contains("/*") || comment.starts_with(['!', '+', 'M']) {
                 return true;
             }
@@ -125,14 +135,23 @@
 /// is another.
 pub fn read_distinct(statement: &[u8]) -> Option<Query> {
     let mut statement = parse(statement).ok()?;
-    let Statement::Query(query) = &mut statement else { return None };
-    let SetExpr::Select(select) = &mut *query.body else { return None };
+    let Statement::Query(query) = &mut statement else {
+        return None;
+    };
+    let SetExpr::Select(select) = &mut *query.body else {
+        return None;
+    };
     let (SelectItem::UnnamedExpr(Expr::Function(f))
-    | SelectItem::ExprWithAlias { expr: Expr::Function(f), .. }) = select.projection.first_mut()?
+    | SelectItem::ExprWithAlias {
+        expr: Expr::Function(f),
+        ..
+    }) = select.projection.first_mut()?
     else {
         return None;
     };
-    let FunctionArguments::List(list) = &mut f.args else { return None };
+    let FunctionArguments::List(list) = &mut f.args else {
+        return None;
+    };
     let counts = f.name.to_string().eq_ignore_ascii_case("count");
     if !counts || list.duplicate_treatment.take() != Some(DuplicateTreatment::Distinct) {
         return None;
@@ -141,14 +160,26 @@
     // it.
     f.name = ObjectName::from(vec![Ident::new("max")]);
     let query = of(statement).ok()?;
-    let [Aggregate { column: Some(column), .. }] = &query.combine.as_ref()?[..] else { return None };
+    let [Aggregate {
+        column: Some(column),
+        ..
+    }] = &query.combine.as_ref()?[..]
+    else {
+        return None;
+    };
     let all = query.condition == Condition::Constant(true);
     let distinct = Some(column.clone()).filter(|_| all)?;
-    Some(Query { combine: None, distinct: Some(distinct), ..query })
+    Some(Query {
+        combine: None,
+        distinct: Some(distinct),
+        ..query
+    })
 }
 
 fn of(statement: Statement) -> Result<Query, Unsupported> {
-    let Statement::Query(query) = statement else { return not_divisible("what is no SELECT") };
+    let Statement::Query(query) = statement else {
+        return not_divisible("what is no SELECT");
+    };
     // Named one by one: a clause that a later version of the crate knows of must be looked at here.
     let Parsed {
         with,
@@ -167,19 +198,26 @@
         (order_by.is_some(), "ORDER BY"),
         (fetch.is_some(), "FETCH"),
         (!locks.is_empty(), "FOR UPDATE"),
-        (for_clause.is_some() || settings.is_some() || format_clause.is_some(), "FOR, SETTINGS or FORMAT"),
+        (
+            for_clause.is_some() || settings.is_some() || format_clause.is_some(),
+            "FOR, SETTINGS or FORMAT",
+        ),
         (!pipe_operators.is_empty(), "a pipe"),
     ] {
         if there {
             return not_divisible(what);
         }
     }
-    let SetExpr::Select(select) = *body else { return not_divisible("UNION or another set of statements") };
+    let SetExpr::Select(select) = *body else {
+        return not_divisible("UNION or another set of statements");
+    };
     let limit = match limit_clause {
         None => None,
-        Some(LimitClause::LimitOffset { limit, offset: None, limit_by }) if limit_by.is_empty() => {
-            limit.map(|limit| rows(&limit)).transpose()?
-        }
+        Some(LimitClause::LimitOffset {
+            limit,
+            offset: None,
+            limit_by,
+        }) if limit_by.is_empty() => limit.map(|limit| rows(&limit)).transpose()?,
         Some(_) => return not_divisible("OFFSET"),
     };
     select_from(*select, limit)
@@ -223,11 +261,13 @@
         value_table_mode,
         flavor,
     } = select;
-    let grouped =
-        !matches!(&group_by, GroupByExpr::Expressions(by, with) if by.is_empty() && with.is_empty());
+    let grouped = !matches!(&group_by, GroupByExpr::Expressions(by, with) if by.is_empty() && with.is_empty());
     let sorted = !cluster_by.is_empty() || !distribute_by.is_empty() || !sort_by.is_empty();
     for (there, what) in [
-        (distinct.is_some_and(|d| !matches!(d, Distinct::All)), "DISTINCT"),
+        (
+            distinct.is_some_and(|d| !matches!(d, Distinct::All)),
+            "DISTINCT",
+        ),
         (grouped || having.is_some(), "GROUP BY"),
         (top.is_some(), "TOP"),
         (into.is_some(), "INTO"),
@@ -241,7 +281,10 @@
             !optimizer_hints.is_empty() || select_modifiers.is_some() || exclude.is_some(),
             "a hint or modifier",
         ),
-        (value_table_mode.is_some() || flavor != SelectFlavor::Standard, "a SELECT of another form"),
+        (
+            value_table_mode.is_some() || flavor != SelectFlavor::Standard,
+            "a SELECT of another form",
+        ),
     ] {
         if there {
             return not_divisible(what);
@@ -257,11 +300,23 @@
     selection: Option<&Expr>,
     limit: Option<u64>,
 ) -> Result<Query, Unsupported> {
-    let [from] = from else { return not_divisible("a list of tables") };
-    let TableReference { group, table, alias } = table_reference(&from.relation)?;
+    let [from] = from else {
+        return not_divisible("a list of tables");
+    };
+    let TableReference {
+        group,
+        table,
+        alias,
+    } = table_reference(&from.relation)?;
     let aliases: Vec<String> = projection.iter().filter_map(alias_of).collect();
-    let (first, other) =
-        (ColumnScope { table: alias, aliases, qualified: !from.joins.is_empty() }, &from.joins[..]);
+    let (first, other) = (
+        ColumnScope {
+            table: alias,
+            aliases,
+            qualified: !from.joins.is_empty(),
+        },
+        &from.joins[..],
+    );
     let (names, joined) = match other {
         [] => (first, None),
         [other] => join::read(other, first, selection).map(|(names, join)| (names, Some(join)))?,
@@ -271,7 +326,10 @@
     if combine.is_some() && limit.is_some() {
         return not_divisible("LIMIT beside aggregates");
     }
-    let beyond = projection.iter().filter(|_| combine.is_none()).find_map(selects_beyond_one_row);
+    let beyond = projection
+        .iter()
+        .filter(|_| combine.is_none())
+        .find_map(selects_beyond_one_row);
     if let Some(what) = beyond.or_else(|| selection.and_then(beyond_one_row)) {
         return not_divisible(what);
     }
@@ -280,7 +338,15 @@
         None => (condition, None),
         Some((on, join)) => (Condition::All(vec![condition, on]), Some(join)),
     };
-    Ok(Query { group, table, condition, limit, combine, distinct: None, join })
+    Ok(Query {
+        group,
+        table,
+        condition,
+        limit,
+        combine,
+        distinct: None,
+        join,
+    })
 }
 
 /// What a row of a table is asked for.
--- a/crates/scatter/src/sql/names.rs
+++ b/crates/scatter/src/sql/names.rs
@@ -1,6 +1,8 @@
 //! Names and constants of a statement: which table and group, which column, which value.
 
-use sqlparser::ast::{Expr, Ident, ObjectName, SelectItem, TableFactor, UnaryOperator, Value as Word};
+use sqlparser::ast::{
+    Expr, Ident, ObjectName, SelectItem, TableFactor, UnaryOperator, Value as Word,
+};
 
 use super::{not_divisible, Unsupported};
 use crate::value::Literal;
@@ -10,10 +12,15 @@
 /// The group and the table that a name of two parts stands for.
 pub(crate) fn table(name: &ObjectName) -> Option<(u32, String)> {
     let parts: Option<Vec<&Ident>> = name.0.iter().map(|part| part.as_ident()).collect();
-    let [schema, table] = parts?[..] else { return None };
+    let [schema, table] = parts?[..] else {
+        return None;
+    };
     let (area, number) = schema.value.rsplit_once('_')?;
     let plain = !number.is_empty() && number.bytes().all(|c| c.is_ascii_digit());
-    let group = number.parse().ok().filter(|_| plain && !area.eq_ignore_ascii_case(SCRATCH))?;
+    let group = number
+        .parse()
+        .ok()
+        .filter(|_| plain && !area.eq_ignore_ascii_case(SCRATCH))?;
     Some((group, plain_name(table)))
 }
 
@@ -55,8 +62,14 @@
         return not_divisible("a table with hints, partitions or other names");
     }
     let (group, table) = table(name).ok_or(Unsupported::NoGroup)?;
-    let alias = alias.as_ref().map_or_else(|| table.clone(), |a| plain_name(&a.name));
-    Ok(TableReference { group, table, alias })
+    let alias = alias
+        .as_ref()
+        .map_or_else(|| table.clone(), |a| plain_name(&a.name));
+    Ok(TableReference {
+        group,
+        table,
+        alias,
+    })
 }
 
 pub(super) fn alias_of(item: &SelectItem) -> Option<String> {
@@ -89,7 +102,10 @@
             _ => return None,
         };
         // What is quoted is a name in one dialect and text in another.
-        let plain = name.quote_style.is_none().then(|| name.value.to_ascii_lowercase())?;
+        let plain = name
+            .quote_style
+            .is_none()
+            .then(|| name.value.to_ascii_lowercase())?;
         (!self.aliases.contains(&plain)).then_some(plain)
     }
 }
@@ -99,13 +115,25 @@
     match e {
         Expr::Nested(inner) => literal(inner),
         Expr::Value(value) => match &value.value {
-            Word::Number(digits, false) => Some(Literal::Number { negative: false, digits: digits.clone() }),
+            Word::Number(digits, false) => Some(Literal::Number {
+                negative: false,
+                digits: digits.clone(),
+            }),
             Word::SingleQuotedString(text) => Some(Literal::Text(text.clone())),
             Word::Boolean(b) => Some(Literal::Bool(*b)),
             _ => None,
         },
-        Expr::UnaryOp { op: UnaryOperator::Minus, expr } => match literal(expr)? {
-            Literal::Number { negative: false, digits } => Some(Literal::Number { negative: true, digits }),
+        Expr::UnaryOp {
+            op: UnaryOperator::Minus,
+            expr,
+        } => match literal(expr)? {
+            Literal::Number {
+                negative: false,
+                digits,
+            } => Some(Literal::Number {
+                negative: true,
+                digits,
+            }),
             _ => None,
         },
         _ => None,
--- a/crates/scatter/src/store.rs
+++ b/crates/scatter/src/store.rs
@@ -64,7 +64,10 @@
     wall_ms: u64,
     summary: &Summary,
 ) -> VecDeque<SeenVersion> {
-    while versions_seen.get(1).is_some_and(|next| next.came_ms + SETTLES_MS <= wall_ms) {
+    while versions_seen
+        .get(1)
+        .is_some_and(|next| next.came_ms + SETTLES_MS <= wall_ms)
+    {
         versions_seen.pop_front();
     }
     let latest = versions_seen.back();
@@ -73,7 +76,11 @@
     });
     if new && versions_seen.len() < MOST_NOTED {
         let (version, loads) = (summary.version, summary.loads.clone());
-        versions_seen.push_back(SeenVersion { came_ms: wall_ms, version, loads });
+        versions_seen.push_back(SeenVersion {
+            came_ms: wall_ms,
+            version,
+            loads,
+        });
     }
     versions_seen
 }
@@ -96,7 +103,12 @@
 impl SummaryStore {
     /// An empty store that holds summaries whole.
     pub fn new(terms: StoreSettings) -> SummaryStore {
-        SummaryStore { terms, held: BTreeMap::new(), retention: None, refused: BTreeMap::new() }
+        SummaryStore {
+            terms,
+            held: BTreeMap::new(),
+            retention: None,
+            refused: BTreeMap::new(),
+        }
     }
 
     /// Other terms hold from now on; what is of no site any more goes.
@@ -104,8 +116,9 @@
         let before = std::mem::replace(&mut self.terms, terms);
         let sites = &self.terms.sites;
         // Under another key of the site it may be anybody's.
-        self.held
-            .retain(|(site, _), _| sites.get(site).is_some() && sites.get(site) == before.sites.get(site));
+        self.held.retain(|(site, _), _| {
+            sites.get(site).is_some() && sites.get(site) == before.sites.get(site)
+        });
     }
 
     /// Takes a site's word, from wherever it came. False: held already. What is refused changes nothing.
@@ -125,23 +138,42 @@
         if let Some(held) = known {
             match version.cmp(&held.summary.version) {
                 std::cmp::Ordering::Less => {
-                    return Err(Refused::Version { site, group, version, held: held.summary.version })
+                    return Err(Refused::Version {
+                        site,
+                        group,
+                        version,
+                        held: held.summary.version,
+                    })
                 }
                 std::cmp::Ordering::Equal if held.bytes.starts_with(bytes) => return Ok(false),
                 // More sheets of the same.
                 std::cmp::Ordering::Equal if bytes.starts_with(&held.bytes) => {}
                 // Two words under one version: the one that was first stays.
                 std::cmp::Ordering::Equal => {
-                    return Err(Refused::Version { site, group, version, held: version })
+                    return Err(Refused::Version {
+                        site,
+                        group,
+                        version,
+                        held: version,
+                    })
                 }
                 std::cmp::Ordering::Greater => {}
             }
         } else if self.held.len() >= self.terms.most {
-            return Err(Refused::Full { site, group, held: self.held.len() });
+            return Err(Refused::Full {
+                site,
+                group,
+                held: self.held.len(),
+            });
         }
         if let Some(retention) = &mut self.retention {
             let ends = layers::layer_ends(bytes).unwrap_or([bytes.len(); 3]);
-            retention.version_arrived((wall_ms * 1000) as Micros, summary_id(&site, group), version, ends);
+            retention.version_arrived(
+                (wall_ms * 1000) as Micros,
+                summary_id(&site, group),
+                version,
+                ends,
+            );
         }
         let wanted = self.wanted_detail(summary_id(&site, group));
         let of = (site, group);
@@ -150,21 +182,37 @@
             self.held.remove(&of);
             return Ok(false);
         }
-        let versions_seen = self.held.remove(&of).map_or(VecDeque::new(), |held| held.versions_seen);
+        let versions_seen = self
+            .held
+            .remove(&of)
+            .map_or(VecDeque::new(), |held| held.versions_seen);
         let versions_seen = note_version(versions_seen, wall_ms, &summary);
-        self.held.insert(of.clone(), HeldSummary { summary, bytes: bytes.into(), versions_seen });
+        self.held.insert(
+            of.clone(),
+            HeldSummary {
+                summary,
+                bytes: bytes.into(),
+                versions_seen,
+            },
+        );
         self.cut(&of, wanted);
         Ok(true)
     }
 
     /// How fine the summary of a name is to be held.
     pub fn wanted_detail(&self, name: u64) -> Option<Detail> {
-        self.retention.as_ref().map_or(Some(Detail::Full), |retention| retention.wanted_detail(name))
+        self.retention
+            .as_ref()
+            .map_or(Some(Detail::Full), |retention| {
+                retention.wanted_detail(name)
+            })
     }
 
     /// Chooses anew what is held, and lets go of the rest.
     pub fn choose(&mut self, wall_ms: u64) {
-        let Some(retention) = &mut self.retention else { return };
+        let Some(retention) = &mut self.retention else {
+            return;
+        };
         retention.choose((wall_ms * 1000) as Micros);
         for of in self.held.keys().cloned().collect::<Vec<_>>() {
             let wanted = self.wanted_detail(summary_id(&of.0, of.1));
@@ -174,7 +222,9 @@
 
     /// Lets go of what is finer than wanted.
     fn cut(&mut self, of: &(String, u32), wanted: Option<Detail>) {
-        let Some(held) = self.held.get_mut(of) else { return };
+        let Some(held) = self.held.get_mut(of) else {
+            return;
+        };
         let Some(wanted) = wanted else {
             self.held.remove(of);
             return;
@@ -183,13 +233,16 @@
             return;
         }
         // One that is not in sheets has no less of it.
-        let Some(end) = layers::layer_ends(&held.bytes).and_then(|ends| ends.get(wanted as usize).copied())
+        let Some(end) =
+            layers::layer_ends(&held.bytes).and_then(|ends| ends.get(wanted as usize).copied())
         else {
             return;
         };
         let sites = &self.terms.sites;
-        let less =
-            held.bytes.get(..end).and_then(|b| Some((b, Summary::read(b, |s| sites.get(s).copied()).ok()?)));
+        let less = held
+            .bytes
+            .get(..end)
+            .and_then(|b| Some((b, Summary::read(b, |s| sites.get(s).copied()).ok()?)));
         match less {
             Some((bytes, summary)) => (held.bytes, held.summary) = (bytes.into(), summary),
             None => _ = self.held.remove(of),
@@ -203,7 +256,8 @@
         }
         let now = (wall_ms * 1000) as Micros;
         let summary = self.current(wall_ms, site, query.group);
-        let table = summary.and_then(|summary| Some((summary.detail, summary.table(&query.table)?)));
+        let table =
+            summary.and_then(|summary| Some((summary.detail, summary.table(&query.table)?)));
         let shown = match table {
             None if asked => Outcome::Unknown,
             None => return,
@@ -245,7 +299,13 @@
             .iter()
             .filter(|((_, of), _)| *of == group)
             .filter_map(|(_, held)| held.summary.table(table));
-        let mut kinds = of.map(|table| table.columns.iter().find(|c| c.name == column).map(|c| c.kind));
+        let mut kinds = of.map(|table| {
+            table
+                .columns
+                .iter()
+                .find(|c| c.name == column)
+                .map(|c| c.kind)
+        });
         let first = kinds.next()??;
         kinds.all(|kind| kind == Some(first)).then_some(first)
     }
@@ -260,16 +320,32 @@
         let (site, group) = (summary.site.clone(), summary.group);
         let (schema, made_ms) = (summary.schema, summary.made_ms);
         match self.terms.schemas.get(&group) {
-            Some(&stated) if stated != schema => return Err(Refused::Schema { site, group, schema, stated }),
+            Some(&stated) if stated != schema => {
+                return Err(Refused::Schema {
+                    site,
+                    group,
+                    schema,
+                    stated,
+                })
+            }
             _ => {}
         }
         let ahead_ms = made_ms.saturating_sub(wall_ms);
         if ahead_ms > self.terms.ahead_ms {
-            return Err(Refused::Ahead { site, group, ahead_ms });
+            return Err(Refused::Ahead {
+                site,
+                group,
+                ahead_ms,
+            });
         }
         let (age_ms, most_ms) = (wall_ms.saturating_sub(made_ms), self.terms.oldest_ms);
         if age_ms > most_ms {
-            return Err(Refused::Old { site, group, age_ms, most_ms });
+            return Err(Refused::Old {
+                site,
+                group,
+                age_ms,
+                most_ms,
+            });
         }
         Ok(())
     }
@@ -277,13 +353,19 @@
     /// A site's summary of a group, as long as it may count.
     pub fn current(&self, wall_ms: u64, site: &str, group: u32) -> Option<&Summary> {
         let held = self.held.get(&(site.to_string(), group))?;
-        self.check_validity(wall_ms, &held.summary).is_ok().then_some(&held.summary)
+        self.check_validity(wall_ms, &held.summary)
+            .is_ok()
+            .then_some(&held.summary)
     }
 
     /// What a site has said of loads into a group.
     pub fn reported_loads(&self, wall_ms: u64, site: &str, group: u32) -> ReportedLoads<'_> {
-        let Some(held) = self.held.get(&(site.to_string(), group)) else { return ReportedLoads::default() };
-        let newest = self.current(wall_ms, site, group).map(|summary| (summary.version, &summary.loads));
+        let Some(held) = self.held.get(&(site.to_string(), group)) else {
+            return ReportedLoads::default();
+        };
+        let newest = self
+            .current(wall_ms, site, group)
+            .map(|summary| (summary.version, &summary.loads));
         let settled = held
             .versions_seen
             .iter()
--- a/crates/scatter/src/summary.rs
+++ b/crates/scatter/src/summary.rs
@@ -181,13 +181,21 @@
         for (at, table) in self.tables.iter().enumerate() {
             for (place, column) in table.columns.iter().enumerate() {
                 let name = (at as u16, place as u16);
-                extension.runs.extend(EncodedRuns::of(&column.runs).map(|told| (name.0, name.1, told)));
-                extension.sketches.extend(column.sketch.clone().map(|sketch| (name.0, name.1, sketch)));
+                extension
+                    .runs
+                    .extend(EncodedRuns::of(&column.runs).map(|told| (name.0, name.1, told)));
+                extension
+                    .sketches
+                    .extend(column.sketch.clone().map(|sketch| (name.0, name.1, sketch)));
             }
         }
         let none = extension == Extension::default();
         let format = if none { plain } else { extended };
-        let mut bytes = postcard::to_stdvec(&Summary { format, ..self.clone() }).unwrap_or_default();
+        let mut bytes = postcard::to_stdvec(&Summary {
+            format,
+            ..self.clone()
+        })
+        .unwrap_or_default();
         if !none {
             bytes.extend(postcard::to_stdvec(&extension).unwrap_or_default());
         }
@@ -199,8 +207,11 @@
     pub(crate) fn cut(&mut self, most: usize, plain: u16, extended: u16) {
         while self.encoded(plain, extended).len() > most {
             let columns = self.tables.iter_mut().flat_map(|t| &mut t.columns);
-            let length = |c: &Column| c.runs.len() * RUN_BYTES + c.sketch.as_ref().map_or(0, Vec::len);
-            let Some(largest) = columns.max_by_key(|c| length(c)).filter(|c| length(c) > 0) else { return };
+            let length =
+                |c: &Column| c.runs.len() * RUN_BYTES + c.sketch.as_ref().map_or(0, Vec::len);
+            let Some(largest) = columns.max_by_key(|c| length(c)).filter(|c| length(c) > 0) else {
+                return;
+            };
             (largest.runs, largest.sketch) = (Runs::new(), None);
         }
     }
@@ -220,14 +231,19 @@
     }
 
     /// Reads one whose site's key is known; what it says of time and version is not looked at yet.
-    pub fn read(bytes: &[u8], key: impl Fn(&str) -> Option<VerifyingKey>) -> Result<Summary, Refused> {
+    pub fn read(
+        bytes: &[u8],
+        key: impl Fn(&str) -> Option<VerifyingKey>,
+    ) -> Result<Summary, Refused> {
         if bytes.len() > MOST_BYTES {
             return Err(Refused::Long(bytes.len()));
         }
-        let (signed, rest) = postcard::take_from_bytes::<Signed>(bytes).map_err(|_| Refused::Form)?;
+        let (signed, rest) =
+            postcard::take_from_bytes::<Signed>(bytes).map_err(|_| Refused::Form)?;
         let signature = Signature::from_slice(&signed.signature).map_err(|_| Refused::Form)?;
         // The format comes first in every format there will be.
-        let (format, _) = postcard::take_from_bytes::<u16>(&signed.summary).map_err(|_| Refused::Form)?;
+        let (format, _) =
+            postcard::take_from_bytes::<u16>(&signed.summary).map_err(|_| Refused::Form)?;
         if !matches!(format, FORMAT | LAYERED | EXTENDED | LAYERED_EXTENDED) {
             return Err(Refused::Format(format));
         }
@@ -239,7 +255,8 @@
         // What it is made of says the rest.
         summary.format = FORMAT;
         if matches!(format, LAYERED | LAYERED_EXTENDED) {
-            summary.detail = layers::apply(&mut summary.tables, behind, rest).ok_or(Refused::Form)?;
+            summary.detail =
+                layers::apply(&mut summary.tables, behind, rest).ok_or(Refused::Form)?;
         } else if !rest.is_empty() || !behind.is_empty() {
             return Err(Refused::Form);
         }
@@ -247,7 +264,11 @@
         key.verify_strict(&signed_bytes(&signed.summary), &signature)
             .map_err(|_| Refused::Forged(summary.site.clone()))?;
         match summary.inconsistency() {
-            Some(what) => Err(Refused::Content { site: summary.site, group: summary.group, what }),
+            Some(what) => Err(Refused::Content {
+                site: summary.site,
+                group: summary.group,
+                what,
+            }),
             None => Ok(summary),
         }
     }
@@ -260,7 +281,8 @@
     /// What in it can't be so.
     fn inconsistency(&self) -> Option<&'static str> {
         let runs = &self.loads.0;
-        let ordered = runs.windows(2).all(|w| w[0].1 < w[1].0) && runs.iter().all(|run| run.0 <= run.1);
+        let ordered =
+            runs.windows(2).all(|w| w[0].1 < w[1].0) && runs.iter().all(|run| run.0 <= run.1);
         if runs.len() > MOST_RUNS || !ordered {
             return Some("its loads");
         }
@@ -278,7 +300,11 @@
             if !names(&mut table.columns.iter().map(|c| &c.name), MOST_COLUMNS) {
                 return Some("its columns' names");
             }
-            if let Some(what) = table.columns.iter().find_map(|c| c.inconsistency(table.rows)) {
+            if let Some(what) = table
+                .columns
+                .iter()
+                .find_map(|c| c.inconsistency(table.rows))
+            {
                 return Some(what);
             }
         }
@@ -300,7 +326,11 @@
             sketch: None,
             members: None,
         };
-        Table { name: self.name.clone(), rows: self.rows, columns: self.columns.iter().map(bare).collect() }
+        Table {
+            name: self.name.clone(),
+            rows: self.rows,
+            columns: self.columns.iter().map(bare).collect(),
+        }
     }
 }
 
@@ -324,10 +354,16 @@
                 return Some("a column's runs");
             }
         }
-        if self.sketch.as_ref().is_some_and(|sketch| !sketch::is_sound(sketch)) {
+        if self
+            .sketch
+            .as_ref()
+            .is_some_and(|sketch| !sketch::is_sound(sketch))
+        {
             return Some("a column's sketch");
         }
         let members = self.members.as_ref();
-        members.is_some_and(|m| !m.is_sound()).then_some("a column's filter")
+        members
+            .is_some_and(|m| !m.is_sound())
+            .then_some("a column's filter")
     }
 }
--- a/crates/scatter/src/summary/refused.rs
+++ b/crates/scatter/src/summary/refused.rs
@@ -47,7 +47,9 @@
         stated: u32,
     },
     /// Not newer than what is held.
-    #[error("site '{site}', group {group}: version {version} after {held}: a site's versions must grow")]
+    #[error(
+        "site '{site}', group {group}: version {version} after {held}: a site's versions must grow"
+    )]
     Version {
         /// The site that signed it.
         site: String,
--- a/crates/scatter/src/value.rs
+++ b/crates/scatter/src/value.rs
@@ -30,7 +30,10 @@
 impl Kind {
     /// Whether two values are equal for an engine exactly where they are so here.
     pub fn is_equal_by_value(self) -> bool {
-        matches!(self, Kind::Number { .. } | Kind::Text(Collation::C | Collation::Exact) | Kind::Bool)
+        matches!(
+            self,
+            Kind::Number { .. } | Kind::Text(Collation::C | Collation::Exact) | Kind::Bool
+        )
     }
 }
 
@@ -115,7 +118,13 @@
 impl Literal {
     /// Where it lies among the values of a column. None: engines may make anything of it.
     pub fn point(&self, kind: Kind) -> Option<Point> {
-        let exact = |v: Value| Some(Point { below: v.clone(), above: v, exact: true });
+        let exact = |v: Value| {
+            Some(Point {
+                below: v.clone(),
+                above: v,
+                exact: true,
+            })
+        };
         match (self, kind) {
             (Literal::Number { negative, digits }, Kind::Number { scale }) => {
                 number(*negative, digits, scale)
@@ -125,7 +134,11 @@
                 let near = if *negative { -near } else { near };
                 let slack = near.abs() * SLACK + f64::from(f32::MIN_POSITIVE);
                 let (below, above) = (Value::Float(near - slack), Value::Float(near + slack));
-                Some(Point { below, above, exact: false })
+                Some(Point {
+                    below,
+                    above,
+                    exact: false,
+                })
             }
             (Literal::Text(text), Kind::Text(Collation::C | Collation::Exact)) => {
                 exact(Value::Text(text.clone()))
@@ -143,7 +156,11 @@
         return None;
     }
     let part = part.trim_end_matches('0');
-    let kept: String = part.chars().chain(std::iter::repeat('0')).take(usize::from(scale)).collect();
+    let kept: String = part
+        .chars()
+        .chain(std::iter::repeat('0'))
+        .take(usize::from(scale))
+        .collect();
     let units: i128 = format!("0{whole}{kept}").parse().ok()?;
     let (low, high) = match part.len() > usize::from(scale) {
         // Between two values: engines may round it to either, or compare it as it is.
@@ -151,7 +168,11 @@
         false => (units, units),
     };
     let (below, above) = if negative { (-high, -low) } else { (low, high) };
-    Some(Point { below: Value::Number(below), above: Value::Number(above), exact: low == high })
+    Some(Point {
+        below: Value::Number(below),
+        above: Value::Number(above),
+        exact: low == high,
+    })
 }
 
 /// Order of two values of one kind; None where they are of two.
--- a/crates/scatter/src/value_tests.rs
+++ b/crates/scatter/src/value_tests.rs
@@ -3,8 +3,14 @@
 use super::*;
 
 fn point(text: &str, scale: u8) -> Option<(i128, i128)> {
-    let (negative, digits) = text.strip_prefix('-').map_or((false, text), |digits| (true, digits));
-    let point = Literal::Number { negative, digits: digits.into() }.point(Kind::Number { scale })?;
+    let (negative, digits) = text
+        .strip_prefix('-')
+        .map_or((false, text), |digits| (true, digits));
+    let point = Literal::Number {
+        negative,
+        digits: digits.into(),
+    }
+    .point(Kind::Number { scale })?;
     match (point.below, point.above) {
         (Value::Number(below), Value::Number(above)) => Some((below, above)),
         _ => None,
--- a/crates/scatter/tests/audit.rs
+++ b/crates/scatter/tests/audit.rs
@@ -42,7 +42,11 @@
         audits += front.counts.audits;
         assert!(front.counts.audits as f64 <= now as f64 / 1e6 * per_second / FRONTS as f64 + 1.0);
     }
-    (sum / FRONTS as f64, audits as f64 / (last as f64 / 1e6), missed)
+    (
+        sum / FRONTS as f64,
+        audits as f64 / (last as f64 / 1e6),
+        missed,
+    )
 }
 
 #[test]
@@ -61,7 +65,10 @@
 
 #[test]
 fn credit_is_earned_back_by_answers_in_a_row_and_costs_more_each_time() {
-    let mut audits = Audits::new(AuditSettings { one_in: 1, per_second: 1.0 });
+    let mut audits = Audits::new(AuditSettings {
+        one_in: 1,
+        per_second: 1.0,
+    });
     // Rows that a load may have brought prove nothing.
     assert_eq!(audits.answered(FALSE, 1, false), Verdict::Unsure);
     assert!(!audits.is_suspected(FALSE));
@@ -79,7 +86,10 @@
 
 #[test]
 fn a_word_that_another_front_found_false_counts_for_nothing_until_it_is_earned_back() {
-    let mut audits = Audits::new(AuditSettings { one_in: 1, per_second: 1.0 });
+    let mut audits = Audits::new(AuditSettings {
+        one_in: 1,
+        per_second: 1.0,
+    });
     audits.reported_by_peer(FALSE);
     for _ in 1..20 {
         assert_eq!(audits.answered(FALSE, 0, true), Verdict::Holds);
--- a/crates/scatter/tests/distinct.rs
+++ b/crates/scatter/tests/distinct.rs
@@ -20,7 +20,10 @@
 }
 
 fn book() -> SummaryStore {
-    let sites = SITES.iter().map(|s| (s.to_string(), key(s).verifying_key())).collect();
+    let sites = SITES
+        .iter()
+        .map(|s| (s.to_string(), key(s).verifying_key()))
+        .collect();
     SummaryStore::new(StoreSettings {
         sites,
         schemas: BTreeMap::new(),
@@ -30,7 +33,13 @@
     })
 }
 
-fn told(site: &str, values: std::ops::Range<i128>, kind: Kind, with_sketches: bool, sheets: bool) -> Vec<u8> {
+fn told(
+    site: &str,
+    values: std::ops::Range<i128>,
+    kind: Kind,
+    with_sketches: bool,
+    sheets: bool,
+) -> Vec<u8> {
     let columns = [("id", kind)];
     let mut table = TableBuilder::new("orders", &columns);
     if with_sketches {
@@ -38,7 +47,14 @@
     }
     values.for_each(|value| table.add_row(&[Some(Value::Number(value))]));
     let loads = Loads::default();
-    let about = SummaryHeader { site: site.into(), group: 17, schema: 1, version: 1, made_ms: 0, loads };
+    let about = SummaryHeader {
+        site: site.into(),
+        group: 17,
+        schema: 1,
+        version: 1,
+        made_ms: 0,
+        loads,
+    };
     match sheets {
         true => layered(about, vec![table], MOST_BYTES, &key(site)),
         false => summary(about, vec![table], MOST_BYTES).sign(&key(site)),
@@ -48,7 +64,14 @@
 const WHOLE: Kind = Kind::Number { scale: 0 };
 
 fn basis<'a>(sites: &'a [String], book: &'a SummaryStore, word: &'a LoadInfo<'a>) -> Basis<'a> {
-    Basis { sites, allowed: None, summaries: book, wall_ms: 0, loads: word, suspected: &|_| false }
+    Basis {
+        sites,
+        allowed: None,
+        summaries: book,
+        wall_ms: 0,
+        loads: word,
+        suspected: &|_| false,
+    }
 }
 
 fn asked(book: &SummaryStore, word: &LoadInfo) -> Option<Estimate> {
@@ -67,8 +90,15 @@
         }
         let truth = (2 * apart + each) as f64;
         let found = asked(&book, &LoadInfo::NoLoads).unwrap();
-        println!("{truth} distinct: {} told, within {:.2} %", found.distinct, found.error * 100.0);
-        assert!((found.distinct as f64 - truth).abs() <= truth * found.error + 0.5, "{truth}: {found:?}");
+        println!(
+            "{truth} distinct: {} told, within {:.2} %",
+            found.distinct,
+            found.error * 100.0
+        );
+        assert!(
+            (found.distinct as f64 - truth).abs() <= truth * found.error + 0.5,
+            "{truth}: {found:?}"
+        );
         assert!(found.error < 0.04);
     }
 }
@@ -76,12 +106,25 @@
 #[test]
 fn loads_that_no_summary_speaks_of_count_by_their_rows_and_what_is_not_known_tells_nothing() {
     let mut all = book();
-    SITES.iter().for_each(|site| _ = all.accept(0, &told(site, 0..10, WHOLE, true, false)));
+    SITES
+        .iter()
+        .for_each(|site| _ = all.accept(0, &told(site, 0..10, WHOLE, true, false)));
     let mut marks = Marks::default();
     let rows = |text: &str| Affected::of_statement(text.as_bytes(), 17);
-    marks.add("elm", 9, rows("insert into sales_17.orders (id) values (3), (50), (51), (null)"));
-    marks.add("elm", 9, rows("insert into sales_17.others (id) values (70)"));
-    assert_eq!(asked(&all, &LoadInfo::Marks(&marks)).map(|e| e.distinct), Some(12));
+    marks.add(
+        "elm",
+        9,
+        rows("insert into sales_17.orders (id) values (3), (50), (51), (null)"),
+    );
+    marks.add(
+        "elm",
+        9,
+        rows("insert into sales_17.others (id) values (70)"),
+    );
+    assert_eq!(
+        asked(&all, &LoadInfo::Marks(&marks)).map(|e| e.distinct),
+        Some(12)
+    );
     for unknown in [
         "insert into sales_17.orders (id) select 1 from sales_17.others",
         "insert into sales_17.orders (name) values ('x')",
@@ -93,19 +136,40 @@
     }
     assert_eq!(asked(&all, &LoadInfo::Unknown), None);
     // A site without a sketch, of another kind, or barred.
-    for other in
-        [told("oak", 0..10, WHOLE, false, false), told("oak", 0..10, Kind::Number { scale: 2 }, true, false)]
-    {
+    for other in [
+        told("oak", 0..10, WHOLE, false, false),
+        told("oak", 0..10, Kind::Number { scale: 2 }, true, false),
+    ] {
         let mut two = book();
-        SITES[..2].iter().for_each(|site| _ = two.accept(0, &told(site, 0..10, WHOLE, true, false)));
+        SITES[..2]
+            .iter()
+            .for_each(|site| _ = two.accept(0, &told(site, 0..10, WHOLE, true, false)));
         two.accept(0, &other).unwrap();
         assert_eq!(asked(&two, &LoadInfo::NoLoads), None);
     }
     let query = sql::read_distinct(b"select count(distinct id) from sales_17.orders").unwrap();
     let sites = SITES.map(str::to_string);
     let basis = basis(&sites, &all, &LoadInfo::NoLoads);
-    assert_eq!(distinct(&query, &Basis { allowed: Some(&["ash", "elm"]), ..basis }), None);
-    assert_eq!(distinct(&query, &Basis { suspected: &|site| site == "ash", ..basis }), None);
+    assert_eq!(
+        distinct(
+            &query,
+            &Basis {
+                allowed: Some(&["ash", "elm"]),
+                ..basis
+            }
+        ),
+        None
+    );
+    assert_eq!(
+        distinct(
+            &query,
+            &Basis {
+                suspected: &|site| site == "ash",
+                ..basis
+            }
+        ),
+        None
+    );
 }
 
 #[test]
--- a/crates/scatter/tests/join.rs
+++ b/crates/scatter/tests/join.rs
@@ -28,14 +28,25 @@
 
 fn told(site: &str, group: u32, table: &str, rows: &Rows) -> Vec<u8> {
     let mut builder = TableBuilder::new(table, &[("k", WHOLE), ("v", WHOLE)]);
-    rows.iter().for_each(|(k, v)| builder.add_row(&[k.map(Value::Number), Some(Value::Number(*v))]));
+    rows.iter()
+        .for_each(|(k, v)| builder.add_row(&[k.map(Value::Number), Some(Value::Number(*v))]));
     let loads = Loads::default();
-    let about = SummaryHeader { site: site.into(), group, schema: 1, version: 1, made_ms: 0, loads };
+    let about = SummaryHeader {
+        site: site.into(),
+        group,
+        schema: 1,
+        version: 1,
+        made_ms: 0,
+        loads,
+    };
     summary(about, vec![builder], MOST_BYTES).sign(&key(site))
 }
 
 fn book(sites: &[(Rows, Rows)]) -> SummaryStore {
-    let keys = SITES.iter().map(|s| (s.to_string(), key(s).verifying_key())).collect();
+    let keys = SITES
+        .iter()
+        .map(|s| (s.to_string(), key(s).verifying_key()))
+        .collect();
     let mut book = SummaryStore::new(StoreSettings {
         sites: keys,
         schemas: BTreeMap::new(),
@@ -61,7 +72,10 @@
         suspected: &|_| false,
     };
     let plan = plan(query, &basis);
-    plan.parts.into_iter().map(|part| (part.site, part.reason)).collect()
+    plan.parts
+        .into_iter()
+        .map(|part| (part.site, part.reason))
+        .collect()
 }
 
 fn joined(rest: &str) -> Query {
@@ -76,19 +90,30 @@
 }
 
 fn lies(at: usize, rows: &Rows, from: i128) -> Rows {
-    rows.iter().map(|(k, v)| (k.map(|k| (from + k) * PARTS + at as i128), *v)).collect()
+    rows.iter()
+        .map(|(k, v)| (k.map(|k| (from + k) * PARTS + at as i128), *v))
+        .collect()
 }
 
 #[test]
 fn a_site_is_left_out_of_a_join_only_where_no_two_rows_match() {
     let (all, wanted, truth) = (Cell::new(0u32), Cell::new(0u32), Cell::new(0u32));
-    let mut runner = TestRunner::new(Config { cases: 300, failure_persistence: None, ..Config::default() });
+    let mut runner = TestRunner::new(Config {
+        cases: 300,
+        failure_persistence: None,
+        ..Config::default()
+    });
     let site = (rows(40, 60), rows(6, 20), 0i128..60);
     let load = (0..SITES.len(), any::<bool>(), 0i128..60, 0i128..50);
     let ends = (0i128..50, 0i128..50);
-    let drawn = (prop::collection::vec(site, SITES.len()), prop::collection::vec(load, 0..3), ends);
+    let drawn = (
+        prop::collection::vec(site, SITES.len()),
+        prop::collection::vec(load, 0..3),
+        ends,
+    );
     let outcome = runner.run(&drawn, |(sites, loads, (low, high))| {
-        let place = |(at, (a, b, from)): (usize, &(Rows, Rows, i128))| (lies(at, a, 0), lies(at, b, *from));
+        let place =
+            |(at, (a, b, from)): (usize, &(Rows, Rows, i128))| (lies(at, a, 0), lies(at, b, *from));
         let mut sites: Vec<(Rows, Rows)> = sites.iter().enumerate().map(place).collect();
         let book = book(&sites);
         let (mut first, mut second) = (Marks::default(), Marks::default());
@@ -98,7 +123,12 @@
             let text = format!("insert into s_{group}.{table} (k, v) values ({k}, {v})");
             let marks = if is_first { &mut first } else { &mut second };
             marks.add(SITES[at], 9, Affected::of_statement(text.as_bytes(), group));
-            if is_first { &mut sites[at].0 } else { &mut sites[at].1 }.push((Some(k), v));
+            if is_first {
+                &mut sites[at].0
+            } else {
+                &mut sites[at].1
+            }
+            .push((Some(k), v));
         }
         let query = joined(&format!("where x.v < {low} and (y.v >= {high} or x.v = 3)"));
         let parts = asked(&query, &book, &LoadInfo::MarksOfJoin(&first, &second));
@@ -107,7 +137,10 @@
             let pairs = |(k, x): &(Option<i128>, i128)| {
                 k.is_some() && b.iter().any(|(other, y)| other == k && fits(*x, *y))
             };
-            let (has, is_asked) = (a.iter().any(pairs), parts.iter().any(|(name, _)| name == site));
+            let (has, is_asked) = (
+                a.iter().any(pairs),
+                parts.iter().any(|(name, _)| name == site),
+            );
             prop_assert!(is_asked || !has, "{site} has rows and is left out");
             all.set(all.get() + 1);
             wanted.set(wanted.get() + u32::from(is_asked));
@@ -116,7 +149,12 @@
         Ok(())
     });
     outcome.unwrap();
-    println!("sites {}, asked {}, with rows {}", all.get(), wanted.get(), truth.get());
+    println!(
+        "sites {}, asked {}, with rows {}",
+        all.get(),
+        wanted.get(),
+        truth.get()
+    );
     assert!(wanted.get() < all.get() * 2 / 3);
 }
 
@@ -128,26 +166,48 @@
     let sites: Vec<(Rows, Rows)> = [vec![40, 80], vec![41], vec![], forty]
         .into_iter()
         .enumerate()
-        .map(|(at, few)| (large(at as i128), few.into_iter().map(|k| (Some(k), 1)).collect()))
+        .map(|(at, few)| {
+            (
+                large(at as i128),
+                few.into_iter().map(|k| (Some(k), 1)).collect(),
+            )
+        })
         .collect();
     let book = book(&sites);
     let names = |query: &Query, word: &LoadInfo| -> Vec<String> {
-        asked(query, &book, word).into_iter().map(|(site, _)| site).collect()
+        asked(query, &book, word)
+            .into_iter()
+            .map(|(site, _)| site)
+            .collect()
     };
     let (none, query) = (Marks::default(), joined(""));
-    assert_eq!(names(&query, &LoadInfo::MarksOfJoin(&none, &none)), ["ash", "elm"]);
+    assert_eq!(
+        names(&query, &LoadInfo::MarksOfJoin(&none, &none)),
+        ["ash", "elm"]
+    );
     assert_eq!(names(&query, &LoadInfo::NoLoads), ["ash", "elm"]);
     // One side's own condition, aggregates, keys the other way round.
-    assert_eq!(names(&joined("where y.v > 1"), &LoadInfo::NoLoads), Vec::<String>::new());
-    let text = "select count(*), max(x.v) from s_17.a x inner join s_18.b y on (y.k = x.k and y.v = 1)";
+    assert_eq!(
+        names(&joined("where y.v > 1"), &LoadInfo::NoLoads),
+        Vec::<String>::new()
+    );
+    let text =
+        "select count(*), max(x.v) from s_17.a x inner join s_18.b y on (y.k = x.k and y.v = 1)";
     let other = sql::read(text.as_bytes()).unwrap();
     assert!(other.combine.is_some());
     assert_eq!(names(&other, &LoadInfo::NoLoads), ["ash", "elm"]);
     // A load that the summaries do not speak of, of either side; of one group alone nothing is known of the
     // other.
     let mut touched = Marks::default();
-    touched.add("yew", 9, Affected::of_statement(b"insert into s_18.b (k, v) values (3, 1)", 18));
-    assert_eq!(names(&query, &LoadInfo::MarksOfJoin(&none, &touched)), ["ash", "elm", "yew"]);
+    touched.add(
+        "yew",
+        9,
+        Affected::of_statement(b"insert into s_18.b (k, v) values (3, 1)", 18),
+    );
+    assert_eq!(
+        names(&query, &LoadInfo::MarksOfJoin(&none, &touched)),
+        ["ash", "elm", "yew"]
+    );
     assert_eq!(names(&query, &LoadInfo::Marks(&none)).len(), 4);
     assert_eq!(names(&query, &LoadInfo::Unknown).len(), 4);
 }
@@ -172,6 +232,9 @@
     // A name by itself may be a column of either side: it proves nothing.
     let query = joined("where v = 5 and k = 9");
     assert!(query.join.is_some());
-    let sites: Vec<(Rows, Rows)> = SITES.iter().map(|_| (vec![(Some(1), 1)], vec![(Some(1), 1)])).collect();
+    let sites: Vec<(Rows, Rows)> = SITES
+        .iter()
+        .map(|_| (vec![(Some(1), 1)], vec![(Some(1), 1)]))
+        .collect();
     assert_eq!(asked(&query, &book(&sites), &LoadInfo::NoLoads).len(), 4);
 }
--- a/crates/scatter/tests/loads.rs
+++ b/crates/scatter/tests/loads.rs
@@ -52,8 +52,20 @@
     },
 }
 
-fn basis<'a>(sites: &'a [String], book: &'a SummaryStore, wall_ms: u64, word: &'a LoadInfo<'a>) -> Basis<'a> {
-    Basis { sites, allowed: None, summaries: book, wall_ms, loads: word, suspected: &|_| false }
+fn basis<'a>(
+    sites: &'a [String],
+    book: &'a SummaryStore,
+    wall_ms: u64,
+    word: &'a LoadInfo<'a>,
+) -> Basis<'a> {
+    Basis {
+        sites,
+        allowed: None,
+        summaries: book,
+        wall_ms,
+        loads: word,
+        suspected: &|_| false,
+    }
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -77,7 +89,10 @@
 }
 
 fn book() -> SummaryStore {
-    let sites = SITES.iter().map(|s| (s.to_string(), key(s).verifying_key())).collect();
+    let sites = SITES
+        .iter()
+        .map(|s| (s.to_string(), key(s).verifying_key()))
+        .collect();
     SummaryStore::new(StoreSettings {
         sites,
         schemas: BTreeMap::new(),
@@ -101,35 +116,62 @@
     let (mut now, mut missing, mut asked, mut all) = (1_000u64, 0, 0, 0);
     for step in steps {
         match *step {
-            Step::Mark { front, site, value, known } => {
+            Step::Mark {
+                front,
+                site,
+                value,
+                known,
+            } => {
                 let mut marks = Marks::read(&entry).unwrap();
                 let text = match known {
                     true => format!("insert into sales_17.orders (id) values ({value})"),
-                    false => format!("insert into sales_17.orders (id) select {value} from sales_17.new"),
+                    false => {
+                        format!("insert into sales_17.orders (id) select {value} from sales_17.new")
+                    }
                 };
                 // By what others hold, as fronts do it, or at once.
                 marks.clean_up(now, |name| match value % 2 {
                     0 => books[front].reported_loads(now, name, 17),
                     _ => ReportedLoads::at_once(books[front].current(now, name, 17)),
                 });
-                let n = marks.add(SITES[site], now + LIFE_MS, Affected::of_statement(text.as_bytes(), 17));
+                let n = marks.add(
+                    SITES[site],
+                    now + LIFE_MS,
+                    Affected::of_statement(text.as_bytes(), 17),
+                );
                 entry = marks.bytes().unwrap();
-                under_way.push((now + LIFE_MS, site, value, numbered(&[(17, n)], text.as_bytes())));
+                under_way.push((
+                    now + LIFE_MS,
+                    site,
+                    value,
+                    numbered(&[(17, n)], text.as_bytes()),
+                ));
             }
             Step::Run { which, lost } if !under_way.is_empty() => {
                 let (ends, site, value, text) = under_way.remove(which % under_way.len());
                 if !lost && now < ends {
                     sites[site].rows.push(value);
-                    numbers(&text).iter().for_each(|(_, n)| sites[site].loads.insert(*n));
+                    numbers(&text)
+                        .iter()
+                        .for_each(|(_, n)| sites[site].loads.insert(*n));
                 }
             }
             Step::Write { site } => {
                 let s = &mut sites[site];
                 s.version += 1;
                 let mut table = TableBuilder::new("orders", &[("id", Kind::Number { scale: 0 })]);
-                s.rows.iter().for_each(|v| table.add_row(&[Some(Value::Number(*v))]));
+                s.rows
+                    .iter()
+                    .for_each(|v| table.add_row(&[Some(Value::Number(*v))]));
                 let (name, version, loads) = (SITES[site].to_string(), s.version, s.loads.clone());
-                let about = SummaryHeader { site: name, group: 17, schema: 1, version, made_ms: now, loads };
+                let about = SummaryHeader {
+                    site: name,
+                    group: 17,
+                    schema: 1,
+                    version,
+                    made_ms: now,
+                    loads,
+                };
                 written.push(summary(about, vec![table], MOST_BYTES).sign(&key(SITES[site])));
             }
             Step::Reach { which, front } if !written.is_empty() => {
@@ -137,10 +179,15 @@
             }
             Step::Pass { ms } => now += ms,
             Step::Ask { front, from, to } => {
-                let text = format!("select * from sales_17.orders where id between {from} and {to}");
+                let text =
+                    format!("select * from sales_17.orders where id between {from} and {to}");
                 let query = sql::read(text.as_bytes()).unwrap();
                 let marks = Marks::read(&entry).unwrap();
-                let word = if with_marks { LoadInfo::Marks(&marks) } else { LoadInfo::NoLoads };
+                let word = if with_marks {
+                    LoadInfo::Marks(&marks)
+                } else {
+                    LoadInfo::NoLoads
+                };
                 let names = SITES.map(str::to_string);
                 let plan = plan(&query, &basis(&names, &books[front], now, &word));
                 all += 3;
@@ -159,7 +206,11 @@
 #[test]
 fn no_row_is_missing_whatever_the_order_of_loads_summaries_and_scatters() {
     let (asked, all, without) = (Cell::new(0), Cell::new(0), Cell::new(0));
-    let mut runner = TestRunner::new(Config { cases: 300, failure_persistence: None, ..Config::default() });
+    let mut runner = TestRunner::new(Config {
+        cases: 300,
+        failure_persistence: None,
+        ..Config::default()
+    });
     let outcome = runner.run(&prop::collection::vec(step(), 0..80), |steps| {
         let (missing, sites, of) = play(&steps, true);
         prop_assert_eq!(missing, 0);
@@ -169,7 +220,12 @@
         Ok(())
     });
     outcome.unwrap();
-    println!("asked {} of {} sites; without marks {} missed", asked.get(), all.get(), without.get());
+    println!(
+        "asked {} of {} sites; without marks {} missed",
+        asked.get(),
+        all.get(),
+        without.get()
+    );
     assert!(asked.get() < all.get() && without.get() > 0);
 }
 
@@ -177,12 +233,24 @@
 fn a_load_that_is_lost_keeps_its_site_asked_until_a_later_one_is_spoken_of() {
     let query = sql::read(b"select * from sales_17.orders where id = 5").unwrap();
     let proved = |marks: &Marks, book: &SummaryStore| {
-        plan(&query, &basis(&["ash".to_string()], book, 0, &LoadInfo::Marks(marks))).parts.is_empty()
+        plan(
+            &query,
+            &basis(&["ash".to_string()], book, 0, &LoadInfo::Marks(marks)),
+        )
+        .parts
+        .is_empty()
     };
     let reported_loads = |version, numbers: &[u64]| {
         let mut loads = Loads::default();
         numbers.iter().for_each(|n| loads.insert(*n));
-        let about = SummaryHeader { site: "ash".into(), group: 17, schema: 1, version, made_ms: 0, loads };
+        let about = SummaryHeader {
+            site: "ash".into(),
+            group: 17,
+            schema: 1,
+            version,
+            made_ms: 0,
+            loads,
+        };
         let table = TableBuilder::new("orders", &[("id", Kind::Number { scale: 0 })]);
         summary(about, vec![table], MOST_BYTES).sign(&key("ash"))
     };
@@ -191,20 +259,26 @@
     marks.add("ash", 50, Affected::Anything);
     marks.add("ash", 50, Affected::Anything);
     both.accept(0, &reported_loads(1, &[2])).unwrap();
-    marks.clean_up(100, |name| ReportedLoads::at_once(both.current(0, name, 17)));
+    marks.clean_up(100, |name| {
+        ReportedLoads::at_once(both.current(0, name, 17))
+    });
     assert!(!proved(&marks, &both));
     let (mut marks, mut book) = (Marks::default(), book());
     marks.add("ash", 50, Affected::Anything);
     for version in 1..4 {
         book.accept(0, &reported_loads(version, &[])).unwrap();
-        marks.clean_up(100 * version, |name| ReportedLoads::at_once(book.current(0, name, 17)));
+        marks.clean_up(100 * version, |name| {
+            ReportedLoads::at_once(book.current(0, name, 17))
+        });
         assert!(!proved(&marks, &book));
     }
     assert_eq!(marks.add("ash", 500, Affected::Anything), 2);
     book.accept(0, &reported_loads(4, &[2])).unwrap();
     assert!(proved(&marks, &book));
     // Whoever tidies leaves behind what others need: an older summary proves nothing any more.
-    marks.clean_up(600, |name| ReportedLoads::at_once(book.current(0, name, 17)));
+    marks.clean_up(600, |name| {
+        ReportedLoads::at_once(book.current(0, name, 17))
+    });
     assert!(marks.is_empty());
     let mut behind = self::book();
     behind.accept(0, &reported_loads(3, &[])).unwrap();
@@ -214,7 +288,14 @@
 /// A site's word that speaks of loads up to a number.
 fn reported_loads(site: &str, version: u64, to: u64) -> Vec<u8> {
     let loads = Loads(if to > 0 { vec![(1, to)] } else { Vec::new() });
-    let about = SummaryHeader { site: site.into(), group: 17, schema: 1, version, made_ms: 0, loads };
+    let about = SummaryHeader {
+        site: site.into(),
+        group: 17,
+        schema: 1,
+        version,
+        made_ms: 0,
+        loads,
+    };
     let table = TableBuilder::new("orders", &[("id", Kind::Number { scale: 0 })]);
     summary(about, vec![table], MOST_BYTES).sign(&key(site))
 }
@@ -224,13 +305,19 @@
     let query = sql::read(b"select * from sales_17.orders where id = 5").unwrap();
     let pruned = |marks: &Marks, book: &SummaryStore, now| {
         let word = LoadInfo::Marks(marks);
-        !plan(&query, &basis(&["ash".to_string()], book, now, &word)).pruned.is_empty()
+        !plan(&query, &basis(&["ash".to_string()], book, now, &word))
+            .pruned
+            .is_empty()
     };
     let (mut near, mut far, mut marks) = (book(), book(), Marks::default());
     for book in [&mut near, &mut far] {
         book.accept(0, &reported_loads("ash", 1, 0)).unwrap();
     }
-    marks.add("ash", 60_000, Affected::of_statement(b"insert into sales_17.orders (id) values (7)", 17));
+    marks.add(
+        "ash",
+        60_000,
+        Affected::of_statement(b"insert into sales_17.orders (id) values (7)", 17),
+    );
     // The new summary is at the front where the next load comes, and on its way to the other.
     near.accept(1_000, &reported_loads("ash", 2, 1)).unwrap();
     marks.clean_up(1_100, |name| near.reported_loads(1_100, name, 17));
@@ -240,11 +327,16 @@
     assert!(marks.is_empty() && pruned(&marks, &near, 6_100) && !pruned(&marks, &far, 6_100));
     // Versions that come every second settle too, one after the other.
     for version in 3..60 {
-        near.accept(version * 1_000, &reported_loads("ash", version, version)).unwrap();
+        near.accept(version * 1_000, &reported_loads("ash", version, version))
+            .unwrap();
     }
     let now = near.reported_loads(60_000, "ash", 17);
     assert_eq!(now.newest.map(|(version, _)| version), Some(59));
-    assert!(now.settled.is_some_and(|(version, _)| (53..=55).contains(&version)), "{now:?}");
+    assert!(
+        now.settled
+            .is_some_and(|(version, _)| (53..=55).contains(&version)),
+        "{now:?}"
+    );
 }
 
 #[test]
@@ -257,26 +349,46 @@
             marks.add(site, 60_000, Affected::of_statement(text.as_bytes(), 17));
         }
         marks.shrink_to_fit(|_| ReportedLoads::default());
-        assert!(marks.bytes().is_some(), "round {round}: {} marks", marks.len());
+        assert!(
+            marks.bytes().is_some(),
+            "round {round}: {} marks",
+            marks.len()
+        );
         all = marks.len();
     }
-    assert!(all >= sites.len(), "{all}: each site's loads are still marked");
+    assert!(
+        all >= sites.len(),
+        "{all}: each site's loads are still marked"
+    );
 }
 
 #[test]
 fn a_load_of_many_rows_is_known_by_the_columns_with_few_values() {
-    let rows: Vec<String> = (0..200).map(|n| format!("(20260401, {n}, 'x{n}')")).collect();
-    let text = format!("insert into sales_17.orders (day, id, name) values {}", rows.join(", "));
+    let rows: Vec<String> = (0..200)
+        .map(|n| format!("(20260401, {n}, 'x{n}')"))
+        .collect();
+    let text = format!(
+        "insert into sales_17.orders (day, id, name) values {}",
+        rows.join(", ")
+    );
     let touched = Affected::of_statement(text.as_bytes(), 17);
-    let Affected::Rows { columns, rows, .. } = &touched else { panic!("{touched:?}") };
+    let Affected::Rows { columns, rows, .. } = &touched else {
+        panic!("{touched:?}")
+    };
     assert_eq!((&columns[..], rows.len()), (&["day".to_string()][..], 1));
-    let wide = format!("insert into sales_17.orders (id) values {}", ["(1)", "(2)"].repeat(400).join(", "));
+    let wide = format!(
+        "insert into sales_17.orders (id) values {}",
+        ["(1)", "(2)"].repeat(400).join(", ")
+    );
     assert!(
         matches!(Affected::of_statement(wide.as_bytes(), 17), Affected::Rows { rows, .. } if rows.len() == 2)
     );
     let all: Vec<String> = (0..400).map(|n| format!("({n})")).collect();
     let text = format!("insert into sales_17.orders (id) values {}", all.join(", "));
-    assert_eq!(Affected::of_statement(text.as_bytes(), 17), Affected::Anything);
+    assert_eq!(
+        Affected::of_statement(text.as_bytes(), 17),
+        Affected::Anything
+    );
     assert_eq!(
         Affected::of_statement(b"insert into sales_17.orders (id) values (1, 2)", 17),
         Affected::Anything
@@ -286,7 +398,9 @@
 #[test]
 fn a_load_that_writes_over_rows_is_known_by_what_it_sets_and_by_what_tells_them_apart() {
     let by = |rest: &str| {
-        let text = format!("insert into sales_17.orders (id, day, price) values (1, 2, 3), (4, 2, 5) {rest}");
+        let text = format!(
+            "insert into sales_17.orders (id, day, price) values (1, 2, 3), (4, 2, 5) {rest}"
+        );
         match Affected::of_statement(text.as_bytes(), 17) {
             Affected::Rows { columns, .. } => columns.join(" "),
             Affected::Anything => "anything".to_string(),
@@ -296,14 +410,38 @@
         ("", "id day price"),
         ("on conflict do nothing", "id day price"),
         ("on conflict (id) do nothing", "id day price"),
-        ("on conflict (id) do update set price = excluded.price", "id price"),
-        ("on conflict (id) do update set price = excluded.price, day = excluded.day", "id day price"),
-        ("on conflict (id, day) do update set price = 9 where orders.day > 1", "id day"),
-        ("on conflict (id) do update set id = orders.id + 1, day = excluded.day", "day"),
-        ("on conflict (id) do update set id = excluded.day", "anything"),
-        ("on conflict (name) do update set price = excluded.price", "anything"),
-        ("on conflict on constraint pk do update set price = excluded.price", "anything"),
-        ("on conflict (id) do update set (price, day) = (excluded.price, excluded.day)", "anything"),
+        (
+            "on conflict (id) do update set price = excluded.price",
+            "id price",
+        ),
+        (
+            "on conflict (id) do update set price = excluded.price, day = excluded.day",
+            "id day price",
+        ),
+        (
+            "on conflict (id, day) do update set price = 9 where orders.day > 1",
+            "id day",
+        ),
+        (
+            "on conflict (id) do update set id = orders.id + 1, day = excluded.day",
+            "day",
+        ),
+        (
+            "on conflict (id) do update set id = excluded.day",
+            "anything",
+        ),
+        (
+            "on conflict (name) do update set price = excluded.price",
+            "anything",
+        ),
+        (
+            "on conflict on constraint pk do update set price = excluded.price",
+            "anything",
+        ),
+        (
+            "on conflict (id) do update set (price, day) = (excluded.price, excluded.day)",
+            "anything",
+        ),
         ("on duplicate key update price = values(price)", "anything"),
     ] {
         assert_eq!(by(rest), known, "{rest}");
--- a/crates/scatter/tests/proof.rs
+++ b/crates/scatter/tests/proof.rs
@@ -61,7 +61,13 @@
                 format!("{} {op} t.{}", quoted(*c, l), name(c).to_uppercase())
             }
             Test::Between(c, n, a, b) => {
-                format!("{} {}between {} and {}", name(c), not(n), quoted(*c, a), quoted(*c, b))
+                format!(
+                    "{} {}between {} and {}",
+                    name(c),
+                    not(n),
+                    quoted(*c, a),
+                    quoted(*c, b)
+                )
             }
             Test::In(c, n, all) => {
                 let all: Vec<String> = all.iter().map(|l| quoted(*c, l)).collect();
@@ -90,10 +96,16 @@
                     _ => order.is_ge(),
                 })
             }
-            Test::Between(c, n, a, b) => Some((order(*c, a)?.is_ge() && order(*c, b)?.is_le()) != *n),
+            Test::Between(c, n, a, b) => {
+                Some((order(*c, a)?.is_ge() && order(*c, b)?.is_le()) != *n)
+            }
             Test::In(c, n, all) => {
                 row[*c].as_ref()?;
-                Some(all.iter().any(|l| order(*c, l).is_some_and(Ordering::is_eq)) != *n)
+                Some(
+                    all.iter()
+                        .any(|l| order(*c, l).is_some_and(Ordering::is_eq))
+                        != *n,
+                )
             }
             Test::Null(c, n) => Some(row[*c].is_none() != *n),
             Test::Like(c, n, with) => match row[*c].as_ref()? {
@@ -129,18 +141,25 @@
             let exact: f64 = literal.parse::<f64>().unwrap() * 10f64.powi(i32::from(scale));
             let rounded = [exact, exact.floor(), exact.ceil()][engine];
             (*n as f64)
-                .partial_cmp(&if (exact - exact.round()).abs() < 1e-6 { exact.round() } else { rounded })
+                .partial_cmp(&if (exact - exact.round()).abs() < 1e-6 {
+                    exact.round()
+                } else {
+                    rounded
+                })
                 .unwrap()
         }
         (Value::Float(f), _) => {
             let exact: f64 = literal.parse().unwrap();
-            f.partial_cmp(&[exact, f64::from(exact as f32), exact][engine]).unwrap()
+            f.partial_cmp(&[exact, f64::from(exact as f32), exact][engine])
+                .unwrap()
         }
         (Value::Text(text), Kind::Text(Collation::C)) => text.as_bytes().cmp(literal.as_bytes()),
         (Value::Text(text), Kind::Text(Collation::Exact)) if engine > 0 => {
             text.bytes().rev().cmp(literal.bytes().rev())
         }
-        (Value::Text(text), Kind::Text(Collation::Exact)) => text.as_bytes().cmp(literal.as_bytes()),
+        (Value::Text(text), Kind::Text(Collation::Exact)) => {
+            text.as_bytes().cmp(literal.as_bytes())
+        }
         (Value::Text(text), _) => text.to_lowercase().cmp(&literal.to_lowercase()),
         _ => panic!("{value:?} {kind:?}"),
     }
@@ -154,7 +173,9 @@
             1 => (-5000i32..60000).prop_map(|n| format!("{:.3}", f64::from(n) / 1000.0)),
         ]
         .boxed(),
-        5 => (-50i32..600).prop_map(|n| format!("{:.1}", f64::from(n) / 10.0)).boxed(),
+        5 => (-50i32..600)
+            .prop_map(|n| format!("{:.1}", f64::from(n) / 10.0))
+            .boxed(),
         _ => "[aAbBz]{0,3}".boxed(),
     }
 }
@@ -165,14 +186,20 @@
         (Just(c), op, literal(c)).prop_map(|(c, op, l)| Test::Compare(c, op, l))
     });
     let between = (0usize..6).prop_flat_map(|c| {
-        (Just(c), any::<bool>(), literal(c), literal(c)).prop_map(|(c, n, a, b)| Test::Between(c, n, a, b))
+        (Just(c), any::<bool>(), literal(c), literal(c))
+            .prop_map(|(c, n, a, b)| Test::Between(c, n, a, b))
     });
     let list = (0usize..6).prop_flat_map(|c| {
-        (Just(c), any::<bool>(), prop::collection::vec(literal(c), 1..4))
+        (
+            Just(c),
+            any::<bool>(),
+            prop::collection::vec(literal(c), 1..4),
+        )
             .prop_map(|(c, n, all)| Test::In(c, n, all))
     });
     let null = (0usize..6, any::<bool>()).prop_map(|(c, n)| Test::Null(c, n));
-    let like = (2usize..5, any::<bool>(), "[aAbBz]{0,3}").prop_map(|(c, n, with)| Test::Like(c, n, with));
+    let like =
+        (2usize..5, any::<bool>(), "[aAbBz]{0,3}").prop_map(|(c, n, with)| Test::Like(c, n, with));
     prop_oneof![6 => compare, 2 => between, 2 => list, 1 => null, 2 => like, 1 => Just(Test::Odd)]
 }
 
@@ -191,8 +218,15 @@
 /// Rows of one site: about a place of its own.
 fn rows() -> impl Strategy<Value = Vec<Row>> {
     (0i128..50).prop_flat_map(|at| {
-        let row =
-            (at..at + 8, 0..2_000i128, "[aAbBz]{1,3}", "[aAbBz]{1,3}", "[aAbBz]{1,2}", 0u8..64, 0i32..80);
+        let row = (
+            at..at + 8,
+            0..2_000i128,
+            "[aAbBz]{1,3}",
+            "[aAbBz]{1,3}",
+            "[aAbBz]{1,2}",
+            0u8..64,
+            0i32..80,
+        );
         let row = row.prop_map(move |(id, price, name, tag, word, nulls, heat)| {
             let values = vec![
                 Value::Number(id),
@@ -203,8 +237,13 @@
                 Value::Float(at as f64 + f64::from(heat) / 10.0),
             ];
             // Mostly none, now and then some are null.
-            let is_null = |c: usize| nulls < 6 && usize::from(nulls) != c && c % 2 == usize::from(nulls) % 2;
-            values.into_iter().enumerate().map(|(c, v)| (!is_null(c)).then_some(v)).collect::<Row>()
+            let is_null =
+                |c: usize| nulls < 6 && usize::from(nulls) != c && c % 2 == usize::from(nulls) % 2;
+            values
+                .into_iter()
+                .enumerate()
+                .map(|(c, v)| (!is_null(c)).then_some(v))
+                .collect::<Row>()
         });
         prop::collection::vec(row, 0..50)
     })
@@ -227,16 +266,31 @@
 #[test]
 fn a_site_is_left_out_only_where_no_row_matches() {
     let (all, asked, truth) = (Cell::new(0u32), Cell::new(0u32), Cell::new(0u32));
-    let mut runner = TestRunner::new(Config { cases: 400, failure_persistence: None, ..Config::default() });
+    let mut runner = TestRunner::new(Config {
+        cases: 400,
+        failure_persistence: None,
+        ..Config::default()
+    });
     let drawn = (prop::collection::vec(rows(), 4), test(), 0usize..3);
     let outcome = runner.run(&drawn, |(sites, test, engine)| {
-        let text = format!("select id, name from sales_17.orders as t where {}", test.text());
-        let query = sql::read(text.as_bytes()).map_err(|e| TestCaseError::fail(format!("{text}: {e}")))?;
+        let text = format!(
+            "select id, name from sales_17.orders as t where {}",
+            test.text()
+        );
+        let query =
+            sql::read(text.as_bytes()).map_err(|e| TestCaseError::fail(format!("{text}: {e}")))?;
         for rows in &sites {
             let summary = summed(rows);
             let out = query.condition.never_true(summary.table("orders").unwrap());
-            let matches = rows.iter().filter(|row| test.holds(row, engine) == Some(true)).count();
-            prop_assert!(!out || matches == 0, "{text}: left out with {matches} of {} rows", rows.len());
+            let matches = rows
+                .iter()
+                .filter(|row| test.holds(row, engine) == Some(true))
+                .count();
+            prop_assert!(
+                !out || matches == 0,
+                "{text}: left out with {matches} of {} rows",
+                rows.len()
+            );
             all.set(all.get() + 1);
             asked.set(asked.get() + u32::from(!out));
             truth.set(truth.get() + u32::from(matches > 0));
@@ -249,7 +303,10 @@
         "sites {all}, asked {asked}, with rows {truth}: {:.2} of the truth",
         f64::from(asked) / f64::from(truth)
     );
-    assert!(asked < all * 9 / 10, "{asked} of {all}: nothing much is proved");
+    assert!(
+        asked < all * 9 / 10,
+        "{asked} of {all}: nothing much is proved"
+    );
 }
 
 #[test]
@@ -270,13 +327,23 @@
     let mut told = summary(about, vec![table], MOST_BYTES);
     let out = |told: &Summary, text: &str| {
         let read = Summary::read(&told.sign(&key), |_| Some(key.verifying_key())).unwrap();
-        let query = sql::read(format!("select id from s_17.orders where {text}").as_bytes()).unwrap();
+        let query =
+            sql::read(format!("select id from s_17.orders where {text}").as_bytes()).unwrap();
         query.condition.never_true(&read.tables[0])
     };
-    for text in ["id between 2000 and 49000", "id > 1200 and id < 50000", "id >= 60000 and id <= 80000"] {
+    for text in [
+        "id between 2000 and 49000",
+        "id > 1200 and id < 50000",
+        "id >= 60000 and id <= 80000",
+    ] {
         assert!(out(&told, text), "{text}");
     }
-    for text in ["id between 1197 and 1300", "id between 40000 and 50000", "id > 50000", "id <> 3"] {
+    for text in [
+        "id between 1197 and 1300",
+        "id between 40000 and 50000",
+        "id > 50000",
+        "id <> 3",
+    ] {
         assert!(!out(&told, text), "{text}");
     }
     // As a site of an earlier version tells it: read as ever, and proves less.
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -33,7 +33,10 @@
             protocols: 1,
             sends_progress: true,
         };
-        Ok(Listing { name: line.field("engine")?, entry })
+        Ok(Listing {
+            name: line.field("engine")?,
+            entry,
+        })
     }
 }
 
@@ -97,7 +100,11 @@
         Ok(())
     }
 
-    fn listed(&mut self, line: &Line, lists: &BTreeMap<u32, Vec<Listing>>) -> Result<Event, String> {
+    fn listed(
+        &mut self,
+        line: &Line,
+        lists: &BTreeMap<u32, Vec<Listing>>,
+    ) -> Result<Event, String> {
         let whole = match line.field::<String>("form")?.as_str() {
             "delta" => false,
             "full" | "cached" => true,
@@ -105,9 +112,17 @@
             other => return Err(format!("form: unknown word '{other}'")),
         };
         let list: u32 = line.field("ref")?;
-        let listings = lists.get(&list).ok_or_else(|| format!("list {list} was never sent"))?;
-        let entry = |l: &Listing| EngineEntry { engine: self.engine(&l.name), ..l.entry.clone() };
-        Ok(Event::Engines { whole, entries: listings.iter().map(entry).collect() })
+        let listings = lists
+            .get(&list)
+            .ok_or_else(|| format!("list {list} was never sent"))?;
+        let entry = |l: &Listing| EngineEntry {
+            engine: self.engine(&l.name),
+            ..l.entry.clone()
+        };
+        Ok(Event::Engines {
+            whole,
+            entries: listings.iter().map(entry).collect(),
+        })
     }
 
     fn arrived(&mut self, line: &Line) -> Result<Event, String> {
@@ -140,7 +155,9 @@
     }
 
     fn ended(&mut self, line: &Line) -> Result<Option<Event>, String> {
-        let Some(statement) = self.statement(line)? else { return Ok(None) };
+        let Some(statement) = self.statement(line)? else {
+            return Ok(None);
+        };
         let outcome = match line.field::<String>("status")?.as_str() {
             "pass" => Outcome::Completed,
             "fault" => Outcome::Error,
@@ -166,7 +183,9 @@
     }
 
     fn noted(&mut self, line: &Line) -> Result<Option<Event>, String> {
-        let Some(statement) = self.statement(line)? else { return Ok(None) };
+        let Some(statement) = self.statement(line)? else {
+            return Ok(None);
+        };
         let amount = line.number_or("amount", 0.0)?;
         let note = match line.field::<u32>("kind")? {
             1 => Note::ShareDone(amount),
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -30,7 +30,10 @@
                 return Err(format!("list {list}: {left} more entries expected"));
             }
             self.filling = (left > 1).then_some((list, left - 1));
-            self.lists.entry(list).or_default().push(Listing::read(&line)?);
+            self.lists
+                .entry(list)
+                .or_default()
+                .push(Listing::read(&line)?);
             return Ok(false);
         }
         match line.message {
@@ -58,7 +61,10 @@
             }
             _ => {
                 let who: i64 = line.field("who")?;
-                let instance = self.instances.get_mut(&who).ok_or("the instance was not started")?;
+                let instance = self
+                    .instances
+                    .get_mut(&who)
+                    .ok_or("the instance was not started")?;
                 instance.take(&line, &self.lists)?;
             }
         }
@@ -97,7 +103,9 @@
                 let complaint = format!("line {number}: {wrong}, in '{start}'");
                 eprintln!("hallmux-drill: {complaint}");
                 if let Ok(who) = Line::new(line).field::<i64>("who") {
-                    drill.reply.push_str(&format!("BAIL_OUT who={who} words={complaint}\n"));
+                    drill
+                        .reply
+                        .push_str(&format!("BAIL_OUT who={who} words={complaint}\n"));
                 }
             }
         }
--- a/crates/simulator-adapter/src/main_tests.rs
+++ b/crates/simulator-adapter/src/main_tests.rs
@@ -11,7 +11,10 @@
     let start = START.replace('\n', "");
     let mut all = vec!["BEGIN_BATCH clockMs=5.25", &start];
     all.extend(lines);
-    let errors = all.iter().filter_map(|line| drill.take(line).err()).collect();
+    let errors = all
+        .iter()
+        .filter_map(|line| drill.take(line).err())
+        .collect();
     (errors, drill.reply)
 }
 
@@ -24,17 +27,25 @@
 #[test]
 fn a_statement_is_sent_under_its_own_id() {
     let mut lines = FLEET.to_vec();
-    lines.extend(["JOB_IN who=3 req=1564119492 cls=0 expiresInMs=240.0 later=1", "EOF_BATCH"]);
+    lines.extend([
+        "JOB_IN who=3 req=1564119492 cls=0 expiresInMs=240.0 later=1",
+        "EOF_BATCH",
+    ]);
     let (errors, reply) = play(&lines);
     assert!(errors.is_empty(), "{errors:?}");
-    assert!(reply.contains("CALL_OUT who=3 req=1564119492 engine=e1"), "{reply}");
+    assert!(
+        reply.contains("CALL_OUT who=3 req=1564119492 engine=e1"),
+        "{reply}"
+    );
     assert!(reply.ends_with("FINISHED\n"));
 }
 
 #[test]
 fn unknown_and_ended_ids_are_passed_over() {
-    let gone =
-        ["GONE who=3 req=9", "RETURNED who=3 req=9 seqNo=0 engine=e1 status=pass delaySeenMs=1 settled=1"];
+    let gone = [
+        "GONE who=3 req=9",
+        "RETURNED who=3 req=9 seqNo=0 engine=e1 status=pass delaySeenMs=1 settled=1",
+    ];
     let (errors, reply) = play(&[&FLEET[..], &gone, &["RING who=3 ref=old", "EOF_BATCH"]].concat());
     assert!(errors.is_empty(), "{errors:?}");
     assert!(!reply.contains("req=9"), "{reply}");
@@ -42,7 +53,11 @@
 
 #[test]
 fn an_execution_that_ends_at_another_engine_than_its_own_is_passed_over() {
-    let job = ["JOB_IN who=3 req=9 cls=0 expiresInMs=240.0 later=1", "EOF_BATCH", "BEGIN_BATCH clockMs=9"];
+    let job = [
+        "JOB_IN who=3 req=9 cls=0 expiresInMs=240.0 later=1",
+        "EOF_BATCH",
+        "BEGIN_BATCH clockMs=9",
+    ];
     let ended = |engine: &str| {
         format!("RETURNED who=3 req=9 seqNo=0 engine={engine} status=pass delaySeenMs=1 settled=1")
     };
@@ -51,8 +66,12 @@
     assert!(errors.is_empty(), "{errors:?}");
     assert!(reply.contains("CALL_OUT who=3 req=9 engine=e1"), "{reply}");
     // It is still looked after later on, and its own end counts.
-    let batch =
-        |n: usize| [format!("BEGIN_BATCH clockMs={}", 20 + n * 200), "RING who=3 ref=wake".to_string()];
+    let batch = |n: usize| {
+        [
+            format!("BEGIN_BATCH clockMs={}", 20 + n * 200),
+            "RING who=3 ref=wake".to_string(),
+        ]
+    };
     let later: Vec<String> = (1..60).flat_map(batch).collect();
     let mut lines = [&FLEET[..], &job, &[foreign.as_str(), "EOF_BATCH"]].concat();
     for batch in later.chunks(2) {
@@ -70,10 +89,22 @@
         ("RING who=4 ref=x", "the instance was not started"),
         ("JOB_IN who=3 req=1 cls=0", "field 'expiresInMs' is missing"),
         ("JOB_IN who=3 req=1 cls=7 expiresInMs=5", "no workload 7"),
-        ("JOB_IN who=3 req=x cls=0 expiresInMs=5", "field 'req' cannot be read: 'x'"),
-        ("JOB_IN who=3 req=1 cls=0 expiresInMs=nan", "field 'expiresInMs' is no number"),
-        ("FLEET who=3 form=odd version=1 ref=0", "form: unknown word 'odd'"),
-        ("FLEET who=3 form=full version=1 ref=9", "list 9 was never sent"),
+        (
+            "JOB_IN who=3 req=x cls=0 expiresInMs=5",
+            "field 'req' cannot be read: 'x'",
+        ),
+        (
+            "JOB_IN who=3 req=1 cls=0 expiresInMs=nan",
+            "field 'expiresInMs' is no number",
+        ),
+        (
+            "FLEET who=3 form=odd version=1 ref=0",
+            "form: unknown word 'odd'",
+        ),
+        (
+            "FLEET who=3 form=full version=1 ref=9",
+            "list 9 was never sent",
+        ),
         ("ATTACH who=5 randomSeed=1 options={", "options: "),
     ] {
         let (errors, reply) = play(&[line, "EOF_BATCH"]);
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -20,30 +20,42 @@
     }
 
     fn find(&self, name: &str) -> Option<&'a str> {
-        self.fields.split(' ').find_map(|part| part.strip_prefix(name)?.strip_prefix('='))
+        self.fields
+            .split(' ')
+            .find_map(|part| part.strip_prefix(name)?.strip_prefix('='))
     }
 
     /// A field that reaches to the end of the line.
     pub fn text(&self, name: &str) -> Result<&'a str, String> {
         let starts = |at: usize| at == 0 || self.fields.as_bytes()[at - 1] == b' ';
         let label = format!("{name}=");
-        let found = self.fields.match_indices(&label).find(|(at, _)| starts(*at));
+        let found = self
+            .fields
+            .match_indices(&label)
+            .find(|(at, _)| starts(*at));
         let (at, _) = found.ok_or_else(|| format!("field '{name}' is missing"))?;
         Ok(&self.fields[at + label.len()..])
     }
 
     pub fn optional<T: FromStr>(&self, name: &str) -> Result<Option<T>, String> {
-        let read = |v: &str| v.parse().map_err(|_| format!("field '{name}' cannot be read: '{v}'"));
+        let read = |v: &str| {
+            v.parse()
+                .map_err(|_| format!("field '{name}' cannot be read: '{v}'"))
+        };
         self.find(name).map(read).transpose()
     }
 
     pub fn field<T: FromStr>(&self, name: &str) -> Result<T, String> {
-        self.optional(name)?.ok_or_else(|| format!("field '{name}' is missing"))
+        self.optional(name)?
+            .ok_or_else(|| format!("field '{name}' is missing"))
     }
 
     pub fn number(&self, name: &str) -> Result<f64, String> {
         let value: f64 = self.field(name)?;
-        value.is_finite().then_some(value).ok_or_else(|| format!("field '{name}' is no number"))
+        value
+            .is_finite()
+            .then_some(value)
+            .ok_or_else(|| format!("field '{name}' is no number"))
     }
 
     pub fn number_or(&self, name: &str, absent: f64) -> Result<f64, String> {
@@ -67,10 +79,13 @@
     }
 
     pub fn report(&self) -> Result<Option<Report>, String> {
-        let Some(row) = self.find("gauge").filter(|row| !row.is_empty()) else { return Ok(None) };
+        let Some(row) = self.find("gauge").filter(|row| !row.is_empty()) else {
+            return Ok(None);
+        };
         let value = |v: &str| v.parse::<f64>().ok().filter(|v| v.is_finite());
         let read: Option<Report> = row.split(',').map(value).collect();
-        read.map(Some).ok_or_else(|| format!("field 'gauge' cannot be read: '{row}'"))
+        read.map(Some)
+            .ok_or_else(|| format!("field 'gauge' cannot be read: '{row}'"))
     }
 }
 
@@ -82,18 +97,37 @@
 pub fn write(out: &mut String, who: i64, action: &Action, statements: &[u32], engines: &[String]) {
     let req = |s: &u32| statements[*s as usize];
     let done = match action {
-        Action::Terms { statement, grant_mb, priority } => writeln!(
+        Action::Terms {
+            statement,
+            grant_mb,
+            priority,
+        } => writeln!(
             out,
             "PROVIDE who={who} req={} memoryGrant={grant_mb:.1} prio={priority}",
             req(statement)
         ),
         Action::Execute { statement, engine } => {
-            writeln!(out, "CALL_OUT who={who} req={} engine={}", req(statement), engines[*engine])
+            writeln!(
+                out,
+                "CALL_OUT who={who} req={} engine={}",
+                req(statement),
+                engines[*engine]
+            )
         }
-        Action::Cancel { statement, execution } => {
-            writeln!(out, "RETRACT who={who} req={} seqNo={execution}", req(statement))
+        Action::Cancel {
+            statement,
+            execution,
+        } => {
+            writeln!(
+                out,
+                "RETRACT who={who} req={} seqNo={execution}",
+                req(statement)
+            )
         }
-        Action::Reject { statement, retry_after } => {
+        Action::Reject {
+            statement,
+            retry_after,
+        } => {
             let _ = write!(out, "SHED who={who} req={}", req(statement));
             match retry_after {
                 Some(time) => writeln!(out, " retryInMs={}", ms(*time)),
