--- a/src/decide.rs
+++ b/src/decide.rs
@@ -87,19 +87,19 @@
     customer_shares: Vec<Bucket>,
     admissions: Times,
     further_executions: Times,
-    many: bool,           // so many fronts that a share of one engine's bound holds no statement
-    load: Load,           // what a statement usually holds while it runs
+    many: bool, // so many fronts that a share of one engine's bound holds no statement
+    load: Load, // what a statement usually holds while it runs
     probe_allowance: f64, // probes that statements have paid for
-    next_probed: usize,   // engine that is probed next
+    next_probed: usize, // engine that is probed next
     peer_reports: PeerReports, // with the credibility of their reporters
-    known: f64,           // fronts that may share a returning zone: silent ones too, no fewer than agreed
-    up: f64,              // of them those that are heard of, this one too
-    admitted: Vec<f64>,   // admitted share of each workload, inside and beyond customers' shares; none: all
+    known: f64, // fronts that may share a returning zone: silent ones too, no fewer than agreed
+    up: f64,    // of them those that are heard of, this one too
+    admitted: Vec<f64>, // admitted share of each workload, inside and beyond customers' shares; none: all
     beyond: Vec<f64>, // share of what each customer asks the fleet that is beyond its own; none: not known
     demand: f64,      // on this front, against the mean; 0 where it hears of no others
     probe_tokens: Bucket, // of the fleet's budget
     last_pace: Option<f64>, // new connections a second to each engine, as last ordered
-    first_slot: f64,  // share of a slot at cold engines that passes before the first one of this front
+    first_slot: f64, // share of a slot at cold engines that passes before the first one of this front
     placement_start: f64, // where in the list of engines the next choice looks first
 }
 
@@ -108,25 +108,50 @@
     pub fn new(agreed: Agreement, seed: u64) -> Self {
         let customers = agreed.customers.len().max(1);
         let classes = agreed.workloads.len() * customers * 2;
-        let guess = Mean { value: 1.0, samples: GUESSED };
-        let fresh = Learned { memory_bias: guess, ..Learned::default() };
+        let guess = Mean {
+            value: 1.0,
+            samples: GUESSED,
+        };
+        let fresh = Learned {
+            memory_bias: guess,
+            ..Learned::default()
+        };
         let mut random = Random::new(seed);
-        let narrowest = agreed.workloads.iter().map(|w| w.threads).fold(f64::INFINITY, f64::min);
+        let narrowest = agreed
+            .workloads
+            .iter()
+            .map(|w| w.threads)
+            .fold(f64::INFINITY, f64::min);
         let placement_start = random.next();
         let smallest = agreed.cores.iter().copied().fold(f64::INFINITY, f64::min);
         Front {
             placement_start,
             first_slot: placement_start,
-            probe_tokens: Bucket { left: placement_start, at: 0 }, // fronts started together probe apart
+            probe_tokens: Bucket {
+                left: placement_start,
+                at: 0,
+            }, // fronts started together probe apart
             next_probed: (random.next() * 256.0) as usize,
             many: THREADS_PER_CORE * smallest / agreed.fronts < narrowest,
-            engines: Engines { usual: vec![Load::default(); agreed.cores.len()], ..Engines::default() },
-            load: Load { threads: 1.0, memory: 0.0 },
+            engines: Engines {
+                usual: vec![Load::default(); agreed.cores.len()],
+                ..Engines::default()
+            },
+            load: Load {
+                threads: 1.0,
+                memory: 0.0,
+            },
             known: agreed.fronts,
             up: agreed.fronts,
             classes: (0..classes).map(|_| ServiceClass::default()).collect(),
             learned: vec![fresh; agreed.workloads.len()],
-            customer_shares: vec![Bucket { left: f64::INFINITY, at: 0 }; agreed.customers.len()],
+            customer_shares: vec![
+                Bucket {
+                    left: f64::INFINITY,
+                    at: 0
+                };
+                agreed.customers.len()
+            ],
             random,
             agreed,
             ..Front::default()
@@ -134,10 +159,18 @@
     }
 
     /// Takes the clock and what has happened since the last call; returns what is to be done, in order.
-    pub fn decide(&mut self, now: Micros, happened: impl IntoIterator<Item = Event>) -> Vec<Action> {
+    pub fn decide(
+        &mut self,
+        now: Micros,
+        happened: impl IntoIterator<Item = Event>,
+    ) -> Vec<Action> {
         // Guards against a front that stood still: what it finds is old, and its silence is nobody's fault.
         let gap = now - std::mem::replace(&mut self.now, now);
-        self.running_since = if gap > STOOD_STILL { now } else { self.running_since };
+        self.running_since = if gap > STOOD_STILL {
+            now
+        } else {
+            self.running_since
+        };
         if self.started.is_none() && self.agreed.subscribe {
             self.actions.push(Action::Subscribe);
         }
@@ -149,14 +182,28 @@
                 Event::ListFailed | Event::Woken => {}
                 Event::Arrived(arrival) => self.arrived(arrival, gap),
                 Event::Ended(ended) => self.ended(ended),
-                Event::Noted { statement: s, execution: n, engine: e, note } => self.noted(s, n, e, note),
+                Event::Noted {
+                    statement: s,
+                    execution: n,
+                    engine: e,
+                    note,
+                } => self.noted(s, n, e, note),
                 Event::ClientLeft(id) => self.close(id, false),
                 Event::OrderKeyFreed { key, pauses } => self.order_key_freed(key, pauses),
                 Event::PeerReport(report) => self.peer_reported(report),
                 Event::FleetDemand(fleet) => self.set_admission(&fleet),
-                Event::SendCapacity { engine, executions: n } => self.engines.set_send_capacity(engine, n),
-                Event::Fleet { known, up } => (self.known, self.up) = (known.max(self.agreed.fronts), up),
-                Event::Probed { engine, alive, report } => {
+                Event::SendCapacity {
+                    engine,
+                    executions: n,
+                } => self.engines.set_send_capacity(engine, n),
+                Event::Fleet { known, up } => {
+                    (self.known, self.up) = (known.max(self.agreed.fronts), up)
+                }
+                Event::Probed {
+                    engine,
+                    alive,
+                    report,
+                } => {
                     self.engines.ensure(engine, TRUSTED);
                     self.found_healthy(engine, alive);
                     self.engines.credit[engine] *= if alive { 1.0 } else { SPENT_ERROR };
@@ -166,10 +213,14 @@
         }
         self.sweep();
         self.release();
-        let pace = self.agreed.budgets.map(|b| share_of(b.connections, self.demand, self.known));
+        let pace = self
+            .agreed
+            .budgets
+            .map(|b| share_of(b.connections, self.demand, self.known));
         if self.last_pace != pace {
             self.last_pace = pace;
-            self.actions.extend(pace.map(|connections| Action::Pace { connections }));
+            self.actions
+                .extend(pace.map(|connections| Action::Pace { connections }));
         }
         let window = self.agreed.further.map_or(0, |budget| budget.window);
         self.admissions.forget(now - window);
@@ -192,7 +243,8 @@
             let restarted = known.is_none_or(|k| k.started != entry.started);
             if known.is_none() {
                 self.engines.size[e] = size_of(&self.agreed, entry.kind);
-                self.engines.bound[e] = THREADS_PER_CORE * self.engines.size[e].threads / self.agreed.fronts;
+                self.engines.bound[e] =
+                    THREADS_PER_CORE * self.engines.size[e].threads / self.agreed.fronts;
             }
             if let Some(start) = entry.started.filter(|_| restarted) {
                 (self.engines.credit[e], self.engines.ejected_until[e]) = (TRUSTED, 0);
@@ -205,18 +257,29 @@
             self.engines.listed[e] = Some(entry);
         }
         // What is pinned to an engine that takes nothing new any more is to end now.
-        let to_end = self.statements.iter().filter(|(_, s)| self.pinned_engine_closed(s));
-        self.due.extend(to_end.map(|(id, _)| (self.now, *id)).collect::<Vec<_>>());
+        let to_end = self
+            .statements
+            .iter()
+            .filter(|(_, s)| self.pinned_engine_closed(s));
+        self.due
+            .extend(to_end.map(|(id, _)| (self.now, *id)).collect::<Vec<_>>());
     }
 
     fn arrived(&mut self, mut a: Arrival, gap: Micros) {
         let customers = self.agreed.customers.len().max(1);
         let class = (a.workload * customers + a.customer.min(customers - 1)) * 2;
-        let rate = self.agreed.customers.get(a.customer).map_or(f64::INFINITY, |r| r / self.agreed.fronts);
+        let rate = self
+            .agreed
+            .customers
+            .get(a.customer)
+            .map_or(f64::INFINITY, |r| r / self.agreed.fronts);
         let bucket = self.customer_shares.get_mut(a.customer);
         let alone = bucket.is_some_and(|bucket| !bucket.take(rate, self.now));
         // Where the fleet's figures are known they say how much is beyond, whichever fronts a customer asks.
-        let over = self.beyond.get(a.customer).map_or(alone, |beyond| self.random.next() < *beyond);
+        let over = self
+            .beyond
+            .get(a.customer)
+            .map_or(alone, |beyond| self.random.next() < *beyond);
         let class = class + usize::from(over);
         let workload = &self.agreed.workloads[a.workload];
         let learned = &mut self.learned[a.workload];
@@ -226,20 +289,39 @@
         let missing = learned.first_try - a.time_left;
         let later = missing > SAME_TRY && learned.shed >= 1.0;
         learned.shed = learned.shed * REMEMBERED - f64::from(u8::from(later));
-        let past = if later { (workload.statement_timeout - a.time_left).max(0) } else { 0 };
-        let spent = if self.running_since == self.now && missing <= gap { missing } else { past };
+        let past = if later {
+            (workload.statement_timeout - a.time_left).max(0)
+        } else {
+            0
+        };
+        let spent = if self.running_since == self.now && missing <= gap {
+            missing
+        } else {
+            past
+        };
         learned.work.take_known(LEARNING, a.work);
         let memory = a.memory_mb * learned.memory_bias.value;
-        let least_mb = self.agreed.memory_mb.iter().copied().fold(f64::INFINITY, f64::min);
+        let least_mb = self
+            .agreed
+            .memory_mb
+            .iter()
+            .copied()
+            .fold(f64::INFINITY, f64::min);
         let memory = memory.min(least_mb * self.agreed.largest_grant);
         self.probe_allowance = (self.probe_allowance + PROBES).min(MOST_PROBES);
         a.key = a.key.filter(|_| workload.in_order);
         self.order_queues.enqueue(a.key, a.statement);
         let (id, ends) = (a.statement, self.now + a.time_left);
-        let load = Load { threads: workload.threads, memory };
+        let load = Load {
+            threads: workload.threads,
+            memory,
+        };
         let admitted = self.admits(&a, over);
-        self.admissions.0.extend(self.agreed.further.filter(|_| admitted).map(|_| self.now));
-        self.statements.insert(id, Statement::new(a, class, self.now - spent, ends, load));
+        self.admissions
+            .0
+            .extend(self.agreed.further.filter(|_| admitted).map(|_| self.now));
+        self.statements
+            .insert(id, Statement::new(a, class, self.now - spent, ends, load));
         self.enqueue(id);
         if !admitted {
             self.shed(id);
@@ -247,14 +329,33 @@
     }
 
     fn enqueue(&mut self, id: StatementId) {
-        let Some(s) = self.statements.get(&id).filter(|s| !s.over && !s.is_in_flight()) else { return };
+        let Some(s) = self
+            .statements
+            .get(&id)
+            .filter(|s| !s.over && !s.is_in_flight())
+        else {
+            return;
+        };
         let (class, timely, latest) = (s.class, self.last_timely_start(s), self.latest_start(s));
-        let paused_until = self.order_queues.of(s.asked.key).map_or(0, |q| q.paused_until);
+        let paused_until = self
+            .order_queues
+            .of(s.asked.key)
+            .map_or(0, |q| q.paused_until);
         let is_first = self.is_first_in_order(id, s);
         // Once it is to be shed it is due now; till then when its standing changes next.
-        let ends = if self.is_to_be_shed(s) { self.now } else { s.deadline - LAST_CALL };
-        let forgotten = s.executions.first().map_or(0, |x| x.sent_at + self.workload(s).dedup_window);
-        let next = [timely, latest, paused_until, forgotten].into_iter().filter(|t| *t > self.now).min();
+        let ends = if self.is_to_be_shed(s) {
+            self.now
+        } else {
+            s.deadline - LAST_CALL
+        };
+        let forgotten = s
+            .executions
+            .first()
+            .map_or(0, |x| x.sent_at + self.workload(s).dedup_window);
+        let next = [timely, latest, paused_until, forgotten]
+            .into_iter()
+            .filter(|t| *t > self.now)
+            .min();
         self.due.insert((next.map_or(ends, |t| t.min(ends)), id));
         self.dequeue(id);
         if !is_first {
@@ -278,7 +379,9 @@
     fn sweep(&mut self) {
         while let Some(&(at, id)) = self.due.first().filter(|(at, _)| *at <= self.now) {
             self.due.remove(&(at, id));
-            let Some(s) = self.statements.get(&id).filter(|s| !s.over) else { continue };
+            let Some(s) = self.statements.get(&id).filter(|s| !s.over) else {
+                continue;
+            };
             // Past its latest start one goes ahead of all, unless others wait that can still be in time.
             let others_wait = || self.classes.iter().any(|c| !c.ready.is_empty());
             let pressed = self.now >= self.latest_start(s) && others_wait();
@@ -294,7 +397,8 @@
             self.sweeps += 1;
             self.probe();
             if self.sweeps.is_multiple_of(SWEEPS_PER_LOOK) {
-                self.engines.decay_others(FORGOTTEN, self.many.then_some(OUTDATED));
+                self.engines
+                    .decay_others(FORGOTTEN, self.many.then_some(OUTDATED));
                 (0..self.engines.open.len()).for_each(|e| self.check_silence(e));
             }
         }
@@ -322,8 +426,14 @@
         let slo = self.slo_time(s);
         let run = self.learned[s.asked.workload].pace.value * self.estimated_run(s) * SLOW_RUN;
         // While few of its class run, half the time may be waited: else a jam's run times shut it out.
-        let few = self.classes[s.class].in_flight.len() < self.engines.open.iter().filter(|o| **o).count();
-        s.first_arrival + slo - if few { (run as Micros).min(slo / 2) } else { run as Micros }
+        let few = self.classes[s.class].in_flight.len()
+            < self.engines.open.iter().filter(|o| **o).count();
+        s.first_arrival + slo
+            - if few {
+                (run as Micros).min(slo / 2)
+            } else {
+                run as Micros
+            }
     }
 
     fn latest_start(&self, s: &Statement) -> Micros {
@@ -331,16 +441,27 @@
     }
 
     fn order_key_freed(&mut self, key: KeyId, pauses: bool) {
-        self.order_queues.resolve(Some(key), true, pauses.then_some(self.now + self.agreed.order_gap));
+        self.order_queues.resolve(
+            Some(key),
+            true,
+            pauses.then_some(self.now + self.agreed.order_gap),
+        );
         self.enqueue_first_in_order(Some(key));
     }
 
     fn enqueue_first_in_order(&mut self, key: Option<KeyId>) {
-        self.order_queues.first(key, self.now).into_iter().for_each(|next| self.enqueue(next));
+        self.order_queues
+            .first(key, self.now)
+            .into_iter()
+            .for_each(|next| self.enqueue(next));
     }
 
     fn forget(&mut self, id: StatementId) {
-        if self.statements.get(&id).is_some_and(|s| s.over && !s.is_in_flight()) {
+        if self
+            .statements
+            .get(&id)
+            .is_some_and(|s| s.over && !s.is_in_flight())
+        {
             self.statements.remove(&id);
         }
     }
--- a/src/decide/penalty.rs
+++ b/src/decide/penalty.rs
@@ -15,43 +15,66 @@
 /// The larger of opportunity cost and marginal gain at a conformance.
 pub fn penalty(conformance: f64, delta: f64) -> f64 {
     let last = BOUNDARIES.len() - 2;
-    let level = (0..last).find(|i| conformance >= BOUNDARIES[i + 1]).unwrap_or(last);
+    let level = (0..last)
+        .find(|i| conformance >= BOUNDARIES[i + 1])
+        .unwrap_or(last);
     let (high, low) = (BOUNDARIES[level], BOUNDARIES[level + 1]);
     // Departure: the lowest level has an opportunity cost too, or a class deep in it would always rank last.
     let cost = (high - conformance) / (high - low);
-    let gain = if level > 0 { (conformance - low) / (high - low) } else { 0.0 };
+    let gain = if level > 0 {
+        (conformance - low) / (high - low)
+    } else {
+        0.0
+    };
     cost.max(gain).powi(2) * delta
 }
 
 impl Front {
     /// Lets held statements leave: those past their latest start, then by penalty, ties by arrival.
     pub(super) fn release(&mut self) {
-        let heads = |held: &BTreeSet<StatementId>| held.iter().copied().take(HEADS).collect::<Vec<_>>();
+        let heads =
+            |held: &BTreeSet<StatementId>| held.iter().copied().take(HEADS).collect::<Vec<_>>();
         // Past its latest start a statement could only answer after its client gives up: now or never.
-        let stuck: Vec<_> = heads(&self.overdue).into_iter().filter(|id| !self.try_release(*id)).collect();
+        let stuck: Vec<_> = heads(&self.overdue)
+            .into_iter()
+            .filter(|id| !self.try_release(*id))
+            .collect();
         stuck.into_iter().for_each(|id| self.shed(id));
         let mut waiting: Vec<(f64, usize)> = Vec::new();
         for class in 0..self.classes.len() {
             self.classes[class].fade(self.now, HALF_LIFE);
-            waiting.push((penalty(self.classes[class].conformance(), self.delta(class)), class));
+            waiting.push((
+                penalty(self.classes[class].conformance(), self.delta(class)),
+                class,
+            ));
         }
         while !waiting.is_empty() {
             let oldest = |class: usize| Reverse(self.classes[class].ready.first().copied());
-            let first = waiting.iter().max_by(|a, b| a.0.total_cmp(&b.0).then(oldest(a.1).cmp(&oldest(b.1))));
+            let first = waiting
+                .iter()
+                .max_by(|a, b| a.0.total_cmp(&b.0).then(oldest(a.1).cmp(&oldest(b.1))));
             let Some(&(_, class)) = first else { break };
-            let left = heads(&self.classes[class].ready).into_iter().any(|id| self.try_release(id));
+            let left = heads(&self.classes[class].ready)
+                .into_iter()
+                .any(|id| self.try_release(id));
             if !left || self.classes[class].ready.is_empty() {
                 waiting.retain(|w| w.1 != class);
             }
         }
         if self.classes.iter().all(|c| c.ready.is_empty()) {
-            heads(&self.late).into_iter().for_each(|id| _ = self.try_release(id));
+            heads(&self.late)
+                .into_iter()
+                .for_each(|id| _ = self.try_release(id));
         }
     }
 
     pub(super) fn delta(&self, class: usize) -> f64 {
         let w = class / 2 / self.agreed.customers.len().max(1);
-        let share = if class % 2 == 1 { self.agreed.over_share } else { 1.0 };
+        let share = if class % 2 == 1 {
+            self.agreed.over_share
+        } else {
+            1.0
+        };
         let work = self.learned[w].work.value.max(1000.0) / SECOND as f64;
         self.agreed.workloads[w].importance * share / work
     }
@@ -66,21 +89,44 @@
         let (now, priority) = (self.now, self.priority(id));
         let s = &self.statements[&id];
         let (class, load, latest) = (s.class, s.load, self.latest_start(s));
-        if let Some(pushed) = self.cold_work_with(e, s).filter(|_| now < self.engines.cold_until[e]) {
+        if let Some(pushed) = self
+            .cold_work_with(e, s)
+            .filter(|_| now < self.engines.cold_until[e])
+        {
             self.engines.cold_work[e] = (pushed, now);
         }
         let most = self.engines.size[e].memory * self.agreed.largest_grant;
         let grants = self.agreed.grants && s.asked.memory_mb > 0.0;
-        let grant_mb = if grants { (s.load.memory * GRANTED).min(most) } else { 0.0 };
+        let grant_mb = if grants {
+            (s.load.memory * GRANTED).min(most)
+        } else {
+            0.0
+        };
         if self.agreed.priorities || grant_mb > 0.0 {
-            self.actions.push(Action::Terms { statement: id, grant_mb, priority });
+            self.actions.push(Action::Terms {
+                statement: id,
+                grant_mb,
+                priority,
+            });
         }
-        self.actions.push(Action::Execute { statement: id, engine: e });
-        let Some(s) = self.statements.get_mut(&id) else { return };
-        self.further_executions.0.extend((!s.executions.is_empty()).then_some(now));
+        self.actions.push(Action::Execute {
+            statement: id,
+            engine: e,
+        });
+        let Some(s) = self.statements.get_mut(&id) else {
+            return;
+        };
+        self.further_executions
+            .0
+            .extend((!s.executions.is_empty()).then_some(now));
         self.engines.add(e, (id, s.executions.len()), load);
         s.priority = priority;
-        s.executions.push(Execution { engine: e, sent_at: now, heard_at: now, ..Execution::default() });
+        s.executions.push(Execution {
+            engine: e,
+            sent_at: now,
+            heard_at: now,
+            ..Execution::default()
+        });
         self.classes[class].in_flight.insert(id);
         self.due.insert((latest.max(now + 1), id));
     }
@@ -96,10 +142,16 @@
 
     pub(super) fn prioritise(&mut self, id: StatementId) {
         let priority = self.priority(id);
-        let Some(s) = self.statements.get_mut(&id).filter(|s| !s.over) else { return };
+        let Some(s) = self.statements.get_mut(&id).filter(|s| !s.over) else {
+            return;
+        };
         if s.priority != priority && self.agreed.priorities {
             s.priority = priority;
-            self.actions.push(Action::Terms { statement: id, grant_mb: 0.0, priority });
+            self.actions.push(Action::Terms {
+                statement: id,
+                grant_mb: 0.0,
+                priority,
+            });
         }
     }
 }
--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -7,12 +7,17 @@
     fn may_execute(&self, id: StatementId, e: EngineId) -> bool {
         let s = &self.statements[&id];
         let workload = self.workload(s);
-        let Some(entry) = self.engines.entry(e) else { return false };
+        let Some(entry) = self.engines.entry(e) else {
+            return false;
+        };
         let open = !s.over && !s.is_in_flight() && s.allows(workload, entry);
-        let open = open && s.asked.pinned.is_none_or(|p| p == e) && entry.protocols & s.asked.protocols != 0;
+        let open = open
+            && s.asked.pinned.is_none_or(|p| p == e)
+            && entry.protocols & s.asked.protocols != 0;
         let bears = self.now >= self.engines.cold_until[e] || self.cold_work_with(e, s).is_some();
         let open = open && self.now < s.deadline && self.is_first_in_order(id, s);
-        open && bears && (s.executions.is_empty() || self.is_safe_repeat(s, entry) && self.tries_left(s))
+        open && bears
+            && (s.executions.is_empty() || self.is_safe_repeat(s, entry) && self.tries_left(s))
     }
 
     /// Whether no harm comes of sending it there, whatever earlier executions of it may have done.
@@ -32,11 +37,20 @@
 
     /// Whether any engine may have it by what earlier executions of it may have done: else it waits in vain.
     pub(super) fn has_safe_engine(&self, s: &Statement) -> bool {
-        s.executions.is_empty() || self.engines.listed.iter().flatten().any(|at| self.is_safe_repeat(s, at))
+        s.executions.is_empty()
+            || self
+                .engines
+                .listed
+                .iter()
+                .flatten()
+                .any(|at| self.is_safe_repeat(s, at))
     }
 
     pub(super) fn tries_left(&self, s: &Statement) -> bool {
-        let within = |budget| self.further_executions.allows_one_more(budget, &self.admissions, self.now);
+        let within = |budget| {
+            self.further_executions
+                .allows_one_more(budget, &self.admissions, self.now)
+        };
         self.agreed.further.is_none_or(within)
             && s.executions.len() < self.agreed.most_executions
             && s.asked.pinned.is_none()
@@ -44,7 +58,8 @@
 
     pub(super) fn is_first_in_order(&self, id: StatementId, s: &Statement) -> bool {
         let resumed = |q: &OrderQueue| q.paused_until <= self.now || !s.executions.is_empty();
-        let first = |q: &OrderQueue| q.statements.front() == Some(&id) && q.unresolved == 0 && resumed(q);
+        let first =
+            |q: &OrderQueue| q.statements.front() == Some(&id) && q.unresolved == 0 && resumed(q);
         self.order_queues.of(s.asked.key).is_none_or(first)
     }
 
@@ -55,10 +70,16 @@
         let is_bound = |w: &Workload| w.kinds.is_some() || w.locations.is_some();
         let (mut best, mut best_room) = (None, f64::NEG_INFINITY);
         // Where all engines that it may use are suspected, none is.
-        let may = |e: &EngineId| self.engines.entry(*e).is_some_and(|l| s.allows(workload, l));
+        let may = |e: &EngineId| {
+            self.engines
+                .entry(*e)
+                .is_some_and(|l| s.allows(workload, l))
+        };
         let all = || (0..self.engines.open.len()).filter(may);
-        let heeds = !self.peer_reports.adverse.is_empty() && all().any(|e| self.unsuspected_share(e) >= 1.0);
-        let avoid = !self.engines.evacuated.is_empty() && all().any(|e| !self.engines.is_evacuated(e));
+        let heeds = !self.peer_reports.adverse.is_empty()
+            && all().any(|e| self.unsuspected_share(e) >= 1.0);
+        let avoid =
+            !self.engines.evacuated.is_empty() && all().any(|e| !self.engines.is_evacuated(e));
         let (pool, out) = self.engines.open_totals();
         let (memory_pool, memory_out) = self.engines.open_memory(MEMORY_USED / THREADS_PER_CORE);
         // Among many fronts the pool bounds a front's threads and memory; with nothing out it may send one.
@@ -71,23 +92,37 @@
         for e in (0..count).map(|i| (i + first) % count) {
             let trusted = s.executions.is_empty() || self.engines.credit[e] >= TRUSTED;
             let reached = self.engines.send_capacity[e] > 0 || s.asked.pinned.is_some();
-            let away =
-                !reached || self.engines.ejected_until[e] > self.now || avoid && self.engines.is_evacuated(e);
+            let away = !reached
+                || self.engines.ejected_until[e] > self.now
+                || avoid && self.engines.is_evacuated(e);
             if !trusted || away || !self.may_execute(id, e) {
                 continue;
             }
-            let holds = |o: &Statement| self.workload(o).holds_data && o.asked.data_set == s.asked.data_set;
-            let locked = || self.engines.in_flight[e].iter().any(|(other, _)| holds(&self.statements[other]));
+            let holds =
+                |o: &Statement| self.workload(o).holds_data && o.asked.data_set == s.asked.data_set;
+            let locked = || {
+                self.engines.in_flight[e]
+                    .iter()
+                    .any(|(other, _)| holds(&self.statements[other]))
+            };
             if stands && (self.engines.holds(e, s.asked.data_set, self.now) || locked()) {
                 continue;
             }
-            let Some(entry) = &self.engines.listed[e] else { continue };
+            let Some(entry) = &self.engines.listed[e] else {
+                continue;
+            };
             let (size, own) = (self.engines.size[e], self.engines.own[e]);
             let credit = (self.engines.credit[e] / TRUSTED).min(1.0);
-            let credit = if heeds { credit * self.unsuspected_share(e) } else { credit };
-            let bound =
-                self.engines.bound[e] * credit.max(0.01) * self.engines.warmth(e, self.now, &self.agreed);
-            let memory = size.memory * MEMORY_USED * (bound / (THREADS_PER_CORE * size.threads)).min(1.0);
+            let credit = if heeds {
+                credit * self.unsuspected_share(e)
+            } else {
+                credit
+            };
+            let bound = self.engines.bound[e]
+                * credit.max(0.01)
+                * self.engines.warmth(e, self.now, &self.agreed);
+            let memory =
+                size.memory * MEMORY_USED * (bound / (THREADS_PER_CORE * size.threads)).min(1.0);
             // What this front has added since the last report, the others are taken to have added too.
             let (mut others, mut added) = (self.engines.others[e], own);
             added.add(self.engines.own_at_report[e], -1.0);
@@ -97,15 +132,24 @@
             let share = if self.many { whole * credit } else { bound };
             let room = share.min(whole - others.threads) - own.threads;
             let spare = IDLE * cores - others.threads - own.threads;
-            let fresh = self.agreed.report.names_load() && self.engines.reported_at[e] >= self.now - FRESH;
+            let fresh =
+                self.agreed.report.names_load() && self.engines.reported_at[e] >= self.now - FRESH;
             let within = !over || spare >= workload.threads && fresh;
             let taken = own.memory + s.load.memory;
             let full = taken + others.memory > size.memory;
             let fits = room >= workload.threads && (taken <= memory || self.many) && !full;
-            let idle = if self.many { out <= 0.0 } else { self.engines.is_idle(e) && room > 0.0 && !full };
+            let idle = if self.many {
+                out <= 0.0
+            } else {
+                self.engines.is_idle(e) && room > 0.0 && !full
+            };
             let needs = |w: &Workload| is_bound(w) && w.allows(entry);
             let scarce = !is_bound(workload) && self.agreed.workloads.iter().any(needs);
-            let room = if scarce { room - SCARCE * size.threads } else { room };
+            let room = if scarce {
+                room - SCARCE * size.threads
+            } else {
+                room
+            };
             if (idle || fits && within) && guessed {
                 drawn.push((e, room.max(LEAST_SHARE)));
             } else if (idle || fits && within) && room > best_room {
@@ -120,7 +164,11 @@
     pub(super) fn start_warm_up(&mut self, e: EngineId, until: Micros) {
         self.engines.cold_until[e] = until;
         let fresh = self.started == Some(self.now);
-        let work = if fresh { self.cold_work(e).1 } else { self.engines.cold_work[e].0 };
+        let work = if fresh {
+            self.cold_work(e).1
+        } else {
+            self.engines.cold_work[e].0
+        };
         self.engines.cold_work[e] = (work, self.now);
     }
 
@@ -129,17 +177,38 @@
     pub(super) fn cold_work_with(&self, e: EngineId, s: &Statement) -> Option<f64> {
         let (workload, (pushed, most)) = (self.workload(s), self.cold_work(e));
         let work = self.learned[s.asked.workload].usual_work(workload.threads, workload.slo_time);
-        let slots = self.engines.could_do(e, work * self.known, self.now, &self.agreed) - self.first_slot;
-        let past = if self.known > COLD_SPARE { slots.rem_euclid(1.0) * work } else { 0.0 };
-        let after = if work > most { work - past } else { pushed + work };
-        Some(after).filter(|after| if work > most { pushed <= 0.0 && past <= most } else { *after <= most })
+        let slots = self
+            .engines
+            .could_do(e, work * self.known, self.now, &self.agreed)
+            - self.first_slot;
+        let past = if self.known > COLD_SPARE {
+            slots.rem_euclid(1.0) * work
+        } else {
+            0.0
+        };
+        let after = if work > most {
+            work - past
+        } else {
+            pushed + work
+        };
+        Some(after).filter(|after| {
+            if work > most {
+                pushed <= 0.0 && past <= most
+            } else {
+                *after <= most
+            }
+        })
     }
 
     /// Work pushed at a cold engine and not yet worked off, and how much of it there may be. It drains at
     /// this front's share of what the engine can do by now: any window holds less than the overload factor.
     pub(super) fn cold_work(&self, e: EngineId) -> (f64, f64) {
-        let rate = self.engines.warmth(e, self.now, &self.agreed) * self.engines.size[e].threads / self.known;
+        let rate = self.engines.warmth(e, self.now, &self.agreed) * self.engines.size[e].threads
+            / self.known;
         let burst = (self.agreed.overload_factor * COLD_MARGIN - 0.5).max(0.1) * rate;
-        (self.engines.cold_work_left(e, rate, self.now), burst * self.agreed.fall_window as f64)
+        (
+            self.engines.cold_work_left(e, rate, self.now),
+            burst * self.agreed.fall_window as f64,
+        )
     }
 }
--- a/src/decide/shed.rs
+++ b/src/decide/shed.rs
@@ -5,13 +5,16 @@
 impl Front {
     /// Whether the engine that holds its transaction takes nothing new any more.
     pub(super) fn pinned_engine_closed(&self, s: &Statement) -> bool {
-        s.asked.pinned.is_some_and(|e| !self.engines.open.get(e).is_some_and(|open| *open))
+        s.asked
+            .pinned
+            .is_some_and(|e| !self.engines.open.get(e).is_some_and(|open| *open))
     }
 
     /// Whether a statement is shed at once: no engine may have it, or it must be late, and that is worth
     /// little or others wait behind it in the queue of its order key: running it would make them late too.
     pub(super) fn is_to_be_shed(&self, s: &Statement) -> bool {
-        let worthless = self.order_queues.blocks(s.asked.key) || self.workload(s).late_share < LATE_WORTH;
+        let worthless =
+            self.order_queues.blocks(s.asked.key) || self.workload(s).late_share < LATE_WORTH;
         let late = worthless && self.now >= self.last_timely_start(s);
         late || self.pinned_engine_closed(s) || !self.has_safe_engine(s)
     }
@@ -22,19 +25,35 @@
         let (customers, workloads) = (self.agreed.customers.len().max(1), &fleet.workloads);
         self.beyond = beyond(&fleet.customers_per_s, &self.agreed.customers);
         let split = |(o, learned): (&Demand, &Learned)| o.split(learned.beyond.value);
-        let parts: Vec<Demand> = workloads.iter().zip(&self.learned).flat_map(split).collect();
-        let rank =
-            |n: usize| penalty(parts[n].conformance(UNSEEN), self.delta(n / 2 * customers * 2 + n % 2));
+        let parts: Vec<Demand> = workloads
+            .iter()
+            .zip(&self.learned)
+            .flat_map(split)
+            .collect();
+        let rank = |n: usize| {
+            penalty(
+                parts[n].conformance(UNSEEN),
+                self.delta(n / 2 * customers * 2 + n % 2),
+            )
+        };
         let late = fleet.late_share > MOST_LATE;
         let served = |o: &Demand| o.work * ADMITTED * if late { o.timely } else { o.ended };
         let asked: f64 = workloads.iter().map(Demand::work_asked).sum();
-        let most = workloads.iter().map(served).sum::<f64>().max(LEAST_ADMITTED * asked);
+        let most = workloads
+            .iter()
+            .map(served)
+            .sum::<f64>()
+            .max(LEAST_ADMITTED * asked);
         (self.admitted, self.demand) = (admit_by_rank(most, &parts, rank), fleet.relative);
     }
 
     /// Whether the fleet admits a statement; what an open transaction waits for always.
     pub(super) fn admits(&mut self, s: &Arrival, over: bool) -> bool {
-        let share = self.admitted.get(s.workload * 2 + usize::from(over)).copied().unwrap_or(1.0);
+        let share = self
+            .admitted
+            .get(s.workload * 2 + usize::from(over))
+            .copied()
+            .unwrap_or(1.0);
         share >= 1.0 || s.pinned.is_some() || self.random.next() < share
     }
 
@@ -43,7 +62,10 @@
         let in_time = self.now + (self.learned[s.asked.workload].run.value as Micros) < s.deadline;
         let again = self.workload(s).effect == Effect::Idempotent && self.tries_left(s) && in_time;
         if again && self.agreed.cancel && !s.over {
-            self.actions.push(Action::Cancel { statement: id, execution: n });
+            self.actions.push(Action::Cancel {
+                statement: id,
+                execution: n,
+            });
         }
     }
 
@@ -51,7 +73,10 @@
     pub(super) fn shed(&mut self, id: StatementId) {
         let s = &self.statements[&id];
         let (workload, ran) = (self.workload(s), s.may_have_run().next().is_some());
-        let (w, first) = (s.asked.workload, s.first_arrival == s.deadline - s.asked.time_left);
+        let (w, first) = (
+            s.asked.workload,
+            s.first_arrival == s.deadline - s.asked.time_left,
+        );
         let harmless = match workload.effect {
             Effect::Idempotent => true,
             Effect::Deduplicated => !ran || workload.dedup_group == DedupGroup::All,
@@ -59,8 +84,14 @@
         };
         if harmless {
             let wait = COME_BACK * (0.5 + self.random.next()) * SECOND as f64;
-            let retry_after = self.agreed.longest_retry_after.map(|most| most.min(wait as Micros));
-            self.actions.push(Action::Reject { statement: id, retry_after });
+            let retry_after = self
+                .agreed
+                .longest_retry_after
+                .map(|most| most.min(wait as Micros));
+            self.actions.push(Action::Reject {
+                statement: id,
+                retry_after,
+            });
         } else {
             self.actions.push(Action::Abort { statement: id });
         }
@@ -71,12 +102,18 @@
     /// Counts a statement that is over, and lets go of all it holds but executions still out.
     pub(super) fn close(&mut self, id: StatementId, timely: bool) {
         self.dequeue(id);
-        let Some(s) = self.statements.get_mut(&id).filter(|s| !s.over) else { return };
+        let Some(s) = self.statements.get_mut(&id).filter(|s| !s.over) else {
+            return;
+        };
         s.over = true;
         let (class, key) = (s.class, s.asked.key);
         let unresolved = s.in_flight();
-        let cancel = |n: &usize| Action::Cancel { statement: id, execution: *n };
-        self.actions.extend(unresolved.iter().filter(|_| self.agreed.cancel).map(cancel));
+        let cancel = |n: &usize| Action::Cancel {
+            statement: id,
+            execution: *n,
+        };
+        self.actions
+            .extend(unresolved.iter().filter(|_| self.agreed.cancel).map(cancel));
         let counts = &mut self.classes[class];
         counts.in_flight.remove(&id);
         let before = counts.on_top();
--- a/src/decide/suspicion.rs
+++ b/src/decide/suspicion.rs
@@ -9,18 +9,29 @@
         let beyond = (report.silent as f64 - SILENCE_RUNS * longest).max(0.0);
         let silence = beyond / (beyond + SECOND as f64);
         let severity = (report.failed / (report.failed + report.answered + 1.0)).max(silence);
-        let (e, reporter, until) = (report.engine, report.reporter, self.now - report.age + REPORT_LIFETIME);
+        let (e, reporter, until) = (
+            report.engine,
+            report.reporter,
+            self.now - report.age + REPORT_LIFETIME,
+        );
         self.peer_reports.expire(self.now);
         let believed = self.peer_reports.credibility(reporter, TRUSTED) >= TRUSTED;
         // What was reported before an engine was found healthy, or of an earlier start, is over.
         let healthy_since = self.engines.cold_until[e] - self.agreed.warm_within;
         if severity >= ADVERSE && until > self.now && until - REPORT_LIFETIME >= healthy_since {
-            self.peer_reports.adverse.insert((e, reporter), Adverse { severity, until });
+            self.peer_reports
+                .adverse
+                .insert((e, reporter), Adverse { severity, until });
             self.evacuate_zone(e);
         } else {
             self.peer_reports.adverse.remove(&(e, reporter));
-            let finders = self.engines.evacuated.get_mut(&e).filter(|_| believed && report.answers());
-            let enough = finders.is_some_and(|w| w.insert(reporter) && w.len() >= self.agreed.zone_quorum);
+            let finders = self
+                .engines
+                .evacuated
+                .get_mut(&e)
+                .filter(|_| believed && report.answers());
+            let enough =
+                finders.is_some_and(|w| w.insert(reporter) && w.len() >= self.agreed.zone_quorum);
             self.found_healthy(e, enough);
         }
     }
@@ -30,7 +41,8 @@
     pub(super) fn unsuspected_share(&self, e: EngineId) -> f64 {
         let worth = |(reporter, report): (usize, Adverse)| {
             let left = (report.until - self.now).max(0) as f64 / REPORT_LIFETIME as f64;
-            (self.peer_reports.credibility(reporter, TRUSTED) * report.severity * left.sqrt()).min(0.5)
+            (self.peer_reports.credibility(reporter, TRUSTED) * report.severity * left.sqrt())
+                .min(0.5)
         };
         let suspicion = MOST_SUSPICION * self.peer_reports.on(e).map(worth).sum::<f64>().min(1.0);
         f64::from(u8::from(!self.engines.is_evacuated(e))) * (1.0 - suspicion)
@@ -41,8 +53,14 @@
     fn evacuate_zone(&mut self, e: EngineId) {
         let (zone, quorum) = (self.engines.same_zone(e), self.agreed.zone_quorum);
         let suspects = self.peer_reports.suspects(&zone, TRUSTED, TRUSTED);
-        if quorum > 0 && suspects.reporters.len() >= quorum && 2 * suspects.engines.len() > zone.len() {
-            suspects.engines.iter().for_each(|o| _ = self.engines.evacuated.entry(*o).or_default());
+        if quorum > 0
+            && suspects.reporters.len() >= quorum
+            && 2 * suspects.engines.len() > zone.len()
+        {
+            suspects
+                .engines
+                .iter()
+                .for_each(|o| _ = self.engines.evacuated.entry(*o).or_default());
         }
     }
 
@@ -52,7 +70,12 @@
             return;
         }
         let zone = self.engines.same_zone(e);
-        if 2 * zone.iter().filter(|o| self.engines.evacuated.contains_key(o)).count() <= zone.len() {
+        if 2 * zone
+            .iter()
+            .filter(|o| self.engines.evacuated.contains_key(o))
+            .count()
+            <= zone.len()
+        {
             for o in zone {
                 self.engines.evacuated.remove(&o);
                 self.peer_reports.forget(o);
@@ -64,7 +87,13 @@
 
     /// An engine has shown here what peer reports on it were worth: whether they were right.
     pub(super) fn proved(&mut self, e: EngineId, right: bool) {
-        let change = |c: f64| if right { (c + EARNED).min(1.0) } else { c * FALSE_REPORT };
+        let change = |c: f64| {
+            if right {
+                (c + EARNED).min(1.0)
+            } else {
+                c * FALSE_REPORT
+            }
+        };
         self.peer_reports.proved(e, TRUSTED, change);
     }
 }
--- a/src/demand.rs
+++ b/src/demand.rs
@@ -23,7 +23,11 @@
     pub fn split(&self, beyond: f64) -> [Demand; 2] {
         let asked = [self.asked * (1.0 - beyond), self.asked * beyond];
         let timely = self.timely.min(asked[0]);
-        let of = |n: usize, timely| Demand { asked: asked[n], timely, ..*self };
+        let of = |n: usize, timely| Demand {
+            asked: asked[n],
+            timely,
+            ..*self
+        };
         [of(0, timely), of(1, self.timely - timely)]
     }
 
@@ -43,7 +47,10 @@
     let (mut left, mut shares) = (most, vec![1.0; demands.len()]);
     let mut ranked: Vec<(f64, usize)> = (0..demands.len()).map(|w| (rank(w), w)).collect();
     ranked.sort_by(|a, b| b.0.total_cmp(&a.0));
-    for (_, w) in ranked.into_iter().filter(|(_, w)| demands[*w].work_asked() > 0.0) {
+    for (_, w) in ranked
+        .into_iter()
+        .filter(|(_, w)| demands[*w].work_asked() > 0.0)
+    {
         let asked = demands[w].work_asked();
         shares[w] = (left / asked).min(1.0);
         left = (left - asked).max(0.0);
@@ -54,5 +61,8 @@
 /// An engine's cores and memory, by its kind.
 pub fn size_of(agreed: &Agreement, kind: usize) -> Load {
     let of = |list: &[f64], other| list.get(kind).copied().unwrap_or(other);
-    Load { threads: of(&agreed.cores, 1.0), memory: of(&agreed.memory_mb, f64::MAX) }
+    Load {
+        threads: of(&agreed.cores, 1.0),
+        memory: of(&agreed.memory_mb, f64::MAX),
+    }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -15,7 +15,9 @@
 mod events;
 
 pub use actions::Action;
-pub use agreement::{Agreement, DedupGroup, Effect, EngineBudgets, FurtherBudget, ReportLayout, Workload};
+pub use agreement::{
+    Agreement, DedupGroup, Effect, EngineBudgets, FurtherBudget, ReportLayout, Workload,
+};
 pub use engines::{EngineEntry, Mode, Report};
 pub use events::{Arrival, Demand, Ended, Event, FleetDemand, Note, Outcome, PeerReport};
 
--- a/src/interface/agreement.rs
+++ b/src/interface/agreement.rs
@@ -60,7 +60,8 @@
 impl Workload {
     /// Whether the engine is of a location and a kind that the workload is agreed to run on.
     pub fn allows(&self, at: &EngineEntry) -> bool {
-        let named = |list: &Option<Vec<usize>>, place| list.as_ref().is_none_or(|l| l.contains(&place));
+        let named =
+            |list: &Option<Vec<usize>>, place| list.as_ref().is_none_or(|l| l.contains(&place));
         named(&self.locations, at.location) && named(&self.kinds, at.kind)
     }
 }
--- a/src/learned.rs
+++ b/src/learned.rs
@@ -48,7 +48,10 @@
     /// Work of a usual statement: as estimates tell, else as its runs do, which are no shorter; before any
     /// has run, as long as one may run to be in time.
     pub fn usual_work(&self, threads: f64, in_time: Micros) -> f64 {
-        positive_or(self.work.value, positive_or(self.run.value, in_time as f64) * threads)
+        positive_or(
+            self.work.value,
+            positive_or(self.run.value, in_time as f64) * threads,
+        )
     }
 
     /// An execution was answered after so long, against the estimate's time; `had_enough` moves the need of
--- a/src/order_queue.rs
+++ b/src/order_queue.rs
@@ -25,12 +25,15 @@
     }
 
     fn change(&mut self, key: Option<KeyId>, change: impl FnMut(&mut OrderQueue)) {
-        key.and_then(|key| self.0.get_mut(&key)).into_iter().for_each(change);
+        key.and_then(|key| self.0.get_mut(&key))
+            .into_iter()
+            .for_each(change);
     }
 
     /// A statement arrives: it is the last of its key.
     pub fn enqueue(&mut self, key: Option<KeyId>, id: StatementId) {
-        key.into_iter().for_each(|key| self.0.entry(key).or_default().statements.push_back(id));
+        key.into_iter()
+            .for_each(|key| self.0.entry(key).or_default().statements.push_back(id));
     }
 
     /// A statement is over, with so many of its executions still out.
--- a/src/peer_reports.rs
+++ b/src/peer_reports.rs
@@ -34,12 +34,17 @@
 
     /// The adverse reports on an engine, each with its reporter.
     pub fn on(&self, e: EngineId) -> impl Iterator<Item = (usize, Adverse)> + '_ {
-        self.adverse.range((e, 0)..(e + 1, 0)).map(|((_, reporter), report)| (*reporter, *report))
+        self.adverse
+            .range((e, 0)..(e + 1, 0))
+            .map(|((_, reporter), report)| (*reporter, *report))
     }
 
     /// Those of these engines that fronts of at least such a credibility report adversely on.
     pub fn suspects(&self, engines: &[EngineId], least: f64, initial: f64) -> Suspects {
-        let mut suspects = Suspects { engines: Vec::new(), reporters: BTreeSet::new() };
+        let mut suspects = Suspects {
+            engines: Vec::new(),
+            reporters: BTreeSet::new(),
+        };
         for e in engines {
             let reporters = self.on(*e).map(|(reporter, _)| reporter);
             let credible = |reporter: &usize| self.credibility(*reporter, initial) >= least;
--- a/src/random.rs
+++ b/src/random.rs
@@ -16,7 +16,9 @@
     /// The next number, evenly spread over 0 up to 1.
     pub fn next(&mut self) -> f64 {
         let old = self.0;
-        self.0 = old.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        self.0 = old
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
         let mixed = (((old >> 18) ^ old) >> 27) as u32;
         f64::from(mixed.rotate_right((old >> 59) as u32)) / 4294967296.0
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -108,12 +108,24 @@
 
 /// An execution by its number, while it is in flight at that engine. Guards against events that name another engine
 /// than the one it was sent to, of which nothing may be known.
-pub fn in_flight_at(executions: &mut [Execution], number: usize, engine: EngineId) -> Option<&mut Execution> {
-    executions.get_mut(number).filter(|x| x.outcome.is_none() && x.engine == engine)
+pub fn in_flight_at(
+    executions: &mut [Execution],
+    number: usize,
+    engine: EngineId,
+) -> Option<&mut Execution> {
+    executions
+        .get_mut(number)
+        .filter(|x| x.outcome.is_none() && x.engine == engine)
 }
 
 impl Statement {
-    pub fn new(asked: Arrival, class: usize, first_arrival: Micros, deadline: Micros, load: Load) -> Self {
+    pub fn new(
+        asked: Arrival,
+        class: usize,
+        first_arrival: Micros,
+        deadline: Micros,
+        load: Load,
+    ) -> Self {
         Statement {
             asked,
             class,
@@ -128,13 +140,20 @@
 
     /// Whether it may be sent to an engine at all: its workload and what is allowed to it agree.
     pub fn allows(&self, workload: &Workload, at: &EngineEntry) -> bool {
-        workload.allows(at) && self.asked.allowed.as_ref().is_none_or(|l| l.contains(&at.location))
+        workload.allows(at)
+            && self
+                .asked
+                .allowed
+                .as_ref()
+                .is_none_or(|l| l.contains(&at.location))
     }
 
     /// Executions that their outcomes do not prove to have been without effect.
     pub fn may_have_run(&self) -> impl Iterator<Item = &Execution> {
         let unseen = [Outcome::NoCapacity, Outcome::Unreachable, Outcome::NotSent];
-        self.executions.iter().filter(move |x| x.outcome.is_none_or(|o| !unseen.contains(&o)))
+        self.executions
+            .iter()
+            .filter(move |x| x.outcome.is_none_or(|o| !unseen.contains(&o)))
     }
 
     pub fn is_in_flight(&self) -> bool {
@@ -142,7 +161,9 @@
     }
 
     pub fn in_flight(&self) -> Vec<usize> {
-        (0..self.executions.len()).filter(|n| self.executions[*n].outcome.is_none()).collect()
+        (0..self.executions.len())
+            .filter(|n| self.executions[*n].outcome.is_none())
+            .collect()
     }
 }
 
@@ -155,7 +176,10 @@
 
 impl Load {
     pub fn times(self, factor: f64) -> Load {
-        Load { threads: self.threads * factor, memory: self.memory * factor }
+        Load {
+            threads: self.threads * factor,
+            memory: self.memory * factor,
+        }
     }
 
     pub fn blend(&mut self, other: Load, share: f64) {
@@ -198,14 +222,28 @@
 impl Engines {
     /// The engines listed in the zone of this one, itself included; those that are gone are left out.
     pub fn same_zone(&self, e: EngineId) -> Vec<EngineId> {
-        let zone = |e: EngineId| self.listed.get(e).and_then(|l| l.as_ref()).map(|l| l.location);
-        let listed = |o: &EngineId| self.listed[*o].as_ref().is_some_and(|l| l.mode != Mode::Gone);
-        (0..self.listed.len()).filter(listed).filter(|o| zone(*o) == zone(e)).collect()
+        let zone = |e: EngineId| {
+            self.listed
+                .get(e)
+                .and_then(|l| l.as_ref())
+                .map(|l| l.location)
+        };
+        let listed = |o: &EngineId| {
+            self.listed[*o]
+                .as_ref()
+                .is_some_and(|l| l.mode != Mode::Gone)
+        };
+        (0..self.listed.len())
+            .filter(listed)
+            .filter(|o| zone(*o) == zone(e))
+            .collect()
     }
 
     /// Whether a load of another front holds the data set there.
     pub fn holds(&self, e: EngineId, data_set: Option<u32>, now: Micros) -> bool {
-        self.locked_data[e].iter().any(|(held, until)| data_set == Some(*held) && *until > now)
+        self.locked_data[e]
+            .iter()
+            .any(|(held, until)| data_set == Some(*held) && *until > now)
     }
 
     /// What the list says of an engine that is open.
@@ -227,19 +265,30 @@
 
     /// Whether the zone of this engine is evacuated.
     pub fn is_evacuated(&self, e: EngineId) -> bool {
-        !self.evacuated.is_empty() && self.same_zone(e).iter().any(|o| self.evacuated.contains_key(o))
+        !self.evacuated.is_empty()
+            && self
+                .same_zone(e)
+                .iter()
+                .any(|o| self.evacuated.contains_key(o))
     }
 
     /// One suspect of the evacuated zones, at a share of their count.
     pub fn pick_evacuated(&self, share: f64) -> Option<EngineId> {
-        let listed = |o: &&EngineId| self.listed[**o].as_ref().is_some_and(|l| l.mode != Mode::Gone);
+        let listed = |o: &&EngineId| {
+            self.listed[**o]
+                .as_ref()
+                .is_some_and(|l| l.mode != Mode::Gone)
+        };
         let all: Vec<EngineId> = self.evacuated.keys().filter(listed).copied().collect();
         all.get((share * all.len() as f64) as usize).copied()
     }
 
     /// The same of one engine, or of all that are open.
     pub fn totals(&self, one: Option<EngineId>) -> (f64, f64) {
-        one.map_or_else(|| self.open_totals(), |e| (self.bound[e], self.own[e].threads))
+        one.map_or_else(
+            || self.open_totals(),
+            |e| (self.bound[e], self.own[e].threads),
+        )
     }
 
     /// What a cold engine that works at a rate has not worked off yet of the work sent to it.
@@ -251,7 +300,9 @@
     /// The bounds of all open engines added up, and the threads that this front has out there.
     pub fn open_totals(&self) -> (f64, f64) {
         let open = (0..self.open.len()).filter(|e| self.open[*e]);
-        open.fold((0.0, 0.0), |(bound, own), e| (bound + self.bound[e], own + self.own[e].threads))
+        open.fold((0.0, 0.0), |(bound, own), e| {
+            (bound + self.bound[e], own + self.own[e].threads)
+        })
     }
 
     /// The memory of open engines that the bounds stand for, at a share a thread, and what this front holds.
@@ -260,7 +311,9 @@
         let share = |e: usize| {
             self.size[e].memory * (self.bound[e] * used_per_thread / self.size[e].threads).min(1.0)
         };
-        open.fold((0.0, 0.0), |(pool, own), e| (pool + share(e), own + self.own[e].memory))
+        open.fold((0.0, 0.0), |(pool, own), e| {
+            (pool + share(e), own + self.own[e].memory)
+        })
     }
 
     /// Whether no execution of this front is out there.
@@ -277,12 +330,17 @@
 
     /// How many executions can leave for it now.
     pub fn set_send_capacity(&mut self, e: EngineId, executions: usize) {
-        self.send_capacity.get_mut(e).into_iter().for_each(|known| *known = executions);
+        self.send_capacity
+            .get_mut(e)
+            .into_iter()
+            .for_each(|known| *known = executions);
     }
 
     /// What others hold of each is half known and grows old: with reports of many, towards what is usual.
     pub fn decay_others(&mut self, forgotten: f64, outdated: Option<f64>) {
-        self.usual.iter_mut().for_each(|usual| usual.blend(Load::default(), forgotten));
+        self.usual
+            .iter_mut()
+            .for_each(|usual| usual.blend(Load::default(), forgotten));
         for e in 0..self.open.len() {
             let usual = outdated.map_or(Load::default(), |_| self.usual(e));
             self.others[e].blend(usual, outdated.unwrap_or(forgotten));
@@ -304,7 +362,9 @@
     ) -> (usize, usize) {
         let before = self.unreached[e];
         match outcome {
-            Outcome::Unreachable => (self.unreached[e], self.ejected_until[e]) = (before + 1, ejected_until),
+            Outcome::Unreachable => {
+                (self.unreached[e], self.ejected_until[e]) = (before + 1, ejected_until)
+            }
             Outcome::Completed | Outcome::NoCapacity | Outcome::Error => self.unreached[e] = 0,
             _ => {} // nothing has come from there
         }
@@ -313,14 +373,22 @@
 
     /// What other fronts usually hold of an engine like this one.
     pub fn usual(&self, e: EngineId) -> Load {
-        let each = self.listed[e].as_ref().and_then(|entry| self.usual.get(entry.kind));
-        each.copied().unwrap_or_default().times(self.size[e].threads)
+        let each = self.listed[e]
+            .as_ref()
+            .and_then(|entry| self.usual.get(entry.kind));
+        each.copied()
+            .unwrap_or_default()
+            .times(self.size[e].threads)
     }
 
     /// The same for each core, as its reports tell.
     pub fn learn_usual(&mut self, e: EngineId, reported: Load, weight: f64) {
-        let usual = self.listed[e].as_ref().and_then(|entry| self.usual.get_mut(entry.kind));
-        usual.into_iter().for_each(|usual| usual.blend(reported, weight));
+        let usual = self.listed[e]
+            .as_ref()
+            .and_then(|entry| self.usual.get_mut(entry.kind));
+        usual
+            .into_iter()
+            .for_each(|usual| usual.blend(reported, weight));
     }
 
     /// A load of another front holds the data set there until then.
@@ -334,7 +402,13 @@
         let count = self.open.len().max(engine + 1);
         self.open.resize(count, false);
         self.listed.resize(count, None);
-        self.size.resize(count, Load { threads: 1.0, memory: f64::INFINITY });
+        self.size.resize(
+            count,
+            Load {
+                threads: 1.0,
+                memory: f64::INFINITY,
+            },
+        );
         self.cold_until.resize(count, 0);
         self.cold_work.resize(count, (0.0, 0));
         self.own.resize(count, Load::default());
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -51,14 +51,21 @@
 
 impl Root {
     fn new(name: &str) -> Root {
-        let root =
-            Root(std::env::temp_dir().join(format!("hallmux-known-red-{}-{name}", std::process::id())));
+        let root = Root(
+            std::env::temp_dir().join(format!("hallmux-known-red-{}-{name}", std::process::id())),
+        );
         fs::create_dir_all(root.0.join(".ci")).unwrap();
         fs::create_dir_all(root.0.join("bin")).unwrap();
         let script = Path::new(env!("CARGO_MANIFEST_DIR")).join(".ci/known-red");
-        program(&root.0.join(".ci/known-red"), &fs::read_to_string(script).unwrap());
+        program(
+            &root.0.join(".ci/known-red"),
+            &fs::read_to_string(script).unwrap(),
+        );
         program(&root.0.join("bin/cargo"), CARGO);
-        root.says("tests", TESTS).says("ordinary", "0").says("alone", "101").says("alone-says", FAILED);
+        root.says("tests", TESTS)
+            .says("ordinary", "0")
+            .says("alone", "101")
+            .says("alone-says", FAILED);
         root
     }
 
@@ -75,13 +82,24 @@
     fn run(&self) -> Ended {
         let calls = self.0.join("bin/calls");
         let _ = fs::remove_file(&calls);
-        let path = format!("{}:{}", self.0.join("bin").display(), std::env::var("PATH").unwrap());
-        let ran = Command::new(self.0.join(".ci/known-red")).env("PATH", path).output().unwrap();
+        let path = format!(
+            "{}:{}",
+            self.0.join("bin").display(),
+            std::env::var("PATH").unwrap()
+        );
+        let ran = Command::new(self.0.join(".ci/known-red"))
+            .env("PATH", path)
+            .output()
+            .unwrap();
         Ended {
             passed: ran.status.success(),
             out: String::from_utf8(ran.stdout).unwrap(),
             err: String::from_utf8(ran.stderr).unwrap(),
-            calls: fs::read_to_string(&calls).unwrap_or_default().lines().map(String::from).collect(),
+            calls: fs::read_to_string(&calls)
+                .unwrap_or_default()
+                .lines()
+                .map(String::from)
+                .collect(),
         }
     }
 
@@ -93,7 +111,11 @@
             (ended.out.as_str(), ended.err.as_str()),
             ("", format!("KNOWN-RED.txt: {line}\n").as_str())
         );
-        assert!(ended.calls.iter().all(|call| call == LIST), "{list:?}: {:?}", ended.calls);
+        assert!(
+            ended.calls.iter().all(|call| call == LIST),
+            "{list:?}: {:?}",
+            ended.calls
+        );
     }
 }
 
@@ -108,7 +130,11 @@
             let ended = root.says("ordinary", status).run();
             assert_eq!(ended.passed, passes, "{list:?}");
             assert_eq!(ended.calls, ["test --workspace --locked"], "{list:?}");
-            assert_eq!((ended.out.as_str(), ended.err.as_str()), ("", ""), "{list:?}");
+            assert_eq!(
+                (ended.out.as_str(), ended.err.as_str()),
+                ("", ""),
+                "{list:?}"
+            );
         }
     }
 }
@@ -116,10 +142,14 @@
 #[test]
 fn listed_tests_run_apart_and_are_not_counted() {
     let root = Root::new("listed");
-    let ended =
-        root.list("# mended first\r\n\n  a::b | a cause, in words | #12\t\r\nc | another | #13").run();
+    let ended = root
+        .list("# mended first\r\n\n  a::b | a cause, in words | #12\t\r\nc | another | #13")
+        .run();
     assert!(ended.passed, "{}", ended.err);
-    assert_eq!(ended.out, "known red: a::b: failed as listed\nknown red: c: failed as listed\n");
+    assert_eq!(
+        ended.out,
+        "known red: a::b: failed as listed\nknown red: c: failed as listed\n"
+    );
     assert_eq!(
         ended.calls,
         [
@@ -132,14 +162,23 @@
     let ended = root.says("alone", "0").says("alone-says", PASSED).run();
     assert!(ended.passed, "{}", ended.err);
     let off = "passes now: take it off the list";
-    assert_eq!(ended.out, format!("known red: a::b: {off}\nknown red: c: {off}\n"));
+    assert_eq!(
+        ended.out,
+        format!("known red: a::b: {off}\nknown red: c: {off}\n")
+    );
 }
 
 #[test]
 fn a_test_that_is_not_listed_still_fails_the_run() {
-    let ended = Root::new("ordinary").list("c | a cause | #1").says("ordinary", "101").run();
+    let ended = Root::new("ordinary")
+        .list("c | a cause | #1")
+        .says("ordinary", "101")
+        .run();
     assert!(!ended.passed);
-    assert_eq!(ended.calls, [LIST, "test --workspace --locked -- --exact --skip c"]);
+    assert_eq!(
+        ended.calls,
+        [LIST, "test --workspace --locked -- --exact --skip c"]
+    );
 }
 
 #[test]
@@ -147,11 +186,21 @@
     let root = Root::new("alone");
     let ignored = "test result: ok. 0 passed; 0 failed; 1 ignored\n";
     let aborted = "error: test failed (signal: 6, SIGABRT: process abort signal)\n";
-    for (status, says) in [("0", ignored), ("101", aborted), ("101", PASSED), ("0", FAILED)] {
-        let ended = root.list("c | a cause | #1").says("alone", status).says("alone-says", says).run();
+    for (status, says) in [
+        ("0", ignored),
+        ("101", aborted),
+        ("101", PASSED),
+        ("0", FAILED),
+    ] {
+        let ended = root
+            .list("c | a cause | #1")
+            .says("alone", status)
+            .says("alone-says", says)
+            .run();
         assert!(!ended.passed, "{says}");
         assert_eq!(ended.out, "");
-        let line = format!("KNOWN-RED.txt: c neither passed nor failed (exit {status}, output above)\n");
+        let line =
+            format!("KNOWN-RED.txt: c neither passed nor failed (exit {status}, output above)\n");
         assert!(ended.err.ends_with(&line), "{}", ended.err);
     }
 }
@@ -160,12 +209,24 @@
 fn a_list_that_can_not_be_followed_is_refused() {
     let root = Root::new("refused");
     let form = "is not of the form TEST | CAUSE | ISSUE";
-    for line in
-        ["c", "c | cause", "c|cause|#1", "c | cause | ", "c |  | #1", "| cause | #1", "c | a | b | #1"]
-    {
-        root.refused(&format!("# one\n{line}\n"), &format!("line 2 {form}: {}", line.trim()));
+    for line in [
+        "c",
+        "c | cause",
+        "c|cause|#1",
+        "c | cause | ",
+        "c |  | #1",
+        "| cause | #1",
+        "c | a | b | #1",
+    ] {
+        root.refused(
+            &format!("# one\n{line}\n"),
+            &format!("line 2 {form}: {}", line.trim()),
+        );
     }
-    root.refused("c | cause | #1\nc | cause | #2\n", "line 2: c is listed twice");
+    root.refused(
+        "c | cause | #1\nc | cause | #2\n",
+        "line 2: c is listed twice",
+    );
     root.refused("gone | cause | #1\n", "line 1: no test is named gone");
     root.refused("a::b_ | cause | #1\n", "line 1: no test is named a::b_");
     root.refused("a.*b | cause | #1\n", "line 1: no test is named a.*b");
@@ -174,8 +235,9 @@
         "\ntwice | cause | #1\n",
         "line 2: 2 tests are named twice; give this one a name of its own",
     );
-    let four: String =
-        ["a::b", "a::b_too", "c", "gone"].map(|name| format!("{name} | cause | #1\n")).concat();
+    let four: String = ["a::b", "a::b_too", "c", "gone"]
+        .map(|name| format!("{name} | cause | #1\n"))
+        .concat();
     root.refused(&four, "lists 4 tests, at most 3 may be listed");
     fs::remove_file(root.0.join("KNOWN-RED.txt")).unwrap();
     fs::create_dir(root.0.join("KNOWN-RED.txt")).unwrap();
@@ -196,10 +258,16 @@
 #[test]
 fn skipping_goes_by_the_whole_name() {
     let told = |arguments: &[&str]| {
-        let ran =
-            Command::new(std::env::current_exe().unwrap()).arg("--list").args(arguments).output().unwrap();
+        let ran = Command::new(std::env::current_exe().unwrap())
+            .arg("--list")
+            .args(arguments)
+            .output()
+            .unwrap();
         let lines = String::from_utf8(ran.stdout).unwrap();
-        lines.lines().filter_map(|line| Some(line.strip_suffix(": test")?.to_string())).collect::<Vec<_>>()
+        lines
+            .lines()
+            .filter_map(|line| Some(line.strip_suffix(": test")?.to_string()))
+            .collect::<Vec<_>>()
     };
     let all = told(&[]);
     assert!(all.iter().filter(|test| test.contains(NAME)).count() > 1);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -45,7 +45,8 @@
 }
 
 fn number(text: &str) -> f64 {
-    text.parse().unwrap_or_else(|_| panic!("'{text}' is no number"))
+    text.parse()
+        .unwrap_or_else(|_| panic!("'{text}' is no number"))
 }
 
 fn micros(text: &str) -> Micros {
@@ -54,12 +55,16 @@
 
 /// The `name=value` parts of a line; a bare word has the value "yes".
 fn options<'a>(words: &[&'a str]) -> BTreeMap<&'a str, &'a str> {
-    words.iter().map(|w| w.split_once('=').unwrap_or((w, "yes"))).collect()
+    words
+        .iter()
+        .map(|w| w.split_once('=').unwrap_or((w, "yes")))
+        .collect()
 }
 
 impl Play {
     fn workload(&mut self, name: &str, options: &BTreeMap<&str, &str>) {
-        let get = |name: &str, absent: &str| options.get(name).copied().unwrap_or(absent).to_string();
+        let get =
+            |name: &str, absent: &str| options.get(name).copied().unwrap_or(absent).to_string();
         self.workloads.push(name.to_string());
         self.agreed.workloads.push(Workload {
             importance: number(&get("importance", "1")),
@@ -112,12 +117,19 @@
                 "on-probe" => self.agreed.report_on_probe = true,
                 "budgets" => {
                     let each: Vec<f64> = value.split(',').map(number).collect();
-                    self.agreed.budgets = Some(EngineBudgets { connections: each[0], probes: each[1] });
+                    self.agreed.budgets = Some(EngineBudgets {
+                        connections: each[0],
+                        probes: each[1],
+                    });
                 }
                 "customers" => self.agreed.customers = value.split(',').map(number).collect(),
                 "spare" => {
                     let window = 10_000 * MS;
-                    self.agreed.further = Some(FurtherBudget { spare: number(value), ratio: 0.1, window });
+                    self.agreed.further = Some(FurtherBudget {
+                        spare: number(value),
+                        ratio: 0.1,
+                        window,
+                    });
                 }
                 other => panic!("unknown setting '{other}'"),
             }
@@ -152,14 +164,30 @@
                     self.wake = Some(*at);
                     continue;
                 }
-                Action::Execute { statement: s, engine } => {
+                Action::Execute {
+                    statement: s,
+                    engine,
+                } => {
                     format!("execute {} {}", statement(s), self.engine_names[*engine])
                 }
-                Action::Terms { statement: s, grant_mb, priority } => {
-                    format!("terms {} grant={grant_mb:.0} priority={priority}", statement(s))
+                Action::Terms {
+                    statement: s,
+                    grant_mb,
+                    priority,
+                } => {
+                    format!(
+                        "terms {} grant={grant_mb:.0} priority={priority}",
+                        statement(s)
+                    )
                 }
-                Action::Cancel { statement: s, execution } => format!("cancel {} {execution}", statement(s)),
-                Action::Reject { statement: s, retry_after: None } => format!("reject {}", statement(s)),
+                Action::Cancel {
+                    statement: s,
+                    execution,
+                } => format!("cancel {} {execution}", statement(s)),
+                Action::Reject {
+                    statement: s,
+                    retry_after: None,
+                } => format!("reject {}", statement(s)),
                 Action::Reject { statement: s, .. } => format!("reject {} come-back", statement(s)),
                 Action::Abort { statement: s } => format!("abort {}", statement(s)),
                 Action::Probe { engine } => format!("probe {}", self.engine_names[*engine]),
@@ -189,16 +217,28 @@
     /// What the fleet was asked of each workload, as `NAME=ASKED/ENDED/TIMELY`, each of a second on one thread.
     fn demands(&self, said: &BTreeMap<&str, &str>) -> Vec<Demand> {
         let offer = |name: &String| {
-            let counts: Vec<f64> =
-                said.get(&name[..]).map_or(Vec::new(), |v| v.split('/').map(number).collect());
+            let counts: Vec<f64> = said
+                .get(&name[..])
+                .map_or(Vec::new(), |v| v.split('/').map(number).collect());
             let count = |n: usize| counts.get(n).copied().unwrap_or(0.0);
-            Demand { asked: count(0), ended: count(1), timely: count(2), work: 1e6 }
+            Demand {
+                asked: count(0),
+                ended: count(1),
+                timely: count(2),
+                work: 1e6,
+            }
         };
         self.workloads.iter().map(offer).collect()
     }
 
     fn happens(&mut self, words: &[&str]) -> Option<Event> {
-        let said = options(&words[if ["fleet", "asked"].contains(&words[0]) { 1 } else { 2 }..]);
+        let said = options(
+            &words[if ["fleet", "asked"].contains(&words[0]) {
+                1
+            } else {
+                2
+            }..],
+        );
         let statement = match words[0] {
             "hear" | "fleet" | "asked" | "probed" | "room" => 0,
             _ => index(&mut self.statements, words[1]) as StatementId,
@@ -215,10 +255,15 @@
                 memory_mb: value("memory"),
                 data_set: said.get("data").map(|d| number(d) as u32),
                 protocols: said.get("speech").map_or(1, |v| number(v) as u8),
-                allowed: said
-                    .get("allowed")
-                    .map(|l| l.split(',').filter(|l| !l.is_empty()).map(|l| number(l) as usize).collect()),
-                pinned: said.get("pinned").and_then(|p| self.engine_names.iter().position(|e| e == p)),
+                allowed: said.get("allowed").map(|l| {
+                    l.split(',')
+                        .filter(|l| !l.is_empty())
+                        .map(|l| number(l) as usize)
+                        .collect()
+                }),
+                pinned: said
+                    .get("pinned")
+                    .and_then(|p| self.engine_names.iter().position(|e| e == p)),
             }),
             "end" => Event::Ended(Ended {
                 statement,
@@ -238,7 +283,10 @@
                 took: micros(said.get("took").copied().unwrap_or("100")),
                 settled: words[3] == "completed" || said.contains_key("settled"),
                 keeps_order_key: said.contains_key("holds"),
-                report: said.get("active").or(said.get("busy")).map(|a| vec![number(a)]),
+                report: said
+                    .get("active")
+                    .or(said.get("busy"))
+                    .map(|a| vec![number(a)]),
             }),
             "note" => Event::Noted {
                 statement,
@@ -263,13 +311,18 @@
                 late_share: value("missed"),
                 relative: value("part"),
                 workloads: self.demands(&said),
-                customers_per_s: said.get("customers").map_or(vec![], |v| v.split(',').map(number).collect()),
+                customers_per_s: said
+                    .get("customers")
+                    .map_or(vec![], |v| v.split(',').map(number).collect()),
             }),
             "room" => Event::SendCapacity {
                 engine: self.engine_names.iter().position(|e| e == words[1])?,
                 executions: number(words[2]) as usize,
             },
-            "fleet" => Event::Fleet { known: value("known"), up: value("up") },
+            "fleet" => Event::Fleet {
+                known: value("known"),
+                up: value("up"),
+            },
             "probed" => Event::Probed {
                 engine: self.engine_names.iter().position(|e| e == words[1])?,
                 alive: said.contains_key("alive"),
@@ -294,7 +347,10 @@
             }
             ["start"] | ["whole"] | ["change"] => {
                 let entries = std::mem::take(&mut self.engines);
-                self.happened.push(Event::Engines { whole: words[0] != "change", entries });
+                self.happened.push(Event::Engines {
+                    whole: words[0] != "change",
+                    entries,
+                });
             }
             ["restart"] => (self.front, self.wake) = (None, None),
             ["at", time] => self.run_to(micros(time)),
@@ -311,7 +367,11 @@
             [">", ..] => {
                 self.run_to(self.now);
                 let wanted = &text[2..];
-                let got = if self.done.is_empty() { "nothing".to_string() } else { self.done.remove(0) };
+                let got = if self.done.is_empty() {
+                    "nothing".to_string()
+                } else {
+                    self.done.remove(0)
+                };
                 if got != wanted && got.split(" at ").next() != Some(wanted) {
                     return Err(format!("got '{got}'"));
                 }
@@ -331,17 +391,27 @@
 #[test]
 fn scenarios() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/scenarios");
-    let mut files: Vec<_> = fs::read_dir(folder).unwrap().map(|f| f.unwrap().path()).collect();
+    let mut files: Vec<_> = fs::read_dir(folder)
+        .unwrap()
+        .map(|f| f.unwrap().path())
+        .collect();
     files.sort();
     assert!(!files.is_empty());
     let mut wrong = Vec::new();
     for file in files {
         let name = file.file_name().unwrap().to_string_lossy().to_string();
         let mut play = Play::default();
-        (play.agreed.fronts, play.agreed.most_executions, play.agreed.cores) = (1.0, 3, vec![8.0]);
+        (
+            play.agreed.fronts,
+            play.agreed.most_executions,
+            play.agreed.cores,
+        ) = (1.0, 3, vec![8.0]);
         (play.agreed.largest_grant, play.agreed.over_share, play.seed) = (1.0, 0.1, SEED);
         let text = fs::read_to_string(&file).unwrap();
-        let lines = text.lines().enumerate().filter(|(_, l)| !l.is_empty() && !l.starts_with('#'));
+        let lines = text
+            .lines()
+            .enumerate()
+            .filter(|(_, l)| !l.is_empty() && !l.starts_with('#'));
         let mut failed = false;
         for (n, line) in lines.flat_map(|(n, l)| l.split("; ").map(move |part| (n, part))) {
             if let Err(why) = play.line(line) {
