--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -22,7 +22,7 @@
 use std::collections::{BTreeSet, HashMap};
 
 use hallmux::interface::{Event, KeyId, StatementId, Workload};
-use hallmux::Front;
+use hallmux::Scheduler;
 use hallmux_config::{Names, Settings};
 
 use demand::DemandCounts;
@@ -52,7 +52,7 @@
 
 /// The statements, engines and order keys of one front, and the module that decides on them.
 pub struct Dispatcher {
-    front: Front,
+    front: Scheduler,
     names: Names,
     workloads: Vec<Workload>,
     order_gap: Micros,
@@ -80,7 +80,7 @@
     pub fn new(settings: &Settings, seed: u64) -> Self {
         let agreement = &settings.agreement;
         Dispatcher {
-            front: Front::new(agreement.clone(), seed),
+            front: Scheduler::new(agreement.clone(), seed),
             names: settings.names.clone(),
             workloads: agreement.workloads.clone(),
             order_gap: agreement.order_gap,
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -5,7 +5,7 @@
 use hallmux::interface::{
     Action, Agreement, Arrival, Ended, EngineEntry, Event, Micros, Mode, Note, Outcome,
 };
-use hallmux::Front;
+use hallmux::Scheduler;
 
 use crate::wire::{self, Line};
 
@@ -41,7 +41,7 @@
 }
 
 pub struct Instance {
-    front: Front,
+    front: Scheduler,
     workloads: usize,
     engines: Vec<String>,
     engine_ids: HashMap<String, usize>,
@@ -55,7 +55,7 @@
     pub fn new(agreement: Agreement, seed: u64) -> Self {
         Instance {
             workloads: agreement.workloads.len(),
-            front: Front::new(agreement, seed),
+            front: Scheduler::new(agreement, seed),
             engines: Vec::new(),
             engine_ids: HashMap::new(),
             keys: HashMap::new(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,18 +1,18 @@
 //! hallmux: a front for query engines with limited memory.
 //!
 //! The library decides and does nothing else: no input or output, no clock, no threads. [`interface`] has the types
-//! that go in and come out, [`decide`] the module that decides, with a file for each part of the mechanism under it.
+//! that go in and come out, [`Scheduler`] the decisions.
 //! `state` and the files beside it keep the figures that decisions go by and decide nothing.
 
 #![warn(missing_docs)]
 
-pub mod decide;
 mod demand;
 pub mod interface;
 mod learned;
 mod order_queue;
 mod peer_reports;
 mod random;
+mod scheduler;
 mod state;
 
-pub use decide::Front;
+pub use scheduler::{penalty, Scheduler};
--- a/src/decide.rs
+++ b/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! Every decision of a front: see [`Front`]. docs/design.md says what is the paper's and what is ours.
+//! Every decision of a front: see [`Scheduler`]. docs/design.md says what is the paper's and what is ours.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,68 +6,68 @@
 use crate::interface::*;
 use crate::state::*;
 
-mod learn;
+mod observations;
+mod peer_evidence;
 mod penalty;
-mod place;
-mod shed;
-mod suspicion;
+mod placement;
+mod shedding;
 
 pub use penalty::penalty;
 
-const BOUNDARIES: [f64; 4] = [1.0, 0.9, 0.8, 0.0]; // conformance that opens each level; the design page's
-const HALF_LIFE: Micros = 10 * SECOND; // until a count of conformance has halved; the design page's value
-const UNSEEN: f64 = 0.05; // statements, counted as timely on top, so that an unseen class has conformance 1
-const THREADS_PER_CORE: f64 = 2.0; // threads a core that all fronts may use at start; the design page's value
-const MOST_PER_CORE: f64 = 3.0; // threads a core that all fronts may use at most; some of them read
-const MEMORY_USED: f64 = 0.9; // share of memory promised at the starting bound; the rest covers low estimates
-const QUICK: f64 = 0.35; // share of the SLO time; answers within it say that there is room left
-const GROWTH: f64 = 0.15; // threads gained among many fronts for each thread-second answered quickly
-const LEAST_SHARE: f64 = 0.06; // of the bound at start; one thread of eight cores: no engine is given up
-const IDLE: f64 = 1.0; // threads a core up to which fresh news lets a front among many beyond its share
-const FRESH: Micros = SECOND; // age of such news; reports are refreshed about once a second
-const SHRINK: f64 = 0.2; // threads lost for each thread of a late answer: a jam is all late
-const LEARNING: f64 = 0.05; // least weight of the newest sample in learned means: some twenty statements
-const GUESSED: f64 = 4.0; // samples that an estimate's good faith counts for until answers tell its bias
-const EARNED: f64 = 0.1; // credit for each answer: full credit takes ten good answers
-const SPENT_ERROR: f64 = 0.8; // factor on credit for an execution that failed: half failing leaves a quarter
-const SPENT_LOST: f64 = 0.2; // factor on credit for no route or whole silence: the process may be gone
-const TRUSTED: f64 = 0.5; // credit from which further executions go to an engine, and which a new one has
-const LOST_REST: Micros = SECOND; // rest of an engine that seems gone: a try a second finds it soon
-const SILENCE_RUNS: f64 = 4.0; // usual run times, and a second, that one may be silent for without notes
-const SILENT_NOTES: f64 = 1.5; // gaps between notes of progress, where agreed, that one may be silent for
-const BAD_PLAN: f64 = 6.0; // times the expected run time that an execution must head for to be cancelled
-const LATE_WORTH: f64 = 0.25; // late share under which a statement that must be late is shed at once
-const COLD_MARGIN: f64 = 0.4; // share of the overload factor sent to a cold engine: estimates may be half off
-const COLD_SPARE: f64 = 2.0; // statements beyond any budget that the rule lets a cold engine have, for chance
-const SWEEP: Micros = 25_000; // microseconds between looks at what is due; finer than any slack agreed
-const LAST_CALL: Micros = 40_000; // microseconds before the client's time is up when a held statement ends
-const SWEEPS_PER_LOOK: u32 = 4; // sweeps between looks at silent engines, which walk all executions out
-const PROBE_GAP: Micros = SECOND / 2; // least time between probes of an engine, where only they bring reports
-const PROBES: f64 = 1.0; // probes that each statement taken pays for
-const MOST_PROBES: f64 = 8.0; // probes that may be saved up
-const HEADS: usize = 8; // statements tried of a class, the overdue or the late: the next mostly need as much
-const ENOUGH: f64 = 0.99; // factor on the memory need learned when one had enough: answers tell no cost
-const SLOW_RUN: f64 = 2.0; // times the usual run that a start still counts as timely for: half run longer
-const SCARCE: f64 = 1.0; // threads a core an engine counts as fuller where bound workloads need it
-const GRANTED: f64 = 1.25; // memory granted against the need expected: a quarter over, as engines do
-const COME_BACK: f64 = 0.3; // seconds after which a rejected client may try again, spread by half
-const REMEMBERED: f64 = 0.99; // share of those shed that may still come back, at each arrival
-const SAME_TRY: Micros = 20_000; // microseconds less time than a first try has that mark a later one
-const STOOD_STILL: Micros = 4 * SWEEP; // between two calls; a front that waits so long was stopped
-const FORGOTTEN: f64 = 0.007; // share of what reports told that each look forgets: half is gone in about 10 s
-const OUTDATED: f64 = 0.02; // share of what one engine told that a look turns into the usual: half in 3.5 s
-const REPORT_LIFETIME: Micros = 8 * SECOND; // age at which a peer report on an engine is worth nothing
-const MOST_SUSPICION: f64 = 0.5; // most that peer reports take of a bound, however many; one takes half of it
-const FALSE_REPORT: f64 = 0.8; // factor on the credibility of a front whose adverse report proves false
-const ADVERSE: f64 = 0.3; // share of failures or silence from which a peer report counts as adverse
-const MOST_LATE: f64 = 0.15; // share of what the fleet admitted that was late, beyond which it admits less
-const ADMITTED: f64 = 1.25; // times what engines answer that the fleet admits: less would leave them idle
-const LEAST_ADMITTED: f64 = 0.05; // share of what is asked that is admitted in any case: else no way back
-const FLEET_PROBES: f64 = 4.0; // a second into evacuated zones, of all fronts together
+const CONFORMANCE_LEVELS: [f64; 4] = [1.0, 0.9, 0.8, 0.0]; // conformance that opens each level; the design page's
+const CONFORMANCE_HALF_LIFE: Micros = 10 * SECOND; // until a count of conformance has halved; the design page's value
+const PRIOR_TIMELY_STATEMENTS: f64 = 0.05; // statements, counted as timely on top, so that an unseen class has conformance 1
+const INITIAL_THREADS_PER_CORE: f64 = 2.0; // threads a core that all fronts may use at start; the design page's value
+const MAX_THREADS_PER_CORE: f64 = 3.0; // threads a core that all fronts may use at most; some of them read
+const INITIAL_MEMORY_SHARE: f64 = 0.9; // share of memory promised at the starting bound; the rest covers low estimates
+const QUICK_ANSWER_SLO_SHARE: f64 = 0.35; // share of the SLO time; answers within it say that there is room left
+const LIMIT_GROWTH_PER_THREAD_SECOND: f64 = 0.15; // threads gained among many fronts for each thread-second answered quickly
+const MIN_LIMIT_SHARE: f64 = 0.06; // of the bound at start; one thread of eight cores: no engine is given up
+const IDLE_THREADS_PER_CORE: f64 = 1.0; // threads a core up to which fresh news lets a front among many beyond its share
+const FRESH_REPORT_AGE: Micros = SECOND; // age of such news; reports are refreshed about once a second
+const LIMIT_SHRINK_PER_LATE_THREAD: f64 = 0.2; // threads lost for each thread of a late answer: a jam is all late
+const MIN_SAMPLE_WEIGHT: f64 = 0.05; // least weight of the newest sample in learned means: some twenty statements
+const ESTIMATE_PRIOR_SAMPLES: f64 = 4.0; // samples that an estimate's good faith counts for until answers tell its bias
+const CREDIT_PER_ANSWER: f64 = 0.1; // credit for each answer: full credit takes ten good answers
+const CREDIT_FACTOR_FAILED: f64 = 0.8; // factor on credit for an execution that failed: half failing leaves a quarter
+const CREDIT_FACTOR_UNREACHABLE: f64 = 0.2; // factor on credit for no route or whole silence: the process may be gone
+const TRUSTED_CREDIT: f64 = 0.5; // credit from which further executions go to an engine, and which a new one has
+const EJECTION_TIME: Micros = SECOND; // rest of an engine that seems gone: a try a second finds it soon
+const MAX_SILENT_RUNS: f64 = 4.0; // usual run times, and a second, that one may be silent for without notes
+const MAX_SILENT_PROGRESS_GAPS: f64 = 1.5; // gaps between notes of progress, where agreed, that one may be silent for
+const BAD_PLAN_RUN_FACTOR: f64 = 6.0; // times the expected run time that an execution must head for to be cancelled
+const MIN_LATE_SHARE_TO_RUN: f64 = 0.25; // late share under which a statement that must be late is shed at once
+const OVERLOAD_FACTOR_SHARE: f64 = 0.4; // share of the overload factor sent to a cold engine: estimates may be half off
+const MAX_FRONTS_WITHOUT_SLOTS: f64 = 2.0; // statements beyond any budget that the rule lets a cold engine have, for chance
+const SWEEP_INTERVAL: Micros = 25_000; // microseconds between looks at what is due; finer than any slack agreed
+const REJECT_BEFORE_DEADLINE: Micros = 40_000; // microseconds before the client's time is up when a held statement ends
+const SWEEPS_PER_ENGINE_CHECK: u32 = 4; // sweeps between looks at silent engines, which walk all executions out
+const MIN_PROBE_INTERVAL: Micros = SECOND / 2; // least time between probes of an engine, where only they bring reports
+const PROBES_PER_STATEMENT: f64 = 1.0; // probes that each statement taken pays for
+const MAX_SAVED_PROBES: f64 = 8.0; // probes that may be saved up
+const MAX_CANDIDATES_PER_CLASS: usize = 8; // statements tried of a class, the overdue or the late: the next mostly need as much
+const MEMORY_BIAS_DECAY_PER_ANSWER: f64 = 0.99; // factor on the memory need learned when one had enough: answers tell no cost
+const TIMELY_RUN_FACTOR: f64 = 2.0; // times the usual run that a start still counts as timely for: half run longer
+const SCARCE_ENGINE_THREADS_PER_CORE: f64 = 1.0; // threads a core an engine counts as fuller where bound workloads need it
+const MEMORY_GRANT_FACTOR: f64 = 1.25; // memory granted against the need expected: a quarter over, as engines do
+const RETRY_AFTER_SECONDS: f64 = 0.3; // seconds after which a rejected client may try again, spread by half
+const SHED_RETRY_DECAY_PER_ARRIVAL: f64 = 0.99; // share of those shed that may still come back, at each arrival
+const FIRST_TRY_TOLERANCE: Micros = 20_000; // microseconds less time than a first try has that mark a later one
+const STALL_THRESHOLD: Micros = 4 * SWEEP_INTERVAL; // between two calls; a front that waits so long was stopped
+const OTHERS_LOAD_DECAY: f64 = 0.007; // share of what reports told that each look forgets: half is gone in about 10 s
+const OTHERS_LOAD_DRIFT_TO_USUAL: f64 = 0.02; // share of what one engine told that a look turns into the usual: half in 3.5 s
+const PEER_REPORT_LIFETIME: Micros = 8 * SECOND; // age at which a peer report on an engine is worth nothing
+const MAX_SUSPICION: f64 = 0.5; // most that peer reports take of a bound, however many; one takes half of it
+const CREDIBILITY_FACTOR_FALSE_REPORT: f64 = 0.8; // factor on the credibility of a front whose adverse report proves false
+const MIN_ADVERSE_SEVERITY: f64 = 0.3; // share of failures or silence from which a peer report counts as adverse
+const MAX_FLEET_LATE_SHARE: f64 = 0.15; // share of what the fleet admitted that was late, beyond which it admits less
+const ADMITTED_PER_ANSWERED: f64 = 1.25; // times what engines answer that the fleet admits: less would leave them idle
+const MIN_ADMITTED_SHARE: f64 = 0.05; // share of what is asked that is admitted in any case: else no way back
+const FLEET_PROBES_PER_SECOND: f64 = 4.0; // a second into evacuated zones, of all fronts together
 
 #[derive(Default)]
 /// One front: what it was agreed, what it knows, and its decisions.
-pub struct Front {
+pub struct Scheduler {
     agreed: Agreement,
     random: Random,
     now: Micros,
@@ -103,14 +103,14 @@
     placement_start: f64, // where in the list of engines the next choice looks first
 }
 
-impl Front {
+impl Scheduler {
     /// A front at its start. All its random draws follow from the seed, which differs from front to front.
     pub fn new(agreed: Agreement, seed: u64) -> Self {
         let customers = agreed.customers.len().max(1);
         let classes = agreed.workloads.len() * customers * 2;
         let guess = Mean {
             value: 1.0,
-            samples: GUESSED,
+            samples: ESTIMATE_PRIOR_SAMPLES,
         };
         let fresh = Learned {
             memory_bias: guess,
@@ -124,7 +124,7 @@
             .fold(f64::INFINITY, f64::min);
         let placement_start = random.next();
         let smallest = agreed.cores.iter().copied().fold(f64::INFINITY, f64::min);
-        Front {
+        Scheduler {
             placement_start,
             first_slot: placement_start,
             probe_tokens: Bucket {
@@ -132,7 +132,7 @@
                 at: 0,
             }, // fronts started together probe apart
             next_probed: (random.next() * 256.0) as usize,
-            many: THREADS_PER_CORE * smallest / agreed.fronts < narrowest,
+            many: INITIAL_THREADS_PER_CORE * smallest / agreed.fronts < narrowest,
             engines: Engines {
                 usual: vec![Load::default(); agreed.cores.len()],
                 ..Engines::default()
@@ -154,7 +154,7 @@
             ],
             random,
             agreed,
-            ..Front::default()
+            ..Scheduler::default()
         }
     }
 
@@ -166,7 +166,7 @@
     ) -> Vec<Action> {
         // Guards against a front that stood still: what it finds is old, and its silence is nobody's fault.
         let gap = now - std::mem::replace(&mut self.now, now);
-        self.running_since = if gap > STOOD_STILL {
+        self.running_since = if gap > STALL_THRESHOLD {
             now
         } else {
             self.running_since
@@ -204,9 +204,9 @@
                     alive,
                     report,
                 } => {
-                    self.engines.ensure(engine, TRUSTED);
+                    self.engines.ensure(engine, TRUSTED_CREDIT);
                     self.found_healthy(engine, alive);
-                    self.engines.credit[engine] *= if alive { 1.0 } else { SPENT_ERROR };
+                    self.engines.credit[engine] *= if alive { 1.0 } else { CREDIT_FACTOR_FAILED };
                     report.iter().for_each(|r| self.load_reported(engine, r));
                 }
             }
@@ -226,7 +226,7 @@
         self.admissions.forget(now - window);
         self.further_executions.forget(now - window);
         if self.next_wake <= now {
-            self.next_wake = now + SWEEP;
+            self.next_wake = now + SWEEP_INTERVAL;
             self.actions.push(Action::Wake { at: self.next_wake });
         }
         std::mem::take(&mut self.actions)
@@ -238,16 +238,16 @@
         }
         for entry in entries {
             let e = entry.engine;
-            self.engines.ensure(e, TRUSTED);
+            self.engines.ensure(e, TRUSTED_CREDIT);
             let known = self.engines.listed[e].as_ref();
             let restarted = known.is_none_or(|k| k.started != entry.started);
             if known.is_none() {
                 self.engines.size[e] = size_of(&self.agreed, entry.kind);
                 self.engines.bound[e] =
-                    THREADS_PER_CORE * self.engines.size[e].threads / self.agreed.fronts;
+                    INITIAL_THREADS_PER_CORE * self.engines.size[e].threads / self.agreed.fronts;
             }
             if let Some(start) = entry.started.filter(|_| restarted) {
-                (self.engines.credit[e], self.engines.ejected_until[e]) = (TRUSTED, 0);
+                (self.engines.credit[e], self.engines.ejected_until[e]) = (TRUSTED_CREDIT, 0);
                 self.engines.others[e] = Load::default();
                 self.peer_reports.forget(e); // of an earlier start
                 self.found_healthy(e, true);
@@ -283,12 +283,14 @@
         let class = class + usize::from(over);
         let workload = &self.agreed.workloads[a.workload];
         let learned = &mut self.learned[a.workload];
-        learned.beyond.take(LEARNING, f64::from(u8::from(over)));
+        learned
+            .beyond
+            .take(MIN_SAMPLE_WEIGHT, f64::from(u8::from(over)));
         learned.first_try = learned.first_try.max(a.time_left);
         // What a front that stood still finds has waited; what first tries have left tells how long.
         let missing = learned.first_try - a.time_left;
-        let later = missing > SAME_TRY && learned.shed >= 1.0;
-        learned.shed = learned.shed * REMEMBERED - f64::from(u8::from(later));
+        let later = missing > FIRST_TRY_TOLERANCE && learned.shed >= 1.0;
+        learned.shed = learned.shed * SHED_RETRY_DECAY_PER_ARRIVAL - f64::from(u8::from(later));
         let past = if later {
             (workload.statement_timeout - a.time_left).max(0)
         } else {
@@ -299,7 +301,7 @@
         } else {
             past
         };
-        learned.work.take_known(LEARNING, a.work);
+        learned.work.take_known(MIN_SAMPLE_WEIGHT, a.work);
         let memory = a.memory_mb * learned.memory_bias.value;
         let least_mb = self
             .agreed
@@ -308,7 +310,7 @@
             .copied()
             .fold(f64::INFINITY, f64::min);
         let memory = memory.min(least_mb * self.agreed.largest_grant);
-        self.probe_allowance = (self.probe_allowance + PROBES).min(MOST_PROBES);
+        self.probe_allowance = (self.probe_allowance + PROBES_PER_STATEMENT).min(MAX_SAVED_PROBES);
         a.key = a.key.filter(|_| workload.in_order);
         self.order_queues.enqueue(a.key, a.statement);
         let (id, ends) = (a.statement, self.now + a.time_left);
@@ -346,7 +348,7 @@
         let ends = if self.is_to_be_shed(s) {
             self.now
         } else {
-            s.deadline - LAST_CALL
+            s.deadline - REJECT_BEFORE_DEADLINE
         };
         let forgotten = s
             .executions
@@ -387,7 +389,10 @@
             let pressed = self.now >= self.latest_start(s) && others_wait();
             if s.is_in_flight() {
                 self.prioritise(id);
-            } else if self.now >= s.deadline - LAST_CALL || self.is_to_be_shed(s) || pressed {
+            } else if self.now >= s.deadline - REJECT_BEFORE_DEADLINE
+                || self.is_to_be_shed(s)
+                || pressed
+            {
                 self.shed(id);
             } else {
                 self.enqueue(id);
@@ -396,9 +401,11 @@
         if self.next_wake <= self.now {
             self.sweeps += 1;
             self.probe();
-            if self.sweeps.is_multiple_of(SWEEPS_PER_LOOK) {
-                self.engines
-                    .decay_others(FORGOTTEN, self.many.then_some(OUTDATED));
+            if self.sweeps.is_multiple_of(SWEEPS_PER_ENGINE_CHECK) {
+                self.engines.decay_others(
+                    OTHERS_LOAD_DECAY,
+                    self.many.then_some(OTHERS_LOAD_DRIFT_TO_USUAL),
+                );
                 (0..self.engines.open.len()).for_each(|e| self.check_silence(e));
             }
         }
@@ -424,7 +431,8 @@
 
     fn last_timely_start(&self, s: &Statement) -> Micros {
         let slo = self.slo_time(s);
-        let run = self.learned[s.asked.workload].pace.value * self.estimated_run(s) * SLOW_RUN;
+        let run =
+            self.learned[s.asked.workload].pace.value * self.estimated_run(s) * TIMELY_RUN_FACTOR;
         // While few of its class run, half the time may be waited: else a jam's run times shut it out.
         let few = self.classes[s.class].in_flight.len()
             < self.engines.open.iter().filter(|o| **o).count();
--- a/src/decide/learn.rs
+++ b/src/scheduler/observations.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-impl Front {
+impl Scheduler {
     /// Asks engines for their load where only probes bring it, in turn, as often as statements pay for.
     pub(super) fn probe(&mut self) {
         // All fronts together probe evacuated zones: each draws at its share of the rate. Where
         // probes are not allowed a statement or two go there instead, as to a cold engine.
-        let rate = FLEET_PROBES * SWEEP as f64 / SECOND as f64;
+        let rate = FLEET_PROBES_PER_SECOND * SWEEP_INTERVAL as f64 / SECOND as f64;
         if !self.engines.evacuated.is_empty() && self.random.next() * self.up < rate {
             match self.engines.pick_evacuated(self.random.next()) {
                 Some(engine) if self.agreed.probes => {
@@ -27,7 +27,7 @@
             let e = self.next_probed % count;
             if !asks
                 || self.probe_allowance < 1.0
-                || self.engines.probed_at[e] > self.now - PROBE_GAP
+                || self.engines.probed_at[e] > self.now - MIN_PROBE_INTERVAL
             {
                 return;
             }
@@ -72,7 +72,7 @@
         (self.engines.own_at_report[e], self.engines.reported_at[e]) = (own, self.now);
         self.engines.others[e].blend(reported, if self.many { 1.0 } else { 0.5 });
         self.engines
-            .learn_usual(e, reported.times(1.0 / size.threads), LEARNING);
+            .learn_usual(e, reported.times(1.0 / size.threads), MIN_SAMPLE_WEIGHT);
     }
 
     /// Guards against executions that are taken and never answered, whatever the cause: a hung engine,
@@ -89,9 +89,9 @@
             let (heard, patience) = match self.agreed.progress_every * Micros::from(tells) {
                 0 => (
                     x.sent_at.max(self.engines.heard_at[e]),
-                    SECOND as f64 + SILENCE_RUNS * run,
+                    SECOND as f64 + MAX_SILENT_RUNS * run,
                 ),
-                every => (x.heard_at, SILENT_NOTES * every as f64),
+                every => (x.heard_at, MAX_SILENT_PROGRESS_GAPS * every as f64),
             };
             !x.silent && (self.now - heard.max(self.running_since)) as f64 > patience
         };
@@ -102,7 +102,14 @@
             .collect();
         for (id, n) in stuck {
             let all_quiet = self.engines.heard_at[e] <= self.statements[&id].executions[n].heard_at;
-            self.lose_credit(e, if all_quiet { SPENT_LOST } else { SPENT_ERROR });
+            self.lose_credit(
+                e,
+                if all_quiet {
+                    CREDIT_FACTOR_UNREACHABLE
+                } else {
+                    CREDIT_FACTOR_FAILED
+                },
+            );
             self.cancel_to_retry(id, n);
             self.statements
                 .entry(id)
@@ -125,10 +132,10 @@
         };
         if let Note::SpillsMb(missing) = note {
             execution.spilled = true;
-            let need = (s.load.memory * GRANTED + missing) / s.asked.memory_mb.max(1.0);
+            let need = (s.load.memory * MEMORY_GRANT_FACTOR + missing) / s.asked.memory_mb.max(1.0);
             self.learned[s.asked.workload]
                 .memory_bias
-                .take_ratio(LEARNING, need);
+                .take_ratio(MIN_SAMPLE_WEIGHT, need);
         }
         if let (Note::WaitsForData, Some(data_set)) = (note, s.asked.data_set) {
             // Another front's load holds the data set there: guards against standing still behind it.
@@ -142,8 +149,9 @@
             let s = &self.statements[&id];
             let expected = self.learned[s.asked.workload].pace.value * self.estimated_run(s);
             // Guards against a bad plan, drawn anew at each execution, not against a long statement.
-            let bad =
-                expected > 0.0 && run > expected && run / done.max(0.001) > BAD_PLAN * expected;
+            let bad = expected > 0.0
+                && run > expected
+                && run / done.max(0.001) > BAD_PLAN_RUN_FACTOR * expected;
             if bad && s.executions.len() == 1 {
                 self.cancel_to_retry(id, n);
             }
@@ -152,7 +160,7 @@
 
     pub(super) fn ended(&mut self, x: Ended) {
         let (now, e) = (self.now, x.engine);
-        self.engines.ensure(e, TRUSTED);
+        self.engines.ensure(e, TRUSTED_CREDIT);
         let Some(s) = self.statements.get_mut(&x.statement) else {
             return;
         };
@@ -172,7 +180,9 @@
         self.order_queues
             .keep(key, x.keeps_order_key && x.settled && !was_over);
         // One connection late to come up tells little of its engine; two in a row tell that it is gone.
-        let (before, unreached) = self.engines.count_unreached(e, x.outcome, now + LOST_REST);
+        let (before, unreached) = self
+            .engines
+            .count_unreached(e, x.outcome, now + EJECTION_TIME);
         if unreached.max(before) > 1 {
             // It could not be reached: once it is back it may have restarted before the list says so.
             self.start_warm_up(e, now + self.agreed.warm_within);
@@ -193,15 +203,23 @@
             // run into the client's limit is full until it reports again, whatever it said before.
             Outcome::NoCapacity | Outcome::TimedOut => {
                 if self.many || x.outcome == Outcome::NoCapacity {
-                    self.engines.others[e].threads = MOST_PER_CORE * self.engines.size[e].threads;
+                    self.engines.others[e].threads =
+                        MAX_THREADS_PER_CORE * self.engines.size[e].threads;
                 }
-                self.adjust_bound(e, -SHRINK * load.threads);
+                self.adjust_bound(e, -LIMIT_SHRINK_PER_LATE_THREAD * load.threads);
             }
             // A crash resets all that an engine holds at once; single resets are the network's.
             Outcome::Error | Outcome::Reset | Outcome::Unreachable => {
                 self.proved(e, true);
                 let gone = x.outcome == Outcome::Unreachable && unreached > 1;
-                self.lose_credit(e, if gone { SPENT_LOST } else { SPENT_ERROR })
+                self.lose_credit(
+                    e,
+                    if gone {
+                        CREDIT_FACTOR_UNREACHABLE
+                    } else {
+                        CREDIT_FACTOR_FAILED
+                    },
+                )
             }
             Outcome::Cancelled | Outcome::NotSent => {}
         }
@@ -215,7 +233,10 @@
                 x.statement,
                 x.outcome == Outcome::Completed && now - s.first_arrival <= slo,
             );
-        } else if self.has_safe_engine(s) && self.tries_left(s) && now < ends - LAST_CALL {
+        } else if self.has_safe_engine(s)
+            && self.tries_left(s)
+            && now < ends - REJECT_BEFORE_DEADLINE
+        {
             self.enqueue(x.statement);
         } else {
             self.shed(x.statement);
@@ -224,8 +245,8 @@
 
     fn lose_credit(&mut self, e: EngineId, left: f64) {
         self.engines.credit[e] *= left;
-        if left <= SPENT_LOST {
-            self.engines.ejected_until[e] = self.now + LOST_REST;
+        if left <= CREDIT_FACTOR_UNREACHABLE {
+            self.engines.ejected_until[e] = self.now + EJECTION_TIME;
         }
     }
 
@@ -239,27 +260,35 @@
         );
         let slo = self.slo_time(s) as f64;
         self.engines.heard_at[e] = now;
-        self.engines.credit[e] = (self.engines.credit[e] + EARNED).min(1.0);
+        self.engines.credit[e] = (self.engines.credit[e] + CREDIT_PER_ANSWER).min(1.0);
         let seconds = took / SECOND as f64;
         self.load.blend(
             Load {
                 threads,
                 memory: s.load.memory,
             },
-            LEARNING * seconds.min(1.0),
+            MIN_SAMPLE_WEIGHT * seconds.min(1.0),
         );
         let (bound, held) = self.engines.totals(if self.many { None } else { Some(e) });
-        if took <= slo * QUICK && held + 2.0 * threads >= bound {
+        if took <= slo * QUICK_ANSWER_SLO_SHARE && held + 2.0 * threads >= bound {
             let growth = if self.many {
-                GROWTH
+                LIMIT_GROWTH_PER_THREAD_SECOND
             } else {
                 1.0 / bound.max(1.0)
             };
             self.adjust_bound(e, threads * seconds * growth);
         } else if took > slo {
-            self.adjust_bound(e, -SHRINK * threads);
+            self.adjust_bound(e, -LIMIT_SHRINK_PER_LATE_THREAD * threads);
         }
-        self.learned[w].completed(LEARNING, (took, base), if spilled { 1.0 } else { ENOUGH });
+        self.learned[w].completed(
+            MIN_SAMPLE_WEIGHT,
+            (took, base),
+            if spilled {
+                1.0
+            } else {
+                MEMORY_BIAS_DECAY_PER_ANSWER
+            },
+        );
     }
 
     /// Moves an engine's bound, or all alike: a front among many hears too seldom of each to know its own.
@@ -272,9 +301,9 @@
         let all: f64 = self.engines.bound[moved.clone()].iter().sum();
         for e in moved {
             let cores = self.engines.size[e].threads;
-            let least = LEAST_SHARE * THREADS_PER_CORE * cores / self.agreed.fronts;
+            let least = MIN_LIMIT_SHARE * INITIAL_THREADS_PER_CORE * cores / self.agreed.fronts;
             let bound = self.engines.bound[e] * (1.0 + threads / all.max(0.01)).max(0.5);
-            self.engines.bound[e] = bound.clamp(least, MOST_PER_CORE * cores);
+            self.engines.bound[e] = bound.clamp(least, MAX_THREADS_PER_CORE * cores);
         }
     }
 }
--- a/src/decide/suspicion.rs
+++ b/src/scheduler/peer_evidence.rs
@@ -2,23 +2,26 @@
 
 use super::*;
 
-impl Front {
+impl Scheduler {
     pub(super) fn peer_reported(&mut self, report: PeerReport) {
         // Silence counts beyond what the longest usual run may take here: long statements are silent too.
         let longest = self.learned.iter().map(|l| l.run.value).fold(0.0, f64::max);
-        let beyond = (report.silent as f64 - SILENCE_RUNS * longest).max(0.0);
+        let beyond = (report.silent as f64 - MAX_SILENT_RUNS * longest).max(0.0);
         let silence = beyond / (beyond + SECOND as f64);
         let severity = (report.failed / (report.failed + report.answered + 1.0)).max(silence);
         let (e, reporter, until) = (
             report.engine,
             report.reporter,
-            self.now - report.age + REPORT_LIFETIME,
+            self.now - report.age + PEER_REPORT_LIFETIME,
         );
         self.peer_reports.expire(self.now);
-        let believed = self.peer_reports.credibility(reporter, TRUSTED) >= TRUSTED;
+        let believed = self.peer_reports.credibility(reporter, TRUSTED_CREDIT) >= TRUSTED_CREDIT;
         // What was reported before an engine was found healthy, or of an earlier start, is over.
         let healthy_since = self.engines.cold_until[e] - self.agreed.warm_within;
-        if severity >= ADVERSE && until > self.now && until - REPORT_LIFETIME >= healthy_since {
+        if severity >= MIN_ADVERSE_SEVERITY
+            && until > self.now
+            && until - PEER_REPORT_LIFETIME >= healthy_since
+        {
             self.peer_reports
                 .adverse
                 .insert((e, reporter), Adverse { severity, until });
@@ -40,11 +43,13 @@
     /// with age; of an evacuated zone nothing.
     pub(super) fn unsuspected_share(&self, e: EngineId) -> f64 {
         let worth = |(reporter, report): (usize, Adverse)| {
-            let left = (report.until - self.now).max(0) as f64 / REPORT_LIFETIME as f64;
-            (self.peer_reports.credibility(reporter, TRUSTED) * report.severity * left.sqrt())
-                .min(0.5)
+            let left = (report.until - self.now).max(0) as f64 / PEER_REPORT_LIFETIME as f64;
+            (self.peer_reports.credibility(reporter, TRUSTED_CREDIT)
+                * report.severity
+                * left.sqrt())
+            .min(0.5)
         };
-        let suspicion = MOST_SUSPICION * self.peer_reports.on(e).map(worth).sum::<f64>().min(1.0);
+        let suspicion = MAX_SUSPICION * self.peer_reports.on(e).map(worth).sum::<f64>().min(1.0);
         f64::from(u8::from(!self.engines.is_evacuated(e))) * (1.0 - suspicion)
     }
 
@@ -52,7 +57,9 @@
     /// fleet: it is evacuated, and stays so when the reports fade, as nobody has anything out there by then.
     fn evacuate_zone(&mut self, e: EngineId) {
         let (zone, quorum) = (self.engines.same_zone(e), self.agreed.zone_quorum);
-        let suspects = self.peer_reports.suspects(&zone, TRUSTED, TRUSTED);
+        let suspects = self
+            .peer_reports
+            .suspects(&zone, TRUSTED_CREDIT, TRUSTED_CREDIT);
         if quorum > 0
             && suspects.reporters.len() >= quorum
             && 2 * suspects.engines.len() > zone.len()
@@ -79,7 +86,7 @@
             for o in zone {
                 self.engines.evacuated.remove(&o);
                 self.peer_reports.forget(o);
-                (self.engines.credit[o], self.engines.ejected_until[o]) = (TRUSTED, 0);
+                (self.engines.credit[o], self.engines.ejected_until[o]) = (TRUSTED_CREDIT, 0);
                 self.start_warm_up(o, self.now + self.agreed.warm_within);
             }
         }
@@ -89,11 +96,11 @@
     pub(super) fn proved(&mut self, e: EngineId, right: bool) {
         let change = |c: f64| {
             if right {
-                (c + EARNED).min(1.0)
+                (c + CREDIT_PER_ANSWER).min(1.0)
             } else {
-                c * FALSE_REPORT
+                c * CREDIBILITY_FACTOR_FALSE_REPORT
             }
         };
-        self.peer_reports.proved(e, TRUSTED, change);
+        self.peer_reports.proved(e, TRUSTED_CREDIT, change);
     }
 }
--- a/src/decide/penalty.rs
+++ b/src/scheduler/penalty.rs
@@ -4,21 +4,21 @@
 
 impl ServiceClass {
     fn conformance(&self) -> f64 {
-        (self.timely + UNSEEN) / (self.counted + UNSEEN)
+        (self.timely + PRIOR_TIMELY_STATEMENTS) / (self.counted + PRIOR_TIMELY_STATEMENTS)
     }
 
     pub(super) fn on_top(&self) -> bool {
-        self.conformance() >= BOUNDARIES[1]
+        self.conformance() >= CONFORMANCE_LEVELS[1]
     }
 }
 
 /// The larger of opportunity cost and marginal gain at a conformance.
 pub fn penalty(conformance: f64, delta: f64) -> f64 {
-    let last = BOUNDARIES.len() - 2;
+    let last = CONFORMANCE_LEVELS.len() - 2;
     let level = (0..last)
-        .find(|i| conformance >= BOUNDARIES[i + 1])
+        .find(|i| conformance >= CONFORMANCE_LEVELS[i + 1])
         .unwrap_or(last);
-    let (high, low) = (BOUNDARIES[level], BOUNDARIES[level + 1]);
+    let (high, low) = (CONFORMANCE_LEVELS[level], CONFORMANCE_LEVELS[level + 1]);
     // Departure: the lowest level has an opportunity cost too, or a class deep in it would always rank last.
     let cost = (high - conformance) / (high - low);
     let gain = if level > 0 {
@@ -29,11 +29,15 @@
     cost.max(gain).powi(2) * delta
 }
 
-impl Front {
+impl Scheduler {
     /// Lets held statements leave: those past their latest start, then by penalty, ties by arrival.
     pub(super) fn release(&mut self) {
-        let heads =
-            |held: &BTreeSet<StatementId>| held.iter().copied().take(HEADS).collect::<Vec<_>>();
+        let heads = |held: &BTreeSet<StatementId>| {
+            held.iter()
+                .copied()
+                .take(MAX_CANDIDATES_PER_CLASS)
+                .collect::<Vec<_>>()
+        };
         // Past its latest start a statement could only answer after its client gives up: now or never.
         let stuck: Vec<_> = heads(&self.overdue)
             .into_iter()
@@ -42,7 +46,7 @@
         stuck.into_iter().for_each(|id| self.shed(id));
         let mut waiting: Vec<(f64, usize)> = Vec::new();
         for class in 0..self.classes.len() {
-            self.classes[class].fade(self.now, HALF_LIFE);
+            self.classes[class].fade(self.now, CONFORMANCE_HALF_LIFE);
             waiting.push((
                 penalty(self.classes[class].conformance(), self.delta(class)),
                 class,
@@ -98,7 +102,7 @@
         let most = self.engines.size[e].memory * self.agreed.largest_grant;
         let grants = self.agreed.grants && s.asked.memory_mb > 0.0;
         let grant_mb = if grants {
-            (s.load.memory * GRANTED).min(most)
+            (s.load.memory * MEMORY_GRANT_FACTOR).min(most)
         } else {
             0.0
         };
--- a/src/decide/place.rs
+++ b/src/scheduler/placement.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Front {
+impl Scheduler {
     /// The one gate: whether the rules let this statement be sent to this engine now; never a second copy.
     fn may_execute(&self, id: StatementId, e: EngineId) -> bool {
         let s = &self.statements[&id];
@@ -81,7 +81,9 @@
         let avoid =
             !self.engines.evacuated.is_empty() && all().any(|e| !self.engines.is_evacuated(e));
         let (pool, out) = self.engines.open_totals();
-        let (memory_pool, memory_out) = self.engines.open_memory(MEMORY_USED / THREADS_PER_CORE);
+        let (memory_pool, memory_out) = self
+            .engines
+            .open_memory(INITIAL_MEMORY_SHARE / INITIAL_THREADS_PER_CORE);
         // Among many fronts the pool bounds a front's threads and memory; with nothing out it may send one.
         let beyond = out + workload.threads > pool || memory_out + s.load.memory > memory_pool;
         let over = self.many && out > 0.0 && beyond;
@@ -90,7 +92,7 @@
         let first = (self.placement_start * count as f64) as usize;
         let (guessed, mut drawn) = (self.many && !self.agreed.report.names_load(), Vec::new());
         for e in (0..count).map(|i| (i + first) % count) {
-            let trusted = s.executions.is_empty() || self.engines.credit[e] >= TRUSTED;
+            let trusted = s.executions.is_empty() || self.engines.credit[e] >= TRUSTED_CREDIT;
             let reached = self.engines.send_capacity[e] > 0 || s.asked.pinned.is_some();
             let away = !reached
                 || self.engines.ejected_until[e] > self.now
@@ -112,7 +114,7 @@
                 continue;
             };
             let (size, own) = (self.engines.size[e], self.engines.own[e]);
-            let credit = (self.engines.credit[e] / TRUSTED).min(1.0);
+            let credit = (self.engines.credit[e] / TRUSTED_CREDIT).min(1.0);
             let credit = if heeds {
                 credit * self.unsuspected_share(e)
             } else {
@@ -121,19 +123,20 @@
             let bound = self.engines.bound[e]
                 * credit.max(0.01)
                 * self.engines.warmth(e, self.now, &self.agreed);
-            let memory =
-                size.memory * MEMORY_USED * (bound / (THREADS_PER_CORE * size.threads)).min(1.0);
+            let memory = size.memory
+                * INITIAL_MEMORY_SHARE
+                * (bound / (INITIAL_THREADS_PER_CORE * size.threads)).min(1.0);
             // What this front has added since the last report, the others are taken to have added too.
             let (mut others, mut added) = (self.engines.others[e], own);
             added.add(self.engines.own_at_report[e], -1.0);
             others.add(added, self.agreed.fronts - 1.0);
             let cores = size.threads * self.engines.warmth(e, self.now, &self.agreed);
-            let whole = MOST_PER_CORE * cores;
+            let whole = MAX_THREADS_PER_CORE * cores;
             let share = if self.many { whole * credit } else { bound };
             let room = share.min(whole - others.threads) - own.threads;
-            let spare = IDLE * cores - others.threads - own.threads;
-            let fresh =
-                self.agreed.report.names_load() && self.engines.reported_at[e] >= self.now - FRESH;
+            let spare = IDLE_THREADS_PER_CORE * cores - others.threads - own.threads;
+            let fresh = self.agreed.report.names_load()
+                && self.engines.reported_at[e] >= self.now - FRESH_REPORT_AGE;
             let within = !over || spare >= workload.threads && fresh;
             let taken = own.memory + s.load.memory;
             let full = taken + others.memory > size.memory;
@@ -146,12 +149,12 @@
             let needs = |w: &Workload| is_bound(w) && w.allows(entry);
             let scarce = !is_bound(workload) && self.agreed.workloads.iter().any(needs);
             let room = if scarce {
-                room - SCARCE * size.threads
+                room - SCARCE_ENGINE_THREADS_PER_CORE * size.threads
             } else {
                 room
             };
             if (idle || fits && within) && guessed {
-                drawn.push((e, room.max(LEAST_SHARE)));
+                drawn.push((e, room.max(MIN_LIMIT_SHARE)));
             } else if (idle || fits && within) && room > best_room {
                 (best, best_room) = (Some(e), room);
             }
@@ -181,7 +184,7 @@
             .engines
             .could_do(e, work * self.known, self.now, &self.agreed)
             - self.first_slot;
-        let past = if self.known > COLD_SPARE {
+        let past = if self.known > MAX_FRONTS_WITHOUT_SLOTS {
             slots.rem_euclid(1.0) * work
         } else {
             0.0
@@ -205,7 +208,7 @@
     pub(super) fn cold_work(&self, e: EngineId) -> (f64, f64) {
         let rate = self.engines.warmth(e, self.now, &self.agreed) * self.engines.size[e].threads
             / self.known;
-        let burst = (self.agreed.overload_factor * COLD_MARGIN - 0.5).max(0.1) * rate;
+        let burst = (self.agreed.overload_factor * OVERLOAD_FACTOR_SHARE - 0.5).max(0.1) * rate;
         (
             self.engines.cold_work_left(e, rate, self.now),
             burst * self.agreed.fall_window as f64,
--- a/src/decide/shed.rs
+++ b/src/scheduler/shedding.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Front {
+impl Scheduler {
     /// Whether the engine that holds its transaction takes nothing new any more.
     pub(super) fn pinned_engine_closed(&self, s: &Statement) -> bool {
         s.asked
@@ -13,8 +13,8 @@
     /// Whether a statement is shed at once: no engine may have it, or it must be late, and that is worth
     /// little or others wait behind it in the queue of its order key: running it would make them late too.
     pub(super) fn is_to_be_shed(&self, s: &Statement) -> bool {
-        let worthless =
-            self.order_queues.blocks(s.asked.key) || self.workload(s).late_share < LATE_WORTH;
+        let worthless = self.order_queues.blocks(s.asked.key)
+            || self.workload(s).late_share < MIN_LATE_SHARE_TO_RUN;
         let late = worthless && self.now >= self.last_timely_start(s);
         late || self.pinned_engine_closed(s) || !self.has_safe_engine(s)
     }
@@ -32,18 +32,19 @@
             .collect();
         let rank = |n: usize| {
             penalty(
-                parts[n].conformance(UNSEEN),
+                parts[n].conformance(PRIOR_TIMELY_STATEMENTS),
                 self.delta(n / 2 * customers * 2 + n % 2),
             )
         };
-        let late = fleet.late_share > MOST_LATE;
-        let served = |o: &Demand| o.work * ADMITTED * if late { o.timely } else { o.ended };
+        let late = fleet.late_share > MAX_FLEET_LATE_SHARE;
+        let served =
+            |o: &Demand| o.work * ADMITTED_PER_ANSWERED * if late { o.timely } else { o.ended };
         let asked: f64 = workloads.iter().map(Demand::work_asked).sum();
         let most = workloads
             .iter()
             .map(served)
             .sum::<f64>()
-            .max(LEAST_ADMITTED * asked);
+            .max(MIN_ADMITTED_SHARE * asked);
         (self.admitted, self.demand) = (admit_by_rank(most, &parts, rank), fleet.relative);
     }
 
@@ -83,7 +84,7 @@
             Effect::NonIdempotent => !ran,
         };
         if harmless {
-            let wait = COME_BACK * (0.5 + self.random.next()) * SECOND as f64;
+            let wait = RETRY_AFTER_SECONDS * (0.5 + self.random.next()) * SECOND as f64;
             let retry_after = self
                 .agreed
                 .longest_retry_after
@@ -117,7 +118,7 @@
         let counts = &mut self.classes[class];
         counts.in_flight.remove(&id);
         let before = counts.on_top();
-        counts.count(self.now, HALF_LIFE, timely);
+        counts.count(self.now, CONFORMANCE_HALF_LIFE, timely);
         if counts.on_top() != before {
             for other in counts.in_flight.clone() {
                 self.prioritise(other);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -10,9 +10,9 @@
 use std::collections::BTreeMap;
 use std::fs;
 
-use hallmux::decide::penalty;
 use hallmux::interface::*;
-use hallmux::Front;
+use hallmux::penalty;
+use hallmux::Scheduler;
 
 const MS: Micros = 1000;
 
@@ -28,7 +28,7 @@
     statements: Vec<String>,
     keys: Vec<String>,
     seed: u64,
-    front: Option<Front>,
+    front: Option<Scheduler>,
     now: Micros,
     wake: Option<Micros>,
     happened: Vec<Event>,
@@ -155,7 +155,7 @@
     }
 
     fn decide(&mut self) {
-        let fresh = || Front::new(self.agreed.clone(), self.seed);
+        let fresh = || Scheduler::new(self.agreed.clone(), self.seed);
         let front = self.front.get_or_insert_with(fresh);
         for action in front.decide(self.now, self.happened.drain(..)) {
             let statement = |s: &StatementId| &self.statements[*s as usize];
