--- a/crates/dispatcher/src/completion_tests.rs
+++ b/crates/dispatcher/src/completion_tests.rs
@@ -1,5 +1,7 @@
 //! Unit tests of the `completion` module.
 
+use hallmux::interface::RejectReason;
+
 use crate::test_support::*;
 use crate::*;
 
@@ -36,8 +38,9 @@
         // An engine that could not be reached rests for a while.
         next.extend(d.tick(2_200_000));
         assert_eq!(sent(&next) == [(ticket, 1)], again, "{ending:?}: {next:?}");
+        let cause = RejectCause::Scheduler(RejectReason::NoSafeEngine);
         assert_eq!(
-            next.contains(&Order::Abort { ticket }),
+            next.contains(&Order::Abort { ticket, cause }),
             !again,
             "{ending:?}: {next:?}"
         );
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -14,6 +14,7 @@
 mod observations;
 mod orders;
 mod promises;
+mod reject_cause;
 mod send_capacity;
 mod statements;
 #[cfg(test)]
@@ -37,6 +38,7 @@
 pub use observations::EngineObservation;
 pub use orders::{Order, Terms};
 pub use promises::{PromiseEvent, Site, StatementArrived, StatementOver};
+pub use reject_cause::RejectCause;
 pub use send_capacity::SendCapacity;
 pub use statements::{Ask, Protocol, Unfit};
 
--- a/crates/dispatcher/src/orders.rs
+++ b/crates/dispatcher/src/orders.rs
@@ -3,7 +3,7 @@
 use hallmux::interface::{Action, Event, Micros};
 
 use crate::statements::{repeat_window, Execution};
-use crate::{Dispatcher, Ending, Place, Ticket};
+use crate::{Dispatcher, Ending, Place, RejectCause, Ticket};
 
 /// What holds for one execution.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -56,11 +56,15 @@
         ticket: Ticket,
         /// The time after which the client may try again; None where no time may be named.
         retry_after: Option<Micros>,
+        /// Why; for the log.
+        cause: RejectCause,
     },
     /// The final answer: the statement is aborted, and it may have run.
     Abort {
         /// The statement.
         ticket: Ticket,
+        /// Why; for the log.
+        cause: RejectCause,
     },
     /// Probe an engine.
     Probe {
@@ -122,7 +126,7 @@
             }
         }
         for action in self.front.decide(now, events) {
-            if let Action::Reject { statement, .. } | Action::Abort { statement } = &action {
+            if let Action::Reject { statement, .. } | Action::Abort { statement, .. } = &action {
                 self.count_shed(now, *statement, first_new);
             }
             self.order(now, action, &mut orders);
@@ -204,15 +208,23 @@
             Action::Reject {
                 statement: ticket,
                 retry_after,
+                reason,
             } => {
                 orders.push(Order::Reject {
                     ticket,
                     retry_after,
+                    cause: RejectCause::Scheduler(reason),
                 });
                 self.over(now, ticket);
             }
-            Action::Abort { statement: ticket } => {
-                orders.push(Order::Abort { ticket });
+            Action::Abort {
+                statement: ticket,
+                reason,
+            } => {
+                orders.push(Order::Abort {
+                    ticket,
+                    cause: RejectCause::Scheduler(reason),
+                });
                 self.over(now, ticket);
             }
             Action::Probe { engine: place } => orders.push(Order::Probe {
--- a/crates/dispatcher/src/orders_tests.rs
+++ b/crates/dispatcher/src/orders_tests.rs
@@ -1,5 +1,7 @@
 //! Unit tests of the `orders` module.
 
+use hallmux::interface::RejectReason;
+
 use super::*;
 use crate::test_support::*;
 use crate::*;
@@ -17,7 +19,8 @@
     };
     assert!(d.tick(4_000_000).contains(&stop));
     d.report(4_000_000, ticket, 0, Ending::TimeUp, None);
-    assert_eq!(d.tick(4_000_000), [Order::Abort { ticket }]);
+    let cause = RejectCause::Scheduler(RejectReason::NoSafeEngine);
+    assert_eq!(d.tick(4_000_000), [Order::Abort { ticket, cause }]);
     assert_eq!(d.held(), 0);
 }
 
--- a/crates/dispatcher/tests/slow_start/fleet.rs
+++ b/crates/dispatcher/tests/slow_start/fleet.rs
@@ -290,7 +290,7 @@
                         };
                         dispatcher.report(self.now, ticket, execution, ending, None);
                     }
-                    Order::Reject { ticket, .. } | Order::Abort { ticket } => {
+                    Order::Reject { ticket, .. } | Order::Abort { ticket, .. } => {
                         self.processes[p].works.remove(&ticket);
                     }
                     _ => {}
--- a/crates/front/src/front/dispatch.rs
+++ b/crates/front/src/front/dispatch.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use hallmux_dispatcher::{Ending, Micros, Order, Ticket};
+use hallmux_dispatcher::{Ending, Micros, Order, RejectCause, Ticket};
 use hallmux_fleet::gate;
 use hallmux_native_codec::statement::{Call, Reply};
 use hallmux_scatter::gather::PartFailure;
@@ -113,13 +113,13 @@
             match ruling {
                 Ruling::Go(ordered) => self.await_promises(ordered),
                 Ruling::Deny(ticket) => {
-                    self.answer_without_result(ticket, true, None);
+                    self.answer_without_result(ticket, true, None, RejectCause::AccessRules);
                     self.dispatcher.turn_away(now, ticket);
                 }
                 Ruling::End {
                     ticket, ran: true, ..
                 } => {
-                    self.answer_without_result(ticket, false, None);
+                    self.answer_without_result(ticket, false, None, RejectCause::AccessRules);
                     self.abandon(ticket);
                 }
                 Ruling::End {
@@ -128,7 +128,7 @@
                     again,
                 } => {
                     let retry_after = self.dispatcher.turn_away(now, ticket).filter(|_| again);
-                    self.answer_without_result(ticket, true, retry_after);
+                    self.answer_without_result(ticket, true, retry_after, RejectCause::AccessRules);
                     self.abandon(ticket);
                 }
             }
@@ -167,11 +167,15 @@
                     self.carry_out(Order::Reject {
                         ticket,
                         retry_after,
+                        cause: RejectCause::LedgerEntry,
                     });
                 }
                 gate::Ruling::Abort(ticket) => {
                     self.dispatcher.turn_away(now, ticket);
-                    self.carry_out(Order::Abort { ticket });
+                    self.carry_out(Order::Abort {
+                        ticket,
+                        cause: RejectCause::LedgerEntry,
+                    });
                 }
             }
         }
@@ -183,10 +187,11 @@
         ticket: Ticket,
         rejects: bool,
         retry_after: Option<Micros>,
+        cause: RejectCause,
     ) {
         let now = self.clock.now;
         log::debug!(
-            "statement {ticket}: {}",
+            "statement {ticket}: {}: {cause}",
             if rejects { "rejected" } else { "aborted" }
         );
         if self.is_of_session(ticket) {
@@ -374,13 +379,17 @@
             Order::Reject {
                 ticket,
                 retry_after,
+                ..
             } if self.end_part(ticket, Err(PartFailure::Rejected { retry_after })) => {}
-            Order::Abort { ticket } if self.end_part(ticket, Err(PartFailure::Aborted)) => {}
+            Order::Abort { ticket, .. } if self.end_part(ticket, Err(PartFailure::Aborted)) => {}
             Order::Reject {
                 ticket,
                 retry_after,
-            } => self.answer_without_result(ticket, true, retry_after),
-            Order::Abort { ticket } => self.answer_without_result(ticket, false, None),
+                cause,
+            } => self.answer_without_result(ticket, true, retry_after, cause),
+            Order::Abort { ticket, cause } => {
+                self.answer_without_result(ticket, false, None, cause)
+            }
             // Between the decision and now the work may have become another's: then the probe stays here.
             Order::Probe {
                 for_fleet: true, ..
--- a/crates/front/src/front/scatter.rs
+++ b/crates/front/src/front/scatter.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use hallmux_access::Decision;
-use hallmux_dispatcher::{Micros, Order, Ticket, Unfit};
+use hallmux_dispatcher::{Micros, Order, RejectCause, Ticket, Unfit};
 use hallmux_gossip::channels::Channel;
 use hallmux_native_codec::statement::{self, Call, Reply};
 use hallmux_scatter::gather::{Answer, PartFailure};
@@ -163,6 +163,7 @@
                         self.carry_out(Order::Reject {
                             ticket,
                             retry_after,
+                            cause: RejectCause::LoadMark,
                         });
                     }
                     LoadOutcome::Other(Effect::Marks {
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -203,7 +203,7 @@
                 );
             }
             Order::Reject { ticket, .. } => self.answer(n, ticket, Outcome::Error("53000".into())),
-            Order::Abort { ticket } => self.answer(n, ticket, Outcome::Error("08007".into())),
+            Order::Abort { ticket, .. } => self.answer(n, ticket, Outcome::Error("08007".into())),
             // What is given up is reported at once, as the front's network code does.
             Order::Stop {
                 ticket,
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -127,6 +127,7 @@
         Action::Reject {
             statement,
             retry_after,
+            ..
         } => {
             let _ = write!(out, "SHED who={who} req={}", req(statement));
             match retry_after {
@@ -134,7 +135,7 @@
                 None => writeln!(out),
             }
         }
-        Action::Abort { statement } => writeln!(out, "FAIL who={who} req={}", req(statement)),
+        Action::Abort { statement, .. } => writeln!(out, "FAIL who={who} req={}", req(statement)),
         Action::Probe { engine } | Action::ProbeEvacuated { engine } => {
             writeln!(out, "PROBE who={who} engine={}", engines[*engine])
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -13,6 +13,7 @@
 mod agreement;
 mod engines;
 mod events;
+mod reject_reason;
 
 pub use actions::Action;
 pub use agreement::{
@@ -20,6 +21,7 @@
 };
 pub use engines::{EngineEntry, Mode, Report};
 pub use events::{Arrival, Demand, Ended, Event, FleetDemand, Note, Outcome, PeerReport};
+pub use reject_reason::RejectReason;
 
 /// A time or a length of time on the caller's clock, in microseconds.
 pub type Micros = i64;
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,6 +1,6 @@
 //! What the module orders.
 
-use super::{EngineId, Micros, StatementId};
+use super::{EngineId, Micros, RejectReason, StatementId};
 
 /// One order of the module. Orders are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
@@ -34,11 +34,15 @@
         statement: StatementId,
         /// The time after which the client may try again; None where no time may be named.
         retry_after: Option<Micros>,
+        /// Why; for the log, not for the client.
+        reason: RejectReason,
     },
     /// The final answer: the statement is aborted, and it may have run.
     Abort {
         /// The statement aborted.
         statement: StatementId,
+        /// Why; for the log, not for the client.
+        reason: RejectReason,
     },
     /// Probe the engine for its load.
     Probe {
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -326,7 +326,7 @@
             .insert(id, Statement::new(a, class, self.now - spent, ends, load));
         self.enqueue(id);
         if !admitted {
-            self.shed(id);
+            self.shed(id, RejectReason::OverFleetQuota);
         }
     }
 
@@ -345,7 +345,7 @@
             .map_or(0, |q| q.paused_until);
         let is_first = self.is_first_in_order(id, s);
         // Once it is to be shed it is due now; till then when its standing changes next.
-        let ends = if self.is_to_be_shed(s) {
+        let ends = if self.shed_reason(s).is_some() {
             self.now
         } else {
             s.deadline - REJECT_BEFORE_DEADLINE
@@ -384,16 +384,10 @@
             let Some(s) = self.statements.get(&id).filter(|s| !s.over) else {
                 continue;
             };
-            // Past its latest start one goes ahead of all, unless others wait that can still be in time.
-            let others_wait = || self.classes.iter().any(|c| !c.ready.is_empty());
-            let pressed = self.now >= self.latest_start(s) && others_wait();
             if s.is_in_flight() {
                 self.prioritise(id);
-            } else if self.now >= s.deadline - REJECT_BEFORE_DEADLINE
-                || self.is_to_be_shed(s)
-                || pressed
-            {
-                self.shed(id);
+            } else if let Some(reason) = self.expiry_reason(s) {
+                self.shed(id, reason);
             } else {
                 self.enqueue(id);
             }
--- a/src/scheduler/observations.rs
+++ b/src/scheduler/observations.rs
@@ -168,8 +168,7 @@
             return;
         };
         sent.outcome = Some(x.outcome);
-        let (silent, key, was_over, ends, load) =
-            (sent.silent, s.asked.key, s.over, s.deadline, s.load);
+        let (silent, key, was_over, load) = (sent.silent, s.asked.key, s.over, s.load);
         self.engines.remove(e, (x.statement, x.execution), load);
         let lost = matches!(
             x.outcome,
@@ -233,13 +232,10 @@
                 x.statement,
                 x.outcome == Outcome::Completed && now - s.first_arrival <= slo,
             );
-        } else if self.has_safe_engine(s)
-            && self.tries_left(s)
-            && now < ends - REJECT_BEFORE_DEADLINE
-        {
-            self.enqueue(x.statement);
+        } else if let Some(reason) = self.no_retry_reason(s) {
+            self.shed(x.statement, reason);
         } else {
-            self.shed(x.statement);
+            self.enqueue(x.statement);
         }
     }
 
--- a/src/scheduler/penalty.rs
+++ b/src/scheduler/penalty.rs
@@ -43,7 +43,9 @@
             .into_iter()
             .filter(|id| !self.try_release(*id))
             .collect();
-        stuck.into_iter().for_each(|id| self.shed(id));
+        for id in stuck {
+            self.shed(id, RejectReason::NoCapacityAtLatestStart);
+        }
         let mut waiting: Vec<(f64, usize)> = Vec::new();
         for class in 0..self.classes.len() {
             self.classes[class].fade(self.now, CONFORMANCE_HALF_LIFE);
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -47,13 +47,24 @@
     }
 
     pub(super) fn tries_left(&self, s: &Statement) -> bool {
+        self.retry_denied(s).is_none()
+    }
+
+    /// Why a statement may not be attempted again, if it may not.
+    pub(super) fn retry_denied(&self, s: &Statement) -> Option<RejectReason> {
         let within = |budget| {
             self.further_executions
                 .allows_one_more(budget, &self.admissions, self.now)
         };
-        self.agreed.further.is_none_or(within)
-            && s.executions.len() < self.agreed.most_executions
-            && s.asked.pinned.is_none()
+        if s.asked.pinned.is_some() {
+            Some(RejectReason::StickyAttemptFailed)
+        } else if s.executions.len() >= self.agreed.most_executions {
+            Some(RejectReason::AttemptsExhausted)
+        } else if !self.agreed.further.is_none_or(within) {
+            Some(RejectReason::RetryBudgetSpent)
+        } else {
+            None
+        }
     }
 
     pub(super) fn is_first_in_order(&self, id: StatementId, s: &Statement) -> bool {
--- a/src/scheduler/shedding.rs
+++ b/src/scheduler/shedding.rs
@@ -10,13 +10,44 @@
             .is_some_and(|e| !self.engines.open.get(e).is_some_and(|open| *open))
     }
 
-    /// Whether a statement is shed at once: no engine may have it, or it must be late, and that is worth
+    /// Why a statement is shed at once, if it is: no engine may have it, or it must be late, and that is worth
     /// little or others wait behind it in the queue of its order key: running it would make them late too.
-    pub(super) fn is_to_be_shed(&self, s: &Statement) -> bool {
-        let worthless = self.order_queues.blocks(s.asked.key)
-            || self.workload(s).late_share < MIN_LATE_SHARE_TO_RUN;
-        let late = worthless && self.now >= self.last_timely_start(s);
-        late || self.pinned_engine_closed(s) || !self.has_safe_engine(s)
+    pub(super) fn shed_reason(&self, s: &Statement) -> Option<RejectReason> {
+        let late = || self.now >= self.last_timely_start(s);
+        if self.workload(s).late_share < MIN_LATE_SHARE_TO_RUN && late() {
+            Some(RejectReason::TooLate)
+        } else if self.order_queues.blocks(s.asked.key) && late() {
+            Some(RejectReason::OrderKeyBlocked)
+        } else if self.pinned_engine_closed(s) {
+            Some(RejectReason::StickyEngineClosed)
+        } else if !self.has_safe_engine(s) {
+            Some(RejectReason::NoSafeEngine)
+        } else {
+            None
+        }
+    }
+
+    /// Why a held statement whose standing has changed ends now, if it does.
+    pub(super) fn expiry_reason(&self, s: &Statement) -> Option<RejectReason> {
+        if self.now >= s.deadline - REJECT_BEFORE_DEADLINE {
+            return Some(RejectReason::Expiring);
+        }
+        // Past its latest start one goes ahead of all, unless others wait that can still be in time.
+        let others_wait = || self.classes.iter().any(|c| !c.ready.is_empty());
+        let pressed = || self.now >= self.latest_start(s) && others_wait();
+        self.shed_reason(s)
+            .or_else(|| pressed().then_some(RejectReason::LatestStartPassed))
+    }
+
+    /// Why a statement whose attempt ended without a result has none again, if it has none.
+    pub(super) fn no_retry_reason(&self, s: &Statement) -> Option<RejectReason> {
+        if !self.has_safe_engine(s) {
+            return Some(RejectReason::NoSafeEngine);
+        }
+        self.retry_denied(s).or_else(|| {
+            let expiring = self.now >= s.deadline - REJECT_BEFORE_DEADLINE;
+            expiring.then_some(RejectReason::Expiring)
+        })
     }
 
     /// Admits what the engines can serve of all that is asked, by the penalty at the fleet's conformance:
@@ -71,7 +102,7 @@
     }
 
     /// Ends a statement unanswered: a rejection where trying again is harmless, else an abort.
-    pub(super) fn shed(&mut self, id: StatementId) {
+    pub(super) fn shed(&mut self, id: StatementId, reason: RejectReason) {
         let s = &self.statements[&id];
         let (workload, ran) = (self.workload(s), s.may_have_run().next().is_some());
         let (w, first) = (
@@ -92,9 +123,13 @@
             self.actions.push(Action::Reject {
                 statement: id,
                 retry_after,
+                reason,
             });
         } else {
-            self.actions.push(Action::Abort { statement: id });
+            self.actions.push(Action::Abort {
+                statement: id,
+                reason,
+            });
         }
         self.learned[w].shed += f64::from(u8::from(first));
         self.close(id, false);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -3,7 +3,7 @@
 //! - `site NAME VALUE ...` and `workload NAME ...` say what is agreed; `engine e1 kind=0 cores=8` lists one.
 //! - `at MS` moves the clock; the lines below it, up to the next, happen together at that time.
 //! - `> ...` is an action expected since the previous such line, in order; any other action fails the file.
-//!   Wakes are played at their time and not listed.
+//!   Wakes are played at their time and not listed. A rejection or an abort names its reason.
 //! - `stall MS` moves the clock with no wakes, as for a front that stands still.
 //! - `penalty C DELTA = VALUE` asks for the penalty at a conformance.
 
@@ -187,9 +187,17 @@
                 Action::Reject {
                     statement: s,
                     retry_after: None,
-                } => format!("reject {}", statement(s)),
-                Action::Reject { statement: s, .. } => format!("reject {} come-back", statement(s)),
-                Action::Abort { statement: s } => format!("abort {}", statement(s)),
+                    reason,
+                } => format!("reject {}: {reason}", statement(s)),
+                Action::Reject {
+                    statement: s,
+                    reason,
+                    ..
+                } => format!("reject {} come-back: {reason}", statement(s)),
+                Action::Abort {
+                    statement: s,
+                    reason,
+                } => format!("abort {}: {reason}", statement(s)),
                 Action::Probe { engine } => format!("probe {}", self.engine_names[*engine]),
                 Action::ProbeEvacuated { engine } => {
                     format!("probe-evacuated {}", self.engine_names[*engine])
@@ -427,3 +435,35 @@
     }
     assert!(wrong.is_empty(), "\n{}", wrong.join("\n"));
 }
+
+/// Every reason why a statement is rejected has a word of its own, the variant's name, which the page for on-call
+/// engineers explains, and a scenario that reaches it.
+#[test]
+fn reject_reasons() {
+    let root = concat!(env!("CARGO_MANIFEST_DIR"), "/");
+    let page = fs::read_to_string(format!("{root}docs/on-call.md")).unwrap();
+    let scenarios: Vec<String> = fs::read_dir(format!("{root}tests/scenarios"))
+        .unwrap()
+        .map(|file| fs::read_to_string(file.unwrap().path()).unwrap())
+        .collect();
+    let mut words = Vec::new();
+    for reason in RejectReason::ALL {
+        let word = reason.word();
+        assert_eq!(
+            (word, word),
+            (&*format!("{reason:?}"), &*reason.to_string())
+        );
+        assert!(!words.contains(&word), "{word} twice");
+        words.push(word);
+        assert!(
+            page.contains(&format!("| `{word}` |")),
+            "{word} is not in docs/on-call.md"
+        );
+        let reached = |text: &String| {
+            let expected =
+                |line: &str| line.starts_with("> ") && line.contains(&format!(": {word}"));
+            text.lines().flat_map(|line| line.split("; ")).any(expected)
+        };
+        assert!(scenarios.iter().any(reached), "no scenario reaches {word}");
+    }
+}
