--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,8 +9,8 @@
 mod demand;
 pub mod interface;
 mod learned;
-mod order_queue;
 mod peer_reports;
+mod policy;
 mod random;
 mod scheduler;
 mod state;
--- a/src/order_queue.rs
+++ b/src/policy/order_key.rs
@@ -1,18 +1,23 @@
-//! Which statement of each order key is next, as plain figures: nothing is decided here.
+//! Order of a key: is it this statement's turn?
+//!
+//! Inputs: the statement's order key, whether it has had an attempt, the time now.
+//! Reason: statements of one key run one at a time, in the order of their arrival. One whose outcome is not known
+//! keeps the key for as long as it may be running; so does an open transaction.
+//! Source: the contract's settings (`docs/design.md`, "what may be sent where").
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::interface::*;
+use crate::interface::{KeyId, Micros, StatementId};
 
 /// The statements of one order key.
 #[derive(Default)]
-pub struct OrderQueue {
+struct OrderQueue {
     /// Those that are not over, in the order in which they arrived.
-    pub statements: VecDeque<StatementId>,
+    statements: VecDeque<StatementId>,
     /// Executions still out of statements that are over, and transactions that keep the key.
-    pub unresolved: usize,
+    unresolved: usize,
     /// No statement leaves for the first time before.
-    pub paused_until: Micros,
+    paused_until: Micros,
 }
 
 /// The queues of all order keys in use.
@@ -20,7 +25,7 @@
 pub struct OrderQueues(BTreeMap<KeyId, OrderQueue>);
 
 impl OrderQueues {
-    pub fn of(&self, key: Option<KeyId>) -> Option<&OrderQueue> {
+    fn of(&self, key: Option<KeyId>) -> Option<&OrderQueue> {
         key.and_then(|key| self.0.get(&key))
     }
 
@@ -57,8 +62,28 @@
         self.change(key, |queue| queue.unresolved += usize::from(kept));
     }
 
-    /// Whether the first statement of a key holds up others.
-    pub fn blocks(&self, key: Option<KeyId>) -> bool {
+    /// Whether it is a statement's turn: it is the first of its key, nothing of an earlier one may still run, and
+    /// the key doesn't pause; a statement that has had an attempt goes on in a pause.
+    pub fn is_first(
+        &self,
+        key: Option<KeyId>,
+        id: StatementId,
+        attempted: bool,
+        now: Micros,
+    ) -> bool {
+        self.of(key).is_none_or(|queue| {
+            let resumed = queue.paused_until <= now || attempted;
+            queue.statements.front() == Some(&id) && queue.unresolved == 0 && resumed
+        })
+    }
+
+    /// Until when the key pauses; 0 where it doesn't.
+    pub fn paused_until(&self, key: Option<KeyId>) -> Micros {
+        self.of(key).map_or(0, |queue| queue.paused_until)
+    }
+
+    /// Whether several statements of a key are not over.
+    pub fn is_shared(&self, key: Option<KeyId>) -> bool {
         self.of(key).is_some_and(|queue| queue.statements.len() > 1)
     }
 
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -4,6 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::interface::*;
+use crate::policy::order_key::OrderQueues;
+use crate::policy::retry::{RetryBudget, RetryOutcome, RetryRequest};
+use crate::policy::slow_start::{SlowStart, SlowStartOutcome, SlowStartRequest};
 use crate::state::*;
 
 mod observations;
@@ -37,8 +40,6 @@
 const MAX_SILENT_PROGRESS_GAPS: f64 = 1.5; // gaps between notes of progress, where agreed, that one may be silent for
 const BAD_PLAN_RUN_FACTOR: f64 = 6.0; // times the expected run time that an execution must head for to be cancelled
 const MIN_LATE_SHARE_TO_RUN: f64 = 0.25; // late share under which a statement that must be late is shed at once
-const OVERLOAD_FACTOR_SHARE: f64 = 0.4; // share of the overload factor sent to a cold engine: estimates may be half off
-const MAX_FRONTS_WITHOUT_SLOTS: f64 = 2.0; // statements beyond any budget that the rule lets a cold engine have, for chance
 const SWEEP_INTERVAL: Micros = 25_000; // microseconds between looks at what is due; finer than any slack agreed
 const REJECT_BEFORE_DEADLINE: Micros = 40_000; // microseconds before the client's time is up when a held statement ends
 const SWEEPS_PER_ENGINE_CHECK: u32 = 4; // sweeps between looks at silent engines, which walk all executions out
@@ -85,8 +86,8 @@
     late: BTreeSet<StatementId>,
     order_queues: OrderQueues,
     customer_shares: Vec<Bucket>,
-    admissions: Times,
-    further_executions: Times,
+    retry_budget: RetryBudget,
+    slow_start: SlowStart,
     many: bool, // so many fronts that a share of one engine's bound holds no statement
     load: Load, // what a statement usually holds while it runs
     probe_allowance: f64, // probes that statements have paid for
@@ -99,7 +100,6 @@
     demand: f64,      // on this front, against the mean; 0 where it hears of no others
     probe_tokens: Bucket, // of the fleet's budget
     last_pace: Option<f64>, // new connections a second to each engine, as last ordered
-    first_slot: f64, // share of a slot at cold engines that passes before the first one of this front
     placement_start: f64, // where in the list of engines the next choice looks first
 }
 
@@ -126,7 +126,8 @@
         let smallest = agreed.cores.iter().copied().fold(f64::INFINITY, f64::min);
         Scheduler {
             placement_start,
-            first_slot: placement_start,
+            retry_budget: RetryBudget::new(&agreed),
+            slow_start: SlowStart::new(&agreed, placement_start),
             probe_tokens: Bucket {
                 left: placement_start,
                 at: 0,
@@ -204,7 +205,7 @@
                     alive,
                     report,
                 } => {
-                    self.engines.ensure(engine, TRUSTED_CREDIT);
+                    self.ensure_engine(engine);
                     self.found_healthy(engine, alive);
                     self.engines.credit[engine] *= if alive { 1.0 } else { CREDIT_FACTOR_FAILED };
                     report.iter().for_each(|r| self.load_reported(engine, r));
@@ -222,9 +223,7 @@
             self.actions
                 .extend(pace.map(|connections| Action::Pace { connections }));
         }
-        let window = self.agreed.further.map_or(0, |budget| budget.window);
-        self.admissions.forget(now - window);
-        self.further_executions.forget(now - window);
+        self.retry_budget.forget_old(now);
         if self.next_wake <= now {
             self.next_wake = now + SWEEP_INTERVAL;
             self.actions.push(Action::Wake { at: self.next_wake });
@@ -238,7 +237,7 @@
         }
         for entry in entries {
             let e = entry.engine;
-            self.engines.ensure(e, TRUSTED_CREDIT);
+            self.ensure_engine(e);
             let known = self.engines.listed[e].as_ref();
             let restarted = known.is_none_or(|k| k.started != entry.started);
             if known.is_none() {
@@ -251,7 +250,7 @@
                 self.engines.others[e] = Load::default();
                 self.peer_reports.forget(e); // of an earlier start
                 self.found_healthy(e, true);
-                self.start_warm_up(e, start + self.agreed.warm_within);
+                self.start_warm_up(e, start);
             }
             self.engines.open[e] = entry.mode == Mode::Ready;
             self.engines.listed[e] = Some(entry);
@@ -319,9 +318,9 @@
             memory,
         };
         let admitted = self.admits(&a, over);
-        self.admissions
-            .0
-            .extend(self.agreed.further.filter(|_| admitted).map(|_| self.now));
+        if admitted {
+            self.retry_budget.admitted(self.now);
+        }
         self.statements
             .insert(id, Statement::new(a, class, self.now - spent, ends, load));
         self.enqueue(id);
@@ -339,10 +338,7 @@
             return;
         };
         let (class, timely, latest) = (s.class, self.last_timely_start(s), self.latest_start(s));
-        let paused_until = self
-            .order_queues
-            .of(s.asked.key)
-            .map_or(0, |q| q.paused_until);
+        let paused_until = self.order_queues.paused_until(s.asked.key);
         let is_first = self.is_first_in_order(id, s);
         // Once it is to be shed it is due now; till then when its standing changes next.
         let ends = if self.shed_reason(s).is_some() {
@@ -405,6 +401,12 @@
         }
     }
 
+    /// Makes place for an engine in all state that is kept by engine.
+    fn ensure_engine(&mut self, engine: EngineId) {
+        self.engines.ensure(engine, TRUSTED_CREDIT);
+        self.slow_start.resize(self.engines.open.len());
+    }
+
     fn workload(&self, s: &Statement) -> &Workload {
         &self.agreed.workloads[s.asked.workload]
     }
--- a/src/scheduler/observations.rs
+++ b/src/scheduler/observations.rs
@@ -160,7 +160,7 @@
 
     pub(super) fn ended(&mut self, x: Ended) {
         let (now, e) = (self.now, x.engine);
-        self.engines.ensure(e, TRUSTED_CREDIT);
+        self.ensure_engine(e);
         let Some(s) = self.statements.get_mut(&x.statement) else {
             return;
         };
@@ -184,7 +184,7 @@
             .count_unreached(e, x.outcome, now + EJECTION_TIME);
         if unreached.max(before) > 1 {
             // It could not be reached: once it is back it may have restarted before the list says so.
-            self.start_warm_up(e, now + self.agreed.warm_within);
+            self.start_warm_up(e, now);
         }
         x.report
             .iter()
--- a/src/scheduler/peer_evidence.rs
+++ b/src/scheduler/peer_evidence.rs
@@ -17,7 +17,7 @@
         self.peer_reports.expire(self.now);
         let believed = self.peer_reports.credibility(reporter, TRUSTED_CREDIT) >= TRUSTED_CREDIT;
         // What was reported before an engine was found healthy, or of an earlier start, is over.
-        let healthy_since = self.engines.cold_until[e] - self.agreed.warm_within;
+        let healthy_since = self.slow_start.started_at(e);
         if severity >= MIN_ADVERSE_SEVERITY
             && until > self.now
             && until - PEER_REPORT_LIFETIME >= healthy_since
@@ -87,7 +87,7 @@
                 self.engines.evacuated.remove(&o);
                 self.peer_reports.forget(o);
                 (self.engines.credit[o], self.engines.ejected_until[o]) = (TRUSTED_CREDIT, 0);
-                self.start_warm_up(o, self.now + self.agreed.warm_within);
+                self.start_warm_up(o, self.now);
             }
         }
     }
--- a/src/scheduler/penalty.rs
+++ b/src/scheduler/penalty.rs
@@ -95,12 +95,8 @@
         let (now, priority) = (self.now, self.priority(id));
         let s = &self.statements[&id];
         let (class, load, latest) = (s.class, s.load, self.latest_start(s));
-        if let Some(pushed) = self
-            .cold_work_with(e, s)
-            .filter(|_| now < self.engines.cold_until[e])
-        {
-            self.engines.cold_work[e] = (pushed, now);
-        }
+        let slow_start = self.check_slow_start(e, s);
+        self.slow_start.sent(e, slow_start, now);
         let most = self.engines.size[e].memory * self.agreed.largest_grant;
         let grants = self.agreed.grants && s.asked.memory_mb > 0.0;
         let grant_mb = if grants {
@@ -122,9 +118,9 @@
         let Some(s) = self.statements.get_mut(&id) else {
             return;
         };
-        self.further_executions
-            .0
-            .extend((!s.executions.is_empty()).then_some(now));
+        if !s.executions.is_empty() {
+            self.retry_budget.retried(now);
+        }
         self.engines.add(e, (id, s.executions.len()), load);
         s.priority = priority;
         s.executions.push(Execution {
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,6 +1,7 @@
 //! Where a statement may go, and where it goes.
 
 use super::*;
+use crate::policy::idempotency::{has_safe_engine, is_safe_repeat};
 
 impl Scheduler {
     /// The one gate: whether the rules let this statement be sent to this engine now; never a second copy.
@@ -14,64 +15,38 @@
         let open = open
             && s.asked.pinned.is_none_or(|p| p == e)
             && entry.protocols & s.asked.protocols != 0;
-        let bears = self.now >= self.engines.cold_until[e] || self.cold_work_with(e, s).is_some();
+        let bears = self.check_slow_start(e, s) != SlowStartOutcome::Denied;
         let open = open && self.now < s.deadline && self.is_first_in_order(id, s);
         open && bears
-            && (s.executions.is_empty() || self.is_safe_repeat(s, entry) && self.tries_left(s))
+            && (s.executions.is_empty() || self.is_safe_repeat(s, entry) && self.may_retry(s))
     }
 
-    /// Whether no harm comes of sending it there, whatever earlier executions of it may have done.
     fn is_safe_repeat(&self, s: &Statement, at: &EngineEntry) -> bool {
-        let workload = self.workload(s);
-        let dropped = |x: &Execution| {
-            let earlier = self.engines.listed[x.engine].as_ref();
-            let same = earlier.is_some_and(|x| at.drops_repeats_of(x, workload.dedup_group));
-            same && at.mode == Mode::Ready && self.now - x.sent_at < workload.dedup_window
-        };
-        s.may_have_run().all(|x| match workload.effect {
-            Effect::Idempotent => true,
-            Effect::NonIdempotent => false,
-            Effect::Deduplicated => dropped(x),
-        })
+        is_safe_repeat(self.workload(s), s, &self.engines.listed, at, self.now)
     }
 
     /// Whether any engine may have it by what earlier executions of it may have done: else it waits in vain.
     pub(super) fn has_safe_engine(&self, s: &Statement) -> bool {
-        s.executions.is_empty()
-            || self
-                .engines
-                .listed
-                .iter()
-                .flatten()
-                .any(|at| self.is_safe_repeat(s, at))
+        has_safe_engine(self.workload(s), s, &self.engines.listed, self.now)
     }
 
-    pub(super) fn tries_left(&self, s: &Statement) -> bool {
-        self.retry_denied(s).is_none()
+    /// Whether a statement may be attempted again.
+    pub(super) fn check_retry(&self, s: &Statement) -> RetryOutcome {
+        let request = RetryRequest {
+            attempts: s.executions.len(),
+            sticky: s.asked.pinned.is_some(),
+        };
+        self.retry_budget.check(request, self.now)
     }
 
-    /// Why a statement may not be attempted again, if it may not.
-    pub(super) fn retry_denied(&self, s: &Statement) -> Option<RejectReason> {
-        let within = |budget| {
-            self.further_executions
-                .allows_one_more(budget, &self.admissions, self.now)
-        };
-        if s.asked.pinned.is_some() {
-            Some(RejectReason::StickyAttemptFailed)
-        } else if s.executions.len() >= self.agreed.most_executions {
-            Some(RejectReason::AttemptsExhausted)
-        } else if !self.agreed.further.is_none_or(within) {
-            Some(RejectReason::RetryBudgetSpent)
-        } else {
-            None
-        }
+    pub(super) fn may_retry(&self, s: &Statement) -> bool {
+        self.check_retry(s) == RetryOutcome::Allowed
     }
 
     pub(super) fn is_first_in_order(&self, id: StatementId, s: &Statement) -> bool {
-        let resumed = |q: &OrderQueue| q.paused_until <= self.now || !s.executions.is_empty();
-        let first =
-            |q: &OrderQueue| q.statements.front() == Some(&id) && q.unresolved == 0 && resumed(q);
-        self.order_queues.of(s.asked.key).is_none_or(first)
+        let attempted = !s.executions.is_empty();
+        self.order_queues
+            .is_first(s.asked.key, id, attempted, self.now)
     }
 
     pub(super) fn place(&self, id: StatementId) -> Option<EngineId> {
@@ -133,7 +108,7 @@
             };
             let bound = self.engines.bound[e]
                 * credit.max(0.01)
-                * self.engines.warmth(e, self.now, &self.agreed);
+                * self.slow_start.capacity_share(e, self.now);
             let memory = size.memory
                 * INITIAL_MEMORY_SHARE
                 * (bound / (INITIAL_THREADS_PER_CORE * size.threads)).min(1.0);
@@ -141,7 +116,7 @@
             let (mut others, mut added) = (self.engines.others[e], own);
             added.add(self.engines.own_at_report[e], -1.0);
             others.add(added, self.agreed.fronts - 1.0);
-            let cores = size.threads * self.engines.warmth(e, self.now, &self.agreed);
+            let cores = size.threads * self.slow_start.capacity_share(e, self.now);
             let whole = MAX_THREADS_PER_CORE * cores;
             let share = if self.many { whole * credit } else { bound };
             let room = share.min(whole - others.threads) - own.threads;
@@ -174,55 +149,28 @@
         draw_weighted((self.placement_start * count as f64).fract(), &drawn).or(best)
     }
 
-    /// What an earlier life of this front may just have sent is not known and counts as all it might.
-    pub(super) fn start_warm_up(&mut self, e: EngineId, until: Micros) {
-        self.engines.cold_until[e] = until;
-        let fresh = self.started == Some(self.now);
-        let work = if fresh {
-            self.cold_work(e).1
-        } else {
-            self.engines.cold_work[e].0
-        };
-        self.engines.cold_work[e] = (work, self.now);
+    /// An engine warms up from then on, as far as is known.
+    pub(super) fn start_warm_up(&mut self, e: EngineId, started: Micros) {
+        let request = self.slow_start_request(e, 0.0);
+        let front_just_started = self.started == Some(self.now);
+        self.slow_start
+            .start(e, started, &request, front_just_started);
     }
 
-    /// What is counted at a cold engine once this is sent there now; None: not now. One longer than this
-    /// front's share of the burst goes in slots that begin at random: idle or fresh fronts rush no engine.
-    pub(super) fn cold_work_with(&self, e: EngineId, s: &Statement) -> Option<f64> {
-        let (workload, (pushed, most)) = (self.workload(s), self.cold_work(e));
+    /// Whether an engine that may be warming up bears this statement now.
+    pub(super) fn check_slow_start(&self, e: EngineId, s: &Statement) -> SlowStartOutcome {
+        let workload = self.workload(s);
         let work = self.learned[s.asked.workload].usual_work(workload.threads, workload.slo_time);
-        let slots = self
-            .engines
-            .could_do(e, work * self.known, self.now, &self.agreed)
-            - self.first_slot;
-        let past = if self.known > MAX_FRONTS_WITHOUT_SLOTS {
-            slots.rem_euclid(1.0) * work
-        } else {
-            0.0
-        };
-        let after = if work > most {
-            work - past
-        } else {
-            pushed + work
-        };
-        Some(after).filter(|after| {
-            if work > most {
-                pushed <= 0.0 && past <= most
-            } else {
-                *after <= most
-            }
-        })
+        self.slow_start.check(&self.slow_start_request(e, work))
     }
 
-    /// Work pushed at a cold engine and not yet worked off, and how much of it there may be. It drains at
-    /// this front's share of what the engine can do by now: any window holds less than the overload factor.
-    pub(super) fn cold_work(&self, e: EngineId) -> (f64, f64) {
-        let rate = self.engines.warmth(e, self.now, &self.agreed) * self.engines.size[e].threads
-            / self.known;
-        let burst = (self.agreed.overload_factor * OVERLOAD_FACTOR_SHARE - 0.5).max(0.1) * rate;
-        (
-            self.engines.cold_work_left(e, rate, self.now),
-            burst * self.agreed.fall_window as f64,
-        )
+    fn slow_start_request(&self, engine: EngineId, work: f64) -> SlowStartRequest {
+        SlowStartRequest {
+            engine,
+            cores: self.engines.size[engine].threads,
+            work,
+            fronts: self.known,
+            now: self.now,
+        }
     }
 }
--- a/src/scheduler/shedding.rs
+++ b/src/scheduler/shedding.rs
@@ -1,6 +1,7 @@
 //! Admission, which statements are shed and executions cancelled, and how a statement ends.
 
 use super::*;
+use crate::policy::idempotency::{answer_without_result, Answer};
 
 impl Scheduler {
     /// Whether the engine that holds its transaction takes nothing new any more.
@@ -16,7 +17,7 @@
         let late = || self.now >= self.last_timely_start(s);
         if self.workload(s).late_share < MIN_LATE_SHARE_TO_RUN && late() {
             Some(RejectReason::TooLate)
-        } else if self.order_queues.blocks(s.asked.key) && late() {
+        } else if self.order_queues.is_shared(s.asked.key) && late() {
             Some(RejectReason::OrderKeyBlocked)
         } else if self.pinned_engine_closed(s) {
             Some(RejectReason::StickyEngineClosed)
@@ -44,7 +45,7 @@
         if !self.has_safe_engine(s) {
             return Some(RejectReason::NoSafeEngine);
         }
-        self.retry_denied(s).or_else(|| {
+        self.check_retry(s).reject_reason().or_else(|| {
             let expiring = self.now >= s.deadline - REJECT_BEFORE_DEADLINE;
             expiring.then_some(RejectReason::Expiring)
         })
@@ -92,7 +93,7 @@
     pub(super) fn cancel_to_retry(&mut self, id: StatementId, n: usize) {
         let s = &self.statements[&id];
         let in_time = self.now + (self.learned[s.asked.workload].run.value as Micros) < s.deadline;
-        let again = self.workload(s).effect == Effect::Idempotent && self.tries_left(s) && in_time;
+        let again = self.workload(s).effect == Effect::Idempotent && self.may_retry(s) && in_time;
         if again && self.agreed.cancel && !s.over {
             self.actions.push(Action::Cancel {
                 statement: id,
@@ -109,12 +110,7 @@
             s.asked.workload,
             s.first_arrival == s.deadline - s.asked.time_left,
         );
-        let harmless = match workload.effect {
-            Effect::Idempotent => true,
-            Effect::Deduplicated => !ran || workload.dedup_group == DedupGroup::All,
-            Effect::NonIdempotent => !ran,
-        };
-        if harmless {
+        if answer_without_result(workload, ran) == Answer::Reject {
             let wait = RETRY_AFTER_SECONDS * (0.5 + self.random.next()) * SECOND as f64;
             let retry_after = self
                 .agreed
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,11 +1,10 @@
 //! What a front remembers, as plain figures: nothing is decided here.
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 
 pub use crate::demand::*;
 use crate::interface::*;
 pub use crate::learned::*;
-pub use crate::order_queue::*;
 pub use crate::peer_reports::*;
 pub use crate::random::*;
 
@@ -55,27 +54,6 @@
     }
 }
 
-/// Times of events, oldest first.
-#[derive(Default)]
-pub struct Times(pub VecDeque<Micros>);
-
-impl Times {
-    pub fn after(&self, time: Micros) -> f64 {
-        (self.0.len() - self.0.partition_point(|t| *t <= time)) as f64
-    }
-
-    /// Whether a budget bears one more of these now, by the statements admitted in its window.
-    pub fn allows_one_more(&self, budget: FurtherBudget, admissions: &Times, now: Micros) -> bool {
-        let since = now - budget.window;
-        let used = self.after(since - 1);
-        used + 1.0 <= (budget.spare + budget.ratio * admissions.after(since)).floor()
-    }
-
-    pub fn forget(&mut self, before: Micros) {
-        self.0.drain(..self.0.partition_point(|t| *t < before));
-    }
-}
-
 #[derive(Default)]
 pub struct Execution {
     pub engine: EngineId,
@@ -200,8 +178,6 @@
     pub listed: Vec<Option<EngineEntry>>,
     pub size: Vec<Load>,  // cores and memory
     pub usual: Vec<Load>, // what other fronts hold for each core, by kind
-    pub cold_until: Vec<Micros>,
-    pub cold_work: Vec<(f64, Micros)>, // work counted against a cold engine's budget, and when
     pub own: Vec<Load>,
     pub own_at_report: Vec<Load>, // what was own at the last report
     pub others: Vec<Load>,        // of other fronts, and of work given up here that may run on
@@ -251,18 +227,6 @@
         self.listed[e].as_ref().filter(|_| self.open[e])
     }
 
-    /// Work an engine can do by now, as a share of what it can do when warm.
-    pub fn warmth(&self, e: EngineId, now: Micros, agreed: &Agreement) -> f64 {
-        let left = (self.cold_until[e] - now) as f64 / agreed.warm_within.max(1) as f64;
-        1.0 - (1.0 - agreed.cold_from) * left.clamp(0.0, 1.0)
-    }
-
-    /// How often an engine could have done so much since its start, which warms it up evenly.
-    pub fn could_do(&self, e: EngineId, work: f64, now: Micros, agreed: &Agreement) -> f64 {
-        let since = (now - (self.cold_until[e] - agreed.warm_within)).max(0) as f64;
-        self.size[e].threads * since * (agreed.cold_from + self.warmth(e, now, agreed)) / 2.0 / work
-    }
-
     /// Whether the zone of this engine is evacuated.
     pub fn is_evacuated(&self, e: EngineId) -> bool {
         !self.evacuated.is_empty()
@@ -291,12 +255,6 @@
         )
     }
 
-    /// What a cold engine that works at a rate has not worked off yet of the work sent to it.
-    pub fn cold_work_left(&self, e: EngineId, rate: f64, now: Micros) -> f64 {
-        let (work, at) = self.cold_work[e];
-        (work - rate * (now - at) as f64).max(0.0)
-    }
-
     /// The bounds of all open engines added up, and the threads that this front has out there.
     pub fn open_totals(&self) -> (f64, f64) {
         let open = (0..self.open.len()).filter(|e| self.open[*e]);
@@ -409,8 +367,6 @@
                 memory: f64::INFINITY,
             },
         );
-        self.cold_until.resize(count, 0);
-        self.cold_work.resize(count, (0.0, 0));
         self.own.resize(count, Load::default());
         self.own_at_report.resize(count, Load::default());
         self.others.resize(count, Load::default());
