--- a/src/learned.rs
+++ b/src/learned.rs
@@ -3,6 +3,9 @@
 use crate::interface::*;
 use crate::state::positive_or;
 
+/// Least weight of the newest sample in a learned mean.
+pub const MIN_SAMPLE_WEIGHT: f64 = 0.05;
+
 /// A learned mean and the number of its samples.
 #[derive(Default, Clone, Copy)]
 pub struct Mean {
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,7 +1,11 @@
 //! The rules by which a statement is admitted, sent, attempted again or rejected: one module each, with its constants
 //! and its state. No rule reads the state of another; [`Scheduler`](crate::Scheduler) joins them.
 
+pub(crate) mod concurrency_limit;
 pub(crate) mod idempotency;
+pub(crate) mod load_reports;
 pub(crate) mod order_key;
+pub(crate) mod outliers;
+pub(crate) mod ranking;
 pub(crate) mod retry;
 pub(crate) mod slow_start;
--- /dev/null
+++ b/src/policy/load_reports.rs
@@ -0,0 +1,159 @@
+//! Load reports: what do other fronts hold of an engine?
+//!
+//! Inputs: the engines' load reports, what this front holds there; loads are threads and megabytes.
+//! Reason: one front sees only its own statements. A report grows old: what this front has added since is taken to
+//! have been added by every other front too, and what is not heard of again turns into what is usual.
+//! Source: our extension, `docs/design.md`, "Changed, and when each change acts" and "learning".
+
+use crate::interface::{EngineId, Micros, Report, ReportLayout};
+use crate::learned::MIN_SAMPLE_WEIGHT;
+use crate::policy::concurrency_limit::LimitScope;
+use crate::random::positive_or;
+use crate::state::{Load, SECOND};
+
+/// Share of what reports told that each engine check forgets: half is gone in about 10 s.
+const OTHERS_LOAD_DECAY: f64 = 0.007;
+/// Share of what one engine told that each engine check turns into the usual: half in 3.5 s.
+const OTHERS_LOAD_DRIFT_TO_USUAL: f64 = 0.02;
+/// Age up to which a report is fresh; reports are refreshed about once a second.
+const FRESH_REPORT_AGE: Micros = SECOND;
+/// Weight of a report against what was taken to be held before, where a front hears of each engine often.
+const REPORT_WEIGHT: f64 = 0.5;
+
+/// An engine as a load report finds it.
+pub struct ReportedEngine {
+    /// The engine.
+    pub engine: EngineId,
+    /// The place of its kind, where it is listed.
+    pub kind: Option<usize>,
+    /// Its cores and memory.
+    pub size: Load,
+    /// What this front holds there.
+    pub own: Load,
+    /// Attempts of this front in flight there.
+    pub in_flight: usize,
+}
+
+#[derive(Clone, Copy, Default)]
+struct OthersLoad {
+    held: Load,
+    own_at_report: Load,
+    reported_at: Micros,
+}
+
+/// What other fronts hold of each engine.
+#[derive(Default)]
+pub struct LoadReports {
+    layout: ReportLayout,
+    scope: LimitScope,
+    /// What other fronts usually hold for each core, by the engine's kind.
+    usual: Vec<Load>,
+    engines: Vec<OthersLoad>,
+}
+
+impl LoadReports {
+    /// Nothing has been reported yet.
+    pub fn new(layout: ReportLayout, scope: LimitScope, kinds: usize) -> Self {
+        LoadReports {
+            layout,
+            scope,
+            usual: vec![Load::default(); kinds],
+            engines: Vec::new(),
+        }
+    }
+
+    /// Makes place for so many engines.
+    pub fn resize(&mut self, engines: usize) {
+        self.engines.resize(engines, OthersLoad::default());
+    }
+
+    /// Whether reports hold the load of an engine at all.
+    pub fn name_load(&self) -> bool {
+        self.layout.names_load()
+    }
+
+    /// Whether an engine's load is known from a fresh report.
+    pub fn is_fresh(&self, engine: EngineId, now: Micros) -> bool {
+        self.name_load() && self.engines[engine].reported_at >= now - FRESH_REPORT_AGE
+    }
+
+    /// What other fronts hold by now: each is taken to have added what this one has since the report.
+    pub fn held_by_others(&self, engine: EngineId, own: Load, fronts: f64) -> Load {
+        let known = &self.engines[engine];
+        let mut added = own;
+        added.add(known.own_at_report, -1.0);
+        let mut others = known.held;
+        others.add(added, fronts - 1.0);
+        others
+    }
+
+    /// An engine has restarted: nobody holds anything there.
+    pub fn reset(&mut self, engine: EngineId) {
+        self.engines[engine].held = Load::default();
+    }
+
+    /// An engine counts as full until it reports again.
+    pub fn assume_full(&mut self, engine: EngineId, threads: f64) {
+        self.engines[engine].held.threads = threads;
+    }
+
+    /// Takes an engine's load report. `typical` is what a statement usually holds.
+    pub fn reported(&mut self, at: &ReportedEngine, report: &Report, typical: Load, now: Micros) {
+        let reported = self.read(at, report, typical);
+        let known = &mut self.engines[at.engine];
+        (known.own_at_report, known.reported_at) = (at.own, now);
+        let weight = match self.scope {
+            LimitScope::Pooled => 1.0,
+            LimitScope::PerEngine => REPORT_WEIGHT,
+        };
+        known.held.blend(reported, weight);
+        if let Some(usual) = at.kind.and_then(|kind| self.usual.get_mut(kind)) {
+            usual.blend(reported.times(1.0 / at.size.threads), MIN_SAMPLE_WEIGHT);
+        }
+    }
+
+    /// What a report says that others hold.
+    fn read(&self, at: &ReportedEngine, report: &Report, typical: Load) -> Load {
+        let own_attempts = at.in_flight as f64;
+        let (threads_each, memory_each) = match self.scope {
+            LimitScope::Pooled => (typical.threads, typical.memory),
+            LimitScope::PerEngine => (
+                positive_or(at.own.threads, 1.0) / own_attempts.max(1.0),
+                0.0,
+            ),
+        };
+        let of_busy = at.size.threads / threads_each.max(0.01);
+        let active = self.layout.active_statements(report, of_busy);
+        let of_others = active.map_or(0.0, |active| (active - own_attempts).max(0.0));
+        let granted = self.layout.granted_memory(report);
+        let memory = granted.map(|share| share * at.size.memory - at.own.memory);
+        // Where nothing tells what an engine holds, a report leaves what others are taken to hold.
+        let threads = if active.is_some() {
+            of_others * threads_each
+        } else {
+            self.engines[at.engine].held.threads
+        };
+        Load {
+            threads,
+            memory: memory.unwrap_or(of_others * memory_each).max(0.0),
+        }
+    }
+
+    /// What is held of each engine is half known and grows old. `shape` gives an engine's kind and cores.
+    pub fn decay(&mut self, shape: impl Fn(EngineId) -> (Option<usize>, f64)) {
+        for usual in &mut self.usual {
+            usual.blend(Load::default(), OTHERS_LOAD_DECAY);
+        }
+        for (engine, known) in self.engines.iter_mut().enumerate() {
+            match self.scope {
+                LimitScope::PerEngine => known.held.blend(Load::default(), OTHERS_LOAD_DECAY),
+                LimitScope::Pooled => {
+                    let (kind, cores) = shape(engine);
+                    let each = kind.and_then(|kind| self.usual.get(kind)).copied();
+                    let usual = each.unwrap_or_default().times(cores);
+                    known.held.blend(usual, OTHERS_LOAD_DRIFT_TO_USUAL);
+                }
+            }
+        }
+    }
+}
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -4,11 +4,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::interface::*;
+use crate::learned::MIN_SAMPLE_WEIGHT;
+use crate::policy::concurrency_limit::{AnsweredAttempt, ConcurrencyLimits, LimitScope};
+use crate::policy::load_reports::{LoadReports, ReportedEngine};
 use crate::policy::order_key::OrderQueues;
-use crate::policy::retry::{RetryBudget, RetryOutcome, RetryRequest};
-use crate::policy::slow_start::{SlowStart, SlowStartOutcome, SlowStartRequest};
+use crate::policy::outliers::{Charge, Outliers};
+use crate::policy::retry::RetryBudget;
+use crate::policy::slow_start::SlowStart;
 use crate::state::*;
 
+mod candidates;
 mod observations;
 mod peer_evidence;
 mod penalty;
@@ -20,22 +25,8 @@
 const CONFORMANCE_LEVELS: [f64; 4] = [1.0, 0.9, 0.8, 0.0]; // conformance that opens each level; the design page's
 const CONFORMANCE_HALF_LIFE: Micros = 10 * SECOND; // until a count of conformance has halved; the design page's value
 const PRIOR_TIMELY_STATEMENTS: f64 = 0.05; // statements, counted as timely on top, so that an unseen class has conformance 1
-const INITIAL_THREADS_PER_CORE: f64 = 2.0; // threads a core that all fronts may use at start; the design page's value
-const MAX_THREADS_PER_CORE: f64 = 3.0; // threads a core that all fronts may use at most; some of them read
-const INITIAL_MEMORY_SHARE: f64 = 0.9; // share of memory promised at the starting bound; the rest covers low estimates
-const QUICK_ANSWER_SLO_SHARE: f64 = 0.35; // share of the SLO time; answers within it say that there is room left
-const LIMIT_GROWTH_PER_THREAD_SECOND: f64 = 0.15; // threads gained among many fronts for each thread-second answered quickly
-const MIN_LIMIT_SHARE: f64 = 0.06; // of the bound at start; one thread of eight cores: no engine is given up
-const IDLE_THREADS_PER_CORE: f64 = 1.0; // threads a core up to which fresh news lets a front among many beyond its share
-const FRESH_REPORT_AGE: Micros = SECOND; // age of such news; reports are refreshed about once a second
-const LIMIT_SHRINK_PER_LATE_THREAD: f64 = 0.2; // threads lost for each thread of a late answer: a jam is all late
-const MIN_SAMPLE_WEIGHT: f64 = 0.05; // least weight of the newest sample in learned means: some twenty statements
 const ESTIMATE_PRIOR_SAMPLES: f64 = 4.0; // samples that an estimate's good faith counts for until answers tell its bias
-const CREDIT_PER_ANSWER: f64 = 0.1; // credit for each answer: full credit takes ten good answers
-const CREDIT_FACTOR_FAILED: f64 = 0.8; // factor on credit for an execution that failed: half failing leaves a quarter
-const CREDIT_FACTOR_UNREACHABLE: f64 = 0.2; // factor on credit for no route or whole silence: the process may be gone
-const TRUSTED_CREDIT: f64 = 0.5; // credit from which further executions go to an engine, and which a new one has
-const EJECTION_TIME: Micros = SECOND; // rest of an engine that seems gone: a try a second finds it soon
+const INITIAL_CREDIBILITY: f64 = 0.5; // credit from which further executions go to an engine, and which a new one has
 const MAX_SILENT_RUNS: f64 = 4.0; // usual run times, and a second, that one may be silent for without notes
 const MAX_SILENT_PROGRESS_GAPS: f64 = 1.5; // gaps between notes of progress, where agreed, that one may be silent for
 const BAD_PLAN_RUN_FACTOR: f64 = 6.0; // times the expected run time that an execution must head for to be cancelled
@@ -49,14 +40,12 @@
 const MAX_CANDIDATES_PER_CLASS: usize = 8; // statements tried of a class, the overdue or the late: the next mostly need as much
 const MEMORY_BIAS_DECAY_PER_ANSWER: f64 = 0.99; // factor on the memory need learned when one had enough: answers tell no cost
 const TIMELY_RUN_FACTOR: f64 = 2.0; // times the usual run that a start still counts as timely for: half run longer
-const SCARCE_ENGINE_THREADS_PER_CORE: f64 = 1.0; // threads a core an engine counts as fuller where bound workloads need it
 const MEMORY_GRANT_FACTOR: f64 = 1.25; // memory granted against the need expected: a quarter over, as engines do
 const RETRY_AFTER_SECONDS: f64 = 0.3; // seconds after which a rejected client may try again, spread by half
 const SHED_RETRY_DECAY_PER_ARRIVAL: f64 = 0.99; // share of those shed that may still come back, at each arrival
 const FIRST_TRY_TOLERANCE: Micros = 20_000; // microseconds less time than a first try has that mark a later one
 const STALL_THRESHOLD: Micros = 4 * SWEEP_INTERVAL; // between two calls; a front that waits so long was stopped
-const OTHERS_LOAD_DECAY: f64 = 0.007; // share of what reports told that each look forgets: half is gone in about 10 s
-const OTHERS_LOAD_DRIFT_TO_USUAL: f64 = 0.02; // share of what one engine told that a look turns into the usual: half in 3.5 s
+const CREDIBILITY_PER_TRUE_REPORT: f64 = 0.1; // gained for each report that proves true
 const PEER_REPORT_LIFETIME: Micros = 8 * SECOND; // age at which a peer report on an engine is worth nothing
 const MAX_SUSPICION: f64 = 0.5; // most that peer reports take of a bound, however many; one takes half of it
 const CREDIBILITY_FACTOR_FALSE_REPORT: f64 = 0.8; // factor on the credibility of a front whose adverse report proves false
@@ -88,10 +77,12 @@
     customer_shares: Vec<Bucket>,
     retry_budget: RetryBudget,
     slow_start: SlowStart,
-    many: bool, // so many fronts that a share of one engine's bound holds no statement
-    load: Load, // what a statement usually holds while it runs
-    probe_allowance: f64, // probes that statements have paid for
-    next_probed: usize, // engine that is probed next
+    outliers: Outliers,
+    limits: ConcurrencyLimits,
+    load_reports: LoadReports,
+    load: Load,                // what a statement usually holds while it runs
+    probe_allowance: f64,      // probes that statements have paid for
+    next_probed: usize,        // engine that is probed next
     peer_reports: PeerReports, // with the credibility of their reporters
     known: f64, // fronts that may share a returning zone: silent ones too, no fewer than agreed
     up: f64,    // of them those that are heard of, this one too
@@ -117,13 +108,9 @@
             ..Learned::default()
         };
         let mut random = Random::new(seed);
-        let narrowest = agreed
-            .workloads
-            .iter()
-            .map(|w| w.threads)
-            .fold(f64::INFINITY, f64::min);
         let placement_start = random.next();
-        let smallest = agreed.cores.iter().copied().fold(f64::INFINITY, f64::min);
+        let limits = ConcurrencyLimits::new(&agreed);
+        let scope = limits.scope();
         Scheduler {
             placement_start,
             retry_budget: RetryBudget::new(&agreed),
@@ -133,11 +120,8 @@
                 at: 0,
             }, // fronts started together probe apart
             next_probed: (random.next() * 256.0) as usize,
-            many: INITIAL_THREADS_PER_CORE * smallest / agreed.fronts < narrowest,
-            engines: Engines {
-                usual: vec![Load::default(); agreed.cores.len()],
-                ..Engines::default()
-            },
+            load_reports: LoadReports::new(agreed.report.clone(), scope, agreed.cores.len()),
+            limits,
             load: Load {
                 threads: 1.0,
                 memory: 0.0,
@@ -207,7 +191,9 @@
                 } => {
                     self.ensure_engine(engine);
                     self.found_healthy(engine, alive);
-                    self.engines.credit[engine] *= if alive { 1.0 } else { CREDIT_FACTOR_FAILED };
+                    if !alive {
+                        self.outliers.health_check_failed(engine);
+                    }
                     report.iter().for_each(|r| self.load_reported(engine, r));
                 }
             }
@@ -242,12 +228,11 @@
             let restarted = known.is_none_or(|k| k.started != entry.started);
             if known.is_none() {
                 self.engines.size[e] = size_of(&self.agreed, entry.kind);
-                self.engines.bound[e] =
-                    INITIAL_THREADS_PER_CORE * self.engines.size[e].threads / self.agreed.fronts;
+                self.limits.listed(e, self.engines.size[e].threads);
             }
             if let Some(start) = entry.started.filter(|_| restarted) {
-                (self.engines.credit[e], self.engines.ejected_until[e]) = (TRUSTED_CREDIT, 0);
-                self.engines.others[e] = Load::default();
+                self.outliers.reset(e);
+                self.load_reports.reset(e);
                 self.peer_reports.forget(e); // of an earlier start
                 self.found_healthy(e, true);
                 self.start_warm_up(e, start);
@@ -392,10 +377,9 @@
             self.sweeps += 1;
             self.probe();
             if self.sweeps.is_multiple_of(SWEEPS_PER_ENGINE_CHECK) {
-                self.engines.decay_others(
-                    OTHERS_LOAD_DECAY,
-                    self.many.then_some(OTHERS_LOAD_DRIFT_TO_USUAL),
-                );
+                let engines = &self.engines;
+                self.load_reports
+                    .decay(|e| (engines.kind(e), engines.size[e].threads));
                 (0..self.engines.open.len()).for_each(|e| self.check_silence(e));
             }
         }
@@ -403,8 +387,12 @@
 
     /// Makes place for an engine in all state that is kept by engine.
     fn ensure_engine(&mut self, engine: EngineId) {
-        self.engines.ensure(engine, TRUSTED_CREDIT);
-        self.slow_start.resize(self.engines.open.len());
+        self.engines.ensure(engine);
+        let count = self.engines.open.len();
+        self.slow_start.resize(count);
+        self.outliers.resize(count);
+        self.limits.resize(count);
+        self.load_reports.resize(count);
     }
 
     fn workload(&self, s: &Statement) -> &Workload {
--- a/src/scheduler/observations.rs
+++ b/src/scheduler/observations.rs
@@ -41,38 +41,14 @@
     }
 
     pub(super) fn load_reported(&mut self, e: EngineId, report: &Report) {
-        let (own, size) = (self.engines.own[e], self.engines.size[e]);
-        let count = self.engines.in_flight[e].len() as f64;
-        let each = if self.many {
-            self.load.threads
-        } else {
-            positive_or(own.threads, 1.0) / count.max(1.0)
-        };
-        let in_hand = self
-            .agreed
-            .report
-            .active_statements(report, size.threads / each.max(0.01));
-        let active = in_hand.map_or(0.0, |active| (active - count).max(0.0));
-        let need = if self.many { self.load.memory } else { 0.0 };
-        let granted = self
-            .agreed
-            .report
-            .granted_memory(report)
-            .map(|x| x * size.memory - own.memory);
-        // Where nothing tells what an engine holds, a report leaves what others are taken to hold.
-        let threads = if in_hand.is_some() {
-            active * each
-        } else {
-            self.engines.others[e].threads
+        let at = ReportedEngine {
+            engine: e,
+            kind: self.engines.kind(e),
+            size: self.engines.size[e],
+            own: self.engines.own[e],
+            in_flight: self.engines.in_flight[e].len(),
         };
-        let reported = Load {
-            threads,
-            memory: granted.unwrap_or(active * need).max(0.0),
-        };
-        (self.engines.own_at_report[e], self.engines.reported_at[e]) = (own, self.now);
-        self.engines.others[e].blend(reported, if self.many { 1.0 } else { 0.5 });
-        self.engines
-            .learn_usual(e, reported.times(1.0 / size.threads), MIN_SAMPLE_WEIGHT);
+        self.load_reports.reported(&at, report, self.load, self.now);
     }
 
     /// Guards against executions that are taken and never answered, whatever the cause: a hung engine,
@@ -102,14 +78,12 @@
             .collect();
         for (id, n) in stuck {
             let all_quiet = self.engines.heard_at[e] <= self.statements[&id].executions[n].heard_at;
-            self.lose_credit(
-                e,
-                if all_quiet {
-                    CREDIT_FACTOR_UNREACHABLE
-                } else {
-                    CREDIT_FACTOR_FAILED
-                },
-            );
+            let charge = if all_quiet {
+                Charge::Unreachable
+            } else {
+                Charge::Failed
+            };
+            self.outliers.charge(e, charge, self.now);
             self.cancel_to_retry(id, n);
             self.statements
                 .entry(id)
@@ -178,12 +152,8 @@
             .resolve(key, was_over, lost.then_some(now + self.agreed.order_gap));
         self.order_queues
             .keep(key, x.keeps_order_key && x.settled && !was_over);
-        // One connection late to come up tells little of its engine; two in a row tell that it is gone.
-        let (before, unreached) = self
-            .engines
-            .count_unreached(e, x.outcome, now + EJECTION_TIME);
-        if unreached.max(before) > 1 {
-            // It could not be reached: once it is back it may have restarted before the list says so.
+        let unreachable = self.outliers.attempt_ended(e, x.outcome, now);
+        if unreachable.may_have_restarted() {
             self.start_warm_up(e, now);
         }
         x.report
@@ -201,24 +171,19 @@
             // Guards against jams no answer tells of: one that turns work away or, among many fronts, lets it
             // run into the client's limit is full until it reports again, whatever it said before.
             Outcome::NoCapacity | Outcome::TimedOut => {
-                if self.many || x.outcome == Outcome::NoCapacity {
-                    self.engines.others[e].threads =
-                        MAX_THREADS_PER_CORE * self.engines.size[e].threads;
+                let pooled = self.limits.scope() == LimitScope::Pooled;
+                if pooled || x.outcome == Outcome::NoCapacity {
+                    let full = ConcurrencyLimits::full_engine(self.engines.size[e].threads);
+                    self.load_reports.assume_full(e, full);
                 }
-                self.adjust_bound(e, -LIMIT_SHRINK_PER_LATE_THREAD * load.threads);
+                let engines = &self.engines;
+                self.limits
+                    .shrink(e, load.threads, |e| engines.size[e].threads);
             }
             // A crash resets all that an engine holds at once; single resets are the network's.
             Outcome::Error | Outcome::Reset | Outcome::Unreachable => {
                 self.proved(e, true);
-                let gone = x.outcome == Outcome::Unreachable && unreached > 1;
-                self.lose_credit(
-                    e,
-                    if gone {
-                        CREDIT_FACTOR_UNREACHABLE
-                    } else {
-                        CREDIT_FACTOR_FAILED
-                    },
-                )
+                self.outliers.charge(e, unreachable.charge(x.outcome), now);
             }
             Outcome::Cancelled | Outcome::NotSent => {}
         }
@@ -239,13 +204,6 @@
         }
     }
 
-    fn lose_credit(&mut self, e: EngineId, left: f64) {
-        self.engines.credit[e] *= left;
-        if left <= CREDIT_FACTOR_UNREACHABLE {
-            self.engines.ejected_until[e] = self.now + EJECTION_TIME;
-        }
-    }
-
     fn completed(&mut self, x: &Ended, threads: f64) {
         let (now, e, took) = (self.now, x.engine, x.took as f64);
         let s = &self.statements[&x.statement];
@@ -256,7 +214,7 @@
         );
         let slo = self.slo_time(s) as f64;
         self.engines.heard_at[e] = now;
-        self.engines.credit[e] = (self.engines.credit[e] + CREDIT_PER_ANSWER).min(1.0);
+        self.outliers.answered(e);
         let seconds = took / SECOND as f64;
         self.load.blend(
             Load {
@@ -265,17 +223,17 @@
             },
             MIN_SAMPLE_WEIGHT * seconds.min(1.0),
         );
-        let (bound, held) = self.engines.totals(if self.many { None } else { Some(e) });
-        if took <= slo * QUICK_ANSWER_SLO_SHARE && held + 2.0 * threads >= bound {
-            let growth = if self.many {
-                LIMIT_GROWTH_PER_THREAD_SECOND
-            } else {
-                1.0 / bound.max(1.0)
-            };
-            self.adjust_bound(e, threads * seconds * growth);
-        } else if took > slo {
-            self.adjust_bound(e, -LIMIT_SHRINK_PER_LATE_THREAD * threads);
-        }
+        let answer = AnsweredAttempt {
+            engine: e,
+            threads,
+            took,
+            slo,
+            own_threads: self.engines.own[e].threads,
+        };
+        let engines = &self.engines;
+        let pool = |limits: &ConcurrencyLimits| limits.pool(engines.in_use());
+        self.limits
+            .answered(&answer, pool, |e| engines.size[e].threads);
         self.learned[w].completed(
             MIN_SAMPLE_WEIGHT,
             (took, base),
@@ -286,20 +244,4 @@
             },
         );
     }
-
-    /// Moves an engine's bound, or all alike: a front among many hears too seldom of each to know its own.
-    fn adjust_bound(&mut self, e: EngineId, threads: f64) {
-        let moved = if self.many {
-            0..self.engines.open.len()
-        } else {
-            e..e + 1
-        };
-        let all: f64 = self.engines.bound[moved.clone()].iter().sum();
-        for e in moved {
-            let cores = self.engines.size[e].threads;
-            let least = MIN_LIMIT_SHARE * INITIAL_THREADS_PER_CORE * cores / self.agreed.fronts;
-            let bound = self.engines.bound[e] * (1.0 + threads / all.max(0.01)).max(0.5);
-            self.engines.bound[e] = bound.clamp(least, MAX_THREADS_PER_CORE * cores);
-        }
-    }
 }
--- a/src/scheduler/peer_evidence.rs
+++ b/src/scheduler/peer_evidence.rs
@@ -15,7 +15,8 @@
             self.now - report.age + PEER_REPORT_LIFETIME,
         );
         self.peer_reports.expire(self.now);
-        let believed = self.peer_reports.credibility(reporter, TRUSTED_CREDIT) >= TRUSTED_CREDIT;
+        let believed =
+            self.peer_reports.credibility(reporter, INITIAL_CREDIBILITY) >= INITIAL_CREDIBILITY;
         // What was reported before an engine was found healthy, or of an earlier start, is over.
         let healthy_since = self.slow_start.started_at(e);
         if severity >= MIN_ADVERSE_SEVERITY
@@ -44,7 +45,7 @@
     pub(super) fn unsuspected_share(&self, e: EngineId) -> f64 {
         let worth = |(reporter, report): (usize, Adverse)| {
             let left = (report.until - self.now).max(0) as f64 / PEER_REPORT_LIFETIME as f64;
-            (self.peer_reports.credibility(reporter, TRUSTED_CREDIT)
+            (self.peer_reports.credibility(reporter, INITIAL_CREDIBILITY)
                 * report.severity
                 * left.sqrt())
             .min(0.5)
@@ -59,7 +60,7 @@
         let (zone, quorum) = (self.engines.same_zone(e), self.agreed.zone_quorum);
         let suspects = self
             .peer_reports
-            .suspects(&zone, TRUSTED_CREDIT, TRUSTED_CREDIT);
+            .suspects(&zone, INITIAL_CREDIBILITY, INITIAL_CREDIBILITY);
         if quorum > 0
             && suspects.reporters.len() >= quorum
             && 2 * suspects.engines.len() > zone.len()
@@ -86,7 +87,7 @@
             for o in zone {
                 self.engines.evacuated.remove(&o);
                 self.peer_reports.forget(o);
-                (self.engines.credit[o], self.engines.ejected_until[o]) = (TRUSTED_CREDIT, 0);
+                self.outliers.reset(o);
                 self.start_warm_up(o, self.now);
             }
         }
@@ -96,11 +97,11 @@
     pub(super) fn proved(&mut self, e: EngineId, right: bool) {
         let change = |c: f64| {
             if right {
-                (c + CREDIT_PER_ANSWER).min(1.0)
+                (c + CREDIBILITY_PER_TRUE_REPORT).min(1.0)
             } else {
                 c * CREDIBILITY_FACTOR_FALSE_REPORT
             }
         };
-        self.peer_reports.proved(e, TRUSTED_CREDIT, change);
+        self.peer_reports.proved(e, INITIAL_CREDIBILITY, change);
     }
 }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,31 +1,112 @@
-//! Where a statement may go, and where it goes.
+//! Placement: which engine gets a statement? The candidate filter, the concurrency limits and the ranking in turn.
 
-use super::*;
-use crate::policy::idempotency::{has_safe_engine, is_safe_repeat};
+use crate::interface::{EngineId, Micros, StatementId, Workload};
+use crate::policy::concurrency_limit::{LimitOutcome, LimitRequest, LimitScope, Pool};
+use crate::policy::idempotency::has_safe_engine;
+use crate::policy::ranking::{RankedEngine, Ranking, RankingMode};
+use crate::policy::retry::{RetryOutcome, RetryRequest};
+use crate::policy::slow_start::{SlowStartOutcome, SlowStartRequest};
+use crate::state::Statement;
+
+use super::candidates::Eligibility;
+use super::Scheduler;
+
+/// What is the same for all engines while one statement is placed.
+struct PlacementScan {
+    /// Other fronts' reports take from the limits of the engines they suspect.
+    heed_suspicion: bool,
+    /// Engines outside evacuated zones may have the statement.
+    avoid_evacuated: bool,
+    pool: Pool,
+}
 
 impl Scheduler {
-    /// The one gate: whether the rules let this statement be sent to this engine now; never a second copy.
-    fn may_execute(&self, id: StatementId, e: EngineId) -> bool {
+    /// The engine that a statement goes to; None where none may have it now.
+    pub(super) fn place(&self, id: StatementId) -> Option<EngineId> {
         let s = &self.statements[&id];
+        if !self.may_be_sent(id, s) {
+            return None;
+        }
+        let scan = self.placement_scan(s);
+        let mut ranking = Ranking::new(self.ranking_mode());
+        let count = self.engines.open.len();
+        // Fronts that know the same must not all pick the same engine: each starts its search elsewhere.
+        let start = self.placement_start * count as f64;
+        let first = start as usize;
+        for e in (0..count).map(|i| (i + first) % count) {
+            if self.eligibility(s, e, scan.avoid_evacuated) != Eligibility::Eligible {
+                continue;
+            }
+            if let LimitOutcome::Capacity { threads } = self.check_limit(s, e, &scan) {
+                ranking.add(&RankedEngine {
+                    engine: e,
+                    capacity: threads,
+                    cores: self.engines.size[e].threads,
+                    scarce: self.is_scarce(s, e),
+                });
+            }
+        }
+        ranking.choose(start.fract())
+    }
+
+    fn ranking_mode(&self) -> RankingMode {
+        if self.limits.scope() == LimitScope::Pooled && !self.load_reports.name_load() {
+            RankingMode::DrawByCapacity
+        } else {
+            RankingMode::MostCapacity
+        }
+    }
+
+    fn placement_scan(&self, s: &Statement) -> PlacementScan {
         let workload = self.workload(s);
-        let Some(entry) = self.engines.entry(e) else {
-            return false;
+        let is_allowed = |e: &EngineId| {
+            let entry = self.engines.entry(*e);
+            entry.is_some_and(|entry| s.allows(workload, entry))
+        };
+        let allowed = || (0..self.engines.open.len()).filter(is_allowed);
+        // Where all engines that it may use are suspected, none is.
+        PlacementScan {
+            heed_suspicion: !self.peer_reports.adverse.is_empty()
+                && allowed().any(|e| self.unsuspected_share(e) >= 1.0),
+            avoid_evacuated: !self.engines.evacuated.is_empty()
+                && allowed().any(|e| !self.engines.is_evacuated(e)),
+            pool: self.limits.pool(self.engines.in_use()),
+        }
+    }
+
+    fn check_limit(&self, s: &Statement, e: EngineId, scan: &PlacementScan) -> LimitOutcome {
+        let credit = self.outliers.limit_share(e);
+        let trust = if scan.heed_suspicion {
+            credit * self.unsuspected_share(e)
+        } else {
+            credit
         };
-        let open = !s.over && !s.is_in_flight() && s.allows(workload, entry);
-        let open = open
-            && s.asked.pinned.is_none_or(|p| p == e)
-            && entry.protocols & s.asked.protocols != 0;
-        let bears = self.check_slow_start(e, s) != SlowStartOutcome::Denied;
-        let open = open && self.now < s.deadline && self.is_first_in_order(id, s);
-        open && bears
-            && (s.executions.is_empty() || self.is_safe_repeat(s, entry) && self.may_retry(s))
+        let own = self.engines.own[e];
+        let mut need = s.load;
+        need.threads = self.workload(s).threads;
+        self.limits.check(&LimitRequest {
+            at: self.engines.use_of(e),
+            idle: self.engines.is_idle(e),
+            others: self.load_reports.held_by_others(e, own, self.agreed.fronts),
+            trust,
+            capacity_share: self.slow_start.capacity_share(e, self.now),
+            fresh_report: self.load_reports.is_fresh(e, self.now),
+            need,
+            pool: &scan.pool,
+        })
     }
 
-    fn is_safe_repeat(&self, s: &Statement, at: &EngineEntry) -> bool {
-        is_safe_repeat(self.workload(s), s, &self.engines.listed, at, self.now)
+    /// Whether a workload that can't go everywhere needs the engine, and the statement's can.
+    fn is_scarce(&self, s: &Statement, e: EngineId) -> bool {
+        let is_bound = |w: &Workload| w.kinds.is_some() || w.locations.is_some();
+        let needs = |w: &Workload| {
+            let entry = self.engines.listed[e].as_ref();
+            is_bound(w) && entry.is_some_and(|entry| w.allows(entry))
+        };
+        !is_bound(self.workload(s)) && self.agreed.workloads.iter().any(needs)
     }
 
-    /// Whether any engine may have it by what earlier executions of it may have done: else it waits in vain.
+    /// Whether any engine may have it by what earlier attempts may have done: else it waits in vain.
     pub(super) fn has_safe_engine(&self, s: &Statement) -> bool {
         has_safe_engine(self.workload(s), s, &self.engines.listed, self.now)
     }
@@ -49,106 +130,6 @@
             .is_first(s.asked.key, id, attempted, self.now)
     }
 
-    pub(super) fn place(&self, id: StatementId) -> Option<EngineId> {
-        let s = &self.statements[&id];
-        let workload = self.workload(s);
-        let stands = (workload.waits_for_data || workload.holds_data) && s.asked.data_set.is_some();
-        let is_bound = |w: &Workload| w.kinds.is_some() || w.locations.is_some();
-        let (mut best, mut best_room) = (None, f64::NEG_INFINITY);
-        // Where all engines that it may use are suspected, none is.
-        let may = |e: &EngineId| {
-            self.engines
-                .entry(*e)
-                .is_some_and(|l| s.allows(workload, l))
-        };
-        let all = || (0..self.engines.open.len()).filter(may);
-        let heeds = !self.peer_reports.adverse.is_empty()
-            && all().any(|e| self.unsuspected_share(e) >= 1.0);
-        let avoid =
-            !self.engines.evacuated.is_empty() && all().any(|e| !self.engines.is_evacuated(e));
-        let (pool, out) = self.engines.open_totals();
-        let (memory_pool, memory_out) = self
-            .engines
-            .open_memory(INITIAL_MEMORY_SHARE / INITIAL_THREADS_PER_CORE);
-        // Among many fronts the pool bounds a front's threads and memory; with nothing out it may send one.
-        let beyond = out + workload.threads > pool || memory_out + s.load.memory > memory_pool;
-        let over = self.many && out > 0.0 && beyond;
-        let count = self.engines.open.len();
-        // Fronts that know the same must not all pick the same engine: each starts its look elsewhere.
-        let first = (self.placement_start * count as f64) as usize;
-        let (guessed, mut drawn) = (self.many && !self.agreed.report.names_load(), Vec::new());
-        for e in (0..count).map(|i| (i + first) % count) {
-            let trusted = s.executions.is_empty() || self.engines.credit[e] >= TRUSTED_CREDIT;
-            let reached = self.engines.send_capacity[e] > 0 || s.asked.pinned.is_some();
-            let away = !reached
-                || self.engines.ejected_until[e] > self.now
-                || avoid && self.engines.is_evacuated(e);
-            if !trusted || away || !self.may_execute(id, e) {
-                continue;
-            }
-            let holds =
-                |o: &Statement| self.workload(o).holds_data && o.asked.data_set == s.asked.data_set;
-            let locked = || {
-                self.engines.in_flight[e]
-                    .iter()
-                    .any(|(other, _)| holds(&self.statements[other]))
-            };
-            if stands && (self.engines.holds(e, s.asked.data_set, self.now) || locked()) {
-                continue;
-            }
-            let Some(entry) = &self.engines.listed[e] else {
-                continue;
-            };
-            let (size, own) = (self.engines.size[e], self.engines.own[e]);
-            let credit = (self.engines.credit[e] / TRUSTED_CREDIT).min(1.0);
-            let credit = if heeds {
-                credit * self.unsuspected_share(e)
-            } else {
-                credit
-            };
-            let bound = self.engines.bound[e]
-                * credit.max(0.01)
-                * self.slow_start.capacity_share(e, self.now);
-            let memory = size.memory
-                * INITIAL_MEMORY_SHARE
-                * (bound / (INITIAL_THREADS_PER_CORE * size.threads)).min(1.0);
-            // What this front has added since the last report, the others are taken to have added too.
-            let (mut others, mut added) = (self.engines.others[e], own);
-            added.add(self.engines.own_at_report[e], -1.0);
-            others.add(added, self.agreed.fronts - 1.0);
-            let cores = size.threads * self.slow_start.capacity_share(e, self.now);
-            let whole = MAX_THREADS_PER_CORE * cores;
-            let share = if self.many { whole * credit } else { bound };
-            let room = share.min(whole - others.threads) - own.threads;
-            let spare = IDLE_THREADS_PER_CORE * cores - others.threads - own.threads;
-            let fresh = self.agreed.report.names_load()
-                && self.engines.reported_at[e] >= self.now - FRESH_REPORT_AGE;
-            let within = !over || spare >= workload.threads && fresh;
-            let taken = own.memory + s.load.memory;
-            let full = taken + others.memory > size.memory;
-            let fits = room >= workload.threads && (taken <= memory || self.many) && !full;
-            let idle = if self.many {
-                out <= 0.0
-            } else {
-                self.engines.is_idle(e) && room > 0.0 && !full
-            };
-            let needs = |w: &Workload| is_bound(w) && w.allows(entry);
-            let scarce = !is_bound(workload) && self.agreed.workloads.iter().any(needs);
-            let room = if scarce {
-                room - SCARCE_ENGINE_THREADS_PER_CORE * size.threads
-            } else {
-                room
-            };
-            if (idle || fits && within) && guessed {
-                drawn.push((e, room.max(MIN_LIMIT_SHARE)));
-            } else if (idle || fits && within) && room > best_room {
-                (best, best_room) = (Some(e), room);
-            }
-        }
-        // With no report of what others hold, the roomiest is the largest for all fronts: each draws by room.
-        draw_weighted((self.placement_start * count as f64).fract(), &drawn).or(best)
-    }
-
     /// An engine warms up from then on, as far as is known.
     pub(super) fn start_warm_up(&mut self, e: EngineId, started: Micros) {
         let request = self.slow_start_request(e, 0.0);
--- a/src/state.rs
+++ b/src/state.rs
@@ -6,6 +6,7 @@
 use crate::interface::*;
 pub use crate::learned::*;
 pub use crate::peer_reports::*;
+use crate::policy::concurrency_limit::EngineUse;
 pub use crate::random::*;
 
 pub const SECOND: Micros = 1_000_000; // microseconds
@@ -176,20 +177,12 @@
 pub struct Engines {
     pub open: Vec<bool>,
     pub listed: Vec<Option<EngineEntry>>,
-    pub size: Vec<Load>,  // cores and memory
-    pub usual: Vec<Load>, // what other fronts hold for each core, by kind
+    pub size: Vec<Load>, // cores and memory
     pub own: Vec<Load>,
-    pub own_at_report: Vec<Load>, // what was own at the last report
-    pub others: Vec<Load>,        // of other fronts, and of work given up here that may run on
     pub in_flight: Vec<BTreeSet<(StatementId, usize)>>,
     pub locked_data: Vec<Vec<(u32, Micros)>>, // data sets that loads of other fronts hold there, and until when
-    pub bound: Vec<f64>,
-    pub credit: Vec<f64>,
-    pub unreached: Vec<usize>, // times in a row that it could not be reached
-    pub ejected_until: Vec<Micros>,
     pub heard_at: Vec<Micros>,
     pub probed_at: Vec<Micros>,
-    pub reported_at: Vec<Micros>,  // when its last report came
     pub send_capacity: Vec<usize>, // executions that can leave now, over connections that are there or may be made
     /// Suspects in evacuated zones, each with the other fronts that have found it healthy since.
     pub evacuated: BTreeMap<EngineId, BTreeSet<usize>>,
@@ -247,33 +240,6 @@
         all.get((share * all.len() as f64) as usize).copied()
     }
 
-    /// The same of one engine, or of all that are open.
-    pub fn totals(&self, one: Option<EngineId>) -> (f64, f64) {
-        one.map_or_else(
-            || self.open_totals(),
-            |e| (self.bound[e], self.own[e].threads),
-        )
-    }
-
-    /// The bounds of all open engines added up, and the threads that this front has out there.
-    pub fn open_totals(&self) -> (f64, f64) {
-        let open = (0..self.open.len()).filter(|e| self.open[*e]);
-        open.fold((0.0, 0.0), |(bound, own), e| {
-            (bound + self.bound[e], own + self.own[e].threads)
-        })
-    }
-
-    /// The memory of open engines that the bounds stand for, at a share a thread, and what this front holds.
-    pub fn open_memory(&self, used_per_thread: f64) -> (f64, f64) {
-        let open = (0..self.open.len()).filter(|e| self.open[*e]);
-        let share = |e: usize| {
-            self.size[e].memory * (self.bound[e] * used_per_thread / self.size[e].threads).min(1.0)
-        };
-        open.fold((0.0, 0.0), |(pool, own), e| {
-            (pool + share(e), own + self.own[e].memory)
-        })
-    }
-
     /// Whether no execution of this front is out there.
     pub fn is_idle(&self, e: EngineId) -> bool {
         self.in_flight[e].is_empty()
@@ -294,69 +260,40 @@
             .for_each(|known| *known = executions);
     }
 
-    /// What others hold of each is half known and grows old: with reports of many, towards what is usual.
-    pub fn decay_others(&mut self, forgotten: f64, outdated: Option<f64>) {
-        self.usual
-            .iter_mut()
-            .for_each(|usual| usual.blend(Load::default(), forgotten));
-        for e in 0..self.open.len() {
-            let usual = outdated.map_or(Load::default(), |_| self.usual(e));
-            self.others[e].blend(usual, outdated.unwrap_or(forgotten));
-        }
-    }
-
     /// It is out no more.
     pub fn remove(&mut self, e: EngineId, execution: (StatementId, usize), load: Load) {
         self.in_flight[e].remove(&execution);
         self.own[e].add(load, -1.0);
     }
 
-    /// How often in a row it could not be reached, before and now; then it rests.
-    pub fn count_unreached(
-        &mut self,
-        e: EngineId,
-        outcome: Outcome,
-        ejected_until: Micros,
-    ) -> (usize, usize) {
-        let before = self.unreached[e];
-        match outcome {
-            Outcome::Unreachable => {
-                (self.unreached[e], self.ejected_until[e]) = (before + 1, ejected_until)
-            }
-            Outcome::Completed | Outcome::NoCapacity | Outcome::Error => self.unreached[e] = 0,
-            _ => {} // nothing has come from there
-        }
-        (before, self.unreached[e])
+    /// A load of another front holds the data set there until then.
+    pub fn lock(&mut self, e: EngineId, data_set: u32, now: Micros, until: Micros) {
+        self.locked_data[e].retain(|(held, until)| *held != data_set && *until > now);
+        self.locked_data[e].push((data_set, until));
     }
 
-    /// What other fronts usually hold of an engine like this one.
-    pub fn usual(&self, e: EngineId) -> Load {
-        let each = self.listed[e]
-            .as_ref()
-            .and_then(|entry| self.usual.get(entry.kind));
-        each.copied()
-            .unwrap_or_default()
-            .times(self.size[e].threads)
+    /// The place of an engine's kind, where it is listed.
+    pub fn kind(&self, e: EngineId) -> Option<usize> {
+        self.listed[e].as_ref().map(|entry| entry.kind)
     }
 
-    /// The same for each core, as its reports tell.
-    pub fn learn_usual(&mut self, e: EngineId, reported: Load, weight: f64) {
-        let usual = self.listed[e]
-            .as_ref()
-            .and_then(|entry| self.usual.get_mut(entry.kind));
-        usual
-            .into_iter()
-            .for_each(|usual| usual.blend(reported, weight));
+    /// An engine and what this front holds there.
+    pub fn use_of(&self, e: EngineId) -> EngineUse {
+        EngineUse {
+            engine: e,
+            size: self.size[e],
+            own: self.own[e],
+        }
     }
 
-    /// A load of another front holds the data set there until then.
-    pub fn lock(&mut self, e: EngineId, data_set: u32, now: Micros, until: Micros) {
-        self.locked_data[e].retain(|(held, until)| *held != data_set && *until > now);
-        self.locked_data[e].push((data_set, until));
+    /// The open engines and what this front holds there.
+    pub fn in_use(&self) -> impl Iterator<Item = EngineUse> + '_ {
+        let open = (0..self.open.len()).filter(|e| self.open[*e]);
+        open.map(|e| self.use_of(e))
     }
 
-    /// Makes room for an engine; one that is new starts with the credit given.
-    pub fn ensure(&mut self, engine: EngineId, credit: f64) {
+    /// Makes place for an engine.
+    pub fn ensure(&mut self, engine: EngineId) {
         let count = self.open.len().max(engine + 1);
         self.open.resize(count, false);
         self.listed.resize(count, None);
@@ -368,17 +305,10 @@
             },
         );
         self.own.resize(count, Load::default());
-        self.own_at_report.resize(count, Load::default());
-        self.others.resize(count, Load::default());
         self.in_flight.resize(count, BTreeSet::new());
         self.locked_data.resize(count, Vec::new());
-        self.bound.resize(count, 0.0);
-        self.credit.resize(count, credit);
-        self.unreached.resize(count, 0);
-        self.ejected_until.resize(count, 0);
         self.heard_at.resize(count, 0);
         self.probed_at.resize(count, 0);
-        self.reported_at.resize(count, 0);
         self.send_capacity.resize(count, usize::MAX);
     }
 }
