--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,7 +9,6 @@
 mod demand;
 pub mod interface;
 mod learned;
-mod peer_reports;
 mod policy;
 mod random;
 mod scheduler;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -2,10 +2,13 @@
 //! and its state. No rule reads the state of another; [`Scheduler`](crate::Scheduler) joins them.
 
 pub(crate) mod concurrency_limit;
+pub(crate) mod health_checks;
 pub(crate) mod idempotency;
 pub(crate) mod load_reports;
 pub(crate) mod order_key;
 pub(crate) mod outliers;
+pub(crate) mod peer_evidence;
 pub(crate) mod ranking;
 pub(crate) mod retry;
 pub(crate) mod slow_start;
+pub(crate) mod stuck_attempts;
--- /dev/null
+++ b/src/policy/health_checks.rs
@@ -0,0 +1,87 @@
+//! Health checks: which engines are probed now?
+//!
+//! Inputs: the statements taken, the probes a second that this front may send, which engines are open.
+//! Reason: where only probes bring load reports, engines are probed in rotation, as often as statements pay for: a front
+//! without traffic asks nothing. Engines of evacuated zones are probed at a rate of the whole fleet's.
+//! Source: our extension, `docs/design.md`, "Probes".
+
+use crate::interface::{Agreement, EngineId, Micros};
+use crate::state::{Bucket, SECOND};
+
+/// Least time between probes of an engine.
+const MIN_PROBE_INTERVAL: Micros = SECOND / 2;
+/// Probes that each statement taken pays for.
+const PROBES_PER_STATEMENT: f64 = 1.0;
+/// Probes that may be saved up.
+const MAX_SAVED_PROBES: f64 = 8.0;
+/// Probes a second into evacuated zones, of all fronts together.
+const FLEET_PROBES_PER_SECOND: f64 = 4.0;
+
+/// The health checks of this front.
+#[derive(Default)]
+pub struct HealthChecks {
+    /// Probes are allowed, and only they bring load reports.
+    wanted: bool,
+    /// Probes that statements have paid for.
+    saved: f64,
+    /// The engine that is probed next.
+    next: usize,
+    /// Of the fleet's budget.
+    tokens: Bucket,
+    probed_at: Vec<Micros>,
+}
+
+impl HealthChecks {
+    /// Nothing has been probed yet. `first_token` and `first_engine` are drawn, from 0 up to 1: fronts that start
+    /// together probe apart.
+    pub fn new(agreed: &Agreement, first_token: f64, first_engine: f64) -> Self {
+        HealthChecks {
+            wanted: agreed.report_on_probe && agreed.probes,
+            next: (first_engine * 256.0) as usize,
+            tokens: Bucket {
+                left: first_token,
+                at: 0,
+            },
+            ..HealthChecks::default()
+        }
+    }
+
+    /// Makes place for so many engines.
+    pub fn resize(&mut self, engines: usize) {
+        self.probed_at.resize(engines, 0);
+    }
+
+    /// A statement is taken and pays for probes.
+    pub fn statement_taken(&mut self) {
+        self.saved = (self.saved + PROBES_PER_STATEMENT).min(MAX_SAVED_PROBES);
+    }
+
+    /// How likely it is that this front probes an evacuated zone in an interval, times the fronts that do.
+    pub fn fleet_probes_per(interval: Micros) -> f64 {
+        FLEET_PROBES_PER_SECOND * interval as f64 / SECOND as f64
+    }
+
+    /// Probes the engines that are due, in rotation. `probes_per_s` is this front's budget for each engine.
+    pub fn probe_due(
+        &mut self,
+        open: &[bool],
+        probes_per_s: f64,
+        now: Micros,
+        mut probe: impl FnMut(EngineId),
+    ) {
+        let engines = open.len();
+        for _ in 0..engines {
+            let engine = self.next % engines;
+            let recent = self.probed_at[engine] > now - MIN_PROBE_INTERVAL;
+            if !self.wanted || self.saved < 1.0 || recent {
+                return;
+            }
+            self.next = engine + 1;
+            if open[engine] && self.tokens.take(probes_per_s * engines as f64, now) {
+                self.saved -= 1.0;
+                self.probed_at[engine] = now;
+                probe(engine);
+            }
+        }
+    }
+}
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -6,9 +6,11 @@
 use crate::interface::*;
 use crate::learned::MIN_SAMPLE_WEIGHT;
 use crate::policy::concurrency_limit::{AnsweredAttempt, ConcurrencyLimits, LimitScope};
+use crate::policy::health_checks::HealthChecks;
 use crate::policy::load_reports::{LoadReports, ReportedEngine};
 use crate::policy::order_key::OrderQueues;
-use crate::policy::outliers::{Charge, Outliers};
+use crate::policy::outliers::Outliers;
+use crate::policy::peer_evidence::PeerEvidence;
 use crate::policy::retry::RetryBudget;
 use crate::policy::slow_start::SlowStart;
 use crate::state::*;
@@ -26,17 +28,10 @@
 const CONFORMANCE_HALF_LIFE: Micros = 10 * SECOND; // until a count of conformance has halved; the design page's value
 const PRIOR_TIMELY_STATEMENTS: f64 = 0.05; // statements, counted as timely on top, so that an unseen class has conformance 1
 const ESTIMATE_PRIOR_SAMPLES: f64 = 4.0; // samples that an estimate's good faith counts for until answers tell its bias
-const INITIAL_CREDIBILITY: f64 = 0.5; // credit from which further executions go to an engine, and which a new one has
-const MAX_SILENT_RUNS: f64 = 4.0; // usual run times, and a second, that one may be silent for without notes
-const MAX_SILENT_PROGRESS_GAPS: f64 = 1.5; // gaps between notes of progress, where agreed, that one may be silent for
-const BAD_PLAN_RUN_FACTOR: f64 = 6.0; // times the expected run time that an execution must head for to be cancelled
 const MIN_LATE_SHARE_TO_RUN: f64 = 0.25; // late share under which a statement that must be late is shed at once
 const SWEEP_INTERVAL: Micros = 25_000; // microseconds between looks at what is due; finer than any slack agreed
 const REJECT_BEFORE_DEADLINE: Micros = 40_000; // microseconds before the client's time is up when a held statement ends
 const SWEEPS_PER_ENGINE_CHECK: u32 = 4; // sweeps between looks at silent engines, which walk all executions out
-const MIN_PROBE_INTERVAL: Micros = SECOND / 2; // least time between probes of an engine, where only they bring reports
-const PROBES_PER_STATEMENT: f64 = 1.0; // probes that each statement taken pays for
-const MAX_SAVED_PROBES: f64 = 8.0; // probes that may be saved up
 const MAX_CANDIDATES_PER_CLASS: usize = 8; // statements tried of a class, the overdue or the late: the next mostly need as much
 const MEMORY_BIAS_DECAY_PER_ANSWER: f64 = 0.99; // factor on the memory need learned when one had enough: answers tell no cost
 const TIMELY_RUN_FACTOR: f64 = 2.0; // times the usual run that a start still counts as timely for: half run longer
@@ -45,15 +40,9 @@
 const SHED_RETRY_DECAY_PER_ARRIVAL: f64 = 0.99; // share of those shed that may still come back, at each arrival
 const FIRST_TRY_TOLERANCE: Micros = 20_000; // microseconds less time than a first try has that mark a later one
 const STALL_THRESHOLD: Micros = 4 * SWEEP_INTERVAL; // between two calls; a front that waits so long was stopped
-const CREDIBILITY_PER_TRUE_REPORT: f64 = 0.1; // gained for each report that proves true
-const PEER_REPORT_LIFETIME: Micros = 8 * SECOND; // age at which a peer report on an engine is worth nothing
-const MAX_SUSPICION: f64 = 0.5; // most that peer reports take of a bound, however many; one takes half of it
-const CREDIBILITY_FACTOR_FALSE_REPORT: f64 = 0.8; // factor on the credibility of a front whose adverse report proves false
-const MIN_ADVERSE_SEVERITY: f64 = 0.3; // share of failures or silence from which a peer report counts as adverse
 const MAX_FLEET_LATE_SHARE: f64 = 0.15; // share of what the fleet admitted that was late, beyond which it admits less
 const ADMITTED_PER_ANSWERED: f64 = 1.25; // times what engines answer that the fleet admits: less would leave them idle
 const MIN_ADMITTED_SHARE: f64 = 0.05; // share of what is asked that is admitted in any case: else no way back
-const FLEET_PROBES_PER_SECOND: f64 = 4.0; // a second into evacuated zones, of all fronts together
 
 #[derive(Default)]
 /// One front: what it was agreed, what it knows, and its decisions.
@@ -80,16 +69,14 @@
     outliers: Outliers,
     limits: ConcurrencyLimits,
     load_reports: LoadReports,
-    load: Load,                // what a statement usually holds while it runs
-    probe_allowance: f64,      // probes that statements have paid for
-    next_probed: usize,        // engine that is probed next
-    peer_reports: PeerReports, // with the credibility of their reporters
+    load: Load, // what a statement usually holds while it runs
+    peer_evidence: PeerEvidence,
+    health_checks: HealthChecks,
     known: f64, // fronts that may share a returning zone: silent ones too, no fewer than agreed
     up: f64,    // of them those that are heard of, this one too
     admitted: Vec<f64>, // admitted share of each workload, inside and beyond customers' shares; none: all
     beyond: Vec<f64>, // share of what each customer asks the fleet that is beyond its own; none: not known
     demand: f64,      // on this front, against the mean; 0 where it hears of no others
-    probe_tokens: Bucket, // of the fleet's budget
     last_pace: Option<f64>, // new connections a second to each engine, as last ordered
     placement_start: f64, // where in the list of engines the next choice looks first
 }
@@ -115,11 +102,8 @@
             placement_start,
             retry_budget: RetryBudget::new(&agreed),
             slow_start: SlowStart::new(&agreed, placement_start),
-            probe_tokens: Bucket {
-                left: placement_start,
-                at: 0,
-            }, // fronts started together probe apart
-            next_probed: (random.next() * 256.0) as usize,
+            health_checks: HealthChecks::new(&agreed, placement_start, random.next()),
+            peer_evidence: PeerEvidence::new(agreed.zone_quorum),
             load_reports: LoadReports::new(agreed.report.clone(), scope, agreed.cores.len()),
             limits,
             load: Load {
@@ -190,8 +174,9 @@
                     report,
                 } => {
                     self.ensure_engine(engine);
-                    self.found_healthy(engine, alive);
-                    if !alive {
+                    if alive {
+                        self.found_healthy(engine);
+                    } else {
                         self.outliers.health_check_failed(engine);
                     }
                     report.iter().for_each(|r| self.load_reported(engine, r));
@@ -233,8 +218,8 @@
             if let Some(start) = entry.started.filter(|_| restarted) {
                 self.outliers.reset(e);
                 self.load_reports.reset(e);
-                self.peer_reports.forget(e); // of an earlier start
-                self.found_healthy(e, true);
+                self.peer_evidence.forget(e); // of an earlier start
+                self.found_healthy(e);
                 self.start_warm_up(e, start);
             }
             self.engines.open[e] = entry.mode == Mode::Ready;
@@ -294,7 +279,7 @@
             .copied()
             .fold(f64::INFINITY, f64::min);
         let memory = memory.min(least_mb * self.agreed.largest_grant);
-        self.probe_allowance = (self.probe_allowance + PROBES_PER_STATEMENT).min(MAX_SAVED_PROBES);
+        self.health_checks.statement_taken();
         a.key = a.key.filter(|_| workload.in_order);
         self.order_queues.enqueue(a.key, a.statement);
         let (id, ends) = (a.statement, self.now + a.time_left);
@@ -393,6 +378,7 @@
         self.outliers.resize(count);
         self.limits.resize(count);
         self.load_reports.resize(count);
+        self.health_checks.resize(count);
     }
 
     fn workload(&self, s: &Statement) -> &Workload {
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -69,7 +69,7 @@
         if self.outliers.is_ejected(e, self.now) {
             return Eligibility::Ejected;
         }
-        if avoid_evacuated && self.engines.is_evacuated(e) {
+        if avoid_evacuated && self.is_evacuated(e) {
             return Eligibility::EvacuatedZone;
         }
         let Some(entry) = self.engines.entry(e) else {
--- a/src/scheduler/observations.rs
+++ b/src/scheduler/observations.rs
@@ -1,42 +1,36 @@
 //! What answers, notes, reports and silence tell of engines and workloads.
 
 use super::*;
+use crate::policy::stuck_attempts::{check_silence, is_bad_plan, InFlightAttempt, SilenceOutcome};
 
 impl Scheduler {
-    /// Asks engines for their load where only probes bring it, in turn, as often as statements pay for.
+    /// Probes the engines that are due.
     pub(super) fn probe(&mut self) {
-        // All fronts together probe evacuated zones: each draws at its share of the rate. Where
-        // probes are not allowed a statement or two go there instead, as to a cold engine.
-        let rate = FLEET_PROBES_PER_SECOND * SWEEP_INTERVAL as f64 / SECOND as f64;
-        if !self.engines.evacuated.is_empty() && self.random.next() * self.up < rate {
-            match self.engines.pick_evacuated(self.random.next()) {
-                Some(engine) if self.agreed.probes => {
-                    self.actions.push(Action::ProbeEvacuated { engine })
-                }
-                other => other.into_iter().for_each(|e| self.found_healthy(e, true)),
-            }
-        }
-        let each = self.agreed.budgets.map_or(f64::INFINITY, |b| {
-            share_of(b.probes, self.demand, self.known)
+        self.probe_evacuated();
+        let budget = self.agreed.budgets.map(|budgets| budgets.probes);
+        let each = budget.map_or(f64::INFINITY, |probes| {
+            share_of(probes, self.demand, self.known)
         });
-        let (count, asks) = (
-            self.engines.open.len(),
-            self.agreed.report_on_probe && self.agreed.probes,
-        );
-        for _ in 0..count {
-            let e = self.next_probed % count;
-            if !asks
-                || self.probe_allowance < 1.0
-                || self.engines.probed_at[e] > self.now - MIN_PROBE_INTERVAL
-            {
-                return;
-            }
-            self.next_probed = e + 1;
-            if self.engines.open[e] && self.probe_tokens.take(each * count as f64, self.now) {
-                self.probe_allowance -= 1.0;
-                self.engines.probed_at[e] = self.now;
-                self.actions.push(Action::Probe { engine: e });
+        let (open, actions) = (&self.engines.open, &mut self.actions);
+        let probe = |engine| actions.push(Action::Probe { engine });
+        self.health_checks.probe_due(open, each, self.now, probe);
+    }
+
+    /// All fronts together probe evacuated zones: each draws at its share of the rate. Where probes are not
+    /// allowed a statement or two go there instead, as to an engine that warms up.
+    fn probe_evacuated(&mut self) {
+        let rate = HealthChecks::fleet_probes_per(SWEEP_INTERVAL);
+        let drawn = self.peer_evidence.has_evacuated() && self.random.next() * self.up < rate;
+        if !drawn {
+            return;
+        }
+        let draw = self.random.next();
+        match self.pick_suspect(draw) {
+            Some(engine) if self.agreed.probes => {
+                self.actions.push(Action::ProbeEvacuated { engine });
             }
+            Some(engine) => self.found_healthy(engine),
+            None => {}
         }
     }
 
@@ -51,43 +45,42 @@
         self.load_reports.reported(&at, report, self.load, self.now);
     }
 
-    /// Guards against executions that are taken and never answered, whatever the cause: a hung engine,
-    /// answers lost on the way, a statement stuck in a sound engine. Where notes of progress are agreed, each
-    /// execution must be heard of; else its engine. It could stop executions whose notes alone are lost.
+    /// What is known of an attempt in flight at an engine.
+    fn in_flight_attempt(&self, id: StatementId, n: usize, e: EngineId) -> InFlightAttempt {
+        let s = &self.statements[&id];
+        let sends_progress = self.engines.listed[e]
+            .as_ref()
+            .is_some_and(|entry| entry.sends_progress);
+        InFlightAttempt {
+            sent_at: s.executions[n].sent_at,
+            heard_at: s.executions[n].heard_at,
+            engine_heard_at: self.engines.heard_at[e],
+            progress_every: Some(self.agreed.progress_every)
+                .filter(|every| sends_progress && *every != 0),
+            expected_run: self.learned[s.asked.workload].pace.value * self.estimated_run(s),
+        }
+    }
+
+    /// Cancels the attempts at an engine that have been silent for too long.
     pub(super) fn check_silence(&mut self, e: EngineId) {
-        let silent = |(id, n): &&(StatementId, usize)| {
-            let s = &self.statements[id];
-            let x = &s.executions[*n];
-            let tells = self.engines.listed[e]
-                .as_ref()
-                .is_some_and(|entry| entry.sends_progress);
-            let run = self.learned[s.asked.workload].pace.value * self.estimated_run(s);
-            let (heard, patience) = match self.agreed.progress_every * Micros::from(tells) {
-                0 => (
-                    x.sent_at.max(self.engines.heard_at[e]),
-                    SECOND as f64 + MAX_SILENT_RUNS * run,
-                ),
-                every => (x.heard_at, MAX_SILENT_PROGRESS_GAPS * every as f64),
-            };
-            !x.silent && (self.now - heard.max(self.running_since)) as f64 > patience
+        let silence = |&(id, n): &(StatementId, usize)| {
+            let known = self.statements[&id].executions[n].silent;
+            let attempt = self.in_flight_attempt(id, n, e);
+            match check_silence(&attempt, self.running_since, self.now) {
+                SilenceOutcome::Silent(charge) if !known => Some((id, n, charge)),
+                _ => None,
+            }
         };
         let stuck: Vec<_> = self.engines.in_flight[e]
             .iter()
-            .filter(silent)
-            .copied()
+            .filter_map(silence)
             .collect();
-        for (id, n) in stuck {
-            let all_quiet = self.engines.heard_at[e] <= self.statements[&id].executions[n].heard_at;
-            let charge = if all_quiet {
-                Charge::Unreachable
-            } else {
-                Charge::Failed
-            };
+        for (id, n, charge) in stuck {
             self.outliers.charge(e, charge, self.now);
             self.cancel_to_retry(id, n);
-            self.statements
-                .entry(id)
-                .and_modify(|s| s.executions[n].silent = true);
+            if let Some(s) = self.statements.get_mut(&id) {
+                s.executions[n].silent = true;
+            }
         }
     }
 
@@ -119,14 +112,9 @@
             return self.cancel_to_retry(id, n);
         }
         if let Note::ShareDone(done) = note {
-            let run = (self.now - execution.sent_at) as f64;
-            let s = &self.statements[&id];
-            let expected = self.learned[s.asked.workload].pace.value * self.estimated_run(s);
-            // Guards against a bad plan, drawn anew at each execution, not against a long statement.
-            let bad = expected > 0.0
-                && run > expected
-                && run / done.max(0.001) > BAD_PLAN_RUN_FACTOR * expected;
-            if bad && s.executions.len() == 1 {
+            let attempt = self.in_flight_attempt(id, n, e);
+            let first = self.statements[&id].executions.len() == 1;
+            if first && is_bad_plan(&attempt, done, self.now) {
                 self.cancel_to_retry(id, n);
             }
         }
@@ -162,9 +150,9 @@
         match x.outcome {
             Outcome::Completed => {
                 if x.took <= self.slo_time(&self.statements[&x.statement]) {
-                    self.proved(e, false);
+                    self.peer_evidence.proved_wrong(e);
                 }
-                self.found_healthy(e, true);
+                self.found_healthy(e);
                 self.completed(&x, load.threads)
             }
             Outcome::TimedOut if silent => {} // an engine that hangs has been charged for its silence
@@ -182,7 +170,7 @@
             }
             // A crash resets all that an engine holds at once; single resets are the network's.
             Outcome::Error | Outcome::Reset | Outcome::Unreachable => {
-                self.proved(e, true);
+                self.peer_evidence.proved_right(e);
                 self.outliers.charge(e, unreachable.charge(x.outcome), now);
             }
             Outcome::Cancelled | Outcome::NotSent => {}
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -66,10 +66,10 @@
         let allowed = || (0..self.engines.open.len()).filter(is_allowed);
         // Where all engines that it may use are suspected, none is.
         PlacementScan {
-            heed_suspicion: !self.peer_reports.adverse.is_empty()
+            heed_suspicion: self.peer_evidence.has_adverse()
                 && allowed().any(|e| self.unsuspected_share(e) >= 1.0),
-            avoid_evacuated: !self.engines.evacuated.is_empty()
-                && allowed().any(|e| !self.engines.is_evacuated(e)),
+            avoid_evacuated: self.peer_evidence.has_evacuated()
+                && allowed().any(|e| !self.is_evacuated(e)),
             pool: self.limits.pool(self.engines.in_use()),
         }
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,11 +1,10 @@
 //! What a front remembers, as plain figures: nothing is decided here.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
 pub use crate::demand::*;
 use crate::interface::*;
 pub use crate::learned::*;
-pub use crate::peer_reports::*;
 use crate::policy::concurrency_limit::EngineUse;
 pub use crate::random::*;
 
@@ -182,30 +181,24 @@
     pub in_flight: Vec<BTreeSet<(StatementId, usize)>>,
     pub locked_data: Vec<Vec<(u32, Micros)>>, // data sets that loads of other fronts hold there, and until when
     pub heard_at: Vec<Micros>,
-    pub probed_at: Vec<Micros>,
     pub send_capacity: Vec<usize>, // executions that can leave now, over connections that are there or may be made
-    /// Suspects in evacuated zones, each with the other fronts that have found it healthy since.
-    pub evacuated: BTreeMap<EngineId, BTreeSet<usize>>,
 }
 
 impl Engines {
+    /// Whether an engine is on the list, ready or draining.
+    pub fn is_listed(&self, e: EngineId) -> bool {
+        let entry = self.listed.get(e).and_then(|entry| entry.as_ref());
+        entry.is_some_and(|entry| entry.mode != Mode::Gone)
+    }
+
     /// The engines listed in the zone of this one, itself included; those that are gone are left out.
-    pub fn same_zone(&self, e: EngineId) -> Vec<EngineId> {
+    pub fn same_zone(&self, e: EngineId) -> impl Iterator<Item = EngineId> + '_ {
         let zone = |e: EngineId| {
-            self.listed
-                .get(e)
-                .and_then(|l| l.as_ref())
-                .map(|l| l.location)
-        };
-        let listed = |o: &EngineId| {
-            self.listed[*o]
-                .as_ref()
-                .is_some_and(|l| l.mode != Mode::Gone)
+            let entry = self.listed.get(e).and_then(|entry| entry.as_ref());
+            entry.map(|entry| entry.location)
         };
-        (0..self.listed.len())
-            .filter(listed)
-            .filter(|o| zone(*o) == zone(e))
-            .collect()
+        let of_this = zone(e);
+        (0..self.listed.len()).filter(move |o| self.is_listed(*o) && zone(*o) == of_this)
     }
 
     /// Whether a load of another front holds the data set there.
@@ -220,26 +213,6 @@
         self.listed[e].as_ref().filter(|_| self.open[e])
     }
 
-    /// Whether the zone of this engine is evacuated.
-    pub fn is_evacuated(&self, e: EngineId) -> bool {
-        !self.evacuated.is_empty()
-            && self
-                .same_zone(e)
-                .iter()
-                .any(|o| self.evacuated.contains_key(o))
-    }
-
-    /// One suspect of the evacuated zones, at a share of their count.
-    pub fn pick_evacuated(&self, share: f64) -> Option<EngineId> {
-        let listed = |o: &&EngineId| {
-            self.listed[**o]
-                .as_ref()
-                .is_some_and(|l| l.mode != Mode::Gone)
-        };
-        let all: Vec<EngineId> = self.evacuated.keys().filter(listed).copied().collect();
-        all.get((share * all.len() as f64) as usize).copied()
-    }
-
     /// Whether no execution of this front is out there.
     pub fn is_idle(&self, e: EngineId) -> bool {
         self.in_flight[e].is_empty()
@@ -308,7 +281,6 @@
         self.in_flight.resize(count, BTreeSet::new());
         self.locked_data.resize(count, Vec::new());
         self.heard_at.resize(count, 0);
-        self.probed_at.resize(count, 0);
         self.send_capacity.resize(count, usize::MAX);
     }
 }
