--- /dev/null
+++ b/src/engine_table.rs
@@ -0,0 +1,153 @@
+//! The engines: what the list says of them and what this front has in flight there.
+
+use std::collections::BTreeSet;
+
+use crate::interface::{Agreement, EngineEntry, EngineId, Micros, Mode, StatementId};
+use crate::load::Load;
+use crate::policy::concurrency_limit::EngineUse;
+
+/// An attempt, by its statement and its number among the statement's attempts, from 0.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptId {
+    /// The statement.
+    pub statement: StatementId,
+    /// The number of the attempt.
+    pub number: usize,
+}
+
+/// A data set that a load of another front holds on an engine.
+#[derive(Clone, Copy)]
+struct DataLock {
+    data_set: u32,
+    until: Micros,
+}
+
+/// What the list says of each engine, and what this front has in flight there, by engine id.
+#[derive(Default)]
+pub struct EngineTable {
+    /// It takes new statements.
+    pub open: Vec<bool>,
+    /// What the list says of it.
+    pub listed: Vec<Option<EngineEntry>>,
+    /// Its cores, as threads, and its memory.
+    pub size: Vec<Load>,
+    /// What this front holds there.
+    pub own: Vec<Load>,
+    /// The attempts of this front in flight there.
+    pub in_flight: Vec<BTreeSet<AttemptId>>,
+    /// When it was last heard of.
+    pub heard_at: Vec<Micros>,
+    /// Attempts that can leave now, over connections that are there or may be made.
+    pub send_capacity: Vec<usize>,
+    locked_data: Vec<Vec<DataLock>>,
+}
+
+impl EngineTable {
+    /// Whether an engine is on the list, ready or draining.
+    pub fn is_listed(&self, e: EngineId) -> bool {
+        let entry = self.listed.get(e).and_then(|entry| entry.as_ref());
+        entry.is_some_and(|entry| entry.mode != Mode::Gone)
+    }
+
+    /// The engines listed in the zone of this one, itself included; those that are gone are left out.
+    pub fn same_zone(&self, e: EngineId) -> impl Iterator<Item = EngineId> + '_ {
+        let zone = |e: EngineId| {
+            let entry = self.listed.get(e).and_then(|entry| entry.as_ref());
+            entry.map(|entry| entry.location)
+        };
+        let of_this = zone(e);
+        (0..self.listed.len()).filter(move |o| self.is_listed(*o) && zone(*o) == of_this)
+    }
+
+    /// Whether a load of another front holds the data set there.
+    pub fn holds(&self, e: EngineId, data_set: Option<u32>, now: Micros) -> bool {
+        self.locked_data[e]
+            .iter()
+            .any(|lock| data_set == Some(lock.data_set) && lock.until > now)
+    }
+
+    /// What the list says of an engine that is open.
+    pub fn entry(&self, e: EngineId) -> Option<&EngineEntry> {
+        self.listed[e].as_ref().filter(|_| self.open[e])
+    }
+
+    /// Whether no attempt of this front is in flight there.
+    pub fn is_idle(&self, e: EngineId) -> bool {
+        self.in_flight[e].is_empty()
+    }
+
+    /// An attempt is in flight there, and what it counts for.
+    pub fn add(&mut self, e: EngineId, attempt: AttemptId, load: Load) {
+        self.in_flight[e].insert(attempt);
+        self.own[e].add(load, 1.0);
+        self.send_capacity[e] = self.send_capacity[e].saturating_sub(1);
+    }
+
+    /// How many attempts can leave for it now.
+    pub fn set_send_capacity(&mut self, e: EngineId, attempts: usize) {
+        if let Some(known) = self.send_capacity.get_mut(e) {
+            *known = attempts;
+        }
+    }
+
+    /// It is in flight no more.
+    pub fn remove(&mut self, e: EngineId, attempt: AttemptId, load: Load) {
+        self.in_flight[e].remove(&attempt);
+        self.own[e].add(load, -1.0);
+    }
+
+    /// A load of another front holds the data set there until then.
+    pub fn lock(&mut self, e: EngineId, data_set: u32, now: Micros, until: Micros) {
+        let locks = &mut self.locked_data[e];
+        locks.retain(|lock| lock.data_set != data_set && lock.until > now);
+        locks.push(DataLock { data_set, until });
+    }
+
+    /// The place of an engine's kind, where it is listed.
+    pub fn kind(&self, e: EngineId) -> Option<usize> {
+        self.listed[e].as_ref().map(|entry| entry.kind)
+    }
+
+    /// An engine and what this front holds there.
+    pub fn use_of(&self, e: EngineId) -> EngineUse {
+        EngineUse {
+            engine: e,
+            size: self.size[e],
+            own: self.own[e],
+        }
+    }
+
+    /// The open engines and what this front holds there.
+    pub fn in_use(&self) -> impl Iterator<Item = EngineUse> + '_ {
+        let open = (0..self.open.len()).filter(|e| self.open[*e]);
+        open.map(|e| self.use_of(e))
+    }
+
+    /// Makes place for an engine.
+    pub fn ensure(&mut self, engine: EngineId) {
+        let count = self.open.len().max(engine + 1);
+        self.open.resize(count, false);
+        self.listed.resize(count, None);
+        self.size.resize(
+            count,
+            Load {
+                threads: 1.0,
+                memory: f64::INFINITY,
+            },
+        );
+        self.own.resize(count, Load::default());
+        self.in_flight.resize(count, BTreeSet::new());
+        self.locked_data.resize(count, Vec::new());
+        self.heard_at.resize(count, 0);
+        self.send_capacity.resize(count, usize::MAX);
+    }
+}
+
+/// An engine's cores and memory, by its kind.
+pub fn size_of(agreed: &Agreement, kind: usize) -> Load {
+    let of = |list: &[f64], other| list.get(kind).copied().unwrap_or(other);
+    Load {
+        threads: of(&agreed.cores, 1.0),
+        memory: of(&agreed.memory_mb, f64::MAX),
+    }
+}
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -26,6 +26,9 @@
 /// A time or a length of time on the caller's clock, in microseconds.
 pub type Micros = i64;
 
+/// A second.
+pub(crate) const SECOND: Micros = 1_000_000;
+
 /// An engine, by an index that the caller hands out and may hand out again once the engine is gone.
 pub type EngineId = usize;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,17 +1,20 @@
 //! hallmux: a front for query engines with limited memory.
 //!
 //! The library decides and does nothing else: no input or output, no clock, no threads. [`interface`] has the types
-//! that go in and come out, [`Scheduler`] the decisions.
-//! `state` and the files beside it keep the figures that decisions go by and decide nothing.
+//! that go in and come out. [`Scheduler`] joins the rules, which stand in `policy`, a module each. The other modules
+//! keep plain figures and decide nothing.
 
 #![warn(missing_docs)]
 
-mod demand;
+mod engine_table;
 pub mod interface;
-mod learned;
+mod load;
 mod policy;
 mod random;
 mod scheduler;
-mod state;
+mod statement;
+mod statement_queues;
+mod token_bucket;
 
-pub use scheduler::{penalty, Scheduler};
+pub use policy::penalty::penalty;
+pub use scheduler::Scheduler;
--- /dev/null
+++ b/src/load.rs
@@ -0,0 +1,32 @@
+//! What statements hold of an engine.
+
+/// Threads and memory in MB.
+#[derive(Default, Clone, Copy)]
+pub struct Load {
+    /// Threads.
+    pub threads: f64,
+    /// Memory in MB.
+    pub memory: f64,
+}
+
+impl Load {
+    /// Both times a factor.
+    pub fn times(self, factor: f64) -> Load {
+        Load {
+            threads: self.threads * factor,
+            memory: self.memory * factor,
+        }
+    }
+
+    /// Moves towards another load by a share, 0 to 1.
+    pub fn blend(&mut self, other: Load, share: f64) {
+        self.threads += (other.threads - self.threads) * share;
+        self.memory += (other.memory - self.memory) * share;
+    }
+
+    /// Adds another load so many times; neither figure falls below 0.
+    pub fn add(&mut self, other: Load, times: f64) {
+        self.threads = (self.threads + other.threads * times).max(0.0);
+        self.memory = (self.memory + other.memory * times).max(0.0);
+    }
+}
--- /dev/null
+++ b/src/policy/client_retries.rs
@@ -0,0 +1,64 @@
+//! Client retries: for how long has a statement been waiting when it arrives?
+//!
+//! Inputs: the time that its client still waits, in microseconds, how many of its workload were shed before.
+//! Reason: a client's later attempt has less time left than a first one, and its SLO time runs from the first. It counts
+//! as a later one only where as many first ones were shed.
+//! Source: our extension, `docs/design.md`, "learning".
+
+use crate::interface::Micros;
+
+/// Share of those shed that may still come back, at each arrival.
+const SHED_RETRY_DECAY_PER_ARRIVAL: f64 = 0.99;
+/// Microseconds less time than a first attempt has that mark a later one.
+const FIRST_TRY_TOLERANCE: Micros = 20_000;
+
+/// A statement as it arrives.
+pub struct ArrivalTime {
+    /// The time that its client still waits.
+    pub time_left: Micros,
+    /// The time that clients of its workload wait for a first attempt.
+    pub statement_timeout: Micros,
+    /// The time for which this front stood still just now, if it did.
+    pub stalled_for: Option<Micros>,
+}
+
+#[derive(Clone, Default)]
+struct WorkloadRetries {
+    /// First attempts shed whose clients may come back.
+    shed: f64,
+    /// The most time that a statement had left on arrival: what a first attempt gets.
+    first_try: Micros,
+}
+
+/// What is known of clients that come back, by workload.
+#[derive(Default)]
+pub struct ClientRetries(Vec<WorkloadRetries>);
+
+impl ClientRetries {
+    /// Nothing has arrived yet.
+    pub fn new(workloads: usize) -> Self {
+        ClientRetries(vec![WorkloadRetries::default(); workloads])
+    }
+
+    /// The time for which a statement has been waiting when it arrives.
+    pub fn waited(&mut self, workload: usize, arrival: &ArrivalTime) -> Micros {
+        let known = &mut self.0[workload];
+        known.first_try = known.first_try.max(arrival.time_left);
+        let missing = known.first_try - arrival.time_left;
+        let later = missing > FIRST_TRY_TOLERANCE && known.shed >= 1.0;
+        known.shed = known.shed * SHED_RETRY_DECAY_PER_ARRIVAL - f64::from(u8::from(later));
+        // What a front that stood still finds has waited; what first attempts have left tells how long.
+        if arrival.stalled_for.is_some_and(|stall| missing <= stall) {
+            missing
+        } else if later {
+            (arrival.statement_timeout - arrival.time_left).max(0)
+        } else {
+            0
+        }
+    }
+
+    /// A statement was shed; its client may come back if it was its first attempt.
+    pub fn shed(&mut self, workload: usize, first_attempt: bool) {
+        self.0[workload].shed += f64::from(u8::from(first_attempt));
+    }
+}
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -6,8 +6,8 @@
 //! at this front's share of two threads a core, grows by quick answers and shrinks by late ones.
 //! Source: the paper, section 4; ours: `docs/design.md`, "Changed, and when each change acts".
 
-use crate::interface::{Agreement, EngineId};
-use crate::state::{Load, SECOND};
+use crate::interface::{Agreement, EngineId, SECOND};
+use crate::load::Load;
 
 /// Threads a core that all fronts may use at the start.
 const INITIAL_THREADS_PER_CORE: f64 = 2.0;
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -5,8 +5,8 @@
 //! without traffic asks nothing. Engines of evacuated zones are probed at a rate of the whole fleet's.
 //! Source: our extension, `docs/design.md`, "Probes".
 
-use crate::interface::{Agreement, EngineId, Micros};
-use crate::state::{Bucket, SECOND};
+use crate::interface::{Agreement, EngineId, Micros, SECOND};
+use crate::token_bucket::TokenBucket;
 
 /// Least time between probes of an engine.
 const MIN_PROBE_INTERVAL: Micros = SECOND / 2;
@@ -27,7 +27,7 @@
     /// The engine that is probed next.
     next: usize,
     /// Of the fleet's budget.
-    tokens: Bucket,
+    tokens: TokenBucket,
     probed_at: Vec<Micros>,
 }
 
@@ -38,10 +38,7 @@
         HealthChecks {
             wanted: agreed.report_on_probe && agreed.probes,
             next: (first_engine * 256.0) as usize,
-            tokens: Bucket {
-                left: first_token,
-                at: 0,
-            },
+            tokens: TokenBucket::new(first_token),
             ..HealthChecks::default()
         }
     }
--- a/src/policy/idempotency.rs
+++ b/src/policy/idempotency.rs
@@ -6,7 +6,7 @@
 //! Source: our extension, `docs/design.md`, "what may be sent where".
 
 use crate::interface::{DedupGroup, Effect, EngineEntry, Micros, Mode, Workload};
-use crate::state::{Execution, Statement};
+use crate::statement::{Attempt, Statement};
 
 /// What a statement that ends without a result is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     at: &EngineEntry,
     now: Micros,
 ) -> bool {
-    let is_dropped = |attempt: &Execution| {
+    let is_dropped = |attempt: &Attempt| {
         let earlier = listed[attempt.engine].as_ref();
         let same_group = earlier.is_some_and(|e| at.drops_repeats_of(e, workload.dedup_group));
         let remembered = now - attempt.sent_at < workload.dedup_window;
@@ -63,5 +63,5 @@
     now: Micros,
 ) -> bool {
     let safe = |at: &EngineEntry| is_safe_repeat(workload, statement, listed, at, now);
-    statement.executions.is_empty() || listed.iter().flatten().any(safe)
+    statement.attempts.is_empty() || listed.iter().flatten().any(safe)
 }
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -5,11 +5,11 @@
 //! have been added by every other front too, and what is not heard of again turns into what is usual.
 //! Source: our extension, `docs/design.md`, "Changed, and when each change acts" and "learning".
 
-use crate::interface::{EngineId, Micros, Report, ReportLayout};
-use crate::learned::MIN_SAMPLE_WEIGHT;
+use crate::interface::{EngineId, Micros, Report, ReportLayout, SECOND};
+use crate::load::Load;
 use crate::policy::concurrency_limit::LimitScope;
+use crate::policy::estimates::MIN_SAMPLE_WEIGHT;
 use crate::random::positive_or;
-use crate::state::{Load, SECOND};
 
 /// Share of what reports told that each engine check forgets: half is gone in about 10 s.
 const OTHERS_LOAD_DECAY: f64 = 0.007;
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -5,8 +5,7 @@
 //! a second, so that it is found again soon.
 //! Source: our extension, `docs/design.md`, "Credit".
 
-use crate::interface::{EngineId, Micros, Outcome};
-use crate::state::SECOND;
+use crate::interface::{EngineId, Micros, Outcome, SECOND};
 
 /// Credit for each answer.
 const CREDIT_PER_ANSWER: f64 = 0.1;
--- a/src/policy/peer_evidence.rs
+++ b/src/policy/peer_evidence.rs
@@ -7,9 +7,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::interface::{EngineId, Micros, PeerReport};
+use crate::interface::{EngineId, Micros, PeerReport, SECOND};
 use crate::policy::stuck_attempts::MAX_SILENT_RUNS;
-use crate::state::SECOND;
 
 /// Credibility of a front that has not been proved right or wrong yet, and from which a front is believed.
 const INITIAL_CREDIBILITY: f64 = 0.5;
--- a/src/policy/stuck_attempts.rs
+++ b/src/policy/stuck_attempts.rs
@@ -5,9 +5,8 @@
 //! statement stuck in a sound engine. It could stop attempts whose progress notes alone are lost.
 //! Source: our extension, `docs/design.md`, "Silence" and "Bad plans".
 
-use crate::interface::Micros;
+use crate::interface::{Micros, SECOND};
 use crate::policy::outliers::Charge;
-use crate::state::SECOND;
 
 /// Expected runs, on top of a second, that an attempt may be silent for without progress notes.
 pub(super) const MAX_SILENT_RUNS: f64 = 4.0;
--- /dev/null
+++ b/src/scheduler/admit.rs
@@ -0,0 +1,86 @@
+//! Arrivals: what a statement counts for, and whether it is admitted.
+
+use crate::interface::{Arrival, FleetDemand, Micros, RejectReason};
+use crate::load::Load;
+use crate::policy::admission::{AdmissionOutcome, CustomerShare};
+use crate::policy::client_retries::ArrivalTime;
+use crate::policy::penalty::{class_weight, penalty};
+use crate::statement::Statement;
+
+use super::Scheduler;
+
+impl Scheduler {
+    pub(super) fn arrived(&mut self, mut arrival: Arrival) {
+        let now = self.clock.now;
+        let (id, w) = (arrival.statement, arrival.workload);
+        let share = self
+            .admission
+            .customer_share(w, arrival.customer, &mut self.random, now);
+        let waited = self.waited(&arrival);
+        self.estimates.arrived(w, arrival.work);
+        self.health_checks.statement_taken();
+        let workload = &self.agreed.workloads[w];
+        arrival.key = arrival.key.filter(|_| workload.in_order);
+        self.order_queues.enqueue(arrival.key, id);
+        let load = Load {
+            threads: workload.threads,
+            memory: self.memory_need(&arrival),
+        };
+        let sticky = arrival.pinned.is_some();
+        let outcome = self.admission.check(w, share, sticky, &mut self.random);
+        if outcome == AdmissionOutcome::Admitted {
+            self.retry_budget.admitted(now);
+        }
+        let class = self.queues.class_of(w, arrival.customer, share);
+        let deadline = now + arrival.time_left;
+        let statement = Statement::new(arrival, class, now - waited, deadline, load);
+        self.statements.insert(id, statement);
+        self.enqueue(id);
+        if outcome == AdmissionOutcome::OverFleetQuota {
+            self.reject(id, RejectReason::OverFleetQuota);
+        }
+    }
+
+    /// The time for which a statement has been waiting when it arrives.
+    fn waited(&mut self, arrival: &Arrival) -> Micros {
+        let time = ArrivalTime {
+            time_left: arrival.time_left,
+            statement_timeout: self.agreed.workloads[arrival.workload].statement_timeout,
+            stalled_for: self.clock.stalled_for(),
+        };
+        self.client_retries.waited(arrival.workload, &time)
+    }
+
+    /// The memory that a statement counts for, in MB: no more than the smallest kind of engine grants.
+    fn memory_need(&self, arrival: &Arrival) -> f64 {
+        let need = self
+            .estimates
+            .memory_need(arrival.workload, arrival.memory_mb);
+        let kinds = self.agreed.memory_mb.iter().copied();
+        let smallest = kinds.fold(f64::INFINITY, f64::min);
+        need.min(smallest * self.agreed.largest_grant)
+    }
+
+    /// The fleet's demand changed: what is admitted follows the penalty at the fleet's conformance.
+    pub(super) fn fleet_demand_changed(&mut self, demand: &FleetDemand) {
+        let mut admission = std::mem::take(&mut self.admission);
+        admission.demand_changed(demand, |workload, share, conformance| {
+            penalty(conformance, self.class_weight(workload, share))
+        });
+        self.admission = admission;
+        self.fleet.relative_demand = demand.relative;
+    }
+
+    /// The weight of a class (the paper's delta).
+    pub(super) fn class_weight(&self, workload: usize, share: CustomerShare) -> f64 {
+        let share_weight = match share {
+            CustomerShare::Within => 1.0,
+            CustomerShare::Beyond => self.agreed.over_share,
+        };
+        class_weight(
+            self.agreed.workloads[workload].importance,
+            share_weight,
+            self.estimates.mean_work(workload),
+        )
+    }
+}
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -7,7 +7,7 @@
 use crate::interface::{EngineEntry, EngineId, StatementId};
 use crate::policy::idempotency::is_safe_repeat;
 use crate::policy::slow_start::SlowStartOutcome;
-use crate::state::Statement;
+use crate::statement::Statement;
 
 use super::Scheduler;
 
@@ -45,9 +45,9 @@
     pub(super) fn may_be_sent(&self, id: StatementId, s: &Statement) -> bool {
         !s.over
             && !s.is_in_flight()
-            && self.now < s.deadline
+            && self.clock.now < s.deadline
             && self.is_first_in_order(id, s)
-            && (s.executions.is_empty() || self.may_retry(s))
+            && (s.attempts.is_empty() || self.may_retry(s))
     }
 
     /// Whether an engine may be sent a statement that may be sent at all. `avoid_evacuated`: engines outside
@@ -58,7 +58,7 @@
         e: EngineId,
         avoid_evacuated: bool,
     ) -> Eligibility {
-        let retry = !s.executions.is_empty();
+        let retry = !s.attempts.is_empty();
         let sticky = s.asked.pinned;
         if retry && !self.outliers.is_trusted(e) {
             return Eligibility::Untrusted;
@@ -66,7 +66,7 @@
         if self.engines.send_capacity[e] == 0 && sticky.is_none() {
             return Eligibility::NoConnection;
         }
-        if self.outliers.is_ejected(e, self.now) {
+        if self.outliers.is_ejected(e, self.clock.now) {
             return Eligibility::Ejected;
         }
         if avoid_evacuated && self.is_evacuated(e) {
@@ -97,7 +97,13 @@
     }
 
     fn is_safe_at(&self, s: &Statement, at: &EngineEntry) -> bool {
-        is_safe_repeat(self.workload(s), s, &self.engines.listed, at, self.now)
+        is_safe_repeat(
+            self.workload(s),
+            s,
+            &self.engines.listed,
+            at,
+            self.clock.now,
+        )
     }
 
     /// Whether a load, of this front or another, holds the statement's data set there.
@@ -111,7 +117,7 @@
             self.workload(other).holds_data && other.asked.data_set == s.asked.data_set
         };
         let mut in_flight = self.engines.in_flight[e].iter();
-        self.engines.holds(e, s.asked.data_set, self.now)
-            || in_flight.any(|(other, _)| holds(&self.statements[other]))
+        self.engines.holds(e, s.asked.data_set, self.clock.now)
+            || in_flight.any(|attempt| holds(&self.statements[&attempt.statement]))
     }
 }
--- /dev/null
+++ b/src/scheduler/dispatch.rs
@@ -0,0 +1,236 @@
+//! In which order held statements leave, and how one is sent.
+
+use std::cmp::Reverse;
+use std::collections::BTreeSet;
+
+use crate::engine_table::AttemptId;
+use crate::interface::{Action, EngineId, KeyId, RejectReason, StatementId};
+use crate::policy::deadlines::rejected_at;
+use crate::policy::estimates::Estimates;
+use crate::policy::penalty::penalty;
+use crate::statement::{Attempt, Statement};
+
+use super::Scheduler;
+
+/// Statements tried of a class, of the overdue and of the late; the next mostly need as much.
+const MAX_CANDIDATES_PER_CLASS: usize = 8;
+/// Priority of a statement past its latest start.
+const PRIORITY_OVERDUE: u8 = 3;
+/// Priority of a class below the top level.
+const PRIORITY_BELOW_TOP: u8 = 2;
+/// Priority of a class in the top level.
+const PRIORITY_TOP: u8 = 0;
+
+/// A class that has held statements, perhaps.
+struct WaitingClass {
+    penalty: f64,
+    class: usize,
+}
+
+fn candidates(held: &BTreeSet<StatementId>) -> Vec<StatementId> {
+    held.iter()
+        .copied()
+        .take(MAX_CANDIDATES_PER_CLASS)
+        .collect()
+}
+
+impl Scheduler {
+    /// Lets held statements leave: those past their latest start, then by penalty, then those that must be late.
+    pub(super) fn dispatch(&mut self) {
+        self.dispatch_overdue();
+        self.dispatch_by_penalty();
+        if !self.queues.any_ready() {
+            for id in candidates(&self.queues.late) {
+                self.try_dispatch(id);
+            }
+        }
+    }
+
+    /// Past its latest start a statement could only be answered after its client gives up: now or never.
+    fn dispatch_overdue(&mut self) {
+        let overdue = candidates(&self.queues.overdue);
+        let stuck: Vec<StatementId> = overdue
+            .into_iter()
+            .filter(|id| !self.try_dispatch(*id))
+            .collect();
+        for id in stuck {
+            self.reject(id, RejectReason::NoCapacityAtLatestStart);
+        }
+    }
+
+    /// Statements leave by their class's penalty, ties in the order of arrival.
+    fn dispatch_by_penalty(&mut self) {
+        let mut waiting = self.classes_by_penalty();
+        while let Some(class) = self.most_urgent(&waiting) {
+            let sent = candidates(&self.queues.classes[class].ready)
+                .into_iter()
+                .any(|id| self.try_dispatch(id));
+            if !sent || self.queues.classes[class].ready.is_empty() {
+                waiting.retain(|waiting| waiting.class != class);
+            }
+        }
+    }
+
+    fn classes_by_penalty(&mut self) -> Vec<WaitingClass> {
+        let mut waiting = Vec::new();
+        for class in 0..self.queues.classes.len() {
+            let conformance = &mut self.queues.classes[class].conformance;
+            conformance.fade(self.clock.now);
+            let conformance = conformance.share();
+            let workload = self.queues.workload_of(class);
+            let weight = self.class_weight(workload, self.queues.share_of(class));
+            let penalty = penalty(conformance, weight);
+            waiting.push(WaitingClass { penalty, class });
+        }
+        waiting
+    }
+
+    /// The class of the highest penalty; of those alike the one whose statement arrived first.
+    fn most_urgent(&self, waiting: &[WaitingClass]) -> Option<usize> {
+        let oldest = |class: usize| Reverse(self.queues.classes[class].ready.first().copied());
+        let by_urgency = |a: &&WaitingClass, b: &&WaitingClass| {
+            let by_penalty = a.penalty.total_cmp(&b.penalty);
+            by_penalty.then(oldest(a.class).cmp(&oldest(b.class)))
+        };
+        let first = waiting.iter().max_by(by_urgency);
+        first.map(|waiting| waiting.class)
+    }
+
+    /// Sends a statement, if an engine may have it now: whether it was sent.
+    fn try_dispatch(&mut self, id: StatementId) -> bool {
+        let Some(engine) = self.place(id) else {
+            return false;
+        };
+        self.send(id, engine);
+        true
+    }
+
+    fn send(&mut self, id: StatementId, e: EngineId) {
+        self.dequeue(id);
+        self.placement_start = self.random.next();
+        let now = self.clock.now;
+        let priority = self.priority(id);
+        let s = &self.statements[&id];
+        let (class, load) = (s.class, s.load);
+        let latest_start = self.latest_start(s);
+        let slow_start = self.check_slow_start(e, s);
+        self.slow_start.sent(e, slow_start, now);
+        self.order_execution(id, e, priority);
+        let Some(s) = self.statements.get_mut(&id) else {
+            return;
+        };
+        let number = s.attempts.len();
+        if number > 0 {
+            self.retry_budget.retried(now);
+        }
+        let attempt = AttemptId {
+            statement: id,
+            number,
+        };
+        self.engines.add(e, attempt, load);
+        s.priority = priority;
+        s.attempts.push(Attempt {
+            engine: e,
+            sent_at: now,
+            heard_at: now,
+            ..Attempt::default()
+        });
+        self.queues.classes[class].in_flight.insert(id);
+        self.queues.due_at(latest_start.max(now + 1), id);
+    }
+
+    fn order_execution(&mut self, id: StatementId, engine: EngineId, priority: u8) {
+        let grant_mb = self.memory_grant(&self.statements[&id], engine);
+        if self.agreed.priorities || grant_mb > 0.0 {
+            self.actions.push(Action::Terms {
+                statement: id,
+                grant_mb,
+                priority,
+            });
+        }
+        self.actions.push(Action::Execute {
+            statement: id,
+            engine,
+        });
+    }
+
+    /// The memory that an engine is to grant, in MB; 0 leaves it to the engine.
+    fn memory_grant(&self, s: &Statement, engine: EngineId) -> f64 {
+        let most = self.engines.size[engine].memory * self.agreed.largest_grant;
+        if self.agreed.grants && s.asked.memory_mb > 0.0 {
+            Estimates::memory_grant(s.load.memory, most)
+        } else {
+            0.0
+        }
+    }
+
+    fn priority(&self, id: StatementId) -> u8 {
+        let s = &self.statements[&id];
+        if self.clock.now >= self.latest_start(s) {
+            PRIORITY_OVERDUE
+        } else if self.queues.classes[s.class].conformance.is_top_level() {
+            PRIORITY_TOP
+        } else {
+            PRIORITY_BELOW_TOP
+        }
+    }
+
+    /// Tells the engine of a statement in flight when its priority has changed.
+    pub(super) fn update_priority(&mut self, id: StatementId) {
+        let priority = self.priority(id);
+        let Some(s) = self.statements.get_mut(&id).filter(|s| !s.over) else {
+            return;
+        };
+        if s.priority != priority && self.agreed.priorities {
+            s.priority = priority;
+            self.actions.push(Action::Terms {
+                statement: id,
+                grant_mb: 0.0,
+                priority,
+            });
+        }
+    }
+
+    /// A statement waits in the queue of its standing, if it is its turn, until its standing changes next.
+    pub(super) fn enqueue(&mut self, id: StatementId) {
+        let waits = |s: &&Statement| !s.over && !s.is_in_flight();
+        let Some(s) = self.statements.get(&id).filter(waits) else {
+            return;
+        };
+        let now = self.clock.now;
+        let (class, request) = (s.class, self.shed_request(s));
+        let timing = request.timing;
+        let is_first = self.is_first_in_order(id, s);
+        // Once it is to be shed it is due now; till then when its standing changes next.
+        let ends = match request.reason(now) {
+            Some(_) => now,
+            None => rejected_at(s.deadline),
+        };
+        let first_sent = s.attempts.first().map(|attempt| attempt.sent_at);
+        let forgotten = first_sent.map_or(0, |sent| sent + self.workload(s).dedup_window);
+        let paused_until = self.order_queues.paused_until(s.asked.key);
+        let changes = [
+            timing.last_timely_start(),
+            timing.latest_start(),
+            paused_until,
+            forgotten,
+        ];
+        let next = changes.into_iter().filter(|at| *at > now).min();
+        self.queues.due_at(next.map_or(ends, |at| at.min(ends)), id);
+        self.dequeue(id);
+        if is_first {
+            self.queues.enqueue(id, class, timing.standing(now));
+        }
+    }
+
+    pub(super) fn dequeue(&mut self, id: StatementId) {
+        let class = self.statements.get(&id).map(|s| s.class);
+        self.queues.dequeue(id, class);
+    }
+
+    pub(super) fn enqueue_first_in_order(&mut self, key: Option<KeyId>) {
+        if let Some(next) = self.order_queues.first(key, self.clock.now) {
+            self.enqueue(next);
+        }
+    }
+}
--- /dev/null
+++ b/src/scheduler/observe.rs
@@ -0,0 +1,289 @@
+//! What happened: each event goes to the rules that learn from it.
+
+use crate::engine_table::{size_of, AttemptId};
+use crate::interface::{
+    Ended, EngineEntry, EngineId, Event, KeyId, Micros, Mode, Note, Outcome, Report, StatementId,
+};
+use crate::load::Load;
+use crate::policy::concurrency_limit::{AnsweredAttempt, ConcurrencyLimits, LimitScope};
+use crate::policy::estimates::AnsweredRun;
+use crate::policy::load_reports::ReportedEngine;
+use crate::policy::outliers::UnreachableStreak;
+use crate::policy::stuck_attempts::is_bad_plan;
+
+use super::Scheduler;
+
+impl Scheduler {
+    /// Takes in one event.
+    pub(super) fn observe(&mut self, event: Event) {
+        match event {
+            Event::Engines { whole, entries } => self.engines_listed(whole, entries),
+            Event::ListFailed => self.subscribe(),
+            Event::Woken => {}
+            Event::Arrived(arrival) => self.arrived(arrival),
+            Event::Ended(ended) => self.ended(ended),
+            Event::Noted {
+                statement,
+                execution: number,
+                engine,
+                note,
+            } => self.noted(AttemptId { statement, number }, engine, note),
+            Event::ClientLeft(id) => self.close(id, false),
+            Event::OrderKeyFreed { key, pauses } => self.order_key_freed(key, pauses),
+            Event::PeerReport(report) => self.peer_reported(report),
+            Event::FleetDemand(demand) => self.fleet_demand_changed(&demand),
+            Event::SendCapacity { engine, executions } => {
+                self.engines.set_send_capacity(engine, executions);
+            }
+            Event::Fleet { known, up } => {
+                self.fleet.known = known.max(self.agreed.fronts);
+                self.fleet.up = up;
+            }
+            Event::Probed {
+                engine,
+                alive,
+                report,
+            } => self.probed(engine, alive, report.as_ref()),
+        }
+    }
+
+    fn probed(&mut self, engine: EngineId, alive: bool, report: Option<&Report>) {
+        self.ensure_engine(engine);
+        if alive {
+            self.found_healthy(engine);
+        } else {
+            self.outliers.health_check_failed(engine);
+        }
+        if let Some(report) = report {
+            self.load_reported(engine, report);
+        }
+    }
+
+    fn engines_listed(&mut self, whole: bool, entries: Vec<EngineEntry>) {
+        if whole {
+            self.engines.open.fill(false);
+        }
+        for entry in entries {
+            self.engine_listed(entry);
+        }
+        // What is sticky to an engine that takes nothing new any more is to end now.
+        let statements = self.statements.iter();
+        let closed = statements.filter(|(_, s)| self.sticky_engine_closed(s));
+        let closed: Vec<StatementId> = closed.map(|(id, _)| *id).collect();
+        for id in closed {
+            self.queues.due_at(self.clock.now, id);
+        }
+    }
+
+    fn engine_listed(&mut self, entry: EngineEntry) {
+        let e = entry.engine;
+        self.ensure_engine(e);
+        let known = self.engines.listed[e].as_ref();
+        let restarted = known.is_none_or(|known| known.started != entry.started);
+        if known.is_none() {
+            self.engines.size[e] = size_of(&self.agreed, entry.kind);
+            self.limits.listed(e, self.engines.size[e].threads);
+        }
+        if let Some(started) = entry.started.filter(|_| restarted) {
+            self.outliers.reset(e);
+            self.load_reports.reset(e);
+            self.peer_evidence.forget(e); // of an earlier start
+            self.found_healthy(e);
+            self.start_warm_up(e, started);
+        }
+        self.engines.open[e] = entry.mode == Mode::Ready;
+        self.engines.listed[e] = Some(entry);
+    }
+
+    fn order_key_freed(&mut self, key: KeyId, pauses: bool) {
+        let paused_until = pauses.then_some(self.clock.now + self.agreed.order_gap);
+        self.order_queues.resolve(Some(key), true, paused_until);
+        self.enqueue_first_in_order(Some(key));
+    }
+
+    fn load_reported(&mut self, e: EngineId, report: &Report) {
+        let at = ReportedEngine {
+            engine: e,
+            kind: self.engines.kind(e),
+            size: self.engines.size[e],
+            own: self.engines.own[e],
+            in_flight: self.engines.in_flight[e].len(),
+        };
+        let typical = self.estimates.typical_load();
+        self.load_reports
+            .reported(&at, report, typical, self.clock.now);
+    }
+
+    fn noted(&mut self, attempt: AttemptId, e: EngineId, note: Note) {
+        let AttemptId { statement, number } = attempt;
+        let Some(s) = self.statements.get_mut(&statement) else {
+            return;
+        };
+        let Some(known) = s.attempt_at(number, e) else {
+            return;
+        };
+        if known.noted(self.clock.now, note) {
+            self.engines.heard_at[e] = self.clock.now;
+        }
+        match (note, s.asked.data_set) {
+            (Note::SpillsMb(lacks), _) => self.spilled(attempt, lacks),
+            (Note::WaitsForData, Some(data_set)) => self.data_set_locked(attempt, e, data_set),
+            (Note::ShareDone(done), _) => self.progressed(attempt, e, done),
+            _ => {}
+        }
+    }
+
+    fn spilled(&mut self, attempt: AttemptId, lacks_mb: f64) {
+        let Some(s) = self.statements.get_mut(&attempt.statement) else {
+            return;
+        };
+        s.attempts[attempt.number].spilled = true;
+        self.estimates
+            .spilled(s.asked.workload, s.load.memory, lacks_mb, s.asked.memory_mb);
+    }
+
+    /// Another front's load holds the data set there: guards against standing still behind it.
+    fn data_set_locked(&mut self, attempt: AttemptId, e: EngineId, data_set: u32) {
+        let now = self.clock.now;
+        let until = now + self.estimates.longest_run() as Micros;
+        self.engines.lock(e, data_set, now, until);
+        self.cancel_to_retry(attempt.statement, attempt.number);
+    }
+
+    /// Guards against a bad plan, drawn anew at each attempt, not against a long statement.
+    fn progressed(&mut self, attempt: AttemptId, e: EngineId, share_done: f64) {
+        let known = self.in_flight_attempt(attempt, e);
+        let first = self.statements[&attempt.statement].attempts.len() == 1;
+        if first && is_bad_plan(&known, share_done, self.clock.now) {
+            self.cancel_to_retry(attempt.statement, attempt.number);
+        }
+    }
+
+    fn ended(&mut self, ended: Ended) {
+        let (now, e) = (self.clock.now, ended.engine);
+        self.ensure_engine(e);
+        let Some(s) = self.statements.get_mut(&ended.statement) else {
+            return;
+        };
+        let (key, was_over, load) = (s.asked.key, s.over, s.load);
+        let Some(attempt) = s.attempt_at(ended.execution, e) else {
+            return;
+        };
+        attempt.outcome = Some(ended.outcome);
+        let was_silent = attempt.silent;
+        let id = AttemptId {
+            statement: ended.statement,
+            number: ended.execution,
+        };
+        self.engines.remove(e, id, load);
+        self.resolve_order_key(key, was_over, &ended);
+        let unreachable = self.outliers.attempt_ended(e, ended.outcome, now);
+        if unreachable.may_have_restarted() {
+            self.start_warm_up(e, now);
+        }
+        if let Some(report) = &ended.report {
+            self.load_reported(e, report);
+        }
+        self.learn_from(&ended, load, was_silent, unreachable);
+        if was_over {
+            self.forget(ended.statement);
+            self.enqueue_first_in_order(key);
+        } else {
+            self.settle_or_retry(&ended);
+        }
+    }
+
+    /// What may still be running keeps its order key for a time; so does a transaction that goes on.
+    fn resolve_order_key(&mut self, key: Option<KeyId>, was_over: bool, ended: &Ended) {
+        let may_run_on = matches!(
+            ended.outcome,
+            Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
+        );
+        let paused_until = may_run_on.then_some(self.clock.now + self.agreed.order_gap);
+        self.order_queues.resolve(key, was_over, paused_until);
+        let keeps = ended.keeps_order_key && ended.settled && !was_over;
+        self.order_queues.keep(key, keeps);
+    }
+
+    /// What the end of an attempt tells of its engine.
+    fn learn_from(
+        &mut self,
+        ended: &Ended,
+        load: Load,
+        was_silent: bool,
+        unreachable: UnreachableStreak,
+    ) {
+        let e = ended.engine;
+        match ended.outcome {
+            Outcome::Completed => {
+                if ended.took <= self.slo_time(&self.statements[&ended.statement]) {
+                    self.peer_evidence.proved_wrong(e);
+                }
+                self.found_healthy(e);
+                self.answered(ended, load);
+            }
+            // An engine that hangs has been charged for its silence.
+            Outcome::TimedOut if was_silent => {}
+            Outcome::NoCapacity | Outcome::TimedOut => self.overloaded(ended, load),
+            // A crash resets all that an engine holds at once; single resets are the network's.
+            Outcome::Error | Outcome::Reset | Outcome::Unreachable => {
+                self.peer_evidence.proved_right(e);
+                let charge = unreachable.charge(ended.outcome);
+                self.outliers.charge(e, charge, self.clock.now);
+            }
+            Outcome::Cancelled | Outcome::NotSent => {}
+        }
+    }
+
+    /// Guards against jams no answer tells of: an engine that turns work away or, where limits are pooled, lets it run
+    /// into the client's deadline is full until it reports again, whatever it said before.
+    fn overloaded(&mut self, ended: &Ended, load: Load) {
+        let e = ended.engine;
+        let pooled = self.limits.scope() == LimitScope::Pooled;
+        if pooled || ended.outcome == Outcome::NoCapacity {
+            let full = ConcurrencyLimits::full_engine(self.engines.size[e].threads);
+            self.load_reports.assume_full(e, full);
+        }
+        let engines = &self.engines;
+        self.limits
+            .shrink(e, load.threads, |e| engines.size[e].threads);
+    }
+
+    fn settle_or_retry(&mut self, ended: &Ended) {
+        let s = &self.statements[&ended.statement];
+        if ended.settled {
+            let in_time = self.clock.now - s.first_arrival <= self.slo_time(s);
+            let timely = ended.outcome == Outcome::Completed && in_time;
+            self.close(ended.statement, timely);
+        } else if let Some(reason) = self.no_retry_reason(s) {
+            self.reject(ended.statement, reason);
+        } else {
+            self.enqueue(ended.statement);
+        }
+    }
+
+    fn answered(&mut self, ended: &Ended, load: Load) {
+        let e = ended.engine;
+        let s = &self.statements[&ended.statement];
+        let workload = s.asked.workload;
+        let run = AnsweredRun {
+            took: ended.took as f64,
+            estimated: self.estimated_run(s),
+            spilled: s.attempts[ended.execution].spilled,
+        };
+        let answer = AnsweredAttempt {
+            engine: e,
+            threads: load.threads,
+            took: run.took,
+            slo: self.slo_time(s) as f64,
+            own_threads: self.engines.own[e].threads,
+        };
+        self.engines.heard_at[e] = self.clock.now;
+        self.outliers.answered(e);
+        let engines = &self.engines;
+        let pool = |limits: &ConcurrencyLimits| limits.pool(engines.in_use());
+        self.limits
+            .answered(&answer, pool, |e| engines.size[e].threads);
+        self.estimates.answered(workload, load, &run);
+    }
+}
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -4,9 +4,8 @@
 use crate::policy::concurrency_limit::{LimitOutcome, LimitRequest, LimitScope, Pool};
 use crate::policy::idempotency::has_safe_engine;
 use crate::policy::ranking::{RankedEngine, Ranking, RankingMode};
-use crate::policy::retry::{RetryOutcome, RetryRequest};
 use crate::policy::slow_start::{SlowStartOutcome, SlowStartRequest};
-use crate::state::Statement;
+use crate::statement::Statement;
 
 use super::candidates::Eligibility;
 use super::Scheduler;
@@ -89,8 +88,8 @@
             idle: self.engines.is_idle(e),
             others: self.load_reports.held_by_others(e, own, self.agreed.fronts),
             trust,
-            capacity_share: self.slow_start.capacity_share(e, self.now),
-            fresh_report: self.load_reports.is_fresh(e, self.now),
+            capacity_share: self.slow_start.capacity_share(e, self.clock.now),
+            fresh_report: self.load_reports.is_fresh(e, self.clock.now),
             need,
             pool: &scan.pool,
         })
@@ -108,32 +107,13 @@
 
     /// Whether any engine may have it by what earlier attempts may have done: else it waits in vain.
     pub(super) fn has_safe_engine(&self, s: &Statement) -> bool {
-        has_safe_engine(self.workload(s), s, &self.engines.listed, self.now)
-    }
-
-    /// Whether a statement may be attempted again.
-    pub(super) fn check_retry(&self, s: &Statement) -> RetryOutcome {
-        let request = RetryRequest {
-            attempts: s.executions.len(),
-            sticky: s.asked.pinned.is_some(),
-        };
-        self.retry_budget.check(request, self.now)
-    }
-
-    pub(super) fn may_retry(&self, s: &Statement) -> bool {
-        self.check_retry(s) == RetryOutcome::Allowed
-    }
-
-    pub(super) fn is_first_in_order(&self, id: StatementId, s: &Statement) -> bool {
-        let attempted = !s.executions.is_empty();
-        self.order_queues
-            .is_first(s.asked.key, id, attempted, self.now)
+        has_safe_engine(self.workload(s), s, &self.engines.listed, self.clock.now)
     }
 
     /// An engine warms up from then on, as far as is known.
     pub(super) fn start_warm_up(&mut self, e: EngineId, started: Micros) {
         let request = self.slow_start_request(e, 0.0);
-        let front_just_started = self.started == Some(self.now);
+        let front_just_started = self.clock.just_started();
         self.slow_start
             .start(e, started, &request, front_just_started);
     }
@@ -141,7 +121,9 @@
     /// Whether an engine that may be warming up bears this statement now.
     pub(super) fn check_slow_start(&self, e: EngineId, s: &Statement) -> SlowStartOutcome {
         let workload = self.workload(s);
-        let work = self.learned[s.asked.workload].usual_work(workload.threads, workload.slo_time);
+        let work =
+            self.estimates
+                .usual_work(s.asked.workload, workload.threads, workload.slo_time as f64);
         self.slow_start.check(&self.slow_start_request(e, work))
     }
 
@@ -150,8 +132,8 @@
             engine,
             cores: self.engines.size[engine].threads,
             work,
-            fronts: self.known,
-            now: self.now,
+            fronts: self.fleet.known,
+            now: self.clock.now,
         }
     }
 }
--- a/src/scheduler/peer_evidence.rs
+++ b/src/scheduler/zones.rs
@@ -7,11 +7,10 @@
 
 impl Scheduler {
     pub(super) fn peer_reported(&mut self, report: PeerReport) {
-        let runs = self.learned.iter().map(|l| l.run.value);
         let context = ReportContext {
-            longest_run: runs.fold(0.0, f64::max),
+            longest_run: self.estimates.longest_run(),
             healthy_since: self.slow_start.started_at(report.engine),
-            now: self.now,
+            now: self.clock.now,
         };
         let engines = &self.engines;
         let zone = || engines.same_zone(report.engine).collect();
@@ -32,7 +31,7 @@
         if self.is_evacuated(e) {
             0.0
         } else {
-            self.peer_evidence.limit_share(e, self.now)
+            self.peer_evidence.limit_share(e, self.clock.now)
         }
     }
 
@@ -45,7 +44,7 @@
         if self.peer_evidence.found_healthy(e, &zone) == ZoneOutcome::Reopened {
             for engine in zone {
                 self.outliers.reset(engine);
-                self.start_warm_up(engine, self.now);
+                self.start_warm_up(engine, self.clock.now);
             }
         }
     }
