--- a/crates/dispatcher/src/reject_cause.rs
+++ b/crates/dispatcher/src/reject_cause.rs
@@ -17,6 +17,15 @@
     LoadMark,
 }
 
+impl RejectCause {
+    /// The causes that are not the scheduler's.
+    pub const OUTSIDE_SCHEDULER: [RejectCause; 3] = [
+        RejectCause::AccessRules,
+        RejectCause::LedgerEntry,
+        RejectCause::LoadMark,
+    ];
+}
+
 impl fmt::Display for RejectCause {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
@@ -27,3 +36,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "reject_cause_tests.rs"]
+mod tests;
--- a/src/random.rs
+++ b/src/random.rs
@@ -7,6 +7,7 @@
 pub struct Random(u64);
 
 impl Random {
+    /// A generator whose numbers all follow from the seed.
     pub fn new(seed: u64) -> Self {
         let mut random = Random(seed.wrapping_mul(2).wrapping_add(1));
         random.next(); // a small seed shows in the first number alone
--- a/src/scheduler/admit.rs
+++ b/src/scheduler/admit.rs
@@ -10,6 +10,7 @@
 use super::Scheduler;
 
 impl Scheduler {
+    /// A statement arrived: it is held, or rejected where the fleet does not admit it.
     pub(super) fn arrived(&mut self, mut arrival: Arrival) {
         let now = self.clock.now;
         let (id, w) = (arrival.statement, arrival.workload);
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -27,6 +27,7 @@
     class: usize,
 }
 
+/// The first held statements, in the order of arrival.
 fn candidates(held: &BTreeSet<StatementId>) -> Vec<StatementId> {
     held.iter()
         .copied()
@@ -105,6 +106,7 @@
         true
     }
 
+    /// Sends a statement to an engine and counts the attempt.
     fn send(&mut self, id: StatementId, e: EngineId) {
         self.dequeue(id);
         self.placement_start = self.random.next();
@@ -139,6 +141,7 @@
         self.queues.due_at(latest_start.max(now + 1), id);
     }
 
+    /// The orders that send a statement.
     fn order_execution(&mut self, id: StatementId, engine: EngineId, priority: u8) {
         let grant_mb = self.memory_grant(&self.statements[&id], engine);
         if self.agreed.priorities || grant_mb > 0.0 {
@@ -223,11 +226,13 @@
         }
     }
 
+    /// A statement waits no more.
     pub(super) fn dequeue(&mut self, id: StatementId) {
         let class = self.statements.get(&id).map(|s| s.class);
         self.queues.dequeue(id, class);
     }
 
+    /// The first statement of an order key may have its turn now.
     pub(super) fn enqueue_first_in_order(&mut self, key: Option<KeyId>) {
         if let Some(next) = self.order_queues.first(key, self.clock.now) {
             self.enqueue(next);
--- a/src/scheduler/expire.rs
+++ b/src/scheduler/expire.rs
@@ -26,6 +26,7 @@
         }
     }
 
+    /// What decides whether a held statement ends now.
     pub(super) fn shed_request(&self, s: &Statement) -> ShedRequest {
         ShedRequest {
             timing: self.timing(s),
@@ -63,6 +64,7 @@
         self.retry_budget.check(request, self.clock.now)
     }
 
+    /// Whether a retry of a statement is allowed.
     pub(super) fn may_retry(&self, s: &Statement) -> bool {
         self.check_retry(s) == RetryOutcome::Allowed
     }
--- a/src/scheduler/zones.rs
+++ b/src/scheduler/zones.rs
@@ -6,6 +6,7 @@
 use super::Scheduler;
 
 impl Scheduler {
+    /// Another front reported on an engine.
     pub(super) fn peer_reported(&mut self, report: PeerReport) {
         let context = ReportContext {
             longest_run: self.estimates.longest_run(),
