--- a/src/engine_table.rs
+++ b/src/engine_table.rs
@@ -44,83 +44,83 @@
 
 impl EngineTable {
     /// Whether an engine is on the list, ready or draining.
-    pub fn is_listed(&self, e: EngineId) -> bool {
-        let entry = self.listed.get(e).and_then(|entry| entry.as_ref());
+    pub fn is_listed(&self, engine: EngineId) -> bool {
+        let entry = self.listed.get(engine).and_then(|entry| entry.as_ref());
         entry.is_some_and(|entry| entry.mode != Mode::Gone)
     }
 
     /// The engines listed in the zone of this one, itself included; those that are gone are left out.
-    pub fn same_zone(&self, e: EngineId) -> impl Iterator<Item = EngineId> + '_ {
-        let zone = |e: EngineId| {
-            let entry = self.listed.get(e).and_then(|entry| entry.as_ref());
+    pub fn same_zone(&self, engine: EngineId) -> impl Iterator<Item = EngineId> + '_ {
+        let zone = |engine: EngineId| {
+            let entry = self.listed.get(engine).and_then(|entry| entry.as_ref());
             entry.map(|entry| entry.location)
         };
-        let of_this = zone(e);
+        let of_this = zone(engine);
         (0..self.listed.len()).filter(move |o| self.is_listed(*o) && zone(*o) == of_this)
     }
 
     /// Whether a load of another front holds the data set there.
-    pub fn holds(&self, e: EngineId, data_set: Option<u32>, now: Micros) -> bool {
-        self.locked_data[e]
+    pub fn holds(&self, engine: EngineId, data_set: Option<u32>, now: Micros) -> bool {
+        self.locked_data[engine]
             .iter()
             .any(|lock| data_set == Some(lock.data_set) && lock.until > now)
     }
 
     /// What the list says of an engine that is open.
-    pub fn entry(&self, e: EngineId) -> Option<&EngineEntry> {
-        self.listed[e].as_ref().filter(|_| self.open[e])
+    pub fn entry(&self, engine: EngineId) -> Option<&EngineEntry> {
+        self.listed[engine].as_ref().filter(|_| self.open[engine])
     }
 
     /// Whether no attempt of this front is in flight there.
-    pub fn is_idle(&self, e: EngineId) -> bool {
-        self.in_flight[e].is_empty()
+    pub fn is_idle(&self, engine: EngineId) -> bool {
+        self.in_flight[engine].is_empty()
     }
 
     /// An attempt is in flight there, and what it counts for.
-    pub fn add(&mut self, e: EngineId, attempt: AttemptId, load: Load) {
-        self.in_flight[e].insert(attempt);
-        self.own[e].add(load, 1.0);
-        self.send_capacity[e] = self.send_capacity[e].saturating_sub(1);
+    pub fn add(&mut self, engine: EngineId, attempt: AttemptId, load: Load) {
+        self.in_flight[engine].insert(attempt);
+        self.own[engine].add(load, 1.0);
+        self.send_capacity[engine] = self.send_capacity[engine].saturating_sub(1);
     }
 
     /// How many attempts can leave for it now.
-    pub fn set_send_capacity(&mut self, e: EngineId, attempts: usize) {
-        if let Some(known) = self.send_capacity.get_mut(e) {
+    pub fn set_send_capacity(&mut self, engine: EngineId, attempts: usize) {
+        if let Some(known) = self.send_capacity.get_mut(engine) {
             *known = attempts;
         }
     }
 
     /// It is in flight no more.
-    pub fn remove(&mut self, e: EngineId, attempt: AttemptId, load: Load) {
-        self.in_flight[e].remove(&attempt);
-        self.own[e].add(load, -1.0);
+    pub fn remove(&mut self, engine: EngineId, attempt: AttemptId, load: Load) {
+        self.in_flight[engine].remove(&attempt);
+        self.own[engine].add(load, -1.0);
     }
 
     /// A load of another front holds the data set there until then.
-    pub fn lock(&mut self, e: EngineId, data_set: u32, now: Micros, until: Micros) {
-        let locks = &mut self.locked_data[e];
+    pub fn lock(&mut self, engine: EngineId, data_set: u32, now: Micros, until: Micros) {
+        let locks = &mut self.locked_data[engine];
         locks.retain(|lock| lock.data_set != data_set && lock.until > now);
         locks.push(DataLock { data_set, until });
     }
 
     /// The place of an engine's kind, where it is listed.
-    pub fn kind(&self, e: EngineId) -> Option<usize> {
-        self.listed[e].as_ref().map(|entry| entry.kind)
+    pub fn kind(&self, engine: EngineId) -> Option<usize> {
+        self.listed[engine].as_ref().map(|entry| entry.kind)
     }
 
     /// An engine and what this front holds there.
-    pub fn use_of(&self, e: EngineId) -> EngineUse {
+    pub fn use_of(&self, engine: EngineId) -> EngineUse {
         EngineUse {
-            engine: e,
-            size: self.size[e],
-            own: self.own[e],
+            engine,
+            size: self.size[engine],
+            own: self.own[engine],
         }
     }
 
     /// The open engines and what this front holds there.
     pub fn in_use(&self) -> impl Iterator<Item = EngineUse> + '_ {
-        let open = (0..self.open.len()).filter(|e| self.open[*e]);
-        open.map(|e| self.use_of(e))
+        let open = (0..self.open.len()).filter(|engine| self.open[*engine]);
+        open.map(|engine| self.use_of(engine))
     }
 
     /// Makes place for an engine.
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -200,7 +200,7 @@
         self.health_checks.resize(count);
     }
 
-    fn workload(&self, s: &Statement) -> &Workload {
-        &self.agreed.workloads[s.asked.workload]
+    fn workload(&self, statement: &Statement) -> &Workload {
+        &self.agreed.workloads[statement.asked.workload]
     }
 }
--- a/src/scheduler/admit.rs
+++ b/src/scheduler/admit.rs
@@ -13,26 +13,28 @@
     /// A statement arrived: it is held, or rejected where the fleet does not admit it.
     pub(super) fn arrived(&mut self, mut arrival: Arrival) {
         let now = self.clock.now;
-        let (id, w) = (arrival.statement, arrival.workload);
-        let share = self
-            .admission
-            .customer_share(w, arrival.customer, &mut self.random, now);
+        let (id, workload) = (arrival.statement, arrival.workload);
+        let share =
+            self.admission
+                .customer_share(workload, arrival.customer, &mut self.random, now);
         let waited = self.waited(&arrival);
-        self.estimates.arrived(w, arrival.work);
+        self.estimates.arrived(workload, arrival.work);
         self.health_checks.statement_taken();
-        let workload = &self.agreed.workloads[w];
-        arrival.key = arrival.key.filter(|_| workload.in_order);
+        let agreed = &self.agreed.workloads[workload];
+        arrival.key = arrival.key.filter(|_| agreed.in_order);
         self.order_queues.enqueue(arrival.key, id);
         let load = Load {
-            threads: workload.threads,
+            threads: agreed.threads,
             memory: self.memory_need(&arrival),
         };
         let sticky = arrival.pinned.is_some();
-        let outcome = self.admission.check(w, share, sticky, &mut self.random);
+        let outcome = self
+            .admission
+            .check(workload, share, sticky, &mut self.random);
         if outcome == AdmissionOutcome::Admitted {
             self.retry_budget.admitted(now);
         }
-        let class = self.queues.class_of(w, arrival.customer, share);
+        let class = self.queues.class_of(workload, arrival.customer, share);
         let deadline = now + arrival.time_left;
         let statement = Statement::new(arrival, class, now - waited, deadline, load);
         self.statements.insert(id, statement);
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -42,64 +42,64 @@
 
 impl Scheduler {
     /// Whether a statement may be sent at all now; never a second copy beside one in flight.
-    pub(super) fn may_be_sent(&self, id: StatementId, s: &Statement) -> bool {
-        !s.over
-            && !s.is_in_flight()
-            && self.clock.now < s.deadline
-            && self.is_first_in_order(id, s)
-            && (s.attempts.is_empty() || self.may_retry(s))
+    pub(super) fn may_be_sent(&self, id: StatementId, statement: &Statement) -> bool {
+        !statement.over
+            && !statement.is_in_flight()
+            && self.clock.now < statement.deadline
+            && self.is_first_in_order(id, statement)
+            && (statement.attempts.is_empty() || self.may_retry(statement))
     }
 
     /// Whether an engine may be sent a statement that may be sent at all. `avoid_evacuated`: engines outside
     /// evacuated zones may have it.
     pub(super) fn eligibility(
         &self,
-        s: &Statement,
-        e: EngineId,
+        statement: &Statement,
+        engine: EngineId,
         avoid_evacuated: bool,
     ) -> Eligibility {
-        let retry = !s.attempts.is_empty();
-        let sticky = s.asked.pinned;
-        if retry && !self.outliers.is_trusted(e) {
+        let retry = !statement.attempts.is_empty();
+        let sticky = statement.asked.pinned;
+        if retry && !self.outliers.is_trusted(engine) {
             return Eligibility::Untrusted;
         }
-        if self.engines.send_capacity[e] == 0 && sticky.is_none() {
+        if self.engines.send_capacity[engine] == 0 && sticky.is_none() {
             return Eligibility::NoConnection;
         }
-        if self.outliers.is_ejected(e, self.clock.now) {
+        if self.outliers.is_ejected(engine, self.clock.now) {
             return Eligibility::Ejected;
         }
-        if avoid_evacuated && self.is_evacuated(e) {
+        if avoid_evacuated && self.is_evacuated(engine) {
             return Eligibility::EvacuatedZone;
         }
-        let Some(entry) = self.engines.entry(e) else {
+        let Some(entry) = self.engines.entry(engine) else {
             return Eligibility::NotOpen;
         };
-        if !s.allows(self.workload(s), entry) {
+        if !statement.allows(self.workload(statement), entry) {
             return Eligibility::NotAllowed;
         }
-        if sticky.is_some_and(|engine| engine != e) {
+        if sticky.is_some_and(|sticky| sticky != engine) {
             return Eligibility::OtherStickyEngine;
         }
-        if entry.protocols & s.asked.protocols == 0 {
+        if entry.protocols & statement.asked.protocols == 0 {
             return Eligibility::OtherProtocol;
         }
-        if self.check_slow_start(e, s) == SlowStartOutcome::Denied {
+        if self.check_slow_start(engine, statement) == SlowStartOutcome::Denied {
             return Eligibility::WarmingUp;
         }
-        if retry && !self.is_safe_at(s, entry) {
+        if retry && !self.is_safe_at(statement, entry) {
             return Eligibility::UnsafeRepeat;
         }
-        if self.is_data_set_locked(s, e) {
+        if self.is_data_set_locked(statement, engine) {
             return Eligibility::DataSetLocked;
         }
         Eligibility::Eligible
     }
 
-    fn is_safe_at(&self, s: &Statement, at: &EngineEntry) -> bool {
+    fn is_safe_at(&self, statement: &Statement, at: &EngineEntry) -> bool {
         is_safe_repeat(
-            self.workload(s),
-            s,
+            self.workload(statement),
+            statement,
             &self.engines.listed,
             at,
             self.clock.now,
@@ -107,17 +107,18 @@
     }
 
     /// Whether a load, of this front or another, holds the statement's data set there.
-    fn is_data_set_locked(&self, s: &Statement, e: EngineId) -> bool {
-        let workload = self.workload(s);
+    fn is_data_set_locked(&self, statement: &Statement, engine: EngineId) -> bool {
+        let workload = self.workload(statement);
         let uses_data = workload.waits_for_data || workload.holds_data;
-        if !uses_data || s.asked.data_set.is_none() {
+        if !uses_data || statement.asked.data_set.is_none() {
             return false;
         }
         let holds = |other: &Statement| {
-            self.workload(other).holds_data && other.asked.data_set == s.asked.data_set
+            self.workload(other).holds_data && other.asked.data_set == statement.asked.data_set
         };
-        let mut in_flight = self.engines.in_flight[e].iter();
-        self.engines.holds(e, s.asked.data_set, self.clock.now)
+        let mut in_flight = self.engines.in_flight[engine].iter();
+        self.engines
+            .holds(engine, statement.asked.data_set, self.clock.now)
             || in_flight.any(|attempt| holds(&self.statements[&attempt.statement]))
     }
 }
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -107,21 +107,21 @@
     }
 
     /// Sends a statement to an engine and counts the attempt.
-    fn send(&mut self, id: StatementId, e: EngineId) {
+    fn send(&mut self, id: StatementId, engine: EngineId) {
         self.dequeue(id);
         self.placement_start = self.random.next();
         let now = self.clock.now;
         let priority = self.priority(id);
-        let s = &self.statements[&id];
-        let (class, load) = (s.class, s.load);
-        let latest_start = self.latest_start(s);
-        let slow_start = self.check_slow_start(e, s);
-        self.slow_start.sent(e, slow_start, now);
-        self.order_execution(id, e, priority);
-        let Some(s) = self.statements.get_mut(&id) else {
+        let statement = &self.statements[&id];
+        let (class, load) = (statement.class, statement.load);
+        let latest_start = self.latest_start(statement);
+        let slow_start = self.check_slow_start(engine, statement);
+        self.slow_start.sent(engine, slow_start, now);
+        self.order_execution(id, engine, priority);
+        let Some(statement) = self.statements.get_mut(&id) else {
             return;
         };
-        let number = s.attempts.len();
+        let number = statement.attempts.len();
         if number > 0 {
             self.retry_budget.retried(now);
         }
@@ -129,10 +129,10 @@
             statement: id,
             number,
         };
-        self.engines.add(e, attempt, load);
-        s.priority = priority;
-        s.attempts.push(Attempt {
-            engine: e,
+        self.engines.add(engine, attempt, load);
+        statement.priority = priority;
+        statement.attempts.push(Attempt {
+            engine,
             sent_at: now,
             heard_at: now,
             ..Attempt::default()
@@ -158,20 +158,23 @@
     }
 
     /// The memory that an engine is to grant, in MB; 0 leaves it to the engine.
-    fn memory_grant(&self, s: &Statement, engine: EngineId) -> f64 {
+    fn memory_grant(&self, statement: &Statement, engine: EngineId) -> f64 {
         let most = self.engines.size[engine].memory * self.agreed.largest_grant;
-        if self.agreed.grants && s.asked.memory_mb > 0.0 {
-            Estimates::memory_grant(s.load.memory, most)
+        if self.agreed.grants && statement.asked.memory_mb > 0.0 {
+            Estimates::memory_grant(statement.load.memory, most)
         } else {
             0.0
         }
     }
 
     fn priority(&self, id: StatementId) -> u8 {
-        let s = &self.statements[&id];
-        if self.clock.now >= self.latest_start(s) {
+        let statement = &self.statements[&id];
+        if self.clock.now >= self.latest_start(statement) {
             PRIORITY_OVERDUE
-        } else if self.queues.classes[s.class].conformance.is_top_level() {
+        } else if self.queues.classes[statement.class]
+            .conformance
+            .is_top_level()
+        {
             PRIORITY_TOP
         } else {
             PRIORITY_BELOW_TOP
@@ -181,11 +184,15 @@
     /// Tells the engine of a statement in flight when its priority has changed.
     pub(super) fn update_priority(&mut self, id: StatementId) {
         let priority = self.priority(id);
-        let Some(s) = self.statements.get_mut(&id).filter(|s| !s.over) else {
+        let Some(statement) = self
+            .statements
+            .get_mut(&id)
+            .filter(|statement| !statement.over)
+        else {
             return;
         };
-        if s.priority != priority && self.agreed.priorities {
-            s.priority = priority;
+        if statement.priority != priority && self.agreed.priorities {
+            statement.priority = priority;
             self.actions.push(Action::Terms {
                 statement: id,
                 grant_mb: 0.0,
@@ -196,22 +203,22 @@
 
     /// A statement waits in the queue of its standing, if it is its turn, until its standing changes next.
     pub(super) fn enqueue(&mut self, id: StatementId) {
-        let waits = |s: &&Statement| !s.over && !s.is_in_flight();
-        let Some(s) = self.statements.get(&id).filter(waits) else {
+        let waits = |statement: &&Statement| !statement.over && !statement.is_in_flight();
+        let Some(statement) = self.statements.get(&id).filter(waits) else {
             return;
         };
         let now = self.clock.now;
-        let (class, request) = (s.class, self.shed_request(s));
+        let (class, request) = (statement.class, self.shed_request(statement));
         let timing = request.timing;
-        let is_first = self.is_first_in_order(id, s);
+        let is_first = self.is_first_in_order(id, statement);
         // Once it is to be shed it is due now; till then when its standing changes next.
         let ends = match request.reason(now) {
             Some(_) => now,
-            None => rejected_at(s.deadline),
+            None => rejected_at(statement.deadline),
         };
-        let first_sent = s.attempts.first().map(|attempt| attempt.sent_at);
-        let forgotten = first_sent.map_or(0, |sent| sent + self.workload(s).dedup_window);
-        let paused_until = self.order_queues.paused_until(s.asked.key);
+        let first_sent = statement.attempts.first().map(|attempt| attempt.sent_at);
+        let forgotten = first_sent.map_or(0, |sent| sent + self.workload(statement).dedup_window);
+        let paused_until = self.order_queues.paused_until(statement.asked.key);
         let changes = [
             timing.last_timely_start(),
             timing.latest_start(),
@@ -228,7 +235,7 @@
 
     /// A statement waits no more.
     pub(super) fn dequeue(&mut self, id: StatementId) {
-        let class = self.statements.get(&id).map(|s| s.class);
+        let class = self.statements.get(&id).map(|statement| statement.class);
         self.queues.dequeue(id, class);
     }
 
--- a/src/scheduler/expire.rs
+++ b/src/scheduler/expire.rs
@@ -13,12 +13,13 @@
     /// Looks at the statements whose standing may have changed by time alone.
     pub(super) fn expire(&mut self) {
         while let Some(id) = self.queues.next_due(self.clock.now) {
-            let Some(s) = self.statements.get(&id).filter(|s| !s.over) else {
+            let Some(statement) = self.statements.get(&id).filter(|statement| !statement.over)
+            else {
                 continue;
             };
-            if s.is_in_flight() {
+            if statement.is_in_flight() {
                 self.update_priority(id);
-            } else if let Some(reason) = self.expiry_reason(s) {
+            } else if let Some(reason) = self.expiry_reason(statement) {
                 self.reject(id, reason);
             } else {
                 self.enqueue(id);
@@ -27,61 +28,69 @@
     }
 
     /// What decides whether a held statement ends now.
-    pub(super) fn shed_request(&self, s: &Statement) -> ShedRequest {
+    pub(super) fn shed_request(&self, statement: &Statement) -> ShedRequest {
         ShedRequest {
-            timing: self.timing(s),
-            late_share: self.workload(s).late_share,
-            shares_order_key: self.order_queues.is_shared(s.asked.key),
-            sticky_engine_closed: self.sticky_engine_closed(s),
-            has_safe_engine: self.has_safe_engine(s),
+            timing: self.timing(statement),
+            late_share: self.workload(statement).late_share,
+            shares_order_key: self.order_queues.is_shared(statement.asked.key),
+            sticky_engine_closed: self.sticky_engine_closed(statement),
+            has_safe_engine: self.has_safe_engine(statement),
         }
     }
 
     /// Why a held statement whose standing has changed ends now, if it does.
-    fn expiry_reason(&self, s: &Statement) -> Option<RejectReason> {
+    fn expiry_reason(&self, statement: &Statement) -> Option<RejectReason> {
         let others_wait = self.queues.any_ready();
-        self.shed_request(s)
+        self.shed_request(statement)
             .reason_at_expiry(others_wait, self.clock.now)
     }
 
     /// Why a statement whose attempt ended without a result has none again, if it has none.
-    pub(super) fn no_retry_reason(&self, s: &Statement) -> Option<RejectReason> {
-        if !self.has_safe_engine(s) {
+    pub(super) fn no_retry_reason(&self, statement: &Statement) -> Option<RejectReason> {
+        if !self.has_safe_engine(statement) {
             return Some(RejectReason::NoSafeEngine);
         }
-        let expiring = self.clock.now >= rejected_at(s.deadline);
-        self.check_retry(s)
+        let expiring = self.clock.now >= rejected_at(statement.deadline);
+        self.check_retry(statement)
             .reject_reason()
             .or(expiring.then_some(RejectReason::Expiring))
     }
 
     /// Whether a statement may be attempted again.
-    fn check_retry(&self, s: &Statement) -> RetryOutcome {
+    fn check_retry(&self, statement: &Statement) -> RetryOutcome {
         let request = RetryRequest {
-            attempts: s.attempts.len(),
-            sticky: s.asked.pinned.is_some(),
+            attempts: statement.attempts.len(),
+            sticky: statement.asked.pinned.is_some(),
         };
         self.retry_budget.check(request, self.clock.now)
     }
 
     /// Whether a retry of a statement is allowed.
-    pub(super) fn may_retry(&self, s: &Statement) -> bool {
-        self.check_retry(s) == RetryOutcome::Allowed
+    pub(super) fn may_retry(&self, statement: &Statement) -> bool {
+        self.check_retry(statement) == RetryOutcome::Allowed
     }
 
     /// Whether the engine that holds its transaction takes nothing new any more.
-    pub(super) fn sticky_engine_closed(&self, s: &Statement) -> bool {
-        let is_open = |e: EngineId| self.engines.open.get(e).is_some_and(|open| *open);
-        s.asked.pinned.is_some_and(|engine| !is_open(engine))
+    pub(super) fn sticky_engine_closed(&self, statement: &Statement) -> bool {
+        let is_open = |engine: EngineId| self.engines.open.get(engine).is_some_and(|open| *open);
+        statement
+            .asked
+            .pinned
+            .is_some_and(|engine| !is_open(engine))
     }
 
     /// Cancels an attempt, if its statement may be attempted again in time.
     pub(super) fn cancel_to_retry(&mut self, id: StatementId, number: usize) {
-        let s = &self.statements[&id];
-        let run = self.estimates.usual_run(s.asked.workload) as Micros;
-        let in_time = self.clock.now + run < s.deadline;
-        let idempotent = self.workload(s).effect == Effect::Idempotent;
-        if idempotent && self.may_retry(s) && in_time && self.agreed.cancel && !s.over {
+        let statement = &self.statements[&id];
+        let run = self.estimates.usual_run(statement.asked.workload) as Micros;
+        let in_time = self.clock.now + run < statement.deadline;
+        let idempotent = self.workload(statement).effect == Effect::Idempotent;
+        if idempotent
+            && self.may_retry(statement)
+            && in_time
+            && self.agreed.cancel
+            && !statement.over
+        {
             self.actions.push(Action::Cancel {
                 statement: id,
                 execution: number,
@@ -91,10 +100,10 @@
 
     /// Ends a statement without a result: a rejection where trying again is harmless, else an abort.
     pub(super) fn reject(&mut self, id: StatementId, reason: RejectReason) {
-        let s = &self.statements[&id];
-        let may_have_run = s.may_have_run().next().is_some();
-        let (workload, first_try) = (s.asked.workload, s.is_first_try());
-        let action = match answer_without_result(self.workload(s), may_have_run) {
+        let statement = &self.statements[&id];
+        let may_have_run = statement.may_have_run().next().is_some();
+        let (workload, first_try) = (statement.asked.workload, statement.is_first_try());
+        let action = match answer_without_result(self.workload(statement), may_have_run) {
             Answer::Reject => Action::Reject {
                 statement: id,
                 retry_after: retry_after(self.random.next(), self.agreed.longest_retry_after),
@@ -113,12 +122,16 @@
     /// Counts a statement that is over, and lets go of all it holds but attempts still in flight.
     pub(super) fn close(&mut self, id: StatementId, timely: bool) {
         self.dequeue(id);
-        let Some(s) = self.statements.get_mut(&id).filter(|s| !s.over) else {
+        let Some(statement) = self
+            .statements
+            .get_mut(&id)
+            .filter(|statement| !statement.over)
+        else {
             return;
         };
-        s.over = true;
-        let (class, key) = (s.class, s.asked.key);
-        let unresolved = s.in_flight();
+        statement.over = true;
+        let (class, key) = (statement.class, statement.asked.key);
+        let unresolved = statement.in_flight();
         if self.agreed.cancel {
             let cancel = |number: &usize| Action::Cancel {
                 statement: id,
@@ -147,7 +160,7 @@
 
     /// Lets go of a statement that is over with nothing in flight.
     pub(super) fn forget(&mut self, id: StatementId) {
-        let done = |s: &Statement| s.over && !s.is_in_flight();
+        let done = |statement: &Statement| statement.over && !statement.is_in_flight();
         if self.statements.get(&id).is_some_and(done) {
             self.statements.remove(&id);
         }
--- a/src/scheduler/observe.rs
+++ b/src/scheduler/observe.rs
@@ -68,7 +68,7 @@
         }
         // What is sticky to an engine that takes nothing new any more is to end now.
         let statements = self.statements.iter();
-        let closed = statements.filter(|(_, s)| self.sticky_engine_closed(s));
+        let closed = statements.filter(|(_, statement)| self.sticky_engine_closed(statement));
         let closed: Vec<StatementId> = closed.map(|(id, _)| *id).collect();
         for id in closed {
             self.queues.due_at(self.clock.now, id);
@@ -76,23 +76,24 @@
     }
 
     fn engine_listed(&mut self, entry: EngineEntry) {
-        let e = entry.engine;
-        self.ensure_engine(e);
-        let known = self.engines.listed[e].as_ref();
+        let engine = entry.engine;
+        self.ensure_engine(engine);
+        let known = self.engines.listed[engine].as_ref();
         let restarted = known.is_none_or(|known| known.started != entry.started);
         if known.is_none() {
-            self.engines.size[e] = size_of(&self.agreed, entry.kind);
-            self.limits.listed(e, self.engines.size[e].threads);
+            self.engines.size[engine] = size_of(&self.agreed, entry.kind);
+            self.limits
+                .listed(engine, self.engines.size[engine].threads);
         }
         if let Some(started) = entry.started.filter(|_| restarted) {
-            self.outliers.reset(e);
-            self.load_reports.reset(e);
-            self.peer_evidence.forget(e); // of an earlier start
-            self.found_healthy(e);
-            self.start_warm_up(e, started);
+            self.outliers.reset(engine);
+            self.load_reports.reset(engine);
+            self.peer_evidence.forget(engine); // of an earlier start
+            self.found_healthy(engine);
+            self.start_warm_up(engine, started);
         }
-        self.engines.open[e] = entry.mode == Mode::Ready;
-        self.engines.listed[e] = Some(entry);
+        self.engines.open[engine] = entry.mode == Mode::Ready;
+        self.engines.listed[engine] = Some(entry);
     }
 
     fn order_key_freed(&mut self, key: KeyId, pauses: bool) {
@@ -101,58 +102,62 @@
         self.enqueue_first_in_order(Some(key));
     }
 
-    fn load_reported(&mut self, e: EngineId, report: &Report) {
+    fn load_reported(&mut self, engine: EngineId, report: &Report) {
         let at = ReportedEngine {
-            engine: e,
-            kind: self.engines.kind(e),
-            size: self.engines.size[e],
-            own: self.engines.own[e],
-            in_flight: self.engines.in_flight[e].len(),
+            engine,
+            kind: self.engines.kind(engine),
+            size: self.engines.size[engine],
+            own: self.engines.own[engine],
+            in_flight: self.engines.in_flight[engine].len(),
         };
         let typical = self.estimates.typical_load();
         self.load_reports
             .reported(&at, report, typical, self.clock.now);
     }
 
-    fn noted(&mut self, attempt: AttemptId, e: EngineId, note: Note) {
+    fn noted(&mut self, attempt: AttemptId, engine: EngineId, note: Note) {
         let AttemptId { statement, number } = attempt;
-        let Some(s) = self.statements.get_mut(&statement) else {
+        let Some(statement) = self.statements.get_mut(&statement) else {
             return;
         };
-        let Some(known) = s.attempt_at(number, e) else {
+        let Some(known) = statement.attempt_at(number, engine) else {
             return;
         };
         if known.noted(self.clock.now, note) {
-            self.engines.heard_at[e] = self.clock.now;
+            self.engines.heard_at[engine] = self.clock.now;
         }
-        match (note, s.asked.data_set) {
+        match (note, statement.asked.data_set) {
             (Note::SpillsMb(lacks), _) => self.spilled(attempt, lacks),
-            (Note::WaitsForData, Some(data_set)) => self.data_set_locked(attempt, e, data_set),
-            (Note::ShareDone(done), _) => self.progressed(attempt, e, done),
+            (Note::WaitsForData, Some(data_set)) => self.data_set_locked(attempt, engine, data_set),
+            (Note::ShareDone(done), _) => self.progressed(attempt, engine, done),
             _ => {}
         }
     }
 
     fn spilled(&mut self, attempt: AttemptId, lacks_mb: f64) {
-        let Some(s) = self.statements.get_mut(&attempt.statement) else {
+        let Some(statement) = self.statements.get_mut(&attempt.statement) else {
             return;
         };
-        s.attempts[attempt.number].spilled = true;
-        self.estimates
-            .spilled(s.asked.workload, s.load.memory, lacks_mb, s.asked.memory_mb);
+        statement.attempts[attempt.number].spilled = true;
+        self.estimates.spilled(
+            statement.asked.workload,
+            statement.load.memory,
+            lacks_mb,
+            statement.asked.memory_mb,
+        );
     }
 
     /// Another front's load holds the data set there: guards against standing still behind it.
-    fn data_set_locked(&mut self, attempt: AttemptId, e: EngineId, data_set: u32) {
+    fn data_set_locked(&mut self, attempt: AttemptId, engine: EngineId, data_set: u32) {
         let now = self.clock.now;
         let until = now + self.estimates.longest_run() as Micros;
-        self.engines.lock(e, data_set, now, until);
+        self.engines.lock(engine, data_set, now, until);
         self.cancel_to_retry(attempt.statement, attempt.number);
     }
 
     /// Guards against a bad plan, drawn anew at each attempt, not against a long statement.
-    fn progressed(&mut self, attempt: AttemptId, e: EngineId, share_done: f64) {
-        let known = self.in_flight_attempt(attempt, e);
+    fn progressed(&mut self, attempt: AttemptId, engine: EngineId, share_done: f64) {
+        let known = self.in_flight_attempt(attempt, engine);
         let first = self.statements[&attempt.statement].attempts.len() == 1;
         if first && is_bad_plan(&known, share_done, self.clock.now) {
             self.cancel_to_retry(attempt.statement, attempt.number);
@@ -160,13 +165,13 @@
     }
 
     fn ended(&mut self, ended: Ended) {
-        let (now, e) = (self.clock.now, ended.engine);
-        self.ensure_engine(e);
-        let Some(s) = self.statements.get_mut(&ended.statement) else {
+        let (now, engine) = (self.clock.now, ended.engine);
+        self.ensure_engine(engine);
+        let Some(statement) = self.statements.get_mut(&ended.statement) else {
             return;
         };
-        let (key, was_over, load) = (s.asked.key, s.over, s.load);
-        let Some(attempt) = s.attempt_at(ended.execution, e) else {
+        let (key, was_over, load) = (statement.asked.key, statement.over, statement.load);
+        let Some(attempt) = statement.attempt_at(ended.execution, engine) else {
             return;
         };
         attempt.outcome = Some(ended.outcome);
@@ -175,14 +180,14 @@
             statement: ended.statement,
             number: ended.execution,
         };
-        self.engines.remove(e, id, load);
+        self.engines.remove(engine, id, load);
         self.resolve_order_key(key, was_over, &ended);
-        let unreachable = self.outliers.attempt_ended(e, ended.outcome, now);
+        let unreachable = self.outliers.attempt_ended(engine, ended.outcome, now);
         if unreachable.may_have_restarted() {
-            self.start_warm_up(e, now);
+            self.start_warm_up(engine, now);
         }
         if let Some(report) = &ended.report {
-            self.load_reported(e, report);
+            self.load_reported(engine, report);
         }
         self.learn_from(&ended, load, was_silent, unreachable);
         if was_over {
@@ -213,13 +218,13 @@
         was_silent: bool,
         unreachable: UnreachableStreak,
     ) {
-        let e = ended.engine;
+        let engine = ended.engine;
         match ended.outcome {
             Outcome::Completed => {
                 if ended.took <= self.slo_time(&self.statements[&ended.statement]) {
-                    self.peer_evidence.proved_wrong(e);
+                    self.peer_evidence.proved_wrong(engine);
                 }
-                self.found_healthy(e);
+                self.found_healthy(engine);
                 self.answered(ended, load);
             }
             // An engine that hangs has been charged for its silence.
@@ -227,9 +232,9 @@
             Outcome::NoCapacity | Outcome::TimedOut => self.overloaded(ended, load),
             // A crash resets all that an engine holds at once; single resets are the network's.
             Outcome::Error | Outcome::Reset | Outcome::Unreachable => {
-                self.peer_evidence.proved_right(e);
+                self.peer_evidence.proved_right(engine);
                 let charge = unreachable.charge(ended.outcome);
-                self.outliers.charge(e, charge, self.clock.now);
+                self.outliers.charge(engine, charge, self.clock.now);
             }
             Outcome::Cancelled | Outcome::NotSent => {}
         }
@@ -238,24 +243,24 @@
     /// Guards against jams no answer tells of: an engine that turns work away or, where limits are pooled, lets it run
     /// into the client's deadline is full until it reports again, whatever it said before.
     fn overloaded(&mut self, ended: &Ended, load: Load) {
-        let e = ended.engine;
+        let engine = ended.engine;
         let pooled = self.limits.scope() == LimitScope::Pooled;
         if pooled || ended.outcome == Outcome::NoCapacity {
-            let full = ConcurrencyLimits::full_engine(self.engines.size[e].threads);
-            self.load_reports.assume_full(e, full);
+            let full = ConcurrencyLimits::full_engine(self.engines.size[engine].threads);
+            self.load_reports.assume_full(engine, full);
         }
         let engines = &self.engines;
         self.limits
-            .shrink(e, load.threads, |e| engines.size[e].threads);
+            .shrink(engine, load.threads, |engine| engines.size[engine].threads);
     }
 
     fn settle_or_retry(&mut self, ended: &Ended) {
-        let s = &self.statements[&ended.statement];
+        let statement = &self.statements[&ended.statement];
         if ended.settled {
-            let in_time = self.clock.now - s.first_arrival <= self.slo_time(s);
+            let in_time = self.clock.now - statement.first_arrival <= self.slo_time(statement);
             let timely = ended.outcome == Outcome::Completed && in_time;
             self.close(ended.statement, timely);
-        } else if let Some(reason) = self.no_retry_reason(s) {
+        } else if let Some(reason) = self.no_retry_reason(statement) {
             self.reject(ended.statement, reason);
         } else {
             self.enqueue(ended.statement);
@@ -263,27 +268,27 @@
     }
 
     fn answered(&mut self, ended: &Ended, load: Load) {
-        let e = ended.engine;
-        let s = &self.statements[&ended.statement];
-        let workload = s.asked.workload;
+        let engine = ended.engine;
+        let statement = &self.statements[&ended.statement];
+        let workload = statement.asked.workload;
         let run = AnsweredRun {
             took: ended.took as f64,
-            estimated: self.estimated_run(s),
-            spilled: s.attempts[ended.execution].spilled,
+            estimated: self.estimated_run(statement),
+            spilled: statement.attempts[ended.execution].spilled,
         };
         let answer = AnsweredAttempt {
-            engine: e,
+            engine,
             threads: load.threads,
             took: run.took,
-            slo: self.slo_time(s) as f64,
-            own_threads: self.engines.own[e].threads,
+            slo: self.slo_time(statement) as f64,
+            own_threads: self.engines.own[engine].threads,
         };
-        self.engines.heard_at[e] = self.clock.now;
-        self.outliers.answered(e);
+        self.engines.heard_at[engine] = self.clock.now;
+        self.outliers.answered(engine);
         let engines = &self.engines;
         let pool = |limits: &ConcurrencyLimits| limits.pool(engines.in_use());
         self.limits
-            .answered(&answer, pool, |e| engines.size[e].threads);
+            .answered(&answer, pool, |engine| engines.size[engine].threads);
         self.estimates.answered(workload, load, &run);
     }
 }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -22,26 +22,26 @@
 impl Scheduler {
     /// The engine that a statement goes to; None where none may have it now.
     pub(super) fn place(&self, id: StatementId) -> Option<EngineId> {
-        let s = &self.statements[&id];
-        if !self.may_be_sent(id, s) {
+        let statement = &self.statements[&id];
+        if !self.may_be_sent(id, statement) {
             return None;
         }
-        let scan = self.placement_scan(s);
+        let scan = self.placement_scan(statement);
         let mut ranking = Ranking::new(self.ranking_mode());
         let count = self.engines.open.len();
         // Fronts that know the same must not all pick the same engine: each starts its search elsewhere.
         let start = self.placement_start * count as f64;
         let first = start as usize;
-        for e in (0..count).map(|i| (i + first) % count) {
-            if self.eligibility(s, e, scan.avoid_evacuated) != Eligibility::Eligible {
+        for engine in (0..count).map(|i| (i + first) % count) {
+            if self.eligibility(statement, engine, scan.avoid_evacuated) != Eligibility::Eligible {
                 continue;
             }
-            if let LimitOutcome::Capacity { threads } = self.check_limit(s, e, &scan) {
+            if let LimitOutcome::Capacity { threads } = self.check_limit(statement, engine, &scan) {
                 ranking.add(&RankedEngine {
-                    engine: e,
+                    engine,
                     capacity: threads,
-                    cores: self.engines.size[e].threads,
-                    scarce: self.is_scarce(s, e),
+                    cores: self.engines.size[engine].threads,
+                    scarce: self.is_scarce(statement, engine),
                 });
             }
         }
@@ -56,75 +56,95 @@
         }
     }
 
-    fn placement_scan(&self, s: &Statement) -> PlacementScan {
-        let workload = self.workload(s);
-        let is_allowed = |e: &EngineId| {
-            let entry = self.engines.entry(*e);
-            entry.is_some_and(|entry| s.allows(workload, entry))
+    fn placement_scan(&self, statement: &Statement) -> PlacementScan {
+        let workload = self.workload(statement);
+        let is_allowed = |engine: &EngineId| {
+            let entry = self.engines.entry(*engine);
+            entry.is_some_and(|entry| statement.allows(workload, entry))
         };
         let allowed = || (0..self.engines.open.len()).filter(is_allowed);
         // Where all engines that it may use are suspected, none is.
         PlacementScan {
             heed_suspicion: self.peer_evidence.has_adverse()
-                && allowed().any(|e| self.unsuspected_share(e) >= 1.0),
+                && allowed().any(|engine| self.unsuspected_share(engine) >= 1.0),
             avoid_evacuated: self.peer_evidence.has_evacuated()
-                && allowed().any(|e| !self.is_evacuated(e)),
+                && allowed().any(|engine| !self.is_evacuated(engine)),
             pool: self.limits.pool(self.engines.in_use()),
         }
     }
 
-    fn check_limit(&self, s: &Statement, e: EngineId, scan: &PlacementScan) -> LimitOutcome {
-        let credit = self.outliers.limit_share(e);
+    fn check_limit(
+        &self,
+        statement: &Statement,
+        engine: EngineId,
+        scan: &PlacementScan,
+    ) -> LimitOutcome {
+        let credit = self.outliers.limit_share(engine);
         let trust = if scan.heed_suspicion {
-            credit * self.unsuspected_share(e)
+            credit * self.unsuspected_share(engine)
         } else {
             credit
         };
-        let own = self.engines.own[e];
-        let mut need = s.load;
-        need.threads = self.workload(s).threads;
+        let own = self.engines.own[engine];
+        let mut need = statement.load;
+        need.threads = self.workload(statement).threads;
         self.limits.check(&LimitRequest {
-            at: self.engines.use_of(e),
-            idle: self.engines.is_idle(e),
-            others: self.load_reports.held_by_others(e, own, self.agreed.fronts),
+            at: self.engines.use_of(engine),
+            idle: self.engines.is_idle(engine),
+            others: self
+                .load_reports
+                .held_by_others(engine, own, self.agreed.fronts),
             trust,
-            capacity_share: self.slow_start.capacity_share(e, self.clock.now),
-            fresh_report: self.load_reports.is_fresh(e, self.clock.now),
+            capacity_share: self.slow_start.capacity_share(engine, self.clock.now),
+            fresh_report: self.load_reports.is_fresh(engine, self.clock.now),
             need,
             pool: &scan.pool,
         })
     }
 
     /// Whether a workload that can't go everywhere needs the engine, and the statement's can.
-    fn is_scarce(&self, s: &Statement, e: EngineId) -> bool {
-        let is_bound = |w: &Workload| w.kinds.is_some() || w.locations.is_some();
-        let needs = |w: &Workload| {
-            let entry = self.engines.listed[e].as_ref();
-            is_bound(w) && entry.is_some_and(|entry| w.allows(entry))
+    fn is_scarce(&self, statement: &Statement, engine: EngineId) -> bool {
+        let is_bound =
+            |workload: &Workload| workload.kinds.is_some() || workload.locations.is_some();
+        let needs = |workload: &Workload| {
+            let entry = self.engines.listed[engine].as_ref();
+            is_bound(workload) && entry.is_some_and(|entry| workload.allows(entry))
         };
-        !is_bound(self.workload(s)) && self.agreed.workloads.iter().any(needs)
+        !is_bound(self.workload(statement)) && self.agreed.workloads.iter().any(needs)
     }
 
     /// Whether any engine may have it by what earlier attempts may have done: else it waits in vain.
-    pub(super) fn has_safe_engine(&self, s: &Statement) -> bool {
-        has_safe_engine(self.workload(s), s, &self.engines.listed, self.clock.now)
+    pub(super) fn has_safe_engine(&self, statement: &Statement) -> bool {
+        has_safe_engine(
+            self.workload(statement),
+            statement,
+            &self.engines.listed,
+            self.clock.now,
+        )
     }
 
     /// An engine warms up from then on, as far as is known.
-    pub(super) fn start_warm_up(&mut self, e: EngineId, started: Micros) {
-        let request = self.slow_start_request(e, 0.0);
+    pub(super) fn start_warm_up(&mut self, engine: EngineId, started: Micros) {
+        let request = self.slow_start_request(engine, 0.0);
         let front_just_started = self.clock.just_started();
         self.slow_start
-            .start(e, started, &request, front_just_started);
+            .start(engine, started, &request, front_just_started);
     }
 
     /// Whether an engine that may be warming up bears this statement now.
-    pub(super) fn check_slow_start(&self, e: EngineId, s: &Statement) -> SlowStartOutcome {
-        let workload = self.workload(s);
-        let work =
-            self.estimates
-                .usual_work(s.asked.workload, workload.threads, workload.slo_time as f64);
-        self.slow_start.check(&self.slow_start_request(e, work))
+    pub(super) fn check_slow_start(
+        &self,
+        engine: EngineId,
+        statement: &Statement,
+    ) -> SlowStartOutcome {
+        let workload = self.workload(statement);
+        let work = self.estimates.usual_work(
+            statement.asked.workload,
+            workload.threads,
+            workload.slo_time as f64,
+        );
+        self.slow_start
+            .check(&self.slow_start_request(engine, work))
     }
 
     fn slow_start_request(&self, engine: EngineId, work: f64) -> SlowStartRequest {
--- a/src/scheduler/probe.rs
+++ b/src/scheduler/probe.rs
@@ -30,7 +30,7 @@
         if self.clock.sweeps.is_multiple_of(SWEEPS_PER_ENGINE_CHECK) {
             let engines = &self.engines;
             self.load_reports
-                .decay(|e| (engines.kind(e), engines.size[e].threads));
+                .decay(|engine| (engines.kind(engine), engines.size[engine].threads));
             for engine in 0..self.engines.open.len() {
                 self.cancel_silent(engine);
             }
@@ -66,43 +66,47 @@
     }
 
     /// What is known of an attempt in flight at an engine.
-    pub(super) fn in_flight_attempt(&self, attempt: AttemptId, e: EngineId) -> InFlightAttempt {
-        let s = &self.statements[&attempt.statement];
-        let known = &s.attempts[attempt.number];
-        let sends_progress = self.engines.listed[e]
+    pub(super) fn in_flight_attempt(
+        &self,
+        attempt: AttemptId,
+        engine: EngineId,
+    ) -> InFlightAttempt {
+        let statement = &self.statements[&attempt.statement];
+        let known = &statement.attempts[attempt.number];
+        let sends_progress = self.engines.listed[engine]
             .as_ref()
             .is_some_and(|entry| entry.sends_progress);
         let agreed = Some(self.agreed.progress_every).filter(|every| *every != 0);
         InFlightAttempt {
             sent_at: known.sent_at,
             heard_at: known.heard_at,
-            engine_heard_at: self.engines.heard_at[e],
+            engine_heard_at: self.engines.heard_at[engine],
             progress_every: agreed.filter(|_| sends_progress),
-            expected_run: self.expected_run(s),
+            expected_run: self.expected_run(statement),
         }
     }
 
     /// Cancels the attempts at an engine that have been silent for too long.
-    fn cancel_silent(&mut self, e: EngineId) {
-        let in_flight = self.engines.in_flight[e].iter();
+    fn cancel_silent(&mut self, engine: EngineId) {
+        let in_flight = self.engines.in_flight[engine].iter();
         let stuck: Vec<StuckAttempt> = in_flight
-            .filter_map(|attempt| self.stuck_attempt(*attempt, e))
+            .filter_map(|attempt| self.stuck_attempt(*attempt, engine))
             .collect();
         for StuckAttempt { attempt, charge } in stuck {
-            self.outliers.charge(e, charge, self.clock.now);
+            self.outliers.charge(engine, charge, self.clock.now);
             self.cancel_to_retry(attempt.statement, attempt.number);
-            if let Some(s) = self.statements.get_mut(&attempt.statement) {
-                s.attempts[attempt.number].silent = true;
+            if let Some(statement) = self.statements.get_mut(&attempt.statement) {
+                statement.attempts[attempt.number].silent = true;
             }
         }
     }
 
     /// An attempt that has been silent for too long, the first time that it is found so.
-    fn stuck_attempt(&self, attempt: AttemptId, e: EngineId) -> Option<StuckAttempt> {
+    fn stuck_attempt(&self, attempt: AttemptId, engine: EngineId) -> Option<StuckAttempt> {
         if self.statements[&attempt.statement].attempts[attempt.number].silent {
             return None;
         }
-        let known = self.in_flight_attempt(attempt, e);
+        let known = self.in_flight_attempt(attempt, engine);
         match check_silence(&known, self.clock.running_since, self.clock.now) {
             SilenceOutcome::Silent(charge) => Some(StuckAttempt { attempt, charge }),
             SilenceOutcome::Heard => None,
--- a/src/scheduler/zones.rs
+++ b/src/scheduler/zones.rs
@@ -22,27 +22,29 @@
     }
 
     /// Whether the zone of an engine is evacuated.
-    pub(super) fn is_evacuated(&self, e: EngineId) -> bool {
+    pub(super) fn is_evacuated(&self, engine: EngineId) -> bool {
         self.peer_evidence.has_evacuated()
-            && self.peer_evidence.is_evacuated(self.engines.same_zone(e))
+            && self
+                .peer_evidence
+                .is_evacuated(self.engines.same_zone(engine))
     }
 
     /// The share of an engine's limit that other fronts' reports leave; of an evacuated zone nothing.
-    pub(super) fn unsuspected_share(&self, e: EngineId) -> f64 {
-        if self.is_evacuated(e) {
+    pub(super) fn unsuspected_share(&self, engine: EngineId) -> f64 {
+        if self.is_evacuated(engine) {
             0.0
         } else {
-            self.peer_evidence.limit_share(e, self.clock.now)
+            self.peer_evidence.limit_share(engine, self.clock.now)
         }
     }
 
     /// An engine is healthy. If it was a suspect of an evacuated zone that reopens now, the zone warms up.
-    pub(super) fn found_healthy(&mut self, e: EngineId) {
-        if !self.peer_evidence.is_suspect(e) {
+    pub(super) fn found_healthy(&mut self, engine: EngineId) {
+        if !self.peer_evidence.is_suspect(engine) {
             return;
         }
-        let zone: Vec<EngineId> = self.engines.same_zone(e).collect();
-        if self.peer_evidence.found_healthy(e, &zone) == ZoneOutcome::Reopened {
+        let zone: Vec<EngineId> = self.engines.same_zone(engine).collect();
+        if self.peer_evidence.found_healthy(engine, &zone) == ZoneOutcome::Reopened {
             for engine in zone {
                 self.outliers.reset(engine);
                 self.start_warm_up(engine, self.clock.now);
