--- a/crates/dispatcher/src/statements.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -175,14 +175,14 @@
             statement: ticket,
             workload,
             customer,
-            key,
+            order_key: key,
             time_left: ask.time_left,
             work: ask.work,
             memory_mb: ask.memory_mb,
             data_set: ask.data_set,
             protocols: ask.protocol as u8,
-            pinned: ask.pinned,
-            allowed,
+            sticky_engine: ask.pinned,
+            allowed_locations: allowed,
         }));
         self.workload_demand[workload].record_arrival(now);
         self.customer_demand
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -137,7 +137,7 @@
             statement: self.statements.len() as u32,
             workload,
             customer: line.optional("clientGroup")?.unwrap_or(0),
-            key: key.map(|key| {
+            order_key: key.map(|key| {
                 let next = self.keys.len() as u32;
                 *self.keys.entry(key).or_insert(next)
             }),
@@ -146,8 +146,8 @@
             memory_mb: line.number_or("ramMb", 0.0)?,
             data_set: line.optional("tableGroup")?,
             protocols: 1,
-            pinned: None,
-            allowed: None,
+            sticky_engine: None,
+            allowed_locations: None,
         };
         self.statements.push(req);
         self.statement_ids.insert(req, arrival.statement);
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -50,7 +50,7 @@
     /// The place of its customer in the agreement; 0 where no customers are agreed.
     pub customer: usize,
     /// Its order key; heeded where its workload is agreed to run in order.
-    pub key: Option<KeyId>,
+    pub order_key: Option<KeyId>,
     /// The time that its client still waits.
     pub time_left: Micros,
     /// An estimate of its work on one thread, in microseconds; 0 where the site gives none.
@@ -62,9 +62,9 @@
     /// The protocols that it can be sent in, a bit for each.
     pub protocols: u8,
     /// The engine that holds the open transaction it belongs to: it goes there or nowhere, and once.
-    pub pinned: Option<EngineId>,
+    pub sticky_engine: Option<EngineId>,
     /// The places of the locations it may be sent to; None: all that its workload allows.
-    pub allowed: Option<Vec<usize>>,
+    pub allowed_locations: Option<Vec<usize>>,
 }
 
 /// The end of an execution.
--- a/src/scheduler/admit.rs
+++ b/src/scheduler/admit.rs
@@ -21,13 +21,13 @@
         self.estimates.arrived(workload, arrival.work);
         self.health_checks.statement_taken();
         let agreed = &self.agreed.workloads[workload];
-        arrival.key = arrival.key.filter(|_| agreed.in_order);
-        self.order_queues.enqueue(arrival.key, id);
+        arrival.order_key = arrival.order_key.filter(|_| agreed.in_order);
+        self.order_queues.enqueue(arrival.order_key, id);
         let load = Load {
             threads: agreed.threads,
             memory: self.memory_need(&arrival),
         };
-        let sticky = arrival.pinned.is_some();
+        let sticky = arrival.sticky_engine.is_some();
         let outcome = self
             .admission
             .check(workload, share, sticky, &mut self.random);
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -59,7 +59,7 @@
         avoid_evacuated: bool,
     ) -> Eligibility {
         let retry = !statement.attempts.is_empty();
-        let sticky = statement.asked.pinned;
+        let sticky = statement.asked.sticky_engine;
         if retry && !self.outliers.is_trusted(engine) {
             return Eligibility::Untrusted;
         }
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -218,7 +218,7 @@
         };
         let first_sent = statement.attempts.first().map(|attempt| attempt.sent_at);
         let forgotten = first_sent.map_or(0, |sent| sent + self.workload(statement).dedup_window);
-        let paused_until = self.order_queues.paused_until(statement.asked.key);
+        let paused_until = self.order_queues.paused_until(statement.asked.order_key);
         let changes = [
             timing.last_timely_start(),
             timing.latest_start(),
--- a/src/scheduler/expire.rs
+++ b/src/scheduler/expire.rs
@@ -32,7 +32,7 @@
         ShedRequest {
             timing: self.timing(statement),
             late_share: self.workload(statement).late_share,
-            shares_order_key: self.order_queues.is_shared(statement.asked.key),
+            shares_order_key: self.order_queues.is_shared(statement.asked.order_key),
             sticky_engine_closed: self.sticky_engine_closed(statement),
             has_safe_engine: self.has_safe_engine(statement),
         }
@@ -60,7 +60,7 @@
     fn check_retry(&self, statement: &Statement) -> RetryOutcome {
         let request = RetryRequest {
             attempts: statement.attempts.len(),
-            sticky: statement.asked.pinned.is_some(),
+            sticky: statement.asked.sticky_engine.is_some(),
         };
         self.retry_budget.check(request, self.clock.now)
     }
@@ -75,7 +75,7 @@
         let is_open = |engine: EngineId| self.engines.open.get(engine).is_some_and(|open| *open);
         statement
             .asked
-            .pinned
+            .sticky_engine
             .is_some_and(|engine| !is_open(engine))
     }
 
@@ -130,7 +130,7 @@
             return;
         };
         statement.over = true;
-        let (class, key) = (statement.class, statement.asked.key);
+        let (class, key) = (statement.class, statement.asked.order_key);
         let unresolved = statement.in_flight();
         if self.agreed.cancel {
             let cancel = |number: &usize| Action::Cancel {
--- a/src/scheduler/observe.rs
+++ b/src/scheduler/observe.rs
@@ -170,7 +170,7 @@
         let Some(statement) = self.statements.get_mut(&ended.statement) else {
             return;
         };
-        let (key, was_over, load) = (statement.asked.key, statement.over, statement.load);
+        let (key, was_over, load) = (statement.asked.order_key, statement.over, statement.load);
         let Some(attempt) = statement.attempt_at(ended.execution, engine) else {
             return;
         };
--- a/src/scheduler/timing.rs
+++ b/src/scheduler/timing.rs
@@ -49,6 +49,6 @@
     pub(super) fn is_first_in_order(&self, id: StatementId, statement: &Statement) -> bool {
         let attempted = !statement.attempts.is_empty();
         self.order_queues
-            .is_first(statement.asked.key, id, attempted, self.clock.now)
+            .is_first(statement.asked.order_key, id, attempted, self.clock.now)
     }
 }
--- a/src/statement.rs
+++ b/src/statement.rs
@@ -78,7 +78,7 @@
 
     /// Whether it may be sent to an engine at all: its workload and what is allowed to it agree.
     pub fn allows(&self, workload: &Workload, at: &EngineEntry) -> bool {
-        let allowed = self.asked.allowed.as_ref();
+        let allowed = self.asked.allowed_locations.as_ref();
         workload.allows(at) && allowed.is_none_or(|locations| locations.contains(&at.location))
     }
 
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -257,19 +257,19 @@
                 statement,
                 workload: self.workloads.iter().position(|w| w == words[2])?,
                 customer: value("customer") as usize,
-                key: said.get("key").map(|k| index(&mut self.keys, k) as KeyId),
+                order_key: said.get("key").map(|k| index(&mut self.keys, k) as KeyId),
                 time_left: said.get("left").map_or(5000 * MS, |l| micros(l)),
                 work: value("work") * MS as f64,
                 memory_mb: value("memory"),
                 data_set: said.get("data").map(|d| number(d) as u32),
                 protocols: said.get("speech").map_or(1, |v| number(v) as u8),
-                allowed: said.get("allowed").map(|l| {
+                allowed_locations: said.get("allowed").map(|l| {
                     l.split(',')
                         .filter(|l| !l.is_empty())
                         .map(|l| number(l) as usize)
                         .collect()
                 }),
-                pinned: said
+                sticky_engine: said
                     .get("pinned")
                     .and_then(|p| self.engine_names.iter().position(|e| e == p)),
             }),
