--- /dev/null
+++ b/src/scheduler/placement.rs
@@ -0,0 +1,157 @@
+//! Placement: which engine gets a statement? The candidate filter, the concurrency limits and the ranking in turn.
+
+use crate::interface::{EngineId, Micros, StatementId, Workload};
+use crate::policy::concurrency_limit::{LimitOutcome, LimitRequest, LimitScope, Pool};
+use crate::policy::idempotency::has_safe_engine;
+use crate::policy::ranking::{RankedEngine, Ranking, RankingMode};
+use crate::policy::retry::{RetryOutcome, RetryRequest};
+use crate::policy::slow_start::{SlowStartOutcome, SlowStartRequest};
+use crate::state::Statement;
+
+use super::candidates::Eligibility;
+use super::Scheduler;
+
+/// What is the same for all engines while one statement is placed.
+struct PlacementScan {
+    /// Other fronts' reports take from the limits of the engines they suspect.
+    heed_suspicion: bool,
+    /// Engines outside evacuated zones may have the statement.
+    avoid_evacuated: bool,
+    pool: Pool,
+}
+
+impl Scheduler {
+    /// The engine that a statement goes to; None where none may have it now.
+    pub(super) fn place(&self, id: StatementId) -> Option<EngineId> {
+        let s = &self.statements[&id];
+        if !self.may_be_sent(id, s) {
+            return None;
+        }
+        let scan = self.placement_scan(s);
+        let mut ranking = Ranking::new(self.ranking_mode());
+        let count = self.engines.open.len();
+        // Fronts that know the same must not all pick the same engine: each starts its search elsewhere.
+        let start = self.placement_start * count as f64;
+        let first = start as usize;
+        for e in (0..count).map(|i| (i + first) % count) {
+            if self.eligibility(s, e, scan.avoid_evacuated) != Eligibility::Eligible {
+                continue;
+            }
+            if let LimitOutcome::Capacity { threads } = self.check_limit(s, e, &scan) {
+                ranking.add(&RankedEngine {
+                    engine: e,
+                    capacity: threads,
+                    cores: self.engines.size[e].threads,
+                    scarce: self.is_scarce(s, e),
+                });
+            }
+        }
+        ranking.choose(start.fract())
+    }
+
+    fn ranking_mode(&self) -> RankingMode {
+        if self.limits.scope() == LimitScope::Pooled && !self.load_reports.name_load() {
+            RankingMode::DrawByCapacity
+        } else {
+            RankingMode::MostCapacity
+        }
+    }
+
+    fn placement_scan(&self, s: &Statement) -> PlacementScan {
+        let workload = self.workload(s);
+        let is_allowed = |e: &EngineId| {
+            let entry = self.engines.entry(*e);
+            entry.is_some_and(|entry| s.allows(workload, entry))
+        };
+        let allowed = || (0..self.engines.open.len()).filter(is_allowed);
+        // Where all engines that it may use are suspected, none is.
+        PlacementScan {
+            heed_suspicion: !self.peer_reports.adverse.is_empty()
+                && allowed().any(|e| self.unsuspected_share(e) >= 1.0),
+            avoid_evacuated: !self.engines.evacuated.is_empty()
+                && allowed().any(|e| !self.engines.is_evacuated(e)),
+            pool: self.limits.pool(self.engines.in_use()),
+        }
+    }
+
+    fn check_limit(&self, s: &Statement, e: EngineId, scan: &PlacementScan) -> LimitOutcome {
+        let credit = self.outliers.limit_share(e);
+        let trust = if scan.heed_suspicion {
+            credit * self.unsuspected_share(e)
+        } else {
+            credit
+        };
+        let own = self.engines.own[e];
+        let mut need = s.load;
+        need.threads = self.workload(s).threads;
+        self.limits.check(&LimitRequest {
+            at: self.engines.use_of(e),
+            idle: self.engines.is_idle(e),
+            others: self.load_reports.held_by_others(e, own, self.agreed.fronts),
+            trust,
+            capacity_share: self.slow_start.capacity_share(e, self.now),
+            fresh_report: self.load_reports.is_fresh(e, self.now),
+            need,
+            pool: &scan.pool,
+        })
+    }
+
+    /// Whether a workload that can't go everywhere needs the engine, and the statement's can.
+    fn is_scarce(&self, s: &Statement, e: EngineId) -> bool {
+        let is_bound = |w: &Workload| w.kinds.is_some() || w.locations.is_some();
+        let needs = |w: &Workload| {
+            let entry = self.engines.listed[e].as_ref();
+            is_bound(w) && entry.is_some_and(|entry| w.allows(entry))
+        };
+        !is_bound(self.workload(s)) && self.agreed.workloads.iter().any(needs)
+    }
+
+    /// Whether any engine may have it by what earlier attempts may have done: else it waits in vain.
+    pub(super) fn has_safe_engine(&self, s: &Statement) -> bool {
+        has_safe_engine(self.workload(s), s, &self.engines.listed, self.now)
+    }
+
+    /// Whether a statement may be attempted again.
+    pub(super) fn check_retry(&self, s: &Statement) -> RetryOutcome {
+        let request = RetryRequest {
+            attempts: s.executions.len(),
+            sticky: s.asked.pinned.is_some(),
+        };
+        self.retry_budget.check(request, self.now)
+    }
+
+    pub(super) fn may_retry(&self, s: &Statement) -> bool {
+        self.check_retry(s) == RetryOutcome::Allowed
+    }
+
+    pub(super) fn is_first_in_order(&self, id: StatementId, s: &Statement) -> bool {
+        let attempted = !s.executions.is_empty();
+        self.order_queues
+            .is_first(s.asked.key, id, attempted, self.now)
+    }
+
+    /// An engine warms up from then on, as far as is known.
+    pub(super) fn start_warm_up(&mut self, e: EngineId, started: Micros) {
+        let request = self.slow_start_request(e, 0.0);
+        let front_just_started = self.started == Some(self.now);
+        self.slow_start
+            .start(e, started, &request, front_just_started);
+    }
+
+    /// Whether an engine that may be warming up bears this statement now.
+    pub(super) fn check_slow_start(&self, e: EngineId, s: &Statement) -> SlowStartOutcome {
+        let workload = self.workload(s);
+        let work = self.learned[s.asked.workload].usual_work(workload.threads, workload.slo_time);
+        self.slow_start.check(&self.slow_start_request(e, work))
+    }
+
+    fn slow_start_request(&self, engine: EngineId, work: f64) -> SlowStartRequest {
+        SlowStartRequest {
+            engine,
+            cores: self.engines.size[engine].threads,
+            work,
+            fronts: self.known,
+            now: self.now,
+        }
+    }
+}
