--- a/crates/config/tests/random_faults/settings.rs
+++ b/crates/config/tests/random_faults/settings.rs
@@ -1,7 +1,7 @@
 //! The settings object, in the configuration of a front.
 
 use hallmux_config::NodeConfig;
-use hallmux_dispatcher::{Ask, Dispatcher, Listing, Mode, Protocol};
+use hallmux_dispatcher::{Dispatcher, Listing, Mode, Protocol, StatementRequest};
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
@@ -140,20 +140,20 @@
             started: None,
             protocols: &[Protocol::Lines],
         };
-        dispatcher.list(n == 0, &[listing]);
+        dispatcher.update_engines(n == 0, &[listing]);
     }
     for (n, workload) in names.workloads.iter().enumerate() {
         let customer = names.customers.first().map_or("", String::as_str);
         let key = Some("k").filter(|_| n % 2 == 0);
-        let ask = Ask {
+        let ask = StatementRequest {
             workload,
             customer,
             key,
             dedup_key: Some("u"),
             time_left: 4_000_000,
-            ..Ask::default()
+            ..StatementRequest::default()
         };
-        let _ = dispatcher.pick(1_000_000, &ask);
+        let _ = dispatcher.submit(1_000_000, &ask);
     }
     for now in [1_000_000, 1_000_500, 2_000_000, 60_000_000] {
         dispatcher.tick(now);
--- a/crates/dispatcher/src/completion.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -76,7 +76,7 @@
     }
 
     /// The client no longer waits.
-    pub fn left(&mut self, now: Micros, ticket: Ticket) {
+    pub fn client_left(&mut self, now: Micros, ticket: Ticket) {
         let Some(s) = self.statements.get_mut(&ticket).filter(|s| !s.over) else {
             return;
         };
@@ -91,7 +91,7 @@
     }
 
     /// A transaction that kept an order key is over; the key rests where the transaction may still run.
-    pub fn freed(&mut self, now: Micros, name: &str, rests: bool) {
+    pub fn release_order_key(&mut self, now: Micros, name: &str, rests: bool) {
         let Some(key) = self.keys.get_mut(name) else {
             return;
         };
--- a/crates/dispatcher/src/completion_tests.rs
+++ b/crates/dispatcher/src/completion_tests.rs
@@ -6,14 +6,14 @@
 #[test]
 fn only_endings_that_prove_it_let_a_non_idempotent_statement_go_again() {
     for (ending, again) in [
-        (Ending::TurnedAway, true),
+        (Ending::Rejected, true),
         (Ending::Stale, true),
-        (Ending::Refused, true),
-        (Ending::NeverUp, true),
-        (Ending::NoMeans, true),
+        (Ending::ConnectionRefused, true),
+        (Ending::ConnectTimeout, true),
+        (Ending::NoDescriptor, true),
         (Ending::Withdrawn, true),
         (Ending::HalfWritten, true),
-        (Ending::BrokenNew, true),
+        (Ending::ResetWhileConnecting, true),
         (Ending::EngineFailed, false),
         (Ending::PageLost, false),
         (Ending::Reset, false),
@@ -22,14 +22,14 @@
         (Ending::GivenUp, false),
     ] {
         let mut d = dispatcher();
-        d.list(
+        d.update_engines(
             true,
             &[
                 listing("a", Mode::Ready, None),
                 listing("b", Mode::Ready, None),
             ],
         );
-        let ticket = d.pick(1_000_000, &ask("pay", None)).unwrap();
+        let ticket = d.submit(1_000_000, &ask("pay", None)).unwrap();
         assert_eq!(sent(&d.tick(1_000_000)), [(ticket, 0)]);
         assert!(!d.report(1_010_000, ticket, 0, ending, None));
         let mut next = d.tick(1_010_000);
@@ -37,7 +37,7 @@
         next.extend(d.tick(2_200_000));
         assert_eq!(sent(&next) == [(ticket, 1)], again, "{ending:?}: {next:?}");
         assert_eq!(
-            next.contains(&Order::Abort { ticket }),
+            next.contains(&Command::Abort { ticket }),
             !again,
             "{ending:?}: {next:?}"
         );
@@ -47,13 +47,13 @@
 #[test]
 fn what_ends_for_want_of_descriptors_or_by_a_new_connection_is_not_held_against_the_engine() {
     for (ending, goes_on) in [
-        (Ending::NoMeans, true),
-        (Ending::BrokenNew, true),
-        (Ending::Refused, false),
+        (Ending::NoDescriptor, true),
+        (Ending::ResetWhileConnecting, true),
+        (Ending::ConnectionRefused, false),
     ] {
         let mut d = dispatcher();
-        d.list(true, &[listing("a", Mode::Ready, None)]);
-        let ticket = d.pick(0, &ask("lookup", None)).unwrap();
+        d.update_engines(true, &[listing("a", Mode::Ready, None)]);
+        let ticket = d.submit(0, &ask("lookup", None)).unwrap();
         d.tick(0);
         assert!(!d.report(1_000, ticket, 0, ending, None));
         assert_eq!(
@@ -67,23 +67,23 @@
 #[test]
 fn the_first_answer_counts_and_nothing_follows_it() {
     let mut d = dispatcher();
-    d.list(true, &[listing("a", Mode::Ready, None)]);
-    let ticket = d.pick(0, &ask("lookup", None)).unwrap();
+    d.update_engines(true, &[listing("a", Mode::Ready, None)]);
+    let ticket = d.submit(0, &ask("lookup", None)).unwrap();
     d.tick(0);
     assert!(d.report(5_000, ticket, 0, Ending::Answered, None));
     assert!(!d.report(5_000, ticket, 0, Ending::Answered, None));
-    assert_eq!((d.tick(5_000), d.held()), (vec![], 0));
-    let other = d.pick(6_000, &ask("lookup", None)).unwrap();
+    assert_eq!((d.tick(5_000), d.statements_held()), (vec![], 0));
+    let other = d.submit(6_000, &ask("lookup", None)).unwrap();
     d.tick(6_000);
-    d.left(7_000, other);
-    let stop = Order::Stop {
+    d.client_left(7_000, other);
+    let stop = Command::Cancel {
         ticket: other,
         execution: 0,
         ending: Ending::GivenUp,
     };
     assert_eq!(d.tick(7_000), [stop]);
     assert!(!d.report(7_000, other, 0, Ending::Answered, None));
-    assert_eq!((d.tick(7_000), d.held()), (vec![], 0));
+    assert_eq!((d.tick(7_000), d.statements_held()), (vec![], 0));
 }
 
 #[test]
@@ -93,15 +93,15 @@
     for i in 0..3_000 {
         now += 100_000;
         let (id, key) = (format!("e{i}"), format!("k{i}"));
-        d.list(false, &[listing(&id, Mode::Ready, Some(now - 60_000_000))]);
-        let ticket = d.pick(now, &ask("load", Some(&key))).unwrap();
+        d.update_engines(false, &[listing(&id, Mode::Ready, Some(now - 60_000_000))]);
+        let ticket = d.submit(now, &ask("load", Some(&key))).unwrap();
         assert_eq!(sent(&d.tick(now)), [(ticket, 0)]);
         d.report(now + 10_000, ticket, 0, Ending::Answered, None);
-        d.list(false, &[listing(&id, Mode::Gone, Some(now - 60_000_000))]);
+        d.update_engines(false, &[listing(&id, Mode::Gone, Some(now - 60_000_000))]);
         d.tick(now + 10_000);
     }
     let kept = (
-        d.held(),
+        d.statements_held(),
         d.ends.len(),
         d.keys.len(),
         d.free_keys.len(),
@@ -118,16 +118,16 @@
 #[test]
 fn a_key_keeps_its_rest_when_its_statements_are_over() {
     let mut d = dispatcher();
-    d.list(true, &[listing("a", Mode::Ready, None)]);
-    let first = d.pick(0, &ask("load", Some("k"))).unwrap();
+    d.update_engines(true, &[listing("a", Mode::Ready, None)]);
+    let first = d.submit(0, &ask("load", Some("k"))).unwrap();
     d.tick(0);
-    d.left(1_000, first);
+    d.client_left(1_000, first);
     d.tick(1_000);
     d.report(1_000, first, 0, Ending::GivenUp, None);
     d.tick(1_000);
-    let second = d.pick(2_000, &ask("load", Some("k"))).unwrap();
+    let second = d.submit(2_000, &ask("load", Some("k"))).unwrap();
     assert_eq!(sent(&d.tick(2_000)), []);
     assert_eq!(sent(&d.tick(50_000)), []);
-    let at = d.wake();
+    let at = d.next_tick();
     assert_eq!(sent(&d.tick(at)), [(second, 0)]);
 }
--- a/crates/dispatcher/src/demand_tests.rs
+++ b/crates/dispatcher/src/demand_tests.rs
@@ -14,10 +14,10 @@
 #[test]
 fn counts_are_by_workload_and_halve_and_what_the_fleet_does_not_admit_counts_as_asked_alone() {
     let mut d = dispatcher();
-    d.list(true, &[listing("a", Mode::Ready, None)]);
+    d.update_engines(true, &[listing("a", Mode::Ready, None)]);
     let (first, late) = (
-        d.pick(0, &ask("lookup", None)).unwrap(),
-        d.pick(0, &ask("pay", None)).unwrap(),
+        d.submit(0, &ask("lookup", None)).unwrap(),
+        d.submit(0, &ask("pay", None)).unwrap(),
     );
     d.tick(0);
     d.report(100_000, first, 0, Ending::Answered, None);
@@ -42,12 +42,12 @@
         workloads: vec![none; 3],
         ..FleetDemand::default()
     });
-    d.pick(2_000_000, &ask("lookup", None)).unwrap();
+    d.submit(2_000_000, &ask("lookup", None)).unwrap();
     let orders = d.tick(2_000_000);
     assert!(
         matches!(
             orders[..],
-            [Order::Reject {
+            [Command::Reject {
                 retry_after: Some(_),
                 ..
             }]
--- a/crates/dispatcher/src/ending.rs
+++ b/crates/dispatcher/src/ending.rs
@@ -12,17 +12,17 @@
     /// A page of the result is lost: the engine no longer knows it.
     PageLost,
     /// The engine turned it away unseen.
-    TurnedAway,
+    Rejected,
     /// The engine found its time over before it began.
     Stale,
     /// The machine refused the connection.
-    Refused,
+    ConnectionRefused,
     /// The connection was not up in time.
-    NeverUp,
+    ConnectTimeout,
     /// The connection was reset while it came up.
-    BrokenNew,
+    ResetWhileConnecting,
     /// No descriptor or buffer could be had for a connection, which says nothing of the engine.
-    NoMeans,
+    NoDescriptor,
     /// It was cancelled, or its engine drains, before its first byte left.
     Withdrawn,
     /// The connection broke before its last byte left: no engine has it whole.
@@ -58,10 +58,10 @@
         match self {
             Ending::Answered => Outcome::Completed,
             Ending::EngineFailed | Ending::PageLost => Outcome::Error,
-            Ending::TurnedAway => Outcome::NoCapacity,
-            Ending::Refused | Ending::NeverUp => Outcome::Unreachable,
-            Ending::NoMeans | Ending::Stale | Ending::Withdrawn => Outcome::NotSent,
-            Ending::BrokenNew | Ending::HalfWritten => Outcome::NotSent,
+            Ending::Rejected => Outcome::NoCapacity,
+            Ending::ConnectionRefused | Ending::ConnectTimeout => Outcome::Unreachable,
+            Ending::NoDescriptor | Ending::Stale | Ending::Withdrawn => Outcome::NotSent,
+            Ending::ResetWhileConnecting | Ending::HalfWritten => Outcome::NotSent,
             Ending::Reset | Ending::Closed | Ending::Unreadable | Ending::ClosedHere => {
                 Outcome::Reset
             }
--- a/crates/dispatcher/src/engines.rs
+++ b/crates/dispatcher/src/engines.rs
@@ -37,7 +37,7 @@
 impl Dispatcher {
     /// Takes the whole engine list, or a change of it, and returns the place of each line, in order. Engines
     /// that a whole list lacks are gone.
-    pub fn list(&mut self, whole: bool, listings: &[Listing]) -> Vec<Place> {
+    pub fn update_engines(&mut self, whole: bool, listings: &[Listing]) -> Vec<Place> {
         let mut places = Vec::new();
         let mut entries = Vec::new();
         let named = |e: &Engine| listings.iter().any(|l| l.id == e.id);
@@ -119,7 +119,7 @@
     }
 
     /// A probe ended: whether the engine answered, and the load report that it answered with.
-    pub fn probed(&mut self, now: Micros, place: Place, alive: bool, report: Option<Report>) {
+    pub fn probe_ended(&mut self, now: Micros, place: Place, alive: bool, report: Option<Report>) {
         if let Some(engine) = self.engines.get_mut(place).filter(|_| alive) {
             engine.stats.fade(now);
             engine.stats.record_answer(now);
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,4 +1,4 @@
-//! A small facade in blocking style over the decision module. [`Dispatcher::pick`] asks for an engine for a
+//! A small facade in blocking style over the decision module. [`Dispatcher::submit`] asks for an engine for a
 //! statement, [`Dispatcher::report`] says how an execution ended, [`Dispatcher::tick`] decides on all that
 //! was said since and returns what the network is to do. Whoever calls it knows neither the module's events
 //! nor its actions. Like the module it has no clock and does no input or output; `now` must not run
@@ -35,10 +35,10 @@
 pub use engines::Listing;
 pub use hallmux::interface::{DedupGroup, Demand, Effect, FleetDemand, Micros, Mode, Note};
 pub use observations::EngineObservation;
-pub use orders::{Order, Terms};
+pub use orders::{Command, Terms};
 pub use promises::{PromiseEvent, Site, StatementArrived, StatementOver};
 pub use send_capacity::SendCapacity;
-pub use statements::{Ask, Protocol, Unfit};
+pub use statements::{InvalidRequest, Protocol, StatementRequest};
 
 /// A statement as this front knows it, from `pick` until it is over and nothing is out for it.
 pub type Ticket = StatementId;
@@ -106,7 +106,7 @@
     }
 
     /// Statements that are not over, or that something is still out for.
-    pub fn held(&self) -> usize {
+    pub fn statements_held(&self) -> usize {
         self.statements.len()
     }
 }
--- a/crates/dispatcher/src/observations.rs
+++ b/crates/dispatcher/src/observations.rs
@@ -44,12 +44,14 @@
         self.fade(now);
         match ending {
             Ending::Answered => self.record_answer(now),
-            Ending::EngineFailed | Ending::Refused | Ending::NeverUp => self.failed += 1.0,
+            Ending::EngineFailed | Ending::ConnectionRefused | Ending::ConnectTimeout => {
+                self.failed += 1.0
+            }
             Ending::Reset | Ending::Closed | Ending::Unreadable => self.failed += 1.0,
             Ending::GivenUp | Ending::TimeUp => self.record_silence(now),
             _ => {}
         }
-        if matches!(ending, Ending::EngineFailed | Ending::TurnedAway) {
+        if matches!(ending, Ending::EngineFailed | Ending::Rejected) {
             self.heard_at = now;
         }
     }
@@ -190,7 +192,7 @@
     /// How many fronts there are, this one too: those that have not said good-bye, and of them those heard
     /// of. `probers` are those that share the probes into what the fleet has left: infinitely many where it
     /// is another's work.
-    pub fn fleet(&mut self, known: usize, probers: f64) {
+    pub fn set_fleet_size(&mut self, known: usize, probers: f64) {
         self.events.push(Event::Fleet {
             known: known as f64,
             up: probers.max(1.0),
--- a/crates/dispatcher/src/observations_tests.rs
+++ b/crates/dispatcher/src/observations_tests.rs
@@ -7,8 +7,8 @@
 #[test]
 fn silence_is_told_beyond_the_statement_given_up_for_it_and_what_answers_again_is_told_too() {
     let mut d = dispatcher();
-    d.list(true, &[listing("a", Mode::Ready, None)]);
-    let ticket = d.pick(0, &ask("lookup", None)).unwrap();
+    d.update_engines(true, &[listing("a", Mode::Ready, None)]);
+    let ticket = d.submit(0, &ask("lookup", None)).unwrap();
     d.tick(0);
     assert!(d.observations(900_000).is_empty());
     d.report(1_400_000, ticket, 0, Ending::GivenUp, None);
@@ -20,7 +20,7 @@
     assert_eq!(told, [("a".to_string(), 1_400_000)]);
     assert!(d.observations(1_400_000 + SILENCE_REPORTED_FOR).is_empty());
     // It answers a probe: for a while that is told, then nothing.
-    d.probed(5_000_000, 0, true, None);
+    d.probe_ended(5_000_000, 0, true, None);
     let well: Vec<_> = d
         .observations(5_100_000)
         .iter()
@@ -33,8 +33,8 @@
 #[test]
 fn an_execution_given_up_before_its_engine_is_silent_for_long_says_nothing_of_it() {
     let mut d = dispatcher();
-    d.list(true, &[listing("a", Mode::Ready, None)]);
-    let ticket = d.pick(0, &ask("lookup", None)).unwrap();
+    d.update_engines(true, &[listing("a", Mode::Ready, None)]);
+    let ticket = d.submit(0, &ask("lookup", None)).unwrap();
     d.tick(0);
     d.report(SILENT - 1, ticket, 0, Ending::GivenUp, None);
     assert!(d.observations(SILENT + 500_000).is_empty());
--- a/crates/dispatcher/src/orders.rs
+++ b/crates/dispatcher/src/orders.rs
@@ -20,7 +20,7 @@
 
 /// What the network is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum Command {
     /// Send a statement to an engine.
     Send {
         /// The statement.
@@ -33,7 +33,7 @@
         terms: Terms,
     },
     /// Change the priority of an execution in flight.
-    Hurry {
+    SetPriority {
         /// The statement.
         ticket: Ticket,
         /// The number of the execution.
@@ -42,7 +42,7 @@
         priority: u8,
     },
     /// Cancel the execution and report its end: with this ending, or as withdrawn where it never left.
-    Stop {
+    Cancel {
         /// The statement.
         ticket: Ticket,
         /// The number of the execution.
@@ -70,7 +70,7 @@
         for_fleet: bool,
     },
     /// From now on this front may make so many connections to each engine.
-    Pace {
+    SetConnectionRate {
         /// New connections a second.
         connections: f64,
     },
@@ -78,7 +78,7 @@
 
 impl Dispatcher {
     /// The time at which [`Dispatcher::tick`] is next due; 0 where something waits to be decided on.
-    pub fn wake(&self) -> Micros {
+    pub fn next_tick(&self) -> Micros {
         if !self.events.is_empty() {
             return 0;
         }
@@ -88,7 +88,7 @@
     }
 
     /// Decides on all that happened since the last call; the orders are to be carried out in this order.
-    pub fn tick(&mut self, now: Micros) -> Vec<Order> {
+    pub fn tick(&mut self, now: Micros) -> Vec<Command> {
         let mut orders = Vec::new();
         while let Some(&(ends, ticket)) = self.ends.first().filter(|(ends, _)| *ends <= now) {
             self.ends.remove(&(ends, ticket));
@@ -96,7 +96,7 @@
                 continue;
             };
             let ending = Ending::TimeUp;
-            orders.extend(s.out().map(|execution| Order::Stop {
+            orders.extend(s.out().map(|execution| Command::Cancel {
                 ticket,
                 execution,
                 ending,
@@ -131,7 +131,7 @@
         orders
     }
 
-    fn order(&mut self, now: Micros, action: Action, orders: &mut Vec<Order>) {
+    fn order(&mut self, now: Micros, action: Action, orders: &mut Vec<Command>) {
         match action {
             Action::Terms {
                 statement: ticket,
@@ -146,7 +146,7 @@
                     priority,
                     ..s.terms
                 };
-                orders.extend(s.out().map(|execution| Order::Hurry {
+                orders.extend(s.out().map(|execution| Command::SetPriority {
                     ticket,
                     execution,
                     priority,
@@ -177,7 +177,7 @@
                     engine.stats.busy_since = now;
                 }
                 engine.out += 1;
-                orders.push(Order::Send {
+                orders.push(Command::Send {
                     ticket,
                     execution,
                     place,
@@ -194,7 +194,7 @@
                     .get(&ticket)
                     .is_some_and(|s| s.over || !s.begun)
                 {
-                    orders.push(Order::Stop {
+                    orders.push(Command::Cancel {
                         ticket,
                         execution,
                         ending: Ending::GivenUp,
@@ -205,25 +205,25 @@
                 statement: ticket,
                 retry_after,
             } => {
-                orders.push(Order::Reject {
+                orders.push(Command::Reject {
                     ticket,
                     retry_after,
                 });
                 self.over(now, ticket);
             }
             Action::Abort { statement: ticket } => {
-                orders.push(Order::Abort { ticket });
+                orders.push(Command::Abort { ticket });
                 self.over(now, ticket);
             }
-            Action::Probe { engine: place } => orders.push(Order::Probe {
+            Action::Probe { engine: place } => orders.push(Command::Probe {
                 place,
                 for_fleet: false,
             }),
-            Action::ProbeEvacuated { engine: place } => orders.push(Order::Probe {
+            Action::ProbeEvacuated { engine: place } => orders.push(Command::Probe {
                 place,
                 for_fleet: true,
             }),
-            Action::Pace { connections } => orders.push(Order::Pace { connections }),
+            Action::Pace { connections } => orders.push(Command::SetConnectionRate { connections }),
             Action::Wake { at } => self.wake = at,
             // The coordinator is followed all the time, asked for or not.
             Action::Subscribe => {}
--- a/crates/dispatcher/src/orders_tests.rs
+++ b/crates/dispatcher/src/orders_tests.rs
@@ -7,28 +7,28 @@
 #[test]
 fn what_is_out_when_the_time_is_up_is_stopped_then_ended() {
     let mut d = dispatcher();
-    d.list(true, &[listing("a", Mode::Ready, None)]);
-    let ticket = d.pick(0, &ask("pay", None)).unwrap();
+    d.update_engines(true, &[listing("a", Mode::Ready, None)]);
+    let ticket = d.submit(0, &ask("pay", None)).unwrap();
     d.tick(0);
-    let stop = Order::Stop {
+    let stop = Command::Cancel {
         ticket,
         execution: 0,
         ending: Ending::TimeUp,
     };
     assert!(d.tick(4_000_000).contains(&stop));
     d.report(4_000_000, ticket, 0, Ending::TimeUp, None);
-    assert_eq!(d.tick(4_000_000), [Order::Abort { ticket }]);
-    assert_eq!(d.held(), 0);
+    assert_eq!(d.tick(4_000_000), [Command::Abort { ticket }]);
+    assert_eq!(d.statements_held(), 0);
 }
 
 #[test]
 fn a_statement_has_what_is_left_when_it_is_decided_on() {
     let mut d = dispatcher();
-    d.list(true, &[listing("a", Mode::Ready, None)]);
+    d.update_engines(true, &[listing("a", Mode::Ready, None)]);
     d.tick(0);
     // Of a class whose late answers are worth nothing: out of SLO time by the time it is decided on.
-    let ticket = d.pick(10_000, &ask("lookup", None)).unwrap();
+    let ticket = d.submit(10_000, &ask("lookup", None)).unwrap();
     let late = d.tick(3_990_000);
-    assert!(matches!(late[..], [Order::Reject { .. }]), "{late:?}");
-    assert_eq!((sent(&late), d.held()), (vec![], 0), "{ticket}");
+    assert!(matches!(late[..], [Command::Reject { .. }]), "{late:?}");
+    assert_eq!((sent(&late), d.statements_held()), (vec![], 0), "{ticket}");
 }
--- a/crates/dispatcher/src/promises.rs
+++ b/crates/dispatcher/src/promises.rs
@@ -4,7 +4,7 @@
 use hallmux::interface::{Effect, Event, Micros, Note, Outcome, Workload};
 
 use crate::statements::Statement;
-use crate::{Ask, Dispatcher, Ending, Place, Ticket};
+use crate::{Dispatcher, Ending, Place, StatementRequest, Ticket};
 
 /// What happens to statements that depend on promises, in the order in which it happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -88,7 +88,7 @@
     }
 
     /// The end of a statement is to be told by `followed`.
-    pub fn follow(&mut self, ticket: Ticket) {
+    pub fn watch_end(&mut self, ticket: Ticket) {
         self.statements
             .get_mut(&ticket)
             .into_iter()
@@ -96,12 +96,17 @@
     }
 
     /// Statements that are followed and over with nothing out for them, since the last call.
-    pub fn followed(&mut self) -> Vec<Ticket> {
+    pub fn watched_ends(&mut self) -> Vec<Ticket> {
         std::mem::take(&mut self.followed)
     }
 
     /// Tells of a statement that was taken, if it depends on promises: whether it does.
-    pub(crate) fn announce_arrival(&mut self, ticket: Ticket, ask: &Ask, workload: usize) -> bool {
+    pub(crate) fn announce_arrival(
+        &mut self,
+        ticket: Ticket,
+        ask: &StatementRequest,
+        workload: usize,
+    ) -> bool {
         let depends =
             |w: &Workload| w.effect != Effect::Idempotent || w.in_order && ask.key.is_some();
         let promised = self.watches_promises && self.workloads.get(workload).is_some_and(depends);
@@ -132,12 +137,12 @@
 
     /// An execution that was ordered waits in this front; to be said again while it does, or it is taken for
     /// silent.
-    pub fn waits(&mut self, now: Micros, ticket: Ticket, execution: usize) {
+    pub fn execution_held(&mut self, now: Micros, ticket: Ticket, execution: usize) {
         self.holds(now, ticket, execution, true);
     }
 
     /// It leaves: from now on its engine has it.
-    pub fn leaves(&mut self, now: Micros, ticket: Ticket, execution: usize) {
+    pub fn execution_sent(&mut self, now: Micros, ticket: Ticket, execution: usize) {
         self.holds(now, ticket, execution, false);
     }
 
@@ -167,7 +172,7 @@
     /// Ends a statement that can't have its promise: nothing of it is out but what is held here. When its
     /// client may come back, where that is told: spread, so that those turned away together do not come back
     /// together.
-    pub fn turn_away(&mut self, now: Micros, ticket: Ticket) -> Option<Micros> {
+    pub fn reject(&mut self, now: Micros, ticket: Ticket) -> Option<Micros> {
         let s = self.statements.get_mut(&ticket).filter(|s| !s.over)?;
         s.over = true;
         let out: Vec<usize> = s.out().collect();
--- a/crates/dispatcher/src/promises_tests.rs
+++ b/crates/dispatcher/src/promises_tests.rs
@@ -2,17 +2,17 @@
 
 use super::*;
 use crate::test_support::*;
-use crate::{Mode, Order};
+use crate::{Command, Mode};
 
 #[test]
 fn what_is_held_here_says_nothing_of_its_engine_and_is_no_silence() {
     let mut d = dispatcher();
-    d.list(true, &[listing("a", Mode::Ready, None)]);
-    let ticket = d.pick(0, &ask("load", Some("k"))).unwrap();
+    d.update_engines(true, &[listing("a", Mode::Ready, None)]);
+    let ticket = d.submit(0, &ask("load", Some("k"))).unwrap();
     assert_eq!(sent(&d.tick(0)), [(ticket, 0)]);
     let mut now = 0;
     while now < 3_000_000 {
-        d.waits(now, ticket, 0);
+        d.execution_held(now, ticket, 0);
         now += 100_000;
         assert_eq!(
             (d.tick(now), d.observations(now).len()),
@@ -20,7 +20,7 @@
             "{now}"
         );
     }
-    d.leaves(now, ticket, 0);
+    d.execution_sent(now, ticket, 0);
     d.tick(now);
     assert!(d.observations(now + 900_000).is_empty());
     let silent: Vec<_> = d
@@ -36,18 +36,18 @@
 #[test]
 fn what_is_turned_away_ends_at_once_and_comes_back_spread() {
     let mut d = dispatcher();
-    d.list(true, &[listing("a", Mode::Ready, None)]);
+    d.update_engines(true, &[listing("a", Mode::Ready, None)]);
     d.watch_promises();
     let mut came_back = Vec::new();
     for n in 0..4 {
-        let ticket = d.pick(n, &ask("load", None)).unwrap();
+        let ticket = d.submit(n, &ask("load", None)).unwrap();
         assert!(
             matches!(&d.promise_events()[..], [PromiseEvent::Arrived(t)] if t.ticket == ticket && t.key.is_none())
         );
         assert_eq!(sent(&d.tick(n)), [(ticket, 0)]);
-        d.waits(n, ticket, 0);
-        came_back.extend(d.turn_away(n, ticket));
-        assert_eq!(d.turn_away(n, ticket), None);
+        d.execution_held(n, ticket, 0);
+        came_back.extend(d.reject(n, ticket));
+        assert_eq!(d.reject(n, ticket), None);
         assert_eq!(
             d.promise_events(),
             [PromiseEvent::Over(StatementOver {
@@ -56,7 +56,10 @@
                 rests: false
             })]
         );
-        assert_eq!((d.tick(n), d.held(), d.engines[0].held), (vec![], 0, 0));
+        assert_eq!(
+            (d.tick(n), d.statements_held(), d.engines[0].held),
+            (vec![], 0, 0)
+        );
     }
     came_back.sort();
     came_back.dedup();
@@ -75,14 +78,14 @@
         (Ending::GivenUp, true, true),
     ] {
         let mut d = dispatcher();
-        d.list(true, &[listing("a", Mode::Ready, None)]);
+        d.update_engines(true, &[listing("a", Mode::Ready, None)]);
         d.watch_promises();
-        let ticket = d.pick(0, &ask("load", Some("k"))).unwrap();
-        d.pick(0, &ask("lookup", Some("k"))).unwrap();
+        let ticket = d.submit(0, &ask("load", Some("k"))).unwrap();
+        d.submit(0, &ask("lookup", Some("k"))).unwrap();
         assert_eq!(d.promise_events().len(), 1);
         d.tick(0);
-        d.left(1, ticket);
-        let stop = Order::Stop {
+        d.client_left(1, ticket);
+        let stop = Command::Cancel {
             ticket,
             execution: 0,
             ending: Ending::GivenUp,
--- a/crates/dispatcher/src/statements.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -7,7 +7,7 @@
 
 /// What a statement asks for.
 #[derive(Clone, Debug, Default)]
-pub struct Ask<'a> {
+pub struct StatementRequest<'a> {
     /// The name of its workload.
     pub workload: &'a str,
     /// The name of its customer; any where the settings name none.
@@ -44,15 +44,15 @@
 
 /// Why a statement was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unfit {
+pub enum InvalidRequest {
     /// The settings have no such workload.
-    Workload,
+    UnknownWorkload,
     /// The settings have no such customer.
-    Customer,
+    UnknownCustomer,
     /// It has no mark by which engines could drop its repeats, which its workload needs.
-    DedupKey,
+    MissingDedupKey,
     /// No location is allowed to it, or not that of its open transaction.
-    Barred,
+    NoAllowedLocation,
 }
 
 pub struct Execution {
@@ -92,7 +92,7 @@
     /// One that arrives now and has not been executed.
     fn arrived(
         now: Micros,
-        ask: &Ask,
+        ask: &StatementRequest,
         place: usize,
         workload: &Workload,
         promised: bool,
@@ -147,7 +147,7 @@
 
 impl Dispatcher {
     /// A new ticket, for what is no statement here itself but is answered by parts that are.
-    pub fn number(&mut self) -> Ticket {
+    pub fn new_ticket(&mut self) -> Ticket {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         ticket
@@ -162,13 +162,17 @@
 
     /// Takes a statement that arrives now and asks for an engine; the answer comes with a later
     /// [`Dispatcher::tick`]. An error says why it was not taken: then nothing is kept of it.
-    pub fn pick(&mut self, now: Micros, ask: &Ask) -> Result<Ticket, Unfit> {
+    pub fn submit(
+        &mut self,
+        now: Micros,
+        ask: &StatementRequest,
+    ) -> Result<Ticket, InvalidRequest> {
         let (workload, customer) = self.agreed_places(ask)?;
         let allowed = ask
             .allowed
             .map(|names| self.allowed(workload, ask.pinned, names))
             .transpose()?;
-        let ticket = self.number();
+        let ticket = self.new_ticket();
         let promised = self.announce_arrival(ticket, ask, workload);
         let key = ask.key.map(|key| self.key(key));
         self.events.push(Event::Arrived(Arrival {
@@ -196,10 +200,13 @@
     }
 
     /// The places of a statement's workload and customer in the agreement.
-    fn agreed_places(&self, ask: &Ask) -> Result<(usize, usize), Unfit> {
-        let workload = position(&self.names.workloads, ask.workload).ok_or(Unfit::Workload)?;
+    fn agreed_places(&self, ask: &StatementRequest) -> Result<(usize, usize), InvalidRequest> {
+        let workload =
+            position(&self.names.workloads, ask.workload).ok_or(InvalidRequest::UnknownWorkload)?;
         let customer = match position(&self.names.customers, ask.customer) {
-            None if !self.names.customers.is_empty() => return Err(Unfit::Customer),
+            None if !self.names.customers.is_empty() => {
+                return Err(InvalidRequest::UnknownCustomer)
+            }
             found => found.unwrap_or(0),
         };
         let marked =
@@ -207,7 +214,7 @@
         if marked {
             Ok((workload, customer))
         } else {
-            Err(Unfit::DedupKey)
+            Err(InvalidRequest::MissingDedupKey)
         }
     }
 
@@ -218,7 +225,7 @@
         workload: usize,
         pinned: Option<Place>,
         names: &[&str],
-    ) -> Result<Vec<usize>, Unfit> {
+    ) -> Result<Vec<usize>, InvalidRequest> {
         // A name that the settings do not have allows nothing: no engine is told apart by it.
         let mut allowed: Vec<usize> = names
             .iter()
@@ -231,8 +238,10 @@
         allowed.retain(|location| bound.is_none_or(|bound| bound.contains(location)));
         let there = |place: Place| self.engines.get(place).map(|e| e.entry.location);
         match pinned.and_then(there) {
-            Some(location) if !allowed.contains(&location) => Err(Unfit::Barred),
-            _ if allowed.is_empty() => Err(Unfit::Barred),
+            Some(location) if !allowed.contains(&location) => {
+                Err(InvalidRequest::NoAllowedLocation)
+            }
+            _ if allowed.is_empty() => Err(InvalidRequest::NoAllowedLocation),
             _ => Ok(allowed),
         }
     }
@@ -249,7 +258,7 @@
     }
 
     /// The first byte of a statement's answer goes on to its client: it is never executed again.
-    pub fn begun(&mut self, ticket: Ticket) {
+    pub fn answer_begun(&mut self, ticket: Ticket) {
         if let Some(s) = self.statements.get_mut(&ticket) {
             s.begun = true;
         }
@@ -257,7 +266,7 @@
 
     /// Says that the transaction which a statement belongs to goes on once its answer is reported. True if
     /// the transaction keeps the turn of an order key from then on, until `freed`.
-    pub fn keeps(&mut self, ticket: Ticket) -> bool {
+    pub fn keep_order_key(&mut self, ticket: Ticket) -> bool {
         let workload_keeps = |s: &Statement| s.key.is_some() && !s.over;
         match self
             .statements
--- a/crates/dispatcher/src/statements_tests.rs
+++ b/crates/dispatcher/src/statements_tests.rs
@@ -7,34 +7,37 @@
 #[test]
 fn unknown_names_and_a_missing_dedup_key_are_unfit() {
     let mut d = dispatcher();
-    assert_eq!(d.pick(0, &ask("unheard", None)), Err(Unfit::Workload));
     assert_eq!(
-        d.pick(
+        d.submit(0, &ask("unheard", None)),
+        Err(InvalidRequest::UnknownWorkload)
+    );
+    assert_eq!(
+        d.submit(
             0,
-            &Ask {
+            &StatementRequest {
                 customer: "unheard",
                 ..ask("pay", None)
             }
         ),
-        Err(Unfit::Customer)
+        Err(InvalidRequest::UnknownCustomer)
     );
     assert_eq!(
-        d.pick(
+        d.submit(
             0,
-            &Ask {
+            &StatementRequest {
                 dedup_key: None,
                 ..ask("load", None)
             }
         ),
-        Err(Unfit::DedupKey)
+        Err(InvalidRequest::MissingDedupKey)
     );
-    assert_eq!(d.held(), 0);
+    assert_eq!(d.statements_held(), 0);
 }
 
 #[test]
 fn a_statement_with_nowhere_to_go_is_barred_and_unknown_locations_allow_nothing() {
     let mut d = dispatcher();
-    d.list(
+    d.update_engines(
         true,
         &[
             listing("a", Mode::Ready, None),
@@ -45,26 +48,26 @@
         ],
     );
     let barred = |d: &mut Dispatcher, names: &[&str], pinned| {
-        let asked = Ask {
+        let asked = StatementRequest {
             allowed: Some(names),
             pinned,
             ..ask("lookup", None)
         };
-        d.pick(0, &asked) == Err(Unfit::Barred)
+        d.submit(0, &asked) == Err(InvalidRequest::NoAllowedLocation)
     };
     assert!(barred(&mut d, &[], None) && barred(&mut d, &["moon"], None));
     // Bound to one of them by its workload, open at an engine of the other.
     assert!(barred(&mut d, &["there"], Some(0)) && !barred(&mut d, &["there"], Some(1)));
     assert!(barred(&mut d, &["moon", "nowhere"], None) && !barred(&mut d, &["moon", "here"], None));
-    assert_eq!(d.held(), 2);
+    assert_eq!(d.statements_held(), 2);
 }
 
 #[test]
 fn what_is_withdrawn_before_it_is_decided_on_is_never_heard_of() {
     let mut d = dispatcher();
     for _ in 0..1000 {
-        let ticket = d.pick(0, &ask("load", Some("k"))).unwrap();
-        d.left(0, ticket);
+        let ticket = d.submit(0, &ask("load", Some("k"))).unwrap();
+        d.client_left(0, ticket);
     }
-    assert!(d.events.is_empty() && d.held() == 0);
+    assert!(d.events.is_empty() && d.statements_held() == 0);
 }
--- a/crates/dispatcher/src/test_support.rs
+++ b/crates/dispatcher/src/test_support.rs
@@ -30,20 +30,20 @@
     }
 }
 
-pub fn ask<'a>(workload: &'a str, key: Option<&'a str>) -> Ask<'a> {
-    Ask {
+pub fn ask<'a>(workload: &'a str, key: Option<&'a str>) -> StatementRequest<'a> {
+    StatementRequest {
         workload,
         customer: "acme",
         key,
         dedup_key: Some("u"),
         time_left: 4_000_000,
-        ..Ask::default()
+        ..StatementRequest::default()
     }
 }
 
-pub fn sent(orders: &[Order]) -> Vec<(Ticket, usize)> {
-    let send = |o: &Order| match o {
-        Order::Send {
+pub fn sent(orders: &[Command]) -> Vec<(Ticket, usize)> {
+    let send = |o: &Command| match o {
+        Command::Send {
             ticket, execution, ..
         } => Some((*ticket, *execution)),
         _ => None,
--- a/crates/dispatcher/tests/repeat_window.rs
+++ b/crates/dispatcher/tests/repeat_window.rs
@@ -1,7 +1,9 @@
 //! A further attempt of a deduplicated statement carries the time until which engines drop it as a repeat: its
 //! connection may come up long after the decision.
 
-use hallmux_dispatcher::{Ask, Dispatcher, Ending, Listing, Micros, Mode, Order, Protocol};
+use hallmux_dispatcher::{
+    Command, Dispatcher, Ending, Listing, Micros, Mode, Protocol, StatementRequest,
+};
 
 const SETTINGS: &str = r#"{"instances": 1, "areas": ["here"], "kinds": ["std"],
     "bounds": {"cancelling": true, "mostTries": 3, "retryAfter": true},
@@ -25,23 +27,23 @@
         started: None,
         protocols: &[Protocol::Lines],
     };
-    dispatcher.list(true, &[engine("a"), engine("b"), engine("c")]);
+    dispatcher.update_engines(true, &[engine("a"), engine("b"), engine("c")]);
     dispatcher
 }
 
-fn ask(workload: &str) -> Ask<'_> {
-    Ask {
+fn ask(workload: &str) -> StatementRequest<'_> {
+    StatementRequest {
         workload,
         dedup_key: Some("u"),
         time_left: 4_000_000,
-        ..Ask::default()
+        ..StatementRequest::default()
     }
 }
 
 /// Until when the attempts that were ordered may leave.
-fn leave_by(orders: &[Order]) -> Vec<Micros> {
-    let leave_by = |order: &Order| match order {
-        Order::Send { terms, .. } => Some(terms.leave_by),
+fn leave_by(orders: &[Command]) -> Vec<Micros> {
+    let leave_by = |order: &Command| match order {
+        Command::Send { terms, .. } => Some(terms.leave_by),
         _ => None,
     };
     orders.iter().filter_map(leave_by).collect()
@@ -50,10 +52,10 @@
 #[test]
 fn a_repeat_may_leave_until_the_window_of_the_first_attempt_that_may_have_run_is_over() {
     let mut d = dispatcher();
-    let ticket = d.pick(1_000_000, &ask("load")).unwrap();
+    let ticket = d.submit(1_000_000, &ask("load")).unwrap();
     assert_eq!(leave_by(&d.tick(1_000_000)), [Micros::MAX]);
     // The first surely never ran: no window has begun.
-    d.report(1_100_000, ticket, 0, Ending::TurnedAway, None);
+    d.report(1_100_000, ticket, 0, Ending::Rejected, None);
     assert_eq!(leave_by(&d.tick(1_100_000)), [Micros::MAX]);
     d.report(1_300_000, ticket, 1, Ending::Reset, None);
     assert_eq!(leave_by(&d.tick(1_300_000)), [1_100_000 + WINDOW]);
@@ -62,7 +64,7 @@
 #[test]
 fn what_may_run_twice_has_no_such_time() {
     let mut d = dispatcher();
-    let ticket = d.pick(1_000_000, &ask("lookup")).unwrap();
+    let ticket = d.submit(1_000_000, &ask("lookup")).unwrap();
     d.tick(1_000_000);
     d.report(1_100_000, ticket, 0, Ending::Reset, None);
     assert_eq!(leave_by(&d.tick(1_100_000)), [Micros::MAX]);
--- a/crates/dispatcher/tests/slow_start/fleet.rs
+++ b/crates/dispatcher/tests/slow_start/fleet.rs
@@ -4,7 +4,9 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use hallmux_config::Settings;
-use hallmux_dispatcher::{Ask, Dispatcher, Ending, Listing, Micros, Mode, Order, Protocol, Ticket};
+use hallmux_dispatcher::{
+    Command, Dispatcher, Ending, Listing, Micros, Mode, Protocol, StatementRequest, Ticket,
+};
 
 use crate::shape::{Arrives, Chance, Deed, Demand, Shape, SECOND, START};
 
@@ -113,8 +115,8 @@
         let end = START + self.shape.warm;
         loop {
             let wakes = self.processes.iter().enumerate();
-            let wakes =
-                wakes.filter_map(|(p, of)| Some((of.dispatcher.as_ref()?.wake().max(self.now), p)));
+            let wakes = wakes
+                .filter_map(|(p, of)| Some((of.dispatcher.as_ref()?.next_tick().max(self.now), p)));
             let wake = wakes.min().unwrap_or((end, 0));
             let next = self.events.peek().map_or(end, |Reverse((at, ..))| *at);
             self.now = wake.0.min(next);
@@ -210,7 +212,7 @@
         let Some(dispatcher) = &mut process.dispatcher else {
             return;
         };
-        let places = dispatcher.list(whole, &listings);
+        let places = dispatcher.update_engines(whole, &listings);
         process
             .at
             .extend(places.into_iter().zip(lines.iter().map(|(e, _)| *e)));
@@ -250,18 +252,18 @@
         let told = if self.shape.told_work { guess } else { 0.0 };
         let time_left = self.shape.time_left();
         let workload = if long { "report" } else { "lookup" };
-        let ask = Ask {
+        let ask = StatementRequest {
             workload,
             customer: "acme",
             time_left,
             work: told,
-            ..Ask::default()
+            ..StatementRequest::default()
         };
         let process = &mut self.processes[p];
         let Some(dispatcher) = &mut process.dispatcher else {
             return;
         };
-        let ticket = dispatcher.pick(self.now, &ask).unwrap();
+        let ticket = dispatcher.submit(self.now, &ask).unwrap();
         process.works.insert(ticket, work);
         self.settles(p);
     }
@@ -274,13 +276,13 @@
             let orders = dispatcher.tick(self.now);
             for order in orders {
                 match order {
-                    Order::Send {
+                    Command::Send {
                         ticket,
                         execution,
                         place,
                         ..
                     } => self.sends(p, ticket, execution, place),
-                    Order::Stop {
+                    Command::Cancel {
                         ticket,
                         execution,
                         ending,
@@ -290,7 +292,7 @@
                         };
                         dispatcher.report(self.now, ticket, execution, ending, None);
                     }
-                    Order::Reject { ticket, .. } | Order::Abort { ticket } => {
+                    Command::Reject { ticket, .. } | Command::Abort { ticket } => {
                         self.processes[p].works.remove(&ticket);
                     }
                     _ => {}
@@ -299,7 +301,7 @@
             if self.processes[p]
                 .dispatcher
                 .as_ref()
-                .is_none_or(|d| d.wake() > self.now)
+                .is_none_or(|d| d.next_tick() > self.now)
             {
                 return;
             }
@@ -354,8 +356,8 @@
     fn ends(&mut self, p: usize, ticket: Ticket, execution: usize, e: usize, how: How) {
         let ending = match how {
             How::Answered => Ending::Answered,
-            How::TurnedAway => Ending::TurnedAway,
-            How::Refused => Ending::Refused,
+            How::TurnedAway => Ending::Rejected,
+            How::Refused => Ending::ConnectionRefused,
             How::Reset => Ending::Reset,
         };
         let tells = self.shape.reports && matches!(how, How::Answered | How::TurnedAway);
--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -291,7 +291,7 @@
                 Some(true) => 1.0,
                 Some(false) => f64::INFINITY,
             };
-            dispatcher.fleet(fleet.known, probers);
+            dispatcher.set_fleet_size(fleet.known, probers);
         }
     }
 
--- a/crates/fleet/src/gate/guard.rs
+++ b/crates/fleet/src/gate/guard.rs
@@ -91,7 +91,7 @@
             return false;
         }
         let site = dispatcher.site(place);
-        dispatcher.waits(now, ticket, execution);
+        dispatcher.execution_held(now, ticket, execution);
         self.gate.hold(
             now,
             PendingExecution {
@@ -141,7 +141,7 @@
             self.last_note = now;
             self.gate
                 .held()
-                .for_each(|(ticket, execution)| dispatcher.waits(now, ticket, execution));
+                .for_each(|(ticket, execution)| dispatcher.execution_held(now, ticket, execution));
         }
         self.gate.rulings()
     }
--- a/crates/front/src/engines/replies.rs
+++ b/crates/front/src/engines/replies.rs
@@ -25,10 +25,12 @@
                 }
                 Err(e) => {
                     let ending = match e.kind() {
-                        ErrorKind::ConnectionRefused => Ending::Refused,
+                        ErrorKind::ConnectionRefused => Ending::ConnectionRefused,
                         // Whoever resets a connection is there.
-                        ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => Ending::BrokenNew,
-                        _ => Ending::NeverUp,
+                        ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => {
+                            Ending::ResetWhileConnecting
+                        }
+                        _ => Ending::ConnectTimeout,
                     };
                     self.close(now, id, ending);
                     return false;
@@ -134,7 +136,7 @@
             }
             ReplyKind::FirstPage { .. } => Some(Ending::Unreadable),
             ReplyKind::Page { number } => x.take_page(now, number, line.bytes),
-            ReplyKind::Rejected if x.pages.is_none() => Some(Ending::TurnedAway),
+            ReplyKind::Rejected if x.pages.is_none() => Some(Ending::Rejected),
             ReplyKind::Stale if x.pages.is_none() => Some(Ending::Stale),
             ReplyKind::Failed if x.pages.is_none() => Some(Ending::EngineFailed),
             ReplyKind::Rejected | ReplyKind::Stale | ReplyKind::Failed => Some(Ending::PageLost),
--- a/crates/front/src/engines/send.rs
+++ b/crates/front/src/engines/send.rs
@@ -106,9 +106,11 @@
             Err(e) => {
                 log::warn!("engine {}: no connection can be made: {e}", engine.id);
                 return Err(match e.kind() {
-                    ErrorKind::ConnectionRefused => Ending::Refused,
-                    ErrorKind::HostUnreachable | ErrorKind::NetworkUnreachable => Ending::NeverUp,
-                    _ => Ending::NoMeans,
+                    ErrorKind::ConnectionRefused => Ending::ConnectionRefused,
+                    ErrorKind::HostUnreachable | ErrorKind::NetworkUnreachable => {
+                        Ending::ConnectTimeout
+                    }
+                    _ => Ending::NoDescriptor,
                 });
             }
         };
--- a/crates/front/src/engines/timeouts.rs
+++ b/crates/front/src/engines/timeouts.rs
@@ -60,7 +60,7 @@
                 // Guards against a front that stood still between its look at the connections and this one: one that
                 // has come up meanwhile is found as up in the next iteration.
                 if !link.link.is_up().is_ok_and(|up| up) {
-                    self.close(now, id, Ending::NeverUp);
+                    self.close(now, id, Ending::ConnectTimeout);
                 }
                 continue;
             }
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -15,7 +15,7 @@
         }
         if let Some(engine) = self.engines.get_mut(&link.place) {
             engine.links.retain(|other| *other != id);
-            if !link.up && (link.retired || ending == Ending::BrokenNew) {
+            if !link.up && (link.retired || ending == Ending::ResetWhileConnecting) {
                 log::debug!("engine {}: connection lost while it came up", engine.id);
             } else if !link.up && !std::mem::replace(&mut engine.failing, true) {
                 log::warn!("engine {}: can't be reached: {ending:?}", engine.id);
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -230,7 +230,7 @@
             waits,
         } = judged
         {
-            dispatcher.follow(ticket);
+            dispatcher.watch_end(ticket);
             let denied = verdict.denied.is_some();
             self.statements.insert(
                 *statement,
@@ -278,7 +278,7 @@
         };
         if s.waits || s.denied {
             s.held.push(ordered);
-            dispatcher.waits(now, ordered.ticket, ordered.execution);
+            dispatcher.execution_held(now, ordered.ticket, ordered.execution);
             return false;
         }
         true
@@ -427,13 +427,13 @@
         if self.next_report <= now {
             self.next_report = now + REPORT_INTERVAL;
             for held in self.statements.values().flat_map(|s| &s.held) {
-                dispatcher.waits(now, held.ticket, held.execution);
+                dispatcher.execution_held(now, held.ticket, held.execution);
             }
         }
         let rulings = std::mem::take(&mut self.rulings);
         for ruling in &rulings {
             if let Ruling::Go(ordered) = ruling {
-                dispatcher.leaves(now, ordered.ticket, ordered.execution);
+                dispatcher.execution_sent(now, ordered.ticket, ordered.execution);
             }
         }
         rulings
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -168,7 +168,7 @@
             } else {
                 0
             },
-            self.dispatcher.wake(),
+            self.dispatcher.next_tick(),
             self.engines.due(),
             self.coordinator.due(),
             self.listener.due(),
--- a/crates/front/src/front/admission.rs
+++ b/crates/front/src/front/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: statements of clients are checked and handed to the dispatcher, and clients that leave are reported to it.
 
 use hallmux_access::Decision;
-use hallmux_dispatcher::{Ask, Ending, Micros, Protocol, Ticket, Unfit};
+use hallmux_dispatcher::{Ending, InvalidRequest, Micros, Protocol, StatementRequest, Ticket};
 use hallmux_native_codec::statement::{self, Call, Reply};
 use hallmux_native_codec::tables;
 
@@ -66,7 +66,7 @@
                 .rules
                 .iter()
                 .for_each(|rules| rules.borrow_mut().statement_over(ticket)),
-            false => self.dispatcher.left(now, ticket),
+            false => self.dispatcher.client_left(now, ticket),
         }
         // The statement is over first: else it could be tried anew.
         for sent in withdrawn {
@@ -182,7 +182,7 @@
                 }
             );
         }
-        full || self.dispatcher.held() >= self.max_statements
+        full || self.dispatcher.statements_held() >= self.max_statements
     }
 
     /// Hands a statement to the dispatcher, to be sent to engines at the locations allowed (none given: all).
@@ -198,7 +198,7 @@
         let allowed: Option<Vec<&str>> = allowed
             .as_ref()
             .map(|names| names.iter().map(String::as_str).collect());
-        let ask = Ask {
+        let ask = StatementRequest {
             workload: &call.workload,
             customer: &call.customer,
             key: call.order_key.as_deref(),
@@ -211,7 +211,7 @@
             pinned: None,
             allowed: allowed.as_deref(),
         };
-        let picked = self.dispatcher.pick(self.clock.now, &ask);
+        let picked = self.dispatcher.submit(self.clock.now, &ask);
         if let Some(rules) = &self.rules {
             rules
                 .borrow_mut()
@@ -219,7 +219,7 @@
         }
         match picked {
             Ok(ticket) => self.clients.open(client, number, ticket, call),
-            Err(Unfit::Barred) => {
+            Err(InvalidRequest::NoAllowedLocation) => {
                 self.clients.reply(
                     client,
                     number,
@@ -228,15 +228,15 @@
                     },
                 );
             }
-            Err(Unfit::Workload) => {
+            Err(InvalidRequest::UnknownWorkload) => {
                 self.clients
                     .answer_unusable(client, number, statement::WORKLOAD)
             }
-            Err(Unfit::DedupKey) => {
+            Err(InvalidRequest::MissingDedupKey) => {
                 self.clients
                     .answer_unusable(client, number, statement::DEDUP_KEY)
             }
-            Err(Unfit::Customer) => {
+            Err(InvalidRequest::UnknownCustomer) => {
                 self.clients
                     .answer_unusable(client, number, statement::CUSTOMER)
             }
--- a/crates/front/src/front/dispatch.rs
+++ b/crates/front/src/front/dispatch.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use hallmux_dispatcher::{Ending, Micros, Order, Ticket};
+use hallmux_dispatcher::{Command, Ending, Micros, Ticket};
 use hallmux_fleet::gate;
 use hallmux_native_codec::statement::{Call, Reply};
 use hallmux_scatter::gather::PartFailure;
@@ -62,7 +62,8 @@
                     alive,
                     report,
                 } => {
-                    self.dispatcher.probed(self.clock.now, place, alive, report);
+                    self.dispatcher
+                        .probe_ended(self.clock.now, place, alive, report);
                 }
             }
         }
@@ -75,7 +76,8 @@
     /// What the admission of units of sessions depends on just now.
     pub(super) fn room(&self) -> AdmissionState {
         let held = self.clients.held_bytes() + self.gateway.as_ref().map_or(0, Gateway::held_bytes);
-        let full = held > self.max_bytes || self.dispatcher.held() >= self.max_statements;
+        let full =
+            held > self.max_bytes || self.dispatcher.statements_held() >= self.max_statements;
         AdmissionState {
             waited: self.clock.waited(),
             full,
@@ -103,7 +105,7 @@
         };
         let now = self.clock.now;
         self.dispatcher
-            .followed()
+            .watched_ends()
             .iter()
             .for_each(|ticket| rules.borrow_mut().statement_over(*ticket));
         let rulings = rules
@@ -114,7 +116,7 @@
                 Ruling::Go(ordered) => self.await_promises(ordered),
                 Ruling::Deny(ticket) => {
                     self.answer_without_result(ticket, true, None);
-                    self.dispatcher.turn_away(now, ticket);
+                    self.dispatcher.reject(now, ticket);
                 }
                 Ruling::End {
                     ticket, ran: true, ..
@@ -127,7 +129,7 @@
                     ran: false,
                     again,
                 } => {
-                    let retry_after = self.dispatcher.turn_away(now, ticket).filter(|_| again);
+                    let retry_after = self.dispatcher.reject(now, ticket).filter(|_| again);
                     self.answer_without_result(ticket, true, retry_after);
                     self.abandon(ticket);
                 }
@@ -153,7 +155,7 @@
                     terms,
                     ..
                 }) => {
-                    self.dispatcher.leaves(now, ticket, execution);
+                    self.dispatcher.execution_sent(now, ticket, execution);
                     self.await_mark(Ordered {
                         of: self.statement_for_rules(ticket),
                         ticket,
@@ -163,15 +165,15 @@
                     });
                 }
                 gate::Ruling::Reject(ticket) => {
-                    let retry_after = self.dispatcher.turn_away(now, ticket);
-                    self.carry_out(Order::Reject {
+                    let retry_after = self.dispatcher.reject(now, ticket);
+                    self.carry_out(Command::Reject {
                         ticket,
                         retry_after,
                     });
                 }
                 gate::Ruling::Abort(ticket) => {
-                    self.dispatcher.turn_away(now, ticket);
-                    self.carry_out(Order::Abort { ticket });
+                    self.dispatcher.reject(now, ticket);
+                    self.carry_out(Command::Abort { ticket });
                 }
             }
         }
@@ -332,10 +334,10 @@
         self.clients.call(ticket).or_else(part)
     }
 
-    pub(super) fn carry_out(&mut self, order: Order) {
+    pub(super) fn carry_out(&mut self, order: Command) {
         let now = self.clock.now;
         match order {
-            Order::Send {
+            Command::Send {
                 ticket,
                 execution,
                 place,
@@ -355,12 +357,12 @@
                     self.await_promises(ordered);
                 }
             }
-            Order::Stop {
+            Command::Cancel {
                 ticket,
                 execution,
                 ending,
             } => self.stop(ExecutionId::new(ticket, execution), ending),
-            Order::Hurry {
+            Command::SetPriority {
                 ticket,
                 execution,
                 priority,
@@ -371,22 +373,24 @@
                 self.engines
                     .set_priority(ExecutionId::new(ticket, execution), priority);
             }
-            Order::Reject {
+            Command::Reject {
                 ticket,
                 retry_after,
             } if self.end_part(ticket, Err(PartFailure::Rejected { retry_after })) => {}
-            Order::Abort { ticket } if self.end_part(ticket, Err(PartFailure::Aborted)) => {}
-            Order::Reject {
+            Command::Abort { ticket } if self.end_part(ticket, Err(PartFailure::Aborted)) => {}
+            Command::Reject {
                 ticket,
                 retry_after,
             } => self.answer_without_result(ticket, true, retry_after),
-            Order::Abort { ticket } => self.answer_without_result(ticket, false, None),
+            Command::Abort { ticket } => self.answer_without_result(ticket, false, None),
             // Between the decision and now the work may have become another's: then the probe stays here.
-            Order::Probe {
+            Command::Probe {
                 for_fleet: true, ..
             } if !self.peers.as_ref().is_none_or(Peers::may_probe) => {}
-            Order::Pace { connections } => self.engines.dials.borrow_mut().pace(now, connections),
-            Order::Probe { place, .. } => self.engines.probe(self.clock.now, place),
+            Command::SetConnectionRate { connections } => {
+                self.engines.dials.borrow_mut().pace(now, connections)
+            }
+            Command::Probe { place, .. } => self.engines.probe(self.clock.now, place),
         }
     }
 }
--- a/crates/front/src/front/engine_list.rs
+++ b/crates/front/src/front/engine_list.rs
@@ -40,7 +40,7 @@
             let listings: Vec<Listing> = started
                 .map(|(e, start)| listing(e, speaks(e), *start))
                 .collect();
-            let places = self.dispatcher.list(list.is_full, &listings);
+            let places = self.dispatcher.update_engines(list.is_full, &listings);
             if list.is_full {
                 self.engines.retire_others(&places);
                 self.gateway
--- a/crates/front/src/front/scatter.rs
+++ b/crates/front/src/front/scatter.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use hallmux_access::Decision;
-use hallmux_dispatcher::{Micros, Order, Ticket, Unfit};
+use hallmux_dispatcher::{Command, InvalidRequest, Micros, Ticket};
 use hallmux_gossip::channels::Channel;
 use hallmux_native_codec::statement::{self, Call, Reply};
 use hallmux_scatter::gather::{Answer, PartFailure};
@@ -36,7 +36,7 @@
         };
         match scatter.read(&call) {
             Ok(Some(query)) => {
-                let ticket = self.dispatcher.number();
+                let ticket = self.dispatcher.new_ticket();
                 let ends = self.clock.now + time_left;
                 self.clients.open(client, number, ticket, call);
                 let call: Rc<Call> = self.clients.call(ticket)?;
@@ -137,7 +137,7 @@
                         terms,
                         outgoing,
                     } => {
-                        self.dispatcher.leaves(now, ticket, execution);
+                        self.dispatcher.execution_sent(now, ticket, execution);
                         let of = self.statement_for_rules(ticket);
                         if self.may_leave(Ordered {
                             of,
@@ -159,8 +159,8 @@
                         }
                     }
                     LoadOutcome::TurnAway(ExecutionId { ticket, .. }) => {
-                        let retry_after = self.dispatcher.turn_away(now, ticket);
-                        self.carry_out(Order::Reject {
+                        let retry_after = self.dispatcher.reject(now, ticket);
+                        self.carry_out(Command::Reject {
                             ticket,
                             retry_after,
                         });
@@ -199,11 +199,13 @@
                 .for_each(|rules| rules.borrow_mut().statement_over(ticket));
             match reply {
                 FinalReply::Answer(answer) => self.answer_scattered_statement(ticket, &answer),
-                FinalReply::Unfit(unfit) => {
+                FinalReply::Invalid(unfit) => {
                     let field = match unfit {
-                        Unfit::Customer => statement::CUSTOMER,
-                        Unfit::DedupKey => statement::DEDUP_KEY,
-                        Unfit::Workload | Unfit::Barred => statement::WORKLOAD,
+                        InvalidRequest::UnknownCustomer => statement::CUSTOMER,
+                        InvalidRequest::MissingDedupKey => statement::DEDUP_KEY,
+                        InvalidRequest::UnknownWorkload | InvalidRequest::NoAllowedLocation => {
+                            statement::WORKLOAD
+                        }
                     };
                     self.clients.answer_taken_unusable(ticket, field);
                 }
--- a/crates/front/src/held_tests.rs
+++ b/crates/front/src/held_tests.rs
@@ -155,7 +155,7 @@
         self.driven.until("its end is known", |front| {
             (front.clients.len() == 0).then_some(())
         });
-        self.kept = self.driven.front.dispatcher.held();
+        self.kept = self.driven.front.dispatcher.statements_held();
     }
 
     /// Another client asks: what the engine hears, over all connections, until its statement or the first has
@@ -256,7 +256,7 @@
         .until("it is held", |front| waits_for_a_mark(front).then_some(()));
     client.write_all(&forget(1)).unwrap();
     fleet.driven.until("it is let go", |front| {
-        (front.dispatcher.held() == 0).then_some(())
+        (front.dispatcher.statements_held() == 0).then_some(())
     });
     let heard = fleet.hears_the_second(LOAD);
     fleet.has_let_go(&heard);
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -248,7 +248,7 @@
                         pin.into_iter()
                             .for_each(|pin| self.servers.release(now, pin));
                         keys.iter()
-                            .for_each(|key| dispatcher.freed(now, key, may_go_on));
+                            .for_each(|key| dispatcher.release_order_key(now, key, may_go_on));
                     }
                     sessions::Event::Cancel(session) => self.cancel(now, dispatcher, session),
                 }
@@ -350,7 +350,9 @@
         event: servers::Event,
     ) {
         match event {
-            servers::Event::Irrevocable(ExecutionId { ticket, .. }) => dispatcher.begun(ticket),
+            servers::Event::Irrevocable(ExecutionId { ticket, .. }) => {
+                dispatcher.answer_begun(ticket)
+            }
             servers::Event::PartialAnswer {
                 sent:
                     ExecutionId {
@@ -360,7 +362,7 @@
                 bytes,
                 whole,
             } => {
-                dispatcher.begun(ticket);
+                dispatcher.answer_begun(ticket);
                 if self.sessions.pass(ticket, &bytes, whole) {
                     self.servers
                         .pause(ExecutionId::new(ticket, execution), true);
@@ -377,7 +379,7 @@
                 held,
             } => {
                 let open = done.status != b'I';
-                let keeps = open && dispatcher.keeps(ticket);
+                let keeps = open && dispatcher.keep_order_key(ticket);
                 let ending = Ending::Answered;
                 if !dispatcher.report(now, ticket, execution, ending, None) {
                     // It had its answer before; a transaction that it opened is nobody's.
@@ -408,7 +410,7 @@
                     },
                 error,
             } => {
-                dispatcher.begun(ticket);
+                dispatcher.answer_begun(ticket);
                 if dispatcher.report(now, ticket, execution, Ending::Stale, None) {
                     self.sessions
                         .fail(now, ticket, &ClientError::ResultLost, Some(&error));
@@ -434,7 +436,7 @@
                 if over || cancelled {
                     // One whose client has asked for its end is not tried again.
                     self.refuse(now, ticket, false, None);
-                    dispatcher.left(now, ticket);
+                    dispatcher.client_left(now, ticket);
                 }
             }
             servers::Event::Alive(ExecutionId {
--- a/crates/front/src/postgres/gateway/admission.rs
+++ b/crates/front/src/postgres/gateway/admission.rs
@@ -4,7 +4,7 @@
 
 use hallmux_access::Decision;
 use hallmux_config::User;
-use hallmux_dispatcher::{Ask, Dispatcher, Micros, Protocol, Ticket, Unfit};
+use hallmux_dispatcher::{Dispatcher, InvalidRequest, Micros, Protocol, StatementRequest, Ticket};
 use hallmux_native_codec::tables;
 use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::session::{Transaction, UnitPart};
@@ -65,7 +65,7 @@
                 let allowed: Option<Vec<&str>> = allowed
                     .as_ref()
                     .map(|names| names.iter().map(String::as_str).collect());
-                let ask = Ask {
+                let ask = StatementRequest {
                     workload: terms.workload,
                     customer: terms.member,
                     key: key.filter(|_| !kept),
@@ -78,7 +78,7 @@
                     pinned: open_session.pin.map(|(place, _)| place),
                     allowed: allowed.as_deref(),
                 };
-                let picked = dispatcher.pick(now, &ask);
+                let picked = dispatcher.submit(now, &ask);
                 let key = ask.key.map(str::to_string);
                 if let Some(rules) = &self.rules {
                     rules
@@ -89,14 +89,18 @@
                     Ok(ticket) => {
                         return self.sessions.open_unit(id, ticket, part, key);
                     }
-                    Err(Unfit::Barred) => ClientError::Rejected {
+                    Err(InvalidRequest::NoAllowedLocation) => ClientError::Rejected {
                         retry_after_ms: None,
                     },
-                    Err(Unfit::Workload) => {
+                    Err(InvalidRequest::UnknownWorkload) => {
                         unfit("hallmux.workload", "no such workload was agreed")
                     }
-                    Err(Unfit::Customer) => unfit("hallmux.member", "no such member is known"),
-                    Err(Unfit::DedupKey) => unfit("hallmux.dedup_key", "this workload needs one"),
+                    Err(InvalidRequest::UnknownCustomer) => {
+                        unfit("hallmux.member", "no such member is known")
+                    }
+                    Err(InvalidRequest::MissingDedupKey) => {
+                        unfit("hallmux.dedup_key", "this workload needs one")
+                    }
                 }
             }
         };
@@ -107,7 +111,7 @@
     pub(super) fn left(&mut self, now: Micros, dispatcher: &mut Dispatcher, ticket: Ticket) {
         // What waits for a connection is not sent any more, also where engines can't be told to give it up.
         self.servers.abandon(now, ticket);
-        dispatcher.left(now, ticket);
+        dispatcher.client_left(now, ticket);
     }
 
     /// A client asks for the end of what its session has out.
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -377,7 +377,7 @@
             // come up, or let it in, meanwhile is found before it is judged.
             let more = self.read(now, id);
             if self.connecting.get(&id).is_some_and(|by| *by <= now) {
-                self.connection_lost(now, id, Ending::NeverUp);
+                self.connection_lost(now, id, Ending::ConnectTimeout);
             } else if more {
                 unfinished.push(id);
             }
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -275,7 +275,7 @@
             self.report_end(
                 sent,
                 if server.up && ending == Ending::Unreadable {
-                    Ending::Refused
+                    Ending::ConnectionRefused
                 } else {
                     ending
                 },
--- a/crates/front/src/postgres/servers/replies.rs
+++ b/crates/front/src/postgres/servers/replies.rs
@@ -163,9 +163,9 @@
                 self.links.remove(&id);
                 for sent in lost {
                     match code.as_str() {
-                        "53300" => self.report_end(sent, Ending::TurnedAway),
+                        "53300" => self.report_end(sent, Ending::Rejected),
                         code if is_engine_fault(code.as_bytes()) => {
-                            self.report_end(sent, Ending::Refused)
+                            self.report_end(sent, Ending::ConnectionRefused)
                         }
                         _ => self.refused(sent, error.clone()),
                     }
--- a/crates/front/src/postgres/servers/send.rs
+++ b/crates/front/src/postgres/servers/send.rs
@@ -239,12 +239,12 @@
 
 pub(super) fn dial_ending(e: &std::io::Error) -> Ending {
     match e.kind() {
-        ErrorKind::ConnectionRefused => Ending::Refused,
+        ErrorKind::ConnectionRefused => Ending::ConnectionRefused,
         // Whoever resets a connection is there.
-        ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => Ending::BrokenNew,
+        ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => Ending::ResetWhileConnecting,
         ErrorKind::HostUnreachable | ErrorKind::NetworkUnreachable | ErrorKind::TimedOut => {
-            Ending::NeverUp
+            Ending::ConnectTimeout
         }
-        _ => Ending::NoMeans,
+        _ => Ending::NoDescriptor,
     }
 }
--- a/crates/front/src/postgres/servers_tests.rs
+++ b/crates/front/src/postgres/servers_tests.rs
@@ -250,7 +250,7 @@
         driven.stands_still_until_reported();
     }
     driven.servers.expire(1_000_000);
-    assert_eq!(driven.ended(), [(FIRST, Ending::Refused)]);
+    assert_eq!(driven.ended(), [(FIRST, Ending::ConnectionRefused)]);
 }
 
 #[test]
@@ -263,7 +263,7 @@
     assert_eq!(driven.ended(), []);
     assert!(driven.servers.due() <= DIAL_TIMEOUT);
     driven.servers.expire(DIAL_TIMEOUT);
-    assert_eq!(driven.ended(), [(FIRST, Ending::NeverUp)]);
+    assert_eq!(driven.ended(), [(FIRST, Ending::ConnectTimeout)]);
     driven.servers.expire(2 * DIAL_TIMEOUT);
     assert_eq!(driven.ended(), []);
     assert!(driven.servers.links.is_empty() && driven.servers.connecting.is_empty());
@@ -278,7 +278,7 @@
     driven.servers.expire(LOGIN_TIMEOUT - 1);
     assert_eq!(driven.ended(), []);
     driven.servers.expire(LOGIN_TIMEOUT);
-    assert_eq!(driven.ended(), [(FIRST, Ending::NeverUp)]);
+    assert_eq!(driven.ended(), [(FIRST, Ending::ConnectTimeout)]);
     driven.servers.expire(2 * LOGIN_TIMEOUT);
     assert_eq!(driven.ended(), []);
     // Nothing of it has left.
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -114,7 +114,7 @@
         if groups.len() > MOST_GROUPS {
             // Not all could be marked.
             self.unmarked.push(sent);
-            dispatcher.waits(now, sent.ticket, sent.number);
+            dispatcher.execution_held(now, sent.ticket, sent.number);
             return true;
         }
         if groups.is_empty() || load.text().is_some_and(|text| sql::read(text).is_ok()) {
@@ -144,7 +144,7 @@
             touched,
         );
         self.held.insert(sent, Held { place, terms, load });
-        dispatcher.waits(now, sent.ticket, sent.number);
+        dispatcher.execution_held(now, sent.ticket, sent.number);
         true
     }
 
@@ -175,7 +175,7 @@
             self.last_report = now;
             self.held
                 .keys()
-                .for_each(|sent| dispatcher.waits(now, sent.ticket, sent.number));
+                .for_each(|sent| dispatcher.execution_held(now, sent.ticket, sent.number));
         }
     }
 
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use hallmux_config::{Scatter, Settings};
-use hallmux_dispatcher::{Ask, Dispatcher, Micros, Protocol, Ticket, Unfit};
+use hallmux_dispatcher::{Dispatcher, InvalidRequest, Micros, Protocol, StatementRequest, Ticket};
 use hallmux_gossip::PeerId;
 use hallmux_native_codec::statement::Call;
 use hallmux_scatter::gather::{Action, Answer, Gather, GatherRules, PartFailure};
@@ -27,7 +27,7 @@
 pub enum FinalReply {
     Answer(Answer),
     /// The dispatcher can't take its parts.
-    Unfit(Unfit),
+    Invalid(InvalidRequest),
 }
 
 /// A statement and its parts.
@@ -327,7 +327,7 @@
                         .as_ref()
                         .and_then(|whole| whole.site(place))
                         .unwrap_or_default();
-                    let ask = Ask {
+                    let ask = StatementRequest {
                         workload: &statement.call.workload,
                         customer: &statement.call.customer,
                         key: None,
@@ -340,12 +340,12 @@
                         pinned: None,
                         allowed: Some(&[site]),
                     };
-                    match dispatcher.pick(now, &ask) {
+                    match dispatcher.submit(now, &ask) {
                         Ok(part) => {
                             statement.tickets.insert(place, part);
                             self.parts.insert(part, (ticket, place));
                         }
-                        Err(Unfit::Barred) => {
+                        Err(InvalidRequest::NoAllowedLocation) => {
                             let more = statement
                                 .whole
                                 .as_mut()
@@ -354,14 +354,14 @@
                         }
                         Err(unfit) => {
                             self.abandon(now, ticket, dispatcher);
-                            return self.replies.push((ticket, FinalReply::Unfit(unfit)));
+                            return self.replies.push((ticket, FinalReply::Invalid(unfit)));
                         }
                     }
                 }
                 Action::End(place) => {
                     if let Some(part) = statement.tickets.remove(&place) {
                         self.parts.remove(&part);
-                        dispatcher.left(now, part);
+                        dispatcher.client_left(now, part);
                     }
                 }
                 Action::Answer(answer) => {
@@ -416,7 +416,7 @@
                     .cloned();
                 if let Some((audits, of)) = self.audits.as_mut().zip(of) {
                     let (check, lines) = (
-                        dispatcher.number(),
+                        dispatcher.new_ticket(),
                         rows.iter().filter(|c| **c == b'\n').count(),
                     );
                     if audits.answered(check, of, &statement.query, lines as u64) {
@@ -444,7 +444,7 @@
         };
         for part in statement.tickets.into_values() {
             self.parts.remove(&part);
-            dispatcher.left(now, part);
+            dispatcher.client_left(now, part);
         }
         true
     }
--- a/crates/lab/src/simulated/clients.rs
+++ b/crates/lab/src/simulated/clients.rs
@@ -1,6 +1,6 @@
 //! Whoever asks: statements at the agreed rate, at one front and then at others where that may be.
 
-use hallmux_dispatcher::{Ask, Ticket};
+use hallmux_dispatcher::{StatementRequest, Ticket};
 use rand::Rng;
 
 use super::shutdown::STILL_COME;
@@ -75,7 +75,7 @@
             .unwrap_or_default();
         (asked.outcome, asked.answered) = (Outcome::Nothing, i64::MAX);
         let unique = format!("u{}", client.number);
-        let ask = Ask {
+        let ask = StatementRequest {
             workload: &class.name,
             customer: &class.customer,
             key: (!asked.key.is_empty()).then_some(&asked.key),
@@ -83,11 +83,11 @@
             time_left: timeout,
             work: class.work_ms.unwrap_or(scenario.load.work_ms) as f64 * 1000.0,
             memory_mb: scenario.load.memory_mb as f64,
-            ..Ask::default()
+            ..StatementRequest::default()
         };
         let (own, lives) = (self.own(front), self.members[front].lives);
         if let Some(life) = &mut self.members[front].life {
-            if let Ok(ticket) = life.dispatcher.pick(own, &ask) {
+            if let Ok(ticket) = life.dispatcher.submit(own, &ask) {
                 self.named
                     .insert((front, lives, ticket), self.account.asked.len());
             }
--- a/crates/lab/src/simulated/engines.rs
+++ b/crates/lab/src/simulated/engines.rs
@@ -54,7 +54,7 @@
             (engine.peak.max(load), engine.peak_since_start.max(load));
         if engine.running >= bears {
             engine.turned_away += 1;
-            return self.goes_back(front, life, sent, e, Ending::TurnedAway);
+            return self.goes_back(front, life, sent, e, Ending::Rejected);
         }
         // Repeats of a deduplicated statement are dropped: whoever sends one is told what became of the first.
         if let Some(ends) = self.drops(front, life, sent) {
--- a/crates/lab/src/simulated/faults.rs
+++ b/crates/lab/src/simulated/faults.rs
@@ -161,7 +161,7 @@
             .collect();
         for n in 0..self.members.len() {
             if let Some(life) = &mut self.members[n].life {
-                life.dispatcher.list(false, &list);
+                life.dispatcher.update_engines(false, &list);
             }
             self.turn(n);
         }
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use hallmux_dispatcher::{Dispatcher, Ending, Listing, Mode, Order, Protocol};
+use hallmux_dispatcher::{Command, Dispatcher, Ending, Listing, Mode, Protocol};
 use hallmux_fleet::gate::{Guard, OrderedExecution};
 use hallmux_fleet::{Exchange, OwnershipConfig};
 use hallmux_gossip::node::NodeConfig;
@@ -77,7 +77,7 @@
             .zip(&ids)
             .map(|(e, id)| listing(id, &zones[e.zone], None))
             .collect();
-        dispatcher.list(true, &list);
+        dispatcher.update_engines(true, &list);
         let own = self.own(n);
         let guards = self.scenario.fleet.copies.is_some();
         let guard = guards.then(|| Guard::new(&self.settings, own, self.shards, &mut dispatcher));
@@ -137,7 +137,7 @@
         let guard = life.guard.as_ref().map_or(i64::MAX, Guard::due);
         let due = life
             .dispatcher
-            .wake()
+            .next_tick()
             .min(exchange)
             .min(guard)
             .saturating_sub(member.ahead)
@@ -148,9 +148,9 @@
         }
     }
 
-    pub(super) fn obey(&mut self, n: usize, lives: u32, order: Order) {
+    pub(super) fn obey(&mut self, n: usize, lives: u32, order: Command) {
         match order {
-            Order::Send {
+            Command::Send {
                 ticket,
                 execution,
                 place,
@@ -175,7 +175,7 @@
                     self.leaves(n, sent, place);
                 }
             }
-            Order::Probe { place, for_fleet } => {
+            Command::Probe { place, for_fleet } => {
                 let steady = self.now;
                 let exchange = self.members[n]
                     .life
@@ -202,10 +202,12 @@
                     Event::ProbeAnswers(n, lives, place, probe, None),
                 );
             }
-            Order::Reject { ticket, .. } => self.answer(n, ticket, Outcome::Error("53000".into())),
-            Order::Abort { ticket } => self.answer(n, ticket, Outcome::Error("08007".into())),
+            Command::Reject { ticket, .. } => {
+                self.answer(n, ticket, Outcome::Error("53000".into()))
+            }
+            Command::Abort { ticket } => self.answer(n, ticket, Outcome::Error("08007".into())),
             // What is given up is reported at once, as the front's network code does.
-            Order::Stop {
+            Command::Cancel {
                 ticket,
                 execution,
                 ending,
@@ -222,12 +224,12 @@
                 life.connections.ended((ticket, execution), ending);
                 life.dispatcher.report(own, ticket, execution, ending, None);
             }
-            Order::Pace { connections } => {
+            Command::SetConnectionRate { connections } => {
                 let own = self.own(n);
                 let life = self.members[n].life.iter_mut();
                 life.for_each(|life| life.connections.pacer.pace(own, connections));
             }
-            Order::Hurry { .. } => {}
+            Command::SetPriority { .. } => {}
         }
     }
 
@@ -274,7 +276,8 @@
         } else if let Event::ProbeAnswers(_, _, place, probe, active) = event {
             if life.probes.remove(&probe).is_some() {
                 let report = active.map(|active| vec![active as f64]);
-                life.dispatcher.probed(now, place, active.is_some(), report);
+                life.dispatcher
+                    .probe_ended(now, place, active.is_some(), report);
             }
         }
         self.turn(n);
--- a/crates/lab/src/simulated/ledger.rs
+++ b/crates/lab/src/simulated/ledger.rs
@@ -103,15 +103,15 @@
             };
             match ruling {
                 Ruling::Release(go) => {
-                    life.dispatcher.leaves(own, go.ticket, go.execution);
+                    life.dispatcher.execution_sent(own, go.ticket, go.execution);
                     self.leaves(n, (go.ticket, go.execution), go.place);
                 }
                 Ruling::Reject(ticket) => {
-                    life.dispatcher.turn_away(own, ticket);
+                    life.dispatcher.reject(own, ticket);
                     self.answer(n, ticket, Outcome::Error("53000".into()));
                 }
                 Ruling::Abort(ticket) => {
-                    life.dispatcher.turn_away(own, ticket);
+                    life.dispatcher.reject(own, ticket);
                     self.answer(n, ticket, Outcome::Error("08007".into()));
                 }
             }
