--- a/crates/dispatcher/src/orders.rs
+++ b/crates/dispatcher/src/commands.rs
@@ -232,5 +232,5 @@
 }
 
 #[cfg(test)]
-#[path = "orders_tests.rs"]
+#[path = "commands_tests.rs"]
 mod tests;
--- a/crates/dispatcher/src/orders_tests.rs
+++ b/crates/dispatcher/src/commands_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the `orders` module.
+//! Unit tests of the `commands` module.
 
 use super::*;
 use crate::test_support::*;
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -6,13 +6,14 @@
 
 #![warn(missing_docs)]
 
+mod commands;
 mod completion;
 mod connection_pacer;
 mod demand;
 mod ending;
 mod engines;
 mod observations;
-mod orders;
+
 mod promises;
 mod send_capacity;
 mod statements;
@@ -29,13 +30,13 @@
 use engines::Engine;
 use statements::{Key, Statement};
 
+pub use commands::{Command, Terms};
 pub use connection_pacer::ConnectionPacer;
 pub use demand::DEMAND_SECONDS;
 pub use ending::Ending;
 pub use engines::Listing;
 pub use hallmux::interface::{DedupGroup, Demand, Effect, FleetDemand, Micros, Mode, Note};
 pub use observations::EngineObservation;
-pub use orders::{Command, Terms};
 pub use promises::{PromiseEvent, Site, StatementArrived, StatementOver};
 pub use send_capacity::SendCapacity;
 pub use statements::{InvalidRequest, Protocol, StatementRequest};
--- a/crates/dispatcher/src/statements.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -2,7 +2,7 @@
 
 use hallmux::interface::{Arrival, Effect, Event, KeyId, Micros, Workload};
 
-use crate::orders::Terms;
+use crate::commands::Terms;
 use crate::{position, Dispatcher, Ending, Place, Ticket};
 
 /// What a statement asks for.
