--- a/crates/dispatcher/src/completion_tests.rs
+++ b/crates/dispatcher/src/completion_tests.rs
@@ -100,19 +100,19 @@
         d.update_engines(false, &[listing(&id, Mode::Gone, Some(now - 60_000_000))]);
         d.tick(now + 10_000);
     }
+    let [keys, free_ids, pauses] = d.order_keys.kept();
     let kept = (
         d.statements_held(),
-        d.ends.len(),
-        d.keys.len(),
-        d.free_keys.len(),
-        d.resting.len(),
-        d.engines.len(),
+        d.deadlines.len(),
+        keys,
+        free_ids,
+        pauses,
     );
     assert!(
-        kept.0 == 0 && kept.1 == 0 && kept.2 <= 2 && kept.3 <= 2 && kept.4 <= 2,
+        kept.0 == 0 && kept.1 == 0 && keys <= 2 && free_ids <= 2 && pauses <= 2,
         "{kept:?}"
     );
-    assert_eq!(kept.5, 1);
+    assert_eq!(d.engines.len(), 1);
 }
 
 #[test]
--- a/crates/dispatcher/src/demand.rs
+++ b/crates/dispatcher/src/demand.rs
@@ -1,17 +1,18 @@
-//! What this front is asked, by workload, as it is told to other fronts; and what they were asked, as the
-//! module hears it.
+//! The demand on this front by workload and customer, for other fronts, and the fleet's demand for the decision
+//! module.
 
 use hallmux::interface::{Event, FleetDemand, Micros};
 
-use crate::statements::Statement;
 use crate::{Dispatcher, Ticket};
 
-const HALF_LIFE: Micros = 2_000_000; // microseconds until a count is worth half: the load of some seconds
+/// Microseconds until a count is worth half.
+const HALF_LIFE: Micros = 2_000_000;
 /// The count of an even demand over its rate a second, in seconds: what counts hold of a rate.
 pub const DEMAND_SECONDS: f64 = HALF_LIFE as f64 / 1e6 / std::f64::consts::LN_2;
-const LEAST_WEIGHT: f64 = 0.05; // weight of the newest sample in the mean work
+/// The weight of the newest sample in the mean work.
+const SAMPLE_WEIGHT: f64 = 0.05;
 
-/// What was asked of a workload lately; counts halve with time.
+/// What was asked of a workload or by a customer lately; counts halve with time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DemandCounts {
     /// Statements that arrived.
@@ -22,18 +23,25 @@
     pub timely: f64,
     /// The mean work of a statement on one thread, in microseconds; 0 where none was answered yet.
     pub work: f64,
-    at: Micros,
+    /// The time for which the counts stand.
+    counted_at: Micros,
+}
+
+/// The demand of one customer.
+pub struct CustomerDemand {
+    /// Whether a share is agreed with the customer.
+    pub has_share: bool,
+    /// What the customer asked lately.
+    pub counts: DemandCounts,
 }
 
 impl DemandCounts {
     fn fade(&mut self, now: Micros) {
-        let left = 0.5f64.powf((now - self.at) as f64 / HALF_LIFE as f64);
-        (self.asked, self.ended, self.timely, self.at) = (
-            self.asked * left,
-            self.ended * left,
-            self.timely * left,
-            now,
-        );
+        let left = 0.5f64.powf((now - self.counted_at) as f64 / HALF_LIFE as f64);
+        self.asked *= left;
+        self.ended *= left;
+        self.timely *= left;
+        self.counted_at = now;
     }
 
     pub(crate) fn record_arrival(&mut self, now: Micros) {
@@ -48,19 +56,20 @@
     }
 
     fn record_work(&mut self, work: f64) {
-        self.work += (work - self.work) * if self.work > 0.0 { LEAST_WEIGHT } else { 1.0 };
+        let has_samples = self.work > 0.0;
+        let weight = if has_samples { SAMPLE_WEIGHT } else { 1.0 };
+        self.work += (work - self.work) * weight;
     }
 }
 
 impl Dispatcher {
     /// The demand on this front over the last seconds, by the names of workloads.
     pub fn workload_demand(&mut self, now: Micros) -> impl Iterator<Item = (&str, &DemandCounts)> {
-        self.workload_demand.iter_mut().for_each(|o| o.fade(now));
-        self.names
-            .workloads
-            .iter()
-            .map(String::as_str)
-            .zip(&self.workload_demand)
+        for demand in &mut self.workload_demand {
+            demand.fade(now);
+        }
+        let names = self.names.workloads.iter().map(String::as_str);
+        names.zip(&self.workload_demand)
     }
 
     /// The same by the names of customers; nothing where none has an agreed share, None for one without.
@@ -68,18 +77,15 @@
         &mut self,
         now: Micros,
     ) -> impl Iterator<Item = (&str, Option<&DemandCounts>)> {
-        self.customer_demand
-            .iter_mut()
-            .for_each(|(_, o)| o.fade(now));
-        let any = self.customer_demand.iter().any(|(shared, _)| *shared);
-        let all = self
-            .names
-            .customers
-            .iter()
-            .map(String::as_str)
+        for demand in &mut self.customer_demand {
+            demand.counts.fade(now);
+        }
+        let any_share = self.customer_demand.iter().any(|demand| demand.has_share);
+        let names = self.names.customers.iter().map(String::as_str);
+        names
             .zip(&self.customer_demand)
-            .filter(move |_| any);
-        all.map(|(name, (shared, asked))| (name, Some(asked).filter(|_| *shared)))
+            .filter(move |_| any_share)
+            .map(|(name, demand)| (name, demand.has_share.then_some(&demand.counts)))
     }
 
     /// Hands the demand on the fleet to the module, in the order of workloads and customers.
@@ -87,30 +93,42 @@
         self.events.push(Event::FleetDemand(demand));
     }
 
-    /// An execution has answered its statement.
+    /// A statement arrives.
+    pub(crate) fn count_arrival(&mut self, now: Micros, workload: usize, customer: usize) {
+        self.workload_demand[workload].record_arrival(now);
+        if let Some(demand) = self.customer_demand.get_mut(customer) {
+            demand.counts.record_arrival(now);
+        }
+    }
+
+    /// A statement is answered by an execution that took so many microseconds.
     pub(crate) fn count_answer(&mut self, now: Micros, ticket: Ticket, took: Micros) {
-        let Some(s) = self.statements.get(&ticket) else {
+        let Some(statement) = self.statements.get(&ticket) else {
             return;
         };
-        let Some(demand) = self.workload_demand.get_mut(s.workload) else {
+        let Some(demand) = self.workload_demand.get_mut(statement.workload) else {
             return;
         };
-        demand.record_end(now, now <= s.in_time_until);
-        demand.record_work(took as f64 * self.workloads.get(s.workload).map_or(1.0, |w| w.threads));
+        let workload = self.workloads.get(statement.workload);
+        let threads = workload.map_or(1.0, |workload| workload.threads);
+        demand.record_end(now, now <= statement.slo_deadline);
+        demand.record_work(took as f64 * threads);
     }
 
-    /// Rejected or aborted; one that the module did not let in, as it ended when it came, counts as asked
-    /// alone.
+    /// A statement is rejected or aborted. One that the module did not admit, as it ended when it came, counts as
+    /// asked alone; `first_new` is the first statement that came since the last decisions.
     pub(crate) fn count_shed(&mut self, now: Micros, ticket: Ticket, first_new: Option<Ticket>) {
-        let admitted =
-            |s: &&Statement| !s.executions.is_empty() || first_new.is_none_or(|new| ticket < new);
-        let Some(s) = self.statements.get(&ticket).filter(admitted) else {
+        let Some(statement) = self.statements.get(&ticket) else {
             return;
         };
-        self.workload_demand
-            .get_mut(s.workload)
-            .into_iter()
-            .for_each(|o| o.record_end(now, false));
+        let came_before = first_new.is_none_or(|first| ticket < first);
+        let admitted = came_before || !statement.executions.is_empty();
+        if !admitted {
+            return;
+        }
+        if let Some(demand) = self.workload_demand.get_mut(statement.workload) {
+            demand.record_end(now, false);
+        }
     }
 }
 
--- a/crates/dispatcher/src/observations.rs
+++ b/crates/dispatcher/src/observations.rs
@@ -1,83 +1,10 @@
-//! What this front reports to others of engines, and what others report of them.
+//! What this front reports to other fronts of engines, and what other fronts report of them.
 
 use hallmux::interface::{EngineEntry, Event, Micros, Mode, PeerReport};
 
+use crate::engine_stats::{MIN_SILENCE, RECOVERY_REPORTED_FOR};
 use crate::engines::Engine;
-use crate::{Dispatcher, Ending};
-
-const STATS_HALF_LIFE: Micros = 2_000_000; // microseconds until what was seen of an engine counts half
-const SILENT: Micros = 1_000_000; // microseconds of silence with something in flight that others are told of
-/// Microseconds for which silence that ended with its execution cancelled is reported: else it would be taken
-/// back before the report of it reached many fronts.
-const SILENCE_REPORTED_FOR: Micros = 3_000_000;
-/// Microseconds after trouble in which an answer is reported as recovery: zones stay evacuated long.
-const TROUBLE_REMEMBERED_FOR: Micros = 120_000_000;
-/// Microseconds for which a recovery is reported: the report reaches a thousand fronts in three seconds.
-const RECOVERY_REPORTED_FOR: Micros = 4_000_000;
-
-/// What was seen of an engine lately; counts halve with time.
-#[derive(Clone, Copy, Default)]
-pub struct EngineStats {
-    pub failed: f64,
-    pub answered: f64,
-    pub at: Micros,
-    /// When it last said anything, and since when something is out there.
-    pub heard_at: Micros,
-    pub busy_since: Micros,
-    /// When it was last in trouble, here or by others' word, and since when it has answered again.
-    pub troubled_at: Option<Micros>,
-    pub recovered_at: Option<Micros>,
-    /// The same, not taken back.
-    pub recovered_since: Option<Micros>,
-    /// When an execution was last given up there after silence worth a word, and how long that was.
-    pub ended_silence: Option<(Micros, Micros)>,
-}
-
-impl EngineStats {
-    pub fn fade(&mut self, now: Micros) {
-        let left = 0.5f64.powf((now - self.at) as f64 / STATS_HALF_LIFE as f64);
-        (self.failed, self.answered, self.at) = (self.failed * left, self.answered * left, now);
-    }
-
-    /// An execution there has ended.
-    pub fn record_ending(&mut self, now: Micros, ending: Ending) {
-        self.fade(now);
-        match ending {
-            Ending::Answered => self.record_answer(now),
-            Ending::EngineFailed | Ending::ConnectionRefused | Ending::ConnectTimeout => {
-                self.failed += 1.0
-            }
-            Ending::Reset | Ending::Closed | Ending::Unreadable => self.failed += 1.0,
-            Ending::GivenUp | Ending::TimeUp => self.record_silence(now),
-            _ => {}
-        }
-        if matches!(ending, Ending::EngineFailed | Ending::Rejected) {
-            self.heard_at = now;
-        }
-    }
-
-    /// An execution was given up: the silence before it is remembered if it is worth a report.
-    fn record_silence(&mut self, now: Micros) {
-        let silent = now - self.heard_at.max(self.busy_since);
-        if silent >= SILENT {
-            self.ended_silence = Some((now, silent));
-        }
-    }
-
-    /// It has answered. Where it was in trouble lately, it is back.
-    pub fn record_answer(&mut self, now: Micros) {
-        (self.heard_at, self.ended_silence) = (now, None);
-        self.answered += 1.0;
-        if self
-            .troubled_at
-            .take()
-            .is_some_and(|at| now - at < TROUBLE_REMEMBERED_FOR)
-        {
-            self.recovered_at = Some(now);
-            self.recovered_since.get_or_insert(now);
-        }
-    }
-}
+use crate::Dispatcher;
 
 /// What this front has seen of an engine, for others.
 #[derive(Clone, Debug, PartialEq)]
@@ -88,110 +15,113 @@
     pub failed: f64,
     /// Executions there that were answered over the last seconds; older ones count less.
     pub answered: f64,
-    /// The time for which it has sent nothing with executions in flight; 0 where that is short.
+    /// Microseconds for which it has sent nothing with executions in flight; 0 where that is short.
     pub silent: Micros,
     /// It takes no new statements.
     pub draining: bool,
-    /// The time of its last start, where that is known.
+    /// The time of its last start, in microseconds, where that is known.
     pub started: Option<Micros>,
 }
 
+impl EngineObservation<'_> {
+    /// Whether it tells of failures or silence.
+    fn shows_fault(&self) -> bool {
+        self.failed >= 1.0 || self.silent > 0
+    }
+}
+
+/// An engine that had a fault and answers again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Recovery<'a> {
+    /// The engine's id on the engine list.
+    pub engine_id: &'a str,
+    /// Since when it answers again, in microseconds.
+    pub since: Micros,
+}
+
+impl Engine {
+    /// Microseconds of silence worth a report, now or lately; 0 where there are none.
+    fn reported_silence(&self, now: Micros) -> Micros {
+        let all_held = self.in_flight == self.held;
+        let current = if all_held { 0 } else { self.stats.silence(now) };
+        let longest = current.max(self.stats.recent_silence(now));
+        if longest < MIN_SILENCE {
+            return 0;
+        }
+        longest
+    }
+
+    fn observation(&self, now: Micros) -> EngineObservation<'_> {
+        // Guards against a recovery that is not seen: its answer may have faded below one.
+        let answered = match self.stats.recovered_at {
+            Some(_) => self.stats.answered.max(1.0),
+            None => self.stats.answered,
+        };
+        EngineObservation {
+            id: &self.id,
+            failed: self.stats.failed,
+            answered,
+            silent: self.reported_silence(now),
+            draining: self.entry.mode != Mode::Ready,
+            started: self.entry.started,
+        }
+    }
+}
+
 impl Dispatcher {
-    /// Engines that others may want to know of: those in some trouble, draining, or started lately.
+    /// Engines that others may want to know of: those with a fault, draining, or back from a fault.
     pub fn observations(&mut self, now: Micros) -> Vec<EngineObservation<'_>> {
-        self.engines.iter_mut().for_each(|e| e.stats.fade(now));
-        let silent = |e: &Engine| {
-            let ended_silence = e
-                .stats
-                .ended_silence
-                .filter(|(at, _)| now - at < SILENCE_REPORTED_FOR)
-                .map_or(0, |(_, silent)| silent);
-            let now_silent = if e.out == e.held {
-                0
-            } else {
-                now - e.stats.heard_at.max(e.stats.busy_since)
-            };
-            Some(now_silent.max(ended_silence))
-                .filter(|silent| *silent >= SILENT)
-                .unwrap_or(0)
-        };
-        for e in &mut self.engines {
-            if e.stats.failed >= 1.0 || silent(e) > 0 {
-                (
-                    e.stats.troubled_at,
-                    e.stats.recovered_at,
-                    e.stats.recovered_since,
-                ) = (Some(now), None, None);
+        for engine in &mut self.engines {
+            engine.stats.fade(now);
+            if engine.observation(now).shows_fault() {
+                engine.stats.record_fault(now);
             }
-            e.stats.recovered_at = e
-                .stats
-                .recovered_at
-                .filter(|at| now - at < RECOVERY_REPORTED_FOR);
+            engine.stats.expire_recovery(now);
         }
-        let answered = |e: &Engine| {
-            if e.stats.recovered_at.is_some() {
-                e.stats.answered.max(1.0)
-            } else {
-                e.stats.answered
+        let mut observations = Vec::new();
+        for engine in &self.engines {
+            let recovered = engine.stats.recovered_at.is_some();
+            let observation = engine.observation(now);
+            if observation.shows_fault() || observation.draining || recovered {
+                observations.push(observation);
             }
-        };
-        let all = self.engines.iter().map(|e| EngineObservation {
-            id: &e.id,
-            failed: e.stats.failed,
-            answered: answered(e),
-            silent: silent(e),
-            draining: e.entry.mode != Mode::Ready,
-            started: e.entry.started,
-        });
-        let has_recovered = self.engines.iter().map(|e| e.stats.recovered_at.is_some());
-        let worth = |(s, recovered): &(EngineObservation, bool)| {
-            s.failed >= 1.0 || s.silent > 0 || s.draining || *recovered
-        };
-        all.zip(has_recovered)
-            .filter(worth)
-            .map(|(s, _)| s)
-            .collect()
+        }
+        observations
     }
 
-    /// Another front reports on an engine, which `is` knows by its id; `reporter` is its index among the
-    /// other fronts.
+    /// Another front reports on the engine whose id `is_observed` accepts. `reporter` is its index among the other
+    /// fronts, `age` that of the report in microseconds.
     pub fn peer_report(
         &mut self,
         now: Micros,
         reporter: usize,
-        is: impl Fn(&str) -> bool,
+        is_observed: impl Fn(&str) -> bool,
         observed: &EngineObservation,
         age: Micros,
     ) {
-        let Some(engine) = self.engines.iter().position(|e| is(&e.id)) else {
+        let Some(index) = self.engines.iter().position(|e| is_observed(&e.id)) else {
             return;
         };
-        if observed.failed >= 1.0 || observed.silent > 0 {
-            self.engines[engine].stats.troubled_at = Some(now);
-        }
-        let EngineObservation {
-            failed,
-            answered,
-            silent,
-            ..
-        } = *observed;
         let report = PeerReport {
             reporter,
-            engine,
-            failed,
-            answered,
-            silent,
+            engine: index,
+            failed: observed.failed,
+            answered: observed.answered,
+            silent: observed.silent,
             age,
         };
+        let stats = &mut self.engines[index].stats;
+        if observed.shows_fault() {
+            stats.fault_at = Some(now);
+        }
         if report.answers() {
-            self.engines[engine].stats.ended_silence = None; // the engine has answered since
+            stats.ended_silence = None; // the engine has answered since
         }
         self.events.push(Event::PeerReport(report));
     }
 
-    /// How many fronts there are, this one too: those that have not said good-bye, and of them those heard
-    /// of. `probers` are those that share the probes into what the fleet has left: infinitely many where it
-    /// is another's work.
+    /// How many fronts there are, this one too: `known` are those that have not said good-bye. `probers` are those
+    /// that share the probes into what the fleet has left: infinitely many where it is another's work.
     pub fn set_fleet_size(&mut self, known: usize, probers: f64) {
         self.events.push(Event::Fleet {
             known: known as f64,
@@ -199,22 +129,30 @@
         });
     }
 
-    /// Engines that were in trouble and have answered again, and since when, while they may be cold for it.
-    pub fn recovered(&self, now: Micros) -> Vec<(&str, Micros)> {
-        let lately = |since: &Micros| now - since < self.warm_within.max(RECOVERY_REPORTED_FOR);
-        let recovered = self
-            .engines
+    /// Engines that had a fault and answer again, while they may still be warming up after it.
+    pub fn recovered(&self, now: Micros) -> Vec<Recovery<'_>> {
+        let remembered_for = self.warm_within.max(RECOVERY_REPORTED_FOR);
+        self.engines
             .iter()
-            .filter_map(|e| Some((e.id.as_str(), e.stats.recovered_since?)));
-        recovered.filter(|(_, since)| lately(since)).collect()
+            .filter_map(|engine| {
+                let since = engine.stats.recovered_since?;
+                Some(Recovery {
+                    engine_id: &engine.id,
+                    since,
+                })
+            })
+            .filter(|recovery| now - recovery.since < remembered_for)
+            .collect()
     }
 
-    /// The owner of that work says that an engine has answered again since then: as if it had started.
-    pub fn set_recovered_since(&mut self, is: impl Fn(&str) -> bool, since: Micros) {
-        let Some(engine) = self.engines.iter_mut().find(|e| is(&e.id)) else {
+    /// The owner of the fleet's recoveries says that the engine whose id `is_recovered` accepts answers again since
+    /// then: as if it had started.
+    pub fn set_recovered_since(&mut self, is_recovered: impl Fn(&str) -> bool, since: Micros) {
+        let Some(engine) = self.engines.iter_mut().find(|e| is_recovered(&e.id)) else {
             return;
         };
-        (engine.stats.recovered_since, engine.stats.ended_silence) = (Some(since), None);
+        engine.stats.recovered_since = Some(since);
+        engine.stats.ended_silence = None;
         let entry = EngineEntry {
             started: Some(since),
             ..engine.entry.clone()
--- a/crates/dispatcher/src/observations_tests.rs
+++ b/crates/dispatcher/src/observations_tests.rs
@@ -1,6 +1,7 @@
 //! Unit tests of the `observations` module.
 
 use super::*;
+use crate::engine_stats::SILENCE_REPORTED_FOR;
 use crate::test_support::*;
 use crate::*;
 
@@ -36,6 +37,6 @@
     d.update_engines(true, &[listing("a", Mode::Ready, None)]);
     let ticket = d.submit(0, &ask("lookup", None)).unwrap();
     d.tick(0);
-    d.report(SILENT - 1, ticket, 0, Ending::GivenUp, None);
-    assert!(d.observations(SILENT + 500_000).is_empty());
+    d.report(MIN_SILENCE - 1, ticket, 0, Ending::GivenUp, None);
+    assert!(d.observations(MIN_SILENCE + 500_000).is_empty());
 }
--- a/crates/dispatcher/src/send_capacity.rs
+++ b/crates/dispatcher/src/send_capacity.rs
@@ -31,7 +31,7 @@
             self.again = now + REPORTED_AGAIN;
             self.reported.clear();
         }
-        for place in dispatcher.places() {
+        for place in dispatcher.ready_engines() {
             let executions = capacity(place).min(MOST_REPORTED);
             if self.reported.insert(place, executions) != Some(executions) {
                 dispatcher.set_send_capacity(place, executions);
--- a/crates/dispatcher/src/statements_tests.rs
+++ b/crates/dispatcher/src/submission_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the `statements` module.
+//! Unit tests of the `submission` module.
 
 use super::*;
 use crate::test_support::*;
--- a/crates/dispatcher/src/commands_tests.rs
+++ b/crates/dispatcher/src/tick_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the `commands` module.
+//! Unit tests of the `tick` module.
 
 use super::*;
 use crate::test_support::*;
--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -208,9 +208,9 @@
         let since_ms =
             |since: Micros| ((at.now - since).max(0) / 1000).min(Micros::from(u32::MAX)) as u32;
         let back = dispatcher.recovered(at.now).into_iter();
-        back.map(|(id, since)| RecoveredEngine {
-            engine: engine_hash(id),
-            since_ms: since_ms(since),
+        back.map(|recovery| RecoveredEngine {
+            engine: engine_hash(recovery.engine_id),
+            since_ms: since_ms(recovery.since),
         })
         .take(MAX_RECOVERED)
         .collect()
@@ -289,7 +289,7 @@
         let known: Vec<u64> = dispatcher
             .recovered(at.now)
             .into_iter()
-            .map(|(id, _)| engine_hash(id))
+            .map(|recovery| engine_hash(recovery.engine_id))
             .collect();
         for RecoveredEngine { engine, since_ms } in recovered.iter().take(MAX_RECOVERED) {
             if !known.contains(engine) && self.announced.insert(*engine, token) != Some(token) {
