--- a/crates/config/tests/random_faults/settings.rs
+++ b/crates/config/tests/random_faults/settings.rs
@@ -1,7 +1,7 @@
 //! The settings object, in the configuration of a front.
 
 use hallmux_config::NodeConfig;
-use hallmux_dispatcher::{Dispatcher, Listing, Mode, Protocol, StatementRequest};
+use hallmux_dispatcher::{Dispatcher, ListScope, Listing, Mode, Protocol, StatementRequest};
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
@@ -140,7 +140,12 @@
             started: None,
             protocols: &[Protocol::Lines],
         };
-        dispatcher.update_engines(n == 0, &[listing]);
+        let scope = if n == 0 {
+            ListScope::Full
+        } else {
+            ListScope::Changes
+        };
+        dispatcher.update_engines(scope, &[listing]);
     }
     for (n, workload) in names.workloads.iter().enumerate() {
         let customer = names.customers.first().map_or("", String::as_str);
--- a/crates/dispatcher/src/completion_tests.rs
+++ b/crates/dispatcher/src/completion_tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of the `completion` module.
 
-use crate::test_support::*;
-use crate::*;
+use crate::test_support::{ask, dispatcher, listing, sent};
+use crate::{Command, Ending, ListScope, Mode};
 
 #[test]
 fn only_endings_that_prove_it_let_a_non_idempotent_statement_go_again() {
@@ -23,7 +23,7 @@
     ] {
         let mut d = dispatcher();
         d.update_engines(
-            true,
+            ListScope::Full,
             &[
                 listing("a", Mode::Ready, None),
                 listing("b", Mode::Ready, None),
@@ -52,7 +52,7 @@
         (Ending::ConnectionRefused, false),
     ] {
         let mut d = dispatcher();
-        d.update_engines(true, &[listing("a", Mode::Ready, None)]);
+        d.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
         let ticket = d.submit(0, &ask("lookup", None)).unwrap();
         d.tick(0);
         assert!(!d.report(1_000, ticket, 0, ending, None));
@@ -67,7 +67,7 @@
 #[test]
 fn the_first_answer_counts_and_nothing_follows_it() {
     let mut d = dispatcher();
-    d.update_engines(true, &[listing("a", Mode::Ready, None)]);
+    d.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
     let ticket = d.submit(0, &ask("lookup", None)).unwrap();
     d.tick(0);
     assert!(d.report(5_000, ticket, 0, Ending::Answered, None));
@@ -93,11 +93,17 @@
     for i in 0..3_000 {
         now += 100_000;
         let (id, key) = (format!("e{i}"), format!("k{i}"));
-        d.update_engines(false, &[listing(&id, Mode::Ready, Some(now - 60_000_000))]);
+        d.update_engines(
+            ListScope::Changes,
+            &[listing(&id, Mode::Ready, Some(now - 60_000_000))],
+        );
         let ticket = d.submit(now, &ask("load", Some(&key))).unwrap();
         assert_eq!(sent(&d.tick(now)), [(ticket, 0)]);
         d.report(now + 10_000, ticket, 0, Ending::Answered, None);
-        d.update_engines(false, &[listing(&id, Mode::Gone, Some(now - 60_000_000))]);
+        d.update_engines(
+            ListScope::Changes,
+            &[listing(&id, Mode::Gone, Some(now - 60_000_000))],
+        );
         d.tick(now + 10_000);
     }
     let [keys, free_ids, pauses] = d.order_keys.kept();
@@ -118,7 +124,7 @@
 #[test]
 fn a_key_keeps_its_rest_when_its_statements_are_over() {
     let mut d = dispatcher();
-    d.update_engines(true, &[listing("a", Mode::Ready, None)]);
+    d.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
     let first = d.submit(0, &ask("load", Some("k"))).unwrap();
     d.tick(0);
     d.client_left(1_000, first);
--- a/crates/dispatcher/src/connection_pacer.rs
+++ b/crates/dispatcher/src/connection_pacer.rs
@@ -1,6 +1,6 @@
-//! New connections to engines, at the pace that the module hands out: each engine has slots of its own,
-//! spread over engines and fronts, and a slot that is not used soon is lost. So fronts that all start at
-//! once, or that all lose their connections at once, dial one after the other.
+//! New connections to engines, at the rate that the module hands out: each engine has slots of its own, spread over
+//! engines and fronts, and a slot that is not used soon is lost. So fronts that all start at once, or that all lose
+//! their connections at once, connect one after the other.
 
 use std::collections::BTreeMap;
 
@@ -8,20 +8,24 @@
 
 use crate::Place;
 
-const SLOT_LIFETIME: f64 = 0.25; // seconds for which a slot may still be used: some looks of the module
-const SPREAD: f64 = 0.618_033_988_749_895; // of a slot between one engine's and the next one's: the golden ratio
-const FAR: f64 = 1e12; // microseconds; further off nothing is due
+/// Seconds for which a slot may still be used.
+const SLOT_LIFETIME: f64 = 0.25;
+/// The part of a slot between one engine's and the next one's: the golden ratio spreads them evenly.
+const SPREAD: f64 = 0.618_033_988_749_895;
+/// Microseconds to the next slot at most, and connections a second at most.
+const MAX_FIGURE: f64 = 1e12;
 
 /// When a front may dial which engine.
 #[derive(Clone, Debug)]
 pub struct ConnectionPacer {
     /// Slots a second for each engine; None: it connects as it likes.
     rate: Option<f64>,
-    /// Slots that have passed, and when.
+    /// Slots that had passed when the rate was set.
     slots: f64,
-    at: Micros,
-    /// Where in a slot this front begins.
-    first: f64,
+    /// When the rate was set.
+    rate_set_at: Micros,
+    /// Where in a slot this front begins, 0 to 1.
+    offset: f64,
     /// The last slot used of each engine.
     used: BTreeMap<Place, f64>,
 }
@@ -30,12 +34,12 @@
     /// A pacer that, where `paced`, lets nothing connect until the first [`ConnectionPacer::pace`], and
     /// everything else. The seed is the front's own: it spreads the slots of fronts that start together.
     pub fn new(paced: bool, now: Micros, seed: u64) -> ConnectionPacer {
-        let first = seed as f64 / u64::MAX as f64;
+        let offset = seed as f64 / u64::MAX as f64;
         ConnectionPacer {
             rate: paced.then_some(0.0),
             slots: 0.0,
-            at: now,
-            first,
+            rate_set_at: now,
+            offset,
             used: BTreeMap::new(),
         }
     }
@@ -47,33 +51,40 @@
 
     /// From now on so many connections a second to each engine; none where that is no positive number.
     pub fn pace(&mut self, now: Micros, connections: f64) {
-        (self.slots, self.at) = (self.passed(now), now);
-        // No number is no pace.
+        self.slots = self.passed(now);
+        self.rate_set_at = now;
+        // Guards against a rate that is no number.
         self.rate = Some(if connections > 0.0 {
-            connections.min(FAR)
+            connections.min(MAX_FIGURE)
         } else {
             0.0
         });
     }
 
+    /// The slots of any engine that have passed.
     fn passed(&self, now: Micros) -> f64 {
-        self.slots + self.rate.unwrap_or(0.0) * (now - self.at).max(0) as f64 / 1e6
+        let elapsed = (now - self.rate_set_at).max(0);
+        self.slots + self.rate.unwrap_or(0.0) * elapsed as f64 / 1e6
     }
 
-    /// The slot that is next for an engine, and how many have passed there.
-    fn next_slot(&self, now: Micros, place: Place) -> (f64, f64) {
-        let passed = self.passed(now) + (self.first + place as f64 * SPREAD).fract();
-        let kept = passed - SLOT_LIFETIME * self.rate.unwrap_or(0.0);
+    /// The next slot of an engine.
+    fn next_slot(&self, now: Micros, place: Place) -> NextSlot {
+        let shift = (self.offset + place as f64 * SPREAD).fract();
+        let passed = self.passed(now) + shift;
+        let lost = passed - SLOT_LIFETIME * self.rate.unwrap_or(0.0);
         let used = self.used.get(&place).copied().unwrap_or(0.0);
-        (kept.max(used).floor() + 1.0, passed)
+        NextSlot {
+            slot: lost.max(used).floor() + 1.0,
+            passed,
+        }
     }
 
     /// The time of the next slot of an engine; `now` where one may be used.
     pub fn next(&self, now: Micros, place: Place) -> Micros {
         let Some(rate) = self.rate else { return now };
-        let (slot, passed) = self.next_slot(now, place);
+        let NextSlot { slot, passed } = self.next_slot(now, place);
         let wait = (slot - passed).max(0.0) * 1e6 / rate.max(f64::MIN_POSITIVE);
-        now.saturating_add(wait.min(FAR).ceil() as Micros)
+        now.saturating_add(wait.min(MAX_FIGURE).ceil() as Micros)
     }
 
     /// Whether a connection to an engine may be begun now; if so, its slot is used up.
@@ -81,7 +92,7 @@
         if self.rate.is_none() {
             return true;
         }
-        let (slot, passed) = self.next_slot(now, place);
+        let NextSlot { slot, passed } = self.next_slot(now, place);
         if slot <= passed {
             self.used.insert(place, slot);
         }
@@ -89,6 +100,14 @@
     }
 }
 
+/// An engine's slots, counted from the start of the front.
+struct NextSlot {
+    /// The number of the next one that may be used.
+    slot: f64,
+    /// How many have passed.
+    passed: f64,
+}
+
 #[cfg(test)]
 #[path = "connection_pacer_tests.rs"]
 mod tests;
--- a/crates/dispatcher/src/connection_pacer_tests.rs
+++ b/crates/dispatcher/src/connection_pacer_tests.rs
@@ -1,6 +1,6 @@
 //! Unit tests of the `connection_pacer` module.
 
-use super::*;
+use crate::{ConnectionPacer, Micros};
 
 const SECOND: Micros = 1_000_000;
 
--- a/crates/dispatcher/src/demand_tests.rs
+++ b/crates/dispatcher/src/demand_tests.rs
@@ -1,8 +1,7 @@
 //! Unit tests of the `demand` module.
 
-use super::*;
-use crate::test_support::*;
-use crate::*;
+use crate::test_support::{ask, dispatcher, listing};
+use crate::{Command, Demand, Dispatcher, Ending, FleetDemand, ListScope, Micros, Mode};
 
 fn counts(d: &mut Dispatcher, now: Micros) -> Vec<(f64, f64, f64)> {
     let round = |x: f64| (x * 100.0).round() / 100.0;
@@ -14,7 +13,7 @@
 #[test]
 fn counts_are_by_workload_and_halve_and_what_the_fleet_does_not_admit_counts_as_asked_alone() {
     let mut d = dispatcher();
-    d.update_engines(true, &[listing("a", Mode::Ready, None)]);
+    d.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
     let (first, late) = (
         d.submit(0, &ask("lookup", None)).unwrap(),
         d.submit(0, &ask("pay", None)).unwrap(),
--- a/crates/dispatcher/src/engines.rs
+++ b/crates/dispatcher/src/engines.rs
@@ -25,6 +25,15 @@
     pub protocols: &'a [Protocol],
 }
 
+/// Whether a list names all engines.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListScope {
+    /// It does: engines that it lacks are gone.
+    Full,
+    /// It names those that have changed.
+    Changes,
+}
+
 /// An engine, while it is listed or has executions in flight.
 pub struct Engine {
     pub id: String,
@@ -85,9 +94,9 @@
 }
 
 impl Dispatcher {
-    /// Takes the whole engine list, or a change of it, and returns the index of each line's engine, in order. Engines
-    /// that a whole list lacks are gone.
-    pub fn update_engines(&mut self, whole: bool, listings: &[Listing]) -> Vec<Place> {
+    /// Takes the engine list or changes of it, and returns the index of each line's engine, in order.
+    pub fn update_engines(&mut self, scope: ListScope, listings: &[Listing]) -> Vec<Place> {
+        let whole = scope == ListScope::Full;
         if whole {
             self.mark_missing_as_gone(listings);
         }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -52,7 +52,7 @@
 pub use connection_pacer::ConnectionPacer;
 pub use demand::DEMAND_SECONDS;
 pub use ending::Ending;
-pub use engines::Listing;
+pub use engines::{ListScope, Listing};
 pub use executions::Terms;
 pub use hallmux::interface::{DedupGroup, Demand, Effect, FleetDemand, Micros, Mode, Note};
 pub use observations::{EngineObservation, Recovery};
--- a/crates/dispatcher/src/observations_tests.rs
+++ b/crates/dispatcher/src/observations_tests.rs
@@ -1,14 +1,13 @@
 //! Unit tests of the `observations` module.
 
-use super::*;
-use crate::engine_stats::SILENCE_REPORTED_FOR;
-use crate::test_support::*;
-use crate::*;
+use crate::engine_stats::{MIN_SILENCE, RECOVERY_REPORTED_FOR, SILENCE_REPORTED_FOR};
+use crate::test_support::{ask, dispatcher, listing};
+use crate::{Ending, ListScope, Mode};
 
 #[test]
 fn silence_is_told_beyond_the_statement_given_up_for_it_and_what_answers_again_is_told_too() {
     let mut d = dispatcher();
-    d.update_engines(true, &[listing("a", Mode::Ready, None)]);
+    d.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
     let ticket = d.submit(0, &ask("lookup", None)).unwrap();
     d.tick(0);
     assert!(d.observations(900_000).is_empty());
@@ -34,7 +33,7 @@
 #[test]
 fn an_execution_given_up_before_its_engine_is_silent_for_long_says_nothing_of_it() {
     let mut d = dispatcher();
-    d.update_engines(true, &[listing("a", Mode::Ready, None)]);
+    d.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
     let ticket = d.submit(0, &ask("lookup", None)).unwrap();
     d.tick(0);
     d.report(MIN_SILENCE - 1, ticket, 0, Ending::GivenUp, None);
--- a/crates/dispatcher/src/promises_tests.rs
+++ b/crates/dispatcher/src/promises_tests.rs
@@ -1,13 +1,12 @@
 //! Unit tests of the `promises` module.
 
-use super::*;
-use crate::test_support::*;
-use crate::{Command, Mode};
+use crate::test_support::{ask, dispatcher, listing, sent};
+use crate::{Command, Ending, ListScope, Mode, PromiseEvent, StatementOver};
 
 #[test]
 fn what_is_held_here_says_nothing_of_its_engine_and_is_no_silence() {
     let mut d = dispatcher();
-    d.update_engines(true, &[listing("a", Mode::Ready, None)]);
+    d.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
     let ticket = d.submit(0, &ask("load", Some("k"))).unwrap();
     assert_eq!(sent(&d.tick(0)), [(ticket, 0)]);
     let mut now = 0;
@@ -36,7 +35,7 @@
 #[test]
 fn what_is_turned_away_ends_at_once_and_comes_back_spread() {
     let mut d = dispatcher();
-    d.update_engines(true, &[listing("a", Mode::Ready, None)]);
+    d.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
     d.watch_promises();
     let mut came_back = Vec::new();
     for n in 0..4 {
@@ -78,7 +77,7 @@
         (Ending::GivenUp, true, true),
     ] {
         let mut d = dispatcher();
-        d.update_engines(true, &[listing("a", Mode::Ready, None)]);
+        d.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
         d.watch_promises();
         let ticket = d.submit(0, &ask("load", Some("k"))).unwrap();
         d.submit(0, &ask("lookup", Some("k"))).unwrap();
--- a/crates/dispatcher/src/send_capacity.rs
+++ b/crates/dispatcher/src/send_capacity.rs
@@ -1,6 +1,5 @@
-//! Where the fleet has a budget of new connections: how many executions can leave for each engine, told to
-//! the module as it changes, so that no statement waits for a connection to one engine while others have one
-//! to spare.
+//! Where the fleet has a budget of new connections: how many executions can leave for each engine. It is reported to
+//! the module as it changes, so that no statement waits for a connection to one engine while others have one to spare.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +7,17 @@
 
 use crate::{Dispatcher, Place};
 
-const REPORTED_AGAIN: Micros = 1_000_000; // microseconds after which all is reported anew: what was held here may have left
-const MOST_REPORTED: usize = 64; // beyond it a front lacks no connections, and the module need not know how many
+/// Microseconds after which all is reported anew: what was held here may have left.
+const REPORT_INTERVAL: Micros = 1_000_000;
+/// Executions for one engine beyond which a front lacks no connections.
+const MAX_REPORTED: usize = 64;
 
 /// The executions that can leave for each engine, as last reported to the module.
 #[derive(Default)]
 pub struct SendCapacity {
     reported: BTreeMap<Place, usize>,
-    again: Micros,
+    /// When all is reported anew.
+    next_full_report: Micros,
 }
 
 impl SendCapacity {
@@ -27,12 +29,12 @@
         dispatcher: &mut Dispatcher,
         mut capacity: impl FnMut(Place) -> usize,
     ) {
-        if self.again <= now {
-            self.again = now + REPORTED_AGAIN;
+        if self.next_full_report <= now {
+            self.next_full_report = now + REPORT_INTERVAL;
             self.reported.clear();
         }
         for place in dispatcher.ready_engines() {
-            let executions = capacity(place).min(MOST_REPORTED);
+            let executions = capacity(place).min(MAX_REPORTED);
             if self.reported.insert(place, executions) != Some(executions) {
                 dispatcher.set_send_capacity(place, executions);
             }
--- a/crates/dispatcher/src/submission_tests.rs
+++ b/crates/dispatcher/src/submission_tests.rs
@@ -1,8 +1,7 @@
 //! Unit tests of the `submission` module.
 
-use super::*;
-use crate::test_support::*;
-use crate::{Listing, Mode};
+use crate::test_support::{ask, dispatcher, listing};
+use crate::{Dispatcher, InvalidRequest, ListScope, Listing, Mode, StatementRequest};
 
 #[test]
 fn unknown_names_and_a_missing_dedup_key_are_unfit() {
@@ -38,7 +37,7 @@
 fn a_statement_with_nowhere_to_go_is_barred_and_unknown_locations_allow_nothing() {
     let mut d = dispatcher();
     d.update_engines(
-        true,
+        ListScope::Full,
         &[
             listing("a", Mode::Ready, None),
             Listing {
--- a/crates/dispatcher/src/test_support.rs
+++ b/crates/dispatcher/src/test_support.rs
@@ -1,6 +1,6 @@
 //! What the tests of this crate share: a dispatcher, a line of the list, a statement.
 
-use crate::*;
+use crate::{Command, Dispatcher, Listing, Micros, Mode, Protocol, StatementRequest, Ticket};
 
 const SETTINGS: &str = r#"{"instances": 1, "areas": ["here", "there"], "kinds": ["std"],
     "customers": [{"name": "acme", "allowancePerS": 1000}],
--- a/crates/dispatcher/src/tick_tests.rs
+++ b/crates/dispatcher/src/tick_tests.rs
@@ -1,13 +1,12 @@
 //! Unit tests of the `tick` module.
 
-use super::*;
-use crate::test_support::*;
-use crate::*;
+use crate::test_support::{ask, dispatcher, listing, sent};
+use crate::{Command, Ending, ListScope, Mode};
 
 #[test]
 fn what_is_out_when_the_time_is_up_is_stopped_then_ended() {
     let mut d = dispatcher();
-    d.update_engines(true, &[listing("a", Mode::Ready, None)]);
+    d.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
     let ticket = d.submit(0, &ask("pay", None)).unwrap();
     d.tick(0);
     let stop = Command::Cancel {
@@ -24,7 +23,7 @@
 #[test]
 fn a_statement_has_what_is_left_when_it_is_decided_on() {
     let mut d = dispatcher();
-    d.update_engines(true, &[listing("a", Mode::Ready, None)]);
+    d.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
     d.tick(0);
     // Of a class whose late answers are worth nothing: out of SLO time by the time it is decided on.
     let ticket = d.submit(10_000, &ask("lookup", None)).unwrap();
--- a/crates/dispatcher/tests/repeat_window.rs
+++ b/crates/dispatcher/tests/repeat_window.rs
@@ -2,7 +2,7 @@
 //! connection may come up long after the decision.
 
 use hallmux_dispatcher::{
-    Command, Dispatcher, Ending, Listing, Micros, Mode, Protocol, StatementRequest,
+    Command, Dispatcher, Ending, ListScope, Listing, Micros, Mode, Protocol, StatementRequest,
 };
 
 const SETTINGS: &str = r#"{"instances": 1, "areas": ["here"], "kinds": ["std"],
@@ -27,7 +27,7 @@
         started: None,
         protocols: &[Protocol::Lines],
     };
-    dispatcher.update_engines(true, &[engine("a"), engine("b"), engine("c")]);
+    dispatcher.update_engines(ListScope::Full, &[engine("a"), engine("b"), engine("c")]);
     dispatcher
 }
 
--- a/crates/dispatcher/tests/slow_start/fleet.rs
+++ b/crates/dispatcher/tests/slow_start/fleet.rs
@@ -5,7 +5,8 @@
 
 use hallmux_config::Settings;
 use hallmux_dispatcher::{
-    Command, Dispatcher, Ending, Listing, Micros, Mode, Protocol, StatementRequest, Ticket,
+    Command, Dispatcher, Ending, ListScope, Listing, Micros, Mode, Protocol, StatementRequest,
+    Ticket,
 };
 
 use crate::shape::{Arrives, Chance, Deed, Demand, Shape, SECOND, START};
@@ -212,7 +213,12 @@
         let Some(dispatcher) = &mut process.dispatcher else {
             return;
         };
-        let places = dispatcher.update_engines(whole, &listings);
+        let scope = if whole {
+            ListScope::Full
+        } else {
+            ListScope::Changes
+        };
+        let places = dispatcher.update_engines(scope, &listings);
         process
             .at
             .extend(places.into_iter().zip(lines.iter().map(|(e, _)| *e)));
--- a/crates/front/src/front/engine_list.rs
+++ b/crates/front/src/front/engine_list.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-use hallmux_dispatcher::{Listing, Micros, Mode as EngineMode, Protocol};
+use hallmux_dispatcher::{ListScope, Listing, Micros, Mode as EngineMode, Protocol};
 use hallmux_native_codec::coordinator::{Engine, EngineList, EngineState, Events};
 
 use super::Front;
@@ -40,7 +40,12 @@
             let listings: Vec<Listing> = started
                 .map(|(e, start)| listing(e, speaks(e), *start))
                 .collect();
-            let places = self.dispatcher.update_engines(list.is_full, &listings);
+            let scope = if list.is_full {
+                ListScope::Full
+            } else {
+                ListScope::Changes
+            };
+            let places = self.dispatcher.update_engines(scope, &listings);
             if list.is_full {
                 self.engines.retire_others(&places);
                 self.gateway
--- a/crates/lab/src/simulated/faults.rs
+++ b/crates/lab/src/simulated/faults.rs
@@ -1,6 +1,6 @@
 //! Faults in simulated time: how each begins and ends.
 
-use hallmux_dispatcher::{Ending, Listing};
+use hallmux_dispatcher::{Ending, ListScope, Listing};
 use rand::Rng;
 
 use super::fronts::listing;
@@ -161,7 +161,7 @@
             .collect();
         for n in 0..self.members.len() {
             if let Some(life) = &mut self.members[n].life {
-                life.dispatcher.update_engines(false, &list);
+                life.dispatcher.update_engines(ListScope::Changes, &list);
             }
             self.turn(n);
         }
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use hallmux_dispatcher::{Command, Dispatcher, Ending, Listing, Mode, Protocol};
+use hallmux_dispatcher::{Command, Dispatcher, Ending, ListScope, Listing, Mode, Protocol};
 use hallmux_fleet::gate::{Guard, OrderedExecution};
 use hallmux_fleet::{Exchange, OwnershipConfig};
 use hallmux_gossip::node::NodeConfig;
@@ -77,7 +77,7 @@
             .zip(&ids)
             .map(|(e, id)| listing(id, &zones[e.zone], None))
             .collect();
-        dispatcher.update_engines(true, &list);
+        dispatcher.update_engines(ListScope::Full, &list);
         let own = self.own(n);
         let guards = self.scenario.fleet.copies.is_some();
         let guard = guards.then(|| Guard::new(&self.settings, own, self.shards, &mut dispatcher));
