--- a/crates/front/src/engines/mod.rs
+++ b/crates/front/src/engines/mod.rs
@@ -14,13 +14,13 @@
 
 use calloop::LoopHandle;
 use hallmux_config::{Names, NetworkSettings};
-use hallmux_dispatcher::{ConnectionPacer, Ending, Micros, Note, Place, Terms, Ticket};
+use hallmux_dispatcher::{Ending, Micros, Note, Place, Terms, Ticket};
 use hallmux_native_codec::engine::{self, Command, ExecutionRequest, Reply, ReplyKind};
 use hallmux_native_codec::statement::Call;
 
+use crate::dial_pacer::{self, DialPacer};
 use crate::events::{LoopEvents, SocketKind};
 use crate::execution::ExecutionId;
-use crate::front::Pacer;
 use crate::link::{Broken, Link};
 use crate::reuse::Reuse;
 use cancels::AwaitingCancel;
@@ -134,7 +134,7 @@
     next: u64,
     max_links: usize,
     /// When connections may be made; any time where nothing else is set.
-    pub dials: Pacer,
+    pub dials: DialPacer,
     reuse: Reuse,
     /// Cancelled, but their engines may not have read so yet, in the order in which they were.
     awaiting_cancel: Vec<AwaitingCancel>,
@@ -157,7 +157,7 @@
             executions: BTreeMap::new(),
             next: 0,
             max_links: 0,
-            dials: Pacer::new(ConnectionPacer::new(false, 0, 0).into()),
+            dials: dial_pacer::unlimited(),
             awaiting_cancel: Vec::new(),
             events: Vec::new(),
         }
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -18,6 +18,7 @@
 use crate::clients::Clients;
 use crate::clock::Clock;
 use crate::coordinator::Coordinator;
+use crate::dial_pacer;
 use crate::engine_starts::EngineStarts;
 use crate::engines::Engines;
 use crate::events::{LoopEvents, SocketId, SocketKind};
@@ -30,8 +31,6 @@
 use crate::shutdown::{LedgerDuty, Shutdown};
 use crate::start_error::StartError;
 
-pub use dial_capacity::Pacer;
-
 const MOST_DECISIONS: usize = 8; // decisions in an iteration: an execution that the first one stops is known to the next at once
 
 pub struct Front {
@@ -136,7 +135,7 @@
             stale: false,
             handle,
         };
-        front.engines.dials = dial_capacity::pacer(config, front.clock.now);
+        front.engines.dials = dial_pacer::configured(config, front.clock.now);
         if let Some(gateway) = &mut front.gateway {
             gateway.servers().dials = front.engines.dials.clone();
         }
--- a/crates/front/src/front/dial_capacity.rs
+++ b/crates/front/src/front/dial_capacity.rs
@@ -1,21 +1,7 @@
-//! Where the fleet has a budget of new connections: when this front may make one, and how many executions can leave.
-
-use std::cell::RefCell;
-use std::rc::Rc;
-
-use hallmux_config::NodeConfig;
-use hallmux_dispatcher::{ConnectionPacer, Micros};
+//! Where the fleet has a budget of new connections: how many executions can leave for each engine.
 
 use super::Front;
 
-/// When this front may dial which engine, for both protocols.
-pub type Pacer = Rc<RefCell<ConnectionPacer>>;
-
-pub fn pacer(config: &NodeConfig, now: Micros) -> Pacer {
-    let paced = config.settings.agreement.budgets.is_some();
-    Rc::new(RefCell::new(ConnectionPacer::new(paced, now, config.seed)))
-}
-
 impl Front {
     /// Reports to the dispatcher how many executions can leave for each engine.
     pub(super) fn report_dial_capacity(&mut self) {
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -3,6 +3,7 @@
 mod clients;
 mod clock;
 mod coordinator;
+mod dial_pacer;
 mod engine_starts;
 mod engines;
 mod events;
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -10,15 +10,15 @@
 
 use calloop::LoopHandle;
 use hallmux_config::{NetworkSettings, SessionLimits};
-use hallmux_dispatcher::{ConnectionPacer, Ending, Micros, Place};
+use hallmux_dispatcher::{Ending, Micros, Place};
 use hallmux_postgres::engine::{Account, EngineConnection, UnitOutcome};
 use hallmux_postgres::pool::{self, Pools};
 use hallmux_postgres::prepared::SessionSettings;
 use hallmux_postgres::session::UnitPart;
 
+use crate::dial_pacer::{self, DialPacer};
 use crate::events::LoopEvents;
 use crate::execution::ExecutionId;
-use crate::front::Pacer;
 use crate::link::Link;
 
 const CHECK_INTERVAL: Micros = 100_000; // microseconds between looks at connections that have rested for long
@@ -148,7 +148,7 @@
     next: u64,
     max_links: usize,
     /// When connections may be made; any time where nothing else is set.
-    pub dials: Pacer,
+    pub dials: DialPacer,
     next_check: Micros,
     /// What engines tell of themselves, for the welcome of clients.
     pub parameters: Vec<(String, String)>,
@@ -180,7 +180,7 @@
             changed: BTreeSet::new(),
             next: 0,
             max_links: usize::MAX,
-            dials: Pacer::new(ConnectionPacer::new(false, 0, 0).into()),
+            dials: dial_pacer::unlimited(),
             next_check: 0,
             parameters: Vec::new(),
             events: Vec::new(),
