--- a/crates/front/src/front.rs
+++ b/crates/front/src/event_loop.rs
@@ -33,7 +33,7 @@
 
 const MOST_DECISIONS: usize = 8; // decisions in an iteration: an execution that the first one stops is known to the next at once
 
-pub struct Front {
+pub struct EventLoopState {
     handle: LoopHandle<'static, LoopEvents>,
     listener: Listener,
     dispatcher: Dispatcher,
@@ -77,13 +77,13 @@
         .unwrap_or(0)
 }
 
-impl Front {
+impl EventLoopState {
     pub fn new(
         config: &NodeConfig,
         known: &EngineListEvents,
         listener: TcpListener,
         handle: LoopHandle<'static, LoopEvents>,
-    ) -> Result<Front, StartError> {
+    ) -> Result<EventLoopState, StartError> {
         let settings = &config.settings;
         let gateway = config.operator.postgres.as_ref();
         let part = |why: std::io::Error| StartError::part(&why);
@@ -108,7 +108,7 @@
         let scatter = scatter
             .map(|scatter| ScatteredStatements::new(scatter, clock.now, spread_offset, settings));
         let scatter = scatter.transpose().map_err(part)?;
-        let mut front = Front {
+        let mut front = EventLoopState {
             listener: Listener::new(listener, &handle, SocketKind::Listener.id(0)).map_err(part)?,
             dispatcher: Dispatcher::new(settings, config.seed),
             answer_slack: settings.network.answer_slack,
@@ -424,7 +424,7 @@
 }
 
 #[cfg(test)]
-#[path = "front_tests.rs"]
+#[path = "event_loop_tests.rs"]
 mod tests;
 
 #[cfg(test)]
--- a/crates/front/src/front/admission.rs
+++ b/crates/front/src/event_loop/admission.rs
@@ -5,11 +5,11 @@
 use hallmux_native_codec::statement::{self, Call, Reply};
 use hallmux_native_codec::tables;
 
-use super::Front;
+use super::EventLoopState;
 use crate::clients::{self, ClientId};
 use crate::execution::ExecutionId;
 
-impl Front {
+impl EventLoopState {
     pub(super) fn read_client(&mut self, id: ClientId) -> bool {
         let mut events = Vec::new();
         let more = self.clients.read(
--- a/crates/front/src/front/configuration.rs
+++ b/crates/front/src/event_loop/configuration.rs
@@ -2,14 +2,14 @@
 
 use hallmux_config::{NodeConfig, NodeLimits};
 
-use super::Front;
+use super::EventLoopState;
 
 const MEMORY_PART: u64 = 4; // statements held may take one part of so many, untaken answers another
 const CLIENTS_PART: usize = 2; // of the descriptors clients hold one part of so many, the rest is for engines
 const LINGERING_PART: usize = 64; // one part of so many is for sessions that are being closed, beside those
 const MOST_LINGERING: usize = 8; // descriptors of that part at most: each is held for a second, usually less
 
-impl Front {
+impl EventLoopState {
     /// The configuration was read again: what may change while a front runs holds from now on. One that
     /// can't be used changes nothing.
     pub fn reload(&mut self, read: Result<NodeConfig, hallmux_config::Error>) {
--- a/crates/front/src/front/dial_capacity.rs
+++ b/crates/front/src/event_loop/dial_capacity.rs
@@ -1,8 +1,8 @@
 //! Where the fleet has a budget of new connections: how many executions can leave for each engine.
 
-use super::Front;
+use super::EventLoopState;
 
-impl Front {
+impl EventLoopState {
     /// Reports to the dispatcher how many executions can leave for each engine.
     pub(super) fn report_dial_capacity(&mut self) {
         if !self.engines.dials.borrow().is_paced() {
--- a/crates/front/src/front/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -8,7 +8,7 @@
 use hallmux_native_codec::statement::{Call, Reply};
 use hallmux_scatter::gather::PartFailure;
 
-use super::Front;
+use super::EventLoopState;
 use crate::engines;
 use crate::execution::ExecutionId;
 use crate::fleet::rules::{Ordered, Ruling, Shared};
@@ -16,7 +16,7 @@
 use crate::postgres::gateway::{AdmissionState, Gateway};
 use crate::scatter::Load;
 
-impl Front {
+impl EventLoopState {
     /// Reports replies of engines, and how executions have ended, to the dispatcher; answers go on to clients.
     pub(super) fn handle_engine_events(&mut self) {
         for event in std::mem::take(&mut self.engines.events) {
--- a/crates/front/src/front/engine_list.rs
+++ b/crates/front/src/event_loop/engine_list.rs
@@ -6,10 +6,10 @@
 use hallmux_dispatcher::{Listing, Micros, Mode as EngineMode, Protocol};
 use hallmux_native_codec::coordinator::{Engine, EngineList, EngineState, Events};
 
-use super::Front;
+use super::EventLoopState;
 use crate::engine_starts::ListMoment;
 
-impl Front {
+impl EventLoopState {
     /// Takes in what a new configuration knows of the coordinator's events: a drain among them counts,
     /// whether the coordinator that the configuration names answers or not.
     pub(super) fn apply_known_list(&mut self, known: &str) {
--- a/crates/front/src/front/scatter.rs
+++ b/crates/front/src/event_loop/scatter.rs
@@ -9,13 +9,13 @@
 use hallmux_scatter::gather::{Answer, PartFailure};
 use hallmux_scatter::marker::Effect;
 
-use super::Front;
+use super::EventLoopState;
 use crate::clients::ClientId;
 use crate::execution::ExecutionId;
 use crate::fleet::rules::Ordered;
 use crate::scatter::{FinalReply, LoadOutcome, Outgoing, ScatteredStatements, ASK_NUMBERS};
 
-impl Front {
+impl EventLoopState {
     /// Takes a statement of a workload that is scattered, where parts can make up its answer. Gives it back with the one
     /// location it may be sent to where they can't.
     pub(super) fn scatter(
--- a/crates/front/src/front_tests.rs
+++ b/crates/front/src/event_loop_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the `front` module.
+//! Unit tests of the `event_loop` module.
 
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
@@ -28,7 +28,7 @@
 
 /// A front that no loop drives, with a clock that the test moves.
 pub(super) struct Driven {
-    pub(super) front: Front,
+    pub(super) front: EventLoopState,
     events: EventLoop<'static, LoopEvents>,
     pub(super) listens: SocketAddr,
     sessions: SocketAddr,
@@ -97,7 +97,7 @@
         let events = EventLoop::try_new().unwrap();
         let listener = TcpListener::bind(config.listen).unwrap();
         let listens = listener.local_addr().unwrap();
-        let front = Front::new(&config, &known, listener, events.handle())?;
+        let front = EventLoopState::new(&config, &known, listener, events.handle())?;
         let sessions = front
             .gateway
             .as_ref()
@@ -153,7 +153,11 @@
     }
 
     /// Goes on until there is what is waited for.
-    pub(super) fn until<T>(&mut self, what: &str, mut there: impl FnMut(&Front) -> Option<T>) -> T {
+    pub(super) fn until<T>(
+        &mut self,
+        what: &str,
+        mut there: impl FnMut(&EventLoopState) -> Option<T>,
+    ) -> T {
         let begun = Instant::now();
         loop {
             if let Some(found) = there(&self.front) {
--- a/crates/front/src/held_tests.rs
+++ b/crates/front/src/held_tests.rs
@@ -136,7 +136,7 @@
     fn hears_after_one_has_left(
         &mut self,
         statement: &str,
-        held: impl Fn(&Front) -> bool,
+        held: impl Fn(&EventLoopState) -> bool,
     ) -> String {
         let client = self.asks(1, statement);
         self.driven
@@ -216,7 +216,7 @@
 }
 
 /// Something waits for a mark.
-fn waits_for_a_mark(front: &Front) -> bool {
+fn waits_for_a_mark(front: &EventLoopState) -> bool {
     let loads = front
         .scatter
         .as_ref()
@@ -225,7 +225,7 @@
 }
 
 /// An execution was ordered and has not ended.
-fn is_ordered(front: &Front) -> bool {
+fn is_ordered(front: &EventLoopState) -> bool {
     (0..16).any(|ticket| !front.dispatcher.executions_out(ticket).is_empty())
 }
 
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -6,10 +6,10 @@
 mod dial_pacer;
 mod engine_starts;
 mod engines;
+mod event_loop;
 mod events;
 mod execution;
 mod fleet;
-mod front;
 mod lingering;
 mod link;
 mod listener;
@@ -32,8 +32,8 @@
 use calloop::EventLoop;
 use hallmux_config::{NodeConfig, OneLine};
 
+use event_loop::EventLoopState;
 use events::LoopEvents;
-use front::Front;
 use start_error::StartError;
 
 fn main() -> ExitCode {
@@ -80,7 +80,7 @@
     let unfit = |why| StartError::listen(&variables, config.listen, why);
     let listener = transient::retry(|| TcpListener::bind(config.listen)).map_err(unfit)?;
     let address = listener.local_addr().map_err(unfit)?;
-    let mut front = Front::new(&config, &known, listener, event_loop.handle())?;
+    let mut front = EventLoopState::new(&config, &known, listener, event_loop.handle())?;
     log::info!("takes statements at {address}");
     let mut events = LoopEvents::default();
     while !front.is_done() {
