--- a/crates/front/src/event_loop.rs
+++ b/crates/front/src/event_loop.rs
@@ -1,10 +1,12 @@
 //! What one front does in an iteration: it takes in all that is there, decides once, and sends what follows.
 
 mod admission;
-mod configuration;
 mod dial_capacity;
 mod dispatch;
 mod engine_list;
+mod graceful_shutdown;
+mod limits;
+mod reload;
 mod scatter;
 
 use std::net::TcpListener;
@@ -28,7 +30,7 @@
 use crate::listener::Listener;
 use crate::postgres::gateway::Gateway;
 use crate::scatter::ScatteredStatements;
-use crate::shutdown::{LedgerDuty, Shutdown};
+use crate::shutdown::Shutdown;
 use crate::start_error::StartError;
 
 const MOST_DECISIONS: usize = 8; // decisions in an iteration: an execution that the first one stops is known to the next at once
@@ -153,7 +155,7 @@
                 &mut front.dispatcher,
             ));
         }
-        front.limit(&config.limits);
+        front.apply_limits(&config.limits);
         front.apply_list(known, 0);
         Ok(front)
     }
@@ -217,10 +219,10 @@
             | SocketKind::Session
             | SocketKind::Server
             | SocketKind::Cancel => {
-                let (now, room) = (self.clock.now, self.room());
+                let (now, admission) = (self.clock.now, self.admission_state());
                 let gateway = self.gateway.as_mut();
                 gateway.is_some_and(|gateway| {
-                    gateway.socket_ready(now, socket, room, &mut self.dispatcher)
+                    gateway.socket_ready(now, socket, admission, &mut self.dispatcher)
                 })
             }
         };
@@ -249,14 +251,12 @@
             self.ready(socket);
         }
         self.accept();
-        let room = self.room();
+        let admission = self.admission_state();
+        let sessions_left = self.connections_left();
         if let Some(gateway) = &mut self.gateway {
-            let room_left = self
-                .max_clients
-                .saturating_sub(self.clients.len() + gateway.len());
-            gateway.accept(self.clock.now, room_left);
-            gateway.take(self.clock.now, room, &mut self.dispatcher);
-            gateway.expire(self.clock.now, room, &mut self.dispatcher);
+            gateway.accept(self.clock.now, sessions_left);
+            gateway.take(self.clock.now, admission, &mut self.dispatcher);
+            gateway.expire(self.clock.now, admission, &mut self.dispatcher);
         }
         let mut events = Vec::new();
         self.clients.expire(self.clock.now, &mut events);
@@ -297,9 +297,14 @@
 
     /// Sends answers to clients, and questions to the coordinator.
     fn answer_clients(&mut self) {
-        let room = self.room();
+        let admission = self.admission_state();
         if let Some(gateway) = &mut self.gateway {
-            gateway.flush(self.clock.now, room, self.max_bytes, &mut self.dispatcher);
+            gateway.flush(
+                self.clock.now,
+                admission,
+                self.max_bytes,
+                &mut self.dispatcher,
+            );
         }
         self.coordinator.flush(self.clock.now);
         let mut events = Vec::new();
@@ -316,35 +321,6 @@
         self.handle_client_events(events);
     }
 
-    /// Closes the listeners and what is idle, once the planned end has come so far.
-    fn close_if_due(&mut self) {
-        let peers = self.peers.as_ref().filter(|_| self.shutdown.is_requested());
-        let duty = peers.map_or(LedgerDuty::None, |peers| peers.ledger_duty(self.clock.now));
-        if self.shutdown.closes(self.clock.now, duty) {
-            // Whoever has connected by now is served: closing the listener resets what waits there. The event loop may
-            // not have reported it yet.
-            self.listener.readable();
-            self.accept();
-            if self.listener.may_have_more() && self.shutdown.may_wait(self.clock.now) {
-                return;
-            }
-            if self.listener.close() {
-                log::info!(
-                    "no more connections are taken; {} clients are connected",
-                    self.clients.len()
-                );
-            }
-            self.clients.close_idle(self.clock.now);
-            let room = self.room();
-            if let Some(gateway) = &mut self.gateway {
-                let sessions_left = self
-                    .max_clients
-                    .saturating_sub(self.clients.len() + gateway.len());
-                gateway.close(self.clock.now, room, sessions_left, &mut self.dispatcher);
-            }
-        }
-    }
-
     /// Sends to engines what was decided. Guards against a front that stood still or worked for long since it last
     /// read its connections: a client may have left meanwhile, or a drain been listed. Then it reads first, and
     /// sends in the next iteration.
@@ -371,27 +347,14 @@
             .for_each(|gateway| gateway.flush_servers(self.clock.now));
     }
 
-    /// The end was asked for.
-    pub fn shut_down(&mut self) {
-        self.clock.refresh();
-        self.shutdown.request(self.clock.now);
-        self.peers
-            .iter_mut()
-            .for_each(|peers| peers.leave(self.clock.now));
-        self.scatter
-            .iter()
-            .for_each(|scatter| scatter.summaries.save());
-    }
-
-    /// Whether all is answered after the end was asked for.
-    pub fn is_done(&self) -> bool {
-        !self.listener.is_open()
-            && self.clients.len() == 0
-            && self.gateway.as_ref().is_none_or(Gateway::is_done)
-            // What it holds of the ledger is freed first.
-            && self.guard.as_ref().is_none_or(Guard::is_idle)
+    /// How many more clients and sessions may connect.
+    fn connections_left(&self) -> usize {
+        let sessions = self.gateway.as_ref().map_or(0, Gateway::len);
+        self.max_clients
+            .saturating_sub(self.clients.len() + sessions)
     }
 
+    /// Accepts clients that wait, as far as connections are left or idle ones can make way, and reads from each.
     fn accept(&mut self) {
         let now = self.clock.now;
         loop {
--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -66,14 +66,14 @@
                 }
             }
         }
-        let room = self.room();
+        let admission = self.admission_state();
         if let Some(gateway) = &mut self.gateway {
-            gateway.handle_server_events(self.clock.now, room, &mut self.dispatcher);
+            gateway.handle_server_events(self.clock.now, admission, &mut self.dispatcher);
         }
     }
 
     /// What the admission of units of sessions depends on just now.
-    pub(super) fn room(&self) -> AdmissionState {
+    pub(super) fn admission_state(&self) -> AdmissionState {
         let held = self.clients.held_bytes() + self.gateway.as_ref().map_or(0, Gateway::held_bytes);
         let full = held > self.max_bytes || self.dispatcher.held() >= self.max_statements;
         AdmissionState {
--- a/crates/front/src/event_loop/engine_list.rs
+++ b/crates/front/src/event_loop/engine_list.rs
@@ -10,21 +10,6 @@
 use crate::engine_starts::ListMoment;
 
 impl EventLoopState {
-    /// Takes in what a new configuration knows of the coordinator's events: a drain among them counts,
-    /// whether the coordinator that the configuration names answers or not.
-    pub(super) fn apply_known_list(&mut self, known: &str) {
-        match hallmux_native_codec::coordinator::events(known.as_bytes()) {
-            Ok(known) => {
-                let before = self.coordinator.last_index;
-                self.coordinator.last_index = before.max(known.index);
-                self.apply_list(&known, before);
-            }
-            Err(what) => {
-                log::error!("NODE_CONFIG: known: {what}; the engine list is left as it was")
-            }
-        }
-    }
-
     /// Takes in the coordinator's events that come after the one given.
     pub(super) fn apply_list(&mut self, stream: &Events, after: u64) {
         let moment = ListMoment {
