--- a/crates/front/src/event_loop.rs
+++ b/crates/front/src/event_loop.rs
@@ -8,30 +8,26 @@
 mod limits;
 mod reload;
 mod scatter;
+mod start;
 
-use std::net::TcpListener;
 use std::time::Duration;
 
 use calloop::LoopHandle;
-use hallmux_config::{NodeConfig, Settings};
 use hallmux_dispatcher::{Dispatcher, Micros, SendCapacity};
-use hallmux_native_codec::coordinator::Events as EngineListEvents;
 
 use crate::clients::Clients;
 use crate::clock::Clock;
 use crate::coordinator::Coordinator;
-use crate::dial_pacer;
 use crate::engine_starts::EngineStarts;
 use crate::engines::Engines;
 use crate::events::{LoopEvents, SocketId, SocketKind};
-use crate::fleet::rules::{self, Shared};
+use crate::fleet::rules::Shared;
 use crate::fleet::{Guard, Peers};
 use crate::link::Link;
 use crate::listener::Listener;
 use crate::postgres::gateway::Gateway;
 use crate::scatter::ScatteredStatements;
 use crate::shutdown::Shutdown;
-use crate::start_error::StartError;
 
 const MOST_DECISIONS: usize = 8; // decisions in an iteration: an execution that the first one stops is known to the next at once
 
@@ -59,7 +55,7 @@
     /// Statements that are asked of several sites, likewise.
     scatter: Option<ScatteredStatements>,
     /// What was reported to the dispatcher of how many executions can leave for each engine.
-    rooms: SendCapacity,
+    send_capacity: SendCapacity,
     shutdown: Shutdown,
     clock: Clock,
     /// Connections with more to read than one iteration takes.
@@ -68,126 +64,40 @@
     stale: bool,
 }
 
-/// No client waits longer than that for an answer.
-fn longest_timeout(settings: &Settings) -> Micros {
-    settings
-        .agreement
-        .workloads
-        .iter()
-        .map(|workload| workload.statement_timeout)
-        .max()
-        .unwrap_or(0)
-}
-
 impl EventLoopState {
-    pub fn new(
-        config: &NodeConfig,
-        known: &EngineListEvents,
-        listener: TcpListener,
-        handle: LoopHandle<'static, LoopEvents>,
-    ) -> Result<EventLoopState, StartError> {
-        let settings = &config.settings;
-        let gateway = config.operator.postgres.as_ref();
-        let part = |why: std::io::Error| StartError::part(&why);
-        let clock = Clock::new(config.operator.clock_offset, config.clock_file.as_deref());
-        let mut clock = clock.map_err(part)?;
-        clock.refresh();
-        let gossip = config.operator.gossip.as_ref();
-        let peers = gossip
-            .map(|gossip| Peers::new(gossip, clock.now, &handle))
-            .transpose()?;
-        let rules = rules::start(config, clock.now, peers.as_ref())?;
-        let open = |postgres| Gateway::new(postgres, settings, handle.clone(), rules.clone());
-        let mut gateway = gateway.map(open).transpose().map_err(part)?;
-        let spread_offset = peers.as_ref().map_or(0, Peers::spread_offset);
-        let scatter = config.operator.scatter.as_ref();
-        if let Some((gateway, scatter)) = gateway
-            .as_mut()
-            .zip(scatter.filter(|scatter| scatter.marked))
-        {
-            gateway.writes = scatter.writes.clone();
-        }
-        let scatter = scatter
-            .map(|scatter| ScatteredStatements::new(scatter, clock.now, spread_offset, settings));
-        let scatter = scatter.transpose().map_err(part)?;
-        let mut front = EventLoopState {
-            listener: Listener::new(listener, &handle, SocketKind::Listener.id(0)).map_err(part)?,
-            dispatcher: Dispatcher::new(settings, config.seed),
-            answer_slack: settings.network.answer_slack,
-            max_statements: settings.network.most_held,
-            max_bytes: 0,
-            max_clients: 0,
-            memory_full: false,
-            clients: Clients::new(
-                settings.agreement.longest_retry_after,
-                longest_timeout(settings),
-            ),
-            engines: Engines::new(handle.clone(), settings.network.clone(), &settings.names),
-            engine_starts: EngineStarts::default(),
-            coordinator: Coordinator::new(handle.clone(), config.coordinator, known.index),
-            gateway,
-            peers,
-            rules,
-            guard: None,
-            scatter,
-            rooms: SendCapacity::default(),
-            shutdown: Shutdown::default(),
-            clock,
-            unfinished: Vec::new(),
-            stale: false,
-            handle,
-        };
-        front.engines.dials = dial_pacer::configured(config, front.clock.now);
-        if let Some(gateway) = &mut front.gateway {
-            gateway.servers().dials = front.engines.dials.clone();
-        }
-        if let Some(ledger) = config
-            .operator
-            .gossip
-            .as_ref()
-            .and_then(|gossip| gossip.ledger.as_ref())
-        {
-            let now = front.clock.now;
-            front.guard = Some(Guard::new(
-                settings,
-                now,
-                ledger.shards,
-                &mut front.dispatcher,
-            ));
-        }
-        front.apply_limits(&config.limits);
-        front.apply_list(known, 0);
-        Ok(front)
-    }
-
-    /// How long nothing is due.
+    /// How long nothing is due: the event loop may sleep for that long.
     pub fn idle(&mut self) -> Duration {
         self.clock.refresh();
-        let due = [
-            if self.unfinished.is_empty() && !self.stale {
-                Micros::MAX
-            } else {
-                0
-            },
+        let due = self.next_due();
+        self.clock.sleep(due)
+    }
+
+    /// When something is due though no socket changes, in Unix microseconds.
+    fn next_due(&self) -> Micros {
+        let now = self.clock.now;
+        if !self.unfinished.is_empty() || self.stale {
+            return 0;
+        }
+        let always = [
             self.dispatcher.wake(),
             self.engines.due(),
             self.coordinator.due(),
             self.listener.due(),
-            self.shutdown.due(self.clock.now),
-            self.gateway.as_ref().map_or(Micros::MAX, Gateway::due),
-            self.peers
-                .as_ref()
-                .map_or(Micros::MAX, |peers| peers.due(self.clock.now)),
-            self.guard.as_ref().map_or(Micros::MAX, Guard::due),
-            self.rules
-                .as_ref()
-                .map_or(Micros::MAX, |rules| rules.borrow().due(self.clock.now)),
-            self.scatter
-                .as_ref()
-                .map_or(Micros::MAX, |scatter| scatter.due(self.peers.is_some())),
+            self.shutdown.due(now),
+        ];
+        let gossips = self.peers.is_some();
+        let optional = [
+            self.gateway.as_ref().map(Gateway::due),
+            self.peers.as_ref().map(|peers| peers.due(now)),
+            self.guard.as_ref().map(Guard::due),
+            self.rules.as_ref().map(|rules| rules.borrow().due(now)),
+            self.scatter.as_ref().map(|scatter| scatter.due(gossips)),
         ];
-        self.clock
-            .sleep(due.into_iter().min().unwrap_or(self.clock.now))
+        always
+            .into_iter()
+            .chain(optional.into_iter().flatten())
+            .min()
+            .unwrap_or(now)
     }
 
     /// A connection has changed: takes what is there.
--- a/crates/front/src/event_loop/dial_capacity.rs
+++ b/crates/front/src/event_loop/dial_capacity.rs
@@ -9,11 +9,12 @@
             return;
         }
         let (now, engines, gateway) = (self.clock.now, &self.engines, &mut self.gateway);
-        self.rooms.report(now, &mut self.dispatcher, |place| {
-            let sessions = gateway
-                .as_mut()
-                .map_or(0, |gateway| gateway.servers().capacity(now, place));
-            engines.capacity(now, place) + sessions
-        });
+        self.send_capacity
+            .report(now, &mut self.dispatcher, |place| {
+                let sessions = gateway
+                    .as_mut()
+                    .map_or(0, |gateway| gateway.servers().capacity(now, place));
+                engines.capacity(now, place) + sessions
+            });
     }
 }
--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -256,7 +256,7 @@
             ..
         } = ordered;
         let (now, sent) = (self.clock.now, ExecutionId::new(ticket, execution));
-        self.rooms.sent(place);
+        self.send_capacity.sent(place);
         if self.is_of_session(ticket) {
             return self
                 .gateway
--- a/crates/front/src/event_loop_tests.rs
+++ b/crates/front/src/event_loop_tests.rs
@@ -2,16 +2,18 @@
 
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
 use std::time::Instant;
 
 use calloop::EventLoop;
+use hallmux_config::NodeConfig;
 use hallmux_postgres::wire;
 use serde_json::{json, Value};
 
 use super::*;
 use crate::clients::tests::frame;
+use crate::start_error::StartError;
 
 #[path = "postgres/engine_endings_tests.rs"]
 mod engine_endings;
--- a/crates/front/src/held_tests.rs
+++ b/crates/front/src/held_tests.rs
@@ -2,7 +2,7 @@
 //! cancelling is not allowed: none of them is ever sent.
 
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpStream, UdpSocket};
+use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::path::PathBuf;
 use std::time::Instant;
 
@@ -13,6 +13,7 @@
 use super::tests::{listener, Driven};
 use super::*;
 use crate::clients::tests::frame;
+use crate::start_error::StartError;
 
 const MOST_STARTS: usize = 10; // of fronts whose ports were taken by somebody else
 const PATIENCE: Duration = Duration::from_secs(20); // for any one wait; a busy machine takes some of it
