--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -66,40 +66,58 @@
     }
     let known = hallmux_native_codec::coordinator::events(config.known_events.as_bytes());
     let known = known.map_err(|what| StartError::known(&variables, &what.to_string()))?;
-    let polls = StartError::system("polling");
-    let event_loop = transient::retry(|| Ok(EventLoop::try_new()?));
-    let mut event_loop: EventLoop<'static, LoopEvents> = event_loop.map_err(&polls)?;
+    let mut event_loop = event_loop_with_signals()?;
+    let listen_error = |why| StartError::listen(&variables, config.listen, why);
+    let listener = transient::retry(|| TcpListener::bind(config.listen)).map_err(listen_error)?;
+    let address = listener.local_addr().map_err(listen_error)?;
+    let mut front = EventLoopState::new(&config, &known, listener, event_loop.handle())?;
+    log::info!("takes statements at {address}");
+    serve(&mut event_loop, &mut front, &variables)?;
+    log::info!("all is answered");
+    Ok(())
+}
+
+/// An event loop that reports SIGTERM and SIGHUP.
+fn event_loop_with_signals() -> Result<EventLoop<'static, LoopEvents>, StartError> {
+    let event_loop = transient::retry(|| Ok(EventLoop::try_new()?)).map_err(polling_error)?;
     let signals = transient::retry(|| Ok(Signals::new(&[Signal::SIGTERM, Signal::SIGHUP])?))
-        .map_err(&polls)?;
+        .map_err(polling_error)?;
     let queue =
         |event: Event, _: &mut (), events: &mut LoopEvents| events.signals.push(event.signal());
     event_loop
         .handle()
         .insert_source(signals, queue)
-        .map_err(|e| polls(e.error.into()))?;
-    let unfit = |why| StartError::listen(&variables, config.listen, why);
-    let listener = transient::retry(|| TcpListener::bind(config.listen)).map_err(unfit)?;
-    let address = listener.local_addr().map_err(unfit)?;
-    let mut front = EventLoopState::new(&config, &known, listener, event_loop.handle())?;
-    log::info!("takes statements at {address}");
+        .map_err(|e| polling_error(e.error.into()))?;
+    Ok(event_loop)
+}
+
+/// Runs the event loop until a graceful shutdown is complete. Each iteration handles signals, then sockets, then
+/// what follows from both.
+fn serve(
+    event_loop: &mut EventLoop<'static, LoopEvents>,
+    front: &mut EventLoopState,
+    variables: &HashMap<String, String>,
+) -> Result<(), StartError> {
     let mut events = LoopEvents::default();
     while !front.is_done() {
         let idle = front.idle();
         event_loop
             .dispatch(idle, &mut events)
-            .map_err(|e| polls(e.into()))?;
+            .map_err(|e| polling_error(e.into()))?;
         for signal in events.signals.drain(..) {
             match signal {
-                Signal::SIGHUP => front.reload(NodeConfig::read(&variables)),
+                Signal::SIGHUP => front.reload(NodeConfig::read(variables)),
                 _ => front.shut_down(),
             }
         }
-        events
-            .ready
-            .drain(..)
-            .for_each(|socket| front.ready(socket));
+        for socket in events.ready.drain(..) {
+            front.ready(socket);
+        }
         front.iterate();
     }
-    log::info!("all is answered");
     Ok(())
 }
+
+fn polling_error(why: std::io::Error) -> StartError {
+    StartError::system("polling", &why)
+}
--- a/crates/front/src/start_error.rs
+++ b/crates/front/src/start_error.rs
@@ -3,20 +3,26 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
+/// What keeps the process from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
+    /// The settings or the operator's file.
     #[error(transparent)]
     Configuration(#[from] hallmux_config::Error),
+    /// The coordinator's events that the configuration brings along can't be read.
     #[error("{key}: {why}; give the coordinator's events as it words them, or leave the key out")]
     Known { key: String, why: String },
+    /// The address for clients can't be listened on.
     #[error("{key}: {at}: {why}; give the address of a free port of this machine")]
     Listen {
         key: String,
         at: SocketAddr,
         why: std::io::Error,
     },
+    /// The part `gossip` of the operator's file.
     #[error(transparent)]
     Peers(#[from] crate::fleet::PeersError),
+    /// The part `rules` of the operator's file.
     #[error(transparent)]
     Rules(#[from] crate::fleet::RulesError),
     /// What else the operator's file switches on, or the clock of a test: the text names the key.
@@ -25,6 +31,7 @@
     /// The same, where the part itself says what can be done.
     #[error("{0}")]
     PartWithRemedy(String),
+    /// A call of the operating system.
     #[error("{what}: {why}; see whether this user may open more files (ulimit -n)")]
     System { what: &'static str, why: String },
 }
@@ -66,17 +73,19 @@
         }
     }
 
-    /// Of a part that may have said itself what can be done.
+    /// The error of a part that may name the remedy itself, after a semicolon.
     pub fn part(why: &std::io::Error) -> StartError {
-        let said = why.to_string();
-        match said.rsplit_once("; ") {
-            Some(_) => StartError::PartWithRemedy(said),
-            None => StartError::Part(said),
+        let text = why.to_string();
+        if text.contains("; ") {
+            StartError::PartWithRemedy(text)
+        } else {
+            StartError::Part(text)
         }
     }
 
-    pub fn system(what: &'static str) -> impl Fn(std::io::Error) -> StartError {
-        move |why| StartError::System {
+    /// The operating system failed at `what`.
+    pub fn system(what: &'static str, why: &std::io::Error) -> StartError {
+        StartError::System {
             what,
             why: why.to_string(),
         }
--- a/crates/front/src/start_error_tests.rs
+++ b/crates/front/src/start_error_tests.rs
@@ -35,7 +35,7 @@
             "rules.file: r: ",
         ),
         (
-            StartError::system("signals")(other("too many")),
+            StartError::system("signals", &other("too many")),
             "signals: ",
         ),
     ] {
