--- a/crates/front/src/engines/mod.rs
+++ b/crates/front/src/engines.rs
@@ -42,13 +42,13 @@
 /// What engines have answered, and how executions have ended.
 pub enum Event {
     Ended {
-        sent: ExecutionId,
+        execution_id: ExecutionId,
         ending: Ending,
         report: Option<Vec<f64>>,
         result: Vec<u8>,
     },
     Noted {
-        sent: ExecutionId,
+        execution_id: ExecutionId,
         note: Note,
     },
     Probed {
@@ -92,7 +92,7 @@
     call: Rc<Call>,
     terms: Terms,
     stage: Stage,
-    sent: Micros,
+    sent_at: Micros,
     last_reply: Micros,
     pages: Option<Pages>,
 }
@@ -168,15 +168,15 @@
         self.max_links = sockets.saturating_sub(OTHER_DESCRIPTORS).max(1);
     }
 
-    fn report_end(&mut self, sent: ExecutionId, ending: Ending) {
+    fn report_end(&mut self, execution_id: ExecutionId, ending: Ending) {
         log::debug!(
             "statement {}: execution {} ended: {ending:?}",
-            sent.ticket,
-            sent.number
+            execution_id.ticket,
+            execution_id.number
         );
-        self.executions.remove(&sent);
+        self.executions.remove(&execution_id);
         self.events.push(Event::Ended {
-            sent,
+            execution_id,
             ending,
             report: None,
             result: Vec::new(),
@@ -232,17 +232,20 @@
                 continue;
             };
             link.retired = true;
-            for sent in std::mem::take(&mut link.queue) {
-                self.withdraw(id, sent);
+            for execution_id in std::mem::take(&mut link.queue) {
+                self.withdraw(id, execution_id);
             }
         }
     }
 
-    fn withdraw(&mut self, link: LinkId, sent: ExecutionId) {
-        if let (Some(link), Some(x)) = (self.links.get_mut(&link), self.executions.get(&sent)) {
-            link.open.remove(&x.call.id);
+    fn withdraw(&mut self, link: LinkId, execution_id: ExecutionId) {
+        if let (Some(link), Some(execution)) = (
+            self.links.get_mut(&link),
+            self.executions.get(&execution_id),
+        ) {
+            link.open.remove(&execution.call.id);
         }
-        self.report_end(sent, Ending::Withdrawn);
+        self.report_end(execution_id, Ending::Withdrawn);
     }
 
     /// Nobody waits for a statement any more: what has not left for an engine never will.
@@ -250,13 +253,15 @@
         let of_ticket = self
             .executions
             .range(ExecutionId::new(ticket, 0)..=ExecutionId::new(ticket, usize::MAX));
-        let queued = of_ticket.filter(|(_, x)| x.stage == Stage::Queued);
-        let queued: Vec<(ExecutionId, LinkId)> = queued.map(|(sent, x)| (*sent, x.link)).collect();
-        for (sent, id) in queued {
+        let queued = of_ticket.filter(|(_, execution)| execution.stage == Stage::Queued);
+        let queued: Vec<(ExecutionId, LinkId)> = queued
+            .map(|(execution_id, execution)| (*execution_id, execution.link))
+            .collect();
+        for (execution_id, id) in queued {
             if let Some(link) = self.links.get_mut(&id) {
-                link.queue.retain(|other| *other != sent);
+                link.queue.retain(|other| *other != execution_id);
             }
-            self.withdraw(id, sent);
+            self.withdraw(id, execution_id);
         }
     }
 
@@ -270,5 +275,5 @@
 }
 
 #[cfg(test)]
-#[path = "engines_tests.rs"]
+#[path = "engines/engines_tests.rs"]
 mod tests;
--- a/crates/front/src/engines/cancels.rs
+++ b/crates/front/src/engines/cancels.rs
@@ -4,7 +4,7 @@
 
 /// An execution that was ended from here, but whose engine may not have read so yet.
 pub(super) struct AwaitingCancel {
-    sent: ExecutionId,
+    execution_id: ExecutionId,
     ending: Ending,
     state: CancelState,
 }
@@ -32,7 +32,7 @@
     /// whose output says so, and where that ends in it; none where the connection was closed.
     pub(super) fn end_execution(
         &mut self,
-        sent: ExecutionId,
+        execution_id: ExecutionId,
         ending: Ending,
         command: Option<(LinkId, usize)>,
     ) {
@@ -40,16 +40,16 @@
             ending,
             Ending::GivenUp | Ending::Unreadable | Ending::ClosedHere
         ) {
-            return self.report_end(sent, ending);
+            return self.report_end(execution_id, ending);
         }
-        self.executions.remove(&sent);
+        self.executions.remove(&execution_id);
         let state = command.map_or(CancelState::Closed, |(link, end)| CancelState::Unsent {
             link,
             end,
             close_by: None,
         });
         self.awaiting_cancel.push(AwaitingCancel {
-            sent,
+            execution_id,
             ending,
             state,
         });
@@ -57,12 +57,12 @@
 
     /// An execution that is cancelled is to end at once if its client's time is up, read or not. Guards
     /// against a final answer that waits for an engine that reads nothing.
-    pub(super) fn end_awaited(&mut self, sent: ExecutionId, ending: Ending) {
+    pub(super) fn end_awaited(&mut self, execution_id: ExecutionId, ending: Ending) {
         let before = self.awaiting_cancel.len();
         self.awaiting_cancel
-            .retain(|awaited| ending != Ending::TimeUp || awaited.sent != sent);
+            .retain(|awaited| ending != Ending::TimeUp || awaited.execution_id != execution_id);
         if self.awaiting_cancel.len() < before {
-            self.report_end(sent, ending);
+            self.report_end(execution_id, ending);
         }
     }
 
@@ -119,7 +119,7 @@
         };
         let read: Vec<AwaitingCancel> = self.awaiting_cancel.extract_if(.., is_read).collect();
         read.into_iter()
-            .for_each(|awaited| self.report_end(awaited.sent, awaited.ending));
+            .for_each(|awaited| self.report_end(awaited.execution_id, awaited.ending));
     }
 
     /// Whether a connection has not taken a command that ends an execution for as long as one has to come up.
@@ -151,14 +151,14 @@
             _ => false,
         };
         let unsent: Vec<AwaitingCancel> = self.awaiting_cancel.extract_if(.., unsent).collect();
-        for AwaitingCancel { sent, .. } in unsent {
+        for AwaitingCancel { execution_id, .. } in unsent {
             let ending = match ending {
                 Ending::Reset | Ending::Closed | Ending::Unreadable => ending,
                 // From here, for whatever reason: it may have run, and its engine may read of the end only
                 // now.
                 _ => Ending::ClosedHere,
             };
-            self.end_execution(sent, ending, None);
+            self.end_execution(execution_id, ending, None);
         }
     }
 }
--- a/crates/front/src/engines/engines_tests.rs
+++ b/crates/front/src/engines/engines_tests.rs
@@ -79,7 +79,7 @@
         matches!(
             event,
             Event::Ended {
-                sent: ExecutionId {
+                execution_id: ExecutionId {
                     ticket: 2,
                     number: 0
                 },
@@ -94,7 +94,7 @@
         matches!(
             event,
             Event::Ended {
-                sent: ExecutionId {
+                execution_id: ExecutionId {
                     ticket: 1,
                     number: 0
                 },
@@ -235,7 +235,11 @@
     /// How executions have ended since the last look.
     fn ended(&mut self) -> Vec<(Ticket, Ending)> {
         let ended = |event: Event| match event {
-            Event::Ended { sent, ending, .. } => Some((sent.ticket, ending)),
+            Event::Ended {
+                execution_id,
+                ending,
+                ..
+            } => Some((execution_id.ticket, ending)),
             _ => None,
         };
         std::mem::take(&mut self.engines.events)
@@ -301,10 +305,15 @@
         engines.flush(1);
     }
     let lost = |event: &Event| {
-        let Event::Ended { sent, ending, .. } = event else {
+        let Event::Ended {
+            execution_id,
+            ending,
+            ..
+        } = event
+        else {
             return false;
         };
-        *sent == ExecutionId::new(1, 0) && matches!(ending, Ending::Reset | Ending::Closed)
+        *execution_id == ExecutionId::new(1, 0) && matches!(ending, Ending::Reset | Ending::Closed)
     };
     assert!(engines.events.len() == 1 && lost(&engines.events[0]));
     engines.expire(DIAL_TIMEOUT);
--- a/crates/front/src/engines/replies.rs
+++ b/crates/front/src/engines/replies.rs
@@ -86,7 +86,7 @@
             return;
         }
         // What is said of an execution that was given up or is unknown means nothing any more.
-        let Some(&sent) = link.open.get(line.id) else {
+        let Some(&execution_id) = link.open.get(line.id) else {
             let over = matches!(
                 line.kind,
                 ReplyKind::FirstPage { .. }
@@ -100,16 +100,16 @@
             }
             return;
         };
-        let Some(x) = self
+        let Some(execution) = self
             .executions
-            .get_mut(&sent)
-            .filter(|x| x.stage == Stage::Out)
+            .get_mut(&execution_id)
+            .filter(|execution| execution.stage == Stage::Out)
         else {
             return;
         };
-        x.last_reply = now;
+        execution.last_reply = now;
         let ending = match line.kind {
-            ReplyKind::FirstPage { pages } if x.pages.is_none() && pages <= MOST_PAGES => {
+            ReplyKind::FirstPage { pages } if execution.pages.is_none() && pages <= MOST_PAGES => {
                 let report = line.report.clone();
                 let mut first = Pages {
                     missing: pages,
@@ -118,30 +118,33 @@
                     ..Pages::default()
                 };
                 first.bytes.resize(pages, None);
-                x.pages = Some(first);
+                execution.pages = Some(first);
                 for page in 1..pages {
                     engine::write(
                         link.link.output(),
                         &Command::FetchPage { id: line.id, page },
                     );
                 }
-                x.take_page(now, 0, line.bytes)
+                execution.take_page(now, 0, line.bytes)
             }
             ReplyKind::FirstPage { pages }
-                if x.pages.as_ref().is_some_and(|p| p.bytes.len() == pages) =>
+                if execution
+                    .pages
+                    .as_ref()
+                    .is_some_and(|p| p.bytes.len() == pages) =>
             {
-                x.take_page(now, 0, line.bytes)
+                execution.take_page(now, 0, line.bytes)
             }
             ReplyKind::FirstPage { .. } => Some(Ending::Unreadable),
-            ReplyKind::Page { number } => x.take_page(now, number, line.bytes),
-            ReplyKind::Rejected if x.pages.is_none() => Some(Ending::TurnedAway),
-            ReplyKind::Stale if x.pages.is_none() => Some(Ending::Stale),
-            ReplyKind::Failed if x.pages.is_none() => Some(Ending::EngineFailed),
+            ReplyKind::Page { number } => execution.take_page(now, number, line.bytes),
+            ReplyKind::Rejected if execution.pages.is_none() => Some(Ending::TurnedAway),
+            ReplyKind::Stale if execution.pages.is_none() => Some(Ending::Stale),
+            ReplyKind::Failed if execution.pages.is_none() => Some(Ending::EngineFailed),
             ReplyKind::Rejected | ReplyKind::Stale | ReplyKind::Failed => Some(Ending::PageLost),
-            ReplyKind::ShareDone(share) => return self.note(sent, Note::ShareDone(share)),
-            ReplyKind::SpillsMb(mb) => return self.note(sent, Note::SpillsMb(mb)),
-            ReplyKind::WaitsForMemory => return self.note(sent, Note::WaitsForMemory),
-            ReplyKind::WaitsForData => return self.note(sent, Note::WaitsForData),
+            ReplyKind::ShareDone(share) => return self.note(execution_id, Note::ShareDone(share)),
+            ReplyKind::SpillsMb(mb) => return self.note(execution_id, Note::SpillsMb(mb)),
+            ReplyKind::WaitsForMemory => return self.note(execution_id, Note::WaitsForMemory),
+            ReplyKind::WaitsForData => return self.note(execution_id, Note::WaitsForData),
             ReplyKind::OtherNote | ReplyKind::ProbeAnswer { .. } => None,
         };
         let Some(ending) = ending else { return };
@@ -156,8 +159,8 @@
         link.idle_since = now;
         let pages = self
             .executions
-            .remove(&sent)
-            .and_then(|x| x.pages)
+            .remove(&execution_id)
+            .and_then(|execution| execution.pages)
             .unwrap_or_default();
         if ending == Ending::PageLost {
             engine::write(link.link.output(), &Command::ReleaseResult { id: line.id });
@@ -175,8 +178,8 @@
         }
         log::debug!(
             "statement {}: execution {} ended: {ending:?}",
-            sent.ticket,
-            sent.number
+            execution_id.ticket,
+            execution_id.number
         );
         let report = line.report.or(pages.report);
         let result = match ending {
@@ -184,15 +187,15 @@
             _ => Vec::new(),
         };
         self.events.push(Event::Ended {
-            sent,
+            execution_id,
             ending,
             report,
             result,
         });
     }
 
-    pub(super) fn note(&mut self, sent: ExecutionId, note: Note) {
-        self.events.push(Event::Noted { sent, note });
+    pub(super) fn note(&mut self, execution_id: ExecutionId, note: Note) {
+        self.events.push(Event::Noted { execution_id, note });
     }
 }
 
--- a/crates/front/src/engines/send.rs
+++ b/crates/front/src/engines/send.rs
@@ -14,31 +14,31 @@
     pub fn send(
         &mut self,
         now: Micros,
-        sent: ExecutionId,
+        execution_id: ExecutionId,
         place: Place,
         call: Rc<Call>,
         terms: Terms,
     ) {
         let id = match self.choose_link(now, place, &call.id) {
             Ok(id) => id,
-            Err(ending) => return self.report_end(sent, ending),
+            Err(ending) => return self.report_end(execution_id, ending),
         };
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
-        link.open.insert(call.id.clone(), sent);
-        link.queue.push_back(sent);
+        link.open.insert(call.id.clone(), execution_id);
+        link.queue.push_back(execution_id);
         let stage = Stage::Queued;
-        let x = Execution {
+        let execution = Execution {
             link: id,
             call,
             terms,
             stage,
-            sent: now,
+            sent_at: now,
             last_reply: now,
             pages: None,
         };
-        self.executions.insert(sent, x);
+        self.executions.insert(execution_id, execution);
     }
 
     pub(super) fn choose_link(
@@ -135,17 +135,17 @@
         Ok(id)
     }
 
-    pub fn set_priority(&mut self, sent: ExecutionId, priority: u8) {
-        let Some(x) = self.executions.get_mut(&sent) else {
+    pub fn set_priority(&mut self, execution_id: ExecutionId, priority: u8) {
+        let Some(execution) = self.executions.get_mut(&execution_id) else {
             return;
         };
-        x.terms.priority = priority;
-        if x.stage != Stage::Queued && x.pages.is_none() {
-            if let Some(link) = self.links.get_mut(&x.link) {
+        execution.terms.priority = priority;
+        if execution.stage != Stage::Queued && execution.pages.is_none() {
+            if let Some(link) = self.links.get_mut(&execution.link) {
                 engine::write(
                     link.link.output(),
                     &Command::SetPriority {
-                        id: &x.call.id,
+                        id: &execution.call.id,
                         priority,
                     },
                 );
@@ -154,28 +154,30 @@
     }
 
     /// Cancels an execution. It ends with the ending given, or as withdrawn where nothing of it has left.
-    pub fn cancel(&mut self, now: Micros, sent: ExecutionId, ending: Ending) {
-        let Some(x) = self.executions.get(&sent) else {
-            return self.end_awaited(sent, ending);
+    pub fn cancel(&mut self, now: Micros, execution_id: ExecutionId, ending: Ending) {
+        let Some(execution) = self.executions.get(&execution_id) else {
+            return self.end_awaited(execution_id, ending);
         };
-        let (id, name) = (x.link, x.call.id.clone());
+        let (id, name) = (execution.link, execution.call.id.clone());
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
         // A connection silent since then, longer than one takes to come up, may be to a machine that is gone.
-        link.retired |=
-            link.up && link.last_reply < x.sent && now - x.sent > self.allowance.dial_timeout;
+        link.retired |= link.up
+            && link.last_reply < execution.sent_at
+            && now - execution.sent_at > self.allowance.dial_timeout;
         // Nor is one of use on which the answer never came.
-        link.retired |= x.stage == Stage::Out && now - x.last_reply > SILENCE_TIMEOUT;
-        match x.stage {
+        link.retired |=
+            execution.stage == Stage::Out && now - execution.last_reply > SILENCE_TIMEOUT;
+        match execution.stage {
             Stage::Queued => {
-                link.queue.retain(|other| *other != sent);
-                self.withdraw(id, sent);
+                link.queue.retain(|other| *other != execution_id);
+                self.withdraw(id, execution_id);
             }
             // It would reach its engine whole after its end: rather the connection goes.
             Stage::Writing => self.close(now, id, Ending::ClosedHere),
             Stage::Out => {
-                match x.pages {
+                match execution.pages {
                     Some(_) => {
                         engine::write(link.link.output(), &Command::ReleaseResult { id: &name })
                     }
@@ -188,7 +190,7 @@
                 link.open.remove(&name);
                 link.cancelled.insert(name);
                 let leaves = (id, link.link.end_of_output());
-                self.end_execution(sent, ending, Some(leaves));
+                self.end_execution(execution_id, ending, Some(leaves));
             }
         }
     }
--- a/crates/front/src/engines/timeouts.rs
+++ b/crates/front/src/engines/timeouts.rs
@@ -125,18 +125,23 @@
 
     /// Since when a statement has begun to leave over a connection and has not left whole.
     fn writing_since(&self, link: &EngineLink) -> Option<Micros> {
-        let (sent, _) = link
+        let (execution_id, _) = link
             .writing
             .as_ref()
             .filter(|(_, end)| !link.link.has_sent_up_to(*end))?;
-        self.executions.get(sent).map(|x| x.sent)
+        self.executions
+            .get(execution_id)
+            .map(|execution| execution.sent_at)
     }
 
     /// What has begun to come over a connection and takes too long.
     fn overdue(&self, now: Micros, id: LinkId) -> Option<&'static str> {
         let link = self.links.get(&id)?;
-        let page = |sent: &ExecutionId| {
-            let pages = self.executions.get(sent).and_then(|x| x.pages.as_ref());
+        let page = |execution_id: &ExecutionId| {
+            let pages = self
+                .executions
+                .get(execution_id)
+                .and_then(|execution| execution.pages.as_ref());
             pages.is_some_and(|pages| pages.last_page + READ_TIMEOUT <= now)
         };
         if link
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -29,14 +29,18 @@
         }
         let mut open: Vec<ExecutionId> = link.open.into_values().collect();
         open.sort_unstable();
-        for sent in open {
-            let ending = match self.executions.get(&sent).map(|x| &x.stage) {
+        for execution_id in open {
+            let ending = match self
+                .executions
+                .get(&execution_id)
+                .map(|execution| &execution.stage)
+            {
                 Some(Stage::Queued) if link.up => Ending::Withdrawn,
                 Some(Stage::Writing) => Ending::HalfWritten,
                 Some(_) => ending,
                 None => continue,
             };
-            self.end_execution(sent, ending, None);
+            self.end_execution(execution_id, ending, None);
         }
         for _ in link.probes {
             self.events.push(Event::Probed {
@@ -69,13 +73,13 @@
             return Ok(());
         };
         let flushed = link.link.flush();
-        if let Some((sent, _)) = link
+        if let Some((execution_id, _)) = link
             .writing
             .take_if(|(_, end)| link.link.has_sent_up_to(*end))
         {
             self.executions
-                .entry(sent)
-                .and_modify(|x| x.stage = Stage::Out);
+                .entry(execution_id)
+                .and_modify(|execution| execution.stage = Stage::Out);
         }
         flushed
     }
@@ -93,26 +97,29 @@
             } else if link.link.unsent() > 0 {
                 return Ok(());
             }
-            let Some(sent) = link.queue.pop_front() else {
+            let Some(execution_id) = link.queue.pop_front() else {
                 return Ok(());
             };
-            let Some(x) = self.executions.get_mut(&sent) else {
+            let Some(execution) = self.executions.get_mut(&execution_id) else {
                 continue;
             };
             let engine = self.engines.get(&link.place);
-            if let Some(why) = withheld_because(now, engine, &x.terms) {
-                log::debug!("statement {}: its execution stays here: {why}", x.call.id);
-                self.withdraw(id, sent);
+            if let Some(why) = withheld_because(now, engine, &execution.terms) {
+                log::debug!(
+                    "statement {}: its execution stays here: {why}",
+                    execution.call.id
+                );
+                self.withdraw(id, execution_id);
                 return self.write_queue(now, id);
             }
             let request = ExecutionRequest {
-                id: &x.call.id,
-                workload: &x.call.workload,
-                dedup_key: x.call.dedup_key.as_deref(),
-                wait_ms: ((x.terms.ends - now) / 1000).max(1),
-                grant_mb: x.terms.grant_mb,
-                priority: x.terms.priority,
-                statement: &x.call.statement,
+                id: &execution.call.id,
+                workload: &execution.call.workload,
+                dedup_key: execution.call.dedup_key.as_deref(),
+                wait_ms: ((execution.terms.ends - now) / 1000).max(1),
+                grant_mb: execution.terms.grant_mb,
+                priority: execution.terms.priority,
+                statement: &execution.call.statement,
             };
             if link.open.len() == 1 {
                 let dialled = link.dial_by - self.allowance.dial_timeout;
@@ -124,8 +131,8 @@
                 (link.idle_before, link.resumed_at) = (idle_before, now);
             }
             engine::write(link.link.output(), &Command::Execute(request));
-            (x.stage, x.sent) = (Stage::Writing, now);
-            link.writing = Some((sent, link.link.end_of_output()));
+            (execution.stage, execution.sent_at) = (Stage::Writing, now);
+            link.writing = Some((execution_id, link.link.end_of_output()));
         }
     }
 }
--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -22,7 +22,7 @@
         for event in std::mem::take(&mut self.engines.events) {
             match event {
                 engines::Event::Ended {
-                    sent:
+                    execution_id:
                         ExecutionId {
                             ticket,
                             number: execution,
@@ -48,7 +48,7 @@
                     }
                 }
                 engines::Event::Noted {
-                    sent:
+                    execution_id:
                         ExecutionId {
                             ticket,
                             number: execution,
