--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -37,7 +37,7 @@
 const IDLE_MARGIN: Micros = 1_000_000; // microseconds by which a connection is closed before its engine would
 const MOST_FORMER_IDS: usize = 128; // ids that a connection remembers; then it takes no more executions
 
-type LinkId = u64;
+type ConnectionId = u64;
 
 /// What engines have answered, and how executions have ended.
 pub enum Event {
@@ -64,7 +64,7 @@
     started: f64,
     /// Executions may go there.
     available: bool,
-    links: Vec<LinkId>,
+    connections: Vec<ConnectionId>,
     /// Its last connection did not come up.
     failing: bool,
 }
@@ -88,7 +88,7 @@
 }
 
 struct Execution {
-    link: LinkId,
+    connection: ConnectionId,
     call: Rc<Call>,
     terms: Terms,
     stage: Stage,
@@ -97,7 +97,7 @@
     pages: Option<Pages>,
 }
 
-struct EngineLink {
+struct EngineConnection {
     link: Link,
     place: Place,
     up: bool,
@@ -129,10 +129,10 @@
     allowance: NetworkSettings,
     report_names: Vec<String>,
     engines: BTreeMap<Place, Engine>,
-    links: BTreeMap<LinkId, EngineLink>,
+    connections: BTreeMap<ConnectionId, EngineConnection>,
     executions: BTreeMap<ExecutionId, Execution>,
     next: u64,
-    max_links: usize,
+    max_connections: usize,
     /// When connections may be made; any time where nothing else is set.
     pub dials: DialPacer,
     reuse: Reuse,
@@ -153,10 +153,10 @@
             allowance,
             report_names: names.report.clone(),
             engines: BTreeMap::new(),
-            links: BTreeMap::new(),
+            connections: BTreeMap::new(),
             executions: BTreeMap::new(),
             next: 0,
-            max_links: 0,
+            max_connections: 0,
             dials: dial_pacer::unlimited(),
             awaiting_cancel: Vec::new(),
             events: Vec::new(),
@@ -165,7 +165,7 @@
 
     /// Descriptors that clients leave to the rest of the front.
     pub fn limit(&mut self, sockets: usize) {
-        self.max_links = sockets.saturating_sub(OTHER_DESCRIPTORS).max(1);
+        self.max_connections = sockets.saturating_sub(OTHER_DESCRIPTORS).max(1);
     }
 
     fn report_end(&mut self, execution_id: ExecutionId, ending: Ending) {
@@ -191,10 +191,10 @@
         if !same || !up {
             self.retire(place);
         }
-        let links = self
+        let connections = self
             .engines
             .remove(&place)
-            .map(|e| e.links)
+            .map(|e| e.connections)
             .unwrap_or_default();
         let id = id.to_string();
         self.engines.insert(
@@ -204,7 +204,7 @@
                 at,
                 started,
                 available: up,
-                links,
+                connections,
                 failing,
             },
         );
@@ -227,23 +227,23 @@
             return;
         };
         engine.available = false;
-        for id in engine.links.clone() {
-            let Some(link) = self.links.get_mut(&id) else {
+        for id in engine.connections.clone() {
+            let Some(connection) = self.connections.get_mut(&id) else {
                 continue;
             };
-            link.retired = true;
-            for execution_id in std::mem::take(&mut link.queue) {
+            connection.retired = true;
+            for execution_id in std::mem::take(&mut connection.queue) {
                 self.withdraw(id, execution_id);
             }
         }
     }
 
-    fn withdraw(&mut self, link: LinkId, execution_id: ExecutionId) {
-        if let (Some(link), Some(execution)) = (
-            self.links.get_mut(&link),
+    fn withdraw(&mut self, connection: ConnectionId, execution_id: ExecutionId) {
+        if let (Some(connection), Some(execution)) = (
+            self.connections.get_mut(&connection),
             self.executions.get(&execution_id),
         ) {
-            link.open.remove(&execution.call.id);
+            connection.open.remove(&execution.call.id);
         }
         self.report_end(execution_id, Ending::Withdrawn);
     }
@@ -254,21 +254,21 @@
             .executions
             .range(ExecutionId::new(ticket, 0)..=ExecutionId::new(ticket, usize::MAX));
         let queued = of_ticket.filter(|(_, execution)| execution.stage == Stage::Queued);
-        let queued: Vec<(ExecutionId, LinkId)> = queued
-            .map(|(execution_id, execution)| (*execution_id, execution.link))
+        let queued: Vec<(ExecutionId, ConnectionId)> = queued
+            .map(|(execution_id, execution)| (*execution_id, execution.connection))
             .collect();
         for (execution_id, id) in queued {
-            if let Some(link) = self.links.get_mut(&id) {
-                link.queue.retain(|other| *other != execution_id);
+            if let Some(connection) = self.connections.get_mut(&id) {
+                connection.queue.retain(|other| *other != execution_id);
             }
             self.withdraw(id, execution_id);
         }
     }
 
-    fn engine_name(&self, link: LinkId) -> &str {
+    fn engine_name(&self, connection: ConnectionId) -> &str {
         let engine = self
-            .links
-            .get(&link)
+            .connections
+            .get(&connection)
             .and_then(|l| self.engines.get(&l.place));
         engine.map_or("?", |e| &e.id)
     }
--- a/crates/front/src/engines/cancels.rs
+++ b/crates/front/src/engines/cancels.rs
@@ -15,7 +15,7 @@
     /// A command on a connection, which ends there in the output and has not left whole; from `close_by` on
     /// its connection is closed, once a flush has found that the network does not take it.
     Unsent {
-        link: LinkId,
+        connection: ConnectionId,
         end: usize,
         close_by: Option<Micros>,
     },
@@ -34,7 +34,7 @@
         &mut self,
         execution_id: ExecutionId,
         ending: Ending,
-        command: Option<(LinkId, usize)>,
+        command: Option<(ConnectionId, usize)>,
     ) {
         if !matches!(
             ending,
@@ -43,10 +43,12 @@
             return self.report_end(execution_id, ending);
         }
         self.executions.remove(&execution_id);
-        let state = command.map_or(CancelState::Closed, |(link, end)| CancelState::Unsent {
-            link,
-            end,
-            close_by: None,
+        let state = command.map_or(CancelState::Closed, |(connection, end)| {
+            CancelState::Unsent {
+                connection,
+                end,
+                close_by: None,
+            }
         });
         self.awaiting_cancel.push(AwaitingCancel {
             execution_id,
@@ -74,17 +76,17 @@
         for awaited in &mut self.awaiting_cancel {
             awaited.state = match awaited.state {
                 CancelState::Unsent {
-                    link,
+                    connection,
                     end,
                     close_by,
                 } if self
-                    .links
-                    .get(&link)
+                    .connections
+                    .get(&connection)
                     .is_some_and(|l| !l.link.has_sent_up_to(end)) =>
                 {
                     let close_by = close_by.or(Some(now.saturating_add(timeout)));
                     CancelState::Unsent {
-                        link,
+                        connection,
                         end,
                         close_by,
                     }
@@ -124,30 +126,30 @@
 
     /// Whether a connection has not taken a command that ends an execution for as long as one has to come up.
     /// Closing it gives up what is open on it, which is all that is left to tell its engine.
-    pub(super) fn is_cancel_overdue(&self, now: Micros, id: LinkId) -> bool {
-        let Some(link) = self.links.get(&id) else {
+    pub(super) fn is_cancel_overdue(&self, now: Micros, id: ConnectionId) -> bool {
+        let Some(connection) = self.connections.get(&id) else {
             return false;
         };
         self.awaiting_cancel
             .iter()
             .any(|awaited| match awaited.state {
                 CancelState::Unsent {
-                    link: on,
+                    connection: on,
                     end,
                     close_by,
                 } => {
                     on == id
                         && close_by.is_some_and(|by| by <= now)
-                        && !link.link.has_sent_up_to(end)
+                        && !connection.link.has_sent_up_to(end)
                 }
                 _ => false,
             })
     }
 
     /// A connection is over: what was cancelled on it, but not told, ends as what was still out there.
-    pub(super) fn settle_unsent_cancels(&mut self, link: LinkId, ending: Ending) {
+    pub(super) fn settle_unsent_cancels(&mut self, connection: ConnectionId, ending: Ending) {
         let unsent = |awaited: &mut AwaitingCancel| match awaited.state {
-            CancelState::Unsent { link: on, .. } => on == link,
+            CancelState::Unsent { connection: on, .. } => on == connection,
             _ => false,
         };
         let unsent: Vec<AwaitingCancel> = self.awaiting_cancel.extract_if(.., unsent).collect();
--- a/crates/front/src/engines/capacity.rs
+++ b/crates/front/src/engines/capacity.rs
@@ -9,8 +9,11 @@
             return 0;
         };
         let each = self.allowance.executions_per_connection;
-        let links = engine.links.iter().filter_map(|id| self.links.get(id));
-        let takes = links.filter(|l| l.takes_executions()).map(|l| {
+        let connections = engine
+            .connections
+            .iter()
+            .filter_map(|id| self.connections.get(id));
+        let takes = connections.filter(|l| l.takes_executions()).map(|l| {
             let runs_on = if self.allowance.cancel {
                 0
             } else {
@@ -25,7 +28,8 @@
     /// Whether descriptors are left for another connection to an engine.
     pub(super) fn may_dial(&self, engine: &Engine) -> bool {
         let listed = self.engines.values().filter(|e| e.available).count().max(1);
-        engine.links.len() < self.max_links / listed && self.links.len() < self.max_links
+        engine.connections.len() < self.max_connections / listed
+            && self.connections.len() < self.max_connections
     }
 }
 
--- a/crates/front/src/engines/capacity_tests.rs
+++ b/crates/front/src/engines/capacity_tests.rs
@@ -52,21 +52,24 @@
             })
         )
     };
-    assert!(withdrawn(engines.events.pop()) && engines.links.is_empty());
+    assert!(withdrawn(engines.events.pop()) && engines.connections.is_empty());
     assert_eq!(engines.capacity(SECOND, 0), 2);
     send(&mut engines, SECOND, 2);
-    assert_eq!((engines.capacity(SECOND, 0), engines.links.len()), (1, 1));
+    assert_eq!(
+        (engines.capacity(SECOND, 0), engines.connections.len()),
+        (1, 1)
+    );
     // The connection takes another at once; a probe does not wait until a connection may be made: it is not sent then.
     send(&mut engines, SECOND + 1, 3);
     assert_eq!(
-        (engines.capacity(SECOND + 1, 0), engines.links.len()),
+        (engines.capacity(SECOND + 1, 0), engines.connections.len()),
         (0, 1)
     );
     engines.probe(SECOND + 1, 0);
-    assert!(engines.events.is_empty() && engines.links.len() == 1);
+    assert!(engines.events.is_empty() && engines.connections.len() == 1);
     send(&mut engines, 2 * SECOND, 4);
     assert_eq!(
-        (engines.capacity(2 * SECOND, 0), engines.links.len()),
+        (engines.capacity(2 * SECOND, 0), engines.connections.len()),
         (1, 2)
     );
     assert_eq!(engines.executions.len(), 3);
--- a/crates/front/src/engines/engines_tests.rs
+++ b/crates/front/src/engines/engines_tests.rs
@@ -205,7 +205,7 @@
     /// given: the command is written, but its bytes have not left.
     fn gives_up_into_a_full_socket(&mut self, now: Micros) {
         let begun = Instant::now();
-        while self.engines.links[&1].link.unsent() == 0 {
+        while self.engines.connections[&1].link.unsent() == 0 {
             assert!(begun.elapsed() < PATIENCE, "the socket takes everything");
             (0..1_000).for_each(|_| self.engines.set_priority(ExecutionId::new(1, 0), 2));
             self.engines.flush(now);
@@ -213,7 +213,7 @@
         self.engines
             .cancel(now, ExecutionId::new(1, 0), Ending::GivenUp);
         self.engines.flush(now);
-        assert!(self.engines.links[&1].link.unsent() > 0 && self.engines.events.is_empty());
+        assert!(self.engines.connections[&1].link.unsent() > 0 && self.engines.events.is_empty());
     }
 
     /// The engine reads until the front has nothing left to send, which it flushes at the time given: what is
@@ -264,7 +264,7 @@
     assert_eq!(deaf.engines.due(), left_at + CANCEL_LAG);
     deaf.engines.expire(left_at + CANCEL_LAG);
     assert_eq!(deaf.ended(), [(1, Ending::GivenUp)]);
-    assert_eq!(deaf.engines.links.len(), 1);
+    assert_eq!(deaf.engines.connections.len(), 1);
 }
 
 #[test]
@@ -277,7 +277,7 @@
     assert_eq!(deaf.engines.due(), 1_000 + DIAL_TIMEOUT);
     let closed_at = 1_000 + DIAL_TIMEOUT;
     deaf.engines.expire(closed_at);
-    assert!(deaf.engines.links.is_empty());
+    assert!(deaf.engines.connections.is_empty());
     deaf.engines.flush(closed_at);
     // What had not begun to leave surely never ran; the other may have.
     assert_eq!(deaf.ended(), [(2, Ending::Withdrawn)]);
@@ -300,7 +300,7 @@
     } = deaf;
     drop(peer);
     let (begun, mut engines) = (Instant::now(), engines);
-    while !engines.links.is_empty() {
+    while !engines.connections.is_empty() {
         assert!(begun.elapsed() < PATIENCE, "the connection is not lost");
         engines.flush(1);
     }
@@ -341,13 +341,13 @@
     sends(&mut deaf.engines, 2, vec![b'x'; MOST_UNSENT - 1_000]);
     deaf.engines.flush(0);
     assert!(
-        deaf.engines.links[&1].link.unsent() > 0,
+        deaf.engines.connections[&1].link.unsent() > 0,
         "its end has not left"
     );
     // The engine reads as fast as it can; each look at the timeouts sends on, until its end has left.
     deaf.peer.set_nonblocking(true).unwrap();
     let (begun, mut chunk) = (Instant::now(), vec![0; 64 << 10]);
-    while deaf.engines.links[&1].link.unsent() > 0 {
+    while deaf.engines.connections[&1].link.unsent() > 0 {
         assert!(begun.elapsed() < PATIENCE, "not all comes");
         let _ = deaf.peer.read(&mut chunk);
         deaf.engines.expire(1);
@@ -355,14 +355,14 @@
     deaf.engines
         .cancel(2, ExecutionId::new(2, 0), Ending::TimeUp);
     assert_eq!(deaf.ended(), [(2, Ending::TimeUp)]);
-    assert_eq!(deaf.engines.links.len(), 1, "others go on there");
+    assert_eq!(deaf.engines.connections.len(), 1, "others go on there");
 }
 
 #[test]
 fn an_engine_that_leaves_too_much_untaken_has_its_executions_end_once_it_may_know() {
     let mut deaf = Deaf::new();
     let begun = Instant::now();
-    while !deaf.engines.links.is_empty() {
+    while !deaf.engines.connections.is_empty() {
         assert!(begun.elapsed() < PATIENCE, "the socket takes everything");
         (0..20_000).for_each(|_| deaf.engines.set_priority(ExecutionId::new(1, 0), 2));
         deaf.engines.flush(0);
--- a/crates/front/src/engines/replies.rs
+++ b/crates/front/src/engines/replies.rs
@@ -6,21 +6,25 @@
 
 impl Engines {
     /// A connection has changed; true if there is more for another iteration.
-    pub fn read(&mut self, now: Micros, id: LinkId) -> bool {
-        let Some(link) = self.links.get_mut(&id) else {
+    pub fn read(&mut self, now: Micros, id: ConnectionId) -> bool {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return false;
         };
-        if !link.up {
-            match link.link.is_up() {
+        if !connection.up {
+            match connection.link.is_up() {
                 Ok(false) => return false,
                 Ok(true) => {
-                    link.up = true;
-                    if let Some(engine) = self.engines.get_mut(&link.place).filter(|e| e.failing) {
+                    connection.up = true;
+                    if let Some(engine) = self
+                        .engines
+                        .get_mut(&connection.place)
+                        .filter(|e| e.failing)
+                    {
                         engine.failing = false;
                         log::info!("engine {}: reached again", engine.id);
                     }
-                    for tag in link.probes.keys() {
-                        engine::write(link.link.output(), &Command::Probe { tag });
+                    for tag in connection.probes.keys() {
+                        engine::write(connection.link.output(), &Command::Probe { tag });
                     }
                 }
                 Err(e) => {
@@ -35,8 +39,8 @@
                 }
             }
         }
-        let (more, broken) = link.link.read();
-        let input = std::mem::take(&mut link.link.input);
+        let (more, broken) = connection.link.read();
+        let input = std::mem::take(&mut connection.link.input);
         let mut at = 0;
         let unreadable = loop {
             match engine::read(&input[at..], &self.report_names) {
@@ -45,7 +49,7 @@
                 Ok(Some(Decoded { len, message })) => {
                     at += len;
                     self.take_line(now, id, message);
-                    if !self.links.contains_key(&id) {
+                    if !self.connections.contains_key(&id) {
                         return false;
                     }
                 }
@@ -57,12 +61,16 @@
                 self.engine_name(id)
             );
             self.close(now, id, Ending::Unreadable);
-        } else if let Some(link) = self.links.get_mut(&id) {
-            link.link.input = input;
-            link.link.consume(at);
-            let partial = !link.link.input.is_empty();
-            link.partial_line_since =
-                partial.then(|| link.partial_line_since.filter(|_| at == 0).unwrap_or(now));
+        } else if let Some(connection) = self.connections.get_mut(&id) {
+            connection.link.input = input;
+            connection.link.consume(at);
+            let partial = !connection.link.input.is_empty();
+            connection.partial_line_since = partial.then(|| {
+                connection
+                    .partial_line_since
+                    .filter(|_| at == 0)
+                    .unwrap_or(now)
+            });
         }
         if let Some(broken) = broken {
             self.close(now, id, ending_of(broken));
@@ -70,15 +78,15 @@
         more
     }
 
-    pub(super) fn take_line(&mut self, now: Micros, id: LinkId, line: Reply) {
-        let Some(link) = self.links.get_mut(&id) else {
+    pub(super) fn take_line(&mut self, now: Micros, id: ConnectionId, line: Reply) {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        link.last_reply = now;
+        connection.last_reply = now;
         if let ReplyKind::ProbeAnswer { healthy } = line.kind {
-            if link.probes.remove(line.id).is_some() {
+            if connection.probes.remove(line.id).is_some() {
                 self.events.push(Event::Probed {
-                    place: link.place,
+                    place: connection.place,
                     alive: healthy,
                     report: line.report,
                 });
@@ -86,7 +94,7 @@
             return;
         }
         // What is said of an execution that was given up or is unknown means nothing any more.
-        let Some(&execution_id) = link.open.get(line.id) else {
+        let Some(&execution_id) = connection.open.get(line.id) else {
             let over = matches!(
                 line.kind,
                 ReplyKind::FirstPage { .. }
@@ -94,9 +102,12 @@
                     | ReplyKind::Failed
                     | ReplyKind::Stale
             );
-            if over && !self.allowance.cancel && link.cancelled.remove(line.id) {
-                link.idle_since = now;
-                engine::write(link.link.output(), &Command::ReleaseResult { id: line.id });
+            if over && !self.allowance.cancel && connection.cancelled.remove(line.id) {
+                connection.idle_since = now;
+                engine::write(
+                    connection.link.output(),
+                    &Command::ReleaseResult { id: line.id },
+                );
             }
             return;
         };
@@ -121,7 +132,7 @@
                 execution.pages = Some(first);
                 for page in 1..pages {
                     engine::write(
-                        link.link.output(),
+                        connection.link.output(),
                         &Command::FetchPage { id: line.id, page },
                     );
                 }
@@ -155,21 +166,24 @@
             );
             return self.close(now, id, ending);
         }
-        link.open.remove(line.id);
-        link.idle_since = now;
+        connection.open.remove(line.id);
+        connection.idle_since = now;
         let pages = self
             .executions
             .remove(&execution_id)
             .and_then(|execution| execution.pages)
             .unwrap_or_default();
         if ending == Ending::PageLost {
-            engine::write(link.link.output(), &Command::ReleaseResult { id: line.id });
+            engine::write(
+                connection.link.output(),
+                &Command::ReleaseResult { id: line.id },
+            );
         }
         if ending != Ending::Answered {
             let over = if self.allowance.cancel {
-                &mut link.cancelled
+                &mut connection.cancelled
             } else {
-                &mut link.finished
+                &mut connection.finished
             };
             over.insert(line.id.to_string());
         }
--- a/crates/front/src/engines/send.rs
+++ b/crates/front/src/engines/send.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl EngineLink {
+impl EngineConnection {
     /// Whether it is of use for more executions.
     pub(super) fn takes_executions(&self) -> bool {
         !self.retired && self.cancelled.len() + self.finished.len() < MOST_FORMER_IDS
@@ -19,18 +19,18 @@
         call: Rc<Call>,
         terms: Terms,
     ) {
-        let id = match self.choose_link(now, place, &call.id) {
+        let id = match self.choose_connection(now, place, &call.id) {
             Ok(id) => id,
             Err(ending) => return self.report_end(execution_id, ending),
         };
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        link.open.insert(call.id.clone(), execution_id);
-        link.queue.push_back(execution_id);
+        connection.open.insert(call.id.clone(), execution_id);
+        connection.queue.push_back(execution_id);
         let stage = Stage::Queued;
         let execution = Execution {
-            link: id,
+            connection: id,
             call,
             terms,
             stage,
@@ -41,16 +41,16 @@
         self.executions.insert(execution_id, execution);
     }
 
-    pub(super) fn choose_link(
+    pub(super) fn choose_connection(
         &mut self,
         now: Micros,
         place: Place,
         id: &str,
-    ) -> Result<LinkId, Ending> {
+    ) -> Result<ConnectionId, Ending> {
         let most = self.allowance.executions_per_connection;
         let engine = self.engines.get(&place).ok_or(Ending::Withdrawn)?;
-        let fits = |link: &&LinkId| {
-            self.links.get(link).is_some_and(|l| {
+        let fits = |connection: &&ConnectionId| {
+            self.connections.get(connection).is_some_and(|l| {
                 let known =
                     l.open.contains_key(id) || l.cancelled.contains(id) || l.finished.contains(id);
                 // Where cancelling is not allowed, what was given up runs on there.
@@ -65,39 +65,39 @@
         };
         // Guards against losing many executions with one connection: few share one as far as descriptors go,
         // and those that have some come first, so that the others may end as idle.
-        let rank = |link: &&LinkId| {
-            let l = &self.links[link];
+        let rank = |connection: &&ConnectionId| {
+            let l = &self.connections[connection];
             (
                 l.up && l.link.unsent() == 0,
                 l.open.len() + l.probes.len(),
                 l.idle_since,
             )
         };
-        let few = |link: &&LinkId| rank(link).1 < MOST_SHARED;
-        if let Some(link) = engine
-            .links
+        let few = |link: &&ConnectionId| rank(link).1 < MOST_SHARED;
+        if let Some(connection) = engine
+            .connections
             .iter()
             .filter(fits)
             .filter(few)
             .max_by_key(rank)
         {
-            return Ok(*link);
+            return Ok(*connection);
         }
         let least = engine
-            .links
+            .connections
             .iter()
             .filter(fits)
-            .min_by_key(|link| rank(link).1)
+            .min_by_key(|connection| rank(connection).1)
             .copied();
         match least {
-            Some(link) if !self.may_dial(engine) => Ok(link),
+            Some(connection) if !self.may_dial(engine) => Ok(connection),
             // No new connection may be made now: what is there is used, else it stays here.
             _ if !self.dials.borrow_mut().take(now, place) => least.ok_or(Ending::Withdrawn),
             _ => self.dial(now, place).or_else(|ending| least.ok_or(ending)),
         }
     }
 
-    pub(super) fn dial(&mut self, now: Micros, place: Place) -> Result<LinkId, Ending> {
+    pub(super) fn dial(&mut self, now: Micros, place: Place) -> Result<ConnectionId, Ending> {
         let engine = self.engines.get_mut(&place).ok_or(Ending::Withdrawn)?;
         self.next += 1;
         let id = self.next;
@@ -112,8 +112,8 @@
                 });
             }
         };
-        engine.links.push(id);
-        let link = EngineLink {
+        engine.connections.push(id);
+        let connection = EngineConnection {
             link,
             place,
             up: false,
@@ -131,7 +131,7 @@
             finished: HashSet::new(),
             probes: HashMap::new(),
         };
-        self.links.insert(id, link);
+        self.connections.insert(id, connection);
         Ok(id)
     }
 
@@ -141,9 +141,9 @@
         };
         execution.terms.priority = priority;
         if execution.stage != Stage::Queued && execution.pages.is_none() {
-            if let Some(link) = self.links.get_mut(&execution.link) {
+            if let Some(connection) = self.connections.get_mut(&execution.connection) {
                 engine::write(
-                    link.link.output(),
+                    connection.link.output(),
                     &Command::SetPriority {
                         id: &execution.call.id,
                         priority,
@@ -158,38 +158,39 @@
         let Some(execution) = self.executions.get(&execution_id) else {
             return self.end_awaited(execution_id, ending);
         };
-        let (id, name) = (execution.link, execution.call.id.clone());
-        let Some(link) = self.links.get_mut(&id) else {
+        let (id, name) = (execution.connection, execution.call.id.clone());
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
         // A connection silent since then, longer than one takes to come up, may be to a machine that is gone.
-        link.retired |= link.up
-            && link.last_reply < execution.sent_at
+        connection.retired |= connection.up
+            && connection.last_reply < execution.sent_at
             && now - execution.sent_at > self.allowance.dial_timeout;
         // Nor is one of use on which the answer never came.
-        link.retired |=
+        connection.retired |=
             execution.stage == Stage::Out && now - execution.last_reply > SILENCE_TIMEOUT;
         match execution.stage {
             Stage::Queued => {
-                link.queue.retain(|other| *other != execution_id);
+                connection.queue.retain(|other| *other != execution_id);
                 self.withdraw(id, execution_id);
             }
             // It would reach its engine whole after its end: rather the connection goes.
             Stage::Writing => self.close(now, id, Ending::ClosedHere),
             Stage::Out => {
                 match execution.pages {
-                    Some(_) => {
-                        engine::write(link.link.output(), &Command::ReleaseResult { id: &name })
-                    }
+                    Some(_) => engine::write(
+                        connection.link.output(),
+                        &Command::ReleaseResult { id: &name },
+                    ),
                     None if self.allowance.cancel => {
-                        engine::write(link.link.output(), &Command::Cancel { id: &name })
+                        engine::write(connection.link.output(), &Command::Cancel { id: &name })
                     }
                     None => {}
                 }
-                link.idle_since = now;
-                link.open.remove(&name);
-                link.cancelled.insert(name);
-                let leaves = (id, link.link.end_of_output());
+                connection.idle_since = now;
+                connection.open.remove(&name);
+                connection.cancelled.insert(name);
+                let leaves = (id, connection.link.end_of_output());
                 self.end_execution(execution_id, ending, Some(leaves));
             }
         }
@@ -198,20 +199,22 @@
     pub fn probe(&mut self, now: Micros, place: Place) {
         self.next += 1;
         let tag = format!("p{}", self.next);
-        let link = match self.choose_link(now, place, &tag) {
+        let connection = match self.choose_connection(now, place, &tag) {
             Err(Ending::Withdrawn) => return, // no new connection may be made now: that says nothing of the engine
-            other => other.ok().and_then(|id| self.links.get_mut(&id)),
+            other => other.ok().and_then(|id| self.connections.get_mut(&id)),
         };
-        let Some(link) = link else {
+        let Some(connection) = connection else {
             return self.events.push(Event::Probed {
                 place,
                 alive: false,
                 report: None,
             });
         };
-        if link.up {
-            engine::write(link.link.output(), &Command::Probe { tag: &tag });
+        if connection.up {
+            engine::write(connection.link.output(), &Command::Probe { tag: &tag });
         }
-        link.probes.insert(tag, now + self.allowance.dial_timeout);
+        connection
+            .probes
+            .insert(tag, now + self.allowance.dial_timeout);
     }
 }
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -4,30 +4,32 @@
 
 impl Engines {
     /// A connection is over: each execution on it ends by how much of it has left.
-    pub(super) fn close(&mut self, now: Micros, id: LinkId, ending: Ending) {
-        let Some(link) = self.links.remove(&id) else {
+    pub(super) fn close(&mut self, now: Micros, id: ConnectionId, ending: Ending) {
+        let Some(connection) = self.connections.remove(&id) else {
             return;
         };
-        let lost =
-            matches!(ending, Ending::Reset | Ending::Closed) && link.up && !link.open.is_empty();
-        if lost && link.last_reply < link.resumed_at {
-            self.reuse.lost(link.idle_before, now - link.resumed_at);
+        let lost = matches!(ending, Ending::Reset | Ending::Closed)
+            && connection.up
+            && !connection.open.is_empty();
+        if lost && connection.last_reply < connection.resumed_at {
+            self.reuse
+                .lost(connection.idle_before, now - connection.resumed_at);
         }
-        if let Some(engine) = self.engines.get_mut(&link.place) {
-            engine.links.retain(|other| *other != id);
-            if !link.up && (link.retired || ending == Ending::BrokenNew) {
+        if let Some(engine) = self.engines.get_mut(&connection.place) {
+            engine.connections.retain(|other| *other != id);
+            if !connection.up && (connection.retired || ending == Ending::BrokenNew) {
                 log::debug!("engine {}: connection lost while it came up", engine.id);
-            } else if !link.up && !std::mem::replace(&mut engine.failing, true) {
+            } else if !connection.up && !std::mem::replace(&mut engine.failing, true) {
                 log::warn!("engine {}: can't be reached: {ending:?}", engine.id);
-            } else if link.up && !link.open.is_empty() {
-                let count = link.open.len();
+            } else if connection.up && !connection.open.is_empty() {
+                let count = connection.open.len();
                 log::warn!(
                     "engine {}: connection lost with {count} executions: {ending:?}",
                     engine.id
                 );
             }
         }
-        let mut open: Vec<ExecutionId> = link.open.into_values().collect();
+        let mut open: Vec<ExecutionId> = connection.open.into_values().collect();
         open.sort_unstable();
         for execution_id in open {
             let ending = match self
@@ -35,16 +37,16 @@
                 .get(&execution_id)
                 .map(|execution| &execution.stage)
             {
-                Some(Stage::Queued) if link.up => Ending::Withdrawn,
+                Some(Stage::Queued) if connection.up => Ending::Withdrawn,
                 Some(Stage::Writing) => Ending::HalfWritten,
                 Some(_) => ending,
                 None => continue,
             };
             self.end_execution(execution_id, ending, None);
         }
-        for _ in link.probes {
+        for _ in connection.probes {
             self.events.push(Event::Probed {
-                place: link.place,
+                place: connection.place,
                 alive: false,
                 report: None,
             });
@@ -54,7 +56,7 @@
 
     /// Sends what is to leave. Of what is queued only as much is begun as the network takes.
     pub fn flush(&mut self, now: Micros) {
-        let ids: Vec<LinkId> = self.links.keys().copied().collect();
+        let ids: Vec<ConnectionId> = self.connections.keys().copied().collect();
         for id in ids {
             if let Err(ending) = self.write_queue(now, id) {
                 // What its engine had answered before the connection broke still counts.
@@ -68,14 +70,14 @@
     /// Sends what the network takes over a connection that is up. A statement may have run once its last byte
     /// has left, whatever becomes of the commands behind it. Guards against one that has left and passes for
     /// half written: that would prove that it has not run.
-    pub(super) fn flush_link(&mut self, id: LinkId) -> Result<(), Broken> {
-        let Some(link) = self.links.get_mut(&id).filter(|l| l.up) else {
+    pub(super) fn flush_connection(&mut self, id: ConnectionId) -> Result<(), Broken> {
+        let Some(connection) = self.connections.get_mut(&id).filter(|l| l.up) else {
             return Ok(());
         };
-        let flushed = link.link.flush();
-        if let Some((execution_id, _)) = link
+        let flushed = connection.link.flush();
+        if let Some((execution_id, _)) = connection
             .writing
-            .take_if(|(_, end)| link.link.has_sent_up_to(*end))
+            .take_if(|(_, end)| connection.link.has_sent_up_to(*end))
         {
             self.executions
                 .entry(execution_id)
@@ -85,25 +87,25 @@
     }
 
     /// Begins what is queued as far as the network takes it. An error is how the connection ends.
-    pub(super) fn write_queue(&mut self, now: Micros, id: LinkId) -> Result<(), Ending> {
+    pub(super) fn write_queue(&mut self, now: Micros, id: ConnectionId) -> Result<(), Ending> {
         loop {
-            self.flush_link(id).map_err(replies::ending_of)?;
-            let Some(link) = self.links.get_mut(&id).filter(|l| l.up) else {
+            self.flush_connection(id).map_err(replies::ending_of)?;
+            let Some(connection) = self.connections.get_mut(&id).filter(|l| l.up) else {
                 return Ok(());
             };
-            if link.link.unsent() > MOST_UNSENT {
+            if connection.link.unsent() > MOST_UNSENT {
                 // Closed from here: its engine has yet to read so, as of anything that is given up.
                 return Err(Ending::ClosedHere);
-            } else if link.link.unsent() > 0 {
+            } else if connection.link.unsent() > 0 {
                 return Ok(());
             }
-            let Some(execution_id) = link.queue.pop_front() else {
+            let Some(execution_id) = connection.queue.pop_front() else {
                 return Ok(());
             };
             let Some(execution) = self.executions.get_mut(&execution_id) else {
                 continue;
             };
-            let engine = self.engines.get(&link.place);
+            let engine = self.engines.get(&connection.place);
             if let Some(why) = withheld_because(now, engine, &execution.terms) {
                 log::debug!(
                     "statement {}: its execution stays here: {why}",
@@ -121,18 +123,18 @@
                 priority: execution.terms.priority,
                 statement: &execution.call.statement,
             };
-            if link.open.len() == 1 {
-                let dialled = link.dial_by - self.allowance.dial_timeout;
-                let idle_before = if link.idle_since > dialled {
-                    now - link.idle_since
+            if connection.open.len() == 1 {
+                let dialled = connection.dial_by - self.allowance.dial_timeout;
+                let idle_before = if connection.idle_since > dialled {
+                    now - connection.idle_since
                 } else {
                     0
                 };
-                (link.idle_before, link.resumed_at) = (idle_before, now);
+                (connection.idle_before, connection.resumed_at) = (idle_before, now);
             }
-            engine::write(link.link.output(), &Command::Execute(request));
+            engine::write(connection.link.output(), &Command::Execute(request));
             (execution.stage, execution.sent_at) = (Stage::Writing, now);
-            link.writing = Some((execution_id, link.link.end_of_output()));
+            connection.writing = Some((execution_id, connection.link.end_of_output()));
         }
     }
 }
