--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -10,7 +10,7 @@
 use hallmux_native_codec::Decoded;
 
 use crate::lingering::Lingering;
-use crate::link::Link;
+use crate::link::{Link, ReadOutcome};
 
 const MOST_OPEN: usize = 32; // statements open on a connection, as the protocol has it
 const READ_SIZE: usize = 16 << 10; // bytes taken from a client in an iteration, and one chunk: all that it may have open
@@ -148,7 +148,10 @@
             return false;
         }
         let unread_for = client.unread_since.take().map_or(0, |since| now - since);
-        let (more, broken) = client.link.read_some(READ_SIZE);
+        let ReadOutcome {
+            has_more: more,
+            broken,
+        } = client.link.read_some(READ_SIZE);
         if client.refused {
             client.link.input.clear();
             if broken.is_some() {
--- a/crates/front/src/clients/idle.rs
+++ b/crates/front/src/clients/idle.rs
@@ -95,8 +95,8 @@
             return true;
         };
         let before = client.link.input.len();
-        let (more, _) = client.link.read_some(READ_SIZE);
-        let nothing = !more && client.link.input.len() == before;
+        let has_more = client.link.read_some(READ_SIZE).has_more;
+        let nothing = !has_more && client.link.input.len() == before;
         if !nothing {
             self.found_unread.insert(id);
         }
--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -8,7 +8,7 @@
 use hallmux_native_codec::Decoded;
 
 use crate::events::{LoopEvents, SocketKind};
-use crate::link::Link;
+use crate::link::{Link, ReadOutcome};
 
 const POLL_MS: i64 = 1000; // milliseconds that the coordinator holds a question open (long poll)
 const SILENCE_TIMEOUT: Micros = 750_000; // microseconds beyond that until the connection counts as dead
@@ -114,7 +114,10 @@
         }
         let link = self.link.as_mut()?;
         let broken = loop {
-            let (more, broken) = link.read();
+            let ReadOutcome {
+                has_more: more,
+                broken,
+            } = link.read();
             if !more || link.input.len() > codec::LONGEST_BODY {
                 break broken;
             }
--- a/crates/front/src/engines/replies.rs
+++ b/crates/front/src/engines/replies.rs
@@ -3,6 +3,7 @@
 use hallmux_native_codec::Decoded;
 
 use super::*;
+use crate::link::ReadOutcome;
 
 impl Engines {
     /// A connection has changed; true if there is more for another iteration.
@@ -39,7 +40,10 @@
                 }
             }
         }
-        let (more, broken) = connection.link.read();
+        let ReadOutcome {
+            has_more: more,
+            broken,
+        } = connection.link.read();
         let input = std::mem::take(&mut connection.link.input);
         let mut at = 0;
         let unreadable = loop {
--- a/crates/front/src/lingering.rs
+++ b/crates/front/src/lingering.rs
@@ -9,7 +9,7 @@
 
 use hallmux_dispatcher::Micros;
 
-use crate::link::Link;
+use crate::link::{Link, ReadOutcome};
 
 const LINGER_TIMEOUT: Micros = 1_000_000; // microseconds; some round trips of a slow network
 /// Bytes that are read and dropped: some statements of the largest size, and what the network holds. Guards
@@ -53,7 +53,10 @@
     pub fn read(&mut self, id: u64) -> Option<bool> {
         let closing = self.connections.get_mut(&id)?;
         closing.link.input.clear();
-        let (more, broken) = closing.link.read();
+        let ReadOutcome {
+            has_more: more,
+            broken,
+        } = closing.link.read();
         closing.dropped += closing.link.input.len();
         closing.link.input = Vec::new();
         if broken.is_some() || closing.dropped > MOST_DROPPED {
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -41,14 +41,45 @@
     }
 }
 
+/// What one read of a connection has found.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ReadOutcome {
+    /// More may be readable: the connection is to be read again without waiting for the event loop.
+    pub has_more: bool,
+    /// How the other side ended the connection, if it did; what came before that was taken.
+    pub broken: Option<Broken>,
+}
+
+impl ReadOutcome {
+    const HAS_MORE: ReadOutcome = ReadOutcome {
+        has_more: true,
+        broken: None,
+    };
+    const DRAINED: ReadOutcome = ReadOutcome {
+        has_more: false,
+        broken: None,
+    };
+
+    fn broken(broken: Broken) -> ReadOutcome {
+        ReadOutcome {
+            has_more: false,
+            broken: Some(broken),
+        }
+    }
+}
+
+/// One TCP connection: its socket, what was received and not read yet, and what is still to be sent.
 pub struct Link {
     stream: Rc<TcpStream>,
     token: RegistrationToken,
     handle: LoopHandle<'static, LoopEvents>,
+    /// What was received and is not read yet.
     pub input: Vec<u8>,
     output: Vec<u8>,
-    sent_bytes: usize,    // bytes of output that were sent
-    cleared_bytes: usize, // bytes sent before those of output, over the connection's whole life
+    /// Bytes of `output` that were sent.
+    sent_bytes: usize,
+    /// Bytes sent before those of `output`, over the connection's whole life.
+    cleared_bytes: usize,
 }
 
 impl Link {
@@ -113,28 +144,28 @@
         }
     }
 
-    /// Takes what is readable; true if there is more for another iteration.
-    pub fn read(&mut self) -> (bool, Option<Broken>) {
+    /// Takes what is readable, up to the bytes of one iteration.
+    pub fn read(&mut self) -> ReadOutcome {
         self.read_some(BYTES_PER_ITERATION)
     }
 
     /// The same up to so many bytes and one chunk.
-    pub fn read_some(&mut self, limit: usize) -> (bool, Option<Broken>) {
+    pub fn read_some(&mut self, limit: usize) -> ReadOutcome {
         READ_BUFFER.with_borrow_mut(|chunk| {
             let mut taken = 0;
             while taken < limit {
                 match (&*self.stream).read(chunk) {
-                    Ok(0) => return (false, Some(Broken::Closed)),
+                    Ok(0) => return ReadOutcome::broken(Broken::Closed),
                     Ok(n) => {
                         self.input.extend_from_slice(&chunk[..n]);
                         taken += n;
                     }
-                    Err(e) if e.kind() == ErrorKind::WouldBlock => return (false, None),
+                    Err(e) if e.kind() == ErrorKind::WouldBlock => return ReadOutcome::DRAINED,
                     Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                    Err(e) => return (false, Some(Broken::by(&e))),
+                    Err(e) => return ReadOutcome::broken(Broken::by(&e)),
                 }
             }
-            (true, None)
+            ReadOutcome::HAS_MORE
         })
     }
 
@@ -151,6 +182,7 @@
         &mut self.output
     }
 
+    /// Bytes of the output that were not sent yet.
     pub fn unsent(&self) -> usize {
         self.output.len() - self.sent_bytes
     }
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -158,7 +158,7 @@
             Err(_) => return self.cancelled(number),
         }
         let sent = cancel.link.flush();
-        let (_, broken) = cancel.link.read();
+        let broken = cancel.link.read().broken;
         if sent.is_err() || broken.is_some() || !cancel.link.input.is_empty() {
             self.cancelled(number);
         }
--- a/crates/front/src/postgres/servers/replies.rs
+++ b/crates/front/src/postgres/servers/replies.rs
@@ -10,7 +10,7 @@
 use super::send::dial_ending;
 use super::{Event, Execution, ServerId, Servers, Stage};
 use crate::execution::ExecutionId;
-use crate::link::Broken;
+use crate::link::{Broken, ReadOutcome};
 
 pub(super) const LOGIN_TIMEOUT: Micros = 2_000_000; // microseconds for a login once the connection is up; it takes a few ms
 const PING_AFTER: Micros = 300_000; // microseconds that an engine with units out may be silent before it is pinged
@@ -75,7 +75,10 @@
         if execution.as_ref().is_some_and(|x| x.paused) {
             return false;
         }
-        let (more, broken) = server.link.read_some(READ_SIZE);
+        let ReadOutcome {
+            has_more: more,
+            broken,
+        } = server.link.read_some(READ_SIZE);
         let mut input = std::mem::take(&mut server.link.input);
         let mut at = 0;
         let ended = loop {
--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -17,7 +17,7 @@
 use super::servers::{ServerId, SessionId};
 use crate::execution::ExecutionId;
 use crate::lingering::Lingering;
-use crate::link::Link;
+use crate::link::{Link, ReadOutcome};
 
 const MOST_ARRIVALS: usize = 32; // times kept of when input came; beyond them the earlier one holds
 
@@ -260,7 +260,10 @@
             return false;
         }
         let before = connection.link.input.len();
-        let (more, broken) = connection.link.read();
+        let ReadOutcome {
+            has_more: more,
+            broken,
+        } = connection.link.read();
         let came = connection.link.input.len() - before;
         if came > 0 {
             self.held_bytes += came;
