--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -2,55 +2,51 @@
 
 mod cancels;
 mod capacity;
+mod connection;
+mod execution;
 mod replies;
+mod result_pages;
 mod send;
 mod timeouts;
 mod writes;
 
-use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
-use std::io::ErrorKind;
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::rc::Rc;
 
 use calloop::LoopHandle;
 use hallmux_config::{Names, NetworkSettings};
-use hallmux_dispatcher::{Ending, Micros, Note, Place, Terms, Ticket};
-use hallmux_native_codec::engine::{self, Command, ExecutionRequest, Reply, ReplyKind};
-use hallmux_native_codec::statement::Call;
+use hallmux_dispatcher::{Ending, Micros, Note, Place, Ticket};
 
 use crate::dial_pacer::{self, DialPacer};
-use crate::events::{LoopEvents, SocketKind};
+use crate::events::LoopEvents;
 use crate::execution::ExecutionId;
-use crate::link::{Broken, Link};
 use crate::reuse::Reuse;
 use cancels::AwaitingCancel;
+use connection::{ConnectionId, EngineConnection};
+use execution::{Execution, Stage};
 
-const MOST_PAGES: usize = 64; // of a result; those agreed have eight
-const LONGEST_RESULT: usize = 48_000; // bytes, as the protocol has it
-const WRITE_TIMEOUT: Micros = 100_000; // microseconds for a statement that has begun to leave: its deadline goes with it
-const READ_TIMEOUT: Micros = 500_000; // microseconds for a line that has begun, or a page asked for; both take a few ms
-const SILENCE_TIMEOUT: Micros = 1_500_000; // microseconds without a reply on an execution that is cancelled: longer than notes take
-const MOST_SHARED: usize = 4; // executions on a connection before another is dialled: what a spoilt answer costs
-const CANCEL_LAG: Micros = 10_000; // microseconds until an engine has surely read a command: some round trips
-const OTHER_DESCRIPTORS: usize = 32; // descriptors that are neither clients' nor engines'; the rest is for engines
-const MOST_UNSENT: usize = 1 << 20; // bytes that an engine may leave untaken: a thousand small statements
-const IDLE_MARGIN: Micros = 1_000_000; // microseconds by which a connection is closed before its engine would
-const MOST_FORMER_IDS: usize = 128; // ids that a connection remembers; then it takes no more executions
-
-type ConnectionId = u64;
+/// Descriptors that are neither clients' nor engines'; the rest is for engines.
+const OTHER_DESCRIPTORS: usize = 32;
+/// Microseconds by which an idle connection is closed before its engine would close it.
+const IDLE_MARGIN: Micros = 1_000_000;
 
 /// What engines have answered, and how executions have ended.
 pub enum Event {
+    /// An execution is over.
     Ended {
         execution_id: ExecutionId,
         ending: Ending,
+        /// The engine's load report, where one came with the answer.
         report: Option<Vec<f64>>,
+        /// The rows; empty unless it was answered.
         result: Vec<u8>,
     },
+    /// An execution goes on.
     Noted {
         execution_id: ExecutionId,
         note: Note,
     },
+    /// The outcome of a health check.
     Probed {
         place: Place,
         alive: bool,
@@ -69,61 +65,7 @@
     failing: bool,
 }
 
-#[derive(Default)]
-struct Pages {
-    bytes: Vec<Option<Vec<u8>>>,
-    missing: usize,
-    held: usize,
-    last_page: Micros,
-    report: Option<Vec<f64>>,
-}
-
-#[derive(PartialEq)]
-enum Stage {
-    /// Not a byte of it has left.
-    Queued,
-    /// It is the one being written.
-    Writing,
-    Out,
-}
-
-struct Execution {
-    connection: ConnectionId,
-    call: Rc<Call>,
-    terms: Terms,
-    stage: Stage,
-    sent_at: Micros,
-    last_reply: Micros,
-    pages: Option<Pages>,
-}
-
-struct EngineConnection {
-    link: Link,
-    place: Place,
-    up: bool,
-    /// It takes no more executions: its engine is another by now, or it was silent too long.
-    retired: bool,
-    dial_by: Micros,
-    last_reply: Micros,
-    /// Since when the rest of a line is awaited.
-    partial_line_since: Option<Micros>,
-    idle_since: Micros,
-    /// How long it had rested when it was last taken up, and when that was.
-    idle_before: Micros,
-    resumed_at: Micros,
-    queue: VecDeque<ExecutionId>,
-    /// The one being written, and where it ends in the output (`Link::end_of_output`); commands may follow it.
-    writing: Option<(ExecutionId, usize)>,
-    open: HashMap<String, ExecutionId>,
-    /// Ids that are over here; what is still said of them means nothing. Where cancelling is not allowed, these may
-    /// run on.
-    cancelled: HashSet<String>,
-    /// Ids that their engine has ended, where cancelling is not allowed: an engine that answers twice
-    /// must not end a further execution of the statement, so none of it comes over this connection.
-    finished: HashSet<String>,
-    probes: HashMap<String, Micros>,
-}
-
+/// All engines of the list, the connections to them and the executions on these.
 pub struct Engines {
     handle: LoopHandle<'static, LoopEvents>,
     allowance: NetworkSettings,
@@ -131,6 +73,7 @@
     engines: BTreeMap<Place, Engine>,
     connections: BTreeMap<ConnectionId, EngineConnection>,
     executions: BTreeMap<ExecutionId, Execution>,
+    /// The number given last, to a connection or a health check.
     next: u64,
     max_connections: usize,
     /// When connections may be made; any time where nothing else is set.
@@ -138,10 +81,12 @@
     reuse: Reuse,
     /// Cancelled, but their engines may not have read so yet, in the order in which they were.
     awaiting_cancel: Vec<AwaitingCancel>,
+    /// What has happened since the events were last taken.
     pub events: Vec<Event>,
 }
 
 impl Engines {
+    /// No engines yet; `limit` and `list` come before anything is sent.
     pub fn new(
         handle: LoopHandle<'static, LoopEvents>,
         allowance: NetworkSettings,
--- a/crates/front/src/engines/cancels.rs
+++ b/crates/front/src/engines/cancels.rs
@@ -1,6 +1,20 @@
 //! Executions that were ended from here, until their engines have surely read so.
 
-use super::*;
+use hallmux_dispatcher::{Ending, Micros};
+
+use super::connection::ConnectionId;
+use super::Engines;
+use crate::execution::ExecutionId;
+
+/// Microseconds until an engine has surely read a command: some round trips.
+pub(super) const CANCEL_LAG: Micros = 10_000;
+
+/// A command that ends an execution, on its way to the engine.
+pub(super) struct CancelCommand {
+    pub(super) connection: ConnectionId,
+    /// Where it ends in the connection's output, as `Link::end_of_output` counts.
+    pub(super) end: usize,
+}
 
 /// An execution that was ended from here, but whose engine may not have read so yet.
 pub(super) struct AwaitingCancel {
@@ -28,13 +42,13 @@
 impl Engines {
     /// It ends; what was ended from here, not before its engine has read of it. Guards against two executions
     /// of a statement, or of an order key, at once: one connection may bring the next sooner than another the
-    /// cancel of the first. Where the time is up the client is answered at once. `command`: the connection
-    /// whose output says so, and where that ends in it; none where the connection was closed.
+    /// cancel of the first. Where the time is up the client is answered at once. `command` says so to the
+    /// engine; none where the connection was closed.
     pub(super) fn end_execution(
         &mut self,
         execution_id: ExecutionId,
         ending: Ending,
-        command: Option<(ConnectionId, usize)>,
+        command: Option<CancelCommand>,
     ) {
         if !matches!(
             ending,
@@ -43,13 +57,12 @@
             return self.report_end(execution_id, ending);
         }
         self.executions.remove(&execution_id);
-        let state = command.map_or(CancelState::Closed, |(connection, end)| {
-            CancelState::Unsent {
-                connection,
-                end,
-                close_by: None,
-            }
-        });
+        let unsent = |command: CancelCommand| CancelState::Unsent {
+            connection: command.connection,
+            end: command.end,
+            close_by: None,
+        };
+        let state = command.map_or(CancelState::Closed, unsent);
         self.awaiting_cancel.push(AwaitingCancel {
             execution_id,
             ending,
--- a/crates/front/src/engines/capacity.rs
+++ b/crates/front/src/engines/capacity.rs
@@ -1,6 +1,9 @@
 //! How many executions can leave for an engine without more connections than this front may make.
 
-use super::*;
+use hallmux_dispatcher::{Micros, Place};
+
+use super::connection::EngineConnection;
+use super::{Engine, Engines};
 
 impl Engines {
     /// Executions that the connections to an engine take, and one more connection where it may be made now.
@@ -8,21 +11,26 @@
         let Some(engine) = self.engines.get(&place).filter(|e| e.available) else {
             return 0;
         };
-        let each = self.allowance.executions_per_connection;
-        let connections = engine
-            .connections
-            .iter()
-            .filter_map(|id| self.connections.get(id));
-        let takes = connections.filter(|l| l.takes_executions()).map(|l| {
-            let runs_on = if self.allowance.cancel {
-                0
-            } else {
-                l.cancelled.len()
-            };
-            each.saturating_sub(l.open.len() + l.probes.len() + runs_on)
-        });
+        let per_connection = self.allowance.executions_per_connection;
+        let connections = engine.connections.iter();
+        let connections = connections.filter_map(|id| self.connections.get(id));
+        let existing: usize = connections
+            .filter(|connection| connection.takes_executions())
+            .map(|connection| per_connection.saturating_sub(self.occupied(connection)))
+            .sum();
         let dials = self.may_dial(engine) && self.dials.borrow().next(now, place) <= now;
-        takes.sum::<usize>() + if dials { each } else { 0 }
+        existing + if dials { per_connection } else { 0 }
+    }
+
+    /// Executions that a connection has no capacity for, as others are in flight. Where cancelling is not allowed,
+    /// what was given up runs on there.
+    pub(super) fn occupied(&self, connection: &EngineConnection) -> usize {
+        let running_on = if self.allowance.cancel {
+            0
+        } else {
+            connection.cancelled.len()
+        };
+        connection.in_flight() + running_on
     }
 
     /// Whether descriptors are left for another connection to an engine.
--- a/crates/front/src/engines/capacity_tests.rs
+++ b/crates/front/src/engines/capacity_tests.rs
@@ -1,7 +1,15 @@
 //! Unit tests of the `capacity` module.
 
+use std::rc::Rc;
+
+use hallmux_config::{Names, NetworkSettings};
+use hallmux_dispatcher::{ConnectionPacer, Ending, Micros, Terms, Ticket};
+use hallmux_native_codec::statement::Call;
+
 use super::*;
-use hallmux_dispatcher::ConnectionPacer;
+use crate::engines::Event;
+use crate::events::LoopEvents;
+use crate::execution::ExecutionId;
 
 const SECOND: Micros = 1_000_000;
 
--- a/crates/front/src/engines/engines_tests.rs
+++ b/crates/front/src/engines/engines_tests.rs
@@ -1,12 +1,19 @@
 //! Unit tests of the `engines` module.
 
-use super::*;
-use std::io::{BufRead, BufReader, Read};
+use std::io::{BufRead, BufReader, ErrorKind, Read};
 use std::net::{TcpListener, TcpStream};
+use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+use hallmux_dispatcher::Terms;
+use hallmux_native_codec::statement::Call;
 use socket2::SockRef;
 
+use super::cancels::CANCEL_LAG;
+use super::writes::MOST_UNSENT;
+use super::*;
+use crate::link::Broken;
+
 const PATIENCE: Duration = Duration::from_secs(20); // for any one wait; a busy machine takes some of it
 const RECEIVE_BUFFER: usize = 4 << 10; // bytes asked for at an engine: little that it leaves unread fits
 const DIAL_TIMEOUT: Micros = 250_000;
--- a/crates/front/src/engines/replies.rs
+++ b/crates/front/src/engines/replies.rs
@@ -1,180 +1,198 @@
-//! Replies of engines: results put together from their pages, progress notes, probes.
+//! Replies of engines: results put together from their pages, progress notes, answers to health checks.
 
-use hallmux_native_codec::Decoded;
+use std::io::{Error, ErrorKind};
 
-use super::*;
-use crate::link::ReadOutcome;
+use hallmux_dispatcher::{Ending, Micros, Note};
+use hallmux_native_codec::engine::{self, Command, Reply, ReplyKind};
+use hallmux_native_codec::{Decoded, ParseError};
+
+use super::connection::{ConnectionId, EngineConnection};
+use super::execution::{Execution, Stage};
+use super::result_pages::{PageOutcome, ResultPages, MOST_PAGES};
+use super::{Engines, Event};
+use crate::execution::ExecutionId;
+use crate::link::{Broken, ReadOutcome};
+
+/// How far the lines of an input were taken.
+enum LinesTaken {
+    /// So many bytes were taken; the rest is less than a line.
+    UpTo(usize),
+    Unreadable(ParseError),
+    /// A line has closed the connection.
+    ConnectionClosed,
+}
 
 impl Engines {
     /// A connection has changed; true if there is more for another iteration.
     pub fn read(&mut self, now: Micros, id: ConnectionId) -> bool {
+        if !self.is_up(now, id) {
+            return false;
+        }
         let Some(connection) = self.connections.get_mut(&id) else {
             return false;
         };
-        if !connection.up {
-            match connection.link.is_up() {
-                Ok(false) => return false,
-                Ok(true) => {
-                    connection.up = true;
-                    if let Some(engine) = self
-                        .engines
-                        .get_mut(&connection.place)
-                        .filter(|e| e.failing)
-                    {
-                        engine.failing = false;
-                        log::info!("engine {}: reached again", engine.id);
-                    }
-                    for tag in connection.probes.keys() {
-                        engine::write(connection.link.output(), &Command::Probe { tag });
-                    }
-                }
-                Err(e) => {
-                    let ending = match e.kind() {
-                        ErrorKind::ConnectionRefused => Ending::Refused,
-                        // Whoever resets a connection is there.
-                        ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => Ending::BrokenNew,
-                        _ => Ending::NeverUp,
-                    };
-                    self.close(now, id, ending);
-                    return false;
+        let ReadOutcome { has_more, broken } = connection.link.read();
+        let input = std::mem::take(&mut connection.link.input);
+        match self.take_lines(now, id, &input) {
+            LinesTaken::ConnectionClosed => return false,
+            LinesTaken::Unreadable(what) => {
+                log::warn!(
+                    "engine {}: {what}; its connection is closed",
+                    self.engine_name(id)
+                );
+                self.close(now, id, Ending::Unreadable);
+            }
+            LinesTaken::UpTo(taken) => {
+                if let Some(connection) = self.connections.get_mut(&id) {
+                    connection.link.input = input;
+                    connection.keep_partial_line(now, taken);
                 }
             }
         }
-        let ReadOutcome {
-            has_more: more,
-            broken,
-        } = connection.link.read();
-        let input = std::mem::take(&mut connection.link.input);
-        let mut at = 0;
-        let unreadable = loop {
-            match engine::read(&input[at..], &self.report_names) {
-                Ok(None) => break None,
-                Err(what) => break Some(what),
+        if let Some(broken) = broken {
+            self.close(now, id, ending_of(broken));
+        }
+        has_more
+    }
+
+    /// Whether a connection is up. One that has just come up is noted so; one that failed is closed.
+    fn is_up(&mut self, now: Micros, id: ConnectionId) -> bool {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return false;
+        };
+        if connection.up {
+            return true;
+        }
+        match connection.link.is_up() {
+            Ok(true) => {
+                self.came_up(id);
+                true
+            }
+            Ok(false) => false,
+            Err(error) => {
+                self.close(now, id, ending_of_dial(&error));
+                false
+            }
+        }
+    }
+
+    /// A connection has come up: health checks that wait for it are written.
+    fn came_up(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        connection.up = true;
+        let engine = self.engines.get_mut(&connection.place);
+        if let Some(engine) = engine.filter(|engine| engine.failing) {
+            engine.failing = false;
+            log::info!("engine {}: reached again", engine.id);
+        }
+        for tag in connection.probes.keys() {
+            engine::write(connection.link.output(), &Command::Probe { tag });
+        }
+    }
+
+    /// Takes all whole lines of an input.
+    fn take_lines(&mut self, now: Micros, id: ConnectionId, input: &[u8]) -> LinesTaken {
+        let mut taken = 0;
+        loop {
+            match engine::read(&input[taken..], &self.report_names) {
+                Ok(None) => return LinesTaken::UpTo(taken),
+                Err(what) => return LinesTaken::Unreadable(what),
                 Ok(Some(Decoded { len, message })) => {
-                    at += len;
+                    taken += len;
                     self.take_line(now, id, message);
                     if !self.connections.contains_key(&id) {
-                        return false;
+                        return LinesTaken::ConnectionClosed;
                     }
                 }
             }
-        };
-        if let Some(what) = unreadable {
-            log::warn!(
-                "engine {}: {what}; its connection is closed",
-                self.engine_name(id)
-            );
-            self.close(now, id, Ending::Unreadable);
-        } else if let Some(connection) = self.connections.get_mut(&id) {
-            connection.link.input = input;
-            connection.link.consume(at);
-            let partial = !connection.link.input.is_empty();
-            connection.partial_line_since = partial.then(|| {
-                connection
-                    .partial_line_since
-                    .filter(|_| at == 0)
-                    .unwrap_or(now)
-            });
         }
-        if let Some(broken) = broken {
-            self.close(now, id, ending_of(broken));
-        }
-        more
     }
 
-    pub(super) fn take_line(&mut self, now: Micros, id: ConnectionId, line: Reply) {
+    fn take_line(&mut self, now: Micros, id: ConnectionId, line: Reply) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
         connection.last_reply = now;
         if let ReplyKind::ProbeAnswer { healthy } = line.kind {
-            if connection.probes.remove(line.id).is_some() {
-                self.events.push(Event::Probed {
-                    place: connection.place,
-                    alive: healthy,
-                    report: line.report,
-                });
-            }
-            return;
+            return self.take_probe_answer(id, healthy, line);
         }
-        // What is said of an execution that was given up or is unknown means nothing any more.
         let Some(&execution_id) = connection.open.get(line.id) else {
-            let over = matches!(
-                line.kind,
-                ReplyKind::FirstPage { .. }
-                    | ReplyKind::Rejected
-                    | ReplyKind::Failed
-                    | ReplyKind::Stale
-            );
-            if over && !self.allowance.cancel && connection.cancelled.remove(line.id) {
-                connection.idle_since = now;
-                engine::write(
-                    connection.link.output(),
-                    &Command::ReleaseResult { id: line.id },
-                );
-            }
-            return;
+            return self.take_late_reply(now, id, &line);
         };
-        let Some(execution) = self
-            .executions
-            .get_mut(&execution_id)
-            .filter(|execution| execution.stage == Stage::Out)
-        else {
+        let execution = self.executions.get_mut(&execution_id);
+        let Some(execution) = execution.filter(|execution| execution.stage == Stage::Out) else {
             return;
         };
         execution.last_reply = now;
-        let ending = match line.kind {
-            ReplyKind::FirstPage { pages } if execution.pages.is_none() && pages <= MOST_PAGES => {
-                let report = line.report.clone();
-                let mut first = Pages {
-                    missing: pages,
-                    report,
-                    last_page: now,
-                    ..Pages::default()
-                };
-                first.bytes.resize(pages, None);
-                execution.pages = Some(first);
-                for page in 1..pages {
-                    engine::write(
-                        connection.link.output(),
-                        &Command::FetchPage { id: line.id, page },
-                    );
-                }
-                execution.take_page(now, 0, line.bytes)
-            }
-            ReplyKind::FirstPage { pages }
-                if execution
-                    .pages
-                    .as_ref()
-                    .is_some_and(|p| p.bytes.len() == pages) =>
-            {
-                execution.take_page(now, 0, line.bytes)
+        if let Some(note) = note_of(&line.kind) {
+            return self.events.push(Event::Noted { execution_id, note });
+        }
+        match execution.take_reply(now, &line, connection.link.output()) {
+            None => {}
+            Some(Ending::Unreadable) => {
+                log::warn!(
+                    "engine {}: a spoilt result; its connection is closed",
+                    self.engine_name(id)
+                );
+                self.close(now, id, Ending::Unreadable);
             }
-            ReplyKind::FirstPage { .. } => Some(Ending::Unreadable),
-            ReplyKind::Page { number } => execution.take_page(now, number, line.bytes),
-            ReplyKind::Rejected if execution.pages.is_none() => Some(Ending::TurnedAway),
-            ReplyKind::Stale if execution.pages.is_none() => Some(Ending::Stale),
-            ReplyKind::Failed if execution.pages.is_none() => Some(Ending::EngineFailed),
-            ReplyKind::Rejected | ReplyKind::Stale | ReplyKind::Failed => Some(Ending::PageLost),
-            ReplyKind::ShareDone(share) => return self.note(execution_id, Note::ShareDone(share)),
-            ReplyKind::SpillsMb(mb) => return self.note(execution_id, Note::SpillsMb(mb)),
-            ReplyKind::WaitsForMemory => return self.note(execution_id, Note::WaitsForMemory),
-            ReplyKind::WaitsForData => return self.note(execution_id, Note::WaitsForData),
-            ReplyKind::OtherNote | ReplyKind::ProbeAnswer { .. } => None,
+            Some(ending) => self.end_by_reply(now, id, execution_id, ending, line),
+        }
+    }
+
+    fn take_probe_answer(&mut self, id: ConnectionId, healthy: bool, line: Reply) {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        if connection.probes.remove(line.id).is_some() {
+            self.events.push(Event::Probed {
+                place: connection.place,
+                alive: healthy,
+                report: line.report,
+            });
+        }
+    }
+
+    /// What is said of an execution that was given up or is unknown means nothing any more, but that it runs on
+    /// no longer.
+    fn take_late_reply(&mut self, now: Micros, id: ConnectionId, line: &Reply) {
+        let is_over = matches!(
+            line.kind,
+            ReplyKind::FirstPage { .. }
+                | ReplyKind::Rejected
+                | ReplyKind::Failed
+                | ReplyKind::Stale
+        );
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
         };
-        let Some(ending) = ending else { return };
-        if ending == Ending::Unreadable {
-            log::warn!(
-                "engine {}: a spoilt result; its connection is closed",
-                self.engine_name(id)
+        if is_over && !self.allowance.cancel && connection.cancelled.remove(line.id) {
+            connection.idle_since = now;
+            engine::write(
+                connection.link.output(),
+                &Command::ReleaseResult { id: line.id },
             );
-            return self.close(now, id, ending);
         }
+    }
+
+    /// An execution ends as its engine has said.
+    fn end_by_reply(
+        &mut self,
+        now: Micros,
+        id: ConnectionId,
+        execution_id: ExecutionId,
+        ending: Ending,
+        line: Reply,
+    ) {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
         connection.open.remove(line.id);
         connection.idle_since = now;
-        let pages = self
-            .executions
-            .remove(&execution_id)
+        let execution = self.executions.remove(&execution_id);
+        let pages = execution
             .and_then(|execution| execution.pages)
             .unwrap_or_default();
         if ending == Ending::PageLost {
@@ -183,25 +201,24 @@
                 &Command::ReleaseResult { id: line.id },
             );
         }
-        if ending != Ending::Answered {
-            let over = if self.allowance.cancel {
+        if ending == Ending::Answered {
+            self.reuse.answered();
+        } else {
+            let former_ids = if self.allowance.cancel {
                 &mut connection.cancelled
             } else {
                 &mut connection.finished
             };
-            over.insert(line.id.to_string());
-        }
-        if ending == Ending::Answered {
-            self.reuse.answered();
+            former_ids.insert(line.id.to_string());
         }
         log::debug!(
             "statement {}: execution {} ended: {ending:?}",
             execution_id.ticket,
             execution_id.number
         );
-        let report = line.report.or(pages.report);
+        let report = line.report.or_else(|| pages.report.clone());
         let result = match ending {
-            Ending::Answered => pages.bytes.into_iter().flatten().flatten().collect(),
+            Ending::Answered => pages.into_bytes(),
             _ => Vec::new(),
         };
         self.events.push(Event::Ended {
@@ -211,9 +228,87 @@
             result,
         });
     }
+}
 
-    pub(super) fn note(&mut self, execution_id: ExecutionId, note: Note) {
-        self.events.push(Event::Noted { execution_id, note });
+impl EngineConnection {
+    /// So many bytes of the input were taken; the rest is kept, and since when it is awaited.
+    fn keep_partial_line(&mut self, now: Micros, taken: usize) {
+        self.link.consume(taken);
+        let awaited_before = self.partial_line_since.filter(|_| taken == 0);
+        let is_partial = !self.link.input.is_empty();
+        self.partial_line_since = is_partial.then(|| awaited_before.unwrap_or(now));
+    }
+}
+
+impl Execution {
+    /// Takes a reply that is no note; how the execution ends by it, if it does. Commands for further pages go to
+    /// `output`.
+    fn take_reply(&mut self, now: Micros, line: &Reply, output: &mut Vec<u8>) -> Option<Ending> {
+        match line.kind {
+            ReplyKind::FirstPage { pages } => self.take_first_page(now, pages, line, output),
+            ReplyKind::Page { number } => self.take_page(now, number, line.bytes),
+            ReplyKind::Rejected if self.pages.is_none() => Some(Ending::TurnedAway),
+            ReplyKind::Stale if self.pages.is_none() => Some(Ending::Stale),
+            ReplyKind::Failed if self.pages.is_none() => Some(Ending::EngineFailed),
+            ReplyKind::Rejected | ReplyKind::Stale | ReplyKind::Failed => Some(Ending::PageLost),
+            ReplyKind::ShareDone(_)
+            | ReplyKind::SpillsMb(_)
+            | ReplyKind::WaitsForMemory
+            | ReplyKind::WaitsForData
+            | ReplyKind::OtherNote
+            | ReplyKind::ProbeAnswer { .. } => None,
+        }
+    }
+
+    /// Takes the first page of a result of `count` pages and asks for the others; or a second copy of it.
+    fn take_first_page(
+        &mut self,
+        now: Micros,
+        count: usize,
+        line: &Reply,
+        output: &mut Vec<u8>,
+    ) -> Option<Ending> {
+        match &self.pages {
+            None if count <= MOST_PAGES => {
+                self.pages = Some(ResultPages::new(now, count, line.report.clone()));
+                for page in 1..count {
+                    engine::write(output, &Command::FetchPage { id: line.id, page });
+                }
+            }
+            Some(pages) if pages.count() == count => {}
+            _ => return Some(Ending::Unreadable),
+        }
+        self.take_page(now, 0, line.bytes)
+    }
+
+    /// Takes a page; one that nobody asked for is passed over.
+    fn take_page(&mut self, now: Micros, number: usize, bytes: &[u8]) -> Option<Ending> {
+        match self.pages.as_mut()?.take(now, number, bytes) {
+            PageOutcome::Incomplete => None,
+            PageOutcome::Complete => Some(Ending::Answered),
+            PageOutcome::Malformed => Some(Ending::Unreadable),
+        }
+    }
+}
+
+/// What a reply notes of an execution that goes on.
+fn note_of(kind: &ReplyKind) -> Option<Note> {
+    match *kind {
+        ReplyKind::ShareDone(share) => Some(Note::ShareDone(share)),
+        ReplyKind::SpillsMb(mb) => Some(Note::SpillsMb(mb)),
+        ReplyKind::WaitsForMemory => Some(Note::WaitsForMemory),
+        ReplyKind::WaitsForData => Some(Note::WaitsForData),
+        _ => None,
+    }
+}
+
+/// How executions end whose connection did not come up.
+fn ending_of_dial(error: &Error) -> Ending {
+    match error.kind() {
+        ErrorKind::ConnectionRefused => Ending::Refused,
+        // Whoever resets a connection is there.
+        ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => Ending::BrokenNew,
+        _ => Ending::NeverUp,
     }
 }
 
@@ -226,24 +321,3 @@
         Broken::Lost => Ending::ClosedHere,
     }
 }
-
-impl Execution {
-    /// Takes a page; the last one missing answers the execution. A second copy is passed over. What is not
-    /// agreed, or other than the first copy, spoils the whole: never a part or a wrong one for the whole.
-    fn take_page(&mut self, now: Micros, number: usize, bytes: &[u8]) -> Option<Ending> {
-        let pages = self.pages.as_mut()?; // else nobody asked for it
-        match pages.bytes.get_mut(number) {
-            Some(Some(known)) if known == bytes => return None,
-            Some(page @ None)
-                if engine::are_rows(bytes) && pages.held + bytes.len() <= LONGEST_RESULT =>
-            {
-                *page = Some(bytes.to_vec());
-            }
-            _ => return Some(Ending::Unreadable),
-        }
-        pages.held += bytes.len();
-        pages.last_page = now;
-        pages.missing -= 1;
-        (pages.missing == 0).then_some(Ending::Answered)
-    }
-}
--- a/crates/front/src/engines/send.rs
+++ b/crates/front/src/engines/send.rs
@@ -1,16 +1,27 @@
-//! Executions on their way out: the choice of a connection, dials, cancels, probes.
+//! Executions on their way out: the choice of a connection, dials, cancels, health checks.
 
-use super::*;
+use std::io::{Error, ErrorKind};
+use std::rc::Rc;
 
-impl EngineConnection {
-    /// Whether it is of use for more executions.
-    pub(super) fn takes_executions(&self) -> bool {
-        !self.retired && self.cancelled.len() + self.finished.len() < MOST_FORMER_IDS
-    }
-}
+use hallmux_dispatcher::{Ending, Micros, Place, Terms};
+use hallmux_native_codec::engine::{self, Command};
+use hallmux_native_codec::statement::Call;
+
+use super::cancels::CancelCommand;
+use super::connection::{ConnectionId, EngineConnection};
+use super::execution::{Execution, Stage};
+use super::{Engines, Event};
+use crate::events::SocketKind;
+use crate::execution::ExecutionId;
+use crate::link::Link;
+
+/// Executions on a connection before another is dialled: what a spoilt answer costs.
+const MOST_SHARED: usize = 4;
+/// Microseconds without a reply on an execution that is cancelled: longer than notes take.
+const SILENCE_TIMEOUT: Micros = 1_500_000;
 
 impl Engines {
-    /// Sends an execution over a connection that has room for it, a new one if need be.
+    /// Sends an execution over a connection that has capacity for it, a new one if need be.
     pub fn send(
         &mut self,
         now: Micros,
@@ -28,12 +39,11 @@
         };
         connection.open.insert(call.id.clone(), execution_id);
         connection.queue.push_back(execution_id);
-        let stage = Stage::Queued;
         let execution = Execution {
             connection: id,
             call,
             terms,
-            stage,
+            stage: Stage::Queued,
             sent_at: now,
             last_reply: now,
             pages: None,
@@ -41,115 +51,86 @@
         self.executions.insert(execution_id, execution);
     }
 
-    pub(super) fn choose_connection(
+    /// A connection to an engine for an execution or a health check of this id. An error is how it ends.
+    fn choose_connection(
         &mut self,
         now: Micros,
         place: Place,
         id: &str,
     ) -> Result<ConnectionId, Ending> {
-        let most = self.allowance.executions_per_connection;
         let engine = self.engines.get(&place).ok_or(Ending::Withdrawn)?;
-        let fits = |connection: &&ConnectionId| {
-            self.connections.get(connection).is_some_and(|l| {
-                let known =
-                    l.open.contains_key(id) || l.cancelled.contains(id) || l.finished.contains(id);
-                // Where cancelling is not allowed, what was given up runs on there.
-                let runs_on = if self.allowance.cancel {
-                    0
-                } else {
-                    l.cancelled.len()
-                };
-                let room = l.open.len() + l.probes.len() + runs_on < most;
-                l.takes_executions() && !known && room
-            })
-        };
+        let fitting: Vec<ConnectionId> = engine
+            .connections
+            .iter()
+            .copied()
+            .filter(|connection| self.takes(*connection, id))
+            .collect();
         // Guards against losing many executions with one connection: few share one as far as descriptors go,
         // and those that have some come first, so that the others may end as idle.
-        let rank = |connection: &&ConnectionId| {
-            let l = &self.connections[connection];
-            (
-                l.up && l.link.unsent() == 0,
-                l.open.len() + l.probes.len(),
-                l.idle_since,
-            )
-        };
-        let few = |link: &&ConnectionId| rank(link).1 < MOST_SHARED;
-        if let Some(connection) = engine
-            .connections
+        let rank = |connection: &ConnectionId| self.connections[connection].rank();
+        let shared_by_few = fitting
             .iter()
-            .filter(fits)
-            .filter(few)
-            .max_by_key(rank)
-        {
-            return Ok(*connection);
+            .copied()
+            .filter(|connection| rank(connection).in_flight < MOST_SHARED);
+        if let Some(connection) = shared_by_few.max_by_key(rank) {
+            return Ok(connection);
         }
-        let least = engine
-            .connections
-            .iter()
-            .filter(fits)
-            .min_by_key(|connection| rank(connection).1)
-            .copied();
-        match least {
+        let least_used = fitting
+            .into_iter()
+            .min_by_key(|connection| rank(connection).in_flight);
+        match least_used {
             Some(connection) if !self.may_dial(engine) => Ok(connection),
             // No new connection may be made now: what is there is used, else it stays here.
-            _ if !self.dials.borrow_mut().take(now, place) => least.ok_or(Ending::Withdrawn),
-            _ => self.dial(now, place).or_else(|ending| least.ok_or(ending)),
+            _ if !self.dials.borrow_mut().take(now, place) => least_used.ok_or(Ending::Withdrawn),
+            _ => self
+                .dial(now, place)
+                .or_else(|ending| least_used.ok_or(ending)),
         }
     }
 
-    pub(super) fn dial(&mut self, now: Micros, place: Place) -> Result<ConnectionId, Ending> {
+    /// Whether a connection has capacity for one more execution, and the id is new there.
+    fn takes(&self, connection: ConnectionId, id: &str) -> bool {
+        let Some(connection) = self.connections.get(&connection) else {
+            return false;
+        };
+        connection.takes_executions()
+            && !connection.knows(id)
+            && self.occupied(connection) < self.allowance.executions_per_connection
+    }
+
+    fn dial(&mut self, now: Micros, place: Place) -> Result<ConnectionId, Ending> {
         let engine = self.engines.get_mut(&place).ok_or(Ending::Withdrawn)?;
         self.next += 1;
         let id = self.next;
         let link = match Link::dial(engine.at, &self.handle, SocketKind::Engine.id(id)) {
             Ok(link) => link,
-            Err(e) => {
-                log::warn!("engine {}: no connection can be made: {e}", engine.id);
-                return Err(match e.kind() {
-                    ErrorKind::ConnectionRefused => Ending::Refused,
-                    ErrorKind::HostUnreachable | ErrorKind::NetworkUnreachable => Ending::NeverUp,
-                    _ => Ending::NoMeans,
-                });
+            Err(error) => {
+                log::warn!("engine {}: no connection can be made: {error}", engine.id);
+                return Err(ending_of_failed_dial(&error));
             }
         };
         engine.connections.push(id);
-        let connection = EngineConnection {
-            link,
-            place,
-            up: false,
-            retired: false,
-            dial_by: now + self.allowance.dial_timeout,
-            last_reply: now,
-            partial_line_since: None,
-            idle_since: now,
-            idle_before: 0,
-            resumed_at: now,
-            queue: VecDeque::new(),
-            writing: None,
-            open: HashMap::new(),
-            cancelled: HashSet::new(),
-            finished: HashSet::new(),
-            probes: HashMap::new(),
-        };
+        let dial_by = now + self.allowance.dial_timeout;
+        let connection = EngineConnection::dialled(link, place, now, dial_by);
         self.connections.insert(id, connection);
         Ok(id)
     }
 
+    /// Changes the priority of an execution, at its engine too where it has left and has no result yet.
     pub fn set_priority(&mut self, execution_id: ExecutionId, priority: u8) {
         let Some(execution) = self.executions.get_mut(&execution_id) else {
             return;
         };
         execution.terms.priority = priority;
-        if execution.stage != Stage::Queued && execution.pages.is_none() {
-            if let Some(connection) = self.connections.get_mut(&execution.connection) {
-                engine::write(
-                    connection.link.output(),
-                    &Command::SetPriority {
-                        id: &execution.call.id,
-                        priority,
-                    },
-                );
-            }
+        if execution.stage == Stage::Queued || execution.pages.is_some() {
+            return;
+        }
+        if let Some(connection) = self.connections.get_mut(&execution.connection) {
+            let id = &execution.call.id;
+            engine::write(
+                connection.link.output(),
+                &Command::SetPriority { id, priority },
+            );
         }
     }
 
@@ -158,17 +139,17 @@
         let Some(execution) = self.executions.get(&execution_id) else {
             return self.end_awaited(execution_id, ending);
         };
-        let (id, name) = (execution.connection, execution.call.id.clone());
+        let id = execution.connection;
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
         // A connection silent since then, longer than one takes to come up, may be to a machine that is gone.
-        connection.retired |= connection.up
-            && connection.last_reply < execution.sent_at
-            && now - execution.sent_at > self.allowance.dial_timeout;
-        // Nor is one of use on which the answer never came.
+        let silent_since_sent = connection.up && connection.last_reply < execution.sent_at;
         connection.retired |=
-            execution.stage == Stage::Out && now - execution.last_reply > SILENCE_TIMEOUT;
+            silent_since_sent && now - execution.sent_at > self.allowance.dial_timeout;
+        // Nor is one of use on which the answer never came.
+        let is_out = execution.stage == Stage::Out;
+        connection.retired |= is_out && now - execution.last_reply > SILENCE_TIMEOUT;
         match execution.stage {
             Stage::Queued => {
                 connection.queue.retain(|other| *other != execution_id);
@@ -176,32 +157,44 @@
             }
             // It would reach its engine whole after its end: rather the connection goes.
             Stage::Writing => self.close(now, id, Ending::ClosedHere),
-            Stage::Out => {
-                match execution.pages {
-                    Some(_) => engine::write(
-                        connection.link.output(),
-                        &Command::ReleaseResult { id: &name },
-                    ),
-                    None if self.allowance.cancel => {
-                        engine::write(connection.link.output(), &Command::Cancel { id: &name })
-                    }
-                    None => {}
-                }
-                connection.idle_since = now;
-                connection.open.remove(&name);
-                connection.cancelled.insert(name);
-                let leaves = (id, connection.link.end_of_output());
-                self.end_execution(execution_id, ending, Some(leaves));
-            }
+            Stage::Out => self.cancel_at_engine(now, execution_id, ending),
         }
     }
 
+    /// Cancels an execution all of which has left; its engine is told.
+    fn cancel_at_engine(&mut self, now: Micros, execution_id: ExecutionId, ending: Ending) {
+        let Some(execution) = self.executions.get(&execution_id) else {
+            return;
+        };
+        let connection_id = execution.connection;
+        let id = execution.call.id.clone();
+        let Some(connection) = self.connections.get_mut(&connection_id) else {
+            return;
+        };
+        let output = connection.link.output();
+        if execution.pages.is_some() {
+            engine::write(output, &Command::ReleaseResult { id: &id });
+        } else if self.allowance.cancel {
+            engine::write(output, &Command::Cancel { id: &id });
+        }
+        connection.idle_since = now;
+        connection.open.remove(&id);
+        connection.cancelled.insert(id);
+        let command = CancelCommand {
+            connection: connection_id,
+            end: connection.link.end_of_output(),
+        };
+        self.end_execution(execution_id, ending, Some(command));
+    }
+
+    /// Sends a health check to an engine; its outcome comes as an event.
     pub fn probe(&mut self, now: Micros, place: Place) {
         self.next += 1;
         let tag = format!("p{}", self.next);
         let connection = match self.choose_connection(now, place, &tag) {
-            Err(Ending::Withdrawn) => return, // no new connection may be made now: that says nothing of the engine
-            other => other.ok().and_then(|id| self.connections.get_mut(&id)),
+            // No new connection may be made now: that says nothing of the engine.
+            Err(Ending::Withdrawn) => return,
+            chosen => chosen.ok().and_then(|id| self.connections.get_mut(&id)),
         };
         let Some(connection) = connection else {
             return self.events.push(Event::Probed {
@@ -218,3 +211,12 @@
             .insert(tag, now + self.allowance.dial_timeout);
     }
 }
+
+/// How an execution ends for which no connection could be begun.
+fn ending_of_failed_dial(error: &Error) -> Ending {
+    match error.kind() {
+        ErrorKind::ConnectionRefused => Ending::Refused,
+        ErrorKind::HostUnreachable | ErrorKind::NetworkUnreachable => Ending::NeverUp,
+        _ => Ending::NoMeans,
+    }
+}
--- a/crates/front/src/engines/timeouts.rs
+++ b/crates/front/src/engines/timeouts.rs
@@ -1,164 +1,167 @@
-//! Timeouts: dials, probes, half-written statements, half-read answers, idle connections.
+//! Timeouts of connections to engines: dials, health checks, half-written statements, half-read answers, idle
+//! connections.
 
-use super::*;
+use hallmux_dispatcher::{Ending, Micros};
+
+use super::connection::{ConnectionId, EngineConnection};
+use super::{Engines, Event};
+use crate::execution::ExecutionId;
+
+/// For a statement that has begun to leave: its deadline goes with it.
+const WRITE_TIMEOUT: Micros = 100_000;
+/// For a line that has begun, or a page that was asked for; both take a few milliseconds.
+const READ_TIMEOUT: Micros = 500_000;
 
 impl Engines {
-    /// When `expire` is next due.
+    /// When `expire` is next due, in Unix microseconds.
     pub fn due(&self) -> Micros {
-        let due = |connection: &EngineConnection| {
-            let dial = if connection.up {
-                Micros::MAX
-            } else {
-                connection.dial_by
-            };
-            let probe = connection
-                .probes
-                .values()
-                .copied()
-                .min()
-                .unwrap_or(Micros::MAX);
-            let partial = connection
-                .partial_line_since
-                .map_or(Micros::MAX, |since| since + READ_TIMEOUT);
-            let leaving = self
-                .writing_since(connection)
-                .map_or(Micros::MAX, |since| since + WRITE_TIMEOUT);
-            dial.min(probe)
-                .min(partial)
-                .min(leaving)
-                .min(self.idle_until(connection).unwrap_or(Micros::MAX))
-        };
-        self.connections
-            .values()
-            .map(due)
-            .min()
-            .unwrap_or(Micros::MAX)
-            .min(self.cancels_due())
+        let connections = self.connections.values();
+        let due = connections.filter_map(|connection| self.connection_due(connection));
+        due.min().unwrap_or(Micros::MAX).min(self.cancels_due())
     }
 
-    pub(super) fn idle_until(&self, connection: &EngineConnection) -> Option<Micros> {
-        let (rests, unsent) = (
-            connection.open.is_empty() && connection.probes.is_empty(),
-            connection.link.unsent() > 0,
-        );
+    fn connection_due(&self, connection: &EngineConnection) -> Option<Micros> {
+        let partial_line = connection.partial_line_since;
+        let due = [
+            (!connection.up).then_some(connection.dial_by),
+            connection.probes.values().copied().min(),
+            partial_line.map(|since| since + READ_TIMEOUT),
+            self.writing_since(connection)
+                .map(|since| since + WRITE_TIMEOUT),
+            self.idle_until(connection),
+        ];
+        due.into_iter().flatten().min()
+    }
+
+    /// When a connection is to be closed as idle; none while it is in use.
+    fn idle_until(&self, connection: &EngineConnection) -> Option<Micros> {
+        if !connection.is_idle() {
+            return None;
+        }
+        let has_unsent = connection.link.unsent() > 0;
         // Closing it would give up what runs on there.
         let runs_on = !self.allowance.cancel && !connection.cancelled.is_empty();
-        if connection.retired && rests && !runs_on {
+        if connection.retired && !runs_on {
             // What is still to leave has as long as a connection has to come up.
-            return Some(
-                connection.idle_since
-                    + if unsent {
-                        self.allowance.dial_timeout
-                    } else {
-                        0
-                    },
-            );
+            let patience = if has_unsent {
+                self.allowance.dial_timeout
+            } else {
+                0
+            };
+            return Some(connection.idle_since + patience);
         }
-        (connection.up && rests && !unsent).then_some(connection.idle_since + self.reuse.max_idle())
+        let is_idle = connection.up && !has_unsent;
+        is_idle.then_some(connection.idle_since + self.reuse.max_idle())
     }
 
-    /// Ends what has waited too long: connections not up, probes not answered, idle connections.
+    /// Ends what has waited too long: connections not up, health checks not answered, idle connections.
     pub fn expire(&mut self, now: Micros) {
         self.end_cancelled(now);
         let ids: Vec<ConnectionId> = self.connections.keys().copied().collect();
         for id in ids {
-            let Some(connection) = self.connections.get_mut(&id) else {
-                continue;
-            };
-            if !connection.up && connection.dial_by <= now {
-                // Guards against a front that stood still between its look at the connections and this one: one that
-                // has come up meanwhile is found as up in the next iteration.
-                if !connection.link.is_up().is_ok_and(|up| up) {
-                    self.close(now, id, Ending::NeverUp);
-                }
-                continue;
-            }
-            // Guards against a deadline that its engine would read late: what has begun to leave can't be
-            // written anew, and what has not left whole has not run.
-            let _ = self.flush_connection(id);
-            let connection = &self.connections[&id];
-            if self
-                .writing_since(connection)
-                .is_some_and(|since| since + WRITE_TIMEOUT <= now)
-            {
-                log::warn!(
-                    "engine {}: takes no more of a statement; its connection is closed",
-                    self.engine_name(id)
-                );
-                self.read(now, id);
-                self.close(now, id, Ending::ClosedHere);
-                continue;
-            }
-            if self.is_cancel_overdue(now, id) {
-                log::warn!(
-                    "engine {}: does not take that an execution is given up; its connection is closed",
-                    self.engine_name(id)
-                );
-                self.read(now, id);
-                self.close(now, id, Ending::ClosedHere);
-                continue;
-            }
-            // Guards against an answer that stops short: nothing comes over such a connection any more. What has
-            // come by now is read first.
-            let more = self.overdue(now, id).is_some() && self.read(now, id);
-            if let Some(what) = self.overdue(now, id).or(more.then_some("an end")) {
-                log::warn!(
-                    "engine {}: {what} that never came; its connection is closed",
-                    self.engine_name(id)
-                );
-                self.close(now, id, Ending::Unreadable);
-            }
-            let Some(connection) = self.connections.get_mut(&id) else {
-                continue;
-            };
-            let place = connection.place;
-            let before = connection.probes.len();
-            connection.probes.retain(|_, due| *due > now);
-            connection.retired |= connection.probes.len() < before
-                && connection.last_reply < now - self.allowance.dial_timeout;
-            for _ in connection.probes.len()..before {
-                self.events.push(Event::Probed {
-                    place,
-                    alive: false,
-                    report: None,
-                });
-            }
-            if self
-                .idle_until(&self.connections[&id])
-                .is_some_and(|until| until <= now)
-            {
-                self.close(now, id, Ending::Withdrawn);
+            self.expire_connection(now, id);
+        }
+    }
+
+    fn expire_connection(&mut self, now: Micros, id: ConnectionId) {
+        let Some(connection) = self.connections.get(&id) else {
+            return;
+        };
+        if !connection.up && connection.dial_by <= now {
+            // Guards against a front that stood still between its look at the connections and this one: one that
+            // has come up meanwhile is found as up in the next iteration.
+            if !connection.link.is_up().is_ok_and(|up| up) {
+                self.close(now, id, Ending::NeverUp);
             }
+            return;
+        }
+        // Guards against a deadline that its engine would read late: what has begun to leave can't be
+        // written anew, and what has not left whole has not run.
+        let _ = self.flush_connection(id);
+        if let Some(what) = self.untaken(now, id) {
+            log::warn!(
+                "engine {}: {what}; its connection is closed",
+                self.engine_name(id)
+            );
+            self.read(now, id);
+            return self.close(now, id, Ending::ClosedHere);
+        }
+        self.expire_incomplete_answer(now, id);
+        self.expire_probes(now, id);
+        let connection = self.connections.get(&id);
+        let idle_until = connection.and_then(|connection| self.idle_until(connection));
+        if idle_until.is_some_and(|until| until <= now) {
+            self.close(now, id, Ending::Withdrawn);
+        }
+    }
+
+    /// What the engine has not taken in its time, if anything.
+    fn untaken(&self, now: Micros, id: ConnectionId) -> Option<&'static str> {
+        let connection = self.connections.get(&id)?;
+        let writing_since = self.writing_since(connection);
+        if writing_since.is_some_and(|since| since + WRITE_TIMEOUT <= now) {
+            return Some("takes no more of a statement");
+        }
+        self.is_cancel_overdue(now, id)
+            .then_some("does not take that an execution is given up")
+    }
+
+    /// Guards against an answer that stops short: nothing comes over such a connection any more. What has
+    /// come by now is read first.
+    fn expire_incomplete_answer(&mut self, now: Micros, id: ConnectionId) {
+        let has_more = self.overdue(now, id).is_some() && self.read(now, id);
+        if let Some(what) = self.overdue(now, id).or(has_more.then_some("an end")) {
+            log::warn!(
+                "engine {}: {what} that never came; its connection is closed",
+                self.engine_name(id)
+            );
+            self.close(now, id, Ending::Unreadable);
+        }
+    }
+
+    /// Health checks that were not answered in time have failed. A connection that was silent as well takes nothing
+    /// more.
+    fn expire_probes(&mut self, now: Micros, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        let before = connection.probes.len();
+        connection.probes.retain(|_, due| *due > now);
+        let overdue = before - connection.probes.len();
+        let was_silent = connection.last_reply < now - self.allowance.dial_timeout;
+        connection.retired |= overdue > 0 && was_silent;
+        for _ in 0..overdue {
+            self.events.push(Event::Probed {
+                place: connection.place,
+                alive: false,
+                report: None,
+            });
         }
     }
 
     /// Since when a statement has begun to leave over a connection and has not left whole.
     fn writing_since(&self, connection: &EngineConnection) -> Option<Micros> {
-        let (execution_id, _) = connection
-            .writing
-            .as_ref()
-            .filter(|(_, end)| !connection.link.has_sent_up_to(*end))?;
-        self.executions
-            .get(execution_id)
-            .map(|execution| execution.sent_at)
+        let writing = connection.writing.as_ref()?;
+        if connection.link.has_sent_up_to(writing.end) {
+            return None;
+        }
+        let execution = self.executions.get(&writing.execution_id)?;
+        Some(execution.sent_at)
     }
 
     /// What has begun to come over a connection and takes too long.
     fn overdue(&self, now: Micros, id: ConnectionId) -> Option<&'static str> {
         let connection = self.connections.get(&id)?;
-        let page = |execution_id: &ExecutionId| {
-            let pages = self
-                .executions
-                .get(execution_id)
-                .and_then(|execution| execution.pages.as_ref());
-            pages.is_some_and(|pages| pages.last_page + READ_TIMEOUT <= now)
-        };
-        if connection
-            .partial_line_since
-            .is_some_and(|since| since + READ_TIMEOUT <= now)
-        {
+        let partial_line = connection.partial_line_since;
+        if partial_line.is_some_and(|since| since + READ_TIMEOUT <= now) {
             return Some("a line");
         }
-        connection.open.values().any(page).then_some("a page")
+        let awaits_page = |execution_id: &ExecutionId| {
+            let execution = self.executions.get(execution_id);
+            let pages = execution.and_then(|execution| execution.pages.as_ref());
+            pages.is_some_and(|pages| pages.last_page + READ_TIMEOUT <= now)
+        };
+        let mut open = connection.open.values();
+        open.any(awaits_page).then_some("a page")
     }
 }
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -1,6 +1,16 @@
 //! Writes to engines, and the end of a connection.
 
-use super::*;
+use hallmux_dispatcher::{Ending, Micros, Terms};
+use hallmux_native_codec::engine::{self, Command, ExecutionRequest};
+
+use super::connection::{ConnectionId, EngineConnection, PendingWrite};
+use super::execution::Stage;
+use super::{replies, Engine, Engines, Event};
+use crate::execution::ExecutionId;
+use crate::link::Broken;
+
+/// Bytes that an engine may leave untaken: a thousand small statements.
+pub(super) const MOST_UNSENT: usize = 1 << 20;
 
 impl Engines {
     /// A connection is over: each execution on it ends by how much of it has left.
@@ -8,39 +18,32 @@
         let Some(connection) = self.connections.remove(&id) else {
             return;
         };
-        let lost = matches!(ending, Ending::Reset | Ending::Closed)
+        let was_lost = matches!(ending, Ending::Reset | Ending::Closed)
             && connection.up
             && !connection.open.is_empty();
-        if lost && connection.last_reply < connection.resumed_at {
+        if was_lost && connection.last_reply < connection.resumed_at {
             self.reuse
                 .lost(connection.idle_before, now - connection.resumed_at);
         }
         if let Some(engine) = self.engines.get_mut(&connection.place) {
             engine.connections.retain(|other| *other != id);
-            if !connection.up && (connection.retired || ending == Ending::BrokenNew) {
-                log::debug!("engine {}: connection lost while it came up", engine.id);
-            } else if !connection.up && !std::mem::replace(&mut engine.failing, true) {
-                log::warn!("engine {}: can't be reached: {ending:?}", engine.id);
-            } else if connection.up && !connection.open.is_empty() {
-                let count = connection.open.len();
-                log::warn!(
-                    "engine {}: connection lost with {count} executions: {ending:?}",
-                    engine.id
-                );
-            }
+            log_end(engine, &connection, ending);
         }
+        self.end_open_executions(connection, ending);
+        self.settle_unsent_cancels(id, ending);
+    }
+
+    fn end_open_executions(&mut self, connection: EngineConnection, ending: Ending) {
         let mut open: Vec<ExecutionId> = connection.open.into_values().collect();
         open.sort_unstable();
         for execution_id in open {
-            let ending = match self
-                .executions
-                .get(&execution_id)
-                .map(|execution| &execution.stage)
-            {
-                Some(Stage::Queued) if connection.up => Ending::Withdrawn,
-                Some(Stage::Writing) => Ending::HalfWritten,
-                Some(_) => ending,
-                None => continue,
+            let Some(execution) = self.executions.get(&execution_id) else {
+                continue;
+            };
+            let ending = match execution.stage {
+                Stage::Queued if connection.up => Ending::Withdrawn,
+                Stage::Writing => Ending::HalfWritten,
+                Stage::Queued | Stage::Out => ending,
             };
             self.end_execution(execution_id, ending, None);
         }
@@ -51,7 +54,6 @@
                 report: None,
             });
         }
-        self.settle_unsent_cancels(id, ending);
     }
 
     /// Sends what is to leave. Of what is queued only as much is begun as the network takes.
@@ -71,72 +73,103 @@
     /// has left, whatever becomes of the commands behind it. Guards against one that has left and passes for
     /// half written: that would prove that it has not run.
     pub(super) fn flush_connection(&mut self, id: ConnectionId) -> Result<(), Broken> {
-        let Some(connection) = self.connections.get_mut(&id).filter(|l| l.up) else {
+        let connection = self.connections.get_mut(&id);
+        let Some(connection) = connection.filter(|connection| connection.up) else {
             return Ok(());
         };
         let flushed = connection.link.flush();
-        if let Some((execution_id, _)) = connection
+        let link = &connection.link;
+        let written = connection
             .writing
-            .take_if(|(_, end)| connection.link.has_sent_up_to(*end))
-        {
-            self.executions
-                .entry(execution_id)
-                .and_modify(|execution| execution.stage = Stage::Out);
+            .take_if(|writing| link.has_sent_up_to(writing.end));
+        let execution = written.and_then(|written| self.executions.get_mut(&written.execution_id));
+        if let Some(execution) = execution {
+            execution.stage = Stage::Out;
         }
         flushed
     }
 
     /// Begins what is queued as far as the network takes it. An error is how the connection ends.
-    pub(super) fn write_queue(&mut self, now: Micros, id: ConnectionId) -> Result<(), Ending> {
+    fn write_queue(&mut self, now: Micros, id: ConnectionId) -> Result<(), Ending> {
         loop {
             self.flush_connection(id).map_err(replies::ending_of)?;
-            let Some(connection) = self.connections.get_mut(&id).filter(|l| l.up) else {
+            let connection = self.connections.get_mut(&id);
+            let Some(connection) = connection.filter(|connection| connection.up) else {
                 return Ok(());
             };
             if connection.link.unsent() > MOST_UNSENT {
                 // Closed from here: its engine has yet to read so, as of anything that is given up.
                 return Err(Ending::ClosedHere);
-            } else if connection.link.unsent() > 0 {
+            }
+            if connection.link.unsent() > 0 {
                 return Ok(());
             }
             let Some(execution_id) = connection.queue.pop_front() else {
                 return Ok(());
             };
-            let Some(execution) = self.executions.get_mut(&execution_id) else {
-                continue;
-            };
-            let engine = self.engines.get(&connection.place);
-            if let Some(why) = withheld_because(now, engine, &execution.terms) {
-                log::debug!(
-                    "statement {}: its execution stays here: {why}",
-                    execution.call.id
-                );
-                self.withdraw(id, execution_id);
-                return self.write_queue(now, id);
-            }
-            let request = ExecutionRequest {
-                id: &execution.call.id,
-                workload: &execution.call.workload,
-                dedup_key: execution.call.dedup_key.as_deref(),
-                wait_ms: ((execution.terms.ends - now) / 1000).max(1),
-                grant_mb: execution.terms.grant_mb,
-                priority: execution.terms.priority,
-                statement: &execution.call.statement,
-            };
-            if connection.open.len() == 1 {
-                let dialled = connection.dial_by - self.allowance.dial_timeout;
-                let idle_before = if connection.idle_since > dialled {
-                    now - connection.idle_since
-                } else {
-                    0
-                };
-                (connection.idle_before, connection.resumed_at) = (idle_before, now);
-            }
-            engine::write(connection.link.output(), &Command::Execute(request));
-            (execution.stage, execution.sent_at) = (Stage::Writing, now);
-            connection.writing = Some((execution_id, connection.link.end_of_output()));
+            self.write_or_withdraw(now, id, execution_id);
         }
     }
+
+    /// Writes an execution to the output of its connection, or keeps it here where it may not leave any more.
+    fn write_or_withdraw(&mut self, now: Micros, id: ConnectionId, execution_id: ExecutionId) {
+        let Some(execution) = self.executions.get_mut(&execution_id) else {
+            return;
+        };
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        let engine = self.engines.get(&connection.place);
+        if let Some(why) = withheld_because(now, engine, &execution.terms) {
+            let call_id = &execution.call.id;
+            log::debug!("statement {call_id}: its execution stays here: {why}");
+            return self.withdraw(id, execution_id);
+        }
+        let request = ExecutionRequest {
+            id: &execution.call.id,
+            workload: &execution.call.workload,
+            dedup_key: execution.call.dedup_key.as_deref(),
+            wait_ms: ((execution.terms.ends - now) / 1000).max(1),
+            grant_mb: execution.terms.grant_mb,
+            priority: execution.terms.priority,
+            statement: &execution.call.statement,
+        };
+        if connection.open.len() == 1 {
+            connection.resume(now, self.allowance.dial_timeout);
+        }
+        engine::write(connection.link.output(), &Command::Execute(request));
+        execution.stage = Stage::Writing;
+        execution.sent_at = now;
+        connection.writing = Some(PendingWrite {
+            execution_id,
+            end: connection.link.end_of_output(),
+        });
+    }
+}
+
+impl EngineConnection {
+    /// It is taken up for its only execution: notes how long it had been idle since an earlier one, if any.
+    fn resume(&mut self, now: Micros, dial_timeout: Micros) {
+        let dialled_at = self.dial_by - dial_timeout;
+        let was_used = self.idle_since > dialled_at;
+        self.idle_before = if was_used { now - self.idle_since } else { 0 };
+        self.resumed_at = now;
+    }
+}
+
+/// Logs the end of a connection. An engine that can't be reached is named once, until it is reached again.
+fn log_end(engine: &mut Engine, connection: &EngineConnection, ending: Ending) {
+    if !connection.up && (connection.retired || ending == Ending::BrokenNew) {
+        log::debug!("engine {}: connection lost while it came up", engine.id);
+    } else if !connection.up && !std::mem::replace(&mut engine.failing, true) {
+        log::warn!("engine {}: can't be reached: {ending:?}", engine.id);
+    } else if connection.up && !connection.open.is_empty() {
+        let count = connection.open.len();
+        log::warn!(
+            "engine {}: connection lost with {count} executions: {ending:?}",
+            engine.id
+        );
+    }
 }
 
 /// Why an execution that has waited for its connection may not leave any more, if so.
