--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -1,52 +1,28 @@
 //! Connections of clients: statements in, one final answer out for each.
 
+mod connection;
 mod idle;
+mod input;
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
 
 use hallmux_dispatcher::{Micros, Ticket};
-use hallmux_native_codec::statement::{self, Call, Message, Reply, Request};
-use hallmux_native_codec::Decoded;
+use hallmux_native_codec::statement::{self, Call, Reply};
 
 use crate::lingering::Lingering;
-use crate::link::{Link, ReadOutcome};
+use crate::link::Link;
+use connection::Client;
 
-const MOST_OPEN: usize = 32; // statements open on a connection, as the protocol has it
-const READ_SIZE: usize = 16 << 10; // bytes taken from a client in an iteration, and one chunk: all that it may have open
-const MOST_UNUSABLE: usize = 8; // statements that can't be used, until their connection is closed
-const MOST_UNSENT: usize = 64 << 10; // bytes that a client may leave untaken before it is no longer read
+pub use input::ServingStatus;
 
-pub type ClientId = u64;
-
-struct Client {
-    link: Link,
-    open: HashMap<i32, Ticket>,
-    /// When it was last of use: something came, or an answer left.
-    last_active: Micros,
-    /// Since when a whole message is awaited: the first one, or the rest of one that has begun.
-    incomplete_since: Option<Micros>,
-    /// It has sent a whole message.
-    has_sent_message: bool,
-    unusable_statements: usize,
-    /// What it sends can't be used: nothing more is taken from it, and its connection is closed once what was taken
-    /// is answered.
-    refused: bool,
-    /// Since when it is not read, with more to read than was taken.
-    unread_since: Option<Micros>,
-}
-
-impl Client {
-    /// Nothing is lost with it.
-    fn is_idle(&self) -> bool {
-        !self.is_owed() && self.link.input.is_empty()
-    }
+/// Statements open on a connection, as the protocol has it.
+const MOST_OPEN: usize = 32;
+/// Bytes that a client may leave untaken before it is no longer read.
+const MOST_UNSENT: usize = 64 << 10;
 
-    /// It waits for an answer, or has not taken all of one.
-    fn is_owed(&self) -> bool {
-        !self.open.is_empty() || self.link.unsent() > 0
-    }
-}
+/// A client's connection, by its number among all that were accepted.
+pub type ClientId = u64;
 
 /// A statement that a client waits for.
 struct Open {
@@ -55,6 +31,7 @@
     call: Rc<Call>,
 }
 
+/// All connections of clients, and the statements that are open on them.
 #[derive(Default)]
 pub struct Clients {
     clients: HashMap<ClientId, Client>,
@@ -80,20 +57,27 @@
 
 /// What clients have sent, and how statements were abandoned.
 pub enum Event {
-    /// `unread_for`: for how long it may have lain unread, as its client took no answers or was not accepted.
+    /// A statement has come. `unread_for`: microseconds for which it may have lain unread, as its client took no answers
+    /// or was not accepted.
     Statement {
         client: ClientId,
         number: i32,
         call: Box<Call>,
         unread_for: Micros,
     },
-    Cancelled {
-        client: ClientId,
-        number: i32,
-    },
+    /// The client cancels a statement.
+    Cancelled { client: ClientId, number: i32 },
+    /// The connection that a statement was open on is over.
     Abandoned(Ticket),
 }
 
+/// Answers that wait for their clients to take them.
+pub struct UnsentAnswers {
+    pub bytes: usize,
+    /// The client that has left most.
+    pub slowest: Option<ClientId>,
+}
+
 impl Clients {
     pub fn new(retry_after: Option<Micros>, longest_timeout: Micros) -> Self {
         let retry_after_ms = retry_after.map(|time| time / 1000);
@@ -104,6 +88,7 @@
         }
     }
 
+    /// The number of the next connection.
     pub fn next_id(&mut self) -> ClientId {
         self.next += 1;
         self.next
@@ -112,17 +97,7 @@
     /// A connection was accepted that may have waited for that. Guards against a deadline beyond its client's: what it
     /// has sent lay unread meanwhile.
     pub fn accept(&mut self, now: Micros, id: ClientId, link: Link, waited: Micros) {
-        let open = HashMap::new();
-        let client = Client {
-            link,
-            open,
-            last_active: now,
-            incomplete_since: Some(now),
-            has_sent_message: false,
-            unusable_statements: 0,
-            refused: false,
-            unread_since: (waited > 0).then_some(now - waited),
-        };
+        let client = Client::accepted(now, link, waited);
         self.clients.insert(id, client);
     }
 
@@ -131,90 +106,9 @@
         self.clients.len() + self.lingering.len()
     }
 
-    /// A connection has changed: takes what the client has sent, and sends on where it takes more again.
-    /// True if there is more for another iteration.
-    pub fn read(&mut self, now: Micros, id: ClientId, well: bool, events: &mut Vec<Event>) -> bool {
-        if let Some(more) = self.lingering.read(id) {
-            return more;
-        }
-        let Some(client) = self.clients.get_mut(&id) else {
-            return false;
-        };
-        self.changed.insert(id);
-        client.last_active = now;
-        if client.link.unsent() > MOST_UNSENT {
-            self.paused.insert(id);
-            client.unread_since.get_or_insert(now);
-            return false;
-        }
-        let unread_for = client.unread_since.take().map_or(0, |since| now - since);
-        let ReadOutcome {
-            has_more: more,
-            broken,
-        } = client.link.read_some(READ_SIZE);
-        if client.refused {
-            client.link.input.clear();
-            if broken.is_some() {
-                self.disconnect(id, events);
-            }
-            return more;
-        }
-        let mut at = 0;
-        let unreadable = loop {
-            match statement::read(&client.link.input[at..]) {
-                Ok(None) => break None,
-                Err(what) => break Some(what),
-                Ok(Some(Decoded { len, message })) => {
-                    at += len;
-                    let Message {
-                        sequence_number: number,
-                        request,
-                    } = message;
-                    let mut answer =
-                        |reply: Reply| statement::write(client.link.output(), number, &reply);
-                    match request {
-                        Request::HealthCheck => answer(Reply::Health(well)),
-                        Request::UnknownMethod(name) => {
-                            answer(Reply::UnknownMethod(&name));
-                            client.unusable_statements += 1;
-                        }
-                        Request::Cancel(number) => {
-                            events.push(Event::Cancelled { client: id, number })
-                        }
-                        Request::Execute(call) => {
-                            events.push(Event::Statement {
-                                client: id,
-                                number,
-                                call: Box::new(call),
-                                unread_for,
-                            });
-                        }
-                    }
-                }
-            }
-        };
-        client.link.consume(at);
-        client.has_sent_message |= at > 0;
-        // Guards against messages that never end: what has begun, or is the first, is awaited for a while.
-        let is_incomplete = !client.has_sent_message || !client.link.input.is_empty();
-        client.incomplete_since =
-            is_incomplete.then(|| client.incomplete_since.filter(|_| at == 0).unwrap_or(now));
-        if let Some(what) = &unreadable {
-            log::info!("client {id}: {what}; its connection is closed");
-            client.refused = true;
-        }
-        self.close_if_faulty(id);
-        if broken.is_some() {
-            self.disconnect(id, events);
-        } else if let Some(client) = self.clients.get_mut(&id).filter(|_| more) {
-            client.unread_since = Some(now - unread_for);
-        }
-        more
-    }
-
     /// Guards against one that sends what can't be used without end: after some such statements its connection is closed.
     fn close_if_faulty(&mut self, id: ClientId) {
-        let faulty = |c: &&mut Client| c.unusable_statements >= MOST_UNUSABLE && !c.refused;
+        let faulty = |client: &&mut Client| client.is_faulty() && !client.refused;
         let Some(client) = self.clients.get_mut(&id).filter(faulty) else {
             return;
         };
@@ -277,7 +171,7 @@
         let Some(client) = self.clients.get(&id) else {
             return false;
         };
-        if client.unusable_statements >= MOST_UNUSABLE {
+        if client.is_faulty() {
             self.reject(id, number);
         } else if client.open.contains_key(&number) {
             self.answer_unusable(id, number, statement::NUMBER);
@@ -325,13 +219,13 @@
         self.held_bytes
     }
 
-    /// Bytes of the answers that clients have not taken yet, and the client that has left most.
-    pub fn unsent(&self) -> (usize, Option<ClientId>) {
+    /// The answers that clients have not taken yet.
+    pub fn unsent(&self) -> UnsentAnswers {
         let unsent = |id: &ClientId| self.clients.get(id).map_or(0, |c| c.link.unsent());
-        (
-            self.with_unsent.iter().map(unsent).sum(),
-            self.with_unsent.iter().copied().max_by_key(unsent),
-        )
+        UnsentAnswers {
+            bytes: self.with_unsent.iter().map(unsent).sum(),
+            slowest: self.with_unsent.iter().copied().max_by_key(unsent),
+        }
     }
 
     /// A statement is taken under a ticket.
@@ -351,6 +245,7 @@
         }
     }
 
+    /// What a client has asked for under a ticket.
     pub fn call(&self, ticket: Ticket) -> Option<Rc<Call>> {
         self.open.get(&ticket).map(|open| open.call.clone())
     }
--- a/crates/front/src/clients/idle.rs
+++ b/crates/front/src/clients/idle.rs
@@ -1,11 +1,19 @@
 //! Which client connections are closed because nothing is owed on them and nothing comes.
 
-use super::*;
+use hallmux_dispatcher::Micros;
 
-const CHECK_INTERVAL: Micros = 200_000; // microseconds between checks of connections that have sent nothing for long
-const IDLE_TIMEOUT: Micros = 6_000_000; // microseconds; clients close after 4 s, so what is idle longer is left behind
-const MESSAGE_TIMEOUT: Micros = 2_000_000; // microseconds for a message to be whole, the first one from connecting on
-const PIECE_TIMEOUT: Micros = 500_000; // microseconds between pieces of a message that is still being written
+use super::connection::Client;
+use super::input::READ_SIZE;
+use super::{ClientId, Clients, Event};
+
+/// Microseconds between checks of connections that have sent nothing for long.
+const CHECK_INTERVAL: Micros = 200_000;
+/// Microseconds; clients close after 4 s, so what is idle longer is left behind.
+const IDLE_TIMEOUT: Micros = 6_000_000;
+/// Microseconds for a message to be whole, the first one from connecting on.
+const MESSAGE_TIMEOUT: Micros = 2_000_000;
+/// Microseconds between pieces of a message that is still being written.
+const PIECE_TIMEOUT: Micros = 500_000;
 
 impl Clients {
     /// Closes connections that are left behind, that have sent nothing yet, or half a message and no more. What was
@@ -16,57 +24,70 @@
             return;
         }
         self.next_check = now + CHECK_INTERVAL;
-        let half = |c: &Client| {
-            let begun = c.incomplete_since.unwrap_or(now);
-            let stopped = begun + MESSAGE_TIMEOUT <= now && c.last_active + PIECE_TIMEOUT <= now;
-            stopped || begun + self.longest_timeout.max(IDLE_TIMEOUT) <= now
-        };
-        let idle = |c: &Client| c.last_active + IDLE_TIMEOUT <= now;
-        let over = |(id, c): (&ClientId, &Client)| {
-            let over = (half(c) || idle(c)) && !self.paused.contains(id);
-            (over && !c.is_owed()).then_some(*id)
-        };
-        let over: Vec<ClientId> = self.clients.iter().filter_map(over).collect();
-        for id in over {
+        for id in self.silent_too_long(now) {
             if self.has_nothing_unread(id) {
                 self.close(now, id, events);
             }
         }
         // Guards against those that have gone without closing: nobody waits for an answer any more.
-        let abandoned = |(id, c): (&ClientId, &Client)| {
-            let takes_none = c.open.is_empty() && c.link.unsent() > 0;
-            let patience = if c.refused {
+        for id in self.abandoned(now) {
+            self.disconnect(id, events);
+        }
+    }
+
+    /// Clients that nothing is owed to and that were silent too long, with half a message or between two.
+    fn silent_too_long(&self, now: Micros) -> Vec<ClientId> {
+        let is_over = |id: &ClientId, client: &Client| {
+            let is_idle = client.last_active + IDLE_TIMEOUT <= now;
+            let is_silent = is_idle || self.is_message_overdue(now, client);
+            is_silent && !self.paused.contains(id) && !client.is_owed()
+        };
+        self.ids_where(is_over)
+    }
+
+    /// Whether a message that has begun is not whole in its time.
+    fn is_message_overdue(&self, now: Micros, client: &Client) -> bool {
+        let begun = client.incomplete_since.unwrap_or(now);
+        let has_stopped =
+            begun + MESSAGE_TIMEOUT <= now && client.last_active + PIECE_TIMEOUT <= now;
+        has_stopped || begun + self.longest_timeout.max(IDLE_TIMEOUT) <= now
+    }
+
+    /// Clients that wait for nothing and have left answers untaken for longer than any waits.
+    fn abandoned(&self, now: Micros) -> Vec<ClientId> {
+        let is_abandoned = |_: &ClientId, client: &Client| {
+            let takes_none = client.open.is_empty() && client.link.unsent() > 0;
+            let patience = if client.refused {
                 MESSAGE_TIMEOUT
             } else {
                 self.longest_timeout.max(IDLE_TIMEOUT)
             };
-            (takes_none && c.last_active + patience <= now).then_some(*id)
+            takes_none && client.last_active + patience <= now
         };
-        let abandoned: Vec<ClientId> = self.clients.iter().filter_map(abandoned).collect();
-        abandoned
-            .into_iter()
-            .for_each(|id| self.disconnect(id, events));
+        self.ids_where(is_abandoned)
+    }
+
+    fn ids_where(&self, condition: impl Fn(&ClientId, &Client) -> bool) -> Vec<ClientId> {
+        let clients = self.clients.iter();
+        let chosen = clients.filter(|(id, client)| condition(id, client));
+        chosen.map(|(id, _)| *id).collect()
     }
 
-    /// Closes an idle connection to make way for a new one: the one that has been silent longest goes, before all one that is being closed or
-    /// never spoke.
+    /// Closes an idle connection to make way for a new one. One that is being closed goes first, then those that
+    /// never spoke, then the one that has been silent longest. False if there is none.
     pub fn evict_idle(&mut self) -> bool {
         if self.lingering.drop_oldest() {
             return true;
         }
-        let silent = self
-            .clients
-            .iter()
-            .filter(|(_, c)| c.open.is_empty() && (!c.has_sent_message || c.is_idle()));
-        let mut silent: Vec<_> = silent
-            .map(|(id, c)| (c.has_sent_message, c.last_active, *id))
-            .collect();
-        silent.sort_unstable();
-        let Some(id) = silent
-            .into_iter()
-            .map(|(.., id)| id)
-            .find(|id| self.has_nothing_unread(*id))
-        else {
+        let mut silent = self.ids_where(|_, client| {
+            client.open.is_empty() && (!client.has_sent_message || client.is_idle())
+        });
+        silent.sort_unstable_by_key(|id| {
+            let client = &self.clients[id];
+            (client.has_sent_message, client.last_active, *id)
+        });
+        let mut silent = silent.into_iter();
+        let Some(id) = silent.find(|id| self.has_nothing_unread(*id)) else {
             return false;
         };
         self.disconnect(id, &mut Vec::new());
@@ -75,13 +96,7 @@
 
     /// Closes the connections that have nothing open and nothing on the way.
     pub fn close_idle(&mut self, now: Micros) {
-        let idle: Vec<ClientId> = self
-            .clients
-            .iter()
-            .filter(|(_, c)| c.is_idle())
-            .map(|(id, _)| *id)
-            .collect();
-        for id in idle {
+        for id in self.ids_where(|_, client| client.is_idle()) {
             if self.has_nothing_unread(id) {
                 self.close(now, id, &mut Vec::new());
             }
--- /dev/null
+++ b/crates/front/src/clients/input.rs
@@ -0,0 +1,127 @@
+//! What clients send: messages are read from their connections and become events.
+
+use hallmux_dispatcher::Micros;
+use hallmux_native_codec::statement::{self, Message, Reply, Request};
+use hallmux_native_codec::Decoded;
+
+use super::connection::Client;
+use super::{ClientId, Clients, Event, MOST_UNSENT};
+use crate::link::ReadOutcome;
+
+/// Bytes taken from a client in an iteration, and one chunk: all that it may have open.
+pub(super) const READ_SIZE: usize = 16 << 10;
+
+/// What health checks of clients are answered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ServingStatus {
+    Serving,
+    /// The process ends: clients are to go elsewhere.
+    ShuttingDown,
+}
+
+/// What the messages of one read have in common.
+struct ReadContext {
+    client: ClientId,
+    status: ServingStatus,
+    /// Microseconds for which what is read may have lain unread.
+    unread_for: Micros,
+}
+
+impl Clients {
+    /// A connection has changed: takes what the client has sent, and sends on where it takes more again.
+    /// True if there is more for another iteration.
+    pub fn read(
+        &mut self,
+        now: Micros,
+        id: ClientId,
+        status: ServingStatus,
+        events: &mut Vec<Event>,
+    ) -> bool {
+        if let Some(has_more) = self.lingering.read(id) {
+            return has_more;
+        }
+        let Some(client) = self.clients.get_mut(&id) else {
+            return false;
+        };
+        self.changed.insert(id);
+        client.last_active = now;
+        if client.link.unsent() > MOST_UNSENT {
+            self.paused.insert(id);
+            client.unread_since.get_or_insert(now);
+            return false;
+        }
+        let unread_for = client.unread_since.take().map_or(0, |since| now - since);
+        let ReadOutcome { has_more, broken } = client.link.read_some(READ_SIZE);
+        if client.refused {
+            client.link.input.clear();
+            if broken.is_some() {
+                self.disconnect(id, events);
+            }
+            return has_more;
+        }
+        let context = ReadContext {
+            client: id,
+            status,
+            unread_for,
+        };
+        client.take_messages(now, &context, events);
+        self.close_if_faulty(id);
+        if broken.is_some() {
+            self.disconnect(id, events);
+        } else if let Some(client) = self.clients.get_mut(&id).filter(|_| has_more) {
+            client.unread_since = Some(now - unread_for);
+        }
+        has_more
+    }
+}
+
+impl Client {
+    /// Takes all whole messages. After one that can't be read nothing more is taken.
+    fn take_messages(&mut self, now: Micros, context: &ReadContext, events: &mut Vec<Event>) {
+        let mut taken = 0;
+        let unreadable = loop {
+            match statement::read(&self.link.input[taken..]) {
+                Ok(None) => break None,
+                Err(what) => break Some(what),
+                Ok(Some(Decoded { len, message })) => {
+                    taken += len;
+                    self.take_message(message, context, events);
+                }
+            }
+        };
+        self.link.consume(taken);
+        self.has_sent_message |= taken > 0;
+        // Guards against messages that never end: what has begun, or is the first, is awaited for a while.
+        let is_incomplete = !self.has_sent_message || !self.link.input.is_empty();
+        let awaited_before = self.incomplete_since.filter(|_| taken == 0);
+        self.incomplete_since = is_incomplete.then(|| awaited_before.unwrap_or(now));
+        if let Some(what) = &unreadable {
+            let client = context.client;
+            log::info!("client {client}: {what}; its connection is closed");
+            self.refused = true;
+        }
+    }
+
+    fn take_message(&mut self, message: Message, context: &ReadContext, events: &mut Vec<Event>) {
+        let number = message.sequence_number;
+        let client = context.client;
+        match message.request {
+            Request::HealthCheck => {
+                let healthy = context.status == ServingStatus::Serving;
+                statement::write(self.link.output(), number, &Reply::Health(healthy));
+            }
+            Request::UnknownMethod(name) => {
+                let reply = Reply::UnknownMethod(&name);
+                statement::write(self.link.output(), number, &reply);
+                self.unusable_statements += 1;
+            }
+            Request::Cancel(number) => events.push(Event::Cancelled { client, number }),
+            Request::Execute(call) => events.push(Event::Statement {
+                client,
+                number,
+                call: Box::new(call),
+                unread_for: context.unread_for,
+            }),
+        }
+    }
+}
--- a/crates/front/src/clients_tests.rs
+++ b/crates/front/src/clients_tests.rs
@@ -73,7 +73,7 @@
         0,
     );
     let (mut now, mut reported) = (SECOND, Vec::new());
-    while clients.read(now, 1, true, &mut reported) && reported.len() < 2 {
+    while clients.read(now, 1, ServingStatus::Serving, &mut reported) && reported.len() < 2 {
         now += SECOND;
     }
     let has_waited = |event: &Event| matches!(event, Event::Statement { unread_for, .. } if *unread_for == now - SECOND);
--- a/crates/front/src/event_loop.rs
+++ b/crates/front/src/event_loop.rs
@@ -220,13 +220,13 @@
         let mut events = Vec::new();
         self.answer_scattered();
         self.clients.flush(self.clock.now, &mut events);
-        if let (untaken, Some(client)) = self.clients.unsent() {
-            if untaken > self.max_bytes {
-                log::warn!(
-                    "client {client}: takes no answers, {untaken} bytes wait; its connection is closed"
-                );
-                self.clients.disconnect(client, &mut events);
-            }
+        let unsent = self.clients.unsent();
+        if let Some(client) = unsent.slowest.filter(|_| unsent.bytes > self.max_bytes) {
+            let bytes = unsent.bytes;
+            log::warn!(
+                "client {client}: takes no answers, {bytes} bytes wait; its connection is closed"
+            );
+            self.clients.disconnect(client, &mut events);
         }
         self.handle_client_events(events);
     }
--- a/crates/front/src/event_loop/admission.rs
+++ b/crates/front/src/event_loop/admission.rs
@@ -6,20 +6,21 @@
 use hallmux_native_codec::tables;
 
 use super::EventLoopState;
-use crate::clients::{self, ClientId};
+use crate::clients::{self, ClientId, ServingStatus};
 use crate::execution::ExecutionId;
 
 impl EventLoopState {
+    /// Reads from a client; true if there is more for another iteration.
     pub(super) fn read_client(&mut self, id: ClientId) -> bool {
+        let status = if self.shutdown.is_requested() {
+            ServingStatus::ShuttingDown
+        } else {
+            ServingStatus::Serving
+        };
         let mut events = Vec::new();
-        let more = self.clients.read(
-            self.clock.now,
-            id,
-            !self.shutdown.is_requested(),
-            &mut events,
-        );
+        let has_more = self.clients.read(self.clock.now, id, status, &mut events);
         self.handle_client_events(events);
-        more
+        has_more
     }
 
     pub(super) fn handle_client_events(&mut self, events: Vec<clients::Event>) {
