--- a/crates/front/src/coordinator.rs
+++ b/crates/front/src/coordinator.rs
@@ -1,43 +1,60 @@
-//! The connection to the coordinator: one question after the other for what has changed since the last.
+//! The connection to the coordinator: long polls for what has changed in the engine list, one after the other.
 
 use std::net::SocketAddr;
 
 use calloop::LoopHandle;
 use hallmux_dispatcher::Micros;
-use hallmux_native_codec::coordinator::{self as codec, Events};
-use hallmux_native_codec::Decoded;
+use hallmux_native_codec::coordinator::{self as codec, Events, Response};
+use hallmux_native_codec::{Decoded, ParseError};
 
 use crate::events::{LoopEvents, SocketKind};
 use crate::link::{Link, ReadOutcome};
 
-const POLL_MS: i64 = 1000; // milliseconds that the coordinator holds a question open (long poll)
-const SILENCE_TIMEOUT: Micros = 750_000; // microseconds beyond that until the connection counts as dead
-const RETRY_INTERVAL: Micros = 200_000; // microseconds until the next try after one that failed
+/// Milliseconds that the coordinator holds a poll open.
+const POLL_MS: i64 = 1000;
+/// Microseconds beyond that until the connection counts as dead.
+const SILENCE_TIMEOUT: Micros = 750_000;
+/// Microseconds until the next attempt after one that failed.
+const RETRY_INTERVAL: Micros = 200_000;
 
+/// The client of the coordinator.
 pub struct Coordinator {
     handle: LoopHandle<'static, LoopEvents>,
-    at: Option<SocketAddr>,
+    address: Option<SocketAddr>,
     link: Option<Link>,
-    number: u64, // of the connection
-    asked_at: Option<Micros>,
-    due: Micros, // until when an answer is awaited, or when to try again
+    /// The number of the connection, the last one dialled.
+    number: u64,
+    polled_at: Option<Micros>,
+    /// Until when an answer is awaited, or when to try again.
+    due: Micros,
+    /// The last event that is known; polls ask for those after it.
     pub last_index: u64,
     failing: bool,
-    last_answer: Micros, // when it last did
+    /// When the coordinator last answered; 0 before it did.
+    last_answer: Micros,
+}
+
+/// What was read of a connection.
+struct Received {
+    /// The answer to the poll; none while some of it has yet to come.
+    answer: Result<Option<Response>, ParseError>,
+    /// The connection was closed or broke.
+    is_over: bool,
 }
 
 impl Coordinator {
+    /// Polls the address given from the next `expire` on; none: nothing is polled.
     pub fn new(
         handle: LoopHandle<'static, LoopEvents>,
-        at: Option<SocketAddr>,
+        address: Option<SocketAddr>,
         last_index: u64,
     ) -> Self {
         Coordinator {
             handle,
-            at,
+            address,
             link: None,
             number: 0,
-            asked_at: None,
+            polled_at: None,
             due: 0,
             last_index,
             failing: false,
@@ -45,15 +62,20 @@
         }
     }
 
-    /// Another address is to be asked from now on, from the last number; the old connection goes.
-    pub fn set_address(&mut self, now: Micros, at: Option<SocketAddr>) {
-        if self.at != at {
-            (self.at, self.link, self.failing, self.due) = (at, None, false, now);
+    /// Another address is polled from now on, from the last index; the old connection is closed.
+    pub fn set_address(&mut self, now: Micros, address: Option<SocketAddr>) {
+        if self.address == address {
+            return;
         }
+        self.address = address;
+        self.link = None;
+        self.failing = false;
+        self.due = now;
     }
 
+    /// When `expire` is next due, in Unix microseconds.
     pub fn due(&self) -> Micros {
-        if self.at.is_some() {
+        if self.address.is_some() {
             self.due
         } else {
             Micros::MAX
@@ -62,16 +84,21 @@
 
     /// Tries again, or drops a connection that has been silent.
     pub fn expire(&mut self, now: Micros) {
-        let Some(at) = self.at.filter(|_| self.due <= now) else {
+        let Some(address) = self.address.filter(|_| self.due <= now) else {
             return;
         };
         if self.link.is_some() {
             return self.failed(now, "silent");
         }
         self.number += 1;
-        match Link::dial(at, &self.handle, SocketKind::Coordinator.id(self.number)) {
+        match Link::dial(
+            address,
+            &self.handle,
+            SocketKind::Coordinator.id(self.number),
+        ) {
             Ok(link) => {
-                (self.link, self.asked_at) = (Some(link), None);
+                self.link = Some(link);
+                self.polled_at = None;
                 self.due = now + SILENCE_TIMEOUT;
             }
             Err(e) => self.failed(now, &e.to_string()),
@@ -79,7 +106,7 @@
     }
 
     fn failed(&mut self, now: Micros, why: &str) {
-        // One that breaks off or stops is asked again at once, from then on every now and then.
+        // One that breaks off or stops is polled again at once, from then on at intervals.
         let again = if std::mem::replace(&mut self.failing, true) {
             now + RETRY_INTERVAL
         } else {
@@ -88,88 +115,120 @@
         if again == now {
             log::warn!("coordinator: {why}; the engine list stands still until it answers");
         }
-        (self.link, self.due) = (None, again);
+        self.close_until(again);
+    }
+
+    /// Closes the connection; the next one is dialled at the time given.
+    fn close_until(&mut self, dial_at: Micros) {
+        self.link = None;
+        self.due = dial_at;
     }
 
-    fn ask(&mut self, now: Micros) {
-        if let (Some(link), Some(at)) = (&mut self.link, self.at) {
-            let question = codec::poll_request(&at.to_string(), self.last_index, POLL_MS);
-            link.output().extend_from_slice(question.as_bytes());
-            (self.asked_at, self.due) = (Some(now), now + POLL_MS * 1000 + SILENCE_TIMEOUT);
+    fn poll(&mut self, now: Micros) {
+        if let (Some(link), Some(address)) = (&mut self.link, self.address) {
+            let request = codec::poll_request(&address.to_string(), self.last_index, POLL_MS);
+            link.output().extend_from_slice(request.as_bytes());
+            self.polled_at = Some(now);
+            self.due = now + POLL_MS * 1000 + SILENCE_TIMEOUT;
         }
     }
 
-    /// The connection has changed; what it brought, if anything.
+    /// The connection has changed; the events that it brought, if any.
     pub fn read(&mut self, now: Micros, number: u64) -> Option<Events> {
-        let link = self.link.as_mut().filter(|_| number == self.number)?;
-        if self.asked_at.is_none() {
-            match link.is_up() {
-                Ok(false) => return None,
-                Ok(true) => self.ask(now),
-                Err(e) => {
-                    self.failed(now, &e.to_string());
-                    return None;
-                }
+        if self.link.is_none() || number != self.number {
+            return None;
+        }
+        if self.polled_at.is_none() && !self.poll_if_up(now) {
+            return None;
+        }
+        let received = self.receive()?;
+        match received.answer {
+            Ok(Some(answer)) => self.take_answer(now, answer, received.is_over),
+            Ok(None) if received.is_over => {
+                self.failed(now, "connection over");
+                None
+            }
+            Ok(None) => None,
+            Err(what) => {
+                self.failed(now, &what.to_string());
+                None
+            }
+        }
+    }
+
+    /// Polls over a connection that has come up. False if it has not, or failed.
+    fn poll_if_up(&mut self, now: Micros) -> bool {
+        match self.link.as_ref().map_or(Ok(false), Link::is_up) {
+            Ok(true) => {
+                self.poll(now);
+                true
+            }
+            Ok(false) => false,
+            Err(error) => {
+                self.failed(now, &error.to_string());
+                false
             }
         }
+    }
+
+    /// Takes what is readable, an answer where it is whole.
+    fn receive(&mut self) -> Option<Received> {
         let link = self.link.as_mut()?;
         let broken = loop {
-            let ReadOutcome {
-                has_more: more,
-                broken,
-            } = link.read();
-            if !more || link.input.len() > codec::LONGEST_BODY {
+            let ReadOutcome { has_more, broken } = link.read();
+            if !has_more || link.input.len() > codec::LONGEST_BODY {
                 break broken;
             }
         };
-        let Decoded {
-            len,
-            message: answer,
-        } = match codec::read(&link.input, broken.is_some()) {
-            Ok(Some(answer)) => answer,
-            Ok(None) if broken.is_some() => {
-                self.failed(now, "connection over");
-                return None;
-            }
-            Ok(None) => return None,
-            Err(what) => {
-                self.failed(now, &what.to_string());
-                return None;
+        let is_over = broken.is_some();
+        let answer = match codec::read(&link.input, is_over) {
+            Ok(Some(Decoded { len, message })) => {
+                link.consume(len);
+                Ok(Some(message))
             }
+            Ok(None) => Ok(None),
+            Err(what) => Err(what),
         };
-        link.consume(len);
-        let read = match answer.status {
+        Some(Received { answer, is_over })
+    }
+
+    /// Takes an answer to a poll; its events, if it has some that can be read.
+    fn take_answer(&mut self, now: Micros, answer: Response, is_over: bool) -> Option<Events> {
+        let events = match answer.status {
             200 => codec::events(&answer.body).map_err(|what| what.to_string()),
             status => Err(format!("status {status}")),
         };
-        match read {
+        let events = match events {
+            Ok(events) => events,
             Err(why) => {
                 self.failed(now, &why);
-                None
-            }
-            Ok(stream) => {
-                let before = std::mem::replace(&mut self.last_answer, now);
-                if std::mem::replace(&mut self.failing, false) {
-                    // What it sent meanwhile counts as known some seconds after, whether it came here or not.
-                    let silent = if before > 0 { (now - before) / 1000 } else { 0 };
-                    log::info!("coordinator: answers again, {silent} ms after its last answer");
-                }
-                self.last_index = self.last_index.max(stream.index);
-                // Guards against one that answers at once with nothing: it is not asked without end.
-                let idle = stream.updates.is_empty()
-                    && self.asked_at.is_some_and(|at| now < at + RETRY_INTERVAL);
-                if idle {
-                    (self.link, self.due) = (None, now + RETRY_INTERVAL);
-                } else if answer.keep_alive && broken.is_none() {
-                    self.ask(now);
-                } else {
-                    (self.link, self.due) = (None, now);
-                }
-                Some(stream)
+                return None;
             }
+        };
+        self.note_answer(now);
+        self.last_index = self.last_index.max(events.index);
+        // Guards against one that answers at once with nothing: it is not polled without end.
+        let answered_at_once = self.polled_at.is_some_and(|at| now < at + RETRY_INTERVAL);
+        if events.updates.is_empty() && answered_at_once {
+            self.close_until(now + RETRY_INTERVAL);
+        } else if answer.keep_alive && !is_over {
+            self.poll(now);
+        } else {
+            self.close_until(now);
+        }
+        Some(events)
+    }
+
+    fn note_answer(&mut self, now: Micros) {
+        let before = std::mem::replace(&mut self.last_answer, now);
+        if std::mem::replace(&mut self.failing, false) {
+            // What it sent meanwhile counts as known some seconds after, whether it came here or not.
+            let silent_ms = if before > 0 { (now - before) / 1000 } else { 0 };
+            log::info!("coordinator: answers again, {silent_ms} ms after its last answer");
         }
     }
 
+    /// Sends what is to leave.
     pub fn flush(&mut self, now: Micros) {
         if let Some(Err(_)) = self.link.as_mut().map(Link::flush) {
             self.failed(now, "connection over");
