--- a/crates/front/src/front/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -8,7 +8,7 @@
 use hallmux_native_codec::statement::{Call, Reply};
 use hallmux_scatter::gather::PartFailure;
 
-use super::Front;
+use super::EventLoopState;
 use crate::engines;
 use crate::execution::ExecutionId;
 use crate::fleet::rules::{Ordered, Ruling, Shared};
@@ -16,13 +16,13 @@
 use crate::postgres::gateway::{AdmissionState, Gateway};
 use crate::scatter::Load;
 
-impl Front {
+impl EventLoopState {
     /// Reports replies of engines, and how executions have ended, to the dispatcher; answers go on to clients.
     pub(super) fn handle_engine_events(&mut self) {
         for event in std::mem::take(&mut self.engines.events) {
             match event {
                 engines::Event::Ended {
-                    sent:
+                    execution_id:
                         ExecutionId {
                             ticket,
                             number: execution,
@@ -48,7 +48,7 @@
                     }
                 }
                 engines::Event::Noted {
-                    sent:
+                    execution_id:
                         ExecutionId {
                             ticket,
                             number: execution,
@@ -67,14 +67,14 @@
                 }
             }
         }
-        let room = self.room();
+        let admission = self.admission_state();
         if let Some(gateway) = &mut self.gateway {
-            gateway.handle_server_events(self.clock.now, room, &mut self.dispatcher);
+            gateway.handle_server_events(self.clock.now, admission, &mut self.dispatcher);
         }
     }
 
     /// What the admission of units of sessions depends on just now.
-    pub(super) fn room(&self) -> AdmissionState {
+    pub(super) fn admission_state(&self) -> AdmissionState {
         let held = self.clients.held_bytes() + self.gateway.as_ref().map_or(0, Gateway::held_bytes);
         let full =
             held > self.max_bytes || self.dispatcher.statements_held() >= self.max_statements;
@@ -263,7 +263,7 @@
             ..
         } = ordered;
         let (now, sent) = (self.clock.now, ExecutionId::new(ticket, execution));
-        self.rooms.sent(place);
+        self.send_capacity.sent(place);
         if self.is_of_session(ticket) {
             return self
                 .gateway
--- a/crates/front/src/held_tests.rs
+++ b/crates/front/src/held_tests.rs
@@ -2,7 +2,7 @@
 //! cancelling is not allowed: none of them is ever sent.
 
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpStream, UdpSocket};
+use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::path::PathBuf;
 use std::time::Instant;
 
@@ -13,6 +13,7 @@
 use super::tests::{listener, Driven};
 use super::*;
 use crate::clients::tests::frame;
+use crate::start_error::StartError;
 
 const MOST_STARTS: usize = 10; // of fronts whose ports were taken by somebody else
 const PATIENCE: Duration = Duration::from_secs(20); // for any one wait; a busy machine takes some of it
@@ -136,7 +137,7 @@
     fn hears_after_one_has_left(
         &mut self,
         statement: &str,
-        held: impl Fn(&Front) -> bool,
+        held: impl Fn(&EventLoopState) -> bool,
     ) -> String {
         let client = self.asks(1, statement);
         self.driven
@@ -216,7 +217,7 @@
 }
 
 /// Something waits for a mark.
-fn waits_for_a_mark(front: &Front) -> bool {
+fn waits_for_a_mark(front: &EventLoopState) -> bool {
     let loads = front
         .scatter
         .as_ref()
@@ -225,7 +226,7 @@
 }
 
 /// An execution was ordered and has not ended.
-fn is_ordered(front: &Front) -> bool {
+fn is_ordered(front: &EventLoopState) -> bool {
     (0..16).any(|ticket| !front.dispatcher.executions_out(ticket).is_empty())
 }
 
