--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -4,7 +4,7 @@
 //! clocks: it says what to ask the ledger and which executions may leave.
 
 mod guard;
-mod hold;
+mod key_state;
 mod requirements;
 
 use std::collections::{BTreeMap, HashMap};
@@ -16,7 +16,7 @@
 use hallmux_ledger::{self as ledger, Done, Key, Kind};
 
 pub use guard::{Guard, LedgerClient, OrderedExecution};
-use hold::{Claim, Hold, Verdict};
+use key_state::{Claim, KeyState, Verdict};
 use requirements::{EntryMark, Requirement, Requirements};
 
 /// Added to the numbers of this part's asks: the highest byte tells the parts of one front apart.
@@ -69,7 +69,7 @@
     shards_heard: Vec<bool>,
     requirements: Requirements,
     statements: HashMap<Ticket, Statement>,
-    holds: BTreeMap<Key, Hold>,
+    keys: BTreeMap<Key, KeyState>,
     /// The keys of the asks that are out, by number.
     asked: BTreeMap<u64, Key>,
     last_number: u64,
@@ -89,7 +89,7 @@
             shards_heard: vec![false; usize::from(shards)],
             requirements: Requirements::new(contract),
             statements: HashMap::new(),
-            holds: BTreeMap::new(),
+            keys: BTreeMap::new(),
             asked: BTreeMap::new(),
             last_number: NUMBERS,
             due: Micros::MAX,
@@ -175,7 +175,7 @@
             .map(|requirement| requirement.key.clone())
             .collect::<Vec<_>>()
         {
-            self.holds
+            self.keys
                 .get_mut(&key)
                 .map(|hold| hold.waiting.remove(&ticket));
             self.advance(now, &key);
@@ -189,7 +189,7 @@
             return;
         };
         for Requirement { key, .. } in s.requirements {
-            self.holds
+            self.keys
                 .get_mut(&key)
                 .into_iter()
                 .for_each(|hold| hold.end(now, gone));
@@ -203,7 +203,10 @@
             kind: Kind::Order,
             name: name.to_string(),
         };
-        self.holds.get_mut(&key).into_iter().for_each(Hold::retain);
+        self.keys
+            .get_mut(&key)
+            .into_iter()
+            .for_each(KeyState::retain);
     }
 
     fn release_key(&mut self, now: Micros, name: &str, rests: bool) {
@@ -211,7 +214,7 @@
             kind: Kind::Order,
             name: name.to_string(),
         };
-        self.holds
+        self.keys
             .get_mut(&key)
             .into_iter()
             .for_each(|hold| hold.release(now, rests));
@@ -229,7 +232,7 @@
             *heard
         });
         let first = !heard && now < self.started_ms as Micros * 1_000 + SHARDS_START;
-        let Some(hold) = self.holds.get_mut(&key) else {
+        let Some(hold) = self.keys.get_mut(&key) else {
             return;
         };
         let verdict = hold.answered(now, done.outcome, first);
@@ -240,7 +243,7 @@
     /// for it.
     fn key_available(&mut self, now: Micros, number: u64) {
         let next = self
-            .holds
+            .keys
             .iter_mut()
             .find_map(|(key, hold)| hold.key_available(now, number).then(|| key.clone()));
         next.into_iter().for_each(|key| self.advance(now, &key));
@@ -251,18 +254,18 @@
         if now < self.due {
             return;
         }
-        let due = |(_, hold): &(&Key, &Hold)| hold.due() <= now;
+        let due = |(_, hold): &(&Key, &KeyState)| hold.due() <= now;
         let due: Vec<Key> = self
-            .holds
+            .keys
             .iter()
             .filter(due)
             .map(|(key, _)| key.clone())
             .collect();
         due.iter().for_each(|key| self.advance(now, key));
         self.due = self
-            .holds
+            .keys
             .values()
-            .map(Hold::due)
+            .map(KeyState::due)
             .min()
             .unwrap_or(Micros::MAX);
     }
@@ -309,9 +312,9 @@
         let mut behind = false;
         for requirement in s.requirements.clone() {
             let hold = self
-                .holds
+                .keys
                 .entry(requirement.key.clone())
-                .or_insert_with(|| Hold::new(requirement.key.kind, requirement.after_end));
+                .or_insert_with(|| KeyState::new(requirement.key.kind, requirement.after_end));
             let claim = Claim {
                 wait_until,
                 ..claim_on(&requirement, &held)
@@ -357,7 +360,7 @@
                 .map(|requirement| requirement.key.clone())
                 .collect::<Vec<_>>()
             {
-                self.holds
+                self.keys
                     .get_mut(&other)
                     .map(|hold| hold.waiting.remove(&ticket));
                 self.advance(now, &other);
@@ -370,7 +373,7 @@
         }
         // Executions that go on waiting may claim their other entries now.
         let waiting = self
-            .holds
+            .keys
             .get(key)
             .map(|hold| hold.waiting.keys().copied().collect::<Vec<_>>());
         waiting
@@ -383,7 +386,7 @@
     /// Releases executions that may leave, and makes the ask that is due of a key.
     fn advance(&mut self, now: Micros, key: &Key) {
         let forgotten = self
-            .holds
+            .keys
             .get_mut(key)
             .map(|hold| hold.take_forgotten(now))
             .unwrap_or_default();
@@ -391,13 +394,13 @@
             return self.apply_verdict(now, key, Verdict::Begun(forgotten));
         }
         let waiting = self
-            .holds
+            .keys
             .get(key)
             .map(|hold| hold.waiting.keys().copied().collect::<Vec<_>>());
         for ticket in waiting.unwrap_or_default() {
             self.release(now, ticket);
         }
-        let Some(hold) = self.holds.get_mut(key) else {
+        let Some(hold) = self.keys.get_mut(key) else {
             return;
         };
         if let Some(act) = hold.next_ask(
@@ -417,7 +420,7 @@
         }
         self.due = self.due.min(hold.due());
         if hold.is_over(now) {
-            self.holds.remove(key);
+            self.keys.remove(key);
         }
     }
 
@@ -430,13 +433,13 @@
             return;
         };
         let is_held = |requirement: &Requirement| {
-            self.holds
+            self.keys
                 .get(&requirement.key)
                 .is_some_and(|hold| hold.permits(now, ticket, claim_on(requirement, &held)))
         };
         if s.requirements.iter().all(is_held) {
             s.requirements.iter().for_each(|requirement| {
-                self.holds
+                self.keys
                     .get_mut(&requirement.key)
                     .into_iter()
                     .for_each(|hold| hold.start(now, ticket));
--- a/crates/fleet/src/gate/hold.rs
+++ b/crates/fleet/src/gate/key_state.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
     /// To hold it until then, in Unix milliseconds, for executions in that group.
-    Hold(u64, Group),
+    Claim(u64, Group),
     /// To keep others from it for a while, though none of its executions is out here.
     Reserve,
     /// To free it.
@@ -60,7 +60,7 @@
 }
 
 /// One key as this front holds it or waits for it.
-pub(super) struct Hold {
+pub(super) struct KeyState {
     kind: Kind,
     /// Microseconds past a statement's end for which others are kept from the key.
     after_end: Micros,
@@ -104,10 +104,10 @@
     inherited_until_ms: Option<u64>,
 }
 
-impl Hold {
+impl KeyState {
     /// A key that is not held yet.
-    pub fn new(kind: Kind, after_end: Micros) -> Hold {
-        Hold {
+    pub fn new(kind: Kind, after_end: Micros) -> KeyState {
+        KeyState {
             kind,
             after_end,
             waiting: BTreeMap::new(),
@@ -147,7 +147,7 @@
     pub fn permits(&self, now: Micros, ticket: Ticket, claim: Claim) -> bool {
         // The entry of a non-idempotent statement is for that statement alone.
         let own = self.kind != Kind::Begun || self.executing.iter().all(|other| *other == ticket);
-        let moves = matches!(self.asked, Some(Purpose::Hold(_, group)) if group != claim.group);
+        let moves = matches!(self.asked, Some(Purpose::Claim(_, group)) if group != claim.group);
         let group = self.kind != Kind::Dedup || self.group == claim.group && !moves;
         self.waiting.contains_key(&ticket)
             && own
@@ -313,7 +313,7 @@
                     self.dropped_until_ms = self.drops_from(now);
                 }
             }
-            (self.asked, self.number) = (Some(Purpose::Hold(until_ms, claim.group)), mark.number);
+            (self.asked, self.number) = (Some(Purpose::Claim(until_ms, claim.group)), mark.number);
             self.may_hold_until_ms = self.may_hold_until_ms.max(until_ms);
             return Some(self.act(
                 until_ms,
@@ -328,7 +328,7 @@
             let renews = self.holds_until_ms < ms(now) + TRANSACTION_MS / 2 && self.retry_at <= now;
             let until_ms = ms(now) + TRANSACTION_MS;
             return renews.then(|| {
-                self.asked = Some(Purpose::Hold(until_ms, self.group));
+                self.asked = Some(Purpose::Claim(until_ms, self.group));
                 self.may_hold_until_ms = self.may_hold_until_ms.max(until_ms);
                 Act::Claim {
                     ends_ms: until_ms,
--- a/crates/fleet/src/gate/hold/answers.rs
+++ b/crates/fleet/src/gate/key_state/answers.rs
@@ -5,10 +5,10 @@
 
 use super::super::requirements::{EntryValue, Group};
 use super::{
-    ms, Claim, Hold, Purpose, Verdict, ASK_TIMEOUT, FIRST_RETRY, FREE_RETRY, MAX_RETRY, RETRY,
+    ms, Claim, KeyState, Purpose, Verdict, ASK_TIMEOUT, FIRST_RETRY, FREE_RETRY, MAX_RETRY, RETRY,
 };
 
-impl Hold {
+impl KeyState {
     /// The ledger has answered. `first`: this front has just started, and the key's shard has not answered it
     /// yet.
     pub fn answered(&mut self, now: Micros, outcome: Outcome, first: bool) -> Verdict {
@@ -16,7 +16,7 @@
             return Verdict::Recheck;
         };
         match (purpose, outcome) {
-            (Purpose::Hold(_, group), Outcome::Stands(entry)) => {
+            (Purpose::Claim(_, group), Outcome::Stands(entry)) => {
                 (self.holds_until_ms, self.group, self.version) =
                     (entry.ends_ms, group, entry.version);
                 self.unconfirmed = false;
@@ -24,13 +24,13 @@
                 (self.tries, self.blocked, self.retry_at) = (0, false, 0);
                 self.restrict_to(Some(group))
             }
-            (Purpose::Hold(..), Outcome::Held(entry)) => self.held_already(now, &entry),
-            (Purpose::Hold(..), Outcome::Absent) => {
+            (Purpose::Claim(..), Outcome::Held(entry)) => self.held_already(now, &entry),
+            (Purpose::Claim(..), Outcome::Absent) => {
                 // What was to be taken over has ended meanwhile.
                 (self.version, self.retry_at) = (0, now);
                 Verdict::Recheck
             }
-            (Purpose::Hold(..), why @ (Outcome::Unreachable | Outcome::Full)) => {
+            (Purpose::Claim(..), why @ (Outcome::Unreachable | Outcome::Full)) => {
                 let waits = first && why == Outcome::Unreachable;
                 (self.retry_at, self.retry_free_at) = (now, now + FREE_RETRY);
                 // The entry to be replaced is there as it was, or as this front's: either is respected.
--- a/crates/fleet/src/gate/tests.rs
+++ b/crates/fleet/src/gate/tests.rs
@@ -178,7 +178,7 @@
     assert_eq!(gate.rulings().len(), 1);
     gate.end(2 * MS, over(2, true, false));
     settle(&mut gate, &mut book, 2 * MS, 1);
-    assert!(book.entries.is_empty() && gate.holds.is_empty() && gate.due() == Micros::MAX);
+    assert!(book.entries.is_empty() && gate.keys.is_empty() && gate.due() == Micros::MAX);
 }
 
 #[test]
@@ -230,7 +230,7 @@
     assert_eq!(book.entries.len(), 2);
     settle(&mut gate, &mut book, 1_100 * MS, 1);
     assert!(
-        book.entries.is_empty() && gate.holds.is_empty(),
+        book.entries.is_empty() && gate.keys.is_empty(),
         "{:?}",
         book.entries
     );
@@ -393,7 +393,7 @@
     }
     one.release_key(60_000 * MS, "k", false);
     settle(&mut one, &mut book, 60_000 * MS, 1);
-    assert!(book.entries.is_empty() && one.holds.is_empty());
+    assert!(book.entries.is_empty() && one.keys.is_empty());
 }
 
 #[test]
--- a/crates/fleet/src/gate/tests/drawn.rs
+++ b/crates/fleet/src/gate/tests/drawn.rs
@@ -359,7 +359,7 @@
         }
         for (front, (gate, life)) in self.gates.iter().enumerate() {
             assert!(
-                gate.holds.is_empty() && gate.statements.is_empty() && gate.is_idle(),
+                gate.keys.is_empty() && gate.statements.is_empty() && gate.is_idle(),
                 "front {front}"
             );
             let owner = Owner {
