--- a/crates/fleet/src/gate/guard.rs
+++ b/crates/fleet/src/gate/guard.rs
@@ -9,8 +9,8 @@
 
 use super::{Gate, PendingExecution, Ruling, NUMBERS};
 
-/// Microseconds between notes to the dispatcher that an execution is still held.
-const NOTE_EVERY: Micros = 100_000;
+/// Microseconds between notes to the dispatcher on executions that are still held.
+const NOTE_INTERVAL: Micros = 100_000;
 
 /// The front's connection to its ledger.
 pub trait LedgerClient {
@@ -33,7 +33,7 @@
     pub terms: Terms,
 }
 
-/// A gate with what its front's dispatcher has to be told.
+/// The gate of one front, with what its dispatcher has to know of it.
 pub struct Guard {
     gate: Gate,
     last_note: Micros,
@@ -42,26 +42,26 @@
 impl Guard {
     /// For a front with a ledger, which starts at `now`: Unix time in microseconds.
     pub fn new(
-        contract: &Settings,
+        settings: &Settings,
         now: Micros,
         shards: u16,
         dispatcher: &mut Dispatcher,
     ) -> Guard {
         dispatcher.watch_promises();
         Guard {
-            gate: Gate::new(contract, (now / 1000) as u64, shards),
+            gate: Gate::new(settings, (now / 1000) as u64, shards),
             last_note: 0,
         }
     }
 
     /// When `advance` is next due, on the dispatcher's clock, if nothing happens before.
     pub fn due(&self) -> Micros {
-        let last_note = if self.gate.held().next().is_some() {
-            self.last_note + NOTE_EVERY
+        let next_note = if self.gate.held().next().is_some() {
+            self.last_note + NOTE_INTERVAL
         } else {
             Micros::MAX
         };
-        self.gate.due().min(last_note)
+        self.gate.due().min(next_note)
     }
 
     /// Whether every ask was answered.
@@ -81,27 +81,18 @@
         dispatcher: &mut Dispatcher,
         ordered: OrderedExecution,
     ) -> bool {
-        let OrderedExecution {
-            ticket,
-            execution,
-            place,
-            terms,
-        } = ordered;
-        if !self.gate.holds_back(ticket) {
+        if !self.gate.holds_back(ordered.ticket) {
             return false;
         }
-        let site = dispatcher.site(place);
-        dispatcher.waits(now, ticket, execution);
-        self.gate.hold(
-            now,
-            PendingExecution {
-                ticket,
-                execution,
-                place,
-                terms,
-                site,
-            },
-        );
+        let pending = PendingExecution {
+            ticket: ordered.ticket,
+            execution: ordered.execution,
+            place: ordered.place,
+            terms: ordered.terms,
+            site: dispatcher.site(ordered.place),
+        };
+        dispatcher.waits(now, ordered.ticket, ordered.execution);
+        self.gate.hold(now, pending);
         true
     }
 
@@ -129,19 +120,23 @@
         }
         self.gate.tick(now);
         loop {
-            let (done, asks) = (ledger.answers(NUMBERS), self.gate.asks());
-            if done.is_empty() && asks.is_empty() {
+            let answers = ledger.answers(NUMBERS);
+            let asks = self.gate.asks();
+            if answers.is_empty() && asks.is_empty() {
                 break;
             }
-            done.into_iter()
-                .for_each(|done| self.gate.answered(now, done));
-            asks.into_iter().for_each(|ask| ledger.ask(now, ask));
+            for answer in answers {
+                self.gate.answered(now, answer);
+            }
+            for ask in asks {
+                ledger.ask(now, ask);
+            }
         }
-        if self.last_note + NOTE_EVERY <= now {
+        if self.last_note + NOTE_INTERVAL <= now {
             self.last_note = now;
-            self.gate
-                .held()
-                .for_each(|(ticket, execution)| dispatcher.waits(now, ticket, execution));
+            for held in self.gate.held() {
+                dispatcher.waits(now, held.ticket, held.execution);
+            }
         }
         self.gate.rulings()
     }
--- a/crates/fleet/src/gate/key_state.rs
+++ b/crates/fleet/src/gate/key_state.rs
@@ -1,49 +1,78 @@
-//! One key of the ledger as this front holds it or waits for it, and what it asks of the ledger next. One ask
-//! of a key is out at a time.
+//! One key of the ledger as this front holds it or waits for it. One request for a key is out at a time.
+//!
+//! What is asked of the ledger is in `requests`, what its answers mean in `answers`, and how long engines drop
+//! repeats of a dedup key in `dedup_window`.
 
 mod answers;
+mod dedup_window;
+mod requests;
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use hallmux_dispatcher::{Micros, StatementOver, Ticket};
-use hallmux_ledger::{Act, Kind};
+use hallmux_ledger::Kind;
 
-use super::requirements::{EntryMark, EntryValue, Group, MAX_CLOCK_SKEW};
+use super::refusal::Refusal;
+use super::requirements::{EntryMark, Group};
 
-/// Microseconds until a key that another front holds is asked for again; doubles each time. The ledger
+/// Microseconds until a key that another front holds is requested again; doubles each time. The ledger
 /// notifies when it is free: this is for notices that are lost, and for fronts of an earlier build that send
 /// none.
-const RETRY: Micros = 40_000;
-const MAX_RETRY: Micros = 320_000; // microseconds; a key that is free stays unused so long at most
-const FIRST_RETRY: Micros = 100_000; // microseconds until a shard that was never heard is asked again
-/// Microseconds that an ask may take until it is known to have found no majority.
-const ASK_TIMEOUT: Micros = 600_000;
-const FREE_RETRY: Micros = 1_000_000; // microseconds until what could not be freed is tried again
+const RETRY_BACKOFF: Micros = 40_000;
+/// Microseconds; a key that is free stays unused for at most this long.
+const MAX_RETRY_BACKOFF: Micros = 320_000;
+/// Microseconds until a shard that has not answered yet is asked again.
+const STARTING_SHARD_RETRY: Micros = 100_000;
+/// Microseconds that a request may take until it is known to have found no majority.
+const REQUEST_TIMEOUT: Micros = 600_000;
+/// Microseconds until a key that could not be freed is tried again.
+const FREE_RETRY: Micros = 1_000_000;
 /// Milliseconds for which a transaction's key is claimed; renewed at half of it.
-const TRANSACTION_MS: u64 = 20_000;
+const TRANSACTION_CLAIM_MS: u64 = 20_000;
 
-/// What the ask that is out is for.
+/// What the request that is out is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
-    /// To hold it until then, in Unix milliseconds, for executions in that group.
-    Claim(u64, Group),
+    /// To hold the key for executions in this group.
+    Claim { group: Group },
     /// To keep others from it for a while, though none of its executions is out here.
     Reserve,
     /// To free it.
     Free,
-    /// To learn whether an entry that may be there is this front's current one.
+    /// To learn whether an entry that may exist is this front's current one.
     Read,
 }
 
+/// Whether a shard has answered this front since it started.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ShardState {
+    /// Not yet, and the front has only just started: the shard may still be starting too.
+    Starting,
+    /// It has, or should have by now.
+    Started,
+}
+
 /// What an answer means for the executions that wait.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Verdict {
-    /// To be looked at again: some may leave, or the next ask is due.
+    /// To be looked at again: some may leave, or the next request is due.
     Recheck,
     /// These can't have the key now, for this reason.
-    Reject(Vec<Ticket>, &'static str),
-    /// These have been begun before, here or elsewhere.
-    Begun(Vec<Ticket>),
+    Refuse {
+        tickets: Vec<Ticket>,
+        reason: Refusal,
+    },
+}
+
+impl Verdict {
+    /// Refuses these executions; where there are none, the others are looked at again.
+    fn refuse_any(tickets: Vec<Ticket>, reason: Refusal) -> Verdict {
+        if tickets.is_empty() {
+            Verdict::Recheck
+        } else {
+            Verdict::Refuse { tickets, reason }
+        }
+    }
 }
 
 /// An execution's claim on the key.
@@ -65,42 +94,45 @@
     /// Microseconds past a statement's end for which others are kept from the key.
     after_end: Micros,
     /// Executions that wait for it.
-    pub waiting: BTreeMap<Ticket, Claim>,
+    waiting: BTreeMap<Ticket, Claim>,
     /// Statements with an execution that has left under it.
     executing: BTreeSet<Ticket>,
     /// Transactions that hold it.
     transactions: usize,
     /// Unix milliseconds until which it is held; 0 where it is not.
-    holds_until_ms: u64,
+    held_until_ms: u64,
+    /// The group that it is held for.
     group: Group,
     /// The version of the entry to be replaced; 0: none.
     version: u64,
     /// Unix milliseconds until which it may be held though no answer said so.
-    may_hold_until_ms: u64,
-    /// Names the entry that was asked for.
+    may_be_held_until_ms: u64,
+    /// Names the entry that was requested.
     mark: EntryMark,
     /// No answer said whether that entry was made.
     unconfirmed: bool,
-    asked: Option<Purpose>,
-    /// The number of the latest ask to hold it.
-    number: u64,
+    /// What the request that is out is for, if one is.
+    requested: Option<Purpose>,
+    /// The number of the latest request to hold it.
+    claim_number: u64,
     retry_at: Micros,
     retry_free_at: Micros,
-    tries: u32,
+    /// Attempts in a row that found it held by another front.
+    attempts: u32,
     /// Another front holds it.
-    pub blocked: bool,
+    blocked: bool,
     /// Until when others are kept from it after executions that have ended here.
     reserved_until: Micros,
-    /// Some of those executions may be running on.
-    may_run_on: bool,
+    /// Some of those executions may still be running.
+    may_still_run: bool,
     /// Unix milliseconds from which no execution that has left can be running any more.
     runs_until_ms: u64,
     /// Of a dedup key: the statement whose execution left first under this front's own entry.
     first: Option<Ticket>,
     /// Of a dedup key: Unix milliseconds until which engines surely drop a repeat of what left first here;
-    /// until anything has left, counted from the ask that made the entry.
+    /// until anything has left, counted from the request that made the entry.
     dropped_until_ms: u64,
-    /// The same of what may have run under an entry that was there before: all executions here repeat that.
+    /// The same of what may have run under an entry that existed before: all executions here repeat that.
     inherited_until_ms: Option<u64>,
 }
 
@@ -113,20 +145,20 @@
             waiting: BTreeMap::new(),
             executing: BTreeSet::new(),
             transactions: 0,
-            holds_until_ms: 0,
+            held_until_ms: 0,
             group: Group::All,
             version: 0,
-            may_hold_until_ms: 0,
+            may_be_held_until_ms: 0,
             mark: EntryMark::default(),
             unconfirmed: false,
-            asked: None,
-            number: 0,
+            requested: None,
+            claim_number: 0,
             retry_at: 0,
             retry_free_at: 0,
-            tries: 0,
+            attempts: 0,
             blocked: false,
             reserved_until: 0,
-            may_run_on: false,
+            may_still_run: false,
             runs_until_ms: 0,
             first: None,
             dropped_until_ms: 0,
@@ -134,90 +166,81 @@
         }
     }
 
-    /// Nothing needs it here, and nothing is left to ask of it.
+    /// Whether another front holds it.
+    pub fn is_blocked(&self) -> bool {
+        self.blocked
+    }
+
+    /// Nothing needs it here, and nothing is left to request of it.
     pub fn is_over(&self, now: Micros) -> bool {
-        self.is_unused() && self.asked.is_none() && self.may_hold_until_ms <= ms(now)
+        self.is_unused() && self.requested.is_none() && self.may_be_held_until_ms <= ms(now)
     }
 
     fn is_unused(&self) -> bool {
         self.waiting.is_empty() && self.executing.is_empty() && self.transactions == 0
     }
 
+    /// The statements with an execution that waits for it.
+    pub fn waiting(&self) -> Vec<Ticket> {
+        self.waiting.keys().copied().collect()
+    }
+
     /// Whether an execution may leave under it.
     pub fn permits(&self, now: Micros, ticket: Ticket, claim: Claim) -> bool {
-        // The entry of a non-idempotent statement is for that statement alone.
-        let own = self.kind != Kind::Begun || self.executing.iter().all(|other| *other == ticket);
-        let moves = matches!(self.asked, Some(Purpose::Claim(_, group)) if group != claim.group);
-        let group = self.kind != Kind::Dedup || self.group == claim.group && !moves;
         self.waiting.contains_key(&ticket)
-            && own
-            && group
-            && self.holds_until_ms >= claim.until_ms
-            && self.holds_until_ms > ms(now)
+            && self.is_for_statement(ticket)
+            && self.is_for_group(claim.group)
+            && self.held_until_ms >= claim.until_ms
+            && self.held_until_ms > ms(now)
             && !self.is_forgotten(now, ticket)
     }
 
-    /// Unix milliseconds until which the engines drop an execution of this statement as a repeat of another's;
-    /// None where it repeats none (a statement's own further executions are the dispatcher's to judge).
-    fn repeats_until_ms(&self, ticket: Ticket) -> Option<u64> {
-        if self.kind != Kind::Dedup {
-            return None;
-        }
-        let other = self.first.is_some_and(|first| first != ticket);
-        self.inherited_until_ms
-            .or(other.then_some(self.dropped_until_ms))
-    }
-
-    /// Whether the engines may have forgotten what this statement repeats: they would run it a second time.
-    fn is_forgotten(&self, now: Micros, ticket: Ticket) -> bool {
-        self.repeats_until_ms(ticket)
-            .is_some_and(|until_ms| until_ms <= ms(now))
-    }
-
-    /// Takes out the statements that wait and must not leave any more, as engines may have forgotten what they
-    /// repeat.
-    pub fn take_forgotten(&mut self, now: Micros) -> Vec<Ticket> {
-        let forgotten: Vec<Ticket> = self
-            .waiting
-            .keys()
-            .copied()
-            .filter(|ticket| self.is_forgotten(now, *ticket))
-            .collect();
-        forgotten
-            .iter()
-            .for_each(|ticket| _ = self.waiting.remove(ticket));
-        forgotten
+    /// The entry of a non-idempotent statement is for that statement alone.
+    fn is_for_statement(&self, ticket: Ticket) -> bool {
+        self.kind != Kind::Begun || self.executing.iter().all(|other| *other == ticket)
     }
 
-    /// Unix milliseconds until which engines surely drop a repeat of what leaves at `now` or later, on the clock
-    /// of any front.
-    fn drops_from(&self, now: Micros) -> u64 {
-        ms(now + self.after_end - MAX_CLOCK_SKEW)
+    /// The entry of a dedup key is for one group alone, and not while it is requested for another.
+    fn is_for_group(&self, group: Group) -> bool {
+        if self.kind != Kind::Dedup {
+            return true;
+        }
+        let changing =
+            matches!(self.requested, Some(Purpose::Claim { group: next }) if next != group);
+        self.group == group && !changing
     }
 
-    /// Adds an execution's claim; a claim that can't succeed is rejected at once.
+    /// Adds an execution's claim; a claim that can't succeed is refused at once.
     pub fn claim(&mut self, now: Micros, ticket: Ticket, claim: Claim) -> Verdict {
-        let leaves = |(other, claim): (&Ticket, &Claim)| {
+        let may_leave = |(other, claim): (&Ticket, &Claim)| {
             *other != ticket && self.permits(now, *other, *claim)
         };
-        let others = self.executing.iter().any(|other| *other != ticket)
+        let used_by_others = self.executing.iter().any(|other| *other != ticket)
             || self.reserved_until > now
-            || self.waiting.iter().any(leaves);
-        match self.kind {
-            Kind::Begun if others => return Verdict::Begun(vec![ticket]),
-            Kind::Dedup if others && self.group != claim.group => {
-                return Verdict::Reject(vec![ticket], "group")
-            }
-            _ => {}
+            || self.waiting.iter().any(may_leave);
+        let refused = match self.kind {
+            Kind::Begun if used_by_others => Some(Refusal::Begun),
+            Kind::Dedup if used_by_others && self.group != claim.group => Some(Refusal::Group),
+            _ => None,
+        };
+        if let Some(reason) = refused {
+            let tickets = vec![ticket];
+            return Verdict::Refuse { tickets, reason };
         }
         self.waiting.insert(ticket, claim);
         Verdict::Recheck
     }
 
+    /// Withdraws the claim of a statement's execution, if it has one.
+    pub fn withdraw(&mut self, ticket: Ticket) {
+        self.waiting.remove(&ticket);
+    }
+
     /// A waiting execution leaves for its engine.
     pub fn start(&mut self, now: Micros, ticket: Ticket) {
         if self.first.is_none() {
-            (self.first, self.dropped_until_ms) = (Some(ticket), self.drops_from(now));
+            self.first = Some(ticket);
+            self.dropped_until_ms = self.repeats_dropped_until_ms(now);
         }
         if let Some(claim) = self.waiting.remove(&ticket) {
             self.runs_until_ms = self.runs_until_ms.max(claim.runs_until_ms);
@@ -226,16 +249,16 @@
     }
 
     /// A statement is over.
-    pub fn end(&mut self, now: Micros, gone: StatementOver) {
-        self.waiting.remove(&gone.ticket);
-        let rests = if self.kind == Kind::Order {
-            gone.rests
+    pub fn end(&mut self, now: Micros, statement: StatementOver) {
+        self.waiting.remove(&statement.ticket);
+        let reserves = if self.kind == Kind::Order {
+            statement.rests
         } else {
-            gone.ran
+            statement.ran
         };
-        if self.executing.remove(&gone.ticket) && rests {
-            self.reserved_until = self.reserved_until.max(now + self.after_end);
-            self.may_run_on |= gone.rests;
+        if self.executing.remove(&statement.ticket) && reserves {
+            self.reserve_after_end(now);
+            self.may_still_run |= statement.rests;
         }
     }
 
@@ -244,151 +267,28 @@
         self.transactions += 1;
     }
 
-    /// A transaction ends; where it `rests`, an execution of it may be running on.
+    /// A transaction ends; where it `rests`, an execution of it may still be running.
     pub fn release(&mut self, now: Micros, rests: bool) {
         self.transactions = self.transactions.saturating_sub(1);
         if rests {
-            self.reserved_until = self.reserved_until.max(now + self.after_end);
+            self.reserve_after_end(now);
         }
     }
 
-    /// When it has something to ask, if nothing happens.
-    pub fn due(&self) -> Micros {
-        if self.asked.is_some() {
-            return Micros::MAX;
-        }
-        if !self.waiting.is_empty() {
-            // Those that have it wait for another key: for them it is due when it expires.
-            let lacks = self
-                .waiting
-                .iter()
-                .any(|(ticket, claim)| !self.permits(0, *ticket, *claim));
-            let forgotten_ms = self
-                .waiting
-                .keys()
-                .filter_map(|ticket| self.repeats_until_ms(*ticket))
-                .min();
-            let due = if lacks {
-                self.retry_at
-            } else {
-                self.holds_until_ms as Micros * 1000
-            };
-            return forgotten_ms.map_or(due, |until_ms| due.min(until_ms as Micros * 1000));
-        }
-        match (self.transactions, self.is_unused()) {
-            (0, false) => Micros::MAX,
-            (0, true) => self.retry_free_at,
-            _ => ((self.holds_until_ms as Micros - TRANSACTION_MS as Micros / 2) * 1000)
-                .max(self.retry_at),
-        }
+    fn reserve_after_end(&mut self, now: Micros) {
+        self.reserved_until = self.reserved_until.max(now + self.after_end);
     }
 
-    /// The ledger notified that the key is free and this front is next: true where that was its latest ask,
-    /// and the key is claimed still.
+    /// The ledger notified that the key is free and this front is next: true where that was its latest
+    /// request, and the key is still claimed.
     pub fn key_available(&mut self, now: Micros, number: u64) -> bool {
-        let next = self.blocked && self.number == number && self.asked.is_none();
+        let next = self.blocked && self.claim_number == number && self.requested.is_none();
         if next {
-            (self.retry_at, self.tries) = (now, 0);
+            self.retry_at = now;
+            self.attempts = 0;
         }
         next
     }
-
-    /// What is to be asked of the ledger now, if anything; `mark` names the ask.
-    pub fn next_ask(&mut self, now: Micros, mark: EntryMark) -> Option<Act> {
-        if self.asked.is_some() {
-            return None;
-        }
-        let claim = self
-            .waiting
-            .iter()
-            .find(|(ticket, claim)| !self.permits(now, **ticket, **claim));
-        if let Some((_, claim)) = claim.filter(|_| self.retry_at <= now) {
-            let until_ms = claim
-                .until_ms
-                .max(self.holds_until_ms)
-                .max(ms(self.reserved_until));
-            if !self.unconfirmed && self.version == 0 {
-                self.mark = mark;
-                if self.first.is_none() {
-                    self.dropped_until_ms = self.drops_from(now);
-                }
-            }
-            (self.asked, self.number) = (Some(Purpose::Claim(until_ms, claim.group)), mark.number);
-            self.may_hold_until_ms = self.may_hold_until_ms.max(until_ms);
-            return Some(self.act(
-                until_ms,
-                claim.group,
-                claim.runs_until_ms.max(self.runs_until_ms),
-            ));
-        }
-        if !self.waiting.is_empty() || !self.executing.is_empty() {
-            return None;
-        }
-        if self.transactions > 0 {
-            let renews = self.holds_until_ms < ms(now) + TRANSACTION_MS / 2 && self.retry_at <= now;
-            let until_ms = ms(now) + TRANSACTION_MS;
-            return renews.then(|| {
-                self.asked = Some(Purpose::Claim(until_ms, self.group));
-                self.may_hold_until_ms = self.may_hold_until_ms.max(until_ms);
-                Act::Claim {
-                    ends_ms: until_ms,
-                    value: Vec::new(),
-                }
-            });
-        }
-        if self.may_hold_until_ms <= ms(now) || self.retry_free_at > now {
-            return None;
-        }
-        if self.kind == Kind::Begun && self.reserved_until > now {
-            // It is held for so long as it is: nothing is to be asked.
-            self.may_hold_until_ms = 0;
-            return None;
-        }
-        if self.unconfirmed {
-            // Freeing it blindly could free what an earlier statement left there for others.
-            self.asked = Some(Purpose::Read);
-            return Some(Act::Read);
-        }
-        self.holds_until_ms = 0; // nothing may leave under it any more, even before the ledger answers
-        if self.reserved_until > now {
-            let until_ms = ms(self.reserved_until);
-            self.asked = Some(Purpose::Reserve);
-            let runs_until_ms = if self.may_run_on {
-                self.runs_until_ms
-            } else {
-                ms(now)
-            };
-            return Some(self.act(until_ms, self.group, runs_until_ms));
-        }
-        self.asked = Some(Purpose::Free);
-        Some(Act::Free)
-    }
-
-    fn act(&self, ends_ms: u64, group: Group, runs_until_ms: u64) -> Act {
-        match self.kind {
-            Kind::Order => Act::Claim {
-                ends_ms,
-                value: Vec::new(),
-            },
-            // An entry already there is not replaced, though it be this front's: a repeat is one whoever
-            // sends it.
-            _ => {
-                let dropped_until_ms = self.inherited_until_ms.unwrap_or(self.dropped_until_ms);
-                let value = EntryValue {
-                    mark: self.mark,
-                    group,
-                    runs_until_ms,
-                    dropped_until_ms,
-                }
-                .bytes();
-                Act::Put {
-                    expects: Some(self.version),
-                    ends_ms,
-                    value,
-                }
-            }
-        }
-    }
 }
 
 fn ms(time: Micros) -> u64 {
--- a/crates/fleet/src/gate/key_state/answers.rs
+++ b/crates/fleet/src/gate/key_state/answers.rs
@@ -3,61 +3,24 @@
 use hallmux_dispatcher::{Micros, Ticket};
 use hallmux_ledger::{Entry, Kind, Outcome};
 
+use super::super::refusal::Refusal;
 use super::super::requirements::{EntryValue, Group};
 use super::{
-    ms, Claim, KeyState, Purpose, Verdict, ASK_TIMEOUT, FIRST_RETRY, FREE_RETRY, MAX_RETRY, RETRY,
+    ms, KeyState, Purpose, ShardState, Verdict, FREE_RETRY, MAX_RETRY_BACKOFF, REQUEST_TIMEOUT,
+    RETRY_BACKOFF, STARTING_SHARD_RETRY,
 };
 
+/// After this many attempts the backoff grows no more.
+const MAX_BACKOFF_ATTEMPTS: u32 = 5;
+
 impl KeyState {
-    /// The ledger has answered. `first`: this front has just started, and the key's shard has not answered it
-    /// yet.
-    pub fn answered(&mut self, now: Micros, outcome: Outcome, first: bool) -> Verdict {
-        let Some(purpose) = self.asked.take() else {
+    /// The ledger has answered the request that was out; `shard` is the state of the key's shard.
+    pub fn answered(&mut self, now: Micros, outcome: Outcome, shard: ShardState) -> Verdict {
+        let Some(purpose) = self.requested.take() else {
             return Verdict::Recheck;
         };
         match (purpose, outcome) {
-            (Purpose::Claim(_, group), Outcome::Stands(entry)) => {
-                (self.holds_until_ms, self.group, self.version) =
-                    (entry.ends_ms, group, entry.version);
-                self.unconfirmed = false;
-                self.may_hold_until_ms = self.may_hold_until_ms.max(entry.ends_ms);
-                (self.tries, self.blocked, self.retry_at) = (0, false, 0);
-                self.restrict_to(Some(group))
-            }
-            (Purpose::Claim(..), Outcome::Held(entry)) => self.held_already(now, &entry),
-            (Purpose::Claim(..), Outcome::Absent) => {
-                // What was to be taken over has ended meanwhile.
-                (self.version, self.retry_at) = (0, now);
-                Verdict::Recheck
-            }
-            (Purpose::Claim(..), why @ (Outcome::Unreachable | Outcome::Full)) => {
-                let waits = first && why == Outcome::Unreachable;
-                (self.retry_at, self.retry_free_at) = (now, now + FREE_RETRY);
-                // The entry to be replaced is there as it was, or as this front's: either is respected.
-                self.may_hold_until_ms = if self.version == 0 {
-                    self.may_hold_until_ms
-                } else {
-                    self.holds_until_ms
-                };
-                self.unconfirmed |= self.kind != Kind::Order && self.version == 0;
-                let why = if why == Outcome::Full {
-                    "full"
-                } else {
-                    "unreachable"
-                };
-                if !waits {
-                    return Verdict::Reject(self.take_waiting(), why);
-                }
-                self.retry_at = now + FIRST_RETRY;
-                let late =
-                    |_: &Ticket, claim: &mut Claim| claim.wait_until < self.retry_at + ASK_TIMEOUT;
-                let late = self
-                    .waiting
-                    .extract_if(.., late)
-                    .map(|(ticket, _)| ticket)
-                    .collect();
-                Verdict::Reject(late, why)
-            }
+            (Purpose::Claim { group }, outcome) => self.claim_answered(now, group, outcome, shard),
             (Purpose::Read, Outcome::Stands(entry)) if self.is_own(&entry) => {
                 self.adopt(&entry);
                 Verdict::Recheck
@@ -67,14 +30,95 @@
                 Verdict::Recheck
             }
             (Purpose::Reserve | Purpose::Free | Purpose::Read, _) => {
-                (self.holds_until_ms, self.may_hold_until_ms, self.version) = (0, 0, 0);
-                (self.runs_until_ms, self.may_run_on, self.unconfirmed) = (0, false, false);
-                (self.first, self.inherited_until_ms) = (None, None);
+                self.forget_entry();
+                Verdict::Recheck
+            }
+        }
+    }
+
+    fn claim_answered(
+        &mut self,
+        now: Micros,
+        group: Group,
+        outcome: Outcome,
+        shard: ShardState,
+    ) -> Verdict {
+        match outcome {
+            Outcome::Stands(entry) => self.claim_granted(group, &entry),
+            Outcome::Held(entry) => self.held_already(now, &entry),
+            Outcome::Absent => {
+                // The entry to be taken over has ended meanwhile.
+                self.version = 0;
+                self.retry_at = now;
                 Verdict::Recheck
             }
+            Outcome::Unreachable => self.claim_unreachable(now, shard),
+            Outcome::Full => {
+                self.note_failed_claim(now);
+                Verdict::Refuse {
+                    tickets: self.take_waiting(),
+                    reason: Refusal::Full,
+                }
+            }
+        }
+    }
+
+    fn claim_granted(&mut self, group: Group, entry: &Entry) -> Verdict {
+        self.held_until_ms = entry.ends_ms;
+        self.group = group;
+        self.version = entry.version;
+        self.unconfirmed = false;
+        self.may_be_held_until_ms = self.may_be_held_until_ms.max(entry.ends_ms);
+        self.attempts = 0;
+        self.blocked = false;
+        self.retry_at = 0;
+        self.restrict_to(group)
+    }
+
+    /// No majority of the shard has answered. While it may be starting, executions wait for it as long as
+    /// their own time allows.
+    fn claim_unreachable(&mut self, now: Micros, shard: ShardState) -> Verdict {
+        self.note_failed_claim(now);
+        let tickets = match shard {
+            ShardState::Started => self.take_waiting(),
+            ShardState::Starting => {
+                self.retry_at = now + STARTING_SHARD_RETRY;
+                let answer_by = self.retry_at + REQUEST_TIMEOUT;
+                self.waiting
+                    .extract_if(.., |_, claim| claim.wait_until < answer_by)
+                    .map(|(ticket, _)| ticket)
+                    .collect()
+            }
+        };
+        Verdict::Refuse {
+            tickets,
+            reason: Refusal::Unreachable,
         }
     }
 
+    /// A request to hold the key has failed, and may have been carried out all the same.
+    fn note_failed_claim(&mut self, now: Micros) {
+        self.retry_at = now;
+        self.retry_free_at = now + FREE_RETRY;
+        // The entry to be replaced exists as it was, or as this front's: either is respected.
+        if self.version != 0 {
+            self.may_be_held_until_ms = self.held_until_ms;
+        }
+        self.unconfirmed |= self.kind != Kind::Order && self.version == 0;
+    }
+
+    /// This front has no entry of the key any more.
+    fn forget_entry(&mut self) {
+        self.held_until_ms = 0;
+        self.may_be_held_until_ms = 0;
+        self.version = 0;
+        self.runs_until_ms = 0;
+        self.may_still_run = false;
+        self.unconfirmed = false;
+        self.first = None;
+        self.inherited_until_ms = None;
+    }
+
     fn is_own(&self, entry: &Entry) -> bool {
         self.unconfirmed
             && EntryValue::read(&entry.value).is_some_and(|value| value.mark == self.mark)
@@ -82,8 +126,9 @@
 
     /// The entry was made after all.
     fn adopt(&mut self, entry: &Entry) {
-        (self.holds_until_ms, self.version, self.unconfirmed) =
-            (entry.ends_ms, entry.version, false);
+        self.held_until_ms = entry.ends_ms;
+        self.version = entry.version;
+        self.unconfirmed = false;
         self.group = EntryValue::read(&entry.value).map_or(self.group, |value| value.group);
     }
 
@@ -91,63 +136,84 @@
     fn held_already(&mut self, now: Micros, entry: &Entry) -> Verdict {
         if self.is_own(entry) {
             self.adopt(entry);
-            return self.restrict_to(Some(self.group));
+            return self.restrict_to(self.group);
         }
         self.unconfirmed = false;
         if self.executing.is_empty() && self.transactions == 0 {
-            (self.holds_until_ms, self.may_hold_until_ms) = (0, 0);
+            self.held_until_ms = 0;
+            self.may_be_held_until_ms = 0;
         }
-        let ends = entry.ends_ms as Micros * 1000 + 1_000;
         let value = EntryValue::read(&entry.value);
-        let over = value.is_some_and(|value| value.runs_until_ms <= ms(now));
-        if let Some(value) = value.filter(|_| self.kind == Kind::Dedup) {
-            // Engines drop a repeat for the dedup window from the first execution on, whichever fronts have had
-            // the entry since: without this a repeat that waited beyond it at another front ran a second time.
-            self.inherited_until_ms = Some(value.dropped_until_ms);
-            let forgotten = self.take_forgotten(now);
-            if !forgotten.is_empty() {
-                return Verdict::Begun(forgotten);
-            }
-        }
         match self.kind {
-            Kind::Begun => return Verdict::Begun(self.take_waiting()),
-            // None of its executions runs any more: its group drops the repeat, and no other group may have
-            // it.
-            Kind::Dedup if over => {
-                (self.version, self.retry_at) = (entry.version, now);
-                self.blocked = false;
-                self.group = value.map_or(self.group, |value| value.group);
-                // What ran before is respected beyond this front's hold, whatever becomes of that.
-                self.reserved_until = self.reserved_until.max(ends);
-                return self.restrict_to(value.map(|value| value.group));
-            }
-            _ => {}
+            Kind::Begun => Verdict::Refuse {
+                tickets: self.take_waiting(),
+                reason: Refusal::Begun,
+            },
+            Kind::Dedup => self.dedup_key_held(now, entry, value),
+            _ => self.wait_for_holder(now, entry),
+        }
+    }
+
+    /// A dedup key has an entry already: executions here repeat what runs, or ran, under it.
+    fn dedup_key_held(&mut self, now: Micros, entry: &Entry, value: Option<EntryValue>) -> Verdict {
+        let Some(value) = value else {
+            return self.wait_for_holder(now, entry);
+        };
+        // Engines drop a repeat for the dedup window from the first execution on, whichever fronts have had
+        // the entry since: without this a repeat that waited beyond it at another front ran a second time.
+        self.inherited_until_ms = Some(value.dropped_until_ms);
+        let forgotten = self.take_forgotten(now);
+        if !forgotten.is_empty() {
+            return Verdict::Refuse {
+                tickets: forgotten,
+                reason: Refusal::Begun,
+            };
         }
-        self.tries += 1;
-        let wait = MAX_RETRY.min(RETRY << self.tries.min(5).saturating_sub(1));
-        (self.version, self.blocked) = (0, true);
-        self.retry_at = (now + wait).min(ends.max(now + RETRY));
+        if value.runs_until_ms > ms(now) {
+            return self.wait_for_holder(now, entry);
+        }
+        // None of its executions runs any more: its group drops the repeat, and no other group may have it.
+        self.version = entry.version;
+        self.retry_at = now;
+        self.blocked = false;
+        self.group = value.group;
+        // What ran before is respected beyond this front's hold, whatever becomes of that.
+        self.reserved_until = self.reserved_until.max(end_of(entry));
+        self.restrict_to(value.group)
+    }
+
+    /// Another front holds the key: it is requested again after a backoff.
+    fn wait_for_holder(&mut self, now: Micros, entry: &Entry) -> Verdict {
+        self.attempts += 1;
+        let doublings = self.attempts.min(MAX_BACKOFF_ATTEMPTS).saturating_sub(1);
+        let backoff = MAX_RETRY_BACKOFF.min(RETRY_BACKOFF << doublings);
+        self.version = 0;
+        self.blocked = true;
+        self.retry_at = (now + backoff).min(end_of(entry).max(now + RETRY_BACKOFF));
         Verdict::Recheck
     }
 
-    /// Rejects claims on a dedup key by executions outside one group.
-    fn restrict_to(&mut self, group: Option<Group>) -> Verdict {
-        let others = |(_, claim): (&Ticket, &mut Claim)| Some(claim.group) != group;
-        let dedup = self.kind == Kind::Dedup;
-        let away: Vec<Ticket> = self
+    /// Refuses claims on a dedup key by executions outside one group.
+    fn restrict_to(&mut self, group: Group) -> Verdict {
+        if self.kind != Kind::Dedup {
+            return Verdict::Recheck;
+        }
+        let outside: Vec<Ticket> = self
             .waiting
-            .extract_if(.., |t, w| dedup && others((t, w)))
+            .extract_if(.., |_, claim| claim.group != group)
             .map(|(ticket, _)| ticket)
             .collect();
-        if away.is_empty() {
-            Verdict::Recheck
-        } else {
-            Verdict::Reject(away, "group")
-        }
+        Verdict::refuse_any(outside, Refusal::Group)
     }
 
     fn take_waiting(&mut self) -> Vec<Ticket> {
-        (self.tries, self.blocked) = (0, false);
+        self.attempts = 0;
+        self.blocked = false;
         std::mem::take(&mut self.waiting).into_keys().collect()
     }
 }
+
+/// The first moment after an entry's end.
+fn end_of(entry: &Entry) -> Micros {
+    entry.ends_ms as Micros * 1000 + 1_000
+}
--- a/crates/fleet/src/gate/requirements.rs
+++ b/crates/fleet/src/gate/requirements.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use hallmux_config::Settings;
-use hallmux_dispatcher::{Micros, Site, StatementArrived};
+use hallmux_dispatcher::{DedupGroup, Effect, Micros, Site, StatementArrived};
 use hallmux_ledger::{Key, Kind};
 use serde::{Deserialize, Serialize};
 
@@ -42,7 +42,7 @@
     /// Microseconds past its end for which it is needed, where it may have run, or may be running.
     pub after_end: Micros,
     grouping: Grouping,
-    /// Microseconds past the deadline until an execution can't be running any more.
+    /// Microseconds past the deadline from which an execution can't be running any more.
     gap: Micros,
 }
 
@@ -67,9 +67,13 @@
     }
 }
 
+/// What a workload's settings say of its statements.
 struct Workload {
+    /// Statements of one order key run one at a time.
     in_order: bool,
+    /// How repeats are dropped, where they are.
     dedup: Option<Deduplication>,
+    /// A statement must not run twice.
     non_idempotent: bool,
 }
 
@@ -88,97 +92,116 @@
 }
 
 impl Requirements {
-    pub fn new(contract: &Settings) -> Requirements {
-        use hallmux_dispatcher::{DedupGroup, Effect};
-        let agreed = contract
+    pub fn new(settings: &Settings) -> Requirements {
+        let agreed = settings
             .names
             .workloads
             .iter()
-            .zip(&contract.agreement.workloads);
-        let workloads = agreed.map(|(name, w)| {
-            let grouping = match w.dedup_group {
-                DedupGroup::All => Grouping::All,
-                DedupGroup::Location => Grouping::Location,
-                DedupGroup::Cell => Grouping::Cell,
+            .zip(&settings.agreement.workloads);
+        let workloads = agreed.map(|(name, agreed)| {
+            let dedup = Deduplication {
+                window: agreed.dedup_window,
+                grouping: grouping(agreed.dedup_group),
             };
             let workload = Workload {
-                in_order: w.in_order,
-                dedup: (w.effect == Effect::Deduplicated).then_some(Deduplication {
-                    window: w.dedup_window,
-                    grouping,
-                }),
-                non_idempotent: w.effect == Effect::NonIdempotent,
+                in_order: agreed.in_order,
+                dedup: (agreed.effect == Effect::Deduplicated).then_some(dedup),
+                non_idempotent: agreed.effect == Effect::NonIdempotent,
             };
             (name.clone(), workload)
         });
         Requirements {
             workloads: workloads.collect(),
-            order_gap: contract.agreement.order_gap,
+            order_gap: settings.agreement.order_gap,
         }
     }
 
     /// Those of one statement, in the order in which they are claimed: the same on every front, so that no
     /// two statements wait for each other. `id` names it on whichever front it is retried.
-    pub fn of(&self, taken: &StatementArrived, id: &str) -> Vec<Requirement> {
-        let Some(workload) = self.workloads.get(&taken.workload) else {
+    pub fn of(&self, statement: &StatementArrived, id: &str) -> Vec<Requirement> {
+        let Some(workload) = self.workloads.get(&statement.workload) else {
             return Vec::new();
         };
-        let mut requirements = Vec::new();
-        let gap = self.order_gap;
-        if let Some((Deduplication { window, grouping }, dedup)) =
-            workload.dedup.zip(taken.dedup_key.as_ref())
-        {
-            let key = Key {
-                kind: Kind::Dedup,
-                name: format!("{}/{dedup}", taken.workload),
-            };
-            requirements.push(Requirement {
-                key,
-                after_deadline: window.max(gap),
-                after_end: window,
-                grouping,
-                gap,
-            });
-        }
-        if workload.non_idempotent {
-            let key = Key {
-                kind: Kind::Begun,
-                name: format!("{}/{id}", taken.customer),
-            };
-            requirements.push(Requirement {
-                key,
-                after_deadline: BEGUN_RETENTION,
-                after_end: BEGUN_RETENTION,
-                grouping: Grouping::All,
-                gap,
-            });
-        }
-        // Last: many statements claim an order key, and none is to hold it while it waits for an entry of its
-        // own.
-        if let Some(key) = taken.key.as_ref().filter(|_| workload.in_order) {
-            // As in one front, the order of a key is the same for all workloads.
-            let key = Key {
-                kind: Kind::Order,
-                name: key.clone(),
-            };
-            requirements.push(Requirement {
-                key,
-                after_deadline: gap,
-                after_end: gap,
-                grouping: Grouping::All,
-                gap,
-            });
+        // The order key last: many statements claim one, and none is to hold it while it waits for an entry of
+        // its own.
+        [
+            self.dedup_key(workload, statement),
+            self.begun(workload, statement, id),
+            self.order_key(workload, statement),
+        ]
+        .into_iter()
+        .flatten()
+        .collect()
+    }
+
+    /// Repeats of a deduplicated statement go only to the group of engines that drops them.
+    fn dedup_key(&self, workload: &Workload, statement: &StatementArrived) -> Option<Requirement> {
+        let dedup = workload.dedup?;
+        let name = statement.dedup_key.as_ref()?;
+        let key = Key {
+            kind: Kind::Dedup,
+            name: format!("{}/{name}", statement.workload),
+        };
+        Some(Requirement {
+            key,
+            after_deadline: dedup.window.max(self.order_gap),
+            after_end: dedup.window,
+            grouping: dedup.grouping,
+            gap: self.order_gap,
+        })
+    }
+
+    /// A non-idempotent statement is begun at most once.
+    fn begun(
+        &self,
+        workload: &Workload,
+        statement: &StatementArrived,
+        id: &str,
+    ) -> Option<Requirement> {
+        if !workload.non_idempotent {
+            return None;
         }
-        requirements
+        let key = Key {
+            kind: Kind::Begun,
+            name: format!("{}/{id}", statement.customer),
+        };
+        Some(Requirement {
+            key,
+            after_deadline: BEGUN_RETENTION,
+            after_end: BEGUN_RETENTION,
+            grouping: Grouping::All,
+            gap: self.order_gap,
+        })
+    }
+
+    /// Executions of one order key run one at a time. As in one front, the order of a key is the same for all
+    /// workloads.
+    fn order_key(&self, workload: &Workload, statement: &StatementArrived) -> Option<Requirement> {
+        let name = statement.key.as_ref().filter(|_| workload.in_order)?;
+        Some(Requirement {
+            key: super::order_key(name),
+            after_deadline: self.order_gap,
+            after_end: self.order_gap,
+            grouping: Grouping::All,
+            gap: self.order_gap,
+        })
     }
 }
 
-/// Names one entry: the ask that made it.
+fn grouping(group: DedupGroup) -> Grouping {
+    match group {
+        DedupGroup::All => Grouping::All,
+        DedupGroup::Location => Grouping::Location,
+        DedupGroup::Cell => Grouping::Cell,
+    }
+}
+
+/// Names one entry: the request that made it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct EntryMark {
     /// When the front that made it started, in Unix milliseconds.
     pub started_ms: u64,
-    /// The number of the ask.
+    /// The number of the request.
     pub number: u64,
 }
 
@@ -212,19 +235,15 @@
 
     /// None where it can't be read: it counts as running in an unknown group.
     pub fn read(bytes: &[u8]) -> Option<EntryValue> {
-        let earlier = || {
-            let EarlierValue {
-                mark,
-                group,
-                runs_until_ms,
-            } = postcard::from_bytes(bytes).ok()?;
-            Some(EntryValue {
-                mark,
-                group,
-                runs_until_ms,
-                dropped_until_ms: 0,
-            })
-        };
-        postcard::from_bytes(bytes).ok().or_else(earlier)
+        if let Ok(value) = postcard::from_bytes(bytes) {
+            return Some(value);
+        }
+        let earlier: EarlierValue = postcard::from_bytes(bytes).ok()?;
+        Some(EntryValue {
+            mark: earlier.mark,
+            group: earlier.group,
+            runs_until_ms: earlier.runs_until_ms,
+            dropped_until_ms: 0,
+        })
     }
 }
--- a/crates/fleet/src/gate/tests/drawn.rs
+++ b/crates/fleet/src/gate/tests/drawn.rs
@@ -163,9 +163,10 @@
                 }
             }
             Step::Leaves { front } => {
-                let held = self.gates[front].0.held().min();
-                held.into_iter()
-                    .for_each(|(ticket, _)| self.withdraw(front, ticket));
+                let held = self.gates[front].0.held().map(|held| held.ticket).min();
+                if let Some(ticket) = held {
+                    self.withdraw(front, ticket);
+                }
             }
             Step::Dies { front } => {
                 let life = self.gates[front].1 + 1;
@@ -235,11 +236,7 @@
         }
         self.running.retain(|run| run.ends > now);
         for front in 0..FRONTS {
-            let late: Vec<Ticket> = self.gates[front]
-                .0
-                .held()
-                .map(|(ticket, _)| ticket)
-                .collect();
+            let late: Vec<Ticket> = self.gates[front].0.held().map(|held| held.ticket).collect();
             for ticket in late {
                 if self
                     .open
--- a/crates/fleet/src/gate/tests/window.rs
+++ b/crates/fleet/src/gate/tests/window.rs
@@ -1,7 +1,7 @@
 //! The dedup window over several fronts: engines drop a repeat for so long from the first execution on, so a front
 //! that has the entry of another's execution lets a repeat leave within that time or never.
 
-use super::super::requirements::{EntryValue, Group};
+use super::super::requirements::{EntryMark, EntryValue, Group};
 use super::*;
 
 /// Milliseconds from the first execution until engines may have forgotten it, by the slowest clock.
