--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -18,7 +18,7 @@
 use crate::ledger::LedgerNode;
 use crate::load::Load;
 use crate::ownership::Ownership;
-use crate::{engine_hash, Moment, Output, OwnedLease, OwnershipConfig};
+use crate::{engine_hash, ClockReading, Output, OwnedLease, OwnershipConfig};
 
 const OBSERVE_EVERY: Micros = 250_000; // microseconds between looks at what this front has observed itself
 /// Milliseconds: each step of a silence is a report for all fronts to pass on.
@@ -83,7 +83,7 @@
     /// used.
     pub fn enable_ownership(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         config: OwnershipConfig,
     ) -> Result<(), hallmux_lease::disk::StateError> {
         self.ownership = Some(Ownership::new(at, self.node.peer_id(), config)?);
@@ -139,7 +139,7 @@
     }
 
     /// When `tick` is next due, on the dispatcher's clock.
-    pub fn due(&self, at: Moment) -> Micros {
+    pub fn due(&self, at: ClockReading) -> Micros {
         let ledger = self
             .ledger
             .as_ref()
@@ -159,7 +159,7 @@
     }
 
     /// Takes in a datagram from the address `from`; gives what is to be sent in answer.
-    pub fn receive(&mut self, at: Moment, from: SocketAddr, bytes: &[u8]) -> Output {
+    pub fn receive(&mut self, at: ClockReading, from: SocketAddr, bytes: &[u8]) -> Output {
         let datagrams = self.node.receive(at.now, at.wall_ms, from, bytes);
         let mut out = Output {
             datagrams,
@@ -205,7 +205,7 @@
     /// exceeded.
     pub fn channel_datagram(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         to: PeerId,
         channel: Channel,
         bytes: &[u8],
@@ -219,7 +219,7 @@
     /// not reported before.
     pub fn tick(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         dispatcher: &mut Dispatcher,
         random: &mut impl RandomSource,
     ) -> (Output, Vec<PeerReport>) {
@@ -253,7 +253,7 @@
 
     /// Reports what this front observes of engines, worst first, and of ownership; takes in others' ownership
     /// reports.
-    fn report(&mut self, at: Moment, dispatcher: &mut Dispatcher) {
+    fn report(&mut self, at: ClockReading, dispatcher: &mut Dispatcher) {
         let mut seen: Vec<Sighting> = dispatcher
             .observations(at.now)
             .iter()
@@ -278,7 +278,7 @@
     }
 
     /// Passes the fleet's size, and who of it probes for the fleet, to the dispatcher where it has changed.
-    fn announce_fleet(&mut self, at: Moment, dispatcher: &mut Dispatcher) {
+    fn announce_fleet(&mut self, at: ClockReading, dispatcher: &mut Dispatcher) {
         let fleet = self.node.fleet_size();
         let probes = self
             .ownership
--- a/crates/fleet/src/exchange/ledger.rs
+++ b/crates/fleet/src/exchange/ledger.rs
@@ -6,14 +6,14 @@
 use hallmux_gossip::PeerId;
 use hallmux_ledger as ledger;
 
-use super::{Exchange, LedgerNode, Moment, Output};
+use super::{ClockReading, Exchange, LedgerNode, Output};
 
 impl Exchange {
     /// Switches on the ledger; `addresses` says where its members listen. An error says why the setup or the
     /// saved records can't be used.
     pub fn enable_ledger(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         setup: ledger::Setup,
         addresses: BTreeMap<PeerId, SocketAddr>,
         saved: Option<ledger::Saved>,
@@ -25,7 +25,7 @@
     /// The operator's list of members has changed. Nothing changes where the list can't be used.
     pub fn set_ledger_members(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         members: Vec<ledger::Member>,
         addresses: BTreeMap<PeerId, SocketAddr>,
     ) -> Result<(), ledger::Error> {
@@ -35,7 +35,7 @@
     }
 
     /// Asks the ledger; the answer comes with [`Exchange::ledger_answers`], maybe at once.
-    pub fn ask_ledger(&mut self, at: Moment, ask: ledger::Ask) -> Output {
+    pub fn ask_ledger(&mut self, at: ClockReading, ask: ledger::Ask) -> Output {
         self.with_ledger(at, |ledger| ledger.ask(at, ask))
     }
 
@@ -48,18 +48,18 @@
     }
 
     /// The save of this number is durable, or has failed where `ok` is false.
-    pub fn ledger_saved(&mut self, at: Moment, number: u64, ok: bool) -> Output {
+    pub fn ledger_saved(&mut self, at: ClockReading, number: u64, ok: bool) -> Output {
         self.with_ledger(at, |ledger| ledger.saved(at, number, ok))
     }
 
     /// The front's replicas are lost with their disk: it begins anew on the disk of this identity, holding
     /// nothing.
-    pub fn start_over(&mut self, at: Moment, disk: u64) -> Output {
+    pub fn start_over(&mut self, at: ClockReading, disk: u64) -> Output {
         self.with_ledger(at, |ledger| ledger.start_over(at, disk))
     }
 
     /// This front is to end: the shards that it owns are handed over.
-    pub fn hand_over(&mut self, at: Moment) -> Output {
+    pub fn hand_over(&mut self, at: ClockReading) -> Output {
         self.with_ledger(at, |ledger| ledger.hand_over(at))
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// Whether a shard would lose its quorum without this front, as other replicas are away.
-    pub fn is_needed(&self, at: Moment) -> bool {
+    pub fn is_needed(&self, at: ClockReading) -> bool {
         self.ledger
             .as_ref()
             .is_some_and(|ledger| ledger.is_needed(at))
@@ -88,7 +88,7 @@
         self.ledger.as_ref().map(LedgerNode::counters)
     }
 
-    pub(super) fn tick_ledger(&mut self, at: Moment, out: &mut Output) {
+    pub(super) fn tick_ledger(&mut self, at: ClockReading, out: &mut Output) {
         let node = &self.node;
         self.ledger
             .iter_mut()
@@ -96,14 +96,14 @@
         self.send_ledger(at, out);
     }
 
-    pub(super) fn send_ledger(&mut self, at: Moment, out: &mut Output) {
+    pub(super) fn send_ledger(&mut self, at: ClockReading, out: &mut Output) {
         if let Some(ledger) = &mut self.ledger {
             ledger.send(at, &mut self.node, out);
         }
     }
 
     /// Applies a change to the ledger, where it is enabled; gives what is to go out.
-    fn with_ledger(&mut self, at: Moment, change: impl FnOnce(&mut LedgerNode)) -> Output {
+    fn with_ledger(&mut self, at: ClockReading, change: impl FnOnce(&mut LedgerNode)) -> Output {
         let mut out = Output::default();
         if let Some(ledger) = &mut self.ledger {
             change(ledger);
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -11,7 +11,7 @@
 use hallmux_gossip::PeerId;
 use hallmux_ledger::{Ask, Done, Error, Ledger, Member, Saved, Setup};
 
-use crate::{Moment, Output};
+use crate::{ClockReading, Output};
 
 const HEALTH_EVERY: Micros = 1_000_000; // microseconds between updates of the ledger on which members are up
 
@@ -37,7 +37,7 @@
 impl LedgerNode {
     /// `saved` is what an earlier run on the same disk has saved.
     pub fn new(
-        at: Moment,
+        at: ClockReading,
         setup: Setup,
         addresses: BTreeMap<PeerId, SocketAddr>,
         saved: Option<Saved>,
@@ -50,7 +50,7 @@
         })
     }
 
-    pub fn ask(&mut self, at: Moment, ask: Ask) {
+    pub fn ask(&mut self, at: ClockReading, ask: Ask) {
         self.ledger.ask(moment(at), ask);
     }
 
@@ -60,14 +60,14 @@
     }
 
     /// Takes in a message on the ledger channel.
-    pub fn receive(&mut self, at: Moment, from: PeerId, bytes: &[u8]) {
+    pub fn receive(&mut self, at: ClockReading, from: PeerId, bytes: &[u8]) {
         self.ledger.receive(moment(at), from, bytes);
     }
 
     /// The operator's list has changed.
     pub fn set_members(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         members: Vec<Member>,
         addresses: BTreeMap<PeerId, SocketAddr>,
     ) -> Result<(), Error> {
@@ -77,7 +77,7 @@
     }
 
     /// This front is to end.
-    pub fn hand_over(&mut self, at: Moment) {
+    pub fn hand_over(&mut self, at: ClockReading) {
         self.ledger.begin_shutdown(moment(at));
     }
 
@@ -85,12 +85,12 @@
         self.ledger.hands_over()
     }
 
-    pub fn is_needed(&self, at: Moment) -> bool {
+    pub fn is_needed(&self, at: ClockReading) -> bool {
         self.ledger.is_needed(moment(at))
     }
 
     /// Tells the ledger which members are up and which are not, as far as gossip knows them.
-    fn health(&mut self, at: Moment, node: &Node) {
+    fn health(&mut self, at: ClockReading, node: &Node) {
         self.next_health = at.steady + HEALTH_EVERY;
         let of = |front: &PeerId| node.members().health(*front);
         let which = |healths: [Health; 2]| -> Vec<PeerId> {
@@ -105,7 +105,7 @@
         self.ledger.set_health(moment(at), &up, &away);
     }
 
-    pub fn tick(&mut self, at: Moment, node: &Node) {
+    pub fn tick(&mut self, at: ClockReading, node: &Node) {
         if self.next_health <= at.steady {
             self.health(at, node);
         }
@@ -120,12 +120,12 @@
     }
 
     /// A save is durable, or has failed.
-    pub fn saved(&mut self, at: Moment, number: u64, ok: bool) {
+    pub fn saved(&mut self, at: ClockReading, number: u64, ok: bool) {
         self.ledger.saved(moment(at), number, ok);
     }
 
     /// Begins anew on another disk, holding nothing.
-    pub fn start_over(&mut self, at: Moment, disk: u64) {
+    pub fn start_over(&mut self, at: ClockReading, disk: u64) {
         self.ledger.start_over(moment(at), disk);
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// Puts what there is to send into datagrams: behind the saves that they rest on.
-    pub fn send(&mut self, at: Moment, node: &mut Node, out: &mut Output) {
+    pub fn send(&mut self, at: ClockReading, node: &mut Node, out: &mut Output) {
         let hallmux_ledger::Output {
             packets,
             saves,
@@ -172,7 +172,7 @@
     }
 }
 
-fn moment(at: Moment) -> hallmux_ledger::Moment {
+fn moment(at: ClockReading) -> hallmux_ledger::Moment {
     hallmux_ledger::Moment {
         steady: at.steady,
         wall_ms: at.wall_ms,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -20,9 +20,9 @@
 pub use ledger::LedgerSave;
 pub use ownership::{OwnedLease, OwnershipConfig, VoterSave};
 
-/// One moment on a front's clocks.
+/// The time on a front's clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Moment {
+pub struct ClockReading {
     /// Microseconds on the clock that the dispatcher goes by.
     pub now: Micros,
     /// Microseconds on a monotonic clock that runs evenly: leases go by it alone.
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -7,7 +7,7 @@
 use hallmux_gossip::load_reports::{OfferedLoad, MAX_LOADS};
 use hallmux_gossip::node::Node;
 
-use crate::{engine_hash, Moment};
+use crate::{engine_hash, ClockReading};
 
 /// Microseconds between merges: reports are renewed every second and a half.
 const MERGE_EVERY: Micros = 1_000_000;
@@ -39,7 +39,7 @@
         self.next_merge
     }
 
-    pub fn tick(&mut self, at: Moment, node: &mut Node, dispatcher: &mut Dispatcher) {
+    pub fn tick(&mut self, at: ClockReading, node: &mut Node, dispatcher: &mut Dispatcher) {
         if at.now < self.next_merge {
             return;
         }
--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -15,7 +15,7 @@
 use hallmux_lease::voter::{self, Voter};
 use hallmux_lease::{fingerprint, Envelope, LeaseMessage, Task, Terms, Token, TokenOwner};
 
-use crate::{engine_hash, Moment, Output};
+use crate::{engine_hash, ClockReading, Output};
 
 const TASK: Task = Task::Zones;
 const MAX_RECOVERED: usize = 12; // engines in an owner's act: they fit a report
@@ -79,7 +79,11 @@
 
 impl Ownership {
     /// An error says why the saved state can't be used.
-    pub fn new(at: Moment, own: PeerId, config: OwnershipConfig) -> Result<Ownership, StateError> {
+    pub fn new(
+        at: ClockReading,
+        own: PeerId,
+        config: OwnershipConfig,
+    ) -> Result<Ownership, StateError> {
         let OwnershipConfig {
             fleet,
             voters,
@@ -134,7 +138,7 @@
     }
 
     /// Takes in a message on the lease channel.
-    pub fn receive(&mut self, at: Moment, from: PeerId, address: SocketAddr, bytes: &[u8]) {
+    pub fn receive(&mut self, at: ClockReading, from: PeerId, address: SocketAddr, bytes: &[u8]) {
         let Some(envelope) = hallmux_lease::read(bytes) else {
             return self.refuse("form");
         };
@@ -165,7 +169,7 @@
     /// Runs the voter's clock, and asks for the lease or renews it. `up` is the number of fronts that are up.
     pub fn tick(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         up: usize,
         dispatcher: &mut Dispatcher,
         random: &mut impl RandomSource,
@@ -204,7 +208,7 @@
     }
 
     /// Engines that answer again, and for how long.
-    fn recovered(&self, at: Moment, dispatcher: &Dispatcher) -> Vec<RecoveredEngine> {
+    fn recovered(&self, at: ClockReading, dispatcher: &Dispatcher) -> Vec<RecoveredEngine> {
         let since_ms =
             |since: Micros| ((at.now - since).max(0) / 1000).min(Micros::from(u32::MAX)) as u32;
         let back = dispatcher.recovered(at.now).into_iter();
@@ -216,12 +220,12 @@
         .collect()
     }
 
-    fn progress(&self, at: Moment, dispatcher: &Dispatcher) -> Vec<u8> {
+    fn progress(&self, at: ClockReading, dispatcher: &Dispatcher) -> Vec<u8> {
         postcard::to_stdvec(&self.recovered(at, dispatcher)).unwrap_or_default()
     }
 
     /// What this front reports of the fleet's work.
-    pub fn report(&self, at: Moment, dispatcher: &Dispatcher) -> OwnershipReport {
+    pub fn report(&self, at: ClockReading, dispatcher: &Dispatcher) -> OwnershipReport {
         let lease = self
             .voter
             .as_ref()
@@ -239,7 +243,7 @@
 
     /// Takes in what other fronts report: the owner that a majority of voters names, and what that owner has
     /// done.
-    pub fn admit(&mut self, at: Moment, node: &Node, dispatcher: &mut Dispatcher) {
+    pub fn admit(&mut self, at: ClockReading, node: &Node, dispatcher: &mut Dispatcher) {
         let voters = node
             .ownership_reports(at.now)
             .filter(|peer| self.voters.contains_key(&peer.reporter));
@@ -280,7 +284,7 @@
     /// once.
     fn announce(
         &mut self,
-        at: Moment,
+        at: ClockReading,
         token: Token,
         recovered: &[RecoveredEngine],
         age: Micros,
@@ -303,7 +307,7 @@
     }
 
     /// Puts what there is to send into datagrams: a voter's behind what it has to save.
-    pub fn send(&mut self, at: Moment, node: &mut Node, out: &mut Output) {
+    pub fn send(&mut self, at: ClockReading, node: &mut Node, out: &mut Output) {
         let seal = |node: &mut Node, to, envelope: &Envelope| {
             node.channel_datagram(
                 at.now,
--- a/crates/front/src/fleet/join.rs
+++ b/crates/front/src/fleet/join.rs
@@ -5,7 +5,7 @@
 use calloop::LoopHandle;
 use hallmux_config::{self as agreement, OnDiskFailure};
 use hallmux_dispatcher::Micros;
-use hallmux_fleet::{Exchange, Moment, OwnershipConfig};
+use hallmux_fleet::{ClockReading, Exchange, OwnershipConfig};
 use hallmux_gossip::seal::peer_id;
 use hallmux_lease::Terms;
 
@@ -45,7 +45,7 @@
         terms,
         saved,
     };
-    let moment = Moment {
+    let moment = ClockReading {
         now,
         steady: 0,
         wall_ms: (now / 1000) as u64,
@@ -69,7 +69,7 @@
     let memory_on_disk_failure = ledger.on_disk_failure == OnDiskFailure::Memory;
     let mut copies = None;
     let own = peer_id(&exchange.public_key());
-    let moment = Moment {
+    let moment = ClockReading {
         now,
         steady: 0,
         wall_ms: (now / 1000) as u64,
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -12,7 +12,7 @@
 use calloop::{Interest, LoopHandle, Mode, PostAction};
 use hallmux_config::{parse_key, Gossip, OnDiskFailure};
 use hallmux_dispatcher::{Dispatcher, Micros};
-use hallmux_fleet::{Exchange, LedgerSave, Moment, Output, OwnedLease};
+use hallmux_fleet::{ClockReading, Exchange, LedgerSave, Output, OwnedLease};
 use hallmux_gossip::channels::Channel;
 use hallmux_gossip::evidence::PeerReport;
 use hallmux_gossip::members::FleetSize;
@@ -191,9 +191,9 @@
         true
     }
 
-    fn moment(&self, now: Micros) -> Moment {
+    fn moment(&self, now: Micros) -> ClockReading {
         let steady = self.started.elapsed().as_micros() as Micros;
-        Moment {
+        ClockReading {
             now,
             steady,
             wall_ms: (now / 1000) as u64,
--- a/crates/lab/src/simulated/ledger.rs
+++ b/crates/lab/src/simulated/ledger.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use hallmux_fleet::gate::{LedgerClient, Ruling};
-use hallmux_fleet::{Exchange, Moment, Output};
+use hallmux_fleet::{ClockReading, Exchange, Output};
 use hallmux_gossip::seal::{peer_id, Identity};
 use hallmux_gossip::PeerId;
 use hallmux_ledger::{Ask, Done, Member, Setup};
@@ -18,7 +18,7 @@
 /// The gate's way to the ledger of its front; what is to go out for it is gathered.
 struct Way<'a> {
     exchange: &'a mut Exchange,
-    at: Moment,
+    at: ClockReading,
     done: &'a mut Vec<Done>,
     outs: Vec<Output>,
 }
--- a/crates/lab/src/simulated/simulation.rs
+++ b/crates/lab/src/simulated/simulation.rs
@@ -9,7 +9,7 @@
 use hallmux_config::Settings;
 use hallmux_dispatcher::{Dispatcher, Ending, Place, Ticket};
 use hallmux_fleet::gate::Guard;
-use hallmux_fleet::{Exchange, Moment};
+use hallmux_fleet::{ClockReading, Exchange};
 use hallmux_gossip::seal::Keys;
 use hallmux_ledger::Done;
 use rand::Rng;
@@ -310,9 +310,9 @@
         self.now + self.members[n].ahead
     }
 
-    pub(super) fn moment(&self, n: usize) -> Moment {
+    pub(super) fn moment(&self, n: usize) -> ClockReading {
         let own = self.own(n);
-        Moment {
+        ClockReading {
             now: own,
             steady: self.now,
             wall_ms: (own / 1000) as u64,
