--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -2,6 +2,7 @@
 
 mod ledger;
 
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,23 +21,40 @@
 use crate::ownership::Ownership;
 use crate::{engine_hash, ClockReading, Output, OwnedLease, OwnershipConfig};
 
-const OBSERVE_EVERY: Micros = 250_000; // microseconds between looks at what this front has observed itself
+/// Microseconds between reports of what this front has observed itself.
+const REPORT_INTERVAL: Micros = 250_000;
 /// Milliseconds: each step of a silence is a report for all fronts to pass on.
 const SILENCE_STEP_MS: Micros = 500;
-const MAX_RECEIVED: usize = 1_024; // channel messages held for other subsystems: some 100 KB
-const MAX_REPORTERS: usize = 4_096; // fronts that the dispatcher tells apart in one run of this one
+/// Channel messages held for other subsystems, some 100 KB.
+const MAX_RECEIVED: usize = 1_024;
+/// Fronts that the dispatcher tells apart in one run of this one.
+const MAX_REPORTERS: usize = 4_096;
+
+/// What a tick of the exchange gives out.
+#[derive(Default)]
+pub struct TickOutput {
+    /// To be sent and saved.
+    pub output: Output,
+    /// Reports of other fronts on engines that they had not reported before.
+    pub new_reports: Vec<PeerReport>,
+}
+
+/// An engine as a peer reports it.
+type ReportedEngine = (PeerId, u64);
 
 /// One front's part in the exchange.
 pub struct Exchange {
     node: Node,
-    next_look: Micros,
+    next_report: Micros,
     /// What each peer reported last of each engine, so that a change reaches the dispatcher once.
-    known: BTreeMap<(PeerId, u64), Sighting>,
+    known_reports: BTreeMap<ReportedEngine, Sighting>,
     /// The dispatcher's numbers for reporters, in the order in which they were first heard.
     reporters: BTreeMap<PeerId, usize>,
     /// The size of the fleet as the dispatcher knows it.
     fleet: FleetSize,
+    /// Whether this front has announced that it leaves.
     left: bool,
+    /// Messages on channels that other subsystems read.
     received: Vec<ChannelMessage>,
     /// Ownership of the fleet's work, where voters are configured.
     ownership: Option<Ownership>,
@@ -49,6 +67,26 @@
     probes: Option<bool>,
 }
 
+fn reported_engine(report: &PeerReport) -> ReportedEngine {
+    (report.reporter, report.sighting.engine)
+}
+
+/// Passes a report to the dispatcher, from the reporter of this number.
+fn pass_report(now: Micros, dispatcher: &mut Dispatcher, reporter: usize, report: &PeerReport) {
+    let sighting = report.sighting;
+    let observation = EngineObservation {
+        id: "",
+        failed: f64::from(sighting.failed),
+        answered: f64::from(sighting.answered),
+        silent: Micros::from(sighting.silent_ms) * 1000,
+        draining: sighting.drains,
+        started: None,
+    };
+    let is_engine = |id: &str| engine_hash(id) == sighting.engine;
+    dispatcher.peer_report(now, reporter, is_engine, &observation, report.age);
+}
+
+/// What this front has observed of an engine, as other fronts learn it.
 fn sighting(seen: &EngineObservation) -> Sighting {
     Sighting {
         engine: engine_hash(seen.id),
@@ -66,8 +104,8 @@
     pub fn new(config: NodeConfig, wall_ms: u64) -> Exchange {
         Exchange {
             node: Node::new(config, wall_ms),
-            next_look: 0,
-            known: BTreeMap::new(),
+            next_report: 0,
+            known_reports: BTreeMap::new(),
             reporters: BTreeMap::new(),
             fleet: FleetSize { known: 1, up: 1 },
             left: false,
@@ -140,22 +178,20 @@
 
     /// When `tick` is next due, on the dispatcher's clock.
     pub fn due(&self, at: ClockReading) -> Micros {
-        let ledger = self
-            .ledger
-            .as_ref()
-            .map_or(Micros::MAX, |l| at.now.saturating_add(l.due(at.steady)));
+        let ledger = self.ledger.as_ref().map_or(Micros::MAX, |ledger| {
+            at.now.saturating_add(ledger.due(at.steady))
+        });
         if self.left {
-            ledger
-        } else {
-            let ownership = self.ownership.as_ref().map_or(Micros::MAX, Ownership::due);
-            let load = self.load.as_ref().map_or(Micros::MAX, Load::due);
-            self.node
-                .due()
-                .min(self.next_look)
-                .min(ownership)
-                .min(ledger)
-                .min(load)
+            return ledger;
         }
+        let ownership = self.ownership.as_ref().map_or(Micros::MAX, Ownership::due);
+        let load = self.load.as_ref().map_or(Micros::MAX, Load::due);
+        self.node
+            .due()
+            .min(self.next_report)
+            .min(ownership)
+            .min(ledger)
+            .min(load)
     }
 
     /// Takes in a datagram from the address `from`; gives what is to be sent in answer.
@@ -165,29 +201,8 @@
             datagrams,
             ..Output::default()
         };
-        for ChannelMessage {
-            from,
-            at: address,
-            channel,
-            bytes,
-        } in self.node.received()
-        {
-            match (channel, &mut self.ownership) {
-                (Channel::Lease, Some(ownership)) => ownership.receive(at, from, address, &bytes),
-                (Channel::Lease, None) => {}
-                (Channel::Ledger, _) => {
-                    self.ledger
-                        .iter_mut()
-                        .for_each(|ledger| ledger.receive(at, from, &bytes));
-                }
-                _ if self.received.len() >= MAX_RECEIVED => {}
-                _ => self.received.push(ChannelMessage {
-                    from,
-                    at: address,
-                    channel,
-                    bytes,
-                }),
-            }
+        for message in self.node.received() {
+            self.receive_message(at, message);
         }
         if let Some(ownership) = &mut self.ownership {
             ownership.send(at, &mut self.node, &mut out);
@@ -196,6 +211,23 @@
         out
     }
 
+    fn receive_message(&mut self, at: ClockReading, message: ChannelMessage) {
+        match message.channel {
+            Channel::Lease => {
+                if let Some(ownership) = &mut self.ownership {
+                    ownership.receive(at, &message);
+                }
+            }
+            Channel::Ledger => {
+                if let Some(ledger) = &mut self.ledger {
+                    ledger.receive(at, message.from, &message.bytes);
+                }
+            }
+            _ if self.received.len() >= MAX_RECEIVED => {}
+            _ => self.received.push(message),
+        }
+    }
+
     /// Takes the messages received on other channels; beyond a bound those not taken are dropped.
     pub fn received(&mut self) -> Vec<ChannelMessage> {
         std::mem::take(&mut self.received)
@@ -215,63 +247,60 @@
             .channel_datagram(at.now, at.wall_ms, to, channel, bytes)
     }
 
-    /// Does what is due; gives what is to go out, and the reports of other fronts on engines that they had
-    /// not reported before.
+    /// Does what is due.
     pub fn tick(
         &mut self,
         at: ClockReading,
         dispatcher: &mut Dispatcher,
         random: &mut impl RandomSource,
-    ) -> (Output, Vec<PeerReport>) {
-        let (mut out, mut new) = (Output::default(), Vec::new());
+    ) -> TickOutput {
+        let mut output = Output::default();
+        let mut new_reports = Vec::new();
         if at.now < self.due(at) {
-            return (out, new);
+            return TickOutput::default();
         }
         if self.left {
-            // Statements that it has yet to answer still rest on the ledger.
-            self.tick_ledger(at, &mut out);
-            return (out, new);
+            // Statements that it has yet to answer still depend on the ledger.
+            self.tick_ledger(at, &mut output);
+            return TickOutput {
+                output,
+                new_reports,
+            };
         }
         if let Some(ownership) = &mut self.ownership {
             ownership.tick(at, self.fleet.up, dispatcher, random);
-            ownership.send(at, &mut self.node, &mut out);
+            ownership.send(at, &mut self.node, &mut output);
         }
-        self.tick_ledger(at, &mut out);
-        if self.next_look <= at.now {
-            self.next_look = at.now + OBSERVE_EVERY;
+        self.tick_ledger(at, &mut output);
+        if self.next_report <= at.now {
+            self.next_report = at.now + REPORT_INTERVAL;
             self.report(at, dispatcher);
-            new = self.take_reports(at.now, dispatcher);
+            new_reports = self.take_reports(at.now, dispatcher);
         }
         if let Some(load) = &mut self.load {
             load.tick(at, &mut self.node, dispatcher);
         }
         self.announce_fleet(at, dispatcher);
-        out.datagrams
-            .extend(self.node.tick(at.now, at.wall_ms, random));
-        (out, new)
+        let datagrams = self.node.tick(at.now, at.wall_ms, random);
+        output.datagrams.extend(datagrams);
+        TickOutput {
+            output,
+            new_reports,
+        }
     }
 
     /// Reports what this front observes of engines, worst first, and of ownership; takes in others' ownership
     /// reports.
     fn report(&mut self, at: ClockReading, dispatcher: &mut Dispatcher) {
-        let mut seen: Vec<Sighting> = dispatcher
-            .observations(at.now)
-            .iter()
-            .map(sighting)
-            .collect();
-        seen.sort_by_key(|s| {
-            (
-                std::cmp::Reverse(s.silent_ms),
-                std::cmp::Reverse(s.failed),
-                s.engine,
-            )
-        });
+        let observations = dispatcher.observations(at.now);
+        let mut sightings: Vec<Sighting> = observations.iter().map(sighting).collect();
+        sightings.sort_by_key(|s| (Reverse(s.silent_ms), Reverse(s.failed), s.engine));
         let ownership = self
             .ownership
             .as_ref()
             .map(|ownership| ownership.report(at, dispatcher));
         self.node
-            .report(at.now, at.wall_ms, seen, ownership.unwrap_or_default());
+            .report(at.now, at.wall_ms, sightings, ownership.unwrap_or_default());
         if let Some(ownership) = &mut self.ownership {
             ownership.admit(at, &self.node, dispatcher);
         }
@@ -312,40 +341,24 @@
     /// reported before.
     fn take_reports(&mut self, now: Micros, dispatcher: &mut Dispatcher) -> Vec<PeerReport> {
         let reports = self.node.peer_reports(now);
-        let known: BTreeMap<(PeerId, u64), Sighting> = reports
-            .iter()
-            .map(|r| ((r.reporter, r.sighting.engine), r.sighting))
-            .collect();
         for report in &reports {
-            let s = report.sighting;
+            let known = self.known_reports.get(&reported_engine(report));
             // Guards against reporters without end, as keys come and go.
-            if self.known.get(&(report.reporter, s.engine)) == Some(&s)
-                || self.reporters.len() >= MAX_REPORTERS
-            {
+            if known == Some(&report.sighting) || self.reporters.len() >= MAX_REPORTERS {
                 continue;
             }
             let next = self.reporters.len();
             let reporter = *self.reporters.entry(report.reporter).or_insert(next);
-            let seen = EngineObservation {
-                id: "",
-                failed: f64::from(s.failed),
-                answered: f64::from(s.answered),
-                silent: Micros::from(s.silent_ms) * 1000,
-                draining: s.drains,
-                started: None,
-            };
-            dispatcher.peer_report(
-                now,
-                reporter,
-                |id| engine_hash(id) == s.engine,
-                &seen,
-                report.age,
-            );
+            pass_report(now, dispatcher, reporter, report);
         }
-        let before = std::mem::replace(&mut self.known, known);
+        let known: BTreeMap<ReportedEngine, Sighting> = reports
+            .iter()
+            .map(|report| (reported_engine(report), report.sighting))
+            .collect();
+        let before = std::mem::replace(&mut self.known_reports, known);
         reports
             .into_iter()
-            .filter(|r| !before.contains_key(&(r.reporter, r.sighting.engine)))
+            .filter(|report| !before.contains_key(&reported_engine(report)))
             .collect()
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,7 +1,8 @@
 //! What one front and its fleet know of each other, carried between gossip and the dispatcher: this front's
 //! observations of engines go out; other fronts' reports, the size of the fleet and its load reach the
 //! dispatcher. Lease ownership, the replicated ledger and the gate for executions that depend on it take part
-//! here too. Free of sockets, clocks and randomness of its own; nothing is decided here.
+//! here too. Free of sockets, clocks and randomness of its own; what is done about engines is decided in the
+//! decision module.
 
 #![warn(missing_docs)]
 
@@ -15,10 +16,10 @@
 use hallmux_gossip::node::Datagram;
 use hallmux_hash::fnv1a;
 
-pub use exchange::Exchange;
+pub use exchange::{Exchange, TickOutput};
 pub use hallmux_gossip::channels::{Channel, ChannelMessage};
 pub use ledger::LedgerSave;
-pub use ownership::{OwnedLease, OwnershipConfig, VoterSave};
+pub use ownership::{OwnedLease, OwnershipConfig, VoterAddress, VoterSave};
 
 /// The time on a front's clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/front/src/fleet/join.rs
+++ b/crates/front/src/fleet/join.rs
@@ -5,7 +5,7 @@
 use calloop::LoopHandle;
 use hallmux_config::{self as agreement, OnDiskFailure};
 use hallmux_dispatcher::Micros;
-use hallmux_fleet::{ClockReading, Exchange, OwnershipConfig};
+use hallmux_fleet::{ClockReading, Exchange, OwnershipConfig, VoterAddress};
 use hallmux_gossip::seal::peer_id;
 use hallmux_lease::Terms;
 
@@ -26,11 +26,14 @@
     let voters: Vec<_> = ownership
         .voters
         .iter()
-        .map(|(key, at)| (peer_id(key), *at))
+        .map(|(key, at)| VoterAddress {
+            id: peer_id(key),
+            address: *at,
+        })
         .collect();
     let own = peer_id(&exchange.public_key());
     let mut saved = None;
-    if voters.iter().any(|(voter, _)| *voter == own) {
+    if voters.iter().any(|voter| voter.id == own) {
         let socket = socket.try_clone().map_err(PeersError::system)?;
         let (opened, kept) = Votes::open(&ownership.directory, socket)?;
         (votes, saved) = (Some(opened), kept);
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -12,7 +12,7 @@
 use calloop::{Interest, LoopHandle, Mode, PostAction};
 use hallmux_config::{parse_key, Gossip, OnDiskFailure};
 use hallmux_dispatcher::{Dispatcher, Micros};
-use hallmux_fleet::{ClockReading, Exchange, LedgerSave, Output, OwnedLease};
+use hallmux_fleet::{ClockReading, Exchange, LedgerSave, Output, OwnedLease, TickOutput};
 use hallmux_gossip::channels::Channel;
 use hallmux_gossip::evidence::PeerReport;
 use hallmux_gossip::members::FleetSize;
@@ -331,12 +331,15 @@
         self.apply_durable(now);
         let before = self.exchange.fleet_size();
         let at = self.moment(now);
-        let (out, news) = self.exchange.tick(
+        let TickOutput {
+            output,
+            new_reports,
+        } = self.exchange.tick(
             at,
             dispatcher,
             &mut random_numbers(&self.random, &mut self.draws_made),
         );
-        self.send(now, out);
+        self.send(now, output);
         let FleetSize { known, up } = self.exchange.fleet_size();
         if (FleetSize { known, up }) != before {
             log::debug!("{known} fronts are known, {up} of them up");
@@ -345,7 +348,7 @@
             reporter,
             sighting: s,
             age,
-        } in news
+        } in new_reports
         {
             let name = self.names.get(&reporter).map_or("?", String::as_str);
             log::info!(
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -4,7 +4,7 @@
 
 use hallmux_dispatcher::{Dispatcher, Ending, Listing, Mode, Order, Protocol};
 use hallmux_fleet::gate::{Guard, OrderedExecution};
-use hallmux_fleet::{Exchange, OwnershipConfig};
+use hallmux_fleet::{Exchange, OwnershipConfig, VoterAddress};
 use hallmux_gossip::node::NodeConfig;
 use hallmux_gossip::seal::{peer_id, Identity};
 use hallmux_lease::Terms;
@@ -39,11 +39,9 @@
             }
             if let Some(voters) = self.scenario.fleet.voters {
                 let voters = (0..voters)
-                    .map(|n| {
-                        (
-                            peer_id(&Identity::new(&secret(n), 0).public_key()),
-                            address(n),
-                        )
+                    .map(|n| VoterAddress {
+                        id: peer_id(&Identity::new(&secret(n), 0).public_key()),
+                        address: address(n),
                     })
                     .collect();
                 let scenario = &self.scenario.fleet;
@@ -104,8 +102,8 @@
         let lives = member.lives;
         if let Some(exchange) = &mut life.exchange {
             let chance = &mut self.chance;
-            let (out, _) = exchange.tick(at, &mut life.dispatcher, &mut || chance.random());
-            self.send_output(n, out);
+            let ticked = exchange.tick(at, &mut life.dispatcher, &mut || chance.random());
+            self.send_output(n, ticked.output);
         }
         for _ in 0..ROUNDS {
             self.guarded(n);
--- a/crates/lease/src/disk.rs
+++ b/crates/lease/src/disk.rs
@@ -6,20 +6,50 @@
 
 use crate::leases::Change;
 
-const MAGIC: [u8; 8] = *b"hmlease2"; // names the format; another format has another name
-const MAGIC_BEFORE: [u8; 8] = *b"hmlease1"; // the format of builds that did not count incarnations
-const CHECKSUM_BYTES: usize = 4; // CRC-32 behind the name
+/// Names the format; another format has another name.
+const MAGIC: [u8; 8] = *b"hmlease2";
+/// The format of builds that did not count incarnations.
+const MAGIC_BEFORE: [u8; 8] = *b"hmlease1";
+/// CRC-32 of the body, big-endian, behind the name of the format.
+const CHECKSUM_BYTES: usize = 4;
 
 /// The state, as it is saved.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct State {
     /// The fingerprint of the fleet that it was saved in.
     fleet: u64,
-    held: LogState<Change>,
+    /// The replicated log.
+    log: LogState<Change>,
     /// How often a voter has started with it.
     incarnation: u64,
 }
 
+impl State {
+    /// None where the bytes are cut short, altered or of an unknown format.
+    fn read(saved: &[u8]) -> Option<State> {
+        let (head, body) = saved.split_at_checked(MAGIC.len() + CHECKSUM_BYTES)?;
+        let (magic, checksum) = head.split_at(MAGIC.len());
+        let checksum = u32::from_be_bytes(checksum.try_into().ok()?);
+        if crc32fast::hash(body) != checksum {
+            return None;
+        }
+        if *magic == MAGIC {
+            return postcard::from_bytes(body).ok();
+        }
+        if *magic == MAGIC_BEFORE {
+            // No incarnation was counted then: a 0 behind it says so.
+            return postcard::from_bytes(&[body, &[0]].concat()).ok();
+        }
+        None
+    }
+
+    fn bytes(&self) -> Vec<u8> {
+        let body = postcard::to_stdvec(self).unwrap_or_default();
+        let checksum = crc32fast::hash(&body).to_be_bytes();
+        [&MAGIC[..], &checksum, &body].concat()
+    }
+}
+
 /// Why a saved state can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StateError {
@@ -61,37 +91,22 @@
 
     /// Decodes the state that an earlier run of the voter saved.
     pub fn read(fleet: u64, saved: &[u8]) -> Result<Disk, StateError> {
-        let (head, body) = saved
-            .split_at_checked(MAGIC.len() + CHECKSUM_BYTES)
-            .ok_or(StateError::Corrupt)?;
-        let sum = head[MAGIC.len()..]
-            .try_into()
-            .map(u32::from_be_bytes)
-            .map_err(|_| StateError::Corrupt)?;
-        if crc32fast::hash(body) != sum {
-            return Err(StateError::Corrupt);
-        }
-        let state: State = match &head[..MAGIC.len()] {
-            form if *form == MAGIC => postcard::from_bytes(body),
-            // No incarnation was counted then: a 0 behind it says so.
-            form if *form == MAGIC_BEFORE => postcard::from_bytes(&[body, &[0]].concat()),
-            _ => return Err(StateError::Corrupt),
-        }
-        .map_err(|_| StateError::Corrupt)?;
-        match state.fleet == fleet {
-            true => Ok(Disk {
-                fleet,
-                incarnation: state.incarnation,
-                started: false,
-                store: LogStore::new(state.held),
-            }),
-            false => Err(StateError::OtherFleet),
+        let state = State::read(saved).ok_or(StateError::Corrupt)?;
+        if state.fleet != fleet {
+            return Err(StateError::OtherFleet);
         }
+        Ok(Disk {
+            fleet,
+            incarnation: state.incarnation,
+            started: false,
+            store: LogStore::new(state.log),
+        })
     }
 
     /// A voter starts with this state: its incarnation is saved before any message of it leaves.
     pub fn start(&mut self) {
-        (self.incarnation, self.started) = (self.incarnation + 1, true);
+        self.incarnation += 1;
+        self.started = true;
     }
 
     /// Takes the bytes that have to be durable before any message that follows from them leaves; None if
@@ -103,12 +118,10 @@
         }
         let state = State {
             fleet: self.fleet,
-            held: self.store.read(LogState::clone),
+            log: self.store.read(LogState::clone),
             incarnation: self.incarnation,
         };
-        let body = postcard::to_stdvec(&state).unwrap_or_default();
-        let sum = crc32fast::hash(&body).to_be_bytes();
-        Some([&MAGIC[..], &sum, &body].concat())
+        Some(state.bytes())
     }
 }
 
--- a/crates/lease/src/holder.rs
+++ b/crates/lease/src/holder.rs
@@ -1,22 +1,26 @@
 //! The owner's side: requests the lease of voters, renews it, and knows by its own monotonic clock alone
 //! until when it may act.
 
-use crate::{FrontId, Micros, Reply, Request, Task, Terms, Token};
+use crate::{AddressedRequest, FrontId, Micros, Reply, Request, Task, Terms, Token};
 
 /// Microseconds until the request goes to the next voter instead; some round trips.
 const REPLY_TIMEOUT: Micros = 250_000;
 
+/// A lease that was granted to this front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Held {
+struct HeldLease {
     token: Token,
     /// The owner may act before this time.
     until: Micros,
 }
 
+/// A request that awaits its reply.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Pending {
     number: u64,
+    /// When it was made.
     at: Micros,
+    /// The place of the voter that it went to.
     voter: usize,
 }
 
@@ -26,9 +30,10 @@
     task: Task,
     terms: Terms,
     voters: Vec<FrontId>,
-    held: Option<Held>,
+    held: Option<HeldLease>,
     pending: Option<Pending>,
     next_number: u64,
+    /// The place of the voter that the next request goes to.
     voter: usize,
     /// The progress that came with the lease, until it is taken.
     progress: Option<Vec<u8>>,
@@ -74,27 +79,13 @@
         now: Micros,
         wants: bool,
         progress: &[u8],
-    ) -> Option<(FrontId, Request)> {
-        let waits = self
-            .pending
-            .as_ref()
-            .is_some_and(|pending| now - pending.at < REPLY_TIMEOUT);
-        // Renewed from a third of its time on: two more tries fit in.
-        let due = match self.token(now) {
-            Some(_) => self
-                .until()
-                .is_some_and(|until| until - now < self.terms.acts_for() * 2 / 3),
-            None => wants,
-        };
-        if waits || !due || self.voters.is_empty() {
+    ) -> Option<AddressedRequest> {
+        if self.awaits_reply(now) || !self.is_due(now, wants) || self.voters.is_empty() {
             return None;
         }
-        if self
-            .pending
-            .as_ref()
-            .is_some_and(|pending| pending.voter == self.voter)
-        {
-            self.voter = (self.voter + 1) % self.voters.len(); // that one is silent
+        let unanswered = self.pending.as_ref().map(|pending| pending.voter);
+        if unanswered == Some(self.voter) {
+            self.choose_next_voter();
         }
         let number = self.next_number;
         self.next_number += 1;
@@ -109,25 +100,38 @@
         } else {
             Vec::new()
         };
-        Some((
-            self.voters[self.voter],
-            Request {
-                task: self.task,
-                number,
-                token,
-                progress,
-            },
-        ))
+        let request = Request {
+            task: self.task,
+            number,
+            token,
+            progress,
+        };
+        let to = self.voters[self.voter];
+        Some(AddressedRequest { to, request })
+    }
+
+    fn awaits_reply(&self, now: Micros) -> bool {
+        self.pending
+            .as_ref()
+            .is_some_and(|pending| now - pending.at < REPLY_TIMEOUT)
+    }
+
+    /// Whether a request is due. A lease is renewed from a third of its time on: two more attempts fit in.
+    fn is_due(&self, now: Micros, wants: bool) -> bool {
+        match self.held.filter(|held| now < held.until) {
+            Some(held) => held.until - now < self.terms.acts_for() * 2 / 3,
+            None => wants,
+        }
+    }
+
+    fn choose_next_voter(&mut self) {
+        self.voter = (self.voter + 1) % self.voters.len();
     }
 
     /// Takes in a voter's reply. One that is not to the latest request is ignored.
     pub fn receive(&mut self, reply: &Reply) {
-        let number = match reply {
-            Reply::Granted { number, .. }
-            | Reply::Denied { number }
-            | Reply::NotLeader { number, .. } => number,
-        };
-        let Some(pending) = self.pending.take_if(|pending| pending.number == *number) else {
+        let number = reply.number();
+        let Some(pending) = self.pending.take_if(|pending| pending.number == number) else {
             return;
         };
         match reply {
@@ -135,7 +139,7 @@
                 token, progress, ..
             } => {
                 // Counted from the request: however long the reply took, the voters count from later.
-                let held = Held {
+                let held = HeldLease {
                     token: *token,
                     until: pending.at + self.terms.acts_for(),
                 };
--- a/crates/lease/src/holder_tests.rs
+++ b/crates/lease/src/holder_tests.rs
@@ -22,14 +22,14 @@
 #[test]
 fn it_acts_from_when_it_asked_and_stops_before_the_length() {
     let mut h = holder();
-    let (to, ask) = h.next_request(0, true, &[]).unwrap();
+    let AddressedRequest { to, request: ask } = h.next_request(0, true, &[]).unwrap();
     assert_eq!((to, ask.token), (10, None));
     assert_eq!(h.next_request(100_000, true, &[]), None);
     h.receive(&yours(ask.number, 4));
     assert_eq!((h.token(2_699_999), h.token(2_700_000)), (Some(4), None));
     assert_eq!((h.inherited(), h.inherited()), (Some(vec![7]), None));
     // Kept under the same token.
-    let (_, keep) = h.next_request(2_000_000, true, &[9]).unwrap();
+    let keep = h.next_request(2_000_000, true, &[9]).unwrap().request;
     assert_eq!((keep.token, keep.progress.as_slice()), (Some(4), &[9][..]));
     h.receive(&yours(keep.number, 4));
     assert_eq!((h.token(4_699_999), h.inherited()), (Some(4), None));
@@ -38,8 +38,11 @@
 #[test]
 fn answers_to_other_questions_say_nothing() {
     let mut h = holder();
-    let (_, first) = h.next_request(0, true, &[]).unwrap();
-    let (to, second) = h.next_request(REPLY_TIMEOUT, true, &[]).unwrap();
+    let first = h.next_request(0, true, &[]).unwrap().request;
+    let AddressedRequest {
+        to,
+        request: second,
+    } = h.next_request(REPLY_TIMEOUT, true, &[]).unwrap();
     assert_eq!(to, 20); // the first voter was silent
     h.receive(&yours(first.number, 4));
     assert_eq!(h.token(300_000), None);
@@ -48,7 +51,8 @@
         leader: 30,
     });
     assert_eq!(
-        h.next_request(300_001, true, &[]).map(|(to, _)| to),
+        h.next_request(300_001, true, &[])
+            .map(|addressed| addressed.to),
         Some(30)
     );
 }
@@ -56,9 +60,9 @@
 #[test]
 fn one_that_is_told_no_stops_at_once() {
     let mut h = holder();
-    let (_, ask) = h.next_request(0, true, &[]).unwrap();
+    let ask = h.next_request(0, true, &[]).unwrap().request;
     h.receive(&yours(ask.number, 4));
-    let (_, keep) = h.next_request(1_500_000, true, &[]).unwrap();
+    let keep = h.next_request(1_500_000, true, &[]).unwrap().request;
     h.receive(&Reply::Denied {
         number: keep.number,
     });
--- a/crates/lease/src/leases.rs
+++ b/crates/lease/src/leases.rs
@@ -52,6 +52,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Leases {
     held: BTreeMap<Task, Lease>,
+    /// The last token that was given out, over all tasks.
     last: Token,
 }
 
@@ -99,7 +100,8 @@
                 progress,
             } => match self.held.get_mut(task) {
                 Some(lease) if lease.token == *token => {
-                    (lease.number, lease.progress) = (*number, progress.clone());
+                    lease.number = *number;
+                    lease.progress = progress.clone();
                     true
                 }
                 _ => false,
@@ -120,9 +122,9 @@
     /// The leases with all changes applied.
     pub fn leases(&self) -> Leases {
         let mut leases = self.base.clone();
-        self.since
-            .iter()
-            .for_each(|change| _ = leases.apply(change));
+        for change in &self.since {
+            leases.apply(change);
+        }
         leases
     }
 }
@@ -138,10 +140,9 @@
     fn merge(&mut self, later: LeaseSnapshot) {
         self.base = self.leases();
         self.since.clear();
-        later
-            .since
-            .iter()
-            .for_each(|change| _ = self.base.apply(change));
+        for change in &later.since {
+            self.base.apply(change);
+        }
     }
 
     fn use_snapshots() -> bool {
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -106,6 +106,17 @@
     },
 }
 
+impl Reply {
+    /// The number of the request that it answers.
+    pub fn number(&self) -> u64 {
+        match self {
+            Reply::Granted { number, .. }
+            | Reply::Denied { number }
+            | Reply::NotLeader { number, .. } => *number,
+        }
+    }
+}
+
 /// Everything that fronts send to each other about leases. Variants are positional on the wire: append only.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum LeaseMessage {
@@ -135,6 +146,24 @@
     pub message: LeaseMessage,
 }
 
+/// An envelope with the front that it is to be sent to.
+#[derive(Clone, Debug)]
+pub struct AddressedEnvelope {
+    /// The receiver.
+    pub to: FrontId,
+    /// What it is to receive.
+    pub envelope: Envelope,
+}
+
+/// A request with the voter that it is to be sent to.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct AddressedRequest {
+    /// The voter.
+    pub to: FrontId,
+    /// What is requested of it.
+    pub request: Request,
+}
+
 /// Encodes an envelope.
 pub fn bytes(envelope: &Envelope) -> Vec<u8> {
     postcard::to_stdvec(envelope).unwrap_or_default()
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -11,21 +11,44 @@
 
 use crate::disk::{Disk, StateError};
 use crate::leases::{Change, Leases};
-use crate::{Envelope, FrontId, LeaseMessage, Micros, Reply, Request, Task, Terms};
+use crate::{
+    AddressedEnvelope, Envelope, FrontId, LeaseMessage, Micros, Reply, Request, Task, Terms,
+};
 
-const TICK: Micros = 50_000; // microseconds between ticks of the log's clock
-/// 300 ms without a message of a leader: some round trips and a stall of a busy machine.
+/// Microseconds between ticks of the log's clock.
+const TICK: Micros = 50_000;
+/// Ticks without a message of the leader until an election.
 const ELECTION_TICKS: u64 = 6;
-const RESEND_TICKS: u64 = 4; // 200 ms until a message counts as lost
-/// Decided entries until the log is compacted into a snapshot: a follower far behind gets it whole.
+/// Ticks until a message counts as lost.
+const RESEND_TICKS: u64 = 4;
+/// Decided entries until the log is compacted into a snapshot.
 const SNAPSHOT_AFTER: usize = 16;
-const MAX_PROGRESS: usize = 256; // bytes of progress that go with a lease
-const MAX_WAITING: usize = 64; // requests that wait for the log at once
+/// Bytes of progress that go with a lease.
+const MAX_PROGRESS: usize = 256;
+/// Requests that wait for the log at once.
+const MAX_WAITING: usize = 64;
+
+/// A voter's place among the voters, counted from 1: its number in the log.
+type LogNumber = u64;
+
+/// What a voter is part of.
+#[derive(Clone, Debug)]
+pub struct VoterConfig {
+    /// The fleet's fingerprint.
+    pub fleet: u64,
+    /// This front.
+    pub own: FrontId,
+    /// All voters, in any order.
+    pub voters: Vec<FrontId>,
+    /// How long a lease lasts.
+    pub terms: Terms,
+}
 
 /// A request that waits until the log has decided on it.
 struct Waiting {
     requester: FrontId,
     request: Request,
+    /// When it is given up.
     ends: Micros,
 }
 
@@ -36,7 +59,7 @@
     /// calls too.
     pub save: Option<Vec<u8>>,
     /// To be sent, each to its front.
-    pub messages: Vec<(FrontId, Envelope)>,
+    pub messages: Vec<AddressedEnvelope>,
 }
 
 /// One voter, and its part of the log.
@@ -51,6 +74,7 @@
     /// Messages that come out of order count as lost.
     order: MessageOrder,
     leases: Leases,
+    /// How many entries of the log are applied to the leases.
     applied: usize,
     /// When each lease was last confirmed, on this clock.
     confirmed: BTreeMap<Task, Micros>,
@@ -59,7 +83,7 @@
     started: Micros,
     next_tick: Micros,
     waiting: Vec<Waiting>,
-    messages: Vec<(FrontId, Envelope)>,
+    messages: Vec<AddressedEnvelope>,
 }
 
 impl Voter {
@@ -67,13 +91,15 @@
     /// says why it can't be used, or that this front is no voter.
     pub fn new(
         now: Micros,
-        fleet: u64,
-        own: FrontId,
-        voters: &[FrontId],
-        terms: Terms,
+        config: VoterConfig,
         saved: Option<&[u8]>,
     ) -> Result<Voter, StateError> {
-        let mut voters = voters.to_vec();
+        let VoterConfig {
+            fleet,
+            own,
+            mut voters,
+            terms,
+        } = config;
         voters.sort_unstable();
         voters.dedup();
         let mut disk = match saved {
@@ -81,29 +107,7 @@
             None => Disk::new(fleet),
         };
         disk.start();
-        let number = |front: FrontId| {
-            voters
-                .iter()
-                .position(|v| *v == front)
-                .map(|n| n as u64 + 1)
-        };
-        let cluster_config = ClusterConfig {
-            configuration_id: 1,
-            nodes: (1..=voters.len() as u64).collect(),
-            ..ClusterConfig::default()
-        };
-        let server_config = ServerConfig {
-            pid: number(own).ok_or(StateError::Voters)?,
-            election_tick_timeout: ELECTION_TICKS,
-            resend_message_tick_timeout: RESEND_TICKS,
-            ..ServerConfig::default()
-        };
-        let log = OmniPaxosConfig {
-            cluster_config,
-            server_config,
-        }
-        .build(disk.store.clone())
-        .map_err(|_| StateError::Voters)?;
+        let log = open_log(own, &voters, disk.store.clone())?;
         let mut voter = Voter {
             fleet,
             own,
@@ -179,48 +183,29 @@
 
     /// Whether a log message names its true sender and this voter: the library uses its numbers as places.
     fn is_from(&self, message: &LogMessage<Change>, from: FrontId) -> bool {
-        let voter = |number: u64| {
-            number
-                .checked_sub(1)
-                .and_then(|n| self.voters.get(n as usize))
-                .copied()
-        };
-        voter(message.get_sender()) == Some(from) && voter(message.get_receiver()) == Some(self.own)
+        self.voter(message.get_sender()) == Some(from)
+            && self.voter(message.get_receiver()) == Some(self.own)
+    }
+
+    /// The voter of a number in the log.
+    fn voter(&self, number: LogNumber) -> Option<FrontId> {
+        let place = number.checked_sub(1)?;
+        self.voters.get(place as usize).copied()
     }
 
+    /// A front requests a lease or its renewal. Without a reply it requests again, and this voter may be ready.
     fn requested(&mut self, now: Micros, requester: FrontId, request: Request) {
         let number = request.number;
         let Some(leader) = self.leader() else { return };
         if leader != self.own {
             return self.reply(requester, Reply::NotLeader { number, leader });
         }
-        if self.leading_since.is_none()
-            || request.progress.len() > MAX_PROGRESS
-            || self.waiting.len() >= MAX_WAITING
-        {
-            return; // requested again, it may be ready
+        let is_ready = self.leading_since.is_some() && self.waiting.len() < MAX_WAITING;
+        if !is_ready || request.progress.len() > MAX_PROGRESS {
+            return;
         }
-        let lease = self.leases.of(request.task);
-        let change = match (request.token, lease) {
-            (Some(token), Some(lease)) if lease.token == token && lease.owner == requester => {
-                Change::Renew {
-                    task: request.task,
-                    token,
-                    number,
-                    progress: request.progress.clone(),
-                }
-            }
-            (Some(_), _) => return self.reply(requester, Reply::Denied { number }),
-            (None, lease) if self.is_free(now, request.task) => {
-                let after = lease.map_or(0, |lease| lease.token);
-                Change::Grant {
-                    task: request.task,
-                    after,
-                    owner: requester,
-                    number,
-                }
-            }
-            (None, _) => return self.reply(requester, Reply::Denied { number }),
+        let Some(change) = self.change_for(now, requester, &request) else {
+            return self.reply(requester, Reply::Denied { number });
         };
         if self.log.append(change).is_ok() {
             self.waiting.push(Waiting {
@@ -231,6 +216,27 @@
         }
     }
 
+    /// The change of the leases that grants a request; None where it is denied.
+    fn change_for(&self, now: Micros, requester: FrontId, request: &Request) -> Option<Change> {
+        let lease = self.leases.of(request.task);
+        let Some(token) = request.token else {
+            return self.is_free(now, request.task).then_some(Change::Grant {
+                task: request.task,
+                after: lease.map_or(0, |lease| lease.token),
+                owner: requester,
+                number: request.number,
+            });
+        };
+        lease
+            .filter(|lease| lease.token == token && lease.owner == requester)
+            .map(|_| Change::Renew {
+                task: request.task,
+                token,
+                number: request.number,
+                progress: request.progress.clone(),
+            })
+    }
+
     /// Whether the lease's last owner has surely stopped, whichever voter confirmed it and whenever: a leader
     /// counts from when it began to lead, and from when it learned of each confirmation.
     fn is_free(&self, now: Micros, task: Task) -> bool {
@@ -243,109 +249,90 @@
 
     fn leader(&self) -> Option<FrontId> {
         let (number, _) = self.log.get_current_leader()?;
-        number
-            .checked_sub(1)
-            .and_then(|n| self.voters.get(n as usize))
-            .copied()
+        self.voter(number)
+    }
+
+    /// Whether this voter leads and may propose.
+    fn leads(&self) -> bool {
+        let leader = self.log.get_current_leader();
+        leader.is_some_and(|(_, ready)| ready) && self.leader() == Some(self.own)
     }
 
     fn reply(&mut self, to: FrontId, reply: Reply) {
-        self.messages.push((
-            to,
-            Envelope {
-                fleet: self.fleet,
-                message: LeaseMessage::Reply(reply),
-            },
-        ));
+        self.send(to, LeaseMessage::Reply(reply));
+    }
+
+    fn send(&mut self, to: FrontId, message: LeaseMessage) {
+        let fleet = self.fleet;
+        let envelope = Envelope { fleet, message };
+        self.messages.push(AddressedEnvelope { to, envelope });
     }
 
     /// Applies what the log has decided, replies to requests that waited for it, and gathers what is to go
     /// out.
     fn settle(&mut self, now: Micros) -> Output {
         self.apply(now);
-        let leads = self
-            .log
-            .get_current_leader()
-            .is_some_and(|(_, ready)| ready)
-            && self.leader() == Some(self.own);
-        self.leading_since = if leads {
+        self.leading_since = if self.leads() {
             self.leading_since.or(Some(now))
         } else {
             None
         };
-        let waiting = std::mem::take(&mut self.waiting);
-        for w in waiting {
-            let lease = self.leases.of(w.request.task);
-            let granted = lease.filter(|l| l.owner == w.requester && l.number == w.request.number);
-            match granted.map(|l| (l.token, l.progress.clone())) {
-                Some((token, progress)) => {
-                    self.reply(
-                        w.requester,
-                        Reply::Granted {
-                            number: w.request.number,
-                            token,
-                            progress,
-                        },
-                    );
-                }
-                None if now < w.ends => self.waiting.push(w),
-                None => {} // the log has not decided in time: no reply
-            }
+        self.reply_to_waiting(now);
+        self.send_log_messages();
+        Output {
+            save: self.disk.unsaved(),
+            messages: std::mem::take(&mut self.messages),
         }
-        let mut messages = Vec::new();
-        self.log.take_outgoing_messages(&mut messages);
-        for message in messages {
-            let place = message
-                .get_receiver()
-                .checked_sub(1)
-                .and_then(|n| self.voters.get(n as usize));
-            if let Some(to) = place.copied().filter(|to| *to != self.own) {
-                let (incarnation, number) = (self.disk.incarnation, self.order.number(&message));
-                let message = LeaseMessage::Log {
-                    incarnation,
+    }
+
+    /// Replies to requests that the log has granted. Those that it has not decided in time get no reply.
+    fn reply_to_waiting(&mut self, now: Micros) {
+        for waiting in std::mem::take(&mut self.waiting) {
+            let number = waiting.request.number;
+            let granted = self
+                .leases
+                .of(waiting.request.task)
+                .filter(|lease| lease.owner == waiting.requester && lease.number == number);
+            if let Some(lease) = granted {
+                let reply = Reply::Granted {
                     number,
-                    message: Box::new(message),
+                    token: lease.token,
+                    progress: lease.progress.clone(),
                 };
-                self.messages.push((
-                    to,
-                    Envelope {
-                        fleet: self.fleet,
-                        message,
-                    },
-                ));
+                self.reply(waiting.requester, reply);
+            } else if now < waiting.ends {
+                self.waiting.push(waiting);
             }
         }
-        Output {
-            save: self.disk.unsaved(),
-            messages: std::mem::take(&mut self.messages),
+    }
+
+    /// Takes the log library's messages, and numbers those that must come in order.
+    fn send_log_messages(&mut self) {
+        let mut messages = Vec::new();
+        self.log.take_outgoing_messages(&mut messages);
+        for message in messages {
+            let receiver = self.voter(message.get_receiver());
+            let Some(to) = receiver.filter(|to| *to != self.own) else {
+                continue;
+            };
+            let message = LeaseMessage::Log {
+                incarnation: self.disk.incarnation,
+                number: self.order.number(&message),
+                message: Box::new(message),
+            };
+            self.send(to, message);
         }
     }
 
+    /// Applies what the log has decided since the last call.
     fn apply(&mut self, now: Micros) {
         let decided = self.log.get_decided_idx();
         if decided <= self.applied {
             return;
         }
-        for entry in self
-            .log
-            .read_decided_suffix(self.applied)
-            .unwrap_or_default()
-        {
-            match entry {
-                LogEntry::Decided(change) => {
-                    self.leases.apply(&change);
-                    let (Change::Grant { task, .. } | Change::Renew { task, .. }) = change;
-                    self.confirmed.insert(task, now);
-                }
-                LogEntry::Snapshotted(snapshotted) => {
-                    self.leases = snapshotted.snapshot.leases();
-                    let tasks: Vec<Task> = self.leases.all().map(|(task, _)| task).collect();
-                    tasks
-                        .into_iter()
-                        .for_each(|task| _ = self.confirmed.insert(task, now));
-                }
-                LogEntry::Undecided(_) | LogEntry::Trimmed(_) | LogEntry::StopSign(..) => {}
-            }
+        let entries = self.log.read_decided_suffix(self.applied);
+        for entry in entries.unwrap_or_default() {
+            self.apply_entry(now, entry);
         }
         self.applied = decided;
         if decided.saturating_sub(self.log.get_compacted_idx()) >= SNAPSHOT_AFTER {
@@ -353,4 +340,47 @@
             let _ = self.log.snapshot(Some(decided), true);
         }
     }
+
+    fn apply_entry(&mut self, now: Micros, entry: LogEntry<Change>) {
+        match entry {
+            LogEntry::Decided(change) => {
+                self.leases.apply(&change);
+                let (Change::Grant { task, .. } | Change::Renew { task, .. }) = change;
+                self.confirmed.insert(task, now);
+            }
+            LogEntry::Snapshotted(snapshotted) => {
+                self.leases = snapshotted.snapshot.leases();
+                for (task, _) in self.leases.all() {
+                    self.confirmed.insert(task, now);
+                }
+            }
+            LogEntry::Undecided(_) | LogEntry::Trimmed(_) | LogEntry::StopSign(..) => {}
+        }
+    }
+}
+
+/// Opens this voter's part of the log. An error says that it is no voter, or that there are too few.
+fn open_log(
+    own: FrontId,
+    voters: &[FrontId],
+    store: LogStore<Change>,
+) -> Result<OmniPaxos<Change, LogStore<Change>>, StateError> {
+    let place = voters.iter().position(|voter| *voter == own);
+    let number = place.ok_or(StateError::Voters)? as LogNumber + 1;
+    let cluster_config = ClusterConfig {
+        configuration_id: 1,
+        nodes: (1..=voters.len() as LogNumber).collect(),
+        ..ClusterConfig::default()
+    };
+    let server_config = ServerConfig {
+        pid: number,
+        election_tick_timeout: ELECTION_TICKS,
+        resend_message_tick_timeout: RESEND_TICKS,
+        ..ServerConfig::default()
+    };
+    let config = OmniPaxosConfig {
+        cluster_config,
+        server_config,
+    };
+    config.build(store).map_err(|_| StateError::Voters)
 }
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -123,7 +123,9 @@
                 }
             }
             Step::Ask(n) => {
-                let (_, ask) = s.holders[n].next_request(s.clocks[n] * TICK, true, &[])?;
+                let ask = s.holders[n]
+                    .next_request(s.clocks[n] * TICK, true, &[])?
+                    .request;
                 if ask.number % 100 >= MOST_QUESTIONS {
                     return None;
                 }
--- a/crates/lease/tests/voters.rs
+++ b/crates/lease/tests/voters.rs
@@ -1,8 +1,8 @@
 //! Leases among voters that are cut apart, stopped, killed and started anew, over a network that loses,
 //! doubles and reorders messages, with clocks that run apart.
 
-use hallmux_lease::voter::Voter;
-use hallmux_lease::{fingerprint, Envelope, LeaseMessage, Request, Task};
+use hallmux_lease::voter::{Voter, VoterConfig};
+use hallmux_lease::{fingerprint, AddressedEnvelope, Envelope, LeaseMessage, Request, Task};
 use rand::Rng;
 
 #[path = "voters/sim.rs"]
@@ -219,7 +219,13 @@
 fn a_letter_of_another_fleet_or_in_another_voters_name_does_nothing() {
     let voters = [100, 101, 102];
     let fleet = fingerprint("tests", &voters);
-    let mut voter = Voter::new(0, fleet, 100, &voters, TERMS, None).unwrap();
+    let config = |own| VoterConfig {
+        fleet,
+        own,
+        voters: voters.to_vec(),
+        terms: TERMS,
+    };
+    let mut voter = Voter::new(0, config(100), None).unwrap();
     let ask = |fleet| Envelope {
         fleet,
         message: LeaseMessage::Request(Request {
@@ -231,14 +237,14 @@
     };
     assert!(voter.receive(1, 7, ask(fleet + 1)).messages.is_empty());
     // Log messages of a real exchange, each said to come from everybody but its sender.
-    let mut other = Voter::new(0, fleet, 101, &voters, TERMS, None).unwrap();
+    let mut other = Voter::new(0, config(101), None).unwrap();
     let mut said = Vec::new();
     for now in 1..40 {
         said.extend(other.tick(now * 50_000).messages);
         voter.tick(now * 50_000);
     }
     assert!(!said.is_empty());
-    for (to, envelope) in said {
+    for AddressedEnvelope { to, envelope } in said {
         for from in [100, 102, 7, 0, u64::MAX] {
             let before = voter.leases().clone();
             assert!(
--- a/crates/lease/tests/voters/sim.rs
+++ b/crates/lease/tests/voters/sim.rs
@@ -5,9 +5,10 @@
 use std::collections::BTreeMap;
 
 use hallmux_lease::holder::Holder;
-use hallmux_lease::voter::{Output, Voter};
+use hallmux_lease::voter::{Output, Voter, VoterConfig};
 use hallmux_lease::{
-    fingerprint, Envelope, FrontId, LeaseMessage, Micros, Reply, Task, Terms, Token,
+    fingerprint, AddressedEnvelope, AddressedRequest, Envelope, FrontId, LeaseMessage, Micros,
+    Reply, Task, Terms, Token,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -117,8 +118,13 @@
         front.holder = Holder::new(Task::Zones, TERMS, voters.clone(), self.next_number);
         (front.up, front.stopped) = (true, false);
         front.voter = voters.contains(&id(n)).then(|| {
-            Voter::new(now, fleet, id(n), &voters, TERMS, front.saved.as_deref())
-                .expect("what was saved is whole")
+            let config = VoterConfig {
+                fleet,
+                own: id(n),
+                voters,
+                terms: TERMS,
+            };
+            Voter::new(now, config, front.saved.as_deref()).expect("what was saved is whole")
         });
     }
 
@@ -152,7 +158,7 @@
         if let Some(save) = out.save {
             self.fronts[n].saved = Some(save);
         }
-        for (to, envelope) in out.messages {
+        for AddressedEnvelope { to, envelope } in out.messages {
             // What a voter answers itself stays on its machine.
             match (envelope.message, to == id(n)) {
                 (LeaseMessage::Reply(reply), true) => self.fronts[n].holder.receive(&reply),
@@ -240,12 +246,14 @@
                 .saturating_add(u8::from(self.now % (SECOND / 4) == 0));
         }
         let progress = [front.progress];
-        let Some((voter, ask)) = front.holder.next_request(now, wants, &progress) else {
+        let Some(AddressedRequest { to: voter, request }) =
+            front.holder.next_request(now, wants, &progress)
+        else {
             return;
         };
         let envelope = Envelope {
             fleet: fingerprint("tests", &self.voters),
-            message: LeaseMessage::Request(ask),
+            message: LeaseMessage::Request(request),
         };
         if voter == id(n) {
             let out = self.fronts[n]
