--- a/crates/fleet/src/exchange/ledger.rs
+++ b/crates/fleet/src/exchange/ledger.rs
@@ -89,10 +89,9 @@
     }
 
     pub(super) fn tick_ledger(&mut self, at: ClockReading, out: &mut Output) {
-        let node = &self.node;
-        self.ledger
-            .iter_mut()
-            .for_each(|ledger| ledger.tick(at, node));
+        if let Some(ledger) = &mut self.ledger {
+            ledger.tick(at, &self.node);
+        }
         self.send_ledger(at, out);
     }
 
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -13,12 +13,13 @@
 
 use crate::{ClockReading, Output};
 
-const HEALTH_EVERY: Micros = 1_000_000; // microseconds between updates of the ledger on which members are up
+/// Microseconds between updates of the ledger on which members are up.
+const HEALTH_INTERVAL: Micros = 1_000_000;
 
 /// Ledger records that must be durable before the datagrams beside them leave.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LedgerSave {
-    /// Its number, by which [`crate::Exchange::ledger_saved`] is told of the outcome.
+    /// Its number, by which the outcome is passed to [`crate::Exchange::ledger_saved`].
     pub number: u64,
     /// To be written in this order.
     pub records: Vec<hallmux_ledger::Record>,
@@ -43,7 +44,7 @@
         saved: Option<Saved>,
     ) -> Result<LedgerNode, Error> {
         Ok(LedgerNode {
-            ledger: Ledger::new(moment(at), setup, saved)?,
+            ledger: Ledger::new(clock(at), setup, saved)?,
             addresses,
             answers: Vec::new(),
             next_health: at.steady,
@@ -51,7 +52,7 @@
     }
 
     pub fn ask(&mut self, at: ClockReading, ask: Ask) {
-        self.ledger.ask(moment(at), ask);
+        self.ledger.ask(clock(at), ask);
     }
 
     /// Takes the answers since the last call.
@@ -61,7 +62,7 @@
 
     /// Takes in a message on the ledger channel.
     pub fn receive(&mut self, at: ClockReading, from: PeerId, bytes: &[u8]) {
-        self.ledger.receive(moment(at), from, bytes);
+        self.ledger.receive(clock(at), from, bytes);
     }
 
     /// The operator's list has changed.
@@ -71,14 +72,14 @@
         members: Vec<Member>,
         addresses: BTreeMap<PeerId, SocketAddr>,
     ) -> Result<(), Error> {
-        self.ledger.set_members(moment(at), members)?;
+        self.ledger.set_members(clock(at), members)?;
         self.addresses = addresses;
         Ok(())
     }
 
     /// This front is to end.
     pub fn hand_over(&mut self, at: ClockReading) {
-        self.ledger.begin_shutdown(moment(at));
+        self.ledger.begin_shutdown(clock(at));
     }
 
     pub fn hands_over(&self) -> bool {
@@ -86,31 +87,31 @@
     }
 
     pub fn is_needed(&self, at: ClockReading) -> bool {
-        self.ledger.is_needed(moment(at))
+        self.ledger.is_needed(clock(at))
     }
 
-    /// Tells the ledger which members are up and which are not, as far as gossip knows them.
-    fn health(&mut self, at: ClockReading, node: &Node) {
-        self.next_health = at.steady + HEALTH_EVERY;
-        let of = |front: &PeerId| node.members().health(*front);
-        let which = |healths: [Health; 2]| -> Vec<PeerId> {
-            let all = self.addresses.keys().copied();
-            all.filter(|front| of(front).is_some_and(|health| healths.contains(&health)))
-                .collect()
-        };
-        let (up, away) = (
-            which([Health::Alive; 2]),
-            which([Health::Dead, Health::Left]),
-        );
-        self.ledger.set_health(moment(at), &up, &away);
+    /// Passes on to the ledger which members are up and which are not, as far as gossip knows them.
+    fn update_health(&mut self, at: ClockReading, node: &Node) {
+        self.next_health = at.steady + HEALTH_INTERVAL;
+        let members = node.members();
+        let up = self.members_where(|front| members.health(front) == Some(Health::Alive));
+        let away = self.members_where(|front| {
+            matches!(members.health(front), Some(Health::Dead | Health::Left))
+        });
+        self.ledger.set_health(clock(at), &up, &away);
+    }
+
+    fn members_where(&self, condition: impl Fn(PeerId) -> bool) -> Vec<PeerId> {
+        let members = self.addresses.keys().copied();
+        members.filter(|front| condition(*front)).collect()
     }
 
     pub fn tick(&mut self, at: ClockReading, node: &Node) {
         if self.next_health <= at.steady {
-            self.health(at, node);
+            self.update_health(at, node);
         }
         if self.ledger.due() <= at.steady {
-            self.ledger.tick(moment(at));
+            self.ledger.tick(clock(at));
         }
     }
 
@@ -121,12 +122,12 @@
 
     /// A save is durable, or has failed.
     pub fn saved(&mut self, at: ClockReading, number: u64, ok: bool) {
-        self.ledger.saved(moment(at), number, ok);
+        self.ledger.saved(clock(at), number, ok);
     }
 
     /// Begins anew on another disk, holding nothing.
     pub fn start_over(&mut self, at: ClockReading, disk: u64) {
-        self.ledger.start_over(moment(at), disk);
+        self.ledger.start_over(clock(at), disk);
     }
 
     pub fn differences(&self) -> hallmux_ledger::Differences {
@@ -145,24 +146,9 @@
             done,
         } = self.ledger.take_output();
         self.answers.extend(done);
-        let mut seal = |packets: Vec<(PeerId, Vec<u8>)>| -> Vec<Datagram> {
-            let mut datagrams = Vec::new();
-            for (to, message) in packets {
-                // A message that can't be sent counts as lost on the way.
-                let address = self
-                    .addresses
-                    .get(&to)
-                    .copied()
-                    .or_else(|| node.address(to));
-                datagrams.extend(address.and_then(|to| {
-                    node.channel_datagram(at.now, at.wall_ms, to, Channel::Ledger, &message)
-                }));
-            }
-            datagrams
-        };
-        out.datagrams.extend(seal(packets));
+        out.datagrams.extend(self.datagrams(at, node, packets));
         for save in saves {
-            let datagrams = seal(save.packets);
+            let datagrams = self.datagrams(at, node, save.packets);
             out.ledger_saves.push(LedgerSave {
                 number: save.number,
                 records: save.records,
@@ -170,9 +156,33 @@
             });
         }
     }
+
+    /// Seals messages in datagrams. One that can't be sent counts as lost on the way.
+    fn datagrams(
+        &self,
+        at: ClockReading,
+        node: &mut Node,
+        packets: Vec<(PeerId, Vec<u8>)>,
+    ) -> Vec<Datagram> {
+        let mut datagrams = Vec::new();
+        for (to, message) in packets {
+            let configured = self.addresses.get(&to).copied();
+            let Some(address) = configured.or_else(|| node.address(to)) else {
+                continue;
+            };
+            datagrams.extend(node.channel_datagram(
+                at.now,
+                at.wall_ms,
+                address,
+                Channel::Ledger,
+                &message,
+            ));
+        }
+        datagrams
+    }
 }
 
-fn moment(at: ClockReading) -> hallmux_ledger::Moment {
+fn clock(at: ClockReading) -> hallmux_ledger::Moment {
     hallmux_ledger::Moment {
         steady: at.steady,
         wall_ms: at.wall_ms,
