--- a/crates/gossip/src/channels.rs
+++ b/crates/gossip/src/channels.rs
@@ -8,9 +8,9 @@
 use crate::seal::{TokenBucket, SEAL_BYTES};
 use crate::{Micros, PeerId};
 
-/// Longest payload in bytes: a datagram less the seal, the channel byte and the sender's own rumour.
+/// Longest payload in bytes: a datagram less the seal, the channel byte and the sender's own update.
 pub const MAX_PAYLOAD: usize = MAX_DATAGRAM - SEAL_BYTES - OVERHEAD;
-const OVERHEAD: usize = 64; // bytes: a rumour of an IPv6 address takes some 45, counts and channel the rest
+const OVERHEAD: usize = 64; // bytes: an update of an IPv6 address takes some 45, counts and channel the rest
 const MAX_WAITING: usize = 256; // messages held until `take`; more are dropped
 
 /// The subsystem that a payload is for. The discriminant is its byte on the wire: append only.
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -4,25 +4,25 @@
 //! view is bounded: of a larger fleet it holds a sample.
 
 mod probing;
-mod rumours;
+mod update_queue;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use crate::message::{Health, Probe, Rumour};
+use crate::message::{Health, MemberUpdate, Probe};
 use crate::{Micros, PeerId};
 
 use probing::{Probing, Relay};
-use rumours::RumourQueue;
+use update_queue::UpdateQueue;
 
 const MIN_SUSPICION: Micros = 2_000_000; // microseconds: four probe periods, for a refutation to come through
 const MAX_SUSPICION_FACTOR: f64 = 6.0; // times that, while no other front suspects the member
 const CONFIRMATIONS: usize = 3; // other fronts whose suspicion brings the timeout down to the minimum
 /// Highest local health score: timeouts are stretched ninefold; Lifeguard's value.
 const MAX_LOCAL_HEALTH: u32 = 8;
-/// Microseconds that the dead are held, so that stale rumours don't revive them.
+/// Microseconds that the dead are held, so that stale updates don't revive them.
 const RECLAIM_AFTER: Micros = 30_000_000;
-const MAX_MEMBERS: usize = 128; // of the view; some twenty would do for rumours, more make probes rarer
+const MAX_MEMBERS: usize = 128; // of the view; some twenty would do for updates, more make probes rarer
 /// Of new members, one in so many displaces one of a full view, so that views stay mixed.
 const DISPLACE_ONE_IN: usize = 8;
 const MAX_INCARNATION_LEAP: u64 = 1 << 40; // milliseconds, some thirty years: a larger step is a forgery
@@ -43,8 +43,8 @@
         matches!(self.health, Health::Alive | Health::Suspect)
     }
 
-    fn rumour(&self, member: PeerId, health: Health) -> Rumour {
-        Rumour {
+    fn update(&self, member: PeerId, health: Health) -> MemberUpdate {
+        MemberUpdate {
             member,
             address: self.address,
             incarnation: self.incarnation,
@@ -87,8 +87,8 @@
     period_ends: Micros,
     next_number: u32,
     relays: BTreeMap<u32, Relay>,
-    rumours: RumourQueue,
-    /// The member repeated last where no rumour was left to pass on.
+    updates: UpdateQueue,
+    /// The member repeated last where no update was left to pass on.
     last_repeated: PeerId,
 }
 
@@ -114,19 +114,19 @@
             period_ends: 0,
             next_number: 0,
             relays: BTreeMap::new(),
-            rumours: RumourQueue::default(),
+            updates: UpdateQueue::default(),
             last_repeated: 0,
         }
     }
 
-    /// The rumour on this front itself; it goes with every datagram.
-    pub fn own_rumour(&self) -> Rumour {
+    /// The update on this front itself; it goes with every datagram.
+    pub fn own_update(&self) -> MemberUpdate {
         let health = if self.left {
             Health::Left
         } else {
             Health::Alive
         };
-        Rumour {
+        MemberUpdate {
             member: self.own,
             address: self.address,
             incarnation: self.incarnation,
@@ -194,30 +194,30 @@
             m.health == Health::Suspect
                 && now - m.since >= self.suspicion_timeout(m.confirmed.len())
         };
-        let over: Vec<Rumour> = (self.members.iter())
+        let over: Vec<MemberUpdate> = (self.members.iter())
             .filter(|(_, m)| over(m))
-            .map(|(id, m)| m.rumour(*id, Health::Dead))
+            .map(|(id, m)| m.update(*id, Health::Dead))
             .collect();
         over.into_iter()
-            .for_each(|rumour| self.apply(now, self.own, rumour));
+            .for_each(|update| self.apply(now, self.own, update));
         let reclaimed = |m: &Member| {
             matches!(m.health, Health::Dead | Health::Left) && now - m.since >= RECLAIM_AFTER
         };
         self.members.retain(|_, m| !reclaimed(m));
     }
 
-    /// Applies a rumour that `by` has sent: a peer, or this front itself. Rumours that supersede nothing are
+    /// Applies an update that `by` has sent: a peer, or this front itself. Updates that supersede nothing are
     /// ignored, but for suspicions, which confirm one another.
-    pub fn apply(&mut self, now: Micros, by: PeerId, rumour: Rumour) {
-        if rumour.member == self.own {
-            return self.refute(rumour);
+    pub fn apply(&mut self, now: Micros, by: PeerId, update: MemberUpdate) {
+        if update.member == self.own {
+            return self.refute(update);
         }
-        let Rumour {
+        let MemberUpdate {
             member: id,
             address,
             incarnation,
             health,
-        } = rumour;
+        } = update;
         let confirmed = BTreeSet::new();
         match self.members.get_mut(&id) {
             None if health == Health::Alive => {
@@ -253,7 +253,7 @@
                     {
                         m.confirmed.insert(by);
                         if m.confirmed.len() <= CONFIRMATIONS {
-                            self.rumours.spread(rumour);
+                            self.updates.spread(update);
                         }
                     }
                     return;
@@ -265,18 +265,18 @@
                     (incarnation, health, now, confirmed);
             }
         }
-        self.rumours.spread(rumour);
+        self.updates.spread(update);
     }
 
-    /// Answers a rumour on this front itself: whatever differs from its own is refuted under a higher
+    /// Answers an update on this front itself: whatever differs from its own is refuted under a higher
     /// incarnation.
-    fn refute(&mut self, rumour: Rumour) {
-        let Rumour {
+    fn refute(&mut self, update: MemberUpdate) {
+        let MemberUpdate {
             address,
             incarnation,
             health,
             ..
-        } = rumour;
+        } = update;
         let wrong = health != Health::Alive || address != self.address;
         let leap = incarnation.saturating_sub(self.incarnation);
         if !self.left
@@ -284,8 +284,8 @@
             && (incarnation > self.incarnation || incarnation == self.incarnation && wrong)
         {
             self.incarnation = incarnation + 1;
-            let own = self.own_rumour();
-            self.rumours.spread(own);
+            let own = self.own_update();
+            self.updates.spread(own);
             if health == Health::Suspect {
                 self.local_health = (self.local_health + 1).min(MAX_LOCAL_HEALTH);
             }
@@ -307,19 +307,19 @@
         };
         self.members.remove(&displaced);
         self.probe_order.retain(|other| *other != displaced);
-        self.rumours.forget(displaced);
+        self.updates.forget(displaced);
         true
     }
 
-    /// Rumours for a datagram, at most `most` beside those on the receiver: those passed on least come first,
+    /// Updates for a datagram, at most `most` beside those on the receiver: those passed on least come first,
     /// and before all what its receiver is said to be, so that it can refute it.
-    pub fn pass_on(&mut self, to: SocketAddr, most: usize) -> Vec<Rumour> {
-        let mut picked: Vec<Rumour> = (self.members.iter())
+    pub fn pass_on(&mut self, to: SocketAddr, most: usize) -> Vec<MemberUpdate> {
+        let mut picked: Vec<MemberUpdate> = (self.members.iter())
             .filter(|(_, m)| m.address == to && m.health != Health::Alive)
-            .map(|(id, m)| m.rumour(*id, m.health))
+            .map(|(id, m)| m.update(*id, m.health))
             .collect();
-        self.rumours.pick(self.members.len(), most, &mut picked);
-        // The remaining places repeat members one after another (anti-entropy): it makes good what rumours
+        self.updates.pick(self.members.len(), most, &mut picked);
+        // The remaining places repeat members one after another (anti-entropy): it makes good what updates
         // missed.
         for _ in picked.len()..most.min(self.members.len()) {
             let after = self
@@ -331,7 +331,7 @@
             };
             self.last_repeated = *id;
             if !picked.iter().any(|r| r.member == *id) {
-                picked.push(m.rumour(*id, m.health));
+                picked.push(m.update(*id, m.health));
             }
         }
         picked
--- a/crates/gossip/src/members/probing.rs
+++ b/crates/gossip/src/members/probing.rs
@@ -142,8 +142,8 @@
             .get(&probing.member)
             .filter(|m| m.health == Health::Alive)
         {
-            let rumour = member.rumour(probing.member, Health::Suspect);
-            self.apply(now, self.own, rumour);
+            let update = member.update(probing.member, Health::Suspect);
+            self.apply(now, self.own, update);
         }
     }
 
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -27,7 +27,7 @@
 /// A membership update. A later incarnation supersedes an earlier one, and of one incarnation the graver
 /// health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rumour {
+pub struct MemberUpdate {
     /// The front that it is about.
     pub member: PeerId,
     /// Where that front listens.
@@ -149,7 +149,7 @@
 /// The failure detector's part of a message. An answer repeats the number of the probe that it answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Probe {
-    /// No probe: the message carries rumours, reports or a payload.
+    /// No probe: the message carries updates, reports or a payload.
     None,
     /// Asks the receiver for an ack.
     Ping {
@@ -183,7 +183,7 @@
     /// A probe, or the answer to one.
     pub probe: Probe,
     /// Membership updates, the sender's own among them.
-    pub rumours: Vec<Rumour>,
+    pub updates: Vec<MemberUpdate>,
     /// Reports of any fronts, under their reporters' signatures.
     pub reports: Vec<Signed>,
     /// A channel byte and a subsystem's message (see [`crate::channels`]); mostly empty.
--- a/crates/gossip/src/message_tests.rs
+++ b/crates/gossip/src/message_tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn any_bytes_are_read_or_refused() {
-    let rumour = Rumour {
+    let update = MemberUpdate {
         member: 7,
         address: ([127, 0, 0, 1], 9).into(),
         incarnation: 3,
@@ -18,9 +18,9 @@
         probe: Probe::PingRequest {
             number: 1,
             member: 2,
-            address: rumour.address,
+            address: update.address,
         },
-        rumours: vec![rumour],
+        updates: vec![update],
         reports: vec![signed],
         payload: vec![5; 3],
     };
@@ -37,6 +37,6 @@
             let _ = read::<Message>(&spoilt);
         }
     }
-    // A count of rumours that the bytes do not bear out.
+    // A count of updates that the bytes do not bear out.
     assert_eq!(read::<Message>(&[0, 0xff, 0xff, 0xff, 0xff, 0x0f]), None);
 }
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -23,8 +23,8 @@
 const ANSWER_RATE: f64 = 1_000.0; // bytes a second of answers, so that a flood of probes starves no reports
 const RENEW_AFTER: Micros = 1_000_000; // microseconds after which a front repeats a report that still holds
 const PROBE_RESERVE: f64 = 800.0; // bytes that reports leave for probes: a peer that is not probed seems dead
-const WELCOME_RUMOURS: usize = 24; // members that a newcomer learns of at once: some 600 bytes
-const MAX_RUMOURS: usize = 2; // in a datagram beside its sender's own: some 25 bytes each
+const WELCOME_UPDATES: usize = 24; // members that a newcomer learns of at once: some 600 bytes
+const MAX_UPDATES: usize = 2; // in a datagram beside its sender's own: some 25 bytes each
 const REPORT_DATAGRAM: usize = 420; // bytes of a datagram that carries reports unasked
 /// Times the logarithm of the peers that a report is passed on by each front.
 const RETRANSMIT_FACTOR: f64 = 2.0;
@@ -195,11 +195,11 @@
         channel: Channel,
         payload: &[u8],
     ) -> Option<Datagram> {
-        let rumours = vec![self.members.own_rumour()];
+        let updates = vec![self.members.own_update()];
         let payload = [&[channel as u8], payload].concat();
         let message = Message {
             probe: Probe::None,
-            rumours,
+            updates,
             reports: Vec::new(),
             payload,
         };
@@ -294,19 +294,19 @@
         outgoing: Outgoing,
         purpose: Purpose,
     ) -> Option<Datagram> {
-        let mut rumours = vec![self.members.own_rumour()];
+        let mut updates = vec![self.members.own_update()];
         let answers = purpose == Purpose::Answer;
         let most = match purpose {
-            // Guards against a flood of probes: answers use up no rumours that others are to learn.
+            // Guards against a flood of probes: answers use up no updates that others are to learn.
             Purpose::Answer => 0,
-            Purpose::Gossip => MAX_RUMOURS,
-            Purpose::Welcome => WELCOME_RUMOURS,
+            Purpose::Gossip => MAX_UPDATES,
+            Purpose::Welcome => WELCOME_UPDATES,
         };
-        rumours.extend(self.members.pass_on(outgoing.to, most));
+        updates.extend(self.members.pass_on(outgoing.to, most));
         let most_sent = (RETRANSMIT_FACTOR * ((self.peers.len() + 2) as f64).log2()).ceil() as u32;
         let mut message = Message {
             probe: outgoing.probe,
-            rumours,
+            updates,
             reports: Vec::new(),
             payload: Vec::new(),
         };
@@ -388,19 +388,19 @@
         }
         // Answers go where the sender says that it listens, which need not be where it sends from.
         let own = message
-            .rumours
+            .updates
             .iter()
-            .find(|rumour| rumour.member == sender);
-        let from_address = own.map_or(from, |rumour| rumour.address);
+            .find(|update| update.member == sender);
+        let from_address = own.map_or(from, |update| update.address);
         let newcomer = self
             .members
             .health(sender)
             .is_none()
             .then_some(from_address);
-        for rumour in message.rumours {
-            // Only fronts with a known key count: they could refute the rumour.
-            if self.peers.knows(rumour.member) {
-                self.members.apply(now, sender, rumour);
+        for update in message.updates {
+            // Only fronts with a known key count: they could refute the update.
+            if self.peers.knows(update.member) {
+                self.members.apply(now, sender, update);
             }
         }
         let mut sends = Vec::new();
--- a/crates/gossip/tests/fleet.rs
+++ b/crates/gossip/tests/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use hallmux_gossip::members::FleetSize;
-use hallmux_gossip::message::{self, Health, Probe, Rumour, Sighting};
+use hallmux_gossip::message::{self, Health, MemberUpdate, Probe, Sighting};
 use hallmux_gossip::seal::{Identity, Refused};
 use hallmux_gossip::{Micros, PeerId};
 
@@ -127,7 +127,7 @@
     let signed = liar.sign(&report);
     let message = message::Message {
         probe: Probe::None,
-        rumours: Vec::new(),
+        updates: Vec::new(),
         reports: vec![signed],
         payload: Vec::new(),
     };
@@ -244,7 +244,7 @@
     for n in 0..4_000 {
         let message = message::Message {
             probe: Probe::Ping { number: n },
-            rumours: Vec::new(),
+            updates: Vec::new(),
             reports: Vec::new(),
             payload: Vec::new(),
         };
@@ -276,7 +276,7 @@
     let wall = fleet.wall(0);
     let victim = fleet.peer_id(2);
     for incarnation in [WALL + 1, WALL + 1_000_000, u64::MAX] {
-        let rumour = Rumour {
+        let update = MemberUpdate {
             member: victim,
             address: at(2),
             incarnation,
@@ -284,7 +284,7 @@
         };
         let message = message::Message {
             probe: Probe::None,
-            rumours: vec![rumour],
+            updates: vec![update],
             reports: Vec::new(),
             payload: Vec::new(),
         };
--- a/crates/gossip/tests/load_reports.rs
+++ b/crates/gossip/tests/load_reports.rs
@@ -37,7 +37,7 @@
     .concat();
     let message = Message {
         probe: Probe::None,
-        rumours: Vec::new(),
+        updates: Vec::new(),
         reports: Vec::new(),
         payload,
     };
