--- a/crates/ledger/src/anti_entropy.rs
+++ b/crates/ledger/src/anti_entropy.rs
@@ -4,47 +4,20 @@
 
 use std::collections::BTreeMap;
 
+use crate::comparison::{hashes, majority};
+use crate::encoding::{decode, encode};
 use crate::formats::TRANSFER_FORMAT;
 use crate::ledger::Ledger;
-use crate::messages::{self, LedgerMessage};
-use crate::placement::hash;
+use crate::long_message::Pace;
+use crate::members::ReplicaId;
+use crate::messages::LedgerMessage;
 use crate::shard_view::ShardView;
-use crate::state::{ReplicaId, State};
-use crate::transport::Pace;
+use crate::state::State;
 use crate::{FrontId, Micros, Moment};
 
 const INTERVAL: Micros = 60_000_000; // microseconds between comparisons of a shard: hashing 512 KB takes about one in 1,000
 const RECHECK: Micros = 2_000_000; // microseconds until a shard is compared again whose replicas differed
 const ANSWER_TIMEOUT: Micros = 1_000_000; // microseconds that answers are waited for
-pub(crate) const LEAVES: usize = 16; // of the tree; one more for what is no entry
-
-/// A comparison under way, and when the next is due.
-#[derive(Default)]
-pub(crate) struct Comparison {
-    next: Micros,
-    index: u64,
-    hashes: BTreeMap<FrontId, Vec<u64>>,
-    /// On a member: the leader that waits for hashes, and the entry that they are to be as of.
-    pub pending_answer: Option<(FrontId, u64)>,
-}
-
-/// The hash that most copies have, where more than half of all have it.
-fn majority(hashes: &BTreeMap<FrontId, Vec<u64>>, copies: usize) -> Option<Vec<u64>> {
-    let count = |of: &Vec<u64>| hashes.values().filter(|hashes| *hashes == of).count();
-    hashes.values().find(|of| 2 * count(of) > copies).cloned()
-}
-
-/// The hashes of a state by leaves.
-pub(crate) fn hashes(state: &State) -> Vec<u64> {
-    let mut hashes = vec![0_u64; LEAVES];
-    let (entries, rest) = state.parts();
-    for (key, bytes) in entries {
-        let leaf = hash(key.name.bytes()) % LEAVES as u64;
-        hashes[leaf as usize] ^= hash(bytes.into_iter());
-    }
-    hashes.push(hash(rest.into_iter()));
-    hashes
-}
 
 impl Ledger {
     /// Begins a comparison of a shard that this front leads where one is due, and ends the one before.
@@ -131,7 +104,7 @@
                 .for_each(|candidate| self.transport.send(at, candidate, &message, Pace::Fast));
             return;
         }
-        let (index, state) = (replica.applied(), messages::encode(&replica.state));
+        let (index, state) = (replica.applied(), encode(&replica.state));
         for to in wrong {
             if self.transport.is_busy(to, Pace::Repair) {
                 continue;
@@ -210,7 +183,7 @@
         index: u64,
         state: &[u8],
     ) {
-        let state = messages::decode::<State>(state);
+        let state = decode::<State>(state);
         let Some(view) = self.view_for(from, shard, config) else {
             return;
         };
--- a/crates/ledger/src/asks.rs
+++ b/crates/ledger/src/asks.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::state::Command;
+use crate::batch::Command;
 use crate::{FrontId, Micros, Moment, Outcome, REMEMBERED_MS};
 
 const RETRY: Micros = 100_000; // microseconds until an ask is asked again elsewhere: a round trip and two syncs
--- /dev/null
+++ b/crates/ledger/src/away.rs
@@ -0,0 +1,68 @@
+//! Which fronts are away, and how long each is waited for.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::{FrontId, Member, Micros, Setup};
+
+/// The fronts that are away, since when, and which of them are no longer waited for.
+#[derive(Default)]
+pub(crate) struct Away {
+    pub since: BTreeMap<FrontId, Micros>,
+    /// When a zone that was away as a whole began to come back.
+    returned_at: BTreeMap<String, Micros>,
+    pub gone: BTreeSet<FrontId>,
+    /// Members have changed since they were last placed.
+    pub stale: bool,
+}
+
+impl Away {
+    pub fn is_away(&self, front: FrontId) -> bool {
+        self.since.contains_key(&front)
+    }
+
+    fn is_zone_away(&self, members: &[Member], zone: &str) -> bool {
+        let mut there = members.iter().filter(|member| member.zone == zone);
+        let all = there.clone().all(|member| self.is_away(member.front));
+        all && there.nth(1).is_some() && members.iter().any(|member| member.zone != zone)
+    }
+
+    /// A front is up (again).
+    pub fn returned(&mut self, now: Micros, members: &[Member], front: FrontId) {
+        if !self.is_away(front) {
+            return;
+        }
+        let zone = members
+            .iter()
+            .find(|member| member.front == front)
+            .map(|member| member.zone.clone());
+        if let Some(zone) = zone.filter(|zone| self.is_zone_away(members, zone)) {
+            self.returned_at.insert(zone, now);
+        }
+        self.since.remove(&front);
+    }
+
+    /// Until when a front that was last heard then is waited for.
+    pub fn wait_until(&self, setup: &Setup, front: FrontId, since: Micros) -> Micros {
+        let zone = setup
+            .members
+            .iter()
+            .find(|member| member.front == front)
+            .map(|m| m.zone.as_str());
+        match zone {
+            Some(zone) if self.is_zone_away(&setup.members, zone) => {
+                since + setup.zone_after.max(setup.repair_after)
+            }
+            Some(zone) => {
+                self.returned_at
+                    .get(zone)
+                    .map_or(since, |returned_at| since.max(*returned_at))
+                    + setup.repair_after
+            }
+            None => since + setup.repair_after,
+        }
+    }
+}
+
+#[cfg(test)]
+#[path = "away_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/ledger/src/batch.rs
@@ -0,0 +1,39 @@
+//! What a shard's log consists of: commands, and the batches of them that a round decides.
+
+use serde::{Deserialize, Serialize};
+
+use crate::members::ReplicaId;
+use crate::tail::Tail;
+use crate::{Act, Key, Owner};
+
+/// An ask as a command of the log.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) struct Command {
+    pub owner: Owner,
+    pub number: u64,
+    /// When it was first asked, on the asker's Unix clock.
+    pub asked_ms: u64,
+    pub key: Key,
+    pub act: Act,
+}
+
+/// One entry of the log: all that was asked while the entry before was being decided.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) struct Batch {
+    pub wall_ms: u64,
+    pub commands: Vec<Command>,
+    /// The members of the next configuration, if the batch changes them: nothing that follows in this log counts. Behind
+    /// the batch's format, if it names one.
+    pub tail: Tail,
+}
+
+impl Batch {
+    /// One that changes the members.
+    pub fn change(format: u8, wall_ms: u64, next: Vec<ReplicaId>) -> Batch {
+        Batch {
+            wall_ms,
+            commands: Vec::new(),
+            tail: Tail::of(format, Some(next)),
+        }
+    }
+}
--- a/crates/ledger/src/bootstrap.rs
+++ b/crates/ledger/src/bootstrap.rs
@@ -4,8 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::messages::ReplicaIncarnation;
-use crate::state::ReplicaId;
+use crate::members::{ReplicaId, ReplicaIncarnation};
 use crate::FrontId;
 
 /// What another front has said about starting the shard.
--- /dev/null
+++ b/crates/ledger/src/comparison.rs
@@ -0,0 +1,40 @@
+//! The comparison of a shard's replicas by hashes of their states.
+
+use std::collections::BTreeMap;
+
+use crate::placement::hash;
+use crate::state::State;
+use crate::{FrontId, Micros};
+
+pub(crate) const LEAVES: usize = 16; // of the tree; one more for what is no entry
+
+/// A comparison under way, and when the next is due.
+#[derive(Default)]
+pub(crate) struct Comparison {
+    /// When the next comparison is due; 0: none was planned yet.
+    pub next: Micros,
+    /// The entry that the hashes are as of.
+    pub index: u64,
+    /// By the members that have answered; empty: none is under way.
+    pub hashes: BTreeMap<FrontId, Vec<u64>>,
+    /// On a member: the leader that waits for hashes, and the entry that they are to be as of.
+    pub pending_answer: Option<(FrontId, u64)>,
+}
+
+/// The hash that most copies have, where more than half of all have it.
+pub(crate) fn majority(hashes: &BTreeMap<FrontId, Vec<u64>>, copies: usize) -> Option<Vec<u64>> {
+    let count = |of: &Vec<u64>| hashes.values().filter(|hashes| *hashes == of).count();
+    hashes.values().find(|of| 2 * count(of) > copies).cloned()
+}
+
+/// The hashes of a state by leaves.
+pub(crate) fn hashes(state: &State) -> Vec<u64> {
+    let mut hashes = vec![0_u64; LEAVES];
+    let (entries, rest) = state.parts();
+    for (key, bytes) in entries {
+        let leaf = hash(key.name.bytes()) % LEAVES as u64;
+        hashes[leaf as usize] ^= hash(bytes.into_iter());
+    }
+    hashes.push(hash(rest.into_iter()));
+    hashes
+}
--- a/crates/ledger/src/formats_tests.rs
+++ b/crates/ledger/src/formats_tests.rs
@@ -1,7 +1,11 @@
 use super::*;
-use crate::messages::{self, Base, Packet, Payload, ReplicaIncarnation};
+use crate::batch::{Batch, Command};
+use crate::encoding::{decode, encode};
+use crate::members::{ReplicaId, ReplicaIncarnation};
+use crate::messages::{Base, LedgerMessage, Packet, Payload};
+use crate::peer_formats::{PeerFormats, INTRODUCTION_INTERVAL};
 use crate::records;
-use crate::state::{Batch, Command, Limits, ReplicaId, State};
+use crate::state::{Limits, State};
 use crate::tail::Tail;
 use crate::{Act, Entry, Key, Kind, Outcome, Owner};
 
@@ -178,17 +182,11 @@
         ..batch()
     });
     let record = |record: crate::Record| record.bytes.unwrap_or_default();
-    let mut all: Vec<(&'static str, Vec<u8>)> = of
-        .iter()
-        .map(|message| ("word", messages::encode(message)))
-        .collect();
-    all.extend(
-        packets
-            .iter()
-            .map(|packet| ("letter", messages::encode(packet))),
-    );
-    all.push(("batch", messages::encode(&batch())));
-    all.push(("state", messages::encode(&state)));
+    let mut all: Vec<(&'static str, Vec<u8>)> =
+        of.iter().map(|message| ("word", encode(message))).collect();
+    all.extend(packets.iter().map(|packet| ("letter", encode(packet))));
+    all.push(("batch", encode(&batch())));
+    all.push(("state", encode(&state)));
     all.push(("mark", record(records::header(1, 7, 8))));
     all.push(("entry", record(records::entry(3, 4, &batch()))));
     all
@@ -208,12 +206,10 @@
     // And is read again as what it was.
     for (what, bytes) in first_format() {
         let again = match what {
-            "word" => {
-                messages::decode::<LedgerMessage>(&bytes).map(|message| messages::encode(&message))
-            }
-            "letter" => messages::decode::<Packet>(&bytes).map(|packet| messages::encode(&packet)),
-            "batch" => messages::decode::<Batch>(&bytes).map(|batch| messages::encode(&batch)),
-            "state" => messages::decode::<State>(&bytes).map(|state| messages::encode(&state)),
+            "word" => decode::<LedgerMessage>(&bytes).map(|message| encode(&message)),
+            "letter" => decode::<Packet>(&bytes).map(|packet| encode(&packet)),
+            "batch" => decode::<Batch>(&bytes).map(|batch| encode(&batch)),
+            "state" => decode::<State>(&bytes).map(|state| encode(&state)),
             _ => continue,
         };
         assert_eq!(again, Some(bytes), "{what}");
@@ -229,12 +225,22 @@
     formats.heard(7, 5, 1);
     assert_eq!(formats.of(2, 7), 1);
     formats.heard(7, 5, 2);
-    assert!(formats.of(2, 7) == 2 && formats.introduction(2 * AGAIN, 2, 7).is_none());
+    assert!(
+        formats.of(2, 7) == 2
+            && formats
+                .introduction(2 * INTRODUCTION_INTERVAL, 2, 7)
+                .is_none()
+    );
     // A packet of it that was under way changes nothing; a life of an earlier build does.
     formats.heard(7, 5, 1);
     assert_eq!(formats.of(2, 7), 2);
     formats.heard(7, 6, 1);
-    assert!(formats.of(2, 7) == 1 && formats.introduction(2 * AGAIN, 2, 7).is_some());
+    assert!(
+        formats.of(2, 7) == 1
+            && formats
+                .introduction(2 * INTRODUCTION_INTERVAL, 2, 7)
+                .is_some()
+    );
     formats.heard(7, 5, 2);
     assert_eq!(formats.of(2, 7), 1);
 }
@@ -252,7 +258,7 @@
     });
     state.apply(&explicit(3, None));
     let record = |record: crate::Record| record.bytes.unwrap_or_default();
-    let snapshot = crate::state::LogSnapshot::of(state.clone());
+    let snapshot = crate::snapshot::LogSnapshot::of(state.clone());
     let messages = [
         LedgerMessage::TransferLeadership {
             shard: 1,
@@ -274,13 +280,10 @@
     ];
     let mut all: Vec<_> = messages
         .iter()
-        .map(|message| ("word", messages::encode(message)))
+        .map(|message| ("word", encode(message)))
         .collect();
-    all.push((
-        "batch",
-        messages::encode(&explicit(3, Some(vec![member()]))),
-    ));
-    all.push(("state", messages::encode(&state)));
+    all.push(("batch", encode(&explicit(3, Some(vec![member()])))));
+    all.push(("state", encode(&state)));
     all.push(("mark", record(records::header(3, 7, 8))));
     all.push(("entry", record(records::entry(3, 4, &explicit(3, None)))));
     all.push(("snapshot", record(records::snapshot(3, &snapshot))));
@@ -302,26 +305,25 @@
         let later = match what {
             "batch" => {
                 assert_eq!(
-                    messages::decode::<Batch>(&bytes).map(|batch| messages::encode(&batch)),
+                    decode::<Batch>(&bytes).map(|batch| encode(&batch)),
                     Some(bytes.clone())
                 );
                 // The format stands before the one member that comes next.
                 let at = bytes.len() - 6;
                 bytes[at] = FORMAT + 1;
-                messages::decode::<Batch>(&bytes).is_none()
+                decode::<Batch>(&bytes).is_none()
             }
             "state" => {
                 assert_eq!(
-                    messages::decode::<State>(&bytes).map(|state| messages::encode(&state)),
+                    decode::<State>(&bytes).map(|state| encode(&state)),
                     Some(bytes.clone())
                 );
                 let at = bytes.len() - 2;
                 bytes[at] = FORMAT + 1;
-                messages::decode::<State>(&bytes).is_none()
+                decode::<State>(&bytes).is_none()
             }
             "word" => {
-                messages::decode::<LedgerMessage>(&bytes).map(|message| messages::encode(&message))
-                    == Some(bytes)
+                decode::<LedgerMessage>(&bytes).map(|message| encode(&message)) == Some(bytes)
             }
             _ => continue,
         };
--- a/crates/ledger/src/incoming.rs
+++ b/crates/ledger/src/incoming.rs
@@ -1,14 +1,16 @@
 //! Takes in packets of other fronts, and passes each message on to the part that it is for.
 
 use crate::bootstrap::Bootstrap;
+use crate::encoding::decode;
 use crate::ledger::Ledger;
 use crate::log::Received;
-use crate::messages::{self, LedgerMessage, ReplicaIncarnation};
-use crate::repair::Peer;
+use crate::long_message::Pace;
+use crate::members::{ReplicaId, ReplicaIncarnation};
+use crate::messages::LedgerMessage;
+use crate::peer::Peer;
 use crate::replica::Replica;
-use crate::shard_view::{Learned, StateAt};
-use crate::state::{ReplicaId, State};
-use crate::transport::Pace;
+use crate::shard_view::Learned;
+use crate::state::{State, StateAt};
 use crate::{FrontId, Moment, Owner};
 
 impl Ledger {
@@ -111,7 +113,7 @@
                 let Some(view) = self.shards.get_mut(usize::from(shard)) else {
                     return;
                 };
-                let Some(state) = messages::decode::<State>(&state) else {
+                let Some(state) = decode::<State>(&state) else {
                     return self.refuse("form");
                 };
                 if view.replica.is_none() && self.own.disk != 0 {
@@ -189,7 +191,7 @@
         sender: ReplicaIncarnation,
         shard: u16,
         config: u32,
-        (number, message): (u64, omnipaxos::messages::Message<crate::state::Batch>),
+        (number, message): (u64, omnipaxos::messages::Message<crate::batch::Batch>),
     ) {
         let ReplicaIncarnation {
             id: sender,
--- a/crates/ledger/src/key_queues.rs
+++ b/crates/ledger/src/key_queues.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::state::Command;
+use crate::batch::Command;
 use crate::{Act, Key, Kind, Micros, Outcome, Owner};
 
 const WAITER_TIMEOUT: Micros = 1_000_000; // microseconds without an ask until a front leaves a queue: three tries
--- a/crates/ledger/src/leader_transfer.rs
+++ b/crates/ledger/src/leader_transfer.rs
@@ -5,13 +5,13 @@
 use std::collections::BTreeSet;
 
 use crate::formats::{FIRST_EXPLICIT_FORMAT, TRANSFER_FORMAT};
-use crate::ledger::Ledger;
+use crate::ledger::{Ledger, Shutdown};
+use crate::long_message::Pace;
+use crate::members::ReplicaId;
 use crate::messages::LedgerMessage;
-use crate::repair::Peer;
+use crate::peer::Peer;
 use crate::replica::Replica;
 use crate::shard_view::ShardView;
-use crate::state::ReplicaId;
-use crate::transport::Pace;
 use crate::{FrontId, Micros, Moment};
 
 const RETRY: Micros = 150_000; // microseconds until another candidate is asked: some round trips and a sync
@@ -26,12 +26,6 @@
     }
 }
 
-/// What a front that is shutting down has done to transfer its shards.
-pub(crate) struct Shutdown {
-    retry_at: Micros,
-    attempts: usize,
-}
-
 impl Ledger {
     /// This front is shutting down: from now on it leads nothing that another front can lead.
     pub fn begin_shutdown(&mut self, at: Moment) {
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -3,22 +3,28 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::asks::PendingAsks;
+use crate::away::Away;
 use crate::bootstrap::Bootstrap;
 use crate::formats::OLDEST_FORMAT;
-use crate::leader_transfer::Shutdown;
+use crate::long_message::Pace;
+use crate::members::{Configuration, ReplicaId};
 use crate::messages::{fingerprint, LedgerMessage};
+use crate::peer::Peer;
 use crate::placement::ranked;
-use crate::rebalance::Away;
 use crate::records::{self, Meta};
-use crate::repair::Peer;
 use crate::replica::Replica;
-use crate::shard_view::{Configuration, ShardView};
-use crate::state::ReplicaId;
-use crate::transport::{Pace, Transport};
+use crate::shard_view::ShardView;
+use crate::transport::Transport;
 use crate::{Counters, Done, Error, FrontId, Micros, Moment, Output, Record, Saved, Setup};
 
 pub(crate) const TICK: Micros = 50_000; // microseconds between turns of the logs' clocks
 
+/// What a front that is shutting down has done to transfer its shards.
+pub(crate) struct Shutdown {
+    pub retry_at: Micros,
+    pub attempts: usize,
+}
+
 /// A front's part in the ledger: its own asks, and the replicas that it holds.
 pub struct Ledger {
     pub(crate) setup: Setup,
@@ -49,33 +55,10 @@
     pub(crate) format: u8,
 }
 
-pub(crate) fn check(setup: &Setup) -> Result<(), Error> {
-    let mut seen = BTreeSet::new();
-    if setup.members.is_empty() {
-        return Err(Error::NoMembers);
-    }
-    if let Some(twice) = setup
-        .members
-        .iter()
-        .find(|member| !seen.insert(member.front))
-    {
-        return Err(Error::Twice(twice.front));
-    }
-    if setup.copies == 0 || setup.copies > setup.members.len() {
-        return Err(Error::Copies {
-            copies: setup.copies,
-            members: setup.members.len(),
-        });
-    }
-    match setup.shards {
-        1..=1_024 => Ok(()),
-        shards => Err(Error::Shards(shards)),
-    }
-}
 impl Ledger {
     /// `saved` is what an earlier life on the same disk gave out to be kept; None only where there was none.
     pub fn new(at: Moment, setup: Setup, saved: Option<Saved>) -> Result<Ledger, Error> {
-        check(&setup)?;
+        setup.check()?;
         let fleet = fingerprint(&setup.fleet, setup.shards);
         let own = ReplicaId {
             front: setup.own,
--- a/crates/ledger/src/log.rs
+++ b/crates/ledger/src/log.rs
@@ -6,7 +6,10 @@
 use omnipaxos::util::LogEntry;
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
 
-use crate::state::{Batch, LogSnapshot, ReplicaId, State};
+use crate::batch::Batch;
+use crate::members::ReplicaId;
+use crate::snapshot::LogSnapshot;
+use crate::state::State;
 use crate::FrontId;
 
 const ELECTION_TICKS: u64 = 6; // 300 ms without a sign of a leader: some round trips and a stall of a busy machine
--- a/crates/ledger/src/maintenance.rs
+++ b/crates/ledger/src/maintenance.rs
@@ -1,14 +1,16 @@
 //! What is due at intervals: shards that have yet to start are bootstrapped, and missing replicas are replaced.
 
 use crate::bootstrap::{Bootstrap, Step};
+use crate::encoding::encode;
 use crate::ledger::Ledger;
-use crate::messages::{self, LedgerMessage, ReplicaIncarnation};
+use crate::long_message::Pace;
+use crate::members::{Configuration, ReplicaId, ReplicaIncarnation};
+use crate::messages::LedgerMessage;
+use crate::peer::Peer;
 use crate::records;
-use crate::repair::{missing_member, spare_front, Peer, Repair};
+use crate::repair::{missing_member, spare_front, Repair};
 use crate::replica::{Replica, FIRST};
-use crate::shard_view::{Configuration, StateAt};
-use crate::state::{Limits, ReplicaId, State};
-use crate::transport::Pace;
+use crate::state::{Limits, State, StateAt};
 use crate::{FrontId, Micros, Moment};
 
 /// Microseconds between two runs of `maintain`, and between announcements of a front to another.
@@ -231,7 +233,7 @@
         let Some(replica) = &view.replica else { return };
         let config = replica.config;
         let (index, bytes) = (replica.applied(), replica.state.bytes());
-        let state = messages::encode(&replica.state);
+        let state = encode(&replica.state);
         let mut repair = Repair::new(at.steady, out, into, config, bytes, self.setup.repair_bytes);
         (repair.moves, repair.ends) = (moves.is_some(), moves.unwrap_or(repair.ends));
         view.repair = Some(repair);
--- a/crates/ledger/src/membership.rs
+++ b/crates/ledger/src/membership.rs
@@ -1,15 +1,17 @@
 //! Membership of shards: what fronts tell each other of it, and how a shard goes on under the next configuration.
 
 use crate::bootstrap::Bootstrap;
+use crate::encoding::{decode, encode};
 use crate::formats::OLDEST_FORMAT;
 use crate::ledger::Ledger;
+use crate::long_message::Pace;
 use crate::maintenance::MAINTENANCE_INTERVAL;
-use crate::messages::{self, Base, LedgerMessage, ReplicaIncarnation};
+use crate::members::{Configuration, ReplicaId, ReplicaIncarnation};
+use crate::messages::{Base, LedgerMessage};
 use crate::records::{self, Meta};
 use crate::replica::{Replica, FIRST};
-use crate::shard_view::{Configuration, Learned, StateAt};
-use crate::state::ReplicaId;
-use crate::transport::Pace;
+use crate::shard_view::Learned;
+use crate::state::StateAt;
 use crate::{FrontId, Micros, Moment};
 
 const MEMBERSHIP_INTERVAL: Micros = 500_000; // microseconds until a front that is behind is sent the members again
@@ -90,7 +92,7 @@
                 }
                 let base = Base::Snapshot {
                     index: replica.applied(),
-                    state: messages::encode(&replica.state),
+                    state: encode(&replica.state),
                 };
                 LedgerMessage::Join {
                     shard,
@@ -313,7 +315,7 @@
     match base {
         Base::Snapshot { index, state } => Some(StateAt {
             index: *index,
-            state: messages::decode(state)?,
+            state: decode(state)?,
         }),
         Base::Suffix { index, batches } => {
             let Learned {
--- a/crates/ledger/src/messages.rs
+++ b/crates/ledger/src/messages.rs
@@ -3,8 +3,9 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::batch::{Batch, Command};
+use crate::members::{ReplicaId, ReplicaIncarnation};
 use crate::placement::hash;
-use crate::state::{Batch, Command, ReplicaId};
 use crate::{DiskId, FrontId, Outcome};
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -88,13 +89,6 @@
     KeyFree { incarnation: u64, number: u64 },
 }
 
-/// A replica's identity, and the incarnation of its front that speaks for it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct ReplicaIncarnation {
-    pub id: ReplicaId,
-    pub incarnation: u64,
-}
-
 /// What a new member of a shard starts from.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Base {
@@ -136,18 +130,6 @@
     },
 }
 
-pub(crate) fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    postcard::to_stdvec(value).unwrap_or_default()
-}
-
-/// Reads a value that fills the bytes exactly.
-pub(crate) fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Option<T> {
-    match postcard::take_from_bytes(bytes) {
-        Ok((value, [])) => Some(value),
-        _ => None,
-    }
-}
-
 /// The fleet's fingerprint: its name, and into how many shards keys are parted.
 pub(crate) fn fingerprint(name: &str, shards: u16) -> u64 {
     hash(name.bytes().chain([0]).chain(shards.to_be_bytes()))
--- a/crates/ledger/src/pacer.rs
+++ b/crates/ledger/src/pacer.rs
@@ -4,7 +4,7 @@
 //! can't cover. This one starts empty, holds a tenth of a second's worth, and says when the next packet may leave, so
 //! that long messages go out evenly.
 
-use crate::transport::PACKET_BYTES;
+use crate::packet_limits::PACKET_BYTES;
 use crate::Micros;
 
 const SAVED_SHARE: f64 = 10.0; // what is saved up at most: so many parts of a second's worth
--- /dev/null
+++ b/crates/ledger/src/peer_formats.rs
@@ -0,0 +1,88 @@
+//! The formats that other fronts read, how they are told this front's, and which format each message needs.
+
+use std::collections::BTreeMap;
+
+use crate::formats::{FIRST_EXPLICIT_FORMAT, KEY_QUEUE_FORMAT, OLDEST_FORMAT, TRANSFER_FORMAT};
+use crate::messages::LedgerMessage;
+use crate::{FrontId, Micros};
+
+/// No shard: a front that offers to hold it tells its format by that. The first build ignores it.
+const NO_SHARD: u16 = u16::MAX;
+/// Microseconds until it says so again to a front that has not shown its own.
+pub(crate) const INTRODUCTION_INTERVAL: Micros = 10_000_000;
+
+/// The formats that other fronts read.
+#[derive(Default)]
+pub(crate) struct PeerFormats {
+    /// With the incarnation that showed it: a front that comes back may be of an earlier build.
+    known: BTreeMap<FrontId, (u64, u8)>,
+    told: BTreeMap<FrontId, Micros>,
+}
+
+impl PeerFormats {
+    /// The latest format that both read, as far as is known.
+    pub fn of(&self, own: u8, front: FrontId) -> u8 {
+        self.known
+            .get(&front)
+            .map_or(OLDEST_FORMAT, |(_, format)| own.min(*format))
+    }
+
+    /// The latest format that all of them read, in which entries and records may be saved.
+    pub fn of_all(&self, own: u8, fronts: impl Iterator<Item = FrontId>) -> u8 {
+        fronts.map(|front| self.of(own, front)).min().unwrap_or(own)
+    }
+
+    /// A packet has come in a format, of an incarnation of its front.
+    pub fn heard(&mut self, front: FrontId, incarnation: u64, format: u8) {
+        let known = self.known.entry(front).or_insert((incarnation, format));
+        if incarnation > known.0 {
+            self.told.remove(&front);
+        }
+        if incarnation > known.0 || incarnation == known.0 && format > known.1 {
+            *known = (incarnation, format);
+        }
+    }
+
+    /// What is to be sent first to a front that may not know this one's format.
+    pub fn introduction(&mut self, now: Micros, own: u8, front: FrontId) -> Option<LedgerMessage> {
+        let told = self.told.get(&front).copied().unwrap_or(Micros::MIN);
+        if own == OLDEST_FORMAT
+            || self.of(own, front) == own
+            || now.saturating_sub(told) < INTRODUCTION_INTERVAL
+        {
+            return None;
+        }
+        self.told.insert(front, now);
+        Some(LedgerMessage::Available {
+            shard: NO_SHARD,
+            config: own.into(),
+            agreed: Vec::new(),
+        })
+    }
+}
+
+impl LedgerMessage {
+    /// The earliest format that has it.
+    pub fn format(&self) -> u8 {
+        match self {
+            LedgerMessage::ShuttingDown => FIRST_EXPLICIT_FORMAT,
+            LedgerMessage::KeyFree { .. } => KEY_QUEUE_FORMAT,
+            LedgerMessage::TransferLeadership { .. }
+            | LedgerMessage::Hashes { .. }
+            | LedgerMessage::RepairReplica { .. } => TRANSFER_FORMAT,
+            _ => OLDEST_FORMAT,
+        }
+    }
+
+    /// The format that its sender says it reads.
+    pub fn introduced_format(&self) -> Option<u8> {
+        match self {
+            LedgerMessage::Available {
+                shard: NO_SHARD,
+                config,
+                ..
+            } => u8::try_from(*config).ok(),
+            _ => None,
+        }
+    }
+}
--- a/crates/ledger/src/reassembly.rs
+++ b/crates/ledger/src/reassembly.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use crate::messages::Payload;
-use crate::transport::{ABANDON_AFTER, FRAGMENT_BYTES, MAX_FRAGMENTS};
+use crate::packet_limits::{ABANDON_AFTER, FRAGMENT_BYTES, MAX_FRAGMENTS};
 use crate::{FrontId, Micros};
 
 const MAX_REASSEMBLIES: usize = 64; // messages of one front that are being put together
--- a/crates/ledger/src/rebalance.rs
+++ b/crates/ledger/src/rebalance.rs
@@ -3,76 +3,17 @@
 //! share of them is under way at once, and at the rate for rebuilding replicas. A zone that is away as a whole is waited
 //! for longer, as it may come back at once.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
 use crate::balance::placed;
 use crate::leader_placement::preferred_leaders;
-use crate::ledger::{check, Ledger};
+use crate::ledger::Ledger;
+use crate::members::ReplicaId;
 use crate::placement::ranked;
 use crate::repair::{Repair, HEARD_WITHIN, REPLACEMENT_TIMEOUT};
 use crate::shard_view::ShardView;
-use crate::state::ReplicaId;
 use crate::{Error, FrontId, Member, Micros, Moment, Setup};
 
-/// The fronts that are away, since when, and which of them are no longer waited for.
-#[derive(Default)]
-pub(crate) struct Away {
-    since: BTreeMap<FrontId, Micros>,
-    /// When a zone that was away as a whole began to come back.
-    returned_at: BTreeMap<String, Micros>,
-    gone: BTreeSet<FrontId>,
-    /// Members have changed since they were last placed.
-    stale: bool,
-}
-
-impl Away {
-    pub fn is_away(&self, front: FrontId) -> bool {
-        self.since.contains_key(&front)
-    }
-
-    fn is_zone_away(&self, members: &[Member], zone: &str) -> bool {
-        let mut there = members.iter().filter(|member| member.zone == zone);
-        let all = there.clone().all(|member| self.is_away(member.front));
-        all && there.nth(1).is_some() && members.iter().any(|member| member.zone != zone)
-    }
-
-    /// A front is up (again).
-    pub fn returned(&mut self, now: Micros, members: &[Member], front: FrontId) {
-        if !self.is_away(front) {
-            return;
-        }
-        let zone = members
-            .iter()
-            .find(|member| member.front == front)
-            .map(|member| member.zone.clone());
-        if let Some(zone) = zone.filter(|zone| self.is_zone_away(members, zone)) {
-            self.returned_at.insert(zone, now);
-        }
-        self.since.remove(&front);
-    }
-
-    /// Until when a front that was last heard then is waited for.
-    pub fn wait_until(&self, setup: &Setup, front: FrontId, since: Micros) -> Micros {
-        let zone = setup
-            .members
-            .iter()
-            .find(|member| member.front == front)
-            .map(|m| m.zone.as_str());
-        match zone {
-            Some(zone) if self.is_zone_away(&setup.members, zone) => {
-                since + setup.zone_after.max(setup.repair_after)
-            }
-            Some(zone) => {
-                self.returned_at
-                    .get(zone)
-                    .map_or(since, |returned_at| since.max(*returned_at))
-                    + setup.repair_after
-            }
-            None => since + setup.repair_after,
-        }
-    }
-}
-
 /// The next change of a shard's members: who is removed, and who is added.
 fn next_change(
     wanted: &[FrontId],
@@ -114,7 +55,7 @@
             members,
             ..self.setup.clone()
         };
-        check(&setup)?;
+        setup.check()?;
         if setup.members == self.setup.members {
             return Ok(());
         }
--- a/crates/ledger/src/records.rs
+++ b/crates/ledger/src/records.rs
@@ -6,9 +6,11 @@
 use omnipaxos::ballot_leader_election::Ballot;
 use serde::{Deserialize, Serialize};
 
+use crate::batch::Batch;
+use crate::encoding::{decode, encode};
 use crate::formats::{FIRST_EXPLICIT_FORMAT, FORMAT, OLDEST_FORMAT};
-use crate::messages::{self, ReplicaIncarnation};
-use crate::state::{Batch, LogSnapshot, ReplicaId};
+use crate::members::{ReplicaId, ReplicaIncarnation};
+use crate::snapshot::LogSnapshot;
 use crate::{Error, Record, Saved, Setup};
 
 /// Goes into the checksum of records that name their format: those of the first format name none.
@@ -53,7 +55,7 @@
 
 /// A record in a format.
 fn record<T: Serialize>(format: u8, name: Vec<u8>, value: &T) -> Record {
-    let mut body = messages::encode(value);
+    let mut body = encode(value);
     let mut flag = 0;
     if format >= FIRST_EXPLICIT_FORMAT {
         body.insert(0, format);
@@ -102,7 +104,7 @@
 }
 
 fn open<'a, T: Deserialize<'a>>(name: &[u8], bytes: &'a [u8]) -> Result<T, Error> {
-    messages::decode(checked(name, bytes)?).ok_or_else(|| damaged(name))
+    decode(checked(name, bytes)?).ok_or_else(|| damaged(name))
 }
 
 pub(crate) fn header(format: u8, fleet: u64, disk: u64) -> Record {
--- a/crates/ledger/src/repair.rs
+++ b/crates/ledger/src/repair.rs
@@ -1,23 +1,14 @@
 //! Replacing members of a shard: one that lost its disk, or that was not heard for long, is replaced by a membership
 //! change, once the new member has caught up.
 
-use crate::state::ReplicaId;
+use crate::members::ReplicaId;
+use crate::peer::Peer;
 use crate::{FrontId, Micros};
 
 /// Microseconds that a replacement may take beside the time that its snapshot takes at the given rate.
 pub(crate) const REPLACEMENT_TIMEOUT: Micros = 10_000_000;
 pub(crate) const HEARD_WITHIN: Micros = 3_000_000; // microseconds since a front was heard at most for it to become a member
 
-/// What is known of another front.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Peer {
-    pub heard_at: Micros,
-    pub incarnation: u64,
-    /// 0: it holds no replicas.
-    pub disk: u64,
-    pub wall_ms: u64,
-}
-
 /// A replacement of a member that is under way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Repair {
--- a/crates/ledger/src/replica.rs
+++ b/crates/ledger/src/replica.rs
@@ -6,13 +6,16 @@
 use hallmux_replica::{Changes, LogState, LogStore, MessageOrder};
 use omnipaxos::messages::Message;
 
+use crate::batch::{Batch, Command};
+use crate::encoding::encode;
 use crate::formats::OLDEST_FORMAT;
 use crate::key_queues::KeyQueues;
 use crate::log::{Log, Received};
+use crate::members::{Configuration, ReplicaId};
 use crate::messages::{Base, LedgerMessage};
 use crate::records::{self, Meta};
-use crate::shard_view::{Configuration, StateAt};
-use crate::state::{Batch, Command, LogSnapshot, ReplicaId, State};
+use crate::snapshot::LogSnapshot;
+use crate::state::{State, StateAt};
 use crate::tail::Tail;
 use crate::{FrontId, Micros, Outcome, Owner, Record};
 
@@ -311,7 +314,7 @@
         match self.log.since(from) {
             (None, batches) if from >= self.log.compacted() => Base::Suffix { index, batches },
             _ => {
-                let state = crate::messages::encode(&self.state.for_next_configuration());
+                let state = encode(&self.state.for_next_configuration());
                 Base::Snapshot {
                     index: FIRST,
                     state,
--- a/crates/ledger/src/requests.rs
+++ b/crates/ledger/src/requests.rs
@@ -1,11 +1,11 @@
 //! Requests for entries: this front's own, passed on to whoever leads the shard, and those of other fronts.
 
 use crate::asks;
+use crate::batch::Command;
 use crate::ledger::Ledger;
+use crate::long_message::Pace;
 use crate::messages::LedgerMessage;
 use crate::replica::{size, Replica};
-use crate::state::Command;
-use crate::transport::Pace;
 use crate::{shard_of, Act, Ask, Done, FrontId, Moment, Outcome, Owner};
 
 const LONGEST_NAME: usize = 1_024; // bytes of a key's name
--- a/crates/ledger/src/rounds.rs
+++ b/crates/ledger/src/rounds.rs
@@ -1,8 +1,8 @@
 //! Takes in what the log of a shard has decided, and answers what was asked.
 
 use crate::ledger::Ledger;
+use crate::long_message::Pace;
 use crate::messages::LedgerMessage;
-use crate::transport::Pace;
 use crate::{Done, Moment, Outcome, Owner};
 
 impl Ledger {
--- a/crates/ledger/src/setup.rs
+++ b/crates/ledger/src/setup.rs
@@ -1,7 +1,9 @@
 //! How a front takes part in the ledger.
 
+use std::collections::BTreeSet;
+
 use crate::formats::{FORMAT, SAVED_FORMAT};
-use crate::{DiskId, FrontId, Micros};
+use crate::{DiskId, Error, FrontId, Micros};
 
 /// A front that holds replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -80,4 +82,29 @@
             clock_skew_ms: 500,
         }
     }
+
+    /// Whether a ledger can be built on it.
+    pub(crate) fn check(&self) -> Result<(), Error> {
+        let mut seen = BTreeSet::new();
+        if self.members.is_empty() {
+            return Err(Error::NoMembers);
+        }
+        if let Some(twice) = self
+            .members
+            .iter()
+            .find(|member| !seen.insert(member.front))
+        {
+            return Err(Error::Twice(twice.front));
+        }
+        if self.copies == 0 || self.copies > self.members.len() {
+            return Err(Error::Copies {
+                copies: self.copies,
+                members: self.members.len(),
+            });
+        }
+        match self.shards {
+            1..=1_024 => Ok(()),
+            shards => Err(Error::Shards(shards)),
+        }
+    }
 }
--- a/crates/ledger/src/shard_view.rs
+++ b/crates/ledger/src/shard_view.rs
@@ -2,26 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use crate::anti_entropy::Comparison;
 use crate::bootstrap::Bootstrap;
+use crate::comparison::Comparison;
+use crate::members::{Configuration, ReplicaId};
 use crate::repair::Repair;
 use crate::replica::Replica;
-use crate::state::{ReplicaId, State};
+use crate::state::StateAt;
 use crate::{FrontId, Micros};
 
-/// A configuration of a shard: its number, which grows with each change of members, and its members.
-#[derive(Clone, Debug)]
-pub(crate) struct Configuration {
-    pub config: u32,
-    pub members: Vec<ReplicaId>,
-}
-
-/// A state of a shard, after so many entries of the log.
-pub(crate) struct StateAt {
-    pub index: u64,
-    pub state: State,
-}
-
 /// What a front has learned of a shard before it becomes a member: a state of the log of this configuration.
 pub(crate) struct Learned {
     pub config: u32,
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -3,76 +3,18 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use omnipaxos::storage::{Entry as Logged, Snapshot};
 use serde::{Deserialize, Serialize};
 
+use crate::batch::{Batch, Command};
+use crate::encoding::encode;
+use crate::members::ReplicaId;
+use crate::stored_answers::{StoredAnswer, StoredOutcome};
 use crate::tail::Tail;
-use crate::{Act, DiskId, Entry, FrontId, Key, Outcome, Owner, Setup, REMEMBERED_MS};
+use crate::{Act, Entry, Key, Outcome, Owner, Setup, REMEMBERED_MS};
 
 const ENTRY_OVERHEAD: usize = 64; // bytes that an entry counts beside its name and value
 const MAX_ANSWERS: usize = 8_192; // answers remembered: some 30 bytes each in a snapshot
 
-/// The identity of a replica: its front and the disk that holds it. A front that comes back with another disk has
-/// forgotten what it promised, so it is another member.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub(crate) struct ReplicaId {
-    pub front: FrontId,
-    pub disk: DiskId,
-}
-
-/// An ask as a command of the log.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Command {
-    pub owner: Owner,
-    pub number: u64,
-    /// When it was first asked, on the asker's Unix clock.
-    pub asked_ms: u64,
-    pub key: Key,
-    pub act: Act,
-}
-
-/// One entry of the log: all that was asked while the entry before was being decided.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Batch {
-    pub wall_ms: u64,
-    pub commands: Vec<Command>,
-    /// The members of the next configuration, if the batch changes them: nothing that follows in this log counts. Behind
-    /// the batch's format, if it names one.
-    pub tail: Tail,
-}
-
-impl Batch {
-    /// One that changes the members.
-    pub fn change(format: u8, wall_ms: u64, next: Vec<ReplicaId>) -> Batch {
-        Batch {
-            wall_ms,
-            commands: Vec::new(),
-            tail: Tail::of(format, Some(next)),
-        }
-    }
-}
-
-/// An outcome that is remembered, without what the ask itself says.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-enum StoredOutcome {
-    Stands {
-        version: u64,
-    },
-    Held {
-        owner: Owner,
-        version: u64,
-        ends_ms: u64,
-    },
-    Absent,
-    Full,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct StoredAnswer {
-    asked_ms: u64,
-    stored: StoredOutcome,
-}
-
 /// What a shard may hold, and how long it keeps what has ended: part of the state, so that all replicas go by the same.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Limits {
@@ -133,10 +75,7 @@
 
     /// Each entry, and all else that replicas agree on, as bytes: for their comparison.
     pub fn parts(&self) -> (impl Iterator<Item = (&Key, Vec<u8>)>, Vec<u8>) {
-        let entries = self
-            .entries
-            .iter()
-            .map(|(key, entry)| (key, crate::messages::encode(entry)));
+        let entries = self.entries.iter().map(|(key, entry)| (key, encode(entry)));
         let State {
             limits,
             now_ms,
@@ -148,7 +87,7 @@
         } = self;
         (
             entries,
-            crate::messages::encode(&(limits, now_ms, last, bytes, answers, tail)),
+            encode(&(limits, now_ms, last, bytes, answers, tail)),
         )
     }
 
@@ -379,93 +318,10 @@
     }
 }
 
-impl Command {
-    /// The answer to a repeat. A claim that was granted and is gone since is not answered as if it stood.
-    fn repeat_answer(&self, stored: &StoredOutcome, current: Option<&Entry>) -> Outcome {
-        let entry = |owner, version, ends_ms, value| Entry {
-            key: self.key.clone(),
-            owner,
-            version,
-            ends_ms,
-            value,
-        };
-        match (stored, &self.act) {
-            (StoredOutcome::Stands { .. }, Act::Claim { .. }) => match current {
-                Some(entry) if entry.owner == self.owner => Outcome::Stands(entry.clone()),
-                Some(entry) => Outcome::Held(entry.clone()),
-                None => Outcome::Absent,
-            },
-            (StoredOutcome::Stands { version }, Act::Put { ends_ms, value, .. }) => {
-                Outcome::Stands(entry(self.owner, *version, *ends_ms, value.clone()))
-            }
-            (
-                StoredOutcome::Held {
-                    owner,
-                    version,
-                    ends_ms,
-                },
-                _,
-            ) => Outcome::Held(entry(*owner, *version, *ends_ms, Vec::new())),
-            (StoredOutcome::Full, _) => Outcome::Full,
-            (StoredOutcome::Absent | StoredOutcome::Stands { .. }, _) => Outcome::Absent,
-        }
-    }
-}
-
-/// A snapshot of the log: the state up to some entry, and the batches since that have yet to be applied to it. The
-/// consensus library makes one of some entries alone, and then merges it into the one before.
-#[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct LogSnapshot {
-    base: State,
-    since: Vec<Batch>,
-}
-
-impl LogSnapshot {
-    pub fn of(base: State) -> LogSnapshot {
-        LogSnapshot {
-            base,
-            since: Vec::new(),
-        }
-    }
-
-    /// The latest format of what it holds.
-    pub fn format(&self) -> u8 {
-        self.since
-            .iter()
-            .map(|batch| batch.tail.format())
-            .fold(self.base.format(), u8::max)
-    }
-
-    pub fn state(&self) -> State {
-        let mut state = self.base.clone();
-        self.since.iter().for_each(|batch| _ = state.apply(batch));
-        state
-    }
-}
-
-impl Snapshot<Batch> for LogSnapshot {
-    fn create(entries: &[Batch]) -> LogSnapshot {
-        LogSnapshot {
-            base: State::default(),
-            since: entries.to_vec(),
-        }
-    }
-
-    fn merge(&mut self, later: LogSnapshot) {
-        let since = std::mem::take(&mut self.since);
-        since
-            .iter()
-            .chain(&later.since)
-            .for_each(|batch| _ = self.base.apply(batch));
-    }
-
-    fn use_snapshots() -> bool {
-        true
-    }
-}
-
-impl Logged for Batch {
-    type Snapshot = LogSnapshot;
+/// A state of a shard, after so many entries of the log.
+pub(crate) struct StateAt {
+    pub index: u64,
+    pub state: State,
 }
 
 #[cfg(test)]
--- a/crates/ledger/src/state_tests.rs
+++ b/crates/ledger/src/state_tests.rs
@@ -1,5 +1,8 @@
 use super::*;
-use crate::Kind;
+use omnipaxos::storage::Snapshot;
+
+use crate::snapshot::LogSnapshot;
+use crate::{FrontId, Kind};
 
 const LIMITS: Limits = Limits {
     entries: 4,
--- a/crates/ledger/src/tail.rs
+++ b/crates/ledger/src/tail.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Deserializer, Serialize};
 
 use crate::formats::{FIRST_EXPLICIT_FORMAT, FORMAT, OLDEST_FORMAT};
-use crate::state::ReplicaId;
+use crate::members::ReplicaId;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Tail {
--- a/crates/ledger/src/transport.rs
+++ b/crates/ledger/src/transport.rs
@@ -3,89 +3,18 @@
 
 use std::collections::BTreeMap;
 
-use crate::formats::{PeerFormats, OLDEST_FORMAT};
-use crate::messages::{self, LedgerMessage, Packet, Payload};
+use crate::encoding::{decode, encode};
+use crate::formats::OLDEST_FORMAT;
+use crate::long_message::{LongMessage, Pace};
+use crate::messages::{LedgerMessage, Packet, Payload};
 use crate::pacer::Pacer;
+use crate::packet_limits::{ABANDON_AFTER, FRAGMENT_BYTES, HEADER_BYTES, MAX_FRAGMENTS};
+use crate::peer_formats::PeerFormats;
 use crate::reassembly::{Added, Fragment, MessageId, Reassembly};
 use crate::{DiskId, FrontId, Micros, Moment, Setup};
 
-/// Bytes of a packet at most: a datagram of gossip (1,200) less its seal (92), its sender's own rumour and lengths
-/// (44), and the byte that tells whose packet it is.
-pub(crate) const PACKET_BYTES: usize = 1_040;
-const HEADER_BYTES: usize = 48; // bytes of a packet beside its messages or its fragment at most
-pub(crate) const FRAGMENT_BYTES: usize = PACKET_BYTES - HEADER_BYTES;
-pub(crate) const MAX_FRAGMENTS: usize = 4_096; // of a message: some 4 MB
-const ACK_TIMEOUT: Micros = 250_000; // microseconds without a sign until its receiver is sent the last fragment again
-pub(crate) const ABANDON_AFTER: Micros = 10_000_000; // microseconds without a sign until a long message is forgotten
 const LOG_RATE: f64 = 2_000_000.0; // bytes a second of long messages of the log: a follower waits for them
 
-/// How soon a long message has to be there.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Pace {
-    /// At the rate of the log.
-    Fast,
-    /// The same, for the log of this shard: one message at a time, as the log relies on their order.
-    Log(u16),
-    /// At the rate that the operator gives to rebuilding replicas.
-    Repair,
-}
-
-/// A message that is longer than a packet and not acknowledged yet.
-struct LongMessage {
-    to: FrontId,
-    pace: Pace,
-    bytes: Vec<u8>,
-    /// Fragments that are to be sent, the next last.
-    to_send: Vec<u16>,
-    /// When a fragment of it was sent or asked for last.
-    touched: Micros,
-    /// When its receiver was sent the last fragment again.
-    reminded: Micros,
-}
-
-impl LongMessage {
-    /// Fragments of it in all.
-    fn count(&self) -> u16 {
-        self.bytes.len().div_ceil(FRAGMENT_BYTES) as u16
-    }
-
-    fn slice(&self, index: u16) -> Option<&[u8]> {
-        self.bytes.chunks(FRAGMENT_BYTES).nth(index.into())
-    }
-
-    /// A fragment of it as it is sent; `id` is its number here.
-    fn fragment(&self, id: u64, index: u16) -> Option<Payload> {
-        let bytes = self.slice(index)?.to_vec();
-        Some(Payload::Fragment {
-            id,
-            index,
-            count: self.count(),
-            bytes,
-        })
-    }
-
-    /// Its receiver lacks these fragments.
-    fn resend(&mut self, now: Micros, missing: Vec<u16>) {
-        let count = self.count();
-        let new = missing
-            .into_iter()
-            .rev()
-            .filter(|n| *n < count && !self.to_send.contains(n));
-        let new: Vec<u16> = new.collect();
-        self.to_send.extend(new);
-        self.touched = now;
-    }
-
-    /// When its receiver is to be reminded.
-    fn ack_due(&self) -> Micros {
-        if self.to_send.is_empty() {
-            self.touched.max(self.reminded) + ACK_TIMEOUT
-        } else {
-            Micros::MAX
-        }
-    }
-}
-
 /// Sends messages to other fronts and receives theirs.
 pub(crate) struct Transport {
     pub fleet: u64,
@@ -136,7 +65,7 @@
 
     /// Puts a message into the next packets to this front.
     pub fn send(&mut self, at: Moment, to: FrontId, message: &LedgerMessage, pace: Pace) {
-        let bytes = messages::encode(message);
+        let bytes = encode(message);
         if bytes.len() + 3 <= FRAGMENT_BYTES {
             self.small.entry(to).or_default().push(bytes);
             return;
@@ -175,7 +104,7 @@
         from: FrontId,
         bytes: &[u8],
     ) -> Result<(Packet, Vec<LedgerMessage>), &'static str> {
-        let mut packet: Packet = messages::decode(bytes).ok_or("form")?;
+        let mut packet: Packet = decode(bytes).ok_or("form")?;
         if !(OLDEST_FORMAT..=self.format).contains(&packet.format) {
             return Err("version");
         }
@@ -224,10 +153,8 @@
             }
         };
         self.formats.heard(from, packet.incarnation, packet.format);
-        let messages: Option<Vec<LedgerMessage>> = whole
-            .iter()
-            .map(|message| messages::decode(message))
-            .collect();
+        let messages: Option<Vec<LedgerMessage>> =
+            whole.iter().map(|message| decode(message)).collect();
         let mut messages = messages
             .filter(|messages| messages.iter().all(|w| w.format() <= self.format))
             .ok_or("form")?;
@@ -273,7 +200,7 @@
             let first = self.formats.introduction(at.steady, self.format, to);
             first
                 .into_iter()
-                .for_each(|message| messages.insert(0, messages::encode(&message)));
+                .for_each(|message| messages.insert(0, encode(&message)));
             let (mut payload, mut used) = (Vec::new(), 0);
             for message in messages {
                 if used + message.len() + 3 > FRAGMENT_BYTES {
@@ -289,7 +216,7 @@
         let (fleet, disk, incarnation, wall_ms) =
             (self.fleet, self.disk, self.incarnation, at.wall_ms);
         let packet = |format, payload| {
-            messages::encode(&Packet {
+            encode(&Packet {
                 format,
                 fleet,
                 disk,
--- a/crates/ledger/src/transport_tests.rs
+++ b/crates/ledger/src/transport_tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::packet_limits::PACKET_BYTES;
 use crate::state::State;
 
 fn transport(front: u64) -> Transport {
@@ -161,5 +162,5 @@
             }
         }
     }
-    assert!(messages::decode::<State>(&[0xff; 30]).is_none());
+    assert!(decode::<State>(&[0xff; 30]).is_none());
 }
