--- a/crates/ledger/src/batch.rs
+++ b/crates/ledger/src/batch.rs
@@ -6,6 +6,16 @@
 use crate::tail::Tail;
 use crate::{Act, Key, Owner};
 
+const COMMAND_OVERHEAD: usize = 48; // bytes that an ask counts beside its name and value
+
+/// What tells an ask from all others.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub(crate) struct CommandId {
+    pub owner: Owner,
+    /// Of the ask, in its owner's incarnation.
+    pub number: u64,
+}
+
 /// An ask as a command of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Command {
@@ -27,6 +37,24 @@
     pub tail: Tail,
 }
 
+impl Command {
+    pub fn id(&self) -> CommandId {
+        CommandId {
+            owner: self.owner,
+            number: self.number,
+        }
+    }
+
+    /// Bytes that the ask counts where asks are bounded.
+    pub fn size(&self) -> usize {
+        let value = match &self.act {
+            Act::Claim { value, .. } | Act::Put { value, .. } => value.len(),
+            Act::Free | Act::Read => 0,
+        };
+        self.key.name.len() + value + COMMAND_OVERHEAD
+    }
+}
+
 impl Batch {
     /// One that changes the members.
     pub fn change(format: u8, wall_ms: u64, next: Vec<ReplicaId>) -> Batch {
--- a/crates/ledger/src/comparison.rs
+++ b/crates/ledger/src/comparison.rs
@@ -30,11 +30,10 @@
 /// The hashes of a state by leaves.
 pub(crate) fn hashes(state: &State) -> Vec<u64> {
     let mut hashes = vec![0_u64; LEAVES];
-    let (entries, rest) = state.parts();
-    for (key, bytes) in entries {
-        let leaf = hash(key.name.bytes()) % LEAVES as u64;
-        hashes[leaf as usize] ^= hash(bytes.into_iter());
+    for entry in state.encoded_entries() {
+        let leaf = hash(entry.key.name.bytes()) % LEAVES as u64;
+        hashes[leaf as usize] ^= hash(entry.bytes.into_iter());
     }
-    hashes.push(hash(rest.into_iter()));
+    hashes.push(hash(state.encoded_rest().into_iter()));
     hashes
 }
--- a/crates/ledger/src/durability.rs
+++ b/crates/ledger/src/durability.rs
@@ -26,7 +26,7 @@
                 .iter_mut()
                 .filter_map(|view| view.replica.as_mut())
             {
-                format = format.max(replica.records(&mut records));
+                format = format.max(replica.save_changes(&mut records));
             }
             if format > self.latest_saved_format {
                 // With the first of them, so that a build that can't read them finds that said.
--- a/crates/ledger/src/incoming.rs
+++ b/crates/ledger/src/incoming.rs
@@ -1,5 +1,6 @@
 //! Takes in packets of other fronts, and passes each message on to the part that it is for.
 
+use crate::batch::CommandId;
 use crate::bootstrap::Bootstrap;
 use crate::encoding::decode;
 use crate::ledger::Ledger;
@@ -165,13 +166,11 @@
                 incarnation,
                 number,
             } => {
-                self.key_is_free(
-                    Owner {
-                        front: self.own.front,
-                        incarnation,
-                    },
-                    number,
-                );
+                let owner = Owner {
+                    front: self.own.front,
+                    incarnation,
+                };
+                self.key_is_free(CommandId { owner, number });
             }
             LedgerMessage::TransferLeadership { shard, config } => {
                 self.accept_leadership(from, shard, config)
@@ -193,10 +192,6 @@
         config: u32,
         (number, message): (u64, omnipaxos::messages::Message<crate::batch::Batch>),
     ) {
-        let ReplicaIncarnation {
-            id: sender,
-            incarnation,
-        } = sender;
         let behind = |replica: &Replica| replica.config < config;
         let replica = self
             .shards
@@ -212,10 +207,10 @@
         match &mut view.replica {
             Some(replica) if replica.config == config => {
                 // One that came back with another disk does not speak for the member that it was.
-                if !replica.members.contains(&sender) {
+                if !replica.members.contains(&sender.id) {
                     return self.refuse("no member");
                 }
-                match replica.heard((sender.front, incarnation), number, message) {
+                match replica.receive(sender, number, message) {
                     Received::Accepted => _ = self.touched.insert(shard),
                     Received::OutOfOrder => self.refuse("overtaken"),
                     Received::NotMember => self.refuse("no member"),
@@ -225,11 +220,11 @@
                     }
                 }
             }
-            Some(replica) if replica.config > config => self.send_membership(at, sender, shard),
+            Some(replica) if replica.config > config => self.send_membership(at, sender.id, shard),
             _ => {
                 // Members speak of it: it has begun.
                 view.bootstrap.iter_mut().for_each(Bootstrap::set_started);
-                self.announce(at, sender.front, shard);
+                self.announce(at, sender.id.front, shard);
             }
         }
     }
--- a/crates/ledger/src/key_queues.rs
+++ b/crates/ledger/src/key_queues.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::batch::Command;
+use crate::batch::{Command, CommandId};
 use crate::{Act, Key, Kind, Micros, Outcome, Owner};
 
 const WAITER_TIMEOUT: Micros = 1_000_000; // microseconds without an ask until a front leaves a queue: three tries
@@ -112,8 +112,8 @@
             && now - came < MAX_DEFERRAL
     }
 
-    /// The fronts to be told that a key is free, with the numbers of their latest asks.
-    pub fn freed_keys(&mut self, now: Micros, is_free: impl Fn(&Key) -> bool) -> Vec<(Owner, u64)> {
+    /// The latest asks of the fronts that are to be told that a key is free.
+    pub fn freed_keys(&mut self, now: Micros, is_free: impl Fn(&Key) -> bool) -> Vec<CommandId> {
         let mut freed = Vec::new();
         self.0.retain(|key, queue| {
             let first = queue.waiting.front().map(|first| first.owner);
@@ -134,7 +134,10 @@
             }
             if queue.reserved_until.is_none() && is_free(key) {
                 queue.reserved_until = Some(now + RESERVED_FOR);
-                freed.push((next.owner, next.number));
+                freed.push(CommandId {
+                    owner: next.owner,
+                    number: next.number,
+                });
             }
             true
         });
--- a/crates/ledger/src/key_queues_tests.rs
+++ b/crates/ledger/src/key_queues_tests.rs
@@ -32,10 +32,10 @@
     }
 }
 
-fn fronts(freed: Vec<(Owner, u64)>) -> Vec<(u64, u64)> {
+fn fronts(freed: Vec<CommandId>) -> Vec<(u64, u64)> {
     freed
         .into_iter()
-        .map(|(owner, number)| (owner.front, number))
+        .map(|id| (id.owner.front, id.number))
         .collect()
 }
 
--- a/crates/ledger/src/log.rs
+++ b/crates/ledger/src/log.rs
@@ -39,8 +39,37 @@
     store: LogStore<Batch>,
     members: Vec<ReplicaId>,
     own: FrontId,
-    /// The commit index, and for how many ticks it has not moved though more was proposed.
-    stuck: (usize, u64),
+    stall: Stall,
+}
+
+/// The commit index, and for how many ticks it has not moved though more was proposed.
+#[derive(Clone, Copy, Default)]
+struct Stall {
+    decided: usize,
+    ticks: u64,
+}
+
+/// The leader of a shard as far as a member knows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Leader {
+    pub front: FrontId,
+    /// It takes proposals.
+    pub is_ready: bool,
+}
+
+/// A message of the log, and who it is for.
+pub(crate) struct LogMessage {
+    pub to: FrontId,
+    pub message: Message<Batch>,
+}
+
+/// What is decided from some entry on.
+#[derive(Default)]
+pub(crate) struct DecidedSuffix {
+    /// The state to start from, where the log was compacted beyond that entry.
+    pub state: Option<State>,
+    /// The batches after it.
+    pub batches: Vec<Batch>,
 }
 
 impl Log {
@@ -79,7 +108,7 @@
             store,
             members: members.to_vec(),
             own: own.front,
-            stuck: (0, 0),
+            stall: Stall::default(),
         })
     }
 
@@ -89,18 +118,23 @@
     }
 
     /// Who leads the shard as far as this member knows, and whether that one is ready for asks.
-    pub fn leader(&self) -> Option<(FrontId, bool)> {
+    pub fn leader(&self) -> Option<Leader> {
         match &self.consensus {
-            Consensus::Single => Some((self.own, true)),
+            Consensus::Single => Some(Leader {
+                front: self.own,
+                is_ready: true,
+            }),
             Consensus::Replicated(log) => {
-                let (number, ready) = log.get_current_leader()?;
-                Some((self.front(number)?, ready))
+                let (number, is_ready) = log.get_current_leader()?;
+                let front = self.front(number)?;
+                Some(Leader { front, is_ready })
             }
         }
     }
 
     pub fn is_leader(&self) -> bool {
-        self.leader() == Some((self.own, true))
+        self.leader()
+            .is_some_and(|leader| leader.front == self.own && leader.is_ready)
     }
 
     /// One tick of the log's clock; whether other members should ask for what they may have missed.
@@ -111,14 +145,14 @@
         };
         log.tick();
         let decided = log.get_decided_idx();
-        if !under_way || decided != self.stuck.0 {
-            self.stuck = (decided, 0);
+        if !under_way || decided != self.stall.decided {
+            self.stall = Stall { decided, ticks: 0 };
             return false;
         }
         // The library sends a proposal once, and notices its loss only by the next: with one under way at a time there
         // is none.
-        self.stuck.1 += 1;
-        self.stuck.1.is_multiple_of(RESEND_TICKS)
+        self.stall.ticks += 1;
+        self.stall.ticks.is_multiple_of(RESEND_TICKS)
     }
 
     /// Asks the leader for what was missed, as if the connection to it were new.
@@ -132,7 +166,7 @@
         }
     }
 
-    /// Tries to lead the shard now, rather than once an leader is missed.
+    /// Tries to lead the shard now, rather than once a leader is missed.
     pub fn campaign(&mut self) {
         if let Consensus::Replicated(log) = &mut self.consensus {
             log.try_become_leader();
@@ -140,7 +174,7 @@
     }
 
     /// A message of a member.
-    pub fn heard(&mut self, from: FrontId, message: Message<Batch>) -> Received {
+    pub fn receive(&mut self, from: FrontId, message: Message<Batch>) -> Received {
         let known = self.front(message.get_sender()) == Some(from)
             && self.front(message.get_receiver()) == Some(self.own);
         let Consensus::Replicated(log) = &mut self.consensus else {
@@ -160,19 +194,17 @@
         }
     }
 
-    pub fn messages(&mut self) -> Vec<(FrontId, Message<Batch>)> {
+    /// Takes the messages that are to be sent to other members.
+    pub fn take_messages(&mut self) -> Vec<LogMessage> {
         let mut messages = Vec::new();
         if let Consensus::Replicated(log) = &mut self.consensus {
             log.take_outgoing_messages(&mut messages);
         }
-        let to = |message: &Message<Batch>| {
-            self.front(message.get_receiver())
-                .filter(|to| *to != self.own)
+        let addressed = |message: Message<Batch>| {
+            let to = self.front(message.get_receiver())?;
+            (to != self.own).then_some(LogMessage { to, message })
         };
-        messages
-            .into_iter()
-            .filter_map(|message| Some((to(&message)?, message)))
-            .collect()
+        messages.into_iter().filter_map(addressed).collect()
     }
 
     /// Whether something that was proposed is not decided yet.
@@ -208,26 +240,32 @@
         self.store.read(|held| held.compacted)
     }
 
-    /// What is decided from this entry on: the state where the log was compacted beyond it, and the batches after it.
-    pub fn since(&self, from: usize) -> (Option<State>, Vec<Batch>) {
+    /// What is decided from this entry on.
+    pub fn decided_since(&self, from: usize) -> DecidedSuffix {
         let Consensus::Replicated(log) = &self.consensus else {
             return self.store.read(|held| {
                 let snapshot = held.snapshot.as_ref().filter(|_| from < held.compacted);
                 let at = from.saturating_sub(held.compacted).min(held.log.len());
-                (snapshot.map(LogSnapshot::state), held.log[at..].to_vec())
+                DecidedSuffix {
+                    state: snapshot.map(LogSnapshot::state),
+                    batches: held.log[at..].to_vec(),
+                }
             });
         };
-        let (mut state, mut batches) = (None, Vec::new());
+        let mut decided = DecidedSuffix::default();
         for entry in log.read_decided_suffix(from).unwrap_or_default() {
             match entry {
-                LogEntry::Decided(batch) => batches.push(batch),
+                LogEntry::Decided(batch) => decided.batches.push(batch),
                 LogEntry::Snapshotted(snapshotted) => {
-                    (state, batches) = (Some(snapshotted.snapshot.state()), Vec::new());
+                    decided = DecidedSuffix {
+                        state: Some(snapshotted.snapshot.state()),
+                        batches: Vec::new(),
+                    };
                 }
                 LogEntry::Undecided(_) | LogEntry::Trimmed(_) | LogEntry::StopSign(..) => {}
             }
         }
-        (state, batches)
+        decided
     }
 
     /// Compacts what is decided into a snapshot, once there is enough of it.
--- a/crates/ledger/src/membership.rs
+++ b/crates/ledger/src/membership.rs
@@ -149,7 +149,7 @@
         };
         view.barred = config;
         (view.leader_since, view.repair) = (None, None);
-        replica.remove_records(&mut self.records);
+        replica.remove_saved_log(&mut self.records);
         self.records.push(records::meta(
             OLDEST_FORMAT,
             shard,
@@ -198,7 +198,7 @@
             return;
         };
         if let Some(before) = view.replica.take() {
-            before.remove_records(&mut self.records);
+            before.remove_saved_log(&mut self.records);
         }
         if view.bootstrap.take().is_some() {
             self.records.push(records::no_bootstrap(shard));
--- a/crates/ledger/src/replica.rs
+++ b/crates/ledger/src/replica.rs
@@ -2,27 +2,29 @@
 //! was asked and waits for the next round.
 
 use std::collections::BTreeSet;
+use std::ops::Range;
 
 use hallmux_replica::{Changes, LogState, LogStore, MessageOrder};
 use omnipaxos::messages::Message;
+use omnipaxos::storage::Storage;
 
-use crate::batch::{Batch, Command};
+use crate::batch::{Batch, Command, CommandId};
 use crate::encoding::encode;
 use crate::formats::OLDEST_FORMAT;
 use crate::key_queues::KeyQueues;
-use crate::log::{Log, Received};
-use crate::members::{Configuration, ReplicaId};
+use crate::log::{DecidedSuffix, Log, LogMessage, Received};
+use crate::members::{Configuration, ReplicaId, ReplicaIncarnation};
 use crate::messages::{Base, LedgerMessage};
-use crate::records::{self, Meta};
 use crate::snapshot::LogSnapshot;
 use crate::state::{State, StateAt};
 use crate::tail::Tail;
-use crate::{FrontId, Micros, Outcome, Owner, Record};
+use crate::{FrontId, Micros, Outcome};
+
+mod saving;
 
 const MAX_QUEUED: usize = 4_096; // asks that wait for a round
 const BATCH_BYTES: usize = 8_192; // bytes of asks in a round: some datagrams to each member
 const CHANGE_WAITS: Micros = 250_000; // microseconds for which a change of members goes before the next round
-const ASK_OVERHEAD: usize = 48; // bytes that an ask counts beside its name and value
 
 /// Entries that the log starts with: the state that was handed over stands for one.
 pub(crate) const FIRST: u64 = 1;
@@ -45,27 +47,47 @@
     applied: usize,
     queue: Vec<Waiting>,
     /// The asks that wait or are proposed here.
-    known: BTreeSet<(Owner, u64)>,
+    known: BTreeSet<CommandId>,
     /// The fronts that wait for keys that others have, where this front leads the shard.
     pub key_queues: KeyQueues,
     changes: Changes,
     dirty: bool,
-    /// Log records that are saved: the numbers of the first, and of the next after the last.
-    saved: (usize, usize),
+    /// The numbers of the log records that are saved.
+    saved: Range<usize>,
     /// By which messages that come out of order count as lost.
     order: MessageOrder,
     /// Members are to change: nothing more is proposed here.
     changing: bool,
     /// The format of what it proposes.
     pub format: u8,
-    /// The members to propose once the round under way has ended, and until when that goes before the next round.
-    pending_change: Option<(Vec<ReplicaId>, Micros)>,
+    pending_change: Option<PendingChange>,
+}
+
+/// The members to propose once the round under way has ended.
+struct PendingChange {
+    members: Vec<ReplicaId>,
+    /// Until when that goes before the next round.
+    ends: Micros,
+}
+
+/// An ask that was decided, with its outcome.
+pub(crate) struct DecidedCommand {
+    pub command: Command,
+    pub outcome: Outcome,
+}
+
+/// A message for another member of the shard.
+pub(crate) struct MemberMessage {
+    pub to: FrontId,
+    pub message: LedgerMessage,
+    /// It has to be taken in the order in which it was sent.
+    pub is_ordered: bool,
 }
 
 /// The asks that were decided, and the rounds that were proposed, since the last call.
 #[derive(Default)]
 pub(crate) struct Settled {
-    pub answers: Vec<(Command, Outcome)>,
+    pub answers: Vec<DecidedCommand>,
     pub rounds: u64,
 }
 
@@ -104,7 +126,7 @@
         log_state: LogState<Batch>,
     ) -> Option<Replica> {
         let Configuration { config, members } = configuration;
-        let saved = (log_state.compacted, log_state.end());
+        let saved = log_state.compacted..log_state.end();
         let store = LogStore::new(log_state);
         let log = Log::new(*config, members, own, preferred, store.clone())?;
         let mut replica = Replica {
@@ -156,7 +178,7 @@
     }
 
     pub fn leader(&self) -> Option<FrontId> {
-        self.log.leader().map(|(leader, _)| leader)
+        self.log.leader().map(|leader| leader.front)
     }
 
     /// The applied index: the number of entries that it has applied.
@@ -164,17 +186,18 @@
         self.applied as u64
     }
 
-    /// A message of a member in one of its lives.
-    pub fn heard(
+    /// A message of a member, with its number in the sender's order.
+    pub fn receive(
         &mut self,
-        from: (FrontId, u64),
+        sender: ReplicaIncarnation,
         number: u64,
         message: Message<Batch>,
     ) -> Received {
-        if !self.order.accepts(from.0, from.1, number) {
+        let from = sender.id.front;
+        if !self.order.accepts(from, sender.incarnation, number) {
             return Received::OutOfOrder;
         }
-        self.log.heard(from.0, message)
+        self.log.receive(from, message)
     }
 
     /// An ask of the leader; false where it can't wait here.
@@ -182,7 +205,7 @@
         if self.queue.len() >= MAX_QUEUED {
             return false;
         }
-        if self.known.insert((command.owner, command.number)) {
+        if self.known.insert(command.id()) {
             self.queue.push(Waiting {
                 command,
                 came,
@@ -195,7 +218,10 @@
     /// Proposes other members, after the round that is under way: rounds back to back would keep it waiting for good.
     pub fn propose_members(&mut self, now: Micros, next: Vec<ReplicaId>) {
         if !self.changing && self.is_leader() {
-            self.pending_change = Some((next, now + CHANGE_WAITS));
+            self.pending_change = Some(PendingChange {
+                members: next,
+                ends: now + CHANGE_WAITS,
+            });
         }
     }
 
@@ -203,8 +229,10 @@
         if self.log.has_pending() {
             return;
         }
-        if let Some((next, _)) = self.pending_change.take().filter(|(_, until)| now < *until) {
-            self.changing = self.log.append(Batch::change(self.format, wall_ms, next));
+        let pending = self.pending_change.take();
+        if let Some(change) = pending.filter(|change| now < change.ends) {
+            let batch = Batch::change(self.format, wall_ms, change.members);
+            self.changing = self.log.append(batch);
         }
     }
 
@@ -237,13 +265,13 @@
         for waiting in std::mem::take(&mut self.queue) {
             let command = &waiting.command;
             if waiting.ends <= now {
-                self.known.remove(&(command.owner, command.number));
+                self.known.remove(&command.id());
             } else if bytes < BATCH_BYTES
                 && !self
                     .key_queues
                     .is_reserved_for_another(now, command, waiting.came)
             {
-                bytes += size(command);
+                bytes += command.size();
                 commands.push(waiting.command);
             } else {
                 self.queue.push(waiting);
@@ -257,29 +285,30 @@
             })
     }
 
-    /// The fronts to be told that a key is free, with the numbers of their latest asks.
-    pub fn freed_keys(&mut self, now: Micros, wall_ms: u64) -> Vec<(Owner, u64)> {
+    /// The latest asks of the fronts that are to be told that a key is free.
+    pub fn freed_keys(&mut self, now: Micros, wall_ms: u64) -> Vec<CommandId> {
         self.key_queues
             .freed_keys(now, |key| self.state.is_free(key, wall_ms))
     }
 
-    fn apply(&mut self) -> Vec<(Command, Outcome)> {
+    /// Applies what was decided; the answers, where this front leads the shard.
+    fn apply(&mut self) -> Vec<DecidedCommand> {
         let decided = self.log.decided();
         let mut answers = Vec::new();
         if decided <= self.applied {
             return answers;
         }
         let is_leader = self.is_leader();
-        let (state, batches) = self.log.since(self.applied);
+        let DecidedSuffix { state, batches } = self.log.decided_since(self.applied);
         if let Some(state) = state {
             self.state = state;
         }
         for batch in batches {
             let outcomes = self.state.apply(&batch);
             for (command, outcome) in batch.commands.into_iter().zip(outcomes) {
-                self.known.remove(&(command.owner, command.number));
+                self.known.remove(&command.id());
                 if is_leader {
-                    answers.push((command, outcome));
+                    answers.push(DecidedCommand { command, outcome });
                 }
             }
         }
@@ -290,53 +319,38 @@
         answers
     }
 
-    pub fn messages(&mut self) -> Vec<(FrontId, LedgerMessage)> {
+    /// Takes the messages that are to be sent to other members.
+    pub fn take_messages(&mut self) -> Vec<MemberMessage> {
         let (shard, config) = (self.shard, self.config);
         let order = &mut self.order;
-        let wrap = |(to, message)| {
+        let numbered = |LogMessage { to, message }| {
             let number = order.number(&message);
-            (
+            let message = LedgerMessage::Log {
+                shard,
+                config,
+                number,
+                message: Box::new(message),
+            };
+            MemberMessage {
                 to,
-                LedgerMessage::Log {
-                    shard,
-                    config,
-                    number,
-                    message: Box::new(message),
-                },
-            )
+                message,
+                is_ordered: number > 0,
+            }
         };
-        self.log.messages().into_iter().map(wrap).collect()
+        self.log.take_messages().into_iter().map(numbered).collect()
     }
 
     /// What a new member starts the next configuration from that has this log's entries up to this index.
     pub fn base_after(&self, index: u64) -> Base {
         let from = usize::try_from(index).unwrap_or_default();
-        match self.log.since(from) {
-            (None, batches) if from >= self.log.compacted() => Base::Suffix { index, batches },
-            _ => {
-                let state = encode(&self.state.for_next_configuration());
-                Base::Snapshot {
-                    index: FIRST,
-                    state,
-                }
-            }
+        let DecidedSuffix { state, batches } = self.log.decided_since(from);
+        if state.is_none() && from >= self.log.compacted() {
+            return Base::Suffix { index, batches };
         }
-    }
-
-    /// Whether something must be durable before anything that follows from it is sent.
-    pub fn must_save(&mut self) -> bool {
-        if let Some(changes) = self.store.take_changes() {
-            self.changes.must_persist |= changes.must_persist;
-            self.changes.snapshot |= changes.snapshot;
-            self.changes.log_from = self
-                .changes
-                .log_from
-                .into_iter()
-                .chain(changes.log_from)
-                .min();
-            self.dirty = true;
+        Base::Snapshot {
+            index: FIRST,
+            state: encode(&self.state.for_next_configuration()),
         }
-        self.changes.must_persist
     }
 
     /// Replaces the state as of an entry by another, and applies what its own log has since; false where that can't be.
@@ -346,8 +360,11 @@
         {
             return false;
         }
-        let (snapshot, batches) = self.log.since(from);
-        if snapshot.is_some() || batches.len() != self.applied - from {
+        let DecidedSuffix {
+            state: later_state,
+            batches,
+        } = self.log.decided_since(from);
+        if later_state.is_some() || batches.len() != self.applied - from {
             return false;
         }
         self.log.compact_all();
@@ -356,65 +373,7 @@
         }
         batches.iter().for_each(|batch| _ = state.apply(batch));
         self.state = state.clone();
-        omnipaxos::storage::Storage::set_snapshot(&mut self.store, Some(LogSnapshot::of(state)))
-            .is_ok()
+        let snapshot = LogSnapshot::of(state);
+        self.store.set_snapshot(Some(snapshot)).is_ok()
     }
-
-    /// What has changed since it was last saved, as records; the latest format that they are of.
-    pub fn records(&mut self, records: &mut Vec<Record>) -> u8 {
-        let mut format = self.state.format();
-        if !std::mem::take(&mut self.dirty) {
-            return format;
-        }
-        let changes = std::mem::take(&mut self.changes);
-        let (shard, config, members, before) =
-            (self.shard, self.config, self.members.clone(), self.saved);
-        self.saved = self.store.read(|log_state| {
-            let (compacted, end) = (log_state.compacted, log_state.end());
-            let (promise, accepted_round, decided) = (
-                log_state.promise,
-                log_state.accepted_round,
-                log_state.decided,
-            );
-            let meta = Meta {
-                config,
-                members,
-                is_member: true,
-                promise,
-                accepted_round,
-                decided,
-                compacted,
-                end,
-            };
-            records.push(records::meta(format, shard, &meta));
-            if let Some(snapshot) = log_state.snapshot.as_ref().filter(|_| changes.snapshot) {
-                format = format.max(snapshot.format());
-                records.push(records::snapshot(shard, snapshot));
-            }
-            let from = changes.log_from.unwrap_or(end).max(compacted);
-            for (index, batch) in (compacted..end).zip(&log_state.log).skip(from - compacted) {
-                format = format.max(batch.tail.format());
-                records.push(records::entry(shard, index, batch));
-            }
-            let gone = (before.0..compacted.min(before.1)).chain(end.max(before.0)..before.1);
-            records.extend(gone.map(|index| records::no_entry(shard, index)));
-            (compacted, end)
-        });
-        format
-    }
-
-    /// Records that remove its log from what is saved.
-    pub fn remove_records(&self, records: &mut Vec<Record>) {
-        records
-            .extend((self.saved.0..self.saved.1).map(|index| records::no_entry(self.shard, index)));
-    }
-}
-
-/// Bytes that an ask counts.
-pub(crate) fn size(command: &Command) -> usize {
-    let value = match &command.act {
-        crate::Act::Claim { value, .. } | crate::Act::Put { value, .. } => value.len(),
-        crate::Act::Free | crate::Act::Read => 0,
-    };
-    command.key.name.len() + value + ASK_OVERHEAD
 }
--- /dev/null
+++ b/crates/ledger/src/replica/saving.rs
@@ -0,0 +1,77 @@
+//! What a replica saves: the records of its log, its snapshot and its promises, as far as they have changed.
+
+use hallmux_replica::LogState;
+
+use super::Replica;
+use crate::batch::Batch;
+use crate::records::{self, Meta};
+use crate::Record;
+
+impl Replica {
+    /// Whether something must be durable before anything that follows from it is sent.
+    pub fn must_save(&mut self) -> bool {
+        if let Some(changes) = self.store.take_changes() {
+            self.changes.must_persist |= changes.must_persist;
+            self.changes.snapshot |= changes.snapshot;
+            self.changes.log_from = self
+                .changes
+                .log_from
+                .into_iter()
+                .chain(changes.log_from)
+                .min();
+            self.dirty = true;
+        }
+        self.changes.must_persist
+    }
+
+    /// Adds what has changed since it was last saved to the records; the latest format that they are of.
+    pub fn save_changes(&mut self, records: &mut Vec<Record>) -> u8 {
+        let mut format = self.state.format();
+        if !std::mem::take(&mut self.dirty) {
+            return format;
+        }
+        let changes = std::mem::take(&mut self.changes);
+        let shard = self.shard;
+        let before = self.saved.clone();
+        self.saved = self.store.read(|log_state| {
+            records.push(records::meta(format, shard, &self.meta(log_state)));
+            if let Some(snapshot) = log_state.snapshot.as_ref().filter(|_| changes.snapshot) {
+                format = format.max(snapshot.format());
+                records.push(records::snapshot(shard, snapshot));
+            }
+            let (compacted, end) = (log_state.compacted, log_state.end());
+            let from = changes.log_from.unwrap_or(end).max(compacted);
+            let entries = (compacted..end).zip(&log_state.log);
+            for (index, batch) in entries.skip(from - compacted) {
+                format = format.max(batch.tail.format());
+                records.push(records::entry(shard, index, batch));
+            }
+            let compacted_away = before.start..compacted.min(before.end);
+            let cut_off = end.max(before.start)..before.end;
+            let gone = compacted_away.chain(cut_off);
+            records.extend(gone.map(|index| records::no_entry(shard, index)));
+            compacted..end
+        });
+        format
+    }
+
+    /// What is saved beside the log and the snapshot.
+    fn meta(&self, log_state: &LogState<Batch>) -> Meta {
+        Meta {
+            config: self.config,
+            members: self.members.clone(),
+            is_member: true,
+            promise: log_state.promise,
+            accepted_round: log_state.accepted_round,
+            decided: log_state.decided,
+            compacted: log_state.compacted,
+            end: log_state.end(),
+        }
+    }
+
+    /// Adds records that remove its log from what is saved.
+    pub fn remove_saved_log(&self, records: &mut Vec<Record>) {
+        let saved = self.saved.clone();
+        records.extend(saved.map(|index| records::no_entry(self.shard, index)));
+    }
+}
--- a/crates/ledger/src/requests.rs
+++ b/crates/ledger/src/requests.rs
@@ -5,7 +5,7 @@
 use crate::ledger::Ledger;
 use crate::long_message::Pace;
 use crate::messages::LedgerMessage;
-use crate::replica::{size, Replica};
+use crate::replica::Replica;
 use crate::{shard_of, Act, Ask, Done, FrontId, Moment, Outcome, Owner};
 
 const LONGEST_NAME: usize = 1_024; // bytes of a key's name
@@ -135,7 +135,7 @@
     pub(crate) fn receive_ask(&mut self, at: Moment, from: FrontId, shard: u16, command: Command) {
         let fits =
             command.owner.front == from && shard_of(&command.key, self.setup.shards) == shard;
-        if !fits || size(&command) > LONGEST_NAME + LONGEST_VALUE {
+        if !fits || command.size() > LONGEST_NAME + LONGEST_VALUE {
             return self.refuse("another's ask");
         }
         let (incarnation, number) = (command.owner.incarnation, command.number);
--- a/crates/ledger/src/rounds.rs
+++ b/crates/ledger/src/rounds.rs
@@ -1,9 +1,12 @@
 //! Takes in what the log of a shard has decided, and answers what was asked.
 
+use crate::batch::CommandId;
+use crate::formats::KEY_QUEUE_FORMAT;
 use crate::ledger::Ledger;
 use crate::long_message::Pace;
 use crate::messages::LedgerMessage;
-use crate::{Done, Moment, Outcome, Owner};
+use crate::replica::{DecidedCommand, MemberMessage};
+use crate::{Done, Micros, Moment, Outcome};
 
 impl Ledger {
     /// Takes in what a shard's log has decided, answers the asks, and sends the log's messages.
@@ -17,71 +20,94 @@
         };
         replica.format = self.format;
         let settled = replica.settle(at.steady, wall_ms);
-        for (command, outcome) in &settled.answers {
+        for DecidedCommand { command, outcome } in &settled.answers {
             let front = command.owner.front;
-            if front == self.own.front
-                || self.transport.common_format(front) >= crate::formats::KEY_QUEUE_FORMAT
-            {
+            let learns_of_free_keys =
+                front == self.own.front || self.transport.common_format(front) >= KEY_QUEUE_FORMAT;
+            if learns_of_free_keys {
                 replica.key_queues.record(at.steady, command, outcome);
             }
         }
         let freed = replica.freed_keys(at.steady, wall_ms);
-        view.leader_since = if replica.is_leader() {
-            view.leader_since.or(Some(at.steady))
-        } else {
-            None
-        };
-        if view.leader_since.is_none() {
-            view.repair = None;
-        }
-        let messages = replica.messages();
+        let messages = replica.take_messages();
+        self.update_leadership(at.steady, shard);
         self.counters.rounds += settled.rounds;
-        for (to, message) in messages {
-            // What would overtake a long one counts as lost instead: it is sent again once that has come.
-            let ordered = matches!(message, LedgerMessage::Log { number, .. } if number > 0);
-            if !ordered || !self.transport.is_busy(to, Pace::Log(shard)) {
-                self.transport.send(
-                    at,
-                    to,
-                    &message,
-                    if ordered {
-                        Pace::Log(shard)
-                    } else {
-                        Pace::Fast
-                    },
-                );
-            }
+        for message in messages {
+            self.send_to_member(at, shard, &message);
         }
-        for (command, outcome) in settled.answers {
-            let (owner, number) = (command.owner, command.number);
-            if owner.front != self.own.front {
-                let message = LedgerMessage::Reply {
-                    incarnation: owner.incarnation,
-                    number,
-                    outcome,
-                };
-                self.transport.send(at, owner.front, &message, Pace::Fast);
-            } else if owner.incarnation == self.setup.incarnation {
-                self.record_answer(None, number, outcome);
-            }
+        for answer in settled.answers {
+            self.answer(at, answer);
         }
-        for (owner, number) in freed {
-            if owner.front == self.own.front {
-                self.key_is_free(owner, number);
-            } else {
-                let message = LedgerMessage::KeyFree {
-                    incarnation: owner.incarnation,
-                    number,
-                };
-                self.transport.send(at, owner.front, &message, Pace::Fast);
-            }
+        for command in freed {
+            self.announce_free_key(at, command);
         }
         self.answer_hashes(at, shard);
         self.adopt_next_members(at, shard);
     }
 
+    /// Keeps since when this front leads the shard; one that does not lead it changes no members.
+    fn update_leadership(&mut self, now: Micros, shard: u16) {
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+            return;
+        };
+        let is_leader = view
+            .replica
+            .as_ref()
+            .is_some_and(|replica| replica.is_leader());
+        if is_leader {
+            view.leader_since = view.leader_since.or(Some(now));
+        } else {
+            view.leader_since = None;
+            view.repair = None;
+        }
+    }
+
+    /// Sends a message of a shard's log. What would overtake a long one counts as lost instead: it is sent again once that
+    /// has come.
+    fn send_to_member(&mut self, at: Moment, shard: u16, message: &MemberMessage) {
+        let pace = if message.is_ordered {
+            Pace::Log(shard)
+        } else {
+            Pace::Fast
+        };
+        if message.is_ordered && self.transport.is_busy(message.to, pace) {
+            return;
+        }
+        self.transport.send(at, message.to, &message.message, pace);
+    }
+
+    /// Answers an ask of this front or of another one.
+    fn answer(&mut self, at: Moment, answer: DecidedCommand) {
+        let DecidedCommand { command, outcome } = answer;
+        let CommandId { owner, number } = command.id();
+        if owner.front != self.own.front {
+            let message = LedgerMessage::Reply {
+                incarnation: owner.incarnation,
+                number,
+                outcome,
+            };
+            self.transport.send(at, owner.front, &message, Pace::Fast);
+        } else if owner.incarnation == self.setup.incarnation {
+            self.record_answer(None, number, outcome);
+        }
+    }
+
+    /// Tells the first front in a key's queue that the key is free.
+    fn announce_free_key(&mut self, at: Moment, command: CommandId) {
+        let CommandId { owner, number } = command;
+        if owner.front == self.own.front {
+            return self.key_is_free(command);
+        }
+        let message = LedgerMessage::KeyFree {
+            incarnation: owner.incarnation,
+            number,
+        };
+        self.transport.send(at, owner.front, &message, Pace::Fast);
+    }
+
     /// A key that this front asked for is free, and this front is the first in its queue.
-    pub(crate) fn key_is_free(&mut self, owner: Owner, number: u64) {
+    pub(crate) fn key_is_free(&mut self, command: CommandId) {
+        let CommandId { owner, number } = command;
         if owner.incarnation == self.setup.incarnation && !self.asks.is_waiting(number) {
             self.done.push(Done {
                 number,
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -5,16 +5,22 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::batch::{Batch, Command};
+use crate::batch::{Batch, Command, CommandId};
 use crate::encoding::encode;
 use crate::members::ReplicaId;
 use crate::stored_answers::{StoredAnswer, StoredOutcome};
 use crate::tail::Tail;
-use crate::{Act, Entry, Key, Outcome, Owner, Setup, REMEMBERED_MS};
+use crate::{Act, Entry, Key, Outcome, Setup, REMEMBERED_MS};
 
 const ENTRY_OVERHEAD: usize = 64; // bytes that an entry counts beside its name and value
 const MAX_ANSWERS: usize = 8_192; // answers remembered: some 30 bytes each in a snapshot
 
+/// An entry's key, and the entry as bytes.
+pub(crate) struct EncodedEntry<'a> {
+    pub key: &'a Key,
+    pub bytes: Vec<u8>,
+}
+
 /// What a shard may hold, and how long it keeps what has ended: part of the state, so that all replicas go by the same.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Limits {
@@ -40,10 +46,9 @@
     now_ms: u64,
     /// The version given last, of any key.
     last: u64,
-    /// Each with the number of the ask that set it.
-    entries: BTreeMap<Key, (Entry, u64)>,
+    entries: BTreeMap<Key, StoredEntry>,
     bytes: usize,
-    answers: BTreeMap<(Owner, u64), StoredAnswer>,
+    answers: BTreeMap<CommandId, StoredAnswer>,
     /// The members of the next configuration, once they are decided, behind the latest format of the batches.
     tail: Tail,
     /// What ends and is forgotten when; rebuilt from the rest where it is missing.
@@ -51,10 +56,72 @@
     index: Option<Index>,
 }
 
+/// An entry, and the number of the ask that set it.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+struct StoredEntry {
+    entry: Entry,
+    number: u64,
+}
+
+/// Entries and answers in the order in which they are removed.
 #[derive(Clone, Debug, Default)]
 struct Index {
-    ends: BTreeSet<(u64, Key)>,
-    forgotten: BTreeSet<(u64, Owner, u64)>,
+    ends: BTreeSet<EntryEnd>,
+    forgotten: BTreeSet<AnswerEnd>,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct EntryEnd {
+    ends_ms: u64,
+    key: Key,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct AnswerEnd {
+    asked_ms: u64,
+    id: CommandId,
+}
+
+/// A command carried out: its outcome, and what is remembered of that.
+struct CarriedOut {
+    outcome: Outcome,
+    stored: StoredOutcome,
+}
+
+impl CarriedOut {
+    fn absent() -> CarriedOut {
+        CarriedOut {
+            outcome: Outcome::Absent,
+            stored: StoredOutcome::Absent,
+        }
+    }
+
+    fn stands(entry: Entry) -> CarriedOut {
+        CarriedOut {
+            stored: StoredOutcome::Stands {
+                version: entry.version,
+            },
+            outcome: Outcome::Stands(entry),
+        }
+    }
+
+    fn held(entry: Entry) -> CarriedOut {
+        CarriedOut {
+            stored: StoredOutcome::Held {
+                owner: entry.owner,
+                version: entry.version,
+                ends_ms: entry.ends_ms,
+            },
+            outcome: Outcome::Held(entry),
+        }
+    }
+
+    fn full() -> CarriedOut {
+        CarriedOut {
+            outcome: Outcome::Full,
+            stored: StoredOutcome::Full,
+        }
+    }
 }
 
 impl State {
@@ -73,9 +140,16 @@
         self.bytes
     }
 
-    /// Each entry, and all else that replicas agree on, as bytes: for their comparison.
-    pub fn parts(&self) -> (impl Iterator<Item = (&Key, Vec<u8>)>, Vec<u8>) {
-        let entries = self.entries.iter().map(|(key, entry)| (key, encode(entry)));
+    /// Each entry as bytes, for the comparison of replicas.
+    pub fn encoded_entries(&self) -> impl Iterator<Item = EncodedEntry<'_>> {
+        self.entries.iter().map(|(key, stored)| EncodedEntry {
+            key,
+            bytes: encode(stored),
+        })
+    }
+
+    /// All that replicas agree on beside the entries, as bytes.
+    pub fn encoded_rest(&self) -> Vec<u8> {
         let State {
             limits,
             now_ms,
@@ -85,15 +159,12 @@
             tail,
             ..
         } = self;
-        (
-            entries,
-            encode(&(limits, now_ms, last, bytes, answers, tail)),
-        )
+        encode(&(limits, now_ms, last, bytes, answers, tail))
     }
 
     /// The entry of a key.
     fn of(&self, key: &Key) -> Option<&Entry> {
-        self.entries.get(key).map(|(entry, _)| entry)
+        self.entries.get(key).map(|stored| &stored.entry)
     }
 
     /// Whether nobody has it any more, at that time.
@@ -145,7 +216,7 @@
                 .cloned()
                 .map_or(Outcome::Absent, Outcome::Stands);
         }
-        let id = (command.owner, command.number);
+        let id = command.id();
         if let Some(before) = self.answers.get(&id) {
             return command.repeat_answer(&before.stored, self.of(&command.key));
         }
@@ -154,78 +225,55 @@
         if age >= REMEMBERED_MS || self.answers.len() >= MAX_ANSWERS {
             return Outcome::Unreachable;
         }
-        let (outcome, stored) = self.act(command);
-        self.answers.insert(
-            id,
-            StoredAnswer {
-                asked_ms: command.asked_ms,
-                stored,
-            },
-        );
-        self.index()
-            .forgotten
-            .insert((command.asked_ms, command.owner, command.number));
+        let CarriedOut { outcome, stored } = self.carry_out(command);
+        let asked_ms = command.asked_ms;
+        self.answers.insert(id, StoredAnswer { asked_ms, stored });
+        self.index().forgotten.insert(AnswerEnd { asked_ms, id });
         outcome
     }
 
-    /// Carries a command out; its outcome, and what is remembered of that.
-    fn act(&mut self, command: &Command) -> (Outcome, StoredOutcome) {
+    /// Carries out a command that changes entries and has not been answered before.
+    fn carry_out(&mut self, command: &Command) -> CarriedOut {
         let current = self.of(&command.key).cloned();
-        let mine = current
+        let own = current
             .as_ref()
             .is_none_or(|entry| entry.owner == command.owner);
-        // An ask that comes late undoes nothing that the same front asked for after it.
-        let late = mine
-            && self
-                .entries
-                .get(&command.key)
-                .is_some_and(|(_, number)| *number > command.number);
-        match (&command.act, &current) {
-            (Act::Claim { .. }, Some(entry)) if late => {
-                return (
-                    Outcome::Stands(entry.clone()),
-                    StoredOutcome::Stands {
-                        version: entry.version,
-                    },
-                );
-            }
-            (Act::Free, _) if late => return (Outcome::Absent, StoredOutcome::Absent),
-            _ => {}
-        }
-        let (ends_ms, value, fits) = match &command.act {
-            Act::Claim { ends_ms, value } => (*ends_ms, value, mine),
+        match &command.act {
+            Act::Claim { ends_ms, value } => match current {
+                Some(entry) if own && self.is_late(command) => CarriedOut::stands(entry),
+                Some(entry) if !own => CarriedOut::held(entry),
+                current => self.write(command, current, *ends_ms, value),
+            },
             Act::Put {
                 expects,
                 ends_ms,
                 value,
             } => {
                 let version = current.as_ref().map_or(0, |entry| entry.version);
-                (
-                    *ends_ms,
-                    value,
-                    expects.is_none_or(|expected| expected == version),
-                )
-            }
-            Act::Free | Act::Read if mine => {
-                self.remove(&command.key);
-                return (Outcome::Absent, StoredOutcome::Absent);
-            }
-            Act::Free | Act::Read => (0, &Vec::new(), false),
-        };
-        match current {
-            Some(entry) if !fits => {
-                let stored = StoredOutcome::Held {
-                    owner: entry.owner,
-                    version: entry.version,
-                    ends_ms: entry.ends_ms,
-                };
-                (Outcome::Held(entry), stored)
+                if expects.is_none_or(|expected| expected == version) {
+                    return self.write(command, current, *ends_ms, value);
+                }
+                current.map_or_else(CarriedOut::absent, CarriedOut::held)
             }
-            None if !fits => (Outcome::Absent, StoredOutcome::Absent),
-            current => self.write(command, current, ends_ms, value),
+            Act::Free | Act::Read => match current {
+                Some(entry) if !own => CarriedOut::held(entry),
+                _ => {
+                    if !self.is_late(command) {
+                        self.remove(&command.key);
+                    }
+                    CarriedOut::absent()
+                }
+            },
         }
     }
 
+    /// Whether the same front has set the entry by a later ask: one that comes late undoes nothing.
+    fn is_late(&self, command: &Command) -> bool {
+        self.entries
+            .get(&command.key)
+            .is_some_and(|stored| stored.number > command.number)
+    }
+
     /// Writes an entry in place of the current one, if the shard's limits allow it.
     fn write(
         &mut self,
@@ -233,7 +281,7 @@
         current: Option<Entry>,
         ends_ms: u64,
         value: &[u8],
-    ) -> (Outcome, StoredOutcome) {
+    ) -> CarriedOut {
         let size = |value: &[u8]| command.key.name.len() + value.len() + ENTRY_OVERHEAD;
         let before = current.as_ref().map_or(0, |entry| size(&entry.value));
         let more = usize::from(current.is_none());
@@ -241,7 +289,7 @@
         if self.entries.len() + more > self.limits.entries
             || grows && self.bytes - before + size(value) > self.limits.bytes
         {
-            return (Outcome::Full, StoredOutcome::Full);
+            return CarriedOut::full();
         }
         self.remove(&command.key);
         self.last += 1;
@@ -255,45 +303,42 @@
         };
         self.bytes += size(&entry.value);
         if ends_ms > 0 {
-            self.index().ends.insert((ends_ms, entry.key.clone()));
+            let key = entry.key.clone();
+            self.index().ends.insert(EntryEnd { ends_ms, key });
         }
-        self.entries
-            .insert(entry.key.clone(), (entry.clone(), command.number));
-        (
-            Outcome::Stands(entry),
-            StoredOutcome::Stands { version: self.last },
-        )
+        let stored = StoredEntry {
+            entry: entry.clone(),
+            number: command.number,
+        };
+        self.entries.insert(entry.key.clone(), stored);
+        CarriedOut::stands(entry)
     }
 
     fn remove(&mut self, key: &Key) {
-        if let Some((entry, _)) = self.entries.remove(key) {
+        if let Some(StoredEntry { entry, .. }) = self.entries.remove(key) {
             self.bytes -= (key.name.len() + entry.value.len() + ENTRY_OVERHEAD).min(self.bytes);
-            self.index().ends.remove(&(entry.ends_ms, entry.key));
+            self.index().ends.remove(&EntryEnd {
+                ends_ms: entry.ends_ms,
+                key: entry.key,
+            });
         }
     }
 
     /// Removes what has ended on every front's clock, and forgets answers that nobody can ask for any more.
     fn expire(&mut self) {
         let (now, skew) = (self.now_ms, self.limits.clock_skew_ms);
-        while let Some((_, key)) = self
-            .index()
-            .ends
-            .first()
-            .filter(|(ends, _)| ends.saturating_add(skew) <= now)
-            .cloned()
-        {
-            self.remove(&key);
+        while let Some(first) = self.index().ends.first().cloned() {
+            if first.ends_ms.saturating_add(skew) > now {
+                break;
+            }
+            self.remove(&first.key);
         }
-        while let Some(first) = self
-            .index()
-            .forgotten
-            .first()
-            .filter(|(asked, ..)| asked.saturating_add(REMEMBERED_MS) <= now)
-            .copied()
-        {
-            let (_, owner, number) = first;
+        while let Some(first) = self.index().forgotten.first().copied() {
+            if first.asked_ms.saturating_add(REMEMBERED_MS) > now {
+                break;
+            }
             self.index().forgotten.remove(&first);
-            self.answers.remove(&(owner, number));
+            self.answers.remove(&first.id);
         }
     }
 
@@ -307,12 +352,19 @@
         index.get_or_insert_with(|| Index {
             ends: entries
                 .values()
-                .filter(|(e, _)| e.ends_ms > 0)
-                .map(|(e, _)| (e.ends_ms, e.key.clone()))
+                .map(|stored| &stored.entry)
+                .filter(|entry| entry.ends_ms > 0)
+                .map(|entry| EntryEnd {
+                    ends_ms: entry.ends_ms,
+                    key: entry.key.clone(),
+                })
                 .collect(),
             forgotten: answers
                 .iter()
-                .map(|((owner, n), stored)| (stored.asked_ms, *owner, *n))
+                .map(|(id, answer)| AnswerEnd {
+                    asked_ms: answer.asked_ms,
+                    id: *id,
+                })
                 .collect(),
         })
     }
--- a/crates/ledger/src/state_tests.rs
+++ b/crates/ledger/src/state_tests.rs
@@ -2,7 +2,7 @@
 use omnipaxos::storage::Snapshot;
 
 use crate::snapshot::LogSnapshot;
-use crate::{FrontId, Kind};
+use crate::{FrontId, Kind, Owner};
 
 const LIMITS: Limits = Limits {
     entries: 4,
