--- a/crates/postgres/src/engine.rs
+++ b/crates/postgres/src/engine.rs
@@ -13,24 +13,10 @@
 
 use crate::client_error::ClientError;
 use crate::prepared::SessionSettings;
-use crate::session::UnitPart;
+pub use crate::unit::UnitOutcome;
+use crate::unit::UnitPart;
 use crate::wire::{self, CancelKey};
 
-/// How a unit ended.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct UnitOutcome {
-    /// The transaction status in the protocol's letters: `I` idle, `T` in a transaction, `E` in a failed one.
-    pub status: u8,
-    /// The SQLSTATE of the error that it ended with, if it did.
-    pub error: Option<String>,
-    /// The error is the engine's fault, not the statement's.
-    pub fault: bool,
-    /// A transaction ended without effect.
-    pub rolled_back: bool,
-    /// How many of its statements were parsed before the error.
-    pub parsed: usize,
-}
-
 /// What an engine's messages mean, beyond what goes on to the client.
 #[derive(Debug, PartialEq, Eq)]
 pub enum EngineEvent {
--- a/crates/postgres/src/engine/receiving.rs
+++ b/crates/postgres/src/engine/receiving.rs
@@ -3,8 +3,9 @@
 use postgres_protocol::authentication::md5_hash;
 use postgres_protocol::authentication::sasl::{ChannelBinding, ScramSha256};
 
-use super::{EngineConnection, EngineEvent, Expected, Stage, UnitOutcome};
+use super::{EngineConnection, EngineEvent, Expected, Stage};
 use crate::client_error::is_engine_fault;
+use crate::unit::UnitOutcome;
 use crate::wire::{self, CancelKey, Header};
 use crate::ProtocolError;
 
--- a/crates/postgres/src/engine/sending.rs
+++ b/crates/postgres/src/engine/sending.rs
@@ -4,7 +4,7 @@
 
 use super::{name, EngineConnection, Expected, Stage};
 use crate::prepared::{Prepared, SessionSettings};
-use crate::session::{Operation, UnitPart};
+use crate::unit::{Operation, UnitPart};
 use crate::wire;
 
 impl EngineConnection {
--- a/crates/postgres/src/lib.rs
+++ b/crates/postgres/src/lib.rs
@@ -17,6 +17,7 @@
 pub mod session;
 pub mod sql;
 pub mod startup;
+mod unit;
 pub mod wire;
 
 pub use protocol_error::ProtocolError;
--- a/crates/postgres/src/session.rs
+++ b/crates/postgres/src/session.rs
@@ -5,15 +5,12 @@
 mod reading;
 
 use std::collections::{HashMap, HashSet};
-use std::ops::Range;
 use std::rc::Rc;
 
-use self::answering::quoted;
-use crate::client_error::ClientError;
 use crate::prepared::{Catalogue, Prepared, SessionSettings};
-use crate::sql::{self, Change, Label, LocalCommand, Scan};
+use crate::sql::{self, quoted_identifier, Change, Label};
 use crate::startup::Client;
-use crate::wire;
+pub use crate::unit::{Operation, UnitPart};
 
 /// What a session may hold.
 #[derive(Clone, Copy, Debug)]
@@ -58,138 +55,6 @@
     }
 }
 
-/// One operation of a unit; ranges are those of the part's bytes. `named` tells whether the prepared
-/// statement has a name in the session.
-#[derive(Debug)]
-pub enum Operation {
-    /// Prepares a statement.
-    Parse {
-        /// The statement.
-        prepared: Rc<Prepared>,
-        /// See above.
-        named: bool,
-    },
-    /// Opens a portal on a prepared statement.
-    Bind {
-        /// The statement.
-        prepared: Rc<Prepared>,
-        /// See above.
-        named: bool,
-        /// The portal's name.
-        portal: Range<usize>,
-        /// The formats and values of its parameters.
-        rest: Range<usize>,
-    },
-    /// Describes a prepared statement.
-    Describe {
-        /// The statement.
-        prepared: Rc<Prepared>,
-        /// See above.
-        named: bool,
-    },
-    /// Describes a portal: a whole message that goes on as it is.
-    DescribePortal(Range<usize>),
-    /// Executes a portal: a whole message that goes on as it is.
-    Execute(Range<usize>),
-    /// Closes a portal: a whole message that goes on as it is.
-    ClosePortal(Range<usize>),
-    /// Closes a statement. Engines keep statements for all sessions, so it is only answered.
-    CloseStatement,
-    /// Is answered with this error, and the engine's transaction fails with it.
-    Fail(ClientError),
-    /// A simple query: a whole message that goes on as it is.
-    Query(Range<usize>),
-    /// Asks for the answers so far.
-    Flush,
-    /// Ends the unit.
-    Sync,
-}
-
-/// A unit, or as much of one as came before a Flush.
-#[derive(Debug, Default)]
-pub struct UnitPart {
-    /// Its operations, in order.
-    pub ops: Vec<Operation>,
-    /// The client's bytes.
-    pub raw: Vec<u8>,
-    /// Whether the unit ends with it.
-    pub ends: bool,
-    /// The labels in its texts.
-    pub label: Label,
-    /// Whether it begins a transaction.
-    pub begins: bool,
-    /// Whether it commits one.
-    pub commits: bool,
-    /// Whether it rolls one back.
-    pub rolls_back: bool,
-    /// Changes of the session's settings.
-    pub changes: Vec<Change>,
-    /// The first text that runs: a range of the bytes, or what was prepared.
-    query: Option<Range<usize>>,
-    first: Option<Rc<Prepared>>,
-    /// Names of what it parses, in order, and whether it can be answered here.
-    named: Vec<Vec<u8>>,
-    local: bool,
-    local_commands: Vec<LocalCommand>,
-}
-
-impl UnitPart {
-    /// The first text that it runs.
-    pub fn text(&self) -> &[u8] {
-        let query = self.query.clone().and_then(|at| self.raw.get(at));
-        query
-            .or(self.first.as_ref().map(|p| p.text()))
-            .unwrap_or_default()
-    }
-
-    /// All texts that it runs or could: its own, and those of what it has prepared.
-    pub fn texts(&self) -> impl Iterator<Item = &[u8]> {
-        let query = self.query.clone().and_then(|at| self.raw.get(at));
-        let prepared = self.ops.iter().filter_map(|op| match op {
-            Operation::Parse { prepared, .. }
-            | Operation::Bind { prepared, .. }
-            | Operation::Describe { prepared, .. } => Some(prepared.text()),
-            _ => None,
-        });
-        query.into_iter().chain(prepared)
-    }
-
-    /// Its text where it is a simple query.
-    pub fn simple(&self) -> Option<&[u8]> {
-        matches!(self.ops[..], [Operation::Query(_)]).then(|| self.text())
-    }
-
-    /// The same with other text, where it is a simple query.
-    pub fn with_text(&self, text: &[u8]) -> Option<UnitPart> {
-        self.simple()?;
-        let mut raw = Vec::new();
-        wire::write(&mut raw, b'Q', |out| wire::write_string(out, text));
-        let query = raw.len() - 1 - text.len()..raw.len() - 1;
-        Some(UnitPart {
-            ops: vec![Operation::Query(0..raw.len())],
-            raw,
-            ends: self.ends,
-            label: self.label.clone(),
-            begins: self.begins,
-            commits: self.commits,
-            rolls_back: self.rolls_back,
-            changes: self.changes.clone(),
-            query: Some(query),
-            local_commands: self.local_commands.clone(),
-            ..UnitPart::default()
-        })
-    }
-
-    fn runs(&mut self, scan: &Scan) {
-        self.label = self.label.overridden_by(&scan.label);
-        self.begins |= scan.begins;
-        self.commits |= scan.commits;
-        self.rolls_back |= scan.rolls_back;
-        self.changes.extend(scan.changes.iter().cloned());
-        self.local_commands.extend(scan.local_command.clone());
-    }
-}
-
 /// What a client's input holds.
 pub enum SessionEvent {
     /// More has to come.
@@ -236,8 +101,11 @@
             match name.strip_prefix("hallmux.") {
                 Some(name) => _ = label.set(name, value),
                 None => {
-                    let statement =
-                        format!("SET {} TO '{}'", quoted(name), value.replace('\'', "''"));
+                    let statement = format!(
+                        "SET {} TO '{}'",
+                        quoted_identifier(name),
+                        value.replace('\'', "''")
+                    );
                     settings.0.insert(name.clone(), statement);
                 }
             }
@@ -272,16 +140,3 @@
         self.in_unit
     }
 }
-
-impl UnitPart {
-    /// Statements parsed before the first step that fails.
-    fn done_before_fault(&self) -> usize {
-        let before = self
-            .ops
-            .iter()
-            .take_while(|op| !matches!(op, Operation::Fail(_)));
-        before
-            .filter(|op| matches!(op, Operation::Parse { .. }))
-            .count()
-    }
-}
--- a/crates/postgres/src/session/answering.rs
+++ b/crates/postgres/src/session/answering.rs
@@ -2,12 +2,11 @@
 
 use std::rc::Rc;
 
-use super::reading::ends;
-use super::{Bounds, Operation, Session, Transaction, UnitPart};
+use super::{Bounds, Session, Transaction};
 use crate::client_error::ClientError;
-use crate::engine::UnitOutcome;
 use crate::prepared::{Catalogue, SessionSettings};
 use crate::sql::{self, LocalCommand, Scan};
+use crate::unit::{Operation, UnitOutcome, UnitPart};
 use crate::wire;
 
 impl Session {
@@ -47,7 +46,7 @@
                 Operation::Parse { prepared, .. }
                 | Operation::Bind { prepared, .. }
                 | Operation::Describe { prepared, .. }
-                    if lost && !ends(&prepared.scan) =>
+                    if lost && !prepared.scan.only_ends_transaction() =>
                 {
                     self.aborted().write(out, false);
                     failed = true;
@@ -80,7 +79,7 @@
             out.extend_from_slice(step);
         }
         if failed && !query {
-            self.forget_unparsed(std::slice::from_ref(part), part.done_before_fault());
+            self.forget_unparsed(std::slice::from_ref(part), part.parsed_before_failure());
         }
         wire::write_ready(out, self.transaction.status());
         true
@@ -99,15 +98,15 @@
         if self.transaction == Transaction::Lost {
             // Guards against a commit that seems to have come to pass, of a client that knows of no failure.
             let unreported_loss = self.unreported_loss.take().filter(|_| !scan.rolls_back);
-            if ends(scan) {
+            if scan.only_ends_transaction() {
                 self.transaction = Transaction::None;
             }
             match unreported_loss {
                 Some(why) => ClientError::RolledBack { why }.write(out, false),
-                None if ends(scan) => wire::write_complete(out, "ROLLBACK"),
+                None if scan.only_ends_transaction() => wire::write_complete(out, "ROLLBACK"),
                 None => ClientError::InFailedTransaction.write(out, false),
             }
-            return unreported_loss.is_none() && ends(scan);
+            return unreported_loss.is_none() && scan.only_ends_transaction();
         }
         let Some(command) = &scan.local_command else {
             return true;
@@ -226,11 +225,3 @@
         named.iter().for_each(|name| self.forget(name));
     }
 }
-
-pub(super) fn quoted(name: &str) -> String {
-    let plain = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '.';
-    match name.chars().all(plain) {
-        true => name.to_string(),
-        false => format!("\"{}\"", name.replace('"', "\"\"")),
-    }
-}
--- a/crates/postgres/src/session/reading.rs
+++ b/crates/postgres/src/session/reading.rs
@@ -4,10 +4,11 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-use super::{Bounds, Operation, Session, SessionEvent, UnitPart};
+use super::{Bounds, Session, SessionEvent};
 use crate::client_error::ClientError;
 use crate::prepared::{Catalogue, Prepared};
-use crate::sql::{self, LocalCommand, Scan};
+use crate::sql::{self, LocalCommand};
+use crate::unit::{Operation, UnitPart};
 use crate::wire::{self, ClientMessage, Header, Message};
 use crate::ProtocolError;
 
@@ -41,13 +42,13 @@
         }
         self.part.local = scan.unsupported.is_some() || scan.local_command.is_some();
         self.part.query = Some(self.range(text));
-        self.part.runs(&scan);
+        self.part.add_scan(&scan);
         self.part.ends = true;
     }
 
     fn bind(&mut self, prepared: Rc<Prepared>, portal: &[u8], statement: &[u8], rest: &[u8]) {
         self.part.local &= prepared.scan.local_command.is_some();
-        self.part.runs(&prepared.scan);
+        self.part.add_scan(&prepared.scan);
         self.part.first = Some(prepared.clone());
         self.bound.insert(portal.to_vec());
         let (portal, rest) = (self.range(portal), self.range(rest));
@@ -335,8 +336,3 @@
         name: String::from_utf8_lossy(name).into(),
     })
 }
-
-/// It does nothing but end a transaction.
-pub(super) fn ends(scan: &Scan) -> bool {
-    scan.statements == 1 && (scan.commits || scan.rolls_back)
-}
--- a/crates/postgres/src/sql.rs
+++ b/crates/postgres/src/sql.rs
@@ -1,126 +1,17 @@
 //! SQL read as far as a front must: where statements begin, what they change of a session, what can't be done
 //! over shared connections, and the labels in a leading comment. What it does not understand, passes.
 
+mod findings;
 mod labels;
 mod settings;
 mod tokens;
 
+pub use self::findings::{Change, LocalCommand, Scan};
 use self::labels::label;
-pub use self::labels::time;
+pub use self::labels::{time, Label};
 use self::settings::setting;
 use self::tokens::{Kind, Token, Tokens};
 
-/// What a statement is for the front, as far as it was told; empty where it was not.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Label {
-    /// The workload's name.
-    pub workload: Option<String>,
-    /// The customer's name.
-    pub customer: Option<String>,
-    /// The order key: statements with equal ones run one after the other.
-    pub key: Option<String>,
-    /// Statements with equal ones take effect once.
-    pub dedup_key: Option<String>,
-    /// The client's estimate of the work, in milliseconds on one core.
-    pub work_ms: Option<String>,
-    /// The client's estimate of the memory, in MB.
-    pub memory_mb: Option<String>,
-    /// The time that it may take, in the form of the setting of that name.
-    pub statement_timeout: Option<String>,
-}
-
-impl Label {
-    /// Takes one field by its name behind `hallmux.`; an empty value takes it back. False if there is none
-    /// such.
-    pub fn set(&mut self, name: &str, value: &str) -> bool {
-        let place = match name {
-            "workload" => &mut self.workload,
-            "member" => &mut self.customer,
-            "key" => &mut self.key,
-            "dedup_key" => &mut self.dedup_key,
-            "work_ms" => &mut self.work_ms,
-            "memory_mb" => &mut self.memory_mb,
-            "statement_timeout" => &mut self.statement_timeout,
-            _ => return false,
-        };
-        *place = (!value.is_empty()).then(|| value.to_string());
-        true
-    }
-
-    /// What is set in `other` goes before what is set here.
-    pub fn overridden_by(&self, other: &Label) -> Label {
-        let either = |a: &Option<String>, b: &Option<String>| b.clone().or_else(|| a.clone());
-        Label {
-            workload: either(&self.workload, &other.workload),
-            customer: either(&self.customer, &other.customer),
-            key: either(&self.key, &other.key),
-            dedup_key: either(&self.dedup_key, &other.dedup_key),
-            work_ms: either(&self.work_ms, &other.work_ms),
-            memory_mb: either(&self.memory_mb, &other.memory_mb),
-            statement_timeout: either(&self.statement_timeout, &other.statement_timeout),
-        }
-    }
-}
-
-/// A change of the session's settings.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
-    /// A setting gets a value.
-    Set {
-        /// Its name, in lower case.
-        name: String,
-        /// The statement that sets it again.
-        statement: String,
-    },
-    /// The setting of this name goes back to its default.
-    Reset(String),
-    /// All settings go back to their defaults.
-    ResetAll,
-}
-
-/// A statement that the front answers without an engine, where it is all that a text holds.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LocalCommand {
-    /// A label, its name behind `hallmux.` and its value.
-    Label(String, String),
-    /// Drops everything that the session has prepared.
-    Deallocate,
-    /// Drops that, and all settings.
-    Discard,
-}
-
-impl LocalCommand {
-    /// The tag of its completion.
-    pub fn tag(&self) -> &'static str {
-        match self {
-            LocalCommand::Label(..) => "SET",
-            LocalCommand::Deallocate => "DEALLOCATE ALL",
-            LocalCommand::Discard => "DISCARD ALL",
-        }
-    }
-}
-
-/// What a front has to know of a text.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Scan {
-    /// The labels in its leading comments.
-    pub label: Label,
-    /// How many statements it holds.
-    pub statements: usize,
-    /// Whether one begins a transaction.
-    pub begins: bool,
-    /// Whether one commits a transaction.
-    pub commits: bool,
-    /// Whether one rolls a transaction back.
-    pub rolls_back: bool,
-    /// Changes of the session's settings, in order.
-    pub changes: Vec<Change>,
-    /// The statement, where it is the only one and needs no engine.
-    pub local_command: Option<LocalCommand>,
-    /// What in it can't be done over shared connections.
-    pub unsupported: Option<&'static str>,
-}
-
 const HEAD: usize = 8; // tokens kept of a statement's beginning: enough for every form below
 
 /// Scans a text of one or more statements. Whatever it does not understand counts as harmless.
@@ -259,6 +150,16 @@
     }
 }
 
+/// A name as it stands in SQL text: in double quotes where it needs them.
+pub(crate) fn quoted_identifier(name: &str) -> String {
+    let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '.';
+    if name.chars().all(is_plain) {
+        name.to_string()
+    } else {
+        format!("\"{}\"", name.replace('"', "\"\""))
+    }
+}
+
 #[cfg(test)]
 #[path = "sql_tests.rs"]
 mod tests;
--- a/crates/postgres/src/sql/labels.rs
+++ b/crates/postgres/src/sql/labels.rs
@@ -1,8 +1,58 @@
 //! Labels in the comments that lead a statement, and the values that they and settings have.
 
-use super::Label;
+const MAX_LABEL_BYTES: usize = 4096; // bytes of leading comments that are looked at; labels take some hundred
 
-const LONGEST_LABEL: usize = 4096; // bytes of leading comments that are looked at; labels take some hundred
+/// What a statement is for the front, as far as it was told; empty where it was not.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Label {
+    /// The workload's name.
+    pub workload: Option<String>,
+    /// The customer's name.
+    pub customer: Option<String>,
+    /// The order key: statements with equal ones run one after the other.
+    pub key: Option<String>,
+    /// Statements with equal ones take effect once.
+    pub dedup_key: Option<String>,
+    /// The client's estimate of the work, in milliseconds on one core.
+    pub work_ms: Option<String>,
+    /// The client's estimate of the memory, in MB.
+    pub memory_mb: Option<String>,
+    /// The time that it may take, in the form of the setting of that name.
+    pub statement_timeout: Option<String>,
+}
+
+impl Label {
+    /// Takes one field by its name behind `hallmux.`; an empty value takes it back. False if there is none
+    /// such.
+    pub fn set(&mut self, name: &str, value: &str) -> bool {
+        let place = match name {
+            "workload" => &mut self.workload,
+            "member" => &mut self.customer,
+            "key" => &mut self.key,
+            "dedup_key" => &mut self.dedup_key,
+            "work_ms" => &mut self.work_ms,
+            "memory_mb" => &mut self.memory_mb,
+            "statement_timeout" => &mut self.statement_timeout,
+            _ => return false,
+        };
+        *place = (!value.is_empty()).then(|| value.to_string());
+        true
+    }
+
+    /// What is set in `other` goes before what is set here.
+    pub fn overridden_by(&self, other: &Label) -> Label {
+        let either = |a: &Option<String>, b: &Option<String>| b.clone().or_else(|| a.clone());
+        Label {
+            workload: either(&self.workload, &other.workload),
+            customer: either(&self.customer, &other.customer),
+            key: either(&self.key, &other.key),
+            dedup_key: either(&self.dedup_key, &other.dedup_key),
+            work_ms: either(&self.work_ms, &other.work_ms),
+            memory_mb: either(&self.memory_mb, &other.memory_mb),
+            statement_timeout: either(&self.statement_timeout, &other.statement_timeout),
+        }
+    }
+}
 
 /// The labels of the leading comments: `/*hallmux.workload='report',hallmux.key='k%201'*/`, as sqlcommenter
 /// writes them: values in quotes, their bytes in URL form. Names that are not known are others' labels.
@@ -10,7 +60,7 @@
     let mut label = Label::default();
     let mut rest = text.trim_ascii_start();
     while let Some(inner) = rest.strip_prefix(b"/*") {
-        let Some(end) = memchr::memmem::find(inner, b"*/").filter(|end| *end <= LONGEST_LABEL)
+        let Some(end) = memchr::memmem::find(inner, b"*/").filter(|end| *end <= MAX_LABEL_BYTES)
         else {
             break;
         };
--- a/crates/postgres/src/sql/settings.rs
+++ b/crates/postgres/src/sql/settings.rs
@@ -1,7 +1,7 @@
 //! Statements that change the settings of a session.
 
+use super::findings::{Change, LocalCommand, Scan};
 use super::tokens::{Kind, Token};
-use super::{Change, LocalCommand, Scan};
 
 /// The value as text, out of its quotes.
 fn plain(value: &[u8]) -> String {
