--- a/crates/postgres/src/engine.rs
+++ b/crates/postgres/src/engine.rs
@@ -2,6 +2,7 @@
 //! its answers belong to which step of a unit. What the front did of its own accord is never seen by a
 //! client.
 
+mod login;
 mod receiving;
 mod sending;
 
@@ -12,7 +13,7 @@
 use postgres_protocol::authentication::sasl::ScramSha256;
 
 use crate::client_error::ClientError;
-use crate::prepared::SessionSettings;
+use crate::prepared::{Prepared, SessionSettings};
 pub use crate::unit::UnitOutcome;
 use crate::unit::UnitPart;
 use crate::wire::{self, CancelKey};
@@ -54,15 +55,15 @@
 #[derive(PartialEq)]
 enum Stage {
     Login,
-    /// SessionSettings are being brought over; what waits for them.
-    Setting,
+    /// A session's settings are being brought over.
+    BringingSettings,
     Ready,
 }
 
 enum Expected {
-    /// Said by the front in the engine's place, as nothing was asked of it.
-    Make(&'static [u8]),
-    /// The number that the statement has, unless it has none there; hidden from the client or not.
+    /// The front gives this answer in the engine's place, as nothing was sent to it.
+    FrontAnswers(&'static [u8]),
+    /// `number` is the prepared statement's, None for the unnamed one. A hidden answer is not the client's.
     Parsed {
         number: Option<u64>,
         hidden: bool,
@@ -70,49 +71,72 @@
     Bound,
     Described,
     Executed,
-    /// Hidden where it is the front's own; the number comes back if the engine never got there.
+    /// `hidden` is the number of a statement that the front closed of its own accord; an engine that passes
+    /// over the Close still has it.
     Closed {
         hidden: Option<u64>,
     },
-    /// The engine's next error stands for this one.
+    /// The client gets this error in place of the engine's next one.
     Fail(ClientError),
     Query,
     Sync,
-    /// A Sync of the front's own, to hear whether anybody is there.
+    /// A Sync of the front's own, as a health check.
     Ping,
 }
 
+/// A part of a unit that waits until the settings of its session are confirmed.
+struct WaitingPart {
+    part: Rc<UnitPart>,
+    settings: Rc<SessionSettings>,
+}
+
 /// The state of a connection to an engine. It takes one unit at a time.
 pub struct EngineConnection {
     account: Account,
     stage: Stage,
+    /// A SCRAM login that goes on.
     exchange: Option<Box<ScramSha256>>,
     /// For requests to cancel, once the engine has sent it.
     pub key: Option<CancelKey>,
     /// Parameters that the engine reports of itself, by name, for the start-up of clients.
     pub parameters: Vec<(String, String)>,
     prepared: LruCache<u64, ()>,
+    /// How many statements may be prepared there.
     most_prepared: usize,
-    /// Asked for and not confirmed yet.
-    coming: HashSet<u64>,
+    /// Numbers of statements whose Parse was sent and is not confirmed yet.
+    unconfirmed: HashSet<u64>,
     /// The statement without a name that this unit has put there.
     unnamed: Option<u64>,
-    /// None where it is not known.
+    /// The settings that the connection has; None where they are not known.
     settings: Option<Rc<SessionSettings>>,
-    waits: Vec<(Rc<UnitPart>, Rc<SessionSettings>)>,
-    set_error: Option<Vec<u8>>,
-    expects: VecDeque<Expected>,
+    /// What was to be sent while settings are being brought over.
+    waiting_for_settings: Vec<WaitingPart>,
+    /// The engine's first error message while settings were being brought over.
+    settings_error: Option<Vec<u8>>,
+    /// The answers that are still to come, in order.
+    expected: VecDeque<Expected>,
     /// An error came: the engine passes over all up to the Sync.
     skipping: bool,
-    /// Bytes of the message that is going on which have yet to come.
-    passing: usize,
-    done: UnitOutcome,
+    /// Bytes still to come of a long message that is passed on in pieces.
+    remaining_bytes: usize,
+    /// What is known so far of how the unit ends.
+    outcome: UnitOutcome,
 }
 
-fn name(number: u64) -> String {
+/// The name that a prepared statement has at engines.
+fn statement_name(number: u64) -> String {
     format!("hm:{number}")
 }
 
+/// The name under which a unit finds a prepared statement; empty where it has none in its session.
+fn engine_name(prepared: &Prepared, named: bool) -> String {
+    if named {
+        statement_name(prepared.number)
+    } else {
+        String::new()
+    }
+}
+
 impl EngineConnection {
     /// Begins a login: writes the start-up to `out`. No more than `most_prepared` statements stay prepared
     /// there.
@@ -130,15 +154,15 @@
             parameters: Vec::new(),
             prepared: LruCache::unbounded(),
             most_prepared,
-            coming: HashSet::new(),
+            unconfirmed: HashSet::new(),
             unnamed: None,
             settings: Some(Rc::default()),
-            waits: Vec::new(),
-            set_error: None,
-            expects: VecDeque::new(),
+            waiting_for_settings: Vec::new(),
+            settings_error: None,
+            expected: VecDeque::new(),
             skipping: false,
-            passing: 0,
-            done: UnitOutcome::default(),
+            remaining_bytes: 0,
+            outcome: UnitOutcome::default(),
         }
     }
 
@@ -149,12 +173,12 @@
 
     /// Whether a session's settings are being brought over: what waits for them has not left.
     pub fn is_setting(&self) -> bool {
-        self.stage == Stage::Setting
+        self.stage == Stage::BringingSettings
     }
 
     /// Whether what was passed on so far ends with a whole message.
     pub fn is_between_messages(&self) -> bool {
-        self.passing == 0
+        self.remaining_bytes == 0
     }
 
     /// Whether the connection has a session's settings, so that nothing has to be set.
--- a/crates/postgres/src/session/answering.rs
+++ b/crates/postgres/src/session/answering.rs
@@ -4,11 +4,23 @@
 
 use super::{Bounds, Session, Transaction};
 use crate::client_error::ClientError;
-use crate::prepared::{Catalogue, SessionSettings};
+use crate::prepared::{Catalogue, Prepared, SessionSettings};
 use crate::sql::{self, LocalCommand, Scan};
 use crate::unit::{Operation, UnitOutcome, UnitPart};
 use crate::wire;
 
+/// A unit that the front answers by itself.
+struct LocalUnit<'a> {
+    part: &'a UnitPart,
+    /// The session's transaction was lost when the unit began.
+    transaction_was_lost: bool,
+    /// What the unit's last Bind was for.
+    bound: Option<Rc<Prepared>>,
+}
+
+/// An error was written to the client: the rest of the unit is passed over.
+struct UnitFailed;
+
 impl Session {
     /// Answers a unit that needs no engine, to `out`. False if it needs one; nothing is written then.
     pub fn answers(
@@ -17,74 +29,96 @@
         catalogue: &mut Catalogue,
         out: &mut Vec<u8>,
     ) -> bool {
-        let lost = self.transaction == Transaction::Lost;
-        let held = self.transaction.is_held();
-        // Guards against a transaction whose engine would not learn that it has failed.
-        let fails = part.ops.iter().any(|op| matches!(op, Operation::Fail(_)));
-        let discards = part.local_commands.contains(&LocalCommand::Discard);
-        if !part.ends || !lost && (!part.local || held && (fails || discards)) {
+        if !self.needs_no_engine(part) {
             return false;
         }
-        let mut bound = None;
+        let mut unit = LocalUnit {
+            part,
+            transaction_was_lost: self.transaction == Transaction::Lost,
+            bound: None,
+        };
+        let mut is_query = false;
         let mut failed = false;
-        let mut query = false;
-        for op in &part.ops {
-            let step: &[u8] = match op {
-                Operation::Sync | Operation::Flush => continue,
-                _ if failed => continue,
-                Operation::Fail(why) => {
-                    why.write(out, false);
-                    failed = true;
-                    continue;
-                }
-                Operation::Query(_) => {
-                    query = true;
-                    let scan = sql::scan(part.text());
-                    failed = !self.runs(&scan, catalogue, out);
-                    continue;
-                }
-                Operation::Parse { prepared, .. }
-                | Operation::Bind { prepared, .. }
-                | Operation::Describe { prepared, .. }
-                    if lost && !prepared.scan.only_ends_transaction() =>
-                {
-                    self.aborted().write(out, false);
-                    failed = true;
-                    continue;
-                }
-                Operation::Parse { .. } => wire::PARSE_COMPLETE,
-                Operation::Bind { prepared, .. } => {
-                    bound = Some(prepared.clone());
-                    wire::BIND_COMPLETE
-                }
-                Operation::Describe { .. } => {
-                    out.extend_from_slice(wire::NO_PARAMETERS);
-                    wire::NO_DATA
-                }
-                Operation::DescribePortal(_) => wire::NO_DATA,
-                Operation::Execute(_) => {
-                    match &bound {
-                        Some(prepared) => {
-                            failed = !self.runs(&prepared.clone().scan, catalogue, out)
-                        }
-                        None => {
-                            self.aborted().write(out, false);
-                            failed = true;
-                        }
-                    }
-                    continue;
-                }
-                Operation::ClosePortal(_) | Operation::CloseStatement => wire::CLOSE_COMPLETE,
-            };
-            out.extend_from_slice(step);
+        for operation in &part.ops {
+            is_query |= matches!(operation, Operation::Query(_));
+            let answered = self.answer_operation(operation, &mut unit, catalogue, out);
+            if answered.is_err() {
+                // As an engine does, the front passes over all up to the Sync.
+                failed = true;
+                break;
+            }
         }
-        if failed && !query {
+        if failed && !is_query {
             self.forget_unparsed(std::slice::from_ref(part), part.parsed_before_failure());
         }
         wire::write_ready(out, self.transaction.status());
         true
     }
 
+    fn needs_no_engine(&self, part: &UnitPart) -> bool {
+        if !part.ends {
+            return false;
+        }
+        if self.transaction == Transaction::Lost {
+            return true;
+        }
+        let fails = part.ops.iter().any(|op| matches!(op, Operation::Fail(_)));
+        let discards = part.local_commands.contains(&LocalCommand::Discard);
+        // Guards against a transaction whose engine would not learn that it has failed.
+        let concerns_transaction = self.transaction.is_held() && (fails || discards);
+        part.local && !concerns_transaction
+    }
+
+    /// Writes the front's own answer to one operation.
+    fn answer_operation(
+        &mut self,
+        operation: &Operation,
+        unit: &mut LocalUnit,
+        catalogue: &mut Catalogue,
+        out: &mut Vec<u8>,
+    ) -> Result<(), UnitFailed> {
+        match operation {
+            Operation::Sync | Operation::Flush => {}
+            Operation::Fail(why) => {
+                why.write(out, false);
+                return Err(UnitFailed);
+            }
+            Operation::Query(_) => {
+                let scan = sql::scan(unit.part.text());
+                return self.run_locally(&scan, catalogue, out);
+            }
+            Operation::Parse { prepared, .. }
+            | Operation::Bind { prepared, .. }
+            | Operation::Describe { prepared, .. }
+                if unit.transaction_was_lost && !prepared.scan.only_ends_transaction() =>
+            {
+                self.aborted().write(out, false);
+                return Err(UnitFailed);
+            }
+            Operation::Parse { .. } => out.extend_from_slice(wire::PARSE_COMPLETE),
+            Operation::Bind { prepared, .. } => {
+                unit.bound = Some(prepared.clone());
+                out.extend_from_slice(wire::BIND_COMPLETE);
+            }
+            Operation::Describe { .. } => {
+                out.extend_from_slice(wire::NO_PARAMETERS);
+                out.extend_from_slice(wire::NO_DATA);
+            }
+            Operation::DescribePortal(_) => out.extend_from_slice(wire::NO_DATA),
+            Operation::Execute(_) => match &unit.bound {
+                Some(prepared) => return self.run_locally(&prepared.scan, catalogue, out),
+                None => {
+                    self.aborted().write(out, false);
+                    return Err(UnitFailed);
+                }
+            },
+            Operation::ClosePortal(_) | Operation::CloseStatement => {
+                out.extend_from_slice(wire::CLOSE_COMPLETE);
+            }
+        }
+        Ok(())
+    }
+
     /// Why nothing runs in a transaction that is lost; the first time with the reason.
     fn aborted(&mut self) -> ClientError {
         match self.unreported_loss.take() {
@@ -93,46 +127,65 @@
         }
     }
 
-    /// Runs what the front answers of itself; false if it is an error.
-    fn runs(&mut self, scan: &Scan, catalogue: &mut Catalogue, out: &mut Vec<u8>) -> bool {
+    /// Runs a text that the front answers by itself.
+    fn run_locally(
+        &mut self,
+        scan: &Scan,
+        catalogue: &mut Catalogue,
+        out: &mut Vec<u8>,
+    ) -> Result<(), UnitFailed> {
         if self.transaction == Transaction::Lost {
-            // Guards against a commit that seems to have come to pass, of a client that knows of no failure.
-            let unreported_loss = self.unreported_loss.take().filter(|_| !scan.rolls_back);
-            if scan.only_ends_transaction() {
-                self.transaction = Transaction::None;
-            }
-            match unreported_loss {
-                Some(why) => ClientError::RolledBack { why }.write(out, false),
-                None if scan.only_ends_transaction() => wire::write_complete(out, "ROLLBACK"),
-                None => ClientError::InFailedTransaction.write(out, false),
-            }
-            return unreported_loss.is_none() && scan.only_ends_transaction();
+            return self.run_in_lost_transaction(scan, out);
         }
         let Some(command) = &scan.local_command else {
-            return true;
+            return Ok(());
         };
         match command {
             LocalCommand::Label(name, value) => {
                 if !self.label.set(name, value) {
                     let why = "no such setting; see the page on PostgreSQL sessions";
-                    ClientError::InvalidSetting {
-                        field: "hallmux",
-                        why,
-                    }
-                    .write(out, false);
-                    return false;
+                    let field = "hallmux";
+                    ClientError::InvalidSetting { field, why }.write(out, false);
+                    return Err(UnitFailed);
                 }
             }
-            LocalCommand::Deallocate | LocalCommand::Discard => {
-                self.statements.clear();
-                (self.unnamed, self.held_bytes) = (None, 0);
-                if *command == LocalCommand::Discard {
-                    self.settings = catalogue.settings(SessionSettings::default());
-                }
+            LocalCommand::Deallocate => self.forget_all_prepared(),
+            LocalCommand::Discard => {
+                self.forget_all_prepared();
+                self.settings = catalogue.settings(SessionSettings::default());
             }
         }
         wire::write_complete(out, command.tag());
-        true
+        Ok(())
+    }
+
+    /// Only the transaction's end runs; the client is told once why the transaction was lost.
+    fn run_in_lost_transaction(
+        &mut self,
+        scan: &Scan,
+        out: &mut Vec<u8>,
+    ) -> Result<(), UnitFailed> {
+        // Guards against a commit that seems to have come to pass, of a client that knows of no failure.
+        let unreported_loss = self.unreported_loss.take().filter(|_| !scan.rolls_back);
+        let ends = scan.only_ends_transaction();
+        if ends {
+            self.transaction = Transaction::None;
+        }
+        match unreported_loss {
+            Some(why) => ClientError::RolledBack { why }.write(out, false),
+            None if ends => {
+                wire::write_complete(out, "ROLLBACK");
+                return Ok(());
+            }
+            None => ClientError::InFailedTransaction.write(out, false),
+        }
+        Err(UnitFailed)
+    }
+
+    fn forget_all_prepared(&mut self) {
+        self.statements.clear();
+        self.unnamed = None;
+        self.held_bytes = 0;
     }
 
     /// Takes in how a unit ended at an engine.
