--- a/crates/postgres/src/pool.rs
+++ b/crates/postgres/src/pool.rs
@@ -12,7 +12,7 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum State {
-    /// It comes up, or is logging in.
+    /// It is being made, or is logging in.
     Connecting,
     Idle {
         since: i64,
@@ -21,13 +21,15 @@
     InUse,
 }
 
-struct Member {
+/// A connection of a pool.
+struct PooledConnection {
     engine: EngineIndex,
     account: AccountId,
     state: State,
-    born: i64,
-    /// It is not taken again.
-    old: bool,
+    /// When it was made, in microseconds.
+    made_at: i64,
+    /// It is not used again, as its engine is retired.
+    retired: bool,
 }
 
 /// What is to be done for a unit that was submitted, or for those that wait.
@@ -71,11 +73,17 @@
     pub age: i64,
 }
 
+/// A unit that waits for a connection.
+struct WaitingUnit<U> {
+    unit: U,
+    account: AccountId,
+}
+
 /// The pools of connections to all engines, and the units `U` that wait for one.
 pub struct Pools<U> {
     bounds: Bounds,
-    members: BTreeMap<ConnectionId, Member>,
-    waiting: BTreeMap<EngineIndex, VecDeque<(U, AccountId)>>,
+    connections: BTreeMap<ConnectionId, PooledConnection>,
+    waiting: BTreeMap<EngineIndex, VecDeque<WaitingUnit<U>>>,
 }
 
 impl<U: Copy + PartialEq> Pools<U> {
@@ -83,23 +91,28 @@
     pub fn new(bounds: Bounds) -> Self {
         Pools {
             bounds,
-            members: BTreeMap::new(),
+            connections: BTreeMap::new(),
             waiting: BTreeMap::new(),
         }
     }
 
     /// How many connections there are, those that are being made included.
     pub fn len(&self) -> usize {
-        self.members.len()
+        self.connections.len()
     }
 
     /// Whether there is no connection.
     pub fn is_empty(&self) -> bool {
-        self.members.is_empty()
+        self.connections.is_empty()
     }
 
-    fn of(&self, engine: EngineIndex) -> impl Iterator<Item = (&ConnectionId, &Member)> {
-        self.members.iter().filter(move |(_, m)| m.engine == engine)
+    fn connections_to(
+        &self,
+        engine: EngineIndex,
+    ) -> impl Iterator<Item = (&ConnectionId, &PooledConnection)> {
+        self.connections
+            .iter()
+            .filter(move |(_, m)| m.engine == engine)
     }
 
     /// A unit wants a connection to an engine; `suits` ranks the idle ones, the highest first.
@@ -113,17 +126,17 @@
         let waits = self
             .waiting
             .get(&engine)
-            .is_some_and(|line| !line.is_empty());
+            .is_some_and(|queue| !queue.is_empty());
         // The one used last first, so that the others may end as idle.
-        let idle = |(connection, m): (&ConnectionId, &Member)| match m.state {
-            State::Idle { since } if m.account == account && !m.old => {
+        let idle = |(connection, m): (&ConnectionId, &PooledConnection)| match m.state {
+            State::Idle { since } if m.account == account && !m.retired => {
                 Some((suits(*connection), since, *connection))
             }
             _ => None,
         };
-        let best = self.of(engine).filter_map(idle).max();
+        let best = self.connections_to(engine).filter_map(idle).max();
         if let Some((_, _, connection)) = best.filter(|_| !waits) {
-            self.members
+            self.connections
                 .entry(connection)
                 .and_modify(|m| m.state = State::InUse);
             return Some(PoolAction::Use { unit, connection });
@@ -131,50 +144,50 @@
         self.waiting
             .entry(engine)
             .or_default()
-            .push_back((unit, account));
+            .push_back(WaitingUnit { unit, account });
         self.next_action(engine)
     }
 
     /// The account of the first that waits at an engine with no connection on its way for it: each one that
     /// comes up serves the first of its account.
-    fn uncovered(&self, engine: EngineIndex) -> Option<AccountId> {
-        let mut coming: BTreeMap<AccountId, usize> = BTreeMap::new();
+    fn account_to_dial_for(&self, engine: EngineIndex) -> Option<AccountId> {
+        let mut connecting: BTreeMap<AccountId, usize> = BTreeMap::new();
         for (_, m) in self
-            .of(engine)
-            .filter(|(_, m)| m.state == State::Connecting && !m.old)
+            .connections_to(engine)
+            .filter(|(_, m)| m.state == State::Connecting && !m.retired)
         {
-            *coming.entry(m.account).or_default() += 1;
+            *connecting.entry(m.account).or_default() += 1;
         }
-        let mut served = |account: &AccountId| match coming.get_mut(account) {
+        let mut served = |account: &AccountId| match connecting.get_mut(account) {
             Some(left) if *left > 0 => {
                 *left -= 1;
                 true
             }
             _ => false,
         };
-        let mut line = self
+        let mut queue = self
             .waiting
             .get(&engine)?
             .iter()
-            .map(|(_, account)| account);
-        line.find(|account| !served(account)).copied()
+            .map(|waiting| &waiting.account);
+        queue.find(|account| !served(account)).copied()
     }
 
     /// What is to be done for the units that wait at an engine: the connection to make for them, if any.
     pub fn next_action(&self, engine: EngineIndex) -> Option<PoolAction<U>> {
-        let account = self.uncovered(engine)?;
-        if self.of(engine).count() < self.bounds.each_engine {
+        let account = self.account_to_dial_for(engine)?;
+        if self.connections_to(engine).count() < self.bounds.each_engine {
             return Some(PoolAction::Dial {
                 account,
                 instead_of: None,
             });
         }
         // Guards against one account that holds all connections while it rests.
-        let idle = |(connection, m): (&ConnectionId, &Member)| match m.state {
+        let idle = |(connection, m): (&ConnectionId, &PooledConnection)| match m.state {
             State::Idle { since } if m.account != account => Some((since, *connection)),
             _ => None,
         };
-        let (_, connection) = self.of(engine).filter_map(idle).min()?;
+        let (_, connection) = self.connections_to(engine).filter_map(idle).min()?;
         Some(PoolAction::Dial {
             account,
             instead_of: Some(connection),
@@ -189,38 +202,38 @@
         account: AccountId,
         connection: ConnectionId,
     ) {
-        let member = Member {
+        let member = PooledConnection {
             engine,
             account,
             state: State::Connecting,
-            born: now,
-            old: false,
+            made_at: now,
+            retired: false,
         };
-        self.members.insert(connection, member);
+        self.connections.insert(connection, member);
     }
 
     /// A connection has come up, or its unit and transaction are over.
     pub fn release(&mut self, now: i64, connection: ConnectionId) -> Released<U> {
         let age = self.bounds.age;
-        let Some(member) = self.members.get_mut(&connection) else {
+        let Some(member) = self.connections.get_mut(&connection) else {
             return Released::Close;
         };
-        if member.old || now - member.born >= age {
+        if member.retired || now - member.made_at >= age {
             return Released::Close;
         }
         member.state = State::Idle { since: now };
         let (engine, account) = (member.engine, member.account);
-        // In order: another account's unit that is first, and can have no other connection, gets this one's room.
-        let first = self.uncovered(engine);
-        let full = self.of(engine).count() >= self.bounds.each_engine;
+        // In order: another account's unit that is first, and can have no other connection, gets this one's place.
+        let first = self.account_to_dial_for(engine);
+        let full = self.connections_to(engine).count() >= self.bounds.each_engine;
         if !full || first.is_none_or(|first| first == account) {
-            let line = self.waiting.entry(engine).or_default();
-            let own = line
+            let queue = self.waiting.entry(engine).or_default();
+            let own = queue
                 .iter()
-                .position(|(_, a)| *a == account)
-                .and_then(|at| line.remove(at));
-            if let Some((unit, _)) = own {
-                self.members
+                .position(|waiting| waiting.account == account)
+                .and_then(|at| queue.remove(at));
+            if let Some(WaitingUnit { unit, .. }) = own {
+                self.connections
                     .entry(connection)
                     .and_modify(|m| m.state = State::InUse);
                 return Released::Action(PoolAction::Use { unit, connection });
@@ -233,64 +246,71 @@
     /// A connection is gone. Returns the units that waited for it alone, as there is no other of their
     /// account.
     pub fn remove(&mut self, connection: ConnectionId) -> Vec<U> {
-        let Some(member) = self.members.remove(&connection) else {
+        let Some(member) = self.connections.remove(&connection) else {
             return Vec::new();
         };
         if member.state != State::Connecting {
             return Vec::new();
         }
-        let Some(line) = self.waiting.get_mut(&member.engine) else {
+        let Some(queue) = self.waiting.get_mut(&member.engine) else {
             return Vec::new();
         };
         let (engine, account) = (member.engine, member.account);
         let others = self
-            .members
+            .connections
             .values()
-            .any(|m| m.engine == engine && m.account == account && !m.old);
+            .any(|m| m.engine == engine && m.account == account && !m.retired);
         let mut lost = Vec::new();
         // With none left all end, else one: the others are still served.
-        line.retain(|(unit, a)| {
-            let goes = *a == account && (!others || lost.is_empty());
-            if goes {
-                lost.push(*unit);
+        queue.retain(|waiting| {
+            let is_lost = waiting.account == account && (!others || lost.is_empty());
+            if is_lost {
+                lost.push(waiting.unit);
             }
-            !goes
+            !is_lost
         });
         lost
     }
 
     /// A unit no longer waits. True if it did.
     pub fn withdraw(&mut self, engine: EngineIndex, unit: U) -> bool {
-        let Some(line) = self.waiting.get_mut(&engine) else {
+        let Some(queue) = self.waiting.get_mut(&engine) else {
             return false;
         };
-        let before = line.len();
-        line.retain(|(other, _)| *other != unit);
-        line.len() < before
+        let before = queue.len();
+        queue.retain(|waiting| waiting.unit != unit);
+        queue.len() < before
     }
 
     /// An engine takes nothing new any more. Returns the units that waited for it, and its idle connections.
     pub fn retire_engine(&mut self, engine: EngineIndex) -> (Vec<U>, Vec<ConnectionId>) {
         let mut idle = Vec::new();
-        for (connection, member) in self.members.iter_mut().filter(|(_, m)| m.engine == engine) {
-            member.old = true;
+        for (connection, member) in self
+            .connections
+            .iter_mut()
+            .filter(|(_, m)| m.engine == engine)
+        {
+            member.retired = true;
             if matches!(member.state, State::Idle { .. }) {
                 idle.push(*connection);
             }
         }
         let waited = self.waiting.remove(&engine).unwrap_or_default();
-        (waited.into_iter().map(|(unit, _)| unit).collect(), idle)
+        (
+            waited.into_iter().map(|waiting| waiting.unit).collect(),
+            idle,
+        )
     }
 
     /// Connections that have been idle for so long, or are so old, that they are to be closed.
     pub fn expired(&self, now: i64) -> Vec<ConnectionId> {
-        let over = |m: &Member| match m.state {
+        let over = |m: &PooledConnection| match m.state {
             State::Idle { since } => {
-                m.old || now - since >= self.bounds.idle || now - m.born >= self.bounds.age
+                m.retired || now - since >= self.bounds.idle || now - m.made_at >= self.bounds.age
             }
             _ => false,
         };
-        self.members
+        self.connections
             .iter()
             .filter(|(_, m)| over(m))
             .map(|(connection, _)| *connection)
@@ -299,38 +319,40 @@
 
     /// An idle connection to an engine, if there is one.
     pub fn idle_connection(&self, engine: EngineIndex) -> Option<ConnectionId> {
-        self.of(engine)
+        self.connections_to(engine)
             .find(|(_, m)| matches!(m.state, State::Idle { .. }))
             .map(|(connection, _)| *connection)
     }
 
     /// Whether an engine takes another connection, and none is on its way.
     pub fn may_dial(&self, engine: EngineIndex) -> bool {
-        let coming = self.of(engine).any(|(_, m)| m.state == State::Connecting);
-        !coming && self.has_capacity(engine)
+        let is_connecting = self
+            .connections_to(engine)
+            .any(|(_, m)| m.state == State::Connecting);
+        !is_connecting && self.has_capacity(engine)
     }
 
     /// Whether an engine takes another connection.
     pub fn has_capacity(&self, engine: EngineIndex) -> bool {
-        self.of(engine).count() < self.bounds.each_engine
+        self.connections_to(engine).count() < self.bounds.each_engine
     }
 
     /// Connections to an engine that are idle or being made, beyond those that units wait for.
     pub fn available(&self, engine: EngineIndex) -> usize {
         let free = self
-            .of(engine)
-            .filter(|(_, m)| m.state != State::InUse && !m.old)
+            .connections_to(engine)
+            .filter(|(_, m)| m.state != State::InUse && !m.retired)
             .count();
         free.saturating_sub(self.waiting.get(&engine).map_or(0, VecDeque::len))
     }
 
-    /// The connection that has been idle longest, which can make room for others.
+    /// The connection that has been idle longest, which can be closed in favour of others.
     pub fn oldest_idle(&self) -> Option<ConnectionId> {
-        let idle = |(connection, m): (&ConnectionId, &Member)| match m.state {
+        let idle = |(connection, m): (&ConnectionId, &PooledConnection)| match m.state {
             State::Idle { since } => Some((since, *connection)),
             _ => None,
         };
-        self.members
+        self.connections
             .iter()
             .filter_map(idle)
             .min()
--- a/crates/postgres/src/sql.rs
+++ b/crates/postgres/src/sql.rs
@@ -9,7 +9,7 @@
 pub use self::findings::{Change, LocalCommand, Scan};
 use self::labels::label;
 pub use self::labels::{time, Label};
-use self::settings::setting;
+use self::settings::scan_setting;
 use self::tokens::{Kind, Token, Tokens};
 
 const HEAD: usize = 8; // tokens kept of a statement's beginning: enough for every form below
@@ -138,7 +138,7 @@
     } else if first("load") {
         scan.unsupported = Some("LOAD");
     } else if first("set") || first("reset") {
-        setting(scan, text, head, end);
+        scan_setting(scan, text, head, end);
     }
     if scan.statements == 1 && scan.local_command.is_some() {
         scan.unsupported = None;
--- a/crates/postgres/src/sql/settings.rs
+++ b/crates/postgres/src/sql/settings.rs
@@ -1,10 +1,10 @@
-//! Statements that change the settings of a session.
+//! Statements that change the settings of a session: SET and RESET.
 
 use super::findings::{Change, LocalCommand, Scan};
 use super::tokens::{Kind, Token};
 
 /// The value as text, out of its quotes.
-fn plain(value: &[u8]) -> String {
+fn unquoted(value: &[u8]) -> String {
     let text = String::from_utf8_lossy(value.trim_ascii()).into_owned();
     match text.strip_prefix('\'').and_then(|t| t.strip_suffix('\'')) {
         Some(inner) => inner.replace("''", "'"),
@@ -15,89 +15,110 @@
     }
 }
 
-pub(super) fn setting(scan: &mut Scan, text: &[u8], head: &[Token], end: usize) {
-    let reset = head[0].is("reset");
-    let mut rest = &head[1..];
-    match rest.first() {
-        Some(t) if t.is("local") && !reset => return, // it goes with its transaction
-        Some(t) if t.is("session") && !reset => rest = &rest[1..],
+/// The name of a setting, in lower case, and the tokens behind it.
+struct SettingName<'a> {
+    name: String,
+    rest: &'a [Token<'a>],
+}
+
+/// Reads a name of one part, or of two with a dot between them.
+fn setting_name<'a>(first: &Token, tokens: &'a [Token<'a>]) -> SettingName<'a> {
+    let has_dot = |t: &Token| t.kind == Kind::Sign(b'.');
+    let is_dotted = tokens.get(1).is_some_and(has_dot) && tokens.len() > 2;
+    let bytes = if is_dotted {
+        [first.text, b".", tokens[2].text].concat()
+    } else {
+        first.text.to_vec()
+    };
+    SettingName {
+        name: String::from_utf8_lossy(&bytes)
+            .to_ascii_lowercase()
+            .replace('"', ""),
+        rest: &tokens[if is_dotted { 3 } else { 1 }..],
+    }
+}
+
+/// Takes in a SET or RESET statement: `head` are its first tokens, `end` is where it ends in `text`.
+pub(super) fn scan_setting(scan: &mut Scan, text: &[u8], head: &[Token], end: usize) {
+    let is_reset = head[0].is("reset");
+    let mut tokens = &head[1..];
+    match tokens.first() {
+        Some(t) if t.is("local") && !is_reset => return, // it goes with its transaction
+        Some(t) if t.is("session") && !is_reset => tokens = &tokens[1..],
         _ => {}
     }
-    let Some(name) = rest.first() else { return };
-    if name.is("role") || name.is("authorization") || name.is("characteristics") {
+    let Some(first) = tokens.first() else { return };
+    if first.is("role") || first.is("authorization") || first.is("characteristics") {
         scan.unsupported = Some("another role or transaction characteristics for a session");
         return;
     }
-    // A name may have two parts.
-    let dotted = rest.get(1).is_some_and(|t| t.kind == Kind::Sign(b'.')) && rest.len() > 2;
-    let full = if dotted {
-        [name.text, b".", rest[2].text].concat()
+    let SettingName { name, rest } = setting_name(first, tokens);
+    let label = name.strip_prefix("hallmux.").map(str::to_string);
+    if is_reset {
+        scan_reset(scan, name, label);
+    } else if name == "transaction" {
+        // It holds for one transaction alone.
+    } else if let Some(label) = label {
+        let value = label_value(text, rest, end);
+        scan.local_command = Some(LocalCommand::Label(label, value));
+    } else if name == "standard_conforming_strings" && !turns_on(text, rest, end) {
+        scan.unsupported = Some("backslashes in plain strings");
     } else {
-        name.text.to_vec()
-    };
-    let full = String::from_utf8_lossy(&full)
-        .to_ascii_lowercase()
-        .replace('"', "");
-    let rest = &rest[if dotted { 3 } else { 1 }..];
-    let statement = || {
-        let value = String::from_utf8_lossy(&text[name.at..end])
-            .trim()
-            .to_string();
-        format!("SET {value}")
-    };
-    let short = full.strip_prefix("hallmux.").map(str::to_string);
-    if reset {
-        scan.changes.push(match full.as_str() {
-            "all" => Change::ResetAll,
-            _ => Change::Reset(full),
-        });
-        if let Some(short) = short {
-            scan.local_command = Some(LocalCommand::Label(short, String::new()));
-        }
-        return;
-    }
-    let zone = full == "time" && rest.first().is_some_and(|t| t.is("zone"));
-    if full == "transaction" {
-        return; // it holds for one transaction alone
+        let assignment = String::from_utf8_lossy(&text[first.at..end]);
+        scan.changes.push(change(name, rest, assignment.trim()));
     }
-    let gives = |t: &Token| t.is("to") || t.kind == Kind::Sign(b'=');
-    if let Some(short) = short {
-        let value = rest
-            .first()
-            .filter(|t| gives(t))
-            .map_or(&b""[..], |t| &text[t.at + t.text.len()..end]);
-        let value = plain(value);
-        let value = if value.eq_ignore_ascii_case("default") {
-            String::new()
-        } else {
-            value
-        };
-        scan.local_command = Some(LocalCommand::Label(short, value));
-        return;
+}
+
+fn scan_reset(scan: &mut Scan, name: String, label: Option<String>) {
+    scan.changes.push(match name.as_str() {
+        "all" => Change::ResetAll,
+        _ => Change::Reset(name),
+    });
+    if let Some(label) = label {
+        scan.local_command = Some(LocalCommand::Label(label, String::new()));
     }
+}
+
+/// The text behind a token.
+fn text_after<'a>(text: &'a [u8], token: &Token, end: usize) -> &'a [u8] {
+    &text[token.at + token.text.len()..end]
+}
+
+/// The value of a label: empty where it goes back to its default.
+fn label_value(text: &[u8], rest: &[Token], end: usize) -> String {
+    let assigns = |t: &&Token| t.is("to") || t.kind == Kind::Sign(b'=');
     let value = rest
         .first()
-        .map(|t| String::from_utf8_lossy(&text[t.at + t.text.len()..end]).to_string());
-    if full == "standard_conforming_strings"
-        && !value
-            .as_ref()
-            .is_some_and(|v| matches!(plain(v.as_bytes()).as_str(), "on" | "true" | "1"))
-    {
-        scan.unsupported = Some("backslashes in plain strings");
-        return;
+        .filter(assigns)
+        .map_or(&b""[..], |t| text_after(text, t, end));
+    let value = unquoted(value);
+    if value.eq_ignore_ascii_case("default") {
+        String::new()
+    } else {
+        value
     }
-    let name = match full.as_str() {
-        "time" if zone => "timezone".to_string(),
+}
+
+/// Whether the value of a boolean setting is true.
+fn turns_on(text: &[u8], rest: &[Token], end: usize) -> bool {
+    rest.first().is_some_and(|t| {
+        let value = String::from_utf8_lossy(text_after(text, t, end));
+        matches!(unquoted(value.as_bytes()).as_str(), "on" | "true" | "1")
+    })
+}
+
+/// The change that an assignment makes; `SET TIME ZONE` and `SET NAMES` are other words for settings.
+fn change(name: String, rest: &[Token], assignment: &str) -> Change {
+    let is_time_zone = name == "time" && rest.first().is_some_and(|t| t.is("zone"));
+    let name = match name.as_str() {
+        "time" if is_time_zone => "timezone".to_string(),
         "names" => "client_encoding".to_string(),
-        _ => full,
+        _ => name,
     };
-    let default = rest.iter().any(|t| t.is("default"));
-    scan.changes.push(if default {
+    if rest.iter().any(|t| t.is("default")) {
         Change::Reset(name)
     } else {
-        Change::Set {
-            name,
-            statement: statement(),
-        }
-    });
+        let statement = format!("SET {assignment}");
+        Change::Set { name, statement }
+    }
 }
--- a/crates/postgres/src/startup.rs
+++ b/crates/postgres/src/startup.rs
@@ -8,8 +8,10 @@
 use crate::wire::{self, CancelKey, InitialMessage, Message};
 use crate::ProtocolError;
 
-const LONGEST_PROOF: usize = 4096; // bytes; those of the library's take some hundred
-const MOST_QUESTIONS: usize = 2; // for encryption: there are two kinds
+/// The longest message of the SCRAM exchange, in bytes; those of the library take some hundred.
+const MAX_PROOF_BYTES: usize = 4096;
+/// How often a client may ask for encryption: there are two kinds.
+const MAX_ENCRYPTION_REQUESTS: usize = 2;
 
 // Kinds of authentication messages, as the protocol numbers them.
 const SASL: u32 = 10;
@@ -50,9 +52,12 @@
 
 #[derive(Default)]
 enum Stage {
+    /// The start-up message has yet to come.
     #[default]
     Opening,
+    /// The client's first message of SCRAM is due.
     First(Client, Verifier),
+    /// The client's proof is due.
     Last(Client, Exchange),
 }
 
@@ -60,12 +65,12 @@
 #[derive(Default)]
 pub struct Startup {
     stage: Stage,
-    questions: usize,
+    encryption_requests: usize,
 }
 
 impl Startup {
-    /// Takes what has come and writes what is to go back; says how much was taken. `access` tells how a user
-    /// proves itself, None for one that does not exist; `secret` hides which do; `nonce` is new for each
+    /// Reads `input` and writes the answers to `out`; returns how many bytes were used up. `access` is how a
+    /// user authenticates, None for one that does not exist; `secret` hides which do; `nonce` is new for each
     /// connection. After any step but `Incomplete` it is not called again.
     pub fn read(
         &mut self,
@@ -86,36 +91,13 @@
                     used += len;
                     self.open(message, &access, secret, out)?
                 }
-                Stage::First(client, verifier) => {
+                stage @ (Stage::First(..) | Stage::Last(..)) => {
                     let Some((body, len)) = proof(rest)? else {
-                        self.stage = Stage::First(client, verifier);
+                        self.stage = stage;
                         return Ok((used, StartupStep::Incomplete));
                     };
                     used += len;
-                    let begun =
-                        first(body).and_then(|first| Exchange::begin(verifier, first, nonce));
-                    match begun {
-                        Some((exchange, answer)) => {
-                            write_authentication(out, SASL_CONTINUE, answer.as_bytes());
-                            self.stage = Stage::Last(client, exchange);
-                            None
-                        }
-                        None => Some(refused(&client, out)),
-                    }
-                }
-                Stage::Last(client, exchange) => {
-                    let Some((body, len)) = proof(rest)? else {
-                        self.stage = Stage::Last(client, exchange);
-                        return Ok((used, StartupStep::Incomplete));
-                    };
-                    used += len;
-                    match exchange.finish(body) {
-                        Some(answer) => {
-                            write_authentication(out, SASL_FINAL, answer.as_bytes());
-                            Some(StartupStep::Accepted(client))
-                        }
-                        None => Some(refused(&client, out)),
-                    }
+                    self.continue_scram(stage, body, nonce, out)
                 }
             };
             if let Some(step) = step {
@@ -124,6 +106,35 @@
         }
     }
 
+    /// Takes a message of the SCRAM exchange; None where another has to follow.
+    fn continue_scram(
+        &mut self,
+        stage: Stage,
+        body: &[u8],
+        nonce: &str,
+        out: &mut Vec<u8>,
+    ) -> Option<StartupStep> {
+        match stage {
+            Stage::Opening => None,
+            Stage::First(client, verifier) => {
+                let begun = first(body).and_then(|first| Exchange::begin(verifier, first, nonce));
+                let Some((exchange, answer)) = begun else {
+                    return Some(refused(&client, out));
+                };
+                write_authentication(out, SASL_CONTINUE, answer.as_bytes());
+                self.stage = Stage::Last(client, exchange);
+                None
+            }
+            Stage::Last(client, exchange) => {
+                let Some(answer) = exchange.finish(body) else {
+                    return Some(refused(&client, out));
+                };
+                write_authentication(out, SASL_FINAL, answer.as_bytes());
+                Some(StartupStep::Accepted(client))
+            }
+        }
+    }
+
     /// Takes the first message; None where another has to follow.
     fn open(
         &mut self,
@@ -134,10 +145,10 @@
     ) -> Result<Option<StartupStep>, ProtocolError> {
         match message {
             InitialMessage::EncryptionRequest => {
-                self.questions += 1;
-                if self.questions > MOST_QUESTIONS {
+                self.encryption_requests += 1;
+                if self.encryption_requests > MAX_ENCRYPTION_REQUESTS {
                     return Err(ProtocolError::Encryption {
-                        times: self.questions,
+                        times: self.encryption_requests,
                     });
                 }
                 out.push(b'N');
@@ -186,7 +197,7 @@
 }
 
 fn proof(input: &[u8]) -> Result<Option<(&[u8], usize)>, ProtocolError> {
-    match wire::message(input, LONGEST_PROOF)? {
+    match wire::message(input, MAX_PROOF_BYTES)? {
         Some(Message {
             tag: b'p',
             body,
