--- a/crates/lab/src/engine/lines.rs
+++ b/crates/lab/src/engine/lines.rs
@@ -73,11 +73,11 @@
     peak: Mutex<f64>,
     /// The same since its last start.
     peak_since_start: Mutex<f64>,
-    holds: Option<Arc<dyn Holds>>,
+    holds: Option<Arc<dyn RowStore>>,
 }
 
 /// The rows behind engines, where they hold any.
-pub trait Holds: Send + Sync {
+pub trait RowStore: Send + Sync {
     /// What the statement comes to on an engine, at the end of its work.
     fn answer(&self, engine: usize, statement: &str) -> String;
 }
@@ -96,7 +96,7 @@
         number: usize,
         records: Arc<Records>,
         warmth: Warmth,
-        holds: Option<Arc<dyn Holds>>,
+        holds: Option<Arc<dyn RowStore>>,
     ) -> std::io::Result<Arc<Engine>> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -2,14 +2,14 @@
 
 mod check;
 mod engine;
-#[cfg(test)]
-mod hard;
 mod load;
 mod measure;
 mod prove;
 mod record;
 mod rig;
 mod scripted;
+#[cfg(test)]
+mod session_cases;
 mod simulated;
 
 use std::process::ExitCode;
@@ -19,17 +19,17 @@
 use engine::lines;
 use record::account::Run;
 use rig::{fleet, scenario};
-use simulated::Spoil;
+use simulated::Mutation;
 
 /// Proves and measures hallmux on loopback.
 #[derive(Parser)]
 struct Lab {
     #[command(subcommand)]
-    what: What,
+    what: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Command {
     /// Plays a run drawn from a seed and checks the rules on what clients and engines wrote down.
     Prove {
         subject: Subject,
@@ -56,7 +56,7 @@
         copies: usize,
         /// Of promises: one part of them, with faults of its own.
         #[arg(long)]
-        only: Option<Only>,
+        only: Option<PromisePart>,
         /// Of promises: a long day in simulated time, all kinds of faults, several at once; a failing one is cut down.
         #[arg(long)]
         long: bool,
@@ -69,7 +69,7 @@
         other: Option<std::path::PathBuf>,
         /// Of promises, in simulated time: a rule is taken out, and the run is to fail.
         #[arg(long)]
-        without: Option<Without>,
+        without: Option<OmittedRule>,
     },
     /// Plays a fleet scenario: many fronts, engines in zones, faults between them; checks the record.
     Fleet {
@@ -89,7 +89,7 @@
         fronts: Option<usize>,
     },
     /// Measures beside a plain way, and prints a table.
-    Measure { subject: Measured },
+    Measure { subject: Measurement },
 }
 
 #[derive(Clone, Copy, ValueEnum)]
@@ -103,7 +103,7 @@
 
 /// A rule that promises rest on.
 #[derive(Clone, Copy, ValueEnum)]
-enum Without {
+enum OmittedRule {
     /// Executions leave before their promise stands.
     Act,
     /// An emptied disk comes back under the identity that it had.
@@ -112,19 +112,19 @@
     Save,
 }
 
-impl Without {
-    fn spoils(self) -> Spoil {
-        let whole = Spoil::default();
+impl OmittedRule {
+    fn spoils(self) -> Mutation {
+        let whole = Mutation::default();
         match self {
-            Without::Act => Spoil {
+            OmittedRule::Act => Mutation {
                 acts_first: true,
                 ..whole
             },
-            Without::Identity => Spoil {
+            OmittedRule::Identity => Mutation {
                 keeps_identity: true,
                 ..whole
             },
-            Without::Save => Spoil {
+            OmittedRule::Save => Mutation {
                 sends_first: true,
                 ..whole
             },
@@ -133,7 +133,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Only {
+enum PromisePart {
     /// Copies on disk: machines lost at each step of a promise, a full disk and a slow one.
     Disks,
     /// Statements over several sites among loads, with summaries that must count for nothing.
@@ -147,7 +147,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Measured {
+enum Measurement {
     Postgres,
     /// In simulated time alone, for now.
     Gossip,
@@ -165,7 +165,7 @@
 
 fn main() -> ExitCode {
     let (seed, units, rounds) = match Lab::parse().what {
-        What::Prove {
+        Command::Prove {
             subject: Subject::Soak,
             seed,
             other,
@@ -174,14 +174,14 @@
             let seed = seed.unwrap_or_else(|| u64::from(rand::random::<u32>()));
             return proof_result("soak", seed, prove::soak::run(seed, other.as_deref()));
         }
-        What::Prove {
+        Command::Prove {
             subject: Subject::Postgres,
             seed,
             units,
             rounds,
             ..
         } => (seed, units, rounds),
-        What::Prove {
+        Command::Prove {
             seed,
             small,
             simulated,
@@ -195,8 +195,8 @@
             ..
         } => {
             let seed = seed.unwrap_or_else(|| u64::from(rand::random::<u32>()));
-            let spoil = without.map(Without::spoils).unwrap_or_default();
-            let way = prove::promises::Way {
+            let spoil = without.map(OmittedRule::spoils).unwrap_or_default();
+            let way = prove::promises::RunOptions {
                 small,
                 simulated,
                 fronts,
@@ -205,11 +205,11 @@
             };
             if let Some(only) = only {
                 let played = match only {
-                    Only::Disks => prove::disks::run(seed, small),
-                    Only::Sites => prove::sites::run(seed, small),
-                    Only::Rules => prove::rules::run(seed, small),
-                    Only::Roll => prove::roll::run(seed, small, other.as_deref()),
-                    Only::Deaths => prove::deaths::run(seed, way),
+                    PromisePart::Disks => prove::disks::run(seed, small),
+                    PromisePart::Sites => prove::sites::run(seed, small),
+                    PromisePart::Rules => prove::rules::run(seed, small),
+                    PromisePart::Roll => prove::roll::run(seed, small, other.as_deref()),
+                    PromisePart::Deaths => prove::deaths::run(seed, way),
                 };
                 return proof_result("promises", seed, played);
             }
@@ -218,7 +218,7 @@
             }
             return proof_result("promises", seed, prove::promises::run(seed, way));
         }
-        What::Fleet {
+        Command::Fleet {
             scenario,
             seed,
             beside_quorum,
@@ -233,15 +233,15 @@
             };
             return fleet_run(&scenario, options);
         }
-        What::Measure { subject } => {
+        Command::Measure { subject } => {
             let measured = match subject {
-                Measured::Postgres => measure::portal::postgres(),
-                Measured::Promises => measure::promises::measure(),
-                Measured::Sites => measure::sites::measure(),
-                Measured::Grown => measure::grown::measure(),
-                Measured::Overload => measure::overload::measure(),
-                Measured::Fleet => measure::fleet::measure(),
-                Measured::Gossip => measure::gossip::spread(&[20, 100, 1_000]),
+                Measurement::Postgres => measure::portal::postgres(),
+                Measurement::Promises => measure::promises::measure(),
+                Measurement::Sites => measure::sites::measure(),
+                Measurement::Grown => measure::grown::measure(),
+                Measurement::Overload => measure::overload::measure(),
+                Measurement::Fleet => measure::fleet::measure(),
+                Measurement::Gossip => measure::gossip::spread(&[20, 100, 1_000]),
             };
             return match measured {
                 Ok(()) => ExitCode::SUCCESS,
--- a/crates/lab/src/measure/grown.rs
+++ b/crates/lab/src/measure/grown.rs
@@ -5,9 +5,9 @@
 
 use crate::check::Outcome;
 use crate::prove::played::fault;
-use crate::prove::promises::{draw, Way};
+use crate::prove::promises::{draw, RunOptions};
 use crate::record::account::{Offered, Run};
-use crate::rig::scenario::{Fault, Scenario, What};
+use crate::rig::scenario::{Fault, FaultKind, Scenario};
 use crate::simulated;
 
 const SIZES: [usize; 4] = [5, 20, 40, 300];
@@ -30,12 +30,12 @@
 }
 
 fn day(fronts: usize, copies: usize, faults: Vec<Fault>) -> Scenario {
-    let way = Way {
+    let way = RunOptions {
         small: true,
         simulated: true,
         fronts: Some(fronts),
         copies,
-        ..Way::default()
+        ..RunOptions::default()
     };
     let mut scenario = draw(SEED, way);
     (scenario.faults, scenario.seconds) = (faults, SECONDS);
@@ -82,7 +82,7 @@
         let most = tally(&run, "keeps_most") as usize;
         let lost = Fault {
             front: most,
-            ..fault(What::LoseDisk, LOST_MS, GONE_MS)
+            ..fault(FaultKind::LoseDisk, LOST_MS, GONE_MS)
         };
         let day = day(fronts, copies, vec![lost]);
         let run = simulated::run(&day, SEED)?;
--- a/crates/lab/src/measure/promises.rs
+++ b/crates/lab/src/measure/promises.rs
@@ -7,7 +7,7 @@
 
 use super::{spread, Spread};
 use crate::engine::lines;
-use crate::prove::promises::{draw, Way};
+use crate::prove::promises::{draw, RunOptions};
 use crate::rig::fleet::Fleet;
 use crate::rig::scenario::Scenario;
 
@@ -30,12 +30,12 @@
 fn quiet(copies: usize) -> Scenario {
     let mut scenario = draw(
         7,
-        Way {
+        RunOptions {
             small: true,
             simulated: false,
             fronts: Some(FRONTS),
             copies,
-            ..Way::default()
+            ..RunOptions::default()
         },
     );
     scenario.faults.clear();
--- a/crates/lab/src/prove/deaths.rs
+++ b/crates/lab/src/prove/deaths.rs
@@ -9,9 +9,9 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::played::{end, fault};
-use super::promises::Way;
+use super::promises::RunOptions;
 use super::shape;
-use crate::rig::scenario::{Class, Fault, Load, Scenario, Shape, What};
+use crate::rig::scenario::{Class, Fault, FaultKind, FleetShape, Load, Scenario};
 use crate::simulated::run_with;
 
 /// Keeps these draws apart from those of the other proofs of the same seed.
@@ -45,13 +45,13 @@
     let survivor = chance.random_range(0..fronts);
     let slow = Fault {
         delay_ms,
-        ..fault(What::DiskSlow, at, deaths_at - at + 200)
+        ..fault(FaultKind::DiskSlow, at, deaths_at - at + 200)
     };
     let slow = (0..fronts).map(|front| Fault {
         front,
         ..slow.clone()
     });
-    let killed = fault(What::Kill, deaths_at, chance.random_range(300..1_000));
+    let killed = fault(FaultKind::Kill, deaths_at, chance.random_range(300..1_000));
     let killed = (0..fronts)
         .filter(|front| *front != survivor)
         .map(|front| Fault {
@@ -73,21 +73,25 @@
     vec![
         Fault {
             front: missed,
-            ..fault(What::Kill, at, away)
+            ..fault(FaultKind::Kill, at, away)
         },
         Fault {
             front: emptied,
-            ..fault(What::LoseDisk, lost_at, gone)
+            ..fault(FaultKind::LoseDisk, lost_at, gone)
         },
         Fault {
             front: killed,
-            ..fault(What::Kill, lost_at + 30, chance.random_range(3_000..4_000))
+            ..fault(
+                FaultKind::Kill,
+                lost_at + 30,
+                chance.random_range(3_000..4_000),
+            )
         },
     ]
 }
 
 /// The run of a seed.
-pub fn draw(seed: u64, way: Way) -> Scenario {
+pub fn draw(seed: u64, way: RunOptions) -> Scenario {
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ STREAM);
     let fronts = way.fronts.unwrap_or(FRONTS);
     let mut rounds = ROUNDS.to_vec();
@@ -119,7 +123,7 @@
     Scenario {
         seed: Some(seed),
         seconds: (FIRST_MS + rounds.len() as u64 * SLOT_MS + AFTER_MS) / 1000,
-        fleet: Shape {
+        fleet: FleetShape {
             clocks_apart_ms: APART_MS,
             copies: (way.copies > 0).then_some(way.copies),
             ..shape::fleet(fronts)
@@ -137,7 +141,7 @@
 }
 
 /// Plays the run of a seed: whether it passed, and the tallies of its line.
-pub fn run(seed: u64, way: Way) -> Result<(bool, String), String> {
+pub fn run(seed: u64, way: RunOptions) -> Result<(bool, String), String> {
     let began = Instant::now();
     let scenario = draw(seed, way);
     let mut run = run_with(&scenario, seed, way.spoil)?;
--- a/crates/lab/src/prove/deaths_tests.rs
+++ b/crates/lab/src/prove/deaths_tests.rs
@@ -4,31 +4,35 @@
 
 #[test]
 fn each_run_has_both_rounds_and_never_loses_two_disks_of_a_round() {
-    let way = Way {
+    let way = RunOptions {
         simulated: true,
         copies: 3,
-        ..Way::default()
+        ..RunOptions::default()
     };
     for seed in 0..100 {
         let whole = draw(seed, way);
         assert_eq!(whole, draw(seed, way));
-        let count = |what: What| whole.faults.iter().filter(|f| f.what == what).count();
+        let count = |what: FaultKind| whole.faults.iter().filter(|f| f.what == what).count();
         // Twice: all disks slow and three of four killed; one emptied between two that are killed.
         assert_eq!(
             (
-                count(What::DiskSlow),
-                count(What::Kill),
-                count(What::LoseDisk)
+                count(FaultKind::DiskSlow),
+                count(FaultKind::Kill),
+                count(FaultKind::LoseDisk)
             ),
             (8, 10, 2)
         );
         let fits =
             |f: &Fault| f.at_ms + f.for_ms < whole.seconds * 1000 && f.front < whole.fleet.fronts;
         assert!(whole.faults.iter().all(fits), "{seed}: {:?}", whole.faults);
-        for lost in whole.faults.iter().filter(|f| f.what == What::LoseDisk) {
+        for lost in whole
+            .faults
+            .iter()
+            .filter(|f| f.what == FaultKind::LoseDisk)
+        {
             let returns = lost.at_ms + lost.for_ms;
             let away = |f: &&Fault| {
-                f.what == What::Kill && f.at_ms <= returns && returns < f.at_ms + f.for_ms
+                f.what == FaultKind::Kill && f.at_ms <= returns && returns < f.at_ms + f.for_ms
             };
             assert!(
                 whole
--- a/crates/lab/src/prove/disks.rs
+++ b/crates/lab/src/prove/disks.rs
@@ -14,7 +14,7 @@
 use crate::record::account::{judge, Run};
 use crate::rig::fleet::{play, Fleet, FleetHooks};
 use crate::rig::member::MemberOptions;
-use crate::rig::scenario::{Class, Fault, Load, Scenario, Shape, Step, What};
+use crate::rig::scenario::{Class, Fault, FaultKind, FleetShape, Load, Scenario, Step};
 
 const FIRST_MS: u64 = 2_500; // milliseconds of load before the first loss
 const SLOT_MS: u64 = 7_000; // milliseconds from one loss to the next: the repair lies between
@@ -30,7 +30,7 @@
     owners: Vec<Fault>,
     played: Vec<Fault>,
     /// What the fronts whose disks were slow or full have said of it.
-    said: Vec<(What, usize)>,
+    said: Vec<(FaultKind, usize)>,
 }
 
 impl FleetHooks for Disks {
@@ -58,7 +58,7 @@
     fn over(&mut self, fleet: &Fleet) {
         for fault in &self.played {
             let text = match fault.what {
-                What::DiskFull => "keeps no copies there any more",
+                FaultKind::DiskFull => "keeps no copies there any more",
                 _ => "a commit took",
             };
             self.said
@@ -83,7 +83,7 @@
     for (step, front) in steps.iter().zip(others) {
         // Away for less than the repair waits, or for more.
         let gone = fault(
-            What::LoseDisk,
+            FaultKind::LoseDisk,
             at + chance.random_range(0..300),
             chance.random_range(500..2_500),
         );
@@ -96,9 +96,9 @@
     }
     let slow = Fault {
         delay_ms: SLOW_MS,
-        ..fault(What::DiskSlow, at, 4_500)
+        ..fault(FaultKind::DiskSlow, at, 4_500)
     };
-    let full = fault(What::DiskFull, at + SLOT_MS, 2_500);
+    let full = fault(FaultKind::DiskFull, at + SLOT_MS, 2_500);
     let owners = vec![slow, full];
     let end_ms = at + 2 * SLOT_MS + AFTER_MS;
     let (keys, work_ms) = (chance.random_range(20..30), chance.random_range(60..140));
@@ -114,7 +114,7 @@
     let scenario = Scenario {
         seed: Some(seed),
         seconds: end_ms.div_ceil(1_000),
-        fleet: Shape {
+        fleet: FleetShape {
             clocks_apart_ms: 400,
             ..shape::fleet(fronts)
         },
--- a/crates/lab/src/prove/long.rs
+++ b/crates/lab/src/prove/long.rs
@@ -8,9 +8,9 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::played::fault;
-use super::promises::{self, Way};
+use super::promises::{self, RunOptions};
 use crate::record::account::Run;
-use crate::rig::scenario::{Fault, Load, Scenario, Step, What};
+use crate::rig::scenario::{Fault, FaultKind, Load, Scenario, Step};
 use crate::simulated::{run_with, smallest};
 
 const SLOT_MS: u64 = 40_000; // milliseconds from one machine lost with its disk to the next: the repair lies between
@@ -22,33 +22,33 @@
 const GROWN: i64 = 3; // halves: the last quarter of a day may hold so much more than the first
 const GROWN_BYTES: i64 = 131_072; // and so many bytes
 const STEPS: [Step; 4] = [Step::Taken, Step::Copying, Step::Began, Step::Kept];
-const OTHERS: [What; 14] = [
-    What::Stall,
-    What::Stall,
-    What::Kill,
-    What::Term,
-    What::FrontsSplit,
-    What::FrontsSplitOut,
-    What::PostLossy,
-    What::PostDoubled,
-    What::PostSlow,
-    What::PostShuffled,
-    What::ZoneSlow,
-    What::ZoneReset,
-    What::LinkCut,
-    What::LinkCutBack,
+const OTHERS: [FaultKind; 14] = [
+    FaultKind::Stall,
+    FaultKind::Stall,
+    FaultKind::Kill,
+    FaultKind::Term,
+    FaultKind::FrontsSplit,
+    FaultKind::FrontsSplitOut,
+    FaultKind::PostLossy,
+    FaultKind::PostDoubled,
+    FaultKind::PostSlow,
+    FaultKind::PostShuffled,
+    FaultKind::ZoneSlow,
+    FaultKind::ZoneReset,
+    FaultKind::LinkCut,
+    FaultKind::LinkCutBack,
 ];
 
 /// What may be played once at a time, as one undoes the other.
 fn is_alike(a: &Fault, b: &Fault) -> bool {
-    let cut = |f: &Fault| matches!(f.what, What::FrontsSplit | What::FrontsSplitOut);
+    let cut = |f: &Fault| matches!(f.what, FaultKind::FrontsSplit | FaultKind::FrontsSplitOut);
     let away = |f: &Fault| {
         matches!(
             f.what,
-            What::Stall | What::Kill | What::Term | What::LoseDisk
+            FaultKind::Stall | FaultKind::Kill | FaultKind::Term | FaultKind::LoseDisk
         )
     };
-    let link = |f: &Fault| matches!(f.what, What::LinkCut | What::LinkCutBack);
+    let link = |f: &Fault| matches!(f.what, FaultKind::LinkCut | FaultKind::LinkCutBack);
     a.what == b.what
         || cut(a) && cut(b)
         || away(a) && away(b) && a.front == b.front
@@ -56,11 +56,11 @@
 }
 
 /// The day of a seed.
-pub fn draw(seed: u64, minutes: u64, way: Way) -> Scenario {
+pub fn draw(seed: u64, minutes: u64, way: RunOptions) -> Scenario {
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x6c6f_6e67);
     let short = promises::draw(
         seed,
-        Way {
+        RunOptions {
             small: false,
             simulated: true,
             ..way
@@ -75,7 +75,7 @@
             .random_bool(0.7)
             .then(|| STEPS[chance.random_range(0..STEPS.len())]);
         let at = begins + chance.random_range(1_000..5_000);
-        let gone = fault(What::LoseDisk, at, chance.random_range(500..8_000));
+        let gone = fault(FaultKind::LoseDisk, at, chance.random_range(500..8_000));
         faults.push(Fault {
             front: chance.random_range(0..fronts),
             step,
@@ -90,7 +90,9 @@
             let (delay_ms, percent) = (chance.random_range(5..120), chance.random_range(5..40));
             let drawn = Fault {
                 front: match what {
-                    What::FrontsSplit | What::FrontsSplitOut => chance.random_range(1..fronts - 1),
+                    FaultKind::FrontsSplit | FaultKind::FrontsSplitOut => {
+                        chance.random_range(1..fronts - 1)
+                    }
                     _ => chance.random_range(0..fronts),
                 },
                 zone: chance.random_range(0..zones),
@@ -98,7 +100,7 @@
                 percent,
                 ..fault(*what, at, for_ms)
             };
-            let second = (*what == What::FrontsSplit && chance.random_bool(0.4))
+            let second = (*what == FaultKind::FrontsSplit && chance.random_bool(0.4))
                 .then(|| chance.random_range(drawn.front + 1..fronts));
             let meets =
                 |f: &&Fault| f.at_ms <= at + for_ms + 2_000 && at <= f.at_ms + f.for_ms + 2_000;
@@ -135,14 +137,14 @@
     }
 }
 
-fn play(scenario: &Scenario, seed: u64, way: Way) -> Result<Run, String> {
+fn play(scenario: &Scenario, seed: u64, way: RunOptions) -> Result<Run, String> {
     let mut run = run_with(scenario, seed, way.spoil)?;
     grown(&mut run);
     Ok(run)
 }
 
 /// Plays the day of a seed: whether it passed, and the tallies of its line.
-pub fn run(seed: u64, minutes: u64, way: Way) -> Result<(bool, String), String> {
+pub fn run(seed: u64, minutes: u64, way: RunOptions) -> Result<(bool, String), String> {
     let began = Instant::now();
     let scenario = draw(seed, minutes, way);
     let run = play(&scenario, seed, way)?;
@@ -166,7 +168,7 @@
 }
 
 /// Says which faults the day fails by: any that breaks one of the rules that it broke.
-fn cut_down(scenario: &Scenario, seed: u64, way: Way, run: &Run) {
+fn cut_down(scenario: &Scenario, seed: u64, way: RunOptions, run: &Run) {
     let broken: Vec<&str> = run.violations.keys().copied().collect();
     let fails = |tried: &Scenario| {
         let found = play(tried, seed, way)
--- a/crates/lab/src/prove/long_tests.rs
+++ b/crates/lab/src/prove/long_tests.rs
@@ -4,10 +4,10 @@
 
 #[test]
 fn a_long_day_has_every_kind_of_fault_several_at_once_and_time_for_repair() {
-    let way = Way {
+    let way = RunOptions {
         copies: 3,
         fronts: Some(6),
-        ..Way::default()
+        ..RunOptions::default()
     };
     for seed in 0..20 {
         let day = draw(seed, 60, way);
@@ -25,7 +25,7 @@
         let losses: Vec<&Fault> = day
             .faults
             .iter()
-            .filter(|f| f.what == What::LoseDisk)
+            .filter(|f| f.what == FaultKind::LoseDisk)
             .collect();
         assert_eq!(losses.len(), 90);
         assert!(losses
--- a/crates/lab/src/prove/played.rs
+++ b/crates/lab/src/prove/played.rs
@@ -1,12 +1,12 @@
 //! What proofs of promises share: a fault with nothing drawn yet, and a run's last words.
 
 use crate::record::account::Run;
-use crate::rig::scenario::{Fault, What};
+use crate::rig::scenario::{Fault, FaultKind};
 
 const MOST_PRINTED: usize = 8; // violations printed of each rule
 
 /// A fault with nothing drawn yet but its kind and its time.
-pub fn fault(what: What, at_ms: u64, for_ms: u64) -> Fault {
+pub fn fault(what: FaultKind, at_ms: u64, for_ms: u64) -> Fault {
     let (zone, front, delay_ms, percent) = (0, 0, 0, 0);
     Fault {
         what,
--- a/crates/lab/src/prove/postgres.rs
+++ b/crates/lab/src/prove/postgres.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use self::faults::FAULTS;
-use self::load::{Load, Played};
+use self::load::{Load, LoadOutcome};
 pub use self::notes::Notes;
 use self::sampling::Memory;
 use self::setup::{is_big, Setup};
@@ -68,7 +68,7 @@
         .filter(|told| *told)
         .count();
     let played = load.ended()?;
-    let seen = Seen::of(&setup.notes, ended_at)?;
+    let seen = ClientRecords::of(&setup.notes, ended_at)?;
     check_seen(&seen, &setup.notes, &played, &mut wrong)?;
     wrong.entry("memory").or_default().extend(memory.wrong());
     let mut tallies = outcomes(&seen.asked);
@@ -126,14 +126,14 @@
 }
 
 /// What clients saw.
-struct Seen {
+struct ClientRecords {
     asked: Vec<StatementRecord>,
     transactions: Vec<Transaction>,
     accepted: usize,
 }
 
-impl Seen {
-    fn of(notes: &Notes, ended_at: i64) -> Result<Seen, String> {
+impl ClientRecords {
+    fn of(notes: &Notes, ended_at: i64) -> Result<ClientRecords, String> {
         let asked = notes.asked.lock().map_err(|e| e.to_string())?.clone();
         // Where the front has ended, what came late was no longer its to answer.
         let asked: Vec<StatementRecord> = asked
@@ -151,7 +151,7 @@
             .lock()
             .map_err(|e| e.to_string())?
             .clone();
-        Ok(Seen {
+        Ok(ClientRecords {
             asked,
             transactions,
             accepted: notes.count.load(SeqCst),
@@ -161,9 +161,9 @@
 
 /// Checks all rules on what clients and engines wrote down.
 fn check_seen(
-    seen: &Seen,
+    seen: &ClientRecords,
     notes: &Notes,
-    played: &Played,
+    played: &LoadOutcome,
     wrong: &mut Violations,
 ) -> Result<(), String> {
     let engine_events = notes
@@ -204,7 +204,7 @@
 /// A run in which too little happened proves nothing.
 fn check_enough(
     size: Size,
-    seen: &Seen,
+    seen: &ClientRecords,
     tallies: &BTreeMap<String, usize>,
     wrong: &mut Violations,
 ) {
--- a/crates/lab/src/prove/postgres/faults.rs
+++ b/crates/lab/src/prove/postgres/faults.rs
@@ -25,7 +25,7 @@
     "refused_parses",
 ];
 
-type Played = BTreeMap<&'static str, usize>;
+type FaultCounts = BTreeMap<&'static str, usize>;
 
 /// Lets one engine after the other drain until the run ends; says which and when.
 pub(super) fn play_drains(
@@ -59,9 +59,9 @@
 }
 
 /// Plays faults until the run ends, while engines drain; says how often each was played.
-pub(super) fn play_faults(seed: u64, engines: &[Arc<Engine>], notes: &Notes) -> Played {
+pub(super) fn play_faults(seed: u64, engines: &[Arc<Engine>], notes: &Notes) -> FaultCounts {
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0xfa17);
-    let mut played = Played::new();
+    let mut played = FaultCounts::new();
     let mut turn = chance.random_range(0..FAULTS.len());
     let sleep = |ms: u64| std::thread::sleep(Duration::from_millis(ms));
     sleep(300);
--- a/crates/lab/src/prove/postgres/keys.rs
+++ b/crates/lab/src/prove/postgres/keys.rs
@@ -61,9 +61,13 @@
 }
 
 /// What waits for the answer to a statement that has left.
-type Waits = Box<dyn FnOnce() -> Outcome + Send>;
+type PendingAnswer = Box<dyn FnOnce() -> Outcome + Send>;
 
-fn ask_in_lines(at: SocketAddr, number: u64, asked: &StatementRecord) -> std::io::Result<Waits> {
+fn ask_in_lines(
+    at: SocketAddr,
+    number: u64,
+    asked: &StatementRecord,
+) -> std::io::Result<PendingAnswer> {
     let statement = format!("id={},key={},ms=15", asked.id, asked.key);
     let dedup = format!("d{}", asked.id);
     let fields = [
@@ -78,7 +82,7 @@
     Ok(Box::new(move || client.answer()))
 }
 
-fn ask_in_session(at: SocketAddr, asked: &StatementRecord) -> std::io::Result<Waits> {
+fn ask_in_session(at: SocketAddr, asked: &StatementRecord) -> std::io::Result<PendingAnswer> {
     let label = format!(
         "/*hallmux.workload='log-load',hallmux.key='{}',hallmux.dedup_key='d{}'*/ ",
         asked.key, asked.id
--- a/crates/lab/src/prove/postgres/load.rs
+++ b/crates/lab/src/prove/postgres/load.rs
@@ -37,7 +37,7 @@
 }
 
 /// What the threads of a run have seen.
-pub(super) struct Played {
+pub(super) struct LoadOutcome {
     /// How often each fault was played.
     pub(super) faults: BTreeMap<&'static str, usize>,
     pub(super) drains: Vec<Drain>,
@@ -113,14 +113,14 @@
     }
 
     /// Waits for all that is left, and gives what was seen.
-    pub(super) fn ended(self) -> Result<Played, String> {
+    pub(super) fn ended(self) -> Result<LoadOutcome, String> {
         let drains = self.drains.join().map_err(|_| "drains")?;
         let faults = self.faults.join().map_err(|_| "faults")?;
         let _ = self.keys.join();
         self.notes.done.store(true, SeqCst);
         let waited = self.sampler.join().map_err(|_| "sampling of waits")?;
         self.runtime.shutdown_timeout(RUNTIME_ENDS);
-        Ok(Played {
+        Ok(LoadOutcome {
             faults,
             drains,
             waited,
--- a/crates/lab/src/prove/promises.rs
+++ b/crates/lab/src/prove/promises.rs
@@ -12,8 +12,8 @@
 use crate::check::Outcome;
 use crate::record::account::{Offered, Run};
 use crate::rig;
-use crate::rig::scenario::{Class, Fault, Load, Scenario, Shape, Step, What};
-use crate::simulated::{self, Spoil};
+use crate::rig::scenario::{Class, Fault, FaultKind, FleetShape, Load, Scenario, Step};
+use crate::simulated::{self, Mutation};
 
 const SLOT_MS: u64 = 5_000; // milliseconds from one fault to the next: its own time, and the repair after it
 const FIRST_MS: u64 = 2_000; // milliseconds of load before the first
@@ -27,7 +27,7 @@
 
 /// How a run is to be played.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Way {
+pub struct RunOptions {
     /// Three faults instead of all.
     pub small: bool,
     pub simulated: bool,
@@ -35,7 +35,7 @@
     /// Fronts that a promise stands on; 0: none keeps any for another, and the run is to fail.
     pub copies: usize,
     /// In simulated time, a rule taken out: the run is to fail.
-    pub spoil: Spoil,
+    pub spoil: Mutation,
 }
 
 /// The kinds of trouble that a run takes its turn of; each of them comes in a whole run.
@@ -51,7 +51,7 @@
 const SMALL: usize = 3; // kinds in a small run
 
 /// The run of a seed.
-pub fn draw(seed: u64, way: Way) -> Scenario {
+pub fn draw(seed: u64, way: RunOptions) -> Scenario {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let fronts = way.fronts.unwrap_or_else(|| chance.random_range(5..=7));
     let kinds = shape::draw_kinds(&mut chance, &KINDS, way.small.then_some((SMALL, "loss")));
@@ -62,7 +62,7 @@
         let drawn = draw_faults(&mut chance, kind, at, fronts, lost);
         lost = drawn
             .iter()
-            .find(|fault| fault.what == What::LoseDisk)
+            .find(|fault| fault.what == FaultKind::LoseDisk)
             .map(|fault| fault.front)
             .or(lost);
         faults.extend(drawn);
@@ -80,7 +80,7 @@
     Scenario {
         seed: Some(seed),
         seconds: (FIRST_MS + kinds.len() as u64 * SLOT_MS + AFTER_MS) / 1000,
-        fleet: Shape {
+        fleet: FleetShape {
             clocks_apart_ms: APART_MS / 2, // of the machine's, either way
             copies: (way.copies > 0).then_some(way.copies),
             ..shape::fleet(fronts)
@@ -121,7 +121,7 @@
                 front = chance.random_range(0..fronts);
             }
             let step = Some(STEPS[chance.random_range(0..STEPS.len())]);
-            let gone = fault(What::LoseDisk, at, chance.random_range(500..1_500));
+            let gone = fault(FaultKind::LoseDisk, at, chance.random_range(500..1_500));
             vec![Fault {
                 front,
                 step,
@@ -129,14 +129,22 @@
             }]
         }
         "cut_two" => {
-            let cut = fault(What::FrontsSplit, at, chance.random_range(2_000..4_000));
+            let cut = fault(
+                FaultKind::FrontsSplit,
+                at,
+                chance.random_range(2_000..4_000),
+            );
             vec![Fault {
                 front: split,
                 ..cut
             }]
         }
         "cut_three" => {
-            let cut = fault(What::FrontsSplit, at, chance.random_range(2_000..3_500));
+            let cut = fault(
+                FaultKind::FrontsSplit,
+                at,
+                chance.random_range(2_000..3_500),
+            );
             vec![Fault {
                 front: split,
                 second: Some(chance.random_range(split + 1..fronts)),
@@ -144,13 +152,13 @@
             }]
         }
         "stall" => {
-            let stall = fault(What::Stall, at, chance.random_range(3_000..4_500));
+            let stall = fault(FaultKind::Stall, at, chance.random_range(3_000..4_500));
             vec![Fault { front, ..stall }]
         }
         // Asked to end: it hands over what it owns, and nothing that it was asked is excused.
         "end" => vec![Fault {
             front,
-            ..fault(What::Term, at, chance.random_range(500..2_000))
+            ..fault(FaultKind::Term, at, chance.random_range(500..2_000))
         }],
         _ => draw_bad_links(chance, at, split),
     }
@@ -164,25 +172,25 @@
     vec![
         Fault {
             percent,
-            ..fault(What::PostLossy, at, for_ms)
+            ..fault(FaultKind::PostLossy, at, for_ms)
         },
         Fault {
             delay_ms,
-            ..fault(What::PostDoubled, at, for_ms)
+            ..fault(FaultKind::PostDoubled, at, for_ms)
         },
         Fault {
             delay_ms,
-            ..fault(What::PostShuffled, at, for_ms)
+            ..fault(FaultKind::PostShuffled, at, for_ms)
         },
         Fault {
             front: split,
-            ..fault(What::FrontsSplitOut, at + for_ms / 2, for_ms / 3)
+            ..fault(FaultKind::FrontsSplitOut, at + for_ms / 2, for_ms / 3)
         },
     ]
 }
 
 /// Plays the run of a seed: whether it passed, and the tallies of its line.
-pub fn run(seed: u64, way: Way) -> Result<(bool, String), String> {
+pub fn run(seed: u64, way: RunOptions) -> Result<(bool, String), String> {
     let began = Instant::now();
     let scenario = draw(seed, way);
     let mut run = match way.simulated {
@@ -227,7 +235,7 @@
     let cut = scenario
         .faults
         .iter()
-        .any(|f| matches!(f.what, What::FrontsSplit | What::PostLossy));
+        .any(|f| matches!(f.what, FaultKind::FrontsSplit | FaultKind::PostLossy));
     if cut && tally("gossip_lost") == 0 {
         add("no word between fronts was lost".to_string());
     }
--- a/crates/lab/src/prove/promises_tests.rs
+++ b/crates/lab/src/prove/promises_tests.rs
@@ -4,36 +4,36 @@
 
 #[test]
 fn a_seed_draws_one_schedule_with_a_loss_and_the_whole_one_has_all_kinds() {
-    let way = Way {
+    let way = RunOptions {
         small: false,
         simulated: false,
         fronts: None,
         copies: 3,
-        ..Way::default()
+        ..RunOptions::default()
     };
     for seed in 0..200 {
         let whole = draw(seed, way);
         assert_eq!(whole, draw(seed, way));
-        let count = |what: What| whole.faults.iter().filter(|f| f.what == what).count();
+        let count = |what: FaultKind| whole.faults.iter().filter(|f| f.what == what).count();
         let losses: Vec<_> = whole
             .faults
             .iter()
-            .filter(|f| f.what == What::LoseDisk)
+            .filter(|f| f.what == FaultKind::LoseDisk)
             .collect();
         assert!(losses.len() == 2 && losses[0].front != losses[1].front);
         assert_eq!(
             (
-                count(What::FrontsSplit),
-                count(What::Stall),
-                count(What::PostLossy)
+                count(FaultKind::FrontsSplit),
+                count(FaultKind::Stall),
+                count(FaultKind::PostLossy)
             ),
             (2, 1, 1)
         );
-        assert_eq!(count(What::Term), 1);
+        assert_eq!(count(FaultKind::Term), 1);
         let fits =
             |f: &Fault| f.at_ms + f.for_ms < whole.seconds * 1000 && f.front < whole.fleet.fronts;
         assert!(whole.faults.iter().all(fits), "{seed}: {:?}", whole.faults);
-        let small = draw(seed, Way { small: true, ..way });
-        assert!(small.faults.iter().any(|f| f.what == What::LoseDisk) && small.seconds <= 20);
+        let small = draw(seed, RunOptions { small: true, ..way });
+        assert!(small.faults.iter().any(|f| f.what == FaultKind::LoseDisk) && small.seconds <= 20);
     }
 }
--- a/crates/lab/src/prove/roll.rs
+++ b/crates/lab/src/prove/roll.rs
@@ -16,7 +16,7 @@
 use crate::record::rolled::{self, Terms};
 use crate::rig::fleet::{play, Fleet, FleetHooks};
 use crate::rig::member::MemberOptions;
-use crate::rig::scenario::{Class, Fault, Load, Scenario, What};
+use crate::rig::scenario::{Class, Fault, FaultKind, Load, Scenario};
 
 const FIRST: i64 = 2_000_000; // microseconds of load before the first end
 const PAUSE: i64 = 700_000; // microseconds with all fronts there between ends
@@ -31,7 +31,7 @@
 
 /// Fronts that end together, and whether each starts anew as the other build; and for how long all are there before.
 #[derive(Clone, Debug, PartialEq)]
-struct Step {
+struct RollStep {
     fronts: Vec<usize>,
     other: bool,
     pause: i64,
@@ -39,7 +39,7 @@
 
 /// The steps of a roll: a tenth of the fleet at a time, of one zone, or `across` of several: an end then waits where a
 /// shard would lack two of its copies.
-fn steps(order: &[usize], zones: usize, across: bool, other: bool) -> Vec<Step> {
+fn steps(order: &[usize], zones: usize, across: bool, other: bool) -> Vec<RollStep> {
     let tenth = order.len().div_ceil(10);
     let groups: Vec<Vec<usize>> = match across {
         true => order.chunks(tenth).map(<[usize]>::to_vec).collect(),
@@ -62,7 +62,7 @@
     };
     groups
         .into_iter()
-        .map(|fronts| Step {
+        .map(|fronts| RollStep {
             fronts,
             other,
             pause: PAUSE,
@@ -71,7 +71,7 @@
 }
 
 struct Roll {
-    steps: VecDeque<Step>,
+    steps: VecDeque<RollStep>,
     other: Option<PathBuf>,
     /// Since when all are there.
     since: i64,
@@ -93,7 +93,7 @@
             fleet.members[*front].becomes(self.other.clone().filter(|_| step.other));
             Fault {
                 front: *front,
-                ..fault(What::Term, since as u64 / 1000, LOOK_MS)
+                ..fault(FaultKind::Term, since as u64 / 1000, LOOK_MS)
             }
         });
         let ends: Vec<Fault> = ends.collect();
@@ -107,7 +107,7 @@
 }
 
 /// The run of a seed: its fleet, and who ends when.
-fn draw(seed: u64, small: bool, mixed: bool) -> (Scenario, Vec<Step>) {
+fn draw(seed: u64, small: bool, mixed: bool) -> (Scenario, Vec<RollStep>) {
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x726f_6c6c);
     let fronts = if small {
         6
@@ -232,7 +232,7 @@
 fn tally_of(played: &[(Fault, i64, i64)]) -> usize {
     played
         .iter()
-        .filter(|(fault, ..)| fault.what == What::Term)
+        .filter(|(fault, ..)| fault.what == FaultKind::Term)
         .count()
 }
 
--- a/crates/lab/src/prove/rules.rs
+++ b/crates/lab/src/prove/rules.rs
@@ -15,12 +15,12 @@
 use crate::check::{Outcome, Violations};
 use crate::engine::Kind;
 use crate::record::account::{judge, Account, Offered, Run};
-use crate::record::barred::{self, Bar};
+use crate::record::barred::{self, BarredZone};
 use crate::record::executions::executions;
 use crate::record::hits;
 use crate::rig::fleet::{play, Fleet, FleetHooks};
 use crate::rig::rules::{self, Files, RuleLogs, Set, DENIED, RULED};
-use crate::rig::scenario::{Class, Fault, Load, Scenario, Shape, What};
+use crate::rig::scenario::{Class, Fault, FaultKind, FleetShape, Load, Scenario};
 
 const FIRST_MS: u64 = 1_000; // milliseconds of load before the first change
 const SLOT_MS: u64 = 6_500; // milliseconds from one change to the next
@@ -79,7 +79,7 @@
                 (vec![(others[0], now.clone()), (others[1], rival)], None)
             }
             "stalled" => {
-                let away = fault(What::Stall, at, chance.random_range(4_000..5_000));
+                let away = fault(FaultKind::Stall, at, chance.random_range(4_000..5_000));
                 (
                     vec![(others[0], now.clone())],
                     Some(Fault {
@@ -92,7 +92,7 @@
                 let below = chance.random_range(1..fronts);
                 let cut = Fault {
                     front: below,
-                    ..fault(What::FrontsSplit, at, 5_500)
+                    ..fault(FaultKind::FrontsSplit, at, 5_500)
                 };
                 // On either side: one of them has the majority of whoever keeps the rules.
                 let sides = [
@@ -103,7 +103,7 @@
             }
             _ => {
                 // It comes back with the file that it had, by then an old one.
-                let gone = fault(What::Kill, at, chance.random_range(3_000..4_000));
+                let gone = fault(FaultKind::Kill, at, chance.random_range(3_000..4_000));
                 old.push((at + 5_500, others[2]));
                 (
                     vec![(others[0], now.clone())],
@@ -165,7 +165,7 @@
     Scenario {
         seed: Some(seed),
         seconds: (FIRST_MS + kinds.len() as u64 * SLOT_MS + AFTER_MS) / 1000,
-        fleet: Shape {
+        fleet: FleetShape {
             zones,
             ..shape::fleet(fronts)
         },
@@ -231,7 +231,7 @@
         all
     }
 
-    fn bars(&self, end: i64) -> Vec<Bar> {
+    fn bars(&self, end: i64) -> Vec<BarredZone> {
         let (lived, mut bars) = (self.lived(), Vec::new());
         for (n, (_, set)) in lived.iter().enumerate() {
             let Some(in_force) = self.logs.in_force.get(&set.version) else {
@@ -243,7 +243,7 @@
                     .find(|(_, later)| !later.barred.contains(zone));
                 let until = ends.map_or(end, |(at, _)| *at);
                 let in_force = in_force + ON_ITS_WAY;
-                bars.push(Bar {
+                bars.push(BarredZone {
                     class: Some(REPORT),
                     zone: *zone,
                     in_force,
@@ -406,7 +406,7 @@
             let cuts = account
                 .played
                 .iter()
-                .filter(|(fault, ..)| fault.what == What::FrontsSplit);
+                .filter(|(fault, ..)| fault.what == FaultKind::FrontsSplit);
             let inside = cuts.filter(|(_, from, to)| from <= at && at < to).count() as i64;
             run.tallies.insert("in_force_during_a_cut", inside);
         }
--- a/crates/lab/src/prove/shape.rs
+++ b/crates/lab/src/prove/shape.rs
@@ -4,7 +4,7 @@
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
 
-use crate::rig::scenario::{Class, Effect, Shape, Warm};
+use crate::rig::scenario::{Class, Effect, FleetShape, Warm};
 
 /// The kinds of trouble of a run, in the order drawn. A small run has so many of them, the named one always
 /// among these.
@@ -24,8 +24,8 @@
 }
 
 /// Fronts that talk with each other, their promises on three of them, engines in three zones.
-pub(super) fn fleet(fronts: usize) -> Shape {
-    Shape {
+pub(super) fn fleet(fronts: usize) -> FleetShape {
+    FleetShape {
         fronts,
         zones: 3,
         engines_per_zone: 2,
--- a/crates/lab/src/prove/sites.rs
+++ b/crates/lab/src/prove/sites.rs
@@ -14,15 +14,15 @@
 
 use super::played::{end, fault};
 use super::shape;
-use crate::engine::lines::{self, Holds};
+use crate::engine::lines::{self, RowStore};
 use crate::engine::Records;
 use crate::record::account::{judge, Account, Run};
 use crate::record::rows::{self, Scatter};
 use crate::rig::fleet::{play, Fleet, FleetHooks};
 use crate::rig::member::Member;
-use crate::rig::scenario::{Class, Effect, Fault, Load, Scenario, Shape, What};
+use crate::rig::scenario::{Class, Effect, Fault, FaultKind, FleetShape, Load, Scenario};
 use crate::rig::sites::{Sites, BAD};
-use seen::{asked, counted, held, read, Loaded, Seen};
+use seen::{asked, counted, held, read, AnswerRecords, Loaded};
 
 const SITES: usize = 5;
 const RANGE: i64 = 1_000; // values of a site lie in a range of its own, loads' anywhere
@@ -40,7 +40,7 @@
 
 struct Plan {
     sites: Arc<Sites>,
-    seen: Arc<Seen>,
+    seen: Arc<AnswerRecords>,
     stop: Arc<AtomicBool>,
     clients: Option<std::thread::JoinHandle<()>>,
     seed: u64,
@@ -61,7 +61,7 @@
     (seed, loads): (u64, f64),
     members: &[Arc<Member>],
     records: &Arc<Records>,
-    seen: &Arc<Seen>,
+    seen: &Arc<AnswerRecords>,
     stop: &AtomicBool,
 ) {
     let (gap, loads) = (
@@ -204,7 +204,7 @@
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x7369_7465);
     let fronts = 5;
     let cut = fault(
-        What::FrontsSplit,
+        FaultKind::FrontsSplit,
         6_000 + chance.random_range(0..500),
         5_000,
     );
@@ -214,7 +214,7 @@
     }];
     if !small {
         let gone = fault(
-            What::Kill,
+            FaultKind::Kill,
             15_000 + chance.random_range(0..500),
             chance.random_range(500..2_000),
         );
@@ -232,7 +232,7 @@
     Scenario {
         seed: Some(seed),
         seconds: if small { 14 } else { 25 },
-        fleet: Shape {
+        fleet: FleetShape {
             zones: SITES,
             engines_per_zone: 1,
             clocks_apart_ms: 400,
@@ -277,7 +277,7 @@
 ) -> Result<(Plan, Account, Vec<u32>), String> {
     let fronts = scenario.fleet.fronts;
     let sites = Arc::new(Sites::new(first(seed), 1, fronts, seed).map_err(|e| e.to_string())?);
-    let holds: Arc<dyn Holds> = sites.clone();
+    let holds: Arc<dyn RowStore> = sites.clone();
     let fleet = Fleet::start_with(scenario, seed, sites.beside(fronts), Some(holds))?;
     let mut plan = Plan {
         sites,
@@ -398,7 +398,7 @@
     for (fault, from, to) in account
         .played
         .iter()
-        .filter(|(fault, ..)| fault.what == What::FrontsSplit)
+        .filter(|(fault, ..)| fault.what == FaultKind::FrontsSplit)
     {
         let side = |front: usize| fault.split().group(front);
         let inside = |at: i64| *from <= at && at < *to;
--- a/crates/lab/src/prove/sites/seen.rs
+++ b/crates/lab/src/prove/sites/seen.rs
@@ -18,7 +18,7 @@
 }
 
 #[derive(Default)]
-pub(super) struct Seen {
+pub(super) struct AnswerRecords {
     pub(super) scatters: Mutex<Vec<(usize, Scatter)>>,
     pub(super) loads: Mutex<Vec<Loaded>>,
 }
@@ -35,7 +35,10 @@
 pub(super) type Violations = BTreeMap<&'static str, Vec<String>>;
 
 /// The rows at each site in the end, and loads acknowledged whose rows are nowhere.
-pub(super) fn held((sites, seen): (&Sites, &Seen), first: &[Vec<i64>]) -> (Vec<Row>, Violations) {
+pub(super) fn held(
+    (sites, seen): (&Sites, &AnswerRecords),
+    first: &[Vec<i64>],
+) -> (Vec<Row>, Violations) {
     let there = |site: usize| {
         first[site].iter().map(move |value| Row {
             site,
--- a/crates/lab/src/prove/soak.rs
+++ b/crates/lab/src/prove/soak.rs
@@ -19,7 +19,9 @@
 use crate::rig::agreed::settings;
 use crate::rig::fleet::{play, Fleet};
 use crate::rig::member::SOCKETS;
-use crate::rig::scenario::{Class, Effect, Fault, Further, Load, Scenario, Shape, Warm, What};
+use crate::rig::scenario::{
+    Class, Effect, Fault, FaultKind, FleetShape, Load, RetryBudget, Scenario, Warm,
+};
 
 const SECONDS: u64 = 20; // of load
 const FIRST_MS: u64 = 1_500; // milliseconds of load before the first fault, and after the last
@@ -30,15 +32,15 @@
 const LEAST_RATE: u64 = 20; // statements a second over the fleet
 const RESETS_MS: std::ops::RangeInclusive<u64> = 200..=1_200; // milliseconds between resets of connections
 const LONGEST_END_MS: u64 = 4_000; // milliseconds from a SIGTERM until a front has answered all and is gone
-const KINDS: [What; 8] = [
-    What::Stall,
-    What::Kill,
-    What::Term,
-    What::Term,
-    What::Hup,
-    What::ZoneReset,
-    What::LinkCut,
-    What::LinkCutBack,
+const KINDS: [FaultKind; 8] = [
+    FaultKind::Stall,
+    FaultKind::Kill,
+    FaultKind::Term,
+    FaultKind::Term,
+    FaultKind::Hup,
+    FaultKind::ZoneReset,
+    FaultKind::LinkCut,
+    FaultKind::LinkCutBack,
 ];
 
 /// The run of a seed, without what befalls the machines.
@@ -70,7 +72,7 @@
             ..Class::plain("pay", 1_000)
         },
     ];
-    let fleet = Shape {
+    let fleet = FleetShape {
         fronts,
         zones,
         engines_per_zone: chance.random_range(2..=3),
@@ -83,7 +85,7 @@
         zone_quorum: None,
         sheds_as_one: false,
         budgets: Default::default(),
-        further: Further {
+        further: RetryBudget {
             spare: chance.random_range(1..=4),
             share: chance.random_range(0.05..0.2),
         },
@@ -114,13 +116,13 @@
 }
 
 /// Faults that take a front away or cut it off come one after the other; connections are reset at any time.
-fn faults(chance: &mut Pcg64Mcg, fleet: &Shape) -> Vec<Fault> {
+fn faults(chance: &mut Pcg64Mcg, fleet: &FleetShape) -> Vec<Fault> {
     let mut faults = Vec::new();
     // A front that was asked to end has nothing else played on it until it can be there again.
     let mut busy_until = vec![0; fleet.fronts];
     let mut at = FIRST_MS;
     loop {
-        let what = *KINDS.choose(chance).unwrap_or(&What::Stall);
+        let what = *KINDS.choose(chance).unwrap_or(&FaultKind::Stall);
         let for_ms = chance.random_range(200..1_200);
         if at + for_ms + FIRST_MS > SECONDS * 1000 {
             break;
@@ -133,7 +135,7 @@
             at = busy_until[front];
             continue;
         }
-        if what == What::Term {
+        if what == FaultKind::Term {
             busy_until[front] = at + for_ms + LONGEST_END_MS;
         }
         faults.push(Fault {
@@ -148,7 +150,7 @@
         let zone = chance.random_range(0..fleet.zones);
         faults.push(Fault {
             zone,
-            ..fault(What::ZoneReset, at, 0)
+            ..fault(FaultKind::ZoneReset, at, 0)
         });
         at += chance.random_range(RESETS_MS);
     }
@@ -194,7 +196,7 @@
         window: agreed("budgetSpanMs") as i64 * 1000,
     };
     let starts: Vec<(usize, i64)> = (account.played.iter())
-        .filter(|(fault, ..)| matches!(fault.what, What::Kill | What::Term))
+        .filter(|(fault, ..)| matches!(fault.what, FaultKind::Kill | FaultKind::Term))
         .map(|(fault, _, back)| (fault.front, *back))
         .collect();
     let ran = executions(&account.engine_events, &account.sent_by);
--- a/crates/lab/src/prove/soak_tests.rs
+++ b/crates/lab/src/prove/soak_tests.rs
@@ -16,7 +16,7 @@
                 "{seed}: front {} is still ending",
                 fault.front
             );
-            if fault.what == What::Term {
+            if fault.what == FaultKind::Term {
                 ends[fault.front] = free + LONGEST_END_MS;
             }
         }
--- a/crates/lab/src/record/account.rs
+++ b/crates/lab/src/record/account.rs
@@ -13,7 +13,7 @@
 use crate::rig::datagrams::RelayedDatagram;
 use crate::rig::member::Shutdown;
 use crate::rig::relay::Relayed;
-use crate::rig::scenario::{Fault, Scenario, Step, What};
+use crate::rig::scenario::{Fault, FaultKind, Scenario, Step};
 use crate::rig::starved::Starved;
 
 const SECOND: i64 = 1_000_000; // microseconds
@@ -160,7 +160,7 @@
     let hups = scenario
         .faults
         .iter()
-        .filter(|f| f.what == What::Hup)
+        .filter(|f| f.what == FaultKind::Hup)
         .count();
     if hups > 0 {
         tallies.insert("read_again", account.read_again);
@@ -189,9 +189,9 @@
     }
     for (fault, from, to) in played {
         match fault.what {
-            What::ZoneLost => zone_lost(scenario, account, (fault, *from, *to), &mut tallies),
-            What::Release => herd::released(scenario, account, (fault, *from), &mut tallies),
-            What::LinkCut => link_cut(account, (fault, *from, *to), &mut tallies),
+            FaultKind::ZoneLost => zone_lost(scenario, account, (fault, *from, *to), &mut tallies),
+            FaultKind::Release => herd::released(scenario, account, (fault, *from), &mut tallies),
+            FaultKind::LinkCut => link_cut(account, (fault, *from, *to), &mut tallies),
             _ => {}
         }
     }
--- a/crates/lab/src/record/barred.rs
+++ b/crates/lab/src/record/barred.rs
@@ -8,7 +8,7 @@
 
 /// A zone barred for a workload (all where none is named), from when a front said so until it was taken back.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Bar {
+pub struct BarredZone {
     pub class: Option<usize>,
     pub zone: usize,
     pub in_force: i64,
@@ -21,14 +21,14 @@
     wrong: &mut Violations,
     ran: &[Execution],
     asked: &[Offered],
-    (bars, zone): (&[Bar], &dyn Fn(usize) -> usize),
+    (bars, zone): (&[BarredZone], &dyn Fn(usize) -> usize),
 ) {
     let known: HashMap<&str, &Offered> = asked.iter().map(|o| (o.asked.id.as_str(), o)).collect();
     for x in ran {
         let Some(offered) = known.get(x.id.as_str()) else {
             continue;
         };
-        let holds = |bar: &&Bar| {
+        let holds = |bar: &&BarredZone| {
             let for_it = bar.class.is_none_or(|class| class == offered.class);
             for_it && bar.zone == zone(x.engine) && bar.in_force < x.from && x.from < bar.until
         };
--- a/crates/lab/src/record/barred_tests.rs
+++ b/crates/lab/src/record/barred_tests.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn a_read_in_a_barred_zone_after_in_force_is_found() {
-    let bar = Bar {
+    let bar = BarredZone {
         class: Some(0),
         zone: 1,
         in_force: 100,
--- a/crates/lab/src/record/cuts.rs
+++ b/crates/lab/src/record/cuts.rs
@@ -2,7 +2,7 @@
 
 /// A span in which fronts heard only those of their own group.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Cut {
+pub struct Partition {
     pub from: i64,
     pub to: i64,
     /// The group of each front.
@@ -11,9 +11,9 @@
 
 /// What a run knows of its fronts' ways to each other.
 #[derive(Clone, Debug, Default)]
-pub struct Ways {
+pub struct Connectivity {
     pub fronts: usize,
-    pub cuts: Vec<Cut>,
+    pub cuts: Vec<Partition>,
     /// Fronts that were stopped, killed or ending, and when.
     pub away: Vec<(usize, i64, i64)>,
     /// Spans in which words between fronts were lost, slowed or doubled, or a disk was in trouble.
@@ -22,12 +22,12 @@
     pub starved: Vec<(i64, i64)>,
 }
 
-impl Ways {
+impl Connectivity {
     /// The fewest fronts that `front` heard, itself among them, at any moment of a span.
     pub fn least_heard(&self, front: usize, (from, to): (i64, i64)) -> usize {
         let heard = |at: i64| {
             let own = |groups: &[usize], n: usize| groups.get(n) == groups.get(front);
-            let cuts: Vec<&Cut> = self
+            let cuts: Vec<&Partition> = self
                 .cuts
                 .iter()
                 .filter(|c| c.from <= at && at < c.to)
--- a/crates/lab/src/record/cuts_tests.rs
+++ b/crates/lab/src/record/cuts_tests.rs
@@ -4,12 +4,12 @@
 
 #[test]
 fn a_front_hears_its_own_group_less_those_away() {
-    let cuts = vec![Cut {
+    let cuts = vec![Partition {
         from: 10,
         to: 20,
         groups: vec![0, 0, 1, 1, 1],
     }];
-    let ways = Ways {
+    let ways = Connectivity {
         fronts: 5,
         cuts,
         away: vec![(4, 15, 30)],
--- a/crates/lab/src/record/promises.rs
+++ b/crates/lab/src/record/promises.rs
@@ -5,10 +5,10 @@
 use crate::check::{Outcome, StatementRecord, Violations};
 use crate::engine::{EngineEvent, Kind};
 use crate::rig::agreed::settings;
-use crate::rig::scenario::{Scenario, What};
+use crate::rig::scenario::{FaultKind, Scenario};
 
 use super::account::{Account, Offered, Tallies};
-use super::cuts::{Cut, Ways};
+use super::cuts::{Connectivity, Partition};
 use super::executions::executions;
 use super::refused::Terms;
 use super::repeats::Repeats;
@@ -46,27 +46,27 @@
 }
 
 /// Who could hear whom, from the faults as they were played.
-pub fn ways(scenario: &Scenario, account: &Account) -> Ways {
+pub fn ways(scenario: &Scenario, account: &Account) -> Connectivity {
     let fronts = scenario.fleet.fronts;
     // Until the load began, shards had no owners yet.
-    let mut ways = Ways {
+    let mut ways = Connectivity {
         fronts,
         troubled: vec![(0, account.began)],
-        ..Ways::default()
+        ..Connectivity::default()
     };
     for (fault, from, to) in &account.played {
         let (from, to) = (*from, *to);
         match fault.what {
-            What::FrontsSplit => {
+            FaultKind::FrontsSplit => {
                 let split = fault.split();
-                ways.cuts.push(Cut {
+                ways.cuts.push(Partition {
                     from,
                     to,
                     groups: (0..fronts).map(|n| split.group(n)).collect(),
                 });
                 ways.troubled.extend([(from, from), (to, to)]);
             }
-            What::Stall | What::Kill | What::Term | What::LoseDisk => {
+            FaultKind::Stall | FaultKind::Kill | FaultKind::Term | FaultKind::LoseDisk => {
                 ways.away.push((fault.front, from, to));
                 ways.troubled.extend([(from, from), (to, to)]);
             }
@@ -83,7 +83,7 @@
     let cuts = account
         .played
         .iter()
-        .filter(|(fault, ..)| fault.what == What::FrontsSplit);
+        .filter(|(fault, ..)| fault.what == FaultKind::FrontsSplit);
     let last = |end: i64| {
         let next = account
             .played
@@ -121,7 +121,7 @@
     let mut wrong = Violations::new();
     let ran = executions(&account.engine_events, &account.sent_by);
     let lost: Vec<(usize, i64)> = (account.played.iter())
-        .filter(|(fault, ..)| matches!(fault.what, What::Kill | What::LoseDisk))
+        .filter(|(fault, ..)| matches!(fault.what, FaultKind::Kill | FaultKind::LoseDisk))
         .map(|(fault, from, _)| (fault.front, *from))
         .chain(account.steps.iter().map(|(_, front, at)| (*front, *at)))
         .collect();
--- a/crates/lab/src/record/refused.rs
+++ b/crates/lab/src/record/refused.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 
 use super::account::Offered;
-use super::cuts::Ways;
+use super::cuts::Connectivity;
 use super::unpromised::needs;
 use crate::check::{Outcome, Violations};
 
@@ -24,7 +24,7 @@
     pub spare: usize,
 }
 
-pub fn check(wrong: &mut Violations, asked: &[Offered], (ways, terms): (&Ways, Terms)) {
+pub fn check(wrong: &mut Violations, asked: &[Offered], (ways, terms): (&Connectivity, Terms)) {
     let mut by_key: HashMap<&str, Vec<&Offered>> = HashMap::new();
     asked
         .iter()
--- a/crates/lab/src/record/refused_tests.rs
+++ b/crates/lab/src/record/refused_tests.rs
@@ -2,19 +2,19 @@
 
 use super::*;
 use crate::record::account::offered;
-use crate::record::cuts::Cut;
+use crate::record::cuts::Partition;
 
 #[test]
 fn a_refusal_without_an_excuse_is_found() {
-    let cut = Cut {
+    let cut = Partition {
         from: 5_000_000,
         to: 9_000_000,
         groups: vec![1, 0, 0],
     };
-    let ways = Ways {
+    let ways = Connectivity {
         fronts: 3,
         cuts: vec![cut],
-        ..Ways::default()
+        ..Connectivity::default()
     };
     let terms = Terms {
         majority: 2,
@@ -30,10 +30,10 @@
         !wrong.is_empty()
     };
     // What needs no promise is refused at a front that was stopped, and without an excuse elsewhere.
-    let stopped = Ways {
+    let stopped = Connectivity {
         fronts: 3,
         away: vec![(0, 5_000_000, 6_000_000)],
-        ..Ways::default()
+        ..Connectivity::default()
     };
     for (front, sent, groundless) in [
         (0, 5_500_000, false),
@@ -64,9 +64,9 @@
 
 #[test]
 fn a_key_rests_after_a_statement_that_did_not_complete_and_not_after_one_that_did() {
-    let ways = Ways {
+    let ways = Connectivity {
         fronts: 3,
-        ..Ways::default()
+        ..Connectivity::default()
     };
     let terms = Terms {
         majority: 2,
--- a/crates/lab/src/record/unpromised.rs
+++ b/crates/lab/src/record/unpromised.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use super::account::Offered;
-use super::cuts::Ways;
+use super::cuts::Connectivity;
 use super::executions::Execution;
 use crate::check::{Repeat, Violations};
 use crate::rig::starved::Starved;
@@ -21,7 +21,7 @@
     wrong: &mut Violations,
     ran: &[Execution],
     (asked, starved): (&[Offered], &Starved),
-    (ways, stands_on): (&Ways, usize),
+    (ways, stands_on): (&Connectivity, usize),
 ) {
     let known: HashMap<(&str, usize), &Offered> = asked
         .iter()
--- a/crates/lab/src/record/unpromised_tests.rs
+++ b/crates/lab/src/record/unpromised_tests.rs
@@ -2,20 +2,20 @@
 
 use super::*;
 use crate::record::account::offered;
-use crate::record::cuts::Cut;
+use crate::record::cuts::Partition;
 use crate::record::executions::ran;
 
 #[test]
 fn a_keyed_start_on_a_minority_side_is_found_and_a_plain_one_is_not() {
-    let cut = Cut {
+    let cut = Partition {
         from: 1_000_000,
         to: 9_000_000,
         groups: vec![1, 0, 0],
     };
-    let ways = Ways {
+    let ways = Connectivity {
         fronts: 3,
         cuts: vec![cut],
-        ..Ways::default()
+        ..Connectivity::default()
     };
     let found = |key: &str, front: usize, sent: i64| {
         let mut own = offered("a", front, sent);
--- a/crates/lab/src/rig/fault.rs
+++ b/crates/lab/src/rig/fault.rs
@@ -6,7 +6,7 @@
 
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum FaultKind {
     /// Every link into the zone loses all both ways; its engines start cold when it returns.
     ZoneLost,
     /// The links of one front into the zone lose all, both ways: the partition of one vantage.
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    pub what: What,
+    pub what: FaultKind,
     /// Milliseconds after the load began, and how long it lasts.
     pub at_ms: u64,
     #[serde(default)]
@@ -101,7 +101,7 @@
     }
 
     pub fn split(&self) -> Split {
-        let one_way = self.what == What::FrontsSplitOut;
+        let one_way = self.what == FaultKind::FrontsSplitOut;
         Split {
             below: self.front,
             second: self.second,
@@ -112,8 +112,8 @@
     /// The fault as it is played: on the front that owns the fleet's work, where it is meant for that.
     pub fn on(&self, owner: Option<usize>) -> Fault {
         let what = match self.what {
-            What::StallOwner => What::Stall,
-            What::KillOwner => What::Kill,
+            FaultKind::StallOwner => FaultKind::Stall,
+            FaultKind::KillOwner => FaultKind::Kill,
             _ => return self.clone(),
         };
         Fault {
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -13,11 +13,11 @@
 use super::datagrams::DatagramRelay;
 use super::member::{FleetConfig, Keys, Member, MemberOptions, Record};
 use super::relay::{Link, Relayed};
-use super::scenario::{Fault, Scenario, Shape, Step};
+use super::scenario::{Fault, FleetShape, Scenario, Step};
 use super::stage::Stage;
 use super::starved::{self, Starved};
 use super::Coordinator;
-use crate::engine::lines::{Engine, Holds};
+use crate::engine::lines::{Engine, RowStore};
 use crate::engine::Records;
 use crate::load::offer::offer;
 use crate::record::account::{judge, warmth, Account, Run};
@@ -49,7 +49,7 @@
         scenario: &Scenario,
         seed: u64,
         beside: Vec<MemberOptions>,
-        holds: Option<Arc<dyn Holds>>,
+        holds: Option<Arc<dyn RowStore>>,
     ) -> Result<Fleet, String> {
         let why = |e: std::io::Error| e.to_string();
         let records = Records::new();
@@ -242,7 +242,7 @@
 
 /// The keys of the fronts and the relay of their datagrams, where they talk with each other.
 fn start_gossip(
-    shape: &Shape,
+    shape: &FleetShape,
     seed: u64,
     records: &Arc<Records>,
 ) -> std::io::Result<Option<(Keys, DatagramRelay)>> {
@@ -271,7 +271,7 @@
 /// Plays the scenario and checks what happened.
 pub fn run(scenario: &Scenario, seed: u64) -> Result<Run, String> {
     let fleet = Fleet::start(scenario, seed)?;
-    let (account, pids) = play(fleet, scenario, seed, &mut Nothing)?;
+    let (account, pids) = play(fleet, scenario, seed, &mut NoHooks)?;
     Ok(judge(scenario, &account, pids))
 }
 
@@ -296,9 +296,9 @@
     fn over(&mut self, _fleet: &Fleet) {}
 }
 
-struct Nothing;
+struct NoHooks;
 
-impl FleetHooks for Nothing {}
+impl FleetHooks for NoHooks {}
 
 /// Plays the scenario with what comes beside it; gives what was seen, and the ids of all processes.
 pub(crate) fn play(
--- a/crates/lab/src/rig/member.rs
+++ b/crates/lab/src/rig/member.rs
@@ -11,7 +11,7 @@
 
 use super::datagrams::DatagramRelay;
 use super::front::Log;
-use super::scenario::Shape;
+use super::scenario::FleetShape;
 use super::{Coordinator, Front};
 use crate::engine::Records;
 use crate::record::account::Offered;
@@ -268,7 +268,7 @@
 }
 
 impl Keys {
-    pub(crate) fn new(shape: &Shape, seed: u64) -> std::io::Result<Keys> {
+    pub(crate) fn new(shape: &FleetShape, seed: u64) -> std::io::Result<Keys> {
         let folder =
             std::env::temp_dir().join(format!("hallmux-fleet-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab/src/rig/relay.rs
@@ -44,7 +44,7 @@
 }
 
 /// Which way bytes pass in one of a connection's two threads, and what both know of the connection.
-struct Way {
+struct Direction {
     /// From the front towards the engine.
     out: bool,
     /// The relay's port at the engine.
@@ -110,7 +110,7 @@
                     (Ok(n), Ok(f)) => (n, f),
                     _ => continue,
                 };
-                let ways = [true, false].map(|out| Way {
+                let ways = [true, false].map(|out| Direction {
                     out,
                     port,
                     is_reset: is_reset.clone(),
@@ -180,7 +180,7 @@
         });
     }
 
-    fn pass(&self, mut from: TcpStream, mut to: TcpStream, way: &Way) {
+    fn pass(&self, mut from: TcpStream, mut to: TcpStream, way: &Direction) {
         let mut chunk = vec![0; CHUNK];
         let mut lines = Lines::default();
         loop {
--- a/crates/lab/src/rig/scenario.rs
+++ b/crates/lab/src/rig/scenario.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 
 pub use super::class::{Class, Effect};
-pub use super::fault::{Fault, Step, What};
+pub use super::fault::{Fault, FaultKind, Step};
 
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
@@ -14,7 +14,7 @@
     pub seed: Option<u64>,
     /// How long load is offered, in seconds.
     pub seconds: u64,
-    pub fleet: Shape,
+    pub fleet: FleetShape,
     pub load: Load,
     #[serde(default)]
     pub engine: Warm,
@@ -34,7 +34,7 @@
 
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Shape {
+pub struct FleetShape {
     pub fronts: usize,
     pub zones: usize,
     pub engines_per_zone: usize,
@@ -63,20 +63,20 @@
     pub budgets: Budgets,
     /// What each front may execute beyond the first time, in any ten seconds.
     #[serde(default)]
-    pub further: Further,
+    pub further: RetryBudget,
 }
 
 /// Further executions: so many, and this share of the statements taken.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
-pub struct Further {
+pub struct RetryBudget {
     pub spare: u32,
     pub share: f64,
 }
 
-impl Default for Further {
-    fn default() -> Further {
-        Further {
+impl Default for RetryBudget {
+    fn default() -> RetryBudget {
+        RetryBudget {
             spare: 10,
             share: 0.2,
         }
@@ -104,7 +104,7 @@
     }
 }
 
-impl Shape {
+impl FleetShape {
     /// That part of the operator's file.
     pub fn overload(&self) -> Overload {
         let Budgets {
@@ -251,7 +251,7 @@
     }
 
     fn check_fault(&self, fault: &Fault, place: Place) -> Result<(), String> {
-        let Shape { fronts, zones, .. } = self.fleet;
+        let FleetShape { fronts, zones, .. } = self.fleet;
         if fault.zone >= zones {
             return place.refuse("zone", &format!("names a zone of {zones}, counted from 0"));
         }
@@ -267,7 +267,7 @@
         {
             return place.refuse("second", "must be over `front` and a front");
         }
-        if fault.step.is_some() && fault.what != What::LoseDisk {
+        if fault.step.is_some() && fault.what != FaultKind::LoseDisk {
             return place.refuse("step", "goes with lose_disk alone");
         }
         if fault.percent > 100 {
@@ -298,9 +298,9 @@
     place.refuse("share", &why)
 }
 
-impl Shape {
+impl FleetShape {
     fn check(&self, simulated: bool, place: Place) -> Result<(), String> {
-        let Shape {
+        let FleetShape {
             fronts,
             zones,
             engines_per_zone,
--- a/crates/lab/src/rig/scenario_tests.rs
+++ b/crates/lab/src/rig/scenario_tests.rs
@@ -16,7 +16,7 @@
             s.faults[0].what,
             s.engine.slots
         ),
-        (3, 1, What::ZoneLost, 16)
+        (3, 1, FaultKind::ZoneLost, 16)
     );
 }
 
--- a/crates/lab/src/rig/sites.rs
+++ b/crates/lab/src/rig/sites.rs
@@ -13,7 +13,7 @@
 
 use super::agreed::zone_name;
 use super::member::MemberOptions;
-use crate::engine::lines::Holds;
+use crate::engine::lines::RowStore;
 
 pub const GROUP: u32 = 17;
 const DAY_MS: u64 = 86_400_000;
@@ -51,7 +51,7 @@
     rest[..end].parse().ok()
 }
 
-impl Holds for Sites {
+impl RowStore for Sites {
     fn answer(&self, engine: usize, statement: &str) -> String {
         let own = statement.find("id=").map_or("", |at| &statement[at + 3..]);
         let own = own.split([',', ' ']).next().unwrap_or_default();
--- a/crates/lab/src/rig/stage.rs
+++ b/crates/lab/src/rig/stage.rs
@@ -9,7 +9,7 @@
 use super::death::DeathStep;
 use super::member::{FleetConfig, Member, SOCKETS};
 use super::relay::Link;
-use super::scenario::{Fault, What};
+use super::scenario::{Fault, FaultKind};
 use crate::engine::lines::Engine;
 use crate::engine::{Armed, Records};
 
@@ -72,47 +72,51 @@
     pub(super) fn begin(&self, fault: &Fault) {
         let member = &self.members[fault.front];
         match fault.what {
-            What::ZoneLost => self.zone_links(fault.zone).for_each(|l| {
+            FaultKind::ZoneLost => self.zone_links(fault.zone).for_each(|l| {
                 l.set(|s| (s.out_lost, s.back_lost) = (true, true));
             }),
-            What::LinkCut => self
+            FaultKind::LinkCut => self
                 .own(fault)
                 .for_each(|l| l.set(|s| (s.out_lost, s.back_lost) = (true, true))),
-            What::LinkCutBack => self.own(fault).for_each(|l| l.set(|s| s.back_lost = true)),
-            What::ZoneSlow => self
+            FaultKind::LinkCutBack => self.own(fault).for_each(|l| l.set(|s| s.back_lost = true)),
+            FaultKind::ZoneSlow => self
                 .zone_links(fault.zone)
                 .for_each(|l| l.set(|s| s.delay_ms = fault.delay_ms)),
-            What::ZoneReset => self.zone_links(fault.zone).for_each(|l| l.reset()),
-            What::FrontsSplit => self.set_datagram_faults(|s| s.split = Some(fault.split())),
-            What::FrontsSplitOut => self.set_datagram_faults(|s| s.split = Some(fault.split())),
-            What::PostLossy => self.set_datagram_faults(|s| s.lost_percent = fault.percent),
-            What::PostDoubled => self.set_datagram_faults(|s| s.doubled_ms = Some(fault.delay_ms)),
-            What::PostSlow => self.set_datagram_faults(|s| s.delay_ms = fault.delay_ms),
-            What::PostShuffled => self.set_datagram_faults(|s| s.shuffled_ms = fault.delay_ms),
-            What::Hup => {
+            FaultKind::ZoneReset => self.zone_links(fault.zone).for_each(|l| l.reset()),
+            FaultKind::FrontsSplit => self.set_datagram_faults(|s| s.split = Some(fault.split())),
+            FaultKind::FrontsSplitOut => {
+                self.set_datagram_faults(|s| s.split = Some(fault.split()))
+            }
+            FaultKind::PostLossy => self.set_datagram_faults(|s| s.lost_percent = fault.percent),
+            FaultKind::PostDoubled => {
+                self.set_datagram_faults(|s| s.doubled_ms = Some(fault.delay_ms))
+            }
+            FaultKind::PostSlow => self.set_datagram_faults(|s| s.delay_ms = fault.delay_ms),
+            FaultKind::PostShuffled => self.set_datagram_faults(|s| s.shuffled_ms = fault.delay_ms),
+            FaultKind::Hup => {
                 if let Ok(front) = member.front.lock() {
                     front.iter().for_each(|f| f.read_again(2 * SOCKETS));
                 }
             }
-            What::StallOwner | What::KillOwner => {} // played as what it is on the owner
-            What::Release => self.released(fault).for_each(|member| {
+            FaultKind::StallOwner | FaultKind::KillOwner => {} // played as what it is on the owner
+            FaultKind::Release => self.released(fault).for_each(|member| {
                 member.goes_away(self.records.now());
                 member.signal(Signal::SIGKILL);
             }),
-            What::DiskFull => self.config.drill(fault.front, "full"),
-            What::DiskSlow => self
+            FaultKind::DiskFull => self.config.drill(fault.front, "full"),
+            FaultKind::DiskSlow => self
                 .config
                 .drill(fault.front, &format!("slow {}", fault.delay_ms)),
-            What::Term => {
+            FaultKind::Term => {
                 member.asked_to_end(self.records.now());
                 member.away.store(true, SeqCst);
                 member.signal(Signal::SIGTERM);
             }
-            What::Stall | What::Kill | What::LoseDisk => {
+            FaultKind::Stall | FaultKind::Kill | FaultKind::LoseDisk => {
                 let died = self.dies_at(fault, member);
                 // What it had out is lost from its death on, however late this hears of it.
                 member.goes_away(died.unwrap_or_else(|| self.records.now()));
-                member.signal(if fault.what == What::Stall {
+                member.signal(if fault.what == FaultKind::Stall {
                     Signal::SIGSTOP
                 } else {
                     Signal::SIGKILL
@@ -159,7 +163,7 @@
                 .lock()
                 .is_ok_and(|mut front| front.as_mut().is_some_and(|f| f.is_up()))
         };
-        fault.what == What::Term && self.records.now() < member.ends_by() && runs()
+        fault.what == FaultKind::Term && self.records.now() < member.ends_by() && runs()
     }
 
     /// Ends a fault; gives the process ids of fronts that were started anew.
@@ -167,7 +171,7 @@
         let member = &self.members[fault.front];
         let mended = || member.is_back(self.records.now());
         match fault.what {
-            What::ZoneLost => {
+            FaultKind::ZoneLost => {
                 // The zone comes back cold; discovery tells each front of the engines' new start, or does not.
                 let back = self
                     .engines
@@ -181,35 +185,38 @@
                 self.zone_links(fault.zone)
                     .for_each(|l| l.set(|s| (s.out_lost, s.back_lost) = (false, false)));
             }
-            What::LinkCut | What::LinkCutBack => {
+            FaultKind::LinkCut | FaultKind::LinkCutBack => {
                 self.own(fault).for_each(|l| l.reset());
                 self.own(fault)
                     .for_each(|l| l.set(|s| (s.out_lost, s.back_lost) = (false, false)));
             }
-            What::ZoneSlow => self
+            FaultKind::ZoneSlow => self
                 .zone_links(fault.zone)
                 .for_each(|l| l.set(|s| s.delay_ms = 0)),
-            What::ZoneReset | What::Hup | What::StallOwner | What::KillOwner => {}
-            What::FrontsSplit | What::FrontsSplitOut => {
+            FaultKind::ZoneReset
+            | FaultKind::Hup
+            | FaultKind::StallOwner
+            | FaultKind::KillOwner => {}
+            FaultKind::FrontsSplit | FaultKind::FrontsSplitOut => {
                 self.set_datagram_faults(|s| s.split = None)
             }
-            What::PostLossy => self.set_datagram_faults(|s| s.lost_percent = 0),
-            What::PostDoubled => self.set_datagram_faults(|s| s.doubled_ms = None),
-            What::PostSlow => self.set_datagram_faults(|s| s.delay_ms = 0),
-            What::PostShuffled => self.set_datagram_faults(|s| s.shuffled_ms = 0),
-            What::Stall => {
+            FaultKind::PostLossy => self.set_datagram_faults(|s| s.lost_percent = 0),
+            FaultKind::PostDoubled => self.set_datagram_faults(|s| s.doubled_ms = None),
+            FaultKind::PostSlow => self.set_datagram_faults(|s| s.delay_ms = 0),
+            FaultKind::PostShuffled => self.set_datagram_faults(|s| s.shuffled_ms = 0),
+            FaultKind::Stall => {
                 if let Ok(front) = member.front.lock() {
                     front.iter().for_each(|f| f.signal(Signal::SIGCONT));
                 }
                 mended();
             }
-            What::DiskSlow => self.config.drill(fault.front, ""),
-            What::Release => return self.start_all(fault),
-            What::Kill | What::Term | What::LoseDisk | What::DiskFull => {
-                if fault.what == What::DiskFull {
+            FaultKind::DiskSlow => self.config.drill(fault.front, ""),
+            FaultKind::Release => return self.start_all(fault),
+            FaultKind::Kill | FaultKind::Term | FaultKind::LoseDisk | FaultKind::DiskFull => {
+                if fault.what == FaultKind::DiskFull {
                     self.config.drill(fault.front, "");
                     self.begin(&Fault {
-                        what: What::Kill,
+                        what: FaultKind::Kill,
                         step: None,
                         ..fault.clone()
                     });
@@ -219,7 +226,7 @@
                     let well = old.ended().is_some_and(|(well, _)| well);
                     member.has_ended(self.records.now(), well);
                 }
-                if fault.what == What::LoseDisk {
+                if fault.what == FaultKind::LoseDisk {
                     self.config.lose_disk(member.number);
                 }
                 let pid = member.start(self.config)?;
--- a/crates/lab/src/hard/stage.rs
+++ b/crates/lab/src/session_cases/stage.rs
@@ -1,4 +1,4 @@
-//! What a hard case is played on: a front among engines, and how it is asked.
+//! The setup of a session case: a front among engines, and how it is asked.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/lab/src/simulated/engines.rs
+++ b/crates/lab/src/simulated/engines.rs
@@ -2,7 +2,7 @@
 
 use hallmux_dispatcher::Ending;
 
-use super::simulation::{Event, Ran, Sent, Simulation};
+use super::simulation::{EndedExecution, Event, Sent, Simulation};
 use crate::check::Repeat;
 use crate::engine::{EngineEvent, Kind};
 use crate::record::account::Offered;
@@ -84,7 +84,7 @@
         }
         self.at(
             self.now + work_ms as i64 * 1000,
-            Event::Ran(Ran {
+            Event::EndedExecution(EndedExecution {
                 front,
                 life,
                 sent,
@@ -124,8 +124,8 @@
         class.is_some_and(|class| self.scenario.classes[class].needs_promise())
     }
 
-    pub(super) fn ran(&mut self, ran: Ran) {
-        let Ran {
+    pub(super) fn ran(&mut self, ran: EndedExecution) {
+        let EndedExecution {
             front,
             life,
             sent,
--- a/crates/lab/src/simulated/faults.rs
+++ b/crates/lab/src/simulated/faults.rs
@@ -7,7 +7,7 @@
 use super::simulation::{Event, Simulation};
 use crate::rig::agreed::zone_name;
 use crate::rig::relay::State as LinkState;
-use crate::rig::scenario::{Fault, What};
+use crate::rig::scenario::{Fault, FaultKind};
 
 impl Simulation<'_> {
     /// The links that a fault is played on: of all fronts, or of one, into the zone.
@@ -56,38 +56,48 @@
     pub(super) fn begin(&mut self, place: usize, fault: &Fault) {
         let now = self.now;
         match fault.what {
-            What::ZoneLost => self.links(fault, true, |s| (s.out_lost, s.back_lost) = (true, true)),
-            What::LinkCut => self.links(fault, false, |s| (s.out_lost, s.back_lost) = (true, true)),
-            What::LinkCutBack => self.links(fault, false, |s| s.back_lost = true),
-            What::ZoneSlow => self.links(fault, true, |s| s.delay_ms = fault.delay_ms),
-            What::ZoneReset => self.reset(fault, true),
-            What::FrontsSplit => self.datagram_faults.split = Some(fault.split()),
-            What::FrontsSplitOut => self.datagram_faults.split = Some(fault.split()),
-            What::PostLossy => self.datagram_faults.lost_percent = fault.percent,
-            What::PostDoubled => self.datagram_faults.doubled_ms = Some(fault.delay_ms),
-            What::PostSlow => self.datagram_faults.delay_ms = fault.delay_ms,
-            What::PostShuffled => self.datagram_faults.shuffled_ms = fault.delay_ms,
-            What::StallOwner | What::KillOwner => {} // played as what it is on the owner
-            What::DiskFull => {}                     // not played here
-            What::DiskSlow => self.members[fault.front].disk.slow = fault.delay_ms as i64 * 1000,
-            What::Hup => self.account.read_again += 1, // nothing that is read again plays a part here
-            What::Stall => {
+            FaultKind::ZoneLost => {
+                self.links(fault, true, |s| (s.out_lost, s.back_lost) = (true, true))
+            }
+            FaultKind::LinkCut => {
+                self.links(fault, false, |s| (s.out_lost, s.back_lost) = (true, true))
+            }
+            FaultKind::LinkCutBack => self.links(fault, false, |s| s.back_lost = true),
+            FaultKind::ZoneSlow => self.links(fault, true, |s| s.delay_ms = fault.delay_ms),
+            FaultKind::ZoneReset => self.reset(fault, true),
+            FaultKind::FrontsSplit => self.datagram_faults.split = Some(fault.split()),
+            FaultKind::FrontsSplitOut => self.datagram_faults.split = Some(fault.split()),
+            FaultKind::PostLossy => self.datagram_faults.lost_percent = fault.percent,
+            FaultKind::PostDoubled => self.datagram_faults.doubled_ms = Some(fault.delay_ms),
+            FaultKind::PostSlow => self.datagram_faults.delay_ms = fault.delay_ms,
+            FaultKind::PostShuffled => self.datagram_faults.shuffled_ms = fault.delay_ms,
+            FaultKind::StallOwner | FaultKind::KillOwner => {} // played as what it is on the owner
+            FaultKind::DiskFull => {}                          // not played here
+            FaultKind::DiskSlow => {
+                self.members[fault.front].disk.slow = fault.delay_ms as i64 * 1000
+            }
+            FaultKind::Hup => self.account.read_again += 1, // nothing that is read again plays a part here
+            FaultKind::Stall => {
                 let member = &mut self.members[fault.front];
                 if member.life.is_some() {
                     member.troubled.push((now, i64::MAX));
                     member.stopped = true;
                 }
             }
-            What::Term => self.asked_to_end(fault.front),
-            What::Release => (0..fault.released(self.members.len())).for_each(|n| self.dies(n)),
-            What::Kill | What::LoseDisk => self.dooms(place, fault.front, fault.step, fault.at_ms),
+            FaultKind::Term => self.asked_to_end(fault.front),
+            FaultKind::Release => {
+                (0..fault.released(self.members.len())).for_each(|n| self.dies(n))
+            }
+            FaultKind::Kill | FaultKind::LoseDisk => {
+                self.dooms(place, fault.front, fault.step, fault.at_ms)
+            }
         }
     }
 
     pub(super) fn end(&mut self, fault: &Fault) {
         let now = self.now;
         match fault.what {
-            What::ZoneLost => {
+            FaultKind::ZoneLost => {
                 for engine in self.engines.iter_mut().filter(|e| e.zone == fault.zone) {
                     (engine.started, engine.peak_since_start, engine.running) = (now, 0.0, 0);
                 }
@@ -97,20 +107,23 @@
                     self.tell_started(fault.zone);
                 }
             }
-            What::LinkCut | What::LinkCutBack => {
+            FaultKind::LinkCut | FaultKind::LinkCutBack => {
                 self.links(fault, false, |s| (s.out_lost, s.back_lost) = (false, false));
                 self.reset(fault, false);
             }
-            What::ZoneSlow => self.links(fault, true, |s| s.delay_ms = 0),
-            What::ZoneReset | What::Hup | What::StallOwner | What::KillOwner => {}
-            What::DiskFull => {}
-            What::DiskSlow => self.members[fault.front].disk.slow = 0,
-            What::FrontsSplit | What::FrontsSplitOut => self.datagram_faults.split = None,
-            What::PostLossy => self.datagram_faults.lost_percent = 0,
-            What::PostDoubled => self.datagram_faults.doubled_ms = None,
-            What::PostSlow => self.datagram_faults.delay_ms = 0,
-            What::PostShuffled => self.datagram_faults.shuffled_ms = 0,
-            What::Release => {
+            FaultKind::ZoneSlow => self.links(fault, true, |s| s.delay_ms = 0),
+            FaultKind::ZoneReset
+            | FaultKind::Hup
+            | FaultKind::StallOwner
+            | FaultKind::KillOwner => {}
+            FaultKind::DiskFull => {}
+            FaultKind::DiskSlow => self.members[fault.front].disk.slow = 0,
+            FaultKind::FrontsSplit | FaultKind::FrontsSplitOut => self.datagram_faults.split = None,
+            FaultKind::PostLossy => self.datagram_faults.lost_percent = 0,
+            FaultKind::PostDoubled => self.datagram_faults.doubled_ms = None,
+            FaultKind::PostSlow => self.datagram_faults.delay_ms = 0,
+            FaultKind::PostShuffled => self.datagram_faults.shuffled_ms = 0,
+            FaultKind::Release => {
                 for n in 0..fault.released(self.members.len()) {
                     let troubled = self.members[n].troubled.iter_mut();
                     troubled
@@ -121,20 +134,20 @@
                     }
                 }
             }
-            What::Stall | What::Kill | What::Term | What::LoseDisk => {
+            FaultKind::Stall | FaultKind::Kill | FaultKind::Term | FaultKind::LoseDisk => {
                 let member = &mut self.members[fault.front];
                 member
                     .troubled
                     .iter_mut()
                     .filter(|(_, to)| *to == i64::MAX)
                     .for_each(|(_, to)| *to = now);
-                if fault.what == What::Stall {
+                if fault.what == FaultKind::Stall {
                     member.stopped = false;
                     let waits = std::mem::take(&mut member.waits);
                     waits.into_iter().for_each(|event| self.handle(event));
                     self.turn(fault.front);
                 } else if member.life.is_none() {
-                    if fault.what == What::LoseDisk {
+                    if fault.what == FaultKind::LoseDisk {
                         let identity = match self.spoil.keeps_identity {
                             true => self.members[fault.front].disk.identity,
                             false => self.chance.random_range(1..u64::MAX),
--- a/crates/lab/src/simulated/growth.rs
+++ b/crates/lab/src/simulated/growth.rs
@@ -10,7 +10,7 @@
 
 /// Of one look, the most of any front.
 #[derive(Clone, Copy, Debug, Default)]
-struct Held {
+struct ResourceSample {
     entries: i64,
     ledger_bytes: i64,
     disk_bytes: i64,
@@ -19,7 +19,7 @@
 
 #[derive(Default)]
 pub(super) struct Growth {
-    samples: Vec<Held>,
+    samples: Vec<ResourceSample>,
     /// Since when copies are missing, of whose loss.
     lost: Option<i64>,
     /// Microseconds until all stood again, of each loss.
@@ -31,8 +31,9 @@
 impl Growth {
     pub(super) fn tell(&self, tallies: &mut BTreeMap<&'static str, i64>) {
         let quarter = self.samples.len().div_ceil(4);
-        let most =
-            |samples: &[Held], of: fn(&Held) -> i64| samples.iter().map(of).max().unwrap_or(0);
+        let most = |samples: &[ResourceSample], of: fn(&ResourceSample) -> i64| {
+            samples.iter().map(of).max().unwrap_or(0)
+        };
         let (early, late) = (
             &self.samples[..quarter],
             &self.samples[self.samples.len() - quarter..],
@@ -56,7 +57,7 @@
 impl Simulation<'_> {
     /// Looks at what every front holds.
     pub(super) fn sample_sizes(&mut self) {
-        let mut held = Held::default();
+        let mut held = ResourceSample::default();
         let mut most = (0, None);
         for (n, member) in self.members.iter().enumerate() {
             let exchange = member.life.as_ref().and_then(|life| life.exchange.as_ref());
--- a/crates/lab/src/simulated/ledger.rs
+++ b/crates/lab/src/simulated/ledger.rs
@@ -16,14 +16,14 @@
 const PART: u32 = 56; // bits of a number that a part of the front counts in
 
 /// The gate's way to the ledger of its front; what is to go out for it is gathered.
-struct Way<'a> {
+struct GateLedgerClient<'a> {
     exchange: &'a mut Exchange,
     at: Moment,
     done: &'a mut Vec<Done>,
     outs: Vec<Output>,
 }
 
-impl LedgerClient for Way<'_> {
+impl LedgerClient for GateLedgerClient<'_> {
     fn ask(&mut self, _: i64, ask: Ask) {
         self.outs.push(self.exchange.ask_ledger(self.at, ask));
     }
@@ -82,7 +82,7 @@
         let Some((guard, exchange)) = life.guard.as_mut().zip(life.exchange.as_mut()) else {
             return;
         };
-        let mut way = Way {
+        let mut way = GateLedgerClient {
             exchange,
             at,
             done: &mut life.done,
--- a/crates/lab/src/simulated/mod.rs
+++ b/crates/lab/src/simulated/mod.rs
@@ -19,4 +19,4 @@
 
 pub use least::smallest;
 pub use run::{run, run_with};
-pub use simulation::Spoil;
+pub use simulation::Mutation;
--- a/crates/lab/src/simulated/run.rs
+++ b/crates/lab/src/simulated/run.rs
@@ -11,7 +11,7 @@
 use super::disk::Disk;
 use super::growth::Growth;
 use super::simulation::{
-    secret, Engine, Event, Member, Simulation, Spoil, AFTER, SETTLES, SLACK, WALL,
+    secret, Engine, Event, Member, Mutation, Simulation, AFTER, SETTLES, SLACK, WALL,
 };
 use crate::record::account::{judge, warmth, Account, Offered, Run};
 use crate::rig::agreed;
@@ -22,11 +22,11 @@
 const WARM_SINCE: i64 = 3_600_000_000; // microseconds for which engines have run at time 0
 /// Plays the scenario in simulated time and checks what happened.
 pub fn run(scenario: &Scenario, seed: u64) -> Result<Run, String> {
-    run_with(scenario, seed, Spoil::default())
+    run_with(scenario, seed, Mutation::default())
 }
 
 /// The same, with a rule taken out.
-pub fn run_with(scenario: &Scenario, seed: u64, spoil: Spoil) -> Result<Run, String> {
+pub fn run_with(scenario: &Scenario, seed: u64, spoil: Mutation) -> Result<Run, String> {
     let mut simulation = Simulation::new(scenario, seed, spoil)?;
     simulation.start_members();
     simulation.schedule();
@@ -90,7 +90,7 @@
 }
 
 impl Simulation<'_> {
-    fn new(scenario: &Scenario, seed: u64, spoil: Spoil) -> Result<Simulation<'_>, String> {
+    fn new(scenario: &Scenario, seed: u64, spoil: Mutation) -> Result<Simulation<'_>, String> {
         let (fronts, zones) = (scenario.fleet.fronts, scenario.fleet.zones);
         let per_zone = scenario.fleet.engines_per_zone;
         let keys: Vec<[u8; 32]> = (0..fronts)
--- a/crates/lab/src/simulated/shutdown.rs
+++ b/crates/lab/src/simulated/shutdown.rs
@@ -3,7 +3,7 @@
 use rand::Rng;
 
 use super::simulation::{Event, Simulation};
-use crate::rig::scenario::What;
+use crate::rig::scenario::FaultKind;
 
 /// Microseconds for which clients still come to a front that was asked to end.
 pub(super) const STILL_COME: i64 = 300_000;
@@ -63,7 +63,7 @@
         let fault = self
             .playing
             .get(&fault)
-            .filter(|fault| fault.what == What::Term)?;
+            .filter(|fault| fault.what == FaultKind::Term)?;
         self.members[fault.front]
             .ending
             .map(|_| self.now + INTERVAL)
--- a/crates/lab/src/simulated/simulation.rs
+++ b/crates/lab/src/simulated/simulation.rs
@@ -44,7 +44,7 @@
     Due(usize),
     /// An execution has come to an engine, or its answer back to the front of that life.
     Arrives(usize, u32, Sent, usize),
-    Ran(Ran),
+    EndedExecution(EndedExecution),
     /// A repeat that an engine drops is answered.
     Dropped(usize, u32, Sent, usize),
     /// The last is its report of the statements in hand.
@@ -70,7 +70,7 @@
 }
 
 /// An execution that has run on an engine.
-pub(super) struct Ran {
+pub(super) struct EndedExecution {
     pub(super) front: usize,
     pub(super) life: u32,
     pub(super) sent: Sent,
@@ -82,7 +82,7 @@
 
 /// A rule that promises rest on, taken out, to see that the checks find it missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Spoil {
+pub struct Mutation {
     /// Executions leave before their promise stands.
     pub acts_first: bool,
     /// An emptied disk comes back under the identity that it had.
@@ -163,7 +163,7 @@
         BTreeMap<hallmux_gossip::PeerId, SocketAddr>,
     ),
     pub(super) armed: Option<Armed>,
-    pub(super) spoil: Spoil,
+    pub(super) spoil: Mutation,
     pub(super) growth: Growth,
     /// Of the ledger.
     pub(super) shards: u16,
@@ -216,7 +216,7 @@
             Event::Due(n) if self.members[n].due <= self.now => self.turn(n),
             Event::Due(_) => {}
             Event::Arrives(front, life, sent, engine) => self.arrives(front, life, sent, engine),
-            Event::Ran(ran) => self.ran(ran),
+            Event::EndedExecution(ran) => self.ran(ran),
             Event::Dropped(front, life, sent, e) => {
                 self.goes_back(front, life, sent, e, Ending::Answered)
             }
--- a/crates/lab/src/simulated/steps.rs
+++ b/crates/lab/src/simulated/steps.rs
@@ -5,7 +5,7 @@
 use super::simulation::{Event, Simulation};
 use crate::check::Outcome;
 use crate::rig::death::DeathStep;
-use crate::rig::scenario::{Fault, Step, What};
+use crate::rig::scenario::{Fault, FaultKind, Step};
 
 const WITHIN: i64 = 1_500_000; // microseconds for a front to come to a step
 const GONE: i64 = 300_000; // microseconds that it is gone at least
@@ -69,7 +69,7 @@
         (member.stopped, member.ending, member.due) = (false, None, i64::MAX);
         member.waits.clear();
         member.troubled.push((self.now, i64::MAX));
-        let loses = |fault: &Fault| fault.what == What::LoseDisk && fault.front == front;
+        let loses = |fault: &Fault| fault.what == FaultKind::LoseDisk && fault.front == front;
         if self.playing.values().any(loses) {
             self.copies_lost();
         }
--- a/crates/lab/src/simulated/tests.rs
+++ b/crates/lab/src/simulated/tests.rs
@@ -1,8 +1,8 @@
 //! Simulated days with a rule that promises rest on taken out: the checks must find it missing.
 
-use super::{run_with, Spoil};
+use super::{run_with, Mutation};
 use crate::prove::deaths;
-use crate::prove::promises::{draw, Way};
+use crate::prove::promises::{draw, RunOptions};
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 /// Seeds of deaths, and whether the day is small: one meets promises that are not lasting yet; in the other an emptied
@@ -11,9 +11,9 @@
 const SECOND_LOSS: (u64, bool) = (5, false);
 
 /// How many of some drawn days break a rule.
-fn broken(copies: usize, spoil: Spoil) -> usize {
+fn broken(copies: usize, spoil: Mutation) -> usize {
     let day = |seed: &u64| {
-        let way = Way {
+        let way = RunOptions {
             small: true,
             simulated: true,
             fronts: Some(5),
@@ -34,10 +34,10 @@
 
 #[test]
 fn drawn_days_break_a_rule_only_where_one_is_taken_out() {
-    let whole = Spoil::default();
+    let whole = Mutation::default();
     assert_eq!(broken(3, whole), 0);
     assert_eq!(broken(0, whole), SEEDS.len(), "no ledger at all");
-    let acts_first = Spoil {
+    let acts_first = Mutation {
         acts_first: true,
         ..whole
     };
@@ -49,13 +49,13 @@
 }
 
 /// The rules that the drawn deaths of a seed break.
-fn broken_by_deaths((seed, small): (u64, bool), spoil: Spoil) -> Vec<&'static str> {
-    let way = Way {
+fn broken_by_deaths((seed, small): (u64, bool), spoil: Mutation) -> Vec<&'static str> {
+    let way = RunOptions {
         simulated: true,
         small,
         copies: 3,
         spoil,
-        ..Way::default()
+        ..RunOptions::default()
     };
     let run = run_with(&deaths::draw(seed, way), seed, spoil).unwrap();
     run.violations.into_keys().collect()
@@ -63,18 +63,18 @@
 
 #[test]
 fn drawn_deaths_lose_a_promise_only_where_a_rule_is_taken_out() {
-    let whole = Spoil::default();
+    let whole = Mutation::default();
     for (day, spoil) in [
         (
             SLOW_DISKS,
-            Spoil {
+            Mutation {
                 sends_first: true,
                 ..whole
             },
         ),
         (
             SECOND_LOSS,
-            Spoil {
+            Mutation {
                 keeps_identity: true,
                 ..whole
             },
