--- a/crates/ledger/src/packet_limits.rs
+++ b/crates/ledger/src/packet_limits.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 
-/// Bytes of a packet at most: a datagram of gossip (1,200) less its seal (92), its sender's own rumour and lengths
+/// Bytes of a packet at most: a datagram of gossip (1,200) less its seal (92), its sender's own update and lengths
 /// (44), and the byte that tells whose packet it is.
 pub(crate) const PACKET_BYTES: usize = 1_040;
 /// Bytes of a packet beside its messages or its fragment at most.
