--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -6,7 +6,7 @@
 
 /// Where in a text an error is.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Position {
+pub struct TextPosition {
     /// Counted from 1; None where it is not known.
     pub line: Option<usize>,
     /// Characters, counted from 1; None where it is not known.
@@ -15,7 +15,7 @@
     pub path: String,
 }
 
-impl fmt::Display for Position {
+impl fmt::Display for TextPosition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut between = "";
         if let Some(line) = self.line {
@@ -82,13 +82,13 @@
     #[error("{position}: not UTF-8; write the file as UTF-8")]
     NotUtf8 {
         /// From where on.
-        position: Position,
+        position: TextPosition,
     },
     /// A text is no JSON, or no JSON5, from a position on.
     #[error("{position}: {}; mend the text from there on", OneLine(.reason))]
     Malformed {
         /// From where on.
-        position: Position,
+        position: TextPosition,
         /// What is wrong with it.
         reason: String,
     },
@@ -96,7 +96,7 @@
     #[error("{position}: brackets stand open {most} deep; no key is meant so deep, close some")]
     TooDeep {
         /// The first bracket beyond that.
-        position: Position,
+        position: TextPosition,
         /// The deepest that is allowed.
         most: usize,
     },
@@ -104,7 +104,7 @@
     #[error("{position}: {}", OneLine(.problem))]
     Key {
         /// Where it is.
-        position: Position,
+        position: TextPosition,
         /// What is wrong.
         problem: Box<KeyProblem>,
     },
--- a/crates/config/src/error_tests.rs
+++ b/crates/config/src/error_tests.rs
@@ -4,8 +4,8 @@
 
 use super::*;
 
-fn position(line: usize, path: &str) -> Position {
-    Position {
+fn position(line: usize, path: &str) -> TextPosition {
+    TextPosition {
         line: Some(line),
         column: None,
         path: path.into(),
@@ -100,7 +100,7 @@
         most: 64,
     };
     let not_text = Error::NotUtf8 {
-        position: Position {
+        position: TextPosition {
             column: Some(4),
             ..position(2, "")
         },
@@ -167,7 +167,7 @@
 #[test]
 fn an_error_that_quotes_a_line_break_stays_on_one_line() {
     let breaking = || BREAKING.to_string();
-    let at = |path: &str| Position {
+    let at = |path: &str| TextPosition {
         line: Some(7),
         column: None,
         path: path.into(),
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -9,19 +9,19 @@
 #![warn(missing_docs)]
 
 mod error;
-mod node;
+mod node_config;
 mod one_line;
-mod operator;
+mod operator_file;
 mod scanner;
 mod settings;
 mod text;
 
-pub use error::{Error, KeyProblem, Position};
-pub use node::{NodeConfig, NodeLimits};
+pub use error::{Error, KeyProblem, TextPosition};
+pub use node_config::{NodeConfig, NodeLimits};
 pub use one_line::OneLine;
-pub use operator::{
-    line_of, parse_key, Audits, Gossip, Ledger, LedgerMember, LoadSignal, OnDiskFailure, Operator,
-    Overload, Ownership, Postgres, PostgresEngines, Rules, Scatter, SessionLimits, SummaryBudget,
-    User,
+pub use operator_file::{
+    line_of, parse_key, Audits, Gossip, Ledger, LedgerMember, LoadSignal, OnDiskFailure,
+    OperatorConfig, Overload, Ownership, Postgres, PostgresEngines, Rules, Scatter, SessionLimits,
+    SummaryBudget, User,
 };
 pub use settings::{micros, Names, NetworkSettings, Settings};
--- a/crates/config/src/node.rs
+++ b/crates/config/src/node_config.rs
@@ -8,8 +8,8 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-use crate::error::{Error, KeyProblem, Position};
-use crate::operator::Operator;
+use crate::error::{Error, KeyProblem, TextPosition};
+use crate::operator_file::OperatorConfig;
 use crate::settings::{settings_of, Settings};
 use crate::text::{self, Section};
 
@@ -77,7 +77,7 @@
     /// The settings object, with what the operator's file changes in it.
     pub settings: Settings,
     /// What the operator's own file switches on; without one, nothing.
-    pub operator: Operator,
+    pub operator: OperatorConfig,
     /// Lines below this level are left out of the log.
     pub log_level: log::LevelFilter,
     /// For fault injection: a file that holds the time in place of the machine's clock.
@@ -219,19 +219,19 @@
     }
 
     /// The operator's own file, if a variable names one.
-    fn operator(&self, settings: &Settings) -> Result<Operator, Error> {
+    fn operator(&self, settings: &Settings) -> Result<OperatorConfig, Error> {
         let Some(path) = self.variables.get(OPERATOR) else {
-            return Ok(Operator::default());
+            return Ok(OperatorConfig::default());
         };
         let text = text::file(OPERATOR, path)?;
-        Operator::parse(&text, settings).map_err(|e| e.in_file(OPERATOR, path))
+        OperatorConfig::parse(&text, settings).map_err(|e| e.in_file(OPERATOR, path))
     }
 }
 
 fn missing(key: &str) -> Error {
-    let position = Position {
+    let position = TextPosition {
         path: key.to_string(),
-        ..Position::default()
+        ..TextPosition::default()
     };
     Error::Key {
         position,
--- a/crates/config/src/operator/gossip_tests.rs
+++ b/crates/config/src/operator_file/gossip_tests.rs
@@ -1,6 +1,6 @@
 //! Unit tests of the `gossip` module.
 
-use super::super::file::tests::read;
+use super::super::sections::tests::read;
 
 #[test]
 fn keys_and_the_quorum_are_read_and_checked() {
--- a/crates/config/src/operator/ledger_tests.rs
+++ b/crates/config/src/operator_file/ledger_tests.rs
@@ -1,6 +1,6 @@
 //! Unit tests of the `ledger` module.
 
-use super::super::file::tests::read;
+use super::super::sections::tests::read;
 use super::*;
 
 #[test]
--- a/crates/config/src/operator/mod.rs
+++ b/crates/config/src/operator_file/mod.rs
@@ -1,9 +1,8 @@
 //! The operator's own file: JSON5, named by the variable `HALLMUX_OPERATOR`. It switches on what the
 //! platform's configuration knows nothing of; without it everything here is off, and unknown keys end the
-//! start. Each section of the file has a module here that reads and checks it: `file` joins them, `position`
+//! start. Each section of the file has a module here that reads and checks it: `sections` joins them, `position`
 //! finds the line of an error.
 
-mod file;
 mod gossip;
 mod ledger;
 mod overload;
@@ -12,8 +11,8 @@
 mod postgres;
 mod rules;
 mod scatter;
+mod sections;
 
-pub use file::{LoadSignal, Operator};
 pub use gossip::{parse_key, Gossip};
 pub use ledger::{Ledger, LedgerMember, OnDiskFailure};
 pub use overload::Overload;
@@ -22,3 +21,4 @@
 pub use postgres::{Postgres, PostgresEngines, SessionLimits, User};
 pub use rules::Rules;
 pub use scatter::{Audits, Scatter, SummaryBudget};
+pub use sections::{LoadSignal, OperatorConfig};
--- a/crates/config/src/operator/ownership_tests.rs
+++ b/crates/config/src/operator_file/ownership_tests.rs
@@ -1,6 +1,6 @@
 //! Unit tests of the `ownership` module.
 
-use super::super::file::tests::read;
+use super::super::sections::tests::read;
 
 #[test]
 fn ownership_names_three_or_five_known_voters_and_a_directory() {
--- a/crates/config/src/operator/position.rs
+++ b/crates/config/src/operator_file/position.rs
@@ -2,14 +2,14 @@
 
 use std::fmt;
 
-use crate::error::{Error, KeyProblem, Position};
+use crate::error::{Error, KeyProblem, TextPosition};
 use crate::scanner::{Scanner, Token};
 
 const DEEPEST: usize = 32; // steps of a path; a text of brackets alone would have marks without number
 
 /// The error of the key at a path like `a.b[2].c`.
 pub fn key_error(text: &str, path: &str, problem: impl Into<KeyProblem>) -> Error {
-    let position = Position {
+    let position = TextPosition {
         line: line_of(text, path),
         column: None,
         path: path.to_string(),
@@ -72,7 +72,7 @@
     let at = error.position();
     let (line, column) = (at.map(|at| at.line + 1), at.map(|at| at.column + 1));
     Error::Malformed {
-        position: Position {
+        position: TextPosition {
             line,
             column,
             path: String::new(),
--- a/crates/config/src/operator/postgres_tests.rs
+++ b/crates/config/src/operator_file/postgres_tests.rs
@@ -1,6 +1,6 @@
 //! Unit tests of the `postgres` module.
 
-use super::super::file::tests::read;
+use super::super::sections::tests::read;
 use super::*;
 
 const GOOD: &str = "{
--- a/crates/config/src/operator/rules_tests.rs
+++ b/crates/config/src/operator_file/rules_tests.rs
@@ -1,6 +1,6 @@
 //! Unit tests of the `rules` module.
 
-use crate::operator::file::tests::read;
+use crate::operator_file::sections::tests::read;
 
 #[test]
 fn rules_speak_of_what_the_settings_name() {
--- a/crates/config/src/operator/scatter_tests.rs
+++ b/crates/config/src/operator_file/scatter_tests.rs
@@ -1,6 +1,6 @@
 //! Unit tests of the `scatter` module.
 
-use super::super::file::tests::read;
+use super::super::sections::tests::read;
 
 #[test]
 fn what_names_nothing_known_is_refused_with_its_line() {
--- a/crates/config/src/operator/file.rs
+++ b/crates/config/src/operator_file/sections.rs
@@ -29,7 +29,7 @@
 
 /// All that the operator has switched on.
 #[derive(Clone, Debug, Default)]
-pub struct Operator {
+pub struct OperatorConfig {
     /// PostgreSQL sessions.
     pub postgres: Option<Postgres>,
     /// Messages between fronts, and what rests on them.
@@ -56,7 +56,7 @@
     Utilization,
 }
 
-impl Operator {
+impl OperatorConfig {
     /// Changes what the settings agree by what the operator has chosen.
     pub(crate) fn apply(&self, agreement: &mut Agreement) {
         self.apply_load_signal(&mut agreement.report);
@@ -77,9 +77,9 @@
     }
 }
 
-impl Operator {
+impl OperatorConfig {
     /// Reads the file's text and checks it against the settings. An error names line and key.
-    pub fn parse(text: &str, settings: &Settings) -> Result<Operator, Error> {
+    pub fn parse(text: &str, settings: &Settings) -> Result<OperatorConfig, Error> {
         // Once for the form alone, as only that pass sees what follows the end.
         check_depth(text)?;
         json5::from_str::<serde::de::IgnoredAny>(text).map_err(|e| malformed(&e))?;
@@ -113,7 +113,7 @@
                 KeyProblem::out_of_range(-MOST_AHEAD_MS, MOST_AHEAD_MS),
             ));
         }
-        Ok(Operator {
+        Ok(OperatorConfig {
             postgres,
             gossip,
             rules,
@@ -151,5 +151,5 @@
 }
 
 #[cfg(test)]
-#[path = "file_tests.rs"]
+#[path = "sections_tests.rs"]
 pub mod tests;
--- a/crates/config/src/operator/file_tests.rs
+++ b/crates/config/src/operator_file/sections_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the `file` module, and the reader that the tests of its sections use.
+//! Unit tests of the `sections` module, and the reader that the tests of its sections use.
 
 use super::*;
 
@@ -7,8 +7,8 @@
     "requestClasses": [{"name": "lookup", "aimMs": 1000, "deadlineMs": 5000, "repeat": "repeatable"}]}"#;
 
 /// Reads a text against settings that name one workload, customer, location and two kinds.
-pub fn read(text: &str) -> Result<Operator, String> {
-    Ok(Operator::parse(
+pub fn read(text: &str) -> Result<OperatorConfig, String> {
+    Ok(OperatorConfig::parse(
         text,
         &crate::Settings::parse(SETTINGS).unwrap(),
     )?)
@@ -21,7 +21,7 @@
     let settings = crate::Settings::parse(&more).unwrap();
     // These settings have no reports.
     let example =
-        Operator::parse(&text.replace("load_signal: 'in_flight',", ""), &settings).unwrap();
+        OperatorConfig::parse(&text.replace("load_signal: 'in_flight',", ""), &settings).unwrap();
     assert!(example.postgres.is_some() && example.gossip.is_some() && example.scatter.is_some());
     assert!(example.rules.is_some());
 }
@@ -39,19 +39,19 @@
         (None, Some(0), Some(1))
     );
     // Where the file is silent, nothing changes: the settings alone choose the shape.
-    let silent = Operator::parse("{}", &settings).unwrap();
+    let silent = OperatorConfig::parse("{}", &settings).unwrap();
     assert_eq!(silent.load_signal, None);
-    let chosen = Operator::parse("{ load_signal: 'utilization' }", &settings).unwrap();
+    let chosen = OperatorConfig::parse("{ load_signal: 'utilization' }", &settings).unwrap();
     assert_eq!(chosen.load_signal, Some(LoadSignal::Utilization));
     // The earlier shape with reports of the later one: refused, with the key and its line.
-    let mixed = Operator::parse("{\n  load_signal: 'in_flight',\n}", &settings)
+    let mixed = OperatorConfig::parse("{\n  load_signal: 'in_flight',\n}", &settings)
         .unwrap_err()
         .to_string();
     assert!(
         mixed.starts_with("line 2: load_signal: 'in_flight' needs 'active'"),
         "{mixed}"
     );
-    let unknown = Operator::parse("{ load_signal: 'rough' }", &settings)
+    let unknown = OperatorConfig::parse("{ load_signal: 'rough' }", &settings)
         .unwrap_err()
         .to_string();
     assert!(
@@ -68,10 +68,10 @@
         settings.agreement.report.clone(),
         settings.agreement.report.clone(),
     );
-    Operator::parse("{ load_signal: 'in_flight' }", &settings)
+    OperatorConfig::parse("{ load_signal: 'in_flight' }", &settings)
         .unwrap()
         .apply_load_signal(&mut earlier);
-    Operator::parse("{ load_signal: 'utilization' }", &settings)
+    OperatorConfig::parse("{ load_signal: 'utilization' }", &settings)
         .unwrap()
         .apply_load_signal(&mut later);
     assert_eq!((earlier.active, earlier.busy), (Some(0), None));
--- a/crates/config/src/text.rs
+++ b/crates/config/src/text.rs
@@ -2,8 +2,8 @@
 
 use serde::Deserialize;
 
-use crate::error::{Error, KeyProblem, Position};
-use crate::operator::line_of;
+use crate::error::{Error, KeyProblem, TextPosition};
+use crate::operator_file::line_of;
 use crate::scanner::{Scanner, Token};
 
 const MOST_DEEP: usize = 64; // brackets; no key is meant deeper than ten, and the readers take a stack frame for each
@@ -23,7 +23,7 @@
         let good = &e.as_bytes()[..e.utf8_error().valid_up_to()];
         let (line, column) = position(&String::from_utf8_lossy(good));
         Error::NotUtf8 {
-            position: Position {
+            position: TextPosition {
                 line: Some(line),
                 column: Some(column),
                 path: String::new(),
@@ -48,9 +48,9 @@
             _ => {}
         }
         if open > MOST_DEEP {
-            let position = Position {
+            let position = TextPosition {
                 line: Some(line),
-                ..Position::default()
+                ..TextPosition::default()
             };
             return Err(Error::TooDeep {
                 position,
@@ -71,9 +71,9 @@
 
 impl<'a> Section<'a> {
     /// Where a key of it is; the path is of this section alone.
-    pub fn position(&self, path: &str) -> Position {
+    pub fn position(&self, path: &str) -> TextPosition {
         let line = Some(line_of(self.text, path).unwrap_or(1) + self.lines);
-        Position {
+        TextPosition {
             line,
             column: None,
             path: joined(self.name, path),
@@ -103,7 +103,7 @@
             .rsplit_once(" at line ")
             .map_or(text.as_str(), |(reason, _)| reason)
             .to_string();
-        let there = Position {
+        let there = TextPosition {
             line: Some(error.line() + self.lines),
             // A column of the first line counts from where this section begins.
             column: (self.lines == 0 || error.line() > 1).then_some(error.column()),
--- a/crates/config/tests/random_faults/operators.rs
+++ b/crates/config/tests/random_faults/operators.rs
@@ -1,6 +1,6 @@
 //! The operator's own file: every key of the example, written as JSON, which is JSON5.
 
-use hallmux_config::{Operator, Settings};
+use hallmux_config::{OperatorConfig, Settings};
 use proptest::prelude::*;
 use serde_json::Value;
 
@@ -26,7 +26,7 @@
 }
 
 fn read(text: &str, agreed: &Settings) -> Result<(), String> {
-    Operator::parse(text, agreed)
+    OperatorConfig::parse(text, agreed)
         .map(|_| ())
         .map_err(|e| e.to_string())
 }
