--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -17,27 +17,17 @@
 
 impl fmt::Display for TextPosition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut between = "";
-        if let Some(line) = self.line {
-            write!(f, "line {line}")?;
-            if let Some(column) = self.column {
-                write!(f, ", column {column}")?;
+        let path = OneLine(&self.path); // a key may be any text
+        match (self.line, self.column, self.path.is_empty()) {
+            (None, _, true) => write!(f, "the text"),
+            (None, _, false) => write!(f, "{path}"),
+            (Some(line), None, true) => write!(f, "line {line}"),
+            (Some(line), None, false) => write!(f, "line {line}: {path}"),
+            (Some(line), Some(column), true) => write!(f, "line {line}, column {column}"),
+            (Some(line), Some(column), false) => {
+                write!(f, "line {line}, column {column}: {path}")
             }
-            between = ": ";
         }
-        if self.path.is_empty() && !between.is_empty() {
-            return Ok(());
-        }
-        // A key may be any text.
-        write!(
-            f,
-            "{between}{}",
-            OneLine(if self.path.is_empty() {
-                "the text"
-            } else {
-                &self.path
-            })
-        )
     }
 }
 
@@ -202,10 +192,11 @@
     },
 }
 
-const MOST_LISTED: usize = 16; // names in a text, which stays one line; of more only the number is given
+/// Names in an error's text, which stays one line; of more only the number is given.
+const MAX_LISTED: usize = 16;
 
 fn listed(names: &[String]) -> String {
-    let shown: Vec<&str> = names.iter().take(MOST_LISTED).map(String::as_str).collect();
+    let shown: Vec<&str> = names.iter().take(MAX_LISTED).map(String::as_str).collect();
     let more = names.len().saturating_sub(shown.len());
     match (shown.is_empty(), more) {
         (true, _) => "none".to_string(),
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -9,6 +9,7 @@
 #![warn(missing_docs)]
 
 mod error;
+mod key_lines;
 mod node_config;
 mod one_line;
 mod operator_file;
@@ -17,11 +18,12 @@
 mod text;
 
 pub use error::{Error, KeyProblem, TextPosition};
+pub use key_lines::line_of;
 pub use node_config::{NodeConfig, NodeLimits};
 pub use one_line::OneLine;
 pub use operator_file::{
-    line_of, parse_key, Audits, Gossip, Ledger, LedgerMember, LoadSignal, OnDiskFailure,
-    OperatorConfig, Overload, Ownership, Postgres, PostgresEngines, Rules, Scatter, SessionLimits,
-    SummaryBudget, User,
+    parse_key, Audits, Gossip, GossipPeer, Ledger, LedgerMember, LoadSignal, OnDiskFailure,
+    OperatorConfig, Overload, Ownership, OwnershipVoter, Postgres, PostgresEngines, Rules, Scatter,
+    SessionLimits, SummaryBudget, User,
 };
 pub use settings::{micros, Names, NetworkSettings, Settings};
--- a/crates/config/src/node_config.rs
+++ b/crates/config/src/node_config.rs
@@ -13,12 +13,20 @@
 use crate::settings::{settings_of, Settings};
 use crate::text::{self, Section};
 
-const MEMORY_MB: u64 = 192; // MB, where the file is silent; the least that the operators grant
-const SOCKETS: usize = 1024; // descriptors, where the file is silent; the least that the operators grant
-const LEAST_MEMORY_MB: u64 = 1; // MB; with none no statement could be held
-const LEAST_SOCKETS: usize = 2; // descriptors; half are for clients, the rest for engines, and each needs one
-const NOTHING_KNOWN: &str = r#"{"index":0,"updates":[]}"#; // the coordinator tells all that has been since
-const LEVEL: &str = "info"; // log level; one line for each change worth waking for
+const DEFAULT_MEMORY_MB: u64 = 192;
+const MIN_MEMORY_MB: u64 = 1;
+/// File descriptors.
+const DEFAULT_SOCKETS: usize = 1024;
+/// File descriptors: half are for clients, the rest for engines, and each needs one.
+const MIN_SOCKETS: usize = 2;
+/// The coordinator's events so far, where the file has none: it sends all.
+const NO_EVENTS: &str = r#"{"index":0,"updates":[]}"#;
+const DEFAULT_LOG_LEVEL: &str = "info";
+/// The variable that names the operator's own file.
+const OPERATOR: &str = "HALLMUX_OPERATOR";
+const ADDRESS_REMEDY: &str = "give an address and a port, like 127.0.0.1:9090";
+const SEED_REMEDY: &str = "give up to 16 hexadecimal digits";
+const LOG_LEVEL_REMEDY: &str = "give one of off, error, warn, info, debug, trace";
 
 #[derive(Deserialize)]
 struct File<'a> {
@@ -44,8 +52,8 @@
 impl Default for FileLimits {
     fn default() -> Self {
         FileLimits {
-            memory_mb: MEMORY_MB,
-            sockets: SOCKETS,
+            memory_mb: DEFAULT_MEMORY_MB,
+            sockets: DEFAULT_SOCKETS,
         }
     }
 }
@@ -109,32 +117,21 @@
         };
         let file: File = sources.file.read()?;
         let seed = file.seed.ok_or_else(|| missing("seed"))?;
-        let limits = file
-            .limits
-            .map_or(Ok(FileLimits::default()), |limits| sources.limits(limits))?;
+        let limits = sources.limits(file.limits)?;
         let settings = file.settings.ok_or_else(|| missing("settings"))?;
         let mut settings = settings_of(&sources.section("settings", settings))?;
         let operator = sources.operator(&settings)?;
         operator.apply(&mut settings.agreement);
-        let coordinator = file
-            .coordinator
-            .map(|at| sources.parsed("coordinator", &at, at.parse(), ADDRESS));
-        let level = variables.get("HALLMUX_LOG").map_or(LEVEL, String::as_str);
         Ok(NodeConfig {
             name: sources.text("NODE_NAME", "name", file.name)?,
             listen: sources.address("NODE_LISTEN", "listen", file.listen)?,
-            seed: sources.parsed("seed", &seed, u64::from_str_radix(&seed, 16), SEED)?,
-            limits: NodeLimits {
-                memory_bytes: limits.memory_mb.saturating_mul(1 << 20),
-                sockets: limits.sockets,
-            },
-            coordinator: coordinator.transpose()?,
-            known_events: file
-                .known
-                .map_or_else(|| NOTHING_KNOWN.to_string(), |raw| raw.get().to_string()),
+            seed: sources.seed(&seed)?,
+            limits,
+            coordinator: sources.coordinator(file.coordinator)?,
+            known_events: file.known.map_or(NO_EVENTS, RawValue::get).to_string(),
             settings,
             operator,
-            log_level: from_variable("HALLMUX_LOG", level, LEVELS)?,
+            log_level: log_level(variables)?,
             clock_file: variables.get("HALLMUX_CLOCK").map(PathBuf::from),
         })
     }
@@ -158,18 +155,42 @@
     }
 
     /// What the machine grants. Guards against limits under which a front would start and serve nobody.
-    fn limits(&self, raw: &'a RawValue) -> Result<FileLimits, Error> {
+    fn limits(&self, raw: Option<&'a RawValue>) -> Result<NodeLimits, Error> {
+        let limits = match raw {
+            Some(raw) => self.checked_limits(raw)?,
+            None => FileLimits::default(),
+        };
+        Ok(NodeLimits {
+            memory_bytes: limits.memory_mb.saturating_mul(1 << 20),
+            sockets: limits.sockets,
+        })
+    }
+
+    fn checked_limits(&self, raw: &'a RawValue) -> Result<FileLimits, Error> {
         let section = self.section("limits", raw);
         let limits: FileLimits = section.read()?;
-        if limits.memory_mb < LEAST_MEMORY_MB {
-            return Err(section.error("memory_mb", KeyProblem::below_minimum(LEAST_MEMORY_MB)));
+        if limits.memory_mb < MIN_MEMORY_MB {
+            return Err(section.error("memory_mb", KeyProblem::below_minimum(MIN_MEMORY_MB)));
         }
-        if limits.sockets < LEAST_SOCKETS {
-            return Err(section.error("sockets", KeyProblem::below_minimum(LEAST_SOCKETS)));
+        if limits.sockets < MIN_SOCKETS {
+            return Err(section.error("sockets", KeyProblem::below_minimum(MIN_SOCKETS)));
         }
         Ok(limits)
     }
 
+    fn seed(&self, digits: &str) -> Result<u64, Error> {
+        let seed = u64::from_str_radix(digits, 16);
+        self.parsed("seed", digits, seed, SEED_REMEDY)
+    }
+
+    fn coordinator(&self, address: Option<String>) -> Result<Option<SocketAddr>, Error> {
+        let Some(address) = address else {
+            return Ok(None);
+        };
+        let parsed = self.parsed("coordinator", &address, address.parse(), ADDRESS_REMEDY);
+        parsed.map(Some)
+    }
+
     /// The value of a variable, or else of a key.
     fn text(
         &self,
@@ -191,10 +212,10 @@
         in_file: Option<String>,
     ) -> Result<SocketAddr, Error> {
         let value = self.text(variable, key, in_file)?;
-        match self.variables.contains_key(variable) {
-            true => from_variable(variable, &value, ADDRESS),
-            false => self.parsed(key, &value, value.parse(), ADDRESS),
+        if self.variables.contains_key(variable) {
+            return from_variable(variable, &value, ADDRESS_REMEDY);
         }
+        self.parsed(key, &value, value.parse(), ADDRESS_REMEDY)
     }
 
     /// The value of a key as it was read, or an error that names the key.
@@ -206,15 +227,12 @@
         remedy: &'static str,
     ) -> Result<T, Error> {
         read.map_err(|e| {
-            let (value, reason) = (value.to_string(), e.to_string());
-            self.file.error(
-                key,
-                KeyProblem::InvalidValue {
-                    value,
-                    reason,
-                    remedy,
-                },
-            )
+            let problem = KeyProblem::InvalidValue {
+                value: value.to_string(),
+                reason: e.to_string(),
+                remedy,
+            };
+            self.file.error(key, problem)
         })
     }
 
@@ -228,6 +246,12 @@
     }
 }
 
+fn log_level(variables: &HashMap<String, String>) -> Result<log::LevelFilter, Error> {
+    let level = variables.get("HALLMUX_LOG");
+    let level = level.map_or(DEFAULT_LOG_LEVEL, String::as_str);
+    from_variable("HALLMUX_LOG", level, LOG_LEVEL_REMEDY)
+}
+
 fn missing(key: &str) -> Error {
     let position = TextPosition {
         path: key.to_string(),
@@ -239,11 +263,6 @@
     }
 }
 
-const OPERATOR: &str = "HALLMUX_OPERATOR";
-const ADDRESS: &str = "give an address and a port, like 127.0.0.1:9090";
-const SEED: &str = "give up to 16 hexadecimal digits";
-const LEVELS: &str = "give one of off, error, warn, info, debug, trace";
-
 fn from_variable<T>(variable: &'static str, value: &str, remedy: &'static str) -> Result<T, Error>
 where
     T: FromStr<Err: std::fmt::Display>,
--- /dev/null
+++ b/crates/config/src/operator_file/checker.rs
@@ -0,0 +1,103 @@
+//! Checks of keys of the operator's file, and their errors: each names the line and the key.
+
+use std::fmt;
+
+use crate::error::{Error, KeyProblem, TextPosition};
+use crate::key_lines::line_of;
+
+/// The error of the key at a path like `a.b[2].c`.
+pub fn key_error(text: &str, path: &str, problem: impl Into<KeyProblem>) -> Error {
+    let position = TextPosition {
+        line: line_of(text, path),
+        column: None,
+        path: path.to_string(),
+    };
+    Error::Key {
+        position,
+        problem: Box::new(problem.into()),
+    }
+}
+
+/// Checks keys of one section of the operator's file; an error names line and key.
+pub struct Checker<'a> {
+    /// The whole file.
+    pub text: &'a str,
+    /// The section's path.
+    pub section: &'static str,
+}
+
+impl Checker<'_> {
+    /// The error of a key of the section.
+    pub fn refuse<T>(&self, key: &str, problem: impl Into<KeyProblem>) -> Result<T, Error> {
+        Err(key_error(
+            self.text,
+            &format!("{}.{key}", self.section),
+            problem,
+        ))
+    }
+
+    /// Refuses a number that is not from `least` to `most`.
+    pub fn range<T: PartialOrd + Copy + fmt::Display>(
+        &self,
+        key: &str,
+        value: T,
+        least: T,
+        most: T,
+    ) -> Result<(), Error> {
+        match (least..=most).contains(&value) {
+            true => Ok(()),
+            false => self.refuse(key, KeyProblem::out_of_range(least, most)),
+        }
+    }
+
+    /// Refuses a name that is not among those of another part of the configuration, which `whose` names.
+    pub fn known(
+        &self,
+        key: &str,
+        name: &str,
+        whose: &'static str,
+        known: &[String],
+    ) -> Result<(), Error> {
+        match known.iter().any(|other| other == name) {
+            true => Ok(()),
+            false => self.refuse(key, KeyProblem::unknown_name(name, whose, known)),
+        }
+    }
+}
+
+/// The error of a text that is no JSON5.
+pub fn malformed(error: &json5::Error) -> Error {
+    let at = error.position();
+    let (line, column) = (at.map(|at| at.line + 1), at.map(|at| at.column + 1));
+    Error::Malformed {
+        position: TextPosition {
+            line,
+            column,
+            path: String::new(),
+        },
+        reason: reason(error),
+    }
+}
+
+/// The error of a key that the library rejects, in a text that is JSON5.
+pub fn rejected(text: &str, path: &str, error: &json5::Error) -> Error {
+    let hint = "deploy/operator.example.json5 shows each key";
+    key_error(
+        text,
+        path,
+        KeyProblem::Rejected {
+            reason: reason(error),
+            hint,
+        },
+    )
+}
+
+/// The library's text without the position, which is that of the value's end.
+fn reason(error: &json5::Error) -> String {
+    error
+        .to_string()
+        .split(" at line ")
+        .next()
+        .unwrap_or_default()
+        .to_string()
+}
--- a/crates/config/src/operator_file/gossip.rs
+++ b/crates/config/src/operator_file/gossip.rs
@@ -5,16 +5,15 @@
 
 use serde::Deserialize;
 
+use super::checker::key_error;
 use super::ledger::{ledger, Ledger, LedgerFile};
 use super::overload::{overload, Overload, OverloadFile};
-use super::ownership::{owned, Ownership, OwnershipFile};
-use super::position::key_error;
+use super::ownership::{ownership, Ownership, OwnershipFile};
+use super::peers::{parse_key, GossipPeer};
 use crate::error::{Error, KeyProblem};
 
-/// The problem of a name in a section of gossip's.
-pub const NOT_A_PEER: &str = "is not among gossip.peers; add its public key there, or name another";
-
-const MOST_QUORUM: usize = 64; // vantages; more fronts than that never agree in time
+/// Fronts that may have to agree on the loss of a zone.
+const MAX_ZONE_QUORUM: usize = 64;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -45,8 +44,8 @@
     pub advertise: Option<SocketAddr>,
     /// The file that holds the secret half of this front's key pair, as 64 hexadecimal digits.
     pub secret_file: String,
-    /// Public keys, by the names that the log gives them.
-    pub peers: Vec<(String, [u8; 32])>,
+    /// The other fronts whose messages count.
+    pub peers: Vec<GossipPeer>,
     /// Fronts to ask first, and now and then.
     pub seeds: Vec<SocketAddr>,
     /// Trusted fronts of as many vantages have to report most of a zone as failed before the fleet leaves it;
@@ -61,60 +60,50 @@
 }
 
 /// Checks the section.
-pub fn gossip(text: &str, mut file: GossipFile) -> Result<Gossip, Error> {
-    let mut peers = Vec::new();
-    for (name, key) in std::mem::take(&mut file.peers) {
-        match parse_key(&key) {
-            Some(key) => peers.push((name, key)),
-            None => {
-                let path = format!("gossip.peers.{name}");
-                return Err(key_error(text, &path, KeyProblem::InvalidPublicKey));
-            }
-        }
-    }
-    if file.zone_quorum > MOST_QUORUM {
+pub fn gossip(text: &str, file: GossipFile) -> Result<Gossip, Error> {
+    let peers = peers(text, file.peers)?;
+    if file.zone_quorum > MAX_ZONE_QUORUM {
         return Err(key_error(
             text,
             "gossip.zone_quorum",
-            KeyProblem::above_maximum(MOST_QUORUM),
+            KeyProblem::above_maximum(MAX_ZONE_QUORUM),
         ));
     }
-    let shed = file.overload.take();
-    let GossipFile {
-        listen,
-        advertise,
-        secret_file,
-        seeds,
-        zone_quorum,
-        ownership,
-        ledger: kept,
-        ..
-    } = file;
-    let ownership = ownership.map(|o| owned(text, o, &peers)).transpose()?;
-    let overload = shed.map(|o| overload(text, o)).transpose()?;
-    let ledger = kept.map(|l| ledger(text, l, &peers)).transpose()?;
+    let ownership = file
+        .ownership
+        .map(|section| ownership(text, section, &peers))
+        .transpose()?;
+    let overload = file
+        .overload
+        .map(|section| overload(text, section))
+        .transpose()?;
+    let ledger = file
+        .ledger
+        .map(|section| ledger(text, section, &peers))
+        .transpose()?;
     Ok(Gossip {
-        listen,
-        advertise,
-        secret_file,
+        listen: file.listen,
+        advertise: file.advertise,
+        secret_file: file.secret_file,
         peers,
-        seeds,
-        zone_quorum,
+        seeds: file.seeds,
+        zone_quorum: file.zone_quorum,
         ownership,
         ledger,
         overload,
     })
 }
 
-/// Thirty-two bytes of a key, from 64 hexadecimal digits with white space around; None for any other text.
-pub fn parse_key(text: &str) -> Option<[u8; 32]> {
-    let digits = text.trim().as_bytes();
-    let mut bytes = [0; 32];
-    for (n, byte) in bytes.iter_mut().enumerate() {
-        let digit = |at: usize| digits.get(at).and_then(|c| (*c as char).to_digit(16));
-        *byte = (digit(2 * n)? * 16 + digit(2 * n + 1)?) as u8;
+fn peers(text: &str, keys: BTreeMap<String, String>) -> Result<Vec<GossipPeer>, Error> {
+    let mut peers = Vec::new();
+    for (name, key) in keys {
+        let Some(key) = parse_key(&key) else {
+            let path = format!("gossip.peers.{name}");
+            return Err(key_error(text, &path, KeyProblem::InvalidPublicKey));
+        };
+        peers.push(GossipPeer { name, key });
     }
-    (digits.len() == 64).then_some(bytes)
+    Ok(peers)
 }
 
 #[cfg(test)]
--- a/crates/config/src/operator_file/gossip_tests.rs
+++ b/crates/config/src/operator_file/gossip_tests.rs
@@ -1,5 +1,6 @@
 //! Unit tests of the `gossip` module.
 
+use super::super::peers::GossipPeer;
 use super::super::sections::tests::read;
 
 #[test]
@@ -8,10 +9,11 @@
     let gossip = format!(
         "{{ gossip: {{ listen: '127.0.0.1:0', secret_file: 's', peers: {{ a: '{key}' }} }} }}"
     );
-    assert_eq!(
-        read(&gossip).unwrap().gossip.unwrap().peers,
-        [("a".to_string(), [15; 32])]
-    );
+    let peer = GossipPeer {
+        name: "a".to_string(),
+        key: [15; 32],
+    };
+    assert_eq!(read(&gossip).unwrap().gossip.unwrap().peers, [peer]);
     let why = read(&gossip.replace(&key, &key[1..])).unwrap_err();
     assert!(
         why.starts_with("line 1: gossip.peers.a: is no key"),
--- a/crates/config/src/operator_file/ledger.rs
+++ b/crates/config/src/operator_file/ledger.rs
@@ -9,25 +9,38 @@
 
 use crate::settings::micros;
 
-use super::gossip::NOT_A_PEER;
-use super::position::Checker;
+use super::checker::Checker;
+use super::peers::{key_of, GossipPeer, PublicKey, NOT_A_PEER};
 use crate::error::Error;
 
-const COPIES: usize = 3; // one may be lost, with its disk, and a majority still knows
-const MOST_COPIES: usize = 9; // each round waits for a majority of them
-const SHARDS: u16 = 16; // owners to share the work among; each costs its members a heartbeat
-const MOST_SHARDS: u16 = 1_024;
-const ENTRIES: usize = 4_096; // of a shard: 65,536 in all
-const MOST_ENTRIES: usize = 1 << 20;
-const BYTES: usize = 512 * 1_024; // of a shard: some seconds to copy by the budget below
-const MOST_BYTES: usize = 2 << 20; // a copy has to fit the pieces of one message
-const PATIENCE_MS: f64 = 500.0; // milliseconds: an election and some round trips
-const REPAIR_AFTER_MS: f64 = 30_000.0; // milliseconds: a restart is no loss
-const REPAIR_BYTES: u32 = 65_536; // a second: a tenth of what the ledger's messages may take
-const MOVES_PERCENT: u8 = 25; // hundredths of the shards: most answer without so much as an election
-const ZONE_AFTER_MS: f64 = 600_000.0; // milliseconds: a zone's power or uplink comes back within minutes
-const DAY_MS: f64 = 86_400_000.0; // milliseconds; nothing here waits longer
-const APART_MS: u64 = 500; // milliseconds: what a machine without care for its clock is off
+/// Copies of each shard: with three one may be lost and a majority still knows.
+const DEFAULT_COPIES: usize = 3;
+const MAX_COPIES: usize = 9;
+const DEFAULT_SHARDS: u16 = 16;
+const MAX_SHARDS: u16 = 1_024;
+/// Entries of a shard.
+const DEFAULT_ENTRIES: usize = 4_096;
+const MAX_ENTRIES: usize = 1 << 20;
+/// Bytes of a shard.
+const DEFAULT_BYTES: usize = 512 * 1_024;
+const MIN_BYTES: usize = 4_096;
+/// A copy of a shard has to fit the pieces of one message.
+const MAX_BYTES: usize = 2 << 20;
+const DEFAULT_PATIENCE_MS: f64 = 500.0;
+const MIN_PATIENCE_MS: f64 = 50.0;
+const MAX_PATIENCE_MS: f64 = 10_000.0;
+/// Longer than a restart takes: that is no loss of a copy.
+const DEFAULT_REPAIR_AFTER_MS: f64 = 30_000.0;
+const MIN_REPAIR_AFTER_MS: f64 = 1_000.0;
+const MAX_REPAIR_AFTER_MS: f64 = 86_400_000.0;
+/// Bytes a second.
+const DEFAULT_REPAIR_BYTES: u32 = 65_536;
+const MIN_REPAIR_BYTES: u32 = 1_024;
+const DEFAULT_MOVES_PERCENT: u8 = 25;
+/// Longer than a zone's power or uplink is mostly away.
+const DEFAULT_ZONE_AFTER_MS: f64 = 600_000.0;
+const DEFAULT_CLOCKS_APART_MS: u64 = 500;
+const MAX_CLOCKS_APART_MS: u64 = 60_000;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -44,75 +57,75 @@
     members: BTreeMap<String, MemberFile>,
     directory: Option<String>,
     drill: Option<String>,
-    #[serde(default = "refuse")]
+    #[serde(default = "default_on_disk_failure")]
     on_disk_failure: String,
     #[serde(default)]
     copies: Option<usize>,
-    #[serde(default = "shards")]
+    #[serde(default = "default_shards")]
     shards: u16,
-    #[serde(default = "entries")]
+    #[serde(default = "default_entries")]
     most_entries: usize,
-    #[serde(default = "bytes")]
+    #[serde(default = "default_bytes")]
     most_bytes: usize,
-    #[serde(default = "patience")]
+    #[serde(default = "default_patience")]
     patience_ms: f64,
-    #[serde(default = "repair_after")]
+    #[serde(default = "default_repair_after")]
     repair_after_ms: f64,
-    #[serde(default = "repair_bytes")]
+    #[serde(default = "default_repair_bytes")]
     repair_bytes: u32,
-    #[serde(default = "moves_percent")]
+    #[serde(default = "default_moves_percent")]
     moves_percent: u8,
-    #[serde(default = "zone_after")]
+    #[serde(default = "default_zone_after")]
     zone_after_ms: f64,
-    #[serde(default = "apart")]
+    #[serde(default = "default_clocks_apart")]
     clocks_apart_ms: u64,
 }
 
-fn refuse() -> String {
+fn default_on_disk_failure() -> String {
     "refuse".to_string()
 }
 
-fn shards() -> u16 {
-    SHARDS
+fn default_shards() -> u16 {
+    DEFAULT_SHARDS
 }
 
-fn entries() -> usize {
-    ENTRIES
+fn default_entries() -> usize {
+    DEFAULT_ENTRIES
 }
 
-fn bytes() -> usize {
-    BYTES
+fn default_bytes() -> usize {
+    DEFAULT_BYTES
 }
 
-fn patience() -> f64 {
-    PATIENCE_MS
+fn default_patience() -> f64 {
+    DEFAULT_PATIENCE_MS
 }
 
-fn repair_after() -> f64 {
-    REPAIR_AFTER_MS
+fn default_repair_after() -> f64 {
+    DEFAULT_REPAIR_AFTER_MS
 }
 
-fn repair_bytes() -> u32 {
-    REPAIR_BYTES
+fn default_repair_bytes() -> u32 {
+    DEFAULT_REPAIR_BYTES
 }
 
-fn moves_percent() -> u8 {
-    MOVES_PERCENT
+fn default_moves_percent() -> u8 {
+    DEFAULT_MOVES_PERCENT
 }
 
-fn zone_after() -> f64 {
-    ZONE_AFTER_MS
+fn default_zone_after() -> f64 {
+    DEFAULT_ZONE_AFTER_MS
 }
 
-fn apart() -> u64 {
-    APART_MS
+fn default_clocks_apart() -> u64 {
+    DEFAULT_CLOCKS_APART_MS
 }
 
 /// A front that keeps copies of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LedgerMember {
     /// Its public key.
-    pub key: [u8; 32],
+    pub key: PublicKey,
     /// Where it listens for other fronts.
     pub at: SocketAddr,
     /// Its location; copies of a shard are spread over locations.
@@ -164,35 +177,15 @@
 }
 
 /// Checks the section; `peers` are the fronts known by name.
-pub fn ledger(text: &str, file: LedgerFile, peers: &[(String, [u8; 32])]) -> Result<Ledger, Error> {
+pub fn ledger(text: &str, file: LedgerFile, peers: &[GossipPeer]) -> Result<Ledger, Error> {
     let check = Checker {
         text,
         section: "gossip.ledger",
     };
     let copies = copies(&check, &file)?;
     check_ranges(&check, &file)?;
-    if file.directory.as_ref().is_some_and(String::is_empty) {
-        return check.refuse(
-            "directory",
-            "names none; leave the key out to keep copies in memory alone",
-        );
-    }
-    if file.drill.is_some() && file.directory.is_none() {
-        return check.refuse(
-            "drill",
-            "needs gossip.ledger.directory; name one, or leave the drill out",
-        );
-    }
-    let on_disk_failure = match file.on_disk_failure.as_str() {
-        "refuse" => OnDiskFailure::Refuse,
-        "memory" => OnDiskFailure::Memory,
-        _ => {
-            return check.refuse(
-                "on_disk_failure",
-                "is neither 'refuse' nor 'memory'; give one of them",
-            )
-        }
-    };
+    check_directory(&check, &file)?;
+    let on_disk_failure = on_disk_failure(&check, &file.on_disk_failure)?;
     let members = members(&check, file.members, peers)?;
     Ok(Ledger {
         fleet: file.fleet,
@@ -224,8 +217,9 @@
         let problem = "names none; name the fronts that keep copies, or leave the ledger out";
         return check.refuse("members", problem);
     }
-    let most = MOST_COPIES.min(file.members.len());
-    let copies = file.copies.unwrap_or(COPIES.min(file.members.len()));
+    let members = file.members.len();
+    let most = MAX_COPIES.min(members);
+    let copies = file.copies.unwrap_or(DEFAULT_COPIES.min(members));
     if copies == 0 || copies > most {
         let problem =
             format!("is not from 1 to {most}; give as many as members are named at most, and no more than 9");
@@ -235,12 +229,22 @@
 }
 
 fn check_ranges(check: &Checker, file: &LedgerFile) -> Result<(), Error> {
-    check.range("shards", file.shards, 1, MOST_SHARDS)?;
-    check.range("most_entries", file.most_entries, 1, MOST_ENTRIES)?;
-    check.range("most_bytes", file.most_bytes, 4_096, MOST_BYTES)?;
-    check.range("patience_ms", file.patience_ms, 50.0, 10_000.0)?;
-    check.range("repair_after_ms", file.repair_after_ms, 1_000.0, DAY_MS)?;
-    if file.repair_bytes < 1_024 {
+    check.range("shards", file.shards, 1, MAX_SHARDS)?;
+    check.range("most_entries", file.most_entries, 1, MAX_ENTRIES)?;
+    check.range("most_bytes", file.most_bytes, MIN_BYTES, MAX_BYTES)?;
+    check.range(
+        "patience_ms",
+        file.patience_ms,
+        MIN_PATIENCE_MS,
+        MAX_PATIENCE_MS,
+    )?;
+    check.range(
+        "repair_after_ms",
+        file.repair_after_ms,
+        MIN_REPAIR_AFTER_MS,
+        MAX_REPAIR_AFTER_MS,
+    )?;
+    if file.repair_bytes < MIN_REPAIR_BYTES {
         let problem = "is under 1024 a second; give more, or no copy is made again in time";
         return check.refuse("repair_bytes", problem);
     }
@@ -249,35 +253,59 @@
         "zone_after_ms",
         file.zone_after_ms,
         file.repair_after_ms,
-        DAY_MS,
+        MAX_REPAIR_AFTER_MS,
     )?;
-    if file.clocks_apart_ms > 60_000 {
+    if file.clocks_apart_ms > MAX_CLOCKS_APART_MS {
         return check.refuse("clocks_apart_ms", "is over 60000; set the clocks instead");
     }
     Ok(())
 }
 
+fn check_directory(check: &Checker, file: &LedgerFile) -> Result<(), Error> {
+    if file.directory.as_ref().is_some_and(String::is_empty) {
+        return check.refuse(
+            "directory",
+            "names none; leave the key out to keep copies in memory alone",
+        );
+    }
+    if file.drill.is_some() && file.directory.is_none() {
+        return check.refuse(
+            "drill",
+            "needs gossip.ledger.directory; name one, or leave the drill out",
+        );
+    }
+    Ok(())
+}
+
+fn on_disk_failure(check: &Checker, word: &str) -> Result<OnDiskFailure, Error> {
+    match word {
+        "refuse" => Ok(OnDiskFailure::Refuse),
+        "memory" => Ok(OnDiskFailure::Memory),
+        _ => check.refuse(
+            "on_disk_failure",
+            "is neither 'refuse' nor 'memory'; give one of them",
+        ),
+    }
+}
+
 /// Members are peers, each with a key of its own.
 fn members(
     check: &Checker,
     named: BTreeMap<String, MemberFile>,
-    peers: &[(String, [u8; 32])],
+    peers: &[GossipPeer],
 ) -> Result<Vec<LedgerMember>, Error> {
-    let (mut members, mut seen) = (Vec::new(), BTreeSet::new());
+    let mut members = Vec::new();
+    let mut keys_seen = BTreeSet::new();
     for (name, MemberFile { at, zone }) in named {
-        let key = format!("members.{name}");
-        match peers.iter().find(|(peer, _)| *peer == name) {
-            Some((_, key)) if seen.insert(*key) => members.push(LedgerMember {
-                key: *key,
-                at,
-                zone,
-            }),
-            Some(_) => {
-                let problem = "has the key of another member; give each front a key of its own";
-                return check.refuse(&key, problem);
-            }
-            None => return check.refuse(&key, NOT_A_PEER),
+        let path = format!("members.{name}");
+        let Some(key) = key_of(peers, &name) else {
+            return check.refuse(&path, NOT_A_PEER);
+        };
+        if !keys_seen.insert(key) {
+            let problem = "has the key of another member; give each front a key of its own";
+            return check.refuse(&path, problem);
         }
+        members.push(LedgerMember { key, at, zone });
     }
     Ok(members)
 }
--- a/crates/config/src/operator_file/overload.rs
+++ b/crates/config/src/operator_file/overload.rs
@@ -3,43 +3,48 @@
 use hallmux::interface::{Agreement, EngineBudgets, FurtherBudget, Micros};
 use serde::Deserialize;
 
-use super::position::key_error;
+use super::checker::key_error;
 use crate::error::{Error, KeyProblem};
 
-const FURTHER_PERCENT: u32 = 8; // further executions to first ones; of those let in, which count, a fifth never leaves
-const CONNECTIONS_PER_SECOND: u32 = 200; // into one engine: at some 5 ms for a start and a login, one core
-const PROBES_PER_SECOND: u32 = 100; // into one engine: at some 0.3 ms each, a thirtieth of a core
-const MOST_PER_SECOND: u32 = 1_000_000; // of either; more is no budget
-const WINDOW: Micros = 10_000_000; // microseconds over which that is counted, where the settings name no window
+/// Retries for each hundred first executions, over all fronts.
+const DEFAULT_FURTHER_PERCENT: u32 = 8;
+/// New connections a second into one engine, over all fronts.
+const DEFAULT_CONNECTIONS_PER_SECOND: u32 = 200;
+/// Probes a second into one engine, over all fronts.
+const DEFAULT_PROBES_PER_SECOND: u32 = 100;
+/// Connections or probes a second.
+const MAX_PER_SECOND: u32 = 1_000_000;
+/// Microseconds over which retries are counted, where the settings name no window.
+const DEFAULT_RETRY_WINDOW: Micros = 10_000_000;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OverloadFile {
-    #[serde(default = "further_percent")]
+    #[serde(default = "default_further_percent")]
     further_percent: u32,
-    #[serde(default = "connections_per_second")]
+    #[serde(default = "default_connections_per_second")]
     connections_per_second: u32,
-    #[serde(default = "probes_per_second")]
+    #[serde(default = "default_probes_per_second")]
     probes_per_second: u32,
 }
 
-fn connections_per_second() -> u32 {
-    CONNECTIONS_PER_SECOND
+fn default_connections_per_second() -> u32 {
+    DEFAULT_CONNECTIONS_PER_SECOND
 }
 
-fn probes_per_second() -> u32 {
-    PROBES_PER_SECOND
+fn default_probes_per_second() -> u32 {
+    DEFAULT_PROBES_PER_SECOND
 }
 
-fn further_percent() -> u32 {
-    FURTHER_PERCENT
+fn default_further_percent() -> u32 {
+    DEFAULT_FURTHER_PERCENT
 }
 
-/// The fleet sheds as one, and keeps further executions to a share of first ones over all fronts, and new
-/// connections and probes into each engine to so many a second; 0: no bound.
+/// The fleet sheds load as one. It keeps retries to a share of first executions over all fronts, and new connections
+/// and probes into each engine to so many a second; 0: no bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Overload {
-    /// Further executions for each hundred first ones, over all fronts.
+    /// Retries for each hundred first executions, over all fronts.
     pub further_percent: u32,
     /// New connections into one engine, over all fronts.
     pub connections_per_second: u32,
@@ -50,9 +55,9 @@
 impl Default for Overload {
     fn default() -> Overload {
         Overload {
-            further_percent: FURTHER_PERCENT,
-            connections_per_second: CONNECTIONS_PER_SECOND,
-            probes_per_second: PROBES_PER_SECOND,
+            further_percent: DEFAULT_FURTHER_PERCENT,
+            connections_per_second: DEFAULT_CONNECTIONS_PER_SECOND,
+            probes_per_second: DEFAULT_PROBES_PER_SECOND,
         }
     }
 }
@@ -66,27 +71,22 @@
             KeyProblem::above_maximum(100),
         ));
     }
-    let OverloadFile {
-        further_percent,
-        connections_per_second,
-        probes_per_second,
-    } = file;
     for (key, value) in [
-        ("connections_per_second", connections_per_second),
-        ("probes_per_second", probes_per_second),
+        ("connections_per_second", file.connections_per_second),
+        ("probes_per_second", file.probes_per_second),
     ] {
-        if value > MOST_PER_SECOND {
+        if value > MAX_PER_SECOND {
             return Err(key_error(
                 text,
                 &format!("gossip.overload.{key}"),
-                KeyProblem::above_maximum(MOST_PER_SECOND),
+                KeyProblem::above_maximum(MAX_PER_SECOND),
             ));
         }
     }
     Ok(Overload {
-        further_percent,
-        connections_per_second,
-        probes_per_second,
+        further_percent: file.further_percent,
+        connections_per_second: file.connections_per_second,
+        probes_per_second: file.probes_per_second,
     })
 }
 
@@ -97,33 +97,32 @@
         let agreed = agreement.further.unwrap_or(FurtherBudget {
             spare: 0.0,
             ratio: f64::INFINITY,
-            window: WINDOW,
+            window: DEFAULT_RETRY_WINDOW,
         });
-        let spare = agreed.spare / agreement.fronts.max(1.0);
+        let ratio = f64::from(self.further_percent) / 100.0;
         agreement.further = Some(FurtherBudget {
-            spare,
-            ratio: agreed.ratio.min(f64::from(self.further_percent) / 100.0),
+            spare: agreed.spare / agreement.fronts.max(1.0),
+            ratio: agreed.ratio.min(ratio),
             ..agreed
         });
-        let most = |a_second: u32| {
-            if a_second > 0 {
-                f64::from(a_second)
-            } else {
-                f64::INFINITY
-            }
-        };
-        let (connections, probes) = (
-            most(self.connections_per_second),
-            most(self.probes_per_second),
-        );
-        let bounded = connections.is_finite() || probes.is_finite();
-        agreement.budgets = bounded.then_some(EngineBudgets {
+        let connections = bound(self.connections_per_second);
+        let probes = bound(self.probes_per_second);
+        let is_bounded = connections.is_finite() || probes.is_finite();
+        agreement.budgets = is_bounded.then_some(EngineBudgets {
             connections,
             probes,
         });
     }
 }
 
+/// A bound a second; 0 is none.
+fn bound(per_second: u32) -> f64 {
+    match per_second {
+        0 => f64::INFINITY,
+        bound => f64::from(bound),
+    }
+}
+
 #[cfg(test)]
 #[path = "overload_tests.rs"]
 mod tests;
--- a/crates/config/src/operator_file/ownership.rs
+++ b/crates/config/src/operator_file/ownership.rs
@@ -8,13 +8,16 @@
 
 use crate::settings::micros;
 
-use super::gossip::NOT_A_PEER;
-use super::position::Checker;
+use super::checker::Checker;
+use super::peers::{key_of, GossipPeer, PublicKey, NOT_A_PEER};
 use crate::error::{Error, KeyProblem};
 
-const LEASE_MS: f64 = 3_000.0; // milliseconds: some elections of a third of a second, and no zone is lost for less
-const DRIFT_PPM: u32 = 10_000; // millionths: a hundred times what quartz does, for machines that are throttled
-const MOST_DRIFT_PPM: u32 = 200_000; // millionths; a clock further off is broken
+const DEFAULT_LEASE_MS: f64 = 3_000.0;
+const MIN_LEASE_MS: f64 = 500.0;
+const MAX_LEASE_MS: f64 = 60_000.0;
+/// Millionths: far more than a quartz drifts, for machines that are throttled.
+const DEFAULT_DRIFT_PPM: u32 = 10_000;
+const MAX_DRIFT_PPM: u32 = 200_000;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -29,11 +32,20 @@
 }
 
 fn lease_ms() -> f64 {
-    LEASE_MS
+    DEFAULT_LEASE_MS
 }
 
 fn drift_ppm() -> u32 {
-    DRIFT_PPM
+    DEFAULT_DRIFT_PPM
+}
+
+/// A front that grants leases.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct OwnershipVoter {
+    /// Its public key.
+    pub key: PublicKey,
+    /// Where it listens for other fronts.
+    pub address: SocketAddr,
 }
 
 /// Who grants the leases of work on behalf of the fleet, and for how long.
@@ -41,8 +53,8 @@
 pub struct Ownership {
     /// The fleet's name; votes of another are refused.
     pub fleet: String,
-    /// Public keys of the voters, and where each listens for other fronts.
-    pub voters: Vec<([u8; 32], SocketAddr)>,
+    /// The fronts that grant leases.
+    pub voters: Vec<OwnershipVoter>,
     /// Where a voter keeps what it must not forget.
     pub directory: String,
     /// How long a lease holds.
@@ -52,10 +64,10 @@
 }
 
 /// Checks the section; `peers` are the fronts known by name.
-pub fn owned(
+pub fn ownership(
     text: &str,
     file: OwnershipFile,
-    peers: &[(String, [u8; 32])],
+    peers: &[GossipPeer],
 ) -> Result<Ownership, Error> {
     let check = Checker {
         text,
@@ -67,32 +79,39 @@
             "names neither 3 nor 5 fronts; name as many of gossip.peers",
         );
     }
-    check.range("lease_ms", file.lease_ms, 500.0, 60_000.0)?;
-    if file.drift_ppm > MOST_DRIFT_PPM {
-        return check.refuse("drift_ppm", KeyProblem::above_maximum(MOST_DRIFT_PPM));
+    check.range("lease_ms", file.lease_ms, MIN_LEASE_MS, MAX_LEASE_MS)?;
+    if file.drift_ppm > MAX_DRIFT_PPM {
+        return check.refuse("drift_ppm", KeyProblem::above_maximum(MAX_DRIFT_PPM));
     }
     if file.directory.is_empty() {
         let problem =
             "names none; name one on a lasting disk, as a voter that forgets its votes must not vote again";
         return check.refuse("directory", problem);
     }
-    let mut voters = Vec::new();
-    for (name, at) in file.voters {
-        match peers.iter().find(|(peer, _)| *peer == name) {
-            Some((_, key)) => voters.push((*key, at)),
-            None => return check.refuse(&format!("voters.{name}"), NOT_A_PEER),
-        }
-    }
-    let (fleet, directory, drift_ppm) = (file.fleet, file.directory, file.drift_ppm);
     Ok(Ownership {
-        fleet,
-        voters,
-        directory,
+        fleet: file.fleet,
+        voters: voters(&check, file.voters, peers)?,
+        directory: file.directory,
         lease: micros(file.lease_ms),
-        drift_ppm,
+        drift_ppm: file.drift_ppm,
     })
 }
 
+fn voters(
+    check: &Checker,
+    named: BTreeMap<String, SocketAddr>,
+    peers: &[GossipPeer],
+) -> Result<Vec<OwnershipVoter>, Error> {
+    let mut voters = Vec::new();
+    for (name, address) in named {
+        let Some(key) = key_of(peers, &name) else {
+            return check.refuse(&format!("voters.{name}"), NOT_A_PEER);
+        };
+        voters.push(OwnershipVoter { key, address });
+    }
+    Ok(voters)
+}
+
 #[cfg(test)]
 #[path = "ownership_tests.rs"]
 mod tests;
--- a/crates/config/src/operator_file/ownership_tests.rs
+++ b/crates/config/src/operator_file/ownership_tests.rs
@@ -1,6 +1,7 @@
 //! Unit tests of the `ownership` module.
 
 use super::super::sections::tests::read;
+use super::OwnershipVoter;
 
 #[test]
 fn ownership_names_three_or_five_known_voters_and_a_directory() {
@@ -22,7 +23,11 @@
         (owned.voters.len(), owned.lease, owned.drift_ppm),
         (3, 3_000_000, 10_000)
     );
-    assert_eq!(owned.voters[1], ([2; 32], "127.0.0.1:2".parse().unwrap()));
+    let second = OwnershipVoter {
+        key: [2; 32],
+        address: "127.0.0.1:2".parse().unwrap(),
+    };
+    assert_eq!(owned.voters[1], second);
     for (from, to, why) in [
         (
             ", f3: '127.0.0.1:3'",
--- a/crates/config/src/operator_file/postgres.rs
+++ b/crates/config/src/operator_file/postgres.rs
@@ -8,23 +8,34 @@
 
 use crate::settings::{micros, Settings};
 
-use super::position::Checker;
+use super::checker::Checker;
 use crate::error::{Error, KeyProblem};
 
-const MOST_SESSIONS: usize = 5_000; // sessions, where the file is silent; descriptors bound them before that
-const START_UP_MS: f64 = 5_000.0; // milliseconds for start-up and authentication; drivers take some ten
-const MOST_STATEMENTS: usize = 1_000; // prepared statements of a session; drivers keep some hundred
-const MOST_PORTALS: usize = 100; // portals open at once in a session's transaction; drivers hold a few
-const MOST_SETTINGS: usize = 64; // settings that a session may carry; drivers set some ten
-const MESSAGE_BYTES: usize = 1 << 20; // bytes of a message or a unit of a client; statements are smaller
-const BUFFER_BYTES: usize = 64 << 10; // bytes of a result held before they go on, and left untaken after
-const ENGINE_CONNECTIONS: usize = 64; // connections to an engine; its own limit is usually 100
-const PREPARED: usize = 256; // prepared statements on an engine connection; each costs it some 10 KB
-const TRANSACTION_IDLE_MS: f64 = 10_000.0; // milliseconds that an open transaction may stand idle
-const CONNECTION_IDLE_MS: f64 = 60_000.0; // milliseconds after which a resting engine connection is closed
-const CONNECTION_AGE_MS: f64 = 3_600_000.0; // milliseconds after which an engine connection is not reused
+const DEFAULT_SESSIONS: usize = 5_000;
+/// Milliseconds for start-up and authentication.
+const DEFAULT_START_UP_MS: f64 = 5_000.0;
+/// Prepared statements of a session.
+const DEFAULT_STATEMENTS: usize = 1_000;
+/// Portals open at once in a session's transaction.
+const DEFAULT_PORTALS: usize = 100;
+/// Settings that a session may carry.
+const DEFAULT_SETTINGS: usize = 64;
+/// Bytes of a message or a unit of a client.
+const DEFAULT_MESSAGE_BYTES: usize = 1 << 20;
+/// Bytes of a result that are held before they go on to the client.
+const DEFAULT_BUFFER_BYTES: usize = 64 << 10;
+/// Connections to an engine: its own limit is usually 100.
+const DEFAULT_ENGINE_CONNECTIONS: usize = 64;
+/// Prepared statements on an engine connection.
+const DEFAULT_PREPARED: usize = 256;
+const DEFAULT_TRANSACTION_IDLE_MS: f64 = 10_000.0;
+const DEFAULT_CONNECTION_IDLE_MS: f64 = 60_000.0;
+const DEFAULT_CONNECTION_AGE_MS: f64 = 3_600_000.0;
 
-const MOST: f64 = 1e12; // of any limit: thirty years of milliseconds, and times beyond them can still be reckoned
+/// The upper bound of each limit: times beyond it could not be added up.
+const MAX_LIMIT: f64 = 1e12;
+const MIN_BYTES: f64 = 1024.0;
+const MIN_MS: f64 = 10.0;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -75,18 +86,18 @@
 impl Default for LimitsFile {
     fn default() -> Self {
         LimitsFile {
-            sessions: MOST_SESSIONS,
-            start_up_ms: START_UP_MS,
-            statements: MOST_STATEMENTS,
-            portals: MOST_PORTALS,
-            settings: MOST_SETTINGS,
-            message_bytes: MESSAGE_BYTES,
-            buffer_bytes: BUFFER_BYTES,
-            engine_connections: ENGINE_CONNECTIONS,
-            prepared: PREPARED,
-            transaction_idle_ms: TRANSACTION_IDLE_MS,
-            connection_idle_ms: CONNECTION_IDLE_MS,
-            connection_age_ms: CONNECTION_AGE_MS,
+            sessions: DEFAULT_SESSIONS,
+            start_up_ms: DEFAULT_START_UP_MS,
+            statements: DEFAULT_STATEMENTS,
+            portals: DEFAULT_PORTALS,
+            settings: DEFAULT_SETTINGS,
+            message_bytes: DEFAULT_MESSAGE_BYTES,
+            buffer_bytes: DEFAULT_BUFFER_BYTES,
+            engine_connections: DEFAULT_ENGINE_CONNECTIONS,
+            prepared: DEFAULT_PREPARED,
+            transaction_idle_ms: DEFAULT_TRANSACTION_IDLE_MS,
+            connection_idle_ms: DEFAULT_CONNECTION_IDLE_MS,
+            connection_age_ms: DEFAULT_CONNECTION_AGE_MS,
         }
     }
 }
@@ -194,23 +205,7 @@
 
 fn user(check: &Checker, name: &str, file: UserFile, settings: &Settings) -> Result<User, Error> {
     let path = format!("users.{name}");
-    match (&file.verifier, file.trust) {
-        (None, false) => {
-            return check.refuse(
-                &path,
-                "needs 'verifier', or 'trust: true'; give one of them",
-            )
-        }
-        (Some(_), true) => {
-            return check.refuse(&path, "has both 'verifier' and 'trust'; leave one out")
-        }
-        (Some(verifier), false) if !is_verifier(verifier) => {
-            let form = "SCRAM-SHA-256$ITERATIONS:SALT$STORED_KEY:SERVER_KEY";
-            let problem = format!("is not of the form {form}; copy it from pg_authid");
-            return check.refuse(&format!("{path}.verifier"), problem);
-        }
-        _ => {}
-    }
+    check_proof(check, &path, &file)?;
     let names = &settings.names;
     if let Some(member) = &file.member {
         check.known(
@@ -237,28 +232,39 @@
     })
 }
 
-fn limits(check: &Checker, file: LimitsFile) -> Result<SessionLimits, Error> {
-    for (key, value, least) in [
-        ("sessions", file.sessions as f64, 1.0),
-        ("start_up_ms", file.start_up_ms, 10.0),
-        ("statements", file.statements as f64, 1.0),
-        ("portals", file.portals as f64, 1.0),
-        ("settings", file.settings as f64, 1.0),
-        ("message_bytes", file.message_bytes as f64, 1024.0),
-        ("buffer_bytes", file.buffer_bytes as f64, 1024.0),
-        ("engine_connections", file.engine_connections as f64, 1.0),
-        ("prepared", file.prepared as f64, 1.0),
-        ("transaction_idle_ms", file.transaction_idle_ms, 10.0),
-        ("connection_idle_ms", file.connection_idle_ms, 10.0),
-        ("connection_age_ms", file.connection_age_ms, 10.0),
-    ] {
-        let problem = match value {
-            value if (least..=MOST).contains(&value) => continue,
-            value if value > MOST => KeyProblem::above_maximum(MOST),
-            _ => KeyProblem::below_minimum(least),
-        };
-        return check.refuse(&format!("limits.{key}"), problem);
+/// A user proves who it is by a verifier, or is trusted.
+fn check_proof(check: &Checker, path: &str, file: &UserFile) -> Result<(), Error> {
+    match (&file.verifier, file.trust) {
+        (None, false) => check.refuse(path, "needs 'verifier', or 'trust: true'; give one of them"),
+        (Some(_), true) => check.refuse(path, "has both 'verifier' and 'trust'; leave one out"),
+        (Some(verifier), false) if !is_verifier(verifier) => {
+            let form = "SCRAM-SHA-256$ITERATIONS:SALT$STORED_KEY:SERVER_KEY";
+            let problem = format!("is not of the form {form}; copy it from pg_authid");
+            check.refuse(&format!("{path}.verifier"), problem)
+        }
+        _ => Ok(()),
     }
+}
+
+fn limits(check: &Checker, file: LimitsFile) -> Result<SessionLimits, Error> {
+    check_limit(check, "sessions", file.sessions as f64, 1.0)?;
+    check_limit(check, "start_up_ms", file.start_up_ms, MIN_MS)?;
+    check_limit(check, "statements", file.statements as f64, 1.0)?;
+    check_limit(check, "portals", file.portals as f64, 1.0)?;
+    check_limit(check, "settings", file.settings as f64, 1.0)?;
+    check_limit(check, "message_bytes", file.message_bytes as f64, MIN_BYTES)?;
+    check_limit(check, "buffer_bytes", file.buffer_bytes as f64, MIN_BYTES)?;
+    let connections = file.engine_connections as f64;
+    check_limit(check, "engine_connections", connections, 1.0)?;
+    check_limit(check, "prepared", file.prepared as f64, 1.0)?;
+    check_limit(
+        check,
+        "transaction_idle_ms",
+        file.transaction_idle_ms,
+        MIN_MS,
+    )?;
+    check_limit(check, "connection_idle_ms", file.connection_idle_ms, MIN_MS)?;
+    check_limit(check, "connection_age_ms", file.connection_age_ms, MIN_MS)?;
     Ok(SessionLimits {
         sessions: file.sessions,
         start_up: micros(file.start_up_ms),
@@ -275,6 +281,18 @@
     })
 }
 
+fn check_limit(check: &Checker, key: &str, value: f64, least: f64) -> Result<(), Error> {
+    if (least..=MAX_LIMIT).contains(&value) {
+        return Ok(());
+    }
+    let problem = if value > MAX_LIMIT {
+        KeyProblem::above_maximum(MAX_LIMIT)
+    } else {
+        KeyProblem::below_minimum(least)
+    };
+    check.refuse(&format!("limits.{key}"), problem)
+}
+
 /// The form alone; the protocol's own module reads what it holds.
 fn is_verifier(text: &str) -> bool {
     let Some((head, keys)) = text
--- a/crates/config/src/operator_file/postgres_tests.rs
+++ b/crates/config/src/operator_file/postgres_tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of the `postgres` module.
 
 use super::super::sections::tests::read;
-use super::*;
+use super::DEFAULT_STATEMENTS;
 
 const GOOD: &str = "{
     // comments and bare keys
@@ -24,7 +24,7 @@
     assert_eq!(postgres.users["portal"].engine_user, "portal");
     assert_eq!(
         (postgres.limits.sessions, postgres.limits.statements),
-        (10, MOST_STATEMENTS)
+        (10, DEFAULT_STATEMENTS)
     );
     assert_eq!(postgres.engines[1].port, Some(5433));
     assert!(read("{}").unwrap().postgres.is_none());
--- a/crates/config/src/operator_file/rules.rs
+++ b/crates/config/src/operator_file/rules.rs
@@ -5,17 +5,23 @@
 use hallmux::interface::Micros;
 use serde::Deserialize;
 
-use crate::settings::{micros, Settings};
+use crate::settings::{micros, Names, Settings};
 
-use super::position::Checker;
+use super::checker::Checker;
 use crate::error::{Error, KeyProblem};
 
-const LEASE_MS: f64 = 3_000.0; // milliseconds: what tightens waits as long; some elections of the ledger's owners
-const DRIFT_PPM: u32 = 10_000; // millionths: a hundred times what quartz does, for machines that are throttled
-const MOST_DRIFT_PPM: u32 = 200_000; // millionths; a clock further off is broken
-const WHAT_IF_HOURS: f64 = 6.0; // hours that a question looks back: past a working day's peak
-const MOST_WHAT_IF_HOURS: f64 = 168.0; // hours; a week
-const TELL_EVERY_MS: f64 = 60_000.0; // milliseconds between lines of the log with the fleet's hits
+const DEFAULT_LEASE_MS: f64 = 3_000.0;
+const MIN_LEASE_MS: f64 = 500.0;
+const MAX_LEASE_MS: f64 = 60_000.0;
+/// Millionths: far more than a quartz drifts, for machines that are throttled.
+const DEFAULT_DRIFT_PPM: u32 = 10_000;
+const MAX_DRIFT_PPM: u32 = 200_000;
+const DEFAULT_WHAT_IF_HOURS: f64 = 6.0;
+const MAX_WHAT_IF_HOURS: f64 = 168.0;
+const MS_PER_HOUR: f64 = 3_600_000.0;
+const DEFAULT_TELL_EVERY_MS: f64 = 60_000.0;
+const MIN_TELL_EVERY_MS: f64 = 1_000.0;
+const MAX_TELL_EVERY_MS: f64 = 86_400_000.0;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -25,30 +31,30 @@
     #[serde(default)]
     regions: BTreeMap<String, Vec<String>>,
     customers: Option<Vec<String>>,
-    #[serde(default = "lease_ms")]
+    #[serde(default = "default_lease_ms")]
     lease_ms: f64,
-    #[serde(default = "drift_ppm")]
+    #[serde(default = "default_drift_ppm")]
     drift_ppm: u32,
-    #[serde(default = "tell_every_ms")]
+    #[serde(default = "default_tell_every_ms")]
     tell_every_ms: f64,
-    #[serde(default = "what_if_hours")]
+    #[serde(default = "default_what_if_hours")]
     what_if_hours: f64,
 }
 
-fn what_if_hours() -> f64 {
-    WHAT_IF_HOURS
+fn default_what_if_hours() -> f64 {
+    DEFAULT_WHAT_IF_HOURS
 }
 
-fn lease_ms() -> f64 {
-    LEASE_MS
+fn default_lease_ms() -> f64 {
+    DEFAULT_LEASE_MS
 }
 
-fn drift_ppm() -> u32 {
-    DRIFT_PPM
+fn default_drift_ppm() -> u32 {
+    DEFAULT_DRIFT_PPM
 }
 
-fn tell_every_ms() -> f64 {
-    TELL_EVERY_MS
+fn default_tell_every_ms() -> f64 {
+    DEFAULT_TELL_EVERY_MS
 }
 
 /// Where the rules are, and all that they may be about.
@@ -78,64 +84,64 @@
         text,
         section: "rules",
     };
-    let names = &settings.names;
     if file.file.is_empty() {
         return check.refuse("file", "names none; give the path of the file of rules");
     }
+    check_regions(&check, &file, &settings.names)?;
+    check_customers(&check, &file, &settings.names)?;
+    check_ranges(&check, &file)?;
+    Ok(Rules {
+        file: file.file,
+        region: file.region,
+        regions: file.regions,
+        customers: file.customers,
+        lease: micros(file.lease_ms),
+        drift_ppm: file.drift_ppm,
+        tell_every: micros(file.tell_every_ms),
+        remembers: micros(file.what_if_hours * MS_PER_HOUR),
+    })
+}
+
+/// Regions hold locations of the settings, and this front's region is one of them.
+fn check_regions(check: &Checker, file: &RulesFile, names: &Names) -> Result<(), Error> {
     for (region, locations) in &file.regions {
-        for (at, location) in locations.iter().enumerate() {
-            let key = format!("regions.{region}[{at}]");
+        for (index, location) in locations.iter().enumerate() {
+            let key = format!("regions.{region}[{index}]");
             check.known(&key, location, "the settings' locations", &names.locations)?;
         }
         if locations.is_empty() {
             return check.refuse(&format!("regions.{region}"), "holds no location; name one");
         }
     }
-    let regions: Vec<String> = file
-        .regions
-        .keys()
-        .chain(&names.locations)
-        .cloned()
-        .collect();
-    check.known("region", &file.region, "the regions", &regions)?;
-    for (at, customer) in file.customers.iter().flatten().enumerate() {
-        if !names.customers.is_empty() {
-            check.known(
-                &format!("customers[{at}]"),
-                customer,
-                "the settings' customers",
-                &names.customers,
-            )?;
-        }
+    let named = file.regions.keys();
+    let regions: Vec<String> = named.chain(&names.locations).cloned().collect();
+    check.known("region", &file.region, "the regions", &regions)
+}
+
+/// Customers are those of the settings, where these name any.
+fn check_customers(check: &Checker, file: &RulesFile, names: &Names) -> Result<(), Error> {
+    if names.customers.is_empty() {
+        return Ok(());
     }
-    check.range("lease_ms", file.lease_ms, 500.0, 60_000.0)?;
-    if file.drift_ppm > MOST_DRIFT_PPM {
-        return check.refuse("drift_ppm", KeyProblem::above_maximum(MOST_DRIFT_PPM));
+    for (index, customer) in file.customers.iter().flatten().enumerate() {
+        let key = format!("customers[{index}]");
+        check.known(&key, customer, "the settings' customers", &names.customers)?;
     }
-    check.range("tell_every_ms", file.tell_every_ms, 1_000.0, 86_400_000.0)?;
-    check.range("what_if_hours", file.what_if_hours, 0.0, MOST_WHAT_IF_HOURS)?;
-    let RulesFile {
-        file: path,
-        region,
-        regions,
-        customers,
-        lease_ms,
-        drift_ppm,
-        tell_every_ms,
-        what_if_hours,
-    } = file;
-    let (lease, tell_every) = (micros(lease_ms), micros(tell_every_ms));
-    let remembers = micros(what_if_hours * 3_600_000.0);
-    Ok(Rules {
-        file: path,
-        region,
-        regions,
-        customers,
-        lease,
-        drift_ppm,
-        tell_every,
-        remembers,
-    })
+    Ok(())
+}
+
+fn check_ranges(check: &Checker, file: &RulesFile) -> Result<(), Error> {
+    check.range("lease_ms", file.lease_ms, MIN_LEASE_MS, MAX_LEASE_MS)?;
+    if file.drift_ppm > MAX_DRIFT_PPM {
+        return check.refuse("drift_ppm", KeyProblem::above_maximum(MAX_DRIFT_PPM));
+    }
+    check.range(
+        "tell_every_ms",
+        file.tell_every_ms,
+        MIN_TELL_EVERY_MS,
+        MAX_TELL_EVERY_MS,
+    )?;
+    check.range("what_if_hours", file.what_if_hours, 0.0, MAX_WHAT_IF_HOURS)
 }
 
 #[cfg(test)]
--- a/crates/config/src/operator_file/scatter.rs
+++ b/crates/config/src/operator_file/scatter.rs
@@ -7,18 +7,28 @@
 
 use crate::settings::Settings;
 
-use super::gossip::parse_key;
-use super::position::Checker;
+use super::checker::Checker;
+use super::peers::{parse_key, PublicKey};
 use crate::error::{Error, KeyProblem};
 
-const OLDEST_MS: u64 = 600_000; // milliseconds: a site that has written nothing for so long may have lost its way
-const MOST_OLDEST_MS: u64 = 604_800_000; // milliseconds: a week
-const AHEAD_MS: u64 = 10_000; // milliseconds, as far as fronts' clocks may differ
-const MOST: usize = 4_096; // summaries: 256 MiB if each were as long as can be; the usual take a tenth
-const MOST_OF_ALL: usize = 65_536;
-const AT_ONCE: usize = 4; // parts: the likeliest sites mostly fill a limit
-const MOST_ERROR: f64 = 0.5; // of a number of distinct values: beyond that it says nothing
-const ANSWER_BYTES: usize = 1 << 20; // bytes of an answer: a hundred times what an engine's page holds
+/// Milliseconds after which a summary is too old.
+const DEFAULT_OLDEST_MS: u64 = 600_000;
+const MIN_OLDEST_MS: u64 = 1_000;
+const MAX_OLDEST_MS: u64 = 604_800_000;
+/// Milliseconds that a summary may come from the future: as far as fronts' clocks may differ.
+const DEFAULT_AHEAD_MS: u64 = 10_000;
+const MAX_AHEAD_MS: u64 = 600_000;
+/// Summaries that are held.
+const DEFAULT_SUMMARIES: usize = 4_096;
+const MAX_SUMMARIES: usize = 65_536;
+/// Parts of a statement with LIMIT that are in flight at once.
+const DEFAULT_AT_ONCE: usize = 4;
+const MAX_AT_ONCE: usize = 1_000;
+/// The part by which a number of distinct values may be wrong.
+const MAX_DISTINCT_ERROR: f64 = 0.5;
+const DEFAULT_ANSWER_BYTES: usize = 1 << 20;
+const MIN_ANSWER_BYTES: usize = 1_000;
+const MAX_ANSWER_BYTES: usize = 1 << 26;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -38,15 +48,15 @@
     distinct_error: BTreeMap<String, f64>,
     #[serde(default)]
     together: Vec<Vec<u32>>,
-    #[serde(default = "oldest_ms")]
+    #[serde(default = "default_oldest_ms")]
     oldest_ms: u64,
-    #[serde(default = "ahead_ms")]
+    #[serde(default = "default_ahead_ms")]
     ahead_ms: u64,
-    #[serde(default = "most")]
+    #[serde(default = "default_summaries")]
     most: usize,
-    #[serde(default = "at_once")]
+    #[serde(default = "default_at_once")]
     at_once: usize,
-    #[serde(default = "answer_bytes")]
+    #[serde(default = "default_answer_bytes")]
     answer_bytes: usize,
     keep: Option<SummaryBudgetFile>,
     audits: Option<AuditsFile>,
@@ -67,24 +77,24 @@
     file: Option<String>,
 }
 
-fn oldest_ms() -> u64 {
-    OLDEST_MS
+fn default_oldest_ms() -> u64 {
+    DEFAULT_OLDEST_MS
 }
 
-fn ahead_ms() -> u64 {
-    AHEAD_MS
+fn default_ahead_ms() -> u64 {
+    DEFAULT_AHEAD_MS
 }
 
-fn most() -> usize {
-    MOST
+fn default_summaries() -> usize {
+    DEFAULT_SUMMARIES
 }
 
-fn at_once() -> usize {
-    AT_ONCE
+fn default_at_once() -> usize {
+    DEFAULT_AT_ONCE
 }
 
-fn answer_bytes() -> usize {
-    ANSWER_BYTES
+fn default_answer_bytes() -> usize {
+    DEFAULT_ANSWER_BYTES
 }
 
 /// Which statements are asked of several sites, and what holds for them.
@@ -93,7 +103,7 @@
     /// Workloads whose statements are, by name.
     pub workloads: Vec<String>,
     /// Locations whose engines hold a part of the data, and the keys that sign their summaries.
-    pub sites: BTreeMap<String, [u8; 32]>,
+    pub sites: BTreeMap<String, PublicKey>,
     /// Where summaries are read from, at start and by SIGHUP.
     pub directory: Option<String>,
     /// The schema that summaries of a group must be of.
@@ -117,7 +127,7 @@
     pub ahead_ms: u64,
     /// Summaries that are held.
     pub most: usize,
-    /// Parts of a statement with LIMIT that are out at once.
+    /// Parts of a statement with LIMIT that are in flight at once.
     pub at_once: usize,
     /// Bytes of an answer at the most.
     pub answer_bytes: usize,
@@ -153,88 +163,94 @@
         text,
         section: "scatter",
     };
-    let names = &settings.names;
     check_workloads(&check, &file, settings)?;
     let sites = sites(&check, &file, settings)?;
     let schemas = schemas(&check, &file)?;
-    if let Some(site) = &file.whole_site {
-        check.known(
-            "whole_site",
-            site,
-            "scatter.sites",
-            &sites.keys().cloned().collect::<Vec<_>>(),
-        )?;
-    }
+    check_whole_site(&check, &file, &sites)?;
     check_customers(&check, &file, settings)?;
-    for (n, name) in file.writes.iter().enumerate() {
-        check.known(
-            &format!("writes[{n}]"),
-            name,
-            "the settings' workloads",
-            &names.workloads,
-        )?;
-    }
-    let marked = match file.loads.as_deref() {
-        None | Some("marked") => true,
-        Some("none") => false,
-        Some(other) => {
-            let problem = format!("'{other}' is neither 'marked' nor 'none'; give one of them");
-            return check.refuse("loads", problem);
-        }
-    };
+    check_writes(&check, &file, settings)?;
+    let marked = loads_are_marked(&check, &file)?;
     check_ranges(&check, &file)?;
-    let millionths = |(name, error): (&String, &f64)| (name.clone(), (error * 1e6) as u32);
-    let distinct_error = file.distinct_error.iter().map(millionths).collect();
-    let keep = file.keep.map(
-        |SummaryBudgetFile {
-             memory_kb,
-             bytes_a_second,
-             file,
-         }| SummaryBudget {
-            memory_bytes: memory_kb * 1024,
-            bytes_a_second,
-            file,
-        },
-    );
-    let audits = file
-        .audits
-        .map(|AuditsFile { one_in, a_minute }| Audits { one_in, a_minute });
-    let ScatterFile {
-        workloads,
-        directory,
-        whole_site,
-        partial,
-        writes,
-        together,
-        ..
-    } = file;
-    let effects = names.workloads.iter().zip(&settings.agreement.workloads);
-    let may_write =
-        effects.filter(|(name, w)| w.effect != Effect::Idempotent || writes.contains(name));
-    let writes = may_write.map(|(name, _)| name.clone()).collect();
-    let (oldest_ms, ahead_ms) = (file.oldest_ms, file.ahead_ms);
-    let (most, at_once, answer_bytes) = (file.most, file.at_once, file.answer_bytes);
+    let writes = writing_workloads(&file, settings);
+    let distinct_error = file.distinct_error.into_iter();
     Ok(Scatter {
-        workloads,
+        workloads: file.workloads,
         sites,
-        directory,
+        directory: file.directory,
         schemas,
         marked,
         writes,
-        whole_site,
-        partial,
-        distinct_error,
-        together,
-        oldest_ms,
-        ahead_ms,
-        most,
-        at_once,
-        answer_bytes,
-        keep,
-        audits,
+        whole_site: file.whole_site,
+        partial: file.partial,
+        distinct_error: distinct_error
+            .map(|(name, error)| (name, millionths(error)))
+            .collect(),
+        together: file.together,
+        oldest_ms: file.oldest_ms,
+        ahead_ms: file.ahead_ms,
+        most: file.most,
+        at_once: file.at_once,
+        answer_bytes: file.answer_bytes,
+        keep: file.keep.map(|keep| SummaryBudget {
+            memory_bytes: keep.memory_kb * 1024,
+            bytes_a_second: keep.bytes_a_second,
+            file: keep.file,
+        }),
+        audits: file.audits.map(|audits| Audits {
+            one_in: audits.one_in,
+            a_minute: audits.a_minute,
+        }),
     })
 }
 
+fn millionths(part: f64) -> u32 {
+    (part * 1e6) as u32
+}
+
+fn check_whole_site(
+    check: &Checker,
+    file: &ScatterFile,
+    sites: &BTreeMap<String, PublicKey>,
+) -> Result<(), Error> {
+    let Some(site) = &file.whole_site else {
+        return Ok(());
+    };
+    let known: Vec<String> = sites.keys().cloned().collect();
+    check.known("whole_site", site, "scatter.sites", &known)
+}
+
+fn check_writes(check: &Checker, file: &ScatterFile, settings: &Settings) -> Result<(), Error> {
+    let known = &settings.names.workloads;
+    for (index, name) in file.writes.iter().enumerate() {
+        let key = format!("writes[{index}]");
+        check.known(&key, name, "the settings' workloads", known)?;
+    }
+    Ok(())
+}
+
+fn loads_are_marked(check: &Checker, file: &ScatterFile) -> Result<bool, Error> {
+    match file.loads.as_deref() {
+        None | Some("marked") => Ok(true),
+        Some("none") => Ok(false),
+        Some(other) => {
+            let problem = format!("'{other}' is neither 'marked' nor 'none'; give one of them");
+            check.refuse("loads", problem)
+        }
+    }
+}
+
+/// Workloads whose statements may write: those that are not idempotent, and those that the file names.
+fn writing_workloads(file: &ScatterFile, settings: &Settings) -> Vec<String> {
+    let names = settings.names.workloads.iter();
+    names
+        .zip(&settings.agreement.workloads)
+        .filter(|(name, workload)| {
+            workload.effect != Effect::Idempotent || file.writes.contains(name)
+        })
+        .map(|(name, _)| name.clone())
+        .collect()
+}
+
 /// Workloads are known and only read.
 fn check_workloads(check: &Checker, file: &ScatterFile, settings: &Settings) -> Result<(), Error> {
     let known = &settings.names.workloads;
@@ -258,7 +274,7 @@
     check: &Checker,
     file: &ScatterFile,
     settings: &Settings,
-) -> Result<BTreeMap<String, [u8; 32]>, Error> {
+) -> Result<BTreeMap<String, PublicKey>, Error> {
     let mut sites = BTreeMap::new();
     for (name, key) in &file.sites {
         let path = format!("sites.{name}");
@@ -310,10 +326,10 @@
     for (name, error) in &file.distinct_error {
         let key = format!("distinct_error.{name}");
         check.known(&key, name, "the settings' customers", known)?;
-        if !(0.0..=MOST_ERROR).contains(error) {
+        if !(0.0..=MAX_DISTINCT_ERROR).contains(error) {
             return check.refuse(
                 &key,
-                format!("is not from 0 to {MOST_ERROR}, a part of the number"),
+                format!("is not from 0 to {MAX_DISTINCT_ERROR}, a part of the number"),
             );
         }
     }
@@ -321,11 +337,16 @@
 }
 
 fn check_ranges(check: &Checker, file: &ScatterFile) -> Result<(), Error> {
-    check.range("oldest_ms", file.oldest_ms, 1_000, MOST_OLDEST_MS)?;
-    check.range("ahead_ms", file.ahead_ms, 0, OLDEST_MS)?;
-    check.range("most", file.most, 1, MOST_OF_ALL)?;
-    check.range("at_once", file.at_once, 1, 1_000)?;
-    check.range("answer_bytes", file.answer_bytes, 1_000, 1 << 26)?;
+    check.range("oldest_ms", file.oldest_ms, MIN_OLDEST_MS, MAX_OLDEST_MS)?;
+    check.range("ahead_ms", file.ahead_ms, 0, MAX_AHEAD_MS)?;
+    check.range("most", file.most, 1, MAX_SUMMARIES)?;
+    check.range("at_once", file.at_once, 1, MAX_AT_ONCE)?;
+    check.range(
+        "answer_bytes",
+        file.answer_bytes,
+        MIN_ANSWER_BYTES,
+        MAX_ANSWER_BYTES,
+    )?;
     if let Some(keep) = &file.keep {
         check.range("keep.memory_kb", keep.memory_kb, 16, 1 << 24)?;
         check.range("keep.bytes_a_second", keep.bytes_a_second, 100, 1 << 24)?;
--- a/crates/config/src/operator_file/sections.rs
+++ b/crates/config/src/operator_file/sections.rs
@@ -5,15 +5,16 @@
 
 use crate::settings::{micros, Settings};
 
+use super::checker::{key_error, malformed, rejected};
 use super::gossip::{gossip, Gossip, GossipFile};
-use super::position::{key_error, malformed, rejected};
 use super::postgres::{postgres, Postgres, PostgresFile};
 use super::rules::{rules, Rules, RulesFile};
 use super::scatter::{scatter, Scatter, ScatterFile};
 use crate::error::{Error, KeyProblem};
 use crate::text::check_depth;
 
-const MOST_AHEAD_MS: f64 = 600_000.0; // milliseconds either way; faults of clocks go no further
+/// Milliseconds by which a clock may be set off either way.
+const MAX_AHEAD_MS: f64 = 600_000.0;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -56,6 +57,16 @@
     Utilization,
 }
 
+impl LoadSignal {
+    /// The name that the settings give the figure in a load report.
+    fn report_figure(self) -> &'static str {
+        match self {
+            LoadSignal::InFlight => "active",
+            LoadSignal::Utilization => "cpu",
+        }
+    }
+}
+
 impl OperatorConfig {
     /// Changes what the settings agree by what the operator has chosen.
     pub(crate) fn apply(&self, agreement: &mut Agreement) {
@@ -80,65 +91,89 @@
 impl OperatorConfig {
     /// Reads the file's text and checks it against the settings. An error names line and key.
     pub fn parse(text: &str, settings: &Settings) -> Result<OperatorConfig, Error> {
-        // Once for the form alone, as only that pass sees what follows the end.
-        check_depth(text)?;
-        json5::from_str::<serde::de::IgnoredAny>(text).map_err(|e| malformed(&e))?;
-        let mut reader = json5::Deserializer::from_str(text);
-        let file: File = serde_path_to_error::deserialize(&mut reader)
-            .map_err(|e| rejected(text, &e.path().to_string(), e.inner()))?;
+        let file = read(text)?;
         let postgres = file
             .postgres
-            .map(|p| postgres(text, p, settings))
+            .map(|section| postgres(text, section, settings))
+            .transpose()?;
+        let gossip = file
+            .gossip
+            .map(|section| gossip(text, section))
+            .transpose()?;
+        let rules = file
+            .rules
+            .map(|section| rules(text, section, settings))
             .transpose()?;
-        let gossip = file.gossip.map(|g| gossip(text, g)).transpose()?;
-        let rules = file.rules.map(|r| rules(text, r, settings)).transpose()?;
         let scatter = file
             .scatter
-            .map(|s| scatter(text, s, settings))
+            .map(|section| scatter(text, section, settings))
             .transpose()?;
-        let marked = scatter.as_ref().is_some_and(|scatter| scatter.marked);
-        if marked && gossip.as_ref().is_none_or(|gossip| gossip.ledger.is_none()) {
-            let problem = "'marked' needs gossip.ledger, where marks stand; add it, or say 'none' where no load goes through fronts";
-            return Err(key_error(text, "scatter.loads", problem));
-        }
+        check_marks(text, scatter.as_ref(), gossip.as_ref())?;
         let load_signal = file
             .load_signal
-            .map(|l| load_signal(text, &l, settings))
+            .map(|word| load_signal(text, &word, settings))
             .transpose()?;
-        let ahead = file.clock_ahead_ms;
-        if !ahead.is_finite() || ahead.abs() > MOST_AHEAD_MS {
-            return Err(key_error(
-                text,
-                "clock_ahead_ms",
-                KeyProblem::out_of_range(-MOST_AHEAD_MS, MOST_AHEAD_MS),
-            ));
-        }
+        let clock_offset = clock_offset(text, file.clock_ahead_ms)?;
         Ok(OperatorConfig {
             postgres,
             gossip,
             rules,
             scatter,
             load_signal,
-            clock_offset: micros(ahead),
+            clock_offset,
         })
     }
 }
 
+/// Reads the text; what its sections say is still to be checked.
+fn read(text: &str) -> Result<File, Error> {
+    check_depth(text)?;
+    // Once for the form alone, as only that pass sees what follows the end.
+    json5::from_str::<serde::de::IgnoredAny>(text).map_err(|e| malformed(&e))?;
+    let mut reader = json5::Deserializer::from_str(text);
+    serde_path_to_error::deserialize(&mut reader)
+        .map_err(|e| rejected(text, &e.path().to_string(), e.inner()))
+}
+
+/// Marks of loads stand in the ledger.
+fn check_marks(
+    text: &str,
+    scatter: Option<&Scatter>,
+    gossip: Option<&Gossip>,
+) -> Result<(), Error> {
+    let is_marked = scatter.is_some_and(|scatter| scatter.marked);
+    let has_ledger = gossip.is_some_and(|gossip| gossip.ledger.is_some());
+    if is_marked && !has_ledger {
+        let problem = "'marked' needs gossip.ledger, where marks stand; add it, or say 'none' where no load goes through fronts";
+        return Err(key_error(text, "scatter.loads", problem));
+    }
+    Ok(())
+}
+
+fn clock_offset(text: &str, ahead_ms: f64) -> Result<Micros, Error> {
+    if !ahead_ms.is_finite() || ahead_ms.abs() > MAX_AHEAD_MS {
+        return Err(key_error(
+            text,
+            "clock_ahead_ms",
+            KeyProblem::out_of_range(-MAX_AHEAD_MS, MAX_AHEAD_MS),
+        ));
+    }
+    Ok(micros(ahead_ms))
+}
+
 /// A shape of deployment that the settings' reports do not have is refused: the front would read nothing.
 fn load_signal(text: &str, word: &str, settings: &Settings) -> Result<LoadSignal, Error> {
-    let (signal, figure) = match word {
-        "in_flight" => (LoadSignal::InFlight, "active"),
-        "utilization" => (LoadSignal::Utilization, "cpu"),
+    let signal = match word {
+        "in_flight" => LoadSignal::InFlight,
+        "utilization" => LoadSignal::Utilization,
         _ => {
-            return Err(key_error(
-                text,
-                "load_signal",
-                format!(
+            let problem = format!(
                 "'{word}' is neither 'in_flight' nor 'utilization'; give one of them, or leave the key out"
-            ),
-            ))
+            );
+            return Err(key_error(text, "load_signal", problem));
         }
     };
+    let figure = signal.report_figure();
     if settings.names.report.iter().any(|name| name == figure) {
         return Ok(signal);
     }
--- a/crates/config/src/scanner.rs
+++ b/crates/config/src/scanner.rs
@@ -13,7 +13,14 @@
     Word(String),
 }
 
-/// Iterates over the tokens of a text, and the line on which each begins, counted from 1.
+/// A token and the line on which it begins, counted from 1.
+#[derive(Debug, PartialEq)]
+pub struct TokenOnLine {
+    pub token: Token,
+    pub line: usize,
+}
+
+/// Iterates over the tokens of a text.
 pub struct Scanner<'a> {
     rest: Peekable<Chars<'a>>,
     line: usize,
@@ -70,9 +77,9 @@
 }
 
 impl Iterator for Scanner<'_> {
-    type Item = (Token, usize);
+    type Item = TokenOnLine;
 
-    fn next(&mut self) -> Option<(Token, usize)> {
+    fn next(&mut self) -> Option<TokenOnLine> {
         loop {
             let line = self.line;
             let token = match self.advance()? {
@@ -89,7 +96,7 @@
                 c if c.is_whitespace() => continue,
                 c => Token::Word(self.word(c)),
             };
-            return Some((token, line));
+            return Some(TokenOnLine { token, line });
         }
     }
 }
--- a/crates/config/src/scanner_tests.rs
+++ b/crates/config/src/scanner_tests.rs
@@ -1,6 +1,6 @@
 //! Unit tests of the `scanner` module.
 
-use super::*;
+use super::{Scanner, Token};
 
 fn tokens(text: &str) -> Vec<(String, usize)> {
     let shown = |token| match token {
@@ -8,7 +8,7 @@
         Token::Word(word) => format!("<{word}>"),
     };
     Scanner::new(text)
-        .map(|(token, line)| (shown(token), line))
+        .map(|found| (shown(found.token), found.line))
         .collect()
 }
 
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -5,7 +5,7 @@
 
 use hallmux::interface::{Agreement, FurtherBudget, Micros, ReportLayout, Workload};
 
-use self::check::{check, word, EFFECTS, GROUPS};
+use self::check::{check, meaning, EFFECTS, GROUPS};
 use self::options::{Extra, Options, Report, Rules};
 use crate::error::Error;
 use crate::text::Section;
@@ -13,11 +13,13 @@
 /// Fronts of as many vantages have to report a zone as failed before the fleet leaves it, where the
 /// operator's file says nothing: one front may be cut off alone.
 pub const ZONE_QUORUM: usize = 2;
-const DIAL_TIMEOUT_MS: f64 = 250.0; // milliseconds, where the settings are silent; a few round trips and more
-const KEEPALIVE_MS: f64 = 15_000.0; // milliseconds, where the settings are silent; what most servers use
-const MOST_HELD: usize = 20_000; // statements, where the settings are silent; some 10 MB of small ones
-const LONGEST_RETRY_AFTER_MS: f64 = 1000.0; // milliseconds, where the settings allow one and name no bound
-const DEDUP_GROUP: &str = "cell"; // the narrowest group, where the settings are silent
+const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
+const DEFAULT_KEEPALIVE_MS: f64 = 15_000.0;
+/// Statements that a front may hold at once.
+const DEFAULT_MAX_HELD: usize = 20_000;
+const DEFAULT_MAX_RETRY_AFTER_MS: f64 = 1000.0;
+/// The narrowest group.
+const DEFAULT_DEDUP_GROUP: &str = "cell";
 
 /// Microseconds of a time in milliseconds.
 pub fn micros(ms: f64) -> Micros {
@@ -42,17 +44,17 @@
 /// What the settings say for the network code alone; the decision module does not read it.
 #[derive(Clone, Debug, Default)]
 pub struct NetworkSettings {
-    /// A connection that is not up by then never will be.
+    /// Microseconds after which a connection that is not up never will be.
     pub dial_timeout: Micros,
-    /// Engines close connections that have been idle for so long.
+    /// Microseconds after which engines close idle connections.
     pub keepalive: Micros,
     /// Executions that may be open at once on a connection to an engine; 1 at least.
     pub executions_per_connection: usize,
     /// Statements that a front may hold at once; those beyond are rejected.
     pub most_held: usize,
-    /// How long after the client's time is up a final answer still counts.
+    /// Microseconds after the client's time is up in which a final answer still counts.
     pub answer_slack: Micros,
-    /// Engines may be told to give an execution up.
+    /// Engines may be told to cancel an execution.
     pub cancel: bool,
 }
 
@@ -82,14 +84,13 @@
 pub(crate) fn settings_of(section: &Section) -> Result<Settings, Error> {
     let options: Options = section.read()?;
     check(section, &options)?;
-    let workloads =
-        (0..options.request_classes.len()).map(|place| workload(section, &options, place));
-    let workloads = workloads.collect::<Result<_, _>>()?;
-    let (names, network) = (names(&options), network(&options));
+    let workloads = (0..options.request_classes.len())
+        .map(|index| workload(section, &options, index))
+        .collect::<Result<_, _>>()?;
     Ok(Settings {
+        names: names(&options),
+        network: network(&options),
         agreement: agreement(options, workloads),
-        names,
-        network,
     })
 }
 
@@ -110,32 +111,33 @@
 fn network(options: &Options) -> NetworkSettings {
     let bounds = &options.bounds;
     NetworkSettings {
-        dial_timeout: micros(bounds.dial_timeout_ms.unwrap_or(DIAL_TIMEOUT_MS)),
-        keepalive: micros(bounds.keepalive_ms.unwrap_or(KEEPALIVE_MS)),
+        dial_timeout: micros(bounds.dial_timeout_ms.unwrap_or(DEFAULT_CONNECT_TIMEOUT_MS)),
+        keepalive: micros(bounds.keepalive_ms.unwrap_or(DEFAULT_KEEPALIVE_MS)),
         executions_per_connection: bounds.streams_per_conn.unwrap_or(1).max(1),
-        most_held: bounds.most_held.unwrap_or(MOST_HELD),
+        most_held: bounds.most_held.unwrap_or(DEFAULT_MAX_HELD),
         answer_slack: micros(options.rules.answer_slack_ms),
         cancel: bounds.cancelling,
     }
 }
 
-/// The workload at a place of `requestClasses`.
-fn workload(section: &Section, options: &Options, place: usize) -> Result<Workload, Error> {
-    let (class, extra) = (&options.request_classes[place], &options.extra);
-    let flag = |list: &[bool]| list.get(place).copied().unwrap_or(false);
-    let path = |key: &str| format!("requestClasses[{place}].{key}");
-    let group = class.group.as_deref().unwrap_or(DEDUP_GROUP);
+/// The workload at an index of `requestClasses`.
+fn workload(section: &Section, options: &Options, index: usize) -> Result<Workload, Error> {
+    let class = &options.request_classes[index];
+    let extra = &options.extra;
+    let flag = |list: &[bool]| list.get(index).copied().unwrap_or(false);
+    let path = |key: &str| format!("requestClasses[{index}].{key}");
+    let group = class.group.as_deref().unwrap_or(DEFAULT_DEDUP_GROUP);
     Ok(Workload {
         importance: class.worth,
         late_share: class.late_share,
         slo_time: micros(class.aim_ms),
         slo_stretch: class.aim_stretch,
         statement_timeout: micros(class.deadline_ms),
-        effect: word(section, &path("repeat"), &class.repeat, &EFFECTS)?,
-        dedup_group: word(section, &path("group"), group, &GROUPS)?,
+        effect: meaning(section, &path("repeat"), &class.repeat, &EFFECTS)?,
+        dedup_group: meaning(section, &path("group"), group, &GROUPS)?,
         dedup_window: micros(class.dedup_window_ms),
         in_order: class.in_turn,
-        threads: extra.parallelism.get(place).copied().unwrap_or(1.0),
+        threads: extra.parallelism.get(index).copied().unwrap_or(1.0),
         holds_data: flag(&extra.writes_tables),
         waits_for_data: flag(&extra.class_waits),
         locations: class.areas_only.clone(),
@@ -145,31 +147,32 @@
 
 /// Which figures a load report holds. `x0` and `x1` are the site's own: a text says what each means.
 fn report_layout(report: &Report, extra: &Extra) -> ReportLayout {
-    let place = |name: &str| report.names.iter().position(|n| n == name);
+    let index = |name: &str| report.names.iter().position(|n| n == name);
     let tells_memory =
         |text: &Option<String>| text.as_deref().is_some_and(|t| t.contains("memory"));
-    let x0 = place("x0").filter(|_| tells_memory(&extra.report_x0));
-    let x1 = place("x1").filter(|_| tells_memory(&extra.report_x1));
+    let x0 = index("x0").filter(|_| tells_memory(&extra.report_x0));
+    let x1 = index("x1").filter(|_| tells_memory(&extra.report_x1));
     ReportLayout {
-        active: place("active"),
-        busy: place("cpu"),
-        waiting: place("waiting"),
+        active: index("active"),
+        busy: index("cpu"),
+        waiting: index("waiting"),
         memory_granted: x0.or(x1),
     }
 }
 
 fn further_budget(rules: &Rules) -> Option<FurtherBudget> {
-    let (ratio, window_ms) = rules.further_ratio.zip(rules.budget_span_ms)?;
     Some(FurtherBudget {
         spare: rules.spare_attempts,
-        ratio,
-        window: micros(window_ms),
+        ratio: rules.further_ratio?,
+        window: micros(rules.budget_span_ms?),
     })
 }
 
 fn agreement(options: Options, workloads: Vec<Workload>) -> Agreement {
     let (bounds, rules) = (&options.bounds, &options.rules);
-    let longest_retry_after_ms = bounds.max_retry_after_ms.unwrap_or(LONGEST_RETRY_AFTER_MS);
+    let longest_retry_after_ms = bounds
+        .max_retry_after_ms
+        .unwrap_or(DEFAULT_MAX_RETRY_AFTER_MS);
     Agreement {
         budgets: None,
         zone_quorum: ZONE_QUORUM,
--- a/crates/config/src/settings/check.rs
+++ b/crates/config/src/settings/check.rs
@@ -1,113 +1,135 @@
-//! Figures of the settings that nothing could be reckoned with, and words that none stands for.
+//! Refuses figures of the settings that could not be calculated with, and words that stand for nothing.
 
 use hallmux::interface::{DedupGroup, Effect};
 
+use super::options::{Bounds, Class, Extra, Options, Rules};
 use crate::error::{Error, KeyProblem};
 use crate::text::Section;
 
-use super::Options;
+/// The upper bound of every figure: sums of many such milliseconds stay whole numbers.
+const MAX_FIGURE: f64 = 1e12;
 
-const MOST: f64 = 1e12; // of any figure: some thirty years of milliseconds, and sums of many stay whole numbers
+/// A word of the settings and what it stands for.
+pub struct Word<T> {
+    text: &'static str,
+    meaning: T,
+}
+
+const fn stands_for<T>(text: &'static str, meaning: T) -> Word<T> {
+    Word { text, meaning }
+}
 
-pub const EFFECTS: [(&str, Effect); 3] = [
-    ("repeatable", Effect::Idempotent),
-    ("by_key", Effect::Deduplicated),
-    ("once", Effect::NonIdempotent),
+/// The words of `requestClasses[].repeat`.
+pub const EFFECTS: [Word<Effect>; 3] = [
+    stands_for("repeatable", Effect::Idempotent),
+    stands_for("by_key", Effect::Deduplicated),
+    stands_for("once", Effect::NonIdempotent),
 ];
-pub const GROUPS: [(&str, DedupGroup); 3] = [
-    ("all", DedupGroup::All),
-    ("zone", DedupGroup::Location),
-    ("cell", DedupGroup::Cell),
+/// The words of `requestClasses[].group`.
+pub const GROUPS: [Word<DedupGroup>; 3] = [
+    stands_for("all", DedupGroup::All),
+    stands_for("zone", DedupGroup::Location),
+    stands_for("cell", DedupGroup::Cell),
 ];
 
-pub fn word<T: Copy>(
+/// What the word at a path stands for.
+pub fn meaning<T: Copy>(
     section: &Section,
     path: &str,
-    value: &str,
-    known: &[(&'static str, T)],
+    text: &str,
+    known: &[Word<T>],
 ) -> Result<T, Error> {
-    let found = known
-        .iter()
-        .find(|(name, _)| *name == value)
-        .map(|(_, meaning)| *meaning);
-    let unknown = || {
-        let known = known.iter().map(|(name, _)| *name).collect();
-        section.error(
-            path,
-            KeyProblem::UnknownWord {
-                word: value.to_string(),
-                known,
-            },
-        )
+    if let Some(word) = known.iter().find(|word| word.text == text) {
+        return Ok(word.meaning);
+    }
+    let problem = KeyProblem::UnknownWord {
+        word: text.to_string(),
+        known: known.iter().map(|word| word.text).collect(),
     };
-    found.ok_or_else(unknown)
+    Err(section.error(path, problem))
 }
 
 /// Refuses what is negative, and what is so large that no sum of it would be right.
-pub fn check(section: &Section, read: &Options) -> Result<(), Error> {
-    let figure = |path: &str, value: f64| match (0.0..=MOST).contains(&value) {
-        true => Ok(()),
-        false => Err(section.error(path, KeyProblem::out_of_range(0, MOST))),
-    };
-    let perhaps =
-        |path: &str, value: Option<f64>| value.map_or(Ok(()), |value| figure(path, value));
-    let each = |path: &str, values: &[f64]| {
-        let mut values = values.iter().enumerate();
-        values.try_for_each(|(i, value)| figure(&format!("{path}[{i}]"), *value))
-    };
-    figure("instances", read.instances)?;
-    figure("overShareWorth", read.over_share_worth)?;
-    for (i, class) in read.request_classes.iter().enumerate() {
-        for (key, value) in [
-            ("aimMs", class.aim_ms),
-            ("aimStretch", class.aim_stretch),
-            ("deadlineMs", class.deadline_ms),
-            ("dedupWindowMs", class.dedup_window_ms),
-            ("lateShare", class.late_share),
-            ("worth", class.worth),
-        ] {
-            figure(&format!("requestClasses[{i}].{key}"), value)?;
+pub fn check(section: &Section, options: &Options) -> Result<(), Error> {
+    let check = FigureChecker { section };
+    check.figure("instances", options.instances)?;
+    check.figure("overShareWorth", options.over_share_worth)?;
+    for (index, class) in options.request_classes.iter().enumerate() {
+        check.class(&format!("requestClasses[{index}]"), class)?;
+    }
+    for (index, customer) in options.customers.iter().enumerate() {
+        let path = format!("customers[{index}].allowancePerS");
+        check.optional(&path, customer.allowance_per_s)?;
+    }
+    check.bounds(&options.bounds)?;
+    check.extra(&options.extra)?;
+    check.rules(&options.rules)
+}
+
+/// Checks figures of the settings; an error names line and key.
+struct FigureChecker<'a> {
+    section: &'a Section<'a>,
+}
+
+impl FigureChecker<'_> {
+    fn figure(&self, path: &str, value: f64) -> Result<(), Error> {
+        if (0.0..=MAX_FIGURE).contains(&value) {
+            return Ok(());
         }
+        let problem = KeyProblem::out_of_range(0, MAX_FIGURE);
+        Err(self.section.error(path, problem))
     }
-    for (i, customer) in read.customers.iter().enumerate() {
-        perhaps(
-            &format!("customers[{i}].allowancePerS"),
-            customer.allowance_per_s,
-        )?;
+
+    fn optional(&self, path: &str, value: Option<f64>) -> Result<(), Error> {
+        value.map_or(Ok(()), |value| self.figure(path, value))
     }
-    let (bounds, extra, rules) = (&read.bounds, &read.extra, &read.rules);
-    perhaps("bounds.dialTimeoutMs", bounds.dial_timeout_ms)?;
-    perhaps("bounds.keepaliveMs", bounds.keepalive_ms)?;
-    perhaps("bounds.maxRetryAfterMs", bounds.max_retry_after_ms)?;
-    perhaps(
-        "bounds.streamsPerConn",
-        bounds.streams_per_conn.map(|count| count as f64),
-    )?;
-    perhaps(
-        "bounds.mostHeld",
-        bounds.most_held.map(|count| count as f64),
-    )?;
-    perhaps(
-        "bounds.mostTries",
-        bounds.most_tries.map(|count| count as f64),
-    )?;
-    each("extra.parallelism", &extra.parallelism)?;
-    each("extra.memoryByKindMb", &extra.memory_by_kind_mb)?;
-    each("extra.sizeCores", &extra.size_cores)?;
-    perhaps("extra.largestShare", extra.largest_share)?;
-    figure("extra.tellsEveryMs", extra.tells_every_ms)?;
-    perhaps("rules.furtherRatio", rules.further_ratio)?;
-    perhaps("rules.budgetSpanMs", rules.budget_span_ms)?;
-    for (key, value) in [
-        ("answerSlackMs", rules.answer_slack_ms),
-        ("coldFrom", rules.cold_from),
-        ("warmWithinMs", rules.warm_within_ms),
-        ("overloadFactor", rules.overload_factor),
-        ("fallMs", rules.fall_ms),
-        ("turnGapMs", rules.turn_gap_ms),
-        ("spareAttempts", rules.spare_attempts),
-    ] {
-        figure(&format!("rules.{key}"), value)?;
+
+    fn optional_count(&self, path: &str, count: Option<usize>) -> Result<(), Error> {
+        self.optional(path, count.map(|count| count as f64))
+    }
+
+    fn each(&self, path: &str, values: &[f64]) -> Result<(), Error> {
+        for (index, value) in values.iter().enumerate() {
+            self.figure(&format!("{path}[{index}]"), *value)?;
+        }
+        Ok(())
+    }
+
+    fn class(&self, path: &str, class: &Class) -> Result<(), Error> {
+        self.figure(&format!("{path}.aimMs"), class.aim_ms)?;
+        self.figure(&format!("{path}.aimStretch"), class.aim_stretch)?;
+        self.figure(&format!("{path}.deadlineMs"), class.deadline_ms)?;
+        self.figure(&format!("{path}.dedupWindowMs"), class.dedup_window_ms)?;
+        self.figure(&format!("{path}.lateShare"), class.late_share)?;
+        self.figure(&format!("{path}.worth"), class.worth)
+    }
+
+    fn bounds(&self, bounds: &Bounds) -> Result<(), Error> {
+        self.optional("bounds.dialTimeoutMs", bounds.dial_timeout_ms)?;
+        self.optional("bounds.keepaliveMs", bounds.keepalive_ms)?;
+        self.optional("bounds.maxRetryAfterMs", bounds.max_retry_after_ms)?;
+        self.optional_count("bounds.streamsPerConn", bounds.streams_per_conn)?;
+        self.optional_count("bounds.mostHeld", bounds.most_held)?;
+        self.optional_count("bounds.mostTries", bounds.most_tries)
+    }
+
+    fn extra(&self, extra: &Extra) -> Result<(), Error> {
+        self.each("extra.parallelism", &extra.parallelism)?;
+        self.each("extra.memoryByKindMb", &extra.memory_by_kind_mb)?;
+        self.each("extra.sizeCores", &extra.size_cores)?;
+        self.optional("extra.largestShare", extra.largest_share)?;
+        self.figure("extra.tellsEveryMs", extra.tells_every_ms)
+    }
+
+    fn rules(&self, rules: &Rules) -> Result<(), Error> {
+        self.optional("rules.furtherRatio", rules.further_ratio)?;
+        self.optional("rules.budgetSpanMs", rules.budget_span_ms)?;
+        self.figure("rules.answerSlackMs", rules.answer_slack_ms)?;
+        self.figure("rules.coldFrom", rules.cold_from)?;
+        self.figure("rules.warmWithinMs", rules.warm_within_ms)?;
+        self.figure("rules.overloadFactor", rules.overload_factor)?;
+        self.figure("rules.fallMs", rules.fall_ms)?;
+        self.figure("rules.turnGapMs", rules.turn_gap_ms)?;
+        self.figure("rules.spareAttempts", rules.spare_attempts)
     }
-    Ok(())
 }
--- a/crates/config/src/text.rs
+++ b/crates/config/src/text.rs
@@ -3,10 +3,11 @@
 use serde::Deserialize;
 
 use crate::error::{Error, KeyProblem, TextPosition};
-use crate::operator_file::line_of;
-use crate::scanner::{Scanner, Token};
+use crate::key_lines::line_of;
+use crate::scanner::{Scanner, Token, TokenOnLine};
 
-const MOST_DEEP: usize = 64; // brackets; no key is meant deeper than ten, and the readers take a stack frame for each
+/// Brackets that may stand open: the readers take a stack frame for each.
+const MAX_OPEN_BRACKETS: usize = 64;
 
 /// Reads the file that a variable names.
 pub fn file(variable: &'static str, path: &str) -> Result<String, Error> {
@@ -21,40 +22,39 @@
 fn text(bytes: Vec<u8>) -> Result<String, Error> {
     String::from_utf8(bytes).map_err(|e| {
         let good = &e.as_bytes()[..e.utf8_error().valid_up_to()];
-        let (line, column) = position(&String::from_utf8_lossy(good));
         Error::NotUtf8 {
-            position: TextPosition {
-                line: Some(line),
-                column: Some(column),
-                path: String::new(),
-            },
+            position: position_behind(&String::from_utf8_lossy(good)),
         }
     })
 }
 
-/// Line and column behind a text, counted from 1.
-fn position(before: &str) -> (usize, usize) {
-    let last = before.rsplit('\n').next().unwrap_or_default();
-    (1 + before.matches('\n').count(), 1 + last.chars().count())
+/// The position behind a text.
+fn position_behind(text: &str) -> TextPosition {
+    let last_line = text.rsplit('\n').next().unwrap_or_default();
+    TextPosition {
+        line: Some(1 + text.matches('\n').count()),
+        column: Some(1 + last_line.chars().count()),
+        path: String::new(),
+    }
 }
 
 /// Refuses brackets that stand open deeper than any key is meant, before a reader that calls itself for each.
 pub fn check_depth(text: &str) -> Result<(), Error> {
     let mut open = 0usize;
-    for (token, line) in Scanner::new(text) {
+    for TokenOnLine { token, line } in Scanner::new(text) {
         match token {
             Token::Punctuation('{' | '[') => open += 1,
             Token::Punctuation('}' | ']') => open = open.saturating_sub(1),
             _ => {}
         }
-        if open > MOST_DEEP {
+        if open > MAX_OPEN_BRACKETS {
             let position = TextPosition {
                 line: Some(line),
                 ..TextPosition::default()
             };
             return Err(Error::TooDeep {
                 position,
-                most: MOST_DEEP,
+                most: MAX_OPEN_BRACKETS,
             });
         }
     }
--- a/crates/front/src/fleet/join.rs
+++ b/crates/front/src/fleet/join.rs
@@ -26,7 +26,7 @@
     let voters: Vec<_> = ownership
         .voters
         .iter()
-        .map(|(key, at)| (peer_id(key), *at))
+        .map(|voter| (peer_id(&voter.key), voter.address))
         .collect();
     let own = peer_id(&exchange.public_key());
     let mut saved = None;
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -62,14 +62,14 @@
 }
 
 fn keys(gossip: &Gossip) -> Rc<Keys> {
-    Keys::new(&gossip.peers.iter().map(|(_, key)| *key).collect::<Vec<_>>())
+    Keys::new(&gossip.peers.iter().map(|peer| peer.key).collect::<Vec<_>>())
 }
 
 fn names(gossip: &Gossip) -> BTreeMap<PeerId, String> {
     gossip
         .peers
         .iter()
-        .map(|(name, key)| (peer_id(key), name.clone()))
+        .map(|peer| (peer_id(&peer.key), peer.name.clone()))
         .collect()
 }
 
