--- a/crates/config/src/error_tests.rs
+++ b/crates/config/src/error_tests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashSet;
 
-use super::*;
+use super::{Error, KeyProblem, TextPosition};
 
 fn position(line: usize, path: &str) -> TextPosition {
     TextPosition {
--- a/crates/config/src/operator_file/ledger_tests.rs
+++ b/crates/config/src/operator_file/ledger_tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of the `ledger` module.
 
 use super::super::sections::tests::read;
-use super::*;
+use super::OnDiskFailure;
 
 #[test]
 fn the_ledger_names_known_members_and_its_bounds_are_checked() {
--- a/crates/config/src/operator_file/overload_tests.rs
+++ b/crates/config/src/operator_file/overload_tests.rs
@@ -1,7 +1,8 @@
 //! Unit tests of the `overload` module.
 
 use super::super::sections::tests::read;
-use super::*;
+use super::Overload;
+use hallmux::interface::{Agreement, EngineBudgets, FurtherBudget};
 
 #[test]
 fn the_share_is_read_and_checked_and_the_budget_is_the_fleets() {
--- a/crates/config/src/operator_file/sections_tests.rs
+++ b/crates/config/src/operator_file/sections_tests.rs
@@ -1,6 +1,6 @@
 //! Unit tests of the `sections` module, and the reader that the tests of its sections use.
 
-use super::*;
+use super::{LoadSignal, OperatorConfig};
 
 const SETTINGS: &str = r#"{"instances": 1, "areas": ["here"], "kinds": ["std", "pg"], "rules": {},
     "customers": [{"name": "acme"}],
