--- a/crates/native-codec/src/coordinator.rs
+++ b/crates/native-codec/src/coordinator.rs
@@ -4,9 +4,11 @@
 
 use crate::{Decoded, ParseError};
 
-const LONGEST_HEAD: usize = 16 << 10; // bytes; HTTP servers send some hundred
-const MOST_HEADERS: usize = 64;
-/// Bytes of a response's body at the most; a list of some thousand engines takes one million.
+/// Bytes of a response's head.
+const MAX_HEAD: usize = 16 << 10;
+const MAX_HEADERS: usize = 64;
+const LINE_END: &[u8] = b"\r\n";
+/// Bytes of a response's body at the most.
 pub const LONGEST_BODY: usize = 8 << 20;
 
 /// The request for the events after `follow`; the coordinator holds it open for `wait_ms` milliseconds, or
@@ -29,96 +31,136 @@
 /// Takes one response from the start of `input`; None until all of it has come. `ended` says that nothing
 /// more will come.
 pub fn read(input: &[u8], ended: bool) -> Result<Option<Decoded<Response>>, ParseError> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
-    let start = match head.parse(input).map_err(ParseError::new)? {
-        httparse::Status::Complete(start) => start,
-        httparse::Status::Partial if input.len() > LONGEST_HEAD => {
+    let head_len = match head.parse(input).map_err(ParseError::new)? {
+        httparse::Status::Complete(len) => len,
+        httparse::Status::Partial if input.len() > MAX_HEAD => {
             return Err(ParseError::new("a head longer than agreed"));
         }
         httparse::Status::Partial => return Ok(None),
     };
-    let header = |name: &str| {
-        let found = head
-            .headers
-            .iter()
-            .find(|h| h.name.eq_ignore_ascii_case(name));
-        found
-            .and_then(|h| std::str::from_utf8(h.value).ok())
-            .map(str::trim)
-    };
-    let contains = |name: &str, word: &str| {
-        header(name).is_some_and(|v| v.to_ascii_lowercase().contains(word))
-    };
     let status = head.code.unwrap_or(0);
-    let mut keep_alive = head.version == Some(1) && !contains("connection", "close");
-    let rest = &input[start..];
-    let (body, used) = if contains("transfer-encoding", "chunked") {
-        match chunks(rest)? {
-            Some(found) => found,
-            None => return Ok(None),
-        }
-    } else if let Some(len) = header("content-length") {
-        let len = len.parse().ok().filter(|len| *len <= LONGEST_BODY);
-        let len: usize = len.ok_or_else(|| ParseError::new("a length that can't be"))?;
-        let Some(body) = rest.get(..len) else {
-            return Ok(None);
-        };
-        (body.to_vec(), len)
-    } else if matches!(status, 100..=199 | 204 | 304) {
-        (Vec::new(), 0)
-    } else if rest.len() > LONGEST_BODY {
-        return Err(ParseError::new("a body longer than agreed"));
-    } else if ended {
-        keep_alive = false;
-        (rest.to_vec(), rest.len())
-    } else {
+    let form = body_form(&head)?;
+    let ends_with_connection = form == BodyForm::UntilEnd;
+    let Some(body) = body(form, &input[head_len..], ended)? else {
         return Ok(None);
     };
+    let may_stay = head.version == Some(1) && !header_has(&head, "connection", "close");
     Ok(Some(Decoded {
-        len: start + used,
+        len: head_len + body.len,
         message: Response {
-            keep_alive,
+            keep_alive: may_stay && !ends_with_connection,
             status,
-            body,
+            body: body.message,
         },
     }))
 }
 
-/// The body out of its chunks, and the bytes that they took.
-fn chunks(input: &[u8]) -> Result<Option<(Vec<u8>, usize)>, ParseError> {
-    let (mut body, mut at) = (Vec::new(), 0);
+/// How a response says where its body ends.
+#[derive(PartialEq)]
+enum BodyForm {
+    /// It comes in chunks.
+    Chunked,
+    /// It has so many bytes.
+    Length(usize),
+    /// It goes on until the connection ends.
+    UntilEnd,
+}
+
+fn body_form(head: &httparse::Response) -> Result<BodyForm, ParseError> {
+    if header_has(head, "transfer-encoding", "chunked") {
+        return Ok(BodyForm::Chunked);
+    }
+    if let Some(text) = header(head, "content-length") {
+        return match text.parse() {
+            Ok(len) if len <= LONGEST_BODY => Ok(BodyForm::Length(len)),
+            _ => Err(ParseError::new("a length that can't be")),
+        };
+    }
+    let has_no_body = matches!(head.code, Some(100..=199 | 204 | 304));
+    Ok(if has_no_body {
+        BodyForm::Length(0)
+    } else {
+        BodyForm::UntilEnd
+    })
+}
+
+/// The body and the bytes that it took; None until all of it has come.
+fn body(form: BodyForm, input: &[u8], ended: bool) -> Result<Option<Decoded<Vec<u8>>>, ParseError> {
+    match form {
+        BodyForm::Chunked => chunks(input),
+        BodyForm::Length(len) => Ok(input.get(..len).map(whole_body)),
+        BodyForm::UntilEnd if input.len() > LONGEST_BODY => {
+            Err(ParseError::new("a body longer than agreed"))
+        }
+        BodyForm::UntilEnd => Ok(ended.then(|| whole_body(input))),
+    }
+}
+
+fn whole_body(bytes: &[u8]) -> Decoded<Vec<u8>> {
+    Decoded {
+        len: bytes.len(),
+        message: bytes.to_vec(),
+    }
+}
+
+fn header<'a>(head: &httparse::Response<'_, 'a>, name: &str) -> Option<&'a str> {
+    let mut headers = head.headers.iter();
+    let found = headers.find(|header| header.name.eq_ignore_ascii_case(name))?;
+    let value = std::str::from_utf8(found.value).ok()?;
+    Some(value.trim())
+}
+
+fn header_has(head: &httparse::Response, name: &str, word: &str) -> bool {
+    header(head, name).is_some_and(|value| value.to_ascii_lowercase().contains(word))
+}
+
+/// The body out of its chunks.
+fn chunks(input: &[u8]) -> Result<Option<Decoded<Vec<u8>>>, ParseError> {
+    let mut body = Vec::new();
+    let mut at = 0;
     loop {
         let size = httparse::parse_chunk_size(&input[at..]);
-        let (head, len) = match size.map_err(|_| ParseError::new("a chunk without its size"))? {
+        let (head_len, len) = match size.map_err(|_| ParseError::new("a chunk without its size"))? {
             httparse::Status::Complete(found) => found,
             httparse::Status::Partial => return Ok(None),
         };
-        at += head;
+        at += head_len;
         if len == 0 {
-            // Trailers end with an empty line.
-            loop {
-                let Some(line) = input[at..].windows(2).position(|w| w == b"\r\n") else {
-                    return Ok(None);
-                };
-                at += line + 2;
-                if line == 0 {
-                    return Ok(Some((body, at)));
-                }
-            }
+            let trailers_len = trailers_len(&input[at..]);
+            return Ok(trailers_len.map(|trailers_len| Decoded {
+                len: at + trailers_len,
+                message: body,
+            }));
         }
         if body.len() as u64 + len > LONGEST_BODY as u64 {
             return Err(ParseError::new("a body longer than agreed"));
         }
-        let Some(chunk) = input.get(at..at + len as usize + 2) else {
+        let len = len as usize;
+        let Some(chunk) = input.get(at..at + len + LINE_END.len()) else {
             return Ok(None);
         };
-        body.extend_from_slice(&chunk[..len as usize]);
-        at += len as usize + 2;
+        body.extend_from_slice(&chunk[..len]);
+        at += chunk.len();
+    }
+}
+
+/// Bytes of the trailers, which end with an empty line; None until that has come.
+fn trailers_len(input: &[u8]) -> Option<usize> {
+    let mut at = 0;
+    loop {
+        let line_len = input[at..]
+            .windows(LINE_END.len())
+            .position(|pair| pair == LINE_END)?;
+        at += line_len + LINE_END.len();
+        if line_len == 0 {
+            return Some(at);
+        }
     }
 }
 
-/// The coordinator's events up to a number.
+/// The coordinator's events up to a number. The wire names of fields are listed in `wire_names`.
 #[derive(Debug, Default, Deserialize)]
 pub struct Events {
     /// The number of the last one: the next poll follows it.
--- a/crates/native-codec/src/coordinator_tests.rs
+++ b/crates/native-codec/src/coordinator_tests.rs
@@ -1,6 +1,7 @@
 //! Unit tests of the `coordinator` module.
 
-use super::*;
+use super::{events, read};
+use crate::Decoded;
 
 #[test]
 fn responses_are_read_once_they_are_whole() {
--- /dev/null
+++ b/crates/native-codec/src/engine/read.rs
@@ -0,0 +1,201 @@
+//! Reads the replies of engines.
+
+use super::{Reply, ReplyKind};
+use crate::wire_names::engine;
+use crate::{Decoded, ParseError};
+
+/// Bytes of a line.
+pub(super) const MAX_LINE: usize = 4096;
+/// Bytes of a page, as the protocol has it.
+const MAX_PAGE: usize = 6_000;
+/// Columns of a result.
+const COLUMNS: usize = 3;
+/// Of a load report or note, in any unit.
+const MAX_FIGURE: f64 = 1e9;
+const LINE_END: &[u8] = b"\r\n";
+/// Stands for fields where there are none.
+const NO_FIELDS: &str = "-";
+
+/// Takes the next whole reply, with its page, from the start of `input`; None until all of it has come.
+/// `figures` are the figures of a load report, as the settings name them.
+pub fn read<'a>(
+    input: &'a [u8],
+    figures: &[String],
+) -> Result<Option<Decoded<Reply<'a>>>, ParseError> {
+    let Some(line_len) = line_len(input)? else {
+        return Ok(None);
+    };
+    let line = Line::parse(&input[..line_len])?;
+    let mut len = line_len + LINE_END.len();
+    let mut bytes: &[u8] = &[];
+    if let Some(page_len) = line.page_len()? {
+        let Some(behind) = input.get(len..len + page_len + LINE_END.len()) else {
+            return Ok(None);
+        };
+        bytes = behind
+            .strip_suffix(LINE_END)
+            .ok_or_else(|| ParseError::new("bytes without their end"))?;
+        len += behind.len();
+    }
+    let report = field(line.fields, engine::LOAD_REPORT);
+    Ok(Some(Decoded {
+        len,
+        message: Reply {
+            id: line.id,
+            kind: kind(line.word, line.fields)?,
+            report: report.and_then(|text| load_report(text, figures)),
+            bytes,
+        },
+    }))
+}
+
+/// Bytes of the first line without its end; None until that has come.
+fn line_len(input: &[u8]) -> Result<Option<usize>, ParseError> {
+    let mut pairs = input.windows(LINE_END.len()).take(MAX_LINE);
+    let end = pairs.position(|pair| pair == LINE_END);
+    if end.is_none() && input.len() > MAX_LINE {
+        return Err(ParseError::new("a line longer than agreed"));
+    }
+    Ok(end)
+}
+
+/// The words of a reply's line.
+struct Line<'a> {
+    id: &'a str,
+    word: &'a str,
+    fields: &'a str,
+    page_len: Option<&'a str>,
+}
+
+impl<'a> Line<'a> {
+    fn parse(bytes: &'a [u8]) -> Result<Line<'a>, ParseError> {
+        let text =
+            std::str::from_utf8(bytes).map_err(|_| ParseError::new("a line that is no text"))?;
+        let is_number = |word: &str| word.bytes().all(|c| c.is_ascii_digit());
+        let words: Vec<&str> = text.split(' ').collect();
+        let (id, word, fields, page_len) = match words[..] {
+            [id, word] => (id, word, NO_FIELDS, None),
+            [id, word, last] if is_number(last) => (id, word, NO_FIELDS, Some(last)),
+            [id, word, fields] => (id, word, fields, None),
+            [id, word, fields, page_len] => (id, word, fields, Some(page_len)),
+            _ => {
+                let count = words.len();
+                return Err(ParseError::new(format!("a line of {count} words")));
+            }
+        };
+        Ok(Line {
+            id,
+            word,
+            fields,
+            page_len,
+        })
+    }
+
+    /// Bytes of the page behind the line; None where there is none.
+    fn page_len(&self) -> Result<Option<usize>, ParseError> {
+        let Some(text) = self.page_len else {
+            return Ok(None);
+        };
+        match text.parse() {
+            Ok(len) if len <= MAX_PAGE => Ok(Some(len)),
+            _ => Err(ParseError::new("a length that can't be")),
+        }
+    }
+}
+
+/// The value of a field in `name=value,name=value`.
+fn field<'a>(fields: &'a str, name: &str) -> Option<&'a str> {
+    fields
+        .split(',')
+        .find_map(|f| f.strip_prefix(name)?.strip_prefix('='))
+}
+
+/// What a reply says, by its word and fields.
+fn kind(word: &str, fields: &str) -> Result<ReplyKind, ParseError> {
+    if engine::FAILED.contains(&word) {
+        return Ok(ReplyKind::Failed);
+    }
+    match word {
+        engine::FIRST_PAGE => first_page(fields),
+        engine::PAGE => page(fields),
+        engine::REJECTED => Ok(ReplyKind::Rejected),
+        engine::STALE => Ok(ReplyKind::Stale),
+        engine::NOTE => Ok(note(fields)),
+        engine::HEALTHY => Ok(ReplyKind::ProbeAnswer { healthy: true }),
+        engine::UNHEALTHY => Ok(ReplyKind::ProbeAnswer { healthy: false }),
+        other => Err(ParseError::new(format!("an unknown word '{other}'"))),
+    }
+}
+
+fn first_page(fields: &str) -> Result<ReplyKind, ParseError> {
+    let pages = match field(fields, engine::PAGE_COUNT).map(str::parse::<usize>) {
+        None => 1,
+        Some(Ok(pages)) => pages.max(1),
+        Some(Err(_)) => return Err(ParseError::new("a count of pages that is none")),
+    };
+    Ok(ReplyKind::FirstPage { pages })
+}
+
+fn page(fields: &str) -> Result<ReplyKind, ParseError> {
+    match field(fields, engine::PAGE_NUMBER).map(str::parse) {
+        Some(Ok(number)) => Ok(ReplyKind::Page { number }),
+        _ => Err(ParseError::new("a page without its number")),
+    }
+}
+
+fn note(fields: &str) -> ReplyKind {
+    let kind = field(fields, engine::NOTE_KIND);
+    let number = field(fields, engine::NOTE_FIGURE).and_then(figure);
+    match (kind, number) {
+        (Some(engine::SHARE_DONE), Some(share)) => ReplyKind::ShareDone(share),
+        (Some(engine::SPILLS_MB), Some(mb)) => ReplyKind::SpillsMb(mb),
+        (Some(engine::WAITING), Some(engine::WAITING_FOR_MEMORY)) => ReplyKind::WaitsForMemory,
+        (Some(engine::WAITING), Some(engine::WAITING_FOR_DATA)) => ReplyKind::WaitsForData,
+        _ => ReplyKind::OtherNote,
+    }
+}
+
+/// The figures of a load report, by their names in the settings; None where one of them is missing.
+fn load_report(text: &str, names: &[String]) -> Option<Vec<f64>> {
+    names
+        .iter()
+        .map(|name| {
+            let on_wire = || wire_name(name).and_then(|wire_name| reported(text, wire_name));
+            figure(reported(text, name).or_else(on_wire)?)
+        })
+        .collect()
+}
+
+/// The text of a figure in `name:value;name:value`.
+fn reported<'a>(text: &'a str, name: &str) -> Option<&'a str> {
+    text.split(';')
+        .find_map(|f| f.strip_prefix(name)?.strip_prefix(':'))
+}
+
+/// The name that engines have for a figure of the settings, where that differs.
+fn wire_name(in_settings: &str) -> Option<&'static str> {
+    let mut figures = engine::REPORT_FIGURES.iter();
+    let figure = figures.find(|figure| figure.in_settings == in_settings)?;
+    Some(figure.on_wire)
+}
+
+fn figure(text: &str) -> Option<f64> {
+    text.parse()
+        .ok()
+        .filter(|value| (0.0..=MAX_FIGURE).contains(value))
+}
+
+/// Whether a page holds whole rows of a result: three columns of text with a tab between, a line feed behind.
+pub fn are_rows(bytes: &[u8]) -> bool {
+    let Ok(text) = std::str::from_utf8(bytes) else {
+        return false;
+    };
+    let row = |row: &str| {
+        let columns = row.strip_suffix('\n').map(|row| row.split('\t'));
+        columns.is_some_and(|c| {
+            c.clone().count() == COLUMNS
+                && !c.into_iter().any(|c| c.contains(|c: char| c.is_control()))
+        })
+    };
+    text.split_inclusive('\n').all(row)
+}
--- a/crates/native-codec/src/engine_tests.rs
+++ b/crates/native-codec/src/engine_tests.rs
@@ -1,6 +1,8 @@
 //! Unit tests of the `engine` module.
 
-use super::*;
+use super::read::MAX_LINE;
+use super::{are_rows, read, write, Command, ExecutionRequest, ReplyKind};
+use crate::Decoded;
 
 fn names() -> Vec<String> {
     ["active", "x0"].map(str::to_string).to_vec()
@@ -67,7 +69,7 @@
 
 #[test]
 fn broken_replies_are_errors() {
-    let long = [b'x'; LONGEST_LINE + 2];
+    let long = [b'x'; MAX_LINE + 2];
     for text in [
         &b"\r\n"[..],
         b"i\r\n",
--- a/crates/native-codec/src/lib.rs
+++ b/crates/native-codec/src/lib.rs
@@ -1,5 +1,6 @@
 //! The wire formats that a front speaks with clients, query engines and the coordinator: bytes to messages
-//! and back, without input and output of its own. Each format's own words stay in its module.
+//! and back, without input and output of its own. The names that the formats use on the wire are mapped to the terms
+//! of the code in one table, `wire_names`; what leaves this crate has the code's terms.
 //!
 //! Readers take a buffer that begins with a message. They give a [`Decoded`] message with its length, None
 //! while some of it has yet to come, and a [`ParseError`] for what can't be one.
@@ -10,6 +11,7 @@
 pub mod engine;
 pub mod statement;
 pub mod tables;
+mod wire_names;
 
 /// A message that was read from the start of a buffer.
 #[derive(Debug, PartialEq)]
--- a/crates/native-codec/src/statement_tests.rs
+++ b/crates/native-codec/src/statement_tests.rs
@@ -1,6 +1,14 @@
 //! Unit tests of the `statement` module.
 
-use super::*;
+use thrift::protocol::{
+    TBinaryOutputProtocol, TFieldIdentifier, TMessageIdentifier, TMessageType, TOutputProtocol,
+    TType,
+};
+
+use super::read::MAX_WORD;
+use super::write::write_fields;
+use super::{read, Message, Request, PREFIX};
+use crate::Decoded;
 
 /// A `serve` frame with the fields given.
 fn frame(fields: &[(&str, &str)], statement: &[u8]) -> Vec<u8> {
@@ -91,7 +99,7 @@
         ("limit", "4e9"),
         ("second", "2"),
         ("unique", "a\r\nb"),
-        ("unique", &"u".repeat(LONGEST_WORD + 1)),
+        ("unique", &"u".repeat(MAX_WORD + 1)),
         ("item", "a b"),
         ("cpu", "x"),
         ("cpu", "1e300"),
