--- a/crates/native-codec/src/tables.rs
+++ b/crates/native-codec/src/tables.rs
@@ -1,28 +1,38 @@
 //! The table groups that a statement reads or writes, from the names of its schemas: group 17 of
 //! `sales_17.orders`. Strings and comments are passed over.
 
-const SCRATCH: &[u8] = b"staging"; // the schema whose tables belong to no group
+/// The schema whose tables belong to no group.
+const UNGROUPED_SCHEMA: &[u8] = b"staging";
+
+/// A table group in a statement.
+struct FoundGroup<'a> {
+    number: u32,
+    /// The text behind its schema.
+    rest: &'a [u8],
+}
 
 /// The first table group that a statement names, if it names any.
 pub fn group(statement: &[u8]) -> Option<u32> {
-    next(statement).map(|(number, _)| number)
+    next(statement).map(|found| found.number)
 }
 
 /// All table groups that a statement names, each once, in the order in which they come. The search ends at
 /// `most + 1` of them, so that a caller can tell that there are more.
 pub fn groups(statement: &[u8], most: usize) -> Vec<u32> {
-    let (mut groups, mut rest) = (Vec::new(), statement);
-    while let Some((number, behind)) = next(rest).filter(|_| groups.len() <= most) {
-        if !groups.contains(&number) {
-            groups.push(number);
+    let mut groups = Vec::new();
+    let mut rest = statement;
+    while groups.len() <= most {
+        let Some(found) = next(rest) else { break };
+        if !groups.contains(&found.number) {
+            groups.push(found.number);
         }
-        rest = behind;
+        rest = found.rest;
     }
     groups
 }
 
-/// The first table group, and the text behind its schema.
-fn next(statement: &[u8]) -> Option<(u32, &[u8])> {
+/// The first table group.
+fn next(statement: &[u8]) -> Option<FoundGroup<'_>> {
     let mut rest = statement;
     while let Some(&first) = rest.first() {
         rest = match first {
@@ -31,18 +41,26 @@
             b'/' if rest.starts_with(b"/*") => after_comment(rest),
             b'"' | b'`' => {
                 let behind = after_quote(rest, first);
-                let name = &rest[1..rest.len() - behind.len()];
-                match schema(name.strip_suffix(&[first]).unwrap_or(name), behind) {
-                    Some(number) => return Some((number, behind)),
-                    None => behind,
+                let quoted = &rest[1..rest.len() - behind.len()];
+                let name = quoted.strip_suffix(&[first]).unwrap_or(quoted);
+                if let Some(number) = group_of_schema(name, behind) {
+                    return Some(FoundGroup {
+                        number,
+                        rest: behind,
+                    });
                 }
+                behind
             }
             c if in_name(c) => {
                 let len = rest.iter().position(|c| !in_name(*c)).unwrap_or(rest.len());
-                match schema(&rest[..len], &rest[len..]) {
-                    Some(number) => return Some((number, &rest[len..])),
-                    None => &rest[len..],
+                let (name, behind) = rest.split_at(len);
+                if let Some(number) = group_of_schema(name, behind) {
+                    return Some(FoundGroup {
+                        number,
+                        rest: behind,
+                    });
                 }
+                behind
             }
             _ => &rest[1..],
         };
@@ -56,17 +74,18 @@
 }
 
 /// The number behind the last underscore of a name, if what follows makes the name a schema's.
-fn schema(name: &[u8], behind: &[u8]) -> Option<u32> {
-    let dot = behind.trim_ascii_start().strip_prefix(b".")?;
-    let qualifies = dot
-        .trim_ascii_start()
-        .first()
-        .is_some_and(|c| in_name(*c) || matches!(c, b'"' | b'`'));
-    let at = name.iter().rposition(|c| *c == b'_')?;
-    let digits = std::str::from_utf8(&name[at + 1..]).ok()?;
-    let plain = !digits.is_empty() && digits.bytes().all(|c| c.is_ascii_digit());
-    (qualifies && plain && !name[..at].eq_ignore_ascii_case(SCRATCH))
-        .then(|| digits.parse().ok())?
+fn group_of_schema(name: &[u8], behind: &[u8]) -> Option<u32> {
+    let behind_dot = behind.trim_ascii_start().strip_prefix(b".")?;
+    let next = behind_dot.trim_ascii_start().first()?;
+    let qualifies = in_name(*next) || matches!(next, b'"' | b'`');
+    let underscore = name.iter().rposition(|c| *c == b'_')?;
+    let digits = std::str::from_utf8(&name[underscore + 1..]).ok()?;
+    let is_number = !digits.is_empty() && digits.bytes().all(|c| c.is_ascii_digit());
+    let is_grouped = !name[..underscore].eq_ignore_ascii_case(UNGROUPED_SCHEMA);
+    if !qualifies || !is_number || !is_grouped {
+        return None;
+    }
+    digits.parse().ok()
 }
 
 /// The text behind the first `end` from a place on; empty where there is none.
