--- a/crates/front/src/event_loop/admission.rs
+++ b/crates/front/src/event_loop/admission.rs
@@ -9,6 +9,41 @@
 use crate::clients::{self, ClientId, ServingStatus};
 use crate::execution::ExecutionId;
 
+/// A statement of a client that the access rules have judged.
+pub(super) struct JudgedRequest {
+    pub(super) client: ClientId,
+    /// The number that the client gave it.
+    pub(super) number: i32,
+    pub(super) call: Call,
+    /// Microseconds until an answer is of no use any more.
+    pub(super) time_left: Micros,
+    /// The locations whose engines it may be sent to; none given: all.
+    pub(super) allowed: Option<Vec<String>>,
+    pub(super) judged: Decision,
+}
+
+impl JudgedRequest {
+    /// Leaves the one location given, or none where that is not allowed.
+    pub(super) fn restrict_to(&mut self, location: String) {
+        let allowed = self.allowed.as_ref();
+        let is_allowed = allowed.is_none_or(|allowed| allowed.contains(&location));
+        self.allowed = Some(if is_allowed {
+            vec![location]
+        } else {
+            Vec::new()
+        });
+    }
+}
+
+/// Why a statement is not taken.
+enum NotTaken {
+    InvalidField(&'static str),
+    /// Its text would pass for a load that a front has numbered.
+    NumberedText,
+    /// For want of capacity, or as the process ends.
+    Rejected,
+}
+
 impl EventLoopState {
     /// Reads from a client; true if there is more for another iteration.
     pub(super) fn read_client(&mut self, id: ClientId) -> bool {
@@ -91,9 +126,9 @@
         held
     }
 
-    /// Takes a statement that a client has sent, or answers why it is not taken. `unread_for`: how long it
-    /// may have lain unread, as its client took no answers. `ended`: statements that end as their connection
-    /// is closed.
+    /// Takes a statement that a client has sent, or answers why it is not taken. `unread_for`: microseconds for which
+    /// it may have lain unread, as its client took no answers. `ended`: statements that end as their connection is
+    /// closed.
     pub(super) fn admit(
         &mut self,
         client: ClientId,
@@ -105,68 +140,79 @@
         if !self.clients.admits(client, number, &call, ended) {
             return;
         }
+        if let Some(reason) = self.not_taken_because(&call) {
+            return self.answer_not_taken(client, number, &reason);
+        }
+        let time_left = self.time_left(&call, unread_for);
+        let judged = self.judge(&call);
+        if judged == Decision::RulesUnknown {
+            return self.clients.reject(client, number);
+        }
+        let rules = self.rules.as_ref();
+        let allowed = rules.and_then(|rules| rules.borrow().allowed(&judged));
+        let request = JudgedRequest {
+            client,
+            number,
+            call,
+            time_left,
+            allowed,
+            judged,
+        };
+        // What is denied is never asked of anybody.
+        let whole = if request.judged.is_denied() {
+            Some(request)
+        } else {
+            self.scatter(request)
+        };
+        if let Some(request) = whole {
+            self.pick(request);
+        }
+    }
+
+    /// Why a statement is not taken, whatever the rules say of it.
+    fn not_taken_because(&mut self, call: &Call) -> Option<NotTaken> {
         if let Some(field) = call.invalid_field {
-            return self.clients.answer_unusable(client, number, field);
+            return Some(NotTaken::InvalidField(field));
         }
         if self.shutdown.rejects() {
-            return self.clients.reject(client, number);
+            return Some(NotTaken::Rejected);
         }
-        if self
-            .scatter
-            .as_ref()
-            .is_some_and(|scatter| scatter.passes_for_numbered(&call))
-        {
-            let why = "its text begins as fronts number loads: leave that comment out";
-            return self
-                .clients
-                .reply(client, number, &Reply::Refused(&[("reason", why)]));
+        let scatter = self.scatter.as_ref();
+        if scatter.is_some_and(|scatter| scatter.passes_for_numbered(call)) {
+            return Some(NotTaken::NumberedText);
         }
-        if self.is_full() {
-            return self.clients.reject(client, number);
+        self.is_full().then_some(NotTaken::Rejected)
+    }
+
+    fn answer_not_taken(&mut self, client: ClientId, number: i32, reason: &NotTaken) {
+        match reason {
+            NotTaken::InvalidField(field) => self.clients.answer_unusable(client, number, field),
+            NotTaken::NumberedText => {
+                let why = "its text begins as fronts number loads: leave that comment out";
+                let reply = Reply::Refused(&[("reason", why)]);
+                self.clients.reply(client, number, &reply);
+            }
+            NotTaken::Rejected => self.clients.reject(client, number),
         }
+    }
+
+    /// Microseconds in which a final answer is still of use to the client.
+    fn time_left(&self, call: &Call, unread_for: Micros) -> Micros {
         // Guards against a final answer that is held up on its way: it has the slack twice, before the
         // client's time is up and after. A result that comes in that last moment is lost to the client.
         let time_left = (call.time_left_ms * 1000.0) as Micros - self.answer_slack;
         // Guards against a deadline beyond the client's: its time has run on while the statement lay unread.
-        let time_left = time_left - self.clock.waited().max(unread_for);
-        let judged = self.rules.as_ref().map(|rules| {
-            rules.borrow_mut().judge(
-                self.clock.now,
-                &call.customer,
-                &call.workload,
-                &call.statement,
-            )
-        });
-        let judged = judged.unwrap_or(Decision::Unrestricted);
-        if judged == Decision::RulesUnknown {
-            return self.clients.reject(client, number);
-        }
-        let allowed = self
-            .rules
-            .as_ref()
-            .and_then(|rules| rules.borrow().allowed(&judged));
-        // What is denied is never asked of anybody.
-        let scattered = match judged.is_denied() {
-            true => Some((call, None)),
-            false => self.scatter(client, number, call, time_left, allowed.clone(), &judged),
-        };
-        let Some((call, whole_site)) = scattered else {
-            return;
-        };
-        let within = |site: &String| {
-            allowed
-                .as_ref()
-                .is_none_or(|allowed| allowed.contains(site))
-        };
-        let allowed = match whole_site {
-            Some(site) => Some(if within(&site) {
-                vec![site]
-            } else {
-                Vec::new()
-            }),
-            None => allowed,
+        time_left - self.clock.waited().max(unread_for)
+    }
+
+    /// What the access rules say of a statement, where they are on.
+    fn judge(&self, call: &Call) -> Decision {
+        let Some(rules) = &self.rules else {
+            return Decision::Unrestricted;
         };
-        self.pick(client, number, call, time_left, allowed, &judged);
+        let now = self.clock.now;
+        let mut rules = rules.borrow_mut();
+        rules.judge(now, &call.customer, &call.workload, &call.statement)
     }
 
     /// Whether no more statements can be taken: too many are held, or they take too much memory.
@@ -186,16 +232,16 @@
         full || self.dispatcher.held() >= self.max_statements
     }
 
-    /// Hands a statement to the dispatcher, to be sent to engines at the locations allowed (none given: all).
-    fn pick(
-        &mut self,
-        client: ClientId,
-        number: i32,
-        call: Call,
-        time_left: Micros,
-        allowed: Option<Vec<String>>,
-        judged: &Decision,
-    ) {
+    /// Hands a statement to the dispatcher, or answers why it can't be.
+    fn pick(&mut self, request: JudgedRequest) {
+        let JudgedRequest {
+            client,
+            number,
+            call,
+            time_left,
+            allowed,
+            judged,
+        } = request;
         let allowed: Option<Vec<&str>> = allowed
             .as_ref()
             .map(|names| names.iter().map(String::as_str).collect());
@@ -216,7 +262,7 @@
         if let Some(rules) = &self.rules {
             rules
                 .borrow_mut()
-                .statement_picked(&mut self.dispatcher, judged, picked.ok());
+                .statement_picked(&mut self.dispatcher, &judged, picked.ok());
         }
         match picked {
             Ok(ticket) => self.clients.open(client, number, ticket, call),
--- a/crates/front/src/event_loop/scatter.rs
+++ b/crates/front/src/event_loop/scatter.rs
@@ -1,75 +1,92 @@
 //! Statements over several sites (scatter and gather): admitted, their parts dispatched, their one answer given.
 
-use std::rc::Rc;
-
-use hallmux_access::Decision;
-use hallmux_dispatcher::{Micros, Order, Ticket, Unfit};
+use hallmux_dispatcher::{Order, Ticket, Unfit};
 use hallmux_gossip::channels::Channel;
-use hallmux_native_codec::statement::{self, Call, Reply};
+use hallmux_native_codec::statement::{self, Reply};
 use hallmux_scatter::gather::{Answer, PartFailure};
 use hallmux_scatter::marker::Effect;
+use hallmux_scatter::sql::Query;
 
+use super::admission::JudgedRequest;
 use super::EventLoopState;
-use crate::clients::ClientId;
 use crate::execution::ExecutionId;
 use crate::fleet::rules::Ordered;
-use crate::scatter::{FinalReply, LoadOutcome, Outgoing, ScatteredStatements, ASK_NUMBERS};
+use crate::scatter::{
+    FinalReply, GroupMarks, LoadOutcome, Outgoing, ScatterRequest, ScatteredStatements, ASK_NUMBERS,
+};
+
+const NOT_ESTIMATED: &str =
+    "sites' summaries do not tell distinct values now as scatter.distinct_error has it: \
+     ask later, or name a scatter.whole_site";
+const TOO_LONG: &str = "more bytes than scatter.answer_bytes: ask for fewer rows, or raise it";
 
 impl EventLoopState {
-    /// Takes a statement of a workload that is scattered, where parts can make up its answer. Gives it back with the one
-    /// location it may be sent to where they can't.
-    pub(super) fn scatter(
-        &mut self,
-        client: ClientId,
-        number: i32,
-        call: Call,
-        time_left: Micros,
-        allowed: Option<Vec<String>>,
-        judged: &Decision,
-    ) -> Option<(Call, Option<String>)> {
-        let Some(scatter) = self
-            .scatter
-            .as_mut()
-            .filter(|scatter| scatter.is_scattered(&call.workload))
-        else {
-            return Some((call, None));
+    /// Takes a statement of a workload that is scattered, where parts can make up its answer. Gives it back where they
+    /// can't, or where it is not scattered.
+    pub(super) fn scatter(&mut self, mut request: JudgedRequest) -> Option<JudgedRequest> {
+        let scatter = self.scatter.as_mut();
+        let Some(scatter) = scatter.filter(|s| s.is_scattered(&request.call.workload)) else {
+            return Some(request);
         };
-        match scatter.read(&call) {
+        match scatter.read(&request.call) {
             Ok(Some(query)) => {
-                let ticket = self.dispatcher.number();
-                let ends = self.clock.now + time_left;
-                self.clients.open(client, number, ticket, call);
-                let call: Rc<Call> = self.clients.call(ticket)?;
-                let whole = (call, query, ends);
-                if let Some(rules) = &self.rules {
-                    rules
-                        .borrow_mut()
-                        .statement_picked(&mut self.dispatcher, judged, Some(ticket));
-                }
-                scatter.begin(self.clock.now, ticket, whole, allowed, &mut self.dispatcher);
+                self.begin_scattered(request, query);
                 None
             }
             Ok(None) => {
-                let site = scatter.whole_site().map(str::to_string);
-                Some((call, site))
+                if let Some(site) = scatter.whole_site() {
+                    request.restrict_to(site.to_string());
+                }
+                Some(request)
             }
             Err(why) => {
-                log::debug!(
-                    "client {client}: statement {} of several sites: {why}",
-                    call.id
-                );
-                self.clients
-                    .reply(client, number, &Reply::Refused(&[("reason", &why)]));
-                if let Some(rules) = &self.rules {
-                    rules
-                        .borrow_mut()
-                        .statement_picked(&mut self.dispatcher, judged, None);
-                }
+                self.refuse_scattered(&request, &why);
                 None
             }
         }
     }
 
+    fn begin_scattered(&mut self, request: JudgedRequest, query: Query) {
+        let now = self.clock.now;
+        let ticket = self.dispatcher.number();
+        self.clients
+            .open(request.client, request.number, ticket, request.call);
+        let Some(call) = self.clients.call(ticket) else {
+            return;
+        };
+        if let Some(rules) = &self.rules {
+            rules.borrow_mut().statement_picked(
+                &mut self.dispatcher,
+                &request.judged,
+                Some(ticket),
+            );
+        }
+        if let Some(scatter) = &mut self.scatter {
+            let statement = ScatterRequest {
+                call,
+                query,
+                ends: now + request.time_left,
+                allowed: request.allowed,
+            };
+            scatter.begin(now, ticket, statement, &mut self.dispatcher);
+        }
+    }
+
+    fn refuse_scattered(&mut self, request: &JudgedRequest, why: &str) {
+        log::debug!(
+            "client {}: statement {} of several sites: {why}",
+            request.client,
+            request.call.id
+        );
+        let reply = Reply::Refused(&[("reason", why)]);
+        self.clients.reply(request.client, request.number, &reply);
+        if let Some(rules) = &self.rules {
+            rules
+                .borrow_mut()
+                .statement_picked(&mut self.dispatcher, &request.judged, None);
+        }
+    }
+
     /// A part is answered; false if the statement is none.
     pub(super) fn end_part(&mut self, part: Ticket, ended: Result<&[u8], PartFailure>) -> bool {
         let now = self.clock.now;
@@ -104,7 +121,8 @@
         self.answer_scattered();
     }
 
-    /// Asks the ledger for marks and takes its answers: loads leave, scatters begin.
+    /// Asks the ledger for marks and takes its answers: loads leave, scatters begin. Goes on until the ledger has no
+    /// more answers.
     pub(super) fn apply_marks(&mut self) {
         loop {
             let now = self.clock.now;
@@ -114,76 +132,78 @@
             let Some(loads) = &mut scatter.loads else {
                 return;
             };
-            let mut outcomes: Vec<LoadOutcome> = peers
-                .ledger_answers(ASK_NUMBERS)
-                .into_iter()
-                .flat_map(|done| loads.done(done))
-                .collect();
-            let (asks, more) = loads.asks(now, &scatter.summaries.book);
-            outcomes.extend(more);
-            if outcomes.is_empty() && asks.is_empty() {
+            let answers = peers.ledger_answers(ASK_NUMBERS).into_iter();
+            let mut outcomes: Vec<LoadOutcome> =
+                answers.flat_map(|done| loads.done(done)).collect();
+            let due = loads.asks(now, &scatter.summaries.book);
+            outcomes.extend(due.outcomes);
+            if outcomes.is_empty() && due.asks.is_empty() {
                 return;
             }
-            asks.into_iter().for_each(|ask| peers.ask(now, ask));
+            for ask in due.asks {
+                peers.ask(now, ask);
+            }
             for outcome in outcomes {
-                match outcome {
-                    LoadOutcome::Send {
-                        sent:
-                            ExecutionId {
-                                ticket,
-                                number: execution,
-                            },
-                        place,
-                        terms,
-                        outgoing,
-                    } => {
-                        self.dispatcher.leaves(now, ticket, execution);
-                        let of = self.statement_for_rules(ticket);
-                        if self.may_leave(Ordered {
-                            of,
-                            ticket,
-                            execution,
-                            place,
-                            terms,
-                        }) {
-                            let sent = ExecutionId::new(ticket, execution);
-                            match (outgoing, &mut self.gateway) {
-                                (Outgoing::Call(call), _) => {
-                                    self.engines.send(now, sent, place, call, terms)
-                                }
-                                (Outgoing::Unit(text), Some(gateway)) => {
-                                    gateway.send(now, sent, place, text)
-                                }
-                                (Outgoing::Unit(_), None) => {}
-                            }
-                        }
-                    }
-                    LoadOutcome::TurnAway(ExecutionId { ticket, .. }) => {
-                        let retry_after = self.dispatcher.turn_away(now, ticket);
-                        self.carry_out(Order::Reject {
-                            ticket,
-                            retry_after,
-                        });
-                    }
-                    LoadOutcome::Other(Effect::Marks {
-                        group,
-                        scatters,
-                        marks,
-                    }) => {
-                        let waiting: Vec<Ticket> =
-                            scatters.iter().map(|ticket| *ticket as Ticket).collect();
-                        if let Some(scatter) = &mut self.scatter {
-                            scatter.marks(
-                                now,
-                                (group, &waiting),
-                                marks.as_ref(),
-                                &mut self.dispatcher,
-                            );
-                        }
-                    }
-                    LoadOutcome::Other(_) => {}
+                self.apply_load_outcome(outcome);
+            }
+        }
+    }
+
+    fn apply_load_outcome(&mut self, outcome: LoadOutcome) {
+        let now = self.clock.now;
+        match outcome {
+            LoadOutcome::Send {
+                sent,
+                place,
+                terms,
+                outgoing,
+            } => {
+                self.dispatcher.leaves(now, sent.ticket, sent.number);
+                let ordered = Ordered {
+                    of: self.statement_for_rules(sent.ticket),
+                    ticket: sent.ticket,
+                    execution: sent.number,
+                    place,
+                    terms,
+                };
+                if self.may_leave(ordered) {
+                    self.send_marked(ordered, outgoing);
+                }
+            }
+            LoadOutcome::TurnAway(ExecutionId { ticket, .. }) => {
+                let retry_after = self.dispatcher.turn_away(now, ticket);
+                self.carry_out(Order::Reject {
+                    ticket,
+                    retry_after,
+                });
+            }
+            LoadOutcome::Other(Effect::Marks {
+                group,
+                scatters,
+                marks,
+            }) => {
+                let waiting: Vec<Ticket> =
+                    scatters.iter().map(|ticket| *ticket as Ticket).collect();
+                let group_marks = GroupMarks {
+                    group,
+                    marks: marks.as_ref(),
+                };
+                if let Some(scatter) = &mut self.scatter {
+                    scatter.marks(now, group_marks, &waiting, &mut self.dispatcher);
                 }
             }
+            LoadOutcome::Other(_) => {}
+        }
+    }
+
+    /// Sends an execution whose load is marked.
+    fn send_marked(&mut self, ordered: Ordered, outgoing: Outgoing) {
+        let Ordered { place, terms, .. } = ordered;
+        let now = self.clock.now;
+        match (outgoing, &mut self.gateway) {
+            (Outgoing::Call(call), _) => self.engines.send(now, ordered.id(), place, call, terms),
+            (Outgoing::Unit(text), Some(gateway)) => gateway.send(now, ordered.id(), place, text),
+            (Outgoing::Unit(_), None) => {}
         }
     }
 
@@ -212,51 +232,24 @@
     }
 
     fn answer_scattered_statement(&mut self, ticket: Ticket, answer: &Answer) {
-        let now = self.clock.now;
         match answer {
             Answer::Rows {
                 bytes,
                 missing,
                 barred,
-            } if missing.is_empty() && barred.is_empty() => {
-                self.clients.answer(now, ticket, &Reply::Completed(bytes));
-            }
-            Answer::Rows {
-                bytes,
-                missing,
-                barred,
-            } => {
-                let (missing, barred) = (missing.join(","), barred.join(","));
-                let fields = [("missing", missing.as_str()), ("barred", barred.as_str())];
-                let fields: Vec<_> = fields
-                    .into_iter()
-                    .filter(|(_, sites)| !sites.is_empty())
-                    .collect();
-                self.clients.answer(
-                    now,
-                    ticket,
-                    &Reply::Partial {
-                        body: bytes,
-                        fields: &fields,
-                    },
-                );
-            }
+            } => self.answer_rows(ticket, bytes, missing, barred),
             Answer::Rejected { retry_after, site } => {
                 log::debug!("a statement of several sites is rejected for its part at {site}");
                 let retry_after_ms = retry_after.map(|time| time / 1000);
-                self.clients
-                    .answer(now, ticket, &Reply::Rejected { retry_after_ms });
+                self.answer(ticket, &Reply::Rejected { retry_after_ms });
             }
             Answer::Aborted { site } => {
                 log::debug!("a statement of several sites is aborted for its part at {site}");
-                self.clients.answer(now, ticket, &Reply::Aborted);
+                self.answer(ticket, &Reply::Aborted);
             }
             Answer::Barred(sites) => {
-                self.clients.answer(
-                    now,
-                    ticket,
-                    &Reply::Refused(&[("barred", &sites.join(","))]),
-                );
+                let sites = sites.join(",");
+                self.answer(ticket, &Reply::Refused(&[("barred", &sites)]));
             }
             Answer::Estimate { distinct, error } => {
                 // Engines' rows have three columns.
@@ -265,27 +258,42 @@
                     body: row.as_bytes(),
                     fields: &[("error", &error)],
                 };
-                self.clients.answer(now, ticket, &reply);
-            }
-            Answer::NotEstimated => {
-                let why =
-                    "sites' summaries do not tell distinct values now as scatter.distinct_error has it: \
-                           ask later, or name a scatter.whole_site";
-                self.clients
-                    .answer(now, ticket, &Reply::Refused(&[("reason", why)]));
+                self.answer(ticket, &reply);
             }
+            Answer::NotEstimated => self.refuse(ticket, NOT_ESTIMATED),
             Answer::Mismatch { site } => {
                 let why = format!(
                     "site '{site}' answers aggregates in another form: name a scatter.whole_site"
                 );
-                self.clients
-                    .answer(now, ticket, &Reply::Refused(&[("reason", &why)]));
-            }
-            Answer::TooLong => {
-                let why = "more bytes than scatter.answer_bytes: ask for fewer rows, or raise it";
-                self.clients
-                    .answer(now, ticket, &Reply::Refused(&[("reason", why)]));
+                self.refuse(ticket, &why);
             }
+            Answer::TooLong => self.refuse(ticket, TOO_LONG),
+        }
+    }
+
+    /// Rows of all sites, or of those that are neither missing nor barred.
+    fn answer_rows(&mut self, ticket: Ticket, rows: &[u8], missing: &[String], barred: &[String]) {
+        if missing.is_empty() && barred.is_empty() {
+            return self.answer(ticket, &Reply::Completed(rows));
         }
+        let (missing, barred) = (missing.join(","), barred.join(","));
+        let fields = [("missing", missing.as_str()), ("barred", barred.as_str())];
+        let fields: Vec<_> = fields
+            .into_iter()
+            .filter(|(_, sites)| !sites.is_empty())
+            .collect();
+        let reply = Reply::Partial {
+            body: rows,
+            fields: &fields,
+        };
+        self.answer(ticket, &reply);
+    }
+
+    fn refuse(&mut self, ticket: Ticket, why: &str) {
+        self.answer(ticket, &Reply::Refused(&[("reason", why)]));
+    }
+
+    fn answer(&mut self, ticket: Ticket, reply: &Reply) {
+        self.clients.answer(self.clock.now, ticket, reply);
     }
 }
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -54,6 +54,12 @@
     load: Load,
 }
 
+/// What is to be asked of the ledger, and what became of loads meanwhile.
+pub struct DueAsks {
+    pub asks: Vec<Ask>,
+    pub outcomes: Vec<LoadOutcome>,
+}
+
 pub struct Loads {
     marker: Marker,
     held: HashMap<ExecutionId, Held>,
@@ -179,15 +185,18 @@
         }
     }
 
-    /// What is to be asked of the ledger now.
-    pub fn asks(&mut self, now: Micros, book: &SummaryStore) -> (Vec<Ask>, Vec<LoadOutcome>) {
+    /// What is to be asked of the ledger now, and what is known without asking.
+    pub fn asks(&mut self, now: Micros, book: &SummaryStore) -> DueAsks {
         let wall_ms = (now / 1000) as u64;
         let (asks, follows) = self.marker.requests(wall_ms, |site, group| {
             book.reported_loads(wall_ms, site, group)
         });
         let mut outcomes: Vec<LoadOutcome> = follows.into_iter().map(|f| self.outcome(f)).collect();
         outcomes.extend(self.unmarked.drain(..).map(LoadOutcome::TurnAway));
-        (asks.into_iter().map(ask).collect(), outcomes)
+        DueAsks {
+            asks: asks.into_iter().map(ask).collect(),
+            outcomes,
+        }
     }
 
     /// What follows from an answer of the ledger.
--- a/crates/front/src/scatter/mod.rs
+++ b/crates/front/src/scatter/mod.rs
@@ -8,4 +8,4 @@
 mod summaries;
 
 pub use loads::{Load, LoadOutcome, Outgoing, ASK_NUMBERS};
-pub use statements::{FinalReply, ScatteredStatements};
+pub use statements::{FinalReply, GroupMarks, ScatterRequest, ScatteredStatements};
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -47,6 +47,24 @@
     ruled_out: Vec<RuledOut>,
 }
 
+/// A client's statement that is to be asked of several sites.
+pub struct ScatterRequest {
+    pub call: Rc<Call>,
+    pub query: Query,
+    /// When an answer is of no use any more, in Unix microseconds.
+    pub ends: Micros,
+    /// The sites that rules allow; none given: all.
+    pub allowed: Option<Vec<String>>,
+}
+
+/// A group of tables and the marks of its loads, as the ledger has them; none if it can't be reached.
+#[derive(Clone, Copy)]
+pub struct GroupMarks<'a> {
+    pub group: u32,
+    pub marks: Option<&'a Marks>,
+}
+
+/// Statements that are asked of several sites.
 pub struct ScatteredStatements {
     settings: Scatter,
     sites: Vec<String>,
@@ -133,10 +151,15 @@
         &mut self,
         now: Micros,
         ticket: Ticket,
-        (call, query, ends): (Rc<Call>, Query, Micros),
-        allowed: Option<Vec<String>>,
+        request: ScatterRequest,
         dispatcher: &mut Dispatcher,
     ) {
+        let ScatterRequest {
+            call,
+            query,
+            ends,
+            allowed,
+        } = request;
         let mut groups = BTreeSet::from([query.group]);
         groups.extend(query.join.as_ref().map(|join| join.group));
         let (group_marks, tickets, ruled_out) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
@@ -159,31 +182,31 @@
         }
     }
 
-    /// A group's marks from the ledger; none if it can't be reached.
+    /// A group's marks have come from the ledger for the statements that wait for them.
     pub fn marks(
         &mut self,
         now: Micros,
-        (group, waiting): (u32, &[Ticket]),
-        marks: Option<&Marks>,
+        group_marks: GroupMarks,
+        waiting: &[Ticket],
         dispatcher: &mut Dispatcher,
     ) {
-        let word = marks.map_or(LoadInfo::Unknown, LoadInfo::Marks);
+        let load_info = group_marks.marks.map_or(LoadInfo::Unknown, LoadInfo::Marks);
         for ticket in waiting {
             if self
                 .open
                 .get(ticket)
                 .is_some_and(|statement| statement.query.join.is_some())
             {
-                self.marks_of_join(now, *ticket, (group, marks), dispatcher);
+                self.marks_of_join(now, *ticket, group_marks, dispatcher);
                 continue;
             }
             let (wall_ms, book) = ((now / 1000) as u64, &self.summaries.book);
             if !self
                 .audits
                 .as_mut()
-                .is_some_and(|audits| audits.apply_marks(wall_ms, *ticket, &word, book))
+                .is_some_and(|audits| audits.apply_marks(wall_ms, *ticket, &load_info, book))
             {
-                self.ask_sites(now, *ticket, &word, dispatcher);
+                self.ask_sites(now, *ticket, &load_info, dispatcher);
             }
         }
     }
--- a/crates/front/src/scatter/statements/sketches.rs
+++ b/crates/front/src/scatter/statements/sketches.rs
@@ -4,12 +4,11 @@
 use hallmux_native_codec::statement::Call;
 use hallmux_scatter::gather::Answer;
 use hallmux_scatter::join::Join;
-use hallmux_scatter::marks::Marks;
 use hallmux_scatter::plan::{Basis, LoadInfo, Reason};
 use hallmux_scatter::sketch;
 use hallmux_scatter::sql::{self, Query};
 
-use super::{ScatteredStatements, Statement};
+use super::{GroupMarks, ScatteredStatements, Statement};
 
 impl ScatteredStatements {
     /// Reads a statement. None: it goes to the site that has all rows. An error says why it can't be
@@ -50,13 +49,14 @@
         &mut self,
         now: Micros,
         ticket: Ticket,
-        (group, marks): (u32, Option<&Marks>),
+        group_marks: GroupMarks,
         dispatcher: &mut Dispatcher,
     ) {
         let Some(statement) = self.open.get_mut(&ticket) else {
             return;
         };
-        statement.group_marks.insert(group, marks.cloned());
+        let marks = group_marks.marks.cloned();
+        statement.group_marks.insert(group_marks.group, marks);
         let second = statement
             .query
             .join
