--- a/crates/front/src/engines/replies.rs
+++ b/crates/front/src/engines/replies.rs
@@ -247,7 +247,7 @@
         match line.kind {
             ReplyKind::FirstPage { pages } => self.take_first_page(now, pages, line, output),
             ReplyKind::Page { number } => self.take_page(now, number, line.bytes),
-            ReplyKind::Rejected if self.pages.is_none() => Some(Ending::TurnedAway),
+            ReplyKind::Rejected if self.pages.is_none() => Some(Ending::Rejected),
             ReplyKind::Stale if self.pages.is_none() => Some(Ending::Stale),
             ReplyKind::Failed if self.pages.is_none() => Some(Ending::EngineFailed),
             ReplyKind::Rejected | ReplyKind::Stale | ReplyKind::Failed => Some(Ending::PageLost),
@@ -305,10 +305,10 @@
 /// How executions end whose connection did not come up.
 fn ending_of_dial(error: &Error) -> Ending {
     match error.kind() {
-        ErrorKind::ConnectionRefused => Ending::Refused,
+        ErrorKind::ConnectionRefused => Ending::ConnectionRefused,
         // Whoever resets a connection is there.
-        ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => Ending::BrokenNew,
-        _ => Ending::NeverUp,
+        ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => Ending::ResetWhileConnecting,
+        _ => Ending::ConnectTimeout,
     }
 }
 
--- a/crates/front/src/engines/send.rs
+++ b/crates/front/src/engines/send.rs
@@ -215,8 +215,8 @@
 /// How an execution ends for which no connection could be begun.
 fn ending_of_failed_dial(error: &Error) -> Ending {
     match error.kind() {
-        ErrorKind::ConnectionRefused => Ending::Refused,
-        ErrorKind::HostUnreachable | ErrorKind::NetworkUnreachable => Ending::NeverUp,
-        _ => Ending::NoMeans,
+        ErrorKind::ConnectionRefused => Ending::ConnectionRefused,
+        ErrorKind::HostUnreachable | ErrorKind::NetworkUnreachable => Ending::ConnectTimeout,
+        _ => Ending::NoDescriptor,
     }
 }
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -159,7 +159,7 @@
 
 /// Logs the end of a connection. An engine that can't be reached is named once, until it is reached again.
 fn log_end(engine: &mut Engine, connection: &EngineConnection, ending: Ending) {
-    if !connection.up && (connection.retired || ending == Ending::BrokenNew) {
+    if !connection.up && (connection.retired || ending == Ending::ResetWhileConnecting) {
         log::debug!("engine {}: connection lost while it came up", engine.id);
     } else if !connection.up && !std::mem::replace(&mut engine.failing, true) {
         log::warn!("engine {}: can't be reached: {ending:?}", engine.id);
--- a/crates/front/src/event_loop.rs
+++ b/crates/front/src/event_loop.rs
@@ -79,7 +79,7 @@
             return 0;
         }
         let always = [
-            self.dispatcher.wake(),
+            self.dispatcher.next_tick(),
             self.engines.due(),
             self.coordinator.due(),
             self.listener.due(),
--- a/crates/front/src/event_loop/admission.rs
+++ b/crates/front/src/event_loop/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: statements of clients are checked and handed to the dispatcher, and clients that leave are reported to it.
 
 use hallmux_access::Decision;
-use hallmux_dispatcher::{Ask, Ending, Micros, Protocol, Ticket, Unfit};
+use hallmux_dispatcher::{Ending, InvalidRequest, Micros, Protocol, StatementRequest, Ticket};
 use hallmux_native_codec::statement::{self, Call, Reply};
 use hallmux_native_codec::tables;
 
@@ -102,7 +102,7 @@
                 .rules
                 .iter()
                 .for_each(|rules| rules.borrow_mut().statement_over(ticket)),
-            false => self.dispatcher.left(now, ticket),
+            false => self.dispatcher.client_left(now, ticket),
         }
         // The statement is over first: else it could be tried anew.
         for sent in withdrawn {
@@ -229,7 +229,7 @@
                 }
             );
         }
-        full || self.dispatcher.held() >= self.max_statements
+        full || self.dispatcher.statements_held() >= self.max_statements
     }
 
     /// Hands a statement to the dispatcher, or answers why it can't be.
@@ -245,7 +245,7 @@
         let allowed: Option<Vec<&str>> = allowed
             .as_ref()
             .map(|names| names.iter().map(String::as_str).collect());
-        let ask = Ask {
+        let ask = StatementRequest {
             workload: &call.workload,
             customer: &call.customer,
             key: call.order_key.as_deref(),
@@ -258,7 +258,7 @@
             pinned: None,
             allowed: allowed.as_deref(),
         };
-        let picked = self.dispatcher.pick(self.clock.now, &ask);
+        let picked = self.dispatcher.submit(self.clock.now, &ask);
         if let Some(rules) = &self.rules {
             rules
                 .borrow_mut()
@@ -266,7 +266,7 @@
         }
         match picked {
             Ok(ticket) => self.clients.open(client, number, ticket, call),
-            Err(Unfit::Barred) => {
+            Err(InvalidRequest::NoAllowedLocation) => {
                 self.clients.reply(
                     client,
                     number,
@@ -275,15 +275,15 @@
                     },
                 );
             }
-            Err(Unfit::Workload) => {
+            Err(InvalidRequest::UnknownWorkload) => {
                 self.clients
                     .answer_unusable(client, number, statement::WORKLOAD)
             }
-            Err(Unfit::DedupKey) => {
+            Err(InvalidRequest::MissingDedupKey) => {
                 self.clients
                     .answer_unusable(client, number, statement::DEDUP_KEY)
             }
-            Err(Unfit::Customer) => {
+            Err(InvalidRequest::UnknownCustomer) => {
                 self.clients
                     .answer_unusable(client, number, statement::CUSTOMER)
             }
--- a/crates/front/src/event_loop/scatter.rs
+++ b/crates/front/src/event_loop/scatter.rs
@@ -1,6 +1,6 @@
 //! Statements over several sites (scatter and gather): admitted, their parts dispatched, their one answer given.
 
-use hallmux_dispatcher::{Order, Ticket, Unfit};
+use hallmux_dispatcher::{Command, InvalidRequest, RejectCause, Ticket};
 use hallmux_gossip::channels::Channel;
 use hallmux_native_codec::statement::{self, Reply};
 use hallmux_scatter::gather::{Answer, PartFailure};
@@ -48,7 +48,7 @@
 
     fn begin_scattered(&mut self, request: JudgedRequest, query: Query) {
         let now = self.clock.now;
-        let ticket = self.dispatcher.number();
+        let ticket = self.dispatcher.new_ticket();
         self.clients
             .open(request.client, request.number, ticket, request.call);
         let Some(call) = self.clients.call(ticket) else {
@@ -158,7 +158,8 @@
                 terms,
                 outgoing,
             } => {
-                self.dispatcher.leaves(now, sent.ticket, sent.number);
+                self.dispatcher
+                    .execution_sent(now, sent.ticket, sent.number);
                 let ordered = Ordered {
                     of: self.statement_for_rules(sent.ticket),
                     ticket: sent.ticket,
@@ -171,10 +172,11 @@
                 }
             }
             LoadOutcome::TurnAway(ExecutionId { ticket, .. }) => {
-                let retry_after = self.dispatcher.turn_away(now, ticket);
-                self.carry_out(Order::Reject {
+                let retry_after = self.dispatcher.reject(now, ticket);
+                self.carry_out(Command::Reject {
                     ticket,
                     retry_after,
+                    cause: RejectCause::LoadMark,
                 });
             }
             LoadOutcome::Other(Effect::Marks {
@@ -219,11 +221,13 @@
                 .for_each(|rules| rules.borrow_mut().statement_over(ticket));
             match reply {
                 FinalReply::Answer(answer) => self.answer_scattered_statement(ticket, &answer),
-                FinalReply::Unfit(unfit) => {
+                FinalReply::Invalid(unfit) => {
                     let field = match unfit {
-                        Unfit::Customer => statement::CUSTOMER,
-                        Unfit::DedupKey => statement::DEDUP_KEY,
-                        Unfit::Workload | Unfit::Barred => statement::WORKLOAD,
+                        InvalidRequest::UnknownCustomer => statement::CUSTOMER,
+                        InvalidRequest::MissingDedupKey => statement::DEDUP_KEY,
+                        InvalidRequest::UnknownWorkload | InvalidRequest::NoAllowedLocation => {
+                            statement::WORKLOAD
+                        }
                     };
                     self.clients.answer_taken_unusable(ticket, field);
                 }
