--- a/crates/front/src/event_loop/scatter.rs
+++ b/crates/front/src/event_loop/scatter.rs
@@ -11,6 +11,7 @@
 use super::EventLoopState;
 use crate::execution::ExecutionId;
 use crate::fleet::rules::Ordered;
+use crate::fleet::PeerMessage;
 use crate::scatter::{
     FinalReply, GroupMarks, LoadOutcome, Outgoing, ScatterRequest, ScatteredStatements, ASK_NUMBERS,
 };
@@ -107,7 +108,7 @@
         scatter.finish_audits(now, &mut self.dispatcher);
         if let Some(peers) = &mut self.peers {
             let mut messages = scatter.tick(now, &peers.others());
-            for (from, bytes) in peers.take_messages(Channel::Summaries) {
+            for PeerMessage { from, bytes } in peers.take_messages(Channel::Summaries) {
                 messages.extend(scatter.summaries.receive(now, from, &bytes));
             }
             messages
--- a/crates/front/src/fleet/join.rs
+++ b/crates/front/src/fleet/join.rs
@@ -11,7 +11,7 @@
 
 use super::copies::{Copies, CopiesError, Found};
 use super::errors::PeersError;
-use super::members::setup;
+use super::members::{setup, LedgerSetup};
 use super::votes::Votes;
 use crate::events::{LoopEvents, SocketKind};
 
@@ -69,49 +69,64 @@
     socket: &UdpSocket,
     handle: &LoopHandle<'static, LoopEvents>,
 ) -> Result<Option<Copies>, PeersError> {
-    let memory_on_disk_failure = ledger.on_disk_failure == OnDiskFailure::Memory;
-    let mut copies = None;
     let own = peer_id(&exchange.public_key());
+    let wall_ms = (now / 1000) as u64;
     let moment = ClockReading {
         now,
         steady: 0,
-        wall_ms: (now / 1000) as u64,
+        wall_ms,
     };
-    let (mut setup, members) = setup(ledger, own, (now / 1000) as u64);
-    let keeps = ledger
-        .members
-        .iter()
-        .any(|member| peer_id(&member.key) == own);
+    let LedgerSetup {
+        mut setup,
+        addresses,
+    } = setup(ledger, own, wall_ms);
+    let mut members = ledger.members.iter();
+    let keeps = members.any(|member| peer_id(&member.key) == own);
+    let mut copies = None;
     let mut saved = None;
-    if let Some(directory) = ledger.directory.as_ref().filter(|_| keeps) {
-        let drill = ledger.disk_fault_file.as_deref();
-        let socket = socket.try_clone().map_err(PeersError::system)?;
-        let loop_waker = loop_waker(handle).map_err(PeersError::system)?;
-        match Copies::open(directory, drill, socket, loop_waker) {
-            Ok((opened, Found { disk, saved: found })) => {
-                (copies, setup.disk, saved) = (Some(opened), disk, found);
-            }
-            Err(e @ CopiesError::Disk { .. }) if memory_on_disk_failure => {
-                log::error!("{e}; copies are in memory alone")
-            }
-            Err(e) => return Err(e.into()),
+    if keeps {
+        if let Some((opened, found)) = open_copies(ledger, socket, handle)? {
+            copies = Some(opened);
+            setup.disk = found.disk;
+            saved = found.saved;
         }
     }
-    let (on_disk, remembers) = (copies.is_some(), saved.is_some());
-    exchange.enable_ledger(moment, setup, members, saved)?;
-    log::info!(
-        "asks {} fronts for promises{}",
-        ledger.members.len(),
-        match (keeps, on_disk, remembers) {
-            (false, ..) => "",
-            (_, false, _) => ", and keeps copies in memory alone",
-            (_, _, false) => ", and keeps copies on a disk that is new",
-            _ => ", and keeps copies on the disk that it had",
-        }
-    );
+    let kept = match (&copies, &saved) {
+        _ if !keeps => "",
+        (None, _) => ", and keeps copies in memory alone",
+        (Some(_), None) => ", and keeps copies on a disk that is new",
+        (Some(_), Some(_)) => ", and keeps copies on the disk that it had",
+    };
+    exchange.enable_ledger(moment, setup, addresses, saved)?;
+    let count = ledger.members.len();
+    log::info!("asks {count} fronts for promises{kept}");
     Ok(copies)
 }
 
+/// Opens the directory for copies, where the operator's file names one. None: copies are in memory alone, also after
+/// a failure of the disk where the file allows that.
+fn open_copies(
+    ledger: &agreement::Ledger,
+    socket: &UdpSocket,
+    handle: &LoopHandle<'static, LoopEvents>,
+) -> Result<Option<(Copies, Found)>, PeersError> {
+    let Some(directory) = &ledger.directory else {
+        return Ok(None);
+    };
+    let memory_on_disk_failure = ledger.on_disk_failure == OnDiskFailure::Memory;
+    let fault_file = ledger.disk_fault_file.as_deref();
+    let socket = socket.try_clone().map_err(PeersError::system)?;
+    let loop_waker = loop_waker(handle).map_err(PeersError::system)?;
+    match Copies::open(directory, fault_file, socket, loop_waker) {
+        Ok(opened) => Ok(Some(opened)),
+        Err(error @ CopiesError::Disk { .. }) if memory_on_disk_failure => {
+            log::error!("{error}; copies are in memory alone");
+            Ok(None)
+        }
+        Err(error) => Err(error.into()),
+    }
+}
+
 /// What wakes the loop from the thread that writes copies.
 fn loop_waker(
     handle: &LoopHandle<'static, LoopEvents>,
--- a/crates/front/src/fleet/members.rs
+++ b/crates/front/src/fleet/members.rs
@@ -10,7 +10,19 @@
 use hallmux_ledger::{Member, Setup};
 
 /// The members that keep copies, and their addresses.
-pub fn members(ledger: &Ledger) -> (Vec<Member>, BTreeMap<PeerId, SocketAddr>) {
+pub struct LedgerMembers {
+    pub members: Vec<Member>,
+    pub addresses: BTreeMap<PeerId, SocketAddr>,
+}
+
+/// The ledger's settings, and the addresses of its members.
+pub struct LedgerSetup {
+    pub setup: Setup,
+    pub addresses: BTreeMap<PeerId, SocketAddr>,
+}
+
+/// The members that the operator's file names.
+pub fn members(ledger: &Ledger) -> LedgerMembers {
     let member = |m: &hallmux_config::LedgerMember| Member {
         front: peer_id(&m.key),
         zone: m.zone.clone(),
@@ -20,18 +32,20 @@
         .iter()
         .map(|m| (peer_id(&m.key), m.at))
         .collect();
-    (ledger.members.iter().map(member).collect(), addresses)
+    LedgerMembers {
+        members: ledger.members.iter().map(member).collect(),
+        addresses,
+    }
 }
 
-/// The ledger's settings, and the addresses of its members.
-pub fn setup(ledger: &Ledger, own: PeerId, life: u64) -> (Setup, BTreeMap<PeerId, SocketAddr>) {
-    let (members, addresses) = members(ledger);
-    // In memory each life is a disk of its own.
-    let disk = RandomState::new().hash_one(life).max(1);
-    let (copies, shards) = (ledger.copies, ledger.shards);
+/// The ledger as this front keeps it. `own` is its key, `incarnation` the Unix time of its start in milliseconds.
+pub fn setup(ledger: &Ledger, own: PeerId, incarnation: u64) -> LedgerSetup {
+    let LedgerMembers { members, addresses } = members(ledger);
+    // In memory each incarnation is a disk of its own.
+    let disk = RandomState::new().hash_one(incarnation).max(1);
     let setup = Setup {
-        copies,
-        shards,
+        copies: ledger.copies,
+        shards: ledger.shards,
         most_entries: ledger.most_entries,
         most_bytes: ledger.most_bytes,
         ask_timeout: ledger.patience,
@@ -40,7 +54,7 @@
         moves_percent: ledger.moves_percent,
         zone_after: ledger.zone_after,
         clock_skew_ms: ledger.clocks_apart_ms,
-        ..Setup::new(&ledger.fleet, own, life, disk, members)
+        ..Setup::new(&ledger.fleet, own, incarnation, disk, members)
     };
-    (setup, addresses)
+    LedgerSetup { setup, addresses }
 }
--- a/crates/front/src/fleet/mod.rs
+++ b/crates/front/src/fleet/mod.rs
@@ -14,4 +14,4 @@
 
 pub use errors::{PeersError, RulesError};
 pub use gate::Guard;
-pub use peers::Peers;
+pub use peers::{LedgerFleet, PeerMessage, Peers};
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -1,6 +1,9 @@
 //! Gossip with other fronts over datagrams: what this front has seen of engines goes out, what others have seen
 //! comes in. Switched on by the operator's file; off, it is not there.
 
+mod log_lines;
+mod start;
+
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
 use std::io::ErrorKind;
@@ -8,41 +11,48 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use calloop::generic::Generic;
-use calloop::{Interest, LoopHandle, Mode, PostAction};
-use hallmux_config::{parse_key, Gossip, OnDiskFailure};
+use hallmux_config::Gossip;
 use hallmux_dispatcher::{Dispatcher, Micros};
-use hallmux_fleet::{ClockReading, Exchange, LedgerSave, Output, OwnedLease, TickOutput};
+use hallmux_fleet::{ClockReading, Exchange, LedgerSave, Output, TickOutput};
 use hallmux_gossip::channels::Channel;
-use hallmux_gossip::evidence::PeerReport;
-use hallmux_gossip::members::FleetSize;
 use hallmux_gossip::message::MAX_DATAGRAM;
-use hallmux_gossip::node::{Datagram, NodeConfig};
-use hallmux_gossip::seal::{peer_id, Keys, Refused};
+use hallmux_gossip::node::Datagram;
+use hallmux_gossip::seal::{peer_id, Keys};
 use hallmux_gossip::PeerId;
-use hallmux_ledger::{Ask, Differences, Done};
+use hallmux_ledger::{Ask, Done};
 
 use super::copies::{random_disk_id, Copies, Write};
-use super::errors::PeersError;
-use super::join::{join_ledger, join_ownership};
-use super::members::members;
+use super::members::{members, LedgerMembers};
 use super::votes::Votes;
-use crate::events::{LoopEvents, SocketKind};
 use crate::shutdown::LedgerDuty;
-use crate::transient;
+use log_lines::LogState;
+
+/// Datagrams taken before others are served.
+const DATAGRAMS_PER_ITERATION: usize = 64;
+/// Bits of an ask's number that a part of the front counts in; the byte above them says which part.
+const PART_SHIFT: u32 = 56;
 
-const DATAGRAMS_PER_ITERATION: usize = 64; // datagrams taken before others are served
-const PART_SHIFT: u32 = 56; // bits of a number that a part of the front counts in
-const LOG_INTERVAL: Micros = 10_000_000; // microseconds between lines of the log on what was refused
+/// A message on a channel beside gossip.
+pub struct PeerMessage {
+    /// The front that has sent it.
+    pub from: PeerId,
+    pub bytes: Vec<u8>,
+}
 
+/// This front and the others, by their keys, where a ledger is kept.
+pub struct LedgerFleet {
+    pub own: PeerId,
+    /// All fronts whose keys count.
+    pub fronts: Vec<PeerId>,
+}
+
+/// The other fronts: the socket to them, and what is exchanged with them.
 pub struct Peers {
     socket: Rc<UdpSocket>,
     exchange: Exchange,
     names: BTreeMap<PeerId, String>,
     random: RandomState,
     draws_made: u64,
-    last_log: Micros,
-    refused: BTreeMap<Refused, u64>,
     /// The clock that leases go by: it runs evenly on, whatever becomes of the wall clock.
     started: Instant,
     votes: Option<Votes>,
@@ -50,11 +60,8 @@
     copies: Option<Copies>,
     /// A disk that fails leaves them in memory.
     memory_on_disk_failure: bool,
-    ownership: Option<OwnedLease>,
-    refused_acts: BTreeMap<&'static str, u64>,
-    /// Replicas of the ledger that were found to differ, as was logged last.
-    differences: Differences,
-    messages: BTreeMap<Channel, Vec<(PeerId, Vec<u8>)>>,
+    log: LogState,
+    messages: BTreeMap<Channel, Vec<PeerMessage>>,
     /// Answers of the ledger that their part of this front has not taken yet.
     done: Vec<Done>,
     /// A ledger is kept.
@@ -74,91 +81,12 @@
 }
 
 impl Peers {
-    /// `now` is the Unix clock: it names this incarnation of the front.
-    pub fn new(
-        gossip: &Gossip,
-        now: Micros,
-        handle: &LoopHandle<'static, LoopEvents>,
-    ) -> Result<Peers, PeersError> {
-        let file = || gossip.secret_file.clone();
-        let secret = std::fs::read_to_string(&gossip.secret_file);
-        let secret = secret.map_err(|why| PeersError::SecretFile { file: file(), why })?;
-        let secret = parse_key(&secret).ok_or_else(|| PeersError::Secret(file()))?;
-        let unheard = |why| PeersError::Listen {
-            at: gossip.listen,
-            why,
-        };
-        let socket = transient::retry(|| UdpSocket::bind(gossip.listen)).map_err(unheard)?;
-        socket.set_nonblocking(true).map_err(unheard)?;
-        let socket = Rc::new(socket);
-        let at = socket.local_addr().map_err(unheard)?;
-        let source = Generic::new(socket.clone(), Interest::READ, Mode::Edge);
-        let told = handle.insert_source(source, |_, _, events: &mut LoopEvents| {
-            events.ready.push(SocketKind::Peers.id(0));
-            Ok(PostAction::Continue)
-        });
-        told.map_err(|e| PeersError::system(e.error))?;
-        let told = gossip.advertise.unwrap_or(at);
-        let start = NodeConfig {
-            secret,
-            keys: keys(gossip),
-            address: told,
-            seeds: gossip.seeds.clone(),
-        };
-        let mut exchange = Exchange::new(start, (now / 1000) as u64);
-        if gossip.overload.is_some() {
-            exchange.enable_load_reports();
-            log::info!("sheds overload as one with the fleet");
-        }
-        let started = Instant::now();
-        let votes = match &gossip.ownership {
-            Some(ownership) => join_ownership(&mut exchange, ownership, now, &socket)?,
-            None => None,
-        };
-        let copies = match &gossip.ledger {
-            Some(ledger) => join_ledger(&mut exchange, ledger, now, &socket, handle)?,
-            None => None,
-        };
-        let memory_on_disk_failure = gossip
-            .ledger
-            .as_ref()
-            .is_some_and(|l| l.on_disk_failure == OnDiskFailure::Memory);
-        let public: String = exchange
-            .public_key()
-            .iter()
-            .map(|byte| format!("{byte:02x}"))
-            .collect();
-        log::info!(
-            "talks with other fronts, {} keys count; its own is {public}, its address {at}",
-            gossip.peers.len()
-        );
-        Ok(Peers {
-            socket,
-            exchange,
-            names: names(gossip),
-            random: RandomState::new(),
-            draws_made: 0,
-            last_log: 0,
-            refused: BTreeMap::new(),
-            started,
-            votes,
-            copies,
-            memory_on_disk_failure,
-            ownership: None,
-            refused_acts: BTreeMap::new(),
-            differences: Differences::default(),
-            done: Vec::new(),
-            has_ledger: gossip.ledger.is_some(),
-            messages: BTreeMap::new(),
-        })
-    }
-
     /// The file was read again: its keys count from now on.
     pub fn reload(&mut self, now: Micros, gossip: &Gossip) {
         self.names = names(gossip);
         self.exchange.set_keys(keys(gossip));
         if let Some(ledger) = gossip.ledger.as_ref().filter(|_| self.has_ledger) {
-            let (members, addresses) = members(ledger);
+            let LedgerMembers { members, addresses } = members(ledger);
             if let Err(e) = self
                 .exchange
                 .set_ledger_members(self.moment(now), members, addresses)
@@ -169,6 +97,7 @@
         log::info!("{} keys of other fronts count", gossip.peers.len());
     }
 
+    /// When `tick` is next due, in Unix microseconds.
     pub fn due(&self, now: Micros) -> Micros {
         self.exchange.due(self.moment(now))
     }
@@ -201,11 +130,14 @@
     }
 
     /// Messages that have come on a channel beside gossip; of a channel that nobody reads so many are kept.
-    pub fn take_messages(&mut self, channel: Channel) -> Vec<(PeerId, Vec<u8>)> {
+    pub fn take_messages(&mut self, channel: Channel) -> Vec<PeerMessage> {
         for message in self.exchange.received() {
             let kept = self.messages.entry(message.channel).or_default();
             if kept.len() < DATAGRAMS_PER_ITERATION {
-                kept.push((message.from, message.bytes));
+                kept.push(PeerMessage {
+                    from: message.from,
+                    bytes: message.bytes,
+                });
             }
         }
         self.messages.remove(&channel).unwrap_or_default()
@@ -319,11 +251,13 @@
         told
     }
 
-    /// Where a ledger is kept, this front by its key, and all fronts whose keys count.
-    pub fn fleet(&self) -> Option<(PeerId, Vec<PeerId>)> {
-        let own = peer_id(&self.exchange.public_key());
-        self.has_ledger
-            .then(|| (own, self.names.keys().copied().collect()))
+    /// The fronts that keep the ledger and ask it; none where none is kept.
+    pub fn ledger_fleet(&self) -> Option<LedgerFleet> {
+        let fleet = || LedgerFleet {
+            own: peer_id(&self.exchange.public_key()),
+            fronts: self.names.keys().copied().collect(),
+        };
+        self.has_ledger.then(fleet)
     }
 
     /// Does what is due; the log says what is new, and what was refused.
@@ -340,65 +274,14 @@
             &mut random_numbers(&self.random, &mut self.draws_made),
         );
         self.send(now, output);
-        let FleetSize { known, up } = self.exchange.fleet_size();
-        if (FleetSize { known, up }) != before {
-            log::debug!("{known} fronts are known, {up} of them up");
-        }
-        for PeerReport {
-            reporter,
-            sighting: s,
-            age,
-        } in new_reports
-        {
-            let name = self.names.get(&reporter).map_or("?", String::as_str);
-            log::info!(
-                "front {name} says of engine {:016x}: {} failed, {} answered, silent for {} ms{}; {} ms ago",
-                s.engine,
-                s.failed,
-                s.answered,
-                s.silent_ms,
-                if s.drains { ", drains" } else { "" },
-                age / 1000
-            );
-        }
-        let owns = self.exchange.owned_lease(at.steady);
-        match (self.ownership, owns) {
-            (before, Some(OwnedLease { token })) if before != owns => {
-                log::info!("owns the fleet's work under token {token}")
-            }
-            (Some(OwnedLease { token }), None) => {
-                log::info!("owns the fleet's work under token {token} no longer")
-            }
-            _ => {}
-        }
-        self.ownership = owns;
-        if self.exchange.refused_acts() != self.refused_acts && self.last_log + LOG_INTERVAL <= now
-        {
-            self.refused_acts = self.exchange.refused_acts();
-            log::warn!(
-                "words on the fleet's work that count for nothing so far: {:?}",
-                self.refused_acts
-            );
-        }
-        let differences = self.exchange.differences();
-        if differences != self.differences {
-            self.differences = differences;
-            let Differences {
-                found: others,
-                repaired_here: here,
-            } = differences;
-            log::warn!(
-                "ledger: {others} copies differed from the majority so far, {here} mended here; look at the disks"
-            );
+        let size = self.exchange.fleet_size();
+        if size != before {
+            log_lines::log_fleet_size(size);
         }
-        if self.exchange.refused() != &self.refused && self.last_log + LOG_INTERVAL <= now {
-            self.last_log = now;
-            self.refused = self.exchange.refused().clone();
-            log::warn!(
-                "datagrams and reports of other fronts that count for nothing so far: {:?}",
-                self.refused
-            );
+        for report in &new_reports {
+            log_lines::log_peer_report(report, &self.names);
         }
+        self.log.log_changes(now, at.steady, &self.exchange);
     }
 
     /// What of the ledger depends on this front.
--- a/crates/front/src/fleet/rules/file.rs
+++ b/crates/front/src/fleet/rules/file.rs
@@ -7,7 +7,8 @@
 use hallmux_config::{line_of, NodeConfig, Settings};
 use hallmux_dispatcher::Micros;
 
-use super::{Peers, Rules, RulesError, Shared};
+use super::{Rules, RulesError, Shared};
+use crate::fleet::{LedgerFleet, Peers};
 
 pub(super) fn known(rules: &hallmux_config::Rules, settings: &Settings) -> KnownNames {
     let names = &settings.names;
@@ -56,12 +57,19 @@
         return Ok(None);
     };
     let incarnation = (now / 1000) as u64;
-    let (front, fronts) = match peers.map(Peers::fleet) {
-        None => (1, vec![1]),
-        Some(Some(fleet)) => fleet,
-        Some(None) => return Err(RulesError::NoLedger),
+    // Without other fronts this one is the fleet.
+    let fleet = match peers {
+        None => LedgerFleet {
+            own: 1,
+            fronts: vec![1],
+        },
+        Some(peers) => peers.ledger_fleet().ok_or(RulesError::NoLedger)?,
     };
-    let own = Owner { front, incarnation };
-    let rules = Rules::new(rules, &config.settings, own, fronts, peers.is_none())?;
+    let own = Owner {
+        front: fleet.own,
+        incarnation,
+    };
+    let is_alone = peers.is_none();
+    let rules = Rules::new(rules, &config.settings, own, fleet.fronts, is_alone)?;
     Ok(Some(Rc::new(RefCell::new(rules))))
 }
