--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -14,6 +14,7 @@
 use crate::fleet::rules::{Ordered, Ruling, Shared};
 use crate::fleet::Peers;
 use crate::postgres::gateway::{AdmissionState, Gateway};
+use crate::refusal::Refusal;
 use crate::scatter::Load;
 
 impl EventLoopState {
@@ -22,40 +23,14 @@
         for event in std::mem::take(&mut self.engines.events) {
             match event {
                 engines::Event::Ended {
-                    execution_id:
-                        ExecutionId {
-                            ticket,
-                            number: execution,
-                        },
+                    execution_id,
                     ending,
                     report,
-
                     result,
-                } => {
-                    let of = self.statement_for_rules(ticket);
-                    self.rules.iter().for_each(|rules| {
-                        rules
-                            .borrow_mut()
-                            .execution_ended(of, ExecutionId::new(ticket, execution))
-                    });
-                    if self
-                        .dispatcher
-                        .report(self.clock.now, ticket, execution, ending, report)
-                        && !self.end_part(ticket, Ok(&result))
-                    {
-                        self.clients
-                            .answer(self.clock.now, ticket, &Reply::Completed(&result));
-                    }
-                }
-                engines::Event::Noted {
-                    execution_id:
-                        ExecutionId {
-                            ticket,
-                            number: execution,
-                        },
-                    note,
-                } => {
-                    self.dispatcher.note(ticket, execution, note);
+                } => self.execution_ended(execution_id, ending, report, &result),
+                engines::Event::Noted { execution_id, note } => {
+                    let ExecutionId { ticket, number } = execution_id;
+                    self.dispatcher.note(ticket, number, note);
                 }
                 engines::Event::Probed {
                     place,
@@ -73,6 +48,26 @@
         }
     }
 
+    /// An execution has ended at its engine; its result answers its statement, or the statement it is a part of.
+    fn execution_ended(
+        &mut self,
+        execution_id: ExecutionId,
+        ending: Ending,
+        report: Option<Vec<f64>>,
+        result: &[u8],
+    ) {
+        let ExecutionId { ticket, number } = execution_id;
+        let judged = self.statement_for_rules(ticket);
+        if let Some(rules) = &self.rules {
+            rules.borrow_mut().execution_ended(judged, execution_id);
+        }
+        let now = self.clock.now;
+        let is_answered = self.dispatcher.report(now, ticket, number, ending, report);
+        if is_answered && !self.end_part(ticket, Ok(result)) {
+            self.clients.answer(now, ticket, &Reply::Completed(result));
+        }
+    }
+
     /// What the admission of units of sessions depends on just now.
     pub(super) fn admission_state(&self) -> AdmissionState {
         let held = self.clients.held_bytes() + self.gateway.as_ref().map_or(0, Gateway::held_bytes);
@@ -113,24 +108,22 @@
             .tick(now, &mut self.dispatcher, self.peers.as_mut());
         for ruling in rulings {
             match ruling {
-                Ruling::Go(ordered) => self.await_promises(ordered),
+                Ruling::Send(ordered) => self.await_promises(ordered),
                 Ruling::Deny(ticket) => {
-                    self.answer_without_result(ticket, true, None, RejectCause::AccessRules);
+                    let refusal = Refusal::Rejected { retry_after: None };
+                    self.answer_without_result(ticket, refusal, RejectCause::AccessRules);
                     self.dispatcher.reject(now, ticket);
                 }
-                Ruling::End {
-                    ticket, ran: true, ..
-                } => {
-                    self.answer_without_result(ticket, false, None, RejectCause::AccessRules);
+                Ruling::Abort(ticket) => {
+                    let refusal = Refusal::Aborted;
+                    self.answer_without_result(ticket, refusal, RejectCause::AccessRules);
                     self.abandon(ticket);
                 }
-                Ruling::End {
-                    ticket,
-                    ran: false,
-                    again,
-                } => {
-                    let retry_after = self.dispatcher.reject(now, ticket).filter(|_| again);
-                    self.answer_without_result(ticket, true, retry_after, RejectCause::AccessRules);
+                Ruling::Reject { ticket, may_retry } => {
+                    let retry_after = self.dispatcher.reject(now, ticket);
+                    let retry_after = retry_after.filter(|_| may_retry);
+                    let refusal = Refusal::Rejected { retry_after };
+                    self.answer_without_result(ticket, refusal, RejectCause::AccessRules);
                     self.abandon(ticket);
                 }
             }
@@ -157,7 +150,7 @@
                 }) => {
                     self.dispatcher.execution_sent(now, ticket, execution);
                     self.await_mark(Ordered {
-                        of: self.statement_for_rules(ticket),
+                        judged: self.statement_for_rules(ticket),
                         ticket,
                         execution,
                         place,
@@ -183,30 +176,27 @@
         }
     }
 
-    /// A statement's final answer without a result.
-    fn answer_without_result(
-        &mut self,
-        ticket: Ticket,
-        rejects: bool,
-        retry_after: Option<Micros>,
-        cause: RejectCause,
-    ) {
+    /// Gives a statement its final answer without a result.
+    fn answer_without_result(&mut self, ticket: Ticket, refusal: Refusal, cause: RejectCause) {
         let now = self.clock.now;
-        log::debug!(
-            "statement {ticket}: {}: {cause}",
-            if rejects { "rejected" } else { "aborted" }
-        );
+        let outcome = match refusal {
+            Refusal::Rejected { .. } => "rejected",
+            Refusal::Aborted => "aborted",
+        };
+        log::debug!("statement {ticket}: {outcome}: {cause}");
         if self.is_of_session(ticket) {
-            self.gateway
-                .iter_mut()
-                .for_each(|gateway| gateway.refuse(now, ticket, rejects, retry_after));
-        } else if rejects {
-            let retry_after_ms = retry_after.map(|time| time / 1000);
-            self.clients
-                .answer(now, ticket, &Reply::Rejected { retry_after_ms });
-        } else {
-            self.clients.answer(now, ticket, &Reply::Aborted);
+            if let Some(gateway) = &mut self.gateway {
+                gateway.refuse(now, ticket, refusal);
+            }
+            return;
         }
+        let reply = match refusal {
+            Refusal::Rejected { retry_after } => Reply::Rejected {
+                retry_after_ms: retry_after.map(|time| time / 1000),
+            },
+            Refusal::Aborted => Reply::Aborted,
+        };
+        self.clients.answer(now, ticket, &reply);
     }
 
     /// An execution that rules have let go on waits for its promises, or leaves.
@@ -349,7 +339,7 @@
                 terms,
             } => {
                 let ordered = Ordered {
-                    of: self.statement_for_rules(ticket),
+                    judged: self.statement_for_rules(ticket),
                     ticket,
                     execution,
                     place,
@@ -388,9 +378,9 @@
                 ticket,
                 retry_after,
                 cause,
-            } => self.answer_without_result(ticket, true, retry_after, cause),
+            } => self.answer_without_result(ticket, Refusal::Rejected { retry_after }, cause),
             Command::Abort { ticket, cause } => {
-                self.answer_without_result(ticket, false, None, cause)
+                self.answer_without_result(ticket, Refusal::Aborted, cause)
             }
             // Between the decision and now the work may have become another's: then the probe stays here.
             Command::Probe {
--- a/crates/front/src/event_loop/scatter.rs
+++ b/crates/front/src/event_loop/scatter.rs
@@ -162,7 +162,7 @@
                 self.dispatcher
                     .execution_sent(now, sent.ticket, sent.number);
                 let ordered = Ordered {
-                    of: self.statement_for_rules(sent.ticket),
+                    judged: self.statement_for_rules(sent.ticket),
                     ticket: sent.ticket,
                     execution: sent.number,
                     place,
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -32,11 +32,11 @@
 /// The front and its sessions judge by the same.
 pub type Shared = Rc<RefCell<Rules>>;
 
-/// An execution that was ordered.
+/// An execution that the dispatcher has ordered to be sent.
 #[derive(Clone, Copy)]
 pub struct Ordered {
     /// The statement that was judged: of a part the whole.
-    pub of: Ticket,
+    pub judged: Ticket,
     pub ticket: Ticket,
     pub execution: usize,
     pub place: Place,
@@ -52,15 +52,13 @@
 /// What becomes of a statement.
 pub enum Ruling {
     /// Its hit stands: the execution held leaves.
-    Go(Ordered),
+    Send(Ordered),
     /// Denied, and its hit stands: final, and it would be denied again.
     Deny(Ticket),
-    /// It runs where the version adopted bars, or may not leave any more: final. `ran`: nothing is promised.
-    End {
-        ticket: Ticket,
-        ran: bool,
-        again: bool,
-    },
+    /// It has not run and may not leave any more: final. `may_retry`: it may be allowed later.
+    Reject { ticket: Ticket, may_retry: bool },
+    /// It may have run, where the version adopted bars: final, and nothing is promised.
+    Abort(Ticket),
 }
 
 struct Statement {
@@ -113,28 +111,7 @@
             remembers: rules.remembers,
             first_number: ASK_NUMBERS,
         };
-        let member = Member {
-            front: own.front,
-            zone: String::new(),
-        };
-        let setup_alone = ledger::Setup {
-            copies: 1,
-            shards: 1,
-            ..ledger::Setup::new(
-                "alone",
-                own.front,
-                own.incarnation,
-                own.incarnation | 1,
-                vec![member],
-            )
-        };
-        let at = Moment {
-            steady: 0,
-            wall_ms: own.incarnation,
-        };
-        let alone = alone
-            .then(|| Ledger::new(at, setup_alone, None))
-            .transpose()?;
+        let alone = alone.then(|| own_ledger(own)).transpose()?;
         let mut access = Access::new(setup);
         access.offer(&rules.file, &text, command);
         log::info!(
@@ -270,7 +247,7 @@
         dispatcher: &mut Dispatcher,
         ordered: Ordered,
     ) -> bool {
-        let Some(number) = self.tickets.get(&ordered.of).copied() else {
+        let Some(number) = self.tickets.get(&ordered.judged).copied() else {
             return true;
         };
         let Some(s) = self.statements.get_mut(&number) else {
@@ -291,7 +268,7 @@
         dispatcher: &mut Dispatcher,
         ordered: Ordered,
     ) -> bool {
-        let Some(number) = self.tickets.get(&ordered.of).copied() else {
+        let Some(number) = self.tickets.get(&ordered.judged).copied() else {
             return true;
         };
         let at = self.moment(now);
@@ -331,11 +308,15 @@
             Ending::Withdrawn,
             None,
         );
-        self.rulings.push(Ruling::End {
-            ticket: s.ticket,
-            ran: s.ran,
-            again: closed || limited,
-        });
+        let ruling = if s.ran {
+            Ruling::Abort(s.ticket)
+        } else {
+            Ruling::Reject {
+                ticket: s.ticket,
+                may_retry: closed || limited,
+            }
+        };
+        self.rulings.push(ruling);
         false
     }
 
@@ -357,29 +338,25 @@
         }
     }
 
-    /// When it is next to be looked at.
+    /// When `tick` is next due, in Unix microseconds.
     pub fn due(&self, now: Micros) -> Micros {
+        if !self.rulings.is_empty() {
+            return now;
+        }
         let steady = self.steady.elapsed().as_micros() as Micros;
         let ledger = self.alone.as_ref().map_or(Micros::MAX, Ledger::due);
-        let next = self
-            .access
-            .due(steady)
-            .min(ledger)
-            .min(self.next_log)
-            .max(steady);
+        let next = self.access.due(steady).min(ledger).min(self.next_log);
+        let wait = next.max(steady).saturating_sub(steady);
+        let next = now.saturating_add(wait);
         let holds = self.statements.values().any(|s| !s.held.is_empty());
-        let holds = if holds { self.next_report } else { Micros::MAX };
-        let rulings = if self.rulings.is_empty() {
-            Micros::MAX
+        if holds {
+            next.min(self.next_report)
         } else {
-            now
-        };
-        now.saturating_add(next.saturating_sub(steady))
-            .min(holds)
-            .min(rulings)
+            next
+        }
     }
 
-    /// Does what is due: what becomes of statements.
+    /// Does what is due; returns what becomes of statements.
     pub fn tick(
         &mut self,
         now: Micros,
@@ -396,51 +373,53 @@
         loop {
             let out = self.access.take();
             self.take(at, &out);
-            let mut done = Vec::new();
-            match &mut self.alone {
-                Some(ledger) => {
-                    out.ledger_requests
-                        .into_iter()
-                        .for_each(|ask| ledger.ask(at, ask));
-                    ledger.tick(at);
-                    let told = ledger.take_output();
-                    // Nothing is kept, and nobody else hears: what it saves is lasting as far as it goes.
-                    told.saves
-                        .iter()
-                        .for_each(|save| ledger.saved(at, save.number, true));
-                    done.extend(told.done);
-                    done.extend(ledger.take_output().done);
-                }
-                None => {
-                    let Some(peers) = &mut peers else { break };
-                    out.ledger_requests
-                        .into_iter()
-                        .for_each(|ask| peers.ask(now, ask));
-                    done.extend(peers.ledger_answers(ASK_NUMBERS));
-                }
-            }
-            if done.is_empty() {
+            let answers = self.ask_ledger(now, at, out.ledger_requests, peers.as_deref_mut());
+            if answers.is_empty() {
                 break;
             }
-            done.into_iter().for_each(|done| _ = self.done(now, done));
-        }
-        if self.next_report <= now {
-            self.next_report = now + REPORT_INTERVAL;
-            for held in self.statements.values().flat_map(|s| &s.held) {
-                dispatcher.execution_held(now, held.ticket, held.execution);
+            for answer in answers {
+                self.access.on_ledger_answer(self.moment(now), answer);
             }
         }
+        self.report_held(now, dispatcher);
         let rulings = std::mem::take(&mut self.rulings);
         for ruling in &rulings {
-            if let Ruling::Go(ordered) = ruling {
+            if let Ruling::Send(ordered) = ruling {
                 dispatcher.execution_sent(now, ordered.ticket, ordered.execution);
             }
         }
         rulings
     }
 
-    fn done(&mut self, now: Micros, done: ledger::Done) -> bool {
-        self.access.on_ledger_answer(self.moment(now), done)
+    /// Asks this front's own ledger or the fleet's, and takes the answers there are.
+    fn ask_ledger(
+        &mut self,
+        now: Micros,
+        at: Moment,
+        asks: Vec<ledger::Ask>,
+        peers: Option<&mut Peers>,
+    ) -> Vec<ledger::Done> {
+        if let Some(ledger) = &mut self.alone {
+            return ask_own_ledger(ledger, at, asks);
+        }
+        let Some(peers) = peers else {
+            return Vec::new();
+        };
+        for ask in asks {
+            peers.ask(now, ask);
+        }
+        peers.ledger_answers(ASK_NUMBERS)
+    }
+
+    /// Reports to the dispatcher, now and then, that what is held here still is.
+    fn report_held(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
+        if self.next_report > now {
+            return;
+        }
+        self.next_report = now + REPORT_INTERVAL;
+        for held in self.statements.values().flat_map(|s| &s.held) {
+            dispatcher.execution_held(now, held.ticket, held.execution);
+        }
     }
 
     fn take(&mut self, at: Moment, out: &access::Output) {
@@ -450,30 +429,26 @@
                 continue;
             };
             s.waits = false;
-            match s.denied {
-                true => self.rulings.push(Ruling::Deny(s.ticket)),
-                false => self.rulings.extend(s.held.drain(..).map(Ruling::Go)),
+            if s.denied {
+                self.rulings.push(Ruling::Deny(s.ticket));
+            } else {
+                self.rulings.extend(s.held.drain(..).map(Ruling::Send));
             }
         }
         for number in &out.over_limit {
             let Some(s) = self.statements.get(number) else {
                 continue;
             };
-            self.rulings.push(Ruling::End {
+            self.rulings.push(Ruling::Reject {
                 ticket: s.ticket,
-                ran: false,
-                again: true,
+                may_retry: true,
             });
         }
         for number in &out.revoked {
             let Some(s) = self.statements.get(number) else {
                 continue;
             };
-            self.rulings.push(Ruling::End {
-                ticket: s.ticket,
-                ran: true,
-                again: false,
-            });
+            self.rulings.push(Ruling::Abort(s.ticket));
         }
         if self.ended != self.access.revoked_count {
             let more = self.access.revoked_count - self.ended;
@@ -489,6 +464,40 @@
     }
 }
 
+/// The ledger of a front without others.
+fn own_ledger(own: Owner) -> Result<Ledger, RulesError> {
+    let member = Member {
+        front: own.front,
+        zone: String::new(),
+    };
+    let disk = own.incarnation | 1;
+    let setup = ledger::Setup {
+        copies: 1,
+        shards: 1,
+        ..ledger::Setup::new("alone", own.front, own.incarnation, disk, vec![member])
+    };
+    let at = Moment {
+        steady: 0,
+        wall_ms: own.incarnation,
+    };
+    Ok(Ledger::new(at, setup, None)?)
+}
+
+fn ask_own_ledger(ledger: &mut Ledger, at: Moment, asks: Vec<ledger::Ask>) -> Vec<ledger::Done> {
+    for ask in asks {
+        ledger.ask(at, ask);
+    }
+    ledger.tick(at);
+    let output = ledger.take_output();
+    // Nothing is kept, and nobody else hears: what it saves is lasting as far as it goes.
+    for save in &output.saves {
+        ledger.saved(at, save.number, true);
+    }
+    let mut answers = output.done;
+    answers.extend(ledger.take_output().done);
+    answers
+}
+
 /// The number of an execution for `hallmux_access`; executions of different parts of a statement have different ones.
 fn place_of(sent: ExecutionId) -> u64 {
     u64::from(sent.ticket) << 16 | sent.number as u64 & 0xffff
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -16,6 +16,7 @@
 mod logger;
 mod machine_clock;
 mod postgres;
+mod refusal;
 mod reuse;
 mod scatter;
 mod shutdown;
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -22,6 +22,7 @@
 use crate::execution::ExecutionId;
 use crate::fleet::rules::Shared;
 use crate::listener::Listener;
+use crate::refusal::Refusal;
 use crate::transient;
 
 /// What admission of a unit depends on beyond its session.
@@ -309,17 +310,11 @@
     }
 
     /// The module turns a statement away, or ends it.
-    pub fn refuse(
-        &mut self,
-        now: Micros,
-        ticket: Ticket,
-        rejects: bool,
-        retry_after: Option<Micros>,
-    ) {
+    pub fn refuse(&mut self, now: Micros, ticket: Ticket, refusal: Refusal) {
         let Some((_, open_session)) = self.sessions.by_ticket(ticket) else {
             return;
         };
-        let why = final_answer(open_session, rejects, retry_after);
+        let why = final_answer(open_session, refusal);
         self.sessions.fail(now, ticket, &why, None);
     }
 
@@ -435,7 +430,7 @@
                 let over = dispatcher.report(now, ticket, execution, ending, None);
                 if over || cancelled {
                     // One whose client has asked for its end is not tried again.
-                    self.refuse(now, ticket, false, None);
+                    self.refuse(now, ticket, Refusal::Aborted);
                     dispatcher.client_left(now, ticket);
                 }
             }
--- a/crates/front/src/postgres/gateway/admission.rs
+++ b/crates/front/src/postgres/gateway/admission.rs
@@ -13,6 +13,7 @@
 use super::{loads, AdmissionState, Gateway};
 use crate::postgres::servers::SessionId;
 use crate::postgres::sessions;
+use crate::refusal::Refusal;
 
 const MOST_FIGURE: f64 = 1e12; // of an estimate, in any unit; beyond all that engines could do
 
@@ -190,15 +191,11 @@
 }
 
 /// The answer to a unit that the module has given up on, or that ended once its answer had begun.
-pub(super) fn final_answer(
-    open_session: &sessions::OpenSession,
-    rejects: bool,
-    retry_after: Option<Micros>,
-) -> ClientError {
+pub(super) fn final_answer(open_session: &sessions::OpenSession, refusal: Refusal) -> ClientError {
     let Some(running) = &open_session.running else {
         return ClientError::ResultLost;
     };
-    let held = open_session.session.transaction != Transaction::None;
+    let in_transaction = open_session.session.transaction != Transaction::None;
     if running.commits && running.ran {
         return ClientError::Unresolved;
     }
@@ -208,19 +205,21 @@
     if running.time_up {
         return ClientError::StatementTimeout;
     }
-    match (held, rejects) {
-        (true, true) if open_session.pin.is_some() => ClientError::RolledBack {
-            why: "its statement was turned away",
-        },
-        (true, _) => ClientError::RolledBack {
+    match refusal {
+        Refusal::Rejected { .. } if in_transaction && open_session.pin.is_some() => {
+            ClientError::RolledBack {
+                why: "its statement was turned away",
+            }
+        }
+        _ if in_transaction => ClientError::RolledBack {
             why: "its engine drains or was lost",
         },
-        (false, true) => ClientError::Rejected {
+        Refusal::Rejected { retry_after } => ClientError::Rejected {
             retry_after_ms: retry_after.map(|time| time / 1000),
         },
-        (false, false) if running.begun => ClientError::ResultLost,
-        (false, false) if running.ran => ClientError::Unresolved,
-        (false, false) => ClientError::Rejected {
+        Refusal::Aborted if running.begun => ClientError::ResultLost,
+        Refusal::Aborted if running.ran => ClientError::Unresolved,
+        Refusal::Aborted => ClientError::Rejected {
             retry_after_ms: None,
         },
     }
