--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -20,6 +20,7 @@
 use crate::dial_pacer::{self, DialPacer};
 use crate::events::LoopEvents;
 use crate::execution::ExecutionId;
+use crate::listed_engine::ListedEngine;
 use crate::reuse::Reuse;
 use cancels::AwaitingCancel;
 use connection::{ConnectionId, EngineConnection};
@@ -65,6 +66,13 @@
     failing: bool,
 }
 
+impl Engine {
+    /// Whether the list still means this engine.
+    fn is(&self, listed: &ListedEngine) -> bool {
+        self.id == listed.id && self.at == listed.address && self.started == listed.started_ms
+    }
+}
+
 /// All engines of the list, the connections to them and the executions on these.
 pub struct Engines {
     handle: LoopHandle<'static, LoopEvents>,
@@ -128,31 +136,25 @@
         });
     }
 
-    /// An engine of the list: where it is, and whether anything may still be sent to it.
-    pub fn list(&mut self, place: Place, id: &str, at: SocketAddr, started: f64, up: bool) {
+    /// An engine of the list, new or changed. One at another address or start is another: nothing more is sent over
+    /// the connections to the former.
+    pub fn list(&mut self, place: Place, listed: ListedEngine) {
         let known = self.engines.get(&place);
-        let same = known.is_some_and(|e| e.id == id && e.at == at && e.started == started);
-        let failing = same && known.is_some_and(|e| e.failing);
-        if !same || !up {
+        let known = known.filter(|engine| engine.is(&listed));
+        let failing = known.is_some_and(|engine| engine.failing);
+        if known.is_none() || !listed.available {
             self.retire(place);
         }
-        let connections = self
-            .engines
-            .remove(&place)
-            .map(|e| e.connections)
-            .unwrap_or_default();
-        let id = id.to_string();
-        self.engines.insert(
-            place,
-            Engine {
-                id,
-                at,
-                started,
-                available: up,
-                connections,
-                failing,
-            },
-        );
+        let former = self.engines.remove(&place);
+        let engine = Engine {
+            id: listed.id.to_string(),
+            at: listed.address,
+            started: listed.started_ms,
+            available: listed.available,
+            connections: former.map(|engine| engine.connections).unwrap_or_default(),
+            failing,
+        };
+        self.engines.insert(place, engine);
     }
 
     /// A whole list has come: engines that it does not name are gone.
--- a/crates/front/src/engines/capacity_tests.rs
+++ b/crates/front/src/engines/capacity_tests.rs
@@ -7,6 +7,7 @@
 use hallmux_native_codec::statement::Call;
 
 use super::*;
+use crate::engines::tests::listed;
 use crate::engines::Event;
 use crate::events::LoopEvents;
 use crate::execution::ExecutionId;
@@ -28,7 +29,7 @@
     let mut dials = ConnectionPacer::new(true, 0, 0);
     dials.pace(0, 1.0);
     engines.dials.replace(dials);
-    engines.list(0, "a", listener.local_addr().unwrap(), 0.0, true);
+    engines.list(0, listed(listener.local_addr().unwrap()));
     let send = |engines: &mut Engines, now: Micros, ticket: Ticket| {
         let call = Rc::new(Call {
             id: ticket.to_string(),
--- a/crates/front/src/engines/engines_tests.rs
+++ b/crates/front/src/engines/engines_tests.rs
@@ -18,6 +18,16 @@
 const RECEIVE_BUFFER: usize = 4 << 10; // bytes asked for at an engine: little that it leaves unread fits
 const DIAL_TIMEOUT: Micros = 250_000;
 
+/// An engine that is there.
+pub(super) fn listed(address: SocketAddr) -> ListedEngine<'static> {
+    ListedEngine {
+        id: "a",
+        address,
+        started_ms: 0.0,
+        available: true,
+    }
+}
+
 #[test]
 fn what_is_given_up_ends_once_its_engine_has_read_so() {
     let event_loop: calloop::EventLoop<'static, LoopEvents> =
@@ -29,7 +39,7 @@
         ..NetworkSettings::default()
     };
     let mut engines = Engines::new(event_loop.handle(), allowance, &Names::default());
-    engines.list(0, "a", listener.local_addr().unwrap(), 0.0, true);
+    engines.list(0, listed(listener.local_addr().unwrap()));
     let call = Rc::new(Call {
         id: "1".into(),
         workload: "lookup".into(),
@@ -124,7 +134,7 @@
         ..NetworkSettings::default()
     };
     let mut engines = Engines::new(event_loop.handle(), allowance, &Names::default());
-    engines.list(0, "a", listener.local_addr().unwrap(), 0.0, true);
+    engines.list(0, listed(listener.local_addr().unwrap()));
     let call = Rc::new(Call {
         id: "1".into(),
         workload: "lookup".into(),
@@ -192,7 +202,7 @@
             ..NetworkSettings::default()
         };
         let mut engines = Engines::new(events.handle(), allowance, &Names::default());
-        engines.list(0, "a", listener.local_addr().unwrap(), 0.0, true);
+        engines.list(0, listed(listener.local_addr().unwrap()));
         sends(&mut engines, 1, b"select 1".to_vec());
         let peer = listener.accept().unwrap().0;
         let begun = Instant::now();
--- a/crates/front/src/event_loop/engine_list.rs
+++ b/crates/front/src/event_loop/engine_list.rs
@@ -3,11 +3,42 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-use hallmux_dispatcher::{ListScope, Listing, Micros, Mode as EngineMode, Protocol};
+use hallmux_dispatcher::{ListScope, Listing, Micros, Mode as EngineMode, Place, Protocol};
 use hallmux_native_codec::coordinator::{Engine, EngineList, EngineState, Events};
 
 use super::EventLoopState;
 use crate::engine_starts::ListMoment;
+use crate::listed_engine::ListedEngine;
+
+/// The protocols that engines of a kind speak.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum EngineProtocols {
+    Lines,
+    /// PostgreSQL alone, at the port of the list.
+    Postgres,
+    /// Lines at the port of the list, PostgreSQL at another.
+    Both {
+        postgres_port: u16,
+    },
+}
+
+impl EngineProtocols {
+    fn lines(self) -> bool {
+        self != EngineProtocols::Postgres
+    }
+
+    fn postgres(self) -> bool {
+        self != EngineProtocols::Lines
+    }
+
+    /// Where an engine of the list takes PostgreSQL sessions.
+    fn postgres_address(self, mut listed: SocketAddr) -> SocketAddr {
+        if let EngineProtocols::Both { postgres_port } = self {
+            listed.set_port(postgres_port);
+        }
+        listed
+    }
+}
 
 impl EventLoopState {
     /// Takes in the coordinator's events that come after the one given.
@@ -17,65 +48,80 @@
             wall_lead: self.clock.wall_lead(),
         };
         for update in stream.updates.iter().filter(|u| u.index > after) {
-            let Some(list) = &update.list else { continue };
-            let starts = self.starts(list, moment);
-            let gateway = self.gateway.as_ref();
-            let speaks = |e: &Engine| gateway.and_then(|gateway| gateway.port(&e.kind));
-            let started = list.engines.iter().zip(&starts);
-            let listings: Vec<Listing> = started
-                .map(|(e, start)| listing(e, speaks(e), *start))
-                .collect();
-            let scope = if list.is_full {
-                ListScope::Full
-            } else {
-                ListScope::Changes
-            };
-            let places = self.dispatcher.update_engines(scope, &listings);
-            if list.is_full {
-                self.engines.retire_others(&places);
-                self.gateway
-                    .iter_mut()
-                    .for_each(|gateway| gateway.servers().retire_others(&places));
+            if let Some(list) = &update.list {
+                self.apply_update(list, moment);
             }
-            for ((engine, place), start) in list.engines.iter().zip(places).zip(starts) {
-                let Engine {
-                    id,
-                    address,
-                    kind,
-                    state,
-                    ..
-                } = engine;
-                let age = start.map_or(String::new(), |at| {
-                    format!(", started {} ms ago", (moment.now - at) / 1000)
-                });
-                log::info!("engine {id}: {state:?} at {address} ({kind}){age}");
-                let sessions = self.gateway.as_ref().and_then(|gateway| gateway.port(kind));
-                let up = *state == EngineState::Up;
-                if let Some((gateway, port)) = self.gateway.as_mut().zip(sessions) {
-                    match address.parse::<SocketAddr>() {
-                        Ok(mut at) => {
-                            at.set_port(port.unwrap_or(at.port()));
-                            gateway.servers().list(place, id, at, engine.started_ms, up);
-                        }
-                        Err(_) => gateway.servers().retire(place),
-                    }
-                }
-                if sessions == Some(None) {
-                    continue;
-                }
-                match address.parse() {
-                    Ok(at) => self.engines.list(
-                        place,
-                        id,
-                        at,
-                        engine.started_ms,
-                        *state == EngineState::Up,
-                    ),
-                    Err(_) if *state != EngineState::Up => self.engines.retire(place),
-                    Err(e) => log::error!("engine {id}: address '{address}': {e}"),
+        }
+    }
+
+    fn apply_update(&mut self, list: &EngineList, moment: ListMoment) {
+        let starts = self.starts(list, moment);
+        let listings: Vec<Listing> = list
+            .engines
+            .iter()
+            .zip(&starts)
+            .map(|(engine, start)| listing(engine, self.protocols(&engine.kind), *start))
+            .collect();
+        let scope = if list.is_full {
+            ListScope::Full
+        } else {
+            ListScope::Changes
+        };
+        let places = self.dispatcher.update_engines(scope, &listings);
+        if list.is_full {
+            self.engines.retire_others(&places);
+            if let Some(gateway) = &mut self.gateway {
+                gateway.servers().retire_others(&places);
+            }
+        }
+        for ((engine, place), start) in list.engines.iter().zip(places).zip(starts) {
+            log_listed(engine, start.map(|at| moment.now - at));
+            self.update_connections(engine, place);
+        }
+    }
+
+    /// What engines of a kind speak.
+    fn protocols(&self, kind: &str) -> EngineProtocols {
+        let gateway = self.gateway.as_ref();
+        match gateway.and_then(|gateway| gateway.port(kind)) {
+            None => EngineProtocols::Lines,
+            Some(None) => EngineProtocols::Postgres,
+            Some(Some(postgres_port)) => EngineProtocols::Both { postgres_port },
+        }
+    }
+
+    /// The connections of each protocol go by the list: to where the engine is, or nowhere.
+    fn update_connections(&mut self, engine: &Engine, place: Place) {
+        let protocols = self.protocols(&engine.kind);
+        let address = engine.address.parse::<SocketAddr>();
+        let available = engine.state == EngineState::Up;
+        let listed = |address: SocketAddr| ListedEngine {
+            id: &engine.id,
+            address,
+            started_ms: engine.started_ms,
+            available,
+        };
+        if let Some(gateway) = self.gateway.as_mut().filter(|_| protocols.postgres()) {
+            match &address {
+                Ok(address) => {
+                    let address = protocols.postgres_address(*address);
+                    gateway.servers().list(place, listed(address));
                 }
+                Err(_) => gateway.servers().retire(place),
             }
         }
+        if !protocols.lines() {
+            return;
+        }
+        match address {
+            Ok(address) => self.engines.list(place, listed(address)),
+            Err(_) if !available => self.engines.retire(place),
+            Err(error) => log::error!(
+                "engine {}: address '{}': {error}",
+                engine.id,
+                engine.address
+            ),
+        }
     }
 
     /// When the engines of a list started, on the front's clock.
@@ -96,8 +142,21 @@
     }
 }
 
-/// A line of the list; `sessions` tells whether it takes PostgreSQL sessions, and at which port beside lines.
-fn listing(engine: &Engine, sessions: Option<Option<u16>>, started: Option<Micros>) -> Listing<'_> {
+fn log_listed(engine: &Engine, age: Option<Micros>) {
+    let Engine {
+        id,
+        address,
+        kind,
+        state,
+        ..
+    } = engine;
+    let age = age.map_or(String::new(), |age| {
+        format!(", started {} ms ago", age / 1000)
+    });
+    log::info!("engine {id}: {state:?} at {address} ({kind}){age}");
+}
+
+fn listing(engine: &Engine, protocols: EngineProtocols, started: Option<Micros>) -> Listing<'_> {
     Listing {
         id: &engine.id,
         location: &engine.location,
@@ -109,10 +168,10 @@
             EngineState::Removed => EngineMode::Gone,
         },
         started,
-        protocols: match sessions {
-            None => &[Protocol::Lines],
-            Some(None) => &[Protocol::Postgres],
-            Some(Some(_)) => &[Protocol::Lines, Protocol::Postgres],
+        protocols: match protocols {
+            EngineProtocols::Lines => &[Protocol::Lines],
+            EngineProtocols::Postgres => &[Protocol::Postgres],
+            EngineProtocols::Both { .. } => &[Protocol::Lines, Protocol::Postgres],
         },
     }
 }
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -12,6 +12,7 @@
 mod fleet;
 mod lingering;
 mod link;
+mod listed_engine;
 mod listener;
 mod logger;
 mod machine_clock;
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -20,6 +20,7 @@
 use crate::events::LoopEvents;
 use crate::execution::ExecutionId;
 use crate::link::Link;
+use crate::listed_engine::ListedEngine;
 
 const CHECK_INTERVAL: Micros = 100_000; // microseconds between looks at connections that have rested for long
 const MOST_ACCOUNTS: usize = 1_000; // accounts at the engines, by user and database; beyond them none come in
@@ -222,7 +223,13 @@
     }
 
     /// An engine of the list: where it is, and whether anything may still be sent to it.
-    pub fn list(&mut self, place: Place, id: &str, at: SocketAddr, started: f64, up: bool) {
+    pub fn list(&mut self, place: Place, listed: ListedEngine) {
+        let ListedEngine {
+            id,
+            address: at,
+            started_ms: started,
+            available: up,
+        } = listed;
         let known = self.engines.get(&place);
         let same = known.is_some_and(|e| e.id == id && e.at == at && e.started == started);
         let failing = same && known.is_some_and(|e| e.failing);
--- a/crates/front/src/postgres/servers_tests.rs
+++ b/crates/front/src/postgres/servers_tests.rs
@@ -53,7 +53,7 @@
             connection_age: 60_000_000,
         };
         let mut servers = Servers::new(events.handle(), allowance, limits);
-        servers.list(PLACE, "a", engine, 0.0, true);
+        servers.list(PLACE, listed(engine, true));
         Driven { events, servers }
     }
 
@@ -211,6 +211,16 @@
     number: 0,
 };
 
+/// An engine of the list.
+fn listed(address: SocketAddr, available: bool) -> ListedEngine<'static> {
+    ListedEngine {
+        id: "a",
+        address,
+        started_ms: 0.0,
+        available,
+    }
+}
+
 #[test]
 fn a_connection_that_came_up_while_the_front_stood_still_is_not_given_up() {
     let (engine, at) = listener();
@@ -314,7 +324,7 @@
     driven.hears(0, &mut link, b"search_path");
     let left = |event: &Event| matches!(event, Event::Irrevocable(_));
     assert!(!driven.servers.events.iter().any(left));
-    driven.servers.list(PLACE, "a", at, 0.0, false);
+    driven.servers.list(PLACE, listed(at, false));
     assert_eq!(driven.ended(), [(FIRST, Ending::Withdrawn)]);
     let heard = driven.hears(0, &mut link, b"");
     assert!(
