--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -79,6 +79,7 @@
 }
 
 impl Clients {
+    /// `retry_after` goes with rejections; `longest_timeout` is how long any client waits, in microseconds.
     pub fn new(retry_after: Option<Micros>, longest_timeout: Micros) -> Self {
         let retry_after_ms = retry_after.map(|time| time / 1000);
         Clients {
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -13,6 +13,7 @@
 const COMPARE_INTERVAL: Micros = 100_000; // microseconds between looks for steps of the wall clock, for the log
 const ON_TIME: Micros = 50_000; // microseconds late that count as on time; less than an answer's slack
 
+/// The time of the current iteration, and how late the iteration is.
 #[derive(Default)]
 pub struct Clock {
     /// How much more it reads than its source: for tests of clocks that are apart.
--- a/crates/front/src/event_loop.rs
+++ b/crates/front/src/event_loop.rs
@@ -29,16 +29,24 @@
 use crate::scatter::ScatteredStatements;
 use crate::shutdown::Shutdown;
 
-const MOST_DECISIONS: usize = 8; // decisions in an iteration: an execution that the first one stops is known to the next at once
+/// Decisions in an iteration: an execution that the first one stops is known to the next at once.
+const MOST_DECISIONS: usize = 8;
 
+/// All that the event loop works on: the connections of each kind, the dispatcher, and the parts that the operator's file
+/// switches on.
 pub struct EventLoopState {
     handle: LoopHandle<'static, LoopEvents>,
     listener: Listener,
     dispatcher: Dispatcher,
+    /// Microseconds that an answer may take on its way to a client.
     answer_slack: Micros,
+    /// Statements held at most.
     max_statements: usize,
+    /// Bytes of statements held at most, and of untaken answers.
     max_bytes: usize,
+    /// Connections of clients and sessions at most.
     max_clients: usize,
+    /// Statements were rejected for want of memory when the last one came; that has been logged.
     memory_full: bool,
     clients: Clients,
     engines: Engines,
--- a/crates/front/src/event_loop/admission.rs
+++ b/crates/front/src/event_loop/admission.rs
@@ -266,27 +266,21 @@
         }
         match picked {
             Ok(ticket) => self.clients.open(client, number, ticket, call),
-            Err(InvalidRequest::NoAllowedLocation) => {
-                self.clients.reply(
-                    client,
-                    number,
-                    &Reply::Rejected {
-                        retry_after_ms: None,
-                    },
-                );
-            }
-            Err(InvalidRequest::UnknownWorkload) => {
-                self.clients
-                    .answer_unusable(client, number, statement::WORKLOAD)
-            }
-            Err(InvalidRequest::MissingDedupKey) => {
-                self.clients
-                    .answer_unusable(client, number, statement::DEDUP_KEY)
-            }
-            Err(InvalidRequest::UnknownCustomer) => {
-                self.clients
-                    .answer_unusable(client, number, statement::CUSTOMER)
-            }
+            Err(invalid) => self.answer_invalid(client, number, invalid),
         }
     }
+
+    fn answer_invalid(&mut self, client: ClientId, number: i32, invalid: InvalidRequest) {
+        let field = match invalid {
+            InvalidRequest::NoAllowedLocation => {
+                let retry_after_ms = None;
+                let reply = Reply::Rejected { retry_after_ms };
+                return self.clients.reply(client, number, &reply);
+            }
+            InvalidRequest::UnknownWorkload => statement::WORKLOAD,
+            InvalidRequest::MissingDedupKey => statement::DEDUP_KEY,
+            InvalidRequest::UnknownCustomer => statement::CUSTOMER,
+        };
+        self.clients.answer_unusable(client, number, field);
+    }
 }
--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use hallmux_dispatcher::{Command, Ending, Micros, RejectCause, Ticket};
+use hallmux_dispatcher::{Command, Ending, Micros, Place, RejectCause, Ticket};
 use hallmux_fleet::gate;
 use hallmux_native_codec::statement::{Call, Reply};
 use hallmux_scatter::gather::PartFailure;
@@ -329,29 +329,22 @@
         self.clients.call(ticket).or_else(part)
     }
 
-    pub(super) fn carry_out(&mut self, order: Command) {
+    /// Carries out what the dispatcher has decided.
+    pub(super) fn carry_out(&mut self, command: Command) {
         let now = self.clock.now;
-        match order {
+        match command {
             Command::Send {
                 ticket,
                 execution,
                 place,
                 terms,
-            } => {
-                let ordered = Ordered {
-                    judged: self.statement_for_rules(ticket),
-                    ticket,
-                    execution,
-                    place,
-                    terms,
-                };
-                let dispatcher = &mut self.dispatcher;
-                let goes =
-                    |rules: &Shared| rules.borrow_mut().hold_or_pass(now, dispatcher, ordered);
-                if self.rules.as_ref().is_none_or(goes) {
-                    self.await_promises(ordered);
-                }
-            }
+            } => self.send_when_allowed(Ordered {
+                judged: self.statement_for_rules(ticket),
+                ticket,
+                execution,
+                place,
+                terms,
+            }),
             Command::Cancel {
                 ticket,
                 execution,
@@ -361,35 +354,52 @@
                 ticket,
                 execution,
                 priority,
-            } => {
-                self.guard
-                    .iter_mut()
-                    .for_each(|guard| guard.set_priority(ticket, priority));
-                self.engines
-                    .set_priority(ExecutionId::new(ticket, execution), priority);
-            }
-            Command::Reject {
-                ticket,
-                retry_after,
-                ..
-            } if self.end_part(ticket, Err(PartFailure::Rejected { retry_after })) => {}
-            Command::Abort { ticket, .. } if self.end_part(ticket, Err(PartFailure::Aborted)) => {}
+            } => self.set_priority(ExecutionId::new(ticket, execution), priority),
             Command::Reject {
                 ticket,
                 retry_after,
                 cause,
-            } => self.answer_without_result(ticket, Refusal::Rejected { retry_after }, cause),
+            } => {
+                let failure = PartFailure::Rejected { retry_after };
+                if !self.end_part(ticket, Err(failure)) {
+                    self.answer_without_result(ticket, Refusal::Rejected { retry_after }, cause);
+                }
+            }
             Command::Abort { ticket, cause } => {
-                self.answer_without_result(ticket, Refusal::Aborted, cause)
+                if !self.end_part(ticket, Err(PartFailure::Aborted)) {
+                    self.answer_without_result(ticket, Refusal::Aborted, cause);
+                }
             }
-            // Between the decision and now the work may have become another's: then the probe stays here.
-            Command::Probe {
-                for_fleet: true, ..
-            } if !self.peers.as_ref().is_none_or(Peers::may_probe) => {}
+            Command::Probe { place, for_fleet } => self.probe(place, for_fleet),
             Command::SetConnectionRate { connections } => {
                 self.engines.dials.borrow_mut().pace(now, connections)
             }
-            Command::Probe { place, .. } => self.engines.probe(self.clock.now, place),
+        }
+    }
+
+    /// An execution leaves once rules, promises and marks allow it.
+    fn send_when_allowed(&mut self, ordered: Ordered) {
+        let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
+        let passes = |rules: &Shared| rules.borrow_mut().hold_or_pass(now, dispatcher, ordered);
+        if self.rules.as_ref().is_none_or(passes) {
+            self.await_promises(ordered);
+        }
+    }
+
+    /// Changes the priority of an execution, wherever it is.
+    fn set_priority(&mut self, execution_id: ExecutionId, priority: u8) {
+        if let Some(guard) = &mut self.guard {
+            guard.set_priority(execution_id.ticket, priority);
+        }
+        self.engines.set_priority(execution_id, priority);
+    }
+
+    /// Sends a health check to an engine. One on behalf of the fleet stays here if that work has become another front's
+    /// between the decision and now.
+    fn probe(&mut self, place: Place, for_fleet: bool) {
+        let may_probe = self.peers.as_ref().is_none_or(Peers::may_probe);
+        if may_probe || !for_fleet {
+            self.engines.probe(self.clock.now, place);
         }
     }
 }
--- a/crates/front/src/execution.rs
+++ b/crates/front/src/execution.rs
@@ -10,6 +10,7 @@
 }
 
 impl ExecutionId {
+    /// The execution of this number of a statement.
     pub fn new(ticket: Ticket, number: usize) -> ExecutionId {
         ExecutionId { ticket, number }
     }
--- a/crates/front/src/fleet/copies.rs
+++ b/crates/front/src/fleet/copies.rs
@@ -52,6 +52,7 @@
     pub saved: Option<Saved>,
 }
 
+/// The thread that writes copies, as the event loop sees it.
 pub struct Copies {
     writes: SyncSender<Write>,
     /// Numbers of the writes that are durable, or have failed.
--- a/crates/front/src/fleet/errors.rs
+++ b/crates/front/src/fleet/errors.rs
@@ -26,6 +26,7 @@
 }
 
 impl PeersError {
+    /// An error of the operating system.
     pub fn system(why: impl std::fmt::Display) -> PeersError {
         PeersError::System(why.to_string())
     }
--- a/crates/front/src/fleet/faulty_disk.rs
+++ b/crates/front/src/fleet/faulty_disk.rs
@@ -27,6 +27,7 @@
     })
 }
 
+/// A file whose reads, writes and syncs fail as a test asks.
 #[derive(Debug)]
 pub struct FaultyDisk {
     file: FileBackend,
--- a/crates/front/src/fleet/gate.rs
+++ b/crates/front/src/fleet/gate.rs
@@ -24,6 +24,7 @@
     }
 }
 
+/// The gate, and what was logged of it.
 pub struct Guard {
     guard: gate::Guard,
     last_log: Micros,
@@ -77,6 +78,7 @@
         )
     }
 
+    /// Changes the priority that a held execution leaves with.
     pub fn set_priority(&mut self, ticket: Ticket, priority: u8) {
         self.guard.set_priority(ticket, priority);
     }
--- a/crates/front/src/fleet/mod.rs
+++ b/crates/front/src/fleet/mod.rs
@@ -9,6 +9,7 @@
 mod join;
 mod members;
 mod peers;
+/// Regional access rules of customers.
 pub mod rules;
 mod votes;
 
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -44,6 +44,7 @@
 }
 
 impl Ordered {
+    /// Which execution it is.
     pub fn id(&self) -> ExecutionId {
         ExecutionId::new(self.ticket, self.execution)
     }
@@ -69,6 +70,7 @@
     held: Vec<Ordered>,
 }
 
+/// The access rules, and the statements that they have judged.
 pub struct Rules {
     access: Access,
     /// A front without others keeps its promises alone.
@@ -273,13 +275,8 @@
         };
         let at = self.moment(now);
         let location = dispatcher.site(ordered.place).location;
-        let location = self
-            .access
-            .known()
-            .locations
-            .get(location)
-            .cloned()
-            .unwrap_or_default();
+        let names = &self.access.known().locations;
+        let location = names.get(location).cloned().unwrap_or_default();
         let may = self
             .access
             .may_send(at, number, place_of(ordered.id()), &location);
@@ -292,15 +289,12 @@
             s.ran = true;
             return true;
         }
-        log::info!(
-            "statement {}: may not leave for {location} {}",
-            s.ticket,
-            match (closed, limited) {
-                (true, _) => "while this front cannot know what holds",
-                (_, true) => "beyond a rule's limit",
-                _ => "by the version that holds",
-            }
-        );
+        let why = match (closed, limited) {
+            (true, _) => "while this front cannot know what holds",
+            (_, true) => "beyond a rule's limit",
+            _ => "by the version that holds",
+        };
+        log::info!("statement {}: may not leave for {location} {why}", s.ticket);
         dispatcher.report(
             now,
             ordered.ticket,
--- a/crates/front/src/fleet/votes.rs
+++ b/crates/front/src/fleet/votes.rs
@@ -5,7 +5,7 @@
 use std::io::{ErrorKind, Write};
 use std::net::UdpSocket;
 use std::path::{Path, PathBuf};
-use std::sync::mpsc::{sync_channel, SyncSender, TrySendError};
+use std::sync::mpsc::{sync_channel, Receiver, SyncSender, TrySendError};
 
 use hallmux_fleet::VoterSave;
 
@@ -14,6 +14,7 @@
 const QUEUE_LENGTH: usize = 1_024; // writes that wait for the disk: some ten seconds' worth
 const FILE: &str = "votes";
 
+/// The votes of a voter, made durable by a thread.
 pub struct Votes {
     writes: SyncSender<VoterSave>,
     /// A write was lost: no message of the voter may leave any more until the front restarts.
@@ -55,21 +56,7 @@
         let (writes, to_write) = sync_channel::<VoterSave>(QUEUE_LENGTH);
         std::thread::Builder::new()
             .name("votes".to_string())
-            .spawn(move || {
-                for VoterSave { bytes, datagrams } in to_write {
-                    if let Err(e) = bytes.map_or(Ok(()), |bytes| write(&directory, &bytes)) {
-                        log::error!(
-                            "{}: {e}; this front votes no more in this life",
-                            directory.display()
-                        );
-                        return;
-                    }
-                    // What does not go out is as if it were lost on the way.
-                    datagrams
-                        .iter()
-                        .for_each(|d| _ = socket.send_to(&d.bytes, d.to));
-                }
-            })
+            .spawn(move || write_all(&directory, &to_write, &socket))
             .map_err(VotesError::Thread)?;
         Ok((
             Votes {
@@ -97,6 +84,24 @@
     }
 }
 
+/// Makes each vote durable, then sends what waited for it. Ends with the first write that fails: no message of the
+/// voter may leave after that.
+fn write_all(directory: &Path, writes: &Receiver<VoterSave>, socket: &UdpSocket) {
+    for VoterSave { bytes, datagrams } in writes {
+        if let Err(e) = bytes.map_or(Ok(()), |bytes| write(directory, &bytes)) {
+            log::error!(
+                "{}: {e}; this front votes no more in this life",
+                directory.display()
+            );
+            return;
+        }
+        // What does not go out is as if it were lost on the way.
+        for datagram in datagrams {
+            let _ = socket.send_to(&datagram.bytes, datagram.to);
+        }
+    }
+}
+
 /// Writes the whole beside the old and puts it in its place, each step lasting.
 fn write(directory: &Path, bytes: &[u8]) -> std::io::Result<()> {
     let beside = directory.join("votes.new");
--- a/crates/front/src/lingering.rs
+++ b/crates/front/src/lingering.rs
@@ -95,6 +95,7 @@
         oldest.is_some_and(|id| self.connections.remove(&id).is_some())
     }
 
+    /// Connections that are being closed.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -11,9 +11,14 @@
 
 use crate::events::{LoopEvents, SocketId};
 
-const READ_CHUNK: usize = 64 << 10; // bytes taken at once
-const SEND_BUFFER: usize = 64 << 10; // bytes on their way that can't be taken back: some hundred statements
-const BYTES_PER_ITERATION: usize = 256 << 10; // bytes taken from a connection before others are served
+/// Bytes taken at once.
+const READ_CHUNK: usize = 64 << 10;
+/// Bytes on their way that can't be taken back: some hundred statements.
+const SEND_BUFFER: usize = 64 << 10;
+/// Bytes taken from a connection before others are served.
+const BYTES_PER_ITERATION: usize = 256 << 10;
+/// EINPROGRESS, which the standard library has no kind for.
+const IN_PROGRESS: i32 = 115;
 
 thread_local! {
     /// What is read goes through here, so that a connection holds no more than it needs.
@@ -113,7 +118,7 @@
         })
     }
 
-    /// Begins a connection.
+    /// Begins a connection to an address; `is_up` says when it has come up.
     pub fn dial(
         to: SocketAddr,
         handle: &LoopHandle<'static, LoopEvents>,
@@ -234,8 +239,6 @@
     }
 }
 
-const IN_PROGRESS: i32 = 115; // EINPROGRESS, which the standard library has no kind for
-
 impl Drop for Link {
     fn drop(&mut self) {
         self.handle.remove(self.token);
--- a/crates/front/src/listener.rs
+++ b/crates/front/src/listener.rs
@@ -11,10 +11,14 @@
 use crate::events::{LoopEvents, SocketId};
 use crate::transient;
 
-const FIRST_BACKOFF: Micros = 1_000; // microseconds until the next try after one without capacity or descriptors,
-const LONGEST_BACKOFF: Micros = 50_000; // doubled with each that fails: statements wait unread meanwhile
-const MOST_ERRORS: usize = 64; // errors in one iteration that say that single connections were lost
+/// Microseconds until the next attempt after one without capacity or descriptors; doubled with each that fails.
+const FIRST_BACKOFF: Micros = 1_000;
+/// Microseconds between attempts at most: statements wait unread meanwhile.
+const LONGEST_BACKOFF: Micros = 50_000;
+/// Errors in one iteration that concern single connections.
+const MOST_ERRORS: usize = 64;
 
+/// A listening socket and how it is accepted from.
 pub struct Listener {
     handle: LoopHandle<'static, LoopEvents>,
     /// None once it is closed.
@@ -71,6 +75,7 @@
         self.accept_at.unwrap_or(Micros::MAX)
     }
 
+    /// Whether it listens still.
     pub fn is_open(&self) -> bool {
         self.socket.is_some()
     }
@@ -117,11 +122,8 @@
         self.failed = false;
         let mut errors = 0;
         loop {
-            match self
-                .accepted
-                .take()
-                .map_or_else(|| listener.accept().map(|(stream, _)| stream), Ok)
-            {
+            let next = || listener.accept().map(|(stream, _)| stream);
+            match self.accepted.take().map_or_else(next, Ok) {
                 Ok(stream) => match reserve() {
                     Ok(()) => {
                         self.backoff = 0;
@@ -134,8 +136,7 @@
                     }
                 },
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    (self.accept_at, self.at_capacity, self.backoff) = (None, false, 0);
-                    self.waiting_since = None;
+                    self.queue_is_empty();
                     return None;
                 }
                 Err(e) if !transient::is_shortage(&e) && errors < MOST_ERRORS => errors += 1,
@@ -148,6 +149,14 @@
         }
     }
 
+    /// The kernel has no more connections: it is asked again once it reports one.
+    fn queue_is_empty(&mut self) {
+        self.accept_at = None;
+        self.at_capacity = false;
+        self.backoff = 0;
+        self.waiting_since = None;
+    }
+
     /// Leaves connections in the queue, rather than taking what can't be served.
     fn back_off(&mut self, now: Micros, why: &str) {
         if !std::mem::replace(&mut self.at_capacity, true) {
--- a/crates/front/src/reuse.rs
+++ b/crates/front/src/reuse.rs
@@ -9,6 +9,7 @@
 const MIN_IDLE: Micros = 10_000; // microseconds of idle time after which a connection is always used again
 const GROWTH_DIVISOR: Micros = 256; // part by which the trusted idle time grows with each answer: slower than it halves
 
+/// The idle time, in microseconds, up to which connections are trusted.
 pub struct Reuse {
     agreed: Micros,
     trusted: Micros,
@@ -28,6 +29,7 @@
         self.trusted
     }
 
+    /// A connection that was used again has answered.
     pub fn answered(&mut self) {
         self.trusted = (self.trusted + self.trusted / GROWTH_DIVISOR).min(self.agreed);
     }
--- a/crates/front/src/shutdown.rs
+++ b/crates/front/src/shutdown.rs
@@ -39,6 +39,7 @@
     }
 }
 
+/// How far a graceful shutdown has come.
 #[derive(Default)]
 pub struct Shutdown {
     /// When SIGTERM came.
@@ -57,6 +58,7 @@
         }
     }
 
+    /// SIGTERM has come.
     pub fn is_requested(&self) -> bool {
         self.since.is_some()
     }
--- a/crates/front/src/test_clock.rs
+++ b/crates/front/src/test_clock.rs
@@ -19,6 +19,7 @@
 const DUE: u64 = 2 * NUMBER_SIZE;
 const ANSWERED: u64 = 3 * NUMBER_SIZE;
 
+/// A clock that a test moves through a file.
 pub struct TestClock {
     file: File,
     time: Micros,
