--- a/crates/front/src/fleet/mod.rs
+++ b/crates/front/src/fleet/mod.rs
@@ -9,9 +9,10 @@
 mod join;
 mod members;
 mod peers;
+/// Regional access rules of customers.
 pub mod rules;
 mod votes;
 
 pub use errors::{PeersError, RulesError};
 pub use gate::Guard;
-pub use peers::Peers;
+pub use peers::{LedgerFleet, PeerMessage, Peers};
