--- a/crates/gossip/src/channels.rs
+++ b/crates/gossip/src/channels.rs
@@ -10,8 +10,10 @@
 
 /// Longest payload in bytes: a datagram less the seal, the channel byte and the sender's own update.
 pub const MAX_PAYLOAD: usize = MAX_DATAGRAM - SEAL_BYTES - OVERHEAD;
-const OVERHEAD: usize = 64; // bytes: an update of an IPv6 address takes some 45, counts and channel the rest
-const MAX_WAITING: usize = 256; // messages held until `take`; more are dropped
+/// Bytes: an update with an IPv6 address takes some 45, counts and channel the rest.
+const OVERHEAD: usize = 64;
+/// Messages held until `take`; more are dropped.
+const MAX_WAITING: usize = 256;
 
 /// The subsystem that a payload is for. The discriminant is its byte on the wire: append only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -30,18 +32,30 @@
     Load,
 }
 
-/// Channels in the order of their discriminants, with the bytes a second that each may send.
-const CHANNELS: [(Channel, f64); 6] = [
-    // Bytes a second: a leader of five voters sends some 8,000, more while one is away.
-    (Channel::Lease, 24_000.0),
-    (Channel::Ledger, 600_000.0), // a shard's owner sends each promise to two others: some 1,500 a second
-    // A set of rules goes out once a change, in the ledger's messages; leases are small.
-    (Channel::Rules, 64_000.0),
-    (Channel::Summaries, 48_000.0), // whatever the fleet's size
-    (Channel::Gate, 16_000.0),      // some 300 waits a second
-    (Channel::Load, 8_000.0),       // a dozen load reports a second, each passed on four times
+/// Channels in the order of their discriminants.
+const CHANNELS: [Channel; 6] = [
+    Channel::Lease,
+    Channel::Ledger,
+    Channel::Rules,
+    Channel::Summaries,
+    Channel::Gate,
+    Channel::Load,
 ];
 
+impl Channel {
+    /// Bytes a second that a front may send on it.
+    fn rate(self) -> f64 {
+        match self {
+            Channel::Lease => 24_000.0,
+            Channel::Ledger => 600_000.0,
+            Channel::Rules => 64_000.0,
+            Channel::Summaries => 48_000.0,
+            Channel::Gate => 16_000.0,
+            Channel::Load => 8_000.0,
+        }
+    }
+}
+
 /// A message received on a channel.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChannelMessage {
@@ -64,7 +78,7 @@
 impl Mailbox {
     pub fn new() -> Mailbox {
         Mailbox {
-            tokens: CHANNELS.map(|(_, rate)| TokenBucket::new(rate)),
+            tokens: CHANNELS.map(|channel| TokenBucket::new(channel.rate())),
             inbox: Vec::new(),
         }
     }
@@ -82,7 +96,7 @@
         if payload.is_empty() {
             return true;
         }
-        let Some((channel, _)) = CHANNELS.get(usize::from(payload.remove(0))) else {
+        let Some(channel) = CHANNELS.get(usize::from(payload.remove(0))) else {
             return false;
         };
         if self.inbox.len() < MAX_WAITING {
--- a/crates/gossip/src/channels_tests.rs
+++ b/crates/gossip/src/channels_tests.rs
@@ -6,7 +6,8 @@
 fn channels_have_their_own_bytes_a_second_and_letters_for_nobody_are_refused() {
     let at = ([127, 0, 0, 1], 9).into();
     let mut mailbox = Mailbox::new();
-    for (place, (channel, rate)) in CHANNELS.into_iter().enumerate() {
+    for (place, channel) in CHANNELS.into_iter().enumerate() {
+        let rate = channel.rate();
         assert_eq!(channel as usize, place);
         assert!(
             mailbox.may_send(0, channel, rate as usize) && !mailbox.may_send(0, channel, 1),
@@ -23,5 +24,5 @@
         .into_iter()
         .map(|l| (l.channel, l.bytes))
         .collect();
-    assert_eq!(came, CHANNELS.map(|(channel, _)| (channel, vec![5])));
+    assert_eq!(came, CHANNELS.map(|channel| (channel, vec![5])));
 }
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -12,12 +12,14 @@
 /// Most sightings in a report, and most recovered engines in an act; a longer one is refused. With more
 /// engines in trouble at once, all are.
 pub const MAX_SIGHTINGS: usize = 12;
-const MAX_REPORTERS: usize = 256; // whose reports are held; the oldest report is dropped first
+/// Fronts whose reports are held; the oldest report is dropped first.
+const MAX_REPORTERS: usize = 256;
 
-struct Held {
+/// The latest report of one front.
+struct StoredReport {
     started_ms: u64,
     version: u32,
-    /// When it was made, on our clock.
+    /// When it was made, on this front's clock.
     created: Micros,
     sightings: Vec<Sighting>,
     ownership: OwnershipReport,
@@ -26,7 +28,49 @@
     sent: u32,
 }
 
-impl Held {
+/// What a sighting is about: the engine, and whether it is well.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Subject {
+    engine: u64,
+    is_well: bool,
+}
+
+impl Subject {
+    fn of(sighting: &Sighting) -> Subject {
+        let has_fault = sighting.silent_ms > 0 || sighting.failed > 0;
+        Subject {
+            engine: sighting.engine,
+            is_well: sighting.answered > 0 && !has_fault,
+        }
+    }
+}
+
+/// How often reports on each subject were passed on.
+#[derive(Default)]
+struct PassedOn(BTreeMap<Subject, u32>);
+
+impl PassedOn {
+    fn add(&mut self, report: &StoredReport, times: u32) {
+        for sighting in &report.sightings {
+            *self.0.entry(Subject::of(sighting)).or_default() += times;
+        }
+    }
+
+    /// How often the subject of a report was passed on of which least was. Reports without content come last.
+    fn least(&self, report: &StoredReport) -> u32 {
+        let subjects = report.sightings.iter().map(Subject::of);
+        let least = subjects
+            .map(|subject| self.0.get(&subject).copied().unwrap_or(0))
+            .min();
+        least.unwrap_or(if report.ownership.is_empty() {
+            u32::MAX
+        } else {
+            report.sent
+        })
+    }
+}
+
+impl StoredReport {
     fn is_current(&self, now: Micros) -> bool {
         now - self.created < EXPIRY
     }
@@ -57,7 +101,7 @@
 /// The latest report of each front.
 #[derive(Default)]
 pub struct Evidence {
-    held: BTreeMap<PeerId, Held>,
+    held: BTreeMap<PeerId, StoredReport>,
 }
 
 impl Evidence {
@@ -71,50 +115,42 @@
 
     /// Stores a report that is `age` microseconds old; false if it is not later, too long or expired.
     pub fn merge(&mut self, now: Micros, report: Report, signed: Signed, age: Micros) -> bool {
-        let recovered = report
-            .ownership
-            .act
-            .as_ref()
-            .map_or(0, |act| act.recovered.len());
-        let fits =
-            report.sightings.len() <= MAX_SIGHTINGS && recovered <= MAX_SIGHTINGS && age < EXPIRY;
-        if !fits || !self.is_later(report.reporter, report.started_ms, report.version) {
+        let act = report.ownership.act.as_ref();
+        let recovered = act.map_or(0, |act| act.recovered.len());
+        let fits = report.sightings.len() <= MAX_SIGHTINGS && recovered <= MAX_SIGHTINGS;
+        if !fits
+            || age >= EXPIRY
+            || !self.is_later(report.reporter, report.started_ms, report.version)
+        {
             return false;
         }
         if self.held.len() >= MAX_REPORTERS && !self.held.contains_key(&report.reporter) {
-            let oldest = self
-                .held
-                .iter()
-                .min_by_key(|(_, held)| held.created)
-                .map(|(reporter, _)| *reporter);
-            oldest
-                .into_iter()
-                .for_each(|reporter| _ = self.held.remove(&reporter));
+            self.drop_oldest();
         }
-        let Report {
-            reporter,
-            started_ms,
-            version,
-            sightings,
-            ownership,
-            ..
-        } = report;
-        let created = now - age;
-        self.held.insert(
-            reporter,
-            Held {
-                started_ms,
-                version,
-                created,
-                sightings,
-                ownership,
-                signed,
-                sent: 0,
-            },
-        );
+        let stored = StoredReport {
+            started_ms: report.started_ms,
+            version: report.version,
+            created: now - age,
+            sightings: report.sightings,
+            ownership: report.ownership,
+            signed,
+            sent: 0,
+        };
+        self.held.insert(report.reporter, stored);
         true
     }
 
+    fn drop_oldest(&mut self) {
+        let oldest = self
+            .held
+            .iter()
+            .min_by_key(|(_, report)| report.created)
+            .map(|(reporter, _)| *reporter);
+        if let Some(reporter) = oldest {
+            self.held.remove(&reporter);
+        }
+    }
+
     /// Drops reports some time after they expired: until then nothing older can come in their place.
     pub fn expire(&mut self, now: Micros) {
         self.held.retain(|_, held| now - held.created < 2 * EXPIRY);
@@ -122,26 +158,24 @@
 
     /// All sightings that have not expired, but for those that `own` has reported.
     pub fn peer_reports(&self, now: Micros, own: PeerId) -> Vec<PeerReport> {
-        let counts =
-            |(reporter, held): &(&PeerId, &Held)| **reporter != own && held.is_current(now);
-        let all = self
+        let current = self
             .held
             .iter()
-            .filter(counts)
-            .flat_map(|(reporter, held)| {
-                let age = now - held.created;
-                held.sightings.iter().map(move |sighting| PeerReport {
+            .filter(|(reporter, report)| **reporter != own && report.is_current(now));
+        current
+            .flat_map(|(reporter, report)| {
+                report.sightings.iter().map(move |sighting| PeerReport {
                     reporter: *reporter,
                     sighting: *sighting,
-                    age,
+                    age: now - report.created,
                 })
-            });
-        all.collect()
+            })
+            .collect()
     }
 
     /// What each front reports of the fleet's work, this front's own report included.
     pub fn ownership_reports(&self, now: Micros) -> impl Iterator<Item = PeerOwnership<'_>> {
-        let counts = move |held: &Held| held.is_current(now) && !held.ownership.is_empty();
+        let counts = move |held: &StoredReport| held.is_current(now) && !held.ownership.is_empty();
         let all = self.held.iter().filter(move |(_, held)| counts(held));
         all.map(move |(reporter, held)| PeerOwnership {
             reporter: *reporter,
@@ -155,49 +189,31 @@
     /// not crowd out the few on another; then those passed on least, and of them the latest. Reports without
     /// content come last: what they take back expires by itself.
     pub fn pass_on(&mut self, now: Micros, most_sent: u32, mut budget: usize) -> Vec<Signed> {
-        let subject = |s: &Sighting| {
-            (
-                s.engine,
-                s.answered > 0 && s.silent_ms == 0 && s.failed == 0,
-            )
-        };
-        let mut passed_on: BTreeMap<(u64, bool), u32> = BTreeMap::new();
-        for held in self.held.values().filter(|held| held.is_current(now)) {
-            held.sightings
-                .iter()
-                .for_each(|s| *passed_on.entry(subject(s)).or_default() += held.sent);
+        let mut passed_on = PassedOn::default();
+        for report in self.held.values().filter(|report| report.is_current(now)) {
+            passed_on.add(report, report.sent);
         }
-        let mut all: Vec<&mut Held> = self
+        let mut candidates: Vec<&mut StoredReport> = self
             .held
             .values_mut()
-            .filter(|held| held.is_current(now) && held.sent < most_sent)
+            .filter(|report| report.is_current(now) && report.sent < most_sent)
             .collect();
         let mut picked = Vec::new();
         loop {
-            let least = |held: &Held| {
-                let subjects = held
-                    .sightings
-                    .iter()
-                    .map(|s| passed_on.get(&subject(s)).copied().unwrap_or(0));
-                subjects.min().unwrap_or(if held.ownership.is_empty() {
-                    u32::MAX
-                } else {
-                    held.sent
-                })
-            };
-            let fits = (0..all.len()).filter(|n| all[*n].signed.encoded_len() <= budget);
-            let Some(next) =
-                fits.min_by_key(|n| (least(all[*n]), all[*n].sent, now - all[*n].created))
-            else {
+            let next = (0..candidates.len())
+                .filter(|n| candidates[*n].signed.encoded_len() <= budget)
+                .min_by_key(|n| {
+                    let report = &candidates[*n];
+                    (passed_on.least(report), report.sent, now - report.created)
+                });
+            let Some(next) = next else {
                 return picked;
             };
-            let held = all.swap_remove(next);
-            budget -= held.signed.encoded_len();
-            held.sent += 1;
-            held.sightings
-                .iter()
-                .for_each(|s| *passed_on.entry(subject(s)).or_default() += 1);
-            picked.push(held.signed.clone());
+            let report = candidates.swap_remove(next);
+            budget -= report.signed.encoded_len();
+            report.sent += 1;
+            passed_on.add(report, 1);
+            picked.push(report.signed.clone());
         }
     }
 
--- a/crates/gossip/src/load_reports.rs
+++ b/crates/gossip/src/load_reports.rs
@@ -11,12 +11,11 @@
 
 /// Microseconds after which a report counts for nothing.
 pub const EXPIRY: Micros = 5_000_000;
-/// Fronts whose reports count: at some four statements a second each, twelve give the workload mix to a
-/// tenth.
+/// Fronts whose reports count.
 pub const MAX_REPORTERS: usize = 12;
 /// Most loads in a report; a longer one is refused.
 pub const MAX_LOADS: usize = 24;
-/// Times that a front passes a report on: with four each, some 98 in 100 fronts hear it.
+/// Times that a front passes a report on.
 const MAX_SENT: u32 = 4;
 
 /// The load offered to a front lately by one workload or customer. Counts are sixteenths of statements and
@@ -50,19 +49,28 @@
     pub offered: Vec<OfferedLoad>,
 }
 
-struct Held {
+/// The latest load report of one front.
+struct StoredReport {
     started_ms: u64,
     version: u32,
+    /// When it was made, on this front's clock.
     created: Micros,
     offered: Vec<OfferedLoad>,
     signed: Signed,
+    /// How often this front has passed it on.
     sent: u32,
 }
 
+impl StoredReport {
+    fn is_current(&self, now: Micros) -> bool {
+        now - self.created < EXPIRY
+    }
+}
+
 /// The reports that count.
 #[derive(Default)]
 pub struct LoadReports {
-    held: BTreeMap<PeerId, Held>,
+    held: BTreeMap<PeerId, StoredReport>,
 }
 
 impl LoadReports {
@@ -71,42 +79,29 @@
     pub fn is_later(&self, reporter: PeerId, started_ms: u64, version: u32) -> bool {
         match self.held.get(&reporter) {
             Some(held) => (started_ms, version) > (held.started_ms, held.version),
+            None if self.held.len() < MAX_REPORTERS => true,
             None => {
-                self.held.len() < MAX_REPORTERS
-                    || self
-                        .held
-                        .last_key_value()
-                        .is_some_and(|(k, _)| reporter < *k)
+                let highest = self.held.last_key_value();
+                highest.is_some_and(|(highest, _)| reporter < *highest)
             }
         }
     }
 
     /// Stores a report that is `age` microseconds old; false if it is not later, too long or expired.
     pub fn merge(&mut self, now: Micros, report: LoadReport, signed: Signed, age: Micros) -> bool {
-        let LoadReport {
-            reporter,
-            started_ms,
-            version,
-            offered,
-            ..
-        } = report;
-        if offered.len() > MAX_LOADS
-            || age >= EXPIRY
-            || !self.is_later(reporter, started_ms, version)
-        {
+        let counts = report.offered.len() <= MAX_LOADS && age < EXPIRY;
+        if !counts || !self.is_later(report.reporter, report.started_ms, report.version) {
             return false;
         }
-        self.held.insert(
-            reporter,
-            Held {
-                started_ms,
-                version,
-                created: now - age,
-                offered,
-                signed,
-                sent: 0,
-            },
-        );
+        let stored = StoredReport {
+            started_ms: report.started_ms,
+            version: report.version,
+            created: now - age,
+            offered: report.offered,
+            signed,
+            sent: 0,
+        };
+        self.held.insert(report.reporter, stored);
         if self.held.len() > MAX_REPORTERS {
             self.held.pop_last();
         }
@@ -115,14 +110,14 @@
 
     /// Drops expired reports, so that those of other fronts can take their place.
     pub fn expire(&mut self, now: Micros) {
-        self.held.retain(|_, held| now - held.created < EXPIRY);
+        self.held.retain(|_, held| held.is_current(now));
     }
 
     /// The loads of each reporter that have not expired.
     pub fn current(&self, now: Micros) -> impl Iterator<Item = &[OfferedLoad]> {
         self.held
             .values()
-            .filter(move |held| now - held.created < EXPIRY)
+            .filter(move |held| held.is_current(now))
             .map(|held| &held.offered[..])
     }
 
@@ -130,14 +125,14 @@
     pub fn reporters(&self, now: Micros) -> impl Iterator<Item = PeerId> + '_ {
         self.held
             .iter()
-            .filter(move |(_, held)| now - held.created < EXPIRY)
+            .filter(move |(_, held)| held.is_current(now))
             .map(|(reporter, _)| *reporter)
     }
 
     /// Reports to be passed on within so many bytes: those passed on least, of them the latest.
     pub fn pass_on(&mut self, now: Micros, mut budget: usize) -> Vec<Signed> {
-        let counts = |held: &&mut Held| now - held.created < EXPIRY && held.sent < MAX_SENT;
-        let mut all: Vec<&mut Held> = self.held.values_mut().filter(counts).collect();
+        let counts = |held: &&mut StoredReport| held.is_current(now) && held.sent < MAX_SENT;
+        let mut all: Vec<&mut StoredReport> = self.held.values_mut().filter(counts).collect();
         all.sort_by_key(|held| (held.sent, now - held.created));
         let mut picked = Vec::new();
         for held in all {
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -3,6 +3,7 @@
 //! more peers share it; and a front that suspects itself of being slow stretches its own timeouts first. The
 //! view is bounded: of a larger fleet it holds a sample.
 
+mod apply;
 mod probing;
 mod update_queue;
 
@@ -15,23 +16,26 @@
 use probing::{Probing, Relay};
 use update_queue::UpdateQueue;
 
-const MIN_SUSPICION: Micros = 2_000_000; // microseconds: four probe periods, for a refutation to come through
-const MAX_SUSPICION_FACTOR: f64 = 6.0; // times that, while no other front suspects the member
-const CONFIRMATIONS: usize = 3; // other fronts whose suspicion brings the timeout down to the minimum
-/// Highest local health score: timeouts are stretched ninefold; Lifeguard's value.
+/// Microseconds until a suspicion that enough others share expires: four probe periods, for a refutation to
+/// come through.
+const MIN_SUSPICION: Micros = 2_000_000;
+/// Times that, while no other front suspects the member.
+const MAX_SUSPICION_FACTOR: f64 = 6.0;
+/// Other fronts whose suspicion brings the timeout down to the minimum.
+const CONFIRMATIONS: usize = 3;
+/// Highest local health score: timeouts are stretched by one more than it.
 const MAX_LOCAL_HEALTH: u32 = 8;
 /// Microseconds that the dead are held, so that stale updates don't revive them.
 const RECLAIM_AFTER: Micros = 30_000_000;
-const MAX_MEMBERS: usize = 128; // of the view; some twenty would do for updates, more make probes rarer
-/// Of new members, one in so many displaces one of a full view, so that views stay mixed.
-const DISPLACE_ONE_IN: usize = 8;
-const MAX_INCARNATION_LEAP: u64 = 1 << 40; // milliseconds, some thirty years: a larger step is a forgery
-const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15; // 2^64 over the golden ratio: Fibonacci hashing of ids
+/// Members of the view.
+const MAX_MEMBERS: usize = 128;
 
+/// A member as this front knows it.
 struct Member {
     address: SocketAddr,
     incarnation: u64,
     health: Health,
+    /// When it got that health.
     since: Micros,
     /// Other fronts that suspect it too.
     confirmed: BTreeSet<PeerId>,
@@ -62,6 +66,25 @@
     pub probe: Probe,
 }
 
+impl Outgoing {
+    /// A message without a probe.
+    pub(crate) fn without_probe(to: SocketAddr) -> Outgoing {
+        Outgoing {
+            to,
+            probe: Probe::None,
+        }
+    }
+}
+
+/// A member, and where it listens.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MemberAddress {
+    /// The front.
+    pub id: PeerId,
+    /// Where it listens.
+    pub address: SocketAddr,
+}
+
 /// How many fronts a fleet has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
@@ -83,9 +106,12 @@
     probe_order: Vec<PeerId>,
     /// Lifeguard's local health score: 0 is healthy; timeouts grow with it.
     local_health: u32,
+    /// The probe under way.
     probing: Option<Probing>,
+    /// When the probe under way is concluded and the next one begins.
     period_ends: Micros,
     next_number: u32,
+    /// Indirect probes under way for others, by the number of the ping.
     relays: BTreeMap<u32, Relay>,
     updates: UpdateQueue,
     /// The member repeated last where no update was left to pass on.
@@ -134,17 +160,20 @@
         }
     }
 
-    /// Members that are alive or only suspected, with their addresses.
-    pub fn up(&self) -> impl Iterator<Item = (PeerId, SocketAddr)> + '_ {
+    /// Members that are alive or only suspected.
+    pub fn up(&self) -> impl Iterator<Item = MemberAddress> + '_ {
         self.members
             .iter()
-            .filter(|(_, m)| m.is_up())
-            .map(|(id, m)| (*id, m.address))
+            .filter(|(_, member)| member.is_up())
+            .map(|(id, member)| MemberAddress {
+                id: *id,
+                address: member.address,
+            })
     }
 
     /// The health of a member; None if it is not in the view.
     pub fn health(&self, id: PeerId) -> Option<Health> {
-        self.members.get(&id).map(|m| m.health)
+        self.members.get(&id).map(|member| member.health)
     }
 
     /// The size of the view, without this front.
@@ -152,7 +181,7 @@
         let known = self
             .members
             .values()
-            .filter(|m| m.health != Health::Left)
+            .filter(|member| member.health != Health::Left)
             .count();
         FleetSize {
             known,
@@ -180,6 +209,11 @@
         self.left = true;
     }
 
+    fn suspicion_expired(&self, now: Micros, member: &Member) -> bool {
+        member.health == Health::Suspect
+            && now - member.since >= self.suspicion_timeout(member.confirmed.len())
+    }
+
     /// How long a member is suspected before it counts as dead: the shorter, the more others suspect it.
     fn suspicion_timeout(&self, confirmed: usize) -> Micros {
         let size = ((self.members.len() + 1) as f64).log10().max(1.0);
@@ -190,133 +224,29 @@
 
     /// Declares expired suspects dead, and forgets those that have been dead or gone for long.
     fn expire(&mut self, now: Micros) {
-        let over = |m: &Member| {
-            m.health == Health::Suspect
-                && now - m.since >= self.suspicion_timeout(m.confirmed.len())
-        };
-        let over: Vec<MemberUpdate> = (self.members.iter())
-            .filter(|(_, m)| over(m))
-            .map(|(id, m)| m.update(*id, Health::Dead))
-            .collect();
-        over.into_iter()
-            .for_each(|update| self.apply(now, self.own, update));
-        let reclaimed = |m: &Member| {
-            matches!(m.health, Health::Dead | Health::Left) && now - m.since >= RECLAIM_AFTER
-        };
-        self.members.retain(|_, m| !reclaimed(m));
-    }
-
-    /// Applies an update that `by` has sent: a peer, or this front itself. Updates that supersede nothing are
-    /// ignored, but for suspicions, which confirm one another.
-    pub fn apply(&mut self, now: Micros, by: PeerId, update: MemberUpdate) {
-        if update.member == self.own {
-            return self.refute(update);
-        }
-        let MemberUpdate {
-            member: id,
-            address,
-            incarnation,
-            health,
-        } = update;
-        let confirmed = BTreeSet::new();
-        match self.members.get_mut(&id) {
-            None if health == Health::Alive => {
-                if self.members.len() >= MAX_MEMBERS && !self.displaces(id) {
-                    return;
-                }
-                self.members.insert(
-                    id,
-                    Member {
-                        address,
-                        incarnation,
-                        health,
-                        since: now,
-                        confirmed,
-                    },
-                );
-                let place = (id % (self.probe_order.len() as u64 + 1)) as usize;
-                self.probe_order.insert(place, id);
-            }
-            None => return,
-            Some(m) => {
-                if incarnation.saturating_sub(m.incarnation) >= MAX_INCARNATION_LEAP {
-                    return;
-                }
-                // A restart after a death known here is announced by the restarted front itself.
-                let supersedes = incarnation > m.incarnation
-                    || incarnation == m.incarnation && health > m.health;
-                if !supersedes {
-                    if incarnation == m.incarnation
-                        && health == Health::Suspect
-                        && m.health == health
-                        && by != self.own
-                    {
-                        m.confirmed.insert(by);
-                        if m.confirmed.len() <= CONFIRMATIONS {
-                            self.updates.spread(update);
-                        }
-                    }
-                    return;
-                }
-                if health == Health::Alive {
-                    m.address = address;
-                }
-                (m.incarnation, m.health, m.since, m.confirmed) =
-                    (incarnation, health, now, confirmed);
-            }
-        }
-        self.updates.spread(update);
-    }
-
-    /// Answers an update on this front itself: whatever differs from its own is refuted under a higher
-    /// incarnation.
-    fn refute(&mut self, update: MemberUpdate) {
-        let MemberUpdate {
-            address,
-            incarnation,
-            health,
-            ..
-        } = update;
-        let wrong = health != Health::Alive || address != self.address;
-        let leap = incarnation.saturating_sub(self.incarnation);
-        if !self.left
-            && leap < MAX_INCARNATION_LEAP
-            && (incarnation > self.incarnation || incarnation == self.incarnation && wrong)
-        {
-            self.incarnation = incarnation + 1;
-            let own = self.own_update();
-            self.updates.spread(own);
-            if health == Health::Suspect {
-                self.local_health = (self.local_health + 1).min(MAX_LOCAL_HEALTH);
-            }
-        }
-    }
-
-    /// Whether a newcomer takes the place of one of a full view; derived from the ids, so that views differ.
-    fn displaces(&mut self, id: PeerId) -> bool {
-        let mixed = (id ^ self.own).wrapping_mul(HASH_MULTIPLIER) >> 32;
-        if !(mixed as usize).is_multiple_of(DISPLACE_ONE_IN) {
-            return false;
-        }
-        let displaced = self
+        let expired: Vec<MemberUpdate> = self
             .members
             .iter()
-            .max_by_key(|(other, _)| (**other ^ id).wrapping_mul(HASH_MULTIPLIER));
-        let Some(displaced) = displaced.map(|(id, _)| *id) else {
-            return false;
-        };
-        self.members.remove(&displaced);
-        self.probe_order.retain(|other| *other != displaced);
-        self.updates.forget(displaced);
-        true
+            .filter(|(_, member)| self.suspicion_expired(now, member))
+            .map(|(id, member)| member.update(*id, Health::Dead))
+            .collect();
+        for update in expired {
+            self.apply(now, self.own, update);
+        }
+        self.members.retain(|_, member| {
+            let gone = matches!(member.health, Health::Dead | Health::Left);
+            !gone || now - member.since < RECLAIM_AFTER
+        });
     }
 
     /// Updates for a datagram, at most `most` beside those on the receiver: those passed on least come first,
     /// and before all what its receiver is said to be, so that it can refute it.
     pub fn pass_on(&mut self, to: SocketAddr, most: usize) -> Vec<MemberUpdate> {
-        let mut picked: Vec<MemberUpdate> = (self.members.iter())
-            .filter(|(_, m)| m.address == to && m.health != Health::Alive)
-            .map(|(id, m)| m.update(*id, m.health))
+        let mut picked: Vec<MemberUpdate> = self
+            .members
+            .iter()
+            .filter(|(_, member)| member.address == to && member.health != Health::Alive)
+            .map(|(id, member)| member.update(*id, member.health))
             .collect();
         self.updates.pick(self.members.len(), most, &mut picked);
         // The remaining places repeat members one after another (anti-entropy): it makes good what updates
@@ -326,12 +256,12 @@
                 .members
                 .range(self.last_repeated.wrapping_add(1)..)
                 .next();
-            let Some((id, m)) = after.or_else(|| self.members.iter().next()) else {
+            let Some((id, member)) = after.or_else(|| self.members.iter().next()) else {
                 break;
             };
             self.last_repeated = *id;
-            if !picked.iter().any(|r| r.member == *id) {
-                picked.push(m.update(*id, m.health));
+            if !picked.iter().any(|update| update.member == *id) {
+                picked.push(member.update(*id, member.health));
             }
         }
         picked
--- a/crates/gossip/src/members/probing.rs
+++ b/crates/gossip/src/members/probing.rs
@@ -6,15 +6,18 @@
 use crate::message::{Health, Probe};
 use crate::{Micros, PeerId, RandomSource};
 
-use super::{Members, Outgoing, MAX_LOCAL_HEALTH};
+use super::{MemberAddress, Members, Outgoing, MAX_LOCAL_HEALTH};
 
-const PROBE_PERIOD: Micros = 500_000; // microseconds between probes, while the local health score is 0
-/// Microseconds until others are asked to probe: some round trips on a campus.
+/// Microseconds between probes, while the local health score is 0.
+const PROBE_PERIOD: Micros = 500_000;
+/// Microseconds until others are asked to probe: some round trips.
 const ACK_TIMEOUT: Micros = 150_000;
-const INDIRECT_PROBES: usize = 3; // other fronts that are asked to probe; SWIM's usual number
-const MAX_RELAYS: usize = 64; // indirect probes under way for others at once
+/// Other fronts that are asked to probe.
+const INDIRECT_PROBES: usize = 3;
+/// Indirect probes under way for others at once.
+const MAX_RELAYS: usize = 64;
 /// Probe periods between probes of a seed, so that parts of a split fleet meet again.
-const SEED_PROBE_EVERY: u32 = 8;
+const SEED_PROBE_INTERVAL: u32 = 8;
 
 /// The probe under way.
 pub(super) struct Probing {
@@ -31,8 +34,11 @@
 /// An indirect probe under way on behalf of another front.
 pub(super) struct Relay {
     requester: SocketAddr,
+    /// The number of the requester's ping request.
     number: u32,
+    /// When the requester learns that no ack has come; None once it has.
     nack_at: Option<Micros>,
+    /// When an ack is of no use any more.
     ends: Micros,
 }
 
@@ -42,15 +48,15 @@
         let indirect = self
             .probing
             .as_ref()
-            .and_then(|p| p.indirect_at)
-            .unwrap_or(Micros::MAX);
+            .and_then(|probing| probing.indirect_at);
         let relays = self
             .relays
             .values()
-            .map(|r| r.nack_at.unwrap_or(r.ends))
-            .min()
-            .unwrap_or(Micros::MAX);
-        self.period_ends.min(indirect).min(relays)
+            .map(|relay| relay.nack_at.unwrap_or(relay.ends))
+            .min();
+        self.period_ends
+            .min(indirect.unwrap_or(Micros::MAX))
+            .min(relays.unwrap_or(Micros::MAX))
     }
 
     /// Does what is due: probes, indirect probes, suspicions that expire. What is to be sent is added to
@@ -64,22 +70,22 @@
             self.expire(now);
             self.probe(now, random, out);
         }
-        let mut nacks = Vec::new();
-        for relay in self
-            .relays
-            .values_mut()
-            .filter(|r| r.nack_at.is_some_and(|at| at <= now))
-        {
-            relay.nack_at = None;
-            nacks.push(Outgoing {
-                to: relay.requester,
-                probe: Probe::Nack {
-                    number: relay.number,
-                },
-            });
+        self.tick_relays(now, out);
+    }
+
+    /// Sends the nacks that are due, and forgets relays that are over.
+    fn tick_relays(&mut self, now: Micros, out: &mut Vec<Outgoing>) {
+        for relay in self.relays.values_mut() {
+            if relay.nack_at.take_if(|at| *at <= now).is_some() {
+                out.push(Outgoing {
+                    to: relay.requester,
+                    probe: Probe::Nack {
+                        number: relay.number,
+                    },
+                });
+            }
         }
-        self.relays.retain(|_, r| r.ends > now);
-        out.extend(nacks);
+        self.relays.retain(|_, relay| relay.ends > now);
     }
 
     /// Asks others to probe a member that has not answered in time.
@@ -89,23 +95,19 @@
         random: &mut impl RandomSource,
         out: &mut Vec<Outgoing>,
     ) {
-        let Some(probing) = self
-            .probing
-            .as_mut()
-            .filter(|p| p.indirect_at.is_some_and(|at| at <= now))
-        else {
+        let Some(probing) = &mut self.probing else {
             return;
         };
-        probing.indirect_at = None;
-        if probing.acked {
+        let due = probing.indirect_at.take_if(|at| *at <= now);
+        if due.is_none() || probing.acked {
             return;
         }
         let (member, address, number) = (probing.member, probing.address, probing.number);
         let mut others: Vec<SocketAddr> = self
             .members
             .iter()
-            .filter(|(id, m)| **id != member && m.health == Health::Alive)
-            .map(|(_, m)| m.address)
+            .filter(|(id, other)| **id != member && other.health == Health::Alive)
+            .map(|(_, other)| other.address)
             .collect();
         for _ in 0..INDIRECT_PROBES.min(others.len()) {
             let to = others.swap_remove(random.below(others.len()));
@@ -131,17 +133,12 @@
             return;
         }
         // Fronts that did not even answer with a nack: the fault may be here.
-        let missing = if probing.missing_nacks > 0 {
-            probing.missing_nacks as u32
-        } else {
-            1
-        };
+        let missing = probing.missing_nacks.max(1) as u32;
         self.local_health = (self.local_health + missing).min(MAX_LOCAL_HEALTH);
-        if let Some(member) = self
-            .members
-            .get(&probing.member)
-            .filter(|m| m.health == Health::Alive)
-        {
+        let Some(member) = self.members.get(&probing.member) else {
+            return;
+        };
+        if member.health == Health::Alive {
             let update = member.update(probing.member, Health::Suspect);
             self.apply(now, self.own, update);
         }
@@ -154,37 +151,46 @@
         }
         self.next_number = self.next_number.wrapping_add(1);
         let number = self.next_number;
-        // Round robin, in an order that is drawn anew for each round.
-        while self.members.values().any(|m| m.is_up()) {
-            let Some(id) = self.probe_order.pop() else {
-                self.probe_order = self.up().map(|(id, _)| id).collect();
-                for n in (1..self.probe_order.len()).rev() {
-                    self.probe_order.swap(n, random.below(n + 1));
-                }
-                continue;
-            };
-            let Some(member) = self.members.get(&id).filter(|m| m.is_up()) else {
-                continue;
-            };
-            let indirect_at = Some(now + ACK_TIMEOUT * Micros::from(self.local_health + 1));
-            let address = member.address;
+        if let Some(MemberAddress { id, address }) = self.next_probed(random) {
+            let timeout = ACK_TIMEOUT * Micros::from(self.local_health + 1);
             self.probing = Some(Probing {
                 member: id,
                 address,
                 number,
                 acked: false,
-                indirect_at,
+                indirect_at: Some(now + timeout),
                 missing_nacks: 0,
             });
             out.push(Outgoing {
                 to: address,
                 probe: Probe::Ping { number },
             });
-            break;
         }
         self.probe_seeds(number, random, out);
     }
 
+    /// The member to be probed next: round robin, in an order that is drawn anew for each round.
+    fn next_probed(&mut self, random: &mut impl RandomSource) -> Option<MemberAddress> {
+        while self.up().next().is_some() {
+            let Some(id) = self.probe_order.pop() else {
+                self.draw_probe_order(random);
+                continue;
+            };
+            if let Some(member) = self.members.get(&id).filter(|member| member.is_up()) {
+                let address = member.address;
+                return Some(MemberAddress { id, address });
+            }
+        }
+        None
+    }
+
+    fn draw_probe_order(&mut self, random: &mut impl RandomSource) {
+        self.probe_order = self.up().map(|member| member.id).collect();
+        for n in (1..self.probe_order.len()).rev() {
+            self.probe_order.swap(n, random.below(n + 1));
+        }
+    }
+
     /// Alone, probes all seeds; else one now and then, so that two parts of a fleet that lost each other meet
     /// again.
     fn probe_seeds(
@@ -193,26 +199,20 @@
         random: &mut impl RandomSource,
         out: &mut Vec<Outgoing>,
     ) {
+        let probe = Probe::Ping { number };
         if self.members.is_empty() {
-            let others = self
-                .seeds
-                .iter()
-                .filter(|to| **to != self.address)
-                .collect::<BTreeSet<_>>();
-            out.extend(others.into_iter().map(|to| Outgoing {
-                to: *to,
-                probe: Probe::Ping { number },
-            }));
-        } else if !self.seeds.is_empty()
-            && (self.probing.is_none() || number.is_multiple_of(SEED_PROBE_EVERY))
-        {
-            let to = self.seeds[random.below(self.seeds.len())];
-            if to != self.address {
-                out.push(Outgoing {
-                    to,
-                    probe: Probe::Ping { number },
-                });
-            }
+            let all: BTreeSet<SocketAddr> = self.seeds.iter().copied().collect();
+            let others = all.into_iter().filter(|to| *to != self.address);
+            out.extend(others.map(|to| Outgoing { to, probe }));
+            return;
+        }
+        let is_due = self.probing.is_none() || number.is_multiple_of(SEED_PROBE_INTERVAL);
+        if self.seeds.is_empty() || !is_due {
+            return;
+        }
+        let to = self.seeds[random.below(self.seeds.len())];
+        if to != self.address {
+            out.push(Outgoing { to, probe });
         }
     }
 
@@ -236,52 +236,67 @@
                 member,
                 address: target,
             } => {
-                // Guards against being used to flood others: only members are probed, and few at a time.
-                if self
-                    .members
-                    .get(&member)
-                    .is_none_or(|m| m.address != target)
-                    || self.relays.len() >= MAX_RELAYS
-                {
-                    return;
-                }
-                self.next_number = self.next_number.wrapping_add(1);
-                let own = self.next_number;
-                let (nack_at, ends) = (Some(now + ACK_TIMEOUT), now + 2 * PROBE_PERIOD);
-                self.relays.insert(
-                    own,
-                    Relay {
-                        requester: address,
-                        number,
-                        nack_at,
-                        ends,
-                    },
-                );
-                out.push(Outgoing {
-                    to: target,
-                    probe: Probe::Ping { number: own },
-                });
-            }
-            Probe::Ack { number } => {
-                if let Some(relay) = self.relays.remove(&number) {
-                    out.push(Outgoing {
-                        to: relay.requester,
-                        probe: Probe::Ack {
-                            number: relay.number,
-                        },
-                    });
-                } else if let Some(p) = self.probing.as_mut().filter(|p| p.number == number) {
-                    p.acked = true;
-                }
+                let target = MemberAddress {
+                    id: member,
+                    address: target,
+                };
+                out.extend(self.relay(now, address, number, target));
             }
-            Probe::Nack { number } => {
-                if let Some(p) = self
-                    .probing
-                    .as_mut()
-                    .filter(|p| p.number == number && p.member != from)
-                {
-                    p.missing_nacks = p.missing_nacks.saturating_sub(1);
-                }
+            Probe::Ack { number } => out.extend(self.acked(number)),
+            Probe::Nack { number } => self.nacked(from, number),
+        }
+    }
+
+    /// Probes a member on behalf of another front, whose ping request has this number.
+    fn relay(
+        &mut self,
+        now: Micros,
+        requester: SocketAddr,
+        number: u32,
+        target: MemberAddress,
+    ) -> Option<Outgoing> {
+        // Guards against being used to flood others: only members are probed, and few at a time.
+        let member = self.members.get(&target.id)?;
+        if member.address != target.address || self.relays.len() >= MAX_RELAYS {
+            return None;
+        }
+        self.next_number = self.next_number.wrapping_add(1);
+        let relay = Relay {
+            requester,
+            number,
+            nack_at: Some(now + ACK_TIMEOUT),
+            ends: now + 2 * PROBE_PERIOD,
+        };
+        self.relays.insert(self.next_number, relay);
+        Some(Outgoing {
+            to: target.address,
+            probe: Probe::Ping {
+                number: self.next_number,
+            },
+        })
+    }
+
+    /// A ping of this number was answered: passed on where it was sent for another front.
+    fn acked(&mut self, number: u32) -> Option<Outgoing> {
+        if let Some(relay) = self.relays.remove(&number) {
+            return Some(Outgoing {
+                to: relay.requester,
+                probe: Probe::Ack {
+                    number: relay.number,
+                },
+            });
+        }
+        if let Some(probing) = &mut self.probing {
+            probing.acked |= probing.number == number;
+        }
+        None
+    }
+
+    /// A front that was asked to probe a member is there itself.
+    fn nacked(&mut self, from: PeerId, number: u32) {
+        if let Some(probing) = &mut self.probing {
+            if probing.number == number && probing.member != from {
+                probing.missing_nacks = probing.missing_nacks.saturating_sub(1);
             }
         }
     }
--- a/crates/gossip/src/node/load.rs
+++ b/crates/gossip/src/node/load.rs
@@ -1,12 +1,19 @@
 //! A front's part in the exchange of load reports.
 
-use std::net::IpAddr;
+use std::net::{IpAddr, SocketAddr};
 
-use super::*;
+use crate::channels::{Channel, MAX_PAYLOAD};
 use crate::load_reports::{LoadReport, OfferedLoad};
+use crate::message::{self, Signed};
+use crate::seal::Refused;
+use crate::Micros;
+
+use super::{Datagram, Node};
 
 /// Microseconds between a front's load reports: they reach 300 fronts in some two seconds.
-const REPORT_EVERY: Micros = 1_500_000;
+const REPORT_INTERVAL: Micros = 1_500_000;
+/// Bytes at the most of the number of load reports in a payload.
+const COUNT_BYTES: usize = 8;
 
 impl Node {
     /// From now on this front sends load reports and takes in those of others.
@@ -22,23 +29,22 @@
         wall_ms: u64,
         offered: impl FnOnce() -> Vec<OfferedLoad>,
     ) {
-        let Some(reports) = self
-            .load_reports
-            .as_mut()
-            .filter(|_| now - self.load_reported_at >= REPORT_EVERY)
-        else {
+        let Some(reports) = &mut self.load_reports else {
             return;
         };
+        if now - self.load_reported_at < REPORT_INTERVAL {
+            return;
+        }
         reports.expire(now);
         let version = self.load_version + 1;
         if !reports.is_later(self.own.id, self.own.started_ms, version) {
             return;
         }
-        (self.load_reported_at, self.load_version) = (now, version);
-        let (reporter, started_ms) = (self.own.id, self.own.started_ms);
+        self.load_reported_at = now;
+        self.load_version = version;
         let report = LoadReport {
-            reporter,
-            started_ms,
+            reporter: self.own.id,
+            started_ms: self.own.started_ms,
             version,
             created_ms: wall_ms,
             offered: offered(),
@@ -70,9 +76,11 @@
     ) -> Option<Datagram> {
         let budget = MAX_PAYLOAD - COUNT_BYTES;
         let reports = self.load_reports.as_mut()?.pass_on(now, budget);
-        (!reports.is_empty())
-            .then(|| message::bytes(&reports))
-            .and_then(|payload| self.channel_datagram(now, wall_ms, to, Channel::Load, &payload))
+        if reports.is_empty() {
+            return None;
+        }
+        let payload = message::bytes(&reports);
+        self.channel_datagram(now, wall_ms, to, Channel::Load, &payload)
     }
 
     pub(super) fn receive_load_reports(
@@ -82,36 +90,42 @@
         from: IpAddr,
         payload: &[u8],
     ) {
-        let Some(reports) = &mut self.load_reports else {
-            return;
-        };
-        let Some(all) = message::read::<Vec<Signed>>(payload) else {
-            *self.refused.entry(Refused::Form).or_default() += 1;
+        if self.load_reports.is_none() {
             return;
+        }
+        let Some(reports) = message::read::<Vec<Signed>>(payload) else {
+            return self.count_refused(Refused::Form);
         };
-        for signed in all {
-            let Some(report) = message::read::<LoadReport>(&signed.report) else {
-                *self.refused.entry(Refused::Form).or_default() += 1;
-                continue;
-            };
-            // Guards against the cost of what is known already, which is most of what comes.
-            if report.reporter == self.own.id
-                || !reports.is_later(report.reporter, report.started_ms, report.version)
-            {
-                continue;
-            }
-            match self
-                .peers
-                .verify_load_report(now, from, report.reporter, &signed)
-            {
-                Ok(()) => {
-                    let age = self.peers.age(report.reporter, wall_ms, report.created_ms);
-                    age.into_iter().for_each(|age| {
-                        _ = reports.merge(now, report.clone(), signed.clone(), age)
-                    });
-                }
-                Err(why) => *self.refused.entry(why).or_default() += 1,
+        for signed in reports {
+            if let Err(why) = self.receive_load_report(now, wall_ms, from, signed) {
+                self.count_refused(why);
             }
         }
     }
+
+    /// Merges a load report that came from `from`, if it is later than the one held.
+    fn receive_load_report(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        from: IpAddr,
+        signed: Signed,
+    ) -> Result<(), Refused> {
+        let Some(reports) = &mut self.load_reports else {
+            return Ok(());
+        };
+        let report: LoadReport = message::read(&signed.report).ok_or(Refused::Form)?;
+        let reporter = report.reporter;
+        // Guards against the cost of what is known already, which is most of what comes.
+        let is_own = reporter == self.own.id;
+        if is_own || !reports.is_later(reporter, report.started_ms, report.version) {
+            return Ok(());
+        }
+        self.peers
+            .verify_load_report(now, from, reporter, &signed)?;
+        if let Some(age) = self.peers.age(reporter, wall_ms, report.created_ms) {
+            reports.merge(now, report, signed, age);
+        }
+        Ok(())
+    }
 }
--- /dev/null
+++ b/crates/gossip/src/node/sending.rs
@@ -0,0 +1,204 @@
+//! What a front sends: rounds of gossip, probes and their answers, and messages of other subsystems, within byte
+//! rates.
+
+use std::net::SocketAddr;
+
+use crate::channels::Channel;
+use crate::members::Outgoing;
+use crate::message::{self, Message, Probe, MAX_DATAGRAM};
+use crate::seal::SEAL_BYTES;
+use crate::{Micros, RandomSource};
+
+use super::{Datagram, Node};
+
+/// Bytes a second sent of its own accord, with a second's worth saved up.
+pub(super) const GOSSIP_RATE: f64 = 3_000.0;
+/// Bytes a second of answers, so that a flood of probes starves no reports.
+pub(super) const ANSWER_RATE: f64 = 1_000.0;
+/// Microseconds between rounds.
+const ROUND_PERIOD: Micros = 250_000;
+/// Members that a round sends to.
+const FANOUT: usize = 2;
+/// Members to which a front announces that it leaves.
+const LEAVE_FANOUT: usize = 2 * FANOUT;
+/// Bytes that reports leave for probes: a peer that is not probed seems dead.
+const PROBE_RESERVE: f64 = 800.0;
+/// Membership updates that a newcomer gets at once.
+const WELCOME_UPDATES: usize = 24;
+/// Membership updates in a datagram beside its sender's own.
+const MAX_UPDATES: usize = 2;
+/// Bytes of a datagram that carries reports unasked.
+const REPORT_DATAGRAM: usize = 420;
+/// Bytes that the count of reports takes in a message.
+const REPORT_COUNT_BYTES: usize = 2;
+/// Times the logarithm of the peers that a report is passed on by each front.
+const RETRANSMIT_FACTOR: f64 = 2.0;
+
+/// Why a datagram is sent: it bounds what the datagram may carry, and which tokens it takes.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Purpose {
+    /// A round of gossip or a probe.
+    Gossip,
+    /// The answer to a probe.
+    Answer,
+    /// To a front that was not known before.
+    Welcome,
+}
+
+impl Purpose {
+    /// The most membership updates beside the sender's own.
+    fn max_updates(self) -> usize {
+        match self {
+            // Guards against a flood of probes: answers use up no updates that others are to learn.
+            Purpose::Answer => 0,
+            Purpose::Gossip => MAX_UPDATES,
+            Purpose::Welcome => WELCOME_UPDATES,
+        }
+    }
+
+    /// Bytes that reports may take where the rest of the datagram takes `used`.
+    fn report_budget(self, used: usize) -> usize {
+        match self {
+            Purpose::Gossip => REPORT_DATAGRAM.min(MAX_DATAGRAM).saturating_sub(used),
+            Purpose::Answer | Purpose::Welcome => 0,
+        }
+    }
+}
+
+impl Node {
+    /// When `tick` is next due, in microseconds on the caller's clock.
+    pub fn due(&self) -> Micros {
+        self.members.due().min(self.next_round)
+    }
+
+    /// Does what is due and returns what is to be sent.
+    pub fn tick(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        random: &mut impl RandomSource,
+    ) -> Vec<Datagram> {
+        let mut outgoing = Vec::new();
+        let mut datagrams = Vec::new();
+        self.members.tick(now, random, &mut outgoing);
+        if self.next_round <= now {
+            self.next_round = now + ROUND_PERIOD;
+            self.evidence.expire(now);
+            for to in self.draw_targets(FANOUT, random) {
+                outgoing.push(Outgoing::without_probe(to));
+                datagrams.extend(self.pass_load_reports(now, wall_ms, to));
+            }
+        }
+        for outgoing in outgoing {
+            datagrams.extend(self.send(now, wall_ms, outgoing, Purpose::Gossip));
+        }
+        datagrams
+    }
+
+    /// Draws at most `count` members that are up.
+    fn draw_targets(&self, count: usize, random: &mut impl RandomSource) -> Vec<SocketAddr> {
+        let mut up: Vec<SocketAddr> = self.members.up().map(|member| member.address).collect();
+        (0..count.min(up.len()))
+            .map(|_| up.swap_remove(random.below(up.len())))
+            .collect()
+    }
+
+    /// Announces to some members that this front leaves; they pass it on.
+    pub fn leave(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        random: &mut impl RandomSource,
+    ) -> Vec<Datagram> {
+        self.members.leave();
+        let targets = self.draw_targets(LEAVE_FANOUT, random);
+        targets
+            .into_iter()
+            .filter_map(|to| self.send(now, wall_ms, Outgoing::without_probe(to), Purpose::Gossip))
+            .collect()
+    }
+
+    /// Seals a message with membership updates, and reports where it is gossip. None beyond a rate limit.
+    pub(super) fn send(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        outgoing: Outgoing,
+        purpose: Purpose,
+    ) -> Option<Datagram> {
+        let content = self.content(now, outgoing, purpose);
+        let len = content.len() + SEAL_BYTES;
+        if len > MAX_DATAGRAM || !self.take_tokens(now, len, outgoing.probe, purpose) {
+            self.held_back += 1;
+            return None;
+        }
+        Some(self.seal(wall_ms, outgoing.to, &content))
+    }
+
+    /// The encoded message for a datagram.
+    fn content(&mut self, now: Micros, outgoing: Outgoing, purpose: Purpose) -> Vec<u8> {
+        let mut updates = vec![self.members.own_update()];
+        updates.extend(self.members.pass_on(outgoing.to, purpose.max_updates()));
+        let mut message = Message {
+            probe: outgoing.probe,
+            updates,
+            reports: Vec::new(),
+            payload: Vec::new(),
+        };
+        let used = SEAL_BYTES + message::bytes(&message).len() + REPORT_COUNT_BYTES;
+        let peers = (self.peers.len() + 2) as f64;
+        let most_sent = (RETRANSMIT_FACTOR * peers.log2()).ceil() as u32;
+        let budget = purpose.report_budget(used);
+        message.reports = self.evidence.pass_on(now, most_sent, budget);
+        message::bytes(&message)
+    }
+
+    /// Takes the bytes of a datagram from its rate limit. False if they exceed it.
+    fn take_tokens(&mut self, now: Micros, len: usize, probe: Probe, purpose: Purpose) -> bool {
+        let tokens = match purpose {
+            Purpose::Answer => &mut self.answer_tokens,
+            Purpose::Gossip | Purpose::Welcome => &mut self.gossip_tokens,
+        };
+        let reserve = if probe == Probe::None {
+            PROBE_RESERVE
+        } else {
+            0.0
+        };
+        tokens.take_leaving(now, len as f64, reserve)
+    }
+
+    fn seal(&mut self, wall_ms: u64, to: SocketAddr, content: &[u8]) -> Datagram {
+        self.sent += (content.len() + SEAL_BYTES) as u64;
+        Datagram {
+            to,
+            bytes: self.own.seal(wall_ms, content),
+        }
+    }
+
+    /// Seals a subsystem's message to another front. None if it is too long for a datagram or beyond its
+    /// channel's rate.
+    pub fn channel_datagram(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        to: SocketAddr,
+        channel: Channel,
+        payload: &[u8],
+    ) -> Option<Datagram> {
+        let updates = vec![self.members.own_update()];
+        let payload = [&[channel as u8], payload].concat();
+        let message = Message {
+            probe: Probe::None,
+            updates,
+            reports: Vec::new(),
+            payload,
+        };
+        let content = message::bytes(&message);
+        let len = content.len() + SEAL_BYTES;
+        if len > MAX_DATAGRAM || !self.mailbox.may_send(now, channel, len) {
+            self.held_back += 1;
+            return None;
+        }
+        Some(self.seal(wall_ms, to, &content))
+    }
+}
