--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -9,10 +9,10 @@
 use crate::event::Event;
 use crate::hits::{FleetHits, Hit, Hits};
 use crate::index::{Index, Verdict};
+use crate::judge::{judge, Request};
 use crate::known::KnownNames;
 use crate::read::RulesCommand;
 use crate::record::{Record, WhatIfReport};
-use crate::rule::Attributes;
 use crate::rule::RuleSet;
 use crate::shares::{Limit, Shares};
 use crate::versions::Versions;
@@ -36,17 +36,6 @@
     pub first_number: u64,
 }
 
-/// What a statement asks for.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Request {
-    /// Whose statement it is; matched exactly.
-    pub customer: String,
-    /// The workload that the statement belongs to, as the settings name it.
-    pub workload: String,
-    /// The groups of tables that it reads; None where they cannot be told.
-    pub groups: Option<Vec<u32>>,
-}
-
 /// What the rules in force say of a statement as it arrives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
@@ -122,24 +111,6 @@
     shares_trouble: Option<Event>,
 }
 
-pub(crate) fn judge(
-    index: &Index,
-    region: &str,
-    request: &Request,
-    wall_ms: u64,
-    first_judged_ms: Option<u64>,
-) -> Verdict {
-    let attributes = Attributes {
-        first_judged_ms,
-        customer: &request.customer,
-        workload: &request.workload,
-        group: None,
-        tables_known: false,
-        front: region,
-    };
-    index.judge(&attributes, request.groups.as_deref(), wall_ms)
-}
-
 impl Access {
     /// A front that has not read the rules yet: until it has, it answers [`Decision::RulesUnknown`] for every
     /// customer that rules can be about.
--- a/crates/access/src/check.rs
+++ b/crates/access/src/check.rs
@@ -7,7 +7,7 @@
 use crate::error::Problem;
 use crate::index::Index;
 use crate::known::{KnownNames, WorkloadLocations};
-use crate::read::LineLookup;
+use crate::lines::LineLookup;
 use crate::rule::{DefaultEffect, Rule, RuleEffect, RuleSet, TableRange};
 
 /// Customer, workload and front, and how high: rules of one group could each decide the same statement.
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -15,15 +15,16 @@
 mod head;
 mod hits;
 mod index;
+mod judge;
 mod known;
-mod moves;
+mod lines;
 mod read;
 mod record;
 mod rule;
 mod shares;
 mod versions;
 
-pub use access::{Access, AccessConfig, Decision, Output, Request};
+pub use access::{Access, AccessConfig, Decision, Output};
 pub use error::{FileError, FileErrors, Problem, Refused};
 pub use event::Event;
 pub use hallmux_lease::Terms;
@@ -33,8 +34,10 @@
 pub use head::{Head, StoredVersion};
 pub use hits::{merge_counts, FleetHits, Hit, HitCounts};
 pub use index::{Index, Verdict};
+pub use judge::Request;
 pub use known::{KnownNames, WorkloadLocations};
-pub use read::{read, LineLookup, RulesCommand};
+pub use lines::LineLookup;
+pub use read::{read, RulesCommand};
 pub use record::{ChangedDecision, Permission, WhatIfReport};
 pub use rule::{
     Attributes, DefaultEffect, MatchedRules, RateLimit, Rule, RuleEffect, RuleSet, TableRange,
--- a/crates/access/src/moves.rs
+++ b/crates/access/src/read/moves.rs
@@ -3,14 +3,14 @@
 
 use serde_json::{Map, Value};
 
+use super::reader::{whole, Reader};
 use crate::error::Problem;
-use crate::read::{whole, Reader};
 use crate::rule::{Rule, RuleEffect};
 
 const KEYS: &str = "from, to, at, overlap_ms";
 const MOST_OVERLAP_MS: u64 = 366 * 86_400_000; // milliseconds; a year
 
-pub struct Move {
+pub(super) struct Move {
     from: Vec<u16>,
     to: Vec<u16>,
     at_ms: u64,
@@ -46,7 +46,7 @@
 
 impl Reader<'_> {
     /// None where it is faulty.
-    pub(crate) fn moves(&mut self, path: &str, r: &Map<String, Value>, name: &str) -> Option<Move> {
+    pub fn moves(&mut self, path: &str, r: &Map<String, Value>, name: &str) -> Option<Move> {
         let shape = |why, remedy| Problem::Shape {
             rule: name.to_string(),
             why,
@@ -109,10 +109,10 @@
 
     fn region(&mut self, path: &str, moves: &Map<String, Value>, key: &str) -> Option<Vec<u16>> {
         let name = self.text(path, moves, key)?;
-        let mut places = match self.known().places(&name) {
+        let mut places = match self.known.places(&name) {
             Some(places) => places,
             None => {
-                let known = self.known().region_names().join(", ");
+                let known = self.known.region_names().join(", ");
                 return self.problem(
                     &format!("{path}.{key}"),
                     Problem::Name {
--- a/crates/access/src/read/rule.rs
+++ b/crates/access/src/read/rule.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Map, Value};
 
-use super::{number, whole, Reader};
+use super::reader::{number, whole, Reader};
 use crate::error::Problem;
 use crate::rule::{RateLimit, Rule, RuleEffect, TableRange};
 use crate::Micros;
@@ -178,12 +178,7 @@
         }
     }
 
-    pub(crate) fn time(
-        &mut self,
-        path: &str,
-        object: &Map<String, Value>,
-        key: &str,
-    ) -> Option<u64> {
+    pub fn time(&mut self, path: &str, object: &Map<String, Value>, key: &str) -> Option<u64> {
         let text = self.text(path, object, key)?;
         let time = text
             .parse::<jiff::Timestamp>()
@@ -254,12 +249,7 @@
         }
     }
 
-    pub(crate) fn regions(
-        &mut self,
-        path: &str,
-        r: &Map<String, Value>,
-        key: &str,
-    ) -> Option<Vec<u16>> {
+    pub fn regions(&mut self, path: &str, r: &Map<String, Value>, key: &str) -> Option<Vec<u16>> {
         let Value::Array(names) = r.get(key)? else {
             return self.problem(
                 &format!("{path}.{key}"),
--- a/crates/access/src/record.rs
+++ b/crates/access/src/record.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::access::{judge, Request};
 use crate::index::Index;
+use crate::judge::{judge, Request};
 use crate::shares::Limit;
 use crate::{Micros, Moment};
 
