--- a/crates/fleet/src/gate/guard.rs
+++ b/crates/fleet/src/gate/guard.rs
@@ -91,7 +91,7 @@
             terms: ordered.terms,
             site: dispatcher.site(ordered.place),
         };
-        dispatcher.waits(now, ordered.ticket, ordered.execution);
+        dispatcher.execution_held(now, ordered.ticket, ordered.execution);
         self.gate.hold(now, pending);
         true
     }
@@ -135,7 +135,7 @@
         if self.last_note + NOTE_INTERVAL <= now {
             self.last_note = now;
             for held in self.gate.held() {
-                dispatcher.waits(now, held.ticket, held.execution);
+                dispatcher.execution_held(now, held.ticket, held.execution);
             }
         }
         self.gate.rulings()
--- a/crates/front/src/front/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -3,12 +3,12 @@
 
 use std::rc::Rc;
 
-use hallmux_dispatcher::{Ending, Micros, Order, Ticket};
+use hallmux_dispatcher::{Command, Ending, Micros, RejectCause, Ticket};
 use hallmux_fleet::gate;
 use hallmux_native_codec::statement::{Call, Reply};
 use hallmux_scatter::gather::PartFailure;
 
-use super::Front;
+use super::EventLoopState;
 use crate::engines;
 use crate::execution::ExecutionId;
 use crate::fleet::rules::{Ordered, Ruling, Shared};
@@ -16,13 +16,13 @@
 use crate::postgres::gateway::{AdmissionState, Gateway};
 use crate::scatter::Load;
 
-impl Front {
+impl EventLoopState {
     /// Reports replies of engines, and how executions have ended, to the dispatcher; answers go on to clients.
     pub(super) fn handle_engine_events(&mut self) {
         for event in std::mem::take(&mut self.engines.events) {
             match event {
                 engines::Event::Ended {
-                    sent:
+                    execution_id:
                         ExecutionId {
                             ticket,
                             number: execution,
@@ -48,7 +48,7 @@
                     }
                 }
                 engines::Event::Noted {
-                    sent:
+                    execution_id:
                         ExecutionId {
                             ticket,
                             number: execution,
@@ -62,20 +62,22 @@
                     alive,
                     report,
                 } => {
-                    self.dispatcher.probed(self.clock.now, place, alive, report);
+                    self.dispatcher
+                        .probe_ended(self.clock.now, place, alive, report);
                 }
             }
         }
-        let room = self.room();
+        let admission = self.admission_state();
         if let Some(gateway) = &mut self.gateway {
-            gateway.handle_server_events(self.clock.now, room, &mut self.dispatcher);
+            gateway.handle_server_events(self.clock.now, admission, &mut self.dispatcher);
         }
     }
 
     /// What the admission of units of sessions depends on just now.
-    pub(super) fn room(&self) -> AdmissionState {
+    pub(super) fn admission_state(&self) -> AdmissionState {
         let held = self.clients.held_bytes() + self.gateway.as_ref().map_or(0, Gateway::held_bytes);
-        let full = held > self.max_bytes || self.dispatcher.held() >= self.max_statements;
+        let full =
+            held > self.max_bytes || self.dispatcher.statements_held() >= self.max_statements;
         AdmissionState {
             waited: self.clock.waited(),
             full,
@@ -103,7 +105,7 @@
         };
         let now = self.clock.now;
         self.dispatcher
-            .followed()
+            .watched_ends()
             .iter()
             .for_each(|ticket| rules.borrow_mut().statement_over(*ticket));
         let rulings = rules
@@ -113,13 +115,13 @@
             match ruling {
                 Ruling::Go(ordered) => self.await_promises(ordered),
                 Ruling::Deny(ticket) => {
-                    self.answer_without_result(ticket, true, None);
-                    self.dispatcher.turn_away(now, ticket);
+                    self.answer_without_result(ticket, true, None, RejectCause::AccessRules);
+                    self.dispatcher.reject(now, ticket);
                 }
                 Ruling::End {
                     ticket, ran: true, ..
                 } => {
-                    self.answer_without_result(ticket, false, None);
+                    self.answer_without_result(ticket, false, None, RejectCause::AccessRules);
                     self.abandon(ticket);
                 }
                 Ruling::End {
@@ -127,8 +129,8 @@
                     ran: false,
                     again,
                 } => {
-                    let retry_after = self.dispatcher.turn_away(now, ticket).filter(|_| again);
-                    self.answer_without_result(ticket, true, retry_after);
+                    let retry_after = self.dispatcher.reject(now, ticket).filter(|_| again);
+                    self.answer_without_result(ticket, true, retry_after, RejectCause::AccessRules);
                     self.abandon(ticket);
                 }
             }
@@ -153,7 +155,7 @@
                     terms,
                     ..
                 }) => {
-                    self.dispatcher.leaves(now, ticket, execution);
+                    self.dispatcher.execution_sent(now, ticket, execution);
                     self.await_mark(Ordered {
                         of: self.statement_for_rules(ticket),
                         ticket,
@@ -163,15 +165,19 @@
                     });
                 }
                 gate::Ruling::Reject(ticket) => {
-                    let retry_after = self.dispatcher.turn_away(now, ticket);
-                    self.carry_out(Order::Reject {
+                    let retry_after = self.dispatcher.reject(now, ticket);
+                    self.carry_out(Command::Reject {
                         ticket,
                         retry_after,
+                        cause: RejectCause::LedgerEntry,
                     });
                 }
                 gate::Ruling::Abort(ticket) => {
-                    self.dispatcher.turn_away(now, ticket);
-                    self.carry_out(Order::Abort { ticket });
+                    self.dispatcher.reject(now, ticket);
+                    self.carry_out(Command::Abort {
+                        ticket,
+                        cause: RejectCause::LedgerEntry,
+                    });
                 }
             }
         }
@@ -183,10 +189,11 @@
         ticket: Ticket,
         rejects: bool,
         retry_after: Option<Micros>,
+        cause: RejectCause,
     ) {
         let now = self.clock.now;
         log::debug!(
-            "statement {ticket}: {}",
+            "statement {ticket}: {}: {cause}",
             if rejects { "rejected" } else { "aborted" }
         );
         if self.is_of_session(ticket) {
@@ -256,7 +263,7 @@
             ..
         } = ordered;
         let (now, sent) = (self.clock.now, ExecutionId::new(ticket, execution));
-        self.rooms.sent(place);
+        self.send_capacity.sent(place);
         if self.is_of_session(ticket) {
             return self
                 .gateway
@@ -332,10 +339,10 @@
         self.clients.call(ticket).or_else(part)
     }
 
-    pub(super) fn carry_out(&mut self, order: Order) {
+    pub(super) fn carry_out(&mut self, order: Command) {
         let now = self.clock.now;
         match order {
-            Order::Send {
+            Command::Send {
                 ticket,
                 execution,
                 place,
@@ -355,12 +362,12 @@
                     self.await_promises(ordered);
                 }
             }
-            Order::Stop {
+            Command::Cancel {
                 ticket,
                 execution,
                 ending,
             } => self.stop(ExecutionId::new(ticket, execution), ending),
-            Order::Hurry {
+            Command::SetPriority {
                 ticket,
                 execution,
                 priority,
@@ -371,22 +378,28 @@
                 self.engines
                     .set_priority(ExecutionId::new(ticket, execution), priority);
             }
-            Order::Reject {
+            Command::Reject {
                 ticket,
                 retry_after,
+                ..
             } if self.end_part(ticket, Err(PartFailure::Rejected { retry_after })) => {}
-            Order::Abort { ticket } if self.end_part(ticket, Err(PartFailure::Aborted)) => {}
-            Order::Reject {
+            Command::Abort { ticket, .. } if self.end_part(ticket, Err(PartFailure::Aborted)) => {}
+            Command::Reject {
                 ticket,
                 retry_after,
-            } => self.answer_without_result(ticket, true, retry_after),
-            Order::Abort { ticket } => self.answer_without_result(ticket, false, None),
+                cause,
+            } => self.answer_without_result(ticket, true, retry_after, cause),
+            Command::Abort { ticket, cause } => {
+                self.answer_without_result(ticket, false, None, cause)
+            }
             // Between the decision and now the work may have become another's: then the probe stays here.
-            Order::Probe {
+            Command::Probe {
                 for_fleet: true, ..
             } if !self.peers.as_ref().is_none_or(Peers::may_probe) => {}
-            Order::Pace { connections } => self.engines.dials.borrow_mut().pace(now, connections),
-            Order::Probe { place, .. } => self.engines.probe(self.clock.now, place),
+            Command::SetConnectionRate { connections } => {
+                self.engines.dials.borrow_mut().pace(now, connections)
+            }
+            Command::Probe { place, .. } => self.engines.probe(self.clock.now, place),
         }
     }
 }
--- a/crates/front/src/held_tests.rs
+++ b/crates/front/src/held_tests.rs
@@ -2,7 +2,7 @@
 //! cancelling is not allowed: none of them is ever sent.
 
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpStream, UdpSocket};
+use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::path::PathBuf;
 use std::time::Instant;
 
@@ -13,6 +13,7 @@
 use super::tests::{listener, Driven};
 use super::*;
 use crate::clients::tests::frame;
+use crate::start_error::StartError;
 
 const MOST_STARTS: usize = 10; // of fronts whose ports were taken by somebody else
 const PATIENCE: Duration = Duration::from_secs(20); // for any one wait; a busy machine takes some of it
@@ -136,7 +137,7 @@
     fn hears_after_one_has_left(
         &mut self,
         statement: &str,
-        held: impl Fn(&Front) -> bool,
+        held: impl Fn(&EventLoopState) -> bool,
     ) -> String {
         let client = self.asks(1, statement);
         self.driven
@@ -155,7 +156,7 @@
         self.driven.until("its end is known", |front| {
             (front.clients.len() == 0).then_some(())
         });
-        self.kept = self.driven.front.dispatcher.held();
+        self.kept = self.driven.front.dispatcher.statements_held();
     }
 
     /// Another client asks: what the engine hears, over all connections, until its statement or the first has
@@ -216,7 +217,7 @@
 }
 
 /// Something waits for a mark.
-fn waits_for_a_mark(front: &Front) -> bool {
+fn waits_for_a_mark(front: &EventLoopState) -> bool {
     let loads = front
         .scatter
         .as_ref()
@@ -225,7 +226,7 @@
 }
 
 /// An execution was ordered and has not ended.
-fn is_ordered(front: &Front) -> bool {
+fn is_ordered(front: &EventLoopState) -> bool {
     (0..16).any(|ticket| !front.dispatcher.executions_out(ticket).is_empty())
 }
 
@@ -256,7 +257,7 @@
         .until("it is held", |front| waits_for_a_mark(front).then_some(()));
     client.write_all(&forget(1)).unwrap();
     fleet.driven.until("it is let go", |front| {
-        (front.dispatcher.held() == 0).then_some(())
+        (front.dispatcher.statements_held() == 0).then_some(())
     });
     let heard = fleet.hears_the_second(LOAD);
     fleet.has_let_go(&heard);
--- a/crates/ledger/src/incoming.rs
+++ b/crates/ledger/src/incoming.rs
@@ -1,14 +1,17 @@
 //! Takes in packets of other fronts, and passes each message on to the part that it is for.
 
+use crate::batch::CommandId;
 use crate::bootstrap::Bootstrap;
+use crate::encoding::decode;
 use crate::ledger::Ledger;
 use crate::log::Received;
-use crate::messages::{self, LedgerMessage, ReplicaIncarnation};
-use crate::repair::Peer;
+use crate::long_message::Pace;
+use crate::members::{ReplicaId, ReplicaIncarnation};
+use crate::messages::LedgerMessage;
+use crate::peer::Peer;
 use crate::replica::Replica;
-use crate::shard_view::{Learned, StateAt};
-use crate::state::{ReplicaId, State};
-use crate::transport::Pace;
+use crate::shard_view::Learned;
+use crate::state::{State, StateAt};
 use crate::{FrontId, Moment, Owner};
 
 impl Ledger {
@@ -111,7 +114,7 @@
                 let Some(view) = self.shards.get_mut(usize::from(shard)) else {
                     return;
                 };
-                let Some(state) = messages::decode::<State>(&state) else {
+                let Some(state) = decode::<State>(&state) else {
                     return self.refuse("form");
                 };
                 if view.replica.is_none() && self.own.disk != 0 {
@@ -163,13 +166,11 @@
                 incarnation,
                 number,
             } => {
-                self.key_is_free(
-                    Owner {
-                        front: self.own.front,
-                        incarnation,
-                    },
-                    number,
-                );
+                let owner = Owner {
+                    front: self.own.front,
+                    incarnation,
+                };
+                self.key_is_free(CommandId { owner, number });
             }
             LedgerMessage::TransferLeadership { shard, config } => {
                 self.accept_leadership(from, shard, config)
@@ -189,12 +190,8 @@
         sender: ReplicaIncarnation,
         shard: u16,
         config: u32,
-        (number, message): (u64, omnipaxos::messages::Message<crate::state::Batch>),
+        (number, message): (u64, omnipaxos::messages::Message<crate::batch::Batch>),
     ) {
-        let ReplicaIncarnation {
-            id: sender,
-            incarnation,
-        } = sender;
         let behind = |replica: &Replica| replica.config < config;
         let replica = self
             .shards
@@ -210,10 +207,10 @@
         match &mut view.replica {
             Some(replica) if replica.config == config => {
                 // One that came back with another disk does not speak for the member that it was.
-                if !replica.members.contains(&sender) {
+                if !replica.members.contains(&sender.id) {
                     return self.refuse("no member");
                 }
-                match replica.heard((sender.front, incarnation), number, message) {
+                match replica.receive(sender, number, message) {
                     Received::Accepted => _ = self.touched.insert(shard),
                     Received::OutOfOrder => self.refuse("overtaken"),
                     Received::NotMember => self.refuse("no member"),
@@ -223,11 +220,11 @@
                     }
                 }
             }
-            Some(replica) if replica.config > config => self.send_membership(at, sender, shard),
+            Some(replica) if replica.config > config => self.send_membership(at, sender.id, shard),
             _ => {
                 // Members speak of it: it has begun.
                 view.bootstrap.iter_mut().for_each(Bootstrap::set_started);
-                self.announce(at, sender.front, shard);
+                self.announce(at, sender.id.front, shard);
             }
         }
     }
--- a/src/decide/learn.rs
+++ b/src/scheduler/observations.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-impl Front {
+impl Scheduler {
     /// Asks engines for their load where only probes bring it, in turn, as often as statements pay for.
     pub(super) fn probe(&mut self) {
         // All fronts together probe evacuated zones: each draws at its share of the rate. Where
         // probes are not allowed a statement or two go there instead, as to a cold engine.
-        let rate = FLEET_PROBES * SWEEP as f64 / SECOND as f64;
+        let rate = FLEET_PROBES_PER_SECOND * SWEEP_INTERVAL as f64 / SECOND as f64;
         if !self.engines.evacuated.is_empty() && self.random.next() * self.up < rate {
             match self.engines.pick_evacuated(self.random.next()) {
                 Some(engine) if self.agreed.probes => {
@@ -27,7 +27,7 @@
             let e = self.next_probed % count;
             if !asks
                 || self.probe_allowance < 1.0
-                || self.engines.probed_at[e] > self.now - PROBE_GAP
+                || self.engines.probed_at[e] > self.now - MIN_PROBE_INTERVAL
             {
                 return;
             }
@@ -41,38 +41,14 @@
     }
 
     pub(super) fn load_reported(&mut self, e: EngineId, report: &Report) {
-        let (own, size) = (self.engines.own[e], self.engines.size[e]);
-        let count = self.engines.in_flight[e].len() as f64;
-        let each = if self.many {
-            self.load.threads
-        } else {
-            positive_or(own.threads, 1.0) / count.max(1.0)
-        };
-        let in_hand = self
-            .agreed
-            .report
-            .active_statements(report, size.threads / each.max(0.01));
-        let active = in_hand.map_or(0.0, |active| (active - count).max(0.0));
-        let need = if self.many { self.load.memory } else { 0.0 };
-        let granted = self
-            .agreed
-            .report
-            .granted_memory(report)
-            .map(|x| x * size.memory - own.memory);
-        // Where nothing tells what an engine holds, a report leaves what others are taken to hold.
-        let threads = if in_hand.is_some() {
-            active * each
-        } else {
-            self.engines.others[e].threads
+        let at = ReportedEngine {
+            engine: e,
+            kind: self.engines.kind(e),
+            size: self.engines.size[e],
+            own: self.engines.own[e],
+            in_flight: self.engines.in_flight[e].len(),
         };
-        let reported = Load {
-            threads,
-            memory: granted.unwrap_or(active * need).max(0.0),
-        };
-        (self.engines.own_at_report[e], self.engines.reported_at[e]) = (own, self.now);
-        self.engines.others[e].blend(reported, if self.many { 1.0 } else { 0.5 });
-        self.engines
-            .learn_usual(e, reported.times(1.0 / size.threads), LEARNING);
+        self.load_reports.reported(&at, report, self.load, self.now);
     }
 
     /// Guards against executions that are taken and never answered, whatever the cause: a hung engine,
@@ -89,9 +65,9 @@
             let (heard, patience) = match self.agreed.progress_every * Micros::from(tells) {
                 0 => (
                     x.sent_at.max(self.engines.heard_at[e]),
-                    SECOND as f64 + SILENCE_RUNS * run,
+                    SECOND as f64 + MAX_SILENT_RUNS * run,
                 ),
-                every => (x.heard_at, SILENT_NOTES * every as f64),
+                every => (x.heard_at, MAX_SILENT_PROGRESS_GAPS * every as f64),
             };
             !x.silent && (self.now - heard.max(self.running_since)) as f64 > patience
         };
@@ -102,7 +78,12 @@
             .collect();
         for (id, n) in stuck {
             let all_quiet = self.engines.heard_at[e] <= self.statements[&id].executions[n].heard_at;
-            self.lose_credit(e, if all_quiet { SPENT_LOST } else { SPENT_ERROR });
+            let charge = if all_quiet {
+                Charge::Unreachable
+            } else {
+                Charge::Failed
+            };
+            self.outliers.charge(e, charge, self.now);
             self.cancel_to_retry(id, n);
             self.statements
                 .entry(id)
@@ -125,10 +106,10 @@
         };
         if let Note::SpillsMb(missing) = note {
             execution.spilled = true;
-            let need = (s.load.memory * GRANTED + missing) / s.asked.memory_mb.max(1.0);
+            let need = (s.load.memory * MEMORY_GRANT_FACTOR + missing) / s.asked.memory_mb.max(1.0);
             self.learned[s.asked.workload]
                 .memory_bias
-                .take_ratio(LEARNING, need);
+                .take_ratio(MIN_SAMPLE_WEIGHT, need);
         }
         if let (Note::WaitsForData, Some(data_set)) = (note, s.asked.data_set) {
             // Another front's load holds the data set there: guards against standing still behind it.
@@ -142,8 +123,9 @@
             let s = &self.statements[&id];
             let expected = self.learned[s.asked.workload].pace.value * self.estimated_run(s);
             // Guards against a bad plan, drawn anew at each execution, not against a long statement.
-            let bad =
-                expected > 0.0 && run > expected && run / done.max(0.001) > BAD_PLAN * expected;
+            let bad = expected > 0.0
+                && run > expected
+                && run / done.max(0.001) > BAD_PLAN_RUN_FACTOR * expected;
             if bad && s.executions.len() == 1 {
                 self.cancel_to_retry(id, n);
             }
@@ -152,7 +134,7 @@
 
     pub(super) fn ended(&mut self, x: Ended) {
         let (now, e) = (self.now, x.engine);
-        self.engines.ensure(e, TRUSTED);
+        self.ensure_engine(e);
         let Some(s) = self.statements.get_mut(&x.statement) else {
             return;
         };
@@ -160,8 +142,7 @@
             return;
         };
         sent.outcome = Some(x.outcome);
-        let (silent, key, was_over, ends, load) =
-            (sent.silent, s.asked.key, s.over, s.deadline, s.load);
+        let (silent, key, was_over, load) = (sent.silent, s.asked.key, s.over, s.load);
         self.engines.remove(e, (x.statement, x.execution), load);
         let lost = matches!(
             x.outcome,
@@ -171,11 +152,9 @@
             .resolve(key, was_over, lost.then_some(now + self.agreed.order_gap));
         self.order_queues
             .keep(key, x.keeps_order_key && x.settled && !was_over);
-        // One connection late to come up tells little of its engine; two in a row tell that it is gone.
-        let (before, unreached) = self.engines.count_unreached(e, x.outcome, now + LOST_REST);
-        if unreached.max(before) > 1 {
-            // It could not be reached: once it is back it may have restarted before the list says so.
-            self.start_warm_up(e, now + self.agreed.warm_within);
+        let unreachable = self.outliers.attempt_ended(e, x.outcome, now);
+        if unreachable.may_have_restarted() {
+            self.start_warm_up(e, now);
         }
         x.report
             .iter()
@@ -192,16 +171,19 @@
             // Guards against jams no answer tells of: one that turns work away or, among many fronts, lets it
             // run into the client's limit is full until it reports again, whatever it said before.
             Outcome::NoCapacity | Outcome::TimedOut => {
-                if self.many || x.outcome == Outcome::NoCapacity {
-                    self.engines.others[e].threads = MOST_PER_CORE * self.engines.size[e].threads;
+                let pooled = self.limits.scope() == LimitScope::Pooled;
+                if pooled || x.outcome == Outcome::NoCapacity {
+                    let full = ConcurrencyLimits::full_engine(self.engines.size[e].threads);
+                    self.load_reports.assume_full(e, full);
                 }
-                self.adjust_bound(e, -SHRINK * load.threads);
+                let engines = &self.engines;
+                self.limits
+                    .shrink(e, load.threads, |e| engines.size[e].threads);
             }
             // A crash resets all that an engine holds at once; single resets are the network's.
             Outcome::Error | Outcome::Reset | Outcome::Unreachable => {
                 self.proved(e, true);
-                let gone = x.outcome == Outcome::Unreachable && unreached > 1;
-                self.lose_credit(e, if gone { SPENT_LOST } else { SPENT_ERROR })
+                self.outliers.charge(e, unreachable.charge(x.outcome), now);
             }
             Outcome::Cancelled | Outcome::NotSent => {}
         }
@@ -215,17 +197,10 @@
                 x.statement,
                 x.outcome == Outcome::Completed && now - s.first_arrival <= slo,
             );
-        } else if self.has_safe_engine(s) && self.tries_left(s) && now < ends - LAST_CALL {
-            self.enqueue(x.statement);
+        } else if let Some(reason) = self.no_retry_reason(s) {
+            self.shed(x.statement, reason);
         } else {
-            self.shed(x.statement);
-        }
-    }
-
-    fn lose_credit(&mut self, e: EngineId, left: f64) {
-        self.engines.credit[e] *= left;
-        if left <= SPENT_LOST {
-            self.engines.ejected_until[e] = self.now + LOST_REST;
+            self.enqueue(x.statement);
         }
     }
 
@@ -239,42 +214,34 @@
         );
         let slo = self.slo_time(s) as f64;
         self.engines.heard_at[e] = now;
-        self.engines.credit[e] = (self.engines.credit[e] + EARNED).min(1.0);
+        self.outliers.answered(e);
         let seconds = took / SECOND as f64;
         self.load.blend(
             Load {
                 threads,
                 memory: s.load.memory,
             },
-            LEARNING * seconds.min(1.0),
+            MIN_SAMPLE_WEIGHT * seconds.min(1.0),
         );
-        let (bound, held) = self.engines.totals(if self.many { None } else { Some(e) });
-        if took <= slo * QUICK && held + 2.0 * threads >= bound {
-            let growth = if self.many {
-                GROWTH
-            } else {
-                1.0 / bound.max(1.0)
-            };
-            self.adjust_bound(e, threads * seconds * growth);
-        } else if took > slo {
-            self.adjust_bound(e, -SHRINK * threads);
-        }
-        self.learned[w].completed(LEARNING, (took, base), if spilled { 1.0 } else { ENOUGH });
-    }
-
-    /// Moves an engine's bound, or all alike: a front among many hears too seldom of each to know its own.
-    fn adjust_bound(&mut self, e: EngineId, threads: f64) {
-        let moved = if self.many {
-            0..self.engines.open.len()
-        } else {
-            e..e + 1
+        let answer = AnsweredAttempt {
+            engine: e,
+            threads,
+            took,
+            slo,
+            own_threads: self.engines.own[e].threads,
         };
-        let all: f64 = self.engines.bound[moved.clone()].iter().sum();
-        for e in moved {
-            let cores = self.engines.size[e].threads;
-            let least = LEAST_SHARE * THREADS_PER_CORE * cores / self.agreed.fronts;
-            let bound = self.engines.bound[e] * (1.0 + threads / all.max(0.01)).max(0.5);
-            self.engines.bound[e] = bound.clamp(least, MOST_PER_CORE * cores);
-        }
+        let engines = &self.engines;
+        let pool = |limits: &ConcurrencyLimits| limits.pool(engines.in_use());
+        self.limits
+            .answered(&answer, pool, |e| engines.size[e].threads);
+        self.learned[w].completed(
+            MIN_SAMPLE_WEIGHT,
+            (took, base),
+            if spilled {
+                1.0
+            } else {
+                MEMORY_BIAS_DECAY_PER_ANSWER
+            },
+        );
     }
 }
