--- /dev/null
+++ b/crates/access/src/index/shadow.rs
@@ -0,0 +1,71 @@
+//! Rules that can never decide, as another always goes before them.
+
+use super::table::{fields, mask_of, names_field, Cell, FieldNumbers};
+use super::Index;
+use crate::rule::{Rule, RuleEffect, TableRange};
+
+impl Index {
+    /// A rule that goes before another wherever and whenever that would match.
+    pub fn shadow(&self, at: usize) -> Option<usize> {
+        let rule = self.set.rules.get(at)?;
+        let cells = self.wider_cells(rule);
+        let any = cells
+            .iter()
+            .find_map(|cell| self.covering(&cell.any, at, rule));
+        if any.is_some() {
+            return any;
+        }
+        // Each range of its groups must have one; the ranges of an entry differ from those of another.
+        let mut last = None;
+        for start in range_starts(&cells, rule.tables?) {
+            let covering = cells
+                .iter()
+                .find_map(|cell| self.covering(cell.about(start)?, at, rule));
+            last = Some(covering?);
+        }
+        last
+    }
+
+    /// The entries whose rules name no field that this one does not name alike.
+    fn wider_cells(&self, rule: &Rule) -> Vec<&Cell> {
+        let table = match rule.effect {
+            RuleEffect::Count => &self.count,
+            RuleEffect::Deny { .. } | RuleEffect::Allow { .. } => &self.decide,
+        };
+        let mut own: FieldNumbers = Default::default();
+        for (field, name) in fields(rule).into_iter().enumerate() {
+            let number = name.and_then(|name| self.names[field].get(name));
+            own[field] = number.copied().unwrap_or(0);
+        }
+        let own_mask = mask_of(&own);
+        let wider = table.masks.iter().filter(|mask| **mask & !own_mask == 0);
+        let cell = |mask: &u8| {
+            let mut key = own;
+            for (field, number) in key.iter_mut().enumerate() {
+                if !names_field(*mask, field) {
+                    *number = 0;
+                }
+            }
+            table.cells.get(&key)
+        };
+        wider.filter_map(cell).collect()
+    }
+
+    /// A rule of a list that goes before rule `at` and holds whenever that does.
+    fn covering(&self, list: &[u32], at: usize, rule: &Rule) -> Option<usize> {
+        let spans = |by: &usize| self.set.rules.get(*by).is_some_and(|by| by.spans(rule));
+        let before = list.iter().map(|by| *by as usize);
+        before.take_while(|by| *by < at).find(spans)
+    }
+}
+
+/// Where the ranges of some entries begin within these tables.
+fn range_starts(cells: &[&Cell], tables: TableRange) -> Vec<u32> {
+    let mut starts = vec![tables.first];
+    for cell in cells {
+        let from = cell.starts.partition_point(|start| *start <= tables.first);
+        let within = cell.starts.iter().skip(from);
+        starts.extend(within.take_while(|start| **start <= tables.last));
+    }
+    starts
+}
--- /dev/null
+++ b/crates/access/src/index/verdict.rs
@@ -0,0 +1,62 @@
+//! What holds for a statement, also where it reads several groups of tables.
+
+/// Why a statement is denied whose groups have no place in common.
+const NOWHERE: &str = "the groups of tables that it reads may be read together in no region";
+
+/// What holds for a statement.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Verdict {
+    /// The version that it was judged by: the same at every try.
+    pub version: u64,
+    /// The rule that decided it, by its place in the set's order; None: the default.
+    pub rule: Option<usize>,
+    /// The rule that only counts it.
+    pub counts: Option<usize>,
+    /// The rules that let it through within a limit.
+    pub limits: Vec<usize>,
+    /// Why it is denied.
+    pub denied: Option<String>,
+    /// The places where it may be read, ascending; None: all.
+    pub allowed: Option<Vec<u16>>,
+}
+
+impl Verdict {
+    /// Whether the statement may be read at a location. `None` stands for a location that is not known, which is
+    /// allowed only where all are.
+    pub fn allows(&self, place: Option<u16>) -> bool {
+        let named = |all: &Vec<u16>| place.is_some_and(|place| all.binary_search(&place).is_ok());
+        self.denied.is_none() && self.allowed.as_ref().is_none_or(named)
+    }
+}
+
+impl Verdict {
+    /// What holds for a statement about which two verdicts hold.
+    pub(super) fn and(self, other: Verdict) -> Verdict {
+        // The rule that stands first is the one that decided, a denial before all.
+        let order = |v: &Verdict| (v.denied.is_none(), v.rule.is_none(), v.rule);
+        let counts = self.counts.into_iter().chain(other.counts).min();
+        let (mut verdict, other) = if order(&self) <= order(&other) {
+            (self, other)
+        } else {
+            (other, self)
+        };
+        verdict.counts = counts;
+        verdict.limits.extend(other.limits);
+        verdict.limits.sort_unstable();
+        verdict.limits.dedup();
+        if verdict.denied.is_some() {
+            return verdict;
+        }
+        verdict.allowed = match (verdict.allowed, other.allowed) {
+            (Some(mut places), Some(others)) => {
+                places.retain(|place| others.contains(place));
+                Some(places)
+            }
+            (one, other) => one.or(other),
+        };
+        if verdict.allowed.as_ref().is_some_and(Vec::is_empty) {
+            verdict.denied = Some(NOWHERE.to_string());
+        }
+        verdict
+    }
+}
