--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -9,7 +9,7 @@
 use hallmux_gossip::message::Health;
 use hallmux_gossip::node::{Datagram, Node};
 use hallmux_gossip::PeerId;
-use hallmux_ledger::{Ask, Done, Error, Ledger, Member, Saved, Setup};
+use hallmux_ledger::{Ask, Done, Error, Ledger, Member, OutgoingPacket, Saved, Setup};
 
 use crate::{Moment, Output};
 
@@ -145,9 +145,9 @@
             done,
         } = self.ledger.take_output();
         self.answers.extend(done);
-        let mut seal = |packets: Vec<(PeerId, Vec<u8>)>| -> Vec<Datagram> {
+        let mut seal = |packets: Vec<OutgoingPacket>| -> Vec<Datagram> {
             let mut datagrams = Vec::new();
-            for (to, message) in packets {
+            for OutgoingPacket { to, bytes } in packets {
                 // A message that can't be sent counts as lost on the way.
                 let address = self
                     .addresses
@@ -155,7 +155,7 @@
                     .copied()
                     .or_else(|| node.address(to));
                 datagrams.extend(address.and_then(|to| {
-                    node.channel_datagram(at.now, at.wall_ms, to, Channel::Ledger, &message)
+                    node.channel_datagram(at.now, at.wall_ms, to, Channel::Ledger, &bytes)
                 }));
             }
             datagrams
--- a/crates/ledger/src/anti_entropy.rs
+++ b/crates/ledger/src/anti_entropy.rs
@@ -4,12 +4,12 @@
 
 use std::collections::BTreeMap;
 
-use crate::comparison::{hashes, majority};
+use crate::comparison::{hashes, majority, PendingHashes, StateHashes};
 use crate::encoding::{decode, encode};
 use crate::formats::TRANSFER_FORMAT;
 use crate::ledger::Ledger;
 use crate::long_message::Pace;
-use crate::members::ReplicaId;
+use crate::members::{ConfigurationId, ReplicaId};
 use crate::messages::LedgerMessage;
 use crate::shard_view::ShardView;
 use crate::state::State;
@@ -41,22 +41,18 @@
         view.comparison.hashes = BTreeMap::from([(self.own.front, hashes.clone())]);
         let (config, index) = (replica.config, replica.applied());
         let others = replica.members.iter().map(|member| member.front);
-        let read = |front: &FrontId| {
+        let reads_hashes = |front: &FrontId| {
             *front != self.own.front && self.transport.common_format(*front) >= TRANSFER_FORMAT
         };
-        let others: Vec<FrontId> = others.filter(read).collect();
+        let others: Vec<FrontId> = others.filter(reads_hashes).collect();
+        let message = LedgerMessage::Hashes {
+            shard,
+            config,
+            index,
+            hashes,
+        };
         for to in others {
-            self.transport.send(
-                at,
-                to,
-                &LedgerMessage::Hashes {
-                    shard,
-                    config,
-                    index,
-                    hashes: hashes.clone(),
-                },
-                Pace::Fast,
-            );
+            self.transport.send(at, to, &message, Pace::Fast);
         }
     }
 
@@ -94,32 +90,23 @@
         let config = replica.config;
         if wrong.contains(&own) {
             // One of the majority leads the shard from now on, and repairs this front's replica.
-            let candidate = hashes
-                .iter()
-                .find(|(_, of)| **of == right)
-                .map(|(front, _)| *front);
-            let message = LedgerMessage::TransferLeadership { shard, config };
-            candidate
-                .into_iter()
-                .for_each(|candidate| self.transport.send(at, candidate, &message, Pace::Fast));
+            let candidate = hashes.iter().find(|(_, of)| **of == right);
+            if let Some((candidate, _)) = candidate {
+                let message = LedgerMessage::TransferLeadership { shard, config };
+                self.transport.send(at, *candidate, &message, Pace::Fast);
+            }
             return;
         }
-        let (index, state) = (replica.applied(), encode(&replica.state));
+        let message = LedgerMessage::RepairReplica {
+            shard,
+            config,
+            index: replica.applied(),
+            state: encode(&replica.state),
+        };
         for to in wrong {
-            if self.transport.is_busy(to, Pace::Repair) {
-                continue;
+            if !self.transport.is_busy(to, Pace::Repair) {
+                self.transport.send(at, to, &message, Pace::Repair);
             }
-            self.transport.send(
-                at,
-                to,
-                &LedgerMessage::RepairReplica {
-                    shard,
-                    config,
-                    index,
-                    state: state.clone(),
-                },
-                Pace::Repair,
-            );
         }
     }
 
@@ -128,10 +115,11 @@
         &mut self,
         at: Moment,
         from: ReplicaId,
-        (shard, config): (u16, u32),
-        (index, hashes): (u64, Vec<u64>),
+        configuration: ConfigurationId,
+        received: StateHashes,
     ) {
-        let Some(view) = self.view_for(from, shard, config) else {
+        let StateHashes { index, hashes } = received;
+        let Some(view) = self.view_for(from, configuration) else {
             return;
         };
         let Some(replica) = &view.replica else { return };
@@ -140,8 +128,11 @@
                 view.comparison.hashes.insert(from.front, hashes);
             }
         } else {
-            view.comparison.pending_answer = Some((from.front, index));
-            self.answer_hashes(at, shard);
+            view.comparison.pending_answer = Some(PendingHashes {
+                leader: from.front,
+                index,
+            });
+            self.answer_hashes(at, configuration.shard);
         }
     }
 
@@ -150,28 +141,23 @@
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
-        let Some((replica, (to, index))) =
-            view.replica.as_ref().zip(view.comparison.pending_answer)
-        else {
+        let pending = view.comparison.pending_answer;
+        let Some((replica, pending)) = view.replica.as_ref().zip(pending) else {
             return;
         };
+        let PendingHashes { leader, index } = pending;
         if replica.applied() < index {
             return;
         }
         view.comparison.pending_answer = None;
         if replica.applied() == index {
-            let (config, hashes) = (replica.config, hashes(&replica.state));
-            self.transport.send(
-                at,
-                to,
-                &LedgerMessage::Hashes {
-                    shard,
-                    config,
-                    index,
-                    hashes,
-                },
-                Pace::Fast,
-            );
+            let message = LedgerMessage::Hashes {
+                shard,
+                config: replica.config,
+                index,
+                hashes: hashes(&replica.state),
+            };
+            self.transport.send(at, leader, &message, Pace::Fast);
         }
     }
 
@@ -179,12 +165,12 @@
     pub(crate) fn receive_repair(
         &mut self,
         from: ReplicaId,
-        (shard, config): (u16, u32),
+        configuration: ConfigurationId,
         index: u64,
         state: &[u8],
     ) {
         let state = decode::<State>(state);
-        let Some(view) = self.view_for(from, shard, config) else {
+        let Some(view) = self.view_for(from, configuration) else {
             return;
         };
         let Some((replica, state)) = view.replica.as_mut().zip(state) else {
@@ -192,11 +178,17 @@
         };
         if replica.leader() == Some(from.front) && replica.replace_state(index, state) {
             self.counters.mended += 1;
-            self.touched.insert(shard);
+            self.touched.insert(configuration.shard);
         }
     }
 
-    fn view_for(&mut self, from: ReplicaId, shard: u16, config: u32) -> Option<&mut ShardView> {
+    /// The shard of a message of its comparison, if the sender and this front are members in the same configuration.
+    fn view_for(
+        &mut self,
+        from: ReplicaId,
+        configuration: ConfigurationId,
+    ) -> Option<&mut ShardView> {
+        let ConfigurationId { shard, config } = configuration;
         let view = self.shards.get_mut(usize::from(shard))?;
         let replica = view.replica.as_ref()?;
         (replica.config == config && replica.members.contains(&from)).then_some(view)
--- a/crates/ledger/src/comparison.rs
+++ b/crates/ledger/src/comparison.rs
@@ -17,8 +17,21 @@
     pub index: u64,
     /// By the members that have answered; empty: none is under way.
     pub hashes: BTreeMap<FrontId, Vec<u64>>,
-    /// On a member: the leader that waits for hashes, and the entry that they are to be as of.
-    pub pending_answer: Option<(FrontId, u64)>,
+    /// On a member: the hashes that it has yet to send.
+    pub pending_answer: Option<PendingHashes>,
+}
+
+/// The hashes of a replica as of an entry of the log.
+pub(crate) struct StateHashes {
+    pub index: u64,
+    pub hashes: Vec<u64>,
+}
+
+/// Hashes that a leader waits for, and the entry that they are to be as of.
+#[derive(Clone, Copy)]
+pub(crate) struct PendingHashes {
+    pub leader: FrontId,
+    pub index: u64,
 }
 
 /// The hash that most copies have, where more than half of all have it.
--- a/crates/ledger/src/durability.rs
+++ b/crates/ledger/src/durability.rs
@@ -4,7 +4,7 @@
 use crate::ledger::Ledger;
 use crate::records;
 use crate::replica::Replica;
-use crate::{Done, FrontId, Moment, Outcome, Record, Save};
+use crate::{Done, Moment, Outcome, OutgoingPacket, Record, Save};
 
 impl Ledger {
     /// Takes in what has happened, and gathers what is to go out.
@@ -43,7 +43,7 @@
         }
     }
 
-    fn save(&mut self, records: Vec<Record>, packets: Vec<(FrontId, Vec<u8>)>, done: Vec<Done>) {
+    fn save(&mut self, records: Vec<Record>, packets: Vec<OutgoingPacket>, done: Vec<Done>) {
         let number = self.next_save;
         self.next_save += 1;
         self.unsaved.push_back((number, done));
--- a/crates/ledger/src/incoming.rs
+++ b/crates/ledger/src/incoming.rs
@@ -1,54 +1,61 @@
 //! Takes in packets of other fronts, and passes each message on to the part that it is for.
 
-use crate::batch::CommandId;
+use omnipaxos::messages::Message;
+
+use crate::batch::{Batch, CommandId};
 use crate::bootstrap::Bootstrap;
+use crate::comparison::StateHashes;
 use crate::encoding::decode;
 use crate::ledger::Ledger;
 use crate::log::Received;
 use crate::long_message::Pace;
-use crate::members::{ReplicaId, ReplicaIncarnation};
+use crate::members::{ConfigurationId, ReplicaId, ReplicaIncarnation};
 use crate::messages::LedgerMessage;
 use crate::peer::Peer;
+use crate::rejection::Rejection;
 use crate::replica::Replica;
 use crate::shard_view::Learned;
 use crate::state::{State, StateAt};
 use crate::{FrontId, Moment, Owner};
 
+/// A message of the consensus library, and its number in its sender's order; 0: it need not come in order.
+struct NumberedMessage {
+    number: u64,
+    message: Message<Batch>,
+}
+
 impl Ledger {
     /// A packet of a front has come, whose signature holds.
     pub fn receive(&mut self, at: Moment, from: FrontId, bytes: &[u8]) {
         if from == self.own.front {
-            return self.refuse("own");
+            return self.reject(Rejection::OwnPacket);
         }
-        let (packet, messages) = match self.transport.receive(at, from, bytes) {
-            Ok(heard) => heard,
-            Err(why) => return self.refuse(why),
+        let packet = match self.transport.receive(at, from, bytes) {
+            Ok(packet) => packet,
+            Err(why) => return self.reject(why),
         };
         let silent = |peer: &Peer| at.steady - peer.heard_at >= self.setup.repair_after;
         let before = self.peers.get(&from).filter(|peer| !silent(peer));
         if before.is_some_and(|peer| peer.incarnation > packet.incarnation) {
-            return self.refuse("earlier life");
+            return self.reject(Rejection::EarlierIncarnation);
         }
-        let (incarnation, disk, wall_ms) = (packet.incarnation, packet.disk, packet.wall_ms);
         self.away.returned(at.steady, &self.setup.members, from);
-        self.peers.insert(
-            from,
-            Peer {
-                heard_at: at.steady,
-                incarnation,
-                disk,
-                wall_ms,
+        let peer = Peer {
+            heard_at: at.steady,
+            incarnation: packet.incarnation,
+            disk: packet.disk,
+            wall_ms: packet.wall_ms,
+        };
+        self.peers.insert(from, peer);
+        let sender = ReplicaIncarnation {
+            id: ReplicaId {
+                front: from,
+                disk: packet.disk,
             },
-        );
-        for message in messages {
-            self.handle(
-                at,
-                ReplicaIncarnation {
-                    id: ReplicaId { front: from, disk },
-                    incarnation,
-                },
-                message,
-            );
+            incarnation: packet.incarnation,
+        };
+        for message in packet.messages {
+            self.handle(at, sender, message);
         }
         self.settle(at);
     }
@@ -62,18 +69,36 @@
                 number,
                 message,
             } => {
-                self.receive_log_message(at, sender, shard, config, (number, *message));
+                let message = *message;
+                let numbered = NumberedMessage { number, message };
+                self.receive_log_message(at, sender, ConfigurationId { shard, config }, numbered);
             }
             LedgerMessage::Resync { shard, config } => {
-                let view = self.shards.get_mut(usize::from(shard));
-                let replica = view.and_then(|view| view.replica.as_mut());
-                if let Some(replica) =
-                    replica.filter(|r| r.config == config && r.members.contains(&sender.id))
-                {
-                    replica.resync(from);
-                    self.touched.insert(shard);
-                }
+                self.receive_resync(sender.id, ConfigurationId { shard, config });
+            }
+            LedgerMessage::TransferLeadership { shard, config } => {
+                self.accept_leadership(from, shard, config);
             }
+            LedgerMessage::ShuttingDown => _ = self.shutting_down.insert(from, sender.incarnation),
+            LedgerMessage::Request { .. }
+            | LedgerMessage::Reply { .. }
+            | LedgerMessage::NotLeader { .. }
+            | LedgerMessage::KeyFree { .. } => self.handle_request(at, from, message),
+            LedgerMessage::Hashes { .. } | LedgerMessage::RepairReplica { .. } => {
+                self.handle_comparison(at, sender.id, message);
+            }
+            LedgerMessage::Available { .. }
+            | LedgerMessage::Membership { .. }
+            | LedgerMessage::Probe { .. }
+            | LedgerMessage::Snapshot { .. }
+            | LedgerMessage::CaughtUp { .. }
+            | LedgerMessage::Join { .. } => self.handle_membership(at, sender, message),
+        }
+    }
+
+    /// Requests for entries, and what answers them.
+    fn handle_request(&mut self, at: Moment, from: FrontId, message: LedgerMessage) {
+        match message {
             LedgerMessage::Request { shard, command } => {
                 self.touched.insert(shard);
                 self.receive_ask(at, from, shard, command);
@@ -93,7 +118,53 @@
             } if incarnation == self.setup.incarnation => {
                 self.redirect(at, from, number, leader);
             }
-            LedgerMessage::Reply { .. } | LedgerMessage::NotLeader { .. } => {}
+            LedgerMessage::KeyFree {
+                incarnation,
+                number,
+            } => {
+                let owner = Owner {
+                    front: self.own.front,
+                    incarnation,
+                };
+                self.key_is_free(CommandId { owner, number });
+            }
+            _ => {} // answers to an earlier incarnation of this front
+        }
+    }
+
+    /// The comparison of replicas.
+    fn handle_comparison(&mut self, at: Moment, sender: ReplicaId, message: LedgerMessage) {
+        match message {
+            LedgerMessage::Hashes {
+                shard,
+                config,
+                index,
+                hashes,
+            } => {
+                let received = StateHashes { index, hashes };
+                self.receive_hashes(at, sender, ConfigurationId { shard, config }, received);
+            }
+            LedgerMessage::RepairReplica {
+                shard,
+                config,
+                index,
+                state,
+            } => {
+                self.receive_repair(sender, ConfigurationId { shard, config }, index, &state);
+            }
+            _ => {}
+        }
+    }
+
+    /// Who the members of a shard are, who can become one, and what a new one starts from.
+    fn handle_membership(
+        &mut self,
+        at: Moment,
+        sender: ReplicaIncarnation,
+        message: LedgerMessage,
+    ) {
+        let from = sender.id.front;
+        match message {
             LedgerMessage::Available {
                 shard,
                 config,
@@ -110,88 +181,87 @@
                 config,
                 index,
                 state,
-            } => {
-                let Some(view) = self.shards.get_mut(usize::from(shard)) else {
-                    return;
-                };
-                let Some(state) = decode::<State>(&state) else {
-                    return self.refuse("form");
-                };
-                if view.replica.is_none() && self.own.disk != 0 {
-                    view.learned = Some(Learned {
-                        config,
-                        at: StateAt { index, state },
-                    });
-                    self.transport.send(
-                        at,
-                        from,
-                        &LedgerMessage::CaughtUp {
-                            shard,
-                            config,
-                            index,
-                        },
-                        Pace::Fast,
-                    );
-                }
-            }
+            } => self.receive_snapshot(at, from, ConfigurationId { shard, config }, index, &state),
             LedgerMessage::CaughtUp {
                 shard,
                 config,
                 index,
-            } => {
-                let view = self.shards.get_mut(usize::from(shard));
-                let repair = view.and_then(|view| view.repair.as_mut());
-                if let Some(repair) = repair.filter(|r| r.into == sender.id && r.config == config) {
-                    repair.caught_up = Some(index);
-                }
-            }
-            LedgerMessage::Hashes {
-                shard,
-                config,
-                index,
-                hashes,
-            } => {
-                self.receive_hashes(at, sender.id, (shard, config), (index, hashes));
-            }
-            LedgerMessage::RepairReplica {
-                shard,
-                config,
-                index,
-                state,
-            } => {
-                self.receive_repair(sender.id, (shard, config), index, &state);
-            }
-            LedgerMessage::ShuttingDown => _ = self.shutting_down.insert(from, sender.incarnation),
-            LedgerMessage::KeyFree {
-                incarnation,
-                number,
-            } => {
-                let owner = Owner {
-                    front: self.own.front,
-                    incarnation,
-                };
-                self.key_is_free(CommandId { owner, number });
-            }
-            LedgerMessage::TransferLeadership { shard, config } => {
-                self.accept_leadership(from, shard, config)
-            }
+            } => self.record_caught_up(sender.id, ConfigurationId { shard, config }, index),
             LedgerMessage::Join {
                 shard,
                 config,
                 members,
                 base,
             } => self.join(at, shard, config, members, &base),
+            _ => {}
+        }
+    }
+
+    /// The leader says that messages of its log may have been lost.
+    fn receive_resync(&mut self, sender: ReplicaId, configuration: ConfigurationId) {
+        let ConfigurationId { shard, config } = configuration;
+        let view = self.shards.get_mut(usize::from(shard));
+        let Some(replica) = view.and_then(|view| view.replica.as_mut()) else {
+            return;
+        };
+        if replica.config == config && replica.members.contains(&sender) {
+            replica.resync(sender.front);
+            self.touched.insert(shard);
+        }
+    }
+
+    /// A snapshot for a front that is to become a member: kept until it does.
+    fn receive_snapshot(
+        &mut self,
+        at: Moment,
+        from: FrontId,
+        configuration: ConfigurationId,
+        index: u64,
+        state: &[u8],
+    ) {
+        let ConfigurationId { shard, config } = configuration;
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+            return;
+        };
+        let Some(state) = decode::<State>(state) else {
+            return self.reject(Rejection::Malformed);
+        };
+        if view.replica.is_some() || self.own.disk == 0 {
+            return;
+        }
+        view.learned = Some(Learned {
+            config,
+            at: StateAt { index, state },
+        });
+        let message = LedgerMessage::CaughtUp {
+            shard,
+            config,
+            index,
+        };
+        self.transport.send(at, from, &message, Pace::Fast);
+    }
+
+    /// The new member of a change of members that this front leads has taken in the snapshot.
+    fn record_caught_up(&mut self, sender: ReplicaId, configuration: ConfigurationId, index: u64) {
+        let view = self.shards.get_mut(usize::from(configuration.shard));
+        let repair = view.and_then(|view| view.repair.as_mut());
+        let expected =
+            repair.filter(|repair| repair.into == sender && repair.config == configuration.config);
+        if let Some(repair) = expected {
+            repair.caught_up = Some(index);
         }
     }
 
+    /// A message of the log: for the configuration that this front is in, an earlier one or a later one.
     fn receive_log_message(
         &mut self,
         at: Moment,
         sender: ReplicaIncarnation,
-        shard: u16,
-        config: u32,
-        (number, message): (u64, omnipaxos::messages::Message<crate::batch::Batch>),
+        configuration: ConfigurationId,
+        numbered: NumberedMessage,
     ) {
+        let ConfigurationId { shard, config } = configuration;
+        let NumberedMessage { number, message } = numbered;
         let behind = |replica: &Replica| replica.config < config;
         let replica = self
             .shards
@@ -208,14 +278,14 @@
             Some(replica) if replica.config == config => {
                 // One that came back with another disk does not speak for the member that it was.
                 if !replica.members.contains(&sender.id) {
-                    return self.refuse("no member");
+                    return self.reject(Rejection::NotMember);
                 }
                 match replica.receive(sender, number, message) {
                     Received::Accepted => _ = self.touched.insert(shard),
-                    Received::OutOfOrder => self.refuse("overtaken"),
-                    Received::NotMember => self.refuse("no member"),
+                    Received::OutOfOrder => self.reject(Rejection::Overtaken),
+                    Received::NotMember => self.reject(Rejection::NotMember),
                     Received::Contradiction => {
-                        self.refuse("contradicts what is decided");
+                        self.reject(Rejection::Contradiction);
                         self.fail();
                     }
                 }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -12,6 +12,7 @@
 use crate::peer::Peer;
 use crate::placement::ranked;
 use crate::records::{self, Meta};
+use crate::rejection::Rejection;
 use crate::replica::Replica;
 use crate::shard_view::ShardView;
 use crate::transport::Transport;
@@ -196,7 +197,7 @@
         std::mem::take(&mut self.out)
     }
 
-    pub(crate) fn refuse(&mut self, why: &'static str) {
-        *self.counters.refused.entry(why).or_default() += 1;
+    pub(crate) fn reject(&mut self, why: Rejection) {
+        *self.counters.refused.entry(why.label()).or_default() += 1;
     }
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -41,6 +41,7 @@
 mod reassembly;
 mod rebalance;
 mod records;
+mod rejection;
 mod repair;
 mod replica;
 mod requests;
@@ -89,6 +90,15 @@
     pub bytes: Option<Vec<u8>>,
 }
 
+/// An encoded message to another front, for one datagram.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct OutgoingPacket {
+    /// The receiver.
+    pub to: FrontId,
+    /// The message, to be sealed and sent as it is.
+    pub bytes: Vec<u8>,
+}
+
 /// Records that must be durable, as a whole, before the messages beside them leave; in order of numbers. Without records
 /// its messages only wait for the saves before it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -97,8 +107,8 @@
     pub number: u64,
     /// To be written in this order.
     pub records: Vec<Record>,
-    /// Encoded messages, each with its receiver.
-    pub packets: Vec<(FrontId, Vec<u8>)>,
+    /// They may leave once the records are durable.
+    pub packets: Vec<OutgoingPacket>,
 }
 
 /// All records, by name, as they were saved last.
@@ -108,8 +118,8 @@
 /// What is to be sent, saved and answered.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Output {
-    /// Encoded messages that may leave at once, each with its receiver.
-    pub packets: Vec<(FrontId, Vec<u8>)>,
+    /// They may leave at once.
+    pub packets: Vec<OutgoingPacket>,
     /// In order of their numbers.
     pub saves: Vec<Save>,
     /// Answers to this front's own asks; each ask gets one. One for an order or dedup key that was `Held` may get
--- a/crates/ledger/src/members.rs
+++ b/crates/ledger/src/members.rs
@@ -19,6 +19,13 @@
     pub incarnation: u64,
 }
 
+/// A configuration of a shard, by its number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ConfigurationId {
+    pub shard: u16,
+    pub config: u32,
+}
+
 /// A configuration of a shard: its number, which grows with each change of members, and its members.
 #[derive(Clone, Debug)]
 pub(crate) struct Configuration {
--- a/crates/ledger/src/messages.rs
+++ b/crates/ledger/src/messages.rs
@@ -109,8 +109,10 @@
     pub payload: Payload,
 }
 
+/// What a packet carries.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Payload {
+    /// Small messages, each encoded.
     Messages(Vec<Vec<u8>>),
     /// A part of a message that is longer than a datagram.
     Fragment {
@@ -120,14 +122,15 @@
         bytes: Vec<u8>,
     },
     /// Fragments that the receiver lacks.
-    Resend {
-        id: u64,
-        missing: Vec<u16>,
-    },
+    Resend { id: u64, missing: Vec<u16> },
     /// All fragments have come.
-    Received {
-        id: u64,
-    },
+    Received { id: u64 },
+}
+
+/// The payload of a packet, and who it is for.
+pub(crate) struct OutgoingPayload {
+    pub to: FrontId,
+    pub payload: Payload,
 }
 
 /// The fleet's fingerprint: its name, and into how many shards keys are parted.
--- a/crates/ledger/src/peer_formats.rs
+++ b/crates/ledger/src/peer_formats.rs
@@ -11,11 +11,19 @@
 /// Microseconds until it says so again to a front that has not shown its own.
 pub(crate) const INTRODUCTION_INTERVAL: Micros = 10_000_000;
 
+/// The latest format that a front has shown to read, and in which incarnation: a front that comes back may be of an
+/// earlier build.
+#[derive(Clone, Copy)]
+struct ShownFormat {
+    incarnation: u64,
+    format: u8,
+}
+
 /// The formats that other fronts read.
 #[derive(Default)]
 pub(crate) struct PeerFormats {
-    /// With the incarnation that showed it: a front that comes back may be of an earlier build.
-    known: BTreeMap<FrontId, (u64, u8)>,
+    known: BTreeMap<FrontId, ShownFormat>,
+    /// When each front was last told this one's format.
     told: BTreeMap<FrontId, Micros>,
 }
 
@@ -24,7 +32,7 @@
     pub fn of(&self, own: u8, front: FrontId) -> u8 {
         self.known
             .get(&front)
-            .map_or(OLDEST_FORMAT, |(_, format)| own.min(*format))
+            .map_or(OLDEST_FORMAT, |known| own.min(known.format))
     }
 
     /// The latest format that all of them read, in which entries and records may be saved.
@@ -34,12 +42,18 @@
 
     /// A packet has come in a format, of an incarnation of its front.
     pub fn heard(&mut self, front: FrontId, incarnation: u64, format: u8) {
-        let known = self.known.entry(front).or_insert((incarnation, format));
-        if incarnation > known.0 {
+        let shown = ShownFormat {
+            incarnation,
+            format,
+        };
+        let known = self.known.entry(front).or_insert(shown);
+        let is_new_incarnation = incarnation > known.incarnation;
+        let is_later_format = incarnation == known.incarnation && format > known.format;
+        if is_new_incarnation {
             self.told.remove(&front);
         }
-        if incarnation > known.0 || incarnation == known.0 && format > known.1 {
-            *known = (incarnation, format);
+        if is_new_incarnation || is_later_format {
+            *known = shown;
         }
     }
 
--- a/crates/ledger/src/reassembly.rs
+++ b/crates/ledger/src/reassembly.rs
@@ -3,8 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use crate::messages::Payload;
+use crate::messages::{OutgoingPayload, Payload};
 use crate::packet_limits::{ABANDON_AFTER, FRAGMENT_BYTES, MAX_FRAGMENTS};
+use crate::rejection::Rejection;
 use crate::{FrontId, Micros};
 
 const MAX_REASSEMBLIES: usize = 64; // messages of one front that are being put together
@@ -81,13 +82,13 @@
 }
 
 impl Reassembly {
-    /// Takes in a fragment; why it was refused, otherwise.
+    /// Takes in a fragment.
     pub fn add(
         &mut self,
         now: Micros,
         id: MessageId,
         fragment: Fragment,
-    ) -> Result<Added, &'static str> {
+    ) -> Result<Added, Rejection> {
         if self.finished.contains_key(&id) {
             return Ok(Added::Repeated);
         }
@@ -96,19 +97,15 @@
             count,
             bytes,
         } = fragment;
-        let (first, last) = (
-            MessageId { number: 0, ..id },
-            MessageId {
-                number: u64::MAX,
-                ..id
-            },
-        );
-        let many = self.partial.range(first..=last).count() >= MAX_REASSEMBLIES;
         if index >= count || usize::from(count) > MAX_FRAGMENTS || bytes.len() > FRAGMENT_BYTES {
-            return Err("form");
+            return Err(Rejection::Malformed);
         }
-        if !self.partial.contains_key(&id) && many || self.buffered + bytes.len() > MAX_BUFFERED {
-            return Err("too much");
+        let is_new = !self.partial.contains_key(&id);
+        if is_new && self.incomplete_of(id.from) >= MAX_REASSEMBLIES {
+            return Err(Rejection::TooManyFragments);
+        }
+        if self.buffered + bytes.len() > MAX_BUFFERED {
+            return Err(Rejection::TooManyFragments);
         }
         let none = || Partial {
             fragments: vec![None; count.into()],
@@ -120,7 +117,7 @@
         let slot = partial
             .fragments
             .get_mut(usize::from(index))
-            .ok_or("form")?;
+            .ok_or(Rejection::Malformed)?;
         partial.touched = now;
         if slot.is_none() {
             partial.buffered += bytes.len();
@@ -130,7 +127,7 @@
         if partial.fragments.iter().any(Option::is_none) {
             return Ok(Added::Incomplete);
         }
-        let partial = self.partial.remove(&id).ok_or("form")?;
+        let partial = self.partial.remove(&id).ok_or(Rejection::Malformed)?;
         self.buffered -= partial.buffered;
         if self.finished.len() < MAX_FINISHED {
             self.finished.insert(id, now);
@@ -140,8 +137,18 @@
         ))
     }
 
-    /// Forgets what its sender has abandoned; requests for fragments that count as lost, each with its receiver.
-    pub fn request_missing(&mut self, now: Micros) -> Vec<(FrontId, Payload)> {
+    /// The number of long messages of a front that are incomplete.
+    fn incomplete_of(&self, from: FrontId) -> usize {
+        let first = MessageId { from, number: 0 };
+        let last = MessageId {
+            from,
+            number: u64::MAX,
+        };
+        self.partial.range(first..=last).count()
+    }
+
+    /// Forgets what its sender has abandoned; requests for fragments that count as lost, which their senders have to send again.
+    pub fn request_missing(&mut self, now: Micros) -> Vec<OutgoingPayload> {
         self.finished.retain(|_, at| now - *at < 2 * ABANDON_AFTER);
         let buffered = &mut self.buffered;
         self.partial.retain(|_, partial| {
@@ -157,13 +164,14 @@
             partial.asked = now;
             let missing = partial.lost(now);
             if !missing.is_empty() {
-                requests.push((
-                    id.from,
-                    Payload::Resend {
-                        id: id.number,
-                        missing,
-                    },
-                ));
+                let payload = Payload::Resend {
+                    id: id.number,
+                    missing,
+                };
+                requests.push(OutgoingPayload {
+                    to: id.from,
+                    payload,
+                });
             }
         }
         requests
--- a/crates/ledger/src/requests.rs
+++ b/crates/ledger/src/requests.rs
@@ -5,6 +5,7 @@
 use crate::ledger::Ledger;
 use crate::long_message::Pace;
 use crate::messages::LedgerMessage;
+use crate::rejection::Rejection;
 use crate::replica::Replica;
 use crate::{shard_of, Act, Ask, Done, FrontId, Moment, Outcome, Owner};
 
@@ -30,7 +31,7 @@
             });
         }
         if long || key.name.len() > LONGEST_NAME {
-            self.refuse("too long");
+            self.reject(Rejection::TooLong);
             return self.out.done.push(Done {
                 number,
                 outcome: Outcome::Full,
@@ -136,7 +137,7 @@
         let fits =
             command.owner.front == from && shard_of(&command.key, self.setup.shards) == shard;
         if !fits || command.size() > LONGEST_NAME + LONGEST_VALUE {
-            return self.refuse("another's ask");
+            return self.reject(Rejection::ForeignAsk);
         }
         let (incarnation, number) = (command.owner.incarnation, command.number);
         let ends = at.steady + self.setup.ask_timeout;
@@ -146,7 +147,7 @@
         let leader = match &mut view.replica {
             Some(replica) if replica.is_leader() => {
                 if !replica.ask(command, at.steady, ends) {
-                    self.refuse("too many asks");
+                    self.reject(Rejection::QueueFull);
                 }
                 return;
             }
--- a/crates/ledger/src/transport.rs
+++ b/crates/ledger/src/transport.rs
@@ -6,15 +6,28 @@
 use crate::encoding::{decode, encode};
 use crate::formats::OLDEST_FORMAT;
 use crate::long_message::{LongMessage, Pace};
-use crate::messages::{LedgerMessage, Packet, Payload};
+use crate::messages::{LedgerMessage, OutgoingPayload, Packet, Payload};
 use crate::pacer::Pacer;
 use crate::packet_limits::{ABANDON_AFTER, FRAGMENT_BYTES, HEADER_BYTES, MAX_FRAGMENTS};
 use crate::peer_formats::PeerFormats;
 use crate::reassembly::{Added, Fragment, MessageId, Reassembly};
-use crate::{DiskId, FrontId, Micros, Moment, Setup};
+use crate::rejection::Rejection;
+use crate::{DiskId, FrontId, Micros, Moment, OutgoingPacket, Setup};
 
 const LOG_RATE: f64 = 2_000_000.0; // bytes a second of long messages of the log: a follower waits for them
 
+const LENGTH_BYTES: usize = 3; // bytes that a message's length takes before it at most
+
+/// A packet of another front: who speaks, and the messages that are complete by it.
+#[derive(Debug)]
+pub(crate) struct ReceivedPacket {
+    pub disk: DiskId,
+    pub incarnation: u64,
+    /// Unix milliseconds on the sender's clock.
+    pub wall_ms: u64,
+    pub messages: Vec<LedgerMessage>,
+}
+
 /// Sends messages to other fronts and receives theirs.
 pub(crate) struct Transport {
     pub fleet: u64,
@@ -31,7 +44,7 @@
     log_pacer: Pacer,
     repair_pacer: Pacer,
     /// Requests and acknowledgements of fragments that leave next.
-    payloads: Vec<(FrontId, Payload)>,
+    payloads: Vec<OutgoingPayload>,
 }
 
 impl Transport {
@@ -66,7 +79,7 @@
     /// Puts a message into the next packets to this front.
     pub fn send(&mut self, at: Moment, to: FrontId, message: &LedgerMessage, pace: Pace) {
         let bytes = encode(message);
-        if bytes.len() + 3 <= FRAGMENT_BYTES {
+        if bytes.len() + LENGTH_BYTES <= FRAGMENT_BYTES {
             self.small.entry(to).or_default().push(bytes);
             return;
         }
@@ -97,75 +110,105 @@
             .any(|long| long.to == to && long.pace == pace)
     }
 
-    /// Takes in a packet: its header, and the messages that are complete by it; why it was refused, otherwise.
+    /// Takes in a packet.
     pub fn receive(
         &mut self,
         at: Moment,
         from: FrontId,
         bytes: &[u8],
-    ) -> Result<(Packet, Vec<LedgerMessage>), &'static str> {
-        let mut packet: Packet = decode(bytes).ok_or("form")?;
+    ) -> Result<ReceivedPacket, Rejection> {
+        let packet: Packet = decode(bytes).ok_or(Rejection::Malformed)?;
         if !(OLDEST_FORMAT..=self.format).contains(&packet.format) {
-            return Err("version");
+            return Err(Rejection::UnknownFormat);
         }
         if packet.fleet != self.fleet {
-            return Err("fleet");
+            return Err(Rejection::OtherFleet);
         }
-        let payload = std::mem::replace(&mut packet.payload, Payload::Messages(Vec::new()));
-        let whole = match payload {
-            Payload::Messages(messages) => messages,
+        let incarnation = packet.incarnation;
+        let complete = self.receive_payload(at.steady, from, packet.payload)?;
+        self.formats.heard(from, incarnation, packet.format);
+        let mut messages = self.decode_messages(&complete)?;
+        messages.retain(|message| {
+            let Some(format) = message.introduced_format() else {
+                return true;
+            };
+            self.formats.heard(from, incarnation, format);
+            false
+        });
+        Ok(ReceivedPacket {
+            disk: packet.disk,
+            incarnation,
+            wall_ms: packet.wall_ms,
+            messages,
+        })
+    }
+
+    /// Takes in a packet's payload; the encoded messages that are complete by it.
+    fn receive_payload(
+        &mut self,
+        now: Micros,
+        from: FrontId,
+        payload: Payload,
+    ) -> Result<Vec<Vec<u8>>, Rejection> {
+        match payload {
+            Payload::Messages(messages) => return Ok(messages),
             Payload::Fragment {
                 id,
                 index,
                 count,
                 bytes,
             } => {
-                let id = MessageId { from, number: id };
-                let added = self.reassembly.add(
-                    at.steady,
-                    id,
-                    Fragment {
-                        index,
-                        count,
-                        bytes,
-                    },
-                )?;
-                if !matches!(added, Added::Incomplete) {
-                    self.payloads
-                        .push((from, Payload::Received { id: id.number }));
-                }
-                match added {
-                    Added::Complete(message) => vec![message],
-                    Added::Incomplete | Added::Repeated => Vec::new(),
-                }
+                let fragment = Fragment {
+                    index,
+                    count,
+                    bytes,
+                };
+                return self.receive_fragment(now, MessageId { from, number: id }, fragment);
             }
             Payload::Resend { id, missing } => {
                 if let Some(long) = self.long.get_mut(&id).filter(|long| long.to == from) {
-                    long.resend(at.steady, missing);
+                    long.resend(now, missing);
                 }
-                Vec::new()
             }
             Payload::Received { id } => {
                 if self.long.get(&id).is_some_and(|long| long.to == from) {
                     self.long.remove(&id);
                 }
-                Vec::new()
             }
+        }
+        Ok(Vec::new())
+    }
+
+    /// Takes in a fragment, and acknowledges its message once that is complete.
+    fn receive_fragment(
+        &mut self,
+        now: Micros,
+        id: MessageId,
+        fragment: Fragment,
+    ) -> Result<Vec<Vec<u8>>, Rejection> {
+        let complete = match self.reassembly.add(now, id, fragment)? {
+            Added::Incomplete => return Ok(Vec::new()),
+            Added::Repeated => Vec::new(),
+            Added::Complete(message) => vec![message],
         };
-        self.formats.heard(from, packet.incarnation, packet.format);
-        let messages: Option<Vec<LedgerMessage>> =
-            whole.iter().map(|message| decode(message)).collect();
-        let mut messages = messages
-            .filter(|messages| messages.iter().all(|w| w.format() <= self.format))
-            .ok_or("form")?;
-        messages.retain(|message| {
-            let format = message.introduced_format();
-            format
-                .into_iter()
-                .for_each(|format| self.formats.heard(from, packet.incarnation, format));
-            format.is_none()
+        self.payloads.push(OutgoingPayload {
+            to: id.from,
+            payload: Payload::Received { id: id.number },
         });
-        Ok((packet, messages))
+        Ok(complete)
+    }
+
+    /// Decodes messages, none of a later format than this build's.
+    fn decode_messages(&self, encoded: &[Vec<u8>]) -> Result<Vec<LedgerMessage>, Rejection> {
+        let decoded = encoded.iter().map(|bytes| decode::<LedgerMessage>(bytes));
+        let messages: Option<Vec<LedgerMessage>> = decoded.collect();
+        messages
+            .filter(|messages| {
+                messages
+                    .iter()
+                    .all(|message| message.format() <= self.format)
+            })
+            .ok_or(Rejection::Malformed)
     }
 
     /// When `packets` is next due though nothing is sent or received.
@@ -190,48 +233,61 @@
             .min(fragments)
     }
 
-    /// The packets that may leave now, each with its receiver.
-    pub fn packets(&mut self, at: Moment) -> Vec<(FrontId, Vec<u8>)> {
+    /// The packets that may leave now.
+    pub fn packets(&mut self, at: Moment) -> Vec<OutgoingPacket> {
         self.payloads
             .extend(self.reassembly.request_missing(at.steady));
         self.remind_receivers(at.steady);
         let mut payloads = std::mem::take(&mut self.payloads);
+        self.gather_small(at.steady, &mut payloads);
+        self.send_fragments(at.steady, &mut payloads);
+        payloads
+            .into_iter()
+            .map(|outgoing| self.packet(at, outgoing))
+            .collect()
+    }
+
+    /// Wraps a payload in a packet, in the latest format that its receiver is known to read.
+    fn packet(&self, at: Moment, outgoing: OutgoingPayload) -> OutgoingPacket {
+        let OutgoingPayload { to, payload } = outgoing;
+        let packet = Packet {
+            format: self.common_format(to),
+            fleet: self.fleet,
+            disk: self.disk,
+            incarnation: self.incarnation,
+            wall_ms: at.wall_ms,
+            payload,
+        };
+        OutgoingPacket {
+            to,
+            bytes: encode(&packet),
+        }
+    }
+
+    /// Puts the small messages that wait into payloads, as many as fit in each.
+    fn gather_small(&mut self, now: Micros, payloads: &mut Vec<OutgoingPayload>) {
         for (to, mut messages) in std::mem::take(&mut self.small) {
-            let first = self.formats.introduction(at.steady, self.format, to);
-            first
-                .into_iter()
-                .for_each(|message| messages.insert(0, encode(&message)));
-            let (mut payload, mut used) = (Vec::new(), 0);
+            if let Some(introduction) = self.formats.introduction(now, self.format, to) {
+                messages.insert(0, encode(&introduction));
+            }
+            let (mut together, mut used) = (Vec::new(), 0);
             for message in messages {
-                if used + message.len() + 3 > FRAGMENT_BYTES {
-                    payloads.push((to, Payload::Messages(std::mem::take(&mut payload))));
+                let bytes = message.len() + LENGTH_BYTES;
+                if used + bytes > FRAGMENT_BYTES {
+                    let payload = Payload::Messages(std::mem::take(&mut together));
+                    payloads.push(OutgoingPayload { to, payload });
                     used = 0;
                 }
-                used += message.len() + 3;
-                payload.push(message);
+                used += bytes;
+                together.push(message);
             }
-            payloads.push((to, Payload::Messages(payload)));
+            let payload = Payload::Messages(together);
+            payloads.push(OutgoingPayload { to, payload });
         }
-        self.send_fragments(at.steady, &mut payloads);
-        let (fleet, disk, incarnation, wall_ms) =
-            (self.fleet, self.disk, self.incarnation, at.wall_ms);
-        let packet = |format, payload| {
-            encode(&Packet {
-                format,
-                fleet,
-                disk,
-                incarnation,
-                wall_ms,
-                payload,
-            })
-        };
-        payloads
-            .into_iter()
-            .map(|(to, payload)| (to, packet(self.common_format(to), payload)))
-            .collect()
     }
 
-    fn send_fragments(&mut self, now: Micros, payloads: &mut Vec<(FrontId, Payload)>) {
+    /// Adds the fragments of long messages that may leave at their pace.
+    fn send_fragments(&mut self, now: Micros, payloads: &mut Vec<OutgoingPayload>) {
         self.log_pacer.refill(now);
         self.repair_pacer.refill(now);
         for (id, long) in &mut self.long {
@@ -244,12 +300,13 @@
                 let Some(index) = long.to_send.pop() else {
                     break;
                 };
-                let Some(fragment) = long.fragment(*id, index) else {
+                let Some(payload) = long.fragment(*id, index) else {
                     continue;
                 };
                 pacer.spend(long.slice(index).map_or(0, <[u8]>::len) + HEADER_BYTES);
                 long.touched = now;
-                payloads.push((long.to, fragment));
+                let to = long.to;
+                payloads.push(OutgoingPayload { to, payload });
             }
         }
     }
@@ -265,10 +322,10 @@
             .filter(|(_, long)| long.ack_due() <= now)
         {
             long.reminded = now;
-            self.payloads.extend(
-                long.fragment(*id, long.count() - 1)
-                    .map(|last| (long.to, last)),
-            );
+            let to = long.to;
+            let last = long.fragment(*id, long.count() - 1);
+            self.payloads
+                .extend(last.map(|payload| OutgoingPayload { to, payload }));
         }
     }
 }
--- a/crates/ledger/src/transport_tests.rs
+++ b/crates/ledger/src/transport_tests.rs
@@ -38,13 +38,19 @@
         packets.len() == 3
             && packets
                 .iter()
-                .all(|(_, packet)| packet.len() <= PACKET_BYTES),
+                .all(|packet| packet.bytes.len() <= PACKET_BYTES),
         "{}",
         packets.len()
     );
     let messages: usize = packets[..2]
         .iter()
-        .map(|(_, l)| other.receive(at(0), 1, l).unwrap().1.len())
+        .map(|packet| {
+            other
+                .receive(at(0), 1, &packet.bytes)
+                .unwrap()
+                .messages
+                .len()
+        })
         .sum();
     assert_eq!(messages, 200);
 }
@@ -58,15 +64,15 @@
         now += 10_000;
         let mut packets = one.packets(at(now));
         packets.reverse();
-        for (_, packet) in packets {
+        for OutgoingPacket { bytes: packet, .. } in packets {
             assert!(packet.len() <= PACKET_BYTES, "{}", packet.len());
             lost += 1;
             if lost % 3 != 0 {
-                heard.extend(other.receive(at(now), 1, &packet).unwrap().1);
-                heard.extend(other.receive(at(now), 1, &packet).unwrap().1);
+                heard.extend(other.receive(at(now), 1, &packet).unwrap().messages);
+                heard.extend(other.receive(at(now), 1, &packet).unwrap().messages);
             }
         }
-        for (_, packet) in other.packets(at(now)) {
+        for OutgoingPacket { bytes: packet, .. } in other.packets(at(now)) {
             one.receive(at(now), 2, &packet).unwrap();
         }
     }
@@ -86,14 +92,14 @@
         let (mut one, mut other, mut heard) = (transport(1), transport(2), 0);
         one.send(at(0), 2, &long(3_000), Pace::Log(3));
         for now in (0..80).map(|n| n * 10_000) {
-            for (_, packet) in one
+            for OutgoingPacket { bytes: packet, .. } in one
                 .packets(at(now))
                 .into_iter()
                 .filter(|_| !(fragments_lost && now < 100_000))
             {
-                heard += other.receive(at(now), 1, &packet).unwrap().1.len();
+                heard += other.receive(at(now), 1, &packet).unwrap().messages.len();
             }
-            for (_, packet) in other
+            for OutgoingPacket { bytes: packet, .. } in other
                 .packets(at(now))
                 .into_iter()
                 .filter(|_| !(acknowledgement_lost && now < 100_000))
@@ -126,7 +132,7 @@
         sent += one
             .packets(at(now * 10_000))
             .iter()
-            .map(|(_, packet)| packet.len())
+            .map(|packet| packet.bytes.len())
             .sum::<usize>();
     }
     assert!(
@@ -142,8 +148,11 @@
     one.send(at(0), 2, &LedgerMessage::Probe { shard: 1 }, Pace::Fast);
     let mut foreign = Transport::new(&Setup::new("g", 2, 2, 20, Vec::new()), 8);
     for now in 0..5 {
-        for (_, packet) in one.packets(at(now * 100_000)) {
-            assert_eq!(foreign.receive(at(0), 1, &packet).err(), Some("fleet"));
+        for OutgoingPacket { bytes: packet, .. } in one.packets(at(now * 100_000)) {
+            assert_eq!(
+                foreign.receive(at(0), 1, &packet).err(),
+                Some(Rejection::OtherFleet)
+            );
             for cut in 0..packet.len() {
                 assert!(
                     transport(2).receive(at(0), 1, &packet[..cut]).is_err(),
@@ -153,7 +162,7 @@
             let newer = [&[crate::FORMAT + 1], &packet[1..]].concat();
             assert_eq!(
                 transport(2).receive(at(0), 1, &newer).err(),
-                Some("version")
+                Some(Rejection::UnknownFormat)
             );
             for place in 0..packet.len() {
                 let mut spoilt = packet.clone();
--- a/crates/ledger/tests/sim/mod.rs
+++ b/crates/ledger/tests/sim/mod.rs
@@ -8,7 +8,8 @@
 
 use check::{Op, Record};
 use hallmux_ledger::{
-    Act, Ask, FrontId, Key, Kind, Ledger, Member, Micros, Moment, Output, Save, Saved, Setup,
+    Act, Ask, FrontId, Key, Kind, Ledger, Member, Micros, Moment, OutgoingPacket, Output, Save,
+    Saved, Setup,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -304,8 +305,8 @@
         }
     }
 
-    fn deliver(&mut self, from: usize, packets: Vec<(FrontId, Vec<u8>)>) {
-        for (to, bytes) in packets {
+    fn deliver(&mut self, from: usize, packets: Vec<OutgoingPacket>) {
+        for OutgoingPacket { to, bytes } in packets {
             let to = (to - 100) as usize;
             assert!(bytes.len() <= 1_040);
             self.bytes += bytes.len() as u64;
