--- a/crates/ledger/src/asks.rs
+++ b/crates/ledger/src/asks.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use crate::batch::Command;
-use crate::{FrontId, Micros, Moment, Outcome, REMEMBERED_MS};
+use crate::{FrontId, Micros, Moment, REMEMBERED_MS};
 
-const RETRY: Micros = 100_000; // microseconds until an ask is asked again elsewhere: a round trip and two syncs
+const RETRY_INTERVAL: Micros = 100_000; // microseconds until an ask is sent again, elsewhere
 const MAX_WAITING: usize = 16_384; // asks that wait at once
 
 /// An ask that has no answer yet.
@@ -13,8 +13,23 @@
     pub command: Command,
     pub shard: u16,
     pub ends: Micros,
-    retry: Micros,
-    tries: usize,
+    retry_at: Micros,
+    attempts: usize,
+}
+
+/// An attempt of an ask.
+pub(crate) struct Attempt<'a> {
+    pub ask: &'a Waiting,
+    /// The number of attempts before.
+    pub earlier: usize,
+}
+
+/// The numbers of asks for which something is due.
+pub(crate) struct DueAsks {
+    /// To be sent again.
+    pub retry: Vec<u64>,
+    /// That nobody has answered in time.
+    pub expired: Vec<u64>,
 }
 
 /// This front's asks that have no answer yet.
@@ -46,19 +61,20 @@
                 command,
                 shard,
                 ends,
-                retry: 0,
-                tries: 0,
+                retry_at: 0,
+                attempts: 0,
             },
         );
         true
     }
 
-    /// Counts another attempt of an ask: the ask, and the number of attempts before.
-    pub fn next_attempt(&mut self, now: Micros, number: u64) -> Option<(&Waiting, usize)> {
-        let waiting = self.waiting.get_mut(&number)?;
-        let before = waiting.tries;
-        (waiting.tries, waiting.retry) = (before + 1, now + RETRY);
-        Some((waiting, before))
+    /// Counts another attempt of an ask.
+    pub fn next_attempt(&mut self, now: Micros, number: u64) -> Option<Attempt<'_>> {
+        let ask = self.waiting.get_mut(&number)?;
+        let earlier = ask.attempts;
+        ask.attempts += 1;
+        ask.retry_at = now + RETRY_INTERVAL;
+        Some(Attempt { ask, earlier })
     }
 
     pub fn shard(&self, number: u64) -> Option<u16> {
@@ -70,39 +86,31 @@
         self.waiting.remove(&number).map(|waiting| waiting.shard)
     }
 
-    /// What has to be tried again, and what nobody has answered in time.
-    pub fn due_now(&mut self, at: Moment) -> (Vec<u64>, Vec<(u64, Outcome)>) {
-        let ended: Vec<u64> = self
-            .waiting
-            .iter()
-            .filter(|(_, w)| w.ends <= at.steady)
-            .map(|(number, _)| *number)
-            .collect();
-        ended
-            .iter()
-            .for_each(|number| _ = self.waiting.remove(number));
-        let again = self
-            .waiting
-            .iter()
-            .filter(|(_, w)| w.retry <= at.steady)
-            .map(|(number, _)| *number);
-        let again = again.collect();
+    /// Ends the asks that nobody has answered in time, and finds those that are to be sent again.
+    pub fn due_now(&mut self, at: Moment) -> DueAsks {
+        let is_expired = |waiting: &Waiting| waiting.ends <= at.steady;
+        let expired = self.numbers(is_expired);
+        self.waiting.retain(|_, waiting| !is_expired(waiting));
+        let retry = self.numbers(|waiting| waiting.retry_at <= at.steady);
         self.first
             .retain(|_, first| first.saturating_add(2 * REMEMBERED_MS) > at.wall_ms);
-        (
-            again,
-            ended
-                .into_iter()
-                .map(|number| (number, Outcome::Unreachable))
-                .collect(),
-        )
+        DueAsks { retry, expired }
+    }
+
+    /// The numbers of the asks that wait and meet a condition.
+    fn numbers(&self, condition: impl Fn(&Waiting) -> bool) -> Vec<u64> {
+        let meeting = self
+            .waiting
+            .iter()
+            .filter(|(_, waiting)| condition(waiting));
+        meeting.map(|(number, _)| *number).collect()
     }
 
     /// When an ask is next to be repeated, or ends.
     pub fn due(&self) -> Micros {
         self.waiting
             .values()
-            .map(|w| w.ends.min(w.retry))
+            .map(|waiting| waiting.ends.min(waiting.retry_at))
             .min()
             .unwrap_or(Micros::MAX)
     }
@@ -114,10 +122,10 @@
     leader: Option<FrontId>,
     others: &[FrontId],
     own: FrontId,
-    tries: usize,
+    earlier: usize,
 ) -> Option<FrontId> {
     // One that is silent is not asked every time.
-    if let Some(leader) = leader.filter(|leader| *leader != own && tries.is_multiple_of(2)) {
+    if let Some(leader) = leader.filter(|leader| *leader != own && earlier.is_multiple_of(2)) {
         return Some(leader);
     }
     // Whoever should know better is another than the one that did not answer.
@@ -126,6 +134,10 @@
         .copied()
         .filter(|front| *front != own && Some(*front) != leader)
         .collect();
-    let turn = if leader.is_some() { tries / 2 } else { tries };
+    let turn = if leader.is_some() {
+        earlier / 2
+    } else {
+        earlier
+    };
     others.get(turn % others.len().max(1)).copied()
 }
--- a/crates/ledger/src/durability.rs
+++ b/crates/ledger/src/durability.rs
@@ -1,7 +1,7 @@
 //! Gathers what has to go out, behind the saves that it rests on: nothing is told before what it promises is durable.
 
 use crate::formats::OLDEST_FORMAT;
-use crate::ledger::Ledger;
+use crate::ledger::{Ledger, UnsavedAnswers};
 use crate::records;
 use crate::replica::Replica;
 use crate::{Done, Moment, Outcome, OutgoingPacket, Record, Save};
@@ -46,7 +46,10 @@
     fn save(&mut self, records: Vec<Record>, packets: Vec<OutgoingPacket>, done: Vec<Done>) {
         let number = self.next_save;
         self.next_save += 1;
-        self.unsaved.push_back((number, done));
+        self.unsaved.push_back(UnsavedAnswers {
+            number,
+            answers: done,
+        });
         self.out.saves.push(Save {
             number,
             records,
@@ -54,27 +57,22 @@
         });
     }
 
-    /// A save is lasting, with those before it, or has failed.
+    /// A save is durable, with those before it, or has failed.
     pub fn saved(&mut self, at: Moment, number: u64, ok: bool) {
         if !ok {
             self.fail();
         }
-        while self
-            .unsaved
-            .front()
-            .is_some_and(|(first, _)| *first <= number)
-        {
-            let done = self
-                .unsaved
-                .pop_front()
-                .map(|(_, done)| done)
-                .unwrap_or_default();
-            self.out.done.extend(done);
+        while let Some(first) = self.unsaved.front_mut() {
+            if first.number > number {
+                break;
+            }
+            self.out.done.append(&mut first.answers);
+            self.unsaved.pop_front();
         }
         self.settle(at);
     }
 
-    /// Nothing can be kept any more: this front is a member of nothing in this life, and says so.
+    /// Nothing can be kept any more: this front is a member of nothing until it starts again, and says so.
     pub(crate) fn fail(&mut self) {
         self.counters.failed = true;
         self.transport.disk = 0;
@@ -85,14 +83,13 @@
         }
         self.records.clear();
         // What rests on a save that failed may stand or not.
-        for (_, done) in &mut self.unsaved {
-            done.iter_mut()
-                .for_each(|done| done.outcome = Outcome::Unreachable);
+        for unsaved in std::mem::take(&mut self.unsaved) {
+            let unreachable = unsaved.answers.into_iter().map(|answer| Done {
+                outcome: Outcome::Unreachable,
+                ..answer
+            });
+            self.out.done.extend(unreachable);
         }
-        let unsaved = std::mem::take(&mut self.unsaved);
-        self.out
-            .done
-            .extend(unsaved.into_iter().flat_map(|(_, done)| done));
     }
 
     /// Begins anew with another disk, or with none but memory: as a front that remembers nothing.
--- a/crates/ledger/src/formats_tests.rs
+++ b/crates/ledger/src/formats_tests.rs
@@ -335,7 +335,8 @@
         let saved = all
             .map(|record| (record.name, record.bytes.unwrap_or_default()))
             .collect();
-        records::read(&setup, 7, &crate::Saved(saved)).map(|(format, kept)| (format, kept.len()))
+        records::read(&setup, 7, &crate::Saved(saved))
+            .map(|saved| (saved.format, saved.shards.len()))
     };
     let explicit = |format| {
         records::entry(
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -11,12 +11,14 @@
 use crate::messages::{fingerprint, LedgerMessage};
 use crate::peer::Peer;
 use crate::placement::ranked;
-use crate::records::{self, Meta};
+use crate::records::{self, Meta, SavedShard, SavedShards};
 use crate::rejection::Rejection;
 use crate::replica::Replica;
 use crate::shard_view::ShardView;
 use crate::transport::Transport;
-use crate::{Counters, Done, Error, FrontId, Micros, Moment, Output, Record, Saved, Setup};
+use crate::{
+    Counters, Done, Error, FrontId, Micros, Moment, Outcome, Output, Record, Saved, Setup,
+};
 
 pub(crate) const TICK: Micros = 50_000; // microseconds between turns of the logs' clocks
 
@@ -26,6 +28,13 @@
     pub attempts: usize,
 }
 
+/// Answers that are given once a save is durable.
+pub(crate) struct UnsavedAnswers {
+    /// Of the save.
+    pub number: u64,
+    pub answers: Vec<Done>,
+}
+
 /// A front's part in the ledger: its own asks, and the replicas that it holds.
 pub struct Ledger {
     pub(crate) setup: Setup,
@@ -43,7 +52,8 @@
     /// What must be lasting before anything more is told, beside the logs.
     pub(crate) records: Vec<Record>,
     pub(crate) next_save: u64,
-    pub(crate) unsaved: VecDeque<(u64, Vec<Done>)>,
+    /// Answers that wait for a save, in order of its number.
+    pub(crate) unsaved: VecDeque<UnsavedAnswers>,
     pub(crate) done: Vec<Done>,
     pub(crate) out: Output,
     pub(crate) tick_at: Micros,
@@ -57,7 +67,7 @@
 }
 
 impl Ledger {
-    /// `saved` is what an earlier life on the same disk gave out to be kept; None only where there was none.
+    /// `saved` is what an earlier incarnation on the same disk gave out to be saved; None only where there was none.
     pub fn new(at: Moment, setup: Setup, saved: Option<Saved>) -> Result<Ledger, Error> {
         setup.check()?;
         let fleet = fingerprint(&setup.fleet, setup.shards);
@@ -65,10 +75,10 @@
             front: setup.own,
             disk: setup.disk,
         };
-        let none = Ok((OLDEST_FORMAT, BTreeMap::new()));
-        let (latest_saved_format, kept) = saved
-            .as_ref()
-            .map_or(none, |saved| records::read(&setup, fleet, saved))?;
+        let saved = match &saved {
+            Some(saved) => records::read(&setup, fleet, saved)?,
+            None => SavedShards::none(),
+        };
         let new_view = |shard| ShardView {
             ranked: ranked(&setup.members, shard),
             ..ShardView::default()
@@ -92,38 +102,38 @@
             maintain_at: at.steady,
             touched: BTreeSet::new(),
             counters: Counters::default(),
-            latest_saved_format,
+            latest_saved_format: saved.format,
             format: OLDEST_FORMAT,
             setup,
         };
-        if kept.is_empty() {
+        if saved.shards.is_empty() {
             ledger
                 .records
                 .push(records::header(OLDEST_FORMAT, fleet, own.disk));
         }
         ledger.place_initially(at.steady);
-        for (shard, kept) in kept {
-            ledger.reopen(shard, kept)?;
+        for (shard, saved) in saved.shards {
+            ledger.reopen(shard, saved)?;
         }
         ledger.start_bootstraps();
         ledger.settle(at);
         Ok(ledger)
     }
 
-    /// Goes on with a shard from what was kept of it.
-    fn reopen(&mut self, shard: u16, kept: records::SavedShard) -> Result<(), Error> {
+    /// Goes on with a shard from what was saved of it.
+    fn reopen(&mut self, shard: u16, saved: SavedShard) -> Result<(), Error> {
         let own = self.own;
         let view = self
             .shards
             .get_mut(usize::from(shard))
             .ok_or(Error::Fleet)?;
-        view.bootstrap = (!kept.bootstrap.is_empty()).then(|| Bootstrap::new(kept.bootstrap));
+        view.bootstrap = (!saved.bootstrap.is_empty()).then(|| Bootstrap::new(saved.bootstrap));
         let Some(Meta {
             config,
             members,
             is_member,
             ..
-        }) = kept.meta
+        }) = saved.meta
         else {
             return Ok(());
         };
@@ -132,7 +142,7 @@
         let configuration = Configuration { config, members };
         if is_member {
             let preferred = view.preferred_among(&configuration.members) == Some(own.front);
-            let replica = Replica::open(shard, &configuration, own, preferred, kept.log_state);
+            let replica = Replica::open(shard, &configuration, own, preferred, saved.log_state);
             let damaged = || Error::Damaged {
                 record: format!("members of shard {shard}"),
             };
@@ -144,42 +154,41 @@
 
     /// Does what is due.
     pub fn tick(&mut self, at: Moment) {
-        let (again, ended) = self.asks.due_now(at);
-        self.out.done.extend(
-            ended
-                .into_iter()
-                .map(|(number, outcome)| Done { number, outcome }),
-        );
-        again
-            .into_iter()
-            .for_each(|number| self.send_ask(at, number));
+        let due = self.asks.due_now(at);
+        let unreachable = due.expired.into_iter().map(|number| Done {
+            number,
+            outcome: Outcome::Unreachable,
+        });
+        self.out.done.extend(unreachable);
+        for number in due.retry {
+            self.send_ask(at, number);
+        }
         if self.tick_at <= at.steady {
             // One that stood still does not catch up: the logs' clocks count turns they had.
             self.tick_at = at.steady + TICK;
-            for (shard, view) in (0..).zip(&mut self.shards) {
-                if let Some(replica) = &mut view.replica {
-                    let config = replica.config;
-                    for to in replica
-                        .tick()
-                        .into_iter()
-                        .filter(|to| *to != self.own.front)
-                    {
-                        self.transport.send(
-                            at,
-                            to,
-                            &LedgerMessage::Resync { shard, config },
-                            Pace::Fast,
-                        );
-                    }
-                    self.touched.insert(shard);
-                }
-            }
+            self.tick_logs(at);
             self.maintain(at);
         }
         self.transfer_leadership(at);
         self.settle(at);
     }
 
+    /// One tick of the clock of each log; asks members to resync that may have missed messages.
+    fn tick_logs(&mut self, at: Moment) {
+        for (shard, view) in (0..).zip(&mut self.shards) {
+            let Some(replica) = &mut view.replica else {
+                continue;
+            };
+            let config = replica.config;
+            let message = LedgerMessage::Resync { shard, config };
+            let own = self.own.front;
+            for to in replica.tick().into_iter().filter(|to| *to != own) {
+                self.transport.send(at, to, &message, Pace::Fast);
+            }
+            self.touched.insert(shard);
+        }
+    }
+
     /// When `tick` is next due, on the steady clock.
     pub fn due(&self) -> Micros {
         let keeps = self
--- a/crates/ledger/src/maintenance.rs
+++ b/crates/ledger/src/maintenance.rs
@@ -7,8 +7,9 @@
 use crate::members::{Configuration, ReplicaId, ReplicaIncarnation};
 use crate::messages::LedgerMessage;
 use crate::peer::Peer;
+use crate::rebalance::Move;
 use crate::records;
-use crate::repair::{missing_member, spare_front, Repair};
+use crate::repair::{missing_member, spare_front, MissingMember, Repair};
 use crate::replica::{Replica, FIRST};
 use crate::state::{Limits, State, StateAt};
 use crate::{FrontId, Micros, Moment};
@@ -149,28 +150,21 @@
     /// Replaces a missing replica of a shard that this front leads, or moves one.
     fn replace_missing(&mut self, at: Moment, shard: u16) {
         let now = at.steady;
-        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
+        let Some(view) = self.shards.get(usize::from(shard)) else {
             return;
         };
-        let (Some(replica), Some(since)) = (&mut view.replica, view.leader_since) else {
+        let (Some(replica), Some(since)) = (&view.replica, view.leader_since) else {
             return;
         };
-        let peer = |front: FrontId| self.peers.get(&front).copied();
-        let (config, own) = (replica.config, self.own.front);
         if let Some(repair) = view.repair {
-            let into = peer(repair.into.front);
-            if repair.is_over(now, config, into.as_ref()) {
-                view.repair = None;
-            } else if repair.caught_up.is_some() {
-                replica.propose_members(now, repair.next(&replica.members));
-                self.touched.insert(shard);
-            }
-            return;
+            return self.advance_repair(now, shard, repair);
         }
+        let peer = |front: FrontId| self.peers.get(&front).copied();
         let waits = |front, since| self.away.wait_until(&self.setup, front, since);
-        let missed = missing_member(now, since, waits, &replica.members, own, peer);
-        let Some((out, back)) = missed else {
-            if let Some((out, into, ends)) = self.next_move(at, shard) {
+        let own = self.own.front;
+        let missing = missing_member(now, since, waits, &replica.members, own, peer);
+        let Some(MissingMember { out, back }) = missing else {
+            if let Some(Move { out, into, ends }) = self.next_move(at, shard) {
                 self.start_replacement(at, shard, out, into, Some(ends));
             }
             return;
@@ -178,18 +172,36 @@
         if back.is_none() {
             self.declare_gone(now, out.front);
         }
-        let Some(view) = self.shards.get(usize::from(shard)) else {
+        match back.or_else(|| self.spare_for(now, shard)) {
+            Some(into) => self.start_replacement(at, shard, out, into, None),
+            None => self.probe_spares(at, shard),
+        }
+    }
+
+    /// Goes on with a replacement: gives it up, or proposes the members once the new one has caught up.
+    fn advance_repair(&mut self, now: Micros, shard: u16, repair: Repair) {
+        let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
-        let Some(replica) = &view.replica else { return };
-        let peer = |front: FrontId| self.peers.get(&front).copied();
-        let order: Vec<FrontId> = view.wanted.iter().chain(&view.ranked).copied().collect();
-        let into = back.or_else(|| spare_front(now, &order, &replica.members, peer));
-        let Some(into) = into else {
-            self.probe_spares(at, shard);
+        let Some(replica) = &mut view.replica else {
             return;
         };
-        self.start_replacement(at, shard, out, into, None);
+        let into = self.peers.get(&repair.into.front);
+        if repair.is_over(now, replica.config, into) {
+            view.repair = None;
+        } else if repair.caught_up.is_some() {
+            replica.propose_members(now, repair.next(&replica.members));
+            self.touched.insert(shard);
+        }
+    }
+
+    /// The front that is to hold a shard in place of a missing member.
+    fn spare_for(&self, now: Micros, shard: u16) -> Option<ReplicaId> {
+        let view = self.shards.get(usize::from(shard))?;
+        let replica = view.replica.as_ref()?;
+        let peer = |front: FrontId| self.peers.get(&front).copied();
+        let order: Vec<FrontId> = view.wanted.iter().chain(&view.ranked).copied().collect();
+        spare_front(now, &order, &replica.members, peer)
     }
 
     /// Asks fronts that hold no replica of a shard whether they can, two at a time.
--- a/crates/ledger/src/membership.rs
+++ b/crates/ledger/src/membership.rs
@@ -216,82 +216,74 @@
 
     /// Goes on under the next configuration, once the log has decided on its members.
     pub(crate) fn adopt_next_members(&mut self, at: Moment, shard: u16) {
-        let own = self.own;
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
             return;
         };
         let Some(replica) = &view.replica else { return };
-        let Some(next) = replica.state.next().map(<[ReplicaId]>::to_vec) else {
+        let Some(members) = replica.state.next().map(<[ReplicaId]>::to_vec) else {
             return;
         };
         let config = replica.config + 1;
-        let (is_leader, before) = (replica.is_leader(), replica.members.clone());
-        let moves = view.repair.is_some_and(|repair| repair.moves);
-        let caught_up = view
-            .repair
-            .and_then(|repair| Some((repair.into, repair.caught_up?)));
+        let next = Configuration { config, members };
+        let is_leader = replica.is_leader();
         let state = replica.state.for_next_configuration();
         if is_leader {
-            for to in next
-                .iter()
-                .filter(|member| **member != own && !before.contains(member))
-            {
-                let index = caught_up
-                    .filter(|(into, _)| into == to)
-                    .map_or(0, |(_, index)| index);
-                let base = replica.base_after(index);
-                let message = LedgerMessage::Join {
-                    shard,
-                    config,
-                    members: next.clone(),
-                    base,
-                };
-                self.transport.send(at, to.front, &message, Pace::Fast);
-                self.counters.repaired += 1;
-                self.counters.moved += u64::from(moves);
-            }
-            let stay = |front: &FrontId| next.iter().any(|member| member.front == *front);
-            let placed = view.ranked.iter().take(self.setup.copies).copied();
-            let others = placed
-                .chain(before.iter().map(|member| member.front))
-                .filter(|front| !stay(front));
-            for to in others.filter(|to| *to != own.front) {
-                let message = LedgerMessage::Membership {
-                    shard,
-                    config,
-                    members: next.clone(),
-                };
-                self.transport.send(at, to, &message, Pace::Fast);
-            }
+            self.announce_next_members(at, shard, &next);
         }
-        view.known = Some(Configuration {
-            config,
-            members: next.clone(),
-        });
-        if next.contains(&own) {
-            let next = Configuration {
-                config,
-                members: next,
-            };
-            self.open_replica(
-                at,
+        let is_member = next.members.contains(&self.own);
+        if let Some(view) = self.shards.get_mut(usize::from(shard)) {
+            view.known = Some(next.clone());
+        }
+        if !is_member {
+            return self.drop_replica(shard);
+        }
+        let base = StateAt {
+            index: FIRST,
+            state,
+        };
+        self.open_replica(at, shard, next, base);
+        if is_leader {
+            // Until the preferred leader takes over: asks wait for a round trip, and no election is needed.
+            let view = self.shards.get_mut(usize::from(shard));
+            let replica = view.and_then(|view| view.replica.as_mut());
+            replica.into_iter().for_each(Replica::campaign);
+        }
+    }
+
+    /// Sends new members what they start from, and tells those that are no members any more.
+    fn announce_next_members(&mut self, at: Moment, shard: u16, next: &Configuration) {
+        let Configuration { config, members } = next;
+        let Some(view) = self.shards.get(usize::from(shard)) else {
+            return;
+        };
+        let Some(replica) = &view.replica else { return };
+        let moves = view.repair.is_some_and(|repair| repair.moves);
+        let is_new =
+            |member: &&ReplicaId| **member != self.own && !replica.members.contains(member);
+        for to in members.iter().filter(is_new) {
+            let repair = view.repair.filter(|repair| repair.into == *to);
+            let caught_up = repair.and_then(|repair| repair.caught_up).unwrap_or(0);
+            let message = LedgerMessage::Join {
                 shard,
-                next,
-                StateAt {
-                    index: FIRST,
-                    state,
-                },
-            );
-            if is_leader {
-                // Until the preferred leader takes over: asks wait for a round trip, and no election is needed.
-                let replica = self
-                    .shards
-                    .get_mut(usize::from(shard))
-                    .and_then(|view| view.replica.as_mut());
-                replica.into_iter().for_each(Replica::campaign);
-            }
-        } else {
-            self.drop_replica(shard);
+                config: *config,
+                members: members.clone(),
+                base: replica.base_after(caught_up),
+            };
+            self.transport.send(at, to.front, &message, Pace::Fast);
+            self.counters.repaired += 1;
+            self.counters.moved += u64::from(moves);
+        }
+        let placed = view.ranked.iter().take(self.setup.copies).copied();
+        let before = replica.members.iter().map(|member| member.front);
+        let stays = |front: &FrontId| members.iter().any(|member| member.front == *front);
+        let others = placed.chain(before).filter(|front| !stays(front));
+        let message = LedgerMessage::Membership {
+            shard,
+            config: *config,
+            members: members.clone(),
+        };
+        for to in others.filter(|to| *to != self.own.front) {
+            self.transport.send(at, to, &message, Pace::Fast);
         }
     }
 }
--- a/crates/ledger/src/rebalance.rs
+++ b/crates/ledger/src/rebalance.rs
@@ -14,12 +14,22 @@
 use crate::shard_view::ShardView;
 use crate::{Error, FrontId, Member, Micros, Moment, Setup};
 
-/// The next change of a shard's members: who is removed, and who is added.
-fn next_change(
-    wanted: &[FrontId],
-    members: &[ReplicaId],
-    own: FrontId,
-) -> Option<(ReplicaId, FrontId)> {
+/// A change of a shard's members.
+struct MemberChange {
+    out: ReplicaId,
+    into: FrontId,
+}
+
+/// A move of a replica for balance.
+pub(crate) struct Move {
+    pub out: ReplicaId,
+    pub into: ReplicaId,
+    /// When it is given up.
+    pub ends: Micros,
+}
+
+/// The next change towards the fronts that are wanted.
+fn next_change(wanted: &[FrontId], members: &[ReplicaId], own: FrontId) -> Option<MemberChange> {
     let into = wanted
         .iter()
         .find(|front| members.iter().all(|member| member.front != **front))?;
@@ -29,7 +39,10 @@
         .filter(|member| !wanted.contains(&member.front))
         .collect();
     out.sort_by_key(|member| (member.front == own, member.front));
-    Some((**out.first()?, *into))
+    Some(MemberChange {
+        out: **out.first()?,
+        into: *into,
+    })
 }
 
 /// How long a shard may still move, by the Unix clock; none where it is the turn of others.
@@ -128,19 +141,16 @@
         self.update_placement(now);
     }
 
-    /// Moves a copy of a shard that this front leads, and of which none is missing, once it is the shard's turn.
-    pub(crate) fn next_move(
-        &mut self,
-        at: Moment,
-        shard: u16,
-    ) -> Option<(ReplicaId, ReplicaId, Micros)> {
+    /// The move of a replica of a shard that this front leads, and of which none is missing, once it is the shard's turn.
+    pub(crate) fn next_move(&mut self, at: Moment, shard: u16) -> Option<Move> {
         let now = at.steady;
         let view = self.shards.get(usize::from(shard))?;
         let replica = view.replica.as_ref()?;
         if self.setup.moves_percent == 0 || view.wanted.len() < self.setup.copies {
             return None;
         }
-        let (out, into) = next_change(&view.wanted, &replica.members, self.own.front)?;
+        let MemberChange { out, into } =
+            next_change(&view.wanted, &replica.members, self.own.front)?;
         let left = move_window(&self.setup, shard, self.wall_ms(at, shard))?;
         let takes =
             REPLACEMENT_TIMEOUT + Repair::duration(replica.state.bytes(), self.setup.repair_bytes);
@@ -156,14 +166,14 @@
             self.probe(at, into, shard);
             return None;
         };
-        Some((
+        Some(Move {
             out,
-            ReplicaId {
+            into: ReplicaId {
                 front: into,
                 disk: peer.disk,
             },
-            now + takes,
-        ))
+            ends: now + takes,
+        })
     }
 }
 
--- a/crates/ledger/src/records.rs
+++ b/crates/ledger/src/records.rs
@@ -168,29 +168,72 @@
     pub bootstrap: Vec<ReplicaIncarnation>,
 }
 
-/// Reads what was saved in an earlier life, with the latest format that it is of.
-pub(crate) fn read(
-    setup: &Setup,
-    fleet: u64,
-    saved: &Saved,
-) -> Result<(u8, BTreeMap<u16, SavedShard>), Error> {
+/// What was saved in an earlier incarnation.
+pub(crate) struct SavedShards {
+    /// The latest format of any record.
+    pub format: u8,
+    pub shards: BTreeMap<u16, SavedShard>,
+}
+
+impl SavedShards {
+    /// Nothing was saved.
+    pub fn none() -> SavedShards {
+        SavedShards {
+            format: OLDEST_FORMAT,
+            shards: BTreeMap::new(),
+        }
+    }
+}
+
+/// Reads what was saved in an earlier incarnation of a front of this fleet on this disk.
+pub(crate) fn read(setup: &Setup, fleet: u64, saved: &Saved) -> Result<SavedShards, Error> {
     let records: BTreeMap<&[u8], &[u8]> = saved
         .0
         .iter()
         .map(|(name, bytes)| (name.as_slice(), bytes.as_slice()))
         .collect();
-    let mut shards: BTreeMap<u16, SavedShard> = BTreeMap::new();
-    let Some(bytes) = records.get(&[HEADER][..]) else {
-        return records
-            .keys()
-            .next()
-            .map_or(Ok((OLDEST_FORMAT, shards)), |name| Err(damaged(name)));
+    let Some(header) = records.get(&[HEADER][..]) else {
+        return match records.keys().next() {
+            Some(name) => Err(damaged(name)),
+            None => Ok(SavedShards::none()),
+        };
     };
+    let format = check_header(setup, fleet, header)?;
+    let mut shards: BTreeMap<u16, SavedShard> = BTreeMap::new();
+    let mut logs: BTreeMap<u16, SavedLog> = BTreeMap::new();
+    for (name, bytes) in records {
+        if matches!(name.first(), None | Some(&HEADER)) {
+            continue;
+        }
+        let parsed = RecordName::parse(name)?;
+        let shard = shards.entry(parsed.shard).or_default();
+        match (parsed.kind, parsed.rest) {
+            (META, []) => shard.meta = Some(open(name, bytes)?),
+            (SNAPSHOT, []) => shard.log_state.snapshot = Some(open(name, bytes)?),
+            (BOOTSTRAP, []) => shard.bootstrap = open(name, bytes)?,
+            (LOG, index) => {
+                let index = index.try_into().map_err(|_| damaged(name))?;
+                let log = logs.entry(parsed.shard).or_default();
+                log.insert(u64::from_be_bytes(index), open(name, bytes)?);
+            }
+            _ => return Err(damaged(name)),
+        }
+    }
+    for (number, shard) in &mut shards {
+        let log = logs.remove(number).unwrap_or_default();
+        shard.restore_log(*number, log)?;
+    }
+    Ok(SavedShards { format, shards })
+}
+
+/// Entries of a log by their numbers.
+type SavedLog = BTreeMap<u64, Batch>;
+
+/// Checks that all records are of this fleet and disk, and of a format that this build reads; the latest format.
+fn check_header(setup: &Setup, fleet: u64, bytes: &[u8]) -> Result<u8, Error> {
     // The format goes first in every version: an unknown one may have anything behind it.
-    let format = checked(&[HEADER], bytes)?
-        .first()
-        .copied()
-        .unwrap_or_default();
+    let body = checked(&[HEADER], bytes)?;
+    let format = body.first().copied().unwrap_or_default();
     if !(OLDEST_FORMAT..=setup.format).contains(&format) {
         return Err(Error::Version {
             found: format,
@@ -207,49 +250,45 @@
             given: setup.disk,
         });
     }
-    let mut logs: BTreeMap<u16, BTreeMap<u64, Batch>> = BTreeMap::new();
-    for (name, bytes) in records {
-        let damaged = || damaged(name);
-        let Some((kind, rest)) = name.split_first().filter(|(kind, _)| **kind != HEADER) else {
-            continue;
-        };
-        let (shard, rest) = rest.split_at_checked(2).ok_or_else(damaged)?;
-        let shard = u16::from_be_bytes(shard.try_into().map_err(|_| damaged())?);
-        let saved_shard = shards.entry(shard).or_default();
-        match (*kind, rest) {
-            (META, []) => saved_shard.meta = Some(open(name, bytes)?),
-            (SNAPSHOT, []) => saved_shard.log_state.snapshot = Some(open(name, bytes)?),
-            (BOOTSTRAP, []) => saved_shard.bootstrap = open(name, bytes)?,
-            (LOG, index) => {
-                let index = index
-                    .try_into()
-                    .map(u64::from_be_bytes)
-                    .map_err(|_| damaged())?;
-                logs.entry(shard)
-                    .or_default()
-                    .insert(index, open(name, bytes)?);
-            }
-            _ => return Err(damaged()),
-        }
+    Ok(format)
+}
+
+/// The name of a shard's record.
+struct RecordName<'a> {
+    kind: u8,
+    shard: u16,
+    rest: &'a [u8],
+}
+
+impl RecordName<'_> {
+    fn parse(name: &[u8]) -> Result<RecordName<'_>, Error> {
+        let (kind, rest) = name.split_first().ok_or_else(|| damaged(name))?;
+        let (shard, rest) = rest.split_first_chunk().ok_or_else(|| damaged(name))?;
+        Ok(RecordName {
+            kind: *kind,
+            shard: u16::from_be_bytes(*shard),
+            rest,
+        })
     }
-    for (shard, saved_shard) in &mut shards {
-        let log = logs.remove(shard).unwrap_or_default();
-        if let Some(meta) = saved_shard.meta.as_ref().filter(|meta| meta.is_member) {
-            let whole = (meta.compacted as u64..meta.end as u64).eq(log.keys().copied());
-            let damaged = || Error::Damaged {
-                record: format!("log of shard {shard}"),
-            };
-            if !whole || saved_shard.log_state.snapshot.is_none() || meta.decided > meta.end {
-                return Err(damaged());
-            }
-            saved_shard.log_state.promise = meta.promise;
-            saved_shard.log_state.accepted_round = meta.accepted_round;
-            (
-                saved_shard.log_state.decided,
-                saved_shard.log_state.compacted,
-            ) = (meta.decided, meta.compacted);
-            saved_shard.log_state.log = log.into_values().collect();
+}
+
+impl SavedShard {
+    /// Puts the log together, where this front is a member of the shard; an error where entries are missing.
+    fn restore_log(&mut self, number: u16, log: SavedLog) -> Result<(), Error> {
+        let Some(meta) = self.meta.as_ref().filter(|meta| meta.is_member) else {
+            return Ok(());
+        };
+        let is_complete = (meta.compacted as u64..meta.end as u64).eq(log.keys().copied());
+        if !is_complete || self.log_state.snapshot.is_none() || meta.decided > meta.end {
+            return Err(Error::Damaged {
+                record: format!("log of shard {number}"),
+            });
         }
+        self.log_state.promise = meta.promise;
+        self.log_state.accepted_round = meta.accepted_round;
+        self.log_state.decided = meta.decided;
+        self.log_state.compacted = meta.compacted;
+        self.log_state.log = log.into_values().collect();
+        Ok(())
     }
-    Ok((format, shards))
 }
--- a/crates/ledger/src/repair.rs
+++ b/crates/ledger/src/repair.rs
@@ -66,7 +66,15 @@
     }
 }
 
-/// A member that has to be replaced, and by which replica where that is known already.
+/// A member that has to be replaced.
+pub(crate) struct MissingMember {
+    pub out: ReplicaId,
+    /// By the same front with another disk, where that is up.
+    pub back: Option<ReplicaId>,
+}
+
+/// The member that has to be replaced next: one whose front came back with another disk before one that is silent.
+/// `since` is when this front began to lead the shard, `waits` until when a front that was last heard then is waited for.
 pub(crate) fn missing_member(
     now: Micros,
     since: Micros,
@@ -74,28 +82,28 @@
     members: &[ReplicaId],
     own: FrontId,
     peer: impl Fn(FrontId) -> Option<Peer>,
-) -> Option<(ReplicaId, Option<ReplicaId>)> {
+) -> Option<MissingMember> {
     let mut silent = None;
     for member in members.iter().filter(|member| member.front != own) {
         let heard = peer(member.front);
-        match heard {
-            // Back with another disk: it has forgotten its promises, and becomes a new member. Without a disk: another does.
-            Some(peer) if peer.disk != member.disk => {
-                let back = ReplicaId {
-                    front: member.front,
-                    disk: peer.disk,
-                };
-                return Some((
-                    *member,
-                    Some(back).filter(|back| back.disk != 0 && now - peer.heard_at < HEARD_WITHIN),
-                ));
-            }
-            heard => {
-                let last = heard.map_or(since, |peer| peer.heard_at.max(since));
-                if waits(member.front, last) <= now {
-                    silent = silent.or(Some((*member, None)));
-                }
-            }
+        if let Some(peer) = heard.filter(|peer| peer.disk != member.disk) {
+            // It has forgotten its promises, and becomes a new member. Without a disk: another does.
+            let back = ReplicaId {
+                front: member.front,
+                disk: peer.disk,
+            };
+            let is_up = peer.disk != 0 && now - peer.heard_at < HEARD_WITHIN;
+            return Some(MissingMember {
+                out: *member,
+                back: is_up.then_some(back),
+            });
+        }
+        let last = heard.map_or(since, |peer| peer.heard_at.max(since));
+        if silent.is_none() && waits(member.front, last) <= now {
+            silent = Some(MissingMember {
+                out: *member,
+                back: None,
+            });
         }
     }
     silent
--- a/crates/ledger/src/requests.rs
+++ b/crates/ledger/src/requests.rs
@@ -7,7 +7,7 @@
 use crate::messages::LedgerMessage;
 use crate::rejection::Rejection;
 use crate::replica::Replica;
-use crate::{shard_of, Act, Ask, Done, FrontId, Moment, Outcome, Owner};
+use crate::{shard_of, Act, Ask, Done, FrontId, Key, Moment, Outcome, Owner};
 
 const LONGEST_NAME: usize = 1_024; // bytes of a key's name
 const LONGEST_VALUE: usize = 32 * 1_024; // bytes of a value
@@ -16,58 +16,47 @@
     /// Asks for an act; one answer follows.
     pub fn ask(&mut self, at: Moment, ask: Ask) {
         let Ask { number, key, act } = ask;
-        let long = match &act {
-            Act::Claim { value, .. } | Act::Put { value, .. } => value.len() > LONGEST_VALUE,
-            Act::Free | Act::Read => false,
-        };
         if self.asks.is_waiting(number) {
             return;
         }
         if self.counters.failed {
             // Only what needs no promise goes on here, until it starts over.
-            return self.out.done.push(Done {
-                number,
-                outcome: Outcome::Unreachable,
-            });
+            return self.answer_at_once(number, Outcome::Unreachable);
         }
-        if long || key.name.len() > LONGEST_NAME {
+        if is_too_long(&key, &act) {
             self.reject(Rejection::TooLong);
-            return self.out.done.push(Done {
-                number,
-                outcome: Outcome::Full,
-            });
+            return self.answer_at_once(number, Outcome::Full);
         }
         let shard = shard_of(&key, self.setup.shards);
-        let owner = Owner {
-            front: self.own.front,
-            incarnation: self.setup.incarnation,
-        };
-        let asked_ms = self.asks.first(number, at.wall_ms);
         let command = Command {
-            owner,
+            owner: Owner {
+                front: self.own.front,
+                incarnation: self.setup.incarnation,
+            },
             number,
-            asked_ms,
+            asked_ms: self.asks.first(number, at.wall_ms),
             key,
             act,
         };
-        if !self
-            .asks
-            .wait(command, shard, at.steady + self.setup.ask_timeout)
-        {
-            return self.out.done.push(Done {
-                number,
-                outcome: Outcome::Unreachable,
-            });
+        let ends = at.steady + self.setup.ask_timeout;
+        if !self.asks.wait(command, shard, ends) {
+            return self.answer_at_once(number, Outcome::Unreachable);
         }
         self.send_ask(at, number);
         self.settle(at);
     }
 
+    /// Answers an ask that depends on nothing that has yet to be saved.
+    fn answer_at_once(&mut self, number: u64, outcome: Outcome) {
+        self.out.done.push(Done { number, outcome });
+    }
+
     /// Passes a request on to the shard's leader, as far as that is known.
     pub(crate) fn send_ask(&mut self, at: Moment, number: u64) {
-        let Some((waiting, tries)) = self.asks.next_attempt(at.steady, number) else {
+        let Some(attempt) = self.asks.next_attempt(at.steady, number) else {
             return;
         };
+        let waiting = attempt.ask;
         let Some(view) = self.shards.get_mut(usize::from(waiting.shard)) else {
             return;
         };
@@ -89,7 +78,7 @@
             .filter(|front| !members.contains(front))
             .copied();
         let others: Vec<FrontId> = members.iter().copied().chain(rest).collect();
-        if let Some(to) = asks::next_receiver(leader, &others, self.own.front, tries) {
+        if let Some(to) = asks::next_receiver(leader, &others, self.own.front, attempt.earlier) {
             let message = LedgerMessage::Request {
                 shard,
                 command: waiting.command.clone(),
@@ -172,3 +161,11 @@
         }
     }
 }
+
+fn is_too_long(key: &Key, act: &Act) -> bool {
+    let value_bytes = match act {
+        Act::Claim { value, .. } | Act::Put { value, .. } => value.len(),
+        Act::Free | Act::Read => 0,
+    };
+    key.name.len() > LONGEST_NAME || value_bytes > LONGEST_VALUE
+}
