--- /dev/null
+++ b/crates/front/src/engines.rs
@@ -0,0 +1,224 @@
+//! Connections to query engines: executions out, answers put together from their pages.
+
+mod cancels;
+mod capacity;
+mod connection;
+mod execution;
+mod replies;
+mod result_pages;
+mod send;
+mod timeouts;
+mod writes;
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use calloop::LoopHandle;
+use hallmux_config::{Names, NetworkSettings};
+use hallmux_dispatcher::{Ending, Micros, Note, Place, Ticket};
+
+use crate::dial_pacer::{self, DialPacer};
+use crate::events::LoopEvents;
+use crate::execution::ExecutionId;
+use crate::reuse::Reuse;
+use cancels::AwaitingCancel;
+use connection::{ConnectionId, EngineConnection};
+use execution::{Execution, Stage};
+
+/// Descriptors that are neither clients' nor engines'; the rest is for engines.
+const OTHER_DESCRIPTORS: usize = 32;
+/// Microseconds by which an idle connection is closed before its engine would close it.
+const IDLE_MARGIN: Micros = 1_000_000;
+
+/// What engines have answered, and how executions have ended.
+pub enum Event {
+    /// An execution is over.
+    Ended {
+        execution_id: ExecutionId,
+        ending: Ending,
+        /// The engine's load report, where one came with the answer.
+        report: Option<Vec<f64>>,
+        /// The rows; empty unless it was answered.
+        result: Vec<u8>,
+    },
+    /// An execution goes on.
+    Noted {
+        execution_id: ExecutionId,
+        note: Note,
+    },
+    /// The outcome of a health check.
+    Probed {
+        place: Place,
+        alive: bool,
+        report: Option<Vec<f64>>,
+    },
+}
+
+struct Engine {
+    id: String,
+    at: SocketAddr,
+    started: f64,
+    /// Executions may go there.
+    available: bool,
+    connections: Vec<ConnectionId>,
+    /// Its last connection did not come up.
+    failing: bool,
+}
+
+/// All engines of the list, the connections to them and the executions on these.
+pub struct Engines {
+    handle: LoopHandle<'static, LoopEvents>,
+    allowance: NetworkSettings,
+    report_names: Vec<String>,
+    engines: BTreeMap<Place, Engine>,
+    connections: BTreeMap<ConnectionId, EngineConnection>,
+    executions: BTreeMap<ExecutionId, Execution>,
+    /// The number given last, to a connection or a health check.
+    next: u64,
+    max_connections: usize,
+    /// When connections may be made; any time where nothing else is set.
+    pub dials: DialPacer,
+    reuse: Reuse,
+    /// Cancelled, but their engines may not have read so yet, in the order in which they were.
+    awaiting_cancel: Vec<AwaitingCancel>,
+    /// What has happened since the events were last taken.
+    pub events: Vec<Event>,
+}
+
+impl Engines {
+    /// No engines yet; `limit` and `list` come before anything is sent.
+    pub fn new(
+        handle: LoopHandle<'static, LoopEvents>,
+        allowance: NetworkSettings,
+        names: &Names,
+    ) -> Self {
+        Engines {
+            handle,
+            reuse: Reuse::new((allowance.keepalive - IDLE_MARGIN).max(IDLE_MARGIN)),
+            allowance,
+            report_names: names.report.clone(),
+            engines: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            executions: BTreeMap::new(),
+            next: 0,
+            max_connections: 0,
+            dials: dial_pacer::unlimited(),
+            awaiting_cancel: Vec::new(),
+            events: Vec::new(),
+        }
+    }
+
+    /// Descriptors that clients leave to the rest of the front.
+    pub fn limit(&mut self, sockets: usize) {
+        self.max_connections = sockets.saturating_sub(OTHER_DESCRIPTORS).max(1);
+    }
+
+    fn report_end(&mut self, execution_id: ExecutionId, ending: Ending) {
+        log::debug!(
+            "statement {}: execution {} ended: {ending:?}",
+            execution_id.ticket,
+            execution_id.number
+        );
+        self.executions.remove(&execution_id);
+        self.events.push(Event::Ended {
+            execution_id,
+            ending,
+            report: None,
+            result: Vec::new(),
+        });
+    }
+
+    /// An engine of the list: where it is, and whether anything may still be sent to it.
+    pub fn list(&mut self, place: Place, id: &str, at: SocketAddr, started: f64, up: bool) {
+        let known = self.engines.get(&place);
+        let same = known.is_some_and(|e| e.id == id && e.at == at && e.started == started);
+        let failing = same && known.is_some_and(|e| e.failing);
+        if !same || !up {
+            self.retire(place);
+        }
+        let connections = self
+            .engines
+            .remove(&place)
+            .map(|e| e.connections)
+            .unwrap_or_default();
+        let id = id.to_string();
+        self.engines.insert(
+            place,
+            Engine {
+                id,
+                at,
+                started,
+                available: up,
+                connections,
+                failing,
+            },
+        );
+    }
+
+    /// A whole list has come: engines that it does not name are gone.
+    pub fn retire_others(&mut self, listed: &[Place]) {
+        let places: Vec<Place> = self
+            .engines
+            .keys()
+            .copied()
+            .filter(|p| !listed.contains(p))
+            .collect();
+        places.into_iter().for_each(|place| self.retire(place));
+    }
+
+    /// What has not left for an engine stays here; what is out may still be answered.
+    pub fn retire(&mut self, place: Place) {
+        let Some(engine) = self.engines.get_mut(&place) else {
+            return;
+        };
+        engine.available = false;
+        for id in engine.connections.clone() {
+            let Some(connection) = self.connections.get_mut(&id) else {
+                continue;
+            };
+            connection.retired = true;
+            for execution_id in std::mem::take(&mut connection.queue) {
+                self.withdraw(id, execution_id);
+            }
+        }
+    }
+
+    fn withdraw(&mut self, connection: ConnectionId, execution_id: ExecutionId) {
+        if let (Some(connection), Some(execution)) = (
+            self.connections.get_mut(&connection),
+            self.executions.get(&execution_id),
+        ) {
+            connection.open.remove(&execution.call.id);
+        }
+        self.report_end(execution_id, Ending::Withdrawn);
+    }
+
+    /// Nobody waits for a statement any more: what has not left for an engine never will.
+    pub fn abandon(&mut self, ticket: Ticket) {
+        let of_ticket = self
+            .executions
+            .range(ExecutionId::new(ticket, 0)..=ExecutionId::new(ticket, usize::MAX));
+        let queued = of_ticket.filter(|(_, execution)| execution.stage == Stage::Queued);
+        let queued: Vec<(ExecutionId, ConnectionId)> = queued
+            .map(|(execution_id, execution)| (*execution_id, execution.connection))
+            .collect();
+        for (execution_id, id) in queued {
+            if let Some(connection) = self.connections.get_mut(&id) {
+                connection.queue.retain(|other| *other != execution_id);
+            }
+            self.withdraw(id, execution_id);
+        }
+    }
+
+    fn engine_name(&self, connection: ConnectionId) -> &str {
+        let engine = self
+            .connections
+            .get(&connection)
+            .and_then(|l| self.engines.get(&l.place));
+        engine.map_or("?", |e| &e.id)
+    }
+}
+
+#[cfg(test)]
+#[path = "engines/engines_tests.rs"]
+mod tests;
--- a/crates/front/src/front.rs
+++ b/crates/front/src/event_loop.rs
@@ -1,19 +1,19 @@
 //! What one front does in an iteration: it takes in all that is there, decides once, and sends what follows.
 
 mod admission;
-mod configuration;
 mod dial_capacity;
 mod dispatch;
 mod engine_list;
+mod graceful_shutdown;
+mod limits;
+mod reload;
 mod scatter;
+mod start;
 
-use std::net::TcpListener;
 use std::time::Duration;
 
 use calloop::LoopHandle;
-use hallmux_config::{NodeConfig, Settings};
 use hallmux_dispatcher::{Dispatcher, Micros, SendCapacity};
-use hallmux_native_codec::coordinator::Events as EngineListEvents;
 
 use crate::clients::Clients;
 use crate::clock::Clock;
@@ -21,20 +21,17 @@
 use crate::engine_starts::EngineStarts;
 use crate::engines::Engines;
 use crate::events::{LoopEvents, SocketId, SocketKind};
-use crate::fleet::rules::{self, Shared};
+use crate::fleet::rules::Shared;
 use crate::fleet::{Guard, Peers};
 use crate::link::Link;
 use crate::listener::Listener;
 use crate::postgres::gateway::Gateway;
 use crate::scatter::ScatteredStatements;
-use crate::shutdown::{LedgerDuty, Shutdown};
-use crate::start_error::StartError;
-
-pub use dial_capacity::Pacer;
+use crate::shutdown::Shutdown;
 
 const MOST_DECISIONS: usize = 8; // decisions in an iteration: an execution that the first one stops is known to the next at once
 
-pub struct Front {
+pub struct EventLoopState {
     handle: LoopHandle<'static, LoopEvents>,
     listener: Listener,
     dispatcher: Dispatcher,
@@ -58,7 +55,7 @@
     /// Statements that are asked of several sites, likewise.
     scatter: Option<ScatteredStatements>,
     /// What was reported to the dispatcher of how many executions can leave for each engine.
-    rooms: SendCapacity,
+    send_capacity: SendCapacity,
     shutdown: Shutdown,
     clock: Clock,
     /// Connections with more to read than one iteration takes.
@@ -67,126 +64,40 @@
     stale: bool,
 }
 
-/// No client waits longer than that for an answer.
-fn longest_timeout(settings: &Settings) -> Micros {
-    settings
-        .agreement
-        .workloads
-        .iter()
-        .map(|workload| workload.statement_timeout)
-        .max()
-        .unwrap_or(0)
-}
-
-impl Front {
-    pub fn new(
-        config: &NodeConfig,
-        known: &EngineListEvents,
-        listener: TcpListener,
-        handle: LoopHandle<'static, LoopEvents>,
-    ) -> Result<Front, StartError> {
-        let settings = &config.settings;
-        let gateway = config.operator.postgres.as_ref();
-        let part = |why: std::io::Error| StartError::part(&why);
-        let clock = Clock::new(config.operator.clock_offset, config.clock_file.as_deref());
-        let mut clock = clock.map_err(part)?;
-        clock.refresh();
-        let gossip = config.operator.gossip.as_ref();
-        let peers = gossip
-            .map(|gossip| Peers::new(gossip, clock.now, &handle))
-            .transpose()?;
-        let rules = rules::start(config, clock.now, peers.as_ref())?;
-        let open = |postgres| Gateway::new(postgres, settings, handle.clone(), rules.clone());
-        let mut gateway = gateway.map(open).transpose().map_err(part)?;
-        let spread_offset = peers.as_ref().map_or(0, Peers::spread_offset);
-        let scatter = config.operator.scatter.as_ref();
-        if let Some((gateway, scatter)) = gateway
-            .as_mut()
-            .zip(scatter.filter(|scatter| scatter.marked))
-        {
-            gateway.writes = scatter.writes.clone();
-        }
-        let scatter = scatter
-            .map(|scatter| ScatteredStatements::new(scatter, clock.now, spread_offset, settings));
-        let scatter = scatter.transpose().map_err(part)?;
-        let mut front = Front {
-            listener: Listener::new(listener, &handle, SocketKind::Listener.id(0)).map_err(part)?,
-            dispatcher: Dispatcher::new(settings, config.seed),
-            answer_slack: settings.network.answer_slack,
-            max_statements: settings.network.most_held,
-            max_bytes: 0,
-            max_clients: 0,
-            memory_full: false,
-            clients: Clients::new(
-                settings.agreement.longest_retry_after,
-                longest_timeout(settings),
-            ),
-            engines: Engines::new(handle.clone(), settings.network.clone(), &settings.names),
-            engine_starts: EngineStarts::default(),
-            coordinator: Coordinator::new(handle.clone(), config.coordinator, known.index),
-            gateway,
-            peers,
-            rules,
-            guard: None,
-            scatter,
-            rooms: SendCapacity::default(),
-            shutdown: Shutdown::default(),
-            clock,
-            unfinished: Vec::new(),
-            stale: false,
-            handle,
-        };
-        front.engines.dials = dial_capacity::pacer(config, front.clock.now);
-        if let Some(gateway) = &mut front.gateway {
-            gateway.servers().dials = front.engines.dials.clone();
-        }
-        if let Some(ledger) = config
-            .operator
-            .gossip
-            .as_ref()
-            .and_then(|gossip| gossip.ledger.as_ref())
-        {
-            let now = front.clock.now;
-            front.guard = Some(Guard::new(
-                settings,
-                now,
-                ledger.shards,
-                &mut front.dispatcher,
-            ));
-        }
-        front.limit(&config.limits);
-        front.apply_list(known, 0);
-        Ok(front)
-    }
-
-    /// How long nothing is due.
+impl EventLoopState {
+    /// How long nothing is due: the event loop may sleep for that long.
     pub fn idle(&mut self) -> Duration {
         self.clock.refresh();
-        let due = [
-            if self.unfinished.is_empty() && !self.stale {
-                Micros::MAX
-            } else {
-                0
-            },
-            self.dispatcher.wake(),
+        let due = self.next_due();
+        self.clock.sleep(due)
+    }
+
+    /// When something is due though no socket changes, in Unix microseconds.
+    fn next_due(&self) -> Micros {
+        let now = self.clock.now;
+        if !self.unfinished.is_empty() || self.stale {
+            return 0;
+        }
+        let always = [
+            self.dispatcher.next_tick(),
             self.engines.due(),
             self.coordinator.due(),
             self.listener.due(),
-            self.shutdown.due(self.clock.now),
-            self.gateway.as_ref().map_or(Micros::MAX, Gateway::due),
-            self.peers
-                .as_ref()
-                .map_or(Micros::MAX, |peers| peers.due(self.clock.now)),
-            self.guard.as_ref().map_or(Micros::MAX, Guard::due),
-            self.rules
-                .as_ref()
-                .map_or(Micros::MAX, |rules| rules.borrow().due(self.clock.now)),
-            self.scatter
-                .as_ref()
-                .map_or(Micros::MAX, |scatter| scatter.due(self.peers.is_some())),
+            self.shutdown.due(now),
         ];
-        self.clock
-            .sleep(due.into_iter().min().unwrap_or(self.clock.now))
+        let gossips = self.peers.is_some();
+        let optional = [
+            self.gateway.as_ref().map(Gateway::due),
+            self.peers.as_ref().map(|peers| peers.due(now)),
+            self.guard.as_ref().map(Guard::due),
+            self.rules.as_ref().map(|rules| rules.borrow().due(now)),
+            self.scatter.as_ref().map(|scatter| scatter.due(gossips)),
+        ];
+        always
+            .into_iter()
+            .chain(optional.into_iter().flatten())
+            .min()
+            .unwrap_or(now)
     }
 
     /// A connection has changed: takes what is there.
@@ -218,10 +129,10 @@
             | SocketKind::Session
             | SocketKind::Server
             | SocketKind::Cancel => {
-                let (now, room) = (self.clock.now, self.room());
+                let (now, admission) = (self.clock.now, self.admission_state());
                 let gateway = self.gateway.as_mut();
                 gateway.is_some_and(|gateway| {
-                    gateway.socket_ready(now, socket, room, &mut self.dispatcher)
+                    gateway.socket_ready(now, socket, admission, &mut self.dispatcher)
                 })
             }
         };
@@ -250,14 +161,12 @@
             self.ready(socket);
         }
         self.accept();
-        let room = self.room();
+        let admission = self.admission_state();
+        let sessions_left = self.connections_left();
         if let Some(gateway) = &mut self.gateway {
-            let room_left = self
-                .max_clients
-                .saturating_sub(self.clients.len() + gateway.len());
-            gateway.accept(self.clock.now, room_left);
-            gateway.take(self.clock.now, room, &mut self.dispatcher);
-            gateway.expire(self.clock.now, room, &mut self.dispatcher);
+            gateway.accept(self.clock.now, sessions_left);
+            gateway.take(self.clock.now, admission, &mut self.dispatcher);
+            gateway.expire(self.clock.now, admission, &mut self.dispatcher);
         }
         let mut events = Vec::new();
         self.clients.expire(self.clock.now, &mut events);
@@ -298,54 +207,30 @@
 
     /// Sends answers to clients, and questions to the coordinator.
     fn answer_clients(&mut self) {
-        let room = self.room();
+        let admission = self.admission_state();
         if let Some(gateway) = &mut self.gateway {
-            gateway.flush(self.clock.now, room, self.max_bytes, &mut self.dispatcher);
+            gateway.flush(
+                self.clock.now,
+                admission,
+                self.max_bytes,
+                &mut self.dispatcher,
+            );
         }
         self.coordinator.flush(self.clock.now);
         let mut events = Vec::new();
         self.answer_scattered();
         self.clients.flush(self.clock.now, &mut events);
-        if let (untaken, Some(client)) = self.clients.unsent() {
-            if untaken > self.max_bytes {
-                log::warn!(
-                    "client {client}: takes no answers, {untaken} bytes wait; its connection is closed"
-                );
-                self.clients.disconnect(client, &mut events);
-            }
+        let unsent = self.clients.unsent();
+        if let Some(client) = unsent.slowest.filter(|_| unsent.bytes > self.max_bytes) {
+            let bytes = unsent.bytes;
+            log::warn!(
+                "client {client}: takes no answers, {bytes} bytes wait; its connection is closed"
+            );
+            self.clients.disconnect(client, &mut events);
         }
         self.handle_client_events(events);
     }
 
-    /// Closes the listeners and what is idle, once the planned end has come so far.
-    fn close_if_due(&mut self) {
-        let peers = self.peers.as_ref().filter(|_| self.shutdown.is_requested());
-        let duty = peers.map_or(LedgerDuty::None, |peers| peers.ledger_duty(self.clock.now));
-        if self.shutdown.closes(self.clock.now, duty) {
-            // Whoever has connected by now is served: closing the listener resets what waits there. The event loop may
-            // not have reported it yet.
-            self.listener.readable();
-            self.accept();
-            if self.listener.may_have_more() && self.shutdown.may_wait(self.clock.now) {
-                return;
-            }
-            if self.listener.close() {
-                log::info!(
-                    "no more connections are taken; {} clients are connected",
-                    self.clients.len()
-                );
-            }
-            self.clients.close_idle(self.clock.now);
-            let room = self.room();
-            if let Some(gateway) = &mut self.gateway {
-                let sessions_left = self
-                    .max_clients
-                    .saturating_sub(self.clients.len() + gateway.len());
-                gateway.close(self.clock.now, room, sessions_left, &mut self.dispatcher);
-            }
-        }
-    }
-
     /// Sends to engines what was decided. Guards against a front that stood still or worked for long since it last
     /// read its connections: a client may have left meanwhile, or a drain been listed. Then it reads first, and
     /// sends in the next iteration.
@@ -372,27 +257,14 @@
             .for_each(|gateway| gateway.flush_servers(self.clock.now));
     }
 
-    /// The end was asked for.
-    pub fn shut_down(&mut self) {
-        self.clock.refresh();
-        self.shutdown.request(self.clock.now);
-        self.peers
-            .iter_mut()
-            .for_each(|peers| peers.leave(self.clock.now));
-        self.scatter
-            .iter()
-            .for_each(|scatter| scatter.summaries.save());
-    }
-
-    /// Whether all is answered after the end was asked for.
-    pub fn is_done(&self) -> bool {
-        !self.listener.is_open()
-            && self.clients.len() == 0
-            && self.gateway.as_ref().is_none_or(Gateway::is_done)
-            // What it holds of the ledger is freed first.
-            && self.guard.as_ref().is_none_or(Guard::is_idle)
+    /// How many more clients and sessions may connect.
+    fn connections_left(&self) -> usize {
+        let sessions = self.gateway.as_ref().map_or(0, Gateway::len);
+        self.max_clients
+            .saturating_sub(self.clients.len() + sessions)
     }
 
+    /// Accepts clients that wait, as far as connections are left or idle ones can make way, and reads from each.
     fn accept(&mut self) {
         let now = self.clock.now;
         loop {
@@ -425,7 +297,7 @@
 }
 
 #[cfg(test)]
-#[path = "front_tests.rs"]
+#[path = "event_loop_tests.rs"]
 mod tests;
 
 #[cfg(test)]
--- a/crates/front/src/front/engine_list.rs
+++ b/crates/front/src/event_loop/engine_list.rs
@@ -3,28 +3,13 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-use hallmux_dispatcher::{Listing, Micros, Mode as EngineMode, Protocol};
+use hallmux_dispatcher::{ListScope, Listing, Micros, Mode as EngineMode, Protocol};
 use hallmux_native_codec::coordinator::{Engine, EngineList, EngineState, Events};
 
-use super::Front;
+use super::EventLoopState;
 use crate::engine_starts::ListMoment;
 
-impl Front {
-    /// Takes in what a new configuration knows of the coordinator's events: a drain among them counts,
-    /// whether the coordinator that the configuration names answers or not.
-    pub(super) fn apply_known_list(&mut self, known: &str) {
-        match hallmux_native_codec::coordinator::events(known.as_bytes()) {
-            Ok(known) => {
-                let before = self.coordinator.last_index;
-                self.coordinator.last_index = before.max(known.index);
-                self.apply_list(&known, before);
-            }
-            Err(what) => {
-                log::error!("NODE_CONFIG: known: {what}; the engine list is left as it was")
-            }
-        }
-    }
-
+impl EventLoopState {
     /// Takes in the coordinator's events that come after the one given.
     pub(super) fn apply_list(&mut self, stream: &Events, after: u64) {
         let moment = ListMoment {
@@ -40,7 +25,12 @@
             let listings: Vec<Listing> = started
                 .map(|(e, start)| listing(e, speaks(e), *start))
                 .collect();
-            let places = self.dispatcher.list(list.is_full, &listings);
+            let scope = if list.is_full {
+                ListScope::Full
+            } else {
+                ListScope::Changes
+            };
+            let places = self.dispatcher.update_engines(scope, &listings);
             if list.is_full {
                 self.engines.retire_others(&places);
                 self.gateway
--- a/crates/front/src/front_tests.rs
+++ b/crates/front/src/event_loop_tests.rs
@@ -1,17 +1,19 @@
-//! Unit tests of the `front` module.
+//! Unit tests of the `event_loop` module.
 
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
 use std::time::Instant;
 
 use calloop::EventLoop;
+use hallmux_config::NodeConfig;
 use hallmux_postgres::wire;
 use serde_json::{json, Value};
 
 use super::*;
 use crate::clients::tests::frame;
+use crate::start_error::StartError;
 
 #[path = "postgres/engine_endings_tests.rs"]
 mod engine_endings;
@@ -28,7 +30,7 @@
 
 /// A front that no loop drives, with a clock that the test moves.
 pub(super) struct Driven {
-    pub(super) front: Front,
+    pub(super) front: EventLoopState,
     events: EventLoop<'static, LoopEvents>,
     pub(super) listens: SocketAddr,
     sessions: SocketAddr,
@@ -97,7 +99,7 @@
         let events = EventLoop::try_new().unwrap();
         let listener = TcpListener::bind(config.listen).unwrap();
         let listens = listener.local_addr().unwrap();
-        let front = Front::new(&config, &known, listener, events.handle())?;
+        let front = EventLoopState::new(&config, &known, listener, events.handle())?;
         let sessions = front
             .gateway
             .as_ref()
@@ -153,7 +155,11 @@
     }
 
     /// Goes on until there is what is waited for.
-    pub(super) fn until<T>(&mut self, what: &str, mut there: impl FnMut(&Front) -> Option<T>) -> T {
+    pub(super) fn until<T>(
+        &mut self,
+        what: &str,
+        mut there: impl FnMut(&EventLoopState) -> Option<T>,
+    ) -> T {
         let begun = Instant::now();
         loop {
             if let Some(found) = there(&self.front) {
--- a/crates/lab/src/simulated/ledger.rs
+++ b/crates/lab/src/simulated/ledger.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use hallmux_fleet::gate::{LedgerClient, Ruling};
-use hallmux_fleet::{Exchange, Moment, Output};
+use hallmux_fleet::{ClockReading, Exchange, Output};
 use hallmux_gossip::seal::{peer_id, Identity};
 use hallmux_gossip::PeerId;
 use hallmux_ledger::{Ask, Done, Member, Setup};
@@ -16,14 +16,14 @@
 const PART: u32 = 56; // bits of a number that a part of the front counts in
 
 /// The gate's way to the ledger of its front; what is to go out for it is gathered.
-struct Way<'a> {
+struct GateLedgerClient<'a> {
     exchange: &'a mut Exchange,
-    at: Moment,
+    at: ClockReading,
     done: &'a mut Vec<Done>,
     outs: Vec<Output>,
 }
 
-impl LedgerClient for Way<'_> {
+impl LedgerClient for GateLedgerClient<'_> {
     fn ask(&mut self, _: i64, ask: Ask) {
         self.outs.push(self.exchange.ask_ledger(self.at, ask));
     }
@@ -82,7 +82,7 @@
         let Some((guard, exchange)) = life.guard.as_mut().zip(life.exchange.as_mut()) else {
             return;
         };
-        let mut way = Way {
+        let mut way = GateLedgerClient {
             exchange,
             at,
             done: &mut life.done,
@@ -103,15 +103,15 @@
             };
             match ruling {
                 Ruling::Release(go) => {
-                    life.dispatcher.leaves(own, go.ticket, go.execution);
+                    life.dispatcher.execution_sent(own, go.ticket, go.execution);
                     self.leaves(n, (go.ticket, go.execution), go.place);
                 }
                 Ruling::Reject(ticket) => {
-                    life.dispatcher.turn_away(own, ticket);
+                    life.dispatcher.reject(own, ticket);
                     self.answer(n, ticket, Outcome::Error("53000".into()));
                 }
                 Ruling::Abort(ticket) => {
-                    life.dispatcher.turn_away(own, ticket);
+                    life.dispatcher.reject(own, ticket);
                     self.answer(n, ticket, Outcome::Error("08007".into()));
                 }
             }
--- a/src/decide/shed.rs
+++ b/src/scheduler/shedding.rs
@@ -1,8 +1,9 @@
 //! Admission, which statements are shed and executions cancelled, and how a statement ends.
 
 use super::*;
+use crate::policy::idempotency::{answer_without_result, Answer};
 
-impl Front {
+impl Scheduler {
     /// Whether the engine that holds its transaction takes nothing new any more.
     pub(super) fn pinned_engine_closed(&self, s: &Statement) -> bool {
         s.asked
@@ -10,13 +11,44 @@
             .is_some_and(|e| !self.engines.open.get(e).is_some_and(|open| *open))
     }
 
-    /// Whether a statement is shed at once: no engine may have it, or it must be late, and that is worth
+    /// Why a statement is shed at once, if it is: no engine may have it, or it must be late, and that is worth
     /// little or others wait behind it in the queue of its order key: running it would make them late too.
-    pub(super) fn is_to_be_shed(&self, s: &Statement) -> bool {
-        let worthless =
-            self.order_queues.blocks(s.asked.key) || self.workload(s).late_share < LATE_WORTH;
-        let late = worthless && self.now >= self.last_timely_start(s);
-        late || self.pinned_engine_closed(s) || !self.has_safe_engine(s)
+    pub(super) fn shed_reason(&self, s: &Statement) -> Option<RejectReason> {
+        let late = || self.now >= self.last_timely_start(s);
+        if self.workload(s).late_share < MIN_LATE_SHARE_TO_RUN && late() {
+            Some(RejectReason::TooLate)
+        } else if self.order_queues.is_shared(s.asked.key) && late() {
+            Some(RejectReason::OrderKeyBlocked)
+        } else if self.pinned_engine_closed(s) {
+            Some(RejectReason::StickyEngineClosed)
+        } else if !self.has_safe_engine(s) {
+            Some(RejectReason::NoSafeEngine)
+        } else {
+            None
+        }
+    }
+
+    /// Why a held statement whose standing has changed ends now, if it does.
+    pub(super) fn expiry_reason(&self, s: &Statement) -> Option<RejectReason> {
+        if self.now >= s.deadline - REJECT_BEFORE_DEADLINE {
+            return Some(RejectReason::Expiring);
+        }
+        // Past its latest start one goes ahead of all, unless others wait that can still be in time.
+        let others_wait = || self.classes.iter().any(|c| !c.ready.is_empty());
+        let pressed = || self.now >= self.latest_start(s) && others_wait();
+        self.shed_reason(s)
+            .or_else(|| pressed().then_some(RejectReason::LatestStartPassed))
+    }
+
+    /// Why a statement whose attempt ended without a result has none again, if it has none.
+    pub(super) fn no_retry_reason(&self, s: &Statement) -> Option<RejectReason> {
+        if !self.has_safe_engine(s) {
+            return Some(RejectReason::NoSafeEngine);
+        }
+        self.check_retry(s).reject_reason().or_else(|| {
+            let expiring = self.now >= s.deadline - REJECT_BEFORE_DEADLINE;
+            expiring.then_some(RejectReason::Expiring)
+        })
     }
 
     /// Admits what the engines can serve of all that is asked, by the penalty at the fleet's conformance:
@@ -32,18 +64,19 @@
             .collect();
         let rank = |n: usize| {
             penalty(
-                parts[n].conformance(UNSEEN),
+                parts[n].conformance(PRIOR_TIMELY_STATEMENTS),
                 self.delta(n / 2 * customers * 2 + n % 2),
             )
         };
-        let late = fleet.late_share > MOST_LATE;
-        let served = |o: &Demand| o.work * ADMITTED * if late { o.timely } else { o.ended };
+        let late = fleet.late_share > MAX_FLEET_LATE_SHARE;
+        let served =
+            |o: &Demand| o.work * ADMITTED_PER_ANSWERED * if late { o.timely } else { o.ended };
         let asked: f64 = workloads.iter().map(Demand::work_asked).sum();
         let most = workloads
             .iter()
             .map(served)
             .sum::<f64>()
-            .max(LEAST_ADMITTED * asked);
+            .max(MIN_ADMITTED_SHARE * asked);
         (self.admitted, self.demand) = (admit_by_rank(most, &parts, rank), fleet.relative);
     }
 
@@ -60,7 +93,7 @@
     pub(super) fn cancel_to_retry(&mut self, id: StatementId, n: usize) {
         let s = &self.statements[&id];
         let in_time = self.now + (self.learned[s.asked.workload].run.value as Micros) < s.deadline;
-        let again = self.workload(s).effect == Effect::Idempotent && self.tries_left(s) && in_time;
+        let again = self.workload(s).effect == Effect::Idempotent && self.may_retry(s) && in_time;
         if again && self.agreed.cancel && !s.over {
             self.actions.push(Action::Cancel {
                 statement: id,
@@ -70,20 +103,15 @@
     }
 
     /// Ends a statement unanswered: a rejection where trying again is harmless, else an abort.
-    pub(super) fn shed(&mut self, id: StatementId) {
+    pub(super) fn shed(&mut self, id: StatementId, reason: RejectReason) {
         let s = &self.statements[&id];
         let (workload, ran) = (self.workload(s), s.may_have_run().next().is_some());
         let (w, first) = (
             s.asked.workload,
             s.first_arrival == s.deadline - s.asked.time_left,
         );
-        let harmless = match workload.effect {
-            Effect::Idempotent => true,
-            Effect::Deduplicated => !ran || workload.dedup_group == DedupGroup::All,
-            Effect::NonIdempotent => !ran,
-        };
-        if harmless {
-            let wait = COME_BACK * (0.5 + self.random.next()) * SECOND as f64;
+        if answer_without_result(workload, ran) == Answer::Reject {
+            let wait = RETRY_AFTER_SECONDS * (0.5 + self.random.next()) * SECOND as f64;
             let retry_after = self
                 .agreed
                 .longest_retry_after
@@ -91,9 +119,13 @@
             self.actions.push(Action::Reject {
                 statement: id,
                 retry_after,
+                reason,
             });
         } else {
-            self.actions.push(Action::Abort { statement: id });
+            self.actions.push(Action::Abort {
+                statement: id,
+                reason,
+            });
         }
         self.learned[w].shed += f64::from(u8::from(first));
         self.close(id, false);
@@ -117,7 +149,7 @@
         let counts = &mut self.classes[class];
         counts.in_flight.remove(&id);
         let before = counts.on_top();
-        counts.count(self.now, HALF_LIFE, timely);
+        counts.count(self.now, CONFORMANCE_HALF_LIFE, timely);
         if counts.on_top() != before {
             for other in counts.in_flight.clone() {
                 self.prioritise(other);
