--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -6,7 +6,7 @@
 
 /// Where in a text an error is.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Position {
+pub struct TextPosition {
     /// Counted from 1; None where it is not known.
     pub line: Option<usize>,
     /// Characters, counted from 1; None where it is not known.
@@ -15,29 +15,19 @@
     pub path: String,
 }
 
-impl fmt::Display for Position {
+impl fmt::Display for TextPosition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut between = "";
-        if let Some(line) = self.line {
-            write!(f, "line {line}")?;
-            if let Some(column) = self.column {
-                write!(f, ", column {column}")?;
+        let path = OneLine(&self.path); // a key may be any text
+        match (self.line, self.column, self.path.is_empty()) {
+            (None, _, true) => write!(f, "the text"),
+            (None, _, false) => write!(f, "{path}"),
+            (Some(line), None, true) => write!(f, "line {line}"),
+            (Some(line), None, false) => write!(f, "line {line}: {path}"),
+            (Some(line), Some(column), true) => write!(f, "line {line}, column {column}"),
+            (Some(line), Some(column), false) => {
+                write!(f, "line {line}, column {column}: {path}")
             }
-            between = ": ";
         }
-        if self.path.is_empty() && !between.is_empty() {
-            return Ok(());
-        }
-        // A key may be any text.
-        write!(
-            f,
-            "{between}{}",
-            OneLine(if self.path.is_empty() {
-                "the text"
-            } else {
-                &self.path
-            })
-        )
     }
 }
 
@@ -82,13 +72,13 @@
     #[error("{position}: not UTF-8; write the file as UTF-8")]
     NotUtf8 {
         /// From where on.
-        position: Position,
+        position: TextPosition,
     },
     /// A text is no JSON, or no JSON5, from a position on.
     #[error("{position}: {}; mend the text from there on", OneLine(.reason))]
     Malformed {
         /// From where on.
-        position: Position,
+        position: TextPosition,
         /// What is wrong with it.
         reason: String,
     },
@@ -96,7 +86,7 @@
     #[error("{position}: brackets stand open {most} deep; no key is meant so deep, close some")]
     TooDeep {
         /// The first bracket beyond that.
-        position: Position,
+        position: TextPosition,
         /// The deepest that is allowed.
         most: usize,
     },
@@ -104,7 +94,7 @@
     #[error("{position}: {}", OneLine(.problem))]
     Key {
         /// Where it is.
-        position: Position,
+        position: TextPosition,
         /// What is wrong.
         problem: Box<KeyProblem>,
     },
@@ -202,10 +192,11 @@
     },
 }
 
-const MOST_LISTED: usize = 16; // names in a text, which stays one line; of more only the number is given
+/// Names in an error's text, which stays one line; of more only the number is given.
+const MAX_LISTED: usize = 16;
 
 fn listed(names: &[String]) -> String {
-    let shown: Vec<&str> = names.iter().take(MOST_LISTED).map(String::as_str).collect();
+    let shown: Vec<&str> = names.iter().take(MAX_LISTED).map(String::as_str).collect();
     let more = names.len().saturating_sub(shown.len());
     match (shown.is_empty(), more) {
         (true, _) => "none".to_string(),
--- /dev/null
+++ b/crates/config/src/operator_file/rules.rs
@@ -0,0 +1,149 @@
+//! The section `rules`: regional access rules of customers.
+
+use std::collections::BTreeMap;
+
+use hallmux::interface::Micros;
+use serde::Deserialize;
+
+use crate::settings::{micros, Names, Settings};
+
+use super::checker::Checker;
+use crate::error::{Error, KeyProblem};
+
+const DEFAULT_LEASE_MS: f64 = 3_000.0;
+const MIN_LEASE_MS: f64 = 500.0;
+const MAX_LEASE_MS: f64 = 60_000.0;
+/// Millionths: far more than a quartz drifts, for machines that are throttled.
+const DEFAULT_DRIFT_PPM: u32 = 10_000;
+const MAX_DRIFT_PPM: u32 = 200_000;
+const DEFAULT_WHAT_IF_HOURS: f64 = 6.0;
+const MAX_WHAT_IF_HOURS: f64 = 168.0;
+const MS_PER_HOUR: f64 = 3_600_000.0;
+const DEFAULT_TELL_EVERY_MS: f64 = 60_000.0;
+const MIN_TELL_EVERY_MS: f64 = 1_000.0;
+const MAX_TELL_EVERY_MS: f64 = 86_400_000.0;
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct RulesFile {
+    file: String,
+    region: String,
+    #[serde(default)]
+    regions: BTreeMap<String, Vec<String>>,
+    customers: Option<Vec<String>>,
+    #[serde(default = "default_lease_ms")]
+    lease_ms: f64,
+    #[serde(default = "default_drift_ppm")]
+    drift_ppm: u32,
+    #[serde(default = "default_tell_every_ms")]
+    tell_every_ms: f64,
+    #[serde(default = "default_what_if_hours")]
+    what_if_hours: f64,
+}
+
+fn default_what_if_hours() -> f64 {
+    DEFAULT_WHAT_IF_HOURS
+}
+
+fn default_lease_ms() -> f64 {
+    DEFAULT_LEASE_MS
+}
+
+fn default_drift_ppm() -> u32 {
+    DEFAULT_DRIFT_PPM
+}
+
+fn default_tell_every_ms() -> f64 {
+    DEFAULT_TELL_EVERY_MS
+}
+
+/// Where the rules are, and all that they may be about.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Rules {
+    /// The file of rules; SIGHUP reads it again.
+    pub file: String,
+    /// Where this front stands, for rules about where a statement is asked.
+    pub region: String,
+    /// Names for some of the settings' locations together.
+    pub regions: BTreeMap<String, Vec<String>>,
+    /// The customers that rules may be about; None: all.
+    pub customers: Option<Vec<String>>,
+    /// How long a front may go on by the rules it has without hearing from their owner.
+    pub lease: Micros,
+    /// Millionths that a clock may gain or lose.
+    pub drift_ppm: u32,
+    /// Between lines of the log with the fleet's counts.
+    pub tell_every: Micros,
+    /// How long requests are remembered, by kind, to tell what other rules would change; 0: not at all.
+    pub remembers: Micros,
+}
+
+/// Checks the section against the settings.
+pub fn rules(text: &str, file: RulesFile, settings: &Settings) -> Result<Rules, Error> {
+    let check = Checker {
+        text,
+        section: "rules",
+    };
+    if file.file.is_empty() {
+        return check.refuse("file", "names none; give the path of the file of rules");
+    }
+    check_regions(&check, &file, &settings.names)?;
+    check_customers(&check, &file, &settings.names)?;
+    check_ranges(&check, &file)?;
+    Ok(Rules {
+        file: file.file,
+        region: file.region,
+        regions: file.regions,
+        customers: file.customers,
+        lease: micros(file.lease_ms),
+        drift_ppm: file.drift_ppm,
+        tell_every: micros(file.tell_every_ms),
+        remembers: micros(file.what_if_hours * MS_PER_HOUR),
+    })
+}
+
+/// Regions hold locations of the settings, and this front's region is one of them.
+fn check_regions(check: &Checker, file: &RulesFile, names: &Names) -> Result<(), Error> {
+    for (region, locations) in &file.regions {
+        for (index, location) in locations.iter().enumerate() {
+            let key = format!("regions.{region}[{index}]");
+            check.known(&key, location, "the settings' locations", &names.locations)?;
+        }
+        if locations.is_empty() {
+            return check.refuse(&format!("regions.{region}"), "holds no location; name one");
+        }
+    }
+    let named = file.regions.keys();
+    let regions: Vec<String> = named.chain(&names.locations).cloned().collect();
+    check.known("region", &file.region, "the regions", &regions)
+}
+
+/// Customers are those of the settings, where these name any.
+fn check_customers(check: &Checker, file: &RulesFile, names: &Names) -> Result<(), Error> {
+    if names.customers.is_empty() {
+        return Ok(());
+    }
+    for (index, customer) in file.customers.iter().flatten().enumerate() {
+        let key = format!("customers[{index}]");
+        check.known(&key, customer, "the settings' customers", &names.customers)?;
+    }
+    Ok(())
+}
+
+fn check_ranges(check: &Checker, file: &RulesFile) -> Result<(), Error> {
+    check.range("lease_ms", file.lease_ms, MIN_LEASE_MS, MAX_LEASE_MS)?;
+    if file.drift_ppm > MAX_DRIFT_PPM {
+        return check.refuse("drift_ppm", KeyProblem::above_maximum(MAX_DRIFT_PPM));
+    }
+    check.range(
+        "tell_every_ms",
+        file.tell_every_ms,
+        MIN_TELL_EVERY_MS,
+        MAX_TELL_EVERY_MS,
+    )?;
+    check.range("what_if_hours", file.what_if_hours, 0.0, MAX_WHAT_IF_HOURS)
+}
+
+#[cfg(test)]
+#[path = "rules_tests.rs"]
+mod tests;
--- a/crates/front/src/engines/cancels.rs
+++ b/crates/front/src/engines/cancels.rs
@@ -1,10 +1,24 @@
 //! Executions that were ended from here, until their engines have surely read so.
 
-use super::*;
+use hallmux_dispatcher::{Ending, Micros};
+
+use super::connection::ConnectionId;
+use super::Engines;
+use crate::execution::ExecutionId;
+
+/// Microseconds until an engine has surely read a command: some round trips.
+pub(super) const CANCEL_LAG: Micros = 10_000;
+
+/// A command that ends an execution, on its way to the engine.
+pub(super) struct CancelCommand {
+    pub(super) connection: ConnectionId,
+    /// Where it ends in the connection's output, as `Link::end_of_output` counts.
+    pub(super) end: usize,
+}
 
 /// An execution that was ended from here, but whose engine may not have read so yet.
 pub(super) struct AwaitingCancel {
-    sent: ExecutionId,
+    execution_id: ExecutionId,
     ending: Ending,
     state: CancelState,
 }
@@ -15,7 +29,7 @@
     /// A command on a connection, which ends there in the output and has not left whole; from `close_by` on
     /// its connection is closed, once a flush has found that the network does not take it.
     Unsent {
-        link: LinkId,
+        connection: ConnectionId,
         end: usize,
         close_by: Option<Micros>,
     },
@@ -28,28 +42,29 @@
 impl Engines {
     /// It ends; what was ended from here, not before its engine has read of it. Guards against two executions
     /// of a statement, or of an order key, at once: one connection may bring the next sooner than another the
-    /// cancel of the first. Where the time is up the client is answered at once. `command`: the connection
-    /// whose output says so, and where that ends in it; none where the connection was closed.
+    /// cancel of the first. Where the time is up the client is answered at once. `command` says so to the
+    /// engine; none where the connection was closed.
     pub(super) fn end_execution(
         &mut self,
-        sent: ExecutionId,
+        execution_id: ExecutionId,
         ending: Ending,
-        command: Option<(LinkId, usize)>,
+        command: Option<CancelCommand>,
     ) {
         if !matches!(
             ending,
             Ending::GivenUp | Ending::Unreadable | Ending::ClosedHere
         ) {
-            return self.report_end(sent, ending);
+            return self.report_end(execution_id, ending);
         }
-        self.executions.remove(&sent);
-        let state = command.map_or(CancelState::Closed, |(link, end)| CancelState::Unsent {
-            link,
-            end,
+        self.executions.remove(&execution_id);
+        let unsent = |command: CancelCommand| CancelState::Unsent {
+            connection: command.connection,
+            end: command.end,
             close_by: None,
-        });
+        };
+        let state = command.map_or(CancelState::Closed, unsent);
         self.awaiting_cancel.push(AwaitingCancel {
-            sent,
+            execution_id,
             ending,
             state,
         });
@@ -57,12 +72,12 @@
 
     /// An execution that is cancelled is to end at once if its client's time is up, read or not. Guards
     /// against a final answer that waits for an engine that reads nothing.
-    pub(super) fn end_awaited(&mut self, sent: ExecutionId, ending: Ending) {
+    pub(super) fn end_awaited(&mut self, execution_id: ExecutionId, ending: Ending) {
         let before = self.awaiting_cancel.len();
         self.awaiting_cancel
-            .retain(|awaited| ending != Ending::TimeUp || awaited.sent != sent);
+            .retain(|awaited| ending != Ending::TimeUp || awaited.execution_id != execution_id);
         if self.awaiting_cancel.len() < before {
-            self.report_end(sent, ending);
+            self.report_end(execution_id, ending);
         }
     }
 
@@ -74,17 +89,17 @@
         for awaited in &mut self.awaiting_cancel {
             awaited.state = match awaited.state {
                 CancelState::Unsent {
-                    link,
+                    connection,
                     end,
                     close_by,
                 } if self
-                    .links
-                    .get(&link)
+                    .connections
+                    .get(&connection)
                     .is_some_and(|l| !l.link.has_sent_up_to(end)) =>
                 {
                     let close_by = close_by.or(Some(now.saturating_add(timeout)));
                     CancelState::Unsent {
-                        link,
+                        connection,
                         end,
                         close_by,
                     }
@@ -119,46 +134,46 @@
         };
         let read: Vec<AwaitingCancel> = self.awaiting_cancel.extract_if(.., is_read).collect();
         read.into_iter()
-            .for_each(|awaited| self.report_end(awaited.sent, awaited.ending));
+            .for_each(|awaited| self.report_end(awaited.execution_id, awaited.ending));
     }
 
     /// Whether a connection has not taken a command that ends an execution for as long as one has to come up.
     /// Closing it gives up what is open on it, which is all that is left to tell its engine.
-    pub(super) fn is_cancel_overdue(&self, now: Micros, id: LinkId) -> bool {
-        let Some(link) = self.links.get(&id) else {
+    pub(super) fn is_cancel_overdue(&self, now: Micros, id: ConnectionId) -> bool {
+        let Some(connection) = self.connections.get(&id) else {
             return false;
         };
         self.awaiting_cancel
             .iter()
             .any(|awaited| match awaited.state {
                 CancelState::Unsent {
-                    link: on,
+                    connection: on,
                     end,
                     close_by,
                 } => {
                     on == id
                         && close_by.is_some_and(|by| by <= now)
-                        && !link.link.has_sent_up_to(end)
+                        && !connection.link.has_sent_up_to(end)
                 }
                 _ => false,
             })
     }
 
     /// A connection is over: what was cancelled on it, but not told, ends as what was still out there.
-    pub(super) fn settle_unsent_cancels(&mut self, link: LinkId, ending: Ending) {
+    pub(super) fn settle_unsent_cancels(&mut self, connection: ConnectionId, ending: Ending) {
         let unsent = |awaited: &mut AwaitingCancel| match awaited.state {
-            CancelState::Unsent { link: on, .. } => on == link,
+            CancelState::Unsent { connection: on, .. } => on == connection,
             _ => false,
         };
         let unsent: Vec<AwaitingCancel> = self.awaiting_cancel.extract_if(.., unsent).collect();
-        for AwaitingCancel { sent, .. } in unsent {
+        for AwaitingCancel { execution_id, .. } in unsent {
             let ending = match ending {
                 Ending::Reset | Ending::Closed | Ending::Unreadable => ending,
                 // From here, for whatever reason: it may have run, and its engine may read of the end only
                 // now.
                 _ => Ending::ClosedHere,
             };
-            self.end_execution(sent, ending, None);
+            self.end_execution(execution_id, ending, None);
         }
     }
 }
--- a/crates/front/src/engines/capacity_tests.rs
+++ b/crates/front/src/engines/capacity_tests.rs
@@ -1,7 +1,16 @@
 //! Unit tests of the `capacity` module.
 
+use std::rc::Rc;
+
+use hallmux_config::{Names, NetworkSettings};
+use hallmux_dispatcher::{ConnectionPacer, Ending, Micros, Terms, Ticket};
+use hallmux_native_codec::statement::Call;
+
 use super::*;
-use hallmux_dispatcher::ConnectionPacer;
+use crate::engines::tests::listed;
+use crate::engines::Event;
+use crate::events::LoopEvents;
+use crate::execution::ExecutionId;
 
 const SECOND: Micros = 1_000_000;
 
@@ -20,7 +29,7 @@
     let mut dials = ConnectionPacer::new(true, 0, 0);
     dials.pace(0, 1.0);
     engines.dials.replace(dials);
-    engines.list(0, "a", listener.local_addr().unwrap(), 0.0, true);
+    engines.list(0, listed(listener.local_addr().unwrap()));
     let send = |engines: &mut Engines, now: Micros, ticket: Ticket| {
         let call = Rc::new(Call {
             id: ticket.to_string(),
@@ -52,21 +61,24 @@
             })
         )
     };
-    assert!(withdrawn(engines.events.pop()) && engines.links.is_empty());
+    assert!(withdrawn(engines.events.pop()) && engines.connections.is_empty());
     assert_eq!(engines.capacity(SECOND, 0), 2);
     send(&mut engines, SECOND, 2);
-    assert_eq!((engines.capacity(SECOND, 0), engines.links.len()), (1, 1));
+    assert_eq!(
+        (engines.capacity(SECOND, 0), engines.connections.len()),
+        (1, 1)
+    );
     // The connection takes another at once; a probe does not wait until a connection may be made: it is not sent then.
     send(&mut engines, SECOND + 1, 3);
     assert_eq!(
-        (engines.capacity(SECOND + 1, 0), engines.links.len()),
+        (engines.capacity(SECOND + 1, 0), engines.connections.len()),
         (0, 1)
     );
     engines.probe(SECOND + 1, 0);
-    assert!(engines.events.is_empty() && engines.links.len() == 1);
+    assert!(engines.events.is_empty() && engines.connections.len() == 1);
     send(&mut engines, 2 * SECOND, 4);
     assert_eq!(
-        (engines.capacity(2 * SECOND, 0), engines.links.len()),
+        (engines.capacity(2 * SECOND, 0), engines.connections.len()),
         (1, 2)
     );
     assert_eq!(engines.executions.len(), 3);
--- a/crates/front/src/front/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -3,79 +3,76 @@
 
 use std::rc::Rc;
 
-use hallmux_dispatcher::{Ending, Micros, Order, RejectCause, Ticket};
+use hallmux_dispatcher::{Command, Ending, Micros, Place, RejectCause, Ticket};
 use hallmux_fleet::gate;
 use hallmux_native_codec::statement::{Call, Reply};
 use hallmux_scatter::gather::PartFailure;
 
-use super::Front;
+use super::EventLoopState;
 use crate::engines;
 use crate::execution::ExecutionId;
 use crate::fleet::rules::{Ordered, Ruling, Shared};
 use crate::fleet::Peers;
 use crate::postgres::gateway::{AdmissionState, Gateway};
+use crate::refusal::Refusal;
 use crate::scatter::Load;
 
-impl Front {
+impl EventLoopState {
     /// Reports replies of engines, and how executions have ended, to the dispatcher; answers go on to clients.
     pub(super) fn handle_engine_events(&mut self) {
         for event in std::mem::take(&mut self.engines.events) {
             match event {
                 engines::Event::Ended {
-                    sent:
-                        ExecutionId {
-                            ticket,
-                            number: execution,
-                        },
+                    execution_id,
                     ending,
                     report,
-
                     result,
-                } => {
-                    let of = self.statement_for_rules(ticket);
-                    self.rules.iter().for_each(|rules| {
-                        rules
-                            .borrow_mut()
-                            .execution_ended(of, ExecutionId::new(ticket, execution))
-                    });
-                    if self
-                        .dispatcher
-                        .report(self.clock.now, ticket, execution, ending, report)
-                        && !self.end_part(ticket, Ok(&result))
-                    {
-                        self.clients
-                            .answer(self.clock.now, ticket, &Reply::Completed(&result));
-                    }
-                }
-                engines::Event::Noted {
-                    sent:
-                        ExecutionId {
-                            ticket,
-                            number: execution,
-                        },
-                    note,
-                } => {
-                    self.dispatcher.note(ticket, execution, note);
+                } => self.execution_ended(execution_id, ending, report, &result),
+                engines::Event::Noted { execution_id, note } => {
+                    let ExecutionId { ticket, number } = execution_id;
+                    self.dispatcher.note(ticket, number, note);
                 }
                 engines::Event::Probed {
                     place,
                     alive,
                     report,
                 } => {
-                    self.dispatcher.probed(self.clock.now, place, alive, report);
+                    self.dispatcher
+                        .probe_ended(self.clock.now, place, alive, report);
                 }
             }
         }
-        let room = self.room();
+        let admission = self.admission_state();
         if let Some(gateway) = &mut self.gateway {
-            gateway.handle_server_events(self.clock.now, room, &mut self.dispatcher);
+            gateway.handle_server_events(self.clock.now, admission, &mut self.dispatcher);
+        }
+    }
+
+    /// An execution has ended at its engine; its result answers its statement, or the statement it is a part of.
+    fn execution_ended(
+        &mut self,
+        execution_id: ExecutionId,
+        ending: Ending,
+        report: Option<Vec<f64>>,
+        result: &[u8],
+    ) {
+        let ExecutionId { ticket, number } = execution_id;
+        let judged = self.statement_for_rules(ticket);
+        if let Some(rules) = &self.rules {
+            rules.borrow_mut().execution_ended(judged, execution_id);
+        }
+        let now = self.clock.now;
+        let is_answered = self.dispatcher.report(now, ticket, number, ending, report);
+        if is_answered && !self.end_part(ticket, Ok(result)) {
+            self.clients.answer(now, ticket, &Reply::Completed(result));
         }
     }
 
     /// What the admission of units of sessions depends on just now.
-    pub(super) fn room(&self) -> AdmissionState {
+    pub(super) fn admission_state(&self) -> AdmissionState {
         let held = self.clients.held_bytes() + self.gateway.as_ref().map_or(0, Gateway::held_bytes);
-        let full = held > self.max_bytes || self.dispatcher.held() >= self.max_statements;
+        let full =
+            held > self.max_bytes || self.dispatcher.statements_held() >= self.max_statements;
         AdmissionState {
             waited: self.clock.waited(),
             full,
@@ -103,7 +100,7 @@
         };
         let now = self.clock.now;
         self.dispatcher
-            .followed()
+            .watched_ends()
             .iter()
             .for_each(|ticket| rules.borrow_mut().statement_over(*ticket));
         let rulings = rules
@@ -111,24 +108,22 @@
             .tick(now, &mut self.dispatcher, self.peers.as_mut());
         for ruling in rulings {
             match ruling {
-                Ruling::Go(ordered) => self.await_promises(ordered),
+                Ruling::Send(ordered) => self.await_promises(ordered),
                 Ruling::Deny(ticket) => {
-                    self.answer_without_result(ticket, true, None, RejectCause::AccessRules);
-                    self.dispatcher.turn_away(now, ticket);
+                    let refusal = Refusal::Rejected { retry_after: None };
+                    self.answer_without_result(ticket, refusal, RejectCause::AccessRules);
+                    self.dispatcher.reject(now, ticket);
                 }
-                Ruling::End {
-                    ticket, ran: true, ..
-                } => {
-                    self.answer_without_result(ticket, false, None, RejectCause::AccessRules);
+                Ruling::Abort(ticket) => {
+                    let refusal = Refusal::Aborted;
+                    self.answer_without_result(ticket, refusal, RejectCause::AccessRules);
                     self.abandon(ticket);
                 }
-                Ruling::End {
-                    ticket,
-                    ran: false,
-                    again,
-                } => {
-                    let retry_after = self.dispatcher.turn_away(now, ticket).filter(|_| again);
-                    self.answer_without_result(ticket, true, retry_after, RejectCause::AccessRules);
+                Ruling::Reject { ticket, may_retry } => {
+                    let retry_after = self.dispatcher.reject(now, ticket);
+                    let retry_after = retry_after.filter(|_| may_retry);
+                    let refusal = Refusal::Rejected { retry_after };
+                    self.answer_without_result(ticket, refusal, RejectCause::AccessRules);
                     self.abandon(ticket);
                 }
             }
@@ -153,9 +148,9 @@
                     terms,
                     ..
                 }) => {
-                    self.dispatcher.leaves(now, ticket, execution);
+                    self.dispatcher.execution_sent(now, ticket, execution);
                     self.await_mark(Ordered {
-                        of: self.statement_for_rules(ticket),
+                        judged: self.statement_for_rules(ticket),
                         ticket,
                         execution,
                         place,
@@ -163,16 +158,16 @@
                     });
                 }
                 gate::Ruling::Reject(ticket) => {
-                    let retry_after = self.dispatcher.turn_away(now, ticket);
-                    self.carry_out(Order::Reject {
+                    let retry_after = self.dispatcher.reject(now, ticket);
+                    self.carry_out(Command::Reject {
                         ticket,
                         retry_after,
                         cause: RejectCause::LedgerEntry,
                     });
                 }
                 gate::Ruling::Abort(ticket) => {
-                    self.dispatcher.turn_away(now, ticket);
-                    self.carry_out(Order::Abort {
+                    self.dispatcher.reject(now, ticket);
+                    self.carry_out(Command::Abort {
                         ticket,
                         cause: RejectCause::LedgerEntry,
                     });
@@ -181,30 +176,27 @@
         }
     }
 
-    /// A statement's final answer without a result.
-    fn answer_without_result(
-        &mut self,
-        ticket: Ticket,
-        rejects: bool,
-        retry_after: Option<Micros>,
-        cause: RejectCause,
-    ) {
+    /// Gives a statement its final answer without a result.
+    fn answer_without_result(&mut self, ticket: Ticket, refusal: Refusal, cause: RejectCause) {
         let now = self.clock.now;
-        log::debug!(
-            "statement {ticket}: {}: {cause}",
-            if rejects { "rejected" } else { "aborted" }
-        );
+        let outcome = match refusal {
+            Refusal::Rejected { .. } => "rejected",
+            Refusal::Aborted => "aborted",
+        };
+        log::debug!("statement {ticket}: {outcome}: {cause}");
         if self.is_of_session(ticket) {
-            self.gateway
-                .iter_mut()
-                .for_each(|gateway| gateway.refuse(now, ticket, rejects, retry_after));
-        } else if rejects {
-            let retry_after_ms = retry_after.map(|time| time / 1000);
-            self.clients
-                .answer(now, ticket, &Reply::Rejected { retry_after_ms });
-        } else {
-            self.clients.answer(now, ticket, &Reply::Aborted);
+            if let Some(gateway) = &mut self.gateway {
+                gateway.refuse(now, ticket, refusal);
+            }
+            return;
         }
+        let reply = match refusal {
+            Refusal::Rejected { retry_after } => Reply::Rejected {
+                retry_after_ms: retry_after.map(|time| time / 1000),
+            },
+            Refusal::Aborted => Reply::Aborted,
+        };
+        self.clients.answer(now, ticket, &reply);
     }
 
     /// An execution that rules have let go on waits for its promises, or leaves.
@@ -261,7 +253,7 @@
             ..
         } = ordered;
         let (now, sent) = (self.clock.now, ExecutionId::new(ticket, execution));
-        self.rooms.sent(place);
+        self.send_capacity.sent(place);
         if self.is_of_session(ticket) {
             return self
                 .gateway
@@ -337,65 +329,77 @@
         self.clients.call(ticket).or_else(part)
     }
 
-    pub(super) fn carry_out(&mut self, order: Order) {
+    /// Carries out what the dispatcher has decided.
+    pub(super) fn carry_out(&mut self, command: Command) {
         let now = self.clock.now;
-        match order {
-            Order::Send {
+        match command {
+            Command::Send {
                 ticket,
                 execution,
                 place,
                 terms,
-            } => {
-                let ordered = Ordered {
-                    of: self.statement_for_rules(ticket),
-                    ticket,
-                    execution,
-                    place,
-                    terms,
-                };
-                let dispatcher = &mut self.dispatcher;
-                let goes =
-                    |rules: &Shared| rules.borrow_mut().hold_or_pass(now, dispatcher, ordered);
-                if self.rules.as_ref().is_none_or(goes) {
-                    self.await_promises(ordered);
-                }
-            }
-            Order::Stop {
+            } => self.send_when_allowed(Ordered {
+                judged: self.statement_for_rules(ticket),
+                ticket,
+                execution,
+                place,
+                terms,
+            }),
+            Command::Cancel {
                 ticket,
                 execution,
                 ending,
             } => self.stop(ExecutionId::new(ticket, execution), ending),
-            Order::Hurry {
+            Command::SetPriority {
                 ticket,
                 execution,
                 priority,
-            } => {
-                self.guard
-                    .iter_mut()
-                    .for_each(|guard| guard.set_priority(ticket, priority));
-                self.engines
-                    .set_priority(ExecutionId::new(ticket, execution), priority);
-            }
-            Order::Reject {
-                ticket,
-                retry_after,
-                ..
-            } if self.end_part(ticket, Err(PartFailure::Rejected { retry_after })) => {}
-            Order::Abort { ticket, .. } if self.end_part(ticket, Err(PartFailure::Aborted)) => {}
-            Order::Reject {
+            } => self.set_priority(ExecutionId::new(ticket, execution), priority),
+            Command::Reject {
                 ticket,
                 retry_after,
                 cause,
-            } => self.answer_without_result(ticket, true, retry_after, cause),
-            Order::Abort { ticket, cause } => {
-                self.answer_without_result(ticket, false, None, cause)
+            } => {
+                let failure = PartFailure::Rejected { retry_after };
+                if !self.end_part(ticket, Err(failure)) {
+                    self.answer_without_result(ticket, Refusal::Rejected { retry_after }, cause);
+                }
             }
-            // Between the decision and now the work may have become another's: then the probe stays here.
-            Order::Probe {
-                for_fleet: true, ..
-            } if !self.peers.as_ref().is_none_or(Peers::may_probe) => {}
-            Order::Pace { connections } => self.engines.dials.borrow_mut().pace(now, connections),
-            Order::Probe { place, .. } => self.engines.probe(self.clock.now, place),
+            Command::Abort { ticket, cause } => {
+                if !self.end_part(ticket, Err(PartFailure::Aborted)) {
+                    self.answer_without_result(ticket, Refusal::Aborted, cause);
+                }
+            }
+            Command::Probe { place, for_fleet } => self.probe(place, for_fleet),
+            Command::SetConnectionRate { connections } => {
+                self.engines.dials.borrow_mut().pace(now, connections)
+            }
+        }
+    }
+
+    /// An execution leaves once rules, promises and marks allow it.
+    fn send_when_allowed(&mut self, ordered: Ordered) {
+        let (now, dispatcher) = (self.clock.now, &mut self.dispatcher);
+        let passes = |rules: &Shared| rules.borrow_mut().hold_or_pass(now, dispatcher, ordered);
+        if self.rules.as_ref().is_none_or(passes) {
+            self.await_promises(ordered);
+        }
+    }
+
+    /// Changes the priority of an execution, wherever it is.
+    fn set_priority(&mut self, execution_id: ExecutionId, priority: u8) {
+        if let Some(guard) = &mut self.guard {
+            guard.set_priority(execution_id.ticket, priority);
+        }
+        self.engines.set_priority(execution_id, priority);
+    }
+
+    /// Sends a health check to an engine. One on behalf of the fleet stays here if that work has become another front's
+    /// between the decision and now.
+    fn probe(&mut self, place: Place, for_fleet: bool) {
+        let may_probe = self.peers.as_ref().is_none_or(Peers::may_probe);
+        if may_probe || !for_fleet {
+            self.engines.probe(self.clock.now, place);
         }
     }
 }
--- a/crates/front/src/link.rs
+++ b/crates/front/src/link.rs
@@ -11,9 +11,14 @@
 
 use crate::events::{LoopEvents, SocketId};
 
-const READ_CHUNK: usize = 64 << 10; // bytes taken at once
-const SEND_BUFFER: usize = 64 << 10; // bytes on their way that can't be taken back: some hundred statements
-const BYTES_PER_ITERATION: usize = 256 << 10; // bytes taken from a connection before others are served
+/// Bytes taken at once.
+const READ_CHUNK: usize = 64 << 10;
+/// Bytes on their way that can't be taken back: some hundred statements.
+const SEND_BUFFER: usize = 64 << 10;
+/// Bytes taken from a connection before others are served.
+const BYTES_PER_ITERATION: usize = 256 << 10;
+/// EINPROGRESS, which the standard library has no kind for.
+const IN_PROGRESS: i32 = 115;
 
 thread_local! {
     /// What is read goes through here, so that a connection holds no more than it needs.
@@ -41,14 +46,45 @@
     }
 }
 
+/// What one read of a connection has found.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ReadOutcome {
+    /// More may be readable: the connection is to be read again without waiting for the event loop.
+    pub has_more: bool,
+    /// How the other side ended the connection, if it did; what came before that was taken.
+    pub broken: Option<Broken>,
+}
+
+impl ReadOutcome {
+    const HAS_MORE: ReadOutcome = ReadOutcome {
+        has_more: true,
+        broken: None,
+    };
+    const DRAINED: ReadOutcome = ReadOutcome {
+        has_more: false,
+        broken: None,
+    };
+
+    fn broken(broken: Broken) -> ReadOutcome {
+        ReadOutcome {
+            has_more: false,
+            broken: Some(broken),
+        }
+    }
+}
+
+/// One TCP connection: its socket, what was received and not read yet, and what is still to be sent.
 pub struct Link {
     stream: Rc<TcpStream>,
     token: RegistrationToken,
     handle: LoopHandle<'static, LoopEvents>,
+    /// What was received and is not read yet.
     pub input: Vec<u8>,
     output: Vec<u8>,
-    sent_bytes: usize,    // bytes of output that were sent
-    cleared_bytes: usize, // bytes sent before those of output, over the connection's whole life
+    /// Bytes of `output` that were sent.
+    sent_bytes: usize,
+    /// Bytes sent before those of `output`, over the connection's whole life.
+    cleared_bytes: usize,
 }
 
 impl Link {
@@ -82,7 +118,7 @@
         })
     }
 
-    /// Begins a connection.
+    /// Begins a connection to an address; `is_up` says when it has come up.
     pub fn dial(
         to: SocketAddr,
         handle: &LoopHandle<'static, LoopEvents>,
@@ -113,28 +149,28 @@
         }
     }
 
-    /// Takes what is readable; true if there is more for another iteration.
-    pub fn read(&mut self) -> (bool, Option<Broken>) {
+    /// Takes what is readable, up to the bytes of one iteration.
+    pub fn read(&mut self) -> ReadOutcome {
         self.read_some(BYTES_PER_ITERATION)
     }
 
     /// The same up to so many bytes and one chunk.
-    pub fn read_some(&mut self, limit: usize) -> (bool, Option<Broken>) {
+    pub fn read_some(&mut self, limit: usize) -> ReadOutcome {
         READ_BUFFER.with_borrow_mut(|chunk| {
             let mut taken = 0;
             while taken < limit {
                 match (&*self.stream).read(chunk) {
-                    Ok(0) => return (false, Some(Broken::Closed)),
+                    Ok(0) => return ReadOutcome::broken(Broken::Closed),
                     Ok(n) => {
                         self.input.extend_from_slice(&chunk[..n]);
                         taken += n;
                     }
-                    Err(e) if e.kind() == ErrorKind::WouldBlock => return (false, None),
+                    Err(e) if e.kind() == ErrorKind::WouldBlock => return ReadOutcome::DRAINED,
                     Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                    Err(e) => return (false, Some(Broken::by(&e))),
+                    Err(e) => return ReadOutcome::broken(Broken::by(&e)),
                 }
             }
-            (true, None)
+            ReadOutcome::HAS_MORE
         })
     }
 
@@ -151,6 +187,7 @@
         &mut self.output
     }
 
+    /// Bytes of the output that were not sent yet.
     pub fn unsent(&self) -> usize {
         self.output.len() - self.sent_bytes
     }
@@ -202,8 +239,6 @@
     }
 }
 
-const IN_PROGRESS: i32 = 115; // EINPROGRESS, which the standard library has no kind for
-
 impl Drop for Link {
     fn drop(&mut self) {
         self.handle.remove(self.token);
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -22,6 +22,7 @@
 use crate::execution::ExecutionId;
 use crate::fleet::rules::Shared;
 use crate::listener::Listener;
+use crate::refusal::Refusal;
 use crate::transient;
 
 /// What admission of a unit depends on beyond its session.
@@ -248,7 +249,7 @@
                         pin.into_iter()
                             .for_each(|pin| self.servers.release(now, pin));
                         keys.iter()
-                            .for_each(|key| dispatcher.freed(now, key, may_go_on));
+                            .for_each(|key| dispatcher.release_order_key(now, key, may_go_on));
                     }
                     sessions::Event::Cancel(session) => self.cancel(now, dispatcher, session),
                 }
@@ -309,17 +310,11 @@
     }
 
     /// The module turns a statement away, or ends it.
-    pub fn refuse(
-        &mut self,
-        now: Micros,
-        ticket: Ticket,
-        rejects: bool,
-        retry_after: Option<Micros>,
-    ) {
+    pub fn refuse(&mut self, now: Micros, ticket: Ticket, refusal: Refusal) {
         let Some((_, open_session)) = self.sessions.by_ticket(ticket) else {
             return;
         };
-        let why = final_answer(open_session, rejects, retry_after);
+        let why = final_answer(open_session, refusal);
         self.sessions.fail(now, ticket, &why, None);
     }
 
@@ -350,7 +345,9 @@
         event: servers::Event,
     ) {
         match event {
-            servers::Event::Irrevocable(ExecutionId { ticket, .. }) => dispatcher.begun(ticket),
+            servers::Event::Irrevocable(ExecutionId { ticket, .. }) => {
+                dispatcher.answer_begun(ticket)
+            }
             servers::Event::PartialAnswer {
                 sent:
                     ExecutionId {
@@ -360,7 +357,7 @@
                 bytes,
                 whole,
             } => {
-                dispatcher.begun(ticket);
+                dispatcher.answer_begun(ticket);
                 if self.sessions.pass(ticket, &bytes, whole) {
                     self.servers
                         .pause(ExecutionId::new(ticket, execution), true);
@@ -377,7 +374,7 @@
                 held,
             } => {
                 let open = done.status != b'I';
-                let keeps = open && dispatcher.keeps(ticket);
+                let keeps = open && dispatcher.keep_order_key(ticket);
                 let ending = Ending::Answered;
                 if !dispatcher.report(now, ticket, execution, ending, None) {
                     // It had its answer before; a transaction that it opened is nobody's.
@@ -408,7 +405,7 @@
                     },
                 error,
             } => {
-                dispatcher.begun(ticket);
+                dispatcher.answer_begun(ticket);
                 if dispatcher.report(now, ticket, execution, Ending::Stale, None) {
                     self.sessions
                         .fail(now, ticket, &ClientError::ResultLost, Some(&error));
@@ -433,8 +430,8 @@
                 let over = dispatcher.report(now, ticket, execution, ending, None);
                 if over || cancelled {
                     // One whose client has asked for its end is not tried again.
-                    self.refuse(now, ticket, false, None);
-                    dispatcher.left(now, ticket);
+                    self.refuse(now, ticket, Refusal::Aborted);
+                    dispatcher.client_left(now, ticket);
                 }
             }
             servers::Event::Alive(ExecutionId {
--- a/crates/front/src/postgres/gateway/admission.rs
+++ b/crates/front/src/postgres/gateway/admission.rs
@@ -4,7 +4,7 @@
 
 use hallmux_access::Decision;
 use hallmux_config::User;
-use hallmux_dispatcher::{Ask, Dispatcher, Micros, Protocol, Ticket, Unfit};
+use hallmux_dispatcher::{Dispatcher, InvalidRequest, Micros, Protocol, StatementRequest, Ticket};
 use hallmux_native_codec::tables;
 use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::session::{Transaction, UnitPart};
@@ -13,6 +13,7 @@
 use super::{loads, AdmissionState, Gateway};
 use crate::postgres::servers::SessionId;
 use crate::postgres::sessions;
+use crate::refusal::Refusal;
 
 const MOST_FIGURE: f64 = 1e12; // of an estimate, in any unit; beyond all that engines could do
 
@@ -65,7 +66,7 @@
                 let allowed: Option<Vec<&str>> = allowed
                     .as_ref()
                     .map(|names| names.iter().map(String::as_str).collect());
-                let ask = Ask {
+                let ask = StatementRequest {
                     workload: terms.workload,
                     customer: terms.member,
                     key: key.filter(|_| !kept),
@@ -78,7 +79,7 @@
                     pinned: open_session.pin.map(|(place, _)| place),
                     allowed: allowed.as_deref(),
                 };
-                let picked = dispatcher.pick(now, &ask);
+                let picked = dispatcher.submit(now, &ask);
                 let key = ask.key.map(str::to_string);
                 if let Some(rules) = &self.rules {
                     rules
@@ -89,14 +90,18 @@
                     Ok(ticket) => {
                         return self.sessions.open_unit(id, ticket, part, key);
                     }
-                    Err(Unfit::Barred) => ClientError::Rejected {
+                    Err(InvalidRequest::NoAllowedLocation) => ClientError::Rejected {
                         retry_after_ms: None,
                     },
-                    Err(Unfit::Workload) => {
+                    Err(InvalidRequest::UnknownWorkload) => {
                         unfit("hallmux.workload", "no such workload was agreed")
                     }
-                    Err(Unfit::Customer) => unfit("hallmux.member", "no such member is known"),
-                    Err(Unfit::DedupKey) => unfit("hallmux.dedup_key", "this workload needs one"),
+                    Err(InvalidRequest::UnknownCustomer) => {
+                        unfit("hallmux.member", "no such member is known")
+                    }
+                    Err(InvalidRequest::MissingDedupKey) => {
+                        unfit("hallmux.dedup_key", "this workload needs one")
+                    }
                 }
             }
         };
@@ -107,7 +112,7 @@
     pub(super) fn left(&mut self, now: Micros, dispatcher: &mut Dispatcher, ticket: Ticket) {
         // What waits for a connection is not sent any more, also where engines can't be told to give it up.
         self.servers.abandon(now, ticket);
-        dispatcher.left(now, ticket);
+        dispatcher.client_left(now, ticket);
     }
 
     /// A client asks for the end of what its session has out.
@@ -186,15 +191,11 @@
 }
 
 /// The answer to a unit that the module has given up on, or that ended once its answer had begun.
-pub(super) fn final_answer(
-    open_session: &sessions::OpenSession,
-    rejects: bool,
-    retry_after: Option<Micros>,
-) -> ClientError {
+pub(super) fn final_answer(open_session: &sessions::OpenSession, refusal: Refusal) -> ClientError {
     let Some(running) = &open_session.running else {
         return ClientError::ResultLost;
     };
-    let held = open_session.session.transaction != Transaction::None;
+    let in_transaction = open_session.session.transaction != Transaction::None;
     if running.commits && running.ran {
         return ClientError::Unresolved;
     }
@@ -204,19 +205,21 @@
     if running.time_up {
         return ClientError::StatementTimeout;
     }
-    match (held, rejects) {
-        (true, true) if open_session.pin.is_some() => ClientError::RolledBack {
-            why: "its statement was turned away",
-        },
-        (true, _) => ClientError::RolledBack {
+    match refusal {
+        Refusal::Rejected { .. } if in_transaction && open_session.pin.is_some() => {
+            ClientError::RolledBack {
+                why: "its statement was turned away",
+            }
+        }
+        _ if in_transaction => ClientError::RolledBack {
             why: "its engine drains or was lost",
         },
-        (false, true) => ClientError::Rejected {
+        Refusal::Rejected { retry_after } => ClientError::Rejected {
             retry_after_ms: retry_after.map(|time| time / 1000),
         },
-        (false, false) if running.begun => ClientError::ResultLost,
-        (false, false) if running.ran => ClientError::Unresolved,
-        (false, false) => ClientError::Rejected {
+        Refusal::Aborted if running.begun => ClientError::ResultLost,
+        Refusal::Aborted if running.ran => ClientError::Unresolved,
+        Refusal::Aborted => ClientError::Rejected {
             retry_after_ms: None,
         },
     }
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use hallmux_config::{Scatter, Settings};
-use hallmux_dispatcher::{Ask, Dispatcher, Micros, Protocol, Ticket, Unfit};
+use hallmux_dispatcher::{Dispatcher, InvalidRequest, Micros, Protocol, StatementRequest, Ticket};
 use hallmux_gossip::PeerId;
 use hallmux_native_codec::statement::Call;
 use hallmux_scatter::gather::{Action, Answer, Gather, GatherRules, PartFailure};
@@ -27,7 +27,7 @@
 pub enum FinalReply {
     Answer(Answer),
     /// The dispatcher can't take its parts.
-    Unfit(Unfit),
+    Invalid(InvalidRequest),
 }
 
 /// A statement and its parts.
@@ -47,6 +47,24 @@
     ruled_out: Vec<RuledOut>,
 }
 
+/// A client's statement that is to be asked of several sites.
+pub struct ScatterRequest {
+    pub call: Rc<Call>,
+    pub query: Query,
+    /// When an answer is of no use any more, in Unix microseconds.
+    pub ends: Micros,
+    /// The sites that rules allow; none given: all.
+    pub allowed: Option<Vec<String>>,
+}
+
+/// A group of tables and the marks of its loads, as the ledger has them; none if it can't be reached.
+#[derive(Clone, Copy)]
+pub struct GroupMarks<'a> {
+    pub group: u32,
+    pub marks: Option<&'a Marks>,
+}
+
+/// Statements that are asked of several sites.
 pub struct ScatteredStatements {
     settings: Scatter,
     sites: Vec<String>,
@@ -133,10 +151,15 @@
         &mut self,
         now: Micros,
         ticket: Ticket,
-        (call, query, ends): (Rc<Call>, Query, Micros),
-        allowed: Option<Vec<String>>,
+        request: ScatterRequest,
         dispatcher: &mut Dispatcher,
     ) {
+        let ScatterRequest {
+            call,
+            query,
+            ends,
+            allowed,
+        } = request;
         let mut groups = BTreeSet::from([query.group]);
         groups.extend(query.join.as_ref().map(|join| join.group));
         let (group_marks, tickets, ruled_out) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
@@ -159,31 +182,31 @@
         }
     }
 
-    /// A group's marks from the ledger; none if it can't be reached.
+    /// A group's marks have come from the ledger for the statements that wait for them.
     pub fn marks(
         &mut self,
         now: Micros,
-        (group, waiting): (u32, &[Ticket]),
-        marks: Option<&Marks>,
+        group_marks: GroupMarks,
+        waiting: &[Ticket],
         dispatcher: &mut Dispatcher,
     ) {
-        let word = marks.map_or(LoadInfo::Unknown, LoadInfo::Marks);
+        let load_info = group_marks.marks.map_or(LoadInfo::Unknown, LoadInfo::Marks);
         for ticket in waiting {
             if self
                 .open
                 .get(ticket)
                 .is_some_and(|statement| statement.query.join.is_some())
             {
-                self.marks_of_join(now, *ticket, (group, marks), dispatcher);
+                self.marks_of_join(now, *ticket, group_marks, dispatcher);
                 continue;
             }
             let (wall_ms, book) = ((now / 1000) as u64, &self.summaries.book);
             if !self
                 .audits
                 .as_mut()
-                .is_some_and(|audits| audits.apply_marks(wall_ms, *ticket, &word, book))
+                .is_some_and(|audits| audits.apply_marks(wall_ms, *ticket, &load_info, book))
             {
-                self.ask_sites(now, *ticket, &word, dispatcher);
+                self.ask_sites(now, *ticket, &load_info, dispatcher);
             }
         }
     }
@@ -327,7 +350,7 @@
                         .as_ref()
                         .and_then(|whole| whole.site(place))
                         .unwrap_or_default();
-                    let ask = Ask {
+                    let ask = StatementRequest {
                         workload: &statement.call.workload,
                         customer: &statement.call.customer,
                         key: None,
@@ -340,12 +363,12 @@
                         pinned: None,
                         allowed: Some(&[site]),
                     };
-                    match dispatcher.pick(now, &ask) {
+                    match dispatcher.submit(now, &ask) {
                         Ok(part) => {
                             statement.tickets.insert(place, part);
                             self.parts.insert(part, (ticket, place));
                         }
-                        Err(Unfit::Barred) => {
+                        Err(InvalidRequest::NoAllowedLocation) => {
                             let more = statement
                                 .whole
                                 .as_mut()
@@ -354,14 +377,14 @@
                         }
                         Err(unfit) => {
                             self.abandon(now, ticket, dispatcher);
-                            return self.replies.push((ticket, FinalReply::Unfit(unfit)));
+                            return self.replies.push((ticket, FinalReply::Invalid(unfit)));
                         }
                     }
                 }
                 Action::End(place) => {
                     if let Some(part) = statement.tickets.remove(&place) {
                         self.parts.remove(&part);
-                        dispatcher.left(now, part);
+                        dispatcher.client_left(now, part);
                     }
                 }
                 Action::Answer(answer) => {
@@ -416,7 +439,7 @@
                     .cloned();
                 if let Some((audits, of)) = self.audits.as_mut().zip(of) {
                     let (check, lines) = (
-                        dispatcher.number(),
+                        dispatcher.new_ticket(),
                         rows.iter().filter(|c| **c == b'\n').count(),
                     );
                     if audits.answered(check, of, &statement.query, lines as u64) {
@@ -444,7 +467,7 @@
         };
         for part in statement.tickets.into_values() {
             self.parts.remove(&part);
-            dispatcher.left(now, part);
+            dispatcher.client_left(now, part);
         }
         true
     }
