--- /dev/null
+++ b/tests/notation/mod.rs
@@ -0,0 +1,404 @@
+//! The notation of the scenarios: words become settings, engines and events, actions become text.
+
+use std::collections::BTreeMap;
+
+use hallmux::interface::{
+    Action, Agreement, Arrival, DedupGroup, Demand, Effect, Ended, EngineBudgets, EngineEntry,
+    Event, FleetDemand, FurtherBudget, KeyId, Micros, Mode, Note, Outcome, PeerReport, StatementId,
+    Workload,
+};
+
+/// A millisecond.
+pub const MS: Micros = 1000;
+
+/// The window of the retry budget.
+const RETRY_WINDOW: Micros = 10_000 * MS;
+
+/// A number.
+pub fn number(text: &str) -> f64 {
+    text.parse()
+        .unwrap_or_else(|_| panic!("'{text}' is no number"))
+}
+
+/// A time in milliseconds.
+pub fn micros(text: &str) -> Micros {
+    (number(text) * MS as f64) as Micros
+}
+
+fn numbers(text: &str) -> Vec<f64> {
+    text.split(',').map(number).collect()
+}
+
+/// Names, by the place in the order in which they are first met.
+#[derive(Default)]
+pub struct Names(Vec<String>);
+
+impl Names {
+    /// The place of a name, which may be a new one.
+    pub fn place(&mut self, name: &str) -> usize {
+        let known = self.0.iter().position(|n| n == name);
+        known.unwrap_or_else(|| {
+            self.0.push(name.to_string());
+            self.0.len() - 1
+        })
+    }
+
+    /// The place of a name that is known.
+    fn known(&self, name: &str) -> Option<usize> {
+        self.0.iter().position(|n| n == name)
+    }
+
+    /// The name at a place.
+    fn at(&self, place: usize) -> &str {
+        &self.0[place]
+    }
+}
+
+/// The `name=value` parts of a line; a bare word has the value "yes".
+pub struct Options<'a>(BTreeMap<&'a str, &'a str>);
+
+impl<'a> Options<'a> {
+    /// Of these words.
+    pub fn of(words: &[&'a str]) -> Self {
+        let parts = words.iter();
+        Options(
+            parts
+                .map(|word| word.split_once('=').unwrap_or((word, "yes")))
+                .collect(),
+        )
+    }
+
+    fn get(&self, name: &str) -> Option<&'a str> {
+        self.0.get(name).copied()
+    }
+
+    fn has(&self, name: &str) -> bool {
+        self.0.contains_key(name)
+    }
+
+    fn number(&self, name: &str) -> f64 {
+        self.get(name).map_or(0.0, number)
+    }
+
+    fn number_or(&self, name: &str, absent: f64) -> f64 {
+        self.get(name).map_or(absent, number)
+    }
+
+    fn micros_or(&self, name: &str, absent_ms: Micros) -> Micros {
+        self.get(name).map_or(absent_ms * MS, micros)
+    }
+
+    fn place(&self, name: &str) -> usize {
+        self.number(name) as usize
+    }
+}
+
+/// What `site` lines agree.
+pub struct Site {
+    /// The settings.
+    pub agreed: Agreement,
+    /// The seed of the random draws.
+    pub seed: u64,
+}
+
+impl Site {
+    /// Takes in a `site` line.
+    pub fn set(&mut self, options: &Options) {
+        for (name, value) in &options.0 {
+            self.set_one(name, value);
+        }
+    }
+
+    fn set_one(&mut self, name: &str, value: &str) {
+        let agreed = &mut self.agreed;
+        match name {
+            "fronts" => agreed.fronts = number(value),
+            "cores" => agreed.cores = numbers(value),
+            "memory" => agreed.memory_mb = numbers(value),
+            "executions" => agreed.most_executions = number(value) as usize,
+            "retry-after" => agreed.longest_retry_after = Some(micros(value)),
+            "notes" => agreed.progress_every = micros(value),
+            "cancel" => agreed.cancel = true,
+            "probes" => agreed.probes = true,
+            "priorities" => agreed.priorities = true,
+            "grants" => agreed.grants = true,
+            "active" => agreed.report.active = Some(0),
+            "busy" => agreed.report.busy = Some(0),
+            "turn-gap" => agreed.order_gap = micros(value),
+            "seed" => self.seed = number(value) as u64,
+            "cold-from" => agreed.cold_from = number(value),
+            "warm-within" => agreed.warm_within = micros(value),
+            "overload" => agreed.overload_factor = number(value),
+            "fall" => agreed.fall_window = micros(value),
+            "zone-quorum" => agreed.zone_quorum = number(value) as usize,
+            "on-probe" => agreed.report_on_probe = true,
+            "budgets" => agreed.budgets = Some(engine_budgets(value)),
+            "customers" => agreed.customers = numbers(value),
+            "spare" => {
+                agreed.further = Some(FurtherBudget {
+                    spare: number(value),
+                    ratio: 0.1,
+                    window: RETRY_WINDOW,
+                });
+            }
+            other => panic!("unknown setting '{other}'"),
+        }
+    }
+}
+
+fn engine_budgets(text: &str) -> EngineBudgets {
+    let each = numbers(text);
+    EngineBudgets {
+        connections: each[0],
+        probes: each[1],
+    }
+}
+
+/// What a `workload` line agrees.
+pub fn workload(options: &Options) -> Workload {
+    Workload {
+        importance: options.number_or("importance", 1.0),
+        late_share: options.number("late"),
+        slo_time: options.micros_or("slo", 1000),
+        slo_stretch: options.number("stretch"),
+        statement_timeout: options.micros_or("timeout", 5000),
+        effect: match options.get("effect") {
+            Some("deduplicated") => Effect::Deduplicated,
+            Some("non-idempotent") => Effect::NonIdempotent,
+            _ => Effect::Idempotent,
+        },
+        dedup_group: match options.get("group") {
+            Some("location") => DedupGroup::Location,
+            Some("cell") => DedupGroup::Cell,
+            _ => DedupGroup::All,
+        },
+        dedup_window: options.micros_or("window", 1000),
+        in_order: options.has("in-order"),
+        threads: options.number_or("threads", 1.0),
+        holds_data: options.has("holds"),
+        waits_for_data: options.has("waits"),
+        locations: options.get("location").map(|l| vec![number(l) as usize]),
+        kinds: options.get("kind").map(|k| vec![number(k) as usize]),
+    }
+}
+
+/// The names that a scenario uses.
+#[derive(Default)]
+pub struct ScenarioNames {
+    /// Of workloads, in the order of the settings.
+    pub workloads: Names,
+    /// Of engines.
+    pub engines: Names,
+    /// Of statements.
+    pub statements: Names,
+    /// Of order keys.
+    pub keys: Names,
+}
+
+impl ScenarioNames {
+    /// What an `engine` line lists.
+    pub fn engine(&mut self, name: &str, options: &Options) -> EngineEntry {
+        EngineEntry {
+            engine: self.engines.place(name),
+            location: options.place("location"),
+            kind: options.place("kind"),
+            cell: options.place("cell"),
+            mode: match options.get("mode") {
+                Some("draining") => Mode::Draining,
+                Some("gone") => Mode::Gone,
+                _ => Mode::Ready,
+            },
+            started: options.get("started").map(micros),
+            protocols: options.number_or("speaks", 1.0) as u8,
+            sends_progress: !options.has("quiet"),
+        }
+    }
+
+    /// The event of a line; None where it can't be read.
+    pub fn event(&mut self, words: &[&str]) -> Option<Event> {
+        match words[0] {
+            "take" => self.arrival(words),
+            "end" => self.end(words),
+            "note" => self.note(words),
+            "leave" => {
+                let statement = self.statement(words[1]);
+                Some(Event::ClientLeft(statement))
+            }
+            "hear" => self.peer_report(words),
+            "asked" => Some(self.fleet_demand(&Options::of(&words[1..]))),
+            "room" => Some(Event::SendCapacity {
+                engine: self.engines.known(words[1])?,
+                executions: number(words[2]) as usize,
+            }),
+            "fleet" => {
+                let options = Options::of(&words[1..]);
+                Some(Event::Fleet {
+                    known: options.number("known"),
+                    up: options.number("up"),
+                })
+            }
+            "probed" => Some(Event::Probed {
+                engine: self.engines.known(words[1])?,
+                alive: Options::of(&words[2..]).has("alive"),
+                report: None,
+            }),
+            "free" => Some(Event::OrderKeyFreed {
+                key: self.keys.known(words[1])? as KeyId,
+                pauses: Options::of(&words[2..]).has("rests"),
+            }),
+            _ => None,
+        }
+    }
+
+    fn statement(&mut self, name: &str) -> StatementId {
+        self.statements.place(name) as StatementId
+    }
+
+    fn arrival(&mut self, words: &[&str]) -> Option<Event> {
+        let options = Options::of(&words[2..]);
+        let locations = |list: &str| {
+            let named = list.split(',').filter(|location| !location.is_empty());
+            named.map(|location| number(location) as usize).collect()
+        };
+        let key = options.get("key").map(|key| self.keys.place(key));
+        let sticky_engine = options.get("pinned");
+        Some(Event::Arrived(Arrival {
+            statement: self.statement(words[1]),
+            workload: self.workloads.known(words[2])?,
+            customer: options.place("customer"),
+            order_key: key.map(|key| key as KeyId),
+            time_left: options.micros_or("left", 5000),
+            work: options.number("work") * MS as f64,
+            memory_mb: options.number("memory"),
+            data_set: options.get("data").map(|d| number(d) as u32),
+            protocols: options.number_or("speech", 1.0) as u8,
+            sticky_engine: sticky_engine.and_then(|name| self.engines.known(name)),
+            allowed_locations: options.get("allowed").map(locations),
+        }))
+    }
+
+    fn end(&mut self, words: &[&str]) -> Option<Event> {
+        let options = Options::of(&words[2..]);
+        let outcome = outcome(words[3])?;
+        let report = options.get("active").or(options.get("busy"));
+        Some(Event::Ended(Ended {
+            statement: self.statement(words[1]),
+            execution: options.place("execution"),
+            engine: self.engines.known(words[2])?,
+            outcome,
+            took: options.micros_or("took", 100),
+            settled: outcome == Outcome::Completed || options.has("settled"),
+            keeps_order_key: options.has("holds"),
+            report: report.map(|load| vec![number(load)]),
+        }))
+    }
+
+    fn note(&mut self, words: &[&str]) -> Option<Event> {
+        let options = Options::of(&words[2..]);
+        let note = match options.get("spills") {
+            Some(lacks) => Note::SpillsMb(number(lacks)),
+            None if options.has("waits") => Note::WaitsForData,
+            None => Note::ShareDone(options.number("done")),
+        };
+        Some(Event::Noted {
+            statement: self.statement(words[1]),
+            execution: options.place("execution"),
+            engine: self.engines.known(words[2])?,
+            note,
+        })
+    }
+
+    fn peer_report(&self, words: &[&str]) -> Option<Event> {
+        let options = Options::of(&words[2..]);
+        Some(Event::PeerReport(PeerReport {
+            reporter: number(words[1]) as usize,
+            engine: self.engines.known(words[2])?,
+            failed: options.number("failed"),
+            answered: options.number("answered"),
+            silent: options.micros_or("silent", 0),
+            age: options.micros_or("age", 0),
+        }))
+    }
+
+    /// Each workload as `NAME=ASKED/ENDED/TIMELY`, each statement of a second on one thread.
+    fn fleet_demand(&self, options: &Options) -> Event {
+        let demand = |name: &String| {
+            let counts = options.get(name).unwrap_or_default();
+            let counts: Vec<f64> = counts
+                .split('/')
+                .filter(|count| !count.is_empty())
+                .map(number)
+                .collect();
+            let count = |place: usize| counts.get(place).copied().unwrap_or(0.0);
+            Demand {
+                asked: count(0),
+                ended: count(1),
+                timely: count(2),
+                work: 1e6,
+            }
+        };
+        Event::FleetDemand(FleetDemand {
+            late_share: options.number("missed"),
+            relative: options.number("part"),
+            workloads: self.workloads.0.iter().map(demand).collect(),
+            customers_per_s: options.get("customers").map_or(vec![], numbers),
+        })
+    }
+
+    /// An action as scenarios expect it; a wake has no text.
+    pub fn action(&self, action: &Action) -> Option<String> {
+        let statement = |id: &StatementId| self.statements.at(*id as usize);
+        let engine = |place: &usize| self.engines.at(*place);
+        Some(match action {
+            Action::Wake { .. } => return None,
+            Action::Execute {
+                statement: id,
+                engine: place,
+            } => format!("execute {} {}", statement(id), engine(place)),
+            Action::Terms {
+                statement: id,
+                grant_mb,
+                priority,
+            } => format!(
+                "terms {} grant={grant_mb:.0} priority={priority}",
+                statement(id)
+            ),
+            Action::Cancel {
+                statement: id,
+                execution,
+            } => format!("cancel {} {execution}", statement(id)),
+            Action::Reject {
+                statement: id,
+                retry_after,
+                reason,
+            } => {
+                let come_back = retry_after.map_or("", |_| " come-back");
+                format!("reject {}{come_back}: {reason}", statement(id))
+            }
+            Action::Abort {
+                statement: id,
+                reason,
+            } => format!("abort {}: {reason}", statement(id)),
+            Action::Probe { engine: place } => format!("probe {}", engine(place)),
+            Action::ProbeEvacuated { engine: place } => {
+                format!("probe-evacuated {}", engine(place))
+            }
+            Action::Pace { connections } => format!("pace {connections:.2}"),
+            Action::Subscribe => "subscribe".to_string(),
+        })
+    }
+}
+
+fn outcome(word: &str) -> Option<Outcome> {
+    Some(match word {
+        "completed" => Outcome::Completed,
+        "error" => Outcome::Error,
+        "no-room" => Outcome::NoCapacity,
+        "timed-out" => Outcome::TimedOut,
+        "no-route" => Outcome::Unreachable,
+        "reset" => Outcome::Reset,
+        "cancelled" => Outcome::Cancelled,
+        "not-sent" => Outcome::NotSent,
+        _ => return None,
+    })
+}
