--- a/crates/config/src/operator_file/overload.rs
+++ b/crates/config/src/operator_file/overload.rs
@@ -1,6 +1,6 @@
 //! The section `gossip.overload`: load shed by the fleet as one.
 
-use hallmux::interface::{Agreement, EngineBudgets, FurtherBudget, Micros};
+use hallmux::interface::{Agreement, EngineBudgets, Micros, RetryAllowance};
 use serde::Deserialize;
 
 use super::checker::key_error;
@@ -94,13 +94,13 @@
     /// Each front's part of the fleet's budget: its own first executions count, and what the settings leave
     /// to spare is divided by the fronts, so that one that has just started has little.
     pub fn apply(&self, agreement: &mut Agreement) {
-        let agreed = agreement.further.unwrap_or(FurtherBudget {
+        let agreed = agreement.retry_allowance.unwrap_or(RetryAllowance {
             spare: 0.0,
             ratio: f64::INFINITY,
             window: DEFAULT_RETRY_WINDOW,
         });
         let ratio = f64::from(self.further_percent) / 100.0;
-        agreement.further = Some(FurtherBudget {
+        agreement.retry_allowance = Some(RetryAllowance {
             spare: agreed.spare / agreement.fronts.max(1.0),
             ratio: agreed.ratio.min(ratio),
             ..agreed
--- a/crates/config/src/operator_file/overload_tests.rs
+++ b/crates/config/src/operator_file/overload_tests.rs
@@ -2,7 +2,7 @@
 
 use super::super::sections::tests::read;
 use super::Overload;
-use hallmux::interface::{Agreement, EngineBudgets, FurtherBudget};
+use hallmux::interface::{Agreement, EngineBudgets, RetryAllowance};
 
 #[test]
 fn the_share_is_read_and_checked_and_the_budget_is_the_fleets() {
@@ -53,21 +53,21 @@
         fronts: 20.0,
         ..Agreement::default()
     };
-    agreed.further = Some(FurtherBudget {
+    agreed.retry_allowance = Some(RetryAllowance {
         spare: 10.0,
         ratio: 0.05,
         window: 1,
     });
     Overload::default().apply(&mut agreed);
-    let further = agreed.further.unwrap();
+    let further = agreed.retry_allowance.unwrap();
     assert_eq!(
         (further.spare, further.ratio, further.window),
         (0.5, 0.05, 1)
     );
-    agreed.further = None;
+    agreed.retry_allowance = None;
     Overload::default().apply(&mut agreed);
     assert_eq!(
-        agreed.further.map(|f| (f.spare, f.ratio)),
+        agreed.retry_allowance.map(|f| (f.spare, f.ratio)),
         Some((0.0, 0.08))
     );
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -3,7 +3,7 @@
 mod check;
 mod options;
 
-use hallmux::interface::{Agreement, FurtherBudget, Micros, ReportLayout, Workload};
+use hallmux::interface::{Agreement, Micros, ReportLayout, RetryAllowance, Workload};
 
 use self::check::{check, meaning, EFFECTS, GROUPS};
 use self::options::{Extra, Options, Report, Rules};
@@ -160,8 +160,8 @@
     }
 }
 
-fn further_budget(rules: &Rules) -> Option<FurtherBudget> {
-    Some(FurtherBudget {
+fn retry_allowance(rules: &Rules) -> Option<RetryAllowance> {
+    Some(RetryAllowance {
         spare: rules.spare_attempts,
         ratio: rules.further_ratio?,
         window: micros(rules.budget_span_ms?),
@@ -182,7 +182,7 @@
             .iter()
             .map(|c| c.allowance_per_s.unwrap_or(f64::INFINITY))
             .collect(),
-        over_share: options.over_share_worth,
+        beyond_share_weight: options.over_share_worth,
         fronts: options.instances.max(1.0),
         report: report_layout(&options.report, &options.extra),
         cores: options.extra.size_cores,
@@ -195,13 +195,13 @@
         probes: bounds.probes,
         cancel: bounds.cancelling,
         subscribe: options.discovery.as_deref() == Some("subscribe"),
-        most_executions: bounds.most_tries.unwrap_or(1),
+        max_attempts: bounds.most_tries.unwrap_or(1),
         longest_retry_after: bounds.retry_after.then(|| micros(longest_retry_after_ms)),
         order_gap: micros(rules.turn_gap_ms),
         cold_from: rules.cold_from,
         warm_within: micros(rules.warm_within_ms),
         overload_factor: rules.overload_factor,
         fall_window: micros(rules.fall_ms),
-        further: further_budget(rules),
+        retry_allowance: retry_allowance(rules),
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -17,7 +17,7 @@
 
 pub use actions::Action;
 pub use agreement::{
-    Agreement, DedupGroup, Effect, EngineBudgets, FurtherBudget, ReportLayout, Workload,
+    Agreement, DedupGroup, Effect, EngineBudgets, ReportLayout, RetryAllowance, Workload,
 };
 pub use engines::{EngineEntry, Mode, Report};
 pub use events::{Arrival, Demand, Ended, Event, FleetDemand, Note, Outcome, PeerReport};
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -5,7 +5,7 @@
 /// One order of the module. Orders are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Holds for the statement's further executions; the priority also for those in flight.
+    /// Holds for the statement's later executions; the priority also for those in flight.
     Terms {
         /// The statement that it holds for.
         statement: StatementId,
--- a/src/interface/agreement.rs
+++ b/src/interface/agreement.rs
@@ -104,12 +104,12 @@
     }
 }
 
-/// The budget of further executions, those beyond each statement's first, over any window.
+/// The budget of retries, the executions beyond each statement's first, over any window.
 #[derive(Clone, Copy, Debug)]
-pub struct FurtherBudget {
-    /// Further executions that are always allowed.
+pub struct RetryAllowance {
+    /// Retries that are always allowed.
     pub spare: f64,
-    /// Further executions allowed on top for each statement admitted within the window.
+    /// Retries allowed on top for each statement admitted within the window.
     pub ratio: f64,
     /// The length of the window.
     pub window: Micros,
@@ -132,7 +132,7 @@
     /// Statements a second inside each customer's share, over all fronts; infinite where none is set.
     pub customers: Vec<f64>,
     /// What a statement beyond its customer's share is worth, against one inside it.
-    pub over_share: f64,
+    pub beyond_share_weight: f64,
     /// The number of fronts, 1 or more.
     pub fronts: f64,
     /// The cores of an engine, by its kind; 1 where a kind is missing.
@@ -158,7 +158,7 @@
     /// The engine list comes by subscription, which the module asks for.
     pub subscribe: bool,
     /// Executions that a statement may have, its first included.
-    pub most_executions: usize,
+    pub max_attempts: usize,
     /// The longest time that a rejection may ask a client to wait; None: rejections name no time.
     pub longest_retry_after: Option<Micros>,
     /// The time for which an order key pauses after an execution that may be running on.
@@ -171,8 +171,8 @@
     pub overload_factor: f64,
     /// The time over which the overload of a cold engine counts.
     pub fall_window: Micros,
-    /// None: further executions have no budget.
-    pub further: Option<FurtherBudget>,
+    /// None: retries have no budget.
+    pub retry_allowance: Option<RetryAllowance>,
     /// None: each front connects and probes as it needs.
     pub budgets: Option<EngineBudgets>,
     /// Fronts at as many vantages whose credible adverse reports on most of a zone lead every front to
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -9,7 +9,7 @@
 
 use std::collections::VecDeque;
 
-use crate::interface::{Agreement, FurtherBudget, Micros, RejectReason};
+use crate::interface::{Agreement, Micros, RejectReason, RetryAllowance};
 
 /// What the rule asks of a statement.
 #[derive(Clone, Copy)]
@@ -62,7 +62,7 @@
 /// The retries of this front within the budget's window.
 #[derive(Default)]
 pub struct RetryBudget {
-    budget: Option<FurtherBudget>,
+    budget: Option<RetryAllowance>,
     max_attempts: usize,
     admissions: Times,
     retries: Times,
@@ -72,8 +72,8 @@
     /// Nothing has been admitted yet.
     pub fn new(agreed: &Agreement) -> Self {
         RetryBudget {
-            budget: agreed.further,
-            max_attempts: agreed.most_executions,
+            budget: agreed.retry_allowance,
+            max_attempts: agreed.max_attempts,
             ..RetryBudget::default()
         }
     }
--- a/src/scheduler/admit.rs
+++ b/src/scheduler/admit.rs
@@ -78,7 +78,7 @@
     pub(super) fn class_weight(&self, workload: usize, share: CustomerShare) -> f64 {
         let share_weight = match share {
             CustomerShare::Within => 1.0,
-            CustomerShare::Beyond => self.agreed.over_share,
+            CustomerShare::Beyond => self.agreed.beyond_share_weight,
         };
         class_weight(
             self.agreed.workloads[workload].importance,
--- a/tests/notation/mod.rs
+++ b/tests/notation/mod.rs
@@ -4,8 +4,8 @@
 
 use hallmux::interface::{
     Action, Agreement, Arrival, DedupGroup, Demand, Effect, Ended, EngineBudgets, EngineEntry,
-    Event, FleetDemand, FurtherBudget, KeyId, Micros, Mode, Note, Outcome, PeerReport, StatementId,
-    Workload,
+    Event, FleetDemand, KeyId, Micros, Mode, Note, Outcome, PeerReport, RetryAllowance,
+    StatementId, Workload,
 };
 
 /// A millisecond.
@@ -115,7 +115,7 @@
             "fronts" => agreed.fronts = number(value),
             "cores" => agreed.cores = numbers(value),
             "memory" => agreed.memory_mb = numbers(value),
-            "executions" => agreed.most_executions = number(value) as usize,
+            "executions" => agreed.max_attempts = number(value) as usize,
             "retry-after" => agreed.longest_retry_after = Some(micros(value)),
             "notes" => agreed.progress_every = micros(value),
             "cancel" => agreed.cancel = true,
@@ -135,7 +135,7 @@
             "budgets" => agreed.budgets = Some(engine_budgets(value)),
             "customers" => agreed.customers = numbers(value),
             "spare" => {
-                agreed.further = Some(FurtherBudget {
+                agreed.retry_allowance = Some(RetryAllowance {
                     spare: number(value),
                     ratio: 0.1,
                     window: RETRY_WINDOW,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -39,10 +39,10 @@
     fn new() -> Self {
         let agreed = Agreement {
             fronts: 1.0,
-            most_executions: 3,
+            max_attempts: 3,
             cores: vec![8.0],
             largest_grant: 1.0,
-            over_share: 0.1,
+            beyond_share_weight: 0.1,
             ..Agreement::default()
         };
         ScenarioRun {
