--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -145,3 +145,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "outliers_tests.rs"]
+mod tests;
--- /dev/null
+++ b/src/policy/outliers_tests.rs
@@ -0,0 +1,63 @@
+//! How far an engine is trusted.
+
+use crate::interface::Outcome;
+
+use super::{Charge, Outliers, EJECTION_TIME};
+
+fn one_engine() -> Outliers {
+    let mut outliers = Outliers::default();
+    outliers.resize(1);
+    outliers
+}
+
+#[test]
+fn a_new_engine_is_trusted_and_one_failure_ends_that() {
+    let mut outliers = one_engine();
+    assert!(outliers.is_trusted(0));
+    outliers.charge(0, Charge::Failed, 0);
+    assert!(!outliers.is_trusted(0) && !outliers.is_ejected(0, 0));
+    assert!(outliers.limit_share(0) < 1.0);
+    outliers.answered(0);
+    assert!(outliers.is_trusted(0));
+}
+
+#[test]
+fn an_engine_that_seems_gone_is_ejected_for_a_time() {
+    let mut outliers = one_engine();
+    outliers.charge(0, Charge::Unreachable, 5);
+    assert!(outliers.is_ejected(0, 5 + EJECTION_TIME - 1));
+    assert!(!outliers.is_ejected(0, 5 + EJECTION_TIME));
+}
+
+#[test]
+fn two_connections_in_a_row_that_fail_mean_that_it_is_gone() {
+    let mut outliers = one_engine();
+    let first = outliers.attempt_ended(0, Outcome::Unreachable, 0);
+    assert_eq!(first.charge(Outcome::Unreachable), Charge::Failed);
+    assert!(!first.may_have_restarted());
+    let second = outliers.attempt_ended(0, Outcome::Unreachable, 0);
+    assert_eq!(second.charge(Outcome::Unreachable), Charge::Unreachable);
+    assert!(second.may_have_restarted());
+    // The first that comes back says so once more: it may have restarted meanwhile.
+    let back = outliers.attempt_ended(0, Outcome::Completed, 0);
+    assert!(back.may_have_restarted());
+    let next = outliers.attempt_ended(0, Outcome::Completed, 0);
+    assert!(!next.may_have_restarted());
+}
+
+#[test]
+fn what_says_nothing_of_the_engine_keeps_the_streak() {
+    let mut outliers = one_engine();
+    outliers.attempt_ended(0, Outcome::Unreachable, 0);
+    outliers.attempt_ended(0, Outcome::NotSent, 0);
+    let again = outliers.attempt_ended(0, Outcome::Unreachable, 0);
+    assert!(again.may_have_restarted());
+}
+
+#[test]
+fn a_reset_engine_is_trusted_like_a_new_one() {
+    let mut outliers = one_engine();
+    outliers.charge(0, Charge::Unreachable, 0);
+    outliers.reset(0);
+    assert!(outliers.is_trusted(0) && !outliers.is_ejected(0, 0));
+}
--- a/src/policy/ranking.rs
+++ b/src/policy/ranking.rs
@@ -77,3 +77,7 @@
         draw_weighted(draw, &self.weights).or(self.best)
     }
 }
+
+#[cfg(test)]
+#[path = "ranking_tests.rs"]
+mod tests;
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -119,3 +119,7 @@
         })
     }
 }
+
+#[cfg(test)]
+#[path = "retry_tests.rs"]
+mod tests;
--- a/src/policy/shedding.rs
+++ b/src/policy/shedding.rs
@@ -61,3 +61,7 @@
     let wait = RETRY_AFTER_SECONDS * (0.5 + draw) * SECOND as f64;
     longest.map(|longest| longest.min(wait as Micros))
 }
+
+#[cfg(test)]
+#[path = "shedding_tests.rs"]
+mod tests;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -174,3 +174,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "slow_start_tests.rs"]
+mod tests;
--- /dev/null
+++ b/src/policy/slow_start_tests.rs
@@ -0,0 +1,82 @@
+//! What a warming engine may be sent.
+
+use crate::interface::Agreement;
+
+use super::{SlowStart, SlowStartOutcome, SlowStartRequest};
+
+const SECOND: i64 = 1_000_000;
+
+/// An engine that starts at 0 with half of its capacity and is warm after 10 s; with one front and 8 cores it bears
+/// 0.1 s of its capacity at once.
+fn warming(fronts: f64) -> SlowStart {
+    let mut slow_start = SlowStart::new(
+        &Agreement {
+            cold_from: 0.5,
+            warm_within: 10 * SECOND,
+            overload_factor: 1.5,
+            fall_window: SECOND,
+            ..Agreement::default()
+        },
+        0.0,
+    );
+    slow_start.resize(1);
+    slow_start.start(0, 0, &request(0.0, fronts, 0), false);
+    slow_start
+}
+
+fn request(work: f64, fronts: f64, now: i64) -> SlowStartRequest {
+    SlowStartRequest {
+        engine: 0,
+        cores: 8.0,
+        work,
+        fronts,
+        now,
+    }
+}
+
+#[test]
+fn the_capacity_grows_evenly_until_the_engine_is_warm() {
+    let slow_start = warming(1.0);
+    assert_eq!(slow_start.capacity_share(0, 0), 0.5);
+    assert_eq!(slow_start.capacity_share(0, 5 * SECOND), 0.75);
+    assert_eq!(slow_start.capacity_share(0, 20 * SECOND), 1.0);
+}
+
+#[test]
+fn a_warm_engine_may_be_sent_anything() {
+    let slow_start = warming(1.0);
+    let outcome = slow_start.check(&request(1e12, 1.0, 10 * SECOND));
+    assert_eq!(outcome, SlowStartOutcome::Warm);
+}
+
+#[test]
+fn what_is_sent_counts_until_the_engine_has_done_it() {
+    let mut slow_start = warming(1.0);
+    // The burst is a tenth of a second of four cores' work: 400,000 us.
+    let first = slow_start.check(&request(300_000.0, 1.0, 0));
+    let outstanding_work = 300_000.0;
+    assert_eq!(first, SlowStartOutcome::Allowed { outstanding_work });
+    slow_start.sent(0, first, 0);
+    let second = request(300_000.0, 1.0, 0);
+    assert_eq!(slow_start.check(&second), SlowStartOutcome::Denied);
+    let later = slow_start.check(&request(300_000.0, 1.0, SECOND / 10));
+    assert_ne!(later, SlowStartOutcome::Denied);
+}
+
+#[test]
+fn a_front_that_has_just_started_has_nothing_left_at_first() {
+    let mut slow_start = warming(1.0);
+    slow_start.start(0, 0, &request(0.0, 1.0, 0), true);
+    let outcome = slow_start.check(&request(300_000.0, 1.0, 0));
+    assert_eq!(outcome, SlowStartOutcome::Denied);
+}
+
+#[test]
+fn among_many_fronts_a_long_statement_waits_for_its_slot() {
+    let slow_start = warming(100.0);
+    // This front's part of four cores is 0.04 threads: a statement of 100,000 us has a slot every 2.5 s at most.
+    let at_start = slow_start.check(&request(100_000.0, 100.0, 0));
+    assert_ne!(at_start, SlowStartOutcome::Denied);
+    let between = slow_start.check(&request(100_000.0, 100.0, SECOND));
+    assert_eq!(between, SlowStartOutcome::Denied);
+}
--- a/src/policy/stuck_attempts.rs
+++ b/src/policy/stuck_attempts.rs
@@ -78,3 +78,7 @@
     let heads_for = run / share_done.max(MIN_SHARE_DONE);
     expected > 0.0 && run > expected && heads_for > BAD_PLAN_RUN_FACTOR * expected
 }
+
+#[cfg(test)]
+#[path = "stuck_attempts_tests.rs"]
+mod tests;
--- /dev/null
+++ b/src/policy/stuck_attempts_tests.rs
@@ -0,0 +1,70 @@
+//! When an attempt counts as silent, or as run on a bad plan.
+
+use crate::policy::outliers::Charge;
+
+use super::{check_silence, is_bad_plan, InFlightAttempt, SilenceOutcome};
+
+const SECOND: i64 = 1_000_000;
+
+fn attempt(progress_every: Option<i64>) -> InFlightAttempt {
+    InFlightAttempt {
+        sent_at: 0,
+        heard_at: 0,
+        engine_heard_at: 0,
+        progress_every,
+        expected_run: 500_000.0,
+    }
+}
+
+#[test]
+fn with_progress_notes_one_and_a_half_gaps_are_too_long() {
+    let noted = attempt(Some(SECOND));
+    let silent = SilenceOutcome::Silent(Charge::Unreachable);
+    assert_eq!(check_silence(&noted, 0, 1_500_000), SilenceOutcome::Heard);
+    assert_eq!(check_silence(&noted, 0, 1_500_001), silent);
+}
+
+#[test]
+fn without_them_a_second_and_four_expected_runs_are_too_long() {
+    let without = attempt(None);
+    let silent = SilenceOutcome::Silent(Charge::Unreachable);
+    assert_eq!(
+        check_silence(&without, 0, 3 * SECOND),
+        SilenceOutcome::Heard
+    );
+    assert_eq!(check_silence(&without, 0, 3 * SECOND + 1), silent);
+    // Whatever the engine answers counts for it too.
+    let engine_heard_at = SECOND;
+    let heard = InFlightAttempt {
+        engine_heard_at,
+        ..without
+    };
+    let outcome = check_silence(&heard, 0, 3 * SECOND + 1);
+    assert_eq!(outcome, SilenceOutcome::Heard);
+}
+
+#[test]
+fn an_engine_heard_of_meanwhile_is_charged_for_that_attempt_alone() {
+    let heard = InFlightAttempt {
+        engine_heard_at: SECOND,
+        ..attempt(Some(SECOND))
+    };
+    let outcome = check_silence(&heard, 0, 2 * SECOND);
+    assert_eq!(outcome, SilenceOutcome::Silent(Charge::Failed));
+}
+
+#[test]
+fn the_time_for_which_this_front_stood_still_is_no_silence() {
+    let noted = attempt(Some(SECOND));
+    let outcome = check_silence(&noted, 9 * SECOND, 10 * SECOND);
+    assert_eq!(outcome, SilenceOutcome::Heard);
+}
+
+#[test]
+fn a_bad_plan_heads_for_more_than_six_expected_runs() {
+    let known = attempt(None);
+    assert!(!is_bad_plan(&known, 0.2, 600_000));
+    assert!(is_bad_plan(&known, 0.19, 600_000));
+    // Within its expected run nothing is known yet.
+    assert!(!is_bad_plan(&known, 0.01, 500_000));
+}
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -7,7 +7,7 @@
 mod expire;
 mod observe;
 mod placement;
-mod probe;
+mod sweep;
 mod timing;
 mod zones;
 
@@ -158,7 +158,7 @@
             self.observe(event);
         }
         self.expire();
-        self.check_engines();
+        self.sweep();
         self.dispatch();
         self.pace_connections();
         self.retry_budget.forget_old(now);
--- a/src/scheduler/probe.rs
+++ b/src/scheduler/sweep.rs
@@ -20,7 +20,7 @@
 
 impl Scheduler {
     /// Probes engines at each sweep, looks for silent attempts at some.
-    pub(super) fn check_engines(&mut self) {
+    pub(super) fn sweep(&mut self) {
         if !self.clock.sweep_is_due() {
             return;
         }
