--- a/src/policy.rs
+++ b/src/policy.rs
@@ -19,3 +19,6 @@
 pub(crate) mod shedding;
 pub(crate) mod slow_start;
 pub(crate) mod stuck_attempts;
+
+#[cfg(test)]
+mod test_support;
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -264,3 +264,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "concurrency_limit_tests.rs"]
+mod tests;
--- a/src/policy/idempotency.rs
+++ b/src/policy/idempotency.rs
@@ -65,3 +65,7 @@
     let safe = |at: &EngineEntry| is_safe_repeat(workload, statement, listed, at, now);
     statement.attempts.is_empty() || listed.iter().flatten().any(safe)
 }
+
+#[cfg(test)]
+#[path = "idempotency_tests.rs"]
+mod tests;
--- /dev/null
+++ b/src/policy/idempotency_tests.rs
@@ -0,0 +1,112 @@
+//! Where a statement may run again.
+
+use crate::interface::{Arrival, DedupGroup, Effect, EngineEntry, Mode, Outcome, Workload};
+use crate::load::Load;
+use crate::policy::test_support::workload as any_workload;
+use crate::statement::{Attempt, Statement};
+
+use super::{answer_without_result, has_safe_engine, is_safe_repeat, Answer};
+
+const WINDOW: i64 = 1_000_000;
+
+fn workload(effect: Effect, dedup_group: DedupGroup) -> Workload {
+    Workload {
+        effect,
+        dedup_group,
+        dedup_window: WINDOW,
+        ..any_workload(1.0)
+    }
+}
+
+fn engine(engine: usize, location: usize) -> EngineEntry {
+    EngineEntry {
+        engine,
+        location,
+        kind: 0,
+        cell: 0,
+        mode: Mode::Ready,
+        started: None,
+        protocols: 1,
+        sends_progress: true,
+    }
+}
+
+/// A statement with one attempt, sent to engine 0 at 0.
+fn attempted(outcome: Outcome) -> Statement {
+    let asked = Arrival {
+        statement: 0,
+        workload: 0,
+        customer: 0,
+        order_key: None,
+        time_left: 1,
+        work: 0.0,
+        memory_mb: 0.0,
+        data_set: None,
+        protocols: 1,
+        sticky_engine: None,
+        allowed_locations: None,
+    };
+    let mut statement = Statement::new(asked, 0, 0, 1, Load::default());
+    statement.attempts.push(Attempt {
+        outcome: Some(outcome),
+        ..Attempt::default()
+    });
+    statement
+}
+
+#[test]
+fn what_surely_never_ran_may_go_anywhere() {
+    let workload = workload(Effect::NonIdempotent, DedupGroup::All);
+    let listed = [Some(engine(0, 0))];
+    let safe = |outcome| has_safe_engine(&workload, &attempted(outcome), &listed, 0);
+    for outcome in [Outcome::NoCapacity, Outcome::Unreachable, Outcome::NotSent] {
+        assert!(safe(outcome), "{outcome:?}");
+    }
+    for outcome in [
+        Outcome::Error,
+        Outcome::TimedOut,
+        Outcome::Reset,
+        Outcome::Cancelled,
+    ] {
+        assert!(!safe(outcome), "{outcome:?}");
+    }
+}
+
+#[test]
+fn a_deduplicated_statement_goes_where_its_repeat_is_dropped() {
+    let workload = workload(Effect::Deduplicated, DedupGroup::Location);
+    let listed = [Some(engine(0, 0)), Some(engine(1, 0)), Some(engine(2, 1))];
+    let statement = attempted(Outcome::Reset);
+    let safe = |at: usize, now| {
+        let at = listed[at].as_ref().unwrap();
+        is_safe_repeat(&workload, &statement, &listed, at, now)
+    };
+    assert!(safe(1, WINDOW - 1));
+    assert!(!safe(2, WINDOW - 1), "another group");
+    assert!(!safe(1, WINDOW), "forgotten");
+}
+
+#[test]
+fn an_engine_that_drains_may_forget_what_it_has_seen() {
+    let workload = workload(Effect::Deduplicated, DedupGroup::All);
+    let draining = EngineEntry {
+        mode: Mode::Draining,
+        ..engine(0, 0)
+    };
+    let listed = [Some(draining)];
+    let statement = attempted(Outcome::Reset);
+    assert!(!has_safe_engine(&workload, &statement, &listed, 0));
+}
+
+#[test]
+fn a_statement_is_aborted_where_trying_again_might_do_harm() {
+    let answer = |effect, group, ran| answer_without_result(&workload(effect, group), ran);
+    let all = DedupGroup::All;
+    assert_eq!(answer(Effect::Idempotent, all, true), Answer::Reject);
+    assert_eq!(answer(Effect::NonIdempotent, all, false), Answer::Reject);
+    assert_eq!(answer(Effect::NonIdempotent, all, true), Answer::Abort);
+    assert_eq!(answer(Effect::Deduplicated, all, true), Answer::Reject);
+    let cell = DedupGroup::Cell;
+    assert_eq!(answer(Effect::Deduplicated, cell, true), Answer::Abort);
+    assert_eq!(answer(Effect::Deduplicated, cell, false), Answer::Reject);
+}
