--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -9,7 +9,7 @@
     Completed,
     /// The engine answered that it failed; the statement may have run.
     Error,
-    /// The engine turned it away unseen, as it has no capacity: it has not run.
+    /// The engine refused it, as it has no capacity: it has not run.
     NoCapacity,
     /// The client's time was up; the statement may be running on.
     TimedOut,
@@ -49,7 +49,7 @@
     pub workload: usize,
     /// The place of its customer in the agreement; 0 where no customers are agreed.
     pub customer: usize,
-    /// Its order key; heeded where its workload is agreed to run in order.
+    /// Its order key; used where its workload runs in order.
     pub order_key: Option<KeyId>,
     /// The time that its client still waits.
     pub time_left: Micros,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -200,3 +200,7 @@
     }
     shares
 }
+
+#[cfg(test)]
+#[path = "admission_tests.rs"]
+mod tests;
--- /dev/null
+++ b/src/policy/admission_tests.rs
@@ -0,0 +1,102 @@
+//! What the fleet admits.
+
+use crate::interface::{Agreement, Demand, FleetDemand};
+use crate::policy::test_support::workload;
+use crate::random::Random;
+
+use super::{Admission, AdmissionOutcome, CustomerShare};
+
+fn agreed(customers: Vec<f64>) -> Agreement {
+    Agreement {
+        fronts: 1.0,
+        customers,
+        workloads: vec![workload(1.0), workload(1.0)],
+        ..Agreement::default()
+    }
+}
+
+fn demand(asked: f64, ended: f64, timely: f64) -> Demand {
+    Demand {
+        asked,
+        ended,
+        timely,
+        work: 1e6,
+    }
+}
+
+/// How many of a thousand statements are admitted.
+fn admitted(admission: &Admission, workload: usize, sticky: bool) -> usize {
+    let mut random = Random::new(1);
+    let mut check = || admission.check(workload, CustomerShare::Within, sticky, &mut random);
+    (0..1000)
+        .filter(|_| check() == AdmissionOutcome::Admitted)
+        .count()
+}
+
+/// The first workload goes before the second.
+fn told(late_share: f64, workloads: Vec<Demand>) -> Admission {
+    let mut admission = Admission::new(&agreed(vec![]));
+    let fleet = FleetDemand {
+        late_share,
+        workloads,
+        ..FleetDemand::default()
+    };
+    admission.demand_changed(&fleet, |workload, _, _| -(workload as f64));
+    admission
+}
+
+#[test]
+fn all_is_admitted_until_the_demand_is_known() {
+    let admission = Admission::new(&agreed(vec![]));
+    assert_eq!(admitted(&admission, 0, false), 1000);
+}
+
+#[test]
+fn what_was_answered_and_a_quarter_more_is_admitted_by_rank() {
+    // 80 answered: 100 are admitted, all 60 of the first workload and 40 of the second's 80.
+    let admission = told(
+        0.0,
+        vec![demand(60.0, 40.0, 40.0), demand(80.0, 40.0, 40.0)],
+    );
+    assert_eq!(admitted(&admission, 0, false), 1000);
+    let second = admitted(&admission, 1, false);
+    assert!((450..=550).contains(&second), "{second}");
+    assert_eq!(admitted(&admission, 1, true), 1000, "sticky ones always");
+}
+
+#[test]
+fn in_a_jam_what_came_in_time_is_the_measure() {
+    let demands = vec![demand(60.0, 40.0, 0.0), demand(80.0, 40.0, 0.0)];
+    let admission = told(0.16, demands);
+    assert_eq!(admitted(&admission, 1, false), 0);
+    // A twentieth of all that is asked is admitted in any case: 7 of the first workload's 60.
+    let first = admitted(&admission, 0, false);
+    assert!((70..=165).contains(&first), "{first}");
+}
+
+#[test]
+fn a_customer_has_its_share_here_until_the_fleets_figures_are_known() {
+    let mut admission = Admission::new(&agreed(vec![2.0]));
+    let mut random = Random::new(1);
+    let mut share = |now| admission.customer_share(0, 0, &mut random, now);
+    assert_eq!(share(1), CustomerShare::Within);
+    assert_eq!(share(1), CustomerShare::Within);
+    assert_eq!(share(1), CustomerShare::Beyond);
+    assert_eq!(share(500_001), CustomerShare::Within);
+}
+
+#[test]
+fn the_fleets_figures_say_how_much_is_beyond() {
+    let mut admission = Admission::new(&agreed(vec![10.0]));
+    let fleet = FleetDemand {
+        customers_per_s: vec![40.0],
+        ..FleetDemand::default()
+    };
+    admission.demand_changed(&fleet, |_, _, _| 0.0);
+    let mut random = Random::new(1);
+    let beyond = (0..1000)
+        .filter(|_| admission.customer_share(0, 0, &mut random, 1) == CustomerShare::Beyond)
+        .count();
+    // Three quarters of what it asks.
+    assert!((700..=800).contains(&beyond), "{beyond}");
+}
--- a/src/policy/client_retries.rs
+++ b/src/policy/client_retries.rs
@@ -62,3 +62,7 @@
         self.0[workload].shed += f64::from(u8::from(first_attempt));
     }
 }
+
+#[cfg(test)]
+#[path = "client_retries_tests.rs"]
+mod tests;
--- /dev/null
+++ b/src/policy/client_retries_tests.rs
@@ -0,0 +1,53 @@
+//! For how long a statement has been waiting.
+
+use super::{ArrivalTime, ClientRetries};
+
+const MS: i64 = 1_000;
+
+fn with_left(time_left: i64) -> ArrivalTime {
+    ArrivalTime {
+        time_left,
+        statement_timeout: 5_000 * MS,
+        stalled_for: None,
+    }
+}
+
+#[test]
+fn a_later_attempt_counts_from_the_first_where_one_was_shed() {
+    let mut retries = ClientRetries::new(1);
+    assert_eq!(retries.waited(0, &with_left(5_000 * MS)), 0);
+    assert_eq!(
+        retries.waited(0, &with_left(3_000 * MS)),
+        0,
+        "none was shed"
+    );
+    retries.shed(0, true);
+    let waited = retries.waited(0, &with_left(3_000 * MS));
+    assert_eq!(waited, 2_000 * MS);
+    let waited = retries.waited(0, &with_left(3_000 * MS));
+    assert_eq!(waited, 0, "only as many come back as were shed");
+}
+
+#[test]
+fn the_shed_of_a_later_attempt_counts_for_nothing() {
+    let mut retries = ClientRetries::new(1);
+    retries.waited(0, &with_left(5_000 * MS));
+    for _ in 0..9 {
+        retries.shed(0, false);
+    }
+    assert_eq!(retries.waited(0, &with_left(3_000 * MS)), 0);
+}
+
+#[test]
+fn what_a_front_finds_that_stood_still_has_waited_as_long_as_it_lacks() {
+    let mut retries = ClientRetries::new(1);
+    retries.waited(0, &with_left(5_000 * MS));
+    let stalled = |time_left, stall| ArrivalTime {
+        stalled_for: Some(stall),
+        ..with_left(time_left)
+    };
+    let waited = retries.waited(0, &stalled(4_600 * MS, 500 * MS));
+    assert_eq!(waited, 400 * MS);
+    let waited = retries.waited(0, &stalled(4_400 * MS, 500 * MS));
+    assert_eq!(waited, 0, "it lacks more than this front stood still");
+}
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -244,7 +244,7 @@
         }
     }
 
-    /// A statement that held so many threads was turned away, or not answered in time.
+    /// A statement that held so many threads was refused, or not answered in time.
     pub fn shrink(&mut self, engine: EngineId, threads: f64, cores: impl Fn(EngineId) -> f64) {
         self.adjust(engine, -LIMIT_SHRINK_PER_LATE_THREAD * threads, cores);
     }
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -11,9 +11,9 @@
 use crate::policy::estimates::MIN_SAMPLE_WEIGHT;
 use crate::random::positive_or;
 
-/// Share of what reports told that each engine check forgets: half is gone in about 10 s.
+/// Share of the reported load that each engine check forgets: half is gone in about 10 s.
 const OTHERS_LOAD_DECAY: f64 = 0.007;
-/// Share of what one engine told that each engine check turns into the usual: half in 3.5 s.
+/// Share of one engine's reported load that each engine check turns into the usual: half in 3.5 s.
 const OTHERS_LOAD_DRIFT_TO_USUAL: f64 = 0.02;
 /// Age up to which a report is fresh; reports are refreshed about once a second.
 const FRESH_REPORT_AGE: Micros = SECOND;
--- a/src/policy/peer_evidence.rs
+++ b/src/policy/peer_evidence.rs
@@ -255,3 +255,7 @@
     let silence = beyond / (beyond + SECOND as f64);
     (report.failed / (report.failed + report.answered + 1.0)).max(silence)
 }
+
+#[cfg(test)]
+#[path = "peer_evidence_tests.rs"]
+mod tests;
--- a/src/scheduler/observe.rs
+++ b/src/scheduler/observe.rs
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Guards against jams no answer tells of: an engine that turns work away or, where limits are pooled, lets it run
+    /// Guards against jams no answer tells of: an engine that refuses work or, where limits are pooled, lets it run
     /// into the client's deadline is full until it reports again, whatever it said before.
     fn overloaded(&mut self, ended: &Ended, load: Load) {
         let engine = ended.engine;
