--- a/src/policy/client_retries.rs
+++ b/src/policy/client_retries.rs
@@ -57,9 +57,9 @@
         }
     }
 
-    /// A statement was shed; its client may come back if it was its first attempt.
-    pub fn shed(&mut self, workload: usize, first_attempt: bool) {
-        self.0[workload].shed += f64::from(u8::from(first_attempt));
+    /// A client's first attempt was shed; the client may come back.
+    pub fn first_attempt_shed(&mut self, workload: usize) {
+        self.0[workload].shed += 1.0;
     }
 }
 
--- a/src/policy/client_retries_tests.rs
+++ b/src/policy/client_retries_tests.rs
@@ -21,7 +21,7 @@
         0,
         "none was shed"
     );
-    retries.shed(0, true);
+    retries.first_attempt_shed(0);
     let waited = retries.waited(0, &with_left(3_000 * MS));
     assert_eq!(waited, 2_000 * MS);
     let waited = retries.waited(0, &with_left(3_000 * MS));
@@ -29,13 +29,14 @@
 }
 
 #[test]
-fn the_shed_of_a_later_attempt_counts_for_nothing() {
+fn what_lacks_little_time_is_a_first_attempt() {
     let mut retries = ClientRetries::new(1);
     retries.waited(0, &with_left(5_000 * MS));
     for _ in 0..9 {
-        retries.shed(0, false);
+        retries.first_attempt_shed(0);
     }
-    assert_eq!(retries.waited(0, &with_left(3_000 * MS)), 0);
+    assert_eq!(retries.waited(0, &with_left(4_980 * MS)), 0);
+    assert_eq!(retries.waited(0, &with_left(4_979 * MS)), 21 * MS);
 }
 
 #[test]
--- a/src/policy/order_key.rs
+++ b/src/policy/order_key.rs
@@ -57,9 +57,9 @@
         });
     }
 
-    /// Whether the transaction of a statement that is over goes on and keeps the key.
-    pub fn keep(&mut self, key: Option<KeyId>, kept: bool) {
-        self.change(key, |queue| queue.unresolved += usize::from(kept));
+    /// The transaction of a statement that is over goes on and keeps the key.
+    pub fn keep(&mut self, key: Option<KeyId>) {
+        self.change(key, |queue| queue.unresolved += 1);
     }
 
     /// Whether it is a statement's turn: it is the first of its key, nothing of an earlier one may still run, and
--- a/src/policy/penalty.rs
+++ b/src/policy/penalty.rs
@@ -17,6 +17,15 @@
 /// Least mean work of a class in its weight, in microseconds.
 const MIN_MEAN_WORK: f64 = 1000.0;
 
+/// Whether a statement was answered within its SLO time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Timeliness {
+    /// It was.
+    Timely,
+    /// It was answered late, or not at all.
+    NotTimely,
+}
+
 /// The timely share of a service class.
 #[derive(Default)]
 pub struct Conformance {
@@ -46,10 +55,12 @@
     }
 
     /// Counts a statement that is over.
-    pub fn count(&mut self, timely: bool, now: Micros) {
+    pub fn count(&mut self, timeliness: Timeliness, now: Micros) {
         self.fade(now);
         self.counted += 1.0;
-        self.timely += f64::from(u8::from(timely));
+        if timeliness == Timeliness::Timely {
+            self.timely += 1.0;
+        }
     }
 }
 
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -37,6 +37,15 @@
     Denied,
 }
 
+/// What is known of the work that was sent to an engine before its warm-up is counted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EarlierWork {
+    /// It is counted.
+    Known,
+    /// This front has just started and doesn't know what its earlier incarnation sent.
+    Unknown,
+}
+
 /// What a warming engine has been sent and what it may have outstanding, in thread-microseconds.
 struct Budget {
     outstanding: f64,
@@ -92,20 +101,19 @@
         1.0 - (1.0 - self.initial_capacity) * left.clamp(0.0, 1.0)
     }
 
-    /// An engine warms up from its start on, with what it may still have outstanding. A front that has just
-    /// started doesn't know what its earlier incarnation sent: that counts as all that it might have sent.
+    /// An engine warms up from its start on, with what it may still have outstanding. Work that is not known counts as
+    /// all that might have been sent.
     pub fn start(
         &mut self,
         engine: EngineId,
         started: Micros,
         request: &SlowStartRequest,
-        front_just_started: bool,
+        earlier_work: EarlierWork,
     ) {
         self.engines[engine].until = started + self.duration;
-        let outstanding_work = if front_just_started {
-            self.budget(request).limit
-        } else {
-            self.engines[engine].outstanding_work
+        let outstanding_work = match earlier_work {
+            EarlierWork::Known => self.engines[engine].outstanding_work,
+            EarlierWork::Unknown => self.budget(request).limit,
         };
         self.engines[engine].outstanding_work = outstanding_work;
         self.engines[engine].counted_at = request.now;
--- a/src/policy/slow_start_tests.rs
+++ b/src/policy/slow_start_tests.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::Agreement;
 
-use super::{SlowStart, SlowStartOutcome, SlowStartRequest};
+use super::{EarlierWork, SlowStart, SlowStartOutcome, SlowStartRequest};
 
 const SECOND: i64 = 1_000_000;
 
@@ -20,7 +20,7 @@
         0.0,
     );
     slow_start.resize(1);
-    slow_start.start(0, 0, &request(0.0, fronts, 0), false);
+    slow_start.start(0, 0, &request(0.0, fronts, 0), EarlierWork::Known);
     slow_start
 }
 
@@ -66,7 +66,7 @@
 #[test]
 fn a_front_that_has_just_started_has_nothing_left_at_first() {
     let mut slow_start = warming(1.0);
-    slow_start.start(0, 0, &request(0.0, 1.0, 0), true);
+    slow_start.start(0, 0, &request(0.0, 1.0, 0), EarlierWork::Unknown);
     let outcome = slow_start.check(&request(300_000.0, 1.0, 0));
     assert_eq!(outcome, SlowStartOutcome::Denied);
 }
--- a/src/scheduler/expire.rs
+++ b/src/scheduler/expire.rs
@@ -3,6 +3,7 @@
 use crate::interface::{Action, Effect, EngineId, Micros, RejectReason, StatementId};
 use crate::policy::deadlines::rejected_at;
 use crate::policy::idempotency::{answer_without_result, Answer};
+use crate::policy::penalty::Timeliness;
 use crate::policy::retry::{RetryOutcome, RetryRequest};
 use crate::policy::shedding::{retry_after, ShedRequest};
 use crate::statement::Statement;
@@ -115,12 +116,14 @@
             },
         };
         self.actions.push(action);
-        self.client_retries.shed(workload, first_try);
-        self.close(id, false);
+        if first_try {
+            self.client_retries.first_attempt_shed(workload);
+        }
+        self.close(id, Timeliness::NotTimely);
     }
 
     /// Counts a statement that is over, and lets go of all it holds but attempts still in flight.
-    pub(super) fn close(&mut self, id: StatementId, timely: bool) {
+    pub(super) fn close(&mut self, id: StatementId, timeliness: Timeliness) {
         self.dequeue(id);
         let Some(statement) = self
             .statements
@@ -139,18 +142,18 @@
             };
             self.actions.extend(unresolved.iter().map(cancel));
         }
-        self.count_closed(id, class, timely);
+        self.count_closed(id, class, timeliness);
         self.order_queues.remove(key, id, unresolved.len());
         self.enqueue_first_in_order(key);
         self.forget(id);
     }
 
     /// Counts a statement that is over in its class; a change of level changes priorities.
-    fn count_closed(&mut self, id: StatementId, class: usize, timely: bool) {
+    fn count_closed(&mut self, id: StatementId, class: usize, timeliness: Timeliness) {
         let counts = &mut self.queues.classes[class];
         counts.in_flight.remove(&id);
         let was_top = counts.conformance.is_top_level();
-        counts.conformance.count(timely, self.clock.now);
+        counts.conformance.count(timeliness, self.clock.now);
         if counts.conformance.is_top_level() != was_top {
             for other in counts.in_flight.clone() {
                 self.update_priority(other);
--- a/src/scheduler/observe.rs
+++ b/src/scheduler/observe.rs
@@ -9,6 +9,7 @@
 use crate::policy::estimates::AnsweredRun;
 use crate::policy::load_reports::ReportedEngine;
 use crate::policy::outliers::UnreachableStreak;
+use crate::policy::penalty::Timeliness;
 use crate::policy::stuck_attempts::is_bad_plan;
 
 use super::Scheduler;
@@ -28,7 +29,7 @@
                 engine,
                 note,
             } => self.noted(AttemptId { statement, number }, engine, note),
-            Event::ClientLeft(id) => self.close(id, false),
+            Event::ClientLeft(id) => self.close(id, Timeliness::NotTimely),
             Event::OrderKeyFreed { key, pauses } => self.order_key_freed(key, pauses),
             Event::PeerReport(report) => self.peer_reported(report),
             Event::FleetDemand(demand) => self.fleet_demand_changed(&demand),
@@ -206,8 +207,9 @@
         );
         let paused_until = may_run_on.then_some(self.clock.now + self.agreed.order_gap);
         self.order_queues.resolve(key, was_over, paused_until);
-        let keeps = ended.keeps_order_key && ended.settled && !was_over;
-        self.order_queues.keep(key, keeps);
+        if ended.keeps_order_key && ended.settled && !was_over {
+            self.order_queues.keep(key);
+        }
     }
 
     /// What the end of an attempt tells of its engine.
@@ -258,8 +260,12 @@
         let statement = &self.statements[&ended.statement];
         if ended.settled {
             let in_time = self.clock.now - statement.first_arrival <= self.slo_time(statement);
-            let timely = ended.outcome == Outcome::Completed && in_time;
-            self.close(ended.statement, timely);
+            let timeliness = if ended.outcome == Outcome::Completed && in_time {
+                Timeliness::Timely
+            } else {
+                Timeliness::NotTimely
+            };
+            self.close(ended.statement, timeliness);
         } else if let Some(reason) = self.no_retry_reason(statement) {
             self.reject(ended.statement, reason);
         } else {
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -4,7 +4,7 @@
 use crate::policy::concurrency_limit::{LimitOutcome, LimitRequest, LimitScope, Pool};
 use crate::policy::idempotency::has_safe_engine;
 use crate::policy::ranking::{RankedEngine, Ranking, RankingMode};
-use crate::policy::slow_start::{SlowStartOutcome, SlowStartRequest};
+use crate::policy::slow_start::{EarlierWork, SlowStartOutcome, SlowStartRequest};
 use crate::statement::Statement;
 
 use super::candidates::Eligibility;
@@ -126,9 +126,13 @@
     /// An engine warms up from then on, as far as is known.
     pub(super) fn start_warm_up(&mut self, engine: EngineId, started: Micros) {
         let request = self.slow_start_request(engine, 0.0);
-        let front_just_started = self.clock.just_started();
+        let earlier_work = if self.clock.just_started() {
+            EarlierWork::Unknown
+        } else {
+            EarlierWork::Known
+        };
         self.slow_start
-            .start(engine, started, &request, front_just_started);
+            .start(engine, started, &request, earlier_work);
     }
 
     /// Whether an engine that may be warming up bears this statement now.
