--- a/src/policy/fleet_budget.rs
+++ b/src/policy/fleet_budget.rs
@@ -15,3 +15,7 @@
     let demand = positive_or(relative_demand, 0.0).min(MAX_RELATIVE_DEMAND);
     budget * (1.0 + demand) / (5.0 * fronts.max(1.0))
 }
+
+#[cfg(test)]
+#[path = "fleet_budget_tests.rs"]
+mod tests;
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -82,3 +82,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "health_checks_tests.rs"]
+mod tests;
--- /dev/null
+++ b/src/policy/health_checks_tests.rs
@@ -0,0 +1,75 @@
+//! Which engines are probed.
+
+use crate::interface::Agreement;
+
+use super::{HealthChecks, MAX_SAVED_PROBES, MIN_PROBE_INTERVAL};
+
+const START: i64 = 1_000_000;
+
+fn checks(report_on_probe: bool) -> HealthChecks {
+    let agreed = Agreement {
+        report_on_probe,
+        probes: true,
+        ..Agreement::default()
+    };
+    let mut checks = HealthChecks::new(&agreed, 0.0, 0.0);
+    checks.resize(3);
+    checks
+}
+
+fn probed(checks: &mut HealthChecks, open: [bool; 3], now: i64) -> Vec<usize> {
+    let mut engines = Vec::new();
+    checks.probe_due(&open, f64::INFINITY, now, |engine| engines.push(engine));
+    engines
+}
+
+#[test]
+fn each_statement_pays_for_one_probe_in_rotation() {
+    let mut checks = checks(true);
+    assert_eq!(probed(&mut checks, [true; 3], START), []);
+    checks.statement_taken();
+    assert_eq!(probed(&mut checks, [true; 3], START), [0]);
+    checks.statement_taken();
+    checks.statement_taken();
+    assert_eq!(probed(&mut checks, [true; 3], START), [1, 2]);
+}
+
+#[test]
+fn an_engine_is_probed_twice_a_second_at_most() {
+    let mut checks = checks(true);
+    for _ in 0..9 {
+        checks.statement_taken();
+    }
+    assert_eq!(probed(&mut checks, [true; 3], START), [0, 1, 2]);
+    let soon = START + MIN_PROBE_INTERVAL - 1;
+    assert_eq!(probed(&mut checks, [true; 3], soon), []);
+    let later = START + MIN_PROBE_INTERVAL;
+    assert_eq!(probed(&mut checks, [true; 3], later), [0, 1, 2]);
+}
+
+#[test]
+fn so_many_probes_are_saved_up_and_no_more() {
+    let mut checks = checks(true);
+    for _ in 0..100 {
+        checks.statement_taken();
+    }
+    let rounds = (0..9).map(|round| START + round * MIN_PROBE_INTERVAL);
+    let sent: usize = rounds
+        .map(|now| probed(&mut checks, [true; 3], now).len())
+        .sum();
+    assert_eq!(sent as f64, MAX_SAVED_PROBES);
+}
+
+#[test]
+fn engines_that_are_not_open_are_passed_over() {
+    let mut checks = checks(true);
+    checks.statement_taken();
+    assert_eq!(probed(&mut checks, [false, false, true], START), [2]);
+}
+
+#[test]
+fn where_answers_bring_reports_nothing_is_probed() {
+    let mut checks = checks(false);
+    checks.statement_taken();
+    assert_eq!(probed(&mut checks, [true; 3], START), []);
+}
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -157,3 +157,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "load_reports_tests.rs"]
+mod tests;
--- /dev/null
+++ b/src/policy/load_reports_tests.rs
@@ -0,0 +1,90 @@
+//! What other fronts hold of an engine.
+
+use crate::interface::ReportLayout;
+use crate::load::Load;
+use crate::policy::concurrency_limit::LimitScope;
+
+use super::{LoadReports, ReportedEngine, FRESH_REPORT_AGE};
+
+const NOW: i64 = 100_000_000;
+
+fn load(threads: f64, memory: f64) -> Load {
+    Load { threads, memory }
+}
+
+/// Reports of active statements and granted memory, among many fronts: a report counts as it stands.
+fn reports() -> LoadReports {
+    let layout = ReportLayout {
+        active: Some(0),
+        memory_granted: Some(1),
+        ..ReportLayout::default()
+    };
+    let mut reports = LoadReports::new(layout, LimitScope::Pooled, 1);
+    reports.resize(1);
+    reports
+}
+
+fn engine(own: Load, in_flight: usize) -> ReportedEngine {
+    ReportedEngine {
+        engine: 0,
+        kind: Some(0),
+        size: load(8.0, 1000.0),
+        own,
+        in_flight,
+    }
+}
+
+#[test]
+fn what_is_not_this_fronts_is_held_by_others() {
+    let mut reports = reports();
+    let own = load(2.0, 100.0);
+    let typical = load(2.0, 50.0);
+    reports.reported(&engine(own, 1), &vec![4.0, 0.5], typical, NOW);
+    let others = reports.held_by_others(0, own, 10.0);
+    assert_eq!((others.threads, others.memory), (6.0, 400.0));
+}
+
+#[test]
+fn the_others_are_taken_to_add_what_this_front_adds() {
+    let mut reports = reports();
+    let own = load(2.0, 100.0);
+    let typical = load(2.0, 50.0);
+    reports.reported(&engine(own, 1), &vec![4.0, 0.5], typical, NOW);
+    let others = reports.held_by_others(0, load(3.0, 100.0), 10.0);
+    assert_eq!(others.threads, 6.0 + 9.0);
+}
+
+#[test]
+fn an_engine_is_full_until_it_reports_again() {
+    let mut reports = reports();
+    reports.assume_full(0, 24.0);
+    let nothing = Load::default();
+    let held = |reports: &LoadReports| reports.held_by_others(0, nothing, 1.0).threads;
+    assert_eq!(held(&reports), 24.0);
+    reports.reported(&engine(nothing, 0), &vec![0.0, 0.0], nothing, NOW);
+    assert_eq!(held(&reports), 0.0);
+}
+
+#[test]
+fn a_report_is_fresh_for_a_second() {
+    let mut reports = reports();
+    let nothing = Load::default();
+    reports.reported(&engine(nothing, 0), &vec![0.0, 0.0], nothing, NOW);
+    assert!(reports.is_fresh(0, NOW + FRESH_REPORT_AGE));
+    assert!(!reports.is_fresh(0, NOW + FRESH_REPORT_AGE + 1));
+}
+
+#[test]
+fn among_many_fronts_what_is_old_turns_into_the_usual() {
+    let mut reports = reports();
+    let nothing = Load::default();
+    let typical = load(1.0, 0.0);
+    reports.reported(&engine(nothing, 0), &vec![8.0, 0.0], typical, NOW);
+    let held = |reports: &LoadReports| reports.held_by_others(0, nothing, 1.0).threads;
+    // The usual was learned from one report, of weight 0.05: 0.05 threads a core.
+    for _ in 0..35 {
+        reports.decay(|_| (Some(0), 8.0));
+    }
+    let half = held(&reports);
+    assert!((3.5..4.5).contains(&half), "half is gone in 3.5 s: {half}");
+}
--- a/src/policy/order_key.rs
+++ b/src/policy/order_key.rs
@@ -97,3 +97,7 @@
         first
     }
 }
+
+#[cfg(test)]
+#[path = "order_key_tests.rs"]
+mod tests;
--- /dev/null
+++ b/src/policy/order_key_tests.rs
@@ -0,0 +1,59 @@
+//! Whose turn it is among the statements of one order key.
+
+use super::OrderQueues;
+
+const KEY: Option<u32> = Some(7);
+
+fn queue(statements: &[u32]) -> OrderQueues {
+    let mut queues = OrderQueues::default();
+    for id in statements {
+        queues.enqueue(KEY, *id);
+    }
+    queues
+}
+
+#[test]
+fn statements_of_a_key_have_their_turn_in_the_order_of_arrival() {
+    let mut queues = queue(&[1, 2]);
+    assert!(queues.is_first(KEY, 1, false, 0) && !queues.is_first(KEY, 2, false, 0));
+    queues.remove(KEY, 1, 0);
+    assert!(queues.is_first(KEY, 2, false, 0));
+    assert!(queues.is_first(None, 9, false, 0), "without a key always");
+}
+
+#[test]
+fn what_may_still_run_holds_the_key() {
+    let mut queues = queue(&[1, 2]);
+    queues.remove(KEY, 1, 1);
+    assert!(!queues.is_first(KEY, 2, false, 0));
+    queues.resolve(KEY, true, None);
+    assert!(queues.is_first(KEY, 2, false, 0));
+}
+
+#[test]
+fn a_transaction_that_goes_on_holds_the_key() {
+    let mut queues = queue(&[1, 2]);
+    queues.keep(KEY);
+    queues.remove(KEY, 1, 0);
+    assert!(!queues.is_first(KEY, 2, false, 0));
+    queues.resolve(KEY, true, None);
+    assert!(queues.is_first(KEY, 2, false, 0));
+}
+
+#[test]
+fn a_pause_holds_first_attempts_alone() {
+    let mut queues = queue(&[1]);
+    queues.resolve(KEY, false, Some(100));
+    assert_eq!(queues.paused_until(KEY), 100);
+    assert!(!queues.is_first(KEY, 1, false, 99));
+    assert!(queues.is_first(KEY, 1, true, 99));
+    assert!(queues.is_first(KEY, 1, false, 100));
+}
+
+#[test]
+fn a_key_is_shared_while_several_are_not_over() {
+    let mut queues = queue(&[1, 2]);
+    assert!(queues.is_shared(KEY));
+    queues.remove(KEY, 2, 0);
+    assert!(!queues.is_shared(KEY) && !queues.is_shared(None));
+}
