--- a/crates/front/src/event_loop/reload.rs
+++ b/crates/front/src/event_loop/reload.rs
@@ -12,7 +12,7 @@
 //!
 //! All other settings hold from the next start. A part that was off at the start stays off.
 
-use hallmux_config::{Error, NodeConfig, Operator};
+use hallmux_config::{Error, NodeConfig, OperatorConfig};
 
 use super::EventLoopState;
 
@@ -39,7 +39,7 @@
     }
 
     /// Parts that were switched on at the start and still are take their settings again.
-    fn reload_optional_parts(&mut self, operator: &Operator) {
+    fn reload_optional_parts(&mut self, operator: &OperatorConfig) {
         let now = self.clock.now;
         if let (Some(peers), Some(gossip)) = (&mut self.peers, &operator.gossip) {
             peers.reload(now, gossip);
