--- /dev/null
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -0,0 +1,135 @@
+//! The simulator's protocol: all fronts of this process, and the engine lists that they are told of.
+
+use std::collections::BTreeMap;
+
+use hallmux::interface::Micros;
+
+use crate::error::LineError;
+use crate::line::Line;
+use crate::simulated_front::{ListedEngine, SimulatedFront};
+use crate::wire_names::{field, input, output};
+
+/// Characters of a line that a complaint about it quotes.
+const MAX_QUOTED: usize = 120;
+
+/// What the caller has to do after a line.
+#[derive(Debug, PartialEq)]
+pub enum Taken {
+    /// Give the next line.
+    Line,
+    /// Send [`Adapter::take_reply`]: a batch is over.
+    Batch,
+}
+
+/// An engine list of which entries are still to come.
+#[derive(Clone, Copy)]
+struct OpenList {
+    number: u32,
+    missing: usize,
+}
+
+/// All fronts of this process and the numbered engine lists of the protocol.
+#[derive(Default)]
+pub struct Adapter {
+    fronts: BTreeMap<i64, SimulatedFront>,
+    lists: BTreeMap<u32, Vec<ListedEngine>>,
+    open_list: Option<OpenList>,
+    now: Micros,
+    reply: String,
+}
+
+impl Adapter {
+    /// Takes one line, without its end.
+    pub fn take(&mut self, text: &str) -> Result<Taken, LineError> {
+        let line = Line::new(text);
+        if let Some(list) = self.open_list {
+            self.take_entry(list, &line)?;
+            return Ok(Taken::Line);
+        }
+        match line.message {
+            input::BATCH_BEGINS => self.now = line.time(field::NOW)?,
+            input::BATCH_ENDS => {
+                self.write_reply();
+                return Ok(Taken::Batch);
+            }
+            input::LIST_BEGINS => self.begin_list(&line)?,
+            input::FRONT_STARTS => self.start_front(&line)?,
+            input::FRONT_ENDS => {
+                self.fronts.remove(&line.field(field::FRONT)?);
+            }
+            _ => {
+                let number: i64 = line.field(field::FRONT)?;
+                let front = self.fronts.get_mut(&number);
+                let front = front.ok_or(LineError::UnknownFront)?;
+                front.take(&line, &self.lists)?;
+            }
+        }
+        Ok(Taken::Line)
+    }
+
+    /// The reply so far; nothing of it is kept.
+    pub fn take_reply(&mut self) -> String {
+        std::mem::take(&mut self.reply)
+    }
+
+    /// Reports a line that can't be used, on standard error and in the reply to its front. `line_number` counts from 1.
+    pub fn complain(&mut self, line_number: u64, text: &str, error: &LineError) {
+        let quoted: String = text.chars().take(MAX_QUOTED).collect();
+        let complaint = format!("line {line_number}: {error}, in '{quoted}'");
+        eprintln!("hallmux-drill: {complaint}");
+        if let Ok(front) = Line::new(text).field::<i64>(field::FRONT) {
+            self.reply.push_str(&format!(
+                "{} {}={front} {}={complaint}\n",
+                output::BAD_LINE,
+                field::FRONT,
+                field::REASON
+            ));
+        }
+    }
+
+    fn begin_list(&mut self, line: &Line) -> Result<(), LineError> {
+        let number: u32 = line.field(field::LIST)?;
+        let missing: usize = line.field(field::LIST_LENGTH)?;
+        self.lists.insert(number, Vec::new());
+        self.open_list = (missing > 0).then_some(OpenList { number, missing });
+        Ok(())
+    }
+
+    fn take_entry(&mut self, list: OpenList, line: &Line) -> Result<(), LineError> {
+        let OpenList { number, missing } = list;
+        if line.message != input::LIST_ENTRY {
+            self.open_list = None;
+            return Err(LineError::IncompleteList {
+                list: number,
+                missing,
+            });
+        }
+        self.open_list = (missing > 1).then_some(OpenList {
+            number,
+            missing: missing - 1,
+        });
+        let engine = ListedEngine::read(line)?;
+        self.lists.entry(number).or_default().push(engine);
+        Ok(())
+    }
+
+    fn start_front(&mut self, line: &Line) -> Result<(), LineError> {
+        let settings = hallmux_config::Settings::parse(line.text(field::SETTINGS)?)
+            .map_err(LineError::Settings)?;
+        let front = SimulatedFront::new(settings.agreement, line.field(field::SEED)?);
+        self.fronts.insert(line.field(field::FRONT)?, front);
+        Ok(())
+    }
+
+    fn write_reply(&mut self) {
+        for (number, front) in &mut self.fronts {
+            front.decide(self.now, *number, &mut self.reply);
+        }
+        self.reply.push_str(output::REPLY_ENDS);
+        self.reply.push('\n');
+    }
+}
+
+#[cfg(test)]
+#[path = "adapter_tests.rs"]
+mod tests;
--- a/crates/simulator-adapter/src/main_tests.rs
+++ b/crates/simulator-adapter/src/adapter_tests.rs
@@ -1,21 +1,22 @@
-//! Unit tests of the `main` module.
+//! Unit tests of the `adapter` module.
 
-use super::*;
+use super::Adapter;
 
 const START: &str = r#"ATTACH who=3 randomSeed=7 options={"instances": 1, "rules": {}, "kinds": ["a"],
  "requestClasses": [{"aimMs": 1000, "deadlineMs": 5000, "repeat": "repeatable", "worth": 1}],
  "extra": {"sizeCores": [8], "memoryByKindMb": [16384]}}"#;
 
 fn play(lines: &[&str]) -> (Vec<String>, String) {
-    let mut drill = Drill::default();
+    let mut adapter = Adapter::default();
     let start = START.replace('\n', "");
     let mut all = vec!["BEGIN_BATCH clockMs=5.25", &start];
     all.extend(lines);
     let errors = all
         .iter()
-        .filter_map(|line| drill.take(line).err())
+        .filter_map(|line| adapter.take(line).err())
+        .map(|error| error.to_string())
         .collect();
-    (errors, drill.reply)
+    (errors, adapter.take_reply())
 }
 
 const FLEET: [&str; 3] = [
--- /dev/null
+++ b/crates/simulator-adapter/src/simulated_front.rs
@@ -0,0 +1,271 @@
+//! One simulated front: its indices for the simulator's names, what has happened since its last decisions, and these.
+
+use std::collections::{BTreeMap, HashMap};
+
+use hallmux::interface::{
+    Action, Agreement, Arrival, Ended, EngineEntry, Event, Micros, Mode, Note, Outcome,
+};
+use hallmux::Front;
+
+use crate::error::LineError;
+use crate::line::Line;
+use crate::reply::{self, ReplyNames};
+use crate::wire_names::{field, input, value};
+
+/// An engine as a list has it, before a front has given it an index.
+pub struct ListedEngine {
+    id: String,
+    entry: EngineEntry,
+}
+
+impl ListedEngine {
+    pub fn read(line: &Line) -> Result<Self, LineError> {
+        let started = line.number_or(field::STARTED, 0.0)?;
+        let entry = EngineEntry {
+            engine: 0,
+            location: line.field(field::LOCATION)?,
+            kind: line.field(field::KIND)?,
+            cell: line.field(field::CELL)?,
+            mode: mode(line)?,
+            started: (started > 0.0).then(|| hallmux_config::micros(started)),
+            protocols: 1,
+            sends_progress: true,
+        };
+        Ok(ListedEngine {
+            id: line.field(field::ENGINE)?,
+            entry,
+        })
+    }
+}
+
+fn mode(line: &Line) -> Result<Mode, LineError> {
+    match line.field::<String>(field::MODE)?.as_str() {
+        value::READY => Ok(Mode::Ready),
+        value::DRAINING => Ok(Mode::Draining),
+        value::GONE => Ok(Mode::Gone),
+        other => Err(unknown_word(field::MODE, other)),
+    }
+}
+
+fn outcome(line: &Line) -> Result<Outcome, LineError> {
+    match line.field::<String>(field::OUTCOME)?.as_str() {
+        value::COMPLETED => Ok(Outcome::Completed),
+        value::ERROR => Ok(Outcome::Error),
+        value::NO_CAPACITY => Ok(Outcome::NoCapacity),
+        value::TIMED_OUT => Ok(Outcome::TimedOut),
+        value::UNREACHABLE => Ok(Outcome::Unreachable),
+        value::RESET => Ok(Outcome::Reset),
+        value::CANCELLED => Ok(Outcome::Cancelled),
+        value::NOT_SENT => Ok(Outcome::NotSent),
+        other => Err(unknown_word(field::OUTCOME, other)),
+    }
+}
+
+/// What a note says; None where it is of a kind that is not known.
+fn note(line: &Line) -> Result<Option<Note>, LineError> {
+    let figure = line.number_or(field::NOTE_FIGURE, 0.0)?;
+    let note = match line.field::<u32>(field::NOTE_KIND)? {
+        value::SHARE_DONE => Note::ShareDone(figure),
+        value::SPILLS_MB => Note::SpillsMb(figure),
+        value::WAITS if figure == 1.0 => Note::WaitsForMemory,
+        value::WAITS => Note::WaitsForData,
+        _ => return Ok(None),
+    };
+    Ok(Some(note))
+}
+
+fn unknown_word(field: &'static str, word: &str) -> LineError {
+    LineError::UnknownWord {
+        field,
+        word: word.to_string(),
+    }
+}
+
+/// One front of the simulation and its indices for the simulator's names.
+pub struct SimulatedFront {
+    front: Front,
+    /// How many workloads the settings have.
+    workloads: usize,
+    /// The ids of engines by index, and the other way round.
+    engines: Vec<String>,
+    engine_indices: HashMap<String, usize>,
+    /// The indices of order keys.
+    keys: HashMap<String, u32>,
+    /// The numbers of statements by index, and the other way round.
+    statements: Vec<u32>,
+    statement_indices: HashMap<u32, u32>,
+    /// What has happened since the last decisions.
+    events: Vec<Event>,
+}
+
+impl SimulatedFront {
+    pub fn new(agreement: Agreement, seed: u64) -> Self {
+        SimulatedFront {
+            workloads: agreement.workloads.len(),
+            front: Front::new(agreement, seed),
+            engines: Vec::new(),
+            engine_indices: HashMap::new(),
+            keys: HashMap::new(),
+            statements: Vec::new(),
+            statement_indices: HashMap::new(),
+            events: Vec::new(),
+        }
+    }
+
+    /// The index of an engine; one that is met for the first time gets the next.
+    fn engine(&mut self, id: &str) -> usize {
+        if let Some(&index) = self.engine_indices.get(id) {
+            return index;
+        }
+        let index = self.engines.len();
+        self.engines.push(id.to_string());
+        self.engine_indices.insert(id.to_string(), index);
+        index
+    }
+
+    fn engine_of(&mut self, line: &Line) -> Result<usize, LineError> {
+        let id: String = line.field(field::ENGINE)?;
+        Ok(self.engine(&id))
+    }
+
+    /// The index of an order key; one that is met for the first time gets the next.
+    fn order_key(&mut self, name: String) -> u32 {
+        let next = self.keys.len() as u32;
+        *self.keys.entry(name).or_insert(next)
+    }
+
+    /// The statement that a line names, if this front has ever received it.
+    fn statement(&self, line: &Line) -> Result<Option<u32>, LineError> {
+        let number = line.field(field::STATEMENT)?;
+        Ok(self.statement_indices.get(&number).copied())
+    }
+
+    /// Takes one line for this front; `lists` are the engine lists sent so far, by number.
+    pub fn take(
+        &mut self,
+        line: &Line,
+        lists: &BTreeMap<u32, Vec<ListedEngine>>,
+    ) -> Result<(), LineError> {
+        let event = match line.message {
+            input::ARRIVAL => Some(self.arrived(line)?),
+            input::EXECUTION_ENDED => self.ended(line)?,
+            input::NOTE => self.noted(line)?,
+            input::CLIENT_LEFT => self.statement(line)?.map(Event::ClientLeft),
+            input::WAKE => Some(Event::Woken),
+            input::ENGINE_LIST => Some(self.listed(line, lists)?),
+            input::PROBE_ENDED => Some(self.probed(line)?),
+            ignored if input::IGNORED.contains(&ignored) => None,
+            other => return Err(LineError::UnknownMessage(other.to_string())),
+        };
+        self.events.extend(event);
+        Ok(())
+    }
+
+    fn probed(&mut self, line: &Line) -> Result<Event, LineError> {
+        Ok(Event::Probed {
+            engine: self.engine_of(line)?,
+            alive: line.field::<String>(field::OUTCOME)? == value::COMPLETED,
+            report: line.load_report()?,
+        })
+    }
+
+    fn listed(
+        &mut self,
+        line: &Line,
+        lists: &BTreeMap<u32, Vec<ListedEngine>>,
+    ) -> Result<Event, LineError> {
+        let whole = match line.field::<String>(field::LIST_FORM)?.as_str() {
+            value::CHANGES => false,
+            value::FULL | value::CACHED => true,
+            value::FAILED => return Ok(Event::ListFailed),
+            other => return Err(unknown_word(field::LIST_FORM, other)),
+        };
+        let number: u32 = line.field(field::LIST)?;
+        let list = lists.get(&number).ok_or(LineError::UnknownList(number))?;
+        let mut entries = Vec::new();
+        for listed in list {
+            entries.push(EngineEntry {
+                engine: self.engine(&listed.id),
+                ..listed.entry.clone()
+            });
+        }
+        Ok(Event::Engines { whole, entries })
+    }
+
+    fn arrived(&mut self, line: &Line) -> Result<Event, LineError> {
+        let workload: usize = line.field(field::WORKLOAD)?;
+        if workload >= self.workloads {
+            return Err(LineError::UnknownWorkload(workload));
+        }
+        let key = line.optional::<String>(field::ORDER_KEY)?;
+        let time_left = line.time(field::TIME_LEFT)?;
+        let number: u32 = line.field(field::STATEMENT)?;
+        let arrival = Arrival {
+            statement: self.statements.len() as u32,
+            workload,
+            customer: line.optional(field::CUSTOMER)?.unwrap_or(0),
+            key: key.map(|name| self.order_key(name)),
+            time_left,
+            work: line.number_or(field::WORK, 0.0)? * 1000.0,
+            memory_mb: line.number_or(field::MEMORY_MB, 0.0)?,
+            data_set: line.optional(field::DATA_SET)?,
+            protocols: 1,
+            pinned: None,
+            allowed: None,
+        };
+        self.statements.push(number);
+        self.statement_indices.insert(number, arrival.statement);
+        Ok(Event::Arrived(arrival))
+    }
+
+    /// The end of an execution; None where its statement is not known.
+    fn ended(&mut self, line: &Line) -> Result<Option<Event>, LineError> {
+        let Some(statement) = self.statement(line)? else {
+            return Ok(None);
+        };
+        let outcome = outcome(line)?;
+        line.optional::<u64>(field::COST)?;
+        Ok(Some(Event::Ended(Ended {
+            statement,
+            execution: line.field(field::EXECUTION)?,
+            engine: self.engine_of(line)?,
+            outcome,
+            took: line.time(field::TOOK)?,
+            settled: line.flag(field::SETTLED)?,
+            keeps_order_key: false,
+            report: line.load_report()?,
+        })))
+    }
+
+    /// A note on an execution; None where its statement or the note's kind is not known.
+    fn noted(&mut self, line: &Line) -> Result<Option<Event>, LineError> {
+        let Some(statement) = self.statement(line)? else {
+            return Ok(None);
+        };
+        let Some(note) = note(line)? else {
+            return Ok(None);
+        };
+        Ok(Some(Event::Noted {
+            statement,
+            execution: line.field(field::EXECUTION)?,
+            engine: self.engine_of(line)?,
+            note,
+        }))
+    }
+
+    /// Decides on what has happened since the last call and appends the decisions to the reply.
+    pub fn decide(&mut self, now: Micros, number: i64, reply: &mut String) {
+        if self.events.is_empty() {
+            return;
+        }
+        let actions: Vec<Action> = self.front.decide(now, self.events.drain(..));
+        let names = ReplyNames {
+            front: number,
+            statements: &self.statements,
+            engines: &self.engines,
+        };
+        for action in &actions {
+            reply::write(reply, &names, action);
+        }
+    }
+}
