--- a/crates/front/tests/scripted/machine.rs
+++ b/crates/front/tests/scripted/machine.rs
@@ -40,7 +40,7 @@
         .unwrap();
     scenario.line("engine a");
     scenario.line("start");
-    assert!(scenario.machine_faults().played(Call::Socket).unwrap() > 0);
+    assert!(scenario.machine_faults().failed(Call::Socket).unwrap() > 0);
 }
 
 #[test]
@@ -57,7 +57,7 @@
         scenario.line(&format!("c{client} connects"));
         scenario.line(&format!("c{client} is well"));
     }
-    assert!(scenario.machine_faults().played(Call::Accept).unwrap() > 0);
+    assert!(scenario.machine_faults().failed(Call::Accept).unwrap() > 0);
 }
 
 #[test]
--- a/crates/lab/src/prove/soak/machine.rs
+++ b/crates/lab/src/prove/soak/machine.rs
@@ -189,7 +189,7 @@
             ("crowd", self.crowd.len() as i64),
         ];
         for (call, name) in Call::ALL.into_iter().zip(TALLIES) {
-            let counts = self.faults.iter().map(|faults| faults.played(call));
+            let counts = self.faults.iter().map(|faults| faults.failed(call));
             all.push((name, counts.sum::<Result<i64>>()?));
         }
         Ok(all)
--- a/crates/machine-faults/src/lib.rs
+++ b/crates/machine-faults/src/lib.rs
@@ -1,5 +1,5 @@
-//! Faults of the operating system for one process, as tests and the laboratory play them: its wall clock is stepped, and
-//! system calls fail in the ways that Linux documents. A library that is loaded into that process alone answers in place
+//! Fault injection for one process, for tests: its wall clock is stepped, and system calls fail in the ways that Linux
+//! documents. A library that is loaded into that process alone answers in place
 //! of the system; the fronts themselves know nothing of it.
 
 #![warn(missing_docs)]
@@ -11,12 +11,22 @@
 use std::process::Command;
 
 const SOURCE: &str = include_str!("shim.c");
-const NUMBER_SIZE: u64 = 8; // bytes of a number of the control file
-const STEP: u64 = 0; // place of the wall clock's step, in microseconds
+
+// The control file holds numbers, which process and library share; these are their indices.
+
+/// Bytes of a number.
+const NUMBER_SIZE: u64 = 8;
+/// The wall clock's step, in microseconds.
+const CLOCK_STEP: u64 = 0;
+/// The seed of what fails.
 const SEED: u64 = 1;
-const FIRST_RATE: u64 = 2; // of calls that fail, out of a thousand, by call
-const FIRST_PLAYED: u64 = FIRST_RATE + CALLS; // how many did
-const FIRST_LEFT: u64 = FIRST_PLAYED + CALLS; // how many more may
+/// By call: how many of a thousand fail.
+const FIRST_RATE: u64 = 2;
+/// By call: how many have failed.
+const FIRST_FAILED: u64 = FIRST_RATE + CALLS;
+/// By call: how many more may fail.
+const FIRST_LEFT: u64 = FIRST_FAILED + CALLS;
+/// How many numbers there are.
 const NUMBERS: u64 = FIRST_LEFT + CALLS;
 const CALLS: u64 = Call::ALL.len() as u64;
 
@@ -48,19 +58,20 @@
         Call::BrokenRead,
     ];
 
-    fn place(self) -> u64 {
+    /// Its index among the numbers by call.
+    fn index(self) -> u64 {
         self as u64
     }
 }
 
-/// The library, compiled.
+/// The library that injects the faults, compiled.
 #[derive(Debug)]
 pub struct Library {
     path: PathBuf,
 }
 
 impl Library {
-    /// Compiles it to a file, with the C toolchain that Rust links with.
+    /// Compiles it to a file, with the C compiler that Rust links with. An error is that of the file or the compiler.
     pub fn compile(path: &Path) -> Result<Library> {
         let source = path.with_extension("c");
         std::fs::write(&source, SOURCE)?;
@@ -71,14 +82,14 @@
             .arg(&source);
         let compiled = compiler.status();
         std::fs::remove_file(source)?;
-        match compiled?.success() {
-            true => Ok(Library {
-                path: path.to_path_buf(),
-            }),
-            false => Err(Error::other(
+        if !compiled?.success() {
+            return Err(Error::other(
                 "the C compiler does not take the library of machine faults",
-            )),
+            ));
         }
+        Ok(Library {
+            path: path.to_path_buf(),
+        })
     }
 }
 
@@ -91,7 +102,7 @@
 }
 
 impl MachineFaults {
-    /// None yet; `control` is a file of their own, and the seed draws which calls fail.
+    /// No faults yet. `control` is a file of their own; the seed draws which calls fail. An error is that of the file.
     pub fn new(library: &Library, control: &Path, seed: u64) -> Result<MachineFaults> {
         let file = File::options()
             .read(true)
@@ -119,7 +130,7 @@
 
     /// Sets how many microseconds the process's wall clock is ahead of the machine's.
     pub fn set_wall_clock_ahead(&self, micros: i64) -> Result<()> {
-        self.write(STEP, micros)
+        self.write(CLOCK_STEP, micros)
     }
 
     /// From now on so many of a thousand of these calls fail.
@@ -129,23 +140,23 @@
 
     /// The same, until so many have failed.
     pub fn fail_at_most(&self, call: Call, permille: u16, most: i64) -> Result<()> {
-        self.write(FIRST_LEFT + call.place(), most)?;
-        self.write(FIRST_RATE + call.place(), i64::from(permille))
+        self.write(FIRST_LEFT + call.index(), most)?;
+        self.write(FIRST_RATE + call.index(), i64::from(permille))
     }
 
     /// How many of these calls have failed so far.
-    pub fn played(&self, call: Call) -> Result<i64> {
-        self.read(FIRST_PLAYED + call.place())
+    pub fn failed(&self, call: Call) -> Result<i64> {
+        self.read(FIRST_FAILED + call.index())
     }
 
-    fn write(&self, place: u64, number: i64) -> Result<()> {
+    fn write(&self, index: u64, number: i64) -> Result<()> {
         self.file
-            .write_all_at(&number.to_le_bytes(), place * NUMBER_SIZE)
+            .write_all_at(&number.to_le_bytes(), index * NUMBER_SIZE)
     }
 
-    fn read(&self, place: u64) -> Result<i64> {
+    fn read(&self, index: u64) -> Result<i64> {
         let mut bytes = [0; NUMBER_SIZE as usize];
-        self.file.read_exact_at(&mut bytes, place * NUMBER_SIZE)?;
+        self.file.read_exact_at(&mut bytes, index * NUMBER_SIZE)?;
         Ok(i64::from_le_bytes(bytes))
     }
 }
--- a/crates/machine-faults/src/shim.c
+++ b/crates/machine-faults/src/shim.c
@@ -1,7 +1,7 @@
 /* Faults of the operating system in the one process that this library is loaded into (LD_PRELOAD): its wall clock is
  * stepped, its monotonic clock left alone, and system calls fail as Linux documents them. What is to fail stands in the
- * file that MACHINE_FAULTS names, which the test changes while the process runs (lib.rs has its layout); what was
- * played is counted there. In C, as the workspace forbids unsafe Rust. */
+ * file that MACHINE_FAULTS names, which the test changes while the process runs (lib.rs has its layout); what
+ * failed is counted there. In C, as the workspace forbids unsafe Rust. */
 #define _GNU_SOURCE
 #include <errno.h>
 #include <fcntl.h>
@@ -25,7 +25,7 @@
     int64_t step_us;          /* by which the wall clock is ahead */
     int64_t seed;             /* of what is drawn */
     int64_t permille[CALLS];  /* how many of a thousand calls fail */
-    int64_t played[CALLS];    /* how many did */
+    int64_t failed[CALLS];    /* how many did */
     int64_t left[CALLS];      /* how many more may */
 };
 
@@ -41,7 +41,7 @@
     void *mapped =
         file < 0 ? MAP_FAILED : mmap(NULL, sizeof *control, PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
     if (mapped == MAP_FAILED)
-        abort(); /* a test whose faults are not played must not pass */
+        abort(); /* a test whose faults are not injected must not pass */
     close(file);
     control = mapped;
 }
@@ -61,7 +61,7 @@
     if ((int64_t)(draw() % PERMILLE) >= control->permille[call])
         return 0;
     control->left[call]--;
-    control->played[call]++;
+    control->failed[call]++;
     return 1;
 }
 
