--- a/crates/dispatcher/src/commands.rs
+++ b/crates/dispatcher/src/commands.rs
@@ -3,7 +3,7 @@
 use hallmux::interface::Micros;
 
 use crate::executions::Terms;
-use crate::{Ending, Place, Ticket};
+use crate::{Ending, Place, RejectCause, Ticket};
 
 /// What the network is to do.
 #[derive(Clone, Debug, PartialEq)]
@@ -43,11 +43,15 @@
         ticket: Ticket,
         /// Microseconds after which the client may try again; None where no time may be named.
         retry_after: Option<Micros>,
+        /// Why; for the log.
+        cause: RejectCause,
     },
     /// The final answer: the statement is aborted, and it may have run.
     Abort {
         /// The statement.
         ticket: Ticket,
+        /// Why; for the log.
+        cause: RejectCause,
     },
     /// Probe an engine.
     Probe {
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -30,6 +30,7 @@
 mod observations;
 mod order_keys;
 mod promises;
+mod reject_cause;
 mod send_capacity;
 mod statements;
 mod submission;
@@ -40,7 +41,7 @@
 use std::collections::{BTreeSet, HashMap};
 
 use hallmux::interface::{Event, StatementId, Workload};
-use hallmux::Front;
+use hallmux::Scheduler;
 use hallmux_config::{Names, Settings};
 
 use demand::{CustomerDemand, DemandCounts};
@@ -57,6 +58,7 @@
 pub use hallmux::interface::{DedupGroup, Demand, Effect, FleetDemand, Micros, Mode, Note};
 pub use observations::{EngineObservation, Recovery};
 pub use promises::{PromiseEvent, Site, StatementArrived, StatementOver};
+pub use reject_cause::RejectCause;
 pub use send_capacity::SendCapacity;
 pub use submission::{InvalidRequest, Protocol, StatementRequest};
 
@@ -80,7 +82,7 @@
 
 /// The statements, engines and order keys of one front, and the module that decides on them.
 pub struct Dispatcher {
-    front: Front,
+    front: Scheduler,
     names: Names,
     workloads: Vec<Workload>,
     /// Microseconds after its start in which an engine may still be warming up.
@@ -120,7 +122,7 @@
             })
             .collect();
         Dispatcher {
-            front: Front::new(agreement.clone(), seed),
+            front: Scheduler::new(agreement.clone(), seed),
             names: settings.names.clone(),
             workloads: agreement.workloads.clone(),
             warm_within: agreement.warm_within,
--- a/crates/dispatcher/src/tick.rs
+++ b/crates/dispatcher/src/tick.rs
@@ -5,7 +5,7 @@
 use crate::commands::Command;
 use crate::executions::{Execution, Terms};
 use crate::statements::repeat_window;
-use crate::{Dispatcher, Ending, Place, Ticket};
+use crate::{Dispatcher, Ending, Place, RejectCause, Ticket};
 
 impl Dispatcher {
     /// The time at which [`Dispatcher::tick`] is next due, in microseconds; 0 where something waits to be decided
@@ -91,16 +91,20 @@
             Action::Reject {
                 statement,
                 retry_after,
-                ..
+                reason,
             } => {
                 commands.push(Command::Reject {
                     ticket: statement,
                     retry_after,
+                    cause: RejectCause::Scheduler(reason),
                 });
                 self.end_statement(now, statement);
             }
-            Action::Abort { statement, .. } => {
-                commands.push(Command::Abort { ticket: statement });
+            Action::Abort { statement, reason } => {
+                commands.push(Command::Abort {
+                    ticket: statement,
+                    cause: RejectCause::Scheduler(reason),
+                });
                 self.end_statement(now, statement);
             }
             Action::Probe { engine } => commands.push(Command::Probe {
--- a/crates/dispatcher/src/tick_tests.rs
+++ b/crates/dispatcher/src/tick_tests.rs
@@ -1,7 +1,9 @@
 //! Unit tests of the `tick` module.
 
+use hallmux::interface::RejectReason;
+
 use crate::test_support::{ask, dispatcher, listing, sent};
-use crate::{Command, Ending, ListScope, Mode};
+use crate::{Command, Ending, ListScope, Mode, RejectCause};
 
 #[test]
 fn what_is_out_when_the_time_is_up_is_stopped_then_ended() {
@@ -16,7 +18,8 @@
     };
     assert!(d.tick(4_000_000).contains(&stop));
     d.report(4_000_000, ticket, 0, Ending::TimeUp, None);
-    assert_eq!(d.tick(4_000_000), [Command::Abort { ticket }]);
+    let cause = RejectCause::Scheduler(RejectReason::NoSafeEngine);
+    assert_eq!(d.tick(4_000_000), [Command::Abort { ticket, cause }]);
     assert_eq!(d.statements_held(), 0);
 }
 
--- a/crates/dispatcher/tests/slow_start/fleet.rs
+++ b/crates/dispatcher/tests/slow_start/fleet.rs
@@ -298,7 +298,7 @@
                         };
                         dispatcher.report(self.now, ticket, execution, ending, None);
                     }
-                    Command::Reject { ticket, .. } | Command::Abort { ticket } => {
+                    Command::Reject { ticket, .. } | Command::Abort { ticket, .. } => {
                         self.processes[p].works.remove(&ticket);
                     }
                     _ => {}
--- a/crates/ledger/src/rebalance.rs
+++ b/crates/ledger/src/rebalance.rs
@@ -3,82 +3,33 @@
 //! share of them is under way at once, and at the rate for rebuilding replicas. A zone that is away as a whole is waited
 //! for longer, as it may come back at once.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
 use crate::balance::placed;
 use crate::leader_placement::preferred_leaders;
-use crate::ledger::{check, Ledger};
+use crate::ledger::Ledger;
+use crate::members::ReplicaId;
 use crate::placement::ranked;
 use crate::repair::{Repair, HEARD_WITHIN, REPLACEMENT_TIMEOUT};
 use crate::shard_view::ShardView;
-use crate::state::ReplicaId;
 use crate::{Error, FrontId, Member, Micros, Moment, Setup};
 
-/// The fronts that are away, since when, and which of them are no longer waited for.
-#[derive(Default)]
-pub(crate) struct Away {
-    since: BTreeMap<FrontId, Micros>,
-    /// When a zone that was away as a whole began to come back.
-    returned_at: BTreeMap<String, Micros>,
-    gone: BTreeSet<FrontId>,
-    /// Members have changed since they were last placed.
-    stale: bool,
+/// A change of a shard's members.
+struct MemberChange {
+    out: ReplicaId,
+    into: FrontId,
 }
 
-impl Away {
-    pub fn is_away(&self, front: FrontId) -> bool {
-        self.since.contains_key(&front)
-    }
-
-    fn is_zone_away(&self, members: &[Member], zone: &str) -> bool {
-        let mut there = members.iter().filter(|member| member.zone == zone);
-        let all = there.clone().all(|member| self.is_away(member.front));
-        all && there.nth(1).is_some() && members.iter().any(|member| member.zone != zone)
-    }
-
-    /// A front is up (again).
-    pub fn returned(&mut self, now: Micros, members: &[Member], front: FrontId) {
-        if !self.is_away(front) {
-            return;
-        }
-        let zone = members
-            .iter()
-            .find(|member| member.front == front)
-            .map(|member| member.zone.clone());
-        if let Some(zone) = zone.filter(|zone| self.is_zone_away(members, zone)) {
-            self.returned_at.insert(zone, now);
-        }
-        self.since.remove(&front);
-    }
-
-    /// Until when a front that was last heard then is waited for.
-    pub fn wait_until(&self, setup: &Setup, front: FrontId, since: Micros) -> Micros {
-        let zone = setup
-            .members
-            .iter()
-            .find(|member| member.front == front)
-            .map(|m| m.zone.as_str());
-        match zone {
-            Some(zone) if self.is_zone_away(&setup.members, zone) => {
-                since + setup.zone_after.max(setup.repair_after)
-            }
-            Some(zone) => {
-                self.returned_at
-                    .get(zone)
-                    .map_or(since, |returned_at| since.max(*returned_at))
-                    + setup.repair_after
-            }
-            None => since + setup.repair_after,
-        }
-    }
+/// A move of a replica for balance.
+pub(crate) struct Move {
+    pub out: ReplicaId,
+    pub into: ReplicaId,
+    /// When it is given up.
+    pub ends: Micros,
 }
 
-/// The next change of a shard's members: who is removed, and who is added.
-fn next_change(
-    wanted: &[FrontId],
-    members: &[ReplicaId],
-    own: FrontId,
-) -> Option<(ReplicaId, FrontId)> {
+/// The next change towards the fronts that are wanted.
+fn next_change(wanted: &[FrontId], members: &[ReplicaId], own: FrontId) -> Option<MemberChange> {
     let into = wanted
         .iter()
         .find(|front| members.iter().all(|member| member.front != **front))?;
@@ -88,7 +39,10 @@
         .filter(|member| !wanted.contains(&member.front))
         .collect();
     out.sort_by_key(|member| (member.front == own, member.front));
-    Some((**out.first()?, *into))
+    Some(MemberChange {
+        out: **out.first()?,
+        into: *into,
+    })
 }
 
 /// How long a shard may still move, by the Unix clock; none where it is the turn of others.
@@ -114,7 +68,7 @@
             members,
             ..self.setup.clone()
         };
-        check(&setup)?;
+        setup.check()?;
         if setup.members == self.setup.members {
             return Ok(());
         }
@@ -187,19 +141,16 @@
         self.update_placement(now);
     }
 
-    /// Moves a copy of a shard that this front leads, and of which none is missing, once it is the shard's turn.
-    pub(crate) fn next_move(
-        &mut self,
-        at: Moment,
-        shard: u16,
-    ) -> Option<(ReplicaId, ReplicaId, Micros)> {
+    /// The move of a replica of a shard that this front leads, and of which none is missing, once it is the shard's turn.
+    pub(crate) fn next_move(&mut self, at: Moment, shard: u16) -> Option<Move> {
         let now = at.steady;
         let view = self.shards.get(usize::from(shard))?;
         let replica = view.replica.as_ref()?;
         if self.setup.moves_percent == 0 || view.wanted.len() < self.setup.copies {
             return None;
         }
-        let (out, into) = next_change(&view.wanted, &replica.members, self.own.front)?;
+        let MemberChange { out, into } =
+            next_change(&view.wanted, &replica.members, self.own.front)?;
         let left = move_window(&self.setup, shard, self.wall_ms(at, shard))?;
         let takes =
             REPLACEMENT_TIMEOUT + Repair::duration(replica.state.bytes(), self.setup.repair_bytes);
@@ -215,14 +166,14 @@
             self.probe(at, into, shard);
             return None;
         };
-        Some((
+        Some(Move {
             out,
-            ReplicaId {
+            into: ReplicaId {
                 front: into,
                 disk: peer.disk,
             },
-            now + takes,
-        ))
+            ends: now + takes,
+        })
     }
 }
 
--- a/crates/simulator-adapter/src/simulated_front.rs
+++ b/crates/simulator-adapter/src/simulated_front.rs
@@ -5,7 +5,7 @@
 use hallmux::interface::{
     Action, Agreement, Arrival, Ended, EngineEntry, Event, Micros, Mode, Note, Outcome,
 };
-use hallmux::Front;
+use hallmux::Scheduler;
 
 use crate::error::LineError;
 use crate::line::Line;
@@ -83,7 +83,7 @@
 
 /// One front of the simulation and its indices for the simulator's names.
 pub struct SimulatedFront {
-    front: Front,
+    scheduler: Scheduler,
     /// How many workloads the settings have.
     workloads: usize,
     /// The ids of engines by index, and the other way round.
@@ -102,7 +102,7 @@
     pub fn new(agreement: Agreement, seed: u64) -> Self {
         SimulatedFront {
             workloads: agreement.workloads.len(),
-            front: Front::new(agreement, seed),
+            scheduler: Scheduler::new(agreement, seed),
             engines: Vec::new(),
             engine_indices: HashMap::new(),
             keys: HashMap::new(),
@@ -258,7 +258,7 @@
         if self.events.is_empty() {
             return;
         }
-        let actions: Vec<Action> = self.front.decide(now, self.events.drain(..));
+        let actions: Vec<Action> = self.scheduler.decide(now, self.events.drain(..));
         let names = ReplyNames {
             front: number,
             statements: &self.statements,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,18 +1,20 @@
 //! hallmux: a front for query engines with limited memory.
 //!
 //! The library decides and does nothing else: no input or output, no clock, no threads. [`interface`] has the types
-//! that go in and come out, [`decide`] the module that decides, with a file for each part of the mechanism under it.
-//! `state` and the files beside it keep the figures that decisions go by and decide nothing.
+//! that go in and come out. [`Scheduler`] joins the rules, which stand in `policy`, a module each. The other modules
+//! keep plain figures and decide nothing.
 
 #![warn(missing_docs)]
 
-pub mod decide;
-mod demand;
+mod engine_table;
 pub mod interface;
-mod learned;
-mod order_queue;
-mod peer_reports;
+mod load;
+mod policy;
 mod random;
-mod state;
+mod scheduler;
+mod statement;
+mod statement_queues;
+mod token_bucket;
 
-pub use decide::Front;
+pub use policy::penalty::penalty;
+pub use scheduler::Scheduler;
--- /dev/null
+++ b/src/scheduler/zones.rs
@@ -0,0 +1,60 @@
+//! What other fronts report, and zones that are evacuated and reopened.
+
+use crate::interface::{EngineId, PeerReport};
+use crate::policy::peer_evidence::{ReportContext, ReportOutcome, ZoneOutcome};
+
+use super::Scheduler;
+
+impl Scheduler {
+    /// Another front reported on an engine.
+    pub(super) fn peer_reported(&mut self, report: PeerReport) {
+        let context = ReportContext {
+            longest_run: self.estimates.longest_run(),
+            healthy_since: self.slow_start.started_at(report.engine),
+            now: self.clock.now,
+        };
+        let engines = &self.engines;
+        let zone = || engines.same_zone(report.engine).collect();
+        let outcome = self.peer_evidence.reported(&report, &context, zone);
+        if outcome == ReportOutcome::FoundHealthy {
+            self.found_healthy(report.engine);
+        }
+    }
+
+    /// Whether the zone of an engine is evacuated.
+    pub(super) fn is_evacuated(&self, e: EngineId) -> bool {
+        self.peer_evidence.has_evacuated()
+            && self.peer_evidence.is_evacuated(self.engines.same_zone(e))
+    }
+
+    /// The share of an engine's limit that other fronts' reports leave; of an evacuated zone nothing.
+    pub(super) fn unsuspected_share(&self, e: EngineId) -> f64 {
+        if self.is_evacuated(e) {
+            0.0
+        } else {
+            self.peer_evidence.limit_share(e, self.clock.now)
+        }
+    }
+
+    /// An engine is healthy. If it was a suspect of an evacuated zone that reopens now, the zone warms up.
+    pub(super) fn found_healthy(&mut self, e: EngineId) {
+        if !self.peer_evidence.is_suspect(e) {
+            return;
+        }
+        let zone: Vec<EngineId> = self.engines.same_zone(e).collect();
+        if self.peer_evidence.found_healthy(e, &zone) == ZoneOutcome::Reopened {
+            for engine in zone {
+                self.outliers.reset(engine);
+                self.start_warm_up(engine, self.clock.now);
+            }
+        }
+    }
+
+    /// One suspect of the evacuated zones, at a share of their count.
+    pub(super) fn pick_suspect(&self, share: f64) -> Option<EngineId> {
+        let listed = |engine: &EngineId| self.engines.is_listed(*engine);
+        let suspects: Vec<EngineId> = self.peer_evidence.suspects().filter(listed).collect();
+        let place = (share * suspects.len() as f64) as usize;
+        suspects.get(place).copied()
+    }
+}
