--- a/crates/dispatcher/src/completion.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -26,26 +26,11 @@
         let engine = ended.engine;
         let took = now - ended.sent;
         self.engines[engine].execution_ended(now, ending, ended.held);
-        ended.in_flight = false;
-        ended.held = false;
-        ended.ending = Some(ending);
-
-        let answered = ending == Ending::Answered;
-        let ends_statement = (answered || statement.answer_begun) && !statement.over;
+        ended.end(ending);
+        let ends_statement = statement.answered_by(ending);
         statement.over |= ends_statement;
         let settled = statement.over;
-        let transaction_keeps_key = ends_statement && answered && statement.transaction_goes_on;
-        if let Some(name) = statement
-            .order_key
-            .as_ref()
-            .filter(|_| transaction_keeps_key)
-        {
-            self.order_keys.share(name);
-            if statement.needs_promises {
-                self.promise_events
-                    .push(PromiseEvent::KeyKept(name.clone()));
-            }
-        }
+        let keeps_order_key = ends_statement && self.share_order_key(ticket, ending);
         self.events.push(Event::Ended(Ended {
             statement: ticket,
             execution,
@@ -53,7 +38,7 @@
             outcome: ending.outcome(),
             took,
             settled,
-            keeps_order_key: transaction_keeps_key,
+            keeps_order_key,
             report,
         }));
         if ends_statement {
@@ -63,6 +48,24 @@
         ends_statement
     }
 
+    /// Where the transaction of a statement that is answered goes on, it keeps the order key: whether it does.
+    fn share_order_key(&mut self, ticket: Ticket, ending: Ending) -> bool {
+        let Some(statement) = self.statements.get(&ticket) else {
+            return false;
+        };
+        if ending != Ending::Answered || !statement.transaction_goes_on {
+            return false;
+        }
+        if let Some(name) = &statement.order_key {
+            self.order_keys.share(name);
+            if statement.needs_promises {
+                let kept = PromiseEvent::KeyKept(name.clone());
+                self.promise_events.push(kept);
+            }
+        }
+        true
+    }
+
     /// The client no longer waits.
     pub fn client_left(&mut self, now: Micros, ticket: Ticket) {
         let Some(statement) = self.statements.get_mut(&ticket).filter(|s| !s.over) else {
--- a/crates/dispatcher/src/executions.rs
+++ b/crates/dispatcher/src/executions.rs
@@ -43,6 +43,13 @@
         }
     }
 
+    /// It has ended.
+    pub fn end(&mut self, ending: Ending) {
+        self.in_flight = false;
+        self.held = false;
+        self.ending = Some(ending);
+    }
+
     /// Whether it may have run, or may still run.
     pub fn may_have_run(&self) -> bool {
         self.ending.is_none_or(Ending::may_have_run)
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -82,7 +82,7 @@
 
 /// The statements, engines and order keys of one front, and the module that decides on them.
 pub struct Dispatcher {
-    front: Scheduler,
+    scheduler: Scheduler,
     names: Names,
     workloads: Vec<Workload>,
     /// Microseconds after its start in which an engine may still be warming up.
@@ -122,7 +122,7 @@
             })
             .collect();
         Dispatcher {
-            front: Scheduler::new(agreement.clone(), seed),
+            scheduler: Scheduler::new(agreement.clone(), seed),
             names: settings.names.clone(),
             workloads: agreement.workloads.clone(),
             warm_within: agreement.warm_within,
--- a/crates/dispatcher/src/statements.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -65,6 +65,12 @@
         }
     }
 
+    /// Whether the statement is answered as one of its executions ends.
+    pub fn answered_by(&self, ending: Ending) -> bool {
+        let has_answer = ending == Ending::Answered || self.answer_begun;
+        has_answer && !self.over
+    }
+
     /// Until when a retry may leave, where engines drop repeats within a window: counted from the first execution
     /// that may have run. The decision is made within it, but a connection may come up late.
     pub fn repeats_until(&self, window: Option<Micros>) -> Micros {
--- a/crates/dispatcher/src/tick.rs
+++ b/crates/dispatcher/src/tick.rs
@@ -30,7 +30,7 @@
         }
         let mut events = std::mem::take(&mut self.events);
         let first_new = self.refresh_time_left(now, &mut events);
-        for action in self.front.decide(now, events) {
+        for action in self.scheduler.decide(now, events) {
             if let Action::Reject { statement, .. } | Action::Abort { statement, .. } = &action {
                 self.count_shed(now, *statement, first_new);
             }
