--- a/crates/dispatcher/src/completion.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -93,7 +93,7 @@
         if self.watches_promises {
             self.promise_events.push(PromiseEvent::KeyFreed {
                 key: name.to_string(),
-                rests: may_still_run,
+                may_still_run,
             });
         }
         self.order_keys.release(now, name);
@@ -116,7 +116,7 @@
             return;
         }
         self.deadlines.remove(&Deadline {
-            at: statement.terms.ends,
+            at: statement.terms.deadline,
             ticket,
         });
         let Some(statement) = self.statements.remove(&ticket) else {
--- a/crates/dispatcher/src/executions.rs
+++ b/crates/dispatcher/src/executions.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
     /// The time at which its client stops waiting, in microseconds.
-    pub ends: Micros,
+    pub deadline: Micros,
     /// The time, in microseconds, after which it may no longer leave for its engine: engines drop its repeats for a
     /// while only.
     pub leave_by: Micros,
--- a/crates/dispatcher/src/promises.rs
+++ b/crates/dispatcher/src/promises.rs
@@ -22,7 +22,7 @@
         /// The order key.
         key: String,
         /// The transaction may still run: the key pauses.
-        rests: bool,
+        may_still_run: bool,
     },
     /// Such a statement is over.
     Over(StatementOver),
@@ -49,17 +49,17 @@
     /// The statement.
     pub ticket: Ticket,
     /// It may have run.
-    pub ran: bool,
+    pub may_have_run: bool,
     /// Some execution of it may still run: its order key pauses.
-    pub rests: bool,
+    pub may_still_run: bool,
 }
 
 impl StatementOver {
     pub(crate) fn new(ticket: Ticket, statement: &Statement) -> StatementOver {
         StatementOver {
             ticket,
-            ran: statement.endings().any(Ending::may_have_run),
-            rests: statement.endings().any(may_still_run),
+            may_have_run: statement.endings().any(Ending::may_have_run),
+            may_still_run: statement.endings().any(may_still_run),
         }
     }
 }
--- a/crates/dispatcher/src/promises_tests.rs
+++ b/crates/dispatcher/src/promises_tests.rs
@@ -51,8 +51,8 @@
             d.promise_events(),
             [PromiseEvent::Over(StatementOver {
                 ticket,
-                ran: false,
-                rests: false
+                may_have_run: false,
+                may_still_run: false
             })]
         );
         assert_eq!(
@@ -70,7 +70,7 @@
 
 #[test]
 fn gone_tells_what_may_have_run_and_what_may_be_running_on() {
-    for (ending, ran, rests) in [
+    for (ending, may_have_run, may_still_run) in [
         (Ending::Answered, true, false),
         (Ending::Withdrawn, false, false),
         (Ending::EngineFailed, true, false),
@@ -93,7 +93,11 @@
         d.report(2, ticket, 0, ending, None);
         assert_eq!(
             d.promise_events(),
-            [PromiseEvent::Over(StatementOver { ticket, ran, rests })],
+            [PromiseEvent::Over(StatementOver {
+                ticket,
+                may_have_run,
+                may_still_run
+            })],
             "{ending:?}"
         );
     }
--- a/crates/dispatcher/src/statements.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -50,7 +50,7 @@
             workload: workload_index,
             slo_deadline: now + workload.slo_time + slo_extra as Micros,
             terms: Terms {
-                ends: now + request.time_left,
+                deadline: now + request.time_left,
                 leave_by: Micros::MAX,
                 grant_mb: 0.0,
                 priority: 1,
--- a/crates/dispatcher/src/submission.rs
+++ b/crates/dispatcher/src/submission.rs
@@ -99,7 +99,7 @@
             needs_promises,
         );
         self.deadlines.insert(Deadline {
-            at: statement.terms.ends,
+            at: statement.terms.deadline,
             ticket,
         });
         self.statements.insert(ticket, statement);
--- a/crates/dispatcher/src/tick.rs
+++ b/crates/dispatcher/src/tick.rs
@@ -68,8 +68,8 @@
             };
             first_new.get_or_insert(arrival.statement);
             let statement = self.statements.get(&arrival.statement);
-            let ends = statement.map_or(now, |s| s.terms.ends);
-            arrival.time_left = ends - now;
+            let deadline = statement.map_or(now, |s| s.terms.deadline);
+            arrival.time_left = deadline - now;
         }
         first_new
     }
--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -118,7 +118,9 @@
                 self.arrived(&statement, id);
             }
             PromiseEvent::KeyKept(key) => self.retain_key(&key),
-            PromiseEvent::KeyFreed { key, rests } => self.release_key(now, &key, rests),
+            PromiseEvent::KeyFreed { key, may_still_run } => {
+                self.release_key(now, &key, may_still_run)
+            }
             PromiseEvent::Over(statement) => self.end(now, statement),
         }
     }
@@ -149,7 +151,7 @@
         let Some(statement) = self.statements.get_mut(&pending.ticket) else {
             return;
         };
-        let half_of_its_time = (pending.terms.ends - now) / 2;
+        let half_of_its_time = (pending.terms.deadline - now) / 2;
         statement.held = Some(pending);
         statement.wait_until = now + MAX_FIRST_WAIT.min(half_of_its_time);
         self.claim(now, pending.ticket);
--- a/crates/fleet/src/gate/claims.rs
+++ b/crates/fleet/src/gate/claims.rs
@@ -127,7 +127,7 @@
         let Some(statement) = self.statements.get_mut(&ticket) else {
             return;
         };
-        let Some(held) = statement.held.filter(|held| now < held.terms.ends) else {
+        let Some(held) = statement.held.filter(|held| now < held.terms.deadline) else {
             return;
         };
         let wait_until = statement.wait_until;
@@ -169,7 +169,7 @@
 }
 
 fn claim_on(requirement: &Requirement, held: &PendingExecution, wait_until: Micros) -> Claim {
-    let ends = held.terms.ends;
+    let ends = held.terms.deadline;
     Claim {
         until_ms: requirement.until(ends),
         runs_until_ms: requirement.runs_until(ends),
--- a/crates/fleet/src/gate/key_state.rs
+++ b/crates/fleet/src/gate/key_state.rs
@@ -252,13 +252,13 @@
     pub fn end(&mut self, now: Micros, statement: StatementOver) {
         self.waiting.remove(&statement.ticket);
         let reserves = if self.kind == Kind::Order {
-            statement.rests
+            statement.may_still_run
         } else {
-            statement.ran
+            statement.may_have_run
         };
         if self.executing.remove(&statement.ticket) && reserves {
             self.reserve_after_end(now);
-            self.may_still_run |= statement.rests;
+            self.may_still_run |= statement.may_still_run;
         }
     }
 
--- a/crates/fleet/src/gate/tests.rs
+++ b/crates/fleet/src/gate/tests.rs
@@ -51,7 +51,7 @@
 
 fn pending(ticket: Ticket, execution: usize, now: Micros, location: usize) -> PendingExecution {
     let terms = Terms {
-        ends: now + 4_000 * MS,
+        deadline: now + 4_000 * MS,
         leave_by: Micros::MAX,
         grant_mb: 0.0,
         priority: 1,
@@ -151,8 +151,12 @@
     }
 }
 
-fn over(ticket: Ticket, ran: bool, rests: bool) -> StatementOver {
-    StatementOver { ticket, ran, rests }
+fn over(ticket: Ticket, may_have_run: bool, may_still_run: bool) -> StatementOver {
+    StatementOver {
+        ticket,
+        may_have_run,
+        may_still_run,
+    }
 }
 
 #[test]
--- a/crates/fleet/src/gate/tests/drawn.rs
+++ b/crates/fleet/src/gate/tests/drawn.rs
@@ -329,7 +329,7 @@
             }
             _ => {}
         }
-        let ends = held.terms.ends + GAP;
+        let ends = held.terms.deadline + GAP;
         self.running.push(Run {
             front,
             life,
--- a/crates/front/src/engines/engines_tests.rs
+++ b/crates/front/src/engines/engines_tests.rs
@@ -51,7 +51,7 @@
         0,
         call,
         Terms {
-            ends: 1_000_000,
+            deadline: 1_000_000,
             leave_by: Micros::MAX,
             grant_mb: 0.0,
             priority: 1,
@@ -84,7 +84,7 @@
         0,
         call,
         Terms {
-            ends: 1_000_000,
+            deadline: 1_000_000,
             leave_by: Micros::MAX,
             grant_mb: 0.0,
             priority: 1,
@@ -146,7 +146,7 @@
         0,
         call,
         Terms {
-            ends: 5_000_000,
+            deadline: 5_000_000,
             leave_by: Micros::MAX,
             grant_mb: 0.0,
             priority: 1,
@@ -178,7 +178,7 @@
         ..Call::default()
     };
     let terms = Terms {
-        ends: 5_000_000,
+        deadline: 5_000_000,
         leave_by: Micros::MAX,
         grant_mb: 0.0,
         priority: 1,
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -129,7 +129,7 @@
             id: &execution.call.id,
             workload: &execution.call.workload,
             dedup_key: execution.call.dedup_key.as_deref(),
-            wait_ms: ((execution.terms.ends - now) / 1000).max(1),
+            wait_ms: ((execution.terms.deadline - now) / 1000).max(1),
             grant_mb: execution.terms.grant_mb,
             priority: execution.terms.priority,
             statement: &execution.call.statement,
@@ -182,7 +182,7 @@
         );
         return Some("its engine drains or is gone");
     };
-    if now >= terms.ends {
+    if now >= terms.deadline {
         return Some("its client's time is up");
     }
     // Guards against a repeat that comes after its engines have forgotten the first one.
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -142,7 +142,7 @@
         let Some(site) = self.locations.get(dispatcher.site(place).location) else {
             return false;
         };
-        let ends_ms = ((terms.ends + RUN_ON).max(0) / 1000) as u64;
+        let ends_ms = ((terms.deadline + RUN_ON).max(0) / 1000) as u64;
         self.marker.add_load(
             (u64::from(sent.ticket), sent.number),
             site,
