--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -13,7 +13,8 @@
 use crate::execution::ExecutionId;
 use crate::fleet::rules::{Ordered, Ruling, Shared};
 use crate::fleet::Peers;
-use crate::postgres::gateway::{AdmissionState, Gateway};
+use crate::postgres::admission_state::AdmissionState;
+use crate::postgres::gateway::Gateway;
 use crate::refusal::Refusal;
 use crate::scatter::Load;
 
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -15,8 +15,10 @@
 use hallmux_postgres::session::Transaction;
 
 use self::admission::final_answer;
+use super::admission_state::AdmissionState;
 use super::error::ListenError;
-use super::servers::{self, Servers, SessionId, Unit};
+use super::ids::{Pin, SessionId};
+use super::servers::{self, Servers, Unit};
 use super::sessions::{self, Sessions, Users};
 use crate::events::{LoopEvents, SocketId, SocketKind};
 use crate::execution::ExecutionId;
@@ -25,15 +27,6 @@
 use crate::refusal::Refusal;
 use crate::transient;
 
-/// What admission of a unit depends on beyond its session.
-#[derive(Clone, Copy)]
-pub struct AdmissionState {
-    /// How long what is found now may have waited.
-    pub waited: Micros,
-    /// No more statements can be taken.
-    pub full: bool,
-}
-
 pub struct Gateway {
     handle: LoopHandle<'static, LoopEvents>,
     listener: Listener,
@@ -132,8 +125,8 @@
     }
 
     /// Whether an execution is out for a session, or was when it left.
-    pub fn has(&self, sent: ExecutionId) -> bool {
-        self.servers.has(sent)
+    pub fn has(&self, execution_id: ExecutionId) -> bool {
+        self.servers.has(execution_id)
     }
 
     /// Where an engine of a kind takes sessions: at a port of its own beside lines, or in their place.
@@ -162,12 +155,12 @@
         &mut self,
         now: Micros,
         socket: SocketId,
-        room: AdmissionState,
+        admission: AdmissionState,
         dispatcher: &mut Dispatcher,
     ) -> bool {
         let more = self.ready(now, socket);
         if socket.kind == SocketKind::Session {
-            self.take_units(now, room, dispatcher);
+            self.take_units(now, admission, dispatcher);
         }
         more
     }
@@ -195,18 +188,18 @@
     }
 
     /// Reads on where an iteration has left more, and takes the units that have come.
-    pub fn take(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
+    pub fn take(&mut self, now: Micros, admission: AdmissionState, dispatcher: &mut Dispatcher) {
         for socket in std::mem::take(&mut self.unfinished) {
             self.read_on(now, socket);
         }
-        self.take_units(now, room, dispatcher);
+        self.take_units(now, admission, dispatcher);
     }
 
-    fn take_units(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
+    fn take_units(&mut self, now: Micros, admission: AdmissionState, dispatcher: &mut Dispatcher) {
         for id in std::mem::take(&mut self.sessions.ready) {
             self.sessions
                 .advance(now, id, &self.users, &mut self.servers);
-            self.handle_session_events(now, room, dispatcher);
+            self.handle_session_events(now, admission, dispatcher);
         }
     }
 
@@ -214,7 +207,7 @@
     fn handle_session_events(
         &mut self,
         now: Micros,
-        room: AdmissionState,
+        admission: AdmissionState,
         dispatcher: &mut Dispatcher,
     ) {
         while !self.sessions.events.is_empty() {
@@ -225,7 +218,7 @@
                         part,
                         since,
                     } => {
-                        self.admit(now, room, dispatcher, session, part, since);
+                        self.admit(now, admission, dispatcher, session, part, since);
                     }
                     sessions::Event::UnitPart { ticket, part }
                         if self.names_unmarked_groups(ticket, &part) =>
@@ -235,10 +228,12 @@
                         self.left(now, dispatcher, ticket);
                     }
                     sessions::Event::UnitPart { ticket, part } => {
-                        let sent = self.sessions.by_ticket(ticket);
-                        let sent = sent.and_then(|(_, i)| i.running.as_ref()?.sent);
-                        sent.into_iter()
-                            .for_each(|sent| self.servers.more(sent, part.clone()));
+                        let execution_id = self.sessions.by_ticket(ticket);
+                        let execution_id =
+                            execution_id.and_then(|(_, i)| i.running.as_ref()?.execution_id);
+                        execution_id
+                            .into_iter()
+                            .for_each(|execution_id| self.servers.more(execution_id, part.clone()));
                     }
                     sessions::Event::Abandoned(ticket) => self.left(now, dispatcher, ticket),
                     sessions::Event::TransactionOver {
@@ -258,20 +253,26 @@
     }
 
     /// An execution leaves; with other text where it is a simple query that is to have it.
-    pub fn send(&mut self, now: Micros, sent: ExecutionId, place: Place, text: Option<Vec<u8>>) {
-        let Some((session, open_session)) = self.sessions.by_ticket(sent.ticket) else {
+    pub fn send(
+        &mut self,
+        now: Micros,
+        execution_id: ExecutionId,
+        place: Place,
+        text: Option<Vec<u8>>,
+    ) {
+        let Some((session, open_session)) = self.sessions.by_ticket(execution_id.ticket) else {
             return self.servers.events.push(servers::Event::Ended {
-                sent,
+                execution_id,
                 ending: Ending::Withdrawn,
             });
         };
         let (settings, account) = (open_session.session.settings.clone(), open_session.account);
-        let pin = open_session.pin.map(|(_, link)| link);
+        let pin = open_session.pin.map(|pin| pin.server);
         let lost = open_session.session.transaction == Transaction::Lost;
         let Some(running) = &mut open_session.running else {
             return;
         };
-        running.sent = Some(sent);
+        running.execution_id = Some(execution_id);
         let (mut parts, once) = (running.parts.clone(), running.commits);
         if let (Some(text), [part]) = (text, &mut parts[..]) {
             *part = part.with_text(&text).map_or_else(|| part.clone(), Rc::new);
@@ -279,13 +280,13 @@
         if lost {
             // Its transaction went while it waited.
             return self.servers.events.push(servers::Event::Ended {
-                sent,
+                execution_id,
                 ending: Ending::Withdrawn,
             });
         }
         self.servers.send(
             now,
-            sent,
+            execution_id,
             place,
             Unit {
                 session,
@@ -298,15 +299,15 @@
         );
     }
 
-    pub fn stop(&mut self, now: Micros, sent: ExecutionId, ending: Ending) {
+    pub fn stop(&mut self, now: Micros, execution_id: ExecutionId, ending: Ending) {
         let running = self
             .sessions
-            .by_ticket(sent.ticket)
+            .by_ticket(execution_id.ticket)
             .and_then(|(_, open_session)| open_session.running.as_mut());
         running
             .into_iter()
             .for_each(|r| r.time_up |= ending == Ending::TimeUp);
-        self.servers.cancel_execution(now, sent, ending);
+        self.servers.cancel_execution(now, execution_id, ending);
     }
 
     /// The module turns a statement away, or ends it.
@@ -322,7 +323,7 @@
     pub fn handle_server_events(
         &mut self,
         now: Micros,
-        room: AdmissionState,
+        admission: AdmissionState,
         dispatcher: &mut Dispatcher,
     ) {
         loop {
@@ -333,9 +334,9 @@
             for event in events {
                 self.handle_server_event(now, dispatcher, event);
             }
-            self.handle_session_events(now, room, dispatcher);
+            self.handle_session_events(now, admission, dispatcher);
         }
-        self.take(now, room, dispatcher);
+        self.take(now, admission, dispatcher);
     }
 
     fn handle_server_event(
@@ -349,7 +350,7 @@
                 dispatcher.answer_begun(ticket)
             }
             servers::Event::PartialAnswer {
-                sent:
+                execution_id:
                     ExecutionId {
                         ticket,
                         number: execution,
@@ -364,7 +365,7 @@
                 }
             }
             servers::Event::Answered {
-                sent:
+                execution_id:
                     ExecutionId {
                         ticket,
                         number: execution,
@@ -393,12 +394,14 @@
                 {
                     open_session.held_keys.push(key);
                 }
-                let place = held.and_then(|link| self.servers.place(link));
-                let pin = place.zip(held);
+                let pin = held.and_then(|server| {
+                    let place = self.servers.place(server)?;
+                    Some(Pin { place, server })
+                });
                 self.sessions.answer(now, ticket, &bytes, &done, pin);
             }
             servers::Event::Refused {
-                sent:
+                execution_id:
                     ExecutionId {
                         ticket,
                         number: execution,
@@ -412,7 +415,7 @@
                 }
             }
             servers::Event::Ended {
-                sent:
+                execution_id:
                     ExecutionId {
                         ticket,
                         number: execution,
@@ -423,7 +426,7 @@
                 if let Some((_, open_session)) = self.sessions.by_ticket(ticket) {
                     if let Some(running) = &mut open_session.running {
                         running.ran |= ending.may_have_run();
-                        running.sent = None;
+                        running.execution_id = None;
                         cancelled = running.cancelled;
                     }
                 }
@@ -451,12 +454,12 @@
     pub fn flush(
         &mut self,
         now: Micros,
-        room: AdmissionState,
+        admission: AdmissionState,
         most: usize,
         dispatcher: &mut Dispatcher,
     ) {
-        for sent in self.sessions.flush(now) {
-            if let Some(link) = self.servers.pause(sent, false) {
+        for execution_id in self.sessions.flush(now) {
+            if let Some(link) = self.servers.pause(execution_id, false) {
                 self.read_on(now, SocketKind::Server.id(link));
             }
         }
@@ -469,15 +472,15 @@
         for id in self.sessions.unstalled() {
             self.read_on(now, SocketKind::Session.id(id));
         }
-        self.handle_session_events(now, room, dispatcher);
+        self.handle_session_events(now, admission, dispatcher);
     }
 
-    pub fn expire(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
+    pub fn expire(&mut self, now: Micros, admission: AdmissionState, dispatcher: &mut Dispatcher) {
         self.sessions.expire(now, self.shut);
         let unfinished = self.servers.expire(now);
         self.unfinished
             .extend(unfinished.into_iter().map(|id| SocketKind::Server.id(id)));
-        self.handle_session_events(now, room, dispatcher);
+        self.handle_session_events(now, admission, dispatcher);
     }
 
     /// The front ends: no more sessions are taken, and those that rest are closed. `sessions_left` is how many more may
@@ -485,7 +488,7 @@
     pub fn close(
         &mut self,
         now: Micros,
-        room: AdmissionState,
+        admission: AdmissionState,
         sessions_left: usize,
         dispatcher: &mut Dispatcher,
     ) {
@@ -495,7 +498,7 @@
         self.accept(now, sessions_left);
         self.listener.close();
         self.sessions.close_idle(now);
-        self.handle_session_events(now, room, dispatcher);
+        self.handle_session_events(now, admission, dispatcher);
     }
 }
 
--- a/crates/front/src/postgres/gateway/accept.rs
+++ b/crates/front/src/postgres/gateway/accept.rs
@@ -17,12 +17,12 @@
         self.sessions.drop_lingering()
     }
 
-    /// Accepts connections; `room` is how many more may be connected.
-    pub fn accept(&mut self, now: Micros, mut room: usize) {
+    /// Accepts connections; `connections_left` is how many more may be connected.
+    pub fn accept(&mut self, now: Micros, mut connections_left: usize) {
         loop {
             let (sessions, most) = (&mut self.sessions, self.allowed.limits.sessions);
             let reserve = || {
-                let has_descriptor = room > 0 || sessions.drop_lingering();
+                let has_descriptor = connections_left > 0 || sessions.drop_lingering();
                 let free = has_descriptor && sessions.open_len() < most || sessions.evict_idle(now);
                 free.then_some(())
                     .ok_or_else(|| format!("{} sessions are connected", sessions.len()))
@@ -31,7 +31,7 @@
                 return;
             };
             let id = self.sessions.next_id();
-            room = room.saturating_sub(1);
+            connections_left = connections_left.saturating_sub(1);
             match Link::new(stream, &self.handle, SocketKind::Session.id(id)) {
                 Ok(link) => {
                     self.sessions.accept(now, id, link);
--- a/crates/front/src/postgres/gateway/admission.rs
+++ b/crates/front/src/postgres/gateway/admission.rs
@@ -10,8 +10,9 @@
 use hallmux_postgres::session::{Transaction, UnitPart};
 use hallmux_postgres::sql::Label;
 
-use super::{loads, AdmissionState, Gateway};
-use crate::postgres::servers::SessionId;
+use super::{loads, Gateway};
+use crate::postgres::admission_state::AdmissionState;
+use crate::postgres::ids::SessionId;
 use crate::postgres::sessions;
 use crate::refusal::Refusal;
 
@@ -22,7 +23,7 @@
     pub(super) fn admit(
         &mut self,
         now: Micros,
-        room: AdmissionState,
+        admission: AdmissionState,
         dispatcher: &mut Dispatcher,
         id: SessionId,
         part: Rc<UnitPart>,
@@ -35,7 +36,7 @@
         let why = match terms(&label, &open_session.user, &self.timeouts) {
             Err(why) => why,
             Ok(_) if loads::passes_for_numbered(&self.writes, &part) => loads::NUMBERED,
-            Ok(_) if room.full => ClientError::Rejected {
+            Ok(_) if admission.full => ClientError::Rejected {
                 retry_after_ms: self.retry_after_ms,
             },
             Ok(terms) => {
@@ -43,7 +44,7 @@
                     .session
                     .statement_timeout(&label)
                     .unwrap_or(Micros::MAX);
-                let waited = (now - since).max(room.waited);
+                let waited = (now - since).max(admission.waited);
                 let time_left = terms.timeout.min(own) - self.answer_slack - waited;
                 let key = label.key.as_deref();
                 let kept = key.is_some_and(|key| open_session.held_keys.iter().any(|k| k == key));
@@ -76,7 +77,7 @@
                     memory_mb: terms.memory_mb,
                     data_set: tables::group(part.text()),
                     protocol: Protocol::Postgres,
-                    pinned: open_session.pin.map(|(place, _)| place),
+                    pinned: open_session.pin.map(|pin| pin.place),
                     allowed: allowed.as_deref(),
                 };
                 let picked = dispatcher.submit(now, &ask);
@@ -127,9 +128,9 @@
         if std::mem::replace(&mut running.cancelled, true) {
             return;
         }
-        let (ticket, sent) = (running.ticket, running.sent);
+        let (ticket, execution_id) = (running.ticket, running.execution_id);
         // What is out is the engine's to end; what is held here, or can't be ended there, ends here.
-        if !sent.is_some_and(|sent| self.servers.cancel(now, sent)) {
+        if !execution_id.is_some_and(|execution_id| self.servers.cancel(now, execution_id)) {
             self.sessions
                 .fail(now, ticket, &ClientError::Cancelled, None);
             self.left(now, dispatcher, ticket);
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -16,6 +16,7 @@
 use hallmux_postgres::prepared::SessionSettings;
 use hallmux_postgres::session::UnitPart;
 
+use super::ids::{ServerId, SessionId};
 use crate::dial_pacer::{self, DialPacer};
 use crate::events::LoopEvents;
 use crate::execution::ExecutionId;
@@ -25,41 +26,36 @@
 const CHECK_INTERVAL: Micros = 100_000; // microseconds between looks at connections that have rested for long
 const MOST_ACCOUNTS: usize = 1_000; // accounts at the engines, by user and database; beyond them none come in
 
-pub type ServerId = u64;
-pub type SessionId = u64;
-
 /// Replies of engines, and how executions have ended.
 pub enum Event {
     /// It may have taken effect from now on, whatever becomes of its connection: it is not repeated.
     Irrevocable(ExecutionId),
     /// Part of its answer; `whole` if that ends with a message.
     PartialAnswer {
-        sent: ExecutionId,
+        execution_id: ExecutionId,
         bytes: Vec<u8>,
         whole: bool,
     },
     /// The rest of its answer, and the connection that holds its transaction, if one is open.
     Answered {
-        sent: ExecutionId,
+        execution_id: ExecutionId,
         bytes: Vec<u8>,
         done: UnitOutcome,
         held: Option<ServerId>,
     },
     /// Not executed, with the error that the engine gives.
     Refused {
-        sent: ExecutionId,
+        execution_id: ExecutionId,
         error: Vec<u8>,
     },
     Ended {
-        sent: ExecutionId,
+        execution_id: ExecutionId,
         ending: Ending,
     },
     /// The engine that this is out on has replied to something, if not to it.
     Alive(ExecutionId),
     /// The open transaction of a session is gone with its connection.
-    TransactionLost {
-        session: SessionId,
-    },
+    TransactionLost { session: SessionId },
 }
 
 /// A unit as it goes out.
@@ -212,9 +208,9 @@
     }
 
     /// Whether an execution is one of its own, also where it only waits for its request to cancel.
-    pub fn has(&self, sent: ExecutionId) -> bool {
-        let ends = |cancel: &Cancel| cancel.ends.is_some_and(|(other, _)| other == sent);
-        self.executions.contains_key(&sent) || self.cancels.values().any(ends)
+    pub fn has(&self, execution_id: ExecutionId) -> bool {
+        let ends = |cancel: &Cancel| cancel.ends.is_some_and(|(other, _)| other == execution_id);
+        self.executions.contains_key(&execution_id) || self.cancels.values().any(ends)
     }
 
     /// The engine that a connection is to.
@@ -274,7 +270,7 @@
         let (waited, resting) = self.pools.retire_engine(place);
         waited
             .into_iter()
-            .for_each(|sent| self.report_end(sent, Ending::Withdrawn));
+            .for_each(|execution_id| self.report_end(execution_id, Ending::Withdrawn));
         resting.into_iter().for_each(|id| self.close(id));
         // What waits for its settings there has not left either.
         let setting = |(id, l): (&ServerId, &Server)| {
@@ -286,11 +282,14 @@
             self.close(id);
             waits
                 .into_iter()
-                .for_each(|sent| self.report_end(sent, Ending::Withdrawn));
+                .for_each(|execution_id| self.report_end(execution_id, Ending::Withdrawn));
         }
         let held = |(id, l): (&ServerId, &Server)| {
-            let idle = match l.serves.and_then(|sent| self.executions.get(&sent)) {
-                Some(x) => x.stage == Stage::Waiting,
+            let idle = match l
+                .serves
+                .and_then(|execution_id| self.executions.get(&execution_id))
+            {
+                Some(execution) => execution.stage == Stage::Waiting,
                 None => true,
             };
             (l.place == place && l.holds.is_some() && idle).then_some(*id)
@@ -302,15 +301,18 @@
             self.close(id);
             waits
                 .into_iter()
-                .for_each(|sent| self.report_end(sent, Ending::Withdrawn));
+                .for_each(|execution_id| self.report_end(execution_id, Ending::Withdrawn));
             self.events
                 .extend(session.map(|session| Event::TransactionLost { session }));
         }
     }
 
-    fn report_end(&mut self, sent: ExecutionId, ending: Ending) {
-        self.executions.remove(&sent);
-        self.events.push(Event::Ended { sent, ending });
+    fn report_end(&mut self, execution_id: ExecutionId, ending: Ending) {
+        self.executions.remove(&execution_id);
+        self.events.push(Event::Ended {
+            execution_id,
+            ending,
+        });
     }
 
     fn engine_name(&self, id: ServerId) -> &str {
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -4,68 +4,79 @@
 use hallmux_postgres::pool::Released;
 use hallmux_postgres::wire;
 
-use super::{Cancel, Event, Server, ServerId, Servers, Stage};
+use super::{Cancel, Event, Server, Servers, Stage};
 use crate::events::SocketKind;
 use crate::execution::ExecutionId;
 use crate::link::Link;
+use crate::postgres::ids::ServerId;
 
 impl Servers {
     /// Cancels an execution. It ends with the ending given, or as withdrawn where nothing of it has left.
-    pub fn cancel_execution(&mut self, now: Micros, sent: ExecutionId, ending: Ending) {
-        let Some(x) = self.executions.get(&sent) else {
-            return self.end_before_cancelled(sent, ending);
+    pub fn cancel_execution(&mut self, now: Micros, execution_id: ExecutionId, ending: Ending) {
+        let Some(execution) = self.executions.get(&execution_id) else {
+            return self.end_before_cancelled(execution_id, ending);
         };
-        let (place, link) = (x.place, x.link);
+        let (place, link) = (execution.place, execution.link);
         let Some(id) = link else {
-            self.pools.withdraw(place, sent);
+            self.pools.withdraw(place, execution_id);
             // One that waits for a cancel to be over lets its transaction go, which it could not end.
-            let pinned = x.unit.pin;
+            let pinned = execution.unit.pin;
             // Also where its time is up. Guards against a commit that passes for one in doubt and never left.
-            self.report_end(sent, Ending::Withdrawn);
+            self.report_end(execution_id, Ending::Withdrawn);
             pinned.into_iter().for_each(|id| self.close(id));
             return;
         };
         // Guards against a commit that passes for one in doubt, and a unit that leaves though it is given up:
         // behind settings that are being brought over nothing of it has left.
         if self.links.get(&id).is_some_and(|l| l.engine.is_setting()) {
-            self.report_end(sent, Ending::Withdrawn);
+            self.report_end(execution_id, Ending::Withdrawn);
             return self.close(id);
         }
         // Its client is owed its answer now; else it ends when the engine has taken the request.
         let at_once = ending == Ending::TimeUp;
         // Time that a client spent on taking its answer is not the engine's.
-        let ending = if ending == Ending::TimeUp && x.paused {
+        let ending = if ending == Ending::TimeUp && execution.paused {
             Ending::GivenUp
         } else {
             ending
         };
-        self.executions.remove(&sent);
+        self.executions.remove(&execution_id);
         let held = self.links.get(&id).is_some_and(|l| l.holds.is_some());
         if self.allowance.cancel || held {
-            let ends = (!at_once).then_some((sent, ending));
+            let ends = (!at_once).then_some((execution_id, ending));
             let asked = self.allowance.cancel && self.ask_to_cancel(now, id, ends);
             self.close(id);
             if at_once || !asked {
-                self.events.push(Event::Ended { sent, ending });
+                self.events.push(Event::Ended {
+                    execution_id,
+                    ending,
+                });
             }
         } else {
             if let Some(link) = self.links.get_mut(&id) {
                 (link.serves, link.discards) = (None, true);
             }
-            self.events.push(Event::Ended { sent, ending });
+            self.events.push(Event::Ended {
+                execution_id,
+                ending,
+            });
         }
     }
 
     /// An execution that waits for its request to cancel has its client's time up. Guards against a client
     /// that is answered late, as it waits for an engine that takes no requests.
-    fn end_before_cancelled(&mut self, sent: ExecutionId, ending: Ending) {
+    fn end_before_cancelled(&mut self, execution_id: ExecutionId, ending: Ending) {
         if ending != Ending::TimeUp {
             return;
         }
-        let waits = |cancel: &&mut Cancel| cancel.ends.is_some_and(|(other, _)| other == sent);
+        let waits =
+            |cancel: &&mut Cancel| cancel.ends.is_some_and(|(other, _)| other == execution_id);
         if let Some(cancel) = self.cancels.values_mut().find(waits) {
             cancel.ends = None;
-            self.events.push(Event::Ended { sent, ending });
+            self.events.push(Event::Ended {
+                execution_id,
+                ending,
+            });
         }
     }
 
@@ -74,12 +85,13 @@
         let of_ticket = self
             .executions
             .iter()
-            .filter(|(sent, _)| sent.ticket == ticket);
-        let here: Vec<(ExecutionId, Option<ServerId>)> =
-            of_ticket.map(|(sent, x)| (*sent, x.link)).collect();
-        for (sent, link) in here {
+            .filter(|(execution_id, _)| execution_id.ticket == ticket);
+        let here: Vec<(ExecutionId, Option<ServerId>)> = of_ticket
+            .map(|(execution_id, execution)| (*execution_id, execution.link))
+            .collect();
+        for (execution_id, link) in here {
             let Some(id) = link else {
-                self.cancel_execution(now, sent, Ending::Withdrawn);
+                self.cancel_execution(now, execution_id, Ending::Withdrawn);
                 continue;
             };
             // What is written and has yet to leave goes with its connection, also what waits for its settings.
@@ -87,24 +99,24 @@
             let unsent = self
                 .links
                 .get(&id)
-                .is_some_and(|l| l.serves == Some(sent) && stays(l));
+                .is_some_and(|l| l.serves == Some(execution_id) && stays(l));
             if let Some(place) = self.place(id).filter(|_| unsent) {
-                self.report_end(sent, Ending::Withdrawn);
+                self.report_end(execution_id, Ending::Withdrawn);
                 self.close_and_refill(now, id, place);
             }
         }
     }
 
     /// A client asks for the end of what is out. False if nothing can be done about it.
-    pub fn cancel(&mut self, now: Micros, sent: ExecutionId) -> bool {
-        let Some(x) = self
+    pub fn cancel(&mut self, now: Micros, execution_id: ExecutionId) -> bool {
+        let Some(execution) = self
             .executions
-            .get(&sent)
-            .filter(|x| x.stage != Stage::Waiting)
+            .get(&execution_id)
+            .filter(|execution| execution.stage != Stage::Waiting)
         else {
             return false;
         };
-        let Some(id) = x.link.filter(|_| self.allowance.cancel) else {
+        let Some(id) = execution.link.filter(|_| self.allowance.cancel) else {
             return false;
         };
         if let Some(link) = self.links.get_mut(&id) {
@@ -157,9 +169,9 @@
             Ok(true) => {}
             Err(_) => return self.cancelled(number),
         }
-        let sent = cancel.link.flush();
+        let execution_id = cancel.link.flush();
         let broken = cancel.link.read().broken;
-        if sent.is_err() || broken.is_some() || !cancel.link.input.is_empty() {
+        if execution_id.is_err() || broken.is_some() || !cancel.link.input.is_empty() {
             self.cancelled(number);
         }
     }
@@ -186,18 +198,21 @@
         let Some(cancel) = self.cancels.remove(&number) else {
             return;
         };
-        if let Some((sent, ending)) = cancel.ends {
-            self.events.push(Event::Ended { sent, ending });
+        if let Some((execution_id, ending)) = cancel.ends {
+            self.events.push(Event::Ended {
+                execution_id,
+                ending,
+            });
         }
         if let Some(link) = self.links.get_mut(&cancel.server) {
             link.cancels -= 1;
-            let waits = |sent: &ExecutionId| {
+            let waits = |execution_id: &ExecutionId| {
                 self.executions
-                    .get(sent)
-                    .is_some_and(|x| x.stage == Stage::Waiting)
+                    .get(execution_id)
+                    .is_some_and(|execution| execution.stage == Stage::Waiting)
             };
-            if let Some(sent) = link.serves.filter(waits).filter(|_| link.cancels == 0) {
-                self.start(sent, cancel.server);
+            if let Some(execution_id) = link.serves.filter(waits).filter(|_| link.cancels == 0) {
+                self.start(execution_id, cancel.server);
             }
         }
     }
@@ -271,9 +286,9 @@
                 );
             }
         }
-        for sent in waited {
+        for execution_id in waited {
             self.report_end(
-                sent,
+                execution_id,
                 if server.up && ending == Ending::Unreadable {
                     Ending::ConnectionRefused
                 } else {
@@ -281,20 +296,22 @@
                 },
             );
         }
-        if let Some(sent) = server.serves {
-            let x = self.executions.get(&sent);
+        if let Some(execution_id) = server.serves {
+            let execution = self.executions.get(&execution_id);
             let whole = server.link.has_sent(server.write_end);
-            let ending = match x.map(|x| x.stage) {
+            let ending = match execution.map(|execution| execution.stage) {
                 Some(Stage::Waiting) => Ending::Withdrawn,
                 // It waits here for its settings.
                 Some(_) if server.engine.is_setting() => Ending::HalfWritten,
                 // Without its Sync nothing that it does is kept, but for a commit of its own.
-                Some(Stage::Writing) if !whole && !x.is_some_and(|x| x.unit.once) => {
+                Some(Stage::Writing)
+                    if !whole && !execution.is_some_and(|execution| execution.unit.once) =>
+                {
                     Ending::HalfWritten
                 }
                 _ => ending,
             };
-            self.report_end(sent, ending);
+            self.report_end(execution_id, ending);
         }
         self.events.extend(
             server
--- a/crates/front/src/postgres/servers/replies.rs
+++ b/crates/front/src/postgres/servers/replies.rs
@@ -8,9 +8,10 @@
 use hallmux_postgres::pool;
 
 use super::send::dial_ending;
-use super::{Event, Execution, ServerId, Servers, Stage};
+use super::{Event, Execution, Servers, Stage};
 use crate::execution::ExecutionId;
 use crate::link::{Broken, ReadOutcome};
+use crate::postgres::ids::ServerId;
 
 pub(super) const LOGIN_TIMEOUT: Micros = 2_000_000; // microseconds for a login once the connection is up; it takes a few ms
 const PING_AFTER: Micros = 300_000; // microseconds that an engine with units out may be silent before it is pinged
@@ -18,28 +19,34 @@
 
 impl Servers {
     /// Hands on what has come of an answer, if it is due: too much to hold, or a client that waits for it.
-    pub(super) fn pass(&mut self, sent: ExecutionId, caught: bool) {
-        let Some(x) = self.executions.get_mut(&sent) else {
+    pub(super) fn pass(&mut self, execution_id: ExecutionId, caught: bool) {
+        let Some(execution) = self.executions.get_mut(&execution_id) else {
             return;
         };
-        let flushed = x.unit.parts.last().is_some_and(|part| !part.ends);
-        let due = x.begun || flushed || x.unsent_answer.len() > self.limits.buffer_bytes || caught;
-        if due && !x.unsent_answer.is_empty() {
-            x.begun = true;
-            let bytes = std::mem::take(&mut x.unsent_answer);
-            let link = x.link.and_then(|id| self.links.get(&id));
+        let flushed = execution.unit.parts.last().is_some_and(|part| !part.ends);
+        let due = execution.begun
+            || flushed
+            || execution.unsent_answer.len() > self.limits.buffer_bytes
+            || caught;
+        if due && !execution.unsent_answer.is_empty() {
+            execution.begun = true;
+            let bytes = std::mem::take(&mut execution.unsent_answer);
+            let link = execution.link.and_then(|id| self.links.get(&id));
             let whole = link.is_some_and(|l| l.engine.is_between_messages());
-            self.events
-                .push(Event::PartialAnswer { sent, bytes, whole });
+            self.events.push(Event::PartialAnswer {
+                execution_id,
+                bytes,
+                whole,
+            });
         }
     }
 
     /// A client is behind with its answer, or has caught up.
-    pub fn pause(&mut self, sent: ExecutionId, paused: bool) -> Option<ServerId> {
-        let x = self.executions.get_mut(&sent)?;
-        let resumes = x.paused && !paused;
-        x.paused = paused;
-        x.link.filter(|_| resumes)
+    pub fn pause(&mut self, execution_id: ExecutionId, paused: bool) -> Option<ServerId> {
+        let execution = self.executions.get_mut(&execution_id)?;
+        let resumes = execution.paused && !paused;
+        execution.paused = paused;
+        execution.link.filter(|_| resumes)
     }
 
     /// A connection has changed; true if there is more for another iteration.
@@ -71,8 +78,8 @@
         }
         let execution = server
             .serves
-            .and_then(|sent| self.executions.get_mut(&sent));
-        if execution.as_ref().is_some_and(|x| x.paused) {
+            .and_then(|execution_id| self.executions.get_mut(&execution_id));
+        if execution.as_ref().is_some_and(|execution| execution.paused) {
             return false;
         }
         let ReadOutcome {
@@ -85,10 +92,12 @@
             let Some(server) = self.links.get_mut(&id) else {
                 return false;
             };
-            let sent = server.serves;
-            let execution = sent.and_then(|sent| self.executions.get_mut(&sent));
+            let execution_id = server.serves;
+            let execution =
+                execution_id.and_then(|execution_id| self.executions.get_mut(&execution_id));
             let mut dropped = Vec::new();
-            let unsent_answer = execution.map_or(&mut dropped, |x| &mut x.unsent_answer);
+            let unsent_answer =
+                execution.map_or(&mut dropped, |execution| &mut execution.unsent_answer);
             let room = self.limits.buffer_bytes;
             let was_setting = server.engine.is_setting();
             let read = server
@@ -103,8 +112,8 @@
                 Ok((used, reply)) => {
                     at += used;
                     let over = reply.is_none() && used == 0;
-                    if let Some(sent) = sent {
-                        self.pass(sent, false);
+                    if let Some(execution_id) = execution_id {
+                        self.pass(execution_id, false);
                     }
                     if let Some(reply) = reply {
                         self.handle_reply(now, id, reply);
@@ -164,23 +173,24 @@
                 log::warn!("engine {}: no login: {code}", self.engine_name(id));
                 let lost = self.forget(id);
                 self.links.remove(&id);
-                for sent in lost {
+                for execution_id in lost {
                     match code.as_str() {
-                        "53300" => self.report_end(sent, Ending::Rejected),
+                        "53300" => self.report_end(execution_id, Ending::Rejected),
                         code if is_engine_fault(code.as_bytes()) => {
-                            self.report_end(sent, Ending::ConnectionRefused)
+                            self.report_end(execution_id, Ending::ConnectionRefused)
                         }
-                        _ => self.refused(sent, error.clone()),
+                        _ => self.refused(execution_id, error.clone()),
                     }
                 }
                 let step = self.pools.next_action(place);
                 self.step(now, place, step);
             }
             EngineEvent::SettingsRefused { error } => {
-                let sent = server.serves.take();
+                let execution_id = server.serves.take();
                 self.close(id);
-                sent.into_iter()
-                    .for_each(|sent| self.refused(sent, error.clone()));
+                execution_id
+                    .into_iter()
+                    .for_each(|execution_id| self.refused(execution_id, error.clone()));
                 let step = self.pools.next_action(place);
                 self.step(now, place, step);
             }
@@ -190,12 +200,13 @@
 
     /// An engine has answered: what is out there is not held up by its silence.
     fn report_alive(&mut self, place: Place) {
-        let out = |x: &Execution| x.place == place && x.stage != Stage::Waiting;
+        let out =
+            |execution: &Execution| execution.place == place && execution.stage != Stage::Waiting;
         let one = self
             .executions
             .iter()
-            .filter(|(_, x)| out(x))
-            .map(|(sent, _)| *sent)
+            .filter(|(_, execution)| out(execution))
+            .map(|(execution_id, _)| *execution_id)
             .min();
         self.events.extend(one.map(Event::Alive));
     }
@@ -204,18 +215,20 @@
     /// and a long statement on an engine that does little else is not to be taken for a hung one.
     pub(super) fn ping_silent(&mut self, now: Micros) {
         let mut quiet: BTreeMap<Place, pool::AccountId> = BTreeMap::new();
-        let setting = |x: &Execution| {
-            let link = x.link.and_then(|id| self.links.get(&id));
+        let setting = |execution: &Execution| {
+            let link = execution.link.and_then(|id| self.links.get(&id));
             link.is_some_and(|l| l.engine.is_setting())
         };
-        for x in self
+        for execution in self
             .executions
             .values()
-            .filter(|x| x.stage == Stage::Out || setting(x))
+            .filter(|execution| execution.stage == Stage::Out || setting(execution))
         {
-            let engine = self.engines.get(&x.place);
+            let engine = self.engines.get(&execution.place);
             if engine.is_some_and(|e| e.up && now - e.last_reply.max(e.last_ping) >= PING_AFTER) {
-                quiet.entry(x.place).or_insert(x.unit.account);
+                quiet
+                    .entry(execution.place)
+                    .or_insert(execution.unit.account);
             }
         }
         for (place, account) in quiet {
@@ -238,21 +251,25 @@
         }
     }
 
-    fn refused(&mut self, sent: ExecutionId, error: Vec<u8>) {
-        self.executions.remove(&sent);
-        self.events.push(Event::Refused { sent, error });
+    fn refused(&mut self, execution_id: ExecutionId, error: Vec<u8>) {
+        self.executions.remove(&execution_id);
+        self.events.push(Event::Refused {
+            execution_id,
+            error,
+        });
     }
 
     fn unit_done(&mut self, now: Micros, id: ServerId, done: UnitOutcome) {
         let Some(server) = self.links.get_mut(&id) else {
             return;
         };
-        let (place, sent, session) = (server.place, server.serves.take(), server.holds.take());
+        let (place, execution_id, session) =
+            (server.place, server.serves.take(), server.holds.take());
         server.discards = false;
         let open = done.status != b'I';
         let listed = self.engines.get(&place).is_some_and(|e| e.up);
-        let x = sent.and_then(|sent| self.executions.remove(&sent));
-        let Some((sent, x)) = sent.zip(x) else {
+        let execution = execution_id.and_then(|execution_id| self.executions.remove(&execution_id));
+        let Some((execution_id, execution)) = execution_id.zip(execution) else {
             // Of one that was given up, or of none: a transaction that it left open is nobody's.
             return if open {
                 self.close_and_refill(now, id, place)
@@ -260,9 +277,9 @@
                 self.release_idle(now, id)
             };
         };
-        if done.fault && !x.begun && x.unit.pin.is_none() {
+        if done.fault && !execution.begun && execution.unit.pin.is_none() {
             self.events.push(Event::Ended {
-                sent,
+                execution_id,
                 ending: Ending::EngineFailed,
             });
             return if open {
@@ -271,11 +288,11 @@
                 self.release_idle(now, id)
             };
         }
-        let (holder, keeps) = (x.unit.session, open && listed);
+        let (holder, keeps) = (execution.unit.session, open && listed);
         let held = keeps.then_some(id);
         self.events.push(Event::Answered {
-            sent,
-            bytes: x.unsent_answer,
+            execution_id,
+            bytes: execution.unsent_answer,
             done,
             held,
         });
--- a/crates/front/src/postgres/servers/send.rs
+++ b/crates/front/src/postgres/servers/send.rs
@@ -8,24 +8,25 @@
 use hallmux_postgres::pool::{self, PoolAction};
 use hallmux_postgres::session::UnitPart;
 
-use super::{Event, Execution, Server, ServerId, Servers, Stage, Unit};
+use super::{Event, Execution, Server, Servers, Stage, Unit};
 use crate::events::SocketKind;
 use crate::execution::ExecutionId;
 use crate::link::Link;
+use crate::postgres::ids::ServerId;
 
 const MOST_UNSENT: usize = 4 << 20; // bytes that an engine may leave untaken: some units of the largest size
 
 impl Servers {
     /// Sends a unit over the connection that holds its transaction, else over one that its pool gives.
-    pub fn send(&mut self, now: Micros, sent: ExecutionId, place: Place, unit: Unit) {
+    pub fn send(&mut self, now: Micros, execution_id: ExecutionId, place: Place, unit: Unit) {
         if !self.engines.get(&place).is_some_and(|e| e.up) {
             return self.events.push(Event::Ended {
-                sent,
+                execution_id,
                 ending: Ending::Withdrawn,
             });
         }
         let (pin, account, settings) = (unit.pin, unit.account, unit.settings.clone());
-        let x = Execution {
+        let execution = Execution {
             unit,
             place,
             link: None,
@@ -41,25 +42,25 @@
                 .filter(|l| l.place == place && l.holds.is_some())
             {
                 Some(link) => {
-                    self.executions.insert(sent, x);
-                    link.serves = Some(sent);
+                    self.executions.insert(execution_id, execution);
+                    link.serves = Some(execution_id);
                     if link.cancels == 0 {
-                        self.start(sent, id);
+                        self.start(execution_id, id);
                     }
                 }
                 None => self.events.push(Event::Ended {
-                    sent,
+                    execution_id,
                     ending: Ending::Withdrawn,
                 }),
             },
             None => {
-                self.executions.insert(sent, x);
+                self.executions.insert(execution_id, execution);
                 let suits = |id: u64| {
                     self.links
                         .get(&id)
                         .map_or(0, |l| u32::from(l.engine.suits(&settings)))
                 };
-                let step = self.pools.submit(place, account, sent, suits);
+                let step = self.pools.submit(place, account, execution_id, suits);
                 self.step(now, place, step);
             }
         }
@@ -93,9 +94,9 @@
                     }
                     if let Err(ending) = self.dial(now, place, account) {
                         let waited: Vec<ExecutionId> = self.waiting(place, account);
-                        for sent in waited {
-                            self.pools.withdraw(place, sent);
-                            self.report_end(sent, ending);
+                        for execution_id in waited {
+                            self.pools.withdraw(place, execution_id);
+                            self.report_end(execution_id, ending);
                         }
                         return;
                     }
@@ -106,16 +107,16 @@
     }
 
     fn waiting(&self, place: Place, account: pool::AccountId) -> Vec<ExecutionId> {
-        let waits = |x: &Execution| {
-            x.place == place
-                && x.link.is_none()
-                && x.unit.pin.is_none()
-                && x.unit.account == account
+        let waits = |execution: &Execution| {
+            execution.place == place
+                && execution.link.is_none()
+                && execution.unit.pin.is_none()
+                && execution.unit.account == account
         };
         let mut all: Vec<ExecutionId> = self
             .executions
             .iter()
-            .filter(|(_, x)| waits(x))
+            .filter(|(_, execution)| waits(execution))
             .map(|(s, _)| *s)
             .collect();
         all.sort_unstable();
@@ -164,21 +165,23 @@
     }
 
     /// Puts a unit on its way.
-    pub(super) fn start(&mut self, sent: ExecutionId, id: ServerId) {
-        let (Some(x), Some(link)) = (self.executions.get_mut(&sent), self.links.get_mut(&id))
-        else {
+    pub(super) fn start(&mut self, execution_id: ExecutionId, id: ServerId) {
+        let (Some(execution), Some(link)) = (
+            self.executions.get_mut(&execution_id),
+            self.links.get_mut(&id),
+        ) else {
             return;
         };
-        link.serves = Some(sent);
-        (x.link, x.stage) = (Some(id), Stage::Writing);
-        let own = x.unit.pin.is_some();
-        for (n, part) in x.unit.parts.iter().enumerate() {
+        link.serves = Some(execution_id);
+        (execution.link, execution.stage) = (Some(id), Stage::Writing);
+        let own = execution.unit.pin.is_some();
+        for (n, part) in execution.unit.parts.iter().enumerate() {
             link.engine.send(
                 part,
-                &x.unit.settings,
+                &execution.unit.settings,
                 own || n > 0,
                 link.link.output(),
-                &mut x.unsent_answer,
+                &mut execution.unsent_answer,
             );
         }
         link.write_end = link.link.output().len();
@@ -186,26 +189,26 @@
     }
 
     /// More of a unit that is out has come.
-    pub fn more(&mut self, sent: ExecutionId, part: Rc<UnitPart>) {
-        let Some(x) = self.executions.get_mut(&sent) else {
+    pub fn more(&mut self, execution_id: ExecutionId, part: Rc<UnitPart>) {
+        let Some(execution) = self.executions.get_mut(&execution_id) else {
             return;
         };
-        x.unit.parts.push(part.clone());
-        let Some(id) = x.link else { return };
+        execution.unit.parts.push(part.clone());
+        let Some(id) = execution.link else { return };
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
         link.engine.send(
             &part,
-            &x.unit.settings,
+            &execution.unit.settings,
             true,
             link.link.output(),
-            &mut x.unsent_answer,
+            &mut execution.unsent_answer,
         );
         link.write_end = link.link.output().len();
-        x.stage = Stage::Writing;
+        execution.stage = Stage::Writing;
         self.changed.insert(id);
-        self.pass(sent, false);
+        self.pass(execution_id, false);
     }
 
     /// Sends what is to leave.
@@ -216,16 +219,18 @@
             };
             let flushed = server.link.flush();
             let left = server.link.has_sent(server.write_end);
-            let sent = server.serves;
+            let execution_id = server.serves;
             let unsent = server.link.unsent();
-            if let Some(x) = sent.and_then(|sent| self.executions.get_mut(&sent)) {
+            if let Some(execution) =
+                execution_id.and_then(|execution_id| self.executions.get_mut(&execution_id))
+            {
                 // Guards against a commit that passes for one in doubt: behind settings that are being brought
                 // over nothing of it has left.
-                if left && x.stage == Stage::Writing && !server.engine.is_setting() {
-                    x.stage = Stage::Out;
-                    let once = x.unit.once || x.unit.pin.is_some();
+                if left && execution.stage == Stage::Writing && !server.engine.is_setting() {
+                    execution.stage = Stage::Out;
+                    let once = execution.unit.once || execution.unit.pin.is_some();
                     self.events
-                        .extend(sent.filter(|_| once).map(Event::Irrevocable));
+                        .extend(execution_id.filter(|_| once).map(Event::Irrevocable));
                 }
             }
             if flushed.is_err() {
--- a/crates/front/src/postgres/servers_tests.rs
+++ b/crates/front/src/postgres/servers_tests.rs
@@ -58,7 +58,7 @@
     }
 
     /// A unit of one statement goes out, in the transaction that a connection holds if one is named.
-    fn sends(&mut self, now: Micros, sent: ExecutionId, text: &str, pin: Option<ServerId>) {
+    fn sends(&mut self, now: Micros, execution_id: ExecutionId, text: &str, pin: Option<ServerId>) {
         let account = self.servers.account(Account::default()).unwrap();
         let (settings, parts) = (Rc::default(), vec![query(text)]);
         let unit = Unit {
@@ -69,7 +69,7 @@
             pin,
             once: false,
         };
-        self.servers.send(now, sent, PLACE, unit);
+        self.servers.send(now, execution_id, PLACE, unit);
     }
 
     /// Takes what the loop reports, and sends what is to leave, until there is what is waited for.
@@ -137,16 +137,20 @@
     }
 
     /// An engine's connection which is up and waits for its login, with a unit that waits for it.
-    fn waits_for_its_login(&mut self, engine: &TcpListener, sent: ExecutionId) -> TcpStream {
-        self.sends(0, sent, "select 1", None);
+    fn waits_for_its_login(
+        &mut self,
+        engine: &TcpListener,
+        execution_id: ExecutionId,
+    ) -> TcpStream {
+        self.sends(0, execution_id, "select 1", None);
         let mut link = engine.accept().unwrap().0;
         self.hears(0, &mut link, b"user");
         link
     }
 
     /// An engine's connection on which the first unit is out.
-    fn has_out(&mut self, engine: &TcpListener, sent: ExecutionId) -> TcpStream {
-        let mut link = self.waits_for_its_login(engine, sent);
+    fn has_out(&mut self, engine: &TcpListener, execution_id: ExecutionId) -> TcpStream {
+        let mut link = self.waits_for_its_login(engine, execution_id);
         lets_in(&mut link);
         self.hears(0, &mut link, b"select 1");
         self.servers.events.clear();
@@ -156,7 +160,10 @@
     /// How executions have ended since the last look.
     fn ended(&mut self) -> Vec<(ExecutionId, Ending)> {
         let ended = |event: Event| match event {
-            Event::Ended { sent, ending } => Some((sent, ending)),
+            Event::Ended {
+                execution_id,
+                ending,
+            } => Some((execution_id, ending)),
             _ => None,
         };
         std::mem::take(&mut self.servers.events)
--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -14,7 +14,7 @@
 use hallmux_postgres::session::{Bounds, Session, UnitPart};
 use hallmux_postgres::startup::{Authentication, Startup};
 
-use super::servers::{ServerId, SessionId};
+use super::ids::{Pin, ServerId, SessionId};
 use crate::execution::ExecutionId;
 use crate::lingering::Lingering;
 use crate::link::{Link, ReadOutcome};
@@ -55,7 +55,7 @@
     /// Some of its answer has gone on; `cut` if that stops within a message.
     pub begun: bool,
     cut: bool,
-    pub sent: Option<ExecutionId>,
+    pub execution_id: Option<ExecutionId>,
     pub key: Option<String>,
 }
 
@@ -65,8 +65,8 @@
     pub user: Rc<User>,
     pub account: AccountId,
     pub running: Option<Running>,
-    /// The connection that holds its transaction, and the engine.
-    pub pin: Option<(usize, ServerId)>,
+    /// What holds its transaction.
+    pub pin: Option<Pin>,
     /// Order keys whose turn its transaction keeps.
     pub held_keys: Vec<String>,
     /// Groups of tables that its transaction may have written to, where loads are marked.
@@ -300,7 +300,7 @@
             }
             if unsent <= self.buffer / 2 && self.halted.remove(&id) {
                 if let Stage::Open(open_session) = &connection.stage {
-                    caught_up.extend(open_session.running.as_ref().and_then(|r| r.sent));
+                    caught_up.extend(open_session.running.as_ref().and_then(|r| r.execution_id));
                 }
             }
             if unsent > 0 {
--- a/crates/front/src/postgres/sessions/answers.rs
+++ b/crates/front/src/postgres/sessions/answers.rs
@@ -9,7 +9,7 @@
 use hallmux_postgres::wire;
 
 use super::{Event, Running, Sessions, Stage};
-use crate::postgres::servers::{ServerId, SessionId};
+use crate::postgres::ids::{Pin, SessionId};
 
 impl Sessions {
     /// A unit is taken under a ticket.
@@ -33,7 +33,7 @@
             cancelled: false,
             begun: false,
             cut: false,
-            sent: None,
+            execution_id: None,
             key,
         });
         self.held_bytes += bytes;
@@ -65,7 +65,7 @@
             return;
         };
         let (pin, keys) = (
-            open_session.pin.take().map(|(_, link)| link),
+            open_session.pin.take().map(|pin| pin.server),
             std::mem::take(&mut open_session.held_keys),
         );
         if pin.is_some() || !keys.is_empty() {
@@ -131,7 +131,7 @@
         ticket: Ticket,
         bytes: &[u8],
         done: &UnitOutcome,
-        pin: Option<(usize, ServerId)>,
+        pin: Option<Pin>,
     ) {
         let Some((id, running)) = self.remove_running(ticket) else {
             return;
--- a/crates/front/src/postgres/sessions/close.rs
+++ b/crates/front/src/postgres/sessions/close.rs
@@ -5,7 +5,7 @@
 use hallmux_postgres::session::Transaction;
 
 use super::{Connection, Event, Sessions, Stage};
-use crate::postgres::servers::SessionId;
+use crate::postgres::ids::SessionId;
 
 const IDLE_AFTER: Micros = 1_000_000; // microseconds after which a resting session lets go of its buffers
 const GRACE: Micros = 2_000_000; // microseconds for a session without a unit out once the front ends
--- a/crates/front/src/postgres/sessions/input.rs
+++ b/crates/front/src/postgres/sessions/input.rs
@@ -12,7 +12,8 @@
 use hallmux_postgres::wire::{self, CancelKey};
 
 use super::{Event, OpenSession, Sessions, Stage, Users};
-use crate::postgres::servers::{Servers, SessionId};
+use crate::postgres::ids::SessionId;
+use crate::postgres::servers::Servers;
 
 const UNITS_PER_ITERATION: usize = 64; // units answered here for one session before others are served
 
