--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -4,20 +4,20 @@
 mod accept;
 mod admission;
 mod loads;
+mod server_events;
 
 use std::net::TcpListener;
 use std::rc::Rc;
 
 use calloop::LoopHandle;
 use hallmux_config::{Postgres, Settings};
-use hallmux_dispatcher::{Dispatcher, Ending, Micros, Note, Place, Ticket};
-use hallmux_postgres::client_error::ClientError;
+use hallmux_dispatcher::{Dispatcher, Ending, Micros, Place, Ticket};
 use hallmux_postgres::session::Transaction;
 
 use self::admission::final_answer;
 use super::admission_state::AdmissionState;
 use super::error::ListenError;
-use super::ids::{Pin, SessionId};
+use super::ids::SessionId;
 use super::servers::{self, Servers, Unit};
 use super::sessions::{self, Sessions, Users};
 use crate::events::{LoopEvents, SocketId, SocketKind};
@@ -319,132 +319,6 @@
         self.sessions.fail(now, ticket, &why, None);
     }
 
-    /// Reports replies of engines, and how executions have ended, to sessions and to the dispatcher.
-    pub fn handle_server_events(
-        &mut self,
-        now: Micros,
-        admission: AdmissionState,
-        dispatcher: &mut Dispatcher,
-    ) {
-        loop {
-            let events = std::mem::take(&mut self.servers.events);
-            if events.is_empty() {
-                break;
-            }
-            for event in events {
-                self.handle_server_event(now, dispatcher, event);
-            }
-            self.handle_session_events(now, admission, dispatcher);
-        }
-        self.take(now, admission, dispatcher);
-    }
-
-    fn handle_server_event(
-        &mut self,
-        now: Micros,
-        dispatcher: &mut Dispatcher,
-        event: servers::Event,
-    ) {
-        match event {
-            servers::Event::Irrevocable(ExecutionId { ticket, .. }) => {
-                dispatcher.answer_begun(ticket)
-            }
-            servers::Event::PartialAnswer {
-                execution_id:
-                    ExecutionId {
-                        ticket,
-                        number: execution,
-                    },
-                bytes,
-                whole,
-            } => {
-                dispatcher.answer_begun(ticket);
-                if self.sessions.pass(ticket, &bytes, whole) {
-                    self.servers
-                        .pause(ExecutionId::new(ticket, execution), true);
-                }
-            }
-            servers::Event::Answered {
-                execution_id:
-                    ExecutionId {
-                        ticket,
-                        number: execution,
-                    },
-                bytes,
-                done,
-                held,
-            } => {
-                let open = done.status != b'I';
-                let keeps = open && dispatcher.keep_order_key(ticket);
-                let ending = Ending::Answered;
-                if !dispatcher.report(now, ticket, execution, ending, None) {
-                    // It had its answer before; a transaction that it opened is nobody's.
-                    return held
-                        .into_iter()
-                        .for_each(|link| self.servers.release(now, link));
-                }
-                let Some((_, open_session)) = self.sessions.by_ticket(ticket) else {
-                    return;
-                };
-                if let Some(key) = open_session
-                    .running
-                    .as_mut()
-                    .and_then(|r| r.key.take())
-                    .filter(|_| keeps)
-                {
-                    open_session.held_keys.push(key);
-                }
-                let pin = held.and_then(|server| {
-                    let place = self.servers.place(server)?;
-                    Some(Pin { place, server })
-                });
-                self.sessions.answer(now, ticket, &bytes, &done, pin);
-            }
-            servers::Event::Refused {
-                execution_id:
-                    ExecutionId {
-                        ticket,
-                        number: execution,
-                    },
-                error,
-            } => {
-                dispatcher.answer_begun(ticket);
-                if dispatcher.report(now, ticket, execution, Ending::Stale, None) {
-                    self.sessions
-                        .fail(now, ticket, &ClientError::ResultLost, Some(&error));
-                }
-            }
-            servers::Event::Ended {
-                execution_id:
-                    ExecutionId {
-                        ticket,
-                        number: execution,
-                    },
-                ending,
-            } => {
-                let mut cancelled = false;
-                if let Some((_, open_session)) = self.sessions.by_ticket(ticket) {
-                    if let Some(running) = &mut open_session.running {
-                        running.ran |= ending.may_have_run();
-                        running.execution_id = None;
-                        cancelled = running.cancelled;
-                    }
-                }
-                let over = dispatcher.report(now, ticket, execution, ending, None);
-                if over || cancelled {
-                    // One whose client has asked for its end is not tried again.
-                    self.refuse(now, ticket, Refusal::Aborted);
-                    dispatcher.client_left(now, ticket);
-                }
-            }
-            servers::Event::Alive(ExecutionId {
-                ticket,
-                number: execution,
-            }) => dispatcher.note(ticket, execution, Note::Alive),
-            servers::Event::TransactionLost { session } => self.sessions.transaction_lost(session),
-        }
-    }
-
     /// Sends what is to leave to engines.
     pub fn flush_servers(&mut self, now: Micros) {
         self.servers.flush(now);
@@ -459,8 +333,8 @@
         dispatcher: &mut Dispatcher,
     ) {
         for execution_id in self.sessions.flush(now) {
-            if let Some(link) = self.servers.pause(execution_id, false) {
-                self.read_on(now, SocketKind::Server.id(link));
+            if let Some(server) = self.servers.resume(execution_id) {
+                self.read_on(now, SocketKind::Server.id(server));
             }
         }
         if let (untaken, Some(id)) = self.unsent() {
--- /dev/null
+++ b/crates/front/src/postgres/gateway/server_events.rs
@@ -0,0 +1,163 @@
+//! What engines have answered, and how executions have ended, for sessions and the dispatcher.
+
+use hallmux_dispatcher::{Dispatcher, Ending, Micros, Note, Ticket};
+use hallmux_postgres::client_error::ClientError;
+use hallmux_postgres::engine::UnitOutcome;
+
+use super::Gateway;
+use crate::execution::ExecutionId;
+use crate::postgres::admission_state::AdmissionState;
+use crate::postgres::ids::{Pin, ServerId};
+use crate::postgres::servers::Event;
+use crate::refusal::Refusal;
+
+/// The last part of an engine's answer to a unit.
+struct FinalPart {
+    execution_id: ExecutionId,
+    bytes: Vec<u8>,
+    done: UnitOutcome,
+    /// The connection that holds the session's transaction, if one is open.
+    held: Option<ServerId>,
+}
+
+impl Gateway {
+    /// Reports replies of engines, and how executions have ended, to sessions and to the dispatcher.
+    pub fn handle_server_events(
+        &mut self,
+        now: Micros,
+        admission: AdmissionState,
+        dispatcher: &mut Dispatcher,
+    ) {
+        loop {
+            let events = std::mem::take(&mut self.servers.events);
+            if events.is_empty() {
+                break;
+            }
+            for event in events {
+                self.handle_server_event(now, dispatcher, event);
+            }
+            self.handle_session_events(now, admission, dispatcher);
+        }
+        self.take(now, admission, dispatcher);
+    }
+
+    fn handle_server_event(&mut self, now: Micros, dispatcher: &mut Dispatcher, event: Event) {
+        match event {
+            Event::Irrevocable(execution_id) => dispatcher.answer_begun(execution_id.ticket),
+            Event::PartialAnswer {
+                execution_id,
+                bytes,
+                whole,
+            } => {
+                dispatcher.answer_begun(execution_id.ticket);
+                if self.sessions.pass(execution_id.ticket, &bytes, whole) {
+                    self.servers.pause(execution_id);
+                }
+            }
+            Event::Answered {
+                execution_id,
+                bytes,
+                done,
+                held,
+            } => self.finish_answer(
+                now,
+                dispatcher,
+                FinalPart {
+                    execution_id,
+                    bytes,
+                    done,
+                    held,
+                },
+            ),
+            Event::Refused {
+                execution_id,
+                error,
+            } => self.execution_refused(now, dispatcher, execution_id, &error),
+            Event::Ended {
+                execution_id,
+                ending,
+            } => self.execution_ended(now, dispatcher, execution_id, ending),
+            Event::Alive(ExecutionId { ticket, number }) => {
+                dispatcher.note(ticket, number, Note::Alive)
+            }
+            Event::TransactionLost { session } => self.sessions.transaction_lost(session),
+        }
+    }
+
+    /// An engine has answered all of a unit.
+    fn finish_answer(&mut self, now: Micros, dispatcher: &mut Dispatcher, part: FinalPart) {
+        let FinalPart {
+            execution_id: ExecutionId { ticket, number },
+            bytes,
+            done,
+            held,
+        } = part;
+        let opens_transaction = done.status != b'I';
+        let keeps_key = opens_transaction && dispatcher.keep_order_key(ticket);
+        if !dispatcher.report(now, ticket, number, Ending::Answered, None) {
+            // It had its answer before; a transaction that it opened is nobody's.
+            if let Some(server) = held {
+                self.servers.release(now, server);
+            }
+            return;
+        }
+        let Some((_, open_session)) = self.sessions.by_ticket(ticket) else {
+            return;
+        };
+        let running = open_session.running.as_mut();
+        let key = running.and_then(|running| running.key.take());
+        open_session.held_keys.extend(key.filter(|_| keeps_key));
+        let pin = held.and_then(|server| self.pin(server));
+        self.sessions.answer(now, ticket, &bytes, &done, pin);
+    }
+
+    fn pin(&self, server: ServerId) -> Option<Pin> {
+        let place = self.servers.place(server)?;
+        Some(Pin { place, server })
+    }
+
+    /// An engine has not executed a unit; its error goes to the client.
+    fn execution_refused(
+        &mut self,
+        now: Micros,
+        dispatcher: &mut Dispatcher,
+        execution_id: ExecutionId,
+        error: &[u8],
+    ) {
+        let ExecutionId { ticket, number } = execution_id;
+        dispatcher.answer_begun(ticket);
+        if dispatcher.report(now, ticket, number, Ending::Stale, None) {
+            self.sessions
+                .fail(now, ticket, &ClientError::ResultLost, Some(error));
+        }
+    }
+
+    fn execution_ended(
+        &mut self,
+        now: Micros,
+        dispatcher: &mut Dispatcher,
+        execution_id: ExecutionId,
+        ending: Ending,
+    ) {
+        let ExecutionId { ticket, number } = execution_id;
+        let is_cancelled = self.note_ending(ticket, ending);
+        let is_over = dispatcher.report(now, ticket, number, ending, None);
+        if is_over || is_cancelled {
+            // One whose client has asked for its end is not tried again.
+            self.refuse(now, ticket, Refusal::Aborted);
+            dispatcher.client_left(now, ticket);
+        }
+    }
+
+    /// Notes in a session how an execution of its unit has ended. True if its client has asked for its end.
+    fn note_ending(&mut self, ticket: Ticket, ending: Ending) -> bool {
+        let session = self.sessions.by_ticket(ticket);
+        let running = session.and_then(|(_, open_session)| open_session.running.as_mut());
+        let Some(running) = running else {
+            return false;
+        };
+        running.ran |= ending.may_have_run();
+        running.execution_id = None;
+        running.cancelled
+    }
+}
--- a/crates/front/src/postgres/servers/replies.rs
+++ b/crates/front/src/postgres/servers/replies.rs
@@ -41,12 +41,18 @@
         }
     }
 
-    /// A client is behind with its answer, or has caught up.
-    pub fn pause(&mut self, execution_id: ExecutionId, paused: bool) -> Option<ServerId> {
+    /// A client is behind with its answer: no more of it is read.
+    pub fn pause(&mut self, execution_id: ExecutionId) {
+        if let Some(execution) = self.executions.get_mut(&execution_id) {
+            execution.paused = true;
+        }
+    }
+
+    /// A client has caught up. Returns the connection that is to be read again, if it was paused.
+    pub fn resume(&mut self, execution_id: ExecutionId) -> Option<ServerId> {
         let execution = self.executions.get_mut(&execution_id)?;
-        let resumes = execution.paused && !paused;
-        execution.paused = paused;
-        execution.link.filter(|_| resumes)
+        let was_paused = std::mem::replace(&mut execution.paused, false);
+        execution.link.filter(|_| was_paused)
     }
 
     /// A connection has changed; true if there is more for another iteration.
--- a/crates/front/src/postgres/servers_cancel_tests.rs
+++ b/crates/front/src/postgres/servers_cancel_tests.rs
@@ -107,7 +107,11 @@
         let (engine, at) = listener();
         let mut driven = Driven::new(at);
         let mut link = driven.has_out(&engine, FIRST);
-        driven.servers.pause(FIRST, paused);
+        if paused {
+            driven.servers.pause(FIRST);
+        } else {
+            driven.servers.resume(FIRST);
+        }
         driven.servers.cancel_execution(0, FIRST, Ending::TimeUp);
         // What a client did not take is not charged to the engine.
         let ending = if paused {
