--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -9,7 +9,7 @@
 use hallmux_gossip::message::Health;
 use hallmux_gossip::node::{Datagram, Node};
 use hallmux_gossip::PeerId;
-use hallmux_ledger::{Ask, Done, Error, Ledger, Member, Saved, Setup};
+use hallmux_ledger::{Ask, Done, Error, Ledger, Member, OutgoingPacket, Saved, Setup};
 
 use crate::{ClockReading, Output};
 
@@ -162,10 +162,10 @@
         &self,
         at: ClockReading,
         node: &mut Node,
-        packets: Vec<(PeerId, Vec<u8>)>,
+        packets: Vec<OutgoingPacket>,
     ) -> Vec<Datagram> {
         let mut datagrams = Vec::new();
-        for (to, message) in packets {
+        for OutgoingPacket { to, bytes } in packets {
             let configured = self.addresses.get(&to).copied();
             let Some(address) = configured.or_else(|| node.address(to)) else {
                 continue;
@@ -175,7 +175,7 @@
                 at.wall_ms,
                 address,
                 Channel::Ledger,
-                &message,
+                &bytes,
             ));
         }
         datagrams
--- a/crates/front/src/fleet/join.rs
+++ b/crates/front/src/fleet/join.rs
@@ -26,9 +26,9 @@
     let voters: Vec<_> = ownership
         .voters
         .iter()
-        .map(|(key, at)| VoterAddress {
-            id: peer_id(key),
-            address: *at,
+        .map(|voter| VoterAddress {
+            id: peer_id(&voter.key),
+            address: voter.address,
         })
         .collect();
     let own = peer_id(&exchange.public_key());
