--- a/crates/front/src/postgres/gateway/admission.rs
+++ b/crates/front/src/postgres/gateway/admission.rs
@@ -11,15 +11,120 @@
 use hallmux_postgres::sql::Label;
 
 use super::{loads, Gateway};
+use crate::fleet::rules::Shared;
 use crate::postgres::admission_state::AdmissionState;
 use crate::postgres::ids::SessionId;
-use crate::postgres::sessions;
+use crate::postgres::sessions::OpenSession;
 use crate::refusal::Refusal;
 
-const MOST_FIGURE: f64 = 1e12; // of an estimate, in any unit; beyond all that engines could do
+/// Of an estimate, in any unit; beyond all that engines could do.
+const MOST_FIGURE: f64 = 1e12;
+
+/// What the admission of units goes by, whatever their session.
+struct AdmissionPolicy<'a> {
+    rules: Option<&'a Shared>,
+    /// Workloads, and how long their clients wait, in microseconds.
+    timeouts: &'a [(String, Micros)],
+    /// Workloads whose units may write, where loads are marked.
+    writes: &'a [String],
+    /// Microseconds that an answer may take on its way to a client.
+    answer_slack: Micros,
+    retry_after_ms: Option<i64>,
+}
+
+/// A unit that the dispatcher has taken.
+struct AdmittedUnit {
+    ticket: Ticket,
+    /// The order key whose turn it waits for.
+    key: Option<String>,
+}
+
+impl AdmissionPolicy<'_> {
+    /// Hands a unit to the dispatcher; the error is its answer where it is not taken.
+    fn submit(
+        &self,
+        now: Micros,
+        admission: AdmissionState,
+        dispatcher: &mut Dispatcher,
+        open_session: &OpenSession,
+        part: &UnitPart,
+        since: Micros,
+    ) -> Result<AdmittedUnit, ClientError> {
+        let label = open_session.session.label(part);
+        let terms = terms(&label, &open_session.user, self.timeouts)?;
+        if loads::passes_for_numbered(self.writes, part) {
+            return Err(loads::NUMBERED);
+        }
+        if admission.full {
+            return Err(self.rejected());
+        }
+        let own_timeout = open_session.session.statement_timeout(&label);
+        let timeout = terms.timeout.min(own_timeout.unwrap_or(Micros::MAX));
+        let waited = (now - since).max(admission.waited);
+        let judged = self.judge(now, &terms, part);
+        if judged == Decision::RulesUnknown {
+            return Err(self.rejected());
+        }
+        let allowed = self.rules.and_then(|rules| rules.borrow().allowed(&judged));
+        let allowed: Option<Vec<&str>> = allowed
+            .as_ref()
+            .map(|names| names.iter().map(String::as_str).collect());
+        // The session's transaction keeps the turns of its keys.
+        let is_held = |key: &&str| open_session.held_keys.iter().any(|held| held == key);
+        let request = StatementRequest {
+            workload: terms.workload,
+            customer: terms.member,
+            key: label.key.as_deref().filter(|key| !is_held(key)),
+            dedup_key: label.dedup_key.as_deref(),
+            time_left: timeout - self.answer_slack - waited,
+            work: terms.work_ms * 1000.0,
+            memory_mb: terms.memory_mb,
+            data_set: tables::group(part.text()),
+            protocol: Protocol::Postgres,
+            pinned: open_session.pin.map(|pin| pin.place),
+            allowed: allowed.as_deref(),
+        };
+        let picked = dispatcher.submit(now, &request);
+        if let Some(rules) = self.rules {
+            rules
+                .borrow_mut()
+                .statement_picked(dispatcher, &judged, picked.ok());
+        }
+        let ticket = picked.map_err(invalid_request)?;
+        let key = request.key.map(str::to_string);
+        Ok(AdmittedUnit { ticket, key })
+    }
+
+    /// What the access rules say of a unit, where they are on.
+    fn judge(&self, now: Micros, terms: &UnitTerms, part: &UnitPart) -> Decision {
+        let Some(rules) = self.rules else {
+            return Decision::Unrestricted;
+        };
+        let mut rules = rules.borrow_mut();
+        rules.judge(now, terms.member, terms.workload, part.text())
+    }
+
+    fn rejected(&self) -> ClientError {
+        ClientError::Rejected {
+            retry_after_ms: self.retry_after_ms,
+        }
+    }
+}
+
+/// The answer to a unit that the dispatcher can't take.
+fn invalid_request(invalid: InvalidRequest) -> ClientError {
+    match invalid {
+        InvalidRequest::NoAllowedLocation => ClientError::Rejected {
+            retry_after_ms: None,
+        },
+        InvalidRequest::UnknownWorkload => unfit("hallmux.workload", "no such workload was agreed"),
+        InvalidRequest::UnknownCustomer => unfit("hallmux.member", "no such member is known"),
+        InvalidRequest::MissingDedupKey => unfit("hallmux.dedup_key", "this workload needs one"),
+    }
+}
 
 impl Gateway {
-    /// Asks for an engine for a unit.
+    /// Asks for an engine for a unit, or answers why it is not taken. `since`: when its last byte came.
     pub(super) fn admit(
         &mut self,
         now: Micros,
@@ -32,81 +137,18 @@
         let Some(open_session) = self.sessions.open_session(id) else {
             return;
         };
-        let label = open_session.session.label(&part);
-        let why = match terms(&label, &open_session.user, &self.timeouts) {
-            Err(why) => why,
-            Ok(_) if loads::passes_for_numbered(&self.writes, &part) => loads::NUMBERED,
-            Ok(_) if admission.full => ClientError::Rejected {
-                retry_after_ms: self.retry_after_ms,
-            },
-            Ok(terms) => {
-                let own = open_session
-                    .session
-                    .statement_timeout(&label)
-                    .unwrap_or(Micros::MAX);
-                let waited = (now - since).max(admission.waited);
-                let time_left = terms.timeout.min(own) - self.answer_slack - waited;
-                let key = label.key.as_deref();
-                let kept = key.is_some_and(|key| open_session.held_keys.iter().any(|k| k == key));
-                let judged = self.rules.as_ref().map(|rules| {
-                    rules
-                        .borrow_mut()
-                        .judge(now, terms.member, terms.workload, part.text())
-                });
-                let judged = judged.unwrap_or(Decision::Unrestricted);
-                if judged == Decision::RulesUnknown {
-                    let why = ClientError::Rejected {
-                        retry_after_ms: self.retry_after_ms,
-                    };
-                    return self.sessions.answer_unusable(id, part, &why);
-                }
-                let allowed = self
-                    .rules
-                    .as_ref()
-                    .and_then(|rules| rules.borrow().allowed(&judged));
-                let allowed: Option<Vec<&str>> = allowed
-                    .as_ref()
-                    .map(|names| names.iter().map(String::as_str).collect());
-                let ask = StatementRequest {
-                    workload: terms.workload,
-                    customer: terms.member,
-                    key: key.filter(|_| !kept),
-                    dedup_key: label.dedup_key.as_deref(),
-                    time_left,
-                    work: terms.work_ms * 1000.0,
-                    memory_mb: terms.memory_mb,
-                    data_set: tables::group(part.text()),
-                    protocol: Protocol::Postgres,
-                    pinned: open_session.pin.map(|pin| pin.place),
-                    allowed: allowed.as_deref(),
-                };
-                let picked = dispatcher.submit(now, &ask);
-                let key = ask.key.map(str::to_string);
-                if let Some(rules) = &self.rules {
-                    rules
-                        .borrow_mut()
-                        .statement_picked(dispatcher, &judged, picked.ok());
-                }
-                match picked {
-                    Ok(ticket) => {
-                        return self.sessions.open_unit(id, ticket, part, key);
-                    }
-                    Err(InvalidRequest::NoAllowedLocation) => ClientError::Rejected {
-                        retry_after_ms: None,
-                    },
-                    Err(InvalidRequest::UnknownWorkload) => {
-                        unfit("hallmux.workload", "no such workload was agreed")
-                    }
-                    Err(InvalidRequest::UnknownCustomer) => {
-                        unfit("hallmux.member", "no such member is known")
-                    }
-                    Err(InvalidRequest::MissingDedupKey) => {
-                        unfit("hallmux.dedup_key", "this workload needs one")
-                    }
-                }
-            }
+        let policy = AdmissionPolicy {
+            rules: self.rules.as_ref(),
+            timeouts: &self.timeouts,
+            writes: &self.writes,
+            answer_slack: self.answer_slack,
+            retry_after_ms: self.retry_after_ms,
         };
-        self.sessions.answer_unusable(id, part, &why);
+        let admitted = policy.submit(now, admission, dispatcher, open_session, &part, since);
+        match admitted {
+            Ok(AdmittedUnit { ticket, key }) => self.sessions.open_unit(id, ticket, part, key),
+            Err(why) => self.sessions.answer_unusable(id, part, &why),
+        }
     }
 
     /// Nobody waits for a statement any more.
@@ -192,7 +234,7 @@
 }
 
 /// The answer to a unit that the module has given up on, or that ended once its answer had begun.
-pub(super) fn final_answer(open_session: &sessions::OpenSession, refusal: Refusal) -> ClientError {
+pub(super) fn final_answer(open_session: &OpenSession, refusal: Refusal) -> ClientError {
     let Some(running) = &open_session.running else {
         return ClientError::ResultLost;
     };
--- a/crates/front/src/postgres/servers/replies.rs
+++ b/crates/front/src/postgres/servers/replies.rs
@@ -6,6 +6,7 @@
 use hallmux_postgres::client_error::is_engine_fault;
 use hallmux_postgres::engine::{EngineEvent, UnitOutcome};
 use hallmux_postgres::pool;
+use hallmux_postgres::ProtocolError;
 
 use super::send::dial_ending;
 use super::{Event, Execution, Servers, Stage};
@@ -17,6 +18,15 @@
 const PING_AFTER: Micros = 300_000; // microseconds that an engine with units out may be silent before it is pinged
 const READ_SIZE: usize = 64 << 10; // bytes taken from an engine at once, and so how far a client may be behind
 
+/// How far the replies of an input were taken.
+enum RepliesTaken {
+    /// So many bytes were taken; the rest is less than a reply.
+    UpTo(usize),
+    Unreadable(ProtocolError),
+    /// A reply has closed the connection.
+    ConnectionClosed,
+}
+
 impl Servers {
     /// Hands on what has come of an answer, if it is due: too much to hold, or a client that waits for it.
     pub(super) fn pass(&mut self, execution_id: ExecutionId, caught: bool) {
@@ -57,107 +67,127 @@
 
     /// A connection has changed; true if there is more for another iteration.
     pub fn read(&mut self, now: Micros, id: ServerId) -> bool {
+        if !self.is_up(now, id) {
+            return false;
+        }
         let Some(server) = self.links.get_mut(&id) else {
             return false;
         };
-        if !server.up {
-            match server.link.is_up() {
-                Ok(false) => return false,
-                Ok(true) => {
-                    server.up = true;
-                    self.connecting.insert(id, now + LOGIN_TIMEOUT);
-                    if let Some(engine) = self.engines.get_mut(&server.place).filter(|e| e.failing)
-                    {
-                        engine.failing = false;
-                        log::info!("engine {}: reached again", engine.id);
-                    }
-                }
-                Err(e) => {
-                    self.connection_lost(now, id, dial_ending(&e));
-                    return false;
-                }
-            }
-        }
         self.changed.insert(id);
         if let Some(engine) = self.engines.get_mut(&server.place) {
             engine.last_reply = now;
         }
-        let execution = server
-            .serves
-            .and_then(|execution_id| self.executions.get_mut(&execution_id));
-        if execution.as_ref().is_some_and(|execution| execution.paused) {
+        let execution = server.serves.and_then(|id| self.executions.get(&id));
+        if execution.is_some_and(|execution| execution.paused) {
             return false;
         }
-        let ReadOutcome {
-            has_more: more,
-            broken,
-        } = server.link.read_some(READ_SIZE);
+        let ReadOutcome { has_more, broken } = server.link.read_some(READ_SIZE);
         let mut input = std::mem::take(&mut server.link.input);
-        let mut at = 0;
-        let ended = loop {
-            let Some(server) = self.links.get_mut(&id) else {
+        match self.take_replies(now, id, &input) {
+            RepliesTaken::ConnectionClosed => return false,
+            RepliesTaken::Unreadable(what) => {
+                self.close_unreadable(now, id, &what, broken);
                 return false;
+            }
+            RepliesTaken::UpTo(taken) => {
+                if let Some(server) = self.links.get_mut(&id) {
+                    input.drain(..taken);
+                    server.link.input = input;
+                }
+            }
+        }
+        let ending = match broken {
+            None => return has_more,
+            Some(Broken::Closed) => Ending::Closed,
+            Some(Broken::Reset | Broken::Lost) => Ending::Reset,
+        };
+        self.connection_lost(now, id, ending);
+        false
+    }
+
+    /// Whether a connection is up. One that has just come up begins its login; one that failed is closed.
+    fn is_up(&mut self, now: Micros, id: ServerId) -> bool {
+        let Some(server) = self.links.get_mut(&id) else {
+            return false;
+        };
+        if server.up {
+            return true;
+        }
+        match server.link.is_up() {
+            Ok(false) => false,
+            Ok(true) => {
+                server.up = true;
+                self.connecting.insert(id, now + LOGIN_TIMEOUT);
+                let engine = self.engines.get_mut(&server.place);
+                if let Some(engine) = engine.filter(|engine| engine.failing) {
+                    engine.failing = false;
+                    log::info!("engine {}: reached again", engine.id);
+                }
+                true
+            }
+            Err(error) => {
+                self.connection_lost(now, id, dial_ending(&error));
+                false
+            }
+        }
+    }
+
+    /// Takes all replies of an input; answers go on as they are due.
+    fn take_replies(&mut self, now: Micros, id: ServerId, input: &[u8]) -> RepliesTaken {
+        let mut taken = 0;
+        loop {
+            let Some(server) = self.links.get_mut(&id) else {
+                return RepliesTaken::ConnectionClosed;
             };
             let execution_id = server.serves;
-            let execution =
-                execution_id.and_then(|execution_id| self.executions.get_mut(&execution_id));
+            let execution = execution_id.and_then(|id| self.executions.get_mut(&id));
             let mut dropped = Vec::new();
             let unsent_answer =
                 execution.map_or(&mut dropped, |execution| &mut execution.unsent_answer);
-            let room = self.limits.buffer_bytes;
+            let most_held = self.limits.buffer_bytes;
             let was_setting = server.engine.is_setting();
+            let output = server.link.output();
             let read = server
                 .engine
-                .read(&input[at..], server.link.output(), unsent_answer, room);
+                .read(&input[taken..], output, unsent_answer, most_held);
             if was_setting && !server.engine.is_setting() {
                 // What waited for the settings leaves now.
                 server.write_end = server.link.output().len();
             }
-            match read {
-                Err(what) => break Some(what),
-                Ok((used, reply)) => {
-                    at += used;
-                    let over = reply.is_none() && used == 0;
-                    if let Some(execution_id) = execution_id {
-                        self.pass(execution_id, false);
-                    }
-                    if let Some(reply) = reply {
-                        self.handle_reply(now, id, reply);
-                    }
-                    if over || at == input.len() {
-                        break None;
-                    }
-                }
+            let (used, reply) = match read {
+                Ok(read) => read,
+                Err(what) => return RepliesTaken::Unreadable(what),
+            };
+            taken += used;
+            let is_incomplete = reply.is_none() && used == 0;
+            if let Some(execution_id) = execution_id {
+                self.pass(execution_id, false);
             }
-        };
-        if let Some(what) = ended {
-            if broken.is_none() {
-                log::info!(
-                    "engine {}: {what}; its connection is closed",
-                    self.engine_name(id)
-                );
+            if let Some(reply) = reply {
+                self.handle_reply(now, id, reply);
+            }
+            if is_incomplete || taken == input.len() {
+                return RepliesTaken::UpTo(taken);
             }
-            self.connection_lost(
-                now,
-                id,
-                if broken.is_some() {
-                    Ending::Closed
-                } else {
-                    Ending::Unreadable
-                },
-            );
-            return false;
-        }
-        if let Some(server) = self.links.get_mut(&id) {
-            input.drain(..at);
-            server.link.input = input;
         }
-        match broken {
-            Some(Broken::Closed) => self.connection_lost(now, id, Ending::Closed),
-            Some(Broken::Reset | Broken::Lost) => self.connection_lost(now, id, Ending::Reset),
-            None => return more,
+    }
+
+    /// A connection has brought what can't be read, which may be no more than its end.
+    fn close_unreadable(
+        &mut self,
+        now: Micros,
+        id: ServerId,
+        what: &ProtocolError,
+        broken: Option<Broken>,
+    ) {
+        if broken.is_some() {
+            return self.connection_lost(now, id, Ending::Closed);
         }
-        false
+        log::info!(
+            "engine {}: {what}; its connection is closed",
+            self.engine_name(id)
+        );
+        self.connection_lost(now, id, Ending::Unreadable);
     }
 
     fn handle_reply(&mut self, now: Micros, id: ServerId, reply: EngineEvent) {
--- a/crates/front/src/postgres/sessions/input.rs
+++ b/crates/front/src/postgres/sessions/input.rs
@@ -127,54 +127,67 @@
                 connection.closing = true;
                 (used, false)
             }
-            Ok((used, StartupStep::Cancel(CancelKey { process, secret }))) => {
+            Ok((used, StartupStep::Cancel(key))) => {
                 connection.closing = true;
-                let meant = SessionId::from(process);
-                if self
-                    .connections
-                    .get(&meant)
-                    .is_some_and(|p| p.secret == secret)
-                {
-                    self.events.push(Event::Cancel(meant));
-                }
+                self.take_cancel_request(key);
                 (used, false)
             }
             Ok((used, StartupStep::Accepted(welcome))) => {
-                let user = users.0.get(&welcome.user).map(|(user, _)| user.clone());
-                let account = user
-                    .as_ref()
-                    .and_then(|user| account(servers, user, &welcome));
-                match user.zip(account) {
-                    Some((user, account)) => {
-                        let session = Session::new(&welcome, &mut self.catalogue);
-                        let key = CancelKey {
-                            process: id as u32,
-                            secret: connection.secret,
-                        };
-                        greet(connection.link.output(), &welcome, &servers.parameters, key);
-                        connection.last_active = now;
-                        connection.stage = Stage::Open(Box::new(OpenSession {
-                            session,
-                            user,
-                            account,
-                            running: None,
-                            pin: None,
-                            held_keys: Vec::new(),
-                            touched: BTreeSet::new(),
-                            skipping: false,
-                        }));
-                        (used, true)
-                    }
-                    None => {
-                        ClientError::TooManySessions.write(connection.link.output(), true);
-                        connection.closing = true;
-                        (used, false)
-                    }
-                }
+                (used, self.open(now, id, &welcome, users, servers))
             }
         }
     }
 
+    /// A request to cancel what another session has out; one with a wrong key means nothing.
+    fn take_cancel_request(&mut self, key: CancelKey) {
+        let id = SessionId::from(key.process);
+        let meant = self.connections.get(&id);
+        if meant.is_some_and(|connection| connection.secret == key.secret) {
+            self.events.push(Event::Cancel(id));
+        }
+    }
+
+    /// Opens the session of a client that has logged in. False if there are too many: then it has its answer.
+    fn open(
+        &mut self,
+        now: Micros,
+        id: SessionId,
+        welcome: &Client,
+        users: &Users,
+        servers: &mut Servers,
+    ) -> bool {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return false;
+        };
+        let user = users.0.get(&welcome.user).map(|(user, _)| user.clone());
+        let account = user
+            .as_ref()
+            .and_then(|user| account(servers, user, welcome));
+        let Some((user, account)) = user.zip(account) else {
+            ClientError::TooManySessions.write(connection.link.output(), true);
+            connection.closing = true;
+            return false;
+        };
+        let session = Session::new(welcome, &mut self.catalogue);
+        let key = CancelKey {
+            process: id as u32,
+            secret: connection.secret,
+        };
+        greet(connection.link.output(), welcome, &servers.parameters, key);
+        connection.last_active = now;
+        connection.stage = Stage::Open(Box::new(OpenSession {
+            session,
+            user,
+            account,
+            running: None,
+            pin: None,
+            held_keys: Vec::new(),
+            touched: BTreeSet::new(),
+            skipping: false,
+        }));
+        true
+    }
+
     /// Reads a unit, or more of one that is out. Returns as `consume`.
     fn read_unit(&mut self, now: Micros, id: SessionId, input: &[u8]) -> (usize, bool) {
         let Some(connection) = self.connections.get_mut(&id) else {
