--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -12,6 +12,7 @@
 
 use crate::lingering::Lingering;
 use crate::link::Link;
+use crate::unsent_answers::UnsentAnswers;
 use connection::Client;
 
 pub use input::ServingStatus;
@@ -71,13 +72,6 @@
     Abandoned(Ticket),
 }
 
-/// Answers that wait for their clients to take them.
-pub struct UnsentAnswers {
-    pub bytes: usize,
-    /// The client that has left most.
-    pub slowest: Option<ClientId>,
-}
-
 impl Clients {
     /// `retry_after` goes with rejections; `longest_timeout` is how long any client waits, in microseconds.
     pub fn new(retry_after: Option<Micros>, longest_timeout: Micros) -> Self {
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -24,6 +24,7 @@
 mod start_error;
 mod test_clock;
 mod transient;
+mod unsent_answers;
 
 use std::collections::HashMap;
 use std::ffi::OsString;
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -17,7 +17,6 @@
 use self::admission::final_answer;
 use super::admission_state::AdmissionState;
 use super::error::ListenError;
-use super::ids::SessionId;
 use super::servers::{self, Servers, Unit};
 use super::sessions::{self, Sessions, Users};
 use crate::events::{LoopEvents, SocketId, SocketKind};
@@ -26,7 +25,9 @@
 use crate::listener::Listener;
 use crate::refusal::Refusal;
 use crate::transient;
+use crate::unsent_answers::UnsentAnswers;
 
+/// Sessions of PostgreSQL clients, and the connections to engines that they are served over.
 pub struct Gateway {
     handle: LoopHandle<'static, LoopEvents>,
     listener: Listener,
@@ -47,6 +48,7 @@
 }
 
 impl Gateway {
+    /// Opens the listener that the operator's file names.
     pub fn new(
         postgres: &Postgres,
         settings: &Settings,
@@ -115,11 +117,12 @@
         self.sessions.held_bytes()
     }
 
-    /// Bytes of the answers that clients have not taken yet, and the session that has left most.
-    pub fn unsent(&self) -> (usize, Option<SessionId>) {
+    /// The answers that clients have not taken yet.
+    pub fn unsent(&self) -> UnsentAnswers {
         self.sessions.unsent()
     }
 
+    /// Whether a statement is a session's.
     pub fn owns(&self, ticket: Ticket) -> bool {
         self.sessions.owns(ticket)
     }
@@ -135,10 +138,12 @@
         self.allowed.engines.iter().find(speaks).map(|e| e.port)
     }
 
+    /// The connections to engines.
     pub fn servers(&mut self) -> &mut Servers {
         &mut self.servers
     }
 
+    /// When something is due though no socket changes, in Unix microseconds.
     pub fn due(&self) -> Micros {
         let more = !self.servers.events.is_empty() || !self.sessions.ready.is_empty();
         let more = more || !self.unfinished.is_empty();
@@ -299,6 +304,7 @@
         );
     }
 
+    /// Ends an execution, wherever it is.
     pub fn stop(&mut self, now: Micros, execution_id: ExecutionId, ending: Ending) {
         let running = self
             .sessions
@@ -337,11 +343,13 @@
                 self.read_on(now, SocketKind::Server.id(server));
             }
         }
-        if let (untaken, Some(id)) = self.unsent() {
-            if untaken > most {
-                log::warn!("session {id}: takes no answers, {untaken} bytes wait; its connection is closed");
-                self.sessions.disconnect(id);
-            }
+        let unsent = self.unsent();
+        if let Some(id) = unsent.slowest.filter(|_| unsent.bytes > most) {
+            let bytes = unsent.bytes;
+            log::warn!(
+                "session {id}: takes no answers, {bytes} bytes wait; its connection is closed"
+            );
+            self.sessions.disconnect(id);
         }
         for id in self.sessions.unstalled() {
             self.read_on(now, SocketKind::Session.id(id));
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -23,8 +23,10 @@
 use crate::link::Link;
 use crate::listed_engine::ListedEngine;
 
-const CHECK_INTERVAL: Micros = 100_000; // microseconds between looks at connections that have rested for long
-const MOST_ACCOUNTS: usize = 1_000; // accounts at the engines, by user and database; beyond them none come in
+/// Microseconds between checks of connections that have been idle for long.
+const CHECK_INTERVAL: Micros = 100_000;
+/// Accounts at the engines, by user and database; beyond them none come in.
+const MOST_ACCOUNTS: usize = 1_000;
 
 /// Replies of engines, and how executions have ended.
 pub enum Event {
@@ -130,6 +132,7 @@
     last_ping: Micros,
 }
 
+/// The connections to engines that speak PostgreSQL, and the executions on them.
 pub struct Servers {
     handle: LoopHandle<'static, LoopEvents>,
     allowance: NetworkSettings,
@@ -153,6 +156,7 @@
 }
 
 impl Servers {
+    /// No engines yet; `limit` and `list` come before anything is sent.
     pub fn new(
         handle: LoopHandle<'static, LoopEvents>,
         allowance: NetworkSettings,
--- a/crates/front/src/postgres/session_units_tests.rs
+++ b/crates/front/src/postgres/session_units_tests.rs
@@ -185,7 +185,7 @@
     let mut row = Vec::new();
     wire::write(&mut row, b'D', |out| out.resize(ROW, b'x'));
     // Rows come until so much of them does not fit into the sockets that some will stay.
-    let unsent = |driven: &Driven| driven.front.gateway.as_ref().unwrap().unsent().0;
+    let unsent = |driven: &Driven| driven.front.gateway.as_ref().unwrap().unsent().bytes;
     let mut rows = 0;
     while unsent(&driven) < LITTLE {
         assert!(rows < MOST_ROWS, "all fits into the sockets");
--- a/crates/front/src/postgres/sessions.rs
+++ b/crates/front/src/postgres/sessions.rs
@@ -18,8 +18,10 @@
 use crate::execution::ExecutionId;
 use crate::lingering::Lingering;
 use crate::link::{Link, ReadOutcome};
+use crate::unsent_answers::UnsentAnswers;
 
-const MOST_ARRIVALS: usize = 32; // times kept of when input came; beyond them the earlier one holds
+/// Times kept of when input came; beyond them the earlier one holds.
+const MOST_ARRIVALS: usize = 32;
 
 /// What sessions have come to that needs the dispatcher or an engine.
 pub enum Event {
@@ -80,6 +82,12 @@
     Open(Box<OpenSession>),
 }
 
+/// Bytes of the input that came together.
+struct Arrival {
+    bytes: usize,
+    at: Micros,
+}
+
 struct Connection {
     link: Link,
     stage: Stage,
@@ -87,12 +95,13 @@
     secret: u32,
     /// When it was last of use.
     last_active: Micros,
-    /// How many bytes of the input came until when.
-    arrivals: VecDeque<(usize, Micros)>,
+    /// When the bytes of the input came, in order.
+    arrivals: VecDeque<Arrival>,
     /// It ends once all has left.
     closing: bool,
 }
 
+/// All connections of PostgreSQL clients.
 pub struct Sessions {
     connections: HashMap<SessionId, Connection>,
     tickets: HashMap<Ticket, SessionId>,
@@ -138,6 +147,7 @@
 }
 
 impl Sessions {
+    /// No sessions yet, within the limits of the operator's file.
     pub fn new(limits: &hallmux_config::SessionLimits) -> Self {
         let bounds = Bounds {
             statements: limits.statements,
@@ -189,6 +199,7 @@
         self.lingering.due()
     }
 
+    /// The number of the next session.
     pub fn next_id(&mut self) -> SessionId {
         // Ids go out as process numbers, which have 31 bits.
         self.next = (self.next + 1) & 0x7fff_ffff;
@@ -201,6 +212,7 @@
         self.chance.hash_one((of, id, self.connections.len()))
     }
 
+    /// A connection was accepted: its login begins.
     pub fn accept(&mut self, now: Micros, id: SessionId, link: Link) {
         let secret = self.secret("cancel", id) as u32;
         let connection = Connection {
@@ -214,10 +226,12 @@
         self.connections.insert(id, connection);
     }
 
+    /// Whether a statement is a session's.
     pub fn owns(&self, ticket: Ticket) -> bool {
         self.tickets.contains_key(&ticket)
     }
 
+    /// A session, once its login is over.
     pub fn open_session(&mut self, id: SessionId) -> Option<&mut OpenSession> {
         match &mut self.connections.get_mut(&id)?.stage {
             Stage::Open(open_session) => Some(open_session),
@@ -225,6 +239,7 @@
         }
     }
 
+    /// The session that a statement is of.
     pub fn by_ticket(&mut self, ticket: Ticket) -> Option<(SessionId, &mut OpenSession)> {
         let id = *self.tickets.get(&ticket)?;
         Some((id, self.open_session(id)?))
@@ -235,13 +250,13 @@
         self.held_bytes
     }
 
-    /// Bytes of the answers that clients have not taken yet, and the session that has left most.
-    pub fn unsent(&self) -> (usize, Option<SessionId>) {
+    /// The answers that clients have not taken yet.
+    pub fn unsent(&self) -> UnsentAnswers {
         let unsent = |id: &SessionId| self.connections.get(id).map_or(0, |p| p.link.unsent());
-        (
-            self.with_unsent.iter().map(unsent).sum(),
-            self.with_unsent.iter().copied().max_by_key(unsent),
-        )
+        UnsentAnswers {
+            bytes: self.with_unsent.iter().map(unsent).sum(),
+            slowest: self.with_unsent.iter().copied().max_by_key(unsent),
+        }
     }
 
     /// A connection has changed: takes what is there. True if there is more for another iteration.
@@ -269,8 +284,11 @@
             self.held_bytes += came;
             let many = connection.arrivals.len() >= MOST_ARRIVALS;
             match connection.arrivals.back_mut().filter(|_| many) {
-                Some((bytes, _)) => *bytes += came,
-                None => connection.arrivals.push_back((came, now)),
+                Some(arrival) => arrival.bytes += came,
+                None => connection.arrivals.push_back(Arrival {
+                    bytes: came,
+                    at: now,
+                }),
             }
             self.ready.push(id);
         }
--- a/crates/front/src/postgres/sessions/input.rs
+++ b/crates/front/src/postgres/sessions/input.rs
@@ -1,21 +1,53 @@
 //! Input of clients: the login, then units, one after the other.
 
 use std::collections::{BTreeSet, VecDeque};
+use std::rc::Rc;
 
 use hallmux_config::User;
 use hallmux_dispatcher::Micros;
 use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::engine;
 use hallmux_postgres::pool::AccountId;
-use hallmux_postgres::session::{Session, SessionEvent, Transaction};
+use hallmux_postgres::session::{Session, SessionEvent, Transaction, UnitPart};
 use hallmux_postgres::startup::{Client, StartupStep};
 use hallmux_postgres::wire::{self, CancelKey};
 
-use super::{Event, OpenSession, Sessions, Stage, Users};
+use super::{Arrival, Event, OpenSession, Sessions, Stage, Users};
 use crate::postgres::ids::SessionId;
 use crate::postgres::servers::Servers;
 
-const UNITS_PER_ITERATION: usize = 64; // units answered here for one session before others are served
+/// Units answered here for one session before others are served.
+const UNITS_PER_ITERATION: usize = 64;
+
+/// How much of a session's input was taken.
+struct Consumed {
+    bytes: usize,
+    /// There may be more to take now.
+    goes_on: bool,
+}
+
+impl Consumed {
+    const NOTHING: Consumed = Consumed {
+        bytes: 0,
+        goes_on: false,
+    };
+
+    /// So many bytes; the rest waits for more input, or for an answer.
+    fn until_more_comes(bytes: usize) -> Consumed {
+        Consumed {
+            bytes,
+            goes_on: false,
+        }
+    }
+
+    /// So many bytes; the rest can be taken at once.
+    fn and_more(bytes: usize) -> Consumed {
+        Consumed {
+            bytes,
+            goes_on: true,
+        }
+    }
+}
 
 impl Sessions {
     /// Takes the units that have come, as far as they can be taken now.
@@ -28,7 +60,8 @@
                 return;
             }
             let input = std::mem::take(&mut connection.link.input);
-            let (used, goes_on) = self.consume(now, id, &input, users, servers);
+            let consumed = self.consume(now, id, &input, users, servers);
+            let used = consumed.bytes;
             self.changed.insert(id);
             let Some(connection) = self.connections.get_mut(&id) else {
                 return;
@@ -47,7 +80,7 @@
                 self.abandon(id);
                 return;
             }
-            if !goes_on {
+            if !consumed.goes_on {
                 return;
             }
         }
@@ -55,7 +88,7 @@
         self.ready.push(id);
     }
 
-    /// Takes what can be taken of the input now: how many bytes, and whether there may be more to take.
+    /// Takes what can be taken of the input now.
     fn consume(
         &mut self,
         now: Micros,
@@ -63,26 +96,29 @@
         input: &[u8],
         users: &Users,
         servers: &mut Servers,
-    ) -> (usize, bool) {
+    ) -> Consumed {
         let Some(connection) = self.connections.get_mut(&id) else {
-            return (0, false);
+            return Consumed::NOTHING;
         };
         match &mut connection.stage {
-            Stage::LoggingIn(_) if input.is_empty() => (0, false),
+            Stage::LoggingIn(_) if input.is_empty() => Consumed::NOTHING,
             Stage::LoggingIn(_) => self.log_in(now, id, input, users, servers),
             Stage::Open(open_session) if open_session.skipping => {
                 match open_session.session.skip(input) {
                     Err(why) => {
                         why.write(connection.link.output(), true);
                         connection.closing = true;
-                        (0, false)
+                        Consumed::NOTHING
                     }
                     Ok((used, over)) => {
                         open_session.skipping = !over;
                         if over {
                             open_session.session.ready(connection.link.output());
                         }
-                        (used, over)
+                        Consumed {
+                            bytes: used,
+                            goes_on: over,
+                        }
                     }
                 }
             }
@@ -90,13 +126,13 @@
             Stage::Open(open_session)
                 if open_session.running.is_some() && !open_session.session.is_in_unit() =>
             {
-                (0, false)
+                Consumed::NOTHING
             }
             Stage::Open(_) => self.read_unit(now, id, input),
         }
     }
 
-    /// A step of the login; after the last one the session is open. Returns as `consume`.
+    /// A step of the login; after the last one the session is open.
     fn log_in(
         &mut self,
         now: Micros,
@@ -104,15 +140,15 @@
         input: &[u8],
         users: &Users,
         servers: &mut Servers,
-    ) -> (usize, bool) {
+    ) -> Consumed {
         let (first, second) = (self.secret("nonce", id), self.secret("the rest of it", id));
         let nonce = format!("{first:016x}{second:016x}");
         let hidden = self.chance_bytes();
         let Some(connection) = self.connections.get_mut(&id) else {
-            return (0, false);
+            return Consumed::NOTHING;
         };
         let Stage::LoggingIn(entry) = &mut connection.stage else {
-            return (0, false);
+            return Consumed::NOTHING;
         };
         let access = |user: &str| users.0.get(user).map(|(_, access)| access.clone());
         let out = connection.link.output();
@@ -120,20 +156,24 @@
             Err(what) => {
                 log::info!("session {id}: {what}; its connection is closed");
                 connection.closing = true;
-                (0, false)
+                Consumed::NOTHING
             }
-            Ok((used, StartupStep::Incomplete)) => (used, false),
+            Ok((used, StartupStep::Incomplete)) => Consumed::until_more_comes(used),
             Ok((used, StartupStep::Refused)) => {
                 connection.closing = true;
-                (used, false)
+                Consumed::until_more_comes(used)
             }
             Ok((used, StartupStep::Cancel(key))) => {
                 connection.closing = true;
                 self.take_cancel_request(key);
-                (used, false)
+                Consumed::until_more_comes(used)
             }
             Ok((used, StartupStep::Accepted(welcome))) => {
-                (used, self.open(now, id, &welcome, users, servers))
+                let is_open = self.open(now, id, &welcome, users, servers);
+                Consumed {
+                    bytes: used,
+                    goes_on: is_open,
+                }
             }
         }
     }
@@ -188,13 +228,13 @@
         true
     }
 
-    /// Reads a unit, or more of one that is out. Returns as `consume`.
-    fn read_unit(&mut self, now: Micros, id: SessionId, input: &[u8]) -> (usize, bool) {
+    /// Reads a unit, or more of one that is out.
+    fn read_unit(&mut self, now: Micros, id: SessionId, input: &[u8]) -> Consumed {
         let Some(connection) = self.connections.get_mut(&id) else {
-            return (0, false);
+            return Consumed::NOTHING;
         };
         let Stage::Open(open_session) = &mut connection.stage else {
-            return (0, false);
+            return Consumed::NOTHING;
         };
         match open_session
             .session
@@ -204,49 +244,60 @@
                 log::info!("session {id}: {}; its connection is closed", why.code());
                 why.write(connection.link.output(), true);
                 connection.closing = true;
-                (0, false)
+                Consumed::NOTHING
             }
-            Ok((used, SessionEvent::Incomplete)) => (used, false),
+            Ok((used, SessionEvent::Incomplete)) => Consumed::until_more_comes(used),
             Ok((used, SessionEvent::Terminated)) => {
                 connection.closing = true;
-                (used, false)
-            }
-            Ok((used, SessionEvent::Part(part))) => {
-                let since = came(&connection.arrivals, used).unwrap_or(now);
-                match &mut open_session.running {
-                    Some(running) => {
-                        running.parts.push(part.clone());
-                        running.commits |= part.commits;
-                        self.events.push(Event::UnitPart {
-                            ticket: running.ticket,
-                            part,
-                        });
-                        (used, true)
-                    }
-                    None => {
-                        let out = connection.link.output();
-                        let was = open_session.session.transaction;
-                        if open_session
-                            .session
-                            .answers(&part, &mut self.catalogue, out)
-                        {
-                            (used, true)
-                        } else if was == Transaction::Lost {
-                            ClientError::InFailedTransaction.write(out, false);
-                            open_session.skipping = true;
-                            (used, true)
-                        } else {
-                            self.events.push(Event::Unit {
-                                session: id,
-                                part,
-                                since,
-                            });
-                            (used, false)
-                        }
-                    }
-                }
+                Consumed::until_more_comes(used)
             }
+            Ok((used, SessionEvent::Part(part))) => self.take_part(now, id, used, part),
+        }
+    }
+
+    /// Takes a unit, or more of the one that is out. What the session can answer by itself is answered.
+    fn take_part(
+        &mut self,
+        now: Micros,
+        id: SessionId,
+        used: usize,
+        part: Rc<UnitPart>,
+    ) -> Consumed {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return Consumed::NOTHING;
+        };
+        let Stage::Open(open_session) = &mut connection.stage else {
+            return Consumed::NOTHING;
+        };
+        let since = came(&connection.arrivals, used).unwrap_or(now);
+        if let Some(running) = &mut open_session.running {
+            running.parts.push(part.clone());
+            running.commits |= part.commits;
+            self.events.push(Event::UnitPart {
+                ticket: running.ticket,
+                part,
+            });
+            return Consumed::and_more(used);
+        }
+        let output = connection.link.output();
+        let transaction = open_session.session.transaction;
+        let is_answered = open_session
+            .session
+            .answers(&part, &mut self.catalogue, output);
+        if is_answered {
+            return Consumed::and_more(used);
+        }
+        if transaction == Transaction::Lost {
+            ClientError::InFailedTransaction.write(output, false);
+            open_session.skipping = true;
+            return Consumed::and_more(used);
         }
+        self.events.push(Event::Unit {
+            session: id,
+            part,
+            since,
+        });
+        Consumed::until_more_comes(used)
     }
 
     fn chance_bytes(&self) -> [u8; 8] {
@@ -266,21 +317,22 @@
 }
 
 /// When the byte that ends so many bytes of the input came.
-fn came(arrivals: &VecDeque<(usize, Micros)>, used: usize) -> Option<Micros> {
+fn came(arrivals: &VecDeque<Arrival>, used: usize) -> Option<Micros> {
     let mut sum = 0;
-    arrivals.iter().find_map(|(bytes, at)| {
-        sum += bytes;
-        (sum >= used).then_some(*at)
+    arrivals.iter().find_map(|arrival| {
+        sum += arrival.bytes;
+        (sum >= used).then_some(arrival.at)
     })
 }
 
-fn taken(arrivals: &mut VecDeque<(usize, Micros)>, used: usize) {
+/// So many bytes of the input were taken.
+fn taken(arrivals: &mut VecDeque<Arrival>, used: usize) {
     let mut left = used;
-    while let Some((bytes, _)) = arrivals.front_mut() {
-        let len = left.min(*bytes);
-        *bytes -= len;
+    while let Some(arrival) = arrivals.front_mut() {
+        let len = left.min(arrival.bytes);
+        arrival.bytes -= len;
         left -= len;
-        if *bytes > 0 {
+        if arrival.bytes > 0 {
             break;
         }
         arrivals.pop_front();
