--- a/crates/front/src/clients.rs
+++ b/crates/front/src/clients.rs
@@ -15,7 +15,7 @@
 use crate::unsent_answers::UnsentAnswers;
 use connection::Client;
 
-pub use input::ServingStatus;
+pub use connection::ServingStatus;
 
 /// Statements open on a connection, as the protocol has it.
 const MOST_OPEN: usize = 32;
--- a/crates/front/src/clients/connection.rs
+++ b/crates/front/src/clients/connection.rs
@@ -9,6 +9,14 @@
 /// Statements that can't be used, until their connection is closed.
 pub(super) const MOST_UNUSABLE: usize = 8;
 
+/// What health checks of clients are answered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ServingStatus {
+    Serving,
+    /// The process ends: clients are to go elsewhere.
+    ShuttingDown,
+}
+
 pub(super) struct Client {
     pub(super) link: Link,
     /// The statements that it waits for, by the numbers that it gave them.
--- a/crates/front/src/clients/input.rs
+++ b/crates/front/src/clients/input.rs
@@ -4,21 +4,13 @@
 use hallmux_native_codec::statement::{self, Message, Reply, Request};
 use hallmux_native_codec::Decoded;
 
-use super::connection::Client;
+use super::connection::{Client, ServingStatus};
 use super::{ClientId, Clients, Event, MOST_UNSENT};
 use crate::link::ReadOutcome;
 
 /// Bytes taken from a client in an iteration, and one chunk: all that it may have open.
 pub(super) const READ_SIZE: usize = 16 << 10;
 
-/// What health checks of clients are answered.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ServingStatus {
-    Serving,
-    /// The process ends: clients are to go elsewhere.
-    ShuttingDown,
-}
-
 /// What the messages of one read have in common.
 struct ReadContext {
     client: ClientId,
--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -4,6 +4,7 @@
 mod capacity;
 mod connection;
 mod execution;
+mod pending_cancel;
 mod replies;
 mod result_pages;
 mod send;
@@ -22,9 +23,9 @@
 use crate::execution::ExecutionId;
 use crate::listed_engine::ListedEngine;
 use crate::reuse::Reuse;
-use cancels::AwaitingCancel;
 use connection::{ConnectionId, EngineConnection};
 use execution::{Execution, Stage};
+use pending_cancel::AwaitingCancel;
 
 /// Descriptors that are neither clients' nor engines'; the rest is for engines.
 const OTHER_DESCRIPTORS: usize = 32;
--- a/crates/front/src/engines/cancels.rs
+++ b/crates/front/src/engines/cancels.rs
@@ -3,42 +3,13 @@
 use hallmux_dispatcher::{Ending, Micros};
 
 use super::connection::ConnectionId;
+use super::pending_cancel::{AwaitingCancel, CancelCommand, CancelState};
 use super::Engines;
 use crate::execution::ExecutionId;
 
 /// Microseconds until an engine has surely read a command: some round trips.
 pub(super) const CANCEL_LAG: Micros = 10_000;
 
-/// A command that ends an execution, on its way to the engine.
-pub(super) struct CancelCommand {
-    pub(super) connection: ConnectionId,
-    /// Where it ends in the connection's output, as `Link::end_of_output` counts.
-    pub(super) end: usize,
-}
-
-/// An execution that was ended from here, but whose engine may not have read so yet.
-pub(super) struct AwaitingCancel {
-    execution_id: ExecutionId,
-    ending: Ending,
-    state: CancelState,
-}
-
-/// How far the word that ends an execution has come.
-#[derive(Clone, Copy, PartialEq)]
-enum CancelState {
-    /// A command on a connection, which ends there in the output and has not left whole; from `close_by` on
-    /// its connection is closed, once a flush has found that the network does not take it.
-    Unsent {
-        connection: ConnectionId,
-        end: usize,
-        close_by: Option<Micros>,
-    },
-    /// The connection was closed: this goes out with the next flush.
-    Closed,
-    /// It has left: its engine has surely read it by then.
-    Left { read_by: Micros },
-}
-
 impl Engines {
     /// It ends; what was ended from here, not before its engine has read of it. Guards against two executions
     /// of a statement, or of an order key, at once: one connection may bring the next sooner than another the
--- a/crates/front/src/engines/send.rs
+++ b/crates/front/src/engines/send.rs
@@ -7,9 +7,9 @@
 use hallmux_native_codec::engine::{self, Command};
 use hallmux_native_codec::statement::Call;
 
-use super::cancels::CancelCommand;
 use super::connection::{ConnectionId, EngineConnection};
 use super::execution::{Execution, Stage};
+use super::pending_cancel::CancelCommand;
 use super::{Engines, Event};
 use crate::events::SocketKind;
 use crate::execution::ExecutionId;
--- a/crates/front/src/event_loop/start.rs
+++ b/crates/front/src/event_loop/start.rs
@@ -15,7 +15,7 @@
 use crate::engine_starts::EngineStarts;
 use crate::engines::Engines;
 use crate::events::{LoopEvents, SocketKind};
-use crate::fleet::rules::{self, Shared};
+use crate::fleet::rules::{Rules, Shared};
 use crate::fleet::{Guard, Peers};
 use crate::listener::Listener;
 use crate::postgres::gateway::Gateway;
@@ -35,7 +35,7 @@
         let settings = &config.settings;
         let clock = start_clock(config)?;
         let peers = start_peers(config, clock.now, &handle)?;
-        let rules = rules::start(config, clock.now, peers.as_ref())?;
+        let rules = Rules::start(config, clock.now, peers.as_ref())?;
         let gateway = start_gateway(config, &handle, rules.clone())?;
         let scatter = start_scatter(config, clock.now, peers.as_ref())?;
         let listener = Listener::new(listener, &handle, SocketKind::Listener.id(0));
--- a/crates/front/src/fleet/gate.rs
+++ b/crates/front/src/fleet/gate.rs
@@ -8,11 +8,12 @@
 use hallmux_fleet::gate::{self, LedgerClient, OrderedExecution, Ruling};
 use hallmux_ledger::{Ask, Done};
 
+use super::peers::Peers;
 use super::rules::Ordered;
-use super::Peers;
 use crate::execution::ExecutionId;
 
-const LOG_INTERVAL: Micros = 10_000_000; // microseconds between lines of the log on what was turned away
+/// Microseconds between lines of the log on what was rejected.
+const LOG_INTERVAL: Micros = 10_000_000;
 
 impl LedgerClient for Peers {
     fn ask(&mut self, now: Micros, ask: Ask) {
--- a/crates/front/src/fleet/mod.rs
+++ b/crates/front/src/fleet/mod.rs
@@ -15,4 +15,4 @@
 
 pub use errors::{PeersError, RulesError};
 pub use gate::Guard;
-pub use peers::{LedgerFleet, PeerMessage, Peers};
+pub use peers::{PeerMessage, Peers};
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -5,29 +5,28 @@
 mod file;
 mod log_lines;
 mod session_control;
+mod start;
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 use std::time::Instant;
 
-use hallmux_access::{
-    self as access, Access, AccessConfig, Decision, FleetHits, Owner, Request, RulesCommand,
-};
-use hallmux_config::Settings;
+use hallmux_access::{self as access, Access, Decision, FleetHits, Request, RulesCommand};
 use hallmux_dispatcher::{Dispatcher, Ending, Micros, Place, Terms, Ticket};
-use hallmux_ledger::{self as ledger, Ledger, Member, Moment};
+use hallmux_ledger::{self as ledger, Ledger, Moment};
 use hallmux_native_codec::tables;
 
-use super::{Peers, RulesError};
+use super::peers::Peers;
 use crate::execution::ExecutionId;
-use file::{known, read};
+use file::read;
 
-pub use file::start;
-
-const ASK_NUMBERS: u64 = 2 << 56; // the highest byte of the numbers of its asks: others of one front have others
-const MOST_GROUPS: usize = 16; // groups of tables that a statement is judged by; more cannot be told
-const REPORT_INTERVAL: Micros = 100_000; // microseconds between reports to the dispatcher on what is held here
+/// The highest byte of the numbers of its asks: other parts of one front have others.
+const ASK_NUMBERS: u64 = 2 << 56;
+/// Groups of tables that a statement is judged by; more cannot be told.
+const MOST_GROUPS: usize = 16;
+/// Microseconds between reports to the dispatcher on what is held here.
+const REPORT_INTERVAL: Micros = 100_000;
 
 /// The front and its sessions judge by the same.
 pub type Shared = Rc<RefCell<Rules>>;
@@ -88,54 +87,6 @@
 }
 
 impl Rules {
-    /// `own` and `fronts` are by the keys of gossip. Without other fronts this one is the fleet.
-    pub fn new(
-        rules: &hallmux_config::Rules,
-        settings: &Settings,
-        own: Owner,
-        fronts: Vec<u64>,
-        alone: bool,
-    ) -> Result<Rules, RulesError> {
-        let known = known(rules, settings);
-        let (text, command) = read(&rules.file, &known)?;
-        if matches!(command, RulesCommand::WhatIf(_)) {
-            return Err(RulesError::Question(rules.file.clone()));
-        }
-        let setup = AccessConfig {
-            own,
-            fronts,
-            region: rules.region.clone(),
-            known,
-            terms: access::Terms {
-                length: rules.lease,
-                drift_ppm: rules.drift_ppm,
-            },
-            remembers: rules.remembers,
-            first_number: ASK_NUMBERS,
-        };
-        let alone = alone.then(|| own_ledger(own)).transpose()?;
-        let mut access = Access::new(setup);
-        access.offer(&rules.file, &text, command);
-        log::info!(
-            "rules of customers hold; this front stands in {}",
-            rules.region
-        );
-        Ok(Rules {
-            access,
-            alone,
-            steady: Instant::now(),
-            statements: BTreeMap::new(),
-            tickets: HashMap::new(),
-            rulings: Vec::new(),
-            next_report: 0,
-            next_log: rules.tell_every,
-            log_every: rules.tell_every,
-            ended: 0,
-            logged_hits: None,
-            logged_limits: BTreeMap::new(),
-        })
-    }
-
     /// SIGHUP: the file is read again. One that can't be used changes nothing.
     pub fn reload(&mut self, now: Micros, rules: &hallmux_config::Rules) {
         match read(&rules.file, self.access.known()) {
@@ -458,25 +409,6 @@
     }
 }
 
-/// The ledger of a front without others.
-fn own_ledger(own: Owner) -> Result<Ledger, RulesError> {
-    let member = Member {
-        front: own.front,
-        zone: String::new(),
-    };
-    let disk = own.incarnation | 1;
-    let setup = ledger::Setup {
-        copies: 1,
-        shards: 1,
-        ..ledger::Setup::new("alone", own.front, own.incarnation, disk, vec![member])
-    };
-    let at = Moment {
-        steady: 0,
-        wall_ms: own.incarnation,
-    };
-    Ok(Ledger::new(at, setup, None)?)
-}
-
 fn ask_own_ledger(ledger: &mut Ledger, at: Moment, asks: Vec<ledger::Ask>) -> Vec<ledger::Done> {
     for ask in asks {
         ledger.ask(at, ask);
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -14,7 +14,6 @@
 use hallmux_dispatcher::{Dispatcher, Ending, Micros, Place, Ticket};
 use hallmux_postgres::session::Transaction;
 
-use self::admission::final_answer;
 use super::admission_state::AdmissionState;
 use super::error::ListenError;
 use super::servers::{self, Servers, Unit};
@@ -23,7 +22,6 @@
 use crate::execution::ExecutionId;
 use crate::fleet::rules::Shared;
 use crate::listener::Listener;
-use crate::refusal::Refusal;
 use crate::transient;
 use crate::unsent_answers::UnsentAnswers;
 
@@ -316,15 +314,6 @@
         self.servers.cancel_execution(now, execution_id, ending);
     }
 
-    /// The module turns a statement away, or ends it.
-    pub fn refuse(&mut self, now: Micros, ticket: Ticket, refusal: Refusal) {
-        let Some((_, open_session)) = self.sessions.by_ticket(ticket) else {
-            return;
-        };
-        let why = final_answer(open_session, refusal);
-        self.sessions.fail(now, ticket, &why, None);
-    }
-
     /// Sends what is to leave to engines.
     pub fn flush_servers(&mut self, now: Micros) {
         self.servers.flush(now);
--- a/crates/front/src/postgres/gateway/admission.rs
+++ b/crates/front/src/postgres/gateway/admission.rs
@@ -151,6 +151,15 @@
         }
     }
 
+    /// Gives a statement its final answer without a result.
+    pub fn refuse(&mut self, now: Micros, ticket: Ticket, refusal: Refusal) {
+        let Some((_, open_session)) = self.sessions.by_ticket(ticket) else {
+            return;
+        };
+        let why = final_answer(open_session, refusal);
+        self.sessions.fail(now, ticket, &why, None);
+    }
+
     /// Nobody waits for a statement any more.
     pub(super) fn left(&mut self, now: Micros, dispatcher: &mut Dispatcher, ticket: Ticket) {
         // What waits for a connection is not sent any more, also where engines can't be told to give it up.
@@ -234,7 +243,7 @@
 }
 
 /// The answer to a unit that the module has given up on, or that ended once its answer had begun.
-pub(super) fn final_answer(open_session: &OpenSession, refusal: Refusal) -> ClientError {
+fn final_answer(open_session: &OpenSession, refusal: Refusal) -> ClientError {
     let Some(running) = &open_session.running else {
         return ClientError::ResultLost;
     };
--- a/crates/front/src/scatter/statements/parts.rs
+++ b/crates/front/src/scatter/statements/parts.rs
@@ -1,6 +1,11 @@
 //! Which statements are parts, and of which whole.
 
-use super::*;
+use std::rc::Rc;
+
+use hallmux_dispatcher::Ticket;
+use hallmux_native_codec::statement::Call;
+
+use super::ScatteredStatements;
 
 impl ScatteredStatements {
     /// A statement is a part of one of these.
