--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -211,107 +211,122 @@
         }
     }
 
+    /// Asks the sites that could have rows, or answers by what their summaries tell.
     fn ask_sites(
         &mut self,
         now: Micros,
         ticket: Ticket,
-        word: &LoadInfo,
+        load_info: &LoadInfo,
         dispatcher: &mut Dispatcher,
     ) {
-        if self.last_log + LOG_INTERVAL <= now {
-            self.last_log = now;
-            if matches!(word, LoadInfo::Unknown) {
-                log::info!("the ledger gives no word on loads, so all sites are asked");
+        self.log_sites_asked(now, load_info);
+        let statement = self.open.get(&ticket);
+        let Some(statement) = statement.filter(|statement| statement.whole.is_none()) else {
+            return;
+        };
+        if statement.query.distinct.is_some() {
+            if let Some(answer) = self.by_sketch(now, statement, load_info) {
+                self.open.remove(&ticket);
+                return self.replies.push((ticket, FinalReply::Answer(answer)));
             }
-            self.log_counts();
         }
-        let Some(statement) = self
-            .open
-            .get(&ticket)
-            .filter(|statement| statement.whole.is_none())
-        else {
+        let Some(plan) = self.plan_sites(now, ticket, load_info) else {
             return;
         };
-        let distinct = statement.query.distinct.is_some();
-        if let Some(answer) = distinct
-            .then(|| self.by_sketch(now, statement, word))
-            .flatten()
-        {
-            self.open.remove(&ticket);
-            return self.replies.push((ticket, FinalReply::Answer(answer)));
-        }
+        self.note_plan(now, ticket, &plan);
         let Some(statement) = self.open.get_mut(&ticket) else {
             return;
         };
+        let rules = GatherRules {
+            limit: statement.query.limit,
+            partial: self.settings.partial.contains(&statement.call.customer),
+            at_once: self.settings.at_once,
+            most_bytes: self.settings.answer_bytes,
+            combine: statement.query.combine.clone(),
+        };
+        let (whole, acts) = Gather::new(plan.parts, plan.barred, rules);
+        statement.whole = Some(whole);
+        self.act(now, ticket, acts, dispatcher);
+        self.note_audit_wait(now, ticket);
+    }
+
+    fn log_sites_asked(&mut self, now: Micros, load_info: &LoadInfo) {
+        if self.last_log + LOG_INTERVAL > now {
+            return;
+        }
+        self.last_log = now;
+        if matches!(load_info, LoadInfo::Unknown) {
+            log::info!("the ledger gives no word on loads, so all sites are asked");
+        }
+        self.log_counts();
+    }
+
+    /// Which sites are asked and which are left out, audits among those asked.
+    fn plan_sites(&mut self, now: Micros, ticket: Ticket, load_info: &LoadInfo) -> Option<Plan> {
+        let statement = self.open.get(&ticket)?;
+        let query = &statement.query;
         let allowed: Option<Vec<&str>> = statement
             .allowed
             .as_ref()
             .map(|names| names.iter().map(String::as_str).collect());
-        let wall_ms = (now / 1000) as u64;
-        let book = &self.summaries.book;
+        let (sites, allowed) = (&self.sites, allowed.as_deref());
+        if query.distinct.is_some() {
+            // The one site has all rows.
+            if let Some(site) = &self.settings.whole_site {
+                return Some(Plan::single_site(site, allowed));
+            }
+        }
         let audits = self.audits.as_ref();
         let is_suspect = |site: &str| audits.is_some_and(|audits| audits.is_suspect(site));
-        let (sites, allowed) = (&self.sites, allowed.as_deref());
-        let mut plan = match self.settings.whole_site.as_ref().filter(|_| distinct) {
-            Some(site) => Plan::single_site(site, allowed),
-            None => plan(
-                &statement.query,
-                &Basis {
-                    sites,
-                    allowed,
-                    summaries: book,
-                    wall_ms,
-                    loads: word,
-                    suspected: &is_suspect,
-                },
-            ),
+        let basis = Basis {
+            sites,
+            allowed,
+            summaries: &self.summaries.book,
+            wall_ms: (now / 1000) as u64,
+            loads: load_info,
+            suspected: &is_suspect,
         };
-        if distinct {
-            // The one site has all rows.
-        } else if statement.query.combine.is_some() {
+        let mut plan = plan(query, &basis);
+        if query.distinct.is_some() {
+            return Some(plan);
+        }
+        if query.combine.is_some() {
             plan.ensure_one(sites, allowed);
-        } else if let Some(audits) = self
-            .audits
-            .as_mut()
-            .filter(|_| statement.query.join.is_none())
-        {
+        } else if query.join.is_none() {
             // A join may be ruled out by either side, which no audit tells apart.
-            audits.audit(now, ticket, &mut plan, sites, allowed);
+            if let Some(audits) = &mut self.audits {
+                audits.audit(now, ticket, &mut plan, sites, allowed);
+            }
         }
-        let version = |site: &str| {
-            book.current(wall_ms, site, statement.query.group)
-                .map_or(0, |s| s.version)
-        };
-        let asked = plan
-            .parts
-            .iter()
-            .filter(|part| part.ruled_out && statement.query.join.is_none());
-        statement.ruled_out = asked
-            .map(|p| RuledOut {
-                site: p.site.clone(),
-                group: statement.query.group,
-                version: version(&p.site),
-            })
-            .collect();
-        let book = &mut self.summaries.book;
-        let left_out = plan
-            .pruned
-            .iter()
-            .filter(|_| statement.query.join.is_none());
-        left_out.for_each(|site| book.record_outcome(wall_ms, &statement.query, site, false));
+        Some(plan)
+    }
+
+    /// Notes in a statement which sites are asked though they were ruled out, and counts those asked and left out.
+    fn note_plan(&mut self, now: Micros, ticket: Ticket, plan: &Plan) {
         self.counts.0 += plan.parts.len() as u64;
         self.counts.1 += plan.pruned.len() as u64;
-        let rules = GatherRules {
-            limit: statement.query.limit,
-            partial: self.settings.partial.contains(&statement.call.customer),
-            at_once: self.settings.at_once,
-            most_bytes: self.settings.answer_bytes,
-            combine: statement.query.combine.clone(),
+        let Some(statement) = self.open.get_mut(&ticket) else {
+            return;
         };
-        let (whole, acts) = Gather::new(plan.parts, plan.barred, rules);
-        statement.whole = Some(whole);
-        self.act(now, ticket, acts, dispatcher);
-        self.note_audit_wait(now, ticket);
+        statement.ruled_out.clear();
+        let query = &statement.query;
+        if query.join.is_some() {
+            return;
+        }
+        let wall_ms = (now / 1000) as u64;
+        let book = &mut self.summaries.book;
+        let ruled_out = plan.parts.iter().filter(|part| part.ruled_out);
+        for part in ruled_out {
+            let summary = book.current(wall_ms, &part.site, query.group);
+            statement.ruled_out.push(RuledOut {
+                site: part.site.clone(),
+                group: query.group,
+                version: summary.map_or(0, |summary| summary.version),
+            });
+        }
+        for site in &plan.pruned {
+            book.record_outcome(wall_ms, query, site, false);
+        }
     }
 
     /// Notes a whole that waits for audits alone.
@@ -338,49 +353,27 @@
     }
 
     fn act(&mut self, now: Micros, ticket: Ticket, acts: Vec<Action>, dispatcher: &mut Dispatcher) {
-        let mut acts = std::collections::VecDeque::from(acts);
+        let mut acts = VecDeque::from(acts);
         while let Some(act) = acts.pop_front() {
             let Some(statement) = self.open.get_mut(&ticket) else {
                 return;
             };
             match act {
-                Action::Start(place) => {
-                    let site = statement
-                        .whole
-                        .as_ref()
-                        .and_then(|whole| whole.site(place))
-                        .unwrap_or_default();
-                    let ask = StatementRequest {
-                        workload: &statement.call.workload,
-                        customer: &statement.call.customer,
-                        key: None,
-                        dedup_key: None,
-                        time_left: statement.ends - now,
-                        work: statement.call.work_ms * 1000.0,
-                        memory_mb: statement.call.memory_mb,
-                        data_set: Some(statement.query.group),
-                        protocol: Protocol::Lines,
-                        pinned: None,
-                        allowed: Some(&[site]),
-                    };
-                    match dispatcher.submit(now, &ask) {
-                        Ok(part) => {
-                            statement.tickets.insert(place, part);
-                            self.parts.insert(part, (ticket, place));
-                        }
-                        Err(InvalidRequest::NoAllowedLocation) => {
-                            let more = statement
-                                .whole
-                                .as_mut()
-                                .map(|whole| whole.failed(place, PartFailure::Barred));
-                            acts.extend(more.unwrap_or_default());
-                        }
-                        Err(unfit) => {
-                            self.abandon(now, ticket, dispatcher);
-                            return self.replies.push((ticket, FinalReply::Invalid(unfit)));
-                        }
+                Action::Start(place) => match submit_part(now, statement, place, dispatcher) {
+                    Ok(part) => {
+                        statement.tickets.insert(place, part);
+                        self.parts.insert(part, (ticket, place));
                     }
-                }
+                    Err(InvalidRequest::NoAllowedLocation) => {
+                        let whole = statement.whole.as_mut();
+                        let more = whole.map(|whole| whole.failed(place, PartFailure::Barred));
+                        acts.extend(more.unwrap_or_default());
+                    }
+                    Err(invalid) => {
+                        self.abandon(now, ticket, dispatcher);
+                        return self.replies.push((ticket, FinalReply::Invalid(invalid)));
+                    }
+                },
                 Action::End(place) => {
                     if let Some(part) = statement.tickets.remove(&place) {
                         self.parts.remove(&part);
@@ -420,39 +413,10 @@
         };
         let acts = match ended {
             Ok(rows) => {
-                let site = whole.site(place).unwrap_or_default();
-                if rows.is_empty() {
-                    if let Some(part) = whole.part(place) {
-                        *self.asked_without_rows.entry(part.reason).or_default() += 1;
-                    }
-                    self.summaries.book.record_outcome(
-                        (now / 1000) as u64,
-                        &statement.query,
-                        site,
-                        true,
-                    );
-                }
-                let of = statement
-                    .ruled_out
-                    .iter()
-                    .find(|of| of.site == site)
-                    .cloned();
-                if let Some((audits, of)) = self.audits.as_mut().zip(of) {
-                    let (check, lines) = (
-                        dispatcher.new_ticket(),
-                        rows.iter().filter(|c| **c == b'\n').count(),
-                    );
-                    if audits.answered(check, of, &statement.query, lines as u64) {
-                        match &mut self.loads {
-                            Some(loads) => loads.scatter(check, statement.query.group),
-                            None => {
-                                let (wall_ms, book) = ((now / 1000) as u64, &self.summaries.book);
-                                audits.apply_marks(wall_ms, check, &LoadInfo::NoLoads, book);
-                            }
-                        }
-                    }
-                }
-                whole.answered(place, rows)
+                self.note_rows(now, ticket, place, &rows, dispatcher);
+                let statement = self.open.get_mut(&ticket);
+                let whole = statement.and_then(|statement| statement.whole.as_mut());
+                whole.map_or(Vec::new(), |whole| whole.answered(place, rows))
             }
             Err(failed) => whole.failed(place, failed),
         };
@@ -460,6 +424,49 @@
         self.note_audit_wait(now, ticket);
     }
 
+    /// Learns from the rows of a part: whether its site had any, and what audits make of that.
+    fn note_rows(
+        &mut self,
+        now: Micros,
+        ticket: Ticket,
+        place: usize,
+        rows: &[u8],
+        dispatcher: &mut Dispatcher,
+    ) {
+        let Some(statement) = self.open.get(&ticket) else {
+            return;
+        };
+        let Some(whole) = &statement.whole else {
+            return;
+        };
+        let wall_ms = (now / 1000) as u64;
+        let query = &statement.query;
+        let site = whole.site(place).unwrap_or_default();
+        if rows.is_empty() {
+            if let Some(part) = whole.part(place) {
+                *self.asked_without_rows.entry(part.reason).or_default() += 1;
+            }
+            self.summaries
+                .book
+                .record_outcome(wall_ms, query, site, true);
+        }
+        let ruled_out = statement.ruled_out.iter().find(|out| out.site == site);
+        let Some((audits, ruled_out)) = self.audits.as_mut().zip(ruled_out.cloned()) else {
+            return;
+        };
+        let check = dispatcher.new_ticket();
+        let lines = rows.iter().filter(|byte| **byte == b'\n').count();
+        if !audits.answered(check, ruled_out, query, lines as u64) {
+            return;
+        }
+        match &mut self.loads {
+            Some(loads) => loads.scatter(check, query.group),
+            None => {
+                audits.apply_marks(wall_ms, check, &LoadInfo::NoLoads, &self.summaries.book);
+            }
+        }
+    }
+
     /// Nobody waits for a whole statement any more. False if it is none of these.
     pub fn abandon(&mut self, now: Micros, ticket: Ticket, dispatcher: &mut Dispatcher) -> bool {
         let Some(statement) = self.open.remove(&ticket) else {
@@ -500,3 +507,28 @@
         self.summaries.tick(now, others)
     }
 }
+
+/// Hands a part to the dispatcher, for the site at this place of the plan.
+fn submit_part(
+    now: Micros,
+    statement: &Statement,
+    place: usize,
+    dispatcher: &mut Dispatcher,
+) -> Result<Ticket, InvalidRequest> {
+    let whole = statement.whole.as_ref();
+    let site = whole.and_then(|whole| whole.site(place));
+    let request = StatementRequest {
+        workload: &statement.call.workload,
+        customer: &statement.call.customer,
+        key: None,
+        dedup_key: None,
+        time_left: statement.ends - now,
+        work: statement.call.work_ms * 1000.0,
+        memory_mb: statement.call.memory_mb,
+        data_set: Some(statement.query.group),
+        protocol: Protocol::Lines,
+        pinned: None,
+        allowed: Some(&[site.unwrap_or_default()]),
+    };
+    dispatcher.submit(now, &request)
+}
