--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -4,36 +4,28 @@
 mod accept;
 mod admission;
 mod loads;
+mod server_events;
 
 use std::net::TcpListener;
 use std::rc::Rc;
 
 use calloop::LoopHandle;
 use hallmux_config::{Postgres, Settings};
-use hallmux_dispatcher::{Dispatcher, Ending, Micros, Note, Place, Ticket};
-use hallmux_postgres::client_error::ClientError;
+use hallmux_dispatcher::{Dispatcher, Ending, Micros, Place, Ticket};
 use hallmux_postgres::session::Transaction;
 
-use self::admission::final_answer;
+use super::admission_state::AdmissionState;
 use super::error::ListenError;
-use super::servers::{self, Servers, SessionId, Unit};
+use super::servers::{self, Servers, Unit};
 use super::sessions::{self, Sessions, Users};
 use crate::events::{LoopEvents, SocketId, SocketKind};
 use crate::execution::ExecutionId;
 use crate::fleet::rules::Shared;
 use crate::listener::Listener;
-use crate::refusal::Refusal;
 use crate::transient;
+use crate::unsent_answers::UnsentAnswers;
 
-/// What admission of a unit depends on beyond its session.
-#[derive(Clone, Copy)]
-pub struct AdmissionState {
-    /// How long what is found now may have waited.
-    pub waited: Micros,
-    /// No more statements can be taken.
-    pub full: bool,
-}
-
+/// Sessions of PostgreSQL clients, and the connections to engines that they are served over.
 pub struct Gateway {
     handle: LoopHandle<'static, LoopEvents>,
     listener: Listener,
@@ -54,6 +46,7 @@
 }
 
 impl Gateway {
+    /// Opens the listener that the operator's file names.
     pub fn new(
         postgres: &Postgres,
         settings: &Settings,
@@ -122,18 +115,19 @@
         self.sessions.held_bytes()
     }
 
-    /// Bytes of the answers that clients have not taken yet, and the session that has left most.
-    pub fn unsent(&self) -> (usize, Option<SessionId>) {
+    /// The answers that clients have not taken yet.
+    pub fn unsent(&self) -> UnsentAnswers {
         self.sessions.unsent()
     }
 
+    /// Whether a statement is a session's.
     pub fn owns(&self, ticket: Ticket) -> bool {
         self.sessions.owns(ticket)
     }
 
     /// Whether an execution is out for a session, or was when it left.
-    pub fn has(&self, sent: ExecutionId) -> bool {
-        self.servers.has(sent)
+    pub fn has(&self, execution_id: ExecutionId) -> bool {
+        self.servers.has(execution_id)
     }
 
     /// Where an engine of a kind takes sessions: at a port of its own beside lines, or in their place.
@@ -142,10 +136,12 @@
         self.allowed.engines.iter().find(speaks).map(|e| e.port)
     }
 
+    /// The connections to engines.
     pub fn servers(&mut self) -> &mut Servers {
         &mut self.servers
     }
 
+    /// When something is due though no socket changes, in Unix microseconds.
     pub fn due(&self) -> Micros {
         let more = !self.servers.events.is_empty() || !self.sessions.ready.is_empty();
         let more = more || !self.unfinished.is_empty();
@@ -162,12 +158,12 @@
         &mut self,
         now: Micros,
         socket: SocketId,
-        room: AdmissionState,
+        admission: AdmissionState,
         dispatcher: &mut Dispatcher,
     ) -> bool {
         let more = self.ready(now, socket);
         if socket.kind == SocketKind::Session {
-            self.take_units(now, room, dispatcher);
+            self.take_units(now, admission, dispatcher);
         }
         more
     }
@@ -195,18 +191,18 @@
     }
 
     /// Reads on where an iteration has left more, and takes the units that have come.
-    pub fn take(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
+    pub fn take(&mut self, now: Micros, admission: AdmissionState, dispatcher: &mut Dispatcher) {
         for socket in std::mem::take(&mut self.unfinished) {
             self.read_on(now, socket);
         }
-        self.take_units(now, room, dispatcher);
+        self.take_units(now, admission, dispatcher);
     }
 
-    fn take_units(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
+    fn take_units(&mut self, now: Micros, admission: AdmissionState, dispatcher: &mut Dispatcher) {
         for id in std::mem::take(&mut self.sessions.ready) {
             self.sessions
                 .advance(now, id, &self.users, &mut self.servers);
-            self.handle_session_events(now, room, dispatcher);
+            self.handle_session_events(now, admission, dispatcher);
         }
     }
 
@@ -214,7 +210,7 @@
     fn handle_session_events(
         &mut self,
         now: Micros,
-        room: AdmissionState,
+        admission: AdmissionState,
         dispatcher: &mut Dispatcher,
     ) {
         while !self.sessions.events.is_empty() {
@@ -225,7 +221,7 @@
                         part,
                         since,
                     } => {
-                        self.admit(now, room, dispatcher, session, part, since);
+                        self.admit(now, admission, dispatcher, session, part, since);
                     }
                     sessions::Event::UnitPart { ticket, part }
                         if self.names_unmarked_groups(ticket, &part) =>
@@ -235,10 +231,12 @@
                         self.left(now, dispatcher, ticket);
                     }
                     sessions::Event::UnitPart { ticket, part } => {
-                        let sent = self.sessions.by_ticket(ticket);
-                        let sent = sent.and_then(|(_, i)| i.running.as_ref()?.sent);
-                        sent.into_iter()
-                            .for_each(|sent| self.servers.more(sent, part.clone()));
+                        let execution_id = self.sessions.by_ticket(ticket);
+                        let execution_id =
+                            execution_id.and_then(|(_, i)| i.running.as_ref()?.execution_id);
+                        execution_id
+                            .into_iter()
+                            .for_each(|execution_id| self.servers.more(execution_id, part.clone()));
                     }
                     sessions::Event::Abandoned(ticket) => self.left(now, dispatcher, ticket),
                     sessions::Event::TransactionOver {
@@ -258,20 +256,26 @@
     }
 
     /// An execution leaves; with other text where it is a simple query that is to have it.
-    pub fn send(&mut self, now: Micros, sent: ExecutionId, place: Place, text: Option<Vec<u8>>) {
-        let Some((session, open_session)) = self.sessions.by_ticket(sent.ticket) else {
+    pub fn send(
+        &mut self,
+        now: Micros,
+        execution_id: ExecutionId,
+        place: Place,
+        text: Option<Vec<u8>>,
+    ) {
+        let Some((session, open_session)) = self.sessions.by_ticket(execution_id.ticket) else {
             return self.servers.events.push(servers::Event::Ended {
-                sent,
+                execution_id,
                 ending: Ending::Withdrawn,
             });
         };
         let (settings, account) = (open_session.session.settings.clone(), open_session.account);
-        let pin = open_session.pin.map(|(_, link)| link);
+        let pin = open_session.pin.map(|pin| pin.server);
         let lost = open_session.session.transaction == Transaction::Lost;
         let Some(running) = &mut open_session.running else {
             return;
         };
-        running.sent = Some(sent);
+        running.execution_id = Some(execution_id);
         let (mut parts, once) = (running.parts.clone(), running.commits);
         if let (Some(text), [part]) = (text, &mut parts[..]) {
             *part = part.with_text(&text).map_or_else(|| part.clone(), Rc::new);
@@ -279,13 +283,13 @@
         if lost {
             // Its transaction went while it waited.
             return self.servers.events.push(servers::Event::Ended {
-                sent,
+                execution_id,
                 ending: Ending::Withdrawn,
             });
         }
         self.servers.send(
             now,
-            sent,
+            execution_id,
             place,
             Unit {
                 session,
@@ -298,148 +302,16 @@
         );
     }
 
-    pub fn stop(&mut self, now: Micros, sent: ExecutionId, ending: Ending) {
+    /// Ends an execution, wherever it is.
+    pub fn stop(&mut self, now: Micros, execution_id: ExecutionId, ending: Ending) {
         let running = self
             .sessions
-            .by_ticket(sent.ticket)
+            .by_ticket(execution_id.ticket)
             .and_then(|(_, open_session)| open_session.running.as_mut());
         running
             .into_iter()
             .for_each(|r| r.time_up |= ending == Ending::TimeUp);
-        self.servers.cancel_execution(now, sent, ending);
-    }
-
-    /// The module turns a statement away, or ends it.
-    pub fn refuse(&mut self, now: Micros, ticket: Ticket, refusal: Refusal) {
-        let Some((_, open_session)) = self.sessions.by_ticket(ticket) else {
-            return;
-        };
-        let why = final_answer(open_session, refusal);
-        self.sessions.fail(now, ticket, &why, None);
-    }
-
-    /// Reports replies of engines, and how executions have ended, to sessions and to the dispatcher.
-    pub fn handle_server_events(
-        &mut self,
-        now: Micros,
-        room: AdmissionState,
-        dispatcher: &mut Dispatcher,
-    ) {
-        loop {
-            let events = std::mem::take(&mut self.servers.events);
-            if events.is_empty() {
-                break;
-            }
-            for event in events {
-                self.handle_server_event(now, dispatcher, event);
-            }
-            self.handle_session_events(now, room, dispatcher);
-        }
-        self.take(now, room, dispatcher);
-    }
-
-    fn handle_server_event(
-        &mut self,
-        now: Micros,
-        dispatcher: &mut Dispatcher,
-        event: servers::Event,
-    ) {
-        match event {
-            servers::Event::Irrevocable(ExecutionId { ticket, .. }) => {
-                dispatcher.answer_begun(ticket)
-            }
-            servers::Event::PartialAnswer {
-                sent:
-                    ExecutionId {
-                        ticket,
-                        number: execution,
-                    },
-                bytes,
-                whole,
-            } => {
-                dispatcher.answer_begun(ticket);
-                if self.sessions.pass(ticket, &bytes, whole) {
-                    self.servers
-                        .pause(ExecutionId::new(ticket, execution), true);
-                }
-            }
-            servers::Event::Answered {
-                sent:
-                    ExecutionId {
-                        ticket,
-                        number: execution,
-                    },
-                bytes,
-                done,
-                held,
-            } => {
-                let open = done.status != b'I';
-                let keeps = open && dispatcher.keep_order_key(ticket);
-                let ending = Ending::Answered;
-                if !dispatcher.report(now, ticket, execution, ending, None) {
-                    // It had its answer before; a transaction that it opened is nobody's.
-                    return held
-                        .into_iter()
-                        .for_each(|link| self.servers.release(now, link));
-                }
-                let Some((_, open_session)) = self.sessions.by_ticket(ticket) else {
-                    return;
-                };
-                if let Some(key) = open_session
-                    .running
-                    .as_mut()
-                    .and_then(|r| r.key.take())
-                    .filter(|_| keeps)
-                {
-                    open_session.held_keys.push(key);
-                }
-                let place = held.and_then(|link| self.servers.place(link));
-                let pin = place.zip(held);
-                self.sessions.answer(now, ticket, &bytes, &done, pin);
-            }
-            servers::Event::Refused {
-                sent:
-                    ExecutionId {
-                        ticket,
-                        number: execution,
-                    },
-                error,
-            } => {
-                dispatcher.answer_begun(ticket);
-                if dispatcher.report(now, ticket, execution, Ending::Stale, None) {
-                    self.sessions
-                        .fail(now, ticket, &ClientError::ResultLost, Some(&error));
-                }
-            }
-            servers::Event::Ended {
-                sent:
-                    ExecutionId {
-                        ticket,
-                        number: execution,
-                    },
-                ending,
-            } => {
-                let mut cancelled = false;
-                if let Some((_, open_session)) = self.sessions.by_ticket(ticket) {
-                    if let Some(running) = &mut open_session.running {
-                        running.ran |= ending.may_have_run();
-                        running.sent = None;
-                        cancelled = running.cancelled;
-                    }
-                }
-                let over = dispatcher.report(now, ticket, execution, ending, None);
-                if over || cancelled {
-                    // One whose client has asked for its end is not tried again.
-                    self.refuse(now, ticket, Refusal::Aborted);
-                    dispatcher.client_left(now, ticket);
-                }
-            }
-            servers::Event::Alive(ExecutionId {
-                ticket,
-                number: execution,
-            }) => dispatcher.note(ticket, execution, Note::Alive),
-            servers::Event::TransactionLost { session } => self.sessions.transaction_lost(session),
-        }
+        self.servers.cancel_execution(now, execution_id, ending);
     }
 
     /// Sends what is to leave to engines.
@@ -451,33 +323,35 @@
     pub fn flush(
         &mut self,
         now: Micros,
-        room: AdmissionState,
+        admission: AdmissionState,
         most: usize,
         dispatcher: &mut Dispatcher,
     ) {
-        for sent in self.sessions.flush(now) {
-            if let Some(link) = self.servers.pause(sent, false) {
-                self.read_on(now, SocketKind::Server.id(link));
+        for execution_id in self.sessions.flush(now) {
+            if let Some(server) = self.servers.resume(execution_id) {
+                self.read_on(now, SocketKind::Server.id(server));
             }
         }
-        if let (untaken, Some(id)) = self.unsent() {
-            if untaken > most {
-                log::warn!("session {id}: takes no answers, {untaken} bytes wait; its connection is closed");
-                self.sessions.disconnect(id);
-            }
+        let unsent = self.unsent();
+        if let Some(id) = unsent.slowest.filter(|_| unsent.bytes > most) {
+            let bytes = unsent.bytes;
+            log::warn!(
+                "session {id}: takes no answers, {bytes} bytes wait; its connection is closed"
+            );
+            self.sessions.disconnect(id);
         }
         for id in self.sessions.unstalled() {
             self.read_on(now, SocketKind::Session.id(id));
         }
-        self.handle_session_events(now, room, dispatcher);
+        self.handle_session_events(now, admission, dispatcher);
     }
 
-    pub fn expire(&mut self, now: Micros, room: AdmissionState, dispatcher: &mut Dispatcher) {
+    pub fn expire(&mut self, now: Micros, admission: AdmissionState, dispatcher: &mut Dispatcher) {
         self.sessions.expire(now, self.shut);
         let unfinished = self.servers.expire(now);
         self.unfinished
             .extend(unfinished.into_iter().map(|id| SocketKind::Server.id(id)));
-        self.handle_session_events(now, room, dispatcher);
+        self.handle_session_events(now, admission, dispatcher);
     }
 
     /// The front ends: no more sessions are taken, and those that rest are closed. `sessions_left` is how many more may
@@ -485,7 +359,7 @@
     pub fn close(
         &mut self,
         now: Micros,
-        room: AdmissionState,
+        admission: AdmissionState,
         sessions_left: usize,
         dispatcher: &mut Dispatcher,
     ) {
@@ -495,7 +369,7 @@
         self.accept(now, sessions_left);
         self.listener.close();
         self.sessions.close_idle(now);
-        self.handle_session_events(now, room, dispatcher);
+        self.handle_session_events(now, admission, dispatcher);
     }
 }
 
