--- a/crates/access/src/error.rs
+++ b/crates/access/src/error.rs
@@ -4,7 +4,8 @@
 
 use thiserror::Error;
 
-const MOST_SHOWN: usize = 100; // errors that are shown; one wrong name may stand in each of many rules
+/// Errors that are shown; one wrong name may stand in each of many rules.
+const MAX_SHOWN: usize = 100;
 
 /// What is wrong with a rule or a set.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -140,6 +141,15 @@
     },
 }
 
+/// An error with the path of what it is about; its line is looked up later.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct LocatedProblem {
+    /// Where in the file, as in `rules[2].name`; empty for the file as a whole.
+    pub path: String,
+    /// What is wrong there.
+    pub what: Problem,
+}
+
 /// One error, with the path and the line of what it is about.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileError {
@@ -151,6 +161,20 @@
     pub what: Problem,
 }
 
+impl fmt::Display for FileError {
+    /// The line, the path and the error; what names its rule needs no path beside it.
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
+        if let Some(line) = self.line {
+            write!(out, "{line}:")?;
+        }
+        let what = self.what.to_string();
+        if !self.path.is_empty() && !what.starts_with("rule `") {
+            write!(out, " {}:", self.path)?;
+        }
+        write!(out, " {what}")
+    }
+}
+
 /// All errors of a file at once.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub struct FileErrors {
@@ -162,24 +186,11 @@
 
 impl fmt::Display for FileErrors {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        for (at, FileError { path, line, what }) in self.errors.iter().take(MOST_SHOWN).enumerate()
-        {
+        for (at, error) in self.errors.iter().take(MAX_SHOWN).enumerate() {
             let lead = if at == 0 { "" } else { "\n" };
-            let line = line.map_or(String::new(), |line| format!("{line}:"));
-            // What names its rule needs no path beside it.
-            let path = if what.to_string().starts_with("rule `") {
-                ""
-            } else {
-                path
-            };
-            let path = if path.is_empty() {
-                String::new()
-            } else {
-                format!(" {path}:")
-            };
-            write!(out, "{lead}{}:{line}{path} {what}", self.file)?;
+            write!(out, "{lead}{}:{error}", self.file)?;
         }
-        match self.errors.len().saturating_sub(MOST_SHOWN) {
+        match self.errors.len().saturating_sub(MAX_SHOWN) {
             0 => Ok(()),
             more => write!(out, "\nand {more} more faults"),
         }
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -40,6 +40,7 @@
 pub use read::{read, RulesCommand};
 pub use record::{ChangedDecision, Permission, WhatIfReport};
 pub use rule::{
-    Attributes, DefaultEffect, MatchedRules, RateLimit, Rule, RuleEffect, RuleSet, TableRange,
+    Attributes, DefaultEffect, Height, MatchedRules, RateLimit, Rule, RuleEffect, RuleSet,
+    TableRange,
 };
 pub use shares::{Limit, Shares};
--- a/crates/access/src/read.rs
+++ b/crates/access/src/read.rs
@@ -6,7 +6,7 @@
 mod rule;
 
 use crate::check;
-use crate::error::{FileError, FileErrors, Problem};
+use crate::error::{FileError, FileErrors, LocatedProblem};
 use crate::known::KnownNames;
 use crate::lines::LineLookup;
 use crate::rule::RuleSet;
@@ -52,26 +52,31 @@
     };
     let command = reader.file(text);
     let mut errors = reader.errors;
-    if let (Some(RulesCommand::Replace(set) | RulesCommand::WhatIf(set)), true) =
-        (&command, errors.is_empty())
-    {
-        errors = check::check(set, known, lines);
+    if errors.is_empty() {
+        if let Some(RulesCommand::Replace(set) | RulesCommand::WhatIf(set)) = &command {
+            errors = check::check(set, known, lines);
+        }
     }
     match command {
         Some(command) if errors.is_empty() => Ok(command),
-        _ => {
-            let at = |(path, what): (String, Problem)| FileError {
-                line: lines(&path),
-                path,
-                what,
-            };
-            let mut errors: Vec<FileError> = errors.into_iter().map(at).collect();
-            errors.sort_by_key(|f| f.line);
-            errors.dedup(); // a rule that moves is read as three
-            Err(FileErrors {
-                file: file.to_string(),
-                errors,
-            })
-        }
+        _ => Err(FileErrors {
+            file: file.to_string(),
+            errors: with_lines(errors, lines),
+        }),
     }
 }
+
+/// The errors with their lines, in the order of those.
+fn with_lines(errors: Vec<LocatedProblem>, lines: LineLookup) -> Vec<FileError> {
+    let mut errors: Vec<FileError> = errors
+        .into_iter()
+        .map(|LocatedProblem { path, what }| FileError {
+            line: lines(&path),
+            path,
+            what,
+        })
+        .collect();
+    errors.sort_by_key(|error| error.line);
+    errors.dedup(); // a rule that moves is read as three
+    errors
+}
--- a/crates/access/src/read/file.rs
+++ b/crates/access/src/read/file.rs
@@ -1,131 +1,131 @@
 //! A file of rules as a whole.
 
-use serde_json::Value;
+use serde_json::{Map, Value};
 
 use super::reader::{whole, Reader};
 use super::RulesCommand;
 use crate::error::Problem;
 use crate::rule::{DefaultEffect, Rule, RuleSet};
 
-const MOST_RULES: usize = 200_000; // rules; twice what the cost of a decision was measured with
+/// Rules in a file.
+const MAX_RULES: usize = 200_000;
 const KEYS: &str = "version, default, rules, roll_back_to, what_if";
+/// The keys of a roll-back.
+const ROLL_BACK_KEYS: &str = "version, roll_back_to";
+/// The keys that don't go with a roll-back.
+const SET_KEYS: [&str; 3] = ["rules", "default", "what_if"];
 
 impl Reader<'_> {
+    /// None where the text can't be used; the reader then has the errors.
     pub fn file(&mut self, text: &str) -> Option<RulesCommand> {
         let value: Value = match json5::from_str(text) {
             Ok(value) => value,
             Err(e) => return self.problem("", Problem::Form(e.to_string())),
         };
         let Value::Object(file) = value else {
-            return self.problem(
-                "",
-                Problem::Kind {
-                    needs: "object of version and rules",
-                },
-            );
+            let needs = "object of version and rules";
+            return self.problem("", Problem::Kind { needs });
         };
         self.keys("", &file, KEYS);
-        let version = match file.get("version") {
-            None => self.problem(
-                "version",
-                Problem::Missing {
-                    needs: "a whole number that grows with each change",
-                },
-            ),
-            Some(v) => match whole(v).filter(|v| *v > 0) {
-                Some(version) => Some(version),
-                None => self.problem(
-                    "version",
-                    Problem::Kind {
-                        needs: "whole number from 1",
-                    },
-                ),
-            },
-        };
+        let version = self.version(&file);
         if let Some(to) = file.get("roll_back_to") {
-            for key in ["rules", "default", "what_if"]
-                .into_iter()
-                .filter(|key| file.contains_key(*key))
-            {
-                self.errors.push((
-                    key.to_string(),
-                    Problem::Key {
-                        known: "version, roll_back_to",
-                    },
-                ));
-            }
-            let to = whole(to)
-                .or_else(|| self.problem("roll_back_to", Problem::Kind { needs: "version" }))?;
-            return Some(RulesCommand::RollBack {
-                version: version?,
-                to,
-            });
+            return self.roll_back(&file, version, to);
+        }
+        let default = self.default_effect(&file);
+        let rules = self.rule_list(&file)?;
+        let what_if = self.what_if(&file);
+        let rules = self.rules(rules);
+        let set = RuleSet::new(version?, default?, rules?);
+        Some(if what_if? {
+            RulesCommand::WhatIf(set)
+        } else {
+            RulesCommand::Replace(set)
+        })
+    }
+
+    fn version(&mut self, file: &Map<String, Value>) -> Option<u64> {
+        let Some(value) = file.get("version") else {
+            let needs = "a whole number that grows with each change";
+            return self.problem("version", Problem::Missing { needs });
+        };
+        let needs = "whole number from 1";
+        whole(value)
+            .filter(|version| *version > 0)
+            .or_else(|| self.problem("version", Problem::Kind { needs }))
+    }
+
+    fn roll_back(
+        &mut self,
+        file: &Map<String, Value>,
+        version: Option<u64>,
+        to: &Value,
+    ) -> Option<RulesCommand> {
+        for key in SET_KEYS.into_iter().filter(|key| file.contains_key(*key)) {
+            let known = ROLL_BACK_KEYS;
+            self.report(key.to_string(), Problem::Key { known });
         }
-        let default = match file.get("default").map(Value::as_str) {
-            Some(Some("allow")) => Some(DefaultEffect::Allow),
-            Some(Some("deny")) => Some(DefaultEffect::Deny),
-            None => self.problem(
-                "default",
-                Problem::Missing {
-                    needs: "'allow' or 'deny'",
-                },
-            ),
-            _ => self.problem(
-                "default",
-                Problem::Kind {
-                    needs: "'allow' or 'deny'",
-                },
-            ),
+        let needs = "version";
+        let to = whole(to).or_else(|| self.problem("roll_back_to", Problem::Kind { needs }))?;
+        Some(RulesCommand::RollBack {
+            version: version?,
+            to,
+        })
+    }
+
+    fn default_effect(&mut self, file: &Map<String, Value>) -> Option<DefaultEffect> {
+        let needs = "'allow' or 'deny'";
+        let Some(value) = file.get("default") else {
+            return self.problem("default", Problem::Missing { needs });
         };
+        match value.as_str() {
+            Some("allow") => Some(DefaultEffect::Allow),
+            Some("deny") => Some(DefaultEffect::Deny),
+            _ => self.problem("default", Problem::Kind { needs }),
+        }
+    }
+
+    fn rule_list<'v>(&mut self, file: &'v Map<String, Value>) -> Option<&'v [Value]> {
         let rules = match file.get("rules") {
-            Some(Value::Array(rules)) => rules.as_slice(),
+            Some(Value::Array(rules)) => rules,
             None => {
-                return self.problem(
-                    "rules",
-                    Problem::Missing {
-                        needs: "a list of rules, which may be empty",
-                    },
-                )
+                let needs = "a list of rules, which may be empty";
+                return self.problem("rules", Problem::Missing { needs });
             }
             _ => {
-                return self.problem(
-                    "rules",
-                    Problem::Kind {
-                        needs: "list of rules",
-                    },
-                )
+                let needs = "list of rules";
+                return self.problem("rules", Problem::Kind { needs });
             }
         };
-        if rules.len() > MOST_RULES {
-            return self.problem(
-                "rules",
-                Problem::TooMany {
-                    count: rules.len(),
-                    most: MOST_RULES,
-                },
-            );
+        if rules.len() > MAX_RULES {
+            let what = Problem::TooMany {
+                count: rules.len(),
+                most: MAX_RULES,
+            };
+            return self.problem("rules", what);
         }
-        let asks = match file.get("what_if").map(Value::as_bool) {
-            None => Some(false),
-            Some(Some(asks)) => Some(asks),
-            Some(None) => self.problem(
-                "what_if",
-                Problem::Kind {
-                    needs: "true or false",
-                },
-            ),
+        Some(rules)
+    }
+
+    /// Whether the file only asks what its set would change.
+    fn what_if(&mut self, file: &Map<String, Value>) -> Option<bool> {
+        let Some(value) = file.get("what_if") else {
+            return Some(false);
         };
-        let read: Vec<Option<Vec<Rule>>> = rules
-            .iter()
-            .enumerate()
-            .map(|(at, r)| self.rule(at, r))
-            .collect();
-        let read: Option<Vec<Vec<Rule>>> = read.into_iter().collect();
-        let set = RuleSet::new(version?, default?, read?.concat());
-        Some(if asks? {
-            RulesCommand::WhatIf(set)
-        } else {
-            RulesCommand::Replace(set)
-        })
+        let needs = "true or false";
+        value
+            .as_bool()
+            .or_else(|| self.problem("what_if", Problem::Kind { needs }))
+    }
+
+    /// The rules of the list; None where one is faulty. All are read, so that all errors are known.
+    fn rules(&mut self, list: &[Value]) -> Option<Vec<Rule>> {
+        let mut all = Some(Vec::new());
+        for (at, value) in list.iter().enumerate() {
+            match (self.rule(at, value), &mut all) {
+                (Some(rules), Some(all)) => all.extend(rules),
+                (_, all) => *all = None,
+            }
+        }
+        all
     }
 }
--- a/crates/access/src/read/moves.rs
+++ b/crates/access/src/read/moves.rs
@@ -1,19 +1,28 @@
 //! Rules that follow data: a group of tables that moves from one region to another at a time, with an overlap in which
 //! it lies at both. Read as three rules of one name, one for each time.
 
+use std::ops::RangeInclusive;
+
 use serde_json::{Map, Value};
 
 use super::reader::{whole, Reader};
+use super::rule::shape;
 use crate::error::Problem;
 use crate::rule::{Rule, RuleEffect};
 
 const KEYS: &str = "from, to, at, overlap_ms";
-const MOST_OVERLAP_MS: u64 = 366 * 86_400_000; // milliseconds; a year
+/// Keys of a rule that say where or when; a move does so itself.
+const OTHER_KEYS: [&str; 6] = ["regions", "barred", "then", "reason", "from", "until"];
+/// Milliseconds for which the tables may lie at both regions; at most a year.
+const OVERLAP_MS: RangeInclusive<u64> = 1..=366 * 86_400_000;
 
+/// The move of a group of tables. Regions are places, ascending.
 pub(super) struct Move {
     from: Vec<u16>,
     to: Vec<u16>,
+    /// When it lies at both, in Unix milliseconds.
     at_ms: u64,
+    /// Milliseconds for which it lies at both.
     overlap_ms: u64,
 }
 
@@ -24,17 +33,14 @@
         both.sort_unstable();
         both.dedup();
         let ends = self.at_ms.saturating_add(self.overlap_ms);
-        let phase = |places: &Vec<u16>, from_ms, until_ms| {
-            let effect = RuleEffect::Allow {
-                places: Some(places.clone()),
-            };
-            Rule {
-                effect,
-                from_ms,
-                until_ms,
-                moves: true,
-                ..rule.clone()
-            }
+        let phase = |places: &[u16], from_ms, until_ms| Rule {
+            effect: RuleEffect::Allow {
+                places: Some(places.to_vec()),
+            },
+            from_ms,
+            until_ms,
+            moves: true,
+            ..rule.clone()
         };
         vec![
             phase(&self.from, 0, self.at_ms),
@@ -45,31 +51,22 @@
 }
 
 impl Reader<'_> {
-    /// None where it is faulty.
+    /// The move of a rule; None where it is faulty.
     pub fn moves(&mut self, path: &str, r: &Map<String, Value>, name: &str) -> Option<Move> {
-        let shape = |why, remedy| Problem::Shape {
-            rule: name.to_string(),
-            why,
-            remedy,
-        };
-        let says = ["regions", "barred", "then", "reason", "from", "until"];
-        if says.iter().any(|key| r.contains_key(*key)) {
+        if OTHER_KEYS.iter().any(|key| r.contains_key(*key)) {
             let why = "moves, and says otherwise where or when too";
             let remedy = "take out `regions`, `barred`, `then`, `reason`, `from` and `until`";
-            return self.problem(path, shape(why, remedy));
+            return self.problem(path, shape(name, why, remedy));
         }
         if !r.contains_key("tables") {
             let why = "moves, but names no tables";
-            return self.problem(path, shape(why, "name the group of tables that moves"));
+            let remedy = "name the group of tables that moves";
+            return self.problem(path, shape(name, why, remedy));
         }
         let path = &format!("{path}.moves");
         let Some(Value::Object(moves)) = r.get("moves") else {
-            return self.problem(
-                path,
-                Problem::Kind {
-                    needs: "object of from, to, at and overlap_ms",
-                },
-            );
+            let needs = "object of from, to, at and overlap_ms";
+            return self.problem(path, Problem::Kind { needs });
         };
         self.keys(path, moves, KEYS);
         if let Some(missing) = KEYS.split(", ").find(|key| !moves.contains_key(*key)) {
@@ -77,27 +74,18 @@
                 "from which region to which, when, and for how many milliseconds it lies at both";
             return self.problem(&format!("{path}.{missing}"), Problem::Missing { needs });
         }
-        let (from, to) = (
-            self.region(path, moves, "from"),
-            self.region(path, moves, "to"),
-        );
+        let from = self.region(path, moves, "from");
+        let to = self.region(path, moves, "to");
         let at_ms = self.time(path, moves, "at");
         let overlap = moves.get("overlap_ms").and_then(whole);
-        let overlap_ms = match overlap.filter(|ms| (1..=MOST_OVERLAP_MS).contains(ms)) {
-            Some(ms) => ms,
-            None => {
-                let needs = "whole number of milliseconds from 1 to 31622400000";
-                return self.problem(&format!("{path}.overlap_ms"), Problem::Kind { needs });
-            }
+        let Some(overlap_ms) = overlap.filter(|ms| OVERLAP_MS.contains(ms)) else {
+            let needs = "whole number of milliseconds from 1 to 31622400000";
+            return self.problem(&format!("{path}.overlap_ms"), Problem::Kind { needs });
         };
         let (from, to, at_ms) = (from?, to?, at_ms?);
         if at_ms == 0 {
-            return self.problem(
-                &format!("{path}.at"),
-                Problem::Kind {
-                    needs: "time after 1970",
-                },
-            );
+            let needs = "time after 1970";
+            return self.problem(&format!("{path}.at"), Problem::Kind { needs });
         }
         Some(Move {
             from,
@@ -109,19 +97,9 @@
 
     fn region(&mut self, path: &str, moves: &Map<String, Value>, key: &str) -> Option<Vec<u16>> {
         let name = self.text(path, moves, key)?;
-        let mut places = match self.known.places(&name) {
-            Some(places) => places,
-            None => {
-                let known = self.known.region_names().join(", ");
-                return self.problem(
-                    &format!("{path}.{key}"),
-                    Problem::Name {
-                        name,
-                        list: "regions",
-                        known,
-                    },
-                );
-            }
+        let Some(mut places) = self.known.places(&name) else {
+            let what = self.unknown_region(&name);
+            return self.problem(&format!("{path}.{key}"), what);
         };
         places.sort_unstable();
         Some(places)
--- a/crates/access/src/read/reader.rs
+++ b/crates/access/src/read/reader.rs
@@ -2,20 +2,28 @@
 
 use serde_json::{Map, Value};
 
-use crate::error::Problem;
+use crate::error::{LocatedProblem, Problem};
 use crate::known::KnownNames;
 
+/// Reads a file against the names that rules may use.
 pub(super) struct Reader<'a> {
     pub known: &'a KnownNames,
-    pub errors: Vec<(String, Problem)>,
+    pub errors: Vec<LocatedProblem>,
 }
 
 impl Reader<'_> {
+    /// Reports an error; None stands for the value that could not be read.
     pub fn problem<T>(&mut self, path: &str, what: Problem) -> Option<T> {
-        self.errors.push((path.to_string(), what));
+        self.report(path.to_string(), what);
         None
     }
 
+    /// Reports an error.
+    pub fn report(&mut self, path: String, what: Problem) {
+        self.errors.push(LocatedProblem { path, what });
+    }
+
+    /// Reports the keys of an object that are not among the known ones, which commas separate.
     pub fn keys(&mut self, path: &str, object: &Map<String, Value>, known: &'static str) {
         for key in object
             .keys()
@@ -26,10 +34,11 @@
             } else {
                 format!("{path}.{key}")
             };
-            self.errors.push((path, Problem::Key { known }));
+            self.report(path, Problem::Key { known });
         }
     }
 
+    /// A text that is not empty; None where there is none.
     pub fn text(&mut self, path: &str, object: &Map<String, Value>, key: &str) -> Option<String> {
         match object.get(key)? {
             Value::String(text) if !text.is_empty() => Some(text.clone()),
@@ -61,14 +70,18 @@
     }
 }
 
-/// JSON5 has one kind of number; whole ones may be written with a point.
+/// Numbers below this have no gaps between whole ones.
+const MAX_WHOLE: f64 = 9e15;
+
+/// A whole number. JSON5 has one kind of number; whole ones may be written with a point.
 pub(super) fn number(value: &Value) -> Option<i64> {
-    let fits = |f: &f64| f.fract() == 0.0 && f.abs() < 9e15;
+    let is_whole = |number: &f64| number.fract() == 0.0 && number.abs() < MAX_WHOLE;
     value
         .as_i64()
-        .or_else(|| value.as_f64().filter(fits).map(|f| f as i64))
+        .or_else(|| value.as_f64().filter(is_whole).map(|number| number as i64))
 }
 
+/// A whole number that is not negative.
 pub(super) fn whole(value: &Value) -> Option<u64> {
     number(value).and_then(|n| u64::try_from(n).ok())
 }
--- a/crates/access/src/read/rule.rs
+++ b/crates/access/src/read/rule.rs
@@ -1,5 +1,7 @@
 //! One entry of a file's list of rules.
 
+use std::ops::RangeInclusive;
+
 use serde_json::{Map, Value};
 
 use super::reader::{number, whole, Reader};
@@ -10,8 +12,10 @@
 const RULE_KEYS: &str =
     "name, customer, workload, tables, front, regions, barred, then, reason, at_most, in_ms, moves, \
      priority, from, until";
-const MOST_AT_ONCE: u64 = 100_000; // of a limit; some 8 bytes for each statement that began in its window
-const WINDOW_MS: (u64, u64) = (1_000, 86_400_000); // milliseconds: below, what is under way weighs; a day
+/// Statements that a limit may allow in its window; each takes some 8 bytes.
+const AT_MOST: RangeInclusive<u64> = 1..=100_000;
+/// Milliseconds of a limit's window.
+const WINDOW_MS: RangeInclusive<u64> = 1_000..=86_400_000;
 
 impl Reader<'_> {
     /// The rules that an entry of the list stands for: one, or three for one that moves. `None` where it is faulty.
@@ -37,10 +41,19 @@
             None => self.effect(path, r, &name),
         };
         let limit = self.limit_of(path, r, &name, effect.as_ref());
-        let (effect, moves) = (effect?, false);
-        #[rustfmt::skip]
         let rule = Rule {
-            name, customer, workload, tables, front, effect, limit, priority, from_ms, until_ms, moves, place,
+            name,
+            customer,
+            workload,
+            tables,
+            front,
+            effect: effect?,
+            limit,
+            priority,
+            from_ms,
+            until_ms,
+            moves: false,
+            place,
         };
         let rules = match moved {
             Some(moved) => moved?.phases(&rule),
@@ -50,13 +63,12 @@
     }
 
     fn rule_name(&mut self, path: &str, r: &Map<String, Value>) -> String {
-        let needs = "a name that the log and the counts can give it";
-        match r.contains_key("name") {
-            true => self.text(path, r, "name").unwrap_or_default(),
-            false => self
-                .problem(path, Problem::Missing { needs })
-                .unwrap_or_default(),
+        if !r.contains_key("name") {
+            let needs = "a name that the log and the counts can give it";
+            self.report(path.to_string(), Problem::Missing { needs });
+            return String::new();
         }
+        self.text(path, r, "name").unwrap_or_default()
     }
 
     fn customer(&mut self, path: &str, r: &Map<String, Value>, rule: &str) -> Option<String> {
@@ -73,26 +85,21 @@
                 rule: rule.to_string(),
                 customer: customer.clone(),
             };
-            self.errors.push((format!("{path}.customer"), what));
+            self.report(format!("{path}.customer"), what);
         }
         customer
     }
 
     fn priority(&mut self, path: &str, r: &Map<String, Value>) -> i32 {
-        match r
-            .get("priority")
-            .map(|p| number(p).and_then(|p| i32::try_from(p).ok()))
-        {
-            None => 0,
-            Some(Some(priority)) => priority,
-            Some(None) => {
-                let what = Problem::Kind {
-                    needs: "whole number",
-                };
-                self.problem(&format!("{path}.priority"), what)
-                    .unwrap_or_default()
-            }
+        let Some(value) = r.get("priority") else {
+            return 0;
+        };
+        let priority = number(value).and_then(|number| i32::try_from(number).ok());
+        if priority.is_none() {
+            let needs = "whole number";
+            self.report(format!("{path}.priority"), Problem::Kind { needs });
         }
+        priority.unwrap_or_default()
     }
 
     /// From when and until when it holds, in Unix milliseconds.
@@ -100,12 +107,9 @@
         let from_ms = self.time(path, r, "from").unwrap_or(0);
         let until_ms = self.time(path, r, "until").unwrap_or(u64::MAX);
         if from_ms >= until_ms {
-            let what = Problem::Shape {
-                rule: rule.to_string(),
-                why: "ends before it begins",
-                remedy: "give `until` a time after `from`",
-            };
-            self.errors.push((format!("{path}.until"), what));
+            let why = "ends before it begins";
+            let remedy = "give `until` a time after `from`";
+            self.report(format!("{path}.until"), shape(rule, why, remedy));
         }
         (from_ms, until_ms)
     }
@@ -121,63 +125,51 @@
         let limit = self.limit(path, r, rule);
         let allows = effect.is_none_or(|effect| matches!(effect, RuleEffect::Allow { .. }));
         if limit.is_some() && !allows {
-            let what = Problem::Shape {
-                rule: rule.to_string(),
-                why: "has a limit though it does not allow",
-                remedy: "take out `at_most` and `in_ms`, or say then: 'allow'",
-            };
-            self.errors.push((format!("{path}.at_most"), what));
+            let why = "has a limit though it does not allow";
+            let remedy = "take out `at_most` and `in_ms`, or say then: 'allow'";
+            self.report(format!("{path}.at_most"), shape(rule, why, remedy));
         }
         limit
     }
 
     fn tables(&mut self, path: &str, value: &Value) -> Option<TableRange> {
         let group = |v: &Value| whole(v).and_then(|v| u32::try_from(v).ok());
+        let range = |first, last| (first <= last).then_some(TableRange { first, last });
         let tables = match value {
             Value::Array(ends) => match ends.as_slice() {
                 [first, last] => group(first)
                     .zip(group(last))
-                    .filter(|(first, last)| first <= last),
+                    .and_then(|(first, last)| range(first, last)),
                 _ => None,
             },
-            one => group(one).map(|one| (one, one)),
+            one => group(one).and_then(|one| range(one, one)),
         };
-        match tables {
-            Some((first, last)) => Some(TableRange { first, last }),
-            None => {
-                let needs = "number of a group of tables, nor [first, last]";
-                self.problem(&format!("{path}.tables"), Problem::Kind { needs })
-            }
-        }
+        let needs = "number of a group of tables, nor [first, last]";
+        tables.or_else(|| self.problem(&format!("{path}.tables"), Problem::Kind { needs }))
     }
 
     fn limit(&mut self, path: &str, r: &Map<String, Value>, name: &str) -> Option<RateLimit> {
         let (most, window) = (r.get("at_most"), r.get("in_ms"));
         if most.is_some() != window.is_some() {
-            let what = Problem::Shape {
-                rule: name.to_string(),
-                why: "has one of `at_most` and `in_ms`",
-                remedy: "give both: so many statements, in a window of so many milliseconds",
-            };
-            return self.problem(path, what);
+            let why = "has one of `at_most` and `in_ms`";
+            let remedy = "give both: so many statements, in a window of so many milliseconds";
+            return self.problem(path, shape(name, why, remedy));
         }
-        let needs = "whole number from 1 to 100000";
-        let most = match whole(most?).filter(|most| (1..=MOST_AT_ONCE).contains(most)) {
-            Some(most) => most,
-            None => return self.problem(&format!("{path}.at_most"), Problem::Kind { needs }),
+        let Some(most) = whole(most?).filter(|most| AT_MOST.contains(most)) else {
+            let needs = "whole number from 1 to 100000";
+            return self.problem(&format!("{path}.at_most"), Problem::Kind { needs });
         };
-        match whole(window?).filter(|ms| (WINDOW_MS.0..=WINDOW_MS.1).contains(ms)) {
-            Some(ms) => Some(RateLimit {
-                most: most as u32,
-                window: ms as Micros * 1000,
-            }),
-            None => {
-                let needs = "whole number of milliseconds from 1000 to 86400000";
-                self.problem(&format!("{path}.in_ms"), Problem::Kind { needs })
-            }
-        }
+        let Some(window_ms) = whole(window?).filter(|ms| WINDOW_MS.contains(ms)) else {
+            let needs = "whole number of milliseconds from 1000 to 86400000";
+            return self.problem(&format!("{path}.in_ms"), Problem::Kind { needs });
+        };
+        Some(RateLimit {
+            most: most as u32,
+            window: window_ms as Micros * 1000,
+        })
     }
 
+    /// A time in Unix milliseconds.
     pub fn time(&mut self, path: &str, object: &Map<String, Value>, key: &str) -> Option<u64> {
         let text = self.text(path, object, key)?;
         let time = text
@@ -190,73 +182,68 @@
 
     fn effect(&mut self, path: &str, r: &Map<String, Value>, name: &str) -> Option<RuleEffect> {
         let reason = self.text(path, r, "reason");
-        let named = self.regions(path, r, "regions");
+        let regions = self.regions(path, r, "regions");
         let barred = self.regions(path, r, "barred");
-        let shape = |why, remedy| Problem::Shape {
-            rule: name.to_string(),
-            why,
-            remedy,
-        };
-        let says_where = r.contains_key("regions") || r.contains_key("barred");
         let word = match r.get("then") {
             None => "allow",
             Some(word) => word.as_str().unwrap_or_default(),
         };
         if reason.is_some() && word != "deny" {
-            let what = shape(
-                "gives a reason though it does not deny",
-                "take out `reason`, or say then: 'deny'",
-            );
-            self.errors.push((format!("{path}.reason"), what));
+            let why = "gives a reason though it does not deny";
+            let remedy = "take out `reason`, or say then: 'deny'";
+            self.report(format!("{path}.reason"), shape(name, why, remedy));
         }
+        let names_regions = r.contains_key("regions") || r.contains_key("barred");
         match word {
-            "deny" | "count" if says_where => {
+            "deny" | "count" if names_regions => {
                 let why = "names regions though it does not allow";
-                self.problem(
-                    path,
-                    shape(why, "take out `regions` and `barred`, or say then: 'allow'"),
-                )
+                let remedy = "take out `regions` and `barred`, or say then: 'allow'";
+                self.problem(path, shape(name, why, remedy))
+            }
+            "deny" => {
+                let Some(reason) = reason else {
+                    let why = "denies without a reason";
+                    let remedy = "give it `reason`, for the log";
+                    return self.problem(path, shape(name, why, remedy));
+                };
+                Some(RuleEffect::Deny { reason })
             }
-            "deny" => match reason {
-                Some(reason) => Some(RuleEffect::Deny { reason }),
-                None => self.problem(
-                    path,
-                    shape("denies without a reason", "give it `reason`, for the log"),
-                ),
-            },
             "count" => Some(RuleEffect::Count),
-            "allow" if r.contains_key("regions") && r.contains_key("barred") => self.problem(
-                path,
-                shape("has both `regions` and `barred`", "give one of them"),
-            ),
-            "allow" if r.contains_key("regions") => Some(RuleEffect::Allow {
-                places: Some(named?),
-            }),
-            "allow" if r.contains_key("barred") => {
-                let barred = barred?;
-                let left = (0..self.known.locations.len() as u16)
-                    .filter(|at| !barred.contains(at))
-                    .collect();
-                Some(RuleEffect::Allow { places: Some(left) })
+            "allow" if r.contains_key("regions") && r.contains_key("barred") => {
+                let why = "has both `regions` and `barred`";
+                self.problem(path, shape(name, why, "give one of them"))
+            }
+            "allow" => self.allow(r, regions, barred),
+            _ => {
+                let needs = "'allow', 'deny' or 'count'";
+                self.problem(&format!("{path}.then"), Problem::Kind { needs })
             }
-            "allow" => Some(RuleEffect::Allow { places: None }),
-            _ => self.problem(
-                &format!("{path}.then"),
-                Problem::Kind {
-                    needs: "'allow', 'deny' or 'count'",
-                },
-            ),
         }
     }
 
+    /// Allows the regions named, or all but those barred; None where those are faulty.
+    fn allow(
+        &self,
+        r: &Map<String, Value>,
+        regions: Option<Vec<u16>>,
+        barred: Option<Vec<u16>>,
+    ) -> Option<RuleEffect> {
+        let mut places = None;
+        if r.contains_key("regions") {
+            places = Some(regions?);
+        } else if r.contains_key("barred") {
+            let barred = barred?;
+            let all = 0..self.known.locations.len() as u16;
+            places = Some(all.filter(|place| !barred.contains(place)).collect());
+        }
+        Some(RuleEffect::Allow { places })
+    }
+
+    /// The places of a list of regions, ascending.
     pub fn regions(&mut self, path: &str, r: &Map<String, Value>, key: &str) -> Option<Vec<u16>> {
         let Value::Array(names) = r.get(key)? else {
-            return self.problem(
-                &format!("{path}.{key}"),
-                Problem::Kind {
-                    needs: "list of regions",
-                },
-            );
+            let needs = "list of regions";
+            return self.problem(&format!("{path}.{key}"), Problem::Kind { needs });
         };
         let mut places = Vec::new();
         for (at, name) in names.iter().enumerate() {
@@ -265,13 +252,8 @@
             match self.known.places(name) {
                 Some(named) => places.extend(named),
                 None => {
-                    let known = self.known.region_names().join(", ");
-                    let what = Problem::Name {
-                        name: name.to_string(),
-                        list: "regions",
-                        known,
-                    };
-                    self.errors.push((path, what));
+                    let what = self.unknown_region(name);
+                    self.report(path, what);
                 }
             }
         }
@@ -279,4 +261,22 @@
         places.dedup();
         Some(places)
     }
+
+    /// The error for a region that is not known.
+    pub fn unknown_region(&self, name: &str) -> Problem {
+        Problem::Name {
+            name: name.to_string(),
+            list: "regions",
+            known: self.known.region_names().join(", "),
+        }
+    }
+}
+
+/// The error for keys that don't go together.
+pub(super) fn shape(rule: &str, why: &'static str, remedy: &'static str) -> Problem {
+    Problem::Shape {
+        rule: rule.to_string(),
+        why,
+        remedy,
+    }
 }
--- a/crates/access/src/rule.rs
+++ b/crates/access/src/rule.rs
@@ -86,6 +86,19 @@
     pub place: usize,
 }
 
+/// How high a rule stands: the least goes first. Priority, then the more specific.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Height {
+    /// A higher one goes first.
+    pub priority: Reverse<i32>,
+    /// The rule that names more fields goes first.
+    pub named_fields: Reverse<u32>,
+    /// Of as many fields, customer goes before tables, workload and front, in this order.
+    pub mask: Reverse<u8>,
+    /// Of the same fields, the rule about fewer tables goes first.
+    pub table_width: u32,
+}
+
 /// A bound on the statements that a rule lets through, over the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RateLimit {
@@ -174,16 +187,15 @@
             | u8::from(self.front.is_some())
     }
 
-    /// How high it stands: the least goes first. Priority, then the more specific (more fields named; customer before
-    /// tables before workload before front; fewer tables).
-    pub fn height(&self) -> (Reverse<i32>, Reverse<u32>, Reverse<u8>, u32) {
-        let width = self.tables.map_or(u32::MAX, |t| t.width());
-        (
-            Reverse(self.priority),
-            Reverse(self.mask().count_ones()),
-            Reverse(self.mask()),
-            width,
-        )
+    /// How high it stands.
+    pub fn height(&self) -> Height {
+        let mask = self.mask();
+        Height {
+            priority: Reverse(self.priority),
+            named_fields: Reverse(mask.count_ones()),
+            mask: Reverse(mask),
+            table_width: self.tables.map_or(u32::MAX, |tables| tables.width()),
+        }
     }
 
     /// Whether both say the same of what they match.
