--- a/crates/access/src/hits.rs
+++ b/crates/access/src/hits.rs
@@ -1,25 +1,34 @@
-//! Hits of rules by customer and region: one table for each life of a front, whose counts only grow, in pages that
-//! the ledger keeps. Tables merge by the greater count of each row, in any order, twice without harm.
+//! Hits of rules by customer and region: one table for each incarnation of a front, whose counts only grow, in pages
+//! that the ledger keeps. Tables merge by the greater count of each row, in any order, twice without harm.
 
 mod fold;
+mod storage;
 mod sweep;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use hallmux_ledger::{Act, Ask, Key, Kind, Outcome, Owner};
+use hallmux_ledger::{Act, Ask, Key, Outcome, Owner};
 use serde::{Deserialize, Serialize};
 
 use crate::{FrontId, Micros, Moment};
 
-use fold::{Fold, Folded};
+use fold::{Fold, VersionedPart};
+use storage::{decode, encode, is_closed, list_key, page_key, IncarnationList, ListedIncarnation};
 use sweep::Sweep;
 
-const PAGE: usize = 64; // rows of a page; some 3 KB
-const MOST_PAGES: usize = 64; // of a life; rows beyond are counted under any customer
-const RETRY_INTERVAL: Micros = 250_000; // microseconds until what the ledger could not do is asked again
-const FORMAT: u8 = 1; // of a page and of the list of lives
-const CLOSED: u8 = 2; // of a page that is written no more
-const OTHERS: &str = "*"; // the customer, or the rule, of rows for which there is no room
+/// Rows of a page, some 3 KB.
+const PAGE_ROWS: usize = 64;
+/// Pages of an incarnation; rows beyond are counted under any customer.
+const MAX_PAGES: usize = 64;
+const MAX_ROWS: usize = PAGE_ROWS * MAX_PAGES;
+/// Rows that are left for rules when customers are told apart no more.
+const RESERVED_ROWS: usize = 512;
+/// Microseconds until what the ledger could not do is requested again.
+const RETRY_INTERVAL: Micros = 250_000;
+/// Microseconds until a list of an unknown format is read again.
+const UNKNOWN_FORMAT_INTERVAL: Micros = 20 * RETRY_INTERVAL;
+/// The customer, or the rule, of rows for which there is no room.
+const OTHERS: &str = "*";
 
 /// What is counted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -54,61 +63,85 @@
     }
 }
 
+/// A page of this incarnation's counts.
 #[derive(Default)]
 struct Page {
     counts: HitCounts,
-    /// Hits added so far, and how many of them stand.
+    /// Hits added so far.
     added: u64,
-    standing: u64,
+    /// How many of them the ledger has.
+    stored: u64,
     /// Its version in the ledger; 0 where it is not there yet.
     version: u64,
-    /// A put is under way, for so many hits.
+    /// A put is under way.
     putting: bool,
 }
 
+/// A hit that a statement waits for, until the ledger has it.
+#[derive(Clone, Copy)]
+struct AwaitedHit {
+    page: usize,
+    /// Which hit of the page it is, counted from 1.
+    number: u64,
+}
+
+/// What a request to the ledger is for.
 enum Pending {
-    Put {
-        page: usize,
-        added: u64,
-    },
-    Lives,
-    /// For the fleet's count.
-    LivesOf(FrontId),
+    /// To store a page, with this many hits.
+    Put { page: usize, added: u64 },
+    /// To read or change the list of this front's incarnations.
+    OwnList,
+    /// To read a list for the fleet's count.
+    ListOf(FrontId),
+    /// To read a page for the fleet's count.
     PageOf(Owner),
-    Folded(usize),
-    /// Of the earlier life that is being folded.
+    /// To read a part of the fleet's table for its count.
+    FoldedPart(usize),
+    /// A step of folding an earlier incarnation.
+    Fold(FoldStep),
+}
+
+/// A step of folding an earlier incarnation into the fleet's table.
+#[derive(Clone, Copy)]
+enum FoldStep {
+    /// Its pages are closed.
     Closing,
+    /// Its counts are added to a part.
     Adding,
+    /// Its pages are emptied.
     Blanking,
+    /// It is taken out of the list.
     Dropping,
 }
 
-/// A life of a front and how many pages it has.
-type Lives = (u8, Vec<(u64, u32)>);
-
 /// One front's counts and its view of the fleet's.
 pub struct Hits {
     own: Owner,
     fronts: Vec<FrontId>,
     pages: Vec<Page>,
+    /// The page of each row.
     rows: HashMap<Hit, usize>,
-    /// Statements that wait, and for which page up to which hit.
-    waiting: BTreeMap<u64, Vec<(usize, u64)>>,
-    /// This life and so many of its pages are in the list of lives; and the list's version.
-    listed: usize,
-    lives: Option<(Vec<(u64, u32)>, u64)>,
+    /// Statements that wait, and for which hits.
+    waiting: BTreeMap<u64, Vec<AwaitedHit>>,
+    /// This many pages of this incarnation are in the list.
+    listed_pages: usize,
+    /// The list of this front's incarnations, as read last.
+    list: Option<IncarnationList>,
+    /// A request for the list is out.
     listing: bool,
     asked: HashMap<u64, Pending>,
     retry_at: Micros,
     ticked: Micros,
-    /// An earlier life of this front that is taken into the fleet's table.
+    /// An earlier incarnation of this front that is folded into the fleet's table.
     fold: Option<Fold>,
-    /// The list of lives has changed since it was read.
+    /// The list has changed since it was read.
     list_is_stale: bool,
-    /// A later life of this front counts: this one may no more.
+    /// A later incarnation of this front counts: this one may no more.
     pub superseded: bool,
     sweep: Option<Sweep>,
-    folded: BTreeMap<usize, (Folded, u64)>,
+    /// The fleet's table, by part.
+    folded: BTreeMap<usize, VersionedPart>,
+    /// What is known of incarnations that are not folded yet.
     known: BTreeMap<Owner, HitCounts>,
     fleet: FleetHits,
     /// Requests to the ledger that have yet to be sent.
@@ -121,43 +154,6 @@
     pub ledger_full: bool,
 }
 
-fn lives_key(front: FrontId) -> Key {
-    Key {
-        kind: Kind::Hits,
-        name: format!("lives {front:016x}"),
-    }
-}
-
-fn page_key(front: FrontId, life: u64, page: usize) -> Key {
-    Key {
-        kind: Kind::Hits,
-        name: format!("hits {front:016x} {life} {page}"),
-    }
-}
-
-fn bytes<T: Serialize>(what: &T) -> Vec<u8> {
-    postcard::to_stdvec(what).unwrap_or_default()
-}
-
-fn whole<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Option<T> {
-    match postcard::take_from_bytes::<(u8, T)>(bytes) {
-        Ok(((FORMAT, what), [])) => Some(what),
-        _ => None,
-    }
-}
-
-fn is_closed(bytes: &[u8]) -> bool {
-    bytes.first() == Some(&CLOSED)
-}
-
-/// The counts of a page, whether it is closed or not.
-fn counts(bytes: &[u8]) -> Option<HitCounts> {
-    match postcard::take_from_bytes::<(u8, HitCounts)>(bytes) {
-        Ok(((FORMAT | CLOSED, counts), [])) => Some(counts),
-        _ => None,
-    }
-}
-
 impl Hits {
     /// `fronts` are all whose counts make the fleet's.
     pub fn new(own: Owner, fronts: Vec<FrontId>) -> Hits {
@@ -167,8 +163,8 @@
             pages: Vec::new(),
             rows: HashMap::new(),
             waiting: BTreeMap::new(),
-            listed: 0,
-            lives: None,
+            listed_pages: 0,
+            list: None,
             listing: false,
             asked: HashMap::new(),
             retry_at: Micros::MIN,
@@ -189,18 +185,23 @@
 
     /// Counts a statement, once for each hit; it may go on once `counted` names it.
     pub fn count(&mut self, statement: u64, hits: Vec<Hit>) {
-        let waits = hits.into_iter().map(|hit| {
-            let row = self.row(hit);
-            let page = self.rows.get(&row).copied().unwrap_or_default();
-            let Some(kept) = self.pages.get_mut(page) else {
-                return (page, 0);
-            };
-            *kept.counts.entry(row).or_default() += 1;
-            kept.added += 1;
-            (page, kept.added)
-        });
-        let waits = waits.collect();
-        self.waiting.insert(statement, waits);
+        let awaited = hits.into_iter().map(|hit| self.add(hit)).collect();
+        self.waiting.insert(statement, awaited);
+    }
+
+    /// Adds a hit to its row.
+    fn add(&mut self, hit: Hit) -> AwaitedHit {
+        let row = self.row(hit);
+        let page = self.rows.get(&row).copied().unwrap_or_default();
+        let Some(counted) = self.pages.get_mut(page) else {
+            return AwaitedHit { page, number: 0 };
+        };
+        *counted.counts.entry(row).or_default() += 1;
+        counted.added += 1;
+        AwaitedHit {
+            page,
+            number: counted.added,
+        }
     }
 
     /// The row that a hit goes to, made where it is new.
@@ -208,26 +209,28 @@
         if self.rows.contains_key(&hit) {
             return hit;
         }
-        let room = |rows: usize, spare: usize| rows + spare < PAGE * MOST_PAGES;
-        let hit = match (room(self.rows.len(), 512), room(self.rows.len(), 1)) {
-            (true, _) => hit,
-            (false, true) => Hit {
+        let rows = self.rows.len();
+        let hit = if rows + RESERVED_ROWS < MAX_ROWS {
+            hit
+        } else if rows + 1 < MAX_ROWS {
+            Hit {
                 customer: OTHERS.to_string(),
                 ..hit
-            },
-            (false, false) => Hit {
+            }
+        } else {
+            Hit {
                 rule: OTHERS.to_string(),
                 customer: OTHERS.to_string(),
                 region: OTHERS.to_string(),
-            },
+            }
         };
         if !self.rows.contains_key(&hit) {
-            let page = self.rows.len() / PAGE;
+            let page = rows / PAGE_ROWS;
             if self.pages.len() <= page {
                 self.pages.push(Page::default());
             }
-            self.rows
-                .insert(hit.clone(), page.min(self.pages.len().saturating_sub(1)));
+            let last = self.pages.len().saturating_sub(1);
+            self.rows.insert(hit.clone(), page.min(last));
         }
         hit
     }
@@ -267,69 +270,69 @@
         }
         self.list_pages(number);
         if !self.superseded {
-            (0..self.listed).for_each(|page| self.put_page(page, number));
+            for page in 0..self.listed_pages {
+                self.put_page(page, number);
+            }
             self.advance_fold(at.wall_ms, number);
         }
         self.advance_sweep(number);
     }
 
-    fn ask(&mut self, number: &mut impl FnMut() -> u64, asked: Pending, key: Key, act: Act) {
+    fn ask(&mut self, number: &mut impl FnMut() -> u64, pending: Pending, key: Key, act: Act) {
         let number = number();
-        self.asked.insert(number, asked);
+        self.asked.insert(number, pending);
         self.asks.push(Ask { number, key, act });
     }
 
-    /// Names this life and its pages in the list of lives, before anything is counted there.
+    /// Names this incarnation and its pages in the list, before anything is counted there.
     fn list_pages(&mut self, number: &mut impl FnMut() -> u64) {
-        let lists = self.list_is_stale || self.listed < self.pages.len();
-        if self.superseded || !lists || self.listing {
+        let has_to_list = self.list_is_stale || self.listed_pages < self.pages.len();
+        if self.superseded || !has_to_list || self.listing {
             return;
         }
         self.listing = true;
-        let Some((lives, version)) = self
-            .lives
-            .as_ref()
-            .filter(|_| !std::mem::take(&mut self.list_is_stale))
-        else {
-            return self.ask(number, Pending::Lives, lives_key(self.own.front), Act::Read);
+        let key = list_key(self.own.front);
+        let own = ListedIncarnation {
+            incarnation: self.own.incarnation,
+            pages: self.pages.len() as u32,
         };
-        let mut lives: Vec<(u64, u32)> = lives.clone();
-        lives.retain(|(life, _)| *life != self.own.incarnation);
-        lives.push((self.own.incarnation, self.pages.len() as u32));
-        let value = bytes::<Lives>(&(FORMAT, lives));
-        let act = Act::Put {
-            expects: Some(*version),
-            ends_ms: 0,
-            value,
+        let act = match &self.list {
+            Some(list) if !std::mem::take(&mut self.list_is_stale) => {
+                let mut entries = list.entries.clone();
+                entries.retain(|entry| entry.incarnation != own.incarnation);
+                entries.push(own);
+                Act::Put {
+                    expects: Some(list.version),
+                    ends_ms: 0,
+                    value: encode(&entries),
+                }
+            }
+            _ => Act::Read,
         };
-        self.ask(number, Pending::Lives, lives_key(self.own.front), act);
+        self.ask(number, Pending::OwnList, key, act);
     }
 
+    /// Stores a page that has hits which the ledger has not.
     fn put_page(&mut self, at: usize, number: &mut impl FnMut() -> u64) {
-        let Some(page) = self
-            .pages
-            .get_mut(at)
-            .filter(|p| !p.putting && p.standing < p.added)
-        else {
+        let Some(page) = self.pages.get_mut(at) else {
             return;
         };
+        if page.putting || page.stored >= page.added {
+            return;
+        }
         page.putting = true;
         // Compare and swap: one that was held up on its way can't set the page back.
         let act = Act::Put {
             expects: Some(page.version),
             ends_ms: 0,
-            value: bytes(&(FORMAT, &page.counts)),
+            value: encode(&page.counts),
         };
-        let asked = Pending::Put {
+        let pending = Pending::Put {
             page: at,
             added: page.added,
         };
-        self.ask(
-            number,
-            asked,
-            page_key(self.own.front, self.own.incarnation, at),
-            act,
-        );
+        let key = page_key(self.own.front, self.own.incarnation, at);
+        self.ask(number, pending, key, act);
     }
 
     /// The ledger has answered. False if it was not asked here.
@@ -347,11 +350,11 @@
         self.ledger_full |= outcome == Outcome::Full;
         match asked {
             Pending::Put { page, added } => self.on_put_answer(page, added, outcome),
-            Pending::Lives => self.on_list_answer(outcome),
-            Pending::LivesOf(_) | Pending::PageOf(_) | Pending::Folded(_) => {
-                self.on_sweep_answer(asked, outcome)
-            }
-            step => self.on_fold_answer(&step, outcome),
+            Pending::OwnList => self.on_list_answer(outcome),
+            Pending::ListOf(front) => self.on_swept_list(front, outcome),
+            Pending::PageOf(owner) => self.on_swept_page(owner, outcome),
+            Pending::FoldedPart(part) => self.on_swept_part(part, outcome),
+            Pending::Fold(step) => self.on_fold_answer(step, outcome),
         }
         if failed {
             self.retry_at = at.steady + RETRY_INTERVAL;
@@ -367,27 +370,31 @@
         page.putting = false;
         match outcome {
             Outcome::Stands(entry) => {
-                (page.standing, page.version) = (page.standing.max(added), entry.version)
+                page.stored = page.stored.max(added);
+                page.version = entry.version;
             }
-            // An earlier put of this life that was thought lost has stood.
+            // An earlier put of this incarnation that was thought lost has been made.
             Outcome::Held(entry) => {
-                // Only a later life of this front closes its pages.
+                // Only a later incarnation of this front closes its pages.
                 self.superseded |= is_closed(&entry.value);
                 page.version = entry.version;
             }
             _ => {}
         }
+        self.release_counted();
+    }
+
+    /// Statements all of whose hits the ledger has may go on.
+    fn release_counted(&mut self) {
         let pages = &self.pages;
-        let stands =
-            |(page, hit): &(usize, u64)| pages.get(*page).is_none_or(|p| p.standing >= *hit);
+        let is_stored = |hit: &AwaitedHit| {
+            let page = pages.get(hit.page);
+            page.is_none_or(|page| page.stored >= hit.number)
+        };
         let counted = self
             .waiting
-            .iter()
-            .filter(|(_, waits)| waits.iter().all(stands));
-        let counted: Vec<u64> = counted.map(|(statement, _)| *statement).collect();
-        counted
-            .iter()
-            .for_each(|statement| _ = self.waiting.remove(statement));
+            .extract_if(.., |_, awaited| awaited.iter().all(is_stored))
+            .map(|(statement, _)| statement);
         self.counted.extend(counted);
     }
 
@@ -395,24 +402,29 @@
         self.listing = false;
         let entry = match outcome {
             Outcome::Stands(entry) | Outcome::Held(entry) => entry,
-            Outcome::Absent => return self.lives = Some((Vec::new(), 0)),
+            Outcome::Absent => return self.list = Some(IncarnationList::default()),
             Outcome::Unreachable | Outcome::Full => return,
         };
-        // An answer told again comes without what stands: it is read anew.
-        let Some(lives) = whole::<Vec<(u64, u32)>>(&entry.value) else {
-            // One of a format that this build does not know stays as it is.
-            let known = if entry.value.is_empty() {
+        let Some(entries) = decode::<Vec<ListedIncarnation>>(&entry.value) else {
+            // A repeated answer comes without the value: it is read anew. A list of a format that this build does
+            // not know stays as it is.
+            let wait = if entry.value.is_empty() {
                 0
             } else {
-                20 * RETRY_INTERVAL
+                UNKNOWN_FORMAT_INTERVAL
             };
-            self.retry_at = self.retry_at.max(self.ticked + known);
-            return self.lives = None;
+            self.retry_at = self.retry_at.max(self.ticked + wait);
+            return self.list = None;
         };
-        self.superseded |= lives.iter().any(|(life, _)| *life > self.own.incarnation);
-        if let Some((_, pages)) = lives.iter().find(|(life, _)| *life == self.own.incarnation) {
-            self.listed = self.listed.max(*pages as usize).min(self.pages.len());
+        let own = self.own.incarnation;
+        self.superseded |= entries.iter().any(|entry| entry.incarnation > own);
+        if let Some(listed) = entries.iter().find(|entry| entry.incarnation == own) {
+            let pages = self.listed_pages.max(listed.pages as usize);
+            self.listed_pages = pages.min(self.pages.len());
         }
-        self.lives = Some((lives, entry.version));
+        self.list = Some(IncarnationList {
+            entries,
+            version: entry.version,
+        });
     }
 }
--- a/crates/access/src/hits/fold.rs
+++ b/crates/access/src/hits/fold.rs
@@ -1,43 +1,43 @@
-//! Lives of a front that can write no more are folded into one table of the fleet, each row exactly once.
+//! Incarnations of a front that can write no more are folded into one table of the fleet, each row exactly once.
 //!
-//! A later life of the same front does it: it is in the list of lives, so an earlier one that goes on all the same can
-//! neither list nor count any more. It closes the pages of the earliest life (a put of that life that is still on its way
-//! finds another version), adds its rows to each part of the fleet's table that they belong to, and then takes it out of
-//! the list. A part names, for each front, the last life that is in it: what was added is never added again, whoever goes
-//! on from whatever step.
+//! A later incarnation of the same front does it: it is in the list of incarnations, so an earlier one that goes on all
+//! the same can neither list nor count any more. It closes the pages of the earliest incarnation (a put of that one that
+//! is still on its way finds another version), adds its rows to each part of the fleet's table that they belong to, and
+//! then takes it out of the list. A part names, for each front, the last incarnation that is in it: what was added is
+//! never added again, whoever goes on from whatever step.
 
 use std::collections::BTreeMap;
 
 use hallmux_hash::fnv1a;
-use hallmux_ledger::{Act, Key, Kind, Outcome, Owner};
+use hallmux_ledger::{Act, Entry, Key, Outcome, Owner};
 use serde::{Deserialize, Serialize};
 
-use super::{
-    bytes, counts, lives_key, page_key, whole, Hit, HitCounts, Hits, Lives, Pending, CLOSED,
-    FORMAT, OTHERS,
+use super::storage::{
+    decode, decode_counts, encode, encode_closed, folded_key, is_closed, list_key, page_key,
+    IncarnationList, ListedIncarnation,
 };
+use super::{FoldStep, Hit, HitCounts, Hits, Pending, OTHERS};
 use crate::FrontId;
 
-pub(super) const FOLDED_PARTS: usize = 16; // parts of the fleet's table
-const MOST_ROWS: usize = 256; // of a part; rows beyond are counted under any customer
-const LINGERS_MS: u64 = 7 * 86_400_000; // milliseconds for which the page of a folded life stays closed, without its counts
+/// Parts of the fleet's table.
+pub(super) const FOLDED_PARTS: usize = 16;
+/// Rows of a part; rows beyond are counted under any customer.
+const MAX_ROWS: usize = 256;
+/// Milliseconds for which the page of a folded incarnation stays closed, without its counts.
+const CLOSED_PAGE_MS: u64 = 7 * 86_400_000;
 
-/// A part of the fleet's table.
+/// A part of the fleet's table. Fields are positional in the stored part.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Folded {
     pub counts: HitCounts,
-    /// Of each front the last life that is in it.
-    lives: BTreeMap<FrontId, u64>,
+    /// Of each front the last incarnation that is in it.
+    incarnations: BTreeMap<FrontId, u64>,
 }
 
 impl Folded {
-    pub fn read(bytes: &[u8]) -> Option<Folded> {
-        super::whole(bytes)
-    }
-
-    /// Lives are folded in their order.
+    /// Whether the counts of an incarnation are in it. Incarnations are folded in their order.
     pub fn has(&self, owner: Owner) -> bool {
-        self.lives
+        self.incarnations
             .get(&owner.front)
             .is_some_and(|last| *last >= owner.incarnation)
     }
@@ -46,21 +46,40 @@
         if self.has(owner) {
             return;
         }
-        self.lives.insert(owner.front, owner.incarnation);
+        self.incarnations.insert(owner.front, owner.incarnation);
         for (hit, count) in rows {
-            let hit = match self.counts.contains_key(hit) || self.counts.len() < MOST_ROWS {
-                true => hit.clone(),
-                false => Hit {
+            let has_room = self.counts.contains_key(hit) || self.counts.len() < MAX_ROWS;
+            let hit = if has_room {
+                hit.clone()
+            } else {
+                Hit {
                     customer: OTHERS.to_string(),
                     region: OTHERS.to_string(),
                     ..hit.clone()
-                },
+                }
             };
             *self.counts.entry(hit).or_default() += count;
         }
     }
 }
 
+/// A part of the fleet's table with its version in the ledger; 0 where it is not there yet.
+#[derive(Clone, Debug, Default)]
+pub(super) struct VersionedPart {
+    pub folded: Folded,
+    pub version: u64,
+}
+
+impl VersionedPart {
+    /// None where the entry is of a format that this build does not know.
+    pub fn read(entry: &Entry) -> Option<VersionedPart> {
+        Some(VersionedPart {
+            folded: decode(&entry.value)?,
+            version: entry.version,
+        })
+    }
+}
+
 /// The part that a row belongs to; the same in every build.
 pub(super) fn part_of(hit: &Hit) -> usize {
     let texts = [&hit.rule, &hit.customer, &hit.region];
@@ -68,171 +87,250 @@
     ((hash ^ (hash >> 32)) % FOLDED_PARTS as u64) as usize
 }
 
-pub(super) fn folded_key(place: usize) -> Key {
-    Key {
-        kind: Kind::Hits,
-        name: format!("folded {place}"),
-    }
+/// A page as it was read, to be closed on its version.
+struct OpenPage {
+    counts: HitCounts,
+    version: u64,
 }
 
-/// An earlier life on its way into the fleet's table.
+/// An earlier incarnation on its way into the fleet's table.
 pub(super) struct Fold {
     owner: Owner,
-    /// A page as it was read, to be closed on its version.
-    open: Option<(HitCounts, u64)>,
+    /// The page that is to be closed next, once it was read.
+    open: Option<OpenPage>,
     /// Its pages as they were closed.
     pages: Vec<HitCounts>,
+    /// How many pages it has.
     count: usize,
     /// What has yet to be added, by part; None until all pages are closed.
     left: Option<BTreeMap<usize, HitCounts>>,
-    part: Option<(Folded, u64)>,
+    /// The part that is to be added to next, once it was read.
+    part: Option<VersionedPart>,
+    /// Pages that were emptied.
     blanked: usize,
     asking: bool,
     /// Of a format that this build does not know: it stays as it is.
     stuck: bool,
 }
 
+/// A request to the ledger that brings a fold one step on.
+struct Request {
+    step: FoldStep,
+    key: Key,
+    act: Act,
+}
+
+impl Fold {
+    fn new(front: FrontId, listed: ListedIncarnation) -> Fold {
+        Fold {
+            owner: Owner {
+                front,
+                incarnation: listed.incarnation,
+            },
+            open: None,
+            pages: Vec::new(),
+            count: listed.pages as usize,
+            left: None,
+            part: None,
+            blanked: 0,
+            asking: false,
+            stuck: false,
+        }
+    }
+
+    /// The next request; None once nothing is left but to take it out of the list.
+    fn next_request(&self, wall_ms: u64) -> Option<Request> {
+        if self.pages.len() < self.count {
+            return Some(self.close_page());
+        }
+        let left = self.left.as_ref();
+        if let Some((part, rows)) = left.and_then(|left| left.first_key_value()) {
+            return Some(self.add_to_part(*part, rows));
+        }
+        (self.blanked < self.count).then(|| Request {
+            step: FoldStep::Blanking,
+            key: self.page_key(self.blanked),
+            act: Act::Put {
+                expects: None,
+                ends_ms: wall_ms.saturating_add(CLOSED_PAGE_MS),
+                value: encode_closed(&HitCounts::new()),
+            },
+        })
+    }
+
+    fn close_page(&self) -> Request {
+        let act = match &self.open {
+            None => Act::Read,
+            Some(page) => put(page.version, encode_closed(&page.counts)),
+        };
+        Request {
+            step: FoldStep::Closing,
+            key: self.page_key(self.pages.len()),
+            act,
+        }
+    }
+
+    fn add_to_part(&self, part: usize, rows: &HitCounts) -> Request {
+        let act = match &self.part {
+            None => Act::Read,
+            Some(VersionedPart { folded, version }) => {
+                let mut folded = folded.clone();
+                folded.add(self.owner, rows);
+                put(*version, encode(&folded))
+            }
+        };
+        Request {
+            step: FoldStep::Adding,
+            key: folded_key(part),
+            act,
+        }
+    }
+
+    /// Takes the incarnation out of the list.
+    fn drop_from(&self, list: IncarnationList) -> Request {
+        let mut entries = list.entries;
+        entries.retain(|entry| entry.incarnation != self.owner.incarnation);
+        Request {
+            step: FoldStep::Dropping,
+            key: list_key(self.owner.front),
+            act: put(list.version, encode(&entries)),
+        }
+    }
+
+    fn page_key(&self, page: usize) -> Key {
+        page_key(self.owner.front, self.owner.incarnation, page)
+    }
+
+    fn on_closing(&mut self, outcome: Outcome) {
+        match outcome {
+            Outcome::Stands(entry) => match decode_counts(&entry.value) {
+                Some(counts) if is_closed(&entry.value) => {
+                    self.pages.push(counts);
+                    self.open = None;
+                }
+                Some(counts) => {
+                    let version = entry.version;
+                    self.open = Some(OpenPage { counts, version });
+                }
+                None => self.stuck = true,
+            },
+            // Listed, and never written: it may not be any more.
+            Outcome::Absent => {
+                self.open = Some(OpenPage {
+                    counts: HitCounts::new(),
+                    version: 0,
+                });
+            }
+            Outcome::Held(_) => self.open = None,
+            Outcome::Unreachable | Outcome::Full => {}
+        }
+    }
+
+    fn on_adding(&mut self, outcome: Outcome) {
+        match outcome {
+            Outcome::Stands(entry) => match VersionedPart::read(&entry) {
+                Some(part) if part.folded.has(self.owner) => {
+                    if let Some(left) = &mut self.left {
+                        left.pop_first();
+                    }
+                    self.part = None;
+                }
+                Some(part) => self.part = Some(part),
+                None => self.stuck = true,
+            },
+            Outcome::Absent if self.part.is_none() => self.part = Some(VersionedPart::default()),
+            _ => self.part = None,
+        }
+    }
+
+    /// Once all pages are closed, sorts their rows by the parts that they belong to.
+    fn sort_rows(&mut self) {
+        if self.left.is_some() || self.pages.len() != self.count {
+            return;
+        }
+        let mut left: BTreeMap<usize, HitCounts> = BTreeMap::new();
+        for (hit, count) in self.pages.iter().flatten() {
+            let rows = left.entry(part_of(hit)).or_default();
+            *rows.entry(hit.clone()).or_default() += count;
+        }
+        self.left = Some(left);
+    }
+}
+
+fn put(version: u64, value: Vec<u8>) -> Act {
+    Act::Put {
+        expects: Some(version),
+        ends_ms: 0,
+        value,
+    }
+}
+
 impl Hits {
-    /// Brings the earliest life one step on; one after the other, so that what was folded is all up to a life.
+    /// Brings the earliest incarnation one step on; one after the other, so that what was folded is all up to an
+    /// incarnation.
     pub(super) fn advance_fold(&mut self, wall_ms: u64, number: &mut impl FnMut() -> u64) {
-        let own = self.own;
-        let Some((lives, version)) = self.lives.clone() else {
+        let Some(list) = self.list.clone() else {
             return;
         };
         if self.fold.is_none() {
-            // Only once this life is listed can an earlier one write no more.
-            let listed = lives.iter().any(|(life, _)| *life == own.incarnation);
-            let earliest = lives
-                .iter()
-                .filter(|(life, _)| listed && *life < own.incarnation)
-                .min();
-            let Some((life, pages)) = earliest else {
-                return;
-            };
-            self.fold = Some(Fold {
-                owner: Owner {
-                    front: own.front,
-                    incarnation: *life,
-                },
-                open: None,
-                pages: Vec::new(),
-                count: *pages as usize,
-                left: None,
-                part: None,
-                blanked: 0,
-                asking: false,
-                stuck: false,
-            });
-        }
-        let Some(fold) = self
-            .fold
-            .as_mut()
-            .filter(|fold| !fold.asking && !fold.stuck)
-        else {
-            return;
-        };
-        let key = |page| page_key(own.front, fold.owner.incarnation, page);
-        let put = |expects, ends_ms, value| Act::Put {
-            expects,
-            ends_ms,
-            value,
-        };
-        let closed = |counts: &HitCounts| bytes(&(CLOSED, counts));
-        let left = fold.left.as_ref();
-        let (asked, key, act) = if fold.pages.len() < fold.count {
-            let page = fold.pages.len();
-            let act = match &fold.open {
-                None => Act::Read,
-                Some((counts, version)) => put(Some(*version), 0, closed(counts)),
-            };
-            (Pending::Closing, key(page), act)
-        } else if let Some((place, rows)) = left.and_then(|left| left.first_key_value()) {
-            let act = match &fold.part {
-                None => Act::Read,
-                Some((folded, version)) => {
-                    let mut folded = folded.clone();
-                    folded.add(fold.owner, rows);
-                    put(Some(*version), 0, bytes(&(FORMAT, folded)))
-                }
-            };
-            (Pending::Adding, folded_key(*place), act)
-        } else if fold.blanked < fold.count {
-            let act = put(
-                None,
-                wall_ms.saturating_add(LINGERS_MS),
-                closed(&HitCounts::new()),
-            );
-            (Pending::Blanking, key(fold.blanked), act)
-        } else if !self.listing {
-            let lives: Vec<(u64, u32)> = lives
-                .into_iter()
-                .filter(|(life, _)| *life != fold.owner.incarnation)
-                .collect();
-            (
-                Pending::Dropping,
-                lives_key(own.front),
-                put(Some(version), 0, bytes::<Lives>(&(FORMAT, lives))),
-            )
-        } else {
+            let earliest = self.earliest_to_fold(&list);
+            self.fold = earliest.map(|listed| Fold::new(self.own.front, listed));
+        }
+        let Some(fold) = &mut self.fold else { return };
+        if fold.asking || fold.stuck {
             return;
+        }
+        let request = match fold.next_request(wall_ms) {
+            Some(request) => request,
+            None if self.listing => return,
+            None => fold.drop_from(list),
         };
         fold.asking = true;
-        self.ask(number, asked, key, act);
+        self.ask(
+            number,
+            Pending::Fold(request.step),
+            request.key,
+            request.act,
+        );
+    }
+
+    /// The earliest incarnation before this one. Only once this one is listed can an earlier one write no more.
+    fn earliest_to_fold(&self, list: &IncarnationList) -> Option<ListedIncarnation> {
+        let own = self.own.incarnation;
+        if list.entries.iter().all(|entry| entry.incarnation != own) {
+            return None;
+        }
+        let earlier = list.entries.iter().filter(|entry| entry.incarnation < own);
+        earlier.min().copied()
     }
 
     /// The ledger has answered a step.
-    pub(super) fn on_fold_answer(&mut self, asked: &Pending, outcome: Outcome) {
+    pub(super) fn on_fold_answer(&mut self, step: FoldStep, outcome: Outcome) {
         let Some(fold) = &mut self.fold else { return };
         fold.asking = false;
-        match (asked, outcome) {
-            (_, Outcome::Unreachable | Outcome::Full) => {}
-            (Pending::Closing, Outcome::Stands(entry)) => match counts(&entry.value) {
-                Some(counts) if entry.value.first() == Some(&CLOSED) => {
-                    fold.pages.push(counts);
-                    fold.open = None;
-                }
-                Some(counts) => fold.open = Some((counts, entry.version)),
-                None => fold.stuck = true,
-            },
-            // Listed, and never written: it may not be any more.
-            (Pending::Closing, Outcome::Absent) => fold.open = Some((HitCounts::new(), 0)),
-            (Pending::Closing, Outcome::Held(_)) => fold.open = None,
-            (Pending::Adding, Outcome::Stands(entry)) => match Folded::read(&entry.value) {
-                Some(folded) if folded.has(fold.owner) => {
-                    fold.left.iter_mut().for_each(|left| _ = left.pop_first());
-                    fold.part = None;
-                }
-                Some(folded) => fold.part = Some((folded, entry.version)),
-                None => fold.stuck = true,
-            },
-            (Pending::Adding, Outcome::Absent) if fold.part.is_none() => {
-                fold.part = Some((Folded::default(), 0));
-            }
-            (Pending::Adding, _) => fold.part = None,
-            (Pending::Blanking, _) => fold.blanked += 1,
-            (Pending::Dropping, Outcome::Stands(entry)) => {
-                self.lives =
-                    whole::<Vec<(u64, u32)>>(&entry.value).map(|lives| (lives, entry.version));
-                self.fold = None;
-                return;
+        let failed = matches!(outcome, Outcome::Unreachable | Outcome::Full);
+        match step {
+            _ if failed => {}
+            FoldStep::Closing => fold.on_closing(outcome),
+            FoldStep::Adding => fold.on_adding(outcome),
+            FoldStep::Blanking => fold.blanked += 1,
+            FoldStep::Dropping => return self.on_dropped(outcome),
+        }
+        fold.sort_rows();
+    }
+
+    fn on_dropped(&mut self, outcome: Outcome) {
+        self.fold = None;
+        match outcome {
+            Outcome::Stands(entry) => {
+                let entries = decode::<Vec<ListedIncarnation>>(&entry.value);
+                self.list = entries.map(|entries| IncarnationList {
+                    entries,
+                    version: entry.version,
+                });
             }
             // The list has moved on: it is read anew, and what was folded is known by the parts.
-            (Pending::Dropping, _) => {
-                self.fold = None;
-                return self.list_is_stale = true;
-            }
-            _ => {}
-        }
-        if fold.left.is_none() && fold.pages.len() == fold.count {
-            let mut left: BTreeMap<usize, HitCounts> = BTreeMap::new();
-            for (hit, count) in fold.pages.iter().flatten() {
-                *left
-                    .entry(part_of(hit))
-                    .or_default()
-                    .entry(hit.clone())
-                    .or_default() += count;
-            }
-            fold.left = Some(left);
+            _ => self.list_is_stale = true,
         }
     }
 }
--- a/crates/access/src/hits/sweep.rs
+++ b/crates/access/src/hits/sweep.rs
@@ -1,35 +1,39 @@
-//! The fleet's count: what was folded into its table, and the tables of the lives that were not.
+//! The fleet's count: what was folded into its table, and the tables of the incarnations that were not.
 
 use std::collections::BTreeSet;
 
 use hallmux_ledger::{Act, Outcome, Owner};
 
-use super::fold::{folded_key, part_of, Folded, FOLDED_PARTS};
-use super::{
-    counts, lives_key, merge_counts, page_key, whole, FleetHits, HitCounts, Hits, Pending,
-};
+use super::fold::{part_of, VersionedPart, FOLDED_PARTS};
+use super::storage::{decode, decode_counts, folded_key, list_key, page_key, ListedIncarnation};
+use super::{merge_counts, FleetHits, Hit, HitCounts, Hits, Pending};
 use crate::{FrontId, Micros};
 
-const AT_ONCE: usize = 32; // pages read at once for the fleet's count
+/// Entries that are read at once for the fleet's count.
+const MAX_READS: usize = 32;
 
+/// An entry to be read.
 enum Read {
-    Lives(FrontId),
-    Page(Owner, u32),
-    Folded(usize),
+    List(FrontId),
+    Page { owner: Owner, page: u32 },
+    FoldedPart(usize),
 }
 
+/// The fleet's count as it is read from the ledger.
 pub(super) struct Sweep {
     begun: Micros,
+    /// What has yet to be read.
     reads: Vec<Read>,
+    /// Reads that are out.
     out: usize,
     missing: BTreeSet<FrontId>,
-    /// The fleet's table comes last: a life whose pages are gone by then is in it.
+    /// The fleet's table comes last: an incarnation whose pages are gone by then is in it.
     last: bool,
 }
 
 impl Sweep {
     pub fn new(begun: Micros, fronts: &[FrontId]) -> Sweep {
-        let reads = fronts.iter().map(|front| Read::Lives(*front)).collect();
+        let reads = fronts.iter().map(|front| Read::List(*front)).collect();
         Sweep {
             begun,
             reads,
@@ -44,7 +48,7 @@
     /// Reads on for the fleet's count.
     pub(super) fn advance_sweep(&mut self, number: &mut impl FnMut() -> u64) {
         loop {
-            let Some(sweep) = self.sweep.as_mut().filter(|sweep| sweep.out < AT_ONCE) else {
+            let Some(sweep) = self.sweep.as_mut().filter(|sweep| sweep.out < MAX_READS) else {
                 return;
             };
             let Some(read) = sweep.reads.pop() else {
@@ -52,19 +56,19 @@
                     break;
                 }
                 sweep.last = true;
-                sweep.reads.extend((0..FOLDED_PARTS).map(Read::Folded));
+                sweep.reads.extend((0..FOLDED_PARTS).map(Read::FoldedPart));
                 continue;
             };
             sweep.out += 1;
-            let (asked, key) = match read {
-                Read::Lives(front) => (Pending::LivesOf(front), lives_key(front)),
-                Read::Page(owner, page) => (
+            let (pending, key) = match read {
+                Read::List(front) => (Pending::ListOf(front), list_key(front)),
+                Read::Page { owner, page } => (
                     Pending::PageOf(owner),
                     page_key(owner.front, owner.incarnation, page as usize),
                 ),
-                Read::Folded(place) => (Pending::Folded(place), folded_key(place)),
+                Read::FoldedPart(part) => (Pending::FoldedPart(part), folded_key(part)),
             };
-            self.ask(number, asked, key, Act::Read);
+            self.ask(number, pending, key, Act::Read);
         }
         if let Some(sweep) = self.sweep.take_if(|sweep| sweep.out == 0) {
             let counts = self.sum();
@@ -77,20 +81,19 @@
         }
     }
 
-    /// What is in the fleet's table, and of each life what is not.
+    /// What is in the fleet's table, and of each incarnation what is not.
     fn sum(&mut self) -> HitCounts {
         let mut counts = HitCounts::new();
-        for (hit, count) in self.folded.values().flat_map(|(folded, _)| &folded.counts) {
+        for (hit, count) in self.folded.values().flat_map(|part| &part.folded.counts) {
             *counts.entry(hit.clone()).or_default() += count;
         }
         let folded = &self.folded;
-        let has = |hit: &super::Hit, owner: &Owner| {
-            folded
-                .get(&part_of(hit))
-                .is_some_and(|(folded, _)| folded.has(*owner))
+        let is_folded = |hit: &Hit, owner: Owner| {
+            let part = folded.get(&part_of(hit));
+            part.is_some_and(|part| part.folded.has(owner))
         };
         for (owner, table) in &mut self.known {
-            table.retain(|hit, _| !has(hit, owner));
+            table.retain(|hit, _| !is_folded(hit, *owner));
             for (hit, count) in table.iter() {
                 *counts.entry(hit.clone()).or_default() += count;
             }
@@ -99,43 +102,56 @@
         counts
     }
 
-    pub(super) fn on_sweep_answer(&mut self, asked: Pending, outcome: Outcome) {
+    pub(super) fn on_swept_list(&mut self, front: FrontId, outcome: Outcome) {
         let Some(sweep) = &mut self.sweep else { return };
         sweep.out -= 1;
-        match (asked, outcome) {
-            (_, Outcome::Absent) => {}
-            (Pending::LivesOf(front), Outcome::Stands(entry)) => {
-                match whole::<Vec<(u64, u32)>>(&entry.value) {
-                    Some(lives) => {
-                        for (incarnation, pages) in lives {
-                            let owner = Owner { front, incarnation };
-                            sweep
-                                .reads
-                                .extend((0..pages).map(|page| Read::Page(owner, page)));
-                        }
-                    }
-                    None => _ = sweep.missing.insert(front),
-                }
-            }
-            (Pending::PageOf(owner), Outcome::Stands(entry)) => match counts(&entry.value) {
-                Some(counts) => merge_counts(self.known.entry(owner).or_default(), &counts),
-                None => _ = sweep.missing.insert(owner.front),
-            },
-            (Pending::Folded(place), Outcome::Stands(entry)) => match Folded::read(&entry.value) {
-                Some(folded) => {
-                    let known = self.folded.get(&place).map_or(0, |(_, version)| *version);
-                    if entry.version >= known {
-                        self.folded.insert(place, (folded, entry.version));
-                    }
-                }
-                None => sweep.missing.extend(&self.fronts),
-            },
-            (Pending::LivesOf(front) | Pending::PageOf(Owner { front, .. }), _) => {
-                _ = sweep.missing.insert(front)
-            }
+        let entry = match outcome {
+            Outcome::Absent => return,
+            Outcome::Stands(entry) => Some(entry),
+            _ => None,
+        };
+        let list = entry.and_then(|entry| decode::<Vec<ListedIncarnation>>(&entry.value));
+        let Some(list) = list else {
+            sweep.missing.insert(front);
+            return;
+        };
+        for ListedIncarnation { incarnation, pages } in list {
+            let owner = Owner { front, incarnation };
+            let reads = (0..pages).map(|page| Read::Page { owner, page });
+            sweep.reads.extend(reads);
+        }
+    }
+
+    pub(super) fn on_swept_page(&mut self, owner: Owner, outcome: Outcome) {
+        let Some(sweep) = &mut self.sweep else { return };
+        sweep.out -= 1;
+        let entry = match outcome {
+            Outcome::Absent => return,
+            Outcome::Stands(entry) => Some(entry),
+            _ => None,
+        };
+        match entry.and_then(|entry| decode_counts(&entry.value)) {
+            Some(counts) => merge_counts(self.known.entry(owner).or_default(), &counts),
+            None => _ = sweep.missing.insert(owner.front),
+        }
+    }
+
+    pub(super) fn on_swept_part(&mut self, part: usize, outcome: Outcome) {
+        let Some(sweep) = &mut self.sweep else { return };
+        sweep.out -= 1;
+        let entry = match outcome {
+            Outcome::Absent => return,
+            Outcome::Stands(entry) => Some(entry),
+            _ => None,
+        };
+        let Some(read) = entry.and_then(|entry| VersionedPart::read(&entry)) else {
             // Of any front something may be there.
-            (Pending::Folded(_), _) => sweep.missing.extend(&self.fronts),
-            _ => {}
+            sweep.missing.extend(&self.fronts);
+            return;
+        };
+        let known = self.folded.get(&part).map_or(0, |part| part.version);
+        if read.version >= known {
+            self.folded.insert(part, read);
         }
     }
 }
