--- /dev/null
+++ b/crates/access/src/access/judging.rs
@@ -0,0 +1,127 @@
+//! Statements are judged as they arrive, before each execution leaves, and when a new version is adopted.
+
+use std::collections::BTreeMap;
+
+use super::{Access, OpenStatement};
+use crate::decision::Decision;
+use crate::hits::Hit;
+use crate::index::{Index, Verdict};
+use crate::judge::{judge, Request};
+use crate::shares::Limit;
+use crate::{Micros, Moment};
+
+impl Access {
+    /// Judges a statement, once for all its attempts.
+    pub fn judge(&mut self, at: Moment, request: Request) -> Decision {
+        if !self.known().covers(&request.customer) {
+            return Decision::Unrestricted;
+        }
+        let Some(index) = self.versions.lease(at.steady) else {
+            return Decision::RulesUnknown;
+        };
+        let verdict = judge(index, &self.region, &request, at.wall_ms, None);
+        self.record.add(at.steady, &request);
+        let hits = self.hits_of(index, &verdict, &request);
+        let limits = if verdict.denied.is_none() {
+            index.limits(&verdict)
+        } else {
+            Vec::new()
+        };
+        self.last_statement += 1;
+        let statement = self.last_statement;
+        let waits = !hits.is_empty();
+        let hits = self.count_within_limits(at.steady, statement, hits, limits);
+        let open = OpenStatement {
+            request,
+            verdict: verdict.clone(),
+            executions: BTreeMap::new(),
+            ending: false,
+            hits,
+            first_judged_ms: at.wall_ms,
+        };
+        self.open.insert(statement, open);
+        Decision::Decided {
+            statement,
+            verdict,
+            waits,
+        }
+    }
+
+    /// The hits of the rules that decided and counted a statement.
+    fn hits_of(&self, index: &Index, verdict: &Verdict, request: &Request) -> Vec<Hit> {
+        let rules = verdict.rule.into_iter().chain(verdict.counts);
+        rules
+            .map(|rule| Hit {
+                rule: index.name(rule).to_string(),
+                customer: request.customer.clone(),
+                region: self.region.clone(),
+            })
+            .collect()
+    }
+
+    /// Counts a statement's hits where it has its shares of the limits; gives the hits that wait for those.
+    fn count_within_limits(
+        &mut self,
+        now: Micros,
+        statement: u64,
+        hits: Vec<Hit>,
+        limits: Vec<Limit>,
+    ) -> Vec<Hit> {
+        let has_shares = limits.is_empty() || self.shares.take(now, statement, limits);
+        if !has_shares || hits.is_empty() {
+            return hits;
+        }
+        self.hits.count(statement, hits);
+        Vec::new()
+    }
+
+    /// Whether an execution may leave for a location now: by the version that the statement was judged by, by the one
+    /// that holds, and under a lease. One that may not never will; its statement is to end.
+    pub fn may_send(&mut self, at: Moment, statement: u64, execution: u64, location: &str) -> bool {
+        let place = self.known().place(location);
+        let Some(index) = self.versions.lease(at.steady) else {
+            return false;
+        };
+        let Some(open) = self.open.get_mut(&statement) else {
+            return false;
+        };
+        let is_allowed_now = open.verdict.version == index.set.version
+            || open.judge_again(index, &self.region, at).allows(place);
+        let may = is_allowed_now
+            && !open.ending
+            && open.verdict.allows(place)
+            && self.shares.begins(at.steady, statement);
+        if may {
+            open.executions.insert(execution, place);
+        }
+        may
+    }
+
+    /// Ends the statements that run where a version that was adopted bars them.
+    pub(super) fn revoke_barred(&mut self, at: Moment) {
+        let index = self.versions.held();
+        if index.set.version == self.checked_version {
+            return;
+        }
+        self.checked_version = index.set.version;
+        for (statement, open) in &mut self.open {
+            if open.executions.is_empty() || open.ending {
+                continue;
+            }
+            let verdict = open.judge_again(index, &self.region, at);
+            if !open.executions.values().all(|place| verdict.allows(*place)) {
+                open.ending = true;
+                self.revoked_count += 1;
+                self.revoked.push(*statement);
+            }
+        }
+    }
+}
+
+impl OpenStatement {
+    /// What a set says of the statement now.
+    fn judge_again(&self, index: &Index, region: &str, at: Moment) -> Verdict {
+        let first_judged_ms = Some(self.first_judged_ms);
+        judge(index, region, &self.request, at.wall_ms, first_judged_ms)
+    }
+}
--- /dev/null
+++ b/crates/access/src/access/requests.rs
@@ -0,0 +1,94 @@
+//! What goes to the ledger and comes from it: versions, counts and shares of limits.
+
+use hallmux_ledger::Done;
+
+use super::Access;
+use crate::event::Event;
+use crate::output::Output;
+use crate::{Micros, Moment};
+
+impl Access {
+    /// The time on the steady clock, in microseconds, at which [`Access::tick`] is next due; `Micros::MAX` if
+    /// nothing is.
+    pub fn due(&self, steady: Micros) -> Micros {
+        self.versions
+            .due()
+            .min(self.hits.due())
+            .min(self.shares.due(steady))
+    }
+
+    /// Does what is due: renews the lease, reads and changes the version, writes counts, and moves shares of
+    /// limits. To be called at [`Access::due`]; a call before that does no harm.
+    pub fn tick(&mut self, at: Moment) {
+        self.versions.tick(at);
+        self.shares.tick(at, &mut || self.versions.number());
+        self.count_those_with_shares();
+        self.hits.tick(at, &mut || self.versions.number());
+        self.revoke_barred(at);
+    }
+
+    /// Those that have their shares now wait for their count.
+    fn count_those_with_shares(&mut self) {
+        for statement in std::mem::take(&mut self.shares.ready) {
+            if let Some(open) = self.open.get_mut(&statement) {
+                self.hits.count(statement, std::mem::take(&mut open.hits));
+            }
+        }
+    }
+
+    /// The ledger has answered. False if it was not asked here.
+    pub fn on_ledger_answer(&mut self, at: Moment, done: Done) -> bool {
+        let Done { number, outcome } = done;
+        let versions = &mut self.versions;
+        let was_asked = versions.done(at, number, outcome.clone())
+            || self
+                .hits
+                .done(at, number, outcome.clone(), &mut || versions.number())
+            || self
+                .shares
+                .done(at, number, outcome, &mut || versions.number());
+        self.count_those_with_shares();
+        self.hits.tick(at, &mut || self.versions.number());
+        self.revoke_barred(at);
+        was_asked
+    }
+
+    /// Asks for the fleet's count; it comes with `Output`.
+    pub fn request_fleet_hits(&mut self, at: Moment) {
+        self.hits.sweep(at);
+    }
+
+    /// What is to be done since the last call. Each item is returned once.
+    pub fn take(&mut self) -> Output {
+        let mut ledger_requests = std::mem::take(&mut self.versions.asks);
+        ledger_requests.append(&mut self.hits.asks);
+        ledger_requests.append(&mut self.shares.asks);
+        let events = self.take_events();
+        let swept = std::mem::take(&mut self.hits.swept);
+        Output {
+            ledger_requests,
+            events,
+            counted: std::mem::take(&mut self.hits.counted),
+            over_limit: std::mem::take(&mut self.shares.refused),
+            revoked: std::mem::take(&mut self.revoked),
+            fleet_hits: swept.then(|| self.hits.fleet().clone()),
+        }
+    }
+
+    /// Events for the log since the last call.
+    fn take_events(&mut self) -> Vec<Event> {
+        let mut events = std::mem::take(&mut self.versions.events);
+        if std::mem::take(&mut self.hits.ledger_full) {
+            events.push(Event::LedgerFull { what: "hits" });
+        }
+        if self.hits.superseded && !std::mem::replace(&mut self.superseded_reported, true) {
+            events.push(Event::Superseded);
+        }
+        let fault = self.shares.fault();
+        if fault != self.shares_fault {
+            events.extend(fault.clone());
+            self.shares_fault = fault;
+        }
+        events
+    }
+}
--- a/crates/access/src/known.rs
+++ b/crates/access/src/known.rs
@@ -1,4 +1,4 @@
-//! What the settings and the operator's file name: all that a rule may speak of.
+//! What the settings and the operator's file name: all that a rule may name.
 
 use std::collections::BTreeMap;
 
@@ -37,22 +37,27 @@
 
     /// The places of a region, by its name or a location's.
     pub fn places(&self, region: &str) -> Option<Vec<u16>> {
-        let place = |name: &String| {
-            self.locations
-                .iter()
-                .position(|l| l == name)
-                .map(|at| at as u16)
-        };
         match self.regions.get(region) {
-            Some(locations) => Some(locations.iter().filter_map(place).collect()),
-            None => self
-                .locations
-                .iter()
-                .position(|l| l == region)
-                .map(|at| vec![at as u16]),
+            Some(locations) => {
+                let places = locations.iter().filter_map(|name| self.place(name));
+                Some(places.collect())
+            }
+            None => self.place(region).map(|place| vec![place]),
         }
     }
 
+    /// The place of a location: its index in `locations`.
+    pub fn place(&self, location: &str) -> Option<u16> {
+        let place = self.locations.iter().position(|name| name == location)?;
+        Some(place as u16)
+    }
+
+    /// The names of some places.
+    pub fn location_names(&self, places: &[u16]) -> Vec<String> {
+        let name = |place: &u16| self.locations.get(*place as usize).cloned();
+        places.iter().filter_map(name).collect()
+    }
+
     /// All names that a rule may give a region.
     pub fn region_names(&self) -> Vec<String> {
         self.regions
@@ -64,25 +69,19 @@
 
     /// The region of a place for counts: the first that holds it by name, or the location itself.
     pub fn region_of(&self, location: &str) -> String {
-        let holds = |(_, all): &(&String, &Vec<String>)| all.iter().any(|l| l == location);
-        self.regions
-            .iter()
-            .find(holds)
-            .map_or(location, |(name, _)| name)
-            .to_string()
+        let mut regions = self.regions.iter();
+        let region = regions.find(|(_, locations)| locations.iter().any(|name| name == location));
+        region.map_or(location, |(name, _)| name).to_string()
     }
 
     /// The places that a workload may run at.
     pub fn bound(&self, workload: &WorkloadLocations) -> Vec<u16> {
-        let within = |name: &String| {
-            workload
-                .locations
-                .as_ref()
-                .is_none_or(|all| all.contains(name))
-        };
-        (0..self.locations.len())
-            .filter(|at| within(&self.locations[*at]))
-            .map(|at| at as u16)
+        let bound = workload.locations.as_ref();
+        self.locations
+            .iter()
+            .enumerate()
+            .filter(|(_, name)| bound.is_none_or(|bound| bound.contains(name)))
+            .map(|(place, _)| place as u16)
             .collect()
     }
 }
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -1,6 +1,6 @@
 //! Regional access rules of customers: who may read what where. A set of rules is read and checked as a whole
-//! (`read`, `check`), compiled to an index (`index`), kept as one version for the whole fleet in the ledger of
-//! promises (`head`, `versions`), counted exactly (`hits`), and held to limits over the whole fleet (`shares`).
+//! (`read`, `check`), compiled to an index (`index`), kept as one version for the whole fleet in the ledger
+//! (`head`, `versions`), counted exactly (`hits`), and held to limits over the whole fleet (`shares`).
 //! `Access` joins them for one front. No sockets, no files, no clock, no randomness: statements, the ledger's answers
 //! and the time come in, requests to the ledger, decisions and events go out.
 //!
@@ -10,6 +10,7 @@
 
 mod access;
 mod check;
+mod decision;
 mod error;
 mod event;
 mod head;
@@ -18,13 +19,15 @@
 mod judge;
 mod known;
 mod lines;
+mod output;
 mod read;
 mod record;
 mod rule;
 mod shares;
 mod versions;
 
-pub use access::{Access, AccessConfig, Decision, Output};
+pub use access::{Access, AccessConfig, HeldVersion};
+pub use decision::Decision;
 pub use error::{FileError, FileErrors, Problem, Refused};
 pub use event::Event;
 pub use hallmux_lease::Terms;
@@ -37,6 +40,7 @@
 pub use judge::Request;
 pub use known::{KnownNames, WorkloadLocations};
 pub use lines::LineLookup;
+pub use output::Output;
 pub use read::{read, RulesCommand};
 pub use record::{ChangedDecision, Permission, WhatIfReport};
 pub use rule::{
--- a/crates/access/src/record.rs
+++ b/crates/access/src/record.rs
@@ -8,8 +8,10 @@
 use crate::shares::Limit;
 use crate::{Micros, Moment};
 
-const MOST_KINDS: usize = 4_096; // kinds of statements, some 250 bytes each
-const PARTS: usize = 24; // into which the time looked back at is cut
+/// Kinds of statements, some 250 bytes each.
+const MAX_KINDS: usize = 4_096;
+/// Parts into which the time looked back at is cut.
+const PARTS: usize = 24;
 
 /// What a set says of a statement.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -113,7 +115,7 @@
         }
         let place = self.advance(now);
         if !self.kinds.contains_key(request) {
-            if self.kinds.len() >= MOST_KINDS {
+            if self.kinds.len() >= MAX_KINDS {
                 self.unknown
                     .iter_mut()
                     .skip(place)
@@ -139,26 +141,26 @@
         other: &Index,
         known: &crate::KnownNames,
     ) -> WhatIfReport {
-        let mut found = WhatIfReport {
+        let mut report = WhatIfReport {
             held: held.set.version,
             version: other.set.version,
             ..WhatIfReport::default()
         };
         if self.part <= 0 {
-            return found;
+            return report;
         }
         self.advance(at.steady);
         let back = self.begun.map_or(0, |begun| at.steady - begun);
-        found.back = back.min(self.part * PARTS as Micros);
-        found.unknown = self.unknown.iter().sum();
+        report.back = back.min(self.part * PARTS as Micros);
+        report.unknown = self.unknown.iter().sum();
         for (request, counts) in &self.kinds {
             let count = counts.iter().map(|count| u64::from(*count)).sum::<u64>();
-            found.statements += count;
+            report.statements += count;
             let by = |index: &Index| decided(index, known, region, request, at.wall_ms);
             let (current, proposed) = (by(held), by(other));
             if current != proposed {
                 let (customer, workload) = (request.customer.clone(), request.workload.clone());
-                *found
+                *report
                     .changes
                     .entry(ChangedDecision {
                         customer,
@@ -169,7 +171,7 @@
                     .or_default() += count;
             }
         }
-        found
+        report
     }
 }
 
@@ -184,13 +186,9 @@
     if verdict.denied.is_some() {
         return Permission::Denied;
     }
-    let name = |place: &u16| known.locations.get(*place as usize).cloned();
-    let locations = verdict
-        .allowed
-        .as_ref()
-        .map(|places| places.iter().filter_map(name).collect());
+    let places = verdict.allowed.as_ref();
     Permission::Allowed {
-        locations,
+        locations: places.map(|places| known.location_names(places)),
         limits: index.limits(&verdict),
     }
 }
--- a/crates/access/src/record_tests.rs
+++ b/crates/access/src/record_tests.rs
@@ -20,11 +20,11 @@
         let found = record.compare(at, "eu", &index, &index, &KnownNames::default());
         (found.statements, found.unknown, found.back)
     };
-    (0..MOST_KINDS + 10).for_each(|n| record.add(500_000, &request(n)));
+    (0..MAX_KINDS + 10).for_each(|n| record.add(500_000, &request(n)));
     record.add(20_000_000, &request(0));
     assert_eq!(
         counts(&mut record, 20_000_000),
-        (MOST_KINDS as u64 + 1, 10, 19_500_000)
+        (MAX_KINDS as u64 + 1, 10, 19_500_000)
     );
     assert_eq!(counts(&mut record, 24_100_000), (1, 0, 23_600_000));
     assert_eq!(record.kinds.len(), 1);
--- a/crates/access/src/shares.rs
+++ b/crates/access/src/shares.rs
@@ -170,8 +170,8 @@
         true
     }
 
-    /// What keeps shares from being spent, if anything that a person should know of.
-    pub fn trouble(&self) -> Option<Event> {
+    /// What keeps shares from being spent, if anything that an operator should know of.
+    pub fn fault(&self) -> Option<Event> {
         let unreadable = self.shares.values().any(|share| share.unreadable);
         let full = self.shares.values().any(|share| share.full);
         match (unreadable, full) {
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use hallmux_access::{
-    read, Access, AccessConfig, Act, ChangedDecision, Decision, Done, Entry, Event, FleetHits, Key,
-    KnownNames, Moment, Outcome, Owner, Permission, Request, RulesCommand, Terms,
+    read, Access, AccessConfig, Act, ChangedDecision, Decision, Done, Entry, Event, FleetHits,
+    HeldVersion, Key, KnownNames, Moment, Outcome, Owner, Permission, Request, RulesCommand, Terms,
     WorkloadLocations,
 };
 use rand::{Rng, SeedableRng};
@@ -153,7 +153,10 @@
         self.advance(6_000);
         assert_eq!(
             self.access.version(self.now),
-            (command(text).version(), true)
+            HeldVersion {
+                version: command(text).version(),
+                may_judge: true
+            }
         );
     }
 
@@ -297,7 +300,13 @@
         // The question changes nothing, also where it is offered.
         one.access.offer("rules.json5", &after, command(&after));
         one.advance(1_000);
-        assert_eq!(one.access.version(one.now), (1, true));
+        assert_eq!(
+            one.access.version(one.now),
+            HeldVersion {
+                version: 1,
+                may_judge: true
+            }
+        );
         after = after.replace("what_if: true", "what_if: false");
         one.holds(&after);
         let mut happened: BTreeMap<ChangedDecision, u64> = BTreeMap::new();
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -280,7 +280,7 @@
         let may = self
             .access
             .may_send(at, number, place_of(ordered.id()), &location);
-        let closed = !self.access.version(at.steady).1;
+        let closed = !self.access.version(at.steady).may_judge;
         let limited = self.access.is_limited(number);
         let Some(s) = self.statements.get_mut(&number) else {
             return true;
