--- a/crates/access/src/head.rs
+++ b/crates/access/src/head.rs
@@ -4,12 +4,18 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-const FORMAT: u8 = 1; // of what is kept; one that a build does not know counts for nothing
-pub const MOST_TEXT: usize = 256 << 10; // bytes of a file; a shard of the ledger holds 512 KiB
-const PART: usize = 8 << 10; // bytes of a part: a few datagrams
-pub const MOST_PREVIOUS: usize = 8; // versions kept behind the one that holds
-pub const LINGERS_MS: u64 = 600_000; // milliseconds for which the parts of one that is kept no longer stay
-
+/// Of the stored head; one of another format counts for nothing.
+const FORMAT: u8 = 1;
+/// Bytes of a file; a shard of the ledger holds 512 KiB.
+pub const MAX_TEXT: usize = 256 << 10;
+/// Bytes of a part: a few datagrams.
+const PART_BYTES: usize = 8 << 10;
+/// Versions kept behind the one that holds.
+pub const MAX_PREVIOUS: usize = 8;
+/// Milliseconds for which the parts of a version that is kept no longer stay.
+pub const DROPPED_PARTS_MS: u64 = 600_000;
+
+/// A SHA-256 hash.
 pub type Hash = [u8; 32];
 
 /// A version and the text that goes with it.
@@ -36,6 +42,16 @@
     pub previous: Vec<StoredVersion>,
 }
 
+/// A head that follows another one.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct NextHead {
+    /// The head.
+    pub head: Head,
+    /// The version whose text it keeps no longer.
+    pub dropped: Option<StoredVersion>,
+}
+
+/// The SHA-256 of a text.
 pub fn hash(text: &str) -> Hash {
     Sha256::digest(text).into()
 }
@@ -52,26 +68,27 @@
 }
 
 impl Head {
-    /// The head that follows, and the version that it keeps no longer.
-    pub fn after(
-        before: Option<&Head>,
-        current: StoredVersion,
-        in_force: bool,
-    ) -> (Head, Option<StoredVersion>) {
+    /// The head that follows another one.
+    pub fn after(before: Option<&Head>, current: StoredVersion, in_force: bool) -> NextHead {
         let mut kept: Vec<StoredVersion> = before.iter().map(|head| head.current).collect();
         kept.extend(before.iter().flat_map(|head| head.previous.iter().copied()));
-        let gone = (kept.len() > MOST_PREVIOUS).then(|| kept.pop()).flatten();
+        let dropped = if kept.len() > MAX_PREVIOUS {
+            kept.pop()
+        } else {
+            None
+        };
         // The same text may be kept under another version.
-        let gone = gone.filter(|g| g.hash != current.hash && kept.iter().all(|k| k.hash != g.hash));
-        (
-            Head {
-                format: FORMAT,
-                current,
-                in_force,
-                previous: kept,
-            },
-            gone,
-        )
+        let is_kept = |dropped: &StoredVersion| {
+            dropped.hash == current.hash || kept.iter().any(|kept| kept.hash == dropped.hash)
+        };
+        let dropped = dropped.filter(|dropped| !is_kept(dropped));
+        let head = Head {
+            format: FORMAT,
+            current,
+            in_force,
+            previous: kept,
+        };
+        NextHead { head, dropped }
     }
 
     /// The bytes to keep in the ledger.
@@ -85,8 +102,8 @@
             Ok((head, [])) => head,
             _ => return None,
         };
-        let fits = head.format == FORMAT && head.previous.len() <= MOST_PREVIOUS;
-        (fits && head.current.bytes as usize <= MOST_TEXT).then_some(head)
+        let fits = head.format == FORMAT && head.previous.len() <= MAX_PREVIOUS;
+        (fits && head.current.bytes as usize <= MAX_TEXT).then_some(head)
     }
 
     /// A version that is kept.
@@ -114,7 +131,7 @@
         .take(8)
         .map(|byte| format!("{byte:02x}"))
         .collect();
-    let parts = (kept.bytes as usize).div_ceil(PART).max(1);
+    let parts = (kept.bytes as usize).div_ceil(PART_BYTES).max(1);
     (0..parts).map(move |n| Key {
         kind: Kind::Rules,
         name: format!("text {name} {n}"),
@@ -123,10 +140,11 @@
 
 /// The text cut into the parts that the ledger keeps.
 pub fn parts(text: &str) -> Vec<Vec<u8>> {
-    match text.is_empty() {
-        true => vec![Vec::new()],
-        false => text.as_bytes().chunks(PART).map(<[u8]>::to_vec).collect(),
+    if text.is_empty() {
+        return vec![Vec::new()];
     }
+    let parts = text.as_bytes().chunks(PART_BYTES);
+    parts.map(<[u8]>::to_vec).collect()
 }
 
 /// The text, if the parts are all of it and nothing else.
--- a/crates/access/src/head_tests.rs
+++ b/crates/access/src/head_tests.rs
@@ -4,8 +4,8 @@
 
 #[test]
 fn what_is_damaged_or_of_another_format_is_no_head_and_no_text() {
-    let text = "x".repeat(PART + 1);
-    let (mut head, _) = Head::after(None, StoredVersion::of(3, &text), true);
+    let text = "x".repeat(PART_BYTES + 1);
+    let mut head = Head::after(None, StoredVersion::of(3, &text), true).head;
     let bytes = head.bytes();
     assert_eq!(Head::read(&bytes), Some(head.clone()));
     assert_eq!(Head::read(&[&bytes[..], b"x"].concat()), None);
@@ -23,14 +23,14 @@
 fn the_last_versions_are_kept_and_a_text_goes_with_its_last_version() {
     let mut head = None;
     let mut gone = None;
-    for version in 1..=MOST_PREVIOUS as u64 + 2 {
+    for version in 1..=MAX_PREVIOUS as u64 + 2 {
         let text = if version == 9 {
             "1".to_string()
         } else {
             version.to_string()
         };
-        let (next, left) = Head::after(head.as_ref(), StoredVersion::of(version, &text), true);
-        (head, gone) = (Some(next), left);
+        let next = Head::after(head.as_ref(), StoredVersion::of(version, &text), true);
+        (head, gone) = (Some(next.head), next.dropped);
     }
     let head = head.unwrap();
     // Version 1 went first; its text is version 9's too.
--- /dev/null
+++ b/crates/access/src/versions/adopt.rs
@@ -0,0 +1,125 @@
+//! How this front takes up the version that the head names: reads the head, fetches the text, and judges by it.
+
+use hallmux_ledger::{Act, Entry, Key};
+
+use super::{Fetch, Pending, StoredHead, Versions, RETRY_INTERVAL, UNREADABLE_INTERVAL};
+use crate::event::Event;
+use crate::head::{joined, part_keys, Head, StoredVersion};
+use crate::index::Index;
+use crate::read::{read, RulesCommand};
+use crate::rule::RuleSet;
+use crate::{Micros, Moment};
+
+impl Versions {
+    /// What stands at the head, as of some moment after it was asked for.
+    pub(super) fn on_head(&mut self, at: Moment, asked_at: Micros, entry: Option<Entry>) {
+        let version = entry.as_ref().map_or(0, |entry| entry.version);
+        let known = self.head.as_ref().map_or(0, |stored| stored.version);
+        if version < known {
+            return; // an answer that was overtaken
+        }
+        self.ledger_has_answered = true;
+        if version > known {
+            let Some(head) = entry.and_then(|entry| Head::read(&entry.value)) else {
+                return self.unreadable("head");
+            };
+            self.set_head(at, StoredHead { head, version });
+        }
+        if self.head.as_ref().map(|stored| stored.head.current) == self.held_from {
+            self.lease_until = self.lease_until.max(asked_at + self.terms.acts_for());
+            self.lease_once_adopted = None;
+        } else {
+            self.lease_once_adopted = Some(asked_at);
+        }
+        self.resolve_offer();
+    }
+
+    /// Goes by a later head.
+    fn set_head(&mut self, at: Moment, stored: StoredHead) {
+        let head = &stored.head;
+        // A set that is said to be in force after it was only changed is the same set.
+        let before = self.head.take().map(|before| before.head);
+        let same = before.filter(|before| before.current == head.current);
+        if same.is_none() {
+            self.head_since = at.steady;
+            self.changed_here = false;
+        }
+        let was_in_force = same.is_some_and(|same| same.in_force);
+        if head.in_force && !was_in_force {
+            self.events.push(Event::InForce {
+                version: head.current.version,
+            });
+        }
+        self.head = Some(stored);
+        self.stop_swapping();
+    }
+
+    /// Fetches the set that the head names, where it is not the one held.
+    pub(super) fn fetch(&mut self, at: Moment) {
+        let Some(of) = self.head.as_ref().map(|stored| stored.head.current) else {
+            return;
+        };
+        let is_fetching = self.fetch.as_ref().is_some_and(|fetch| fetch.of == of);
+        if self.held_from == Some(of) || is_fetching {
+            return;
+        }
+        let keys: Vec<Key> = part_keys(of).collect();
+        let parts = vec![None; keys.len()];
+        self.fetch = Some(Fetch { of, parts });
+        for (number, key) in keys.into_iter().enumerate() {
+            self.ask(at, Pending::Part { of, number }, key, Act::Read);
+        }
+    }
+
+    pub(super) fn on_part(&mut self, at: Moment, of: StoredVersion, number: usize, bytes: Vec<u8>) {
+        let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.of == of) else {
+            return;
+        };
+        if let Some(part) = fetch.parts.get_mut(number) {
+            *part = Some(bytes);
+        }
+        if !fetch.parts.iter().all(Option::is_some) {
+            return;
+        }
+        let parts = fetch.parts.drain(..).flatten().collect();
+        self.fetch = None;
+        match joined(of, parts) {
+            Some(text) => self.adopt(at, of, &text),
+            None => {
+                self.retry_at = at.steady + RETRY_INTERVAL;
+                self.unreadable("text");
+            }
+        }
+    }
+
+    /// Judges by a set from now on, if it is still the head's.
+    fn adopt(&mut self, at: Moment, of: StoredVersion, text: &str) {
+        let stored = self.head.as_ref();
+        let Some(stored) = stored.filter(|stored| stored.head.current == of) else {
+            return;
+        };
+        let in_force = stored.head.in_force;
+        let command = read("the fleet's rules", text, &self.known, &|_| None);
+        let Ok(RulesCommand::Replace(set)) = command else {
+            // What another front has checked and this one can't read: its settings differ.
+            self.lease_until = Micros::MIN;
+            self.retry_at = at.steady + UNREADABLE_INTERVAL;
+            return self.unreadable("set by this front's settings");
+        };
+        let version = of.version;
+        self.held = Index::new(RuleSet { version, ..set });
+        self.held_from = Some(of);
+        self.reported_unreadable = None;
+        let lease_until = self
+            .lease_once_adopted
+            .take()
+            .map(|asked_at| asked_at + self.terms.acts_for());
+        self.lease_until = lease_until.unwrap_or(Micros::MIN);
+        self.events.push(Event::Adopted {
+            version,
+            rules: self.held.set.rules.len(),
+            in_force,
+        });
+        self.next_head_read = self.next_head_read.min(at.steady + RETRY_INTERVAL);
+    }
+}
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -2,9 +2,12 @@
 
 use hallmux_ledger::{Act, Entry, Key};
 
-use super::{Event, Offer, Pending, Versions};
+use super::{Offer, Pending, StoredHead, Versions};
 use crate::error::Refused;
-use crate::head::{head_key, part_keys, parts, Head, StoredVersion, LINGERS_MS, MOST_TEXT};
+use crate::event::Event;
+use crate::head::{
+    head_key, part_keys, parts, Head, NextHead, StoredVersion, DROPPED_PARTS_MS, MAX_TEXT,
+};
 use crate::index::Index;
 use crate::read::RulesCommand;
 use crate::{Micros, Moment};
@@ -16,24 +19,23 @@
         if matches!(command, RulesCommand::WhatIf(_)) {
             return; // a question changes nothing
         }
-        if text.len() > MOST_TEXT {
-            let (bytes, most) = (text.len(), MOST_TEXT);
+        if text.len() > MAX_TEXT {
             return self.events.push(Event::Refused(Refused::TooLong {
                 file: file.to_string(),
-                bytes,
-                most,
+                bytes: text.len(),
+                most: MAX_TEXT,
             }));
         }
-        let (file, text) = (file.to_string(), text.to_string());
         self.offer = Some(Offer {
-            file,
+            file: file.to_string(),
             command,
-            text,
+            text: text.to_string(),
             parts_stored: 0,
             swapping: false,
             wanted: None,
         });
-        (self.next_head_read, self.retry_at) = (Micros::MIN, Micros::MIN);
+        self.next_head_read = Micros::MIN;
+        self.retry_at = Micros::MIN;
     }
 
     /// The kept version that an offer wants, or why not.
@@ -41,22 +43,20 @@
         let RulesCommand::RollBack { version, to } = offer.command else {
             return Ok(StoredVersion::of(offer.command.version(), &offer.text));
         };
-        let head = self.head.as_ref().map(|(head, _)| head);
-        match head.and_then(|head| head.find(to)) {
-            Some(kept) => Ok(StoredVersion { version, ..kept }),
-            None => {
-                let kept = head
-                    .iter()
-                    .flat_map(|head| &head.previous)
-                    .map(|kept| kept.version.to_string());
-                let kept = kept.collect::<Vec<_>>().join(", ");
-                Err(Refused::NotKept {
-                    file: offer.file.clone(),
-                    to,
-                    kept,
-                })
-            }
+        let head = self.head.as_ref().map(|stored| &stored.head);
+        if let Some(kept) = head.and_then(|head| head.find(to)) {
+            return Ok(StoredVersion { version, ..kept });
         }
+        let kept: Vec<String> = head
+            .iter()
+            .flat_map(|head| &head.previous)
+            .map(|kept| kept.version.to_string())
+            .collect();
+        Err(Refused::NotKept {
+            file: offer.file.clone(),
+            to,
+            kept: kept.join(", "),
+        })
     }
 
     /// What has become of an offer, by the head.
@@ -64,7 +64,7 @@
         let Some(offer) = self.offer.as_ref() else {
             return;
         };
-        let Some(has) = self.head.as_ref().map(|(head, _)| head.current) else {
+        let Some(has) = self.head.as_ref().map(|stored| stored.head.current) else {
             return;
         };
         let (file, stated, next) = (offer.file.clone(), offer.command.version(), has.version + 1);
@@ -101,7 +101,7 @@
         else {
             return;
         };
-        if self.is_pending(|a| matches!(a, Pending::PutPart | Pending::Swap { .. })) {
+        if self.is_pending(|pending| matches!(pending, Pending::PutPart | Pending::Swap { .. })) {
             return;
         }
         let wanted = match self.wanted(offer) {
@@ -119,38 +119,42 @@
         };
         if offer.parts_stored < keys.len() {
             let parts = parts(&offer.text);
-            self.offer
-                .iter_mut()
-                .for_each(|offer| offer.parts_stored = 0);
-            for (key, value) in keys.into_iter().zip(parts) {
-                self.ask(
-                    at,
-                    Pending::PutPart,
-                    key,
-                    Act::Put {
-                        expects: None,
-                        ends_ms: 0,
-                        value,
-                    },
-                );
-            }
-            return;
+            return self.put_parts(at, keys, parts);
         }
         let in_force = self.holds_at_once(offer, at);
-        let (head, version) = match &self.head {
-            Some((head, version)) => (Some(head), *version),
-            None => (None, 0),
-        };
-        let (next, gone) = Head::after(head, wanted, in_force);
+        self.swap_head(at, wanted, in_force);
+    }
+
+    fn put_parts(&mut self, at: Moment, keys: Vec<Key>, parts: Vec<Vec<u8>>) {
+        if let Some(offer) = &mut self.offer {
+            offer.parts_stored = 0;
+        }
+        for (key, value) in keys.into_iter().zip(parts) {
+            let act = Act::Put {
+                expects: None,
+                ends_ms: 0,
+                value,
+            };
+            self.ask(at, Pending::PutPart, key, act);
+        }
+    }
+
+    /// Changes the head to the version that the offer wants.
+    fn swap_head(&mut self, at: Moment, wanted: StoredVersion, in_force: bool) {
+        let stored = self.head.as_ref();
+        let NextHead { head, dropped } =
+            Head::after(stored.map(|stored| &stored.head), wanted, in_force);
         let act = Act::Put {
-            expects: Some(version),
+            expects: Some(stored.map_or(0, |stored| stored.version)),
             ends_ms: 0,
-            value: next.bytes(),
+            value: head.bytes(),
         };
-        self.ask(at, Pending::Swap { to: wanted, gone }, head_key(), act);
-        self.offer
-            .iter_mut()
-            .for_each(|offer| (offer.swapping, offer.wanted) = (true, Some(wanted)));
+        let to = wanted;
+        self.ask(at, Pending::Swap { to, dropped }, head_key(), act);
+        if let Some(offer) = &mut self.offer {
+            offer.swapping = true;
+            offer.wanted = Some(wanted);
+        }
     }
 
     /// Nothing is barred by it that the set in force lets through: it holds with its swap.
@@ -158,8 +162,8 @@
         let RulesCommand::Replace(set) = &offer.command else {
             return false;
         };
-        let from = self.head.as_ref().map(|(head, _)| head.current);
-        let in_force = self.head.as_ref().is_none_or(|(head, _)| head.in_force);
+        let from = self.head.as_ref().map(|stored| stored.head.current);
+        let in_force = self.head.as_ref().is_none_or(|stored| stored.head.in_force);
         in_force
             && from == self.held_from
             && !Index::new(set.clone()).tightens(&self.held, &self.known, at.wall_ms)
@@ -170,19 +174,19 @@
         at: Moment,
         asked_at: Micros,
         to: StoredVersion,
-        gone: Option<StoredVersion>,
+        dropped: Option<StoredVersion>,
         entry: Entry,
     ) {
         self.on_head(at, asked_at, Some(entry));
         self.changed_here = self
             .head
             .as_ref()
-            .is_some_and(|(head, _)| head.current == to);
+            .is_some_and(|stored| stored.head.current == to);
         // Parts that nothing names any more end after a while.
-        for key in gone.into_iter().flat_map(part_keys) {
+        for key in dropped.into_iter().flat_map(part_keys) {
             let act = Act::Put {
                 expects: None,
-                ends_ms: at.wall_ms + LINGERS_MS,
+                ends_ms: at.wall_ms + DROPPED_PARTS_MS,
                 value: Vec::new(),
             };
             self.ask(at, Pending::ExpirePart, key, act);
@@ -191,17 +195,17 @@
 
     /// Says that the head is in force.
     pub(super) fn confirm_in_force(&mut self, at: Moment) {
-        let Some((head, version)) = &self.head else {
+        let Some(StoredHead { head, version }) = &self.head else {
             return;
         };
-        let settled = Head {
+        let confirmed = Head {
             in_force: true,
             ..head.clone()
         };
         let act = Act::Put {
             expects: Some(*version),
             ends_ms: 0,
-            value: settled.bytes(),
+            value: confirmed.bytes(),
         };
         self.ask(at, Pending::ConfirmInForce, head_key(), act);
     }
