--- a/crates/dispatcher/src/executions.rs
+++ b/crates/dispatcher/src/executions.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
     /// The time at which its client stops waiting, in microseconds.
-    pub ends: Micros,
+    pub deadline: Micros,
     /// The time, in microseconds, after which it may no longer leave for its engine: engines drop its repeats for a
     /// while only.
     pub leave_by: Micros,
@@ -43,6 +43,13 @@
         }
     }
 
+    /// It has ended.
+    pub fn end(&mut self, ending: Ending) {
+        self.in_flight = false;
+        self.held = false;
+        self.ending = Some(ending);
+    }
+
     /// Whether it may have run, or may still run.
     pub fn may_have_run(&self) -> bool {
         self.ending.is_none_or(Ending::may_have_run)
