--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -7,8 +7,10 @@
 mod expire;
 mod observe;
 mod placement;
+mod retry;
 mod sweep;
 mod timing;
+mod warm_up;
 mod zones;
 
 use std::collections::BTreeMap;
--- a/src/scheduler/expire.rs
+++ b/src/scheduler/expire.rs
@@ -1,10 +1,8 @@
 //! Statements that end without a result, and attempts that are cancelled.
 
-use crate::interface::{Action, Effect, EngineId, Micros, RejectReason, StatementId};
-use crate::policy::deadlines::rejected_at;
+use crate::interface::{Action, EngineId, RejectReason, StatementId};
 use crate::policy::idempotency::{answer_without_result, Answer};
 use crate::policy::penalty::Timeliness;
-use crate::policy::retry::{RetryOutcome, RetryRequest};
 use crate::policy::shedding::{retry_after, ShedRequest};
 use crate::statement::Statement;
 
@@ -46,31 +44,6 @@
             .reason_at_expiry(others_wait, self.clock.now)
     }
 
-    /// Why a statement whose attempt ended without a result has none again, if it has none.
-    pub(super) fn no_retry_reason(&self, statement: &Statement) -> Option<RejectReason> {
-        if !self.has_safe_engine(statement) {
-            return Some(RejectReason::NoSafeEngine);
-        }
-        let expiring = self.clock.now >= rejected_at(statement.deadline);
-        self.check_retry(statement)
-            .reject_reason()
-            .or(expiring.then_some(RejectReason::Expiring))
-    }
-
-    /// Whether a statement may be attempted again.
-    fn check_retry(&self, statement: &Statement) -> RetryOutcome {
-        let request = RetryRequest {
-            attempts: statement.attempts.len(),
-            sticky: statement.asked.sticky_engine.is_some(),
-        };
-        self.retry_budget.check(request, self.clock.now)
-    }
-
-    /// Whether a retry of a statement is allowed.
-    pub(super) fn may_retry(&self, statement: &Statement) -> bool {
-        self.check_retry(statement) == RetryOutcome::Allowed
-    }
-
     /// Whether the engine that holds its transaction takes nothing new any more.
     pub(super) fn sticky_engine_closed(&self, statement: &Statement) -> bool {
         let is_open = |engine: EngineId| self.engines.open.get(engine).is_some_and(|open| *open);
@@ -80,25 +53,6 @@
             .is_some_and(|engine| !is_open(engine))
     }
 
-    /// Cancels an attempt, if its statement may be attempted again in time.
-    pub(super) fn cancel_to_retry(&mut self, id: StatementId, number: usize) {
-        let statement = &self.statements[&id];
-        let run = self.estimates.usual_run(statement.asked.workload) as Micros;
-        let in_time = self.clock.now + run < statement.deadline;
-        let idempotent = self.workload(statement).effect == Effect::Idempotent;
-        if idempotent
-            && self.may_retry(statement)
-            && in_time
-            && self.agreed.cancel
-            && !statement.over
-        {
-            self.actions.push(Action::Cancel {
-                statement: id,
-                execution: number,
-            });
-        }
-    }
-
     /// Ends a statement without a result: a rejection where trying again is harmless, else an abort.
     pub(super) fn reject(&mut self, id: StatementId, reason: RejectReason) {
         let statement = &self.statements[&id];
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,10 +1,8 @@
 //! Placement: which engine gets a statement? The candidate filter, the concurrency limits and the ranking in turn.
 
-use crate::interface::{EngineId, Micros, StatementId, Workload};
+use crate::interface::{EngineId, StatementId, Workload};
 use crate::policy::concurrency_limit::{LimitOutcome, LimitRequest, LimitScope, Pool};
-use crate::policy::idempotency::has_safe_engine;
 use crate::policy::ranking::{RankedEngine, Ranking, RankingMode};
-use crate::policy::slow_start::{EarlierWork, SlowStartOutcome, SlowStartRequest};
 use crate::statement::Statement;
 
 use super::candidates::Eligibility;
@@ -112,52 +110,4 @@
         };
         !is_bound(self.workload(statement)) && self.agreed.workloads.iter().any(needs)
     }
-
-    /// Whether any engine may have it by what earlier attempts may have done: else it waits in vain.
-    pub(super) fn has_safe_engine(&self, statement: &Statement) -> bool {
-        has_safe_engine(
-            self.workload(statement),
-            statement,
-            &self.engines.listed,
-            self.clock.now,
-        )
-    }
-
-    /// An engine warms up from then on, as far as is known.
-    pub(super) fn start_warm_up(&mut self, engine: EngineId, started: Micros) {
-        let request = self.slow_start_request(engine, 0.0);
-        let earlier_work = if self.clock.just_started() {
-            EarlierWork::Unknown
-        } else {
-            EarlierWork::Known
-        };
-        self.slow_start
-            .start(engine, started, &request, earlier_work);
-    }
-
-    /// Whether an engine that may be warming up bears this statement now.
-    pub(super) fn check_slow_start(
-        &self,
-        engine: EngineId,
-        statement: &Statement,
-    ) -> SlowStartOutcome {
-        let workload = self.workload(statement);
-        let work = self.estimates.usual_work(
-            statement.asked.workload,
-            workload.threads,
-            workload.slo_time as f64,
-        );
-        self.slow_start
-            .check(&self.slow_start_request(engine, work))
-    }
-
-    fn slow_start_request(&self, engine: EngineId, work: f64) -> SlowStartRequest {
-        SlowStartRequest {
-            engine,
-            cores: self.engines.size[engine].threads,
-            work,
-            fronts: self.fleet.known,
-            now: self.clock.now,
-        }
-    }
 }
