--- a/crates/access/src/access.rs
+++ b/crates/access/src/access.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use hallmux_lease::Terms;
-use hallmux_ledger::{Ask, Done, Owner};
+use hallmux_ledger::{LedgerAnswer, LedgerRequest, Owner};
 
 use crate::event::Event;
 use crate::hits::{FleetHits, Hit, Hits};
@@ -77,7 +77,7 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Output {
     /// Requests to the ledger; each is answered through [`Access::on_ledger_answer`] under its number.
-    pub ledger_requests: Vec<Ask>,
+    pub ledger_requests: Vec<LedgerRequest>,
     /// Events for the log, in the order in which they happened.
     pub events: Vec<Event>,
     /// Statements whose hits stand.
@@ -362,8 +362,8 @@
     }
 
     /// The ledger has answered. False if it was not asked here.
-    pub fn on_ledger_answer(&mut self, at: Moment, done: Done) -> bool {
-        let Done { number, outcome } = done;
+    pub fn on_ledger_answer(&mut self, at: Moment, done: LedgerAnswer) -> bool {
+        let LedgerAnswer { number, outcome } = done;
         let ours = self.versions.done(at, number, outcome.clone())
             || self
                 .hits
--- a/crates/access/src/hits.rs
+++ b/crates/access/src/hits.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use hallmux_ledger::{Act, Ask, Key, Kind, Outcome, Owner};
+use hallmux_ledger::{Key, Kind, LedgerRequest, Operation, Outcome, Owner};
 use serde::{Deserialize, Serialize};
 
 use crate::{FrontId, Micros, Moment};
@@ -112,7 +112,7 @@
     known: BTreeMap<Owner, HitCounts>,
     fleet: FleetHits,
     /// Requests to the ledger that have yet to be sent.
-    pub asks: Vec<Ask>,
+    pub asks: Vec<LedgerRequest>,
     /// Statements whose counts the ledger has confirmed since the caller took them last.
     pub counted: Vec<u64>,
     /// The fleet's count is there, as it was asked for.
@@ -273,10 +273,20 @@
         self.advance_sweep(number);
     }
 
-    fn ask(&mut self, number: &mut impl FnMut() -> u64, asked: Pending, key: Key, act: Act) {
+    fn ask(
+        &mut self,
+        number: &mut impl FnMut() -> u64,
+        asked: Pending,
+        key: Key,
+        operation: Operation,
+    ) {
         let number = number();
         self.asked.insert(number, asked);
-        self.asks.push(Ask { number, key, act });
+        self.asks.push(LedgerRequest {
+            number,
+            key,
+            operation,
+        });
     }
 
     /// Names this life and its pages in the list of lives, before anything is counted there.
@@ -291,18 +301,23 @@
             .as_ref()
             .filter(|_| !std::mem::take(&mut self.list_is_stale))
         else {
-            return self.ask(number, Pending::Lives, lives_key(self.own.front), Act::Read);
+            return self.ask(
+                number,
+                Pending::Lives,
+                lives_key(self.own.front),
+                Operation::Read,
+            );
         };
         let mut lives: Vec<(u64, u32)> = lives.clone();
         lives.retain(|(life, _)| *life != self.own.incarnation);
         lives.push((self.own.incarnation, self.pages.len() as u32));
         let value = bytes::<Lives>(&(FORMAT, lives));
-        let act = Act::Put {
+        let operation = Operation::Put {
             expects: Some(*version),
             ends_ms: 0,
             value,
         };
-        self.ask(number, Pending::Lives, lives_key(self.own.front), act);
+        self.ask(number, Pending::Lives, lives_key(self.own.front), operation);
     }
 
     fn put_page(&mut self, at: usize, number: &mut impl FnMut() -> u64) {
@@ -315,7 +330,7 @@
         };
         page.putting = true;
         // Compare and swap: one that was held up on its way can't set the page back.
-        let act = Act::Put {
+        let operation = Operation::Put {
             expects: Some(page.version),
             ends_ms: 0,
             value: bytes(&(FORMAT, &page.counts)),
@@ -328,7 +343,7 @@
             number,
             asked,
             page_key(self.own.front, self.own.incarnation, at),
-            act,
+            operation,
         );
     }
 
--- a/crates/access/src/hits/fold.rs
+++ b/crates/access/src/hits/fold.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 use hallmux_hash::fnv1a;
-use hallmux_ledger::{Act, Key, Kind, Outcome, Owner};
+use hallmux_ledger::{Key, Kind, Operation, Outcome, Owner};
 use serde::{Deserialize, Serialize};
 
 use super::{
@@ -132,37 +132,37 @@
             return;
         };
         let key = |page| page_key(own.front, fold.owner.incarnation, page);
-        let put = |expects, ends_ms, value| Act::Put {
+        let put = |expects, ends_ms, value| Operation::Put {
             expects,
             ends_ms,
             value,
         };
         let closed = |counts: &HitCounts| bytes(&(CLOSED, counts));
         let left = fold.left.as_ref();
-        let (asked, key, act) = if fold.pages.len() < fold.count {
+        let (asked, key, operation) = if fold.pages.len() < fold.count {
             let page = fold.pages.len();
-            let act = match &fold.open {
-                None => Act::Read,
+            let operation = match &fold.open {
+                None => Operation::Read,
                 Some((counts, version)) => put(Some(*version), 0, closed(counts)),
             };
-            (Pending::Closing, key(page), act)
+            (Pending::Closing, key(page), operation)
         } else if let Some((place, rows)) = left.and_then(|left| left.first_key_value()) {
-            let act = match &fold.part {
-                None => Act::Read,
+            let operation = match &fold.part {
+                None => Operation::Read,
                 Some((folded, version)) => {
                     let mut folded = folded.clone();
                     folded.add(fold.owner, rows);
                     put(Some(*version), 0, bytes(&(FORMAT, folded)))
                 }
             };
-            (Pending::Adding, folded_key(*place), act)
+            (Pending::Adding, folded_key(*place), operation)
         } else if fold.blanked < fold.count {
-            let act = put(
+            let operation = put(
                 None,
                 wall_ms.saturating_add(LINGERS_MS),
                 closed(&HitCounts::new()),
             );
-            (Pending::Blanking, key(fold.blanked), act)
+            (Pending::Blanking, key(fold.blanked), operation)
         } else if !self.listing {
             let lives: Vec<(u64, u32)> = lives
                 .into_iter()
@@ -177,7 +177,7 @@
             return;
         };
         fold.asking = true;
-        self.ask(number, asked, key, act);
+        self.ask(number, asked, key, operation);
     }
 
     /// The ledger has answered a step.
--- a/crates/access/src/hits/sweep.rs
+++ b/crates/access/src/hits/sweep.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use hallmux_ledger::{Act, Outcome, Owner};
+use hallmux_ledger::{Operation, Outcome, Owner};
 
 use super::fold::{folded_key, part_of, Folded, FOLDED_PARTS};
 use super::{
@@ -64,7 +64,7 @@
                 ),
                 Read::Folded(place) => (Pending::Folded(place), folded_key(place)),
             };
-            self.ask(number, asked, key, Act::Read);
+            self.ask(number, asked, key, Operation::Read);
         }
         if let Some(sweep) = self.sweep.take_if(|sweep| sweep.out == 0) {
             let counts = self.sum();
--- a/crates/access/src/shares.rs
+++ b/crates/access/src/shares.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use hallmux_ledger::{Ask, Outcome, Owner};
+use hallmux_ledger::{LedgerRequest, Outcome, Owner};
 
 use crate::event::Event;
 use crate::{Micros, Moment};
@@ -31,7 +31,7 @@
     statements: BTreeMap<u64, Taking>,
     asked: HashMap<u64, (Limit, Micros)>,
     /// Requests to the ledger that have yet to be sent.
-    pub asks: Vec<Ask>,
+    pub asks: Vec<LedgerRequest>,
     /// Statements that have waited for their shares and have them now, or have none.
     pub ready: Vec<u64>,
     /// Statements that were refused for want of a share since the caller took them last.
@@ -138,13 +138,13 @@
     /// number of its own.
     pub fn tick(&mut self, at: Moment, number: &mut impl FnMut() -> u64) {
         for (limit, share) in &mut self.shares {
-            if let Some(act) = share.tick(at.steady) {
+            if let Some(operation) = share.tick(at.steady) {
                 let number = number();
                 self.asked.insert(number, (limit.clone(), at.steady));
-                self.asks.push(Ask {
+                self.asks.push(LedgerRequest {
                     number,
                     key: limit.key(),
-                    act,
+                    operation,
                 });
             }
         }
--- a/crates/access/src/shares/share.rs
+++ b/crates/access/src/shares/share.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use hallmux_lease::Terms;
-use hallmux_ledger::{Act, Outcome, Owner};
+use hallmux_ledger::{Operation, Outcome, Owner};
 
 use super::demand::Demand;
 use super::table::{Limit, Row, Table};
@@ -247,15 +247,15 @@
     }
 
     /// What is to be asked of the ledger now, if anything.
-    pub fn tick(&mut self, now: Micros) -> Option<Act> {
+    pub fn tick(&mut self, now: Micros) -> Option<Operation> {
         self.cool(now);
         self.serve(now);
         if self.asking || now < self.retry_at || !self.is_needed(now) {
             return None;
         }
-        let act = self.next_act(now)?;
+        let operation = self.next_act(now)?;
         self.asking = true;
-        Some(act)
+        Some(operation)
     }
 
     /// Those that wait, in order.
@@ -273,9 +273,9 @@
         }
     }
 
-    fn next_act(&mut self, now: Micros) -> Option<Act> {
+    fn next_act(&mut self, now: Micros) -> Option<Operation> {
         if self.table.is_none() {
-            return Some(Act::Read);
+            return Some(Operation::Read);
         }
         // The same again: of two that stand for the same version only one does.
         let looks =
@@ -287,13 +287,13 @@
             }
         }
         if let Some(Pending { expects, next }) = &self.pending {
-            return Some(Act::Put {
+            return Some(Operation::Put {
                 expects: Some(*expects),
                 ends_ms: 0,
                 value: next.bytes(),
             });
         }
-        (now >= self.next_read).then_some(Act::Read)
+        (now >= self.next_read).then_some(Operation::Read)
     }
 
     /// The table as it is to be, where that is not as it is.
--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 
 use hallmux_lease::Terms;
-use hallmux_ledger::{Act, Ask, Entry, Key, Outcome};
+use hallmux_ledger::{Entry, Key, LedgerRequest, Operation, Outcome};
 
 use crate::event::Event;
 use crate::head::{head_key, joined, part_keys, Head, StoredVersion};
@@ -80,7 +80,7 @@
     ticked: Micros,
     reported_unreadable: Option<&'static str>,
     /// Requests to the ledger that have yet to be sent.
-    pub asks: Vec<Ask>,
+    pub asks: Vec<LedgerRequest>,
     /// Events for the log since the caller took them last.
     pub events: Vec<Event>,
 }
@@ -175,10 +175,14 @@
         self.asked.values().any(|(asked, _)| what(asked))
     }
 
-    fn ask(&mut self, at: Moment, asked: Pending, key: Key, act: Act) {
+    fn ask(&mut self, at: Moment, asked: Pending, key: Key, operation: Operation) {
         let number = self.number();
         self.asked.insert(number, (asked, at.steady));
-        self.asks.push(Ask { number, key, act });
+        self.asks.push(LedgerRequest {
+            number,
+            key,
+            operation,
+        });
     }
 
     /// Queues the requests that are due, and says whether this front may judge.
@@ -196,7 +200,7 @@
         }
         if at.steady >= self.next_head_read && !self.is_pending(|a| matches!(a, Pending::Head)) {
             self.next_head_read = at.steady + self.terms.acts_for() / 3;
-            self.ask(at, Pending::Head, head_key(), Act::Read);
+            self.ask(at, Pending::Head, head_key(), Operation::Read);
         }
         if at.steady < self.retry_at {
             return;
@@ -339,7 +343,7 @@
             parts: vec![None; keys.len()],
         });
         for (number, key) in keys.into_iter().enumerate() {
-            self.ask(at, Pending::Part { of: now, number }, key, Act::Read);
+            self.ask(at, Pending::Part { of: now, number }, key, Operation::Read);
         }
     }
 
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -1,6 +1,6 @@
 //! How this front changes the fleet's version: its file's parts, then the head; and how it says that one is in force.
 
-use hallmux_ledger::{Act, Entry, Key};
+use hallmux_ledger::{Entry, Key, Operation};
 
 use super::{Event, Offer, Pending, Versions};
 use crate::error::Refused;
@@ -127,7 +127,7 @@
                     at,
                     Pending::PutPart,
                     key,
-                    Act::Put {
+                    Operation::Put {
                         expects: None,
                         ends_ms: 0,
                         value,
@@ -142,12 +142,17 @@
             None => (None, 0),
         };
         let (next, gone) = Head::after(head, wanted, in_force);
-        let act = Act::Put {
+        let operation = Operation::Put {
             expects: Some(version),
             ends_ms: 0,
             value: next.bytes(),
         };
-        self.ask(at, Pending::Swap { to: wanted, gone }, head_key(), act);
+        self.ask(
+            at,
+            Pending::Swap { to: wanted, gone },
+            head_key(),
+            operation,
+        );
         self.offer
             .iter_mut()
             .for_each(|offer| (offer.swapping, offer.wanted) = (true, Some(wanted)));
@@ -180,12 +185,12 @@
             .is_some_and(|(head, _)| head.current == to);
         // Parts that nothing names any more end after a while.
         for key in gone.into_iter().flat_map(part_keys) {
-            let act = Act::Put {
+            let operation = Operation::Put {
                 expects: None,
                 ends_ms: at.wall_ms + LINGERS_MS,
                 value: Vec::new(),
             };
-            self.ask(at, Pending::ExpirePart, key, act);
+            self.ask(at, Pending::ExpirePart, key, operation);
         }
     }
 
@@ -198,11 +203,11 @@
             in_force: true,
             ..head.clone()
         };
-        let act = Act::Put {
+        let operation = Operation::Put {
             expects: Some(*version),
             ends_ms: 0,
             value: settled.bytes(),
         };
-        self.ask(at, Pending::ConfirmInForce, head_key(), act);
+        self.ask(at, Pending::ConfirmInForce, head_key(), operation);
     }
 }
--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use hallmux_access::{
-    read, Access, AccessConfig, Act, ChangedDecision, Decision, Done, Entry, Event, FleetHits, Key,
-    KnownNames, Moment, Outcome, Owner, Permission, Request, RulesCommand, Terms,
-    WorkloadLocations,
+    read, Access, AccessConfig, ChangedDecision, Decision, Entry, Event, FleetHits, Key,
+    KnownNames, LedgerAnswer, Moment, Operation, Outcome, Owner, Permission, Request, RulesCommand,
+    Terms, WorkloadLocations,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -105,10 +105,10 @@
                     break;
                 }
                 for ask in out.ledger_requests {
-                    let outcome = self.act(&ask.key, ask.act);
+                    let outcome = self.operation(&ask.key, ask.operation);
                     self.access.on_ledger_answer(
                         self.at(),
-                        Done {
+                        LedgerAnswer {
                             number: ask.number,
                             outcome,
                         },
@@ -118,13 +118,13 @@
         }
     }
 
-    fn act(&mut self, key: &Key, act: Act) -> Outcome {
+    fn operation(&mut self, key: &Key, operation: Operation) -> Outcome {
         let current = self.ledger.get(key).cloned();
-        let Act::Put {
+        let Operation::Put {
             expects,
             ends_ms,
             value,
-        } = act
+        } = operation
         else {
             return current.map_or(Outcome::Absent, Outcome::Stands);
         };
--- a/crates/access/tests/fleet/sim.rs
+++ b/crates/access/tests/fleet/sim.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hallmux_access::{
-    read, Access, AccessConfig, Act, Ask, Decision, Done, Entry, Event, FleetHits, Head, Hit, Key,
-    KnownNames, Moment, Outcome, Owner, Request, RuleSet, RulesCommand, StoredVersion, Terms,
-    WorkloadLocations,
+    read, Access, AccessConfig, Decision, Entry, Event, FleetHits, Head, Hit, Key, KnownNames,
+    LedgerAnswer, LedgerRequest, Moment, Operation, Outcome, Owner, Request, RuleSet, RulesCommand,
+    StoredVersion, Terms, WorkloadLocations,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -52,8 +52,8 @@
     ledger: BTreeMap<Key, Entry>,
     last: u64,
     /// Asks on their way there, and answers on their way back.
-    asks: Vec<(i64, usize, u64, Ask, bool)>,
-    answers: Vec<(i64, usize, u64, Done)>,
+    asks: Vec<(i64, usize, u64, LedgerRequest, bool)>,
+    answers: Vec<(i64, usize, u64, LedgerAnswer)>,
     texts: BTreeMap<[u8; 32], String>,
     next_version: u64,
     sent: Vec<Sent>,
@@ -185,7 +185,7 @@
             .into_iter()
             .partition(|(at, ..)| *at <= self.now);
         self.asks = later;
-        let due: Vec<(i64, usize, u64, Ask, bool)> = due;
+        let due: Vec<(i64, usize, u64, LedgerRequest, bool)> = due;
         for (_, front, life, ask, answered) in due {
             let owner = Owner {
                 front: front as u64 + 1,
@@ -198,7 +198,7 @@
                     back,
                     front,
                     life,
-                    Done {
+                    LedgerAnswer {
                         number: ask.number,
                         outcome,
                     },
@@ -209,7 +209,7 @@
             .into_iter()
             .partition(|(at, ..)| *at <= self.now);
         self.answers = later;
-        let due: Vec<(i64, usize, u64, Done)> = due;
+        let due: Vec<(i64, usize, u64, LedgerAnswer)> = due;
         for (at, front, life, done) in due {
             if self.fronts[front].stalled > self.now {
                 self.answers.push((at, front, life, done)); // it lies in its socket until it wakes
@@ -220,13 +220,13 @@
         }
     }
 
-    fn ledger_act(&mut self, owner: Owner, ask: &Ask) -> Outcome {
+    fn ledger_act(&mut self, owner: Owner, ask: &LedgerRequest) -> Outcome {
         let current = self.ledger.get(&ask.key).cloned();
-        let Act::Put {
+        let Operation::Put {
             expects,
             ends_ms,
             value,
-        } = &ask.act
+        } = &ask.operation
         else {
             return current.map_or(Outcome::Absent, Outcome::Stands);
         };
@@ -270,7 +270,7 @@
             let arrives = !cut || self.rng.random_bool(0.3);
             let life = self.fronts[front].life;
             if cut {
-                let done = Done {
+                let done = LedgerAnswer {
                     number: ask.number,
                     outcome: Outcome::Unreachable,
                 };
--- a/crates/access/tests/shares/sim.rs
+++ b/crates/access/tests/shares/sim.rs
@@ -3,7 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_access::{Act, Ask, Entry, Key, Limit, Moment, Outcome, Owner, Shares, Terms};
+use hallmux_access::{
+    Entry, Key, LedgerRequest, Limit, Moment, Operation, Outcome, Owner, Shares, Terms,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -50,7 +52,7 @@
     pub faults: bool,
     ledger: BTreeMap<Key, Entry>,
     last: u64,
-    asks: Vec<(i64, usize, u64, Ask, bool)>,
+    asks: Vec<(i64, usize, u64, LedgerRequest, bool)>,
     answers: Vec<(i64, usize, u64, u64, Outcome)>,
     pub began: Vec<i64>,
     pub tallies: Tallies,
@@ -192,7 +194,7 @@
             .into_iter()
             .partition(|(at, ..)| *at <= self.now);
         self.asks = later;
-        let due: Vec<(i64, usize, u64, Ask, bool)> = due;
+        let due: Vec<(i64, usize, u64, LedgerRequest, bool)> = due;
         for (_, front, life, ask, answered) in due {
             let outcome = self.ledger_act(front, life, &ask);
             if answered {
@@ -220,13 +222,13 @@
         }
     }
 
-    fn ledger_act(&mut self, front: usize, life: u64, ask: &Ask) -> Outcome {
+    fn ledger_act(&mut self, front: usize, life: u64, ask: &LedgerRequest) -> Outcome {
         let current = self.ledger.get(&ask.key).cloned();
-        let Act::Put {
+        let Operation::Put {
             expects,
             ends_ms,
             value,
-        } = &ask.act
+        } = &ask.operation
         else {
             return current.map_or(Outcome::Absent, Outcome::Stands);
         };
--- a/crates/fleet/src/exchange/ledger.rs
+++ b/crates/fleet/src/exchange/ledger.rs
@@ -35,12 +35,12 @@
     }
 
     /// Asks the ledger; the answer comes with [`Exchange::ledger_answers`], maybe at once.
-    pub fn ask_ledger(&mut self, at: ClockReading, ask: ledger::Ask) -> Output {
+    pub fn ask_ledger(&mut self, at: ClockReading, ask: ledger::LedgerRequest) -> Output {
         self.with_ledger(at, |ledger| ledger.ask(at, ask))
     }
 
     /// Takes the ledger's answers since the last call.
-    pub fn ledger_answers(&mut self) -> Vec<ledger::Done> {
+    pub fn ledger_answers(&mut self) -> Vec<ledger::LedgerAnswer> {
         self.ledger
             .as_mut()
             .map(LedgerNode::answers)
--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -15,7 +15,7 @@
 use hallmux_dispatcher::{
     Micros, Place, PromiseEvent, Site, StatementArrived, StatementOver, Terms, Ticket,
 };
-use hallmux_ledger::{self as ledger, Done, Key, Kind};
+use hallmux_ledger::{self as ledger, Key, Kind, LedgerAnswer};
 
 pub use guard::{Guard, LedgerClient, OrderedExecution};
 use key_state::{KeyState, ShardState};
@@ -80,7 +80,7 @@
     last_number: u64,
     /// When the first of the keys is due; computed anew only then.
     due: Micros,
-    asks: Vec<ledger::Ask>,
+    asks: Vec<ledger::LedgerRequest>,
     rulings: Vec<Ruling>,
     /// Statements that were rejected or aborted, by reason.
     pub refused: BTreeMap<&'static str, u64>,
@@ -205,7 +205,7 @@
     }
 
     /// The ledger has answered a request, or notifies that a key is available.
-    pub fn answered(&mut self, now: Micros, done: Done) {
+    pub fn answered(&mut self, now: Micros, done: LedgerAnswer) {
         let Some(key) = self.requested.remove(&done.number) else {
             return self.key_available(now, done.number);
         };
@@ -286,7 +286,7 @@
     }
 
     /// Takes the requests that are to be passed to the ledger.
-    pub fn asks(&mut self) -> Vec<ledger::Ask> {
+    pub fn asks(&mut self) -> Vec<ledger::LedgerRequest> {
         std::mem::take(&mut self.asks)
     }
 
--- a/crates/fleet/src/gate/claims.rs
+++ b/crates/fleet/src/gate/claims.rs
@@ -107,13 +107,13 @@
             started_ms: self.started_ms,
             number,
         };
-        if let Some(act) = state.next_request(now, mark) {
+        if let Some(operation) = state.next_request(now, mark) {
             self.last_number = number;
             self.requested.insert(number, key.clone());
-            self.asks.push(ledger::Ask {
+            self.asks.push(ledger::LedgerRequest {
                 number,
                 key: key.clone(),
-                act,
+                operation,
             });
         }
         self.due = self.due.min(state.due());
--- a/crates/fleet/src/gate/guard.rs
+++ b/crates/fleet/src/gate/guard.rs
@@ -5,7 +5,7 @@
 
 use hallmux_config::Settings;
 use hallmux_dispatcher::{Dispatcher, Micros, Place, Terms, Ticket};
-use hallmux_ledger::{Ask, Done};
+use hallmux_ledger::{LedgerAnswer, LedgerRequest};
 
 use super::{Gate, PendingExecution, Ruling, NUMBERS};
 
@@ -15,9 +15,9 @@
 /// The front's connection to its ledger.
 pub trait LedgerClient {
     /// Passes an ask to the ledger; `now` is the dispatcher's clock.
-    fn ask(&mut self, now: Micros, ask: Ask);
+    fn ask(&mut self, now: Micros, ask: LedgerRequest);
     /// Takes the answers to asks whose numbers have the same highest byte as `part`.
-    fn answers(&mut self, part: u64) -> Vec<Done>;
+    fn answers(&mut self, part: u64) -> Vec<LedgerAnswer>;
 }
 
 /// An execution as the dispatcher has ordered it.
--- a/crates/fleet/src/gate/key_state/requests.rs
+++ b/crates/fleet/src/gate/key_state/requests.rs
@@ -1,7 +1,7 @@
 //! What is requested of the ledger for a key, and when.
 
 use hallmux_dispatcher::Micros;
-use hallmux_ledger::{Act, Kind};
+use hallmux_ledger::{Kind, Operation};
 
 use super::super::requirements::{EntryMark, EntryValue, Group};
 use super::{ms, Claim, KeyState, Purpose, TRANSACTION_CLAIM_MS};
@@ -46,7 +46,7 @@
     }
 
     /// What is to be requested of the ledger now, if anything; `mark` names the request.
-    pub fn next_request(&mut self, now: Micros, mark: EntryMark) -> Option<Act> {
+    pub fn next_request(&mut self, now: Micros, mark: EntryMark) -> Option<Operation> {
         if self.requested.is_some() {
             return None;
         }
@@ -73,7 +73,7 @@
             .map(|(_, claim)| *claim)
     }
 
-    fn request_claim(&mut self, now: Micros, claim: Claim, mark: EntryMark) -> Act {
+    fn request_claim(&mut self, now: Micros, claim: Claim, mark: EntryMark) -> Operation {
         let until_ms = claim
             .until_ms
             .max(self.held_until_ms)
@@ -88,11 +88,11 @@
         self.claim_number = mark.number;
         self.may_be_held_until_ms = self.may_be_held_until_ms.max(until_ms);
         let runs_until_ms = claim.runs_until_ms.max(self.runs_until_ms);
-        self.act(until_ms, claim.group, runs_until_ms)
+        self.operation(until_ms, claim.group, runs_until_ms)
     }
 
     /// Renews the key that a transaction holds, from half of its time on.
-    fn renew_for_transaction(&mut self, now: Micros) -> Option<Act> {
+    fn renew_for_transaction(&mut self, now: Micros) -> Option<Operation> {
         let renews = self.held_until_ms < ms(now) + TRANSACTION_CLAIM_MS / 2;
         if !renews || self.retry_at > now {
             return None;
@@ -100,7 +100,7 @@
         let until_ms = ms(now) + TRANSACTION_CLAIM_MS;
         self.requested = Some(Purpose::Claim { group: self.group });
         self.may_be_held_until_ms = self.may_be_held_until_ms.max(until_ms);
-        Some(Act::Claim {
+        Some(Operation::Claim {
             ends_ms: until_ms,
             value: Vec::new(),
         })
@@ -108,7 +108,7 @@
 
     /// Nothing needs the key here any more: it is freed, or reserved for as long as others must be kept from
     /// it.
-    fn request_end(&mut self, now: Micros) -> Option<Act> {
+    fn request_end(&mut self, now: Micros) -> Option<Operation> {
         if self.may_be_held_until_ms <= ms(now) || self.retry_free_at > now {
             return None;
         }
@@ -121,12 +121,12 @@
         if self.unconfirmed {
             // Freeing it blindly could free what an earlier statement left there for others.
             self.requested = Some(Purpose::Read);
-            return Some(Act::Read);
+            return Some(Operation::Read);
         }
         self.held_until_ms = 0; // nothing may leave under it any more, even before the ledger answers
         if !reserved {
             self.requested = Some(Purpose::Free);
-            return Some(Act::Free);
+            return Some(Operation::Free);
         }
         self.requested = Some(Purpose::Reserve);
         let runs_until_ms = if self.may_still_run {
@@ -134,13 +134,13 @@
         } else {
             ms(now)
         };
-        Some(self.act(ms(self.reserved_until), self.group, runs_until_ms))
+        Some(self.operation(ms(self.reserved_until), self.group, runs_until_ms))
     }
 
     /// The request that holds the key until `ends_ms`, by its kind.
-    fn act(&self, ends_ms: u64, group: Group, runs_until_ms: u64) -> Act {
+    fn operation(&self, ends_ms: u64, group: Group, runs_until_ms: u64) -> Operation {
         if self.kind == Kind::Order {
-            return Act::Claim {
+            return Operation::Claim {
                 ends_ms,
                 value: Vec::new(),
             };
@@ -153,7 +153,7 @@
         };
         // An entry that exists already is not replaced, even if it is this front's: a repeat is one whoever
         // sends it.
-        Act::Put {
+        Operation::Put {
             expects: Some(self.version),
             ends_ms,
             value: value.bytes(),
--- a/crates/fleet/src/gate/tests.rs
+++ b/crates/fleet/src/gate/tests.rs
@@ -1,6 +1,6 @@
 //! Gates of several fronts beside a ledger that keeps to its word, in orders of events that are drawn.
 
-use hallmux_ledger::{Act, Entry, Outcome, Owner};
+use hallmux_ledger::{Entry, Operation, Outcome, Owner};
 
 use super::*;
 
@@ -73,14 +73,14 @@
 }
 
 impl Book {
-    fn apply(&mut self, now: Micros, owner: Owner, ask: &ledger::Ask) -> Outcome {
+    fn apply(&mut self, now: Micros, owner: Owner, ask: &ledger::LedgerRequest) -> Outcome {
         let now_ms = (now / MS) as u64;
         self.entries.retain(|_, e| e.ends_ms + APART_MS > now_ms);
         let there = self.entries.get(&ask.key).cloned();
         let free = there.as_ref().is_none_or(|e| e.owner == owner);
-        let (may, ends_ms, value) = match &ask.act {
-            Act::Claim { ends_ms, value } => (free, *ends_ms, value),
-            Act::Put {
+        let (may, ends_ms, value) = match &ask.operation {
+            Operation::Claim { ends_ms, value } => (free, *ends_ms, value),
+            Operation::Put {
                 expects,
                 ends_ms,
                 value,
@@ -95,12 +95,12 @@
                     value,
                 )
             }
-            Act::Free if free => {
+            Operation::Free if free => {
                 self.entries.remove(&ask.key);
                 return Outcome::Absent;
             }
-            Act::Free => return there.map_or(Outcome::Absent, Outcome::Held),
-            Act::Read => return there.map_or(Outcome::Absent, Outcome::Stands),
+            Operation::Free => return there.map_or(Outcome::Absent, Outcome::Held),
+            Operation::Read => return there.map_or(Outcome::Absent, Outcome::Stands),
         };
         match there {
             Some(entry) if !may => Outcome::Held(entry),
@@ -142,7 +142,7 @@
             );
             gate.answered(
                 now,
-                Done {
+                LedgerAnswer {
                     number: ask.number,
                     outcome,
                 },
@@ -219,7 +219,7 @@
         );
         gate.answered(
             0,
-            Done {
+            LedgerAnswer {
                 number: ask.number,
                 outcome: Outcome::Unreachable,
             },
@@ -259,7 +259,7 @@
                 };
                 gate.answered(
                     at,
-                    Done {
+                    LedgerAnswer {
                         number: ask.number,
                         outcome,
                     },
@@ -283,7 +283,7 @@
         for ask in gate.asks() {
             gate.answered(
                 now,
-                Done {
+                LedgerAnswer {
                     number: ask.number,
                     outcome: Outcome::Unreachable,
                 },
@@ -410,7 +410,7 @@
         .asks()
         .into_iter()
         .partition(|ask| ask.key.kind == Kind::Order);
-    let mut answer = |gate: &mut Gate, ask: &ledger::Ask| {
+    let mut answer = |gate: &mut Gate, ask: &ledger::LedgerRequest| {
         let outcome = book.apply(
             2 * MS,
             Owner {
@@ -421,7 +421,7 @@
         );
         gate.answered(
             2 * MS,
-            Done {
+            LedgerAnswer {
                 number: ask.number,
                 outcome,
             },
--- a/crates/fleet/src/gate/tests/drawn.rs
+++ b/crates/fleet/src/gate/tests/drawn.rs
@@ -86,8 +86,8 @@
     /// Of each front: what is held by the module for the turn of its key, and what has been ordered.
     lines: Vec<VecDeque<(Ticket, Of, usize)>>,
     open: BTreeMap<(usize, Ticket), (Of, Micros)>,
-    asks: Vec<(usize, u64, ledger::Ask)>,
-    answers: Vec<(usize, u64, Done)>,
+    asks: Vec<(usize, u64, ledger::LedgerRequest)>,
+    answers: Vec<(usize, u64, LedgerAnswer)>,
     running: Vec<Run>,
     /// Non-idempotent statements that may have run; sends of dedup keys: when, where.
     ran: Vec<(&'static str, Micros)>,
@@ -144,7 +144,7 @@
                 self.answers.push((
                     front,
                     life,
-                    Done {
+                    LedgerAnswer {
                         number: ask.number,
                         outcome,
                     },
--- a/crates/fleet/src/gate/tests/window.rs
+++ b/crates/fleet/src/gate/tests/window.rs
@@ -78,7 +78,7 @@
     );
     between.answered(
         5_000 * MS,
-        Done {
+        LedgerAnswer {
             number: asks[0].number,
             outcome,
         },
@@ -96,7 +96,7 @@
     between.end(5_001 * MS, over(1, false, false));
     between.answered(
         5_002 * MS,
-        Done {
+        LedgerAnswer {
             number: takes[0].number,
             outcome: Outcome::Unreachable,
         },
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -9,7 +9,9 @@
 use hallmux_gossip::message::Health;
 use hallmux_gossip::node::{Datagram, Node};
 use hallmux_gossip::PeerId;
-use hallmux_ledger::{Ask, Done, Error, Ledger, Member, OutgoingPacket, Saved, Setup};
+use hallmux_ledger::{
+    Error, Ledger, LedgerAnswer, LedgerRequest, Member, OutgoingPacket, Saved, Setup,
+};
 
 use crate::{ClockReading, Output};
 
@@ -31,7 +33,7 @@
     ledger: Ledger,
     /// Where the fronts that hold replicas listen, as the operator has configured.
     addresses: BTreeMap<PeerId, SocketAddr>,
-    answers: Vec<Done>,
+    answers: Vec<LedgerAnswer>,
     next_health: Micros,
 }
 
@@ -51,12 +53,12 @@
         })
     }
 
-    pub fn ask(&mut self, at: ClockReading, ask: Ask) {
+    pub fn ask(&mut self, at: ClockReading, ask: LedgerRequest) {
         self.ledger.ask(clock(at), ask);
     }
 
     /// Takes the answers since the last call.
-    pub fn answers(&mut self) -> Vec<Done> {
+    pub fn answers(&mut self) -> Vec<LedgerAnswer> {
         std::mem::take(&mut self.answers)
     }
 
--- a/crates/front/src/fleet/gate.rs
+++ b/crates/front/src/fleet/gate.rs
@@ -6,7 +6,7 @@
 use hallmux_config::Settings;
 use hallmux_dispatcher::{Dispatcher, Micros, Ticket};
 use hallmux_fleet::gate::{self, LedgerClient, OrderedExecution, Ruling};
-use hallmux_ledger::{Ask, Done};
+use hallmux_ledger::{LedgerAnswer, LedgerRequest};
 
 use super::rules::Ordered;
 use super::Peers;
@@ -15,11 +15,11 @@
 const LOG_INTERVAL: Micros = 10_000_000; // microseconds between lines of the log on what was turned away
 
 impl LedgerClient for Peers {
-    fn ask(&mut self, now: Micros, ask: Ask) {
+    fn ask(&mut self, now: Micros, ask: LedgerRequest) {
         Peers::ask(self, now, ask);
     }
 
-    fn answers(&mut self, part: u64) -> Vec<Done> {
+    fn answers(&mut self, part: u64) -> Vec<LedgerAnswer> {
         Peers::ledger_answers(self, part)
     }
 }
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -20,7 +20,7 @@
 use hallmux_gossip::node::{Datagram, NodeConfig};
 use hallmux_gossip::seal::{peer_id, Keys, Refused};
 use hallmux_gossip::PeerId;
-use hallmux_ledger::{Ask, Differences, Done};
+use hallmux_ledger::{Differences, LedgerAnswer, LedgerRequest};
 
 use super::copies::{random_disk_id, Copies, Write};
 use super::errors::PeersError;
@@ -56,7 +56,7 @@
     differences: Differences,
     messages: BTreeMap<Channel, Vec<(PeerId, Vec<u8>)>>,
     /// Answers of the ledger that their part of this front has not taken yet.
-    done: Vec<Done>,
+    done: Vec<LedgerAnswer>,
     /// A ledger is kept.
     has_ledger: bool,
 }
@@ -304,13 +304,13 @@
     }
 
     /// Asks the ledger; the answer comes with `promised`.
-    pub fn ask(&mut self, now: Micros, ask: Ask) {
+    pub fn ask(&mut self, now: Micros, ask: LedgerRequest) {
         let out = self.exchange.ask_ledger(self.moment(now), ask);
         self.send(now, out);
     }
 
     /// What the ledger has answered to the part of this front whose asks have that highest byte.
-    pub fn ledger_answers(&mut self, part: u64) -> Vec<Done> {
+    pub fn ledger_answers(&mut self, part: u64) -> Vec<LedgerAnswer> {
         self.done.extend(self.exchange.ledger_answers());
         let (told, others) = std::mem::take(&mut self.done)
             .into_iter()
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -439,7 +439,7 @@
         rulings
     }
 
-    fn done(&mut self, now: Micros, done: ledger::Done) -> bool {
+    fn done(&mut self, now: Micros, done: ledger::LedgerAnswer) -> bool {
         self.access.on_ledger_answer(self.moment(now), done)
     }
 
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 
 use hallmux_dispatcher::{Dispatcher, Micros, Terms};
-use hallmux_ledger::{Act, Ask, Done, Key, Kind, Outcome};
+use hallmux_ledger::{Key, Kind, LedgerAnswer, LedgerRequest, Operation, Outcome};
 use hallmux_native_codec::statement::Call;
 use hallmux_native_codec::tables;
-use hallmux_scatter::marker::{self, Effect, LedgerReply, Marker, Operation};
+use hallmux_scatter::marker::{self, Effect, LedgerReply, Marker};
 use hallmux_scatter::marks::{key, numbered, Affected};
 use hallmux_scatter::sql;
 use hallmux_scatter::store::SummaryStore;
@@ -180,7 +180,11 @@
     }
 
     /// What is to be asked of the ledger now.
-    pub fn asks(&mut self, now: Micros, book: &SummaryStore) -> (Vec<Ask>, Vec<LoadOutcome>) {
+    pub fn asks(
+        &mut self,
+        now: Micros,
+        book: &SummaryStore,
+    ) -> (Vec<LedgerRequest>, Vec<LoadOutcome>) {
         let wall_ms = (now / 1000) as u64;
         let (asks, follows) = self.marker.requests(wall_ms, |site, group| {
             book.reported_loads(wall_ms, site, group)
@@ -191,7 +195,7 @@
     }
 
     /// What follows from an answer of the ledger.
-    pub fn done(&mut self, done: Done) -> Vec<LoadOutcome> {
+    pub fn done(&mut self, done: LedgerAnswer) -> Vec<LoadOutcome> {
         let said = match done.outcome {
             Outcome::Stands(entry) => LedgerReply::Stands {
                 version: entry.version,
@@ -246,22 +250,22 @@
     }
 }
 
-fn ask(ask: marker::LedgerRequest) -> Ask {
-    let act = match ask.what {
-        Operation::Read => Act::Read,
+fn ask(ask: marker::LedgerRequest) -> LedgerRequest {
+    let operation = match ask.what {
+        marker::Operation::Read => Operation::Read,
         // It never ends: what it says of versions holds for good.
-        Operation::Put { expects, value } => Act::Put {
+        marker::Operation::Put { expects, value } => Operation::Put {
             expects: Some(expects),
             ends_ms: 0,
             value,
         },
     };
-    Ask {
+    LedgerRequest {
         number: ask.number,
         key: Key {
             kind: Kind::Mark,
             name: key(ask.group),
         },
-        act,
+        operation,
     }
 }
--- a/crates/lab/src/simulated/ledger.rs
+++ b/crates/lab/src/simulated/ledger.rs
@@ -7,7 +7,7 @@
 use hallmux_fleet::{ClockReading, Exchange, Output};
 use hallmux_gossip::seal::{peer_id, Identity};
 use hallmux_gossip::PeerId;
-use hallmux_ledger::{Ask, Done, Member, Setup};
+use hallmux_ledger::{LedgerAnswer, LedgerRequest, Member, Setup};
 
 use super::simulation::{address, secret, Simulation};
 use crate::check::Outcome;
@@ -19,16 +19,16 @@
 struct GateLedgerClient<'a> {
     exchange: &'a mut Exchange,
     at: ClockReading,
-    done: &'a mut Vec<Done>,
+    done: &'a mut Vec<LedgerAnswer>,
     outs: Vec<Output>,
 }
 
 impl LedgerClient for GateLedgerClient<'_> {
-    fn ask(&mut self, _: i64, ask: Ask) {
+    fn ask(&mut self, _: i64, ask: LedgerRequest) {
         self.outs.push(self.exchange.ask_ledger(self.at, ask));
     }
 
-    fn answers(&mut self, part: u64) -> Vec<Done> {
+    fn answers(&mut self, part: u64) -> Vec<LedgerAnswer> {
         self.done.extend(self.exchange.ledger_answers());
         let (told, others) = self
             .done
--- a/crates/lab/src/simulated/simulation.rs
+++ b/crates/lab/src/simulated/simulation.rs
@@ -11,7 +11,7 @@
 use hallmux_fleet::gate::Guard;
 use hallmux_fleet::{ClockReading, Exchange};
 use hallmux_gossip::seal::Keys;
-use hallmux_ledger::Done;
+use hallmux_ledger::LedgerAnswer;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
@@ -97,7 +97,7 @@
     pub(super) exchange: Option<Exchange>,
     pub(super) guard: Option<Guard>,
     /// Answers of the ledger that have yet to be taken.
-    pub(super) done: Vec<Done>,
+    pub(super) done: Vec<LedgerAnswer>,
     pub(super) probes: HashMap<u64, Place>,
     pub(super) connections: Connections,
 }
--- a/crates/ledger/src/batch.rs
+++ b/crates/ledger/src/batch.rs
@@ -4,7 +4,7 @@
 
 use crate::members::ReplicaId;
 use crate::tail::Tail;
-use crate::{Act, Key, Owner};
+use crate::{Key, Operation, Owner};
 
 const COMMAND_OVERHEAD: usize = 48; // bytes that an ask counts beside its name and value
 
@@ -24,7 +24,7 @@
     /// When it was first asked, on the asker's Unix clock.
     pub asked_ms: u64,
     pub key: Key,
-    pub act: Act,
+    pub operation: Operation,
 }
 
 /// One entry of the log: all that was asked while the entry before was being decided.
@@ -47,9 +47,9 @@
 
     /// Bytes that the ask counts where asks are bounded.
     pub fn size(&self) -> usize {
-        let value = match &self.act {
-            Act::Claim { value, .. } | Act::Put { value, .. } => value.len(),
-            Act::Free | Act::Read => 0,
+        let value = match &self.operation {
+            Operation::Claim { value, .. } | Operation::Put { value, .. } => value.len(),
+            Operation::Free | Operation::Read => 0,
         };
         self.key.name.len() + value + COMMAND_OVERHEAD
     }
--- a/crates/ledger/src/durability.rs
+++ b/crates/ledger/src/durability.rs
@@ -4,7 +4,7 @@
 use crate::ledger::{Ledger, UnsavedAnswers};
 use crate::records;
 use crate::replica::Replica;
-use crate::{Done, Moment, Outcome, OutgoingPacket, Record, Save};
+use crate::{LedgerAnswer, Moment, Outcome, OutgoingPacket, Record, Save};
 
 impl Ledger {
     /// Takes in what has happened, and gathers what is to go out.
@@ -43,7 +43,12 @@
         }
     }
 
-    fn save(&mut self, records: Vec<Record>, packets: Vec<OutgoingPacket>, done: Vec<Done>) {
+    fn save(
+        &mut self,
+        records: Vec<Record>,
+        packets: Vec<OutgoingPacket>,
+        done: Vec<LedgerAnswer>,
+    ) {
         let number = self.next_save;
         self.next_save += 1;
         self.unsaved.push_back(UnsavedAnswers {
@@ -84,7 +89,7 @@
         self.records.clear();
         // What rests on a save that failed may stand or not.
         for unsaved in std::mem::take(&mut self.unsaved) {
-            let unreachable = unsaved.answers.into_iter().map(|answer| Done {
+            let unreachable = unsaved.answers.into_iter().map(|answer| LedgerAnswer {
                 outcome: Outcome::Unreachable,
                 ..answer
             });
--- a/crates/ledger/src/entry.rs
+++ b/crates/ledger/src/entry.rs
@@ -62,7 +62,7 @@
 
 /// What an ask does with a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Act {
+pub enum Operation {
     /// Makes the entry if the key is free, its entry has ended or is the asker's own; else [`Outcome::Held`].
     Claim {
         /// Unix milliseconds at which the entry ends.
@@ -87,14 +87,14 @@
 
 /// An ask of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct LedgerRequest {
     /// Chosen by the caller, unique in its incarnation and growing: an ask made twice counts once, and a claim or a free
     /// that comes late undoes none with a higher number.
     pub number: u64,
     /// The key that it is about.
     pub key: Key,
     /// What it does.
-    pub act: Act,
+    pub operation: Operation,
 }
 
 /// The answer to an ask.
@@ -114,7 +114,7 @@
 
 /// An answered ask.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Done {
+pub struct LedgerAnswer {
     /// Of the ask.
     pub number: u64,
     /// The answer.
--- a/crates/ledger/src/formats_tests.rs
+++ b/crates/ledger/src/formats_tests.rs
@@ -7,14 +7,14 @@
 use crate::records;
 use crate::state::{Limits, State};
 use crate::tail::Tail;
-use crate::{Act, Entry, Key, Kind, Outcome, Owner};
+use crate::{Entry, Key, Kind, Operation, Outcome, Owner};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 fn batch() -> Batch {
-    let command = |number, act| Command {
+    let command = |number, operation| Command {
         owner: Owner {
             front: 300,
             incarnation: 1_800_000_000_000,
@@ -25,26 +25,26 @@
             kind: Kind::Dedup,
             name: "k".to_string(),
         },
-        act,
+        operation,
     };
     let commands = vec![
         command(
             1,
-            Act::Claim {
+            Operation::Claim {
                 ends_ms: 7,
                 value: vec![1, 2],
             },
         ),
         command(
             2,
-            Act::Put {
+            Operation::Put {
                 expects: Some(1),
                 ends_ms: 0,
                 value: vec![3],
             },
         ),
-        command(3, Act::Free),
-        command(4, Act::Read),
+        command(3, Operation::Free),
+        command(4, Operation::Read),
     ];
     Batch {
         wall_ms: 1_800_000_000_200,
--- a/crates/ledger/src/key_queues.rs
+++ b/crates/ledger/src/key_queues.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::batch::{Command, CommandId};
-use crate::{Act, Key, Kind, Micros, Outcome, Owner};
+use crate::{Key, Kind, Micros, Operation, Outcome, Owner};
 
 const WAITER_TIMEOUT: Micros = 1_000_000; // microseconds without an ask until a front leaves a queue: three tries
 const RESERVED_FOR: Micros = 100_000; // microseconds for which a free key is reserved for the first: some round trips
@@ -35,9 +35,9 @@
 fn claims(command: &Command) -> bool {
     let kind = matches!(command.key.kind, Kind::Order | Kind::Dedup);
     kind && matches!(
-        command.act,
-        Act::Claim { .. }
-            | Act::Put {
+        command.operation,
+        Operation::Claim { .. }
+            | Operation::Put {
                 expects: Some(0),
                 ..
             }
--- a/crates/ledger/src/key_queues_tests.rs
+++ b/crates/ledger/src/key_queues_tests.rs
@@ -14,7 +14,7 @@
         number,
         asked_ms: 1,
         key,
-        act: Act::Claim {
+        operation: Operation::Claim {
             ends_ms: 9,
             value: Vec::new(),
         },
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -17,7 +17,7 @@
 use crate::shard_view::ShardView;
 use crate::transport::Transport;
 use crate::{
-    Counters, Done, Error, FrontId, Micros, Moment, Outcome, Output, Record, Saved, Setup,
+    Counters, Error, FrontId, LedgerAnswer, Micros, Moment, Outcome, Output, Record, Saved, Setup,
 };
 
 pub(crate) const TICK: Micros = 50_000; // microseconds between turns of the logs' clocks
@@ -32,7 +32,7 @@
 pub(crate) struct UnsavedAnswers {
     /// Of the save.
     pub number: u64,
-    pub answers: Vec<Done>,
+    pub answers: Vec<LedgerAnswer>,
 }
 
 /// A front's part in the ledger: its own asks, and the replicas that it holds.
@@ -54,7 +54,7 @@
     pub(crate) next_save: u64,
     /// Answers that wait for a save, in order of its number.
     pub(crate) unsaved: VecDeque<UnsavedAnswers>,
-    pub(crate) done: Vec<Done>,
+    pub(crate) done: Vec<LedgerAnswer>,
     pub(crate) out: Output,
     pub(crate) tick_at: Micros,
     pub(crate) maintain_at: Micros,
@@ -155,7 +155,7 @@
     /// Does what is due.
     pub fn tick(&mut self, at: Moment) {
         let due = self.asks.due_now(at);
-        let unreachable = due.expired.into_iter().map(|number| Done {
+        let unreachable = due.expired.into_iter().map(|number| LedgerAnswer {
             number,
             outcome: Outcome::Unreachable,
         });
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -55,7 +55,7 @@
 mod transport;
 
 pub use counters::{Counters, Differences, ReplicaStatus};
-pub use entry::{Act, Ask, Done, Entry, Key, Kind, Outcome, Owner};
+pub use entry::{Entry, Key, Kind, LedgerAnswer, LedgerRequest, Operation, Outcome, Owner};
 pub use error::Error;
 pub use formats::{FORMAT, OLDEST_FORMAT, SAVED_FORMAT};
 pub use ledger::Ledger;
@@ -124,5 +124,5 @@
     pub saves: Vec<Save>,
     /// Answers to this front's own asks; each ask gets one. One for an order or dedup key that was `Held` may get
     /// `Absent` later: the key is free now, and this front is next.
-    pub done: Vec<Done>,
+    pub done: Vec<LedgerAnswer>,
 }
--- a/crates/ledger/src/requests.rs
+++ b/crates/ledger/src/requests.rs
@@ -7,15 +7,21 @@
 use crate::messages::LedgerMessage;
 use crate::rejection::Rejection;
 use crate::replica::Replica;
-use crate::{shard_of, Act, Ask, Done, FrontId, Key, Moment, Outcome, Owner};
+use crate::{
+    shard_of, FrontId, Key, LedgerAnswer, LedgerRequest, Moment, Operation, Outcome, Owner,
+};
 
 const LONGEST_NAME: usize = 1_024; // bytes of a key's name
 const LONGEST_VALUE: usize = 32 * 1_024; // bytes of a value
 
 impl Ledger {
     /// Asks for an act; one answer follows.
-    pub fn ask(&mut self, at: Moment, ask: Ask) {
-        let Ask { number, key, act } = ask;
+    pub fn ask(&mut self, at: Moment, ask: LedgerRequest) {
+        let LedgerRequest {
+            number,
+            key,
+            operation,
+        } = ask;
         if self.asks.is_waiting(number) {
             return;
         }
@@ -23,7 +29,7 @@
             // Only what needs no promise goes on here, until it starts over.
             return self.answer_at_once(number, Outcome::Unreachable);
         }
-        if is_too_long(&key, &act) {
+        if is_too_long(&key, &operation) {
             self.reject(Rejection::TooLong);
             return self.answer_at_once(number, Outcome::Full);
         }
@@ -36,7 +42,7 @@
             number,
             asked_ms: self.asks.first(number, at.wall_ms),
             key,
-            act,
+            operation,
         };
         let ends = at.steady + self.setup.ask_timeout;
         if !self.asks.wait(command, shard, ends) {
@@ -48,7 +54,7 @@
 
     /// Answers an ask that depends on nothing that has yet to be saved.
     fn answer_at_once(&mut self, number: u64, outcome: Outcome) {
-        self.out.done.push(Done { number, outcome });
+        self.out.done.push(LedgerAnswer { number, outcome });
     }
 
     /// Passes a request on to the shard's leader, as far as that is known.
@@ -118,7 +124,7 @@
             view.leader_hint = leader.or(view.leader_hint);
         }
         self.counters.answered += 1;
-        self.done.push(Done { number, outcome });
+        self.done.push(LedgerAnswer { number, outcome });
     }
 
     /// An ask of another front has come.
@@ -162,10 +168,10 @@
     }
 }
 
-fn is_too_long(key: &Key, act: &Act) -> bool {
-    let value_bytes = match act {
-        Act::Claim { value, .. } | Act::Put { value, .. } => value.len(),
-        Act::Free | Act::Read => 0,
+fn is_too_long(key: &Key, operation: &Operation) -> bool {
+    let value_bytes = match operation {
+        Operation::Claim { value, .. } | Operation::Put { value, .. } => value.len(),
+        Operation::Free | Operation::Read => 0,
     };
     key.name.len() > LONGEST_NAME || value_bytes > LONGEST_VALUE
 }
--- a/crates/ledger/src/rounds.rs
+++ b/crates/ledger/src/rounds.rs
@@ -6,7 +6,7 @@
 use crate::long_message::Pace;
 use crate::messages::LedgerMessage;
 use crate::replica::{DecidedCommand, MemberMessage};
-use crate::{Done, Micros, Moment, Outcome};
+use crate::{LedgerAnswer, Micros, Moment, Outcome};
 
 impl Ledger {
     /// Takes in what a shard's log has decided, answers the asks, and sends the log's messages.
@@ -109,7 +109,7 @@
     pub(crate) fn key_is_free(&mut self, command: CommandId) {
         let CommandId { owner, number } = command;
         if owner.incarnation == self.setup.incarnation && !self.asks.is_waiting(number) {
-            self.done.push(Done {
+            self.done.push(LedgerAnswer {
                 number,
                 outcome: Outcome::Absent,
             });
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -10,7 +10,7 @@
 use crate::members::ReplicaId;
 use crate::stored_answers::{StoredAnswer, StoredOutcome};
 use crate::tail::Tail;
-use crate::{Act, Entry, Key, Outcome, Setup, REMEMBERED_MS};
+use crate::{Entry, Key, Operation, Outcome, Setup, REMEMBERED_MS};
 
 const ENTRY_OVERHEAD: usize = 64; // bytes that an entry counts beside its name and value
 const MAX_ANSWERS: usize = 8_192; // answers remembered: some 30 bytes each in a snapshot
@@ -210,7 +210,7 @@
     }
 
     fn command(&mut self, command: &Command) -> Outcome {
-        if command.act == Act::Read {
+        if command.operation == Operation::Read {
             return self
                 .of(&command.key)
                 .cloned()
@@ -238,13 +238,13 @@
         let own = current
             .as_ref()
             .is_none_or(|entry| entry.owner == command.owner);
-        match &command.act {
-            Act::Claim { ends_ms, value } => match current {
+        match &command.operation {
+            Operation::Claim { ends_ms, value } => match current {
                 Some(entry) if own && self.is_late(command) => CarriedOut::stands(entry),
                 Some(entry) if !own => CarriedOut::held(entry),
                 current => self.write(command, current, *ends_ms, value),
             },
-            Act::Put {
+            Operation::Put {
                 expects,
                 ends_ms,
                 value,
@@ -255,7 +255,7 @@
                 }
                 current.map_or_else(CarriedOut::absent, CarriedOut::held)
             }
-            Act::Free | Act::Read => match current {
+            Operation::Free | Operation::Read => match current {
                 Some(entry) if !own => CarriedOut::held(entry),
                 _ => {
                     if !self.is_late(command) {
--- a/crates/ledger/src/state_tests.rs
+++ b/crates/ledger/src/state_tests.rs
@@ -17,7 +17,7 @@
     }
 }
 
-fn command(front: FrontId, number: u64, name: &str, act: Act) -> Command {
+fn command(front: FrontId, number: u64, name: &str, operation: Operation) -> Command {
     Command {
         owner: Owner {
             front,
@@ -26,19 +26,19 @@
         number,
         asked_ms: 1_000,
         key: key(name),
-        act,
+        operation,
     }
 }
 
-fn claim(ends_ms: u64) -> Act {
-    Act::Claim {
+fn claim(ends_ms: u64) -> Operation {
+    Operation::Claim {
         ends_ms,
         value: vec![1],
     }
 }
 
-fn put(expects: Option<u64>) -> Act {
-    Act::Put {
+fn put(expects: Option<u64>) -> Operation {
+    Operation::Put {
         expects,
         ends_ms: 0,
         value: vec![2],
@@ -77,11 +77,11 @@
     assert!(later.version > first.version && later.owner.front == 2);
     // Time never runs back, whoever proposes.
     assert_eq!(
-        once(&mut state, 1_000, command(1, 4, "a", Act::Free)),
+        once(&mut state, 1_000, command(1, 4, "a", Operation::Free)),
         Outcome::Held(later)
     );
     assert_eq!(
-        once(&mut state, 2_100, command(2, 5, "a", Act::Free)),
+        once(&mut state, 2_100, command(2, 5, "a", Operation::Free)),
         Outcome::Absent
     );
     assert!(matches!(
@@ -98,7 +98,7 @@
     let held = once(&mut state, 1_000, command(2, 7, "a", claim(0)));
     assert!(matches!(held, Outcome::Held(_)));
     assert_eq!(
-        once(&mut state, 1_000, command(1, 2, "a", Act::Free)),
+        once(&mut state, 1_000, command(1, 2, "a", Operation::Free)),
         Outcome::Absent
     );
     // A late copy of the first takes nothing again, and is not told as if it stood; of what was held neither.
@@ -111,7 +111,7 @@
         Outcome::Held(_)
     ));
     assert_eq!(
-        once(&mut state, 1_000, command(1, 3, "a", Act::Read)),
+        once(&mut state, 1_000, command(1, 3, "a", Operation::Read)),
         Outcome::Absent
     );
     // Once it may be forgotten, it counts for nothing.
@@ -130,7 +130,7 @@
         panic!()
     };
     assert_eq!(
-        once(&mut state, 1_000, command(1, 4, "a", Act::Free)),
+        once(&mut state, 1_000, command(1, 4, "a", Operation::Free)),
         Outcome::Absent
     );
     assert_eq!(
@@ -138,11 +138,11 @@
         Outcome::Stands(later.clone())
     );
     assert_eq!(
-        once(&mut state, 1_000, command(2, 1, "a", Act::Read)),
+        once(&mut state, 1_000, command(2, 1, "a", Operation::Read)),
         Outcome::Stands(later)
     );
     assert_eq!(
-        once(&mut state, 1_000, command(1, 6, "a", Act::Free)),
+        once(&mut state, 1_000, command(1, 6, "a", Operation::Free)),
         Outcome::Absent
     );
     assert_eq!(state.len(), 0);
@@ -190,7 +190,7 @@
         once(&mut state, 1_000, command(1, 10, "more", claim(0))),
         Outcome::Full
     );
-    let large = Act::Put {
+    let large = Operation::Put {
         expects: None,
         ends_ms: 0,
         value: vec![0; 1_900],
@@ -200,7 +200,7 @@
         Outcome::Full
     );
     assert_eq!(
-        once(&mut state, 1_000, command(1, 12, "0", Act::Free)),
+        once(&mut state, 1_000, command(1, 12, "0", Operation::Free)),
         Outcome::Absent
     );
     assert!(matches!(
@@ -208,7 +208,7 @@
         Outcome::Stands(_)
     ));
     // What has ended leaves its room.
-    once(&mut state, 2_000, command(1, 14, "x", Act::Read));
+    once(&mut state, 2_000, command(1, 14, "x", Operation::Read));
     assert_eq!(
         (state.len(), state.bytes()),
         (1, "more".len() + 1 + ENTRY_OVERHEAD)
@@ -223,13 +223,13 @@
     let change = Batch::change(1, 1_000, next.clone());
     state.apply(&change);
     assert_eq!(
-        state.apply(&at(1_000, command(1, 2, "a", Act::Free))),
+        state.apply(&at(1_000, command(1, 2, "a", Operation::Free))),
         Vec::new()
     );
     assert_eq!(state.next(), Some(&next[..]));
     let mut after = state.for_next_configuration();
     assert_eq!(
-        once(&mut after, 1_000, command(1, 2, "a", Act::Free)),
+        once(&mut after, 1_000, command(1, 2, "a", Operation::Free)),
         Outcome::Absent
     );
 }
@@ -238,10 +238,11 @@
 fn snapshots_merged_piece_by_piece_hold_what_the_whole_log_holds() {
     let log: Vec<Batch> = (0..12u64)
         .map(|n| {
-            let act = [claim(1_000 + 100 * n), put(None), Act::Free][n as usize % 3].clone();
+            let operation =
+                [claim(1_000 + 100 * n), put(None), Operation::Free][n as usize % 3].clone();
             at(
                 1_000 + 50 * n,
-                command(n % 2, n / 2, ["a", "b"][n as usize % 5 % 2], act),
+                command(n % 2, n / 2, ["a", "b"][n as usize % 5 % 2], operation),
             )
         })
         .collect();
--- a/crates/ledger/src/stored_answers.rs
+++ b/crates/ledger/src/stored_answers.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::batch::Command;
-use crate::{Act, Entry, Outcome, Owner};
+use crate::{Entry, Operation, Outcome, Owner};
 
 /// An outcome that is remembered, without what the ask itself says.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,13 +37,13 @@
             ends_ms,
             value,
         };
-        match (stored, &self.act) {
-            (StoredOutcome::Stands { .. }, Act::Claim { .. }) => match current {
+        match (stored, &self.operation) {
+            (StoredOutcome::Stands { .. }, Operation::Claim { .. }) => match current {
                 Some(entry) if entry.owner == self.owner => Outcome::Stands(entry.clone()),
                 Some(entry) => Outcome::Held(entry.clone()),
                 None => Outcome::Absent,
             },
-            (StoredOutcome::Stands { version }, Act::Put { ends_ms, value, .. }) => {
+            (StoredOutcome::Stands { version }, Operation::Put { ends_ms, value, .. }) => {
                 Outcome::Stands(entry(self.owner, *version, *ends_ms, value.clone()))
             }
             (
--- a/crates/ledger/tests/anti_entropy.rs
+++ b/crates/ledger/tests/anti_entropy.rs
@@ -2,11 +2,11 @@
 
 mod sim;
 
-use hallmux_ledger::{Act, Outcome};
+use hallmux_ledger::{Operation, Outcome};
 use sim::{Fleet, SECOND};
 
-fn put(value: u64) -> Act {
-    Act::Put {
+fn put(value: u64) -> Operation {
+    Operation::Put {
         expects: None,
         ends_ms: 0,
         value: value.to_be_bytes().to_vec(),
@@ -87,7 +87,8 @@
         fleet.run(fleet.now + 2 * SECOND);
         fleet.kill((n + 1) % 3);
         for k in 0..10 {
-            let Outcome::Stands(entry) = fleet.get_until_answered(n, &format!("r{k}"), Act::Read)
+            let Outcome::Stands(entry) =
+                fleet.get_until_answered(n, &format!("r{k}"), Operation::Read)
             else {
                 panic!("r{k}")
             };
--- a/crates/ledger/tests/drawn.rs
+++ b/crates/ledger/tests/drawn.rs
@@ -3,7 +3,7 @@
 
 mod sim;
 
-use hallmux_ledger::{Act, Ask, Key, Kind, Micros, Outcome};
+use hallmux_ledger::{Key, Kind, LedgerRequest, Micros, Operation, Outcome};
 use rand::Rng;
 use sim::{Fleet, SECOND};
 
@@ -13,7 +13,7 @@
 struct Unanswered {
     front: usize,
     incarnation: u64,
-    ask: Ask,
+    ask: LedgerRequest,
     asked: Micros,
 }
 
@@ -83,35 +83,35 @@
         let wall = (WALL as i64 + fleet.now / 1_000 + fleet.fronts[n].ahead) as u64;
         self.unique += 1;
         let value = self.unique.to_be_bytes().to_vec();
-        let (name, act) = match fleet.chance.random_range(0..6) {
+        let (name, operation) = match fleet.chance.random_range(0..6) {
             0 | 1 => {
                 let ends_ms = wall + fleet.chance.random_range(200..3_000);
-                (format!("claim {key}"), Act::Claim { ends_ms, value })
+                (format!("claim {key}"), Operation::Claim { ends_ms, value })
             }
-            2 => (format!("claim {key}"), Act::Free),
+            2 => (format!("claim {key}"), Operation::Free),
             3 | 4 => (
                 format!("r{register}"),
-                Act::Put {
+                Operation::Put {
                     expects: None,
                     ends_ms: 0,
                     value,
                 },
             ),
-            _ => (format!("r{register}"), Act::Read),
+            _ => (format!("r{register}"), Operation::Read),
         };
         // A front asks one thing of a key at a time.
         let same = |other: &Unanswered| other.front == n && other.ask.key.name == name;
-        if act != Act::Read && self.unanswered.iter().any(same) {
+        if operation != Operation::Read && self.unanswered.iter().any(same) {
             return;
         }
-        let number = fleet.ask(n, &name, act.clone());
-        let ask = Ask {
+        let number = fleet.ask(n, &name, operation.clone());
+        let ask = LedgerRequest {
             number,
             key: Key {
                 kind: Kind::Order,
                 name,
             },
-            act,
+            operation,
         };
         let incarnation = fleet.fronts[n].incarnation;
         self.unanswered.push(Unanswered {
@@ -308,7 +308,7 @@
         let whole = fleet.run_until(60 * SECOND, Fleet::is_whole);
         for r in 0..4 {
             if whole {
-                fleet.get_until_answered(r % fleet.fronts.len(), &format!("r{r}"), Act::Read);
+                fleet.get_until_answered(r % fleet.fronts.len(), &format!("r{r}"), Operation::Read);
             }
         }
         let faults = fleet.record.faults();
--- a/crates/ledger/tests/key_queues.rs
+++ b/crates/ledger/tests/key_queues.rs
@@ -2,7 +2,7 @@
 
 mod sim;
 
-use hallmux_ledger::{Act, Micros, Outcome};
+use hallmux_ledger::{Micros, Operation, Outcome};
 use sim::{Fleet, SECOND};
 
 const WALL: i64 = 1_800_000_000_000;
@@ -39,7 +39,7 @@
         fleet.ask(
             n,
             "k",
-            Act::Claim {
+            Operation::Claim {
                 ends_ms,
                 value: Vec::new(),
             },
@@ -80,7 +80,7 @@
                     front.now = Now::Asks(claim(&mut fleet, n));
                 }
                 Now::Has(until) if until <= now => {
-                    front.now = Now::Frees(fleet.ask(n, "k", Act::Free))
+                    front.now = Now::Frees(fleet.ask(n, "k", Operation::Free))
                 }
                 Now::Frees(number) if fleet.outcome(n, number).is_some() => {
                     (front.since, front.tries) = (now, 0);
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/ledger/tests/ledger.rs
@@ -3,11 +3,11 @@
 
 mod sim;
 
-use hallmux_ledger::{Act, Outcome};
+use hallmux_ledger::{Operation, Outcome};
 use sim::{Fleet, SECOND};
 
-fn put(value: u64) -> Act {
-    Act::Put {
+fn put(value: u64) -> Operation {
+    Operation::Put {
         expects: None,
         ends_ms: 0,
         value: value.to_be_bytes().to_vec(),
@@ -44,7 +44,7 @@
             );
             let other = (n + 1) % fronts;
             assert!(matches!(
-                fleet.get_until_answered(other, &key, Act::Read),
+                fleet.get_until_answered(other, &key, Operation::Read),
                 Outcome::Stands(_)
             ));
         }
@@ -66,7 +66,7 @@
         assert!(fleet.run_until(20 * SECOND, Fleet::is_whole), "front {n}");
         println!("front {n}: whole after {} ms", (fleet.now - began) / 1_000);
         for k in 0..40 {
-            let outcome = fleet.get_until_answered(k % 4, &format!("r{k}"), Act::Read);
+            let outcome = fleet.get_until_answered(k % 4, &format!("r{k}"), Operation::Read);
             assert!(matches!(&outcome, Outcome::Stands(_)), "{outcome:?}");
         }
     }
@@ -94,7 +94,7 @@
         fleet.start(n);
     }
     assert!(fleet.run_until(20 * SECOND, Fleet::is_whole));
-    fleet.get_until_answered(0, "r", Act::Read);
+    fleet.get_until_answered(0, "r", Operation::Read);
     fleet.record.faults()
 }
 
@@ -114,7 +114,7 @@
     fleet.get_until_answered(others[0], "r", put(2));
     // It wakes and is asked at once, before it has heard of anything.
     fleet.fronts[owner].stopped = false;
-    let Outcome::Stands(entry) = fleet.get_until_answered(owner, "r", Act::Read) else {
+    let Outcome::Stands(entry) = fleet.get_until_answered(owner, "r", Operation::Read) else {
         panic!()
     };
     assert_eq!(entry.value, 2u64.to_be_bytes());
@@ -143,10 +143,10 @@
     };
     fleet.repeat(
         cut[0],
-        hallmux_ledger::Ask {
+        hallmux_ledger::LedgerRequest {
             number,
             key,
-            act: put(1),
+            operation: put(1),
         },
     );
     fleet.run(fleet.now + SECOND);
@@ -176,7 +176,7 @@
     fleet.run(fleet.now + 5 * SECOND);
     for n in 0..30 {
         assert!(matches!(
-            fleet.get_until_answered(gone, &format!("r{n}"), Act::Read),
+            fleet.get_until_answered(gone, &format!("r{n}"), Operation::Read),
             Outcome::Stands(_)
         ));
     }
@@ -213,7 +213,7 @@
         fleet.get_until_answered(
             n as usize % 3,
             &format!("r{n}"),
-            Act::Put {
+            Operation::Put {
                 expects: None,
                 ends_ms: 0,
                 value,
@@ -239,7 +239,7 @@
     fleet.run(fleet.now + 3 * SECOND);
     for n in 0..250 {
         assert!(matches!(
-            fleet.get_until_answered(lost, &format!("r{n}"), Act::Read),
+            fleet.get_until_answered(lost, &format!("r{n}"), Operation::Read),
             Outcome::Stands(_)
         ));
     }
@@ -317,7 +317,7 @@
         waits.retain(|(n, number)| fleet.outcome(*n, *number).is_none());
         while waits.len() < 12 {
             let n = [0, 1, 2, 3][waits.len() % 4];
-            let number = fleet.ask(n, "k", Act::Read);
+            let number = fleet.ask(n, "k", Operation::Read);
             waits.push((n, number));
         }
     }
--- a/crates/ledger/tests/rebalance.rs
+++ b/crates/ledger/tests/rebalance.rs
@@ -4,11 +4,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hallmux_ledger::{Act, Ledger, Outcome, ReplicaStatus};
+use hallmux_ledger::{Ledger, Operation, Outcome, ReplicaStatus};
 use sim::{Fleet, SECOND};
 
-fn put(value: u64) -> Act {
-    Act::Put {
+fn put(value: u64) -> Operation {
+    Operation::Put {
         expects: None,
         ends_ms: 0,
         value: value.to_be_bytes().to_vec(),
@@ -96,7 +96,7 @@
 fn sound(fleet: &mut Fleet) {
     for k in 0..40 {
         let n = (0..fleet.fronts.len()).find(|n| fleet.is_up(*n)).unwrap();
-        fleet.get_until_answered(n, &format!("r{k}"), Act::Read);
+        fleet.get_until_answered(n, &format!("r{k}"), Operation::Read);
     }
     let faults = fleet.record.faults();
     assert!(faults.is_empty(), "{faults:#?}");
--- a/crates/ledger/tests/rolling_restart.rs
+++ b/crates/ledger/tests/rolling_restart.rs
@@ -2,13 +2,13 @@
 
 mod sim;
 
-use hallmux_ledger::{Act, Error, Ledger, Outcome, Saved, Setup};
+use hallmux_ledger::{Error, Ledger, Operation, Outcome, Saved, Setup};
 use sim::{id, Fleet, SECOND};
 
 const FRONTS: usize = 18;
 
-fn put(value: u64) -> Act {
-    Act::Put {
+fn put(value: u64) -> Operation {
+    Operation::Put {
         expects: None,
         ends_ms: 0,
         value: value.to_be_bytes().to_vec(),
@@ -140,7 +140,7 @@
     }
     for k in 0..64 {
         assert!(matches!(
-            fleet.get_until_answered(k % FRONTS, &format!("r{k}"), Act::Read),
+            fleet.get_until_answered(k % FRONTS, &format!("r{k}"), Operation::Read),
             Outcome::Stands(_)
         ));
     }
@@ -180,7 +180,7 @@
     }
     for k in 0..64 {
         assert!(matches!(
-            fleet.get_until_answered(k % FRONTS, &format!("r{k}"), Act::Read),
+            fleet.get_until_answered(k % FRONTS, &format!("r{k}"), Operation::Read),
             Outcome::Stands(_)
         ));
     }
--- a/crates/ledger/tests/shutdown.rs
+++ b/crates/ledger/tests/shutdown.rs
@@ -2,14 +2,14 @@
 
 mod sim;
 
-use hallmux_ledger::{Act, Ledger, Outcome};
+use hallmux_ledger::{Ledger, Operation, Outcome};
 use sim::{Fleet, SECOND};
 
 const MOST: i64 = 10 * SECOND; // that an end waits, as the front does
 const DOOR: i64 = 800_000; // microseconds that a front runs on at least
 
-fn put(value: u64) -> Act {
-    Act::Put {
+fn put(value: u64) -> Operation {
+    Operation::Put {
         expects: None,
         ends_ms: 0,
         value: value.to_be_bytes().to_vec(),
--- a/crates/ledger/tests/sim/check.rs
+++ b/crates/ledger/tests/sim/check.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hallmux_ledger::{Act, Done, Key, Micros, Outcome};
+use hallmux_ledger::{Key, LedgerAnswer, Micros, Operation, Outcome};
 
 /// One ask of a front, in true time.
 #[derive(Clone, Debug)]
@@ -11,7 +11,7 @@
     pub incarnation: u64,
     pub number: u64,
     pub key: Key,
-    pub act: Act,
+    pub operation: Operation,
     pub asked: Micros,
     /// Milliseconds that its front's Unix clock is ahead.
     pub ahead: i64,
@@ -34,7 +34,7 @@
         self.died.insert((front, incarnation), at);
     }
 
-    pub fn answered(&mut self, front: usize, incarnation: u64, done: Done, at: Micros) {
+    pub fn answered(&mut self, front: usize, incarnation: u64, done: LedgerAnswer, at: Micros) {
         let mut ops = self.ops.iter_mut().rev();
         let op = ops
             .find(|op| (op.front, op.incarnation, op.number) == (front, incarnation, done.number));
@@ -73,16 +73,16 @@
     fn held_twice(&self) -> Vec<String> {
         let mut holds: BTreeMap<&Key, Vec<(Micros, Micros, usize)>> = BTreeMap::new();
         for op in &self.ops {
-            let (Act::Claim { ends_ms, .. }, Some((from, Outcome::Stands(_)))) =
-                (&op.act, &op.done)
+            let (Operation::Claim { ends_ms, .. }, Some((from, Outcome::Stands(_)))) =
+                (&op.operation, &op.done)
             else {
                 continue;
             };
             let mine = |other: &&Op| (other.front, other.incarnation) == (op.front, op.incarnation);
             // A later claim of its own goes before, whatever becomes of it.
-            let later = |o: &&Op| match o.act {
-                Act::Free => o.asked >= op.asked,
-                Act::Claim { .. } => o.asked > op.asked,
+            let later = |o: &&Op| match o.operation {
+                Operation::Free => o.asked >= op.asked,
+                Operation::Claim { .. } => o.asked > op.asked,
                 _ => false,
             };
             let frees = self
@@ -223,7 +223,7 @@
         })
     }
 
-    fn op(front: usize, name: &str, act: Act, asked: Micros, done: Outcome) -> Op {
+    fn op(front: usize, name: &str, operation: Operation, asked: Micros, done: Outcome) -> Op {
         let number = asked as u64;
         let done = Some((asked + 10, done));
         Op {
@@ -231,22 +231,22 @@
             incarnation: 1,
             number,
             key: key(name),
-            act,
+            operation,
             asked,
             ahead: 0,
             done,
         }
     }
 
-    fn claim(ends_ms: u64) -> Act {
-        Act::Claim {
+    fn claim(ends_ms: u64) -> Operation {
+        Operation::Claim {
             ends_ms,
             value: vec![],
         }
     }
 
-    fn put() -> Act {
-        Act::Put {
+    fn put() -> Operation {
+        Operation::Put {
             expects: None,
             ends_ms: 0,
             value: vec![],
@@ -268,14 +268,14 @@
         let second = |asked| op(2, "a", claim(0), asked, stands("a", 2, 2, 0));
         assert!(faults(vec![first.clone(), second(1_000)]).is_empty());
         assert!(faults(vec![first.clone(), second(500)])[0].contains("is held by 1 and 2"));
-        let free = op(1, "a", Act::Free, 300, Outcome::Absent);
+        let free = op(1, "a", Operation::Free, 300, Outcome::Absent);
         assert!(faults(vec![first, free, second(500)]).is_empty());
     }
 
     #[test]
     fn a_lost_entry_a_version_gone_back_and_a_put_that_counts_twice_are_flagged() {
         let wrote = op(1, "r", put(), 0, stands("r", 1, 5, 1));
-        let read = |outcome| op(2, "r", Act::Read, 100, outcome);
+        let read = |outcome| op(2, "r", Operation::Read, 100, outcome);
         assert!(faults(vec![wrote.clone(), read(stands("r", 1, 5, 1))]).is_empty());
         assert!(faults(vec![wrote.clone(), read(Outcome::Absent)])[0].contains("is lost"));
         assert!(
--- a/crates/ledger/tests/sim/mod.rs
+++ b/crates/ledger/tests/sim/mod.rs
@@ -8,8 +8,8 @@
 
 use check::{Op, Record};
 use hallmux_ledger::{
-    Act, Ask, FrontId, Key, Kind, Ledger, Member, Micros, Moment, OutgoingPacket, Output, Save,
-    Saved, Setup,
+    FrontId, Key, Kind, Ledger, LedgerRequest, Member, Micros, Moment, Operation, OutgoingPacket,
+    Output, Save, Saved, Setup,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -215,7 +215,7 @@
     }
 
     /// Asks; the number, to be asked again.
-    pub fn ask(&mut self, n: usize, key: &str, act: Act) -> u64 {
+    pub fn ask(&mut self, n: usize, key: &str, operation: Operation) -> u64 {
         let number = self.fronts[n].next;
         self.fronts[n].next += 1;
         let key = Key {
@@ -229,16 +229,23 @@
             incarnation,
             number,
             key: key.clone(),
-            act: act.clone(),
+            operation: operation.clone(),
             asked,
             ahead,
             done: None,
         });
-        self.repeat(n, Ask { number, key, act });
+        self.repeat(
+            n,
+            LedgerRequest {
+                number,
+                key,
+                operation,
+            },
+        );
         number
     }
 
-    pub fn repeat(&mut self, n: usize, ask: Ask) {
+    pub fn repeat(&mut self, n: usize, ask: LedgerRequest) {
         let at = self.at(n);
         if let Some(ledger) = &mut self.fronts[n].ledger {
             ledger.ask(at, ask);
--- a/crates/ledger/tests/sim/queries.rs
+++ b/crates/ledger/tests/sim/queries.rs
@@ -1,6 +1,6 @@
 //! Questions to a simulated fleet: what was answered, which replicas there are, and who leads.
 
-use hallmux_ledger::{shard_of, Act, Key, Kind, Ledger, Outcome};
+use hallmux_ledger::{shard_of, Key, Kind, Ledger, Operation, Outcome};
 
 use super::{Fleet, SECOND};
 
@@ -11,8 +11,8 @@
     }
 
     /// Asks and waits for the answer.
-    pub fn get(&mut self, n: usize, key: &str, act: Act) -> Outcome {
-        let number = self.ask(n, key, act);
+    pub fn get(&mut self, n: usize, key: &str, operation: Operation) -> Outcome {
+        let number = self.ask(n, key, operation);
         self.run_until(2 * SECOND, |fleet| fleet.outcome(n, number).is_some());
         self.outcome(n, number)
             .cloned()
@@ -20,9 +20,9 @@
     }
 
     /// The same, asked under new numbers until a majority answers.
-    pub fn get_until_answered(&mut self, n: usize, key: &str, act: Act) -> Outcome {
+    pub fn get_until_answered(&mut self, n: usize, key: &str, operation: Operation) -> Outcome {
         for _ in 0..20 {
-            match self.get(n, key, act.clone()) {
+            match self.get(n, key, operation.clone()) {
                 Outcome::Unreachable => {}
                 outcome => return outcome,
             }
