--- a/crates/access/src/access/requests.rs
+++ b/crates/access/src/access/requests.rs
@@ -1,6 +1,6 @@
 //! What goes to the ledger and comes from it: versions, counts and shares of limits.
 
-use hallmux_ledger::Done;
+use hallmux_ledger::LedgerAnswer;
 
 use super::Access;
 use crate::event::Event;
@@ -37,8 +37,8 @@
     }
 
     /// The ledger has answered. False if it was not asked here.
-    pub fn on_ledger_answer(&mut self, at: Moment, done: Done) -> bool {
-        let Done { number, outcome } = done;
+    pub fn on_ledger_answer(&mut self, at: Moment, done: LedgerAnswer) -> bool {
+        let LedgerAnswer { number, outcome } = done;
         let versions = &mut self.versions;
         let was_asked = versions.done(at, number, outcome.clone())
             || self
--- a/crates/access/src/output.rs
+++ b/crates/access/src/output.rs
@@ -1,6 +1,6 @@
 //! What the caller has to do for the rules.
 
-use hallmux_ledger::Ask;
+use hallmux_ledger::LedgerRequest;
 
 use crate::event::Event;
 use crate::hits::FleetHits;
@@ -9,7 +9,7 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Output {
     /// Requests to the ledger; each is answered through [`crate::Access::on_ledger_answer`] under its number.
-    pub ledger_requests: Vec<Ask>,
+    pub ledger_requests: Vec<LedgerRequest>,
     /// Events for the log, in the order in which they happened.
     pub events: Vec<Event>,
     /// Statements whose hits stand.
