--- a/crates/lab/src/check/answers.rs
+++ b/crates/lab/src/check/answers.rs
@@ -2,7 +2,9 @@
 
 use std::collections::{HashMap, HashSet};
 
-use super::{add, Agreed, Execution, Outcome, Repeat, StatementRecord, Transaction, Violations};
+use super::statements::{
+    add, Agreed, Execution, Outcome, Repeat, StatementRecord, Transaction, Violations,
+};
 
 /// Exactly one final answer, whole and true, in time.
 pub(super) fn answers(wrong: &mut Violations, asked: &[StatementRecord], agreed: &Agreed) {
--- a/crates/lab/src/check/turns.rs
+++ b/crates/lab/src/check/turns.rs
@@ -2,7 +2,9 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::{add, Agreed, Drain, Execution, Outcome, Repeat, StatementRecord, Violations};
+use super::statements::{
+    add, Agreed, Drain, Execution, Outcome, Repeat, StatementRecord, Violations,
+};
 use crate::engine::{EngineEvent, Kind};
 
 /// Nothing twice that may not be, never two at once, and no more further executions than agreed.
--- a/crates/lab/src/check_tests.rs
+++ b/crates/lab/src/check_tests.rs
@@ -1,5 +1,7 @@
 //! Unit tests of the `check` module.
 
+use std::collections::HashSet;
+
 use super::*;
 
 fn asked(id: &str, outcome: Outcome) -> StatementRecord {
--- a/crates/lab/src/load/offer.rs
+++ b/crates/lab/src/load/offer.rs
@@ -10,10 +10,10 @@
 
 use crate::check::{Outcome, Repeat, StatementRecord};
 use crate::engine::lines;
-use crate::record::account::Offered;
+use crate::record::offered::Offered;
 use crate::rig::member::{Member, Record};
 use crate::rig::scenario::{Scenario, Step};
-use crate::rig::starved::own_wait;
+use crate::rig::starvation_watch::own_wait;
 
 const AGAIN_MS: std::ops::Range<u64> = 20..400; // milliseconds until a client asks again
 
--- a/crates/lab/src/prove/postgres.rs
+++ b/crates/lab/src/prove/postgres.rs
@@ -5,7 +5,7 @@
 mod faults;
 mod keys;
 mod load;
-mod notes;
+pub mod notes;
 mod sampling;
 mod setup;
 
@@ -15,17 +15,15 @@
 
 use self::faults::FAULTS;
 use self::load::{Load, LoadOutcome};
-pub use self::notes::Notes;
+use self::notes::Notes;
 use self::sampling::Memory;
-use self::setup::{is_big, Setup};
+use self::setup::{is_big, Setup, ENGINES};
 use crate::check::{check, Agreed, Outcome, StatementRecord, Transaction, Violations};
 use crate::rig::Front;
 use crate::scripted;
 
-const ENGINES: usize = 5;
 const LONGEST: Duration = Duration::from_secs(45); // until no more is asked, however little was accepted
 const SAMPLE: Duration = Duration::from_millis(20); // from one look at the front's memory to the next
-const TIMEOUT: i64 = 3_000_000; // microseconds: the agreed statement timeout of all workloads
 const SLACK: i64 = 400_000; // microseconds for a final answer on a busy machine
 const GRACE: i64 = 2_000_000; // microseconds after which nothing new goes to an engine that drains
 const FURTHER: (f64, f64, i64) = (10.0, 0.2, 10_000_000); // spare, share and window of further executions
--- a/crates/lab/src/prove/postgres/clients.rs
+++ b/crates/lab/src/prove/postgres/clients.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 use tokio_postgres::{Client, NoTls};
 
-use super::{Notes, TIMEOUT};
+use super::notes::{Notes, TIMEOUT};
 use crate::check::{Outcome, Repeat, StatementRecord, Transaction};
 
 pub fn outcome<T>(
--- a/crates/lab/src/prove/postgres/faults.rs
+++ b/crates/lab/src/prove/postgres/faults.rs
@@ -8,8 +8,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use super::notes::Notes;
 use super::setup::{kind, name};
-use super::Notes;
 use crate::check::Drain;
 use crate::engine::Engine;
 use crate::rig::Coordinator;
--- a/crates/lab/src/prove/postgres/keys.rs
+++ b/crates/lab/src/prove/postgres/keys.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::clients::text;
-use super::Notes;
+use super::notes::Notes;
 use crate::check::{Outcome, Repeat, StatementRecord};
 use crate::lines;
 use crate::scripted::session;
--- a/crates/lab/src/prove/postgres/load.rs
+++ b/crates/lab/src/prove/postgres/load.rs
@@ -12,9 +12,9 @@
 use super::clients::client;
 use super::faults::{play_drains, play_faults};
 use super::keys::both_protocols;
+use super::notes::Notes;
 use super::sampling::sample_waits;
 use super::setup::Setup;
-use super::Notes;
 use crate::check::{Drain, ProcessorWaits};
 use crate::scripted;
 
--- a/crates/lab/src/prove/postgres/notes.rs
+++ b/crates/lab/src/prove/postgres/notes.rs
@@ -3,10 +3,12 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
 
-use super::TIMEOUT;
 use crate::check::{Outcome, Repeat, StatementRecord, Transaction};
 use crate::engine::Records;
 
+/// The agreed statement timeout of all workloads, in microseconds.
+pub(super) const TIMEOUT: i64 = 3_000_000;
+
 /// All that is written down of a run.
 pub struct Notes {
     pub records: Arc<Records>,
--- a/crates/lab/src/prove/postgres/sampling.rs
+++ b/crates/lab/src/prove/postgres/sampling.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::Notes;
+use super::notes::Notes;
 use crate::check::ProcessorWaits;
 
 const TICK: Duration = Duration::from_millis(10);
--- a/crates/lab/src/prove/postgres/setup.rs
+++ b/crates/lab/src/prove/postgres/setup.rs
@@ -4,11 +4,12 @@
 
 use serde_json::json;
 
-use super::{Notes, ENGINES, TIMEOUT};
+use super::notes::{Notes, TIMEOUT};
 use crate::engine::{Engine, Records};
 use crate::lines;
 use crate::rig::{Coordinator, Front};
 
+pub(super) const ENGINES: usize = 5;
 const BIG_ENGINES: usize = 2; // the last engines: of the kind that bound statements need
 const SOCKETS: usize = 2048; // descriptors that the front may use
 
--- a/crates/lab/src/prove/roll.rs
+++ b/crates/lab/src/prove/roll.rs
@@ -12,7 +12,8 @@
 
 use super::played::{end, fault};
 use super::shape;
-use crate::record::account::{judge, Run};
+use crate::record::account::Run;
+use crate::record::judge::judge;
 use crate::record::rolled::{self, Terms};
 use crate::rig::fleet::{play, Fleet, FleetHooks};
 use crate::rig::member::MemberOptions;
--- a/crates/lab/src/prove/soak.rs
+++ b/crates/lab/src/prove/soak.rs
@@ -13,9 +13,10 @@
 
 use self::machine::Machines;
 use super::played::{end, fault};
-use crate::record::account::{judge, Account};
+use crate::record::account::Account;
 use crate::record::budget::{self, Budget};
 use crate::record::executions::executions;
+use crate::record::judge::judge;
 use crate::rig::agreed::settings;
 use crate::rig::fleet::{play, Fleet};
 use crate::rig::member::SOCKETS;
--- a/crates/lab/src/record/attempts_tests.rs
+++ b/crates/lab/src/record/attempts_tests.rs
@@ -2,7 +2,8 @@
 
 use std::collections::HashMap;
 
-use super::account::{judge, offered, Account};
+use super::account::{offered, Account};
+use super::judge::judge;
 use crate::engine::{EngineEvent, Kind, WireEvent, WireEventKind};
 use crate::rig::scenario::Scenario;
 
--- a/crates/lab/src/record/given_up_tests.rs
+++ b/crates/lab/src/record/given_up_tests.rs
@@ -1,11 +1,12 @@
 //! Two runs at once are none where the first was given up before the second was sent; any other are found.
 
-use super::account::{judge, Account};
+use super::account::Account;
 use super::attempts_tests::{account, line, TEXT};
+use super::judge::judge;
 use crate::check::Repeat;
 use crate::engine::{WireEvent, WireEventKind};
+use crate::record::starved::Starved;
 use crate::rig::scenario::Scenario;
-use crate::rig::starved::Starved;
 
 fn broken(change: impl FnOnce(&mut Account)) -> bool {
     let mut account = account();
--- a/crates/lab/src/record/account_tests.rs
+++ b/crates/lab/src/record/judge_tests.rs
@@ -1,24 +1,14 @@
-//! Unit tests of the `account` module.
+//! Unit tests of the `judge` module.
 
+use super::zones::borne;
 use super::*;
+use crate::rig::relay::Relayed;
 
 const TEXT: &str = "seconds = 10\n[fleet]\nfronts = 2\nzones = 2\nengines_per_zone = 2\n\
     [load]\nper_second = 20\nwork_ms = 100\ntimeout_ms = 2000\n\
     [engine]\nslots = 8\ncold_slots = 2\nwarm_ms = 2000\n\
     [[fault]]\nwhat = 'zone_lost'\nat_ms = 1000\nfor_ms = 1000\nzone = 1\n";
 
-#[test]
-fn the_order_that_fronts_shed_in_is_held_against_the_fleets() {
-    assert_eq!(ranks(&[0.5, 0.1, 0.5, 0.9]), [1.5, 0.0, 1.5, 3.0]);
-    let (one, same, turned) = (
-        ranks(&[0.1, 0.2, 0.3]),
-        ranks(&[1.0, 5.0, 9.0]),
-        ranks(&[3.0, 2.0, 1.0]),
-    );
-    assert!((correlation(&one, &same) - 1.0).abs() < 1e-9);
-    assert!((correlation(&one, &turned) + 1.0).abs() < 1e-9);
-}
-
 fn sent(at: i64, statements: usize, passed: bool) -> Relayed {
     Relayed {
         at,
--- a/crates/lab/src/record/offered.rs
+++ b/crates/lab/src/record/offered.rs
@@ -1,7 +1,7 @@
 //! A statement as its client saw it, and what excuses its front.
 
+use super::starved::Starved;
 use crate::check::StatementRecord;
-use crate::rig::starved::Starved;
 
 const EXCUSED: i64 = 70_000_000; // microseconds; the longest that a client waits for any answer
 
--- a/crates/lab/src/record/unpromised.rs
+++ b/crates/lab/src/record/unpromised.rs
@@ -5,8 +5,8 @@
 use super::account::Offered;
 use super::cuts::Connectivity;
 use super::executions::Execution;
+use super::starved::Starved;
 use crate::check::{Repeat, Violations};
-use crate::rig::starved::Starved;
 
 /// Microseconds from a cut until what left before it has come to its engine.
 const ON_ITS_WAY: i64 = 300_000;
--- a/crates/lab/src/rig/agreed.rs
+++ b/crates/lab/src/rig/agreed.rs
@@ -3,6 +3,7 @@
 use serde_json::json;
 
 use super::scenario::{Class, Effect, Scenario};
+use crate::engine::lines::Warmth;
 
 /// What was agreed with the fronts of a scenario.
 pub fn settings(scenario: &Scenario) -> serde_json::Value {
@@ -73,3 +74,19 @@
 pub fn zone_name(zone: usize) -> String {
     format!("z{zone}")
 }
+
+/// How the engines of a scenario warm up.
+pub fn warmth(scenario: &Scenario) -> Warmth {
+    let engine = &scenario.engine;
+    let memory = engine
+        .memory_mb
+        .checked_div(scenario.load.memory_mb)
+        .map_or(usize::MAX, |fit| fit as usize);
+    let warm_us = engine.warm_ms as i64 * 1000;
+    Warmth {
+        cold: engine.cold_slots,
+        warm: engine.slots,
+        warm_us,
+        memory,
+    }
+}
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -15,12 +15,15 @@
 use super::relay::{Link, Relayed};
 use super::scenario::{Fault, FleetShape, Scenario, Step};
 use super::stage::Stage;
-use super::starved::{self, Starved};
+use super::starvation_watch::StarvationWatch;
 use super::Coordinator;
 use crate::engine::lines::{Engine, RowStore};
 use crate::engine::Records;
 use crate::load::offer::offer;
-use crate::record::account::{judge, warmth, Account, Run};
+use crate::record::account::{Account, Run};
+use crate::record::judge::judge;
+use crate::record::starved::Starved;
+use crate::rig::agreed::warmth;
 
 const LATELY_US: i64 = 2_000_000; // microseconds of words between fronts that count as of now
 const SLACK_US: i64 = 400_000; // microseconds for a final answer on a busy machine
@@ -315,7 +318,7 @@
         let scenario = scenario.clone();
         std::thread::spawn(move || offer(&scenario, seed, &members, &record, &stop))
     };
-    let watch = starved::Watch::start(&fleet.members, &fleet.records);
+    let watch = StarvationWatch::start(&fleet.members, &fleet.records);
     let stage = fleet.stage();
     let mut faults = scenario.faults.clone();
     faults.sort_by_key(|f| f.at_ms);
--- a/crates/lab/src/rig/member.rs
+++ b/crates/lab/src/rig/member.rs
@@ -14,7 +14,7 @@
 use super::scenario::FleetShape;
 use super::{Coordinator, Front};
 use crate::engine::Records;
-use crate::record::account::Offered;
+use crate::record::offered::Offered;
 
 /// Microseconds for which clients still come to a front that was asked to end: half of what its door stays open.
 const STILL_COME: i64 = 300_000;
--- a/crates/lab/src/rig/mod.rs
+++ b/crates/lab/src/rig/mod.rs
@@ -14,7 +14,7 @@
 pub mod scenario;
 pub mod sites;
 mod stage;
-pub mod starved;
+pub mod starvation_watch;
 
 pub use coordinator::Coordinator;
 pub use front::Front;
--- a/crates/lab/src/rig/starved.rs
+++ b/crates/lab/src/rig/starvation_watch.rs
@@ -8,61 +8,9 @@
 
 use super::member::Member;
 use crate::engine::Records;
+use crate::record::starved::{Starved, StarvedSpan};
 
 const LOOK: Duration = Duration::from_millis(20); // between looks
-const SPAN: i64 = 1_000_000; // microseconds of a span that is looked at as one
-/// Microseconds without a CPU in a span that make fronts take each other for silent: less than an owner's election.
-const MUCH: i64 = 200_000;
-
-/// What was seen: who (a front, or the rig itself after the last), from when to when, and for how long of it.
-#[derive(Clone, Debug, Default)]
-pub struct Starved(Vec<(Option<usize>, (i64, i64), i64)>);
-
-impl Starved {
-    #[cfg(test)]
-    pub fn of(front: usize, span: (i64, i64), waited: i64) -> Starved {
-        Starved(vec![(Some(front), span, waited)])
-    }
-
-    #[cfg(test)]
-    pub fn of_rig(span: (i64, i64), waited: i64) -> Starved {
-        Starved(vec![(None, span, waited)])
-    }
-
-    fn waited(&self, who: Option<usize>, (from, to): (i64, i64)) -> i64 {
-        let own = self
-            .0
-            .iter()
-            .filter(|(own, (f, t), _)| *own == who && *f < to && from < *t);
-        own.map(|(.., waited)| waited).sum()
-    }
-
-    /// Microseconds for which a front had no CPU in a span.
-    pub fn front(&self, front: usize, span: (i64, i64)) -> i64 {
-        self.waited(Some(front), span)
-    }
-
-    /// The same of the rig, which carries all words.
-    pub fn rig(&self, span: (i64, i64)) -> i64 {
-        self.waited(None, span)
-    }
-
-    /// Spans in which some front, or the rig, had none for so long that others could take it for silent.
-    pub fn spans(&self) -> Vec<(i64, i64)> {
-        let mut much = std::collections::BTreeMap::<(i64, Option<usize>), i64>::new();
-        for (who, (_, to), waited) in &self.0 {
-            *much.entry((to / SPAN, *who)).or_default() += waited;
-        }
-        much.retain(|_, waited| *waited >= MUCH);
-        let mut spans: Vec<i64> = much.into_keys().map(|(span, _)| span).collect();
-        spans.dedup();
-        spans
-            .into_iter()
-            .map(|span| ((span - 1) * SPAN, (span + 1) * SPAN))
-            .collect()
-    }
-}
-
 /// Microseconds that a thread has waited for a CPU, by the kernel's account; none where it keeps none.
 fn waited(thread: &str) -> Option<i64> {
     let text = std::fs::read_to_string(format!("/proc/{thread}/schedstat")).ok()?;
@@ -75,16 +23,16 @@
 }
 
 /// Looks on until it is ended.
-pub struct Watch {
+pub struct StarvationWatch {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<Starved>,
 }
 
-impl Watch {
-    pub(super) fn start(members: &[Arc<Member>], records: &Arc<Records>) -> Watch {
+impl StarvationWatch {
+    pub(super) fn start(members: &[Arc<Member>], records: &Arc<Records>) -> StarvationWatch {
         let stop = Arc::new(AtomicBool::new(false));
         let (members, records, over) = (members.to_vec(), records.clone(), stop.clone());
-        Watch {
+        StarvationWatch {
             stop,
             thread: std::thread::spawn(move || look(&members, &records, &over)),
         }
@@ -105,7 +53,12 @@
         let late = began.elapsed().saturating_sub(LOOK).as_micros() as i64;
         let now = records.now();
         if late > LOOK.as_micros() as i64 {
-            seen.0.push((None, (before, now), late));
+            seen.push(StarvedSpan {
+                front: None,
+                from: before,
+                to: now,
+                waited: late,
+            });
         }
         for (front, member) in members.iter().enumerate() {
             let pid = member
@@ -125,7 +78,12 @@
             };
             last[front] = (pid, all);
             if all > since {
-                seen.0.push((Some(front), (before, now), all - since));
+                seen.push(StarvedSpan {
+                    front: Some(front),
+                    from: before,
+                    to: now,
+                    waited: all - since,
+                });
             }
         }
         before = now;
@@ -134,5 +92,5 @@
 }
 
 #[cfg(test)]
-#[path = "starved_tests.rs"]
+#[path = "starvation_watch_tests.rs"]
 mod tests;
--- a/crates/lab/src/scripted.rs
+++ b/crates/lab/src/scripted.rs
@@ -13,7 +13,7 @@
 
 use self::session::{code, come_to, lost, tags, Session, PATIENCE};
 use crate::check::{Outcome, Repeat, StatementRecord, Transaction};
-use crate::prove::postgres::Notes;
+use crate::prove::postgres::notes::Notes;
 
 /// Plays scripts in a drawn order until the run ends.
 pub fn play(seed: u64, at: SocketAddr, notes: &Arc<Notes>) {
--- a/crates/lab/src/simulated/run.rs
+++ b/crates/lab/src/simulated/run.rs
@@ -13,8 +13,10 @@
 use super::simulation::{
     secret, Engine, Event, Member, Mutation, Simulation, AFTER, SETTLES, SLACK, WALL,
 };
-use crate::record::account::{judge, warmth, Account, Offered, Run};
+use crate::record::account::{Account, Offered, Run};
+use crate::record::judge::judge;
 use crate::rig::agreed;
+use crate::rig::agreed::warmth;
 use crate::rig::datagrams::DatagramFaults;
 use crate::rig::scenario::Scenario;
 
