--- a/crates/lab/src/record/judge.rs
+++ b/crates/lab/src/record/judge.rs
@@ -11,7 +11,7 @@
 use self::shedding::shed;
 use self::table::table;
 use self::zones::{link_cut, zone_lost};
-use super::account::{Account, Run, Tallies, SECOND};
+use super::account::{Account, Run, SECOND};
 use super::{attempts, given_up, herd, promises};
 use crate::check::{self, Agreed, Outcome, StatementRecord};
 use crate::engine::EngineEvent;
