--- a/crates/access/src/hits/sweep.rs
+++ b/crates/access/src/hits/sweep.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use hallmux_ledger::{Act, Outcome, Owner};
+use hallmux_ledger::{Operation, Outcome, Owner};
 
 use super::fold::{part_of, VersionedPart, FOLDED_PARTS};
 use super::storage::{decode, decode_counts, folded_key, list_key, page_key, ListedIncarnation};
@@ -68,7 +68,7 @@
                 ),
                 Read::FoldedPart(part) => (Pending::FoldedPart(part), folded_key(part)),
             };
-            self.ask(number, pending, key, Act::Read);
+            self.ask(number, pending, key, Operation::Read);
         }
         if let Some(sweep) = self.sweep.take_if(|sweep| sweep.out == 0) {
             let counts = self.sum();
--- a/crates/access/src/versions/change.rs
+++ b/crates/access/src/versions/change.rs
@@ -1,6 +1,6 @@
 //! How this front changes the fleet's version: its file's parts, then the head; and how it says that one is in force.
 
-use hallmux_ledger::{Act, Entry, Key};
+use hallmux_ledger::{Entry, Key, Operation};
 
 use super::{Offer, Pending, StoredHead, Versions};
 use crate::error::Refused;
@@ -130,12 +130,12 @@
             offer.parts_stored = 0;
         }
         for (key, value) in keys.into_iter().zip(parts) {
-            let act = Act::Put {
+            let operation = Operation::Put {
                 expects: None,
                 ends_ms: 0,
                 value,
             };
-            self.ask(at, Pending::PutPart, key, act);
+            self.ask(at, Pending::PutPart, key, operation);
         }
     }
 
@@ -144,13 +144,13 @@
         let stored = self.head.as_ref();
         let NextHead { head, dropped } =
             Head::after(stored.map(|stored| &stored.head), wanted, in_force);
-        let act = Act::Put {
+        let operation = Operation::Put {
             expects: Some(stored.map_or(0, |stored| stored.version)),
             ends_ms: 0,
             value: head.bytes(),
         };
         let to = wanted;
-        self.ask(at, Pending::Swap { to, dropped }, head_key(), act);
+        self.ask(at, Pending::Swap { to, dropped }, head_key(), operation);
         if let Some(offer) = &mut self.offer {
             offer.swapping = true;
             offer.wanted = Some(wanted);
@@ -184,12 +184,12 @@
             .is_some_and(|stored| stored.head.current == to);
         // Parts that nothing names any more end after a while.
         for key in dropped.into_iter().flat_map(part_keys) {
-            let act = Act::Put {
+            let operation = Operation::Put {
                 expects: None,
                 ends_ms: at.wall_ms + DROPPED_PARTS_MS,
                 value: Vec::new(),
             };
-            self.ask(at, Pending::ExpirePart, key, act);
+            self.ask(at, Pending::ExpirePart, key, operation);
         }
     }
 
@@ -202,11 +202,11 @@
             in_force: true,
             ..head.clone()
         };
-        let act = Act::Put {
+        let operation = Operation::Put {
             expects: Some(*version),
             ends_ms: 0,
             value: confirmed.bytes(),
         };
-        self.ask(at, Pending::ConfirmInForce, head_key(), act);
+        self.ask(at, Pending::ConfirmInForce, head_key(), operation);
     }
 }
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -19,7 +19,7 @@
 use hallmux_gossip::node::Datagram;
 use hallmux_gossip::seal::{peer_id, Keys};
 use hallmux_gossip::PeerId;
-use hallmux_ledger::{Ask, Done};
+use hallmux_ledger::{LedgerAnswer, LedgerRequest};
 
 use super::copies::{random_disk_id, Copies, Write};
 use super::members::{members, LedgerMembers};
@@ -63,7 +63,7 @@
     log: LogState,
     messages: BTreeMap<Channel, Vec<PeerMessage>>,
     /// Answers of the ledger that their part of this front has not taken yet.
-    done: Vec<Done>,
+    done: Vec<LedgerAnswer>,
     /// A ledger is kept.
     has_ledger: bool,
 }
@@ -236,13 +236,13 @@
     }
 
     /// Asks the ledger; the answer comes with `promised`.
-    pub fn ask(&mut self, now: Micros, ask: Ask) {
+    pub fn ask(&mut self, now: Micros, ask: LedgerRequest) {
         let out = self.exchange.ask_ledger(self.moment(now), ask);
         self.send(now, out);
     }
 
     /// What the ledger has answered to the part of this front whose asks have that highest byte.
-    pub fn ledger_answers(&mut self, part: u64) -> Vec<Done> {
+    pub fn ledger_answers(&mut self, part: u64) -> Vec<LedgerAnswer> {
         self.done.extend(self.exchange.ledger_answers());
         let (told, others) = std::mem::take(&mut self.done)
             .into_iter()
