--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -52,6 +52,7 @@
     /// Statements a second inside each customer's share: over all fronts.
     customers_per_s: Vec<f64>,
     fronts: f64,
+    /// This front's part of each customer's share.
     buckets: Vec<TokenBucket>,
     /// The share of what each customer asks the fleet that is beyond its own; none: not known.
     beyond: Vec<f64>,
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -124,6 +124,7 @@
 pub struct ConcurrencyLimits {
     scope: LimitScope,
     fronts: f64,
+    /// Threads, by engine.
     limits: Vec<f64>,
 }
 
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -28,6 +28,7 @@
     next: usize,
     /// Of the fleet's budget.
     tokens: TokenBucket,
+    /// When each engine was last probed.
     probed_at: Vec<Micros>,
 }
 
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -36,7 +36,9 @@
 
 #[derive(Clone, Copy, Default)]
 struct OthersLoad {
+    /// What other fronts hold there, as far as is known.
     held: Load,
+    /// What this front held there when the engine reported.
     own_at_report: Load,
     reported_at: Micros,
 }
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -53,6 +53,7 @@
 
 #[derive(Clone, Copy)]
 struct Health {
+    /// 0 to 1.
     credit: f64,
     unreachable_in_a_row: usize,
     ejected_until: Micros,
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -63,8 +63,11 @@
 #[derive(Default)]
 pub struct RetryBudget {
     budget: Option<RetryAllowance>,
+    /// Attempts that a statement may have, its first included.
     max_attempts: usize,
+    /// When statements were admitted, within the window.
     admissions: Times,
+    /// When statements were sent again, within the window.
     retries: Times,
 }
 
