--- a/src/scheduler/expire.rs
+++ b/src/scheduler/expire.rs
@@ -1,9 +1,8 @@
 //! Statements that end without a result, and attempts that are cancelled.
 
-use crate::interface::{Action, Effect, EngineId, Micros, RejectReason, StatementId};
-use crate::policy::deadlines::rejected_at;
+use crate::interface::{Action, EngineId, RejectReason, StatementId};
 use crate::policy::idempotency::{answer_without_result, Answer};
-use crate::policy::retry::{RetryOutcome, RetryRequest};
+use crate::policy::penalty::Timeliness;
 use crate::policy::shedding::{retry_after, ShedRequest};
 use crate::statement::Statement;
 
@@ -45,31 +44,6 @@
             .reason_at_expiry(others_wait, self.clock.now)
     }
 
-    /// Why a statement whose attempt ended without a result has none again, if it has none.
-    pub(super) fn no_retry_reason(&self, statement: &Statement) -> Option<RejectReason> {
-        if !self.has_safe_engine(statement) {
-            return Some(RejectReason::NoSafeEngine);
-        }
-        let expiring = self.clock.now >= rejected_at(statement.deadline);
-        self.check_retry(statement)
-            .reject_reason()
-            .or(expiring.then_some(RejectReason::Expiring))
-    }
-
-    /// Whether a statement may be attempted again.
-    fn check_retry(&self, statement: &Statement) -> RetryOutcome {
-        let request = RetryRequest {
-            attempts: statement.attempts.len(),
-            sticky: statement.asked.sticky_engine.is_some(),
-        };
-        self.retry_budget.check(request, self.clock.now)
-    }
-
-    /// Whether a retry of a statement is allowed.
-    pub(super) fn may_retry(&self, statement: &Statement) -> bool {
-        self.check_retry(statement) == RetryOutcome::Allowed
-    }
-
     /// Whether the engine that holds its transaction takes nothing new any more.
     pub(super) fn sticky_engine_closed(&self, statement: &Statement) -> bool {
         let is_open = |engine: EngineId| self.engines.open.get(engine).is_some_and(|open| *open);
@@ -79,25 +53,6 @@
             .is_some_and(|engine| !is_open(engine))
     }
 
-    /// Cancels an attempt, if its statement may be attempted again in time.
-    pub(super) fn cancel_to_retry(&mut self, id: StatementId, number: usize) {
-        let statement = &self.statements[&id];
-        let run = self.estimates.usual_run(statement.asked.workload) as Micros;
-        let in_time = self.clock.now + run < statement.deadline;
-        let idempotent = self.workload(statement).effect == Effect::Idempotent;
-        if idempotent
-            && self.may_retry(statement)
-            && in_time
-            && self.agreed.cancel
-            && !statement.over
-        {
-            self.actions.push(Action::Cancel {
-                statement: id,
-                execution: number,
-            });
-        }
-    }
-
     /// Ends a statement without a result: a rejection where trying again is harmless, else an abort.
     pub(super) fn reject(&mut self, id: StatementId, reason: RejectReason) {
         let statement = &self.statements[&id];
@@ -115,12 +70,14 @@
             },
         };
         self.actions.push(action);
-        self.client_retries.shed(workload, first_try);
-        self.close(id, false);
+        if first_try {
+            self.client_retries.first_attempt_shed(workload);
+        }
+        self.close(id, Timeliness::NotTimely);
     }
 
     /// Counts a statement that is over, and lets go of all it holds but attempts still in flight.
-    pub(super) fn close(&mut self, id: StatementId, timely: bool) {
+    pub(super) fn close(&mut self, id: StatementId, timeliness: Timeliness) {
         self.dequeue(id);
         let Some(statement) = self
             .statements
@@ -139,18 +96,18 @@
             };
             self.actions.extend(unresolved.iter().map(cancel));
         }
-        self.count_closed(id, class, timely);
+        self.count_closed(id, class, timeliness);
         self.order_queues.remove(key, id, unresolved.len());
         self.enqueue_first_in_order(key);
         self.forget(id);
     }
 
     /// Counts a statement that is over in its class; a change of level changes priorities.
-    fn count_closed(&mut self, id: StatementId, class: usize, timely: bool) {
+    fn count_closed(&mut self, id: StatementId, class: usize, timeliness: Timeliness) {
         let counts = &mut self.queues.classes[class];
         counts.in_flight.remove(&id);
         let was_top = counts.conformance.is_top_level();
-        counts.conformance.count(timely, self.clock.now);
+        counts.conformance.count(timeliness, self.clock.now);
         if counts.conformance.is_top_level() != was_top {
             for other in counts.in_flight.clone() {
                 self.update_priority(other);
