--- a/crates/front/src/fleet/copies.rs
+++ b/crates/front/src/fleet/copies.rs
@@ -17,10 +17,14 @@
 /// Under one key, the identity of the disk: with the records, so that it is lost only with them.
 const IDENTITY: TableDefinition<u8, u64> = TableDefinition::new("identity");
 const FILE: &str = "promises.redb";
-const CACHE: usize = 4 * 1_024 * 1_024; // bytes: the ledger holds all of it in memory itself
-const QUEUE_LENGTH: usize = 4_096; // saves that wait for the disk: some seconds' worth
-const MOST_PER_COMMIT: usize = 256; // writes in one commit at most
-const SLOW_COMMIT: Duration = Duration::from_secs(1); // a commit that takes longer is logged, once
+/// Bytes: the ledger holds all of it in memory itself.
+const CACHE: usize = 4 * 1_024 * 1_024;
+/// Writes that wait for the disk: some seconds' worth.
+const QUEUE_LENGTH: usize = 4_096;
+/// Writes in one commit at most.
+const MOST_PER_COMMIT: usize = 256;
+/// A commit that takes longer is logged, once.
+const SLOW_COMMIT: Duration = Duration::from_secs(1);
 
 /// Why copies can't be kept in a directory.
 #[derive(Debug, thiserror::Error)]
@@ -46,6 +50,29 @@
     pub datagrams: Vec<Datagram>,
 }
 
+/// What became of the writes up to a number.
+pub struct WriteOutcome {
+    pub number: u64,
+    /// False where the write has failed: nothing is promised on it.
+    pub is_durable: bool,
+}
+
+impl WriteOutcome {
+    fn durable(number: u64) -> WriteOutcome {
+        WriteOutcome {
+            number,
+            is_durable: true,
+        }
+    }
+
+    fn failed(number: u64) -> WriteOutcome {
+        WriteOutcome {
+            number,
+            is_durable: false,
+        }
+    }
+}
+
 /// What was found in a directory.
 pub struct Found {
     pub disk: DiskId,
@@ -55,9 +82,8 @@
 /// The thread that writes copies, as the event loop sees it.
 pub struct Copies {
     writes: SyncSender<Write>,
-    /// Numbers of the writes that are durable, or have failed.
-    durable: Receiver<(u64, bool)>,
-    results: Sender<(u64, bool)>,
+    durable: Receiver<WriteOutcome>,
+    results: Sender<WriteOutcome>,
     /// Held while this front runs: two on one directory would vote twice.
     _lock: Option<File>,
 }
@@ -135,12 +161,12 @@
         let number = write.number;
         if self.writes.try_send(write).is_err() {
             // The thread has said so, or the disk is seconds behind: nothing is promised on it any more.
-            let _ = self.results.send((number, false));
+            let _ = self.results.send(WriteOutcome::failed(number));
         }
     }
 
     /// Writes that are durable, or have failed, since the last call.
-    pub fn durable(&self) -> Vec<(u64, bool)> {
+    pub fn durable(&self) -> Vec<WriteOutcome> {
         self.durable.try_iter().collect()
     }
 }
@@ -216,7 +242,7 @@
     database: &Database,
     to_write: &Receiver<Write>,
     socket: &UdpSocket,
-    results: &Sender<(u64, bool)>,
+    results: &Sender<WriteOutcome>,
     wake: impl Fn(),
 ) {
     let mut slow = false;
@@ -229,11 +255,11 @@
             log::error!(
                 "ledger.directory {directory}: {e}; this front keeps no copies there any more in this life"
             );
-            let _ = results.send((last, false));
+            let _ = results.send(WriteOutcome::failed(last));
             wake();
-            to_write
-                .iter()
-                .for_each(|write| _ = results.send((write.number, false)));
+            for write in to_write {
+                let _ = results.send(WriteOutcome::failed(write.number));
+            }
             return;
         }
         if began.elapsed() >= SLOW_COMMIT && !std::mem::replace(&mut slow, true) {
@@ -245,7 +271,7 @@
         writes
             .iter()
             .for_each(|write| send(socket, &write.datagrams));
-        let _ = results.send((last, true));
+        let _ = results.send(WriteOutcome::durable(last));
         wake();
     }
 }
--- a/crates/front/src/fleet/copies_tests.rs
+++ b/crates/front/src/fleet/copies_tests.rs
@@ -56,10 +56,9 @@
 
 /// The next word on a save.
 fn said(copies: &Copies) -> (u64, bool) {
-    copies
-        .durable
-        .recv_timeout(Duration::from_secs(10))
-        .unwrap()
+    let outcome = copies.durable.recv_timeout(Duration::from_secs(10));
+    let WriteOutcome { number, is_durable } = outcome.unwrap();
+    (number, is_durable)
 }
 
 #[test]
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -21,7 +21,7 @@
 use hallmux_gossip::PeerId;
 use hallmux_ledger::{Ask, Done};
 
-use super::copies::{random_disk_id, Copies, Write};
+use super::copies::{random_disk_id, Copies, Write, WriteOutcome};
 use super::members::{members, LedgerMembers};
 use super::votes::Votes;
 use crate::shutdown::LedgerDuty;
@@ -221,11 +221,11 @@
             .as_ref()
             .map(Copies::durable)
             .unwrap_or_default();
-        for (number, ok) in durable {
+        for WriteOutcome { number, is_durable } in durable {
             let at = self.moment(now);
-            let out = self.exchange.ledger_saved(at, number, ok);
+            let out = self.exchange.ledger_saved(at, number, is_durable);
             self.send(now, out);
-            if !ok && self.memory_on_disk_failure && self.copies.take().is_some() {
+            if !is_durable && self.memory_on_disk_failure && self.copies.take().is_some() {
                 log::error!(
                     "copies of promises are in memory alone from now on, as a front's that remembers nothing"
                 );
@@ -286,10 +286,13 @@
 
     /// What of the ledger depends on this front.
     pub fn ledger_duty(&self, now: Micros) -> LedgerDuty {
-        LedgerDuty::of(
-            self.exchange.is_needed(self.moment(now)),
-            self.exchange.hands_over(),
-        )
+        if self.exchange.is_needed(self.moment(now)) {
+            LedgerDuty::NeededForQuorum
+        } else if self.exchange.hands_over() {
+            LedgerDuty::OwnsShards
+        } else {
+            LedgerDuty::None
+        }
     }
 
     /// This front ends: what it owns of the ledger is handed over, and some peers are notified, which notify the others.
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -118,7 +118,14 @@
     server: ServerId,
     by: Micros,
     /// What is over once the engine has taken it.
-    ends: Option<(ExecutionId, Ending)>,
+    ends: Option<PendingEnd>,
+}
+
+/// An execution that is over once its engine has taken the request to cancel it, and how it ends.
+#[derive(Clone, Copy)]
+struct PendingEnd {
+    execution_id: ExecutionId,
+    ending: Ending,
 }
 
 struct EngineEntry {
@@ -213,7 +220,11 @@
 
     /// Whether an execution is one of its own, also where it only waits for its request to cancel.
     pub fn has(&self, execution_id: ExecutionId) -> bool {
-        let ends = |cancel: &Cancel| cancel.ends.is_some_and(|(other, _)| other == execution_id);
+        let ends = |cancel: &Cancel| {
+            cancel
+                .ends
+                .is_some_and(|end| end.execution_id == execution_id)
+        };
         self.executions.contains_key(&execution_id) || self.cancels.values().any(ends)
     }
 
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -4,7 +4,7 @@
 use hallmux_postgres::pool::Released;
 use hallmux_postgres::wire;
 
-use super::{Cancel, Event, Server, Servers, Stage};
+use super::{Cancel, Event, PendingEnd, Server, Servers, Stage};
 use crate::events::SocketKind;
 use crate::execution::ExecutionId;
 use crate::link::Link;
@@ -43,7 +43,10 @@
         self.executions.remove(&execution_id);
         let held = self.links.get(&id).is_some_and(|l| l.holds.is_some());
         if self.allowance.cancel || held {
-            let ends = (!at_once).then_some((execution_id, ending));
+            let ends = (!at_once).then_some(PendingEnd {
+                execution_id,
+                ending,
+            });
             let asked = self.allowance.cancel && self.ask_to_cancel(now, id, ends);
             self.close(id);
             if at_once || !asked {
@@ -69,8 +72,11 @@
         if ending != Ending::TimeUp {
             return;
         }
-        let waits =
-            |cancel: &&mut Cancel| cancel.ends.is_some_and(|(other, _)| other == execution_id);
+        let waits = |cancel: &&mut Cancel| {
+            cancel
+                .ends
+                .is_some_and(|end| end.execution_id == execution_id)
+        };
         if let Some(cancel) = self.cancels.values_mut().find(waits) {
             cancel.ends = None;
             self.events.push(Event::Ended {
@@ -126,12 +132,7 @@
     }
 
     /// Sends a request to cancel over a connection of its own.
-    fn ask_to_cancel(
-        &mut self,
-        now: Micros,
-        id: ServerId,
-        ends: Option<(ExecutionId, Ending)>,
-    ) -> bool {
+    fn ask_to_cancel(&mut self, now: Micros, id: ServerId, ends: Option<PendingEnd>) -> bool {
         let Some(server) = self.links.get_mut(&id) else {
             return false;
         };
@@ -198,7 +199,11 @@
         let Some(cancel) = self.cancels.remove(&number) else {
             return;
         };
-        if let Some((execution_id, ending)) = cancel.ends {
+        if let Some(PendingEnd {
+            execution_id,
+            ending,
+        }) = cancel.ends
+        {
             self.events.push(Event::Ended {
                 execution_id,
                 ending,
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -64,6 +64,26 @@
     pub marks: Option<&'a Marks>,
 }
 
+/// A statement that waits for audits alone, until the time given.
+struct AuditWait {
+    until: Micros,
+    ticket: Ticket,
+}
+
+/// Which part of which whole a statement is.
+struct PartOf {
+    whole: Ticket,
+    /// The number of the part in the whole's plan.
+    place: usize,
+}
+
+/// Sites asked and left out so far, for the log.
+#[derive(Clone, Copy, Default)]
+struct SiteCounts {
+    asked: u64,
+    left_out: u64,
+}
+
 /// Statements that are asked of several sites.
 pub struct ScatteredStatements {
     settings: Scatter,
@@ -73,13 +93,12 @@
     pub loads: Option<Loads>,
     /// Audits of sites' summaries, where they are switched on, and statements that wait for nothing else, until when.
     audits: Option<SiteAudits>,
-    audit_waits: VecDeque<(Micros, Ticket)>,
+    audit_waits: VecDeque<AuditWait>,
     open: HashMap<Ticket, Statement>,
     /// Whose parts they are, and in which places.
-    parts: HashMap<Ticket, (Ticket, usize)>,
+    parts: HashMap<Ticket, PartOf>,
     replies: Vec<(Ticket, FinalReply)>,
-    /// Sites asked, left out, and of how many in all.
-    counts: (u64, u64),
+    counts: SiteCounts,
     /// Of those asked, how many had no row, by why they were asked.
     asked_without_rows: BTreeMap<Reason, u64>,
     last_log: Micros,
@@ -111,7 +130,7 @@
             open: HashMap::new(),
             parts: HashMap::new(),
             replies: Vec::new(),
-            counts: (0, 0),
+            counts: SiteCounts::default(),
             asked_without_rows: BTreeMap::new(),
             last_log: 0,
         })
@@ -303,8 +322,8 @@
 
     /// Notes in a statement which sites are asked though they were ruled out, and counts those asked and left out.
     fn note_plan(&mut self, now: Micros, ticket: Ticket, plan: &Plan) {
-        self.counts.0 += plan.parts.len() as u64;
-        self.counts.1 += plan.pruned.len() as u64;
+        self.counts.asked += plan.parts.len() as u64;
+        self.counts.left_out += plan.pruned.len() as u64;
         let Some(statement) = self.open.get_mut(&ticket) else {
             return;
         };
@@ -336,13 +355,17 @@
             .get(&ticket)
             .and_then(|statement| statement.whole.as_ref());
         if whole.is_some_and(Gather::only_audits_pending) {
-            self.audit_waits.push_back((now + AUDIT_TIMEOUT, ticket));
+            self.audit_waits.push_back(AuditWait {
+                until: now + AUDIT_TIMEOUT,
+                ticket,
+            });
         }
     }
 
     /// Answers those that have waited long enough for audits alone.
     pub fn finish_audits(&mut self, now: Micros, dispatcher: &mut Dispatcher) {
-        while let Some((_, ticket)) = self.audit_waits.pop_front_if(|(until, _)| *until <= now) {
+        while let Some(wait) = self.audit_waits.pop_front_if(|wait| wait.until <= now) {
+            let ticket = wait.ticket;
             let whole = self
                 .open
                 .get_mut(&ticket)
@@ -362,7 +385,8 @@
                 Action::Start(place) => match submit_part(now, statement, place, dispatcher) {
                     Ok(part) => {
                         statement.tickets.insert(place, part);
-                        self.parts.insert(part, (ticket, place));
+                        let whole = ticket;
+                        self.parts.insert(part, PartOf { whole, place });
                     }
                     Err(InvalidRequest::NoAllowedLocation) => {
                         let whole = statement.whole.as_mut();
@@ -401,7 +425,11 @@
         ended: Result<Vec<u8>, PartFailure>,
         dispatcher: &mut Dispatcher,
     ) {
-        let Some((ticket, place)) = self.parts.remove(&part) else {
+        let Some(PartOf {
+            whole: ticket,
+            place,
+        }) = self.parts.remove(&part)
+        else {
             return;
         };
         let Some(statement) = self.open.get_mut(&ticket) else {
@@ -485,7 +513,7 @@
         let hurry = self
             .audit_waits
             .front()
-            .map_or(Micros::MAX, |(until, _)| *until);
+            .map_or(Micros::MAX, |wait| wait.until);
         let chosen = self.summaries.choose_due().min(hurry);
         match (self.replies.is_empty(), has_peers) {
             (true, true) => self.summaries.due().min(loads).min(hurry),
--- a/crates/front/src/scatter/statements/parts.rs
+++ b/crates/front/src/scatter/statements/parts.rs
@@ -15,14 +15,14 @@
 
     /// The whole that a statement is a part of.
     pub fn whole_of(&self, part: Ticket) -> Option<Ticket> {
-        self.parts.get(&part).map(|(whole, _)| *whole)
+        self.parts.get(&part).map(|part| part.whole)
     }
 
+    /// What a part's client has asked for.
     pub fn call(&self, part: Ticket) -> Option<Rc<Call>> {
-        let (ticket, _) = self.parts.get(&part)?;
-        self.open
-            .get(ticket)
-            .map(|statement| statement.call.clone())
+        let whole = self.whole_of(part)?;
+        let statement = self.open.get(&whole)?;
+        Some(statement.call.clone())
     }
 
     /// The parts of a whole statement that are out.
--- a/crates/front/src/scatter/statements/sketches.rs
+++ b/crates/front/src/scatter/statements/sketches.rs
@@ -8,7 +8,7 @@
 use hallmux_scatter::sketch;
 use hallmux_scatter::sql::{self, Query};
 
-use super::{GroupMarks, ScatteredStatements, Statement};
+use super::{GroupMarks, ScatteredStatements, SiteCounts, Statement};
 
 impl ScatteredStatements {
     /// Reads a statement. None: it goes to the site that has all rows. An error says why it can't be
@@ -124,7 +124,7 @@
 
     /// Says what was asked and what for.
     pub(super) fn log_counts(&self) {
-        let (asked, left_out) = self.counts;
+        let SiteCounts { asked, left_out } = self.counts;
         let of = |(why, count): (&Reason, &u64)| format!(", {}: {count}", why.name());
         let asked_without_rows: String = self.asked_without_rows.iter().map(of).collect();
         log::info!(
--- a/crates/front/src/shutdown.rs
+++ b/crates/front/src/shutdown.rs
@@ -1,4 +1,5 @@
-//! The planned end: after SIGTERM a front goes on accepting and answering for a while, then closes its listener.
+//! The schedule of a graceful shutdown: after SIGTERM a front goes on accepting and answering for a grace period, then
+//! closes its listener. What is done at each step is in `event_loop/graceful_shutdown.rs`.
 
 use hallmux_dispatcher::Micros;
 
@@ -16,7 +17,8 @@
 /// Iterations of the event loop that begin after that time before the listener is closed: one to be told of a
 /// client, one to accept it, one to read from it.
 const FINAL_ITERATIONS: u8 = 3;
-const CHECK_INTERVAL: Micros = 10_000; // microseconds between checks whether all is answered
+/// Microseconds between checks whether all is answered.
+const CHECK_INTERVAL: Micros = 10_000;
 
 /// What of the ledger depends on this front, and so delays its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,17 +30,6 @@
     NeededForQuorum,
 }
 
-impl LedgerDuty {
-    /// `needed`: a shard has no majority without this front. `hands_over`: it owns shards.
-    pub fn of(needed: bool, hands_over: bool) -> LedgerDuty {
-        match (needed, hands_over) {
-            (true, _) => LedgerDuty::NeededForQuorum,
-            (false, true) => LedgerDuty::OwnsShards,
-            (false, false) => LedgerDuty::None,
-        }
-    }
-}
-
 /// How far a graceful shutdown has come.
 #[derive(Default)]
 pub struct Shutdown {
