--- a/crates/access/tests/alone.rs
+++ b/crates/access/tests/alone.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use hallmux_access::{
-    read, Access, AccessConfig, Act, ChangedDecision, Decision, Done, Entry, Event, FleetHits, Key,
-    KnownNames, Moment, Outcome, Owner, Permission, Request, RulesCommand, Terms,
-    WorkloadLocations,
+    read, Access, AccessConfig, ChangedDecision, Decision, Entry, Event, FleetHits, HeldVersion,
+    Key, KnownNames, LedgerAnswer, Moment, Operation, Outcome, Owner, Permission, Request,
+    RulesCommand, Terms, WorkloadLocations,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -105,10 +105,10 @@
                     break;
                 }
                 for ask in out.ledger_requests {
-                    let outcome = self.act(&ask.key, ask.act);
+                    let outcome = self.operation(&ask.key, ask.operation);
                     self.access.on_ledger_answer(
                         self.at(),
-                        Done {
+                        LedgerAnswer {
                             number: ask.number,
                             outcome,
                         },
@@ -118,13 +118,13 @@
         }
     }
 
-    fn act(&mut self, key: &Key, act: Act) -> Outcome {
+    fn operation(&mut self, key: &Key, operation: Operation) -> Outcome {
         let current = self.ledger.get(key).cloned();
-        let Act::Put {
+        let Operation::Put {
             expects,
             ends_ms,
             value,
-        } = act
+        } = operation
         else {
             return current.map_or(Outcome::Absent, Outcome::Stands);
         };
@@ -153,7 +153,10 @@
         self.advance(6_000);
         assert_eq!(
             self.access.version(self.now),
-            (command(text).version(), true)
+            HeldVersion {
+                version: command(text).version(),
+                may_judge: true
+            }
         );
     }
 
@@ -297,7 +300,13 @@
         // The question changes nothing, also where it is offered.
         one.access.offer("rules.json5", &after, command(&after));
         one.advance(1_000);
-        assert_eq!(one.access.version(one.now), (1, true));
+        assert_eq!(
+            one.access.version(one.now),
+            HeldVersion {
+                version: 1,
+                may_judge: true
+            }
+        );
         after = after.replace("what_if: true", "what_if: false");
         one.holds(&after);
         let mut happened: BTreeMap<ChangedDecision, u64> = BTreeMap::new();
--- a/crates/dispatcher/src/tick.rs
+++ b/crates/dispatcher/src/tick.rs
@@ -30,7 +30,7 @@
         }
         let mut events = std::mem::take(&mut self.events);
         let first_new = self.refresh_time_left(now, &mut events);
-        for action in self.front.decide(now, events) {
+        for action in self.scheduler.decide(now, events) {
             if let Action::Reject { statement, .. } | Action::Abort { statement, .. } = &action {
                 self.count_shed(now, *statement, first_new);
             }
@@ -68,8 +68,8 @@
             };
             first_new.get_or_insert(arrival.statement);
             let statement = self.statements.get(&arrival.statement);
-            let ends = statement.map_or(now, |s| s.terms.ends);
-            arrival.time_left = ends - now;
+            let deadline = statement.map_or(now, |s| s.terms.deadline);
+            arrival.time_left = deadline - now;
         }
         first_new
     }
--- a/crates/fleet/src/gate/claims.rs
+++ b/crates/fleet/src/gate/claims.rs
@@ -107,13 +107,13 @@
             started_ms: self.started_ms,
             number,
         };
-        if let Some(act) = state.next_request(now, mark) {
+        if let Some(operation) = state.next_request(now, mark) {
             self.last_number = number;
             self.requested.insert(number, key.clone());
-            self.asks.push(ledger::Ask {
+            self.asks.push(ledger::LedgerRequest {
                 number,
                 key: key.clone(),
-                act,
+                operation,
             });
         }
         self.due = self.due.min(state.due());
@@ -127,7 +127,7 @@
         let Some(statement) = self.statements.get_mut(&ticket) else {
             return;
         };
-        let Some(held) = statement.held.filter(|held| now < held.terms.ends) else {
+        let Some(held) = statement.held.filter(|held| now < held.terms.deadline) else {
             return;
         };
         let wait_until = statement.wait_until;
@@ -169,7 +169,7 @@
 }
 
 fn claim_on(requirement: &Requirement, held: &PendingExecution, wait_until: Micros) -> Claim {
-    let ends = held.terms.ends;
+    let ends = held.terms.deadline;
     Claim {
         until_ms: requirement.until(ends),
         runs_until_ms: requirement.runs_until(ends),
