--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -8,10 +8,14 @@
 use crate::machine_clock::MachineClock;
 use crate::test_clock::TestClock;
 
-const LOGGED_DELAY: Micros = 250_000; // microseconds late that are worth a line in the log
-const FRESH_FOR: Micros = 20_000; // microseconds that a read of the sockets stays good; a fifth of what is allowed
-const COMPARE_INTERVAL: Micros = 100_000; // microseconds between looks for steps of the wall clock, for the log
-const ON_TIME: Micros = 50_000; // microseconds late that count as on time; less than an answer's slack
+/// Microseconds late that are worth a line in the log.
+const LOGGED_DELAY: Micros = 250_000;
+/// Microseconds that a read of the sockets stays good; a fifth of what is allowed.
+const FRESH_FOR: Micros = 20_000;
+/// Microseconds between looks for steps of the wall clock, for the log.
+const COMPARE_INTERVAL: Micros = 100_000;
+/// Microseconds late that count as on time; less than an answer's slack.
+const ON_TIME: Micros = 50_000;
 
 /// The time of the current iteration, and how late the iteration is.
 #[derive(Default)]
--- a/crates/front/src/fleet/faulty_disk.rs
+++ b/crates/front/src/fleet/faulty_disk.rs
@@ -8,7 +8,8 @@
 use redb::backends::FileBackend;
 use redb::StorageBackend;
 
-const MOST_MS: u64 = 60_000; // milliseconds of a sync; what is slower is as good as gone
+/// Milliseconds of a sync; what is slower is as good as gone.
+const MOST_MS: u64 = 60_000;
 
 type Io<T> = std::io::Result<T>;
 
--- a/crates/front/src/fleet/rules/log_lines.rs
+++ b/crates/front/src/fleet/rules/log_lines.rs
@@ -52,7 +52,8 @@
     }
 }
 
-const MOST_SHOWN: usize = 100; // lines on what a set would change
+/// Lines on what a set would change.
+const MOST_SHOWN: usize = 100;
 
 /// What a set would decide otherwise than the one that holds.
 pub fn what_if(found: &WhatIfReport) {
--- a/crates/front/src/fleet/votes.rs
+++ b/crates/front/src/fleet/votes.rs
@@ -11,7 +11,8 @@
 
 use super::errors::VotesError;
 
-const QUEUE_LENGTH: usize = 1_024; // writes that wait for the disk: some ten seconds' worth
+/// Writes that wait for the disk: some ten seconds' worth.
+const QUEUE_LENGTH: usize = 1_024;
 const FILE: &str = "votes";
 
 /// The votes of a voter, made durable by a thread.
--- a/crates/front/src/lingering.rs
+++ b/crates/front/src/lingering.rs
@@ -11,7 +11,8 @@
 
 use crate::link::{Link, ReadOutcome};
 
-const LINGER_TIMEOUT: Micros = 1_000_000; // microseconds; some round trips of a slow network
+/// Microseconds; some round trips of a slow network.
+const LINGER_TIMEOUT: Micros = 1_000_000;
 /// Bytes that are read and dropped: some statements of the largest size, and what the network holds. Guards
 /// against clients that never stop sending.
 const MOST_DROPPED: usize = 16 << 20;
--- a/crates/front/src/machine_clock.rs
+++ b/crates/front/src/machine_clock.rs
@@ -4,7 +4,8 @@
 
 use hallmux_dispatcher::Micros;
 
-const LEAST_STEP: Micros = 100_000; // microseconds; a clock that is slewed drifts by less between two readings
+/// Microseconds; a clock that is slewed drifts by less between two readings.
+const LEAST_STEP: Micros = 100_000;
 
 /// The wall clock's time at the start, run on by the monotonic clock. Guards against a wall clock that is set while
 /// the front runs: deadlines, windows, budgets and waits are spans of real time.
--- a/crates/front/src/postgres/gateway/loads.rs
+++ b/crates/front/src/postgres/gateway/loads.rs
@@ -11,7 +11,8 @@
 use crate::postgres::sessions::OpenSession;
 use crate::scatter::Load;
 
-const MOST_GROUPS: usize = 1_024; // groups of a text that are looked for; more than that can't be marked
+/// Groups of a text that are looked for; more than that can't be marked.
+const MOST_GROUPS: usize = 1_024;
 
 /// The answer to a unit that goes on, after a Flush, with tables that are not marked.
 pub const UNMARKED_GROUPS: ClientError = ClientError::InvalidSetting {
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -4,7 +4,7 @@
 use hallmux_postgres::pool::Released;
 use hallmux_postgres::wire;
 
-use super::{Cancel, Event, PendingEnd, Server, Servers, Stage};
+use super::{Cancel, EngineEntry, Event, Execution, PendingEnd, Server, Servers, Stage};
 use crate::events::SocketKind;
 use crate::execution::ExecutionId;
 use crate::link::Link;
@@ -277,45 +277,20 @@
         let waited = self.forget(id);
         let place = server.place;
         if let Some(engine) = self.engines.get_mut(&place) {
-            if !server.engine.is_up() {
-                if !std::mem::replace(&mut engine.failing, true) {
-                    log::warn!(
-                        "engine {}: can't be reached for sessions: {ending:?}",
-                        engine.id
-                    );
-                }
-            } else if server.serves.is_some() {
-                log::warn!(
-                    "engine {}: connection lost with a unit: {ending:?}",
-                    engine.id
-                );
-            }
+            log_lost(engine, &server, ending);
         }
+        let ending_of_waiting = if server.up && ending == Ending::Unreadable {
+            Ending::ConnectionRefused
+        } else {
+            ending
+        };
         for execution_id in waited {
-            self.report_end(
-                execution_id,
-                if server.up && ending == Ending::Unreadable {
-                    Ending::ConnectionRefused
-                } else {
-                    ending
-                },
-            );
+            self.report_end(execution_id, ending_of_waiting);
         }
         if let Some(execution_id) = server.serves {
             let execution = self.executions.get(&execution_id);
-            let whole = server.link.has_sent(server.write_end);
-            let ending = match execution.map(|execution| execution.stage) {
-                Some(Stage::Waiting) => Ending::Withdrawn,
-                // It waits here for its settings.
-                Some(_) if server.engine.is_setting() => Ending::HalfWritten,
-                // Without its Sync nothing that it does is kept, but for a commit of its own.
-                Some(Stage::Writing)
-                    if !whole && !execution.is_some_and(|execution| execution.unit.once) =>
-                {
-                    Ending::HalfWritten
-                }
-                _ => ending,
-            };
+            let ending =
+                execution.map_or(ending, |execution| ending_of(execution, &server, ending));
             self.report_end(execution_id, ending);
         }
         self.events.extend(
@@ -327,3 +302,33 @@
         self.step(now, place, step);
     }
 }
+
+/// How an execution ends whose connection was lost, by how much of it has left.
+fn ending_of(execution: &Execution, server: &Server, lost: Ending) -> Ending {
+    let has_left = server.link.has_sent(server.write_end);
+    match execution.stage {
+        Stage::Waiting => Ending::Withdrawn,
+        // It waits here for its settings.
+        _ if server.engine.is_setting() => Ending::HalfWritten,
+        // Without its Sync nothing that it does is kept, but for a commit of its own.
+        Stage::Writing if !has_left && !execution.unit.once => Ending::HalfWritten,
+        Stage::Writing | Stage::Out => lost,
+    }
+}
+
+/// Logs a lost connection. An engine that can't be reached is named once, until it is reached again.
+fn log_lost(engine: &mut EngineEntry, server: &Server, ending: Ending) {
+    if !server.engine.is_up() {
+        if !std::mem::replace(&mut engine.failing, true) {
+            log::warn!(
+                "engine {}: can't be reached for sessions: {ending:?}",
+                engine.id
+            );
+        }
+    } else if server.serves.is_some() {
+        log::warn!(
+            "engine {}: connection lost with a unit: {ending:?}",
+            engine.id
+        );
+    }
+}
--- a/crates/front/src/postgres/servers/replies.rs
+++ b/crates/front/src/postgres/servers/replies.rs
@@ -14,9 +14,12 @@
 use crate::link::{Broken, ReadOutcome};
 use crate::postgres::ids::ServerId;
 
-pub(super) const LOGIN_TIMEOUT: Micros = 2_000_000; // microseconds for a login once the connection is up; it takes a few ms
-const PING_AFTER: Micros = 300_000; // microseconds that an engine with units out may be silent before it is pinged
-const READ_SIZE: usize = 64 << 10; // bytes taken from an engine at once, and so how far a client may be behind
+/// Microseconds for a login once the connection is up; it takes a few ms.
+pub(super) const LOGIN_TIMEOUT: Micros = 2_000_000;
+/// Microseconds that an engine with units out may be silent before it is pinged.
+const PING_AFTER: Micros = 300_000;
+/// Bytes taken from an engine at once, and so how far a client may be behind.
+const READ_SIZE: usize = 64 << 10;
 
 /// How far the replies of an input were taken.
 enum RepliesTaken {
--- a/crates/front/src/postgres/servers/send.rs
+++ b/crates/front/src/postgres/servers/send.rs
@@ -14,7 +14,8 @@
 use crate::link::Link;
 use crate::postgres::ids::ServerId;
 
-const MOST_UNSENT: usize = 4 << 20; // bytes that an engine may leave untaken: some units of the largest size
+/// Bytes that an engine may leave untaken: some units of the largest size.
+const MOST_UNSENT: usize = 4 << 20;
 
 impl Servers {
     /// Sends a unit over the connection that holds its transaction, else over one that its pool gives.
--- a/crates/front/src/postgres/sessions/close.rs
+++ b/crates/front/src/postgres/sessions/close.rs
@@ -7,10 +7,14 @@
 use super::{Connection, Event, Sessions, Stage};
 use crate::postgres::ids::SessionId;
 
-const IDLE_AFTER: Micros = 1_000_000; // microseconds after which a resting session lets go of its buffers
-const GRACE: Micros = 2_000_000; // microseconds for a session without a unit out once the front ends
-const SHORTER_AT_END: Micros = 500_000; // microseconds that they linger less then: the end is due within 4 s
-const CHECK_INTERVAL: Micros = 200_000; // microseconds between looks at sessions that stand still
+/// Microseconds after which a resting session lets go of its buffers.
+const IDLE_AFTER: Micros = 1_000_000;
+/// Microseconds for a session without a unit out once the front ends.
+const GRACE: Micros = 2_000_000;
+/// Microseconds that they linger less then: the end is due within 4 s.
+const SHORTER_AT_END: Micros = 500_000;
+/// Microseconds between looks at sessions that stand still.
+const CHECK_INTERVAL: Micros = 200_000;
 
 impl Sessions {
     /// A session has no more to ask: what it holds is let go; its connection ends once all has left.
--- a/crates/front/src/reuse.rs
+++ b/crates/front/src/reuse.rs
@@ -5,9 +5,12 @@
 
 use hallmux_dispatcher::Micros;
 
-const LOSS_WINDOW: Micros = 50_000; // microseconds within which one that was dead already is lost: some round trips
-const MIN_IDLE: Micros = 10_000; // microseconds of idle time after which a connection is always used again
-const GROWTH_DIVISOR: Micros = 256; // part by which the trusted idle time grows with each answer: slower than it halves
+/// Microseconds within which one that was dead already is lost: some round trips.
+const LOSS_WINDOW: Micros = 50_000;
+/// Microseconds of idle time after which a connection is always used again.
+const MIN_IDLE: Micros = 10_000;
+/// Part by which the trusted idle time grows with each answer: slower than it halves.
+const GROWTH_DIVISOR: Micros = 256;
 
 /// The idle time, in microseconds, up to which connections are trusted.
 pub struct Reuse {
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -17,9 +17,12 @@
 
 /// The highest byte of the numbers of this part's asks: others of one front have others.
 pub const ASK_NUMBERS: u64 = 3 << 56;
-const RUN_ON: Micros = 60_000_000; // microseconds beyond a statement's end for which an execution of it may run on
-const MOST_GROUPS: usize = 1_024; // groups of tables that a load is marked for; statements are shorter than that
-const REPORT_INTERVAL: Micros = 100_000; // microseconds between reports to the dispatcher that an execution is still held
+/// Microseconds beyond a statement's end for which an execution of it may run on.
+const RUN_ON: Micros = 60_000_000;
+/// Groups of tables that a load is marked for; statements are shorter than that.
+const MOST_GROUPS: usize = 1_024;
+/// Microseconds between reports to the dispatcher that an execution is still held.
+const REPORT_INTERVAL: Micros = 100_000;
 
 /// What an execution may write, as the protocol that it came in tells it.
 pub enum Load {
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -19,8 +19,10 @@
 use super::loads::Loads;
 use super::summaries::Summaries;
 
-const AUDIT_TIMEOUT: Micros = 250_000; // microseconds that an answer waits for an audit alone: most engines answer within it
-const LOG_INTERVAL: Micros = 60_000_000; // microseconds between lines of the log that say the same
+/// Microseconds that an answer waits for an audit alone: most engines answer within it.
+const AUDIT_TIMEOUT: Micros = 250_000;
+/// Microseconds between lines of the log that say the same.
+const LOG_INTERVAL: Micros = 60_000_000;
 
 /// The final reply to a whole statement.
 #[derive(Debug, PartialEq)]
--- a/crates/front/src/scatter/summaries.rs
+++ b/crates/front/src/scatter/summaries.rs
@@ -15,10 +15,13 @@
 use hallmux_scatter::store::{StoreSettings, SummaryStore};
 use hallmux_scatter::summary::{Refused, MOST_BYTES};
 
-const LOG_INTERVAL: Micros = 60_000_000; // microseconds between lines of the log on what other fronts sent that was refused
+/// Microseconds between lines of the log on what other fronts sent that was refused.
+const LOG_INTERVAL: Micros = 60_000_000;
 
-const CHOOSE_INTERVAL: Micros = 10_000_000; // microseconds between choices of what is held
-const SAVE_INTERVAL: Micros = 60_000_000; // microseconds between saves of what was learned
+/// Microseconds between choices of what is held.
+const CHOOSE_INTERVAL: Micros = 10_000_000;
+/// Microseconds between saves of what was learned.
+const SAVE_INTERVAL: Micros = 60_000_000;
 
 pub struct Summaries {
     pub book: SummaryStore,
--- a/crates/front/src/test_clock.rs
+++ b/crates/front/src/test_clock.rs
@@ -11,9 +11,12 @@
 
 use hallmux_dispatcher::Micros;
 
-const POLL_INTERVAL: Duration = Duration::from_micros(500); // between reads of the file, in the machine's time
-const NUMBER_SIZE: u64 = 8; // bytes of a number
-                            // Offsets in bytes.
+/// Between reads of the file, in the machine's time.
+const POLL_INTERVAL: Duration = Duration::from_micros(500);
+/// Bytes of a number.
+const NUMBER_SIZE: u64 = 8;
+
+// Offsets in bytes.
 const TIME: u64 = 0;
 const QUESTION: u64 = NUMBER_SIZE;
 const DUE: u64 = 2 * NUMBER_SIZE;
--- a/crates/front/src/transient.rs
+++ b/crates/front/src/transient.rs
@@ -4,12 +4,17 @@
 use std::time::{Duration, Instant};
 
 // Numbers of Linux that the standard library has no kinds for.
-const OUT_OF_MEMORY: i32 = 12; // ENOMEM
-const SYSTEM_DESCRIPTORS: i32 = 23; // ENFILE
-const OWN_DESCRIPTORS: i32 = 24; // EMFILE
-const NO_BUFFERS: i32 = 105; // ENOBUFS
-
-const PATIENCE: Duration = Duration::from_secs(5); // a start has ten; what lasts longer is for an operator to see
+/// ENOMEM.
+const OUT_OF_MEMORY: i32 = 12;
+/// ENFILE.
+const SYSTEM_DESCRIPTORS: i32 = 23;
+/// EMFILE.
+const OWN_DESCRIPTORS: i32 = 24;
+/// ENOBUFS.
+const NO_BUFFERS: i32 = 105;
+
+/// A start has ten; what lasts longer is for an operator to see.
+const PATIENCE: Duration = Duration::from_secs(5);
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Whether the system had no descriptor, buffer or memory for the call.
