--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -95,7 +95,9 @@
         } else {
             until.max(self.now)
         };
-        (self.slept_at, self.sleep_until, self.waiting_since) = (self.now, until, None);
+        self.slept_at = self.now;
+        self.sleep_until = until;
+        self.waiting_since = None;
         match &mut self.test_clock {
             Some(test_clock) => test_clock.sleep(until.saturating_sub(self.offset)),
             None => Duration::from_micros((until - self.now) as u64),
--- a/crates/front/src/postgres/error.rs
+++ b/crates/front/src/postgres/error.rs
@@ -2,6 +2,7 @@
 
 use std::net::SocketAddr;
 
+/// Why sessions can't be taken.
 #[derive(Debug, thiserror::Error)]
 pub enum ListenError {
     #[error("postgres.listen: {at}: {why}; give the address of a free port of this machine")]
--- a/crates/front/src/scatter/audits.rs
+++ b/crates/front/src/scatter/audits.rs
@@ -26,6 +26,7 @@
     rows: u64,
 }
 
+/// Audits of sites whose summaries say that they have no rows.
 pub struct SiteAudits {
     audits: Audits,
     checks: HashMap<Ticket, PendingCheck>,
@@ -44,6 +45,7 @@
 }
 
 impl SiteAudits {
+    /// Nothing is suspected yet.
     pub fn new(settings: hallmux_config::Audits) -> SiteAudits {
         let (checks, random) = (HashMap::new(), RandomState::new());
         SiteAudits {
@@ -55,6 +57,7 @@
         }
     }
 
+    /// The settings were read again.
     pub fn set_terms(&mut self, settings: hallmux_config::Audits) {
         self.audits.reconfigure(terms(settings));
     }
@@ -73,6 +76,7 @@
         self.audits.reported_by_peer(site);
     }
 
+    /// Whether a site is asked whatever its summaries say.
     pub fn is_suspect(&self, site: &str) -> bool {
         self.audits.is_suspected(site)
     }
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -63,6 +63,7 @@
     pub outcomes: Vec<LoadOutcome>,
 }
 
+/// Executions that wait until the marks of their loads are in the ledger.
 pub struct Loads {
     marker: Marker,
     held: HashMap<ExecutionId, Held>,
@@ -95,6 +96,7 @@
 }
 
 impl Loads {
+    /// `writes` are the workloads whose statements may write, `locations` the sites' names.
     pub fn new(writes: Vec<String>, locations: Vec<String>) -> Loads {
         Loads {
             marker: Marker::new(ASK_NUMBERS),
@@ -170,6 +172,7 @@
         self.marker.await_marks(u64::from(ticket), group);
     }
 
+    /// When something is due though no answer comes, in Unix microseconds.
     pub fn due(&self) -> Micros {
         if self.held.is_empty() {
             Micros::MAX
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -107,6 +107,7 @@
 }
 
 impl ScatteredStatements {
+    /// Opens the files of summaries that the operator's file names.
     pub fn new(
         settings: &Scatter,
         now: Micros,
@@ -154,6 +155,7 @@
         }
     }
 
+    /// Whether statements of a workload are asked of several sites.
     pub fn is_scattered(&self, workload: &str) -> bool {
         self.settings.workloads.iter().any(|w| w == workload)
     }
@@ -163,6 +165,7 @@
         self.loads.is_some() && !numbers(&call.statement).is_empty()
     }
 
+    /// The one site that has all rows, where the operator's file names it.
     pub fn whole_site(&self) -> Option<&str> {
         self.settings.whole_site.as_deref()
     }
@@ -524,6 +527,7 @@
         }
     }
 
+    /// Does what is due; returns messages to other fronts.
     pub fn tick(&mut self, now: Micros, others: &[PeerId]) -> Vec<(PeerId, Vec<u8>)> {
         let heard = std::mem::take(&mut self.summaries.found);
         if let Some(audits) = &mut self.audits {
--- a/crates/front/src/scatter/summaries.rs
+++ b/crates/front/src/scatter/summaries.rs
@@ -23,6 +23,7 @@
 /// Microseconds between saves of what was learned.
 const SAVE_INTERVAL: Micros = 60_000_000;
 
+/// The summaries of sites: the store, their files, and what is exchanged of them with other fronts.
 pub struct Summaries {
     pub book: SummaryStore,
     spread: Exchange,
@@ -191,6 +192,7 @@
         log::info!("{new} new summaries of sites, {} are held", self.book.len());
     }
 
+    /// When something of them is due, in Unix microseconds.
     pub fn due(&self) -> Micros {
         self.spread.due()
     }
