--- a/crates/front/src/event_loop/engine_list.rs
+++ b/crates/front/src/event_loop/engine_list.rs
@@ -7,39 +7,10 @@
 use hallmux_native_codec::coordinator::{Engine, EngineList, EngineState, Events};
 
 use super::EventLoopState;
+use crate::engine_protocols::EngineProtocols;
 use crate::engine_starts::ListMoment;
 use crate::listed_engine::ListedEngine;
 
-/// The protocols that engines of a kind speak.
-#[derive(Clone, Copy, PartialEq, Eq)]
-enum EngineProtocols {
-    Lines,
-    /// PostgreSQL alone, at the port of the list.
-    Postgres,
-    /// Lines at the port of the list, PostgreSQL at another.
-    Both {
-        postgres_port: u16,
-    },
-}
-
-impl EngineProtocols {
-    fn lines(self) -> bool {
-        self != EngineProtocols::Postgres
-    }
-
-    fn postgres(self) -> bool {
-        self != EngineProtocols::Lines
-    }
-
-    /// Where an engine of the list takes PostgreSQL sessions.
-    fn postgres_address(self, mut listed: SocketAddr) -> SocketAddr {
-        if let EngineProtocols::Both { postgres_port } = self {
-            listed.set_port(postgres_port);
-        }
-        listed
-    }
-}
-
 impl EventLoopState {
     /// Takes in the coordinator's events that come after the one given.
     pub(super) fn apply_list(&mut self, stream: &Events, after: u64) {
@@ -83,11 +54,7 @@
     /// What engines of a kind speak.
     fn protocols(&self, kind: &str) -> EngineProtocols {
         let gateway = self.gateway.as_ref();
-        match gateway.and_then(|gateway| gateway.port(kind)) {
-            None => EngineProtocols::Lines,
-            Some(None) => EngineProtocols::Postgres,
-            Some(Some(postgres_port)) => EngineProtocols::Both { postgres_port },
-        }
+        gateway.map_or(EngineProtocols::Lines, |gateway| gateway.protocols(kind))
     }
 
     /// The connections of each protocol go by the list: to where the engine is, or nowhere.
--- a/crates/front/src/main.rs
+++ b/crates/front/src/main.rs
@@ -4,6 +4,7 @@
 mod clock;
 mod coordinator;
 mod dial_pacer;
+mod engine_protocols;
 mod engine_starts;
 mod engines;
 mod event_loop;
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -18,6 +18,7 @@
 use super::error::ListenError;
 use super::servers::{self, Servers, Unit};
 use super::sessions::{self, Sessions, Users};
+use crate::engine_protocols::EngineProtocols;
 use crate::events::{LoopEvents, SocketId, SocketKind};
 use crate::execution::ExecutionId;
 use crate::fleet::rules::Shared;
@@ -130,10 +131,15 @@
         self.servers.has(execution_id)
     }
 
-    /// Where an engine of a kind takes sessions: at a port of its own beside lines, or in their place.
-    pub fn port(&self, kind: &str) -> Option<Option<u16>> {
+    /// What engines of a kind speak: sessions at a port of their own beside lines, or in their place.
+    pub fn protocols(&self, kind: &str) -> EngineProtocols {
         let speaks = |e: &&hallmux_config::PostgresEngines| e.kinds.iter().any(|k| k == kind);
-        self.allowed.engines.iter().find(speaks).map(|e| e.port)
+        let engines = self.allowed.engines.iter().find(speaks);
+        match engines.map(|engines| engines.port) {
+            None => EngineProtocols::Lines,
+            Some(None) => EngineProtocols::Postgres,
+            Some(Some(postgres_port)) => EngineProtocols::Both { postgres_port },
+        }
     }
 
     /// The connections to engines.
--- a/crates/front/src/scatter/audits.rs
+++ b/crates/front/src/scatter/audits.rs
@@ -76,7 +76,7 @@
         self.audits.reported_by_peer(site);
     }
 
-    /// Whether a site is asked whatever its summaries say.
+    /// Whether an audit has found a site's summaries false.
     pub fn is_suspect(&self, site: &str) -> bool {
         self.audits.is_suspected(site)
     }
