--- a/crates/front/src/scatter/audits.rs
+++ b/crates/front/src/scatter/audits.rs
@@ -76,7 +76,7 @@
         self.audits.reported_by_peer(site);
     }
 
-    /// Whether an audit has found a site's summaries false.
+    /// Whether a site's summaries count for nothing for now, after an audit.
     pub fn is_suspect(&self, site: &str) -> bool {
         self.audits.is_suspected(site)
     }
