--- a/crates/front/src/scatter/summaries.rs
+++ b/crates/front/src/scatter/summaries.rs
@@ -15,11 +15,15 @@
 use hallmux_scatter::store::{StoreSettings, SummaryStore};
 use hallmux_scatter::summary::{Refused, MOST_BYTES};
 
-const LOG_INTERVAL: Micros = 60_000_000; // microseconds between lines of the log on what other fronts sent that was refused
+/// Microseconds between lines of the log on what other fronts sent that was refused.
+const LOG_INTERVAL: Micros = 60_000_000;
 
-const CHOOSE_INTERVAL: Micros = 10_000_000; // microseconds between choices of what is held
-const SAVE_INTERVAL: Micros = 60_000_000; // microseconds between saves of what was learned
+/// Microseconds between choices of what is held.
+const CHOOSE_INTERVAL: Micros = 10_000_000;
+/// Microseconds between saves of what was learned.
+const SAVE_INTERVAL: Micros = 60_000_000;
 
+/// The summaries of sites: the store, their files, and what is exchanged of them with other fronts.
 pub struct Summaries {
     pub book: SummaryStore,
     spread: Exchange,
@@ -188,6 +192,7 @@
         log::info!("{new} new summaries of sites, {} are held", self.book.len());
     }
 
+    /// When something of them is due, in Unix microseconds.
     pub fn due(&self) -> Micros {
         self.spread.due()
     }
