--- a/crates/config/src/node_config.rs
+++ b/crates/config/src/node_config.rs
@@ -28,6 +28,7 @@
 const SEED_REMEDY: &str = "give up to 16 hexadecimal digits";
 const LOG_LEVEL_REMEDY: &str = "give one of off, error, warn, info, debug, trace";
 
+/// The file as it is written. Its name is part of errors' texts, as is that of `FileLimits`.
 #[derive(Deserialize)]
 struct File<'a> {
     name: Option<String>,
@@ -74,9 +75,9 @@
     pub name: String,
     /// Where it listens for clients.
     pub listen: SocketAddr,
-    /// Of its random choices.
+    /// The seed of its random choices.
     pub seed: u64,
-    /// Of its memory and descriptors.
+    /// What the machine grants it.
     pub limits: NodeLimits,
     /// The coordinator to poll for the engine list; without one, the list stays as `known_events` has it.
     pub coordinator: Option<SocketAddr>,
--- a/crates/config/src/operator_file/ledger.rs
+++ b/crates/config/src/operator_file/ledger.rs
@@ -1,14 +1,17 @@
 //! The section `gossip.ledger`: which fronts keep copies of promises, how many, where, and within what
 //! bounds.
 
+mod file;
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 use hallmux::interface::Micros;
-use serde::Deserialize;
 
 use crate::settings::micros;
 
+pub use self::file::LedgerFile;
+use self::file::MemberFile;
 use super::checker::Checker;
 use super::peers::{key_of, GossipPeer, PublicKey, NOT_A_PEER};
 use crate::error::Error;
@@ -16,111 +19,18 @@
 /// Copies of each shard: with three one may be lost and a majority still knows.
 const DEFAULT_COPIES: usize = 3;
 const MAX_COPIES: usize = 9;
-const DEFAULT_SHARDS: u16 = 16;
 const MAX_SHARDS: u16 = 1_024;
-/// Entries of a shard.
-const DEFAULT_ENTRIES: usize = 4_096;
 const MAX_ENTRIES: usize = 1 << 20;
-/// Bytes of a shard.
-const DEFAULT_BYTES: usize = 512 * 1_024;
 const MIN_BYTES: usize = 4_096;
 /// A copy of a shard has to fit the pieces of one message.
 const MAX_BYTES: usize = 2 << 20;
-const DEFAULT_PATIENCE_MS: f64 = 500.0;
 const MIN_PATIENCE_MS: f64 = 50.0;
 const MAX_PATIENCE_MS: f64 = 10_000.0;
-/// Longer than a restart takes: that is no loss of a copy.
-const DEFAULT_REPAIR_AFTER_MS: f64 = 30_000.0;
 const MIN_REPAIR_AFTER_MS: f64 = 1_000.0;
 const MAX_REPAIR_AFTER_MS: f64 = 86_400_000.0;
-/// Bytes a second.
-const DEFAULT_REPAIR_BYTES: u32 = 65_536;
 const MIN_REPAIR_BYTES: u32 = 1_024;
-const DEFAULT_MOVES_PERCENT: u8 = 25;
-/// Longer than a zone's power or uplink is mostly away.
-const DEFAULT_ZONE_AFTER_MS: f64 = 600_000.0;
-const DEFAULT_CLOCKS_APART_MS: u64 = 500;
 const MAX_CLOCKS_APART_MS: u64 = 60_000;
 
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-struct MemberFile {
-    at: SocketAddr,
-    #[serde(default)]
-    zone: String,
-}
-
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct LedgerFile {
-    fleet: String,
-    members: BTreeMap<String, MemberFile>,
-    directory: Option<String>,
-    drill: Option<String>,
-    #[serde(default = "default_on_disk_failure")]
-    on_disk_failure: String,
-    #[serde(default)]
-    copies: Option<usize>,
-    #[serde(default = "default_shards")]
-    shards: u16,
-    #[serde(default = "default_entries")]
-    most_entries: usize,
-    #[serde(default = "default_bytes")]
-    most_bytes: usize,
-    #[serde(default = "default_patience")]
-    patience_ms: f64,
-    #[serde(default = "default_repair_after")]
-    repair_after_ms: f64,
-    #[serde(default = "default_repair_bytes")]
-    repair_bytes: u32,
-    #[serde(default = "default_moves_percent")]
-    moves_percent: u8,
-    #[serde(default = "default_zone_after")]
-    zone_after_ms: f64,
-    #[serde(default = "default_clocks_apart")]
-    clocks_apart_ms: u64,
-}
-
-fn default_on_disk_failure() -> String {
-    "refuse".to_string()
-}
-
-fn default_shards() -> u16 {
-    DEFAULT_SHARDS
-}
-
-fn default_entries() -> usize {
-    DEFAULT_ENTRIES
-}
-
-fn default_bytes() -> usize {
-    DEFAULT_BYTES
-}
-
-fn default_patience() -> f64 {
-    DEFAULT_PATIENCE_MS
-}
-
-fn default_repair_after() -> f64 {
-    DEFAULT_REPAIR_AFTER_MS
-}
-
-fn default_repair_bytes() -> u32 {
-    DEFAULT_REPAIR_BYTES
-}
-
-fn default_moves_percent() -> u8 {
-    DEFAULT_MOVES_PERCENT
-}
-
-fn default_zone_after() -> f64 {
-    DEFAULT_ZONE_AFTER_MS
-}
-
-fn default_clocks_apart() -> u64 {
-    DEFAULT_CLOCKS_APART_MS
-}
-
 /// A front that keeps copies of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LedgerMember {
--- /dev/null
+++ b/crates/config/src/operator_file/ledger/file.rs
@@ -0,0 +1,101 @@
+//! The section `gossip.ledger` as the file has it: its keys and their defaults. The types' names are part
+//! of errors' texts.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use serde::Deserialize;
+
+const DEFAULT_SHARDS: u16 = 16;
+/// Entries of a shard.
+const DEFAULT_ENTRIES: usize = 4_096;
+/// Bytes of a shard.
+const DEFAULT_BYTES: usize = 512 * 1_024;
+const DEFAULT_PATIENCE_MS: f64 = 500.0;
+/// Longer than a restart takes: that is no loss of a copy.
+const DEFAULT_REPAIR_AFTER_MS: f64 = 30_000.0;
+/// Bytes a second.
+const DEFAULT_REPAIR_BYTES: u32 = 65_536;
+const DEFAULT_MOVES_PERCENT: u8 = 25;
+/// Longer than a zone's power or uplink is mostly away.
+const DEFAULT_ZONE_AFTER_MS: f64 = 600_000.0;
+const DEFAULT_CLOCKS_APART_MS: u64 = 500;
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct MemberFile {
+    pub at: SocketAddr,
+    #[serde(default)]
+    pub zone: String,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct LedgerFile {
+    pub fleet: String,
+    pub members: BTreeMap<String, MemberFile>,
+    pub directory: Option<String>,
+    pub drill: Option<String>,
+    #[serde(default = "default_on_disk_failure")]
+    pub on_disk_failure: String,
+    #[serde(default)]
+    pub copies: Option<usize>,
+    #[serde(default = "default_shards")]
+    pub shards: u16,
+    #[serde(default = "default_entries")]
+    pub most_entries: usize,
+    #[serde(default = "default_bytes")]
+    pub most_bytes: usize,
+    #[serde(default = "default_patience")]
+    pub patience_ms: f64,
+    #[serde(default = "default_repair_after")]
+    pub repair_after_ms: f64,
+    #[serde(default = "default_repair_bytes")]
+    pub repair_bytes: u32,
+    #[serde(default = "default_moves_percent")]
+    pub moves_percent: u8,
+    #[serde(default = "default_zone_after")]
+    pub zone_after_ms: f64,
+    #[serde(default = "default_clocks_apart")]
+    pub clocks_apart_ms: u64,
+}
+
+fn default_on_disk_failure() -> String {
+    "refuse".to_string()
+}
+
+fn default_shards() -> u16 {
+    DEFAULT_SHARDS
+}
+
+fn default_entries() -> usize {
+    DEFAULT_ENTRIES
+}
+
+fn default_bytes() -> usize {
+    DEFAULT_BYTES
+}
+
+fn default_patience() -> f64 {
+    DEFAULT_PATIENCE_MS
+}
+
+fn default_repair_after() -> f64 {
+    DEFAULT_REPAIR_AFTER_MS
+}
+
+fn default_repair_bytes() -> u32 {
+    DEFAULT_REPAIR_BYTES
+}
+
+fn default_moves_percent() -> u8 {
+    DEFAULT_MOVES_PERCENT
+}
+
+fn default_zone_after() -> f64 {
+    DEFAULT_ZONE_AFTER_MS
+}
+
+fn default_clocks_apart() -> u64 {
+    DEFAULT_CLOCKS_APART_MS
+}
--- a/crates/config/src/operator_file/postgres.rs
+++ b/crates/config/src/operator_file/postgres.rs
@@ -1,107 +1,24 @@
 //! The section `postgres`: sessions by PostgreSQL's protocol.
 
+mod file;
+
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use hallmux::interface::Micros;
-use serde::Deserialize;
 
 use crate::settings::{micros, Settings};
 
+pub use self::file::PostgresFile;
+use self::file::{LimitsFile, UserFile};
 use super::checker::Checker;
 use crate::error::{Error, KeyProblem};
 
-const DEFAULT_SESSIONS: usize = 5_000;
-/// Milliseconds for start-up and authentication.
-const DEFAULT_START_UP_MS: f64 = 5_000.0;
-/// Prepared statements of a session.
-const DEFAULT_STATEMENTS: usize = 1_000;
-/// Portals open at once in a session's transaction.
-const DEFAULT_PORTALS: usize = 100;
-/// Settings that a session may carry.
-const DEFAULT_SETTINGS: usize = 64;
-/// Bytes of a message or a unit of a client.
-const DEFAULT_MESSAGE_BYTES: usize = 1 << 20;
-/// Bytes of a result that are held before they go on to the client.
-const DEFAULT_BUFFER_BYTES: usize = 64 << 10;
-/// Connections to an engine: its own limit is usually 100.
-const DEFAULT_ENGINE_CONNECTIONS: usize = 64;
-/// Prepared statements on an engine connection.
-const DEFAULT_PREPARED: usize = 256;
-const DEFAULT_TRANSACTION_IDLE_MS: f64 = 10_000.0;
-const DEFAULT_CONNECTION_IDLE_MS: f64 = 60_000.0;
-const DEFAULT_CONNECTION_AGE_MS: f64 = 3_600_000.0;
-
 /// The upper bound of each limit: times beyond it could not be added up.
 const MAX_LIMIT: f64 = 1e12;
 const MIN_BYTES: f64 = 1024.0;
 const MIN_MS: f64 = 10.0;
 
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct PostgresFile {
-    listen: SocketAddr,
-    engines: Vec<EnginesFile>,
-    users: BTreeMap<String, UserFile>,
-    #[serde(default)]
-    limits: LimitsFile,
-}
-
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-struct EnginesFile {
-    kinds: Vec<String>,
-    port: Option<u16>,
-}
-
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-struct UserFile {
-    verifier: Option<String>,
-    #[serde(default)]
-    trust: bool,
-    member: Option<String>,
-    workload: Option<String>,
-    engine_user: Option<String>,
-    engine_password: Option<String>,
-}
-
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields, default)]
-struct LimitsFile {
-    sessions: usize,
-    start_up_ms: f64,
-    statements: usize,
-    portals: usize,
-    settings: usize,
-    message_bytes: usize,
-    buffer_bytes: usize,
-    engine_connections: usize,
-    prepared: usize,
-    transaction_idle_ms: f64,
-    connection_idle_ms: f64,
-    connection_age_ms: f64,
-}
-
-impl Default for LimitsFile {
-    fn default() -> Self {
-        LimitsFile {
-            sessions: DEFAULT_SESSIONS,
-            start_up_ms: DEFAULT_START_UP_MS,
-            statements: DEFAULT_STATEMENTS,
-            portals: DEFAULT_PORTALS,
-            settings: DEFAULT_SETTINGS,
-            message_bytes: DEFAULT_MESSAGE_BYTES,
-            buffer_bytes: DEFAULT_BUFFER_BYTES,
-            engine_connections: DEFAULT_ENGINE_CONNECTIONS,
-            prepared: DEFAULT_PREPARED,
-            transaction_idle_ms: DEFAULT_TRANSACTION_IDLE_MS,
-            connection_idle_ms: DEFAULT_CONNECTION_IDLE_MS,
-            connection_age_ms: DEFAULT_CONNECTION_AGE_MS,
-        }
-    }
-}
-
 /// PostgreSQL sessions: where they come in, which engines they go to, who may open them.
 #[derive(Clone, Debug)]
 pub struct Postgres {
--- /dev/null
+++ b/crates/config/src/operator_file/postgres/file.rs
@@ -0,0 +1,93 @@
+//! The section `postgres` as the file has it: its keys and their defaults. The types' names are part
+//! of errors' texts.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use serde::Deserialize;
+
+const DEFAULT_SESSIONS: usize = 5_000;
+/// Milliseconds for start-up and authentication.
+const DEFAULT_START_UP_MS: f64 = 5_000.0;
+/// Prepared statements of a session.
+pub const DEFAULT_STATEMENTS: usize = 1_000;
+/// Portals open at once in a session's transaction.
+const DEFAULT_PORTALS: usize = 100;
+/// Settings that a session may carry.
+const DEFAULT_SETTINGS: usize = 64;
+/// Bytes of a message or a unit of a client.
+const DEFAULT_MESSAGE_BYTES: usize = 1 << 20;
+/// Bytes of a result that are held before they go on to the client.
+const DEFAULT_BUFFER_BYTES: usize = 64 << 10;
+/// Connections to an engine: its own limit is usually 100.
+const DEFAULT_ENGINE_CONNECTIONS: usize = 64;
+/// Prepared statements on an engine connection.
+const DEFAULT_PREPARED: usize = 256;
+const DEFAULT_TRANSACTION_IDLE_MS: f64 = 10_000.0;
+const DEFAULT_CONNECTION_IDLE_MS: f64 = 60_000.0;
+const DEFAULT_CONNECTION_AGE_MS: f64 = 3_600_000.0;
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct PostgresFile {
+    pub listen: SocketAddr,
+    pub engines: Vec<EnginesFile>,
+    pub users: BTreeMap<String, UserFile>,
+    #[serde(default)]
+    pub limits: LimitsFile,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct EnginesFile {
+    pub kinds: Vec<String>,
+    pub port: Option<u16>,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct UserFile {
+    pub verifier: Option<String>,
+    #[serde(default)]
+    pub trust: bool,
+    pub member: Option<String>,
+    pub workload: Option<String>,
+    pub engine_user: Option<String>,
+    pub engine_password: Option<String>,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct LimitsFile {
+    pub sessions: usize,
+    pub start_up_ms: f64,
+    pub statements: usize,
+    pub portals: usize,
+    pub settings: usize,
+    pub message_bytes: usize,
+    pub buffer_bytes: usize,
+    pub engine_connections: usize,
+    pub prepared: usize,
+    pub transaction_idle_ms: f64,
+    pub connection_idle_ms: f64,
+    pub connection_age_ms: f64,
+}
+
+impl Default for LimitsFile {
+    fn default() -> Self {
+        LimitsFile {
+            sessions: DEFAULT_SESSIONS,
+            start_up_ms: DEFAULT_START_UP_MS,
+            statements: DEFAULT_STATEMENTS,
+            portals: DEFAULT_PORTALS,
+            settings: DEFAULT_SETTINGS,
+            message_bytes: DEFAULT_MESSAGE_BYTES,
+            buffer_bytes: DEFAULT_BUFFER_BYTES,
+            engine_connections: DEFAULT_ENGINE_CONNECTIONS,
+            prepared: DEFAULT_PREPARED,
+            transaction_idle_ms: DEFAULT_TRANSACTION_IDLE_MS,
+            connection_idle_ms: DEFAULT_CONNECTION_IDLE_MS,
+            connection_age_ms: DEFAULT_CONNECTION_AGE_MS,
+        }
+    }
+}
--- a/crates/config/src/operator_file/postgres_tests.rs
+++ b/crates/config/src/operator_file/postgres_tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of the `postgres` module.
 
 use super::super::sections::tests::read;
-use super::DEFAULT_STATEMENTS;
+use super::file::DEFAULT_STATEMENTS;
 
 const GOOD: &str = "{
     // comments and bare keys
--- a/crates/config/src/operator_file/scatter.rs
+++ b/crates/config/src/operator_file/scatter.rs
@@ -1,102 +1,28 @@
 //! The section `scatter`: statements over data at several sites.
 
+mod file;
+
 use std::collections::BTreeMap;
 
 use hallmux::interface::Effect;
-use serde::Deserialize;
 
 use crate::settings::Settings;
 
+pub use self::file::ScatterFile;
 use super::checker::Checker;
 use super::peers::{parse_key, PublicKey};
 use crate::error::{Error, KeyProblem};
 
-/// Milliseconds after which a summary is too old.
-const DEFAULT_OLDEST_MS: u64 = 600_000;
 const MIN_OLDEST_MS: u64 = 1_000;
 const MAX_OLDEST_MS: u64 = 604_800_000;
-/// Milliseconds that a summary may come from the future: as far as fronts' clocks may differ.
-const DEFAULT_AHEAD_MS: u64 = 10_000;
 const MAX_AHEAD_MS: u64 = 600_000;
-/// Summaries that are held.
-const DEFAULT_SUMMARIES: usize = 4_096;
 const MAX_SUMMARIES: usize = 65_536;
-/// Parts of a statement with LIMIT that are in flight at once.
-const DEFAULT_AT_ONCE: usize = 4;
 const MAX_AT_ONCE: usize = 1_000;
 /// The part by which a number of distinct values may be wrong.
 const MAX_DISTINCT_ERROR: f64 = 0.5;
-const DEFAULT_ANSWER_BYTES: usize = 1 << 20;
 const MIN_ANSWER_BYTES: usize = 1_000;
 const MAX_ANSWER_BYTES: usize = 1 << 26;
 
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct ScatterFile {
-    workloads: Vec<String>,
-    sites: BTreeMap<String, String>,
-    directory: Option<String>,
-    #[serde(default)]
-    schemas: BTreeMap<String, u32>,
-    loads: Option<String>,
-    #[serde(default)]
-    writes: Vec<String>,
-    whole_site: Option<String>,
-    #[serde(default)]
-    partial: Vec<String>,
-    #[serde(default)]
-    distinct_error: BTreeMap<String, f64>,
-    #[serde(default)]
-    together: Vec<Vec<u32>>,
-    #[serde(default = "default_oldest_ms")]
-    oldest_ms: u64,
-    #[serde(default = "default_ahead_ms")]
-    ahead_ms: u64,
-    #[serde(default = "default_summaries")]
-    most: usize,
-    #[serde(default = "default_at_once")]
-    at_once: usize,
-    #[serde(default = "default_answer_bytes")]
-    answer_bytes: usize,
-    keep: Option<SummaryBudgetFile>,
-    audits: Option<AuditsFile>,
-}
-
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-struct AuditsFile {
-    one_in: u64,
-    a_minute: u64,
-}
-
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-struct SummaryBudgetFile {
-    memory_kb: u64,
-    bytes_a_second: u64,
-    file: Option<String>,
-}
-
-fn default_oldest_ms() -> u64 {
-    DEFAULT_OLDEST_MS
-}
-
-fn default_ahead_ms() -> u64 {
-    DEFAULT_AHEAD_MS
-}
-
-fn default_summaries() -> usize {
-    DEFAULT_SUMMARIES
-}
-
-fn default_at_once() -> usize {
-    DEFAULT_AT_ONCE
-}
-
-fn default_answer_bytes() -> usize {
-    DEFAULT_ANSWER_BYTES
-}
-
 /// Which statements are asked of several sites, and what holds for them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scatter {
--- /dev/null
+++ b/crates/config/src/operator_file/scatter/file.rs
@@ -0,0 +1,83 @@
+//! The section `scatter` as the file has it: its keys and their defaults. The types' names are part
+//! of errors' texts.
+
+use std::collections::BTreeMap;
+
+use serde::Deserialize;
+
+/// Milliseconds after which a summary is too old.
+const DEFAULT_OLDEST_MS: u64 = 600_000;
+/// Milliseconds that a summary may come from the future: as far as fronts' clocks may differ.
+const DEFAULT_AHEAD_MS: u64 = 10_000;
+/// Summaries that are held.
+const DEFAULT_SUMMARIES: usize = 4_096;
+/// Parts of a statement with LIMIT that are in flight at once.
+const DEFAULT_AT_ONCE: usize = 4;
+const DEFAULT_ANSWER_BYTES: usize = 1 << 20;
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct ScatterFile {
+    pub workloads: Vec<String>,
+    pub sites: BTreeMap<String, String>,
+    pub directory: Option<String>,
+    #[serde(default)]
+    pub schemas: BTreeMap<String, u32>,
+    pub loads: Option<String>,
+    #[serde(default)]
+    pub writes: Vec<String>,
+    pub whole_site: Option<String>,
+    #[serde(default)]
+    pub partial: Vec<String>,
+    #[serde(default)]
+    pub distinct_error: BTreeMap<String, f64>,
+    #[serde(default)]
+    pub together: Vec<Vec<u32>>,
+    #[serde(default = "default_oldest_ms")]
+    pub oldest_ms: u64,
+    #[serde(default = "default_ahead_ms")]
+    pub ahead_ms: u64,
+    #[serde(default = "default_summaries")]
+    pub most: usize,
+    #[serde(default = "default_at_once")]
+    pub at_once: usize,
+    #[serde(default = "default_answer_bytes")]
+    pub answer_bytes: usize,
+    pub keep: Option<SummaryBudgetFile>,
+    pub audits: Option<AuditsFile>,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct AuditsFile {
+    pub one_in: u64,
+    pub a_minute: u64,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct SummaryBudgetFile {
+    pub memory_kb: u64,
+    pub bytes_a_second: u64,
+    pub file: Option<String>,
+}
+
+fn default_oldest_ms() -> u64 {
+    DEFAULT_OLDEST_MS
+}
+
+fn default_ahead_ms() -> u64 {
+    DEFAULT_AHEAD_MS
+}
+
+fn default_summaries() -> usize {
+    DEFAULT_SUMMARIES
+}
+
+fn default_at_once() -> usize {
+    DEFAULT_AT_ONCE
+}
+
+fn default_answer_bytes() -> usize {
+    DEFAULT_ANSWER_BYTES
+}
--- a/crates/config/src/operator_file/sections.rs
+++ b/crates/config/src/operator_file/sections.rs
@@ -16,6 +16,7 @@
 /// Milliseconds by which a clock may be set off either way.
 const MAX_AHEAD_MS: f64 = 600_000.0;
 
+/// The file as it is written. Its name is part of errors' texts, as are those of the sections' types.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
