--- a/crates/dispatcher/src/engines.rs
+++ b/crates/dispatcher/src/engines.rs
@@ -3,7 +3,7 @@
 use hallmux::interface::{EngineEntry, Event, Micros, Mode, Report};
 
 use crate::engine_stats::EngineStats;
-use crate::submission::Protocol;
+use crate::request::Protocol;
 use crate::{position, Dispatcher, Ending, Place};
 
 /// A line of the engine list, by the names that the settings use.
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | `submission` | a request arrives: whether it can be taken |
+//! | `request`, `submission` | what a client asks for, and whether it can be taken |
 //! | `tick` | a round of decisions, and the commands that come of it |
 //! | `statements`, `executions` | what is known of a statement and of its attempts |
 //! | `ending` | how an execution can end, and what each ending proves |
@@ -31,6 +31,7 @@
 mod order_keys;
 mod promises;
 mod reject_cause;
+mod request;
 mod send_capacity;
 mod statements;
 mod submission;
@@ -59,8 +60,8 @@
 pub use observations::{EngineObservation, Recovery};
 pub use promises::{PromiseEvent, Site, StatementArrived, StatementOver};
 pub use reject_cause::RejectCause;
+pub use request::{InvalidRequest, Protocol, StatementRequest};
 pub use send_capacity::SendCapacity;
-pub use submission::{InvalidRequest, Protocol, StatementRequest};
 
 /// A statement as this front knows it, from its arrival until it is over with nothing in flight.
 pub type Ticket = StatementId;
--- a/crates/dispatcher/src/promises.rs
+++ b/crates/dispatcher/src/promises.rs
@@ -3,8 +3,8 @@
 
 use hallmux::interface::{Effect, Event, Micros, Outcome, Workload};
 
+use crate::request::StatementRequest;
 use crate::statements::Statement;
-use crate::submission::StatementRequest;
 use crate::{Dispatcher, Ending, Place, Ticket};
 
 /// Neighbouring multiples of the golden ratio's fraction lie far apart: it spreads whatever is numbered in a row.
--- a/crates/dispatcher/src/statements.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -3,7 +3,7 @@
 use hallmux::interface::{Effect, Micros, Workload};
 
 use crate::executions::{Execution, Terms};
-use crate::submission::StatementRequest;
+use crate::request::StatementRequest;
 use crate::{Dispatcher, Ending, Ticket};
 
 /// A statement from its arrival until it is over with nothing in flight.
--- a/crates/simulator-adapter/src/simulated_front.rs
+++ b/crates/simulator-adapter/src/simulated_front.rs
@@ -204,7 +204,7 @@
             statement: self.statements.len() as u32,
             workload,
             customer: line.optional(field::CUSTOMER)?.unwrap_or(0),
-            order_order_key: key.map(|name| self.order_key(name)),
+            order_key: key.map(|name| self.order_key(name)),
             time_left,
             work: line.number_or(field::WORK, 0.0)? * 1000.0,
             memory_mb: line.number_or(field::MEMORY_MB, 0.0)?,
