--- a/crates/access/src/hits.rs
+++ b/crates/access/src/hits.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use hallmux_ledger::{Act, Ask, Key, Outcome, Owner};
+use hallmux_ledger::{Key, LedgerRequest, Operation, Outcome, Owner};
 use serde::{Deserialize, Serialize};
 
 use crate::{FrontId, Micros, Moment};
@@ -145,7 +145,7 @@
     known: BTreeMap<Owner, HitCounts>,
     fleet: FleetHits,
     /// Requests to the ledger that have yet to be sent.
-    pub asks: Vec<Ask>,
+    pub asks: Vec<LedgerRequest>,
     /// Statements whose counts the ledger has confirmed since the caller took them last.
     pub counted: Vec<u64>,
     /// The fleet's count is there, as it was asked for.
@@ -278,10 +278,20 @@
         self.advance_sweep(number);
     }
 
-    fn ask(&mut self, number: &mut impl FnMut() -> u64, pending: Pending, key: Key, act: Act) {
+    fn ask(
+        &mut self,
+        number: &mut impl FnMut() -> u64,
+        pending: Pending,
+        key: Key,
+        operation: Operation,
+    ) {
         let number = number();
         self.asked.insert(number, pending);
-        self.asks.push(Ask { number, key, act });
+        self.asks.push(LedgerRequest {
+            number,
+            key,
+            operation,
+        });
     }
 
     /// Names this incarnation and its pages in the list, before anything is counted there.
@@ -296,20 +306,20 @@
             incarnation: self.own.incarnation,
             pages: self.pages.len() as u32,
         };
-        let act = match &self.list {
+        let operation = match &self.list {
             Some(list) if !std::mem::take(&mut self.list_is_stale) => {
                 let mut entries = list.entries.clone();
                 entries.retain(|entry| entry.incarnation != own.incarnation);
                 entries.push(own);
-                Act::Put {
+                Operation::Put {
                     expects: Some(list.version),
                     ends_ms: 0,
                     value: encode(&entries),
                 }
             }
-            _ => Act::Read,
+            _ => Operation::Read,
         };
-        self.ask(number, Pending::OwnList, key, act);
+        self.ask(number, Pending::OwnList, key, operation);
     }
 
     /// Stores a page that has hits which the ledger has not.
@@ -322,7 +332,7 @@
         }
         page.putting = true;
         // Compare and swap: one that was held up on its way can't set the page back.
-        let act = Act::Put {
+        let operation = Operation::Put {
             expects: Some(page.version),
             ends_ms: 0,
             value: encode(&page.counts),
@@ -332,7 +342,7 @@
             added: page.added,
         };
         let key = page_key(self.own.front, self.own.incarnation, at);
-        self.ask(number, pending, key, act);
+        self.ask(number, pending, key, operation);
     }
 
     /// The ledger has answered. False if it was not asked here.
--- a/crates/access/src/shares/share.rs
+++ b/crates/access/src/shares/share.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use hallmux_lease::Terms;
-use hallmux_ledger::{Act, Owner};
+use hallmux_ledger::{Operation, Owner};
 
 use super::demand::Demand;
 use super::table::{Limit, Table};
@@ -298,15 +298,15 @@
     }
 
     /// What is to be asked of the ledger now, if anything.
-    pub fn tick(&mut self, now: Micros) -> Option<Act> {
+    pub fn tick(&mut self, now: Micros) -> Option<Operation> {
         self.cool(now);
         self.serve(now);
         if self.asking || now < self.retry_at || !self.is_needed(now) {
             return None;
         }
-        let act = self.next_act(now)?;
+        let operation = self.next_act(now)?;
         self.asking = true;
-        Some(act)
+        Some(operation)
     }
 
     /// Serves those that wait, in order.
@@ -325,9 +325,9 @@
     }
 
     /// The next request: a put of a plan, or a look at the table.
-    fn next_act(&mut self, now: Micros) -> Option<Act> {
+    fn next_act(&mut self, now: Micros) -> Option<Operation> {
         if self.table.is_none() {
-            return Some(Act::Read);
+            return Some(Operation::Read);
         }
         // The same again: of two that stand for the same version only one does.
         let is_to_plan =
@@ -338,12 +338,12 @@
             self.pending = self.plan(now);
         }
         if let Some(Pending { expects, next }) = &self.pending {
-            return Some(Act::Put {
+            return Some(Operation::Put {
                 expects: Some(*expects),
                 ends_ms: 0,
                 value: next.bytes(),
             });
         }
-        (now >= self.next_read).then_some(Act::Read)
+        (now >= self.next_read).then_some(Operation::Read)
     }
 }
--- a/crates/access/src/versions/adopt.rs
+++ b/crates/access/src/versions/adopt.rs
@@ -1,6 +1,6 @@
 //! How this front takes up the version that the head names: reads the head, fetches the text, and judges by it.
 
-use hallmux_ledger::{Act, Entry, Key};
+use hallmux_ledger::{Entry, Key, Operation};
 
 use super::{Fetch, Pending, StoredHead, Versions, RETRY_INTERVAL, UNREADABLE_INTERVAL};
 use crate::event::Event;
@@ -67,7 +67,7 @@
         let parts = vec![None; keys.len()];
         self.fetch = Some(Fetch { of, parts });
         for (number, key) in keys.into_iter().enumerate() {
-            self.ask(at, Pending::Part { of, number }, key, Act::Read);
+            self.ask(at, Pending::Part { of, number }, key, Operation::Read);
         }
     }
 
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -341,9 +341,9 @@
         &mut self,
         now: Micros,
         at: Moment,
-        asks: Vec<ledger::Ask>,
+        asks: Vec<ledger::LedgerRequest>,
         peers: Option<&mut Peers>,
-    ) -> Vec<ledger::Done> {
+    ) -> Vec<ledger::LedgerAnswer> {
         if let Some(ledger) = &mut self.alone {
             return ask_own_ledger(ledger, at, asks);
         }
@@ -409,7 +409,11 @@
     }
 }
 
-fn ask_own_ledger(ledger: &mut Ledger, at: Moment, asks: Vec<ledger::Ask>) -> Vec<ledger::Done> {
+fn ask_own_ledger(
+    ledger: &mut Ledger,
+    at: Moment,
+    asks: Vec<ledger::LedgerRequest>,
+) -> Vec<ledger::LedgerAnswer> {
     for ask in asks {
         ledger.ask(at, ask);
     }
