--- a/crates/config/tests/random_faults/settings.rs
+++ b/crates/config/tests/random_faults/settings.rs
@@ -153,7 +153,7 @@
         let ask = StatementRequest {
             workload,
             customer,
-            key,
+            order_key: key,
             dedup_key: Some("u"),
             time_left: 4_000_000,
             ..StatementRequest::default()
--- a/crates/dispatcher/src/promises.rs
+++ b/crates/dispatcher/src/promises.rs
@@ -72,7 +72,7 @@
 }
 
 fn depends_on_promises(workload: &Workload, request: &StatementRequest) -> bool {
-    let ordered = workload.in_order && request.key.is_some();
+    let ordered = workload.in_order && request.order_key.is_some();
     ordered || workload.effect != Effect::Idempotent
 }
 
@@ -112,7 +112,7 @@
             ticket,
             workload: request.workload.to_string(),
             customer: request.customer.to_string(),
-            key: request.key.map(str::to_string),
+            key: request.order_key.map(str::to_string),
             dedup_key: request.dedup_key.map(str::to_string),
         };
         self.promise_events.push(PromiseEvent::Arrived(arrived));
--- a/crates/dispatcher/src/request.rs
+++ b/crates/dispatcher/src/request.rs
@@ -12,7 +12,7 @@
     /// The name of its customer; any where the settings name none.
     pub customer: &'a str,
     /// Its order key.
-    pub key: Option<&'a str>,
+    pub order_key: Option<&'a str>,
     /// The key by which engines recognise its repeats.
     pub dedup_key: Option<&'a str>,
     /// The time for which its client still waits, in microseconds.
@@ -26,9 +26,9 @@
     /// The protocol that it is sent in.
     pub protocol: Protocol,
     /// The engine of the open transaction that it belongs to.
-    pub pinned: Option<Place>,
+    pub sticky_engine: Option<Place>,
     /// Names of the locations that it may be sent to; None: all that its workload allows.
-    pub allowed: Option<&'a [&'a str]>,
+    pub allowed_locations: Option<&'a [&'a str]>,
 }
 
 /// A protocol that statements are sent to engines in.
--- a/crates/dispatcher/src/statements.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -58,7 +58,7 @@
             over: false,
             answer_begun: false,
             transaction_goes_on: false,
-            order_key: request.key.map(str::to_string),
+            order_key: request.order_key.map(str::to_string),
             needs_promises,
             end_watched: false,
             executions: Vec::new(),
--- a/crates/dispatcher/src/submission.rs
+++ b/crates/dispatcher/src/submission.rs
@@ -21,13 +21,13 @@
         request: &StatementRequest,
     ) -> Result<Ticket, InvalidRequest> {
         let Service { workload, customer } = self.service(request)?;
-        let allowed = match request.allowed {
-            Some(names) => Some(self.allowed_locations(workload, request.pinned, names)?),
+        let allowed = match request.allowed_locations {
+            Some(names) => Some(self.allowed_locations(workload, request.sticky_engine, names)?),
             None => None,
         };
         let ticket = self.new_ticket();
         let needs_promises = self.announce_arrival(ticket, request, workload);
-        let key = request.key.map(|name| self.order_keys.acquire(name));
+        let key = request.order_key.map(|name| self.order_keys.acquire(name));
         self.events.push(Event::Arrived(Arrival {
             statement: ticket,
             workload,
@@ -38,7 +38,7 @@
             memory_mb: request.memory_mb,
             data_set: request.data_set,
             protocols: request.protocol as u8,
-            sticky_engine: request.pinned,
+            sticky_engine: request.sticky_engine,
             allowed_locations: allowed,
         }));
         self.count_arrival(now, workload, customer);
--- a/crates/dispatcher/src/submission_tests.rs
+++ b/crates/dispatcher/src/submission_tests.rs
@@ -48,8 +48,8 @@
     );
     let barred = |d: &mut Dispatcher, names: &[&str], pinned| {
         let asked = StatementRequest {
-            allowed: Some(names),
-            pinned,
+            allowed_locations: Some(names),
+            sticky_engine: pinned,
             ..ask("lookup", None)
         };
         d.submit(0, &asked) == Err(InvalidRequest::NoAllowedLocation)
--- a/crates/dispatcher/src/test_support.rs
+++ b/crates/dispatcher/src/test_support.rs
@@ -34,7 +34,7 @@
     StatementRequest {
         workload,
         customer: "acme",
-        key,
+        order_key: key,
         dedup_key: Some("u"),
         time_left: 4_000_000,
         ..StatementRequest::default()
--- a/crates/front/src/event_loop/admission.rs
+++ b/crates/front/src/event_loop/admission.rs
@@ -248,15 +248,15 @@
         let ask = StatementRequest {
             workload: &call.workload,
             customer: &call.customer,
-            key: call.order_key.as_deref(),
+            order_key: call.order_key.as_deref(),
             dedup_key: call.dedup_key.as_deref(),
             time_left,
             work: call.work_ms * 1000.0,
             memory_mb: call.memory_mb,
             data_set: tables::group(&call.statement),
             protocol: Protocol::Lines,
-            pinned: None,
-            allowed: allowed.as_deref(),
+            sticky_engine: None,
+            allowed_locations: allowed.as_deref(),
         };
         let picked = self.dispatcher.submit(self.clock.now, &ask);
         if let Some(rules) = &self.rules {
--- a/crates/front/src/postgres/gateway/admission.rs
+++ b/crates/front/src/postgres/gateway/admission.rs
@@ -74,15 +74,15 @@
         let request = StatementRequest {
             workload: terms.workload,
             customer: terms.member,
-            key: label.key.as_deref().filter(|key| !is_held(key)),
+            order_key: label.key.as_deref().filter(|key| !is_held(key)),
             dedup_key: label.dedup_key.as_deref(),
             time_left: timeout - self.answer_slack - waited,
             work: terms.work_ms * 1000.0,
             memory_mb: terms.memory_mb,
             data_set: tables::group(part.text()),
             protocol: Protocol::Postgres,
-            pinned: open_session.pin.map(|pin| pin.place),
-            allowed: allowed.as_deref(),
+            sticky_engine: open_session.pin.map(|pin| pin.place),
+            allowed_locations: allowed.as_deref(),
         };
         let picked = dispatcher.submit(now, &request);
         if let Some(rules) = self.rules {
@@ -91,7 +91,7 @@
                 .statement_picked(dispatcher, &judged, picked.ok());
         }
         let ticket = picked.map_err(invalid_request)?;
-        let key = request.key.map(str::to_string);
+        let key = request.order_key.map(str::to_string);
         Ok(AdmittedUnit { ticket, key })
     }
 
--- a/crates/front/src/scatter/statements.rs
+++ b/crates/front/src/scatter/statements.rs
@@ -520,15 +520,15 @@
     let request = StatementRequest {
         workload: &statement.call.workload,
         customer: &statement.call.customer,
-        key: None,
+        order_key: None,
         dedup_key: None,
         time_left: statement.ends - now,
         work: statement.call.work_ms * 1000.0,
         memory_mb: statement.call.memory_mb,
         data_set: Some(statement.query.group),
         protocol: Protocol::Lines,
-        pinned: None,
-        allowed: Some(&[site.unwrap_or_default()]),
+        sticky_engine: None,
+        allowed_locations: Some(&[site.unwrap_or_default()]),
     };
     dispatcher.submit(now, &request)
 }
--- a/crates/lab/src/simulated/clients.rs
+++ b/crates/lab/src/simulated/clients.rs
@@ -78,7 +78,7 @@
         let ask = StatementRequest {
             workload: &class.name,
             customer: &class.customer,
-            key: (!asked.key.is_empty()).then_some(&asked.key),
+            order_key: (!asked.key.is_empty()).then_some(&asked.key),
             dedup_key: (class.repeat() == Repeat::Deduplicated).then_some(&unique),
             time_left: timeout,
             work: class.work_ms.unwrap_or(scenario.load.work_ms) as f64 * 1000.0,
