--- a/crates/config/src/operator_file/gossip.rs
+++ b/crates/config/src/operator_file/gossip.rs
@@ -40,7 +40,7 @@
 pub struct Gossip {
     /// Where datagrams of other fronts come in.
     pub listen: SocketAddr,
-    /// The address that other fronts are told, where it is not the one it listens on.
+    /// The address that is advertised to other fronts, where it is not the one it listens on.
     pub advertise: Option<SocketAddr>,
     /// The file that holds the secret half of this front's key pair, as 64 hexadecimal digits.
     pub secret_file: String,
--- a/crates/config/src/operator_file/ledger.rs
+++ b/crates/config/src/operator_file/ledger.rs
@@ -80,7 +80,7 @@
     pub repair_bytes: u32,
     /// Hundredths of the shards that may move at once; 0: none does.
     pub moves_percent: u8,
-    /// The same as `repair_after`, for a zone that is away as a whole.
+    /// The same as `repair_after`, for a zone all of whose fronts are silent.
     pub zone_after: Micros,
     /// Milliseconds that the fronts' clocks may differ by.
     pub clocks_apart_ms: u64,
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -54,7 +54,7 @@
     pub most_held: usize,
     /// Microseconds after the client's time is up in which a final answer still counts.
     pub answer_slack: Micros,
-    /// Engines may be told to cancel an execution.
+    /// Executions may be cancelled at engines.
     pub cancel: bool,
 }
 
--- a/crates/dispatcher/src/ending.rs
+++ b/crates/dispatcher/src/ending.rs
@@ -5,41 +5,40 @@
 /// How an execution ended on the network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// The whole result is here.
+    /// The complete result has arrived.
     Answered,
-    /// The engine says that it failed.
+    /// The engine reports that the execution failed.
     EngineFailed,
     /// A page of the result is lost: the engine no longer knows it.
     PageLost,
-    /// The engine turned it away unseen.
+    /// The engine rejected it before it began.
     Rejected,
-    /// The engine found its time over before it began.
+    /// The engine found its deadline passed before it began.
     Stale,
     /// The machine refused the connection.
     ConnectionRefused,
-    /// The connection was not up in time.
+    /// The connection was not established in time.
     ConnectTimeout,
-    /// The connection was reset while it came up.
+    /// The connection was reset while it was being established.
     ResetWhileConnecting,
-    /// No descriptor or buffer could be had for a connection, which says nothing of the engine.
+    /// This machine had no descriptor or buffer for a connection, which says nothing of the engine.
     NoDescriptor,
     /// It was cancelled, or its engine drains, before its first byte left.
     Withdrawn,
-    /// The connection broke before its last byte left: no engine has it whole.
+    /// The connection broke before its last byte left: no engine has all of it.
     HalfWritten,
-    /// The connection was reset with the execution out.
+    /// The connection was reset with the execution in flight.
     Reset,
-    /// The engine closed the connection with the execution out.
+    /// The engine closed the connection with the execution in flight.
     Closed,
-    /// What came over the connection can't be read, is no result or stopped short, so it was closed from
-    /// here.
+    /// The reply is malformed or incomplete, so this front closed the connection.
     Unreadable,
-    /// The connection was closed from here, as this execution or another on it could not be cancelled
-    /// otherwise, or its engine left too much untaken.
+    /// This front closed the connection, as this execution or another on it could not be cancelled otherwise, or
+    /// its engine left too many commands unread.
     ClosedHere,
-    /// The client's time is up.
+    /// The client's deadline has passed.
     TimeUp,
-    /// Cancelled by decision.
+    /// The scheduler or the client cancelled it.
     GivenUp,
 }
 
--- a/crates/dispatcher/src/engine_stats.rs
+++ b/crates/dispatcher/src/engine_stats.rs
@@ -34,7 +34,7 @@
     pub answered: f64,
     /// The time for which the counts stand.
     counted_at: Micros,
-    /// When it last said anything.
+    /// When anything last came from it.
     heard_at: Micros,
     /// Since when something is in flight there.
     pub busy_since: Micros,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Microseconds since it last said anything with something in flight.
+    /// Microseconds since anything came from it with something in flight.
     pub fn silence(&self, now: Micros) -> Micros {
         now - self.heard_at.max(self.busy_since)
     }
--- a/crates/dispatcher/src/observations.rs
+++ b/crates/dispatcher/src/observations.rs
@@ -120,7 +120,7 @@
         self.events.push(Event::PeerReport(report));
     }
 
-    /// How many fronts there are, this one too: `known` are those that have not said good-bye. `probers` are those
+    /// How many fronts there are, this one too: `known` are those that have not announced their end. `probers` are those
     /// that share the probes into what the fleet has left: infinitely many where it is another's work.
     pub fn set_fleet_size(&mut self, known: usize, probers: f64) {
         self.events.push(Event::Fleet {
--- a/crates/dispatcher/src/submission.rs
+++ b/crates/dispatcher/src/submission.rs
@@ -84,7 +84,7 @@
             .workloads
             .get(workload)
             .and_then(|w| w.locations.as_ref());
-        // A name that the settings do not have allows nothing: no engine is told apart by it.
+        // A name that the settings do not have allows nothing: no engine has such a location.
         let allowed: Vec<usize> = names
             .iter()
             .filter_map(|name| position(&self.names.locations, name))
--- a/crates/native-codec/src/statement.rs
+++ b/crates/native-codec/src/statement.rs
@@ -79,11 +79,11 @@
         /// Names and values that say what is missing.
         fields: &'a [(&'a str, &'a str)],
     },
-    /// The statement was rejected for a reason that holds at any try; names and values say which.
+    /// The statement was rejected for a reason that holds for any retry; names and values say which.
     Refused(&'a [(&'a str, &'a str)]),
-    /// The statement was rejected and has had no effect; trying again may help.
+    /// The statement was rejected and has had no effect; a retry may succeed.
     Rejected {
-        /// Milliseconds to wait before that; None leaves it to the client.
+        /// Retry-After, in milliseconds; None leaves it to the client.
         retry_after_ms: Option<i64>,
     },
     /// The statement may or may not have had an effect.
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! The simulator's protocol: all fronts of this process, and the engine lists that they are told of.
+//! The simulator's protocol: all fronts of this process, and the engine lists that they are sent.
 
 use std::collections::BTreeMap;
 
