--- a/crates/dispatcher/src/statements.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -3,7 +3,7 @@
 use hallmux::interface::{Effect, Micros, Workload};
 
 use crate::executions::{Execution, Terms};
-use crate::submission::StatementRequest;
+use crate::request::StatementRequest;
 use crate::{Dispatcher, Ending, Ticket};
 
 /// A statement from its arrival until it is over with nothing in flight.
@@ -58,7 +58,7 @@
             over: false,
             answer_begun: false,
             transaction_goes_on: false,
-            order_key: request.key.map(str::to_string),
+            order_key: request.order_key.map(str::to_string),
             needs_promises,
             end_watched: false,
             executions: Vec::new(),
--- a/crates/dispatcher/src/submission.rs
+++ b/crates/dispatcher/src/submission.rs
@@ -1,60 +1,11 @@
-//! A statement's arrival: what its client asks for, and whether it can be taken.
+//! A statement's arrival: whether it can be taken, and what the decision module hears of it.
 
 use hallmux::interface::{Arrival, Effect, Event, Micros};
 
+use crate::request::{InvalidRequest, StatementRequest};
 use crate::statements::Statement;
 use crate::{position, Deadline, Dispatcher, Place, Ticket};
 
-/// What a client asks for.
-#[derive(Clone, Debug, Default)]
-pub struct StatementRequest<'a> {
-    /// The name of its workload.
-    pub workload: &'a str,
-    /// The name of its customer; any where the settings name none.
-    pub customer: &'a str,
-    /// Its order key.
-    pub key: Option<&'a str>,
-    /// The key by which engines recognise its repeats.
-    pub dedup_key: Option<&'a str>,
-    /// The time for which its client still waits, in microseconds.
-    pub time_left: Micros,
-    /// An estimate of its work on one thread, in microseconds; 0 where there is none.
-    pub work: f64,
-    /// An estimate of the memory that it needs, in MB; 0 where there is none.
-    pub memory_mb: f64,
-    /// The data set that it reads or loads, where that is known.
-    pub data_set: Option<u32>,
-    /// The protocol that it is sent in.
-    pub protocol: Protocol,
-    /// The engine of the open transaction that it belongs to.
-    pub pinned: Option<Place>,
-    /// Names of the locations that it may be sent to; None: all that its workload allows.
-    pub allowed: Option<&'a [&'a str]>,
-}
-
-/// A protocol that statements are sent to engines in.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Protocol {
-    /// The line protocol of the engines.
-    #[default]
-    Lines = 1,
-    /// PostgreSQL's protocol 3.
-    Postgres = 2,
-}
-
-/// Why a statement was not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InvalidRequest {
-    /// The settings have no such workload.
-    UnknownWorkload,
-    /// The settings have no such customer.
-    UnknownCustomer,
-    /// It has no key by which engines could drop its repeats, which its workload needs.
-    MissingDedupKey,
-    /// No location is allowed to it, or not that of its open transaction.
-    NoAllowedLocation,
-}
-
 /// Whose statement it is, by indices in the settings.
 struct Service {
     workload: usize,
@@ -70,13 +21,13 @@
         request: &StatementRequest,
     ) -> Result<Ticket, InvalidRequest> {
         let Service { workload, customer } = self.service(request)?;
-        let allowed = match request.allowed {
-            Some(names) => Some(self.allowed_locations(workload, request.pinned, names)?),
+        let allowed = match request.allowed_locations {
+            Some(names) => Some(self.allowed_locations(workload, request.sticky_engine, names)?),
             None => None,
         };
         let ticket = self.new_ticket();
         let needs_promises = self.announce_arrival(ticket, request, workload);
-        let key = request.key.map(|name| self.order_keys.acquire(name));
+        let key = request.order_key.map(|name| self.order_keys.acquire(name));
         self.events.push(Event::Arrived(Arrival {
             statement: ticket,
             workload,
@@ -87,7 +38,7 @@
             memory_mb: request.memory_mb,
             data_set: request.data_set,
             protocols: request.protocol as u8,
-            sticky_engine: request.pinned,
+            sticky_engine: request.sticky_engine,
             allowed_locations: allowed,
         }));
         self.count_arrival(now, workload, customer);
@@ -133,7 +84,7 @@
             .workloads
             .get(workload)
             .and_then(|w| w.locations.as_ref());
-        // A name that the settings do not have allows nothing: no engine is told apart by it.
+        // A name that the settings do not have allows nothing: no engine has such a location.
         let allowed: Vec<usize> = names
             .iter()
             .filter_map(|name| position(&self.names.locations, name))
