--- a/crates/access/src/decision.rs
+++ b/crates/access/src/decision.rs
@@ -12,7 +12,7 @@
     /// Decided under this number, until `over`. One that `waits` goes on once its number is `counted`: to its engine,
     /// or, where it is denied, to its final answer.
     Decided {
-        /// The statement's number in this front's life.
+        /// The statement's number in this front's incarnation.
         statement: u64,
         /// What the rules say of it.
         verdict: Verdict,
--- a/crates/access/src/event.rs
+++ b/crates/access/src/event.rs
@@ -26,21 +26,21 @@
     },
     /// This front's file was not accepted, and why.
     Refused(Refused),
-    /// This front cannot know what holds: statements of customers with rules are turned away.
+    /// This front cannot know what holds: statements of customers with rules are rejected.
     RulesUnknown,
     /// This front can judge by the rules again.
     RulesKnown {
         /// The version that it judges by.
         version: u64,
     },
-    /// A later life of this front counts hits: this one does not any more.
+    /// A later incarnation of this front counts hits: this one does not any more.
     Superseded,
     /// The ledger holds what this build cannot read.
     Unreadable {
         /// Which entry of the ledger it is.
         what: &'static str,
     },
-    /// The ledger is full: what is said of it could not be kept.
+    /// The ledger is full: what is named could not be stored.
     LedgerFull {
         /// What could not be kept.
         what: &'static str,
--- a/crates/access/src/hits.rs
+++ b/crates/access/src/hits.rs
@@ -21,7 +21,7 @@
 /// Pages of an incarnation; rows beyond are counted under any customer.
 const MAX_PAGES: usize = 64;
 const MAX_ROWS: usize = PAGE_ROWS * MAX_PAGES;
-/// Rows that are left for rules when customers are told apart no more.
+/// Rows that are left for rules when customers are counted apart no more.
 const RESERVED_ROWS: usize = 512;
 /// Microseconds until what the ledger could not do is requested again.
 const RETRY_INTERVAL: Micros = 250_000;
@@ -55,7 +55,7 @@
     pub missing: BTreeSet<FrontId>,
 }
 
-/// Takes in a table of a life: of two counts of a row the greater is the later.
+/// Takes in a table of an incarnation: of two counts of a row the greater is the later.
 pub fn merge_counts(into: &mut HitCounts, from: &HitCounts) {
     for (hit, count) in from {
         let known = into.entry(hit.clone()).or_default();
--- a/crates/access/src/known.rs
+++ b/crates/access/src/known.rs
@@ -20,7 +20,7 @@
     pub workloads: Vec<WorkloadLocations>,
     /// Locations of engines.
     pub locations: Vec<String>,
-    /// Names for some locations together; a location is a region of its own name where nothing else is said.
+    /// Names for some locations together; a location is a region of its own name where no other is given.
     pub regions: BTreeMap<String, Vec<String>>,
     /// The customers that rules may be about; None: all. A front that cannot know what holds turns away the
     /// statements of these and of nobody else.
--- a/crates/access/src/read.rs
+++ b/crates/access/src/read.rs
@@ -18,7 +18,7 @@
 pub enum RulesCommand {
     /// This set is to hold for the fleet.
     Replace(RuleSet),
-    /// What this set would decide otherwise is to be told; nothing changes.
+    /// What this set would decide otherwise is reported; nothing changes.
     WhatIf(RuleSet),
     /// The set of an earlier version is to hold again, under a new one.
     RollBack {
--- a/crates/access/src/rule.rs
+++ b/crates/access/src/rule.rs
@@ -29,7 +29,7 @@
 pub enum RuleEffect {
     /// The statement is not run.
     Deny {
-        /// What the client and the log are told.
+        /// The reason that the client and the log get.
         reason: String,
     },
     /// Places (indices of `KnownNames::locations`) where it may be read, ascending; None: anywhere.
@@ -165,7 +165,7 @@
         self.from_ms <= other.from_ms && other.until_ms <= self.until_ms
     }
 
-    /// Whether it is about a statement. Where the groups of tables cannot be told, a rule about tables that lets
+    /// Whether it is about a statement. Where the groups of tables are unknown, a rule about tables that lets
     /// less through is about it, and one that lets more through is not.
     pub fn matches(&self, attributes: &Attributes) -> bool {
         let named =
--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -1,13 +1,13 @@
 //! One front's part in the exchange between the fleet and its dispatcher.
 
 mod ledger;
+mod reports;
 
-use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use hallmux_dispatcher::{Dispatcher, EngineObservation, Micros};
+use hallmux_dispatcher::{Dispatcher, Micros};
 use hallmux_gossip::channels::{Channel, ChannelMessage};
 use hallmux_gossip::evidence::PeerReport;
 use hallmux_gossip::members::FleetSize;
@@ -19,16 +19,14 @@
 use crate::ledger::LedgerNode;
 use crate::load::Load;
 use crate::ownership::Ownership;
-use crate::{engine_hash, ClockReading, Output, OwnedLease, OwnershipConfig};
+use crate::{ClockReading, Output, OwnedLease, OwnershipConfig};
+
+use reports::ReportedEngine;
 
 /// Microseconds between reports of what this front has observed itself.
 const REPORT_INTERVAL: Micros = 250_000;
-/// Milliseconds: each step of a silence is a report for all fronts to pass on.
-const SILENCE_STEP_MS: Micros = 500;
 /// Channel messages held for other subsystems, some 100 KB.
 const MAX_RECEIVED: usize = 1_024;
-/// Fronts that the dispatcher tells apart in one run of this one.
-const MAX_REPORTERS: usize = 4_096;
 
 /// What a tick of the exchange gives out.
 #[derive(Default)]
@@ -39,9 +37,6 @@
     pub new_reports: Vec<PeerReport>,
 }
 
-/// An engine as a peer reports it.
-type ReportedEngine = (PeerId, u64);
-
 /// One front's part in the exchange.
 pub struct Exchange {
     node: Node,
@@ -67,38 +62,6 @@
     probes: Option<bool>,
 }
 
-fn reported_engine(report: &PeerReport) -> ReportedEngine {
-    (report.reporter, report.sighting.engine)
-}
-
-/// Passes a report to the dispatcher, from the reporter of this number.
-fn pass_report(now: Micros, dispatcher: &mut Dispatcher, reporter: usize, report: &PeerReport) {
-    let sighting = report.sighting;
-    let observation = EngineObservation {
-        id: "",
-        failed: f64::from(sighting.failed),
-        answered: f64::from(sighting.answered),
-        silent: Micros::from(sighting.silent_ms) * 1000,
-        draining: sighting.drains,
-        started: None,
-    };
-    let is_engine = |id: &str| engine_hash(id) == sighting.engine;
-    dispatcher.peer_report(now, reporter, is_engine, &observation, report.age);
-}
-
-/// What this front has observed of an engine, as other fronts learn it.
-fn sighting(seen: &EngineObservation) -> Sighting {
-    Sighting {
-        engine: engine_hash(seen.id),
-        failed: seen.failed.min(255.0) as u8,
-        answered: seen.answered.min(255.0) as u8,
-        silent_ms: (seen.silent / 1000 / SILENCE_STEP_MS * SILENCE_STEP_MS)
-            .min(Micros::from(u16::MAX)) as u16,
-        drains: seen.draining,
-        started_s: seen.started.map_or(0, |at| (at / 1_000_000) as u32),
-    }
-}
-
 impl Exchange {
     /// A front that knows of no other yet; `wall_ms` is Unix time in milliseconds and names this run.
     pub fn new(config: NodeConfig, wall_ms: u64) -> Exchange {
@@ -289,23 +252,6 @@
         }
     }
 
-    /// Reports what this front observes of engines, worst first, and of ownership; takes in others' ownership
-    /// reports.
-    fn report(&mut self, at: ClockReading, dispatcher: &mut Dispatcher) {
-        let observations = dispatcher.observations(at.now);
-        let mut sightings: Vec<Sighting> = observations.iter().map(sighting).collect();
-        sightings.sort_by_key(|s| (Reverse(s.silent_ms), Reverse(s.failed), s.engine));
-        let ownership = self
-            .ownership
-            .as_ref()
-            .map(|ownership| ownership.report(at, dispatcher));
-        self.node
-            .report(at.now, at.wall_ms, sightings, ownership.unwrap_or_default());
-        if let Some(ownership) = &mut self.ownership {
-            ownership.admit(at, &self.node, dispatcher);
-        }
-    }
-
     /// Passes the fleet's size, and who of it probes for the fleet, to the dispatcher where it has changed.
     fn announce_fleet(&mut self, at: ClockReading, dispatcher: &mut Dispatcher) {
         let fleet = self.node.fleet_size();
@@ -336,29 +282,4 @@
         }
         self.node.leave(now, wall_ms, random)
     }
-
-    /// Passes what has changed in other fronts' reports to the dispatcher; gives reports on engines not
-    /// reported before.
-    fn take_reports(&mut self, now: Micros, dispatcher: &mut Dispatcher) -> Vec<PeerReport> {
-        let reports = self.node.peer_reports(now);
-        for report in &reports {
-            let known = self.known_reports.get(&reported_engine(report));
-            // Guards against reporters without end, as keys come and go.
-            if known == Some(&report.sighting) || self.reporters.len() >= MAX_REPORTERS {
-                continue;
-            }
-            let next = self.reporters.len();
-            let reporter = *self.reporters.entry(report.reporter).or_insert(next);
-            pass_report(now, dispatcher, reporter, report);
-        }
-        let known: BTreeMap<ReportedEngine, Sighting> = reports
-            .iter()
-            .map(|report| (reported_engine(report), report.sighting))
-            .collect();
-        let before = std::mem::replace(&mut self.known_reports, known);
-        reports
-            .into_iter()
-            .filter(|report| !before.contains_key(&reported_engine(report)))
-            .collect()
-    }
 }
--- a/crates/fleet/src/gate/key_state.rs
+++ b/crates/fleet/src/gate/key_state.rs
@@ -105,11 +105,11 @@
     group: Group,
     /// The version of the entry to be replaced; 0: none.
     version: u64,
-    /// Unix milliseconds until which it may be held though no answer said so.
+    /// Unix milliseconds until which it may be held though no answer confirmed it.
     may_be_held_until_ms: u64,
     /// Names the entry that was requested.
     mark: EntryMark,
-    /// No answer said whether that entry was made.
+    /// No answer has told whether that entry was made.
     unconfirmed: bool,
     /// What the request that is out is for, if one is.
     requested: Option<Purpose>,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -28,7 +28,7 @@
     pub now: Micros,
     /// Microseconds on a monotonic clock that runs evenly: leases go by it alone.
     pub steady: Micros,
-    /// Unix time in milliseconds, as other fronts are told.
+    /// Unix time in milliseconds, as other fronts get it.
     pub wall_ms: u64,
 }
 
--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -1,24 +1,28 @@
 //! Ownership of the fleet's work, as one front takes part in it: its claim to the lease, its vote where it is
 //! a voter, and the fence that owners' acts have to pass.
 
+mod acts;
+mod messages;
+mod refusal;
+
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use hallmux_dispatcher::{Dispatcher, Micros};
-use hallmux_gossip::channels::{Channel, ChannelMessage};
-use hallmux_gossip::message::{OwnerAct, OwnershipReport, RecoveredEngine, ReportedLease};
-use hallmux_gossip::node::{Datagram, Node};
+use hallmux_gossip::message::RecoveredEngine;
+use hallmux_gossip::node::Datagram;
 use hallmux_gossip::{PeerId, RandomSource};
 use hallmux_lease::disk::StateError;
-use hallmux_lease::fence::{self, Fence, Refused};
+use hallmux_lease::fence::Fence;
 use hallmux_lease::holder::Holder;
 use hallmux_lease::voter::{self, Voter, VoterConfig};
 use hallmux_lease::{
     fingerprint, AddressedEnvelope, AddressedRequest, Envelope, LeaseMessage, Task, Terms, Token,
-    TokenOwner,
 };
 
-use crate::{engine_hash, ClockReading, Output};
+use crate::{engine_hash, ClockReading};
+
+use refusal::ActRefusal;
 
 const TASK: Task = Task::Zones;
 /// Engines in an owner's act: they fit a report.
@@ -70,37 +74,7 @@
     pub datagrams: Vec<Datagram>,
 }
 
-/// Why an act or message about ownership was refused.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ActRefusal {
-    /// It can't be read.
-    Form,
-    /// It is meant for another fleet.
-    Fleet,
-    /// It is a reply of a front that is no voter.
-    NoVoter,
-    /// It is meant for a voter, which this front is not.
-    NoVoterHere,
-    /// A later owner was seen.
-    Stale,
-    /// No majority of voters has reported its token.
-    Unknown,
-}
-
-impl ActRefusal {
-    /// Its name in the log.
-    fn name(self) -> &'static str {
-        match self {
-            ActRefusal::Form => "form",
-            ActRefusal::Fleet => "fleet",
-            ActRefusal::NoVoter => "no voter",
-            ActRefusal::NoVoterHere => "no voter here",
-            ActRefusal::Stale => "stale",
-            ActRefusal::Unknown => "unknown",
-        }
-    }
-}
-
+/// Ownership of the fleet's work as one front takes part in it.
 pub(crate) struct Ownership {
     own: PeerId,
     fleet: u64,
@@ -187,30 +161,6 @@
         self.next_check
     }
 
-    /// Takes in a message on the lease channel.
-    pub fn receive(&mut self, at: ClockReading, message: &ChannelMessage) {
-        let from = message.from;
-        let Some(envelope) = hallmux_lease::read(&message.bytes) else {
-            return self.refuse(ActRefusal::Form);
-        };
-        if envelope.fleet != self.fleet {
-            return self.refuse(ActRefusal::Fleet);
-        }
-        self.addresses.insert(from, message.at);
-        match (envelope.message, &mut self.voter) {
-            (LeaseMessage::Reply(reply), _) if self.voters.contains_key(&from) => {
-                self.holder.receive(&reply)
-            }
-            (LeaseMessage::Reply(_), _) => self.refuse(ActRefusal::NoVoter),
-            (message, Some(voter)) => {
-                let fleet = self.fleet;
-                let output = voter.receive(at.steady, from, Envelope { fleet, message });
-                self.voter_outbox.push(output);
-            }
-            (_, None) => self.refuse(ActRefusal::NoVoterHere),
-        }
-    }
-
     /// Runs the voter's clock, and asks for the lease or renews it. `up` is the number of fronts that are up.
     pub fn tick(
         &mut self,
@@ -281,164 +231,7 @@
         postcard::to_stdvec(&self.recovered(at, dispatcher)).unwrap_or_default()
     }
 
-    /// What this front reports of the fleet's work.
-    pub fn report(&self, at: ClockReading, dispatcher: &Dispatcher) -> OwnershipReport {
-        let lease = self
-            .voter
-            .as_ref()
-            .and_then(|voter| voter.leases().of(TASK));
-        let act = self.owned_lease(at.steady).map(|owned| OwnerAct {
-            token: owned.token,
-            recovered: self.recovered(at, dispatcher),
-        });
-        let lease = lease.map(|lease| ReportedLease {
-            token: lease.token,
-            owner: lease.owner,
-        });
-        OwnershipReport { lease, act }
-    }
-
-    /// Takes in what other fronts report: the owner that a majority of voters names, and what that owner has
-    /// done.
-    pub fn admit(&mut self, at: ClockReading, node: &Node, dispatcher: &mut Dispatcher) {
-        if let Some(lease) = self.majority_lease(at, node) {
-            self.fence.observe(TASK, lease);
-        }
-        for peer in node.ownership_reports(at.now) {
-            if let Some(act) = &peer.ownership.act {
-                self.admit_act(at, peer.reporter, act, peer.age, dispatcher);
-            }
-        }
-    }
-
-    /// The lease that a majority of the voters reports.
-    fn majority_lease(&self, at: ClockReading, node: &Node) -> Option<TokenOwner> {
-        let leases: BTreeMap<PeerId, TokenOwner> = node
-            .ownership_reports(at.now)
-            .filter(|peer| self.voters.contains_key(&peer.reporter))
-            .filter_map(|peer| {
-                let ReportedLease { token, owner } = peer.ownership.lease?;
-                Some((peer.reporter, TokenOwner { token, owner }))
-            })
-            .collect();
-        fence::majority(&leases, self.voters.len())
-    }
-
-    /// Takes in an owner's act, `age` microseconds old, where the fence admits it.
-    fn admit_act(
-        &mut self,
-        at: ClockReading,
-        reporter: PeerId,
-        act: &OwnerAct,
-        age: Micros,
-        dispatcher: &mut Dispatcher,
-    ) {
-        let claimed = TokenOwner {
-            token: act.token,
-            owner: reporter,
-        };
-        match self.fence.admit(TASK, claimed) {
-            Ok(()) => {
-                self.owner_seen = self.owner_seen.max(at.steady - age);
-                if reporter != self.own {
-                    self.announce(at, act.token, &act.recovered, age, dispatcher);
-                }
-            }
-            Err(Refused::Stale) => self.refuse(ActRefusal::Stale),
-            Err(Refused::Unknown) => self.refuse(ActRefusal::Unknown),
-        }
-    }
-
-    /// An owner reported, `age` microseconds ago, that engines answer again: the dispatcher learns of each
-    /// once.
-    fn announce(
-        &mut self,
-        at: ClockReading,
-        token: Token,
-        recovered: &[RecoveredEngine],
-        age: Micros,
-        dispatcher: &mut Dispatcher,
-    ) {
-        let known: Vec<u64> = dispatcher
-            .recovered(at.now)
-            .into_iter()
-            .map(|recovery| engine_hash(recovery.engine_id))
-            .collect();
-        for RecoveredEngine { engine, since_ms } in recovered.iter().take(MAX_RECOVERED) {
-            if !known.contains(engine) && self.announced.insert(*engine, token) != Some(token) {
-                let since = at.now - age - Micros::from(*since_ms) * 1000;
-                dispatcher.set_recovered_since(|id| engine_hash(id) == *engine, since);
-            }
-        }
-        self.announced.retain(|engine, _| {
-            known.contains(engine) || recovered.iter().any(|r| r.engine == *engine)
-        });
-    }
-
-    /// Puts what there is to send into datagrams: a voter's behind what it has to save.
-    pub fn send(&mut self, at: ClockReading, node: &mut Node, out: &mut Output) {
-        for request in std::mem::take(&mut self.requests) {
-            if request.to == self.own {
-                self.request_of_own_voter(at, request.envelope);
-                continue;
-            }
-            let to = self.voters.get(&request.to).copied();
-            let datagram = to.and_then(|to| seal(at, node, to, &request.envelope));
-            out.datagrams.extend(datagram);
-        }
-        for output in std::mem::take(&mut self.voter_outbox) {
-            let datagrams = self.voter_datagrams(at, node, output.messages);
-            if output.save.is_some() || !datagrams.is_empty() {
-                out.voter_saves.push(VoterSave {
-                    bytes: output.save,
-                    datagrams,
-                });
-            }
-        }
-    }
-
-    /// A request of this front to itself as a voter stays here.
-    fn request_of_own_voter(&mut self, at: ClockReading, envelope: Envelope) {
-        if let Some(voter) = &mut self.voter {
-            let output = voter.receive(at.steady, self.own, envelope);
-            self.voter_outbox.push(output);
-        }
-    }
-
-    /// The datagrams with a voter's messages; its replies to this front itself are taken in.
-    fn voter_datagrams(
-        &mut self,
-        at: ClockReading,
-        node: &mut Node,
-        messages: Vec<AddressedEnvelope>,
-    ) -> Vec<Datagram> {
-        let mut datagrams = Vec::new();
-        for AddressedEnvelope { to, envelope } in messages {
-            if let LeaseMessage::Reply(reply) = &envelope.message {
-                if to == self.own {
-                    self.holder.receive(reply);
-                    continue;
-                }
-            }
-            let address = self.voters.get(&to).or(self.addresses.get(&to)).copied();
-            let datagram = address.and_then(|to| seal(at, node, to, &envelope));
-            datagrams.extend(datagram);
-        }
-        datagrams
-    }
-
     fn refuse(&mut self, why: ActRefusal) {
         *self.refused.entry(why.name()).or_default() += 1;
     }
 }
-
-/// Seals a lease message in a datagram. None where the channel's rate is exceeded.
-fn seal(
-    at: ClockReading,
-    node: &mut Node,
-    to: SocketAddr,
-    envelope: &Envelope,
-) -> Option<Datagram> {
-    let bytes = hallmux_lease::bytes(envelope);
-    node.channel_datagram(at.now, at.wall_ms, to, Channel::Lease, &bytes)
-}
--- /dev/null
+++ b/crates/fleet/src/ownership/messages.rs
@@ -0,0 +1,100 @@
+//! Lease messages that come in and go out: between this front's claim, its voter, and other fronts.
+
+use std::net::SocketAddr;
+
+use hallmux_gossip::channels::{Channel, ChannelMessage};
+use hallmux_gossip::node::{Datagram, Node};
+use hallmux_lease::{AddressedEnvelope, Envelope, LeaseMessage};
+
+use super::refusal::ActRefusal;
+use super::{Ownership, VoterSave};
+use crate::{ClockReading, Output};
+
+impl Ownership {
+    /// Takes in a message on the lease channel.
+    pub fn receive(&mut self, at: ClockReading, message: &ChannelMessage) {
+        let from = message.from;
+        let Some(envelope) = hallmux_lease::read(&message.bytes) else {
+            return self.refuse(ActRefusal::Form);
+        };
+        if envelope.fleet != self.fleet {
+            return self.refuse(ActRefusal::Fleet);
+        }
+        self.addresses.insert(from, message.at);
+        match (envelope.message, &mut self.voter) {
+            (LeaseMessage::Reply(reply), _) if self.voters.contains_key(&from) => {
+                self.holder.receive(&reply)
+            }
+            (LeaseMessage::Reply(_), _) => self.refuse(ActRefusal::NoVoter),
+            (message, Some(voter)) => {
+                let fleet = self.fleet;
+                let output = voter.receive(at.steady, from, Envelope { fleet, message });
+                self.voter_outbox.push(output);
+            }
+            (_, None) => self.refuse(ActRefusal::NoVoterHere),
+        }
+    }
+
+    /// Puts what there is to send into datagrams: a voter's behind what it has to save.
+    pub fn send(&mut self, at: ClockReading, node: &mut Node, out: &mut Output) {
+        for request in std::mem::take(&mut self.requests) {
+            if request.to == self.own {
+                self.request_of_own_voter(at, request.envelope);
+                continue;
+            }
+            let to = self.voters.get(&request.to).copied();
+            let datagram = to.and_then(|to| seal(at, node, to, &request.envelope));
+            out.datagrams.extend(datagram);
+        }
+        for output in std::mem::take(&mut self.voter_outbox) {
+            let datagrams = self.voter_datagrams(at, node, output.messages);
+            if output.save.is_some() || !datagrams.is_empty() {
+                out.voter_saves.push(VoterSave {
+                    bytes: output.save,
+                    datagrams,
+                });
+            }
+        }
+    }
+
+    /// A request of this front to itself as a voter stays here.
+    fn request_of_own_voter(&mut self, at: ClockReading, envelope: Envelope) {
+        if let Some(voter) = &mut self.voter {
+            let output = voter.receive(at.steady, self.own, envelope);
+            self.voter_outbox.push(output);
+        }
+    }
+
+    /// The datagrams with a voter's messages; its replies to this front itself are taken in.
+    fn voter_datagrams(
+        &mut self,
+        at: ClockReading,
+        node: &mut Node,
+        messages: Vec<AddressedEnvelope>,
+    ) -> Vec<Datagram> {
+        let mut datagrams = Vec::new();
+        for AddressedEnvelope { to, envelope } in messages {
+            if let LeaseMessage::Reply(reply) = &envelope.message {
+                if to == self.own {
+                    self.holder.receive(reply);
+                    continue;
+                }
+            }
+            let address = self.voters.get(&to).or(self.addresses.get(&to)).copied();
+            let datagram = address.and_then(|to| seal(at, node, to, &envelope));
+            datagrams.extend(datagram);
+        }
+        datagrams
+    }
+}
+
+/// Seals a lease message in a datagram. None where the channel's rate is exceeded.
+fn seal(
+    at: ClockReading,
+    node: &mut Node,
+    to: SocketAddr,
+    envelope: &Envelope,
+) -> Option<Datagram> {
+    let bytes = hallmux_lease::bytes(envelope);
+    node.channel_datagram(at.now, at.wall_ms, to, Channel::Lease, &bytes)
+}
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -6,11 +6,10 @@
 use crate::message::{OwnershipReport, Report, Sighting, Signed};
 use crate::{Micros, PeerId};
 
-/// Microseconds after which a report counts for nothing: an engine's trouble lasts some seconds to half a
-/// minute, and reporters renew what they still observe.
+/// Microseconds after which a report counts for nothing; reporters renew what they still observe.
 pub const EXPIRY: Micros = 8_000_000;
 /// Most sightings in a report, and most recovered engines in an act; a longer one is refused. With more
-/// engines in trouble at once, all are.
+/// faulty engines at once, all are.
 pub const MAX_SIGHTINGS: usize = 12;
 /// Fronts whose reports are held; the oldest report is dropped first.
 const MAX_REPORTERS: usize = 256;
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -240,7 +240,7 @@
     }
 
     /// Updates for a datagram, at most `most` beside those on the receiver: those passed on least come first,
-    /// and before all what its receiver is said to be, so that it can refute it.
+    /// and before all those on the receiver, so that it can refute them.
     pub fn pass_on(&mut self, to: SocketAddr, most: usize) -> Vec<MemberUpdate> {
         let mut picked: Vec<MemberUpdate> = self
             .members
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -66,7 +66,7 @@
     pub version: u32,
     /// When it was made, in Unix milliseconds on its reporter's clock.
     pub created_ms: u64,
-    /// Engines in trouble, or with something announced of them.
+    /// Engines with a fault, or with something announced of them.
     pub sightings: Vec<Sighting>,
     /// The reporter's view of who owns the fleet's work.
     pub ownership: OwnershipReport,
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -135,7 +135,7 @@
         self.peers.set_keys(keys);
     }
 
-    /// Reports what this front observes of engines now: only those in some trouble, or with something
+    /// Reports what this front observes of engines now: only those with a fault, or with something
     /// announced of them. Beyond [`MAX_SIGHTINGS`] the rest is left out.
     pub fn report_sightings(&mut self, now: Micros, wall_ms: u64, sightings: Vec<Sighting>) {
         self.report(now, wall_ms, sightings, OwnershipReport::default());
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -2,12 +2,12 @@
 //! log alone decides who owns what; time only keeps a leader from proposing a new owner before the one before
 //! has surely stopped.
 
+mod log;
+
 use std::collections::BTreeMap;
 
 use hallmux_replica::{LogStore, MessageOrder};
-use omnipaxos::messages::Message as LogMessage;
-use omnipaxos::util::LogEntry;
-use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
+use omnipaxos::OmniPaxos;
 
 use crate::disk::{Disk, StateError};
 use crate::leases::{Change, Leases};
@@ -17,20 +17,11 @@
 
 /// Microseconds between ticks of the log's clock.
 const TICK: Micros = 50_000;
-/// Ticks without a message of the leader until an election.
-const ELECTION_TICKS: u64 = 6;
-/// Ticks until a message counts as lost.
-const RESEND_TICKS: u64 = 4;
-/// Decided entries until the log is compacted into a snapshot.
-const SNAPSHOT_AFTER: usize = 16;
 /// Bytes of progress that go with a lease.
 const MAX_PROGRESS: usize = 256;
 /// Requests that wait for the log at once.
 const MAX_WAITING: usize = 64;
 
-/// A voter's place among the voters, counted from 1: its number in the log.
-type LogNumber = u64;
-
 /// What a voter is part of.
 #[derive(Clone, Debug)]
 pub struct VoterConfig {
@@ -107,7 +98,7 @@
             None => Disk::new(fleet),
         };
         disk.start();
-        let log = open_log(own, &voters, disk.store.clone())?;
+        let log = log::open_log(own, &voters, disk.store.clone())?;
         let mut voter = Voter {
             fleet,
             own,
@@ -181,18 +172,6 @@
         self.settle(now)
     }
 
-    /// Whether a log message names its true sender and this voter: the library uses its numbers as places.
-    fn is_from(&self, message: &LogMessage<Change>, from: FrontId) -> bool {
-        self.voter(message.get_sender()) == Some(from)
-            && self.voter(message.get_receiver()) == Some(self.own)
-    }
-
-    /// The voter of a number in the log.
-    fn voter(&self, number: LogNumber) -> Option<FrontId> {
-        let place = number.checked_sub(1)?;
-        self.voters.get(place as usize).copied()
-    }
-
     /// A front requests a lease or its renewal. Without a reply it requests again, and this voter may be ready.
     fn requested(&mut self, now: Micros, requester: FrontId, request: Request) {
         let number = request.number;
@@ -247,17 +226,6 @@
             && rested(self.started)
     }
 
-    fn leader(&self) -> Option<FrontId> {
-        let (number, _) = self.log.get_current_leader()?;
-        self.voter(number)
-    }
-
-    /// Whether this voter leads and may propose.
-    fn leads(&self) -> bool {
-        let leader = self.log.get_current_leader();
-        leader.is_some_and(|(_, ready)| ready) && self.leader() == Some(self.own)
-    }
-
     fn reply(&mut self, to: FrontId, reply: Reply) {
         self.send(to, LeaseMessage::Reply(reply));
     }
@@ -305,82 +273,4 @@
             }
         }
     }
-
-    /// Takes the log library's messages, and numbers those that must come in order.
-    fn send_log_messages(&mut self) {
-        let mut messages = Vec::new();
-        self.log.take_outgoing_messages(&mut messages);
-        for message in messages {
-            let receiver = self.voter(message.get_receiver());
-            let Some(to) = receiver.filter(|to| *to != self.own) else {
-                continue;
-            };
-            let message = LeaseMessage::Log {
-                incarnation: self.disk.incarnation,
-                number: self.order.number(&message),
-                message: Box::new(message),
-            };
-            self.send(to, message);
-        }
-    }
-
-    /// Applies what the log has decided since the last call.
-    fn apply(&mut self, now: Micros) {
-        let decided = self.log.get_decided_idx();
-        if decided <= self.applied {
-            return;
-        }
-        let entries = self.log.read_decided_suffix(self.applied);
-        for entry in entries.unwrap_or_default() {
-            self.apply_entry(now, entry);
-        }
-        self.applied = decided;
-        if decided.saturating_sub(self.log.get_compacted_idx()) >= SNAPSHOT_AFTER {
-            // If it can't be compacted now, it is the next time.
-            let _ = self.log.snapshot(Some(decided), true);
-        }
-    }
-
-    fn apply_entry(&mut self, now: Micros, entry: LogEntry<Change>) {
-        match entry {
-            LogEntry::Decided(change) => {
-                self.leases.apply(&change);
-                let (Change::Grant { task, .. } | Change::Renew { task, .. }) = change;
-                self.confirmed.insert(task, now);
-            }
-            LogEntry::Snapshotted(snapshotted) => {
-                self.leases = snapshotted.snapshot.leases();
-                for (task, _) in self.leases.all() {
-                    self.confirmed.insert(task, now);
-                }
-            }
-            LogEntry::Undecided(_) | LogEntry::Trimmed(_) | LogEntry::StopSign(..) => {}
-        }
-    }
-}
-
-/// Opens this voter's part of the log. An error says that it is no voter, or that there are too few.
-fn open_log(
-    own: FrontId,
-    voters: &[FrontId],
-    store: LogStore<Change>,
-) -> Result<OmniPaxos<Change, LogStore<Change>>, StateError> {
-    let place = voters.iter().position(|voter| *voter == own);
-    let number = place.ok_or(StateError::Voters)? as LogNumber + 1;
-    let cluster_config = ClusterConfig {
-        configuration_id: 1,
-        nodes: (1..=voters.len() as LogNumber).collect(),
-        ..ClusterConfig::default()
-    };
-    let server_config = ServerConfig {
-        pid: number,
-        election_tick_timeout: ELECTION_TICKS,
-        resend_message_tick_timeout: RESEND_TICKS,
-        ..ServerConfig::default()
-    };
-    let config = OmniPaxosConfig {
-        cluster_config,
-        server_config,
-    };
-    config.build(store).map_err(|_| StateError::Voters)
 }
--- /dev/null
+++ b/crates/lease/src/voter/log.rs
@@ -0,0 +1,123 @@
+//! A voter's part of the replicated log: its messages, its leader, and what it has decided.
+
+use hallmux_replica::LogStore;
+use omnipaxos::messages::Message as LogMessage;
+use omnipaxos::util::LogEntry;
+use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
+
+use super::Voter;
+use crate::disk::StateError;
+use crate::leases::Change;
+use crate::{FrontId, LeaseMessage, Micros};
+
+/// Ticks without a message of the leader until an election.
+const ELECTION_TICKS: u64 = 6;
+/// Ticks until a message counts as lost.
+const RESEND_TICKS: u64 = 4;
+/// Decided entries until the log is compacted into a snapshot.
+const SNAPSHOT_AFTER: usize = 16;
+/// A voter's place among the voters, counted from 1: its number in the log.
+type LogNumber = u64;
+
+impl Voter {
+    /// Whether a log message names its true sender and this voter: the library uses its numbers as places.
+    pub(super) fn is_from(&self, message: &LogMessage<Change>, from: FrontId) -> bool {
+        self.voter(message.get_sender()) == Some(from)
+            && self.voter(message.get_receiver()) == Some(self.own)
+    }
+
+    /// The voter of a number in the log.
+    pub(super) fn voter(&self, number: LogNumber) -> Option<FrontId> {
+        let place = number.checked_sub(1)?;
+        self.voters.get(place as usize).copied()
+    }
+
+    pub(super) fn leader(&self) -> Option<FrontId> {
+        let (number, _) = self.log.get_current_leader()?;
+        self.voter(number)
+    }
+
+    /// Whether this voter leads and may propose.
+    pub(super) fn leads(&self) -> bool {
+        let leader = self.log.get_current_leader();
+        leader.is_some_and(|(_, ready)| ready) && self.leader() == Some(self.own)
+    }
+
+    /// Takes the log library's messages, and numbers those that must come in order.
+    pub(super) fn send_log_messages(&mut self) {
+        let mut messages = Vec::new();
+        self.log.take_outgoing_messages(&mut messages);
+        for message in messages {
+            let receiver = self.voter(message.get_receiver());
+            let Some(to) = receiver.filter(|to| *to != self.own) else {
+                continue;
+            };
+            let message = LeaseMessage::Log {
+                incarnation: self.disk.incarnation,
+                number: self.order.number(&message),
+                message: Box::new(message),
+            };
+            self.send(to, message);
+        }
+    }
+
+    /// Applies what the log has decided since the last call.
+    pub(super) fn apply(&mut self, now: Micros) {
+        let decided = self.log.get_decided_idx();
+        if decided <= self.applied {
+            return;
+        }
+        let entries = self.log.read_decided_suffix(self.applied);
+        for entry in entries.unwrap_or_default() {
+            self.apply_entry(now, entry);
+        }
+        self.applied = decided;
+        if decided.saturating_sub(self.log.get_compacted_idx()) >= SNAPSHOT_AFTER {
+            // If it can't be compacted now, it is the next time.
+            let _ = self.log.snapshot(Some(decided), true);
+        }
+    }
+
+    pub(super) fn apply_entry(&mut self, now: Micros, entry: LogEntry<Change>) {
+        match entry {
+            LogEntry::Decided(change) => {
+                self.leases.apply(&change);
+                let (Change::Grant { task, .. } | Change::Renew { task, .. }) = change;
+                self.confirmed.insert(task, now);
+            }
+            LogEntry::Snapshotted(snapshotted) => {
+                self.leases = snapshotted.snapshot.leases();
+                for (task, _) in self.leases.all() {
+                    self.confirmed.insert(task, now);
+                }
+            }
+            LogEntry::Undecided(_) | LogEntry::Trimmed(_) | LogEntry::StopSign(..) => {}
+        }
+    }
+}
+
+/// Opens this voter's part of the log. An error says that it is no voter, or that there are too few.
+pub(super) fn open_log(
+    own: FrontId,
+    voters: &[FrontId],
+    store: LogStore<Change>,
+) -> Result<OmniPaxos<Change, LogStore<Change>>, StateError> {
+    let place = voters.iter().position(|voter| *voter == own);
+    let number = place.ok_or(StateError::Voters)? as LogNumber + 1;
+    let cluster_config = ClusterConfig {
+        configuration_id: 1,
+        nodes: (1..=voters.len() as LogNumber).collect(),
+        ..ClusterConfig::default()
+    };
+    let server_config = ServerConfig {
+        pid: number,
+        election_tick_timeout: ELECTION_TICKS,
+        resend_message_tick_timeout: RESEND_TICKS,
+        ..ServerConfig::default()
+    };
+    let config = OmniPaxosConfig {
+        cluster_config,
+        server_config,
+    };
+    config.build(store).map_err(|_| StateError::Voters)
+}
