--- /dev/null
+++ b/crates/access/src/hits/pages.rs
@@ -0,0 +1,189 @@
+//! This incarnation's pages of counts: a statement's hits are added to them, and they are listed and stored in the
+//! ledger.
+
+use hallmux_ledger::{Act, Outcome};
+
+use super::storage::{
+    decode, encode, is_closed, list_key, page_key, IncarnationList, ListedIncarnation,
+};
+use super::{AwaitedHit, Hit, Hits, Page, Pending, OTHERS, RETRY_INTERVAL};
+use crate::Micros;
+
+/// Rows of a page, some 3 KB.
+const PAGE_ROWS: usize = 64;
+/// Pages of an incarnation; rows beyond are counted under any customer.
+const MAX_PAGES: usize = 64;
+const MAX_ROWS: usize = PAGE_ROWS * MAX_PAGES;
+/// Rows that are left for rules when customers are counted apart no more.
+const RESERVED_ROWS: usize = 512;
+/// Microseconds until a list of an unknown format is read again.
+const UNKNOWN_FORMAT_INTERVAL: Micros = 20 * RETRY_INTERVAL;
+impl Hits {
+    /// Counts a statement, once for each hit; it may go on once `counted` names it.
+    pub fn count(&mut self, statement: u64, hits: Vec<Hit>) {
+        let awaited = hits.into_iter().map(|hit| self.add(hit)).collect();
+        self.waiting.insert(statement, awaited);
+    }
+
+    /// Adds a hit to its row.
+    fn add(&mut self, hit: Hit) -> AwaitedHit {
+        let row = self.row(hit);
+        let page = self.rows.get(&row).copied().unwrap_or_default();
+        let Some(counted) = self.pages.get_mut(page) else {
+            return AwaitedHit { page, number: 0 };
+        };
+        *counted.counts.entry(row).or_default() += 1;
+        counted.added += 1;
+        AwaitedHit {
+            page,
+            number: counted.added,
+        }
+    }
+
+    /// The row that a hit goes to, made where it is new.
+    fn row(&mut self, hit: Hit) -> Hit {
+        if self.rows.contains_key(&hit) {
+            return hit;
+        }
+        let rows = self.rows.len();
+        let hit = if rows + RESERVED_ROWS < MAX_ROWS {
+            hit
+        } else if rows + 1 < MAX_ROWS {
+            Hit {
+                customer: OTHERS.to_string(),
+                ..hit
+            }
+        } else {
+            Hit {
+                rule: OTHERS.to_string(),
+                customer: OTHERS.to_string(),
+                region: OTHERS.to_string(),
+            }
+        };
+        if !self.rows.contains_key(&hit) {
+            let page = rows / PAGE_ROWS;
+            if self.pages.len() <= page {
+                self.pages.push(Page::default());
+            }
+            let last = self.pages.len().saturating_sub(1);
+            self.rows.insert(hit.clone(), page.min(last));
+        }
+        hit
+    }
+
+    /// Names this incarnation and its pages in the list, before anything is counted there.
+    pub(super) fn list_pages(&mut self, number: &mut impl FnMut() -> u64) {
+        let has_to_list = self.list_is_stale || self.listed_pages < self.pages.len();
+        if self.superseded || !has_to_list || self.listing {
+            return;
+        }
+        self.listing = true;
+        let key = list_key(self.own.front);
+        let own = ListedIncarnation {
+            incarnation: self.own.incarnation,
+            pages: self.pages.len() as u32,
+        };
+        let act = match &self.list {
+            Some(list) if !std::mem::take(&mut self.list_is_stale) => {
+                let mut entries = list.entries.clone();
+                entries.retain(|entry| entry.incarnation != own.incarnation);
+                entries.push(own);
+                Act::Put {
+                    expects: Some(list.version),
+                    ends_ms: 0,
+                    value: encode(&entries),
+                }
+            }
+            _ => Act::Read,
+        };
+        self.ask(number, Pending::OwnList, key, act);
+    }
+
+    /// Stores a page that has hits which the ledger has not.
+    pub(super) fn put_page(&mut self, at: usize, number: &mut impl FnMut() -> u64) {
+        let Some(page) = self.pages.get_mut(at) else {
+            return;
+        };
+        if page.putting || page.stored >= page.added {
+            return;
+        }
+        page.putting = true;
+        // Compare and swap: one that was held up on its way can't set the page back.
+        let act = Act::Put {
+            expects: Some(page.version),
+            ends_ms: 0,
+            value: encode(&page.counts),
+        };
+        let pending = Pending::Put {
+            page: at,
+            added: page.added,
+        };
+        let key = page_key(self.own.front, self.own.incarnation, at);
+        self.ask(number, pending, key, act);
+    }
+
+    pub(super) fn on_put_answer(&mut self, at: usize, added: u64, outcome: Outcome) {
+        let Some(page) = self.pages.get_mut(at) else {
+            return;
+        };
+        page.putting = false;
+        match outcome {
+            Outcome::Stands(entry) => {
+                page.stored = page.stored.max(added);
+                page.version = entry.version;
+            }
+            // An earlier put of this incarnation that was thought lost has been made.
+            Outcome::Held(entry) => {
+                // Only a later incarnation of this front closes its pages.
+                self.superseded |= is_closed(&entry.value);
+                page.version = entry.version;
+            }
+            _ => {}
+        }
+        self.release_counted();
+    }
+
+    /// Statements all of whose hits the ledger has may go on.
+    pub(super) fn release_counted(&mut self) {
+        let pages = &self.pages;
+        let is_stored = |hit: &AwaitedHit| {
+            let page = pages.get(hit.page);
+            page.is_none_or(|page| page.stored >= hit.number)
+        };
+        let counted = self
+            .waiting
+            .extract_if(.., |_, awaited| awaited.iter().all(is_stored))
+            .map(|(statement, _)| statement);
+        self.counted.extend(counted);
+    }
+
+    pub(super) fn on_list_answer(&mut self, outcome: Outcome) {
+        self.listing = false;
+        let entry = match outcome {
+            Outcome::Stands(entry) | Outcome::Held(entry) => entry,
+            Outcome::Absent => return self.list = Some(IncarnationList::default()),
+            Outcome::Unreachable | Outcome::Full => return,
+        };
+        let Some(entries) = decode::<Vec<ListedIncarnation>>(&entry.value) else {
+            // A repeated answer comes without the value: it is read anew. A list of a format that this build does
+            // not know stays as it is.
+            let wait = if entry.value.is_empty() {
+                0
+            } else {
+                UNKNOWN_FORMAT_INTERVAL
+            };
+            self.retry_at = self.retry_at.max(self.ticked + wait);
+            return self.list = None;
+        };
+        let own = self.own.incarnation;
+        self.superseded |= entries.iter().any(|entry| entry.incarnation > own);
+        if let Some(listed) = entries.iter().find(|entry| entry.incarnation == own) {
+            let pages = self.listed_pages.max(listed.pages as usize);
+            self.listed_pages = pages.min(self.pages.len());
+        }
+        self.list = Some(IncarnationList {
+            entries,
+            version: entry.version,
+        });
+    }
+}
--- a/crates/hash/src/lib.rs
+++ b/crates/hash/src/lib.rs
@@ -1,10 +1,11 @@
-#![warn(missing_docs)]
 //! The one hash whose values fronts exchange, sign or keep on disk: shard placement, engine and summary ids,
 //! fleet fingerprints and membership filters.
 //!
 //! Its values are part of formats between versions, so the function must never change. It is not keyed and
 //! not collision-resistant: use it only where a collision costs efficiency or is checked for otherwise.
 
+#![warn(missing_docs)]
+
 use std::hash::Hasher;
 
 /// The 64-bit FNV-1a hash of a sequence of bytes, as published by Fowler, Noll and Vo.
@@ -14,7 +15,9 @@
 /// with a mixer of their own.
 pub fn fnv1a(bytes: impl IntoIterator<Item = u8>) -> u64 {
     let mut hasher = fnv::FnvHasher::default();
-    bytes.into_iter().for_each(|byte| hasher.write(&[byte]));
+    for byte in bytes {
+        hasher.write(&[byte]);
+    }
     hasher.finish()
 }
 
