--- a/crates/access/src/index/compare.rs
+++ b/crates/access/src/index/compare.rs
@@ -5,7 +5,22 @@
 use crate::rule::{Attributes, Rule, RuleSet};
 use crate::shares::Limit;
 
-const MOST_COMPARED: usize = 200_000; // kinds of statements; some 100 ms
+/// Kinds of statements that are compared; it takes some 100 ms.
+const MAX_COMPARED: usize = 200_000;
+
+/// One kind of statements at one time.
+struct Kind<'a> {
+    attributes: Attributes<'a>,
+    /// Unix milliseconds.
+    at_ms: u64,
+}
+
+/// What a set permits to a kind of statements.
+struct Permitted {
+    /// Where they may be read, ascending.
+    places: Vec<u16>,
+    limits: Vec<Limit>,
+}
 
 /// The kinds of statements that two sets tell apart: every combination of one value of each list.
 struct Kinds<'a> {
@@ -53,26 +68,37 @@
         lists.iter().try_fold(1usize, |all, n| all.checked_mul(*n))
     }
 
-    /// All of them, each with the time at which it is looked at.
-    fn all(&self) -> impl Iterator<Item = (Attributes<'a>, u64)> + '_ {
-        let who = self.customers.iter().flat_map(move |customer| {
-            self.workloads.iter().flat_map(move |workload| {
-                self.fronts
-                    .iter()
-                    .map(move |front| (*customer, *workload, *front))
+    /// All of them, at each time that is looked at.
+    fn all(&self) -> impl Iterator<Item = Kind<'a>> + '_ {
+        let customers = self.customers.iter();
+        customers.flat_map(move |customer| {
+            let workloads = self.workloads.iter();
+            workloads.flat_map(move |workload| {
+                let fronts = self.fronts.iter();
+                fronts.flat_map(move |front| self.of_front(customer, workload, front))
             })
-        });
-        who.flat_map(move |(customer, workload, front)| {
-            self.groups.iter().flat_map(move |group| {
-                let kind = Attributes {
-                    customer,
-                    workload,
-                    group: *group,
-                    tables_known: false,
-                    front,
-                    first_judged_ms: None,
-                };
-                self.times.iter().map(move |at| (kind, *at))
+        })
+    }
+
+    fn of_front(
+        &self,
+        customer: &'a str,
+        workload: &'a str,
+        front: &'a str,
+    ) -> impl Iterator<Item = Kind<'a>> + '_ {
+        self.groups.iter().flat_map(move |group| {
+            let attributes = Attributes {
+                customer,
+                workload,
+                group: *group,
+                tables_known: false,
+                front,
+                first_judged_ms: None,
+            };
+            let times = self.times.iter();
+            times.map(move |at_ms| Kind {
+                attributes,
+                at_ms: *at_ms,
             })
         })
     }
@@ -90,28 +116,30 @@
     /// the kinds of statements that the two tell apart are few; beyond that it says yes.
     pub fn tightens(&self, before: &Index, known: &KnownNames, now_ms: u64) -> bool {
         let kinds = Kinds::new([&self.set, &before.set], now_ms);
-        if kinds.count().is_none_or(|count| count > MOST_COMPARED) {
+        if kinds.count().is_none_or(|count| count > MAX_COMPARED) {
             return true;
         }
         // One place more stands for those that are not known here.
         let all: Vec<u16> = (0..=known.locations.len() as u16).collect();
+        let tightens = |kind: Kind| {
+            let new = self.permitted(&kind, &all);
+            let old = before.permitted(&kind, &all);
+            let is_limited = new.limits.iter().any(|limit| !old.limits.contains(limit));
+            let mut places = old.places.iter();
+            is_limited || places.any(|place| new.places.binary_search(place).is_err())
+        };
         let mut kinds = kinds.all();
-        kinds.any(|(kind, at)| {
-            let (new, limits) = self.permitted(&kind, at, &all);
-            let (old, limits_before) = before.permitted(&kind, at, &all);
-            let limited = limits.iter().any(|limit| !limits_before.contains(limit));
-            limited || old.iter().any(|place| new.binary_search(place).is_err())
-        })
+        kinds.any(tightens)
     }
 
     /// Where statements of a kind may be read, of all places, and within which limits.
-    fn permitted(&self, kind: &Attributes, at: u64, all: &[u16]) -> (Vec<u16>, Vec<Limit>) {
-        let verdict = self.judge_one(kind, at);
+    fn permitted(&self, kind: &Kind, all: &[u16]) -> Permitted {
+        let verdict = self.judge_one(&kind.attributes, kind.at_ms);
         let limits = self.limits(&verdict);
-        let allowed = match verdict.denied {
+        let places = match verdict.denied {
             Some(_) => Vec::new(),
             None => verdict.allowed.unwrap_or_else(|| all.to_vec()),
         };
-        (allowed, limits)
+        Permitted { places, limits }
     }
 }
--- a/crates/access/src/shares.rs
+++ b/crates/access/src/shares.rs
@@ -17,19 +17,28 @@
 use share::{Share, ShareContext};
 pub use table::Limit;
 
-/// A statement, and the limits that it has yet to take from.
-struct Taking {
+/// A statement that limits apply to.
+struct LimitedStatement {
     limits: Vec<Limit>,
+    /// Limits of which it has no share yet.
     lacks: usize,
+    /// An execution of it has left.
     began: bool,
 }
 
+/// A request to the ledger that is out.
+struct Request {
+    limit: Limit,
+    /// When it was made.
+    at: Micros,
+}
+
 /// One front's shares of all limits that it has traffic for.
 pub struct Shares {
     context: ShareContext,
     shares: BTreeMap<Limit, Share>,
-    statements: BTreeMap<u64, Taking>,
-    asked: HashMap<u64, (Limit, Micros)>,
+    statements: BTreeMap<u64, LimitedStatement>,
+    requests: HashMap<u64, Request>,
     /// Requests to the ledger that have yet to be sent.
     pub asks: Vec<Ask>,
     /// Statements that have waited for their shares and have them now, or have none.
@@ -47,7 +56,7 @@
             context: ShareContext { own, terms, fronts },
             shares: BTreeMap::new(),
             statements: BTreeMap::new(),
-            asked: HashMap::new(),
+            requests: HashMap::new(),
             asks: Vec::new(),
             ready: Vec::new(),
             refused: Vec::new(),
@@ -58,17 +67,19 @@
     /// Whether a statement may go on at once; else it waits, and is among `ready` or `refused` later.
     pub fn take(&mut self, now: Micros, statement: u64, limits: Vec<Limit>) -> bool {
         let context = self.context;
-        let takes = |limit: &&Limit| {
+        let mut lacks = 0;
+        for limit in &limits {
             let share = self
                 .shares
-                .entry((*limit).clone())
-                .or_insert_with(|| Share::new((*limit).clone(), context));
-            !share.take(now, statement)
-        };
-        let lacks = limits.iter().filter(takes).count();
+                .entry(limit.clone())
+                .or_insert_with(|| Share::new(limit.clone(), context));
+            if !share.take(now, statement) {
+                lacks += 1;
+            }
+        }
         self.statements.insert(
             statement,
-            Taking {
+            LimitedStatement {
                 limits,
                 lacks,
                 began: false,
@@ -80,26 +91,24 @@
 
     /// Whether a statement's execution may leave now; the first is its beginning.
     pub fn begins(&mut self, now: Micros, statement: u64) -> bool {
-        let Some(taking) = self.statements.get_mut(&statement) else {
+        let Some(limited) = self.statements.get_mut(&statement) else {
             return true;
         };
-        if taking.began {
+        if limited.began {
             return true;
         }
-        if taking.lacks > 0 {
+        if limited.lacks > 0 {
             return false;
         }
-        taking.began = true;
         let mut may = true;
-        for limit in &taking.limits {
-            may &= self
-                .shares
-                .get_mut(limit)
-                .is_some_and(|share| share.begins(now, statement));
+        // Every share has to learn of it, also where an earlier one has refused.
+        for limit in &limited.limits {
+            let share = self.shares.get_mut(limit);
+            may &= share.is_some_and(|share| share.begins(now, statement));
         }
+        limited.began = may;
         if !may {
-            taking.lacks = 1;
-            taking.began = false;
+            limited.lacks = 1;
         }
         may
     }
@@ -108,20 +117,19 @@
     pub fn lacks(&self, statement: u64) -> bool {
         self.statements
             .get(&statement)
-            .is_some_and(|taking| taking.lacks > 0)
+            .is_some_and(|limited| limited.lacks > 0)
     }
 
     /// A statement has ended or is abandoned: it waits for no share any more. What it spent stays spent for
     /// the limit's window.
     pub fn over(&mut self, statement: u64) {
-        let Some(taking) = self.statements.remove(&statement) else {
+        let Some(limited) = self.statements.remove(&statement) else {
             return;
         };
-        for limit in &taking.limits {
-            self.shares
-                .get_mut(limit)
-                .into_iter()
-                .for_each(|share| share.over(statement));
+        for limit in &limited.limits {
+            if let Some(share) = self.shares.get_mut(limit) {
+                share.over(statement);
+            }
         }
     }
 
@@ -138,15 +146,20 @@
     /// number of its own.
     pub fn tick(&mut self, at: Moment, number: &mut impl FnMut() -> u64) {
         for (limit, share) in &mut self.shares {
-            if let Some(act) = share.tick(at.steady) {
-                let number = number();
-                self.asked.insert(number, (limit.clone(), at.steady));
-                self.asks.push(Ask {
-                    number,
-                    key: limit.key(),
-                    act,
-                });
-            }
+            let Some(act) = share.tick(at.steady) else {
+                continue;
+            };
+            let number = number();
+            let request = Request {
+                limit: limit.clone(),
+                at: at.steady,
+            };
+            self.requests.insert(number, request);
+            self.asks.push(Ask {
+                number,
+                key: limit.key(),
+                act,
+            });
         }
         self.collect();
         self.shares.retain(|_, share| !share.is_idle());
@@ -160,11 +173,11 @@
         outcome: Outcome,
         number: &mut impl FnMut() -> u64,
     ) -> bool {
-        let Some((limit, asked_at)) = self.asked.remove(&asked) else {
+        let Some(request) = self.requests.remove(&asked) else {
             return false;
         };
-        if let Some(share) = self.shares.get_mut(&limit) {
-            share.on_answer(at.steady, asked_at, outcome);
+        if let Some(share) = self.shares.get_mut(&request.limit) {
+            share.on_answer(at.steady, request.at, outcome);
         }
         self.tick(at, number);
         true
@@ -174,26 +187,26 @@
     pub fn fault(&self) -> Option<Event> {
         let unreadable = self.shares.values().any(|share| share.unreadable);
         let full = self.shares.values().any(|share| share.full);
-        match (unreadable, full) {
-            (true, _) => Some(Event::Unreadable {
-                what: "shares of a limit",
-            }),
-            (_, true) => Some(Event::LedgerFull {
-                what: "shares of a limit",
-            }),
-            _ => None,
+        let what = "shares of a limit";
+        if unreadable {
+            Some(Event::Unreadable { what })
+        } else if full {
+            Some(Event::LedgerFull { what })
+        } else {
+            None
         }
     }
 
+    /// Takes from each share the statements that have it now, and those that get none.
     fn collect(&mut self) {
         let mut refused = Vec::new();
         for share in self.shares.values_mut() {
             for statement in share.ready.drain(..) {
-                let Some(taking) = self.statements.get_mut(&statement) else {
+                let Some(limited) = self.statements.get_mut(&statement) else {
                     continue;
                 };
-                taking.lacks -= taking.lacks.min(1);
-                if taking.lacks == 0 {
+                limited.lacks = limited.lacks.saturating_sub(1);
+                if limited.lacks == 0 {
                     self.ready.push(statement);
                 }
             }
