--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -14,7 +14,7 @@
 use hallmux_gossip::{PeerId, RandomSource};
 use hallmux_lease::disk::StateError;
 use hallmux_lease::fence::Fence;
-use hallmux_lease::holder::Holder;
+use hallmux_lease::holder::{Holder, Intent};
 use hallmux_lease::voter::{self, Voter, VoterConfig};
 use hallmux_lease::{
     fingerprint, AddressedEnvelope, AddressedRequest, Envelope, LeaseMessage, Task, Terms, Token,
@@ -181,9 +181,12 @@
         }
         self.requests_lease = self.is_to_request_lease(at, interval, up, random);
         let progress = self.progress(at, dispatcher);
-        let request = self
-            .holder
-            .next_request(at.steady, self.requests_lease, &progress);
+        let intent = if self.requests_lease {
+            Intent::Acquire
+        } else {
+            Intent::RenewOnly
+        };
+        let request = self.holder.next_request(at.steady, intent, &progress);
         if let Some(AddressedRequest { to, request }) = request {
             let envelope = Envelope {
                 fleet: self.fleet,
--- a/crates/lease/src/holder.rs
+++ b/crates/lease/src/holder.rs
@@ -6,6 +6,15 @@
 /// Microseconds until the request goes to the next voter instead; some round trips.
 const REPLY_TIMEOUT: Micros = 250_000;
 
+/// What a front does about a lease that it does not hold.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum Intent {
+    /// It requests the lease.
+    Acquire,
+    /// It only renews a lease that it holds.
+    RenewOnly,
+}
+
 /// A lease that was granted to this front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct HeldLease {
@@ -72,15 +81,15 @@
         self.progress.take()
     }
 
-    /// The request that is due, and the voter to send it to: for a renewal, or for the lease where `wants` is
-    /// set. None while a reply is awaited or nothing is due. `progress` goes with a renewal.
+    /// The request that is due, and the voter to send it to: for a renewal, or for the lease by `intent`. None
+    /// while a reply is awaited or nothing is due. `progress` goes with a renewal.
     pub fn next_request(
         &mut self,
         now: Micros,
-        wants: bool,
+        intent: Intent,
         progress: &[u8],
     ) -> Option<AddressedRequest> {
-        if self.awaits_reply(now) || !self.is_due(now, wants) || self.voters.is_empty() {
+        if self.awaits_reply(now) || !self.is_due(now, intent) || self.voters.is_empty() {
             return None;
         }
         let unanswered = self.pending.as_ref().map(|pending| pending.voter);
@@ -117,10 +126,10 @@
     }
 
     /// Whether a request is due. A lease is renewed from a third of its time on: two more attempts fit in.
-    fn is_due(&self, now: Micros, wants: bool) -> bool {
+    fn is_due(&self, now: Micros, intent: Intent) -> bool {
         match self.held.filter(|held| now < held.until) {
             Some(held) => held.until - now < self.terms.acts_for() * 2 / 3,
-            None => wants,
+            None => intent == Intent::Acquire,
         }
     }
 
--- a/crates/lease/src/holder_tests.rs
+++ b/crates/lease/src/holder_tests.rs
@@ -22,14 +22,17 @@
 #[test]
 fn it_acts_from_when_it_asked_and_stops_before_the_length() {
     let mut h = holder();
-    let AddressedRequest { to, request: ask } = h.next_request(0, true, &[]).unwrap();
+    let AddressedRequest { to, request: ask } = h.next_request(0, Intent::Acquire, &[]).unwrap();
     assert_eq!((to, ask.token), (10, None));
-    assert_eq!(h.next_request(100_000, true, &[]), None);
+    assert_eq!(h.next_request(100_000, Intent::Acquire, &[]), None);
     h.receive(&yours(ask.number, 4));
     assert_eq!((h.token(2_699_999), h.token(2_700_000)), (Some(4), None));
     assert_eq!((h.inherited(), h.inherited()), (Some(vec![7]), None));
     // Kept under the same token.
-    let keep = h.next_request(2_000_000, true, &[9]).unwrap().request;
+    let keep = h
+        .next_request(2_000_000, Intent::Acquire, &[9])
+        .unwrap()
+        .request;
     assert_eq!((keep.token, keep.progress.as_slice()), (Some(4), &[9][..]));
     h.receive(&yours(keep.number, 4));
     assert_eq!((h.token(4_699_999), h.inherited()), (Some(4), None));
@@ -38,11 +41,11 @@
 #[test]
 fn answers_to_other_questions_say_nothing() {
     let mut h = holder();
-    let first = h.next_request(0, true, &[]).unwrap().request;
+    let first = h.next_request(0, Intent::Acquire, &[]).unwrap().request;
     let AddressedRequest {
         to,
         request: second,
-    } = h.next_request(REPLY_TIMEOUT, true, &[]).unwrap();
+    } = h.next_request(REPLY_TIMEOUT, Intent::Acquire, &[]).unwrap();
     assert_eq!(to, 20); // the first voter was silent
     h.receive(&yours(first.number, 4));
     assert_eq!(h.token(300_000), None);
@@ -51,7 +54,7 @@
         leader: 30,
     });
     assert_eq!(
-        h.next_request(300_001, true, &[])
+        h.next_request(300_001, Intent::Acquire, &[])
             .map(|addressed| addressed.to),
         Some(30)
     );
@@ -60,9 +63,12 @@
 #[test]
 fn one_that_is_told_no_stops_at_once() {
     let mut h = holder();
-    let ask = h.next_request(0, true, &[]).unwrap().request;
+    let ask = h.next_request(0, Intent::Acquire, &[]).unwrap().request;
     h.receive(&yours(ask.number, 4));
-    let keep = h.next_request(1_500_000, true, &[]).unwrap().request;
+    let keep = h
+        .next_request(1_500_000, Intent::Acquire, &[])
+        .unwrap()
+        .request;
     h.receive(&Reply::Denied {
         number: keep.number,
     });
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 use hallmux_lease::fence::Fence;
-use hallmux_lease::holder::Holder;
+use hallmux_lease::holder::{Holder, Intent};
 use hallmux_lease::leases::{Change, Leases};
 use hallmux_lease::{FrontId, Micros, Reply, Request, Task, Terms, Token, TokenOwner};
 use stateright::{Checker, HasDiscoveries, Model, Property};
@@ -124,7 +124,7 @@
             }
             Step::Ask(n) => {
                 let ask = s.holders[n]
-                    .next_request(s.clocks[n] * TICK, true, &[])?
+                    .next_request(s.clocks[n] * TICK, Intent::Acquire, &[])?
                     .request;
                 if ask.number % 100 >= MOST_QUESTIONS {
                     return None;
--- a/crates/lease/tests/voters/sim.rs
+++ b/crates/lease/tests/voters/sim.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_lease::holder::Holder;
+use hallmux_lease::holder::{Holder, Intent};
 use hallmux_lease::voter::{Output, Voter, VoterConfig};
 use hallmux_lease::{
     fingerprint, AddressedEnvelope, AddressedRequest, Envelope, FrontId, LeaseMessage, Micros,
@@ -246,8 +246,13 @@
                 .saturating_add(u8::from(self.now % (SECOND / 4) == 0));
         }
         let progress = [front.progress];
+        let intent = if wants {
+            Intent::Acquire
+        } else {
+            Intent::RenewOnly
+        };
         let Some(AddressedRequest { to: voter, request }) =
-            front.holder.next_request(now, wants, &progress)
+            front.holder.next_request(now, intent, &progress)
         else {
             return;
         };
