--- a/crates/access/src/hits.rs
+++ b/crates/access/src/hits.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use hallmux_ledger::{Act, Ask, Key, Outcome, Owner};
+use hallmux_ledger::{Key, LedgerRequest, Operation, Outcome, Owner};
 use serde::{Deserialize, Serialize};
 
 use crate::{FrontId, Micros, Moment};
@@ -137,7 +137,7 @@
     known: BTreeMap<Owner, HitCounts>,
     fleet: FleetHits,
     /// Requests to the ledger that have yet to be sent.
-    pub asks: Vec<Ask>,
+    pub asks: Vec<LedgerRequest>,
     /// Statements whose counts the ledger has confirmed since the caller took them last.
     pub counted: Vec<u64>,
     /// The fleet's count is there, as it was asked for.
@@ -218,10 +218,20 @@
         self.advance_sweep(number);
     }
 
-    fn ask(&mut self, number: &mut impl FnMut() -> u64, pending: Pending, key: Key, act: Act) {
+    fn ask(
+        &mut self,
+        number: &mut impl FnMut() -> u64,
+        pending: Pending,
+        key: Key,
+        operation: Operation,
+    ) {
         let number = number();
         self.asked.insert(number, pending);
-        self.asks.push(Ask { number, key, act });
+        self.asks.push(LedgerRequest {
+            number,
+            key,
+            operation,
+        });
     }
 
     /// The ledger has answered. False if it was not asked here.
--- a/crates/access/src/hits/fold.rs
+++ b/crates/access/src/hits/fold.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 use hallmux_hash::fnv1a;
-use hallmux_ledger::{Act, Entry, Key, Outcome, Owner};
+use hallmux_ledger::{Entry, Key, Operation, Outcome, Owner};
 use serde::{Deserialize, Serialize};
 
 use super::storage::{
@@ -117,7 +117,7 @@
 struct Request {
     step: FoldStep,
     key: Key,
-    act: Act,
+    operation: Operation,
 }
 
 impl Fold {
@@ -150,7 +150,7 @@
         (self.blanked < self.count).then(|| Request {
             step: FoldStep::Blanking,
             key: self.page_key(self.blanked),
-            act: Act::Put {
+            operation: Operation::Put {
                 expects: None,
                 ends_ms: wall_ms.saturating_add(CLOSED_PAGE_MS),
                 value: encode_closed(&HitCounts::new()),
@@ -159,20 +159,20 @@
     }
 
     fn close_page(&self) -> Request {
-        let act = match &self.open {
-            None => Act::Read,
+        let operation = match &self.open {
+            None => Operation::Read,
             Some(page) => put(page.version, encode_closed(&page.counts)),
         };
         Request {
             step: FoldStep::Closing,
             key: self.page_key(self.pages.len()),
-            act,
+            operation,
         }
     }
 
     fn add_to_part(&self, part: usize, rows: &HitCounts) -> Request {
-        let act = match &self.part {
-            None => Act::Read,
+        let operation = match &self.part {
+            None => Operation::Read,
             Some(VersionedPart { folded, version }) => {
                 let mut folded = folded.clone();
                 folded.add(self.owner, rows);
@@ -182,7 +182,7 @@
         Request {
             step: FoldStep::Adding,
             key: folded_key(part),
-            act,
+            operation,
         }
     }
 
@@ -193,7 +193,7 @@
         Request {
             step: FoldStep::Dropping,
             key: list_key(self.owner.front),
-            act: put(list.version, encode(&entries)),
+            operation: put(list.version, encode(&entries)),
         }
     }
 
@@ -257,8 +257,8 @@
     }
 }
 
-fn put(version: u64, value: Vec<u8>) -> Act {
-    Act::Put {
+fn put(version: u64, value: Vec<u8>) -> Operation {
+    Operation::Put {
         expects: Some(version),
         ends_ms: 0,
         value,
@@ -290,7 +290,7 @@
             number,
             Pending::Fold(request.step),
             request.key,
-            request.act,
+            request.operation,
         );
     }
 
--- a/crates/access/src/hits/pages.rs
+++ b/crates/access/src/hits/pages.rs
@@ -1,7 +1,7 @@
 //! This incarnation's pages of counts: a statement's hits are added to them, and they are listed and stored in the
 //! ledger.
 
-use hallmux_ledger::{Act, Outcome};
+use hallmux_ledger::{Operation, Outcome};
 
 use super::storage::{
     decode, encode, is_closed, list_key, page_key, IncarnationList, ListedIncarnation,
@@ -83,20 +83,20 @@
             incarnation: self.own.incarnation,
             pages: self.pages.len() as u32,
         };
-        let act = match &self.list {
+        let operation = match &self.list {
             Some(list) if !std::mem::take(&mut self.list_is_stale) => {
                 let mut entries = list.entries.clone();
                 entries.retain(|entry| entry.incarnation != own.incarnation);
                 entries.push(own);
-                Act::Put {
+                Operation::Put {
                     expects: Some(list.version),
                     ends_ms: 0,
                     value: encode(&entries),
                 }
             }
-            _ => Act::Read,
+            _ => Operation::Read,
         };
-        self.ask(number, Pending::OwnList, key, act);
+        self.ask(number, Pending::OwnList, key, operation);
     }
 
     /// Stores a page that has hits which the ledger has not.
@@ -109,7 +109,7 @@
         }
         page.putting = true;
         // Compare and swap: one that was held up on its way can't set the page back.
-        let act = Act::Put {
+        let operation = Operation::Put {
             expects: Some(page.version),
             ends_ms: 0,
             value: encode(&page.counts),
@@ -119,7 +119,7 @@
             added: page.added,
         };
         let key = page_key(self.own.front, self.own.incarnation, at);
-        self.ask(number, pending, key, act);
+        self.ask(number, pending, key, operation);
     }
 
     pub(super) fn on_put_answer(&mut self, at: usize, added: u64, outcome: Outcome) {
--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 
 use hallmux_lease::Terms;
-use hallmux_ledger::{Act, Ask, Key, Outcome};
+use hallmux_ledger::{Key, LedgerRequest, Operation, Outcome};
 
 use crate::event::Event;
 use crate::head::{head_key, Head, StoredVersion};
@@ -108,7 +108,7 @@
     ticked: Micros,
     reported_unreadable: Option<&'static str>,
     /// Requests to the ledger that have yet to be sent.
-    pub asks: Vec<Ask>,
+    pub asks: Vec<LedgerRequest>,
     /// Events for the log since the caller took them last.
     pub events: Vec<Event>,
 }
@@ -206,14 +206,18 @@
         requests.any(|request| what(&request.pending))
     }
 
-    fn ask(&mut self, at: Moment, pending: Pending, key: Key, act: Act) {
+    fn ask(&mut self, at: Moment, pending: Pending, key: Key, operation: Operation) {
         let number = self.number();
         let request = Request {
             pending,
             at: at.steady,
         };
         self.requests.insert(number, request);
-        self.asks.push(Ask { number, key, act });
+        self.asks.push(LedgerRequest {
+            number,
+            key,
+            operation,
+        });
     }
 
     /// Queues the requests that are due, and says whether this front may judge.
@@ -233,7 +237,7 @@
             && !self.is_pending(|pending| matches!(pending, Pending::Head))
         {
             self.next_head_read = at.steady + self.terms.acts_for() / 3;
-            self.ask(at, Pending::Head, head_key(), Act::Read);
+            self.ask(at, Pending::Head, head_key(), Operation::Read);
         }
         if at.steady < self.retry_at {
             return;
--- a/crates/dispatcher/src/submission.rs
+++ b/crates/dispatcher/src/submission.rs
@@ -81,14 +81,14 @@
             statement: ticket,
             workload,
             customer,
-            key,
+            order_key: key,
             time_left: request.time_left,
             work: request.work,
             memory_mb: request.memory_mb,
             data_set: request.data_set,
             protocols: request.protocol as u8,
-            pinned: request.pinned,
-            allowed,
+            sticky_engine: request.pinned,
+            allowed_locations: allowed,
         }));
         self.count_arrival(now, workload, customer);
         let statement = Statement::arrived(
@@ -99,7 +99,7 @@
             needs_promises,
         );
         self.deadlines.insert(Deadline {
-            at: statement.terms.ends,
+            at: statement.terms.deadline,
             ticket,
         });
         self.statements.insert(ticket, statement);
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -7,7 +7,7 @@
 mod expire;
 mod observe;
 mod placement;
-mod probe;
+mod sweep;
 mod timing;
 mod zones;
 
@@ -158,7 +158,7 @@
             self.observe(event);
         }
         self.expire();
-        self.check_engines();
+        self.sweep();
         self.dispatch();
         self.pace_connections();
         self.retry_budget.forget_old(now);
@@ -200,7 +200,7 @@
         self.health_checks.resize(count);
     }
 
-    fn workload(&self, s: &Statement) -> &Workload {
-        &self.agreed.workloads[s.asked.workload]
+    fn workload(&self, statement: &Statement) -> &Workload {
+        &self.agreed.workloads[statement.asked.workload]
     }
 }
