--- a/crates/access/src/record.rs
+++ b/crates/access/src/record.rs
@@ -90,14 +90,10 @@
         };
         for gone in 0..passed {
             let place = (part - gone).rem_euclid(PARTS as Micros) as usize;
-            self.kinds
-                .values_mut()
-                .for_each(|counts| counts.iter_mut().skip(place).take(1).for_each(|c| *c = 0));
-            self.unknown
-                .iter_mut()
-                .skip(place)
-                .take(1)
-                .for_each(|count| *count = 0);
+            for counts in self.kinds.values_mut() {
+                counts[place] = 0;
+            }
+            self.unknown[place] = 0;
         }
         if passed > 0 {
             self.kinds
@@ -116,20 +112,14 @@
         let place = self.advance(now);
         if !self.kinds.contains_key(request) {
             if self.kinds.len() >= MAX_KINDS {
-                self.unknown
-                    .iter_mut()
-                    .skip(place)
-                    .take(1)
-                    .for_each(|count| *count += 1);
+                self.unknown[place] += 1;
                 return;
             }
             self.kinds.insert(request.clone(), [0; PARTS]);
         }
-        let counts = self.kinds.get_mut(request).into_iter().flatten();
-        counts
-            .skip(place)
-            .take(1)
-            .for_each(|count| *count = count.saturating_add(1));
+        if let Some(counts) = self.kinds.get_mut(request) {
+            counts[place] = counts[place].saturating_add(1);
+        }
     }
 
     /// What a set would decide otherwise than the one held, of what was asked, were it asked now.
--- a/crates/access/src/shares/demand.rs
+++ b/crates/access/src/shares/demand.rs
@@ -2,8 +2,10 @@
 
 use crate::Micros;
 
-const PARTS: usize = 4; // of the time that is looked back at; one more is being filled
-const LONGEST: Micros = 4_000_000; // microseconds looked back at
+/// Parts of the time that is looked back at; one more is being filled.
+const PARTS: usize = 4;
+/// Microseconds looked back at, at most.
+const MAX_LOOK_BACK: Micros = 4_000_000;
 
 /// Counts of the last parts of a time, the latest last.
 pub struct Demand {
@@ -14,7 +16,7 @@
 
 impl Demand {
     pub fn new(window: Micros) -> Demand {
-        let part = window.min(LONGEST) / PARTS as Micros;
+        let part = window.min(MAX_LOOK_BACK) / PARTS as Micros;
         Demand {
             counts: [0; PARTS + 1],
             part: part.max(1),
@@ -31,10 +33,9 @@
         if passed > 0 {
             self.counts.rotate_left(passed.min(PARTS));
             let from = (PARTS + 1).saturating_sub(passed);
-            self.counts
-                .iter_mut()
-                .skip(from)
-                .for_each(|count| *count = 0);
+            for count in self.counts.iter_mut().skip(from) {
+                *count = 0;
+            }
             self.at = now.div_euclid(self.part);
         }
         if let Some(last) = self.counts.last_mut() {
--- a/crates/access/src/shares/table.rs
+++ b/crates/access/src/shares/table.rs
@@ -6,7 +6,8 @@
 
 use crate::Micros;
 
-const FORMAT: u8 = 1; // of what is kept; one that a build does not know lets nothing through
+/// Of the stored table; one of a format that a build does not know lets nothing through.
+const FORMAT: u8 = 1;
 
 /// At most so many statements that a rule lets through begin in any window of this length.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -133,10 +134,9 @@
 
     /// Gives a front's tokens to those that want them, the least served first; what nobody wants is free.
     pub fn give(&mut self, from: Owner, mut tokens: u32) {
-        self.rows
-            .iter_mut()
-            .filter(|row| row.owner == from)
-            .for_each(|row| row.held -= tokens.min(row.held));
+        for row in self.rows.iter_mut().filter(|row| row.owner == from) {
+            row.held -= tokens.min(row.held);
+        }
         while tokens > 0 {
             let wanting = self
                 .rows
@@ -146,8 +146,9 @@
                 break;
             };
             let part = least.wants.min(tokens.div_ceil(2));
-            (least.held, least.wants, tokens) =
-                (least.held + part, least.wants - part, tokens - part);
+            least.held += part;
+            least.wants -= part;
+            tokens -= part;
         }
         self.free += tokens;
     }
--- a/crates/fleet/src/gate/guard.rs
+++ b/crates/fleet/src/gate/guard.rs
@@ -1,4 +1,4 @@
-//! Runs the gate between a front's dispatcher and its ledger: passes events, asks and answers on until
+//! Runs the gate between a front's dispatcher and its ledger: passes events, requests and answers on until
 //! nothing is new.
 
 use std::collections::BTreeMap;
@@ -14,9 +14,9 @@
 
 /// The front's connection to its ledger.
 pub trait LedgerClient {
-    /// Passes an ask to the ledger; `now` is the dispatcher's clock.
+    /// Passes a request to the ledger; `now` is the dispatcher's clock.
     fn ask(&mut self, now: Micros, ask: LedgerRequest);
-    /// Takes the answers to asks whose numbers have the same highest byte as `part`.
+    /// Takes the answers to requests whose numbers have the same highest byte as `part`.
     fn answers(&mut self, part: u64) -> Vec<LedgerAnswer>;
 }
 
--- a/crates/gossip/src/seal.rs
+++ b/crates/gossip/src/seal.rs
@@ -17,14 +17,19 @@
 use peer::Peer;
 pub use token_bucket::TokenBucket;
 
-const HEADER_BYTES: usize = 8 + 8 + 4 + 8; // sender, its start, number, milliseconds of the sender's clock
+/// Sender, its start, number, milliseconds of the sender's clock.
+const HEADER_BYTES: usize = 8 + 8 + 4 + 8;
 const SIGNATURE_BYTES: usize = 64;
 /// Bytes that sealing adds to a message.
 pub const SEAL_BYTES: usize = HEADER_BYTES + SIGNATURE_BYTES;
-const VERIFICATIONS_A_SECOND: f64 = 1_000.0; // failed checks of signatures; each takes some 50 microseconds
-const VERIFICATIONS_A_SOURCE: f64 = 100.0; // failed checks for datagrams from one address
-const VALID_A_SECOND: f64 = 4_000.0; // checks that succeed: a fifth of a core
-const MAX_SOURCES: usize = 1_024; // addresses that are counted apart; others share one bucket
+/// Failed checks of signatures a second, of all sources.
+const FAILED_CHECKS_PER_SECOND: f64 = 1_000.0;
+/// Failed checks a second for datagrams from one address.
+const FAILED_CHECKS_PER_SOURCE: f64 = 100.0;
+/// Checks a second that succeed.
+const VALID_CHECKS_PER_SECOND: f64 = 4_000.0;
+/// Addresses that are counted apart; others share one bucket.
+const MAX_SOURCES: usize = 1_024;
 
 /// A front's key pair, with which it signs what it sends.
 pub struct Identity {
@@ -160,10 +165,10 @@
         Peers {
             keys,
             peers: HashMap::new(),
-            all: TokenBucket::new(VERIFICATIONS_A_SECOND),
+            all: TokenBucket::new(FAILED_CHECKS_PER_SECOND),
             sources: HashMap::new(),
-            others: TokenBucket::new(VERIFICATIONS_A_SOURCE),
-            valid: TokenBucket::new(VALID_A_SECOND),
+            others: TokenBucket::new(FAILED_CHECKS_PER_SOURCE),
+            valid: TokenBucket::new(VALID_CHECKS_PER_SECOND),
         }
     }
 
@@ -277,7 +282,7 @@
             true => self
                 .sources
                 .entry(from)
-                .or_insert_with(|| TokenBucket::new(VERIFICATIONS_A_SOURCE)),
+                .or_insert_with(|| TokenBucket::new(FAILED_CHECKS_PER_SOURCE)),
             false => &mut self.others,
         };
         let may = source.take(now, 1.0) && self.all.take(now, 1.0);
--- a/crates/gossip/src/seal_tests.rs
+++ b/crates/gossip/src/seal_tests.rs
@@ -124,7 +124,7 @@
         *refused.entry(why).or_default() += 1;
     }
     assert!(
-        refused[&Refused::Forged] <= 2 * VERIFICATIONS_A_SOURCE as usize,
+        refused[&Refused::Forged] <= 2 * FAILED_CHECKS_PER_SOURCE as usize,
         "{refused:?}"
     );
     // Those of others still count meanwhile.
@@ -146,13 +146,13 @@
                 .is_ok(),
         );
     }
-    let most = VALID_A_SECOND as usize;
+    let most = VALID_CHECKS_PER_SECOND as usize;
     assert!((most..most + most / 10).contains(&opened), "{opened}");
     let mut forged = own.seal(WALL, b"x");
     forged[HEADER_BYTES] ^= 1;
     let looked =
         (0..1_000).filter(|_| peers.open(60_000, WALL, FROM, &forged) == Err(Refused::Forged));
-    assert!(looked.count() <= VERIFICATIONS_A_SOURCE as usize);
+    assert!(looked.count() <= FAILED_CHECKS_PER_SOURCE as usize);
 }
 
 #[test]
