--- a/crates/access/src/shares/share.rs
+++ b/crates/access/src/shares/share.rs
@@ -146,7 +146,7 @@
             length: self.limit.window,
             drift_ppm: self.context.terms.drift_ppm,
         };
-        window.rests_for() + IN_FLIGHT
+        window.blocked_for() + IN_FLIGHT
     }
 
     /// How long a statement waits for a share, at most: two looks of every other front.
--- a/crates/access/src/shares/share/answers.rs
+++ b/crates/access/src/shares/share/answers.rs
@@ -51,7 +51,7 @@
         // A put on an earlier version has been made, or never will be.
         self.pending.take_if(|pending| version > pending.expects);
         let held_before = self.held();
-        let lease_until = requested_at + self.context.terms.acts_for();
+        let lease_until = requested_at + self.context.terms.owner_valid_for();
         self.lease_until = self.lease_until.max(lease_until);
         let next_read = requested_at + self.read_interval(&table);
         self.next_read = self.next_read.max(next_read);
@@ -100,6 +100,6 @@
         } else {
             3
         };
-        self.context.terms.acts_for() / looks_per_lease
+        self.context.terms.owner_valid_for() / looks_per_lease
     }
 }
--- a/crates/access/src/shares/share/plan.rs
+++ b/crates/access/src/shares/share/plan.rs
@@ -58,7 +58,7 @@
     /// Frees what was taken back once the lease of the front that held it has ended on its own clock, and what it
     /// had spent until then has cooled.
     fn free_rested(&self, now: Micros, next: &mut Table) {
-        let rest = self.context.terms.rests_for() + IN_FLIGHT + self.cooldown();
+        let rest = self.context.terms.blocked_for() + IN_FLIGHT + self.cooldown();
         next.rested(|id| {
             let since = self.resting_since.get(&id);
             since.is_some_and(|since| now >= since + rest)
--- a/crates/access/src/versions.rs
+++ b/crates/access/src/versions.rs
@@ -198,7 +198,7 @@
     fn in_force_at(&self) -> Micros {
         let others = if self.changed_here { 0 } else { OTHERS_DELAY };
         self.head_since
-            .saturating_add(self.terms.rests_for() + IN_FLIGHT + others)
+            .saturating_add(self.terms.blocked_for() + IN_FLIGHT + others)
     }
 
     fn is_pending(&self, what: impl Fn(&Pending) -> bool) -> bool {
@@ -236,7 +236,7 @@
         if at.steady >= self.next_head_read
             && !self.is_pending(|pending| matches!(pending, Pending::Head))
         {
-            self.next_head_read = at.steady + self.terms.acts_for() / 3;
+            self.next_head_read = at.steady + self.terms.owner_valid_for() / 3;
             self.ask(at, Pending::Head, head_key(), Operation::Read);
         }
         if at.steady < self.retry_at {
--- a/crates/access/src/versions/adopt.rs
+++ b/crates/access/src/versions/adopt.rs
@@ -26,7 +26,9 @@
             self.set_head(at, StoredHead { head, version });
         }
         if self.head.as_ref().map(|stored| stored.head.current) == self.held_from {
-            self.lease_until = self.lease_until.max(asked_at + self.terms.acts_for());
+            self.lease_until = self
+                .lease_until
+                .max(asked_at + self.terms.owner_valid_for());
             self.lease_once_adopted = None;
         } else {
             self.lease_once_adopted = Some(asked_at);
@@ -113,7 +115,7 @@
         let lease_until = self
             .lease_once_adopted
             .take()
-            .map(|asked_at| asked_at + self.terms.acts_for());
+            .map(|asked_at| asked_at + self.terms.owner_valid_for());
         self.lease_until = lease_until.unwrap_or(Micros::MIN);
         self.events.push(Event::Adopted {
             version,
--- a/crates/access/tests/shares.rs
+++ b/crates/access/tests/shares.rs
@@ -123,7 +123,7 @@
     sim.fronts[1].asked = 40.0;
     let lost = sim.now;
     // A look of the others, the lost front's lease, and the window that it may have spent.
-    sim.run(2 * fleet.length + fleet.rests_for() + 6_000_000 + 2_000_000);
+    sim.run(2 * fleet.length + fleet.blocked_for() + 6_000_000 + 2_000_000);
     let before = sim.began.len();
     sim.run(40_000_000);
     assert!(
--- a/crates/dispatcher/src/connection_pacer.rs
+++ b/crates/dispatcher/src/connection_pacer.rs
@@ -31,8 +31,8 @@
 }
 
 impl ConnectionPacer {
-    /// A pacer that, where `paced`, lets nothing connect until the first [`ConnectionPacer::pace`], and
-    /// everything else. The seed is the front's own: it spreads the slots of fronts that start together.
+    /// A pacer. Where `paced`, no connection may be made until the first [`ConnectionPacer::pace`]; otherwise there
+    /// is no bound. The seed is the front's own: it spreads the slots of fronts that start together.
     pub fn new(paced: bool, now: Micros, seed: u64) -> ConnectionPacer {
         let offset = seed as f64 / u64::MAX as f64;
         ConnectionPacer {
--- a/crates/dispatcher/src/executions.rs
+++ b/crates/dispatcher/src/executions.rs
@@ -80,8 +80,8 @@
         });
     }
 
-    /// An execution that was commanded waits in this front. To be repeated while it does, or it is taken for
-    /// silent.
+    /// An execution that was commanded waits in this front. To be called again while it does, else the scheduler
+    /// takes it for silent.
     pub fn execution_held(&mut self, now: Micros, ticket: Ticket, execution: usize) {
         self.set_held(now, ticket, execution, true);
     }
--- a/crates/dispatcher/src/promises.rs
+++ b/crates/dispatcher/src/promises.rs
@@ -130,7 +130,8 @@
         }
     }
 
-    /// Rejects a statement that can't have its promise: nothing of it is in flight but what is held here. Returns
+    /// Ends a statement that access rules, the ledger or a load's mark keep from leaving: nothing of it is in flight
+    /// but what is held here. Returns
     /// the microseconds after which its client may try again, where a time may be named: spread, so that clients
     /// rejected together do not come back together.
     pub fn reject(&mut self, now: Micros, ticket: Ticket) -> Option<Micros> {
--- a/crates/dispatcher/src/submission.rs
+++ b/crates/dispatcher/src/submission.rs
@@ -77,7 +77,7 @@
     fn allowed_locations(
         &self,
         workload: usize,
-        pinned: Option<Place>,
+        sticky_engine: Option<Place>,
         names: &[&str],
     ) -> Result<Vec<usize>, InvalidRequest> {
         let workload_locations = self
@@ -90,11 +90,11 @@
             .filter_map(|name| position(&self.names.locations, name))
             .filter(|location| workload_locations.is_none_or(|all| all.contains(location)))
             .collect();
-        let pinned_location = pinned
+        let sticky_location = sticky_engine
             .and_then(|place| self.engines.get(place))
             .map(|engine| engine.entry.location);
-        let pinned_elsewhere = pinned_location.is_some_and(|at| !allowed.contains(&at));
-        if allowed.is_empty() || pinned_elsewhere {
+        let sticky_elsewhere = sticky_location.is_some_and(|at| !allowed.contains(&at));
+        if allowed.is_empty() || sticky_elsewhere {
             return Err(InvalidRequest::NoAllowedLocation);
         }
         Ok(allowed)
--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -21,8 +21,8 @@
 use key_state::{KeyState, ShardState};
 use requirements::{Requirement, Requirements};
 
-/// Added to the numbers of the gate's requests: the highest byte tells the parts of one front apart.
-pub const NUMBERS: u64 = 1 << 56;
+/// The gate's requests to the ledger are numbered from here: the highest byte tells the parts of one front apart.
+pub const REQUEST_NUMBER_BASE: u64 = 1 << 56;
 
 /// Microseconds from a front's start within which a shard may not have started yet, or its leader not be
 /// known.
@@ -96,7 +96,7 @@
             statements: HashMap::new(),
             keys: BTreeMap::new(),
             requested: BTreeMap::new(),
-            last_number: NUMBERS,
+            last_number: REQUEST_NUMBER_BASE,
             due: Micros::MAX,
             asks: Vec::new(),
             rulings: Vec::new(),
@@ -198,10 +198,10 @@
         }
     }
 
-    fn release_key(&mut self, now: Micros, name: &str, rests: bool) {
+    fn release_key(&mut self, now: Micros, name: &str, may_still_run: bool) {
         let key = order_key(name);
         if let Some(state) = self.keys.get_mut(&key) {
-            state.release(now, rests);
+            state.release(now, may_still_run);
         }
         self.advance(now, &key);
     }
--- a/crates/fleet/src/gate/claims.rs
+++ b/crates/fleet/src/gate/claims.rs
@@ -62,7 +62,7 @@
         statement.held = None;
         self.withdraw_claims(now, ticket);
         let ruling = match reason {
-            Refusal::Begun => Ruling::Abort(ticket),
+            Refusal::MayHaveRun => Ruling::Abort(ticket),
             Refusal::Full | Refusal::Group | Refusal::Unreachable => Ruling::Reject(ticket),
         };
         self.rulings.push(ruling);
@@ -87,7 +87,7 @@
         if !forgotten.is_empty() {
             let verdict = Verdict::Refuse {
                 tickets: forgotten,
-                reason: Refusal::Begun,
+                reason: Refusal::MayHaveRun,
             };
             return self.apply_verdict(now, key, verdict);
         }
--- a/crates/fleet/src/gate/guard.rs
+++ b/crates/fleet/src/gate/guard.rs
@@ -7,7 +7,7 @@
 use hallmux_dispatcher::{Dispatcher, Micros, Place, Terms, Ticket};
 use hallmux_ledger::{LedgerAnswer, LedgerRequest};
 
-use super::{Gate, PendingExecution, Ruling, NUMBERS};
+use super::{Gate, PendingExecution, Ruling, REQUEST_NUMBER_BASE};
 
 /// Microseconds between notes to the dispatcher on executions that are still held.
 const NOTE_INTERVAL: Micros = 100_000;
@@ -120,7 +120,7 @@
         }
         self.gate.tick(now);
         loop {
-            let answers = ledger.answers(NUMBERS);
+            let answers = ledger.answers(REQUEST_NUMBER_BASE);
             let asks = self.gate.asks();
             if answers.is_empty() && asks.is_empty() {
                 break;
--- a/crates/fleet/src/gate/key_state.rs
+++ b/crates/fleet/src/gate/key_state.rs
@@ -219,7 +219,7 @@
             || self.reserved_until > now
             || self.waiting.iter().any(may_leave);
         let refused = match self.kind {
-            Kind::Begun if used_by_others => Some(Refusal::Begun),
+            Kind::Begun if used_by_others => Some(Refusal::MayHaveRun),
             Kind::Dedup if used_by_others && self.group != claim.group => Some(Refusal::Group),
             _ => None,
         };
@@ -267,10 +267,10 @@
         self.transactions += 1;
     }
 
-    /// A transaction ends; where it `rests`, an execution of it may still be running.
-    pub fn release(&mut self, now: Micros, rests: bool) {
+    /// A transaction ends; where it `may_still_run`, its key is reserved for a while.
+    pub fn release(&mut self, now: Micros, may_still_run: bool) {
         self.transactions = self.transactions.saturating_sub(1);
-        if rests {
+        if may_still_run {
             self.reserve_after_end(now);
         }
     }
--- a/crates/fleet/src/gate/key_state/answers.rs
+++ b/crates/fleet/src/gate/key_state/answers.rs
@@ -147,7 +147,7 @@
         match self.kind {
             Kind::Begun => Verdict::Refuse {
                 tickets: self.take_waiting(),
-                reason: Refusal::Begun,
+                reason: Refusal::MayHaveRun,
             },
             Kind::Dedup => self.dedup_key_held(now, entry, value),
             _ => self.wait_for_holder(now, entry),
@@ -166,7 +166,7 @@
         if !forgotten.is_empty() {
             return Verdict::Refuse {
                 tickets: forgotten,
-                reason: Refusal::Begun,
+                reason: Refusal::MayHaveRun,
             };
         }
         if value.runs_until_ms > ms(now) {
--- a/crates/fleet/src/gate/refusal.rs
+++ b/crates/fleet/src/gate/refusal.rs
@@ -1,10 +1,12 @@
 //! Why the gate refuses an execution.
 
-/// Why an execution may not leave. Its name is the one in the log and in `docs/on-call.md`.
+/// Why an execution may not leave. It is counted under its name in the log line `statements ended for want of a
+/// promise so far`; the statement's own line says `LedgerEntry` (`docs/on-call.md`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Refusal {
-    /// Its statement was begun before, or engines may have forgotten what it repeats: it is aborted.
-    Begun,
+    /// Its statement was begun before, or engines may have forgotten the first execution of what it repeats: it may
+    /// have run, and is aborted.
+    MayHaveRun,
     /// Its shard of the ledger is full.
     Full,
     /// Its dedup key belongs to another group of engines.
@@ -17,7 +19,7 @@
     /// Its name in the log.
     pub fn name(self) -> &'static str {
         match self {
-            Refusal::Begun => "begun",
+            Refusal::MayHaveRun => "begun",
             Refusal::Full => "full",
             Refusal::Group => "group",
             Refusal::Unreachable => "unreachable",
--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Descriptors that clients leave to the rest of the front.
+    /// Sets the descriptors for connections to engines: those given, less what the rest of the front needs.
     pub fn limit(&mut self, sockets: usize) {
         self.max_connections = sockets.saturating_sub(OTHER_DESCRIPTORS).max(1);
     }
--- a/crates/front/src/engines/cancels.rs
+++ b/crates/front/src/engines/cancels.rs
@@ -1,4 +1,4 @@
-//! Executions that were ended from here, until their engines have surely read so.
+//! Executions that this front gave up, until their engines have surely read the cancel.
 
 use hallmux_dispatcher::{Ending, Micros};
 
@@ -11,7 +11,8 @@
 pub(super) const CANCEL_LAG: Micros = 10_000;
 
 impl Engines {
-    /// It ends; what was ended from here, not before its engine has read of it. Guards against two executions
+    /// Ends an execution. One that this front gave up is reported as ended only once its engine has surely read the
+    /// cancel. Guards against two executions
     /// of a statement, or of an order key, at once: one connection may bring the next sooner than another the
     /// cancel of the first. Where the time is up the client is answered at once. `command` says so to the
     /// engine; none where the connection was closed.
--- a/crates/front/src/engines/pending_cancel.rs
+++ b/crates/front/src/engines/pending_cancel.rs
@@ -19,7 +19,7 @@
     pub(super) state: CancelState,
 }
 
-/// How far the word that ends an execution has come.
+/// How far the cancel of an execution has come.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum CancelState {
     /// A command on a connection, which ends there in the output and has not left whole; from `close_by` on
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -121,8 +121,8 @@
         };
         let engine = self.engines.get(&connection.place);
         if let Some(why) = withheld_because(now, engine, &execution.terms) {
-            let call_id = &execution.call.id;
-            log::debug!("statement {call_id}: its execution stays here: {why}");
+            let ticket = execution_id.ticket;
+            log::debug!("statement {ticket}: its execution stays here: {why}");
             return self.withdraw(id, execution_id);
         }
         let request = ExecutionRequest {
--- a/crates/front/src/event_loop.rs
+++ b/crates/front/src/event_loop.rs
@@ -22,15 +22,15 @@
 use crate::engines::Engines;
 use crate::events::{LoopEvents, SocketId, SocketKind};
 use crate::fleet::rules::Shared;
-use crate::fleet::{Guard, Peers};
+use crate::fleet::{LoggedGuard, Peers};
 use crate::link::Link;
 use crate::listener::Listener;
 use crate::postgres::gateway::Gateway;
 use crate::scatter::ScatteredStatements;
 use crate::shutdown::Shutdown;
 
-/// Decisions in an iteration: an execution that the first one stops is known to the next at once.
-const MOST_DECISIONS: usize = 8;
+/// Rounds of decisions in an iteration at most. What one round cancels frees capacity for the next.
+const MAX_DECISION_ROUNDS: usize = 8;
 
 /// All that the event loop works on: the connections of each kind, the dispatcher, and the parts that the operator's file
 /// switches on.
@@ -59,7 +59,7 @@
     /// Regional access rules of customers, likewise.
     rules: Option<Shared>,
     /// Executions that wait for the ledger, where fronts keep one.
-    guard: Option<Guard>,
+    guard: Option<LoggedGuard>,
     /// Statements that are asked of several sites, likewise.
     scatter: Option<ScatteredStatements>,
     /// What was reported to the dispatcher of how many executions can leave for each engine.
@@ -69,7 +69,7 @@
     /// Connections with more to read than one iteration takes.
     unfinished: Vec<SocketId>,
     /// What was decided has not left for engines yet: the connections are read first.
-    stale: bool,
+    flush_deferred: bool,
 }
 
 impl EventLoopState {
@@ -83,7 +83,7 @@
     /// When something is due though no socket changes, in Unix microseconds.
     fn next_due(&self) -> Micros {
         let now = self.clock.now;
-        if !self.unfinished.is_empty() || self.stale {
+        if !self.unfinished.is_empty() || self.flush_deferred {
             return 0;
         }
         let always = [
@@ -97,7 +97,7 @@
         let optional = [
             self.gateway.as_ref().map(Gateway::due),
             self.peers.as_ref().map(|peers| peers.due(now)),
-            self.guard.as_ref().map(Guard::due),
+            self.guard.as_ref().map(LoggedGuard::due),
             self.rules.as_ref().map(|rules| rules.borrow().due(now)),
             self.scatter.as_ref().map(|scatter| scatter.due(gossips)),
         ];
@@ -193,7 +193,7 @@
         self.clock.decide();
         self.apply_rulings();
         self.flush_after_read();
-        for _ in 0..MOST_DECISIONS {
+        for _ in 0..MAX_DECISION_ROUNDS {
             self.handle_engine_events();
             self.apply_promises();
             self.apply_marks();
@@ -206,14 +206,14 @@
                 self.carry_out(order);
             }
             self.apply_rulings();
-            // Stops go out before what they make room for.
+            // Cancels leave before the executions that use the freed capacity.
             self.flush_engines();
         }
         self.flush_engines();
         self.handle_engine_events();
     }
 
-    /// Sends answers to clients, and questions to the coordinator.
+    /// Sends answers to clients, and polls to the coordinator.
     fn answer_clients(&mut self) {
         let admission = self.admission_state();
         if let Some(gateway) = &mut self.gateway {
@@ -244,15 +244,15 @@
     /// sends in the next iteration.
     fn flush_engines(&mut self) {
         self.clock.refresh();
-        self.stale = self.clock.is_stale();
-        if !self.stale {
+        self.flush_deferred = self.clock.is_stale();
+        if !self.flush_deferred {
             self.send_out();
         }
     }
 
     /// The connections were read just now: what was held back for that leaves.
     fn flush_after_read(&mut self) {
-        if std::mem::take(&mut self.stale) {
+        if std::mem::take(&mut self.flush_deferred) {
             self.clock.refresh();
             self.send_out();
         }
--- a/crates/front/src/event_loop/scatter.rs
+++ b/crates/front/src/event_loop/scatter.rs
@@ -88,7 +88,7 @@
         }
     }
 
-    /// A part is answered; false if the statement is none.
+    /// Ends a part of a scattered statement; false if the ticket is no part.
     pub(super) fn end_part(&mut self, part: Ticket, ended: Result<&[u8], PartFailure>) -> bool {
         let now = self.clock.now;
         let Some(scatter) = self.scatter.as_mut().filter(|scatter| scatter.owns(part)) else {
--- a/crates/front/src/event_loop/start.rs
+++ b/crates/front/src/event_loop/start.rs
@@ -16,7 +16,7 @@
 use crate::engines::Engines;
 use crate::events::{LoopEvents, SocketKind};
 use crate::fleet::rules::{Rules, Shared};
-use crate::fleet::{Guard, Peers};
+use crate::fleet::{LoggedGuard, Peers};
 use crate::listener::Listener;
 use crate::postgres::gateway::Gateway;
 use crate::scatter::ScatteredStatements;
@@ -63,7 +63,7 @@
             shutdown: Shutdown::default(),
             clock,
             unfinished: Vec::new(),
-            stale: false,
+            flush_deferred: false,
             handle,
         };
         front.share_dial_pacer(config);
@@ -87,7 +87,7 @@
             return;
         };
         let now = self.clock.now;
-        let guard = Guard::new(&config.settings, now, ledger.shards, &mut self.dispatcher);
+        let guard = LoggedGuard::new(&config.settings, now, ledger.shards, &mut self.dispatcher);
         self.guard = Some(guard);
     }
 }
--- a/crates/front/src/event_loop_tests.rs
+++ b/crates/front/src/event_loop_tests.rs
@@ -394,7 +394,7 @@
     driven.finds();
     write_clock(&driven.files[0], START + 30_000);
     driven.front.iterate();
-    assert!(driven.front.stale);
+    assert!(driven.front.flush_deferred);
     drop(session);
     // The connection that it was written to goes with it.
     let heard = driven.hears(&mut link);
--- a/crates/front/src/fleet/gate.rs
+++ b/crates/front/src/fleet/gate.rs
@@ -26,22 +26,22 @@
 }
 
 /// The gate, and what was logged of it.
-pub struct Guard {
+pub struct LoggedGuard {
     guard: gate::Guard,
     last_log: Micros,
     refused: BTreeMap<&'static str, u64>,
 }
 
-impl Guard {
-    /// Where there is a ledger; `now` is the Unix clock: this life's name.
+impl LoggedGuard {
+    /// Where there is a ledger; `now` is the Unix clock, which names this incarnation.
     pub fn new(
         settings: &Settings,
         now: Micros,
         shards: u16,
         dispatcher: &mut Dispatcher,
-    ) -> Guard {
+    ) -> LoggedGuard {
         let guard = gate::Guard::new(settings, now, shards, dispatcher);
-        Guard {
+        LoggedGuard {
             guard,
             last_log: 0,
             refused: BTreeMap::new(),
--- a/crates/front/src/fleet/mod.rs
+++ b/crates/front/src/fleet/mod.rs
@@ -14,5 +14,5 @@
 mod votes;
 
 pub use errors::{PeersError, RulesError};
-pub use gate::Guard;
+pub use gate::LoggedGuard;
 pub use peers::{PeerMessage, Peers};
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -8,8 +8,8 @@
 
 /// Microseconds after which a report counts for nothing; reporters renew what they still observe.
 pub const EXPIRY: Micros = 8_000_000;
-/// Most sightings in a report, and most recovered engines in an act; a longer one is refused. With more
-/// faulty engines at once, all are.
+/// Most sightings in a report, and most recovered engines in an act; a longer one is refused. More
+/// faulty engines at once are as good as a fault of all engines.
 pub const MAX_SIGHTINGS: usize = 12;
 /// Fronts whose reports are held; the oldest report is dropped first.
 const MAX_REPORTERS: usize = 256;
--- a/crates/gossip/src/members/update_queue.rs
+++ b/crates/gossip/src/members/update_queue.rs
@@ -3,8 +3,10 @@
 use crate::message::MemberUpdate;
 use crate::PeerId;
 
-const RETRANSMIT_FACTOR: f64 = 4.0; // times the logarithm of the view's size that an update is passed on
-const MAX_UPDATES: usize = 256; // held to be passed on; beyond them the one passed on most is dropped
+/// An update is passed on so many times the logarithm of the view's size.
+const RETRANSMIT_FACTOR: f64 = 4.0;
+/// Updates held to be passed on; beyond them the one passed on most is dropped.
+const MAX_UPDATES: usize = 256;
 
 /// The latest update of each member, and how often it was passed on.
 #[derive(Default)]
--- a/crates/gossip/src/seal/peer.rs
+++ b/crates/gossip/src/seal/peer.rs
@@ -3,8 +3,9 @@
 use super::Refused;
 use crate::Micros;
 
-const WINDOW: u32 = 256; // numbers by which a sender's datagrams may be out of order
-                         // Microseconds a datagram may be under way, beyond the least delay seen.
+/// Numbers by which a sender's datagrams may be out of order.
+const WINDOW: u32 = 256;
+/// Microseconds that a datagram may be under way, beyond the least delay seen.
 pub(super) const TIME_WINDOW: Micros = 10_000_000;
 
 /// What is known of a front from its own datagrams.
--- a/crates/lease/src/holder.rs
+++ b/crates/lease/src/holder.rs
@@ -128,7 +128,7 @@
     /// Whether a request is due. A lease is renewed from a third of its time on: two more attempts fit in.
     fn is_due(&self, now: Micros, intent: Intent) -> bool {
         match self.held.filter(|held| now < held.until) {
-            Some(held) => held.until - now < self.terms.acts_for() * 2 / 3,
+            Some(held) => held.until - now < self.terms.owner_valid_for() * 2 / 3,
             None => intent == Intent::Acquire,
         }
     }
@@ -150,7 +150,7 @@
                 // Counted from the request: however long the reply took, the voters count from later.
                 let held = HeldLease {
                     token: *token,
-                    until: pending.at + self.terms.acts_for(),
+                    until: pending.at + self.terms.owner_valid_for(),
                 };
                 if self.held.is_none_or(|before| before.token != *token) {
                     self.progress = Some(progress.clone());
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -51,13 +51,13 @@
 
 impl Terms {
     /// Microseconds for which an owner may act after its request: less than the length on any clock.
-    pub fn acts_for(&self) -> Micros {
+    pub fn owner_valid_for(&self) -> Micros {
         self.length - self.drift()
     }
 
     /// Microseconds for which the lease is granted to nobody else after its last confirmation: more than the
     /// length on any clock.
-    pub fn rests_for(&self) -> Micros {
+    pub fn blocked_for(&self) -> Micros {
         self.length + self.drift()
     }
 
--- a/crates/lease/src/voter.rs
+++ b/crates/lease/src/voter.rs
@@ -219,11 +219,11 @@
     /// Whether the lease's last owner has surely stopped, whichever voter confirmed it and whenever: a leader
     /// counts from when it began to lead, and from when it learned of each confirmation.
     fn is_free(&self, now: Micros, task: Task) -> bool {
-        let rested = |since: Micros| now >= since + self.terms.rests_for();
-        let since_leading = self.leading_since.is_some_and(rested);
+        let has_passed = |since: Micros| now >= since + self.terms.blocked_for();
+        let since_leading = self.leading_since.is_some_and(has_passed);
         since_leading
-            && self.confirmed.get(&task).is_none_or(|at| rested(*at))
-            && rested(self.started)
+            && self.confirmed.get(&task).is_none_or(|at| has_passed(*at))
+            && has_passed(self.started)
     }
 
     fn reply(&mut self, to: FrontId, reply: Reply) {
--- a/crates/lease/tests/model.rs
+++ b/crates/lease/tests/model.rs
@@ -183,7 +183,7 @@
                 }
                 Some(_) => None,
                 // As `Voter::is_free`: nobody else until whoever had it last has surely stopped.
-                None if s.now * TICK >= s.confirmed + TERMS.rests_for() => Some(Change::Grant {
+                None if s.now * TICK >= s.confirmed + TERMS.blocked_for() => Some(Change::Grant {
                     task: Task::Zones,
                     after: lease.token,
                     owner: id(n),
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -11,7 +11,7 @@
 use crate::random::Random;
 use crate::token_bucket::TokenBucket;
 
-/// Share of what the fleet admitted that was late, beyond which it admits what came in time instead.
+/// Late share of admitted statements above which the fleet admits by timely answers, not by all answers.
 const MAX_FLEET_LATE_SHARE: f64 = 0.15;
 /// Times what engines answer that the fleet admits; less would leave them idle.
 const ADMITTED_PER_ANSWERED: f64 = 1.25;
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -11,7 +11,7 @@
 
 /// Threads a core that all fronts may use at the start.
 const INITIAL_THREADS_PER_CORE: f64 = 2.0;
-/// Threads a core that all fronts may use at most; some of them read.
+/// Threads a core that all fronts may use at most: more than one, as some threads wait for reads.
 const MAX_THREADS_PER_CORE: f64 = 3.0;
 /// Share of memory promised at the initial limit; the rest covers low estimates.
 const INITIAL_MEMORY_SHARE: f64 = 0.9;
@@ -173,7 +173,8 @@
         pool
     }
 
-    /// Whether an engine has capacity for a statement. An idle one always has, for one.
+    /// Whether an engine has capacity for a statement. An idle engine has it for one statement, unless others have used
+    /// up its threads or memory; where limits are pooled, a front with nothing in flight may always send one.
     pub fn check(&self, request: &LimitRequest) -> LimitOutcome {
         let (size, own) = (request.at.size, request.at.own);
         let limit =
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -126,7 +126,7 @@
         self.workloads[workload].run.value
     }
 
-    /// The longest usual run of a workload.
+    /// The longest of all workloads' usual runs, in microseconds.
     pub fn longest_run(&self) -> f64 {
         let runs = self.workloads.iter().map(|learned| learned.run.value);
         runs.fold(0.0, f64::max)
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -54,7 +54,7 @@
         self.saved = (self.saved + PROBES_PER_STATEMENT).min(MAX_SAVED_PROBES);
     }
 
-    /// How likely it is that this front probes an evacuated zone in an interval, times the fronts that do.
+    /// Probes of evacuated zones in an interval, over all fronts.
     pub fn fleet_probes_per(interval: Micros) -> f64 {
         FLEET_PROBES_PER_SECOND * interval as f64 / SECOND as f64
     }
--- a/src/policy/peer_evidence.rs
+++ b/src/policy/peer_evidence.rs
@@ -27,7 +27,7 @@
 
 /// What this front knows of the engine that a report is on.
 pub struct ReportContext {
-    /// The longest usual run of a workload, in microseconds.
+    /// The longest of all workloads' usual runs, in microseconds.
     pub longest_run: f64,
     /// The engine's last start, as far as is known: what was reported before is over.
     pub healthy_since: Micros,
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -2,10 +2,14 @@
 //!
 //! Inputs: the attempts that it has had, whether it is sticky, the time now.
 //! Reason: attempts beyond the first add load where engines fail; the settings bound them for each statement and, in
-//! any window, against the statements admitted in it. Whether a repeat is safe is for [`idempotency`] to say.
+//! any window, against the statements admitted in it.
+//! The whole rule for a retry: this one; a safe engine ([`idempotency`]); more than 40 ms left before the deadline
+//! ([`deadlines`]); an engine that is trusted ([`outliers`]); and, where they are on, access rules and ledger.
 //! Source: the contract's settings (`docs/design.md`, "what may be sent where").
 //!
 //! [`idempotency`]: super::idempotency
+//! [`deadlines`]: super::deadlines
+//! [`outliers`]: super::outliers
 
 use std::collections::VecDeque;
 
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -109,8 +109,8 @@
 struct Fleet {
     /// Fronts that may send to an engine: silent ones too, no fewer than agreed.
     known: f64,
-    /// Of them those that are heard of, this one too.
-    up: f64,
+    /// Fronts that share the health checks of evacuated zones; infinite where another front does that work.
+    probers: f64,
     /// The demand on this front against the mean; 0 where it hears of no others.
     relative_demand: f64,
 }
@@ -129,7 +129,7 @@
             queues: StatementQueues::new(workloads, agreed.customers.len()),
             fleet: Fleet {
                 known: agreed.fronts,
-                up: agreed.fronts,
+                probers: agreed.fronts,
                 relative_demand: 0.0,
             },
             estimates: Estimates::new(workloads),
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -47,7 +47,7 @@
             && !statement.is_in_flight()
             && self.clock.now < statement.deadline
             && self.is_first_in_order(id, statement)
-            && (statement.attempts.is_empty() || self.may_retry(statement))
+            && (statement.attempts.is_empty() || self.is_within_retry_limits(statement))
     }
 
     /// Whether an engine may be sent a statement that may be sent at all. `avoid_evacuated`: engines outside
--- a/src/scheduler/observe.rs
+++ b/src/scheduler/observe.rs
@@ -38,7 +38,7 @@
             }
             Event::Fleet { known, up } => {
                 self.fleet.known = known.max(self.agreed.fronts);
-                self.fleet.up = up;
+                self.fleet.probers = up;
             }
             Event::Probed {
                 engine,
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -9,19 +9,19 @@
 use super::Scheduler;
 
 impl Scheduler {
-    /// Why a statement whose attempt ended without a result has none again, if it has none.
+    /// Why a statement whose attempt ended without a result gets no retry; None if it may have one.
     pub(super) fn no_retry_reason(&self, statement: &Statement) -> Option<RejectReason> {
         if !self.has_safe_engine(statement) {
             return Some(RejectReason::NoSafeEngine);
         }
         let expiring = self.clock.now >= rejected_at(statement.deadline);
-        self.check_retry(statement)
+        self.retry_outcome(statement)
             .reject_reason()
             .or(expiring.then_some(RejectReason::Expiring))
     }
 
-    /// Whether a statement may be attempted again.
-    fn check_retry(&self, statement: &Statement) -> RetryOutcome {
+    /// Whether attempts, stickiness and budget allow a retry; not whether one is safe, see `has_safe_engine`.
+    fn retry_outcome(&self, statement: &Statement) -> RetryOutcome {
         let request = RetryRequest {
             attempts: statement.attempts.len(),
             sticky: statement.asked.sticky_engine.is_some(),
@@ -29,9 +29,9 @@
         self.retry_budget.check(request, self.clock.now)
     }
 
-    /// Whether a retry of a statement is allowed.
-    pub(super) fn may_retry(&self, statement: &Statement) -> bool {
-        self.check_retry(statement) == RetryOutcome::Allowed
+    /// The same as a yes or no.
+    pub(super) fn is_within_retry_limits(&self, statement: &Statement) -> bool {
+        self.retry_outcome(statement) == RetryOutcome::Allowed
     }
 
     /// Whether any engine may have it by what earlier attempts may have done: else it waits in vain.
@@ -44,14 +44,14 @@
         )
     }
 
-    /// Cancels an attempt, if its statement may be attempted again in time.
+    /// Cancels an attempt of an idempotent statement, where cancelling is agreed and a retry is allowed and in time.
     pub(super) fn cancel_to_retry(&mut self, id: StatementId, number: usize) {
         let statement = &self.statements[&id];
         let run = self.estimates.usual_run(statement.asked.workload) as Micros;
         let in_time = self.clock.now + run < statement.deadline;
         let idempotent = self.workload(statement).effect == Effect::Idempotent;
         if idempotent
-            && self.may_retry(statement)
+            && self.is_within_retry_limits(statement)
             && in_time
             && self.agreed.cancel
             && !statement.over
--- a/src/scheduler/sweep.rs
+++ b/src/scheduler/sweep.rs
@@ -48,10 +48,11 @@
     }
 
     /// All fronts together probe evacuated zones: each draws at its share of the rate. Where probes are not
-    /// allowed a statement or two go there instead, as to an engine that warms up.
+    /// allowed the engine counts as healthy without proof, and gets a statement or two as one that is warming up.
     fn probe_evacuated(&mut self) {
         let rate = HealthChecks::fleet_probes_per(SWEEP_INTERVAL);
-        let drawn = self.peer_evidence.has_evacuated() && self.random.next() * self.fleet.up < rate;
+        let drawn =
+            self.peer_evidence.has_evacuated() && self.random.next() * self.fleet.probers < rate;
         if !drawn {
             return;
         }
