--- a/crates/ledger/src/anti_entropy.rs
+++ b/crates/ledger/src/anti_entropy.rs
@@ -1,6 +1,7 @@
-//! Anti-entropy: replicas are compared in the background. The leader sends the hashes of its entries, leaf by leaf, as of one
-//! entry of the log, and members that have applied just as much answer with theirs. A replica that differs from the
-//! majority has lost a write or read a bit wrong: it is sent the majority's state, at the rate for rebuilding replicas.
+//! Anti-entropy: replicas are compared in the background. The leader sends the hashes of its
+//! entries, leaf by leaf, as of one entry of the log, and members that have applied just as much
+//! answer with theirs. A replica that differs from the majority has lost a write or read a bit
+//! wrong: it is sent the majority's state, at the rate for rebuilding replicas.
 
 use std::collections::BTreeMap;
 
@@ -15,12 +16,14 @@
 use crate::state::State;
 use crate::{FrontId, Micros, Moment};
 
-const INTERVAL: Micros = 60_000_000; // microseconds between comparisons of a shard: hashing 512 KB takes about one in 1,000
-const RECHECK: Micros = 2_000_000; // microseconds until a shard is compared again whose replicas differed
+const INTERVAL: Micros = 60_000_000; // microseconds between comparisons of a shard
+/// Microseconds until a shard is compared again whose replicas differed.
+const RECHECK: Micros = 2_000_000;
 const ANSWER_TIMEOUT: Micros = 1_000_000; // microseconds that answers are waited for
 
 impl Ledger {
-    /// Begins a comparison of a shard that this front leads where one is due, and ends the one before.
+    /// Begins a comparison of a shard that this front leads where one is due, and ends the one
+    /// before.
     pub(crate) fn compare_replicas(&mut self, at: Moment, shard: u16) {
         self.conclude_comparison(at, shard);
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
@@ -182,7 +185,8 @@
         }
     }
 
-    /// The shard of a message of its comparison, if the sender and this front are members in the same configuration.
+    /// The shard of a message of its comparison, if the sender and this front are members in the
+    /// same configuration.
     fn view_for(
         &mut self,
         from: ReplicaId,
--- a/crates/ledger/src/balance.rs
+++ b/crates/ledger/src/balance.rs
@@ -1,6 +1,7 @@
-//! On which fronts the replicas of all shards are placed: rendezvous hashing with bounded loads (after Mirrokni, Thorup
-//! and Zadimoghaddam's consistent hashing with bounded loads). Follows from the list of members alone, in whatever
-//! order it is given: all that have the same list come to the same.
+//! On which fronts the replicas of all shards are placed: rendezvous hashing with bounded loads
+//! (after Mirrokni, Thorup and Zadimoghaddam's consistent hashing with bounded loads). Follows from
+//! the list of members alone, in whatever order it is given: all that have the same list come to
+//! the same.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -8,7 +9,8 @@
 use crate::placement::hash;
 use crate::{FrontId, Member};
 
-/// Hundredths of a front's fair part that it holds at most, where that is a whole replica more than the part.
+/// Hundredths of a front's fair part that it holds at most, where that is a whole replica more than
+/// the part.
 const MAX_SHARE_PERCENT: u64 = 125;
 const LEVEL_STEPS: u64 = 1 << 20; // parts of a replica that levels are found to
 
@@ -38,7 +40,8 @@
     }
 }
 
-/// How many replicas each zone is to hold: as even for its fronts as different zones for a shard's replicas permit.
+/// How many replicas each zone is to hold: as even for its fronts as different zones for a shard's
+/// replicas permit.
 fn parts(zones: &Zones, copies: u64, shards: u64) -> Vec<u64> {
     let base: Vec<u64> = zones
         .fronts
@@ -97,7 +100,8 @@
         !same && there < self.level
     }
 
-    /// For a shard whose remaining zones have no room: moves another shard's replica from there to where there is room.
+    /// For a shard whose remaining zones have no room: moves another shard's replica from there to
+    /// where there is room.
     fn swap(&mut self, shard: usize) -> bool {
         let roomy: Vec<usize> = (0..self.members.len())
             .filter(|n| self.room[*n] > 0)
@@ -118,7 +122,8 @@
         false
     }
 
-    /// Places replicas, in the order of the pairs, until each shard has `wanted`: within the bounds as far as that goes.
+    /// Places replicas, in the order of the pairs, until each shard has `wanted`: within the bounds
+    /// as far as that goes.
     fn fill(&mut self, pairs: &[Pair], wanted: usize) {
         for bounded in [true, false] {
             for Pair { shard, member, .. } in pairs {
--- a/crates/ledger/src/balance_tests.rs
+++ b/crates/ledger/src/balance_tests.rs
@@ -30,7 +30,8 @@
     before.iter().zip(after).map(new).sum()
 }
 
-/// The worst load over the fair part, where zones are alike, and of copies whose shard has another in their zone.
+/// The worst load over the fair part, where zones are alike, and of copies whose shard has another
+/// in their zone.
 fn worst(members: &[Member], placed: &[Vec<FrontId>], shards: usize) -> (f64, usize) {
     let fair = (shards * 3) as f64 / members.len() as f64;
     let most = loads(members, placed)
@@ -64,7 +65,8 @@
         let placed_all = placed(&all, 3, shards);
         let (load, together) = worst(&all, &placed_all, shards.into());
         let fair = f64::from(shards) * 3.0 / n as f64;
-        // Of whole copies; a zone that is a front larger than another leaves its fronts a little less.
+        // Of whole copies; a zone that is a front larger than another leaves its fronts a little
+        // less.
         assert!(
             load <= 1.25 || (load * fair).round() <= fair.ceil() + 1.0,
             "{n}: {load}"
--- a/crates/ledger/src/batch.rs
+++ b/crates/ledger/src/batch.rs
@@ -6,22 +6,22 @@
 use crate::tail::Tail;
 use crate::{Key, Operation, Owner};
 
-const COMMAND_OVERHEAD: usize = 48; // bytes that an ask counts beside its name and value
+const COMMAND_OVERHEAD: usize = 48; // bytes that a request counts beside its name and value
 
-/// What tells an ask from all others.
+/// What tells a request from all others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct CommandId {
     pub owner: Owner,
-    /// Of the ask, in its owner's incarnation.
+    /// Of the request, in its owner's incarnation.
     pub number: u64,
 }
 
-/// An ask as a command of the log.
+/// A request as a command of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Command {
     pub owner: Owner,
     pub number: u64,
-    /// When it was first asked, on the asker's Unix clock.
+    /// When it was first asked, on the requester's Unix clock.
     pub asked_ms: u64,
     pub key: Key,
     pub operation: Operation,
@@ -32,8 +32,8 @@
 pub(crate) struct Batch {
     pub wall_ms: u64,
     pub commands: Vec<Command>,
-    /// The members of the next configuration, if the batch changes them: nothing that follows in this log counts. Behind
-    /// the batch's format, if it names one.
+    /// The members of the next configuration, if the batch changes them: nothing that follows in
+    /// this log counts. Behind the batch's format, if it names one.
     pub tail: Tail,
 }
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Bytes that the ask counts where asks are bounded.
+    /// Bytes that the request counts where requests are bounded.
     pub fn size(&self) -> usize {
         let value = match &self.operation {
             Operation::Claim { value, .. } | Operation::Put { value, .. } => value.len(),
--- a/crates/ledger/src/bootstrap.rs
+++ b/crates/ledger/src/bootstrap.rs
@@ -1,6 +1,7 @@
-//! How a shard is created: it starts once each front that it is placed on has durably agreed to start it with the same
-//! replicas. A front whose shard has started never agrees to others, and the disk of a later incarnation replaces the
-//! one before and never the other way round: so no two fronts start a shard with different members.
+//! How a shard is created: it starts once each front that it is placed on has durably agreed to
+//! start it with the same replicas. A front whose shard has started never agrees to others, and the
+//! disk of a later incarnation replaces the one before and never the other way round: so no two
+//! fronts start a shard with different members.
 
 use std::collections::BTreeMap;
 
@@ -51,7 +52,8 @@
         &self.agreed
     }
 
-    /// Another front says with whom it has agreed to start; passed over if it is of an earlier incarnation than is known.
+    /// Another front says with whom it has agreed to start; passed over if it is of an earlier
+    /// incarnation than is known.
     pub fn record_offer(&mut self, from: ReplicaIncarnation, agreed: &[ReplicaIncarnation]) {
         let front = from.id.front;
         let own = self.agreed.iter().find(|before| before.id.front == front);
@@ -67,13 +69,15 @@
         }
     }
 
-    /// A member holds the shard already: a front that has yet to start it is taken in as a new member instead.
+    /// A member holds the shard already: a front that has yet to start it is taken in as a new
+    /// member instead.
     pub fn set_started(&mut self) {
         self.started = true;
     }
 
-    /// Of all fronts that may hold shards, those that have said nothing of this one yet. A front that joins the list
-    /// later may be placed only with others like it: so each has to say that it knows of no start.
+    /// Of all fronts that may hold shards, those that have said nothing of this one yet. A front
+    /// that joins the list later may be placed only with others like it: so each has to say that it
+    /// knows of no start.
     pub fn unheard(&self, own: FrontId, members: &[FrontId]) -> Vec<FrontId> {
         let others = members
             .iter()
@@ -81,7 +85,8 @@
         others.copied().collect()
     }
 
-    /// What to do now for a shard that is placed on the fronts `placed`, of all `members` that may hold shards.
+    /// What to do now for a shard that is placed on the fronts `placed`, of all `members` that may
+    /// hold shards.
     pub fn next_step(
         &mut self,
         own: ReplicaIncarnation,
--- a/crates/ledger/src/comparison.rs
+++ b/crates/ledger/src/comparison.rs
@@ -34,10 +34,10 @@
     pub index: u64,
 }
 
-/// The hash that most copies have, where more than half of all have it.
-pub(crate) fn majority(hashes: &BTreeMap<FrontId, Vec<u64>>, copies: usize) -> Option<Vec<u64>> {
+/// The hashes that more than half of all replicas have, if any.
+pub(crate) fn majority(hashes: &BTreeMap<FrontId, Vec<u64>>, replicas: usize) -> Option<Vec<u64>> {
     let count = |of: &Vec<u64>| hashes.values().filter(|hashes| *hashes == of).count();
-    hashes.values().find(|of| 2 * count(of) > copies).cloned()
+    hashes.values().find(|of| 2 * count(of) > replicas).cloned()
 }
 
 /// The hashes of a state by leaves.
--- a/crates/ledger/src/counters.rs
+++ b/crates/ledger/src/counters.rs
@@ -25,19 +25,20 @@
 /// The ledger's counters and its present state on this front.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Messages, records and asks that were refused, by reason.
+    /// Messages, records and requests that were refused, by reason.
     pub refused: std::collections::BTreeMap<&'static str, u64>,
     /// Shards of which this front holds a replica.
     pub copies: usize,
     /// Shards that it leads now.
     pub led: usize,
-    /// Of the shards it leads: replicas that are missing, by members that are silent or have yet to catch up.
+    /// Of the shards it leads: replicas that are missing, by members that are silent or have yet to
+    /// catch up.
     pub missing: usize,
     /// Entries in its replicas.
     pub entries: usize,
     /// Bytes of those entries.
     pub bytes: usize,
-    /// Asks answered.
+    /// Requests answered.
     pub answered: u64,
     /// Rounds of the log that the answers took.
     pub rounds: u64,
--- a/crates/ledger/src/durability.rs
+++ b/crates/ledger/src/durability.rs
@@ -1,4 +1,5 @@
-//! Gathers what has to go out, behind the saves that it rests on: nothing is told before what it promises is durable.
+//! Durability before communication: what goes out waits for the saves that it depends on, so that
+//! no message or answer leaves before what it promises is durable.
 
 use crate::formats::OLDEST_FORMAT;
 use crate::ledger::{Ledger, UnsavedAnswers};
@@ -77,7 +78,8 @@
         self.settle(at);
     }
 
-    /// Nothing can be kept any more: this front is a member of nothing until it starts again, and says so.
+    /// Nothing can be kept any more: this front is a member of nothing until it starts again, and
+    /// says so.
     pub(crate) fn fail(&mut self) {
         self.counters.failed = true;
         self.transport.disk = 0;
--- a/crates/ledger/src/encoding.rs
+++ b/crates/ledger/src/encoding.rs
@@ -1,5 +1,5 @@
-//! How messages, batches and states are written as bytes: postcard, whose bytes follow from the order of fields and
-//! variants.
+//! How messages, batches and states are written as bytes: postcard, whose bytes follow from the
+//! order of fields and variants.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/ledger/src/entry.rs
+++ b/crates/ledger/src/entry.rs
@@ -1,4 +1,4 @@
-//! Entries of the ledger, and the asks that read and change them.
+//! Entries of the ledger, and the requests that read and change them.
 
 use serde::{Deserialize, Serialize};
 
@@ -52,7 +52,8 @@
     pub key: Key,
     /// Who made it.
     pub owner: Owner,
-    /// Grows with every change of a key; a key that comes back after its end goes on from a higher one.
+    /// Grows with every change of a key; a key that comes back after its end goes on from a higher
+    /// one.
     pub version: u64,
     /// Unix milliseconds from which it counts for nothing; 0: never.
     pub ends_ms: u64,
@@ -60,17 +61,19 @@
     pub value: Vec<u8>,
 }
 
-/// What an ask does with a key.
+/// What a request does with a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Operation {
-    /// Makes the entry if the key is free, its entry has ended or is the asker's own; else [`Outcome::Held`].
+    /// Makes the entry if the key is free, its entry has ended or is the requester's own; else
+    /// [`Outcome::Held`].
     Claim {
         /// Unix milliseconds at which the entry ends.
         ends_ms: u64,
         /// The entry's value.
         value: Vec<u8>,
     },
-    /// Compare and swap on the version; else [`Outcome::Held`], or [`Outcome::Absent`] where there is no entry.
+    /// Compare and swap on the version; else [`Outcome::Held`], or [`Outcome::Absent`] where there
+    /// is no entry.
     Put {
         /// The version to be replaced: 0 where there is none, None for whatever is there.
         expects: Option<u64>,
@@ -79,17 +82,17 @@
         /// The entry's value.
         value: Vec<u8>,
     },
-    /// Removes the asker's own entry: [`Outcome::Absent`]; another's is [`Outcome::Held`].
+    /// Removes the requester's own entry: [`Outcome::Absent`]; another's is [`Outcome::Held`].
     Free,
-    /// Reads the entry, as of some moment between the ask and its answer.
+    /// Reads the entry, as of some moment between the request and its answer.
     Read,
 }
 
-/// An ask of the ledger.
+/// A request of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerRequest {
-    /// Chosen by the caller, unique in its incarnation and growing: an ask made twice counts once, and a claim or a free
-    /// that comes late undoes none with a higher number.
+    /// Chosen by the caller, unique in its incarnation and growing: a request made twice counts
+    /// once, and a claim or a free that comes late undoes none with a higher number.
     pub number: u64,
     /// The key that it is about.
     pub key: Key,
@@ -97,7 +100,7 @@
     pub operation: Operation,
 }
 
-/// The answer to an ask.
+/// The answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// The entry as a quorum of the replicas has it: as the act made it, or as it was read.
@@ -106,7 +109,8 @@
     Held(Entry),
     /// There is no such entry (any more).
     Absent,
-    /// No quorum answered in time: the act may take effect or not. The same number may be used again.
+    /// No quorum answered in time: the act may take effect or not. The same number may be used
+    /// again.
     Unreachable,
     /// The shard holds as many entries or bytes as it may; nothing was changed.
     Full,
@@ -115,7 +119,7 @@
 /// An answered ask.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LedgerAnswer {
-    /// Of the ask.
+    /// Of the request.
     pub number: u64,
     /// The answer.
     pub outcome: Outcome,
--- a/crates/ledger/src/incoming.rs
+++ b/crates/ledger/src/incoming.rs
@@ -18,7 +18,8 @@
 use crate::state::{State, StateAt};
 use crate::{FrontId, Moment, Owner};
 
-/// A message of the consensus library, and its number in its sender's order; 0: it need not come in order.
+/// A message of the consensus library, and its number in its sender's order; 0: it need not come in
+/// order.
 struct NumberedMessage {
     number: u64,
     message: Message<Batch>,
@@ -101,7 +102,7 @@
         match message {
             LedgerMessage::Request { shard, command } => {
                 self.touched.insert(shard);
-                self.receive_ask(at, from, shard, command);
+                self.receive_request(at, from, shard, command);
             }
             LedgerMessage::Reply {
                 incarnation,
@@ -252,7 +253,8 @@
         }
     }
 
-    /// A message of the log: for the configuration that this front is in, an earlier one or a later one.
+    /// A message of the log: for the configuration that this front is in, an earlier one or a later
+    /// one.
     fn receive_log_message(
         &mut self,
         at: Moment,
--- a/crates/ledger/src/key_queues.rs
+++ b/crates/ledger/src/key_queues.rs
@@ -1,21 +1,23 @@
-//! Queues of fronts that wait for a key that another front has, held by the shard's leader: in the order in which they came.
-//! The first one is told once the key is free, and for a while the key is reserved for it. Nothing depends on a queue: it
-//! is lost with its leader, and the fronts in it ask again by themselves.
+//! Queues of fronts that wait for a key that another front has, held by the shard's leader: in the
+//! order in which they came. The first one is told once the key is free, and for a while the key is
+//! reserved for it. Nothing depends on a queue: it is lost with its leader, and the fronts in it
+//! ask again by themselves.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::batch::{Command, CommandId};
 use crate::{Key, Kind, Micros, Operation, Outcome, Owner};
 
-const WAITER_TIMEOUT: Micros = 1_000_000; // microseconds without an ask until a front leaves a queue: three tries
-const RESERVED_FOR: Micros = 100_000; // microseconds for which a free key is reserved for the first: some round trips
-const MAX_DEFERRAL: Micros = 200_000; // microseconds that an ask is put off at most: less than its asker's patience
+/// Microseconds without a request until a front leaves a queue.
+const WAITER_TIMEOUT: Micros = 1_000_000;
+const RESERVED_FOR: Micros = 100_000; // microseconds for which a free key is reserved for the first
+const MAX_DEFERRAL: Micros = 200_000; // microseconds that a request is deferred at most
 const MAX_KEYS: usize = 1_024; // keys with a queue, of a shard
 const MAX_WAITING: usize = 64; // fronts in a queue; others ask again by themselves
 
 struct Waiting {
     owner: Owner,
-    /// Of its latest ask.
+    /// Of its latest request.
     number: u64,
     ends: Micros,
 }
@@ -49,7 +51,7 @@
         self.0.clear();
     }
 
-    /// Takes in the outcome of an ask, of a front that can be told when the key is free.
+    /// Takes in the outcome of a request, of a front that can be told when the key is free.
     pub fn record(&mut self, now: Micros, command: &Command, outcome: &Outcome) {
         if !claims(command) {
             return;
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Whether an ask that came then is put off, as the key is reserved for another front.
+    /// Whether a request that came then is put off, as the key is reserved for another front.
     pub fn is_reserved_for_another(&self, now: Micros, command: &Command, came: Micros) -> bool {
         let queue = self
             .0
@@ -112,7 +114,7 @@
             && now - came < MAX_DEFERRAL
     }
 
-    /// The latest asks of the fronts that are to be told that a key is free.
+    /// The latest requests of the fronts that are to be told that a key is free.
     pub fn freed_keys(&mut self, now: Micros, is_free: impl Fn(&Key) -> bool) -> Vec<CommandId> {
         let mut freed = Vec::new();
         self.0.retain(|key, queue| {
--- a/crates/ledger/src/leader_placement.rs
+++ b/crates/ledger/src/leader_placement.rs
@@ -1,5 +1,6 @@
-//! Which of its members is to lead each shard: spread so that no front leads over 1.25 times its fair part, where that is
-//! a whole shard more than the part. Follows from the placement alone, which is the same on all fronts.
+//! Which of its members is to lead each shard: spread so that no front leads over 1.25 times its
+//! fair part, where that is a whole shard more than the part. Follows from the placement alone,
+//! which is the same on all fronts.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +9,8 @@
 /// Hundredths of a front's fair part that it leads at most.
 const MAX_SHARE_PERCENT: usize = 125;
 
-/// An assignment of leaders under way: a bipartite matching of shards to fronts with bounded loads, by augmenting paths.
+/// An assignment of leaders under way: a bipartite matching of shards to fronts with bounded loads,
+/// by augmenting paths.
 struct Assignment<'a> {
     /// The fronts that hold each shard.
     placed: &'a [Vec<FrontId>],
@@ -21,8 +23,8 @@
 }
 
 impl Assignment<'_> {
-    /// Finds a leader for the shard; a front that leads as many as it may (those asked so far) passes one of its shards
-    /// on to another of that shard's members.
+    /// Finds a leader for the shard; a front that leads as many as it may (those asked so far)
+    /// passes one of its shards on to another of that shard's members.
     fn find_leader(&mut self, shard: usize, asked: &mut Vec<FrontId>) -> bool {
         let placed = self.placed;
         let members = &placed[shard];
--- a/crates/ledger/src/leader_transfer.rs
+++ b/crates/ledger/src/leader_transfer.rs
@@ -1,6 +1,7 @@
-//! Leader transfer: a front that shuts down asks another member of each shard that it leads to take over, which does so
-//! at once with a ballot of its own, without waiting for an election timeout. Asks that wait here are asked again there.
-//! A leader also yields a shard to the member that is preferred for it, so that leaders stay spread.
+//! Leader transfer: a front that shuts down asks another member of each shard that it leads to take
+//! over, which does so at once with a ballot of its own, without waiting for an election timeout.
+//! Asks that wait here are asked again there. A leader also yields a shard to the member that is
+//! preferred for it, so that leaders stay spread.
 
 use std::collections::BTreeSet;
 
@@ -14,9 +15,12 @@
 use crate::shard_view::ShardView;
 use crate::{FrontId, Micros, Moment};
 
-const RETRY: Micros = 150_000; // microseconds until another candidate is asked: some round trips and a sync
-const HEARD_WITHIN: Micros = 1_000_000; // microseconds since a candidate was heard at most: three heartbeats
-const SETTLED_AFTER: u64 = 2_000_000; // microseconds that a front runs, and a shard has one leader, before that yields
+/// Microseconds until another candidate is asked: some round trips and a sync.
+const RETRY: Micros = 150_000;
+/// Microseconds since a candidate was heard at most: three heartbeats.
+const HEARD_WITHIN: Micros = 1_000_000;
+/// Microseconds that a front runs, and a shard has one leader, before that yields.
+const SETTLED_AFTER: u64 = 2_000_000;
 const YIELD_INTERVAL: Micros = 500_000; // microseconds between shards that a front yields
 
 impl Peer {
@@ -47,8 +51,8 @@
             .any(Replica::is_leader)
     }
 
-    /// Asks candidates to take over the shards that this front leads, where that is due, and tells all members that it is
-    /// shutting down.
+    /// Asks candidates to take over the shards that this front leads, where that is due, and tells
+    /// all members that it is shutting down.
     pub(crate) fn transfer_leadership(&mut self, at: Moment) {
         let now = at.steady;
         let Some(shutdown) = self
@@ -78,8 +82,8 @@
         self.announce_shutdown(at);
     }
 
-    /// The members that can lead a shard instead of this front, the best first; the next one is asked where one does not
-    /// take it, as it may be shutting down itself.
+    /// The members that can lead a shard instead of this front, the best first; the next one is
+    /// asked where one does not take it, as it may be shutting down itself.
     fn transfer_candidates(&self, at: Moment, view: &ShardView, replica: &Replica) -> Vec<FrontId> {
         let heard_lately = |peer: &Peer| peer.disk != 0 && at.steady - peer.heard_at < HEARD_WITHIN;
         let is_candidate = |front: &FrontId| {
@@ -130,8 +134,8 @@
             .is_some_and(|incarnation| Some(*incarnation) == peer)
     }
 
-    /// Transfers a shard to the member that is preferred as its leader, once that one has run for a while: a front that
-    /// was restarted gets its part again.
+    /// Transfers a shard to the member that is preferred as its leader, once that one has run for a
+    /// while: a front that was restarted gets its part again.
     pub(crate) fn yield_leadership(&mut self, at: Moment, shard: u16) {
         let (now, own) = (at.steady, self.own.front);
         let Some(view) = self.shards.get(usize::from(shard)) else {
@@ -172,8 +176,9 @@
         }
     }
 
-    /// Whether a shard that this front keeps would have no majority without it, as others of its members are away: an
-    /// end had better wait for them. Of two that leave at once the one with the lower id does not wait for the other.
+    /// Whether a shard that this front keeps would have no majority without it, as others of its
+    /// members are away: an end had better wait for them. Of two that leave at once the one with
+    /// the lower id does not wait for the other.
     pub fn is_needed(&self, at: Moment) -> bool {
         let here = |member: &ReplicaId| {
             let peer = self
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -1,8 +1,8 @@
-//! A front's part in the ledger: its own asks, the copies that it keeps, and what goes between them.
+//! A front's part in the ledger: its own requests, the replicas that it holds, and the messages
+//! between them.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::asks::PendingAsks;
 use crate::away::Away;
 use crate::bootstrap::Bootstrap;
 use crate::formats::OLDEST_FORMAT;
@@ -10,6 +10,7 @@
 use crate::members::{Configuration, ReplicaId};
 use crate::messages::{fingerprint, LedgerMessage};
 use crate::peer::Peer;
+use crate::pending_requests::PendingRequests;
 use crate::placement::ranked;
 use crate::records::{self, Meta, SavedShard, SavedShards};
 use crate::rejection::Rejection;
@@ -35,7 +36,7 @@
     pub answers: Vec<LedgerAnswer>,
 }
 
-/// A front's part in the ledger: its own asks, and the replicas that it holds.
+/// A front's part in the ledger: its own requests, and the replicas that it holds.
 pub struct Ledger {
     pub(crate) setup: Setup,
     pub(crate) own: ReplicaId,
@@ -43,13 +44,13 @@
     pub(crate) peers: BTreeMap<FrontId, Peer>,
     pub(crate) away: Away,
     pub(crate) shutdown: Option<Shutdown>,
-    /// Others that are to end, in which of their lives.
+    /// Others that are to end, with their incarnations.
     pub(crate) shutting_down: BTreeMap<FrontId, u64>,
     /// When this front may next leave a shard to the one that is to own it.
     pub(crate) yield_at: Micros,
-    pub(crate) asks: PendingAsks,
+    pub(crate) pending: PendingRequests,
     pub(crate) transport: Transport,
-    /// What must be lasting before anything more is told, beside the logs.
+    /// What must be durable before anything more is sent, beside the logs.
     pub(crate) records: Vec<Record>,
     pub(crate) next_save: u64,
     /// Answers that wait for a save, in order of its number.
@@ -61,13 +62,15 @@
     /// Shards in which something may have happened.
     pub(crate) touched: BTreeSet<u16>,
     pub(crate) counters: Counters,
-    /// The latest format of what is kept, and the format in which more is proposed.
+    /// The latest format of any saved record.
     pub(crate) latest_saved_format: u8,
+    /// The format in which batches are proposed.
     pub(crate) format: u8,
 }
 
 impl Ledger {
-    /// `saved` is what an earlier incarnation on the same disk gave out to be saved; None only where there was none.
+    /// `saved` is what an earlier incarnation on the same disk gave out to be saved; None only
+    /// where there was none.
     pub fn new(at: Moment, setup: Setup, saved: Option<Saved>) -> Result<Ledger, Error> {
         setup.check()?;
         let fleet = fingerprint(&setup.fleet, setup.shards);
@@ -91,7 +94,7 @@
             shutdown: None,
             shutting_down: BTreeMap::new(),
             yield_at: at.steady,
-            asks: PendingAsks::default(),
+            pending: PendingRequests::default(),
             transport: Transport::new(&setup, fleet),
             records: Vec::new(),
             next_save: 1,
@@ -154,14 +157,14 @@
 
     /// Does what is due.
     pub fn tick(&mut self, at: Moment) {
-        let due = self.asks.due_now(at);
+        let due = self.pending.due_now(at);
         let unreachable = due.expired.into_iter().map(|number| LedgerAnswer {
             number,
             outcome: Outcome::Unreachable,
         });
         self.out.done.extend(unreachable);
         for number in due.retry {
-            self.send_ask(at, number);
+            self.send_request(at, number);
         }
         if self.tick_at <= at.steady {
             // One that stood still does not catch up: the logs' clocks count turns they had.
@@ -196,12 +199,12 @@
             .iter()
             .any(|view| view.replica.is_some() || view.bootstrap.is_some());
         let tick = if keeps { self.tick_at } else { Micros::MAX };
-        tick.min(self.asks.due())
+        tick.min(self.pending.due())
             .min(self.transport.due())
             .min(self.transfer_due())
     }
 
-    /// What is to be done for it since it was last asked. What `packets` holds may leave at once.
+    /// Takes what is to be sent, saved and answered since the last call.
     pub fn take_output(&mut self) -> Output {
         std::mem::take(&mut self.out)
     }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,16 +1,39 @@
 //! The replicated ledger: entries that fronts rely on, which outlive the machine that made them. Entries belong to
-//! shards by key. Each shard is a replicated log on a few fronts, in different zones where there are any; an ask is
-//! answered once a quorum of its replicas has made it durable. Free of sockets, clocks, files and randomness: the
-//! caller passes in messages, the time and the saved records, and sends and saves what comes out.
+//! shards by key. Each shard is a replicated log (OmniPaxos) on a few fronts, in different zones where there are any.
+//! Free of sockets, clocks, files and randomness: the caller passes in messages, the time and the saved records, and
+//! sends and saves what comes out.
 //!
-//! An ask made twice counts once (a repeated claim is answered by the entry as it is then): it is known by its front,
+//! # What is lost with a disk
+//!
+//! A request is answered once a quorum of the shard's replicas has made its effect durable. So:
+//!
+//! - One disk lost: no entry is lost. The front comes back with a new [`DiskId`], as a replica that has promised nothing;
+//!   the shard's leader replaces the old replica by the new one, or by another front after [`Setup::repair_after`].
+//! - A quorum of a shard's disks lost before they are replaced (two of three): entries of that shard can be lost.
+//! - A front that is down with its disk intact loses nothing: it reads its records and catches up.
+//! - A front that keeps its replicas in memory only loses them with the process, as if the disk were lost.
+//! - In memory alone, and lost with every process: requests under way, queues of fronts that wait for a key, counters.
+//!
+//! # Requests
+//!
+//! A request made twice counts once (a repeated claim is answered by the entry as it is then): it is known by its front,
 //! the front's incarnation and its number. The number may be repeated for [`REMEMBERED_MS`] after it was first used;
 //! later it is answered [`Outcome::Unreachable`].
+//!
+//! # Where to look
+//!
+//! - A request: `requests` (this front's and others'), `pending_requests` (retries), `rounds` (commit and answer),
+//!   `state` (what an operation does), `key_queues` (who is next for a key).
+//! - Durability: `durability` (nothing leaves before its save), `records` (what is saved), `replica`, `log`.
+//! - Members: `bootstrap` (a shard's start), `maintenance` and `repair` (replaced replicas), `membership` (the next
+//!   configuration), `rebalance`, `balance` and `placement` (where replicas are placed), `away` (who is waited for).
+//! - Leaders: `leader_transfer` (shutdown and yielding), `leader_placement`.
+//! - Anti-entropy: `anti_entropy`, `comparison`.
+//! - Messages: `incoming`, `messages`, `transport`, `formats`, `peer_formats`, `rejection`.
 
 #![warn(missing_docs)]
 
 mod anti_entropy;
-mod asks;
 mod away;
 mod balance;
 mod batch;
@@ -37,6 +60,7 @@
 mod packet_limits;
 mod peer;
 mod peer_formats;
+mod pending_requests;
 mod placement;
 mod reassembly;
 mod rebalance;
@@ -69,7 +93,7 @@
 /// A directory's identity, drawn when it is made: a front with another one holds none of its replicas.
 pub type DiskId = u64;
 
-/// Milliseconds for which the answer to an ask is remembered, so that a repeat counts once.
+/// Milliseconds for which the answer to a request is remembered, so that a repeat counts once.
 pub const REMEMBERED_MS: u64 = 10_000;
 
 /// One moment on a front's clocks.
@@ -122,7 +146,7 @@
     pub packets: Vec<OutgoingPacket>,
     /// In order of their numbers.
     pub saves: Vec<Save>,
-    /// Answers to this front's own asks; each ask gets one. One for an order or dedup key that was `Held` may get
+    /// Answers to this front's own requests; each gets one. One for an order or dedup key that was `Held` may get
     /// `Absent` later: the key is free now, and this front is next.
     pub done: Vec<LedgerAnswer>,
 }
--- a/crates/ledger/src/log.rs
+++ b/crates/ledger/src/log.rs
@@ -12,7 +12,7 @@
 use crate::state::State;
 use crate::FrontId;
 
-const ELECTION_TICKS: u64 = 6; // 300 ms without a sign of a leader: some round trips and a stall of a busy machine
+const ELECTION_TICKS: u64 = 6; // 300 ms without a heartbeat of a leader
 const RESEND_TICKS: u64 = 4; // 200 ms until a message counts as lost
 const COMPACT_AFTER: usize = 64; // decided entries until the log is compacted: a follower further behind gets a snapshot
 
--- a/crates/ledger/src/membership.rs
+++ b/crates/ledger/src/membership.rs
@@ -176,7 +176,7 @@
         }
         let Some(base) = base_state(base, view.learned.take(), config) else {
             view.known = Some(Configuration { config, members });
-            return; // it announces itself, and is sent the whole state
+            return; // it announces itself, and is sent the complete state
         };
         self.open_replica(at, shard, Configuration { config, members }, base);
     }
--- a/crates/ledger/src/messages.rs
+++ b/crates/ledger/src/messages.rs
@@ -23,7 +23,7 @@
     Resync { shard: u16, config: u32 },
     /// A request, to the shard's leader or to a front that may know it.
     Request { shard: u16, command: Command },
-    /// The answer to a request, known by its asker's incarnation and number.
+    /// The answer to a request, known by its requester's incarnation and number.
     Reply {
         incarnation: u64,
         number: u64,
--- a/crates/ledger/src/peer_formats.rs
+++ b/crates/ledger/src/peer_formats.rs
@@ -1,4 +1,4 @@
-//! The formats that other fronts read, how they are told this front's, and which format each message needs.
+//! The formats that other fronts read, how they learn this front's, and which format each message needs.
 
 use std::collections::BTreeMap;
 
@@ -23,8 +23,8 @@
 #[derive(Default)]
 pub(crate) struct PeerFormats {
     known: BTreeMap<FrontId, ShownFormat>,
-    /// When each front was last told this one's format.
-    told: BTreeMap<FrontId, Micros>,
+    /// When each front was last sent this one's format.
+    introduced_at: BTreeMap<FrontId, Micros>,
 }
 
 impl PeerFormats {
@@ -50,7 +50,7 @@
         let is_new_incarnation = incarnation > known.incarnation;
         let is_later_format = incarnation == known.incarnation && format > known.format;
         if is_new_incarnation {
-            self.told.remove(&front);
+            self.introduced_at.remove(&front);
         }
         if is_new_incarnation || is_later_format {
             *known = shown;
@@ -59,14 +59,18 @@
 
     /// What is to be sent first to a front that may not know this one's format.
     pub fn introduction(&mut self, now: Micros, own: u8, front: FrontId) -> Option<LedgerMessage> {
-        let told = self.told.get(&front).copied().unwrap_or(Micros::MIN);
+        let introduced_at = self
+            .introduced_at
+            .get(&front)
+            .copied()
+            .unwrap_or(Micros::MIN);
         if own == OLDEST_FORMAT
             || self.of(own, front) == own
-            || now.saturating_sub(told) < INTRODUCTION_INTERVAL
+            || now.saturating_sub(introduced_at) < INTRODUCTION_INTERVAL
         {
             return None;
         }
-        self.told.insert(front, now);
+        self.introduced_at.insert(front, now);
         Some(LedgerMessage::Available {
             shard: NO_SHARD,
             config: own.into(),
--- a/crates/ledger/src/asks.rs
+++ b/crates/ledger/src/pending_requests.rs
@@ -1,14 +1,14 @@
-//! This front's own asks that wait for an answer.
+//! This front's own requests that wait for an answer.
 
 use std::collections::BTreeMap;
 
 use crate::batch::Command;
 use crate::{FrontId, Micros, Moment, REMEMBERED_MS};
 
-const RETRY_INTERVAL: Micros = 100_000; // microseconds until an ask is sent again, elsewhere
-const MAX_WAITING: usize = 16_384; // asks that wait at once
+const RETRY_INTERVAL: Micros = 100_000; // microseconds until a request is sent again, elsewhere
+const MAX_WAITING: usize = 16_384; // requests that wait at once
 
-/// An ask that has no answer yet.
+/// A request that has no answer yet.
 pub(crate) struct Waiting {
     pub command: Command,
     pub shard: u16,
@@ -17,30 +17,30 @@
     attempts: usize,
 }
 
-/// An attempt of an ask.
+/// An attempt of a request.
 pub(crate) struct Attempt<'a> {
     pub ask: &'a Waiting,
     /// The number of attempts before.
     pub earlier: usize,
 }
 
-/// The numbers of asks for which something is due.
-pub(crate) struct DueAsks {
+/// The numbers of requests for which something is due.
+pub(crate) struct DueRequests {
     /// To be sent again.
     pub retry: Vec<u64>,
     /// That nobody has answered in time.
     pub expired: Vec<u64>,
 }
 
-/// This front's asks that have no answer yet.
+/// This front's requests that have no answer yet.
 #[derive(Default)]
-pub(crate) struct PendingAsks {
+pub(crate) struct PendingRequests {
     waiting: BTreeMap<u64, Waiting>,
     /// When each was first asked, on the Unix clock: a retry says the same.
     first: BTreeMap<u64, u64>,
 }
 
-impl PendingAsks {
+impl PendingRequests {
     /// When this number was first asked.
     pub fn first(&mut self, number: u64, wall_ms: u64) -> u64 {
         *self.first.entry(number).or_insert(wall_ms)
@@ -68,7 +68,7 @@
         true
     }
 
-    /// Counts another attempt of an ask.
+    /// Counts another attempt of a request.
     pub fn next_attempt(&mut self, now: Micros, number: u64) -> Option<Attempt<'_>> {
         let ask = self.waiting.get_mut(&number)?;
         let earlier = ask.attempts;
@@ -86,18 +86,18 @@
         self.waiting.remove(&number).map(|waiting| waiting.shard)
     }
 
-    /// Ends the asks that nobody has answered in time, and finds those that are to be sent again.
-    pub fn due_now(&mut self, at: Moment) -> DueAsks {
+    /// Ends the requests that nobody has answered in time, and finds those that are to be sent again.
+    pub fn due_now(&mut self, at: Moment) -> DueRequests {
         let is_expired = |waiting: &Waiting| waiting.ends <= at.steady;
         let expired = self.numbers(is_expired);
         self.waiting.retain(|_, waiting| !is_expired(waiting));
         let retry = self.numbers(|waiting| waiting.retry_at <= at.steady);
         self.first
             .retain(|_, first| first.saturating_add(2 * REMEMBERED_MS) > at.wall_ms);
-        DueAsks { retry, expired }
+        DueRequests { retry, expired }
     }
 
-    /// The numbers of the asks that wait and meet a condition.
+    /// The numbers of the requests that wait and meet a condition.
     fn numbers(&self, condition: impl Fn(&Waiting) -> bool) -> Vec<u64> {
         let meeting = self
             .waiting
@@ -106,7 +106,7 @@
         meeting.map(|(number, _)| *number).collect()
     }
 
-    /// When an ask is next to be repeated, or ends.
+    /// When a request is next to be repeated, or ends.
     pub fn due(&self) -> Micros {
         self.waiting
             .values()
--- a/crates/ledger/src/placement.rs
+++ b/crates/ledger/src/placement.rs
@@ -1,4 +1,4 @@
-//! Which shard a key is of, and which fronts keep a shard's copies.
+//! Which shard a key belongs to, and in which order fronts are preferred for a shard's replicas.
 
 use hallmux_hash::fnv1a;
 
@@ -17,7 +17,7 @@
     (hash(bytes) % u64::from(shards.max(1))) as u16
 }
 
-/// All members in the order in which they are wanted for a shard (rendezvous hashing): of those in zones that are not
+/// All members in the order in which they are preferred for a shard (rendezvous hashing): of those in zones that are not
 /// there yet the one with the highest hash, zones beginning anew once each is there.
 pub(crate) fn ranked(members: &[Member], shard: u16) -> Vec<FrontId> {
     let weight = |front: FrontId| hash(front.to_be_bytes().into_iter().chain(shard.to_be_bytes()));
--- a/crates/ledger/src/rebalance.rs
+++ b/crates/ledger/src/rebalance.rs
@@ -62,7 +62,7 @@
 }
 
 impl Ledger {
-    /// The operator's list has changed. A front that has yet to begin its shards goes on as the list said then.
+    /// The operator's list has changed. A front that has yet to start its shards goes on with the earlier list.
     pub fn set_members(&mut self, at: Moment, members: Vec<Member>) -> Result<(), Error> {
         let setup = Setup {
             members,
@@ -134,7 +134,7 @@
         self.update_placement(now);
     }
 
-    /// One that keeps a copy is silent for longer than it is waited for: it counts as gone, whatever others say.
+    /// A member is silent for longer than it is waited for: it counts as gone, whatever gossip says.
     pub(crate) fn declare_gone(&mut self, now: Micros, front: FrontId) {
         let ago = self.setup.zone_after.max(self.setup.repair_after);
         self.away.since.insert(front, now.saturating_sub(ago));
--- a/crates/ledger/src/rejection.rs
+++ b/crates/ledger/src/rejection.rs
@@ -1,4 +1,4 @@
-//! Why a message, a packet or an ask was rejected, as it is counted.
+//! Why a message, a packet or a request was rejected, as it is counted.
 
 /// The reason of a rejection; [`crate::Counters::refused`] counts them by their labels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,10 +21,10 @@
     Overtaken,
     /// It contradicts what is decided: one side has lost what it had promised.
     Contradiction,
-    /// An ask's name or value is too long.
+    /// A request's name or value is too long.
     TooLong,
-    /// An ask of another front than its sender, for another shard than its key's, or too long.
-    ForeignAsk,
+    /// A request of another front than its sender, for another shard than its key's, or too long.
+    ForeignRequest,
     /// Too many asks wait for a round of the shard's log.
     QueueFull,
 }
@@ -43,7 +43,7 @@
             Rejection::Overtaken => "overtaken",
             Rejection::Contradiction => "contradicts what is decided",
             Rejection::TooLong => "too long",
-            Rejection::ForeignAsk => "another's ask",
+            Rejection::ForeignRequest => "another's ask",
             Rejection::QueueFull => "too many asks",
         }
     }
--- a/crates/ledger/src/replica.rs
+++ b/crates/ledger/src/replica.rs
@@ -22,8 +22,8 @@
 
 mod saving;
 
-const MAX_QUEUED: usize = 4_096; // asks that wait for a round
-const BATCH_BYTES: usize = 8_192; // bytes of asks in a round: some datagrams to each member
+const MAX_QUEUED: usize = 4_096; // requests that wait for a round
+const BATCH_BYTES: usize = 8_192; // bytes of requests in a round: some datagrams to each member
 const CHANGE_WAITS: Micros = 250_000; // microseconds for which a change of members goes before the next round
 
 /// Entries that the log starts with: the state that was handed over stands for one.
@@ -32,7 +32,7 @@
 struct Waiting {
     command: Command,
     came: Micros,
-    /// Microseconds on this clock from which its asker no longer waits.
+    /// Microseconds on this clock from which its requester no longer waits.
     ends: Micros,
 }
 
@@ -46,7 +46,7 @@
     pub state: State,
     applied: usize,
     queue: Vec<Waiting>,
-    /// The asks that wait or are proposed here.
+    /// The requests that wait or are proposed here.
     known: BTreeSet<CommandId>,
     /// The fronts that wait for keys that others have, where this front leads the shard.
     pub key_queues: KeyQueues,
@@ -70,7 +70,7 @@
     ends: Micros,
 }
 
-/// An ask that was decided, with its outcome.
+/// A request that was decided, with its outcome.
 pub(crate) struct DecidedCommand {
     pub command: Command,
     pub outcome: Outcome,
@@ -84,7 +84,7 @@
     pub is_ordered: bool,
 }
 
-/// The asks that were decided, and the rounds that were proposed, since the last call.
+/// The requests that were decided, and the rounds that were proposed, since the last call.
 #[derive(Default)]
 pub(crate) struct Settled {
     pub answers: Vec<DecidedCommand>,
@@ -200,7 +200,7 @@
         self.log.receive(from, message)
     }
 
-    /// An ask of the leader; false where it can't wait here.
+    /// A request of the leader; false where it can't wait here.
     pub fn ask(&mut self, command: Command, came: Micros, ends: Micros) -> bool {
         if self.queue.len() >= MAX_QUEUED {
             return false;
@@ -259,7 +259,7 @@
         settled
     }
 
-    /// Proposes the asks that wait, as far as a round holds them; false where none is proposed.
+    /// Proposes the requests that wait, as far as a round holds them; false where none is proposed.
     fn propose_batch(&mut self, now: Micros, wall_ms: u64) -> bool {
         let (mut commands, mut bytes) = (Vec::new(), 0);
         for waiting in std::mem::take(&mut self.queue) {
@@ -285,7 +285,7 @@
             })
     }
 
-    /// The latest asks of the fronts that are to be told that a key is free.
+    /// The latest requests of the fronts that are to be told that a key is free.
     pub fn freed_keys(&mut self, now: Micros, wall_ms: u64) -> Vec<CommandId> {
         self.key_queues
             .freed_keys(now, |key| self.state.is_free(key, wall_ms))
--- a/crates/ledger/src/requests.rs
+++ b/crates/ledger/src/requests.rs
@@ -1,10 +1,10 @@
 //! Requests for entries: this front's own, passed on to whoever leads the shard, and those of other fronts.
 
-use crate::asks;
 use crate::batch::Command;
 use crate::ledger::Ledger;
 use crate::long_message::Pace;
 use crate::messages::LedgerMessage;
+use crate::pending_requests;
 use crate::rejection::Rejection;
 use crate::replica::Replica;
 use crate::{
@@ -22,7 +22,7 @@
             key,
             operation,
         } = ask;
-        if self.asks.is_waiting(number) {
+        if self.pending.is_waiting(number) {
             return;
         }
         if self.counters.failed {
@@ -40,26 +40,26 @@
                 incarnation: self.setup.incarnation,
             },
             number,
-            asked_ms: self.asks.first(number, at.wall_ms),
+            asked_ms: self.pending.first(number, at.wall_ms),
             key,
             operation,
         };
         let ends = at.steady + self.setup.ask_timeout;
-        if !self.asks.wait(command, shard, ends) {
+        if !self.pending.wait(command, shard, ends) {
             return self.answer_at_once(number, Outcome::Unreachable);
         }
-        self.send_ask(at, number);
+        self.send_request(at, number);
         self.settle(at);
     }
 
-    /// Answers an ask that depends on nothing that has yet to be saved.
+    /// Answers a request that depends on nothing that has yet to be saved.
     fn answer_at_once(&mut self, number: u64, outcome: Outcome) {
         self.out.done.push(LedgerAnswer { number, outcome });
     }
 
     /// Passes a request on to the shard's leader, as far as that is known.
-    pub(crate) fn send_ask(&mut self, at: Moment, number: u64) {
-        let Some(attempt) = self.asks.next_attempt(at.steady, number) else {
+    pub(crate) fn send_request(&mut self, at: Moment, number: u64) {
+        let Some(attempt) = self.pending.next_attempt(at.steady, number) else {
             return;
         };
         let waiting = attempt.ask;
@@ -84,7 +84,9 @@
             .filter(|front| !members.contains(front))
             .copied();
         let others: Vec<FrontId> = members.iter().copied().chain(rest).collect();
-        if let Some(to) = asks::next_receiver(leader, &others, self.own.front, attempt.earlier) {
+        if let Some(to) =
+            pending_requests::next_receiver(leader, &others, self.own.front, attempt.earlier)
+        {
             let message = LedgerMessage::Request {
                 shard,
                 command: waiting.command.clone(),
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Another front does not lead the shard of an ask, and says which one does.
+    /// Another front does not lead the shard of a request, and says which one does.
     pub(crate) fn redirect(
         &mut self,
         at: Moment,
@@ -101,7 +103,7 @@
         number: u64,
         leader: Option<FrontId>,
     ) {
-        let Some(shard) = self.asks.shard(number) else {
+        let Some(shard) = self.pending.shard(number) else {
             return;
         };
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
@@ -111,13 +113,13 @@
         let new = leader.is_some() && leader != view.leader_hint;
         view.leader_hint = leader.or(view.leader_hint.filter(|hint| *hint != from));
         if new {
-            self.send_ask(at, number);
+            self.send_request(at, number);
         }
     }
 
-    /// The answer to an ask of this front, to be given once what it rests on is durable here.
+    /// The answer to a request of this front, to be given once what it rests on is durable here.
     pub(crate) fn record_answer(&mut self, leader: Option<FrontId>, number: u64, outcome: Outcome) {
-        let Some(shard) = self.asks.answered(number) else {
+        let Some(shard) = self.pending.answered(number) else {
             return;
         };
         if let Some(view) = self.shards.get_mut(usize::from(shard)) {
@@ -127,12 +129,18 @@
         self.done.push(LedgerAnswer { number, outcome });
     }
 
-    /// An ask of another front has come.
-    pub(crate) fn receive_ask(&mut self, at: Moment, from: FrontId, shard: u16, command: Command) {
+    /// A request of another front has come.
+    pub(crate) fn receive_request(
+        &mut self,
+        at: Moment,
+        from: FrontId,
+        shard: u16,
+        command: Command,
+    ) {
         let fits =
             command.owner.front == from && shard_of(&command.key, self.setup.shards) == shard;
         if !fits || command.size() > LONGEST_NAME + LONGEST_VALUE {
-            return self.reject(Rejection::ForeignAsk);
+            return self.reject(Rejection::ForeignRequest);
         }
         let (incarnation, number) = (command.owner.incarnation, command.number);
         let ends = at.steady + self.setup.ask_timeout;
--- a/crates/ledger/src/rounds.rs
+++ b/crates/ledger/src/rounds.rs
@@ -9,7 +9,7 @@
 use crate::{LedgerAnswer, Micros, Moment, Outcome};
 
 impl Ledger {
-    /// Takes in what a shard's log has decided, answers the asks, and sends the log's messages.
+    /// Takes in what a shard's log has decided, answers the requests, and sends the log's messages.
     pub(crate) fn settle_shard(&mut self, at: Moment, shard: u16) {
         let wall_ms = self.wall_ms(at, shard);
         let Some(view) = self.shards.get_mut(usize::from(shard)) else {
@@ -76,7 +76,7 @@
         self.transport.send(at, message.to, &message.message, pace);
     }
 
-    /// Answers an ask of this front or of another one.
+    /// Answers a request of this front or of another one.
     fn answer(&mut self, at: Moment, answer: DecidedCommand) {
         let DecidedCommand { command, outcome } = answer;
         let CommandId { owner, number } = command.id();
@@ -108,7 +108,7 @@
     /// A key that this front asked for is free, and this front is the first in its queue.
     pub(crate) fn key_is_free(&mut self, command: CommandId) {
         let CommandId { owner, number } = command;
-        if owner.incarnation == self.setup.incarnation && !self.asks.is_waiting(number) {
+        if owner.incarnation == self.setup.incarnation && !self.pending.is_waiting(number) {
             self.done.push(LedgerAnswer {
                 number,
                 outcome: Outcome::Absent,
--- a/crates/ledger/src/setup.rs
+++ b/crates/ledger/src/setup.rs
@@ -35,7 +35,7 @@
     pub most_entries: usize,
     /// Most bytes of a shard's entries.
     pub most_bytes: usize,
-    /// Microseconds until an ask that no quorum has answered is [`crate::Outcome::Unreachable`].
+    /// Microseconds until a request that no quorum has answered is [`crate::Outcome::Unreachable`].
     pub ask_timeout: Micros,
     /// Microseconds without a sign of a member until its replicas are rebuilt elsewhere.
     pub repair_after: Micros,
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -56,7 +56,7 @@
     index: Option<Index>,
 }
 
-/// An entry, and the number of the ask that set it.
+/// An entry, and the number of the request that set it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct StoredEntry {
     entry: Entry,
--- a/crates/ledger/src/stored_answers.rs
+++ b/crates/ledger/src/stored_answers.rs
@@ -1,11 +1,11 @@
-//! Answers that are remembered, so that an ask made twice counts once.
+//! Answers that are remembered, so that a request made twice counts once.
 
 use serde::{Deserialize, Serialize};
 
 use crate::batch::Command;
 use crate::{Entry, Operation, Outcome, Owner};
 
-/// An outcome that is remembered, without what the ask itself says.
+/// An outcome that is remembered, without what the request itself says.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum StoredOutcome {
     Stands {
@@ -20,7 +20,7 @@
     Full,
 }
 
-/// The outcome of an ask, and when it was first asked, in Unix milliseconds of its front.
+/// The outcome of a request, and when it was first asked, in Unix milliseconds of its front.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct StoredAnswer {
     pub asked_ms: u64,
--- a/crates/ledger/src/transport.rs
+++ b/crates/ledger/src/transport.rs
@@ -58,7 +58,7 @@
             formats: PeerFormats::default(),
             small: BTreeMap::new(),
             long: BTreeMap::new(),
-            next_long: incarnation << 20, // an earlier life's are not this one's
+            next_long: incarnation << 20, // an earlier incarnation's are not this one's
             reassembly: Reassembly::default(),
             log_pacer: Pacer::new(LOG_RATE),
             repair_pacer: Pacer::new(f64::from(setup.repair_bytes)),
