--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/ledger_barrier.rs
@@ -48,7 +48,7 @@
 
 /// What becomes of an execution that was held.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ruling {
+pub enum BarrierDecision {
     /// Its entries are held: it leaves at once, or not under this ruling.
     Release(PendingExecution),
     /// An entry can't be had now: final, and a retry by the client is harmless.
@@ -67,7 +67,7 @@
 }
 
 /// The statements that require ledger entries, and the keys that they hold or claim.
-pub struct Gate {
+pub struct LedgerBarrier {
     /// When this front started, in Unix milliseconds.
     started_ms: u64,
     /// By shard, whether it has answered since.
@@ -81,15 +81,15 @@
     /// When the first of the keys is due; computed anew only then.
     due: Micros,
     asks: Vec<ledger::LedgerRequest>,
-    rulings: Vec<Ruling>,
+    rulings: Vec<BarrierDecision>,
     /// Statements that were rejected or aborted, by reason.
     pub refused: BTreeMap<&'static str, u64>,
 }
 
-impl Gate {
+impl LedgerBarrier {
     /// `started_ms` is when this front started, in Unix milliseconds, as the ledger knows it.
-    pub fn new(settings: &Settings, started_ms: u64, shards: u16) -> Gate {
-        Gate {
+    pub fn new(settings: &Settings, started_ms: u64, shards: u16) -> LedgerBarrier {
+        LedgerBarrier {
             started_ms,
             shards_heard: vec![false; usize::from(shards)],
             requirements: Requirements::new(settings),
@@ -293,7 +293,7 @@
     }
 
     /// Takes the rulings. Each is to be obeyed at once, and not later than the time passed in last.
-    pub fn rulings(&mut self) -> Vec<Ruling> {
+    pub fn rulings(&mut self) -> Vec<BarrierDecision> {
         std::mem::take(&mut self.rulings)
     }
 }
--- a/crates/fleet/src/gate/claims.rs
+++ b/crates/fleet/src/ledger_barrier/claims.rs
@@ -6,9 +6,9 @@
 use super::key_state::{Claim, KeyState, Verdict};
 use super::refusal::Refusal;
 use super::requirements::{EntryMark, Requirement};
-use super::{Gate, PendingExecution, Ruling};
+use super::{BarrierDecision, LedgerBarrier, PendingExecution};
 
-impl Gate {
+impl LedgerBarrier {
     /// A held execution claims its entries in order: none behind one that another front holds, so that fronts
     /// that claim the same ones do not wait for each other.
     pub(super) fn claim(&mut self, now: Micros, ticket: Ticket) {
@@ -62,8 +62,10 @@
         statement.held = None;
         self.withdraw_claims(now, ticket);
         let ruling = match reason {
-            Refusal::MayHaveRun => Ruling::Abort(ticket),
-            Refusal::Full | Refusal::Group | Refusal::Unreachable => Ruling::Reject(ticket),
+            Refusal::MayHaveRun => BarrierDecision::Abort(ticket),
+            Refusal::Full | Refusal::Group | Refusal::Unreachable => {
+                BarrierDecision::Reject(ticket)
+            }
         };
         self.rulings.push(ruling);
     }
@@ -146,7 +148,7 @@
             }
         }
         statement.held = None;
-        self.rulings.push(Ruling::Release(held));
+        self.rulings.push(BarrierDecision::Release(held));
     }
 
     fn required_keys(&self, ticket: Ticket) -> Vec<Key> {
--- a/crates/fleet/src/gate/guard.rs
+++ b/crates/fleet/src/ledger_barrier/guard.rs
@@ -7,7 +7,7 @@
 use hallmux_dispatcher::{Dispatcher, Micros, Place, Terms, Ticket};
 use hallmux_ledger::{LedgerAnswer, LedgerRequest};
 
-use super::{Gate, PendingExecution, Ruling, REQUEST_NUMBER_BASE};
+use super::{BarrierDecision, LedgerBarrier, PendingExecution, REQUEST_NUMBER_BASE};
 
 /// Microseconds between notes to the dispatcher on executions that are still held.
 const NOTE_INTERVAL: Micros = 100_000;
@@ -35,7 +35,7 @@
 
 /// The gate of one front, with what its dispatcher has to know of it.
 pub struct Guard {
-    gate: Gate,
+    gate: LedgerBarrier,
     last_note: Micros,
 }
 
@@ -49,7 +49,7 @@
     ) -> Guard {
         dispatcher.watch_promises();
         Guard {
-            gate: Gate::new(settings, (now / 1000) as u64, shards),
+            gate: LedgerBarrier::new(settings, (now / 1000) as u64, shards),
             last_note: 0,
         }
     }
@@ -114,7 +114,7 @@
         dispatcher: &mut Dispatcher,
         ledger: &mut impl LedgerClient,
         id: impl Fn(Ticket) -> Option<String>,
-    ) -> Vec<Ruling> {
+    ) -> Vec<BarrierDecision> {
         for event in dispatcher.promise_events() {
             self.gate.observe(now, event, &id);
         }
--- a/crates/fleet/src/gate/tests.rs
+++ b/crates/fleet/src/ledger_barrier/tests.rs
@@ -19,19 +19,19 @@
 const APART_MS: u64 = 500;
 
 /// One that its shards have spoken to.
-fn gate(life: u64) -> Gate {
+fn gate(life: u64) -> LedgerBarrier {
     let mut gate = new_gate(life);
     gate.shards_heard.fill(true);
     gate
 }
 
-fn new_gate(life: u64) -> Gate {
-    Gate::new(&hallmux_config::Settings::parse(SETTINGS).unwrap(), life, 4)
+fn new_gate(life: u64) -> LedgerBarrier {
+    LedgerBarrier::new(&hallmux_config::Settings::parse(SETTINGS).unwrap(), life, 4)
 }
 
 /// Takes a statement: whether it depends on anything.
 fn open(
-    gate: &mut Gate,
+    gate: &mut LedgerBarrier,
     ticket: Ticket,
     (workload, key, dedup_key): (&str, Option<&str>, Option<&str>),
     id: Option<&str>,
@@ -122,7 +122,12 @@
 }
 
 /// Asks and answers at once, until nothing is asked any more.
-fn settle(gate: &mut Gate, book: &mut Book, now: Micros, front: u64) -> Vec<Ruling> {
+fn settle(
+    gate: &mut LedgerBarrier,
+    book: &mut Book,
+    now: Micros,
+    front: u64,
+) -> Vec<BarrierDecision> {
     let mut rulings = gate.rulings();
     loop {
         gate.tick(now);
@@ -169,7 +174,7 @@
     let mut book = Book::default();
     assert_eq!(
         settle(&mut gate, &mut book, 0, 1),
-        [Ruling::Release(pending(2, 0, 0, 0))]
+        [BarrierDecision::Release(pending(2, 0, 0, 0))]
     );
     // Its next execution needs no other word.
     gate.hold(
@@ -229,7 +234,10 @@
             },
         );
     }
-    assert_eq!((asks.len(), gate.rulings()), (2, vec![Ruling::Reject(1)]));
+    assert_eq!(
+        (asks.len(), gate.rulings()),
+        (2, vec![BarrierDecision::Reject(1)])
+    );
     gate.end(0, over(1, false, false));
     assert_eq!(book.entries.len(), 2);
     settle(&mut gate, &mut book, 1_100 * MS, 1);
@@ -274,7 +282,7 @@
             assert!(at < 2_000 * MS, "held to the half of its time and longer");
         }
         assert_eq!(
-            matches!(ruled[..], [Ruling::Release(_)]),
+            matches!(ruled[..], [BarrierDecision::Release(_)]),
             goes,
             "{ruled:?} at {at}"
         );
@@ -293,7 +301,7 @@
                 },
             );
         }
-        assert_eq!(gate.rulings(), [Ruling::Reject(1)]);
+        assert_eq!(gate.rulings(), [BarrierDecision::Reject(1)]);
     }
 }
 
@@ -312,11 +320,11 @@
             gate.hold(2 * MS, pending(2, 0, 2 * MS, 0));
             let ruled = settle(gate, &mut book, 2 * MS, front);
             assert_eq!(
-                matches!(ruled[..], [Ruling::Release(_)]),
+                matches!(ruled[..], [BarrierDecision::Release(_)]),
                 again,
                 "{ruled:?}"
             );
-            assert_eq!(ruled == [Ruling::Abort(2)], !again, "{ruled:?}");
+            assert_eq!(ruled == [BarrierDecision::Abort(2)], !again, "{ruled:?}");
             gate.end(3 * MS, over(2, false, false));
             settle(gate, &mut book, 3 * MS, front);
         }
@@ -341,11 +349,11 @@
         ruled.extend(settle(&mut other, &mut book, at * MS, 2));
     }
     assert!(
-        ruled.contains(&Ruling::Reject(1)) && ruled.len() == 2,
+        ruled.contains(&BarrierDecision::Reject(1)) && ruled.len() == 2,
         "{ruled:?}"
     );
     assert!(
-        ruled.contains(&Ruling::Release(pending(2, 0, MS, 0))),
+        ruled.contains(&BarrierDecision::Release(pending(2, 0, MS, 0))),
         "{ruled:?}"
     );
 }
@@ -376,7 +384,10 @@
     let ruled = (4..700)
         .map(|at| settle(&mut other, &mut book, at * MS, 2))
         .find(|ruled| !ruled.is_empty());
-    assert_eq!(ruled, Some(vec![Ruling::Release(pending(1, 0, MS, 0))]));
+    assert_eq!(
+        ruled,
+        Some(vec![BarrierDecision::Release(pending(1, 0, MS, 0))])
+    );
 }
 
 #[test]
@@ -414,7 +425,7 @@
         .asks()
         .into_iter()
         .partition(|ask| ask.key.kind == Kind::Order);
-    let mut answer = |gate: &mut Gate, ask: &ledger::LedgerRequest| {
+    let mut answer = |gate: &mut LedgerBarrier, ask: &ledger::LedgerRequest| {
         let outcome = book.apply(
             2 * MS,
             Owner {
@@ -435,5 +446,8 @@
     gate.tick(2 * MS);
     assert!(gate.due() > 1_000 * MS, "{}", gate.due());
     answer(&mut gate, &second[0]);
-    assert_eq!(gate.rulings(), [Ruling::Release(pending(1, 0, MS, 0))]);
+    assert_eq!(
+        gate.rulings(),
+        [BarrierDecision::Release(pending(1, 0, MS, 0))]
+    );
 }
--- a/crates/fleet/src/gate/tests/drawn.rs
+++ b/crates/fleet/src/ledger_barrier/tests/drawn.rs
@@ -82,7 +82,7 @@
 struct Stage {
     now: Micros,
     book: Book,
-    gates: Vec<(Gate, u64)>,
+    gates: Vec<(LedgerBarrier, u64)>,
     /// Of each front: what is held by the module for the turn of its key, and what has been ordered.
     lines: Vec<VecDeque<(Ticket, Of, usize)>>,
     open: BTreeMap<(usize, Ticket), (Of, Micros)>,
@@ -294,11 +294,11 @@
         }
     }
 
-    fn obey(&mut self, front: usize, ruling: Ruling) {
+    fn obey(&mut self, front: usize, ruling: BarrierDecision) {
         let (now, life) = (self.now, self.gates[front].1);
         let held = match ruling {
-            Ruling::Release(held) => held,
-            Ruling::Reject(ticket) | Ruling::Abort(ticket) => {
+            BarrierDecision::Release(held) => held,
+            BarrierDecision::Reject(ticket) | BarrierDecision::Abort(ticket) => {
                 self.open.remove(&(front, ticket));
                 return self.gates[front].0.end(now, over(ticket, false, false));
             }
--- a/crates/fleet/src/gate/tests/window.rs
+++ b/crates/fleet/src/ledger_barrier/tests/window.rs
@@ -14,17 +14,17 @@
     gate.hold(0, pending(1, 0, 0, 0));
     assert_eq!(
         settle(&mut gate, book, 0, 1),
-        [Ruling::Release(pending(1, 0, 0, 0))]
+        [BarrierDecision::Release(pending(1, 0, 0, 0))]
     );
 }
 
 /// All that a front rules from `from` to `to`, in milliseconds, and when.
 fn ruled(
-    gate: &mut Gate,
+    gate: &mut LedgerBarrier,
     book: &mut Book,
     (from, to): (i64, i64),
     front: u64,
-) -> Vec<(i64, Ruling)> {
+) -> Vec<(i64, BarrierDecision)> {
     let at = |ms: i64| {
         settle(gate, book, ms * MS, front)
             .into_iter()
@@ -51,10 +51,10 @@
         all.extend(ruled(&mut other, &mut book, (freed_ms, 9_400), 3));
         match leaves {
             true => assert!(
-                matches!(all[..], [(_, Ruling::Release(held))] if held == asked),
+                matches!(all[..], [(_, BarrierDecision::Release(held))] if held == asked),
                 "{all:?}"
             ),
-            false => assert_eq!(all, [(DROPPED_MS, Ruling::Abort(1))]),
+            false => assert_eq!(all, [(DROPPED_MS, BarrierDecision::Abort(1))]),
         }
     }
 }
@@ -109,11 +109,11 @@
     ] {
         open(gate, 2, ("load", None, Some("d")), None);
         gate.hold(from * MS, pending(2, 0, from * MS, 0));
-        let ruled: Vec<Ruling> = ruled(gate, &mut book, (from, from + 3_000), front)
+        let ruled: Vec<BarrierDecision> = ruled(gate, &mut book, (from, from + 3_000), front)
             .into_iter()
             .map(|(_, r)| r)
             .collect();
-        assert_eq!(ruled, [Ruling::Abort(2)], "front {front}");
+        assert_eq!(ruled, [BarrierDecision::Abort(2)], "front {front}");
         gate.end((from + 3_000) * MS, over(2, false, false));
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -7,8 +7,8 @@
 #![warn(missing_docs)]
 
 mod exchange;
-pub mod gate;
 mod ledger;
+pub mod ledger_barrier;
 mod load;
 mod ownership;
 
--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use hallmux_dispatcher::{Command, Ending, Micros, Place, RejectCause, Ticket};
-use hallmux_fleet::gate;
+use hallmux_fleet::ledger_barrier;
 use hallmux_native_codec::statement::{Call, Reply};
 use hallmux_scatter::gather::PartFailure;
 
@@ -142,7 +142,7 @@
         let now = self.clock.now;
         for ruling in guard.tick(now, &mut self.dispatcher, peers, id) {
             match ruling {
-                gate::Ruling::Release(gate::PendingExecution {
+                ledger_barrier::BarrierDecision::Release(ledger_barrier::PendingExecution {
                     ticket,
                     execution,
                     place,
@@ -158,7 +158,7 @@
                         terms,
                     });
                 }
-                gate::Ruling::Reject(ticket) => {
+                ledger_barrier::BarrierDecision::Reject(ticket) => {
                     let retry_after = self.dispatcher.reject(now, ticket);
                     self.carry_out(Command::Reject {
                         ticket,
@@ -166,7 +166,7 @@
                         cause: RejectCause::LedgerEntry,
                     });
                 }
-                gate::Ruling::Abort(ticket) => {
+                ledger_barrier::BarrierDecision::Abort(ticket) => {
                     self.dispatcher.reject(now, ticket);
                     self.carry_out(Command::Abort {
                         ticket,
--- a/crates/front/src/fleet/gate.rs
+++ b/crates/front/src/fleet/gate.rs
@@ -1,11 +1,11 @@
-//! Executions that depend on ledger entries wait in `hallmux_fleet`'s gate until the ledger has answered; the log says
+//! Executions that depend on ledger entries wait in `hallmux_fleet`'s ledger barrier until the ledger has answered; the log says
 //! what was turned away.
 
 use std::collections::BTreeMap;
 
 use hallmux_config::Settings;
 use hallmux_dispatcher::{Dispatcher, Micros, Ticket};
-use hallmux_fleet::gate::{self, LedgerClient, OrderedExecution, Ruling};
+use hallmux_fleet::ledger_barrier::{self, BarrierDecision, LedgerClient, OrderedExecution};
 use hallmux_ledger::{LedgerAnswer, LedgerRequest};
 
 use super::peers::Peers;
@@ -25,9 +25,9 @@
     }
 }
 
-/// The gate, and what was logged of it.
+/// The ledger barrier, and what was logged of it.
 pub struct LoggedGuard {
-    guard: gate::Guard,
+    guard: ledger_barrier::Guard,
     last_log: Micros,
     refused: BTreeMap<&'static str, u64>,
 }
@@ -40,7 +40,7 @@
         shards: u16,
         dispatcher: &mut Dispatcher,
     ) -> LoggedGuard {
-        let guard = gate::Guard::new(settings, now, shards, dispatcher);
+        let guard = ledger_barrier::Guard::new(settings, now, shards, dispatcher);
         LoggedGuard {
             guard,
             last_log: 0,
@@ -97,7 +97,7 @@
         dispatcher: &mut Dispatcher,
         peers: &mut Peers,
         id: impl Fn(Ticket) -> Option<String>,
-    ) -> Vec<Ruling> {
+    ) -> Vec<BarrierDecision> {
         let rulings = self.guard.advance(now, dispatcher, peers, id);
         if self.guard.refused() != &self.refused && self.last_log + LOG_INTERVAL <= now {
             (self.last_log, self.refused) = (now, self.guard.refused().clone());
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use hallmux_dispatcher::{Command, Dispatcher, Ending, ListScope, Listing, Mode, Protocol};
-use hallmux_fleet::gate::{Guard, OrderedExecution};
+use hallmux_fleet::ledger_barrier::{Guard, OrderedExecution};
 use hallmux_fleet::{Exchange, OwnershipConfig, VoterAddress};
 use hallmux_gossip::node::NodeConfig;
 use hallmux_gossip::seal::{peer_id, Identity};
--- a/crates/lab/src/simulated/ledger.rs
+++ b/crates/lab/src/simulated/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use hallmux_fleet::gate::{LedgerClient, Ruling};
+use hallmux_fleet::ledger_barrier::{BarrierDecision, LedgerClient};
 use hallmux_fleet::{ClockReading, Exchange, Output};
 use hallmux_gossip::seal::{peer_id, Identity};
 use hallmux_gossip::PeerId;
@@ -102,15 +102,15 @@
                 return;
             };
             match ruling {
-                Ruling::Release(go) => {
+                BarrierDecision::Release(go) => {
                     life.dispatcher.execution_sent(own, go.ticket, go.execution);
                     self.leaves(n, (go.ticket, go.execution), go.place);
                 }
-                Ruling::Reject(ticket) => {
+                BarrierDecision::Reject(ticket) => {
                     life.dispatcher.reject(own, ticket);
                     self.answer(n, ticket, Outcome::Error("53000".into()));
                 }
-                Ruling::Abort(ticket) => {
+                BarrierDecision::Abort(ticket) => {
                     life.dispatcher.reject(own, ticket);
                     self.answer(n, ticket, Outcome::Error("08007".into()));
                 }
--- a/crates/lab/src/simulated/simulation.rs
+++ b/crates/lab/src/simulated/simulation.rs
@@ -8,7 +8,7 @@
 
 use hallmux_config::Settings;
 use hallmux_dispatcher::{Dispatcher, Ending, Place, Ticket};
-use hallmux_fleet::gate::Guard;
+use hallmux_fleet::ledger_barrier::Guard;
 use hallmux_fleet::{ClockReading, Exchange};
 use hallmux_gossip::seal::Keys;
 use hallmux_ledger::LedgerAnswer;
