--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -192,7 +192,7 @@
     }
 
     /// Takes the messages received on other channels; beyond a bound those not taken are dropped.
-    pub fn received(&mut self) -> Vec<ChannelMessage> {
+    pub fn take_received(&mut self) -> Vec<ChannelMessage> {
         std::mem::take(&mut self.received)
     }
 
--- a/crates/fleet/src/exchange/ledger.rs
+++ b/crates/fleet/src/exchange/ledger.rs
@@ -34,16 +34,20 @@
             .map_or(Ok(()), |ledger| ledger.set_members(at, members, addresses))
     }
 
-    /// Asks the ledger; the answer comes with [`Exchange::ledger_answers`], maybe at once.
-    pub fn ask_ledger(&mut self, at: ClockReading, ask: ledger::LedgerRequest) -> Output {
-        self.with_ledger(at, |ledger| ledger.ask(at, ask))
+    /// Asks the ledger; the answer comes with [`Exchange::take_ledger_answers`], maybe at once.
+    pub fn submit_ledger_request(
+        &mut self,
+        at: ClockReading,
+        request: ledger::LedgerRequest,
+    ) -> Output {
+        self.with_ledger(at, |ledger| ledger.submit(at, request))
     }
 
     /// Takes the ledger's answers since the last call.
-    pub fn ledger_answers(&mut self) -> Vec<ledger::LedgerAnswer> {
+    pub fn take_ledger_answers(&mut self) -> Vec<ledger::LedgerAnswer> {
         self.ledger
             .as_mut()
-            .map(LedgerNode::answers)
+            .map(LedgerNode::take_answers)
             .unwrap_or_default()
     }
 
@@ -54,32 +58,34 @@
 
     /// The front's replicas are lost with their disk: it begins anew on the disk of this identity, holding
     /// nothing.
-    pub fn start_over(&mut self, at: ClockReading, disk: u64) -> Output {
-        self.with_ledger(at, |ledger| ledger.start_over(at, disk))
+    pub fn reset_ledger(&mut self, at: ClockReading, disk: u64) -> Output {
+        self.with_ledger(at, |ledger| ledger.reset(at, disk))
     }
 
     /// This front is to end: the shards that it owns are handed over.
-    pub fn hand_over(&mut self, at: ClockReading) -> Output {
-        self.with_ledger(at, |ledger| ledger.hand_over(at))
+    pub fn hand_over_shards(&mut self, at: ClockReading) -> Output {
+        self.with_ledger(at, |ledger| ledger.hand_over_shards(at))
     }
 
     /// Whether it still owns a shard that another front could own.
-    pub fn hands_over(&self) -> bool {
-        self.ledger.as_ref().is_some_and(LedgerNode::hands_over)
+    pub fn has_shards_to_hand_over(&self) -> bool {
+        self.ledger
+            .as_ref()
+            .is_some_and(LedgerNode::has_shards_to_hand_over)
     }
 
     /// Whether a shard would lose its quorum without this front, as other replicas are away.
-    pub fn is_needed(&self, at: ClockReading) -> bool {
+    pub fn is_needed_for_quorum(&self, at: ClockReading) -> bool {
         self.ledger
             .as_ref()
-            .is_some_and(|ledger| ledger.is_needed(at))
+            .is_some_and(|ledger| ledger.is_needed_for_quorum(at))
     }
 
     /// Replicas that were found to differ from their majority, so far.
-    pub fn differences(&self) -> ledger::Differences {
+    pub fn replica_differences(&self) -> ledger::Differences {
         self.ledger
             .as_ref()
-            .map(LedgerNode::differences)
+            .map(LedgerNode::replica_differences)
             .unwrap_or_default()
     }
 
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -53,12 +53,12 @@
         })
     }
 
-    pub fn ask(&mut self, at: ClockReading, ask: LedgerRequest) {
-        self.ledger.ask(clock(at), ask);
+    pub fn submit(&mut self, at: ClockReading, request: LedgerRequest) {
+        self.ledger.ask(clock(at), request);
     }
 
     /// Takes the answers since the last call.
-    pub fn answers(&mut self) -> Vec<LedgerAnswer> {
+    pub fn take_answers(&mut self) -> Vec<LedgerAnswer> {
         std::mem::take(&mut self.answers)
     }
 
@@ -80,15 +80,15 @@
     }
 
     /// This front is to end.
-    pub fn hand_over(&mut self, at: ClockReading) {
+    pub fn hand_over_shards(&mut self, at: ClockReading) {
         self.ledger.begin_shutdown(clock(at));
     }
 
-    pub fn hands_over(&self) -> bool {
+    pub fn has_shards_to_hand_over(&self) -> bool {
         self.ledger.hands_over()
     }
 
-    pub fn is_needed(&self, at: ClockReading) -> bool {
+    pub fn is_needed_for_quorum(&self, at: ClockReading) -> bool {
         self.ledger.is_needed(clock(at))
     }
 
@@ -128,11 +128,11 @@
     }
 
     /// Begins anew on another disk, holding nothing.
-    pub fn start_over(&mut self, at: ClockReading, disk: u64) {
+    pub fn reset(&mut self, at: ClockReading, disk: u64) {
         self.ledger.start_over(clock(at), disk);
     }
 
-    pub fn differences(&self) -> hallmux_ledger::Differences {
+    pub fn replica_differences(&self) -> hallmux_ledger::Differences {
         self.ledger.differences()
     }
 
--- a/crates/fleet/src/ledger_barrier.rs
+++ b/crates/fleet/src/ledger_barrier.rs
@@ -4,7 +4,7 @@
 //! clocks: it says what to ask the ledger and which executions may leave.
 
 mod claims;
-mod guard;
+mod driver;
 mod key_state;
 mod refusal;
 mod requirements;
@@ -17,7 +17,7 @@
 };
 use hallmux_ledger::{self as ledger, Key, Kind, LedgerAnswer};
 
-pub use guard::{Guard, LedgerClient, OrderedExecution};
+pub use driver::{BarrierDriver, LedgerClient, OrderedExecution};
 use key_state::{KeyState, ShardState};
 use requirements::{Requirement, Requirements};
 
--- a/crates/fleet/src/ledger_barrier/guard.rs
+++ b/crates/fleet/src/ledger_barrier/driver.rs
@@ -15,9 +15,9 @@
 /// The front's connection to its ledger.
 pub trait LedgerClient {
     /// Passes a request to the ledger; `now` is the dispatcher's clock.
-    fn ask(&mut self, now: Micros, ask: LedgerRequest);
+    fn submit(&mut self, now: Micros, request: LedgerRequest);
     /// Takes the answers to requests whose numbers have the same highest byte as `part`.
-    fn answers(&mut self, part: u64) -> Vec<LedgerAnswer>;
+    fn take_answers(&mut self, part: u64) -> Vec<LedgerAnswer>;
 }
 
 /// An execution as the dispatcher has ordered it.
@@ -34,21 +34,21 @@
 }
 
 /// The gate of one front, with what its dispatcher has to know of it.
-pub struct Guard {
+pub struct BarrierDriver {
     gate: LedgerBarrier,
     last_note: Micros,
 }
 
-impl Guard {
+impl BarrierDriver {
     /// For a front with a ledger, which starts at `now`: Unix time in microseconds.
     pub fn new(
         settings: &Settings,
         now: Micros,
         shards: u16,
         dispatcher: &mut Dispatcher,
-    ) -> Guard {
+    ) -> BarrierDriver {
         dispatcher.watch_promises();
-        Guard {
+        BarrierDriver {
             gate: LedgerBarrier::new(settings, (now / 1000) as u64, shards),
             last_note: 0,
         }
@@ -120,7 +120,7 @@
         }
         self.gate.tick(now);
         loop {
-            let answers = ledger.answers(REQUEST_NUMBER_BASE);
+            let answers = ledger.take_answers(REQUEST_NUMBER_BASE);
             let asks = self.gate.asks();
             if answers.is_empty() && asks.is_empty() {
                 break;
@@ -129,7 +129,7 @@
                 self.gate.answered(now, answer);
             }
             for ask in asks {
-                ledger.ask(now, ask);
+                ledger.submit(now, ask);
             }
         }
         if self.last_note + NOTE_INTERVAL <= now {
--- a/crates/front/src/fleet/gate.rs
+++ b/crates/front/src/fleet/gate.rs
@@ -16,18 +16,18 @@
 const LOG_INTERVAL: Micros = 10_000_000;
 
 impl LedgerClient for Peers {
-    fn ask(&mut self, now: Micros, ask: LedgerRequest) {
+    fn submit(&mut self, now: Micros, ask: LedgerRequest) {
         Peers::ask(self, now, ask);
     }
 
-    fn answers(&mut self, part: u64) -> Vec<LedgerAnswer> {
+    fn take_answers(&mut self, part: u64) -> Vec<LedgerAnswer> {
         Peers::ledger_answers(self, part)
     }
 }
 
 /// The ledger barrier, and what was logged of it.
 pub struct LoggedGuard {
-    guard: ledger_barrier::Guard,
+    guard: ledger_barrier::BarrierDriver,
     last_log: Micros,
     refused: BTreeMap<&'static str, u64>,
 }
@@ -40,7 +40,7 @@
         shards: u16,
         dispatcher: &mut Dispatcher,
     ) -> LoggedGuard {
-        let guard = ledger_barrier::Guard::new(settings, now, shards, dispatcher);
+        let guard = ledger_barrier::BarrierDriver::new(settings, now, shards, dispatcher);
         LoggedGuard {
             guard,
             last_log: 0,
--- a/crates/front/src/fleet/peers.rs
+++ b/crates/front/src/fleet/peers.rs
@@ -131,7 +131,7 @@
 
     /// Messages that have come on a channel beside gossip; of a channel that nobody reads so many are kept.
     pub fn take_messages(&mut self, channel: Channel) -> Vec<PeerMessage> {
-        for message in self.exchange.received() {
+        for message in self.exchange.take_received() {
             let kept = self.messages.entry(message.channel).or_default();
             if kept.len() < DATAGRAMS_PER_ITERATION {
                 kept.push(PeerMessage {
@@ -229,7 +229,7 @@
                 log::error!(
                     "copies of promises are in memory alone from now on, as a front's that remembers nothing"
                 );
-                let out = self.exchange.start_over(at, random_disk_id());
+                let out = self.exchange.reset_ledger(at, random_disk_id());
                 self.send(now, out);
             }
         }
@@ -237,13 +237,13 @@
 
     /// Asks the ledger; the answer comes with `promised`.
     pub fn ask(&mut self, now: Micros, ask: LedgerRequest) {
-        let out = self.exchange.ask_ledger(self.moment(now), ask);
+        let out = self.exchange.submit_ledger_request(self.moment(now), ask);
         self.send(now, out);
     }
 
     /// What the ledger has answered to the part of this front whose asks have that highest byte.
     pub fn ledger_answers(&mut self, part: u64) -> Vec<LedgerAnswer> {
-        self.done.extend(self.exchange.ledger_answers());
+        self.done.extend(self.exchange.take_ledger_answers());
         let (told, others) = std::mem::take(&mut self.done)
             .into_iter()
             .partition(|done| done.number >> PART_SHIFT == part >> PART_SHIFT);
@@ -286,9 +286,9 @@
 
     /// What of the ledger depends on this front.
     pub fn ledger_duty(&self, now: Micros) -> LedgerDuty {
-        if self.exchange.is_needed(self.moment(now)) {
+        if self.exchange.is_needed_for_quorum(self.moment(now)) {
             LedgerDuty::NeededForQuorum
-        } else if self.exchange.hands_over() {
+        } else if self.exchange.has_shards_to_hand_over() {
             LedgerDuty::OwnsShards
         } else {
             LedgerDuty::None
@@ -297,7 +297,7 @@
 
     /// This front ends: what it owns of the ledger is handed over, and some peers are notified, which notify the others.
     pub fn leave(&mut self, now: Micros) {
-        let out = self.exchange.hand_over(self.moment(now));
+        let out = self.exchange.hand_over_shards(self.moment(now));
         self.send(now, out);
         let wall = (now / 1000) as u64;
         let datagrams = self.exchange.leave(
--- a/crates/front/src/fleet/peers/log_lines.rs
+++ b/crates/front/src/fleet/peers/log_lines.rs
@@ -30,7 +30,7 @@
     pub(super) fn log_changes(&mut self, now: Micros, steady: Micros, exchange: &Exchange) {
         self.log_ownership(exchange.owned_lease(steady));
         self.log_refused_acts(now, exchange);
-        self.log_differences(exchange.differences());
+        self.log_differences(exchange.replica_differences());
         self.log_refused(now, exchange);
     }
 
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use hallmux_dispatcher::{Command, Dispatcher, Ending, ListScope, Listing, Mode, Protocol};
-use hallmux_fleet::ledger_barrier::{Guard, OrderedExecution};
+use hallmux_fleet::ledger_barrier::{BarrierDriver, OrderedExecution};
 use hallmux_fleet::{Exchange, OwnershipConfig, VoterAddress};
 use hallmux_gossip::node::NodeConfig;
 use hallmux_gossip::seal::{peer_id, Identity};
@@ -78,7 +78,8 @@
         dispatcher.update_engines(ListScope::Full, &list);
         let own = self.own(n);
         let guards = self.scenario.fleet.copies.is_some();
-        let guard = guards.then(|| Guard::new(&self.settings, own, self.shards, &mut dispatcher));
+        let guard =
+            guards.then(|| BarrierDriver::new(&self.settings, own, self.shards, &mut dispatcher));
         let member = &mut self.members[n];
         member.lives += 1;
         member.life = Some(Life {
@@ -132,7 +133,7 @@
             .exchange
             .as_ref()
             .map_or(i64::MAX, |exchange| exchange.due(at));
-        let guard = life.guard.as_ref().map_or(i64::MAX, Guard::due);
+        let guard = life.guard.as_ref().map_or(i64::MAX, BarrierDriver::due);
         let due = life
             .dispatcher
             .next_tick()
--- a/crates/lab/src/simulated/ledger.rs
+++ b/crates/lab/src/simulated/ledger.rs
@@ -24,12 +24,13 @@
 }
 
 impl LedgerClient for GateLedgerClient<'_> {
-    fn ask(&mut self, _: i64, ask: LedgerRequest) {
-        self.outs.push(self.exchange.ask_ledger(self.at, ask));
+    fn submit(&mut self, _: i64, ask: LedgerRequest) {
+        self.outs
+            .push(self.exchange.submit_ledger_request(self.at, ask));
     }
 
-    fn answers(&mut self, part: u64) -> Vec<LedgerAnswer> {
-        self.done.extend(self.exchange.ledger_answers());
+    fn take_answers(&mut self, part: u64) -> Vec<LedgerAnswer> {
+        self.done.extend(self.exchange.take_ledger_answers());
         let (told, others) = self
             .done
             .drain(..)
@@ -124,7 +125,7 @@
             return;
         };
         if let Some(exchange) = &mut life.exchange {
-            life.done.extend(exchange.ledger_answers());
+            life.done.extend(exchange.take_ledger_answers());
         }
         match life.done.is_empty() {
             true => self.wakes(n),
--- a/crates/lab/src/simulated/shutdown.rs
+++ b/crates/lab/src/simulated/shutdown.rs
@@ -23,7 +23,7 @@
         let lives = member.lives;
         if let Some(exchange) = &mut life.exchange {
             let chance = &mut self.chance;
-            let out = exchange.hand_over(at);
+            let out = exchange.hand_over_shards(at);
             let bye = exchange.leave(at.now, at.wall_ms, &mut || chance.random());
             self.send_output(n, out);
             self.send_datagrams(n, bye);
@@ -46,8 +46,8 @@
         let at = self.moment(n);
         let closes_at = asked
             + match &runs.exchange {
-                Some(exchange) if exchange.is_needed(at) => NEEDED,
-                Some(exchange) if exchange.hands_over() => HANDED_OVER,
+                Some(exchange) if exchange.is_needed_for_quorum(at) => NEEDED,
+                Some(exchange) if exchange.has_shards_to_hand_over() => HANDED_OVER,
                 _ => LISTENS_ON,
             };
         let mut own = self.account.asked.iter().rev().filter(|o| o.front == n);
--- a/crates/lab/src/simulated/simulation.rs
+++ b/crates/lab/src/simulated/simulation.rs
@@ -8,7 +8,7 @@
 
 use hallmux_config::Settings;
 use hallmux_dispatcher::{Dispatcher, Ending, Place, Ticket};
-use hallmux_fleet::ledger_barrier::Guard;
+use hallmux_fleet::ledger_barrier::BarrierDriver;
 use hallmux_fleet::{ClockReading, Exchange};
 use hallmux_gossip::seal::Keys;
 use hallmux_ledger::LedgerAnswer;
@@ -95,7 +95,7 @@
 pub(super) struct Life {
     pub(super) dispatcher: Dispatcher,
     pub(super) exchange: Option<Exchange>,
-    pub(super) guard: Option<Guard>,
+    pub(super) guard: Option<BarrierDriver>,
     /// Answers of the ledger that have yet to be taken.
     pub(super) done: Vec<LedgerAnswer>,
     pub(super) probes: HashMap<u64, Place>,
