--- a/crates/lease/src/voter/log.rs
+++ b/crates/lease/src/voter/log.rs
@@ -54,7 +54,7 @@
             };
             let message = LeaseMessage::Log {
                 incarnation: self.disk.incarnation,
-                number: self.order.number(&message),
+                number: self.order.next_number(&message),
                 message: Box::new(message),
             };
             self.send(to, message);
--- a/crates/ledger/src/replica.rs
+++ b/crates/ledger/src/replica.rs
@@ -324,7 +324,7 @@
         let (shard, config) = (self.shard, self.config);
         let order = &mut self.order;
         let numbered = |LogMessage { to, message }| {
-            let number = order.number(&message);
+            let number = order.next_number(&message);
             let message = LedgerMessage::Log {
                 shard,
                 config,
--- a/crates/replica/src/order.rs
+++ b/crates/replica/src/order.rs
@@ -24,7 +24,7 @@
 
 impl MessageOrder {
     /// The number that goes with a message to be sent; 0: it need not come in order.
-    pub fn number<T: Entry>(&mut self, message: &Message<T>) -> u64 {
+    pub fn next_number<T: Entry>(&mut self, message: &Message<T>) -> u64 {
         match message {
             Message::SequencePaxos(_) => {
                 self.sent += 1;
