--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -26,7 +26,7 @@
 /// Microseconds between reports of what this front has observed itself.
 const REPORT_INTERVAL: Micros = 250_000;
 /// Channel messages held for other subsystems, some 100 KB.
-const MAX_RECEIVED: usize = 1_024;
+const MAX_RECEIVED_MESSAGES: usize = 1_024;
 
 /// What a tick of the exchange gives out.
 #[derive(Default)]
@@ -46,9 +46,9 @@
     /// The dispatcher's numbers for reporters, in the order in which they were first heard.
     reporters: BTreeMap<PeerId, usize>,
     /// The size of the fleet as the dispatcher knows it.
-    fleet: FleetSize,
+    fleet_size: FleetSize,
     /// Whether this front has announced that it leaves.
-    left: bool,
+    has_left: bool,
     /// Messages on channels that other subsystems read.
     received: Vec<ChannelMessage>,
     /// Ownership of the fleet's work, where voters are configured.
@@ -59,7 +59,7 @@
     load: Option<Load>,
     /// Whether this front makes the fleet's probes, as the dispatcher knows it; None where they have no
     /// owner.
-    probes: Option<bool>,
+    is_prober: Option<bool>,
 }
 
 impl Exchange {
@@ -70,13 +70,13 @@
             next_report: 0,
             known_reports: BTreeMap::new(),
             reporters: BTreeMap::new(),
-            fleet: FleetSize { known: 1, up: 1 },
-            left: false,
+            fleet_size: FleetSize { known: 1, up: 1 },
+            has_left: false,
             received: Vec::new(),
             ownership: None,
             ledger: None,
             load: None,
-            probes: None,
+            is_prober: None,
         }
     }
 
@@ -131,7 +131,7 @@
 
     /// The size of the fleet, this front included, as the dispatcher knows it.
     pub fn fleet_size(&self) -> FleetSize {
-        self.fleet
+        self.fleet_size
     }
 
     /// Datagrams and reports that were refused, by reason.
@@ -144,7 +144,7 @@
         let ledger = self.ledger.as_ref().map_or(Micros::MAX, |ledger| {
             at.now.saturating_add(ledger.due(at.steady))
         });
-        if self.left {
+        if self.has_left {
             return ledger;
         }
         let ownership = self.ownership.as_ref().map_or(Micros::MAX, Ownership::due);
@@ -186,7 +186,7 @@
                     ledger.receive(at, message.from, &message.bytes);
                 }
             }
-            _ if self.received.len() >= MAX_RECEIVED => {}
+            _ if self.received.len() >= MAX_RECEIVED_MESSAGES => {}
             _ => self.received.push(message),
         }
     }
@@ -222,7 +222,7 @@
         if at.now < self.due(at) {
             return TickOutput::default();
         }
-        if self.left {
+        if self.has_left {
             // Statements that it has yet to answer still depend on the ledger.
             self.tick_ledger(at, &mut output);
             return TickOutput {
@@ -231,19 +231,19 @@
             };
         }
         if let Some(ownership) = &mut self.ownership {
-            ownership.tick(at, self.fleet.up, dispatcher, random);
+            ownership.tick(at, self.fleet_size.up, dispatcher, random);
             ownership.send(at, &mut self.node, &mut output);
         }
         self.tick_ledger(at, &mut output);
         if self.next_report <= at.now {
             self.next_report = at.now + REPORT_INTERVAL;
-            self.report(at, dispatcher);
-            new_reports = self.take_reports(at.now, dispatcher);
+            self.report_observations(at, dispatcher);
+            new_reports = self.pass_peer_reports(at.now, dispatcher);
         }
         if let Some(load) = &mut self.load {
             load.tick(at, &mut self.node, dispatcher);
         }
-        self.announce_fleet(at, dispatcher);
+        self.update_fleet_size(at, dispatcher);
         let datagrams = self.node.tick(at.now, at.wall_ms, random);
         output.datagrams.extend(datagrams);
         TickOutput {
@@ -253,20 +253,20 @@
     }
 
     /// Passes the fleet's size, and who of it probes for the fleet, to the dispatcher where it has changed.
-    fn announce_fleet(&mut self, at: ClockReading, dispatcher: &mut Dispatcher) {
-        let fleet = self.node.fleet_size();
-        let probes = self
+    fn update_fleet_size(&mut self, at: ClockReading, dispatcher: &mut Dispatcher) {
+        let fleet_size = self.node.fleet_size();
+        let is_prober = self
             .ownership
             .as_ref()
             .map(|ownership| ownership.owned_lease(at.steady).is_some());
-        if (fleet, probes) != (self.fleet, self.probes) {
-            (self.fleet, self.probes) = (fleet, probes);
-            let probers = match probes {
-                None => fleet.up as f64,
+        if (fleet_size, is_prober) != (self.fleet_size, self.is_prober) {
+            (self.fleet_size, self.is_prober) = (fleet_size, is_prober);
+            let probers = match is_prober {
+                None => fleet_size.up as f64,
                 Some(true) => 1.0,
                 Some(false) => f64::INFINITY,
             };
-            dispatcher.set_fleet_size(fleet.known, probers);
+            dispatcher.set_fleet_size(fleet_size.known, probers);
         }
     }
 
@@ -277,7 +277,7 @@
         wall_ms: u64,
         random: &mut impl RandomSource,
     ) -> Vec<Datagram> {
-        if std::mem::replace(&mut self.left, true) {
+        if std::mem::replace(&mut self.has_left, true) {
             return Vec::new();
         }
         self.node.leave(now, wall_ms, random)
--- a/crates/fleet/src/exchange/reports.rs
+++ b/crates/fleet/src/exchange/reports.rs
@@ -22,7 +22,7 @@
 impl Exchange {
     /// Reports what this front observes of engines, worst first, and of ownership; takes in others' ownership
     /// reports.
-    pub(super) fn report(&mut self, at: ClockReading, dispatcher: &mut Dispatcher) {
+    pub(super) fn report_observations(&mut self, at: ClockReading, dispatcher: &mut Dispatcher) {
         let observations = dispatcher.observations(at.now);
         let mut sightings: Vec<Sighting> = observations.iter().map(sighting).collect();
         sightings.sort_by_key(|s| (Reverse(s.silent_ms), Reverse(s.failed), s.engine));
@@ -33,13 +33,13 @@
         self.node
             .report(at.now, at.wall_ms, sightings, ownership.unwrap_or_default());
         if let Some(ownership) = &mut self.ownership {
-            ownership.admit(at, &self.node, dispatcher);
+            ownership.apply_reports(at, &self.node, dispatcher);
         }
     }
 
     /// Passes what has changed in other fronts' reports to the dispatcher; gives reports on engines not
     /// reported before.
-    pub(super) fn take_reports(
+    pub(super) fn pass_peer_reports(
         &mut self,
         now: Micros,
         dispatcher: &mut Dispatcher,
@@ -87,14 +87,14 @@
 }
 
 /// What this front has observed of an engine, as other fronts learn it.
-fn sighting(seen: &EngineObservation) -> Sighting {
+fn sighting(observation: &EngineObservation) -> Sighting {
     Sighting {
-        engine: engine_hash(seen.id),
-        failed: seen.failed.min(255.0) as u8,
-        answered: seen.answered.min(255.0) as u8,
-        silent_ms: (seen.silent / 1000 / SILENCE_STEP_MS * SILENCE_STEP_MS)
+        engine: engine_hash(observation.id),
+        failed: observation.failed.min(255.0) as u8,
+        answered: observation.answered.min(255.0) as u8,
+        silent_ms: (observation.silent / 1000 / SILENCE_STEP_MS * SILENCE_STEP_MS)
             .min(Micros::from(u16::MAX)) as u16,
-        drains: seen.draining,
-        started_s: seen.started.map_or(0, |at| (at / 1_000_000) as u32),
+        drains: observation.draining,
+        started_s: observation.started.map_or(0, |at| (at / 1_000_000) as u32),
     }
 }
--- a/crates/fleet/src/ledger_barrier.rs
+++ b/crates/fleet/src/ledger_barrier.rs
@@ -26,10 +26,10 @@
 
 /// Microseconds from a front's start within which a shard may not have started yet, or its leader not be
 /// known.
-const SHARDS_START: Micros = 10_000_000;
+const SHARD_STARTUP_GRACE: Micros = 10_000_000;
 /// Microseconds that an execution waits at most for the first answer of its shard; and half of its time at
 /// most.
-const MAX_FIRST_WAIT: Micros = 3_000_000;
+const MAX_FIRST_ANSWER_WAIT: Micros = 3_000_000;
 
 /// An execution that the dispatcher has ordered.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -63,7 +63,7 @@
     /// Its execution that is held.
     held: Option<PendingExecution>,
     /// Until when it waits for the first answer of a shard.
-    wait_until: Micros,
+    wait_deadline: Micros,
 }
 
 /// The statements that require ledger entries, and the keys that they hold or claim.
@@ -71,17 +71,17 @@
     /// When this front started, in Unix milliseconds.
     started_ms: u64,
     /// By shard, whether it has answered since.
-    shards_heard: Vec<bool>,
+    shards_answered: Vec<bool>,
     requirements: Requirements,
     statements: HashMap<Ticket, Statement>,
     keys: BTreeMap<Key, KeyState>,
     /// The keys of the requests that are out, by number.
-    requested: BTreeMap<u64, Key>,
-    last_number: u64,
+    pending_requests: BTreeMap<u64, Key>,
+    last_request_number: u64,
     /// When the first of the keys is due; computed anew only then.
     due: Micros,
-    asks: Vec<ledger::LedgerRequest>,
-    rulings: Vec<BarrierDecision>,
+    requests: Vec<ledger::LedgerRequest>,
+    decisions: Vec<BarrierDecision>,
     /// Statements that were rejected or aborted, by reason.
     pub refused: BTreeMap<&'static str, u64>,
 }
@@ -91,15 +91,15 @@
     pub fn new(settings: &Settings, started_ms: u64, shards: u16) -> LedgerBarrier {
         LedgerBarrier {
             started_ms,
-            shards_heard: vec![false; usize::from(shards)],
+            shards_answered: vec![false; usize::from(shards)],
             requirements: Requirements::new(settings),
             statements: HashMap::new(),
             keys: BTreeMap::new(),
-            requested: BTreeMap::new(),
-            last_number: REQUEST_NUMBER_BASE,
+            pending_requests: BTreeMap::new(),
+            last_request_number: REQUEST_NUMBER_BASE,
             due: Micros::MAX,
-            asks: Vec::new(),
-            rulings: Vec::new(),
+            requests: Vec::new(),
+            decisions: Vec::new(),
             refused: BTreeMap::new(),
         }
     }
@@ -115,34 +115,34 @@
         match event {
             PromiseEvent::Arrived(statement) => {
                 let id = id(statement.ticket);
-                self.arrived(&statement, id);
+                self.add_statement(&statement, id);
             }
             PromiseEvent::KeyKept(key) => self.retain_key(&key),
             PromiseEvent::KeyFreed { key, may_still_run } => {
                 self.release_key(now, &key, may_still_run)
             }
-            PromiseEvent::Over(statement) => self.end(now, statement),
+            PromiseEvent::Over(statement) => self.end_statement(now, statement),
         }
     }
 
     /// A statement was admitted.
-    fn arrived(&mut self, statement: &StatementArrived, id: Option<String>) {
+    fn add_statement(&mut self, statement: &StatementArrived, id: Option<String>) {
         // A statement without a name is told apart by this front alone: its entry is for the record.
         let id = id.unwrap_or_else(|| format!("{}-{}", self.started_ms, statement.ticket));
-        let requirements = self.requirements.of(statement, &id);
+        let requirements = self.requirements.for_statement(statement, &id);
         if requirements.is_empty() {
             return;
         }
         let state = Statement {
             requirements,
             held: None,
-            wait_until: 0,
+            wait_deadline: 0,
         };
         self.statements.insert(statement.ticket, state);
     }
 
     /// Whether executions of a statement may leave only by a ruling.
-    pub fn holds_back(&self, ticket: Ticket) -> bool {
+    pub fn requires_entries(&self, ticket: Ticket) -> bool {
         self.statements.contains_key(&ticket)
     }
 
@@ -151,9 +151,9 @@
         let Some(statement) = self.statements.get_mut(&pending.ticket) else {
             return;
         };
-        let half_of_its_time = (pending.terms.deadline - now) / 2;
+        let half_of_remaining_time = (pending.terms.deadline - now) / 2;
         statement.held = Some(pending);
-        statement.wait_until = now + MAX_FIRST_WAIT.min(half_of_its_time);
+        statement.wait_deadline = now + MAX_FIRST_ANSWER_WAIT.min(half_of_remaining_time);
         self.claim(now, pending.ticket);
     }
 
@@ -179,13 +179,13 @@
     }
 
     /// A statement has ended, and no execution of it is out.
-    fn end(&mut self, now: Micros, over: StatementOver) {
+    fn end_statement(&mut self, now: Micros, over: StatementOver) {
         let Some(statement) = self.statements.remove(&over.ticket) else {
             return;
         };
         for Requirement { key, .. } in statement.requirements {
             if let Some(state) = self.keys.get_mut(&key) {
-                state.end(now, over);
+                state.end_statement(now, over);
             }
             self.advance(now, &key);
         }
@@ -194,42 +194,42 @@
     /// A transaction holds the order key of one of its statements until `release_key`.
     fn retain_key(&mut self, name: &str) {
         if let Some(state) = self.keys.get_mut(&order_key(name)) {
-            state.retain();
+            state.retain_for_transaction();
         }
     }
 
     fn release_key(&mut self, now: Micros, name: &str, may_still_run: bool) {
         let key = order_key(name);
         if let Some(state) = self.keys.get_mut(&key) {
-            state.release(now, may_still_run);
+            state.release_transaction(now, may_still_run);
         }
         self.advance(now, &key);
     }
 
     /// The ledger has answered a request, or notifies that a key is available.
-    pub fn answered(&mut self, now: Micros, done: LedgerAnswer) {
-        let Some(key) = self.requested.remove(&done.number) else {
+    pub fn handle_answer(&mut self, now: Micros, done: LedgerAnswer) {
+        let Some(key) = self.pending_requests.remove(&done.number) else {
             return self.key_available(now, done.number);
         };
         let shard = self.shard_state(now, &key, &done.outcome);
         let Some(state) = self.keys.get_mut(&key) else {
             return;
         };
-        let verdict = state.answered(now, done.outcome, shard);
+        let verdict = state.handle_answer(now, done.outcome, shard);
         self.apply_verdict(now, &key, verdict);
     }
 
     /// Whether the key's shard, which gave this outcome, has answered since the front's start.
     fn shard_state(&mut self, now: Micros, key: &Key, outcome: &ledger::Outcome) -> ShardState {
-        let shard = ledger::shard_of(key, self.shards_heard.len() as u16);
-        let heard = match self.shards_heard.get_mut(usize::from(shard)) {
+        let shard = ledger::shard_of(key, self.shards_answered.len() as u16);
+        let heard = match self.shards_answered.get_mut(usize::from(shard)) {
             None => true,
             Some(heard) => {
                 *heard |= *outcome != ledger::Outcome::Unreachable;
                 *heard
             }
         };
-        let starting = now < self.started_ms as Micros * 1_000 + SHARDS_START;
+        let starting = now < self.started_ms as Micros * 1_000 + SHARD_STARTUP_GRACE;
         if !heard && starting {
             ShardState::Starting
         } else {
@@ -269,7 +269,7 @@
 
     /// When `tick` is next due, or 0 where asks or rulings wait to be taken.
     pub fn due(&self) -> Micros {
-        if !self.asks.is_empty() || !self.rulings.is_empty() {
+        if !self.requests.is_empty() || !self.decisions.is_empty() {
             return 0;
         }
         self.due
@@ -277,7 +277,7 @@
 
     /// Whether every request was answered.
     pub fn is_idle(&self) -> bool {
-        self.requested.is_empty()
+        self.pending_requests.is_empty()
     }
 
     /// The executions that are held.
@@ -288,13 +288,13 @@
     }
 
     /// Takes the requests that are to be passed to the ledger.
-    pub fn asks(&mut self) -> Vec<ledger::LedgerRequest> {
-        std::mem::take(&mut self.asks)
+    pub fn take_requests(&mut self) -> Vec<ledger::LedgerRequest> {
+        std::mem::take(&mut self.requests)
     }
 
     /// Takes the rulings. Each is to be obeyed at once, and not later than the time passed in last.
-    pub fn rulings(&mut self) -> Vec<BarrierDecision> {
-        std::mem::take(&mut self.rulings)
+    pub fn take_decisions(&mut self) -> Vec<BarrierDecision> {
+        std::mem::take(&mut self.decisions)
     }
 }
 
--- a/crates/fleet/src/ledger_barrier/claims.rs
+++ b/crates/fleet/src/ledger_barrier/claims.rs
@@ -5,7 +5,7 @@
 
 use super::key_state::{Claim, KeyState, Verdict};
 use super::refusal::Refusal;
-use super::requirements::{EntryMark, Requirement};
+use super::requirements::{RequestId, Requirement};
 use super::{BarrierDecision, LedgerBarrier, PendingExecution};
 
 impl LedgerBarrier {
@@ -18,18 +18,17 @@
         let Some(held) = statement.held else {
             return;
         };
-        let wait_until = statement.wait_until;
+        let wait_deadline = statement.wait_deadline;
         let mut behind_blocked_key = false;
         for requirement in statement.requirements.clone() {
-            let state = self
-                .keys
-                .entry(requirement.key.clone())
-                .or_insert_with(|| KeyState::new(requirement.key.kind, requirement.after_end));
+            let state = self.keys.entry(requirement.key.clone()).or_insert_with(|| {
+                KeyState::new(requirement.key.kind, requirement.retention_after_end)
+            });
             if behind_blocked_key {
-                state.withdraw(ticket);
+                state.withdraw_claim(ticket);
                 continue;
             }
-            let verdict = state.claim(now, ticket, claim_on(&requirement, &held, wait_until));
+            let verdict = state.claim(now, ticket, claim_for(&requirement, &held, wait_deadline));
             behind_blocked_key = state.is_blocked();
             if verdict != Verdict::Recheck {
                 return self.apply_verdict(now, &requirement.key, verdict);
@@ -61,20 +60,20 @@
         };
         statement.held = None;
         self.withdraw_claims(now, ticket);
-        let ruling = match reason {
+        let decision = match reason {
             Refusal::MayHaveRun => BarrierDecision::Abort(ticket),
-            Refusal::Full | Refusal::Group | Refusal::Unreachable => {
+            Refusal::ShardFull | Refusal::OtherGroup | Refusal::Unreachable => {
                 BarrierDecision::Reject(ticket)
             }
         };
-        self.rulings.push(ruling);
+        self.decisions.push(decision);
     }
 
     /// Withdraws what a statement's execution claims; others may have it then.
     pub(super) fn withdraw_claims(&mut self, now: Micros, ticket: Ticket) {
         for key in self.required_keys(ticket) {
             if let Some(state) = self.keys.get_mut(&key) {
-                state.withdraw(ticket);
+                state.withdraw_claim(ticket);
             }
             self.advance(now, &key);
         }
@@ -85,10 +84,10 @@
         let Some(state) = self.keys.get_mut(key) else {
             return;
         };
-        let forgotten = state.take_forgotten(now);
-        if !forgotten.is_empty() {
+        let dedup_expired = state.take_dedup_expired(now);
+        if !dedup_expired.is_empty() {
             let verdict = Verdict::Refuse {
-                tickets: forgotten,
+                tickets: dedup_expired,
                 reason: Refusal::MayHaveRun,
             };
             return self.apply_verdict(now, key, verdict);
@@ -104,22 +103,22 @@
         let Some(state) = self.keys.get_mut(key) else {
             return;
         };
-        let number = self.last_number + 1;
-        let mark = EntryMark {
+        let number = self.last_request_number + 1;
+        let request_id = RequestId {
             started_ms: self.started_ms,
             number,
         };
-        if let Some(operation) = state.next_request(now, mark) {
-            self.last_number = number;
-            self.requested.insert(number, key.clone());
-            self.asks.push(ledger::LedgerRequest {
+        if let Some(operation) = state.next_request(now, request_id) {
+            self.last_request_number = number;
+            self.pending_requests.insert(number, key.clone());
+            self.requests.push(ledger::LedgerRequest {
                 number,
                 key: key.clone(),
                 operation,
             });
         }
         self.due = self.due.min(state.due());
-        if state.is_over(now) {
+        if state.is_discardable(now) {
             self.keys.remove(key);
         }
     }
@@ -132,9 +131,9 @@
         let Some(held) = statement.held.filter(|held| now < held.terms.deadline) else {
             return;
         };
-        let wait_until = statement.wait_until;
+        let wait_deadline = statement.wait_deadline;
         let is_held = |requirement: &Requirement| {
-            let claim = claim_on(requirement, &held, wait_until);
+            let claim = claim_for(requirement, &held, wait_deadline);
             self.keys
                 .get(&requirement.key)
                 .is_some_and(|state| state.permits(now, ticket, claim))
@@ -144,11 +143,11 @@
         }
         for requirement in &statement.requirements {
             if let Some(state) = self.keys.get_mut(&requirement.key) {
-                state.start(now, ticket);
+                state.start_execution(now, ticket);
             }
         }
         statement.held = None;
-        self.rulings.push(BarrierDecision::Release(held));
+        self.decisions.push(BarrierDecision::Release(held));
     }
 
     fn required_keys(&self, ticket: Ticket) -> Vec<Key> {
@@ -170,12 +169,12 @@
     }
 }
 
-fn claim_on(requirement: &Requirement, held: &PendingExecution, wait_until: Micros) -> Claim {
+fn claim_for(requirement: &Requirement, held: &PendingExecution, wait_deadline: Micros) -> Claim {
     let ends = held.terms.deadline;
     Claim {
-        until_ms: requirement.until(ends),
-        runs_until_ms: requirement.runs_until(ends),
+        hold_until_ms: requirement.hold_until_ms(ends),
+        runs_until_ms: requirement.runs_until_ms(ends),
         group: requirement.group(held.site),
-        wait_until,
+        wait_deadline,
     }
 }
--- a/crates/fleet/src/ledger_barrier/driver.rs
+++ b/crates/fleet/src/ledger_barrier/driver.rs
@@ -10,7 +10,7 @@
 use super::{BarrierDecision, LedgerBarrier, PendingExecution, REQUEST_NUMBER_BASE};
 
 /// Microseconds between notes to the dispatcher on executions that are still held.
-const NOTE_INTERVAL: Micros = 100_000;
+const HELD_REPORT_INTERVAL: Micros = 100_000;
 
 /// The front's connection to its ledger.
 pub trait LedgerClient {
@@ -35,8 +35,8 @@
 
 /// The gate of one front, with what its dispatcher has to know of it.
 pub struct BarrierDriver {
-    gate: LedgerBarrier,
-    last_note: Micros,
+    barrier: LedgerBarrier,
+    last_held_report: Micros,
 }
 
 impl BarrierDriver {
@@ -49,29 +49,29 @@
     ) -> BarrierDriver {
         dispatcher.watch_promises();
         BarrierDriver {
-            gate: LedgerBarrier::new(settings, (now / 1000) as u64, shards),
-            last_note: 0,
+            barrier: LedgerBarrier::new(settings, (now / 1000) as u64, shards),
+            last_held_report: 0,
         }
     }
 
     /// When `advance` is next due, on the dispatcher's clock, if nothing happens before.
     pub fn due(&self) -> Micros {
-        let next_note = if self.gate.held().next().is_some() {
-            self.last_note + NOTE_INTERVAL
+        let next_held_report = if self.barrier.held().next().is_some() {
+            self.last_held_report + HELD_REPORT_INTERVAL
         } else {
             Micros::MAX
         };
-        self.gate.due().min(next_note)
+        self.barrier.due().min(next_held_report)
     }
 
     /// Whether every ask was answered.
     pub fn is_idle(&self) -> bool {
-        self.gate.is_idle()
+        self.barrier.is_idle()
     }
 
     /// Statements that were rejected or aborted, by reason.
     pub fn refused(&self) -> &BTreeMap<&'static str, u64> {
-        &self.gate.refused
+        &self.barrier.refused
     }
 
     /// The dispatcher has ordered an execution. True if it is held for now.
@@ -81,7 +81,7 @@
         dispatcher: &mut Dispatcher,
         ordered: OrderedExecution,
     ) -> bool {
-        if !self.gate.holds_back(ordered.ticket) {
+        if !self.barrier.requires_entries(ordered.ticket) {
             return false;
         }
         let pending = PendingExecution {
@@ -92,18 +92,18 @@
             site: dispatcher.site(ordered.place),
         };
         dispatcher.execution_held(now, ordered.ticket, ordered.execution);
-        self.gate.hold(now, pending);
+        self.barrier.hold(now, pending);
         true
     }
 
     /// The priority of a statement has changed while an execution of it may be held.
     pub fn set_priority(&mut self, ticket: Ticket, priority: u8) {
-        self.gate.set_priority(ticket, priority);
+        self.barrier.set_priority(ticket, priority);
     }
 
     /// Withdraws an execution. True if it was held: it has never left.
     pub fn cancel(&mut self, now: Micros, ticket: Ticket, execution: usize) -> bool {
-        self.gate.cancel(now, ticket, execution)
+        self.barrier.cancel(now, ticket, execution)
     }
 
     /// Passes events of statements and answers of the ledger to the gate, and gives the rulings that follow.
@@ -116,28 +116,28 @@
         id: impl Fn(Ticket) -> Option<String>,
     ) -> Vec<BarrierDecision> {
         for event in dispatcher.promise_events() {
-            self.gate.observe(now, event, &id);
+            self.barrier.observe(now, event, &id);
         }
-        self.gate.tick(now);
+        self.barrier.tick(now);
         loop {
             let answers = ledger.take_answers(REQUEST_NUMBER_BASE);
-            let asks = self.gate.asks();
+            let asks = self.barrier.take_requests();
             if answers.is_empty() && asks.is_empty() {
                 break;
             }
             for answer in answers {
-                self.gate.answered(now, answer);
+                self.barrier.handle_answer(now, answer);
             }
             for ask in asks {
                 ledger.submit(now, ask);
             }
         }
-        if self.last_note + NOTE_INTERVAL <= now {
-            self.last_note = now;
-            for held in self.gate.held() {
+        if self.last_held_report + HELD_REPORT_INTERVAL <= now {
+            self.last_held_report = now;
+            for held in self.barrier.held() {
                 dispatcher.execution_held(now, held.ticket, held.execution);
             }
         }
-        self.gate.rulings()
+        self.barrier.take_decisions()
     }
 }
--- a/crates/fleet/src/ledger_barrier/key_state.rs
+++ b/crates/fleet/src/ledger_barrier/key_state.rs
@@ -13,7 +13,7 @@
 use hallmux_ledger::Kind;
 
 use super::refusal::Refusal;
-use super::requirements::{EntryMark, Group};
+use super::requirements::{EngineGroup, RequestId};
 
 /// Microseconds until a key that another front holds is requested again; doubles each time. The ledger
 /// notifies when it is free: this is for notices that are lost, and for fronts of an earlier build that send
@@ -22,11 +22,11 @@
 /// Microseconds; a key that is free stays unused for at most this long.
 const MAX_RETRY_BACKOFF: Micros = 320_000;
 /// Microseconds until a shard that has not answered yet is asked again.
-const STARTING_SHARD_RETRY: Micros = 100_000;
+const STARTING_SHARD_RETRY_INTERVAL: Micros = 100_000;
 /// Microseconds that a request may take until it is known to have found no majority.
 const REQUEST_TIMEOUT: Micros = 600_000;
 /// Microseconds until a key that could not be freed is tried again.
-const FREE_RETRY: Micros = 1_000_000;
+const FREE_RETRY_INTERVAL: Micros = 1_000_000;
 /// Milliseconds for which a transaction's key is claimed; renewed at half of it.
 const TRANSACTION_CLAIM_MS: u64 = 20_000;
 
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
     /// To hold the key for executions in this group.
-    Claim { group: Group },
+    Claim { group: EngineGroup },
     /// To keep others from it for a while, though none of its executions is out here.
     Reserve,
     /// To free it.
@@ -79,20 +79,20 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Claim {
     /// Unix milliseconds until which the key must be held.
-    pub until_ms: u64,
+    pub hold_until_ms: u64,
     /// Unix milliseconds from which the execution can't be running any more.
     pub runs_until_ms: u64,
     /// The group of its engine.
-    pub group: Group,
+    pub group: EngineGroup,
     /// Until when it may wait for the first answer of its shard.
-    pub wait_until: Micros,
+    pub wait_deadline: Micros,
 }
 
 /// One key as this front holds it or waits for it.
 pub(super) struct KeyState {
     kind: Kind,
     /// Microseconds past a statement's end for which others are kept from the key.
-    after_end: Micros,
+    retention_after_end: Micros,
     /// Executions that wait for it.
     waiting: BTreeMap<Ticket, Claim>,
     /// Statements with an execution that has left under it.
@@ -102,23 +102,23 @@
     /// Unix milliseconds until which it is held; 0 where it is not.
     held_until_ms: u64,
     /// The group that it is held for.
-    group: Group,
+    group: EngineGroup,
     /// The version of the entry to be replaced; 0: none.
     version: u64,
     /// Unix milliseconds until which it may be held though no answer confirmed it.
     may_be_held_until_ms: u64,
     /// Names the entry that was requested.
-    mark: EntryMark,
+    request_id: RequestId,
     /// No answer has told whether that entry was made.
     unconfirmed: bool,
     /// What the request that is out is for, if one is.
-    requested: Option<Purpose>,
+    pending_request: Option<Purpose>,
     /// The number of the latest request to hold it.
     claim_number: u64,
     retry_at: Micros,
-    retry_free_at: Micros,
+    free_retry_at: Micros,
     /// Attempts in a row that found it held by another front.
-    attempts: u32,
+    blocked_attempts: u32,
     /// Another front holds it.
     blocked: bool,
     /// Until when others are kept from it after executions that have ended here.
@@ -128,41 +128,41 @@
     /// Unix milliseconds from which no execution that has left can be running any more.
     runs_until_ms: u64,
     /// Of a dedup key: the statement whose execution left first under this front's own entry.
-    first: Option<Ticket>,
+    first_executed: Option<Ticket>,
     /// Of a dedup key: Unix milliseconds until which engines surely drop a repeat of what left first here;
     /// until anything has left, counted from the request that made the entry.
     dropped_until_ms: u64,
     /// The same of what may have run under an entry that existed before: all executions here repeat that.
-    inherited_until_ms: Option<u64>,
+    inherited_dropped_until_ms: Option<u64>,
 }
 
 impl KeyState {
     /// A key that is not held yet.
-    pub fn new(kind: Kind, after_end: Micros) -> KeyState {
+    pub fn new(kind: Kind, retention_after_end: Micros) -> KeyState {
         KeyState {
             kind,
-            after_end,
+            retention_after_end,
             waiting: BTreeMap::new(),
             executing: BTreeSet::new(),
             transactions: 0,
             held_until_ms: 0,
-            group: Group::All,
+            group: EngineGroup::All,
             version: 0,
             may_be_held_until_ms: 0,
-            mark: EntryMark::default(),
+            request_id: RequestId::default(),
             unconfirmed: false,
-            requested: None,
+            pending_request: None,
             claim_number: 0,
             retry_at: 0,
-            retry_free_at: 0,
-            attempts: 0,
+            free_retry_at: 0,
+            blocked_attempts: 0,
             blocked: false,
             reserved_until: 0,
             may_still_run: false,
             runs_until_ms: 0,
-            first: None,
+            first_executed: None,
             dropped_until_ms: 0,
-            inherited_until_ms: None,
+            inherited_dropped_until_ms: None,
         }
     }
 
@@ -172,8 +172,10 @@
     }
 
     /// Nothing needs it here, and nothing is left to request of it.
-    pub fn is_over(&self, now: Micros) -> bool {
-        self.is_unused() && self.requested.is_none() && self.may_be_held_until_ms <= ms(now)
+    pub fn is_discardable(&self, now: Micros) -> bool {
+        self.is_unused()
+            && self.pending_request.is_none()
+            && self.may_be_held_until_ms <= to_unix_ms(now)
     }
 
     fn is_unused(&self) -> bool {
@@ -190,9 +192,9 @@
         self.waiting.contains_key(&ticket)
             && self.is_for_statement(ticket)
             && self.is_for_group(claim.group)
-            && self.held_until_ms >= claim.until_ms
-            && self.held_until_ms > ms(now)
-            && !self.is_forgotten(now, ticket)
+            && self.held_until_ms >= claim.hold_until_ms
+            && self.held_until_ms > to_unix_ms(now)
+            && !self.is_dedup_expired(now, ticket)
     }
 
     /// The entry of a non-idempotent statement is for that statement alone.
@@ -201,12 +203,12 @@
     }
 
     /// The entry of a dedup key is for one group alone, and not while it is requested for another.
-    fn is_for_group(&self, group: Group) -> bool {
+    fn is_for_group(&self, group: EngineGroup) -> bool {
         if self.kind != Kind::Dedup {
             return true;
         }
         let changing =
-            matches!(self.requested, Some(Purpose::Claim { group: next }) if next != group);
+            matches!(self.pending_request, Some(Purpose::Claim { group: next }) if next != group);
         self.group == group && !changing
     }
 
@@ -220,7 +222,7 @@
             || self.waiting.iter().any(may_leave);
         let refused = match self.kind {
             Kind::Begun if used_by_others => Some(Refusal::MayHaveRun),
-            Kind::Dedup if used_by_others && self.group != claim.group => Some(Refusal::Group),
+            Kind::Dedup if used_by_others && self.group != claim.group => Some(Refusal::OtherGroup),
             _ => None,
         };
         if let Some(reason) = refused {
@@ -232,15 +234,15 @@
     }
 
     /// Withdraws the claim of a statement's execution, if it has one.
-    pub fn withdraw(&mut self, ticket: Ticket) {
+    pub fn withdraw_claim(&mut self, ticket: Ticket) {
         self.waiting.remove(&ticket);
     }
 
     /// A waiting execution leaves for its engine.
-    pub fn start(&mut self, now: Micros, ticket: Ticket) {
-        if self.first.is_none() {
-            self.first = Some(ticket);
-            self.dropped_until_ms = self.repeats_dropped_until_ms(now);
+    pub fn start_execution(&mut self, now: Micros, ticket: Ticket) {
+        if self.first_executed.is_none() {
+            self.first_executed = Some(ticket);
+            self.dropped_until_ms = self.dedup_expiry_ms_from(now);
         }
         if let Some(claim) = self.waiting.remove(&ticket) {
             self.runs_until_ms = self.runs_until_ms.max(claim.runs_until_ms);
@@ -249,7 +251,7 @@
     }
 
     /// A statement is over.
-    pub fn end(&mut self, now: Micros, statement: StatementOver) {
+    pub fn end_statement(&mut self, now: Micros, statement: StatementOver) {
         self.waiting.remove(&statement.ticket);
         let reserves = if self.kind == Kind::Order {
             statement.may_still_run
@@ -263,12 +265,12 @@
     }
 
     /// A transaction holds it until `release`.
-    pub fn retain(&mut self) {
+    pub fn retain_for_transaction(&mut self) {
         self.transactions += 1;
     }
 
     /// A transaction ends; where it `may_still_run`, its key is reserved for a while.
-    pub fn release(&mut self, now: Micros, may_still_run: bool) {
+    pub fn release_transaction(&mut self, now: Micros, may_still_run: bool) {
         self.transactions = self.transactions.saturating_sub(1);
         if may_still_run {
             self.reserve_after_end(now);
@@ -276,21 +278,21 @@
     }
 
     fn reserve_after_end(&mut self, now: Micros) {
-        self.reserved_until = self.reserved_until.max(now + self.after_end);
+        self.reserved_until = self.reserved_until.max(now + self.retention_after_end);
     }
 
     /// The ledger notified that the key is free and this front is next: true where that was its latest
     /// request, and the key is still claimed.
     pub fn key_available(&mut self, now: Micros, number: u64) -> bool {
-        let next = self.blocked && self.claim_number == number && self.requested.is_none();
+        let next = self.blocked && self.claim_number == number && self.pending_request.is_none();
         if next {
             self.retry_at = now;
-            self.attempts = 0;
+            self.blocked_attempts = 0;
         }
         next
     }
 }
 
-fn ms(time: Micros) -> u64 {
+fn to_unix_ms(time: Micros) -> u64 {
     (time.max(0) / 1000) as u64
 }
--- a/crates/fleet/src/ledger_barrier/key_state/answers.rs
+++ b/crates/fleet/src/ledger_barrier/key_state/answers.rs
@@ -4,48 +4,50 @@
 use hallmux_ledger::{Entry, Kind, Outcome};
 
 use super::super::refusal::Refusal;
-use super::super::requirements::{EntryValue, Group};
+use super::super::requirements::{EngineGroup, EntryValue};
 use super::{
-    ms, KeyState, Purpose, ShardState, Verdict, FREE_RETRY, MAX_RETRY_BACKOFF, REQUEST_TIMEOUT,
-    RETRY_BACKOFF, STARTING_SHARD_RETRY,
+    to_unix_ms, KeyState, Purpose, ShardState, Verdict, FREE_RETRY_INTERVAL, MAX_RETRY_BACKOFF,
+    REQUEST_TIMEOUT, RETRY_BACKOFF, STARTING_SHARD_RETRY_INTERVAL,
 };
 
 /// After this many attempts the backoff grows no more.
-const MAX_BACKOFF_ATTEMPTS: u32 = 5;
+const MAX_BACKOFF_DOUBLING_ATTEMPTS: u32 = 5;
 
 impl KeyState {
     /// The ledger has answered the request that was out; `shard` is the state of the key's shard.
-    pub fn answered(&mut self, now: Micros, outcome: Outcome, shard: ShardState) -> Verdict {
-        let Some(purpose) = self.requested.take() else {
+    pub fn handle_answer(&mut self, now: Micros, outcome: Outcome, shard: ShardState) -> Verdict {
+        let Some(purpose) = self.pending_request.take() else {
             return Verdict::Recheck;
         };
         match (purpose, outcome) {
-            (Purpose::Claim { group }, outcome) => self.claim_answered(now, group, outcome, shard),
-            (Purpose::Read, Outcome::Stands(entry)) if self.is_own(&entry) => {
-                self.adopt(&entry);
+            (Purpose::Claim { group }, outcome) => {
+                self.handle_claim_answer(now, group, outcome, shard)
+            }
+            (Purpose::Read, Outcome::Stands(entry)) if self.is_local_entry(&entry) => {
+                self.adopt_entry(&entry);
                 Verdict::Recheck
             }
             (_, Outcome::Unreachable | Outcome::Full) => {
-                self.retry_free_at = now + FREE_RETRY;
+                self.free_retry_at = now + FREE_RETRY_INTERVAL;
                 Verdict::Recheck
             }
             (Purpose::Reserve | Purpose::Free | Purpose::Read, _) => {
-                self.forget_entry();
+                self.clear_entry();
                 Verdict::Recheck
             }
         }
     }
 
-    fn claim_answered(
+    fn handle_claim_answer(
         &mut self,
         now: Micros,
-        group: Group,
+        group: EngineGroup,
         outcome: Outcome,
         shard: ShardState,
     ) -> Verdict {
         match outcome {
             Outcome::Stands(entry) => self.claim_granted(group, &entry),
-            Outcome::Held(entry) => self.held_already(now, &entry),
+            Outcome::Held(entry) => self.handle_existing_entry(now, &entry),
             Outcome::Absent => {
                 // The entry to be taken over has ended meanwhile.
                 self.version = 0;
@@ -54,38 +56,38 @@
             }
             Outcome::Unreachable => self.claim_unreachable(now, shard),
             Outcome::Full => {
-                self.note_failed_claim(now);
+                self.record_failed_claim(now);
                 Verdict::Refuse {
                     tickets: self.take_waiting(),
-                    reason: Refusal::Full,
+                    reason: Refusal::ShardFull,
                 }
             }
         }
     }
 
-    fn claim_granted(&mut self, group: Group, entry: &Entry) -> Verdict {
+    fn claim_granted(&mut self, group: EngineGroup, entry: &Entry) -> Verdict {
         self.held_until_ms = entry.ends_ms;
         self.group = group;
         self.version = entry.version;
         self.unconfirmed = false;
         self.may_be_held_until_ms = self.may_be_held_until_ms.max(entry.ends_ms);
-        self.attempts = 0;
+        self.blocked_attempts = 0;
         self.blocked = false;
         self.retry_at = 0;
-        self.restrict_to(group)
+        self.refuse_outside_group(group)
     }
 
     /// No majority of the shard has answered. While it may be starting, executions wait for it as long as
     /// their own time allows.
     fn claim_unreachable(&mut self, now: Micros, shard: ShardState) -> Verdict {
-        self.note_failed_claim(now);
+        self.record_failed_claim(now);
         let tickets = match shard {
             ShardState::Started => self.take_waiting(),
             ShardState::Starting => {
-                self.retry_at = now + STARTING_SHARD_RETRY;
+                self.retry_at = now + STARTING_SHARD_RETRY_INTERVAL;
                 let answer_by = self.retry_at + REQUEST_TIMEOUT;
                 self.waiting
-                    .extract_if(.., |_, claim| claim.wait_until < answer_by)
+                    .extract_if(.., |_, claim| claim.wait_deadline < answer_by)
                     .map(|(ticket, _)| ticket)
                     .collect()
             }
@@ -97,9 +99,9 @@
     }
 
     /// A request to hold the key has failed, and may have been carried out all the same.
-    fn note_failed_claim(&mut self, now: Micros) {
+    fn record_failed_claim(&mut self, now: Micros) {
         self.retry_at = now;
-        self.retry_free_at = now + FREE_RETRY;
+        self.free_retry_at = now + FREE_RETRY_INTERVAL;
         // The entry to be replaced exists as it was, or as this front's: either is respected.
         if self.version != 0 {
             self.may_be_held_until_ms = self.held_until_ms;
@@ -108,24 +110,25 @@
     }
 
     /// This front has no entry of the key any more.
-    fn forget_entry(&mut self) {
+    fn clear_entry(&mut self) {
         self.held_until_ms = 0;
         self.may_be_held_until_ms = 0;
         self.version = 0;
         self.runs_until_ms = 0;
         self.may_still_run = false;
         self.unconfirmed = false;
-        self.first = None;
-        self.inherited_until_ms = None;
+        self.first_executed = None;
+        self.inherited_dropped_until_ms = None;
     }
 
-    fn is_own(&self, entry: &Entry) -> bool {
+    fn is_local_entry(&self, entry: &Entry) -> bool {
         self.unconfirmed
-            && EntryValue::read(&entry.value).is_some_and(|value| value.mark == self.mark)
+            && EntryValue::read(&entry.value)
+                .is_some_and(|value| value.request_id == self.request_id)
     }
 
     /// The entry was made after all.
-    fn adopt(&mut self, entry: &Entry) {
+    fn adopt_entry(&mut self, entry: &Entry) {
         self.held_until_ms = entry.ends_ms;
         self.version = entry.version;
         self.unconfirmed = false;
@@ -133,10 +136,10 @@
     }
 
     /// The ledger has an entry of the key already.
-    fn held_already(&mut self, now: Micros, entry: &Entry) -> Verdict {
-        if self.is_own(entry) {
-            self.adopt(entry);
-            return self.restrict_to(self.group);
+    fn handle_existing_entry(&mut self, now: Micros, entry: &Entry) -> Verdict {
+        if self.is_local_entry(entry) {
+            self.adopt_entry(entry);
+            return self.refuse_outside_group(self.group);
         }
         self.unconfirmed = false;
         if self.executing.is_empty() && self.transactions == 0 {
@@ -149,27 +152,32 @@
                 tickets: self.take_waiting(),
                 reason: Refusal::MayHaveRun,
             },
-            Kind::Dedup => self.dedup_key_held(now, entry, value),
+            Kind::Dedup => self.handle_held_dedup_key(now, entry, value),
             _ => self.wait_for_holder(now, entry),
         }
     }
 
     /// A dedup key has an entry already: executions here repeat what runs, or ran, under it.
-    fn dedup_key_held(&mut self, now: Micros, entry: &Entry, value: Option<EntryValue>) -> Verdict {
+    fn handle_held_dedup_key(
+        &mut self,
+        now: Micros,
+        entry: &Entry,
+        value: Option<EntryValue>,
+    ) -> Verdict {
         let Some(value) = value else {
             return self.wait_for_holder(now, entry);
         };
         // Engines drop a repeat for the dedup window from the first execution on, whichever fronts have had
         // the entry since: without this a repeat that waited beyond it at another front ran a second time.
-        self.inherited_until_ms = Some(value.dropped_until_ms);
-        let forgotten = self.take_forgotten(now);
-        if !forgotten.is_empty() {
+        self.inherited_dropped_until_ms = Some(value.dropped_until_ms);
+        let dedup_expired = self.take_dedup_expired(now);
+        if !dedup_expired.is_empty() {
             return Verdict::Refuse {
-                tickets: forgotten,
+                tickets: dedup_expired,
                 reason: Refusal::MayHaveRun,
             };
         }
-        if value.runs_until_ms > ms(now) {
+        if value.runs_until_ms > to_unix_ms(now) {
             return self.wait_for_holder(now, entry);
         }
         // None of its executions runs any more: its group drops the repeat, and no other group may have it.
@@ -178,23 +186,26 @@
         self.blocked = false;
         self.group = value.group;
         // What ran before is respected beyond this front's hold, whatever becomes of that.
-        self.reserved_until = self.reserved_until.max(end_of(entry));
-        self.restrict_to(value.group)
+        self.reserved_until = self.reserved_until.max(expiry_of(entry));
+        self.refuse_outside_group(value.group)
     }
 
     /// Another front holds the key: it is requested again after a backoff.
     fn wait_for_holder(&mut self, now: Micros, entry: &Entry) -> Verdict {
-        self.attempts += 1;
-        let doublings = self.attempts.min(MAX_BACKOFF_ATTEMPTS).saturating_sub(1);
+        self.blocked_attempts += 1;
+        let doublings = self
+            .blocked_attempts
+            .min(MAX_BACKOFF_DOUBLING_ATTEMPTS)
+            .saturating_sub(1);
         let backoff = MAX_RETRY_BACKOFF.min(RETRY_BACKOFF << doublings);
         self.version = 0;
         self.blocked = true;
-        self.retry_at = (now + backoff).min(end_of(entry).max(now + RETRY_BACKOFF));
+        self.retry_at = (now + backoff).min(expiry_of(entry).max(now + RETRY_BACKOFF));
         Verdict::Recheck
     }
 
     /// Refuses claims on a dedup key by executions outside one group.
-    fn restrict_to(&mut self, group: Group) -> Verdict {
+    fn refuse_outside_group(&mut self, group: EngineGroup) -> Verdict {
         if self.kind != Kind::Dedup {
             return Verdict::Recheck;
         }
@@ -203,17 +214,17 @@
             .extract_if(.., |_, claim| claim.group != group)
             .map(|(ticket, _)| ticket)
             .collect();
-        Verdict::refuse_any(outside, Refusal::Group)
+        Verdict::refuse_any(outside, Refusal::OtherGroup)
     }
 
     fn take_waiting(&mut self) -> Vec<Ticket> {
-        self.attempts = 0;
+        self.blocked_attempts = 0;
         self.blocked = false;
         std::mem::take(&mut self.waiting).into_keys().collect()
     }
 }
 
 /// The first moment after an entry's end.
-fn end_of(entry: &Entry) -> Micros {
+fn expiry_of(entry: &Entry) -> Micros {
     entry.ends_ms as Micros * 1000 + 1_000
 }
--- a/crates/fleet/src/ledger_barrier/key_state/requests.rs
+++ b/crates/fleet/src/ledger_barrier/key_state/requests.rs
@@ -3,13 +3,13 @@
 use hallmux_dispatcher::Micros;
 use hallmux_ledger::{Kind, Operation};
 
-use super::super::requirements::{EntryMark, EntryValue, Group};
-use super::{ms, Claim, KeyState, Purpose, TRANSACTION_CLAIM_MS};
+use super::super::requirements::{EngineGroup, EntryValue, RequestId};
+use super::{to_unix_ms, Claim, KeyState, Purpose, TRANSACTION_CLAIM_MS};
 
 impl KeyState {
     /// When it has something to request, if nothing happens before.
     pub fn due(&self) -> Micros {
-        if self.requested.is_some() {
+        if self.pending_request.is_some() {
             return Micros::MAX;
         }
         if !self.waiting.is_empty() {
@@ -17,7 +17,7 @@
         }
         match (self.transactions, self.is_unused()) {
             (0, false) => Micros::MAX,
-            (0, true) => self.retry_free_at,
+            (0, true) => self.free_retry_at,
             _ => {
                 let renew_at_ms = self.held_until_ms as Micros - TRANSACTION_CLAIM_MS as Micros / 2;
                 (renew_at_ms * 1000).max(self.retry_at)
@@ -37,21 +37,21 @@
         } else {
             self.held_until_ms as Micros * 1000
         };
-        let forgotten_ms = self
+        let dedup_expiry_ms = self
             .waiting
             .keys()
-            .filter_map(|ticket| self.repeats_until_ms(*ticket))
+            .filter_map(|ticket| self.dedup_expiry_ms(*ticket))
             .min();
-        forgotten_ms.map_or(due, |until_ms| due.min(until_ms as Micros * 1000))
+        dedup_expiry_ms.map_or(due, |until_ms| due.min(until_ms as Micros * 1000))
     }
 
-    /// What is to be requested of the ledger now, if anything; `mark` names the request.
-    pub fn next_request(&mut self, now: Micros, mark: EntryMark) -> Option<Operation> {
-        if self.requested.is_some() {
+    /// What is to be requested of the ledger now, if anything; `request_id` names the request.
+    pub fn next_request(&mut self, now: Micros, request_id: RequestId) -> Option<Operation> {
+        if self.pending_request.is_some() {
             return None;
         }
         if let Some(claim) = self.next_claim(now) {
-            return Some(self.request_claim(now, claim, mark));
+            return Some(self.request_claim(now, claim, request_id));
         }
         if !self.waiting.is_empty() || !self.executing.is_empty() {
             return None;
@@ -59,7 +59,7 @@
         if self.transactions > 0 {
             return self.renew_for_transaction(now);
         }
-        self.request_end(now)
+        self.request_release(now)
     }
 
     /// The first claim that the key is not held for, once it is due.
@@ -73,19 +73,19 @@
             .map(|(_, claim)| *claim)
     }
 
-    fn request_claim(&mut self, now: Micros, claim: Claim, mark: EntryMark) -> Operation {
+    fn request_claim(&mut self, now: Micros, claim: Claim, request_id: RequestId) -> Operation {
         let until_ms = claim
-            .until_ms
+            .hold_until_ms
             .max(self.held_until_ms)
-            .max(ms(self.reserved_until));
+            .max(to_unix_ms(self.reserved_until));
         if !self.unconfirmed && self.version == 0 {
-            self.mark = mark;
-            if self.first.is_none() {
-                self.dropped_until_ms = self.repeats_dropped_until_ms(now);
+            self.request_id = request_id;
+            if self.first_executed.is_none() {
+                self.dropped_until_ms = self.dedup_expiry_ms_from(now);
             }
         }
-        self.requested = Some(Purpose::Claim { group: claim.group });
-        self.claim_number = mark.number;
+        self.pending_request = Some(Purpose::Claim { group: claim.group });
+        self.claim_number = request_id.number;
         self.may_be_held_until_ms = self.may_be_held_until_ms.max(until_ms);
         let runs_until_ms = claim.runs_until_ms.max(self.runs_until_ms);
         self.operation(until_ms, claim.group, runs_until_ms)
@@ -93,12 +93,12 @@
 
     /// Renews the key that a transaction holds, from half of its time on.
     fn renew_for_transaction(&mut self, now: Micros) -> Option<Operation> {
-        let renews = self.held_until_ms < ms(now) + TRANSACTION_CLAIM_MS / 2;
+        let renews = self.held_until_ms < to_unix_ms(now) + TRANSACTION_CLAIM_MS / 2;
         if !renews || self.retry_at > now {
             return None;
         }
-        let until_ms = ms(now) + TRANSACTION_CLAIM_MS;
-        self.requested = Some(Purpose::Claim { group: self.group });
+        let until_ms = to_unix_ms(now) + TRANSACTION_CLAIM_MS;
+        self.pending_request = Some(Purpose::Claim { group: self.group });
         self.may_be_held_until_ms = self.may_be_held_until_ms.max(until_ms);
         Some(Operation::Claim {
             ends_ms: until_ms,
@@ -108,8 +108,8 @@
 
     /// Nothing needs the key here any more: it is freed, or reserved for as long as others must be kept from
     /// it.
-    fn request_end(&mut self, now: Micros) -> Option<Operation> {
-        if self.may_be_held_until_ms <= ms(now) || self.retry_free_at > now {
+    fn request_release(&mut self, now: Micros) -> Option<Operation> {
+        if self.may_be_held_until_ms <= to_unix_ms(now) || self.free_retry_at > now {
             return None;
         }
         let reserved = self.reserved_until > now;
@@ -120,25 +120,25 @@
         }
         if self.unconfirmed {
             // Freeing it blindly could free what an earlier statement left there for others.
-            self.requested = Some(Purpose::Read);
+            self.pending_request = Some(Purpose::Read);
             return Some(Operation::Read);
         }
         self.held_until_ms = 0; // nothing may leave under it any more, even before the ledger answers
         if !reserved {
-            self.requested = Some(Purpose::Free);
+            self.pending_request = Some(Purpose::Free);
             return Some(Operation::Free);
         }
-        self.requested = Some(Purpose::Reserve);
+        self.pending_request = Some(Purpose::Reserve);
         let runs_until_ms = if self.may_still_run {
             self.runs_until_ms
         } else {
-            ms(now)
+            to_unix_ms(now)
         };
-        Some(self.operation(ms(self.reserved_until), self.group, runs_until_ms))
+        Some(self.operation(to_unix_ms(self.reserved_until), self.group, runs_until_ms))
     }
 
     /// The request that holds the key until `ends_ms`, by its kind.
-    fn operation(&self, ends_ms: u64, group: Group, runs_until_ms: u64) -> Operation {
+    fn operation(&self, ends_ms: u64, group: EngineGroup, runs_until_ms: u64) -> Operation {
         if self.kind == Kind::Order {
             return Operation::Claim {
                 ends_ms,
@@ -146,10 +146,12 @@
             };
         }
         let value = EntryValue {
-            mark: self.mark,
+            request_id: self.request_id,
             group,
             runs_until_ms,
-            dropped_until_ms: self.inherited_until_ms.unwrap_or(self.dropped_until_ms),
+            dropped_until_ms: self
+                .inherited_dropped_until_ms
+                .unwrap_or(self.dropped_until_ms),
         };
         // An entry that exists already is not replaced, even if it is this front's: a repeat is one whoever
         // sends it.
--- a/crates/fleet/src/ledger_barrier/refusal.rs
+++ b/crates/fleet/src/ledger_barrier/refusal.rs
@@ -8,9 +8,9 @@
     /// have run, and is aborted.
     MayHaveRun,
     /// Its shard of the ledger is full.
-    Full,
+    ShardFull,
     /// Its dedup key belongs to another group of engines.
-    Group,
+    OtherGroup,
     /// No majority of its shard has answered.
     Unreachable,
 }
@@ -20,8 +20,8 @@
     pub fn name(self) -> &'static str {
         match self {
             Refusal::MayHaveRun => "begun",
-            Refusal::Full => "full",
-            Refusal::Group => "group",
+            Refusal::ShardFull => "full",
+            Refusal::OtherGroup => "group",
             Refusal::Unreachable => "unreachable",
         }
     }
--- a/crates/fleet/src/ledger_barrier/requirements.rs
+++ b/crates/fleet/src/ledger_barrier/requirements.rs
@@ -16,7 +16,7 @@
 /// The engines among which repeats of a deduplicated statement are dropped. Part of the entries' format:
 /// append only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Group {
+pub enum EngineGroup {
     /// All engines.
     All,
     /// Those of one location.
@@ -38,31 +38,31 @@
 pub(super) struct Requirement {
     pub key: Key,
     /// Microseconds past the statement's deadline for which it is needed.
-    after_deadline: Micros,
+    retention_after_deadline: Micros,
     /// Microseconds past its end for which it is needed, where it may have run, or may be running.
-    pub after_end: Micros,
+    pub retention_after_end: Micros,
     grouping: Grouping,
     /// Microseconds past the deadline from which an execution can't be running any more.
-    gap: Micros,
+    max_overrun: Micros,
 }
 
 impl Requirement {
     /// Unix milliseconds until which the entry has to be held for an execution that ends by `ends`.
-    pub fn until(&self, ends: Micros) -> u64 {
-        ((ends + self.after_deadline + MAX_CLOCK_SKEW).max(0) / 1000) as u64
+    pub fn hold_until_ms(&self, ends: Micros) -> u64 {
+        ((ends + self.retention_after_deadline + MAX_CLOCK_SKEW).max(0) / 1000) as u64
     }
 
     /// Unix milliseconds from which an execution can't be running any more.
-    pub fn runs_until(&self, ends: Micros) -> u64 {
-        ((ends + self.gap + MAX_CLOCK_SKEW).max(0) / 1000) as u64
+    pub fn runs_until_ms(&self, ends: Micros) -> u64 {
+        ((ends + self.max_overrun + MAX_CLOCK_SKEW).max(0) / 1000) as u64
     }
 
     /// The group of an engine at this site.
-    pub fn group(&self, site: Site) -> Group {
+    pub fn group(&self, site: Site) -> EngineGroup {
         match self.grouping {
-            Grouping::All => Group::All,
-            Grouping::Location => Group::Location(site.location as u32),
-            Grouping::Cell => Group::Cell(site.cell as u32),
+            Grouping::All => EngineGroup::All,
+            Grouping::Location => EngineGroup::Location(site.location as u32),
+            Grouping::Cell => EngineGroup::Cell(site.cell as u32),
         }
     }
 }
@@ -118,7 +118,7 @@
 
     /// Those of one statement, in the order in which they are claimed: the same on every front, so that no
     /// two statements wait for each other. `id` names it on whichever front it is retried.
-    pub fn of(&self, statement: &StatementArrived, id: &str) -> Vec<Requirement> {
+    pub fn for_statement(&self, statement: &StatementArrived, id: &str) -> Vec<Requirement> {
         let Some(workload) = self.workloads.get(&statement.workload) else {
             return Vec::new();
         };
@@ -144,10 +144,10 @@
         };
         Some(Requirement {
             key,
-            after_deadline: dedup.window.max(self.order_gap),
-            after_end: dedup.window,
+            retention_after_deadline: dedup.window.max(self.order_gap),
+            retention_after_end: dedup.window,
             grouping: dedup.grouping,
-            gap: self.order_gap,
+            max_overrun: self.order_gap,
         })
     }
 
@@ -167,10 +167,10 @@
         };
         Some(Requirement {
             key,
-            after_deadline: BEGUN_RETENTION,
-            after_end: BEGUN_RETENTION,
+            retention_after_deadline: BEGUN_RETENTION,
+            retention_after_end: BEGUN_RETENTION,
             grouping: Grouping::All,
-            gap: self.order_gap,
+            max_overrun: self.order_gap,
         })
     }
 
@@ -180,10 +180,10 @@
         let name = statement.key.as_ref().filter(|_| workload.in_order)?;
         Some(Requirement {
             key: super::order_key(name),
-            after_deadline: self.order_gap,
-            after_end: self.order_gap,
+            retention_after_deadline: self.order_gap,
+            retention_after_end: self.order_gap,
             grouping: Grouping::All,
-            gap: self.order_gap,
+            max_overrun: self.order_gap,
         })
     }
 }
@@ -198,7 +198,7 @@
 
 /// Names one entry: the request that made it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct EntryMark {
+pub(super) struct RequestId {
     /// When the front that made it started, in Unix milliseconds.
     pub started_ms: u64,
     /// The number of the request.
@@ -209,9 +209,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct EntryValue {
     /// What tells it from other entries of the key, also of the same front.
-    pub mark: EntryMark,
+    pub request_id: RequestId,
     /// Where its executions run.
-    pub group: Group,
+    pub group: EngineGroup,
     /// Unix milliseconds from which none of them can be running any more.
     pub runs_until_ms: u64,
     /// Of a dedup key: Unix milliseconds until which engines surely drop a repeat of the first of them, on the
@@ -223,8 +223,8 @@
 /// later one.
 #[derive(Deserialize)]
 struct EarlierValue {
-    mark: EntryMark,
-    group: Group,
+    request_id: RequestId,
+    group: EngineGroup,
     runs_until_ms: u64,
 }
 
@@ -240,7 +240,7 @@
         }
         let earlier: EarlierValue = postcard::from_bytes(bytes).ok()?;
         Some(EntryValue {
-            mark: earlier.mark,
+            request_id: earlier.request_id,
             group: earlier.group,
             runs_until_ms: earlier.runs_until_ms,
             dropped_until_ms: 0,
--- a/crates/fleet/src/ledger_barrier/tests.rs
+++ b/crates/fleet/src/ledger_barrier/tests.rs
@@ -21,7 +21,7 @@
 /// One that its shards have spoken to.
 fn gate(life: u64) -> LedgerBarrier {
     let mut gate = new_gate(life);
-    gate.shards_heard.fill(true);
+    gate.shards_answered.fill(true);
     gate
 }
 
@@ -46,7 +46,7 @@
         dedup_key,
     };
     gate.observe(0, PromiseEvent::Arrived(taken), |_| id.map(str::to_string));
-    gate.holds_back(ticket)
+    gate.requires_entries(ticket)
 }
 
 fn pending(ticket: Ticket, execution: usize, now: Micros, location: usize) -> PendingExecution {
@@ -128,12 +128,12 @@
     now: Micros,
     front: u64,
 ) -> Vec<BarrierDecision> {
-    let mut rulings = gate.rulings();
+    let mut rulings = gate.take_decisions();
     loop {
         gate.tick(now);
-        let asks = gate.asks();
+        let asks = gate.take_requests();
         if asks.is_empty() {
-            rulings.extend(gate.rulings());
+            rulings.extend(gate.take_decisions());
             return rulings;
         }
         for ask in asks {
@@ -145,7 +145,7 @@
                 },
                 &ask,
             );
-            gate.answered(
+            gate.handle_answer(
                 now,
                 LedgerAnswer {
                     number: ask.number,
@@ -170,7 +170,9 @@
     assert!(!open(&mut gate, 1, ("lookup", None, None), Some("a")));
     assert!(open(&mut gate, 2, ("lookup", Some("k"), None), Some("b")));
     gate.hold(0, pending(2, 0, 0, 0));
-    assert!(gate.rulings().is_empty() && !gate.holds_back(1) && gate.holds_back(2));
+    assert!(
+        gate.take_decisions().is_empty() && !gate.requires_entries(1) && gate.requires_entries(2)
+    );
     let mut book = Book::default();
     assert_eq!(
         settle(&mut gate, &mut book, 0, 1),
@@ -184,8 +186,8 @@
             ..pending(2, 0, 0, 1)
         },
     );
-    assert_eq!(gate.rulings().len(), 1);
-    gate.end(2 * MS, over(2, true, false));
+    assert_eq!(gate.take_decisions().len(), 1);
+    gate.end_statement(2 * MS, over(2, true, false));
     settle(&mut gate, &mut book, 2 * MS, 1);
     assert!(book.entries.is_empty() && gate.keys.is_empty() && gate.due() == Micros::MAX);
 }
@@ -201,7 +203,7 @@
     assert_eq!(settle(&mut other, &mut book, 0, 2), []);
     assert_eq!(settle(&mut other, &mut book, 400 * MS, 2), []);
     // It may be running on: the key rests for the gap, and for as long as clocks may be apart.
-    one.end(400 * MS, over(1, true, true));
+    one.end_statement(400 * MS, over(1, true, true));
     assert_eq!(settle(&mut one, &mut book, 400 * MS, 1), []);
     let mut at = 400 * MS;
     while settle(&mut other, &mut book, at, 2).is_empty() {
@@ -215,7 +217,7 @@
     let (mut gate, mut book) = (gate(1), Book::default());
     open(&mut gate, 1, ("load", Some("k"), Some("d")), None);
     gate.hold(0, pending(1, 0, 0, 0));
-    let asks = gate.asks();
+    let asks = gate.take_requests();
     for ask in &asks {
         // It stands, but nobody heard so.
         book.apply(
@@ -226,7 +228,7 @@
             },
             ask,
         );
-        gate.answered(
+        gate.handle_answer(
             0,
             LedgerAnswer {
                 number: ask.number,
@@ -235,10 +237,10 @@
         );
     }
     assert_eq!(
-        (asks.len(), gate.rulings()),
+        (asks.len(), gate.take_decisions()),
         (2, vec![BarrierDecision::Reject(1)])
     );
-    gate.end(0, over(1, false, false));
+    gate.end_statement(0, over(1, false, false));
     assert_eq!(book.entries.len(), 2);
     settle(&mut gate, &mut book, 1_100 * MS, 1);
     assert!(
@@ -257,7 +259,7 @@
         gate.hold(0, pending(1, 0, 0, 0));
         let mut ruled = Vec::new();
         while ruled.is_empty() {
-            for ask in gate.asks() {
+            for ask in gate.take_requests() {
                 let outcome = match at < speaks_at {
                     true => Outcome::Unreachable,
                     false => book.apply(
@@ -269,7 +271,7 @@
                         &ask,
                     ),
                 };
-                gate.answered(
+                gate.handle_answer(
                     at,
                     LedgerAnswer {
                         number: ask.number,
@@ -277,7 +279,7 @@
                     },
                 );
             }
-            (ruled, at) = (gate.rulings(), at + 50 * MS);
+            (ruled, at) = (gate.take_decisions(), at + 50 * MS);
             gate.tick(at);
             assert!(at < 2_000 * MS, "held to the half of its time and longer");
         }
@@ -292,8 +294,8 @@
     for (mut gate, now) in [(gate(1), 0), (new_gate(1), 20_000 * MS)] {
         open(&mut gate, 1, ("pay", None, None), None);
         gate.hold(now, pending(1, 0, now, 0));
-        for ask in gate.asks() {
-            gate.answered(
+        for ask in gate.take_requests() {
+            gate.handle_answer(
                 now,
                 LedgerAnswer {
                     number: ask.number,
@@ -301,7 +303,7 @@
                 },
             );
         }
-        assert_eq!(gate.rulings(), [BarrierDecision::Reject(1)]);
+        assert_eq!(gate.take_decisions(), [BarrierDecision::Reject(1)]);
     }
 }
 
@@ -312,7 +314,7 @@
         open(&mut one, 1, ("pay", None, None), Some("txn-1"));
         one.hold(0, pending(1, 0, 0, 0));
         assert_eq!(settle(&mut one, &mut book, 0, 1).len(), 1);
-        one.end(MS, over(1, ran, ran));
+        one.end_statement(MS, over(1, ran, ran));
         settle(&mut one, &mut book, MS, 1);
         // By another front, or by the same.
         for (gate, front) in [(&mut other, 2), (&mut one, 1)] {
@@ -325,7 +327,7 @@
                 "{ruled:?}"
             );
             assert_eq!(ruled == [BarrierDecision::Abort(2)], !again, "{ruled:?}");
-            gate.end(3 * MS, over(2, false, false));
+            gate.end_statement(3 * MS, over(2, false, false));
             settle(gate, &mut book, 3 * MS, front);
         }
     }
@@ -342,7 +344,7 @@
         other.hold(MS, pending(ticket, 0, MS, location));
     }
     assert_eq!(settle(&mut other, &mut book, MS, 2), []);
-    one.end(2 * MS, over(1, true, false));
+    one.end_statement(2 * MS, over(1, true, false));
     settle(&mut one, &mut book, 2 * MS, 1);
     let mut ruled = Vec::new();
     for at in 3..700 {
@@ -376,10 +378,10 @@
     open(&mut third, 1, ("load", Some("k"), Some("e")), None);
     third.hold(2 * MS, pending(1, 0, 2 * MS, 0));
     assert_eq!(settle(&mut third, &mut book, 2 * MS, 3).len(), 1);
-    third.end(3 * MS, over(1, true, false));
+    third.end_statement(3 * MS, over(1, true, false));
     settle(&mut third, &mut book, 3 * MS, 3);
     // Once nothing runs any more, the repeat has both.
-    one.end(3 * MS, over(1, true, false));
+    one.end_statement(3 * MS, over(1, true, false));
     settle(&mut one, &mut book, 3 * MS, 1);
     let ruled = (4..700)
         .map(|at| settle(&mut other, &mut book, at * MS, 2))
@@ -397,14 +399,14 @@
     one.hold(0, pending(1, 0, 0, 0));
     assert_eq!(settle(&mut one, &mut book, 0, 1).len(), 1);
     one.retain_key("k");
-    one.end(MS, over(1, true, false));
+    one.end_statement(MS, over(1, true, false));
     for at in (0..60).map(|s| s * 1_000 * MS) {
         assert_eq!(settle(&mut one, &mut book, at, 1), []);
         open(&mut other, at as Ticket, ("lookup", Some("k"), None), None);
         other.hold(at, pending(at as Ticket, 0, at, 0));
         assert_eq!(settle(&mut other, &mut book, at, 2), [], "{at}");
         other.cancel(at, at as Ticket, 0);
-        other.end(at, over(at as Ticket, false, false));
+        other.end_statement(at, over(at as Ticket, false, false));
     }
     one.release_key(60_000 * MS, "k", false);
     settle(&mut one, &mut book, 60_000 * MS, 1);
@@ -422,7 +424,7 @@
     ));
     gate.hold(MS, pending(1, 0, MS, 0));
     let (first, second): (Vec<_>, Vec<_>) = gate
-        .asks()
+        .take_requests()
         .into_iter()
         .partition(|ask| ask.key.kind == Kind::Order);
     let mut answer = |gate: &mut LedgerBarrier, ask: &ledger::LedgerRequest| {
@@ -434,7 +436,7 @@
             },
             ask,
         );
-        gate.answered(
+        gate.handle_answer(
             2 * MS,
             LedgerAnswer {
                 number: ask.number,
@@ -447,7 +449,7 @@
     assert!(gate.due() > 1_000 * MS, "{}", gate.due());
     answer(&mut gate, &second[0]);
     assert_eq!(
-        gate.rulings(),
+        gate.take_decisions(),
         [BarrierDecision::Release(pending(1, 0, MS, 0))]
     );
 }
--- a/crates/fleet/src/ledger_barrier/tests/drawn.rs
+++ b/crates/fleet/src/ledger_barrier/tests/drawn.rs
@@ -86,7 +86,7 @@
     /// Of each front: what is held by the module for the turn of its key, and what has been ordered.
     lines: Vec<VecDeque<(Ticket, Of, usize)>>,
     open: BTreeMap<(usize, Ticket), (Of, Micros)>,
-    asks: Vec<(usize, u64, ledger::LedgerRequest)>,
+    requests: Vec<(usize, u64, ledger::LedgerRequest)>,
     answers: Vec<(usize, u64, LedgerAnswer)>,
     running: Vec<Run>,
     /// Non-idempotent statements that may have run; sends of dedup keys: when, where.
@@ -130,8 +130,8 @@
                 self.lines[front].push_back((self.next, of, location));
                 self.next += 1;
             }
-            Step::Served { which, lost } if !self.asks.is_empty() => {
-                let (front, life, ask) = self.asks.remove(which % self.asks.len());
+            Step::Served { which, lost } if !self.requests.is_empty() => {
+                let (front, life, ask) = self.requests.remove(which % self.requests.len());
                 let owner = Owner {
                     front: front as u64,
                     incarnation: life,
@@ -153,7 +153,7 @@
             Step::Answered { which } if !self.answers.is_empty() => {
                 let (front, life, done) = self.answers.remove(which % self.answers.len());
                 if self.gates[front].1 == life {
-                    self.gates[front].0.answered(self.now, done);
+                    self.gates[front].0.handle_answer(self.now, done);
                 }
             }
             Step::Ends { which, how } => {
@@ -214,7 +214,7 @@
         }
         self.gates[run.front]
             .0
-            .end(now, over(run.ticket, how != 1, how == 2));
+            .end_statement(now, over(run.ticket, how != 1, how == 2));
     }
 
     fn withdraw(&mut self, front: usize, ticket: Ticket) {
@@ -222,7 +222,7 @@
         self.gates[front].0.cancel(self.now, ticket, 0);
         self.gates[front]
             .0
-            .end(self.now, over(ticket, false, false));
+            .end_statement(self.now, over(ticket, false, false));
     }
 
     /// Times that are up, then all that the fronts do of themselves.
@@ -275,7 +275,7 @@
             }
             self.gates[front].0.tick(now);
             loop {
-                let rulings = self.gates[front].0.rulings();
+                let rulings = self.gates[front].0.take_decisions();
                 if rulings.is_empty() {
                     break;
                 }
@@ -284,10 +284,10 @@
                     .for_each(|ruling| self.obey(front, ruling));
             }
             let life = self.gates[front].1;
-            self.asks.extend(
+            self.requests.extend(
                 self.gates[front]
                     .0
-                    .asks()
+                    .take_requests()
                     .into_iter()
                     .map(|ask| (front, life, ask)),
             );
@@ -300,7 +300,9 @@
             BarrierDecision::Release(held) => held,
             BarrierDecision::Reject(ticket) | BarrierDecision::Abort(ticket) => {
                 self.open.remove(&(front, ticket));
-                return self.gates[front].0.end(now, over(ticket, false, false));
+                return self.gates[front]
+                    .0
+                    .end_statement(now, over(ticket, false, false));
             }
         };
         self.went += 1;
@@ -344,7 +346,7 @@
     /// Nothing more comes: all ends, and nothing is left but what stands for its time.
     fn calm(&mut self) {
         for _ in 0..400 {
-            while !self.asks.is_empty() || !self.answers.is_empty() {
+            while !self.requests.is_empty() || !self.answers.is_empty() {
                 self.step(Step::Served { which: 0, lost: 0 });
                 self.step(Step::Answered { which: 0 });
             }
--- a/crates/fleet/src/ledger_barrier/tests/window.rs
+++ b/crates/fleet/src/ledger_barrier/tests/window.rs
@@ -1,7 +1,7 @@
 //! The dedup window over several fronts: engines drop a repeat for so long from the first execution on, so a front
 //! that has the entry of another's execution lets a repeat leave within that time or never.
 
-use super::super::requirements::{EntryMark, EntryValue, Group};
+use super::super::requirements::{EngineGroup, EntryValue, RequestId};
 use super::*;
 
 /// Milliseconds from the first execution until engines may have forgotten it, by the slowest clock.
@@ -46,7 +46,7 @@
         open(&mut other, 1, ("load", Some("k"), Some("d")), None);
         other.hold(5_500 * MS, asked);
         let mut all = ruled(&mut other, &mut book, (5_500, freed_ms), 3);
-        keyed.end(freed_ms * MS, over(1, true, false));
+        keyed.end_statement(freed_ms * MS, over(1, true, false));
         settle(&mut keyed, &mut book, freed_ms * MS, 2);
         all.extend(ruled(&mut other, &mut book, (freed_ms, 9_400), 3));
         match leaves {
@@ -67,7 +67,7 @@
     let mut between = gate(2);
     open(&mut between, 1, ("load", None, Some("d")), None);
     between.hold(5_000 * MS, pending(1, 0, 5_000 * MS, 0));
-    let asks = between.asks();
+    let asks = between.take_requests();
     let outcome = book.apply(
         5_000 * MS,
         Owner {
@@ -76,14 +76,14 @@
         },
         &asks[0],
     );
-    between.answered(
+    between.handle_answer(
         5_000 * MS,
         LedgerAnswer {
             number: asks[0].number,
             outcome,
         },
     );
-    let takes = between.asks();
+    let takes = between.take_requests();
     book.apply(
         5_000 * MS,
         Owner {
@@ -93,8 +93,8 @@
         &takes[0],
     );
     between.cancel(5_001 * MS, 1, 0);
-    between.end(5_001 * MS, over(1, false, false));
-    between.answered(
+    between.end_statement(5_001 * MS, over(1, false, false));
+    between.handle_answer(
         5_002 * MS,
         LedgerAnswer {
             number: takes[0].number,
@@ -114,28 +114,32 @@
             .map(|(_, r)| r)
             .collect();
         assert_eq!(ruled, [BarrierDecision::Abort(2)], "front {front}");
-        gate.end((from + 3_000) * MS, over(2, false, false));
+        gate.end_statement((from + 3_000) * MS, over(2, false, false));
     }
 }
 
 #[test]
 fn an_entry_of_an_earlier_build_counts_as_forgotten_and_it_reads_the_later_ones() {
-    let mark = EntryMark {
+    let request_id = RequestId {
         started_ms: 7,
         number: 9,
     };
-    let earlier = postcard::to_stdvec(&(mark, Group::Location(2), 5_000u64)).unwrap();
+    let earlier = postcard::to_stdvec(&(request_id, EngineGroup::Location(2), 5_000u64)).unwrap();
     let value = EntryValue::read(&earlier).unwrap();
     assert_eq!(
-        (value.mark, value.runs_until_ms, value.dropped_until_ms),
-        (mark, 5_000, 0)
+        (
+            value.request_id,
+            value.runs_until_ms,
+            value.dropped_until_ms
+        ),
+        (request_id, 5_000, 0)
     );
     let later = EntryValue {
         dropped_until_ms: 8_500,
         ..value
     };
-    let read: (EntryMark, Group, u64) = postcard::from_bytes(&later.bytes()).unwrap();
-    assert_eq!(read, (mark, Group::Location(2), 5_000));
+    let read: (RequestId, EngineGroup, u64) = postcard::from_bytes(&later.bytes()).unwrap();
+    assert_eq!(read, (request_id, EngineGroup::Location(2), 5_000));
     assert_eq!(EntryValue::read(&later.bytes()), Some(later));
     assert_eq!(EntryValue::read(&[1]), None);
 }
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -15,18 +15,18 @@
 /// Counts of a load report are in sixteenths of a statement.
 const COUNTS_PER_STATEMENT: f64 = 16.0;
 /// Times the median that one front's count may be: some see several times the mean.
-const MAX_OF_MEDIAN: f64 = 4.0;
+const MAX_MEDIAN_MULTIPLE: f64 = 4.0;
 /// Customers in a load report: those that request most.
-const MAX_CUSTOMERS: usize = 8;
+const MAX_REPORTED_CUSTOMERS: usize = 8;
 /// Completed statements below which the share of them that was late says nothing.
-const MIN_COMPLETED: f64 = 2.0;
+const MIN_COMPLETED_STATEMENTS: f64 = 2.0;
 
 /// The load offered to the fleet, as one front reports and merges it.
 #[derive(Default)]
 pub(crate) struct Load {
     next_merge: Micros,
     /// Whether the dispatcher goes by merged load now.
-    merging: bool,
+    uses_merged_load: bool,
 }
 
 /// The load of all fronts that report.
@@ -50,16 +50,16 @@
             return;
         }
         self.next_merge = at.now + MERGE_INTERVAL;
-        node.report_load(at.now, at.wall_ms, || own_loads(at.now, dispatcher));
+        node.report_load(at.now, at.wall_ms, || local_loads(at.now, dispatcher));
         let reports: Vec<&[OfferedLoad]> = node.offered_loads(at.now).collect();
         // Merged load counts for nothing once nobody reports any more.
         if reports.is_empty() {
-            if std::mem::take(&mut self.merging) {
+            if std::mem::take(&mut self.uses_merged_load) {
                 dispatcher.fleet_demand(FleetDemand::default());
             }
             return;
         }
-        self.merging = true;
+        self.uses_merged_load = true;
         let demand = fleet_demand(at.now, &reports, node, dispatcher);
         dispatcher.fleet_demand(demand);
     }
@@ -72,18 +72,18 @@
     node: &Node,
     dispatcher: &mut Dispatcher,
 ) -> FleetDemand {
-    let names: Vec<u32> = dispatcher
+    let workload_hashes: Vec<u32> = dispatcher
         .workload_demand(now)
         .map(|(name, _)| workload_hash(name))
         .collect();
-    let merged = merge(reports, &names);
-    let own_work = dispatcher
+    let merged = merge(reports, &workload_hashes);
+    let local_work = dispatcher
         .workload_demand(now)
         .zip(&merged.workloads)
-        .map(|((_, own), fleet)| own.asked * fleet.work)
+        .map(|((_, local), fleet)| local.asked * fleet.work)
         .sum();
     let relative = if node.has_peer_load(now) {
-        relative_load(own_work, &merged.workloads, reports.len())
+        relative_load(local_work, &merged.workloads, reports.len())
     } else {
         0.0
     };
@@ -93,7 +93,7 @@
         .customer_demand(now)
         .map(|(name, asked)| match asked {
             Some(_) => {
-                let requested = sum_of(reports, customer_hash(name), |load| load.requested);
+                let requested = capped_sum(reports, customer_hash(name), |load| load.requested);
                 requested * (fronts_per_report / DEMAND_SECONDS)
             }
             None => 0.0,
@@ -118,16 +118,16 @@
 }
 
 /// What this front reports: its heaviest workloads, and the customers that request most.
-fn own_loads(now: Micros, dispatcher: &mut Dispatcher) -> Vec<OfferedLoad> {
-    let mut loads = own_workloads(now, dispatcher);
-    let customers = own_customers(now, dispatcher);
+fn local_loads(now: Micros, dispatcher: &mut Dispatcher) -> Vec<OfferedLoad> {
+    let mut loads = local_workloads(now, dispatcher);
+    let customers = local_customers(now, dispatcher);
     loads.truncate(MAX_LOADS - customers.len());
     loads.extend(customers);
     loads
 }
 
 /// The workloads that request anything, the heaviest first.
-fn own_workloads(now: Micros, dispatcher: &mut Dispatcher) -> Vec<OfferedLoad> {
+fn local_workloads(now: Micros, dispatcher: &mut Dispatcher) -> Vec<OfferedLoad> {
     let mut loads: Vec<OfferedLoad> = dispatcher
         .workload_demand(now)
         .map(|(name, demand)| OfferedLoad {
@@ -145,7 +145,7 @@
 }
 
 /// The customers that request most, of those with an agreed share.
-fn own_customers(now: Micros, dispatcher: &mut Dispatcher) -> Vec<OfferedLoad> {
+fn local_customers(now: Micros, dispatcher: &mut Dispatcher) -> Vec<OfferedLoad> {
     let mut loads: Vec<OfferedLoad> = dispatcher
         .customer_demand(now)
         .filter_map(|(name, demand)| Some((name, demand?)))
@@ -157,7 +157,7 @@
         .filter(|load| load.requested > 0)
         .collect();
     loads.sort_by_key(|load| Reverse(load.requested));
-    loads.truncate(MAX_CUSTOMERS);
+    loads.truncate(MAX_REPORTED_CUSTOMERS);
     loads
 }
 
@@ -174,22 +174,24 @@
 
 /// The work offered to a front relative to the mean of the fronts that report; 0 where they were offered
 /// none.
-fn relative_load(own_work: f64, workloads: &[Demand], fronts: usize) -> f64 {
+fn relative_load(local_work: f64, workloads: &[Demand], fronts: usize) -> f64 {
     let total: f64 = workloads
         .iter()
         .map(|demand| demand.work * demand.asked)
         .sum();
     let mean = total / fronts.max(1) as f64;
     if mean > 0.0 {
-        own_work / mean
+        local_work / mean
     } else {
         0.0
     }
 }
 
 /// Merges the reports of all fronts on the workloads named.
-fn merge(reports: &[&[OfferedLoad]], names: &[u32]) -> MergedLoad {
-    let workloads = names.iter().map(|name| merge_workload(reports, *name));
+fn merge(reports: &[&[OfferedLoad]], workload_hashes: &[u32]) -> MergedLoad {
+    let workloads = workload_hashes
+        .iter()
+        .map(|hash| merge_workload(reports, *hash));
     let late_shares = reports.iter().filter_map(|loads| late_share(loads));
     MergedLoad {
         late_share: median(late_shares.collect()),
@@ -197,53 +199,54 @@
     }
 }
 
-fn merge_workload(reports: &[&[OfferedLoad]], name: u32) -> Demand {
-    let completed = sum_of(reports, name, |load| load.completed);
+fn merge_workload(reports: &[&[OfferedLoad]], hash: u32) -> Demand {
+    let completed = capped_sum(reports, hash, |load| load.completed);
     let service_us = reports
         .iter()
-        .filter_map(|loads| load_of(loads, name))
+        .filter_map(|loads| last_load_of(loads, hash))
         .filter(|load| load.service_us > 0)
         .map(|load| f64::from(load.service_us));
     Demand {
-        asked: sum_of(reports, name, |load| load.requested),
+        asked: capped_sum(reports, hash, |load| load.requested),
         ended: completed,
-        timely: sum_of(reports, name, |load| load.on_time).min(completed),
+        timely: capped_sum(reports, hash, |load| load.on_time).min(completed),
         work: median(service_us.collect()),
     }
 }
 
 /// The share of a front's completed statements that was late; None where too few are completed to tell.
 fn late_share(loads: &[OfferedLoad]) -> Option<f64> {
-    let by_name: BTreeMap<u32, &OfferedLoad> =
+    let by_hash: BTreeMap<u32, &OfferedLoad> =
         loads.iter().map(|load| (load.workload, load)).collect();
-    let completed: f64 = by_name
+    let completed: f64 = by_hash
         .values()
         .map(|load| statements(load.completed))
         .sum();
-    let on_time: f64 = by_name.values().map(|load| statements(load.on_time)).sum();
-    (completed >= MIN_COMPLETED).then(|| ((completed - on_time) / completed).clamp(0.0, 1.0))
+    let on_time: f64 = by_hash.values().map(|load| statements(load.on_time)).sum();
+    (completed >= MIN_COMPLETED_STATEMENTS)
+        .then(|| ((completed - on_time) / completed).clamp(0.0, 1.0))
 }
 
 /// The sum of one count over all reports. No front counts for more than some times the median, whatever it
 /// reports.
-fn sum_of(reports: &[&[OfferedLoad]], name: u32, field: fn(&OfferedLoad) -> u32) -> f64 {
+fn capped_sum(reports: &[&[OfferedLoad]], hash: u32, field: fn(&OfferedLoad) -> u32) -> f64 {
     let count = |loads: &&[OfferedLoad]| {
         loads
             .iter()
-            .find(|load| load.workload == name)
+            .find(|load| load.workload == hash)
             .map_or(0, field)
     };
     let counts: Vec<f64> = reports
         .iter()
         .map(|loads| statements(count(loads)))
         .collect();
-    let most = MAX_OF_MEDIAN * median(counts.clone()).max(1.0);
-    counts.into_iter().map(|count| count.min(most)).sum()
+    let cap = MAX_MEDIAN_MULTIPLE * median(counts.clone()).max(1.0);
+    counts.into_iter().map(|count| count.min(cap)).sum()
 }
 
 /// A front's load under one name; of several the last.
-fn load_of(loads: &[OfferedLoad], name: u32) -> Option<&OfferedLoad> {
-    loads.iter().rfind(|load| load.workload == name)
+fn last_load_of(loads: &[OfferedLoad], hash: u32) -> Option<&OfferedLoad> {
+    loads.iter().rfind(|load| load.workload == hash)
 }
 
 fn median(mut values: Vec<f64>) -> f64 {
--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -22,7 +22,7 @@
 
 use crate::{engine_hash, ClockReading};
 
-use refusal::ActRefusal;
+use refusal::OwnershipRefusal;
 
 const TASK: Task = Task::Zones;
 /// Engines in an owner's act: they fit a report.
@@ -32,9 +32,9 @@
 /// Microseconds between checks of whether there is an owner.
 const CHECK_INTERVAL: Micros = 250_000;
 /// Ticks of a voter in that time: its log's clock ticks every 50 ms.
-const VOTER_TICKS: Micros = 5;
+const VOTER_TICKS_PER_CHECK: Micros = 5;
 /// Microseconds for which an owner's act shows that there is one.
-const OWNER_SEEN: Micros = 2_000_000;
+const OWNER_ACTIVE_WINDOW: Micros = 2_000_000;
 
 /// A voter, and where it listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,7 +76,7 @@
 
 /// Ownership of the fleet's work as one front takes part in it.
 pub(crate) struct Ownership {
-    own: PeerId,
+    local_id: PeerId,
     fleet: u64,
     voters: BTreeMap<PeerId, SocketAddr>,
     holder: Holder,
@@ -92,7 +92,7 @@
     /// Whether this front requests the lease.
     requests_lease: bool,
     /// When an owner acted last, on the steady clock.
-    owner_seen: Micros,
+    last_owner_act: Micros,
     /// Recovered engines that the dispatcher knows of, by the token of the owner that reported them.
     announced: BTreeMap<u64, Token>,
     /// Acts and messages that were refused, by reason.
@@ -103,7 +103,7 @@
     /// An error says why the saved state can't be used.
     pub fn new(
         at: ClockReading,
-        own: PeerId,
+        local_id: PeerId,
         config: OwnershipConfig,
     ) -> Result<Ownership, StateError> {
         let OwnershipConfig {
@@ -115,17 +115,17 @@
         let ids: Vec<PeerId> = voters.iter().map(|voter| voter.id).collect();
         let fleet = fingerprint(&fleet, &ids);
         let mut voter = None;
-        if ids.contains(&own) {
+        if ids.contains(&local_id) {
             let config = VoterConfig {
                 fleet,
-                own,
+                own: local_id,
                 voters: ids.clone(),
                 terms,
             };
             voter = Some(Voter::new(at.steady, config, saved.as_deref())?);
         }
         Ok(Ownership {
-            own,
+            local_id,
             fleet,
             voters: voters
                 .into_iter()
@@ -140,7 +140,7 @@
             requests: Vec::new(),
             next_check: 0,
             requests_lease: false,
-            owner_seen: Micros::MIN / 2,
+            last_owner_act: Micros::MIN / 2,
             announced: BTreeMap::new(),
             refused: BTreeMap::new(),
         })
@@ -170,7 +170,7 @@
         random: &mut impl RandomSource,
     ) {
         let interval = if self.voter.is_some() {
-            CHECK_INTERVAL / VOTER_TICKS
+            CHECK_INTERVAL / VOTER_TICKS_PER_CHECK
         } else {
             CHECK_INTERVAL
         };
@@ -179,7 +179,7 @@
             let output = voter.tick(at.steady);
             self.voter_outbox.push(output);
         }
-        self.requests_lease = self.is_to_request_lease(at, interval, up, random);
+        self.requests_lease = self.should_request_lease(at, interval, up, random);
         let progress = self.progress(at, dispatcher);
         let intent = if self.requests_lease {
             Intent::Acquire
@@ -198,13 +198,13 @@
             let recovered: Vec<RecoveredEngine> =
                 postcard::from_bytes(&progress).unwrap_or_default();
             let token = self.holder.token(at.steady).unwrap_or_default();
-            self.announce(at, token, &recovered, 0, dispatcher);
+            self.announce_recovered(at, token, &recovered, 0, dispatcher);
         }
     }
 
     /// Whether this front requests a lease that nobody seems to hold. The first to ask may have it: of all
     /// fronts a few a second begin to.
-    fn is_to_request_lease(
+    fn should_request_lease(
         &self,
         at: ClockReading,
         interval: Micros,
@@ -213,8 +213,8 @@
     ) -> bool {
         let draw = random.below(1_000_000) as f64 / 1e6;
         let share = REQUESTS_PER_SECOND * interval as f64 / 1e6 / up.max(1) as f64;
-        let owner_is_seen = at.steady - self.owner_seen <= OWNER_SEEN;
-        !owner_is_seen && (self.requests_lease || draw < share)
+        let owner_is_active = at.steady - self.last_owner_act <= OWNER_ACTIVE_WINDOW;
+        !owner_is_active && (self.requests_lease || draw < share)
     }
 
     /// Engines that answer again, and for how long.
@@ -234,7 +234,7 @@
         postcard::to_stdvec(&self.recovered(at, dispatcher)).unwrap_or_default()
     }
 
-    fn refuse(&mut self, why: ActRefusal) {
-        *self.refused.entry(why.name()).or_default() += 1;
+    fn refuse(&mut self, reason: OwnershipRefusal) {
+        *self.refused.entry(reason.name()).or_default() += 1;
     }
 }
--- a/crates/fleet/src/ownership/acts.rs
+++ b/crates/fleet/src/ownership/acts.rs
@@ -9,7 +9,7 @@
 use hallmux_lease::fence::{self, Refused};
 use hallmux_lease::{Token, TokenOwner};
 
-use super::refusal::ActRefusal;
+use super::refusal::OwnershipRefusal;
 use super::{Ownership, MAX_RECOVERED, TASK};
 use crate::{engine_hash, ClockReading};
 
@@ -33,13 +33,13 @@
 
     /// Takes in what other fronts report: the owner that a majority of voters names, and what that owner has
     /// done.
-    pub fn admit(&mut self, at: ClockReading, node: &Node, dispatcher: &mut Dispatcher) {
+    pub fn apply_reports(&mut self, at: ClockReading, node: &Node, dispatcher: &mut Dispatcher) {
         if let Some(lease) = self.majority_lease(at, node) {
             self.fence.observe(TASK, lease);
         }
         for peer in node.ownership_reports(at.now) {
             if let Some(act) = &peer.ownership.act {
-                self.admit_act(at, peer.reporter, act, peer.age, dispatcher);
+                self.apply_owner_act(at, peer.reporter, act, peer.age, dispatcher);
             }
         }
     }
@@ -58,7 +58,7 @@
     }
 
     /// Takes in an owner's act, `age` microseconds old, where the fence admits it.
-    fn admit_act(
+    fn apply_owner_act(
         &mut self,
         at: ClockReading,
         reporter: PeerId,
@@ -72,19 +72,19 @@
         };
         match self.fence.admit(TASK, claimed) {
             Ok(()) => {
-                self.owner_seen = self.owner_seen.max(at.steady - age);
-                if reporter != self.own {
-                    self.announce(at, act.token, &act.recovered, age, dispatcher);
+                self.last_owner_act = self.last_owner_act.max(at.steady - age);
+                if reporter != self.local_id {
+                    self.announce_recovered(at, act.token, &act.recovered, age, dispatcher);
                 }
             }
-            Err(Refused::Stale) => self.refuse(ActRefusal::Stale),
-            Err(Refused::Unknown) => self.refuse(ActRefusal::Unknown),
+            Err(Refused::Stale) => self.refuse(OwnershipRefusal::StaleToken),
+            Err(Refused::Unknown) => self.refuse(OwnershipRefusal::UnknownToken),
         }
     }
 
     /// An owner reported, `age` microseconds ago, that engines answer again: the dispatcher learns of each
     /// once.
-    pub(super) fn announce(
+    pub(super) fn announce_recovered(
         &mut self,
         at: ClockReading,
         token: Token,
--- a/crates/fleet/src/ownership/messages.rs
+++ b/crates/fleet/src/ownership/messages.rs
@@ -6,7 +6,7 @@
 use hallmux_gossip::node::{Datagram, Node};
 use hallmux_lease::{AddressedEnvelope, Envelope, LeaseMessage};
 
-use super::refusal::ActRefusal;
+use super::refusal::OwnershipRefusal;
 use super::{Ownership, VoterSave};
 use crate::{ClockReading, Output};
 
@@ -15,31 +15,31 @@
     pub fn receive(&mut self, at: ClockReading, message: &ChannelMessage) {
         let from = message.from;
         let Some(envelope) = hallmux_lease::read(&message.bytes) else {
-            return self.refuse(ActRefusal::Form);
+            return self.refuse(OwnershipRefusal::Malformed);
         };
         if envelope.fleet != self.fleet {
-            return self.refuse(ActRefusal::Fleet);
+            return self.refuse(OwnershipRefusal::OtherFleet);
         }
         self.addresses.insert(from, message.at);
         match (envelope.message, &mut self.voter) {
             (LeaseMessage::Reply(reply), _) if self.voters.contains_key(&from) => {
                 self.holder.receive(&reply)
             }
-            (LeaseMessage::Reply(_), _) => self.refuse(ActRefusal::NoVoter),
+            (LeaseMessage::Reply(_), _) => self.refuse(OwnershipRefusal::ReplyFromNonVoter),
             (message, Some(voter)) => {
                 let fleet = self.fleet;
                 let output = voter.receive(at.steady, from, Envelope { fleet, message });
                 self.voter_outbox.push(output);
             }
-            (_, None) => self.refuse(ActRefusal::NoVoterHere),
+            (_, None) => self.refuse(OwnershipRefusal::LocalNonVoter),
         }
     }
 
     /// Puts what there is to send into datagrams: a voter's behind what it has to save.
     pub fn send(&mut self, at: ClockReading, node: &mut Node, out: &mut Output) {
         for request in std::mem::take(&mut self.requests) {
-            if request.to == self.own {
-                self.request_of_own_voter(at, request.envelope);
+            if request.to == self.local_id {
+                self.pass_to_local_voter(at, request.envelope);
                 continue;
             }
             let to = self.voters.get(&request.to).copied();
@@ -58,9 +58,9 @@
     }
 
     /// A request of this front to itself as a voter stays here.
-    fn request_of_own_voter(&mut self, at: ClockReading, envelope: Envelope) {
+    fn pass_to_local_voter(&mut self, at: ClockReading, envelope: Envelope) {
         if let Some(voter) = &mut self.voter {
-            let output = voter.receive(at.steady, self.own, envelope);
+            let output = voter.receive(at.steady, self.local_id, envelope);
             self.voter_outbox.push(output);
         }
     }
@@ -75,7 +75,7 @@
         let mut datagrams = Vec::new();
         for AddressedEnvelope { to, envelope } in messages {
             if let LeaseMessage::Reply(reply) = &envelope.message {
-                if to == self.own {
+                if to == self.local_id {
                     self.holder.receive(reply);
                     continue;
                 }
--- a/crates/fleet/src/ownership/refusal.rs
+++ b/crates/fleet/src/ownership/refusal.rs
@@ -2,31 +2,31 @@
 
 /// Why an act or message about ownership was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ActRefusal {
+pub(super) enum OwnershipRefusal {
     /// It can't be read.
-    Form,
+    Malformed,
     /// It is meant for another fleet.
-    Fleet,
+    OtherFleet,
     /// It is a reply of a front that is no voter.
-    NoVoter,
+    ReplyFromNonVoter,
     /// It is meant for a voter, which this front is not.
-    NoVoterHere,
+    LocalNonVoter,
     /// A later owner was seen.
-    Stale,
+    StaleToken,
     /// No majority of voters has reported its token.
-    Unknown,
+    UnknownToken,
 }
 
-impl ActRefusal {
+impl OwnershipRefusal {
     /// Its name in the log.
     pub fn name(self) -> &'static str {
         match self {
-            ActRefusal::Form => "form",
-            ActRefusal::Fleet => "fleet",
-            ActRefusal::NoVoter => "no voter",
-            ActRefusal::NoVoterHere => "no voter here",
-            ActRefusal::Stale => "stale",
-            ActRefusal::Unknown => "unknown",
+            OwnershipRefusal::Malformed => "form",
+            OwnershipRefusal::OtherFleet => "fleet",
+            OwnershipRefusal::ReplyFromNonVoter => "no voter",
+            OwnershipRefusal::LocalNonVoter => "no voter here",
+            OwnershipRefusal::StaleToken => "stale",
+            OwnershipRefusal::UnknownToken => "unknown",
         }
     }
 }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -53,7 +53,7 @@
 
 impl<T: Entry> LogState<T> {
     /// The index in `log` of an entry by its number.
-    fn place(&self, idx: usize) -> usize {
+    fn log_offset(&self, idx: usize) -> usize {
         idx.saturating_sub(self.compacted).min(self.log.len())
     }
 
@@ -77,8 +77,8 @@
 
 #[derive(Debug, Default)]
 struct Shared<T: Entry> {
-    held: LogState<T>,
-    changed: Option<Changes>,
+    state: LogState<T>,
+    changes: Option<Changes>,
 }
 
 /// A handle on one member's state; clones share it. The log library has one, whoever saves the state another.
@@ -93,29 +93,29 @@
 
 impl<T: Entry> LogStore<T> {
     /// Storage that starts from this state.
-    pub fn new(held: LogState<T>) -> LogStore<T> {
+    pub fn new(state: LogState<T>) -> LogStore<T> {
         LogStore(Rc::new(RefCell::new(Shared {
-            held,
-            changed: None,
+            state,
+            changes: None,
         })))
     }
 
     /// Takes what has changed since the last call, if anything has.
     pub fn take_changes(&self) -> Option<Changes> {
-        self.0.borrow_mut().changed.take()
+        self.0.borrow_mut().changes.take()
     }
 
     /// Reads the state.
-    pub fn read<R>(&self, of: impl FnOnce(&LogState<T>) -> R) -> R {
-        of(&self.0.borrow().held)
+    pub fn read<R>(&self, reader: impl FnOnce(&LogState<T>) -> R) -> R {
+        reader(&self.0.borrow().state)
     }
 
     fn change(&self, changes: Changes, change: impl FnOnce(&mut LogState<T>)) -> StorageResult<()> {
         let shared = &mut *self.0.borrow_mut();
-        change(&mut shared.held);
-        let before = shared.changed.unwrap_or_default();
+        change(&mut shared.state);
+        let before = shared.changes.unwrap_or_default();
         let from = before.log_from.into_iter().chain(changes.log_from).min();
-        shared.changed = Some(Changes {
+        shared.changes = Some(Changes {
             must_persist: before.must_persist || changes.must_persist,
             log_from: from,
             snapshot: before.snapshot || changes.snapshot,
@@ -123,7 +123,7 @@
         Ok(())
     }
 
-    fn persist(&self, change: impl FnOnce(&mut LogState<T>)) -> StorageResult<()> {
+    fn change_durable(&self, change: impl FnOnce(&mut LogState<T>)) -> StorageResult<()> {
         self.change(
             Changes {
                 must_persist: true,
@@ -133,7 +133,7 @@
         )
     }
 
-    fn log(&self, from: usize, change: impl FnOnce(&mut LogState<T>)) -> StorageResult<()> {
+    fn change_log(&self, from: usize, change: impl FnOnce(&mut LogState<T>)) -> StorageResult<()> {
         self.change(
             Changes {
                 must_persist: true,
@@ -144,8 +144,8 @@
         )
     }
 
-    fn get<R>(&self, of: impl FnOnce(&LogState<T>) -> R) -> StorageResult<R> {
-        Ok(self.read(of))
+    fn read_ok<R>(&self, reader: impl FnOnce(&LogState<T>) -> R) -> StorageResult<R> {
+        Ok(self.read(reader))
     }
 }
 
@@ -174,34 +174,34 @@
 
     fn append_entries(&mut self, entries: Vec<T>) -> StorageResult<()> {
         let end = self.read(LogState::end);
-        self.log(end, |held| held.log.extend(entries))
+        self.change_log(end, |state| state.log.extend(entries))
     }
 
     fn append_on_prefix(&mut self, from_idx: usize, entries: Vec<T>) -> StorageResult<()> {
-        self.log(from_idx, |held| {
-            held.log.truncate(held.place(from_idx));
-            held.log.extend(entries);
+        self.change_log(from_idx, |state| {
+            state.log.truncate(state.log_offset(from_idx));
+            state.log.extend(entries);
         })
     }
 
     fn set_promise(&mut self, promise: Ballot) -> StorageResult<()> {
-        self.persist(|held| held.promise = Some(promise))
+        self.change_durable(|state| state.promise = Some(promise))
     }
 
     fn set_decided_idx(&mut self, idx: usize) -> StorageResult<()> {
-        self.change(Changes::default(), |held| held.decided = idx)
+        self.change(Changes::default(), |state| state.decided = idx)
     }
 
     fn get_decided_idx(&self) -> StorageResult<usize> {
-        self.get(|held| held.decided)
+        self.read_ok(|state| state.decided)
     }
 
     fn set_accepted_round(&mut self, round: Ballot) -> StorageResult<()> {
-        self.persist(|held| held.accepted_round = Some(round))
+        self.change_durable(|state| state.accepted_round = Some(round))
     }
 
     fn get_accepted_round(&self) -> StorageResult<Option<Ballot>> {
-        self.get(|held| held.accepted_round)
+        self.read_ok(|state| state.accepted_round)
     }
 
     /// Only decided entries are ever asked for. Where a snapshot's difference is merged, the library (0.2.4)
@@ -209,10 +209,10 @@
     /// the answer, as the difference begins at it. Nothing, or entries accepted in an earlier round, would
     /// spoil the snapshot.
     fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<T>> {
-        self.get(|held| {
-            let to = to.min(held.decided);
-            if from >= held.compacted && from <= to {
-                held.log[held.place(from)..held.place(to)].to_vec()
+        self.read_ok(|state| {
+            let to = to.min(state.decided);
+            if from >= state.compacted && from <= to {
+                state.log[state.log_offset(from)..state.log_offset(to)].to_vec()
             } else {
                 Vec::new()
             }
@@ -220,37 +220,37 @@
     }
 
     fn get_log_len(&self) -> StorageResult<usize> {
-        self.get(|held| held.log.len())
+        self.read_ok(|state| state.log.len())
     }
 
     fn get_suffix(&self, from: usize) -> StorageResult<Vec<T>> {
-        self.get(|held| held.log[held.place(from)..].to_vec())
+        self.read_ok(|state| state.log[state.log_offset(from)..].to_vec())
     }
 
     fn get_promise(&self) -> StorageResult<Option<Ballot>> {
-        self.get(|held| held.promise)
+        self.read_ok(|state| state.promise)
     }
 
     fn set_stopsign(&mut self, sign: Option<StopSign>) -> StorageResult<()> {
-        self.persist(|held| held.stopsign = sign)
+        self.change_durable(|state| state.stopsign = sign)
     }
 
     fn get_stopsign(&self) -> StorageResult<Option<StopSign>> {
-        self.get(|held| held.stopsign.clone())
+        self.read_ok(|state| state.stopsign.clone())
     }
 
     fn trim(&mut self, idx: usize) -> StorageResult<()> {
-        self.change(Changes::default(), |held| {
-            _ = held.log.drain(..held.place(idx))
+        self.change(Changes::default(), |state| {
+            _ = state.log.drain(..state.log_offset(idx))
         })
     }
 
     fn set_compacted_idx(&mut self, idx: usize) -> StorageResult<()> {
-        self.change(Changes::default(), |held| held.compacted = idx)
+        self.change(Changes::default(), |state| state.compacted = idx)
     }
 
     fn get_compacted_idx(&self) -> StorageResult<usize> {
-        self.get(|held| held.compacted)
+        self.read_ok(|state| state.compacted)
     }
 
     fn set_snapshot(&mut self, snapshot: Option<T::Snapshot>) -> StorageResult<()> {
@@ -260,12 +260,12 @@
                 log_from: None,
                 snapshot: true,
             },
-            |held| held.snapshot = snapshot,
+            |state| state.snapshot = snapshot,
         )
     }
 
     fn get_snapshot(&self) -> StorageResult<Option<T::Snapshot>> {
-        self.get(|held| held.snapshot.clone())
+        self.read_ok(|state| state.snapshot.clone())
     }
 }
 
--- a/crates/replica/src/order.rs
+++ b/crates/replica/src/order.rs
@@ -9,7 +9,7 @@
 
 /// A sender's incarnation and the number of its latest message; ordered by both.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-struct Latest {
+struct LatestMessage {
     incarnation: u64,
     number: u64,
 }
@@ -19,7 +19,7 @@
 pub struct MessageOrder {
     sent: u64,
     /// Of each sender, its latest message.
-    received: BTreeMap<u64, Latest>,
+    received: BTreeMap<u64, LatestMessage>,
 }
 
 impl MessageOrder {
@@ -38,7 +38,7 @@
     /// numbers its messages anew.
     pub fn accepts(&mut self, from: u64, incarnation: u64, number: u64) -> bool {
         let latest = self.received.entry(from).or_default();
-        let message = Latest {
+        let message = LatestMessage {
             incarnation,
             number,
         };
