--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,8 +1,9 @@
-//! What one front and its fleet know of each other, carried between gossip and the dispatcher: this front's
-//! observations of engines go out; other fronts' reports, the size of the fleet and its load reach the
-//! dispatcher. Lease ownership, the replicated ledger and the gate for executions that depend on it take part
-//! here too. Free of sockets, clocks and randomness of its own; what is done about engines is decided in the
-//! decision module.
+//! Connects gossip and the dispatcher of one front: sends the front's observations of engines to its peers,
+//! and passes peer reports, the fleet size and the fleet's load to the dispatcher.
+//!
+//! The crate also runs lease ownership, the replicated ledger, and the ledger barrier for executions that
+//! depend on ledger entries. The crate opens no sockets, reads no clocks and draws no random numbers: callers
+//! pass these in. The dispatcher decides what to do about engines.
 
 #![warn(missing_docs)]
 
@@ -21,29 +22,32 @@
 pub use ledger::LedgerSave;
 pub use ownership::{OwnedLease, OwnershipConfig, VoterAddress, VoterSave};
 
-/// The time on a front's clocks.
+/// A reading of all clocks of a front at one instant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
-    /// Microseconds on the clock that the dispatcher goes by.
+    /// Microseconds on the dispatcher's clock.
     pub now: Micros,
-    /// Microseconds on a monotonic clock that runs evenly: leases go by it alone.
+    /// Microseconds on a monotonic clock with a constant rate; the only clock that leases use.
     pub steady: Micros,
-    /// Unix time in milliseconds, as other fronts get it.
+    /// Unix time in milliseconds, as sent to other fronts.
     pub wall_ms: u64,
 }
 
-/// What a call gives out: to be sent, and to be saved first where a save stands beside it.
+/// The datagrams to send and the state to save after a call. Each save has its own datagrams, which must be
+/// sent only after that save is durable.
 #[derive(Default)]
 pub struct Output {
-    /// To be sent now.
+    /// Datagrams to send immediately.
     pub datagrams: Vec<Datagram>,
-    /// Voter states, each to be durable before the datagrams beside it leave, in this order.
+    /// Voter states to save in this order; each must be durable before its datagrams are sent.
     pub voter_saves: Vec<VoterSave>,
-    /// Ledger records likewise; the outcome of each is to be passed to [`Exchange::ledger_saved`].
+    /// Ledger records to save in this order; each must be durable before its datagrams are sent, and its
+    /// outcome must be passed to [`Exchange::ledger_saved`].
     pub ledger_saves: Vec<LedgerSave>,
 }
 
-/// An engine's id as fronts send it: a 64-bit FNV-1a hash, the same in every build.
+/// Returns the 64-bit FNV-1a hash of an engine id, by which fronts refer to the engine in messages. The hash
+/// is the same in every build.
 pub fn engine_hash(engine: &str) -> u64 {
     fnv1a(engine.bytes())
 }
--- a/crates/hash/src/lib_tests.rs
+++ b/crates/hash/src/lib_tests.rs
@@ -1,8 +1,8 @@
-//! Unit tests of the crate's hash.
+//! Tests of [`fnv1a`] against published test vectors.
 
 use super::fnv1a;
 
-/// Vectors of the FNV reference code's test suite (`test_fnv`, 64-bit FNV-1a).
+/// Test vectors from the FNV reference implementation (`test_fnv`, 64-bit FNV-1a).
 const PUBLISHED: [(&str, u64); 8] = [
     ("", 0xcbf2_9ce4_8422_2325),
     ("a", 0xaf63_dc4c_8601_ec8c),
@@ -15,14 +15,14 @@
 ];
 
 #[test]
-fn equals_the_published_vectors() {
+fn hash_equals_published_test_vectors() {
     for (text, hash) in PUBLISHED {
         assert_eq!(fnv1a(text.bytes()), hash, "{text:?}");
     }
 }
 
 #[test]
-fn chained_fields_hash_as_their_concatenation() {
+fn chained_fields_hash_like_their_concatenation() {
     assert_eq!(
         fnv1a("foo".bytes().chain("bar".bytes())),
         fnv1a("foobar".bytes())
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,6 +1,8 @@
-//! The durable state of a replicated log's member: its promised ballot, the entries accepted, how far they
-//! are decided. It is held in memory for the log library (omnipaxos); whoever saves it reads it whole or by
-//! what changed.
+//! The durable state of one member of a replicated log: its promised ballot, the accepted entries and the
+//! number of decided entries.
+//!
+//! The state is held in memory as the storage of the log library (omnipaxos). The code that persists it reads
+//! either the full state or only what has changed.
 
 #![warn(missing_docs)]
 
@@ -16,8 +18,8 @@
 use omnipaxos::storage::{Entry, StopSign, Storage, StorageOp, StorageResult};
 use serde::{Deserialize, Serialize};
 
-/// The state of a member. Entries are numbered from the log's first; those before `compacted` are in the
-/// snapshot. Fields are positional in saved states: append only.
+/// The state of one member. Entries are numbered from the start of the log; entries numbered below
+/// `compacted` exist only in the snapshot. Saved states encode fields by position: append only.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(bound(serialize = "T: Serialize", deserialize = "T: Deserialize<'de>"))]
 pub struct LogState<T: Entry> {
@@ -27,13 +29,13 @@
     pub accepted_round: Option<Ballot>,
     /// The number of decided entries.
     pub decided: usize,
-    /// The number of entries that the snapshot stands for.
+    /// The number of entries that the snapshot replaces.
     pub compacted: usize,
-    /// The entries accepted since.
+    /// The accepted entries from number `compacted` on.
     pub log: Vec<T>,
-    /// The snapshot of the entries before.
+    /// The snapshot of the entries numbered below `compacted`.
     pub snapshot: Option<T::Snapshot>,
-    /// The log's end for a change of configuration, if it was accepted.
+    /// The stop sign that ends the log for a configuration change, if one was accepted.
     pub stopsign: Option<StopSign>,
 }
 
@@ -52,26 +54,26 @@
 }
 
 impl<T: Entry> LogState<T> {
-    /// The index in `log` of an entry by its number.
+    /// Returns the index in `log` of the entry numbered `idx`, clamped to the bounds of `log`.
     fn log_offset(&self, idx: usize) -> usize {
         idx.saturating_sub(self.compacted).min(self.log.len())
     }
 
-    /// The number of the next entry.
+    /// Returns the number that the next appended entry will have.
     pub fn end(&self) -> usize {
         self.compacted + self.log.len()
     }
 }
 
-/// What has changed since the changes were last taken.
+/// What has changed since the last [`LogStore::take_changes`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// The state has to be durable before any message that follows from it leaves. How far the log is decided
-    /// need not be: the leader repeats it.
+    /// Whether the state must be durable before any message that depends on it is sent. A changed decided
+    /// index alone needs no save, because the leader sends that index again.
     pub must_persist: bool,
-    /// Entries from this number on were appended, replaced or removed.
+    /// The number of the first entry that was appended, replaced or removed, if any was.
     pub log_from: Option<usize>,
-    /// The snapshot was replaced.
+    /// Whether the snapshot was replaced.
     pub snapshot: bool,
 }
 
@@ -81,7 +83,8 @@
     changes: Option<Changes>,
 }
 
-/// A handle on one member's state; clones share it. The log library has one, whoever saves the state another.
+/// A handle to the state of one member. Clones share the state: the log library owns one clone, the code that
+/// persists the state another.
 #[derive(Debug)]
 pub struct LogStore<T: Entry>(Rc<RefCell<Shared<T>>>);
 
@@ -92,7 +95,7 @@
 }
 
 impl<T: Entry> LogStore<T> {
-    /// Storage that starts from this state.
+    /// Creates a store that holds `state`, with no changes recorded.
     pub fn new(state: LogState<T>) -> LogStore<T> {
         LogStore(Rc::new(RefCell::new(Shared {
             state,
@@ -100,12 +103,12 @@
         })))
     }
 
-    /// Takes what has changed since the last call, if anything has.
+    /// Returns what has changed since the last call, or None if nothing has.
     pub fn take_changes(&self) -> Option<Changes> {
         self.0.borrow_mut().changes.take()
     }
 
-    /// Reads the state.
+    /// Passes the state to `reader` and returns its result.
     pub fn read<R>(&self, reader: impl FnOnce(&LogState<T>) -> R) -> R {
         reader(&self.0.borrow().state)
     }
@@ -204,10 +207,10 @@
         self.read_ok(|state| state.accepted_round)
     }
 
-    /// Only decided entries are ever asked for. Where a snapshot's difference is merged, the library (0.2.4)
-    /// asks up to the index that will be decided then, before the entries are there: what is decided here is
-    /// the answer, as the difference begins at it. Nothing, or entries accepted in an earlier round, would
-    /// spoil the snapshot.
+    /// Returns decided entries only, because the library never needs others. Before it merges a delta
+    /// snapshot, omnipaxos 0.2.4 reads up to the index that the merge will decide, although those entries are
+    /// not in the log yet. The delta starts at the local decided index, so the range is cut there: an empty
+    /// result, or entries accepted in an earlier round, would corrupt the snapshot.
     fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<T>> {
         self.read_ok(|state| {
             let to = to.min(state.decided);
--- a/crates/replica/src/lib_tests.rs
+++ b/crates/replica/src/lib_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the `lib` module.
+//! Tests of [`LogStore`] as storage of the log library.
 
 use super::*;
 use omnipaxos::storage::NoSnapshot;
@@ -14,12 +14,12 @@
     LogStore::new(LogState::default())
 }
 
-fn numbers(of: std::ops::Range<u64>) -> Vec<Number> {
-    of.map(Number).collect()
+fn numbers(range: std::ops::Range<u64>) -> Vec<Number> {
+    range.map(Number).collect()
 }
 
 #[test]
-fn trimmed_entries_keep_their_places() {
+fn trimming_keeps_the_numbers_of_remaining_entries() {
     let mut store = store();
     store.append_entries(numbers(0..10)).unwrap();
     store.trim(4).unwrap();
@@ -30,7 +30,7 @@
     assert!(
         store.get_entries(3, 5).unwrap().is_empty() && store.get_entries(9, 11).unwrap().is_empty()
     );
-    // Up to what is decided, not what was accepted, and not nothing.
+    // A range beyond the decided index is cut there; it is not empty, and holds no undecided entries.
     assert_eq!(store.get_entries(6, 12).unwrap(), numbers(6..8));
     store.append_on_prefix(6, numbers(99..100)).unwrap();
     assert_eq!(
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn changes_are_told_once_from_the_first_entry_on() {
+fn changes_are_reported_once_from_the_first_changed_entry_on() {
     let mut store = store();
     assert_eq!(store.take_changes(), None);
     store.set_decided_idx(0).unwrap();
--- a/crates/replica/src/order.rs
+++ b/crates/replica/src/order.rs
@@ -1,29 +1,30 @@
-//! Message order between members of a replicated log. The log library relies on messages that come in the
-//! order in which they left, and may lose accepted entries, or panic, where an older one comes late: a
-//! message that was overtaken counts as lost.
+//! Enforces message order between members of a replicated log. The log library relies on messages arriving in
+//! the order in which they were sent; a late, older message can make it lose accepted entries or panic.
+//! Messages that arrive out of order are therefore treated as lost.
 
 use std::collections::BTreeMap;
 
 use omnipaxos::messages::Message;
 use omnipaxos::storage::Entry;
 
-/// A sender's incarnation and the number of its latest message; ordered by both.
+/// The latest message received from a sender, ordered by the sender's incarnation, then by message number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct LatestMessage {
     incarnation: u64,
     number: u64,
 }
 
-/// Numbers the messages of one member to the others, and checks the numbers of those that it receives.
+/// Numbers the messages that a member sends, and checks the numbers of the messages that it receives.
 #[derive(Debug, Default)]
 pub struct MessageOrder {
     sent: u64,
-    /// Of each sender, its latest message.
+    /// The latest message by sender.
     received: BTreeMap<u64, LatestMessage>,
 }
 
 impl MessageOrder {
-    /// The number that goes with a message to be sent; 0: it need not come in order.
+    /// Returns the number to send with a message; 0 for leader election messages, which may arrive in any
+    /// order.
     pub fn next_number<T: Entry>(&mut self, message: &Message<T>) -> u64 {
         match message {
             Message::SequencePaxos(_) => {
@@ -34,8 +35,9 @@
         }
     }
 
-    /// Whether a received message was not overtaken. `incarnation` grows with each start of the sender, which
-    /// numbers its messages anew.
+    /// Returns whether to process a received message: false if a later message of the same sender has arrived
+    /// before, or the message is a duplicate. `incarnation` grows with each start of the sender, whose message
+    /// numbers then start again.
     pub fn accepts(&mut self, from: u64, incarnation: u64, number: u64) -> bool {
         let latest = self.received.entry(from).or_default();
         let message = LatestMessage {
