--- a/crates/fleet/src/ledger_barrier.rs
+++ b/crates/fleet/src/ledger_barrier.rs
@@ -1,7 +1,9 @@
-//! Holds executions back until the ledger entries that they require are held: executions of one order key run
-//! one at a time over all fronts, a repeat goes only to the group that drops it, and a non-idempotent
-//! statement is begun at most once. Statements that require nothing never come here. Free of sockets and
-//! clocks: it says what to ask the ledger and which executions may leave.
+//! Holds executions back until this front holds the ledger entries that they require.
+//!
+//! The entries guarantee across all fronts that executions with the same order key run one at a time, that a
+//! repeated statement is sent only to the engine group that deduplicates it, and that a non-idempotent
+//! statement is started at most once. Statements that require no entries bypass the barrier. The barrier opens
+//! no sockets and reads no clocks: it produces ledger requests and decisions on held executions.
 
 mod claims;
 mod driver;
@@ -21,73 +23,75 @@
 use key_state::{KeyState, ShardState};
 use requirements::{Requirement, Requirements};
 
-/// The gate's requests to the ledger are numbered from here: the highest byte tells the parts of one front apart.
+/// Base of the barrier's ledger request numbers. The highest byte identifies the subsystem of the front that
+/// made a request.
 pub const REQUEST_NUMBER_BASE: u64 = 1 << 56;
 
-/// Microseconds from a front's start within which a shard may not have started yet, or its leader not be
-/// known.
+/// Microseconds from the front's start during which a shard may still be starting or electing its leader.
 const SHARD_STARTUP_GRACE: Micros = 10_000_000;
-/// Microseconds that an execution waits at most for the first answer of its shard; and half of its time at
-/// most.
+/// Microseconds that an execution waits at most for the first answer of its shard; the wait is also limited to
+/// half of the time left until the execution's deadline.
 const MAX_FIRST_ANSWER_WAIT: Micros = 3_000_000;
 
-/// An execution that the dispatcher has ordered.
+/// An execution ordered by the dispatcher, as the barrier holds it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PendingExecution {
-    /// Its statement.
+    /// The statement that the execution belongs to.
     pub ticket: Ticket,
-    /// Its number among the statement's executions.
+    /// The number of the execution among those of its statement.
     pub execution: usize,
-    /// The engine that it goes to.
+    /// The engine that the execution is for.
     pub place: Place,
-    /// Its deadline and priority.
+    /// The deadline and priority of the execution.
     pub terms: Terms,
-    /// Where that engine is.
+    /// The location and cell of the engine.
     pub site: Site,
 }
 
-/// What becomes of an execution that was held.
+/// The barrier's decision on a held execution or its statement.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BarrierDecision {
-    /// Its entries are held: it leaves at once, or not under this ruling.
+    /// All required entries are held. The execution must be sent immediately; a later send needs a new
+    /// decision.
     Release(PendingExecution),
-    /// An entry can't be had now: final, and a retry by the client is harmless.
+    /// A required entry can't be acquired now. Ends the statement; the client can retry it safely.
     Reject(Ticket),
-    /// Its statement was begun before, on some front: final, and its outcome is not known.
+    /// The statement was started before, on some front. Ends the statement; its outcome is unknown.
     Abort(Ticket),
 }
 
-/// A statement that requires entries.
+/// A statement that requires ledger entries.
 struct Statement {
     requirements: Vec<Requirement>,
-    /// Its execution that is held.
+    /// The execution of the statement that is held, if any.
     held: Option<PendingExecution>,
-    /// Until when it waits for the first answer of a shard.
+    /// When a held execution stops waiting for the first answer of a shard.
     wait_deadline: Micros,
 }
 
-/// The statements that require ledger entries, and the keys that they hold or claim.
+/// Tracks the statements that require ledger entries, and the keys that they hold or claim.
 pub struct LedgerBarrier {
     /// When this front started, in Unix milliseconds.
     started_ms: u64,
-    /// By shard, whether it has answered since.
+    /// For each shard, whether it has answered since the front started.
     shards_answered: Vec<bool>,
     requirements: Requirements,
     statements: HashMap<Ticket, Statement>,
     keys: BTreeMap<Key, KeyState>,
-    /// The keys of the requests that are out, by number.
+    /// The keys of unanswered requests, by request number.
     pending_requests: BTreeMap<u64, Key>,
     last_request_number: u64,
-    /// When the first of the keys is due; computed anew only then.
+    /// When `tick` has to look at the keys next; can be early, as only `tick` moves it to a later time.
     due: Micros,
     requests: Vec<ledger::LedgerRequest>,
     decisions: Vec<BarrierDecision>,
-    /// Statements that were rejected or aborted, by reason.
+    /// The number of statements rejected or aborted, by reason.
     pub refused: BTreeMap<&'static str, u64>,
 }
 
 impl LedgerBarrier {
-    /// `started_ms` is when this front started, in Unix milliseconds, as the ledger knows it.
+    /// Creates a barrier without statements for a ledger of `shards` shards. `started_ms` is when this front
+    /// started, in Unix milliseconds; the same value identifies this incarnation in the ledger.
     pub fn new(settings: &Settings, started_ms: u64, shards: u16) -> LedgerBarrier {
         LedgerBarrier {
             started_ms,
@@ -104,8 +108,8 @@
         }
     }
 
-    /// Takes in what the dispatcher reports of statements that require entries. `id` gives the name that such
-    /// a statement has on whichever front it is retried, if it has one.
+    /// Applies an event of the dispatcher about a statement or an order key. `id` returns the statement id that
+    /// the client uses on every front where it retries the statement, or None if there is no such id.
     pub fn observe(
         &mut self,
         now: Micros,
@@ -125,9 +129,9 @@
         }
     }
 
-    /// A statement was admitted.
+    /// Records an admitted statement if it requires entries.
     fn add_statement(&mut self, statement: &StatementArrived, id: Option<String>) {
-        // A statement without a name is told apart by this front alone: its entry is for the record.
+        // Without a client's id the statement gets one unique to this front: its entry only records the start.
         let id = id.unwrap_or_else(|| format!("{}-{}", self.started_ms, statement.ticket));
         let requirements = self.requirements.for_statement(statement, &id);
         if requirements.is_empty() {
@@ -141,12 +145,12 @@
         self.statements.insert(statement.ticket, state);
     }
 
-    /// Whether executions of a statement may leave only by a ruling.
+    /// Whether executions of a statement must wait for a decision of the barrier.
     pub fn requires_entries(&self, ticket: Ticket) -> bool {
         self.statements.contains_key(&ticket)
     }
 
-    /// The dispatcher has ordered an execution of such a statement: it is held until a ruling.
+    /// Holds an execution until the barrier decides on it. Does nothing if its statement requires no entries.
     pub fn hold(&mut self, now: Micros, pending: PendingExecution) {
         let Some(statement) = self.statements.get_mut(&pending.ticket) else {
             return;
@@ -157,7 +161,7 @@
         self.claim(now, pending.ticket);
     }
 
-    /// The priority of an execution has changed while it is held.
+    /// Changes the priority of a statement's held execution, if there is one.
     pub fn set_priority(&mut self, ticket: Ticket, priority: u8) {
         let statement = self.statements.get_mut(&ticket);
         if let Some(held) = statement.and_then(|statement| statement.held.as_mut()) {
@@ -165,7 +169,7 @@
         }
     }
 
-    /// Withdraws an execution. True if it was held: it has never left.
+    /// Cancels an execution. Returns true if the execution was held, so it was never sent.
     pub fn cancel(&mut self, now: Micros, ticket: Ticket, execution: usize) -> bool {
         let Some(statement) = self.statements.get_mut(&ticket) else {
             return false;
@@ -178,7 +182,7 @@
         true
     }
 
-    /// A statement has ended, and no execution of it is out.
+    /// Releases the keys of a statement that has ended and has no execution in flight.
     fn end_statement(&mut self, now: Micros, over: StatementOver) {
         let Some(statement) = self.statements.remove(&over.ticket) else {
             return;
@@ -191,13 +195,15 @@
         }
     }
 
-    /// A transaction holds the order key of one of its statements until `release_key`.
+    /// Holds the order key of a transaction's statement until `release_key`.
     fn retain_key(&mut self, name: &str) {
         if let Some(state) = self.keys.get_mut(&order_key(name)) {
             state.retain_for_transaction();
         }
     }
 
+    /// Releases an order key that a transaction held. Where the transaction may still run, the key stays
+    /// reserved for a while.
     fn release_key(&mut self, now: Micros, name: &str, may_still_run: bool) {
         let key = order_key(name);
         if let Some(state) = self.keys.get_mut(&key) {
@@ -206,7 +212,8 @@
         self.advance(now, &key);
     }
 
-    /// The ledger has answered a request, or notifies that a key is available.
+    /// Processes the ledger's answer to a request, or its notification that a key is available, which carries
+    /// the number of an answered request.
     pub fn handle_answer(&mut self, now: Micros, done: LedgerAnswer) {
         let Some(key) = self.pending_requests.remove(&done.number) else {
             return self.key_available(now, done.number);
@@ -219,7 +226,7 @@
         self.apply_verdict(now, &key, verdict);
     }
 
-    /// Whether the key's shard, which gave this outcome, has answered since the front's start.
+    /// Records that the shard of `key` gave `outcome`, and returns whether the shard may still be starting.
     fn shard_state(&mut self, now: Micros, key: &Key, outcome: &ledger::Outcome) -> ShardState {
         let shard = ledger::shard_of(key, self.shards_answered.len() as u16);
         let heard = match self.shards_answered.get_mut(usize::from(shard)) {
@@ -237,8 +244,8 @@
         }
     }
 
-    /// A key that another front held is free, and this front is next: known by the number of the latest
-    /// request for it.
+    /// Claims a key again that another front has freed for this front. `number` is the number of this front's
+    /// latest request for the key.
     fn key_available(&mut self, now: Micros, number: u64) {
         let available = self
             .keys
@@ -249,7 +256,7 @@
         }
     }
 
-    /// Makes the requests that are due.
+    /// Makes the ledger requests that are due, and refuses executions that must no longer be sent.
     pub fn tick(&mut self, now: Micros) {
         if now < self.due {
             return;
@@ -267,7 +274,7 @@
         self.due = next.unwrap_or(Micros::MAX);
     }
 
-    /// When `tick` is next due, or 0 where asks or rulings wait to be taken.
+    /// When `tick` is next due, or 0 if requests or decisions are waiting to be taken.
     pub fn due(&self) -> Micros {
         if !self.requests.is_empty() || !self.decisions.is_empty() {
             return 0;
@@ -275,24 +282,25 @@
         self.due
     }
 
-    /// Whether every request was answered.
+    /// Whether all requests have been answered.
     pub fn is_idle(&self) -> bool {
         self.pending_requests.is_empty()
     }
 
-    /// The executions that are held.
+    /// The held executions, in no particular order.
     pub fn held(&self) -> impl Iterator<Item = &PendingExecution> + '_ {
         self.statements
             .values()
             .filter_map(|statement| statement.held.as_ref())
     }
 
-    /// Takes the requests that are to be passed to the ledger.
+    /// Removes and returns the requests to pass to the ledger.
     pub fn take_requests(&mut self) -> Vec<ledger::LedgerRequest> {
         std::mem::take(&mut self.requests)
     }
 
-    /// Takes the rulings. Each is to be obeyed at once, and not later than the time passed in last.
+    /// Removes and returns the decisions. Each must be carried out immediately: it holds only for the time that
+    /// was passed to the barrier last.
     pub fn take_decisions(&mut self) -> Vec<BarrierDecision> {
         std::mem::take(&mut self.decisions)
     }
--- a/crates/fleet/src/ledger_barrier/claims.rs
+++ b/crates/fleet/src/ledger_barrier/claims.rs
@@ -1,4 +1,5 @@
-//! The claims of held executions on their keys: requested of the ledger, released once all are held, or refused.
+//! Claims of held executions on their keys: requests the entries from the ledger, releases an execution once all
+//! its entries are held, and refuses executions whose entries can't be acquired.
 
 use hallmux_dispatcher::{Micros, Ticket};
 use hallmux_ledger::{self as ledger, Key};
@@ -9,8 +10,9 @@
 use super::{BarrierDecision, LedgerBarrier, PendingExecution};
 
 impl LedgerBarrier {
-    /// A held execution claims its entries in order: none behind one that another front holds, so that fronts
-    /// that claim the same ones do not wait for each other.
+    /// Claims the entries of a statement's held execution in order, up to and including the first one that
+    /// another front holds. Claiming no later entries prevents a deadlock between fronts that need the same
+    /// ones.
     pub(super) fn claim(&mut self, now: Micros, ticket: Ticket) {
         let Some(statement) = self.statements.get(&ticket) else {
             return;
@@ -39,20 +41,21 @@
         }
     }
 
-    /// Rules on the executions of a verdict, and claims anew for the others.
+    /// Refuses the executions that a verdict names, and renews the claims of the others that wait for the key.
     pub(super) fn apply_verdict(&mut self, now: Micros, key: &Key, verdict: Verdict) {
         if let Verdict::Refuse { tickets, reason } = verdict {
             for ticket in tickets {
                 self.refuse(now, ticket, reason);
             }
         }
-        // Executions that go on waiting may claim their other entries now.
+        // Executions that keep waiting may now be able to claim their other entries.
         for ticket in self.waiting_for(key) {
             self.claim(now, ticket);
         }
         self.advance(now, key);
     }
 
+    /// Ends a statement: counts it under the reason, withdraws its claims and records the decision.
     fn refuse(&mut self, now: Micros, ticket: Ticket, reason: Refusal) {
         *self.refused.entry(reason.name()).or_default() += 1;
         let Some(statement) = self.statements.get_mut(&ticket) else {
@@ -69,7 +72,7 @@
         self.decisions.push(decision);
     }
 
-    /// Withdraws what a statement's execution claims; others may have it then.
+    /// Withdraws all claims of a statement's execution, which can make the keys available to other executions.
     pub(super) fn withdraw_claims(&mut self, now: Micros, ticket: Ticket) {
         for key in self.required_keys(ticket) {
             if let Some(state) = self.keys.get_mut(&key) {
@@ -79,7 +82,8 @@
         }
     }
 
-    /// Releases executions that may leave, and makes the request that is due of a key.
+    /// Refuses executions whose dedup window is over, releases those that hold all their entries, and makes the
+    /// request that is due for a key.
     pub(super) fn advance(&mut self, now: Micros, key: &Key) {
         let Some(state) = self.keys.get_mut(key) else {
             return;
@@ -98,7 +102,7 @@
         self.request(now, key);
     }
 
-    /// Makes the request that is due of a key, and forgets the key once nothing needs it.
+    /// Makes the request that is due for a key, if any, and discards the key once nothing needs it.
     fn request(&mut self, now: Micros, key: &Key) {
         let Some(state) = self.keys.get_mut(key) else {
             return;
@@ -123,7 +127,7 @@
         }
     }
 
-    /// Releases a held execution once all its entries are held.
+    /// Releases a statement's held execution if all its entries are held and its deadline has not passed.
     fn release(&mut self, now: Micros, ticket: Ticket) {
         let Some(statement) = self.statements.get_mut(&ticket) else {
             return;
@@ -150,6 +154,7 @@
         self.decisions.push(BarrierDecision::Release(held));
     }
 
+    /// The keys that a statement requires, in claim order; empty for an unknown statement.
     fn required_keys(&self, ticket: Ticket) -> Vec<Key> {
         let Some(statement) = self.statements.get(&ticket) else {
             return Vec::new();
@@ -160,7 +165,7 @@
             .collect()
     }
 
-    /// The statements with an execution that waits for a key.
+    /// The statements with an execution waiting for a key.
     fn waiting_for(&self, key: &Key) -> Vec<Ticket> {
         self.keys
             .get(key)
@@ -169,6 +174,7 @@
     }
 }
 
+/// The claim that a held execution makes on a required entry.
 fn claim_for(requirement: &Requirement, held: &PendingExecution, wait_deadline: Micros) -> Claim {
     let ends = held.terms.deadline;
     Claim {
--- a/crates/fleet/src/ledger_barrier/driver.rs
+++ b/crates/fleet/src/ledger_barrier/driver.rs
@@ -1,5 +1,5 @@
-//! Runs the gate between a front's dispatcher and its ledger: passes events, requests and answers on until
-//! nothing is new.
+//! Drives the ledger barrier of a front: passes events, requests and answers between the dispatcher, the
+//! barrier and the ledger until none is left.
 
 use std::collections::BTreeMap;
 
@@ -9,38 +9,39 @@
 
 use super::{BarrierDecision, LedgerBarrier, PendingExecution, REQUEST_NUMBER_BASE};
 
-/// Microseconds between notes to the dispatcher on executions that are still held.
+/// Microseconds between reports to the dispatcher of the executions that are still held.
 const HELD_REPORT_INTERVAL: Micros = 100_000;
 
 /// The front's connection to its ledger.
 pub trait LedgerClient {
-    /// Passes a request to the ledger; `now` is the dispatcher's clock.
+    /// Submits a request to the ledger at time `now` on the dispatcher's clock.
     fn submit(&mut self, now: Micros, request: LedgerRequest);
-    /// Takes the answers to requests whose numbers have the same highest byte as `part`.
+    /// Removes and returns the answers to requests whose numbers have the same highest byte as `part`.
     fn take_answers(&mut self, part: u64) -> Vec<LedgerAnswer>;
 }
 
-/// An execution as the dispatcher has ordered it.
+/// An execution as ordered by the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OrderedExecution {
-    /// Its statement.
+    /// The statement that the execution belongs to.
     pub ticket: Ticket,
-    /// Its number among the statement's executions.
+    /// The number of the execution among those of its statement.
     pub execution: usize,
-    /// The engine that it goes to.
+    /// The engine that the execution is for.
     pub place: Place,
-    /// Its deadline and priority.
+    /// The deadline and priority of the execution.
     pub terms: Terms,
 }
 
-/// The gate of one front, with what its dispatcher has to know of it.
+/// The ledger barrier of one front together with the state for reporting held executions to the dispatcher.
 pub struct BarrierDriver {
     barrier: LedgerBarrier,
     last_held_report: Micros,
 }
 
 impl BarrierDriver {
-    /// For a front with a ledger, which starts at `now`: Unix time in microseconds.
+    /// Creates the driver for a front that uses a ledger of `shards` shards and starts at `now`, Unix time in
+    /// microseconds. Makes the dispatcher record the events that the barrier needs.
     pub fn new(
         settings: &Settings,
         now: Micros,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// When `advance` is next due, on the dispatcher's clock, if nothing happens before.
+    /// When `advance` is next due on the dispatcher's clock if no event or answer arrives earlier.
     pub fn due(&self) -> Micros {
         let next_held_report = if self.barrier.held().next().is_some() {
             self.last_held_report + HELD_REPORT_INTERVAL
@@ -64,17 +65,18 @@
         self.barrier.due().min(next_held_report)
     }
 
-    /// Whether every ask was answered.
+    /// Whether all ledger requests have been answered.
     pub fn is_idle(&self) -> bool {
         self.barrier.is_idle()
     }
 
-    /// Statements that were rejected or aborted, by reason.
+    /// The number of statements rejected or aborted, by reason.
     pub fn refused(&self) -> &BTreeMap<&'static str, u64> {
         &self.barrier.refused
     }
 
-    /// The dispatcher has ordered an execution. True if it is held for now.
+    /// Holds an execution that the dispatcher has ordered, if its statement requires ledger entries. Returns
+    /// whether the execution is held.
     pub fn hold(
         &mut self,
         now: Micros,
@@ -96,18 +98,18 @@
         true
     }
 
-    /// The priority of a statement has changed while an execution of it may be held.
+    /// Changes the priority of a statement's held execution, if there is one.
     pub fn set_priority(&mut self, ticket: Ticket, priority: u8) {
         self.barrier.set_priority(ticket, priority);
     }
 
-    /// Withdraws an execution. True if it was held: it has never left.
+    /// Cancels an execution. Returns true if the execution was held, so it was never sent.
     pub fn cancel(&mut self, now: Micros, ticket: Ticket, execution: usize) -> bool {
         self.barrier.cancel(now, ticket, execution)
     }
 
-    /// Passes events of statements and answers of the ledger to the gate, and gives the rulings that follow.
-    /// `id` gives the name that a statement has on whichever front it is retried.
+    /// Passes the dispatcher's events and the ledger's answers to the barrier, and returns the decisions that
+    /// follow. `id` returns the statement id that the client uses on every front where it retries a statement.
     pub fn advance(
         &mut self,
         now: Micros,
--- a/crates/fleet/src/ledger_barrier/key_state.rs
+++ b/crates/fleet/src/ledger_barrier/key_state.rs
@@ -1,7 +1,8 @@
-//! One key of the ledger as this front holds it or waits for it. One request for a key is out at a time.
+//! The state of one ledger key that this front holds or waits for. At most one request for a key is pending at
+//! a time.
 //!
-//! What is asked of the ledger is in `requests`, what its answers mean in `answers`, and how long engines drop
-//! repeats of a dedup key in `dedup_window`.
+//! `requests` decides what to request from the ledger, `answers` processes its answers, and `dedup_window`
+//! determines how long engines drop repeats of a dedup key.
 
 mod answers;
 mod dedup_window;
@@ -15,49 +16,49 @@
 use super::refusal::Refusal;
 use super::requirements::{EngineGroup, RequestId};
 
-/// Microseconds until a key that another front holds is requested again; doubles each time. The ledger
-/// notifies when it is free: this is for notices that are lost, and for fronts of an earlier build that send
-/// none.
+/// Microseconds until a key that another front holds is requested again; doubles with each attempt. The ledger
+/// notifies this front when the key is free; retries cover lost notifications, and fronts of an earlier build
+/// that send none.
 const RETRY_BACKOFF: Micros = 40_000;
-/// Microseconds; a key that is free stays unused for at most this long.
+/// Upper limit of the backoff in microseconds, and so of the time that a free key stays unused.
 const MAX_RETRY_BACKOFF: Micros = 320_000;
-/// Microseconds until a shard that has not answered yet is asked again.
+/// Microseconds until a request to a shard that may still be starting is repeated.
 const STARTING_SHARD_RETRY_INTERVAL: Micros = 100_000;
-/// Microseconds that a request may take until it is known to have found no majority.
+/// Microseconds after which a request without a majority is answered as unreachable, at the latest.
 const REQUEST_TIMEOUT: Micros = 600_000;
-/// Microseconds until a key that could not be freed is tried again.
+/// Microseconds until a failed request to free a key is repeated.
 const FREE_RETRY_INTERVAL: Micros = 1_000_000;
-/// Milliseconds for which a transaction's key is claimed; renewed at half of it.
+/// Milliseconds for which a transaction's key is claimed; the claim is renewed after half of that time.
 const TRANSACTION_CLAIM_MS: u64 = 20_000;
 
-/// What the request that is out is for.
+/// The purpose of the pending request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
-    /// To hold the key for executions in this group.
+    /// Holds the key for executions in this group.
     Claim { group: EngineGroup },
-    /// To keep others from it for a while, though none of its executions is out here.
+    /// Keeps other fronts from the key for a while, although this front has no execution in flight under it.
     Reserve,
-    /// To free it.
+    /// Frees the key.
     Free,
-    /// To learn whether an entry that may exist is this front's current one.
+    /// Reads the entry, to find out whether it is the one that this front requested last.
     Read,
 }
 
 /// Whether a shard has answered this front since it started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ShardState {
-    /// Not yet, and the front has only just started: the shard may still be starting too.
+    /// The shard has not answered, and the front has started so recently that the shard may still be starting.
     Starting,
-    /// It has, or should have by now.
+    /// The shard has answered, or should have done so by now.
     Started,
 }
 
-/// What an answer means for the executions that wait.
+/// The result of a claim or an answer for the executions that wait for a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Verdict {
-    /// To be looked at again: some may leave, or the next request is due.
+    /// The waiting executions must be checked again: some may now be released, or the next request is due.
     Recheck,
-    /// These can't have the key now, for this reason.
+    /// The executions of these statements can't acquire the key, for this reason.
     Refuse {
         tickets: Vec<Ticket>,
         reason: Refusal,
@@ -65,7 +66,7 @@
 }
 
 impl Verdict {
-    /// Refuses these executions; where there are none, the others are looked at again.
+    /// Refuses the executions of these statements, or requests a recheck if there are none.
     fn refuse_any(tickets: Vec<Ticket>, reason: Refusal) -> Verdict {
         if tickets.is_empty() {
             Verdict::Recheck
@@ -75,69 +76,70 @@
     }
 }
 
-/// An execution's claim on the key.
+/// The claim of an execution on a key.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Claim {
     /// Unix milliseconds until which the key must be held.
     pub hold_until_ms: u64,
-    /// Unix milliseconds from which the execution can't be running any more.
+    /// Unix milliseconds from which the execution can't still be running.
     pub runs_until_ms: u64,
-    /// The group of its engine.
+    /// The group of the execution's engine.
     pub group: EngineGroup,
-    /// Until when it may wait for the first answer of its shard.
+    /// When the execution stops waiting for the first answer of the key's shard.
     pub wait_deadline: Micros,
 }
 
-/// One key as this front holds it or waits for it.
+/// The state of one key that this front holds or waits for.
 pub(super) struct KeyState {
     kind: Kind,
-    /// Microseconds past a statement's end for which others are kept from the key.
+    /// Microseconds past a statement's end for which other executions are kept from the key.
     retention_after_end: Micros,
-    /// Executions that wait for it.
+    /// The claims of the executions that wait for the key, by statement.
     waiting: BTreeMap<Ticket, Claim>,
-    /// Statements with an execution that has left under it.
+    /// The statements with an execution that was released under the key.
     executing: BTreeSet<Ticket>,
-    /// Transactions that hold it.
+    /// The number of transactions that hold the key.
     transactions: usize,
-    /// Unix milliseconds until which it is held; 0 where it is not.
+    /// Unix milliseconds until which this front holds the key; 0 if it does not.
     held_until_ms: u64,
-    /// The group that it is held for.
+    /// The engine group that the key is held for.
     group: EngineGroup,
-    /// The version of the entry to be replaced; 0: none.
+    /// The version of the entry that the next request replaces; 0 if there is none.
     version: u64,
-    /// Unix milliseconds until which it may be held though no answer confirmed it.
+    /// Unix milliseconds until which this front may hold the key, counting requests that no answer confirmed.
     may_be_held_until_ms: u64,
-    /// Names the entry that was requested.
+    /// The id of the request that makes this front's entry, by which the entry is recognized.
     request_id: RequestId,
-    /// No answer has told whether that entry was made.
+    /// Whether no answer has shown if that request was carried out.
     unconfirmed: bool,
-    /// What the request that is out is for, if one is.
+    /// The purpose of the pending request, if there is one.
     pending_request: Option<Purpose>,
-    /// The number of the latest request to hold it.
+    /// The number of the latest request to hold the key for executions.
     claim_number: u64,
     retry_at: Micros,
     free_retry_at: Micros,
-    /// Attempts in a row that found it held by another front.
+    /// Consecutive requests that found the key held by another front.
     blocked_attempts: u32,
-    /// Another front holds it.
+    /// Whether another front holds the key.
     blocked: bool,
-    /// Until when others are kept from it after executions that have ended here.
+    /// When the reservation of the key after executions that ended on this front expires.
     reserved_until: Micros,
-    /// Some of those executions may still be running.
+    /// Whether some of those executions may still be running.
     may_still_run: bool,
-    /// Unix milliseconds from which no execution that has left can be running any more.
+    /// Unix milliseconds from which no execution released by this front can still be running.
     runs_until_ms: u64,
-    /// Of a dedup key: the statement whose execution left first under this front's own entry.
+    /// For a dedup key: the statement whose execution was the first one released under this front's entry.
     first_executed: Option<Ticket>,
-    /// Of a dedup key: Unix milliseconds until which engines surely drop a repeat of what left first here;
-    /// until anything has left, counted from the request that made the entry.
+    /// For a dedup key: Unix milliseconds until which engines are sure to drop a repeat of the first execution
+    /// released here. Until an execution is released, the time counts from the request that made the entry.
     dropped_until_ms: u64,
-    /// The same of what may have run under an entry that existed before: all executions here repeat that.
+    /// The same limit for the executions under an entry that existed before this front's: all executions of
+    /// this front repeat those.
     inherited_dropped_until_ms: Option<u64>,
 }
 
 impl KeyState {
-    /// A key that is not held yet.
+    /// Creates the state of a key that is neither held nor claimed.
     pub fn new(kind: Kind, retention_after_end: Micros) -> KeyState {
         KeyState {
             kind,
@@ -166,28 +168,29 @@
         }
     }
 
-    /// Whether another front holds it.
+    /// Whether another front holds the key.
     pub fn is_blocked(&self) -> bool {
         self.blocked
     }
 
-    /// Nothing needs it here, and nothing is left to request of it.
+    /// Whether this front needs the key no longer and has nothing left to request for it.
     pub fn is_discardable(&self, now: Micros) -> bool {
         self.is_unused()
             && self.pending_request.is_none()
             && self.may_be_held_until_ms <= to_unix_ms(now)
     }
 
+    /// Whether no execution or transaction of this front waits for the key or uses it.
     fn is_unused(&self) -> bool {
         self.waiting.is_empty() && self.executing.is_empty() && self.transactions == 0
     }
 
-    /// The statements with an execution that waits for it.
+    /// The statements with an execution waiting for the key.
     pub fn waiting(&self) -> Vec<Ticket> {
         self.waiting.keys().copied().collect()
     }
 
-    /// Whether an execution may leave under it.
+    /// Whether the key allows an execution that waits for it to be released now.
     pub fn permits(&self, now: Micros, ticket: Ticket, claim: Claim) -> bool {
         self.waiting.contains_key(&ticket)
             && self.is_for_statement(ticket)
@@ -197,12 +200,13 @@
             && !self.is_dedup_expired(now, ticket)
     }
 
-    /// The entry of a non-idempotent statement is for that statement alone.
+    /// Whether the key is available to a statement: the entry of a non-idempotent statement is exclusive to it.
     fn is_for_statement(&self, ticket: Ticket) -> bool {
         self.kind != Kind::Begun || self.executing.iter().all(|other| *other == ticket)
     }
 
-    /// The entry of a dedup key is for one group alone, and not while it is requested for another.
+    /// Whether the key is held for a group: a dedup key is held for one group only, and for none while it is
+    /// requested for another.
     fn is_for_group(&self, group: EngineGroup) -> bool {
         if self.kind != Kind::Dedup {
             return true;
@@ -212,7 +216,7 @@
         self.group == group && !changing
     }
 
-    /// Adds an execution's claim; a claim that can't succeed is refused at once.
+    /// Adds the claim of an execution, or refuses it immediately if it can't succeed.
     pub fn claim(&mut self, now: Micros, ticket: Ticket, claim: Claim) -> Verdict {
         let may_leave = |(other, claim): (&Ticket, &Claim)| {
             *other != ticket && self.permits(now, *other, *claim)
@@ -233,12 +237,12 @@
         Verdict::Recheck
     }
 
-    /// Withdraws the claim of a statement's execution, if it has one.
+    /// Withdraws the claim of a statement's execution, if there is one.
     pub fn withdraw_claim(&mut self, ticket: Ticket) {
         self.waiting.remove(&ticket);
     }
 
-    /// A waiting execution leaves for its engine.
+    /// Records that a waiting execution is released to its engine.
     pub fn start_execution(&mut self, now: Micros, ticket: Ticket) {
         if self.first_executed.is_none() {
             self.first_executed = Some(ticket);
@@ -250,7 +254,8 @@
         }
     }
 
-    /// A statement is over.
+    /// Records that a statement has ended. The key stays reserved if an execution under it may still run, or,
+    /// for keys other than order keys, if one may have run.
     pub fn end_statement(&mut self, now: Micros, statement: StatementOver) {
         self.waiting.remove(&statement.ticket);
         let reserves = if self.kind == Kind::Order {
@@ -264,12 +269,12 @@
         }
     }
 
-    /// A transaction holds it until `release`.
+    /// Records that a transaction holds the key until `release_transaction`.
     pub fn retain_for_transaction(&mut self) {
         self.transactions += 1;
     }
 
-    /// A transaction ends; where it `may_still_run`, its key is reserved for a while.
+    /// Records that a transaction has ended. If it `may_still_run`, the key stays reserved for a while.
     pub fn release_transaction(&mut self, now: Micros, may_still_run: bool) {
         self.transactions = self.transactions.saturating_sub(1);
         if may_still_run {
@@ -281,8 +286,9 @@
         self.reserved_until = self.reserved_until.max(now + self.retention_after_end);
     }
 
-    /// The ledger notified that the key is free and this front is next: true where that was its latest
-    /// request, and the key is still claimed.
+    /// Processes the ledger's notification that the key is free and this front is next in its queue. Returns
+    /// whether the key must be requested now: false if `number` is not that of the latest claim, or another
+    /// front no longer blocks the key.
     pub fn key_available(&mut self, now: Micros, number: u64) -> bool {
         let next = self.blocked && self.claim_number == number && self.pending_request.is_none();
         if next {
@@ -293,6 +299,7 @@
     }
 }
 
+/// Converts Unix microseconds to milliseconds; negative times become 0.
 fn to_unix_ms(time: Micros) -> u64 {
     (time.max(0) / 1000) as u64
 }
--- a/crates/fleet/src/ledger_barrier/key_state/answers.rs
+++ b/crates/fleet/src/ledger_barrier/key_state/answers.rs
@@ -1,4 +1,4 @@
-//! What the ledger's answers mean for a key and for the executions that wait for it.
+//! Applies the ledger's answers to a key and to the executions that wait for it.
 
 use hallmux_dispatcher::{Micros, Ticket};
 use hallmux_ledger::{Entry, Kind, Outcome};
@@ -10,11 +10,11 @@
     REQUEST_TIMEOUT, RETRY_BACKOFF, STARTING_SHARD_RETRY_INTERVAL,
 };
 
-/// After this many attempts the backoff grows no more.
+/// The number of consecutive blocked attempts after which the backoff no longer doubles.
 const MAX_BACKOFF_DOUBLING_ATTEMPTS: u32 = 5;
 
 impl KeyState {
-    /// The ledger has answered the request that was out; `shard` is the state of the key's shard.
+    /// Processes the ledger's answer to the pending request; `shard` is the state of the key's shard.
     pub fn handle_answer(&mut self, now: Micros, outcome: Outcome, shard: ShardState) -> Verdict {
         let Some(purpose) = self.pending_request.take() else {
             return Verdict::Recheck;
@@ -38,6 +38,7 @@
         }
     }
 
+    /// Processes the answer to a request that claims the key for `group`.
     fn handle_claim_answer(
         &mut self,
         now: Micros,
@@ -49,7 +50,7 @@
             Outcome::Stands(entry) => self.claim_granted(group, &entry),
             Outcome::Held(entry) => self.handle_existing_entry(now, &entry),
             Outcome::Absent => {
-                // The entry to be taken over has ended meanwhile.
+                // The entry to replace has expired in the meantime.
                 self.version = 0;
                 self.retry_at = now;
                 Verdict::Recheck
@@ -65,6 +66,7 @@
         }
     }
 
+    /// Records that this front holds the key for `group` by `entry`.
     fn claim_granted(&mut self, group: EngineGroup, entry: &Entry) -> Verdict {
         self.held_until_ms = entry.ends_ms;
         self.group = group;
@@ -77,8 +79,8 @@
         self.refuse_outside_group(group)
     }
 
-    /// No majority of the shard has answered. While it may be starting, executions wait for it as long as
-    /// their own time allows.
+    /// Handles a claim that no majority of the shard answered. While the shard may still be starting, those
+    /// executions keep waiting that can still wait for the answer to another request.
     fn claim_unreachable(&mut self, now: Micros, shard: ShardState) -> Verdict {
         self.record_failed_claim(now);
         let tickets = match shard {
@@ -98,18 +100,18 @@
         }
     }
 
-    /// A request to hold the key has failed, and may have been carried out all the same.
+    /// Records a failed claim, which the shard may have carried out nevertheless.
     fn record_failed_claim(&mut self, now: Micros) {
         self.retry_at = now;
         self.free_retry_at = now + FREE_RETRY_INTERVAL;
-        // The entry to be replaced exists as it was, or as this front's: either is respected.
+        // The entry to replace exists either unchanged or as this front's entry; both are respected.
         if self.version != 0 {
             self.may_be_held_until_ms = self.held_until_ms;
         }
         self.unconfirmed |= self.kind != Kind::Order && self.version == 0;
     }
 
-    /// This front has no entry of the key any more.
+    /// Records that this front has no entry for the key.
     fn clear_entry(&mut self) {
         self.held_until_ms = 0;
         self.may_be_held_until_ms = 0;
@@ -121,13 +123,14 @@
         self.inherited_dropped_until_ms = None;
     }
 
+    /// Whether `entry` was made by this front's unconfirmed request.
     fn is_local_entry(&self, entry: &Entry) -> bool {
         self.unconfirmed
             && EntryValue::read(&entry.value)
                 .is_some_and(|value| value.request_id == self.request_id)
     }
 
-    /// The entry was made after all.
+    /// Records that the unconfirmed request did make `entry`.
     fn adopt_entry(&mut self, entry: &Entry) {
         self.held_until_ms = entry.ends_ms;
         self.version = entry.version;
@@ -135,7 +138,7 @@
         self.group = EntryValue::read(&entry.value).map_or(self.group, |value| value.group);
     }
 
-    /// The ledger has an entry of the key already.
+    /// Handles a claim that failed because the ledger already has an entry for the key.
     fn handle_existing_entry(&mut self, now: Micros, entry: &Entry) -> Verdict {
         if self.is_local_entry(entry) {
             self.adopt_entry(entry);
@@ -157,7 +160,8 @@
         }
     }
 
-    /// A dedup key has an entry already: executions here repeat what runs, or ran, under it.
+    /// Handles a dedup key that already has an entry: executions of this front repeat one that runs, or ran,
+    /// under that entry.
     fn handle_held_dedup_key(
         &mut self,
         now: Micros,
@@ -167,8 +171,9 @@
         let Some(value) = value else {
             return self.wait_for_holder(now, entry);
         };
-        // Engines drop a repeat for the dedup window from the first execution on, whichever fronts have had
-        // the entry since: without this a repeat that waited beyond it at another front ran a second time.
+        // Engines drop repeats until the dedup window after the first execution ends, whichever fronts have
+        // held the entry since. Without the inherited limit, a repeat that waited at another front beyond the
+        // window ran a second time.
         self.inherited_dropped_until_ms = Some(value.dropped_until_ms);
         let dedup_expired = self.take_dedup_expired(now);
         if !dedup_expired.is_empty() {
@@ -180,17 +185,17 @@
         if value.runs_until_ms > to_unix_ms(now) {
             return self.wait_for_holder(now, entry);
         }
-        // None of its executions runs any more: its group drops the repeat, and no other group may have it.
+        // None of the entry's executions runs any more. Its group drops the repeat; no other group may run it.
         self.version = entry.version;
         self.retry_at = now;
         self.blocked = false;
         self.group = value.group;
-        // What ran before is respected beyond this front's hold, whatever becomes of that.
+        // The reservation for earlier executions outlasts this front's hold, whatever happens to that hold.
         self.reserved_until = self.reserved_until.max(expiry_of(entry));
         self.refuse_outside_group(value.group)
     }
 
-    /// Another front holds the key: it is requested again after a backoff.
+    /// Schedules the next request for a key that another front holds, after a backoff.
     fn wait_for_holder(&mut self, now: Micros, entry: &Entry) -> Verdict {
         self.blocked_attempts += 1;
         let doublings = self
@@ -204,7 +209,7 @@
         Verdict::Recheck
     }
 
-    /// Refuses claims on a dedup key by executions outside one group.
+    /// Refuses the claims on a dedup key by executions outside `group`; does nothing for other kinds of keys.
     fn refuse_outside_group(&mut self, group: EngineGroup) -> Verdict {
         if self.kind != Kind::Dedup {
             return Verdict::Recheck;
@@ -217,6 +222,7 @@
         Verdict::refuse_any(outside, Refusal::OtherGroup)
     }
 
+    /// Removes all claims and returns their statements.
     fn take_waiting(&mut self) -> Vec<Ticket> {
         self.blocked_attempts = 0;
         self.blocked = false;
@@ -224,7 +230,7 @@
     }
 }
 
-/// The first moment after an entry's end.
+/// The time when an entry has expired: one millisecond past its end.
 fn expiry_of(entry: &Entry) -> Micros {
     entry.ends_ms as Micros * 1000 + 1_000
 }
--- a/crates/fleet/src/ledger_barrier/key_state/requests.rs
+++ b/crates/fleet/src/ledger_barrier/key_state/requests.rs
@@ -1,4 +1,4 @@
-//! What is requested of the ledger for a key, and when.
+//! Decides what to request from the ledger for a key, and when.
 
 use hallmux_dispatcher::Micros;
 use hallmux_ledger::{Kind, Operation};
@@ -7,7 +7,7 @@
 use super::{to_unix_ms, Claim, KeyState, Purpose, TRANSACTION_CLAIM_MS};
 
 impl KeyState {
-    /// When it has something to request, if nothing happens before.
+    /// When the key next needs a request or a check if no event arrives earlier; `Micros::MAX` if never.
     pub fn due(&self) -> Micros {
         if self.pending_request.is_some() {
             return Micros::MAX;
@@ -25,9 +25,9 @@
         }
     }
 
-    /// When something is due for the executions that wait.
+    /// When the key next needs a request or a check for the executions that wait for it.
     fn claims_due(&self) -> Micros {
-        // Those that have it wait for another key: for them it is due when it expires.
+        // Executions that already hold this key wait for another one; this key is due when it expires.
         let lacking = self
             .waiting
             .iter()
@@ -45,7 +45,7 @@
         dedup_expiry_ms.map_or(due, |until_ms| due.min(until_ms as Micros * 1000))
     }
 
-    /// What is to be requested of the ledger now, if anything; `request_id` names the request.
+    /// Returns the operation to request from the ledger now, if any; `request_id` identifies that request.
     pub fn next_request(&mut self, now: Micros, request_id: RequestId) -> Option<Operation> {
         if self.pending_request.is_some() {
             return None;
@@ -62,7 +62,7 @@
         self.request_release(now)
     }
 
-    /// The first claim that the key is not held for, once it is due.
+    /// The first waiting claim that the key does not satisfy; None while no retry is due.
     fn next_claim(&self, now: Micros) -> Option<Claim> {
         if self.retry_at > now {
             return None;
@@ -73,6 +73,7 @@
             .map(|(_, claim)| *claim)
     }
 
+    /// Requests the key for an execution.
     fn request_claim(&mut self, now: Micros, claim: Claim, request_id: RequestId) -> Operation {
         let until_ms = claim
             .hold_until_ms
@@ -91,7 +92,7 @@
         self.operation(until_ms, claim.group, runs_until_ms)
     }
 
-    /// Renews the key that a transaction holds, from half of its time on.
+    /// Renews the claim of a transaction once half of its time has passed.
     fn renew_for_transaction(&mut self, now: Micros) -> Option<Operation> {
         let renews = self.held_until_ms < to_unix_ms(now) + TRANSACTION_CLAIM_MS / 2;
         if !renews || self.retry_at > now {
@@ -106,24 +107,24 @@
         })
     }
 
-    /// Nothing needs the key here any more: it is freed, or reserved for as long as others must be kept from
-    /// it.
+    /// Gives up a key that this front no longer needs: frees it, or reserves it for as long as other executions
+    /// must be kept from it.
     fn request_release(&mut self, now: Micros) -> Option<Operation> {
         if self.may_be_held_until_ms <= to_unix_ms(now) || self.free_retry_at > now {
             return None;
         }
         let reserved = self.reserved_until > now;
         if self.kind == Kind::Begun && reserved {
-            // It is held for long enough as it is: nothing is to be requested.
+            // The entry lasts as long as needed, so no request is made.
             self.may_be_held_until_ms = 0;
             return None;
         }
         if self.unconfirmed {
-            // Freeing it blindly could free what an earlier statement left there for others.
+            // Freeing the key unread could remove an entry that an earlier statement left as a reservation.
             self.pending_request = Some(Purpose::Read);
             return Some(Operation::Read);
         }
-        self.held_until_ms = 0; // nothing may leave under it any more, even before the ledger answers
+        self.held_until_ms = 0; // no execution is released under the key, even before the ledger answers
         if !reserved {
             self.pending_request = Some(Purpose::Free);
             return Some(Operation::Free);
@@ -137,7 +138,7 @@
         Some(self.operation(to_unix_ms(self.reserved_until), self.group, runs_until_ms))
     }
 
-    /// The request that holds the key until `ends_ms`, by its kind.
+    /// The operation that holds the key until `ends_ms`: a claim for an order key, a put for other kinds.
     fn operation(&self, ends_ms: u64, group: EngineGroup, runs_until_ms: u64) -> Operation {
         if self.kind == Kind::Order {
             return Operation::Claim {
@@ -153,8 +154,8 @@
                 .inherited_dropped_until_ms
                 .unwrap_or(self.dropped_until_ms),
         };
-        // An entry that exists already is not replaced, even if it is this front's: a repeat is one whoever
-        // sends it.
+        // An entry of another version is not replaced, even if this front made it: a repeat counts as such
+        // whichever front sends it.
         Operation::Put {
             expects: Some(self.version),
             ends_ms,
--- a/crates/fleet/src/ledger_barrier/refusal.rs
+++ b/crates/fleet/src/ledger_barrier/refusal.rs
@@ -1,22 +1,22 @@
-//! Why the gate refuses an execution.
+//! The reasons why the barrier refuses an execution.
 
-/// Why an execution may not leave. It is counted under its name in the log line `statements ended for want of a
-/// promise so far`; the statement's own line says `LedgerEntry` (`docs/on-call.md`).
+/// Why an execution must not be sent. Refusals are counted by [`Refusal::name`] in the log line `statements ended
+/// for want of a promise so far`; the log line of the statement itself names `LedgerEntry` (`docs/on-call.md`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Refusal {
-    /// Its statement was begun before, or engines may have forgotten the first execution of what it repeats: it may
-    /// have run, and is aborted.
+    /// The statement was started before, or engines may no longer deduplicate it against the execution that it
+    /// repeats. The statement may have run, so it is aborted.
     MayHaveRun,
-    /// Its shard of the ledger is full.
+    /// The ledger shard of a required key is full.
     ShardFull,
-    /// Its dedup key belongs to another group of engines.
+    /// The dedup key is held for another group of engines.
     OtherGroup,
-    /// No majority of its shard has answered.
+    /// No majority of the ledger shard has answered.
     Unreachable,
 }
 
 impl Refusal {
-    /// Its name in the log.
+    /// Returns the name under which the log counts this reason.
     pub fn name(self) -> &'static str {
         match self {
             Refusal::MayHaveRun => "begun",
--- a/crates/fleet/src/ledger_barrier/requirements.rs
+++ b/crates/fleet/src/ledger_barrier/requirements.rs
@@ -1,4 +1,4 @@
-//! The ledger entries that a statement's executions require, by the settings of its workload.
+//! Determines the ledger entries that a statement's executions require, from the settings of its workload.
 
 use std::collections::HashMap;
 
@@ -7,25 +7,25 @@
 use hallmux_ledger::{Key, Kind};
 use serde::{Deserialize, Serialize};
 
-/// Microseconds past its deadline for which the ledger knows that a non-idempotent statement was begun:
-/// clients that retry it under the same id do so within seconds.
+/// Microseconds past a non-idempotent statement's deadline for which the ledger records that it was started.
+/// Clients that retry a statement under the same id do so within seconds.
 const BEGUN_RETENTION: Micros = 60_000_000;
-/// Most microseconds that fronts' clocks differ by, as the ledger assumes.
+/// The largest difference between the clocks of two fronts that the ledger assumes, in microseconds.
 pub(super) const MAX_CLOCK_SKEW: Micros = 500_000;
 
-/// The engines among which repeats of a deduplicated statement are dropped. Part of the entries' format:
-/// append only.
+/// The group of engines within which repeats of a deduplicated statement are dropped. Part of the stored format
+/// of entries: append only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EngineGroup {
     /// All engines.
     All,
-    /// Those of one location.
+    /// The engines of one location.
     Location(u32),
-    /// Those of one cell.
+    /// The engines of one cell.
     Cell(u32),
 }
 
-/// By what engines are grouped.
+/// The attribute by which engines are grouped.
 #[derive(Clone, Copy, Debug)]
 enum Grouping {
     All,
@@ -37,27 +37,28 @@
 #[derive(Clone, Debug)]
 pub(super) struct Requirement {
     pub key: Key,
-    /// Microseconds past the statement's deadline for which it is needed.
+    /// Microseconds past the statement's deadline for which the entry is needed.
     retention_after_deadline: Micros,
-    /// Microseconds past its end for which it is needed, where it may have run, or may be running.
+    /// Microseconds past the statement's end for which the entry is needed if the statement may have run or may
+    /// still be running.
     pub retention_after_end: Micros,
     grouping: Grouping,
-    /// Microseconds past the deadline from which an execution can't be running any more.
+    /// Microseconds past the deadline after which an execution can't still be running.
     max_overrun: Micros,
 }
 
 impl Requirement {
-    /// Unix milliseconds until which the entry has to be held for an execution that ends by `ends`.
+    /// Unix milliseconds until which the entry must be held for an execution with the deadline `ends`.
     pub fn hold_until_ms(&self, ends: Micros) -> u64 {
         ((ends + self.retention_after_deadline + MAX_CLOCK_SKEW).max(0) / 1000) as u64
     }
 
-    /// Unix milliseconds from which an execution can't be running any more.
+    /// Unix milliseconds from which an execution with the deadline `ends` can't still be running.
     pub fn runs_until_ms(&self, ends: Micros) -> u64 {
         ((ends + self.max_overrun + MAX_CLOCK_SKEW).max(0) / 1000) as u64
     }
 
-    /// The group of an engine at this site.
+    /// The group that an engine at this site belongs to.
     pub fn group(&self, site: Site) -> EngineGroup {
         match self.grouping {
             Grouping::All => EngineGroup::All,
@@ -67,31 +68,32 @@
     }
 }
 
-/// What a workload's settings say of its statements.
+/// The settings of a workload that determine the requirements of its statements.
 struct Workload {
-    /// Statements of one order key run one at a time.
+    /// Whether statements with the same order key run one at a time.
     in_order: bool,
-    /// How repeats are dropped, where they are.
+    /// How engines drop repeats; None if they do not.
     dedup: Option<Deduplication>,
-    /// A statement must not run twice.
+    /// Whether a statement must not run twice.
     non_idempotent: bool,
 }
 
-/// How repeats of a workload's statements are dropped.
+/// How engines drop repeats of a workload's statements.
 #[derive(Clone, Copy)]
 struct Deduplication {
-    /// Microseconds for which engines drop them.
+    /// The dedup window: microseconds for which engines drop repeats.
     window: Micros,
     grouping: Grouping,
 }
 
-/// The requirements of workloads, by name.
+/// Determines the requirements of statements by the settings of their workloads.
 pub(super) struct Requirements {
     workloads: HashMap<String, Workload>,
     order_gap: Micros,
 }
 
 impl Requirements {
+    /// Collects the relevant settings of all workloads.
     pub fn new(settings: &Settings) -> Requirements {
         let agreed = settings
             .names
@@ -116,14 +118,15 @@
         }
     }
 
-    /// Those of one statement, in the order in which they are claimed: the same on every front, so that no
-    /// two statements wait for each other. `id` names it on whichever front it is retried.
+    /// Returns the requirements of a statement in the order in which they are claimed; empty if there are none.
+    /// The order is the same on every front, so that no two statements wait for each other. `id` identifies the
+    /// statement on every front where it is retried.
     pub fn for_statement(&self, statement: &StatementArrived, id: &str) -> Vec<Requirement> {
         let Some(workload) = self.workloads.get(&statement.workload) else {
             return Vec::new();
         };
-        // The order key last: many statements claim one, and none is to hold it while it waits for an entry of
-        // its own.
+        // The order key comes last: many statements claim the same one, and none may hold it while waiting for
+        // an entry that only that statement needs.
         [
             self.dedup_key(workload, statement),
             self.begun(workload, statement, id),
@@ -134,7 +137,7 @@
         .collect()
     }
 
-    /// Repeats of a deduplicated statement go only to the group of engines that drops them.
+    /// The requirement that repeats of a deduplicated statement are sent only to the engine group that drops them.
     fn dedup_key(&self, workload: &Workload, statement: &StatementArrived) -> Option<Requirement> {
         let dedup = workload.dedup?;
         let name = statement.dedup_key.as_ref()?;
@@ -151,7 +154,7 @@
         })
     }
 
-    /// A non-idempotent statement is begun at most once.
+    /// The requirement that a non-idempotent statement is started at most once.
     fn begun(
         &self,
         workload: &Workload,
@@ -174,8 +177,8 @@
         })
     }
 
-    /// Executions of one order key run one at a time. As in one front, the order of a key is the same for all
-    /// workloads.
+    /// The requirement that executions with the same order key run one at a time. Order keys are shared by all
+    /// workloads, as they are within one front.
     fn order_key(&self, workload: &Workload, statement: &StatementArrived) -> Option<Requirement> {
         let name = statement.key.as_ref().filter(|_| workload.in_order)?;
         Some(Requirement {
@@ -196,31 +199,33 @@
     }
 }
 
-/// Names one entry: the request that made it.
+/// Identifies the request that made an entry, and thereby the entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct RequestId {
-    /// When the front that made it started, in Unix milliseconds.
+    /// When the requesting front started, in Unix milliseconds.
     pub started_ms: u64,
     /// The number of the request.
     pub number: u64,
 }
 
-/// The value of an entry; entries of order keys have none.
+/// The value of a ledger entry; entries of order keys have an empty value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct EntryValue {
-    /// What tells it from other entries of the key, also of the same front.
+    /// The request that made the entry; distinguishes it from other entries of the key, also those of the same
+    /// front.
     pub request_id: RequestId,
-    /// Where its executions run.
+    /// The engine group in which the entry's executions run.
     pub group: EngineGroup,
-    /// Unix milliseconds from which none of them can be running any more.
+    /// Unix milliseconds from which none of these executions can still be running.
     pub runs_until_ms: u64,
-    /// Of a dedup key: Unix milliseconds until which engines surely drop a repeat of the first of them, on the
-    /// clock of any front. An earlier build writes none, which is read as 0: when its executions left is unknown.
+    /// For a dedup key: Unix milliseconds until which engines are sure to drop a repeat of the first execution,
+    /// on the clock of any front. An earlier build writes no such field; its entries read as 0, because the time
+    /// when their executions were sent is unknown.
     pub dropped_until_ms: u64,
 }
 
-/// The value as builds before `dropped_until_ms` write it. They pass over what follows it, and so read the
-/// later one.
+/// The value as written by builds that lack `dropped_until_ms`. Those builds ignore trailing bytes, so they can
+/// read the current format.
 #[derive(Deserialize)]
 struct EarlierValue {
     request_id: RequestId,
@@ -229,11 +234,13 @@
 }
 
 impl EntryValue {
+    /// Encodes the value as stored in the ledger.
     pub fn bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// None where it can't be read: it counts as running in an unknown group.
+    /// Decodes a value in the current or the earlier format. None if it can't be decoded; callers then treat the
+    /// entry's executions as still running in an unknown group.
     pub fn read(bytes: &[u8]) -> Option<EntryValue> {
         if let Ok(value) = postcard::from_bytes(bytes) {
             return Some(value);
