--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One front's part in the exchange between the fleet and its dispatcher.
+//! Exchanges reports and messages between a front's dispatcher and the fleet.
 
 mod ledger;
 mod reports;
@@ -23,47 +23,48 @@
 
 use reports::ReportedEngine;
 
-/// Microseconds between reports of what this front has observed itself.
+/// Microseconds between reports of this front's own observations.
 const REPORT_INTERVAL: Micros = 250_000;
-/// Channel messages held for other subsystems, some 100 KB.
+/// Maximum number of channel messages held for other subsystems, about 100 KB.
 const MAX_RECEIVED_MESSAGES: usize = 1_024;
 
-/// What a tick of the exchange gives out.
+/// The results of [`Exchange::tick`].
 #[derive(Default)]
 pub struct TickOutput {
-    /// To be sent and saved.
+    /// The datagrams to send and the state to save.
     pub output: Output,
-    /// Reports of other fronts on engines that they had not reported before.
+    /// Peer reports on engines that the reporting peer's previous report did not list.
     pub new_reports: Vec<PeerReport>,
 }
 
-/// One front's part in the exchange.
+/// Connects a front's dispatcher to gossip, lease ownership, the replicated ledger and load reports.
 pub struct Exchange {
     node: Node,
     next_report: Micros,
-    /// What each peer reported last of each engine, so that a change reaches the dispatcher once.
+    /// The latest report of each peer on each engine, so that each change is passed to the dispatcher once.
     known_reports: BTreeMap<ReportedEngine, Sighting>,
-    /// The dispatcher's numbers for reporters, in the order in which they were first heard.
+    /// The dispatcher's numbers for reporters, assigned in the order of their first reports.
     reporters: BTreeMap<PeerId, usize>,
-    /// The size of the fleet as the dispatcher knows it.
+    /// The fleet size that was last passed to the dispatcher.
     fleet_size: FleetSize,
-    /// Whether this front has announced that it leaves.
+    /// Whether this front has announced that it leaves the fleet.
     has_left: bool,
-    /// Messages on channels that other subsystems read.
+    /// Messages on channels that other subsystems of the front read.
     received: Vec<ChannelMessage>,
-    /// Ownership of the fleet's work, where voters are configured.
+    /// Ownership of the fleet-wide work, if voters are configured.
     ownership: Option<Ownership>,
-    /// The replicated ledger, where it is enabled.
+    /// The replicated ledger, if it is enabled.
     ledger: Option<LedgerNode>,
-    /// The load offered to the fleet, where it sheds overload as one.
+    /// The load offered to the fleet, if fronts shed overload by fleet-wide load.
     load: Option<Load>,
-    /// Whether this front makes the fleet's probes, as the dispatcher knows it; None where they have no
-    /// owner.
+    /// Whether this front makes the probes for the fleet, as last passed to the dispatcher; None if probes have
+    /// no owner.
     is_prober: Option<bool>,
 }
 
 impl Exchange {
-    /// A front that knows of no other yet; `wall_ms` is Unix time in milliseconds and names this run.
+    /// Creates the exchange of a front that knows no other front yet. `wall_ms` is Unix time in milliseconds and
+    /// identifies this incarnation.
     pub fn new(config: NodeConfig, wall_ms: u64) -> Exchange {
         Exchange {
             node: Node::new(config, wall_ms),
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Switches on that one front at a time owns the fleet's work. An error says why the saved state can't be
-    /// used.
+    /// Enables lease ownership: one front at a time owns the fleet-wide work. Fails if the saved voter state
+    /// can't be used.
     pub fn enable_ownership(
         &mut self,
         at: ClockReading,
@@ -91,27 +92,28 @@
         Ok(())
     }
 
-    /// Switches on that the fleet sheds overload as one.
+    /// Enables load reports, by which fronts shed overload according to the load of the whole fleet.
     pub fn enable_load_reports(&mut self) {
         self.node.enable_load_reports();
         self.load.get_or_insert_default();
     }
 
-    /// The lease under which this front owns the fleet's work now.
+    /// The lease under which this front owns the fleet-wide work at `steady`, if it holds one.
     pub fn owned_lease(&self, steady: Micros) -> Option<OwnedLease> {
         self.ownership
             .as_ref()
             .and_then(|ownership| ownership.owned_lease(steady))
     }
 
-    /// Whether a probe on behalf of the fleet may leave now: where such work has an owner, only the owner's.
+    /// Whether this front may probe on behalf of the fleet now: always without lease ownership, otherwise only
+    /// while it owns the lease.
     pub fn may_probe(&self, steady: Micros) -> bool {
         self.ownership
             .as_ref()
             .is_none_or(|ownership| ownership.owned_lease(steady).is_some())
     }
 
-    /// Acts and messages of owners and voters that were refused, by reason.
+    /// The number of refused acts and messages of owners and voters, by reason.
     pub fn refused_acts(&self) -> BTreeMap<&'static str, u64> {
         self.ownership
             .as_ref()
@@ -119,22 +121,22 @@
             .unwrap_or_default()
     }
 
-    /// The public half of this front's key pair.
+    /// The public key of this front.
     pub fn public_key(&self) -> [u8; 32] {
         self.node.public_key()
     }
 
-    /// These public keys count from now on, instead of those before.
+    /// Replaces the set of public keys whose messages this front accepts.
     pub fn set_keys(&mut self, keys: Rc<Keys>) {
         self.node.set_keys(keys);
     }
 
-    /// The size of the fleet, this front included, as the dispatcher knows it.
+    /// The size of the fleet, including this front, as last passed to the dispatcher.
     pub fn fleet_size(&self) -> FleetSize {
         self.fleet_size
     }
 
-    /// Datagrams and reports that were refused, by reason.
+    /// The number of refused datagrams and reports, by reason.
     pub fn refused(&self) -> &BTreeMap<Refused, u64> {
         &self.node.refused
     }
@@ -157,7 +159,7 @@
             .min(load)
     }
 
-    /// Takes in a datagram from the address `from`; gives what is to be sent in answer.
+    /// Processes a datagram from the address `from`; returns the datagrams and saves that follow.
     pub fn receive(&mut self, at: ClockReading, from: SocketAddr, bytes: &[u8]) -> Output {
         let datagrams = self.node.receive(at.now, at.wall_ms, from, bytes);
         let mut out = Output {
@@ -174,6 +176,8 @@
         out
     }
 
+    /// Routes a channel message to its subsystem. Messages for subsystems outside this crate are queued up to
+    /// `MAX_RECEIVED_MESSAGES`, then dropped.
     fn receive_message(&mut self, at: ClockReading, message: ChannelMessage) {
         match message.channel {
             Channel::Lease => {
@@ -191,13 +195,14 @@
         }
     }
 
-    /// Takes the messages received on other channels; beyond a bound those not taken are dropped.
+    /// Removes and returns the messages received on channels of other subsystems. While 1,024 wait, further ones
+    /// are dropped.
     pub fn take_received(&mut self) -> Vec<ChannelMessage> {
         std::mem::take(&mut self.received)
     }
 
-    /// Seals such a message to another front. None if its address is unknown or the channel's rate is
-    /// exceeded.
+    /// Seals a channel message for the front `to`. None if the front's address is unknown or the channel's rate
+    /// limit is exceeded.
     pub fn channel_datagram(
         &mut self,
         at: ClockReading,
@@ -210,7 +215,8 @@
             .channel_datagram(at.now, at.wall_ms, to, channel, bytes)
     }
 
-    /// Does what is due.
+    /// Does all work that is due: sends reports, passes peer reports to the dispatcher, and runs leases, the
+    /// ledger and gossip.
     pub fn tick(
         &mut self,
         at: ClockReading,
@@ -223,7 +229,7 @@
             return TickOutput::default();
         }
         if self.has_left {
-            // Statements that it has yet to answer still depend on the ledger.
+            // Statements that this front has not answered yet still depend on the ledger.
             self.tick_ledger(at, &mut output);
             return TickOutput {
                 output,
@@ -252,7 +258,8 @@
         }
     }
 
-    /// Passes the fleet's size, and who of it probes for the fleet, to the dispatcher where it has changed.
+    /// Passes the fleet size, and the number of fronts that share the probing, to the dispatcher if either has
+    /// changed. The number is infinite on a front that another front probes for.
     fn update_fleet_size(&mut self, at: ClockReading, dispatcher: &mut Dispatcher) {
         let fleet_size = self.node.fleet_size();
         let is_prober = self
@@ -270,7 +277,8 @@
         }
     }
 
-    /// This front ends: some peers learn so, and pass it on.
+    /// Announces that this front leaves the fleet. Returns datagrams to some peers, which spread the news; empty
+    /// if the front has announced it before.
     pub fn leave(
         &mut self,
         now: Micros,
--- a/crates/fleet/src/exchange/ledger.rs
+++ b/crates/fleet/src/exchange/ledger.rs
@@ -1,4 +1,4 @@
-//! The exchange's methods on the replicated ledger.
+//! The methods of [`Exchange`] for the replicated ledger.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,8 +9,8 @@
 use super::{ClockReading, Exchange, LedgerNode, Output};
 
 impl Exchange {
-    /// Switches on the ledger; `addresses` says where its members listen. An error says why the setup or the
-    /// saved records can't be used.
+    /// Enables the ledger; `addresses` are the listen addresses of its members. Fails if the setup or the saved
+    /// records can't be used.
     pub fn enable_ledger(
         &mut self,
         at: ClockReading,
@@ -22,7 +22,7 @@
         Ok(())
     }
 
-    /// The operator's list of members has changed. Nothing changes where the list can't be used.
+    /// Applies a changed member list of the operator. Fails without any change if the list can't be used.
     pub fn set_ledger_members(
         &mut self,
         at: ClockReading,
@@ -34,7 +34,8 @@
             .map_or(Ok(()), |ledger| ledger.set_members(at, members, addresses))
     }
 
-    /// Asks the ledger; the answer comes with [`Exchange::take_ledger_answers`], maybe at once.
+    /// Submits a request to the ledger. [`Exchange::take_ledger_answers`] returns the answer, possibly
+    /// immediately.
     pub fn submit_ledger_request(
         &mut self,
         at: ClockReading,
@@ -43,7 +44,7 @@
         self.with_ledger(at, |ledger| ledger.submit(at, request))
     }
 
-    /// Takes the ledger's answers since the last call.
+    /// Removes and returns the ledger's answers since the last call.
     pub fn take_ledger_answers(&mut self) -> Vec<ledger::LedgerAnswer> {
         self.ledger
             .as_mut()
@@ -51,37 +52,38 @@
             .unwrap_or_default()
     }
 
-    /// The save of this number is durable, or has failed where `ok` is false.
+    /// Reports the outcome of the save with this number: durable if `ok`, otherwise failed.
     pub fn ledger_saved(&mut self, at: ClockReading, number: u64, ok: bool) -> Output {
         self.with_ledger(at, |ledger| ledger.saved(at, number, ok))
     }
 
-    /// The front's replicas are lost with their disk: it begins anew on the disk of this identity, holding
-    /// nothing.
+    /// Restarts the ledger without any replicas on the disk with the identity `disk`, after the replicas were
+    /// lost with their disk.
     pub fn reset_ledger(&mut self, at: ClockReading, disk: u64) -> Output {
         self.with_ledger(at, |ledger| ledger.reset(at, disk))
     }
 
-    /// This front is to end: the shards that it owns are handed over.
+    /// Starts handing over the shards that this front leads, before the front shuts down.
     pub fn hand_over_shards(&mut self, at: ClockReading) -> Output {
         self.with_ledger(at, |ledger| ledger.hand_over_shards(at))
     }
 
-    /// Whether it still owns a shard that another front could own.
+    /// Whether this front still leads a shard that another front could lead.
     pub fn has_shards_to_hand_over(&self) -> bool {
         self.ledger
             .as_ref()
             .is_some_and(LedgerNode::has_shards_to_hand_over)
     }
 
-    /// Whether a shard would lose its quorum without this front, as other replicas are away.
+    /// Whether a shard would lose its quorum without this front, because other replicas are down.
     pub fn is_needed_for_quorum(&self, at: ClockReading) -> bool {
         self.ledger
             .as_ref()
             .is_some_and(|ledger| ledger.is_needed_for_quorum(at))
     }
 
-    /// Replicas that were found to differ from their majority, so far.
+    /// The number of replicas found to differ from their majority so far, and of those repaired on this front;
+    /// zero if the ledger is not enabled.
     pub fn replica_differences(&self) -> ledger::Differences {
         self.ledger
             .as_ref()
@@ -89,11 +91,12 @@
             .unwrap_or_default()
     }
 
-    /// The ledger's counters, where it is enabled.
+    /// The ledger's counters, if the ledger is enabled.
     pub fn ledger_counters(&self) -> Option<ledger::Counters> {
         self.ledger.as_ref().map(LedgerNode::counters)
     }
 
+    /// Runs the ledger's due work and adds what it sends and saves to `out`.
     pub(super) fn tick_ledger(&mut self, at: ClockReading, out: &mut Output) {
         if let Some(ledger) = &mut self.ledger {
             ledger.tick(at, &self.node);
@@ -101,13 +104,14 @@
         self.send_ledger(at, out);
     }
 
+    /// Adds what the ledger sends and saves to `out`.
     pub(super) fn send_ledger(&mut self, at: ClockReading, out: &mut Output) {
         if let Some(ledger) = &mut self.ledger {
             ledger.send(at, &mut self.node, out);
         }
     }
 
-    /// Applies a change to the ledger, where it is enabled; gives what is to go out.
+    /// Applies a change to the ledger, if it is enabled; returns what the ledger sends and saves as a result.
     fn with_ledger(&mut self, at: ClockReading, change: impl FnOnce(&mut LedgerNode)) -> Output {
         let mut out = Output::default();
         if let Some(ledger) = &mut self.ledger {
--- a/crates/fleet/src/exchange/reports.rs
+++ b/crates/fleet/src/exchange/reports.rs
@@ -1,4 +1,5 @@
-//! Reports on engines: what this front observes goes out, and what other fronts report reaches the dispatcher.
+//! Reports on engines: sends this front's observations, and passes the reports of other fronts to the
+//! dispatcher.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -11,17 +12,18 @@
 use super::Exchange;
 use crate::{engine_hash, ClockReading};
 
-/// Milliseconds: each step of a silence is a report for all fronts to pass on.
+/// Granularity of reported silence in milliseconds. Each step is a new report that all fronts forward, so finer
+/// steps cost more traffic.
 const SILENCE_STEP_MS: Micros = 500;
-/// Fronts that the dispatcher tells apart in one run of this one.
+/// Maximum number of reporters that the dispatcher distinguishes in one incarnation of this front.
 const MAX_REPORTERS: usize = 4_096;
 
-/// An engine as a peer reports it.
+/// A peer and the hash of an engine that it reports on.
 pub(super) type ReportedEngine = (PeerId, u64);
 
 impl Exchange {
-    /// Reports what this front observes of engines, worst first, and of ownership; takes in others' ownership
-    /// reports.
+    /// Reports this front's observations of engines, worst first, and its ownership report; applies the ownership
+    /// reports of other fronts.
     pub(super) fn report_observations(&mut self, at: ClockReading, dispatcher: &mut Dispatcher) {
         let observations = dispatcher.observations(at.now);
         let mut sightings: Vec<Sighting> = observations.iter().map(sighting).collect();
@@ -37,8 +39,8 @@
         }
     }
 
-    /// Passes what has changed in other fronts' reports to the dispatcher; gives reports on engines not
-    /// reported before.
+    /// Passes changed peer reports to the dispatcher; returns those on engines that the peer's previous report did
+    /// not list.
     pub(super) fn pass_peer_reports(
         &mut self,
         now: Micros,
@@ -47,7 +49,7 @@
         let reports = self.node.peer_reports(now);
         for report in &reports {
             let known = self.known_reports.get(&reported_engine(report));
-            // Guards against reporters without end, as keys come and go.
+            // The number of reporters is bounded, because keys, and with them reporters, come and go.
             if known == Some(&report.sighting) || self.reporters.len() >= MAX_REPORTERS {
                 continue;
             }
@@ -71,7 +73,7 @@
     (report.reporter, report.sighting.engine)
 }
 
-/// Passes a report to the dispatcher, from the reporter of this number.
+/// Passes a report to the dispatcher under the reporter's number.
 fn pass_report(now: Micros, dispatcher: &mut Dispatcher, reporter: usize, report: &PeerReport) {
     let sighting = report.sighting;
     let observation = EngineObservation {
@@ -86,7 +88,7 @@
     dispatcher.peer_report(now, reporter, is_engine, &observation, report.age);
 }
 
-/// What this front has observed of an engine, as other fronts learn it.
+/// Converts an observation of an engine to the form sent to other fronts.
 fn sighting(observation: &EngineObservation) -> Sighting {
     Sighting {
         engine: engine_hash(observation.id),
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -1,5 +1,5 @@
-//! The replicated ledger as one front takes part in it: its messages go out in gossip datagrams, and those
-//! that rest on a save wait for it.
+//! Runs a front's node of the replicated ledger: sends its messages in gossip datagrams, and holds back messages
+//! that depend on a save until the save is durable.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,30 +15,32 @@
 
 use crate::{ClockReading, Output};
 
-/// Microseconds between updates of the ledger on which members are up.
+/// Microseconds between updates of the members' health in the ledger.
 const HEALTH_INTERVAL: Micros = 1_000_000;
 
-/// Ledger records that must be durable before the datagrams beside them leave.
+/// Ledger records that must be durable before the datagrams of the same save are sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LedgerSave {
-    /// Its number, by which the outcome is passed to [`crate::Exchange::ledger_saved`].
+    /// The number of the save; pass it to [`crate::Exchange::ledger_saved`] with the outcome.
     pub number: u64,
-    /// To be written in this order.
+    /// The records to write, in this order.
     pub records: Vec<hallmux_ledger::Record>,
-    /// To be sent once the records are durable.
+    /// The datagrams to send once the records are durable.
     pub datagrams: Vec<Datagram>,
 }
 
+/// A front's node of the ledger, with the addresses of the other members.
 pub(crate) struct LedgerNode {
     ledger: Ledger,
-    /// Where the fronts that hold replicas listen, as the operator has configured.
+    /// The listen addresses of the fronts that hold replicas, as configured by the operator.
     addresses: BTreeMap<PeerId, SocketAddr>,
     answers: Vec<LedgerAnswer>,
     next_health: Micros,
 }
 
 impl LedgerNode {
-    /// `saved` is what an earlier run on the same disk has saved.
+    /// Creates the node; `saved` is the state that an earlier incarnation saved on the same disk, if any. Fails
+    /// if the setup or the saved state can't be used.
     pub fn new(
         at: ClockReading,
         setup: Setup,
@@ -53,21 +55,22 @@
         })
     }
 
+    /// Submits a request to the ledger.
     pub fn submit(&mut self, at: ClockReading, request: LedgerRequest) {
         self.ledger.ask(clock(at), request);
     }
 
-    /// Takes the answers since the last call.
+    /// Removes and returns the answers since the last call.
     pub fn take_answers(&mut self) -> Vec<LedgerAnswer> {
         std::mem::take(&mut self.answers)
     }
 
-    /// Takes in a message on the ledger channel.
+    /// Processes a message received on the ledger channel.
     pub fn receive(&mut self, at: ClockReading, from: PeerId, bytes: &[u8]) {
         self.ledger.receive(clock(at), from, bytes);
     }
 
-    /// The operator's list has changed.
+    /// Applies a changed member list of the operator. Fails without any change if the list can't be used.
     pub fn set_members(
         &mut self,
         at: ClockReading,
@@ -79,20 +82,22 @@
         Ok(())
     }
 
-    /// This front is to end.
+    /// Starts handing over the shards that this front leads.
     pub fn hand_over_shards(&mut self, at: ClockReading) {
         self.ledger.begin_shutdown(clock(at));
     }
 
+    /// Whether this front still leads a shard that another front could lead.
     pub fn has_shards_to_hand_over(&self) -> bool {
         self.ledger.hands_over()
     }
 
+    /// Whether a shard would lose its quorum without this front.
     pub fn is_needed_for_quorum(&self, at: ClockReading) -> bool {
         self.ledger.is_needed(clock(at))
     }
 
-    /// Passes on to the ledger which members are up and which are not, as far as gossip knows them.
+    /// Passes the health of the members, as known from gossip, to the ledger.
     fn update_health(&mut self, at: ClockReading, node: &Node) {
         self.next_health = at.steady + HEALTH_INTERVAL;
         let members = node.members();
@@ -103,11 +108,13 @@
         self.ledger.set_health(clock(at), &up, &away);
     }
 
+    /// The members that satisfy a condition.
     fn members_where(&self, condition: impl Fn(PeerId) -> bool) -> Vec<PeerId> {
         let members = self.addresses.keys().copied();
         members.filter(|front| condition(*front)).collect()
     }
 
+    /// Updates the members' health and runs the ledger where either is due.
     pub fn tick(&mut self, at: ClockReading, node: &Node) {
         if self.next_health <= at.steady {
             self.update_health(at, node);
@@ -122,25 +129,28 @@
         self.ledger.due().saturating_sub(steady).max(0)
     }
 
-    /// A save is durable, or has failed.
+    /// Reports the outcome of a save: durable if `ok`, otherwise failed.
     pub fn saved(&mut self, at: ClockReading, number: u64, ok: bool) {
         self.ledger.saved(clock(at), number, ok);
     }
 
-    /// Begins anew on another disk, holding nothing.
+    /// Restarts the ledger without any replicas on the disk with the identity `disk`.
     pub fn reset(&mut self, at: ClockReading, disk: u64) {
         self.ledger.start_over(clock(at), disk);
     }
 
+    /// The number of replicas found to differ from their majority so far, and of those repaired on this front.
     pub fn replica_differences(&self) -> hallmux_ledger::Differences {
         self.ledger.differences()
     }
 
+    /// The ledger's counters.
     pub fn counters(&self) -> hallmux_ledger::Counters {
         self.ledger.counters()
     }
 
-    /// Puts what there is to send into datagrams: behind the saves that they rest on.
+    /// Moves the ledger's answers to `take_answers`, and its messages and saves to `out`; messages that depend on
+    /// a save become that save's datagrams.
     pub fn send(&mut self, at: ClockReading, node: &mut Node, out: &mut Output) {
         let hallmux_ledger::Output {
             packets,
@@ -159,7 +169,7 @@
         }
     }
 
-    /// Seals messages in datagrams. One that can't be sent counts as lost on the way.
+    /// Seals messages in datagrams. Messages that can't be sent are dropped, as if lost in the network.
     fn datagrams(
         &self,
         at: ClockReading,
@@ -184,6 +194,7 @@
     }
 }
 
+/// Converts a clock reading to the ledger's type.
 fn clock(at: ClockReading) -> hallmux_ledger::Moment {
     hallmux_ledger::Moment {
         steady: at.steady,
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -1,5 +1,5 @@
-//! The load offered to the fleet: this front's counts go out as its load report, and those of all fronts that
-//! report are merged for the dispatcher. Merged figures only; what they mean is decided there.
+//! The load offered to the fleet: sends this front's counts in a load report, and merges the load reports of all
+//! reporting fronts for the dispatcher. The dispatcher decides what to do about the merged load.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -10,31 +10,32 @@
 
 use crate::{engine_hash, ClockReading};
 
-/// Microseconds between merges: reports are renewed every second and a half.
+/// Microseconds between merges. Fronts renew their reports every 1.5 seconds.
 const MERGE_INTERVAL: Micros = 1_000_000;
-/// Counts of a load report are in sixteenths of a statement.
+/// The unit of counts in a load report is a sixteenth of a statement.
 const COUNTS_PER_STATEMENT: f64 = 16.0;
-/// Times the median that one front's count may be: some see several times the mean.
+/// Limit on one front's count, as a multiple of the median over fronts. Some fronts legitimately receive several
+/// times the mean.
 const MAX_MEDIAN_MULTIPLE: f64 = 4.0;
-/// Customers in a load report: those that request most.
+/// Maximum number of customers in a load report; those with the most requests are listed.
 const MAX_REPORTED_CUSTOMERS: usize = 8;
-/// Completed statements below which the share of them that was late says nothing.
+/// Minimum number of completed statements for a meaningful share of late ones.
 const MIN_COMPLETED_STATEMENTS: f64 = 2.0;
 
-/// The load offered to the fleet, as one front reports and merges it.
+/// The schedule by which a front reports its load and merges that of the fleet.
 #[derive(Default)]
 pub(crate) struct Load {
     next_merge: Micros,
-    /// Whether the dispatcher goes by merged load now.
+    /// Whether the dispatcher currently uses merged load.
     uses_merged_load: bool,
 }
 
-/// The load of all fronts that report.
+/// The merged load of all reporting fronts.
 #[derive(Debug, PartialEq)]
 struct MergedLoad {
-    /// The median over fronts of the share of completed statements that was late.
+    /// The median over fronts of the share of completed statements that were late.
     late_share: f64,
-    /// The load offered by each workload.
+    /// The load offered by each workload, in the order of the workloads passed to [`merge`].
     workloads: Vec<Demand>,
 }
 
@@ -44,7 +45,7 @@
         self.next_merge
     }
 
-    /// Reports this front's load and merges that of all fronts, where it is due.
+    /// Reports this front's load and merges that of all fronts if a merge is due.
     pub fn tick(&mut self, at: ClockReading, node: &mut Node, dispatcher: &mut Dispatcher) {
         if at.now < self.next_merge {
             return;
@@ -52,7 +53,7 @@
         self.next_merge = at.now + MERGE_INTERVAL;
         node.report_load(at.now, at.wall_ms, || local_loads(at.now, dispatcher));
         let reports: Vec<&[OfferedLoad]> = node.offered_loads(at.now).collect();
-        // Merged load counts for nothing once nobody reports any more.
+        // Without any reports the dispatcher's merged load is reset once.
         if reports.is_empty() {
             if std::mem::take(&mut self.uses_merged_load) {
                 dispatcher.fleet_demand(FleetDemand::default());
@@ -65,7 +66,7 @@
     }
 }
 
-/// The demand on the fleet by the reports of its fronts.
+/// Computes the demand on the fleet from the reports of its fronts.
 fn fleet_demand(
     now: Micros,
     reports: &[&[OfferedLoad]],
@@ -87,7 +88,7 @@
     } else {
         0.0
     };
-    // Some fronts report; the others that are up are taken to be offered the same.
+    // Fronts that are up but do not report are assumed to receive the same load as those that do.
     let fronts_per_report = node.fleet_size().up as f64 / reports.len() as f64;
     let customers_per_s = dispatcher
         .customer_demand(now)
@@ -107,17 +108,18 @@
     }
 }
 
-/// A workload as load reports name it.
+/// The hash that identifies a workload in load reports.
 fn workload_hash(name: &str) -> u32 {
     engine_hash(name) as u32
 }
 
-/// A customer likewise: no workload has such a name.
+/// The hash that identifies a customer in load reports. The prefix with a NUL byte keeps the hashed text distinct
+/// from any workload name.
 fn customer_hash(name: &str) -> u32 {
     engine_hash(&format!("customer\0{name}")) as u32
 }
 
-/// What this front reports: its heaviest workloads, and the customers that request most.
+/// The entries of this front's load report: its heaviest workloads, then the customers with the most requests.
 fn local_loads(now: Micros, dispatcher: &mut Dispatcher) -> Vec<OfferedLoad> {
     let mut loads = local_workloads(now, dispatcher);
     let customers = local_customers(now, dispatcher);
@@ -126,7 +128,7 @@
     loads
 }
 
-/// The workloads that request anything, the heaviest first.
+/// The loads of the workloads with requested or completed statements, heaviest first.
 fn local_workloads(now: Micros, dispatcher: &mut Dispatcher) -> Vec<OfferedLoad> {
     let mut loads: Vec<OfferedLoad> = dispatcher
         .workload_demand(now)
@@ -144,7 +146,7 @@
     loads
 }
 
-/// The customers that request most, of those with an agreed share.
+/// The loads of the customers with the most requests, among those with an agreed share.
 fn local_customers(now: Micros, dispatcher: &mut Dispatcher) -> Vec<OfferedLoad> {
     let mut loads: Vec<OfferedLoad> = dispatcher
         .customer_demand(now)
@@ -161,19 +163,18 @@
     loads
 }
 
-/// A number of statements as a load report counts them.
+/// Converts a number of statements to a count of a load report.
 fn report_count(statements: f64) -> u32 {
     let count = (statements * COUNTS_PER_STATEMENT).round();
     count.clamp(0.0, f64::from(u32::MAX)) as u32
 }
 
-/// A count of a load report in statements.
+/// Converts a count of a load report to a number of statements.
 fn statements(count: u32) -> f64 {
     f64::from(count) / COUNTS_PER_STATEMENT
 }
 
-/// The work offered to a front relative to the mean of the fronts that report; 0 where they were offered
-/// none.
+/// The work offered to this front relative to the mean over the reporting fronts; 0 if those were offered none.
 fn relative_load(local_work: f64, workloads: &[Demand], fronts: usize) -> f64 {
     let total: f64 = workloads
         .iter()
@@ -187,7 +188,7 @@
     }
 }
 
-/// Merges the reports of all fronts on the workloads named.
+/// Merges the reports of all fronts on the workloads with the given hashes.
 fn merge(reports: &[&[OfferedLoad]], workload_hashes: &[u32]) -> MergedLoad {
     let workloads = workload_hashes
         .iter()
@@ -199,6 +200,7 @@
     }
 }
 
+/// Merges the reports of all fronts on one workload: counts are summed, and the service time is the median.
 fn merge_workload(reports: &[&[OfferedLoad]], hash: u32) -> Demand {
     let completed = capped_sum(reports, hash, |load| load.completed);
     let service_us = reports
@@ -214,7 +216,7 @@
     }
 }
 
-/// The share of a front's completed statements that was late; None where too few are completed to tell.
+/// The share of a front's completed statements that were late; None if too few were completed.
 fn late_share(loads: &[OfferedLoad]) -> Option<f64> {
     let by_hash: BTreeMap<u32, &OfferedLoad> =
         loads.iter().map(|load| (load.workload, load)).collect();
@@ -227,8 +229,8 @@
         .then(|| ((completed - on_time) / completed).clamp(0.0, 1.0))
 }
 
-/// The sum of one count over all reports. No front counts for more than some times the median, whatever it
-/// reports.
+/// The sum of one count over all reports. Each front's count is capped at `MAX_MEDIAN_MULTIPLE` times the median,
+/// so that a single wrong report has limited effect.
 fn capped_sum(reports: &[&[OfferedLoad]], hash: u32, field: fn(&OfferedLoad) -> u32) -> f64 {
     let count = |loads: &&[OfferedLoad]| {
         loads
@@ -244,11 +246,12 @@
     counts.into_iter().map(|count| count.min(cap)).sum()
 }
 
-/// A front's load under one name; of several the last.
+/// The last entry of a front's report with the given hash.
 fn last_load_of(loads: &[OfferedLoad], hash: u32) -> Option<&OfferedLoad> {
     loads.iter().rfind(|load| load.workload == hash)
 }
 
+/// The upper median; 0 for no values.
 fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(0.0)
--- a/crates/fleet/src/load_tests.rs
+++ b/crates/fleet/src/load_tests.rs
@@ -1,8 +1,8 @@
-//! Unit tests of the `load` module.
+//! Tests of merging load reports, including implausible ones.
 
 use super::*;
 
-fn of(workload: u32, requested: u32, completed: u32, on_time: u32) -> OfferedLoad {
+fn offered_load(workload: u32, requested: u32, completed: u32, on_time: u32) -> OfferedLoad {
     OfferedLoad {
         workload,
         requested: requested * 16,
@@ -13,17 +13,17 @@
 }
 
 #[test]
-fn counts_add_up_in_any_order_and_the_median_front_gives_what_was_missed() {
+fn merge_sums_counts_in_any_order_and_takes_the_median_late_share() {
     let (a, b, c) = (
-        [of(1, 4, 4, 4)],
-        [of(1, 8, 4, 2), of(2, 3, 3, 3)],
-        [of(2, 5, 4, 3)],
+        [offered_load(1, 4, 4, 4)],
+        [offered_load(1, 8, 4, 2), offered_load(2, 3, 3, 3)],
+        [offered_load(2, 5, 4, 3)],
     );
     let all = merge(&[&a, &b, &c], &[1, 2, 3]);
     let rows: Vec<_> = all
         .workloads
         .iter()
-        .map(|o| (o.asked, o.ended, o.timely, o.work))
+        .map(|load| (load.asked, load.ended, load.timely, load.work))
         .collect();
     assert_eq!(
         rows,
@@ -38,48 +38,53 @@
 }
 
 #[test]
-fn a_front_takes_its_part_of_what_all_are_asked_and_none_where_nothing_is_reported() {
-    let (a, b) = ([of(1, 10, 0, 0)], [of(1, 30, 0, 0)]);
-    let offers = merge(&[&a, &b], &[1]).workloads;
-    assert_eq!(relative_load(10.0 * 100.0, &offers, 2), 0.5);
+fn relative_load_is_share_of_the_mean_and_zero_without_reports() {
+    let (a, b) = ([offered_load(1, 10, 0, 0)], [offered_load(1, 30, 0, 0)]);
+    let workloads = merge(&[&a, &b], &[1]).workloads;
+    assert_eq!(relative_load(10.0 * 100.0, &workloads, 2), 0.5);
     assert_eq!(
         (
             relative_load(5.0, &[], 0),
-            relative_load(5.0, &offers[..0], 3)
+            relative_load(5.0, &workloads[..0], 3)
         ),
         (0.0, 0.0)
     );
-    // Absurd load of one front makes nobody's part small: it counts for four times the middle at most.
-    let liar = [OfferedLoad {
+    // An implausible report counts for at most four times the median, so the relative load of the other fronts
+    // stays close to 1.
+    let implausible = [OfferedLoad {
         requested: u32::MAX,
-        ..of(1, 0, 0, 0)
+        ..offered_load(1, 0, 0, 0)
     }];
-    let sane: Vec<[OfferedLoad; 1]> = (0..9).map(|_| [of(1, 10, 10, 10)]).collect();
-    let reports: Vec<&[OfferedLoad]> = sane.iter().map(|o| &o[..]).chain([&liar[..]]).collect();
-    let offers = merge(&reports, &[1]).workloads;
-    assert!((0.7..1.0).contains(&relative_load(10.0 * 100.0, &offers, 10)));
+    let plausible: Vec<[OfferedLoad; 1]> = (0..9).map(|_| [offered_load(1, 10, 10, 10)]).collect();
+    let reports: Vec<&[OfferedLoad]> = plausible
+        .iter()
+        .map(|load| &load[..])
+        .chain([&implausible[..]])
+        .collect();
+    let workloads = merge(&reports, &[1]).workloads;
+    assert!((0.7..1.0).contains(&relative_load(10.0 * 100.0, &workloads, 10)));
 }
 
 #[test]
-fn absurd_load_of_one_front_moves_little() {
-    let sane: Vec<[OfferedLoad; 1]> = (0..9).map(|_| [of(1, 10, 10, 10)]).collect();
-    let liar = [OfferedLoad {
+fn implausible_load_of_one_front_has_limited_effect() {
+    let plausible: Vec<[OfferedLoad; 1]> = (0..9).map(|_| [offered_load(1, 10, 10, 10)]).collect();
+    let implausible = [OfferedLoad {
         requested: u32::MAX,
         completed: u32::MAX,
         on_time: 0,
-        ..of(1, 0, 0, 0)
+        ..offered_load(1, 0, 0, 0)
     }];
-    let mut reports: Vec<&[OfferedLoad]> = sane.iter().map(|o| &o[..]).collect();
-    reports.push(&liar);
+    let mut reports: Vec<&[OfferedLoad]> = plausible.iter().map(|load| &load[..]).collect();
+    reports.push(&implausible);
     let MergedLoad {
-        late_share: missed,
-        workloads: offers,
+        late_share,
+        workloads,
     } = merge(&reports, &[1]);
     assert_eq!(
-        (missed, offers[0].asked, offers[0].timely),
+        (late_share, workloads[0].asked, workloads[0].timely),
         (0.0, 130.0, 90.0)
     );
-    // More in time than ended, and a workload that nobody knows.
-    let odd = [of(9, 5, 5, 5), of(1, 1, 1, 7)];
+    // A report with more statements on time than completed, and an unknown workload.
+    let odd = [offered_load(9, 5, 5, 5), offered_load(1, 1, 1, 7)];
     assert_eq!(merge(&[&odd], &[1]).workloads[0].timely, 1.0);
 }
--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -1,5 +1,5 @@
-//! Ownership of the fleet's work, as one front takes part in it: its claim to the lease, its vote where it is
-//! a voter, and the fence that owners' acts have to pass.
+//! A front's part in the ownership of fleet-wide work: its lease requests, its vote if it is a voter, and the
+//! fence that rejects the acts of former owners.
 
 mod acts;
 mod messages;
@@ -24,57 +24,59 @@
 
 use refusal::OwnershipRefusal;
 
+/// The fleet-wide work whose owner this module determines.
 const TASK: Task = Task::Zones;
-/// Engines in an owner's act: they fit a report.
+/// Maximum number of engines in an owner's act, so that the act fits in a report.
 const MAX_RECOVERED: usize = 12;
-/// Requests a second for a lease that nobody holds, of all fronts together.
+/// Requests per second that all fronts together make for a lease without an owner.
 const REQUESTS_PER_SECOND: f64 = 4.0;
-/// Microseconds between checks of whether there is an owner.
+/// Microseconds between checks for an active owner.
 const CHECK_INTERVAL: Micros = 250_000;
-/// Ticks of a voter in that time: its log's clock ticks every 50 ms.
+/// Ticks of a voter per check interval: the clock of the voters' log ticks every 50 ms.
 const VOTER_TICKS_PER_CHECK: Micros = 5;
-/// Microseconds for which an owner's act shows that there is one.
+/// Microseconds after an owner's act during which the owner counts as active.
 const OWNER_ACTIVE_WINDOW: Micros = 2_000_000;
 
-/// A voter, and where it listens.
+/// A voter and its listen address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoterAddress {
-    /// The front.
+    /// The id of the front that votes.
     pub id: PeerId,
-    /// Where it listens.
+    /// The voter's listen address.
     pub address: SocketAddr,
 }
 
-/// How the operator has set up ownership of the fleet's work.
+/// The operator's settings for ownership of fleet-wide work.
 #[derive(Clone, Debug)]
 pub struct OwnershipConfig {
-    /// The fleet's name; messages of another fleet are refused.
+    /// The name of the fleet; messages of other fleets are refused.
     pub fleet: String,
-    /// The voters, in the order in which they are asked.
+    /// The voters, in the order in which the lease is requested from them.
     pub voters: Vec<VoterAddress>,
-    /// How long a lease lasts.
+    /// The duration of leases.
     pub terms: Terms,
-    /// The state that an earlier run of this voter saved last; None only where there was none.
+    /// The state that this voter's previous incarnation saved last; None only if there was no earlier
+    /// incarnation.
     pub saved: Option<Vec<u8>>,
 }
 
 /// A lease that this front holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnedLease {
-    /// Its fencing token.
+    /// The fencing token of the lease.
     pub token: Token,
 }
 
-/// A voter's state that must be durable before the datagrams beside it leave.
+/// A voter state that must be durable before the datagrams of the same save are sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoterSave {
-    /// Replaces what was saved before; None if nothing changed.
+    /// The state that replaces the previously saved one; None if the state has not changed.
     pub bytes: Option<Vec<u8>>,
-    /// To be sent after the save, and after those before it.
+    /// The datagrams to send after this save and all earlier ones are durable.
     pub datagrams: Vec<Datagram>,
 }
 
-/// Ownership of the fleet's work as one front takes part in it.
+/// The state of a front's part in the ownership of fleet-wide work.
 pub(crate) struct Ownership {
     local_id: PeerId,
     fleet: u64,
@@ -82,25 +84,26 @@
     holder: Holder,
     voter: Option<Voter>,
     fence: Fence,
-    /// Where other fronts that have sent lease messages listen.
+    /// The addresses of other fronts that have sent lease messages.
     addresses: BTreeMap<PeerId, SocketAddr>,
-    /// What this front's voter has to save and send.
+    /// Outputs of this front's voter that are not saved and sent yet.
     voter_outbox: Vec<voter::Output>,
-    /// Lease requests to be sent to voters.
+    /// Lease requests that are not sent to voters yet.
     requests: Vec<AddressedEnvelope>,
     next_check: Micros,
-    /// Whether this front requests the lease.
+    /// Whether this front currently requests the lease.
     requests_lease: bool,
-    /// When an owner acted last, on the steady clock.
+    /// When an owner last acted, on the steady clock.
     last_owner_act: Micros,
-    /// Recovered engines that the dispatcher knows of, by the token of the owner that reported them.
+    /// The recovered engines passed to the dispatcher, each with the token of the owner that reported it.
     announced: BTreeMap<u64, Token>,
-    /// Acts and messages that were refused, by reason.
+    /// The number of refused acts and messages, by reason.
     pub refused: BTreeMap<&'static str, u64>,
 }
 
 impl Ownership {
-    /// An error says why the saved state can't be used.
+    /// Creates the state of a front, which is a voter if the settings list it. Fails if the saved voter state can't
+    /// be used.
     pub fn new(
         at: ClockReading,
         local_id: PeerId,
@@ -131,7 +134,7 @@
                 .into_iter()
                 .map(|voter| (voter.id, voter.address))
                 .collect(),
-            // The wall clock names this run: replies to an earlier one are not for it.
+            // Request numbers start at the wall clock, so that replies to an earlier incarnation do not match.
             holder: Holder::new(TASK, terms, ids, at.wall_ms << 16),
             voter,
             fence: Fence::default(),
@@ -146,7 +149,7 @@
         })
     }
 
-    /// The lease that this front holds now, unless a later owner was seen.
+    /// The lease that this front holds now; None if there is none, or a later owner was seen.
     pub fn owned_lease(&self, steady: Micros) -> Option<OwnedLease> {
         let token = self.holder.token(steady)?;
         let later = self
@@ -161,7 +164,7 @@
         self.next_check
     }
 
-    /// Runs the voter's clock, and asks for the lease or renews it. `up` is the number of fronts that are up.
+    /// Advances the voter, and requests or renews the lease. `up` is the number of fronts that are up.
     pub fn tick(
         &mut self,
         at: ClockReading,
@@ -202,8 +205,8 @@
         }
     }
 
-    /// Whether this front requests a lease that nobody seems to hold. The first to ask may have it: of all
-    /// fronts a few a second begin to.
+    /// Whether this front requests a lease without an active owner. The first requester can get the lease, so each
+    /// front starts at random, at a rate of `REQUESTS_PER_SECOND` over all fronts that are up.
     fn should_request_lease(
         &self,
         at: ClockReading,
@@ -217,7 +220,7 @@
         !owner_is_active && (self.requests_lease || draw < share)
     }
 
-    /// Engines that answer again, and for how long.
+    /// The engines that answer again, each with the time since its recovery; at most `MAX_RECOVERED`.
     fn recovered(&self, at: ClockReading, dispatcher: &Dispatcher) -> Vec<RecoveredEngine> {
         let since_ms =
             |since: Micros| ((at.now - since).max(0) / 1000).min(Micros::from(u32::MAX)) as u32;
@@ -230,10 +233,12 @@
         .collect()
     }
 
+    /// The encoded list of recovered engines, which the voters pass to the next owner of the lease.
     fn progress(&self, at: ClockReading, dispatcher: &Dispatcher) -> Vec<u8> {
         postcard::to_stdvec(&self.recovered(at, dispatcher)).unwrap_or_default()
     }
 
+    /// Counts a refused act or message.
     fn refuse(&mut self, reason: OwnershipRefusal) {
         *self.refused.entry(reason.name()).or_default() += 1;
     }
--- a/crates/fleet/src/ownership/acts.rs
+++ b/crates/fleet/src/ownership/acts.rs
@@ -1,4 +1,4 @@
-//! What fronts report of the fleet's work: the lease in force, and what its owner has done.
+//! Ownership reports: the lease in force as voters know it, and the acts of its owner.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 use crate::{engine_hash, ClockReading};
 
 impl Ownership {
-    /// What this front reports of the fleet's work.
+    /// Builds this front's ownership report: the lease known to its voter, and its act if it is the owner.
     pub fn report(&self, at: ClockReading, dispatcher: &Dispatcher) -> OwnershipReport {
         let lease = self
             .voter
@@ -31,8 +31,8 @@
         OwnershipReport { lease, act }
     }
 
-    /// Takes in what other fronts report: the owner that a majority of voters names, and what that owner has
-    /// done.
+    /// Applies the ownership reports of other fronts: the owner reported by a majority of voters, and the acts of
+    /// owners.
     pub fn apply_reports(&mut self, at: ClockReading, node: &Node, dispatcher: &mut Dispatcher) {
         if let Some(lease) = self.majority_lease(at, node) {
             self.fence.observe(TASK, lease);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The lease that a majority of the voters reports.
+    /// The lease that a majority of the voters reports, if there is one.
     fn majority_lease(&self, at: ClockReading, node: &Node) -> Option<TokenOwner> {
         let leases: BTreeMap<PeerId, TokenOwner> = node
             .ownership_reports(at.now)
@@ -57,7 +57,7 @@
         fence::majority(&leases, self.voters.len())
     }
 
-    /// Takes in an owner's act, `age` microseconds old, where the fence admits it.
+    /// Applies an owner's act, reported `age` microseconds ago, if the fence admits its token.
     fn apply_owner_act(
         &mut self,
         at: ClockReading,
@@ -82,8 +82,8 @@
         }
     }
 
-    /// An owner reported, `age` microseconds ago, that engines answer again: the dispatcher learns of each
-    /// once.
+    /// Notifies the dispatcher of engines that, as an owner reported `age` microseconds ago, answer again. Each
+    /// engine is announced once per token.
     pub(super) fn announce_recovered(
         &mut self,
         at: ClockReading,
--- a/crates/fleet/src/ownership/messages.rs
+++ b/crates/fleet/src/ownership/messages.rs
@@ -1,4 +1,4 @@
-//! Lease messages that come in and go out: between this front's claim, its voter, and other fronts.
+//! Receives and sends lease messages between this front's lease holder, its voter and other fronts.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use crate::{ClockReading, Output};
 
 impl Ownership {
-    /// Takes in a message on the lease channel.
+    /// Processes a message received on the lease channel; counts the ones that are refused.
     pub fn receive(&mut self, at: ClockReading, message: &ChannelMessage) {
         let from = message.from;
         let Some(envelope) = hallmux_lease::read(&message.bytes) else {
@@ -35,7 +35,8 @@
         }
     }
 
-    /// Puts what there is to send into datagrams: a voter's behind what it has to save.
+    /// Adds the pending lease requests, and the pending outputs of this front's voter, to `out`; a voter's datagrams
+    /// are sent only after its save.
     pub fn send(&mut self, at: ClockReading, node: &mut Node, out: &mut Output) {
         for request in std::mem::take(&mut self.requests) {
             if request.to == self.local_id {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// A request of this front to itself as a voter stays here.
+    /// Passes a lease request of this front to its own voter without sending it.
     fn pass_to_local_voter(&mut self, at: ClockReading, envelope: Envelope) {
         if let Some(voter) = &mut self.voter {
             let output = voter.receive(at.steady, self.local_id, envelope);
@@ -65,7 +66,7 @@
         }
     }
 
-    /// The datagrams with a voter's messages; its replies to this front itself are taken in.
+    /// Converts the voter's messages to datagrams; passes its replies to this front directly to the lease holder.
     fn voter_datagrams(
         &mut self,
         at: ClockReading,
@@ -88,7 +89,7 @@
     }
 }
 
-/// Seals a lease message in a datagram. None where the channel's rate is exceeded.
+/// Seals a lease message in a datagram. None if the channel's rate limit is exceeded.
 fn seal(
     at: ClockReading,
     node: &mut Node,
--- a/crates/fleet/src/ownership/refusal.rs
+++ b/crates/fleet/src/ownership/refusal.rs
@@ -1,24 +1,24 @@
-//! Why acts and messages about ownership are refused.
+//! The reasons why acts and messages about ownership are refused.
 
 /// Why an act or message about ownership was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OwnershipRefusal {
-    /// It can't be read.
+    /// The message can't be decoded.
     Malformed,
-    /// It is meant for another fleet.
+    /// The message belongs to another fleet.
     OtherFleet,
-    /// It is a reply of a front that is no voter.
+    /// The message is a reply from a front that is not a voter.
     ReplyFromNonVoter,
-    /// It is meant for a voter, which this front is not.
+    /// The message is for a voter, but this front is none.
     LocalNonVoter,
-    /// A later owner was seen.
+    /// The act's token is older than that of a known owner.
     StaleToken,
-    /// No majority of voters has reported its token.
+    /// No majority of voters has reported the act's token with this owner.
     UnknownToken,
 }
 
 impl OwnershipRefusal {
-    /// Its name in the log.
+    /// Returns the name under which the log counts this reason.
     pub fn name(self) -> &'static str {
         match self {
             OwnershipRefusal::Malformed => "form",
