--- a/crates/fleet/src/ledger_barrier/tests.rs
+++ b/crates/fleet/src/ledger_barrier/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-mod drawn;
+mod randomized;
 mod window;
 
 const SETTINGS: &str = r#"{"instances": 3, "areas": ["here", "there"], "kinds": ["std"], "customers": [{"name": "acme"}],
