--- a/crates/fleet/src/ledger_barrier/tests.rs
+++ b/crates/fleet/src/ledger_barrier/tests.rs
@@ -1,4 +1,4 @@
-//! Gates of several fronts beside a ledger that keeps to its word, in orders of events that are drawn.
+//! Tests of the ledger barriers of several fronts that share a fake ledger.
 
 use hallmux_ledger::{Entry, Operation, Outcome, Owner};
 
@@ -16,37 +16,43 @@
     "rules": {"turnGapMs": 50}}"#;
 
 const MS: Micros = 1_000;
-const APART_MS: u64 = 500;
+const CLOCK_SKEW_MS: u64 = 500;
 
-/// One that its shards have spoken to.
-fn gate(life: u64) -> LedgerBarrier {
-    let mut gate = new_gate(life);
-    gate.shards_answered.fill(true);
-    gate
+/// A barrier whose shards have all answered before.
+fn ready_barrier(started_ms: u64) -> LedgerBarrier {
+    let mut barrier = new_barrier(started_ms);
+    barrier.shards_answered.fill(true);
+    barrier
 }
 
-fn new_gate(life: u64) -> LedgerBarrier {
-    LedgerBarrier::new(&hallmux_config::Settings::parse(SETTINGS).unwrap(), life, 4)
+fn new_barrier(started_ms: u64) -> LedgerBarrier {
+    LedgerBarrier::new(
+        &hallmux_config::Settings::parse(SETTINGS).unwrap(),
+        started_ms,
+        4,
+    )
 }
 
-/// Takes a statement: whether it depends on anything.
-fn open(
-    gate: &mut LedgerBarrier,
+/// Adds a statement to the barrier; returns whether it requires ledger entries.
+fn add_statement(
+    barrier: &mut LedgerBarrier,
     ticket: Ticket,
     (workload, key, dedup_key): (&str, Option<&str>, Option<&str>),
     id: Option<&str>,
 ) -> bool {
     let (key, dedup_key) = (key.map(str::to_string), dedup_key.map(str::to_string));
     let (workload, customer) = (workload.to_string(), "acme".to_string());
-    let taken = StatementArrived {
+    let statement = StatementArrived {
         ticket,
         workload,
         customer,
         key,
         dedup_key,
     };
-    gate.observe(0, PromiseEvent::Arrived(taken), |_| id.map(str::to_string));
-    gate.requires_entries(ticket)
+    barrier.observe(0, PromiseEvent::Arrived(statement), |_| {
+        id.map(str::to_string)
+    });
+    barrier.requires_entries(ticket)
 }
 
 fn pending(ticket: Ticket, execution: usize, now: Micros, location: usize) -> PendingExecution {
@@ -65,30 +71,31 @@
     }
 }
 
-/// The ledger as every front sees it.
+/// An in-memory ledger shared by all fronts; entries outlast their end by the assumed clock skew.
 #[derive(Default)]
-struct Book {
+struct FakeLedger {
     entries: BTreeMap<Key, Entry>,
-    last: u64,
+    last_version: u64,
 }
 
-impl Book {
-    fn apply(&mut self, now: Micros, owner: Owner, ask: &ledger::LedgerRequest) -> Outcome {
+impl FakeLedger {
+    fn apply(&mut self, now: Micros, owner: Owner, request: &ledger::LedgerRequest) -> Outcome {
         let now_ms = (now / MS) as u64;
-        self.entries.retain(|_, e| e.ends_ms + APART_MS > now_ms);
-        let there = self.entries.get(&ask.key).cloned();
-        let free = there.as_ref().is_none_or(|e| e.owner == owner);
-        let (may, ends_ms, value) = match &ask.operation {
+        self.entries
+            .retain(|_, e| e.ends_ms + CLOCK_SKEW_MS > now_ms);
+        let existing = self.entries.get(&request.key).cloned();
+        let free = existing.as_ref().is_none_or(|e| e.owner == owner);
+        let (allowed, ends_ms, value) = match &request.operation {
             Operation::Claim { ends_ms, value } => (free, *ends_ms, value),
             Operation::Put {
                 expects,
                 ends_ms,
                 value,
             } => {
-                if there.is_none() && expects.is_some_and(|v| v != 0) {
+                if existing.is_none() && expects.is_some_and(|v| v != 0) {
                     return Outcome::Absent;
                 }
-                let version = there.as_ref().map_or(0, |e| e.version);
+                let version = existing.as_ref().map_or(0, |e| e.version);
                 (
                     expects.is_none_or(|expects| expects == version),
                     *ends_ms,
@@ -96,59 +103,59 @@
                 )
             }
             Operation::Free if free => {
-                self.entries.remove(&ask.key);
+                self.entries.remove(&request.key);
                 return Outcome::Absent;
             }
-            Operation::Free => return there.map_or(Outcome::Absent, Outcome::Held),
-            Operation::Read => return there.map_or(Outcome::Absent, Outcome::Stands),
+            Operation::Free => return existing.map_or(Outcome::Absent, Outcome::Held),
+            Operation::Read => return existing.map_or(Outcome::Absent, Outcome::Stands),
         };
-        match there {
-            Some(entry) if !may => Outcome::Held(entry),
+        match existing {
+            Some(entry) if !allowed => Outcome::Held(entry),
             _ => {
-                self.last += 1;
-                let key = ask.key.clone();
+                self.last_version += 1;
+                let key = request.key.clone();
                 let entry = Entry {
                     key,
                     owner,
-                    version: self.last,
+                    version: self.last_version,
                     ends_ms,
                     value: value.clone(),
                 };
-                self.entries.insert(ask.key.clone(), entry.clone());
+                self.entries.insert(request.key.clone(), entry.clone());
                 Outcome::Stands(entry)
             }
         }
     }
 }
 
-/// Asks and answers at once, until nothing is asked any more.
-fn settle(
-    gate: &mut LedgerBarrier,
-    book: &mut Book,
+/// Answers all requests of a barrier immediately until it makes none; returns its decisions.
+fn run_until_idle(
+    barrier: &mut LedgerBarrier,
+    fake_ledger: &mut FakeLedger,
     now: Micros,
     front: u64,
 ) -> Vec<BarrierDecision> {
-    let mut rulings = gate.take_decisions();
+    let mut decisions = barrier.take_decisions();
     loop {
-        gate.tick(now);
-        let asks = gate.take_requests();
-        if asks.is_empty() {
-            rulings.extend(gate.take_decisions());
-            return rulings;
+        barrier.tick(now);
+        let requests = barrier.take_requests();
+        if requests.is_empty() {
+            decisions.extend(barrier.take_decisions());
+            return decisions;
         }
-        for ask in asks {
-            let outcome = book.apply(
+        for request in requests {
+            let outcome = fake_ledger.apply(
                 now,
                 Owner {
                     front,
                     incarnation: 1,
                 },
-                &ask,
+                &request,
             );
-            gate.handle_answer(
+            barrier.handle_answer(
                 now,
                 LedgerAnswer {
-                    number: ask.number,
+                    number: request.number,
                     outcome,
                 },
             );
@@ -156,7 +163,7 @@
     }
 }
 
-fn over(ticket: Ticket, may_have_run: bool, may_still_run: bool) -> StatementOver {
+fn statement_over(ticket: Ticket, may_have_run: bool, may_still_run: bool) -> StatementOver {
     StatementOver {
         ticket,
         may_have_run,
@@ -165,291 +172,374 @@
 }
 
 #[test]
-fn what_depends_on_nothing_never_comes_here_and_what_does_leaves_once_its_promise_stands() {
-    let mut gate = gate(1);
-    assert!(!open(&mut gate, 1, ("lookup", None, None), Some("a")));
-    assert!(open(&mut gate, 2, ("lookup", Some("k"), None), Some("b")));
-    gate.hold(0, pending(2, 0, 0, 0));
+fn only_statements_that_require_entries_wait_until_their_entries_are_held() {
+    let mut barrier = ready_barrier(1);
+    assert!(!add_statement(
+        &mut barrier,
+        1,
+        ("lookup", None, None),
+        Some("a")
+    ));
+    assert!(add_statement(
+        &mut barrier,
+        2,
+        ("lookup", Some("k"), None),
+        Some("b")
+    ));
+    barrier.hold(0, pending(2, 0, 0, 0));
     assert!(
-        gate.take_decisions().is_empty() && !gate.requires_entries(1) && gate.requires_entries(2)
+        barrier.take_decisions().is_empty()
+            && !barrier.requires_entries(1)
+            && barrier.requires_entries(2)
     );
-    let mut book = Book::default();
+    let mut fake_ledger = FakeLedger::default();
     assert_eq!(
-        settle(&mut gate, &mut book, 0, 1),
+        run_until_idle(&mut barrier, &mut fake_ledger, 0, 1),
         [BarrierDecision::Release(pending(2, 0, 0, 0))]
     );
-    // Its next execution needs no other word.
-    gate.hold(
+    // The next execution of the statement is released without another request.
+    barrier.hold(
         MS,
         PendingExecution {
             execution: 1,
             ..pending(2, 0, 0, 1)
         },
     );
-    assert_eq!(gate.take_decisions().len(), 1);
-    gate.end_statement(2 * MS, over(2, true, false));
-    settle(&mut gate, &mut book, 2 * MS, 1);
-    assert!(book.entries.is_empty() && gate.keys.is_empty() && gate.due() == Micros::MAX);
+    assert_eq!(barrier.take_decisions().len(), 1);
+    barrier.end_statement(2 * MS, statement_over(2, true, false));
+    run_until_idle(&mut barrier, &mut fake_ledger, 2 * MS, 1);
+    assert!(
+        fake_ledger.entries.is_empty() && barrier.keys.is_empty() && barrier.due() == Micros::MAX
+    );
 }
 
 #[test]
-fn another_front_has_the_key_until_it_is_freed_or_its_rest_is_over() {
-    let (mut one, mut other, mut book) = (gate(1), gate(2), Book::default());
-    for gate in [&mut one, &mut other] {
-        open(gate, 1, ("lookup", Some("k"), None), None);
-        gate.hold(0, pending(1, 0, 0, 0));
+fn second_front_gets_a_key_only_after_it_is_freed_or_its_reservation_expires() {
+    let (mut first_front, mut second_front, mut fake_ledger) =
+        (ready_barrier(1), ready_barrier(2), FakeLedger::default());
+    for barrier in [&mut first_front, &mut second_front] {
+        add_statement(barrier, 1, ("lookup", Some("k"), None), None);
+        barrier.hold(0, pending(1, 0, 0, 0));
     }
-    assert_eq!(settle(&mut one, &mut book, 0, 1).len(), 1);
-    assert_eq!(settle(&mut other, &mut book, 0, 2), []);
-    assert_eq!(settle(&mut other, &mut book, 400 * MS, 2), []);
-    // It may be running on: the key rests for the gap, and for as long as clocks may be apart.
-    one.end_statement(400 * MS, over(1, true, true));
-    assert_eq!(settle(&mut one, &mut book, 400 * MS, 1), []);
+    assert_eq!(
+        run_until_idle(&mut first_front, &mut fake_ledger, 0, 1).len(),
+        1
+    );
+    assert_eq!(
+        run_until_idle(&mut second_front, &mut fake_ledger, 0, 2),
+        []
+    );
+    assert_eq!(
+        run_until_idle(&mut second_front, &mut fake_ledger, 400 * MS, 2),
+        []
+    );
+    // The execution may still be running, so the key stays reserved for the order gap plus the clock skew.
+    first_front.end_statement(400 * MS, statement_over(1, true, true));
+    assert_eq!(
+        run_until_idle(&mut first_front, &mut fake_ledger, 400 * MS, 1),
+        []
+    );
     let mut at = 400 * MS;
-    while settle(&mut other, &mut book, at, 2).is_empty() {
-        at = other.due().max(at + MS);
+    while run_until_idle(&mut second_front, &mut fake_ledger, at, 2).is_empty() {
+        at = second_front.due().max(at + MS);
     }
     assert!((950 * MS..1_300 * MS).contains(&at), "{at}");
 }
 
 #[test]
-fn what_cannot_be_promised_is_turned_away_and_what_may_stand_of_it_is_freed_later() {
-    let (mut gate, mut book) = (gate(1), Book::default());
-    open(&mut gate, 1, ("load", Some("k"), Some("d")), None);
-    gate.hold(0, pending(1, 0, 0, 0));
-    let asks = gate.take_requests();
-    for ask in &asks {
-        // It stands, but nobody heard so.
-        book.apply(
+fn unreachable_shard_rejects_the_statement_and_unconfirmed_entries_are_freed_later() {
+    let (mut barrier, mut fake_ledger) = (ready_barrier(1), FakeLedger::default());
+    add_statement(&mut barrier, 1, ("load", Some("k"), Some("d")), None);
+    barrier.hold(0, pending(1, 0, 0, 0));
+    let requests = barrier.take_requests();
+    for request in &requests {
+        // The entry is made, but the answer is lost.
+        fake_ledger.apply(
             0,
             Owner {
                 front: 1,
                 incarnation: 1,
             },
-            ask,
+            request,
         );
-        gate.handle_answer(
+        barrier.handle_answer(
             0,
             LedgerAnswer {
-                number: ask.number,
+                number: request.number,
                 outcome: Outcome::Unreachable,
             },
         );
     }
     assert_eq!(
-        (asks.len(), gate.take_decisions()),
+        (requests.len(), barrier.take_decisions()),
         (2, vec![BarrierDecision::Reject(1)])
     );
-    gate.end_statement(0, over(1, false, false));
-    assert_eq!(book.entries.len(), 2);
-    settle(&mut gate, &mut book, 1_100 * MS, 1);
+    barrier.end_statement(0, statement_over(1, false, false));
+    assert_eq!(fake_ledger.entries.len(), 2);
+    run_until_idle(&mut barrier, &mut fake_ledger, 1_100 * MS, 1);
     assert!(
-        book.entries.is_empty() && gate.keys.is_empty(),
+        fake_ledger.entries.is_empty() && barrier.keys.is_empty(),
         "{:?}",
-        book.entries
+        fake_ledger.entries
     );
-    assert_eq!(gate.refused, BTreeMap::from([("unreachable", 1)]));
+    assert_eq!(barrier.refused, BTreeMap::from([("unreachable", 1)]));
 }
 
 #[test]
-fn in_a_fronts_first_seconds_an_execution_waits_for_its_shard_but_never_near_its_clients_time() {
-    for (speaks_at, goes) in [(1_000 * MS, true), (60_000 * MS, false)] {
-        let (mut gate, mut book, mut at) = (new_gate(1), Book::default(), 0);
-        open(&mut gate, 1, ("load", Some("k"), Some("d")), None);
-        gate.hold(0, pending(1, 0, 0, 0));
-        let mut ruled = Vec::new();
-        while ruled.is_empty() {
-            for ask in gate.take_requests() {
-                let outcome = match at < speaks_at {
+fn after_front_start_an_execution_waits_for_its_shard_for_half_of_its_time_at_most() {
+    for (answers_from, is_released) in [(1_000 * MS, true), (60_000 * MS, false)] {
+        let (mut barrier, mut fake_ledger, mut at) = (new_barrier(1), FakeLedger::default(), 0);
+        add_statement(&mut barrier, 1, ("load", Some("k"), Some("d")), None);
+        barrier.hold(0, pending(1, 0, 0, 0));
+        let mut decisions = Vec::new();
+        while decisions.is_empty() {
+            for request in barrier.take_requests() {
+                let outcome = match at < answers_from {
                     true => Outcome::Unreachable,
-                    false => book.apply(
+                    false => fake_ledger.apply(
                         at,
                         Owner {
                             front: 1,
                             incarnation: 1,
                         },
-                        &ask,
+                        &request,
                     ),
                 };
-                gate.handle_answer(
+                barrier.handle_answer(
                     at,
                     LedgerAnswer {
-                        number: ask.number,
+                        number: request.number,
                         outcome,
                     },
                 );
             }
-            (ruled, at) = (gate.take_decisions(), at + 50 * MS);
-            gate.tick(at);
-            assert!(at < 2_000 * MS, "held to the half of its time and longer");
+            (decisions, at) = (barrier.take_decisions(), at + 50 * MS);
+            barrier.tick(at);
+            assert!(
+                at < 2_000 * MS,
+                "held for more than half of its remaining time"
+            );
         }
         assert_eq!(
-            matches!(ruled[..], [BarrierDecision::Release(_)]),
-            goes,
-            "{ruled:?} at {at}"
+            matches!(decisions[..], [BarrierDecision::Release(_)]),
+            is_released,
+            "{decisions:?} at {at}"
         );
         assert!((1_000 * MS..2_000 * MS).contains(&at), "{at}");
     }
-    // Later in its life, or once the shard has spoken, it is turned away at once.
-    for (mut gate, now) in [(gate(1), 0), (new_gate(1), 20_000 * MS)] {
-        open(&mut gate, 1, ("pay", None, None), None);
-        gate.hold(now, pending(1, 0, now, 0));
-        for ask in gate.take_requests() {
-            gate.handle_answer(
+    // Later after the front's start, or once the shard has answered, the statement is rejected immediately.
+    for (mut barrier, now) in [(ready_barrier(1), 0), (new_barrier(1), 20_000 * MS)] {
+        add_statement(&mut barrier, 1, ("pay", None, None), None);
+        barrier.hold(now, pending(1, 0, now, 0));
+        for request in barrier.take_requests() {
+            barrier.handle_answer(
                 now,
                 LedgerAnswer {
-                    number: ask.number,
+                    number: request.number,
                     outcome: Outcome::Unreachable,
                 },
             );
         }
-        assert_eq!(gate.take_decisions(), [BarrierDecision::Reject(1)]);
+        assert_eq!(barrier.take_decisions(), [BarrierDecision::Reject(1)]);
     }
 }
 
 #[test]
-fn a_non_idempotent_statement_that_may_have_run_is_never_begun_again() {
-    for (ran, again) in [(true, false), (false, true)] {
-        let (mut one, mut other, mut book) = (gate(1), gate(2), Book::default());
-        open(&mut one, 1, ("pay", None, None), Some("txn-1"));
-        one.hold(0, pending(1, 0, 0, 0));
-        assert_eq!(settle(&mut one, &mut book, 0, 1).len(), 1);
-        one.end_statement(MS, over(1, ran, ran));
-        settle(&mut one, &mut book, MS, 1);
-        // By another front, or by the same.
-        for (gate, front) in [(&mut other, 2), (&mut one, 1)] {
-            open(gate, 2, ("pay", None, None), Some("txn-1"));
-            gate.hold(2 * MS, pending(2, 0, 2 * MS, 0));
-            let ruled = settle(gate, &mut book, 2 * MS, front);
+fn non_idempotent_statement_that_may_have_run_is_never_started_again() {
+    for (may_have_run, starts_again) in [(true, false), (false, true)] {
+        let (mut first_front, mut second_front, mut fake_ledger) =
+            (ready_barrier(1), ready_barrier(2), FakeLedger::default());
+        add_statement(&mut first_front, 1, ("pay", None, None), Some("txn-1"));
+        first_front.hold(0, pending(1, 0, 0, 0));
+        assert_eq!(
+            run_until_idle(&mut first_front, &mut fake_ledger, 0, 1).len(),
+            1
+        );
+        first_front.end_statement(MS, statement_over(1, may_have_run, may_have_run));
+        run_until_idle(&mut first_front, &mut fake_ledger, MS, 1);
+        // The client retries at another front, then at the same front.
+        for (barrier, front) in [(&mut second_front, 2), (&mut first_front, 1)] {
+            add_statement(barrier, 2, ("pay", None, None), Some("txn-1"));
+            barrier.hold(2 * MS, pending(2, 0, 2 * MS, 0));
+            let decisions = run_until_idle(barrier, &mut fake_ledger, 2 * MS, front);
+            assert_eq!(
+                matches!(decisions[..], [BarrierDecision::Release(_)]),
+                starts_again,
+                "{decisions:?}"
+            );
             assert_eq!(
-                matches!(ruled[..], [BarrierDecision::Release(_)]),
-                again,
-                "{ruled:?}"
+                decisions == [BarrierDecision::Abort(2)],
+                !starts_again,
+                "{decisions:?}"
             );
-            assert_eq!(ruled == [BarrierDecision::Abort(2)], !again, "{ruled:?}");
-            gate.end_statement(3 * MS, over(2, false, false));
-            settle(gate, &mut book, 3 * MS, front);
+            barrier.end_statement(3 * MS, statement_over(2, false, false));
+            run_until_idle(barrier, &mut fake_ledger, 3 * MS, front);
         }
     }
 }
 
 #[test]
-fn a_repeat_goes_only_to_the_group_that_drops_it_once_nothing_runs_any_more() {
-    let (mut one, mut other, mut book) = (gate(1), gate(2), Book::default());
-    open(&mut one, 1, ("load", None, Some("d")), None);
-    one.hold(0, pending(1, 0, 0, 0));
-    assert_eq!(settle(&mut one, &mut book, 0, 1).len(), 1);
+fn repeat_is_released_only_for_the_deduplicating_group_after_the_first_execution_ends() {
+    let (mut first_front, mut second_front, mut fake_ledger) =
+        (ready_barrier(1), ready_barrier(2), FakeLedger::default());
+    add_statement(&mut first_front, 1, ("load", None, Some("d")), None);
+    first_front.hold(0, pending(1, 0, 0, 0));
+    assert_eq!(
+        run_until_idle(&mut first_front, &mut fake_ledger, 0, 1).len(),
+        1
+    );
     for (ticket, location) in [(1, 1), (2, 0)] {
-        open(&mut other, ticket, ("load", None, Some("d")), None);
-        other.hold(MS, pending(ticket, 0, MS, location));
+        add_statement(&mut second_front, ticket, ("load", None, Some("d")), None);
+        second_front.hold(MS, pending(ticket, 0, MS, location));
     }
-    assert_eq!(settle(&mut other, &mut book, MS, 2), []);
-    one.end_statement(2 * MS, over(1, true, false));
-    settle(&mut one, &mut book, 2 * MS, 1);
-    let mut ruled = Vec::new();
+    assert_eq!(
+        run_until_idle(&mut second_front, &mut fake_ledger, MS, 2),
+        []
+    );
+    first_front.end_statement(2 * MS, statement_over(1, true, false));
+    run_until_idle(&mut first_front, &mut fake_ledger, 2 * MS, 1);
+    let mut decisions = Vec::new();
     for at in 3..700 {
-        ruled.extend(settle(&mut other, &mut book, at * MS, 2));
+        decisions.extend(run_until_idle(
+            &mut second_front,
+            &mut fake_ledger,
+            at * MS,
+            2,
+        ));
     }
     assert!(
-        ruled.contains(&BarrierDecision::Reject(1)) && ruled.len() == 2,
-        "{ruled:?}"
+        decisions.contains(&BarrierDecision::Reject(1)) && decisions.len() == 2,
+        "{decisions:?}"
     );
     assert!(
-        ruled.contains(&BarrierDecision::Release(pending(2, 0, MS, 0))),
-        "{ruled:?}"
+        decisions.contains(&BarrierDecision::Release(pending(2, 0, MS, 0))),
+        "{decisions:?}"
     );
 }
 
 #[test]
-fn an_order_key_is_not_kept_while_the_statements_dedup_key_is_anothers() {
-    let (mut one, mut other, mut third, mut book) = (gate(1), gate(2), gate(3), Book::default());
-    open(&mut one, 1, ("load", None, Some("d")), None);
-    one.hold(0, pending(1, 0, 0, 0));
-    assert_eq!(settle(&mut one, &mut book, 0, 1).len(), 1);
-    // Asked again at another front while it may be running.
-    open(&mut other, 1, ("load", Some("k"), Some("d")), None);
-    other.hold(MS, pending(1, 0, MS, 0));
-    assert_eq!(settle(&mut other, &mut book, MS, 2), []);
+fn order_key_is_not_claimed_while_another_front_holds_the_dedup_key() {
+    let (mut first_front, mut second_front, mut third_front, mut fake_ledger) = (
+        ready_barrier(1),
+        ready_barrier(2),
+        ready_barrier(3),
+        FakeLedger::default(),
+    );
+    add_statement(&mut first_front, 1, ("load", None, Some("d")), None);
+    first_front.hold(0, pending(1, 0, 0, 0));
+    assert_eq!(
+        run_until_idle(&mut first_front, &mut fake_ledger, 0, 1).len(),
+        1
+    );
+    // The client repeats the statement at another front while the first execution may still be running.
+    add_statement(&mut second_front, 1, ("load", Some("k"), Some("d")), None);
+    second_front.hold(MS, pending(1, 0, MS, 0));
+    assert_eq!(
+        run_until_idle(&mut second_front, &mut fake_ledger, MS, 2),
+        []
+    );
     assert!(
-        book.entries.keys().all(|key| key.kind != Kind::Order),
+        fake_ledger
+            .entries
+            .keys()
+            .all(|key| key.kind != Kind::Order),
         "{:?}",
-        book.entries
+        fake_ledger.entries
     );
-    open(&mut third, 1, ("load", Some("k"), Some("e")), None);
-    third.hold(2 * MS, pending(1, 0, 2 * MS, 0));
-    assert_eq!(settle(&mut third, &mut book, 2 * MS, 3).len(), 1);
-    third.end_statement(3 * MS, over(1, true, false));
-    settle(&mut third, &mut book, 3 * MS, 3);
-    // Once nothing runs any more, the repeat has both.
-    one.end_statement(3 * MS, over(1, true, false));
-    settle(&mut one, &mut book, 3 * MS, 1);
-    let ruled = (4..700)
-        .map(|at| settle(&mut other, &mut book, at * MS, 2))
-        .find(|ruled| !ruled.is_empty());
+    add_statement(&mut third_front, 1, ("load", Some("k"), Some("e")), None);
+    third_front.hold(2 * MS, pending(1, 0, 2 * MS, 0));
     assert_eq!(
-        ruled,
+        run_until_idle(&mut third_front, &mut fake_ledger, 2 * MS, 3).len(),
+        1
+    );
+    third_front.end_statement(3 * MS, statement_over(1, true, false));
+    run_until_idle(&mut third_front, &mut fake_ledger, 3 * MS, 3);
+    // Once the first execution has ended, the repeat gets both keys.
+    first_front.end_statement(3 * MS, statement_over(1, true, false));
+    run_until_idle(&mut first_front, &mut fake_ledger, 3 * MS, 1);
+    let decisions = (4..700)
+        .map(|at| run_until_idle(&mut second_front, &mut fake_ledger, at * MS, 2))
+        .find(|decisions| !decisions.is_empty());
+    assert_eq!(
+        decisions,
         Some(vec![BarrierDecision::Release(pending(1, 0, MS, 0))])
     );
 }
 
 #[test]
-fn a_transaction_keeps_its_key_by_word_that_is_renewed() {
-    let (mut one, mut other, mut book) = (gate(1), gate(2), Book::default());
-    open(&mut one, 1, ("lookup", Some("k"), None), None);
-    one.hold(0, pending(1, 0, 0, 0));
-    assert_eq!(settle(&mut one, &mut book, 0, 1).len(), 1);
-    one.retain_key("k");
-    one.end_statement(MS, over(1, true, false));
+fn transaction_keeps_its_order_key_by_renewing_the_claim() {
+    let (mut first_front, mut second_front, mut fake_ledger) =
+        (ready_barrier(1), ready_barrier(2), FakeLedger::default());
+    add_statement(&mut first_front, 1, ("lookup", Some("k"), None), None);
+    first_front.hold(0, pending(1, 0, 0, 0));
+    assert_eq!(
+        run_until_idle(&mut first_front, &mut fake_ledger, 0, 1).len(),
+        1
+    );
+    first_front.retain_key("k");
+    first_front.end_statement(MS, statement_over(1, true, false));
     for at in (0..60).map(|s| s * 1_000 * MS) {
-        assert_eq!(settle(&mut one, &mut book, at, 1), []);
-        open(&mut other, at as Ticket, ("lookup", Some("k"), None), None);
-        other.hold(at, pending(at as Ticket, 0, at, 0));
-        assert_eq!(settle(&mut other, &mut book, at, 2), [], "{at}");
-        other.cancel(at, at as Ticket, 0);
-        other.end_statement(at, over(at as Ticket, false, false));
+        assert_eq!(
+            run_until_idle(&mut first_front, &mut fake_ledger, at, 1),
+            []
+        );
+        add_statement(
+            &mut second_front,
+            at as Ticket,
+            ("lookup", Some("k"), None),
+            None,
+        );
+        second_front.hold(at, pending(at as Ticket, 0, at, 0));
+        assert_eq!(
+            run_until_idle(&mut second_front, &mut fake_ledger, at, 2),
+            [],
+            "{at}"
+        );
+        second_front.cancel(at, at as Ticket, 0);
+        second_front.end_statement(at, statement_over(at as Ticket, false, false));
     }
-    one.release_key(60_000 * MS, "k", false);
-    settle(&mut one, &mut book, 60_000 * MS, 1);
-    assert!(book.entries.is_empty() && one.keys.is_empty());
+    first_front.release_key(60_000 * MS, "k", false);
+    run_until_idle(&mut first_front, &mut fake_ledger, 60_000 * MS, 1);
+    assert!(fake_ledger.entries.is_empty() && first_front.keys.is_empty());
 }
 
 #[test]
-fn a_key_that_stands_while_another_is_asked_for_is_no_cause_to_wake() {
-    let (mut gate, mut book) = (gate(1), Book::default());
-    assert!(open(
-        &mut gate,
+fn held_key_causes_no_wakeup_while_another_key_is_still_requested() {
+    let (mut barrier, mut fake_ledger) = (ready_barrier(1), FakeLedger::default());
+    assert!(add_statement(
+        &mut barrier,
         1,
         ("load", Some("k"), Some("d")),
         Some("a")
     ));
-    gate.hold(MS, pending(1, 0, MS, 0));
-    let (first, second): (Vec<_>, Vec<_>) = gate
+    barrier.hold(MS, pending(1, 0, MS, 0));
+    let (first, second): (Vec<_>, Vec<_>) = barrier
         .take_requests()
         .into_iter()
-        .partition(|ask| ask.key.kind == Kind::Order);
-    let mut answer = |gate: &mut LedgerBarrier, ask: &ledger::LedgerRequest| {
-        let outcome = book.apply(
+        .partition(|request| request.key.kind == Kind::Order);
+    let mut answer = |barrier: &mut LedgerBarrier, request: &ledger::LedgerRequest| {
+        let outcome = fake_ledger.apply(
             2 * MS,
             Owner {
                 front: 1,
                 incarnation: 1,
             },
-            ask,
+            request,
         );
-        gate.handle_answer(
+        barrier.handle_answer(
             2 * MS,
             LedgerAnswer {
-                number: ask.number,
+                number: request.number,
                 outcome,
             },
         );
     };
-    answer(&mut gate, &first[0]);
-    gate.tick(2 * MS);
-    assert!(gate.due() > 1_000 * MS, "{}", gate.due());
-    answer(&mut gate, &second[0]);
+    answer(&mut barrier, &first[0]);
+    barrier.tick(2 * MS);
+    assert!(barrier.due() > 1_000 * MS, "{}", barrier.due());
+    answer(&mut barrier, &second[0]);
     assert_eq!(
-        gate.take_decisions(),
+        barrier.take_decisions(),
         [BarrierDecision::Release(pending(1, 0, MS, 0))]
     );
 }
--- a/crates/fleet/src/ledger_barrier/tests/randomized.rs
+++ b/crates/fleet/src/ledger_barrier/tests/randomized.rs
@@ -1,4 +1,4 @@
-//! Orders of events that are drawn: answers late, lost or out of order, fronts that stop, clients that leave.
+//! Randomized event orders: late, lost and reordered answers, fronts that restart, and clients that cancel.
 
 use std::collections::VecDeque;
 
@@ -7,375 +7,402 @@
 use super::*;
 
 const FRONTS: usize = 3;
-const GAP: Micros = 50 * MS;
-const WINDOW: Micros = 9_000 * MS;
-const KEYS: [&str; 2] = ["k", "l"];
-const NAMES: [&str; 2] = ["d", "e"];
+const ORDER_GAP: Micros = 50 * MS;
+const DEDUP_WINDOW: Micros = 9_000 * MS;
+const ORDER_KEYS: [&str; 2] = ["k", "l"];
+const STATEMENT_NAMES: [&str; 2] = ["d", "e"];
 
 #[derive(Clone, Debug)]
-enum Step {
-    Arrives {
+enum Event {
+    StatementArrives {
         front: usize,
-        what: usize,
+        kind_index: usize,
         key: usize,
         name: usize,
         location: usize,
     },
-    /// The ledger takes one of the asks in: 0 well, 1 its answer is lost, 2 it is lost itself.
-    Served {
+    /// The ledger processes a request: 0 normally, 1 with its answer lost, 2 not at all, as the request is lost.
+    RequestProcessed {
         which: usize,
         lost: u8,
     },
-    Answered {
+    AnswerArrives {
         which: usize,
     },
-    /// One that is running ends: 0 answered, 1 provably without effect, 2 given up.
-    Ends {
+    /// A running execution ends: 0 answered, 1 provably without effect, 2 cancelled.
+    ExecutionEnds {
         which: usize,
-        how: u8,
+        ending: u8,
     },
-    Leaves {
+    CancelsStatement {
         front: usize,
     },
-    Dies {
+    Restarts {
         front: usize,
     },
-    Passes {
+    TimePasses {
         ms: i64,
     },
 }
 
-fn steps() -> impl Strategy<Value = Vec<Step>> {
+fn events() -> impl Strategy<Value = Vec<Event>> {
     let n = 0..64usize;
-    let step = prop_oneof![
+    let event = prop_oneof![
         4 => (0..FRONTS, 0..4usize, 0..2usize, 0..2usize, 0..2usize)
-            .prop_map(|(front, what, key, name, location)| Step::Arrives { front, what, key, name, location }),
+            .prop_map(|(front, kind_index, key, name, location)| Event::StatementArrives { front, kind_index, key, name, location }),
         6 => (n.clone(), prop_oneof![8 => Just(0u8), 1 => Just(1), 1 => Just(2)])
-            .prop_map(|(which, lost)| Step::Served { which, lost }),
-        6 => n.clone().prop_map(|which| Step::Answered { which }),
-        4 => (n, 0..3u8).prop_map(|(which, how)| Step::Ends { which, how }),
-        1 => (0..FRONTS).prop_map(|front| Step::Leaves { front }),
-        1 => (0..FRONTS).prop_map(|front| Step::Dies { front }),
-        3 => (1..400i64).prop_map(|ms| Step::Passes { ms }),
+            .prop_map(|(which, lost)| Event::RequestProcessed { which, lost }),
+        6 => n.clone().prop_map(|which| Event::AnswerArrives { which }),
+        4 => (n, 0..3u8).prop_map(|(which, ending)| Event::ExecutionEnds { which, ending }),
+        1 => (0..FRONTS).prop_map(|front| Event::CancelsStatement { front }),
+        1 => (0..FRONTS).prop_map(|front| Event::Restarts { front }),
+        3 => (1..400i64).prop_map(|ms| Event::TimePasses { ms }),
     ];
-    proptest::collection::vec(step, 1..160)
+    proptest::collection::vec(event, 1..160)
 }
 
-/// An execution that has left; it may run until its client's time is up and the gap has passed.
-struct Run {
+/// A released execution, which may run until the order gap after its client's deadline has passed.
+struct RunningExecution {
     front: usize,
-    life: u64,
+    incarnation: u64,
     ticket: Ticket,
-    of: Of,
+    statement: Statement,
     location: usize,
     ends: Micros,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Of {
+struct Statement {
     workload: &'static str,
     key: Option<&'static str>,
     name: &'static str,
 }
 
 #[derive(Default)]
-struct Stage {
+struct Simulation {
     now: Micros,
-    book: Book,
-    gates: Vec<(LedgerBarrier, u64)>,
-    /// Of each front: what is held by the module for the turn of its key, and what has been ordered.
-    lines: Vec<VecDeque<(Ticket, Of, usize)>>,
-    open: BTreeMap<(usize, Ticket), (Of, Micros)>,
+    fake_ledger: FakeLedger,
+    barriers: Vec<(LedgerBarrier, u64)>,
+    /// For each front: the statements that its dispatcher queues until their order key is free.
+    queues: Vec<VecDeque<(Ticket, Statement, usize)>>,
+    statements: BTreeMap<(usize, Ticket), (Statement, Micros)>,
     requests: Vec<(usize, u64, ledger::LedgerRequest)>,
     answers: Vec<(usize, u64, LedgerAnswer)>,
-    running: Vec<Run>,
-    /// Non-idempotent statements that may have run; sends of dedup keys: when, where.
+    running: Vec<RunningExecution>,
+    /// Non-idempotent statements that may have run, with their start times.
     ran: Vec<(&'static str, Micros)>,
+    /// Executions sent under dedup keys, with their times and locations.
     sent: Vec<(&'static str, Micros, usize)>,
     next: Ticket,
-    went: usize,
+    released: usize,
 }
 
-impl Stage {
-    fn new() -> Stage {
-        let gates = (0..FRONTS as u64).map(|front| (gate(front), 1)).collect();
-        Stage {
-            gates,
-            lines: vec![VecDeque::new(); FRONTS],
+impl Simulation {
+    fn new() -> Simulation {
+        let barriers = (0..FRONTS as u64)
+            .map(|front| (ready_barrier(front), 1))
+            .collect();
+        Simulation {
+            barriers,
+            queues: vec![VecDeque::new(); FRONTS],
             next: 1,
-            ..Stage::default()
+            ..Simulation::default()
         }
     }
 
-    fn step(&mut self, step: Step) {
-        match step {
-            Step::Arrives {
+    fn apply(&mut self, event: Event) {
+        match event {
+            Event::StatementArrives {
                 front,
-                what,
+                kind_index,
                 key,
                 name,
                 location,
             } => {
-                let (workload, key) = match what {
-                    0 => ("lookup", Some(KEYS[key])),
-                    1 => ("load", Some(KEYS[key])),
+                let (workload, key) = match kind_index {
+                    0 => ("lookup", Some(ORDER_KEYS[key])),
+                    1 => ("load", Some(ORDER_KEYS[key])),
                     2 => ("load", None),
                     _ => ("pay", None),
                 };
-                let of = Of {
+                let statement = Statement {
                     workload,
                     key,
-                    name: NAMES[name],
+                    name: STATEMENT_NAMES[name],
                 };
-                self.lines[front].push_back((self.next, of, location));
+                self.queues[front].push_back((self.next, statement, location));
                 self.next += 1;
             }
-            Step::Served { which, lost } if !self.requests.is_empty() => {
-                let (front, life, ask) = self.requests.remove(which % self.requests.len());
+            Event::RequestProcessed { which, lost } if !self.requests.is_empty() => {
+                let (front, incarnation, request) =
+                    self.requests.remove(which % self.requests.len());
                 let owner = Owner {
                     front: front as u64,
-                    incarnation: life,
+                    incarnation,
                 };
                 let mut outcome = Outcome::Unreachable;
                 if lost < 2 {
-                    let well = self.book.apply(self.now, owner, &ask);
-                    outcome = if lost == 0 { well } else { outcome };
+                    let processed = self.fake_ledger.apply(self.now, owner, &request);
+                    outcome = if lost == 0 { processed } else { outcome };
                 }
                 self.answers.push((
                     front,
-                    life,
+                    incarnation,
                     LedgerAnswer {
-                        number: ask.number,
+                        number: request.number,
                         outcome,
                     },
                 ));
             }
-            Step::Answered { which } if !self.answers.is_empty() => {
-                let (front, life, done) = self.answers.remove(which % self.answers.len());
-                if self.gates[front].1 == life {
-                    self.gates[front].0.handle_answer(self.now, done);
+            Event::AnswerArrives { which } if !self.answers.is_empty() => {
+                let (front, incarnation, done) = self.answers.remove(which % self.answers.len());
+                if self.barriers[front].1 == incarnation {
+                    self.barriers[front].0.handle_answer(self.now, done);
                 }
             }
-            Step::Ends { which, how } => {
-                let all: Vec<usize> = (0..self.running.len()).filter(|n| self.lives(*n)).collect();
+            Event::ExecutionEnds { which, ending } => {
+                let all: Vec<usize> = (0..self.running.len())
+                    .filter(|n| self.is_current(*n))
+                    .collect();
                 if let Some(n) = all.get(which % all.len().max(1)) {
-                    self.ends(*n, how);
+                    self.end_execution(*n, ending);
                 }
             }
-            Step::Leaves { front } => {
-                let held = self.gates[front].0.held().map(|held| held.ticket).min();
+            Event::CancelsStatement { front } => {
+                let held = self.barriers[front].0.held().map(|held| held.ticket).min();
                 if let Some(ticket) = held {
-                    self.withdraw(front, ticket);
+                    self.cancel_statement(front, ticket);
                 }
             }
-            Step::Dies { front } => {
-                let life = self.gates[front].1 + 1;
-                // Every other life begins before its shards have spoken.
-                let new = if life.is_multiple_of(2) {
-                    new_gate
+            Event::Restarts { front } => {
+                let incarnation = self.barriers[front].1 + 1;
+                // Every other incarnation starts before its shards have answered.
+                let create = if incarnation.is_multiple_of(2) {
+                    new_barrier
                 } else {
-                    gate
+                    ready_barrier
                 };
-                self.gates[front] = (new(life * 10 + front as u64), life);
-                self.lines[front].clear();
-                self.open.retain(|(f, _), _| *f != front);
+                self.barriers[front] = (create(incarnation * 10 + front as u64), incarnation);
+                self.queues[front].clear();
+                self.statements.retain(|(f, _), _| *f != front);
             }
-            Step::Passes { ms } => self.now += ms * MS,
-            Step::Served { .. } | Step::Answered { .. } => {}
+            Event::TimePasses { ms } => self.now += ms * MS,
+            Event::RequestProcessed { .. } | Event::AnswerArrives { .. } => {}
         }
-        self.turn();
+        self.advance();
     }
 
-    fn lives(&self, n: usize) -> bool {
-        self.gates[self.running[n].front].1 == self.running[n].life
+    fn is_current(&self, n: usize) -> bool {
+        self.barriers[self.running[n].front].1 == self.running[n].incarnation
     }
 
-    fn ends(&mut self, n: usize, how: u8) {
+    fn end_execution(&mut self, n: usize, ending: u8) {
         let run = self.running.remove(n);
-        if how == 1 {
+        if ending == 1 {
             self.ran
-                .retain(|(name, _)| run.of.workload != "pay" || *name != run.of.name);
-            // The record of what was sent is of what may have run.
-            let at = self
-                .sent
-                .iter()
-                .rposition(|(name, ..)| run.of.workload == "load" && *name == run.of.name);
+                .retain(|(name, _)| run.statement.workload != "pay" || *name != run.statement.name);
+            // An execution without effect is removed from the record of executions that may have run.
+            let at = self.sent.iter().rposition(|(name, ..)| {
+                run.statement.workload == "load" && *name == run.statement.name
+            });
             at.into_iter().for_each(|at| _ = self.sent.remove(at));
         }
-        self.open.remove(&(run.front, run.ticket));
+        self.statements.remove(&(run.front, run.ticket));
         let now = self.now;
-        if how == 2 {
-            // It may be running on for a while.
-            self.running.push(Run {
-                life: 0,
-                ends: (now + GAP).min(run.ends),
+        if ending == 2 {
+            // A cancelled execution may keep running for a while.
+            self.running.push(RunningExecution {
+                incarnation: 0,
+                ends: (now + ORDER_GAP).min(run.ends),
                 ..run
             });
         }
-        self.gates[run.front]
+        self.barriers[run.front]
             .0
-            .end_statement(now, over(run.ticket, how != 1, how == 2));
+            .end_statement(now, statement_over(run.ticket, ending != 1, ending == 2));
     }
 
-    fn withdraw(&mut self, front: usize, ticket: Ticket) {
-        self.open.remove(&(front, ticket));
-        self.gates[front].0.cancel(self.now, ticket, 0);
-        self.gates[front]
+    fn cancel_statement(&mut self, front: usize, ticket: Ticket) {
+        self.statements.remove(&(front, ticket));
+        self.barriers[front].0.cancel(self.now, ticket, 0);
+        self.barriers[front]
             .0
-            .end_statement(self.now, over(ticket, false, false));
+            .end_statement(self.now, statement_over(ticket, false, false));
     }
 
-    /// Times that are up, then all that the fronts do of themselves.
-    fn turn(&mut self) {
+    /// Ends what has reached its deadline, then lets all fronts do their due work.
+    fn advance(&mut self) {
         let now = self.now;
-        self.running.retain(|run| run.ends > now || run.life != 0);
-        while let Some(n) =
-            (0..self.running.len()).find(|n| self.running[*n].ends - GAP <= now && self.lives(*n))
+        self.running
+            .retain(|run| run.ends > now || run.incarnation != 0);
+        while let Some(n) = (0..self.running.len())
+            .find(|n| self.running[*n].ends - ORDER_GAP <= now && self.is_current(*n))
         {
-            self.ends(n, 2);
+            self.end_execution(n, 2);
         }
         self.running.retain(|run| run.ends > now);
         for front in 0..FRONTS {
-            let late: Vec<Ticket> = self.gates[front].0.held().map(|held| held.ticket).collect();
-            for ticket in late {
+            let held_tickets: Vec<Ticket> = self.barriers[front]
+                .0
+                .held()
+                .map(|held| held.ticket)
+                .collect();
+            for ticket in held_tickets {
                 if self
-                    .open
+                    .statements
                     .get(&(front, ticket))
                     .is_some_and(|(_, ends)| *ends <= now)
                 {
-                    self.withdraw(front, ticket);
+                    self.cancel_statement(front, ticket);
                 }
             }
-            // The module: one of an order key at a time.
-            while let Some((ticket, of, location)) = self.lines[front].pop_front() {
-                // What may be running on keeps its turn for the gap.
-                let taken = self
-                    .open
+            // As the dispatcher does: one statement per order key at a time.
+            while let Some((ticket, statement, location)) = self.queues[front].pop_front() {
+                // An execution that may still be running blocks its key for the gap.
+                let open_keys = self
+                    .statements
                     .range((front, 0)..(front + 1, 0))
-                    .map(|(_, (of, _))| of.key);
-                let out = self
+                    .map(|(_, (statement, _))| statement.key);
+                let running_keys = self
                     .running
                     .iter()
                     .filter(|run| run.front == front)
-                    .map(|run| run.of.key);
-                if of.key.is_some() && taken.chain(out).any(|key| key == of.key) {
-                    self.lines[front].push_front((ticket, of, location));
+                    .map(|run| run.statement.key);
+                if statement.key.is_some()
+                    && open_keys
+                        .chain(running_keys)
+                        .any(|key| key == statement.key)
+                {
+                    self.queues[front].push_front((ticket, statement, location));
                     break;
                 }
-                let gate = &mut self.gates[front].0;
-                let dedup = (of.workload == "load").then_some(of.name);
-                assert!(open(
-                    gate,
+                let barrier = &mut self.barriers[front].0;
+                let dedup = (statement.workload == "load").then_some(statement.name);
+                assert!(add_statement(
+                    barrier,
                     ticket,
-                    (of.workload, of.key, dedup),
-                    Some(of.name)
+                    (statement.workload, statement.key, dedup),
+                    Some(statement.name)
                 ));
-                gate.hold(now, pending(ticket, 0, now, location));
-                self.open.insert((front, ticket), (of, now + 4_000 * MS));
+                barrier.hold(now, pending(ticket, 0, now, location));
+                self.statements
+                    .insert((front, ticket), (statement, now + 4_000 * MS));
             }
-            self.gates[front].0.tick(now);
+            self.barriers[front].0.tick(now);
             loop {
-                let rulings = self.gates[front].0.take_decisions();
-                if rulings.is_empty() {
+                let decisions = self.barriers[front].0.take_decisions();
+                if decisions.is_empty() {
                     break;
                 }
-                rulings
+                decisions
                     .into_iter()
-                    .for_each(|ruling| self.obey(front, ruling));
+                    .for_each(|decision| self.carry_out(front, decision));
             }
-            let life = self.gates[front].1;
+            let incarnation = self.barriers[front].1;
             self.requests.extend(
-                self.gates[front]
+                self.barriers[front]
                     .0
                     .take_requests()
                     .into_iter()
-                    .map(|ask| (front, life, ask)),
+                    .map(|request| (front, incarnation, request)),
             );
         }
     }
 
-    fn obey(&mut self, front: usize, ruling: BarrierDecision) {
-        let (now, life) = (self.now, self.gates[front].1);
-        let held = match ruling {
+    fn carry_out(&mut self, front: usize, decision: BarrierDecision) {
+        let (now, incarnation) = (self.now, self.barriers[front].1);
+        let held = match decision {
             BarrierDecision::Release(held) => held,
             BarrierDecision::Reject(ticket) | BarrierDecision::Abort(ticket) => {
-                self.open.remove(&(front, ticket));
-                return self.gates[front]
+                self.statements.remove(&(front, ticket));
+                return self.barriers[front]
                     .0
-                    .end_statement(now, over(ticket, false, false));
+                    .end_statement(now, statement_over(ticket, false, false));
             }
         };
-        self.went += 1;
-        let (of, _) = self.open[&(front, held.ticket)];
-        if let Some(key) = of.key {
-            let other = self.running.iter().find(|run| run.of.key == Some(key));
+        self.released += 1;
+        let (statement, _) = self.statements[&(front, held.ticket)];
+        if let Some(key) = statement.key {
+            let other = self
+                .running
+                .iter()
+                .find(|run| run.statement.key == Some(key));
             assert!(
                 other.is_none(),
-                "two of {key} at once: front {front} beside {}",
+                "two executions with key {key} at once: fronts {front} and {}",
                 other.unwrap().front
             );
         }
         let location = held.site.location;
-        match of.workload {
+        match statement.workload {
             "pay" => {
-                let kept = |(name, at): &(&str, Micros)| *name == of.name && now - at < 64_000 * MS;
-                assert!(!self.ran.iter().any(kept), "{} is begun twice", of.name);
-                self.ran.push((of.name, now));
+                let retained =
+                    |(name, at): &(&str, Micros)| *name == statement.name && now - at < 64_000 * MS;
+                assert!(
+                    !self.ran.iter().any(retained),
+                    "{} is started twice",
+                    statement.name
+                );
+                self.ran.push((statement.name, now));
             }
             "load" => {
-                let away = |(name, at, where_): &(&str, Micros, usize)| {
-                    *name == of.name && now - at < WINDOW && *where_ != location
+                let elsewhere = |(name, at, sent_location): &(&str, Micros, usize)| {
+                    *name == statement.name && now - at < DEDUP_WINDOW && *sent_location != location
                 };
-                assert!(!self.sent.iter().any(away), "{} leaves its group", of.name);
-                self.sent.push((of.name, now, location));
+                assert!(
+                    !self.sent.iter().any(elsewhere),
+                    "{} is sent outside its group",
+                    statement.name
+                );
+                self.sent.push((statement.name, now, location));
             }
             _ => {}
         }
-        let ends = held.terms.deadline + GAP;
-        self.running.push(Run {
+        let ends = held.terms.deadline + ORDER_GAP;
+        self.running.push(RunningExecution {
             front,
-            life,
+            incarnation,
             ticket: held.ticket,
-            of,
+            statement,
             location,
             ends,
         });
         assert_eq!(self.running.last().map(|run| run.location), Some(location));
     }
 
-    /// Nothing more comes: all ends, and nothing is left but what stands for its time.
-    fn calm(&mut self) {
+    /// Adds no statements and ends all executions; afterwards only unexpired start records may remain.
+    fn drain(&mut self) {
         for _ in 0..400 {
             while !self.requests.is_empty() || !self.answers.is_empty() {
-                self.step(Step::Served { which: 0, lost: 0 });
-                self.step(Step::Answered { which: 0 });
+                self.apply(Event::RequestProcessed { which: 0, lost: 0 });
+                self.apply(Event::AnswerArrives { which: 0 });
             }
-            while let Some(n) = (0..self.running.len()).find(|n| self.lives(*n)) {
-                self.ends(n, 0);
-                self.turn();
+            while let Some(n) = (0..self.running.len()).find(|n| self.is_current(*n)) {
+                self.end_execution(n, 0);
+                self.advance();
             }
-            self.step(Step::Passes { ms: 100 });
+            self.apply(Event::TimePasses { ms: 100 });
         }
-        for (front, (gate, life)) in self.gates.iter().enumerate() {
+        for (front, (barrier, incarnation)) in self.barriers.iter().enumerate() {
             assert!(
-                gate.keys.is_empty() && gate.statements.is_empty() && gate.is_idle(),
+                barrier.keys.is_empty() && barrier.statements.is_empty() && barrier.is_idle(),
                 "front {front}"
             );
             let owner = Owner {
                 front: front as u64,
-                incarnation: *life,
+                incarnation: *incarnation,
             };
-            let own = |e: &&Entry| e.owner == owner && e.ends_ms > (self.now / MS) as u64;
+            let is_own = |e: &&Entry| e.owner == owner && e.ends_ms > (self.now / MS) as u64;
             let left: Vec<_> = self
-                .book
+                .fake_ledger
                 .entries
                 .values()
-                .filter(own)
+                .filter(is_own)
                 .map(|e| e.key.kind)
                 .collect();
             assert!(left.iter().all(|kind| *kind == Kind::Begun), "{left:?}");
         }
-        assert!(self.open.is_empty() && self.lines.iter().all(VecDeque::is_empty));
+        assert!(self.statements.is_empty() && self.queues.iter().all(VecDeque::is_empty));
     }
 }
 
@@ -383,25 +410,25 @@
     #![proptest_config(ProptestConfig { cases: 500, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_key_runs_twice_at_once_no_repeat_leaves_its_group_and_nothing_is_begun_twice(steps in steps()) {
-        let mut stage = Stage::new();
-        steps.into_iter().for_each(|step| stage.step(step));
-        stage.calm();
+    fn random_events_never_break_key_order_dedup_groups_or_single_start(events in events()) {
+        let mut simulation = Simulation::new();
+        events.into_iter().for_each(|event| simulation.apply(event));
+        simulation.drain();
     }
 }
 
 #[test]
-fn the_drawn_orders_let_executions_go() {
-    let mut stage = Stage::new();
+fn arriving_statements_are_released() {
+    let mut simulation = Simulation::new();
     for n in 0..40 {
-        stage.step(Step::Arrives {
+        simulation.apply(Event::StatementArrives {
             front: n % 3,
-            what: n % 4,
+            kind_index: n % 4,
             key: n % 2,
             name: n % 2,
             location: 0,
         });
-        stage.calm();
+        simulation.drain();
     }
-    assert!(stage.went > 25, "{}", stage.went);
+    assert!(simulation.released > 25, "{}", simulation.released);
 }
