--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Announces that this front leaves the fleet. Returns datagrams to some peers, which spread the news; empty
+    /// Announces that this front leaves the fleet. Returns datagrams to some peers, which forward it; empty
     /// if the front has announced it before.
     pub fn leave(
         &mut self,
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -102,10 +102,10 @@
         self.next_health = at.steady + HEALTH_INTERVAL;
         let members = node.members();
         let up = self.members_where(|front| members.health(front) == Some(Health::Alive));
-        let away = self.members_where(|front| {
+        let down = self.members_where(|front| {
             matches!(members.health(front), Some(Health::Dead | Health::Left))
         });
-        self.ledger.set_health(clock(at), &up, &away);
+        self.ledger.set_health(clock(at), &up, &down);
     }
 
     /// The members that satisfy a condition.
--- a/crates/fleet/src/ledger_barrier/requirements.rs
+++ b/crates/fleet/src/ledger_barrier/requirements.rs
@@ -9,7 +9,7 @@
 
 /// Microseconds past a non-idempotent statement's deadline for which the ledger records that it was started.
 /// Clients that retry a statement under the same id do so within seconds.
-const BEGUN_RETENTION: Micros = 60_000_000;
+const START_RECORD_RETENTION: Micros = 60_000_000;
 /// The largest difference between the clocks of two fronts that the ledger assumes, in microseconds.
 pub(super) const MAX_CLOCK_SKEW: Micros = 500_000;
 
@@ -129,7 +129,7 @@
         // an entry that only that statement needs.
         [
             self.dedup_key(workload, statement),
-            self.begun(workload, statement, id),
+            self.start_record(workload, statement, id),
             self.order_key(workload, statement),
         ]
         .into_iter()
@@ -155,7 +155,7 @@
     }
 
     /// The requirement that a non-idempotent statement is started at most once.
-    fn begun(
+    fn start_record(
         &self,
         workload: &Workload,
         statement: &StatementArrived,
@@ -170,8 +170,8 @@
         };
         Some(Requirement {
             key,
-            retention_after_deadline: BEGUN_RETENTION,
-            retention_after_end: BEGUN_RETENTION,
+            retention_after_deadline: START_RECORD_RETENTION,
+            retention_after_end: START_RECORD_RETENTION,
             grouping: Grouping::All,
             max_overrun: self.order_gap,
         })
--- a/crates/fleet/src/ledger_barrier/tests/randomized.rs
+++ b/crates/fleet/src/ledger_barrier/tests/randomized.rs
@@ -230,7 +230,7 @@
             .end_statement(self.now, statement_over(ticket, false, false));
     }
 
-    /// Ends what has reached its deadline, then lets all fronts do their due work.
+    /// Ends statements and executions that have reached their deadline, then does all due work of the fronts.
     fn advance(&mut self) {
         let now = self.now;
         self.running
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -92,7 +92,7 @@
     let fronts_per_report = node.fleet_size().up as f64 / reports.len() as f64;
     let customers_per_s = dispatcher
         .customer_demand(now)
-        .map(|(name, asked)| match asked {
+        .map(|(name, demand)| match demand {
             Some(_) => {
                 let requested = capped_sum(reports, customer_hash(name), |load| load.requested);
                 requested * (fronts_per_report / DEMAND_SECONDS)
