--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -195,8 +195,8 @@
         }
     }
 
-    /// Removes and returns the messages received on channels of other subsystems. While 1,024 wait, further ones
-    /// are dropped.
+    /// Removes and returns the messages received on channels of other subsystems, `MAX_RECEIVED_MESSAGES` at
+    /// most; further ones were dropped.
     pub fn take_received(&mut self) -> Vec<ChannelMessage> {
         std::mem::take(&mut self.received)
     }
--- a/crates/fleet/src/ledger_barrier.rs
+++ b/crates/fleet/src/ledger_barrier.rs
@@ -80,6 +80,7 @@
     keys: BTreeMap<Key, KeyState>,
     /// The keys of unanswered requests, by request number.
     pending_requests: BTreeMap<u64, Key>,
+    /// The number of the latest request; the next one has the number that follows.
     last_request_number: u64,
     /// When `tick` has to look at the keys next; can be early, as only `tick` moves it to a later time.
     due: Micros,
--- a/crates/fleet/src/ledger_barrier/key_state.rs
+++ b/crates/fleet/src/ledger_barrier/key_state.rs
@@ -110,13 +110,15 @@
     may_be_held_until_ms: u64,
     /// The id of the request that makes this front's entry, by which the entry is recognized.
     request_id: RequestId,
-    /// Whether no answer has shown if that request was carried out.
+    /// Whether it is unknown if that request was carried out.
     unconfirmed: bool,
     /// The purpose of the pending request, if there is one.
     pending_request: Option<Purpose>,
     /// The number of the latest request to hold the key for executions.
     claim_number: u64,
+    /// When the key may be requested again; 0 if there is nothing to wait for.
     retry_at: Micros,
+    /// When a failed request to free the key may be repeated.
     free_retry_at: Micros,
     /// Consecutive requests that found the key held by another front.
     blocked_attempts: u32,
