--- a/crates/dispatcher/src/commands.rs
+++ b/crates/dispatcher/src/commands.rs
@@ -3,7 +3,7 @@
 use hallmux::interface::Micros;
 
 use crate::executions::Terms;
-use crate::{Ending, Place, RejectCause, Ticket};
+use crate::{Ending, EngineIndex, RejectCause, Ticket};
 
 /// What the network is to do.
 #[derive(Clone, Debug, PartialEq)]
@@ -15,7 +15,7 @@
         /// The number of this execution among those of the statement, from 0.
         execution: usize,
         /// The engine.
-        place: Place,
+        place: EngineIndex,
         /// What holds for the execution.
         terms: Terms,
     },
@@ -56,7 +56,7 @@
     /// Probe an engine.
     Probe {
         /// The engine.
-        place: Place,
+        place: EngineIndex,
         /// On behalf of the fleet: only whoever owns that work may send it.
         for_fleet: bool,
     },
--- a/crates/dispatcher/src/connection_pacer.rs
+++ b/crates/dispatcher/src/connection_pacer.rs
@@ -6,7 +6,7 @@
 
 use hallmux::interface::Micros;
 
-use crate::Place;
+use crate::EngineIndex;
 
 /// Seconds for which a slot may still be used.
 const SLOT_LIFETIME: f64 = 0.25;
@@ -27,7 +27,7 @@
     /// Where in a slot this front begins, 0 to 1.
     offset: f64,
     /// The last slot used of each engine.
-    used: BTreeMap<Place, f64>,
+    used: BTreeMap<EngineIndex, f64>,
 }
 
 impl ConnectionPacer {
@@ -68,7 +68,7 @@
     }
 
     /// The next slot of an engine.
-    fn next_slot(&self, now: Micros, place: Place) -> NextSlot {
+    fn next_slot(&self, now: Micros, place: EngineIndex) -> NextSlot {
         let shift = (self.offset + place as f64 * SPREAD).fract();
         let passed = self.passed(now) + shift;
         let lost = passed - SLOT_LIFETIME * self.rate.unwrap_or(0.0);
@@ -80,7 +80,7 @@
     }
 
     /// The time of the next slot of an engine; `now` where one may be used.
-    pub fn next(&self, now: Micros, place: Place) -> Micros {
+    pub fn next(&self, now: Micros, place: EngineIndex) -> Micros {
         let Some(rate) = self.rate else { return now };
         let NextSlot { slot, passed } = self.next_slot(now, place);
         let wait = (slot - passed).max(0.0) * 1e6 / rate.max(f64::MIN_POSITIVE);
@@ -88,7 +88,7 @@
     }
 
     /// Whether a connection to an engine may be begun now; if so, its slot is used up.
-    pub fn take(&mut self, now: Micros, place: Place) -> bool {
+    pub fn take(&mut self, now: Micros, place: EngineIndex) -> bool {
         if self.rate.is_none() {
             return true;
         }
--- a/crates/dispatcher/src/engines.rs
+++ b/crates/dispatcher/src/engines.rs
@@ -4,7 +4,7 @@
 
 use crate::engine_stats::EngineStats;
 use crate::request::Protocol;
-use crate::{position, Dispatcher, Ending, Place};
+use crate::{position, Dispatcher, Ending, EngineIndex};
 
 /// A line of the engine list, by the names that the settings use.
 #[derive(Clone, Debug)]
@@ -95,7 +95,7 @@
 
 impl Dispatcher {
     /// Takes the engine list or changes of it, and returns the index of each line's engine, in order.
-    pub fn update_engines(&mut self, scope: ListScope, listings: &[Listing]) -> Vec<Place> {
+    pub fn update_engines(&mut self, scope: ListScope, listings: &[Listing]) -> Vec<EngineIndex> {
         let whole = scope == ListScope::Full;
         if whole {
             self.mark_missing_as_gone(listings);
@@ -150,7 +150,7 @@
     }
 
     /// The index of an engine: its own, that of one like it that is gone with nothing in flight, or a new one.
-    fn index_for(&self, id: &str, entry: &EngineEntry) -> Place {
+    fn index_for(&self, id: &str, entry: &EngineEntry) -> EngineIndex {
         if let Some(own) = self.engines.iter().position(|engine| engine.id == id) {
             return own;
         }
@@ -163,14 +163,14 @@
     }
 
     /// All engines that statements may be sent to.
-    pub(crate) fn ready_engines(&self) -> Vec<Place> {
+    pub(crate) fn ready_engines(&self) -> Vec<EngineIndex> {
         (0..self.engines.len())
             .filter(|index| self.engines[*index].entry.mode == Mode::Ready)
             .collect()
     }
 
     /// How many executions can leave for an engine now, over connections that are there or may be made.
-    pub(crate) fn set_send_capacity(&mut self, place: Place, executions: usize) {
+    pub(crate) fn set_send_capacity(&mut self, place: EngineIndex, executions: usize) {
         self.events.push(Event::SendCapacity {
             engine: place,
             executions,
@@ -178,7 +178,13 @@
     }
 
     /// A probe ended: whether the engine answered, and the load report that it answered with.
-    pub fn probe_ended(&mut self, now: Micros, place: Place, alive: bool, report: Option<Report>) {
+    pub fn probe_ended(
+        &mut self,
+        now: Micros,
+        place: EngineIndex,
+        alive: bool,
+        report: Option<Report>,
+    ) {
         if let Some(engine) = self.engines.get_mut(place).filter(|_| alive) {
             engine.stats.fade(now);
             engine.stats.record_answer(now);
--- a/crates/dispatcher/src/executions.rs
+++ b/crates/dispatcher/src/executions.rs
@@ -2,7 +2,7 @@
 
 use hallmux::interface::{Event, Micros, Note};
 
-use crate::{Dispatcher, Ending, Place, Ticket};
+use crate::{Dispatcher, Ending, EngineIndex, Ticket};
 
 /// What holds for one execution.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -20,7 +20,7 @@
 
 /// One attempt of a statement at an engine.
 pub struct Execution {
-    pub engine: Place,
+    pub engine: EngineIndex,
     /// When it was commanded, or when it left this front if it was held first.
     pub sent: Micros,
     /// It was commanded and has not ended.
@@ -33,7 +33,7 @@
 
 impl Execution {
     /// An execution that is commanded now.
-    pub fn sent(now: Micros, engine: Place) -> Execution {
+    pub fn sent(now: Micros, engine: EngineIndex) -> Execution {
         Execution {
             engine,
             sent: now,
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -67,7 +67,7 @@
 pub type Ticket = StatementId;
 
 /// An engine as this front knows it: its index, which another engine may have once this one is gone.
-pub type Place = usize;
+pub type EngineIndex = usize;
 
 /// The index of a name among those of the settings.
 fn position(names: &[String], name: &str) -> Option<usize> {
--- a/crates/dispatcher/src/promises.rs
+++ b/crates/dispatcher/src/promises.rs
@@ -5,7 +5,7 @@
 
 use crate::request::StatementRequest;
 use crate::statements::Statement;
-use crate::{Dispatcher, Ending, Place, Ticket};
+use crate::{Dispatcher, Ending, EngineIndex, Ticket};
 
 /// Neighbouring multiples of the golden ratio's fraction lie far apart: it spreads whatever is numbered in a row.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
@@ -120,7 +120,7 @@
     }
 
     /// Where an engine is; the default where there is no such engine.
-    pub fn site(&self, place: Place) -> Site {
+    pub fn site(&self, place: EngineIndex) -> Site {
         let Some(engine) = self.engines.get(place) else {
             return Site::default();
         };
--- a/crates/dispatcher/src/request.rs
+++ b/crates/dispatcher/src/request.rs
@@ -2,7 +2,7 @@
 
 use hallmux::interface::Micros;
 
-use crate::Place;
+use crate::EngineIndex;
 
 /// What a client asks for.
 #[derive(Clone, Debug, Default)]
@@ -26,7 +26,7 @@
     /// The protocol that it is sent in.
     pub protocol: Protocol,
     /// The engine of the open transaction that it belongs to.
-    pub sticky_engine: Option<Place>,
+    pub sticky_engine: Option<EngineIndex>,
     /// Names of the locations that it may be sent to; None: all that its workload allows.
     pub allowed_locations: Option<&'a [&'a str]>,
 }
--- a/crates/dispatcher/src/send_capacity.rs
+++ b/crates/dispatcher/src/send_capacity.rs
@@ -5,7 +5,7 @@
 
 use hallmux::interface::Micros;
 
-use crate::{Dispatcher, Place};
+use crate::{Dispatcher, EngineIndex};
 
 /// Microseconds after which all is reported anew: what was held here may have left.
 const REPORT_INTERVAL: Micros = 1_000_000;
@@ -15,7 +15,7 @@
 /// The executions that can leave for each engine, as last reported to the module.
 #[derive(Default)]
 pub struct SendCapacity {
-    reported: BTreeMap<Place, usize>,
+    reported: BTreeMap<EngineIndex, usize>,
     /// When all is reported anew.
     next_full_report: Micros,
 }
@@ -27,7 +27,7 @@
         &mut self,
         now: Micros,
         dispatcher: &mut Dispatcher,
-        mut capacity: impl FnMut(Place) -> usize,
+        mut capacity: impl FnMut(EngineIndex) -> usize,
     ) {
         if self.next_full_report <= now {
             self.next_full_report = now + REPORT_INTERVAL;
@@ -42,7 +42,7 @@
     }
 
     /// An execution has left for an engine: the module has counted it, so the capacity is reported anew.
-    pub fn sent(&mut self, place: Place) {
+    pub fn sent(&mut self, place: EngineIndex) {
         self.reported.remove(&place);
     }
 }
--- a/crates/dispatcher/src/submission.rs
+++ b/crates/dispatcher/src/submission.rs
@@ -4,7 +4,7 @@
 
 use crate::request::{InvalidRequest, StatementRequest};
 use crate::statements::Statement;
-use crate::{position, Deadline, Dispatcher, Place, Ticket};
+use crate::{position, Deadline, Dispatcher, EngineIndex, Ticket};
 
 /// Whose statement it is, by indices in the settings.
 struct Service {
@@ -77,7 +77,7 @@
     fn allowed_locations(
         &self,
         workload: usize,
-        sticky_engine: Option<Place>,
+        sticky_engine: Option<EngineIndex>,
         names: &[&str],
     ) -> Result<Vec<usize>, InvalidRequest> {
         let workload_locations = self
--- a/crates/dispatcher/src/tick.rs
+++ b/crates/dispatcher/src/tick.rs
@@ -5,7 +5,7 @@
 use crate::commands::Command;
 use crate::executions::{Execution, Terms};
 use crate::statements::repeat_window;
-use crate::{Dispatcher, Ending, Place, RejectCause, Ticket};
+use crate::{Dispatcher, Ending, EngineIndex, RejectCause, Ticket};
 
 impl Dispatcher {
     /// The time at which [`Dispatcher::tick`] is next due, in microseconds; 0 where something waits to be decided
@@ -144,7 +144,13 @@
         }));
     }
 
-    fn execute(&mut self, now: Micros, ticket: Ticket, engine: Place, commands: &mut Vec<Command>) {
+    fn execute(
+        &mut self,
+        now: Micros,
+        ticket: Ticket,
+        engine: EngineIndex,
+        commands: &mut Vec<Command>,
+    ) {
         let Some(statement) = self.statements.get_mut(&ticket) else {
             return;
         };
--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -13,7 +13,7 @@
 
 use hallmux_config::Settings;
 use hallmux_dispatcher::{
-    Micros, Place, PromiseEvent, Site, StatementArrived, StatementOver, Terms, Ticket,
+    EngineIndex, Micros, PromiseEvent, Site, StatementArrived, StatementOver, Terms, Ticket,
 };
 use hallmux_ledger::{self as ledger, Key, Kind, LedgerAnswer};
 
@@ -39,7 +39,7 @@
     /// Its number among the statement's executions.
     pub execution: usize,
     /// The engine that it goes to.
-    pub place: Place,
+    pub place: EngineIndex,
     /// Its deadline and priority.
     pub terms: Terms,
     /// Where that engine is.
--- a/crates/fleet/src/gate/guard.rs
+++ b/crates/fleet/src/gate/guard.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use hallmux_config::Settings;
-use hallmux_dispatcher::{Dispatcher, Micros, Place, Terms, Ticket};
+use hallmux_dispatcher::{Dispatcher, EngineIndex, Micros, Terms, Ticket};
 use hallmux_ledger::{LedgerAnswer, LedgerRequest};
 
 use super::{Gate, PendingExecution, Ruling, REQUEST_NUMBER_BASE};
@@ -28,7 +28,7 @@
     /// Its number among the statement's executions.
     pub execution: usize,
     /// The engine that it goes to.
-    pub place: Place,
+    pub place: EngineIndex,
     /// Its deadline and priority.
     pub terms: Terms,
 }
--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -16,7 +16,7 @@
 
 use calloop::LoopHandle;
 use hallmux_config::{Names, NetworkSettings};
-use hallmux_dispatcher::{Ending, Micros, Note, Place, Ticket};
+use hallmux_dispatcher::{Ending, EngineIndex, Micros, Note, Ticket};
 
 use crate::dial_pacer::{self, DialPacer};
 use crate::events::LoopEvents;
@@ -50,7 +50,7 @@
     },
     /// The outcome of a health check.
     Probed {
-        place: Place,
+        place: EngineIndex,
         alive: bool,
         report: Option<Vec<f64>>,
     },
@@ -79,7 +79,7 @@
     handle: LoopHandle<'static, LoopEvents>,
     allowance: NetworkSettings,
     report_names: Vec<String>,
-    engines: BTreeMap<Place, Engine>,
+    engines: BTreeMap<EngineIndex, Engine>,
     connections: BTreeMap<ConnectionId, EngineConnection>,
     executions: BTreeMap<ExecutionId, Execution>,
     /// The number given last, to a connection or a health check.
@@ -139,7 +139,7 @@
 
     /// An engine of the list, new or changed. One at another address or start is another: nothing more is sent over
     /// the connections to the former.
-    pub fn list(&mut self, place: Place, listed: ListedEngine) {
+    pub fn list(&mut self, place: EngineIndex, listed: ListedEngine) {
         let known = self.engines.get(&place);
         let known = known.filter(|engine| engine.is(&listed));
         let failing = known.is_some_and(|engine| engine.failing);
@@ -159,8 +159,8 @@
     }
 
     /// A whole list has come: engines that it does not name are gone.
-    pub fn retire_others(&mut self, listed: &[Place]) {
-        let places: Vec<Place> = self
+    pub fn retire_others(&mut self, listed: &[EngineIndex]) {
+        let places: Vec<EngineIndex> = self
             .engines
             .keys()
             .copied()
@@ -170,7 +170,7 @@
     }
 
     /// What has not left for an engine stays here; what is out may still be answered.
-    pub fn retire(&mut self, place: Place) {
+    pub fn retire(&mut self, place: EngineIndex) {
         let Some(engine) = self.engines.get_mut(&place) else {
             return;
         };
--- a/crates/front/src/engines/capacity.rs
+++ b/crates/front/src/engines/capacity.rs
@@ -1,13 +1,13 @@
 //! How many executions can leave for an engine without more connections than this front may make.
 
-use hallmux_dispatcher::{Micros, Place};
+use hallmux_dispatcher::{EngineIndex, Micros};
 
 use super::connection::EngineConnection;
 use super::{Engine, Engines};
 
 impl Engines {
     /// Executions that the connections to an engine take, and one more connection where it may be made now.
-    pub fn capacity(&self, now: Micros, place: Place) -> usize {
+    pub fn capacity(&self, now: Micros, place: EngineIndex) -> usize {
         let Some(engine) = self.engines.get(&place).filter(|e| e.available) else {
             return 0;
         };
--- a/crates/front/src/engines/send.rs
+++ b/crates/front/src/engines/send.rs
@@ -3,7 +3,7 @@
 use std::io::{Error, ErrorKind};
 use std::rc::Rc;
 
-use hallmux_dispatcher::{Ending, Micros, Place, Terms};
+use hallmux_dispatcher::{Ending, EngineIndex, Micros, Terms};
 use hallmux_native_codec::engine::{self, Command};
 use hallmux_native_codec::statement::Call;
 
@@ -26,7 +26,7 @@
         &mut self,
         now: Micros,
         execution_id: ExecutionId,
-        place: Place,
+        place: EngineIndex,
         call: Rc<Call>,
         terms: Terms,
     ) {
@@ -55,7 +55,7 @@
     fn choose_connection(
         &mut self,
         now: Micros,
-        place: Place,
+        place: EngineIndex,
         id: &str,
     ) -> Result<ConnectionId, Ending> {
         let engine = self.engines.get(&place).ok_or(Ending::Withdrawn)?;
@@ -98,7 +98,7 @@
             && self.occupied(connection) < self.allowance.executions_per_connection
     }
 
-    fn dial(&mut self, now: Micros, place: Place) -> Result<ConnectionId, Ending> {
+    fn dial(&mut self, now: Micros, place: EngineIndex) -> Result<ConnectionId, Ending> {
         let engine = self.engines.get_mut(&place).ok_or(Ending::Withdrawn)?;
         self.next += 1;
         let id = self.next;
@@ -188,7 +188,7 @@
     }
 
     /// Sends a health check to an engine; its outcome comes as an event.
-    pub fn probe(&mut self, now: Micros, place: Place) {
+    pub fn probe(&mut self, now: Micros, place: EngineIndex) {
         self.next += 1;
         let tag = format!("p{}", self.next);
         let connection = match self.choose_connection(now, place, &tag) {
--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use hallmux_dispatcher::{Command, Ending, Micros, Place, RejectCause, Ticket};
+use hallmux_dispatcher::{Command, Ending, EngineIndex, Micros, RejectCause, Ticket};
 use hallmux_fleet::gate;
 use hallmux_native_codec::statement::{Call, Reply};
 use hallmux_scatter::gather::PartFailure;
@@ -397,7 +397,7 @@
 
     /// Sends a health check to an engine. One on behalf of the fleet stays here if that work has become another front's
     /// between the decision and now.
-    fn probe(&mut self, place: Place, for_fleet: bool) {
+    fn probe(&mut self, place: EngineIndex, for_fleet: bool) {
         let may_probe = self.peers.as_ref().is_none_or(Peers::may_probe);
         if may_probe || !for_fleet {
             self.engines.probe(self.clock.now, place);
--- a/crates/front/src/event_loop/engine_list.rs
+++ b/crates/front/src/event_loop/engine_list.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-use hallmux_dispatcher::{ListScope, Listing, Micros, Mode as EngineMode, Place, Protocol};
+use hallmux_dispatcher::{EngineIndex, ListScope, Listing, Micros, Mode as EngineMode, Protocol};
 use hallmux_native_codec::coordinator::{Engine, EngineList, EngineState, Events};
 
 use super::EventLoopState;
@@ -58,7 +58,7 @@
     }
 
     /// The connections of each protocol go by the list: to where the engine is, or nowhere.
-    fn update_connections(&mut self, engine: &Engine, place: Place) {
+    fn update_connections(&mut self, engine: &Engine, place: EngineIndex) {
         let protocols = self.protocols(&engine.kind);
         let address = engine.address.parse::<SocketAddr>();
         let available = engine.state == EngineState::Up;
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -13,7 +13,7 @@
 use std::time::Instant;
 
 use hallmux_access::{self as access, Access, Decision, FleetHits, Request, RulesCommand};
-use hallmux_dispatcher::{Dispatcher, Ending, Micros, Place, Terms, Ticket};
+use hallmux_dispatcher::{Dispatcher, Ending, EngineIndex, Micros, Terms, Ticket};
 use hallmux_ledger::{self as ledger, Ledger, Moment};
 use hallmux_native_codec::tables;
 
@@ -38,7 +38,7 @@
     pub judged: Ticket,
     pub ticket: Ticket,
     pub execution: usize,
-    pub place: Place,
+    pub place: EngineIndex,
     pub terms: Terms,
 }
 
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -11,7 +11,7 @@
 
 use calloop::LoopHandle;
 use hallmux_config::{Postgres, Settings};
-use hallmux_dispatcher::{Dispatcher, Ending, Micros, Place, Ticket};
+use hallmux_dispatcher::{Dispatcher, Ending, EngineIndex, Micros, Ticket};
 use hallmux_postgres::session::Transaction;
 
 use super::admission_state::AdmissionState;
@@ -266,7 +266,7 @@
         &mut self,
         now: Micros,
         execution_id: ExecutionId,
-        place: Place,
+        place: EngineIndex,
         text: Option<Vec<u8>>,
     ) {
         let Some((session, open_session)) = self.sessions.by_ticket(execution_id.ticket) else {
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -10,7 +10,7 @@
 
 use calloop::LoopHandle;
 use hallmux_config::{NetworkSettings, SessionLimits};
-use hallmux_dispatcher::{Ending, Micros, Place};
+use hallmux_dispatcher::{Ending, EngineIndex, Micros};
 use hallmux_postgres::engine::{Account, EngineConnection, UnitOutcome};
 use hallmux_postgres::pool::{self, Pools};
 use hallmux_postgres::prepared::SessionSettings;
@@ -83,7 +83,7 @@
 
 struct Execution {
     unit: Unit,
-    place: Place,
+    place: EngineIndex,
     link: Option<ServerId>,
     stage: Stage,
     /// What has come of its answer and not gone on.
@@ -97,7 +97,7 @@
 struct Server {
     link: Link,
     engine: EngineConnection,
-    place: Place,
+    place: EngineIndex,
     up: bool,
     serves: Option<ExecutionId>,
     /// The session whose transaction is open here.
@@ -144,7 +144,7 @@
     handle: LoopHandle<'static, LoopEvents>,
     allowance: NetworkSettings,
     limits: SessionLimits,
-    engines: BTreeMap<Place, EngineEntry>,
+    engines: BTreeMap<EngineIndex, EngineEntry>,
     accounts: Vec<Account>,
     links: BTreeMap<ServerId, Server>,
     cancels: BTreeMap<u64, Cancel>,
@@ -201,7 +201,7 @@
     }
 
     /// Units that can leave for an engine over connections at rest or on their way, or one that may be made now.
-    pub fn capacity(&self, now: Micros, place: Place) -> usize {
+    pub fn capacity(&self, now: Micros, place: EngineIndex) -> usize {
         let dials = self.pools.has_capacity(place) && self.dials.borrow().next(now, place) <= now;
         self.pools.available(place)
             + usize::from(dials && self.engines.get(&place).is_some_and(|e| e.up))
@@ -229,12 +229,12 @@
     }
 
     /// The engine that a connection is to.
-    pub fn place(&self, id: ServerId) -> Option<Place> {
+    pub fn place(&self, id: ServerId) -> Option<EngineIndex> {
         self.links.get(&id).map(|l| l.place)
     }
 
     /// An engine of the list: where it is, and whether anything may still be sent to it.
-    pub fn list(&mut self, place: Place, listed: ListedEngine) {
+    pub fn list(&mut self, place: EngineIndex, listed: ListedEngine) {
         let ListedEngine {
             id,
             address: at,
@@ -266,8 +266,8 @@
     }
 
     /// A whole list has come: engines that it does not name are gone.
-    pub fn retire_others(&mut self, listed: &[Place]) {
-        let places: Vec<Place> = self
+    pub fn retire_others(&mut self, listed: &[EngineIndex]) {
+        let places: Vec<EngineIndex> = self
             .engines
             .keys()
             .copied()
@@ -278,7 +278,7 @@
 
     /// What has not left for an engine stays here, open transactions that stand idle there are over; what is
     /// out may still be answered.
-    pub fn retire(&mut self, place: Place) {
+    pub fn retire(&mut self, place: EngineIndex) {
         if let Some(engine) = self.engines.get_mut(&place) {
             engine.up = false;
         }
--- a/crates/front/src/postgres/servers/close.rs
+++ b/crates/front/src/postgres/servers/close.rs
@@ -1,6 +1,6 @@
 //! How executions and connections end: given up, cancelled, let go, lost.
 
-use hallmux_dispatcher::{Ending, Micros, Place, Ticket};
+use hallmux_dispatcher::{Ending, EngineIndex, Micros, Ticket};
 use hallmux_postgres::pool::Released;
 use hallmux_postgres::wire;
 
@@ -247,7 +247,7 @@
         self.pools.remove(id)
     }
 
-    pub(super) fn close_and_refill(&mut self, now: Micros, id: ServerId, place: Place) {
+    pub(super) fn close_and_refill(&mut self, now: Micros, id: ServerId, place: EngineIndex) {
         self.close(id);
         let step = self.pools.next_action(place);
         self.step(now, place, step);
--- a/crates/front/src/postgres/servers/replies.rs
+++ b/crates/front/src/postgres/servers/replies.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use hallmux_dispatcher::{Ending, Micros, Place};
+use hallmux_dispatcher::{Ending, EngineIndex, Micros};
 use hallmux_postgres::client_error::is_engine_fault;
 use hallmux_postgres::engine::{EngineEvent, UnitOutcome};
 use hallmux_postgres::pool;
@@ -238,7 +238,7 @@
     }
 
     /// An engine has answered: what is out there is not held up by its silence.
-    fn report_alive(&mut self, place: Place) {
+    fn report_alive(&mut self, place: EngineIndex) {
         let out =
             |execution: &Execution| execution.place == place && execution.stage != Stage::Waiting;
         let one = self
@@ -253,7 +253,7 @@
     /// Pings engines that have units out and are silent. They send no notes of progress,
     /// and a long statement on an engine that does little else is not to be taken for a hung one.
     pub(super) fn ping_silent(&mut self, now: Micros) {
-        let mut quiet: BTreeMap<Place, pool::AccountId> = BTreeMap::new();
+        let mut quiet: BTreeMap<EngineIndex, pool::AccountId> = BTreeMap::new();
         let setting = |execution: &Execution| {
             let link = execution.link.and_then(|id| self.links.get(&id));
             link.is_some_and(|l| l.engine.is_setting())
--- a/crates/front/src/postgres/servers/send.rs
+++ b/crates/front/src/postgres/servers/send.rs
@@ -3,7 +3,7 @@
 use std::io::ErrorKind;
 use std::rc::Rc;
 
-use hallmux_dispatcher::{Ending, Micros, Place};
+use hallmux_dispatcher::{Ending, EngineIndex, Micros};
 use hallmux_postgres::engine::EngineConnection;
 use hallmux_postgres::pool::{self, PoolAction};
 use hallmux_postgres::session::UnitPart;
@@ -19,7 +19,7 @@
 
 impl Servers {
     /// Sends a unit over the connection that holds its transaction, else over one that its pool gives.
-    pub fn send(&mut self, now: Micros, execution_id: ExecutionId, place: Place, unit: Unit) {
+    pub fn send(&mut self, now: Micros, execution_id: ExecutionId, place: EngineIndex, unit: Unit) {
         if !self.engines.get(&place).is_some_and(|e| e.up) {
             return self.events.push(Event::Ended {
                 execution_id,
@@ -71,7 +71,7 @@
     pub(super) fn step(
         &mut self,
         now: Micros,
-        place: Place,
+        place: EngineIndex,
         step: Option<PoolAction<ExecutionId>>,
     ) {
         let mut step = step;
@@ -107,7 +107,7 @@
         }
     }
 
-    fn waiting(&self, place: Place, account: pool::AccountId) -> Vec<ExecutionId> {
+    fn waiting(&self, place: EngineIndex, account: pool::AccountId) -> Vec<ExecutionId> {
         let waits = |execution: &Execution| {
             execution.place == place
                 && execution.link.is_none()
@@ -127,7 +127,7 @@
     pub(super) fn dial(
         &mut self,
         now: Micros,
-        place: Place,
+        place: EngineIndex,
         account: pool::AccountId,
     ) -> Result<(), Ending> {
         let engine = self.engines.get(&place).ok_or(Ending::Withdrawn)?;
--- a/crates/front/src/postgres/servers_tests.rs
+++ b/crates/front/src/postgres/servers_tests.rs
@@ -18,7 +18,7 @@
 
 const PATIENCE: Duration = Duration::from_secs(20);
 const DIAL_TIMEOUT: Micros = 250_000; // microseconds
-const PLACE: Place = 0;
+const PLACE: EngineIndex = 0;
 const KEY: wire::CancelKey = wire::CancelKey {
     process: 7,
     secret: 8,
--- a/crates/lab/src/simulated/connections.rs
+++ b/crates/lab/src/simulated/connections.rs
@@ -3,14 +3,14 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use hallmux_dispatcher::{ConnectionPacer, Dispatcher, Ending, Place, SendCapacity};
+use hallmux_dispatcher::{ConnectionPacer, Dispatcher, Ending, EngineIndex, SendCapacity};
 
 use super::simulation::{Sent, Simulation};
 
 pub(super) struct Connections {
     pub(super) pacer: ConnectionPacer,
-    idle: BTreeMap<Place, usize>,
-    busy: HashMap<Sent, Place>,
+    idle: BTreeMap<EngineIndex, usize>,
+    busy: HashMap<Sent, EngineIndex>,
     capacity: SendCapacity,
 }
 
@@ -44,7 +44,7 @@
     }
 
     /// All connections to an engine are gone.
-    pub(super) fn lost(&mut self, place: Place) {
+    pub(super) fn lost(&mut self, place: EngineIndex) {
         self.idle.remove(&place);
         self.busy.retain(|_, at| *at != place);
     }
@@ -52,7 +52,7 @@
 
 impl Simulation<'_> {
     /// Whether an execution, or a probe, has a connection to its engine, which may be made for it.
-    pub(super) fn reaches(&mut self, n: usize, place: Place, sent: Option<Sent>) -> bool {
+    pub(super) fn reaches(&mut self, n: usize, place: EngineIndex, sent: Option<Sent>) -> bool {
         let own = self.own(n);
         let Some(life) = &mut self.members[n].life else {
             return false;
--- a/crates/lab/src/simulated/simulation.rs
+++ b/crates/lab/src/simulated/simulation.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 use hallmux_config::Settings;
-use hallmux_dispatcher::{Dispatcher, Ending, Place, Ticket};
+use hallmux_dispatcher::{Dispatcher, Ending, EngineIndex, Ticket};
 use hallmux_fleet::gate::Guard;
 use hallmux_fleet::{ClockReading, Exchange};
 use hallmux_gossip::seal::Keys;
@@ -51,7 +51,7 @@
     Answers(usize, u32, Sent, Ending, Option<usize>),
     /// A probe likewise; its number tells which.
     ProbeArrives(usize, u32, usize, u64),
-    ProbeAnswers(usize, u32, Place, u64, Option<usize>),
+    ProbeAnswers(usize, u32, EngineIndex, u64, Option<usize>),
     Datagram(usize, usize, Vec<u8>),
     /// What the front of that life has written is lasting.
     Lasting(usize, u32),
@@ -98,7 +98,7 @@
     pub(super) guard: Option<Guard>,
     /// Answers of the ledger that have yet to be taken.
     pub(super) done: Vec<LedgerAnswer>,
-    pub(super) probes: HashMap<u64, Place>,
+    pub(super) probes: HashMap<u64, EngineIndex>,
     pub(super) connections: Connections,
 }
 
