--- a/crates/dispatcher/src/executions.rs
+++ b/crates/dispatcher/src/executions.rs
@@ -58,7 +58,7 @@
 
 impl Dispatcher {
     /// The numbers of a statement's executions that are in flight.
-    pub fn executions_out(&self, ticket: Ticket) -> Vec<usize> {
+    pub fn executions_in_flight(&self, ticket: Ticket) -> Vec<usize> {
         self.statements
             .get(&ticket)
             .map_or(Vec::new(), |s| s.in_flight().collect())
--- a/crates/front/src/event_loop/admission.rs
+++ b/crates/front/src/event_loop/admission.rs
@@ -118,7 +118,7 @@
     fn withdraw_all_held(&mut self, tickets: &[Ticket]) -> Vec<ExecutionId> {
         let of = |ticket: &Ticket| {
             let ticket = *ticket;
-            let out = self.dispatcher.executions_out(ticket).into_iter();
+            let out = self.dispatcher.executions_in_flight(ticket).into_iter();
             out.map(move |number| ExecutionId::new(ticket, number))
         };
         let mut held: Vec<ExecutionId> = tickets.iter().flat_map(of).collect();
--- a/crates/front/src/held_tests.rs
+++ b/crates/front/src/held_tests.rs
@@ -227,7 +227,7 @@
 
 /// An execution was ordered and has not ended.
 fn is_ordered(front: &EventLoopState) -> bool {
-    (0..16).any(|ticket| !front.dispatcher.executions_out(ticket).is_empty())
+    (0..16).any(|ticket| !front.dispatcher.executions_in_flight(ticket).is_empty())
 }
 
 /// Makes what takes ports that were let go of for it; with others where one was taken meanwhile.
