--- a/crates/dispatcher/src/statements.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -17,7 +17,7 @@
     /// It has its final answer, or its client has left.
     pub over: bool,
     /// Part of its answer has gone to the client: whatever ends it now ends the statement.
-    pub answer_begun: bool,
+    pub answer_started: bool,
     /// Its transaction goes on when it ends, and keeps its order key.
     pub transaction_goes_on: bool,
     /// The name of its order key.
@@ -56,7 +56,7 @@
                 priority: 1,
             },
             over: false,
-            answer_begun: false,
+            answer_started: false,
             transaction_goes_on: false,
             order_key: request.order_key.map(str::to_string),
             needs_promises,
@@ -67,7 +67,7 @@
 
     /// Whether the statement is answered as one of its executions ends.
     pub fn answered_by(&self, ending: Ending) -> bool {
-        let has_answer = ending == Ending::Answered || self.answer_begun;
+        let has_answer = ending == Ending::Answered || self.answer_started;
         has_answer && !self.over
     }
 
@@ -117,9 +117,9 @@
     }
 
     /// The first byte of a statement's answer goes to its client: it is never executed again.
-    pub fn answer_begun(&mut self, ticket: Ticket) {
+    pub fn answer_started(&mut self, ticket: Ticket) {
         if let Some(statement) = self.statements.get_mut(&ticket) {
-            statement.answer_begun = true;
+            statement.answer_started = true;
         }
     }
 
--- a/crates/dispatcher/src/tick.rs
+++ b/crates/dispatcher/src/tick.rs
@@ -175,7 +175,7 @@
             return;
         };
         // What has begun to answer can't be retried elsewhere: it is only cancelled with its statement.
-        if statement.over || !statement.answer_begun {
+        if statement.over || !statement.answer_started {
             commands.push(Command::Cancel {
                 ticket,
                 execution,
--- a/crates/front/src/postgres/gateway/server_events.rs
+++ b/crates/front/src/postgres/gateway/server_events.rs
@@ -43,13 +43,13 @@
 
     fn handle_server_event(&mut self, now: Micros, dispatcher: &mut Dispatcher, event: Event) {
         match event {
-            Event::Irrevocable(execution_id) => dispatcher.answer_begun(execution_id.ticket),
+            Event::Irrevocable(execution_id) => dispatcher.answer_started(execution_id.ticket),
             Event::PartialAnswer {
                 execution_id,
                 bytes,
                 whole,
             } => {
-                dispatcher.answer_begun(execution_id.ticket);
+                dispatcher.answer_started(execution_id.ticket);
                 if self.sessions.pass(execution_id.ticket, &bytes, whole) {
                     self.servers.pause(execution_id);
                 }
@@ -125,7 +125,7 @@
         error: &[u8],
     ) {
         let ExecutionId { ticket, number } = execution_id;
-        dispatcher.answer_begun(ticket);
+        dispatcher.answer_started(ticket);
         if dispatcher.report(now, ticket, number, Ending::Stale, None) {
             self.sessions
                 .fail(now, ticket, &ClientError::ResultLost, Some(error));
