--- a/crates/dispatcher/src/executions.rs
+++ b/crates/dispatcher/src/executions.rs
@@ -11,7 +11,7 @@
     pub deadline: Micros,
     /// The time, in microseconds, after which it may no longer leave for its engine: engines drop its repeats for a
     /// while only.
-    pub leave_by: Micros,
+    pub send_by: Micros,
     /// The memory to grant, in MB; 0 leaves it to the engine.
     pub grant_mb: f64,
     /// 0 to 3; a higher one goes first.
--- a/crates/dispatcher/src/statements.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -51,7 +51,7 @@
             slo_deadline: now + workload.slo_time + slo_extra as Micros,
             terms: Terms {
                 deadline: now + request.time_left,
-                leave_by: Micros::MAX,
+                send_by: Micros::MAX,
                 grant_mb: 0.0,
                 priority: 1,
             },
--- a/crates/dispatcher/src/tick.rs
+++ b/crates/dispatcher/src/tick.rs
@@ -156,7 +156,7 @@
         };
         let window = repeat_window(&self.workloads[statement.workload]);
         let terms = Terms {
-            leave_by: statement.repeats_until(window),
+            send_by: statement.repeats_until(window),
             ..statement.terms
         };
         let execution = statement.executions.len();
--- a/crates/dispatcher/tests/repeat_window.rs
+++ b/crates/dispatcher/tests/repeat_window.rs
@@ -41,24 +41,24 @@
 }
 
 /// Until when the attempts that were ordered may leave.
-fn leave_by(orders: &[Command]) -> Vec<Micros> {
-    let leave_by = |order: &Command| match order {
-        Command::Send { terms, .. } => Some(terms.leave_by),
+fn send_by(orders: &[Command]) -> Vec<Micros> {
+    let send_by = |order: &Command| match order {
+        Command::Send { terms, .. } => Some(terms.send_by),
         _ => None,
     };
-    orders.iter().filter_map(leave_by).collect()
+    orders.iter().filter_map(send_by).collect()
 }
 
 #[test]
 fn a_repeat_may_leave_until_the_window_of_the_first_attempt_that_may_have_run_is_over() {
     let mut d = dispatcher();
     let ticket = d.submit(1_000_000, &ask("load")).unwrap();
-    assert_eq!(leave_by(&d.tick(1_000_000)), [Micros::MAX]);
+    assert_eq!(send_by(&d.tick(1_000_000)), [Micros::MAX]);
     // The first surely never ran: no window has begun.
     d.report(1_100_000, ticket, 0, Ending::Rejected, None);
-    assert_eq!(leave_by(&d.tick(1_100_000)), [Micros::MAX]);
+    assert_eq!(send_by(&d.tick(1_100_000)), [Micros::MAX]);
     d.report(1_300_000, ticket, 1, Ending::Reset, None);
-    assert_eq!(leave_by(&d.tick(1_300_000)), [1_100_000 + WINDOW]);
+    assert_eq!(send_by(&d.tick(1_300_000)), [1_100_000 + WINDOW]);
 }
 
 #[test]
@@ -67,5 +67,5 @@
     let ticket = d.submit(1_000_000, &ask("lookup")).unwrap();
     d.tick(1_000_000);
     d.report(1_100_000, ticket, 0, Ending::Reset, None);
-    assert_eq!(leave_by(&d.tick(1_100_000)), [Micros::MAX]);
+    assert_eq!(send_by(&d.tick(1_100_000)), [Micros::MAX]);
 }
--- a/crates/fleet/src/gate/tests.rs
+++ b/crates/fleet/src/gate/tests.rs
@@ -52,7 +52,7 @@
 fn pending(ticket: Ticket, execution: usize, now: Micros, location: usize) -> PendingExecution {
     let terms = Terms {
         deadline: now + 4_000 * MS,
-        leave_by: Micros::MAX,
+        send_by: Micros::MAX,
         grant_mb: 0.0,
         priority: 1,
     };
--- a/crates/front/src/engines/capacity_tests.rs
+++ b/crates/front/src/engines/capacity_tests.rs
@@ -43,7 +43,7 @@
             call,
             Terms {
                 deadline: 1 << 40,
-                leave_by: Micros::MAX,
+                send_by: Micros::MAX,
                 grant_mb: 0.0,
                 priority: 1,
             },
--- a/crates/front/src/engines/engines_tests.rs
+++ b/crates/front/src/engines/engines_tests.rs
@@ -52,7 +52,7 @@
         call,
         Terms {
             deadline: 1_000_000,
-            leave_by: Micros::MAX,
+            send_by: Micros::MAX,
             grant_mb: 0.0,
             priority: 1,
         },
@@ -85,7 +85,7 @@
         call,
         Terms {
             deadline: 1_000_000,
-            leave_by: Micros::MAX,
+            send_by: Micros::MAX,
             grant_mb: 0.0,
             priority: 1,
         },
@@ -147,7 +147,7 @@
         call,
         Terms {
             deadline: 5_000_000,
-            leave_by: Micros::MAX,
+            send_by: Micros::MAX,
             grant_mb: 0.0,
             priority: 1,
         },
@@ -179,7 +179,7 @@
     };
     let terms = Terms {
         deadline: 5_000_000,
-        leave_by: Micros::MAX,
+        send_by: Micros::MAX,
         grant_mb: 0.0,
         priority: 1,
     };
--- a/crates/front/src/engines/writes.rs
+++ b/crates/front/src/engines/writes.rs
@@ -186,5 +186,5 @@
         return Some("its client's time is up");
     }
     // Guards against a repeat that comes after its engines have forgotten the first one.
-    (now >= terms.leave_by).then_some("engines may not know it for a repeat any more")
+    (now >= terms.send_by).then_some("engines may not know it for a repeat any more")
 }
