--- a/crates/dispatcher/src/demand.rs
+++ b/crates/dispatcher/src/demand.rs
@@ -89,7 +89,7 @@
     }
 
     /// Hands the demand on the fleet to the module, in the order of workloads and customers.
-    pub fn fleet_demand(&mut self, demand: FleetDemand) {
+    pub fn set_fleet_demand(&mut self, demand: FleetDemand) {
         self.events.push(Event::FleetDemand(demand));
     }
 
--- a/crates/dispatcher/src/demand_tests.rs
+++ b/crates/dispatcher/src/demand_tests.rs
@@ -36,7 +36,7 @@
         timely: 0.0,
         work: 1.0,
     };
-    d.fleet_demand(FleetDemand {
+    d.set_fleet_demand(FleetDemand {
         late_share: 1.0,
         workloads: vec![none; 3],
         ..FleetDemand::default()
--- a/crates/dispatcher/src/observations.rs
+++ b/crates/dispatcher/src/observations.rs
@@ -91,7 +91,7 @@
 
     /// Another front reports on the engine whose id `is_observed` accepts. `reporter` is its index among the other
     /// fronts, `age` that of the report in microseconds.
-    pub fn peer_report(
+    pub fn record_peer_report(
         &mut self,
         now: Micros,
         reporter: usize,
--- a/crates/fleet/src/exchange/reports.rs
+++ b/crates/fleet/src/exchange/reports.rs
@@ -83,7 +83,7 @@
         started: None,
     };
     let is_engine = |id: &str| engine_hash(id) == sighting.engine;
-    dispatcher.peer_report(now, reporter, is_engine, &observation, report.age);
+    dispatcher.record_peer_report(now, reporter, is_engine, &observation, report.age);
 }
 
 /// What this front has observed of an engine, as other fronts learn it.
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -55,13 +55,13 @@
         // Merged load counts for nothing once nobody reports any more.
         if reports.is_empty() {
             if std::mem::take(&mut self.merging) {
-                dispatcher.fleet_demand(FleetDemand::default());
+                dispatcher.set_fleet_demand(FleetDemand::default());
             }
             return;
         }
         self.merging = true;
         let demand = fleet_demand(at.now, &reports, node, dispatcher);
-        dispatcher.fleet_demand(demand);
+        dispatcher.set_fleet_demand(demand);
     }
 }
 
