--- a/crates/dispatcher/src/demand.rs
+++ b/crates/dispatcher/src/demand.rs
@@ -8,7 +8,7 @@
 /// Microseconds until a count is worth half.
 const HALF_LIFE: Micros = 2_000_000;
 /// The count of an even demand over its rate a second, in seconds: what counts hold of a rate.
-pub const DEMAND_SECONDS: f64 = HALF_LIFE as f64 / 1e6 / std::f64::consts::LN_2;
+pub const DEMAND_WINDOW_SECONDS: f64 = HALF_LIFE as f64 / 1e6 / std::f64::consts::LN_2;
 /// The weight of the newest sample in the mean work.
 const SAMPLE_WEIGHT: f64 = 0.05;
 
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -52,7 +52,7 @@
 
 pub use commands::Command;
 pub use connection_pacer::ConnectionPacer;
-pub use demand::DEMAND_SECONDS;
+pub use demand::DEMAND_WINDOW_SECONDS;
 pub use ending::Ending;
 pub use engines::{ListScope, Listing};
 pub use executions::Terms;
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-use hallmux_dispatcher::{Demand, Dispatcher, FleetDemand, Micros, DEMAND_SECONDS};
+use hallmux_dispatcher::{Demand, Dispatcher, FleetDemand, Micros, DEMAND_WINDOW_SECONDS};
 use hallmux_gossip::load_reports::{OfferedLoad, MAX_LOADS};
 use hallmux_gossip::node::Node;
 
@@ -94,7 +94,7 @@
         .map(|(name, asked)| match asked {
             Some(_) => {
                 let requested = sum_of(reports, customer_hash(name), |load| load.requested);
-                requested * (fronts_per_report / DEMAND_SECONDS)
+                requested * (fronts_per_report / DEMAND_WINDOW_SECONDS)
             }
             None => 0.0,
         })
