--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -221,7 +221,7 @@
     fn recovered(&self, at: ClockReading, dispatcher: &Dispatcher) -> Vec<RecoveredEngine> {
         let since_ms =
             |since: Micros| ((at.now - since).max(0) / 1000).min(Micros::from(u32::MAX)) as u32;
-        let back = dispatcher.recovered(at.now).into_iter();
+        let back = dispatcher.recoveries(at.now).into_iter();
         back.map(|recovery| RecoveredEngine {
             engine: engine_hash(recovery.engine_id),
             since_ms: since_ms(recovery.since),
--- a/crates/fleet/src/ownership/acts.rs
+++ b/crates/fleet/src/ownership/acts.rs
@@ -93,7 +93,7 @@
         dispatcher: &mut Dispatcher,
     ) {
         let known: Vec<u64> = dispatcher
-            .recovered(at.now)
+            .recoveries(at.now)
             .into_iter()
             .map(|recovery| engine_hash(recovery.engine_id))
             .collect();
