--- a/crates/dispatcher/src/completion.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -2,7 +2,7 @@
 
 use hallmux::interface::{Ended, Event, Micros, Report};
 
-use crate::promises::{PromiseEvent, StatementOver};
+use crate::promises::{LedgerEvent, StatementOver};
 use crate::{Deadline, Dispatcher, Ending, Ticket};
 
 impl Dispatcher {
@@ -59,8 +59,8 @@
         if let Some(name) = &statement.order_key {
             self.order_keys.share(name);
             if statement.needs_promises {
-                let kept = PromiseEvent::KeyKept(name.clone());
-                self.promise_events.push(kept);
+                let kept = LedgerEvent::KeyKept(name.clone());
+                self.ledger_events.push(kept);
             }
         }
         true
@@ -91,7 +91,7 @@
             pauses: may_still_run,
         });
         if self.watches_promises {
-            self.promise_events.push(PromiseEvent::KeyFreed {
+            self.ledger_events.push(LedgerEvent::KeyFreed {
                 key: name.to_string(),
                 may_still_run,
             });
@@ -124,7 +124,7 @@
         };
         if statement.needs_promises {
             let over = StatementOver::new(ticket, &statement);
-            self.promise_events.push(PromiseEvent::Over(over));
+            self.ledger_events.push(LedgerEvent::Over(over));
         }
         if statement.end_watched {
             self.watched_ends.push(ticket);
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -58,7 +58,7 @@
 pub use executions::Terms;
 pub use hallmux::interface::{DedupGroup, Demand, Effect, FleetDemand, Micros, Mode, Note};
 pub use observations::{EngineObservation, Recovery};
-pub use promises::{PromiseEvent, Site, StatementArrived, StatementOver};
+pub use promises::{LedgerEvent, Site, StatementArrived, StatementOver};
 pub use reject_cause::RejectCause;
 pub use request::{InvalidRequest, Protocol, StatementRequest};
 pub use send_capacity::SendCapacity;
@@ -103,7 +103,7 @@
     /// By customer.
     customer_demand: Vec<CustomerDemand>,
     watches_promises: bool,
-    promise_events: Vec<PromiseEvent>,
+    ledger_events: Vec<LedgerEvent>,
     watched_ends: Vec<Ticket>,
     /// Microseconds that a rejected client is told to wait at most; None where no time may be named.
     longest_retry_after: Option<Micros>,
@@ -137,7 +137,7 @@
             watches_promises: false,
             workload_demand: vec![DemandCounts::default(); agreement.workloads.len()],
             customer_demand,
-            promise_events: Vec::new(),
+            ledger_events: Vec::new(),
             watched_ends: Vec::new(),
             longest_retry_after: agreement.longest_retry_after,
         }
--- a/crates/dispatcher/src/promises.rs
+++ b/crates/dispatcher/src/promises.rs
@@ -12,7 +12,7 @@
 
 /// What happens to statements that depend on promises, in the order in which it happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PromiseEvent {
+pub enum LedgerEvent {
     /// Such a statement was taken.
     Arrived(StatementArrived),
     /// The transaction of such a statement keeps its order key, until it is freed.
@@ -86,14 +86,14 @@
 }
 
 impl Dispatcher {
-    /// From now on [`Dispatcher::promise_events`] returns what happens to statements that depend on promises.
-    pub fn watch_promises(&mut self) {
+    /// From now on [`Dispatcher::ledger_events`] returns what happens to statements that depend on promises.
+    pub fn enable_ledger_events(&mut self) {
         self.watches_promises = true;
     }
 
     /// What has happened to statements that depend on promises since the last call.
-    pub fn promise_events(&mut self) -> Vec<PromiseEvent> {
-        std::mem::take(&mut self.promise_events)
+    pub fn ledger_events(&mut self) -> Vec<LedgerEvent> {
+        std::mem::take(&mut self.ledger_events)
     }
 
     /// Adds the event of an arrival, if the statement depends on promises. Returns whether it does.
@@ -115,7 +115,7 @@
             key: request.order_key.map(str::to_string),
             dedup_key: request.dedup_key.map(str::to_string),
         };
-        self.promise_events.push(PromiseEvent::Arrived(arrived));
+        self.ledger_events.push(LedgerEvent::Arrived(arrived));
         true
     }
 
--- a/crates/dispatcher/src/promises_tests.rs
+++ b/crates/dispatcher/src/promises_tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of the `promises` module.
 
 use crate::test_support::{ask, dispatcher, listing, sent};
-use crate::{Command, Ending, ListScope, Mode, PromiseEvent, StatementOver};
+use crate::{Command, Ending, LedgerEvent, ListScope, Mode, StatementOver};
 
 #[test]
 fn what_is_held_here_says_nothing_of_its_engine_and_is_no_silence() {
@@ -36,20 +36,20 @@
 fn what_is_turned_away_ends_at_once_and_comes_back_spread() {
     let mut d = dispatcher();
     d.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
-    d.watch_promises();
+    d.enable_ledger_events();
     let mut came_back = Vec::new();
     for n in 0..4 {
         let ticket = d.submit(n, &ask("load", None)).unwrap();
         assert!(
-            matches!(&d.promise_events()[..], [PromiseEvent::Arrived(t)] if t.ticket == ticket && t.key.is_none())
+            matches!(&d.ledger_events()[..], [LedgerEvent::Arrived(t)] if t.ticket == ticket && t.key.is_none())
         );
         assert_eq!(sent(&d.tick(n)), [(ticket, 0)]);
         d.execution_held(n, ticket, 0);
         came_back.extend(d.reject(n, ticket));
         assert_eq!(d.reject(n, ticket), None);
         assert_eq!(
-            d.promise_events(),
-            [PromiseEvent::Over(StatementOver {
+            d.ledger_events(),
+            [LedgerEvent::Over(StatementOver {
                 ticket,
                 may_have_run: false,
                 may_still_run: false
@@ -78,10 +78,10 @@
     ] {
         let mut d = dispatcher();
         d.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
-        d.watch_promises();
+        d.enable_ledger_events();
         let ticket = d.submit(0, &ask("load", Some("k"))).unwrap();
         d.submit(0, &ask("lookup", Some("k"))).unwrap();
-        assert_eq!(d.promise_events().len(), 1);
+        assert_eq!(d.ledger_events().len(), 1);
         d.tick(0);
         d.client_left(1, ticket);
         let stop = Command::Cancel {
@@ -89,11 +89,11 @@
             execution: 0,
             ending: Ending::GivenUp,
         };
-        assert_eq!((d.promise_events(), d.tick(1)), (vec![], vec![stop]));
+        assert_eq!((d.ledger_events(), d.tick(1)), (vec![], vec![stop]));
         d.report(2, ticket, 0, ending, None);
         assert_eq!(
-            d.promise_events(),
-            [PromiseEvent::Over(StatementOver {
+            d.ledger_events(),
+            [LedgerEvent::Over(StatementOver {
                 ticket,
                 may_have_run,
                 may_still_run
--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -13,7 +13,7 @@
 
 use hallmux_config::Settings;
 use hallmux_dispatcher::{
-    EngineIndex, Micros, PromiseEvent, Site, StatementArrived, StatementOver, Terms, Ticket,
+    EngineIndex, LedgerEvent, Micros, Site, StatementArrived, StatementOver, Terms, Ticket,
 };
 use hallmux_ledger::{self as ledger, Key, Kind, LedgerAnswer};
 
@@ -109,19 +109,19 @@
     pub fn observe(
         &mut self,
         now: Micros,
-        event: PromiseEvent,
+        event: LedgerEvent,
         id: impl Fn(Ticket) -> Option<String>,
     ) {
         match event {
-            PromiseEvent::Arrived(statement) => {
+            LedgerEvent::Arrived(statement) => {
                 let id = id(statement.ticket);
                 self.arrived(&statement, id);
             }
-            PromiseEvent::KeyKept(key) => self.retain_key(&key),
-            PromiseEvent::KeyFreed { key, may_still_run } => {
+            LedgerEvent::KeyKept(key) => self.retain_key(&key),
+            LedgerEvent::KeyFreed { key, may_still_run } => {
                 self.release_key(now, &key, may_still_run)
             }
-            PromiseEvent::Over(statement) => self.end(now, statement),
+            LedgerEvent::Over(statement) => self.end(now, statement),
         }
     }
 
--- a/crates/fleet/src/gate/guard.rs
+++ b/crates/fleet/src/gate/guard.rs
@@ -47,7 +47,7 @@
         shards: u16,
         dispatcher: &mut Dispatcher,
     ) -> Guard {
-        dispatcher.watch_promises();
+        dispatcher.enable_ledger_events();
         Guard {
             gate: Gate::new(settings, (now / 1000) as u64, shards),
             last_note: 0,
@@ -115,7 +115,7 @@
         ledger: &mut impl LedgerClient,
         id: impl Fn(Ticket) -> Option<String>,
     ) -> Vec<Ruling> {
-        for event in dispatcher.promise_events() {
+        for event in dispatcher.ledger_events() {
             self.gate.observe(now, event, &id);
         }
         self.gate.tick(now);
--- a/crates/fleet/src/gate/tests.rs
+++ b/crates/fleet/src/gate/tests.rs
@@ -45,7 +45,7 @@
         key,
         dedup_key,
     };
-    gate.observe(0, PromiseEvent::Arrived(taken), |_| id.map(str::to_string));
+    gate.observe(0, LedgerEvent::Arrived(taken), |_| id.map(str::to_string));
     gate.holds_back(ticket)
 }
 
