--- a/crates/dispatcher/src/completion.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -2,7 +2,7 @@
 
 use hallmux::interface::{Ended, Event, Micros, Report};
 
-use crate::promises::{LedgerEvent, StatementOver};
+use crate::promises::{LedgerEvent, StatementFinished};
 use crate::{Deadline, Dispatcher, Ending, Ticket};
 
 impl Dispatcher {
@@ -123,8 +123,8 @@
             return;
         };
         if statement.needs_promises {
-            let over = StatementOver::new(ticket, &statement);
-            self.ledger_events.push(LedgerEvent::Over(over));
+            let over = StatementFinished::new(ticket, &statement);
+            self.ledger_events.push(LedgerEvent::Finished(over));
         }
         if statement.end_watched {
             self.watched_ends.push(ticket);
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -58,7 +58,7 @@
 pub use executions::Terms;
 pub use hallmux::interface::{DedupGroup, Demand, Effect, FleetDemand, Micros, Mode, Note};
 pub use observations::{EngineObservation, Recovery};
-pub use promises::{LedgerEvent, Site, StatementArrived, StatementOver};
+pub use promises::{LedgerEvent, Site, StatementArrived, StatementFinished};
 pub use reject_cause::RejectCause;
 pub use request::{InvalidRequest, Protocol, StatementRequest};
 pub use send_capacity::SendCapacity;
--- a/crates/dispatcher/src/promises.rs
+++ b/crates/dispatcher/src/promises.rs
@@ -25,7 +25,7 @@
         may_still_run: bool,
     },
     /// Such a statement is over.
-    Over(StatementOver),
+    Finished(StatementFinished),
 }
 
 /// A statement that depends on promises, as it was asked for.
@@ -45,7 +45,7 @@
 
 /// A statement that depends on promises is over with nothing in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StatementOver {
+pub struct StatementFinished {
     /// The statement.
     pub ticket: Ticket,
     /// It may have run.
@@ -54,9 +54,9 @@
     pub may_still_run: bool,
 }
 
-impl StatementOver {
-    pub(crate) fn new(ticket: Ticket, statement: &Statement) -> StatementOver {
-        StatementOver {
+impl StatementFinished {
+    pub(crate) fn new(ticket: Ticket, statement: &Statement) -> StatementFinished {
+        StatementFinished {
             ticket,
             may_have_run: statement.endings().any(Ending::may_have_run),
             may_still_run: statement.endings().any(may_still_run),
--- a/crates/dispatcher/src/promises_tests.rs
+++ b/crates/dispatcher/src/promises_tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of the `promises` module.
 
 use crate::test_support::{ask, dispatcher, listing, sent};
-use crate::{Command, Ending, LedgerEvent, ListScope, Mode, StatementOver};
+use crate::{Command, Ending, LedgerEvent, ListScope, Mode, StatementFinished};
 
 #[test]
 fn what_is_held_here_says_nothing_of_its_engine_and_is_no_silence() {
@@ -49,7 +49,7 @@
         assert_eq!(d.reject(n, ticket), None);
         assert_eq!(
             d.ledger_events(),
-            [LedgerEvent::Over(StatementOver {
+            [LedgerEvent::Finished(StatementFinished {
                 ticket,
                 may_have_run: false,
                 may_still_run: false
@@ -93,7 +93,7 @@
         d.report(2, ticket, 0, ending, None);
         assert_eq!(
             d.ledger_events(),
-            [LedgerEvent::Over(StatementOver {
+            [LedgerEvent::Finished(StatementFinished {
                 ticket,
                 may_have_run,
                 may_still_run
--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -13,7 +13,7 @@
 
 use hallmux_config::Settings;
 use hallmux_dispatcher::{
-    EngineIndex, LedgerEvent, Micros, Site, StatementArrived, StatementOver, Terms, Ticket,
+    EngineIndex, LedgerEvent, Micros, Site, StatementArrived, StatementFinished, Terms, Ticket,
 };
 use hallmux_ledger::{self as ledger, Key, Kind, LedgerAnswer};
 
@@ -121,7 +121,7 @@
             LedgerEvent::KeyFreed { key, may_still_run } => {
                 self.release_key(now, &key, may_still_run)
             }
-            LedgerEvent::Over(statement) => self.end(now, statement),
+            LedgerEvent::Finished(statement) => self.end(now, statement),
         }
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// A statement has ended, and no execution of it is out.
-    fn end(&mut self, now: Micros, over: StatementOver) {
+    fn end(&mut self, now: Micros, over: StatementFinished) {
         let Some(statement) = self.statements.remove(&over.ticket) else {
             return;
         };
--- a/crates/fleet/src/gate/key_state.rs
+++ b/crates/fleet/src/gate/key_state.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hallmux_dispatcher::{Micros, StatementOver, Ticket};
+use hallmux_dispatcher::{Micros, StatementFinished, Ticket};
 use hallmux_ledger::Kind;
 
 use super::refusal::Refusal;
@@ -249,7 +249,7 @@
     }
 
     /// A statement is over.
-    pub fn end(&mut self, now: Micros, statement: StatementOver) {
+    pub fn end(&mut self, now: Micros, statement: StatementFinished) {
         self.waiting.remove(&statement.ticket);
         let reserves = if self.kind == Kind::Order {
             statement.may_still_run
--- a/crates/fleet/src/gate/tests.rs
+++ b/crates/fleet/src/gate/tests.rs
@@ -151,8 +151,8 @@
     }
 }
 
-fn over(ticket: Ticket, may_have_run: bool, may_still_run: bool) -> StatementOver {
-    StatementOver {
+fn over(ticket: Ticket, may_have_run: bool, may_still_run: bool) -> StatementFinished {
+    StatementFinished {
         ticket,
         may_have_run,
         may_still_run,
