--- a/crates/dispatcher/src/connection_pacer.rs
+++ b/crates/dispatcher/src/connection_pacer.rs
@@ -31,7 +31,7 @@
 }
 
 impl ConnectionPacer {
-    /// A pacer. Where `paced`, no connection may be made until the first [`ConnectionPacer::pace`]; otherwise there
+    /// A pacer. Where `paced`, no connection may be made until the first [`ConnectionPacer::set_rate`]; otherwise there
     /// is no bound. The seed is the front's own: it spreads the slots of fronts that start together.
     pub fn new(paced: bool, now: Micros, seed: u64) -> ConnectionPacer {
         let offset = seed as f64 / u64::MAX as f64;
@@ -50,7 +50,7 @@
     }
 
     /// From now on so many connections a second to each engine; none where that is no positive number.
-    pub fn pace(&mut self, now: Micros, connections: f64) {
+    pub fn set_rate(&mut self, now: Micros, connections: f64) {
         self.slots = self.passed(now);
         self.rate_set_at = now;
         // Guards against a rate that is no number.
@@ -80,7 +80,7 @@
     }
 
     /// The time of the next slot of an engine; `now` where one may be used.
-    pub fn next(&self, now: Micros, place: EngineIndex) -> Micros {
+    pub fn next_slot_at(&self, now: Micros, place: EngineIndex) -> Micros {
         let Some(rate) = self.rate else { return now };
         let NextSlot { slot, passed } = self.next_slot(now, place);
         let wait = (slot - passed).max(0.0) * 1e6 / rate.max(f64::MIN_POSITIVE);
@@ -88,7 +88,7 @@
     }
 
     /// Whether a connection to an engine may be begun now; if so, its slot is used up.
-    pub fn take(&mut self, now: Micros, place: EngineIndex) -> bool {
+    pub fn try_take_slot(&mut self, now: Micros, place: EngineIndex) -> bool {
         if self.rate.is_none() {
             return true;
         }
--- a/crates/dispatcher/src/connection_pacer_tests.rs
+++ b/crates/dispatcher/src/connection_pacer_tests.rs
@@ -10,7 +10,7 @@
     let each = |n: usize| {
         fronts
             .iter_mut()
-            .map(|f| usize::from(f.take(moment(n), 0)))
+            .map(|f| usize::from(f.try_take_slot(moment(n), 0)))
             .sum()
     };
     (0..tenths).map(each).collect()
@@ -20,7 +20,7 @@
     let seed = |n: u64| n.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let new = |n| {
         let mut pacer = ConnectionPacer::new(true, 0, seed(n));
-        pacer.pace(0, rate);
+        pacer.set_rate(0, rate);
         pacer
     };
     (0..count).map(new).collect()
@@ -49,19 +49,26 @@
 #[test]
 fn a_front_knows_when_its_turn_is_and_a_new_pace_neither_gives_nor_takes_turns() {
     let mut pacer = ConnectionPacer::new(true, 5 * SECOND, 0);
-    assert!(!pacer.take(100 * SECOND, 0) && pacer.next(100 * SECOND, 0) > 1_000 * SECOND);
-    pacer.pace(100 * SECOND, 0.5);
-    assert_eq!(pacer.next(100 * SECOND, 0), 102 * SECOND);
-    pacer.pace(101 * SECOND, 1.0);
-    let next = pacer.next(101 * SECOND, 0);
+    assert!(
+        !pacer.try_take_slot(100 * SECOND, 0)
+            && pacer.next_slot_at(100 * SECOND, 0) > 1_000 * SECOND
+    );
+    pacer.set_rate(100 * SECOND, 0.5);
+    assert_eq!(pacer.next_slot_at(100 * SECOND, 0), 102 * SECOND);
+    pacer.set_rate(101 * SECOND, 1.0);
+    let next = pacer.next_slot_at(101 * SECOND, 0);
     assert_eq!(next, 101 * SECOND + SECOND / 2);
-    assert!(!pacer.take(next - 1, 0) && pacer.take(next, 0) && !pacer.take(next, 0));
+    assert!(
+        !pacer.try_take_slot(next - 1, 0)
+            && pacer.try_take_slot(next, 0)
+            && !pacer.try_take_slot(next, 0)
+    );
     for absurd in [f64::NAN, -1.0, f64::INFINITY] {
-        pacer.pace(next, absurd);
-        pacer.next(next + 1, 3);
-        pacer.take(next + 1, 3);
+        pacer.set_rate(next, absurd);
+        pacer.next_slot_at(next + 1, 3);
+        pacer.try_take_slot(next + 1, 3);
     }
     // Not paced, any time is right.
     let mut free = ConnectionPacer::new(false, 0, 1);
-    assert!((0..100).all(|_| free.take(0, 0)) && free.next(7, 0) == 7);
+    assert!((0..100).all(|_| free.try_take_slot(0, 0)) && free.next_slot_at(7, 0) == 7);
 }
--- a/crates/front/src/engines/capacity.rs
+++ b/crates/front/src/engines/capacity.rs
@@ -18,7 +18,7 @@
             .filter(|connection| connection.takes_executions())
             .map(|connection| per_connection.saturating_sub(self.occupied(connection)))
             .sum();
-        let dials = self.may_dial(engine) && self.dials.borrow().next(now, place) <= now;
+        let dials = self.may_dial(engine) && self.dials.borrow().next_slot_at(now, place) <= now;
         existing + if dials { per_connection } else { 0 }
     }
 
--- a/crates/front/src/engines/capacity_tests.rs
+++ b/crates/front/src/engines/capacity_tests.rs
@@ -27,7 +27,7 @@
     let mut engines = Engines::new(event_loop.handle(), allowance, &Names::default());
     engines.limit(256);
     let mut dials = ConnectionPacer::new(true, 0, 0);
-    dials.pace(0, 1.0);
+    dials.set_rate(0, 1.0);
     engines.dials.replace(dials);
     engines.list(0, listed(listener.local_addr().unwrap()));
     let send = |engines: &mut Engines, now: Micros, ticket: Ticket| {
--- a/crates/front/src/engines/send.rs
+++ b/crates/front/src/engines/send.rs
@@ -81,7 +81,9 @@
         match least_used {
             Some(connection) if !self.may_dial(engine) => Ok(connection),
             // No new connection may be made now: what is there is used, else it stays here.
-            _ if !self.dials.borrow_mut().take(now, place) => least_used.ok_or(Ending::Withdrawn),
+            _ if !self.dials.borrow_mut().try_take_slot(now, place) => {
+                least_used.ok_or(Ending::Withdrawn)
+            }
             _ => self
                 .dial(now, place)
                 .or_else(|ending| least_used.ok_or(ending)),
--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -373,7 +373,7 @@
             }
             Command::Probe { place, for_fleet } => self.probe(place, for_fleet),
             Command::SetConnectionRate { connections } => {
-                self.engines.dials.borrow_mut().pace(now, connections)
+                self.engines.dials.borrow_mut().set_rate(now, connections)
             }
         }
     }
--- a/crates/front/src/postgres/servers.rs
+++ b/crates/front/src/postgres/servers.rs
@@ -202,7 +202,8 @@
 
     /// Units that can leave for an engine over connections at rest or on their way, or one that may be made now.
     pub fn capacity(&self, now: Micros, place: EngineIndex) -> usize {
-        let dials = self.pools.has_capacity(place) && self.dials.borrow().next(now, place) <= now;
+        let dials =
+            self.pools.has_capacity(place) && self.dials.borrow().next_slot_at(now, place) <= now;
         self.pools.available(place)
             + usize::from(dials && self.engines.get(&place).is_some_and(|e| e.up))
     }
--- a/crates/front/src/postgres/servers/replies.rs
+++ b/crates/front/src/postgres/servers/replies.rs
@@ -282,7 +282,9 @@
                     }
                 }
                 // A login is an answer as well.
-                None if self.pools.may_dial(place) && self.dials.borrow_mut().take(now, place) => {
+                None if self.pools.may_dial(place)
+                    && self.dials.borrow_mut().try_take_slot(now, place) =>
+                {
                     _ = self.dial(now, place, account)
                 }
                 None => {}
--- a/crates/front/src/postgres/servers/send.rs
+++ b/crates/front/src/postgres/servers/send.rs
@@ -79,7 +79,9 @@
             match next {
                 PoolAction::Use { unit, connection } => self.start(unit, connection),
                 // What waits is served as connections come free, or at the next look when a connection may be made.
-                PoolAction::Dial { .. } if !self.dials.borrow_mut().take(now, place) => return,
+                PoolAction::Dial { .. } if !self.dials.borrow_mut().try_take_slot(now, place) => {
+                    return
+                }
                 PoolAction::Dial {
                     account,
                     instead_of,
--- a/crates/lab/src/simulated/connections.rs
+++ b/crates/lab/src/simulated/connections.rs
@@ -32,7 +32,7 @@
         }
         self.capacity.report(now, dispatcher, |place| {
             self.idle.get(&place).copied().unwrap_or(0)
-                + usize::from(self.pacer.next(now, place) <= now)
+                + usize::from(self.pacer.next_slot_at(now, place) <= now)
         });
     }
 
@@ -61,7 +61,7 @@
         connections.capacity.sent(place);
         let idle = connections.idle.entry(place).or_default();
         let opens = *idle == 0;
-        if opens && !connections.pacer.take(own, place) {
+        if opens && !connections.pacer.try_take_slot(own, place) {
             return false;
         }
         match sent {
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -225,7 +225,7 @@
             Command::SetConnectionRate { connections } => {
                 let own = self.own(n);
                 let life = self.members[n].life.iter_mut();
-                life.for_each(|life| life.connections.pacer.pace(own, connections));
+                life.for_each(|life| life.connections.pacer.set_rate(own, connections));
             }
             Command::SetPriority { .. } => {}
         }
