--- a/crates/dispatcher/src/promises.rs
+++ b/crates/dispatcher/src/promises.rs
@@ -120,7 +120,7 @@
     }
 
     /// Where an engine is; the default where there is no such engine.
-    pub fn site(&self, place: EngineIndex) -> Site {
+    pub fn engine_site(&self, place: EngineIndex) -> Site {
         let Some(engine) = self.engines.get(place) else {
             return Site::default();
         };
--- a/crates/fleet/src/gate/guard.rs
+++ b/crates/fleet/src/gate/guard.rs
@@ -89,7 +89,7 @@
             execution: ordered.execution,
             place: ordered.place,
             terms: ordered.terms,
-            site: dispatcher.site(ordered.place),
+            site: dispatcher.engine_site(ordered.place),
         };
         dispatcher.execution_held(now, ordered.ticket, ordered.execution);
         self.gate.hold(now, pending);
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -225,7 +225,7 @@
             return true;
         };
         let at = self.moment(now);
-        let location = dispatcher.site(ordered.place).location;
+        let location = dispatcher.engine_site(ordered.place).location;
         let names = &self.access.known().locations;
         let location = names.get(location).cloned().unwrap_or_default();
         let may = self
--- a/crates/front/src/scatter/loads.rs
+++ b/crates/front/src/scatter/loads.rs
@@ -144,7 +144,7 @@
         if touched.values().any(only) {
             touched.retain(|_, touched| only(touched));
         }
-        let Some(site) = self.locations.get(dispatcher.site(place).location) else {
+        let Some(site) = self.locations.get(dispatcher.engine_site(place).location) else {
             return false;
         };
         let ends_ms = ((terms.deadline + RUN_ON).max(0) / 1000) as u64;
