--- a/crates/dispatcher/src/completion.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -9,7 +9,7 @@
     /// Says how an execution ended, with the engine's load report and the statement's cost where the answer
     /// carried them. True if this ends its statement: its answer now goes to the client. An execution that has
     /// ended before is passed over.
-    pub fn report(
+    pub fn execution_ended(
         &mut self,
         now: Micros,
         ticket: Ticket,
--- a/crates/dispatcher/src/completion_tests.rs
+++ b/crates/dispatcher/src/completion_tests.rs
@@ -33,7 +33,7 @@
         );
         let ticket = d.submit(1_000_000, &ask("pay", None)).unwrap();
         assert_eq!(sent(&d.tick(1_000_000)), [(ticket, 0)]);
-        assert!(!d.report(1_010_000, ticket, 0, ending, None));
+        assert!(!d.execution_ended(1_010_000, ticket, 0, ending, None));
         let mut next = d.tick(1_010_000);
         // An engine that could not be reached rests for a while.
         next.extend(d.tick(2_200_000));
@@ -58,7 +58,7 @@
         d.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
         let ticket = d.submit(0, &ask("lookup", None)).unwrap();
         d.tick(0);
-        assert!(!d.report(1_000, ticket, 0, ending, None));
+        assert!(!d.execution_ended(1_000, ticket, 0, ending, None));
         assert_eq!(
             sent(&d.tick(1_000)),
             if goes_on { vec![(ticket, 1)] } else { vec![] },
@@ -73,8 +73,8 @@
     d.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
     let ticket = d.submit(0, &ask("lookup", None)).unwrap();
     d.tick(0);
-    assert!(d.report(5_000, ticket, 0, Ending::Answered, None));
-    assert!(!d.report(5_000, ticket, 0, Ending::Answered, None));
+    assert!(d.execution_ended(5_000, ticket, 0, Ending::Answered, None));
+    assert!(!d.execution_ended(5_000, ticket, 0, Ending::Answered, None));
     assert_eq!((d.tick(5_000), d.statements_held()), (vec![], 0));
     let other = d.submit(6_000, &ask("lookup", None)).unwrap();
     d.tick(6_000);
@@ -85,7 +85,7 @@
         ending: Ending::GivenUp,
     };
     assert_eq!(d.tick(7_000), [stop]);
-    assert!(!d.report(7_000, other, 0, Ending::Answered, None));
+    assert!(!d.execution_ended(7_000, other, 0, Ending::Answered, None));
     assert_eq!((d.tick(7_000), d.statements_held()), (vec![], 0));
 }
 
@@ -102,7 +102,7 @@
         );
         let ticket = d.submit(now, &ask("load", Some(&key))).unwrap();
         assert_eq!(sent(&d.tick(now)), [(ticket, 0)]);
-        d.report(now + 10_000, ticket, 0, Ending::Answered, None);
+        d.execution_ended(now + 10_000, ticket, 0, Ending::Answered, None);
         d.update_engines(
             ListScope::Changes,
             &[listing(&id, Mode::Gone, Some(now - 60_000_000))],
@@ -132,7 +132,7 @@
     d.tick(0);
     d.client_left(1_000, first);
     d.tick(1_000);
-    d.report(1_000, first, 0, Ending::GivenUp, None);
+    d.execution_ended(1_000, first, 0, Ending::GivenUp, None);
     d.tick(1_000);
     let second = d.submit(2_000, &ask("load", Some("k"))).unwrap();
     assert_eq!(sent(&d.tick(2_000)), []);
--- a/crates/dispatcher/src/demand_tests.rs
+++ b/crates/dispatcher/src/demand_tests.rs
@@ -19,8 +19,8 @@
         d.submit(0, &ask("pay", None)).unwrap(),
     );
     d.tick(0);
-    d.report(100_000, first, 0, Ending::Answered, None);
-    d.report(1_100_000, late, 0, Ending::Answered, None);
+    d.execution_ended(100_000, first, 0, Ending::Answered, None);
+    d.execution_ended(1_100_000, late, 0, Ending::Answered, None);
     let reported: Vec<_> = d
         .workload_demand(1_100_000)
         .map(|(name, o)| (name.to_string(), o.work))
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,5 +1,5 @@
 //! The life of a statement in one front, from its arrival to its one final answer: a facade over the scheduler. Nothing
-//! blocks: decisions come with `tick`. [`Dispatcher::submit`] takes a statement, [`Dispatcher::report`] says how an execution ended,
+//! blocks: decisions come with `tick`. [`Dispatcher::submit`] takes a statement, [`Dispatcher::execution_ended`] says how an execution ended,
 //! and [`Dispatcher::tick`] decides on all that happened since and returns what the network is to do. Whoever calls it
 //! knows neither the scheduler's events nor its actions.
 //!
--- a/crates/dispatcher/src/observations_tests.rs
+++ b/crates/dispatcher/src/observations_tests.rs
@@ -11,7 +11,7 @@
     let ticket = d.submit(0, &ask("lookup", None)).unwrap();
     d.tick(0);
     assert!(d.observations(900_000).is_empty());
-    d.report(1_400_000, ticket, 0, Ending::GivenUp, None);
+    d.execution_ended(1_400_000, ticket, 0, Ending::GivenUp, None);
     let told: Vec<_> = d
         .observations(1_500_000)
         .iter()
@@ -36,6 +36,6 @@
     d.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
     let ticket = d.submit(0, &ask("lookup", None)).unwrap();
     d.tick(0);
-    d.report(MIN_SILENCE - 1, ticket, 0, Ending::GivenUp, None);
+    d.execution_ended(MIN_SILENCE - 1, ticket, 0, Ending::GivenUp, None);
     assert!(d.observations(MIN_SILENCE + 500_000).is_empty());
 }
--- a/crates/dispatcher/src/promises.rs
+++ b/crates/dispatcher/src/promises.rs
@@ -143,7 +143,7 @@
             self.forget(now, ticket);
         }
         for execution in held {
-            self.report(now, ticket, execution, Ending::Withdrawn, None);
+            self.execution_ended(now, ticket, execution, Ending::Withdrawn, None);
         }
         let longest = self.longest_retry_after?;
         let spread = (f64::from(ticket) * GOLDEN_RATIO).fract();
--- a/crates/dispatcher/src/promises_tests.rs
+++ b/crates/dispatcher/src/promises_tests.rs
@@ -28,7 +28,7 @@
         .map(|s| s.silent)
         .collect();
     assert_eq!(silent, [1_000_000]);
-    assert!(d.report(now + 1_000_000, ticket, 0, Ending::Answered, None));
+    assert!(d.execution_ended(now + 1_000_000, ticket, 0, Ending::Answered, None));
     assert_eq!(d.engines[0].held, 0);
 }
 
@@ -90,7 +90,7 @@
             ending: Ending::GivenUp,
         };
         assert_eq!((d.ledger_events(), d.tick(1)), (vec![], vec![stop]));
-        d.report(2, ticket, 0, ending, None);
+        d.execution_ended(2, ticket, 0, ending, None);
         assert_eq!(
             d.ledger_events(),
             [LedgerEvent::Finished(StatementFinished {
--- a/crates/dispatcher/src/tick_tests.rs
+++ b/crates/dispatcher/src/tick_tests.rs
@@ -17,7 +17,7 @@
         ending: Ending::TimeUp,
     };
     assert!(d.tick(4_000_000).contains(&stop));
-    d.report(4_000_000, ticket, 0, Ending::TimeUp, None);
+    d.execution_ended(4_000_000, ticket, 0, Ending::TimeUp, None);
     let cause = RejectCause::Scheduler(RejectReason::NoSafeEngine);
     assert_eq!(d.tick(4_000_000), [Command::Abort { ticket, cause }]);
     assert_eq!(d.statements_held(), 0);
--- a/crates/dispatcher/tests/repeat_window.rs
+++ b/crates/dispatcher/tests/repeat_window.rs
@@ -55,9 +55,9 @@
     let ticket = d.submit(1_000_000, &ask("load")).unwrap();
     assert_eq!(send_by(&d.tick(1_000_000)), [Micros::MAX]);
     // The first surely never ran: no window has begun.
-    d.report(1_100_000, ticket, 0, Ending::Rejected, None);
+    d.execution_ended(1_100_000, ticket, 0, Ending::Rejected, None);
     assert_eq!(send_by(&d.tick(1_100_000)), [Micros::MAX]);
-    d.report(1_300_000, ticket, 1, Ending::Reset, None);
+    d.execution_ended(1_300_000, ticket, 1, Ending::Reset, None);
     assert_eq!(send_by(&d.tick(1_300_000)), [1_100_000 + WINDOW]);
 }
 
@@ -66,6 +66,6 @@
     let mut d = dispatcher();
     let ticket = d.submit(1_000_000, &ask("lookup")).unwrap();
     d.tick(1_000_000);
-    d.report(1_100_000, ticket, 0, Ending::Reset, None);
+    d.execution_ended(1_100_000, ticket, 0, Ending::Reset, None);
     assert_eq!(send_by(&d.tick(1_100_000)), [Micros::MAX]);
 }
--- a/crates/dispatcher/tests/slow_start/fleet.rs
+++ b/crates/dispatcher/tests/slow_start/fleet.rs
@@ -296,7 +296,7 @@
                         let Some(dispatcher) = &mut self.processes[p].dispatcher else {
                             return;
                         };
-                        dispatcher.report(self.now, ticket, execution, ending, None);
+                        dispatcher.execution_ended(self.now, ticket, execution, ending, None);
                     }
                     Command::Reject { ticket, .. } | Command::Abort { ticket, .. } => {
                         self.processes[p].works.remove(&ticket);
@@ -372,7 +372,7 @@
             return;
         };
         self.answered +=
-            usize::from(dispatcher.report(self.now, ticket, execution, ending, report));
+            usize::from(dispatcher.execution_ended(self.now, ticket, execution, ending, report));
         self.settles(p);
     }
 }
--- a/crates/front/src/event_loop/admission.rs
+++ b/crates/front/src/event_loop/admission.rs
@@ -107,7 +107,7 @@
         // The statement is over first: else it could be tried anew.
         for sent in withdrawn {
             self.dispatcher
-                .report(now, sent.ticket, sent.number, Ending::Withdrawn, None);
+                .execution_ended(now, sent.ticket, sent.number, Ending::Withdrawn, None);
         }
     }
 
--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -63,7 +63,9 @@
             rules.borrow_mut().execution_ended(judged, execution_id);
         }
         let now = self.clock.now;
-        let is_answered = self.dispatcher.report(now, ticket, number, ending, report);
+        let is_answered = self
+            .dispatcher
+            .execution_ended(now, ticket, number, ending, report);
         if is_answered && !self.end_part(ticket, Ok(result)) {
             self.clients.answer(now, ticket, &Reply::Completed(result));
         }
@@ -272,7 +274,7 @@
             None => {
                 _ = self
                     .dispatcher
-                    .report(now, ticket, execution, Ending::Withdrawn, None)
+                    .execution_ended(now, ticket, execution, Ending::Withdrawn, None)
             }
         }
     }
@@ -286,7 +288,7 @@
                 .iter_mut()
                 .for_each(|gateway| gateway.stop(now, sent, ending));
             self.dispatcher
-                .report(now, sent.ticket, sent.number, Ending::Withdrawn, None);
+                .execution_ended(now, sent.ticket, sent.number, Ending::Withdrawn, None);
         } else if self.is_execution_of_session(sent) {
             self.gateway
                 .iter_mut()
--- a/crates/front/src/fleet/rules.rs
+++ b/crates/front/src/fleet/rules.rs
@@ -246,7 +246,7 @@
             _ => "by the version that holds",
         };
         log::info!("statement {}: may not leave for {location} {why}", s.ticket);
-        dispatcher.report(
+        dispatcher.execution_ended(
             now,
             ordered.ticket,
             ordered.execution,
--- a/crates/front/src/postgres/gateway/server_events.rs
+++ b/crates/front/src/postgres/gateway/server_events.rs
@@ -94,7 +94,7 @@
         } = part;
         let opens_transaction = done.status != b'I';
         let keeps_key = opens_transaction && dispatcher.keep_order_key(ticket);
-        if !dispatcher.report(now, ticket, number, Ending::Answered, None) {
+        if !dispatcher.execution_ended(now, ticket, number, Ending::Answered, None) {
             // It had its answer before; a transaction that it opened is nobody's.
             if let Some(server) = held {
                 self.servers.release(now, server);
@@ -126,7 +126,7 @@
     ) {
         let ExecutionId { ticket, number } = execution_id;
         dispatcher.answer_started(ticket);
-        if dispatcher.report(now, ticket, number, Ending::Stale, None) {
+        if dispatcher.execution_ended(now, ticket, number, Ending::Stale, None) {
             self.sessions
                 .fail(now, ticket, &ClientError::ResultLost, Some(error));
         }
@@ -141,7 +141,7 @@
     ) {
         let ExecutionId { ticket, number } = execution_id;
         let is_cancelled = self.note_ending(ticket, ending);
-        let is_over = dispatcher.report(now, ticket, number, ending, None);
+        let is_over = dispatcher.execution_ended(now, ticket, number, ending, None);
         if is_over || is_cancelled {
             // One whose client has asked for its end is not tried again.
             self.refuse(now, ticket, Refusal::Aborted);
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -220,7 +220,8 @@
                     .is_some_and(|guard| guard.cancel(own, ticket, execution));
                 let ending = if held { Ending::Withdrawn } else { ending };
                 life.connections.ended((ticket, execution), ending);
-                life.dispatcher.report(own, ticket, execution, ending, None);
+                life.dispatcher
+                    .execution_ended(own, ticket, execution, ending, None);
             }
             Command::SetConnectionRate { connections } => {
                 let own = self.own(n);
@@ -241,7 +242,7 @@
                 return;
             };
             life.dispatcher
-                .report(own, sent.0, sent.1, Ending::Withdrawn, None);
+                .execution_ended(own, sent.0, sent.1, Ending::Withdrawn, None);
             return;
         }
         let opened = self.account.relayed.len() > before;
@@ -267,7 +268,7 @@
             let report = active.filter(|_| inline).map(|active| vec![active as f64]);
             if life
                 .dispatcher
-                .report(now, ticket, execution, ending, report)
+                .execution_ended(now, ticket, execution, ending, report)
             {
                 self.answer(n, ticket, Outcome::Completed { rows: 1 });
             }
