--- a/crates/dispatcher/src/commands.rs
+++ b/crates/dispatcher/src/commands.rs
@@ -15,7 +15,7 @@
         /// The number of this execution among those of the statement, from 0.
         execution: usize,
         /// The engine.
-        place: EngineIndex,
+        engine: EngineIndex,
         /// What holds for the execution.
         terms: Terms,
     },
@@ -56,7 +56,7 @@
     /// Probe an engine.
     Probe {
         /// The engine.
-        place: EngineIndex,
+        engine: EngineIndex,
         /// On behalf of the fleet: only whoever owns that work may send it.
         for_fleet: bool,
     },
--- a/crates/dispatcher/src/tick.rs
+++ b/crates/dispatcher/src/tick.rs
@@ -108,11 +108,11 @@
                 self.end_statement(now, statement);
             }
             Action::Probe { engine } => commands.push(Command::Probe {
-                place: engine,
+                engine,
                 for_fleet: false,
             }),
             Action::ProbeEvacuated { engine } => commands.push(Command::Probe {
-                place: engine,
+                engine,
                 for_fleet: true,
             }),
             Action::Pace { connections } => {
@@ -165,7 +165,7 @@
         commands.push(Command::Send {
             ticket,
             execution,
-            place: engine,
+            engine,
             terms,
         });
     }
--- a/crates/dispatcher/tests/slow_start/fleet.rs
+++ b/crates/dispatcher/tests/slow_start/fleet.rs
@@ -285,9 +285,9 @@
                     Command::Send {
                         ticket,
                         execution,
-                        place,
+                        engine,
                         ..
-                    } => self.sends(p, ticket, execution, place),
+                    } => self.sends(p, ticket, execution, engine),
                     Command::Cancel {
                         ticket,
                         execution,
--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -339,7 +339,7 @@
             Command::Send {
                 ticket,
                 execution,
-                place,
+                engine: place,
                 terms,
             } => self.send_when_allowed(Ordered {
                 judged: self.statement_for_rules(ticket),
@@ -373,7 +373,10 @@
                     self.answer_without_result(ticket, Refusal::Aborted, cause);
                 }
             }
-            Command::Probe { place, for_fleet } => self.probe(place, for_fleet),
+            Command::Probe {
+                engine: place,
+                for_fleet,
+            } => self.probe(place, for_fleet),
             Command::SetConnectionRate { connections } => {
                 self.engines.dials.borrow_mut().set_rate(now, connections)
             }
--- a/crates/lab/src/simulated/fronts.rs
+++ b/crates/lab/src/simulated/fronts.rs
@@ -151,7 +151,7 @@
             Command::Send {
                 ticket,
                 execution,
-                place,
+                engine: place,
                 terms,
             } => {
                 let own = self.own(n);
@@ -173,7 +173,10 @@
                     self.leaves(n, sent, place);
                 }
             }
-            Command::Probe { place, for_fleet } => {
+            Command::Probe {
+                engine: place,
+                for_fleet,
+            } => {
                 let steady = self.now;
                 let exchange = self.members[n]
                     .life
