--- a/crates/dispatcher/src/completion.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -59,7 +59,7 @@
         if let Some(name) = &statement.order_key {
             self.order_keys.share(name);
             if statement.needs_promises {
-                let kept = LedgerEvent::KeyKept(name.clone());
+                let kept = LedgerEvent::KeyRetained(name.clone());
                 self.ledger_events.push(kept);
             }
         }
@@ -91,7 +91,7 @@
             pauses: may_still_run,
         });
         if self.watches_promises {
-            self.ledger_events.push(LedgerEvent::KeyFreed {
+            self.ledger_events.push(LedgerEvent::KeyReleased {
                 key: name.to_string(),
                 may_still_run,
             });
--- a/crates/dispatcher/src/promises.rs
+++ b/crates/dispatcher/src/promises.rs
@@ -16,9 +16,9 @@
     /// Such a statement was taken.
     Arrived(StatementArrived),
     /// The transaction of such a statement keeps its order key, until it is freed.
-    KeyKept(String),
+    KeyRetained(String),
     /// The transaction that kept an order key is over.
-    KeyFreed {
+    KeyReleased {
         /// The order key.
         key: String,
         /// The transaction may still run: the key pauses.
--- a/crates/fleet/src/gate.rs
+++ b/crates/fleet/src/gate.rs
@@ -117,8 +117,8 @@
                 let id = id(statement.ticket);
                 self.arrived(&statement, id);
             }
-            LedgerEvent::KeyKept(key) => self.retain_key(&key),
-            LedgerEvent::KeyFreed { key, may_still_run } => {
+            LedgerEvent::KeyRetained(key) => self.retain_key(&key),
+            LedgerEvent::KeyReleased { key, may_still_run } => {
                 self.release_key(now, &key, may_still_run)
             }
             LedgerEvent::Finished(statement) => self.end(now, statement),
