--- a/crates/dispatcher/src/completion.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -2,7 +2,7 @@
 
 use hallmux::interface::{Ended, Event, Micros, Report};
 
-use crate::promises::{LedgerEvent, StatementFinished};
+use crate::ledger_events::{LedgerEvent, StatementFinished};
 use crate::{Deadline, Dispatcher, Ending, Ticket};
 
 impl Dispatcher {
--- a/crates/dispatcher/src/promises.rs
+++ b/crates/dispatcher/src/ledger_events.rs
@@ -152,5 +152,5 @@
 }
 
 #[cfg(test)]
-#[path = "promises_tests.rs"]
+#[path = "ledger_events_tests.rs"]
 mod tests;
--- a/crates/dispatcher/src/promises_tests.rs
+++ b/crates/dispatcher/src/ledger_events_tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the `promises` module.
+//! Unit tests of the `ledger_events` module.
 
 use crate::test_support::{ask, dispatcher, listing, sent};
 use crate::{Command, Ending, LedgerEvent, ListScope, Mode, StatementFinished};
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -12,7 +12,7 @@
 //! | `completion` | an execution or a statement ends |
 //! | `order_keys` | the indices of order keys and their pauses |
 //! | `engines`, `engine_stats`, `observations` | the engine list, what was seen of engines, reports of it |
-//! | `demand`, `promises` | what the rest of the fleet is to know of statements |
+//! | `demand`, `ledger_events` | what the rest of the fleet is to know of statements |
 //! | `send_capacity`, `connection_pacer` | limits on new connections |
 //!
 //! It has no clock and does no input or output. `now` is in microseconds and must not run backwards.
@@ -27,9 +27,9 @@
 mod engine_stats;
 mod engines;
 mod executions;
+mod ledger_events;
 mod observations;
 mod order_keys;
-mod promises;
 mod reject_cause;
 mod request;
 mod send_capacity;
@@ -57,8 +57,8 @@
 pub use engines::{ListScope, Listing};
 pub use executions::Terms;
 pub use hallmux::interface::{DedupGroup, Demand, Effect, FleetDemand, Micros, Mode, Note};
+pub use ledger_events::{LedgerEvent, Site, StatementArrived, StatementFinished};
 pub use observations::{EngineObservation, Recovery};
-pub use promises::{LedgerEvent, Site, StatementArrived, StatementFinished};
 pub use reject_cause::RejectCause;
 pub use request::{InvalidRequest, Protocol, StatementRequest};
 pub use send_capacity::SendCapacity;
