--- a/crates/dispatcher/src/completion.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -27,9 +27,9 @@
         let took = now - ended.sent;
         self.engines[engine].execution_ended(now, ending, ended.held);
         ended.end(ending);
-        let ends_statement = statement.answered_by(ending);
-        statement.over |= ends_statement;
-        let settled = statement.over;
+        let ends_statement = statement.is_answered_by(ending);
+        statement.finished |= ends_statement;
+        let settled = statement.finished;
         let keeps_order_key = ends_statement && self.share_order_key(ticket, ending);
         self.events.push(Event::Ended(Ended {
             statement: ticket,
@@ -44,7 +44,7 @@
         if ends_statement {
             self.count_answer(now, ticket, took);
         }
-        self.forget(now, ticket);
+        self.remove_if_finished(now, ticket);
         ends_statement
     }
 
@@ -53,14 +53,14 @@
         let Some(statement) = self.statements.get(&ticket) else {
             return false;
         };
-        if ending != Ending::Answered || !statement.transaction_goes_on {
+        if ending != Ending::Answered || !statement.transaction_continues {
             return false;
         }
         if let Some(name) = &statement.order_key {
             self.order_keys.share(name);
-            if statement.needs_promises {
-                let kept = LedgerEvent::KeyRetained(name.clone());
-                self.ledger_events.push(kept);
+            if statement.needs_ledger_entry {
+                let retained = LedgerEvent::KeyRetained(name.clone());
+                self.ledger_events.push(retained);
             }
         }
         true
@@ -68,17 +68,17 @@
 
     /// The client no longer waits.
     pub fn client_left(&mut self, now: Micros, ticket: Ticket) {
-        let Some(statement) = self.statements.get_mut(&ticket).filter(|s| !s.over) else {
+        let Some(statement) = self.statements.get_mut(&ticket).filter(|s| !s.finished) else {
             return;
         };
-        statement.over = true;
+        statement.finished = true;
         // What was withdrawn before it was decided on counts for nothing: the module never hears of it.
         let undecided = |e: &Event| matches!(e, Event::Arrived(a) if a.statement == ticket);
         match self.events.iter().position(undecided) {
             Some(index) => _ = self.events.remove(index),
             None => self.events.push(Event::ClientLeft(ticket)),
         }
-        self.forget(now, ticket);
+        self.remove_if_finished(now, ticket);
     }
 
     /// A transaction that kept an order key is over; the key pauses where the transaction may still run.
@@ -90,7 +90,7 @@
             key,
             pauses: may_still_run,
         });
-        if self.watches_promises {
+        if self.ledger_events_enabled {
             self.ledger_events.push(LedgerEvent::KeyReleased {
                 key: name.to_string(),
                 may_still_run,
@@ -102,17 +102,17 @@
     /// A statement has its final answer.
     pub(crate) fn end_statement(&mut self, now: Micros, ticket: Ticket) {
         if let Some(statement) = self.statements.get_mut(&ticket) {
-            statement.over = true;
+            statement.finished = true;
         }
-        self.forget(now, ticket);
+        self.remove_if_finished(now, ticket);
     }
 
     /// Lets go of a statement that is over with nothing in flight.
-    pub(crate) fn forget(&mut self, now: Micros, ticket: Ticket) {
+    pub(crate) fn remove_if_finished(&mut self, now: Micros, ticket: Ticket) {
         let Some(statement) = self.statements.get(&ticket) else {
             return;
         };
-        if !statement.over || statement.in_flight().next().is_some() {
+        if !statement.finished || statement.in_flight().next().is_some() {
             return;
         }
         self.deadlines.remove(&Deadline {
@@ -122,9 +122,9 @@
         let Some(statement) = self.statements.remove(&ticket) else {
             return;
         };
-        if statement.needs_promises {
-            let over = StatementFinished::new(ticket, &statement);
-            self.ledger_events.push(LedgerEvent::Finished(over));
+        if statement.needs_ledger_entry {
+            let finished = StatementFinished::new(ticket, &statement);
+            self.ledger_events.push(LedgerEvent::Finished(finished));
         }
         if statement.end_watched {
             self.watched_ends.push(ticket);
--- a/crates/dispatcher/src/completion_tests.rs
+++ b/crates/dispatcher/src/completion_tests.rs
@@ -109,7 +109,7 @@
         );
         d.tick(now + 10_000);
     }
-    let [keys, free_ids, pauses] = d.order_keys.kept();
+    let [keys, free_ids, pauses] = d.order_keys.retained_counts();
     let kept = (
         d.statements_held(),
         d.deadlines.len(),
--- a/crates/dispatcher/src/demand.rs
+++ b/crates/dispatcher/src/demand.rs
@@ -36,21 +36,21 @@
 }
 
 impl DemandCounts {
-    fn fade(&mut self, now: Micros) {
-        let left = 0.5f64.powf((now - self.counted_at) as f64 / HALF_LIFE as f64);
-        self.asked *= left;
-        self.ended *= left;
-        self.timely *= left;
+    fn decay(&mut self, now: Micros) {
+        let remaining_share = 0.5f64.powf((now - self.counted_at) as f64 / HALF_LIFE as f64);
+        self.asked *= remaining_share;
+        self.ended *= remaining_share;
+        self.timely *= remaining_share;
         self.counted_at = now;
     }
 
     pub(crate) fn record_arrival(&mut self, now: Micros) {
-        self.fade(now);
+        self.decay(now);
         self.asked += 1.0;
     }
 
     pub(crate) fn record_end(&mut self, now: Micros, timely: bool) {
-        self.fade(now);
+        self.decay(now);
         self.ended += 1.0;
         self.timely += f64::from(u8::from(timely));
     }
@@ -66,7 +66,7 @@
     /// The demand on this front over the last seconds, by the names of workloads.
     pub fn workload_demand(&mut self, now: Micros) -> impl Iterator<Item = (&str, &DemandCounts)> {
         for demand in &mut self.workload_demand {
-            demand.fade(now);
+            demand.decay(now);
         }
         let names = self.names.workloads.iter().map(String::as_str);
         names.zip(&self.workload_demand)
@@ -78,7 +78,7 @@
         now: Micros,
     ) -> impl Iterator<Item = (&str, Option<&DemandCounts>)> {
         for demand in &mut self.customer_demand {
-            demand.counts.fade(now);
+            demand.counts.decay(now);
         }
         let any_share = self.customer_demand.iter().any(|demand| demand.has_share);
         let names = self.names.customers.iter().map(String::as_str);
@@ -121,8 +121,8 @@
         let Some(statement) = self.statements.get(&ticket) else {
             return;
         };
-        let came_before = first_new.is_none_or(|first| ticket < first);
-        let admitted = came_before || !statement.executions.is_empty();
+        let arrived_before = first_new.is_none_or(|first| ticket < first);
+        let admitted = arrived_before || !statement.executions.is_empty();
         if !admitted {
             return;
         }
--- a/crates/dispatcher/src/engine_stats.rs
+++ b/crates/dispatcher/src/engine_stats.rs
@@ -35,7 +35,7 @@
     /// The time for which the counts stand.
     counted_at: Micros,
     /// When anything last came from it.
-    heard_at: Micros,
+    last_activity_at: Micros,
     /// Since when something is in flight there.
     pub busy_since: Micros,
     /// When a fault of it was last seen, here or by other fronts, if it has not answered since.
@@ -50,16 +50,16 @@
 
 impl EngineStats {
     /// Brings the counts up to now.
-    pub fn fade(&mut self, now: Micros) {
-        let left = 0.5f64.powf((now - self.counted_at) as f64 / HALF_LIFE as f64);
-        self.failed *= left;
-        self.answered *= left;
+    pub fn decay(&mut self, now: Micros) {
+        let remaining_share = 0.5f64.powf((now - self.counted_at) as f64 / HALF_LIFE as f64);
+        self.failed *= remaining_share;
+        self.answered *= remaining_share;
         self.counted_at = now;
     }
 
     /// An execution there has ended.
     pub fn record_ending(&mut self, now: Micros, ending: Ending) {
-        self.fade(now);
+        self.decay(now);
         match ending {
             Ending::Answered => self.record_answer(now),
             Ending::EngineFailed | Ending::ConnectionRefused | Ending::ConnectTimeout => {
@@ -70,7 +70,7 @@
             _ => {}
         }
         if matches!(ending, Ending::EngineFailed | Ending::Rejected) {
-            self.heard_at = now;
+            self.last_activity_at = now;
         }
     }
 
@@ -84,7 +84,7 @@
 
     /// Microseconds since anything came from it with something in flight.
     pub fn silence(&self, now: Micros) -> Micros {
-        now - self.heard_at.max(self.busy_since)
+        now - self.last_activity_at.max(self.busy_since)
     }
 
     /// Microseconds of the silence that ended lately; 0 where there was none.
@@ -96,7 +96,7 @@
 
     /// It has answered. Where a fault of it was seen lately, it has recovered.
     pub fn record_answer(&mut self, now: Micros) {
-        self.heard_at = now;
+        self.last_activity_at = now;
         self.ended_silence = None;
         self.answered += 1.0;
         let fault_at = self.fault_at.take();
--- a/crates/dispatcher/src/engines.rs
+++ b/crates/dispatcher/src/engines.rs
@@ -49,8 +49,8 @@
     /// Takes the place of what was known under this one's index. What was seen of another engine, or of an earlier
     /// start, says nothing of this one.
     fn replace(&mut self, id: &str, entry: &EngineEntry) {
-        let same = self.id == id && self.entry.started == entry.started;
-        if !same {
+        let is_same_start = self.id == id && self.entry.started == entry.started;
+        if !is_same_start {
             self.stats = EngineStats::default();
         }
         self.id = id.to_string();
@@ -58,7 +58,7 @@
     }
 
     /// Another execution there is commanded.
-    pub fn execution_begun(&mut self, now: Micros) {
+    pub fn execution_started(&mut self, now: Micros) {
         if self.in_flight == 0 {
             self.stats.busy_since = now;
         }
@@ -83,7 +83,7 @@
     }
 
     /// Whether an engine that is listed now may get the index of this one: it is gone, and the other is like it.
-    fn may_be_followed_by(&self, entry: &EngineEntry) -> bool {
+    fn can_be_replaced_by(&self, entry: &EngineEntry) -> bool {
         self.entry.mode == Mode::Gone
             && self.in_flight == 0
             && self.entry.location == entry.location
@@ -151,14 +151,14 @@
 
     /// The index of an engine: its own, that of one like it that is gone with nothing in flight, or a new one.
     fn index_for(&self, id: &str, entry: &EngineEntry) -> EngineIndex {
-        if let Some(own) = self.engines.iter().position(|engine| engine.id == id) {
-            return own;
+        if let Some(existing) = self.engines.iter().position(|engine| engine.id == id) {
+            return existing;
         }
         // The module forgets what it learned of an index only where the new engine's start is known.
-        let may_follow = entry.started.is_some();
+        let may_reuse_index = entry.started.is_some();
         self.engines
             .iter()
-            .position(|engine| may_follow && engine.may_be_followed_by(entry))
+            .position(|engine| may_reuse_index && engine.can_be_replaced_by(entry))
             .unwrap_or(self.engines.len())
     }
 
@@ -170,9 +170,9 @@
     }
 
     /// How many executions can leave for an engine now, over connections that are there or may be made.
-    pub(crate) fn set_send_capacity(&mut self, place: EngineIndex, executions: usize) {
+    pub(crate) fn set_send_capacity(&mut self, engine_index: EngineIndex, executions: usize) {
         self.events.push(Event::SendCapacity {
-            engine: place,
+            engine: engine_index,
             executions,
         });
     }
@@ -181,16 +181,16 @@
     pub fn probe_ended(
         &mut self,
         now: Micros,
-        place: EngineIndex,
+        engine_index: EngineIndex,
         alive: bool,
         report: Option<Report>,
     ) {
-        if let Some(engine) = self.engines.get_mut(place).filter(|_| alive) {
-            engine.stats.fade(now);
+        if let Some(engine) = self.engines.get_mut(engine_index).filter(|_| alive) {
+            engine.stats.decay(now);
             engine.stats.record_answer(now);
         }
         self.events.push(Event::Probed {
-            engine: place,
+            engine: engine_index,
             alive,
             report,
         });
--- a/crates/dispatcher/src/executions.rs
+++ b/crates/dispatcher/src/executions.rs
@@ -33,7 +33,7 @@
 
 impl Execution {
     /// An execution that is commanded now.
-    pub fn sent(now: Micros, engine: EngineIndex) -> Execution {
+    pub fn commanded(now: Micros, engine: EngineIndex) -> Execution {
         Execution {
             engine,
             sent: now,
--- a/crates/dispatcher/src/ledger_events.rs
+++ b/crates/dispatcher/src/ledger_events.rs
@@ -71,7 +71,7 @@
     )
 }
 
-fn depends_on_promises(workload: &Workload, request: &StatementRequest) -> bool {
+fn needs_ledger_entry(workload: &Workload, request: &StatementRequest) -> bool {
     let ordered = workload.in_order && request.order_key.is_some();
     ordered || workload.effect != Effect::Idempotent
 }
@@ -88,7 +88,7 @@
 impl Dispatcher {
     /// From now on [`Dispatcher::ledger_events`] returns what happens to statements that depend on promises.
     pub fn enable_ledger_events(&mut self) {
-        self.watches_promises = true;
+        self.ledger_events_enabled = true;
     }
 
     /// What has happened to statements that depend on promises since the last call.
@@ -97,15 +97,15 @@
     }
 
     /// Adds the event of an arrival, if the statement depends on promises. Returns whether it does.
-    pub(crate) fn announce_arrival(
+    pub(crate) fn record_ledger_arrival(
         &mut self,
         ticket: Ticket,
         request: &StatementRequest,
         workload: usize,
     ) -> bool {
         let workload = self.workloads.get(workload);
-        let depends = workload.is_some_and(|workload| depends_on_promises(workload, request));
-        if !self.watches_promises || !depends {
+        let depends = workload.is_some_and(|workload| needs_ledger_entry(workload, request));
+        if !self.ledger_events_enabled || !depends {
             return false;
         }
         let arrived = StatementArrived {
@@ -120,8 +120,8 @@
     }
 
     /// Where an engine is; the default where there is no such engine.
-    pub fn engine_site(&self, place: EngineIndex) -> Site {
-        let Some(engine) = self.engines.get(place) else {
+    pub fn engine_site(&self, engine_index: EngineIndex) -> Site {
+        let Some(engine) = self.engines.get(engine_index) else {
             return Site::default();
         };
         Site {
@@ -135,19 +135,19 @@
     /// the microseconds after which its client may try again, where a time may be named: spread, so that clients
     /// rejected together do not come back together.
     pub fn reject(&mut self, now: Micros, ticket: Ticket) -> Option<Micros> {
-        let statement = self.statements.get_mut(&ticket).filter(|s| !s.over)?;
-        statement.over = true;
+        let statement = self.statements.get_mut(&ticket).filter(|s| !s.finished)?;
+        statement.finished = true;
         let held: Vec<usize> = statement.in_flight().collect();
         if held.is_empty() {
             self.events.push(Event::ClientLeft(ticket));
-            self.forget(now, ticket);
+            self.remove_if_finished(now, ticket);
         }
         for execution in held {
             self.execution_ended(now, ticket, execution, Ending::Withdrawn, None);
         }
-        let longest = self.longest_retry_after?;
+        let max_retry_after = self.max_retry_after?;
         let spread = (f64::from(ticket) * GOLDEN_RATIO).fract();
-        Some((longest as f64 * (0.5 + spread / 2.0)) as Micros)
+        Some((max_retry_after as f64 * (0.5 + spread / 2.0)) as Micros)
     }
 }
 
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -87,9 +87,9 @@
     names: Names,
     workloads: Vec<Workload>,
     /// Microseconds after its start in which an engine may still be warming up.
-    warm_within: Micros,
+    warm_up_time: Micros,
     /// When the module asked to be called again, in microseconds.
-    wake: Micros,
+    next_wake: Micros,
     /// What has happened since the last decisions.
     events: Vec<Event>,
     next_ticket: Ticket,
@@ -102,11 +102,11 @@
     workload_demand: Vec<DemandCounts>,
     /// By customer.
     customer_demand: Vec<CustomerDemand>,
-    watches_promises: bool,
+    ledger_events_enabled: bool,
     ledger_events: Vec<LedgerEvent>,
     watched_ends: Vec<Ticket>,
     /// Microseconds that a rejected client is told to wait at most; None where no time may be named.
-    longest_retry_after: Option<Micros>,
+    max_retry_after: Option<Micros>,
 }
 
 impl Dispatcher {
@@ -126,20 +126,20 @@
             scheduler: Scheduler::new(agreement.clone(), seed),
             names: settings.names.clone(),
             workloads: agreement.workloads.clone(),
-            warm_within: agreement.warm_within,
-            wake: 0,
+            warm_up_time: agreement.warm_within,
+            next_wake: 0,
             events: Vec::new(),
             next_ticket: 0,
             statements: HashMap::new(),
             deadlines: BTreeSet::new(),
             order_keys: OrderKeys::new(agreement.order_gap),
             engines: Vec::new(),
-            watches_promises: false,
+            ledger_events_enabled: false,
             workload_demand: vec![DemandCounts::default(); agreement.workloads.len()],
             customer_demand,
             ledger_events: Vec::new(),
             watched_ends: Vec::new(),
-            longest_retry_after: agreement.longest_retry_after,
+            max_retry_after: agreement.longest_retry_after,
         }
     }
 
--- a/crates/dispatcher/src/observations.rs
+++ b/crates/dispatcher/src/observations.rs
@@ -72,7 +72,7 @@
     /// Engines that others may want to know of: those with a fault, draining, or back from a fault.
     pub fn observations(&mut self, now: Micros) -> Vec<EngineObservation<'_>> {
         for engine in &mut self.engines {
-            engine.stats.fade(now);
+            engine.stats.decay(now);
             if engine.observation(now).shows_fault() {
                 engine.stats.record_fault(now);
             }
@@ -131,7 +131,7 @@
 
     /// Engines that had a fault and answer again, while they may still be warming up after it.
     pub fn recoveries(&self, now: Micros) -> Vec<Recovery<'_>> {
-        let remembered_for = self.warm_within.max(RECOVERY_REPORTED_FOR);
+        let remembered_for = self.warm_up_time.max(RECOVERY_REPORTED_FOR);
         self.engines
             .iter()
             .filter_map(|engine| {
--- a/crates/dispatcher/src/order_keys.rs
+++ b/crates/dispatcher/src/order_keys.rs
@@ -93,7 +93,7 @@
 
     /// How many keys, free indices and pauses are kept.
     #[cfg(test)]
-    pub fn kept(&self) -> [usize; 3] {
+    pub fn retained_counts(&self) -> [usize; 3] {
         [self.keys.len(), self.free_ids.len(), self.pauses.len()]
     }
 }
--- a/crates/dispatcher/src/send_capacity.rs
+++ b/crates/dispatcher/src/send_capacity.rs
@@ -33,16 +33,16 @@
             self.next_full_report = now + REPORT_INTERVAL;
             self.reported.clear();
         }
-        for place in dispatcher.ready_engines() {
-            let executions = capacity(place).min(MAX_REPORTED);
-            if self.reported.insert(place, executions) != Some(executions) {
-                dispatcher.set_send_capacity(place, executions);
+        for engine_index in dispatcher.ready_engines() {
+            let executions = capacity(engine_index).min(MAX_REPORTED);
+            if self.reported.insert(engine_index, executions) != Some(executions) {
+                dispatcher.set_send_capacity(engine_index, executions);
             }
         }
     }
 
     /// An execution has left for an engine: the module has counted it, so the capacity is reported anew.
-    pub fn sent(&mut self, place: EngineIndex) {
-        self.reported.remove(&place);
+    pub fn sent(&mut self, engine_index: EngineIndex) {
+        self.reported.remove(&engine_index);
     }
 }
--- a/crates/dispatcher/src/statements.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -15,15 +15,15 @@
     /// What holds for its next execution.
     pub terms: Terms,
     /// It has its final answer, or its client has left.
-    pub over: bool,
+    pub finished: bool,
     /// Part of its answer has gone to the client: whatever ends it now ends the statement.
     pub answer_started: bool,
     /// Its transaction goes on when it ends, and keeps its order key.
-    pub transaction_goes_on: bool,
+    pub transaction_continues: bool,
     /// The name of its order key.
     pub order_key: Option<String>,
     /// It depends on promises: its end is a promise event.
-    pub needs_promises: bool,
+    pub needs_ledger_entry: bool,
     /// Its end is returned by [`Dispatcher::watched_ends`].
     pub end_watched: bool,
     /// Its executions, by number.
@@ -43,7 +43,7 @@
         request: &StatementRequest,
         workload_index: usize,
         workload: &Workload,
-        needs_promises: bool,
+        needs_ledger_entry: bool,
     ) -> Statement {
         let slo_extra = workload.slo_stretch / workload.threads * request.work;
         Statement {
@@ -55,25 +55,25 @@
                 grant_mb: 0.0,
                 priority: 1,
             },
-            over: false,
+            finished: false,
             answer_started: false,
-            transaction_goes_on: false,
+            transaction_continues: false,
             order_key: request.order_key.map(str::to_string),
-            needs_promises,
+            needs_ledger_entry,
             end_watched: false,
             executions: Vec::new(),
         }
     }
 
     /// Whether the statement is answered as one of its executions ends.
-    pub fn answered_by(&self, ending: Ending) -> bool {
+    pub fn is_answered_by(&self, ending: Ending) -> bool {
         let has_answer = ending == Ending::Answered || self.answer_started;
-        has_answer && !self.over
+        has_answer && !self.finished
     }
 
     /// Until when a retry may leave, where engines drop repeats within a window: counted from the first execution
     /// that may have run. The decision is made within it, but a connection may come up late.
-    pub fn repeats_until(&self, window: Option<Micros>) -> Micros {
+    pub fn repeat_deadline(&self, window: Option<Micros>) -> Micros {
         let first_sent = self
             .executions
             .iter()
@@ -129,9 +129,9 @@
         let Some(statement) = self.statements.get_mut(&ticket) else {
             return false;
         };
-        let keeps = statement.order_key.is_some() && !statement.over;
+        let keeps = statement.order_key.is_some() && !statement.finished;
         if keeps {
-            statement.transaction_goes_on = true;
+            statement.transaction_continues = true;
         }
         keeps
     }
--- a/crates/dispatcher/src/submission.rs
+++ b/crates/dispatcher/src/submission.rs
@@ -7,7 +7,7 @@
 use crate::{position, Deadline, Dispatcher, EngineIndex, Ticket};
 
 /// Whose statement it is, by indices in the settings.
-struct Service {
+struct RequestIndices {
     workload: usize,
     customer: usize,
 }
@@ -20,13 +20,13 @@
         now: Micros,
         request: &StatementRequest,
     ) -> Result<Ticket, InvalidRequest> {
-        let Service { workload, customer } = self.service(request)?;
+        let RequestIndices { workload, customer } = self.resolve_indices(request)?;
         let allowed = match request.allowed_locations {
             Some(names) => Some(self.allowed_locations(workload, request.sticky_engine, names)?),
             None => None,
         };
         let ticket = self.new_ticket();
-        let needs_promises = self.announce_arrival(ticket, request, workload);
+        let needs_ledger_entry = self.record_ledger_arrival(ticket, request, workload);
         let key = request.order_key.map(|name| self.order_keys.acquire(name));
         self.events.push(Event::Arrived(Arrival {
             statement: ticket,
@@ -47,7 +47,7 @@
             request,
             workload,
             &self.workloads[workload],
-            needs_promises,
+            needs_ledger_entry,
         );
         self.deadlines.insert(Deadline {
             at: statement.terms.deadline,
@@ -57,7 +57,10 @@
         Ok(ticket)
     }
 
-    fn service(&self, request: &StatementRequest) -> Result<Service, InvalidRequest> {
+    fn resolve_indices(
+        &self,
+        request: &StatementRequest,
+    ) -> Result<RequestIndices, InvalidRequest> {
         let workload = position(&self.names.workloads, request.workload)
             .ok_or(InvalidRequest::UnknownWorkload)?;
         let customer = match position(&self.names.customers, request.customer) {
@@ -69,7 +72,7 @@
         if needs_dedup_key && request.dedup_key.is_none() {
             return Err(InvalidRequest::MissingDedupKey);
         }
-        Ok(Service { workload, customer })
+        Ok(RequestIndices { workload, customer })
     }
 
     /// The indices of the locations that a statement may be sent to. An error where none is left: as it would be at
@@ -88,13 +91,15 @@
         let allowed: Vec<usize> = names
             .iter()
             .filter_map(|name| position(&self.names.locations, name))
-            .filter(|location| workload_locations.is_none_or(|all| all.contains(location)))
+            .filter(|location| {
+                workload_locations.is_none_or(|permitted| permitted.contains(location))
+            })
             .collect();
         let sticky_location = sticky_engine
-            .and_then(|place| self.engines.get(place))
+            .and_then(|engine_index| self.engines.get(engine_index))
             .map(|engine| engine.entry.location);
-        let sticky_elsewhere = sticky_location.is_some_and(|at| !allowed.contains(&at));
-        if allowed.is_empty() || sticky_elsewhere {
+        let sticky_is_disallowed = sticky_location.is_some_and(|at| !allowed.contains(&at));
+        if allowed.is_empty() || sticky_is_disallowed {
             return Err(InvalidRequest::NoAllowedLocation);
         }
         Ok(allowed)
--- a/crates/dispatcher/src/tick.rs
+++ b/crates/dispatcher/src/tick.rs
@@ -15,17 +15,17 @@
             return 0;
         }
         let next_deadline = self.deadlines.first().map(|deadline| deadline.at);
-        next_deadline.map_or(self.wake, |at| self.wake.min(at))
+        next_deadline.map_or(self.next_wake, |at| self.next_wake.min(at))
     }
 
     /// Decides on all that happened since the last call; the commands are to be carried out in this order.
     pub fn tick(&mut self, now: Micros) -> Vec<Command> {
         let mut commands = Vec::new();
-        self.cancel_overdue(now, &mut commands);
-        if self.events.is_empty() && now < self.wake {
+        self.cancel_expired(now, &mut commands);
+        if self.events.is_empty() && now < self.next_wake {
             return commands;
         }
-        if self.wake <= now {
+        if self.next_wake <= now {
             self.events.push(Event::Woken);
         }
         let mut events = std::mem::take(&mut self.events);
@@ -41,12 +41,12 @@
     }
 
     /// Cancels what is in flight for statements whose clients wait no longer.
-    fn cancel_overdue(&mut self, now: Micros, commands: &mut Vec<Command>) {
+    fn cancel_expired(&mut self, now: Micros, commands: &mut Vec<Command>) {
         while self.deadlines.first().is_some_and(|first| first.at <= now) {
-            let Some(due) = self.deadlines.pop_first() else {
+            let Some(expired) = self.deadlines.pop_first() else {
                 return;
             };
-            let ticket = due.ticket;
+            let ticket = expired.ticket;
             let Some(statement) = self.statements.get(&ticket) else {
                 continue;
             };
@@ -118,7 +118,7 @@
             Action::Pace { connections } => {
                 commands.push(Command::SetConnectionRate { connections });
             }
-            Action::Wake { at } => self.wake = at,
+            Action::Wake { at } => self.next_wake = at,
             // The coordinator is followed all the time, asked for or not.
             Action::Subscribe => {}
         }
@@ -156,12 +156,12 @@
         };
         let window = repeat_window(&self.workloads[statement.workload]);
         let terms = Terms {
-            send_by: statement.repeats_until(window),
+            send_by: statement.repeat_deadline(window),
             ..statement.terms
         };
         let execution = statement.executions.len();
-        statement.executions.push(Execution::sent(now, engine));
-        self.engines[engine].execution_begun(now);
+        statement.executions.push(Execution::commanded(now, engine));
+        self.engines[engine].execution_started(now);
         commands.push(Command::Send {
             ticket,
             execution,
@@ -175,7 +175,7 @@
             return;
         };
         // What has begun to answer can't be retried elsewhere: it is only cancelled with its statement.
-        if statement.over || !statement.answer_started {
+        if statement.finished || !statement.answer_started {
             commands.push(Command::Cancel {
                 ticket,
                 execution,
