--- a/crates/dispatcher/src/commands.rs
+++ b/crates/dispatcher/src/commands.rs
@@ -1,22 +1,22 @@
-//! What the network is to do.
+//! The commands that the dispatcher returns for the caller's network code to carry out.
 
 use hallmux::interface::Micros;
 
 use crate::executions::Terms;
 use crate::{Ending, EngineIndex, RejectCause, Ticket};
 
-/// What the network is to do.
+/// An instruction to the caller's network code.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Send a statement to an engine.
     Send {
         /// The statement.
         ticket: Ticket,
-        /// The number of this execution among those of the statement, from 0.
+        /// The number of this execution within its statement, from 0.
         execution: usize,
         /// The engine.
         engine: EngineIndex,
-        /// What holds for the execution.
+        /// The deadlines, memory and priority of the execution.
         terms: Terms,
     },
     /// Change the priority of an execution in flight.
@@ -28,7 +28,8 @@
         /// The new priority, 0 to 3.
         priority: u8,
     },
-    /// Cancel the execution and report its end: with this ending, or as withdrawn where it never left.
+    /// Cancel the execution and report its end: with this ending, or as [`Ending::Withdrawn`] where
+    /// nothing of it was sent.
     Cancel {
         /// The statement.
         ticket: Ticket,
@@ -37,32 +38,35 @@
         /// The ending to report.
         ending: Ending,
     },
-    /// The final answer: the statement is rejected, and trying again is harmless.
+    /// Final answer: the statement is rejected. It has not run, so that the client may safely
+    /// submit it again.
     Reject {
         /// The statement.
         ticket: Ticket,
-        /// Microseconds after which the client may try again; None where no time may be named.
+        /// Microseconds after which the client may try again; None where the settings allow no such
+        /// hint.
         retry_after: Option<Micros>,
-        /// Why; for the log.
+        /// The reason to log.
         cause: RejectCause,
     },
-    /// The final answer: the statement is aborted, and it may have run.
+    /// Final answer: the statement is aborted. It may have run.
     Abort {
         /// The statement.
         ticket: Ticket,
-        /// Why; for the log.
+        /// The reason to log.
         cause: RejectCause,
     },
     /// Probe an engine.
     Probe {
         /// The engine.
         engine: EngineIndex,
-        /// On behalf of the fleet: only whoever owns that work may send it.
+        /// The probe is sent on behalf of the fleet: only the front that owns the fleet's probes
+        /// may send it.
         for_fleet: bool,
     },
-    /// From now on this front may make so many connections to each engine.
+    /// Set the rate at which this front may open connections to each engine.
     SetConnectionRate {
-        /// New connections a second.
+        /// New connections per second.
         connections: f64,
     },
 }
--- a/crates/dispatcher/src/completion.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -1,4 +1,4 @@
-//! The end of executions and statements; what nobody needs any more is let go.
+//! The end of executions and statements, and the removal of statements that are finished.
 
 use hallmux::interface::{Ended, Event, Micros, Report};
 
@@ -6,9 +6,9 @@
 use crate::{Deadline, Dispatcher, Ending, Ticket};
 
 impl Dispatcher {
-    /// Says how an execution ended, with the engine's load report and the statement's cost where the answer
-    /// carried them. True if this ends its statement: its answer now goes to the client. An execution that has
-    /// ended before is passed over.
+    /// Records how an execution ended, with the engine's load report where the answer carried one.
+    /// Returns true if this ends the statement, so that its answer is sent to the client. An
+    /// execution that is not in flight is ignored.
     pub fn execution_ended(
         &mut self,
         now: Micros,
@@ -48,7 +48,8 @@
         ends_statement
     }
 
-    /// Where the transaction of a statement that is answered goes on, it keeps the order key: whether it does.
+    /// Lets the transaction of an answered statement retain the order key if the transaction
+    /// continues. Returns whether it continues.
     fn share_order_key(&mut self, ticket: Ticket, ending: Ending) -> bool {
         let Some(statement) = self.statements.get(&ticket) else {
             return false;
@@ -66,13 +67,15 @@
         true
     }
 
-    /// The client no longer waits.
+    /// Records that the client of a statement has disconnected or cancelled it. Ignored if the
+    /// statement is unknown or finished.
     pub fn client_left(&mut self, now: Micros, ticket: Ticket) {
         let Some(statement) = self.statements.get_mut(&ticket).filter(|s| !s.finished) else {
             return;
         };
         statement.finished = true;
-        // What was withdrawn before it was decided on counts for nothing: the module never hears of it.
+        // A statement withdrawn before any decision on it is dropped without notifying the
+        // scheduler.
         let undecided = |e: &Event| matches!(e, Event::Arrived(a) if a.statement == ticket);
         match self.events.iter().position(undecided) {
             Some(index) => _ = self.events.remove(index),
@@ -81,7 +84,8 @@
         self.remove_if_finished(now, ticket);
     }
 
-    /// A transaction that kept an order key is over; the key pauses where the transaction may still run.
+    /// Releases the order key that a transaction retained. With `may_still_run` the scheduler also
+    /// lets the key pause, because the transaction may still run on its engine.
     pub fn release_order_key(&mut self, now: Micros, name: &str, may_still_run: bool) {
         let Some(key) = self.order_keys.id(name) else {
             return;
@@ -99,7 +103,7 @@
         self.order_keys.release(now, name);
     }
 
-    /// A statement has its final answer.
+    /// Marks a statement as finished, since its final answer was decided.
     pub(crate) fn end_statement(&mut self, now: Micros, ticket: Ticket) {
         if let Some(statement) = self.statements.get_mut(&ticket) {
             statement.finished = true;
@@ -107,7 +111,8 @@
         self.remove_if_finished(now, ticket);
     }
 
-    /// Lets go of a statement that is over with nothing in flight.
+    /// Removes a statement that is finished and has no execution in flight, and releases its order
+    /// key.
     pub(crate) fn remove_if_finished(&mut self, now: Micros, ticket: Ticket) {
         let Some(statement) = self.statements.get(&ticket) else {
             return;
--- a/crates/dispatcher/src/connection_pacer.rs
+++ b/crates/dispatcher/src/connection_pacer.rs
@@ -1,6 +1,7 @@
-//! New connections to engines, at the rate that the module hands out: each engine has slots of its own, spread over
-//! engines and fronts, and a slot that is not used soon is lost. So fronts that all start at once, or that all lose
-//! their connections at once, connect one after the other.
+//! Paces new connections to engines at the rate that the scheduler sets. Each engine has its own
+//! connection slots, spread evenly over engines and fronts, and an unused slot soon expires. Fronts
+//! that start together, or that lose their connections together, therefore connect one after the
+//! other.
 
 use std::collections::BTreeMap;
 
@@ -8,31 +9,34 @@
 
 use crate::EngineIndex;
 
-/// Seconds for which a slot may still be used.
+/// Seconds for which a slot stays usable.
 const SLOT_LIFETIME: f64 = 0.25;
-/// The part of a slot between one engine's and the next one's: the golden ratio spreads them evenly.
+/// The offset between the slots of consecutive engines, as a fraction of a slot. The golden ratio
+/// spreads them evenly.
 const ENGINE_SLOT_OFFSET: f64 = 0.618_033_988_749_895;
-/// Microseconds to the next slot at most, and connections a second at most.
+/// Upper bound both of the wait for a slot in microseconds and of the rate in connections per
+/// second.
 const MAX_RATE_OR_WAIT: f64 = 1e12;
 
-/// When a front may dial which engine.
+/// Decides when this front may open a connection to each engine.
 #[derive(Clone, Debug)]
 pub struct ConnectionPacer {
-    /// Slots a second for each engine; None: it connects as it likes.
+    /// Slots per second for each engine; None if connections are not paced.
     rate: Option<f64>,
-    /// Slots that had passed when the rate was set.
+    /// The number of slots that had passed when the rate was last set.
     slots_at_rate_change: f64,
-    /// When the rate was set.
+    /// When the rate was last set.
     rate_set_at: Micros,
-    /// Where in a slot this front begins, 0 to 1.
+    /// The fraction of a slot, 0 to 1, at which this front starts.
     offset: f64,
-    /// The last slot used of each engine.
+    /// The number of the last slot used for each engine.
     last_used_slot: BTreeMap<EngineIndex, f64>,
 }
 
 impl ConnectionPacer {
-    /// A pacer. Where `paced`, no connection may be made until the first [`ConnectionPacer::set_rate`]; otherwise there
-    /// is no bound. The seed is the front's own: it spreads the slots of fronts that start together.
+    /// Creates a pacer. With `paced`, no connection may be opened until the first
+    /// [`ConnectionPacer::set_rate`]; otherwise connections are not limited. The seed differs from
+    /// front to front and spreads the slots of fronts that start together.
     pub fn new(paced: bool, now: Micros, seed: u64) -> ConnectionPacer {
         let offset = seed as f64 / u64::MAX as f64;
         ConnectionPacer {
@@ -44,16 +48,17 @@
         }
     }
 
-    /// Whether connections are paced at all.
+    /// Whether connections are paced.
     pub fn is_paced(&self) -> bool {
         self.rate.is_some()
     }
 
-    /// From now on so many connections a second to each engine; none where that is no positive number.
+    /// Sets the connections per second to each engine from now on. A value that is not a positive
+    /// number allows none.
     pub fn set_rate(&mut self, now: Micros, connections: f64) {
         self.slots_at_rate_change = self.passed_slots(now);
         self.rate_set_at = now;
-        // Guards against a rate that is no number.
+        // The comparison also maps NaN to 0.
         self.rate = Some(if connections > 0.0 {
             connections.min(MAX_RATE_OR_WAIT)
         } else {
@@ -61,13 +66,13 @@
         });
     }
 
-    /// The slots of any engine that have passed.
+    /// The number of slots that have passed, before the offset of an engine.
     fn passed_slots(&self, now: Micros) -> f64 {
         let elapsed = (now - self.rate_set_at).max(0);
         self.slots_at_rate_change + self.rate.unwrap_or(0.0) * elapsed as f64 / 1e6
     }
 
-    /// The next slot of an engine.
+    /// The next usable slot of an engine.
     fn next_slot(&self, now: Micros, engine_index: EngineIndex) -> NextSlot {
         let shift = (self.offset + engine_index as f64 * ENGINE_SLOT_OFFSET).fract();
         let passed = self.passed_slots(now) + shift;
@@ -83,7 +88,7 @@
         }
     }
 
-    /// The time of the next slot of an engine; `now` where one may be used.
+    /// The time of the next slot of an engine; `now` if a slot is available.
     pub fn next_slot_at(&self, now: Micros, engine_index: EngineIndex) -> Micros {
         let Some(rate) = self.rate else { return now };
         let NextSlot { slot, passed } = self.next_slot(now, engine_index);
@@ -91,7 +96,8 @@
         now.saturating_add(wait.min(MAX_RATE_OR_WAIT).ceil() as Micros)
     }
 
-    /// Whether a connection to an engine may be begun now; if so, its slot is used up.
+    /// Uses up a slot of an engine. Returns false if none is available, and a connection must not
+    /// be opened now.
     pub fn try_take_slot(&mut self, now: Micros, engine_index: EngineIndex) -> bool {
         if self.rate.is_none() {
             return true;
@@ -104,11 +110,11 @@
     }
 }
 
-/// An engine's slots, counted from the start of the front.
+/// An engine's slots, counted from the creation of the pacer.
 struct NextSlot {
-    /// The number of the next one that may be used.
+    /// The number of the next usable slot.
     slot: f64,
-    /// How many have passed.
+    /// How many slots have passed.
     passed: f64,
 }
 
--- a/crates/dispatcher/src/demand.rs
+++ b/crates/dispatcher/src/demand.rs
@@ -1,37 +1,38 @@
-//! The demand on this front by workload and customer, for other fronts, and the fleet's demand for the decision
-//! module.
+//! The demand on this front by workload and customer, which is reported to peers, and the fleet's
+//! demand, which is passed to the scheduler.
 
 use hallmux::interface::{Event, FleetDemand, Micros};
 
 use crate::{Dispatcher, Ticket};
 
-/// Microseconds until a count is worth half.
+/// Microseconds in which a count decays to half.
 const HALF_LIFE: Micros = 2_000_000;
-/// The count of an even demand over its rate a second, in seconds: what counts hold of a rate.
+/// The ratio of a decayed count to the rate per second of a steady demand, in seconds. Dividing a
+/// count by this window gives a rate per second.
 pub const DEMAND_WINDOW_SECONDS: f64 = HALF_LIFE as f64 / 1e6 / std::f64::consts::LN_2;
-/// The weight of the newest sample in the mean work.
+/// The weight of the newest sample in the moving average of work.
 const SAMPLE_WEIGHT: f64 = 0.05;
 
-/// What was asked of a workload or by a customer lately; counts halve with time.
+/// Recent demand of a workload or a customer. The counts decay exponentially.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DemandCounts {
     /// Statements that arrived.
     pub asked: f64,
-    /// Statements, of those admitted, that had their final answer.
+    /// Admitted statements that received their final answer.
     pub ended: f64,
-    /// Statements, of those ended, that were answered within their SLO time.
+    /// Ended statements that were answered within their SLO time.
     pub timely: f64,
-    /// The mean work of a statement on one thread, in microseconds; 0 where none was answered yet.
+    /// The mean work of a statement on one thread, in microseconds; 0 if none was answered yet.
     pub work: f64,
-    /// The time for which the counts stand.
+    /// The time to which the counts have been decayed.
     counted_at: Micros,
 }
 
 /// The demand of one customer.
 pub struct CustomerDemand {
-    /// Whether a share is agreed with the customer.
+    /// Whether the agreement gives the customer a share.
     pub has_share: bool,
-    /// What the customer asked lately.
+    /// The customer's recent demand.
     pub counts: DemandCounts,
 }
 
@@ -63,7 +64,7 @@
 }
 
 impl Dispatcher {
-    /// The demand on this front over the last seconds, by the names of workloads.
+    /// The recent demand on this front by workload name.
     pub fn workload_demand(&mut self, now: Micros) -> impl Iterator<Item = (&str, &DemandCounts)> {
         for demand in &mut self.workload_demand {
             demand.decay(now);
@@ -72,7 +73,8 @@
         names.zip(&self.workload_demand)
     }
 
-    /// The same by the names of customers; nothing where none has an agreed share, None for one without.
+    /// The recent demand on this front by customer name: empty if no customer has an agreed share,
+    /// and None for a customer without one.
     pub fn customer_demand(
         &mut self,
         now: Micros,
@@ -88,12 +90,13 @@
             .map(|(name, demand)| (name, demand.has_share.then_some(&demand.counts)))
     }
 
-    /// Hands the demand on the fleet to the module, in the order of workloads and customers.
+    /// Passes the demand on the whole fleet to the scheduler; its entries follow the order of
+    /// workloads and customers in the settings.
     pub fn set_fleet_demand(&mut self, demand: FleetDemand) {
         self.events.push(Event::FleetDemand(demand));
     }
 
-    /// A statement arrives.
+    /// Counts the arrival of a statement.
     pub(crate) fn count_arrival(&mut self, now: Micros, workload: usize, customer: usize) {
         self.workload_demand[workload].record_arrival(now);
         if let Some(demand) = self.customer_demand.get_mut(customer) {
@@ -101,7 +104,7 @@
         }
     }
 
-    /// A statement is answered by an execution that took so many microseconds.
+    /// Counts a statement that was answered by an execution of `took` microseconds.
     pub(crate) fn count_answer(&mut self, now: Micros, ticket: Ticket, took: Micros) {
         let Some(statement) = self.statements.get(&ticket) else {
             return;
@@ -115,8 +118,9 @@
         demand.record_work(took as f64 * threads);
     }
 
-    /// A statement is rejected or aborted. One that the module did not admit, as it ended when it came, counts as
-    /// asked alone; `first_new` is the first statement that came since the last decisions.
+    /// Counts the end of a statement that is rejected or aborted. A statement that the scheduler
+    /// never admitted, because it was rejected on arrival, counts as asked only. `first_new` is the
+    /// first statement that arrived since the last decisions.
     pub(crate) fn count_shed(&mut self, now: Micros, ticket: Ticket, first_new: Option<Ticket>) {
         let Some(statement) = self.statements.get(&ticket) else {
             return;
--- a/crates/dispatcher/src/ending.rs
+++ b/crates/dispatcher/src/ending.rs
@@ -1,4 +1,5 @@
-//! Every way in which an execution can end on the network, and what each means to the module.
+//! Every way in which an execution can end on the network, and the outcome that each is to the
+//! scheduler.
 
 use hallmux::interface::Outcome;
 
@@ -11,39 +12,41 @@
     EngineFailed,
     /// A page of the result is lost: the engine no longer knows it.
     PageLost,
-    /// The engine rejected it before it began.
+    /// The engine rejected the execution before starting it.
     Rejected,
-    /// The engine found its deadline passed before it began.
+    /// The engine found the deadline passed before starting the execution.
     Stale,
-    /// The machine refused the connection.
+    /// The engine's machine refused the connection.
     ConnectionRefused,
     /// The connection was not established in time.
     ConnectTimeout,
     /// The connection was reset while it was being established.
     ResetWhileConnecting,
-    /// This machine had no descriptor or buffer for a connection, which says nothing of the engine.
+    /// This machine had no file descriptor or buffer for a connection, which is no evidence about
+    /// the engine.
     NoDescriptor,
-    /// It was cancelled, or its engine drains, before its first byte left.
+    /// The execution was cancelled, or its engine started to drain, before the first byte was sent.
     Withdrawn,
-    /// The connection broke before its last byte left: no engine has all of it.
+    /// The connection broke before the last byte was sent: no engine received the complete
+    /// execution.
     HalfWritten,
     /// The connection was reset with the execution in flight.
     Reset,
     /// The engine closed the connection with the execution in flight.
     Closed,
-    /// The reply is malformed or incomplete, so this front closed the connection.
+    /// The reply was malformed or incomplete, so this front closed the connection.
     Unreadable,
-    /// This front closed the connection, as this execution or another on it could not be cancelled otherwise, or
-    /// its engine left too many commands unread.
+    /// This front closed the connection because this execution or another on it could not be
+    /// cancelled otherwise, or because the engine left too many commands unread.
     ClosedHere,
-    /// The client's deadline has passed.
+    /// The client's deadline passed.
     TimeUp,
-    /// The scheduler or the client cancelled it.
+    /// The scheduler or the client cancelled the execution.
     GivenUp,
 }
 
 impl Ending {
-    /// Whether the statement may have run; false only where this ending proves that it has not.
+    /// Whether the statement may have run; false only if this ending proves that it has not.
     pub fn may_have_run(self) -> bool {
         !matches!(
             self.outcome(),
@@ -51,8 +54,8 @@
         )
     }
 
-    /// What the ending means to the module: the one table of what it proves. `NoCapacity`, `Unreachable` and
-    /// `NotSent` say that nothing ran.
+    /// The outcome that the scheduler is notified of. This is the only table of what an ending
+    /// proves: `NoCapacity`, `Unreachable` and `NotSent` mean that the statement did not run.
     pub fn outcome(self) -> Outcome {
         match self {
             Ending::Answered => Outcome::Completed,
--- a/crates/dispatcher/src/engine_stats.rs
+++ b/crates/dispatcher/src/engine_stats.rs
@@ -1,55 +1,58 @@
-//! What this front has seen of one engine lately: failures, answers, silence and recovery.
+//! Recent observations of one engine: failures, answers, silence and recovery.
 
 use hallmux::interface::Micros;
 
 use crate::Ending;
 
-/// Microseconds until what was seen of an engine counts half.
+/// Microseconds in which a count decays to half.
 const HALF_LIFE: Micros = 2_000_000;
-/// Microseconds of silence with something in flight that are reported to other fronts.
+/// The shortest silence with an execution in flight, in microseconds, that is reported to peers.
 pub const MIN_SILENCE: Micros = 1_000_000;
-/// Microseconds for which silence that ended with its execution cancelled is reported: else it would be taken
-/// back before the report of it reached many fronts.
+/// Microseconds for which silence is still reported after its execution was cancelled. Otherwise it
+/// would be retracted before the report had reached many fronts.
 pub const SILENCE_REPORTED_FOR: Micros = 3_000_000;
-/// Microseconds after a fault in which an answer is reported as recovery: zones stay evacuated long.
+/// Microseconds after a fault in which an answer is reported as a recovery. The time is long
+/// because zones stay evacuated for long.
 const FAULT_REMEMBERED_FOR: Micros = 120_000_000;
-/// Microseconds for which a recovery is reported: the report reaches a thousand fronts in three seconds.
+/// Microseconds for which a recovery is reported. A report needs three seconds to reach a thousand
+/// fronts.
 pub const RECOVERY_REPORTED_FOR: Micros = 4_000_000;
 
-/// Silence that ended with the execution it was noticed by.
+/// A silence that ended because the execution that revealed it was cancelled.
 #[derive(Clone, Copy)]
 pub struct EndedSilence {
-    /// When it ended.
+    /// When the silence ended.
     pub at: Micros,
-    /// How long it was, in microseconds.
+    /// The length of the silence, in microseconds.
     pub length: Micros,
 }
 
-/// What was seen of an engine lately; counts halve with time.
+/// Recent observations of an engine. The counts decay exponentially.
 #[derive(Clone, Copy, Default)]
 pub struct EngineStats {
     /// Executions that failed or were lost.
     pub failed: f64,
     /// Executions and probes that were answered.
     pub answered: f64,
-    /// The time for which the counts stand.
+    /// The time to which the counts have been decayed.
     counted_at: Micros,
-    /// When anything last came from it.
+    /// When the engine last sent anything.
     last_activity_at: Micros,
-    /// Since when something is in flight there.
+    /// Since when the engine has had an execution in flight.
     pub busy_since: Micros,
-    /// When a fault of it was last seen, here or by other fronts, if it has not answered since.
+    /// When this front or a peer last saw a fault of the engine; None once the engine has answered
+    /// since.
     pub fault_at: Option<Micros>,
-    /// Since when it answers again, while that is reported.
+    /// When the engine recovered, as long as the recovery is reported.
     pub recovered_at: Option<Micros>,
-    /// Since when it answers again, until its next fault.
+    /// When the engine recovered, until its next fault.
     pub recovered_since: Option<Micros>,
-    /// The last silence that ended with its execution cancelled.
+    /// The last silence that ended because its execution was cancelled.
     pub ended_silence: Option<EndedSilence>,
 }
 
 impl EngineStats {
-    /// Brings the counts up to now.
+    /// Decays the counts to `now`.
     pub fn decay(&mut self, now: Micros) {
         let remaining_share = 0.5f64.powf((now - self.counted_at) as f64 / HALF_LIFE as f64);
         self.failed *= remaining_share;
@@ -57,7 +60,7 @@
         self.counted_at = now;
     }
 
-    /// An execution there has ended.
+    /// Records how an execution at the engine ended.
     pub fn record_ending(&mut self, now: Micros, ending: Ending) {
         self.decay(now);
         match ending {
@@ -74,7 +77,7 @@
         }
     }
 
-    /// An execution was cancelled: the silence before it is remembered if it is long enough to be reported.
+    /// Retains the silence before a cancellation if it is long enough to be reported.
     fn record_silence(&mut self, now: Micros) {
         let length = self.silence(now);
         if length >= MIN_SILENCE {
@@ -82,19 +85,20 @@
         }
     }
 
-    /// Microseconds since anything came from it with something in flight.
+    /// Microseconds since the engine last sent anything, counted only while an execution is in
+    /// flight.
     pub fn silence(&self, now: Micros) -> Micros {
         now - self.last_activity_at.max(self.busy_since)
     }
 
-    /// Microseconds of the silence that ended lately; 0 where there was none.
+    /// The length in microseconds of a silence that ended recently; 0 if there was none.
     pub fn recent_silence(&self, now: Micros) -> Micros {
         self.ended_silence
             .filter(|silence| now - silence.at < SILENCE_REPORTED_FOR)
             .map_or(0, |silence| silence.length)
     }
 
-    /// It has answered. Where a fault of it was seen lately, it has recovered.
+    /// Records an answer of the engine. If a fault was seen recently, the engine has recovered.
     pub fn record_answer(&mut self, now: Micros) {
         self.last_activity_at = now;
         self.ended_silence = None;
@@ -106,14 +110,14 @@
         }
     }
 
-    /// A fault is seen: what was known of its recovery is over.
+    /// Records a fault, which ends any earlier recovery.
     pub fn record_fault(&mut self, now: Micros) {
         self.fault_at = Some(now);
         self.recovered_at = None;
         self.recovered_since = None;
     }
 
-    /// Stops reporting a recovery that was reported for long enough.
+    /// Stops reporting a recovery after [`RECOVERY_REPORTED_FOR`].
     pub fn expire_recovery(&mut self, now: Micros) {
         self.recovered_at = self
             .recovered_at
--- a/crates/dispatcher/src/engines.rs
+++ b/crates/dispatcher/src/engines.rs
@@ -1,4 +1,5 @@
-//! The engine list: each engine has an index, kept while it is listed or has executions in flight.
+//! The engine list. Each engine has an index, which it keeps while it is listed or has executions
+//! in flight.
 
 use hallmux::interface::{EngineEntry, Event, Micros, Mode, Report};
 
@@ -6,48 +7,48 @@
 use crate::request::Protocol;
 use crate::{position, Dispatcher, Ending, EngineIndex};
 
-/// A line of the engine list, by the names that the settings use.
+/// An entry of the engine list, with locations and kinds by the names that the settings use.
 #[derive(Clone, Debug)]
 pub struct Listing<'a> {
-    /// Its id on the engine list.
+    /// The engine's id.
     pub id: &'a str,
-    /// The name of its location; one that the settings do not have is like none of theirs.
+    /// The name of its location. A name that the settings lack matches none of their locations.
     pub location: &'a str,
-    /// The name of its kind; likewise.
+    /// The name of its kind. A name that the settings lack matches none of their kinds.
     pub kind: &'a str,
-    /// Its cell, a part of a location.
+    /// The index of its cell, which is a part of a location.
     pub cell: usize,
-    /// Whether it takes statements.
+    /// Whether it accepts statements, drains, or is gone.
     pub mode: Mode,
-    /// The time of its last start, in microseconds, where that is known.
+    /// The time of its last start, in microseconds, if known.
     pub started: Option<Micros>,
-    /// The protocols that it takes statements in.
+    /// The protocols in which it accepts statements.
     pub protocols: &'a [Protocol],
 }
 
-/// Whether a list names all engines.
+/// Whether a list contains all engines or only changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// It does: engines that it lacks are gone.
+    /// All engines: those that the list lacks are gone.
     Full,
-    /// It names those that have changed.
+    /// Only the engines that have changed.
     Changes,
 }
 
-/// An engine, while it is listed or has executions in flight.
+/// An engine that is listed or has executions in flight.
 pub struct Engine {
     pub id: String,
     pub entry: EngineEntry,
-    /// How many executions are in flight there.
+    /// The number of executions in flight, including those held.
     pub in_flight: usize,
-    /// Of those, how many have not left this front yet.
+    /// The number of executions in flight that this front has not sent yet.
     pub held: usize,
     pub stats: EngineStats,
 }
 
 impl Engine {
-    /// Takes the place of what was known under this one's index. What was seen of another engine, or of an earlier
-    /// start, says nothing of this one.
+    /// Replaces the engine under this index. Observations of another engine, or of an earlier start
+    /// of this one, are discarded because they are no evidence about it.
     fn replace(&mut self, id: &str, entry: &EngineEntry) {
         let is_same_start = self.id == id && self.entry.started == entry.started;
         if !is_same_start {
@@ -57,7 +58,7 @@
         self.entry = entry.clone();
     }
 
-    /// Another execution there is commanded.
+    /// Counts an execution that was commanded.
     pub fn execution_started(&mut self, now: Micros) {
         if self.in_flight == 0 {
             self.stats.busy_since = now;
@@ -65,14 +66,15 @@
         self.in_flight += 1;
     }
 
-    /// An execution there has ended; `was_held` says that it had not left this front.
+    /// Counts the end of an execution; `was_held` if this front had not sent it.
     pub fn execution_ended(&mut self, now: Micros, ending: Ending, was_held: bool) {
         self.in_flight -= 1;
         self.held -= usize::from(was_held);
         self.stats.record_ending(now, ending);
     }
 
-    /// An execution in flight there is held, or leaves.
+    /// Records that an execution in flight is held in this front, or is sent. The engine is busy
+    /// from the time of its first sent execution.
     pub fn change_held(&mut self, now: Micros, was_held: bool, is_held: bool) {
         self.held -= usize::from(was_held);
         let only_one_sent = self.in_flight - self.held == 1;
@@ -82,7 +84,8 @@
         self.held += usize::from(is_held);
     }
 
-    /// Whether an engine that is listed now may get the index of this one: it is gone, and the other is like it.
+    /// Whether a newly listed engine may reuse the index of this one: this one is gone with nothing
+    /// in flight, and both agree in location, kind, cell and protocols.
     fn can_be_replaced_by(&self, entry: &EngineEntry) -> bool {
         self.entry.mode == Mode::Gone
             && self.in_flight == 0
@@ -94,7 +97,8 @@
 }
 
 impl Dispatcher {
-    /// Takes the engine list or changes of it, and returns the index of each line's engine, in order.
+    /// Applies the engine list or changes of it. Returns the index of each entry's engine, in the
+    /// order of the entries.
     pub fn update_engines(&mut self, scope: ListScope, listings: &[Listing]) -> Vec<EngineIndex> {
         let whole = scope == ListScope::Full;
         if whole {
@@ -129,7 +133,8 @@
         }
     }
 
-    /// A line of the list by the settings' indices; the engine's own index is still to be set.
+    /// An entry of the list with the settings' indices in place of names. The caller sets the
+    /// engine's index.
     fn entry(&self, listing: &Listing) -> EngineEntry {
         let index = |names: &[String], name: &str| position(names, name).unwrap_or(names.len());
         let protocol_bits = listing
@@ -144,17 +149,19 @@
             mode: listing.mode,
             started: listing.started,
             protocols: protocol_bits,
-            // Only the protocol of lines has notes.
+            // Only the line protocol has progress reports.
             sends_progress: listing.protocols.contains(&Protocol::Lines),
         }
     }
 
-    /// The index of an engine: its own, that of one like it that is gone with nothing in flight, or a new one.
+    /// The index of an engine: the one that its id already has, that of a similar engine that is
+    /// gone with nothing in flight, or a new one.
     fn index_for(&self, id: &str, entry: &EngineEntry) -> EngineIndex {
         if let Some(existing) = self.engines.iter().position(|engine| engine.id == id) {
             return existing;
         }
-        // The module forgets what it learned of an index only where the new engine's start is known.
+        // The scheduler discards what it learned under an index only if the new engine's start is
+        // known.
         let may_reuse_index = entry.started.is_some();
         self.engines
             .iter()
@@ -162,14 +169,15 @@
             .unwrap_or(self.engines.len())
     }
 
-    /// All engines that statements may be sent to.
+    /// The indices of all engines that accept statements.
     pub(crate) fn ready_engines(&self) -> Vec<EngineIndex> {
         (0..self.engines.len())
             .filter(|index| self.engines[*index].entry.mode == Mode::Ready)
             .collect()
     }
 
-    /// How many executions can leave for an engine now, over connections that are there or may be made.
+    /// Notifies the scheduler how many executions can be sent to an engine now, over connections
+    /// that are open or may be opened.
     pub(crate) fn set_send_capacity(&mut self, engine_index: EngineIndex, executions: usize) {
         self.events.push(Event::SendCapacity {
             engine: engine_index,
@@ -177,7 +185,8 @@
         });
     }
 
-    /// A probe ended: whether the engine answered, and the load report that it answered with.
+    /// Records the end of a probe: whether the engine answered, and its load report if the answer
+    /// carried one.
     pub fn probe_ended(
         &mut self,
         now: Micros,
--- a/crates/dispatcher/src/executions.rs
+++ b/crates/dispatcher/src/executions.rs
@@ -1,38 +1,40 @@
-//! Executions: the attempts of a statement at engines, from the command that sends one until its end.
+//! Executions: the attempts of a statement at engines, each from the command that sends it until
+//! its end.
 
 use hallmux::interface::{Event, Micros, Note};
 
 use crate::{Dispatcher, Ending, EngineIndex, Ticket};
 
-/// What holds for one execution.
+/// The time limits, memory and priority of one execution.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    /// The time at which its client stops waiting, in microseconds.
+    /// The client's deadline, in microseconds.
     pub deadline: Micros,
-    /// The time, in microseconds, after which it may no longer leave for its engine: engines drop its repeats for a
-    /// while only.
+    /// The time, in microseconds, after which the execution may no longer be sent: engines
+    /// recognise repeats of a statement for a limited time only.
     pub send_by: Micros,
-    /// The memory to grant, in MB; 0 leaves it to the engine.
+    /// The memory to grant, in MB; 0 leaves the choice to the engine.
     pub grant_mb: f64,
-    /// 0 to 3; a higher one goes first.
+    /// The priority, 0 to 3; higher ones run first.
     pub priority: u8,
 }
 
 /// One attempt of a statement at an engine.
 pub struct Execution {
     pub engine: EngineIndex,
-    /// When it was commanded, or when it left this front if it was held first.
+    /// When the execution was commanded; if it was held in this front, when it was last reported as
+    /// held or was sent.
     pub sent: Micros,
-    /// It was commanded and has not ended.
+    /// The execution was commanded and has not ended.
     pub in_flight: bool,
-    /// It is in flight, but waits in this front for what it depends on.
+    /// The execution is in flight, but waits in this front for something that it depends on.
     pub held: bool,
-    /// How it ended, once it has.
+    /// How the execution ended; None while it is in flight.
     pub ending: Option<Ending>,
 }
 
 impl Execution {
-    /// An execution that is commanded now.
+    /// Creates an execution that is commanded now.
     pub fn commanded(now: Micros, engine: EngineIndex) -> Execution {
         Execution {
             engine,
@@ -43,14 +45,14 @@
         }
     }
 
-    /// It has ended.
+    /// Records the end of the execution.
     pub fn end(&mut self, ending: Ending) {
         self.in_flight = false;
         self.held = false;
         self.ending = Some(ending);
     }
 
-    /// Whether it may have run, or may still run.
+    /// Whether the execution may have run, or may still run.
     pub fn may_have_run(&self) -> bool {
         self.ending.is_none_or(Ending::may_have_run)
     }
@@ -64,7 +66,8 @@
             .map_or(Vec::new(), |s| s.in_flight().collect())
     }
 
-    /// Something is learned of an execution that is in flight; nothing happens where it is not.
+    /// Passes a progress report on an execution to the scheduler. Ignored if the execution is not
+    /// in flight.
     pub fn note(&mut self, ticket: Ticket, execution: usize, note: Note) {
         let Some(statement) = self.statements.get(&ticket) else {
             return;
@@ -80,13 +83,13 @@
         });
     }
 
-    /// An execution that was commanded waits in this front. To be called again while it does, else the scheduler
-    /// takes it for silent.
+    /// Records that a commanded execution is held in this front. The caller repeats this while it
+    /// is held; otherwise the scheduler considers the engine silent.
     pub fn execution_held(&mut self, now: Micros, ticket: Ticket, execution: usize) {
         self.set_held(now, ticket, execution, true);
     }
 
-    /// An execution that was held leaves this front: from now on its engine has it.
+    /// Records that an execution that was held is now sent to its engine.
     pub fn execution_sent(&mut self, now: Micros, ticket: Ticket, execution: usize) {
         self.set_held(now, ticket, execution, false);
     }
--- a/crates/dispatcher/src/ledger_events.rs
+++ b/crates/dispatcher/src/ledger_events.rs
@@ -1,5 +1,6 @@
-//! Statements that depend on promises of the fleet's ledger: their arrivals and ends are events for whoever asks for
-//! the promises, and what can't have its promise is rejected.
+//! Statements that need entries in the fleet's ledger. Their arrivals and ends are recorded as
+//! events for the component that requests the entries, and a statement that can't get its entry is
+//! rejected.
 
 use hallmux::interface::{Effect, Event, Micros, Outcome, Workload};
 
@@ -7,28 +8,30 @@
 use crate::statements::Statement;
 use crate::{Dispatcher, Ending, EngineIndex, Ticket};
 
-/// Neighbouring multiples of the golden ratio's fraction lie far apart: it spreads whatever is numbered in a row.
+/// The fractional part of the golden ratio. The fractions of its consecutive multiples lie far
+/// apart, which spreads values derived from consecutive numbers.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
-/// What happens to statements that depend on promises, in the order in which it happened.
+/// An event of a statement that needs a ledger entry. Events are returned in the order in which
+/// they happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LedgerEvent {
-    /// Such a statement was taken.
+    /// A statement that needs a ledger entry was accepted.
     Arrived(StatementArrived),
-    /// The transaction of such a statement keeps its order key, until it is freed.
+    /// The transaction of such a statement retains its order key until the key is released.
     KeyRetained(String),
-    /// The transaction that kept an order key is over.
+    /// The transaction that retained an order key has ended.
     KeyReleased {
         /// The order key.
         key: String,
-        /// The transaction may still run: the key pauses.
+        /// Whether the transaction may still run, so that the key pauses.
         may_still_run: bool,
     },
-    /// Such a statement is over.
+    /// A statement that needs a ledger entry is finished with nothing in flight.
     Finished(StatementFinished),
 }
 
-/// A statement that depends on promises, as it was asked for.
+/// The request of an accepted statement that needs a ledger entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatementArrived {
     /// The statement.
@@ -37,20 +40,20 @@
     pub workload: String,
     /// The name of its customer.
     pub customer: String,
-    /// Its order key.
+    /// Its order key, if any.
     pub key: Option<String>,
-    /// The key by which engines recognise its repeats.
+    /// The key by which engines recognise its repeats, if any.
     pub dedup_key: Option<String>,
 }
 
-/// A statement that depends on promises is over with nothing in flight.
+/// A statement that needs a ledger entry and is finished with nothing in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatementFinished {
     /// The statement.
     pub ticket: Ticket,
-    /// It may have run.
+    /// Whether the statement may have run.
     pub may_have_run: bool,
-    /// Some execution of it may still run: its order key pauses.
+    /// Whether some execution may still run, so that its order key pauses.
     pub may_still_run: bool,
 }
 
@@ -76,27 +79,30 @@
     ordered || workload.effect != Effect::Idempotent
 }
 
-/// Where an engine is, by index in the settings: the same on every front.
+/// The location and cell of an engine, by index in the settings. The indices are the same on every
+/// front.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Site {
     /// The index of its location.
     pub location: usize,
-    /// Its cell, a part of the location.
+    /// The index of its cell, which is a part of the location.
     pub cell: usize,
 }
 
 impl Dispatcher {
-    /// From now on [`Dispatcher::ledger_events`] returns what happens to statements that depend on promises.
+    /// Starts the recording of events that [`Dispatcher::ledger_events`] returns.
     pub fn enable_ledger_events(&mut self) {
         self.ledger_events_enabled = true;
     }
 
-    /// What has happened to statements that depend on promises since the last call.
+    /// Removes and returns the events of statements that need ledger entries since the last call;
+    /// empty unless [`Dispatcher::enable_ledger_events`] was called.
     pub fn ledger_events(&mut self) -> Vec<LedgerEvent> {
         std::mem::take(&mut self.ledger_events)
     }
 
-    /// Adds the event of an arrival, if the statement depends on promises. Returns whether it does.
+    /// Records the arrival of a statement that needs a ledger entry. Returns false if it needs none
+    /// or if recording is not enabled.
     pub(crate) fn record_ledger_arrival(
         &mut self,
         ticket: Ticket,
@@ -119,7 +125,7 @@
         true
     }
 
-    /// Where an engine is; the default where there is no such engine.
+    /// The location and cell of an engine; the default if there is no such engine.
     pub fn engine_site(&self, engine_index: EngineIndex) -> Site {
         let Some(engine) = self.engines.get(engine_index) else {
             return Site::default();
@@ -130,10 +136,10 @@
         }
     }
 
-    /// Ends a statement that access rules, the ledger or a load's mark keep from leaving: nothing of it is in flight
-    /// but what is held here. Returns
-    /// the microseconds after which its client may try again, where a time may be named: spread, so that clients
-    /// rejected together do not come back together.
+    /// Ends a statement that access rules, a ledger entry or a load marker keep from being sent:
+    /// all its executions in flight are held in this front. Returns the microseconds after which
+    /// its client may try again, or None where the settings allow no such hint. The times are
+    /// spread so that clients that were rejected together do not retry together.
     pub fn reject(&mut self, now: Micros, ticket: Ticket) -> Option<Micros> {
         let statement = self.statements.get_mut(&ticket).filter(|s| !s.finished)?;
         statement.finished = true;
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,21 +1,24 @@
-//! The life of a statement in one front, from its arrival to its one final answer: a facade over the scheduler. Nothing
-//! blocks: decisions come with `tick`. [`Dispatcher::submit`] takes a statement, [`Dispatcher::execution_ended`] says how an execution ended,
-//! and [`Dispatcher::tick`] decides on all that happened since and returns what the network is to do. Whoever calls it
-//! knows neither the scheduler's events nor its actions.
+//! A facade over the scheduler that tracks each statement of one front from its arrival to its one
+//! final answer. No call blocks. [`Dispatcher::submit`] accepts a statement,
+//! [`Dispatcher::execution_ended`] records how an execution ended, and [`Dispatcher::tick`] decides
+//! on everything that happened since and returns commands for the network. The caller deals with
+//! neither the scheduler's events nor its actions.
 //!
-//! | module | what it does |
+//! | module | contents |
 //! | --- | --- |
-//! | `request`, `submission` | what a client asks for, and whether it can be taken |
-//! | `tick` | a round of decisions, and the commands that come of it |
-//! | `statements`, `executions` | what is known of a statement and of its attempts |
+//! | `request`, `submission` | a client's request, and its validation |
+//! | `commands`, `tick` | one iteration of decisions, and the resulting commands |
+//! | `statements`, `executions` | the state of a statement and of its attempts |
 //! | `ending` | how an execution can end, and what each ending proves |
-//! | `completion` | an execution or a statement ends |
+//! | `completion` | the end of an execution or a statement |
 //! | `order_keys` | the indices of order keys and their pauses |
-//! | `engines`, `engine_stats`, `observations` | the engine list, what was seen of engines, reports of it |
-//! | `demand`, `ledger_events` | what the rest of the fleet is to know of statements |
+//! | `engines`, `engine_stats`, `observations` | the engine list, statistics of engines, reports from and to peers |
+//! | `demand`, `ledger_events` | demand and statement events for the rest of the fleet |
+//! | `reject_cause` | why a statement ended without a result |
 //! | `send_capacity`, `connection_pacer` | limits on new connections |
 //!
-//! It has no clock and does no input or output. `now` is in microseconds and must not run backwards.
+//! The crate has no clock and does no input or output. `now` is in microseconds and must not
+//! decrease from call to call.
 
 #![warn(missing_docs)]
 
@@ -63,55 +66,58 @@
 pub use request::{InvalidRequest, Protocol, StatementRequest};
 pub use send_capacity::SendCapacity;
 
-/// A statement as this front knows it, from its arrival until it is over with nothing in flight.
+/// Identifies a statement within this front, from its arrival until it is finished with nothing in
+/// flight.
 pub type Ticket = StatementId;
 
-/// An engine as this front knows it: its index, which another engine may have once this one is gone.
+/// Identifies an engine within this front. Another engine may reuse the index once this one is
+/// gone.
 pub type EngineIndex = usize;
 
-/// The index of a name among those of the settings.
+/// The index of a name in a list of the settings.
 fn position(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|n| n == name)
 }
 
-/// When a statement's client stops waiting.
+/// When a statement's client stops waiting, ordered by time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
     at: Micros,
     ticket: Ticket,
 }
 
-/// The statements, engines and order keys of one front, and the module that decides on them.
+/// The statements, engines and order keys of one front, and the scheduler that decides on them.
 pub struct Dispatcher {
     scheduler: Scheduler,
     names: Names,
     workloads: Vec<Workload>,
-    /// Microseconds after its start in which an engine may still be warming up.
+    /// Microseconds after its start during which an engine may still be warming up.
     warm_up_time: Micros,
-    /// When the module asked to be called again, in microseconds.
+    /// The time at which the scheduler asked to be called again, in microseconds.
     next_wake: Micros,
-    /// What has happened since the last decisions.
+    /// Events since the last decisions of the scheduler.
     events: Vec<Event>,
     next_ticket: Ticket,
     statements: HashMap<Ticket, Statement>,
-    /// The statements by the time at which their clients stop waiting.
+    /// The deadlines of the statements, earliest first.
     deadlines: BTreeSet<Deadline>,
     order_keys: OrderKeys,
     engines: Vec<Engine>,
-    /// By workload.
+    /// Demand by workload index.
     workload_demand: Vec<DemandCounts>,
-    /// By customer.
+    /// Demand by customer index.
     customer_demand: Vec<CustomerDemand>,
     ledger_events_enabled: bool,
     ledger_events: Vec<LedgerEvent>,
     watched_ends: Vec<Ticket>,
-    /// Microseconds that a rejected client is told to wait at most; None where no time may be named.
+    /// The longest time, in microseconds, that a rejected client is asked to wait; None where the
+    /// settings allow no such hint.
     max_retry_after: Option<Micros>,
 }
 
 impl Dispatcher {
-    /// A front at its start, by its settings. The seed drives its random draws and differs from front to
-    /// front.
+    /// Creates the dispatcher of a front that starts with these settings. The seed drives its
+    /// random draws and must differ from front to front.
     pub fn new(settings: &Settings, seed: u64) -> Self {
         let agreement = &settings.agreement;
         let customer_demand = agreement
@@ -143,7 +149,7 @@
         }
     }
 
-    /// How many statements are not over, or have something in flight.
+    /// The number of statements that are not finished or have an execution in flight.
     pub fn statements_held(&self) -> usize {
         self.statements.len()
     }
--- a/crates/dispatcher/src/observations.rs
+++ b/crates/dispatcher/src/observations.rs
@@ -1,4 +1,4 @@
-//! What this front reports to other fronts of engines, and what other fronts report of them.
+//! Reports on engines that this front sends to its peers and receives from them.
 
 use hallmux::interface::{EngineEntry, Event, Micros, Mode, PeerReport};
 
@@ -6,41 +6,42 @@
 use crate::engines::Engine;
 use crate::Dispatcher;
 
-/// What this front has seen of an engine, for others.
+/// A report on an engine, as exchanged between fronts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineObservation<'a> {
-    /// Its id on the engine list.
+    /// The engine's id on the engine list.
     pub id: &'a str,
-    /// Executions there that failed or were lost over the last seconds; older ones count less.
+    /// Recent executions that failed or were lost; a count that decays with time.
     pub failed: f64,
-    /// Executions there that were answered over the last seconds; older ones count less.
+    /// Recent executions and probes that were answered; a count that decays with time.
     pub answered: f64,
-    /// Microseconds for which it has sent nothing with executions in flight; 0 where that is short.
+    /// Microseconds for which the engine has sent nothing with executions in flight; 0 if too short
+    /// to report.
     pub silent: Micros,
-    /// It takes no new statements.
+    /// Whether the engine accepts no new statements.
     pub draining: bool,
-    /// The time of its last start, in microseconds, where that is known.
+    /// The time of its last start, in microseconds, if known.
     pub started: Option<Micros>,
 }
 
 impl EngineObservation<'_> {
-    /// Whether it tells of failures or silence.
+    /// Whether the report contains failures or silence.
     fn shows_fault(&self) -> bool {
         self.failed >= 1.0 || self.silent > 0
     }
 }
 
-/// An engine that had a fault and answers again.
+/// An engine that answers again after a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Recovery<'a> {
     /// The engine's id on the engine list.
     pub engine_id: &'a str,
-    /// Since when it answers again, in microseconds.
+    /// The time of its first answer after the fault, in microseconds.
     pub since: Micros,
 }
 
 impl Engine {
-    /// Microseconds of silence worth a report, now or lately; 0 where there are none.
+    /// Microseconds of current or recent silence; 0 if shorter than [`MIN_SILENCE`].
     fn reported_silence(&self, now: Micros) -> Micros {
         let all_held = self.in_flight == self.held;
         let current = if all_held { 0 } else { self.stats.silence(now) };
@@ -52,7 +53,7 @@
     }
 
     fn observation(&self, now: Micros) -> EngineObservation<'_> {
-        // Guards against a recovery that is not seen: its answer may have faded below one.
+        // The count of answers may have decayed below 1, and peers would overlook the recovery.
         let answered = match self.stats.recovered_at {
             Some(_) => self.stats.answered.max(1.0),
             None => self.stats.answered,
@@ -69,7 +70,8 @@
 }
 
 impl Dispatcher {
-    /// Engines that others may want to know of: those with a fault, draining, or back from a fault.
+    /// Reports on the engines that are relevant to peers: those with a fault, draining, or
+    /// recovered from a fault.
     pub fn observations(&mut self, now: Micros) -> Vec<EngineObservation<'_>> {
         for engine in &mut self.engines {
             engine.stats.decay(now);
@@ -89,8 +91,9 @@
         observations
     }
 
-    /// Another front reports on the engine whose id `is_observed` accepts. `reporter` is its index among the other
-    /// fronts, `age` that of the report in microseconds.
+    /// Records a peer's report on the engine whose id `is_observed` accepts; ignored if there is no
+    /// such engine. `reporter` is the index of the peer, `age` the age of the report in
+    /// microseconds.
     pub fn record_peer_report(
         &mut self,
         now: Micros,
@@ -115,13 +118,14 @@
             stats.fault_at = Some(now);
         }
         if report.answers() {
-            stats.ended_silence = None; // the engine has answered since
+            stats.ended_silence = None; // the engine has answered in the meantime
         }
         self.events.push(Event::PeerReport(report));
     }
 
-    /// How many fronts there are, this one too: `known` are those that have not announced their end. `probers` are those
-    /// that share the probes into what the fleet has left: infinitely many where it is another's work.
+    /// Sets the size of the fleet, including this front. `known` counts the fronts that have not
+    /// announced their shutdown. `probers` counts the fronts that share the probes of evacuated
+    /// zones; it is infinite if another front owns them.
     pub fn set_fleet_size(&mut self, known: usize, probers: f64) {
         self.events.push(Event::Fleet {
             known: known as f64,
@@ -129,7 +133,7 @@
         });
     }
 
-    /// Engines that had a fault and answer again, while they may still be warming up after it.
+    /// The engines that recovered from a fault and may still be warming up after it.
     pub fn recoveries(&self, now: Micros) -> Vec<Recovery<'_>> {
         let remembered_for = self.warm_up_time.max(RECOVERY_REPORTED_FOR);
         self.engines
@@ -145,8 +149,9 @@
             .collect()
     }
 
-    /// The owner of the fleet's recoveries says that the engine whose id `is_recovered` accepts answers again since
-    /// then: as if it had started.
+    /// Applies an announcement by the owner of the fleet's recoveries: the engine whose id
+    /// `is_recovered` accepts has answered again since `since`. The engine is treated as if it had
+    /// started then.
     pub fn set_recovered_since(&mut self, is_recovered: impl Fn(&str) -> bool, since: Micros) {
         let Some(engine) = self.engines.iter_mut().find(|e| is_recovered(&e.id)) else {
             return;
--- a/crates/dispatcher/src/order_keys.rs
+++ b/crates/dispatcher/src/order_keys.rs
@@ -1,11 +1,11 @@
-//! Order keys: the small index of each for the decision module, and who uses it. A key that nobody uses any more
-//! pauses for the agreed time before its index may go to another key.
+//! Order keys: the small index of each for the scheduler, and the number of its users. An unused
+//! key pauses for the agreed time before another key may reuse its index.
 
 use std::collections::{BTreeSet, HashMap};
 
 use hallmux::interface::{KeyId, Micros};
 
-/// The order keys that are in use or pause.
+/// The order keys that are in use or paused.
 pub struct OrderKeys {
     /// Microseconds for which a key pauses after its last use.
     pause: Micros,
@@ -16,7 +16,7 @@
 
 struct OrderKey {
     id: KeyId,
-    /// Statements and open transactions that use it.
+    /// The number of statements and open transactions that use the key.
     users: usize,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl OrderKeys {
-    /// No keys yet; each pauses for so many microseconds after its last use.
+    /// Creates an empty set. Each key will pause for `pause` microseconds after its last use.
     pub fn new(pause: Micros) -> OrderKeys {
         OrderKeys {
             pause,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Another statement uses a key. Returns the key's index.
+    /// Adds a statement as a user of a key. Returns the key's index.
     pub fn acquire(&mut self, name: &str) -> KeyId {
         let next_id = self.keys.len() as KeyId;
         let free_ids = &mut self.free_ids;
@@ -50,19 +50,19 @@
         key.id
     }
 
-    /// The transaction of a statement that uses a key uses it too.
+    /// Adds the transaction of a statement that uses a key as a further user.
     pub fn share(&mut self, name: &str) {
         if let Some(key) = self.keys.get_mut(name) {
             key.users += 1;
         }
     }
 
-    /// The index of a key that is in use or pauses.
+    /// The index of a key that is in use or paused; None for any other key.
     pub fn id(&self, name: &str) -> Option<KeyId> {
         self.keys.get(name).map(|key| key.id)
     }
 
-    /// A statement or transaction no longer uses a key; after its last use the key pauses.
+    /// Removes a user of a key. Without users the key pauses.
     pub fn release(&mut self, now: Micros, name: &str) {
         let Some(key) = self.keys.get_mut(name) else {
             return;
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Forgets the keys whose pause is over. To be called after the decision module has heard of their last use.
+    /// Removes the keys whose pause is over. Must be called after the scheduler was notified of
+    /// their last use.
     pub fn free_unused(&mut self, now: Micros) {
         while let Some(pause) = self.pauses.pop_first() {
             if pause.ends >= now {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// How many keys, free indices and pauses are kept.
+    /// The numbers of retained keys, free indices and pauses.
     #[cfg(test)]
     pub fn retained_counts(&self) -> [usize; 3] {
         [self.keys.len(), self.free_ids.len(), self.pauses.len()]
--- a/crates/dispatcher/src/reject_cause.rs
+++ b/crates/dispatcher/src/reject_cause.rs
@@ -1,24 +1,24 @@
-//! Who ended a statement without a result, and why.
+//! Why a statement ended without a result, and which component decided so.
 
 use std::fmt;
 
 use hallmux::interface::RejectReason;
 
-/// Why a statement ended without a result, in the word of the log line.
+/// Why a statement ended without a result. Its text form is part of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectCause {
-    /// The scheduler decided it, for this reason.
+    /// The scheduler rejected or aborted it for this reason.
     Scheduler(RejectReason),
-    /// The access rules deny it, or what they need can't be had.
+    /// The access rules deny it, or something that they depend on is unavailable.
     AccessRules,
-    /// An entry of the ledger that it needs can't be had, or says that it was begun before.
+    /// A ledger entry that it needs is unavailable, or shows that the statement was started before.
     LedgerEntry,
-    /// The mark on the load that it makes can't be set.
+    /// The load marker for the load that it makes can't be set.
     LoadMark,
 }
 
 impl RejectCause {
-    /// The causes that are not the scheduler's.
+    /// The causes other than decisions of the scheduler.
     pub const OUTSIDE_SCHEDULER: [RejectCause; 3] = [
         RejectCause::AccessRules,
         RejectCause::LedgerEntry,
--- a/crates/dispatcher/src/send_capacity.rs
+++ b/crates/dispatcher/src/send_capacity.rs
@@ -1,5 +1,6 @@
-//! Where the fleet has a budget of new connections: how many executions can leave for each engine. It is reported to
-//! the module as it changes, so that no statement waits for a connection to one engine while others have one to spare.
+//! How many executions can be sent to each engine while the fleet limits new connections. Changes
+//! are reported to the scheduler, so that no statement waits for a connection to one engine while
+//! others have spare connections.
 
 use std::collections::BTreeMap;
 
@@ -7,22 +8,23 @@
 
 use crate::{Dispatcher, EngineIndex};
 
-/// Microseconds after which all is reported anew: what was held here may have left.
+/// Microseconds after which the capacity of all engines is reported again, because executions that
+/// were held may have been sent.
 const REPORT_INTERVAL: Micros = 1_000_000;
-/// Executions for one engine beyond which a front lacks no connections.
+/// The largest capacity reported for an engine; above it, connections are not scarce.
 const MAX_REPORTED: usize = 64;
 
-/// The executions that can leave for each engine, as last reported to the module.
+/// The number of executions that can be sent to each engine, as last reported to the scheduler.
 #[derive(Default)]
 pub struct SendCapacity {
     reported: BTreeMap<EngineIndex, usize>,
-    /// When all is reported anew.
+    /// When the capacity of all engines is reported again.
     next_full_report: Micros,
 }
 
 impl SendCapacity {
-    /// Reports to the module what has changed; `capacity` gives the executions that can leave for an engine
-    /// now.
+    /// Reports changed capacities to the scheduler; `capacity` returns the number of executions
+    /// that can be sent to an engine now.
     pub fn report(
         &mut self,
         now: Micros,
@@ -41,7 +43,8 @@
         }
     }
 
-    /// An execution has left for an engine: the module has counted it, so the capacity is reported anew.
+    /// Records that an execution was sent to an engine. The scheduler has deducted it already, so
+    /// the capacity must be reported again.
     pub fn sent(&mut self, engine_index: EngineIndex) {
         self.reported.remove(&engine_index);
     }
--- a/crates/dispatcher/src/statements.rs
+++ b/crates/dispatcher/src/statements.rs
@@ -1,4 +1,4 @@
-//! Statements: what is known of one from its arrival until it is over with nothing in flight.
+//! Statements: the state of each from its arrival until it is finished with nothing in flight.
 
 use hallmux::interface::{Effect, Micros, Workload};
 
@@ -6,38 +6,39 @@
 use crate::request::StatementRequest;
 use crate::{Dispatcher, Ending, Ticket};
 
-/// A statement from its arrival until it is over with nothing in flight.
+/// A statement that is not finished, or has executions in flight.
 pub struct Statement {
     /// The index of its workload.
     pub workload: usize,
-    /// When its SLO time is up.
+    /// The end of its SLO time.
     pub slo_deadline: Micros,
-    /// What holds for its next execution.
+    /// The time limits, memory and priority of its next execution.
     pub terms: Terms,
-    /// It has its final answer, or its client has left.
+    /// Whether the statement has its final answer, or its client has disconnected or cancelled it.
     pub finished: bool,
-    /// Part of its answer has gone to the client: whatever ends it now ends the statement.
+    /// Whether part of the answer was sent to the client. The next end of an execution then ends
+    /// the statement.
     pub answer_started: bool,
-    /// Its transaction goes on when it ends, and keeps its order key.
+    /// Whether its transaction continues after it and retains its order key.
     pub transaction_continues: bool,
-    /// The name of its order key.
+    /// The name of its order key, if any.
     pub order_key: Option<String>,
-    /// It depends on promises: its end is a promise event.
+    /// Whether the statement needs a ledger entry; its end is then recorded as a ledger event.
     pub needs_ledger_entry: bool,
-    /// Its end is returned by [`Dispatcher::watched_ends`].
+    /// Whether [`Dispatcher::watched_ends`] returns its end.
     pub end_watched: bool,
     /// Its executions, by number.
     pub executions: Vec<Execution>,
 }
 
-/// The time for which engines drop the repeats of a workload's statements, from the first execution on; None: they
-/// drop none.
+/// The time from the first execution during which engines drop repeats of a workload's statements;
+/// None if they never do.
 pub fn repeat_window(workload: &Workload) -> Option<Micros> {
     (workload.effect == Effect::Deduplicated).then_some(workload.dedup_window)
 }
 
 impl Statement {
-    /// A statement that arrives now and has not been executed.
+    /// Creates a statement that arrives now.
     pub fn arrived(
         now: Micros,
         request: &StatementRequest,
@@ -65,14 +66,15 @@
         }
     }
 
-    /// Whether the statement is answered as one of its executions ends.
+    /// Whether the end of an execution answers the statement. False if it is finished already.
     pub fn is_answered_by(&self, ending: Ending) -> bool {
         let has_answer = ending == Ending::Answered || self.answer_started;
         has_answer && !self.finished
     }
 
-    /// Until when a retry may leave, where engines drop repeats within a window: counted from the first execution
-    /// that may have run. The decision is made within it, but a connection may come up late.
+    /// The time until which a retry may be sent if engines drop repeats within `window`, counted
+    /// from the first execution that may have run; otherwise unlimited. The scheduler decides
+    /// within the window, but the connection may be established later.
     pub fn repeat_deadline(&self, window: Option<Micros>) -> Micros {
         let first_sent = self
             .executions
@@ -108,23 +110,24 @@
 }
 
 impl Dispatcher {
-    /// A new ticket. A caller may also take one for what is no statement here itself, but is answered by parts that
-    /// are.
+    /// Allocates a ticket. A caller may also use one for a parent statement that is not submitted
+    /// itself but is answered by parts that are.
     pub fn new_ticket(&mut self) -> Ticket {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         ticket
     }
 
-    /// The first byte of a statement's answer goes to its client: it is never executed again.
+    /// Records that the first byte of a statement's answer was sent to its client. The statement is
+    /// not executed again.
     pub fn answer_started(&mut self, ticket: Ticket) {
         if let Some(statement) = self.statements.get_mut(&ticket) {
             statement.answer_started = true;
         }
     }
 
-    /// The transaction of a statement goes on once its answer is reported. True if the transaction keeps the
-    /// statement's order key from then on, until [`Dispatcher::release_order_key`].
+    /// Records that the transaction of a statement continues after its answer. Returns true if the
+    /// transaction then retains the statement's order key, until [`Dispatcher::release_order_key`].
     pub fn keep_order_key(&mut self, ticket: Ticket) -> bool {
         let Some(statement) = self.statements.get_mut(&ticket) else {
             return false;
@@ -136,14 +139,15 @@
         keeps
     }
 
-    /// The end of a statement is to be returned by [`Dispatcher::watched_ends`].
+    /// Requests that [`Dispatcher::watched_ends`] return the end of a statement.
     pub fn watch_end(&mut self, ticket: Ticket) {
         if let Some(statement) = self.statements.get_mut(&ticket) {
             statement.end_watched = true;
         }
     }
 
-    /// Watched statements that are over with nothing in flight, since the last call.
+    /// Removes and returns the watched statements that finished with nothing in flight since the
+    /// last call.
     pub fn watched_ends(&mut self) -> Vec<Ticket> {
         std::mem::take(&mut self.watched_ends)
     }
--- a/crates/dispatcher/src/submission.rs
+++ b/crates/dispatcher/src/submission.rs
@@ -1,4 +1,4 @@
-//! A statement's arrival: whether it can be taken, and what the decision module hears of it.
+//! The arrival of a statement: its validation and the event that the scheduler receives.
 
 use hallmux::interface::{Arrival, Effect, Event, Micros};
 
@@ -6,15 +6,15 @@
 use crate::statements::Statement;
 use crate::{position, Deadline, Dispatcher, EngineIndex, Ticket};
 
-/// Whose statement it is, by indices in the settings.
+/// The workload and customer of a request, by indices in the settings.
 struct RequestIndices {
     workload: usize,
     customer: usize,
 }
 
 impl Dispatcher {
-    /// Takes a statement that arrives now; what is decided on it comes with a later [`Dispatcher::tick`]. An error
-    /// says why it was not taken: then nothing is kept of it.
+    /// Accepts a statement that arrives now; a later [`Dispatcher::tick`] returns the decisions on
+    /// it. On an error nothing is retained of the request.
     pub fn submit(
         &mut self,
         now: Micros,
@@ -75,8 +75,8 @@
         Ok(RequestIndices { workload, customer })
     }
 
-    /// The indices of the locations that a statement may be sent to. An error where none is left: as it would be at
-    /// any attempt.
+    /// The indices of the locations that a statement may be sent to. An error if there is none,
+    /// since every later attempt would fail as well.
     fn allowed_locations(
         &self,
         workload: usize,
@@ -87,7 +87,7 @@
             .workloads
             .get(workload)
             .and_then(|w| w.locations.as_ref());
-        // A name that the settings do not have allows nothing: no engine has such a location.
+        // A name that the settings lack is skipped: no engine has such a location.
         let allowed: Vec<usize> = names
             .iter()
             .filter_map(|name| position(&self.names.locations, name))
--- a/crates/dispatcher/src/tick.rs
+++ b/crates/dispatcher/src/tick.rs
@@ -1,4 +1,5 @@
-//! A round of decisions: what has happened goes to the decision module, and what it decides becomes commands.
+//! One iteration of decisions: recorded events are passed to the scheduler, and its actions become
+//! commands.
 
 use hallmux::interface::{Action, Event, Micros};
 
@@ -8,8 +9,8 @@
 use crate::{Dispatcher, Ending, EngineIndex, RejectCause, Ticket};
 
 impl Dispatcher {
-    /// The time at which [`Dispatcher::tick`] is next due, in microseconds; 0 where something waits to be decided
-    /// on.
+    /// The time at which [`Dispatcher::tick`] is next due, in microseconds; 0 if events are
+    /// pending.
     pub fn next_tick(&self) -> Micros {
         if !self.events.is_empty() {
             return 0;
@@ -18,7 +19,8 @@
         next_deadline.map_or(self.next_wake, |at| self.next_wake.min(at))
     }
 
-    /// Decides on all that happened since the last call; the commands are to be carried out in this order.
+    /// Decides on all events since the last call. The commands must be carried out in the returned
+    /// order.
     pub fn tick(&mut self, now: Micros) -> Vec<Command> {
         let mut commands = Vec::new();
         self.cancel_expired(now, &mut commands);
@@ -40,7 +42,7 @@
         commands
     }
 
-    /// Cancels what is in flight for statements whose clients wait no longer.
+    /// Cancels the executions in flight of statements whose deadlines have passed.
     fn cancel_expired(&mut self, now: Micros, commands: &mut Vec<Command>) {
         while self.deadlines.first().is_some_and(|first| first.at <= now) {
             let Some(expired) = self.deadlines.pop_first() else {
@@ -58,8 +60,8 @@
         }
     }
 
-    /// Sets what each new statement has left now, and returns the first of them. Guards against a stop between taking
-    /// a statement and deciding: its time has run on.
+    /// Updates the remaining time of each new statement, which has shrunk if the process was
+    /// stalled between accepting it and deciding on it. Returns the first new statement.
     fn refresh_time_left(&self, now: Micros, events: &mut [Event]) -> Option<Ticket> {
         let mut first_new = None;
         for event in events {
@@ -119,12 +121,13 @@
                 commands.push(Command::SetConnectionRate { connections });
             }
             Action::Wake { at } => self.next_wake = at,
-            // The coordinator is followed all the time, asked for or not.
+            // The front always subscribes to the coordinator's engine list.
             Action::Subscribe => {}
         }
     }
 
-    /// Sets the memory and priority of a statement's next executions, and the priority of those in flight.
+    /// Sets the memory and priority of a statement's next executions, and the priority of those in
+    /// flight.
     fn set_terms(
         &mut self,
         ticket: Ticket,
@@ -174,7 +177,8 @@
         let Some(statement) = self.statements.get(&ticket) else {
             return;
         };
-        // What has begun to answer can't be retried elsewhere: it is only cancelled with its statement.
+        // A statement whose answer has started can't be retried elsewhere: its execution is
+        // cancelled only once the statement is finished.
         if statement.finished || !statement.answer_started {
             commands.push(Command::Cancel {
                 ticket,
--- a/crates/dispatcher/src/tick_tests.rs
+++ b/crates/dispatcher/src/tick_tests.rs
@@ -28,7 +28,8 @@
     let mut d = dispatcher();
     d.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
     d.tick(0);
-    // Of a class whose late answers are worth nothing: out of SLO time by the time it is decided on.
+    // Of a class whose late answers are worth nothing: out of SLO time by the time it is decided
+    // on.
     let ticket = d.submit(10_000, &ask("lookup", None)).unwrap();
     let late = d.tick(3_990_000);
     assert!(matches!(late[..], [Command::Reject { .. }]), "{late:?}");
