--- a/crates/dispatcher/src/submission_tests.rs
+++ b/crates/dispatcher/src/submission_tests.rs
@@ -1,42 +1,42 @@
 //! Unit tests of the `submission` module.
 
-use crate::test_support::{ask, dispatcher, listing};
+use crate::test_support::{dispatcher, listing, request};
 use crate::{Dispatcher, InvalidRequest, ListScope, Listing, Mode, StatementRequest};
 
 #[test]
-fn unknown_names_and_a_missing_dedup_key_are_unfit() {
-    let mut d = dispatcher();
+fn unknown_names_and_a_missing_dedup_key_are_invalid() {
+    let mut dispatcher = dispatcher();
     assert_eq!(
-        d.submit(0, &ask("unheard", None)),
+        dispatcher.submit(0, &request("unknown", None)),
         Err(InvalidRequest::UnknownWorkload)
     );
     assert_eq!(
-        d.submit(
+        dispatcher.submit(
             0,
             &StatementRequest {
-                customer: "unheard",
-                ..ask("pay", None)
+                customer: "unknown",
+                ..request("pay", None)
             }
         ),
         Err(InvalidRequest::UnknownCustomer)
     );
     assert_eq!(
-        d.submit(
+        dispatcher.submit(
             0,
             &StatementRequest {
                 dedup_key: None,
-                ..ask("load", None)
+                ..request("load", None)
             }
         ),
         Err(InvalidRequest::MissingDedupKey)
     );
-    assert_eq!(d.statements_held(), 0);
+    assert_eq!(dispatcher.statements_held(), 0);
 }
 
 #[test]
-fn a_statement_with_nowhere_to_go_is_barred_and_unknown_locations_allow_nothing() {
-    let mut d = dispatcher();
-    d.update_engines(
+fn a_statement_without_an_allowed_location_is_invalid_and_unknown_locations_allow_nothing() {
+    let mut dispatcher = dispatcher();
+    dispatcher.update_engines(
         ListScope::Full,
         &[
             listing("a", Mode::Ready, None),
@@ -46,27 +46,36 @@
             },
         ],
     );
-    let barred = |d: &mut Dispatcher, names: &[&str], pinned| {
-        let asked = StatementRequest {
+    let is_disallowed = |dispatcher: &mut Dispatcher, names: &[&str], engine| {
+        let restricted = StatementRequest {
             allowed_locations: Some(names),
-            sticky_engine: pinned,
-            ..ask("lookup", None)
+            sticky_engine: engine,
+            ..request("lookup", None)
         };
-        d.submit(0, &asked) == Err(InvalidRequest::NoAllowedLocation)
+        dispatcher.submit(0, &restricted) == Err(InvalidRequest::NoAllowedLocation)
     };
-    assert!(barred(&mut d, &[], None) && barred(&mut d, &["moon"], None));
-    // Bound to one of them by its workload, open at an engine of the other.
-    assert!(barred(&mut d, &["there"], Some(0)) && !barred(&mut d, &["there"], Some(1)));
-    assert!(barred(&mut d, &["moon", "nowhere"], None) && !barred(&mut d, &["moon", "here"], None));
-    assert_eq!(d.statements_held(), 2);
+    assert!(
+        is_disallowed(&mut dispatcher, &[], None)
+            && is_disallowed(&mut dispatcher, &["moon"], None)
+    );
+    // Only `there` is allowed, but the transaction is open at an engine in `here`.
+    assert!(
+        is_disallowed(&mut dispatcher, &["there"], Some(0))
+            && !is_disallowed(&mut dispatcher, &["there"], Some(1))
+    );
+    assert!(
+        is_disallowed(&mut dispatcher, &["moon", "nowhere"], None)
+            && !is_disallowed(&mut dispatcher, &["moon", "here"], None)
+    );
+    assert_eq!(dispatcher.statements_held(), 2);
 }
 
 #[test]
-fn what_is_withdrawn_before_it_is_decided_on_is_never_heard_of() {
-    let mut d = dispatcher();
+fn a_statement_withdrawn_before_a_decision_leaves_no_event() {
+    let mut dispatcher = dispatcher();
     for _ in 0..1000 {
-        let ticket = d.submit(0, &ask("load", Some("k"))).unwrap();
-        d.client_left(0, ticket);
+        let ticket = dispatcher.submit(0, &request("load", Some("k"))).unwrap();
+        dispatcher.client_left(0, ticket);
     }
-    assert!(d.events.is_empty() && d.statements_held() == 0);
+    assert!(dispatcher.events.is_empty() && dispatcher.statements_held() == 0);
 }
--- a/crates/dispatcher/src/test_support.rs
+++ b/crates/dispatcher/src/test_support.rs
@@ -1,4 +1,4 @@
-//! What the tests of this crate share: a dispatcher, a line of the list, a statement.
+//! Shared helpers of the unit tests: a dispatcher, an engine list entry and a request.
 
 use crate::{Command, Dispatcher, Listing, Micros, Mode, Protocol, StatementRequest, Ticket};
 
@@ -30,7 +30,7 @@
     }
 }
 
-pub fn ask<'a>(workload: &'a str, key: Option<&'a str>) -> StatementRequest<'a> {
+pub fn request<'a>(workload: &'a str, key: Option<&'a str>) -> StatementRequest<'a> {
     StatementRequest {
         workload,
         customer: "acme",
@@ -41,12 +41,12 @@
     }
 }
 
-pub fn sent(orders: &[Command]) -> Vec<(Ticket, usize)> {
-    let send = |o: &Command| match o {
+pub fn sent_executions(commands: &[Command]) -> Vec<(Ticket, usize)> {
+    let send = |command: &Command| match command {
         Command::Send {
             ticket, execution, ..
         } => Some((*ticket, *execution)),
         _ => None,
     };
-    orders.iter().filter_map(send).collect()
+    commands.iter().filter_map(send).collect()
 }
--- a/crates/dispatcher/src/tick_tests.rs
+++ b/crates/dispatcher/src/tick_tests.rs
@@ -2,36 +2,46 @@
 
 use hallmux::interface::RejectReason;
 
-use crate::test_support::{ask, dispatcher, listing, sent};
+use crate::test_support::{dispatcher, listing, request, sent_executions};
 use crate::{Command, Ending, ListScope, Mode, RejectCause};
 
 #[test]
-fn what_is_out_when_the_time_is_up_is_stopped_then_ended() {
-    let mut d = dispatcher();
-    d.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
-    let ticket = d.submit(0, &ask("pay", None)).unwrap();
-    d.tick(0);
-    let stop = Command::Cancel {
+fn an_execution_in_flight_at_the_deadline_is_cancelled_then_its_statement_aborted() {
+    let mut dispatcher = dispatcher();
+    dispatcher.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
+    let ticket = dispatcher.submit(0, &request("pay", None)).unwrap();
+    dispatcher.tick(0);
+    let cancel = Command::Cancel {
         ticket,
         execution: 0,
         ending: Ending::TimeUp,
     };
-    assert!(d.tick(4_000_000).contains(&stop));
-    d.execution_ended(4_000_000, ticket, 0, Ending::TimeUp, None);
+    assert!(dispatcher.tick(4_000_000).contains(&cancel));
+    dispatcher.execution_ended(4_000_000, ticket, 0, Ending::TimeUp, None);
     let cause = RejectCause::Scheduler(RejectReason::NoSafeEngine);
-    assert_eq!(d.tick(4_000_000), [Command::Abort { ticket, cause }]);
-    assert_eq!(d.statements_held(), 0);
+    assert_eq!(
+        dispatcher.tick(4_000_000),
+        [Command::Abort { ticket, cause }]
+    );
+    assert_eq!(dispatcher.statements_held(), 0);
 }
 
 #[test]
-fn a_statement_has_what_is_left_when_it_is_decided_on() {
-    let mut d = dispatcher();
-    d.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
-    d.tick(0);
-    // Of a class whose late answers are worth nothing: out of SLO time by the time it is decided
-    // on.
-    let ticket = d.submit(10_000, &ask("lookup", None)).unwrap();
-    let late = d.tick(3_990_000);
-    assert!(matches!(late[..], [Command::Reject { .. }]), "{late:?}");
-    assert_eq!((sent(&late), d.statements_held()), (vec![], 0), "{ticket}");
+fn the_remaining_time_is_computed_when_the_statement_is_decided_on() {
+    let mut dispatcher = dispatcher();
+    dispatcher.update_engines(ListScope::Full, &[listing("a", Mode::Ready, None)]);
+    dispatcher.tick(0);
+    // Late answers of this service class have no value, and the SLO time has passed when the
+    // statement is decided on.
+    let ticket = dispatcher.submit(10_000, &request("lookup", None)).unwrap();
+    let commands = dispatcher.tick(3_990_000);
+    assert!(
+        matches!(commands[..], [Command::Reject { .. }]),
+        "{commands:?}"
+    );
+    assert_eq!(
+        (sent_executions(&commands), dispatcher.statements_held()),
+        (vec![], 0),
+        "{ticket}"
+    );
 }
