--- a/crates/dispatcher/tests/repeat_window.rs
+++ b/crates/dispatcher/tests/repeat_window.rs
@@ -1,5 +1,5 @@
-//! A further attempt of a deduplicated statement carries the time until which engines drop it as a repeat: its
-//! connection may come up long after the decision.
+//! A retry of a deduplicated statement carries the time until which engines recognise it as a
+//! repeat, because its connection may be established long after the decision.
 
 use hallmux_dispatcher::{
     Command, Dispatcher, Ending, ListScope, Listing, Micros, Mode, Protocol, StatementRequest,
@@ -14,7 +14,7 @@
          "dedupWindowMs": 900}],
     "rules": {}}"#;
 
-const WINDOW: Micros = 900_000;
+const DEDUP_WINDOW: Micros = 900_000;
 
 fn dispatcher() -> Dispatcher {
     let mut dispatcher = Dispatcher::new(&hallmux_config::Settings::parse(SETTINGS).unwrap(), 7);
@@ -31,7 +31,7 @@
     dispatcher
 }
 
-fn ask(workload: &str) -> StatementRequest<'_> {
+fn request(workload: &str) -> StatementRequest<'_> {
     StatementRequest {
         workload,
         dedup_key: Some("u"),
@@ -40,32 +40,35 @@
     }
 }
 
-/// Until when the attempts that were ordered may leave.
-fn send_by(orders: &[Command]) -> Vec<Micros> {
-    let send_by = |order: &Command| match order {
+/// The times until which the commanded executions may be sent.
+fn send_times(commands: &[Command]) -> Vec<Micros> {
+    let send_time = |command: &Command| match command {
         Command::Send { terms, .. } => Some(terms.send_by),
         _ => None,
     };
-    orders.iter().filter_map(send_by).collect()
+    commands.iter().filter_map(send_time).collect()
 }
 
 #[test]
-fn a_repeat_may_leave_until_the_window_of_the_first_attempt_that_may_have_run_is_over() {
-    let mut d = dispatcher();
-    let ticket = d.submit(1_000_000, &ask("load")).unwrap();
-    assert_eq!(send_by(&d.tick(1_000_000)), [Micros::MAX]);
-    // The first surely never ran: no window has begun.
-    d.execution_ended(1_100_000, ticket, 0, Ending::Rejected, None);
-    assert_eq!(send_by(&d.tick(1_100_000)), [Micros::MAX]);
-    d.execution_ended(1_300_000, ticket, 1, Ending::Reset, None);
-    assert_eq!(send_by(&d.tick(1_300_000)), [1_100_000 + WINDOW]);
+fn a_retry_may_be_sent_until_the_dedup_window_of_the_first_execution_that_may_have_run_ends() {
+    let mut dispatcher = dispatcher();
+    let ticket = dispatcher.submit(1_000_000, &request("load")).unwrap();
+    assert_eq!(send_times(&dispatcher.tick(1_000_000)), [Micros::MAX]);
+    // The first execution did not run, so that no window has started.
+    dispatcher.execution_ended(1_100_000, ticket, 0, Ending::Rejected, None);
+    assert_eq!(send_times(&dispatcher.tick(1_100_000)), [Micros::MAX]);
+    dispatcher.execution_ended(1_300_000, ticket, 1, Ending::Reset, None);
+    assert_eq!(
+        send_times(&dispatcher.tick(1_300_000)),
+        [1_100_000 + DEDUP_WINDOW]
+    );
 }
 
 #[test]
-fn what_may_run_twice_has_no_such_time() {
-    let mut d = dispatcher();
-    let ticket = d.submit(1_000_000, &ask("lookup")).unwrap();
-    d.tick(1_000_000);
-    d.execution_ended(1_100_000, ticket, 0, Ending::Reset, None);
-    assert_eq!(send_by(&d.tick(1_100_000)), [Micros::MAX]);
+fn a_retry_of_an_idempotent_statement_has_no_such_limit() {
+    let mut dispatcher = dispatcher();
+    let ticket = dispatcher.submit(1_000_000, &request("lookup")).unwrap();
+    dispatcher.tick(1_000_000);
+    dispatcher.execution_ended(1_100_000, ticket, 0, Ending::Reset, None);
+    assert_eq!(send_times(&dispatcher.tick(1_100_000)), [Micros::MAX]);
 }
--- a/crates/dispatcher/tests/slow_start/fleet.rs
+++ b/crates/dispatcher/tests/slow_start/fleet.rs
@@ -9,370 +9,437 @@
     Ticket,
 };
 
-use crate::shape::{Arrives, Chance, Deed, Demand, Shape, SECOND, START};
+use crate::parameters::{Arrival, Behaviour, Demand, Parameters, Random, SECOND, START};
 
-const WAY: Micros = 500; // microseconds from a process to an engine or back
-const WARM: usize = 2; // engines that are warm all the time
+const ONE_WAY_DELAY: Micros = 500; // microseconds from a process to an engine or back
+const WARM_ENGINES: usize = 2; // engines that are warm all the time
 
-/// What a cold engine was sent.
-pub struct Push {
+/// An execution that was sent to a cold engine.
+pub struct SentCall {
     pub at: Micros,
-    /// In calls of mean work.
+    /// The work of the execution, as a multiple of the mean.
     pub calls: f64,
-    /// By a process that had been told of the start.
-    pub told: bool,
+    /// Whether the sending process knew of the engine's start.
+    pub knew_start: bool,
 }
 
 #[derive(Default)]
 struct Engine {
     running: usize,
-    /// Counts the times that it went down with all that it ran.
-    life: u32,
+    /// Incremented whenever the engine stops and loses all running executions.
+    incarnation: u32,
 }
 
 struct Process {
     dispatcher: Option<Dispatcher>,
-    life: u32,
-    told: bool,
-    /// The engine at each of the dispatcher's places.
-    at: BTreeMap<usize, usize>,
-    works: BTreeMap<Ticket, f64>,
+    incarnation: u32,
+    knows_start: bool,
+    /// The engine number for each of the dispatcher's engine indices.
+    engine_by_index: BTreeMap<usize, usize>,
+    work_by_ticket: BTreeMap<Ticket, f64>,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Asks(usize),
-    /// Process and its life, ticket, execution, engine and whether it was turned away, cut or refused.
-    Ends(usize, u32, Ticket, usize, usize, How),
-    /// An engine's execution is over, in which life.
-    Ran(usize, u32),
-    Tell(usize),
-    Down(usize, Micros),
-    Up(usize),
-    EnginesDown,
+    Submission(usize),
+    /// Process and its incarnation, ticket, execution, engine, and how the execution ended.
+    ExecutionEnds(usize, u32, Ticket, usize, usize, ExecutionEnd),
+    /// Engine and the incarnation in which it finishes an execution.
+    EngineFinishes(usize, u32),
+    StartAnnounced(usize),
+    ProcessStops(usize, Micros),
+    ProcessStarts(usize),
+    EnginesStop,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum How {
+enum ExecutionEnd {
     Answered,
-    TurnedAway,
-    Refused,
+    Rejected,
+    ConnectionRefused,
     Reset,
 }
 
 pub struct Fleet<'a> {
-    shape: &'a Shape,
-    contract: Settings,
-    chance: Chance,
+    parameters: &'a Parameters,
+    settings: Settings,
+    random: Random,
     now: Micros,
-    serial: u64,
+    next_serial: u64,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     engines: Vec<Engine>,
     processes: Vec<Process>,
-    pushes: Vec<Vec<Push>>,
+    sent_calls: Vec<Vec<SentCall>>,
     answered: usize,
 }
 
 impl<'a> Fleet<'a> {
-    pub fn new(shape: &'a Shape, seed: u64) -> Self {
-        let count = WARM + shape.colds;
-        let contract = Settings::parse(&shape.settings()).unwrap();
+    pub fn new(parameters: &'a Parameters, seed: u64) -> Self {
+        let count = WARM_ENGINES + parameters.cold_engines;
+        let settings = Settings::parse(&parameters.settings()).unwrap();
         let mut fleet = Fleet {
-            shape,
-            contract,
-            chance: Chance::new(seed),
+            parameters,
+            settings,
+            random: Random::new(seed),
             now: 0,
-            serial: 0,
+            next_serial: 0,
             events: BinaryHeap::new(),
             engines: (0..count).map(|_| Engine::default()).collect(),
             processes: Vec::new(),
-            pushes: (0..shape.colds).map(|_| Vec::new()).collect(),
+            sent_calls: (0..parameters.cold_engines).map(|_| Vec::new()).collect(),
             answered: 0,
         };
-        for p in 0..shape.processes {
+        for process_index in 0..parameters.processes {
             let process = Process {
                 dispatcher: None,
-                life: 0,
-                told: false,
-                at: BTreeMap::new(),
-                works: BTreeMap::new(),
+                incarnation: 0,
+                knows_start: false,
+                engine_by_index: BTreeMap::new(),
+                work_by_ticket: BTreeMap::new(),
             };
             fleet.processes.push(process);
-            fleet.starts(p);
-            fleet.at(1, Event::Asks(p));
-            fleet.at(START + shape.told[p], Event::Tell(p));
+            fleet.start_process(process_index);
+            fleet.schedule(1, Event::Submission(process_index));
+            fleet.schedule(
+                START + parameters.learned_after[process_index],
+                Event::StartAnnounced(process_index),
+            );
         }
-        for (p, at, away) in &shape.restarts {
-            fleet.at(*at, Event::Down(*p, *away));
+        for (process_index, at, downtime) in &parameters.restarts {
+            fleet.schedule(*at, Event::ProcessStops(*process_index, *downtime));
         }
-        if shape.arrives != Arrives::New {
-            fleet.at(START - 3 * SECOND, Event::EnginesDown);
+        if parameters.arrival != Arrival::New {
+            fleet.schedule(START - 3 * SECOND, Event::EnginesStop);
         }
         fleet
     }
 
-    /// Plays until the engines are warm: what each cold one was sent, and how many statements were answered.
-    pub fn play(mut self) -> (Vec<Vec<Push>>, usize) {
-        let end = START + self.shape.warm;
+    /// Runs the simulation until the engines are warm. Returns the executions sent to each cold
+    /// engine and the number of answered statements.
+    pub fn run(mut self) -> (Vec<Vec<SentCall>>, usize) {
+        let end = START + self.parameters.warm_up_time;
         loop {
-            let wakes = self.processes.iter().enumerate();
-            let wakes = wakes
-                .filter_map(|(p, of)| Some((of.dispatcher.as_ref()?.next_tick().max(self.now), p)));
-            let wake = wakes.min().unwrap_or((end, 0));
+            let wake_times = self.processes.iter().enumerate();
+            let wake_times = wake_times.filter_map(|(process_index, process)| {
+                Some((
+                    process.dispatcher.as_ref()?.next_tick().max(self.now),
+                    process_index,
+                ))
+            });
+            let wake = wake_times.min().unwrap_or((end, 0));
             let next = self.events.peek().map_or(end, |Reverse((at, ..))| *at);
             self.now = wake.0.min(next);
             if self.now >= end {
-                return (self.pushes, self.answered);
+                return (self.sent_calls, self.answered);
             }
             match wake.0 <= next {
-                true => self.settles(wake.1),
+                true => self.run_dispatcher(wake.1),
                 false => self
                     .events
                     .pop()
                     .into_iter()
-                    .for_each(|Reverse((.., event))| self.happens(event)),
+                    .for_each(|Reverse((.., event))| self.handle(event)),
             }
         }
     }
 
-    fn at(&mut self, at: Micros, event: Event) {
-        self.serial += 1;
-        self.events.push(Reverse((at, self.serial, event)));
+    fn schedule(&mut self, at: Micros, event: Event) {
+        self.next_serial += 1;
+        self.events.push(Reverse((at, self.next_serial, event)));
     }
 
-    fn happens(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Asks(p) => self.asks(p),
-            Event::Ends(p, life, ticket, execution, engine, how) => {
-                if self.processes[p].life == life {
-                    self.ends(p, ticket, execution, engine, how);
+            Event::Submission(process_index) => self.submit_statement(process_index),
+            Event::ExecutionEnds(process_index, incarnation, ticket, execution, engine, end) => {
+                if self.processes[process_index].incarnation == incarnation {
+                    self.end_execution(process_index, ticket, execution, engine, end);
                 }
             }
-            Event::Ran(engine, life) => {
+            Event::EngineFinishes(engine, incarnation) => {
                 let engine = &mut self.engines[engine];
-                engine.running -= usize::from(engine.life == life);
+                engine.running -= usize::from(engine.incarnation == incarnation);
             }
-            Event::Tell(p) => self.tells(p, false),
-            Event::Down(p, away) => {
-                let process = &mut self.processes[p];
-                process.life += 1;
+            Event::StartAnnounced(process_index) => self.announce_list(process_index, false),
+            Event::ProcessStops(process_index, downtime) => {
+                let process = &mut self.processes[process_index];
+                process.incarnation += 1;
                 process.dispatcher = None;
-                self.at(self.now + away, Event::Up(p));
+                self.schedule(self.now + downtime, Event::ProcessStarts(process_index));
             }
-            Event::Up(p) => self.starts(p),
-            Event::EnginesDown => {
-                for engine in &mut self.engines[WARM..] {
-                    (engine.running, engine.life) = (0, engine.life + 1);
+            Event::ProcessStarts(process_index) => self.start_process(process_index),
+            Event::EnginesStop => {
+                for engine in &mut self.engines[WARM_ENGINES..] {
+                    (engine.running, engine.incarnation) = (0, engine.incarnation + 1);
                 }
-                if self.shape.arrives == Arrives::Again {
-                    (0..self.processes.len()).for_each(|p| self.tells(p, false));
+                if self.parameters.arrival == Arrival::Relisted {
+                    (0..self.processes.len())
+                        .for_each(|process_index| self.announce_list(process_index, false));
                 }
             }
         }
     }
 
-    /// A new life, which knows the list and nothing else.
-    fn starts(&mut self, p: usize) {
-        let seed = self.chance.number();
-        let process = &mut self.processes[p];
-        process.dispatcher = Some(Dispatcher::new(&self.contract, seed));
-        process.at.clear();
-        process.works.clear();
-        self.tells(p, true);
+    /// Starts a new incarnation of a process, which knows nothing but the engine list.
+    fn start_process(&mut self, process_index: usize) {
+        let seed = self.random.next_u64();
+        let process = &mut self.processes[process_index];
+        process.dispatcher = Some(Dispatcher::new(&self.settings, seed));
+        process.engine_by_index.clear();
+        process.work_by_ticket.clear();
+        self.announce_list(process_index, true);
     }
 
-    fn tells(&mut self, p: usize, whole: bool) {
-        let learned = START
-            + if whole && self.shape.old_list {
-                self.shape.told[p]
+    fn announce_list(&mut self, process_index: usize, is_full: bool) {
+        let learned_at = START
+            + if is_full && self.parameters.has_stale_list {
+                self.parameters.learned_after[process_index]
             } else {
                 0
             };
-        let started = self.now >= learned;
-        let mode = match self.shape.arrives {
+        let started = self.now >= learned_at;
+        let mode = match self.parameters.arrival {
             _ if started => Some(Mode::Ready),
-            Arrives::New => None,
-            Arrives::Again if self.now >= START - 3 * SECOND => Some(Mode::Gone),
+            Arrival::New => None,
+            Arrival::Relisted if self.now >= START - 3 * SECOND => Some(Mode::Gone),
             _ => Some(Mode::Ready),
         };
         let ids: Vec<String> = (0..self.engines.len()).map(|e| format!("e{e}")).collect();
-        let line = |e: usize, mode| Listing {
+        let entry = |e: usize, mode| Listing {
             id: &ids[e],
             location: "here",
             kind: "std",
             cell: 0,
             mode,
-            started: (e >= WARM && started).then_some(START),
+            started: (e >= WARM_ENGINES && started).then_some(START),
             protocols: &[Protocol::Lines],
         };
-        let warm = (0..WARM).filter(|_| whole).map(|e| (e, Mode::Ready));
-        let cold = (WARM..ids.len()).filter_map(|e| Some((e, mode?)));
-        let lines: Vec<_> = warm.chain(cold).collect();
-        let listings: Vec<_> = lines.iter().map(|(e, mode)| line(*e, *mode)).collect();
-        let process = &mut self.processes[p];
+        let warm_entries = (0..WARM_ENGINES)
+            .filter(|_| is_full)
+            .map(|e| (e, Mode::Ready));
+        let cold_entries = (WARM_ENGINES..ids.len()).filter_map(|e| Some((e, mode?)));
+        let entries: Vec<_> = warm_entries.chain(cold_entries).collect();
+        let listings: Vec<_> = entries.iter().map(|(e, mode)| entry(*e, *mode)).collect();
+        let process = &mut self.processes[process_index];
         let Some(dispatcher) = &mut process.dispatcher else {
             return;
         };
-        let scope = if whole {
+        let scope = if is_full {
             ListScope::Full
         } else {
             ListScope::Changes
         };
-        let places = dispatcher.update_engines(scope, &listings);
+        let indices = dispatcher.update_engines(scope, &listings);
         process
-            .at
-            .extend(places.into_iter().zip(lines.iter().map(|(e, _)| *e)));
-        process.told = started;
-        self.settles(p);
+            .engine_by_index
+            .extend(indices.into_iter().zip(entries.iter().map(|(e, _)| *e)));
+        process.knows_start = started;
+        self.run_dispatcher(process_index);
     }
 
-    fn asks(&mut self, p: usize) {
-        let share = match self.shape.demand {
+    fn submit_statement(&mut self, process_index: usize) {
+        let load_factor = match self.parameters.demand {
             Demand::Steady => 1.33,
             Demand::Burst(after) if self.now >= START + after => 3.0,
             Demand::Burst(_) => 0.02,
         };
         let count = self.engines.len() as f64;
-        let gap = self
-            .chance
-            .gap(self.shape.rate() * share * count / self.shape.processes as f64);
-        // What comes in a burst does not wait for the gaps of before.
-        let next = match self.shape.demand {
+        let gap = self.random.exponential_gap(
+            self.parameters.engine_rate() * load_factor * count / self.parameters.processes as f64,
+        );
+        // The first statement of a burst does not wait for a gap drawn before the burst.
+        let next = match self.parameters.demand {
             Demand::Burst(after) if self.now < START + after => {
-                let first = self
-                    .chance
-                    .gap(self.shape.rate() * 3.0 * count / self.shape.processes as f64);
-                (self.now + gap).min(START + after + first)
+                let first_gap = self.random.exponential_gap(
+                    self.parameters.engine_rate() * 3.0 * count / self.parameters.processes as f64,
+                );
+                (self.now + gap).min(START + after + first_gap)
             }
             _ => self.now + gap,
         };
-        self.at(next.max(self.now + 1), Event::Asks(p));
-        let varies = if self.shape.varied {
-            0.5 + self.chance.share()
+        self.schedule(next.max(self.now + 1), Event::Submission(process_index));
+        let work_factor = if self.parameters.has_varied_work {
+            0.5 + self.random.unit()
         } else {
             1.0
         };
-        let long = self.chance.share() < self.shape.long;
-        let work = self.shape.mean_work(long) * varies;
-        let guess = work * (0.7 + 0.6 * self.chance.share());
-        let told = if self.shape.told_work { guess } else { 0.0 };
-        let time_left = self.shape.time_left();
-        let workload = if long { "report" } else { "lookup" };
-        let ask = StatementRequest {
+        let is_long = self.random.unit() < self.parameters.long_share;
+        let work = self.parameters.mean_work_of(is_long) * work_factor;
+        let estimate = work * (0.7 + 0.6 * self.random.unit());
+        let reported_work = if self.parameters.has_estimates {
+            estimate
+        } else {
+            0.0
+        };
+        let time_left = self.parameters.time_left();
+        let workload = if is_long { "report" } else { "lookup" };
+        let request = StatementRequest {
             workload,
             customer: "acme",
             time_left,
-            work: told,
+            work: reported_work,
             ..StatementRequest::default()
         };
-        let process = &mut self.processes[p];
+        let process = &mut self.processes[process_index];
         let Some(dispatcher) = &mut process.dispatcher else {
             return;
         };
-        let ticket = dispatcher.submit(self.now, &ask).unwrap();
-        process.works.insert(ticket, work);
-        self.settles(p);
+        let ticket = dispatcher.submit(self.now, &request).unwrap();
+        process.work_by_ticket.insert(ticket, work);
+        self.run_dispatcher(process_index);
     }
 
-    fn settles(&mut self, p: usize) {
+    fn run_dispatcher(&mut self, process_index: usize) {
         loop {
-            let Some(dispatcher) = &mut self.processes[p].dispatcher else {
+            let Some(dispatcher) = &mut self.processes[process_index].dispatcher else {
                 return;
             };
-            let orders = dispatcher.tick(self.now);
-            for order in orders {
-                match order {
+            let commands = dispatcher.tick(self.now);
+            for command in commands {
+                match command {
                     Command::Send {
                         ticket,
                         execution,
                         engine,
                         ..
-                    } => self.sends(p, ticket, execution, engine),
+                    } => self.send_execution(process_index, ticket, execution, engine),
                     Command::Cancel {
                         ticket,
                         execution,
                         ending,
                     } => {
-                        let Some(dispatcher) = &mut self.processes[p].dispatcher else {
+                        let Some(dispatcher) = &mut self.processes[process_index].dispatcher else {
                             return;
                         };
                         dispatcher.execution_ended(self.now, ticket, execution, ending, None);
                     }
                     Command::Reject { ticket, .. } | Command::Abort { ticket, .. } => {
-                        self.processes[p].works.remove(&ticket);
+                        self.processes[process_index].work_by_ticket.remove(&ticket);
                     }
                     _ => {}
                 }
             }
-            if self.processes[p]
+            if self.processes[process_index]
                 .dispatcher
                 .as_ref()
-                .is_none_or(|d| d.next_tick() > self.now)
+                .is_none_or(|dispatcher| dispatcher.next_tick() > self.now)
             {
                 return;
             }
         }
     }
 
-    fn sends(&mut self, p: usize, ticket: Ticket, execution: usize, place: usize) {
-        let shape = self.shape;
-        let process = &self.processes[p];
-        let (e, life, told) = (process.at[&place], process.life, process.told);
-        let work = process.works.get(&ticket).copied().unwrap_or(shape.work);
+    fn send_execution(
+        &mut self,
+        process_index: usize,
+        ticket: Ticket,
+        execution: usize,
+        engine_index: usize,
+    ) {
+        let parameters = self.parameters;
+        let process = &self.processes[process_index];
+        let (engine_number, incarnation, knew_start) = (
+            process.engine_by_index[&engine_index],
+            process.incarnation,
+            process.knows_start,
+        );
+        let work = process
+            .work_by_ticket
+            .get(&ticket)
+            .copied()
+            .unwrap_or(parameters.mean_work);
         let since = self.now - START;
-        let cold = e >= WARM && since >= 0;
-        if cold {
-            self.pushes[e - WARM].push(Push {
+        let is_cold = engine_number >= WARM_ENGINES && since >= 0;
+        if is_cold {
+            self.sent_calls[engine_number - WARM_ENGINES].push(SentCall {
                 at: self.now,
-                calls: work / shape.work,
-                told,
+                calls: work / parameters.mean_work,
+                knew_start,
             });
         }
-        let ends = |how| Event::Ends(p, life, ticket, execution, e, how);
-        let down = e >= WARM && shape.arrives != Arrives::New && (-3 * SECOND..0).contains(&since);
-        if down || cold && shape.deed == Deed::Refuses && since < 3 * SECOND {
-            return self.at(self.now + 2 * WAY, ends(How::Refused));
+        let ends = |end| {
+            Event::ExecutionEnds(
+                process_index,
+                incarnation,
+                ticket,
+                execution,
+                engine_number,
+                end,
+            )
+        };
+        let is_down = engine_number >= WARM_ENGINES
+            && parameters.arrival != Arrival::New
+            && (-3 * SECOND..0).contains(&since);
+        if is_down
+            || is_cold
+                && parameters.behaviour == Behaviour::RefusesConnections
+                && since < 3 * SECOND
+        {
+            return self.schedule(
+                self.now + 2 * ONE_WAY_DELAY,
+                ends(ExecutionEnd::ConnectionRefused),
+            );
         }
-        if cold && shape.deed == Deed::TurnsAway {
-            return self.at(self.now + 2 * WAY, ends(How::TurnedAway));
+        if is_cold && parameters.behaviour == Behaviour::Rejects {
+            return self.schedule(self.now + 2 * ONE_WAY_DELAY, ends(ExecutionEnd::Rejected));
         }
-        let engine = &mut self.engines[e];
+        let engine = &mut self.engines[engine_number];
         engine.running += 1;
-        let cores = shape.cores * if cold { shape.warmth(self.now) } else { 1.0 };
-        let jam = (engine.running as f64 * shape.threads / cores).max(1.0);
-        let silent = if cold && shape.deed == Deed::Silent {
+        let cores = parameters.cores
+            * if is_cold {
+                parameters.capacity_share(self.now)
+            } else {
+                1.0
+            };
+        let slowdown = (engine.running as f64 * parameters.threads / cores).max(1.0);
+        let silence = if is_cold && parameters.behaviour == Behaviour::Silent {
             (4 * SECOND - since).max(0)
         } else {
             0
         };
-        let over = self.now + WAY + silent + (work / shape.threads * jam) as Micros;
-        // What it runs as it goes down ends there and then.
-        let falls = START - 3 * SECOND;
-        let cut = e >= WARM && shape.arrives != Arrives::New && self.now < falls && over >= falls;
-        let (over, how) = if cut {
-            (falls, How::Reset)
+        let ends_at =
+            self.now + ONE_WAY_DELAY + silence + (work / parameters.threads * slowdown) as Micros;
+        // Executions that run when an engine stops are reset at that time.
+        let stopped_at = START - 3 * SECOND;
+        let is_cut = engine_number >= WARM_ENGINES
+            && parameters.arrival != Arrival::New
+            && self.now < stopped_at
+            && ends_at >= stopped_at;
+        let (ends_at, end) = if is_cut {
+            (stopped_at, ExecutionEnd::Reset)
         } else {
-            (over, How::Answered)
+            (ends_at, ExecutionEnd::Answered)
         };
-        let in_life = engine.life;
-        self.at(over, Event::Ran(e, in_life));
-        self.at(over + WAY, ends(how));
+        let engine_incarnation = engine.incarnation;
+        self.schedule(
+            ends_at,
+            Event::EngineFinishes(engine_number, engine_incarnation),
+        );
+        self.schedule(ends_at + ONE_WAY_DELAY, ends(end));
     }
 
-    fn ends(&mut self, p: usize, ticket: Ticket, execution: usize, e: usize, how: How) {
-        let ending = match how {
-            How::Answered => Ending::Answered,
-            How::TurnedAway => Ending::Rejected,
-            How::Refused => Ending::ConnectionRefused,
-            How::Reset => Ending::Reset,
+    fn end_execution(
+        &mut self,
+        process_index: usize,
+        ticket: Ticket,
+        execution: usize,
+        engine_number: usize,
+        end: ExecutionEnd,
+    ) {
+        let ending = match end {
+            ExecutionEnd::Answered => Ending::Answered,
+            ExecutionEnd::Rejected => Ending::Rejected,
+            ExecutionEnd::ConnectionRefused => Ending::ConnectionRefused,
+            ExecutionEnd::Reset => Ending::Reset,
         };
-        let tells = self.shape.reports && matches!(how, How::Answered | How::TurnedAway);
-        let report = tells.then(|| vec![self.engines[e].running as f64]);
-        let Some(dispatcher) = &mut self.processes[p].dispatcher else {
+        let has_report = self.parameters.has_load_reports
+            && matches!(end, ExecutionEnd::Answered | ExecutionEnd::Rejected);
+        let report = has_report.then(|| vec![self.engines[engine_number].running as f64]);
+        let Some(dispatcher) = &mut self.processes[process_index].dispatcher else {
             return;
         };
         self.answered +=
             usize::from(dispatcher.execution_ended(self.now, ticket, execution, ending, report));
-        self.settles(p);
+        self.run_dispatcher(process_index);
     }
 }
