--- a/crates/dispatcher/src/completion.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -76,8 +76,8 @@
         statement.finished = true;
         // A statement withdrawn before any decision on it is dropped without notifying the
         // scheduler.
-        let undecided = |e: &Event| matches!(e, Event::Arrived(a) if a.statement == ticket);
-        match self.events.iter().position(undecided) {
+        let is_undecided = |e: &Event| matches!(e, Event::Arrived(a) if a.statement == ticket);
+        match self.events.iter().position(is_undecided) {
             Some(index) => _ = self.events.remove(index),
             None => self.events.push(Event::ClientLeft(ticket)),
         }
--- a/crates/dispatcher/src/connection_pacer.rs
+++ b/crates/dispatcher/src/connection_pacer.rs
@@ -73,7 +73,7 @@
     }
 
     /// The next usable slot of an engine.
-    fn next_slot(&self, now: Micros, engine_index: EngineIndex) -> NextSlot {
+    fn next_slot(&self, now: Micros, engine_index: EngineIndex) -> EngineSlots {
         let shift = (self.offset + engine_index as f64 * ENGINE_SLOT_OFFSET).fract();
         let passed = self.passed_slots(now) + shift;
         let expired = passed - SLOT_LIFETIME * self.rate.unwrap_or(0.0);
@@ -82,8 +82,8 @@
             .get(&engine_index)
             .copied()
             .unwrap_or(0.0);
-        NextSlot {
-            slot: expired.max(used).floor() + 1.0,
+        EngineSlots {
+            next: expired.max(used).floor() + 1.0,
             passed,
         }
     }
@@ -91,8 +91,8 @@
     /// The time of the next slot of an engine; `now` if a slot is available.
     pub fn next_slot_at(&self, now: Micros, engine_index: EngineIndex) -> Micros {
         let Some(rate) = self.rate else { return now };
-        let NextSlot { slot, passed } = self.next_slot(now, engine_index);
-        let wait = (slot - passed).max(0.0) * 1e6 / rate.max(f64::MIN_POSITIVE);
+        let EngineSlots { next, passed } = self.next_slot(now, engine_index);
+        let wait = (next - passed).max(0.0) * 1e6 / rate.max(f64::MIN_POSITIVE);
         now.saturating_add(wait.min(MAX_RATE_OR_WAIT).ceil() as Micros)
     }
 
@@ -102,18 +102,18 @@
         if self.rate.is_none() {
             return true;
         }
-        let NextSlot { slot, passed } = self.next_slot(now, engine_index);
-        if slot <= passed {
-            self.last_used_slot.insert(engine_index, slot);
+        let EngineSlots { next, passed } = self.next_slot(now, engine_index);
+        if next <= passed {
+            self.last_used_slot.insert(engine_index, next);
         }
-        slot <= passed
+        next <= passed
     }
 }
 
 /// An engine's slots, counted from the creation of the pacer.
-struct NextSlot {
+struct EngineSlots {
     /// The number of the next usable slot.
-    slot: f64,
+    next: f64,
     /// How many slots have passed.
     passed: f64,
 }
--- a/crates/dispatcher/src/demand.rs
+++ b/crates/dispatcher/src/demand.rs
@@ -119,13 +119,18 @@
     }
 
     /// Counts the end of a statement that is rejected or aborted. A statement that the scheduler
-    /// never admitted, because it was rejected on arrival, counts as asked only. `first_new` is the
+    /// never admitted, because it was rejected on arrival, counts as asked only. `first_new_ticket` is the
     /// first statement that arrived since the last decisions.
-    pub(crate) fn count_shed(&mut self, now: Micros, ticket: Ticket, first_new: Option<Ticket>) {
+    pub(crate) fn count_shed(
+        &mut self,
+        now: Micros,
+        ticket: Ticket,
+        first_new_ticket: Option<Ticket>,
+    ) {
         let Some(statement) = self.statements.get(&ticket) else {
             return;
         };
-        let arrived_before = first_new.is_none_or(|first| ticket < first);
+        let arrived_before = first_new_ticket.is_none_or(|first| ticket < first);
         let admitted = arrived_before || !statement.executions.is_empty();
         if !admitted {
             return;
--- a/crates/dispatcher/src/tick.rs
+++ b/crates/dispatcher/src/tick.rs
@@ -31,10 +31,10 @@
             self.events.push(Event::Woken);
         }
         let mut events = std::mem::take(&mut self.events);
-        let first_new = self.refresh_time_left(now, &mut events);
+        let first_new_ticket = self.refresh_time_left(now, &mut events);
         for action in self.scheduler.decide(now, events) {
             if let Action::Reject { statement, .. } | Action::Abort { statement, .. } = &action {
-                self.count_shed(now, *statement, first_new);
+                self.count_shed(now, *statement, first_new_ticket);
             }
             self.carry_out(now, action, &mut commands);
         }
@@ -63,17 +63,17 @@
     /// Updates the remaining time of each new statement, which has shrunk if the process was
     /// stalled between accepting it and deciding on it. Returns the first new statement.
     fn refresh_time_left(&self, now: Micros, events: &mut [Event]) -> Option<Ticket> {
-        let mut first_new = None;
+        let mut first_new_ticket = None;
         for event in events {
             let Event::Arrived(arrival) = event else {
                 continue;
             };
-            first_new.get_or_insert(arrival.statement);
+            first_new_ticket.get_or_insert(arrival.statement);
             let statement = self.statements.get(&arrival.statement);
             let deadline = statement.map_or(now, |s| s.terms.deadline);
             arrival.time_left = deadline - now;
         }
-        first_new
+        first_new_ticket
     }
 
     fn carry_out(&mut self, now: Micros, action: Action, commands: &mut Vec<Command>) {
