--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -14,11 +14,11 @@
 
 /// What the caller has to do after a line.
 #[derive(Debug, PartialEq)]
-pub enum Taken {
+pub enum NextStep {
     /// Give the next line.
-    Line,
+    ReadLine,
     /// Send [`Adapter::take_reply`]: a batch is over.
-    Batch,
+    SendReply,
 }
 
 /// An engine list of which entries are still to come.
@@ -40,17 +40,17 @@
 
 impl Adapter {
     /// Takes one line, without its end.
-    pub fn take(&mut self, text: &str) -> Result<Taken, LineError> {
+    pub fn handle_line(&mut self, text: &str) -> Result<NextStep, LineError> {
         let line = Line::new(text);
         if let Some(list) = self.open_list {
-            self.take_entry(list, &line)?;
-            return Ok(Taken::Line);
+            self.add_list_entry(list, &line)?;
+            return Ok(NextStep::ReadLine);
         }
         match line.message {
             input::BATCH_BEGINS => self.now = line.time(field::NOW)?,
             input::BATCH_ENDS => {
                 self.write_reply();
-                return Ok(Taken::Batch);
+                return Ok(NextStep::SendReply);
             }
             input::LIST_BEGINS => self.begin_list(&line)?,
             input::FRONT_STARTS => self.start_front(&line)?,
@@ -61,10 +61,10 @@
                 let number: i64 = line.field(field::FRONT)?;
                 let front = self.fronts.get_mut(&number);
                 let front = front.ok_or(LineError::UnknownFront)?;
-                front.take(&line, &self.lists)?;
+                front.handle_line(&line, &self.lists)?;
             }
         }
-        Ok(Taken::Line)
+        Ok(NextStep::ReadLine)
     }
 
     /// The reply so far; nothing of it is kept.
@@ -73,13 +73,13 @@
     }
 
     /// Reports a line that can't be used, on standard error and in the reply to its front. `line_number` counts from 1.
-    pub fn complain(&mut self, line_number: u64, text: &str, error: &LineError) {
+    pub fn report_bad_line(&mut self, line_number: u64, text: &str, error: &LineError) {
         let quoted: String = text.chars().take(MAX_QUOTED).collect();
-        let complaint = format!("line {line_number}: {error}, in '{quoted}'");
-        eprintln!("hallmux-drill: {complaint}");
+        let message = format!("line {line_number}: {error}, in '{quoted}'");
+        eprintln!("hallmux-drill: {message}");
         if let Ok(front) = Line::new(text).field::<i64>(field::FRONT) {
             self.reply.push_str(&format!(
-                "{} {}={front} {}={complaint}\n",
+                "{} {}={front} {}={message}\n",
                 output::BAD_LINE,
                 field::FRONT,
                 field::REASON
@@ -95,7 +95,7 @@
         Ok(())
     }
 
-    fn take_entry(&mut self, list: OpenList, line: &Line) -> Result<(), LineError> {
+    fn add_list_entry(&mut self, list: OpenList, line: &Line) -> Result<(), LineError> {
         let OpenList { number, missing } = list;
         if line.message != input::LIST_ENTRY {
             self.open_list = None;
--- a/crates/simulator-adapter/src/adapter_tests.rs
+++ b/crates/simulator-adapter/src/adapter_tests.rs
@@ -6,14 +6,14 @@
  "requestClasses": [{"aimMs": 1000, "deadlineMs": 5000, "repeat": "repeatable", "worth": 1}],
  "extra": {"sizeCores": [8], "memoryByKindMb": [16384]}}"#;
 
-fn play(lines: &[&str]) -> (Vec<String>, String) {
+fn run_lines(lines: &[&str]) -> (Vec<String>, String) {
     let mut adapter = Adapter::default();
     let start = START.replace('\n', "");
-    let mut all = vec!["BEGIN_BATCH clockMs=5.25", &start];
-    all.extend(lines);
-    let errors = all
+    let mut all_lines = vec!["BEGIN_BATCH clockMs=5.25", &start];
+    all_lines.extend(lines);
+    let errors = all_lines
         .iter()
-        .filter_map(|line| adapter.take(line).err())
+        .filter_map(|line| adapter.handle_line(line).err())
         .map(|error| error.to_string())
         .collect();
     (errors, adapter.take_reply())
@@ -32,7 +32,7 @@
         "JOB_IN who=3 req=1564119492 cls=0 expiresInMs=240.0 later=1",
         "EOF_BATCH",
     ]);
-    let (errors, reply) = play(&lines);
+    let (errors, reply) = run_lines(&lines);
     assert!(errors.is_empty(), "{errors:?}");
     assert!(
         reply.contains("CALL_OUT who=3 req=1564119492 engine=e1"),
@@ -43,11 +43,12 @@
 
 #[test]
 fn unknown_and_ended_ids_are_passed_over() {
-    let gone = [
+    let ended = [
         "GONE who=3 req=9",
         "RETURNED who=3 req=9 seqNo=0 engine=e1 status=pass delaySeenMs=1 settled=1",
     ];
-    let (errors, reply) = play(&[&FLEET[..], &gone, &["RING who=3 ref=old", "EOF_BATCH"]].concat());
+    let (errors, reply) =
+        run_lines(&[&FLEET[..], &ended, &["RING who=3 ref=old", "EOF_BATCH"]].concat());
     assert!(errors.is_empty(), "{errors:?}");
     assert!(!reply.contains("req=9"), "{reply}");
 }
@@ -62,8 +63,8 @@
     let ended = |engine: &str| {
         format!("RETURNED who=3 req=9 seqNo=0 engine={engine} status=pass delaySeenMs=1 settled=1")
     };
-    let (foreign, own) = (ended("e2"), ended("e1"));
-    let (errors, reply) = play(&[&FLEET[..], &job, &[&foreign, "EOF_BATCH"]].concat());
+    let (wrong_engine, right_engine) = (ended("e2"), ended("e1"));
+    let (errors, reply) = run_lines(&[&FLEET[..], &job, &[&wrong_engine, "EOF_BATCH"]].concat());
     assert!(errors.is_empty(), "{errors:?}");
     assert!(reply.contains("CALL_OUT who=3 req=9 engine=e1"), "{reply}");
     // It is still looked after later on, and its own end counts.
@@ -74,18 +75,22 @@
         ]
     };
     let later: Vec<String> = (1..60).flat_map(batch).collect();
-    let mut lines = [&FLEET[..], &job, &[foreign.as_str(), "EOF_BATCH"]].concat();
+    let mut lines = [&FLEET[..], &job, &[wrong_engine.as_str(), "EOF_BATCH"]].concat();
     for batch in later.chunks(2) {
         lines.extend([batch[0].as_str(), batch[1].as_str(), "EOF_BATCH"]);
     }
-    lines.extend(["BEGIN_BATCH clockMs=30000", own.as_str(), "EOF_BATCH"]);
-    let (errors, _) = play(&lines);
+    lines.extend([
+        "BEGIN_BATCH clockMs=30000",
+        right_engine.as_str(),
+        "EOF_BATCH",
+    ]);
+    let (errors, _) = run_lines(&lines);
     assert!(errors.is_empty(), "{errors:?}");
 }
 
 #[test]
 fn bad_lines_are_named_and_end_nothing() {
-    for (line, said) in [
+    for (line, expected) in [
         ("HELLO who=3", "unknown message 'HELLO'"),
         ("RING who=4 ref=x", "the instance was not started"),
         ("JOB_IN who=3 req=1 cls=0", "field 'expiresInMs' is missing"),
@@ -108,9 +113,9 @@
         ),
         ("ATTACH who=5 randomSeed=1 options={", "options: "),
     ] {
-        let (errors, reply) = play(&[line, "EOF_BATCH"]);
+        let (errors, reply) = run_lines(&[line, "EOF_BATCH"]);
         assert_eq!(errors.len(), 1, "{line}");
-        assert!(errors[0].contains(said), "{line}: {errors:?}");
+        assert!(errors[0].contains(expected), "{line}: {errors:?}");
         assert!(reply.ends_with("FINISHED\n"));
     }
 }
@@ -124,6 +129,6 @@
         "JOB_IN who=3 req=5 cls=0 expiresInMs=4000",
         "EOF_BATCH",
     ];
-    let (_, reply) = play(&[&FLEET[..], &again].concat());
+    let (_, reply) = run_lines(&[&FLEET[..], &again].concat());
     assert!(reply.contains("CALL_OUT who=3 req=5 engine=e2"), "{reply}");
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -13,14 +13,14 @@
         value: String,
     },
     /// A field holds something else than a finite number.
-    NoNumber(&'static str),
+    NotANumber(&'static str),
     /// A field holds something else than 0 or 1.
-    NoFlag {
+    NotAFlag {
         field: &'static str,
         value: String,
     },
     /// A field holds none of the words that it may.
-    UnknownWord {
+    UnknownValue {
         field: &'static str,
         word: String,
     },
@@ -49,11 +49,11 @@
             LineError::UnreadableField { field, value } => {
                 write!(f, "field '{field}' cannot be read: '{value}'")
             }
-            LineError::NoNumber(field) => write!(f, "field '{field}' is no number"),
-            LineError::NoFlag { field, value } => {
+            LineError::NotANumber(field) => write!(f, "field '{field}' is no number"),
+            LineError::NotAFlag { field, value } => {
                 write!(f, "field '{field}' is neither 0 nor 1: '{value}'")
             }
-            LineError::UnknownWord { field, word } => write!(f, "{field}: unknown word '{word}'"),
+            LineError::UnknownValue { field, word } => write!(f, "{field}: unknown word '{word}'"),
             LineError::UnknownWorkload(index) => write!(f, "no workload {index}"),
             LineError::UnknownList(list) => write!(f, "list {list} was never sent"),
             LineError::IncompleteList { list, missing } => {
--- a/crates/simulator-adapter/src/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -29,10 +29,10 @@
     /// A field that reaches to the end of the line.
     pub fn text(&self, name: &'static str) -> Result<&'a str, LineError> {
         let label = format!("{name}=");
-        let begins_field = |at: usize| at == 0 || self.fields.as_bytes()[at - 1] == b' ';
-        let mut places = self.fields.match_indices(&label).map(|(at, _)| at);
-        let at = places
-            .find(|at| begins_field(*at))
+        let starts_field = |at: usize| at == 0 || self.fields.as_bytes()[at - 1] == b' ';
+        let mut matches = self.fields.match_indices(&label).map(|(at, _)| at);
+        let at = matches
+            .find(|at| starts_field(*at))
             .ok_or(LineError::MissingField(name))?;
         Ok(&self.fields[at + label.len()..])
     }
@@ -57,7 +57,7 @@
     pub fn number(&self, name: &'static str) -> Result<f64, LineError> {
         let value: f64 = self.field(name)?;
         if !value.is_finite() {
-            return Err(LineError::NoNumber(name));
+            return Err(LineError::NotANumber(name));
         }
         Ok(value)
     }
@@ -80,7 +80,7 @@
         match self.find(name) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
-            Some(other) => Err(LineError::NoFlag {
+            Some(other) => Err(LineError::NotAFlag {
                 field: name,
                 value: other.to_string(),
             }),
@@ -89,14 +89,17 @@
 
     /// The load report of an engine, where the line has one.
     pub fn load_report(&self) -> Result<Option<Report>, LineError> {
-        let Some(row) = self.find(field::LOAD_REPORT).filter(|row| !row.is_empty()) else {
+        let Some(text) = self
+            .find(field::LOAD_REPORT)
+            .filter(|text| !text.is_empty())
+        else {
             return Ok(None);
         };
         let figure = |text: &str| text.parse::<f64>().ok().filter(|value| value.is_finite());
-        let report: Option<Report> = row.split(',').map(figure).collect();
+        let report: Option<Report> = text.split(',').map(figure).collect();
         let unreadable = || LineError::UnreadableField {
             field: field::LOAD_REPORT,
-            value: row.to_string(),
+            value: text.to_string(),
         };
         report.map(Some).ok_or_else(unreadable)
     }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -11,7 +11,7 @@
 
 use std::io::{self, BufRead, Write};
 
-use adapter::{Adapter, Taken};
+use adapter::{Adapter, NextStep};
 use error::LineError;
 
 fn main() -> io::Result<()> {
@@ -27,20 +27,20 @@
         }
         line_number += 1;
         let Ok(text) = std::str::from_utf8(&bytes) else {
-            adapter.complain(line_number, "", &LineError::NotUtf8);
+            adapter.report_bad_line(line_number, "", &LineError::NotUtf8);
             continue;
         };
         let text = text.trim_end_matches(['\r', '\n']);
         if text.is_empty() {
             continue;
         }
-        match adapter.take(text) {
-            Ok(Taken::Line) => {}
-            Ok(Taken::Batch) => {
+        match adapter.handle_line(text) {
+            Ok(NextStep::ReadLine) => {}
+            Ok(NextStep::SendReply) => {
                 output.write_all(adapter.take_reply().as_bytes())?;
                 output.flush()?;
             }
-            Err(error) => adapter.complain(line_number, text, &error),
+            Err(error) => adapter.report_bad_line(line_number, text, &error),
         }
     }
 }
--- a/crates/simulator-adapter/src/simulated_front.rs
+++ b/crates/simulator-adapter/src/simulated_front.rs
@@ -43,7 +43,7 @@
         value::READY => Ok(Mode::Ready),
         value::DRAINING => Ok(Mode::Draining),
         value::GONE => Ok(Mode::Gone),
-        other => Err(unknown_word(field::MODE, other)),
+        other => Err(unknown_value(field::MODE, other)),
     }
 }
 
@@ -57,7 +57,7 @@
         value::RESET => Ok(Outcome::Reset),
         value::CANCELLED => Ok(Outcome::Cancelled),
         value::NOT_SENT => Ok(Outcome::NotSent),
-        other => Err(unknown_word(field::OUTCOME, other)),
+        other => Err(unknown_value(field::OUTCOME, other)),
     }
 }
 
@@ -74,8 +74,8 @@
     Ok(Some(note))
 }
 
-fn unknown_word(field: &'static str, word: &str) -> LineError {
-    LineError::UnknownWord {
+fn unknown_value(field: &'static str, word: &str) -> LineError {
+    LineError::UnknownValue {
         field,
         word: word.to_string(),
     }
@@ -113,7 +113,7 @@
     }
 
     /// The index of an engine; one that is met for the first time gets the next.
-    fn engine(&mut self, id: &str) -> usize {
+    fn engine_index(&mut self, id: &str) -> usize {
         if let Some(&index) = self.engine_indices.get(id) {
             return index;
         }
@@ -123,25 +123,25 @@
         index
     }
 
-    fn engine_of(&mut self, line: &Line) -> Result<usize, LineError> {
+    fn line_engine_index(&mut self, line: &Line) -> Result<usize, LineError> {
         let id: String = line.field(field::ENGINE)?;
-        Ok(self.engine(&id))
+        Ok(self.engine_index(&id))
     }
 
     /// The index of an order key; one that is met for the first time gets the next.
-    fn order_key(&mut self, name: String) -> u32 {
+    fn order_key_index(&mut self, name: String) -> u32 {
         let next = self.keys.len() as u32;
         *self.keys.entry(name).or_insert(next)
     }
 
     /// The statement that a line names, if this front has ever received it.
-    fn statement(&self, line: &Line) -> Result<Option<u32>, LineError> {
+    fn statement_index(&self, line: &Line) -> Result<Option<u32>, LineError> {
         let number = line.field(field::STATEMENT)?;
         Ok(self.statement_indices.get(&number).copied())
     }
 
     /// Takes one line for this front; `lists` are the engine lists sent so far, by number.
-    pub fn take(
+    pub fn handle_line(
         &mut self,
         line: &Line,
         lists: &BTreeMap<u32, Vec<ListedEngine>>,
@@ -150,7 +150,7 @@
             input::ARRIVAL => Some(self.arrived(line)?),
             input::EXECUTION_ENDED => self.ended(line)?,
             input::NOTE => self.noted(line)?,
-            input::CLIENT_LEFT => self.statement(line)?.map(Event::ClientLeft),
+            input::CLIENT_LEFT => self.statement_index(line)?.map(Event::ClientLeft),
             input::WAKE => Some(Event::Woken),
             input::ENGINE_LIST => Some(self.listed(line, lists)?),
             input::PROBE_ENDED => Some(self.probed(line)?),
@@ -163,7 +163,7 @@
 
     fn probed(&mut self, line: &Line) -> Result<Event, LineError> {
         Ok(Event::Probed {
-            engine: self.engine_of(line)?,
+            engine: self.line_engine_index(line)?,
             alive: line.field::<String>(field::OUTCOME)? == value::COMPLETED,
             report: line.load_report()?,
         })
@@ -178,14 +178,14 @@
             value::CHANGES => false,
             value::FULL | value::CACHED => true,
             value::FAILED => return Ok(Event::ListFailed),
-            other => return Err(unknown_word(field::LIST_FORM, other)),
+            other => return Err(unknown_value(field::LIST_FORM, other)),
         };
         let number: u32 = line.field(field::LIST)?;
         let list = lists.get(&number).ok_or(LineError::UnknownList(number))?;
         let mut entries = Vec::new();
         for listed in list {
             entries.push(EngineEntry {
-                engine: self.engine(&listed.id),
+                engine: self.engine_index(&listed.id),
                 ..listed.entry.clone()
             });
         }
@@ -204,7 +204,7 @@
             statement: self.statements.len() as u32,
             workload,
             customer: line.optional(field::CUSTOMER)?.unwrap_or(0),
-            order_key: key.map(|name| self.order_key(name)),
+            order_key: key.map(|name| self.order_key_index(name)),
             time_left,
             work: line.number_or(field::WORK, 0.0)? * 1000.0,
             memory_mb: line.number_or(field::MEMORY_MB, 0.0)?,
@@ -220,7 +220,7 @@
 
     /// The end of an execution; None where its statement is not known.
     fn ended(&mut self, line: &Line) -> Result<Option<Event>, LineError> {
-        let Some(statement) = self.statement(line)? else {
+        let Some(statement) = self.statement_index(line)? else {
             return Ok(None);
         };
         let outcome = outcome(line)?;
@@ -228,7 +228,7 @@
         Ok(Some(Event::Ended(Ended {
             statement,
             execution: line.field(field::EXECUTION)?,
-            engine: self.engine_of(line)?,
+            engine: self.line_engine_index(line)?,
             outcome,
             took: line.time(field::TOOK)?,
             settled: line.flag(field::SETTLED)?,
@@ -239,7 +239,7 @@
 
     /// A note on an execution; None where its statement or the note's kind is not known.
     fn noted(&mut self, line: &Line) -> Result<Option<Event>, LineError> {
-        let Some(statement) = self.statement(line)? else {
+        let Some(statement) = self.statement_index(line)? else {
             return Ok(None);
         };
         let Some(note) = note(line)? else {
@@ -248,7 +248,7 @@
         Ok(Some(Event::Noted {
             statement,
             execution: line.field(field::EXECUTION)?,
-            engine: self.engine_of(line)?,
+            engine: self.line_engine_index(line)?,
             note,
         }))
     }
