--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,4 +1,5 @@
-//! The simulator's protocol: all fronts of this process, and the engine lists that they are sent.
+//! The state of the simulator's protocol: all simulated fronts of this process, and the engine
+//! lists received for them.
 
 use std::collections::BTreeMap;
 
@@ -9,26 +10,27 @@
 use crate::simulated_front::{ListedEngine, SimulatedFront};
 use crate::wire_names::{field, input, output};
 
-/// Characters of a line that a complaint about it quotes.
+/// The number of characters of a bad line that its error report quotes.
 const MAX_QUOTED: usize = 120;
 
-/// What the caller has to do after a line.
+/// What the caller must do after a line was handled.
 #[derive(Debug, PartialEq)]
 pub enum NextStep {
-    /// Give the next line.
+    /// Read the next line.
     ReadLine,
-    /// Send [`Adapter::take_reply`]: a batch is over.
+    /// Send the result of [`Adapter::take_reply`], because a batch has ended.
     SendReply,
 }
 
-/// An engine list of which entries are still to come.
+/// An engine list of which not all entries were received.
 #[derive(Clone, Copy)]
 struct OpenList {
     number: u32,
     missing: usize,
 }
 
-/// All fronts of this process and the numbered engine lists of the protocol.
+/// The simulated fronts and the engine lists by their numbers in the protocol, and the reply to the
+/// current batch.
 #[derive(Default)]
 pub struct Adapter {
     fronts: BTreeMap<i64, SimulatedFront>,
@@ -39,7 +41,7 @@
 }
 
 impl Adapter {
-    /// Takes one line, without its end.
+    /// Handles one line, without its line ending.
     pub fn handle_line(&mut self, text: &str) -> Result<NextStep, LineError> {
         let line = Line::new(text);
         if let Some(list) = self.open_list {
@@ -67,12 +69,13 @@
         Ok(NextStep::ReadLine)
     }
 
-    /// The reply so far; nothing of it is kept.
+    /// Removes and returns the reply so far.
     pub fn take_reply(&mut self) -> String {
         std::mem::take(&mut self.reply)
     }
 
-    /// Reports a line that can't be used, on standard error and in the reply to its front. `line_number` counts from 1.
+    /// Reports a bad line on standard error and, if it names a front, in the reply. `line_number`
+    /// counts from 1.
     pub fn report_bad_line(&mut self, line_number: u64, text: &str, error: &LineError) {
         let quoted: String = text.chars().take(MAX_QUOTED).collect();
         let message = format!("line {line_number}: {error}, in '{quoted}'");
--- a/crates/simulator-adapter/src/adapter_tests.rs
+++ b/crates/simulator-adapter/src/adapter_tests.rs
@@ -26,7 +26,7 @@
 ];
 
 #[test]
-fn a_statement_is_sent_under_its_own_id() {
+fn a_statement_is_sent_under_its_protocol_number() {
     let mut lines = FLEET.to_vec();
     lines.extend([
         "JOB_IN who=3 req=1564119492 cls=0 expiresInMs=240.0 later=1",
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn unknown_and_ended_ids_are_passed_over() {
+fn lines_for_unknown_statements_are_ignored() {
     let ended = [
         "GONE who=3 req=9",
         "RETURNED who=3 req=9 seqNo=0 engine=e1 status=pass delaySeenMs=1 settled=1",
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_execution_that_ends_at_another_engine_than_its_own_is_passed_over() {
+fn an_execution_end_from_the_wrong_engine_is_ignored() {
     let job = [
         "JOB_IN who=3 req=9 cls=0 expiresInMs=240.0 later=1",
         "EOF_BATCH",
@@ -67,7 +67,7 @@
     let (errors, reply) = run_lines(&[&FLEET[..], &job, &[&wrong_engine, "EOF_BATCH"]].concat());
     assert!(errors.is_empty(), "{errors:?}");
     assert!(reply.contains("CALL_OUT who=3 req=9 engine=e1"), "{reply}");
-    // It is still looked after later on, and its own end counts.
+    // The execution stays in flight, and its end at the right engine is accepted later.
     let batch = |n: usize| {
         [
             format!("BEGIN_BATCH clockMs={}", 20 + n * 200),
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn bad_lines_are_named_and_end_nothing() {
+fn bad_lines_are_reported_and_do_not_stop_the_adapter() {
     for (line, expected) in [
         ("HELLO who=3", "unknown message 'HELLO'"),
         ("RING who=4 ref=x", "the instance was not started"),
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_list_number_used_again_means_its_latest_list() {
+fn a_reused_list_number_refers_to_the_latest_list() {
     let again = [
         "LEDGER ref=0 entries=1",
         "ENTRY engine=e2 campus=0 classOfHost=0 group=0 mode=Ready weight=1",
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,42 +1,37 @@
-//! Why a line of the simulator can't be used.
+//! Errors in the lines that the simulator sends.
 
 use std::fmt;
 
-/// Why a line of the simulator can't be used.
+/// Why a line of the simulator was not handled.
 #[derive(Debug)]
 pub enum LineError {
+    /// The line is not valid UTF-8.
     NotUtf8,
+    /// The protocol has no message of this name.
     UnknownMessage(String),
+    /// A required field is missing.
     MissingField(&'static str),
-    UnreadableField {
-        field: &'static str,
-        value: String,
-    },
-    /// A field holds something else than a finite number.
+    /// The value of a field has the wrong form.
+    UnreadableField { field: &'static str, value: String },
+    /// The value of a field is not a finite number.
     NotANumber(&'static str),
-    /// A field holds something else than 0 or 1.
-    NotAFlag {
-        field: &'static str,
-        value: String,
-    },
-    /// A field holds none of the words that it may.
-    UnknownValue {
-        field: &'static str,
-        word: String,
-    },
+    /// The value of a field is neither 0 nor 1.
+    NotAFlag { field: &'static str, value: String },
+    /// The value of a field is none of those that the protocol defines.
+    UnknownValue { field: &'static str, value: String },
     /// The settings have no workload of this index.
     UnknownWorkload(usize),
     /// No engine list of this number was sent.
     UnknownList(u32),
-    /// An engine list is interrupted by another message.
+    /// Another message arrived before the last entry of an engine list.
     IncompleteList {
         list: u32,
-        /// How many entries are missing.
+        /// The number of missing entries.
         missing: usize,
     },
-    /// The line is for a front that was not started.
+    /// The front that the line names was not started.
     UnknownFront,
-    /// The settings object of a front can't be used.
+    /// The settings of a front are invalid.
     Settings(hallmux_config::Error),
 }
 
@@ -53,7 +48,9 @@
             LineError::NotAFlag { field, value } => {
                 write!(f, "field '{field}' is neither 0 nor 1: '{value}'")
             }
-            LineError::UnknownValue { field, word } => write!(f, "{field}: unknown word '{word}'"),
+            LineError::UnknownValue { field, value } => {
+                write!(f, "{field}: unknown word '{value}'")
+            }
             LineError::UnknownWorkload(index) => write!(f, "no workload {index}"),
             LineError::UnknownList(list) => write!(f, "list {list} was never sent"),
             LineError::IncompleteList { list, missing } => {
--- a/crates/simulator-adapter/src/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -1,4 +1,4 @@
-//! One line of the simulator, taken apart into its message and its fields.
+//! Parses one line of the simulator into its message and fields.
 
 use std::str::FromStr;
 
@@ -8,7 +8,7 @@
 use crate::error::LineError;
 use crate::wire_names::field;
 
-/// One line, taken apart into its message and its fields.
+/// A line, split into its message and its `name=value` fields.
 pub struct Line<'a> {
     pub message: &'a str,
     fields: &'a str,
@@ -26,7 +26,7 @@
             .find_map(|part| part.strip_prefix(name)?.strip_prefix('='))
     }
 
-    /// A field that reaches to the end of the line.
+    /// The text of a field that extends to the end of the line.
     pub fn text(&self, name: &'static str) -> Result<&'a str, LineError> {
         let label = format!("{name}=");
         let starts_field = |at: usize| at == 0 || self.fields.as_bytes()[at - 1] == b' ';
@@ -37,7 +37,7 @@
         Ok(&self.fields[at + label.len()..])
     }
 
-    /// A field that may be missing.
+    /// The value of an optional field; None if it is missing.
     pub fn optional<T: FromStr>(&self, name: &'static str) -> Result<Option<T>, LineError> {
         let Some(value) = self.find(name) else {
             return Ok(None);
@@ -49,11 +49,12 @@
         value.parse().map(Some).map_err(unreadable)
     }
 
+    /// The value of a required field.
     pub fn field<T: FromStr>(&self, name: &'static str) -> Result<T, LineError> {
         self.optional(name)?.ok_or(LineError::MissingField(name))
     }
 
-    /// A finite number.
+    /// The value of a required field that holds a finite number.
     pub fn number(&self, name: &'static str) -> Result<f64, LineError> {
         let value: f64 = self.field(name)?;
         if !value.is_finite() {
@@ -62,7 +63,7 @@
         Ok(value)
     }
 
-    /// A finite number; `absent` where the field is missing.
+    /// The value of a field that holds a finite number; `absent` if it is missing.
     pub fn number_or(&self, name: &'static str, absent: f64) -> Result<f64, LineError> {
         if self.find(name).is_none() {
             return Ok(absent);
@@ -70,12 +71,12 @@
         self.number(name)
     }
 
-    /// A time, which the line has in milliseconds.
+    /// The value of a required field that holds a time in milliseconds.
     pub fn time(&self, name: &'static str) -> Result<Micros, LineError> {
         self.number(name).map(micros)
     }
 
-    /// 0 or 1; 0 where the field is missing.
+    /// The value of a field that holds 0 or 1; false if it is missing.
     pub fn flag(&self, name: &'static str) -> Result<bool, LineError> {
         match self.find(name) {
             None | Some("0") => Ok(false),
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The load report of an engine, where the line has one.
+    /// The load report of an engine; None if the line has none.
     pub fn load_report(&self) -> Result<Option<Report>, LineError> {
         let Some(text) = self
             .find(field::LOAD_REPORT)
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,9 @@
-//! Plays hallmux on the simulator's protocol, over standard input and output: batches of events in, one reply for each
-//! out. `adapter` holds the protocol's state, `simulated_front` one front and its decisions, `line` and `reply` read
-//! and write lines, and `wire_names` maps the protocol's names to the terms of the code.
+//! Runs hallmux schedulers for the simulator over standard input and output: reads batches of
+//! events and writes one reply to each.
+//!
+//! `adapter` holds the protocol's state, `simulated_front` the state of one front and its
+//! decisions. `line` parses lines, `error` lists what can be wrong with them, and `reply` writes
+//! decisions. `wire_names` maps the protocol's names to the terms of the code.
 
 mod adapter;
 mod error;
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -6,13 +6,13 @@
 
 use crate::wire_names::{field, output, value};
 
-/// A front in the reply, with the simulator's own names of what it decides on.
+/// The simulator's names for a front and for its statements and engines.
 pub struct ReplyNames<'a> {
     /// The front's number.
     pub front: i64,
-    /// The statements' numbers, by the front's index of each.
+    /// The numbers of the statements, by the front's indices.
     pub statements: &'a [u32],
-    /// The engines' ids, by the front's index of each.
+    /// The ids of the engines, by the front's indices.
     pub engines: &'a [String],
 }
 
@@ -63,7 +63,7 @@
             names.begin(out, output::PROBE)?;
             writeln!(out, " {}={}", field::ENGINE, names.engines[*engine])
         }
-        // The settings name no such budget here.
+        // The simulator's settings contain no budget of new connections.
         Action::Pace { .. } => Ok(()),
         Action::Subscribe => {
             names.begin(out, output::SUBSCRIBE)?;
@@ -89,7 +89,7 @@
     }
 }
 
-/// A time as the simulator writes it, in milliseconds.
+/// Formats a time in milliseconds, as the protocol writes it.
 fn ms(time: Micros) -> String {
     format!("{}.{:03}", time / 1000, time % 1000)
 }
--- a/crates/simulator-adapter/src/simulated_front.rs
+++ b/crates/simulator-adapter/src/simulated_front.rs
@@ -1,4 +1,5 @@
-//! One simulated front: its indices for the simulator's names, what has happened since its last decisions, and these.
+//! One simulated front: its scheduler, the indices that it gives to the simulator's names, and its
+//! pending events.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,13 +13,14 @@
 use crate::reply::{self, ReplyNames};
 use crate::wire_names::{field, input, value};
 
-/// An engine as a list has it, before a front has given it an index.
+/// An engine of a list, before a front has given it an index.
 pub struct ListedEngine {
     id: String,
     entry: EngineEntry,
 }
 
 impl ListedEngine {
+    /// Reads an entry of an engine list.
     pub fn read(line: &Line) -> Result<Self, LineError> {
         let started = line.number_or(field::STARTED, 0.0)?;
         let entry = EngineEntry {
@@ -61,7 +63,7 @@
     }
 }
 
-/// What a note says; None where it is of a kind that is not known.
+/// Reads a progress report; None if its kind is unknown.
 fn note(line: &Line) -> Result<Option<Note>, LineError> {
     let figure = line.number_or(field::NOTE_FIGURE, 0.0)?;
     let note = match line.field::<u32>(field::NOTE_KIND)? {
@@ -74,31 +76,34 @@
     Ok(Some(note))
 }
 
-fn unknown_value(field: &'static str, word: &str) -> LineError {
+fn unknown_value(field: &'static str, value: &str) -> LineError {
     LineError::UnknownValue {
         field,
-        word: word.to_string(),
+        value: value.to_string(),
     }
 }
 
-/// One front of the simulation and its indices for the simulator's names.
+/// A front of the simulation, with its indices for the simulator's names.
 pub struct SimulatedFront {
     scheduler: Scheduler,
-    /// How many workloads the settings have.
+    /// The number of workloads in the settings.
     workloads: usize,
-    /// The ids of engines by index, and the other way round.
+    /// The ids of the engines by index.
     engines: Vec<String>,
+    /// The indices of the engines by id.
     engine_indices: HashMap<String, usize>,
-    /// The indices of order keys.
+    /// The indices of order keys by name.
     keys: HashMap<String, u32>,
-    /// The numbers of statements by index, and the other way round.
+    /// The numbers of the statements by index.
     statements: Vec<u32>,
+    /// The indices of the statements by number.
     statement_indices: HashMap<u32, u32>,
-    /// What has happened since the last decisions.
+    /// Events since the last decisions.
     events: Vec<Event>,
 }
 
 impl SimulatedFront {
+    /// Creates a front with these settings; the seed drives the random draws of its scheduler.
     pub fn new(agreement: Agreement, seed: u64) -> Self {
         SimulatedFront {
             workloads: agreement.workloads.len(),
@@ -112,7 +117,7 @@
         }
     }
 
-    /// The index of an engine; one that is met for the first time gets the next.
+    /// The index of an engine. An unknown engine gets the next free index.
     fn engine_index(&mut self, id: &str) -> usize {
         if let Some(&index) = self.engine_indices.get(id) {
             return index;
@@ -128,19 +133,19 @@
         Ok(self.engine_index(&id))
     }
 
-    /// The index of an order key; one that is met for the first time gets the next.
+    /// The index of an order key. An unknown key gets the next free index.
     fn order_key_index(&mut self, name: String) -> u32 {
         let next = self.keys.len() as u32;
         *self.keys.entry(name).or_insert(next)
     }
 
-    /// The statement that a line names, if this front has ever received it.
+    /// The index of the statement that a line names; None if this front never received it.
     fn statement_index(&self, line: &Line) -> Result<Option<u32>, LineError> {
         let number = line.field(field::STATEMENT)?;
         Ok(self.statement_indices.get(&number).copied())
     }
 
-    /// Takes one line for this front; `lists` are the engine lists sent so far, by number.
+    /// Handles a line for this front; `lists` holds the engine lists received so far, by number.
     pub fn handle_line(
         &mut self,
         line: &Line,
@@ -218,7 +223,7 @@
         Ok(Event::Arrived(arrival))
     }
 
-    /// The end of an execution; None where its statement is not known.
+    /// Reads the end of an execution; None if its statement is unknown.
     fn ended(&mut self, line: &Line) -> Result<Option<Event>, LineError> {
         let Some(statement) = self.statement_index(line)? else {
             return Ok(None);
@@ -237,7 +242,8 @@
         })))
     }
 
-    /// A note on an execution; None where its statement or the note's kind is not known.
+    /// Reads a progress report on an execution; None if its statement or the kind of the report is
+    /// unknown.
     fn noted(&mut self, line: &Line) -> Result<Option<Event>, LineError> {
         let Some(statement) = self.statement_index(line)? else {
             return Ok(None);
@@ -253,7 +259,7 @@
         }))
     }
 
-    /// Decides on what has happened since the last call and appends the decisions to the reply.
+    /// Decides on all events since the last call and appends the decisions to the reply.
     pub fn decide(&mut self, now: Micros, number: i64, reply: &mut String) {
         if self.events.is_empty() {
             return;
--- a/crates/simulator-adapter/src/wire_names.rs
+++ b/crates/simulator-adapter/src/wire_names.rs
@@ -1,15 +1,15 @@
-//! The names of the simulator's protocol, mapped to the terms that the code uses. This is the one table: elsewhere the
-//! code spells terms alone.
+//! Maps the names of the simulator's protocol to the terms of the code. No other module contains
+//! names of the protocol.
 
-/// Messages of the simulator.
+/// Messages from the simulator.
 pub mod input {
-    /// A batch of messages begins; carries the time.
+    /// Start of a batch of messages; carries the time.
     pub const BATCH_BEGINS: &str = "BEGIN_BATCH";
-    /// A batch is over: the reply is due.
+    /// End of a batch; the adapter then replies.
     pub const BATCH_ENDS: &str = "EOF_BATCH";
-    /// An engine list begins.
+    /// Start of an engine list.
     pub const LIST_BEGINS: &str = "LEDGER";
-    /// An engine of the list that has begun.
+    /// An entry of the engine list that was started.
     pub const LIST_ENTRY: &str = "ENTRY";
     /// A front starts.
     pub const FRONT_STARTS: &str = "ATTACH";
@@ -21,15 +21,15 @@
     pub const EXECUTION_ENDED: &str = "RETURNED";
     /// An engine reports progress of an execution.
     pub const NOTE: &str = "NOTICE";
-    /// The client of a statement no longer waits.
+    /// The client of a statement has disconnected or cancelled it.
     pub const CLIENT_LEFT: &str = "GONE";
-    /// The time that was asked for has come.
+    /// The time that a front asked to be woken at has passed.
     pub const WAKE: &str = "RING";
-    /// A front learns of an engine list.
+    /// A front receives an engine list.
     pub const ENGINE_LIST: &str = "FLEET";
     /// A health check has ended.
     pub const PROBE_ENDED: &str = "PROBE_RESULT";
-    /// Messages that need no decision.
+    /// Messages that are ignored because they require no decision.
     pub const IGNORED: [&str; 2] = ["OPENED", "NOTE_FROM"];
 }
 
@@ -47,13 +47,13 @@
     pub const ABORT: &str = "FAIL";
     /// Probe an engine.
     pub const PROBE: &str = "PROBE";
-    /// Follow the engine list.
+    /// Subscribe to the engine list.
     pub const SUBSCRIBE: &str = "SUBSCRIBE";
     /// Wake the front at a time.
     pub const WAKE_AT: &str = "SET_ALARM";
-    /// The reply to a batch is over.
+    /// End of the reply to a batch.
     pub const REPLY_ENDS: &str = "FINISHED";
-    /// A line for a front can't be used.
+    /// A line for a front was not handled.
     pub const BAD_LINE: &str = "BAIL_OUT";
 }
 
@@ -69,9 +69,9 @@
     pub const SETTINGS: &str = "options";
     /// The number of an engine list.
     pub const LIST: &str = "ref";
-    /// How many entries a list has.
+    /// The number of entries in a list.
     pub const LIST_LENGTH: &str = "entries";
-    /// Whether a list is whole.
+    /// Whether a list contains all engines or only changes.
     pub const LIST_FORM: &str = "form";
     /// An engine's id.
     pub const ENGINE: &str = "engine";
@@ -81,7 +81,7 @@
     pub const KIND: &str = "classOfHost";
     /// An engine's cell.
     pub const CELL: &str = "group";
-    /// Whether an engine takes statements.
+    /// Whether an engine accepts statements.
     pub const MODE: &str = "mode";
     /// When an engine started.
     pub const STARTED: &str = "onlineSinceMs";
@@ -93,7 +93,7 @@
     pub const CUSTOMER: &str = "clientGroup";
     /// A statement's order key.
     pub const ORDER_KEY: &str = "object";
-    /// The time for which a statement's client still waits.
+    /// The remaining time until the deadline of a statement's client.
     pub const TIME_LEFT: &str = "expiresInMs";
     /// A statement's estimated work.
     pub const WORK: &str = "guessMs";
@@ -101,21 +101,21 @@
     pub const MEMORY_MB: &str = "ramMb";
     /// The data set that a statement reads or loads.
     pub const DATA_SET: &str = "tableGroup";
-    /// The number of an execution among those of its statement.
+    /// The number of an execution within its statement.
     pub const EXECUTION: &str = "seqNo";
     /// How an execution or a probe ended.
     pub const OUTCOME: &str = "status";
     /// How long an execution took.
     pub const TOOK: &str = "delaySeenMs";
-    /// Whether the statement of an execution is over.
+    /// Whether the statement of an execution is finished.
     pub const SETTLED: &str = "settled";
-    /// The cost of an execution; its form is checked, nothing uses it.
+    /// The cost of an execution. The adapter checks its form but does not use it.
     pub const COST: &str = "note";
     /// An engine's load report.
     pub const LOAD_REPORT: &str = "gauge";
-    /// What a note is about.
+    /// The kind of a progress report.
     pub const NOTE_KIND: &str = "kind";
-    /// The figure of a note.
+    /// The figure of a progress report.
     pub const NOTE_FIGURE: &str = "amount";
     /// The memory to grant, in MB.
     pub const GRANT_MB: &str = "memoryGrant";
@@ -127,7 +127,7 @@
     pub const WAKE_AT: &str = "fireAtMs";
     /// The name under which a front is woken.
     pub const WAKE_NAME: &str = "ref";
-    /// Whether a front follows the engine list.
+    /// Whether a front subscribes to the engine list.
     pub const FOLLOWS: &str = "enable";
     /// What is wrong with a line.
     pub const REASON: &str = "words";
@@ -135,27 +135,27 @@
 
 /// Values of fields.
 pub mod value {
-    /// Of [`super::field::MODE`]: takes statements.
+    /// Of [`super::field::MODE`]: accepts statements.
     pub const READY: &str = "Ready";
-    /// Of [`super::field::MODE`]: takes no new statements.
+    /// Of [`super::field::MODE`]: accepts no new statements.
     pub const DRAINING: &str = "Terminating";
     /// Of [`super::field::MODE`]: is gone.
     pub const GONE: &str = "Gone";
-    /// Of [`super::field::LIST_FORM`]: engines that have changed.
+    /// Of [`super::field::LIST_FORM`]: only engines that have changed.
     pub const CHANGES: &str = "delta";
     /// Of [`super::field::LIST_FORM`]: all engines.
     pub const FULL: &str = "full";
     /// Of [`super::field::LIST_FORM`]: all engines, as last known.
     pub const CACHED: &str = "cached";
-    /// Of [`super::field::LIST_FORM`]: the list can't be had.
+    /// Of [`super::field::LIST_FORM`]: the list is unavailable.
     pub const FAILED: &str = "failed";
     /// Of [`super::field::OUTCOME`]: completed.
     pub const COMPLETED: &str = "pass";
     /// Of [`super::field::OUTCOME`]: the engine failed.
     pub const ERROR: &str = "fault";
-    /// Of [`super::field::OUTCOME`]: the engine rejected it.
+    /// Of [`super::field::OUTCOME`]: the engine rejected the execution.
     pub const NO_CAPACITY: &str = "no_room";
-    /// Of [`super::field::OUTCOME`]: its time was up.
+    /// Of [`super::field::OUTCOME`]: timed out.
     pub const TIMED_OUT: &str = "too_slow";
     /// Of [`super::field::OUTCOME`]: the engine could not be reached.
     pub const UNREACHABLE: &str = "no_route";
@@ -163,16 +163,17 @@
     pub const RESET: &str = "cut";
     /// Of [`super::field::OUTCOME`]: cancelled.
     pub const CANCELLED: &str = "undone";
-    /// Of [`super::field::OUTCOME`]: it was not sent.
+    /// Of [`super::field::OUTCOME`]: not sent.
     pub const NOT_SENT: &str = "stale_send";
-    /// Of [`super::field::WAKE_NAME`].
+    /// Of [`super::field::WAKE_NAME`]: the only name that the adapter uses.
     pub const WAKE: &str = "wake";
-    /// Of [`super::field::FOLLOWS`].
+    /// Of [`super::field::FOLLOWS`]: subscribes.
     pub const YES: u8 = 1;
     /// Of [`super::field::NOTE_KIND`]: the figure is the share of work done.
     pub const SHARE_DONE: u32 = 1;
     /// Of [`super::field::NOTE_KIND`]: the figure is the memory that is missing, in MB.
     pub const SPILLS_MB: u32 = 2;
-    /// Of [`super::field::NOTE_KIND`]: the execution waits, for memory where the figure is 1.
+    /// Of [`super::field::NOTE_KIND`]: the execution waits, for memory if the figure is 1,
+    /// otherwise for data.
     pub const WAITS: u32 = 3;
 }
