--- a/crates/fleet/src/exchange/reports.rs
+++ b/crates/fleet/src/exchange/reports.rs
@@ -85,7 +85,7 @@
         started: None,
     };
     let is_engine = |id: &str| engine_hash(id) == sighting.engine;
-    dispatcher.peer_report(now, reporter, is_engine, &observation, report.age);
+    dispatcher.record_peer_report(now, reporter, is_engine, &observation, report.age);
 }
 
 /// Converts an observation of an engine to the form sent to other fronts.
--- a/crates/fleet/src/ledger_barrier.rs
+++ b/crates/fleet/src/ledger_barrier.rs
@@ -15,7 +15,7 @@
 
 use hallmux_config::Settings;
 use hallmux_dispatcher::{
-    Micros, Place, PromiseEvent, Site, StatementArrived, StatementOver, Terms, Ticket,
+    EngineIndex, LedgerEvent, Micros, Site, StatementArrived, StatementFinished, Terms, Ticket,
 };
 use hallmux_ledger::{self as ledger, Key, Kind, LedgerAnswer};
 
@@ -41,7 +41,7 @@
     /// The number of the execution among those of its statement.
     pub execution: usize,
     /// The engine that the execution is for.
-    pub place: Place,
+    pub place: EngineIndex,
     /// The deadline and priority of the execution.
     pub terms: Terms,
     /// The location and cell of the engine.
@@ -114,19 +114,19 @@
     pub fn observe(
         &mut self,
         now: Micros,
-        event: PromiseEvent,
+        event: LedgerEvent,
         id: impl Fn(Ticket) -> Option<String>,
     ) {
         match event {
-            PromiseEvent::Arrived(statement) => {
+            LedgerEvent::Arrived(statement) => {
                 let id = id(statement.ticket);
                 self.add_statement(&statement, id);
             }
-            PromiseEvent::KeyKept(key) => self.retain_key(&key),
-            PromiseEvent::KeyFreed { key, may_still_run } => {
+            LedgerEvent::KeyRetained(key) => self.retain_key(&key),
+            LedgerEvent::KeyReleased { key, may_still_run } => {
                 self.release_key(now, &key, may_still_run)
             }
-            PromiseEvent::Over(statement) => self.end_statement(now, statement),
+            LedgerEvent::Finished(statement) => self.end_statement(now, statement),
         }
     }
 
@@ -184,7 +184,7 @@
     }
 
     /// Releases the keys of a statement that has ended and has no execution in flight.
-    fn end_statement(&mut self, now: Micros, over: StatementOver) {
+    fn end_statement(&mut self, now: Micros, over: StatementFinished) {
         let Some(statement) = self.statements.remove(&over.ticket) else {
             return;
         };
--- a/crates/fleet/src/ownership.rs
+++ b/crates/fleet/src/ownership.rs
@@ -224,7 +224,7 @@
     fn recovered(&self, at: ClockReading, dispatcher: &Dispatcher) -> Vec<RecoveredEngine> {
         let since_ms =
             |since: Micros| ((at.now - since).max(0) / 1000).min(Micros::from(u32::MAX)) as u32;
-        let recovered = dispatcher.recovered(at.now).into_iter();
+        let recovered = dispatcher.recoveries(at.now).into_iter();
         recovered
             .map(|recovery| RecoveredEngine {
                 engine: engine_hash(recovery.engine_id),
--- a/crates/front/src/event_loop/admission.rs
+++ b/crates/front/src/event_loop/admission.rs
@@ -107,7 +107,7 @@
         // The statement is over first: else it could be tried anew.
         for sent in withdrawn {
             self.dispatcher
-                .report(now, sent.ticket, sent.number, Ending::Withdrawn, None);
+                .execution_ended(now, sent.ticket, sent.number, Ending::Withdrawn, None);
         }
     }
 
@@ -118,7 +118,7 @@
     fn withdraw_all_held(&mut self, tickets: &[Ticket]) -> Vec<ExecutionId> {
         let of = |ticket: &Ticket| {
             let ticket = *ticket;
-            let out = self.dispatcher.executions_out(ticket).into_iter();
+            let out = self.dispatcher.executions_in_flight(ticket).into_iter();
             out.map(move |number| ExecutionId::new(ticket, number))
         };
         let mut held: Vec<ExecutionId> = tickets.iter().flat_map(of).collect();
--- a/crates/front/src/event_loop/dispatch.rs
+++ b/crates/front/src/event_loop/dispatch.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use hallmux_dispatcher::{Command, Ending, Micros, Place, RejectCause, Ticket};
+use hallmux_dispatcher::{Command, Ending, EngineIndex, Micros, RejectCause, Ticket};
 use hallmux_fleet::ledger_barrier;
 use hallmux_native_codec::statement::{Call, Reply};
 use hallmux_scatter::gather::PartFailure;
@@ -63,7 +63,9 @@
             rules.borrow_mut().execution_ended(judged, execution_id);
         }
         let now = self.clock.now;
-        let is_answered = self.dispatcher.report(now, ticket, number, ending, report);
+        let is_answered = self
+            .dispatcher
+            .execution_ended(now, ticket, number, ending, report);
         if is_answered && !self.end_part(ticket, Ok(result)) {
             self.clients.answer(now, ticket, &Reply::Completed(result));
         }
@@ -272,7 +274,7 @@
             None => {
                 _ = self
                     .dispatcher
-                    .report(now, ticket, execution, Ending::Withdrawn, None)
+                    .execution_ended(now, ticket, execution, Ending::Withdrawn, None)
             }
         }
     }
@@ -286,7 +288,7 @@
                 .iter_mut()
                 .for_each(|gateway| gateway.stop(now, sent, ending));
             self.dispatcher
-                .report(now, sent.ticket, sent.number, Ending::Withdrawn, None);
+                .execution_ended(now, sent.ticket, sent.number, Ending::Withdrawn, None);
         } else if self.is_execution_of_session(sent) {
             self.gateway
                 .iter_mut()
@@ -337,7 +339,7 @@
             Command::Send {
                 ticket,
                 execution,
-                place,
+                engine: place,
                 terms,
             } => self.send_when_allowed(Ordered {
                 judged: self.statement_for_rules(ticket),
@@ -371,9 +373,12 @@
                     self.answer_without_result(ticket, Refusal::Aborted, cause);
                 }
             }
-            Command::Probe { place, for_fleet } => self.probe(place, for_fleet),
+            Command::Probe {
+                engine: place,
+                for_fleet,
+            } => self.probe(place, for_fleet),
             Command::SetConnectionRate { connections } => {
-                self.engines.dials.borrow_mut().pace(now, connections)
+                self.engines.dials.borrow_mut().set_rate(now, connections)
             }
         }
     }
@@ -397,7 +402,7 @@
 
     /// Sends a health check to an engine. One on behalf of the fleet stays here if that work has become another front's
     /// between the decision and now.
-    fn probe(&mut self, place: Place, for_fleet: bool) {
+    fn probe(&mut self, place: EngineIndex, for_fleet: bool) {
         let may_probe = self.peers.as_ref().is_none_or(Peers::may_probe);
         if may_probe || !for_fleet {
             self.engines.probe(self.clock.now, place);
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,4 +1,5 @@
-//! The simulator's protocol: all fronts of this process, and the engine lists that they are sent.
+//! The state of the simulator's protocol: all simulated fronts of this process, and the engine
+//! lists received for them.
 
 use std::collections::BTreeMap;
 
@@ -9,26 +10,27 @@
 use crate::simulated_front::{ListedEngine, SimulatedFront};
 use crate::wire_names::{field, input, output};
 
-/// Characters of a line that a complaint about it quotes.
+/// The number of characters of a bad line that its error report quotes.
 const MAX_QUOTED: usize = 120;
 
-/// What the caller has to do after a line.
+/// What the caller must do after a line was handled.
 #[derive(Debug, PartialEq)]
-pub enum Taken {
-    /// Give the next line.
-    Line,
-    /// Send [`Adapter::take_reply`]: a batch is over.
-    Batch,
+pub enum NextStep {
+    /// Read the next line.
+    ReadLine,
+    /// Send the result of [`Adapter::take_reply`], because a batch has ended.
+    SendReply,
 }
 
-/// An engine list of which entries are still to come.
+/// An engine list of which not all entries were received.
 #[derive(Clone, Copy)]
 struct OpenList {
     number: u32,
     missing: usize,
 }
 
-/// All fronts of this process and the numbered engine lists of the protocol.
+/// The simulated fronts and the engine lists by their numbers in the protocol, and the reply to the
+/// current batch.
 #[derive(Default)]
 pub struct Adapter {
     fronts: BTreeMap<i64, SimulatedFront>,
@@ -39,18 +41,18 @@
 }
 
 impl Adapter {
-    /// Takes one line, without its end.
-    pub fn take(&mut self, text: &str) -> Result<Taken, LineError> {
+    /// Handles one line, without its line ending.
+    pub fn handle_line(&mut self, text: &str) -> Result<NextStep, LineError> {
         let line = Line::new(text);
         if let Some(list) = self.open_list {
-            self.take_entry(list, &line)?;
-            return Ok(Taken::Line);
+            self.add_list_entry(list, &line)?;
+            return Ok(NextStep::ReadLine);
         }
         match line.message {
             input::BATCH_BEGINS => self.now = line.time(field::NOW)?,
             input::BATCH_ENDS => {
                 self.write_reply();
-                return Ok(Taken::Batch);
+                return Ok(NextStep::SendReply);
             }
             input::LIST_BEGINS => self.begin_list(&line)?,
             input::FRONT_STARTS => self.start_front(&line)?,
@@ -61,25 +63,26 @@
                 let number: i64 = line.field(field::FRONT)?;
                 let front = self.fronts.get_mut(&number);
                 let front = front.ok_or(LineError::UnknownFront)?;
-                front.take(&line, &self.lists)?;
+                front.handle_line(&line, &self.lists)?;
             }
         }
-        Ok(Taken::Line)
+        Ok(NextStep::ReadLine)
     }
 
-    /// The reply so far; nothing of it is kept.
+    /// Removes and returns the reply so far.
     pub fn take_reply(&mut self) -> String {
         std::mem::take(&mut self.reply)
     }
 
-    /// Reports a line that can't be used, on standard error and in the reply to its front. `line_number` counts from 1.
-    pub fn complain(&mut self, line_number: u64, text: &str, error: &LineError) {
+    /// Reports a bad line on standard error and, if it names a front, in the reply. `line_number`
+    /// counts from 1.
+    pub fn report_bad_line(&mut self, line_number: u64, text: &str, error: &LineError) {
         let quoted: String = text.chars().take(MAX_QUOTED).collect();
-        let complaint = format!("line {line_number}: {error}, in '{quoted}'");
-        eprintln!("hallmux-drill: {complaint}");
+        let message = format!("line {line_number}: {error}, in '{quoted}'");
+        eprintln!("hallmux-drill: {message}");
         if let Ok(front) = Line::new(text).field::<i64>(field::FRONT) {
             self.reply.push_str(&format!(
-                "{} {}={front} {}={complaint}\n",
+                "{} {}={front} {}={message}\n",
                 output::BAD_LINE,
                 field::FRONT,
                 field::REASON
@@ -95,7 +98,7 @@
         Ok(())
     }
 
-    fn take_entry(&mut self, list: OpenList, line: &Line) -> Result<(), LineError> {
+    fn add_list_entry(&mut self, list: OpenList, line: &Line) -> Result<(), LineError> {
         let OpenList { number, missing } = list;
         if line.message != input::LIST_ENTRY {
             self.open_list = None;
