--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -87,7 +87,7 @@
     names: Names,
     workloads: Vec<Workload>,
     /// Microseconds after its start in which an engine may still be warming up.
-    warm_within: Micros,
+    warm_up_time: Micros,
     /// When the module asked to be called again, in microseconds.
     wake: Micros,
     /// What has happened since the last decisions.
@@ -106,7 +106,7 @@
     promise_events: Vec<PromiseEvent>,
     watched_ends: Vec<Ticket>,
     /// Microseconds that a rejected client is told to wait at most; None where no time may be named.
-    longest_retry_after: Option<Micros>,
+    max_retry_after: Option<Micros>,
 }
 
 impl Dispatcher {
@@ -126,7 +126,7 @@
             scheduler: Scheduler::new(agreement.clone(), seed),
             names: settings.names.clone(),
             workloads: agreement.workloads.clone(),
-            warm_within: agreement.warm_within,
+            warm_up_time: agreement.warm_up_time,
             wake: 0,
             events: Vec::new(),
             next_ticket: 0,
@@ -139,7 +139,7 @@
             customer_demand,
             promise_events: Vec::new(),
             watched_ends: Vec::new(),
-            longest_retry_after: agreement.longest_retry_after,
+            max_retry_after: agreement.max_retry_after,
         }
     }
 
--- a/crates/dispatcher/src/observations.rs
+++ b/crates/dispatcher/src/observations.rs
@@ -131,7 +131,7 @@
 
     /// Engines that had a fault and answer again, while they may still be warming up after it.
     pub fn recovered(&self, now: Micros) -> Vec<Recovery<'_>> {
-        let remembered_for = self.warm_within.max(RECOVERY_REPORTED_FOR);
+        let remembered_for = self.warm_up_time.max(RECOVERY_REPORTED_FOR);
         self.engines
             .iter()
             .filter_map(|engine| {
--- a/crates/dispatcher/src/promises.rs
+++ b/crates/dispatcher/src/promises.rs
@@ -145,7 +145,7 @@
         for execution in held {
             self.report(now, ticket, execution, Ending::Withdrawn, None);
         }
-        let longest = self.longest_retry_after?;
+        let longest = self.max_retry_after?;
         let spread = (f64::from(ticket) * GOLDEN_RATIO).fract();
         Some((longest as f64 * (0.5 + spread / 2.0)) as Micros)
     }
--- a/crates/front/src/event_loop/start.rs
+++ b/crates/front/src/event_loop/start.rs
@@ -48,7 +48,7 @@
             max_clients: 0,
             memory_full: false,
             clients: Clients::new(
-                settings.agreement.longest_retry_after,
+                settings.agreement.max_retry_after,
                 longest_timeout(settings),
             ),
             engines: Engines::new(handle.clone(), settings.network.clone(), &settings.names),
--- a/crates/front/src/postgres/gateway.rs
+++ b/crates/front/src/postgres/gateway.rs
@@ -80,10 +80,7 @@
             timeouts: workloads
                 .map(|(name, w)| (name.clone(), w.statement_timeout))
                 .collect(),
-            retry_after_ms: settings
-                .agreement
-                .longest_retry_after
-                .map(|time| time / 1000),
+            retry_after_ms: settings.agreement.max_retry_after.map(|time| time / 1000),
             shut: None,
             rules,
             writes: Vec::new(),
--- a/src/interface/agreement.rs
+++ b/src/interface/agreement.rs
@@ -140,13 +140,13 @@
     /// The memory of an engine in MB, by its kind; without limit where a kind is missing.
     pub memory_mb: Vec<f64>,
     /// The share of an engine's memory that one statement is granted at most, 0 to 1.
-    pub largest_grant: f64,
+    pub max_grant_share: f64,
     /// Engines apply the memory grants of [`Action::Terms`](super::Action::Terms).
     pub grants: bool,
     /// Engines apply the priorities of [`Action::Terms`](super::Action::Terms).
     pub priorities: bool,
     /// The time between two notes of progress of an execution; 0 where engines send none.
-    pub progress_every: Micros,
+    pub progress_interval: Micros,
     /// How load reports are read.
     pub report: ReportLayout,
     /// Load reports come with answers to probes only.
@@ -160,17 +160,17 @@
     /// Executions that a statement may have, its first included.
     pub max_attempts: usize,
     /// The longest time that a rejection may ask a client to wait; None: rejections name no time.
-    pub longest_retry_after: Option<Micros>,
+    pub max_retry_after: Option<Micros>,
     /// The time for which an order key pauses after an execution that may be running on.
     pub order_gap: Micros,
     /// The share of its capacity with which an engine starts, 0 to 1.
-    pub cold_from: f64,
+    pub initial_capacity_share: f64,
     /// The time from its start after which an engine has its whole capacity.
-    pub warm_within: Micros,
-    /// Times its capacity at the moment: a cold engine that is sent more for the `fall_window` falls over.
+    pub warm_up_time: Micros,
+    /// Times its capacity at the moment: a cold engine that is sent more for the `overload_window` falls over.
     pub overload_factor: f64,
     /// The time over which the overload of a cold engine counts.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
     /// None: retries have no budget.
     pub retry_allowance: Option<RetryAllowance>,
     /// None: each front connects and probes as it needs.
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -76,10 +76,10 @@
     /// No engine is known yet; `first_slot` is drawn by each front, from 0 up to 1.
     pub fn new(agreed: &Agreement, first_slot: f64) -> Self {
         SlowStart {
-            initial_capacity: agreed.cold_from,
-            duration: agreed.warm_within,
+            initial_capacity: agreed.initial_capacity_share,
+            duration: agreed.warm_up_time,
             overload_factor: agreed.overload_factor,
-            overload_window: agreed.fall_window,
+            overload_window: agreed.overload_window,
             first_slot,
             engines: Vec::new(),
         }
--- a/src/policy/slow_start_tests.rs
+++ b/src/policy/slow_start_tests.rs
@@ -11,10 +11,10 @@
 fn warming(fronts: f64) -> SlowStart {
     let mut slow_start = SlowStart::new(
         &Agreement {
-            cold_from: 0.5,
-            warm_within: 10 * SECOND,
+            initial_capacity_share: 0.5,
+            warm_up_time: 10 * SECOND,
             overload_factor: 1.5,
-            fall_window: SECOND,
+            overload_window: SECOND,
             ..Agreement::default()
         },
         0.0,
--- a/src/policy/stuck_attempts.rs
+++ b/src/policy/stuck_attempts.rs
@@ -27,7 +27,7 @@
     /// When its engine was last heard of.
     pub engine_heard_at: Micros,
     /// The time between its progress notes; None where it sends none.
-    pub progress_every: Option<Micros>,
+    pub progress_interval: Option<Micros>,
     /// Its expected run in microseconds.
     pub expected_run: f64,
 }
@@ -47,7 +47,7 @@
     running_since: Micros,
     now: Micros,
 ) -> SilenceOutcome {
-    let (heard, patience) = match attempt.progress_every {
+    let (heard, patience) = match attempt.progress_interval {
         None => (
             attempt.sent_at.max(attempt.engine_heard_at),
             SECOND as f64 + MAX_SILENT_RUNS * attempt.expected_run,
--- a/src/policy/stuck_attempts_tests.rs
+++ b/src/policy/stuck_attempts_tests.rs
@@ -6,12 +6,12 @@
 
 const SECOND: i64 = 1_000_000;
 
-fn attempt(progress_every: Option<i64>) -> InFlightAttempt {
+fn attempt(progress_interval: Option<i64>) -> InFlightAttempt {
     InFlightAttempt {
         sent_at: 0,
         heard_at: 0,
         engine_heard_at: 0,
-        progress_every,
+        progress_interval,
         expected_run: 500_000.0,
     }
 }
--- a/src/scheduler/admit.rs
+++ b/src/scheduler/admit.rs
@@ -61,7 +61,7 @@
             .memory_need(arrival.workload, arrival.memory_mb);
         let kinds = self.agreed.memory_mb.iter().copied();
         let smallest = kinds.fold(f64::INFINITY, f64::min);
-        need.min(smallest * self.agreed.largest_grant)
+        need.min(smallest * self.agreed.max_grant_share)
     }
 
     /// The fleet's demand changed: what is admitted follows the penalty at the fleet's conformance.
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -159,7 +159,7 @@
 
     /// The memory that an engine is to grant, in MB; 0 leaves it to the engine.
     fn memory_grant(&self, statement: &Statement, engine: EngineId) -> f64 {
-        let most = self.engines.size[engine].memory * self.agreed.largest_grant;
+        let most = self.engines.size[engine].memory * self.agreed.max_grant_share;
         if self.agreed.grants && statement.asked.memory_mb > 0.0 {
             Estimates::memory_grant(statement.load.memory, most)
         } else {
--- a/src/scheduler/expire.rs
+++ b/src/scheduler/expire.rs
@@ -61,7 +61,7 @@
         let action = match answer_without_result(self.workload(statement), may_have_run) {
             Answer::Reject => Action::Reject {
                 statement: id,
-                retry_after: retry_after(self.random.next(), self.agreed.longest_retry_after),
+                retry_after: retry_after(self.random.next(), self.agreed.max_retry_after),
                 reason,
             },
             Answer::Abort => Action::Abort {
--- a/src/scheduler/sweep.rs
+++ b/src/scheduler/sweep.rs
@@ -77,12 +77,12 @@
         let sends_progress = self.engines.listed[engine]
             .as_ref()
             .is_some_and(|entry| entry.sends_progress);
-        let agreed = Some(self.agreed.progress_every).filter(|every| *every != 0);
+        let agreed = Some(self.agreed.progress_interval).filter(|every| *every != 0);
         InFlightAttempt {
             sent_at: known.sent_at,
             heard_at: known.heard_at,
             engine_heard_at: self.engines.heard_at[engine],
-            progress_every: agreed.filter(|_| sends_progress),
+            progress_interval: agreed.filter(|_| sends_progress),
             expected_run: self.expected_run(statement),
         }
     }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -41,7 +41,7 @@
             fronts: 1.0,
             max_attempts: 3,
             cores: vec![8.0],
-            largest_grant: 1.0,
+            max_grant_share: 1.0,
             beyond_share_weight: 0.1,
             ..Agreement::default()
         };
