--- a/crates/dispatcher/src/executions.rs
+++ b/crates/dispatcher/src/executions.rs
@@ -1,6 +1,6 @@
 //! Executions: the attempts of a statement at engines, from the command that sends one until its end.
 
-use hallmux::interface::{Event, Micros, Note};
+use hallmux::interface::{Event, Micros, ProgressReport};
 
 use crate::{Dispatcher, Ending, Place, Ticket};
 
@@ -65,18 +65,18 @@
     }
 
     /// Something is learned of an execution that is in flight; nothing happens where it is not.
-    pub fn note(&mut self, ticket: Ticket, execution: usize, note: Note) {
+    pub fn note(&mut self, ticket: Ticket, execution: usize, progress: ProgressReport) {
         let Some(statement) = self.statements.get(&ticket) else {
             return;
         };
         let Some(noted) = statement.execution_in_flight(execution) else {
             return;
         };
-        self.events.push(Event::Noted {
+        self.events.push(Event::Progress {
             statement: ticket,
             execution,
             engine: noted.engine,
-            note,
+            progress,
         });
     }
 
@@ -101,11 +101,11 @@
         self.engines[changed.engine].change_held(now, changed.held, held);
         changed.held = held;
         changed.sent = now;
-        self.events.push(Event::Noted {
+        self.events.push(Event::Progress {
             statement: ticket,
             execution,
             engine: changed.engine,
-            note: Note::NotSentYet,
+            progress: ProgressReport::NotSentYet,
         });
     }
 }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -56,7 +56,9 @@
 pub use ending::Ending;
 pub use engines::{ListScope, Listing};
 pub use executions::Terms;
-pub use hallmux::interface::{DedupGroup, Demand, Effect, FleetDemand, Micros, Mode, Note};
+pub use hallmux::interface::{
+    DedupGroup, Demand, Effect, FleetDemand, Micros, Mode, ProgressReport,
+};
 pub use observations::{EngineObservation, Recovery};
 pub use promises::{PromiseEvent, Site, StatementArrived, StatementOver};
 pub use reject_cause::RejectCause;
--- a/crates/front/src/engines.rs
+++ b/crates/front/src/engines.rs
@@ -16,7 +16,7 @@
 
 use calloop::LoopHandle;
 use hallmux_config::{Names, NetworkSettings};
-use hallmux_dispatcher::{Ending, Micros, Note, Place, Ticket};
+use hallmux_dispatcher::{Ending, Micros, Place, ProgressReport, Ticket};
 
 use crate::dial_pacer::{self, DialPacer};
 use crate::events::LoopEvents;
@@ -46,7 +46,7 @@
     /// An execution goes on.
     Noted {
         execution_id: ExecutionId,
-        note: Note,
+        note: ProgressReport,
     },
     /// The outcome of a health check.
     Probed {
--- a/crates/front/src/engines/replies.rs
+++ b/crates/front/src/engines/replies.rs
@@ -2,7 +2,7 @@
 
 use std::io::{Error, ErrorKind};
 
-use hallmux_dispatcher::{Ending, Micros, Note};
+use hallmux_dispatcher::{Ending, Micros, ProgressReport};
 use hallmux_native_codec::engine::{self, Command, Reply, ReplyKind};
 use hallmux_native_codec::{Decoded, ParseError};
 
@@ -292,12 +292,12 @@
 }
 
 /// What a reply notes of an execution that goes on.
-fn note_of(kind: &ReplyKind) -> Option<Note> {
+fn note_of(kind: &ReplyKind) -> Option<ProgressReport> {
     match *kind {
-        ReplyKind::ShareDone(share) => Some(Note::ShareDone(share)),
-        ReplyKind::SpillsMb(mb) => Some(Note::SpillsMb(mb)),
-        ReplyKind::WaitsForMemory => Some(Note::WaitsForMemory),
-        ReplyKind::WaitsForData => Some(Note::WaitsForData),
+        ReplyKind::ShareDone(share) => Some(ProgressReport::ShareDone(share)),
+        ReplyKind::SpillsMb(mb) => Some(ProgressReport::SpillsMb(mb)),
+        ReplyKind::WaitsForMemory => Some(ProgressReport::WaitsForMemory),
+        ReplyKind::WaitsForData => Some(ProgressReport::WaitsForData),
         _ => None,
     }
 }
--- a/crates/front/src/postgres/gateway/server_events.rs
+++ b/crates/front/src/postgres/gateway/server_events.rs
@@ -1,6 +1,6 @@
 //! What engines have answered, and how executions have ended, for sessions and the dispatcher.
 
-use hallmux_dispatcher::{Dispatcher, Ending, Micros, Note, Ticket};
+use hallmux_dispatcher::{Dispatcher, Ending, Micros, ProgressReport, Ticket};
 use hallmux_postgres::client_error::ClientError;
 use hallmux_postgres::engine::UnitOutcome;
 
@@ -78,7 +78,7 @@
                 ending,
             } => self.execution_ended(now, dispatcher, execution_id, ending),
             Event::Alive(ExecutionId { ticket, number }) => {
-                dispatcher.note(ticket, number, Note::Alive)
+                dispatcher.note(ticket, number, ProgressReport::Alive)
             }
             Event::TransactionLost { session } => self.sessions.transaction_lost(session),
         }
--- a/crates/simulator-adapter/src/simulated_front.rs
+++ b/crates/simulator-adapter/src/simulated_front.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use hallmux::interface::{
-    Action, Agreement, Arrival, Ended, EngineEntry, Event, Micros, Mode, Note, Outcome,
+    Action, Agreement, Arrival, Ended, EngineEntry, Event, Micros, Mode, Outcome, ProgressReport,
 };
 use hallmux::Scheduler;
 
@@ -62,13 +62,13 @@
 }
 
 /// What a note says; None where it is of a kind that is not known.
-fn note(line: &Line) -> Result<Option<Note>, LineError> {
+fn note(line: &Line) -> Result<Option<ProgressReport>, LineError> {
     let figure = line.number_or(field::NOTE_FIGURE, 0.0)?;
     let note = match line.field::<u32>(field::NOTE_KIND)? {
-        value::SHARE_DONE => Note::ShareDone(figure),
-        value::SPILLS_MB => Note::SpillsMb(figure),
-        value::WAITS if figure == 1.0 => Note::WaitsForMemory,
-        value::WAITS => Note::WaitsForData,
+        value::SHARE_DONE => ProgressReport::ShareDone(figure),
+        value::SPILLS_MB => ProgressReport::SpillsMb(figure),
+        value::WAITS if figure == 1.0 => ProgressReport::WaitsForMemory,
+        value::WAITS => ProgressReport::WaitsForData,
         _ => return Ok(None),
     };
     Ok(Some(note))
@@ -242,14 +242,14 @@
         let Some(statement) = self.statement(line)? else {
             return Ok(None);
         };
-        let Some(note) = note(line)? else {
+        let Some(progress) = note(line)? else {
             return Ok(None);
         };
-        Ok(Some(Event::Noted {
+        Ok(Some(Event::Progress {
             statement,
             execution: line.field(field::EXECUTION)?,
             engine: self.engine_of(line)?,
-            note,
+            progress,
         }))
     }
 
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -25,7 +25,7 @@
 
 /// What is learned of an execution in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum ProgressReport {
     /// The share of its work that is done, 0 to 1.
     ShareDone(f64),
     /// It has too little memory and spills to disk: the memory that it lacks, in MB.
@@ -157,7 +157,7 @@
     /// An execution ended.
     Ended(Ended),
     /// Something is learned of an execution in flight.
-    Noted {
+    Progress {
         /// The statement that the execution is of.
         statement: StatementId,
         /// The number of the execution among those of its statement, from 0.
@@ -165,7 +165,7 @@
         /// The engine that it was sent to.
         engine: EngineId,
         /// What is learned.
-        note: Note,
+        progress: ProgressReport,
     },
     /// The client of a statement left; the statement is over.
     ClientLeft(StatementId),
--- a/src/scheduler/observe.rs
+++ b/src/scheduler/observe.rs
@@ -2,7 +2,8 @@
 
 use crate::engine_table::{size_of, AttemptId};
 use crate::interface::{
-    Ended, EngineEntry, EngineId, Event, KeyId, Micros, Mode, Note, Outcome, Report, StatementId,
+    Ended, EngineEntry, EngineId, Event, KeyId, Micros, Mode, Outcome, ProgressReport, Report,
+    StatementId,
 };
 use crate::load::Load;
 use crate::policy::concurrency_limit::{AnsweredAttempt, ConcurrencyLimits, LimitScope};
@@ -23,12 +24,12 @@
             Event::Woken => {}
             Event::Arrived(arrival) => self.arrived(arrival),
             Event::Ended(ended) => self.ended(ended),
-            Event::Noted {
+            Event::Progress {
                 statement,
                 execution: number,
                 engine,
-                note,
-            } => self.noted(AttemptId { statement, number }, engine, note),
+                progress,
+            } => self.noted(AttemptId { statement, number }, engine, progress),
             Event::ClientLeft(id) => self.close(id, Timeliness::NotTimely),
             Event::OrderKeyFreed { key, pauses } => self.order_key_freed(key, pauses),
             Event::PeerReport(report) => self.peer_reported(report),
@@ -116,7 +117,7 @@
             .reported(&at, report, typical, self.clock.now);
     }
 
-    fn noted(&mut self, attempt: AttemptId, engine: EngineId, note: Note) {
+    fn noted(&mut self, attempt: AttemptId, engine: EngineId, progress: ProgressReport) {
         let AttemptId { statement, number } = attempt;
         let Some(statement) = self.statements.get_mut(&statement) else {
             return;
@@ -124,13 +125,15 @@
         let Some(known) = statement.attempt_at(number, engine) else {
             return;
         };
-        if known.noted(self.clock.now, note) {
+        if known.noted(self.clock.now, progress) {
             self.engines.heard_at[engine] = self.clock.now;
         }
-        match (note, statement.asked.data_set) {
-            (Note::SpillsMb(lacks), _) => self.spilled(attempt, lacks),
-            (Note::WaitsForData, Some(data_set)) => self.data_set_locked(attempt, engine, data_set),
-            (Note::ShareDone(done), _) => self.progressed(attempt, engine, done),
+        match (progress, statement.asked.data_set) {
+            (ProgressReport::SpillsMb(lacks), _) => self.spilled(attempt, lacks),
+            (ProgressReport::WaitsForData, Some(data_set)) => {
+                self.data_set_locked(attempt, engine, data_set)
+            }
+            (ProgressReport::ShareDone(done), _) => self.progressed(attempt, engine, done),
             _ => {}
         }
     }
--- a/src/statement.rs
+++ b/src/statement.rs
@@ -1,6 +1,6 @@
 //! A statement from its arrival until it is over and nothing is in flight for it.
 
-use crate::interface::{Arrival, EngineEntry, EngineId, Micros, Note, Outcome, Workload};
+use crate::interface::{Arrival, EngineEntry, EngineId, Micros, Outcome, ProgressReport, Workload};
 use crate::load::Load;
 
 /// Priority that engines take a statement to have before they are told.
@@ -25,8 +25,8 @@
 
 impl Attempt {
     /// There is word of it: whether that tells of its engine too. One that has not left is sent from then on.
-    pub fn noted(&mut self, now: Micros, note: Note) -> bool {
-        let has_left = note != Note::NotSentYet;
+    pub fn noted(&mut self, now: Micros, progress: ProgressReport) -> bool {
+        let has_left = progress != ProgressReport::NotSentYet;
         self.heard_at = now;
         if !has_left {
             self.sent_at = now;
--- a/tests/notation/mod.rs
+++ b/tests/notation/mod.rs
@@ -4,7 +4,7 @@
 
 use hallmux::interface::{
     Action, Agreement, Arrival, DedupGroup, Demand, Effect, Ended, EngineBudgets, EngineEntry,
-    Event, FleetDemand, KeyId, Micros, Mode, Note, Outcome, PeerReport, RetryAllowance,
+    Event, FleetDemand, KeyId, Micros, Mode, Outcome, PeerReport, ProgressReport, RetryAllowance,
     StatementId, Workload,
 };
 
@@ -295,16 +295,16 @@
 
     fn note(&mut self, words: &[&str]) -> Option<Event> {
         let options = Options::of(&words[2..]);
-        let note = match options.get("spills") {
-            Some(lacks) => Note::SpillsMb(number(lacks)),
-            None if options.has("waits") => Note::WaitsForData,
-            None => Note::ShareDone(options.number("done")),
+        let progress = match options.get("spills") {
+            Some(lacks) => ProgressReport::SpillsMb(number(lacks)),
+            None if options.has("waits") => ProgressReport::WaitsForData,
+            None => ProgressReport::ShareDone(options.number("done")),
         };
-        Some(Event::Noted {
+        Some(Event::Progress {
             statement: self.statement(words[1]),
             execution: options.place("execution"),
             engine: self.engines.known(words[2])?,
-            note,
+            progress,
         })
     }
 
