--- a/crates/dispatcher/src/completion.rs
+++ b/crates/dispatcher/src/completion.rs
@@ -1,6 +1,6 @@
 //! The end of executions and statements; what nobody needs any more is let go.
 
-use hallmux::interface::{Ended, Event, Micros, Report};
+use hallmux::interface::{Event, ExecutionEnded, LoadReport, Micros};
 
 use crate::promises::{PromiseEvent, StatementOver};
 use crate::{Deadline, Dispatcher, Ending, Ticket};
@@ -15,7 +15,7 @@
         ticket: Ticket,
         execution: usize,
         ending: Ending,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) -> bool {
         let Some(statement) = self.statements.get_mut(&ticket) else {
             return false;
@@ -31,7 +31,7 @@
         statement.over |= ends_statement;
         let settled = statement.over;
         let keeps_order_key = ends_statement && self.share_order_key(ticket, ending);
-        self.events.push(Event::Ended(Ended {
+        self.events.push(Event::ExecutionEnded(ExecutionEnded {
             statement: ticket,
             execution,
             engine,
@@ -76,7 +76,7 @@
         let undecided = |e: &Event| matches!(e, Event::Arrived(a) if a.statement == ticket);
         match self.events.iter().position(undecided) {
             Some(index) => _ = self.events.remove(index),
-            None => self.events.push(Event::ClientLeft(ticket)),
+            None => self.events.push(Event::StatementWithdrawn(ticket)),
         }
         self.forget(now, ticket);
     }
@@ -86,7 +86,7 @@
         let Some(key) = self.order_keys.id(name) else {
             return;
         };
-        self.events.push(Event::OrderKeyFreed {
+        self.events.push(Event::OrderKeyReleased {
             key,
             pauses: may_still_run,
         });
--- a/crates/dispatcher/src/demand_tests.rs
+++ b/crates/dispatcher/src/demand_tests.rs
@@ -31,7 +31,7 @@
     assert_eq!(counts(&mut d, 2_000_000)[0], (0.5, 0.52, 0.52));
     // The fleet admits no lookup: it ends when it comes.
     let none = Demand {
-        asked: 100.0,
+        arrived: 100.0,
         ended: 0.0,
         timely: 0.0,
         work: 1.0,
--- a/crates/dispatcher/src/engines.rs
+++ b/crates/dispatcher/src/engines.rs
@@ -1,6 +1,6 @@
 //! The engine list: each engine has an index, kept while it is listed or has executions in flight.
 
-use hallmux::interface::{EngineEntry, Event, Micros, Mode, Report};
+use hallmux::interface::{EngineEntry, Event, LoadReport, Micros, Mode};
 
 use crate::engine_stats::EngineStats;
 use crate::request::Protocol;
@@ -96,8 +96,8 @@
 impl Dispatcher {
     /// Takes the engine list or changes of it, and returns the index of each line's engine, in order.
     pub fn update_engines(&mut self, scope: ListScope, listings: &[Listing]) -> Vec<Place> {
-        let whole = scope == ListScope::Full;
-        if whole {
+        let complete = scope == ListScope::Full;
+        if complete {
             self.mark_missing_as_gone(listings);
         }
         let mut entries = Vec::new();
@@ -117,7 +117,7 @@
             entries.push(entry);
         }
         let indices = entries.iter().map(|entry| entry.engine).collect();
-        self.events.push(Event::Engines { whole, entries });
+        self.events.push(Event::EngineList { complete, entries });
         indices
     }
 
@@ -178,7 +178,13 @@
     }
 
     /// A probe ended: whether the engine answered, and the load report that it answered with.
-    pub fn probe_ended(&mut self, now: Micros, place: Place, alive: bool, report: Option<Report>) {
+    pub fn probe_ended(
+        &mut self,
+        now: Micros,
+        place: Place,
+        alive: bool,
+        report: Option<LoadReport>,
+    ) {
         if let Some(engine) = self.engines.get_mut(place).filter(|_| alive) {
             engine.stats.fade(now);
             engine.stats.record_answer(now);
--- a/crates/dispatcher/src/observations.rs
+++ b/crates/dispatcher/src/observations.rs
@@ -157,8 +157,8 @@
             started: Some(since),
             ..engine.entry.clone()
         };
-        self.events.push(Event::Engines {
-            whole: false,
+        self.events.push(Event::EngineList {
+            complete: false,
             entries: vec![entry],
         });
     }
--- a/crates/dispatcher/src/promises.rs
+++ b/crates/dispatcher/src/promises.rs
@@ -139,7 +139,7 @@
         statement.over = true;
         let held: Vec<usize> = statement.in_flight().collect();
         if held.is_empty() {
-            self.events.push(Event::ClientLeft(ticket));
+            self.events.push(Event::StatementWithdrawn(ticket));
             self.forget(now, ticket);
         }
         for execution in held {
--- a/crates/dispatcher/src/reject_cause_tests.rs
+++ b/crates/dispatcher/src/reject_cause_tests.rs
@@ -16,6 +16,6 @@
         assert!(page.contains(&format!("| `{word}` |")), "{word}");
     }
     for reason in RejectReason::ALL {
-        assert_eq!(RejectCause::Scheduler(reason).to_string(), reason.word());
+        assert_eq!(RejectCause::Scheduler(reason).to_string(), reason.name());
     }
 }
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -177,7 +177,7 @@
 fn relative_load(own_work: f64, workloads: &[Demand], fronts: usize) -> f64 {
     let total: f64 = workloads
         .iter()
-        .map(|demand| demand.work * demand.asked)
+        .map(|demand| demand.work * demand.arrived)
         .sum();
     let mean = total / fronts.max(1) as f64;
     if mean > 0.0 {
@@ -205,7 +205,7 @@
         .filter(|load| load.service_us > 0)
         .map(|load| f64::from(load.service_us));
     Demand {
-        asked: sum_of(reports, name, |load| load.requested),
+        arrived: sum_of(reports, name, |load| load.requested),
         ended: completed,
         timely: sum_of(reports, name, |load| load.on_time).min(completed),
         work: median(service_us.collect()),
--- a/crates/fleet/src/load_tests.rs
+++ b/crates/fleet/src/load_tests.rs
@@ -23,7 +23,7 @@
     let rows: Vec<_> = all
         .workloads
         .iter()
-        .map(|o| (o.asked, o.ended, o.timely, o.work))
+        .map(|o| (o.arrived, o.ended, o.timely, o.work))
         .collect();
     assert_eq!(
         rows,
@@ -76,7 +76,7 @@
         workloads: offers,
     } = merge(&reports, &[1]);
     assert_eq!(
-        (missed, offers[0].asked, offers[0].timely),
+        (missed, offers[0].arrived, offers[0].timely),
         (0.0, 130.0, 90.0)
     );
     // More in time than ended, and a workload that nobody knows.
--- a/crates/simulator-adapter/src/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -2,7 +2,7 @@
 
 use std::str::FromStr;
 
-use hallmux::interface::{Micros, Report};
+use hallmux::interface::{LoadReport, Micros};
 use hallmux_config::micros;
 
 use crate::error::LineError;
@@ -88,12 +88,12 @@
     }
 
     /// The load report of an engine, where the line has one.
-    pub fn load_report(&self) -> Result<Option<Report>, LineError> {
+    pub fn load_report(&self) -> Result<Option<LoadReport>, LineError> {
         let Some(row) = self.find(field::LOAD_REPORT).filter(|row| !row.is_empty()) else {
             return Ok(None);
         };
         let figure = |text: &str| text.parse::<f64>().ok().filter(|value| value.is_finite());
-        let report: Option<Report> = row.split(',').map(figure).collect();
+        let report: Option<LoadReport> = row.split(',').map(figure).collect();
         let unreadable = || LineError::UnreadableField {
             field: field::LOAD_REPORT,
             value: row.to_string(),
--- a/crates/simulator-adapter/src/simulated_front.rs
+++ b/crates/simulator-adapter/src/simulated_front.rs
@@ -3,7 +3,8 @@
 use std::collections::{BTreeMap, HashMap};
 
 use hallmux::interface::{
-    Action, Agreement, Arrival, Ended, EngineEntry, Event, Micros, Mode, Outcome, ProgressReport,
+    Action, Agreement, Arrival, EngineEntry, Event, ExecutionEnded, Micros, Mode, Outcome,
+    ProgressReport,
 };
 use hallmux::Scheduler;
 
@@ -150,7 +151,7 @@
             input::ARRIVAL => Some(self.arrived(line)?),
             input::EXECUTION_ENDED => self.ended(line)?,
             input::NOTE => self.noted(line)?,
-            input::CLIENT_LEFT => self.statement(line)?.map(Event::ClientLeft),
+            input::CLIENT_LEFT => self.statement(line)?.map(Event::StatementWithdrawn),
             input::WAKE => Some(Event::Woken),
             input::ENGINE_LIST => Some(self.listed(line, lists)?),
             input::PROBE_ENDED => Some(self.probed(line)?),
@@ -174,10 +175,10 @@
         line: &Line,
         lists: &BTreeMap<u32, Vec<ListedEngine>>,
     ) -> Result<Event, LineError> {
-        let whole = match line.field::<String>(field::LIST_FORM)?.as_str() {
+        let complete = match line.field::<String>(field::LIST_FORM)?.as_str() {
             value::CHANGES => false,
             value::FULL | value::CACHED => true,
-            value::FAILED => return Ok(Event::ListFailed),
+            value::FAILED => return Ok(Event::EngineListFailed),
             other => return Err(unknown_word(field::LIST_FORM, other)),
         };
         let number: u32 = line.field(field::LIST)?;
@@ -189,7 +190,7 @@
                 ..listed.entry.clone()
             });
         }
-        Ok(Event::Engines { whole, entries })
+        Ok(Event::EngineList { complete, entries })
     }
 
     fn arrived(&mut self, line: &Line) -> Result<Event, LineError> {
@@ -225,7 +226,7 @@
         };
         let outcome = outcome(line)?;
         line.optional::<u64>(field::COST)?;
-        Ok(Some(Event::Ended(Ended {
+        Ok(Some(Event::ExecutionEnded(ExecutionEnded {
             statement,
             execution: line.field(field::EXECUTION)?,
             engine: self.engine_of(line)?,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -19,8 +19,10 @@
 pub use agreement::{
     Agreement, DedupGroup, Effect, EngineBudgets, ReportLayout, RetryAllowance, Workload,
 };
-pub use engines::{EngineEntry, Mode, Report};
-pub use events::{Arrival, Demand, Ended, Event, FleetDemand, Outcome, PeerReport, ProgressReport};
+pub use engines::{EngineEntry, LoadReport, Mode};
+pub use events::{
+    Arrival, Demand, Event, ExecutionEnded, FleetDemand, Outcome, PeerReport, ProgressReport,
+};
 pub use reject_reason::RejectReason;
 
 /// A time or a length of time on the caller's clock, in microseconds.
--- a/src/interface/agreement.rs
+++ b/src/interface/agreement.rs
@@ -1,6 +1,6 @@
 //! What was agreed with the clients and what the site allows.
 
-use super::{EngineEntry, Micros, Report};
+use super::{EngineEntry, LoadReport, Micros};
 
 /// What may be done with a statement that may already have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -80,21 +80,21 @@
 }
 
 impl ReportLayout {
-    fn read(place: Option<usize>, report: &Report) -> Option<f64> {
+    fn read(place: Option<usize>, report: &LoadReport) -> Option<f64> {
         place.and_then(|place| report.get(place)).copied()
     }
 
     /// The statements that an engine has by its report. Where that is missing, the share of busy cores times
     /// `of_busy`, the statements that all its cores come to, and those that wait for memory stand in for it.
     /// None where the report holds neither.
-    pub fn active_statements(&self, report: &Report, of_busy: f64) -> Option<f64> {
+    pub fn active_statements(&self, report: &LoadReport, of_busy: f64) -> Option<f64> {
         let waiting = || Self::read(self.waiting, report).unwrap_or(0.0);
         let busy = || Some(Self::read(self.busy, report)? * of_busy + waiting());
         Self::read(self.active, report).or_else(busy)
     }
 
     /// The share of the memory that is granted, 0 to 1; None where the report does not hold it.
-    pub fn granted_memory(&self, report: &Report) -> Option<f64> {
+    pub fn granted_memory(&self, report: &LoadReport) -> Option<f64> {
         Self::read(self.memory_granted, report)
     }
 
--- a/src/interface/engines.rs
+++ b/src/interface/engines.rs
@@ -46,4 +46,4 @@
 }
 
 /// A load report: the figures in the order that the agreement names.
-pub type Report = Vec<f64>;
+pub type LoadReport = Vec<f64>;
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,6 +1,6 @@
 //! What happens outside the module.
 
-use super::{EngineEntry, EngineId, KeyId, Micros, Report, StatementId};
+use super::{EngineEntry, EngineId, KeyId, LoadReport, Micros, StatementId};
 
 /// How an execution ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -69,7 +69,7 @@
 
 /// The end of an execution.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct ExecutionEnded {
     /// The statement that the execution is of.
     pub statement: StatementId,
     /// The number of the execution among those of its statement, from 0.
@@ -82,10 +82,10 @@
     pub took: Micros,
     /// The statement has its final answer, through this outcome or before it.
     pub settled: bool,
-    /// Its transaction goes on and keeps its order key until [`Event::OrderKeyFreed`].
+    /// Its transaction goes on and keeps its order key until [`Event::OrderKeyReleased`].
     pub keeps_order_key: bool,
     /// The engine's load report, where the answer carries one.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// What another front reports of an engine.
@@ -117,7 +117,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
     /// Statements that arrived.
-    pub asked: f64,
+    pub arrived: f64,
     /// Statements, of those admitted, that had their final answer.
     pub ended: f64,
     /// Statements, of those ended, that were answered within their SLO time.
@@ -143,19 +143,19 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The engine list.
-    Engines {
+    EngineList {
         /// The entries are the whole list: an engine that is missing takes nothing new. Else only what
         /// changed.
-        whole: bool,
+        complete: bool,
         /// The lines of the list.
         entries: Vec<EngineEntry>,
     },
     /// A subscription to the engine list failed or broke.
-    ListFailed,
+    EngineListFailed,
     /// A statement arrived. It has exactly one final answer: an answer of an engine, a rejection or an abort.
     Arrived(Arrival),
     /// An execution ended.
-    Ended(Ended),
+    ExecutionEnded(ExecutionEnded),
     /// Something is learned of an execution in flight.
     Progress {
         /// The statement that the execution is of.
@@ -168,9 +168,9 @@
         progress: ProgressReport,
     },
     /// The client of a statement left; the statement is over.
-    ClientLeft(StatementId),
+    StatementWithdrawn(StatementId),
     /// A transaction that kept an order key is over.
-    OrderKeyFreed {
+    OrderKeyReleased {
         /// The order key.
         key: KeyId,
         /// The transaction may still run: the key pauses for the `order_gap` of the agreement.
@@ -183,7 +183,7 @@
         /// It answered.
         alive: bool,
         /// The load report that it answered with.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// Another front reported on an engine.
     PeerReport(PeerReport),
--- a/src/interface/reject_reason.rs
+++ b/src/interface/reject_reason.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// Why a statement was rejected or aborted. The word that [`RejectReason::word`] gives stands in the log line of
+/// Why a statement was rejected or aborted. The word that [`RejectReason::name`] gives stands in the log line of
 /// level `debug` and in `docs/on-call.md`; nothing of it goes to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
@@ -47,7 +47,7 @@
     ];
 
     /// Its word in the log, the same as the variant's name.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             RejectReason::OverFleetQuota => "OverFleetQuota",
             RejectReason::TooLate => "TooLate",
@@ -66,6 +66,6 @@
 
 impl fmt::Display for RejectReason {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(self.word())
+        f.write_str(self.name())
     }
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -149,27 +149,28 @@
         let answered = if late { demand.timely } else { demand.ended };
         demand.work * ADMITTED_PER_ANSWERED * answered
     };
-    let asked: f64 = fleet.workloads.iter().map(Demand::work_asked).sum();
+    let arrived: f64 = fleet.workloads.iter().map(Demand::arrived_work).sum();
     let served: f64 = fleet.workloads.iter().map(served).sum();
-    served.max(MIN_ADMITTED_SHARE * asked)
+    served.max(MIN_ADMITTED_SHARE * arrived)
 }
 
 /// Of each customer the share of what it asks a second that is beyond its own.
-fn beyond_shares(asked: &[f64], agreed: &[f64]) -> Vec<f64> {
-    let beyond = |(asked, own): (&f64, &f64)| (asked - own).max(0.0) / asked.max(f64::MIN_POSITIVE);
-    asked.iter().zip(agreed).map(beyond).collect()
+fn beyond_shares(arrived: &[f64], agreed: &[f64]) -> Vec<f64> {
+    let beyond =
+        |(arrived, own): (&f64, &f64)| (arrived - own).max(0.0) / arrived.max(f64::MIN_POSITIVE);
+    arrived.iter().zip(agreed).map(beyond).collect()
 }
 
 impl Demand {
     /// What of it is within customers' shares and what beyond: of those within more came in time.
     fn split(&self, beyond: f64) -> [Demand; 2] {
         let within = Demand {
-            asked: self.asked * (1.0 - beyond),
-            timely: self.timely.min(self.asked * (1.0 - beyond)),
+            arrived: self.arrived * (1.0 - beyond),
+            timely: self.timely.min(self.arrived * (1.0 - beyond)),
             ..*self
         };
         let beyond = Demand {
-            asked: self.asked * beyond,
+            arrived: self.arrived * beyond,
             timely: self.timely - within.timely,
             ..*self
         };
@@ -178,12 +179,12 @@
 
     /// The share of what was asked that was answered in time, with so many timely ones on top.
     fn conformance(&self, on_top: f64) -> f64 {
-        (self.timely + on_top) / (self.asked + on_top)
+        (self.timely + on_top) / (self.arrived + on_top)
     }
 
     /// What all that was asked takes on one thread, in microseconds.
-    fn work_asked(&self) -> f64 {
-        self.work * self.asked
+    fn arrived_work(&self) -> f64 {
+        self.work * self.arrived
     }
 }
 
@@ -193,11 +194,11 @@
     let mut shares = vec![1.0; demands.len()];
     let mut ranked: Vec<(f64, usize)> = (0..demands.len()).map(|d| (rank(d), d)).collect();
     ranked.sort_by(|a, b| b.0.total_cmp(&a.0));
-    let some_work = |(_, d): &(f64, usize)| demands[*d].work_asked() > 0.0;
+    let some_work = |(_, d): &(f64, usize)| demands[*d].arrived_work() > 0.0;
     for (_, d) in ranked.into_iter().filter(some_work) {
-        let asked = demands[d].work_asked();
-        shares[d] = (left / asked).min(1.0);
-        left = (left - asked).max(0.0);
+        let arrived = demands[d].arrived_work();
+        shares[d] = (left / arrived).min(1.0);
+        left = (left - arrived).max(0.0);
     }
     shares
 }
--- a/src/policy/admission_tests.rs
+++ b/src/policy/admission_tests.rs
@@ -15,9 +15,9 @@
     }
 }
 
-fn demand(asked: f64, ended: f64, timely: f64) -> Demand {
+fn demand(arrived: f64, ended: f64, timely: f64) -> Demand {
     Demand {
-        asked,
+        arrived,
         ended,
         timely,
         work: 1e6,
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -5,7 +5,7 @@
 //! have been added by every other front too, and what is not heard of again turns into what is usual.
 //! Source: our extension, `docs/design.md`, "Changed, and when each change acts" and "learning".
 
-use crate::interface::{EngineId, Micros, Report, ReportLayout, SECOND};
+use crate::interface::{EngineId, LoadReport, Micros, ReportLayout, SECOND};
 use crate::load::Load;
 use crate::policy::concurrency_limit::LimitScope;
 use crate::policy::estimates::MIN_SAMPLE_WEIGHT;
@@ -100,7 +100,13 @@
     }
 
     /// Takes an engine's load report. `typical` is what a statement usually holds.
-    pub fn reported(&mut self, at: &ReportedEngine, report: &Report, typical: Load, now: Micros) {
+    pub fn reported(
+        &mut self,
+        at: &ReportedEngine,
+        report: &LoadReport,
+        typical: Load,
+        now: Micros,
+    ) {
         let reported = self.read(at, report, typical);
         let known = &mut self.engines[at.engine];
         (known.own_at_report, known.reported_at) = (at.own, now);
@@ -115,7 +121,7 @@
     }
 
     /// What a report says that others hold.
-    fn read(&self, at: &ReportedEngine, report: &Report, typical: Load) -> Load {
+    fn read(&self, at: &ReportedEngine, report: &LoadReport, typical: Load) -> Load {
         let own_attempts = at.in_flight as f64;
         let (threads_each, memory_each) = match self.scope {
             LimitScope::Pooled => (typical.threads, typical.memory),
--- a/src/scheduler/observe.rs
+++ b/src/scheduler/observe.rs
@@ -2,8 +2,8 @@
 
 use crate::engine_table::{size_of, AttemptId};
 use crate::interface::{
-    Ended, EngineEntry, EngineId, Event, KeyId, Micros, Mode, Outcome, ProgressReport, Report,
-    StatementId,
+    EngineEntry, EngineId, Event, ExecutionEnded, KeyId, LoadReport, Micros, Mode, Outcome,
+    ProgressReport, StatementId,
 };
 use crate::load::Load;
 use crate::policy::concurrency_limit::{AnsweredAttempt, ConcurrencyLimits, LimitScope};
@@ -19,19 +19,19 @@
     /// Takes in one event.
     pub(super) fn observe(&mut self, event: Event) {
         match event {
-            Event::Engines { whole, entries } => self.engines_listed(whole, entries),
-            Event::ListFailed => self.subscribe(),
+            Event::EngineList { complete, entries } => self.engines_listed(complete, entries),
+            Event::EngineListFailed => self.subscribe(),
             Event::Woken => {}
             Event::Arrived(arrival) => self.arrived(arrival),
-            Event::Ended(ended) => self.ended(ended),
+            Event::ExecutionEnded(ended) => self.ended(ended),
             Event::Progress {
                 statement,
                 execution: number,
                 engine,
                 progress,
             } => self.noted(AttemptId { statement, number }, engine, progress),
-            Event::ClientLeft(id) => self.close(id, Timeliness::NotTimely),
-            Event::OrderKeyFreed { key, pauses } => self.order_key_freed(key, pauses),
+            Event::StatementWithdrawn(id) => self.close(id, Timeliness::NotTimely),
+            Event::OrderKeyReleased { key, pauses } => self.order_key_freed(key, pauses),
             Event::PeerReport(report) => self.peer_reported(report),
             Event::FleetDemand(demand) => self.fleet_demand_changed(&demand),
             Event::SendCapacity { engine, executions } => {
@@ -49,7 +49,7 @@
         }
     }
 
-    fn probed(&mut self, engine: EngineId, alive: bool, report: Option<&Report>) {
+    fn probed(&mut self, engine: EngineId, alive: bool, report: Option<&LoadReport>) {
         self.ensure_engine(engine);
         if alive {
             self.found_healthy(engine);
@@ -61,8 +61,8 @@
         }
     }
 
-    fn engines_listed(&mut self, whole: bool, entries: Vec<EngineEntry>) {
-        if whole {
+    fn engines_listed(&mut self, complete: bool, entries: Vec<EngineEntry>) {
+        if complete {
             self.engines.open.fill(false);
         }
         for entry in entries {
@@ -104,7 +104,7 @@
         self.enqueue_first_in_order(Some(key));
     }
 
-    fn load_reported(&mut self, engine: EngineId, report: &Report) {
+    fn load_reported(&mut self, engine: EngineId, report: &LoadReport) {
         let at = ReportedEngine {
             engine,
             kind: self.engines.kind(engine),
@@ -168,7 +168,7 @@
         }
     }
 
-    fn ended(&mut self, ended: Ended) {
+    fn ended(&mut self, ended: ExecutionEnded) {
         let (now, engine) = (self.clock.now, ended.engine);
         self.ensure_engine(engine);
         let Some(statement) = self.statements.get_mut(&ended.statement) else {
@@ -203,7 +203,7 @@
     }
 
     /// What may still be running keeps its order key for a time; so does a transaction that goes on.
-    fn resolve_order_key(&mut self, key: Option<KeyId>, was_over: bool, ended: &Ended) {
+    fn resolve_order_key(&mut self, key: Option<KeyId>, was_over: bool, ended: &ExecutionEnded) {
         let may_run_on = matches!(
             ended.outcome,
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
@@ -218,7 +218,7 @@
     /// What the end of an attempt tells of its engine.
     fn learn_from(
         &mut self,
-        ended: &Ended,
+        ended: &ExecutionEnded,
         load: Load,
         was_silent: bool,
         unreachable: UnreachableStreak,
@@ -247,7 +247,7 @@
 
     /// Guards against jams no answer tells of: an engine that refuses work or, where limits are pooled, lets it run
     /// into the client's deadline is full until it reports again, whatever it said before.
-    fn overloaded(&mut self, ended: &Ended, load: Load) {
+    fn overloaded(&mut self, ended: &ExecutionEnded, load: Load) {
         let engine = ended.engine;
         let pooled = self.limits.scope() == LimitScope::Pooled;
         if pooled || ended.outcome == Outcome::NoCapacity {
@@ -259,7 +259,7 @@
             .shrink(engine, load.threads, |engine| engines.size[engine].threads);
     }
 
-    fn settle_or_retry(&mut self, ended: &Ended) {
+    fn settle_or_retry(&mut self, ended: &ExecutionEnded) {
         let statement = &self.statements[&ended.statement];
         if ended.settled {
             let in_time = self.clock.now - statement.first_arrival <= self.slo_time(statement);
@@ -276,7 +276,7 @@
         }
     }
 
-    fn answered(&mut self, ended: &Ended, load: Load) {
+    fn answered(&mut self, ended: &ExecutionEnded, load: Load) {
         let engine = ended.engine;
         let statement = &self.statements[&ended.statement];
         let workload = statement.asked.workload;
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -37,7 +37,7 @@
 }
 
 /// How a run ended: whether it passed, its lines on standard output and error, and how cargo was called.
-struct Ended {
+struct RunResult {
     passed: bool,
     out: String,
     err: String,
@@ -79,7 +79,7 @@
         self
     }
 
-    fn run(&self) -> Ended {
+    fn run(&self) -> RunResult {
         let calls = self.0.join("bin/calls");
         let _ = fs::remove_file(&calls);
         let path = format!(
@@ -91,7 +91,7 @@
             .env("PATH", path)
             .output()
             .unwrap();
-        Ended {
+        RunResult {
             passed: ran.status.success(),
             out: String::from_utf8(ran.stdout).unwrap(),
             err: String::from_utf8(ran.stderr).unwrap(),
--- a/tests/notation/mod.rs
+++ b/tests/notation/mod.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use hallmux::interface::{
-    Action, Agreement, Arrival, DedupGroup, Demand, Effect, Ended, EngineBudgets, EngineEntry,
-    Event, FleetDemand, KeyId, Micros, Mode, Outcome, PeerReport, ProgressReport, RetryAllowance,
-    StatementId, Workload,
+    Action, Agreement, Arrival, DedupGroup, Demand, Effect, EngineBudgets, EngineEntry, Event,
+    ExecutionEnded, FleetDemand, KeyId, Micros, Mode, Outcome, PeerReport, ProgressReport,
+    RetryAllowance, StatementId, Workload,
 };
 
 /// A millisecond.
@@ -222,7 +222,7 @@
             "note" => self.note(words),
             "leave" => {
                 let statement = self.statement(words[1]);
-                Some(Event::ClientLeft(statement))
+                Some(Event::StatementWithdrawn(statement))
             }
             "hear" => self.peer_report(words),
             "asked" => Some(self.fleet_demand(&Options::of(&words[1..]))),
@@ -242,7 +242,7 @@
                 alive: Options::of(&words[2..]).has("alive"),
                 report: None,
             }),
-            "free" => Some(Event::OrderKeyFreed {
+            "free" => Some(Event::OrderKeyReleased {
                 key: self.keys.known(words[1])? as KeyId,
                 pauses: Options::of(&words[2..]).has("rests"),
             }),
@@ -281,7 +281,7 @@
         let options = Options::of(&words[2..]);
         let outcome = outcome(words[3])?;
         let report = options.get("active").or(options.get("busy"));
-        Some(Event::Ended(Ended {
+        Some(Event::ExecutionEnded(ExecutionEnded {
             statement: self.statement(words[1]),
             execution: options.place("execution"),
             engine: self.engines.known(words[2])?,
@@ -331,7 +331,7 @@
                 .collect();
             let count = |place: usize| counts.get(place).copied().unwrap_or(0.0);
             Demand {
-                asked: count(0),
+                arrived: count(0),
                 ended: count(1),
                 timely: count(2),
                 work: 1e6,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -99,8 +99,8 @@
             }
             ["start"] | ["whole"] | ["change"] => {
                 let entries = std::mem::take(&mut self.listed);
-                let whole = words[0] != "change";
-                self.events.push(Event::Engines { whole, entries });
+                let complete = words[0] != "change";
+                self.events.push(Event::EngineList { complete, entries });
             }
             ["restart"] => (self.scheduler, self.wake) = (None, None),
             ["at", time] => self.run_to(micros(time)),
@@ -186,7 +186,7 @@
         .collect();
     let mut words = Vec::new();
     for reason in RejectReason::ALL {
-        let word = reason.word();
+        let word = reason.name();
         assert_eq!(
             (word, word),
             (&*format!("{reason:?}"), &*reason.to_string())
