--- a/crates/dispatcher/src/tick.rs
+++ b/crates/dispatcher/src/tick.rs
@@ -76,7 +76,7 @@
 
     fn carry_out(&mut self, now: Micros, action: Action, commands: &mut Vec<Command>) {
         match action {
-            Action::Terms {
+            Action::SetResources {
                 statement,
                 grant_mb,
                 priority,
@@ -115,7 +115,7 @@
                 place: engine,
                 for_fleet: true,
             }),
-            Action::Pace { connections } => {
+            Action::SetConnectionRate { connections } => {
                 commands.push(Command::SetConnectionRate { connections });
             }
             Action::Wake { at } => self.wake = at,
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -24,7 +24,7 @@
 
 fn write_action(out: &mut String, names: &ReplyNames, action: &Action) -> Result {
     match action {
-        Action::Terms {
+        Action::SetResources {
             statement,
             grant_mb,
             priority,
@@ -64,7 +64,7 @@
             writeln!(out, " {}={}", field::ENGINE, names.engines[*engine])
         }
         // The settings name no such budget here.
-        Action::Pace { .. } => Ok(()),
+        Action::SetConnectionRate { .. } => Ok(()),
         Action::Subscribe => {
             names.begin(out, output::SUBSCRIBE)?;
             writeln!(out, " {}={}", field::FOLLOWS, value::YES)
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Holds for the statement's later executions; the priority also for those in flight.
-    Terms {
+    SetResources {
         /// The statement that it holds for.
         statement: StatementId,
         /// The memory to grant, in MB; 0 leaves it to the engine.
@@ -57,7 +57,7 @@
     /// Subscribe to the engine list.
     Subscribe,
     /// From now on this front may make so many connections to each engine.
-    Pace {
+    SetConnectionRate {
         /// New connections a second.
         connections: f64,
     },
--- a/src/interface/agreement.rs
+++ b/src/interface/agreement.rs
@@ -141,9 +141,9 @@
     pub memory_mb: Vec<f64>,
     /// The share of an engine's memory that one statement is granted at most, 0 to 1.
     pub max_grant_share: f64,
-    /// Engines apply the memory grants of [`Action::Terms`](super::Action::Terms).
+    /// Engines apply the memory grants of [`Action::SetResources`](super::Action::SetResources).
     pub grants: bool,
-    /// Engines apply the priorities of [`Action::Terms`](super::Action::Terms).
+    /// Engines apply the priorities of [`Action::SetResources`](super::Action::SetResources).
     pub priorities: bool,
     /// The time between two notes of progress of an execution; 0 where engines send none.
     pub progress_interval: Micros,
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -145,7 +145,7 @@
     fn order_execution(&mut self, id: StatementId, engine: EngineId, priority: u8) {
         let grant_mb = self.memory_grant(&self.statements[&id], engine);
         if self.agreed.priorities || grant_mb > 0.0 {
-            self.actions.push(Action::Terms {
+            self.actions.push(Action::SetResources {
                 statement: id,
                 grant_mb,
                 priority,
@@ -193,7 +193,7 @@
         };
         if statement.priority != priority && self.agreed.priorities {
             statement.priority = priority;
-            self.actions.push(Action::Terms {
+            self.actions.push(Action::SetResources {
                 statement: id,
                 grant_mb: 0.0,
                 priority,
--- a/src/scheduler/sweep.rs
+++ b/src/scheduler/sweep.rs
@@ -123,7 +123,7 @@
         }
         self.connection_pace = pace;
         if let Some(connections) = pace {
-            self.actions.push(Action::Pace { connections });
+            self.actions.push(Action::SetConnectionRate { connections });
         }
     }
 
--- a/tests/notation/mod.rs
+++ b/tests/notation/mod.rs
@@ -355,7 +355,7 @@
                 statement: id,
                 engine: place,
             } => format!("execute {} {}", statement(id), engine(place)),
-            Action::Terms {
+            Action::SetResources {
                 statement: id,
                 grant_mb,
                 priority,
@@ -383,7 +383,7 @@
             Action::ProbeEvacuated { engine: place } => {
                 format!("probe-evacuated {}", engine(place))
             }
-            Action::Pace { connections } => format!("pace {connections:.2}"),
+            Action::SetConnectionRate { connections } => format!("pace {connections:.2}"),
             Action::Subscribe => "subscribe".to_string(),
         })
     }
