--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -129,7 +129,7 @@
     let group = class.group.as_deref().unwrap_or(DEFAULT_DEDUP_GROUP);
     Ok(Workload {
         importance: class.worth,
-        late_share: class.late_share,
+        late_value_share: class.late_share,
         slo_time: micros(class.aim_ms),
         slo_stretch: class.aim_stretch,
         statement_timeout: micros(class.deadline_ms),
--- a/src/interface/agreement.rs
+++ b/src/interface/agreement.rs
@@ -30,7 +30,7 @@
     /// What an answer within the SLO time is worth, against those of other workloads.
     pub importance: f64,
     /// The share of the importance that an answer after the SLO time is still worth, 0 to 1.
-    pub late_share: f64,
+    pub late_value_share: f64,
     /// The time within which an answer is timely, from the statement's arrival.
     pub slo_time: Micros,
     /// The SLO time is longer by this times the work divided by the threads.
--- a/src/policy/shedding.rs
+++ b/src/policy/shedding.rs
@@ -8,7 +8,7 @@
 use crate::policy::deadlines::{rejected_at, StatementTiming};
 
 /// Late share under which a statement that must be late is shed at once.
-const MIN_LATE_SHARE_TO_RUN: f64 = 0.25;
+const MIN_LATE_VALUE_SHARE_TO_RUN: f64 = 0.25;
 /// Seconds after which a rejected client may try again, spread by half.
 const RETRY_AFTER_SECONDS: f64 = 0.3;
 
@@ -17,7 +17,7 @@
     /// Its times.
     pub timing: StatementTiming,
     /// The share of its importance that a late answer is worth, 0 to 1.
-    pub late_share: f64,
+    pub late_value_share: f64,
     /// Others of its order key are not over.
     pub shares_order_key: bool,
     /// The engine that holds its transaction takes nothing new.
@@ -31,7 +31,7 @@
     /// others of its order key late too.
     pub fn reason(&self, now: Micros) -> Option<RejectReason> {
         let late = now >= self.timing.last_timely_start();
-        if late && self.late_share < MIN_LATE_SHARE_TO_RUN {
+        if late && self.late_value_share < MIN_LATE_VALUE_SHARE_TO_RUN {
             Some(RejectReason::TooLate)
         } else if late && self.shares_order_key {
             Some(RejectReason::OrderKeyBlocked)
--- a/src/policy/shedding_tests.rs
+++ b/src/policy/shedding_tests.rs
@@ -18,7 +18,7 @@
             expected_run: 200_000.0,
             few_running: false,
         },
-        late_share: 0.5,
+        late_value_share: 0.5,
         shares_order_key: false,
         sticky_engine_closed: false,
         has_safe_engine: true,
@@ -28,7 +28,7 @@
 #[test]
 fn a_late_statement_is_shed_where_a_late_answer_is_worth_little() {
     let worthless = ShedRequest {
-        late_share: 0.0,
+        late_value_share: 0.0,
         ..held()
     };
     assert_eq!(worthless.reason(600_000 - 1), None);
--- a/src/policy/test_support.rs
+++ b/src/policy/test_support.rs
@@ -6,7 +6,7 @@
 pub fn workload(threads: f64) -> Workload {
     Workload {
         importance: 1.0,
-        late_share: 0.0,
+        late_value_share: 0.0,
         slo_time: 1_000_000,
         slo_stretch: 0.0,
         statement_timeout: 5_000_000,
--- a/src/scheduler/expire.rs
+++ b/src/scheduler/expire.rs
@@ -30,7 +30,7 @@
     pub(super) fn shed_request(&self, statement: &Statement) -> ShedRequest {
         ShedRequest {
             timing: self.timing(statement),
-            late_share: self.workload(statement).late_share,
+            late_value_share: self.workload(statement).late_value_share,
             shares_order_key: self.order_queues.is_shared(statement.asked.order_key),
             sticky_engine_closed: self.sticky_engine_closed(statement),
             has_safe_engine: self.has_safe_engine(statement),
--- a/tests/notation/mod.rs
+++ b/tests/notation/mod.rs
@@ -158,7 +158,7 @@
 pub fn workload(options: &Options) -> Workload {
     Workload {
         importance: options.number_or("importance", 1.0),
-        late_share: options.number("late"),
+        late_value_share: options.number("late"),
         slo_time: options.micros_or("slo", 1000),
         slo_stretch: options.number("stretch"),
         statement_timeout: options.micros_or("timeout", 5000),
